--- a/cli/config.go
+++ b/cli/config.go
@@ -17,7 +17,7 @@
 
 	"switchferry/api"
 	"switchferry/configuration"
-	"switchferry/configuration/keeper"
+	"switchferry/configuration/revisions"
 )
 
 // configLook is how often it is looked whether a change is in force, or, by watch, whether there is another.
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	var answer keeper.Answer
+	var answer revisions.Answer
 	switch {
 	case status == http.StatusNotFound:
 		return configurationOff("")
@@ -219,7 +219,7 @@
 }
 
 // await tells how far a stored change comes.
-func (c *change) await(ctx context.Context, cmd *cobra.Command, answer keeper.Answer) error {
+func (c *change) await(ctx context.Context, cmd *cobra.Command, answer revisions.Answer) error {
 	out := cmd.OutOrStdout()
 	if !c.asJSON && !answer.Unchanged {
 		fmt.Fprintf(out, "stored as revision %d\n", answer.Revision)
--- a/cli/data.go
+++ b/cli/data.go
@@ -21,17 +21,17 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
+	"switchferry/connlimit"
 	"switchferry/controller"
+	"switchferry/dataagent"
 	"switchferry/dataset"
 	"switchferry/httpapi"
-	"switchferry/sockets"
-	"switchferry/stager"
 	"switchferry/tuning"
 )
 
 // stagerCommand runs the agent beside a worker.
 func stagerCommand() *cobra.Command {
-	var o stager.Options
+	var o dataagent.Options
 	var listen, cache string
 	var down, up float64
 	cmd := &cobra.Command{Use: "stager --machine NAME --address IP:PORT --dir DIR --store URL --controller NAME=IP:PORT ...",
@@ -83,18 +83,18 @@
 	return cmd
 }
 
-func runStager(ctx context.Context, o stager.Options, listen string) error {
+func runStager(ctx context.Context, o dataagent.Options, listen string) error {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return err
 	}
-	a, err := stager.New(ctx, o)
+	a, err := dataagent.New(ctx, o)
 	if err != nil {
 		return err
 	}
 	slog.Info("stager starts", "machine", o.Machine, "address", o.Address, "dir", o.Dir, "version", Version)
 	go a.Run(ctx)
-	return httpapi.Serve(ctx, l, a.Handler(), sockets.NewBudget(0))
+	return httpapi.Serve(ctx, l, a.Handler(), connlimit.NewBudget(0))
 }
 
 // dataCommand shows and registers datasets.
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -18,12 +18,12 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/spf13/cobra"
 
+	"switchferry/connlimit"
 	"switchferry/controller"
 	"switchferry/features"
 	"switchferry/httpapi"
 	"switchferry/policy"
 	"switchferry/settings"
-	"switchferry/sockets"
 	"switchferry/topology"
 	"switchferry/tuning"
 	"switchferry/upgrade"
@@ -206,7 +206,7 @@
 		return coded(ExitFailed, fmt.Errorf("back: %w", err))
 	}
 	slog.Info("controller starts", "member", set.Member, "zone", set.Zone, "version", Version)
-	budget := sockets.NewBudget(set.Facts.Resources.Sockets)
+	budget := connlimit.NewBudget(set.Facts.Resources.Sockets)
 	// Told to end, it hands over first; told again, it ends at once.
 	running, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
@@ -220,6 +220,6 @@
 		n.Leave(again)
 		end()
 	})
-	go n.Run(budget.Listen(back, sockets.Sibling))
-	return coded(ExitFailed, httpapi.Serve(running, budget.Listen(front, sockets.New), httpapi.New(n, budget), budget))
+	go n.Run(budget.Listen(back, connlimit.Sibling))
+	return coded(ExitFailed, httpapi.Serve(running, budget.Listen(front, connlimit.New), httpapi.New(n, budget), budget))
 }
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -15,7 +15,7 @@
 
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"switchferry/internal/strict"
+	"switchferry/internal/stricttoml"
 	"switchferry/policy"
 	"switchferry/settings"
 	"switchferry/topology"
@@ -103,9 +103,9 @@
 		return nil, Mistakes{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
 	}
 	file := sections{OverLimit: OverLimit{Running: Leave}}
-	unknown, err := strict.Decode([]byte(text), &file)
+	unknown, err := stricttoml.Decode([]byte(text), &file)
 	if err != nil {
-		var value *strict.ValueError
+		var value *stricttoml.ValueError
 		if errors.As(err, &value) {
 			return nil, Mistakes{{Line: value.Line, Field: value.Name, Remedy: value.Err.Error()}}
 		}
@@ -113,7 +113,7 @@
 	}
 	c := checker{lines: linesOf(text)}
 	for _, err := range unknown {
-		var name *strict.UnknownError
+		var name *stricttoml.UnknownError
 		if errors.As(err, &name) {
 			c.mistakes = append(c.mistakes, Mistake{name.Line, name.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
 		}
--- a/configuration/port/port.go
+++ b/configuration/httpapi/port.go
@@ -1,6 +1,6 @@
-// Package port answers operators' requests about the configuration: it turns what package keeper knows and does into
+// Package httpapi answers operators' requests about the configuration: it turns what package keeper knows and does into
 // statuses and bodies, as docs/configuration-operators.md has them. A status of 503 means: come back.
-package port
+package httpapi
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"switchferry/api"
 	"switchferry/configuration"
-	"switchferry/configuration/keeper"
+	"switchferry/configuration/revisions"
 	"switchferry/upgrade"
 )
 
@@ -23,14 +23,14 @@
 
 // Port answers for one controller.
 type Port struct {
-	Keeper *keeper.Keeper
+	Keeper *revisions.Keeper
 	Marks  *upgrade.Marker
 	// TopologyOn and DataOn tell whether these features are on: what needs them can only be configured then.
 	TopologyOn, DataOn bool
 }
 
 // Present is the present configuration and how far the last change has come.
-func (p *Port) Present(applier *keeper.Applier) api.ConfigurationView {
+func (p *Port) Present(applier *revisions.Applier) api.ConfigurationView {
 	revision, newest, trouble := p.Keeper.Present()
 	v := api.ConfigurationView{Newest: newest, NotTaken: trouble, Leader: applier != nil}
 	if revision != nil {
@@ -73,7 +73,7 @@
 }
 
 // Change makes a change as the leader.
-func (p *Port) Change(ctx context.Context, applier *keeper.Applier, body []byte) (status int, answer any) {
+func (p *Port) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
 	var request api.ConfigurationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return http.StatusBadRequest, api.Error{Error: "the body must be a JSON object with a document", Field: "body"}
@@ -87,14 +87,14 @@
 	}
 	without, err := p.Marks.WithoutConfiguration(ctx)
 	if err != nil {
-		return http.StatusServiceUnavailable, api.Error{Error: keeper.ErrOut.Error()}
+		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrOut.Error()}
 	}
 	if len(without) > 0 {
 		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can only change once all controllers run a version that knows of it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
 	}
-	made, err := applier.Apply(ctx, keeper.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
+	made, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
 	switch {
-	case errors.Is(err, keeper.ErrConflict):
+	case errors.Is(err, revisions.ErrConflict):
 		return http.StatusConflict, p.conflict(document, err)
 	case err != nil:
 		slog.Info("configuration not changed", "by", request.By, "err", err)
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -10,7 +10,7 @@
 
 	"github.com/zeebo/blake3"
 
-	"switchferry/internal/pack"
+	"switchferry/internal/compress"
 	"switchferry/tuning"
 )
 
@@ -71,7 +71,7 @@
 
 // Encode is a revision as it is stored, in parts of at most so many bytes each.
 func Encode(r *Revision, valueBytes int) (Head, []Part, error) {
-	text, err := pack.Small(r)
+	text, err := compress.Small(r)
 	if err != nil {
 		return Head{}, nil, err
 	}
@@ -111,7 +111,7 @@
 		return nil, fmt.Errorf("%w: the digest of revision %d is wrong", ErrDamaged, number)
 	}
 	var r Revision
-	if err := pack.Unpack(text.String(), &r); err != nil {
+	if err := compress.Unpack(text.String(), &r); err != nil {
 		return nil, fmt.Errorf("%w: revision %d: %v", ErrDamaged, number, err)
 	}
 	if r.Number != number {
--- a/configuration/keeper/applier.go
+++ b/configuration/revisions/applier.go
@@ -1,4 +1,4 @@
-package keeper
+package revisions
 
 import (
 	"context"
--- a/configuration/keeper/keeper.go
+++ b/configuration/revisions/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper carries package configuration out against the state service: it reads the newest revision again and
+// Package revisions carries package configuration out against the state service: it reads the newest revision again and
 // again, so that this controller knows until when it may go by it; on the leader it stores a new one and takes it to
 // the point where it is in force everywhere. It decides nothing about jobs: what is gone by is handed to whoever does.
-package keeper
+package revisions
 
 import (
 	"context"
--- a/configuration/keeper/keeper_test.go
+++ b/configuration/revisions/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package revisions
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/configuration"
-	"switchferry/internal/pack"
-	"switchferry/internal/standin"
+	"switchferry/internal/compress"
+	"switchferry/internal/fake"
 	"switchferry/policy"
 	"switchferry/settings"
 	"switchferry/store"
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	// The packer is made once; what is made within one bubble cannot be used in another.
-	if _, err := pack.Small(0); err != nil {
+	if _, err := compress.Small(0); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
@@ -39,7 +39,7 @@
 type site struct {
 	t         *testing.T
 	ctx       context.Context
-	state     *standin.State
+	state     *fake.State
 	clock     clockwork.Clock
 	limits    settings.State
 	followers map[string]*Keeper
@@ -60,9 +60,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	clock := clockwork.NewRealClock()
-	s := &site{t: t, ctx: ctx, state: standin.NewState(clock), clock: clock, limits: limits, followers: map[string]*Keeper{}, cut: map[string]bool{},
+	s := &site{t: t, ctx: ctx, state: fake.NewState(clock), clock: clock, limits: limits, followers: map[string]*Keeper{}, cut: map[string]bool{},
 		drop: func() bool { return false }, fail: func() bool { return false }}
-	s.state.Limit(standin.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
+	s.state.Limit(fake.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
 	for _, name := range []string{"x", "y"} {
 		s.followers[name] = New(store.NewClient("state:1", line{s, name}), clock, files, limits)
 		go s.followers[name].Run(ctx, func() bool { return false })
--- a/sockets/sockets.go
+++ b/connlimit/sockets.go
@@ -1,4 +1,4 @@
-// Package sockets keeps a controller within its limit of sockets, by class: it knows how many
+// Package connlimit keeps a controller within its limit of sockets, by class: it knows how many
 // are open and who opened them, not what is said on them.
 //
 // Past the platform's limit every new connection fails, a user's and a sibling's like a
@@ -6,7 +6,7 @@
 // there is no need. So once sockets get scarce, workers are told to close theirs after each
 // answer, idle ones are closed for newcomers, and commands that go to workers directly wait for
 // the workers' next reports. What is left is for users, siblings, state service and cloud.
-package sockets
+package connlimit
 
 import (
 	"context"
--- a/sockets/sockets_test.go
+++ b/connlimit/sockets_test.go
@@ -1,4 +1,4 @@
-package sockets_test
+package connlimit_test
 
 import (
 	"bufio"
@@ -9,27 +9,27 @@
 	"net/http"
 	"testing"
 
-	"switchferry/sockets"
+	"switchferry/connlimit"
 )
 
 // served is a port with a budget, where /v1/report is a worker's path.
-func served(t *testing.T, limit int) (*sockets.Budget, string) {
-	b := sockets.NewBudget(limit)
+func served(t *testing.T, limit int) (*connlimit.Budget, string) {
+	b := connlimit.NewBudget(limit)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{ConnContext: sockets.Context, ConnState: b.State, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		class := sockets.User
+	s := &http.Server{ConnContext: connlimit.Context, ConnState: b.State, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		class := connlimit.User
 		if r.URL.Path == "/v1/report" {
-			class = sockets.Worker
+			class = connlimit.Worker
 			if b.Scarce() {
 				w.Header().Set("Connection", "close")
 			}
 		}
-		b.Tell(sockets.Of(r.Context()), class)
+		b.Tell(connlimit.Of(r.Context()), class)
 	})}
-	go func() { _ = s.Serve(b.Listen(l, sockets.New)) }()
+	go func() { _ = s.Serve(b.Listen(l, connlimit.New)) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return b, l.Addr().String()
 }
@@ -119,20 +119,20 @@
 // Commands leave the last sockets to the state service; one that finds none was never sent.
 func TestCommandsGiveWay(t *testing.T) {
 	_, addr := served(t, 0)
-	b := sockets.NewBudget(10)
-	dial := b.Dial(func(string) sockets.Class { return sockets.Command })
+	b := connlimit.NewBudget(10)
+	dial := b.Dial(func(string) connlimit.Class { return connlimit.Command })
 	for i := 0; ; i++ {
 		_, err := dial(context.Background(), "tcp4", addr)
 		if err == nil {
 			continue
 		}
 		var op *net.OpError
-		if !errors.As(err, &op) || op.Op != "dial" || !errors.Is(err, sockets.ErrScarce) || i < 5 || i > 9 {
+		if !errors.As(err, &op) || op.Op != "dial" || !errors.Is(err, connlimit.ErrScarce) || i < 5 || i > 9 {
 			t.Fatalf("after %d commands: %v", i, err)
 		}
 		break
 	}
-	if _, err := b.Dial(func(string) sockets.Class { return sockets.Service })(context.Background(), "tcp4", addr); err != nil {
+	if _, err := b.Dial(func(string) connlimit.Class { return connlimit.Service })(context.Background(), "tcp4", addr); err != nil {
 		t.Errorf("the state service: %v", err)
 	}
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -9,13 +9,13 @@
 
 	"switchferry/api"
 	"switchferry/configuration"
-	"switchferry/configuration/keeper"
-	"switchferry/configuration/port"
+	"switchferry/configuration/httpapi"
+	"switchferry/configuration/revisions"
+	"switchferry/feasibility"
 	"switchferry/fleet"
 	"switchferry/peer"
 	"switchferry/quota"
 	"switchferry/store"
-	"switchferry/supply"
 	"switchferry/tuning"
 )
 
@@ -31,7 +31,7 @@
 
 // keepConfiguration switches live configuration on; it is called before Run.
 func (n *Node) keepConfiguration() {
-	n.config = keeper.New(n.client, n.clock, n.files[0], n.set.Facts.State)
+	n.config = revisions.New(n.client, n.clock, n.files[0], n.set.Facts.State)
 	n.marks.Configuration = true
 }
 
@@ -39,7 +39,7 @@
 func (n *Node) ConfigurationOn() bool { return n.config != nil }
 
 // changing is what changes the configuration in the present term; nil: this controller does not lead.
-func (n *Node) changing() *keeper.Applier {
+func (n *Node) changing() *revisions.Applier {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.applier
@@ -134,7 +134,7 @@
 // least that the job needs at once.
 func admits(active *configuration.Active, s *api.Submission) bool {
 	limit, ok := active.Limit(s.Team)
-	return ok && limit.Holds(supply.AtOnce(s))
+	return ok && limit.Holds(feasibility.AtOnce(s))
 }
 
 // limitReason is why a job waits for its team's limit, for operators and users.
@@ -143,7 +143,7 @@
 	switch {
 	case !ok:
 		return fmt.Sprintf("team %s is not in the configuration any more (revision %d); it waits until a team of this name is", j.Job.Team, active.Revision)
-	case !limit.Holds(supply.AtOnce(&j.Job)):
+	case !limit.Holds(feasibility.AtOnce(&j.Job)):
 		return fmt.Sprintf("it needs more at once than the limit of team %s allows since revision %d; it waits until that is raised", j.Job.Team, active.Revision)
 	}
 	return fmt.Sprintf("team %s has as much as its limit allows", j.Job.Team)
@@ -225,7 +225,7 @@
 		return judged, nil, true
 	}
 	for i, active := range judged.by {
-		found, open := supply.CanRun(s, active.Limit, types)
+		found, open := feasibility.CanRun(s, active.Limit, types)
 		if i > 0 && (found == nil) != (err == nil) {
 			judged.why = "the configuration is just changing"
 			return judged, nil, true
@@ -278,8 +278,8 @@
 	return answered(n.configurationPort().Change(ctx, applier, r.Body))
 }
 
-func (n *Node) configurationPort() *port.Port {
-	return &port.Port{Keeper: n.config, Marks: n.marks, TopologyOn: n.topology != nil, DataOn: n.data.On}
+func (n *Node) configurationPort() *httpapi.Port {
+	return &httpapi.Port{Keeper: n.config, Marks: n.marks, TopologyOn: n.topology != nil, DataOn: n.data.On}
 }
 
 // answered is a status and a body as an answer; whoever gets a 503 is told to come back.
--- a/controller/core.go
+++ b/controller/core.go
@@ -19,14 +19,14 @@
 	"switchferry/ageing"
 	"switchferry/api"
 	"switchferry/configuration"
-	"switchferry/contact"
-	"switchferry/courier/exchange"
-	"switchferry/evidence"
+	"switchferry/dag"
+	"switchferry/failuredetector"
 	"switchferry/fleet"
-	"switchferry/pipeline"
 	"switchferry/placement"
 	"switchferry/policy"
 	"switchferry/quota"
+	"switchferry/reachability"
+	"switchferry/relay/exchange"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/topology"
@@ -77,7 +77,7 @@
 	// what it has to keep for the sake of those behind it; it is only set while there are some.
 	waits bool
 	began int64
-	reach pipeline.Stage
+	reach dag.Stage
 	// beyond is 1 unless the job is within its team's guarantee.
 	beyond int
 	// entitled: it was within the guarantee when this leader first looked, so it
@@ -158,7 +158,7 @@
 	ended map[string]*ended
 	// sending: a direct command is under way; again: another is wanted.
 	sending, again bool
-	// relay is the sibling that its reports come through; empty: directly.
+	// heartbeatRelay is the sibling that its reports come through; empty: directly.
 	relay string
 	// mail is what stands for it in the letters to that sibling; nil: nothing.
 	mail json.RawMessage
@@ -166,7 +166,7 @@
 	via string
 	// line is whether it hears us; deafTold: that it does not was logged. listed: the cloud's list
 	// had it in this term.
-	line     contact.Way
+	line     reachability.Way
 	deafTold bool
 	listed   bool
 	// keptFor is the job that it drains for, until about keptUntil.
@@ -257,16 +257,16 @@
 	renting  int
 	wake     chan struct{}
 	heard    time.Time
-	silence  *evidence.Silence
+	silence  *failuredetector.Silence
 	// budget bounds how many machines are given up for their silence; spared is when it was
 	// last logged that some are left alone.
-	budget evidence.Budget
+	budget failuredetector.Budget
 	spared time.Time
 	// reached is when a worker last reported to us itself or answered a command;
 	// failed counts commands since that none answered.
 	reached time.Time
 	failed  int
-	boots   evidence.Boots
+	boots   failuredetector.Boots
 	// hints are the images of machines that have not reported yet, as the last
 	// leader knew them; imagesNew: there is more to put on record since
 	// imagesAt.
@@ -304,7 +304,7 @@
 		wake: make(chan struct{}, 1), started: clock.Now(), shardTasks: tuning.ShardTasks}
 	c.pipes = newPipes(c)
 	c.heard = c.started
-	c.silence = evidence.New(c.started, seconds(set.Facts.Workers.LeaseS))
+	c.silence = failuredetector.New(c.started, seconds(set.Facts.Workers.LeaseS))
 	c.reached = c.started
 	c.workerMail = mailroom(c, store.MailPrefix, store.MailKey, c.mailBody)
 	c.aims, c.grace = map[string][]float64{}, map[string][]float64{}
--- a/controller/core_test.go
+++ b/controller/core_test.go
@@ -12,10 +12,10 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/courier"
-	"switchferry/courier/exchange"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/policy"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/topology"
@@ -28,7 +28,7 @@
 	*testing.T
 	*Core
 	clock  *clockwork.FakeClock
-	state  *standin.State
+	state  *fake.State
 	com    *store.Committer
 	valid  bool
 	sent   []sentOrders
@@ -52,7 +52,7 @@
 
 func newStage(t *testing.T) *stage {
 	clock := clockwork.NewFakeClock()
-	return (&stage{T: t, clock: clock, state: standin.NewState(clock), seq: map[string]uint64{}}).elect()
+	return (&stage{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
 }
 
 // elect begins a new term over the same state service, as after a crash.
@@ -395,10 +395,10 @@
 // mailed is what stands in the state service for a machine behind a sibling.
 func (s *stage) mailed(member, name string) (m store.Mail) {
 	s.Helper()
-	var r courier.Reader
+	var r relay.Reader
 	items, _, err := store.NewClient("state:1", s.state).List(context.Background(), store.MailPrefix+member+"/")
 	for _, it := range items {
-		var l courier.Letter
+		var l relay.Letter
 		if err == nil {
 			err = json.Unmarshal(it.Value, &l)
 		}
@@ -443,8 +443,8 @@
 		t.Errorf("still in the mail: %+v", m)
 	}
 	// Reports for another term's leader are not ours to use.
-	raw, _ := json.Marshal(courier.Letter{Term: s.term - 1, Packed: "x"})
-	exchange.Open([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, s.term, &courier.Joiner{}, func(string, courier.Message) {
+	raw, _ := json.Marshal(relay.Letter{Term: s.term - 1, Packed: "x"})
+	exchange.Open([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, s.term, &relay.Joiner{}, func(string, relay.Message) {
 		t.Error("took reports of another term")
 	})
 }
--- a/controller/data.go
+++ b/controller/data.go
@@ -14,12 +14,12 @@
 
 	"switchferry/api"
 	"switchferry/cost"
-	"switchferry/courier/exchange"
 	"switchferry/dataset"
 	"switchferry/features"
-	"switchferry/holdings"
 	"switchferry/placement"
 	"switchferry/policy"
+	"switchferry/relay/exchange"
+	"switchferry/replicas"
 	"switchferry/staging"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -33,11 +33,11 @@
 // data is what one term knows of datasets.
 type data struct {
 	set   features.Data
-	index *holdings.Index
+	index *replicas.Index
 	desk  *staging.Desk
 	sets  map[string]*dataset.Entry
 	// snap is who holds what, for one round of the placer.
-	snap *holdings.Snapshot
+	snap *replicas.Snapshot
 	// stuck is since when a machine's cache has had no room for what it was to copy.
 	stuck map[string]time.Time
 	// waiting counts tasks that wait for bytes, by job, as of the last round.
@@ -66,7 +66,7 @@
 
 // UseData switches datasets on, before anything is loaded.
 func (c *Core) UseData(set features.Data) {
-	index := holdings.New()
+	index := replicas.New()
 	limits := staging.Limits{LinkRate: set.LinkMBs * 1e6, StoreRate: set.StoreMBs * 1e6, PerLink: set.PerLink, AtStore: set.AtStore,
 		Peers: set.Placement == features.Local || set.Placement == features.Staged}
 	c.data = &data{set: set, index: index, desk: staging.New(c.term, limits, index), sets: map[string]*dataset.Entry{},
@@ -196,7 +196,7 @@
 // delay is how long a task's inputs take to a machine: behind what its link has to bring
 // already, and behind the machines that wait for the same parts, unless they are on their
 // way there as well. Like an image, a part that comes anyway costs the next task little.
-func (d *data) delay(behind, bytes float64, fromStore bool, spread float64, coming map[holdings.Machine]float64, id holdings.Machine) float64 {
+func (d *data) delay(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.Machine]float64, id replicas.Machine) float64 {
 	if left, ok := coming[id]; ok {
 		return d.desk.DelayBehind(max(0, behind-left), left, false)
 	}
@@ -205,7 +205,7 @@
 
 // coming are the machines that a task's part is on its way to, for a job that needs
 // nothing else.
-func (d *data) coming(j *job, task int) map[holdings.Machine]float64 {
+func (d *data) coming(j *job, task int) map[replicas.Machine]float64 {
 	if len(j.inputs) == 1 && j.inputs[0].own && j.inputs[0].set != nil {
 		return d.desk.Coming(j.inputs[0].name, task)
 	}
@@ -225,7 +225,7 @@
 
 // lacks is how many bytes of a task's inputs a machine lacks, and whether some of them
 // are on no machine.
-func (d *data) lacks(j *job, task int, id holdings.Machine) (bytes float64, fromStore bool) {
+func (d *data) lacks(j *job, task int, id replicas.Machine) (bytes float64, fromStore bool) {
 	for _, in := range j.inputs {
 		switch {
 		case in.set == nil:
@@ -250,7 +250,7 @@
 }
 
 // holders are the machines, by their numbers and in order, that hold all inputs of a task.
-func (d *data) holders(j *job, task int) (out []holdings.Machine) {
+func (d *data) holders(j *job, task int) (out []replicas.Machine) {
 	for i, in := range j.inputs {
 		on := d.snap.Whole(in.name)
 		if in.own {
@@ -260,7 +260,7 @@
 			out = on
 			continue
 		}
-		both := []holdings.Machine{}
+		both := []replicas.Machine{}
 		for _, m := range out {
 			if _, ok := slices.BinarySearch(on, m); ok {
 				both = append(both, m)
@@ -279,7 +279,7 @@
 	slot := c.active.Policy.Value(policy.SlotS, nil)
 	var ms []*machine
 	var servers []placement.Server
-	index := map[holdings.Machine]int32{}
+	index := map[replicas.Machine]int32{}
 	x := &missing{c: c, j: j, slot: slot, idle: math.Inf(1), memo: map[float64]int{}, group: -1,
 		on: d.weighs(), single: len(j.inputs) == 1 && j.inputs[0].own}
 	for _, m := range c.byName() {
@@ -342,7 +342,7 @@
 	c      *Core
 	j      *job
 	groups []placement.Group
-	ids    []holdings.Machine
+	ids    []replicas.Machine
 	names  []string
 	// backlog is what each machine's link has to bring already, in bytes; idle the least.
 	backlog []float64
@@ -367,7 +367,7 @@
 	// spread is how long its sources take to give its parts to one more machine.
 	spread float64
 	// coming are the machines that its part is on its way to.
-	coming map[holdings.Machine]float64
+	coming map[replicas.Machine]float64
 }
 
 func (x *missing) slots(seconds float64) int {
--- a/controller/dataport.go
+++ b/controller/dataport.go
@@ -13,7 +13,7 @@
 	"switchferry/features"
 	"switchferry/internal/rest"
 	"switchferry/peer"
-	"switchferry/steering"
+	"switchferry/redirect"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -34,7 +34,7 @@
 func (n *Node) Enable(f *features.Features) {
 	n.data = f.Data
 	n.sets = map[string]*dataset.Entry{}
-	n.agentBounces = steering.NewBounces()
+	n.agentBounces = redirect.NewBounces()
 	n.agentRelay = newAgentRelay(n)
 	if f.Membership.On {
 		n.watchMembers()
--- a/controller/dataport_test.go
+++ b/controller/dataport_test.go
@@ -12,7 +12,7 @@
 	"switchferry/api"
 	"switchferry/dataset"
 	"switchferry/features"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
 	"switchferry/settings"
@@ -20,9 +20,9 @@
 )
 
 // dataNode is a controller without a leader, with datasets on or off.
-func dataNode(on bool) (*Node, *standin.State) {
+func dataNode(on bool) (*Node, *fake.State) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	n := NewNode(context.Background(), set, policy.Default(), clock, st)
--- a/controller/datarelay.go
+++ b/controller/datarelay.go
@@ -11,8 +11,8 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/courier"
-	"switchferry/courier/exchange"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
 	"switchferry/staging"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -31,7 +31,7 @@
 }
 
 func newAgentRelay(n *Node) *agentRelay {
-	y := &agentRelay{clock: n.clock, proxy: staging.NewProxy(courier.NewOutbox(exchange.Limits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli())))}
+	y := &agentRelay{clock: n.clock, proxy: staging.NewProxy(relay.NewOutbox(exchange.Limits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli())))}
 	y.post = n.exchange(store.StageRelayKey, store.StageMailPrefix, tuning.RelayStageKeep)
 	y.post.Lock, y.post.Box, y.post.Reader = &y.mu, y.proxy.Box, &y.proxy.Mail
 	y.post.Forget = func(now time.Time) { y.proxy.Forget(now, 2*tuning.RelayKeep) }
@@ -117,7 +117,7 @@
 }
 
 // agentSays takes in one message about an agent.
-func (c *Core) agentSays(member string, m courier.Message) {
+func (c *Core) agentSays(member string, m relay.Message) {
 	var r api.StageReport
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
--- a/controller/datarelay_test.go
+++ b/controller/datarelay_test.go
@@ -11,12 +11,12 @@
 	"github.com/RoaringBitmap/roaring/v2"
 
 	"switchferry/api"
-	"switchferry/courier"
-	"switchferry/courier/exchange"
 	"switchferry/dataset"
 	"switchferry/features"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/policy"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -27,13 +27,13 @@
 type cutStage struct {
 	*dataStage
 	y      *Node
-	joiner courier.Joiner
+	joiner relay.Joiner
 	after  uint64
 }
 
 func newCutStage(t *testing.T) *cutStage {
 	s := &cutStage{dataStage: newDataStage(t, features.Staged)}
-	s.state.Limit(standin.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+	s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 	set := &settings.Settings{Member: "y", Siblings: []settings.Sibling{{Member: "x", Address: "127.0.0.1:1"}}}
 	set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 	s.y = NewNode(context.Background(), set, policy.Default(), s.clock, s.state)
--- a/controller/holdshint.go
+++ b/controller/holdshint.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"switchferry/holdings"
+	"switchferry/replicas"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -28,16 +28,16 @@
 }
 
 // holdsRecord is one part of that record.
-func (c *Core) holdsRecord(key string) (holdings.Hint, bool) {
+func (c *Core) holdsRecord(key string) (replicas.Hint, bool) {
 	ms := c.recordPart(key, store.HoldsPrefix)
 	if c.data == nil || ms == nil {
-		return holdings.Hint{}, false
+		return replicas.Hint{}, false
 	}
 	var names []string
 	for _, m := range ms {
 		names = append(names, m.Name)
 	}
-	h, _, err := holdings.PackHint(c.data.index.Snapshot(), names, c.data.desk.ID, c.set.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
+	h, _, err := replicas.PackHint(c.data.index.Snapshot(), names, c.data.desk.ID, c.set.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
 	if err != nil {
 		slog.Error("holdings not packed", "err", err)
 		return h, false
@@ -55,9 +55,9 @@
 		return
 	}
 	for _, it := range items {
-		var h holdings.Hint
+		var h replicas.Hint
 		err := json.Unmarshal(it.Value, &h)
-		var all map[string]map[string]holdings.Holding
+		var all map[string]map[string]replicas.Holding
 		if err == nil {
 			all, err = h.Unpack()
 		}
--- a/controller/images.go
+++ b/controller/images.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"switchferry/hints"
+	"switchferry/softstate"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -68,11 +68,11 @@
 	if ms == nil {
 		return store.ImagesRecord{}, false
 	}
-	held := make([]hints.Machine, len(ms))
+	held := make([]softstate.Machine, len(ms))
 	for i, m := range ms {
-		held[i] = hints.Machine{Name: m.Name, Images: m.Images()}
+		held[i] = softstate.Machine{Name: m.Name, Images: m.Images()}
 	}
-	return hints.Pack(held, c.set.Facts.State.Least().ValueBytes()), true
+	return softstate.Pack(held, c.set.Facts.State.Least().ValueBytes()), true
 }
 
 // Hint takes in what an earlier leader knew of images.
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, it := range items {
-		held, err := hints.Unpack(it.Value)
+		held, err := softstate.Unpack(it.Value)
 		if err != nil {
 			slog.Error("a record of images is damaged", "key", it.Key, "err", err)
 			continue
--- a/controller/keep.go
+++ b/controller/keep.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/contact"
 	"switchferry/peer"
+	"switchferry/reachability"
 	"switchferry/store"
 	"switchferry/tuning"
 	"switchferry/watermark"
@@ -208,7 +208,7 @@
 		}
 		for _, a := range j.live {
 			// One that is heard, and was found late, ends it sooner by command.
-			if now.Sub(a.machine.Heard) > c.quiet(a.machine) || now.Sub(a.since) >= limit || a.machine.line.State(now, c.lease()) != contact.Reached {
+			if now.Sub(a.machine.Heard) > c.quiet(a.machine) || now.Sub(a.since) >= limit || a.machine.line.State(now, c.lease()) != reachability.Reached {
 				out = append(out, a.machine)
 			}
 		}
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
 	"switchferry/settings"
@@ -27,7 +27,7 @@
 func TestLeasesInACutZoneEndInTime(t *testing.T) {
 	for _, led := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
-		st := standin.NewState(clock)
+		st := fake.NewState(clock)
 		set := &settings.Settings{Member: "n1", Zone: "b", Siblings: []settings.Sibling{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "b", Address: "127.0.0.1:1"}}}
 		set.Facts.Workers = settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}
 		n := NewNode(context.Background(), set, policy.Default(), clock, st)
--- a/controller/lone_test.go
+++ b/controller/lone_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/policy"
 	"switchferry/settings"
 )
@@ -17,7 +17,7 @@
 	clock := clockwork.NewFakeClock()
 	set := &settings.Settings{Member: "n1", Zone: "b", Siblings: []settings.Sibling{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10}
-	return NewNode(context.Background(), set, policy.Default(), clock, standin.NewState(clock)), clock
+	return NewNode(context.Background(), set, policy.Default(), clock, fake.NewState(clock)), clock
 }
 
 // With both siblings silent, workers come to the last controller one dead end after
--- a/controller/mute_test.go
+++ b/controller/mute_test.go
@@ -9,24 +9,24 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 )
 
 // muteWorkers are machines that obey commands, and whose reports arrive only while heard is set.
 type muteWorkers struct {
 	s     *stage
 	heard map[string]bool
-	all   map[string]*standin.Worker
+	all   map[string]*fake.Worker
 	// begun are the starts on each machine.
 	begun map[string]int
 	gone  []string
 }
 
 func newMute(s *stage, names ...string) *muteWorkers {
-	w := &muteWorkers{s: s, heard: map[string]bool{}, all: map[string]*standin.Worker{}, begun: map[string]int{}}
+	w := &muteWorkers{s: s, heard: map[string]bool{}, all: map[string]*fake.Worker{}, begun: map[string]int{}}
 	for _, n := range names {
 		w.heard[n] = true
-		w.all[n] = standin.NewWorker(standin.WorkerOptions{Host: standin.Host{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n)}, Clock: s.clock,
+		w.all[n] = fake.NewWorker(fake.WorkerOptions{Host: fake.Host{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n)}, Clock: s.clock,
 			Every: time.Second, Lease: 10 * time.Second, Runs: func(string) time.Duration { return time.Hour }})
 	}
 	return w
--- a/controller/node.go
+++ b/controller/node.go
@@ -21,21 +21,21 @@
 	"switchferry/api"
 	"switchferry/cloud"
 	"switchferry/configuration"
-	"switchferry/configuration/keeper"
-	"switchferry/contact"
-	"switchferry/courier/exchange"
+	"switchferry/configuration/revisions"
+	"switchferry/connlimit"
+	"switchferry/cpupressure"
 	"switchferry/dataset"
 	"switchferry/election"
 	"switchferry/features"
 	"switchferry/lookup"
 	"switchferry/membership"
-	"switchferry/pace"
 	"switchferry/peer"
 	"switchferry/policy"
+	"switchferry/reachability"
+	"switchferry/redirect"
+	"switchferry/relay/exchange"
 	"switchferry/retry"
 	"switchferry/settings"
-	"switchferry/sockets"
-	"switchferry/steering"
 	"switchferry/store"
 	"switchferry/topology"
 	"switchferry/traffic"
@@ -66,14 +66,14 @@
 	refused time.Time
 	// hearing is when a worker last reported to this node itself; newest are the reports that did.
 	hearing time.Time
-	newest  *contact.Newest
+	newest  *reachability.Newest
 	// watermark is what it knows of cancellations; loaded is the term whose records it has read, lone when it
 	// last answered a worker by itself. keeping: leases were renewed at the last report.
 	watermark *watermark.Tracker
 	loaded    atomic.Uint64
 	lone      time.Time
 	keeping   bool
-	bounces   steering.Bounces
+	bounces   redirect.Bounces
 	users     traffic.Counter
 
 	// reads limits what questions of users take of the state service, records reads jobs' records
@@ -105,13 +105,13 @@
 	files []*configuration.Active
 	// config keeps the configuration, which can change while this process runs, and applier changes it in the present
 	// term; both are nil unless that feature is on.
-	config  *keeper.Keeper
-	applier *keeper.Applier
+	config  *revisions.Keeper
+	applier *revisions.Applier
 
-	relay *relay
-	pace  *pace.Pace
+	relay *heartbeatRelay
+	pace  *cpupressure.Pace
 	// slow is used by the loop of a term alone.
-	slow pace.Handover
+	slow cpupressure.Handover
 
 	// data says whether datasets are on; sets are those read lately, agents the client
 	// for orders to their agents.
@@ -120,14 +120,14 @@
 	agents *http.Client
 	// agentBounces remembers agents that were sent to the leader; agentRelay answers
 	// those that do not reach it.
-	agentBounces steering.Bounces
+	agentBounces redirect.Bounces
 	agentRelay   *agentRelay
 }
 
 // NewNode makes a controller. Transport carries its calls to other services.
 func NewNode(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Node {
-	n := &Node{set: set, policy: pol, clock: clock, ctx: ctx, born: clock.Now(), keeping: true, bounces: steering.NewBounces(),
-		newest: contact.NewNewest(tuning.NewestKept)}
+	n := &Node{set: set, policy: pol, clock: clock, ctx: ctx, born: clock.Now(), keeping: true, bounces: redirect.NewBounces(),
+		newest: reachability.NewNewest(tuning.NewestKept)}
 	all := []string{set.Member}
 	for _, s := range set.Siblings {
 		all = append(all, s.Member)
@@ -157,19 +157,19 @@
 		panic(err) // only for a limit below one
 	}
 	n.relay = newRelay(n)
-	n.pace = pace.New(clock)
+	n.pace = cpupressure.New(clock)
 	n.agents = &http.Client{Transport: transport}
 	return n
 }
 
 // Transport is the transport for all calls to other services, within a budget of sockets.
-func Transport(set *settings.Settings, budget *sockets.Budget) *http.Transport {
+func Transport(set *settings.Settings, budget *connlimit.Budget) *http.Transport {
 	return &http.Transport{
-		DialContext: budget.Dial(func(addr string) sockets.Class {
+		DialContext: budget.Dial(func(addr string) connlimit.Class {
 			if addr == set.External.State || addr == set.External.Cloud {
-				return sockets.Service
+				return connlimit.Service
 			}
-			return sockets.Command
+			return connlimit.Command
 		}),
 		MaxIdleConns:        tuning.IdleConns,
 		MaxIdleConnsPerHost: 4,
@@ -179,9 +179,9 @@
 }
 
 // Keep lets this node keep to a budget of sockets; it is called before Run.
-func (n *Node) Keep(b *sockets.Budget) {
-	n.peers.Dial = b.Dial(func(string) sockets.Class { return sockets.Sibling })
-	go b.Watch(n.ctx, tuning.SocketsTold, func(c sockets.Counts) {
+func (n *Node) Keep(b *connlimit.Budget) {
+	n.peers.Dial = b.Dial(func(string) connlimit.Class { return connlimit.Sibling })
+	go b.Watch(n.ctx, tuning.SocketsTold, func(c connlimit.Counts) {
 		slog.Info("sockets are scarce", "open", c.Open, "limit", c.Limit, "by", c.By, "idle_closed", c.Closed, "commands_not_sent", c.Refused)
 	})
 }
@@ -382,9 +382,9 @@
 	if n.topology != nil {
 		core.UseTopology(n.topology.Map())
 	}
-	var applier *keeper.Applier
+	var applier *revisions.Applier
 	if n.config != nil {
-		applier = keeper.NewApplier(ctx, n.config, &configurationLeader{n, core})
+		applier = revisions.NewApplier(ctx, n.config, &configurationLeader{n, core})
 	}
 	com = store.NewCommitter(n.client, source{core, n}, n.clock, n.set.Facts.State, map[string]uint64{})
 	own := func() {
@@ -424,7 +424,7 @@
 	n.core, n.end, n.own, n.applier = nil, nil, nil, nil
 }
 
-func (n *Node) term(ctx context.Context, core *Core, com *store.Committer, applier *keeper.Applier) {
+func (n *Node) term(ctx context.Context, core *Core, com *store.Committer, applier *revisions.Applier) {
 	var inbox, known uint64
 	for ctx.Err() == nil {
 		if applier != nil {
@@ -608,7 +608,7 @@
 	r, _, err := n.worker.Send(ctx, addr, o)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
-		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, sockets.ErrScarce) {
+		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrScarce) {
 			core.Refused(name)
 		}
 		core.Answered(name, o, nil, errors.Is(err, worker.ErrNotSent))
@@ -846,7 +846,7 @@
 		}
 	}
 	ring := append([]settings.Sibling{{Member: n.set.Member, Zone: n.set.Zone}}, n.set.Siblings...)
-	return steering.Shelter(ring, to, zone, func(m string) bool {
+	return redirect.Shelter(ring, to, zone, func(m string) bool {
 		return m != n.set.Member && n.clock.Since(n.born) > tuning.PeerDead+tuning.PeerHello && n.peers.Silent(m)
 	})
 }
--- a/controller/pipes.go
+++ b/controller/pipes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/pipeline"
+	"switchferry/dag"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -19,14 +19,14 @@
 // is held.
 type pipes struct {
 	core  *Core
-	graph *pipeline.Graph
+	graph *dag.Graph
 	// missing are awaited jobs that this leader does not know; ask tells that there are more.
 	missing map[string]bool
 	ask     chan struct{}
 }
 
 func newPipes(c *Core) *pipes {
-	return &pipes{core: c, graph: pipeline.New(), missing: map[string]bool{}, ask: make(chan struct{}, 1)}
+	return &pipes{core: c, graph: dag.New(), missing: map[string]bool{}, ask: make(chan struct{}, 1)}
 }
 
 // ended is the final state of a job that is on record; known: the job is. A final state that is
@@ -162,12 +162,12 @@
 // that is up.
 func (p *pipes) reach(cpus float64) {
 	c := p.core
-	got := p.graph.Reach(func(id string) (pipeline.Stage, bool) {
+	got := p.graph.Reach(func(id string) (dag.Stage, bool) {
 		j := c.jobs[id]
 		if j == nil || j.Final != "" {
-			return pipeline.Stage{}, false
+			return dag.Stage{}, false
 		}
-		return pipeline.Stage{Rank: j.Job.RankLevel(), TakesMS: p.takes(j, cpus), DuesMS: c.dues(j)}, true
+		return dag.Stage{Rank: j.Job.RankLevel(), TakesMS: p.takes(j, cpus), DuesMS: c.dues(j)}, true
 	})
 	for _, j := range c.order {
 		j.reach = got[j.id]
--- a/controller/pipes_test.go
+++ b/controller/pipes_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
 	"switchferry/settings"
@@ -511,7 +511,7 @@
 	s.elect()
 	s.OwnRecords()
 	s.commit()
-	s.state.Limit(standin.Limits{ValueKB: 2, TxnOps: 8})
+	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 8})
 	s.state.Deliver()
 	if s.state.Get(old.Key()) != nil {
 		t.Error("the large record still stands")
@@ -532,7 +532,7 @@
 	s.elect()
 	s.OwnRecords()
 	s.com.Keep(2048)
-	s.state.Limit(standin.Limits{ValueKB: 2, TxnOps: 4})
+	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
 	for i := range 10 {
 		s.report(fmt.Sprintf("a%0100d", i), 1)
 	}
@@ -697,7 +697,7 @@
 	s.submit("run-000002", 1, await("run-000001"))
 	s.Place()
 	s.commit()
-	s.state.Limit(standin.Limits{ValueKB: 2, TxnOps: 4})
+	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
 	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	s.elect()
 	s.OwnRecords()
--- a/controller/place.go
+++ b/controller/place.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/contact"
 	"switchferry/fleet"
 	"switchferry/placement"
 	"switchferry/policy"
 	"switchferry/quota"
+	"switchferry/reachability"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -41,7 +41,7 @@
 // usable tells whether a machine may get new work.
 func (c *Core) usable(m *machine) bool {
 	return m.Up && m.Spec != nil && !m.returning && m.TakenAt.IsZero() && !c.suspect(m) &&
-		c.now().After(m.refused) && c.since(m.Heard) < c.quiet(m) && m.line.State(c.now(), c.lease()) == contact.Reached
+		c.now().After(m.refused) && c.since(m.Heard) < c.quiet(m) && m.line.State(c.now(), c.lease()) == reachability.Reached
 }
 
 // quiet is how long a machine may be unheard and still get work.
--- a/controller/places.go
+++ b/controller/places.go
@@ -8,8 +8,8 @@
 	"slices"
 
 	"switchferry/api"
-	"switchferry/contact"
 	"switchferry/peer"
+	"switchferry/reachability"
 	"switchferry/tuning"
 )
 
@@ -128,7 +128,7 @@
 			by[key] = &s
 		}
 		by[key].Tasks++
-		if c.since(a.machine.Heard) >= c.quiet(a.machine) || a.machine.line.State(c.now(), c.lease()) == contact.HalfDeaf {
+		if c.since(a.machine.Heard) >= c.quiet(a.machine) || a.machine.line.State(c.now(), c.lease()) == reachability.HalfDeaf {
 			by[key].Unsure++
 		}
 	}
@@ -163,7 +163,7 @@
 		switch {
 		case m.Spec == nil || !allowed(j, m):
 			continue
-		case m.Up && !m.returning && m.line.State(c.now(), c.lease()) != contact.Reached:
+		case m.Up && !m.returning && m.line.State(c.now(), c.lease()) != reachability.Reached:
 			deaf++
 		case c.mute(m):
 			mute++
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -9,25 +9,25 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/courier"
-	"switchferry/courier/exchange"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
 	"switchferry/store"
 	"switchferry/tuning"
 )
 
-// relay answers workers in place of a leader that this node does not reach,
+// heartbeatRelay answers workers in place of a leader that this node does not reach,
 // while the state service says that it leads. Their reports go to the leader,
 // and its commands come back, in letters through the state service (package courier).
 // Without it, every worker on the far side of a cut would kill its tasks when its lease
 // ends.
-type relay struct {
+type heartbeatRelay struct {
 	n    *Node
 	post *exchange.Exchange
 
 	mu      sync.Mutex
 	workers map[string]*relayed
-	box     *courier.Outbox
-	mail    courier.Reader
+	box     *relay.Outbox
+	mail    relay.Reader
 }
 
 type relayed struct {
@@ -39,8 +39,8 @@
 	streak, told uint64
 }
 
-func newRelay(n *Node) *relay {
-	y := &relay{n: n, workers: map[string]*relayed{}, box: courier.NewOutbox(exchange.Limits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli()))}
+func newRelay(n *Node) *heartbeatRelay {
+	y := &heartbeatRelay{n: n, workers: map[string]*relayed{}, box: relay.NewOutbox(exchange.Limits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli()))}
 	y.post = n.exchange(store.RelayKey, store.MailPrefix, tuning.RelayKeep)
 	y.post.Lock, y.post.Box, y.post.Reader, y.post.Forget, y.post.Over = &y.mu, y.box, &y.mail, y.forget, func() { y.begin(0) }
 	return y
@@ -58,19 +58,19 @@
 }
 
 // begin starts anew for the leader of a term; 0: for none.
-func (y *relay) begin(term uint64) {
+func (y *heartbeatRelay) begin(term uint64) {
 	y.box.Begin(term)
 	y.workers = map[string]*relayed{}
 }
 
-func (y *relay) forget(now time.Time) {
+func (y *heartbeatRelay) forget(now time.Time) {
 	for _, name := range y.box.Forget(now, 2*tuning.RelayKeep) {
 		delete(y.workers, name)
 	}
 }
 
 // report answers a worker for the leader of a term.
-func (y *relay) report(r *api.Report, term uint64) api.Orders {
+func (y *heartbeatRelay) report(r *api.Report, term uint64) api.Orders {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if y.box.Term() != term {
@@ -117,7 +117,7 @@
 }
 
 // workerSays takes in one report that a sibling passed on.
-func (c *Core) workerSays(member string, m courier.Message) {
+func (c *Core) workerSays(member string, m relay.Message) {
 	var r api.Report
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -11,11 +11,11 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/courier"
-	"switchferry/courier/exchange"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -25,14 +25,14 @@
 // another node may have cleared the attempt that the mail would start.
 func TestStaleMailIsNotDelivered(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, standin.NewState(clock))
+	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, fake.NewState(clock))
 	say := func(seq uint64) api.Orders {
 		return n.relay.report(&api.Report{Machine: "b1", Session: 1, Seq: seq, Term: 7}, 7)
 	}
 	say(10)
 	mail := func(part int, stamp, seq uint64, verb string) {
 		t.Helper()
-		s := courier.NewShelf(exchange.Limits(n.set.Facts.State))
+		s := relay.NewShelf(exchange.Limits(n.set.Facts.State))
 		s.Part("b1")
 		raw, _ := json.Marshal(store.Mail{Session: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
 		l, _, _, err := s.Build(7, 0, func(string) json.RawMessage { return raw })
@@ -71,7 +71,7 @@
 // id that nobody submitted is 404 once the state service says so.
 func TestUnknownID(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, st)
 	ask := func() int {
 		return n.told(context.Background(), nil, "run-000404", true).Status
@@ -95,7 +95,7 @@
 // or it would lose its lease while it tries one dead way after the other.
 func TestCutOffNodeKeepsWorkersThatComeBack(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	set := &settings.Settings{Member: "n1", Zone: "b", Siblings: []settings.Sibling{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
 	n := NewNode(context.Background(), set, policy.Default(), clock, st)
@@ -145,7 +145,7 @@
 // unknown one is told what is wrong, at once.
 func TestKnownIDIsNeverRefused(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, st)
 	n.types = testTypes
 	ask := func(body string) int {
@@ -173,7 +173,7 @@
 // once it is over.
 func TestSubmitAlone(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	n := NewNode(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, st)
 	s := &api.Submission{ID: "run-000001", Tasks: 1}
 	if got := n.submitAlone(context.Background(), s, nil).Status; got != 201 {
@@ -202,7 +202,7 @@
 // record would be set aside for ever, and its user told to come back.
 func TestJobTooLargeToStore(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	n := NewNode(context.Background(), set, policy.Default(), clock, st)
@@ -222,7 +222,7 @@
 func TestManyWorkersBehindACut(t *testing.T) {
 	for _, many := range []int{50, 500, 2500} {
 		s := newStage(t)
-		s.state.Limit(standin.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+		s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 		set := &settings.Settings{Member: "y", Zone: "b", Siblings: []settings.Sibling{{Member: "x", Zone: "a", Address: "127.0.0.1:1"}}}
 		set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 		set.Facts.Workers = s.set.Facts.Workers
@@ -242,7 +242,7 @@
 				}
 			}
 		}
-		var joiner courier.Joiner
+		var joiner relay.Joiner
 		after := s.term
 		carry := func() {
 			s.clock.Advance(tuning.RelayEvery)
--- a/controller/rent.go
+++ b/controller/rent.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/contact"
-	"switchferry/evidence"
+	"switchferry/failuredetector"
+	"switchferry/feasibility"
 	"switchferry/policy"
-	"switchferry/supply"
+	"switchferry/reachability"
 	"switchferry/tuning"
 )
 
@@ -39,25 +39,25 @@
 	}
 	c.noteBlindness(now)
 	why := map[string]string{}
-	var due []evidence.Candidate
+	var due []failuredetector.Candidate
 	for _, m := range c.byName() {
 		if m.returning {
 			continue
 		}
 		// A return proves that the machine's tasks are gone.
 		switch act, reason := c.judge(m, now); act {
-		case evidence.Return:
+		case failuredetector.Return:
 			giveUp(m, reason)
-		case evidence.Due:
+		case failuredetector.Due:
 			why[m.Name] = reason
-			due = append(due, evidence.Candidate{Name: m.Name, Zone: m.Zone, Tasks: len(m.assigns)})
-		case evidence.Evacuate:
+			due = append(due, failuredetector.Candidate{Name: m.Name, Zone: m.Zone, Tasks: len(m.assigns)})
+		case failuredetector.Evacuate:
 			until := m.TakenAt
 			if until.IsZero() {
 				until, reason = m.Heard.Add(c.lease()), "machine reaches no controller"
 			}
 			c.evacuate(m, until, cmp.Or(reason, "machine is taken back"))
-		case evidence.Forget:
+		case failuredetector.Forget:
 			slog.Info("machine forgotten", "machine", m.Name, "why", reason)
 			c.forget(m)
 		}
@@ -206,7 +206,7 @@
 // back, but others are rented in the meantime: they take long to boot.
 func (c *Core) missing(m *machine) bool {
 	if m.Up {
-		if m.line.State(c.now(), c.lease()) == contact.HalfDeaf || !m.line.Known() && !m.listed && len(m.assigns) == 0 {
+		if m.line.State(c.now(), c.lease()) == reachability.HalfDeaf || !m.line.Known() && !m.listed && len(m.assigns) == 0 {
 			return true
 		}
 		heard := latest(m.Heard, c.silence.Woke())
@@ -338,12 +338,12 @@
 	if len(jobs) == 0 {
 		return nil
 	}
-	var ms []supply.Machine
+	var ms []feasibility.Machine
 	for _, m := range c.machines {
 		if m.returning || !m.TakenAt.IsZero() || c.missing(m) || c.overdue(m) {
 			continue
 		}
-		x := supply.Machine{Spec: m.Spec, Zone: m.Zone, Spot: m.Spot}
+		x := feasibility.Machine{Spec: m.Spec, Zone: m.Zone, Spot: m.Spot}
 		for _, a := range m.assigns {
 			if a.job.Job.Shape == api.Service {
 				x.Held = x.Held.Add(a.job.need)
@@ -351,12 +351,12 @@
 		}
 		ms = append(ms, x)
 	}
-	var kinds []supply.Pool
+	var kinds []feasibility.Pool
 	for _, p := range pools {
-		kinds = append(kinds, supply.Pool{Type: c.types[p.typ], Zone: p.zone, Spot: p.spot})
+		kinds = append(kinds, feasibility.Pool{Type: c.types[p.typ], Zone: p.zone, Spot: p.spot})
 	}
-	for _, s := range supply.Unmet(jobs, ms) {
-		if p, ok := supply.For(s, kinds); ok {
+	for _, s := range feasibility.Unmet(jobs, ms) {
+		if p, ok := feasibility.For(s, kinds); ok {
 			slog.Info("renting for a job that no machine can serve", "job", s.ID, "type", p.Type.Name, "zone", p.Zone, "spot", p.Spot)
 			return []api.Rental{c.rental(pool{p.Type.Name, p.Zone, p.Spot}, 1)}
 		}
--- a/controller/report.go
+++ b/controller/report.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/contact"
+	"switchferry/reachability"
 	"switchferry/tuning"
 )
 
@@ -42,7 +42,7 @@
 // it shows nothing (package contact).
 func (c *Core) hear(m *machine, r *api.Report, via string, relayed bool) bool {
 	now := c.now()
-	news, proof := m.line.Report(now, contact.Report{Session: r.Session, Seq: r.Seq, Seen: r.Term, Term: c.term, Via: via, Relayed: relayed})
+	news, proof := m.line.Report(now, reachability.Report{Session: r.Session, Seq: r.Seq, Seen: r.Term, Term: c.term, Via: via, Relayed: relayed})
 	if !news {
 		return false
 	}
--- a/controller/silence.go
+++ b/controller/silence.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/contact"
-	"switchferry/evidence"
+	"switchferry/failuredetector"
 	"switchferry/peer"
+	"switchferry/reachability"
 	"switchferry/tuning"
 )
 
@@ -52,8 +52,8 @@
 }
 
 // sighting tells when a machine was last heard.
-func (c *Core) sighting(m *machine) evidence.Sighting {
-	s := evidence.Sighting{Zone: m.Zone, Via: m.via, Quiet: c.quiet(m)}
+func (c *Core) sighting(m *machine) failuredetector.Sighting {
+	s := failuredetector.Sighting{Zone: m.Zone, Via: m.via, Quiet: c.quiet(m)}
 	if m.Up {
 		s.Heard = m.Heard
 	}
@@ -65,11 +65,11 @@
 
 // noteBlindness looks whether whole zones or ways are unheard.
 func (c *Core) noteBlindness(now time.Time) {
-	found := c.silence.Look(now, func(yield func(evidence.Sighting)) {
+	found := c.silence.Look(now, func(yield func(failuredetector.Sighting)) {
 		for _, m := range c.machines {
 			if m.reports() && !m.returning {
 				s := c.sighting(m)
-				if m.line.State(now, c.lease()) == contact.HalfDeaf {
+				if m.line.State(now, c.lease()) == reachability.HalfDeaf {
 					// A zone of such machines is one failure, as a silent one is.
 					s.Heard = m.line.Proved()
 				}
@@ -89,8 +89,8 @@
 }
 
 // judge tells what becomes of a machine.
-func (c *Core) judge(m *machine, now time.Time) (evidence.Action, string) {
-	l := evidence.Limits{Quiet: c.quiet(m), Silent: max(tuning.SilentMin, seconds(tuning.SilentReports*c.set.Facts.Workers.ReportS)),
+func (c *Core) judge(m *machine, now time.Time) (failuredetector.Action, string) {
+	l := failuredetector.Limits{Quiet: c.quiet(m), Silent: max(tuning.SilentMin, seconds(tuning.SilentReports*c.set.Facts.Workers.ReportS)),
 		Term: c.lease() + tuning.NewTermGrace, Mute: tuning.MuteLeases * c.lease()}
 	if m.relay != "" {
 		l.Silent += tuning.RelayKeep
@@ -98,7 +98,7 @@
 	heard := c.sighting(m)
 	hears := heard
 	hears.Heard = m.line.Proved()
-	x := evidence.Machine{Failed: m.failed, Listed: m.listed, Up: m.Up, Line: m.line.State(now, c.lease()), Tasks: len(m.assigns),
+	x := failuredetector.Machine{Failed: m.failed, Listed: m.listed, Up: m.Up, Line: m.line.State(now, c.lease()), Tasks: len(m.assigns),
 		Unheard: now.Sub(c.silence.Since(now, heard)), Unreached: now.Sub(c.silence.Since(now, hears)),
 		Noticed: !m.TakenAt.IsZero(), Over: now.After(m.TakenAt.Add(time.Second)), Sick: c.suspect(m)}
 	x.Mute = c.mute(m)
@@ -114,12 +114,12 @@
 		}
 		x.Waited = (len(m.assigns) > 0 || now.Sub(m.Rented) > max(l.Term, limit)) && now.Sub(c.silence.Woke()) > l.Term
 	}
-	if x.Line == contact.HalfDeaf && !m.deafTold {
+	if x.Line == reachability.HalfDeaf && !m.deafTold {
 		m.deafTold = true
 		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", m.Name, "zone", m.Zone,
 			"tasks", len(m.assigns), "why", m.line.Why(now))
 	}
-	return evidence.Judge(x, l)
+	return failuredetector.Judge(x, l)
 }
 
 // mute tells whether a machine answers commands while it reaches no controller.
@@ -137,7 +137,7 @@
 		s := m.line.State(now, c.lease())
 		silent := now.Sub(m.Heard) > c.quiet(m)
 		switch {
-		case !m.Up || m.returning || m.relay != "" || !silent && s != contact.Suspected && s != contact.HalfDeaf:
+		case !m.Up || m.returning || m.relay != "" || !silent && s != reachability.Suspected && s != reachability.HalfDeaf:
 		case m.sending:
 			left--
 		case now.Sub(m.asked) >= seconds(c.set.Facts.Workers.ReportS):
--- a/controller/user_test.go
+++ b/controller/user_test.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
 	"switchferry/settings"
@@ -26,7 +26,7 @@
 
 // follower is a controller that has greeted its leader n0. The leader falls silent once
 // mute is set: connections stand, and nothing is answered.
-func follower(t *testing.T, ctx context.Context, mute *atomic.Bool, handle peer.Handler) (*Node, *clockwork.FakeClock, *standin.State) {
+func follower(t *testing.T, ctx context.Context, mute *atomic.Bool, handle peer.Handler) (*Node, *clockwork.FakeClock, *fake.State) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
 	set.Siblings = []settings.Sibling{{Member: "n0", Address: l.Addr().String()}}
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	n := NewNode(ctx, set, policy.Default(), clock, st)
 	n.types = testTypes
 	n.peers.Run(ctx)
@@ -165,7 +165,7 @@
 // that renewals and records need; what cannot be read is refused at once.
 func TestQuestionsLeaveRequestsForLeading(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	set := userSettings()
 	n := NewNode(context.Background(), set, policy.Default(), clock, st)
 	count := map[int]int{}
@@ -226,7 +226,7 @@
 	for name, begin := range map[string]func(t *testing.T, ctx context.Context) (n *Node, asked, release chan struct{}){
 		"read in the state service": func(t *testing.T, ctx context.Context) (*Node, chan struct{}, chan struct{}) {
 			clock := clockwork.NewFakeClock()
-			st := standin.NewState(clock)
+			st := fake.NewState(clock)
 			n := NewNode(ctx, userSettings(), policy.Default(), clock, st)
 			st.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001"}})
 			l, release := st.LateRead(true), make(chan struct{})
--- a/controller/version1_test.go
+++ b/controller/version1_test.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/settings"
 	"switchferry/store"
 )
@@ -23,7 +23,7 @@
 // it, before any of them knew another version.
 func version1(t *testing.T) *stage {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC))
-	s := (&stage{T: t, clock: clock, state: standin.NewState(clock), seq: map[string]uint64{}}).elect()
+	s := (&stage{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
 	for _, m := range []string{"a1", "a2", "b1"} {
 		s.report(m, 1)
 	}
--- a/pace/pace.go
+++ b/cpupressure/pace.go
@@ -1,6 +1,6 @@
-// Package pace measures how fast a controller computes, and tells when a leader should hand over to a sibling
+// Package cpupressure measures how fast a controller computes, and tells when a leader should hand over to a sibling
 // that is several times faster.
-package pace
+package cpupressure
 
 import (
 	"context"
--- a/pace/pace_test.go
+++ b/cpupressure/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package cpupressure
 
 import (
 	"testing"
--- a/pipeline/pipeline.go
+++ b/dag/pipeline.go
@@ -1,7 +1,7 @@
-// Package pipeline knows which jobs wait for which: what follows from the end or the
+// Package dag knows which jobs wait for which: what follows from the end or the
 // cancellation of one, and what the times and ranks of the last mean for those before them.
 // It is pure: it has no lock, clock or I/O, and every list that it gives is in order.
-package pipeline
+package dag
 
 import (
 	"maps"
--- a/pipeline/pipeline_test.go
+++ b/dag/pipeline_test.go
@@ -1,4 +1,4 @@
-package pipeline
+package dag
 
 import (
 	"fmt"
--- a/stager/cache.go
+++ b/dataagent/cache.go
@@ -1,7 +1,7 @@
-// Package stager is the agent beside a worker: it copies parts of datasets to its machine,
+// Package dataagent is the agent beside a worker: it copies parts of datasets to its machine,
 // keeps them on disk, and serves them to peers. It knows what it was ordered to keep, not
 // which jobs want it or where else they might run.
-package stager
+package dataagent
 
 import (
 	"errors"
--- a/stager/serve.go
+++ b/dataagent/serve.go
@@ -1,4 +1,4 @@
-package stager
+package dataagent
 
 import (
 	"encoding/json"
--- a/stager/stager_test.go
+++ b/dataagent/stager_test.go
@@ -1,4 +1,4 @@
-package stager
+package dataagent
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 
 	"switchferry/api"
 	"switchferry/dataset"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/tuning"
 )
 
@@ -63,13 +63,13 @@
 type rig struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	store *standin.Objects
+	store *fake.Objects
 	url   string
 	ctx   context.Context
 }
 
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, clock: clockwork.NewFakeClock(), store: standin.NewObjects()}
+	r := &rig{t: t, clock: clockwork.NewFakeClock(), store: fake.NewObjects()}
 	s := httptest.NewServer(r.store)
 	s.Config.ErrorLog = nil
 	t.Cleanup(s.Close)
@@ -150,7 +150,7 @@
 			r.apply(peer, order(1, 1, "inv", d, []api.StageSource{store}, 0))
 			eventually(t, "the peer has it", func() bool { return pinned(peer, "inv").Contains(0) })
 
-			r.store.Break(standin.Trouble{Kind: kind, After: 2*block + 17})
+			r.store.Break(fake.Trouble{Kind: kind, After: 2*block + 17})
 			dir := t.TempDir()
 			a, _ := r.agent(dir, 1<<30, nil)
 			o := order(1, 1, "inv", d, []api.StageSource{store, at}, 0)
@@ -196,7 +196,7 @@
 			// The manifest comes before the trouble does.
 			r.apply(a, order(1, 1, "inv", d, []api.StageSource{store}, 0))
 			eventually(t, "the first part is there", func() bool { return pinned(a, "inv").Contains(0) })
-			r.store.Break(standin.Trouble{Kind: kind, After: block})
+			r.store.Break(fake.Trouble{Kind: kind, After: block})
 			r.apply(a, order(1, 2, "inv", d, []api.StageSource{store}, 0, 1))
 			eventually(t, "the failure is told", func() bool {
 				c := a.Report(false).Copies
@@ -206,7 +206,7 @@
 				t.Fatal("pinned without its bytes")
 			}
 			before, _ := r.store.Served()
-			r.store.Break(standin.Trouble{})
+			r.store.Break(fake.Trouble{})
 			r.pump(a, func() bool { return pinned(a, "inv").Contains(1) })
 			after, _ := r.store.Served()
 			if want := int64(2 * block); kind == "reset" && after-before > want {
@@ -227,7 +227,7 @@
 	_, d1 := r.store.Add("one", data, len(data), 1)
 	_, d2 := r.store.Add("two", data, len(data), 1)
 	a, _ := r.agent(t.TempDir(), 1<<30, nil)
-	r.store.Break(standin.Trouble{Kind: "hang", After: block})
+	r.store.Break(fake.Trouble{Kind: "hang", After: block})
 	o := order(1, 1, "one", d1, []api.StageSource{store}, 0)
 	both := *o
 	both.Sets = append(both.Sets, order(1, 1, "two", d2, []api.StageSource{store}, 0).Sets...)
@@ -255,7 +255,7 @@
 	if _, most := r.store.Served(); most != 1 {
 		t.Fatalf("the chunk was asked for %d times", most)
 	}
-	r.store.Break(standin.Trouble{})
+	r.store.Break(fake.Trouble{})
 	r.clock.Advance(tuning.StageStall + time.Second)
 	r.pump(a, func() bool { return pinned(a, "two").Contains(0) })
 	if got := a.Report(false).FromStore; got > 4*block+4096 {
@@ -381,7 +381,7 @@
 	if err := os.WriteFile(p, random(7, 1000), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	r.store.Break(standin.Trouble{Kind: "503"})
+	r.store.Break(fake.Trouble{Kind: "503"})
 	b, _ := r.agent(dir, 1<<20, nil) // a new process
 	eventually(t, "the good one is pinned", func() bool { return pinned(b, "inv").Contains(1) })
 	eventually(t, "the damaged one is gone", func() bool { return !b.cache.Has(m.Chunks[0]) })
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -25,9 +25,9 @@
 func (e *events) Lost(t uint64, _ string) { e.lost = append(e.lost, t) }
 func (e *events) Alone() bool             { return e.alone }
 
-func two() (*standin.State, *clockwork.FakeClock, *Elector, *Elector) {
+func two() (*fake.State, *clockwork.FakeClock, *Elector, *Elector) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	mk := func(m string) *Elector { return New(m, store.NewClient("x:1", st), clock, &events{}) }
 	return st, clock, mk("n0"), mk("n1")
 }
@@ -103,7 +103,7 @@
 
 // late answers renewals so much later than it executes them, and loses every so many.
 type late struct {
-	st   *standin.State
+	st   *fake.State
 	by   time.Duration
 	lose int
 
@@ -134,7 +134,7 @@
 func TestSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		st := standin.NewState(clock)
+		st := fake.NewState(clock)
 		mk := func(m string, l *late) (*Elector, *events) {
 			ev := &events{}
 			l.st = st
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"switchferry/internal/world"
+	"switchferry/internal/simulation"
 )
 
 // DayEnd plays the troubles that operators look at when a day is over, each alone and some together, and
@@ -36,7 +36,7 @@
 type DayEndCase struct {
 	Name     string `json:"name"`
 	Machines int    `json:"machines"`
-	world.Result
+	simulation.Result
 }
 
 // DayEndResult is what the experiment prints.
@@ -47,11 +47,11 @@
 }
 
 // DayEndCases are the names of all cases.
-func DayEndCases() []string { return slices.Sorted(maps.Keys(world.Cases())) }
+func DayEndCases() []string { return slices.Sorted(maps.Keys(simulation.Cases())) }
 
 // Run plays the cases.
 func (x *DayEnd) Run(ctx context.Context) (*DayEndResult, error) {
-	all := world.Cases()
+	all := simulation.Cases()
 	names := x.Cases
 	if len(names) == 0 {
 		names = DayEndCases()
@@ -73,7 +73,7 @@
 			slots <- struct{}{}
 			crowd.Go(func() {
 				defer func() { <-slots }()
-				d := world.NewDay(x.Seed, size)
+				d := simulation.NewDay(x.Seed, size)
 				d.Lasts, d.After, d.Troubles = span(x.LastsS), span(x.AfterS), all[name]
 				began := time.Now()
 				r := d.Play(ctx)
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -26,14 +26,14 @@
 	"golang.org/x/time/rate"
 
 	"switchferry/api"
+	"switchferry/connlimit"
 	"switchferry/controller"
+	"switchferry/dataagent"
 	"switchferry/dataset"
 	"switchferry/features"
 	"switchferry/httpapi"
 	"switchferry/policy"
 	"switchferry/settings"
-	"switchferry/sockets"
-	"switchferry/stager"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -331,7 +331,7 @@
 // machine is a simulated worker with a real agent beside it.
 type machine struct {
 	name, addr string
-	agent      *stager.Agent
+	agent      *dataagent.Agent
 
 	mu     sync.Mutex
 	seq    uint64
@@ -351,13 +351,13 @@
 		return nil, err
 	}
 	m := &machine{name: fmt.Sprintf("n-%06d", i), addr: l.Addr().String(), tasks: map[string]*api.TaskReport{}, images: images, kick: make(chan struct{}, 1)}
-	m.agent, err = stager.New(ctx, stager.Options{Machine: m.name, Address: m.addr, Dir: filepath.Join(dir, m.name), Quota: int64(p.CachedParts * p.PartBytes),
+	m.agent, err = dataagent.New(ctx, dataagent.Options{Machine: m.name, Address: m.addr, Dir: filepath.Join(dir, m.name), Quota: int64(p.CachedParts * p.PartBytes),
 		Store: p.store.url, DownRate: p.LinkRate, UpRate: p.LinkRate})
 	if err != nil {
 		return nil, err
 	}
 	go m.agent.Run(ctx)
-	go httpapi.Serve(ctx, l, m.agent.Handler(), sockets.NewBudget(0))
+	go httpapi.Serve(ctx, l, m.agent.Handler(), connlimit.NewBudget(0))
 	return m, nil
 }
 
@@ -489,7 +489,7 @@
 		s.sets = append(s.sets, &sum)
 		s.data[setName(i)], s.manifest[setName(i)] = raw, mr
 	}
-	go httpapi.Serve(ctx, ln, s, sockets.NewBudget(0))
+	go httpapi.Serve(ctx, ln, s, connlimit.NewBudget(0))
 	return s, nil
 }
 
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -16,7 +16,7 @@
 	"github.com/go-logfmt/logfmt"
 
 	"switchferry/api"
-	"switchferry/bound"
+	"switchferry/upperbound"
 )
 
 // Order compares how many jobs of a class were in time on a day with how many could have been, by
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	free := bound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.last/o.SlotS)+1)}
+	free := upperbound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.last/o.SlotS)+1)}
 	at := 0
 	for i := range free.CPUs {
 		for at+1 < len(day.cpus) && day.cpus[at+1][0] <= float64(i)*o.SlotS {
@@ -144,7 +144,7 @@
 	if o.WithinS == 0 {
 		res.Aim = fmt.Sprintf("within %g times the deadline", o.Times)
 	}
-	var jobs []bound.Job
+	var jobs []upperbound.Job
 	for _, j := range day.jobs {
 		// A deadline counts from the submission, other times from when the job could start;
 		// whichever it is, nothing of it could run before.
@@ -161,19 +161,21 @@
 		} else {
 			res.Late.add(j, by-j.ready)
 		}
-		x := bound.Job{Arrive: j.ready, Due: by}
+		x := upperbound.Job{Arrive: j.ready, Due: by}
 		for _, run := range j.took {
-			x.Tasks = append(x.Tasks, bound.Task{CPUs: j.cpus, Run: run})
+			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
 		}
 		// In one order, so that two runs give the same.
-		slices.SortFunc(x.Tasks, func(a, b bound.Task) int { return cmp.Compare(a.Run, b.Run) })
+		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.Run, b.Run) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
 		return nil, fmt.Errorf("no job of class %q that came and ended in time is in these logs; are they of LOG_LEVEL=debug?", o.Class)
 	}
-	slices.SortFunc(jobs, func(a, b bound.Job) int { return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks)) })
-	b := bound.InTime(jobs, free, o.Rounds)
+	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
+		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
+	})
+	b := upperbound.InTime(jobs, free, o.Rounds)
 	res.Alone, res.Most = b.Alone, b.Most
 	return res, nil
 }
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -16,7 +16,7 @@
 
 	"switchferry/api"
 	"switchferry/internal/cluster"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/settings"
 )
 
@@ -245,7 +245,7 @@
 		r.submit(ctx, r.some(), 1+r.rng.IntN(12))
 		switch {
 		case i == 10:
-			r.cluster.State.Limit(standin.Limits{RPS: r.limits.RPS, WriteRPS: sunken.WriteRPS, ValueKB: sunken.ValueKB, TxnOps: sunken.TxnOps})
+			r.cluster.State.Limit(fake.Limits{RPS: r.limits.RPS, WriteRPS: sunken.WriteRPS, ValueKB: sunken.ValueKB, TxnOps: sunken.TxnOps})
 		case i%7 == 3:
 			r.cancel(ctx)
 		case i%13 == 5:
--- a/evidence/budget.go
+++ b/failuredetector/budget.go
@@ -1,4 +1,4 @@
-package evidence
+package failuredetector
 
 import (
 	"cmp"
--- a/evidence/evidence.go
+++ b/failuredetector/evidence.go
@@ -1,4 +1,4 @@
-// Package evidence judges what the silence of machines says: since when it counts against
+// Package failuredetector judges what the silence of machines says: since when it counts against
 // one, and how many may be given up at once. It knows when and on which way machines were
 // heard in this term, not what they are or what runs on them; it has no clock and no lock.
 //
@@ -7,7 +7,7 @@
 // through one controller, more likely the way is cut than the machines are gone. Machines
 // that it knows from records or from the cloud's list alone count as unheard: after a change of
 // leader inside a cut nothing else shows that a whole zone is silent.
-package evidence
+package failuredetector
 
 import (
 	"cmp"
--- a/evidence/evidence_test.go
+++ b/failuredetector/evidence_test.go
@@ -1,4 +1,4 @@
-package evidence
+package failuredetector
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"switchferry/contact"
+	"switchferry/reachability"
 	"switchferry/tuning"
 )
 
@@ -274,7 +274,7 @@
 		want    Action
 	}{{true, 0.3, 9 * time.Second, Leave}, {true, 0.3, 11 * time.Second, Evacuate}, {true, 0.4, 11 * time.Second, Leave}, {true, 0.4, 36 * time.Second, Due},
 		{true, 0.3, 36 * time.Second, Due}, {false, 0.3, 11 * time.Second, Due}} {
-		if got, why := Judge(Machine{Up: true, Listed: true, Line: contact.Reached, Mute: c.mute, Share: c.share, Unheard: c.unheard}, l); got != c.want {
+		if got, why := Judge(Machine{Up: true, Listed: true, Line: reachability.Reached, Mute: c.mute, Share: c.share, Unheard: c.unheard}, l); got != c.want {
 			t.Errorf("mute %v, %v of the zone unheard, it for %v: %v (%s), want %v", c.mute, c.share, c.unheard, got, why, c.want)
 		}
 	}
--- a/evidence/judge.go
+++ b/failuredetector/judge.go
@@ -1,9 +1,9 @@
-package evidence
+package failuredetector
 
 import (
 	"time"
 
-	"switchferry/contact"
+	"switchferry/reachability"
 	"switchferry/tuning"
 )
 
@@ -13,7 +13,7 @@
 	// reported in this term.
 	Failed, Listed, Up bool
 	// Line is whether it hears us.
-	Line contact.State
+	Line reachability.State
 	// Tasks are those that it has, or may have.
 	Tasks int
 	// Unheard is how long its quiet counts against it, Unreached the same for not having shown
@@ -58,9 +58,9 @@
 			return Due, "never reported"
 		}
 		return Leave, ""
-	case m.Line == contact.Unproved && m.Unheard > l.Term && !m.Listed && m.Tasks == 0:
+	case m.Line == reachability.Unproved && m.Unheard > l.Term && !m.Listed && m.Tasks == 0:
 		return Forget, "one old report, and the cloud does not list it"
-	case m.Line == contact.Unproved && m.Unheard <= l.Term:
+	case m.Line == reachability.Unproved && m.Unheard <= l.Term:
 		// Neither its notice nor its quiet counts before it certainly lived in this term.
 		return Leave, ""
 	case m.Noticed && m.Over && m.Unheard > l.Quiet:
@@ -74,7 +74,7 @@
 		return Evacuate, "mute"
 	case m.Unheard > l.Silent:
 		return Due, "silent"
-	case m.Line == contact.HalfDeaf && m.Unreached > l.Term:
+	case m.Line == reachability.HalfDeaf && m.Unreached > l.Term:
 		// Its lease has ended since: it is empty, and nobody can give it anything.
 		return Due, "half-deaf"
 	case m.Sick:
--- a/supply/supply.go
+++ b/feasibility/supply.go
@@ -1,7 +1,7 @@
-// Package supply finds jobs that no machine will ever serve, however many there are: rentals follow
+// Package feasibility finds jobs that no machine will ever serve, however many there are: rentals follow
 // how many processors are asked for in all, so that a fleet with room to spare may have none of the
 // type, the zone or the size that one job needs. It has no clock and no lock.
-package supply
+package feasibility
 
 import (
 	"fmt"
--- a/supply/supply_test.go
+++ b/feasibility/supply_test.go
@@ -1,4 +1,4 @@
-package supply
+package feasibility
 
 import (
 	"testing"
--- a/features/features.go
+++ b/features/features.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"strings"
 
-	"switchferry/internal/strict"
+	"switchferry/internal/stricttoml"
 	"switchferry/tuning"
 )
 
@@ -107,7 +107,7 @@
 func Parse(raw []byte) (*Features, error) {
 	f := Features{Data: Data{Placement: Staged, CacheGB: tuning.StageCacheGB, PerLink: tuning.StagePerLink,
 		AtStore: tuning.StageAtStore, Ahead: tuning.StageAhead}}
-	bad, err := strict.Decode(raw, &f)
+	bad, err := stricttoml.Decode(raw, &f)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -15,9 +15,9 @@
 	"github.com/labstack/echo/v4"
 
 	"switchferry/api"
+	"switchferry/connlimit"
 	"switchferry/controller"
 	"switchferry/peer"
-	"switchferry/sockets"
 	"switchferry/tuning"
 )
 
@@ -45,7 +45,7 @@
 }
 
 // New makes the port's handler, which keeps to a budget of sockets.
-func New(n Node, budget *sockets.Budget) http.Handler {
+func New(n Node, budget *connlimit.Budget) http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = answerError
@@ -77,18 +77,18 @@
 }
 
 // countSockets tells the budget whose each connection is.
-func countSockets(budget *sockets.Budget) echo.MiddlewareFunc {
+func countSockets(budget *connlimit.Budget) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
-			class := sockets.User
+			class := connlimit.User
 			if p := c.Path(); p == reportPath || p == stagingPath {
-				class = sockets.Worker
+				class = connlimit.Worker
 				if budget.Scarce() {
 					// It can come anew with its next report; a user's socket cannot wait.
 					c.Response().Header().Set("Connection", "close")
 				}
 			}
-			budget.Tell(sockets.Of(c.Request().Context()), class)
+			budget.Tell(connlimit.Of(c.Request().Context()), class)
 			return next(c)
 		}
 	}
@@ -199,8 +199,8 @@
 }
 
 // Serve runs the port until the context ends. Connections of l that a budget counts are told to it.
-func Serve(ctx context.Context, l net.Listener, h http.Handler, budget *sockets.Budget) error {
-	s := &http.Server{Handler: h, ConnContext: sockets.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
+func Serve(ctx context.Context, l net.Listener, h http.Handler, budget *connlimit.Budget) error {
+	s := &http.Server{Handler: h, ConnContext: connlimit.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
 	go func() {
 		<-ctx.Done()
 		_ = s.Close()
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"switchferry/api"
+	"switchferry/connlimit"
 	"switchferry/peer"
-	"switchferry/sockets"
 )
 
 type fakeNode struct {
@@ -35,7 +35,7 @@
 
 func TestAnswers(t *testing.T) {
 	n := &fakeNode{}
-	h := New(n, sockets.NewBudget(0))
+	h := New(n, connlimit.NewBudget(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -72,7 +72,7 @@
 }
 
 func TestPathsOfDatasets(t *testing.T) {
-	h := New(&fakeNode{data: true}, sockets.NewBudget(0))
+	h := New(&fakeNode{data: true}, connlimit.NewBudget(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
--- a/httpapi/odd_test.go
+++ b/httpapi/odd_test.go
@@ -17,12 +17,12 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
+	"switchferry/connlimit"
 	"switchferry/controller"
 	"switchferry/httpapi"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/policy"
 	"switchferry/settings"
-	"switchferry/sockets"
 	"switchferry/store"
 )
 
@@ -85,13 +85,13 @@
 		set.Facts = settings.Facts{Nodes: 1, Zones: []string{"a", "b"}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}, Teams: []settings.Team{{Name: "t", CPUsMax: 40}},
 			State: settings.State{RPS: 400, WriteRPS: 400, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}}
 		types := []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 1, BootS: 10, Zones: []string{"a", "b"}}}
-		state := standin.NewState(clock)
-		out := &services{state: state, cloud: standin.NewCloud(clock, types, 20)}
+		state := fake.NewState(clock)
+		out := &services{state: state, cloud: fake.NewCloud(clock, types, 20)}
 		n := controller.NewNode(ctx, set, policy.Default(), clock, out)
 		back := make(nobody)
 		done := make(chan struct{})
 		go func() { n.Run(back); close(done) }()
-		h := httpapi.New(n, sockets.NewBudget(0))
+		h := httpapi.New(n, connlimit.NewBudget(0))
 		ask := func(method, path, body string) (int, string, string) {
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"syscall"
 
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 )
 
 // Agent is the process of a real agent beside a hollow worker.
@@ -20,7 +20,7 @@
 // ServeDatasets opens a store of datasets with nothing in it, and writes a features file that names it; the
 // controllers that are started afterwards read that file.
 func (c *Cluster) ServeDatasets() error {
-	objects := standin.NewObjects()
+	objects := fake.NewObjects()
 	address, err := c.serve(http.HandlerFunc(objects.ServeHTTP))
 	if err != nil {
 		return err
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -26,7 +26,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/settings"
 )
 
@@ -63,8 +63,8 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 
-	State       *standin.State
-	Cloud       *standin.Cloud
+	State       *fake.State
+	Cloud       *fake.Cloud
 	Controllers []*Controller
 	Traffic     *Traffic
 	network     *network
@@ -98,12 +98,12 @@
 	clock := clockwork.NewRealClock()
 	ctx, stop := context.WithCancel(ctx)
 	facts := options.Facts
-	c := &Cluster{options: options, dir: dir, clock: clock, ctx: ctx, stop: stop, State: standin.NewState(clock),
-		Cloud: standin.NewCloud(clock, []api.MachineType{options.Type}, facts.Cloud.RPS), Traffic: newTraffic(), network: newNetwork(),
+	c := &Cluster{options: options, dir: dir, clock: clock, ctx: ctx, stop: stop, State: fake.NewState(clock),
+		Cloud: fake.NewCloud(clock, []api.MachineType{options.Type}, facts.Cloud.RPS), Traffic: newTraffic(), network: newNetwork(),
 		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, workers: map[string]*Worker{}, terms: map[uint64]string{},
 		Returned: func(*Worker, int) {}}
 	c.cleanup = append(c.cleanup, func() { _ = os.RemoveAll(dir) })
-	c.State.Limit(standin.Limits{RPS: facts.State.RPS, WriteRPS: facts.State.WriteRPS, ValueKB: facts.State.ValueKB, TxnOps: facts.State.TxnOps})
+	c.State.Limit(fake.Limits{RPS: facts.State.RPS, WriteRPS: facts.State.WriteRPS, ValueKB: facts.State.ValueKB, TxnOps: facts.State.TxnOps})
 	c.Cloud.Room = options.Room
 	c.Cloud.Up, c.Cloud.Gone = c.rented, c.returned
 	if err := c.configure(); err != nil {
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/store"
 )
 
 // Worker is one hollow worker: a stand-in worker with a port of its own and connections of its own.
 type Worker struct {
-	*standin.Worker
+	*fake.Worker
 	cluster *Cluster
 	stop    context.CancelFunc
 	client  *http.Client
@@ -33,7 +33,7 @@
 	have := len(c.workers)
 	c.mu.Unlock()
 	for i := range n {
-		if err := c.addWorker(func(address string) (standin.Host, bool) {
+		if err := c.addWorker(func(address string) (fake.Host, bool) {
 			return c.Cloud.AddAt(c.options.Type.Name, zones[(have+i)%len(zones)], address), true
 		}); err != nil {
 			return err
@@ -43,7 +43,7 @@
 }
 
 // addWorker opens a worker's port and runs the worker; host gives its machine, given that port, unless there is none.
-func (c *Cluster) addWorker(host func(address string) (standin.Host, bool)) error {
+func (c *Cluster) addWorker(host func(address string) (fake.Host, bool)) error {
 	ctx, stop := context.WithCancel(c.ctx)
 	w := &Worker{cluster: c, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
 	ready := make(chan struct{})
@@ -64,13 +64,13 @@
 	for _, x := range c.Controllers {
 		members = append(members, x.Settings.Member)
 	}
-	o := standin.WorkerOptions{Host: h, Clock: c.clock, Nodes: members, Post: w.post, Every: seconds(c.options.Facts.Workers.ReportS), Lease: seconds(c.options.Facts.Workers.LeaseS),
+	o := fake.WorkerOptions{Host: h, Clock: c.clock, Nodes: members, Post: w.post, Every: seconds(c.options.Facts.Workers.ReportS), Lease: seconds(c.options.Facts.Workers.LeaseS),
 		Runs: c.options.Runs}
 	if audit := c.options.Audit; audit != nil {
 		o.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, h.Name, term) }
 		o.Ends = func(task string, done bool) { audit.Ended(task, h.Name, done) }
 	}
-	w.Worker = standin.NewWorker(o)
+	w.Worker = fake.NewWorker(o)
 	c.mu.Lock()
 	c.workers[h.Name] = w
 	c.mu.Unlock()
@@ -102,17 +102,17 @@
 }
 
 // rented boots a machine that a controller rented.
-func (c *Cluster) rented(h standin.Host) {
+func (c *Cluster) rented(h fake.Host) {
 	time.AfterFunc(seconds(c.options.Type.BootS), func() {
 		if c.ctx.Err() != nil {
 			return
 		}
-		_ = c.addWorker(func(address string) (standin.Host, bool) { return c.Cloud.Move(h.Name, address) })
+		_ = c.addWorker(func(address string) (fake.Host, bool) { return c.Cloud.Move(h.Name, address) })
 	})
 }
 
 // returned ends a machine that a controller gave back.
-func (c *Cluster) returned(h standin.Host) {
+func (c *Cluster) returned(h fake.Host) {
 	c.mu.Lock()
 	w := c.workers[h.Name]
 	delete(c.workers, h.Name)
--- a/internal/pack/pack.go
+++ b/internal/compress/pack.go
@@ -1,6 +1,6 @@
-// Package pack packs values of the state service: JSON, zstd, base64. It knows nothing of what
+// Package compress packs values of the state service: JSON, zstd, base64. It knows nothing of what
 // they hold. Encoders are made once, with a small window, as the memory of a controller is small.
-package pack
+package compress
 
 import (
 	"encoding/base64"
--- a/internal/standin/state.go
+++ b/internal/fake/state.go
@@ -1,6 +1,6 @@
-// Package standin holds scripted stand-ins of the services around the
+// Package fake holds scripted stand-ins of the services around the
 // controllers, for tests. They run in process and on a fake clock.
-package standin
+package fake
 
 import (
 	"bytes"
--- a/internal/standin/worker.go
+++ b/internal/fake/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/world/net.go
+++ b/internal/simulation/net.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"context"
--- a/internal/world/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package world
+package simulation
 
 const raced = false
--- a/internal/world/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-// Package world plays a region in one process: three controllers as `serve` runs them, the project's
+// Package simulation plays a region in one process: three controllers as `serve` runs them, the project's
 // stand-ins of state service, cloud and workers, users, and the network between them, each direction of
 // each pair of which can be cut by itself. It checks the protocol's rules as things happen, and what
 // operators look at when a day is over. It runs on the time package's clock: in tests within
@@ -6,7 +6,7 @@
 //
 // The same seed makes the same machines, jobs and troubles; the order of what happens in one moment is
 // the Go scheduler's.
-package world
+package simulation
 
 import (
 	"bytes"
@@ -29,7 +29,7 @@
 	"switchferry/api"
 	"switchferry/controller"
 	"switchferry/features"
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/policy"
 	"switchferry/settings"
 	"switchferry/store"
@@ -145,8 +145,8 @@
 	clock clockwork.Clock
 	links *links
 	back  *back
-	state *standin.State
-	cloud *standin.Cloud
+	state *fake.State
+	cloud *fake.Cloud
 	rng   *rand.Rand
 	book  *book
 	// operators is nil on days without changes of the configuration.
@@ -178,8 +178,8 @@
 
 // machine is a rented one.
 type machine struct {
-	standin.Host
-	worker *standin.Worker
+	fake.Host
+	worker *fake.Worker
 	stop   context.CancelFunc
 	// deaf is since when it hears nobody; dead: it ended by a trouble; touched is when a trouble last
 	// met it.
@@ -199,16 +199,16 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	clock := clockwork.NewRealClock()
-	w := &World{Day: d, ctx: ctx, clock: clock, links: newLinks(), state: standin.NewState(clock), cloud: standin.NewCloud(clock, []api.MachineType{machineType}, 20),
+	w := &World{Day: d, ctx: ctx, clock: clock, links: newLinks(), state: fake.NewState(clock), cloud: fake.NewCloud(clock, []api.MachineType{machineType}, 20),
 		rng: rand.New(rand.NewPCG(d.Seed, 0)), nodes: map[string]*process{}, machines: map[string]*machine{}, refused: map[string]string{}, slow: map[string]int{}, frozen: map[string]chan struct{}{}, wave: make(chan Trouble)}
 	w.book = newBook(w)
 	if d.Changes > 0 {
 		w.operators = newOperators(w)
 	}
 	w.back = &back{links: w.links, ports: map[string]*port{}, conns: map[*half]string{}}
-	w.state.Limit(standin.Limits{RPS: 400, WriteRPS: 120, ValueKB: 16, TxnOps: 12})
+	w.state.Limit(fake.Limits{RPS: 400, WriteRPS: 120, ValueKB: 16, TxnOps: 12})
 	w.cloud.Room = d.Machines
-	w.cloud.Up = func(h standin.Host) {
+	w.cloud.Up = func(h fake.Host) {
 		w.crowd.Go(func() {
 			if w.sleep(ctx, time.Duration(machineType.BootS*float64(time.Second))) {
 				w.work(ctx, h)
@@ -567,11 +567,11 @@
 }
 
 // work runs a machine's worker.
-func (w *World) work(ctx context.Context, h standin.Host) {
+func (w *World) work(ctx context.Context, h fake.Host) {
 	ctx, stop := context.WithCancel(ctx)
 	m := &machine{Host: h, stop: stop}
 	rng := w.random("reports of " + h.Name)
-	m.worker = standin.NewWorker(standin.WorkerOptions{Host: h, Clock: w.clock, Nodes: members, Post: w.post(m, rng),
+	m.worker = fake.NewWorker(fake.WorkerOptions{Host: h, Clock: w.clock, Nodes: members, Post: w.post(m, rng),
 		Every: seconds(w.Workers.ReportS), Lease: seconds(w.Workers.LeaseS), Runs: w.book.runs,
 		Starts: func(task string, _ uint64, _ time.Time) { w.book.started(task, m) }, Fetch: w.fetch(),
 		Ends: func(task string, done bool) { w.book.ended(task, m, done) }})
@@ -657,7 +657,7 @@
 }
 
 // returned is told of a machine that was given back.
-func (w *World) returned(h standin.Host) {
+func (w *World) returned(h fake.Host) {
 	w.mu.Lock()
 	m := w.machines[h.Address]
 	delete(w.machines, h.Address)
--- a/internal/world/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"switchferry/internal/pack"
+	"switchferry/internal/compress"
 	"switchferry/settings"
 )
 
@@ -28,7 +28,7 @@
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 	}
 	// The packers are made once; what is made within one day's bubble cannot be used in another's.
-	for _, f := range []func(any) (string, error){pack.Fast, pack.Small} {
+	for _, f := range []func(any) (string, error){compress.Fast, compress.Small} {
 		if _, err := f(0); err != nil {
 			panic(err)
 		}
--- a/internal/strict/strict.go
+++ b/internal/stricttoml/strict.go
@@ -1,6 +1,6 @@
-// Package strict decodes TOML in which every name must mean something. It knows lines and
+// Package stricttoml decodes TOML in which every name must mean something. It knows lines and
 // names, not what is in the file.
-package strict
+package stricttoml
 
 import (
 	"bytes"
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -20,10 +20,10 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 	"github.com/jonboulle/clockwork"
 
+	"switchferry/connlimit"
 	"switchferry/membership"
 	"switchferry/peer/wire"
 	"switchferry/settings"
-	"switchferry/sockets"
 	"switchferry/tuning"
 	"switchferry/watermark"
 )
@@ -289,7 +289,7 @@
 			s.sign = s.refused
 			n.mu.Unlock()
 			n.Told(membership.Connection{To: s.Member, Outcome: membership.Refused})
-		case errors.Is(err, syscall.EMFILE), errors.Is(err, sockets.ErrScarce):
+		case errors.Is(err, syscall.EMFILE), errors.Is(err, connlimit.ErrScarce):
 			n.Told(membership.Connection{To: s.Member, Outcome: membership.NoSocket})
 		default:
 			n.Told(membership.Connection{To: s.Member, Outcome: membership.Hanging})
--- a/contact/contact.go
+++ b/reachability/contact.go
@@ -1,4 +1,4 @@
-// Package contact judges whether a machine hears its controllers, apart from whether it is heard.
+// Package reachability judges whether a machine hears its controllers, apart from whether it is heard.
 // Its reports may arrive while answers and commands do not reach it, and copies of its reports may
 // arrive long after it has died. It knows tallies, tokens and ways of reports and the fate of
 // commands, not what a machine is or runs; it has no clock and no lock.
@@ -19,7 +19,7 @@
 //
 // Hints only suspect. Nothing is concluded from time alone: what a machine that hears nobody runs is
 // lost by its newer session, by ends that it reports, or by the cloud's answer to its return.
-package contact
+package reachability
 
 import (
 	"fmt"
--- a/contact/contact_test.go
+++ b/reachability/contact_test.go
@@ -1,4 +1,4 @@
-package contact
+package reachability
 
 import (
 	"testing"
--- a/contact/newest.go
+++ b/reachability/newest.go
@@ -1,4 +1,4 @@
-package contact
+package reachability
 
 import (
 	"github.com/hashicorp/golang-lru/v2/simplelru"
--- a/steering/steering.go
+++ b/redirect/steering.go
@@ -1,5 +1,5 @@
-// Package steering decides which controller a worker should report to. It has no clock and no lock.
-package steering
+// Package redirect decides which controller a worker should report to. It has no clock and no lock.
+package redirect
 
 import (
 	"slices"
--- a/steering/steering_test.go
+++ b/redirect/steering_test.go
@@ -1,4 +1,4 @@
-package steering
+package redirect
 
 import (
 	"strings"
--- a/courier/courier.go
+++ b/relay/courier.go
@@ -1,4 +1,4 @@
-// Package courier carries messages between a controller and a leader that do not reach
+// Package relay carries messages between a controller and a leader that do not reach
 // each other, in values of the state service. It knows names, sizes, order and budgets; it
 // does not know what the messages say, and does no I/O.
 //
@@ -7,7 +7,7 @@
 // a while (Outbox). From the leader comes all that stands, in as many letters as it needs
 // (Shelf), so that whoever begins to read later misses nothing. Letters are JSON lists
 // packed with zstd; a message larger than a letter crosses in pieces.
-package courier
+package relay
 
 import (
 	"cmp"
@@ -18,7 +18,7 @@
 	"slices"
 	"time"
 
-	"switchferry/internal/pack"
+	"switchferry/internal/compress"
 	"switchferry/tuning"
 )
 
@@ -204,7 +204,7 @@
 			ms = append(ms, Message{name, o.items[name].body})
 			raw += len(o.items[name].body) + len(name)
 		}
-		if text, err = pack.Fast(ms); err != nil {
+		if text, err = compress.Fast(ms); err != nil {
 			if n > 1 {
 				n = 1
 				continue
@@ -258,7 +258,7 @@
 func (j *Joiner) Open(from string, l *Letter) ([]Message, error) {
 	var ms []Message
 	if l.Of == 0 {
-		err := pack.Unpack(l.Packed, &ms)
+		err := compress.Unpack(l.Packed, &ms)
 		return ms, err
 	}
 	if l.Of < 0 || l.Of > tuning.LetterPieces || l.Piece < 0 || l.Piece >= l.Of {
@@ -287,7 +287,7 @@
 	for _, t := range p.text {
 		whole += t
 	}
-	err := pack.Unpack(whole, &ms)
+	err := compress.Unpack(whole, &ms)
 	return ms, err
 }
 
@@ -351,7 +351,7 @@
 		}
 	}
 	for {
-		text, err := pack.Fast(ms)
+		text, err := compress.Fast(ms)
 		if err != nil || len(text) <= s.limits.text() {
 			return Letter{Term: term, Packed: text}, touched, tooLarge, err
 		}
@@ -403,7 +403,7 @@
 	}
 	ms := []Message{}
 	if l.Packed != "" {
-		if err := pack.Unpack(l.Packed, &ms); err != nil {
+		if err := compress.Unpack(l.Packed, &ms); err != nil {
 			return err
 		}
 	}
--- a/courier/courier_test.go
+++ b/relay/courier_test.go
@@ -1,4 +1,4 @@
-package courier
+package relay
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"switchferry/internal/pack"
+	"switchferry/internal/compress"
 )
 
 var (
@@ -215,7 +215,7 @@
 // count for nothing.
 func TestNewestStateCounts(t *testing.T) {
 	letter := func(term uint64, ms ...Message) *Letter {
-		text, err := pack.Fast(ms)
+		text, err := compress.Fast(ms)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/courier/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -13,7 +13,7 @@
 	"github.com/jonboulle/clockwork"
 	"golang.org/x/time/rate"
 
-	"switchferry/courier"
+	"switchferry/relay"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -21,8 +21,8 @@
 
 // Follow is the leader's side: it takes in what siblings pass on under a prefix, after a
 // revision, until the context ends.
-func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, take func(member string, m courier.Message)) {
-	var joiner courier.Joiner
+func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, take func(member string, m relay.Message)) {
+	var joiner relay.Joiner
 	for ctx.Err() == nil {
 		log, epoch, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
 		if errors.Is(err, store.ErrTooOld) {
@@ -61,9 +61,9 @@
 }
 
 // Limits are what letters through the state service must keep.
-func Limits(f settings.State) courier.Limits {
+func Limits(f settings.State) relay.Limits {
 	least := f.Least()
-	return courier.Limits{Value: least.ValueBytes(), Request: tuning.LetterRequest, Ops: least.TxnOps}
+	return relay.Limits{Value: least.ValueBytes(), Request: tuning.LetterRequest, Ops: least.TxnOps}
 }
 
 // Rate is what a controller writes of letters, all kinds together: the leader's records come first.
@@ -87,8 +87,8 @@
 	Keep time.Duration
 	// Lock guards Box and Reader, which stand in what the owner keeps.
 	Lock   *sync.Mutex
-	Box    *courier.Outbox
-	Reader *courier.Reader
+	Box    *relay.Outbox
+	Reader *relay.Reader
 	// Forget drops senders that went elsewhere; Over: the term that letters were for has
 	// ended. Both are called with the lock held.
 	Forget func(now time.Time)
@@ -193,7 +193,7 @@
 		if e.Set == "" {
 			continue
 		}
-		var l courier.Letter
+		var l relay.Letter
 		err := json.Unmarshal(e.Value, &l)
 		if err == nil {
 			err = x.Reader.Take(e.Set, e.Stamp, &l)
@@ -206,18 +206,18 @@
 }
 
 // Open takes the messages out of letters for the leader of a term.
-func Open(log []store.Event, prefix string, term uint64, joiner *courier.Joiner, take func(member string, m courier.Message)) {
+func Open(log []store.Event, prefix string, term uint64, joiner *relay.Joiner, take func(member string, m relay.Message)) {
 	for _, e := range log {
 		if e.Set == "" {
 			continue
 		}
 		member := store.LetterFrom(prefix, e.Set)
-		var l courier.Letter
+		var l relay.Letter
 		err := json.Unmarshal(e.Value, &l)
 		if err == nil && l.Term != term {
 			continue
 		}
-		var ms []courier.Message
+		var ms []relay.Message
 		if err == nil {
 			ms, err = joiner.Open(member, &l)
 		}
--- a/courier/exchange/mailroom.go
+++ b/relay/exchange/mailroom.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"log/slog"
 
-	"switchferry/courier"
+	"switchferry/relay"
 	"switchferry/store"
 )
 
@@ -13,23 +13,23 @@
 type Mailroom struct {
 	// Term is the leader's, Limits what letters must keep.
 	Term   uint64
-	Limits courier.Limits
+	Limits relay.Limits
 	// Prefix and Key name the letters, Touch asks for one to be written.
 	Prefix string
 	Key    func(member string, part int) string
 	Touch  func(key string, urgency int, after func())
 	// Body is what a machine behind a sibling is told; nil: nothing.
 	Body    func(member, machine string) json.RawMessage
-	shelves map[string]*courier.Shelf
+	shelves map[string]*relay.Shelf
 }
 
 // Put asks for a machine's letter to be written as it stands then.
 func (r *Mailroom) Put(member, machine string) {
 	s := r.shelves[member]
 	if s == nil {
-		s = courier.NewShelf(r.Limits)
+		s = relay.NewShelf(r.Limits)
 		if r.shelves == nil {
-			r.shelves = map[string]*courier.Shelf{}
+			r.shelves = map[string]*relay.Shelf{}
 		}
 		r.shelves[member] = s
 	}
@@ -50,10 +50,10 @@
 
 // Letter builds one letter; false: there is none of that number. Of the same kind, those that
 // took machines over from it are asked for.
-func (r *Mailroom) Letter(key string) (courier.Letter, bool) {
+func (r *Mailroom) Letter(key string) (relay.Letter, bool) {
 	member, part, ok := store.ParseLetterKey(r.Prefix, key)
 	if !ok || r.shelves[member] == nil {
-		return courier.Letter{}, false
+		return relay.Letter{}, false
 	}
 	l, touched, tooLarge, err := r.shelves[member].Build(r.Term, part, func(name string) json.RawMessage { return r.Body(member, name) })
 	for _, p := range touched {
--- a/holdings/hint.go
+++ b/replicas/hint.go
@@ -1,11 +1,11 @@
-package holdings
+package replicas
 
 import (
 	"fmt"
 
 	"github.com/RoaringBitmap/roaring/v2"
 
-	"switchferry/internal/pack"
+	"switchferry/internal/compress"
 	"switchferry/tuning"
 )
 
@@ -49,7 +49,7 @@
 				p[d] = x
 			}
 		}
-		text, err := pack.Small(p)
+		text, err := compress.Small(p)
 		if err != nil {
 			return h, 0, err
 		}
@@ -63,7 +63,7 @@
 // Unpack gives what each machine held.
 func (h Hint) Unpack() (map[string]map[string]Holding, error) {
 	var p packed
-	if err := pack.Unpack(h.Packed, &p); err != nil {
+	if err := compress.Unpack(h.Packed, &p); err != nil {
 		return nil, fmt.Errorf("hint of holdings: %w", err)
 	}
 	out := map[string]map[string]Holding{}
--- a/holdings/holdings.go
+++ b/replicas/holdings.go
@@ -1,11 +1,11 @@
-// Package holdings knows which machine holds which parts of which datasets, as the
+// Package replicas knows which machine holds which parts of which datasets, as the
 // agents beside the workers last said. It does not know jobs, or why anything is wanted.
 //
 // Agents' reports come in at any time; placement and users read. Readers take a Snapshot,
 // which never changes, and need no lock: a round of placement sees one state throughout,
 // and no report waits for it. The snapshots share what did not change between them
 // (benbjohnson/immutable), and a machine's parts are compressed bitmaps (roaring).
-package holdings
+package replicas
 
 import (
 	"slices"
--- a/holdings/holdings_test.go
+++ b/replicas/holdings_test.go
@@ -1,4 +1,4 @@
-package holdings
+package replicas
 
 import (
 	"fmt"
--- a/hints/hints.go
+++ b/softstate/hints.go
@@ -1,6 +1,6 @@
-// Package hints puts on record what a leader infers of the images that machines hold, and reads it for the next one.
+// Package softstate puts on record what a leader infers of the images that machines hold, and reads it for the next one.
 // Nothing breaks if a hint is old, damaged or gone. It has no clock and no lock.
-package hints
+package softstate
 
 import (
 	"encoding/json"
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"switchferry/api"
-	"switchferry/courier"
+	"switchferry/relay"
 )
 
 // Proxy answers agents in place of a leader that their controller does not reach. It
@@ -15,8 +15,8 @@
 // comes late or twice does no harm, and proofs rest on what the leader reads in reports,
 // whichever way these came. It is not safe for use from several goroutines at once.
 type Proxy struct {
-	Box  *courier.Outbox
-	Mail courier.Reader
+	Box  *relay.Outbox
+	Mail relay.Reader
 	// spoke is what each agent said last, without what changes all the time; holds are
 	// what it said that it holds, as of a version.
 	spoke map[string]*spoke
@@ -30,7 +30,7 @@
 }
 
 // NewProxy makes a proxy whose reports go into a box.
-func NewProxy(box *courier.Outbox) *Proxy { return &Proxy{Box: box, spoke: map[string]*spoke{}} }
+func NewProxy(box *relay.Outbox) *Proxy { return &Proxy{Box: box, spoke: map[string]*spoke{}} }
 
 // Report takes in a report for the leader of a term, and gives what the agent is told.
 func (p *Proxy) Report(r api.StageReport, term uint64, now time.Time) (o api.StageOrder, err error) {
--- a/staging/staging.go
+++ b/staging/staging.go
@@ -21,7 +21,7 @@
 	"switchferry/api"
 	"switchferry/cost"
 	"switchferry/dataset"
-	"switchferry/holdings"
+	"switchferry/replicas"
 	"switchferry/tuning"
 )
 
@@ -49,10 +49,10 @@
 type Desk struct {
 	term   uint64
 	limits Limits
-	index  *holdings.Index
+	index  *replicas.Index
 	agents map[string]*agent
 	byAddr map[string]*agent
-	ids    map[holdings.Machine]*agent
+	ids    map[replicas.Machine]*agent
 	// atStore are copies under way from the store, toCome their bytes.
 	atStore int
 	storeTo float64
@@ -62,7 +62,7 @@
 	coming map[piece]int
 	// lacking are the machines that are to have a part and lack it, with the bytes that
 	// they lack, as of the last round.
-	lacking map[piece]map[holdings.Machine]float64
+	lacking map[piece]map[replicas.Machine]float64
 	// removed are datasets that are removed for good, with their manifests: agents let
 	// go of what they hold of them.
 	removed map[string]string
@@ -77,7 +77,7 @@
 
 type agent struct {
 	name, addr   string
-	id           holdings.Machine
+	id           replicas.Machine
 	session, seq uint64
 	heard        time.Time
 	version      uint64
@@ -122,9 +122,9 @@
 }
 
 // New makes the desk of a term.
-func New(term uint64, limits Limits, index *holdings.Index) *Desk {
+func New(term uint64, limits Limits, index *replicas.Index) *Desk {
 	return &Desk{term: term, limits: limits, index: index, agents: map[string]*agent{}, byAddr: map[string]*agent{},
-		ids: map[holdings.Machine]*agent{}, lied: map[string]bool{}, coming: map[piece]int{}, lacking: map[piece]map[holdings.Machine]float64{}, removed: map[string]string{}}
+		ids: map[replicas.Machine]*agent{}, lied: map[string]bool{}, coming: map[piece]int{}, lacking: map[piece]map[replicas.Machine]float64{}, removed: map[string]string{}}
 }
 
 // Heard takes in a report. False: it is older than one that was, and tells nothing.
@@ -158,9 +158,9 @@
 		a.applied = r.Order
 	}
 	if r.All {
-		all := map[string]holdings.Holding{}
+		all := map[string]replicas.Holding{}
 		for _, h := range r.Holds {
-			all[h.Dataset] = holdings.Holding{Of: h.Of, Parts: h.Parts.Bitmap}
+			all[h.Dataset] = replicas.Holding{Of: h.Of, Parts: h.Parts.Bitmap}
 		}
 		d.index.Take(r.Machine, all)
 		a.version = r.Version
@@ -212,7 +212,7 @@
 
 // Hint takes in what a machine held as an earlier leader knew it. Until its agent is
 // heard it gets no order, is no source, and nothing is proved of it.
-func (d *Desk) Hint(machine string, holds map[string]holdings.Holding, now time.Time) {
+func (d *Desk) Hint(machine string, holds map[string]replicas.Holding, now time.Time) {
 	if d.agents[machine] != nil {
 		return
 	}
@@ -268,7 +268,7 @@
 }
 
 // ID is a machine's number in the index of holdings; false: its agent was never heard.
-func (d *Desk) ID(machine string) (holdings.Machine, bool) {
+func (d *Desk) ID(machine string) (replicas.Machine, bool) {
 	a := d.agents[machine]
 	if a == nil {
 		return 0, false
@@ -338,7 +338,7 @@
 
 // Coming are the machines that a part is on its way to, with the bytes that they still
 // lack; the map must not be changed.
-func (d *Desk) Coming(set string, part int) map[holdings.Machine]float64 {
+func (d *Desk) Coming(set string, part int) map[replicas.Machine]float64 {
 	return d.lacking[piece{set, part}]
 }
 
@@ -405,7 +405,7 @@
 		}
 		on := d.lacking[piece{x.Set.Name, x.Part}]
 		if on == nil {
-			on = map[holdings.Machine]float64{}
+			on = map[replicas.Machine]float64{}
 			d.lacking[piece{x.Set.Name, x.Part}] = on
 		}
 		on[a.id] = size
@@ -538,7 +538,7 @@
 // sources are where a part comes from, best first; nil: it has to wait. Peers that hold
 // it come first, those that give out least, then the store. While another machine gets it
 // from the store, it is waited for: each part shall leave the store once.
-func (d *Desk) sources(a *agent, x Want, snap *holdings.Snapshot, now time.Time, not map[api.StageSource]string) []api.StageSource {
+func (d *Desk) sources(a *agent, x Want, snap *replicas.Snapshot, now time.Time, not map[api.StageSource]string) []api.StageSource {
 	if a.addr == "" || a.down >= d.limits.PerLink {
 		return nil
 	}
@@ -590,7 +590,7 @@
 }
 
 // better gives a copy whose sources all failed others, if there are any.
-func (d *Desk) better(a *agent, w *want, part int, t *transfer, snap *holdings.Snapshot, now time.Time) bool {
+func (d *Desk) better(a *agent, w *want, part int, t *transfer, snap *replicas.Snapshot, now time.Time) bool {
 	for _, s := range t.from {
 		if _, failed := t.failed[s]; !failed && !(s.Peer != "" && d.lied[s.Peer]) {
 			return false
@@ -613,7 +613,7 @@
 	return !same
 }
 
-func (d *Desk) byID(m holdings.Machine) *agent { return d.ids[m] }
+func (d *Desk) byID(m replicas.Machine) *agent { return d.ids[m] }
 
 // Order is a machine's order as it stands; false: its agent is not known, or no round has
 // looked at it yet.
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -10,7 +10,7 @@
 
 	"switchferry/api"
 	"switchferry/dataset"
-	"switchferry/holdings"
+	"switchferry/replicas"
 )
 
 var inv = &dataset.Summary{Name: "inv", Bytes: 80, Parts: 8, Usual: 10}
@@ -162,7 +162,7 @@
 // within the limits of each link.
 func TestEachPartLeavesTheStoreOnce(t *testing.T) {
 	w := newWorld(9)
-	d := New(5, limits, holdings.New())
+	d := New(5, limits, replicas.New())
 	wants := all(w, 0, 1, 2)
 	for range 40 {
 		w.step(d, wants)
@@ -186,7 +186,7 @@
 func TestTroubledSourcesAreLeft(t *testing.T) {
 	for _, kind := range []string{"store", "lies", "silent"} {
 		w := newWorld(5)
-		d := New(5, limits, holdings.New())
+		d := New(5, limits, replicas.New())
 		w.agents["n-0"].has[0] = true
 		if kind == "store" {
 			w.storeDown = true
@@ -216,7 +216,7 @@
 // was out of the order in between may have been evicted, whatever an earlier report said.
 func TestProofNeedsAnOrderSince(t *testing.T) {
 	w := newWorld(1)
-	d := New(5, limits, holdings.New())
+	d := New(5, limits, replicas.New())
 	one := []Want{{"n-0", inv, 1}}
 	for range 5 {
 		w.step(d, one)
@@ -243,7 +243,7 @@
 		t.Fatal("not proved again")
 	}
 	// The next leader believes nothing that its own order did not ask for.
-	next := New(6, limits, holdings.New())
+	next := New(6, limits, replicas.New())
 	next.Heard(w.agents["n-0"].report(), w.now)
 	next.Round(one, w.now)
 	next.Heard(w.agents["n-0"].report(), w.now)
@@ -263,7 +263,7 @@
 func TestCacheIsNotAskedForMoreThanItHolds(t *testing.T) {
 	w := newWorld(1)
 	w.agents["n-0"].quota = 35
-	d := New(5, limits, holdings.New())
+	d := New(5, limits, replicas.New())
 	for range 20 {
 		w.step(d, all(w, 4, 5, 6, 7))
 	}
@@ -278,7 +278,7 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		w := newWorld(6)
-		d := New(5, limits, holdings.New())
+		d := New(5, limits, replicas.New())
 		var wants []Want
 		for i := range 200 {
 			if i < 150 {
--- a/store/commit_test.go
+++ b/store/commit_test.go
@@ -15,7 +15,7 @@
 	"github.com/jonboulle/clockwork"
 	"golang.org/x/time/rate"
 
-	"switchferry/internal/standin"
+	"switchferry/internal/fake"
 	"switchferry/settings"
 	"switchferry/tuning"
 )
@@ -37,12 +37,12 @@
 func (s *scripted) Committed()                   {}
 func (s *scripted) Deposed()                     { s.deposed = true }
 
-func setUp() (*standin.State, *scripted, *Committer) {
+func setUp() (*fake.State, *scripted, *Committer) {
 	return setUpAt(clockwork.NewFakeClock())
 }
 
-func setUpAt(clock clockwork.Clock) (*standin.State, *scripted, *Committer) {
-	st := standin.NewState(clock)
+func setUpAt(clock clockwork.Clock) (*fake.State, *scripted, *Committer) {
+	st := fake.NewState(clock)
 	src := &scripted{values: map[string]any{}}
 	src.lead = Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
 	c := NewCommitter(NewClient("x:1", st), src, clock, settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
@@ -226,7 +226,7 @@
 func TestLateAnswersAreNotWaitedFor(t *testing.T) {
 	for _, executed := range []bool{true, false} {
 		clock := clockwork.NewFakeClock()
-		st := standin.NewState(clock)
+		st := fake.NewState(clock)
 		lead := Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
 		src := &scripted{values: map[string]any{}, lead: lead}
 		c := NewCommitter(NewClient("state:1", st), src, clock, settings.State{WriteRPS: 100, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
@@ -234,7 +234,7 @@
 		src.values[JobKey("run-1")] = "job"
 		c.Touch(JobKey("run-1"), Urgent, func() { told++ })
 		late := st.LateNext(executed)
-		var read *standin.Late
+		var read *fake.Late
 		if executed {
 			// So is the reading that tells that the first took effect.
 			read = st.LateRead(false)
@@ -284,17 +284,17 @@
 func TestForeignWriteIsNoLateAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before func(st *standin.State)
+		before func(st *fake.State)
 		err    error
 	}{
-		{"executed", func(*standin.State) {}, nil},
-		{"one key another's", func(st *standin.State) { st.Put(JobKey("run-2"), "withdrawn") }, ErrConflict},
-		{"all written, by two", func(st *standin.State) { st.Put(JobKey("run-1"), "a"); st.Put(JobKey("run-2"), "b") }, ErrConflict},
-		{"not deleted", func(st *standin.State) { st.Put(JobKey("run-3"), "again") }, ErrConflict},
+		{"executed", func(*fake.State) {}, nil},
+		{"one key another's", func(st *fake.State) { st.Put(JobKey("run-2"), "withdrawn") }, ErrConflict},
+		{"all written, by two", func(st *fake.State) { st.Put(JobKey("run-1"), "a"); st.Put(JobKey("run-2"), "b") }, ErrConflict},
+		{"not deleted", func(st *fake.State) { st.Put(JobKey("run-3"), "again") }, ErrConflict},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			st := standin.NewState(clock)
+			st := fake.NewState(clock)
 			client := NewClient("state:1", st)
 			gone := Cond{JobKey("run-3"), st.Put(JobKey("run-3"), "old")}
 			h := NewHedge(client, clock, rate.NewLimiter(10, 10), 10)
@@ -323,7 +323,7 @@
 // is set aside with its name in the log; all others are written, and so is it once it can be.
 func TestPoisonedRecordIsSetAside(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st := standin.NewState(clock)
+	st := fake.NewState(clock)
 	lead := Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
 	src := &scripted{values: map[string]any{}, lead: lead}
 	c := NewCommitter(NewClient("state:1", st), src, clock, settings.State{WriteRPS: 1000, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
@@ -368,8 +368,8 @@
 // refused after that, and accepts still go before what waits.
 func TestRateSinksAtTheFirstRefusal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	st, src := standin.NewState(clock), &scripted{values: map[string]any{}}
-	st.Limit(standin.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
+	st, src := fake.NewState(clock), &scripted{values: map[string]any{}}
+	st.Limit(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	limits := settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Next: settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
 	src.lead = Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
 	c := NewCommitter(NewClient("state:1", st), src, clock, limits, map[string]uint64{})
@@ -388,7 +388,7 @@
 	}
 	burst(0, 900)
 	play(2 * time.Second)
-	st.Limit(standin.Limits{WriteRPS: 42, ValueKB: 2, TxnOps: 4})
+	st.Limit(fake.Limits{WriteRPS: 42, ValueKB: 2, TxnOps: 4})
 	play(9 * time.Second)
 	if n := st.Refusals()["too many changes"]; n < 1 || n > 2 {
 		t.Fatalf("%d refusals, want one or two", n)
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"switchferry/api"
-	"switchferry/internal/strict"
+	"switchferry/internal/stricttoml"
 	"switchferry/tuning"
 )
 
@@ -105,7 +105,7 @@
 // Parse reads and checks a topology file. The error lists every mistake, by entry.
 func Parse(raw []byte) (*Map, error) {
 	var f Declaration
-	unknown, err := strict.Decode(raw, &f)
+	unknown, err := stricttoml.Decode(raw, &f)
 	if err != nil {
 		return nil, fmt.Errorf("topology: %w", err)
 	}
--- a/bound/bound.go
+++ b/upperbound/bound.go
@@ -1,4 +1,4 @@
-// Package bound says how many jobs of a day could have been in time at most, whatever the order
+// Package upperbound says how many jobs of a day could have been in time at most, whatever the order
 // they were taken in. It knows what each task took and how much was free when, not machines: a
 // task may run anywhere, and nothing is fetched.
 //
@@ -7,7 +7,7 @@
 // the time it is due, and a job is worth taking if all of it costs less than one. What all that is
 // free costs, and what the jobs that are worth taking have left, is no less than the number of jobs
 // that can be in time together, for any prices; the least over many prices is the bound.
-package bound
+package upperbound
 
 import (
 	"math"
--- a/bound/bound_test.go
+++ b/upperbound/bound_test.go
@@ -1,4 +1,4 @@
-package bound
+package upperbound
 
 import (
 	"math"
