--- a/api/api.go
+++ b/api/api.go
@@ -12,9 +12,9 @@
 
 // Shapes of jobs. A gang's tasks run to completion, all at the same time.
 const (
-	Array   = "sweep"
-	Gang    = "gang"
-	Service = "standing"
+	JobArray = "sweep"
+	Gang     = "gang"
+	Service  = "standing"
 )
 
 // Job states as users see them.
@@ -22,7 +22,7 @@
 	Pending   = "pending"
 	Running   = "running"
 	Done      = "done"
-	Withdrawn = "withdrawn"
+	Cancelled = "withdrawn"
 )
 
 // Task states and causes of ends, as workers report them.
@@ -30,7 +30,7 @@
 	TaskFetching = "fetching"
 	TaskRunning  = "running"
 	TaskSaving   = "flushing"
-	TaskEnded    = "ended"
+	TaskExited   = "ended"
 
 	CauseDone    = "done"
 	CauseStopped = "halted"
@@ -42,9 +42,9 @@
 
 // Verbs of commands.
 const (
-	Start  = "run"
-	Stop   = "kill"
-	Forget = "clear"
+	CommandRun   = "run"
+	CommandKill  = "kill"
+	CommandClear = "clear"
 )
 
 var ranks = map[string]int{"low": 0, "normal": 1, "high": 2, "prod": 3}
@@ -157,8 +157,8 @@
 	str("jobclass", &s.Class)
 	str("owner", &s.Team)
 	str("shape", &s.Shape)
-	if s.Shape != Array && s.Shape != Gang && s.Shape != Service {
-		fail("shape", fmt.Sprintf("must be %q, %q or %q", Array, Gang, Service))
+	if s.Shape != JobArray && s.Shape != Gang && s.Shape != Service {
+		fail("shape", fmt.Sprintf("must be %q, %q or %q", JobArray, Gang, Service))
 	}
 	str("rank", &s.Rank)
 	if _, ok := ranks[s.Rank]; !ok {
@@ -238,31 +238,31 @@
 	Saved   bool   `json:"stored"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string       `json:"host"`
-	Address string       `json:"address"`
-	Type    string       `json:"hull"`
-	Zone    string       `json:"berth"`
-	Spot    bool         `json:"standby"`
-	Session uint64       `json:"watch"`
-	Seq     uint64       `json:"tally"`
-	Term    uint64       `json:"helm"`
-	NoticeS *float64     `json:"recall_s"`
-	Tasks   []TaskReport `json:"parts"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine           string       `json:"host"`
+	Address           string       `json:"address"`
+	Type              string       `json:"hull"`
+	Zone              string       `json:"berth"`
+	Spot              bool         `json:"standby"`
+	Incarnation       uint64       `json:"watch"`
+	Seq               uint64       `json:"tally"`
+	Term              uint64       `json:"helm"`
+	PreemptionNoticeS *float64     `json:"recall_s"`
+	Tasks             []TaskReport `json:"parts"`
 }
 
-// After tells whether a report is newer than one with that session and tally.
-func (r *Report) After(session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+// NewerThan tells whether a report is newer than one with that session and tally.
+func (r *Heartbeat) NewerThan(session, seq uint64) bool {
+	return r.Incarnation > session || r.Incarnation == session && r.Seq > seq
 }
 
 // Check finds a report that nothing can be done with.
-func (r *Report) Check() error {
+func (r *Heartbeat) Check() error {
 	switch {
 	case r.Machine == "":
 		return &FieldError{"host", "is missing"}
-	case r.Session == 0:
+	case r.Incarnation == 0:
 		return &FieldError{"watch", "is missing"}
 	}
 	return nil
@@ -276,16 +276,16 @@
 	GraceS  *float64 `json:"wind_down_s,omitempty"`
 }
 
-// Orders answers a report, or goes directly to a worker.
-type Orders struct {
-	Term     uint64    `json:"helm"`
-	Session  uint64    `json:"watch,omitempty"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse answers a report, or goes directly to a worker.
+type HeartbeatResponse struct {
+	Term        uint64    `json:"helm"`
+	Incarnation uint64    `json:"watch,omitempty"`
+	Commands    []Command `json:"orders"`
 }
 
 // Redirect names the node to report to.
 type Redirect struct {
-	Node string `json:"harbor,omitempty"`
+	Controller string `json:"harbor,omitempty"`
 }
 
 // MachineType is one kind of machine in the cloud's catalog.
@@ -326,17 +326,17 @@
 	return false
 }
 
-// Rental asks the cloud for machines; Charter is used once.
-type Rental struct {
-	Charter string `json:"charter"`
-	Type    string `json:"hull"`
-	Zone    string `json:"berth"`
-	Spot    bool   `json:"standby"`
-	Count   int    `json:"how_many"`
+// InstanceRequest asks the cloud for machines; IdempotencyKey is used once.
+type InstanceRequest struct {
+	IdempotencyKey string `json:"charter"`
+	Type           string `json:"hull"`
+	Zone           string `json:"berth"`
+	Spot           bool   `json:"standby"`
+	Count          int    `json:"how_many"`
 }
 
-// CloudMachine is a machine as the cloud lists it.
-type CloudMachine struct {
+// Instance is a machine as the cloud lists it.
+type Instance struct {
 	Name    string  `json:"name_id"`
 	Address string  `json:"address"`
 	Type    string  `json:"hull"`
--- a/api/data.go
+++ b/api/data.go
@@ -141,11 +141,11 @@
 // Order grows within a term; Known is the version of the agent's holdings that the
 // controllers have.
 type StageOrder struct {
-	Term    uint64     `json:"helm"`
-	Session uint64     `json:"session,omitempty"`
-	Order   uint64     `json:"order"`
-	Known   uint64     `json:"known"`
-	Sets    []StageSet `json:"sets"`
+	Term        uint64     `json:"helm"`
+	Incarnation uint64     `json:"session,omitempty"`
+	Order       uint64     `json:"order"`
+	Known       uint64     `json:"known"`
+	Sets        []StageSet `json:"sets"`
 	// Drop are manifests of datasets that were removed for good: what no other dataset
 	// on the machine needs of them goes from its disk.
 	Drop []string `json:"drop,omitempty"`
@@ -163,8 +163,8 @@
 type StageFailure struct {
 	From StageSource `json:"from"`
 	Why  string      `json:"why"`
-	// Lied: it gave wrong bytes, or had not what it said that it had.
-	Lied bool `json:"lied,omitempty"`
+	// Corrupt: it gave wrong bytes, or had not what it said that it had.
+	Corrupt bool `json:"lied,omitempty"`
 }
 
 // StageProgress is a copy under way, in bytes.
@@ -179,37 +179,37 @@
 	Full bool `json:"full,omitempty"`
 }
 
-// StageReport is what an agent says of its machine. Session grows with each start of the
+// StageHeartbeat is what an agent says of its machine. Incarnation grows with each start of the
 // agent, Seq with each report of a session. Term and Order are those of the newest order
 // that it keeps. Pinned are parts that stood in that order and are whole, checked and
 // kept. Holds is left out, with All false, while the controllers know its Version.
-type StageReport struct {
-	Machine string          `json:"host"`
-	Address string          `json:"address"`
-	Session uint64          `json:"session"`
-	Seq     uint64          `json:"seq"`
-	Term    uint64          `json:"helm"`
-	Order   uint64          `json:"order"`
-	Quota   int64           `json:"quota"`
-	Used    int64           `json:"used"`
-	Version uint64          `json:"version"`
-	All     bool            `json:"all,omitempty"`
-	Holds   []StageHeld     `json:"holds,omitempty"`
-	Pinned  []StageHeld     `json:"pinned,omitempty"`
-	Copies  []StageProgress `json:"copies,omitempty"`
+type StageHeartbeat struct {
+	Machine     string          `json:"host"`
+	Address     string          `json:"address"`
+	Incarnation uint64          `json:"session"`
+	Seq         uint64          `json:"seq"`
+	Term        uint64          `json:"helm"`
+	Order       uint64          `json:"order"`
+	Quota       int64           `json:"quota"`
+	Used        int64           `json:"used"`
+	Version     uint64          `json:"version"`
+	All         bool            `json:"all,omitempty"`
+	Holds       []StageHeld     `json:"holds,omitempty"`
+	Pinned      []StageHeld     `json:"pinned,omitempty"`
+	Copies      []StageProgress `json:"copies,omitempty"`
 	// Got counts the bytes since the agent began, by where they came from.
 	FromStore int64 `json:"from_store"`
 	FromPeers int64 `json:"from_peers"`
 }
 
 // Check finds a report that nothing can be done with.
-func (r *StageReport) Check() error {
+func (r *StageHeartbeat) Check() error {
 	switch {
 	case r.Machine == "":
 		return &FieldError{"host", "is missing"}
 	case r.Address == "":
 		return &FieldError{"address", "is missing"}
-	case r.Session == 0:
+	case r.Incarnation == 0:
 		return &FieldError{"session", "is missing"}
 	case r.Quota < 0 || r.Used < 0 || r.Quota > math.MaxInt64/4 || r.Used > math.MaxInt64/4:
 		return &FieldError{"quota", "quota and used must be numbers of bytes, 0 or more"}
--- a/api/data_test.go
+++ b/api/data_test.go
@@ -28,7 +28,7 @@
 // An agent's report comes from outside; whatever passes the check must not break who
 // works with it.
 func FuzzStageReport(f *testing.F) {
-	r := StageReport{Machine: "n-1", Address: "10.0.0.1:9100", Session: 1, All: true,
+	r := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
 		Holds:  []StageHeld{{Dataset: "a", Of: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
 		Copies: []StageProgress{{Dataset: "a", Part: 3, Got: 5, Of: 9, Failed: []StageFailure{{Why: "503"}}}}}
 	raw, err := json.Marshal(r)
@@ -38,7 +38,7 @@
 	f.Add(raw)
 	f.Add([]byte(`{"host":"a","address":"b","session":1,"holds":[{"dataset":"a","of":3,"parts":"OzAAAA"}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var r StageReport
+		var r StageHeartbeat
 		if json.Unmarshal(raw, &r) != nil || r.Check() != nil {
 			return
 		}
@@ -52,7 +52,7 @@
 			_ = roaring.AndNot(c, h.Parts.Bitmap).GetCardinality()
 		}
 		again, err := json.Marshal(r)
-		var back StageReport
+		var back StageHeartbeat
 		if err != nil || json.Unmarshal(again, &back) != nil {
 			t.Fatalf("%v: %s", err, again)
 		}
--- a/api/places.go
+++ b/api/places.go
@@ -4,8 +4,8 @@
 type TopologyView struct {
 	Version int          `json:"version"`
 	Domains []DomainView `json:"domains"`
-	// Lone machines stand in no domain, Ambiguous ones in two.
-	Lone      int           `json:"not_named"`
+	// Unlisted machines stand in no domain, Ambiguous ones in two.
+	Unlisted  int           `json:"not_named"`
 	Ambiguous int           `json:"named_twice"`
 	Waiting   []WaitingView `json:"waiting"`
 	// Reserved are domains that drain for a job.
@@ -35,22 +35,22 @@
 
 // Explanation tells where a job's tasks stand and why others wait.
 type Explanation struct {
-	Job     string   `json:"job"`
-	State   string   `json:"state"`
-	Tasks   int      `json:"tasks"`
-	Done    int      `json:"done"`
-	Waiting int      `json:"waiting"`
-	Why     []string `json:"why"`
-	Stands  []Stand  `json:"stands"`
+	Job       string         `json:"job"`
+	State     string         `json:"state"`
+	Tasks     int            `json:"tasks"`
+	Done      int            `json:"done"`
+	Waiting   int            `json:"waiting"`
+	Why       []string       `json:"why"`
+	Locations []TaskLocation `json:"stands"`
 }
 
-// Stand is how many tasks of a job are, or may be, in a domain, or on a machine in none.
-type Stand struct {
+// TaskLocation is how many tasks of a job are, or may be, in a domain, or on a machine in none.
+type TaskLocation struct {
 	Domain string `json:"domain"`
 	Level  string `json:"level"`
 	Tasks  int    `json:"tasks"`
-	// Unsure are those of them on machines that are not heard.
-	Unsure int `json:"unsure"`
+	// Unconfirmed are those of them on machines that are not heard.
+	Unconfirmed int `json:"unsure"`
 }
 
 // WaitingView is a job with tasks that wait for their inputs.
--- a/cli/client.go
+++ b/cli/client.go
@@ -174,7 +174,7 @@
 	f.StringVar(&s.ID, "id", "", "job id, like run-000412")
 	f.StringVar(&s.Class, "class", "", "class of jobs")
 	f.StringVar(&s.Team, "team", "", "owning team")
-	f.StringVar(&s.Shape, "shape", api.Array, "sweep (tasks that complete), gang (the same, all at once) or standing (a service)")
+	f.StringVar(&s.Shape, "shape", api.JobArray, "sweep (tasks that complete), gang (the same, all at once) or standing (a service)")
 	f.StringVar(&s.Rank, "rank", "normal", "prod, high, normal or low")
 	f.IntVar(&s.Tasks, "tasks", 1, "number of tasks")
 	f.Float64Var(&s.CPUs, "cpus", 1, "processors a task")
--- a/cli/config.go
+++ b/cli/config.go
@@ -206,7 +206,7 @@
 		_ = json.Unmarshal(raw, &refused)
 		var lines []string
 		for _, m := range refused.Mistakes {
-			lines = append(lines, configuration.Mistake{Line: m.Line, Field: m.Field, Remedy: m.Remedy}.String())
+			lines = append(lines, configuration.FieldError{Line: m.Line, Field: m.Field, Remedy: m.Remedy}.String())
 		}
 		return coded(ExitUsage, fmt.Errorf("%s:\n%s", refused.Error, strings.Join(lines, "\n")))
 	case status != http.StatusOK && status != http.StatusAccepted:
--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -37,9 +37,9 @@
 	set.Facts = settings.Facts{Zones: []string{"east"}, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40},
 		State: settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 10}}
 	clock := clockwork.NewRealClock()
-	n := controller.NewNode(ctx, set, policy.Default(), clock, fake.NewState(clock))
+	n := controller.New(ctx, set, policy.Default(), clock, fake.NewState(clock))
 	n.Enable(&features.Features{Configuration: features.Configuration{On: on}})
-	budget := connlimit.NewBudget(0)
+	budget := connlimit.NewLimiter(0)
 	go n.Run(back)
 	go func() { _ = httpapi.Serve(ctx, front, httpapi.New(n, budget), budget) }()
 	return front.Addr().String()
--- a/cli/data.go
+++ b/cli/data.go
@@ -59,7 +59,7 @@
 			if err != nil || quota == 0 {
 				return coded(ExitUsage, fmt.Errorf("--cache: %q is no size; write one like 50GB", cache))
 			}
-			o.Quota, o.DownRate, o.UpRate = int64(quota), down*1e6, up*1e6
+			o.CacheBytes, o.DownRate, o.UpRate = int64(quota), down*1e6, up*1e6
 			o.Store = strings.TrimRight(o.Store, "/")
 			if listen == "" {
 				listen = o.Address
@@ -94,7 +94,7 @@
 	}
 	slog.Info("stager starts", "machine", o.Machine, "address", o.Address, "dir", o.Dir, "version", Version)
 	go a.Run(ctx)
-	return httpapi.Serve(ctx, l, a.Handler(), connlimit.NewBudget(0))
+	return httpapi.Serve(ctx, l, a.Handler(), connlimit.NewLimiter(0))
 }
 
 // dataCommand shows and registers datasets.
--- a/cli/members.go
+++ b/cli/members.go
@@ -33,7 +33,7 @@
 				if v.Self {
 					name, quiet, phi = name+" (itself)", "", ""
 				}
-				t.AppendRow(table.Row{name, v.Level, strings.Join(v.Parts, ", "), fmt.Sprintf("%.1f s", v.ForS), quiet, phi, strings.Join(v.Hears, " "), v.Why})
+				t.AppendRow(table.Row{name, v.Level, strings.Join(v.Parts, ", "), fmt.Sprintf("%.1f s", v.ForS), quiet, phi, strings.Join(v.HeardPeers, " "), v.Why})
 			}
 			t.Render()
 			return nil
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -92,7 +92,7 @@
 	cmd := &cobra.Command{Use: "version", Short: "Print the versions of the program, of its records and of what controllers say to each other", Args: cobra.NoArgs,
 		Example: "  switchferry version\n  switchferry version --json | jq .data",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			v := versions{Version, upgrade.Data, upgrade.Frames}
+			v := versions{Version, upgrade.DataVersion, upgrade.FrameVersion}
 			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(v)
 			}
@@ -201,25 +201,25 @@
 	if err != nil {
 		return coded(ExitFailed, fmt.Errorf("serve_on: %w", err))
 	}
-	back, err := net.Listen("tcp4", set.Back)
+	back, err := net.Listen("tcp4", set.PeerListen)
 	if err != nil {
 		return coded(ExitFailed, fmt.Errorf("back: %w", err))
 	}
 	slog.Info("controller starts", "member", set.Member, "zone", set.Zone, "version", Version)
-	budget := connlimit.NewBudget(set.Facts.Resources.Sockets)
+	budget := connlimit.NewLimiter(set.Facts.Resources.Sockets)
 	// Told to end, it hands over first; told again, it ends at once.
 	running, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	n := controller.NewNode(running, set, pol, clockwork.NewRealClock(), controller.Transport(set, budget))
-	n.Keep(budget)
+	n := controller.New(running, set, pol, clockwork.NewRealClock(), controller.Transport(set, budget))
+	n.UseConnLimiter(budget)
 	n.Enable(on)
-	n.PlaceBy(where)
+	n.UseTopologyFile(where)
 	context.AfterFunc(ctx, func() {
 		again, stop := signal.NotifyContext(running, os.Interrupt, syscall.SIGTERM)
 		defer stop()
-		n.Leave(again)
+		n.Shutdown(again)
 		end()
 	})
-	go n.Run(budget.Listen(back, connlimit.Sibling))
-	return coded(ExitFailed, httpapi.Serve(running, budget.Listen(front, connlimit.New), httpapi.New(n, budget), budget))
+	go n.Run(budget.Listen(back, connlimit.Peer))
+	return coded(ExitFailed, httpapi.Serve(running, budget.Listen(front, connlimit.Unclassified), httpapi.New(n, budget), budget))
 }
--- a/cli/topology.go
+++ b/cli/topology.go
@@ -54,7 +54,7 @@
 	}
 	add("", 0)
 	t.Render()
-	fmt.Fprintf(w, "version %d; %d machines in no domain, %d in two\n", v.Version, v.Lone, v.Ambiguous)
+	fmt.Fprintf(w, "version %d; %d machines in no domain, %d in two\n", v.Version, v.Unlisted, v.Ambiguous)
 	for _, x := range v.Reserved {
 		fmt.Fprintf(w, "%s is kept for %s, for about %.0f s\n", x.Domain, x.Job, x.InS)
 	}
@@ -89,10 +89,10 @@
 		return
 	}
 	fmt.Fprintf(w, "%s %s: %d tasks, %d done, %d wait\n", x.Job, x.State, x.Tasks, x.Done, x.Waiting)
-	for _, s := range x.Stands {
+	for _, s := range x.Locations {
 		unsure := ""
-		if s.Unsure > 0 {
-			unsure = fmt.Sprintf(", %d of them on silent machines", s.Unsure)
+		if s.Unconfirmed > 0 {
+			unsure = fmt.Sprintf(", %d of them on silent machines", s.Unconfirmed)
 		}
 		fmt.Fprintf(w, "  %d in %s %s%s\n", s.Tasks, s.Level, s.Domain, unsure)
 	}
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -77,7 +77,7 @@
 }
 
 // Rent asks for machines.
-func (c *Client) Rent(ctx context.Context, r api.Rental) ([]string, error) {
+func (c *Client) Rent(ctx context.Context, r api.InstanceRequest) ([]string, error) {
 	var ans struct {
 		Machines []string `json:"hosts"`
 	}
@@ -91,8 +91,8 @@
 }
 
 // List reads all machines, as the cloud saw them a while ago.
-func (c *Client) List(ctx context.Context) ([]api.CloudMachine, error) {
-	var out []api.CloudMachine
+func (c *Client) List(ctx context.Context) ([]api.Instance, error) {
+	var out []api.Instance
 	after := ""
 	for {
 		q := url.Values{"limit": {"500"}}
@@ -100,8 +100,8 @@
 			q.Set("after", after)
 		}
 		var page struct {
-			Machines []api.CloudMachine `json:"hosts"`
-			More     bool               `json:"more"`
+			Machines []api.Instance `json:"hosts"`
+			More     bool           `json:"more"`
 		}
 		if err := c.call(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -35,7 +35,7 @@
 		{429, ``, errors.New("status"), 0},
 	} {
 		cl := New("x:1", 100, scripted(func(*http.Request) (int, string) { return c.status, c.body }))
-		got, err := cl.Rent(ctx, api.Rental{Charter: "t1-1"})
+		got, err := cl.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
 		if len(got) != c.n || (err == nil) != (c.want == nil) || c.want == ErrNoCapacity && !errors.Is(err, ErrNoCapacity) || c.want == ErrTrouble && !errors.Is(err, ErrTrouble) {
 			t.Errorf("%d %s: %v, %v", c.status, c.body, got, err)
 		}
--- a/configuration/active.go
+++ b/configuration/active.go
@@ -72,9 +72,9 @@
 	return &a
 }
 
-// Between is what decisions go by while a change is on its way: everything as before, but of each limit and guarantee
+// Stricter is what decisions go by while a change is on its way: everything as before, but of each limit and guarantee
 // the lower one, and only teams that both know. Whatever is started by it is within both revisions' limits.
-func Between(before, after *Active) *Active {
+func Stricter(before, after *Active) *Active {
 	a := *before
 	var teams []settings.Team
 	for _, t := range before.teams {
--- a/configuration/difference.go
+++ b/configuration/difference.go
@@ -66,8 +66,8 @@
 		out["topology.version"] = fmt.Sprint(m.Version())
 		for _, domain := range m.Domains() {
 			in := ""
-			if domain.In != nil {
-				in = " in " + domain.In.Name
+			if domain.Parent != nil {
+				in = " in " + domain.Parent.Name
 			}
 			out["topology."+domain.Name] = domain.Level + in + " " + strings.Join(domain.Patterns(), " ")
 		}
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -69,8 +69,8 @@
 	Topology  *topology.Declaration `toml:"topology"`
 }
 
-// Mistake is one thing that is wrong with a document.
-type Mistake struct {
+// FieldError is one thing that is wrong with a document.
+type FieldError struct {
 	// Line counts from 1; 0: it is in none, or the line is not known.
 	Line  int    `json:"line,omitempty"`
 	Field string `json:"field"`
@@ -78,7 +78,7 @@
 	Remedy string `json:"remedy"`
 }
 
-func (m Mistake) String() string {
+func (m FieldError) String() string {
 	where := m.Field
 	if m.Line > 0 {
 		where = fmt.Sprintf("line %d: %s", m.Line, m.Field)
@@ -86,10 +86,10 @@
 	return where + ": " + m.Remedy
 }
 
-// Mistakes are all that is wrong with a document. It is the error of Parse.
-type Mistakes []Mistake
+// FieldErrors are all that is wrong with a document. It is the error of Parse.
+type FieldErrors []FieldError
 
-func (all Mistakes) Error() string {
+func (all FieldErrors) Error() string {
 	lines := make([]string, len(all))
 	for i, m := range all {
 		lines[i] = m.String()
@@ -97,31 +97,31 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads and checks a document. The error is of type Mistakes and has all of them, in the order of their lines.
+// Parse reads and checks a document. The error is of type FieldErrors and has all of them, in the order of their lines.
 func Parse(text string) (*Document, error) {
 	if len(text) > tuning.ConfigurationBytes {
-		return nil, Mistakes{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
+		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
 	}
 	file := sections{OverLimit: OverLimit{Running: Leave}}
 	unknown, err := stricttoml.Decode([]byte(text), &file)
 	if err != nil {
 		var value *stricttoml.ValueError
 		if errors.As(err, &value) {
-			return nil, Mistakes{{Line: value.Line, Field: value.Name, Remedy: value.Err.Error()}}
+			return nil, FieldErrors{{Line: value.Line, Field: value.Name, Remedy: value.Err.Error()}}
 		}
-		return nil, Mistakes{{Field: "document", Remedy: "must be TOML: " + err.Error()}}
+		return nil, FieldErrors{{Field: "document", Remedy: "must be TOML: " + err.Error()}}
 	}
 	c := checker{lines: linesOf(text)}
 	for _, err := range unknown {
 		var name *stricttoml.UnknownError
 		if errors.As(err, &name) {
-			c.mistakes = append(c.mistakes, Mistake{name.Line, name.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
+			c.mistakes = append(c.mistakes, FieldError{name.Line, name.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
 		}
 	}
 	d := &Document{OverLimit: file.OverLimit, Policy: file.Policy, Teams: file.Teams, Switches: file.Features, Text: text}
 	c.document(d, file.Topology)
 	if len(c.mistakes) > 0 {
-		slices.SortStableFunc(c.mistakes, func(a, b Mistake) int { return a.Line - b.Line })
+		slices.SortStableFunc(c.mistakes, func(a, b FieldError) int { return a.Line - b.Line })
 		return nil, c.mistakes
 	}
 	return d, nil
@@ -130,7 +130,7 @@
 // checker collects mistakes, each with the line of its field.
 type checker struct {
 	lines    map[string]int
-	mistakes Mistakes
+	mistakes FieldErrors
 }
 
 // fail notes a mistake; the line is that of the field, or of what it stands in.
@@ -139,7 +139,7 @@
 	for at := field; at != "" && line == 0; at = parent(at) {
 		line = c.lines[at]
 	}
-	c.mistakes = append(c.mistakes, Mistake{line, field, remedy})
+	c.mistakes = append(c.mistakes, FieldError{line, field, remedy})
 }
 
 // parent is what a field stands in; empty: nothing.
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -81,7 +81,7 @@
 		{strings.Repeat("# a comment\n", 5000), []string{"document: takes 60000 bytes, at most 40960"}},
 	} {
 		d, err := Parse(c.text)
-		var all Mistakes
+		var all FieldErrors
 		if d != nil || !errors.As(err, &all) || len(all) < len(c.want) {
 			t.Errorf("%.40q: %v, %v", c.text, d, err)
 			continue
@@ -117,7 +117,7 @@
 	}
 	before := FromFiles([]settings.Team{team("sinks", 8, 40), team("rises", 2, 10), team("bounded", 0, 0), team("freed", 0, 6), team("goes", 1, 1)}, policy.Default())
 	after := FromFiles([]settings.Team{team("sinks", 4, 20), team("rises", 6, 30), team("bounded", 0, 7), team("freed", 0, 0), team("comes", 1, 1)}, policy.Default())
-	between := Between(before, after)
+	between := Stricter(before, after)
 	for name, want := range map[string]settings.Team{"sinks": team("sinks", 4, 20), "rises": team("rises", 2, 10), "bounded": team("bounded", 0, 7), "freed": team("freed", 0, 6)} {
 		if got, ok := between.Team(name); !ok || got != want {
 			t.Errorf("%s: %+v", name, got)
--- a/configuration/httpapi/port.go
+++ b/configuration/httpapi/port.go
@@ -21,17 +21,17 @@
 // History asks, in place of a revision's number, for the last revisions.
 const History = "history"
 
-// Port answers for one controller.
-type Port struct {
-	Keeper *revisions.Keeper
-	Marks  *upgrade.Marker
+// Handler answers for one controller.
+type Handler struct {
+	Store    *revisions.Store
+	Versions *upgrade.VersionRegistry
 	// TopologyOn and DataOn tell whether these features are on: what needs them can only be configured then.
 	TopologyOn, DataOn bool
 }
 
 // Present is the present configuration and how far the last change has come.
-func (p *Port) Present(applier *revisions.Applier) api.ConfigurationView {
-	revision, newest, trouble := p.Keeper.Present()
+func (p *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
+	revision, newest, trouble := p.Store.Current()
 	v := api.ConfigurationView{Newest: newest, NotTaken: trouble, Leader: applier != nil}
 	if revision != nil {
 		v.Revision, v.By, v.Why, v.AtMS, v.Document = revision.Number, revision.By, revision.Why, revision.AtMS, revision.Document
@@ -46,9 +46,9 @@
 }
 
 // Revision answers from the records.
-func (p *Port) Revision(ctx context.Context, which string) (status int, body any) {
+func (p *Handler) Revision(ctx context.Context, which string) (status int, body any) {
 	if which == History {
-		all, err := p.Keeper.History(ctx)
+		all, err := p.Store.History(ctx)
 		if err != nil {
 			return http.StatusServiceUnavailable, api.Error{Error: "the state service is out of reach"}
 		}
@@ -62,7 +62,7 @@
 	if err != nil || number == 0 {
 		return http.StatusBadRequest, api.Error{Error: fmt.Sprintf("%q is no revision; revisions are numbered from 1", which), Field: "revision"}
 	}
-	r, err := p.Keeper.Revision(ctx, number)
+	r, err := p.Store.Revision(ctx, number)
 	switch {
 	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewer):
 		return http.StatusNotFound, api.Error{Error: err.Error() + "; the last 50 revisions are kept"}
@@ -73,7 +73,7 @@
 }
 
 // Change makes a change as the leader.
-func (p *Port) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
+func (p *Handler) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
 	var request api.ConfigurationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return http.StatusBadRequest, api.Error{Error: "the body must be a JSON object with a document", Field: "body"}
@@ -85,9 +85,9 @@
 	if err != nil {
 		return http.StatusBadRequest, api.ConfigurationMistakes{Error: "the document has mistakes; nothing was changed", Mistakes: mistakesOf(err)}
 	}
-	without, err := p.Marks.WithoutConfiguration(ctx)
+	without, err := p.Versions.WithoutConfiguration(ctx)
 	if err != nil {
-		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrOut.Error()}
+		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrUnavailable.Error()}
 	}
 	if len(without) > 0 {
 		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can only change once all controllers run a version that knows of it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
@@ -106,13 +106,13 @@
 }
 
 // cannotUse finds sections that need a feature which is off.
-func (p *Port) cannotUse(d *configuration.Document) error {
-	var bad configuration.Mistakes
+func (p *Handler) cannotUse(d *configuration.Document) error {
+	var bad configuration.FieldErrors
 	if d.Topology != nil && !p.TopologyOn {
-		bad = append(bad, configuration.Mistake{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
+		bad = append(bad, configuration.FieldError{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
 	}
 	if d.Switches.AheadTasks != nil && !p.DataOn {
-		bad = append(bad, configuration.Mistake{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
+		bad = append(bad, configuration.FieldError{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
 	}
 	if len(bad) == 0 {
 		return nil
@@ -121,9 +121,9 @@
 }
 
 func mistakesOf(err error) (out []api.ConfigurationMistake) {
-	var all configuration.Mistakes
+	var all configuration.FieldErrors
 	if !errors.As(err, &all) {
-		all = configuration.Mistakes{{Field: "document", Remedy: err.Error()}}
+		all = configuration.FieldErrors{{Field: "document", Remedy: err.Error()}}
 	}
 	for _, m := range all {
 		out = append(out, api.ConfigurationMistake{Line: m.Line, Field: m.Field, Remedy: m.Remedy})
@@ -132,9 +132,9 @@
 }
 
 // conflict tells whoever lost against another change what that one was.
-func (p *Port) conflict(wanted *configuration.Document, err error) api.ConfigurationConflict {
+func (p *Handler) conflict(wanted *configuration.Document, err error) api.ConfigurationConflict {
 	out := api.ConfigurationConflict{Error: err.Error()}
-	revision, _, _ := p.Keeper.Present()
+	revision, _, _ := p.Store.Current()
 	if revision == nil {
 		return out
 	}
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%s%08d/%d", PartPrefix, revision, part)
 }
 
-// NumberOf is the revision that a part's key names; false: it is no such key.
-func NumberOf(key string) (uint64, bool) {
+// ParsePartKey is the revision that a part's key names; false: it is no such key.
+func ParsePartKey(key string) (uint64, bool) {
 	text, _, ok := strings.Cut(strings.TrimPrefix(key, PartPrefix), "/")
 	number, err := strconv.ParseUint(text, 10, 64)
 	return number, ok && err == nil
@@ -71,7 +71,7 @@
 
 // Encode is a revision as it is stored, in parts of at most so many bytes each.
 func Encode(r *Revision, valueBytes int) (Head, []Part, error) {
-	text, err := compress.Small(r)
+	text, err := compress.EncodeSmall(r)
 	if err != nil {
 		return Head{}, nil, err
 	}
@@ -111,7 +111,7 @@
 		return nil, fmt.Errorf("%w: the digest of revision %d is wrong", ErrDamaged, number)
 	}
 	var r Revision
-	if err := compress.Unpack(text.String(), &r); err != nil {
+	if err := compress.Decode(text.String(), &r); err != nil {
 		return nil, fmt.Errorf("%w: revision %d: %v", ErrDamaged, number, err)
 	}
 	if r.Number != number {
--- a/configuration/revision_test.go
+++ b/configuration/revision_test.go
@@ -89,9 +89,9 @@
 		{"both confirmed, one an older one", map[string]uint64{"x": 7, "y": 6}, 0, at, Spreading},
 		{"both confirmed, starts are not on record", map[string]uint64{"x": 7, "y": 7}, 2, last.Add(time.Hour), Spreading},
 	} {
-		a := NewApplication(before, after, []string{"x", "y"})
+		a := NewRollout(before, after, []string{"x", "y"})
 		a.Confirmed("x", 7) // before it is stored, that means nothing
-		if limit, _ := a.Counts().Limit("a"); limit.CPUs != 5 || a.Step(last.Add(time.Hour)) != Storing {
+		if limit, _ := a.Effective().Limit("a"); limit.CPUs != 5 || a.Step(last.Add(time.Hour)) != Storing {
 			t.Fatalf("before it is stored: %+v, %v", limit, a.Stage())
 		}
 		a.Stored(at)
@@ -102,21 +102,21 @@
 		if got := a.Step(c.now); got != c.want || (got == InForce) != (len(a.WaitsFor(c.now)) == 0) {
 			t.Errorf("%s: %v, waits for %v", c.name, got, a.WaitsFor(c.now))
 		}
-		if want := map[Stage]*Active{Spreading: a.between, InForce: after}[c.want]; a.Counts() != want {
+		if want := map[Stage]*Active{Spreading: a.between, InForce: after}[c.want]; a.Effective() != want {
 			t.Errorf("%s: decisions go by another one", c.name)
 		}
 	}
-	a := NewApplication(before, after, nil)
+	a := NewRollout(before, after, nil)
 	a.Refuse()
-	if a.Counts() != before || a.Step(last.Add(time.Hour)) != Refused {
+	if a.Effective() != before || a.Step(last.Add(time.Hour)) != Refused {
 		t.Error("a refused change counts")
 	}
 }
 
 func TestRightEnds(t *testing.T) {
 	at := time.Unix(1000, 0)
-	r := Right{Active: FromFiles(nil, nil), Asked: at}
-	if !r.Holds(at.Add(tuning.ConfigurationRight-1)) || r.Holds(at.Add(tuning.ConfigurationRight)) || (Right{Asked: at}).Holds(at) {
+	r := ValidityLease{Active: FromFiles(nil, nil), Asked: at}
+	if !r.ValidAt(at.Add(tuning.ConfigurationRight-1)) || r.ValidAt(at.Add(tuning.ConfigurationRight)) || (ValidityLease{Asked: at}).ValidAt(at) {
 		t.Error("the bound of a right")
 	}
 }
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -15,13 +15,13 @@
 // Leader is what an applier needs of the controller that leads.
 type Leader interface {
 	// Condition holds while it leads; false: it does not, certainly.
-	Condition() (store.Cond, bool)
-	// Use has decisions go by this from now on. The result counts the starts and accepts that were decided before and
+	Condition() (store.Condition, bool)
+	// Adopt has decisions go by this from now on. The result counts the starts and accepts that were decided before and
 	// are not on record yet.
-	Use(active *configuration.Active) (undecided func() int)
-	// Siblings are all other controllers; Ask has one look for the newest revision now, and gives its number.
-	Siblings() []string
-	Ask(ctx context.Context, member string, revision uint64) (uint64, error)
+	Adopt(active *configuration.Active) (undecided func() int)
+	// Peers are all other controllers; Ask has one look for the newest revision now, and gives its number.
+	Peers() []string
+	RefreshPeer(ctx context.Context, member string, revision uint64) (uint64, error)
 }
 
 // Request is a change that somebody asks for.
@@ -47,20 +47,20 @@
 var (
 	// ErrConflict: the present revision is another than the expected one.
 	ErrConflict = errors.New("the configuration was changed meanwhile")
-	// ErrBusy: another change is on its way; ErrOut: the state service does not answer, and nothing was stored.
-	ErrBusy = errors.New("another change is on its way")
-	ErrOut  = errors.New("the state service is out of reach; nothing was stored")
+	// ErrBusy: another change is on its way; ErrUnavailable: the state service does not answer, and nothing was stored.
+	ErrBusy        = errors.New("another change is on its way")
+	ErrUnavailable = errors.New("the state service is out of reach; nothing was stored")
 	// ErrUnknown: it is not known yet whether it is stored. It goes on being found out.
 	ErrUnknown = errors.New("it is not known yet whether the change is stored")
-	// ErrLost: this controller does not lead any more.
-	ErrLost = errors.New("this controller does not lead any more")
-	// ErrUnread: the newest revision is not known here yet.
-	ErrUnread = errors.New("the configuration has not been read yet")
+	// ErrNotLeader: this controller does not lead any more.
+	ErrNotLeader = errors.New("this controller does not lead any more")
+	// ErrNotLoaded: the newest revision is not known here yet.
+	ErrNotLoaded = errors.New("the configuration has not been read yet")
 )
 
 // Applier makes changes in one term of the leader, one at a time. It is safe for use from several goroutines at once.
 type Applier struct {
-	*Keeper
+	*Store
 	leader Leader
 	ctx    context.Context
 	turn   chan struct{}
@@ -70,38 +70,38 @@
 	active   *configuration.Active
 	document *configuration.Document
 	stamp    uint64
-	change   *configuration.Application
+	change   *configuration.Rollout
 }
 
 // NewApplier makes the applier of a term, which lasts as long as the context.
-func NewApplier(ctx context.Context, k *Keeper, leader Leader) *Applier {
-	return &Applier{Keeper: k, leader: leader, ctx: ctx, turn: make(chan struct{}, 1)}
+func NewApplier(ctx context.Context, k *Store, leader Leader) *Applier {
+	return &Applier{Store: k, leader: leader, ctx: ctx, turn: make(chan struct{}, 1)}
 }
 
-// Begin reads the newest revision, after the leader's key was won, and has decisions go by it. Nothing may be decided
+// Load reads the newest revision, after the leader's key was won, and has decisions go by it. Nothing may be decided
 // before it has succeeded.
-func (a *Applier) Begin(ctx context.Context) error {
+func (a *Applier) Load(ctx context.Context) error {
 	// What was read before this term may be older than what its last leader stored.
 	sent := a.clock.Now()
-	if _, err := a.Confirm(ctx); err != nil {
+	if _, err := a.Refresh(ctx); err != nil {
 		return err
 	}
-	right, ok := a.Right()
+	right, ok := a.Lease()
 	if !ok || right.Asked.Before(sent) {
-		return ErrUnread
+		return ErrNotLoaded
 	}
 	var document *configuration.Document
-	if revision, _, _ := a.Present(); revision != nil {
+	if revision, _, _ := a.Current(); revision != nil {
 		var err error
 		if document, err = configuration.Parse(revision.Document); err != nil {
 			return err
 		}
 	}
 	a.mu.Lock()
-	a.active, a.document, a.stamp = right.Active, document, right.Stamp
+	a.active, a.document, a.stamp = right.Active, document, right.StoreRevision
 	a.mu.Unlock()
-	a.leader.Use(right.Active)
-	if right.Stamp != 0 {
+	a.leader.Adopt(right.Active)
+	if right.StoreRevision != 0 {
 		a.takeOver(right.Active)
 	}
 	return nil
@@ -110,7 +110,7 @@
 // takeOver sees to it that what the last leader stored comes into force: that one may have ended before it did, and some
 // may still go by an older one.
 func (a *Applier) takeOver(active *configuration.Active) {
-	change := configuration.NewApplication(active, active, a.leader.Siblings())
+	change := configuration.NewRollout(active, active, a.leader.Peers())
 	change.Stored(a.clock.Now())
 	a.mu.Lock()
 	a.change = change
@@ -137,16 +137,16 @@
 	return []*configuration.Active{a.active}
 }
 
-// UseAgain hands what counts now to the leader once more.
-func (a *Applier) UseAgain() {
+// Reapply hands what counts now to the leader once more.
+func (a *Applier) Reapply() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.active == nil:
 	case a.change != nil && a.change.Stage() != configuration.Refused:
-		a.leader.Use(a.change.Counts())
+		a.leader.Adopt(a.change.Effective())
 	default:
-		a.leader.Use(a.active)
+		a.leader.Adopt(a.active)
 	}
 }
 
@@ -159,11 +159,11 @@
 	a.mu.Lock()
 	active, document, stamp := a.active, a.document, a.stamp
 	a.mu.Unlock()
-	_, newest, _ := a.Present()
+	_, newest, _ := a.Current()
 	switch {
 	case active == nil:
 		a.endTurn()
-		return Answer{}, ErrUnread
+		return Answer{}, ErrNotLoaded
 	case r.Expect != nil && *r.Expect != newest:
 		a.endTurn()
 		return Answer{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *r.Expect)
@@ -172,7 +172,7 @@
 		return Answer{Revision: newest, InForce: true, Unchanged: true}, nil
 	}
 	revision := &configuration.Revision{Number: newest + 1, By: r.By, Why: r.Why, AtMS: a.clock.Now().UnixMilli(), Document: r.Document.Text}
-	change := configuration.NewApplication(active, r.Document.Over(a.files, revision.Number), a.leader.Siblings())
+	change := configuration.NewRollout(active, r.Document.Over(a.files, revision.Number), a.leader.Peers())
 	done := make(chan error, 1)
 	go func() {
 		defer a.endTurn()
@@ -195,7 +195,7 @@
 func (a *Applier) endTurn() { <-a.turn }
 
 // wait waits for a change to be in force, or for as long as its user can be kept.
-func (a *Applier) wait(ctx context.Context, change *configuration.Application, done <-chan error) (Answer, error) {
+func (a *Applier) wait(ctx context.Context, change *configuration.Rollout, done <-chan error) (Answer, error) {
 	select {
 	case err := <-done:
 		if err != nil {
@@ -210,7 +210,7 @@
 	case configuration.Storing:
 		return Answer{}, ErrUnknown
 	case configuration.Refused:
-		return Answer{}, ErrOut
+		return Answer{}, ErrUnavailable
 	}
 	return Answer{Revision: change.After.Revision, InForce: change.Stage() == configuration.InForce, WaitsFor: change.WaitsFor(a.clock.Now())}, nil
 }
@@ -226,29 +226,29 @@
 }
 
 // carryOut takes a change from before it is stored until it is in force. The error tells why it is not stored.
-func (a *Applier) carryOut(change *configuration.Application, revision *configuration.Revision, document *configuration.Document, stamp uint64) error {
+func (a *Applier) carryOut(change *configuration.Rollout, revision *configuration.Revision, document *configuration.Document, stamp uint64) error {
 	a.mu.Lock()
 	a.change = change
 	a.mu.Unlock()
 	// From here on the lower limits of both count, whatever becomes of it.
-	undecided := a.leader.Use(change.Counts())
+	undecided := a.leader.Adopt(change.Effective())
 	epoch, err := a.store(revision, stamp)
 	if err != nil {
 		a.mu.Lock()
 		change.Refuse()
 		a.mu.Unlock()
-		a.leader.Use(change.Before)
+		a.leader.Adopt(change.Before)
 		return err
 	}
 	a.mu.Lock()
 	change.Stored(a.clock.Now())
 	a.active, a.document, a.stamp = change.After, document, epoch
 	a.mu.Unlock()
-	a.take(configuration.Right{Active: change.After, Stamp: epoch, Asked: a.clock.Now()}, revision, revision.Number, "")
+	a.take(configuration.ValidityLease{Active: change.After, StoreRevision: epoch, Asked: a.clock.Now()}, revision, revision.Number, "")
 	began := a.clock.Now()
 	a.spread(change, undecided)
 	if change.Stage() != configuration.InForce {
-		return ErrLost
+		return ErrNotLeader
 	}
 	slog.Info("configuration in force", "revision", revision.Number, "by", revision.By, "why", revision.Why, "stored_to_in_force_ms", a.clock.Since(began).Milliseconds())
 	a.sweep(revision.Number)
@@ -256,8 +256,8 @@
 }
 
 // spread waits until a stored change is in force, or the term is over.
-func (a *Applier) spread(change *configuration.Application, undecided func() int) {
-	for _, member := range a.leader.Siblings() {
+func (a *Applier) spread(change *configuration.Rollout, undecided func() int) {
+	for _, member := range a.leader.Peers() {
 		go a.confirm(change, member)
 	}
 	for a.ctx.Err() == nil {
@@ -267,7 +267,7 @@
 		// What is decided from here on goes by the new one alone, before anybody hears that it is in force.
 		done := change.Step(a.clock.Now()) == configuration.InForce
 		if done {
-			a.leader.Use(change.Counts())
+			a.leader.Adopt(change.Effective())
 		}
 		a.mu.Unlock()
 		if done {
@@ -281,9 +281,9 @@
 }
 
 // confirm asks a sibling until it has read the change, or that no longer matters.
-func (a *Applier) confirm(change *configuration.Application, member string) {
+func (a *Applier) confirm(change *configuration.Rollout, member string) {
 	for a.ctx.Err() == nil {
-		number, err := a.leader.Ask(a.ctx, member, change.After.Revision)
+		number, err := a.leader.RefreshPeer(a.ctx, member, change.After.Revision)
 		a.mu.Lock()
 		if err == nil {
 			change.Confirmed(member, number)
@@ -302,17 +302,17 @@
 
 // store writes a revision's parts and then its head, on condition that this controller leads and the head is as it was.
 // Once the outcome of a transaction is not known it is sent again until it is: a second execution of the same changes
-// nothing. The error is ErrOut where nothing can have been stored.
+// nothing. The error is ErrUnavailable where nothing can have been stored.
 func (a *Applier) store(revision *configuration.Revision, stamp uint64) (epoch uint64, err error) {
 	head, parts, err := configuration.Encode(revision, a.limits.ValueBytes())
 	if err != nil {
 		return 0, err
 	}
-	conds := []store.Cond{{Key: configuration.HeadKey, Stamp: stamp}}
-	var ops []store.Op
+	conds := []store.Condition{{Key: configuration.HeadKey, Revision: stamp}}
+	var ops []store.Operation
 	for i, part := range parts {
 		key := configuration.PartKey(revision.Number, i)
-		ops = append(ops, store.Op{Set: key, Value: part})
+		ops = append(ops, store.Operation{Set: key, Value: part})
 		if len(ops)+1 < a.limits.TxnOps || i == len(parts)-1 {
 			continue
 		}
@@ -321,23 +321,23 @@
 		}
 		// A late copy of an earlier try must not change what the head will name.
 		for _, op := range ops {
-			conds = append(conds, store.Cond{Key: op.Set, Stamp: epoch})
+			conds = append(conds, store.Condition{Key: op.Set, Revision: epoch})
 		}
 		ops = nil
 	}
-	ops = append(ops, store.Op{Set: configuration.HeadKey, Value: head})
+	ops = append(ops, store.Operation{Set: configuration.HeadKey, Value: head})
 	return a.write(conds, ops, &head)
 }
 
 // write runs one transaction to a known outcome. Head is what it makes the head, if it does.
-func (a *Applier) write(conds []store.Cond, ops []store.Op, head *configuration.Head) (epoch uint64, err error) {
+func (a *Applier) write(conds []store.Condition, ops []store.Operation, head *configuration.Head) (epoch uint64, err error) {
 	unknown := false
 	for a.ctx.Err() == nil {
 		lead, ok := a.leader.Condition()
 		if !ok && !unknown {
-			return 0, ErrLost
+			return 0, ErrNotLeader
 		}
-		epoch, failed, err := a.client.Multi(a.ctx, append([]store.Cond{lead}, conds...), ops)
+		epoch, failed, err := a.client.Transact(a.ctx, append([]store.Condition{lead}, conds...), ops)
 		switch {
 		case err == nil:
 			return epoch, nil
@@ -348,13 +348,13 @@
 				}
 			}
 			if len(failed) > 0 && failed[0] == store.LeaderKey {
-				return 0, ErrLost
+				return 0, ErrNotLeader
 			}
 			return 0, fmt.Errorf("%w: %v", ErrConflict, failed)
-		case errors.Is(err, store.ErrTooMany), unknown && errors.Is(err, store.ErrBusy):
+		case errors.Is(err, store.ErrRateLimited), unknown && errors.Is(err, store.ErrBusy):
 		case errors.Is(err, store.ErrBusy):
-			return 0, ErrOut
-		case errors.Is(err, store.ErrRefused):
+			return 0, ErrUnavailable
+		case errors.Is(err, store.ErrInvalidRequest):
 			return 0, err
 		default:
 			unknown = true
@@ -373,7 +373,7 @@
 		item, err := a.client.Get(a.ctx, configuration.HeadKey)
 		if err == nil {
 			found, err := configuration.ParseHead(item.Value)
-			return item.Stamp, err == nil && found == *head
+			return item.Revision, err == nil && found == *head
 		}
 		if errors.Is(err, store.ErrNotFound) {
 			return 0, false
@@ -404,7 +404,7 @@
 		}
 		// The first part goes last: it tells how many there are.
 		for i := part.Of - 1; i >= 0; i-- {
-			if _, _, err := a.client.Multi(a.ctx, []store.Cond{lead}, []store.Op{{Delete: configuration.PartKey(old, i)}}); err != nil {
+			if _, _, err := a.client.Transact(a.ctx, []store.Condition{lead}, []store.Operation{{Delete: configuration.PartKey(old, i)}}); err != nil {
 				slog.Info("an old revision is not removed yet", "revision", old, "err", err)
 				return
 			}
--- a/configuration/revisions/keeper.go
+++ b/configuration/revisions/keeper.go
@@ -18,8 +18,8 @@
 	"switchferry/tuning"
 )
 
-// Keeper is one process's knowledge of the configuration. It is safe for use from several goroutines at once.
-type Keeper struct {
+// Store is one process's knowledge of the configuration. It is safe for use from several goroutines at once.
+type Store struct {
 	client *store.Client
 	clock  clockwork.Clock
 	files  *configuration.Active
@@ -27,7 +27,7 @@
 	limits settings.State
 
 	mu    sync.Mutex
-	right configuration.Right
+	right configuration.ValidityLease
 	// revision is the one that right goes by; nil: files and settings count alone. trouble is why a newer one than that
 	// is not taken; empty: there is none.
 	revision *configuration.Revision
@@ -36,16 +36,16 @@
 }
 
 // New makes the keeper of a process that has read nothing yet. Files is what counts without any revision.
-func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Keeper {
-	return &Keeper{client: client, clock: clock, files: files, limits: limits.Least()}
+func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Store {
+	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
 }
 
 // Run reads the newest revision again and again until the context ends. Paused tells whether there is no need to: a
 // leader knows.
-func (k *Keeper) Run(ctx context.Context, paused func() bool) {
+func (k *Store) Run(ctx context.Context, paused func() bool) {
 	for ctx.Err() == nil {
 		if !paused() {
-			if _, err := k.Confirm(ctx); err != nil {
+			if _, err := k.Refresh(ctx); err != nil {
 				slog.Debug("configuration not confirmed", "err", err)
 			}
 		}
@@ -56,23 +56,23 @@
 	}
 }
 
-// Right is what may be gone by now; false: nothing may, since it was not confirmed lately.
-func (k *Keeper) Right() (configuration.Right, bool) {
+// Lease is what may be gone by now; false: nothing may, since it was not confirmed lately.
+func (k *Store) Lease() (configuration.ValidityLease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.right, k.right.Holds(k.clock.Now())
+	return k.right, k.right.ValidAt(k.clock.Now())
 }
 
-// Present is the revision that was last read; nil: files and settings count alone. Newest is the number of the newest
+// Current is the revision that was last read; nil: files and settings count alone. Newest is the number of the newest
 // on record, and trouble why that is not taken; empty: it is.
-func (k *Keeper) Present() (revision *configuration.Revision, newest uint64, trouble string) {
+func (k *Store) Current() (revision *configuration.Revision, newest uint64, trouble string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.revision, k.newest, k.trouble
 }
 
-// Confirm reads which revision is the newest, and that revision if it is another than before. It gives its number.
-func (k *Keeper) Confirm(ctx context.Context) (uint64, error) {
+// Refresh reads which revision is the newest, and that revision if it is another than before. It gives its number.
+func (k *Store) Refresh(ctx context.Context) (uint64, error) {
 	sent := k.clock.Now()
 	item, err := k.client.Get(ctx, configuration.HeadKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -82,7 +82,7 @@
 		item = store.Item{}
 	}
 	k.mu.Lock()
-	same := k.right.Active != nil && k.right.Stamp == item.Stamp
+	same := k.right.Active != nil && k.right.StoreRevision == item.Revision
 	if same && sent.After(k.right.Asked) {
 		k.right.Asked = sent
 	}
@@ -91,13 +91,13 @@
 	if same {
 		return newest, nil
 	}
-	return k.load(ctx, item, configuration.Right{Stamp: item.Stamp, Asked: sent})
+	return k.load(ctx, item, configuration.ValidityLease{StoreRevision: item.Revision, Asked: sent})
 }
 
 // load reads the revision that a head names. One that is damaged or of a newer format is not taken: the last good one
 // counts, and that is said.
-func (k *Keeper) load(ctx context.Context, head store.Item, right configuration.Right) (uint64, error) {
-	if head.Stamp == 0 {
+func (k *Store) load(ctx context.Context, head store.Item, right configuration.ValidityLease) (uint64, error) {
+	if head.Revision == 0 {
 		right.Active = k.files
 		k.take(right, nil, 0, "")
 		return 0, nil
@@ -134,21 +134,21 @@
 }
 
 // highest is the highest number of which a part is on record; 0: there is none.
-func (k *Keeper) highest(ctx context.Context) (uint64, error) {
+func (k *Store) highest(ctx context.Context) (uint64, error) {
 	items, _, err := k.client.List(ctx, configuration.PartPrefix)
 	if err != nil {
 		return 0, err
 	}
 	most := uint64(0)
 	for _, item := range items {
-		if number, ok := configuration.NumberOf(item.Key); ok {
+		if number, ok := configuration.ParsePartKey(item.Key); ok {
 			most = max(most, number)
 		}
 	}
 	return most, nil
 }
 
-func (k *Keeper) take(right configuration.Right, revision *configuration.Revision, newest uint64, trouble string) {
+func (k *Store) take(right configuration.ValidityLease, revision *configuration.Revision, newest uint64, trouble string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.right.Active != nil && right.Asked.Before(k.right.Asked) {
@@ -161,7 +161,7 @@
 }
 
 // read reads one revision and its document.
-func (k *Keeper) read(ctx context.Context, number uint64, digest string) (*configuration.Revision, *configuration.Document, error) {
+func (k *Store) read(ctx context.Context, number uint64, digest string) (*configuration.Revision, *configuration.Document, error) {
 	var parts []configuration.Part
 	for i := 0; i == 0 || i < parts[0].Of; i++ {
 		item, err := k.client.Get(ctx, configuration.PartKey(number, i))
@@ -189,14 +189,14 @@
 }
 
 // Revision reads one revision from the records.
-func (k *Keeper) Revision(ctx context.Context, number uint64) (*configuration.Revision, error) {
+func (k *Store) Revision(ctx context.Context, number uint64) (*configuration.Revision, error) {
 	revision, _, err := k.read(ctx, number, "")
 	return revision, err
 }
 
 // History reads the last revisions that are on record, the newest first.
-func (k *Keeper) History(ctx context.Context) ([]*configuration.Revision, error) {
-	newest, err := k.Confirm(ctx)
+func (k *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
+	newest, err := k.Refresh(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/configuration/revisions/keeper_test.go
+++ b/configuration/revisions/keeper_test.go
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	// The packer is made once; what is made within one bubble cannot be used in another.
-	if _, err := compress.Small(0); err != nil {
+	if _, err := compress.EncodeSmall(0); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
@@ -42,7 +42,7 @@
 	state     *fake.State
 	clock     clockwork.Clock
 	limits    settings.State
-	followers map[string]*Keeper
+	followers map[string]*Store
 	// drop tells whether a transaction of the leader is executed and its answer lost, fail whether it is not executed.
 	mu         sync.Mutex
 	drop, fail func() bool
@@ -60,7 +60,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	clock := clockwork.NewRealClock()
-	s := &site{t: t, ctx: ctx, state: fake.NewState(clock), clock: clock, limits: limits, followers: map[string]*Keeper{}, cut: map[string]bool{},
+	s := &site{t: t, ctx: ctx, state: fake.NewState(clock), clock: clock, limits: limits, followers: map[string]*Store{}, cut: map[string]bool{},
 		drop: func() bool { return false }, fail: func() bool { return false }}
 	s.state.Limit(fake.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
 	for _, name := range []string{"x", "y"} {
@@ -107,11 +107,11 @@
 	term uint64
 }
 
-func (l *leader) Condition() (store.Cond, bool) {
-	return store.Cond{Key: store.LeaderKey, Stamp: l.term}, true
+func (l *leader) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: l.term}, true
 }
 
-func (l *leader) Use(active *configuration.Active) func() int {
+func (l *leader) Adopt(active *configuration.Active) func() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.used = append(l.used, active)
@@ -122,16 +122,16 @@
 	}
 }
 
-func (l *leader) Siblings() []string { return []string{"x", "y"} }
+func (l *leader) Peers() []string { return []string{"x", "y"} }
 
-func (l *leader) Ask(ctx context.Context, member string, _ uint64) (uint64, error) {
+func (l *leader) RefreshPeer(ctx context.Context, member string, _ uint64) (uint64, error) {
 	l.mu.Lock()
 	cut := l.cut[member]
 	l.mu.Unlock()
 	if cut {
 		return 0, errLost
 	}
-	return l.followers[member].Confirm(ctx)
+	return l.followers[member].Refresh(ctx)
 }
 
 // ready waits until an applier has brought into force what it has read.
@@ -150,10 +150,10 @@
 // elect begins a term; any before it is over.
 func (s *site) elect() *Applier {
 	s.t.Helper()
-	s.term = s.state.Put(store.LeaderKey, store.Leader{Member: "z"})
+	s.term = s.state.Put(store.LeaderKey, store.LeaderRecord{Member: "z"})
 	k := New(store.NewClient("state:1", line{s, "z"}), s.clock, files, s.limits)
 	a := NewApplier(s.ctx, k, &leader{s, s.term})
-	if err := a.Begin(s.ctx); err != nil {
+	if err := a.Load(s.ctx); err != nil {
 		s.t.Fatal(err)
 	}
 	return a
@@ -190,7 +190,7 @@
 func (s *site) noOlder(inForce uint64) {
 	s.t.Helper()
 	for name, k := range s.followers {
-		if right, ok := k.Right(); ok && right.Active.Revision < inForce {
+		if right, ok := k.Lease(); ok && right.Active.Revision < inForce {
 			s.t.Errorf("%s may go by revision %d while %d is in force", name, right.Active.Revision, inForce)
 		}
 	}
@@ -227,7 +227,7 @@
 			if last := s.lastUsed(); last.Revision != 1 {
 				t.Errorf("the leader goes by revision %d", last.Revision)
 			}
-			if _, ok := s.followers["y"].Right(); ok == cut {
+			if _, ok := s.followers["y"].Lease(); ok == cut {
 				t.Errorf("y has a right: %v", ok)
 			}
 			s.stop()
@@ -283,7 +283,7 @@
 		if !errors.Is(first, ErrConflict) || second != nil {
 			t.Errorf("%v and %v", first, second)
 		}
-		revision, newest, _ := a.Present()
+		revision, newest, _ := a.Current()
 		again, err := a.Apply(s.ctx, Request{Document: document(t, revision.Document)})
 		if err != nil || !again.Unchanged || !again.InForce || newest != 1 || again.Revision != 1 {
 			t.Errorf("%+v, %v", again, err)
@@ -318,7 +318,7 @@
 		}
 		wg.Wait()
 		time.Sleep(time.Second)
-		_, newest, _ := a.Present()
+		_, newest, _ := a.Current()
 		history, err := a.History(s.ctx)
 		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationKept || s.state.Under(configuration.PartPrefix) != tuning.ConfigurationKept {
 			t.Errorf("%d in force, newest %d, %d in the history, %d on record, %v", inForce, newest, len(history), s.state.Under(configuration.PartPrefix), err)
@@ -357,7 +357,7 @@
 			s.fail = func() bool { return false }
 			s.mu.Unlock()
 			b := s.ready(s.elect())
-			revision, newest, trouble := b.Present()
+			revision, newest, trouble := b.Current()
 			if trouble != "" || revision.Number != newest || revision.Document != large(int(revision.Number)) {
 				t.Fatalf("after %d writes: revision %d, newest %d, %s", writes, revision.Number, newest, trouble)
 			}
@@ -395,12 +395,12 @@
 			}
 			damage(s)
 			b := s.ready(s.elect())
-			revision, newest, trouble := b.Present()
+			revision, newest, trouble := b.Current()
 			if revision == nil || revision.Number != 1 || newest != 2 || trouble == "" || b.active.Revision != 1 {
 				t.Fatalf("%s: %+v, newest %d, trouble %q", name, revision, newest, trouble)
 			}
 			answer, err := b.Apply(s.ctx, Request{Document: limited(t, 30)})
-			if revision, _, trouble = b.Present(); err != nil || answer.Revision != 3 || revision.Number != 3 || trouble != "" {
+			if revision, _, trouble = b.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || trouble != "" {
 				t.Errorf("%s: %+v, %v", name, answer, err)
 			}
 		})
@@ -417,14 +417,14 @@
 		}
 		s.state.Outage(true)
 		began := time.Now()
-		if _, err := a.Apply(s.ctx, Request{Document: limited(t, 11)}); !errors.Is(err, ErrOut) || time.Since(began) > time.Second {
+		if _, err := a.Apply(s.ctx, Request{Document: limited(t, 11)}); !errors.Is(err, ErrUnavailable) || time.Since(began) > time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if last := s.lastUsed(); last.Revision != 1 {
 			t.Errorf("the leader goes by revision %d", last.Revision)
 		}
 		time.Sleep(3 * time.Second)
-		if _, ok := s.followers["x"].Right(); ok {
+		if _, ok := s.followers["x"].Lease(); ok {
 			t.Error("a follower that cannot confirm it still goes by it")
 		}
 	})
@@ -453,7 +453,7 @@
 		}
 		for {
 			progress, ok := b.Progress()
-			if right, holds := s.followers["y"].Right(); ok && progress.InForce && holds && right.Active.Revision < 2 {
+			if right, holds := s.followers["y"].Lease(); ok && progress.InForce && holds && right.Active.Revision < 2 {
 				t.Fatal("called in force while y may go by revision 1")
 			}
 			if progress.InForce {
@@ -547,7 +547,7 @@
 		s.mu.Lock()
 		s.fail = at(3, func() { s.state.Outage(true) })
 		s.mu.Unlock()
-		if _, err := a.Apply(s.ctx, Request{Document: document(t, large(1))}); !errors.Is(err, ErrOut) {
+		if _, err := a.Apply(s.ctx, Request{Document: document(t, large(1))}); !errors.Is(err, ErrUnavailable) {
 			t.Fatalf("the first change: %v", err)
 		}
 		s.state.Outage(false)
@@ -562,7 +562,7 @@
 		s.mu.Unlock()
 		answer, err := a.Apply(s.ctx, Request{Document: document(t, large(2))})
 		b := s.elect()
-		if revision, _, trouble := b.Present(); err != nil || !answer.InForce || trouble != "" || revision == nil || revision.Document != large(2) {
+		if revision, _, trouble := b.Current(); err != nil || !answer.InForce || trouble != "" || revision == nil || revision.Document != large(2) {
 			t.Errorf("tried again: %+v, %v, trouble %q", answer, err, trouble)
 		}
 	})
--- a/configuration/right.go
+++ b/configuration/right.go
@@ -8,19 +8,19 @@
 	"switchferry/tuning"
 )
 
-// Right is what a controller has read, and since when it knows that it was the newest: it may go by it for a bounded
+// ValidityLease is what a controller has read, and since when it knows that it was the newest: it may go by it for a bounded
 // time, by its own clock, from when it asked. So whoever stores a newer one knows, without asking, when nobody goes by
 // the old one any more.
-type Right struct {
+type ValidityLease struct {
 	Active *Active
-	// Stamp is the revision of HeadKey in the state service; 0: there is none.
-	Stamp uint64
+	// StoreRevision is the revision of HeadKey in the state service; 0: there is none.
+	StoreRevision uint64
 	// Asked is when the reading was sent that last found it the newest.
 	Asked time.Time
 }
 
-// Holds tells whether it may still be gone by.
-func (r Right) Holds(now time.Time) bool {
+// ValidAt tells whether it may still be gone by.
+func (r ValidityLease) ValidAt(now time.Time) bool {
 	return r.Active != nil && now.Sub(r.Asked) < tuning.ConfigurationRight
 }
 
@@ -39,9 +39,9 @@
 	InForce
 )
 
-// Application is one change, from before it is stored until it is in force, as the leader sees it. It is not safe for
+// Rollout is one change, from before it is stored until it is in force, as the leader sees it. It is not safe for
 // use from several goroutines at once.
-type Application struct {
+type Rollout struct {
 	Before, After *Active
 	between       *Active
 	stage         Stage
@@ -50,17 +50,17 @@
 	undecided     int
 }
 
-// NewApplication is a change that is about to be stored. Siblings are all other controllers.
-func NewApplication(before, after *Active, siblings []string) *Application {
-	a := &Application{Before: before, After: after, between: Between(before, after), waiting: map[string]bool{}, undecided: 1}
+// NewRollout is a change that is about to be stored. Siblings are all other controllers.
+func NewRollout(before, after *Active, siblings []string) *Rollout {
+	a := &Rollout{Before: before, After: after, between: Stricter(before, after), waiting: map[string]bool{}, undecided: 1}
 	for _, s := range siblings {
 		a.waiting[s] = true
 	}
 	return a
 }
 
-// Counts is what decisions go by now.
-func (a *Application) Counts() *Active {
+// Effective is what decisions go by now.
+func (a *Rollout) Effective() *Active {
 	switch a.stage {
 	case Refused:
 		return a.Before
@@ -71,27 +71,27 @@
 }
 
 // Stage is how far it has come.
-func (a *Application) Stage() Stage { return a.stage }
+func (a *Rollout) Stage() Stage { return a.stage }
 
 // Refuse notes that it is not stored.
-func (a *Application) Refuse() { a.stage = Refused }
+func (a *Rollout) Refuse() { a.stage = Refused }
 
 // Stored notes that it is stored, as answered at that moment: at the latest then, since it is not known when before.
-func (a *Application) Stored(answered time.Time) { a.stage, a.storedAt = Spreading, answered }
+func (a *Rollout) Stored(answered time.Time) { a.stage, a.storedAt = Spreading, answered }
 
 // Confirmed notes that a sibling's present process has read this revision, or a newer one, since it was stored.
-func (a *Application) Confirmed(member string, revision uint64) {
+func (a *Rollout) Confirmed(member string, revision uint64) {
 	if a.stage == Spreading && revision >= a.After.Revision {
 		delete(a.waiting, member)
 	}
 }
 
 // Undecided notes how many decisions of before the change, starts and accepts, are not on record yet.
-func (a *Application) Undecided(n int) { a.undecided = n }
+func (a *Rollout) Undecided(n int) { a.undecided = n }
 
 // Step looks whether it is in force by now: once every sibling has confirmed it, or no right to an older one can last,
 // and nothing that was decided before it is still to be recorded.
-func (a *Application) Step(now time.Time) Stage {
+func (a *Rollout) Step(now time.Time) Stage {
 	if a.stage == Spreading && a.undecided == 0 && (len(a.waiting) == 0 || !now.Before(a.rightsEnd())) {
 		a.stage = InForce
 	}
@@ -100,12 +100,12 @@
 
 // rightsEnd is when no right to an older revision can last: a reading that was sent after it was stored finds it, one
 // sent before ends so much later on its controller's clock.
-func (a *Application) rightsEnd() time.Time {
+func (a *Rollout) rightsEnd() time.Time {
 	return a.storedAt.Add(tuning.ConfigurationRight + tuning.ConfigurationGrain)
 }
 
 // WaitsFor tells whom and what it waits for; empty: for nothing.
-func (a *Application) WaitsFor(now time.Time) (out []string) {
+func (a *Rollout) WaitsFor(now time.Time) (out []string) {
 	if a.stage == Storing {
 		return []string{"the state service"}
 	}
--- a/connlimit/sockets.go
+++ b/connlimit/sockets.go
@@ -26,8 +26,8 @@
 
 // Classes, by what may go first when sockets get scarce.
 const (
-	// New is an accepted connection that has said nothing yet.
-	New Class = iota
+	// Unclassified is an accepted connection that has said nothing yet.
+	Unclassified Class = iota
 	// Worker is a worker's or an agent's, reporting.
 	Worker
 	// User is anybody else's on the port for users.
@@ -36,8 +36,8 @@
 	Command
 	// Service goes out to the state service or the cloud.
 	Service
-	// Sibling is on the back port, either way.
-	Sibling
+	// Peer is on the back port, either way.
+	Peer
 	classes
 )
 
@@ -45,12 +45,12 @@
 
 func (c Class) String() string { return names[c] }
 
-// ErrScarce means: no socket is left for this class.
-var ErrScarce = errors.New("sockets are scarce")
+// ErrLimit means: no socket is left for this class.
+var ErrLimit = errors.New("sockets are scarce")
 
-// Budget counts the sockets of this process. A limit of 0 is none. Its methods may be called
+// Limiter counts the sockets of this process. A limit of 0 is none. Its methods may be called
 // from anywhere.
-type Budget struct {
+type Limiter struct {
 	limit int
 
 	mu   sync.Mutex
@@ -58,22 +58,22 @@
 	by   [classes]int
 	// idle are workers' connections between two reports, the longest first.
 	idle *simplelru.LRU[*conn, struct{}]
-	// Closed counts those that were closed for newcomers, Refused commands that found no
+	// IdleClosed counts those that were closed for newcomers, Refused commands that found no
 	// socket.
 	closed, refused int
 }
 
-// NewBudget makes a budget of so many sockets.
-func NewBudget(limit int) *Budget {
+// NewLimiter makes a budget of so many sockets.
+func NewLimiter(limit int) *Limiter {
 	idle, err := simplelru.NewLRU[*conn, struct{}](1<<31-1, nil)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &Budget{limit: limit, idle: idle}
+	return &Limiter{limit: limit, idle: idle}
 }
 
 // SetLimit changes the limit.
-func (b *Budget) SetLimit(limit int) {
+func (b *Limiter) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit = limit
@@ -81,34 +81,34 @@
 
 // Counts are the open sockets, in all and by class.
 type Counts struct {
-	Open, Limit     int
-	By              map[string]int
-	Closed, Refused int
+	Open, Limit         int
+	ByClass             map[string]int
+	IdleClosed, Refused int
 }
 
 // Counts tells how many are open.
-func (b *Budget) Counts() Counts {
+func (b *Limiter) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := Counts{Open: b.open, Limit: b.limit, By: map[string]int{}, Closed: b.closed, Refused: b.refused}
+	c := Counts{Open: b.open, Limit: b.limit, ByClass: map[string]int{}, IdleClosed: b.closed, Refused: b.refused}
 	for i, n := range b.by {
 		if n > 0 {
-			c.By[Class(i).String()] = n
+			c.ByClass[Class(i).String()] = n
 		}
 	}
 	return c
 }
 
 // share is how many sockets a part of the limit is; without one, more than there can be.
-func (b *Budget) share(part float64) int {
+func (b *Limiter) share(part float64) int {
 	if b.limit <= 0 {
 		return 1 << 30
 	}
 	return int(part * float64(b.limit))
 }
 
-// Scarce tells whether workers should close their connections after an answer.
-func (b *Budget) Scarce() bool {
+// NearLimit tells whether workers should close their connections after an answer.
+func (b *Limiter) NearLimit() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.open >= b.share(tuning.SocketsScarce)
@@ -117,7 +117,7 @@
 // conn is one counted connection.
 type conn struct {
 	net.Conn
-	b     *Budget
+	b     *Limiter
 	class Class
 	once  sync.Once
 }
@@ -134,7 +134,7 @@
 	return c.Conn.Close()
 }
 
-func (b *Budget) add(c net.Conn, class Class) *conn {
+func (b *Limiter) add(c net.Conn, class Class) *conn {
 	x := &conn{Conn: c, b: b, class: class}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,13 +146,13 @@
 // listener counts what it accepts.
 type listener struct {
 	net.Listener
-	b     *Budget
+	b     *Limiter
 	class Class
 }
 
 // Listen counts the connections that a listener accepts: as New, whose class is told later, or
-// as Sibling.
-func (b *Budget) Listen(l net.Listener, class Class) net.Listener { return &listener{l, b, class} }
+// as Peer.
+func (b *Limiter) Listen(l net.Listener, class Class) net.Listener { return &listener{l, b, class} }
 
 // Accept waits for a connection. Near the limit, the worker's connection that is idle longest is
 // closed for it.
@@ -167,7 +167,7 @@
 }
 
 // makeRoom closes idle workers' connections while too many are open.
-func (b *Budget) makeRoom() {
+func (b *Limiter) makeRoom() {
 	for {
 		b.mu.Lock()
 		var old *conn
@@ -185,10 +185,10 @@
 	}
 }
 
-// Tell says what class a connection is of, and whether it is idle, as its first request shows.
-func (b *Budget) Tell(c net.Conn, class Class) {
+// Classify says what class a connection is of, and whether it is idle, as its first request shows.
+func (b *Limiter) Classify(c net.Conn, class Class) {
 	x, ok := c.(*conn)
-	if !ok || class == New {
+	if !ok || class == Unclassified {
 		return
 	}
 	b.mu.Lock()
@@ -199,7 +199,7 @@
 }
 
 // State follows an HTTP server's connections: http.Server.ConnState.
-func (b *Budget) State(c net.Conn, s http.ConnState) {
+func (b *Limiter) State(c net.Conn, s http.ConnState) {
 	x, ok := c.(*conn)
 	if !ok {
 		return
@@ -213,9 +213,9 @@
 	}
 }
 
-// Dial opens connections of a class. ErrScarce: there are too few sockets for commands; they
+// Dial opens connections of a class. ErrLimit: there are too few sockets for commands; they
 // reach their workers with the answers to their reports.
-func (b *Budget) Dial(class func(addr string) Class) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (b *Limiter) Dial(class func(addr string) Class) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: tuning.DialTimeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		k := class(addr)
@@ -226,7 +226,7 @@
 		}
 		b.mu.Unlock()
 		if no {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: ErrScarce}
+			return nil, &net.OpError{Op: "dial", Net: network, Err: ErrLimit}
 		}
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
@@ -245,14 +245,14 @@
 	return context.WithValue(ctx, key{}, c)
 }
 
-// Of is the connection that a request came on; nil: not known.
-func Of(ctx context.Context) net.Conn {
+// FromContext is the connection that a request came on; nil: not known.
+func FromContext(ctx context.Context) net.Conn {
 	c, _ := ctx.Value(key{}).(net.Conn)
 	return c
 }
 
 // Watch logs now and then how many are open, when they get scarce.
-func (b *Budget) Watch(ctx context.Context, every time.Duration, told func(Counts)) {
+func (b *Limiter) Watch(ctx context.Context, every time.Duration, told func(Counts)) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
@@ -261,7 +261,7 @@
 			return
 		case <-t.C:
 		}
-		if b.Scarce() {
+		if b.NearLimit() {
 			told(b.Counts())
 		}
 	}
--- a/connlimit/sockets_test.go
+++ b/connlimit/sockets_test.go
@@ -13,8 +13,8 @@
 )
 
 // served is a port with a budget, where /v1/report is a worker's path.
-func served(t *testing.T, limit int) (*connlimit.Budget, string) {
-	b := connlimit.NewBudget(limit)
+func served(t *testing.T, limit int) (*connlimit.Limiter, string) {
+	b := connlimit.NewLimiter(limit)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -23,13 +23,13 @@
 		class := connlimit.User
 		if r.URL.Path == "/v1/report" {
 			class = connlimit.Worker
-			if b.Scarce() {
+			if b.NearLimit() {
 				w.Header().Set("Connection", "close")
 			}
 		}
-		b.Tell(connlimit.Of(r.Context()), class)
+		b.Classify(connlimit.FromContext(r.Context()), class)
 	})}
-	go func() { _ = s.Serve(b.Listen(l, connlimit.New)) }()
+	go func() { _ = s.Serve(b.Listen(l, connlimit.Unclassified)) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return b, l.Addr().String()
 }
@@ -77,7 +77,7 @@
 			}
 			open = append(open, c)
 		}
-		if n := b.Counts(); n.Open > limit || n.By["user"] != 20 {
+		if n := b.Counts(); n.Open > limit || n.ByClass["user"] != 20 {
 			t.Errorf("%d workers: %+v", workers, n)
 		}
 		for _, c := range open {
@@ -111,7 +111,7 @@
 	if _, err := http.ReadResponse(bufio.NewReader(user), nil); err != nil {
 		t.Errorf("a user's connection was closed: %v", err)
 	}
-	if n := b.Counts(); n.Closed != 1 {
+	if n := b.Counts(); n.IdleClosed != 1 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -119,7 +119,7 @@
 // Commands leave the last sockets to the state service; one that finds none was never sent.
 func TestCommandsGiveWay(t *testing.T) {
 	_, addr := served(t, 0)
-	b := connlimit.NewBudget(10)
+	b := connlimit.NewLimiter(10)
 	dial := b.Dial(func(string) connlimit.Class { return connlimit.Command })
 	for i := 0; ; i++ {
 		_, err := dial(context.Background(), "tcp4", addr)
@@ -127,7 +127,7 @@
 			continue
 		}
 		var op *net.OpError
-		if !errors.As(err, &op) || op.Op != "dial" || !errors.Is(err, connlimit.ErrScarce) || i < 5 || i > 9 {
+		if !errors.As(err, &op) || op.Op != "dial" || !errors.Is(err, connlimit.ErrLimit) || i < 5 || i > 9 {
 			t.Fatalf("after %d commands: %v", i, err)
 		}
 		break
--- a/controller/aged.go
+++ b/controller/aged.go
@@ -74,5 +74,5 @@
 	if m.keptFor == nil || m.keptFor == j || j.rank == api.RankProduction {
 		return false
 	}
-	return j.Job.Shape != api.Array || c.now().Add(seconds(estimate(j)+m.fetchS(j))).After(m.keptUntil)
+	return j.Job.Shape != api.JobArray || c.now().Add(seconds(estimate(j)+m.fetchS(j))).After(m.keptUntil)
 }
--- a/controller/awaits.go
+++ b/controller/awaits.go
@@ -14,7 +14,7 @@
 
 // checkAwaits looks at the jobs that a submission awaits. Not decided: why it cannot be told
 // yet whether all of them were accepted.
-func (n *Node) checkAwaits(ctx context.Context, core *Core, s *api.Submission) (undecided string, err error) {
+func (n *Controller) checkAwaits(ctx context.Context, core *Core, s *api.Submission) (undecided string, err error) {
 	if len(s.Awaits) > tuning.AwaitsMost {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(s.Awaits), tuning.AwaitsMost)}
 	}
@@ -23,7 +23,7 @@
 	}
 	refused := make([]error, len(s.Awaits))
 	late := make([]string, len(s.Awaits))
-	lookup.Each(s.Awaits, func(i int, id string) { late[i], refused[i] = n.awaitable(ctx, core, s.ID, id) })
+	lookup.ForEach(s.Awaits, func(i int, id string) { late[i], refused[i] = n.awaitable(ctx, core, s.ID, id) })
 	for i := range s.Awaits {
 		if refused[i] != nil {
 			return "", refused[i]
@@ -34,7 +34,7 @@
 }
 
 // awaitable tells whether a job may await another.
-func (n *Node) awaitable(ctx context.Context, core *Core, job, id string) (undecided string, err error) {
+func (n *Controller) awaitable(ctx context.Context, core *Core, job, id string) (undecided string, err error) {
 	bad := func(why string) error { return &api.FieldError{Field: "awaits", Want: id + " " + why} }
 	if id == job {
 		return "", bad("is the job itself")
@@ -50,7 +50,7 @@
 				return id + " is just being accepted", nil
 			}
 		}
-		x, err := n.records.Ask(ctx, id, "")
+		x, err := n.records.ReadInTurn(ctx, id, "")
 		switch {
 		case err != nil:
 			return "the state service is out of reach", nil
@@ -68,7 +68,7 @@
 // seekAwaited looks up the jobs that others await and the leader does not know: they were over
 // before its term, or a sibling has just accepted them. What does not wait for one of them
 // starts meanwhile.
-func (n *Node) seekAwaited(ctx context.Context, core *Core, com *store.Committer) {
+func (n *Controller) seekAwaited(ctx context.Context, core *Core, com *store.Committer) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -86,15 +86,15 @@
 }
 
 // lookAwaited looks some jobs up and tells the leader.
-func (n *Node) lookAwaited(ctx context.Context, core *Core, com *store.Committer, ids []string) {
-	lookup.Each(ids, func(_ int, id string) {
+func (n *Controller) lookAwaited(ctx context.Context, core *Core, com *store.Committer, ids []string) {
+	lookup.ForEach(ids, func(_ int, id string) {
 		x, err := n.records.Read(ctx, id)
 		switch {
 		case err != nil:
 			slog.Info("an awaited job is not looked up yet", "job", id, "err", err)
 		case x.Record != nil:
 			if !core.Has(id) {
-				com.Know(x.Record.Key, x.Record.Stamp)
+				com.SetRevision(x.Record.Key, x.Record.Revision)
 				core.Conflict(x.Record.Key, x.Record)
 			}
 		case x.Found:
@@ -107,7 +107,7 @@
 
 // markVersion puts this controller's version on record; once all have this one, records are
 // written as it has them.
-func (n *Node) markVersion(ctx context.Context) {
+func (n *Controller) markVersion(ctx context.Context) {
 	if n.marks.Run(ctx) {
 		n.mu.Lock()
 		own := n.own
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -65,7 +65,7 @@
 	on := map[string][]api.TaskReport{}
 	for _, o := range s.sent {
 		for _, c := range o.o.Commands {
-			if c.Verb == api.Start {
+			if c.Verb == api.CommandRun {
 				on[o.name] = append(on[o.name], task(c.Task, c.Attempt, api.TaskRunning, ""))
 			}
 		}
@@ -139,7 +139,7 @@
 func BenchmarkQuestion(b *testing.B) {
 	s := newStage(&testing.T{})
 	s.submit("run-000001", 40, nil)
-	n := NewNode(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
+	n := New(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
 	n.core = s.Core
 	r := peer.Request{Verb: VerbStatus, Job: "run-000001"}
 	b.ReportAllocs()
--- a/controller/boot_test.go
+++ b/controller/boot_test.go
@@ -12,7 +12,7 @@
 // rented plays a rental's answer.
 func (s *stage) rented(names ...string) {
 	s.renting++
-	s.Rented(api.Rental{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
+	s.Rented(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
 }
 
 // Fleet-wide lateness: a whole batch was returned after three boot times, just before
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -30,16 +30,16 @@
 )
 
 // keepConfiguration switches live configuration on; it is called before Run.
-func (n *Node) keepConfiguration() {
+func (n *Controller) keepConfiguration() {
 	n.config = revisions.New(n.client, n.clock, n.files[0], n.set.Facts.State)
 	n.marks.Configuration = true
 }
 
 // ConfigurationOn tells whether the configuration can change while this controller runs.
-func (n *Node) ConfigurationOn() bool { return n.config != nil }
+func (n *Controller) ConfigurationOn() bool { return n.config != nil }
 
 // changing is what changes the configuration in the present term; nil: this controller does not lead.
-func (n *Node) changing() *revisions.Applier {
+func (n *Controller) changing() *revisions.Applier {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.applier
@@ -47,16 +47,18 @@
 
 // configurationLeader is a term's side of a change.
 type configurationLeader struct {
-	n    *Node
+	n    *Controller
 	core *Core
 }
 
 // Condition holds while the term lasts.
-func (l *configurationLeader) Condition() (store.Cond, bool) { return source{l.core, l.n}.Condition() }
+func (l *configurationLeader) Condition() (store.Condition, bool) {
+	return source{l.core, l.n}.Condition()
+}
 
-// Use has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
+// Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
 // revision before had something else.
-func (l *configurationLeader) Use(active *configuration.Active) (undecided func() int) {
+func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
 	withFiles := *active
 	if withFiles.Topology == nil && l.n.topology != nil {
 		withFiles.Topology = l.n.topology.Map()
@@ -67,16 +69,16 @@
 	return l.core.Configure(&withFiles)
 }
 
-// Siblings are all other controllers.
-func (l *configurationLeader) Siblings() (members []string) {
-	for _, s := range l.n.set.Siblings {
+// Peers are all other controllers.
+func (l *configurationLeader) Peers() (members []string) {
+	for _, s := range l.n.set.Peers {
 		members = append(members, s.Member)
 	}
 	return members
 }
 
-// Ask has a sibling look for the newest revision now.
-func (l *configurationLeader) Ask(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
+// RefreshPeer has a sibling look for the newest revision now.
+func (l *configurationLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
 	a, err := l.n.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.n.set.Member}, tuning.PeerTimeout)
 	if err != nil {
 		return 0, err
@@ -88,9 +90,9 @@
 }
 
 // useAgain has the leader go by its present configuration once more, after the topology file has changed.
-func (n *Node) useAgain(core *Core) {
+func (n *Controller) useAgain(core *Core) {
 	if applier := n.changing(); applier != nil {
-		applier.UseAgain()
+		applier.Reapply()
 		return
 	}
 	core.MoveTopology(n.topology.Map())
@@ -134,7 +136,7 @@
 // least that the job needs at once.
 func admits(active *configuration.Active, s *api.Submission) bool {
 	limit, ok := active.Limit(s.Team)
-	return ok && limit.Holds(feasibility.AtOnce(s))
+	return ok && limit.Allows(feasibility.ConcurrentRequest(s))
 }
 
 // limitReason is why a job waits for its team's limit, for operators and users.
@@ -143,7 +145,7 @@
 	switch {
 	case !ok:
 		return fmt.Sprintf("team %s is not in the configuration any more (revision %d); it waits until a team of this name is", j.Job.Team, active.Revision)
-	case !limit.Holds(feasibility.AtOnce(&j.Job)):
+	case !limit.Allows(feasibility.ConcurrentRequest(&j.Job)):
 		return fmt.Sprintf("it needs more at once than the limit of team %s allows since revision %d; it waits until that is raised", j.Job.Team, active.Revision)
 	}
 	return fmt.Sprintf("team %s has as much as its limit allows", j.Job.Team)
@@ -157,7 +159,7 @@
 	for _, team := range c.active.Teams() {
 		limit, _ := c.active.Limit(team.Name)
 		use := c.use[team.Name].Sub(c.leaving[team.Name])
-		if limit.Holds(use) {
+		if limit.Allows(use) {
 			continue
 		}
 		tasks, held := heldBy(c, team.Name)
@@ -170,7 +172,7 @@
 // heldBy are the tasks of a team that can be stopped. A start whose answer is lost may be executed at any later time of
 // this term. Stopped before it is seen, its task counted for the limit for ever; stopped after that, its exit is not
 // cleared, and a new attempt that came to the same machine was never begun. Such a task runs to its end.
-func heldBy(c *Core, team string) (tasks []*assign, held []quota.Held) {
+func heldBy(c *Core, team string) (tasks []*assign, held []quota.Usage) {
 	for _, j := range c.order {
 		if j.Job.Team != team {
 			continue
@@ -178,7 +180,7 @@
 		for _, a := range j.live {
 			if !a.stop && (a.seen && a.open == 0 || !a.sent) {
 				tasks = append(tasks, a)
-				held = append(held, quota.Held{Rank: j.rank, Loss: c.loss(a), Need: fleet.Of(&j.Job)})
+				held = append(held, quota.Usage{Rank: j.rank, Loss: c.loss(a), Resources: fleet.RequestOf(&j.Job)})
 			}
 		}
 	}
@@ -190,13 +192,13 @@
 	// by are the configurations under which the answer must come out the same; conds hold while a follower's is the
 	// newest.
 	by    []*configuration.Active
-	conds []store.Cond
+	conds []store.Condition
 	// why nothing could be judged, where it is the configuration's matter.
 	why string
 }
 
 // judgeBy gives what a submission is judged by now.
-func (n *Node) judgeBy(core *Core) judgement {
+func (n *Controller) judgeBy(core *Core) judgement {
 	if n.config == nil {
 		return judgement{by: n.files}
 	}
@@ -207,16 +209,16 @@
 		}
 		return judgement{by: by}
 	}
-	right, ok := n.config.Right()
+	right, ok := n.config.Lease()
 	if !ok {
 		return judgement{why: "the configuration cannot be confirmed now"}
 	}
-	return judgement{by: []*configuration.Active{right.Active}, conds: []store.Cond{{Key: configuration.HeadKey, Stamp: right.Stamp}}}
+	return judgement{by: []*configuration.Active{right.Active}, conds: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
 }
 
 // canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
 // configuration is not, or it is just changing and the answers differ.
-func (n *Node) canRun(core *Core, s *api.Submission) (judged judgement, err error, undecided bool) {
+func (n *Controller) canRun(core *Core, s *api.Submission) (judged judgement, err error, undecided bool) {
 	n.mu.Lock()
 	types := n.types
 	n.mu.Unlock()
@@ -237,7 +239,7 @@
 
 // stands tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
 // stood still.
-func (j judgement) stands(n *Node, core *Core) bool {
+func (j judgement) stands(n *Controller, core *Core) bool {
 	if n.config == nil || j.by == nil {
 		return true
 	}
@@ -245,12 +247,12 @@
 }
 
 // aboutConfiguration serves requests about the configuration.
-func (n *Node) aboutConfiguration(ctx context.Context, r peer.Request, forwarded bool) peer.Answer {
+func (n *Controller) aboutConfiguration(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if n.config == nil {
 		return answer(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
 	if r.Verb == verbConfirm {
-		number, err := n.config.Confirm(ctx)
+		number, err := n.config.Refresh(ctx)
 		if err != nil {
 			return later("the state service is out of reach")
 		}
@@ -268,7 +270,7 @@
 			return a
 		}
 		// Nobody leads: the records tell.
-		if _, err := n.config.Confirm(ctx); err != nil {
+		if _, err := n.config.Refresh(ctx); err != nil {
 			return later("the state service is out of reach")
 		}
 		return answer(http.StatusOK, n.configurationPort().Present(nil))
@@ -278,12 +280,12 @@
 	return answered(n.configurationPort().Change(ctx, applier, r.Body))
 }
 
-func (n *Node) configurationPort() *httpapi.Port {
-	return &httpapi.Port{Keeper: n.config, Marks: n.marks, TopologyOn: n.topology != nil, DataOn: n.data.On}
+func (n *Controller) configurationPort() *httpapi.Handler {
+	return &httpapi.Handler{Store: n.config, Versions: n.marks, TopologyOn: n.topology != nil, DataOn: n.data.On}
 }
 
 // answered is a status and a body as an answer; whoever gets a 503 is told to come back.
-func answered(status int, body any) peer.Answer {
+func answered(status int, body any) peer.Response {
 	a := answer(status, body)
 	if status == http.StatusServiceUnavailable {
 		a.RetryAfterS = tuning.RetryAfterS
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -141,16 +141,16 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var mute atomic.Bool
-	n, clock, st := follower(t, ctx, &mute, func(context.Context, peer.Request) peer.Answer { return later(notLeading) })
+	n, clock, st := follower(t, ctx, &mute, func(context.Context, peer.Request) peer.Response { return later(notLeading) })
 	n.keepConfiguration()
-	submit := func(id string) peer.Answer {
+	submit := func(id string) peer.Response {
 		return n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(strings.Replace(aJob, "run-000001", id, 1))}, false)
 	}
 	if a := submit("run-000001"); a.Status != http.StatusServiceUnavailable || a.RetryAfterS == 0 || !strings.Contains(string(a.Body), "cannot be confirmed") {
 		t.Fatalf("before anything was read: %d %s", a.Status, a.Body)
 	}
 	confirm := func() {
-		if _, err := n.config.Confirm(ctx); err != nil {
+		if _, err := n.config.Refresh(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -194,7 +194,7 @@
 	var mute atomic.Bool
 	n, clock, _ := follower(t, ctx, &mute, never)
 	n.keepConfiguration()
-	if _, err := n.config.Confirm(ctx); err != nil {
+	if _, err := n.config.Refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
 	var s api.Submission
@@ -212,7 +212,7 @@
 	}
 }
 
-func change(n *Node, body []byte) peer.Answer {
+func change(n *Controller, body []byte) peer.Response {
 	return answered(n.configurationPort().Change(context.Background(), nil, body))
 }
 
@@ -221,7 +221,7 @@
 func TestChangesNeedAllControllers(t *testing.T) {
 	s := newStage(t)
 	n := s.beside()
-	n.set.Siblings = []settings.Sibling{{Member: "z"}}
+	n.set.Peers = []settings.Peer{{Member: "z"}}
 	n.keepConfiguration()
 	a := n.Handle(context.Background(), peer.Request{Verb: VerbConfigure, Body: []byte(`{}`)}, true)
 	if a.Status != http.StatusServiceUnavailable {
@@ -247,11 +247,11 @@
 	n := s.beside()
 	n.data.Ahead = 5
 	l := &configurationLeader{n, s.Core}
-	l.Use(configured(t, "[features]\nahead_tasks = 9\n"))
+	l.Adopt(configured(t, "[features]\nahead_tasks = 9\n"))
 	if s.data.set.Ahead != 9 {
 		t.Fatalf("ahead %d with 9 configured", s.data.set.Ahead)
 	}
-	l.Use(configured(t, ""))
+	l.Adopt(configured(t, ""))
 	if s.data.set.Ahead != 5 {
 		t.Errorf("ahead %d once it is left out, the features file has 5", s.data.set.Ahead)
 	}
--- a/controller/core.go
+++ b/controller/core.go
@@ -1,5 +1,5 @@
 // Package controller ties the parts together: Core is the leader's view of
-// jobs and machines during one term, Node is the process around it.
+// jobs and machines during one term, Controller is the process around it.
 package controller
 
 import (
@@ -39,13 +39,13 @@
 	id    string
 	total int
 	rank  int
-	need  fleet.Room
+	need  fleet.Resources
 	// accepted: its record is stored; before that nobody may be told of it.
 	accepted bool
 	// changed is closed when the job is accepted, and again when its final
 	// state is stored; users wait on it.
 	changed chan struct{}
-	bits    store.Bits
+	bits    store.TaskBitmap
 	done    int
 	// live holds each task that is, or may be, on a machine: one at most.
 	live map[int]*assign
@@ -149,7 +149,7 @@
 type machine struct {
 	*fleet.Machine
 	assigns map[string]*assign
-	used    fleet.Room
+	used    fleet.Resources
 	// images counts its tasks by their image: one that a task is waiting for
 	// is on its way, and costs the next task less than a fetch.
 	images map[string]int
@@ -166,7 +166,7 @@
 	via string
 	// line is whether it hears us; deafTold: that it does not was logged. listed: the cloud's list
 	// had it in this term.
-	line     reachability.Way
+	line     reachability.Link
 	deafTold bool
 	listed   bool
 	// keptFor is the job that it drains for, until about keptUntil.
@@ -204,8 +204,8 @@
 	Touch func(key string, urgency int, after func())
 	// Later is Touch for what may wait that long to be written with other changes of its key.
 	Later func(key string, urgency int, wait time.Duration, after func())
-	Send  func(name, addr string, o api.Orders)
-	// Stage sends an agent its order; it is used only with datasets on.
+	Send  func(name, addr string, o api.HeartbeatResponse)
+	// HandleStageHeartbeat sends an agent its order; it is used only with datasets on.
 	Stage func(name, addr string, o api.StageOrder)
 	Valid func() bool
 	// Delay is how long a new accept would wait for the state service's limit.
@@ -241,9 +241,9 @@
 	gone   map[string]time.Time
 	// use is what each team's tasks take; leaving is the part of it that tasks
 	// take which are being stopped.
-	use      map[string]fleet.Room
-	leaving  map[string]fleet.Room
-	quotas   quota.Book
+	use      map[string]fleet.Resources
+	leaving  map[string]fleet.Resources
+	quotas   quota.Ledger
 	attempts uint64
 	charters uint64
 	// aims are the classes' times of completion, sooner first.
@@ -257,16 +257,16 @@
 	renting  int
 	wake     chan struct{}
 	heard    time.Time
-	silence  *failuredetector.Silence
+	silence  *failuredetector.Detector
 	// budget bounds how many machines are given up for their silence; spared is when it was
 	// last logged that some are left alone.
-	budget failuredetector.Budget
+	budget failuredetector.EvictionBudget
 	spared time.Time
 	// reached is when a worker last reported to us itself or answered a command;
 	// failed counts commands since that none answered.
 	reached time.Time
 	failed  int
-	boots   failuredetector.Boots
+	boots   failuredetector.StartupTimes
 	// hints are the images of machines that have not reported yet, as the last
 	// leader knew them; imagesNew: there is more to put on record since
 	// imagesAt.
@@ -283,7 +283,7 @@
 	// at is the time during a run of the placer; zero outside of it.
 	at time.Time
 	// workerMail holds what stands in the mail for the machines behind each sibling.
-	workerMail *exchange.Mailroom
+	workerMail *exchange.Mailboxes
 	// data is nil unless datasets are on.
 	data *data
 	// shardTasks is how many tasks share a record that is written now; own: it is this version's
@@ -300,7 +300,7 @@
 func NewCore(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Core {
 	c := &Core{term: term, clock: clock, set: set, active: configuration.FromFiles(set.Facts.Teams, pol), hooks: hooks,
 		types: map[string]*api.MachineType{}, jobs: map[string]*job{}, machines: map[string]*machine{},
-		gone: map[string]time.Time{}, toPush: map[*machine]bool{}, use: map[string]fleet.Room{}, leaving: map[string]fleet.Room{}, hints: map[string][]fleet.Image{}, refusals: map[pool]time.Time{},
+		gone: map[string]time.Time{}, toPush: map[*machine]bool{}, use: map[string]fleet.Resources{}, leaving: map[string]fleet.Resources{}, hints: map[string][]fleet.Image{}, refusals: map[pool]time.Time{},
 		wake: make(chan struct{}, 1), started: clock.Now(), shardTasks: tuning.ShardTasks}
 	c.pipes = newPipes(c)
 	c.heard = c.started
@@ -418,7 +418,7 @@
 	waiting := 0.0
 	c.pipes.reach(fleet)
 	for _, j := range c.order {
-		if j.Final == "" && len(j.pending)+j.queued > 0 {
+		if j.FinalState == "" && len(j.pending)+j.queued > 0 {
 			waiting++
 		}
 	}
@@ -444,13 +444,13 @@
 // with the team's earlier unfinished ones: these need not wait for other teams.
 func (c *Core) markGuaranteed() {
 	slices.SortFunc(c.order, func(a, b *job) int { return cmp.Compare(a.began, b.began) })
-	sum := map[string]fleet.Room{}
+	sum := map[string]fleet.Resources{}
 	for _, j := range c.order {
-		if j.Final != "" || j.waits {
+		if j.FinalState != "" || j.waits {
 			continue
 		}
 		n := float64(j.total - j.done)
-		u := sum[j.Job.Team].Add(fleet.Room{CPUs: n * j.need.CPUs, Cards: n * j.need.Cards})
+		u := sum[j.Job.Team].Add(fleet.Resources{CPUs: n * j.need.CPUs, Cards: n * j.need.Cards})
 		sum[j.Job.Team] = u
 		t, _ := c.active.Team(j.Job.Team)
 		j.beyond = 1
@@ -498,9 +498,9 @@
 }
 
 func (c *Core) addJob(rec store.JobRecord, accepted bool) *job {
-	j := &job{JobRecord: rec, id: rec.Job.ID, total: rec.Job.Tasks, rank: rec.Job.RankLevel(), need: fleet.Of(&rec.Job), accepted: accepted, changed: make(chan struct{}),
-		bits: store.NewBits(rec.Job.Tasks), live: map[int]*assign{}, shards: map[store.Shard]bool{}, began: rec.At, avoid: map[string]time.Time{}, failedOn: map[string]bool{}, moved: map[int]int{}, arrived: c.now(), ages: time.UnixMilli(rec.At)}
-	if j.Final != "" {
+	j := &job{JobRecord: rec, id: rec.Job.ID, total: rec.Job.Tasks, rank: rec.Job.RankLevel(), need: fleet.RequestOf(&rec.Job), accepted: accepted, changed: make(chan struct{}),
+		bits: store.NewTaskBitmap(rec.Job.Tasks), live: map[int]*assign{}, shards: map[store.Shard]bool{}, began: rec.At, avoid: map[string]time.Time{}, failedOn: map[string]bool{}, moved: map[int]int{}, arrived: c.now(), ages: time.UnixMilli(rec.At)}
+	if j.FinalState != "" {
 		// Its user was told by then, if at all; an earlier version left no time.
 		j.withdrawn = j.arrived
 		if at := time.UnixMilli(j.FinalAt); j.FinalAt > 0 && at.Before(j.withdrawn) {
@@ -547,7 +547,7 @@
 func (c *Core) machine(name string) *machine {
 	m := c.machines[name]
 	if m == nil {
-		m = &machine{Machine: &fleet.Machine{Name: name, Heard: c.now(), Rented: c.now()},
+		m = &machine{Machine: &fleet.Machine{Name: name, LastHeartbeat: c.now(), RequestedAt: c.now()},
 			assigns: map[string]*assign{}, images: map[string]int{}, ended: map[string]*ended{}, idle: c.now()}
 		c.machines[name] = m
 		c.sorted = nil
@@ -609,7 +609,7 @@
 	}
 	if len(a.machine.assigns) == 0 {
 		a.machine.idle = c.now()
-		a.machine.used = fleet.Room{}
+		a.machine.used = fleet.Resources{}
 	}
 }
 
@@ -621,7 +621,7 @@
 }
 
 func (c *Core) requeue(j *job, task int) {
-	if j.Final != "" || j.waits || j.bits.Has(task) {
+	if j.FinalState != "" || j.waits || j.bits.Has(task) {
 		return
 	}
 	j.pending = append(j.pending, int32(task))
@@ -648,7 +648,7 @@
 
 // markDone notes a completed task; stored runs once that is on record.
 func (c *Core) markDone(j *job, task int, stored func()) {
-	if j.Final == "" && !j.bits.Has(task) {
+	if j.FinalState == "" && !j.bits.Has(task) {
 		j.bits.Set(task)
 		j.done++
 		if a := j.live[task]; a != nil {
@@ -661,7 +661,7 @@
 	switch {
 	case j.stored:
 		stored()
-	case j.Final != "":
+	case j.FinalState != "":
 		j.told = append(j.told, stored)
 	default:
 		// Until it is on record the worker goes on reporting the end, so nothing is lost with
@@ -699,7 +699,7 @@
 
 // finish stores a job's final state; from then on users may be told.
 func (c *Core) finish(j *job, state string) {
-	if j.Final != "" {
+	if j.FinalState != "" {
 		return
 	}
 	j.decide(c, state)
@@ -715,8 +715,8 @@
 
 // decide ends a job; nobody may be told before that is on record.
 func (j *job) decide(c *Core, state string) {
-	j.Final, j.withdrawn = state, c.now()
-	if state == api.Withdrawn {
+	j.FinalState, j.withdrawn = state, c.now()
+	if state == api.Cancelled {
 		j.FinalAt = j.withdrawn.UnixMilli()
 	}
 	c.unqueue(j)
@@ -732,13 +732,13 @@
 		f()
 	}
 	j.told = nil
-	c.pipes.over(j.id, j.Final)
+	c.pipes.over(j.id, j.FinalState)
 	c.settle(j)
 }
 
 // finalRecord is what is kept of a job that is over; own: as this version has it.
 func (j *job) finalRecord(own bool) store.FinalRecord {
-	return store.FinalRecord{State: j.Final, Tasks: j.done, Service: own && j.Job.Shape == api.Service}
+	return store.FinalRecord{State: j.FinalState, Tasks: j.done, Service: own && j.Job.Shape == api.Service}
 }
 
 // settle files a job that is over and has nothing left on machines: its final
@@ -760,7 +760,7 @@
 }
 
 // Record builds a record for the committer.
-func (c *Core) Record(key string) (any, bool, []store.Cond) {
+func (c *Core) Record(key string) (any, bool, []store.Condition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -769,13 +769,13 @@
 		if j == nil {
 			return nil, false, nil
 		}
-		var more []store.Cond
+		var more []store.Condition
 		if !j.accepted {
 			// A job that is over must not come back to life.
-			more = append([]store.Cond{{Key: store.FinalKey(j.id), Stamp: 0}}, c.inputConds(j)...)
+			more = append([]store.Condition{{Key: store.FinalKey(j.id), Revision: 0}}, c.inputConds(j)...)
 		}
 		rec := j.JobRecord
-		if j.Final != "" {
+		if j.FinalState != "" {
 			if raw, err := json.Marshal(rec); err == nil && len(raw) > c.set.Facts.State.Least().ValueBytes() {
 				// It was accepted when values could be larger. What only its starts need may go.
 				rec.Job.Types, rec.Job.Inputs, rec.Job.Awaits, rec.Job.Image = nil, nil, nil, ""
@@ -784,7 +784,7 @@
 		return rec, true, more
 	case strings.HasPrefix(key, store.FinalPrefix):
 		j := c.jobs[strings.TrimPrefix(key, store.FinalPrefix)]
-		if j == nil || j.Final == "" {
+		if j == nil || j.FinalState == "" {
 			return nil, false, nil
 		}
 		return j.finalRecord(c.own), true, nil
@@ -793,17 +793,17 @@
 	case strings.HasPrefix(key, store.ImagesPrefix):
 		rec, ok := c.imagesRecord(key)
 		return rec, ok, nil
-	case strings.HasPrefix(key, store.HoldsPrefix):
+	case strings.HasPrefix(key, store.ReplicasPrefix):
 		rec, ok := c.holdsRecord(key)
 		return rec, ok, nil
 	case strings.HasPrefix(key, store.StageMailPrefix):
 		if c.data == nil {
 			return nil, false, nil
 		}
-		rec, ok := c.data.mail.Letter(key)
+		rec, ok := c.data.mail.Packet(key)
 		return rec, ok, nil
 	case strings.HasPrefix(key, store.MailPrefix):
-		rec, ok := c.workerMail.Letter(key)
+		rec, ok := c.workerMail.Packet(key)
 		return rec, ok, nil
 	case strings.HasPrefix(key, store.ShardPrefix):
 		shard, ok := store.ParseShard(key)
@@ -815,7 +815,7 @@
 		from, to := shard.Range(j.total)
 		for t := from; t < to; t++ {
 			if a := j.live[t]; a != nil {
-				rec.On = append(rec.On, store.Placed{Task: t, Machine: a.machine.Name, Attempt: a.attempt})
+				rec.On = append(rec.On, store.PlacedTask{Task: t, Machine: a.machine.Name, Attempt: a.attempt})
 			}
 		}
 		return rec, true, nil
@@ -847,20 +847,20 @@
 				j.done++
 			}
 		}
-		if j.Final != "" {
+		if j.FinalState != "" {
 			j.stored = true
 			c.hooks.Final(j.id, j.finalRecord(c.own))
 		}
 	}
 	for _, j := range all {
 		// One of these may have ended with another already.
-		if j.Final == "" && !c.pipes.enter(j) {
+		if j.FinalState == "" && !c.pipes.enter(j) {
 			j.open()
 		}
 	}
 	for _, j := range all {
 		switch {
-		case j.Final != "":
+		case j.FinalState != "":
 			for _, a := range j.live {
 				c.stopTask(a, 0, "job is over")
 			}
@@ -879,7 +879,7 @@
 
 // loadShards takes in the records of tasks, but of damaged jobs.
 func (c *Core) loadShards(items []store.Item) {
-	on, stray, bad := store.ReadShards(items, func(id string, s store.Shard) (store.Bits, int) {
+	on, stray, bad := store.ReadShards(items, func(id string, s store.Shard) (store.TaskBitmap, int) {
 		j := c.jobs[id]
 		if j == nil {
 			return nil, 0
--- a/controller/core_test.go
+++ b/controller/core_test.go
@@ -45,7 +45,7 @@
 
 type sentOrders struct {
 	name string
-	o    api.Orders
+	o    api.HeartbeatResponse
 }
 
 var testTypes = []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 0.5, BootS: 30, Zones: []string{"a", "b"}}}
@@ -63,13 +63,13 @@
 	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: s.limits.Next}
 	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
 		{Name: "left", CPUs: 900, CPUsMax: 3000}, {Name: "right", CPUs: 1200, CPUsMax: 3000}}
-	term := s.state.Put(store.LeaderKey, store.Leader{Member: "x"})
+	term := s.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	client := store.NewClient("state:1", s.state)
 	s.valid, s.sent, s.answered, s.finals = true, nil, 0, map[string]store.FinalRecord{}
 	hooks := Hooks{
-		Touch: func(k string, u int, f func()) { s.com.Touch(k, u, f) },
-		Later: func(k string, u int, _ time.Duration, f func()) { s.com.Touch(k, u, f) },
-		Send:  func(n, _ string, o api.Orders) { s.sent = append(s.sent, sentOrders{n, o}) },
+		Touch: func(k string, u int, f func()) { s.com.MarkDirty(k, u, f) },
+		Later: func(k string, u int, _ time.Duration, f func()) { s.com.MarkDirty(k, u, f) },
+		Send:  func(n, _ string, o api.HeartbeatResponse) { s.sent = append(s.sent, sentOrders{n, o}) },
 		Valid: func() bool { return s.valid },
 		Delay: func() time.Duration { return s.com.Delay() },
 		Cut:   func(zone string) bool { return zone == s.cutZone },
@@ -96,7 +96,7 @@
 	}
 	s.Hint(images)
 	for _, it := range append(append(jobs, shards...), images...) {
-		s.com.Know(it.Key, it.Stamp)
+		s.com.SetRevision(it.Key, it.Revision)
 	}
 	s.Load(jobs, shards)
 	return s
@@ -107,14 +107,14 @@
 	s *stage
 }
 
-func (x stageSource) Condition() (store.Cond, bool) {
-	return store.Cond{Key: store.LeaderKey, Stamp: x.term}, x.s.valid
+func (x stageSource) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: x.term}, x.s.valid
 }
 func (x stageSource) Deposed() { x.s.valid = false }
 
 // commit writes all that waits.
 func (s *stage) commit() {
-	for i := 0; s.com.Waiting() > 0 && i < 2000; i++ {
+	for i := 0; s.com.Pending() > 0 && i < 2000; i++ {
 		s.com.Step(context.Background())
 		s.clock.Advance(time.Millisecond)
 	}
@@ -123,7 +123,7 @@
 // submit stores a job.
 func (s *stage) submit(id string, tasks int, change func(*api.Submission)) {
 	s.Helper()
-	sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.Array, Rank: "normal", Tasks: tasks,
+	sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: tasks,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30}
 	if change != nil {
 		change(&sub)
@@ -142,12 +142,12 @@
 }
 
 // report plays a worker that has seen the current term.
-func (s *stage) report(name string, session uint64, tasks ...api.TaskReport) api.Orders {
+func (s *stage) report(name string, session uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
 	return s.reportAt(name, session, s.next(name), s.term, tasks...)
 }
 
-func (s *stage) reportAt(name string, session, seq, term uint64, tasks ...api.TaskReport) api.Orders {
-	o, _, _ := s.Report(&api.Report{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Session: session, Seq: seq, Term: term, Tasks: tasks}, "")
+func (s *stage) reportAt(name string, session, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	o, _, _ := s.Report(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: term, Tasks: tasks}, "")
 	return o
 }
 
@@ -167,15 +167,15 @@
 func (s *stage) starts(key string) (out []sentOrders) {
 	for _, o := range s.sent {
 		for _, c := range o.o.Commands {
-			if c.Verb == api.Start && c.Task == key {
-				out = append(out, sentOrders{o.name, api.Orders{Term: o.o.Term, Session: o.o.Session, Commands: []api.Command{c}}})
+			if c.Verb == api.CommandRun && c.Task == key {
+				out = append(out, sentOrders{o.name, api.HeartbeatResponse{Term: o.o.Term, Incarnation: o.o.Incarnation, Commands: []api.Command{c}}})
 			}
 		}
 	}
 	return out
 }
 
-func has(o api.Orders, verb, key string) bool {
+func has(o api.HeartbeatResponse, verb, key string) bool {
 	for _, c := range o.Commands {
 		if c.Verb == verb && c.Task == key {
 			return true
@@ -219,7 +219,7 @@
 	for range 5 {
 		s.clock.Advance(time.Second)
 		o := s.report("a1", 1)
-		if !has(o, api.Start, "run-000001/0") || o.Commands[0].Attempt != st.o.Commands[0].Attempt {
+		if !has(o, api.CommandRun, "run-000001/0") || o.Commands[0].Attempt != st.o.Commands[0].Attempt {
 			t.Fatalf("want the same attempt again, got %+v", o.Commands)
 		}
 		s.report("b1", 1)
@@ -239,12 +239,12 @@
 	s := newStage(t)
 	st := s.started("run-000001")
 	a := st.o.Commands[0].Attempt
-	o := s.report("a1", 1, task("run-000001/0", a, api.TaskEnded, api.CauseStopped))
-	if has(o, api.Forget, "run-000001/0") {
+	o := s.report("a1", 1, task("run-000001/0", a, api.TaskExited, api.CauseStopped))
+	if has(o, api.CommandClear, "run-000001/0") {
 		t.Fatal("cleared while its start was unanswered")
 	}
 	s.Answered("a1", st.o, nil, true)
-	if o = s.report("a1", 1, task("run-000001/0", a, api.TaskEnded, api.CauseStopped)); !has(o, api.Forget, "run-000001/0") {
+	if o = s.report("a1", 1, task("run-000001/0", a, api.TaskExited, api.CauseStopped)); !has(o, api.CommandClear, "run-000001/0") {
 		t.Error("not cleared after the answer")
 	}
 }
@@ -307,20 +307,20 @@
 	s.Place()
 	s.commit()
 	stopped := s.report("b2", 1, tasks...)
-	i := slices.IndexFunc(tasks, func(x api.TaskReport) bool { return has(stopped, api.Stop, x.Task) })
+	i := slices.IndexFunc(tasks, func(x api.TaskReport) bool { return has(stopped, api.CommandKill, x.Task) })
 	if i < 0 {
 		t.Fatalf("nothing is stopped for it: %+v", stopped)
 	}
-	tasks[i].State, tasks[i].Cause = api.TaskEnded, api.CauseStopped
+	tasks[i].State, tasks[i].Cause = api.TaskExited, api.CauseStopped
 	s.report("b2", 1, tasks...)
 	s.Place()
 	s.commit()
-	if o := s.report("b2", 1, tasks[1-i]); len(s.starts("run-000002/0")) != 1 && !has(o, api.Start, "run-000002/0") {
+	if o := s.report("b2", 1, tasks[1-i]); len(s.starts("run-000002/0")) != 1 && !has(o, api.CommandRun, "run-000002/0") {
 		t.Errorf("not started on the machine that was heard: %+v, %+v", o, s.sent)
 	}
 	for _, o := range s.sent {
 		for _, c := range o.o.Commands {
-			if c.Verb == api.Start && c.Task != "run-000002/0" {
+			if c.Verb == api.CommandRun && c.Task != "run-000002/0" {
 				t.Errorf("%s is started on %s, and may run on a machine that was not heard", c.Task, o.name)
 			}
 		}
@@ -352,7 +352,7 @@
 		t.Errorf("starts %+v", got)
 	}
 	// What the machine said before, held up on the way, brings nothing back.
-	if _, _, refused := s.Report(&api.Report{Machine: "a1", Session: 1, Seq: 900, Term: s.term}, ""); !refused {
+	if _, _, refused := s.Report(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 900, Term: s.term}, ""); !refused {
 		t.Error("a returned machine was taken back")
 	}
 }
@@ -388,25 +388,25 @@
 // relayed plays reports that a sibling passes on through the state service.
 func (s *stage) relayed(member string, names ...string) {
 	for _, n := range names {
-		s.Relayed(member, &api.Report{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Session: 1, Seq: s.next(n), Term: s.term})
+		s.Relayed(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: s.next(n), Term: s.term})
 	}
 }
 
 // mailed is what stands in the state service for a machine behind a sibling.
-func (s *stage) mailed(member, name string) (m store.Mail) {
+func (s *stage) mailed(member, name string) (m store.RelayedCommands) {
 	s.Helper()
 	var r relay.Reader
 	items, _, err := store.NewClient("state:1", s.state).List(context.Background(), store.MailPrefix+member+"/")
 	for _, it := range items {
-		var l relay.Letter
+		var l relay.Packet
 		if err == nil {
 			err = json.Unmarshal(it.Value, &l)
 		}
 		if err == nil {
-			err = r.Take(it.Key, it.Stamp, &l)
+			err = r.Apply(it.Key, it.Revision, &l)
 		}
 	}
-	if raw := r.Told(s.term, name); err == nil && raw != nil {
+	if raw := r.MessageFor(s.term, name); err == nil && raw != nil {
 		err = json.Unmarshal(raw, &m)
 	}
 	if err != nil {
@@ -425,7 +425,7 @@
 	s.Place()
 	s.commit()
 	m := s.mailed("sib", "b1")
-	if len(m.Commands) != 1 || m.Commands[0].Verb != api.Start || len(s.starts("run-000001/0")) != 0 {
+	if len(m.Commands) != 1 || m.Commands[0].Verb != api.CommandRun || len(s.starts("run-000001/0")) != 0 {
 		t.Fatalf("mail %+v, direct starts %d", m, len(s.starts("run-000001/0")))
 	}
 	s.Cancel(gaveUp(), "run-000001")
@@ -443,8 +443,8 @@
 		t.Errorf("still in the mail: %+v", m)
 	}
 	// Reports for another term's leader are not ours to use.
-	raw, _ := json.Marshal(relay.Letter{Term: s.term - 1, Packed: "x"})
-	exchange.Open([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, s.term, &relay.Joiner{}, func(string, relay.Message) {
+	raw, _ := json.Marshal(relay.Packet{Term: s.term - 1, Packed: "x"})
+	exchange.UnpackEvents([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, s.term, &relay.Reassembler{}, func(string, relay.Message) {
 		t.Error("took reports of another term")
 	})
 }
@@ -462,7 +462,7 @@
 	s.report("a1", 2)
 	s.Place()
 	s.commit()
-	if got := s.starts("run-000001/0"); len(got) != 2 || got[1].o.Session != 2 || got[1].o.Commands[0].Attempt == got[0].o.Commands[0].Attempt {
+	if got := s.starts("run-000001/0"); len(got) != 2 || got[1].o.Incarnation != 2 || got[1].o.Commands[0].Attempt == got[0].o.Commands[0].Attempt {
 		t.Errorf("starts %+v", got)
 	}
 }
@@ -492,13 +492,13 @@
 	s.Answered("a1", st.o, nil, false)
 	s.Cancel(gaveUp(), "run-000002")
 	s.commit()
-	if o := s.report("a1", 1); has(o, api.Start, "run-000002/0") {
+	if o := s.report("a1", 1); has(o, api.CommandRun, "run-000002/0") {
 		t.Error("a cancelled task was started again")
 	}
-	if o := s.report("a1", 1, task("run-000002/0", st.o.Commands[0].Attempt, api.TaskFetching, "")); !has(o, api.Stop, "run-000002/0") {
+	if o := s.report("a1", 1, task("run-000002/0", st.o.Commands[0].Attempt, api.TaskFetching, "")); !has(o, api.CommandKill, "run-000002/0") {
 		t.Error("a late start was not killed")
 	}
-	if s.finals["run-000002"].State != api.Withdrawn {
+	if s.finals["run-000002"].State != api.Cancelled {
 		t.Error("not on record as cancelled")
 	}
 }
@@ -514,13 +514,13 @@
 	at := s.starts("run-000001/0")[0].o.Commands[0].Attempt
 	at1 := s.starts("run-000001/1")[0].o.Commands[0].Attempt
 	s.elect()
-	done := task("run-000001/0", at, api.TaskEnded, api.CauseDone)
+	done := task("run-000001/0", at, api.TaskExited, api.CauseDone)
 	other := task("run-000001/1", at1, api.TaskRunning, "")
-	if o := s.report("a1", 1, done, other); has(o, api.Forget, "run-000001/0") || has(o, api.Stop, "run-000001/1") {
+	if o := s.report("a1", 1, done, other); has(o, api.CommandClear, "run-000001/0") || has(o, api.CommandKill, "run-000001/1") {
 		t.Fatal("cleared before it was stored, or a running task was killed")
 	}
 	s.commit()
-	if o := s.report("a1", 1, done, other); !has(o, api.Forget, "run-000001/0") {
+	if o := s.report("a1", 1, done, other); !has(o, api.CommandClear, "run-000001/0") {
 		t.Error("not cleared once stored")
 	}
 	s.Place()
@@ -531,7 +531,7 @@
 	if st, _ := s.Known("run-000001"); st.State != api.Running || st.Done != 1 {
 		t.Errorf("status %+v", st)
 	}
-	s.report("a1", 1, task("run-000001/1", at1, api.TaskEnded, api.CauseDone))
+	s.report("a1", 1, task("run-000001/1", at1, api.TaskExited, api.CauseDone))
 	if len(s.finals) != 0 {
 		t.Error("done before that was stored")
 	}
@@ -540,7 +540,7 @@
 		t.Error("the job was not filed")
 	}
 	// A late repeat must not bring it back to life.
-	s.Submit(gaveUp(), &api.Submission{ID: "run-000001", Tasks: 1, Shape: api.Array, Team: "t"}, s.clock.Now())
+	s.Submit(gaveUp(), &api.Submission{ID: "run-000001", Tasks: 1, Shape: api.JobArray, Team: "t"}, s.clock.Now())
 	s.commit()
 	if s.state.Get(store.JobKey("run-000001")) != nil {
 		t.Error("a job that is over was accepted again")
@@ -581,7 +581,7 @@
 // A worker that has seen a higher term has another leader.
 func TestHigherTermDeposes(t *testing.T) {
 	s := newStage(t)
-	_, deposed, _ := s.Report(&api.Report{Machine: "a1", Session: 1, Seq: 1, Term: s.term + 5}, "")
+	_, deposed, _ := s.Report(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 1, Term: s.term + 5}, "")
 	if !deposed {
 		t.Error("still leads")
 	}
@@ -607,7 +607,7 @@
 func TestUnexpectedMachineIsUsed(t *testing.T) {
 	s := newStage(t)
 	s.submit("run-000001", 1, nil)
-	s.Listed([]api.CloudMachine{{Name: "a7", Address: "a7:1", Type: "m8", Zone: "a", State: "booting"}})
+	s.Listed([]api.Instance{{Name: "a7", Address: "a7:1", Type: "m8", Zone: "a", State: "booting"}})
 	s.Place()
 	s.report("a7", 1)
 	s.Place()
@@ -646,8 +646,8 @@
 	if l.Value > 16<<10 || l.Bytes > 64<<10 || l.Ops > 12 {
 		t.Errorf("largest transaction %+v", l)
 	}
-	if s.com.Waiting() > 0 {
-		t.Errorf("%d records wait", s.com.Waiting())
+	if s.com.Pending() > 0 {
+		t.Errorf("%d records wait", s.com.Pending())
 	}
 	s.elect()
 	if n := len(s.jobs["run-000001"].live); n != api.MaxTasks {
@@ -718,10 +718,10 @@
 	cmds = append(cmds, o.Commands...)
 	kill, start := -1, -1
 	for i, c := range cmds {
-		if c.Verb == api.Stop && kill < 0 {
+		if c.Verb == api.CommandKill && kill < 0 {
 			kill = i
 		}
-		if c.Verb == api.Start && c.Task == "run-000002/0" {
+		if c.Verb == api.CommandRun && c.Task == "run-000002/0" {
 			start = i
 		}
 	}
@@ -747,7 +747,7 @@
 		s.commit()
 		s.answerAll()
 		if st := s.starts(id + "/0"); len(st) > 0 {
-			s.report("a1", 1, task(id+"/0", st[0].o.Commands[0].Attempt, api.TaskEnded, api.CauseError))
+			s.report("a1", 1, task(id+"/0", st[0].o.Commands[0].Attempt, api.TaskExited, api.CauseError))
 			s.answerAll()
 		}
 	}
@@ -765,7 +765,7 @@
 		s.answerAll()
 		if st := s.starts("run-000009/0"); len(st) > before {
 			last := st[len(st)-1]
-			s.report(last.name, 1, task("run-000009/0", last.o.Commands[0].Attempt, api.TaskEnded, api.CauseError))
+			s.report(last.name, 1, task("run-000009/0", last.o.Commands[0].Attempt, api.TaskExited, api.CauseError))
 			s.answerAll()
 		}
 	}
@@ -902,7 +902,7 @@
 	}
 	var ended []api.TaskReport
 	for _, r := range s.machines["a2"].Tasks {
-		ended = append(ended, task(r.Task, r.Attempt, api.TaskEnded, api.CauseDone))
+		ended = append(ended, task(r.Task, r.Attempt, api.TaskExited, api.CauseDone))
 		break
 	}
 	for _, r := range s.machines["a2"].Tasks {
@@ -1004,7 +1004,7 @@
 	s.submit("run-000003", 4, func(x *api.Submission) { x.Team = "sure" })
 	s.sortQueues()
 	// The first one ends somewhere else: the second now fits.
-	s.finish(s.jobs["run-000002"], api.Withdrawn)
+	s.finish(s.jobs["run-000002"], api.Cancelled)
 	s.commit()
 	for range 8 {
 		s.clock.Advance(time.Second)
@@ -1070,7 +1070,7 @@
 	s.com = store.NewCommitter(store.NewClient("state:1", s.state), stageSource{s.Core, s}, s.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
-		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: 1}
+		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
 		if a, _ := s.Submit(gaveUp(), sub, s.clock.Now()); s.jobs[sub.ID] == nil {
 			refused++
 			longest = max(longest, a.RetryAfterS)
@@ -1099,7 +1099,7 @@
 // and the user's retry gets 200.
 func TestAcceptWithLostAnswer(t *testing.T) {
 	s := newStage(t)
-	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.Array, Rank: "normal", Tasks: 2, CPUs: 1}
+	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
 	s.state.LoseAnswer = true
 	s.Submit(gaveUp(), sub, s.clock.Now())
 	s.com.Step(context.Background())
@@ -1140,7 +1140,7 @@
 			t.Errorf("a replica was placed on %s while the other's zone was unknown", a.machine.Name)
 		}
 	}
-	s.Listed([]api.CloudMachine{{Name: at.name, Type: "m8", Zone: same, State: "running"}})
+	s.Listed([]api.Instance{{Name: at.name, Type: "m8", Zone: same, State: "running"}})
 	s.Place()
 	if a := s.jobs["run-000001"].live[1]; a == nil || a.machine.Zone != other {
 		t.Errorf("not placed in the other zone: %+v", a)
@@ -1246,7 +1246,7 @@
 	s.Place()
 	order := func() (out []string) {
 		for _, j := range s.order {
-			if j.Final == "" {
+			if j.FinalState == "" {
 				out = append(out, j.id)
 			}
 		}
@@ -1293,7 +1293,7 @@
 		if _, ok := s.Known(id); ok {
 			t.Errorf("%s is answered for", id)
 		}
-		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
+		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
 		if a, ok := s.Submit(gaveUp(), &sub, s.clock.Now()); !ok || a.Status != 503 || a.RetryAfterS < 1 {
 			t.Errorf("%s submitted again: %d", id, a.Status)
 		}
--- a/controller/data.go
+++ b/controller/data.go
@@ -34,7 +34,7 @@
 type data struct {
 	set   features.Data
 	index *replicas.Index
-	desk  *staging.Desk
+	desk  *staging.Planner
 	sets  map[string]*dataset.Entry
 	// snap is who holds what, for one round of the placer.
 	snap *replicas.Snapshot
@@ -48,7 +48,7 @@
 	// relayed are the agents whose last report came through a sibling; mail holds the
 	// orders for those behind each.
 	relayed map[string]*mailed
-	mail    *exchange.Mailroom
+	mail    *exchange.Mailboxes
 	// unlisted are datasets that are being removed, or were; inbox is the revision up to
 	// which jobs are known that siblings accepted.
 	unlisted map[string]*dataset.Entry
@@ -105,7 +105,7 @@
 			c.data.unlisted[s.Name] = c.data.sets[s.Name]
 		}
 		if s.State == dataset.Removed {
-			c.data.desk.Removed(s.Name, s.Manifest.String())
+			c.data.desk.RemoveDataset(s.Name, s.Manifest.String())
 		}
 	}
 	if !fresh {
@@ -152,9 +152,9 @@
 		switch {
 		case c.data == nil || in.set == nil:
 		case in.own:
-			ok = c.data.desk.Proved(m.Name, in.set, task)
+			ok = c.data.desk.Confirmed(m.Name, in.set, task)
 		default:
-			ok = c.data.desk.ProvedAll(m.Name, in.set)
+			ok = c.data.desk.ConfirmedAll(m.Name, in.set)
 		}
 		if !ok {
 			return false
@@ -170,7 +170,7 @@
 	if joins {
 		w.Image = m.fetchS(j)
 	} else {
-		w.Image = m.FetchS(j.Job.Image, j.Job.ImageGB)
+		w.Image = m.FetchSeconds(j.Job.Image, j.Job.ImageGB)
 	}
 	d := c.data
 	if d == nil {
@@ -188,7 +188,7 @@
 	}
 	bytes, fromStore := d.lacks(j, task, id)
 	if bytes > 0 {
-		w.Data = d.delay(d.desk.Behind(m.Name), bytes, fromStore, d.spread(j, task), d.coming(j, task), id)
+		w.Data = d.delay(d.desk.QueuedBytes(m.Name), bytes, fromStore, d.spread(j, task), d.coming(j, task), id)
 	}
 	return w
 }
@@ -196,18 +196,18 @@
 // delay is how long a task's inputs take to a machine: behind what its link has to bring
 // already, and behind the machines that wait for the same parts, unless they are on their
 // way there as well. Like an image, a part that comes anyway costs the next task little.
-func (d *data) delay(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.Machine]float64, id replicas.Machine) float64 {
+func (d *data) delay(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.MachineID]float64, id replicas.MachineID) float64 {
 	if left, ok := coming[id]; ok {
-		return d.desk.DelayBehind(max(0, behind-left), left, false)
+		return d.desk.TransferDelay(max(0, behind-left), left, false)
 	}
-	return max(spread, d.desk.DelayBehind(behind, bytes, fromStore))
+	return max(spread, d.desk.TransferDelay(behind, bytes, fromStore))
 }
 
 // coming are the machines that a task's part is on its way to, for a job that needs
 // nothing else.
-func (d *data) coming(j *job, task int) map[replicas.Machine]float64 {
+func (d *data) coming(j *job, task int) map[replicas.MachineID]float64 {
 	if len(j.inputs) == 1 && j.inputs[0].own && j.inputs[0].set != nil {
-		return d.desk.Coming(j.inputs[0].name, task)
+		return d.desk.InFlight(j.inputs[0].name, task)
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 
 // lacks is how many bytes of a task's inputs a machine lacks, and whether some of them
 // are on no machine.
-func (d *data) lacks(j *job, task int, id replicas.Machine) (bytes float64, fromStore bool) {
+func (d *data) lacks(j *job, task int, id replicas.MachineID) (bytes float64, fromStore bool) {
 	for _, in := range j.inputs {
 		switch {
 		case in.set == nil:
@@ -237,7 +237,7 @@
 		default:
 			if lacks := in.set.Parts - d.snap.Count(id, in.name); lacks > 0 {
 				bytes += float64(in.set.Bytes) * float64(lacks) / float64(in.set.Parts)
-				fromStore = fromStore || len(d.snap.Whole(in.name)) == 0
+				fromStore = fromStore || len(d.snap.Complete(in.name)) == 0
 			}
 		}
 	}
@@ -250,9 +250,9 @@
 }
 
 // holders are the machines, by their numbers and in order, that hold all inputs of a task.
-func (d *data) holders(j *job, task int) (out []replicas.Machine) {
+func (d *data) holders(j *job, task int) (out []replicas.MachineID) {
 	for i, in := range j.inputs {
-		on := d.snap.Whole(in.name)
+		on := d.snap.Complete(in.name)
 		if in.own {
 			on = d.snap.Holders(in.name, task)
 		}
@@ -260,7 +260,7 @@
 			out = on
 			continue
 		}
-		both := []replicas.Machine{}
+		both := []replicas.MachineID{}
 		for _, m := range out {
 			if _, ok := slices.BinarySearch(on, m); ok {
 				both = append(both, m)
@@ -279,7 +279,7 @@
 	slot := c.active.Policy.Value(policy.SlotS, nil)
 	var ms []*machine
 	var servers []placement.Server
-	index := map[replicas.Machine]int32{}
+	index := map[replicas.MachineID]int32{}
 	x := &missing{c: c, j: j, slot: slot, idle: math.Inf(1), memo: map[float64]int{}, group: -1,
 		on: d.weighs(), single: len(j.inputs) == 1 && j.inputs[0].own}
 	for _, m := range c.byName() {
@@ -295,7 +295,7 @@
 		}
 		id, _ := d.desk.ID(m.Name)
 		index[id] = int32(len(ms))
-		behind := d.desk.Behind(m.Name)
+		behind := d.desk.QueuedBytes(m.Name)
 		x.ids, x.names = append(x.ids, id), append(x.names, m.Name)
 		x.backlog, x.idle = append(x.backlog, behind), min(x.idle, behind)
 		ms, servers = append(ms, m), append(servers, s)
@@ -342,7 +342,7 @@
 	c      *Core
 	j      *job
 	groups []placement.Group
-	ids    []replicas.Machine
+	ids    []replicas.MachineID
 	names  []string
 	// backlog is what each machine's link has to bring already, in bytes; idle the least.
 	backlog []float64
@@ -367,7 +367,7 @@
 	// spread is how long its sources take to give its parts to one more machine.
 	spread float64
 	// coming are the machines that its part is on its way to.
-	coming map[replicas.Machine]float64
+	coming map[replicas.MachineID]float64
 }
 
 func (x *missing) slots(seconds float64) int {
@@ -433,7 +433,7 @@
 	if len(x.c.data.coming(x.j, task)) > 0 {
 		return 0
 	}
-	return x.slots(x.c.data.desk.DelayBehind(x.idle, least, false))
+	return x.slots(x.c.data.desk.TransferDelay(x.idle, least, false))
 }
 
 // Rate is what an idle link brings of one task's inputs in a slot.
@@ -447,7 +447,7 @@
 			bytes += float64(in.set.PartBytes(int(x.groups[group].Tasks[0])))
 		}
 	}
-	if s := d.desk.DelayBehind(0, bytes, false); s > 0 {
+	if s := d.desk.TransferDelay(0, bytes, false); s > 0 {
 		return x.slot / s
 	}
 	return math.Inf(1)
@@ -462,7 +462,7 @@
 	bytes, _ := d.lacks(x.j, int(x.groups[group].Tasks[0]), x.ids[server])
 	x.backlog[server] += bytes * float64(tasks)
 	x.lastBehind = -1
-	d.desk.Expect(x.names[server], bytes*float64(tasks))
+	d.desk.ReserveBytes(x.names[server], bytes*float64(tasks))
 }
 
 // fetchPenalty is a wait in slots, as the operators' policy has it.
@@ -502,7 +502,7 @@
 		if !c.startable(j, m) || !c.stages(j, m) {
 			continue
 		}
-		room := m.free().Times(j.need)
+		room := m.free().Multiple(j.need)
 		for _, q := range m.queue {
 			room -= len(q.tasks)
 		}
@@ -514,7 +514,7 @@
 			if from == m {
 				continue
 			}
-			couldStart := from.free().Holds(j.need) && c.usable(from) && c.stages(j, from)
+			couldStart := from.free().Fits(j.need) && c.usable(from) && c.stages(j, from)
 			for i := 0; i < len(q.tasks) && room > 0; {
 				here := c.costs(j, int(q.tasks[i]), m, true)
 				w := here.Seconds()
@@ -614,7 +614,7 @@
 				if !c.staged(q.job, int(t), m) {
 					d.waiting[q.job.id]++
 				}
-				if free.Holds(q.job.need) {
+				if free.Fits(q.job.need) {
 					free = free.Sub(q.job.need)
 				} else if ahead--; ahead < 0 {
 					continue
@@ -631,7 +631,7 @@
 			list = append(list, wanted{-1, j, a.machine, a.task})
 		}
 		for task, m := range j.meant {
-			if j.Final != "" || j.live[task] != nil || j.bits.Has(task) {
+			if j.FinalState != "" || j.live[task] != nil || j.bits.Has(task) {
 				delete(j.meant, task)
 				continue
 			}
@@ -642,7 +642,7 @@
 	slices.SortStableFunc(list, func(a, b wanted) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.m.Name, b.m.Name), cmp.Compare(a.task, b.task))
 	})
-	var wants []staging.Want
+	var wants []staging.Demand
 	type whole struct {
 		m   *machine
 		set string
@@ -653,16 +653,16 @@
 			switch {
 			case in.set == nil:
 			case in.own:
-				wants = append(wants, staging.Want{Machine: x.m.Name, Set: in.set, Part: x.task})
+				wants = append(wants, staging.Demand{Machine: x.m.Name, Set: in.set, Part: x.task})
 			case !seen[whole{x.m, in.name}]:
 				seen[whole{x.m, in.name}] = true
 				for k := range in.set.Parts {
-					wants = append(wants, staging.Want{Machine: x.m.Name, Set: in.set, Part: k})
+					wants = append(wants, staging.Demand{Machine: x.m.Name, Set: in.set, Part: k})
 				}
 			}
 		}
 	}
-	for _, name := range d.desk.Round(wants, now) {
+	for _, name := range d.desk.Plan(wants, now) {
 		if d.relayed[name] != nil {
 			c.mailOrder(name)
 			continue
@@ -711,7 +711,7 @@
 
 // Staging takes in an agent's report and gives its order. Deposed: the agent has seen a
 // higher term. Refused: its machine was returned.
-func (c *Core) Staging(r *api.StageReport) (o api.StageOrder, deposed, refused bool) {
+func (c *Core) Staging(r *api.StageHeartbeat) (o api.StageOrder, deposed, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Term > c.term {
@@ -720,7 +720,7 @@
 	if _, gone := c.gone[r.Machine]; gone || c.data == nil {
 		return o, false, true
 	}
-	if c.data.desk.Heard(r, c.now()) {
+	if c.data.desk.ApplyHeartbeat(r, c.now()) {
 		c.agentDirect(r.Machine)
 		c.kick()
 	}
@@ -815,7 +815,7 @@
 				some.Add(uint32(m))
 			}
 		}
-		x.Whole = len(snap.Whole(x.Name))
+		x.Whole = len(snap.Complete(x.Name))
 		x.Some = int(some.GetCardinality())
 	}
 	return v, true
@@ -840,7 +840,7 @@
 	if err := json.Unmarshal(it.Value, &s); err != nil {
 		return nil, err
 	}
-	s.Stamp = it.Stamp
+	s.Stamp = it.Revision
 	if s.State != dataset.Listed && s.State != dataset.Removing && s.State != dataset.Removed {
 		return nil, fmt.Errorf("state %.20q is not known to this version", s.State)
 	}
--- a/controller/data_bench_test.go
+++ b/controller/data_bench_test.go
@@ -42,10 +42,10 @@
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
 		s.report(name, 1)
-		s.Staging(&api.StageReport{Machine: name, Address: name + ":2", Session: 1, Seq: 1, Quota: 900e9, All: true,
+		s.Staging(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
 			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: on[i]}}}})
 	}
-	s.Submit(gaveUp(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.Array, Rank: "normal", Tasks: 1000,
+	s.Submit(gaveUp(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, s.clock.Now())
 	s.commit()
 	j := s.jobs["run-000001"]
--- a/controller/data_test.go
+++ b/controller/data_test.go
@@ -108,8 +108,8 @@
 }
 
 // stageReport is what the agent says now.
-func (p *played) stageReport() *api.StageReport {
-	r := &api.StageReport{Machine: p.name, Address: p.name + ":2", Session: 1, Seq: p.seq, Term: p.term, Order: p.order, Quota: 50e9, All: true, Version: p.version,
+func (p *played) stageReport() *api.StageHeartbeat {
+	r := &api.StageHeartbeat{Machine: p.name, Address: p.name + ":2", Incarnation: 1, Seq: p.seq, Term: p.term, Order: p.order, Quota: 50e9, All: true, Version: p.version,
 		Holds: []api.StageHeld{{Dataset: "inv", Manifest: inv.Manifest.String(), Of: inv.Parts, Parts: api.PartSet{Bitmap: p.has.Clone()}}}}
 	for _, x := range p.sets {
 		r.Pinned = append(r.Pinned, api.StageHeld{Dataset: x.Dataset, Manifest: x.Manifest, Parts: api.PartSet{Bitmap: roaring.And(p.has, x.Parts.Bitmap)}})
@@ -168,7 +168,7 @@
 	var ended []api.TaskReport
 	for k := range 2 {
 		at := s.starts(taskKey("run-000002", k))[0].o.Commands[0].Attempt
-		ended = append(ended, task(taskKey("run-000002", k), at, api.TaskEnded, api.CauseDone))
+		ended = append(ended, task(taskKey("run-000002", k), at, api.TaskExited, api.CauseDone))
 	}
 	s.alive("a1", ended...)
 	s.round()
@@ -182,7 +182,7 @@
 	if !a.wants(0) {
 		t.Fatal("a running task's input may be evicted")
 	}
-	s.alive("a1", task("run-000001/0", st.attempt, api.TaskEnded, api.CauseDone))
+	s.alive("a1", task("run-000001/0", st.attempt, api.TaskExited, api.CauseDone))
 	s.round()
 	if a.wants(0) {
 		t.Fatal("pinned for ever")
@@ -421,12 +421,12 @@
 	s.up("a2", 0, 1)
 	s.keepHolds(s.clock.Now().Add(tuning.HoldsEvery))
 	s.commit()
-	it := s.state.Get(store.HoldsKey(0))
+	it := s.state.Get(store.ReplicasKey(0))
 	if it == nil {
 		t.Fatal("not on record")
 	}
 	s.reelect()
-	s.HoldsHint([]store.Item{{Key: store.HoldsKey(0), Value: it}})
+	s.HoldsHint([]store.Item{{Key: store.ReplicasKey(0), Value: it}})
 	s.alive("a1")
 	s.alive("a2")
 	s.tell(s.agents["a1"])
@@ -466,7 +466,7 @@
 		t.Fatal("want it to wait for a copy on the idle machine")
 	}
 	for i := range busy {
-		busy[i].State, busy[i].Cause = api.TaskEnded, api.CauseDone
+		busy[i].State, busy[i].Cause = api.TaskExited, api.CauseDone
 	}
 	s.alive("a1", busy...)
 	s.alive("a2")
--- a/controller/dataport.go
+++ b/controller/dataport.go
@@ -31,10 +31,10 @@
 )
 
 // Enable switches features on; it is called before Run.
-func (n *Node) Enable(f *features.Features) {
+func (n *Controller) Enable(f *features.Features) {
 	n.data = f.Data
 	n.sets = map[string]*dataset.Entry{}
-	n.agentBounces = redirect.NewBounces()
+	n.agentBounces = redirect.NewTracker()
 	n.agentRelay = newAgentRelay(n)
 	if f.Membership.On {
 		n.watchMembers()
@@ -45,11 +45,11 @@
 }
 
 // DataOn tells whether datasets are on.
-func (n *Node) DataOn() bool { return n.data.On }
+func (n *Controller) DataOn() bool { return n.data.On }
 
 // dataset finds a registered dataset, in memory or in the state service. The error is
 // store.ErrNotFound where there is none.
-func (n *Node) dataset(ctx context.Context, name string) (*dataset.Entry, error) {
+func (n *Controller) dataset(ctx context.Context, name string) (*dataset.Entry, error) {
 	n.mu.Lock()
 	s := n.sets[name]
 	n.mu.Unlock()
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-func (n *Node) keepDataset(s *dataset.Entry) {
+func (n *Controller) keepDataset(s *dataset.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if old := n.sets[s.Name]; old != nil && old.Stamp > s.Stamp {
@@ -92,7 +92,7 @@
 // checkInputs reads a submission's inputs and finds out whether it can ever run with
 // them. Undecided: that cannot be told now. The error says which field is wrong; it is
 // a *api.FieldError, malformed or impossible as told by the status.
-func (n *Node) checkInputs(ctx context.Context, core *Core, s *api.Submission, body []byte) (status int, err error, undecided bool) {
+func (n *Controller) checkInputs(ctx context.Context, core *Core, s *api.Submission, body []byte) (status int, err error, undecided bool) {
 	if s.Inputs, err = api.ParseInputs(body, s.Tasks); err != nil {
 		return http.StatusBadRequest, err, false
 	}
@@ -148,7 +148,7 @@
 
 // register makes a dataset known: any controller can, since nothing but its key decides.
 // Its name stands for the same content for ever.
-func (n *Node) register(ctx context.Context, body []byte) peer.Answer {
+func (n *Controller) register(ctx context.Context, body []byte) peer.Response {
 	var s dataset.Entry
 	if err := json.Unmarshal(body, &s.Summary); err != nil {
 		return refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
@@ -156,7 +156,7 @@
 	if err := s.Check(); err != nil {
 		return refusal(http.StatusBadRequest, err)
 	}
-	epoch, _, err := n.client.Multi(ctx, []store.Cond{{Key: store.DatasetKey(s.Name)}}, []store.Op{{Set: store.DatasetKey(s.Name), Value: s}})
+	epoch, _, err := n.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(s.Name)}}, []store.Operation{{Set: store.DatasetKey(s.Name), Value: s}})
 	switch {
 	case err == nil:
 		s.Stamp = epoch
@@ -183,7 +183,7 @@
 }
 
 // aboutData serves requests about datasets; they know no job.
-func (n *Node) aboutData(ctx context.Context, r peer.Request, forwarded bool) peer.Answer {
+func (n *Controller) aboutData(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if !n.data.On {
 		return answer(http.StatusNotFound, api.Error{Error: "datasets are off"})
 	}
@@ -194,7 +194,7 @@
 		// The leader can tell besides who still needs it.
 		if n.leading() == nil && !forwarded {
 			leader, term := n.elector.Leader()
-			if leader, _, there := whoLeads(leader, term, n.peers.Alive()); there {
+			if leader, _, there := whoLeads(leader, term, n.peers.LivePeers()); there {
 				if a, err := n.peers.Ask(ctx, leader, r, tuning.PeerTimeout); err == nil {
 					return a
 				}
@@ -210,15 +210,15 @@
 	return n.passOn(ctx, r, forwarded)
 }
 
-// Stage answers an agent's report, which came as raw. Agents report to the leader; one
+// HandleStageHeartbeat answers an agent's report, which came as raw. Agents report to the leader; one
 // that comes back from it is cut off, and its reports are passed on: over the back port
 // while that leads there, else through the state service.
-func (n *Node) Stage(ctx context.Context, r *api.StageReport, raw []byte) (status int, body any) {
+func (n *Controller) HandleStageHeartbeat(ctx context.Context, r *api.StageHeartbeat, raw []byte) (status int, body any) {
 	if core := n.leading(); core != nil {
 		return n.orderFor(core, r)
 	}
 	leader, term := n.elector.Leader()
-	leader, term, there := whoLeads(leader, term, n.peers.Alive())
+	leader, term, there := whoLeads(leader, term, n.peers.LivePeers())
 	if leader == "" || leader == n.set.Member {
 		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
@@ -227,7 +227,7 @@
 		may := n.agentBounces.Allow(n.clock.Now(), r.Machine, leader, true)
 		n.mu.Unlock()
 		if may {
-			return http.StatusMisdirectedRequest, api.Redirect{Node: leader}
+			return http.StatusMisdirectedRequest, api.Redirect{Controller: leader}
 		}
 		if len(raw) <= tuning.BodyLimit {
 			a, err := n.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: n.set.Member}, tuning.PeerTimeout)
@@ -250,9 +250,9 @@
 
 // stagePassedOn serves an agent's report that a sibling passes on. An order that no frame
 // holds goes through the state service.
-func (n *Node) stagePassedOn(raw []byte) peer.Answer {
+func (n *Controller) stagePassedOn(raw []byte) peer.Response {
 	core := n.leading()
-	var r api.StageReport
+	var r api.StageHeartbeat
 	if err := json.Unmarshal(raw, &r); err != nil || r.Check() != nil || core == nil {
 		return answer(http.StatusMisdirectedRequest, api.Redirect{})
 	}
@@ -264,7 +264,7 @@
 }
 
 // orderFor answers an agent as the leader.
-func (n *Node) orderFor(core *Core, r *api.StageReport) (status int, body any) {
+func (n *Controller) orderFor(core *Core, r *api.StageHeartbeat) (status int, body any) {
 	o, deposed, refused := core.Staging(r)
 	switch {
 	case deposed:
@@ -278,11 +278,11 @@
 
 // order delivers an order to an agent. One that is lost is sent again, and goes out with
 // the answer to the agent's next report in any case.
-func (n *Node) order(ctx context.Context, core *Core, name, addr string, o api.StageOrder) {
+func (n *Controller) order(ctx context.Context, core *Core, name, addr string, o api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
 	status, body, err := rest.Do(ctx, n.agents, http.MethodPost, "http://"+addr+"/stage", o)
-	var r api.StageReport
+	var r api.StageHeartbeat
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if err = json.Unmarshal(body, &r); err == nil {
 			err = r.Check()
@@ -298,10 +298,10 @@
 }
 
 // datasets keeps a leader up to date with what is registered, by any controller.
-func (n *Node) datasets(ctx context.Context, core *Core, after uint64) {
+func (n *Controller) datasets(ctx context.Context, core *Core, after uint64) {
 	for ctx.Err() == nil {
 		log, epoch, err := n.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
-		if errors.Is(err, store.ErrTooOld) {
+		if errors.Is(err, store.ErrCompacted) {
 			epoch, err = n.learnAll(ctx, core)
 			log = nil
 		}
@@ -310,7 +310,7 @@
 			continue
 		}
 		for _, e := range log {
-			it := store.Item{Key: e.Set, Value: e.Value, Stamp: e.Stamp}
+			it := store.Item{Key: e.Set, Value: e.Value, Revision: e.Revision}
 			if s, err := parseDataset(&it); e.Set != "" && err == nil {
 				core.Learn(s)
 				n.keepDataset(s)
@@ -321,7 +321,7 @@
 }
 
 // learnAll reads all datasets.
-func (n *Node) learnAll(ctx context.Context, core *Core) (uint64, error) {
+func (n *Controller) learnAll(ctx context.Context, core *Core) (uint64, error) {
 	items, epoch, err := n.client.List(ctx, store.DatasetPrefix)
 	if err != nil {
 		return 0, err
@@ -340,19 +340,19 @@
 }
 
 // inputsStand are the conditions under which a job's inputs are as they were checked.
-func (n *Node) inputsStand(ctx context.Context, s *api.Submission) (out []store.Cond, err error) {
+func (n *Controller) inputsStand(ctx context.Context, s *api.Submission) (out []store.Condition, err error) {
 	for _, in := range s.Inputs {
 		x, err := n.dataset(ctx, in.Dataset)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, store.Cond{Key: store.DatasetKey(x.Name), Stamp: x.Stamp})
+		out = append(out, store.Condition{Key: store.DatasetKey(x.Name), Revision: x.Stamp})
 	}
 	return out, nil
 }
 
 // forgetDatasets lets a job's datasets be read anew.
-func (n *Node) forgetDatasets(s *api.Submission) {
+func (n *Controller) forgetDatasets(s *api.Submission) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, in := range s.Inputs {
--- a/controller/dataport_test.go
+++ b/controller/dataport_test.go
@@ -20,18 +20,18 @@
 )
 
 // dataNode is a controller without a leader, with datasets on or off.
-func dataNode(on bool) (*Node, *fake.State) {
+func dataNode(on bool) (*Controller, *fake.State) {
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
-	n := NewNode(context.Background(), set, policy.Default(), clock, st)
+	n := New(context.Background(), set, policy.Default(), clock, st)
 	n.types = testTypes
 	n.Enable(&features.Features{Data: features.Data{On: on, Placement: features.Staged, CacheGB: 5, LinkMBs: 100, StoreMBs: 100, PerLink: 1, AtStore: 8}})
 	return n, st
 }
 
-func (n *Node) ask(verb, body string) peer.Answer {
+func (n *Controller) ask(verb, body string) peer.Response {
 	// The share of reads that questions may take is another test's matter.
 	n.reads.SetLimit(1e9)
 	n.reads.SetBurst(1 << 30)
@@ -126,7 +126,7 @@
 // Without a leader an agent is told so at once, and reads nothing into it.
 func TestAgentsWithoutALeader(t *testing.T) {
 	n, _ := dataNode(true)
-	if status, _ := n.Stage(context.Background(), &api.StageReport{Machine: "n-1", Address: "a:1", Session: 1}, nil); status != 503 {
+	if status, _ := n.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1}, nil); status != 503 {
 		t.Error(status)
 	}
 	if a := n.ask(VerbData, ""); a.Status != 503 || a.RetryAfterS == 0 {
--- a/controller/datarelay.go
+++ b/controller/datarelay.go
@@ -30,19 +30,19 @@
 	clock clockwork.Clock
 }
 
-func newAgentRelay(n *Node) *agentRelay {
-	y := &agentRelay{clock: n.clock, proxy: staging.NewProxy(relay.NewOutbox(exchange.Limits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli())))}
+func newAgentRelay(n *Controller) *agentRelay {
+	y := &agentRelay{clock: n.clock, proxy: staging.NewProxy(relay.NewOutbox(exchange.PacketLimits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli())))}
 	y.post = n.exchange(store.StageRelayKey, store.StageMailPrefix, tuning.RelayStageKeep)
-	y.post.Lock, y.post.Box, y.post.Reader = &y.mu, y.proxy.Box, &y.proxy.Mail
-	y.post.Forget = func(now time.Time) { y.proxy.Forget(now, 2*tuning.RelayKeep) }
-	y.post.Over = func() { y.proxy.Box.Begin(0) }
+	y.post.Lock, y.post.Outbox, y.post.Reader = &y.mu, y.proxy.Outbox, &y.proxy.Inbox
+	y.post.Expire = func(now time.Time) { y.proxy.Expire(now, 2*tuning.RelayKeep) }
+	y.post.TermEnded = func() { y.proxy.Outbox.Reset(0) }
 	return y
 }
 
-func (y *agentRelay) report(r *api.StageReport, term uint64) (api.StageOrder, error) {
+func (y *agentRelay) report(r *api.StageHeartbeat, term uint64) (api.StageOrder, error) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	return y.proxy.Report(*r, term, y.clock.Now())
+	return y.proxy.HandleHeartbeat(*r, term, y.clock.Now())
 }
 
 // mailed is what the leader has put into the mail for an agent behind a sibling.
@@ -53,14 +53,14 @@
 }
 
 // StagingRelayed takes in an agent's report that a sibling passed on.
-func (c *Core) StagingRelayed(member string, r *api.StageReport) {
+func (c *Core) StagingRelayed(member string, r *api.StageHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.data
 	if _, gone := c.gone[r.Machine]; gone || d == nil || r.Term > c.term {
 		return
 	}
-	if !d.desk.Heard(r, c.now()) {
+	if !d.desk.ApplyHeartbeat(r, c.now()) {
 		return
 	}
 	c.kick()
@@ -81,7 +81,7 @@
 		return
 	}
 	delete(d.relayed, machine)
-	d.mail.Drop(was.member, machine, true)
+	d.mail.Remove(was.member, machine, true)
 }
 
 // mailOrder puts an agent's order into the mail, if it is not there as it stands.
@@ -89,11 +89,11 @@
 	d := c.data
 	x := d.relayed[machine]
 	o, _, ok := d.desk.Order(machine)
-	if !ok || !c.loaded || !c.hooks.Valid() || x.order == o.Order && x.version == o.Known && x.session == o.Session {
+	if !ok || !c.loaded || !c.hooks.Valid() || x.order == o.Order && x.version == o.Known && x.session == o.Incarnation {
 		return
 	}
-	x.order, x.version, x.session = o.Order, o.Known, o.Session
-	d.mail.Put(x.member, machine)
+	x.order, x.version, x.session = o.Order, o.Known, o.Incarnation
+	d.mail.Update(x.member, machine)
 }
 
 // orderBody is what stands in the mail for an agent: its order as it stands now.
@@ -111,14 +111,14 @@
 }
 
 // agentLetters is the leader's side: it takes in what siblings pass on of agents.
-func (n *Node) agentLetters(ctx context.Context, core *Core, com *store.Committer, after uint64) {
-	exchange.Claim(ctx, n.client, n.clock, com, store.StageMailPrefix)
+func (n *Controller) agentLetters(ctx context.Context, core *Core, com *store.Committer, after uint64) {
+	exchange.ClaimPackets(ctx, n.client, n.clock, com, store.StageMailPrefix)
 	exchange.Follow(ctx, n.client, n.clock, store.StageRelayPrefix, after, core.term, core.agentSays)
 }
 
 // agentSays takes in one message about an agent.
 func (c *Core) agentSays(member string, m relay.Message) {
-	var r api.StageReport
+	var r api.StageHeartbeat
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
 		err = r.Check()
--- a/controller/datarelay_test.go
+++ b/controller/datarelay_test.go
@@ -26,17 +26,17 @@
 // all goes through the state service, whose limits are kept.
 type cutStage struct {
 	*dataStage
-	y      *Node
-	joiner relay.Joiner
+	y      *Controller
+	joiner relay.Reassembler
 	after  uint64
 }
 
 func newCutStage(t *testing.T) *cutStage {
 	s := &cutStage{dataStage: newDataStage(t, features.Staged)}
 	s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
-	set := &settings.Settings{Member: "y", Siblings: []settings.Sibling{{Member: "x", Address: "127.0.0.1:1"}}}
+	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "x", Address: "127.0.0.1:1"}}}
 	set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-	s.y = NewNode(context.Background(), set, policy.Default(), s.clock, s.state)
+	s.y = New(context.Background(), set, policy.Default(), s.clock, s.state)
 	s.y.Enable(&features.Features{Data: features.Data{On: true}})
 	s.follow()
 	return s
@@ -45,7 +45,7 @@
 // follow lets y find out who leads.
 func (s *cutStage) follow() {
 	s.Helper()
-	if s.y.elector.Stand(context.Background()) {
+	if s.y.elector.Campaign(context.Background()) {
 		s.Fatal("two leaders")
 	}
 	s.after = s.term
@@ -56,7 +56,7 @@
 	s.Helper()
 	p.seq++
 	r := p.stageReport()
-	status, body := s.y.Stage(context.Background(), r, nil)
+	status, body := s.y.HandleStageHeartbeat(context.Background(), r, nil)
 	o, ok := body.(api.StageOrder)
 	if status != 200 || !ok {
 		s.Fatalf("%s is told %d %+v", p.name, status, body)
@@ -77,7 +77,7 @@
 		s.Fatal(err)
 	}
 	s.after = max(s.after, epoch)
-	exchange.Open(log, store.StageRelayPrefix, s.term, &s.joiner, s.agentSays)
+	exchange.UnpackEvents(log, store.StageRelayPrefix, s.term, &s.joiner, s.agentSays)
 	s.Place()
 	s.commit()
 	if _, err = s.y.agentRelay.post.Fetch(ctx, 0); err != nil {
@@ -114,13 +114,13 @@
 	late := a.stageReport()
 	late.Seq, late.Pinned = 1, nil
 	s.StagingRelayed("y", late)
-	if !s.data.desk.Proved("a1", inv, 0) {
+	if !s.data.desk.Confirmed("a1", inv, 0) {
 		t.Error("an old report took a proof back")
 	}
 	// Once the agent reaches the leader itself, the mail ends.
 	s.tell(a)
 	s.commit()
-	if s.data.relayed["a1"] != nil || len(s.data.mail.Members("y", 0)) != 0 {
+	if s.data.relayed["a1"] != nil || len(s.data.mail.Machines("y", 0)) != 0 {
 		t.Error("mail for an agent that is within reach")
 	}
 }
@@ -168,7 +168,7 @@
 	s.state.Down = true
 	s.clock.Advance(time.Second)
 	_, _ = s.y.client.Get(context.Background(), "k")
-	if status, _ := s.y.Stage(context.Background(), &api.StageReport{Machine: "a1", Address: "a:1", Session: 1, Seq: 1}, nil); status != 503 {
+	if status, _ := s.y.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil); status != 503 {
 		t.Error(status)
 	}
 }
--- a/controller/dataremove.go
+++ b/controller/dataremove.go
@@ -21,14 +21,14 @@
 
 // inputConds are the conditions under which a job with these inputs may be accepted. They
 // cannot hold for one that is not known, or no longer listed.
-func (c *Core) inputConds(j *job) (out []store.Cond) {
+func (c *Core) inputConds(j *job) (out []store.Condition) {
 	if c.data == nil {
 		return nil
 	}
 	for _, in := range j.inputs {
-		cond := store.Cond{Key: store.DatasetKey(in.name)}
+		cond := store.Condition{Key: store.DatasetKey(in.name)}
 		if x := c.data.sets[in.name]; x != nil && x.State == dataset.Listed {
-			cond.Stamp = x.Stamp
+			cond.Revision = x.Stamp
 		}
 		out = append(out, cond)
 	}
@@ -103,7 +103,7 @@
 			}
 			slog.Info("dataset removed", "dataset", x.Name)
 			x.State = dataset.Removed
-			c.data.desk.Removed(x.Name, x.Manifest.String())
+			c.data.desk.RemoveDataset(x.Name, x.Manifest.String())
 			c.kick()
 		}))
 	}
@@ -111,12 +111,12 @@
 
 // datasetRecord is a dataset's record as the leader writes it: it does so only to remove
 // it. More: it must stand as it was when that was decided.
-func (c *Core) datasetRecord(name string) (rec dataset.Entry, exists bool, more []store.Cond) {
+func (c *Core) datasetRecord(name string) (rec dataset.Entry, exists bool, more []store.Condition) {
 	if c.data == nil || c.data.unlisted[name] == nil {
 		return rec, false, nil
 	}
 	rec = *c.data.unlisted[name]
-	more = []store.Cond{{Key: store.DatasetKey(name), Stamp: rec.Stamp}}
+	more = []store.Condition{{Key: store.DatasetKey(name), Revision: rec.Stamp}}
 	if c.neededBy(name) == 0 {
 		rec.State = dataset.Removed
 	}
@@ -134,7 +134,7 @@
 
 // removeDataset takes a dataset off the list: any controller can, since nothing but its
 // record decides. Asking again tells how far it is.
-func (n *Node) removeDataset(ctx context.Context, name string) peer.Answer {
+func (n *Controller) removeDataset(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
 		return answer(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
@@ -153,7 +153,7 @@
 		if x.State == dataset.Listed {
 			next := *x
 			next.State = dataset.Removing
-			epoch, _, err := n.client.Multi(ctx, []store.Cond{{Key: it.Key, Stamp: it.Stamp}}, []store.Op{{Set: it.Key, Value: next}})
+			epoch, _, err := n.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}}, []store.Operation{{Set: it.Key, Value: next}})
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
--- a/controller/dataremove_test.go
+++ b/controller/dataremove_test.go
@@ -69,7 +69,7 @@
 		t.Fatal("not started though its inputs are there")
 	}
 	end := func(k int, at uint64) api.TaskReport {
-		return task(taskKey("run-000001", k), at, api.TaskEnded, api.CauseDone)
+		return task(taskKey("run-000001", k), at, api.TaskExited, api.CauseDone)
 	}
 	s.alive("a1", end(0, st.Attempt), end(1, second.attempt))
 	s.round()
@@ -99,7 +99,7 @@
 func TestRemovalWaitsForWhatSiblingsAccepted(t *testing.T) {
 	s := newDataStage(t, features.Staged)
 	s.listed()
-	rec := store.JobRecord{Job: api.Submission{ID: "run-000007", Team: "t", Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
+	rec := store.JobRecord{Job: api.Submission{ID: "run-000007", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
 		Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}, At: s.clock.Now().UnixMilli()}
 	at := s.state.Put(store.JobKey("run-000007"), rec)
 	x := s.unlist(true)
@@ -142,7 +142,7 @@
 	for _, told := range []bool{false, true} {
 		s := newDataStage(t, features.Staged)
 		s.listed()
-		sub := api.Submission{ID: "run-000001", Team: "t", Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
+		sub := api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
 			Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}
 		s.Submit(gaveUp(), &sub, s.clock.Now())
 		s.unlist(told)
@@ -182,7 +182,7 @@
 // is not used again.
 func TestRemoveAnswers(t *testing.T) {
 	n, st := dataNode(true)
-	remove := func(name string) peer.Answer {
+	remove := func(name string) peer.Response {
 		n.reads.SetLimit(1e9)
 		n.reads.SetBurst(1 << 30)
 		return n.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: name}, false)
@@ -227,7 +227,7 @@
 		in = append(in, api.Input{Dataset: x.Name, Use: api.UseOwn})
 	}
 	for i := range 20 {
-		sub := api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", Inputs: in}
+		sub := api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", Inputs: in}
 		s.Submit(gaveUp(), &sub, s.clock.Now())
 	}
 	s.commit()
--- a/controller/dayend_test.go
+++ b/controller/dayend_test.go
@@ -31,7 +31,7 @@
 			w.reports++
 			via := []string{"", "n1", "n2"}[w.reports%3]
 			for _, n := range w.names {
-				r := &api.Report{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Session: 1 + uint64(since/(10*time.Second)), Seq: s.next(n), Term: s.term}
+				r := &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1 + uint64(since/(10*time.Second)), Seq: s.next(n), Term: s.term}
 				o, _, _ := s.Report(r, via)
 				w.count(o.Commands)
 			}
@@ -59,7 +59,7 @@
 
 func (w *deafWorkers) count(cs []api.Command) {
 	for _, c := range cs {
-		if c.Verb == api.Start {
+		if c.Verb == api.CommandRun {
 			w.starts[c.Attempt] = true
 		}
 	}
@@ -143,7 +143,7 @@
 	gone := s.rounds(8*time.Second, func() {
 		s.report("a1", 1)
 		for seq := old; seq <= last; seq++ {
-			r := &api.Report{Machine: "b1", Address: "b1:1", Type: "m8", Zone: "b", Session: 1, Seq: seq, Term: s.term, NoticeS: &notice}
+			r := &api.Heartbeat{Machine: "b1", Address: "b1:1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: s.term, PreemptionNoticeS: &notice}
 			if o, _, _ := s.Report(r, "n1"); len(o.Commands) > 0 {
 				t.Error("a copy's answer carries commands")
 			}
@@ -153,8 +153,8 @@
 	if len(gone) != 1 || gone[0] != "b1" {
 		t.Fatalf("returned %v, want the machine that only copies speak for", gone)
 	}
-	if m := s.machines["b1"]; m.relay != "" || m.via != "" || !m.TakenAt.IsZero() {
-		t.Errorf("copies set its way or its notice: %q %q %v", m.relay, m.via, m.TakenAt)
+	if m := s.machines["b1"]; m.relay != "" || m.via != "" || !m.PreemptedAt.IsZero() {
+		t.Errorf("copies set its way or its notice: %q %q %v", m.relay, m.via, m.PreemptedAt)
 	}
 	s.Returned([]string{"b1"}, nil)
 	s.reportAt("b1", 1, last, s.term, running)
@@ -174,7 +174,7 @@
 	notice := 5.0
 	for i := range 3 {
 		n := fmt.Sprintf("a%d", 7+i)
-		o, _, _ := s.Report(&api.Report{Machine: n, Address: n + ":1", Type: "m8", Zone: "a", Session: 4, Seq: 300, Term: s.term - 3, NoticeS: &notice}, "")
+		o, _, _ := s.Report(&api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: "a", Incarnation: 4, Seq: 300, Term: s.term - 3, PreemptionNoticeS: &notice}, "")
 		s.Place()
 		if m := s.machines[n]; m == nil || len(m.assigns) > 0 || len(o.Commands) > 0 || s.usable(m) {
 			t.Fatalf("a first report with an old token brought work: %+v", o)
@@ -212,7 +212,7 @@
 	n, _ := threeNodes(t)
 	valid := true
 	core := NewCore(7, n.clock, n.set, n.policy, testTypes, Hooks{Valid: func() bool { return valid }})
-	r := &api.Report{Machine: "a1", Zone: "a", Session: 1, Seq: 1, Term: 1<<64 - 1}
+	r := &api.Heartbeat{Machine: "a1", Zone: "a", Incarnation: 1, Seq: 1, Term: 1<<64 - 1}
 	if status, _ := n.judge(core, r, ""); status != http.StatusBadRequest {
 		t.Errorf("answered %d", status)
 	}
@@ -227,8 +227,8 @@
 func TestCopiesAtAFollower(t *testing.T) {
 	n, clock := threeNodes(t)
 	term := uint64(9)
-	r := api.Report{Machine: "b1", Zone: "b", Session: 2, Seq: 10, Term: term}
-	n.Report(context.Background(), &r, nil)
+	r := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
+	n.HandleHeartbeat(context.Background(), &r, nil)
 	first := n.relay.report(&r, term)
 	r.Seq = 11
 	n.relay.report(&r, term)
@@ -236,8 +236,8 @@
 	clock.Advance(seconds(2 * tuning.HearsReports * n.set.Facts.Workers.ReportS))
 	old := r
 	old.Seq = 10
-	status, body := n.Report(context.Background(), &old, nil)
-	if o, ok := body.(api.Orders); !ok || status != http.StatusOK || o.Term != 0 {
+	status, body := n.HandleHeartbeat(context.Background(), &old, nil)
+	if o, ok := body.(api.HeartbeatResponse); !ok || status != http.StatusOK || o.Term != 0 {
 		t.Errorf("a copy was answered %d %+v", status, body)
 	}
 	if n.hears() {
@@ -272,7 +272,7 @@
 		for ; s.answered < len(s.sent); s.answered++ {
 			o := s.sent[s.answered]
 			for _, c := range o.o.Commands {
-				if c.Verb == api.Start {
+				if c.Verb == api.CommandRun {
 					on[o.name] = append(on[o.name], run{c.Task, c.Attempt, s.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
 				}
 			}
@@ -284,7 +284,7 @@
 			var all []api.TaskReport
 			for _, r := range on[m] {
 				if s.clock.Now().After(r.ends) {
-					all = append(all, task(r.key, r.attempt, api.TaskEnded, api.CauseDone))
+					all = append(all, task(r.key, r.attempt, api.TaskExited, api.CauseDone))
 				} else {
 					keep = append(keep, r)
 					all = append(all, task(r.key, r.attempt, api.TaskRunning, ""))
--- a/controller/guest_test.go
+++ b/controller/guest_test.go
@@ -24,7 +24,7 @@
 		s.touchShard(guest, shard*tuning.ShardTasks, nil)
 	}
 	s.submit("run-000002", 1, func(x *api.Submission) { x.Rank = "prod" })
-	for s.com.Waiting() > 0 {
+	for s.com.Pending() > 0 {
 		s.commit()
 	}
 	for shard := range 40 {
@@ -34,7 +34,7 @@
 	stored := false
 	s.touchShard(owner, 0, func() { stored = true })
 	accepted := false
-	s.com.Touch(store.JobKey("run-000002"), store.Urgent, func() { accepted = true })
+	s.com.MarkDirty(store.JobKey("run-000002"), store.Urgent, func() { accepted = true })
 	s.com.Step(context.Background())
 	if !stored || !accepted {
 		t.Errorf("after one of many transactions the owner's start is stored: %v, the accept: %v", stored, accepted)
@@ -50,18 +50,18 @@
 	most := 0
 	for range 12 {
 		s.Place()
-		for s.com.Waiting() > 0 {
+		for s.com.Pending() > 0 {
 			s.commit()
 		}
 		var tasks []api.TaskReport
 		m := s.machines["a1"]
 		for key, a := range m.assigns {
 			if a.sent {
-				tasks = append(tasks, task(key, a.attempt, api.TaskEnded, api.CauseDone))
+				tasks = append(tasks, task(key, a.attempt, api.TaskExited, api.CauseDone))
 			}
 		}
 		for key, e := range m.ended {
-			tasks = append(tasks, task(key, e.attempt, api.TaskEnded, api.CauseDone))
+			tasks = append(tasks, task(key, e.attempt, api.TaskExited, api.CauseDone))
 		}
 		most = max(most, len(tasks))
 		// The worker does not hear what to clear; the ends stay in its reports.
--- a/controller/holdshint.go
+++ b/controller/holdshint.go
@@ -23,13 +23,13 @@
 	}
 	d.hinted, d.hintAt = d.index.Snapshot().Version(), now
 	for i := range c.recordParts() {
-		c.hooks.Touch(store.HoldsKey(i), store.Lazy, nil)
+		c.hooks.Touch(store.ReplicasKey(i), store.Lazy, nil)
 	}
 }
 
 // holdsRecord is one part of that record.
 func (c *Core) holdsRecord(key string) (replicas.Hint, bool) {
-	ms := c.recordPart(key, store.HoldsPrefix)
+	ms := c.recordPart(key, store.ReplicasPrefix)
 	if c.data == nil || ms == nil {
 		return replicas.Hint{}, false
 	}
@@ -37,7 +37,7 @@
 	for _, m := range ms {
 		names = append(names, m.Name)
 	}
-	h, _, err := replicas.PackHint(c.data.index.Snapshot(), names, c.data.desk.ID, c.set.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
+	h, _, err := replicas.EncodeHint(c.data.index.Snapshot(), names, c.data.desk.ID, c.set.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
 	if err != nil {
 		slog.Error("holdings not packed", "err", err)
 		return h, false
@@ -57,9 +57,9 @@
 	for _, it := range items {
 		var h replicas.Hint
 		err := json.Unmarshal(it.Value, &h)
-		var all map[string]map[string]replicas.Holding
+		var all map[string]map[string]replicas.Replica
 		if err == nil {
-			all, err = h.Unpack()
+			all, err = h.Decode()
 		}
 		if err != nil {
 			slog.Error("a record of holdings is damaged", "key", it.Key, "err", err)
@@ -71,7 +71,7 @@
 					delete(holds, d)
 				}
 			}
-			c.data.desk.Hint(name, holds, c.now())
+			c.data.desk.ApplyHint(name, holds, c.now())
 		}
 	}
 }
--- a/controller/images.go
+++ b/controller/images.go
@@ -19,7 +19,7 @@
 
 // used notes that a task ran on a machine.
 func (c *Core) used(m *machine, j *job) {
-	if m.Used(j.Job.Image, j.Job.ImageGB) {
+	if m.RecordImage(j.Job.Image, j.Job.ImageGB) {
 		c.imagesNew = true
 	}
 }
@@ -72,7 +72,7 @@
 	for i, m := range ms {
 		held[i] = softstate.Machine{Name: m.Name, Images: m.Images()}
 	}
-	return softstate.Pack(held, c.set.Facts.State.Least().ValueBytes()), true
+	return softstate.EncodeImages(held, c.set.Facts.State.Least().ValueBytes()), true
 }
 
 // Hint takes in what an earlier leader knew of images.
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, it := range items {
-		held, err := softstate.Unpack(it.Value)
+		held, err := softstate.DecodeImages(it.Value)
 		if err != nil {
 			slog.Error("a record of images is damaged", "key", it.Key, "err", err)
 			continue
@@ -95,6 +95,6 @@
 	images := c.hints[m.Name]
 	delete(c.hints, m.Name)
 	for i := len(images) - 1; i >= 0; i-- {
-		m.Used(images[i].Name, images[i].GB)
+		m.RecordImage(images[i].Name, images[i].GB)
 	}
 }
--- a/controller/images_test.go
+++ b/controller/images_test.go
@@ -34,19 +34,19 @@
 	s.elect()
 	s.report(last.Name, 1)
 	m := s.machines[last.Name]
-	if !m.Has("three") || !m.Has("two") || m.Has("one") {
+	if !m.HasImage("three") || !m.HasImage("two") || m.HasImage("one") {
 		t.Errorf("known images: %+v", m.Images())
 	}
 	// Nothing new is nothing to write.
 	s.clock.Advance(2 * tuning.ImagesEvery)
-	before := s.com.Waiting()
+	before := s.com.Pending()
 	s.keepImages(s.clock.Now())
-	if s.com.Waiting() != before {
+	if s.com.Pending() != before {
 		t.Error("written again without a change")
 	}
 	s.Hint([]store.Item{{Key: store.ImagesKey(0), Value: json.RawMessage(`{"i":["x"],"g":[1],"m":{"a000":[7,-1,0]}}`)}, {Key: store.ImagesKey(1), Value: json.RawMessage(`[`)}})
 	s.report("a000", 1)
-	if !s.machines["a000"].Has("x") {
+	if !s.machines["a000"].HasImage("x") {
 		t.Error("a record with indices out of range was dropped whole")
 	}
 }
@@ -57,9 +57,9 @@
 	for i := range tuning.ImagesMachines {
 		m := s.machine(fmt.Sprintf("n-%06d", i))
 		for k := range 40 {
-			m.Used(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
+			m.RecordImage(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
 		}
-		m.Used(strings.Repeat("<", 5000), 1)
+		m.RecordImage(strings.Repeat("<", 5000), 1)
 	}
 	rec, ok := s.imagesRecord(store.ImagesKey(0))
 	raw, err := json.Marshal(rec)
--- a/controller/keep.go
+++ b/controller/keep.go
@@ -30,28 +30,28 @@
 
 // sure tells whether this controller leads for certain, and has read the records: then all that anyone told
 // until now is known here, since only a leader cancels while its key stands.
-func (n *Node) sure() bool {
+func (n *Controller) sure() bool {
 	now := n.clock.Now()
 	term, valid := n.elector.Term()
 	if !valid || term != n.loaded.Load() {
 		return false
 	}
-	n.watermark.Certain(now)
+	n.watermark.MarkCurrent(now)
 	return true
 }
 
 // keeps tells whether a worker's lease may be renewed now by a controller that does not lead for certain.
-func (n *Node) keeps() bool {
+func (n *Controller) keeps() bool {
 	n.sure()
 	now := n.clock.Now()
-	ok, without := n.watermark.Renews(now)
+	ok, without := n.watermark.MayRenew(now)
 	n.mu.Lock()
 	n.lone = now
 	changed := ok != n.keeping
 	n.keeping = ok
 	n.mu.Unlock()
 	if changed {
-		slog.Info("leases of workers", "kept", ok, "without_word", span(without), "why", n.watermark.Why())
+		slog.Info("leases of workers", "kept", ok, "without_word", span(without), "why", n.watermark.UnconfirmedPeers())
 	}
 	return ok
 }
@@ -65,22 +65,22 @@
 }
 
 // stopped tells an operator why this controller renews no leases, if it does not.
-func (n *Node) stopped() []string {
+func (n *Controller) stopped() []string {
 	n.mu.Lock()
 	kept := n.keeping
 	n.mu.Unlock()
 	if kept || n.sure() {
 		return nil
 	}
-	_, without := n.watermark.Renews(n.clock.Now())
-	return []string{fmt.Sprintf("leases of workers are not renewed here: last word of cancellations %s ago; %s", span(without), strings.Join(n.watermark.Why(), ", "))}
+	_, without := n.watermark.MayRenew(n.clock.Now())
+	return []string{fmt.Sprintf("leases of workers are not renewed here: last word of cancellations %s ago; %s", span(without), strings.Join(n.watermark.UnconfirmedPeers(), ", "))}
 }
 
 // ending adds to an answer what ends the tasks of cancelled jobs that the worker reports, and takes out what would
 // start more. The token is the one that it has: a stop is safe under any.
-func (n *Node) ending(r *api.Report, o api.Orders) api.Orders {
-	o.Commands = n.watermark.Without(o.Commands)
-	if more := n.watermark.Stops(r.Tasks, o.Commands); len(more) > 0 {
+func (n *Controller) ending(r *api.Heartbeat, o api.HeartbeatResponse) api.HeartbeatResponse {
+	o.Commands = n.watermark.WithoutCancelledStarts(o.Commands)
+	if more := n.watermark.KillCommands(r.Tasks, o.Commands); len(more) > 0 {
 		slog.Info("ending tasks of cancelled jobs for the leader", "machine", r.Machine, "tasks", len(more), "first", more[0].Task)
 		o.Commands = append(slices.Clone(o.Commands), more...)
 	}
@@ -89,7 +89,7 @@
 
 // note has a cancellation known to the siblings before its user is told, and gives what may be told: a poll that was
 // read before its job ended, here or at the leader, may be answered after the end was told.
-func (n *Node) note(a peer.Answer) peer.Answer {
+func (n *Controller) note(a peer.Response) peer.Response {
 	if a.Status != http.StatusOK && a.Status != http.StatusCreated || !bytes.Contains(a.Body, []byte(`"status"`)) {
 		return a
 	}
@@ -97,8 +97,8 @@
 	if json.Unmarshal(a.Body, &st) != nil || !api.ValidID(st.ID) {
 		return a
 	}
-	if st.State == api.Withdrawn {
-		n.watermark.Tell(n.clock.Now(), st.ID)
+	if st.State == api.Cancelled {
+		n.watermark.RecordCancellation(n.clock.Now(), st.ID)
 	}
 	if newest, older := n.ends.Newest(st); older {
 		return answer(http.StatusOK, newest)
@@ -107,36 +107,36 @@
 }
 
 // words is a node's side of what controllers tell each other of cancellations.
-type watermarks struct{ n *Node }
+type watermarks struct{ n *Controller }
 
-// Have is what is known of a sibling's word; nothing is asked while an older process may be there.
-func (w watermarks) Have(member string) (life, have uint64, ok bool) {
+// Position is what is known of a sibling's word; nothing is asked while an older process may be there.
+func (w watermarks) Position(member string) (life, have uint64, ok bool) {
 	if len(w.n.marks.Older()) > 0 {
 		return 0, 0, false
 	}
-	life, have = w.n.watermark.Have(member)
+	life, have = w.n.watermark.Position(member)
 	return life, have, true
 }
 
-// Say answers a sibling.
-func (w watermarks) Say(life, have uint64) (watermark.Saying, bool) {
+// Statement answers a sibling.
+func (w watermarks) Statement(life, have uint64) (watermark.Statement, bool) {
 	if len(w.n.marks.Older()) > 0 {
-		return watermark.Saying{}, false
+		return watermark.Statement{}, false
 	}
 	w.n.sure()
-	return w.n.watermark.Say(w.n.clock.Now(), life, have), true
+	return w.n.watermark.Statement(w.n.clock.Now(), life, have), true
 }
 
-// Heard takes in a sibling's answer.
-func (w watermarks) Heard(member string, sent time.Time, s watermark.Saying) {
-	if err := w.n.watermark.Heard(w.n.clock.Now(), member, sent, s); err != nil {
+// ApplyStatement takes in a sibling's answer.
+func (w watermarks) ApplyStatement(member string, sent time.Time, s watermark.Statement) {
+	if err := w.n.watermark.ApplyStatement(w.n.clock.Now(), member, sent, s); err != nil {
 		slog.Info("a sibling's word is not believed", "member", member, "err", err)
 	}
 }
 
 // readCancellations reads the records of jobs while this controller answers workers by itself and reaches the
 // state service: what it has read was told to nobody before without being here.
-func (n *Node) readCancellations(ctx context.Context) {
+func (n *Controller) readCancellations(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
 		n.mu.Lock()
@@ -156,7 +156,7 @@
 
 // readJobs notes the cancellations on record, or, after a revision, those since. It gives the revision to go on
 // from. What is known then is known from when that was asked for.
-func (n *Node) readJobs(ctx context.Context, after uint64) (uint64, error) {
+func (n *Controller) readJobs(ctx context.Context, after uint64) (uint64, error) {
 	sent := n.clock.Now()
 	var all []store.Item
 	var log []store.Event
@@ -177,11 +177,11 @@
 		var rec struct {
 			Final string `json:"final"`
 		}
-		if bytes.Contains(it.Value, []byte(api.Withdrawn)) && json.Unmarshal(it.Value, &rec) == nil && rec.Final == api.Withdrawn {
-			n.watermark.Tell(n.clock.Now(), strings.TrimPrefix(it.Key, store.JobPrefix))
+		if bytes.Contains(it.Value, []byte(api.Cancelled)) && json.Unmarshal(it.Value, &rec) == nil && rec.Final == api.Cancelled {
+			n.watermark.RecordCancellation(n.clock.Now(), strings.TrimPrefix(it.Key, store.JobPrefix))
 		}
 	}
-	n.watermark.Certain(sent)
+	n.watermark.MarkCurrent(sent)
 	return max(after, epoch), nil
 }
 
@@ -189,9 +189,9 @@
 // and came back finds nobody else: an answer without a token, which renews nothing, keeps
 // it here, so that it is heard as soon as the cut ends. Sent on, it would try one dead end
 // after the other, 5 s each, and come when its lease has ended. Others are sent on.
-func (n *Node) unkept() (status int, body any) {
-	if !n.stateOK() && n.peers.CutOff() {
-		return http.StatusOK, api.Orders{Commands: []api.Command{}}
+func (n *Controller) unkept() (status int, body any) {
+	if !n.stateOK() && n.peers.Isolated() {
+		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
 	return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
 }
@@ -203,12 +203,12 @@
 	limit := seconds(c.set.Facts.Workers.CancelS) - tuning.CancelReturn
 	var out []*machine
 	for _, j := range c.order {
-		if j.Final != api.Withdrawn || len(j.live) == 0 || now.Sub(j.withdrawn) < limit {
+		if j.FinalState != api.Cancelled || len(j.live) == 0 || now.Sub(j.withdrawn) < limit {
 			continue
 		}
 		for _, a := range j.live {
 			// One that is heard, and was found late, ends it sooner by command.
-			if now.Sub(a.machine.Heard) > c.quiet(a.machine) || now.Sub(a.since) >= limit || a.machine.line.State(now, c.lease()) != reachability.Reached {
+			if now.Sub(a.machine.LastHeartbeat) > c.quiet(a.machine) || now.Sub(a.since) >= limit || a.machine.line.State(now, c.lease()) != reachability.Reachable {
 				out = append(out, a.machine)
 			}
 		}
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -28,11 +28,11 @@
 	for _, led := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
 		st := fake.NewState(clock)
-		set := &settings.Settings{Member: "n1", Zone: "b", Siblings: []settings.Sibling{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "b", Address: "127.0.0.1:1"}}}
+		set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "b", Address: "127.0.0.1:1"}}}
 		set.Facts.Workers = settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}
-		n := NewNode(context.Background(), set, policy.Default(), clock, st)
-		term := st.Put(store.LeaderKey, store.Leader{Member: "n0"})
-		if n.elector.Stand(context.Background()) {
+		n := New(context.Background(), set, policy.Default(), clock, st)
+		term := st.Put(store.LeaderKey, store.LeaderRecord{Member: "n0"})
+		if n.elector.Campaign(context.Background()) {
 			t.Fatal("two leaders")
 		}
 		core := NewCore(term, clock, set, n.policy, testTypes, Hooks{Valid: func() bool { return false }})
@@ -41,18 +41,18 @@
 			t.Error("kept by a process that knows nothing")
 		}
 		word := clock.Now()
-		n.watermark.Certain(word)
+		n.watermark.MarkCurrent(word)
 		clock.Advance(time.Millisecond)
 		_, _ = n.client.Get(context.Background(), "k")
 		last := time.Duration(0)
 		for seq := uint64(1); clock.Since(word) < 100*time.Second; seq++ {
 			clock.Advance(time.Second)
-			r := &api.Report{Machine: "b1", Zone: "b", Session: 1, Seq: seq, Term: term}
+			r := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq, Term: term}
 			status, body := n.judge(core, r, "")
 			if !led {
-				status, body = n.Report(context.Background(), r, nil)
+				status, body = n.HandleHeartbeat(context.Background(), r, nil)
 			}
-			if o, ok := body.(api.Orders); ok && status == 200 && o.Term == term {
+			if o, ok := body.(api.HeartbeatResponse); ok && status == 200 && o.Term == term {
 				last = clock.Since(word)
 			}
 		}
@@ -65,8 +65,8 @@
 		}
 		// Meanwhile a worker that finds nobody else is held, without a lease.
 		if !led {
-			status, body := n.Report(context.Background(), &api.Report{Machine: "b1", Zone: "b", Session: 1, Seq: 999, Term: term}, nil)
-			if o, ok := body.(api.Orders); !ok || status != 200 || o.Term != 0 || len(o.Commands) != 0 {
+			status, body := n.HandleHeartbeat(context.Background(), &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 999, Term: term}, nil)
+			if o, ok := body.(api.HeartbeatResponse); !ok || status != 200 || o.Term != 0 || len(o.Commands) != 0 {
 				t.Errorf("a worker that came back is told %d %+v", status, body)
 			}
 		}
@@ -76,12 +76,12 @@
 		if n.keeps() {
 			t.Error("kept because the state service answers, though nothing of jobs was read")
 		}
-		st.Put(store.JobKey("run-7"), store.JobRecord{Job: api.Submission{ID: "run-7"}, Final: api.Withdrawn})
+		st.Put(store.JobKey("run-7"), store.JobRecord{Job: api.Submission{ID: "run-7"}, FinalState: api.Cancelled})
 		if _, err := n.readJobs(context.Background(), 0); err != nil || !n.keeps() {
 			t.Errorf("not kept though the records of jobs were read, %v", err)
 		}
-		status, body := n.judge(core, &api.Report{Machine: "b1", Zone: "b", Session: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{task("run-7/0", 9, api.TaskRunning, "")}}, "")
-		if o, ok := body.(api.Orders); !ok || status != 200 || len(o.Commands) != 1 || o.Commands[0].Verb != api.Stop || o.Commands[0].Task != "run-7/0" || o.Commands[0].Attempt != 9 {
+		status, body := n.judge(core, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{task("run-7/0", 9, api.TaskRunning, "")}}, "")
+		if o, ok := body.(api.HeartbeatResponse); !ok || status != 200 || len(o.Commands) != 1 || o.Commands[0].Verb != api.CommandKill || o.Commands[0].Task != "run-7/0" || o.Commands[0].Attempt != 9 {
 			t.Errorf("what was cancelled meanwhile is answered %d %+v", status, body)
 		}
 	}
@@ -129,9 +129,9 @@
 			s.elect()
 			s.set.Facts.Workers.CancelS = 47.5
 			s.cutZone = "b"
-			var list []api.CloudMachine
+			var list []api.Instance
 			for _, n := range append([]string{"a1"}, far...) {
-				list = append(list, api.CloudMachine{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), State: "running"})
+				list = append(list, api.Instance{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), State: "running"})
 			}
 			s.Listed(list)
 		}
@@ -157,7 +157,7 @@
 func TestCancellationsAreKnownBeforeTheyAreTold(t *testing.T) {
 	n, clock := threeNodes(t)
 	knows := func(job string) bool {
-		return len(n.watermark.Stops([]api.TaskReport{task(job+"/0", 1, api.TaskRunning, "")}, nil)) > 0
+		return len(n.watermark.KillCommands([]api.TaskReport{task(job+"/0", 1, api.TaskRunning, "")}, nil)) > 0
 	}
 	core := NewCore(7, clock, n.set, n.policy, testTypes, Hooks{Touch: func(string, int, func()) {}, Valid: func() bool { return true }, Final: n.final})
 	core.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
@@ -171,7 +171,7 @@
 	}
 	st := n.client
 	for _, job := range []string{"run-3", "run-4"} {
-		if _, _, err := st.Multi(context.Background(), nil, []store.Op{{Set: store.JobKey(job), Value: store.JobRecord{Job: api.Submission{ID: job, Tasks: 1}, Final: map[string]string{"run-3": api.Withdrawn}[job]}}}); err != nil {
+		if _, _, err := st.Transact(context.Background(), nil, []store.Operation{{Set: store.JobKey(job), Value: store.JobRecord{Job: api.Submission{ID: job, Tasks: 1}, FinalState: map[string]string{"run-3": api.Cancelled}[job]}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -182,10 +182,10 @@
 		t.Errorf("a user who cancels without a leader is told %d %s, and siblings nothing", a.Status, a.Body)
 	}
 	// Nothing that they did not always hear goes to processes that may be older.
-	if _, _, ok := (watermarks{n}).Have("n0"); ok {
+	if _, _, ok := (watermarks{n}).Position("n0"); ok {
 		t.Error("asks a sibling without a mark")
 	}
-	if _, ok := (watermarks{n}).Say(0, 0); ok {
+	if _, ok := (watermarks{n}).Statement(0, 0); ok {
 		t.Error("answers a sibling without a mark")
 	}
 }
@@ -195,11 +195,11 @@
 func TestFreshLeaderRenewsNothingBeforeItKnows(t *testing.T) {
 	n, clock := threeNodes(t)
 	n.set.Facts.Workers.CancelS = 40
-	n.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.LimitsOf(40*time.Second, 10*time.Second))
+	n.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
 	core := NewCore(7, clock, n.set, n.policy, testTypes, Hooks{Valid: func() bool { return true }})
-	ask := func(seq uint64) api.Orders {
-		status, body := n.judge(core, &api.Report{Machine: "b1", Zone: "b", Session: 1, Seq: seq}, "")
-		o, ok := body.(api.Orders)
+	ask := func(seq uint64) api.HeartbeatResponse {
+		status, body := n.judge(core, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
+		o, ok := body.(api.HeartbeatResponse)
 		if status != 200 || !ok {
 			t.Errorf("%d %+v", status, body)
 		}
@@ -208,7 +208,7 @@
 	if o := ask(1); o.Term != 0 {
 		t.Errorf("a lease is renewed under token %d by a leader that knows nothing", o.Term)
 	}
-	n.watermark.Certain(clock.Now())
+	n.watermark.MarkCurrent(clock.Now())
 	if o := ask(2); o.Term != 7 {
 		t.Errorf("token %d from a leader that knows", o.Term)
 	}
--- a/controller/lone_test.go
+++ b/controller/lone_test.go
@@ -13,11 +13,11 @@
 )
 
 // threeNodes is n1 of n0, n1 and n2, whose siblings are silent.
-func threeNodes(t *testing.T) (*Node, *clockwork.FakeClock) {
+func threeNodes(t *testing.T) (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	set := &settings.Settings{Member: "n1", Zone: "b", Siblings: []settings.Sibling{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
+	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10}
-	return NewNode(context.Background(), set, policy.Default(), clock, fake.NewState(clock)), clock
+	return New(context.Background(), set, policy.Default(), clock, fake.NewState(clock)), clock
 }
 
 // With both siblings silent, workers come to the last controller one dead end after
--- a/controller/members.go
+++ b/controller/members.go
@@ -15,20 +15,20 @@
 const VerbMembers = "members"
 
 // watchMembers lets this node keep a table of members; it is called before Run.
-func (n *Node) watchMembers() {
+func (n *Controller) watchMembers() {
 	var others []string
-	for _, s := range n.set.Siblings {
+	for _, s := range n.set.Peers {
 		others = append(others, s.Member)
 	}
-	n.members = membership.Watch(n.set.Member, others, n.clock)
-	n.peers.Told = func(o membership.Observation) { n.members.Saw(o) }
+	n.members = membership.NewWatcher(n.set.Member, others, n.clock)
+	n.peers.OnObservation = func(o membership.Observation) { n.members.Observe(o) }
 }
 
 // MembersOn tells whether membership is on.
-func (n *Node) MembersOn() bool { return n.members != nil }
+func (n *Controller) MembersOn() bool { return n.members != nil }
 
 // aboutMembers answers with this controller's own view: another's may differ, and that is shown.
-func (n *Node) aboutMembers() peer.Answer {
+func (n *Controller) aboutMembers() peer.Response {
 	if n.members == nil {
 		return answer(http.StatusNotFound, api.Error{Error: "membership is off"})
 	}
@@ -36,16 +36,16 @@
 }
 
 // leaves tells whether this process ends by plan.
-func (n *Node) leaves() bool {
+func (n *Controller) leaves() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.leaving
 }
 
-// Leave hands over by plan, before this process ends: users are sent elsewhere, a leader gives up
+// Shutdown hands over by plan, before this process ends: users are sent elsewhere, a leader gives up
 // its post while a sibling can take it, and requests under way, and those of users who have not
 // been told yet, are served meanwhile. With membership off it does nothing.
-func (n *Node) Leave(ctx context.Context) {
+func (n *Controller) Shutdown(ctx context.Context) {
 	if n.members == nil {
 		return
 	}
@@ -55,12 +55,12 @@
 	ctx, stop := context.WithTimeout(ctx, tuning.LeaveMost)
 	defer stop()
 	slog.Info("leaving by plan", "leads", n.leading() != nil)
-	// Siblings are told with the next greeting, and the load balancer probes once a second.
+	// Peers are told with the next greeting, and the load balancer probes once a second.
 	n.sleep(ctx, tuning.LeaveTold)
 	term, _ := n.elector.Term()
 	for term != 0 && ctx.Err() == nil {
 		ready := false
-		for _, h := range n.peers.Alive() {
+		for _, h := range n.peers.LivePeers() {
 			ready = ready || h.StateOK && !h.Leaving
 		}
 		if ready {
--- a/controller/mistake.go
+++ b/controller/mistake.go
@@ -29,7 +29,7 @@
 
 // suspect tells whether a machine fails what works elsewhere.
 func (c *Core) suspect(m *machine) bool {
-	return m.Suspect(func(id string) bool {
+	return m.Faulty(func(id string) bool {
 		j := c.jobs[id]
 		return j == nil || !c.mistaken(j)
 	})
@@ -38,10 +38,10 @@
 // erred notes an error of a job's task on a machine. Several tasks that fail on one
 // machine are one sign.
 func (c *Core) erred(j *job, m *machine, now time.Time) {
-	m.Failed(j.id)
+	m.RecordFailure(j.id)
 	if !m.noted && c.suspect(m) {
 		m.noted = true
-		slog.Info("machine suspect", "machine", m.Name, "errors", m.Errors)
+		slog.Info("machine suspect", "machine", m.Name, "errors", m.Failures)
 	}
 	again := now.Before(j.avoid[m.Name])
 	j.avoid[m.Name] = now.Add(tuning.BackoffMax)
@@ -77,7 +77,7 @@
 	}
 	for name := range j.failedOn {
 		if m := c.machines[name]; m != nil {
-			m.Forgive(j.id)
+			m.ClearJobFailures(j.id)
 		}
 	}
 }
--- a/controller/mistake_test.go
+++ b/controller/mistake_test.go
@@ -19,7 +19,7 @@
 			}
 			state, cause := api.TaskRunning, ""
 			if bad(m.Name, a.job.id) {
-				state, cause = api.TaskEnded, api.CauseError
+				state, cause = api.TaskExited, api.CauseError
 			}
 			tasks = append(tasks, task(key, a.attempt, state, cause))
 		}
--- a/controller/mute_test.go
+++ b/controller/mute_test.go
@@ -60,14 +60,14 @@
 
 func (w *muteWorkers) count(name string, cs []api.Command) {
 	for _, c := range cs {
-		if c.Verb == api.Start {
+		if c.Verb == api.CommandRun {
 			w.begun[name]++
 		}
 	}
 }
 
 // deliver carries a report and its answer.
-func (w *muteWorkers) deliver(name string, r *api.Report) {
+func (w *muteWorkers) deliver(name string, r *api.Heartbeat) {
 	o, _, _ := w.s.Report(r, "")
 	w.count(name, o.Commands)
 	w.all[name].Answer(r, w.s.clock.Now(), o)
@@ -159,12 +159,12 @@
 	}
 	before, begun := where(), len(w.begun)
 	odd := func(name string, session, seq uint64, tasks ...api.TaskReport) {
-		s.Report(&api.Report{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Session: session, Seq: seq, Term: s.term, Tasks: tasks}, "")
+		s.Report(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: s.term, Tasks: tasks}, "")
 	}
 	for range 20 {
 		odd("a9", 1, 1, task("run-000001/0", 7, api.TaskRunning, ""), task("run-000001/99", 7, api.TaskRunning, ""))
 		odd("a1", 1, 1)
-		odd("a1", 0, 1<<40, task("run-000001/0", 1, api.TaskEnded, api.CauseStopped))
+		odd("a1", 0, 1<<40, task("run-000001/0", 1, api.TaskExited, api.CauseStopped))
 		odd("a2", 1, 2, task("none", 0, "", ""), task("run-000001/-1", 1, api.TaskRunning, ""), task("run-999999/0", 1, api.TaskRunning, ""), task("run-000001/1/2", 1, "asleep", "?"))
 		w.run(5 * time.Second)
 	}
