--- a/controller/node.go
+++ b/controller/node.go
@@ -45,14 +45,14 @@
 	"switchferry/worker"
 )
 
-// Node is one controller process.
-type Node struct {
+// Controller is one controller process.
+type Controller struct {
 	set     *settings.Settings
 	policy  *policy.Policy
 	clock   clockwork.Clock
 	client  *store.Client
 	elector *election.Elector
-	peers   *peer.Net
+	peers   *peer.Network
 	cloud   *cloud.Client
 	worker  *worker.Client
 	born    time.Time
@@ -66,14 +66,14 @@
 	refused time.Time
 	// hearing is when a worker last reported to this node itself; newest are the reports that did.
 	hearing time.Time
-	newest  *reachability.Newest
+	newest  *reachability.Deduplicator
 	// watermark is what it knows of cancellations; loaded is the term whose records it has read, lone when it
 	// last answered a worker by itself. keeping: leases were renewed at the last report.
 	watermark *watermark.Tracker
 	loaded    atomic.Uint64
 	lone      time.Time
 	keeping   bool
-	bounces   redirect.Bounces
+	bounces   redirect.Tracker
 	users     traffic.Counter
 
 	// reads limits what questions of users take of the state service, records reads jobs' records
@@ -81,20 +81,20 @@
 	reads   *rate.Limiter
 	records *lookup.Jobs
 	// finals are what it knows to be over, ends what it told users of that.
-	finals *lookup.Finals
-	ends   *lookup.Told
+	finals *lookup.TerminalStates
+	ends   *lookup.Notifications
 
 	// topology is nil unless that feature is on.
 	topology *topology.File
 	// alone writes what is accepted without a leader.
-	alone *store.Hedge
+	alone *store.HedgedClient
 	// letterRate is what this node writes of letters, of all kinds together.
 	letterRate *rate.Limiter
 	// retries spreads the users that were refused over the time that it takes to take them.
 	retries *retry.Spread
 
 	// marks tells whose processes may be of an older version.
-	marks *upgrade.Marker
+	marks *upgrade.VersionRegistry
 	// own has the records of the term written as this version has them; nil without a term.
 	own func()
 	// members watches the siblings; nil unless that feature is on. leaving: this process ends
@@ -105,13 +105,13 @@
 	files []*configuration.Active
 	// config keeps the configuration, which can change while this process runs, and applier changes it in the present
 	// term; both are nil unless that feature is on.
-	config  *revisions.Keeper
+	config  *revisions.Store
 	applier *revisions.Applier
 
 	relay *heartbeatRelay
-	pace  *cpupressure.Pace
+	pace  *cpupressure.Monitor
 	// slow is used by the loop of a term alone.
-	slow cpupressure.Handover
+	slow cpupressure.LeadershipTransfer
 
 	// data says whether datasets are on; sets are those read lately, agents the client
 	// for orders to their agents.
@@ -120,50 +120,50 @@
 	agents *http.Client
 	// agentBounces remembers agents that were sent to the leader; agentRelay answers
 	// those that do not reach it.
-	agentBounces redirect.Bounces
+	agentBounces redirect.Tracker
 	agentRelay   *agentRelay
 }
 
-// NewNode makes a controller. Transport carries its calls to other services.
-func NewNode(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Node {
-	n := &Node{set: set, policy: pol, clock: clock, ctx: ctx, born: clock.Now(), keeping: true, bounces: redirect.NewBounces(),
-		newest: reachability.NewNewest(tuning.NewestKept)}
+// New makes a controller. Transport carries its calls to other services.
+func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
+	n := &Controller{set: set, policy: pol, clock: clock, ctx: ctx, born: clock.Now(), keeping: true, bounces: redirect.NewTracker(),
+		newest: reachability.NewDeduplicator(tuning.NewestKept)}
 	all := []string{set.Member}
-	for _, s := range set.Siblings {
+	for _, s := range set.Peers {
 		all = append(all, s.Member)
 	}
 	n.files = []*configuration.Active{configuration.FromFiles(set.Facts.Teams, pol)}
-	n.watermark = watermark.New(n.born, all[1:], watermark.LimitsOf(seconds(set.Facts.Workers.CancelS), seconds(set.Facts.Workers.LeaseS)))
+	n.watermark = watermark.New(n.born, all[1:], watermark.NewLimits(seconds(set.Facts.Workers.CancelS), seconds(set.Facts.Workers.LeaseS)))
 	n.client = store.NewClient(set.External.State, transport)
-	n.marks = upgrade.NewMarker(set.Member, all, n.client, clock)
-	n.client.Seen = n.stateSeen
+	n.marks = upgrade.NewVersionRegistry(set.Member, all, n.client, clock)
+	n.client.OnResponse = n.stateSeen
 	n.cloud = cloud.New(set.External.Cloud, set.Facts.Cloud.RPS, transport)
 	n.worker = worker.New(transport)
-	n.peers = peer.New(set.Siblings, clock, n.hello, func(ctx context.Context, r peer.Request) peer.Answer { return n.Handle(ctx, r, true) })
+	n.peers = peer.New(set.Peers, clock, n.hello, func(ctx context.Context, r peer.Request) peer.Response { return n.Handle(ctx, r, true) })
 	n.peers.Watermarks = watermarks{n}
 	n.elector = election.New(set.Member, n.client, clock, n)
-	share := tuning.ReadShare * set.Facts.State.RPS / float64(1+len(set.Siblings))
+	share := tuning.ReadShare * set.Facts.State.RPS / float64(1+len(set.Peers))
 	n.reads = rate.NewLimiter(rate.Limit(share), max(1, int(share)))
-	n.records = &lookup.Jobs{Client: n.client, Ended: n.finalOf, Keep: n.final, Turns: lookup.NewTurns(clock, n.reads)}
-	n.finals, n.ends = lookup.NewFinals(), lookup.NewTold()
-	n.letterRate = exchange.Rate(n.set.Facts.State)
+	n.records = &lookup.Jobs{Client: n.client, Recall: n.finalOf, Remember: n.final, Queue: lookup.NewFairQueue(clock, n.reads)}
+	n.finals, n.ends = lookup.NewTerminalStates(), lookup.NewNotifications()
+	n.letterRate = exchange.WriteRate(n.set.Facts.State)
 	writes := set.Facts.State.Least().WriteRPS
 	rest := writes * (1 - tuning.QuotaShare)
-	n.alone = store.NewHedge(n.client, n.clock, rate.NewLimiter(rate.Limit(rest), max(1, int(rest))), writes)
+	n.alone = store.NewHedgedClient(n.client, n.clock, rate.NewLimiter(rate.Limit(rest), max(1, int(rest))), writes)
 	var err error
-	n.retries, err = retry.New(tuning.QuotaShare*writes/float64(1+len(set.Siblings)), tuning.RetryAfterS, tuning.RetryAfterMost,
+	n.retries, err = retry.New(tuning.QuotaShare*writes/float64(1+len(set.Peers)), tuning.RetryAfterS, tuning.RetryAfterMost,
 		tuning.RefusedFor, tuning.RefusedKept)
 	if err != nil {
 		panic(err) // only for a limit below one
 	}
 	n.relay = newRelay(n)
-	n.pace = cpupressure.New(clock)
+	n.pace = cpupressure.NewMonitor(clock)
 	n.agents = &http.Client{Transport: transport}
 	return n
 }
 
 // Transport is the transport for all calls to other services, within a budget of sockets.
-func Transport(set *settings.Settings, budget *connlimit.Budget) *http.Transport {
+func Transport(set *settings.Settings, budget *connlimit.Limiter) *http.Transport {
 	return &http.Transport{
 		DialContext: budget.Dial(func(addr string) connlimit.Class {
 			if addr == set.External.State || addr == set.External.Cloud {
@@ -178,21 +178,21 @@
 	}
 }
 
-// Keep lets this node keep to a budget of sockets; it is called before Run.
-func (n *Node) Keep(b *connlimit.Budget) {
-	n.peers.Dial = b.Dial(func(string) connlimit.Class { return connlimit.Sibling })
+// UseConnLimiter lets this node keep to a budget of sockets; it is called before Run.
+func (n *Controller) UseConnLimiter(b *connlimit.Limiter) {
+	n.peers.Dial = b.Dial(func(string) connlimit.Class { return connlimit.Peer })
 	go b.Watch(n.ctx, tuning.SocketsTold, func(c connlimit.Counts) {
-		slog.Info("sockets are scarce", "open", c.Open, "limit", c.Limit, "by", c.By, "idle_closed", c.Closed, "commands_not_sent", c.Refused)
+		slog.Info("sockets are scarce", "open", c.Open, "limit", c.Limit, "by", c.ByClass, "idle_closed", c.IdleClosed, "commands_not_sent", c.Refused)
 	})
 }
 
-// DialSiblings has connections to siblings opened so; it is called before Run.
-func (n *Node) DialSiblings(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
+// DialPeers has connections to siblings opened so; it is called before Run.
+func (n *Controller) DialPeers(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	n.peers.Dial = dial
 }
 
 // Run starts everything and runs until the context ends.
-func (n *Node) Run(back net.Listener) {
+func (n *Controller) Run(back net.Listener) {
 	go func() {
 		if err := n.peers.Serve(n.ctx, back); err != nil {
 			slog.Error("back port", "err", err)
@@ -215,14 +215,14 @@
 		go n.config.Run(n.ctx, func() bool { return n.leading() != nil })
 	}
 	if n.members != nil {
-		go n.members.Run(n.ctx, func() membership.Own {
-			return membership.Own{Leads: n.leading() != nil, StateOK: n.stateOK(), Worked: n.hears()}
+		go n.members.Run(n.ctx, func() membership.LocalState {
+			return membership.LocalState{Leads: n.leading() != nil, StateOK: n.stateOK(), ReceivesHeartbeats: n.hears()}
 		})
 	}
 	n.elector.Run(n.ctx)
 }
 
-func (n *Node) stateSeen(served bool) {
+func (n *Controller) stateSeen(served bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if served {
@@ -232,59 +232,59 @@
 	}
 }
 
-func (n *Node) stateOK() bool {
+func (n *Controller) stateOK() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.served.IsZero() && !n.refused.After(n.served)
 }
 
-func (n *Node) hello() peer.Hello {
+func (n *Controller) hello() peer.Hello {
 	term, _ := n.elector.Term()
-	h := peer.Hello{Member: n.set.Member, Term: term, StateOK: n.stateOK(), PaceUS: n.pace.US(), HearsWorkers: n.hears()}
+	h := peer.Hello{Member: n.set.Member, Term: term, StateOK: n.stateOK(), BenchmarkUS: n.pace.PublishedUS(), ReceivesHeartbeats: n.hears()}
 	if n.members != nil {
-		h.BornMS, h.Hears, h.Leaving = uint64(n.born.UnixMilli()), n.members.Hears(), n.leaves()
+		h.StartedMS, h.HeardPeers, h.Leaving = uint64(n.born.UnixMilli()), n.members.HeardPeers(), n.leaves()
 	}
 	return h
 }
 
 // hears tells whether a worker reported to this node itself a moment ago.
-func (n *Node) hears() bool {
+func (n *Controller) hears() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.hearing.IsZero() && n.clock.Since(n.hearing) < seconds(tuning.HearsReports*n.set.Facts.Workers.ReportS)
 }
 
-// Alone is for the elector: we reach no sibling in any way.
-func (n *Node) Alone() bool {
-	return n.clock.Since(n.born) > tuning.PeerDead && n.peers.CutOff()
+// Isolated is for the elector: we reach no sibling in any way.
+func (n *Controller) Isolated() bool {
+	return n.clock.Since(n.born) > tuning.PeerDead && n.peers.Isolated()
 }
 
 // Ready tells whether users should come here: not to a node without the state
 // service while a sibling has it, and not to one that is cut off. In an outage
 // every node is as good, and the load balancer would take seconds to come back
 // to nodes that it had given up.
-func (n *Node) Ready() bool {
+func (n *Controller) Ready() bool {
 	if n.leaves() {
 		return false
 	}
 	if n.stateOK() {
 		return true
 	}
-	for _, h := range n.peers.Alive() {
+	for _, h := range n.peers.LivePeers() {
 		if h.StateOK {
 			return false
 		}
 	}
-	return !n.peers.CutOff()
+	return !n.peers.Isolated()
 }
 
-func (n *Node) leading() *Core {
+func (n *Controller) leading() *Core {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core
 }
 
-func (n *Node) catalog() {
+func (n *Controller) catalog() {
 	for n.ctx.Err() == nil {
 		types, err := n.cloud.Catalog(n.ctx)
 		wait := tuning.CatalogEvery
@@ -304,38 +304,38 @@
 	}
 }
 
-func (n *Node) sleep(ctx context.Context, d time.Duration) {
+func (n *Controller) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-n.clock.After(d):
 	}
 }
 
-func (n *Node) final(id string, f store.FinalRecord) {
-	if f.State == api.Withdrawn {
-		n.watermark.Tell(n.clock.Now(), id)
+func (n *Controller) final(id string, f store.FinalRecord) {
+	if f.State == api.Cancelled {
+		n.watermark.RecordCancellation(n.clock.Now(), id)
 	}
-	n.finals.Keep(id, f)
+	n.finals.Remember(id, f)
 }
 
-func (n *Node) finalOf(id string) (store.FinalRecord, bool) { return n.finals.Of(id) }
+func (n *Controller) finalOf(id string) (store.FinalRecord, bool) { return n.finals.Get(id) }
 
 // source ties a term's core to its committer.
 type source struct {
 	*Core
-	n *Node
+	n *Controller
 }
 
-func (s source) Condition() (store.Cond, bool) {
+func (s source) Condition() (store.Condition, bool) {
 	term, valid := s.n.elector.Term()
-	return store.Cond{Key: store.LeaderKey, Stamp: s.term}, valid && term == s.term
+	return store.Condition{Key: store.LeaderKey, Revision: s.term}, valid && term == s.term
 }
 
 // Record has a cancellation known to the siblings before it can be read by anyone.
-func (s source) Record(key string) (value any, exists bool, more []store.Cond) {
+func (s source) Record(key string) (value any, exists bool, more []store.Condition) {
 	value, exists, more = s.Core.Record(key)
-	if rec, ok := value.(store.JobRecord); ok && rec.Final == api.Withdrawn {
-		s.n.watermark.Tell(s.n.clock.Now(), rec.Job.ID)
+	if rec, ok := value.(store.JobRecord); ok && rec.FinalState == api.Cancelled {
+		s.n.watermark.RecordCancellation(s.n.clock.Now(), rec.Job.ID)
 	}
 	return value, exists, more
 }
@@ -353,13 +353,13 @@
 func (s source) Deposed() { s.n.elector.Resign("deposed") }
 
 // Elected starts a term.
-func (n *Node) Elected(term uint64) {
+func (n *Controller) Elected(term uint64) {
 	ctx, end := context.WithCancel(n.ctx)
 	var com *store.Committer
 	hooks := Hooks{
-		Touch: func(key string, urgency int, after func()) { com.Touch(key, urgency, after) },
+		Touch: func(key string, urgency int, after func()) { com.MarkDirty(key, urgency, after) },
 		Later: func(key string, urgency int, wait time.Duration, after func()) {
-			com.TouchLater(key, urgency, wait, after)
+			com.MarkDirtyWithin(key, urgency, wait, after)
 		},
 		Valid: func() bool {
 			t, valid := n.elector.Term()
@@ -374,7 +374,7 @@
 	types := n.types
 	n.mu.Unlock()
 	core := NewCore(term, n.clock, n.set, n.policy, types, hooks)
-	core.hooks.Send = func(name, addr string, o api.Orders) { go n.send(ctx, core, name, addr, o) }
+	core.hooks.Send = func(name, addr string, o api.HeartbeatResponse) { go n.send(ctx, core, name, addr, o) }
 	if n.data.On {
 		core.hooks.Stage = func(name, addr string, o api.StageOrder) { go n.order(ctx, core, name, addr, o) }
 		core.UseData(n.data)
@@ -389,7 +389,7 @@
 	com = store.NewCommitter(n.client, source{core, n}, n.clock, n.set.Facts.State, map[string]uint64{})
 	own := func() {
 		core.OwnRecords()
-		com.Keep(n.set.Facts.State.Least().ValueBytes())
+		com.SetValueLimit(n.set.Facts.State.Least().ValueBytes())
 	}
 	n.mu.Lock()
 	n.core, n.end, n.own, n.applier = core, end, own, applier
@@ -401,12 +401,12 @@
 }
 
 // cut tells whether no controller in another zone can be reached.
-func (n *Node) cut(zone string) bool {
+func (n *Controller) cut(zone string) bool {
 	there := false
-	for _, s := range n.set.Siblings {
+	for _, s := range n.set.Peers {
 		if s.Zone == zone {
 			there = true
-			if n.peers.Reaches(s.Member) {
+			if n.peers.Reachable(s.Member) {
 				return false
 			}
 		}
@@ -415,7 +415,7 @@
 }
 
 // Lost ends a term.
-func (n *Node) Lost(uint64, string) {
+func (n *Controller) Lost(uint64, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.end != nil {
@@ -424,12 +424,12 @@
 	n.core, n.end, n.own, n.applier = nil, nil, nil, nil
 }
 
-func (n *Node) term(ctx context.Context, core *Core, com *store.Committer, applier *revisions.Applier) {
+func (n *Controller) term(ctx context.Context, core *Core, com *store.Committer, applier *revisions.Applier) {
 	var inbox, known uint64
 	for ctx.Err() == nil {
 		if applier != nil {
 			// What was read before this term may be older than what the last leader put in force.
-			if err := applier.Begin(ctx); err != nil {
+			if err := applier.Load(ctx); err != nil {
 				slog.Error("configuration not read", "err", err)
 				n.sleep(ctx, tuning.ElectRetry)
 				continue
@@ -452,19 +452,19 @@
 			if images, _, ierr := n.client.List(ctx, store.ImagesPrefix); ierr == nil {
 				core.Hint(images)
 				for _, it := range images {
-					com.Know(it.Key, it.Stamp)
+					com.SetRevision(it.Key, it.Revision)
 				}
 			}
 			if n.data.On {
-				if holds, _, herr := n.client.List(ctx, store.HoldsPrefix); herr == nil {
+				if holds, _, herr := n.client.List(ctx, store.ReplicasPrefix); herr == nil {
 					core.HoldsHint(holds)
 					for _, it := range holds {
-						com.Know(it.Key, it.Stamp)
+						com.SetRevision(it.Key, it.Revision)
 					}
 				}
 			}
 			for _, it := range append(jobs, shards...) {
-				com.Know(it.Key, it.Stamp)
+				com.SetRevision(it.Key, it.Revision)
 			}
 			core.Load(jobs, shards)
 		}
@@ -504,25 +504,25 @@
 }
 
 // unfit is why this node should no longer lead; empty: it should.
-func (n *Node) unfit(core *Core) string {
-	for _, h := range n.peers.Alive() {
+func (n *Controller) unfit(core *Core) string {
+	for _, h := range n.peers.LivePeers() {
 		if h.Term > core.term {
 			return "a sibling has a higher term"
 		}
 	}
-	if core.hooks.Valid() && n.slow.Due(n.clock.Now(), core.started, n.pace.Own(), n.peers.Alive()) {
+	if core.hooks.Valid() && n.slow.Due(n.clock.Now(), core.started, n.pace.ComparisonUS(), n.peers.LivePeers()) {
 		return "computes slower than a sibling"
 	}
-	if core.hooks.Valid() && core.deafened(n.peers.Alive()) {
+	if core.hooks.Valid() && core.deafened(n.peers.LivePeers()) {
 		return "reaches no worker, a sibling does"
 	}
-	if !n.peers.CutOff() {
+	if !n.peers.Isolated() {
 		return ""
 	}
 	switch {
 	case n.deaf(core):
 		return "hears neither workers nor siblings"
-	case n.elector.Overdue() > tuning.DeafAfter:
+	case n.elector.ExpiredFor() > tuning.DeafAfter:
 		// With the siblings answering this would be an outage, in which
 		// workers must go on being answered.
 		return "reaches neither the state service nor siblings"
@@ -533,12 +533,12 @@
 // deaf tells whether nobody is heard for long. The workers of silent siblings try one
 // dead end after the other: whoever leads alone must give them a lease's time, or
 // they find nobody when they come.
-func (n *Node) deaf(core *Core) bool {
+func (n *Controller) deaf(core *Core) bool {
 	return n.clock.Since(core.started) > seconds(n.set.Facts.Workers.LeaseS) && n.clock.Since(core.listening()) > tuning.DeafAfter
 }
 
 // inbox takes in jobs that siblings accepted while they did not reach us.
-func (n *Node) inbox(ctx context.Context, core *Core, com *store.Committer, after uint64) {
+func (n *Controller) inbox(ctx context.Context, core *Core, com *store.Committer, after uint64) {
 	// take is done with a key, or has to look again: a job that was passed over here stood
 	// on record, accepted, and ran only once its user had asked for it.
 	take := func(key string) bool {
@@ -548,7 +548,7 @@
 			return false
 		}
 		if err == nil && !core.Has(id) {
-			com.Know(it.Key, it.Stamp)
+			com.SetRevision(it.Key, it.Revision)
 			core.Conflict(store.JobKey(id), &it)
 		}
 		in, err := n.client.Get(ctx, key)
@@ -562,8 +562,8 @@
 		if json.Unmarshal(in.Value, &rec) == nil && rec.Cancel {
 			core.Cancel(ctx, id)
 		}
-		com.Know(key, in.Stamp)
-		com.Touch(key, store.Lazy, nil)
+		com.SetRevision(key, in.Revision)
+		com.MarkDirty(key, store.Lazy, nil)
 		return true
 	}
 	all := true
@@ -586,7 +586,7 @@
 			log, epoch, err = n.client.Watch(ctx, store.InboxPrefix, after, block)
 		}
 		if err != nil {
-			all = all || errors.Is(err, store.ErrTooOld)
+			all = all || errors.Is(err, store.ErrCompacted)
 			n.sleep(ctx, tuning.ElectRetry)
 			continue
 		}
@@ -604,11 +604,11 @@
 }
 
 // send delivers a direct command.
-func (n *Node) send(ctx context.Context, core *Core, name, addr string, o api.Orders) {
+func (n *Controller) send(ctx context.Context, core *Core, name, addr string, o api.HeartbeatResponse) {
 	r, _, err := n.worker.Send(ctx, addr, o)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
-		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrScarce) {
+		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
 			core.Refused(name)
 		}
 		core.Answered(name, o, nil, errors.Is(err, worker.ErrNotSent))
@@ -622,7 +622,7 @@
 
 // deposed ends the term if a worker's word of a higher one can be true: while our key certainly
 // stands nobody else can have won one, and a worker that claims it must not end every term.
-func (n *Node) deposed(core *Core) bool {
+func (n *Controller) deposed(core *Core) bool {
 	if core.hooks.Valid() {
 		return false
 	}
@@ -632,7 +632,7 @@
 
 // machines reads the cloud's list. The first one tells a new leader whom to
 // show its term, so that workers turn to it at once.
-func (n *Node) machines(ctx context.Context, core *Core) {
+func (n *Controller) machines(ctx context.Context, core *Core) {
 	first := true
 	for ctx.Err() == nil {
 		list, err := n.cloud.List(ctx)
@@ -654,24 +654,24 @@
 
 // show lets a worker see our term. Its session is not known: a wrong guess is
 // answered with the right one.
-func (n *Node) show(ctx context.Context, core *Core, name, addr string) {
+func (n *Controller) show(ctx context.Context, core *Core, name, addr string) {
 	session := uint64(1)
 	for range 2 {
-		o := api.Orders{Term: core.term, Session: session, Commands: []api.Command{}}
+		o := api.HeartbeatResponse{Term: core.term, Incarnation: session, Commands: []api.Command{}}
 		r, done, err := n.worker.Send(ctx, addr, o)
 		if err != nil {
 			return
 		}
-		if done || r.Session == session {
+		if done || r.Incarnation == session {
 			core.Answered(name, o, r, true)
 			return
 		}
-		session = r.Session
+		session = r.Incarnation
 	}
 }
 
 // tend rents and returns machines.
-func (n *Node) tend(ctx context.Context, core *Core) {
+func (n *Controller) tend(ctx context.Context, core *Core) {
 	for ctx.Err() == nil {
 		if names := core.Tend(); len(names) > 0 {
 			for len(names) > 0 {
@@ -696,7 +696,7 @@
 // giveBack returns machines to the cloud. Whether we lead is looked at once more: this
 // process may have stood still since that was decided, and the machines may work for
 // another leader by now.
-func (n *Node) giveBack(ctx context.Context, core *Core, names []string) {
+func (n *Controller) giveBack(ctx context.Context, core *Core, names []string) {
 	err := errNoTerm
 	if core.hooks.Valid() {
 		err = n.cloud.Return(ctx, names)
@@ -707,12 +707,12 @@
 	core.Returned(names, err)
 }
 
-// Report answers a worker. Its zone's own controller is its home, so that a cut
+// HandleHeartbeat answers a worker. Its zone's own controller is its home, so that a cut
 // between zones does not take its answers away: that one passes reports on to
 // the leader, and relays them once it cannot.
-func (n *Node) Report(ctx context.Context, r *api.Report, raw []byte) (status int, body any) {
+func (n *Controller) HandleHeartbeat(ctx context.Context, r *api.Heartbeat, raw []byte) (status int, body any) {
 	n.mu.Lock()
-	fresh := n.newest.Take(r)
+	fresh := n.newest.Accept(r)
 	if fresh {
 		n.hearing = n.clock.Now()
 	}
@@ -720,24 +720,24 @@
 	if !fresh {
 		// A copy that came late shows neither that workers reach this node nor where one is; an
 		// answer without a token renews nothing.
-		return http.StatusOK, api.Orders{Commands: []api.Command{}}
+		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
 	if core := n.leading(); core != nil {
 		if to := n.nodeFor(r.Zone, n.set.Member); to != n.set.Member && n.bounce(r.Machine, to) {
-			return http.StatusMisdirectedRequest, api.Redirect{Node: to}
+			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
 		}
 		return n.judge(core, r, "")
 	}
 	leader, term := n.elector.Leader()
-	leader, term, there := whoLeads(leader, term, n.peers.Alive())
-	if prev := n.previous(); !n.stateOK() && n.peers.CutOff() && n.bounce(r.Machine, prev) {
+	leader, term, there := whoLeads(leader, term, n.peers.LivePeers())
+	if prev := n.previous(); !n.stateOK() && n.peers.Isolated() && n.bounce(r.Machine, prev) {
 		// Reaching neither the state service nor any sibling, we are the one
 		// that is cut off, or all of our zone is. A worker that comes back
 		// reaches nobody else either, and stays.
-		return http.StatusMisdirectedRequest, api.Redirect{Node: prev}
+		return http.StatusMisdirectedRequest, api.Redirect{Controller: prev}
 	}
 	if leader == "" || leader == n.set.Member {
-		last, since := n.elector.Vacant()
+		last, since := n.elector.LeaderlessFor()
 		if last == 0 || r.Term > last || since > tuning.Interregnum && n.stateOK() {
 			return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 		}
@@ -746,11 +746,11 @@
 		}
 		// Between two leaders the last one's token still keeps leases. Sent
 		// away, a worker might try nodes beyond a cut until its lease ends.
-		return http.StatusOK, n.ending(r, api.Orders{Term: last, Commands: []api.Command{}})
+		return http.StatusOK, n.ending(r, api.HeartbeatResponse{Term: last, Commands: []api.Command{}})
 	}
 	if there {
 		if to := n.nodeFor(r.Zone, leader); to != n.set.Member && n.bounce(r.Machine, to) {
-			return http.StatusMisdirectedRequest, api.Redirect{Node: to}
+			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
 		}
 		if a, err := n.peers.Ask(ctx, leader, peer.Request{Verb: verbReport, Body: raw, From: n.set.Member}, tuning.PeerTimeout); err == nil && a.Status != http.StatusMisdirectedRequest {
 			return a.Status, json.RawMessage(a.Body)
@@ -769,9 +769,9 @@
 
 // previous is the sibling that comes before us in the order in which workers try
 // nodes: one that finds nobody there comes straight back.
-func (n *Node) previous() string {
+func (n *Controller) previous() string {
 	prev, last := "", ""
-	for _, s := range n.set.Siblings {
+	for _, s := range n.set.Peers {
 		last = max(last, s.Member)
 		if s.Member < n.set.Member {
 			prev = max(prev, s.Member)
@@ -784,12 +784,12 @@
 }
 
 // bounce tells whether a worker may be sent to another node.
-func (n *Node) bounce(worker, to string) bool {
+func (n *Controller) bounce(worker, to string) bool {
 	// One that greets nobody is judged by nothing but whether workers come back.
 	hears := true
-	for _, h := range n.peers.Alive() {
+	for _, h := range n.peers.LivePeers() {
 		if h.Member == to {
-			hears = h.HearsWorkers
+			hears = h.ReceivesHeartbeats
 		}
 	}
 	n.mu.Lock()
@@ -812,7 +812,7 @@
 }
 
 // judge answers a report as the leader. Via is the sibling that passes it on.
-func (n *Node) judge(core *Core, r *api.Report, via string) (status int, body any) {
+func (n *Controller) judge(core *Core, r *api.Heartbeat, via string) (status int, body any) {
 	// A leader that has not read the records knows of cancellations what its siblings say, or nothing.
 	sure := n.sure()
 	kept := sure || n.keeps()
@@ -829,7 +829,7 @@
 		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
 	case !kept:
 		// The worker waits here, unanswered as far as its lease goes, until the records are read.
-		return http.StatusOK, api.Orders{Commands: []api.Command{}}
+		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	case !sure:
 		o = n.ending(r, o)
 	}
@@ -838,35 +838,35 @@
 
 // nodeFor is the controller that a zone's workers should report to: the leader if it
 // is there, else their home, or, next to a silent controller, the one behind it.
-func (n *Node) nodeFor(zone, leader string) string {
+func (n *Controller) nodeFor(zone, leader string) string {
 	to := leader
 	if n.zoneOf(leader) != zone {
 		if home := n.home(zone); home != "" {
 			to = home
 		}
 	}
-	ring := append([]settings.Sibling{{Member: n.set.Member, Zone: n.set.Zone}}, n.set.Siblings...)
-	return redirect.Shelter(ring, to, zone, func(m string) bool {
-		return m != n.set.Member && n.clock.Since(n.born) > tuning.PeerDead+tuning.PeerHello && n.peers.Silent(m)
+	ring := append([]settings.Peer{{Member: n.set.Member, Zone: n.set.Zone}}, n.set.Peers...)
+	return redirect.Target(ring, to, zone, func(m string) bool {
+		return m != n.set.Member && n.clock.Since(n.born) > tuning.PeerDead+tuning.PeerHello && n.peers.Unresponsive(m)
 	})
 }
 
 // home is the controller that a zone's workers report to: this one if it is
 // there, else the first within reach that is; none if no one is.
-func (n *Node) home(zone string) string {
+func (n *Controller) home(zone string) string {
 	if zone == n.set.Zone {
 		return n.set.Member
 	}
-	for _, s := range n.set.Siblings {
-		if s.Zone == zone && n.peers.Reaches(s.Member) {
+	for _, s := range n.set.Peers {
+		if s.Zone == zone && n.peers.Reachable(s.Member) {
 			return s.Member
 		}
 	}
 	return ""
 }
 
-func (n *Node) zoneOf(member string) string {
-	for _, s := range n.set.Siblings {
+func (n *Controller) zoneOf(member string) string {
+	for _, s := range n.set.Peers {
 		if s.Member == member {
 			return s.Zone
 		}
@@ -875,9 +875,9 @@
 }
 
 // passedOn serves a report that a sibling passes on.
-func (n *Node) passedOn(from string, raw []byte) peer.Answer {
+func (n *Controller) passedOn(from string, raw []byte) peer.Response {
 	core := n.leading()
-	var r api.Report
+	var r api.Heartbeat
 	if err := json.Unmarshal(raw, &r); err != nil || r.Check() != nil || core == nil {
 		return answer(http.StatusMisdirectedRequest, api.Redirect{})
 	}
@@ -886,7 +886,7 @@
 
 // Handle serves a user's request, here or at the leader. Forwarded: it comes
 // from a sibling and is not passed on.
-func (n *Node) Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Answer {
+func (n *Controller) Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if forwarded && r.Verb == verbReport {
 		return n.passedOn(r.From, r.Body)
 	}
@@ -909,7 +909,7 @@
 
 // comeBack tells the user of a job that cannot be taken now when to come back: each another
 // time, spread over as long as it takes to take all that wait.
-func (n *Node) comeBack(a *peer.Answer, body []byte) {
+func (n *Controller) comeBack(a *peer.Response, body []byte) {
 	refused := a.Status == http.StatusServiceUnavailable
 	n.mu.Lock()
 	none := n.retries.Waiting() == 0
@@ -927,7 +927,7 @@
 	}
 }
 
-func (n *Node) handle(ctx context.Context, r peer.Request, forwarded bool) peer.Answer {
+func (n *Controller) handle(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if r.Verb == VerbMembers {
 		return n.aboutMembers()
 	}
@@ -964,7 +964,7 @@
 		return later(notLeading)
 	}
 	leader, term := n.elector.Leader()
-	leader, _, there := whoLeads(leader, term, n.peers.Alive())
+	leader, _, there := whoLeads(leader, term, n.peers.LivePeers())
 	if there {
 		a, err := n.peers.Ask(ctx, leader, r, patience(r.Verb))
 		switch {
@@ -988,7 +988,7 @@
 const notLeading = "not the leader"
 
 // leads tells whether an answer is a leader's.
-func leads(a peer.Answer) bool {
+func leads(a peer.Response) bool {
 	var e api.Error
 	return a.Status != http.StatusServiceUnavailable || json.Unmarshal(a.Body, &e) != nil || e.Error != notLeading
 }
@@ -1006,7 +1006,7 @@
 
 // serve answers as the leader (core) or, while the leader is out of reach,
 // from the state service itself.
-func (n *Node) serve(ctx context.Context, core *Core, r peer.Request) peer.Answer {
+func (n *Controller) serve(ctx context.Context, core *Core, r peer.Request) peer.Response {
 	switch r.Verb {
 	case VerbSubmit:
 		return n.serveSubmission(ctx, core, r.Body)
@@ -1023,7 +1023,7 @@
 	return answer(http.StatusNotFound, api.Error{Error: "no such request"})
 }
 
-func (n *Node) serveCancellation(ctx context.Context, core *Core, id string) peer.Answer {
+func (n *Controller) serveCancellation(ctx context.Context, core *Core, id string) peer.Response {
 	if core == nil {
 		return n.cancelAlone(ctx, id)
 	}
@@ -1039,7 +1039,7 @@
 	return a
 }
 
-func (n *Node) serveSubmission(ctx context.Context, core *Core, body []byte) peer.Answer {
+func (n *Controller) serveSubmission(ctx context.Context, core *Core, body []byte) peer.Response {
 	s, id, err := api.ParseSubmission(body)
 	if id != "" {
 		if f, ok := n.finalOf(id); ok {
@@ -1090,7 +1090,7 @@
 }
 
 // judgeSubmission checks what can be wrong with a submission, one thing after the other.
-func (n *Node) judgeSubmission(ctx context.Context, core *Core, s *api.Submission, body []byte) (v verdict) {
+func (n *Controller) judgeSubmission(ctx context.Context, core *Core, s *api.Submission, body []byte) (v verdict) {
 	v.status = http.StatusUnprocessableEntity
 	v.judged, v.err, v.undecided = n.canRun(core, s)
 	if v.err == nil {
@@ -1115,7 +1115,7 @@
 
 // refuse answers a submission that cannot be accepted, for good or for now. A known id is never refused, whatever the
 // body, nor sent away while nothing can be judged.
-func (n *Node) refuse(ctx context.Context, core *Core, id string, v verdict) peer.Answer {
+func (n *Controller) refuse(ctx context.Context, core *Core, id string, v verdict) peer.Response {
 	if id != "" {
 		if core != nil {
 			if here, _, _ := core.Awaitable(id); here {
@@ -1142,8 +1142,8 @@
 }
 
 // fits finds a job whose record is too large for the state service.
-func (n *Node) fits(s *api.Submission) error {
-	raw, err := json.Marshal(store.JobRecord{Job: *s, At: math.MaxInt64, Final: api.Withdrawn, FinalAt: math.MaxInt64})
+func (n *Controller) fits(s *api.Submission) error {
+	raw, err := json.Marshal(store.JobRecord{Job: *s, At: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
 	if most := n.set.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
 	}
@@ -1151,7 +1151,7 @@
 }
 
 // told answers from the state service.
-func (n *Node) told(ctx context.Context, core *Core, id string, waits bool) peer.Answer {
+func (n *Controller) told(ctx context.Context, core *Core, id string, waits bool) peer.Response {
 	st, found, err := n.lookUp(ctx, core, id, waits)
 	switch {
 	case err != nil:
@@ -1164,7 +1164,7 @@
 
 // lookUp reads a job's record: its own key first, since the final one is
 // written before that goes. Waits: a question's user waits for its turn; a submission is refused at once.
-func (n *Node) lookUp(ctx context.Context, core *Core, id string, waits bool) (_ api.JobStatus, found bool, err error) {
+func (n *Controller) lookUp(ctx context.Context, core *Core, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
@@ -1173,12 +1173,12 @@
 		asked = id
 		defer func() {
 			if err == nil {
-				n.records.Turns.Answered(id)
+				n.records.Queue.Answered(id)
 			}
 		}()
 	}
 	// Questions must not take the requests that leading needs.
-	x, err := n.records.Ask(ctx, id, asked)
+	x, err := n.records.ReadInTurn(ctx, id, asked)
 	switch {
 	case err != nil || !x.Found:
 		return api.JobStatus{}, false, err
@@ -1198,25 +1198,25 @@
 	st := api.JobStatus{ID: id, State: api.Pending}
 	if x.Final.State != "" {
 		st.State = x.Final.State
-	} else if gone, err := n.records.Withdrawn(ctx, x.Awaits, asked); err != nil {
+	} else if gone, err := n.records.DependsOnCancelled(ctx, x.Awaits, asked); err != nil {
 		return st, false, err
 	} else if gone {
-		st.State = api.Withdrawn
+		st.State = api.Cancelled
 	}
 	return st, true, nil
 }
 
 // submitAlone accepts a job without the leader, which learns of it by the
 // inbox, as long as further conditions hold.
-func (n *Node) submitAlone(ctx context.Context, s *api.Submission, body []byte, more ...store.Cond) peer.Answer {
+func (n *Controller) submitAlone(ctx context.Context, s *api.Submission, body []byte, more ...store.Condition) peer.Response {
 	rec := store.JobRecord{Job: *s, At: n.clock.Now().UnixMilli()}
-	conds := []store.Cond{{Key: store.JobKey(s.ID)}, {Key: store.FinalKey(s.ID)}}
+	conds := []store.Condition{{Key: store.JobKey(s.ID)}, {Key: store.FinalKey(s.ID)}}
 	inputs, err := n.inputsStand(ctx, s)
 	if err != nil {
 		return later("the state service is out of reach")
 	}
-	_, failed, err := n.alone.Multi(ctx, slices.Concat(conds, more, inputs),
-		[]store.Op{{Set: store.JobKey(s.ID), Value: rec}, {Set: store.InboxKey(s.ID), Value: store.InboxRecord{}}})
+	_, failed, err := n.alone.Transact(ctx, slices.Concat(conds, more, inputs),
+		[]store.Operation{{Set: store.JobKey(s.ID), Value: rec}, {Set: store.InboxKey(s.ID), Value: store.InboxRecord{}}})
 	switch {
 	case err == nil:
 		return answer(http.StatusCreated, api.JobStatus{ID: s.ID, State: api.Pending})
@@ -1238,7 +1238,7 @@
 
 // cancelAlone cancels while there is no leader; with one, only it may, since it
 // answers polls from memory.
-func (n *Node) cancelAlone(ctx context.Context, id string) peer.Answer {
+func (n *Controller) cancelAlone(ctx context.Context, id string) peer.Response {
 	if !api.ValidID(id) {
 		return answer(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
@@ -1250,20 +1250,20 @@
 	if err != nil || json.Unmarshal(it.Value, &rec) != nil {
 		return later("the state service is out of reach")
 	}
-	if rec.Final == "" {
-		rec.Final, rec.FinalAt = api.Withdrawn, n.clock.Now().UnixMilli()
-		_, _, err = n.alone.Multi(ctx,
-			[]store.Cond{{Key: store.LeaderKey}, {Key: it.Key, Stamp: it.Stamp}},
-			[]store.Op{{Set: it.Key, Value: rec}})
+	if rec.FinalState == "" {
+		rec.FinalState, rec.FinalAt = api.Cancelled, n.clock.Now().UnixMilli()
+		_, _, err = n.alone.Transact(ctx,
+			[]store.Condition{{Key: store.LeaderKey}, {Key: it.Key, Revision: it.Revision}},
+			[]store.Operation{{Set: it.Key, Value: rec}})
 		if errors.Is(err, store.ErrConflict) {
 			// The leader is asked through the state service; the user's next
 			// try finds its answer there.
-			_, _, _ = n.client.Multi(ctx, []store.Cond{{Key: it.Key, Stamp: it.Stamp}},
-				[]store.Op{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
+			_, _, _ = n.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}},
+				[]store.Operation{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
 		}
 		if err != nil {
 			return later("the leader is out of reach")
 		}
 	}
-	return answer(http.StatusOK, api.JobStatus{ID: id, State: rec.Final})
+	return answer(http.StatusOK, api.JobStatus{ID: id, State: rec.FinalState})
 }
--- a/controller/pipes.go
+++ b/controller/pipes.go
@@ -34,7 +34,7 @@
 func (p *pipes) ended(id string) (state string, known bool) {
 	if j := p.core.jobs[id]; j != nil {
 		if j.stored {
-			return j.Final, true
+			return j.FinalState, true
 		}
 		return "", true
 	}
@@ -52,7 +52,7 @@
 	for _, id := range j.Job.Awaits {
 		state, known := p.ended(id)
 		switch {
-		case state == api.Withdrawn:
+		case state == api.Cancelled:
 			p.withdraw(j, id)
 			return true
 		case state == api.Done:
@@ -65,7 +65,7 @@
 	if len(open) == 0 {
 		return false
 	}
-	p.graph.Wait(j.id, open)
+	p.graph.Add(j.id, open)
 	j.waits = true
 	return true
 }
@@ -78,7 +78,7 @@
 	}
 	seen := map[string]bool{}
 	for todo := []string{j.id}; len(todo) > 0; todo = todo[1:] {
-		for _, id := range p.graph.Needs(todo[0]) {
+		for _, id := range p.graph.Dependencies(todo[0]) {
 			if p.missing[id] {
 				return true
 			}
@@ -105,13 +105,13 @@
 	sought := p.missing[id]
 	delete(p.missing, id)
 	if state == api.Done {
-		for _, next := range p.graph.Done(id) {
+		for _, next := range p.graph.Complete(id) {
 			p.release(next, sought)
 		}
 		return
 	}
-	for _, next := range p.graph.Cancelled(id) {
-		if j := p.core.jobs[next]; j != nil && j.Final == "" {
+	for _, next := range p.graph.Cancel(id) {
+		if j := p.core.jobs[next]; j != nil && j.FinalState == "" {
 			p.withdraw(j, id)
 		}
 	}
@@ -121,7 +121,7 @@
 // under an earlier leader, and the job may have waited since.
 func (p *pipes) release(id string, sought bool) {
 	j := p.core.jobs[id]
-	if j == nil || j.Final != "" {
+	if j == nil || j.FinalState != "" {
 		return
 	}
 	j.waits, j.arrived, j.began = false, p.core.now(), p.core.now().UnixMilli()
@@ -138,8 +138,8 @@
 func (p *pipes) withdraw(j *job, with string) {
 	c := p.core
 	j.waits = false
-	j.decide(c, api.Withdrawn)
-	slog.Info("job over", "job", j.id, "class", j.Job.Class, "state", j.Final, "with", with)
+	j.decide(c, api.Cancelled)
+	slog.Info("job over", "job", j.id, "class", j.Job.Class, "state", j.FinalState, "with", with)
 	for _, a := range j.live {
 		// Only a damaged record says so.
 		c.stopTask(a, tuning.CancelKill, "cancelled")
@@ -162,9 +162,9 @@
 // that is up.
 func (p *pipes) reach(cpus float64) {
 	c := p.core
-	got := p.graph.Reach(func(id string) (dag.Stage, bool) {
+	got := p.graph.Inherit(func(id string) (dag.Stage, bool) {
 		j := c.jobs[id]
-		if j == nil || j.Final != "" {
+		if j == nil || j.FinalState != "" {
 			return dag.Stage{}, false
 		}
 		return dag.Stage{Rank: j.Job.RankLevel(), TakesMS: p.takes(j, cpus), DuesMS: c.dues(j)}, true
@@ -203,9 +203,9 @@
 	for _, t := range c.types {
 		boot = max(boot, t.BootS)
 	}
-	for _, id := range p.graph.Needs(j.id) {
+	for _, id := range p.graph.Dependencies(j.id) {
 		o := c.jobs[id]
-		if o == nil || o.waits || o.Final == "" && (len(o.pending)+o.queued > 0 || len(o.live) == 0) {
+		if o == nil || o.waits || o.FinalState == "" && (len(o.pending)+o.queued > 0 || len(o.live) == 0) {
 			return false
 		}
 		for _, a := range o.live {
@@ -219,14 +219,14 @@
 
 // why says what a job waits for.
 func (p *pipes) why(j *job) (why []string) {
-	for _, id := range p.graph.Needs(j.id) {
+	for _, id := range p.graph.Dependencies(j.id) {
 		state := "is not over"
 		switch o := p.core.jobs[id]; {
 		case o == nil:
 			state = "is being looked up"
 		case o.waits:
-			state = fmt.Sprintf("waits itself for %s", strings.Join(p.graph.Needs(id), ", "))
-		case o.Final != "":
+			state = fmt.Sprintf("waits itself for %s", strings.Join(p.graph.Dependencies(id), ", "))
+		case o.FinalState != "":
 			state = "is over; its record is being stored"
 		default:
 			state = fmt.Sprintf("has %d of %d tasks done", o.done, o.total)
--- a/controller/pipes_test.go
+++ b/controller/pipes_test.go
@@ -28,13 +28,13 @@
 var tiny = await()
 
 // beside is another controller, which answers from the records alone. All members are marked.
-func (s *stage) beside() *Node {
+func (s *stage) beside() *Controller {
 	set := &settings.Settings{Member: "y"}
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
-	n := NewNode(context.Background(), set, policy.Default(), s.clock, s.state)
+	n := New(context.Background(), set, policy.Default(), s.clock, s.state)
 	n.types = testTypes
-	n.marks.Saw("y", upgrade.Mark{Data: upgrade.Data})
+	n.marks.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	return n
 }
 
@@ -60,7 +60,7 @@
 	for key, a := range s.machines[machine].assigns {
 		if a.committed && a.job.id == id {
 			ran = append(ran, task(key, a.attempt, api.TaskRunning, ""))
-			done = append(done, task(key, a.attempt, api.TaskEnded, api.CauseDone))
+			done = append(done, task(key, a.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
 	if len(done) == 0 {
@@ -89,8 +89,8 @@
 	s.commit()
 	st := s.starts("run-000001/0")[0].o.Commands[0]
 	s.report("a1", 1, task("run-000001/0", st.Attempt, api.TaskRunning, ""))
-	s.report("a1", 1, task("run-000001/0", st.Attempt, api.TaskEnded, api.CauseDone))
-	if s.jobs["run-000001"].Final != api.Done {
+	s.report("a1", 1, task("run-000001/0", st.Attempt, api.TaskExited, api.CauseDone))
+	if s.jobs["run-000001"].FinalState != api.Done {
 		t.Fatal("not decided")
 	}
 	s.Place()
@@ -123,7 +123,7 @@
 		}
 		s.Cancel(gaveUp(), "run-000000")
 		s.com.Step(context.Background())
-		if rec := string(s.state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, api.Withdrawn) {
+		if rec := string(s.state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, api.Cancelled) {
 			t.Fatalf("the cancellation is not the first record: %s", rec)
 		}
 		for range steps {
@@ -131,7 +131,7 @@
 		}
 		check := func(who string, says func(id string) string) {
 			for i := 1; i < 30; i++ {
-				if id := fmt.Sprintf("run-%06d", i); says(id) != api.Withdrawn {
+				if id := fmt.Sprintf("run-%06d", i); says(id) != api.Cancelled {
 					t.Fatalf("%s, after %d further writes: %s is %q", who, steps, id, says(id))
 				}
 			}
@@ -173,7 +173,7 @@
 	s.Cancel(gaveUp(), "run-000000")
 	s.com.Step(context.Background())
 	for i := 1; i <= 1000; i++ {
-		if st := s.status(fmt.Sprintf("run-%06d", i)); st != api.Withdrawn {
+		if st := s.status(fmt.Sprintf("run-%06d", i)); st != api.Cancelled {
 			t.Fatalf("run-%06d is %q", i, st)
 		}
 	}
@@ -215,14 +215,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.com.Know(it.Key, it.Stamp)
+				s.com.SetRevision(it.Key, it.Revision)
 				s.Conflict(it.Key, &it)
 			}
-			if st := s.status("run-000002"); st != api.Withdrawn {
+			if st := s.status("run-000002"); st != api.Cancelled {
 				t.Errorf("%s first, alone %v: %q", first, alone, st)
 			}
 			st, _, err := s.beside().lookUp(context.Background(), nil, "run-000002", true)
-			if err != nil || st.State != api.Withdrawn {
+			if err != nil || st.State != api.Cancelled {
 				t.Errorf("%s first, alone %v, from the records: %v %v", first, alone, st, err)
 			}
 			s.Place()
@@ -261,9 +261,9 @@
 	for i := range tuning.AwaitsMost + 1 {
 		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+i))
 	}
-	ask := func(awaits string) peer.Answer {
+	ask := func(awaits string) peer.Response {
 		body := strings.Replace(submission("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
-		got := make(chan peer.Answer, 1)
+		got := make(chan peer.Response, 1)
 		go func() {
 			got <- n.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
 		}()
@@ -314,20 +314,20 @@
 	s := newStage(t)
 	s.submit("run-000001", 1, tiny)
 	n := s.beside()
-	n.marks = upgrade.NewMarker("y", []string{"y", "z"}, n.client, s.clock)
-	n.marks.Saw("y", upgrade.Mark{Data: upgrade.Data})
+	n.marks = upgrade.NewVersionRegistry("y", []string{"y", "z"}, n.client, s.clock)
+	n.marks.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	body := strings.Replace(submission("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
-	ask := func() peer.Answer {
+	ask := func() peer.Response {
 		return n.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
 	}
 	if a := ask(); a.Status != 503 || a.RetryAfterS == 0 || !strings.Contains(string(a.Body), "not seen yet of z") {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
-	n.marks.Saw("z", upgrade.Mark{Data: 1})
+	n.marks.Observe("z", upgrade.VersionMark{Data: 1})
 	if a := ask(); a.Status != 503 {
 		t.Errorf("beside data of version 1: %d", a.Status)
 	}
-	n.marks.Saw("z", upgrade.Mark{Data: upgrade.Data})
+	n.marks.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	if a := ask(); a.Status != 201 {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
@@ -357,9 +357,9 @@
 		for _, id := range p.ids {
 			want := api.Done
 			st := p.says(id)
-			gone[id] = p.cancelled[id] || p.asked[id] && st == api.Withdrawn || slices.ContainsFunc(p.needs[id], func(n string) bool { return gone[n] })
+			gone[id] = p.cancelled[id] || p.asked[id] && st == api.Cancelled || slices.ContainsFunc(p.needs[id], func(n string) bool { return gone[n] })
 			if gone[id] {
-				want = api.Withdrawn
+				want = api.Cancelled
 			}
 			if st != want {
 				t.Fatalf("seed %d: %s is %q in the end, want %s", seed, id, st, want)
@@ -378,7 +378,7 @@
 	told      map[string]string
 	checked   int
 	// alone answers from the records; a new one for each check, as it remembers what is over.
-	alone   *Node
+	alone   *Controller
 	running []api.TaskReport
 }
 
@@ -412,7 +412,7 @@
 				on = append(on, o)
 			}
 		}
-		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.Array, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
+		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
 		await(on...)(&sub)
 		p.Submit(gaveUp(), &sub, p.clock.Now())
 		p.commit()
@@ -429,7 +429,7 @@
 		} else {
 			p.commit()
 		}
-		if a, ok := p.Cancel(gaveUp(), id); ok && a.Status == 200 && strings.Contains(string(a.Body), api.Withdrawn) && !p.lost(id) {
+		if a, ok := p.Cancel(gaveUp(), id); ok && a.Status == 200 && strings.Contains(string(a.Body), api.Cancelled) && !p.lost(id) {
 			p.cancelled[id] = true
 		}
 	case 4:
@@ -454,7 +454,7 @@
 	for key, a := range p.machine("a1").assigns {
 		if a.committed {
 			// It completes at once.
-			p.running = append(p.running, task(key, a.attempt, api.TaskEnded, api.CauseDone))
+			p.running = append(p.running, task(key, a.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
 }
@@ -466,7 +466,7 @@
 	for _, o := range p.sent[min(p.checked, len(p.sent)):] {
 		for _, c := range o.o.Commands {
 			id, _, _ := splitTask(c.Task)
-			if c.Verb != api.Start {
+			if c.Verb != api.CommandRun {
 				continue
 			}
 			for _, n := range p.needs[id] {
@@ -479,10 +479,10 @@
 	p.checked = len(p.sent)
 	for _, id := range p.ids {
 		st := p.says(id)
-		if p.lost(id) && st != api.Withdrawn {
+		if p.lost(id) && st != api.Cancelled {
 			p.Fatalf("seed %d: %s is %q, though one before it was told to be cancelled", seed, id, st)
 		}
-		if was := p.told[id]; (was == api.Done || was == api.Withdrawn) && st != was {
+		if was := p.told[id]; (was == api.Done || was == api.Cancelled) && st != was {
 			p.Fatalf("seed %d: %s was %s and is %s", seed, id, was, st)
 		}
 		p.told[id] = st
@@ -531,7 +531,7 @@
 	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	s.elect()
 	s.OwnRecords()
-	s.com.Keep(2048)
+	s.com.SetValueLimit(2048)
 	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
 	for i := range 10 {
 		s.report(fmt.Sprintf("a%0100d", i), 1)
@@ -540,12 +540,12 @@
 	s.submit("run-000002", 1, func(x *api.Submission) { tiny(x); x.Shape, x.Rank = api.Service, "prod" })
 	s.Place()
 	s.commit()
-	if n := s.com.Waiting(); n > 0 || len(s.state.Refusals()) > 0 || s.state.Largest.Value > 2048 {
+	if n := s.com.Pending(); n > 0 || len(s.state.Refusals()) > 0 || s.state.Largest.Value > 2048 {
 		t.Errorf("%d records wait, refused %v, the largest value has %d bytes", n, s.state.Refusals(), s.state.Largest.Value)
 	}
 	s.Cancel(gaveUp(), "run-000002")
 	s.commit()
-	if x, err := s.beside().records.Read(context.Background(), "run-000002"); err != nil || !x.Service || x.Final.State != api.Withdrawn {
+	if x, err := s.beside().records.Read(context.Background(), "run-000002"); err != nil || !x.Service || x.Final.State != api.Cancelled {
 		t.Errorf("%+v %v", x, err)
 	}
 }
@@ -559,8 +559,8 @@
 	for _, late := range []bool{false, true} {
 		s := newStage(t)
 		s.submit("run-000001", 100, tiny)
-		put := func(size, index int, done []int, on ...store.Placed) {
-			b := store.NewBits(100)
+		put := func(size, index int, done []int, on ...store.PlacedTask) {
+			b := store.NewTaskBitmap(100)
 			for _, i := range done {
 				b.Set(i)
 			}
@@ -568,9 +568,9 @@
 			s.state.Put(sh.Key(), store.ShardRecord{Done: b.Pack(sh), On: on})
 		}
 		first := func() {
-			put(400, 0, []int{3}, store.Placed{Task: 1, Machine: "a1", Attempt: 5}, store.Placed{Task: 50, Machine: "a1", Attempt: 6}, store.Placed{Task: 2, Machine: "a1", Attempt: 7})
+			put(400, 0, []int{3}, store.PlacedTask{Task: 1, Machine: "a1", Attempt: 5}, store.PlacedTask{Task: 50, Machine: "a1", Attempt: 6}, store.PlacedTask{Task: 2, Machine: "a1", Attempt: 7})
 		}
-		second := func() { put(40, 0, []int{4}, store.Placed{Task: 1, Machine: "a2", Attempt: 9}) }
+		second := func() { put(40, 0, []int{4}, store.PlacedTask{Task: 1, Machine: "a2", Attempt: 9}) }
 		if late {
 			second()
 			first()
@@ -663,23 +663,23 @@
 // every member's mark stands; one that begins anew learns it from the records.
 func TestMarksTellWhenNoOlderProcessCanComeBack(t *testing.T) {
 	s := newStage(t)
-	set := &settings.Settings{Member: "y", Siblings: []settings.Sibling{{Member: "z", Address: "127.0.0.1:1"}}}
+	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "z", Address: "127.0.0.1:1"}}}
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24, Next: settings.NextState{ValueKB: 2}}
-	begin := func() *Node {
-		return NewNode(context.Background(), set, policy.Default(), s.clock, s.state)
+	begin := func() *Controller {
+		return New(context.Background(), set, policy.Default(), s.clock, s.state)
 	}
 	n := begin()
-	if n.marks.Mark(context.Background()) || string(s.state.Get("sf/version/y")) != `{"data":2}` {
+	if n.marks.RecordOwn(context.Background()) || string(s.state.Get("sf/version/y")) != `{"data":2}` {
 		t.Fatalf("marked %s", s.state.Get("sf/version/y"))
 	}
 	stamp := s.state.Put("sf/test", 1)
-	if !n.marks.Mark(context.Background()) || s.state.Put("sf/test", 1) != stamp+1 {
+	if !n.marks.RecordOwn(context.Background()) || s.state.Put("sf/test", 1) != stamp+1 {
 		t.Error("its mark was written again")
 	}
 	if old := n.marks.Older(); !slices.Equal(old, []string{"z"}) {
 		t.Errorf("older %v", old)
 	}
-	s.state.Put("sf/version/z", upgrade.Mark{Data: upgrade.Data})
+	s.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	again := begin()
 	again.markVersion(context.Background()) // returns once it has seen all
 	if old := again.marks.Older(); len(old) > 0 {
@@ -712,7 +712,7 @@
 	if r := s.state.Refusals(); len(r) > 0 || s.state.Largest.Ops > 12 {
 		t.Errorf("refused %v", r)
 	}
-	if st := s.status("run-000002"); st != api.Withdrawn {
+	if st := s.status("run-000002"); st != api.Cancelled {
 		t.Errorf("the job behind it is %q", st)
 	}
 }
--- a/controller/place.go
+++ b/controller/place.go
@@ -20,11 +20,11 @@
 )
 
 // total is a machine's whole room.
-func (m *machine) total() fleet.Room {
+func (m *machine) total() fleet.Resources {
 	if m.Spec == nil {
-		return fleet.Room{}
+		return fleet.Resources{}
 	}
-	return fleet.Room{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
+	return fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
 }
 
 // fetchS is the time to get a job's image: none where it is held or, as far as
@@ -33,15 +33,15 @@
 	if m.images[j.Job.Image] > 0 {
 		return 0
 	}
-	return m.FetchS(j.Job.Image, j.Job.ImageGB)
+	return m.FetchSeconds(j.Job.Image, j.Job.ImageGB)
 }
 
-func (m *machine) free() fleet.Room { return m.total().Sub(m.used) }
+func (m *machine) free() fleet.Resources { return m.total().Sub(m.used) }
 
 // usable tells whether a machine may get new work.
 func (c *Core) usable(m *machine) bool {
-	return m.Up && m.Spec != nil && !m.returning && m.TakenAt.IsZero() && !c.suspect(m) &&
-		c.now().After(m.refused) && c.since(m.Heard) < c.quiet(m) && m.line.State(c.now(), c.lease()) == reachability.Reached
+	return m.Up && m.Spec != nil && !m.returning && m.PreemptedAt.IsZero() && !c.suspect(m) &&
+		c.now().After(m.refused) && c.since(m.LastHeartbeat) < c.quiet(m) && m.line.State(c.now(), c.lease()) == reachability.Reachable
 }
 
 // quiet is how long a machine may be unheard and still get work.
@@ -98,17 +98,17 @@
 		return false
 	}
 	use := c.use[j.Job.Team].Add(j.need)
-	if r, ok := c.quotas.Held(j.Job.Team); ok && r.ID != j.id {
+	if r, ok := c.quotas.Reservation(j.Job.Team); ok && r.ID != j.id {
 		if o := c.jobs[r.ID]; o != nil && before(o, j) < 0 {
-			use = use.Add(r.Need)
+			use = use.Add(r.Resources)
 		}
 	}
-	return limit.Holds(use)
+	return limit.Allows(use)
 }
 
 // claims are those of the jobs that go before others in their teams, by rank or age, and wait.
-func claims(jobs []*job, limitOf func(string) (quota.Limit, bool), use map[string]fleet.Room, ready func(*job) bool) (out []quota.Claim) {
-	stays := map[string]fleet.Room{}
+func claims(jobs []*job, limitOf func(string) (quota.Limit, bool), use map[string]fleet.Resources, ready func(*job) bool) (out []quota.Demand) {
+	stays := map[string]fleet.Resources{}
 	for _, j := range jobs {
 		if j.Job.Shape == api.Service {
 			stays[j.Job.Team] = stays[j.Job.Team].Add(j.need.Scale(len(j.live)))
@@ -123,13 +123,13 @@
 		if j.Job.Shape == api.Gang {
 			need = need.Scale(len(j.pending))
 		}
-		out = append(out, quota.Claim{Team: j.Job.Team, ID: j.id, Limit: limit, Need: need, Use: use[j.Job.Team], Stays: stays[j.Job.Team]})
+		out = append(out, quota.Demand{Team: j.Job.Team, ID: j.id, Limit: limit, Request: need, Use: use[j.Job.Team], Permanent: stays[j.Job.Team]})
 	}
 	return out
 }
 
 func (c *Core) ready(j *job) bool {
-	return j.accepted && j.Final == "" && !c.now().Before(j.pause) && c.dataReady(j) && (len(j.live) == 0 || j.Job.Shape == api.Gang || !c.mistaken(j))
+	return j.accepted && j.FinalState == "" && !c.now().Before(j.pause) && c.dataReady(j) && (len(j.live) == 0 || j.Job.Shape == api.Gang || !c.mistaken(j))
 }
 
 // estimate is how long a task of the job runs, in seconds.
@@ -185,7 +185,7 @@
 			// Nothing may be stopped for it.
 			continue
 		}
-		if j.Job.Shape == api.Array && len(j.pending)+j.queued > 0 {
+		if j.Job.Shape == api.JobArray && len(j.pending)+j.queued > 0 {
 			c.preempt(j, ms)
 		}
 	}
@@ -217,7 +217,7 @@
 // ahead is what a machine has outstanding for jobs up to and with j in the
 // order of the queues, as equation (2) needs it, and the room that services
 // leave.
-func (c *Core) ahead(m *machine, j *job, slot float64) (_ []placement.Queued, room fleet.Room) {
+func (c *Core) ahead(m *machine, j *job, slot float64) (_ []placement.Queued, room fleet.Resources) {
 	room = m.total()
 	// It is asked for each job and machine: what it counts in is used again.
 	if c.count == nil {
@@ -238,7 +238,7 @@
 		}
 	}
 	for o, n := range count {
-		mu := placement.Mu(max(1, room.Times(o.need)), slot, estimate(o))
+		mu := placement.Mu(max(1, room.Multiple(o.need)), slot, estimate(o))
 		queued = append(queued, placement.Queued{Tasks: n, Mu: mu})
 	}
 	c.queued = queued
@@ -248,7 +248,7 @@
 // server is a machine as the water-filling sees it for a job, without what it must fetch.
 func (c *Core) server(m *machine, j *job, slot float64) placement.Server {
 	queued, room := c.ahead(m, j, slot)
-	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Times(j.need), slot, estimate(j)), Now: m.free().Times(j.need)}
+	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Multiple(j.need), slot, estimate(j)), Free: m.free().Multiple(j.need)}
 }
 
 // waterFill queues a job's waiting tasks by the paper's Algorithm 2. All tasks
@@ -339,7 +339,7 @@
 
 // startable tells whether a task of the job can start on the machine now.
 func (c *Core) startable(j *job, m *machine) bool {
-	return c.ready(j) && m.free().Holds(j.need) && len(m.assigns)+len(m.ended) < tuning.ReportTasks && c.eligible(j, m) && zoneOK(j, m) && c.withinLimit(j)
+	return c.ready(j) && m.free().Fits(j.need) && len(m.assigns)+len(m.ended) < tuning.ReportTasks && c.eligible(j, m) && zoneOK(j, m) && c.withinLimit(j)
 }
 
 // place is a queue and the machine that it is on.
@@ -480,7 +480,7 @@
 
 func (c *Core) commitStart(a *assign, why string) {
 	a.turn, a.job.started = a.job.aged, c.now()
-	slog.Debug("task placed", "task", a.key, "machine", a.machine.Name, "attempt", a.attempt, "why", why, "image", a.machine.Has(a.job.Job.Image))
+	slog.Debug("task placed", "task", a.key, "machine", a.machine.Name, "attempt", a.attempt, "why", why, "image", a.machine.HasImage(a.job.Job.Image))
 	c.touchShard(a.job, a.task, c.locked(func() {
 		a.committed = true
 		if a.job.live[a.task] == a {
@@ -490,7 +490,7 @@
 }
 
 // roomSoon is what a machine has free once the tasks being stopped are gone.
-func (m *machine) roomSoon() (fleet.Room, []*assign) {
+func (m *machine) roomSoon() (fleet.Resources, []*assign) {
 	free := m.free()
 	var leaving []*assign
 	for _, a := range m.assigns {
@@ -543,7 +543,7 @@
 func (c *Core) makeRoom(j *job, m *machine) (leaving, victims []*assign, ok bool) {
 	c.searched++
 	free, leaving := m.roomSoon()
-	if free.Holds(j.need) {
+	if free.Fits(j.need) {
 		return leaving, nil, true
 	}
 	can := c.stoppable(j, m)
@@ -551,14 +551,14 @@
 	for _, a := range can {
 		most = most.Add(a.job.need)
 	}
-	if !most.Holds(j.need) {
+	if !most.Fits(j.need) {
 		return nil, nil, false
 	}
 	c.leastFirst(can)
 	for _, a := range can {
 		free = free.Add(a.job.need)
 		victims = append(victims, a)
-		if free.Holds(j.need) {
+		if free.Fits(j.need) {
 			return leaving, victims, true
 		}
 	}
@@ -612,7 +612,7 @@
 			}
 			score := c.costs(j, task, m, false).Seconds()
 			if j.site != nil {
-				score += tuning.SitePrice * j.site.Price(m.Name)
+				score += tuning.SitePrice * j.site.Cost(m.Name)
 			}
 			// Replicas on one machine are lost together.
 			for _, a := range m.assigns {
@@ -624,7 +624,7 @@
 			}
 			score += 0.1 * m.used.CPUs / m.Spec.CPUs
 			var out, victims []*assign
-			if !m.free().Holds(j.need) {
+			if !m.free().Fits(j.need) {
 				ok := false
 				if !c.mistaken(j) {
 					out, victims, ok = c.makeRoom(j, m)
--- a/controller/places.go
+++ b/controller/places.go
@@ -21,11 +21,11 @@
 	VerbExplain = "explain"
 )
 
-// PlacesOn tells whether a topology is on.
-func (n *Node) PlacesOn() bool { return n.topology != nil }
+// TopologyOn tells whether a topology is on.
+func (n *Controller) TopologyOn() bool { return n.topology != nil }
 
 // aboutPlaces serves requests about where things stand: the leader knows.
-func (n *Node) aboutPlaces(ctx context.Context, r peer.Request, forwarded bool) peer.Answer {
+func (n *Controller) aboutPlaces(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if n.topology == nil && r.Verb == VerbTopology {
 		return answer(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
@@ -48,13 +48,13 @@
 	case !found:
 		return answer(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return answer(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Stands: []api.Stand{}})
+	return answer(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
 }
 
 // passOn asks the leader.
-func (n *Node) passOn(ctx context.Context, r peer.Request, forwarded bool) peer.Answer {
+func (n *Controller) passOn(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	leader, _ := n.elector.Leader()
-	leader, _, there := whoLeads(leader, 0, n.peers.Alive())
+	leader, _, there := whoLeads(leader, 0, n.peers.LivePeers())
 	if forwarded || !there {
 		return later("no leader answers")
 	}
@@ -74,13 +74,13 @@
 		return v
 	}
 	t := c.where.tree
-	v.Version, v.Lone, v.Ambiguous = t.Map().Version(), t.Lone(), t.Ambiguous()
+	v.Version, v.Unlisted, v.Ambiguous = t.Map().Version(), t.Unlisted(), t.Ambiguous()
 	for _, d := range t.Map().Domains() {
 		free := t.Free(d)
 		x := api.DomainView{Name: d.Name, Level: d.Level, Machines: t.Machines(d), Usable: t.Usable(d), CPUs: free.CPUs, Cards: free.Cards, MemoryGB: free.MemoryGB}
 		x.Silent = x.Machines > 0 && x.Usable == 0
-		if d.In != nil {
-			x.In = d.In.Name
+		if d.Parent != nil {
+			x.In = d.Parent.Name
 		}
 		v.Domains = append(v.Domains, x)
 	}
@@ -104,20 +104,20 @@
 	if j == nil || !known {
 		return x, false
 	}
-	x = api.Explanation{Job: id, State: st.State, Tasks: j.total, Done: j.done, Waiting: len(j.pending) + j.queued, Why: []string{}, Stands: c.stands(j)}
+	x = api.Explanation{Job: id, State: st.State, Tasks: j.total, Done: j.done, Waiting: len(j.pending) + j.queued, Why: []string{}, Locations: c.stands(j)}
 	if j.waits {
 		x.Waiting = j.total - j.done - len(j.live)
 	}
-	if j.Final == "" && x.Waiting > 0 {
+	if j.FinalState == "" && x.Waiting > 0 {
 		x.Why = c.whyWaiting(j)
 	}
 	return x, true
 }
 
-func (c *Core) stands(j *job) []api.Stand {
-	by := map[string]*api.Stand{}
+func (c *Core) stands(j *job) []api.TaskLocation {
+	by := map[string]*api.TaskLocation{}
 	for _, a := range j.live {
-		s := api.Stand{Domain: a.machine.Name, Level: "machine"}
+		s := api.TaskLocation{Domain: a.machine.Name, Level: "machine"}
 		if c.where != nil {
 			if d := c.where.tree.Of(a.machine.Name); d != nil {
 				s.Domain, s.Level = d.Name, d.Level
@@ -128,15 +128,15 @@
 			by[key] = &s
 		}
 		by[key].Tasks++
-		if c.since(a.machine.Heard) >= c.quiet(a.machine) || a.machine.line.State(c.now(), c.lease()) == reachability.HalfDeaf {
-			by[key].Unsure++
+		if c.since(a.machine.LastHeartbeat) >= c.quiet(a.machine) || a.machine.line.State(c.now(), c.lease()) == reachability.OutboundLost {
+			by[key].Unconfirmed++
 		}
 	}
-	out := []api.Stand{}
+	out := []api.TaskLocation{}
 	for _, s := range by {
 		out = append(out, *s)
 	}
-	slices.SortFunc(out, func(a, b api.Stand) int { return cmp.Or(b.Tasks-a.Tasks, cmp.Compare(a.Domain, b.Domain)) })
+	slices.SortFunc(out, func(a, b api.TaskLocation) int { return cmp.Or(b.Tasks-a.Tasks, cmp.Compare(a.Domain, b.Domain)) })
 	return out
 }
 
@@ -163,7 +163,7 @@
 		switch {
 		case m.Spec == nil || !allowed(j, m):
 			continue
-		case m.Up && !m.returning && m.line.State(c.now(), c.lease()) != reachability.Reached:
+		case m.Up && !m.returning && m.line.State(c.now(), c.lease()) != reachability.Reachable:
 			deaf++
 		case c.mute(m):
 			mute++
@@ -171,7 +171,7 @@
 			silent++
 		case !zoneOK(j, m):
 			bounded++
-		case !m.free().Holds(j.need):
+		case !m.free().Fits(j.need):
 			full++
 		}
 		may++
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -21,7 +21,7 @@
 // Without it, every worker on the far side of a cut would kill its tasks when its lease
 // ends.
 type heartbeatRelay struct {
-	n    *Node
+	n    *Controller
 	post *exchange.Exchange
 
 	mu      sync.Mutex
@@ -31,7 +31,7 @@
 }
 
 type relayed struct {
-	report api.Report
+	report api.Heartbeat
 	// streak is the first of the reports that came to us without a gap. Mail
 	// derived from an earlier one may be overtaken by what other nodes told
 	// the worker in between; told is the report that the mail was derived from
@@ -39,86 +39,86 @@
 	streak, told uint64
 }
 
-func newRelay(n *Node) *heartbeatRelay {
-	y := &heartbeatRelay{n: n, workers: map[string]*relayed{}, box: relay.NewOutbox(exchange.Limits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli()))}
+func newRelay(n *Controller) *heartbeatRelay {
+	y := &heartbeatRelay{n: n, workers: map[string]*relayed{}, box: relay.NewOutbox(exchange.PacketLimits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli()))}
 	y.post = n.exchange(store.RelayKey, store.MailPrefix, tuning.RelayKeep)
-	y.post.Lock, y.post.Box, y.post.Reader, y.post.Forget, y.post.Over = &y.mu, y.box, &y.mail, y.forget, func() { y.begin(0) }
+	y.post.Lock, y.post.Outbox, y.post.Reader, y.post.Expire, y.post.TermEnded = &y.mu, y.box, &y.mail, y.forget, func() { y.begin(0) }
 	return y
 }
 
 // mailroom holds a leader's letters of one kind.
-func mailroom(c *Core, prefix string, key func(string, int) string, body func(member, machine string) json.RawMessage) *exchange.Mailroom {
-	return &exchange.Mailroom{Term: c.term, Limits: exchange.Limits(c.set.Facts.State), Prefix: prefix, Key: key, Body: body,
-		Touch: func(key string, urgency int, after func()) { c.hooks.Touch(key, urgency, after) }}
+func mailroom(c *Core, prefix string, key func(string, int) string, body func(member, machine string) json.RawMessage) *exchange.Mailboxes {
+	return &exchange.Mailboxes{Term: c.term, Limits: exchange.PacketLimits(c.set.Facts.State), Prefix: prefix, Key: key, Body: body,
+		MarkDirty: func(key string, urgency int, after func()) { c.hooks.Touch(key, urgency, after) }}
 }
 
 // exchange carries letters of one kind; what it carries for whom is to be filled in.
-func (n *Node) exchange(up func(member string, i int) string, down string, keep time.Duration) *exchange.Exchange {
-	return &exchange.Exchange{Member: n.set.Member, Client: n.client, Clock: n.clock, Rate: n.letterRate, Up: up, Down: down + n.set.Member + "/", Keep: keep}
+func (n *Controller) exchange(up func(member string, i int) string, down string, keep time.Duration) *exchange.Exchange {
+	return &exchange.Exchange{Member: n.set.Member, Client: n.client, Clock: n.clock, Rate: n.letterRate, UplinkKey: up, DownlinkPrefix: down + n.set.Member + "/", RefreshEvery: keep}
 }
 
 // begin starts anew for the leader of a term; 0: for none.
 func (y *heartbeatRelay) begin(term uint64) {
-	y.box.Begin(term)
+	y.box.Reset(term)
 	y.workers = map[string]*relayed{}
 }
 
 func (y *heartbeatRelay) forget(now time.Time) {
-	for _, name := range y.box.Forget(now, 2*tuning.RelayKeep) {
+	for _, name := range y.box.Expire(now, 2*tuning.RelayKeep) {
 		delete(y.workers, name)
 	}
 }
 
 // report answers a worker for the leader of a term.
-func (y *heartbeatRelay) report(r *api.Report, term uint64) api.Orders {
+func (y *heartbeatRelay) report(r *api.Heartbeat, term uint64) api.HeartbeatResponse {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if y.box.Term() != term {
 		y.begin(term)
 	}
 	w := y.workers[r.Machine]
-	if w != nil && !r.After(w.report.Session, w.report.Seq) {
+	if w != nil && !r.NewerThan(w.report.Incarnation, w.report.Seq) {
 		// A copy that came late: passed on, it would undo what the worker said since, and the mail
 		// that answered it would count as told.
-		return api.Orders{Term: term, Commands: []api.Command{}}
+		return api.HeartbeatResponse{Term: term, Commands: []api.Command{}}
 	}
 	changed := false
-	if w == nil || w.report.Session != r.Session || r.Seq != w.report.Seq+1 {
-		slog.Debug("relaying a machine's reports", "machine", r.Machine, "session", r.Session)
+	if w == nil || w.report.Incarnation != r.Incarnation || r.Seq != w.report.Seq+1 {
+		slog.Debug("relaying a machine's reports", "machine", r.Machine, "session", r.Incarnation)
 		w, changed = &relayed{streak: r.Seq}, true
 		y.workers[r.Machine] = w
 	}
-	changed = changed || r.Term != w.report.Term || (r.NoticeS == nil) != (w.report.NoticeS == nil) || !slices.Equal(r.Tasks, w.report.Tasks)
+	changed = changed || r.Term != w.report.Term || (r.PreemptionNoticeS == nil) != (w.report.PreemptionNoticeS == nil) || !slices.Equal(r.Tasks, w.report.Tasks)
 	w.report = *r
-	o := api.Orders{Term: term, Commands: []api.Command{}}
+	o := api.HeartbeatResponse{Term: term, Commands: []api.Command{}}
 	body, err := json.Marshal(r)
 	if err != nil {
 		slog.Error("a report cannot be passed on", "machine", r.Machine, "err", err)
 		return o
 	}
 	y.box.Put(r.Machine, body, changed, y.n.clock.Now())
-	var m store.Mail
-	if raw := y.mail.Told(term, r.Machine); raw == nil {
+	var m store.RelayedCommands
+	if raw := y.mail.MessageFor(term, r.Machine); raw == nil {
 		return o
 	} else if err := json.Unmarshal(raw, &m); err != nil {
 		slog.Error("the leader's mail is damaged", "machine", r.Machine, "err", err)
 		return o
 	}
-	if m.Session == r.Session && m.Seq >= max(w.streak, w.told) {
+	if m.Incarnation == r.Incarnation && m.Seq >= max(w.streak, w.told) {
 		o.Commands, w.told = m.Commands, m.Seq
 	}
 	return o
 }
 
 // relayed is the leader's side: it takes in what siblings pass on.
-func (n *Node) relayed(ctx context.Context, core *Core, com *store.Committer, after uint64) {
-	exchange.Claim(ctx, n.client, n.clock, com, store.MailPrefix)
+func (n *Controller) relayed(ctx context.Context, core *Core, com *store.Committer, after uint64) {
+	exchange.ClaimPackets(ctx, n.client, n.clock, com, store.MailPrefix)
 	exchange.Follow(ctx, n.client, n.clock, store.RelayPrefix, after, core.term, core.workerSays)
 }
 
 // workerSays takes in one report that a sibling passed on.
 func (c *Core) workerSays(member string, m relay.Message) {
-	var r api.Report
+	var r api.Heartbeat
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
 		err = r.Check()
@@ -131,7 +131,7 @@
 }
 
 // Relayed takes in a report that a sibling passed on.
-func (c *Core) Relayed(member string, r *api.Report) {
+func (c *Core) Relayed(member string, r *api.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Term > c.term {
@@ -158,7 +158,7 @@
 	if m.relay == "" {
 		return
 	}
-	c.workerMail.Drop(m.relay, m.Name, m.mail != nil)
+	c.workerMail.Remove(m.relay, m.Name, m.mail != nil)
 	m.relay, m.mail = "", nil
 }
 
@@ -171,14 +171,14 @@
 	}
 	m.mail = nil
 	if len(cmds) > 0 {
-		raw, err := json.Marshal(store.Mail{Session: m.Session, Seq: m.Seq, Commands: cmds})
+		raw, err := json.Marshal(store.RelayedCommands{Incarnation: m.Incarnation, Seq: m.Seq, Commands: cmds})
 		if err != nil {
 			slog.Error("commands cannot be encoded", "machine", m.Name, "err", err)
 			return
 		}
 		m.mail = raw
 	}
-	c.workerMail.Put(m.relay, m.Name)
+	c.workerMail.Update(m.relay, m.Name)
 }
 
 // mailBody is what stands in the mail for a machine behind a sibling.
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -25,25 +25,25 @@
 // another node may have cleared the attempt that the mail would start.
 func TestStaleMailIsNotDelivered(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, fake.NewState(clock))
-	say := func(seq uint64) api.Orders {
-		return n.relay.report(&api.Report{Machine: "b1", Session: 1, Seq: seq, Term: 7}, 7)
+	n := New(context.Background(), userSettings(), policy.Default(), clock, fake.NewState(clock))
+	say := func(seq uint64) api.HeartbeatResponse {
+		return n.relay.report(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
 	}
 	say(10)
 	mail := func(part int, stamp, seq uint64, verb string) {
 		t.Helper()
-		s := relay.NewShelf(exchange.Limits(n.set.Facts.State))
-		s.Part("b1")
-		raw, _ := json.Marshal(store.Mail{Session: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
-		l, _, _, err := s.Build(7, 0, func(string) json.RawMessage { return raw })
+		s := relay.NewMailbox(exchange.PacketLimits(n.set.Facts.State))
+		s.PacketOf("b1")
+		raw, _ := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
+		l, _, _, err := s.BuildPacket(7, 0, func(string) json.RawMessage { return raw })
 		if err == nil {
-			err = n.relay.mail.Take(store.MailKey("y", part), stamp, &l)
+			err = n.relay.mail.Apply(store.MailKey("y", part), stamp, &l)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	mail(0, 50, 10, api.Start)
+	mail(0, 50, 10, api.CommandRun)
 	if o := say(11); len(o.Commands) != 1 || o.Term != 7 {
 		t.Fatalf("mail not delivered: %+v", o)
 	}
@@ -54,15 +54,15 @@
 	}
 	// What was told last is not followed by what was derived from an earlier report, in
 	// whichever letter it is found: after a clear, a start would begin the task again.
-	mail(1, 60, 14, api.Forget)
-	if o := say(15); len(o.Commands) != 1 || o.Commands[0].Verb != api.Forget {
+	mail(1, 60, 14, api.CommandClear)
+	if o := say(15); len(o.Commands) != 1 || o.Commands[0].Verb != api.CommandClear {
 		t.Fatalf("the newer mail: %+v", o)
 	}
-	mail(0, 70, 13, api.Start)
+	mail(0, 70, 13, api.CommandRun)
 	if o := say(16); len(o.Commands) != 0 {
 		t.Errorf("mail from before the one that was told: %+v", o)
 	}
-	if o := n.relay.report(&api.Report{Machine: "b1", Session: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
+	if o := n.relay.report(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
 		t.Errorf("mail of another term: %+v", o)
 	}
 }
@@ -72,7 +72,7 @@
 func TestUnknownID(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
-	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, st)
+	n := New(context.Background(), userSettings(), policy.Default(), clock, st)
 	ask := func() int {
 		return n.told(context.Background(), nil, "run-000404", true).Status
 	}
@@ -96,27 +96,27 @@
 func TestCutOffNodeKeepsWorkersThatComeBack(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
-	set := &settings.Settings{Member: "n1", Zone: "b", Siblings: []settings.Sibling{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
+	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	n := NewNode(context.Background(), set, policy.Default(), clock, st)
-	st.Put(store.LeaderKey, store.Leader{Member: "n2"})
-	if n.elector.Stand(context.Background()) {
+	n := New(context.Background(), set, policy.Default(), clock, st)
+	st.Put(store.LeaderKey, store.LeaderRecord{Member: "n2"})
+	if n.elector.Campaign(context.Background()) {
 		t.Fatal("two leaders")
 	}
 	_, term := n.elector.Leader()
-	n.watermark.Certain(clock.Now())
+	n.watermark.MarkCurrent(clock.Now())
 	st.Down = true
 	clock.Advance(time.Second)
 	n.told(context.Background(), nil, "run-1", true)
-	r := &api.Report{Machine: "b1", Zone: "b", Session: 1, Seq: 1, Term: term}
-	status, body := n.Report(context.Background(), r, nil)
-	if status != 421 || body.(api.Redirect).Node != "n0" {
+	r := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
+	status, body := n.HandleHeartbeat(context.Background(), r, nil)
+	if status != 421 || body.(api.Redirect).Controller != "n0" {
 		t.Fatalf("first report: %d %+v", status, body)
 	}
 	clock.Advance(6 * time.Second)
 	r.Seq++
-	status, body = n.Report(context.Background(), r, nil)
-	if o, ok := body.(api.Orders); status != 200 || !ok || o.Term != term || len(o.Commands) != 0 {
+	status, body = n.HandleHeartbeat(context.Background(), r, nil)
+	if o, ok := body.(api.HeartbeatResponse); status != 200 || !ok || o.Term != term || len(o.Commands) != 0 {
 		t.Errorf("report of a worker that came back: %d %+v", status, body)
 	}
 }
@@ -146,7 +146,7 @@
 func TestKnownIDIsNeverRefused(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
-	n := NewNode(context.Background(), userSettings(), policy.Default(), clock, st)
+	n := New(context.Background(), userSettings(), policy.Default(), clock, st)
 	n.types = testTypes
 	ask := func(body string) int {
 		return n.serve(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
@@ -174,7 +174,7 @@
 func TestSubmitAlone(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
-	n := NewNode(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, st)
+	n := New(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, st)
 	s := &api.Submission{ID: "run-000001", Tasks: 1}
 	if got := n.submitAlone(context.Background(), s, nil).Status; got != 201 {
 		t.Fatalf("first: %d", got)
@@ -183,7 +183,7 @@
 		t.Errorf("again: %d", got)
 	}
 	// With a leader's key standing, only the leader cancels; it is told.
-	st.Put(store.LeaderKey, store.Leader{Member: "x"})
+	st.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	if got := n.cancelAlone(context.Background(), "run-000001").Status; got != 503 {
 		t.Errorf("cancelled beside a leader: %d", got)
 	}
@@ -205,7 +205,7 @@
 	st := fake.NewState(clock)
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
-	n := NewNode(context.Background(), set, policy.Default(), clock, st)
+	n := New(context.Background(), set, policy.Default(), clock, st)
 	n.types = testTypes
 	body := submission("run-000001", 4, `,"x":1`)
 	long := strings.Replace(body, `"bundle":"img"`, `"bundle":"`+strings.Repeat("i", 17<<10)+`"`, 1)
@@ -223,11 +223,11 @@
 	for _, many := range []int{50, 500, 2500} {
 		s := newStage(t)
 		s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
-		set := &settings.Settings{Member: "y", Zone: "b", Siblings: []settings.Sibling{{Member: "x", Zone: "a", Address: "127.0.0.1:1"}}}
+		set := &settings.Settings{Member: "y", Zone: "b", Peers: []settings.Peer{{Member: "x", Zone: "a", Address: "127.0.0.1:1"}}}
 		set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 		set.Facts.Workers = s.set.Facts.Workers
-		y := NewNode(context.Background(), set, policy.Default(), s.clock, s.state)
-		if y.elector.Stand(context.Background()) {
+		y := New(context.Background(), set, policy.Default(), s.clock, s.state)
+		if y.elector.Campaign(context.Background()) {
 			t.Fatal("two leaders")
 		}
 		name := func(i int) string { return fmt.Sprintf("b%04d", i) }
@@ -236,13 +236,13 @@
 		say := func() {
 			seq++
 			for i := range many {
-				r := &api.Report{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Session: 1, Seq: seq, Term: s.term}
+				r := &api.Heartbeat{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: s.term}
 				if o := y.relay.report(r, s.term); len(o.Commands) > 0 {
 					told[o.Commands[0].Task] = name(i)
 				}
 			}
 		}
-		var joiner relay.Joiner
+		var joiner relay.Reassembler
 		after := s.term
 		carry := func() {
 			s.clock.Advance(tuning.RelayEvery)
@@ -253,7 +253,7 @@
 				t.Fatal(err)
 			}
 			after = max(after, epoch)
-			exchange.Open(log, store.RelayPrefix, s.term, &joiner, s.workerSays)
+			exchange.UnpackEvents(log, store.RelayPrefix, s.term, &joiner, s.workerSays)
 			s.Place()
 			s.commit()
 			if _, err := y.relay.post.Fetch(context.Background(), 0); err != nil {
--- a/controller/rent.go
+++ b/controller/rent.go
@@ -46,15 +46,15 @@
 		}
 		// A return proves that the machine's tasks are gone.
 		switch act, reason := c.judge(m, now); act {
-		case failuredetector.Return:
+		case failuredetector.Release:
 			giveUp(m, reason)
-		case failuredetector.Due:
+		case failuredetector.ReleaseWithinBudget:
 			why[m.Name] = reason
 			due = append(due, failuredetector.Candidate{Name: m.Name, Zone: m.Zone, Tasks: len(m.assigns)})
-		case failuredetector.Evacuate:
-			until := m.TakenAt
+		case failuredetector.Drain:
+			until := m.PreemptedAt
 			if until.IsZero() {
-				until, reason = m.Heard.Add(c.lease()), "machine reaches no controller"
+				until, reason = m.LastHeartbeat.Add(c.lease()), "machine reaches no controller"
 			}
 			c.evacuate(m, until, cmp.Or(reason, "machine is taken back"))
 		case failuredetector.Forget:
@@ -63,14 +63,14 @@
 		}
 	}
 	c.askDoubtful(now)
-	for _, v := range c.budget.Spend(now, due, c.silence.Share) {
-		for _, name := range v.Return {
+	for _, v := range c.budget.Spend(now, due, c.silence.SilentShare) {
+		for _, name := range v.Release {
 			giveUp(c.machines[name], why[name])
 		}
-		if v.Wait > 0 && now.Sub(c.spared) >= tuning.ReturnTold {
+		if v.Deferred > 0 && now.Sub(c.spared) >= tuning.ReturnTold {
 			c.spared = now
 			slog.Info("many machines of a zone are silent; most are left for now", "zone", v.Zone, "silent_share", math.Round(100*v.Share)/100,
-				"machines", v.Machines, "left", v.Wait, "tasks_that_wait_for_them", v.WaitTasks, "returned", len(v.Return))
+				"machines", v.Machines, "left", v.Deferred, "tasks_that_wait_for_them", v.DeferredTasks, "returned", len(v.Release))
 		}
 	}
 	stopExcess(c)
@@ -121,11 +121,11 @@
 	}
 	jobs, waiting := 0, 0.0
 	for _, j := range c.order {
-		if n := len(j.pending) + j.queued; n > 0 && j.Final == "" {
+		if n := len(j.pending) + j.queued; n > 0 && j.FinalState == "" {
 			jobs++
 			waiting += float64(n) * j.need.CPUs
 			if since := latest(latest(j.ages, j.started), c.started); !j.passed && c.since(since) > tuning.PassedBy && c.withinLimit(j) && slices.ContainsFunc(c.byName(), func(m *machine) bool {
-				return m.Up && !m.returning && m.Spec != nil && allowed(j, m) && m.free().Holds(j.need)
+				return m.Up && !m.returning && m.Spec != nil && allowed(j, m) && m.free().Fits(j.need)
 			}) {
 				// Users expect that nobody waits 90 s so. Said once.
 				j.passed = true
@@ -148,7 +148,7 @@
 		if !a.running.IsZero() {
 			ran = c.since(a.running).Seconds()
 		}
-		finishes := j.Shape == api.Array && estimate(a.job)-ran < left
+		finishes := j.Shape == api.JobArray && estimate(a.job)-ran < left
 		switch {
 		case j.Checkpoint > 0 && left < j.SaveS+2*tuning.SpotNoticeSlack+c.set.Facts.Workers.ReportS:
 			c.stopTask(a, j.SaveS, why)
@@ -166,7 +166,7 @@
 		perCPU = math.Max(perCPU, t.MemoryGB/t.CPUs)
 	}
 	for _, j := range c.order {
-		if !j.accepted || j.Final != "" || j.waits && !c.pipes.soon(j) {
+		if !j.accepted || j.FinalState != "" || j.waits && !c.pipes.soon(j) {
 			continue
 		}
 		one := j.need.CPUs
@@ -193,8 +193,8 @@
 	if m.Up || !m.ours || m.Spec == nil {
 		return false
 	}
-	age := c.since(m.Rented)
-	late, others := c.boots.Overdue(m.Type, m.Rented, age, seconds(m.Spec.BootS))
+	age := c.since(m.RequestedAt)
+	late, others := c.boots.Overdue(m.Type, m.RequestedAt, age, seconds(m.Spec.BootS))
 	if late && !m.noted {
 		m.noted = true
 		slog.Info("machine overdue", "machine", m.Name, "type", m.Type, "age", age.Round(time.Second), "others_took", others.Round(time.Second))
@@ -206,12 +206,12 @@
 // back, but others are rented in the meantime: they take long to boot.
 func (c *Core) missing(m *machine) bool {
 	if m.Up {
-		if m.line.State(c.now(), c.lease()) == reachability.HalfDeaf || !m.line.Known() && !m.listed && len(m.assigns) == 0 {
+		if m.line.State(c.now(), c.lease()) == reachability.OutboundLost || !m.line.AliveThisTerm() && !m.listed && len(m.assigns) == 0 {
 			return true
 		}
-		heard := latest(m.Heard, c.silence.Woke())
-		if c.since(m.Heard) <= seconds(c.set.Facts.Workers.LeaseS) {
-			heard = latest(heard, c.silence.Way(m.via))
+		heard := latest(m.LastHeartbeat, c.silence.ResumedAt())
+		if c.since(m.LastHeartbeat) <= seconds(c.set.Facts.Workers.LeaseS) {
+			heard = latest(heard, c.silence.PathLostAt(m.via))
 		}
 		return c.since(heard) > 2*c.quiet(m)
 	}
@@ -221,7 +221,7 @@
 // supply is the processors that are up or coming.
 func (c *Core) supply() (all, spot float64) {
 	for _, m := range c.machines {
-		if m.returning || !m.TakenAt.IsZero() || m.Spec == nil || c.missing(m) || c.overdue(m) {
+		if m.returning || !m.PreemptedAt.IsZero() || m.Spec == nil || c.missing(m) || c.overdue(m) {
 			continue
 		}
 		all += m.Spec.CPUs
@@ -237,7 +237,7 @@
 	// A team without work is not kept room for: its machines would be idle.
 	busy := map[string]bool{}
 	for _, j := range c.order {
-		if j.Final == "" && !j.waits {
+		if j.FinalState == "" && !j.waits {
 			busy[j.Job.Team] = true
 		}
 	}
@@ -252,7 +252,7 @@
 }
 
 // Rentals says what to rent now.
-func (c *Core) Rentals() []api.Rental {
+func (c *Core) Rentals() []api.InstanceRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -328,7 +328,7 @@
 
 // rentUnmet rents a machine for a job that none that is there or coming can ever serve: with as many
 // processors as are asked for in all, nothing of its type or zone was ever rented.
-func (c *Core) rentUnmet(pools []pool) []api.Rental {
+func (c *Core) rentUnmet(pools []pool) []api.InstanceRequest {
 	var jobs []*api.Submission
 	for _, j := range c.order {
 		if len(j.pending)+j.queued > 0 && c.ready(j) && c.withinLimit(j) {
@@ -340,13 +340,13 @@
 	}
 	var ms []feasibility.Machine
 	for _, m := range c.machines {
-		if m.returning || !m.TakenAt.IsZero() || c.missing(m) || c.overdue(m) {
+		if m.returning || !m.PreemptedAt.IsZero() || c.missing(m) || c.overdue(m) {
 			continue
 		}
 		x := feasibility.Machine{Spec: m.Spec, Zone: m.Zone, Spot: m.Spot}
 		for _, a := range m.assigns {
 			if a.job.Job.Shape == api.Service {
-				x.Held = x.Held.Add(a.job.need)
+				x.Used = x.Used.Add(a.job.need)
 			}
 		}
 		ms = append(ms, x)
@@ -355,23 +355,23 @@
 	for _, p := range pools {
 		kinds = append(kinds, feasibility.Pool{Type: c.types[p.typ], Zone: p.zone, Spot: p.spot})
 	}
-	for _, s := range feasibility.Unmet(jobs, ms) {
-		if p, ok := feasibility.For(s, kinds); ok {
+	for _, s := range feasibility.Unplaceable(jobs, ms) {
+		if p, ok := feasibility.PoolFor(s, kinds); ok {
 			slog.Info("renting for a job that no machine can serve", "job", s.ID, "type", p.Type.Name, "zone", p.Zone, "spot", p.Spot)
-			return []api.Rental{c.rental(pool{p.Type.Name, p.Zone, p.Spot}, 1)}
+			return []api.InstanceRequest{c.rental(pool{p.Type.Name, p.Zone, p.Spot}, 1)}
 		}
 	}
 	return nil
 }
 
 // rental asks for so many machines under a name that is never used again.
-func (c *Core) rental(p pool, count int) api.Rental {
+func (c *Core) rental(p pool, count int) api.InstanceRequest {
 	c.charters++
-	return api.Rental{Charter: fmt.Sprintf("t%d-%d", c.term, c.charters), Type: p.typ, Zone: p.zone, Spot: p.spot, Count: count}
+	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", c.term, c.charters), Type: p.typ, Zone: p.zone, Spot: p.spot, Count: count}
 }
 
 // Rented takes in the outcome of a rental.
-func (c *Core) Rented(r api.Rental, names []string, err error) {
+func (c *Core) Rented(r api.InstanceRequest, names []string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.renting--
@@ -391,13 +391,13 @@
 		if !m.Up {
 			m.Type, m.Zone, m.Spot, m.Spec = r.Type, r.Zone, r.Spot, c.types[r.Type]
 			m.ours = true
-			m.line.Began()
+			m.line.MarkStarted()
 		}
 	}
 }
 
 // Listed takes in the cloud's list. It lags: absence from it proves nothing.
-func (c *Core) Listed(list []api.CloudMachine) {
+func (c *Core) Listed(list []api.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -408,13 +408,13 @@
 		_, known := c.machines[l.Name]
 		m := c.machine(l.Name)
 		if !known {
-			m.Rented = now.Add(-seconds(l.AgeS))
+			m.RequestedAt = now.Add(-seconds(l.AgeS))
 			slog.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "state", l.State)
 		}
 		m.listed = true
 		if !m.Up {
 			if l.State == "booting" && now.Sub(c.started) > seconds(tuning.ListLagMost*c.set.Facts.Cloud.ListLagS) {
-				m.line.Began()
+				m.line.MarkStarted()
 			}
 			m.running = l.State == "running"
 			m.Address, m.Type, m.Zone, m.Spot, m.Spec = l.Address, l.Type, l.Zone, l.Spot, c.types[l.Type]
@@ -470,7 +470,7 @@
 	c.leftTopology(m.Name)
 	if c.data != nil {
 		c.agentDirect(m.Name)
-		c.data.desk.Gone(m.Name)
+		c.data.desk.RemoveMachine(m.Name)
 	}
 	c.sorted = nil
 }
--- a/controller/report.go
+++ b/controller/report.go
@@ -9,13 +9,13 @@
 	"switchferry/tuning"
 )
 
-// Report takes in a worker's report and returns the answer. Via is the sibling that
+// HandleHeartbeat takes in a worker's report and returns the answer. Via is the sibling that
 // passed it on; empty: it came directly. Deposed: the worker has seen a higher
 // term, and we no longer lead.
-func (c *Core) Report(r *api.Report, via string) (o api.Orders, deposed, refused bool) {
+func (c *Core) Report(r *api.Heartbeat, via string) (o api.HeartbeatResponse, deposed, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o = api.Orders{Term: c.term, Commands: []api.Command{}}
+	o = api.HeartbeatResponse{Term: c.term, Commands: []api.Command{}}
 	if r.Term > c.term {
 		return o, true, false
 	}
@@ -40,13 +40,13 @@
 
 // hear notes that a machine reports. False: the report is no newer than one that was heard before, so
 // it shows nothing (package contact).
-func (c *Core) hear(m *machine, r *api.Report, via string, relayed bool) bool {
+func (c *Core) hear(m *machine, r *api.Heartbeat, via string, relayed bool) bool {
 	now := c.now()
-	news, proof := m.line.Report(now, reachability.Report{Session: r.Session, Seq: r.Seq, Seen: r.Term, Term: c.term, Via: via, Relayed: relayed})
+	news, proof := m.line.Observe(now, reachability.Heartbeat{Incarnation: r.Incarnation, Seq: r.Seq, HighestTerm: r.Term, Term: c.term, Via: via, Relayed: relayed})
 	if !news {
 		return false
 	}
-	c.heard, m.Heard, m.via = now, now, via
+	c.heard, m.LastHeartbeat, m.via = now, now, via
 	if proof {
 		m.deafTold = false
 		if via == "" {
@@ -66,23 +66,23 @@
 )
 
 // take works a newer report into the state.
-func (c *Core) take(m *machine, r *api.Report, by way) {
+func (c *Core) take(m *machine, r *api.Heartbeat, by way) {
 	now := c.now()
 	first := !m.Up
 	if first {
-		slog.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "after", now.Sub(m.Rented).Round(time.Second))
+		slog.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "after", now.Sub(m.RequestedAt).Round(time.Second))
 		m.idle = now
 		m.noted = false
 		if m.ours {
-			c.boots.Up(m.Type, m.Rented, now.Sub(m.Rented))
+			c.boots.RecordStartup(m.Type, m.RequestedAt, now.Sub(m.RequestedAt))
 		}
 		c.kick()
 	}
-	if r.NoticeS != nil && m.TakenAt.IsZero() {
-		slog.Info("machine will be taken", "machine", r.Machine, "in_s", *r.NoticeS)
+	if r.PreemptionNoticeS != nil && m.PreemptedAt.IsZero() {
+		slog.Info("machine will be taken", "machine", r.Machine, "in_s", *r.PreemptionNoticeS)
 		c.kick()
 	}
-	m.Take(r, now)
+	m.ApplyHeartbeat(r, now)
 	if m.Spec == nil {
 		m.Spec = c.types[m.Type]
 	}
@@ -121,17 +121,17 @@
 		a.job.settledStarts()
 	}
 	if a.session == 0 {
-		a.session = m.Session
+		a.session = m.Incarnation
 	}
 	if a.state != t.State {
 		a.state = t.State
 		if t.State == api.TaskRunning {
 			a.running = now
-			slog.Debug("task running", "task", a.key, "machine", m.Name, "after", now.Sub(a.since).Round(time.Millisecond), "fetched", !m.Has(a.job.Job.Image))
+			slog.Debug("task running", "task", a.key, "machine", m.Name, "after", now.Sub(a.since).Round(time.Millisecond), "fetched", !m.HasImage(a.job.Job.Image))
 			c.used(m, a.job)
 		}
 	}
-	if t.State == api.TaskEnded {
+	if t.State == api.TaskExited {
 		c.ended(m, a, t)
 	}
 }
@@ -146,7 +146,7 @@
 	if t.Cause == api.CauseDone {
 		// The clear waits for the record: until it is stored, only the
 		// worker knows that the task is done.
-		m.Worked()
+		m.ClearFailures()
 		m.noted = false
 		j.worked()
 		c.used(m, j)
@@ -183,7 +183,7 @@
 		// still reach it.
 		return
 	}
-	if a.session != 0 && m.Session > a.session {
+	if a.session != 0 && m.Incarnation > a.session {
 		c.lost(a, "the worker began a new session")
 		return
 	}
@@ -208,12 +208,12 @@
 	id, task, ok := splitTask(key)
 	j := c.jobs[id]
 	if !ok || j == nil || task >= j.total {
-		if t.State == api.TaskEnded {
+		if t.State == api.TaskExited {
 			m.ended[key] = &ended{attempt: t.Attempt, stored: true}
 		}
 		return
 	}
-	if t.State == api.TaskEnded {
+	if t.State == api.TaskExited {
 		e := &ended{attempt: t.Attempt, stored: t.Cause != api.CauseDone}
 		m.ended[key] = e
 		if t.Cause == api.CauseDone {
@@ -232,7 +232,7 @@
 		a.committed = true
 		c.progress(m, a, t)
 		c.takeOut(j, task)
-		if j.Final != "" || j.bits.Has(task) {
+		if j.FinalState != "" || j.bits.Has(task) {
 			c.stopTask(a, 0, "not wanted")
 			return
 		}
@@ -264,7 +264,7 @@
 func (c *Core) commands(m *machine, by way) []api.Command {
 	out := []api.Command{}
 	kill := func(key string, attempt uint64, grace float64) {
-		out = append(out, api.Command{Verb: api.Stop, Task: key, Attempt: attempt, GraceS: &grace})
+		out = append(out, api.Command{Verb: api.CommandKill, Task: key, Attempt: attempt, GraceS: &grace})
 	}
 	for _, a := range m.assigns {
 		if a.stop && a.seen && (a.state != api.TaskSaving || a.grace == 0) {
@@ -279,11 +279,11 @@
 			// A run of this attempt that is still under way would start it
 			// again after a clear.
 			if e.stored && e.open == 0 {
-				out = append(out, api.Command{Verb: api.Forget, Task: key, Attempt: t.Attempt})
+				out = append(out, api.Command{Verb: api.CommandClear, Task: key, Attempt: t.Attempt})
 			}
 			continue
 		}
-		if t.State != api.TaskEnded {
+		if t.State != api.TaskExited {
 			kill(key, t.Attempt, 0)
 		}
 	}
@@ -291,7 +291,7 @@
 		return out
 	}
 	for _, a := range m.assigns {
-		if !a.committed || a.stop || a.seen || a.sent && (a.session == 0 || a.session != m.Session) {
+		if !a.committed || a.stop || a.seen || a.sent && (a.session == 0 || a.session != m.Incarnation) {
 			continue
 		}
 		if by == byOrders && (a.open > 0 || a.answered > 0 || a.mailed) {
@@ -306,7 +306,7 @@
 		if !ready {
 			continue
 		}
-		a.sent, a.session = true, m.Session
+		a.sent, a.session = true, m.Incarnation
 		switch by {
 		case byReport:
 			a.answered = m.Seq
@@ -316,7 +316,7 @@
 			a.mailed = true
 		}
 		slog.Debug("starting task", "task", a.key, "machine", m.Name, "attempt", a.attempt, "direct", by == byOrders)
-		out = append(out, api.Command{Verb: api.Start, Task: a.key, Attempt: a.attempt})
+		out = append(out, api.Command{Verb: api.CommandRun, Task: a.key, Attempt: a.attempt})
 	}
 	return out
 }
@@ -339,7 +339,7 @@
 		return
 	}
 	m.sending = true
-	c.hooks.Send(m.Name, m.Address, api.Orders{Term: c.term, Session: m.Session, Commands: cmds})
+	c.hooks.Send(m.Name, m.Address, api.HeartbeatResponse{Term: c.term, Incarnation: m.Incarnation, Commands: cmds})
 }
 
 // Refused takes in that a machine took no connection for a command.
@@ -347,13 +347,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.machines[name]; m != nil {
-		m.line.Lost()
+		m.line.CommandLost()
 	}
 }
 
 // Answered takes in the outcome of a direct command. Certain: the worker
 // answered, or the command never left; otherwise it may still be executed.
-func (c *Core) Answered(name string, o api.Orders, r *api.Report, certain bool) {
+func (c *Core) Answered(name string, o api.HeartbeatResponse, r *api.Heartbeat, certain bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[name]
@@ -363,7 +363,7 @@
 	m.sending = false
 	if certain {
 		for _, cmd := range o.Commands {
-			if cmd.Verb != api.Start {
+			if cmd.Verb != api.CommandRun {
 				continue
 			}
 			if a := m.assigns[cmd.Task]; a != nil && a.attempt == cmd.Attempt {
@@ -382,12 +382,12 @@
 		// A worker that answers shows that our own network works.
 		c.heard = c.now()
 		c.reached, c.failed = c.heard, 0
-		m.line.Answered(c.heard, r.Seq)
+		m.line.CommandAnswered(c.heard, r.Seq)
 		m.deafTold = false
 	case r == nil:
 		c.failed++
 		if !certain {
-			m.line.Lost()
+			m.line.CommandLost()
 		}
 	}
 	// A machine that has not reported in this term has its whole lease to find
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -85,7 +85,7 @@
 			t.Fatalf("seed %d: nothing was started", seed)
 		}
 		for _, m := range s.machines {
-			if free, _ := m.roomSoon(); !free.Holds(fleet.Room{}) {
+			if free, _ := m.roomSoon(); !free.Fits(fleet.Resources{}) {
 				t.Fatalf("seed %d: %s holds more than its room", seed, m.Name)
 			}
 		}
--- a/controller/silence.go
+++ b/controller/silence.go
@@ -14,7 +14,7 @@
 
 // beat notes that the leader does its rounds.
 func (c *Core) beat(now time.Time) {
-	if stood := c.silence.Beat(now); stood > 0 {
+	if stood := c.silence.Tick(now); stood > 0 {
 		slog.Info("stood still", "for", stood.Round(time.Millisecond))
 	}
 }
@@ -24,7 +24,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.beat(c.now())
-	return latest(c.heard, c.silence.Woke())
+	return latest(c.heard, c.silence.ResumedAt())
 }
 
 // deafened tells whether this leader reaches no worker any more while a sibling hears
@@ -32,10 +32,10 @@
 func (c *Core) deafened(siblings []peer.Hello) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.failed < tuning.DeafCommands || c.since(latest(c.reached, c.silence.Woke())) < tuning.DeafAfter {
+	if c.failed < tuning.DeafCommands || c.since(latest(c.reached, c.silence.ResumedAt())) < tuning.DeafAfter {
 		return false
 	}
-	return slices.ContainsFunc(siblings, func(h peer.Hello) bool { return h.HearsWorkers && h.StateOK })
+	return slices.ContainsFunc(siblings, func(h peer.Hello) bool { return h.ReceivesHeartbeats && h.StateOK })
 }
 
 func latest(a, b time.Time) time.Time {
@@ -48,14 +48,14 @@
 // reports tells whether a machine should report by now: it certainly did in this term, or it is
 // recorded to have tasks, or the cloud lists it as up.
 func (m *machine) reports() bool {
-	return m.Up && (m.line.Known() || m.listed) || !m.failed && (len(m.assigns) > 0 || m.running)
+	return m.Up && (m.line.AliveThisTerm() || m.listed) || !m.failed && (len(m.assigns) > 0 || m.running)
 }
 
 // sighting tells when a machine was last heard.
-func (c *Core) sighting(m *machine) failuredetector.Sighting {
-	s := failuredetector.Sighting{Zone: m.Zone, Via: m.via, Quiet: c.quiet(m)}
+func (c *Core) sighting(m *machine) failuredetector.Observation {
+	s := failuredetector.Observation{Zone: m.Zone, Via: m.via, Timeout: c.quiet(m)}
 	if m.Up {
-		s.Heard = m.Heard
+		s.LastHeartbeat = m.LastHeartbeat
 	}
 	if c.where != nil {
 		s.Domains = c.where.tree.Path(m.Name)
@@ -65,13 +65,13 @@
 
 // noteBlindness looks whether whole zones or ways are unheard.
 func (c *Core) noteBlindness(now time.Time) {
-	found := c.silence.Look(now, func(yield func(failuredetector.Sighting)) {
+	found := c.silence.Observe(now, func(yield func(failuredetector.Observation)) {
 		for _, m := range c.machines {
 			if m.reports() && !m.returning {
 				s := c.sighting(m)
-				if m.line.State(now, c.lease()) == reachability.HalfDeaf {
+				if m.line.State(now, c.lease()) == reachability.OutboundLost {
 					// A zone of such machines is one failure, as a silent one is.
-					s.Heard = m.line.Proved()
+					s.LastHeartbeat = m.line.ConfirmedAt()
 				}
 				yield(s)
 			}
@@ -79,30 +79,30 @@
 	}, c.hooks.Cut)
 	for _, f := range found {
 		if f.Domain != "" {
-			slog.Info("most machines of a domain unheard", "domain", f.Domain, "machines", f.Machines, "heard", f.Heard)
+			slog.Info("most machines of a domain unheard", "domain", f.Domain, "machines", f.Machines, "heard", f.Responding)
 		} else if f.IsZone {
-			slog.Info("most machines of a zone unheard", "zone", f.Zone, "machines", f.Machines, "heard", f.Heard, "controllers_out_of_reach", f.Cut)
+			slog.Info("most machines of a zone unheard", "zone", f.Zone, "machines", f.Machines, "heard", f.Responding, "controllers_out_of_reach", f.Cut)
 		} else {
-			slog.Info("most machines of one way unheard", "through", f.Via, "machines", f.Machines, "heard", f.Heard)
+			slog.Info("most machines of one way unheard", "through", f.Via, "machines", f.Machines, "heard", f.Responding)
 		}
 	}
 }
 
 // judge tells what becomes of a machine.
 func (c *Core) judge(m *machine, now time.Time) (failuredetector.Action, string) {
-	l := failuredetector.Limits{Quiet: c.quiet(m), Silent: max(tuning.SilentMin, seconds(tuning.SilentReports*c.set.Facts.Workers.ReportS)),
-		Term: c.lease() + tuning.NewTermGrace, Mute: tuning.MuteLeases * c.lease()}
+	l := failuredetector.Limits{SuspectAfter: c.quiet(m), ReleaseAfter: max(tuning.SilentMin, seconds(tuning.SilentReports*c.set.Facts.Workers.ReportS)),
+		ElectionGrace: c.lease() + tuning.NewTermGrace, InboundLost: tuning.MuteLeases * c.lease()}
 	if m.relay != "" {
-		l.Silent += tuning.RelayKeep
+		l.ReleaseAfter += tuning.RelayKeep
 	}
 	heard := c.sighting(m)
 	hears := heard
-	hears.Heard = m.line.Proved()
-	x := failuredetector.Machine{Failed: m.failed, Listed: m.listed, Up: m.Up, Line: m.line.State(now, c.lease()), Tasks: len(m.assigns),
-		Unheard: now.Sub(c.silence.Since(now, heard)), Unreached: now.Sub(c.silence.Since(now, hears)),
-		Noticed: !m.TakenAt.IsZero(), Over: now.After(m.TakenAt.Add(time.Second)), Sick: c.suspect(m)}
-	x.Mute = c.mute(m)
-	x.Share, _ = c.silence.Share(m.Zone)
+	hears.LastHeartbeat = m.line.ConfirmedAt()
+	x := failuredetector.MachineState{Failed: m.failed, Listed: m.listed, Up: m.Up, Link: m.line.State(now, c.lease()), Tasks: len(m.assigns),
+		SilentFor: now.Sub(c.silence.SilentSince(now, heard)), UnconfirmedFor: now.Sub(c.silence.SilentSince(now, hears)),
+		PreemptionNotice: !m.PreemptedAt.IsZero(), NoticeExpired: now.After(m.PreemptedAt.Add(time.Second)), Faulty: c.suspect(m)}
+	x.InboundLost = c.mute(m)
+	x.SilentShare, _ = c.silence.SilentShare(m.Zone)
 	if !m.Up {
 		ready := tuning.ReadyUnknown
 		if m.Spec != nil {
@@ -110,21 +110,21 @@
 		}
 		limit := time.Duration(tuning.BootFactor * float64(ready))
 		if m.ours {
-			limit = c.boots.Limit(m.Type, m.Rented, ready)
+			limit = c.boots.Deadline(m.Type, m.RequestedAt, ready)
 		}
-		x.Waited = (len(m.assigns) > 0 || now.Sub(m.Rented) > max(l.Term, limit)) && now.Sub(c.silence.Woke()) > l.Term
+		x.StartupExpired = (len(m.assigns) > 0 || now.Sub(m.RequestedAt) > max(l.ElectionGrace, limit)) && now.Sub(c.silence.ResumedAt()) > l.ElectionGrace
 	}
-	if x.Line == reachability.HalfDeaf && !m.deafTold {
+	if x.Link == reachability.OutboundLost && !m.deafTold {
 		m.deafTold = true
 		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", m.Name, "zone", m.Zone,
-			"tasks", len(m.assigns), "why", m.line.Why(now))
+			"tasks", len(m.assigns), "why", m.line.Reason(now))
 	}
-	return failuredetector.Judge(x, l)
+	return failuredetector.Decide(x, l)
 }
 
 // mute tells whether a machine answers commands while it reaches no controller.
 func (c *Core) mute(m *machine) bool {
-	return m.Up && m.relay == "" && c.since(m.Heard) > c.quiet(m) && m.line.Mute(c.now(), c.since(m.Heard), c.quiet(m))
+	return m.Up && m.relay == "" && c.since(m.LastHeartbeat) > c.quiet(m) && m.line.InboundLost(c.now(), c.since(m.LastHeartbeat), c.quiet(m))
 }
 
 // askDoubtful asks some machines that are heard, and do not show that they hear, by an empty command: an answer is
@@ -135,9 +135,9 @@
 	left := tuning.AsksAtOnce
 	for _, m := range c.byName() {
 		s := m.line.State(now, c.lease())
-		silent := now.Sub(m.Heard) > c.quiet(m)
+		silent := now.Sub(m.LastHeartbeat) > c.quiet(m)
 		switch {
-		case !m.Up || m.returning || m.relay != "" || !silent && s != reachability.Suspected && s != reachability.HalfDeaf:
+		case !m.Up || m.returning || m.relay != "" || !silent && s != reachability.Suspected && s != reachability.OutboundLost:
 		case m.sending:
 			left--
 		case now.Sub(m.asked) >= seconds(c.set.Facts.Workers.ReportS):
@@ -147,6 +147,6 @@
 	slices.SortStableFunc(due, func(a, b *machine) int { return a.asked.Compare(b.asked) })
 	for _, m := range due[:max(0, min(left, len(due)))] {
 		m.sending, m.asked = true, now
-		c.hooks.Send(m.Name, m.Address, api.Orders{Term: c.term, Session: m.Session, Commands: []api.Command{}})
+		c.hooks.Send(m.Name, m.Address, api.HeartbeatResponse{Term: c.term, Incarnation: m.Incarnation, Commands: []api.Command{}})
 	}
 }
--- a/controller/silence_test.go
+++ b/controller/silence_test.go
@@ -13,7 +13,7 @@
 
 // through plays a report that comes through a sibling.
 func (s *stage) through(via, name string) {
-	s.Report(&api.Report{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Session: 1, Seq: s.next(name), Term: s.term}, via)
+	s.Report(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: s.next(name), Term: s.term}, via)
 }
 
 // rounds lets time pass with the leader at work: each step the named machines
@@ -95,12 +95,12 @@
 // on, and every start waited for the next report. It leaves the post to that one.
 func TestLeaderThatReachesNoWorkerResigns(t *testing.T) {
 	s := newStage(t)
-	hears := []peer.Hello{{Member: "n1", StateOK: true, HearsWorkers: true}}
+	hears := []peer.Hello{{Member: "n1", StateOK: true, ReceivesHeartbeats: true}}
 	s.report("a1", 1)
 	s.report("a2", 1)
 	miss := func(n int) {
 		for range n {
-			s.Answered("a1", api.Orders{Term: s.term}, nil, true)
+			s.Answered("a1", api.HeartbeatResponse{Term: s.term}, nil, true)
 		}
 	}
 	quiet := func() { s.through("n1", "a1"); s.through("n1", "a2") }
--- a/controller/teams_bench_test.go
+++ b/controller/teams_bench_test.go
@@ -61,7 +61,7 @@
 				teams = append(teams, settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 1e6})
 			}
 			active := configuration.FromFiles(teams, nil)
-			s := &api.Submission{Team: teams[n-1].Name, Shape: api.Array, Tasks: 1, CPUs: 1}
+			s := &api.Submission{Team: teams[n-1].Name, Shape: api.JobArray, Tasks: 1, CPUs: 1}
 			for b.Loop() {
 				if !admits(active, s) {
 					b.Fatal("not admitted")
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -14,29 +14,29 @@
 	"switchferry/tuning"
 )
 
-// PlaceBy switches topology on, unless the file is nil; it is called before Run.
-func (n *Node) PlaceBy(f *topology.File) { n.topology = f }
+// UseTopologyFile switches topology on, unless the file is nil; it is called before Run.
+func (n *Controller) UseTopologyFile(f *topology.File) { n.topology = f }
 
 // checkSite reads what a submission asks of where its tasks stand, and whether that can be.
 func checkSite(s *api.Submission, body []byte) (status int, err error) {
 	if s.Near, s.Survive, err = api.ParseSite(body, s.Tasks); err != nil {
 		return http.StatusBadRequest, err
 	}
-	if s.Shape == api.Array {
+	if s.Shape == api.JobArray {
 		// Its tasks can run a few at a time.
 		return 0, nil
 	}
-	if why := topology.Contradict(s.Near, s.Survive, s.Tasks); why != "" {
+	if why := topology.Infeasible(s.Near, s.Survive, s.Tasks); why != "" {
 		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: why}
 	}
 	return 0, nil
 }
 
 // watchTopology takes new versions of the file while the node runs.
-func (n *Node) watchTopology() {
+func (n *Controller) watchTopology() {
 	for n.ctx.Err() == nil {
 		n.sleep(n.ctx, tuning.TopologyEvery)
-		m, err := n.topology.Renew()
+		m, err := n.topology.Reload()
 		if err != nil {
 			slog.Error("topology file not taken", "err", err)
 		}
@@ -51,7 +51,7 @@
 	tree *topology.Tree
 	// lone and ambiguous are how many machines were last complained about.
 	lone, ambiguous int
-	seek            topology.Seek
+	seek            topology.Search
 	held            topology.Reservations
 }
 
@@ -71,11 +71,11 @@
 	if c.where == nil || c.where.tree.Map() == m {
 		return
 	}
-	c.where.tree = c.where.tree.Moved(m)
+	c.where.tree = c.where.tree.Rebased(m)
 	c.where.lone, c.where.ambiguous = 0, 0
 	for _, j := range c.jobs {
 		if j.site != nil {
-			j.site = j.site.Moved(c.where.tree)
+			j.site = j.site.Rebased(c.where.tree)
 		}
 	}
 	slog.Info("topology changed", "version", m.Version())
@@ -121,7 +121,7 @@
 	}
 	// Else each start would be weighed against reservations that nobody asks for any more.
 	w.held.Expire(c.now())
-	if l, a := w.tree.Lone(), w.tree.Ambiguous(); l > w.lone || a > w.ambiguous {
+	if l, a := w.tree.Unlisted(), w.tree.Ambiguous(); l > w.lone || a > w.ambiguous {
 		w.lone, w.ambiguous = l, a
 		slog.Warn("machines that the topology does not name stand alone; of those that two domains name the first counts", "not_named", l, "named_twice", a)
 	}
@@ -136,14 +136,14 @@
 		m := c.machines[name]
 		return m != nil && c.eligible(j, m) && c.stages(j, m)
 	}
-	ok := j.site.Aim(j.need, len(j.pending), j.Job.Shape != api.Array, may)
-	why := j.site.Why()
-	if !ok && j.Job.Shape != api.Array && j.rank > lowestRank(c.order) && !c.mistaken(j) && !c.now().Before(j.aimNext) {
+	ok := j.site.ChooseDomain(j.need, len(j.pending), j.Job.Shape != api.JobArray, may)
+	why := j.site.Reason()
+	if !ok && j.Job.Shape != api.JobArray && j.rank > lowestRank(c.order) && !c.mistaken(j) && !c.now().Before(j.aimNext) {
 		// Arrays stop others one task at a time, like all arrays.
 		j.aimNext = c.now().Add(tuning.AimAgain)
-		ok = j.site.AimWhereRoomIsMade(j.need, len(j.pending), may, func(name string) []int64 { return c.offer(j, c.machines[name]) })
+		ok = j.site.ChooseDomainByPreemption(j.need, len(j.pending), may, func(name string) []int64 { return c.offer(j, c.machines[name]) })
 	}
-	if !ok && j.Job.Shape != api.Array {
+	if !ok && j.Job.Shape != api.JobArray {
 		if kept := c.keepDomain(j, may); kept != "" {
 			why = kept
 		}
@@ -167,7 +167,7 @@
 		bound := false
 		room := false
 		for _, m := range c.machines {
-			if !c.eligible(j, m) || !m.free().Holds(j.need) {
+			if !c.eligible(j, m) || !m.free().Fits(j.need) {
 				continue
 			}
 			if zoneOK(j, m) && j.why == "" {
@@ -197,7 +197,7 @@
 		boot = max(boot, t.BootS)
 	}
 	supply, _ := c.supply()
-	return c.where.seek.Ask(now, c.stranded(), supply, seconds(boot))
+	return c.where.seek.TargetCPUs(now, c.stranded(), supply, seconds(boot))
 }
 
 // keepDomain reserves a domain that drains before a machine boots for a job that has none, and
@@ -214,12 +214,12 @@
 			boot = t.BootS
 		}
 	}
-	d, ms := j.site.Drains(j.need, len(j.pending), may, func(name string) []int64 { return c.frees(j, c.machines[name], len(j.pending)) })
+	d, ms := j.site.SoonestDomain(j.need, len(j.pending), may, func(name string) []int64 { return c.frees(j, c.machines[name], len(j.pending)) })
 	if d == nil || float64(ms) > boot*1000 {
 		return ""
 	}
 	at := c.now().Add(time.Duration(ms) * time.Millisecond)
-	if c.where.held.Hold(c.now(), topology.Reservation{Job: j.id, Rank: j.rank, Domain: d, At: at}) {
+	if c.where.held.Reserve(c.now(), topology.Reservation{Job: j.id, Rank: j.rank, Domain: d, At: at}) {
 		j.kept = fmt.Sprintf("%s %q is kept for it until it drains", d.Level, d.Name)
 	}
 	return j.kept
@@ -231,7 +231,7 @@
 	free := m.free()
 	type ending struct {
 		ms   int64
-		room fleet.Room
+		room fleet.Resources
 	}
 	var ends []ending
 	for _, a := range m.assigns {
@@ -252,7 +252,7 @@
 	now := int64(0)
 	for len(at) < tasks {
 		switch {
-		case free.Holds(j.need):
+		case free.Fits(j.need):
 			free = free.Sub(j.need)
 			at = append(at, now)
 		case len(ends) > 0:
@@ -275,7 +275,7 @@
 	if j.Job.Shape != api.Service {
 		ends = c.now().Add(seconds(estimate(j) + c.costs(j, 0, m, false).Seconds()))
 	}
-	return c.where.held.Bars(c.now(), c.where.tree.Of(m.Name), j.id, j.rank, ends)
+	return c.where.held.Blocks(c.now(), c.where.tree.Of(m.Name), j.id, j.rank, ends)
 }
 
 // offer is what each further task of a job costs on a machine, in work that is thrown away,
@@ -287,7 +287,7 @@
 	cost := int64(0)
 	for len(costs) < len(j.pending) {
 		switch {
-		case free.Holds(j.need):
+		case free.Fits(j.need):
 			free = free.Sub(j.need)
 			costs = append(costs, cost)
 			cost = 0
--- a/controller/topology_test.go
+++ b/controller/topology_test.go
@@ -51,12 +51,12 @@
 	return y
 }
 
-func (y *yard) obey(name string, o api.Orders) {
+func (y *yard) obey(name string, o api.HeartbeatResponse) {
 	for _, c := range o.Commands {
 		switch c.Verb {
-		case api.Start:
+		case api.CommandRun:
 			y.runs[name][c.Task] = c.Attempt
-		case api.Stop:
+		case api.CommandKill:
 			delete(y.runs[name], c.Task)
 		}
 	}
@@ -330,7 +330,7 @@
 func (y *yard) finish(name, key string) {
 	attempt := y.runs[name][key]
 	delete(y.runs[name], key)
-	y.obey(name, y.report(name, 1, append(y.said(name), task(key, attempt, api.TaskEnded, api.CauseDone))...))
+	y.obey(name, y.report(name, 1, append(y.said(name), task(key, attempt, api.TaskExited, api.CauseDone))...))
 	y.commit()
 }
 
@@ -470,7 +470,7 @@
 			case 0, 1:
 				x := asked{id: fmt.Sprintf("run-%06d", step), tasks: 1 + rng.IntN(6), near: rng.IntN(2) == 0, gang: rng.IntN(3) == 0}
 				change := func(s *api.Submission) {
-					s.Shape = []string{api.Service, api.Array}[rng.IntN(2)]
+					s.Shape = []string{api.Service, api.JobArray}[rng.IntN(2)]
 					s.Rank = []string{"low", "normal", "high", "prod"}[rng.IntN(4)]
 					if x.gang {
 						s.Shape = api.Gang
@@ -525,7 +525,7 @@
 
 func TestSiteThatCanNeverBeIsRefused(t *testing.T) {
 	body := `{"near":{"level":"rack"},"survive":{"level":"rack","at_most":2}}`
-	for shape, want := range map[string]int{api.Service: http.StatusUnprocessableEntity, api.Gang: http.StatusUnprocessableEntity, api.Array: 0} {
+	for shape, want := range map[string]int{api.Service: http.StatusUnprocessableEntity, api.Gang: http.StatusUnprocessableEntity, api.JobArray: 0} {
 		if status, err := checkSite(&api.Submission{Shape: shape, Tasks: 3}, []byte(body)); status != want {
 			t.Errorf("%s: %d %v, want %d", shape, status, err, want)
 		}
--- a/controller/user.go
+++ b/controller/user.go
@@ -24,29 +24,29 @@
 	verbReport = "report"
 )
 
-func answer(status int, body any) peer.Answer {
+func answer(status int, body any) peer.Response {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return later("internal error")
 	}
-	return peer.Answer{Status: status, Body: raw}
+	return peer.Response{Status: status, Body: raw}
 }
 
 // later refuses at once and tells when to come back.
-func later(why string) peer.Answer {
+func later(why string) peer.Response {
 	a := answer(http.StatusServiceUnavailable, api.Error{Error: why})
 	a.RetryAfterS = tuning.RetryAfterS
 	return a
 }
 
 // laterBy is the same with the time that it will take.
-func laterBy(why string, after time.Duration) peer.Answer {
+func laterBy(why string, after time.Duration) peer.Response {
 	a := later(why)
 	a.RetryAfterS = min(tuning.RetryAfterMost, max(a.RetryAfterS, int(math.Ceil(after.Seconds()))))
 	return a
 }
 
-func refusal(status int, err error) peer.Answer {
+func refusal(status int, err error) peer.Response {
 	e := api.Error{Error: err.Error()}
 	if fe, ok := err.(*api.FieldError); ok {
 		e.Field = fe.Field
@@ -98,7 +98,7 @@
 }
 
 // Submit stores a new job and waits until it is stored. False: look again.
-func (c *Core) Submit(ctx context.Context, s *api.Submission, now time.Time) (peer.Answer, bool) {
+func (c *Core) Submit(ctx context.Context, s *api.Submission, now time.Time) (peer.Response, bool) {
 	c.mu.Lock()
 	j := c.jobs[s.ID]
 	fresh := j == nil
@@ -134,7 +134,7 @@
 	}
 	st, ok := c.Known(s.ID)
 	if !ok {
-		return peer.Answer{}, false
+		return peer.Response{}, false
 	}
 	if fresh && st.State == api.Pending {
 		return answer(http.StatusCreated, st), true
@@ -154,7 +154,7 @@
 
 // settledStarts wakes whoever waits for the starts of a cancelled job, once none is under way.
 func (j *job) settledStarts() {
-	if j.Final == api.Withdrawn && j.stored && !j.startsUnderWay() {
+	if j.FinalState == api.Cancelled && j.stored && !j.startsUnderWay() {
 		j.notify()
 	}
 }
@@ -177,7 +177,7 @@
 		return
 	}
 	j.accepted = true
-	if j.Final == "" && !c.pipes.enter(j) {
+	if j.FinalState == "" && !c.pipes.enter(j) {
 		j.open()
 	}
 	slog.Info("job accepted", "job", id, "class", j.Job.Class, "team", j.Job.Team, "tasks", j.total, "cpus", j.need.CPUs, "rank", j.Job.Rank, "expect_s", j.Job.EstimateS, "due_s", j.Job.DeadlineS, "awaits", strings.Join(j.Job.Awaits, ","))
@@ -221,32 +221,32 @@
 		if changed != nil {
 			j.changed = changed
 		}
-		if rec.Final != "" {
+		if rec.FinalState != "" {
 			j.stored = true
 			c.hooks.Final(id, j.finalRecord(c.own))
 		}
 		c.accept(id)
 		if j.stored {
-			c.pipes.over(id, j.Final)
+			c.pipes.over(id, j.FinalState)
 		}
 		c.settle(j)
 	}
 }
 
 // Cancel stores that a job is cancelled and waits until that is stored.
-func (c *Core) Cancel(ctx context.Context, id string) (peer.Answer, bool) {
+func (c *Core) Cancel(ctx context.Context, id string) (peer.Response, bool) {
 	c.mu.Lock()
 	j := c.jobs[id]
 	if j == nil {
 		c.mu.Unlock()
-		return peer.Answer{}, false
+		return peer.Response{}, false
 	}
 	if !j.accepted {
 		c.mu.Unlock()
 		return later("the job is not accepted yet"), true
 	}
-	if j.Final == "" {
-		c.finish(j, api.Withdrawn)
+	if j.FinalState == "" {
+		c.finish(j, api.Cancelled)
 		for _, a := range j.live {
 			c.stopTask(a, tuning.CancelKill, "cancelled")
 		}
@@ -257,7 +257,7 @@
 		return later("the record is not stored yet"), true
 	}
 	c.mu.Lock()
-	if changed = j.changed; j.Final == api.Withdrawn && j.startsUnderWay() {
+	if changed = j.changed; j.FinalState == api.Cancelled && j.startsUnderWay() {
 		// Whoever is told now may see one of them begin: it is stopped then, but nothing should start after that
 		// answer. Most are answered within milliseconds.
 		c.mu.Unlock()
@@ -267,5 +267,5 @@
 	c.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return answer(http.StatusOK, api.JobStatus{ID: id, State: j.Final, Done: j.done}), true
+	return answer(http.StatusOK, api.JobStatus{ID: id, State: j.FinalState, Done: j.done}), true
 }
--- a/controller/user_test.go
+++ b/controller/user_test.go
@@ -26,7 +26,7 @@
 
 // follower is a controller that has greeted its leader n0. The leader falls silent once
 // mute is set: connections stand, and nothing is answered.
-func follower(t *testing.T, ctx context.Context, mute *atomic.Bool, handle peer.Handler) (*Node, *clockwork.FakeClock, *fake.State) {
+func follower(t *testing.T, ctx context.Context, mute *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,19 +41,19 @@
 	go func() { _ = leader.Serve(ctx, l) }()
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
-	set.Siblings = []settings.Sibling{{Member: "n0", Address: l.Addr().String()}}
+	set.Peers = []settings.Peer{{Member: "n0", Address: l.Addr().String()}}
 	st := fake.NewState(clock)
-	n := NewNode(ctx, set, policy.Default(), clock, st)
+	n := New(ctx, set, policy.Default(), clock, st)
 	n.types = testTypes
 	n.peers.Run(ctx)
-	for !n.peers.Reaches("n0") {
+	for !n.peers.Reachable("n0") {
 		// The greeting is on its way.
 	}
 	return n, clock, st
 }
 
 // never answers a request.
-func never(ctx context.Context, _ peer.Request) peer.Answer { <-ctx.Done(); return peer.Answer{} }
+func never(ctx context.Context, _ peer.Request) peer.Response { <-ctx.Done(); return peer.Response{} }
 
 // A leader that fell silent held submissions and questions back until their users had
 // given up: they are served without it, in time.
@@ -75,7 +75,7 @@
 		if c.patient > c.within {
 			t.Errorf("%s waits %v for the leader, its user %v", c.r.Verb, c.patient, c.within)
 		}
-		got := make(chan peer.Answer, 1)
+		got := make(chan peer.Response, 1)
 		go func() { got <- n.Handle(ctx, c.r, false) }()
 		// Waiting: the greetings' pace, the two ends of patience, what is left of
 		// the question before.
@@ -97,7 +97,7 @@
 func TestFormerLeaderIsPassedBy(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, _, st := follower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Answer { return later(notLeading) })
+	n, _, st := follower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return later(notLeading) })
 	if a := n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(aJob)}, false); a.Status != 201 || st.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
@@ -113,11 +113,11 @@
 	defer stop()
 	var mute atomic.Bool
 	asked := make(chan struct{})
-	n, clock, st := follower(t, ctx, &mute, func(ctx context.Context, r peer.Request) peer.Answer {
+	n, clock, st := follower(t, ctx, &mute, func(ctx context.Context, r peer.Request) peer.Response {
 		close(asked)
 		return never(ctx, r)
 	})
-	got := make(chan peer.Answer, 1)
+	got := make(chan peer.Response, 1)
 	before := st.Requests
 	go func() { got <- n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(aJob)}, false) }()
 	// The greeting went before the question, and is answered in its place.
@@ -125,7 +125,7 @@
 	if err := clock.BlockUntilContext(ctx, 3); err != nil {
 		t.Fatal(err)
 	}
-	for n.peers.Signs("n0") < 2 {
+	for n.peers.ReceivedCount("n0") < 2 {
 		// Its answer is on its way.
 	}
 	clock.Advance(tuning.AcceptPatience)
@@ -140,9 +140,9 @@
 func TestDeposedLeaderDoesNotAnswerFromMemory(t *testing.T) {
 	s := newStage(t)
 	s.submit("run-000001", 1, nil)
-	n := NewNode(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
+	n := New(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
 	n.core = s.Core
-	ask := func() peer.Answer {
+	ask := func() peer.Response {
 		return n.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-000001"}, false)
 	}
 	if a := ask(); a.Status != 200 || !strings.Contains(string(a.Body), api.Pending) {
@@ -152,11 +152,11 @@
 		t.Fatal(err)
 	}
 	s.valid = false
-	s.state.Put(store.JobKey("run-000001"), store.JobRecord{Job: s.jobs["run-000001"].Job, Final: api.Withdrawn})
+	s.state.Put(store.JobKey("run-000001"), store.JobRecord{Job: s.jobs["run-000001"].Job, FinalState: api.Cancelled})
 	if _, ok := s.Known("run-000001"); ok {
 		t.Error("memory answers without a term")
 	}
-	if a := ask(); a.Status != 200 || !strings.Contains(string(a.Body), api.Withdrawn) {
+	if a := ask(); a.Status != 200 || !strings.Contains(string(a.Body), api.Cancelled) {
 		t.Errorf("%d %s, want what the state service holds", a.Status, a.Body)
 	}
 }
@@ -167,9 +167,9 @@
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
 	set := userSettings()
-	n := NewNode(context.Background(), set, policy.Default(), clock, st)
+	n := New(context.Background(), set, policy.Default(), clock, st)
 	count := map[int]int{}
-	answers := make(chan peer.Answer)
+	answers := make(chan peer.Response)
 	for i := range 1000 {
 		go func() {
 			answers <- n.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: fmt.Sprintf("run-%06d", i%20)}, false)
@@ -199,7 +199,7 @@
 func TestNothingIsReturnedAfterTheTerm(t *testing.T) {
 	s := newStage(t)
 	s.report("a1", 1)
-	n := NewNode(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
+	n := New(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
 	s.valid = false
 	s.machines["a1"].returning = true
 	before := s.state.Requests
@@ -216,18 +216,18 @@
 // came, the cancellation stands. The job was called pending again.
 func TestPollReadBeforeACancellationIsNotAnsweredAfterIt(t *testing.T) {
 	poll, cancel := peer.Request{Verb: VerbStatus, Job: "run-000001"}, peer.Request{Verb: VerbCancel, Job: "run-000001"}
-	state := func(a peer.Answer) string {
+	state := func(a peer.Response) string {
 		var st api.JobStatus
 		if json.Unmarshal(a.Body, &st) != nil || a.Status != 200 {
 			return string(a.Body)
 		}
 		return st.State
 	}
-	for name, begin := range map[string]func(t *testing.T, ctx context.Context) (n *Node, asked, release chan struct{}){
-		"read in the state service": func(t *testing.T, ctx context.Context) (*Node, chan struct{}, chan struct{}) {
+	for name, begin := range map[string]func(t *testing.T, ctx context.Context) (n *Controller, asked, release chan struct{}){
+		"read in the state service": func(t *testing.T, ctx context.Context) (*Controller, chan struct{}, chan struct{}) {
 			clock := clockwork.NewFakeClock()
 			st := fake.NewState(clock)
-			n := NewNode(ctx, userSettings(), policy.Default(), clock, st)
+			n := New(ctx, userSettings(), policy.Default(), clock, st)
 			st.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001"}})
 			l, release := st.LateRead(true), make(chan struct{})
 			go func() {
@@ -236,11 +236,11 @@
 			}()
 			return n, l.Asked, release
 		},
-		"asked of the leader": func(t *testing.T, ctx context.Context) (*Node, chan struct{}, chan struct{}) {
+		"asked of the leader": func(t *testing.T, ctx context.Context) (*Controller, chan struct{}, chan struct{}) {
 			asked, release := make(chan struct{}), make(chan struct{})
-			n, _, _ := follower(t, ctx, new(atomic.Bool), func(_ context.Context, r peer.Request) peer.Answer {
+			n, _, _ := follower(t, ctx, new(atomic.Bool), func(_ context.Context, r peer.Request) peer.Response {
 				if r.Verb == VerbCancel {
-					return answer(200, api.JobStatus{ID: r.Job, State: api.Withdrawn})
+					return answer(200, api.JobStatus{ID: r.Job, State: api.Cancelled})
 				}
 				a := answer(200, api.JobStatus{ID: r.Job, State: api.Running, Running: 1})
 				close(asked)
@@ -254,14 +254,14 @@
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			n, asked, release := begin(t, ctx)
-			got := make(chan peer.Answer, 1)
+			got := make(chan peer.Response, 1)
 			go func() { got <- n.Handle(ctx, poll, false) }()
 			<-asked
-			if a := n.Handle(ctx, cancel, false); state(a) != api.Withdrawn {
+			if a := n.Handle(ctx, cancel, false); state(a) != api.Cancelled {
 				t.Fatalf("the cancellation is answered %d %s", a.Status, a.Body)
 			}
 			close(release)
-			if a := <-got; state(a) != api.Withdrawn {
+			if a := <-got; state(a) != api.Cancelled {
 				t.Errorf("then the poll is answered %d %s", a.Status, a.Body)
 			}
 		})
@@ -279,7 +279,7 @@
 		s.commit()
 		// Nobody waits for these any more.
 		s.clock.Advance(tuning.AcceptWait)
-		got := make(chan peer.Answer, 1)
+		got := make(chan peer.Response, 1)
 		waiting, confirmed := context.WithCancel(context.Background())
 		go func() {
 			a, _ := s.Cancel(context.Background(), "run-000001")
@@ -290,12 +290,12 @@
 			t.Fatal("confirmed while a start is under way")
 		}
 		if answered {
-			r := &api.Report{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Session: 1, Seq: s.next("a1"), Term: s.term, Tasks: []api.TaskReport{task(a.key, a.attempt, api.TaskRunning, "")}}
+			r := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: s.next("a1"), Term: s.term, Tasks: []api.TaskReport{task(a.key, a.attempt, api.TaskRunning, "")}}
 			s.Answered("a1", start.o, r, true)
 		} else {
 			s.clock.Advance(tuning.CancelStarts)
 		}
-		if a := <-got; a.Status != 200 || !strings.Contains(string(a.Body), api.Withdrawn) {
+		if a := <-got; a.Status != 200 || !strings.Contains(string(a.Body), api.Cancelled) {
 			t.Errorf("answered %v: %d %s", answered, a.Status, a.Body)
 		}
 	}
--- a/controller/version1_test.go
+++ b/controller/version1_test.go
@@ -39,7 +39,7 @@
 		var now []api.TaskReport
 		for key, a := range s.machines[m].assigns {
 			if strings.HasPrefix(key, "run-000003/") || key == "run-000001/0" {
-				now = append(now, task(key, a.attempt, api.TaskEnded, api.CauseDone))
+				now = append(now, task(key, a.attempt, api.TaskExited, api.CauseDone))
 			} else {
 				now = append(now, task(key, a.attempt, api.TaskRunning, ""))
 			}
--- a/cpupressure/pace.go
+++ b/cpupressure/pace.go
@@ -18,25 +18,25 @@
 	"switchferry/tuning"
 )
 
-// Pace is how fast this controller computes: the processor time of a fixed piece of work.
+// Monitor is how fast this controller computes: the processor time of a fixed piece of work.
 // Processor time does not count moments in which others ran. Where it is counted in steps, most
 // short tries take none at all, on an idle controller more than on a busy one, so that the least
 // of some tells nothing: with it leaders that were only busy handed over several times a day
 // (docs/incidents/fleet-busy-taken-for-slow.md). So a controller says of itself, for others to
 // compare with, the most that a try took in half a minute, and compares one of the larger of its
 // last ones: each errs to the side on which a leader keeps its post.
-type Pace struct {
+type Monitor struct {
 	clock clockwork.Clock
 
 	mu    sync.Mutex
 	tries []time.Duration
 }
 
-// New makes a measure that has no tries yet.
-func New(clock clockwork.Clock) *Pace { return &Pace{clock: clock} }
+// NewMonitor makes a measure that has no tries yet.
+func NewMonitor(clock clockwork.Clock) *Monitor { return &Monitor{clock: clock} }
 
 // Run measures until the context ends.
-func (p *Pace) Run(ctx context.Context) {
+func (p *Monitor) Run(ctx context.Context) {
 	work := make([]byte, tuning.PaceBytes)
 	for ctx.Err() == nil {
 		if took, err := processorTime(func() {
@@ -69,7 +69,7 @@
 	return time.Duration(to.Nano() - from.Nano()), err
 }
 
-func (p *Pace) add(took time.Duration) {
+func (p *Monitor) add(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tries = append(p.tries, took); len(p.tries) > tuning.PaceTries {
@@ -77,8 +77,8 @@
 	}
 }
 
-// US is the pace that others compare with, in microseconds; 0: not known yet.
-func (p *Pace) US() uint32 {
+// PublishedUS is the pace that others compare with, in microseconds; 0: not known yet.
+func (p *Monitor) PublishedUS() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.tries) < tuning.PaceTries/2 {
@@ -87,8 +87,8 @@
 	return uint32(max(1, slices.Max(p.tries).Microseconds()))
 }
 
-// Own is the pace that this controller compares, in microseconds; 0: not known yet.
-func (p *Pace) Own() uint32 {
+// ComparisonUS is the pace that this controller compares, in microseconds; 0: not known yet.
+func (p *Monitor) ComparisonUS() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.tries) < tuning.PaceLast {
@@ -98,20 +98,20 @@
 	return uint32(max(1, last[len(last)-tuning.PaceRank].Microseconds()))
 }
 
-// Handover tells when a leader should leave the post to a sibling because it
+// LeadershipTransfer tells when a leader should leave the post to a sibling because it
 // computes several times slower: with hundreds of machines its answers would be
 // late for as long as that lasts. A load that is merely high slows every leader
 // alike and is no reason.
-type Handover struct {
+type LeadershipTransfer struct {
 	since time.Time
 }
 
 // Due tells whether a leader elected then, of this pace, should leave the post now.
-func (h *Handover) Due(now, elected time.Time, mine uint32, siblings []peer.Hello) bool {
+func (h *LeadershipTransfer) Due(now, elected time.Time, mine uint32, siblings []peer.Hello) bool {
 	best := uint32(0)
 	for _, s := range siblings {
-		if s.StateOK && s.PaceUS > 0 && (best == 0 || s.PaceUS < best) {
-			best = s.PaceUS
+		if s.StateOK && s.BenchmarkUS > 0 && (best == 0 || s.BenchmarkUS < best) {
+			best = s.BenchmarkUS
 		}
 	}
 	if mine == 0 || best == 0 || float64(mine) < tuning.SlowPace*float64(best) {
--- a/cpupressure/pace_test.go
+++ b/cpupressure/pace_test.go
@@ -15,8 +15,8 @@
 func TestSlowLeaderHandsOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	elected := clock.Now().Add(-time.Hour)
-	fast := []peer.Hello{{Member: "b", StateOK: true, PaceUS: 100}}
-	var h Handover
+	fast := []peer.Hello{{Member: "b", StateOK: true, BenchmarkUS: 100}}
+	var h LeadershipTransfer
 	if h.Due(clock.Now(), elected, 300, fast) {
 		t.Error("at the first sight")
 	}
@@ -27,8 +27,8 @@
 	if h.Due(clock.Now(), clock.Now().Add(-time.Second), 300, fast) {
 		t.Error("right after the election")
 	}
-	for _, s := range [][]peer.Hello{nil, {{PaceUS: 100}}, {{StateOK: true, PaceUS: 290}}, {{StateOK: true}}} {
-		h = Handover{since: elected}
+	for _, s := range [][]peer.Hello{nil, {{BenchmarkUS: 100}}, {{StateOK: true, BenchmarkUS: 290}}, {{StateOK: true}}} {
+		h = LeadershipTransfer{since: elected}
 		if h.Due(clock.Now(), elected, 300, s) {
 			t.Errorf("handed over to %+v", s)
 		}
@@ -43,9 +43,9 @@
 // however many. With the least of some tries leaders handed over five times on a calm day, with
 // one measure for both twelve times on another.
 func TestPaceIsNeitherDisturbedNorCoarse(t *testing.T) {
-	var p Pace
+	var p Monitor
 	for i := range tuning.PaceTries {
-		if i < tuning.PaceLast && p.Own() != 0 || i < tuning.PaceTries/2 && p.US() != 0 {
+		if i < tuning.PaceLast && p.ComparisonUS() != 0 || i < tuning.PaceTries/2 && p.PublishedUS() != 0 {
 			t.Fatalf("told after %d tries", i)
 		}
 		took := time.Duration(i%2) * time.Microsecond
@@ -54,19 +54,19 @@
 		}
 		p.add(took)
 	}
-	if p.US() != 83 || p.Own() != 1 {
-		t.Errorf("idle: %d for others, %d for itself", p.US(), p.Own())
+	if p.PublishedUS() != 83 || p.ComparisonUS() != 1 {
+		t.Errorf("idle: %d for others, %d for itself", p.PublishedUS(), p.ComparisonUS())
 	}
 	p.add(9 * time.Millisecond)
 	p.add(9 * time.Millisecond)
-	if p.Own() != 1 {
-		t.Errorf("two disturbed tries count: %d", p.Own())
+	if p.ComparisonUS() != 1 {
+		t.Errorf("two disturbed tries count: %d", p.ComparisonUS())
 	}
 	for range tuning.PaceRank {
 		p.add(240 * time.Microsecond)
 	}
-	if p.Own() != 240 {
-		t.Errorf("pace %d: slow tries do not show", p.Own())
+	if p.ComparisonUS() != 240 {
+		t.Errorf("pace %d: slow tries do not show", p.ComparisonUS())
 	}
 	if took, err := processorTime(func() { time.Sleep(0) }); err != nil || took < 0 || took > time.Second {
 		t.Error(took, err)
--- a/dag/pipeline.go
+++ b/dag/pipeline.go
@@ -21,9 +21,9 @@
 	return &Graph{needs: map[string]map[string]bool{}, behind: map[string]map[string]bool{}}
 }
 
-// Wait lets a job wait for others that are not done. Jobs in needs may be unknown, and may wait
+// Add lets a job wait for others that are not done. Jobs in needs may be unknown, and may wait
 // themselves; a job that waits already waits for these as well.
-func (g *Graph) Wait(job string, needs []string) {
+func (g *Graph) Add(job string, needs []string) {
 	for _, n := range needs {
 		put(g.needs, job, n)
 		put(g.behind, n, job)
@@ -44,36 +44,36 @@
 	}
 }
 
-// Waits tells whether a job waits.
-func (g *Graph) Waits(job string) bool { return len(g.needs[job]) > 0 }
+// Waiting tells whether a job waits.
+func (g *Graph) Waiting(job string) bool { return len(g.needs[job]) > 0 }
 
 // Len is how many jobs wait.
 func (g *Graph) Len() int { return len(g.needs) }
 
-// Needs are those that a job waits for.
-func (g *Graph) Needs(job string) []string { return slices.Sorted(maps.Keys(g.needs[job])) }
+// Dependencies are those that a job waits for.
+func (g *Graph) Dependencies(job string) []string { return slices.Sorted(maps.Keys(g.needs[job])) }
 
-// Behind are those that wait for a job, directly.
-func (g *Graph) Behind(job string) []string { return slices.Sorted(maps.Keys(g.behind[job])) }
+// Dependents are those that wait for a job, directly.
+func (g *Graph) Dependents(job string) []string { return slices.Sorted(maps.Keys(g.behind[job])) }
 
-// Done notes that a job is done and gives those that now wait for nothing.
-func (g *Graph) Done(job string) (ready []string) {
-	for _, b := range g.Behind(job) {
+// Complete notes that a job is done and gives those that now wait for nothing.
+func (g *Graph) Complete(job string) (ready []string) {
+	for _, b := range g.Dependents(job) {
 		drop(g.needs, b, job)
 		drop(g.behind, job, b)
-		if !g.Waits(b) {
+		if !g.Waiting(b) {
 			ready = append(ready, b)
 		}
 	}
 	return ready
 }
 
-// Cancelled takes a cancelled job out, and gives all that are cancelled with it, directly or
+// Cancel takes a cancelled job out, and gives all that are cancelled with it, directly or
 // through others, those that are nearer first; they are taken out as well.
-func (g *Graph) Cancelled(job string) (with []string) {
+func (g *Graph) Cancel(job string) (with []string) {
 	seen := map[string]bool{job: true}
 	for all := []string{job}; len(all) > 0; all = all[1:] {
-		for _, b := range g.Behind(all[0]) {
+		for _, b := range g.Dependents(all[0]) {
 			if !seen[b] {
 				seen[b] = true
 				with, all = append(with, b), append(all, b)
@@ -82,7 +82,7 @@
 	}
 	for id := range seen {
 		g.leave(id)
-		for _, b := range g.Behind(id) {
+		for _, b := range g.Dependents(id) {
 			drop(g.needs, b, id)
 			drop(g.behind, id, b)
 		}
@@ -92,7 +92,7 @@
 
 // leave takes a job out of those that wait; others still wait for it.
 func (g *Graph) leave(job string) {
-	for _, n := range g.Needs(job) {
+	for _, n := range g.Dependencies(job) {
 		drop(g.needs, job, n)
 		drop(g.behind, n, job)
 	}
@@ -109,11 +109,11 @@
 	DuesMS []int64
 }
 
-// Reach gives for each job that others wait for what it has to keep for their sake and its own:
+// Inherit gives for each job that others wait for what it has to keep for their sake and its own:
 // the highest rank, and for each due time, by its number, the soonest. A job before another has
 // to be done by that one's due time less what it takes. Of tells what a job asks for itself;
 // false: it is not known.
-func (g *Graph) Reach(of func(job string) (Stage, bool)) map[string]Stage {
+func (g *Graph) Inherit(of func(job string) (Stage, bool)) map[string]Stage {
 	r := reach{g: g, of: of, got: map[string]Stage{}}
 	for id := range g.behind {
 		r.at(id)
@@ -141,7 +141,7 @@
 	// jobs form.
 	r.got[job] = s
 	s.DuesMS = slices.Clone(s.DuesMS)
-	for _, b := range r.g.Behind(job) {
+	for _, b := range r.g.Dependents(job) {
 		later := r.at(b)
 		s.Rank = max(s.Rank, later.Rank)
 		for i, due := range later.DuesMS {
--- a/dag/pipeline_test.go
+++ b/dag/pipeline_test.go
@@ -56,7 +56,7 @@
 					}
 				}
 				ids = append(ids, id)
-				g.Wait(id, open)
+				g.Add(id, open)
 			case pick == 2:
 				id := ids[rng.IntN(len(ids))]
 				if done[id] || !ready(id) {
@@ -64,7 +64,7 @@
 				}
 				was := state(ready)
 				done[id] = true
-				check("done "+id, g.Done(id), was, ready)
+				check("done "+id, g.Complete(id), was, ready)
 			default:
 				id := ids[rng.IntN(len(ids))]
 				if done[id] || lost(id) {
@@ -73,11 +73,11 @@
 				was := state(lost)
 				cancelled[id] = true
 				was[id] = true
-				check("cancelled "+id, g.Cancelled(id), was, lost)
+				check("cancelled "+id, g.Cancel(id), was, lost)
 			}
 			for _, id := range ids {
-				if g.Waits(id) != (!ready(id) && !lost(id) && !done[id]) {
-					t.Fatalf("seed %d: %s waits: %v", seed, id, g.Waits(id))
+				if g.Waiting(id) != (!ready(id) && !lost(id) && !done[id]) {
+					t.Fatalf("seed %d: %s waits: %v", seed, id, g.Waiting(id))
 				}
 			}
 		}
@@ -88,15 +88,15 @@
 // the highest behind it. A list of several due times keeps each by its number.
 func TestReach(t *testing.T) {
 	g := New()
-	g.Wait("rewrite", []string{"export"})
-	g.Wait("sweep", []string{"rewrite"})
-	g.Wait("publish", []string{"export", "sweep"})
-	g.Wait("other", []string{"export"})
+	g.Add("rewrite", []string{"export"})
+	g.Add("sweep", []string{"rewrite"})
+	g.Add("publish", []string{"export", "sweep"})
+	g.Add("other", []string{"export"})
 	stages := map[string]Stage{
 		"export": {TakesMS: 15}, "rewrite": {TakesMS: 25}, "sweep": {Rank: 1, TakesMS: 20, DuesMS: []int64{500}},
 		"publish": {Rank: 2, TakesMS: 8, DuesMS: []int64{200, 300}}, "other": {Rank: 3, TakesMS: 5},
 	}
-	got := g.Reach(func(id string) (Stage, bool) { s, ok := stages[id]; return s, ok })
+	got := g.Inherit(func(id string) (Stage, bool) { s, ok := stages[id]; return s, ok })
 	want := map[string]struct {
 		rank int
 		dues []int64
@@ -114,8 +114,8 @@
 	if !slices.Equal(stages["sweep"].DuesMS, []int64{500}) {
 		t.Error("a job's own due times were changed")
 	}
-	g.Done("export")
-	if got := g.Reach(func(id string) (Stage, bool) { s, ok := stages[id]; return s, ok }); len(got) != 2 {
+	g.Complete("export")
+	if got := g.Inherit(func(id string) (Stage, bool) { s, ok := stages[id]; return s, ok }); len(got) != 2 {
 		t.Errorf("after the first stage: %v", got)
 	}
 }
--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -35,9 +35,9 @@
 	// Machine is the worker's machine name, Address where peers and controllers reach
 	// this agent.
 	Machine, Address string
-	// Dir holds the cache; Quota is its size in bytes.
-	Dir   string
-	Quota int64
+	// Dir holds the cache; CacheBytes is its size in bytes.
+	Dir        string
+	CacheBytes int64
 	// Store is the base URL of the store, without a slash at its end.
 	Store string
 	// Controllers are their addresses by member name.
@@ -124,7 +124,7 @@
 	if opt.AtOnce == 0 {
 		opt.AtOnce = tuning.StageAtOnce
 	}
-	c, err := OpenCache(opt.Dir, opt.Quota, opt.Step)
+	c, err := OpenCache(opt.Dir, opt.CacheBytes, opt.Step)
 	if err != nil {
 		return nil, err
 	}
@@ -238,7 +238,7 @@
 	a.mu.Lock()
 	s := a.state
 	a.mu.Unlock()
-	if o.Term < s.Term || o.Term == s.Term && o.Order < s.Order || o.Session != 0 && o.Session != s.Session {
+	if o.Term < s.Term || o.Term == s.Term && o.Order < s.Order || o.Incarnation != 0 && o.Incarnation != s.Session {
 		return false, nil
 	}
 	if o.Term != s.Term || o.Order != s.Order {
@@ -548,13 +548,13 @@
 }
 
 // Report is what the agent says of itself now. All: with all that it holds.
-func (a *Agent) Report(all bool) api.StageReport {
+func (a *Agent) Report(all bool) api.StageHeartbeat {
 	a.refresh()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.seq++
-	r := api.StageReport{Machine: a.opt.Machine, Address: a.opt.Address, Session: a.state.Session, Seq: a.seq, Term: a.state.Term,
-		Order: a.state.Order, Quota: a.opt.Quota, Used: a.cache.Used(), Version: a.version, All: all,
+	r := api.StageHeartbeat{Machine: a.opt.Machine, Address: a.opt.Address, Incarnation: a.state.Session, Seq: a.seq, Term: a.state.Term,
+		Order: a.state.Order, Quota: a.opt.CacheBytes, Used: a.cache.Used(), Version: a.version, All: all,
 		FromStore: a.fromStore.Load(), FromPeers: a.fromPeers.Load()}
 	if all {
 		for _, h := range a.held {
@@ -643,8 +643,8 @@
 		return "", err
 	case http.StatusMisdirectedRequest:
 		var r api.Redirect
-		if json.Unmarshal(body, &r) == nil && r.Node != "" {
-			return r.Node, nil
+		if json.Unmarshal(body, &r) == nil && r.Controller != "" {
+			return r.Controller, nil
 		}
 	}
 	return "", fmt.Errorf("status %d", resp.StatusCode)
@@ -694,7 +694,7 @@
 
 // Next is the report that is due: with all that is held if the controllers do not know
 // the present state yet.
-func (a *Agent) Next() api.StageReport {
+func (a *Agent) Next() api.StageHeartbeat {
 	a.mu.Lock()
 	all := a.known != a.version
 	a.mu.Unlock()
--- a/dataagent/fetch.go
+++ b/dataagent/fetch.go
@@ -274,7 +274,7 @@
 		}
 		// A peer that lacks it may have evicted it since it was asked what it holds;
 		// one that gives wrong bytes is not asked again.
-		t.p.fail(api.StageFailure{From: src, Why: err.Error(), Lied: errors.Is(err, ErrWrong)}, errors.Is(err, ErrFull))
+		t.p.fail(api.StageFailure{From: src, Why: err.Error(), Corrupt: errors.Is(err, ErrWrong)}, errors.Is(err, ErrFull))
 		slog.Info("copy failed", "dataset", t.name, "part", t.part, "from", src, "try", try+1, "why", err)
 		a.changed()
 		try++
--- a/dataagent/stager_test.go
+++ b/dataagent/stager_test.go
@@ -82,7 +82,7 @@
 
 // agent starts an agent with a port of its own.
 func (r *rig) agent(dir string, quota int64, step func(string)) (*Agent, api.StageSource) {
-	a, err := New(r.ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: dir, Quota: quota, Store: r.url, Clock: r.clock, Pack: true, Step: step})
+	a, err := New(r.ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: dir, CacheBytes: quota, Store: r.url, Clock: r.clock, Pack: true, Step: step})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 			r.apply(peer, order(1, 1, "inv", d, []api.StageSource{store}, 0))
 			eventually(t, "the peer has it", func() bool { return pinned(peer, "inv").Contains(0) })
 
-			r.store.Break(fake.Trouble{Kind: kind, After: 2*block + 17})
+			r.store.Break(fake.Fault{Kind: kind, After: 2*block + 17})
 			dir := t.TempDir()
 			a, _ := r.agent(dir, 1<<30, nil)
 			o := order(1, 1, "inv", d, []api.StageSource{store, at}, 0)
@@ -196,17 +196,17 @@
 			// The manifest comes before the trouble does.
 			r.apply(a, order(1, 1, "inv", d, []api.StageSource{store}, 0))
 			eventually(t, "the first part is there", func() bool { return pinned(a, "inv").Contains(0) })
-			r.store.Break(fake.Trouble{Kind: kind, After: block})
+			r.store.Break(fake.Fault{Kind: kind, After: block})
 			r.apply(a, order(1, 2, "inv", d, []api.StageSource{store}, 0, 1))
 			eventually(t, "the failure is told", func() bool {
 				c := a.Report(false).Copies
-				return len(c) == 1 && len(c[0].Failed) == 1 && c[0].Failed[0].Lied == (kind == "wrong")
+				return len(c) == 1 && len(c[0].Failed) == 1 && c[0].Failed[0].Corrupt == (kind == "wrong")
 			})
 			if pinned(a, "inv").Contains(1) {
 				t.Fatal("pinned without its bytes")
 			}
 			before, _ := r.store.Served()
-			r.store.Break(fake.Trouble{})
+			r.store.Break(fake.Fault{})
 			r.pump(a, func() bool { return pinned(a, "inv").Contains(1) })
 			after, _ := r.store.Served()
 			if want := int64(2 * block); kind == "reset" && after-before > want {
@@ -227,7 +227,7 @@
 	_, d1 := r.store.Add("one", data, len(data), 1)
 	_, d2 := r.store.Add("two", data, len(data), 1)
 	a, _ := r.agent(t.TempDir(), 1<<30, nil)
-	r.store.Break(fake.Trouble{Kind: "hang", After: block})
+	r.store.Break(fake.Fault{Kind: "hang", After: block})
 	o := order(1, 1, "one", d1, []api.StageSource{store}, 0)
 	both := *o
 	both.Sets = append(both.Sets, order(1, 1, "two", d2, []api.StageSource{store}, 0).Sets...)
@@ -255,7 +255,7 @@
 	if _, most := r.store.Served(); most != 1 {
 		t.Fatalf("the chunk was asked for %d times", most)
 	}
-	r.store.Break(fake.Trouble{})
+	r.store.Break(fake.Fault{})
 	r.clock.Advance(tuning.StageStall + time.Second)
 	r.pump(a, func() bool { return pinned(a, "two").Contains(0) })
 	if got := a.Report(false).FromStore; got > 4*block+4096 {
@@ -277,7 +277,7 @@
 			a, at = r.agent(dir, 1<<20, nil)
 			eventually(t, "what was pinned is pinned after a restart", func() bool { return pinned(a, "inv").GetCardinality() == 2 })
 		}
-		for _, o := range []*api.StageOrder{order(6, 9, "inv", d, nil), order(7, 2, "inv", d, nil), {Term: 7, Order: 4, Session: 99}} {
+		for _, o := range []*api.StageOrder{order(6, 9, "inv", d, nil), order(7, 2, "inv", d, nil), {Term: 7, Order: 4, Incarnation: 99}} {
 			raw, _ := json.Marshal(o)
 			resp, err := http.Post("http://"+at.Peer+"/stage", "application/json", bytes.NewReader(raw))
 			if err != nil || resp.StatusCode != http.StatusConflict {
@@ -381,7 +381,7 @@
 	if err := os.WriteFile(p, random(7, 1000), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	r.store.Break(fake.Trouble{Kind: "503"})
+	r.store.Break(fake.Fault{Kind: "503"})
 	b, _ := r.agent(dir, 1<<20, nil) // a new process
 	eventually(t, "the good one is pinned", func() bool { return pinned(b, "inv").Contains(1) })
 	eventually(t, "the damaged one is gone", func() bool { return !b.cache.Has(m.Chunks[0]) })
@@ -421,7 +421,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	a, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("STAGER_DIR"), Quota: 1 << 30, Store: os.Getenv("STAGER_STORE"), Step: step})
+	a, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("STAGER_DIR"), CacheBytes: 1 << 30, Store: os.Getenv("STAGER_STORE"), Step: step})
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
@@ -534,12 +534,12 @@
 	r := newRig(t)
 	_, d := r.store.Add("inv", random(11, 300), 100, 1)
 	var mu sync.Mutex
-	var last api.StageReport
+	var last api.StageHeartbeat
 	fulls, known := 0, uint64(0)
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		last = api.StageReport{}
+		last = api.StageHeartbeat{}
 		if err := json.NewDecoder(q.Body).Decode(&last); err != nil || last.Check() != nil || q.URL.Path != "/v1/staging" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -561,7 +561,7 @@
 	down := httptest.NewServer(nil)
 	down.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	a, err := New(r.ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: t.TempDir(), Quota: 1 << 20, Store: r.url, Clock: r.clock,
+	a, err := New(r.ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: t.TempDir(), CacheBytes: 1 << 20, Store: r.url, Clock: r.clock,
 		Controllers: map[string]string{"a": addr(down), "b": addr(follower), "c": addr(leader)}})
 	if err != nil {
 		t.Fatal(err)
@@ -604,7 +604,7 @@
 		eventually(t, kind+": it comes from the store", func() bool {
 			for _, c := range a.Report(false).Copies {
 				for _, f := range c.Failed {
-					told = told || f.Lied && f.From == peer
+					told = told || f.Corrupt && f.From == peer
 				}
 			}
 			return pinned(a, "inv").Contains(0)
--- a/election/election.go
+++ b/election/election.go
@@ -17,12 +17,12 @@
 	"switchferry/tuning"
 )
 
-// Events are told what happens. They must not block for long.
-type Events interface {
+// Callbacks are told what happens. They must not block for long.
+type Callbacks interface {
 	Elected(term uint64)
 	Lost(term uint64, why string)
-	// Alone tells whether no sibling can be reached.
-	Alone() bool
+	// Isolated tells whether no sibling can be reached.
+	Isolated() bool
 }
 
 // Elector stands for election and keeps the term.
@@ -30,7 +30,7 @@
 	member string
 	client *store.Client
 	clock  clockwork.Clock
-	events Events
+	events Callbacks
 
 	mu     sync.Mutex
 	leader string // as last read
@@ -47,7 +47,7 @@
 }
 
 // New makes an elector.
-func New(member string, client *store.Client, clock clockwork.Clock, events Events) *Elector {
+func New(member string, client *store.Client, clock clockwork.Clock, events Callbacks) *Elector {
 	return &Elector{member: member, client: client, clock: clock, events: events, quit: make(chan string, 1)}
 }
 
@@ -58,8 +58,8 @@
 	return e.leader, e.reign
 }
 
-// Vacant is the last term and how long nobody has led since.
-func (e *Elector) Vacant() (term uint64, since time.Duration) {
+// LeaderlessFor is the last term and how long nobody has led since.
+func (e *Elector) LeaderlessFor() (term uint64, since time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.reign, e.clock.Since(e.vacant)
@@ -72,8 +72,8 @@
 	return e.term, e.term != 0 && e.clock.Now().Before(e.valid)
 }
 
-// Overdue is how long ago our key's life ended; negative while it lasts.
-func (e *Elector) Overdue() time.Duration {
+// ExpiredFor is how long ago our key's life ended; negative while it lasts.
+func (e *Elector) ExpiredFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.clock.Since(e.valid)
@@ -91,7 +91,7 @@
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.following = 0
-		if e.Stand(ctx) {
+		if e.Campaign(ctx) {
 			e.lead(ctx)
 		} else if e.following > 0 {
 			e.follow(ctx, e.following)
@@ -122,12 +122,12 @@
 	}
 }
 
-// Stand looks who leads and, if nobody does, tries to become the leader.
-func (e *Elector) Stand(ctx context.Context) bool {
+// Campaign looks who leads and, if nobody does, tries to become the leader.
+func (e *Elector) Campaign(ctx context.Context) bool {
 	it, err := e.client.Get(ctx, store.LeaderKey)
 	switch {
 	case err == nil:
-		var l store.Leader
+		var l store.LeaderRecord
 		if json.Unmarshal(it.Value, &l) != nil {
 			slog.Error("the leader's key holds something else", "value", string(it.Value))
 		}
@@ -135,12 +135,12 @@
 			// Left by our own process before it ended: no one else bears
 			// this name, so the lease can go at once.
 			slog.Info("ending the lease of our earlier process")
-			_ = e.client.End(ctx, it.Lease)
+			_ = e.client.RevokeLease(ctx, it.Lease)
 			e.sleep(ctx, tuning.ElectRetry/5)
 			return false
 		}
-		e.setLeader(l.Member, it.Stamp)
-		e.following = it.Stamp
+		e.setLeader(l.Member, it.Revision)
+		e.following = it.Revision
 		return false
 	case !errors.Is(err, store.ErrNotFound):
 		e.sleep(ctx, tuning.ElectRetry)
@@ -154,7 +154,7 @@
 		e.sleep(ctx, min(wait, tuning.ElectRetry))
 		return false
 	}
-	if e.events.Alone() {
+	if e.events.Isolated() {
 		// A node that reaches nobody leaves the first chance to the others.
 		e.sleep(ctx, tuning.LoneDelay)
 		if _, err := e.client.Get(ctx, store.LeaderKey); !errors.Is(err, store.ErrNotFound) {
@@ -162,23 +162,23 @@
 		}
 	}
 	sent := e.clock.Now()
-	lease, err := e.client.Grant(ctx, tuning.TermTTL)
+	lease, err := e.client.GrantLease(ctx, tuning.TermTTL)
 	if err != nil {
 		e.sleep(ctx, tuning.ElectRetry)
 		return false
 	}
-	term, _, err := e.client.Multi(ctx,
-		[]store.Cond{{Key: store.LeaderKey, Stamp: 0}},
-		[]store.Op{{Set: store.LeaderKey, Value: store.Leader{Member: e.member}, Lease: lease}})
-	if errors.Is(err, store.ErrUnknown) {
+	term, _, err := e.client.Transact(ctx,
+		[]store.Condition{{Key: store.LeaderKey, Revision: 0}},
+		[]store.Operation{{Set: store.LeaderKey, Value: store.LeaderRecord{Member: e.member}, Lease: lease}})
+	if errors.Is(err, store.ErrOutcomeUnknown) {
 		// It may have won: read before anything else.
 		it, rerr := e.client.Get(ctx, store.LeaderKey)
 		if rerr == nil && it.Lease == lease {
-			term, err = it.Stamp, nil
+			term, err = it.Revision, nil
 		}
 	}
 	if err != nil {
-		_ = e.client.End(ctx, lease)
+		_ = e.client.RevokeLease(ctx, lease)
 		e.sleep(ctx, tuning.ElectRetry/5)
 		return false
 	}
@@ -217,7 +217,7 @@
 	lease := e.lease
 	e.mu.Unlock()
 	sent := e.clock.Now()
-	err := e.client.Renew(ctx, lease)
+	err := e.client.RenewLease(ctx, lease)
 	if err != nil {
 		return errors.Is(err, store.ErrNoLease)
 	}
@@ -248,7 +248,7 @@
 			}()
 		default:
 		}
-		if e.Overdue() > tuning.Holdover {
+		if e.ExpiredFor() > tuning.Holdover {
 			why = "the state service is out of reach"
 			continue
 		}
@@ -271,5 +271,5 @@
 	e.mu.Unlock()
 	slog.Info("term over", "term", term, "why", why)
 	e.events.Lost(term, why)
-	_ = e.client.End(ctx, lease)
+	_ = e.client.RevokeLease(ctx, lease)
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -23,7 +23,7 @@
 
 func (e *events) Elected(t uint64)        { e.elected = append(e.elected, t) }
 func (e *events) Lost(t uint64, _ string) { e.lost = append(e.lost, t) }
-func (e *events) Alone() bool             { return e.alone }
+func (e *events) Isolated() bool          { return e.alone }
 
 func two() (*fake.State, *clockwork.FakeClock, *Elector, *Elector) {
 	clock := clockwork.NewFakeClock()
@@ -37,7 +37,7 @@
 // One leads at a time, and terms only grow.
 func TestOneLeaderAtATime(t *testing.T) {
 	_, clock, a, b := two()
-	if !a.Stand(bg) || b.Stand(bg) {
+	if !a.Campaign(bg) || b.Campaign(bg) {
 		t.Fatal("not exactly one leader")
 	}
 	first, valid := a.Term()
@@ -48,7 +48,7 @@
 	if _, valid := a.Term(); valid {
 		t.Error("valid although its lease has run out")
 	}
-	if !b.Stand(bg) {
+	if !b.Campaign(bg) {
 		t.Fatal("n1 not elected")
 	}
 	if second, _ := b.Term(); second <= first {
@@ -60,10 +60,10 @@
 func TestElectionWithLostAnswer(t *testing.T) {
 	st, _, a, b := two()
 	st.LoseAnswer = true
-	if !a.Stand(bg) {
+	if !a.Campaign(bg) {
 		t.Fatal("the winner does not know that it won")
 	}
-	if b.Stand(bg) {
+	if b.Campaign(bg) {
 		t.Error("two leaders")
 	}
 }
@@ -72,7 +72,7 @@
 // once its key's life is over.
 func TestOutageEndsValidity(t *testing.T) {
 	st, clock, a, _ := two()
-	if !a.Stand(bg) {
+	if !a.Campaign(bg) {
 		t.Fatal("not elected")
 	}
 	st.Down = true
@@ -80,7 +80,7 @@
 	if _, valid := a.Term(); valid {
 		t.Error("valid without a renewal")
 	}
-	if a.Overdue() <= 0 {
+	if a.ExpiredFor() <= 0 {
 		t.Error("not overdue")
 	}
 }
@@ -88,15 +88,15 @@
 // What our own earlier process left behind does not hold up the next.
 func TestOwnLeftover(t *testing.T) {
 	st, clock, a, _ := two()
-	if !a.Stand(bg) {
+	if !a.Campaign(bg) {
 		t.Fatal("not elected")
 	}
 	again := New("n0", store.NewClient("x:1", st), clock, &events{})
 	done := make(chan bool)
-	go func() { done <- again.Stand(bg) }()
+	go func() { done <- again.Campaign(bg) }()
 	clock.BlockUntilContext(bg, 1)
 	clock.Advance(time.Second)
-	if <-done || !again.Stand(bg) {
+	if <-done || !again.Campaign(bg) {
 		t.Error("still waits for its own old lease")
 	}
 }
@@ -182,7 +182,7 @@
 // still runs: it is not its own, or attempts and names of rentals of the former life would be used twice.
 func TestKeyOfTheFormerLifeIsNotOnesOwn(t *testing.T) {
 	st, clock, a, _ := two()
-	if !a.Stand(bg) {
+	if !a.Campaign(bg) {
 		t.Fatal("not elected")
 	}
 	old, _ := a.Term()
@@ -191,7 +191,7 @@
 	done := make(chan bool, 1)
 	standing, stop := context.WithCancel(bg)
 	go func() {
-		done <- again.Stand(bg)
+		done <- again.Campaign(bg)
 		stop()
 	}()
 	_ = clock.BlockUntilContext(standing, 1)
@@ -202,7 +202,7 @@
 	if term, valid := again.Term(); term != 0 || valid {
 		t.Errorf("leads in term %d, %v", term, valid)
 	}
-	if !again.Stand(bg) {
+	if !again.Campaign(bg) {
 		t.Fatal("does not lead anew though nobody does")
 	}
 	if term, _ := again.Term(); term <= old {
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -47,11 +47,11 @@
 }
 
 // DayEndCases are the names of all cases.
-func DayEndCases() []string { return slices.Sorted(maps.Keys(simulation.Cases())) }
+func DayEndCases() []string { return slices.Sorted(maps.Keys(simulation.Scenarios())) }
 
 // Run plays the cases.
 func (x *DayEnd) Run(ctx context.Context) (*DayEndResult, error) {
-	all := simulation.Cases()
+	all := simulation.Scenarios()
 	names := x.Cases
 	if len(names) == 0 {
 		names = DayEndCases()
@@ -73,10 +73,10 @@
 			slots <- struct{}{}
 			crowd.Go(func() {
 				defer func() { <-slots }()
-				d := simulation.NewDay(x.Seed, size)
-				d.Lasts, d.After, d.Troubles = span(x.LastsS), span(x.AfterS), all[name]
+				d := simulation.NewScenario(x.Seed, size)
+				d.Lasts, d.After, d.Faults = span(x.LastsS), span(x.AfterS), all[name]
 				began := time.Now()
-				r := d.Play(ctx)
+				r := d.Run(ctx)
 				res.Cases[i*len(names)+j] = DayEndCase{name, size, *r}
 				x.Progress("%s, %d machines: %d jobs, %d tasks, rules broken %v, in %.0f s", name, size, r.Jobs, r.Tasks, r.Rules, time.Since(began).Seconds())
 			})
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -165,7 +165,7 @@
 	u.next++
 	id, first := fmt.Sprintf("run-9%06d", u.next), u.next
 	u.mu.Unlock()
-	job := api.Submission{ID: id, Class: "c", Team: "team", Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: 0.1, MemoryGB: 0.1, Image: "img", EstimateS: 1}
+	job := api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 0.1, MemoryGB: 0.1, Image: "img", EstimateS: 1}
 	u.r.mu.Lock()
 	u.r.jobs[id] = &asked{Submission: job}
 	u.r.mu.Unlock()
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -214,7 +214,7 @@
 	p.core = controller.NewCore(1, clockwork.NewRealClock(), set, policy.Default(), types, controller.Hooks{
 		Touch: func(_ string, _ int, after func()) { touch(after) },
 		Later: func(_ string, _ int, _ time.Duration, after func()) { touch(after) },
-		Send:  func(name, _ string, o api.Orders) { go p.send(name, o) },
+		Send:  func(name, _ string, o api.HeartbeatResponse) { go p.send(name, o) },
 		Stage: func(name, _ string, o api.StageOrder) {
 			if m := p.machines[name]; m != nil {
 				go m.order(p.core, o)
@@ -261,7 +261,7 @@
 		case <-time.After(time.Until(begin.Add(j.at))):
 		}
 		touched[j.dataset] = true
-		s := api.Submission{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "team", Shape: api.Array, Rank: "normal", Tasks: p.Parts, CPUs: 1, MemoryGB: 1,
+		s := api.Submission{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: p.Parts, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprintf("image-%d", j.image), ImageGB: 0.5, Spot: true, EstimateS: p.RunS,
 			Inputs: []api.Input{{Dataset: setName(j.dataset), Use: api.UseOwn}}}
 		p.mu.Lock()
@@ -321,7 +321,7 @@
 	}
 }
 
-func (p *playing) send(name string, o api.Orders) {
+func (p *playing) send(name string, o api.HeartbeatResponse) {
 	m := p.machines[name]
 	m.do(p, o)
 	r := m.report()
@@ -351,13 +351,13 @@
 		return nil, err
 	}
 	m := &machine{name: fmt.Sprintf("n-%06d", i), addr: l.Addr().String(), tasks: map[string]*api.TaskReport{}, images: images, kick: make(chan struct{}, 1)}
-	m.agent, err = dataagent.New(ctx, dataagent.Options{Machine: m.name, Address: m.addr, Dir: filepath.Join(dir, m.name), Quota: int64(p.CachedParts * p.PartBytes),
+	m.agent, err = dataagent.New(ctx, dataagent.Options{Machine: m.name, Address: m.addr, Dir: filepath.Join(dir, m.name), CacheBytes: int64(p.CachedParts * p.PartBytes),
 		Store: p.store.url, DownRate: p.LinkRate, UpRate: p.LinkRate})
 	if err != nil {
 		return nil, err
 	}
 	go m.agent.Run(ctx)
-	go httpapi.Serve(ctx, l, m.agent.Handler(), connlimit.NewBudget(0))
+	go httpapi.Serve(ctx, l, m.agent.Handler(), connlimit.NewLimiter(0))
 	return m, nil
 }
 
@@ -384,11 +384,11 @@
 	core.Staging(&r)
 }
 
-func (m *machine) report() *api.Report {
+func (m *machine) report() *api.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
-	r := &api.Report{Machine: m.name, Address: m.addr, Type: "m", Zone: "z", Session: 1, Seq: m.seq, Term: m.term}
+	r := &api.Heartbeat{Machine: m.name, Address: m.addr, Type: "m", Zone: "z", Incarnation: 1, Seq: m.seq, Term: m.term}
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, *t)
 	}
@@ -396,18 +396,18 @@
 }
 
 // do carries out commands as a worker does.
-func (m *machine) do(p *playing, o api.Orders) {
+func (m *machine) do(p *playing, o api.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.term = max(m.term, o.Term)
 	for _, c := range o.Commands {
 		t := m.tasks[c.Task]
 		switch {
-		case c.Verb == api.Start && t == nil:
+		case c.Verb == api.CommandRun && t == nil:
 			t = &api.TaskReport{Task: c.Task, Attempt: c.Attempt, State: api.TaskFetching}
 			m.tasks[c.Task] = t
 			go m.run(p, t)
-		case c.Verb == api.Forget && t != nil && t.State == api.TaskEnded:
+		case c.Verb == api.CommandClear && t != nil && t.State == api.TaskExited:
 			delete(m.tasks, c.Task)
 		}
 	}
@@ -433,7 +433,7 @@
 	p.mu.Lock()
 	p.last = time.Now()
 	p.mu.Unlock()
-	m.become(t, api.TaskEnded, api.CauseDone)
+	m.become(t, api.TaskExited, api.CauseDone)
 }
 
 func (m *machine) become(t *api.TaskReport, state, cause string) {
@@ -489,7 +489,7 @@
 		s.sets = append(s.sets, &sum)
 		s.data[setName(i)], s.manifest[setName(i)] = raw, mr
 	}
-	go httpapi.Serve(ctx, ln, s, connlimit.NewBudget(0))
+	go httpapi.Serve(ctx, ln, s, connlimit.NewLimiter(0))
 	return s, nil
 }
 
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -209,7 +209,7 @@
 	all := map[string]*hdrhistogram.Histogram{}
 	unstarted := map[string]int{}
 	p.audit.Jobs(func(j *cluster.AuditedJob) {
-		if j.Submitted.Before(from) || j.Submitted.After(to) || j.Told == api.Withdrawn {
+		if j.Submitted.Before(from) || j.Submitted.After(to) || j.Told == api.Cancelled {
 			return
 		}
 		if all[j.Rank] == nil {
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -53,7 +53,7 @@
 const longJobTasks = 200
 
 func (run *scaleRun) job(team, tasks int, rank string, estimateS float64) api.Submission {
-	return api.Submission{Class: rank, Team: fmt.Sprintf("team-%03d", team), Shape: api.Array, Rank: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1,
+	return api.Submission{Class: rank, Team: fmt.Sprintf("team-%03d", team), Shape: api.JobArray, Rank: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: "image", ImageGB: 0.1, Spot: true, EstimateS: estimateS}
 }
 
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -76,7 +76,7 @@
 	a.Ended("run-1/0", "m2", true)
 	a.Answered("run-1", true, api.Done) // one of two tasks
 	a.Answered("run-1", true, api.Pending)
-	a.Answered("run-2", true, api.Withdrawn)
+	a.Answered("run-2", true, api.Cancelled)
 	time.Sleep(2 * time.Millisecond)
 	a.Started("run-2/0", "m1", 1)
 	a.Sweep()
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -259,7 +259,7 @@
 	w.next++
 	j := &rackJob{at: w.clock.Now(), run: time.Duration(10+w.rng.IntN(50)) * time.Second}
 	j.s = api.Submission{ID: fmt.Sprintf("run-%07d", w.next), Class: "c", Team: "team", Rank: "normal", MemoryGB: taskMemory, Image: "image", Spot: true,
-		EstimateS: j.run.Seconds(), CPUs: float64(1 + w.rng.IntN(4)), Shape: api.Array, Tasks: 8 + w.rng.IntN(40)}
+		EstimateS: j.run.Seconds(), CPUs: float64(1 + w.rng.IntN(4)), Shape: api.JobArray, Tasks: 8 + w.rng.IntN(40)}
 	switch k := w.rng.IntN(20); {
 	case k < 6:
 		j.s.Shape, j.s.Tasks, j.s.EstimateS = api.Service, 2+w.rng.IntN(11), 0
@@ -300,7 +300,7 @@
 	for _, m := range w.machines {
 		for id, t := range m.tasks {
 			if !t.ends.IsZero() && !now.Before(t.ends) {
-				m.ended = append(m.ended, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskEnded, Cause: api.CauseDone})
+				m.ended = append(m.ended, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskExited, Cause: api.CauseDone})
 				w.off(m, t)
 				j := w.jobs[t.job]
 				j.done++
@@ -493,7 +493,7 @@
 	p.core = controller.NewCore(1, w.clock, set, policy.Default(), types, controller.Hooks{
 		Touch: func(_ string, _ int, after func()) { p.stored = append(p.stored, after) },
 		Later: func(_ string, _ int, _ time.Duration, after func()) { p.stored = append(p.stored, after) },
-		Send:  func(name, _ string, o api.Orders) { p.sent = append(p.sent, order{name, o}) },
+		Send:  func(name, _ string, o api.HeartbeatResponse) { p.sent = append(p.sent, order{name, o}) },
 		Valid: func() bool { return true },
 		Delay: func() time.Duration { return 0 },
 		Cut:   func(string) bool { return false },
@@ -514,7 +514,7 @@
 
 type order struct {
 	name string
-	o    api.Orders
+	o    api.HeartbeatResponse
 }
 
 // corePlacer is the leader's Core, whose records are stored at once.
@@ -554,17 +554,17 @@
 	}
 }
 
-func (p *corePlacer) obey(m *rackMachine, o api.Orders) {
+func (p *corePlacer) obey(m *rackMachine, o api.HeartbeatResponse) {
 	for _, c := range o.Commands {
 		switch c.Verb {
-		case api.Start:
+		case api.CommandRun:
 			p.w.on(m, c.Task, c.Attempt)
-		case api.Stop:
+		case api.CommandKill:
 			if t := m.tasks[c.Task]; t != nil {
-				m.ended = append(m.ended, api.TaskReport{Task: c.Task, Attempt: t.attempt, State: api.TaskEnded, Cause: api.CauseStopped})
+				m.ended = append(m.ended, api.TaskReport{Task: c.Task, Attempt: t.attempt, State: api.TaskExited, Cause: api.CauseStopped})
 				p.w.off(m, t)
 			}
-		case api.Forget:
+		case api.CommandClear:
 			m.ended = slices.DeleteFunc(m.ended, func(t api.TaskReport) bool { return t.Task == c.Task })
 		}
 	}
@@ -572,7 +572,7 @@
 
 func (p *corePlacer) report(m *rackMachine) {
 	m.seq++
-	r := api.Report{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Session: m.session, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.ended)}
+	r := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.session, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.ended)}
 	for id, t := range m.tasks {
 		r.Tasks = append(r.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
 	}
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -316,7 +316,7 @@
 func (r *upgraded) submit(ctx context.Context, awaits []string, tasks int) bool {
 	r.mu.Lock()
 	id := fmt.Sprintf("run-%06d", len(r.jobs))
-	a := &asked{Submission: api.Submission{ID: id, Class: "c", Team: "team", Shape: api.Array, Rank: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 1, Awaits: awaits}}
+	a := &asked{Submission: api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 1, Awaits: awaits}}
 	r.jobs[id] = a
 	r.mu.Unlock()
 	raw, err := json.Marshal(&a.Submission)
@@ -344,7 +344,7 @@
 	id := r.ids()[r.rng.IntN(len(r.jobs))]
 	var st api.JobStatus
 	status, body, err := r.call(ctx, http.MethodPost, r.any(), "/submissions/"+id+"/cancel", nil)
-	if err == nil && status == http.StatusOK && json.Unmarshal(body, &st) == nil && st.State == api.Withdrawn {
+	if err == nil && status == http.StatusOK && json.Unmarshal(body, &st) == nil && st.State == api.Cancelled {
 		r.jobs[id].cancelled = true
 	}
 }
@@ -373,12 +373,12 @@
 			r.res.Wrong++
 			continue
 		}
-		wrong := a.told != "" && st.State != a.told || st.State == api.Withdrawn && !r.gone(id) || st.State == api.Done && r.gone(id)
+		wrong := a.told != "" && st.State != a.told || st.State == api.Cancelled && !r.gone(id) || st.State == api.Done && r.gone(id)
 		if wrong {
 			slog.Error("a wrong state", "job", id, "state", st.State, "told", a.told)
 			r.res.Wrong++
 		}
-		if st.State == api.Done || st.State == api.Withdrawn {
+		if st.State == api.Done || st.State == api.Cancelled {
 			a.told = st.State
 		}
 	}
--- a/failuredetector/boots.go
+++ b/failuredetector/boots.go
@@ -6,10 +6,10 @@
 	"switchferry/tuning"
 )
 
-// Boots tells, by machine type, how long the machine took that came up of those rented last. Machines come up late, or
+// StartupTimes tells, by machine type, how long the machine took that came up of those rented last. Machines come up late, or
 // never: that all of them are late says nothing of one, that one is late which later ones have overtaken does. The
 // zero value knows of none.
-type Boots struct{ last map[string]boot }
+type StartupTimes struct{ last map[string]boot }
 
 // boot is how long a machine took to come up, and when it was rented.
 type boot struct {
@@ -17,8 +17,8 @@
 	took   time.Duration
 }
 
-// Up notes that a machine reports for the first time.
-func (b *Boots) Up(typ string, rented time.Time, took time.Duration) {
+// RecordStartup notes that a machine reports for the first time.
+func (b *StartupTimes) RecordStartup(typ string, rented time.Time, took time.Duration) {
 	if b.last == nil {
 		b.last = map[string]boot{}
 	}
@@ -28,23 +28,23 @@
 }
 
 // Overtaken tells whether a machine of the same type that was rented no earlier is up.
-func (b *Boots) Overtaken(typ string, rented time.Time) bool {
+func (b *StartupTimes) Overtaken(typ string, rented time.Time) bool {
 	last, ok := b.last[typ]
 	return ok && !last.rented.Before(rented)
 }
 
 // Overdue tells whether a machine that is not up yet more likely never will be, and how long others took. Ready is
 // what its type usually takes.
-func (b *Boots) Overdue(typ string, rented time.Time, age, ready time.Duration) (late bool, others time.Duration) {
+func (b *StartupTimes) Overdue(typ string, rented time.Time, age, ready time.Duration) (late bool, others time.Duration) {
 	others = b.last[typ].took
 	usual := func(d time.Duration) time.Duration { return time.Duration(tuning.BootUsual * float64(d)) }
 	return b.Overtaken(typ, rented) && age > usual(ready) && age > usual(others), others
 }
 
-// Limit is how long a machine that this leader rented may take to come up before it is returned. While none of those
+// Deadline is how long a machine that this leader rented may take to come up before it is returned. While none of those
 // rented since is up either, all are late, and it is given twice the time: returned, it would be replaced by one that
 // is as late.
-func (b *Boots) Limit(typ string, rented time.Time, ready time.Duration) time.Duration {
+func (b *StartupTimes) Deadline(typ string, rented time.Time, ready time.Duration) time.Duration {
 	d := time.Duration(tuning.BootFactor * float64(ready))
 	if !b.Overtaken(typ, rented) {
 		d *= 2
--- a/failuredetector/budget.go
+++ b/failuredetector/budget.go
@@ -14,29 +14,29 @@
 	Name, Zone string
 	// Tasks are what runs again elsewhere once its return proves that it is gone.
 	Tasks int
-	// Must: it goes now whatever that costs.
-	Must bool
+	// Unconditional: it goes now whatever that costs.
+	Unconditional bool
 }
 
-// Verdict is what is decided of the candidates of a zone.
-type Verdict struct {
+// EvictionDecision is what is decided of the candidates of a zone.
+type EvictionDecision struct {
 	Zone string
-	// Share is the part of the zone's machines that is unheard, Machines their number.
+	// SilentShare is the part of the zone's machines that is unheard, Machines their number.
 	Share    float64
 	Machines int
-	// Return are given up now; Wait stay as they are for now, with so many tasks on them.
-	Return    []string
-	Wait      int
-	WaitTasks int
+	// Release are given up now; Deferred stay as they are for now, with so many tasks on them.
+	Release       []string
+	Deferred      int
+	DeferredTasks int
 }
 
-// Budget bounds how many machines of a zone are given up. One by one, machines that stay
+// EvictionBudget bounds how many machines of a zone are given up. One by one, machines that stay
 // silent are most likely gone, and every second costs their tasks. The more of a zone is
 // silent, the more likely something else is: then its machines come back with their tasks,
 // or at least with their images, and to replace them all takes a boot each. So the budget
 // shrinks as the silent share grows, as Kubernetes' node controller does it, but never to
 // nothing: a zone that is really gone is given up too, in minutes.
-type Budget struct {
+type EvictionBudget struct {
 	purse map[string]*purse
 }
 
@@ -57,9 +57,9 @@
 }
 
 // Spend decides which of the candidates are given up now: those with the most tasks first,
-// since these wait for the proof. Share and machines tell of each zone. Zones come in the
+// since these wait for the proof. SilentShare and machines tell of each zone. Zones come in the
 // order of their names.
-func (b *Budget) Spend(now time.Time, cs []Candidate, share func(zone string) (float64, int)) []Verdict {
+func (b *EvictionBudget) Spend(now time.Time, cs []Candidate, share func(zone string) (float64, int)) []EvictionDecision {
 	if b.purse == nil {
 		b.purse = map[string]*purse{}
 	}
@@ -67,9 +67,9 @@
 	for _, c := range cs {
 		zones[c.Zone] = append(zones[c.Zone], c)
 	}
-	var out []Verdict
+	var out []EvictionDecision
 	for zone, list := range zones {
-		v := Verdict{Zone: zone}
+		v := EvictionDecision{Zone: zone}
 		v.Share, v.Machines = share(zone)
 		most := math.Max(tuning.ReturnAnyway, tuning.ReturnAtOnce*float64(v.Machines))
 		p := b.purse[zone]
@@ -90,18 +90,18 @@
 		slices.SortFunc(list, func(x, y Candidate) int { return cmp.Or(cmp.Compare(y.Tasks, x.Tasks), cmp.Compare(x.Name, y.Name)) })
 		for _, c := range list {
 			switch {
-			case c.Must || math.IsInf(r, 1):
-				v.Return = append(v.Return, c.Name)
+			case c.Unconditional || math.IsInf(r, 1):
+				v.Release = append(v.Release, c.Name)
 			case p.machines >= 1:
 				p.machines--
-				v.Return = append(v.Return, c.Name)
+				v.Release = append(v.Release, c.Name)
 			default:
-				v.Wait++
-				v.WaitTasks += c.Tasks
+				v.Deferred++
+				v.DeferredTasks += c.Tasks
 			}
 		}
 		out = append(out, v)
 	}
-	slices.SortFunc(out, func(x, y Verdict) int { return cmp.Compare(x.Zone, y.Zone) })
+	slices.SortFunc(out, func(x, y EvictionDecision) int { return cmp.Compare(x.Zone, y.Zone) })
 	return out
 }
--- a/failuredetector/evidence.go
+++ b/failuredetector/evidence.go
@@ -17,26 +17,26 @@
 	"switchferry/tuning"
 )
 
-// Sighting is when a machine that should report was last heard. It matters where from: a
+// Observation is when a machine that should report was last heard. It matters where from: a
 // zone is cut as a whole, and so are those that one controller speaks for, or one switch.
-type Sighting struct {
+type Observation struct {
 	// Zone is empty while it is not known: of a machine that is on record, but that nobody
 	// heard and the cloud does not list. It is most likely gone, and its kind is no zone.
 	Zone string
-	// Via is the controller that its last report came through, if Heard is not zero;
+	// Via is the controller that its last report came through, if LastHeartbeat is not zero;
 	// empty: it came directly.
 	Via string
-	// Heard is its last report of this term; zero: none.
-	Heard time.Time
+	// LastHeartbeat is its last report of this term; zero: none.
+	LastHeartbeat time.Time
 	// Domains are those that the machine stands in, if a topology is declared: racks,
 	// switches. No controller stands in one of them alone.
 	Domains []string
-	// Quiet is how long it may say nothing without anything being wrong.
-	Quiet time.Duration
+	// Timeout is how long it may say nothing without anything being wrong.
+	Timeout time.Duration
 }
 
-// Silence is what one term knows of what it could not have heard.
-type Silence struct {
+// Detector is what one term knows of what it could not have heard.
+type Detector struct {
 	started time.Time
 	lease   time.Duration
 	// beat is when the leader last did its rounds; woke is the end of its last
@@ -50,14 +50,14 @@
 }
 
 // New begins a term whose workers' lease is so long.
-func New(now time.Time, lease time.Duration) *Silence {
-	return &Silence{lease: lease, started: now, beat: now, zones: map[string]time.Time{}, ways: map[string]time.Time{}, domains: map[string]time.Time{}, shares: map[string]float64{}, sizes: map[string]int{}}
+func New(now time.Time, lease time.Duration) *Detector {
+	return &Detector{lease: lease, started: now, beat: now, zones: map[string]time.Time{}, ways: map[string]time.Time{}, domains: map[string]time.Time{}, shares: map[string]float64{}, sizes: map[string]int{}}
 }
 
-// Beat notes that the leader does its rounds. A gap that no load explains is a standstill,
+// Tick notes that the leader does its rounds. A gap that no load explains is a standstill,
 // whose length it gives: reports that came meanwhile are still to be read, and workers that
 // turned away meanwhile are still to come back. 0: there was none.
-func (s *Silence) Beat(now time.Time) (stood time.Duration) {
+func (s *Detector) Tick(now time.Time) (stood time.Duration) {
 	if gap := now.Sub(s.beat); gap > tuning.StandstillMin {
 		s.woke, stood = now, gap
 	}
@@ -65,30 +65,30 @@
 	return stood
 }
 
-// Woke is the end of the leader's last standstill; zero: it never stood still.
-func (s *Silence) Woke() time.Time { return s.woke }
+// ResumedAt is the end of the leader's last standstill; zero: it never stood still.
+func (s *Detector) ResumedAt() time.Time { return s.woke }
 
-// Way is when most machines whose reports came through a controller were last unheard.
-func (s *Silence) Way(via string) time.Time { return s.ways[via] }
+// PathLostAt is when most machines whose reports came through a controller were last unheard.
+func (s *Detector) PathLostAt(via string) time.Time { return s.ways[via] }
 
-// Share is the part of a zone's machines that were unheard at the last look, and how many
+// SilentShare is the part of a zone's machines that were unheard at the last look, and how many
 // machines there were.
-func (s *Silence) Share(zone string) (float64, int) { return s.shares[zone], s.sizes[zone] }
+func (s *Detector) SilentShare(zone string) (float64, int) { return s.shares[zone], s.sizes[zone] }
 
-// Finding is a zone, a domain or a way most of which is unheard, anew.
-type Finding struct {
+// Verdict is a zone, a domain or a way most of which is unheard, anew.
+type Verdict struct {
 	// Zone, Domain or Via names it; Domain and IsZone tell which it is.
 	Zone, Domain, Via string
 	IsZone            bool
 	// Of so many machines that should report, so many are heard.
-	Machines, Heard int
+	Machines, Responding int
 	// Cut: none of the zone's controllers is within reach.
 	Cut bool
 }
 
-// Look takes in all machines that should report. Cut tells of a zone whose controllers are
+// Observe takes in all machines that should report. Cut tells of a zone whose controllers are
 // all out of reach. The findings are those to be told of, in the order of their names.
-func (s *Silence) Look(now time.Time, each func(yield func(Sighting)), cut func(zone string) bool) (found []Finding) {
+func (s *Detector) Observe(now time.Time, each func(yield func(Observation)), cut func(zone string) bool) (found []Verdict) {
 	type count struct{ all, heard int }
 	zones, ways, domains := map[string]*count{}, map[string]*count{}, map[string]*count{}
 	add := func(in map[string]*count, key string, heard bool) {
@@ -102,12 +102,12 @@
 			n.heard++
 		}
 	}
-	each(func(m Sighting) {
-		heard := !m.Heard.IsZero() && now.Sub(m.Heard) < m.Quiet
+	each(func(m Observation) {
+		heard := !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < m.Timeout
 		if m.Zone != "" {
 			add(zones, m.Zone, heard)
 		}
-		if !m.Heard.IsZero() {
+		if !m.LastHeartbeat.IsZero() {
 			add(ways, m.Via, heard)
 		}
 		for _, d := range m.Domains {
@@ -121,35 +121,35 @@
 		off := cut(zone)
 		if off || n.all > 1 && 2*n.heard < n.all {
 			if last, ok := s.zones[zone]; !ok || now.Sub(last) > s.lease {
-				found = append(found, Finding{Zone: zone, IsZone: true, Machines: n.all, Heard: n.heard, Cut: off})
+				found = append(found, Verdict{Zone: zone, IsZone: true, Machines: n.all, Responding: n.heard, Cut: off})
 			}
 			s.zones[zone] = now
 		}
 	}
-	most := func(of map[string]*count, at map[string]time.Time, tell func(key string) Finding) {
+	most := func(of map[string]*count, at map[string]time.Time, tell func(key string) Verdict) {
 		for key, n := range of {
 			if n.all > 1 && 2*n.heard < n.all {
 				if last, ok := at[key]; !ok || now.Sub(last) > s.lease {
 					f := tell(key)
-					f.Machines, f.Heard = n.all, n.heard
+					f.Machines, f.Responding = n.all, n.heard
 					found = append(found, f)
 				}
 				at[key] = now
 			}
 		}
 	}
-	most(ways, s.ways, func(key string) Finding { return Finding{Via: key} })
-	most(domains, s.domains, func(key string) Finding { return Finding{Domain: key} })
-	slices.SortFunc(found, func(a, b Finding) int {
+	most(ways, s.ways, func(key string) Verdict { return Verdict{Via: key} })
+	most(domains, s.domains, func(key string) Verdict { return Verdict{Domain: key} })
+	slices.SortFunc(found, func(a, b Verdict) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Via, b.Via))
 	})
 	return found
 }
 
-// Since is since when a machine's silence counts against it: its last report, or the
+// SilentSince is since when a machine's silence counts against it: its last report, or the
 // beginning of the term, or when it could last not have been heard.
-func (s *Silence) Since(now time.Time, m Sighting) time.Time {
-	from := m.Heard
+func (s *Detector) SilentSince(now time.Time, m Observation) time.Time {
+	from := m.LastHeartbeat
 	if from.IsZero() {
 		from = s.started
 	}
@@ -160,7 +160,7 @@
 		// keeping their tasks alive.
 		from = latest(from, s.zones[m.Zone])
 	}
-	if since <= s.lease && !m.Heard.IsZero() {
+	if since <= s.lease && !m.LastHeartbeat.IsZero() {
 		// The controller that their reports came through is silent: they turn to the
 		// next one in half a lease. Past a whole one nothing on them lives any more.
 		from = latest(from, s.ways[m.Via])
--- a/failuredetector/evidence_test.go
+++ b/failuredetector/evidence_test.go
@@ -14,8 +14,8 @@
 // which each reports when the script says so.
 type world struct {
 	now    time.Time
-	s      *Silence
-	b      Budget
+	s      *Detector
+	b      EvictionBudget
 	heard  map[string]time.Time
 	zone   map[string]string
 	gone   map[string]bool
@@ -42,7 +42,7 @@
 
 // elect begins a term: the machines are known from the records.
 func (w *world) elect() {
-	w.s, w.b, w.heard = New(w.now, lease), Budget{}, map[string]time.Time{}
+	w.s, w.b, w.heard = New(w.now, lease), EvictionBudget{}, map[string]time.Time{}
 }
 
 // run lets time pass; the machines that speak tells of report. It gives how many were given
@@ -57,11 +57,11 @@
 				w.heard[name] = w.now
 			}
 		}
-		w.s.Beat(w.now)
-		seen := func(name string) Sighting {
-			return Sighting{Zone: w.zone[name], Heard: w.heard[name], Quiet: 7500 * time.Millisecond}
+		w.s.Tick(w.now)
+		seen := func(name string) Observation {
+			return Observation{Zone: w.zone[name], LastHeartbeat: w.heard[name], Timeout: 7500 * time.Millisecond}
 		}
-		w.s.Look(w.now, func(yield func(Sighting)) {
+		w.s.Observe(w.now, func(yield func(Observation)) {
 			for _, name := range w.names() {
 				yield(seen(name))
 			}
@@ -72,12 +72,12 @@
 			if w.heard[name].IsZero() {
 				limit = lease + tuning.NewTermGrace
 			}
-			if w.now.Sub(w.s.Since(w.now, seen(name))) > limit {
+			if w.now.Sub(w.s.SilentSince(w.now, seen(name))) > limit {
 				due = append(due, Candidate{Name: name, Zone: w.zone[name], Tasks: 1})
 			}
 		}
-		for _, v := range w.b.Spend(w.now, due, w.s.Share) {
-			for _, name := range v.Return {
+		for _, v := range w.b.Spend(w.now, due, w.s.SilentShare) {
+			for _, name := range v.Release {
 				w.gone[name] = true
 				out[v.Zone]++
 			}
@@ -169,17 +169,17 @@
 	if lost := w.run(15*time.Second, func(name string) bool { return !taken(name) }); lost["far"] != 500 || lost["near"] != 0 {
 		t.Errorf("a wave of 500 of 2,000: %v", lost)
 	}
-	var b Budget
+	var b EvictionBudget
 	var cs []Candidate
 	for i := range 100 {
-		cs = append(cs, Candidate{Name: fmt.Sprintf("m%03d", i), Zone: "z", Tasks: i % 10, Must: i == 0})
+		cs = append(cs, Candidate{Name: fmt.Sprintf("m%03d", i), Zone: "z", Tasks: i % 10, Unconditional: i == 0})
 	}
 	v := b.Spend(w.now, cs, func(string) (float64, int) { return 0.9, 100 })
-	if len(v) != 1 || len(v[0].Return) != 9 || v[0].Wait != 91 || v[0].Return[0] != "m009" || !slices.Contains(v[0].Return, "m000") || v[0].WaitTasks != 450-8*9 {
+	if len(v) != 1 || len(v[0].Release) != 9 || v[0].Deferred != 91 || v[0].Release[0] != "m009" || !slices.Contains(v[0].Release, "m000") || v[0].DeferredTasks != 450-8*9 {
 		t.Errorf("%+v", v)
 	}
-	if v = b.Spend(w.now.Add(10*time.Second), cs[9:], func(string) (float64, int) { return 0.9, 100 }); len(v[0].Return) != 4 {
-		t.Errorf("10 s later: %v", v[0].Return)
+	if v = b.Spend(w.now.Add(10*time.Second), cs[9:], func(string) (float64, int) { return 0.9, 100 }); len(v[0].Release) != 4 {
+		t.Errorf("10 s later: %v", v[0].Release)
 	}
 }
 
@@ -222,8 +222,8 @@
 			for i := range 60 {
 				heard[i] = now
 			}
-			sighting := func(i int) Sighting {
-				m := Sighting{Zone: "z", Heard: heard[i], Quiet: 7500 * time.Millisecond}
+			sighting := func(i int) Observation {
+				m := Observation{Zone: "z", LastHeartbeat: heard[i], Timeout: 7500 * time.Millisecond}
 				if i < c.of {
 					m.Domains = []string{"rack-1", "room-1"}
 				} else if i < 40 {
@@ -243,16 +243,16 @@
 				for i := c.silent; i < 60; i++ {
 					heard[i] = now
 				}
-				s.Beat(now)
-				s.Look(now, func(yield func(Sighting)) {
+				s.Tick(now)
+				s.Observe(now, func(yield func(Observation)) {
 					for i := range 60 {
 						yield(sighting(i))
 					}
 				}, func(string) bool { return false })
-				if now.Sub(s.Since(now, sighting(0))) > silent {
+				if now.Sub(s.SilentSince(now, sighting(0))) > silent {
 					given = now.Sub(start)
 				}
-				if given == 0 && now.Sub(s.Since(now, sighting(20))) > 0 {
+				if given == 0 && now.Sub(s.SilentSince(now, sighting(20))) > 0 {
 					t.Fatal("one that reports is silent")
 				}
 			}
@@ -266,15 +266,15 @@
 // A machine that answers commands and is not heard is emptied, unless so much of its zone is unheard that the reason
 // lies elsewhere, and given up once two leases have passed; one that answers nothing is given up as ever.
 func TestJudgeMute(t *testing.T) {
-	l := Limits{Quiet: 7 * time.Second, Silent: 10 * time.Second, Term: 20 * time.Second, Mute: 35 * time.Second}
+	l := Limits{SuspectAfter: 7 * time.Second, ReleaseAfter: 10 * time.Second, ElectionGrace: 20 * time.Second, InboundLost: 35 * time.Second}
 	for _, c := range []struct {
 		mute    bool
 		share   float64
 		unheard time.Duration
 		want    Action
-	}{{true, 0.3, 9 * time.Second, Leave}, {true, 0.3, 11 * time.Second, Evacuate}, {true, 0.4, 11 * time.Second, Leave}, {true, 0.4, 36 * time.Second, Due},
-		{true, 0.3, 36 * time.Second, Due}, {false, 0.3, 11 * time.Second, Due}} {
-		if got, why := Judge(Machine{Up: true, Listed: true, Line: reachability.Reached, Mute: c.mute, Share: c.share, Unheard: c.unheard}, l); got != c.want {
+	}{{true, 0.3, 9 * time.Second, Keep}, {true, 0.3, 11 * time.Second, Drain}, {true, 0.4, 11 * time.Second, Keep}, {true, 0.4, 36 * time.Second, ReleaseWithinBudget},
+		{true, 0.3, 36 * time.Second, ReleaseWithinBudget}, {false, 0.3, 11 * time.Second, ReleaseWithinBudget}} {
+		if got, why := Decide(MachineState{Up: true, Listed: true, Link: reachability.Reachable, InboundLost: c.mute, SilentShare: c.share, SilentFor: c.unheard}, l); got != c.want {
 			t.Errorf("mute %v, %v of the zone unheard, it for %v: %v (%s), want %v", c.mute, c.share, c.unheard, got, why, c.want)
 		}
 	}
--- a/feasibility/supply.go
+++ b/feasibility/supply.go
@@ -12,13 +12,13 @@
 	"switchferry/quota"
 )
 
-// Machine is one that is there or coming. Held is what services take of it, which end by their users
+// Machine is one that is there or coming. Used is what services take of it, which end by their users
 // alone.
 type Machine struct {
 	Spec *api.MachineType
 	Zone string
 	Spot bool
-	Held fleet.Room
+	Used fleet.Resources
 }
 
 // Pool is one kind of machine that the cloud rents.
@@ -33,13 +33,13 @@
 	if m.Spec == nil || m.Spot && !s.Spot || s.Zone != "" && s.Zone != m.Zone || !m.Spec.Fits(s) {
 		return false
 	}
-	room := fleet.Room{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
-	return room.Sub(m.Held).Holds(fleet.Of(s))
+	room := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
+	return room.Sub(m.Used).Fits(fleet.RequestOf(s))
 }
 
-// Unmet are the jobs of which no machine can ever run a task, in their order; of those that ask for the
+// Unplaceable are the jobs of which no machine can ever run a task, in their order; of those that ask for the
 // same, the first.
-func Unmet(jobs []*api.Submission, ms []Machine) (out []*api.Submission) {
+func Unplaceable(jobs []*api.Submission, ms []Machine) (out []*api.Submission) {
 	seen := map[string]bool{}
 	for _, s := range jobs {
 		key := fmt.Sprint(s.Types, s.Zone, s.Spot, s.CPUs, s.Cards, s.MemoryGB, s.ImageGB)
@@ -54,8 +54,8 @@
 	return out
 }
 
-// For is the first pool whose machines can run a job's tasks.
-func For(s *api.Submission, pools []Pool) (Pool, bool) {
+// PoolFor is the first pool whose machines can run a job's tasks.
+func PoolFor(s *api.Submission, pools []Pool) (Pool, bool) {
 	i := slices.IndexFunc(pools, func(p Pool) bool {
 		return (&Machine{Spec: p.Type, Zone: p.Zone, Spot: p.Spot}).serves(s)
 	})
@@ -65,12 +65,12 @@
 	return pools[i], true
 }
 
-// AtOnce is the least that a job must have at once, to run at all.
-func AtOnce(s *api.Submission) fleet.Room {
-	if s.Shape == api.Array {
-		return fleet.Of(s)
+// ConcurrentRequest is the least that a job must have at once, to run at all.
+func ConcurrentRequest(s *api.Submission) fleet.Resources {
+	if s.Shape == api.JobArray {
+		return fleet.RequestOf(s)
 	}
-	return fleet.Of(s).Scale(s.Tasks)
+	return fleet.RequestOf(s).Scale(s.Tasks)
 }
 
 // CanRun checks a submission against teams' limits and machine types. Not decided:
@@ -80,7 +80,7 @@
 	if !ok {
 		return &api.FieldError{Field: "owner", Want: "no such team"}, false
 	}
-	if !limit.Holds(AtOnce(s)) {
+	if !limit.Allows(ConcurrentRequest(s)) {
 		return &api.FieldError{Field: "parts", Want: "the job needs more than its team's limit"}, false
 	}
 	if len(types) == 0 {
--- a/feasibility/supply_test.go
+++ b/feasibility/supply_test.go
@@ -13,7 +13,7 @@
 	small := &api.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
 	large := &api.MachineType{Name: "large", CPUs: 32, MemoryGB: 256, Zones: []string{"a", "b"}}
 	fleetNow := []Machine{{Spec: small, Zone: "a"}, {Spec: small, Zone: "b", Spot: true}, {Spec: nil, Zone: "b"},
-		{Spec: large, Zone: "a", Held: fleet.Room{CPUs: 30}}}
+		{Spec: large, Zone: "a", Used: fleet.Resources{CPUs: 30}}}
 	pools := []Pool{{small, "a", false}, {small, "b", false}, {large, "b", false}, {large, "b", true}}
 	for _, c := range []struct {
 		name string
@@ -27,18 +27,18 @@
 		{"its size is", api.Submission{CPUs: 1, MemoryGB: 100}, ""},
 		{"too large for all that is free", api.Submission{CPUs: 8, MemoryGB: 100}, "large b"},
 	} {
-		unmet := Unmet([]*api.Submission{&c.s, &c.s}, fleetNow)
+		unmet := Unplaceable([]*api.Submission{&c.s, &c.s}, fleetNow)
 		if len(unmet) != min(1, len(c.rent)) {
 			t.Errorf("%s: %d unmet", c.name, len(unmet))
 			continue
 		}
 		if len(unmet) == 1 {
-			if p, ok := For(unmet[0], pools); !ok || p.Type.Name+" "+p.Zone != c.rent {
+			if p, ok := PoolFor(unmet[0], pools); !ok || p.Type.Name+" "+p.Zone != c.rent {
 				t.Errorf("%s: rents %+v", c.name, p)
 			}
 		}
 	}
-	if _, ok := For(&api.Submission{CPUs: 64}, pools); ok {
+	if _, ok := PoolFor(&api.Submission{CPUs: 64}, pools); ok {
 		t.Error("a pool for what fits none")
 	}
 }
