--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -10,36 +10,36 @@
 	"switchferry/tuning"
 )
 
-// Room is an amount of a machine's resources.
-type Room struct{ CPUs, Cards, MemoryGB float64 }
+// Resources is an amount of a machine's resources.
+type Resources struct{ CPUs, Cards, MemoryGB float64 }
 
-// Of is what one task of a job takes.
-func Of(s *api.Submission) Room { return Room{s.CPUs, s.Cards, s.MemoryGB} }
+// RequestOf is what one task of a job takes.
+func RequestOf(s *api.Submission) Resources { return Resources{s.CPUs, s.Cards, s.MemoryGB} }
 
 // Sub takes o away.
-func (r Room) Sub(o Room) Room {
-	return Room{r.CPUs - o.CPUs, r.Cards - o.Cards, r.MemoryGB - o.MemoryGB}
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.CPUs - o.CPUs, r.Cards - o.Cards, r.MemoryGB - o.MemoryGB}
 }
 
 // Add puts o back.
-func (r Room) Add(o Room) Room {
-	return Room{r.CPUs + o.CPUs, r.Cards + o.Cards, r.MemoryGB + o.MemoryGB}
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.CPUs + o.CPUs, r.Cards + o.Cards, r.MemoryGB + o.MemoryGB}
 }
 
 // Scale is n times r.
-func (r Room) Scale(n int) Room {
+func (r Resources) Scale(n int) Resources {
 	f := float64(n)
-	return Room{r.CPUs * f, r.Cards * f, r.MemoryGB * f}
+	return Resources{r.CPUs * f, r.Cards * f, r.MemoryGB * f}
 }
 
-// Holds tells whether o fits.
-func (r Room) Holds(o Room) bool {
+// Fits tells whether o fits.
+func (r Resources) Fits(o Resources) bool {
 	const s = tuning.RoomSlack
 	return r.CPUs+s >= o.CPUs && r.Cards+s >= o.Cards && r.MemoryGB+s >= o.MemoryGB
 }
 
-// Times is how many of o fit at once.
-func (r Room) Times(o Room) int {
+// Multiple is how many of o fit at once.
+func (r Resources) Multiple(o Resources) int {
 	n := 1 << 20
 	for _, p := range [3][2]float64{{r.CPUs, o.CPUs}, {r.Cards, o.Cards}, {r.MemoryGB, o.MemoryGB}} {
 		if p[1] > 0 {
@@ -59,37 +59,37 @@
 	Spec    *api.MachineType
 
 	// Up: its worker has reported in this term.
-	Up      bool
-	Session uint64
-	Seq     uint64
-	Term    uint64
-	// Heard is when a report last came in; Rented when it was asked for.
-	Heard  time.Time
-	Rented time.Time
-	// TakenAt is when the cloud takes it away; zero: no notice.
-	TakenAt time.Time
-	Tasks   map[string]api.TaskReport
+	Up          bool
+	Incarnation uint64
+	Seq         uint64
+	Term        uint64
+	// LastHeartbeat is when a report last came in; RequestedAt when it was asked for.
+	LastHeartbeat time.Time
+	RequestedAt   time.Time
+	// PreemptedAt is when the cloud takes it away; zero: no notice.
+	PreemptedAt time.Time
+	Tasks       map[string]api.TaskReport
 
 	cache images
-	// Errors counts failures in a row by job.
-	Errors map[string]int
+	// Failures counts failures in a row by job.
+	Failures map[string]int
 }
 
 // Newer tells whether a report is newer than the last one taken in. A late
 // report must not undo a newer one.
-func (m *Machine) Newer(r *api.Report) bool {
-	return r.After(m.Session, m.Seq)
+func (m *Machine) Newer(r *api.Heartbeat) bool {
+	return r.NewerThan(m.Incarnation, m.Seq)
 }
 
-// Take notes a report that is newer.
-func (m *Machine) Take(r *api.Report, now time.Time) {
+// ApplyHeartbeat notes a report that is newer.
+func (m *Machine) ApplyHeartbeat(r *api.Heartbeat, now time.Time) {
 	m.Up = true
 	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
-	m.Session, m.Seq, m.Term = r.Session, r.Seq, r.Term
-	if r.NoticeS != nil {
-		m.TakenAt = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
+	m.Incarnation, m.Seq, m.Term = r.Incarnation, r.Seq, r.Term
+	if r.PreemptionNoticeS != nil {
+		m.PreemptedAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	} else {
-		m.TakenAt = time.Time{}
+		m.PreemptedAt = time.Time{}
 	}
 	m.Tasks = make(map[string]api.TaskReport, len(r.Tasks))
 	for _, t := range r.Tasks {
@@ -97,29 +97,29 @@
 	}
 }
 
-// Failed counts a task that failed here.
-func (m *Machine) Failed(job string) {
-	if m.Errors == nil {
-		m.Errors = map[string]int{}
+// RecordFailure counts a task that failed here.
+func (m *Machine) RecordFailure(job string) {
+	if m.Failures == nil {
+		m.Failures = map[string]int{}
 	}
-	m.Errors[job]++
+	m.Failures[job]++
 }
 
-// Worked forgets failures: the machine completes tasks.
-func (m *Machine) Worked() { m.Errors = nil }
+// ClearFailures forgets failures: the machine completes tasks.
+func (m *Machine) ClearFailures() { m.Failures = nil }
 
-// Forgive forgets the failures of one job.
-func (m *Machine) Forgive(job string) { delete(m.Errors, job) }
+// ClearJobFailures forgets the failures of one job.
+func (m *Machine) ClearJobFailures(job string) { delete(m.Failures, job) }
 
-// Suspect tells whether the machine should get no more work: several failures in a
+// Faulty tells whether the machine should get no more work: several failures in a
 // row, and not all of one job, whose own mistake they may be. Counts says whether a
 // job's failures speak against machines at all.
-func (m *Machine) Suspect(counts func(job string) bool) bool {
-	if len(m.Errors) < 2 {
+func (m *Machine) Faulty(counts func(job string) bool) bool {
+	if len(m.Failures) < 2 {
 		return false
 	}
 	jobs, errors := 0, 0
-	for job, n := range m.Errors {
+	for job, n := range m.Failures {
 		if counts(job) {
 			jobs++
 			errors += n
@@ -128,9 +128,9 @@
 	return errors >= tuning.SickErrors && jobs >= 2
 }
 
-// Used notes that a task with this image ran here; it tells whether the image is
+// RecordImage notes that a task with this image ran here; it tells whether the image is
 // new here.
-func (m *Machine) Used(image string, gb float64) bool {
+func (m *Machine) RecordImage(image string, gb float64) bool {
 	limit := 0.0
 	if m.Spec != nil {
 		limit = m.Spec.CacheGB
@@ -155,12 +155,12 @@
 	return out
 }
 
-// Has tells whether the machine likely holds an image.
-func (m *Machine) Has(image string) bool { return m.cache.has(image) }
+// HasImage tells whether the machine likely holds an image.
+func (m *Machine) HasImage(image string) bool { return m.cache.has(image) }
 
-// FetchS is the time to get an image, 0 if it is held.
-func (m *Machine) FetchS(image string, gb float64) float64 {
-	if m.Has(image) || m.Spec == nil {
+// FetchSeconds is the time to get an image, 0 if it is held.
+func (m *Machine) FetchSeconds(image string, gb float64) float64 {
+	if m.HasImage(image) || m.Spec == nil {
 		return 0
 	}
 	return cost.Fetch(gb, m.Spec.PullGBs)
--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -27,25 +27,25 @@
 	stagingPath = "/v1/staging"
 )
 
-// Node is what the port serves.
-type Node interface {
+// Controller is what the port serves.
+type Controller interface {
 	Ready() bool
-	Report(ctx context.Context, r *api.Report, raw []byte) (status int, body any)
-	Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Answer
-	// DataOn tells whether datasets are on; only then their paths exist. Stage answers
+	HandleHeartbeat(ctx context.Context, r *api.Heartbeat, raw []byte) (status int, body any)
+	Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Response
+	// DataOn tells whether datasets are on; only then their paths exist. HandleStageHeartbeat answers
 	// an agent's report.
 	DataOn() bool
-	// PlacesOn and MembersOn tell whether a topology is declared, and membership on; only then
+	// TopologyOn and MembersOn tell whether a topology is declared, and membership on; only then
 	// their paths exist.
-	PlacesOn() bool
+	TopologyOn() bool
 	MembersOn() bool
 	// ConfigurationOn tells whether the configuration can change while the node runs.
 	ConfigurationOn() bool
-	Stage(ctx context.Context, r *api.StageReport, raw []byte) (status int, body any)
+	HandleStageHeartbeat(ctx context.Context, r *api.StageHeartbeat, raw []byte) (status int, body any)
 }
 
 // New makes the port's handler, which keeps to a budget of sockets.
-func New(n Node, budget *connlimit.Budget) http.Handler {
+func New(n Controller, budget *connlimit.Limiter) http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = answerError
@@ -77,25 +77,25 @@
 }
 
 // countSockets tells the budget whose each connection is.
-func countSockets(budget *connlimit.Budget) echo.MiddlewareFunc {
+func countSockets(budget *connlimit.Limiter) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			class := connlimit.User
 			if p := c.Path(); p == reportPath || p == stagingPath {
 				class = connlimit.Worker
-				if budget.Scarce() {
+				if budget.NearLimit() {
 					// It can come anew with its next report; a user's socket cannot wait.
 					c.Response().Header().Set("Connection", "close")
 				}
 			}
-			budget.Tell(connlimit.Of(c.Request().Context()), class)
+			budget.Classify(connlimit.FromContext(c.Request().Context()), class)
 			return next(c)
 		}
 	}
 }
 
 // addUserPaths adds what users and operators ask for, as far as it is on.
-func addUserPaths(e *echo.Echo, n Node) {
+func addUserPaths(e *echo.Echo, n Controller) {
 	user := func(verb string) echo.HandlerFunc {
 		return func(c echo.Context) error { return ask(c, n, verb) }
 	}
@@ -111,7 +111,7 @@
 		e.GET("/configuration/:id", user(controller.VerbConfiguration))
 		e.POST("/configuration", user(controller.VerbConfigure))
 	}
-	if n.PlacesOn() {
+	if n.TopologyOn() {
 		e.GET("/topology", user(controller.VerbTopology))
 	}
 	if n.DataOn() {
@@ -125,7 +125,7 @@
 var withBody = map[string]bool{controller.VerbSubmit: true, controller.VerbRegister: true, controller.VerbConfigure: true}
 
 // ask answers a user's request.
-func ask(c echo.Context, n Node, verb string) error {
+func ask(c echo.Context, n Controller, verb string) error {
 	r := peer.Request{Verb: verb, Job: c.Param("id")}
 	if withBody[verb] {
 		body, err := read(c, tuning.BodyLimit, errTooLong)
@@ -163,24 +163,24 @@
 }
 
 // report answers a worker.
-func report(c echo.Context, n Node) error {
-	var r api.Report
+func report(c echo.Context, n Controller) error {
+	var r api.Heartbeat
 	body, ok, err := readReport(c, &r, tuning.BodyLimit, errTooLong, "a worker")
 	if !ok {
 		return err
 	}
-	status, ans := n.Report(c.Request().Context(), &r, body)
+	status, ans := n.HandleHeartbeat(c.Request().Context(), &r, body)
 	return c.JSON(status, ans)
 }
 
 // stage answers an agent.
-func stage(c echo.Context, n Node) error {
-	var r api.StageReport
+func stage(c echo.Context, n Controller) error {
+	var r api.StageHeartbeat
 	body, ok, err := readReport(c, &r, tuning.OrderLimit, errReportTooLong, "an agent")
 	if !ok {
 		return err
 	}
-	status, ans := n.Stage(c.Request().Context(), &r, body)
+	status, ans := n.HandleStageHeartbeat(c.Request().Context(), &r, body)
 	return c.JSON(status, ans)
 }
 
@@ -199,7 +199,7 @@
 }
 
 // Serve runs the port until the context ends. Connections of l that a budget counts are told to it.
-func Serve(ctx context.Context, l net.Listener, h http.Handler, budget *connlimit.Budget) error {
+func Serve(ctx context.Context, l net.Listener, h http.Handler, budget *connlimit.Limiter) error {
 	s := &http.Server{Handler: h, ConnContext: connlimit.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
 	go func() {
 		<-ctx.Done()
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -11,31 +11,31 @@
 	"switchferry/peer"
 )
 
-type fakeNode struct {
+type fakeController struct {
 	got  peer.Request
 	data bool
 }
 
-func (f *fakeNode) PlacesOn() bool        { return false }
-func (f *fakeNode) MembersOn() bool       { return false }
-func (f *fakeNode) ConfigurationOn() bool { return false }
-func (f *fakeNode) DataOn() bool          { return f.data }
-func (f *fakeNode) Stage(_ context.Context, r *api.StageReport, _ []byte) (int, any) {
+func (f *fakeController) TopologyOn() bool      { return false }
+func (f *fakeController) MembersOn() bool       { return false }
+func (f *fakeController) ConfigurationOn() bool { return false }
+func (f *fakeController) DataOn() bool          { return f.data }
+func (f *fakeController) HandleStageHeartbeat(_ context.Context, r *api.StageHeartbeat, _ []byte) (int, any) {
 	return 200, api.StageOrder{Term: 4, Order: r.Order}
 }
 
-func (f *fakeNode) Ready() bool { return false }
-func (f *fakeNode) Report(context.Context, *api.Report, []byte) (int, any) {
-	return 421, api.Redirect{Node: "n1"}
+func (f *fakeController) Ready() bool { return false }
+func (f *fakeController) HandleHeartbeat(context.Context, *api.Heartbeat, []byte) (int, any) {
+	return 421, api.Redirect{Controller: "n1"}
 }
-func (f *fakeNode) Handle(_ context.Context, r peer.Request, _ bool) peer.Answer {
+func (f *fakeController) Handle(_ context.Context, r peer.Request, _ bool) peer.Response {
 	f.got = r
-	return peer.Answer{Status: 503, Body: []byte(`{"error":"later"}`), RetryAfterS: 1}
+	return peer.Response{Status: 503, Body: []byte(`{"error":"later"}`), RetryAfterS: 1}
 }
 
 func TestAnswers(t *testing.T) {
-	n := &fakeNode{}
-	h := New(n, connlimit.NewBudget(0))
+	n := &fakeController{}
+	h := New(n, connlimit.NewLimiter(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -72,7 +72,7 @@
 }
 
 func TestPathsOfDatasets(t *testing.T) {
-	h := New(&fakeNode{data: true}, connlimit.NewBudget(0))
+	h := New(&fakeController{data: true}, connlimit.NewLimiter(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
--- a/httpapi/odd_test.go
+++ b/httpapi/odd_test.go
@@ -87,11 +87,11 @@
 		types := []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 1, BootS: 10, Zones: []string{"a", "b"}}}
 		state := fake.NewState(clock)
 		out := &services{state: state, cloud: fake.NewCloud(clock, types, 20)}
-		n := controller.NewNode(ctx, set, policy.Default(), clock, out)
+		n := controller.New(ctx, set, policy.Default(), clock, out)
 		back := make(nobody)
 		done := make(chan struct{})
 		go func() { n.Run(back); close(done) }()
-		h := httpapi.New(n, connlimit.NewBudget(0))
+		h := httpapi.New(n, connlimit.NewLimiter(0))
 		ask := func(method, path, body string) (int, string, string) {
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -96,7 +96,7 @@
 	case state == api.Done && j.Done < j.Tasks:
 		a.breaks(NotDone, "%s with %d of %d tasks done", id, j.Done, j.Tasks)
 	}
-	if state != api.Done && state != api.Withdrawn {
+	if state != api.Done && state != api.Cancelled {
 		return false
 	}
 	if j.Told == "" {
@@ -132,7 +132,7 @@
 		j.Begun++
 		j.LastBegun = time.Now()
 	}
-	if j.Told == api.Withdrawn && time.Since(j.ToldAt) > a.cancelWithin {
+	if j.Told == api.Cancelled && time.Since(j.ToldAt) > a.cancelWithin {
 		a.breaks(RanCancelled, "%s started %v after its cancellation was told", task, time.Since(j.ToldAt).Round(time.Millisecond))
 	}
 }
@@ -162,7 +162,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for task, machine := range a.on {
-		if j := a.jobOf(task); j != nil && j.Told == api.Withdrawn && time.Since(j.ToldAt) > a.cancelWithin {
+		if j := a.jobOf(task); j != nil && j.Told == api.Cancelled && time.Since(j.ToldAt) > a.cancelWithin {
 			a.breaks(RanCancelled, "%s is on %s %v after its cancellation was told", task, machine, time.Since(j.ToldAt).Round(time.Millisecond))
 		}
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -141,7 +141,7 @@
 	}
 	name := func(i int) string { return fmt.Sprintf("n%d", i) }
 	for i, zone := range c.options.Zones {
-		set := &settings.Settings{Member: name(i), Zone: zone, Listen: free[2*i], Back: free[2*i+1], Facts: c.options.Facts}
+		set := &settings.Settings{Member: name(i), Zone: zone, Listen: free[2*i], PeerListen: free[2*i+1], Facts: c.options.Facts}
 		for j, other := range c.options.Zones {
 			if j == i {
 				continue
@@ -150,7 +150,7 @@
 			if err != nil {
 				return err
 			}
-			set.Siblings = append(set.Siblings, settings.Sibling{Member: name(j), Zone: other, Address: link})
+			set.Peers = append(set.Peers, settings.Peer{Member: name(j), Zone: other, Address: link})
 		}
 		if set.External.State, err = c.serveService(c.State, "state", name(i), zone); err != nil {
 			return err
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -154,7 +154,7 @@
 }
 
 // post sends a report to a controller.
-func (w *Worker) post(ctx context.Context, member string, report *api.Report) (status int, body any) {
+func (w *Worker) post(ctx context.Context, member string, report *api.Heartbeat) (status int, body any) {
 	var to *Controller
 	for _, x := range w.cluster.Controllers {
 		if x.Settings.Member == member {
@@ -185,7 +185,7 @@
 // decodeAnswer is an answer to a report as a worker understands it; nil: it does not.
 func decodeAnswer(status int, raw []byte) any {
 	if status == http.StatusOK {
-		var orders api.Orders
+		var orders api.HeartbeatResponse
 		if json.Unmarshal(raw, &orders) != nil {
 			return nil
 		}
@@ -198,7 +198,7 @@
 
 // serveCommand answers a direct command, as far as the leader that sent it reaches this worker.
 func (w *Worker) serveCommand(rw http.ResponseWriter, r *http.Request) {
-	var orders api.Orders
+	var orders api.HeartbeatResponse
 	if err := json.NewDecoder(r.Body).Decode(&orders); err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
@@ -222,7 +222,7 @@
 // leading is who leads by the state service, and the term.
 func (c *Cluster) leading() (member string, term uint64) {
 	raw, stamp := c.State.Read(store.LeaderKey)
-	var l store.Leader
+	var l store.LeaderRecord
 	if json.Unmarshal(raw, &l) != nil {
 		return "", 0
 	}
--- a/internal/compress/pack.go
+++ b/internal/compress/pack.go
@@ -21,11 +21,11 @@
 
 var fastest, smaller = encoder(zstd.SpeedFastest), encoder(zstd.SpeedDefault)
 
-// Fast is the text of a value that is packed often.
-func Fast(v any) (string, error) { return text(v, fastest) }
+// EncodeFast is the text of a value that is packed often.
+func EncodeFast(v any) (string, error) { return text(v, fastest) }
 
-// Small is the text of a value that is packed now and then, and should take little room.
-func Small(v any) (string, error) { return text(v, smaller) }
+// EncodeSmall is the text of a value that is packed now and then, and should take little room.
+func EncodeSmall(v any) (string, error) { return text(v, smaller) }
 
 func text(v any, encoder func() (*zstd.Encoder, error)) (string, error) {
 	raw, err := json.Marshal(v)
@@ -39,8 +39,8 @@
 	return base64.RawStdEncoding.EncodeToString(z.EncodeAll(raw, nil)), nil
 }
 
-// Unpack is the reverse of both. It takes bounded memory, whatever the text.
-func Unpack(text string, v any) error {
+// Decode is the reverse of both. It takes bounded memory, whatever the text.
+func Decode(text string, v any) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return fmt.Errorf("packed value: %w", err)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -125,12 +125,12 @@
 	case r.URL.Path == "/machines" && r.Method == http.MethodGet:
 		resp, err = c.list(r)
 	case r.URL.Path == "/machines":
-		var q api.Rental
-		if json.Unmarshal(body, &q) != nil || q.Charter == "" || q.Count < 1 || q.Count > rentMost {
+		var q api.InstanceRequest
+		if json.Unmarshal(body, &q) != nil || q.IdempotencyKey == "" || q.Count < 1 || q.Count > rentMost {
 			refuse(400, "malformed rental")
 			return
 		}
-		names, known := c.charters[q.Charter]
+		names, known := c.charters[q.IdempotencyKey]
 		if !known {
 			if c.Room <= 0 {
 				resp, err = reply(503, map[string]any{"error": "no capacity"})
@@ -141,7 +141,7 @@
 				names, up = append(names, h.Name), append(up, *h)
 			}
 			c.Room -= len(names)
-			c.charters[q.Charter] = names
+			c.charters[q.IdempotencyKey] = names
 		}
 		resp, err = reply(200, map[string]any{"hosts": names})
 	case r.URL.Path == "/machines/return":
@@ -180,10 +180,10 @@
 		}
 	}
 	slices.Sort(names)
-	out := []api.CloudMachine{}
+	out := []api.Instance{}
 	for _, name := range names[:min(limit, len(names))] {
 		h := c.hosts[name]
-		out = append(out, api.CloudMachine{Name: h.Name, Address: h.Address, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: "running", AgeS: c.clock.Since(h.rented).Seconds()})
+		out = append(out, api.Instance{Name: h.Name, Address: h.Address, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: "running", AgeS: c.clock.Since(h.rented).Seconds()})
 	}
 	return reply(200, map[string]any{"hosts": out, "more": len(names) > limit})
 }
--- a/internal/fake/objects.go
+++ b/internal/fake/objects.go
@@ -10,7 +10,7 @@
 	"switchferry/dataset"
 )
 
-// Objects is the store of datasets: NAME/manifest.json and NAME/data, with ranges. Trouble
+// Objects is the store of datasets: NAME/manifest.json and NAME/data, with ranges. Fault
 // makes it fail in one of the ways that stores do.
 type Objects struct {
 	mu   sync.Mutex
@@ -20,13 +20,13 @@
 	// asked for.
 	served  int64
 	ranges  map[string]int
-	trouble Trouble
+	trouble Fault
 	// Hanging gets a message whenever a request hangs, or drips.
 	Hanging chan struct{}
 }
 
-// Trouble is how the store fails; After bytes of an answer come as they should.
-type Trouble struct {
+// Fault is how the store fails; After bytes of an answer come as they should.
+type Fault struct {
 	Kind  string // "", reset, hang, 503, short, wrong, drip
 	After int
 }
@@ -53,7 +53,7 @@
 }
 
 // Break sets how the store fails from now on; Kind "": it works.
-func (o *Objects) Break(t Trouble) {
+func (o *Objects) Break(t Fault) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.trouble = t
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -20,7 +20,7 @@
 	// Nodes are the controllers in order; Post sends a report to one. A status of 0: no
 	// answer within the time of the context.
 	nodes []string
-	post  func(ctx context.Context, node string, r *api.Report) (status int, body any)
+	post  func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
 	every time.Duration
 	lease time.Duration
 	runs  func(task string) time.Duration
@@ -63,7 +63,7 @@
 	Host         Host
 	Clock        clockwork.Clock
 	Nodes        []string
-	Post         func(ctx context.Context, node string, r *api.Report) (status int, body any)
+	Post         func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
 	Every, Lease time.Duration
 	Runs         func(task string) time.Duration
 	Starts       func(task string, term uint64, at time.Time)
@@ -166,7 +166,7 @@
 			w.begin(t)
 		}
 		if t.State == api.TaskRunning && !now.Before(t.ends) {
-			t.State, t.Cause = api.TaskEnded, api.CauseDone
+			t.State, t.Cause = api.TaskExited, api.CauseDone
 			w.over(t.Task, true)
 			w.changed()
 		}
@@ -232,7 +232,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, t := range w.tasks {
-		if t.State != api.TaskEnded {
+		if t.State != api.TaskExited {
 			sum += of(t.Task)
 		}
 	}
@@ -246,9 +246,9 @@
 	}
 }
 
-func (w *Worker) report() *api.Report {
+func (w *Worker) report() *api.Heartbeat {
 	w.seq++
-	r := &api.Report{Machine: w.Name, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Session: w.session, Seq: w.seq, Term: w.term, Tasks: []api.TaskReport{}}
+	r := &api.Heartbeat{Machine: w.Name, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Incarnation: w.session, Seq: w.seq, Term: w.term, Tasks: []api.TaskReport{}}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, t.TaskReport)
 	}
@@ -310,13 +310,13 @@
 }
 
 // take works an answer in, and gives how long to wait at least.
-func (w *Worker) take(r *api.Report, sent time.Time, status int, body any) time.Duration {
+func (w *Worker) take(r *api.Heartbeat, sent time.Time, status int, body any) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pass()
 	if status == http.StatusOK {
-		o, ok := body.(api.Orders)
-		if !ok || r.Session != w.session || o.Term < w.term || o.Term == 0 {
+		o, ok := body.(api.HeartbeatResponse)
+		if !ok || r.Incarnation != w.session || o.Term < w.term || o.Term == 0 {
 			return w.every / 2
 		}
 		w.renewed, w.answered = sent, w.clock.Now()
@@ -324,7 +324,7 @@
 		return 500 * time.Millisecond
 	}
 	if to, ok := body.(api.Redirect); ok && status == http.StatusMisdirectedRequest {
-		if i := slices.Index(w.nodes, to.Node); i >= 0 && i != w.at {
+		if i := slices.Index(w.nodes, to.Controller); i >= 0 && i != w.at {
 			w.at = i
 			w.changed()
 			return 100 * time.Millisecond
@@ -335,7 +335,7 @@
 }
 
 // obey executes commands in order.
-func (w *Worker) obey(o api.Orders) {
+func (w *Worker) obey(o api.HeartbeatResponse) {
 	if o.Term > w.term {
 		w.term = o.Term
 		w.changed()
@@ -344,7 +344,7 @@
 	for _, c := range o.Commands {
 		t := w.tasks[c.Task]
 		switch {
-		case c.Verb == api.Start && t == nil:
+		case c.Verb == api.CommandRun && t == nil:
 			ready := w.fetches(c.Task, now)
 			t = &workerTask{TaskReport: api.TaskReport{Task: c.Task, Attempt: c.Attempt, State: api.TaskFetching}, term: o.Term, ready: ready, ends: ready.Add(w.runs(c.Task))}
 			w.tasks[c.Task] = t
@@ -355,21 +355,21 @@
 				w.changed()
 			}
 		case t == nil || t.Attempt != c.Attempt:
-		case c.Verb == api.Stop && t.State != api.TaskEnded:
+		case c.Verb == api.CommandKill && t.State != api.TaskExited:
 			ran := t.State == api.TaskRunning
-			t.State, t.Cause = api.TaskEnded, api.CauseStopped
+			t.State, t.Cause = api.TaskExited, api.CauseStopped
 			if ran {
 				w.over(t.Task, false)
 			}
 			w.changed()
-		case c.Verb == api.Forget && t.State == api.TaskEnded:
+		case c.Verb == api.CommandClear && t.State == api.TaskExited:
 			delete(w.tasks, c.Task)
 		}
 	}
 }
 
 // Report is what it would report now; Answer has it take an answer to that, as Run does.
-func (w *Worker) Report() *api.Report {
+func (w *Worker) Report() *api.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pass()
@@ -377,17 +377,17 @@
 }
 
 // Answer takes in the answer to a report that was sent then.
-func (w *Worker) Answer(r *api.Report, sent time.Time, o api.Orders) {
+func (w *Worker) Answer(r *api.Heartbeat, sent time.Time, o api.HeartbeatResponse) {
 	w.take(r, sent, http.StatusOK, o)
 }
 
 // Direct serves POST /orders: the report after them, and whether they were executed.
-func (w *Worker) Direct(o api.Orders) (*api.Report, bool) {
+func (w *Worker) Direct(o api.HeartbeatResponse) (*api.Heartbeat, bool) {
 	w.awake()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pass()
-	if o.Term < w.term || o.Session != w.session {
+	if o.Term < w.term || o.Incarnation != w.session {
 		return w.report(), false
 	}
 	w.obey(o)
--- a/internal/simulation/book.go
+++ b/internal/simulation/book.go
@@ -353,7 +353,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range cs {
-		if c.Verb == api.Start {
+		if c.Verb == api.CommandRun {
 			b.vain[fmt.Sprint(m.Name, c.Task, c.Attempt)] = true
 		}
 	}
@@ -403,7 +403,7 @@
 			return
 		}
 		e := &entry{done: map[int]bool{}}
-		e.Submission = api.Submission{ID: fmt.Sprintf("run-%06d", rng.IntN(1_000_000)), Team: []string{"one", "two"}[rng.IntN(2)], Shape: api.Array, Rank: "normal",
+		e.Submission = api.Submission{ID: fmt.Sprintf("run-%06d", rng.IntN(1_000_000)), Team: []string{"one", "two"}[rng.IntN(2)], Shape: api.JobArray, Rank: "normal",
 			CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 0.1, Spot: true, Class: "small", Tasks: 1 + rng.IntN(4), EstimateS: 5 + 10*rng.Float64()}
 		switch k := rng.IntN(20); {
 		case k < 2:
@@ -417,7 +417,7 @@
 		case k < 11:
 			w.book.mu.Lock()
 			for _, x := range w.book.order {
-				if !x.accepted.IsZero() && x.Shape == api.Array && len(e.Awaits) < 2 && rng.IntN(4) == 0 {
+				if !x.accepted.IsZero() && x.Shape == api.JobArray && len(e.Awaits) < 2 && rng.IntN(4) == 0 {
 					e.Awaits = append(e.Awaits, x.ID)
 				}
 			}
@@ -427,10 +427,10 @@
 		if w.ImageS > 0 {
 			e.Image = fmt.Sprint("img", rng.IntN(4))
 		}
-		if w.Berth && e.Shape == api.Array && e.Class != "large" && rng.IntN(3) == 0 {
+		if w.Berth && e.Shape == api.JobArray && e.Class != "large" && rng.IntN(3) == 0 {
 			e.Zone = []string{"east", "west"}[rng.IntN(2)]
 		}
-		if w.RunS > 0 && e.Shape == api.Array && e.Class != "large" && e.Class != "whole" {
+		if w.RunS > 0 && e.Shape == api.JobArray && e.Class != "large" && e.Class != "whole" {
 			e.EstimateS = w.RunS
 		}
 		cancels := w.Cancels
@@ -465,7 +465,7 @@
 		if n == nil || !n.Ready() {
 			continue
 		}
-		got := make(chan peer.Answer, 1)
+		got := make(chan peer.Response, 1)
 		go func() {
 			w.thawed(name)
 			a := n.Handle(call, r, false)
@@ -488,7 +488,7 @@
 func (w *World) ends(e *entry) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(e.ID))
-	return w.atEnd.Load() > 0 && e.Shape == api.Array && h.Sum32()%2 == 0
+	return w.atEnd.Load() > 0 && e.Shape == api.JobArray && h.Sum32()%2 == 0
 }
 
 // atLastEnd calls a job off around the moment at which its last task ends, so long from now, and asks about it and
@@ -682,14 +682,14 @@
 // may be newer, since the two crossed.
 func (b *book) answered(e *entry, sent time.Time, status int, st api.JobStatus, verb string) {
 	b.mu.Lock()
-	crossed := e.toldAt.After(sent) && st.State != api.Done && st.State != api.Withdrawn
+	crossed := e.toldAt.After(sent) && st.State != api.Done && st.State != api.Cancelled
 	known := !e.accepted.IsZero() && e.accepted.Before(sent)
 	b.mu.Unlock()
 	switch {
 	case crossed:
 	case verb == controller.VerbSubmit && known && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
 		b.refused(e, status)
-	case verb == controller.VerbCancel && status == http.StatusOK && st.State != api.Done && st.State != api.Withdrawn:
+	case verb == controller.VerbCancel && status == http.StatusOK && st.State != api.Done && st.State != api.Cancelled:
 		b.wrong("a cancellation of %s: %q", e.ID, st.State)
 	default:
 		b.tell(e, status, st)
@@ -731,7 +731,7 @@
 			b.broken("not_done", "%s with %d of %d tasks done", e.ID, len(e.done), e.Tasks)
 		}
 		b.final(e, st.State)
-	case api.Withdrawn:
+	case api.Cancelled:
 		if e.cancelled.IsZero() {
 			e.cancelled = now
 		}
--- a/internal/simulation/configuration_test.go
+++ b/internal/simulation/configuration_test.go
@@ -10,7 +10,7 @@
 // revision older than one that they were told is in force, and changes go on coming into force.
 func TestChangesOfConfiguration(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	for name, troubles := range map[string][]Trouble{
+	for name, troubles := range map[string][]Fault{
 		"quiet":                                  nil,
 		"the leader ends":                        {{At: at(20), For: at(3), Kind: Crash, Count: 1}, {At: at(40), For: at(0.3), Kind: Crash, Count: 1}},
 		"all end":                                {{At: at(25), For: at(2), Kind: Crash, Count: 3}},
@@ -36,9 +36,9 @@
 			}
 			t.Run(fmt.Sprintf("%s, reports every %g s", name, pace.ReportS), func(t *testing.T) {
 				t.Parallel()
-				d := NewDay(uint64(len(name)), 12)
+				d := NewScenario(uint64(len(name)), 12)
 				d.Workers, d.Lasts, d.Changes = pace, 80*time.Second, 2*time.Second
-				d.Troubles = troubles
+				d.Faults = troubles
 				if r := play(t, d); r.Changes < 8 {
 					t.Errorf("only %d changes came into force", r.Changes)
 				}
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -144,7 +144,7 @@
 	}
 	call, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	got := make(chan peer.Answer, 1)
+	got := make(chan peer.Response, 1)
 	go func() {
 		o.w.thawed(name)
 		a := n.Handle(call, r, false)
@@ -163,7 +163,7 @@
 // for a job that it awaits and that was never submitted.
 func (o *operators) probe(ctx context.Context) {
 	rng := o.w.random("probes")
-	s := api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.Array, Rank: "normal", Tasks: 1, CPUs: probeNeeds, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}}
+	s := api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: probeNeeds, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}}
 	body, err := json.Marshal(&s)
 	if err != nil {
 		panic(err)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -44,10 +44,10 @@
 	// Lone takes the state service and the other controllers away from the leader, or with Follower
 	// from another, for For; its workers still reach it.
 	Lone = "lone"
-	// HalfDeaf lets reports of Count machines arrive, while answers and commands do not reach them;
-	// DeafNode lets nothing of the leader reach any worker.
-	HalfDeaf = "half-deaf"
-	DeafNode = "deaf-node"
+	// OutboundLost lets reports of Count machines arrive, while answers and commands do not reach them;
+	// ControllerDeaf lets nothing of the leader reach any worker.
+	OutboundLost   = "half-deaf"
+	ControllerDeaf = "deaf-node"
 	// Copies sends every fifth report again, 2 s to three leases later, to any controller, for For.
 	Copies = "copies"
 	// Die ends Count machines for good; Restart ends all tasks on Count machines, whose workers are
@@ -73,8 +73,8 @@
 	Wave = "wave"
 	// Hangs has Count machines stand still for For: they execute nothing, and then what they were sent.
 	Hangs = "hangs"
-	// Mute has Count machines, or with Follower all of the leader's zone, reach no controller; commands reach them.
-	Mute = "mute"
+	// InboundLost has Count machines, or with Follower all of the leader's zone, reach no controller; commands reach them.
+	InboundLost = "mute"
 	// Freeze has the leader, or with Follower another, stand still while its clock runs on.
 	Freeze = "freeze"
 	// Slow has the state service answer up to 1.5 s late, the leader alone with Count 1, else all.
@@ -92,8 +92,8 @@
 // rollEvery is the pace of a roll.
 const rollEvery = 5 * time.Second
 
-// Trouble is one trouble of a day.
-type Trouble struct {
+// Fault is one trouble of a day.
+type Fault struct {
 	At, For  time.Duration
 	Kind     string
 	Count    int
@@ -102,15 +102,15 @@
 	HangFor  time.Duration
 }
 
-// Day is what is played.
-type Day struct {
+// Scenario is what is played.
+type Scenario struct {
 	Seed     uint64
 	Machines int
 	// Lasts is how long users submit jobs, PerSecond how many; After is how long is waited for the
 	// rest.
 	Lasts, After time.Duration
 	PerSecond    float64
-	Troubles     []Trouble
+	Faults       []Fault
 	// Cancels is the share of arrays whose users cancel them, one in 15 if it is 0; RunS is how long the
 	// tasks of the small ones run, 5 to 15 s if it is 0.
 	Cancels, RunS float64
@@ -125,22 +125,22 @@
 }
 
 // limit is what a team may use, in processors.
-func (d *Day) limit() float64 {
+func (d *Scenario) limit() float64 {
 	if d.Room > 0 {
 		return d.Room * float64(d.Machines)
 	}
 	return 6 * float64(d.Machines)
 }
 
-// NewDay is a quiet day of some machines.
-func NewDay(seed uint64, machines int) *Day {
-	return &Day{Seed: seed, Machines: machines, Lasts: 120 * time.Second, After: 150 * time.Second, PerSecond: min(4, float64(machines)/8),
+// NewScenario is a quiet day of some machines.
+func NewScenario(seed uint64, machines int) *Scenario {
+	return &Scenario{Seed: seed, Machines: machines, Lasts: 120 * time.Second, After: 150 * time.Second, PerSecond: min(4, float64(machines)/8),
 		Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}}
 }
 
 // World is a day being played.
 type World struct {
-	*Day
+	*Scenario
 	ctx   context.Context
 	clock clockwork.Clock
 	links *links
@@ -163,7 +163,7 @@
 	slow       map[string]int
 	frozen     map[string]chan struct{}
 	refused    map[string]string
-	wave       chan Trouble
+	wave       chan Fault
 	// hanging are the machines that the last wave has left to hang.
 	hanging int
 	crowd   sync.WaitGroup
@@ -172,7 +172,7 @@
 // process is a controller's life; node is nil while it has none.
 type process struct {
 	name, zone string
-	node       *controller.Node
+	node       *controller.Controller
 	stop       context.CancelFunc
 }
 
@@ -194,13 +194,13 @@
 
 var machineType = api.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 10, Price: 1, SpotPrice: 0.5, Zones: []string{"east", "west"}}
 
-// Play plays the day to its end.
-func (d *Day) Play(ctx context.Context) *Result {
+// Run plays the day to its end.
+func (d *Scenario) Run(ctx context.Context) *Result {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	clock := clockwork.NewRealClock()
-	w := &World{Day: d, ctx: ctx, clock: clock, links: newLinks(), state: fake.NewState(clock), cloud: fake.NewCloud(clock, []api.MachineType{machineType}, 20),
-		rng: rand.New(rand.NewPCG(d.Seed, 0)), nodes: map[string]*process{}, machines: map[string]*machine{}, refused: map[string]string{}, slow: map[string]int{}, frozen: map[string]chan struct{}{}, wave: make(chan Trouble)}
+	w := &World{Scenario: d, ctx: ctx, clock: clock, links: newLinks(), state: fake.NewState(clock), cloud: fake.NewCloud(clock, []api.MachineType{machineType}, 20),
+		rng: rand.New(rand.NewPCG(d.Seed, 0)), nodes: map[string]*process{}, machines: map[string]*machine{}, refused: map[string]string{}, slow: map[string]int{}, frozen: map[string]chan struct{}{}, wave: make(chan Fault)}
 	w.book = newBook(w)
 	if d.Changes > 0 {
 		w.operators = newOperators(w)
@@ -228,7 +228,7 @@
 	w.sleep(ctx, 5*time.Second)
 	began := time.Now()
 	last := time.Duration(0)
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		last = max(last, t.At+t.For)
 		if t.Kind == Roll {
 			last = max(last, t.At+t.For+2*rollEvery)
@@ -301,15 +301,15 @@
 		State: settings.State{RPS: 400, WriteRPS: 120, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}}
 	for _, m := range members {
 		if m != name {
-			set.Siblings = append(set.Siblings, settings.Sibling{Member: m, Zone: w.nodes[m].zone, Address: m})
+			set.Peers = append(set.Peers, settings.Peer{Member: m, Zone: w.nodes[m].zone, Address: m})
 		}
 	}
 	ctx, p.stop = context.WithCancel(ctx)
-	p.node = controller.NewNode(ctx, set, policy.Default(), &standing{w.clock, w, name}, &transport{w: w, from: name, rng: w.random("calls of " + name), name: name})
+	p.node = controller.New(ctx, set, policy.Default(), &standing{w.clock, w, name}, &transport{w: w, from: name, rng: w.random("calls of " + name), name: name})
 	if w.operators != nil {
 		p.node.Enable(&features.Features{Configuration: features.Configuration{On: true}})
 	}
-	p.node.DialSiblings(w.back.dial(name))
+	p.node.DialPeers(w.back.dial(name))
 	n, l := p.node, w.back.listen(name)
 	w.crowd.Go(func() { n.Run(l) })
 }
@@ -327,7 +327,7 @@
 	w.back.crash(name)
 }
 
-func (w *World) node(name string) *controller.Node {
+func (w *World) node(name string) *controller.Controller {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[name].node
@@ -335,7 +335,7 @@
 
 // leader is who leads, by the state service; else any.
 func (w *World) leader() string {
-	var l store.Leader
+	var l store.LeaderRecord
 	if json.Unmarshal(w.state.Get(store.LeaderKey), &l) != nil || l.Member == "" {
 		return members[0]
 	}
@@ -415,7 +415,7 @@
 // unreachable is a call over a way that is cut: there is no connection, or no answer.
 func (t *transport) unreachable(q *http.Request, via http.RoundTripper) (*http.Response, error) {
 	if d, ok := via.(direct); ok {
-		var o api.Orders
+		var o api.HeartbeatResponse
 		if json.NewDecoder(q.Body).Decode(&o) == nil {
 			t.w.book.inVain(d.m, o.Commands)
 		}
@@ -553,7 +553,7 @@
 
 // RoundTrip serves one command.
 func (d direct) RoundTrip(q *http.Request) (*http.Response, error) {
-	var o api.Orders
+	var o api.HeartbeatResponse
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil {
 		return nil, err
 	}
@@ -592,8 +592,8 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // post carries a machine's reports.
-func (w *World) post(m *machine, rng *rand.Rand) func(ctx context.Context, node string, rep *api.Report) (int, any) {
-	return func(ctx context.Context, node string, rep *api.Report) (int, any) {
+func (w *World) post(m *machine, rng *rand.Rand) func(ctx context.Context, node string, rep *api.Heartbeat) (int, any) {
+	return func(ctx context.Context, node string, rep *api.Heartbeat) (int, any) {
 		raw, err := json.Marshal(rep)
 		if err != nil {
 			return 0, nil
@@ -607,9 +607,9 @@
 			w.crowd.Go(func() {
 				time.Sleep(after)
 				if n := w.node(to); n != nil {
-					var again api.Report
+					var again api.Heartbeat
 					if json.Unmarshal(raw, &again) == nil {
-						n.Report(context.Background(), &again, raw)
+						n.HandleHeartbeat(context.Background(), &again, raw)
 					}
 				}
 			})
@@ -630,13 +630,13 @@
 			return 0, nil
 		}
 		w.thawed(node)
-		status, body := n.Report(ctx, rep, raw)
+		status, body := n.HandleHeartbeat(ctx, rep, raw)
 		w.thawed(node)
 		if ctx.Err() != nil {
 			return 0, nil
 		}
 		if passed, ok := body.(json.RawMessage); ok {
-			var o api.Orders
+			var o api.HeartbeatResponse
 			var to api.Redirect
 			switch {
 			case status == http.StatusOK && json.Unmarshal(passed, &o) == nil:
@@ -646,7 +646,7 @@
 			}
 		}
 		if off, _ := w.links.off(node, m.Name); off {
-			if o, ok := body.(api.Orders); ok {
+			if o, ok := body.(api.HeartbeatResponse); ok {
 				w.book.inVain(m, o.Commands)
 			}
 			<-ctx.Done()
@@ -765,7 +765,7 @@
 
 // After fires when the time has come and the controller does not stand still.
 func (s *standing) After(d time.Duration) <-chan time.Time {
-	if !slices.ContainsFunc(s.w.Troubles, func(t Trouble) bool { return t.Kind == Freeze }) {
+	if !slices.ContainsFunc(s.w.Faults, func(t Fault) bool { return t.Kind == Freeze }) {
 		return s.Clock.After(d)
 	}
 	out := make(chan time.Time, 1)
@@ -780,7 +780,7 @@
 func (s *standing) Sleep(d time.Duration) { <-s.After(d) }
 
 // trouble plays one trouble to its end.
-func (w *World) trouble(ctx context.Context, t Trouble) {
+func (w *World) trouble(ctx context.Context, t Fault) {
 	lead := w.leader()
 	who := lead
 	if t.Follower {
@@ -797,7 +797,7 @@
 type striking struct {
 	*World
 	ctx context.Context
-	Trouble
+	Fault
 	lead, who string
 }
 
@@ -805,7 +805,7 @@
 var troubles = map[string]func(s *striking){
 	Roll: (*striking).roll, Crash: (*striking).crash,
 	Lone: (*striking).separate, Silence: (*striking).separate, Apart: (*striking).separate,
-	HalfDeaf: (*striking).halfDeafen, DeafNode: (*striking).deafenNode, Mute: (*striking).mute, Hangs: (*striking).hangSome,
+	OutboundLost: (*striking).halfDeafen, ControllerDeaf: (*striking).deafenNode, InboundLost: (*striking).mute, Hangs: (*striking).hangSome,
 	Die: (*striking).die, Restart: (*striking).restart, CutZone: (*striking).cutZone, Freeze: (*striking).standStill,
 	Outage: (*striking).outage, Slow: (*striking).slowDown, Refused: (*striking).refuse, Wave: (*striking).cancelMany,
 	Copies:     (*striking).copies,
@@ -985,7 +985,7 @@
 	s.count(func() { s.hanging = 0 })
 	for {
 		select {
-		case s.wave <- s.Trouble:
+		case s.wave <- s.Fault:
 		default:
 			return
 		}
@@ -1026,15 +1026,15 @@
 	s.cutFor(ways)
 }
 
-// Cases are the troubles that operators look at when a day is over, each alone and in each role, and in
+// Scenarios are the troubles that operators look at when a day is over, each alone and in each role, and in
 // the middle of an election.
-func Cases() map[string][]Trouble {
+func Scenarios() map[string][]Fault {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	return map[string][]Trouble{
+	return map[string][]Fault{
 		"quiet":                       nil,
-		"half-deaf machines":          {{At: at(20), For: at(70), Kind: HalfDeaf, Count: 3}},
-		"half-deaf, new leader":       {{At: at(20), For: at(70), Kind: HalfDeaf, Count: 3}, {At: at(40), For: at(3), Kind: Crash, Count: 1}},
-		"a leader no worker hears":    {{At: at(20), For: at(40), Kind: DeafNode}},
+		"half-deaf machines":          {{At: at(20), For: at(70), Kind: OutboundLost, Count: 3}},
+		"half-deaf, new leader":       {{At: at(20), For: at(70), Kind: OutboundLost, Count: 3}, {At: at(40), For: at(3), Kind: Crash, Count: 1}},
+		"a leader no worker hears":    {{At: at(20), For: at(40), Kind: ControllerDeaf}},
 		"late copies":                 {{At: at(15), For: at(80), Kind: Copies}, {At: at(40), Kind: Die, Count: 2}},
 		"late copies, new leaders":    {{At: at(15), For: at(80), Kind: Copies}, {At: at(30), Kind: Die, Count: 2}, {At: at(33), For: at(3), Kind: Crash, Count: 1}, {At: at(60), For: at(1), Kind: Crash, Count: 3}},
 		"lone leader, 1 s":            {{At: at(20), For: at(1), Kind: Lone}},
@@ -1044,7 +1044,7 @@
 		"all back at once":            {{At: at(30), For: at(0.1), Kind: Crash, Count: 3}},
 		"back within an election":     {{At: at(30), For: at(0.3), Kind: Crash, Count: 1}, {At: at(30.9), For: at(0.2), Kind: Crash, Count: 2}, {At: at(31.6), For: at(0.1), Kind: Crash, Count: 3}},
 		"machines back at once":       {{At: at(20), Kind: Restart, Count: 4}, {At: at(25), Kind: Restart, Count: 4}, {At: at(40), For: at(0.5), Kind: Crash, Count: 1}},
-		"outage and a crash of all":   {{At: at(20), For: at(40), Kind: Outage}, {At: at(35), For: at(0.7), Kind: Crash, Count: 3}, {At: at(30), For: at(60), Kind: HalfDeaf, Count: 2}},
-		"cut zone, copies, half-deaf": {{At: at(20), For: at(40), Kind: CutZone}, {At: at(15), For: at(60), Kind: Copies}, {At: at(25), For: at(60), Kind: HalfDeaf, Count: 2}},
+		"outage and a crash of all":   {{At: at(20), For: at(40), Kind: Outage}, {At: at(35), For: at(0.7), Kind: Crash, Count: 3}, {At: at(30), For: at(60), Kind: OutboundLost, Count: 2}},
+		"cut zone, copies, half-deaf": {{At: at(20), For: at(40), Kind: CutZone}, {At: at(15), For: at(60), Kind: Copies}, {At: at(25), For: at(60), Kind: OutboundLost, Count: 2}},
 	}
 }
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -23,11 +23,11 @@
 // is made of is.
 type Jobs struct {
 	Client *store.Client
-	// Ended is what is remembered of a job that is over, Keep remembers it.
-	Ended func(id string) (store.FinalRecord, bool)
-	Keep  func(id string, f store.FinalRecord)
-	// Turns shares the reads among questions.
-	Turns *Turns
+	// Recall is what is remembered of a job that is over, Remember remembers it.
+	Recall   func(id string) (store.FinalRecord, bool)
+	Remember func(id string, f store.FinalRecord)
+	// Queue shares the reads among questions.
+	Queue *FairQueue
 }
 
 // Job is what the records tell of a job.
@@ -44,7 +44,7 @@
 // Read reads a job: its own key first, since the final one is written before that goes. The error
 // is that of the state service, or names a damaged record.
 func (j *Jobs) Read(ctx context.Context, id string) (x Job, err error) {
-	if f, ok := j.Ended(id); ok {
+	if f, ok := j.Recall(id); ok {
 		return Job{Found: true, Final: f, Service: f.Service}, nil
 	}
 	it, err := j.Client.Get(ctx, store.JobKey(id))
@@ -53,7 +53,7 @@
 		if err := json.Unmarshal(it.Value, &rec); err != nil {
 			return x, fmt.Errorf("record %s is damaged: %w", it.Key, err)
 		}
-		return Job{true, rec.Job.Shape == api.Service, store.FinalRecord{State: rec.Final}, rec.Job.Awaits, &it}, nil
+		return Job{true, rec.Job.Shape == api.Service, store.FinalRecord{State: rec.FinalState}, rec.Job.Awaits, &it}, nil
 	}
 	if !errors.Is(err, store.ErrNotFound) {
 		return x, err
@@ -69,23 +69,23 @@
 	if err != nil {
 		return x, err
 	}
-	j.Keep(id, f)
+	j.Remember(id, f)
 	return Job{Found: true, Final: f, Service: f.Service}, nil
 }
 
-// Ask is Read for a question about the job asked, which waits for its turn; without one it does not
+// ReadInTurn is Read for a question about the job asked, which waits for its turn; without one it does not
 // wait. It is store.ErrBusy where nothing more may be read for it in time.
-func (j *Jobs) Ask(ctx context.Context, id, asked string) (Job, error) {
-	if _, ok := j.Ended(id); !ok && !(asked == "" && j.Turns.Try() || asked != "" && j.Turns.Take(ctx, asked)) {
+func (j *Jobs) ReadInTurn(ctx context.Context, id, asked string) (Job, error) {
+	if _, ok := j.Recall(id); !ok && !(asked == "" && j.Queue.TryAcquire() || asked != "" && j.Queue.Acquire(ctx, asked)) {
 		return Job{}, store.ErrBusy
 	}
 	return j.Read(ctx, id)
 }
 
-// Withdrawn tells, from the records alone, whether one of the jobs that a job awaits is cancelled,
+// DependsOnCancelled tells, from the records alone, whether one of the jobs that a job awaits is cancelled,
 // itself or through others: whoever answers without the leader must not call the job anything
 // else. Asked is as for Ask. It is store.ErrBusy where no more may be read, ErrTooDeep after tuning.AwaitsReads.
-func (j *Jobs) Withdrawn(ctx context.Context, awaits []string, asked string) (bool, error) {
+func (j *Jobs) DependsOnCancelled(ctx context.Context, awaits []string, asked string) (bool, error) {
 	seen := map[string]bool{}
 	for todo := slices.Clone(awaits); len(todo) > 0; {
 		id := todo[0]
@@ -94,14 +94,14 @@
 			continue
 		}
 		seen[id] = true
-		if _, ok := j.Ended(id); !ok && len(seen) > tuning.AwaitsReads {
+		if _, ok := j.Recall(id); !ok && len(seen) > tuning.AwaitsReads {
 			return false, ErrTooDeep
 		}
-		x, err := j.Ask(ctx, id, asked)
+		x, err := j.ReadInTurn(ctx, id, asked)
 		switch {
 		case err != nil:
 			return false, err
-		case x.Final.State == api.Withdrawn:
+		case x.Final.State == api.Cancelled:
 			return true, nil
 		case x.Final.State == "":
 			todo = append(todo, x.Awaits...)
@@ -110,8 +110,8 @@
 	return false, nil
 }
 
-// Each calls f for all ids, tuning.AwaitsAtOnce at once, and waits for all.
-func Each(ids []string, f func(i int, id string)) {
+// ForEach calls f for all ids, tuning.AwaitsAtOnce at once, and waits for all.
+func ForEach(ids []string, f func(i int, id string)) {
 	slots := make(chan struct{}, tuning.AwaitsAtOnce)
 	var all sync.WaitGroup
 	for i, id := range ids {
--- a/lookup/told.go
+++ b/lookup/told.go
@@ -10,24 +10,24 @@
 	"switchferry/tuning"
 )
 
-// Finals remembers jobs that are over, tuning.FinalCache of them. It is safe for use from several goroutines at once.
-type Finals struct {
+// TerminalStates remembers jobs that are over, tuning.FinalCache of them. It is safe for use from several goroutines at once.
+type TerminalStates struct {
 	mu   sync.Mutex
 	jobs *simplelru.LRU[string, store.FinalRecord]
 }
 
-// NewFinals remembers nothing yet.
-func NewFinals() *Finals { return &Finals{jobs: newLRU[store.FinalRecord]()} }
+// NewTerminalStates remembers nothing yet.
+func NewTerminalStates() *TerminalStates { return &TerminalStates{jobs: newLRU[store.FinalRecord]()} }
 
-// Keep notes that a job is over.
-func (f *Finals) Keep(id string, rec store.FinalRecord) {
+// Remember notes that a job is over.
+func (f *TerminalStates) Remember(id string, rec store.FinalRecord) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs.Add(id, rec)
 }
 
-// Of is what is remembered of a job that is over.
-func (f *Finals) Of(id string) (store.FinalRecord, bool) {
+// Get is what is remembered of a job that is over.
+func (f *TerminalStates) Get(id string) (store.FinalRecord, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.jobs.Peek(id)
@@ -41,23 +41,23 @@
 	return l
 }
 
-// Told remembers the final states that one process has told users, so that what it read before, from memory, from
+// Notifications remembers the final states that one process has told users, so that what it read before, from memory, from
 // the leader or from the records, is not told after (reads are monotonic in one process). It is safe for use from
 // several goroutines at once.
-type Told struct {
+type Notifications struct {
 	mu    sync.Mutex
 	ended *simplelru.LRU[string, api.JobStatus]
 }
 
-// NewTold remembers tuning.FinalCache jobs.
-func NewTold() *Told { return &Told{ended: newLRU[api.JobStatus]()} }
+// NewNotifications remembers tuning.FinalCache jobs.
+func NewNotifications() *Notifications { return &Notifications{ended: newLRU[api.JobStatus]()} }
 
 // Newest is what may be told of a job for which st was found: st, or the final state that was told already. Older
 // is true for the latter.
-func (t *Told) Newest(st api.JobStatus) (newest api.JobStatus, older bool) {
+func (t *Notifications) Newest(st api.JobStatus) (newest api.JobStatus, older bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if st.State == api.Done || st.State == api.Withdrawn {
+	if st.State == api.Done || st.State == api.Cancelled {
 		t.ended.Add(st.ID, st)
 		return st, false
 	}
--- a/lookup/turns.go
+++ b/lookup/turns.go
@@ -13,11 +13,11 @@
 	"switchferry/tuning"
 )
 
-// Turns shares the reads that questions may take among those who ask: the job about which no question was
+// Queue shares the reads that questions may take among those who ask: the job about which no question was
 // answered for the longest comes first. Whoever comes first took what there was before, so that with more
 // questions than reads, about jobs that nobody knows or that were over long ago, it hung on chance
 // whether one about a running job was ever answered. It is safe for use from several goroutines at once.
-type Turns struct {
+type FairQueue struct {
 	clock   clockwork.Clock
 	limiter *rate.Limiter
 	most    int
@@ -37,25 +37,25 @@
 	out   bool
 }
 
-// NewTurns shares what a limiter allows.
-func NewTurns(clock clockwork.Clock, limiter *rate.Limiter) *Turns {
+// NewFairQueue shares what a limiter allows.
+func NewFairQueue(clock clockwork.Clock, limiter *rate.Limiter) *FairQueue {
 	refused, err := simplelru.NewLRU[string, time.Time](tuning.UnansweredKept, nil)
 	if err != nil {
 		panic(err) // only for a limit below one
 	}
-	return &Turns{clock: clock, limiter: limiter, most: max(1, int(float64(limiter.Limit())*tuning.QuestionWait.Seconds())), refused: refused}
+	return &FairQueue{clock: clock, limiter: limiter, most: max(1, int(float64(limiter.Limit())*tuning.QuestionWait.Seconds())), refused: refused}
 }
 
-// Try lets somebody read once who does not wait. False: nothing is left now.
-func (t *Turns) Try() bool {
+// TryAcquire lets somebody read once who does not wait. False: nothing is left now.
+func (t *FairQueue) TryAcquire() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.waiting) == 0 && t.limiter.AllowN(t.clock.Now(), 1)
 }
 
-// Take waits until a question about a job may read once. False: not in time; its next question comes
+// Acquire waits until a question about a job may read once. False: not in time; its next question comes
 // before those about jobs that have waited less.
-func (t *Turns) Take(ctx context.Context, id string) bool {
+func (t *FairQueue) Acquire(ctx context.Context, id string) bool {
 	t.mu.Lock()
 	now := t.clock.Now()
 	if len(t.waiting) == 0 && t.limiter.AllowN(now, 1) {
@@ -93,21 +93,21 @@
 }
 
 // Answered tells that a question about a job was answered.
-func (t *Turns) Answered(id string) {
+func (t *FairQueue) Answered(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refused.Remove(id)
 }
 
 // drop sends a question away.
-func (t *Turns) drop(x *turn) {
+func (t *FairQueue) drop(x *turn) {
 	heap.Remove(&t.waiting, x.at)
 	x.at, x.out = -1, true
 	close(x.ready)
 }
 
 // serve lets those that wait read, as the limit allows, until none waits.
-func (t *Turns) serve() {
+func (t *FairQueue) serve() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(t.waiting) > 0 {
--- a/lookup/turns_test.go
+++ b/lookup/turns_test.go
@@ -13,14 +13,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Of 1,000 jobs asked about every 5 s, a few reads a second can answer but some: with the first to come
+// Get 1,000 jobs asked about every 5 s, a few reads a second can answer but some: with the first to come
 // served first, it hung on chance when one was, and some were not for minutes. The one that has waited
 // longest comes first, so that each is answered in the time that all take; and the limit is kept.
 func TestNobodyIsShutOutByAFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs, perSecond = 1000, 20
 		clock := clockwork.NewRealClock()
-		turns := NewTurns(clock, rate.NewLimiter(perSecond, perSecond))
+		turns := NewFairQueue(clock, rate.NewLimiter(perSecond, perSecond))
 		rng := rand.New(rand.NewPCG(1, 1))
 		began := time.Now()
 		var mu sync.Mutex
@@ -34,7 +34,7 @@
 				last := time.Now()
 				for time.Since(began) < 3*time.Minute {
 					ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-					if turns.Take(ctx, id) {
+					if turns.Acquire(ctx, id) {
 						turns.Answered(id)
 						mu.Lock()
 						answered++
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -39,19 +39,19 @@
 // Observation is something that was seen of a member.
 type Observation interface{ of() string }
 
-// Greeting is what a member said of itself.
-type Greeting struct {
+// Hello is what a member said of itself.
+type Hello struct {
 	From string
-	// BornMS is when its process began, on its own clock: of contradicting news that of the
+	// StartedMS is when its process began, on its own clock: of contradicting news that of the
 	// later process counts. 0: it does not say.
-	BornMS uint64
-	// Hears are the members that it hears.
-	Hears []string
-	// Leads tells whether it leads: only then must workers reach it in any case. Worked: one
+	StartedMS uint64
+	// HeardPeers are the members that it hears.
+	HeardPeers []string
+	// Leads tells whether it leads: only then must workers reach it in any case. ReceivesHeartbeats: one
 	// reported to it a moment ago.
-	Leads, StateOK, Worked bool
-	PaceUS                 uint32
-	Leaving                bool
+	Leads, StateOK, ReceivesHeartbeats bool
+	BenchmarkUS                        uint32
+	Leaving                            bool
 }
 
 // Outcome is what became of a connection to a member.
@@ -72,12 +72,12 @@
 	Outcome Outcome
 }
 
-// Own is what this controller says of itself, as in Greeting.
-type Own struct{ Leads, StateOK, Worked bool }
+// LocalState is what this controller says of itself, as in Hello.
+type LocalState struct{ Leads, StateOK, ReceivesHeartbeats bool }
 
-func (g Greeting) of() string   { return g.From }
+func (g Hello) of() string      { return g.From }
 func (c Connection) of() string { return c.To }
-func (Own) of() string          { return "" }
+func (LocalState) of() string   { return "" }
 
 // Change is a step from one level to another, or another part in trouble.
 type Change struct {
@@ -99,8 +99,8 @@
 	ForS   float64 `json:"for_s"`
 	QuietS float64 `json:"quiet_s"`
 	Phi    float64 `json:"phi"`
-	// Hears are those that it says it hears.
-	Hears []string `json:"hears"`
+	// HeardPeers are those that it says it hears.
+	HeardPeers []string `json:"hears"`
 }
 
 type member struct {
@@ -111,7 +111,7 @@
 	since time.Time
 	// heard is the last greeting, or the start of a silence that could be heard.
 	heard time.Time
-	last  Greeting
+	last  Hello
 	gaps  *arrivals
 	// greeted: it was heard since it was last given up.
 	greeted bool
@@ -120,8 +120,8 @@
 	reset, refused, open time.Time
 }
 
-// Table is what is known of all members. It is not safe for use from several goroutines at once.
-type Table struct {
+// MemberList is what is known of all members. It is not safe for use from several goroutines at once.
+type MemberList struct {
 	self    *member
 	members []*member
 	// health counts this controller's own troubles, as the local health multiplier of Lifeguard
@@ -131,12 +131,12 @@
 	health  int
 	trouble time.Time
 	stepped time.Time
-	own     Own
+	own     LocalState
 }
 
 // New is the table of a controller that has just begun.
-func New(self string, others []string, now time.Time) *Table {
-	t := &Table{self: newMember(self, now), stepped: now}
+func New(self string, others []string, now time.Time) *MemberList {
+	t := &MemberList{self: newMember(self, now), stepped: now}
 	t.self.level, t.self.why = Alive, "this controller"
 	for _, name := range others {
 		t.members = append(t.members, newMember(name, now))
@@ -151,7 +151,7 @@
 
 // Step takes in what was observed since the last step, in order, and judges all members anew. It is
 // called several times a second also without observations.
-func (t *Table) Step(now time.Time, seen ...Observation) []Change {
+func (t *MemberList) Step(now time.Time, seen ...Observation) []Change {
 	if gap := now.Sub(t.stepped); gap >= tuning.PauseLeast {
 		// We stood still, or had no processor: what others said meanwhile is still to be read.
 		t.troubled(now)
@@ -173,11 +173,11 @@
 	return t.judgeSelf(now, out)
 }
 
-func (t *Table) troubled(now time.Time) {
+func (t *MemberList) troubled(now time.Time) {
 	t.health, t.trouble = min(tuning.HealthMost, t.health+1), now
 }
 
-func (t *Table) find(name string) *member {
+func (t *MemberList) find(name string) *member {
 	for _, m := range t.members {
 		if m.name == name {
 			return m
@@ -186,8 +186,8 @@
 	return nil
 }
 
-func (t *Table) take(now time.Time, o Observation) (out []Change) {
-	if own, ok := o.(Own); ok {
+func (t *MemberList) take(now time.Time, o Observation) (out []Change) {
+	if own, ok := o.(LocalState); ok {
 		t.own = own
 		return nil
 	}
@@ -196,11 +196,11 @@
 		return nil
 	}
 	switch o := o.(type) {
-	case Greeting:
-		if o.BornMS < m.last.BornMS {
+	case Hello:
+		if o.StartedMS < m.last.StartedMS {
 			return nil // of an earlier process, late
 		}
-		anew := o.BornMS > m.last.BornMS && m.last.BornMS > 0
+		anew := o.StartedMS > m.last.StartedMS && m.last.StartedMS > 0
 		if anew || !m.greeted {
 			// What silence lay between two processes says nothing of the next one's pace.
 			m.gaps = newArrivals(tuning.PeerHello)
@@ -239,7 +239,7 @@
 }
 
 // phi of a member's silence; our own troubles stretch the time that counts.
-func (t *Table) phi(now time.Time, m *member) float64 {
+func (t *MemberList) phi(now time.Time, m *member) float64 {
 	return m.gaps.phi(now.Sub(m.heard) / time.Duration(1+t.health))
 }
 
@@ -250,12 +250,12 @@
 }
 
 // others counts the members heard by this one, m aside, that say that they hear m, and that do not.
-func (t *Table) others(now time.Time, m *member) (hear, not int) {
+func (t *MemberList) others(now time.Time, m *member) (hear, not int) {
 	for _, o := range t.members {
-		if o == m || !o.greeted || o.last.BornMS == 0 || now.Sub(o.heard) > tuning.ViewFresh {
+		if o == m || !o.greeted || o.last.StartedMS == 0 || now.Sub(o.heard) > tuning.ViewFresh {
 			continue
 		}
-		if slices.Contains(o.last.Hears, m.name) {
+		if slices.Contains(o.last.HeardPeers, m.name) {
 			hear++
 		} else {
 			not++
@@ -264,7 +264,7 @@
 	return hear, not
 }
 
-func (t *Table) judge(now time.Time, m *member, out []Change) []Change {
+func (t *MemberList) judge(now time.Time, m *member, out []Change) []Change {
 	if !m.greeted && (m.level == Unknown || m.level == Failed) {
 		return out
 	}
@@ -278,15 +278,15 @@
 		if !m.last.StateOK && t.own.StateOK {
 			parts = append(parts, State)
 		}
-		if m.last.Leads && !m.last.Worked && t.anyWorked(m) {
+		if m.last.Leads && !m.last.ReceivesHeartbeats && t.anyWorked(m) {
 			parts = append(parts, Workers)
 		}
 		why := "it greets"
 		if len(parts) > 0 {
 			why = "it says that it does not reach: " + strings.Join(parts, ", ")
 		}
-		if pace := t.fastest(m); pace > 0 && float64(m.last.PaceUS) >= tuning.SlowPace*float64(pace) {
-			return m.become(now, Slow, parts, fmt.Sprintf("computes %.1f times slower than another", float64(m.last.PaceUS)/float64(pace)), out)
+		if pace := t.fastest(m); pace > 0 && float64(m.last.BenchmarkUS) >= tuning.SlowPace*float64(pace) {
+			return m.become(now, Slow, parts, fmt.Sprintf("computes %.1f times slower than another", float64(m.last.BenchmarkUS)/float64(pace)), out)
 		}
 		return m.become(now, Alive, parts, why, out)
 	}
@@ -307,14 +307,14 @@
 }
 
 // anyWorked tells whether workers report to anyone but m.
-func (t *Table) anyWorked(m *member) bool {
-	return t.own.Worked || slices.ContainsFunc(t.members, func(o *member) bool { return o != m && o.level == Alive && o.last.Worked })
+func (t *MemberList) anyWorked(m *member) bool {
+	return t.own.ReceivesHeartbeats || slices.ContainsFunc(t.members, func(o *member) bool { return o != m && o.level == Alive && o.last.ReceivesHeartbeats })
 }
 
 // fastest is the least pace of those heard, m aside; 0: none says.
-func (t *Table) fastest(m *member) (us uint32) {
+func (t *MemberList) fastest(m *member) (us uint32) {
 	for _, o := range t.members {
-		if p := o.last.PaceUS; o != m && o.level == Alive && p > 0 && (us == 0 || p < us) {
+		if p := o.last.BenchmarkUS; o != m && o.level == Alive && p > 0 && (us == 0 || p < us) {
 			us = p
 		}
 	}
@@ -322,7 +322,7 @@
 }
 
 // judgeSelf suspects this controller itself: who hears nobody is more likely cut off than alone.
-func (t *Table) judgeSelf(now time.Time, out []Change) []Change {
+func (t *MemberList) judgeSelf(now time.Time, out []Change) []Change {
 	var parts []string
 	heard, answered := 0, 0
 	for _, m := range t.members {
@@ -340,7 +340,7 @@
 	if others := slices.ContainsFunc(t.members, func(m *member) bool { return m.level == Alive && m.last.StateOK }); !t.own.StateOK && others {
 		parts = append(parts, State)
 	}
-	if t.own.Leads && !t.own.Worked && t.anyWorked(nil) {
+	if t.own.Leads && !t.own.ReceivesHeartbeats && t.anyWorked(nil) {
 		parts = append(parts, Workers)
 	}
 	switch {
@@ -352,8 +352,8 @@
 	return t.self.become(now, Alive, nil, "this controller", out)
 }
 
-// Hears are the members that this controller hears, in order: what it tells others of them.
-func (t *Table) Hears() (names []string) {
+// HeardPeers are the members that this controller hears, in order: what it tells others of them.
+func (t *MemberList) HeardPeers() (names []string) {
 	for _, m := range t.members {
 		if m.level == Alive || m.level == Slow {
 			names = append(names, m.name)
@@ -363,13 +363,13 @@
 }
 
 // Views are all members as they stand, this one first.
-func (t *Table) Views(now time.Time) []View {
+func (t *MemberList) Views(now time.Time) []View {
 	out := []View{}
 	for _, m := range append([]*member{t.self}, t.members...) {
-		v := View{Member: m.name, Self: m == t.self, Level: m.level, Parts: append([]string{}, m.parts...), Why: m.why, Hears: append([]string{}, m.last.Hears...)}
+		v := View{Member: m.name, Self: m == t.self, Level: m.level, Parts: append([]string{}, m.parts...), Why: m.why, HeardPeers: append([]string{}, m.last.HeardPeers...)}
 		v.ForS = seconds(now.Sub(m.since))
 		if v.Self {
-			v.Hears = append(v.Hears, t.Hears()...)
+			v.HeardPeers = append(v.HeardPeers, t.HeardPeers()...)
 		} else {
 			v.QuietS, v.Phi = seconds(now.Sub(m.heard)), math.Round(10*t.phi(now, m))/10
 		}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -16,7 +16,7 @@
 	*testing.T
 	now    time.Time
 	rng    *rand.Rand
-	tables map[string]*Table
+	tables map[string]*MemberList
 	born   map[string]uint64
 	// up: its process runs; still: it stands still until then; cut: nothing goes that way.
 	up    map[string]bool
@@ -40,7 +40,7 @@
 var names = []string{"a", "b", "c"}
 
 func newThree(t *testing.T) *three {
-	w := &three{T: t, now: time.Unix(1_790_000_000, 0), rng: rand.New(rand.NewPCG(1, 2)), tables: map[string]*Table{}, born: map[string]uint64{}, up: map[string]bool{},
+	w := &three{T: t, now: time.Unix(1_790_000_000, 0), rng: rand.New(rand.NewPCG(1, 2)), tables: map[string]*MemberList{}, born: map[string]uint64{}, up: map[string]bool{},
 		still: map[string]time.Time{}, cut: map[string]bool{}, leaving: map[string]bool{}, due: map[string]time.Time{}, failed: map[string]time.Time{}}
 	for _, n := range names {
 		w.begin(n)
@@ -94,7 +94,7 @@
 				switch {
 				case o == n:
 				case w.up[n]:
-					w.send(o, n, Greeting{From: n, BornMS: w.born[n], Hears: w.tables[n].Hears(), StateOK: true, Worked: true, PaceUS: 100, Leaving: w.leaving[n]})
+					w.send(o, n, Hello{From: n, StartedMS: w.born[n], HeardPeers: w.tables[n].HeardPeers(), StateOK: true, ReceivesHeartbeats: true, BenchmarkUS: 100, Leaving: w.leaving[n]})
 				default:
 					w.send(o, n, Connection{n, Refused})
 				}
@@ -104,7 +104,7 @@
 			if !w.up[n] || w.stands(n) {
 				continue
 			}
-			seen := []Observation{Own{StateOK: true, Worked: true}}
+			seen := []Observation{LocalState{StateOK: true, ReceivesHeartbeats: true}}
 			w.mail = slices.DeleteFunc(w.mail, func(m mail) bool {
 				if m.to == n && !m.at.After(w.now) {
 					seen = append(seen, m.o)
@@ -232,7 +232,7 @@
 	w.crash("c")
 	w.run(5 * time.Second)
 	w.want("a", "c", Left)
-	old := Greeting{From: "c", BornMS: w.born["c"], StateOK: true, Worked: true, Leaving: true}
+	old := Hello{From: "c", StartedMS: w.born["c"], StateOK: true, ReceivesHeartbeats: true, Leaving: true}
 	w.leaving["c"] = false
 	w.begin("c")
 	w.run(2 * time.Second)
@@ -246,7 +246,7 @@
 	now := time.Unix(1_790_000_000, 0)
 	for _, leads := range []bool{false, true} {
 		table := New("a", []string{"b"}, now)
-		table.Step(now, Own{StateOK: true, Worked: true}, Greeting{From: "b", BornMS: 1, StateOK: true, Leads: leads})
+		table.Step(now, LocalState{StateOK: true, ReceivesHeartbeats: true}, Hello{From: "b", StartedMS: 1, StateOK: true, Leads: leads})
 		v := table.Views(now)[1]
 		if v.Level != Alive || slices.Contains(v.Parts, Workers) != leads {
 			t.Errorf("leads %v: %s, in trouble %v", leads, v.Level, v.Parts)
--- a/membership/watch.go
+++ b/membership/watch.go
@@ -14,16 +14,16 @@
 type Watcher struct {
 	clock clockwork.Clock
 	mu    sync.Mutex
-	table *Table
+	table *MemberList
 }
 
-// Watch makes the watcher of a controller that has just begun.
-func Watch(self string, others []string, clock clockwork.Clock) *Watcher {
+// NewWatcher makes the watcher of a controller that has just begun.
+func NewWatcher(self string, others []string, clock clockwork.Clock) *Watcher {
 	return &Watcher{clock: clock, table: New(self, others, clock.Now())}
 }
 
-// Saw takes in an observation.
-func (w *Watcher) Saw(seen ...Observation) {
+// Observe takes in an observation.
+func (w *Watcher) Observe(seen ...Observation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.table.Step(w.clock.Now(), seen...) {
@@ -32,9 +32,9 @@
 }
 
 // Run steps the table until the context ends, with what this controller says of itself.
-func (w *Watcher) Run(ctx context.Context, own func() Own) {
+func (w *Watcher) Run(ctx context.Context, own func() LocalState) {
 	for ctx.Err() == nil {
-		w.Saw(own())
+		w.Observe(own())
 		select {
 		case <-ctx.Done():
 		case <-w.clock.After(tuning.MembersEvery):
@@ -42,11 +42,11 @@
 	}
 }
 
-// Hears are the members that this controller hears.
-func (w *Watcher) Hears() []string {
+// HeardPeers are the members that this controller hears.
+func (w *Watcher) HeardPeers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.table.Hears()
+	return w.table.HeardPeers()
 }
 
 // Views are all members as they stand, this one first.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -28,7 +28,7 @@
 	"switchferry/watermark"
 )
 
-// Request is what a user asked of a sibling. Answer is what to say.
+// Request is what a user asked of a sibling. Response is what to say.
 type Request struct {
 	Verb string
 	Job  string
@@ -37,8 +37,8 @@
 	From string
 }
 
-// Answer goes back to the user.
-type Answer struct {
+// Response goes back to the user.
+type Response struct {
 	Status      int
 	Body        []byte
 	RetryAfterS int
@@ -49,17 +49,17 @@
 	Member  string
 	Term    uint64
 	StateOK bool
-	// PaceUS is how long a fixed piece of work takes it, in microseconds; 0: it
+	// BenchmarkUS is how long a fixed piece of work takes it, in microseconds; 0: it
 	// does not say.
-	PaceUS uint32
-	// HearsWorkers: a worker reported to it a moment ago. That two controllers
+	BenchmarkUS uint32
+	// ReceivesHeartbeats: a worker reported to it a moment ago. That two controllers
 	// reach each other does not show that workers reach both.
-	HearsWorkers bool
-	// BornMS is when its process began, by its own time of day, Hears whom it hears, and Leaving
+	ReceivesHeartbeats bool
+	// StartedMS is when its process began, by its own time of day, HeardPeers whom it hears, and Leaving
 	// that it leaves by plan. All are said only with membership on.
-	BornMS  uint64
-	Hears   []string
-	Leaving bool
+	StartedMS  uint64
+	HeardPeers []string
+	Leaving    bool
 }
 
 // ErrUnreachable means: the request may or may not have been handled.
@@ -69,24 +69,24 @@
 var ErrBusy = errors.New("sibling is busy")
 
 // Handler serves a sibling's requests.
-type Handler func(ctx context.Context, r Request) Answer
+type Handler func(ctx context.Context, r Request) Response
 
 // Watermarks is what this controller knows of cancellations. False: older processes may be there, to which
 // nothing is said that they did not always hear.
 type Watermarks interface {
-	Have(member string) (life, have uint64, ok bool)
-	Say(life, have uint64) (watermark.Saying, bool)
-	Heard(member string, sent time.Time, s watermark.Saying)
+	Position(member string) (life, have uint64, ok bool)
+	Statement(life, have uint64) (watermark.Statement, bool)
+	ApplyStatement(member string, sent time.Time, s watermark.Statement)
 }
 
 type sibling struct {
-	settings.Sibling
+	settings.Peer
 	// asked is when each question of this connection was sent that has no answer yet.
 	asked map[uint64]time.Time
 	conn  net.Conn
 	wmu   sync.Mutex
 	heard time.Time
-	// sign is when it last gave any sign of life, as of Silent; signs counts what
+	// sign is when it last gave any sign of life, as of Unresponsive; signs counts what
 	// it said.
 	sign  time.Time
 	signs uint64
@@ -95,19 +95,19 @@
 	refused time.Time
 	hello   Hello
 	seq     uint64
-	waits   map[uint64]chan Answer
+	waits   map[uint64]chan Response
 }
 
-// Net is this controller's end of the back network.
-type Net struct {
+// Network is this controller's end of the back network.
+type Network struct {
 	clock  clockwork.Clock
 	self   func() Hello
 	handle Handler
 	// Dial opens connections to siblings; it may be replaced before Run.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Told is told of all that is seen of siblings; it may be replaced before Run and must not
+	// OnObservation is told of all that is seen of siblings; it may be replaced before Run and must not
 	// block.
-	Told func(membership.Observation)
+	OnObservation func(membership.Observation)
 	// Watermarks is nil, or set before Run.
 	Watermarks Watermarks
 
@@ -116,17 +116,17 @@
 }
 
 // New makes the back network's end.
-func New(sibs []settings.Sibling, clock clockwork.Clock, self func() Hello, handle Handler) *Net {
-	n := &Net{clock: clock, self: self, handle: handle, Dial: (&net.Dialer{Timeout: tuning.PeerDead}).DialContext, siblings: map[string]*sibling{},
-		Told: func(membership.Observation) {}}
+func New(sibs []settings.Peer, clock clockwork.Clock, self func() Hello, handle Handler) *Network {
+	n := &Network{clock: clock, self: self, handle: handle, Dial: (&net.Dialer{Timeout: tuning.PeerDead}).DialContext, siblings: map[string]*sibling{},
+		OnObservation: func(membership.Observation) {}}
 	for _, s := range sibs {
-		n.siblings[s.Member] = &sibling{Sibling: s, waits: map[uint64]chan Answer{}}
+		n.siblings[s.Member] = &sibling{Peer: s, waits: map[uint64]chan Response{}}
 	}
 	return n
 }
 
-// Alive is what each sibling within reach last said of itself.
-func (n *Net) Alive() []Hello {
+// LivePeers is what each sibling within reach last said of itself.
+func (n *Network) LivePeers() []Hello {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []Hello
@@ -138,9 +138,9 @@
 	return out
 }
 
-// CutOff tells whether no sibling answers in any way, not even by refusing:
+// Isolated tells whether no sibling answers in any way, not even by refusing:
 // then more likely our own network is at fault.
-func (n *Net) CutOff() bool {
+func (n *Network) Isolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.siblings {
@@ -155,17 +155,17 @@
 	return len(n.siblings) > 0
 }
 
-// Silent tells whether a sibling gives no sign of life at all: it answers nothing and
+// Unresponsive tells whether a sibling gives no sign of life at all: it answers nothing and
 // refuses nothing, so that whoever tries it waits in vain.
-func (n *Net) Silent(member string) bool {
+func (n *Network) Unresponsive(member string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.siblings[member]
 	return s != nil && n.clock.Since(s.sign) > tuning.PeerDead+tuning.PeerHello
 }
 
-// Signs is how often a sibling said anything.
-func (n *Net) Signs(member string) uint64 {
+// ReceivedCount is how often a sibling said anything.
+func (n *Network) ReceivedCount(member string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s := n.siblings[member]; s != nil {
@@ -174,9 +174,9 @@
 	return 0
 }
 
-// Reaches tells whether a sibling answered lately.
-func (n *Net) Reaches(member string) bool {
-	for _, h := range n.Alive() {
+// Reachable tells whether a sibling answered lately.
+func (n *Network) Reachable(member string) bool {
+	for _, h := range n.LivePeers() {
 		if h.Member == member {
 			return true
 		}
@@ -185,7 +185,7 @@
 }
 
 // Serve accepts siblings.
-func (n *Net) Serve(ctx context.Context, l net.Listener) error {
+func (n *Network) Serve(ctx context.Context, l net.Listener) error {
 	go func() { <-ctx.Done(); l.Close() }()
 	for {
 		c, err := l.Accept()
@@ -203,7 +203,7 @@
 
 // serveConn answers one sibling. Whatever is not a frame closes this
 // connection and nothing else.
-func (n *Net) serveConn(ctx context.Context, c net.Conn) {
+func (n *Network) serveConn(ctx context.Context, c net.Conn) {
 	defer c.Close()
 	var wmu sync.Mutex
 	rd := bufio.NewReader(c)
@@ -229,31 +229,31 @@
 	}
 }
 
-func (n *Net) helloFrame() frame {
+func (n *Network) helloFrame() frame {
 	h := n.self()
-	return frame{kind: wire.KindHello, member: h.Member, term: h.Term, stateOK: h.StateOK, pace: h.PaceUS, hears: h.HearsWorkers,
-		born: h.BornMS, whom: h.Hears, leaving: h.Leaving}
+	return frame{kind: wire.KindHello, member: h.Member, term: h.Term, stateOK: h.StateOK, pace: h.BenchmarkUS, hears: h.ReceivesHeartbeats,
+		born: h.StartedMS, whom: h.HeardPeers, leaving: h.Leaving}
 }
 
 // answer greets back, and answers what a greeting asks.
-func (n *Net) answer(f frame) frame {
+func (n *Network) answer(f frame) frame {
 	h := n.helloFrame()
 	if f.seq == 0 || n.Watermarks == nil {
 		return h
 	}
-	if s, ok := n.Watermarks.Say(f.life, f.toldFrom); ok {
-		h.seq, h.life, h.toldFrom, h.toldTo, h.toldLatest, h.told, h.knows, h.watermarkAge = f.seq, s.Life, s.From, s.To, s.Latest, s.Told, s.Knows, s.Age
+	if s, ok := n.Watermarks.Statement(f.life, f.toldFrom); ok {
+		h.seq, h.life, h.toldFrom, h.toldTo, h.toldLatest, h.told, h.knows, h.watermarkAge = f.seq, s.Incarnation, s.From, s.To, s.Latest, s.Cancellations, s.Current, s.Age
 	}
 	return h
 }
 
 // question greets a sibling, and asks it for word.
-func (n *Net) question(s *sibling) frame {
+func (n *Network) question(s *sibling) frame {
 	h := n.helloFrame()
 	if n.Watermarks == nil {
 		return h
 	}
-	life, have, ok := n.Watermarks.Have(s.Member)
+	life, have, ok := n.Watermarks.Position(s.Member)
 	if !ok {
 		return h
 	}
@@ -270,29 +270,29 @@
 }
 
 // Run keeps a connection to every sibling.
-func (n *Net) Run(ctx context.Context) {
+func (n *Network) Run(ctx context.Context) {
 	for _, s := range n.siblings {
 		go n.keep(ctx, s)
 	}
 }
 
-func (n *Net) keep(ctx context.Context, s *sibling) {
+func (n *Network) keep(ctx context.Context, s *sibling) {
 	for ctx.Err() == nil {
 		c, err := n.Dial(ctx, "tcp", s.Address)
 		switch {
 		case err == nil:
-			n.Told(membership.Connection{To: s.Member, Outcome: membership.Established})
-			n.Told(membership.Connection{To: s.Member, Outcome: n.talk(ctx, s, c)})
+			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.Established})
+			n.OnObservation(membership.Connection{To: s.Member, Outcome: n.talk(ctx, s, c)})
 		case errors.Is(err, syscall.ECONNREFUSED):
 			n.mu.Lock()
 			s.refused = n.clock.Now()
 			s.sign = s.refused
 			n.mu.Unlock()
-			n.Told(membership.Connection{To: s.Member, Outcome: membership.Refused})
-		case errors.Is(err, syscall.EMFILE), errors.Is(err, connlimit.ErrScarce):
-			n.Told(membership.Connection{To: s.Member, Outcome: membership.NoSocket})
+			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.Refused})
+		case errors.Is(err, syscall.EMFILE), errors.Is(err, connlimit.ErrLimit):
+			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.NoSocket})
 		default:
-			n.Told(membership.Connection{To: s.Member, Outcome: membership.Hanging})
+			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.Hanging})
 		}
 		select {
 		case <-ctx.Done():
@@ -302,7 +302,7 @@
 }
 
 // talk greets a sibling until the connection ends, and gives how it did.
-func (n *Net) talk(ctx context.Context, s *sibling, c net.Conn) membership.Outcome {
+func (n *Network) talk(ctx context.Context, s *sibling, c net.Conn) membership.Outcome {
 	var silent atomic.Bool
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -352,20 +352,20 @@
 			delete(s.asked, f.seq)
 		case wire.KindReply:
 			if w := s.waits[f.seq]; w != nil {
-				w <- Answer{f.status, f.body, f.retry}
+				w <- Response{f.status, f.body, f.retry}
 				delete(s.waits, f.seq)
 			}
 		}
 		n.mu.Unlock()
 		if f.kind == wire.KindHello && f.seq != 0 {
 			if asked {
-				n.Watermarks.Heard(s.Member, sent, watermark.Saying{Life: f.life, From: f.toldFrom, To: f.toldTo, Latest: f.toldLatest, Told: f.told, Knows: f.knows, Age: f.watermarkAge})
+				n.Watermarks.ApplyStatement(s.Member, sent, watermark.Statement{Incarnation: f.life, From: f.toldFrom, To: f.toldTo, Latest: f.toldLatest, Cancellations: f.told, Current: f.knows, Age: f.watermarkAge})
 			} else {
 				slog.Info("a sibling answers what it was not asked", "member", s.Member, "seq", f.seq)
 			}
 		}
 		if f.kind == wire.KindHello {
-			n.Told(membership.Greeting{From: s.Member, BornMS: f.born, Hears: f.whom, Leads: f.term > 0, StateOK: f.stateOK, Worked: f.hears, PaceUS: f.pace, Leaving: f.leaving})
+			n.OnObservation(membership.Hello{From: s.Member, StartedMS: f.born, HeardPeers: f.whom, Leads: f.term > 0, StateOK: f.stateOK, ReceivesHeartbeats: f.hears, BenchmarkUS: f.pace, Leaving: f.leaving})
 		}
 	}
 	c.Close()
@@ -386,16 +386,16 @@
 // Ask passes a request to a sibling, and a greeting with it, which is answered at once.
 // One that gives no sign within patience is silent; one that does is only busy, and is
 // waited for.
-func (n *Net) Ask(ctx context.Context, member string, r Request, patience time.Duration) (Answer, error) {
+func (n *Network) Ask(ctx context.Context, member string, r Request, patience time.Duration) (Response, error) {
 	n.mu.Lock()
 	s := n.siblings[member]
 	if s == nil || s.conn == nil || n.clock.Since(s.heard) > tuning.PeerDead {
 		n.mu.Unlock()
-		return Answer{}, ErrUnreachable
+		return Response{}, ErrUnreachable
 	}
 	s.seq++
 	seq, c, signs := s.seq, s.conn, s.signs
-	wait := make(chan Answer, 1)
+	wait := make(chan Response, 1)
 	s.waits[seq] = wait
 	n.mu.Unlock()
 	defer func() {
@@ -404,17 +404,17 @@
 		n.mu.Unlock()
 	}()
 	if err := write(c, &s.wmu, n.helloFrame()); err != nil {
-		return Answer{}, ErrUnreachable
+		return Response{}, ErrUnreachable
 	}
 	if err := write(c, &s.wmu, frame{kind: wire.KindRequest, seq: seq, member: r.From, verb: r.Verb, job: r.Job, body: r.Body}); err != nil {
-		return Answer{}, ErrUnreachable
+		return Response{}, ErrUnreachable
 	}
 	silent, over := n.clock.After(min(patience, tuning.PeerTimeout)), n.clock.After(tuning.PeerTimeout)
 	for {
 		select {
 		case a, ok := <-wait:
 			if !ok {
-				return Answer{}, ErrUnreachable
+				return Response{}, ErrUnreachable
 			}
 			return a, nil
 		case <-silent:
@@ -422,13 +422,13 @@
 			alive := s.signs > signs
 			n.mu.Unlock()
 			if !alive {
-				return Answer{}, ErrUnreachable
+				return Response{}, ErrUnreachable
 			}
 			silent = nil
 		case <-over:
-			return Answer{}, ErrBusy
+			return Response{}, ErrBusy
 		case <-ctx.Done():
-			return Answer{}, ErrUnreachable
+			return Response{}, ErrUnreachable
 		}
 	}
 }
@@ -450,7 +450,7 @@
 	leaving   bool
 
 	life, toldFrom, toldTo, toldLatest uint64
-	told                               []watermark.Told
+	told                               []watermark.Cancellation
 	knows                              bool
 	watermarkAge                       time.Duration
 }
@@ -567,7 +567,7 @@
 	for i := range w.ToldLength() {
 		var t wire.Told
 		if w.Told(&t, i) {
-			f.told = append(f.told, watermark.Told{Job: string(t.Job()), Age: time.Duration(t.AgeMs()) * time.Millisecond})
+			f.told = append(f.told, watermark.Cancellation{Job: string(t.Job()), Age: time.Duration(t.AgeMs()) * time.Millisecond})
 		}
 	}
 	if f.kind > wire.KindReply {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -58,8 +58,8 @@
 	}
 	clock := clockwork.NewFakeClock()
 	self := func() Hello { return Hello{Member: "n0", Term: 5, StateOK: true} }
-	server := New(nil, clock, self, func(_ context.Context, r Request) Answer {
-		return Answer{Status: 200, Body: append([]byte(r.Verb+" "), r.Body...), RetryAfterS: 3}
+	server := New(nil, clock, self, func(_ context.Context, r Request) Response {
+		return Response{Status: 200, Body: append([]byte(r.Verb+" "), r.Body...), RetryAfterS: 3}
 	})
 	go func() { _ = server.Serve(ctx, l) }()
 
@@ -72,17 +72,17 @@
 		t.Error("garbage was answered")
 	}
 
-	one := New([]settings.Sibling{{Member: "n0", Address: l.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	one := New([]settings.Peer{{Member: "n0", Address: l.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
 	s := one.siblings["n0"]
 	c, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go one.talk(ctx, s, c)
-	for !one.Reaches("n0") {
+	for !one.Reachable("n0") {
 		// The first greeting is on its way.
 	}
-	if h := one.Alive(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || one.CutOff() {
+	if h := one.LivePeers(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || one.Isolated() {
 		t.Errorf("alive %+v", h)
 	}
 	a, err := one.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
@@ -105,7 +105,7 @@
 	}
 	clock := clockwork.NewFakeClock()
 	self := func() Hello {
-		return Hello{Member: "n0", StateOK: true, HearsWorkers: true, BornMS: 17, Hears: []string{"n1", "n2"}, Leaving: true}
+		return Hello{Member: "n0", StateOK: true, ReceivesHeartbeats: true, StartedMS: 17, HeardPeers: []string{"n1", "n2"}, Leaving: true}
 	}
 	life, end := context.WithCancel(ctx)
 	conns := make(chan net.Conn, 1)
@@ -118,8 +118,8 @@
 		}
 	}()
 	seen := make(chan membership.Observation, 64)
-	n := New([]settings.Sibling{{Member: "n0", Address: l.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	n.Told = func(o membership.Observation) { seen <- o }
+	n := New([]settings.Peer{{Member: "n0", Address: l.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	n.OnObservation = func(o membership.Observation) { seen <- o }
 	n.Run(ctx)
 	want := func(w membership.Observation) {
 		t.Helper()
@@ -128,7 +128,7 @@
 		}
 	}
 	want(membership.Connection{To: "n0", Outcome: membership.Established})
-	want(membership.Greeting{From: "n0", BornMS: 17, Hears: []string{"n1", "n2"}, StateOK: true, Worked: true, Leaving: true})
+	want(membership.Hello{From: "n0", StartedMS: 17, HeardPeers: []string{"n1", "n2"}, StateOK: true, ReceivesHeartbeats: true, Leaving: true})
 	end()
 	l.Close()
 	(<-conns).Close()
@@ -148,17 +148,20 @@
 
 // spoken is what a test says and hears of cancellations.
 type spoken struct {
-	say   watermark.Saying
+	say   watermark.Statement
 	heard chan time.Time
-	got   watermark.Saying
+	got   watermark.Statement
 }
 
-func (s *spoken) Have(string) (uint64, uint64, bool) { return 3, 1, true }
-func (s *spoken) Say(life, have uint64) (watermark.Saying, bool) {
-	s.say.Life, s.say.From = life, have
+func (s *spoken) Position(string) (uint64, uint64, bool) { return 3, 1, true }
+func (s *spoken) Statement(life, have uint64) (watermark.Statement, bool) {
+	s.say.Incarnation, s.say.From = life, have
 	return s.say, true
 }
-func (s *spoken) Heard(_ string, sent time.Time, w watermark.Saying) { s.got = w; s.heard <- sent }
+func (s *spoken) ApplyStatement(_ string, sent time.Time, w watermark.Statement) {
+	s.got = w
+	s.heard <- sent
+}
 
 // Word goes from question to answer, and counts from when the question was sent, however late the answer is. An
 // answer that nobody asked for is passed over, and too many cancellations end the connection.
@@ -166,11 +169,11 @@
 	clock := clockwork.NewFakeClock()
 	here, there := net.Pipe()
 	defer there.Close()
-	n := New([]settings.Sibling{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
+	n := New([]settings.Peer{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
 	mine := &spoken{heard: make(chan time.Time, 4)}
 	n.Watermarks = mine
 	other := New(nil, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	other.Watermarks = &spoken{say: watermark.Saying{To: 2, Latest: 5, Told: []watermark.Told{{Job: "run-1", Age: 1500 * time.Millisecond}}, Knows: true, Age: 20*time.Millisecond + 1}}
+	other.Watermarks = &spoken{say: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
 	sent := clock.Now()
 	done := make(chan membership.Outcome)
 	go func() { done <- n.talk(context.Background(), n.siblings["n1"], here) }()
@@ -191,12 +194,12 @@
 	if at := <-mine.heard; !at.Equal(sent) {
 		t.Errorf("counts from %v after the question", at.Sub(sent))
 	}
-	want := watermark.Saying{Life: 3, From: 1, To: 2, Latest: 5, Told: []watermark.Told{{Job: "run-1", Age: 1500 * time.Millisecond}}, Knows: true, Age: 21 * time.Millisecond}
+	want := watermark.Statement{Incarnation: 3, From: 1, To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 21 * time.Millisecond}
 	if !reflect.DeepEqual(mine.got, want) {
 		t.Errorf("heard %+v, want %+v", mine.got, want)
 	}
 	for range tuning.CancellationsAtOnce {
-		a.told = append(a.told, watermark.Told{Job: "run-1"})
+		a.told = append(a.told, watermark.Cancellation{Job: "run-1"})
 	}
 	a.told = append(a.told, a.told[0])
 	if err := write(there, &mu, a); err != nil {
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -41,12 +41,12 @@
 	return out
 }
 
-// Extra tells what missing inputs cost; groups and servers are given by index. Slots are
+// InputCost tells what missing inputs cost; groups and servers are given by index. Slots are
 // what a server needs to get what it lacks for one task of a group, Least a lower bound of
 // that over all servers that do not hold everything. Rate is for how many tasks of a group,
 // whose inputs may all differ, a server gets them in a slot. Took is told that a server was
 // given tasks for which it must get them.
-type Extra interface {
+type InputCost interface {
 	Slots(group, server int) int
 	Least(group int) int
 	Rate(group int) float64
@@ -72,7 +72,7 @@
 // at most `most` passes, and a few steps for each task, however many groups there are.
 //
 // Tasks that no server can take are left out.
-func FillGroups(servers []Server, groups []Group, extra Extra, most int) []Share {
+func FillGroups(servers []Server, groups []Group, extra InputCost, most int) []Share {
 	n := len(servers)
 	f := filler{servers: servers, extra: extra, part: make([]Server, 0, n), of: make([]int32, 0, n), hold: make([]bool, 0, n), order: make([]int32, 0, n)}
 	large := make([]bool, len(groups))
@@ -99,7 +99,7 @@
 
 type filler struct {
 	servers []Server
-	extra   Extra
+	extra   InputCost
 	out     []Share
 	// part, of and hold are scratch: the servers that take part in a group, which
 	// ones they are, and which of them hold the inputs.
@@ -132,7 +132,7 @@
 			}
 			// Its link brings the inputs of one task after the other: it has room for
 			// one at once, however many processors are idle.
-			s.Busy, s.Mu, s.Now = s.Busy+f.extra.Slots(g, i), min(s.Mu, rate), min(s.Now, 1)
+			s.Busy, s.Mu, s.Free = s.Busy+f.extra.Slots(g, i), min(s.Mu, rate), min(s.Free, 1)
 			if !ok || s.Busy < level {
 				part, of, hold = append(part, s), append(of, int32(i)), append(hold, false)
 			}
@@ -159,7 +159,7 @@
 			break
 		}
 		s := part[i]
-		n := min(len(tasks), max(s.Now, ceil(float64(level-s.Busy)*s.Mu)))
+		n := min(len(tasks), max(s.Free, ceil(float64(level-s.Busy)*s.Mu)))
 		if at == len(order)-1 {
 			n = len(tasks)
 		}
@@ -170,7 +170,7 @@
 			to.Busy += ceil(float64(n) / to.Mu)
 			f.extra.Took(g, int(of[i]), n)
 		}
-		to.Now = max(0, to.Now-n)
+		to.Free = max(0, to.Free-n)
 		f.out = append(f.out, Share{int(of[i]), tasks[:n:n]})
 		tasks = tasks[n:]
 	}
@@ -196,7 +196,7 @@
 				return
 			}
 			l := s.Busy + extra + ceil(1/s.Mu)
-			if best < 0 || l < level || l == level && s.Now > f.servers[best].Now {
+			if best < 0 || l < level || l == level && s.Free > f.servers[best].Free {
 				best, level = i, l
 			}
 		}
@@ -216,7 +216,7 @@
 		}
 		s := &f.servers[best]
 		s.Busy += ceil(1 / s.Mu)
-		s.Now = max(0, s.Now-1)
+		s.Free = max(0, s.Free-1)
 		if f.idle != nil {
 			f.idle.raised(best)
 		}
@@ -259,7 +259,7 @@
 func (b *byBusy) Len() int { return len(b.heap) }
 func (b *byBusy) Less(x, y int) bool {
 	p, q := b.servers[b.heap[x]], b.servers[b.heap[y]]
-	return cmp.Or(cmp.Compare(p.Busy, q.Busy), cmp.Compare(q.Now, p.Now), cmp.Compare(b.heap[x], b.heap[y])) < 0
+	return cmp.Or(cmp.Compare(p.Busy, q.Busy), cmp.Compare(q.Free, p.Free), cmp.Compare(b.heap[x], b.heap[y])) < 0
 }
 func (b *byBusy) Swap(x, y int) {
 	b.heap[x], b.heap[y] = b.heap[y], b.heap[x]
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -43,7 +43,7 @@
 func TestCopiesAreSpreadOverLinks(t *testing.T) {
 	servers := make([]Server, 4)
 	for i := range servers {
-		servers[i] = Server{Mu: 4, Now: 4}
+		servers[i] = Server{Mu: 4, Free: 4}
 	}
 	for _, s := range FillGroups(servers, []Group{{Tasks: tasks(0, 4)}}, thin{flat{1}}, 64) {
 		if len(s.Tasks) != 1 {
@@ -80,7 +80,7 @@
 	for range 300 {
 		servers := make([]Server, 1+rng.IntN(30))
 		for i := range servers {
-			servers[i] = Server{Busy: rng.IntN(20), Mu: 0.2 + rng.Float64()*3, Now: rng.IntN(3)}
+			servers[i] = Server{Busy: rng.IntN(20), Mu: 0.2 + rng.Float64()*3, Free: rng.IntN(3)}
 		}
 		n := rng.IntN(200)
 		holders := make([][]int32, n)
@@ -92,7 +92,7 @@
 			}
 		}
 		groups := Groups(tasks(0, n), func(t int32) []int32 { return holders[t] })
-		var extra Extra
+		var extra InputCost
 		if rng.IntN(2) == 0 {
 			extra = flat{rng.IntN(10)}
 		}
@@ -362,7 +362,7 @@
 				rng := rand.New(rand.NewPCG(5, uint64(n)))
 				servers := make([]Server, n)
 				for i := range servers {
-					servers[i] = Server{Busy: rng.IntN(40), Mu: 0.1 + rng.Float64(), Now: rng.IntN(4)}
+					servers[i] = Server{Busy: rng.IntN(40), Mu: 0.1 + rng.Float64(), Free: rng.IntN(4)}
 				}
 				sets := make([][]int32, 64)
 				if kind == "scattered" {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -11,8 +11,8 @@
 	Busy int
 	// Mu is how many of the job's tasks the machine finishes in a slot.
 	Mu float64
-	// Now is how many of the job's tasks it has room for at once.
-	Now int
+	// Free is how many of the job's tasks it has room for at once.
+	Free int
 }
 
 // Queued is what one job has outstanding on a machine.
@@ -112,7 +112,7 @@
 			continue
 		}
 		last = i
-		n := min(left, max(s.Now, ceil(float64(level-s.Busy)*s.Mu)))
+		n := min(left, max(s.Free, ceil(float64(level-s.Busy)*s.Mu)))
 		out[i] = n
 		left -= n
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -32,9 +32,9 @@
 func TestFillUsesRoomAtOnce(t *testing.T) {
 	var s []Server
 	for range 12 {
-		s = append(s, Server{Mu: 4.0 / 12, Now: 4})
+		s = append(s, Server{Mu: 4.0 / 12, Free: 4})
 	}
-	s[0] = Server{Busy: 9, Mu: 4.0 / 12, Now: 4}
+	s[0] = Server{Busy: 9, Mu: 4.0 / 12, Free: 4}
 	if got := Fill(s, 10); !slices.Equal(got[:4], []int{0, 4, 4, 2}) {
 		t.Errorf("shares %v", got)
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -22,21 +22,21 @@
 // Limit is what a team may use at most; 0 of something: as much as there is.
 type Limit struct{ CPUs, Cards float64 }
 
-// Holds tells whether a use is within the limit.
-func (l Limit) Holds(use fleet.Room) bool {
+// Allows tells whether a use is within the limit.
+func (l Limit) Allows(use fleet.Resources) bool {
 	return (l.CPUs == 0 || use.CPUs <= l.CPUs+tuning.RoomSlack) && (l.Cards == 0 || use.Cards <= l.Cards+tuning.RoomSlack)
 }
 
-// Held is a task of a team that runs: its job's rank, what stopping it loses, and what it takes.
-type Held struct {
-	Rank int
-	Loss int64
-	Need fleet.Room
+// Usage is a task of a team that runs: its job's rank, what stopping it loses, and what it takes.
+type Usage struct {
+	Rank      int
+	Loss      int64
+	Resources fleet.Resources
 }
 
 // Excess are the tasks to stop, by their place in the list, so that a team's use is within its limit: those of the
 // lowest rank first, of these the ones that lose the least.
-func Excess(limit Limit, use fleet.Room, held []Held) (stop []int) {
+func Excess(limit Limit, use fleet.Resources, held []Usage) (stop []int) {
 	order := make([]int, len(held))
 	for i := range order {
 		order[i] = i
@@ -45,32 +45,32 @@
 		return cmp.Or(cmp.Compare(held[a].Rank, held[b].Rank), cmp.Compare(held[a].Loss, held[b].Loss))
 	})
 	for _, i := range order {
-		if limit.Holds(use) {
+		if limit.Allows(use) {
 			break
 		}
 		stop = append(stop, i)
-		use = use.Sub(held[i].Need)
+		use = use.Sub(held[i].Resources)
 	}
 	return stop
 }
 
-// Claim is a job that goes before others in its team's queue and could start but for the limit.
-type Claim struct {
+// Demand is a job that goes before others in its team's queue and could start but for the limit.
+type Demand struct {
 	Team, ID string
 	Limit    Limit
-	// Need is what it needs at once; Use what the team uses, and Stays the part of it that does not end by itself.
-	Need, Use, Stays fleet.Room
+	// Resources is what it needs at once; Use what the team uses, and Permanent the part of it that does not end by itself.
+	Request, Use, Permanent fleet.Resources
 }
 
 // Reservation is room of a limit that is kept for a job.
 type Reservation struct {
-	ID    string
-	Need  fleet.Room
-	since time.Time
+	ID        string
+	Resources fleet.Resources
+	since     time.Time
 }
 
-// Book has one reservation a team at most. The zero value has none.
-type Book struct {
+// Ledger has one reservation a team at most. The zero value has none.
+type Ledger struct {
 	held map[string]Reservation
 	// rests is until when a team's limit is not reserved.
 	rests map[string]time.Time
@@ -78,13 +78,13 @@
 
 // Reserve takes in all claims, in the order of the queues: of each team the first that can be met holds. A team
 // without one holds no reservation from then on.
-func (b *Book) Reserve(now time.Time, claims []Claim) {
+func (b *Ledger) Reserve(now time.Time, claims []Demand) {
 	held := map[string]Reservation{}
 	for _, c := range claims {
-		if _, ok := held[c.Team]; ok || now.Before(b.rests[c.Team]) || c.Limit.Holds(c.Use.Add(c.Need)) || !c.Limit.Holds(c.Stays.Add(c.Need)) {
+		if _, ok := held[c.Team]; ok || now.Before(b.rests[c.Team]) || c.Limit.Allows(c.Use.Add(c.Request)) || !c.Limit.Allows(c.Permanent.Add(c.Request)) {
 			continue
 		}
-		r := Reservation{c.ID, c.Need, now}
+		r := Reservation{c.ID, c.Request, now}
 		if was, ok := b.held[c.Team]; ok {
 			// Also for another job the team's others have been held up since then.
 			r.since = was.since
@@ -101,8 +101,8 @@
 	b.held = held
 }
 
-// Held is the team's reservation.
-func (b *Book) Held(team string) (Reservation, bool) {
+// Usage is the team's reservation.
+func (b *Ledger) Reservation(team string) (Reservation, bool) {
 	r, ok := b.held[team]
 	return r, ok
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -8,16 +8,16 @@
 	"switchferry/tuning"
 )
 
-func cpus(n float64) fleet.Room { return fleet.Room{CPUs: n} }
+func cpus(n float64) fleet.Resources { return fleet.Resources{CPUs: n} }
 
 func TestLimit(t *testing.T) {
 	for _, c := range []struct {
 		l    Limit
-		use  fleet.Room
+		use  fleet.Resources
 		want bool
-	}{{Limit{}, fleet.Room{CPUs: 1e6, Cards: 1e6}, true}, {Limit{CPUs: 8}, cpus(8), true}, {Limit{CPUs: 8}, cpus(8.5), false},
-		{Limit{CPUs: 8, Cards: 2}, fleet.Room{CPUs: 1, Cards: 3}, false}, {Limit{Cards: 2}, fleet.Room{CPUs: 99, Cards: 2}, true}} {
-		if got := c.l.Holds(c.use); got != c.want {
+	}{{Limit{}, fleet.Resources{CPUs: 1e6, Cards: 1e6}, true}, {Limit{CPUs: 8}, cpus(8), true}, {Limit{CPUs: 8}, cpus(8.5), false},
+		{Limit{CPUs: 8, Cards: 2}, fleet.Resources{CPUs: 1, Cards: 3}, false}, {Limit{Cards: 2}, fleet.Resources{CPUs: 99, Cards: 2}, true}} {
+		if got := c.l.Allows(c.use); got != c.want {
 			t.Errorf("%+v holds %+v: %v", c.l, c.use, got)
 		}
 	}
@@ -27,30 +27,30 @@
 // coming to its room; then the limit rests.
 func TestReserve(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	claim := func(id string, need, use, stays float64) Claim {
-		return Claim{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Need: cpus(need), Use: cpus(use), Stays: cpus(stays)}
+	claim := func(id string, need, use, stays float64) Demand {
+		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(need), Use: cpus(use), Permanent: cpus(stays)}
 	}
-	var b Book
+	var b Ledger
 	for _, c := range []struct {
 		after  time.Duration
-		claims []Claim
+		claims []Demand
 		want   string
 	}{
-		{0, []Claim{claim("big", 8, 24, 0), claim("next", 4, 24, 0)}, "big"},
-		{time.Second, []Claim{claim("big", 8, 17, 0)}, "big"},
-		{2 * time.Second, []Claim{claim("big", 8, 16, 0)}, ""},
+		{0, []Demand{claim("big", 8, 24, 0), claim("next", 4, 24, 0)}, "big"},
+		{time.Second, []Demand{claim("big", 8, 17, 0)}, "big"},
+		{2 * time.Second, []Demand{claim("big", 8, 16, 0)}, ""},
 		{3 * time.Second, nil, ""},
-		{4 * time.Second, []Claim{claim("never", 8, 24, 20), claim("next", 4, 24, 20)}, "next"},
-		{4*time.Second + tuning.QuotaReserved - 1, []Claim{claim("other", 2, 24, 0)}, "other"},
-		{4*time.Second + tuning.QuotaReserved, []Claim{claim("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Claim{claim("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Claim{claim("other", 2, 24, 0)}, "other"},
+		{4 * time.Second, []Demand{claim("never", 8, 24, 20), claim("next", 4, 24, 20)}, "next"},
+		{4*time.Second + tuning.QuotaReserved - 1, []Demand{claim("other", 2, 24, 0)}, "other"},
+		{4*time.Second + tuning.QuotaReserved, []Demand{claim("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Demand{claim("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Demand{claim("other", 2, 24, 0)}, "other"},
 	} {
 		b.Reserve(now.Add(c.after), c.claims)
-		if r, _ := b.Held("one"); r.ID != c.want {
+		if r, _ := b.Reservation("one"); r.ID != c.want {
 			t.Errorf("after %v: held for %q, want %q", c.after, r.ID, c.want)
 		}
-		if _, ok := b.Held("two"); ok {
+		if _, ok := b.Reservation("two"); ok {
 			t.Error("held in a team without claims")
 		}
 	}
--- a/reachability/contact.go
+++ b/reachability/contact.go
@@ -34,36 +34,36 @@
 
 // The states of the way to a machine.
 const (
-	// Unproved: nothing shows yet that it hears this term's controllers. What was heard of it may
+	// Unconfirmed: nothing shows yet that it hears this term's controllers. What was heard of it may
 	// be a copy of what it said before it died.
-	Unproved State = iota
-	// Reached: it showed last that it hears.
-	Reached
+	Unconfirmed State = iota
+	// Reachable: it showed last that it hears.
+	Reachable
 	// Suspected: since then commands were lost, or reports came that do not show it.
 	Suspected
-	// HalfDeaf: for a whole lease it was heard, through more than one controller or into a new
+	// OutboundLost: for a whole lease it was heard, through more than one controller or into a new
 	// session, and nothing reached it.
-	HalfDeaf
+	OutboundLost
 )
 
 func (s State) String() string {
 	return [...]string{"unproved", "reached", "half-deaf suspected", "half-deaf"}[s]
 }
 
-// Report is what matters of a report.
-type Report struct {
-	Session, Seq uint64
-	// Seen is the highest term that the worker has seen, Term that of the leader who judges it.
-	Seen, Term uint64
+// Observe is what matters of a report.
+type Heartbeat struct {
+	Incarnation, Seq uint64
+	// HighestTerm is the highest term that the worker has seen, Term that of the leader who judges it.
+	HighestTerm, Term uint64
 	// Via is the controller that it came through; empty: it came directly.
 	Via string
 	// Relayed: that controller answers in the leader's place, and passes on only some reports.
 	Relayed bool
 }
 
-// Way is the way to one machine in one term. The zero value is that of a machine not heard yet.
-type Way struct {
-	// Session and Seq are those of the newest report, from is the controller that it came through.
+// Link is the way to one machine in one term. The zero value is that of a machine not heard yet.
+type Link struct {
+	// Incarnation and Seq are those of the newest report, from is the controller that it came through.
 	// replied is the tally of its last answer to a command, which counts on with the reports'.
 	session, seq uint64
 	replied      uint64
@@ -82,21 +82,21 @@
 	began bool
 }
 
-// Began notes that the machine began in this term: no report of it can be older.
-func (w *Way) Began() { w.began = true }
+// MarkStarted notes that the machine began in this term: no report of it can be older.
+func (w *Link) MarkStarted() { w.began = true }
 
-// Report takes in a report. News: it is newer than all before; anything else shows nothing. Proof: it
+// Observe takes in a report. News: it is newer than all before; anything else shows nothing. Proof: it
 // shows that the machine hears.
-func (w *Way) Report(now time.Time, r Report) (news, proof bool) {
-	if r.Session < w.session || r.Session == w.session && r.Seq <= w.seq {
+func (w *Link) Observe(now time.Time, r Heartbeat) (news, proof bool) {
+	if r.Incarnation < w.session || r.Incarnation == w.session && r.Seq <= w.seq {
 		return false, false
 	}
-	inLine := r.Session == w.session && (r.Seq == w.seq+1 || r.Seq == w.replied+1) && r.Via == w.from && !r.Relayed && !w.relayed
+	inLine := r.Incarnation == w.session && (r.Seq == w.seq+1 || r.Seq == w.replied+1) && r.Via == w.from && !r.Relayed && !w.relayed
 	// A token is told once; it shows for ever that the machine heard, but only the first report
 	// with it that it does so now.
-	token := r.Seen == r.Term && w.proved.IsZero()
-	rose := w.session > 0 && r.Session > w.session
-	w.session, w.seq, w.from, w.relayed = r.Session, r.Seq, r.Via, r.Relayed
+	token := r.HighestTerm == r.Term && w.proved.IsZero()
+	rose := w.session > 0 && r.Incarnation > w.session
+	w.session, w.seq, w.from, w.relayed = r.Incarnation, r.Seq, r.Via, r.Relayed
 	switch {
 	case inLine || token:
 		w.prove(now)
@@ -114,49 +114,49 @@
 	return true, false
 }
 
-// Answered takes in that the machine answered a command, with the tally of its answer.
-func (w *Way) Answered(now time.Time, seq uint64) {
+// CommandAnswered takes in that the machine answered a command, with the tally of its answer.
+func (w *Link) CommandAnswered(now time.Time, seq uint64) {
 	w.replied, w.answered = seq, now
 	w.prove(now)
 }
 
-// Lost takes in that a command got no answer.
-func (w *Way) Lost() { w.lost++ }
+// CommandLost takes in that a command got no answer.
+func (w *Link) CommandLost() { w.lost++ }
 
-func (w *Way) prove(now time.Time) {
+func (w *Link) prove(now time.Time) {
 	w.proved, w.unproved, w.ways, w.rose, w.lost = now, 0, nil, false, 0
 }
 
-// Mute tells whether a machine that is not heard answers commands: it cannot reach any controller, and obeys.
+// InboundLost tells whether a machine that is not heard answers commands: it cannot reach any controller, and obeys.
 // Unheard is how long it has not been heard, within is how long an answer counts.
-func (w *Way) Mute(now time.Time, unheard, within time.Duration) bool {
+func (w *Link) InboundLost(now time.Time, unheard, within time.Duration) bool {
 	return !w.answered.IsZero() && now.Sub(w.answered) < min(unheard, within)
 }
 
-// Proved is when the machine last showed that it hears; zero: never in this term.
-func (w *Way) Proved() time.Time { return w.proved }
+// ConfirmedAt is when the machine last showed that it hears; zero: never in this term.
+func (w *Link) ConfirmedAt() time.Time { return w.proved }
 
-// Known tells whether the machine certainly lived in this term.
-func (w *Way) Known() bool { return w.began || !w.proved.IsZero() }
+// AliveThisTerm tells whether the machine certainly lived in this term.
+func (w *Link) AliveThisTerm() bool { return w.began || !w.proved.IsZero() }
 
 // State is the way's state. Lease is the workers' lease.
-func (w *Way) State(now time.Time, lease time.Duration) State {
+func (w *Link) State(now time.Time, lease time.Duration) State {
 	switch {
-	case w.relayed && w.Known():
-		return Reached
+	case w.relayed && w.AliveThisTerm():
+		return Reachable
 	case w.unproved >= tuning.HopsHalfDeaf && now.Sub(w.first) >= lease && (len(w.ways) > 1 || w.rose):
-		return HalfDeaf
+		return OutboundLost
 	case w.unproved >= tuning.HopsSuspect || w.lost > 0:
 		return Suspected
-	case !w.Known():
-		return Unproved
+	case !w.AliveThisTerm():
+		return Unconfirmed
 	}
-	return Reached
+	return Reachable
 }
 
-// Why tells the state's reason in an operator's words.
-func (w *Way) Why(now time.Time) string {
-	if !w.Known() && w.unproved < tuning.HopsSuspect && w.lost == 0 {
+// Reason tells the state's reason in an operator's words.
+func (w *Link) Reason(now time.Time) string {
+	if !w.AliveThisTerm() && w.unproved < tuning.HopsSuspect && w.lost == 0 {
 		return "it has not shown yet that it hears this term's leader"
 	}
 	return fmt.Sprintf("since it last showed that it hears, it reported %d times in %.0f s, to %d controllers, and %d commands got no answer",
--- a/reachability/contact_test.go
+++ b/reachability/contact_test.go
@@ -10,19 +10,19 @@
 // script plays reports and commands against one way.
 type script struct {
 	t   *testing.T
-	w   Way
+	w   Link
 	now time.Time
 }
 
 func (s *script) report(after time.Duration, via string, session, seq, seen uint64) (news, proof bool) {
 	s.now = s.now.Add(after)
-	return s.w.Report(s.now, Report{Session: session, Seq: seq, Seen: seen, Term: 7, Via: via})
+	return s.w.Observe(s.now, Heartbeat{Incarnation: session, Seq: seq, HighestTerm: seen, Term: 7, Via: via})
 }
 
 func (s *script) want(state State) {
 	s.t.Helper()
 	if got := s.w.State(s.now, lease); got != state {
-		s.t.Errorf("%v, want %v: %s", got, state, s.w.Why(s.now))
+		s.t.Errorf("%v, want %v: %s", got, state, s.w.Reason(s.now))
 	}
 }
 
@@ -34,11 +34,11 @@
 func reached(t *testing.T) *script {
 	s := begin(t)
 	s.report(0, "", 1, 5, 6)
-	s.want(Unproved)
+	s.want(Unconfirmed)
 	if _, proof := s.report(500*time.Millisecond, "", 1, 6, 7); !proof {
 		t.Error("this term's token in a report is no proof")
 	}
-	s.want(Reached)
+	s.want(Reachable)
 	return s
 }
 
@@ -47,21 +47,21 @@
 func TestHalfDeaf(t *testing.T) {
 	s := reached(t)
 	s.report(time.Second, "", 1, 7, 7)
-	s.want(Reached)
+	s.want(Reachable)
 	s.report(5*time.Second, "n1", 1, 8, 7)
-	s.want(Reached) // a controller that failed would leave as much behind
+	s.want(Reachable) // a controller that failed would leave as much behind
 	s.report(5*time.Second, "n2", 1, 9, 7)
 	s.want(Suspected)
 	s.report(5*time.Second, "", 1, 10, 7)
-	s.want(HalfDeaf)
+	s.want(OutboundLost)
 	s.report(5*time.Second, "n1", 2, 11, 7)
-	s.want(HalfDeaf)
+	s.want(OutboundLost)
 	s.report(time.Second, "n1", 2, 12, 7)
-	s.want(Reached)
-	s.w.Lost()
+	s.want(Reachable)
+	s.w.CommandLost()
 	s.want(Suspected)
-	s.w.Answered(s.now, 13)
-	s.want(Reached)
+	s.w.CommandAnswered(s.now, 13)
+	s.want(Reachable)
 	if _, proof := s.report(time.Second, "n1", 2, 14, 7); !proof {
 		t.Error("an answer to a command counts in between as a report that was not answered")
 	}
@@ -73,10 +73,10 @@
 	s := reached(t)
 	for seq := uint64(7); seq < 40; seq += 3 {
 		s.report(5*time.Second, "", 1, seq, 7)
-		s.w.Lost()
+		s.w.CommandLost()
 		s.report(5*time.Second, "n1", 1, seq+1, 7)
 		s.report(time.Second, "n1", 1, seq+2, 7)
-		s.want(Reached)
+		s.want(Reachable)
 	}
 }
 
@@ -86,7 +86,7 @@
 	for i := range uint64(4) {
 		s.report(5*time.Second, "", 2+i, 10+2*i, 7)
 	}
-	s.want(HalfDeaf)
+	s.want(OutboundLost)
 }
 
 // Copies show nothing, however late, of whatever session; what a command's answer has overtaken is news.
@@ -98,7 +98,7 @@
 			t.Errorf("a copy of report %v is taken for news", old)
 		}
 	}
-	s.w.Answered(s.now, 12)
+	s.w.CommandAnswered(s.now, 12)
 	if news, _ := s.report(time.Second, "", 2, 11, 7); !news {
 		t.Error("a report that an answer overtook is taken for a copy")
 	}
@@ -109,11 +109,11 @@
 func TestOneReportMayBeACopy(t *testing.T) {
 	s := begin(t)
 	s.report(0, "", 3, 500, 6)
-	s.want(Unproved)
+	s.want(Unconfirmed)
 	s = begin(t)
-	s.w.Began()
+	s.w.MarkStarted()
 	s.report(0, "", 1, 1, 0)
-	s.want(Reached)
+	s.want(Reachable)
 }
 
 // A relay passes on only some reports, so gaps between them show nothing.
@@ -121,7 +121,7 @@
 	s := reached(t)
 	for seq := uint64(10); seq < 100; seq += 9 {
 		s.now = s.now.Add(3 * time.Second)
-		s.w.Report(s.now, Report{Session: 1, Seq: seq, Seen: 7, Term: 7, Via: "n1", Relayed: true})
-		s.want(Reached)
+		s.w.Observe(s.now, Heartbeat{Incarnation: 1, Seq: seq, HighestTerm: 7, Term: 7, Via: "n1", Relayed: true})
+		s.want(Reachable)
 	}
 }
--- a/reachability/newest.go
+++ b/reachability/newest.go
@@ -6,27 +6,27 @@
 	"switchferry/api"
 )
 
-// Newest remembers the newest report of each machine that spoke to one controller, whoever leads. It
+// Deduplicator remembers the newest report of each machine that spoke to one controller, whoever leads. It
 // is not safe for use from several goroutines at once.
-type Newest struct {
+type Deduplicator struct {
 	seen *simplelru.LRU[string, [2]uint64]
 }
 
-// NewNewest remembers as many machines as limit says, which is 1 or more.
-func NewNewest(limit int) *Newest {
+// NewDeduplicator remembers as many machines as limit says, which is 1 or more.
+func NewDeduplicator(limit int) *Deduplicator {
 	seen, err := simplelru.NewLRU[string, [2]uint64](limit, nil)
 	if err != nil {
 		panic(err) // only for a limit below one
 	}
-	return &Newest{seen}
+	return &Deduplicator{seen}
 }
 
-// Take tells whether a report is newer than all before of its machine. A worker sends no tally twice: any
+// Accept tells whether a report is newer than all before of its machine. A worker sends no tally twice: any
 // other is a copy, or was held up on its way until its worker gave it up, and nobody waits for its answer.
-func (n *Newest) Take(r *api.Report) bool {
-	if last, ok := n.seen.Get(r.Machine); ok && !r.After(last[0], last[1]) {
+func (n *Deduplicator) Accept(r *api.Heartbeat) bool {
+	if last, ok := n.seen.Get(r.Machine); ok && !r.NewerThan(last[0], last[1]) {
 		return false
 	}
-	n.seen.Add(r.Machine, [2]uint64{r.Session, r.Seq})
+	n.seen.Add(r.Machine, [2]uint64{r.Incarnation, r.Seq})
 	return true
 }
--- a/redirect/steering.go
+++ b/redirect/steering.go
@@ -10,10 +10,10 @@
 	"switchferry/tuning"
 )
 
-// Bounces remembers which workers were sent to other controllers. A worker gives an
+// Tracker remembers which workers were sent to other controllers. A worker gives an
 // unanswered report up after 4 s and takes another second to turn to the next node,
 // so of a lease of 10 s it can afford one dead end, not two in a row.
-type Bounces struct {
+type Tracker struct {
 	// sent is when a worker was last sent away. One that comes back soon could
 	// not reach the node that it was sent to.
 	sent map[string]time.Time
@@ -21,15 +21,15 @@
 	probed map[string]time.Time
 }
 
-// NewBounces remembers none.
-func NewBounces() Bounces {
-	return Bounces{sent: map[string]time.Time{}, probed: map[string]time.Time{}}
+// NewTracker remembers none.
+func NewTracker() Tracker {
+	return Tracker{sent: map[string]time.Time{}, probed: map[string]time.Time{}}
 }
 
 // Allow tells whether a worker may be sent to a controller, and notes that it is.
 // hears: that one says that workers reach it. To one that says so no more, whatever
 // else it answers, a single worker is sent now and then: it may just have none.
-func (b *Bounces) Allow(now time.Time, worker, to string, hears bool) bool {
+func (b *Tracker) Allow(now time.Time, worker, to string, hears bool) bool {
 	at, known := b.sent[worker]
 	if known && now.Sub(at) < tuning.BounceKeep && now.Sub(at) > tuning.BounceTrip {
 		return false
@@ -51,14 +51,14 @@
 	return true
 }
 
-// Shelter is where workers should report that belong to a controller, given those that
+// Target is where workers should report that belong to a controller, given those that
 // are silent. Workers try the nodes in the order of their names. Those of the node
 // before a silent one would, should theirs fall silent too, run into two dead ends in a
 // row and lose their leases: they go to a node with a living one behind it, of their
 // own zone if there is one.
-func Shelter(ring []settings.Sibling, to, zone string, silent func(string) bool) string {
+func Target(ring []settings.Peer, to, zone string, silent func(string) bool) string {
 	ring = slices.Clone(ring)
-	slices.SortFunc(ring, func(a, b settings.Sibling) int { return strings.Compare(a.Member, b.Member) })
+	slices.SortFunc(ring, func(a, b settings.Peer) int { return strings.Compare(a.Member, b.Member) })
 	best := ""
 	for i, s := range ring {
 		if silent(s.Member) || silent(ring[(i+1)%len(ring)].Member) {
--- a/redirect/steering_test.go
+++ b/redirect/steering_test.go
@@ -15,7 +15,7 @@
 // turned away from it were all sent back, and a second dead end ends a lease.
 func TestWorkersAreNotSentToADeafController(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	b := NewBounces()
+	b := NewTracker()
 	sent := 0
 	for _, w := range []string{"n-1", "n-2", "n-3", "n-4"} {
 		if b.Allow(clock.Now(), w, "deaf", false) {
@@ -48,7 +48,7 @@
 // Two controllers out of three fell silent, one after the other: workers of the second
 // tried the first next, and their leases ended in the second dead end.
 func TestWorkersWaitBehindASilentController(t *testing.T) {
-	ring := []settings.Sibling{{Member: "n1", Zone: "b"}, {Member: "n0", Zone: "a"}, {Member: "n2", Zone: "a"}}
+	ring := []settings.Peer{{Member: "n1", Zone: "b"}, {Member: "n0", Zone: "a"}, {Member: "n2", Zone: "a"}}
 	for _, c := range []struct{ silent, to, zone, want string }{
 		{"", "n0", "a", "n0"},
 		{"n1", "n0", "a", "n2"}, // n0's workers would try n1 next
@@ -58,7 +58,7 @@
 		{"n0 n2", "n1", "b", "n1"},
 	} {
 		silent := func(m string) bool { return strings.Contains(c.silent, m) }
-		if got := Shelter(ring, c.to, c.zone, silent); got != c.want {
+		if got := Target(ring, c.to, c.zone, silent); got != c.want {
 			t.Errorf("%q silent, workers of %s: %s, want %s", c.silent, c.to, got, c.want)
 		}
 	}
--- a/relay/courier.go
+++ b/relay/courier.go
@@ -5,7 +5,7 @@
 // Both ways only the newest message for a name counts. Towards the leader goes what
 // changed, in letters that hold as many messages as fit, and what did not change once in
 // a while (Outbox). From the leader comes all that stands, in as many letters as it needs
-// (Shelf), so that whoever begins to read later misses nothing. Letters are JSON lists
+// (Mailbox), so that whoever begins to read later misses nothing. MaxPackets are JSON lists
 // packed with zstd; a message larger than a letter crosses in pieces.
 package relay
 
@@ -22,8 +22,8 @@
 	"switchferry/tuning"
 )
 
-// Letter is one value in the state service.
-type Letter struct {
+// Packet is one value in the state service.
+type Packet struct {
 	// Term is that of the leader that it is for, or from.
 	Term uint64 `json:"term"`
 	// Packed is a list of messages, or a piece of one: base64 of a zstd frame.
@@ -47,8 +47,8 @@
 	Value, Request, Ops int
 }
 
-// Letters is how many full letters one transaction carries.
-func (l Limits) Letters() int { return max(1, min(l.Ops, l.Request/max(1, l.Value))) }
+// MaxPackets is how many full letters one transaction carries.
+func (l Limits) MaxPackets() int { return max(1, min(l.Ops, l.Request/max(1, l.Value))) }
 
 // text is how many bytes of base64 a letter holds.
 func (l Limits) text() int { return l.Value - tuning.LetterMargin }
@@ -60,7 +60,7 @@
 	term   uint64
 	items  map[string]*item
 	// split are pieces of large messages that go before all else.
-	split []Letter
+	split []Packet
 	ids   uint64
 	// ratio is how many bytes of messages the last letter held a byte of text.
 	ratio float64
@@ -81,8 +81,8 @@
 	return &Outbox{limits: limits, items: map[string]*item{}, ids: first, ratio: 2}
 }
 
-// Begin empties the box for the leader of a term, unless it is for that one already.
-func (o *Outbox) Begin(term uint64) {
+// Reset empties the box for the leader of a term, unless it is for that one already.
+func (o *Outbox) Reset(term uint64) {
 	if o.term != term {
 		o.term, o.items, o.split = term, map[string]*item{}, nil
 	}
@@ -108,8 +108,8 @@
 // Len is the number of senders.
 func (o *Outbox) Len() int { return len(o.items) }
 
-// Forget drops senders that have said nothing for so long.
-func (o *Outbox) Forget(now time.Time, after time.Duration) (gone []string) {
+// Expire drops senders that have said nothing for so long.
+func (o *Outbox) Expire(now time.Time, after time.Duration) (gone []string) {
 	for name, x := range o.items {
 		if now.Sub(x.heard) > after {
 			delete(o.items, name)
@@ -121,22 +121,22 @@
 
 // Batch is what one transaction passes on.
 type Batch struct {
-	Letters []Letter
+	Packets []Packet
 	names   []string
-	split   []Letter
+	split   []Packet
 }
 
 // Next takes out what is due: what changed, the longest waiting first, then what was not
 // passed on for as long as keep, in at most so many letters. It counts as passed on unless
-// Failed says otherwise. An empty batch: nothing is due.
+// Requeue says otherwise. An empty batch: nothing is due.
 func (o *Outbox) Next(now time.Time, keep time.Duration, most int) (b Batch, err error) {
-	most = min(most, o.limits.Letters())
+	most = min(most, o.limits.MaxPackets())
 	names := o.due(now, keep)
-	for len(b.Letters) < most {
+	for len(b.Packets) < most {
 		if len(o.split) > 0 {
 			l := o.split[0]
 			o.split = o.split[1:]
-			b.Letters, b.split = append(b.Letters, l), append(b.split, l)
+			b.Packets, b.split = append(b.Packets, l), append(b.split, l)
 			continue
 		}
 		if len(names) == 0 {
@@ -153,7 +153,7 @@
 		if len(text) > o.limits.text() {
 			o.cut(text)
 		} else {
-			b.Letters = append(b.Letters, Letter{Term: o.term, Packed: text})
+			b.Packets = append(b.Packets, Packet{Term: o.term, Packed: text})
 		}
 		for _, name := range names[:n] {
 			x := o.items[name]
@@ -204,7 +204,7 @@
 			ms = append(ms, Message{name, o.items[name].body})
 			raw += len(o.items[name].body) + len(name)
 		}
-		if text, err = compress.Fast(ms); err != nil {
+		if text, err = compress.EncodeFast(ms); err != nil {
 			if n > 1 {
 				n = 1
 				continue
@@ -226,12 +226,12 @@
 	size := o.limits.text()
 	of := (len(text) + size - 1) / size
 	for i := range of {
-		o.split = append(o.split, Letter{Term: o.term, Packed: text[i*size : min(len(text), (i+1)*size)], ID: o.ids, Piece: i, Of: of})
+		o.split = append(o.split, Packet{Term: o.term, Packed: text[i*size : min(len(text), (i+1)*size)], ID: o.ids, Piece: i, Of: of})
 	}
 }
 
-// Failed puts back what was not passed on for certain.
-func (o *Outbox) Failed(b Batch) {
+// Requeue puts back what was not passed on for certain.
+func (o *Outbox) Requeue(b Batch) {
 	for _, name := range b.names {
 		if x := o.items[name]; x != nil && !x.changed {
 			x.changed, x.since = true, x.written
@@ -242,8 +242,8 @@
 	}
 }
 
-// Joiner opens letters and puts pieces together, by sender. The zero value is ready.
-type Joiner struct {
+// Reassembler opens letters and puts pieces together, by sender. The zero value is ready.
+type Reassembler struct {
 	parts map[string]*pieces
 }
 
@@ -253,12 +253,12 @@
 	left int
 }
 
-// Open gives the messages of a letter, none while pieces are missing. From names the
+// Unpack gives the messages of a letter, none while pieces are missing. From names the
 // sender's box. A message of which a piece is lost is given up when the next comes.
-func (j *Joiner) Open(from string, l *Letter) ([]Message, error) {
+func (j *Reassembler) Unpack(from string, l *Packet) ([]Message, error) {
 	var ms []Message
 	if l.Of == 0 {
-		err := compress.Unpack(l.Packed, &ms)
+		err := compress.Decode(l.Packed, &ms)
 		return ms, err
 	}
 	if l.Of < 0 || l.Of > tuning.LetterPieces || l.Piece < 0 || l.Piece >= l.Of {
@@ -287,23 +287,23 @@
 	for _, t := range p.text {
 		whole += t
 	}
-	err := compress.Unpack(whole, &ms)
+	err := compress.Decode(whole, &ms)
 	return ms, err
 }
 
-// Shelf is what the leader has for the machines behind one sibling, spread over letters of
+// Mailbox is what the leader has for the machines behind one sibling, spread over letters of
 // bounded size. A machine stands in one of them, and moves when that one gets too large.
-type Shelf struct {
+type Mailbox struct {
 	limits  Limits
 	at      map[string]int
 	members []map[string]bool
 }
 
-// NewShelf makes an empty shelf.
-func NewShelf(limits Limits) *Shelf { return &Shelf{limits: limits, at: map[string]int{}} }
+// NewMailbox makes an empty shelf.
+func NewMailbox(limits Limits) *Mailbox { return &Mailbox{limits: limits, at: map[string]int{}} }
 
-// Part is the number of the letter that a machine stands in.
-func (s *Shelf) Part(name string) int {
+// PacketOf is the number of the letter that a machine stands in.
+func (s *Mailbox) PacketOf(name string) int {
 	if p, ok := s.at[name]; ok {
 		return p
 	}
@@ -317,8 +317,8 @@
 	return p
 }
 
-// Drop takes a machine off, and gives the number of the letter that it stood in; -1: none.
-func (s *Shelf) Drop(name string) int {
+// Remove takes a machine off, and gives the number of the letter that it stood in; -1: none.
+func (s *Mailbox) Remove(name string) int {
 	p, ok := s.at[name]
 	if !ok {
 		return -1
@@ -328,32 +328,32 @@
 	return p
 }
 
-// Members are the machines that stand in a letter, in the order of their names.
-func (s *Shelf) Members(part int) []string {
+// Machines are the machines that stand in a letter, in the order of their names.
+func (s *Mailbox) Machines(part int) []string {
 	if part < 0 || part >= len(s.members) {
 		return nil
 	}
 	return slices.Sorted(maps.Keys(s.members[part]))
 }
 
-// Build makes a letter of what body gives for its machines; nil: nothing. Touched are
+// BuildPacket makes a letter of what body gives for its machines; nil: nothing. Touched are
 // letters that got machines from this one, which no longer holds them, and are to be
 // built as well. TooLarge are machines whose message alone is larger than a letter: it is
 // left out, so that the others' go.
-func (s *Shelf) Build(term uint64, part int, body func(name string) json.RawMessage) (l Letter, touched []int, tooLarge []string, err error) {
+func (s *Mailbox) BuildPacket(term uint64, part int, body func(name string) json.RawMessage) (l Packet, touched []int, tooLarge []string, err error) {
 	if part < 0 || part >= len(s.members) {
-		return Letter{Term: term}, nil, nil, nil
+		return Packet{Term: term}, nil, nil, nil
 	}
 	var ms []Message
-	for _, name := range s.Members(part) {
+	for _, name := range s.Machines(part) {
 		if b := body(name); b != nil {
 			ms = append(ms, Message{name, b})
 		}
 	}
 	for {
-		text, err := compress.Fast(ms)
+		text, err := compress.EncodeFast(ms)
 		if err != nil || len(text) <= s.limits.text() {
-			return Letter{Term: term, Packed: text}, touched, tooLarge, err
+			return Packet{Term: term, Packed: text}, touched, tooLarge, err
 		}
 		if len(ms) == 1 {
 			tooLarge = append(tooLarge, ms[0].Name)
@@ -389,9 +389,9 @@
 	body  json.RawMessage
 }
 
-// Take takes in a letter as it stands under a key at a revision. Letters of another term
+// Apply takes in a letter as it stands under a key at a revision. MaxPackets of another term
 // than the newest, and older states of a key, count for nothing.
-func (r *Reader) Take(key string, stamp uint64, l *Letter) error {
+func (r *Reader) Apply(key string, stamp uint64, l *Packet) error {
 	if l.Term < r.term {
 		return nil
 	}
@@ -403,7 +403,7 @@
 	}
 	ms := []Message{}
 	if l.Packed != "" {
-		if err := compress.Unpack(l.Packed, &ms); err != nil {
+		if err := compress.Decode(l.Packed, &ms); err != nil {
 			return err
 		}
 	}
@@ -423,8 +423,8 @@
 	return nil
 }
 
-// Told is what a machine is told by the leader of a term; nil: nothing.
-func (r *Reader) Told(term uint64, name string) json.RawMessage {
+// MessageFor is what a machine is told by the leader of a term; nil: nothing.
+func (r *Reader) MessageFor(term uint64, name string) json.RawMessage {
 	if r.term != term {
 		return nil
 	}
--- a/relay/courier_test.go
+++ b/relay/courier_test.go
@@ -29,15 +29,15 @@
 func check(t *testing.T, b Batch) {
 	t.Helper()
 	sum := 0
-	for _, l := range b.Letters {
+	for _, l := range b.Packets {
 		raw, err := json.Marshal(l)
 		if err != nil || len(raw) > limits.Value {
 			t.Fatalf("a letter of %d bytes: %v", len(raw), err)
 		}
 		sum += len(raw)
 	}
-	if sum > limits.Request || len(b.Letters) > limits.Ops {
-		t.Fatalf("%d letters of %d bytes in one transaction", len(b.Letters), sum)
+	if sum > limits.Request || len(b.Packets) > limits.Ops {
+		t.Fatalf("%d letters of %d bytes in one transaction", len(b.Packets), sum)
 	}
 }
 
@@ -48,7 +48,7 @@
 	for _, n := range []int{50, 500, 2500, 5000} {
 		r := rand.New(rand.NewPCG(1, uint64(n)))
 		o, got := NewOutbox(limits, 1), map[string][]byte{}
-		o.Begin(7)
+		o.Reset(7)
 		want := map[string][]byte{}
 		for i := range n {
 			name := fmt.Sprintf("n-%06d", i)
@@ -58,20 +58,20 @@
 			}
 			o.Put(name, want[name], true, start)
 		}
-		var j Joiner
+		var j Reassembler
 		writes := 0
 		for {
-			b, err := o.Next(start.Add(time.Second), time.Minute, limits.Letters())
+			b, err := o.Next(start.Add(time.Second), time.Minute, limits.MaxPackets())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(b.Letters) == 0 {
+			if len(b.Packets) == 0 {
 				break
 			}
 			check(t, b)
-			writes += len(b.Letters)
-			for i := range b.Letters {
-				ms, err := j.Open("y", &b.Letters[i])
+			writes += len(b.Packets)
+			for i := range b.Packets {
+				ms, err := j.Unpack("y", &b.Packets[i])
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -96,7 +96,7 @@
 // says meanwhile is what goes.
 func TestOldestFirstAndFailuresAgain(t *testing.T) {
 	o := NewOutbox(limits, 1)
-	o.Begin(7)
+	o.Reset(7)
 	r := rand.New(rand.NewPCG(2, 2))
 	for i := range 400 {
 		o.Put(fmt.Sprintf("n-%03d", i), body(r, 900), true, start.Add(time.Duration(i)*time.Millisecond))
@@ -106,14 +106,14 @@
 	if len(b.names) < 10 || b.names[0] != "n-000" || b.names[1] != "n-001" {
 		t.Fatalf("first letter: %v", b.names)
 	}
-	o.Failed(b)
+	o.Requeue(b)
 	o.Put("n-000", json.RawMessage(`"newer"`), false, start.Add(2*time.Second))
 	seen := map[string]json.RawMessage{}
-	var j Joiner
+	var j Reassembler
 	for range 100 {
 		b, _ := o.Next(start.Add(2*time.Second), time.Minute, 2)
-		for i := range b.Letters {
-			ms, _ := j.Open("y", &b.Letters[i])
+		for i := range b.Packets {
+			ms, _ := j.Unpack("y", &b.Packets[i])
 			for _, m := range ms {
 				seen[m.Name] = m.Body
 			}
@@ -124,7 +124,7 @@
 	}
 	// Unchanged, nothing goes before its time; then it does, if its sender still speaks.
 	o.Put("n-001", body(r, 100), false, start.Add(3*time.Second))
-	if b, _ := o.Next(start.Add(4*time.Second), time.Minute, 2); len(b.Letters) != 0 {
+	if b, _ := o.Next(start.Add(4*time.Second), time.Minute, 2); len(b.Packets) != 0 {
 		t.Error("what did not change went again at once")
 	}
 	if b, _ := o.Next(start.Add(2*time.Minute), time.Minute, 2); len(b.names) != 1 {
@@ -135,23 +135,23 @@
 // A piece that is lost loses its message and nothing else.
 func TestLostPiece(t *testing.T) {
 	o := NewOutbox(limits, 1)
-	o.Begin(7)
+	o.Reset(7)
 	r := rand.New(rand.NewPCG(3, 3))
-	var j Joiner
+	var j Reassembler
 	send := func(lose int) (out []Message) {
 		o.Put("big", body(r, 200<<10), true, start)
 		o.Put("small", json.RawMessage(`1`), true, start)
 		for i := 0; ; {
 			b, _ := o.Next(start, time.Minute, 3)
-			if len(b.Letters) == 0 {
+			if len(b.Packets) == 0 {
 				return out
 			}
 			check(t, b)
-			for k := range b.Letters {
+			for k := range b.Packets {
 				if i++; i == lose {
 					continue
 				}
-				ms, err := j.Open("y", &b.Letters[k])
+				ms, err := j.Unpack("y", &b.Packets[k])
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -165,8 +165,8 @@
 	if out := send(0); len(out) != 2 {
 		t.Errorf("afterwards: %d messages", len(out))
 	}
-	for _, l := range []Letter{{Packed: "!"}, {Packed: "AAAA"}, {Of: 3, Piece: 3}, {Of: -1}, {Of: 1 << 30}} {
-		if _, err := j.Open("y", &l); err == nil {
+	for _, l := range []Packet{{Packed: "!"}, {Packed: "AAAA"}, {Of: 3, Piece: 3}, {Of: -1}, {Of: 1 << 30}} {
+		if _, err := j.Unpack("y", &l); err == nil {
 			t.Errorf("%+v opened", l)
 		}
 	}
@@ -177,26 +177,26 @@
 // aside, and the others' go.
 func TestShelfStaysWithinItsLimits(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
-	s := NewShelf(limits)
+	s := NewMailbox(limits)
 	size := map[string]int{}
 	for i := range 5000 {
 		name := fmt.Sprintf("n-%06d", i)
 		size[name] = 100 + r.IntN(3000)
-		s.Part(name)
+		s.PacketOf(name)
 	}
 	size["n-000007"] = 200 << 10
 	var read Reader
 	stamp := uint64(10)
 	large := 0
 	for part := 0; part < len(s.members); part++ {
-		l, _, tooLarge, err := s.Build(7, part, func(name string) json.RawMessage { return body(r, size[name]) })
+		l, _, tooLarge, err := s.BuildPacket(7, part, func(name string) json.RawMessage { return body(r, size[name]) })
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, Batch{Letters: []Letter{l}})
+		check(t, Batch{Packets: []Packet{l}})
 		large += len(tooLarge)
 		stamp++
-		if err := read.Take(fmt.Sprint(part), stamp, &l); err != nil {
+		if err := read.Apply(fmt.Sprint(part), stamp, &l); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -204,7 +204,7 @@
 		t.Errorf("%d set aside", large)
 	}
 	for name := range size {
-		if told := read.Told(7, name); (told == nil) != (name == "n-000007") {
+		if told := read.MessageFor(7, name); (told == nil) != (name == "n-000007") {
 			t.Errorf("%s is told %d bytes", name, len(told))
 		}
 	}
@@ -214,19 +214,19 @@
 // in whichever order the letters are read; another term's, or an older state of a key,
 // count for nothing.
 func TestNewestStateCounts(t *testing.T) {
-	letter := func(term uint64, ms ...Message) *Letter {
-		text, err := compress.Fast(ms)
+	letter := func(term uint64, ms ...Message) *Packet {
+		text, err := compress.EncodeFast(ms)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &Letter{Term: term, Packed: text}
+		return &Packet{Term: term, Packed: text}
 	}
 	say := func(name, what string) Message { return Message{name, json.RawMessage(what)} }
 	var r Reader
 	steps := []struct {
 		key   string
 		stamp uint64
-		l     *Letter
+		l     *Packet
 		want  string
 	}{
 		{"k/0", 5, letter(7, say("a", `"run"`)), `"run"`},
@@ -238,14 +238,14 @@
 		{"k/0", 14, letter(7, say("a", `"again"`)), `"again"`},
 	}
 	for i, x := range steps {
-		if err := r.Take(x.key, x.stamp, x.l); err != nil {
+		if err := r.Apply(x.key, x.stamp, x.l); err != nil {
 			t.Fatal(err)
 		}
-		if got := string(r.Told(7, "a")); got != x.want {
+		if got := string(r.MessageFor(7, "a")); got != x.want {
 			t.Errorf("step %d: told %s, want %s", i, got, x.want)
 		}
 	}
-	if err := r.Take("k/0", 20, letter(9, say("a", `"new"`))); err != nil || r.Told(7, "a") != nil || string(r.Told(9, "a")) != `"new"` {
+	if err := r.Apply("k/0", 20, letter(9, say("a", `"new"`))); err != nil || r.MessageFor(7, "a") != nil || string(r.MessageFor(9, "a")) != `"new"` {
 		t.Error("terms are mixed up")
 	}
 }
--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -22,10 +22,10 @@
 // Follow is the leader's side: it takes in what siblings pass on under a prefix, after a
 // revision, until the context ends.
 func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, take func(member string, m relay.Message)) {
-	var joiner relay.Joiner
+	var joiner relay.Reassembler
 	for ctx.Err() == nil {
 		log, epoch, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
-		if errors.Is(err, store.ErrTooOld) {
+		if errors.Is(err, store.ErrCompacted) {
 			// What senders say comes again and again: only the revision matters.
 			_, epoch, err = client.List(ctx, prefix)
 		}
@@ -33,18 +33,18 @@
 			sleep(ctx, clock, tuning.ElectRetry)
 			continue
 		}
-		Open(log, prefix, term, &joiner, take)
+		UnpackEvents(log, prefix, term, &joiner, take)
 		after = max(after, epoch)
 	}
 }
 
-// Claim lets letters of earlier terms be written over, or go.
-func Claim(ctx context.Context, client *store.Client, clock clockwork.Clock, committer *store.Committer, prefix string) {
+// ClaimPackets lets letters of earlier terms be written over, or go.
+func ClaimPackets(ctx context.Context, client *store.Client, clock clockwork.Clock, committer *store.Committer, prefix string) {
 	for {
 		old, _, err := client.List(ctx, prefix)
 		for _, it := range old {
-			committer.Know(it.Key, it.Stamp)
-			committer.Touch(it.Key, store.Lazy, nil)
+			committer.SetRevision(it.Key, it.Revision)
+			committer.MarkDirty(it.Key, store.Lazy, nil)
 		}
 		if err == nil || ctx.Err() != nil {
 			return
@@ -60,16 +60,16 @@
 	}
 }
 
-// Limits are what letters through the state service must keep.
-func Limits(f settings.State) relay.Limits {
+// PacketLimits are what letters through the state service must keep.
+func PacketLimits(f settings.State) relay.Limits {
 	least := f.Least()
 	return relay.Limits{Value: least.ValueBytes(), Request: tuning.LetterRequest, Ops: least.TxnOps}
 }
 
-// Rate is what a controller writes of letters, all kinds together: the leader's records come first.
-func Rate(f settings.State) *rate.Limiter {
+// WriteRate is what a controller writes of letters, all kinds together: the leader's records come first.
+func WriteRate(f settings.State) *rate.Limiter {
 	share := tuning.RelayShare * f.Least().WriteRPS
-	return rate.NewLimiter(rate.Limit(share), max(Limits(f).Letters(), int(share)))
+	return rate.NewLimiter(rate.Limit(share), max(PacketLimits(f).MaxPackets(), int(share)))
 }
 
 // Exchange carries letters of one kind between this controller, Member, and a leader that it does not
@@ -79,20 +79,20 @@
 	Client *store.Client
 	Clock  clockwork.Clock
 	Rate   *rate.Limiter
-	// Up names the value that a letter to the leader goes into; Down is the prefix of
+	// UplinkKey names the value that a letter to the leader goes into; DownlinkPrefix is the prefix of
 	// the leader's.
-	Up   func(member string, i int) string
-	Down string
-	// Keep is how long an unchanged message is not written again.
-	Keep time.Duration
+	UplinkKey      func(member string, i int) string
+	DownlinkPrefix string
+	// RefreshEvery is how long an unchanged message is not written again.
+	RefreshEvery time.Duration
 	// Lock guards Box and Reader, which stand in what the owner keeps.
 	Lock   *sync.Mutex
-	Box    *relay.Outbox
+	Outbox *relay.Outbox
 	Reader *relay.Reader
-	// Forget drops senders that went elsewhere; Over: the term that letters were for has
+	// Expire drops senders that went elsewhere; TermEnded: the term that letters were for has
 	// ended. Both are called with the lock held.
-	Forget func(now time.Time)
-	Over   func()
+	Expire    func(now time.Time)
+	TermEnded func()
 }
 
 // Run writes and reads while there is somebody to carry letters for.
@@ -108,8 +108,8 @@
 func (x *Exchange) active() bool {
 	x.Lock.Lock()
 	defer x.Lock.Unlock()
-	x.Forget(x.Clock.Now())
-	return x.Box.Len() > 0
+	x.Expire(x.Clock.Now())
+	return x.Outbox.Len() > 0
 }
 
 // Write passes on one transaction of letters. True: there may be more.
@@ -123,22 +123,22 @@
 		return false
 	}
 	x.Lock.Lock()
-	batch, err := x.Box.Next(now, x.Keep, most)
-	term := x.Box.Term()
+	batch, err := x.Outbox.Next(now, x.RefreshEvery, most)
+	term := x.Outbox.Term()
 	x.Lock.Unlock()
 	if err != nil {
 		slog.Error("a report cannot be passed on", "err", err)
 	}
-	if len(batch.Letters) == 0 {
+	if len(batch.Packets) == 0 {
 		return false
 	}
-	var ops []store.Op
-	for i, l := range batch.Letters {
-		ops = append(ops, store.Op{Set: x.Up(x.Member, i), Value: l})
+	var ops []store.Operation
+	for i, l := range batch.Packets {
+		ops = append(ops, store.Operation{Set: x.UplinkKey(x.Member, i), Value: l})
 	}
 	x.Rate.AllowN(now, len(ops))
 	// Only the leader that they are meant for may be told.
-	_, _, err = x.Client.Multi(ctx, []store.Cond{{Key: store.LeaderKey, Stamp: term}}, ops)
+	_, _, err = x.Client.Transact(ctx, []store.Condition{{Key: store.LeaderKey, Revision: term}}, ops)
 	if err == nil {
 		return true
 	}
@@ -146,10 +146,10 @@
 	x.Lock.Lock()
 	defer x.Lock.Unlock()
 	if errors.Is(err, store.ErrConflict) {
-		x.Over()
+		x.TermEnded()
 		return false
 	}
-	x.Box.Failed(batch)
+	x.Outbox.Requeue(batch)
 	return false
 }
 
@@ -176,12 +176,12 @@
 	var epoch uint64
 	var err error
 	if after > 0 {
-		log, epoch, err = x.Client.Watch(ctx, x.Down, after, tuning.WatchBlock)
+		log, epoch, err = x.Client.Watch(ctx, x.DownlinkPrefix, after, tuning.WatchBlock)
 	} else {
 		var all []store.Item
-		all, epoch, err = x.Client.List(ctx, x.Down)
+		all, epoch, err = x.Client.List(ctx, x.DownlinkPrefix)
 		for _, it := range all {
-			log = append(log, store.Event{Set: it.Key, Value: it.Value, Stamp: it.Stamp})
+			log = append(log, store.Event{Set: it.Key, Value: it.Value, Revision: it.Revision})
 		}
 	}
 	if err != nil {
@@ -193,10 +193,10 @@
 		if e.Set == "" {
 			continue
 		}
-		var l relay.Letter
+		var l relay.Packet
 		err := json.Unmarshal(e.Value, &l)
 		if err == nil {
-			err = x.Reader.Take(e.Set, e.Stamp, &l)
+			err = x.Reader.Apply(e.Set, e.Revision, &l)
 		}
 		if err != nil {
 			slog.Error("a letter of the leader is damaged", "key", e.Set, "err", err)
@@ -205,21 +205,21 @@
 	return max(after, epoch), nil
 }
 
-// Open takes the messages out of letters for the leader of a term.
-func Open(log []store.Event, prefix string, term uint64, joiner *relay.Joiner, take func(member string, m relay.Message)) {
+// UnpackEvents takes the messages out of letters for the leader of a term.
+func UnpackEvents(log []store.Event, prefix string, term uint64, joiner *relay.Reassembler, take func(member string, m relay.Message)) {
 	for _, e := range log {
 		if e.Set == "" {
 			continue
 		}
-		member := store.LetterFrom(prefix, e.Set)
-		var l relay.Letter
+		member := store.RelaySender(prefix, e.Set)
+		var l relay.Packet
 		err := json.Unmarshal(e.Value, &l)
 		if err == nil && l.Term != term {
 			continue
 		}
 		var ms []relay.Message
 		if err == nil {
-			ms, err = joiner.Open(member, &l)
+			ms, err = joiner.Unpack(member, &l)
 		}
 		if err != nil {
 			slog.Error("a letter of a sibling is damaged", "key", e.Set, "err", err)
--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -22,9 +22,9 @@
 	On map[string][]byte `json:"m"`
 }
 
-// PackHint packs what machines hold into at most so many bytes of text. Machines that do
+// EncodeHint packs what machines hold into at most so many bytes of text. Machines that do
 // not fit are left out, the last ones first; told is how many are in it.
-func PackHint(s *Snapshot, machines []string, number func(string) (Machine, bool), most int) (h Hint, told int, err error) {
+func EncodeHint(s *Snapshot, machines []string, number func(string) (MachineID, bool), most int) (h Hint, told int, err error) {
 	for n := len(machines); n > 0; n /= 2 {
 		p := packed{}
 		for _, name := range machines[:n] {
@@ -49,7 +49,7 @@
 				p[d] = x
 			}
 		}
-		text, err := compress.Small(p)
+		text, err := compress.EncodeSmall(p)
 		if err != nil {
 			return h, 0, err
 		}
@@ -60,13 +60,13 @@
 	return h, 0, nil
 }
 
-// Unpack gives what each machine held.
-func (h Hint) Unpack() (map[string]map[string]Holding, error) {
+// Decode gives what each machine held.
+func (h Hint) Decode() (map[string]map[string]Replica, error) {
 	var p packed
-	if err := compress.Unpack(h.Packed, &p); err != nil {
+	if err := compress.Decode(h.Packed, &p); err != nil {
 		return nil, fmt.Errorf("hint of holdings: %w", err)
 	}
-	out := map[string]map[string]Holding{}
+	out := map[string]map[string]Replica{}
 	for d, x := range p {
 		for name, raw := range x.On {
 			b := roaring.New()
@@ -74,9 +74,9 @@
 				return nil, fmt.Errorf("hint of holdings: parts of %s on %s: %v", d, name, err)
 			}
 			if out[name] == nil {
-				out[name] = map[string]Holding{}
+				out[name] = map[string]Replica{}
 			}
-			out[name][d] = Holding{x.Of, b}
+			out[name][d] = Replica{x.Of, b}
 		}
 	}
 	return out, nil
--- a/replicas/holdings.go
+++ b/replicas/holdings.go
@@ -16,9 +16,9 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Machine is a machine's number, given by Index.Machine. Numbers are small, and are used
+// ID is a machine's number, given by Index.ID. Numbers are small, and are used
 // again after a machine is dropped.
-type Machine uint32
+type MachineID uint32
 
 // held is what a machine holds of a dataset. Its bitmap is never changed.
 type held struct {
@@ -31,9 +31,9 @@
 	parts int
 	// holders are those of each part, in the order of their numbers; the slices are
 	// never changed.
-	holders *immutable.List[[]Machine]
+	holders *immutable.List[[]MachineID]
 	// whole hold every part, in the same order.
-	whole []Machine
+	whole []MachineID
 	// all counts the parts on all machines.
 	all int
 }
@@ -42,45 +42,45 @@
 // gives one.
 type Snapshot struct {
 	sets     *immutable.Map[string, *set]
-	machines *immutable.Map[Machine, *immutable.Map[string, held]]
+	machines *immutable.Map[MachineID, *immutable.Map[string, held]]
 	version  uint64
 }
 
 // Index takes in what agents say. Its methods may be called from anywhere.
 type Index struct {
 	mu   sync.Mutex
-	ids  map[string]Machine
-	free []Machine
+	ids  map[string]MachineID
+	free []MachineID
 	snap atomic.Pointer[Snapshot]
 }
 
 type hashMachine struct{}
 
-func (hashMachine) Hash(m Machine) uint32   { return uint32(m) * 2654435761 }
-func (hashMachine) Equal(a, b Machine) bool { return a == b }
+func (hashMachine) Hash(m MachineID) uint32   { return uint32(m) * 2654435761 }
+func (hashMachine) Equal(a, b MachineID) bool { return a == b }
 
 // New makes an empty index.
 func New() *Index {
-	x := &Index{ids: map[string]Machine{}}
+	x := &Index{ids: map[string]MachineID{}}
 	x.snap.Store(&Snapshot{sets: immutable.NewMap[string, *set](nil),
-		machines: immutable.NewMap[Machine, *immutable.Map[string, held]](hashMachine{})})
+		machines: immutable.NewMap[MachineID, *immutable.Map[string, held]](hashMachine{})})
 	return x
 }
 
 // Snapshot is the present state.
 func (x *Index) Snapshot() *Snapshot { return x.snap.Load() }
 
-// Machine is the number of a machine; it gets one if it has none.
-func (x *Index) Machine(name string) Machine {
+// ID is the number of a machine; it gets one if it has none.
+func (x *Index) ID(name string) MachineID {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.number(name)
 }
 
-func (x *Index) number(name string) Machine {
+func (x *Index) number(name string) MachineID {
 	id, ok := x.ids[name]
 	if !ok {
-		id = Machine(len(x.ids) + len(x.free))
+		id = MachineID(len(x.ids) + len(x.free))
 		if n := len(x.free); n > 0 {
 			id, x.free = x.free[n-1], x.free[:n-1]
 		}
@@ -89,8 +89,8 @@
 	return id
 }
 
-// Drop forgets a machine and all that it held.
-func (x *Index) Drop(name string) {
+// Remove forgets a machine and all that it held.
+func (x *Index) Remove(name string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	id, ok := x.ids[name]
@@ -111,10 +111,10 @@
 	}
 }
 
-// Take notes all that a machine holds: of each dataset its number of parts and which of
+// Set notes all that a machine holds: of each dataset its number of parts and which of
 // them. Parts beyond that number are left out. The bitmaps are not changed, and the
 // caller must not change them any more.
-func (x *Index) Take(name string, all map[string]Holding) {
+func (x *Index) Set(name string, all map[string]Replica) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	id := x.number(name)
@@ -134,14 +134,14 @@
 	x.snap.Store(&next)
 }
 
-// Holding is what a machine says that it holds of a dataset: which parts, of how many.
-type Holding struct {
+// Replica is what a machine says that it holds of a dataset: which parts, of how many.
+type Replica struct {
 	Of    int
 	Parts *roaring.Bitmap
 }
 
 // take sets what a machine holds of one dataset. It works on a copy of the last snapshot.
-func (s *Snapshot) take(id Machine, d string, of int, parts *roaring.Bitmap) {
+func (s *Snapshot) take(id MachineID, d string, of int, parts *roaring.Bitmap) {
 	mine, ok := s.machines.Get(id)
 	if !ok {
 		mine = immutable.NewMap[string, held](nil)
@@ -162,11 +162,11 @@
 	}
 	ds, ok := s.sets.Get(d)
 	if !ok {
-		ds = &set{holders: immutable.NewList[[]Machine]()}
+		ds = &set{holders: immutable.NewList[[]MachineID]()}
 	}
 	next := *ds
 	if of > next.parts {
-		b := immutable.NewListBuilder[[]Machine]()
+		b := immutable.NewListBuilder[[]MachineID]()
 		for i := range of {
 			if i < next.holders.Len() {
 				b.Append(next.holders.Get(i))
@@ -208,17 +208,17 @@
 	}
 }
 
-func with(list []Machine, id Machine) []Machine {
+func with(list []MachineID, id MachineID) []MachineID {
 	at, ok := slices.BinarySearch(list, id)
 	if ok {
 		return list
 	}
-	out := make([]Machine, 0, len(list)+1)
+	out := make([]MachineID, 0, len(list)+1)
 	out = append(append(out, list[:at]...), id)
 	return append(out, list[at:]...)
 }
 
-func without(list []Machine, id Machine) []Machine {
+func without(list []MachineID, id MachineID) []MachineID {
 	at, ok := slices.BinarySearch(list, id)
 	if !ok {
 		return list
@@ -231,7 +231,7 @@
 
 // Holders are the machines that hold a part, in the order of their numbers. The list is
 // shared and must not be changed.
-func (s *Snapshot) Holders(dataset string, part int) []Machine {
+func (s *Snapshot) Holders(dataset string, part int) []MachineID {
 	ds, ok := s.sets.Get(dataset)
 	if !ok || part < 0 || part >= ds.parts {
 		return nil
@@ -239,8 +239,8 @@
 	return ds.holders.Get(part)
 }
 
-// Whole are the machines that hold a dataset whole; the same applies.
-func (s *Snapshot) Whole(dataset string) []Machine {
+// Complete are the machines that hold a dataset whole; the same applies.
+func (s *Snapshot) Complete(dataset string) []MachineID {
 	if ds, ok := s.sets.Get(dataset); ok {
 		return ds.whole
 	}
@@ -248,14 +248,14 @@
 }
 
 // Has tells whether a machine holds a part.
-func (s *Snapshot) Has(m Machine, dataset string, part int) bool {
+func (s *Snapshot) Has(m MachineID, dataset string, part int) bool {
 	_, ok := slices.BinarySearch(s.Holders(dataset, part), m)
 	return ok
 }
 
 // Parts are what a machine holds of a dataset; nil: nothing. The bitmap must not be
 // changed.
-func (s *Snapshot) Parts(m Machine, dataset string) *roaring.Bitmap {
+func (s *Snapshot) Parts(m MachineID, dataset string) *roaring.Bitmap {
 	if mine, ok := s.machines.Get(m); ok {
 		if h, ok := mine.Get(dataset); ok {
 			return h.parts
@@ -265,7 +265,7 @@
 }
 
 // Count is the number of a dataset's parts that a machine holds.
-func (s *Snapshot) Count(m Machine, dataset string) int {
+func (s *Snapshot) Count(m MachineID, dataset string) int {
 	if mine, ok := s.machines.Get(m); ok {
 		h, _ := mine.Get(dataset)
 		return h.count
--- a/replicas/holdings_test.go
+++ b/replicas/holdings_test.go
@@ -10,7 +10,7 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-func of(n int, parts ...uint32) Holding { return Holding{n, roaring.BitmapOf(parts...)} }
+func of(n int, parts ...uint32) Replica { return Replica{n, roaring.BitmapOf(parts...)} }
 
 // Whatever agents say in whatever order, both directions of the index agree, and a
 // snapshot taken before does not change.
@@ -22,7 +22,7 @@
 	for range 400 {
 		name := fmt.Sprintf("n-%d", rng.IntN(12))
 		if rng.IntN(10) == 0 {
-			x.Drop(name)
+			x.Remove(name)
 			delete(truth, name)
 			continue
 		}
@@ -34,12 +34,12 @@
 				truth[name][k] = true
 			}
 		}
-		x.Take(name, map[string]Holding{"a": of(20, parts...)})
+		x.Set(name, map[string]Replica{"a": of(20, parts...)})
 		s := x.Snapshot()
 		for k := range 20 {
 			n := 0
 			for m, has := range truth {
-				id := x.Machine(m)
+				id := x.ID(m)
 				if s.Has(id, "a", k) != has[k] {
 					t.Fatalf("part %d on %s", k, m)
 				}
@@ -62,14 +62,14 @@
 
 func TestWholeAndWhatIsTooMuch(t *testing.T) {
 	x := New()
-	x.Take("n-1", map[string]Holding{"a": of(3, 0, 1, 2, 9)})
-	x.Take("n-2", map[string]Holding{"a": of(3, 0, 2)})
+	x.Set("n-1", map[string]Replica{"a": of(3, 0, 1, 2, 9)})
+	x.Set("n-2", map[string]Replica{"a": of(3, 0, 2)})
 	s := x.Snapshot()
-	if !slices.Equal(s.Whole("a"), []Machine{x.Machine("n-1")}) || s.Holders("a", 9) != nil {
-		t.Fatalf("whole: %v", s.Whole("a"))
+	if !slices.Equal(s.Complete("a"), []MachineID{x.ID("n-1")}) || s.Holders("a", 9) != nil {
+		t.Fatalf("whole: %v", s.Complete("a"))
 	}
-	x.Take("n-1", map[string]Holding{})
-	if s := x.Snapshot(); len(s.Whole("a")) != 0 || len(s.Holders("a", 0)) != 1 {
+	x.Set("n-1", map[string]Replica{})
+	if s := x.Snapshot(); len(s.Complete("a")) != 0 || len(s.Holders("a", 0)) != 1 {
 		t.Fatal("what is gone is still there")
 	}
 }
@@ -88,7 +88,7 @@
 	}
 	x := New()
 	for i, b := range on {
-		x.Take(fmt.Sprintf("n-%06d", i), map[string]Holding{"chunks": {parts, b}})
+		x.Set(fmt.Sprintf("n-%06d", i), map[string]Replica{"chunks": {parts, b}})
 	}
 	return x
 }
@@ -115,11 +115,11 @@
 
 func BenchmarkTake(b *testing.B) {
 	x := fill(2000, 20000)
-	parts := x.Snapshot().Parts(x.Machine("n-000007"), "chunks").Clone()
+	parts := x.Snapshot().Parts(x.ID("n-000007"), "chunks").Clone()
 	for b.Loop() {
 		parts = parts.Clone()
 		parts.Flip(7, 8)
-		x.Take("n-000007", map[string]Holding{"chunks": {20000, parts}})
+		x.Set("n-000007", map[string]Replica{"chunks": {20000, parts}})
 	}
 }
 
@@ -132,25 +132,25 @@
 	for i := range 64 {
 		names = append(names, fmt.Sprintf("n-%06d", i))
 	}
-	number := func(n string) (Machine, bool) { return x.Machine(n), true }
-	h, told, err := PackHint(s, names, number, 15<<10)
+	number := func(n string) (MachineID, bool) { return x.ID(n), true }
+	h, told, err := EncodeHint(s, names, number, 15<<10)
 	if err != nil || told != 64 {
 		t.Fatalf("%d told, %d bytes: %v", told, len(h.Packed), err)
 	}
 	t.Logf("%d bytes for %d machines", len(h.Packed), told)
-	all, err := h.Unpack()
+	all, err := h.Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range names {
-		if got := all[n]["chunks"]; got.Of != 20000 || !got.Parts.Equals(s.Parts(x.Machine(n), "chunks")) {
+		if got := all[n]["chunks"]; got.Of != 20000 || !got.Parts.Equals(s.Parts(x.ID(n), "chunks")) {
 			t.Fatalf("%s: %v", n, got)
 		}
 	}
-	if h, told, _ = PackHint(s, names, number, 2000); told == 0 || told == 64 || len(h.Packed) > 2000 {
+	if h, told, _ = EncodeHint(s, names, number, 2000); told == 0 || told == 64 || len(h.Packed) > 2000 {
 		t.Fatalf("%d told in %d bytes", told, len(h.Packed))
 	}
-	if _, err := (Hint{"AAAA"}).Unpack(); err == nil {
+	if _, err := (Hint{"AAAA"}).Decode(); err == nil {
 		t.Fatal("nonsense was taken")
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -13,17 +13,17 @@
 
 // Settings is what the platform hands a controller.
 type Settings struct {
-	Member   string    `toml:"member"`
-	Zone     string    `toml:"site"`
-	Listen   string    `toml:"serve_on"`
-	Back     string    `toml:"back"`
-	Siblings []Sibling `toml:"siblings"`
-	External External  `toml:"external"`
-	Facts    Facts     `toml:"facts"`
+	Member     string   `toml:"member"`
+	Zone       string   `toml:"site"`
+	Listen     string   `toml:"serve_on"`
+	PeerListen string   `toml:"back"`
+	Peers      []Peer   `toml:"siblings"`
+	External   External `toml:"external"`
+	Facts      Facts    `toml:"facts"`
 }
 
-// Sibling is another controller.
-type Sibling struct {
+// Peer is another controller.
+type Peer struct {
 	Member  string `toml:"member"`
 	Zone    string `toml:"site"`
 	Address string `toml:"address"`
@@ -162,11 +162,11 @@
 		fail("member", "is missing")
 	}
 	addr("serve_on", s.Listen)
-	addr("back", s.Back)
+	addr("back", s.PeerListen)
 	addr("external.cloud", s.External.Cloud)
 	addr("external.state", s.External.State)
 	seen := map[string]bool{s.Member: true}
-	for i, p := range s.Siblings {
+	for i, p := range s.Peers {
 		f := fmt.Sprintf("siblings[%d]", i)
 		if p.Member == "" || seen[p.Member] {
 			fail(f+".member", "is missing or stands twice")
--- a/softstate/hints.go
+++ b/softstate/hints.go
@@ -17,8 +17,8 @@
 	Images []fleet.Image
 }
 
-// Pack is the record of some machines, with as many images of each as fit into so many bytes.
-func Pack(ms []Machine, bytes int) store.ImagesRecord {
+// EncodeImages is the record of some machines, with as many images of each as fit into so many bytes.
+func EncodeImages(ms []Machine, bytes int) store.ImagesRecord {
 	for each := tuning.ImagesEach; ; each /= 2 {
 		rec := pack(ms, each)
 		raw, err := json.Marshal(rec)
@@ -57,8 +57,8 @@
 	return rec
 }
 
-// Unpack reads a record: images by machine.
-func Unpack(raw []byte) (map[string][]fleet.Image, error) {
+// DecodeImages reads a record: images by machine.
+func DecodeImages(raw []byte) (map[string][]fleet.Image, error) {
 	var rec store.ImagesRecord
 	if err := json.Unmarshal(raw, &rec); err != nil {
 		return nil, err
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -15,8 +15,8 @@
 // comes late or twice does no harm, and proofs rest on what the leader reads in reports,
 // whichever way these came. It is not safe for use from several goroutines at once.
 type Proxy struct {
-	Box  *relay.Outbox
-	Mail relay.Reader
+	Outbox *relay.Outbox
+	Inbox  relay.Reader
 	// spoke is what each agent said last, without what changes all the time; holds are
 	// what it said that it holds, as of a version.
 	spoke map[string]*spoke
@@ -30,26 +30,26 @@
 }
 
 // NewProxy makes a proxy whose reports go into a box.
-func NewProxy(box *relay.Outbox) *Proxy { return &Proxy{Box: box, spoke: map[string]*spoke{}} }
+func NewProxy(box *relay.Outbox) *Proxy { return &Proxy{Outbox: box, spoke: map[string]*spoke{}} }
 
-// Report takes in a report for the leader of a term, and gives what the agent is told.
-func (p *Proxy) Report(r api.StageReport, term uint64, now time.Time) (o api.StageOrder, err error) {
-	if p.Box.Term() != term {
-		p.Box.Begin(term)
+// HandleHeartbeat takes in a report for the leader of a term, and gives what the agent is told.
+func (p *Proxy) HandleHeartbeat(r api.StageHeartbeat, term uint64, now time.Time) (o api.StageOrder, err error) {
+	if p.Outbox.Term() != term {
+		p.Outbox.Reset(term)
 		p.spoke = map[string]*spoke{}
 	}
 	s := p.spoke[r.Machine]
-	if s == nil || s.session != r.Session {
-		s = &spoke{session: r.Session}
+	if s == nil || s.session != r.Incarnation {
+		s = &spoke{session: r.Incarnation}
 		p.spoke[r.Machine] = s
 	}
 	told := api.StageOrder{}
-	if raw := p.Mail.Told(term, r.Machine); raw != nil {
+	if raw := p.Inbox.MessageFor(term, r.Machine); raw != nil {
 		if err := json.Unmarshal(raw, &told); err != nil {
 			return o, err
 		}
 	}
-	there := told.Term == term && told.Session == r.Session
+	there := told.Term == term && told.Incarnation == r.Incarnation
 	if r.All {
 		s.version, s.holds, s.has = r.Version, r.Holds, true
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		return o, err
 	}
-	p.Box.Put(r.Machine, body, !bytes.Equal(said, s.said), now)
+	p.Outbox.Put(r.Machine, body, !bytes.Equal(said, s.said), now)
 	s.said = said
 	// An order of number 0 changes nothing.
 	o = api.StageOrder{Term: r.Term, Sets: []api.StageSet{}}
@@ -86,9 +86,9 @@
 	return o, nil
 }
 
-// Forget drops agents that have not reported for so long.
-func (p *Proxy) Forget(now time.Time, after time.Duration) {
-	for _, name := range p.Box.Forget(now, after) {
+// Expire drops agents that have not reported for so long.
+func (p *Proxy) Expire(now time.Time, after time.Duration) {
+	for _, name := range p.Outbox.Expire(now, after) {
 		delete(p.spoke, name)
 	}
 }
--- a/staging/staging.go
+++ b/staging/staging.go
@@ -37,22 +37,22 @@
 	Peers bool
 }
 
-// Want is one part that a machine shall have. Wants come in the order in which they are
+// Demand is one part that a machine shall have. Wants come in the order in which they are
 // to be met.
-type Want struct {
+type Demand struct {
 	Machine string
 	Set     *dataset.Summary
 	Part    int
 }
 
-// Desk is the state of one term.
-type Desk struct {
+// Planner is the state of one term.
+type Planner struct {
 	term   uint64
 	limits Limits
 	index  *replicas.Index
 	agents map[string]*agent
 	byAddr map[string]*agent
-	ids    map[replicas.Machine]*agent
+	ids    map[replicas.MachineID]*agent
 	// atStore are copies under way from the store, toCome their bytes.
 	atStore int
 	storeTo float64
@@ -62,7 +62,7 @@
 	coming map[piece]int
 	// lacking are the machines that are to have a part and lack it, with the bytes that
 	// they lack, as of the last round.
-	lacking map[piece]map[replicas.Machine]float64
+	lacking map[piece]map[replicas.MachineID]float64
 	// removed are datasets that are removed for good, with their manifests: agents let
 	// go of what they hold of them.
 	removed map[string]string
@@ -77,7 +77,7 @@
 
 type agent struct {
 	name, addr   string
-	id           replicas.Machine
+	id           replicas.MachineID
 	session, seq uint64
 	heard        time.Time
 	version      uint64
@@ -122,23 +122,23 @@
 }
 
 // New makes the desk of a term.
-func New(term uint64, limits Limits, index *replicas.Index) *Desk {
-	return &Desk{term: term, limits: limits, index: index, agents: map[string]*agent{}, byAddr: map[string]*agent{},
-		ids: map[replicas.Machine]*agent{}, lied: map[string]bool{}, coming: map[piece]int{}, lacking: map[piece]map[replicas.Machine]float64{}, removed: map[string]string{}}
+func New(term uint64, limits Limits, index *replicas.Index) *Planner {
+	return &Planner{term: term, limits: limits, index: index, agents: map[string]*agent{}, byAddr: map[string]*agent{},
+		ids: map[replicas.MachineID]*agent{}, lied: map[string]bool{}, coming: map[piece]int{}, lacking: map[piece]map[replicas.MachineID]float64{}, removed: map[string]string{}}
 }
 
-// Heard takes in a report. False: it is older than one that was, and tells nothing.
-func (d *Desk) Heard(r *api.StageReport, now time.Time) bool {
+// ApplyHeartbeat takes in a report. False: it is older than one that was, and tells nothing.
+func (d *Planner) ApplyHeartbeat(r *api.StageHeartbeat, now time.Time) bool {
 	a := d.agents[r.Machine]
 	if a == nil {
-		a = &agent{name: r.Machine, id: d.index.Machine(r.Machine), order: 1, wants: map[string]*want{}}
+		a = &agent{name: r.Machine, id: d.index.ID(r.Machine), order: 1, wants: map[string]*want{}}
 		d.agents[r.Machine], d.ids[a.id] = a, a
 	}
 	a.heard = now
-	if r.Session < a.session || r.Session == a.session && r.Seq <= a.seq {
+	if r.Incarnation < a.session || r.Incarnation == a.session && r.Seq <= a.seq {
 		return false
 	}
-	if r.Session != a.session {
+	if r.Incarnation != a.session {
 		// The agent began anew: it copies nothing now, and its order comes again.
 		for _, w := range a.wants {
 			for k := range w.copies {
@@ -152,17 +152,17 @@
 		a.addr = r.Address
 		d.byAddr[a.addr] = a
 	}
-	a.session, a.seq, a.quota, a.used = r.Session, r.Seq, r.Quota, r.Used
+	a.session, a.seq, a.quota, a.used = r.Incarnation, r.Seq, r.Quota, r.Used
 	a.applied = 0
 	if r.Term == d.term {
 		a.applied = r.Order
 	}
 	if r.All {
-		all := map[string]replicas.Holding{}
+		all := map[string]replicas.Replica{}
 		for _, h := range r.Holds {
-			all[h.Dataset] = replicas.Holding{Of: h.Of, Parts: h.Parts.Bitmap}
+			all[h.Dataset] = replicas.Replica{Of: h.Of, Parts: h.Parts.Bitmap}
 		}
-		d.index.Take(r.Machine, all)
+		d.index.Set(r.Machine, all)
 		a.version = r.Version
 		drop := map[string]bool{}
 		for _, h := range r.Holds {
@@ -202,7 +202,7 @@
 				d.Failed++
 				t.failed[f.From] = f.Why
 			}
-			if f.Lied && f.From.Peer != "" {
+			if f.Corrupt && f.From.Peer != "" {
 				d.lied[f.From.Peer] = true
 			}
 		}
@@ -210,21 +210,21 @@
 	return true
 }
 
-// Hint takes in what a machine held as an earlier leader knew it. Until its agent is
+// ApplyHint takes in what a machine held as an earlier leader knew it. Until its agent is
 // heard it gets no order, is no source, and nothing is proved of it.
-func (d *Desk) Hint(machine string, holds map[string]replicas.Holding, now time.Time) {
+func (d *Planner) ApplyHint(machine string, holds map[string]replicas.Replica, now time.Time) {
 	if d.agents[machine] != nil {
 		return
 	}
-	a := &agent{name: machine, id: d.index.Machine(machine), order: 1, wants: map[string]*want{}, heard: now}
+	a := &agent{name: machine, id: d.index.ID(machine), order: 1, wants: map[string]*want{}, heard: now}
 	d.agents[machine], d.ids[a.id] = a, a
-	d.index.Take(machine, holds)
+	d.index.Set(machine, holds)
 }
 
-// Removed notes that a dataset, known by its manifest's digest, was removed for good:
+// RemoveDataset notes that a dataset, known by its manifest's digest, was removed for good:
 // nothing wants it, and agents that hold something of it, now or when they come back, are
 // ordered to let it go.
-func (d *Desk) Removed(name, manifest string) {
+func (d *Planner) RemoveDataset(name, manifest string) {
 	if d.removed[name] != "" {
 		return
 	}
@@ -243,8 +243,8 @@
 	}
 }
 
-// Gone forgets a machine that no longer exists.
-func (d *Desk) Gone(machine string) {
+// RemoveMachine forgets a machine that no longer exists.
+func (d *Planner) RemoveMachine(machine string) {
 	a := d.agents[machine]
 	if a == nil {
 		return
@@ -257,18 +257,18 @@
 	delete(d.agents, machine)
 	delete(d.ids, a.id)
 	delete(d.byAddr, a.addr)
-	d.index.Drop(machine)
+	d.index.Remove(machine)
 }
 
 // Alive tells whether a machine's agent was heard within so long: only such machines are
 // chosen for tasks with inputs. It is a choice, and no proof of anything.
-func (d *Desk) Alive(machine string, now time.Time, within time.Duration) bool {
+func (d *Planner) Alive(machine string, now time.Time, within time.Duration) bool {
 	a := d.agents[machine]
 	return a != nil && now.Sub(a.heard) < within
 }
 
 // ID is a machine's number in the index of holdings; false: its agent was never heard.
-func (d *Desk) ID(machine string) (replicas.Machine, bool) {
+func (d *Planner) ID(machine string) (replicas.MachineID, bool) {
 	a := d.agents[machine]
 	if a == nil {
 		return 0, false
@@ -277,13 +277,13 @@
 }
 
 // Full tells whether a machine's cache has no room for what it was to copy.
-func (d *Desk) Full(machine string) bool {
+func (d *Planner) Full(machine string) bool {
 	a := d.agents[machine]
 	return a != nil && a.full
 }
 
-// Proved tells whether a part is proved whole, checked and pinned on a machine.
-func (d *Desk) Proved(machine string, set *dataset.Summary, part int) bool {
+// Confirmed tells whether a part is proved whole, checked and pinned on a machine.
+func (d *Planner) Confirmed(machine string, set *dataset.Summary, part int) bool {
 	a := d.agents[machine]
 	if a == nil {
 		return false
@@ -292,8 +292,8 @@
 	return w != nil && a.applied >= w.added && a.applied > 0 && w.pinned.Contains(uint32(part)) && w.parts.Contains(uint32(part))
 }
 
-// ProvedAll is the same for all parts of a dataset.
-func (d *Desk) ProvedAll(machine string, set *dataset.Summary) bool {
+// ConfirmedAll is the same for all parts of a dataset.
+func (d *Planner) ConfirmedAll(machine string, set *dataset.Summary) bool {
 	a := d.agents[machine]
 	if a == nil {
 		return false
@@ -305,7 +305,7 @@
 
 // Idle tells whether every agent that was heard keeps an order of this term, and none is
 // to have anything: a round without wants would change nothing.
-func (d *Desk) Idle() bool {
+func (d *Planner) Idle() bool {
 	for _, a := range d.agents {
 		if len(a.wants) > 0 || a.redrop || a.addr != "" && (!a.planned || a.applied != a.order) {
 			return false
@@ -314,38 +314,38 @@
 	return true
 }
 
-// Behind is what a machine's link has to bring already, in bytes.
-func (d *Desk) Behind(machine string) float64 {
+// QueuedBytes is what a machine's link has to bring already, in bytes.
+func (d *Planner) QueuedBytes(machine string) float64 {
 	if a := d.agents[machine]; a != nil {
 		return a.toCome
 	}
 	return 0
 }
 
-// Expect counts bytes that are to come to a machine, until the next round counts anew.
-func (d *Desk) Expect(machine string, bytes float64) {
+// ReserveBytes counts bytes that are to come to a machine, until the next round counts anew.
+func (d *Planner) ReserveBytes(machine string, bytes float64) {
 	if a := d.agents[machine]; a != nil {
 		a.toCome += bytes
 	}
 }
 
-// DelayBehind is how long it takes to bring so many bytes over a link that has so many to
+// TransferDelay is how long it takes to bring so many bytes over a link that has so many to
 // bring already, and from the store as that is loaded now, in seconds. StoreOnly: no
 // machine holds them.
-func (d *Desk) DelayBehind(behind, bytes float64, storeOnly bool) float64 {
+func (d *Planner) TransferDelay(behind, bytes float64, storeOnly bool) float64 {
 	return cost.Copy(bytes, behind, d.limits.LinkRate, d.storeTo, d.limits.StoreRate, storeOnly || !d.limits.Peers)
 }
 
-// Coming are the machines that a part is on its way to, with the bytes that they still
+// InFlight are the machines that a part is on its way to, with the bytes that they still
 // lack; the map must not be changed.
-func (d *Desk) Coming(set string, part int) map[replicas.Machine]float64 {
+func (d *Planner) InFlight(set string, part int) map[replicas.MachineID]float64 {
 	return d.lacking[piece{set, part}]
 }
 
 // Spread is how long it takes until one more machine has a part, as far as its sources go,
 // in seconds: they give it to as many machines as they can at once, which then give it on,
 // so the number of machines that have it doubles with each copy's time or so.
-func (d *Desk) Spread(set *dataset.Summary, part, holders int) float64 {
+func (d *Planner) Spread(set *dataset.Summary, part, holders int) float64 {
 	if d.limits.LinkRate <= 0 || !d.limits.Peers {
 		return 0
 	}
@@ -353,7 +353,7 @@
 	return float64(set.PartBytes(part)) / d.limits.LinkRate * math.Ceil(math.Log2(1+float64(ahead+1)/float64(max(1, holders))))
 }
 
-func (d *Desk) drop(a *agent, w *want, part int) {
+func (d *Planner) drop(a *agent, w *want, part int) {
 	t := w.copies[part]
 	if t == nil {
 		return
@@ -370,10 +370,10 @@
 	}
 }
 
-// Round takes in all that is wanted, the most urgent first, and decides what is copied.
+// Plan takes in all that is wanted, the most urgent first, and decides what is copied.
 // What no longer stands in it may be evicted. It gives the machines whose order must go
 // out now, in the order of their names.
-func (d *Desk) Round(wants []Want, now time.Time) []string {
+func (d *Planner) Plan(wants []Demand, now time.Time) []string {
 	d.setWants(wants)
 	d.recount()
 	snap := d.index.Snapshot()
@@ -405,7 +405,7 @@
 		}
 		on := d.lacking[piece{x.Set.Name, x.Part}]
 		if on == nil {
-			on = map[replicas.Machine]float64{}
+			on = map[replicas.MachineID]float64{}
 			d.lacking[piece{x.Set.Name, x.Part}] = on
 		}
 		on[a.id] = size
@@ -437,7 +437,7 @@
 
 // recount counts what is on each link anew: agents that went and came in between may have
 // been counted under an address that another has now.
-func (d *Desk) recount() {
+func (d *Planner) recount() {
 	clear(d.coming)
 	d.atStore = 0
 	for _, a := range d.agents {
@@ -454,7 +454,7 @@
 	d.Planned = planned
 }
 
-func (d *Desk) take(a *agent, set string, part int, from api.StageSource) {
+func (d *Planner) take(a *agent, set string, part int, from api.StageSource) {
 	d.Planned++
 	a.down++
 	d.coming[piece{set, part}]++
@@ -467,7 +467,7 @@
 
 // setWants brings the orders in line with what is wanted, as far as each cache can hold
 // it; what is more urgent comes first.
-func (d *Desk) setWants(wants []Want) {
+func (d *Planner) setWants(wants []Demand) {
 	next := map[*agent]map[string]*roaring.Bitmap{}
 	sets := map[string]*dataset.Summary{}
 	for _, a := range d.agents {
@@ -538,7 +538,7 @@
 // sources are where a part comes from, best first; nil: it has to wait. Peers that hold
 // it come first, those that give out least, then the store. While another machine gets it
 // from the store, it is waited for: each part shall leave the store once.
-func (d *Desk) sources(a *agent, x Want, snap *replicas.Snapshot, now time.Time, not map[api.StageSource]string) []api.StageSource {
+func (d *Planner) sources(a *agent, x Demand, snap *replicas.Snapshot, now time.Time, not map[api.StageSource]string) []api.StageSource {
 	if a.addr == "" || a.down >= d.limits.PerLink {
 		return nil
 	}
@@ -575,7 +575,7 @@
 }
 
 // onItsWay tells whether a part comes to some machine, and gets on.
-func (d *Desk) onItsWay(set string, part int, now time.Time) bool {
+func (d *Planner) onItsWay(set string, part int, now time.Time) bool {
 	if d.coming[piece{set, part}] == 0 {
 		return false
 	}
@@ -590,7 +590,7 @@
 }
 
 // better gives a copy whose sources all failed others, if there are any.
-func (d *Desk) better(a *agent, w *want, part int, t *transfer, snap *replicas.Snapshot, now time.Time) bool {
+func (d *Planner) better(a *agent, w *want, part int, t *transfer, snap *replicas.Snapshot, now time.Time) bool {
 	for _, s := range t.from {
 		if _, failed := t.failed[s]; !failed && !(s.Peer != "" && d.lied[s.Peer]) {
 			return false
@@ -598,7 +598,7 @@
 	}
 	failed := maps.Clone(t.failed)
 	d.drop(a, w, part)
-	from := d.sources(a, Want{a.name, w.set, part}, snap, now, failed)
+	from := d.sources(a, Demand{a.name, w.set, part}, snap, now, failed)
 	if from == nil || slices.Equal(from, t.from) {
 		// Nothing better: it stays, and the agent tries again with growing pauses.
 		from = t.from
@@ -613,16 +613,16 @@
 	return !same
 }
 
-func (d *Desk) byID(m replicas.Machine) *agent { return d.ids[m] }
+func (d *Planner) byID(m replicas.MachineID) *agent { return d.ids[m] }
 
 // Order is a machine's order as it stands; false: its agent is not known, or no round has
 // looked at it yet.
-func (d *Desk) Order(machine string) (o api.StageOrder, addr string, ok bool) {
+func (d *Planner) Order(machine string) (o api.StageOrder, addr string, ok bool) {
 	a := d.agents[machine]
 	if a == nil || !a.planned {
 		return o, "", false
 	}
-	o = api.StageOrder{Term: d.term, Session: a.session, Order: a.order, Known: a.version, Sets: []api.StageSet{}}
+	o = api.StageOrder{Term: d.term, Incarnation: a.session, Order: a.order, Known: a.version, Sets: []api.StageSet{}}
 	for _, name := range slices.Sorted(maps.Keys(a.wants)) {
 		w := a.wants[name]
 		set := api.StageSet{Dataset: name, Manifest: w.set.Manifest.String(), Parts: api.PartSet{Bitmap: w.parts}}
@@ -639,8 +639,8 @@
 	return o, a.addr, true
 }
 
-// Copying is one copy as operators see it.
-type Copying struct {
+// CopyStatus is one copy as operators see it.
+type CopyStatus struct {
 	Machine, Dataset string
 	Part             int
 	Got, Of          int64
@@ -650,15 +650,15 @@
 }
 
 // Copies are all copies under way, by machine, dataset and part.
-func (d *Desk) Copies() []Copying {
-	var out []Copying
+func (d *Planner) Copies() []CopyStatus {
+	var out []CopyStatus
 	for _, name := range slices.Sorted(maps.Keys(d.agents)) {
 		a := d.agents[name]
 		for _, set := range slices.Sorted(maps.Keys(a.wants)) {
 			w := a.wants[set]
 			for _, k := range slices.Sorted(maps.Keys(w.copies)) {
 				t := w.copies[k]
-				c := Copying{Machine: name, Dataset: set, Part: k, Got: t.got, Of: w.set.PartBytes(k), From: t.from, Full: a.full, Failed: map[string]string{}}
+				c := CopyStatus{Machine: name, Dataset: set, Part: k, Got: t.got, Of: w.set.PartBytes(k), From: t.from, Full: a.full, Failed: map[string]string{}}
 				for s, why := range t.failed {
 					c.Failed[s.String()] = why
 				}
@@ -670,7 +670,7 @@
 }
 
 // Backlog is how many bytes are still to come to all machines.
-func (d *Desk) Backlog() float64 {
+func (d *Planner) Backlog() float64 {
 	sum := 0.0
 	for _, a := range d.agents {
 		sum += a.toCome
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -32,16 +32,16 @@
 func (p *played) addr() string { return p.name + ":1" }
 
 func (p *played) apply(o api.StageOrder) bool {
-	if o.Term < p.term || o.Term == p.term && o.Order < p.order || o.Session != p.session {
+	if o.Term < p.term || o.Term == p.term && o.Order < p.order || o.Incarnation != p.session {
 		return false
 	}
 	p.term, p.order, p.sets = o.Term, o.Order, o.Sets
 	return true
 }
 
-func (p *played) report() *api.StageReport {
+func (p *played) report() *api.StageHeartbeat {
 	p.seq++
-	r := &api.StageReport{Machine: p.name, Address: p.addr(), Session: p.session, Seq: p.seq, Term: p.term, Order: p.order, Quota: p.quota, All: true}
+	r := &api.StageHeartbeat{Machine: p.name, Address: p.addr(), Incarnation: p.session, Seq: p.seq, Term: p.term, Order: p.order, Quota: p.quota, All: true}
 	held := roaring.New()
 	for k := range p.has {
 		held.Add(k)
@@ -76,14 +76,14 @@
 	return w
 }
 
-func (w *world) step(d *Desk, wants []Want) {
+func (w *world) step(d *Planner, wants []Demand) {
 	w.now = w.now.Add(time.Second)
 	for _, n := range w.order {
 		if !w.agents[n].down {
-			d.Heard(w.agents[n].report(), w.now)
+			d.ApplyHeartbeat(w.agents[n].report(), w.now)
 		}
 	}
-	for _, n := range d.Round(wants, w.now) {
+	for _, n := range d.Plan(wants, w.now) {
 		if o, _, ok := d.Order(n); ok && !w.agents[n].down {
 			w.agents[n].apply(o)
 		}
@@ -120,7 +120,7 @@
 						}
 						break
 					}
-					p.failed[c.Part] = append(p.failed[c.Part], api.StageFailure{From: f, Why: why, Lied: lied})
+					p.failed[c.Part] = append(p.failed[c.Part], api.StageFailure{From: f, Why: why, Corrupt: lied})
 				}
 			}
 		}
@@ -140,18 +140,18 @@
 
 var limits = Limits{LinkRate: 100, StoreRate: 100, PerLink: 2, AtStore: 2, Peers: true}
 
-func all(w *world, parts ...int) (out []Want) {
+func all(w *world, parts ...int) (out []Demand) {
 	for _, k := range parts {
 		for _, n := range w.order {
-			out = append(out, Want{n, inv, k})
+			out = append(out, Demand{n, inv, k})
 		}
 	}
 	return out
 }
 
-func (w *world) proved(d *Desk, wants []Want) bool {
+func (w *world) proved(d *Planner, wants []Demand) bool {
 	for _, x := range wants {
-		if !d.Proved(x.Machine, x.Set, x.Part) {
+		if !d.Confirmed(x.Machine, x.Set, x.Part) {
 			return false
 		}
 	}
@@ -202,7 +202,7 @@
 			w.step(d, all(w, 0, 1)[1:])
 		}
 		for _, n := range w.order[1:] {
-			if !d.Proved(n, inv, 0) || !d.Proved(n, inv, 1) {
+			if !d.Confirmed(n, inv, 0) || !d.Confirmed(n, inv, 1) {
 				t.Errorf("%s: %s lacks a part", kind, n)
 			}
 		}
@@ -217,44 +217,44 @@
 func TestProofNeedsAnOrderSince(t *testing.T) {
 	w := newWorld(1)
 	d := New(5, limits, replicas.New())
-	one := []Want{{"n-0", inv, 1}}
+	one := []Demand{{"n-0", inv, 1}}
 	for range 5 {
 		w.step(d, one)
 	}
-	if !d.Proved("n-0", inv, 1) {
+	if !d.Confirmed("n-0", inv, 1) {
 		t.Fatal("not proved")
 	}
 	old := w.agents["n-0"].report()
-	d.Round(nil, w.now)
-	if d.Proved("n-0", inv, 1) {
+	d.Plan(nil, w.now)
+	if d.Confirmed("n-0", inv, 1) {
 		t.Fatal("proved though it may go")
 	}
-	d.Round(one, w.now)
+	d.Plan(one, w.now)
 	old.Seq += 5
-	d.Heard(old, w.now)
-	if d.Proved("n-0", inv, 1) {
+	d.ApplyHeartbeat(old, w.now)
+	if d.Confirmed("n-0", inv, 1) {
 		t.Fatal("proved by a report that keeps an order from before the break")
 	}
 	w.agents["n-0"].seq += 9
 	for range 3 {
 		w.step(d, one)
 	}
-	if !d.Proved("n-0", inv, 1) {
+	if !d.Confirmed("n-0", inv, 1) {
 		t.Fatal("not proved again")
 	}
 	// The next leader believes nothing that its own order did not ask for.
 	next := New(6, limits, replicas.New())
-	next.Heard(w.agents["n-0"].report(), w.now)
-	next.Round(one, w.now)
-	next.Heard(w.agents["n-0"].report(), w.now)
-	if next.Proved("n-0", inv, 1) {
+	next.ApplyHeartbeat(w.agents["n-0"].report(), w.now)
+	next.Plan(one, w.now)
+	next.ApplyHeartbeat(w.agents["n-0"].report(), w.now)
+	if next.Confirmed("n-0", inv, 1) {
 		t.Fatal("proved under an earlier leader's order")
 	}
 	for range 3 {
 		w.step(next, one)
 	}
 	late, _, _ := d.Order("n-0")
-	if !next.Proved("n-0", inv, 1) || w.agents["n-0"].apply(late) {
+	if !next.Confirmed("n-0", inv, 1) || w.agents["n-0"].apply(late) {
 		t.Fatal("the new leader's order does not hold, or an old one was taken")
 	}
 }
@@ -279,7 +279,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		w := newWorld(6)
 		d := New(5, limits, replicas.New())
-		var wants []Want
+		var wants []Demand
 		for i := range 200 {
 			if i < 150 {
 				p := w.agents[w.order[rng.IntN(6)]]
@@ -289,14 +289,14 @@
 				case 1:
 					p.session, p.seq = p.session+1, 0
 				case 2:
-					d.Gone(p.name)
+					d.RemoveMachine(p.name)
 					p.has, p.session, p.seq, p.sets, p.term, p.order = map[uint32]bool{}, p.session+1, 0, nil, 0, 0
 				case 3:
 					w.storeDown = !w.storeDown
 				case 4:
 					wants = nil
 					for range rng.IntN(12) {
-						wants = append(wants, Want{w.order[rng.IntN(6)], inv, rng.IntN(8)})
+						wants = append(wants, Demand{w.order[rng.IntN(6)], inv, rng.IntN(8)})
 					}
 				}
 			} else {
--- a/store/client.go
+++ b/store/client.go
@@ -15,36 +15,36 @@
 	"switchferry/tuning"
 )
 
-// Outcomes of a call. ErrUnknown: it may have been executed, or may be later.
+// Outcomes of a call. ErrOutcomeUnknown: it may have been executed, or may be later.
 var (
 	ErrConflict = errors.New("a condition failed")
 	ErrNotFound = errors.New("no such key")
 	ErrNoLease  = errors.New("no such lease")
 	ErrBusy     = errors.New("refused, not executed")
-	// ErrTooMany is an ErrBusy: refused for the number of requests or changes.
-	ErrTooMany = fmt.Errorf("%w: status 429", ErrBusy)
-	ErrUnknown = errors.New("no answer, outcome unknown")
-	// ErrRefused: what was sent is not allowed, and will not be when it is sent again.
-	ErrRefused = errors.New("refused for what it is")
-	ErrTooOld  = errors.New("revision no longer kept")
+	// ErrRateLimited is an ErrBusy: refused for the number of requests or changes.
+	ErrRateLimited    = fmt.Errorf("%w: status 429", ErrBusy)
+	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
+	// ErrInvalidRequest: what was sent is not allowed, and will not be when it is sent again.
+	ErrInvalidRequest = errors.New("refused for what it is")
+	ErrCompacted      = errors.New("revision no longer kept")
 )
 
 // Item is a key with its value and the revision of its last change.
 type Item struct {
-	Key   string          `json:"k"`
-	Value json.RawMessage `json:"value"`
-	Stamp uint64          `json:"stamp"`
-	Lease uint64          `json:"ticket"`
+	Key      string          `json:"k"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
+	Lease    uint64          `json:"ticket"`
 }
 
-// Cond holds if Key has this revision; 0: it does not exist.
-type Cond struct {
-	Key   string `json:"k"`
-	Stamp uint64 `json:"stamp"`
+// Condition holds if Key has this revision; 0: it does not exist.
+type Condition struct {
+	Key      string `json:"k"`
+	Revision uint64 `json:"stamp"`
 }
 
-// Op sets or deletes a key.
-type Op struct {
+// Operation sets or deletes a key.
+type Operation struct {
 	Set    string `json:"set,omitempty"`
 	Value  any    `json:"value,omitempty"`
 	Lease  uint64 `json:"ticket,omitempty"`
@@ -53,23 +53,23 @@
 
 // Event is one change that a watch saw.
 type Event struct {
-	Set    string          `json:"set"`
-	Value  json.RawMessage `json:"value"`
-	Delete string          `json:"delete"`
-	Stamp  uint64          `json:"stamp"`
+	Set      string          `json:"set"`
+	Value    json.RawMessage `json:"value"`
+	Delete   string          `json:"delete"`
+	Revision uint64          `json:"stamp"`
 }
 
 // Client speaks to the state service.
 type Client struct {
 	base string
 	http *http.Client
-	// Seen is told of every answer: true when the service served the call.
-	Seen func(served bool)
+	// OnResponse is told of every answer: true when the service served the call.
+	OnResponse func(served bool)
 }
 
 // NewClient makes a client for an address.
 func NewClient(addr string, transport http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, Seen: func(bool) {}}
+	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, OnResponse: func(bool) {}}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body, into any, timeout time.Duration) (int, error) {
@@ -77,26 +77,26 @@
 	defer stop()
 	status, raw, err := rest.Do(ctx, c.http, method, c.base+path, body)
 	if err != nil {
-		c.Seen(false)
-		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
+		c.OnResponse(false)
+		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	switch status {
 	case http.StatusServiceUnavailable:
-		c.Seen(false)
+		c.OnResponse(false)
 		return status, fmt.Errorf("%w: status 503", ErrBusy)
 	case http.StatusTooManyRequests:
-		return status, ErrTooMany
+		return status, ErrRateLimited
 	}
-	c.Seen(true)
+	c.OnResponse(true)
 	if into != nil && len(raw) > 0 {
 		if err := json.Unmarshal(raw, into); err != nil {
-			return status, fmt.Errorf("%w: malformed answer: %v", ErrUnknown, err)
+			return status, fmt.Errorf("%w: malformed answer: %v", ErrOutcomeUnknown, err)
 		}
 	}
 	return status, nil
 }
 
-func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrUnknown, status) }
+func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status) }
 
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
@@ -146,12 +146,12 @@
 	}
 }
 
-// Multi runs a transaction and returns its revision; on ErrConflict the keys
+// Transact runs a transaction and returns its revision; on ErrConflict the keys
 // whose conditions failed.
-func (c *Client) Multi(ctx context.Context, conds []Cond, ops []Op) (uint64, []string, error) {
+func (c *Client) Transact(ctx context.Context, conds []Condition, ops []Operation) (uint64, []string, error) {
 	body := struct {
-		If   []Cond `json:"if"`
-		Then []Op   `json:"then,omitempty"`
+		If   []Condition `json:"if"`
+		Then []Operation `json:"then,omitempty"`
 	}{conds, ops}
 	var ans struct {
 		Epoch  uint64   `json:"epoch"`
@@ -169,13 +169,13 @@
 	case status == http.StatusBadRequest && ans.Error == "no such lease":
 		return 0, nil, ErrNoLease
 	case status >= 400 && status < 500:
-		return 0, nil, fmt.Errorf("%w: status %d %s", ErrRefused, status, ans.Error)
+		return 0, nil, fmt.Errorf("%w: status %d %s", ErrInvalidRequest, status, ans.Error)
 	}
 	return 0, nil, unexpected(status)
 }
 
-// Grant makes a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+// GrantLease makes a lease.
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	var ans struct {
 		Ticket uint64 `json:"ticket"`
 	}
@@ -191,8 +191,8 @@
 
 func leasePath(id uint64) string { return "/leases/" + strconv.FormatUint(id, 10) }
 
-// Renew renews a lease.
-func (c *Client) Renew(ctx context.Context, id uint64) error {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	status, err := c.call(ctx, http.MethodPost, leasePath(id)+"/renew", nil, nil, tuning.StateTimeout)
 	switch {
 	case err != nil:
@@ -205,8 +205,8 @@
 	return unexpected(status)
 }
 
-// End ends a lease at once, and the keys on it.
-func (c *Client) End(ctx context.Context, id uint64) error {
+// RevokeLease ends a lease at once, and the keys on it.
+func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	_, err := c.call(ctx, http.MethodDelete, leasePath(id), nil, nil, tuning.StateTimeout)
 	return err
 }
@@ -226,7 +226,7 @@
 	case status == http.StatusOK:
 		return ans.Log, ans.Epoch, nil
 	case status == http.StatusGone:
-		return nil, 0, ErrTooOld
+		return nil, 0, ErrCompacted
 	}
 	return nil, 0, unexpected(status)
 }
--- a/store/commit.go
+++ b/store/commit.go
@@ -20,13 +20,13 @@
 	"switchferry/tuning"
 )
 
-// Source builds records as they stand at the moment of a commit.
-type Source interface {
+// RecordSource builds records as they stand at the moment of a commit.
+type RecordSource interface {
 	// Record gives a key's value; false: the key is to be deleted. Further
 	// conditions can be added.
-	Record(key string) (value any, exists bool, more []Cond)
+	Record(key string) (value any, exists bool, more []Condition)
 	// Condition holds while we lead; false: we do not.
-	Condition() (Cond, bool)
+	Condition() (Condition, bool)
 	// Conflict tells what a key holds that was not written by this leader.
 	Conflict(key string, found *Item)
 	// Committed is called once what waited for a commit has run.
@@ -40,7 +40,7 @@
 // was unknown and that is applied late cannot undo a newer one.
 type Committer struct {
 	client *Client
-	src    Source
+	src    RecordSource
 	clock  clockwork.Clock
 	ops    int
 	// conds is the most conditions of a transaction.
@@ -51,7 +51,7 @@
 	// lower is the rate that the limiter sinks to once changes are refused for their number;
 	// 0: no lower limit is announced.
 	lower rate.Limit
-	hedge *Hedge
+	hedge *HedgedClient
 	// resting: nothing that waits may be written yet; used by the loop alone.
 	resting bool
 	// turns are the changes that records which have waited long have a right to.
@@ -94,13 +94,13 @@
 
 // NewCommitter makes a committer for one term. Stamps are the revisions of
 // the keys as loaded.
-func NewCommitter(client *Client, src Source, clock clockwork.Clock, limits settings.State, stamps map[string]uint64) *Committer {
+func NewCommitter(client *Client, src RecordSource, clock clockwork.Clock, limits settings.State, stamps map[string]uint64) *Committer {
 	least := limits.Least()
 	ops, quota := least.TxnOps, rate.Limit(limits.WriteRPS*tuning.QuotaShare)
 	limiter := rate.NewLimiter(quota, max(1, int(quota)))
 	c := &Committer{client: client, src: src, clock: clock, ops: min(ops, limiter.Burst()), conds: condsPerOp * ops, value: limits.ValueBytes(),
 		limiter: limiter,
-		hedge:   NewHedge(client, clock, limiter, least.WriteRPS),
+		hedge:   NewHedgedClient(client, clock, limiter, least.WriteRPS),
 		dirty:   map[string]*entry{}, stamps: stamps, wake: make(chan struct{}, 1),
 		written: map[string]int{}, told: clock.Now()}
 	if least.WriteRPS < limits.WriteRPS {
@@ -127,8 +127,8 @@
 	return min(tuning.UrgentReserve*float64(c.limiter.Limit()), float64(c.limiter.Burst()-1))
 }
 
-// Keep bounds values to so many bytes from now on: larger ones are not sent.
-func (c *Committer) Keep(valueBytes int) {
+// SetValueLimit bounds values to so many bytes from now on: larger ones are not sent.
+func (c *Committer) SetValueLimit(valueBytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.value = valueBytes
@@ -141,15 +141,15 @@
 	return c.value
 }
 
-// Touch asks for a key to be written; after runs once a state at least as new
+// MarkDirty asks for a key to be written; after runs once a state at least as new
 // as now is stored. It does not block.
-func (c *Committer) Touch(key string, urgency int, after func()) {
+func (c *Committer) MarkDirty(key string, urgency int, after func()) {
 	c.touch(key, urgency, 0, after)
 }
 
-// TouchLater is Touch for what may wait that long for other changes of the same key, to be
+// MarkDirtyWithin is MarkDirty for what may wait that long for other changes of the same key, to be
 // written with them.
-func (c *Committer) TouchLater(key string, urgency int, wait time.Duration, after func()) {
+func (c *Committer) MarkDirtyWithin(key string, urgency int, wait time.Duration, after func()) {
 	c.touch(key, urgency, wait, after)
 }
 
@@ -179,15 +179,15 @@
 	}
 }
 
-// Know tells the revision of a key that another node wrote.
-func (c *Committer) Know(key string, stamp uint64) {
+// SetRevision tells the revision of a key that another node wrote.
+func (c *Committer) SetRevision(key string, stamp uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stamps[key] = stamp
 }
 
-// Waiting is the number of records not yet written.
-func (c *Committer) Waiting() int {
+// Pending is the number of records not yet written.
+func (c *Committer) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.dirty)
@@ -210,7 +210,7 @@
 // Run commits until the context ends.
 func (c *Committer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if c.Waiting() == 0 {
+		if c.Pending() == 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -261,8 +261,8 @@
 		c.putBack(batch)
 		return tuning.Tick
 	}
-	conds := []Cond{lead}
-	var ops []Op
+	conds := []Condition{lead}
+	var ops []Operation
 	size := 0
 	used := batch[:0:0]
 	for i, e := range batch {
@@ -274,7 +274,7 @@
 			used = append(used, e)
 			continue
 		}
-		op := Op{Delete: e.key}
+		op := Operation{Delete: e.key}
 		if exists {
 			raw, err := json.Marshal(value)
 			if most := c.most(); err == nil && len(raw) > most {
@@ -284,11 +284,11 @@
 				c.setAside(e, err)
 				continue
 			}
-			op = Op{Set: e.key, Value: json.RawMessage(raw)}
+			op = Operation{Set: e.key, Value: json.RawMessage(raw)}
 			size += len(raw)
 		}
 		next := conds
-		for _, x := range append([]Cond{{e.key, stamp}}, more...) {
+		for _, x := range append([]Condition{{e.key, stamp}}, more...) {
 			if !slices.Contains(next, x) {
 				next = append(next, x)
 				size += len(x.Key) + condBytes
@@ -305,8 +305,8 @@
 	if len(ops) > 0 {
 		c.limiter.AllowN(c.clock.Now(), len(ops))
 		c.tell(ops)
-		epoch, failed, err := c.hedge.Multi(ctx, conds, ops)
-		if errors.Is(err, ErrRefused) {
+		epoch, failed, err := c.hedge.Transact(ctx, conds, ops)
+		if errors.Is(err, ErrInvalidRequest) {
 			c.refused(used, err)
 			return 0
 		}
@@ -319,7 +319,7 @@
 			if op.Delete != "" {
 				delete(c.stamps, op.Delete)
 			} else if !strings.HasPrefix(op.Set, FinalPrefix) {
-				// Final states are written once; remembering them all would
+				// FinalState states are written once; remembering them all would
 				// take ever more memory.
 				c.stamps[op.Set] = epoch
 			}
@@ -341,7 +341,7 @@
 }
 
 // tell counts changes, and logs now and then what the limit of writes goes into.
-func (c *Committer) tell(ops []Op) {
+func (c *Committer) tell(ops []Operation) {
 	for _, op := range ops {
 		name, _, _ := strings.Cut(strings.TrimPrefix(op.Set+op.Delete, keyRoot), "/")
 		if op.Delete != "" {
@@ -350,7 +350,7 @@
 		c.written[name]++
 	}
 	if now := c.clock.Now(); now.Sub(c.told) >= tuning.FleetLogEvery {
-		slog.Info("changes written", "by", c.written, "in_s", now.Sub(c.told).Seconds(), "limit_per_s", float64(c.limiter.Limit()), "waiting", c.Waiting())
+		slog.Info("changes written", "by", c.written, "in_s", now.Sub(c.told).Seconds(), "limit_per_s", float64(c.limiter.Limit()), "waiting", c.Pending())
 		c.told, c.written = now, map[string]int{}
 	}
 }
@@ -378,10 +378,10 @@
 	c.putBack(batch)
 }
 
-func (c *Committer) failed(ctx context.Context, lead Cond, ops []Op, failed []string, err error) time.Duration {
+func (c *Committer) failed(ctx context.Context, lead Condition, ops []Operation, failed []string, err error) time.Duration {
 	const again = 100 * time.Millisecond
 	switch {
-	case errors.Is(err, ErrTooMany):
+	case errors.Is(err, ErrRateLimited):
 		c.sink()
 		return again
 	case errors.Is(err, ErrBusy):
@@ -393,7 +393,7 @@
 		}
 		c.reread(ctx, failed, true)
 		return 0
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrOutcomeUnknown):
 		// It may have been applied, or may be later: learn the keys'
 		// revisions. Should it be applied after this, the next try fails.
 		slog.Info("outcome of a commit is unknown, reading again", "err", err)
@@ -430,14 +430,14 @@
 	switch {
 	case err == nil:
 		found = &it
-		c.stamps[key] = it.Stamp
+		c.stamps[key] = it.Revision
 	case errors.Is(err, ErrNotFound):
 		delete(c.stamps, key)
 	}
 	c.mu.Unlock()
 	// A key that we never knew and that exists was written by another node,
 	// or by a try of ours whose answer was lost; the source tells which.
-	if found != nil && (!ours || known != it.Stamp) && (conflict || !ours) {
+	if found != nil && (!ours || known != it.Revision) && (conflict || !ours) {
 		c.src.Conflict(key, found)
 	}
 }
