--- a/store/commit_test.go
+++ b/store/commit_test.go
@@ -23,16 +23,16 @@
 // scripted is a term whose records are what the test says.
 type scripted struct {
 	values   map[string]any
-	lead     Cond
+	lead     Condition
 	deposed  bool
 	conflict []string
 }
 
-func (s *scripted) Record(key string) (any, bool, []Cond) {
+func (s *scripted) Record(key string) (any, bool, []Condition) {
 	v, ok := s.values[key]
 	return v, ok, nil
 }
-func (s *scripted) Condition() (Cond, bool)      { return s.lead, true }
+func (s *scripted) Condition() (Condition, bool) { return s.lead, true }
 func (s *scripted) Conflict(key string, _ *Item) { s.conflict = append(s.conflict, key) }
 func (s *scripted) Committed()                   {}
 func (s *scripted) Deposed()                     { s.deposed = true }
@@ -44,7 +44,7 @@
 func setUpAt(clock clockwork.Clock) (*fake.State, *scripted, *Committer) {
 	st := fake.NewState(clock)
 	src := &scripted{values: map[string]any{}}
-	src.lead = Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
+	src.lead = Condition{LeaderKey, st.Put(LeaderKey, LeaderRecord{Member: "a"})}
 	c := NewCommitter(NewClient("x:1", st), src, clock, settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	return st, src, c
 }
@@ -65,17 +65,17 @@
 	for i := range 200 {
 		key := Shard{"run-1", i, 400}.Key()
 		src.values[key] = "x"
-		c.Touch(key, Ordinary, nil)
+		c.MarkDirty(key, Ordinary, nil)
 	}
 	ctx := context.Background()
 	for range 20 {
 		c.Step(ctx)
 	}
-	if left := c.Waiting(); left != 200-48 {
+	if left := c.Pending(); left != 200-48 {
 		t.Fatalf("%d records wait, want all but a second's worth", left)
 	}
 	src.values[JobKey("run-2")] = "job"
-	c.Touch(JobKey("run-2"), Urgent, nil)
+	c.MarkDirty(JobKey("run-2"), Urgent, nil)
 	wait := c.Step(ctx)
 	if wait <= 0 || wait > time.Second/40 {
 		t.Fatalf("waits %v for one change", wait)
@@ -91,10 +91,10 @@
 // on the leader's key.
 func TestOldLeaderCannotCommit(t *testing.T) {
 	st, src, c := setUp()
-	st.Put(LeaderKey, Leader{Member: "b"})
+	st.Put(LeaderKey, LeaderRecord{Member: "b"})
 	src.values["sf/t/run-1/0"] = "old"
 	told := false
-	c.Touch("sf/t/run-1/0", Ordinary, func() { told = true })
+	c.MarkDirty("sf/t/run-1/0", Ordinary, func() { told = true })
 	c.Step(context.Background())
 	if st.Get("sf/t/run-1/0") != nil || told || !src.deposed {
 		t.Errorf("written %s, told %v, deposed %v", st.Get("sf/t/run-1/0"), told, src.deposed)
@@ -107,7 +107,7 @@
 	st, src, c := setUp()
 	const key = "sf/t/run-1/0"
 	src.values[key] = "first"
-	c.Touch(key, Ordinary, nil)
+	c.MarkDirty(key, Ordinary, nil)
 	st.HoldNext = true
 	c.Step(context.Background())
 	src.values[key] = "second"
@@ -127,7 +127,7 @@
 	st, src, c := setUp()
 	src.values["sf/j/run-1"] = "job"
 	told := 0
-	c.Touch("sf/j/run-1", Urgent, func() { told++ })
+	c.MarkDirty("sf/j/run-1", Urgent, func() { told++ })
 	st.LoseAnswer = true
 	c.Step(context.Background())
 	if told != 0 {
@@ -143,10 +143,10 @@
 	st, src, c := setUp()
 	for _, k := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m"} {
 		src.values["sf/t/"+k] = k
-		c.Touch("sf/t/"+k, Lazy, nil)
+		c.MarkDirty("sf/t/"+k, Lazy, nil)
 	}
 	src.values["sf/j/run-9"] = "job"
-	c.Touch("sf/j/run-9", Urgent, nil)
+	c.MarkDirty("sf/j/run-9", Urgent, nil)
 	c.Step(context.Background())
 	if st.Get("sf/j/run-9") == nil || st.Largest.Ops > 12 {
 		t.Errorf("accept not first, or %d changes", st.Largest.Ops)
@@ -155,17 +155,17 @@
 		c.Step(context.Background())
 	}
 	// On a clock that stands still no more than one second's worth goes out.
-	if c.Waiting() != 0 {
-		t.Errorf("%d records wait", c.Waiting())
+	if c.Pending() != 0 {
+		t.Errorf("%d records wait", c.Pending())
 	}
 }
 
 func TestOutageKeepsRecordsWaiting(t *testing.T) {
 	st, src, c := setUp()
 	src.values["sf/j/run-1"] = "job"
-	c.Touch("sf/j/run-1", Urgent, nil)
+	c.MarkDirty("sf/j/run-1", Urgent, nil)
 	st.Down = true
-	if c.Step(context.Background()) == 0 || c.Waiting() != 1 {
+	if c.Step(context.Background()) == 0 || c.Pending() != 1 {
 		t.Error("the record does not wait for the service")
 	}
 	st.Down = false
@@ -176,18 +176,18 @@
 }
 
 func TestBitsAndShards(t *testing.T) {
-	b := NewBits(1000)
+	b := NewTaskBitmap(1000)
 	for _, i := range []int{0, 399, 400, 807, 999} {
 		b.Set(i)
 	}
-	got := NewBits(1000)
+	got := NewTaskBitmap(1000)
 	for s := range 3 {
 		x := Shard{"run-1", s, 400}
 		if err := got.Unpack(x, b.Pack(x)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	small := NewBits(1000)
+	small := NewTaskBitmap(1000)
 	for s := range 25 {
 		x := Shard{"run-1", s, 40}
 		if err := small.Unpack(x, b.Pack(x)); err != nil {
@@ -227,12 +227,12 @@
 	for _, executed := range []bool{true, false} {
 		clock := clockwork.NewFakeClock()
 		st := fake.NewState(clock)
-		lead := Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
+		lead := Condition{LeaderKey, st.Put(LeaderKey, LeaderRecord{Member: "a"})}
 		src := &scripted{values: map[string]any{}, lead: lead}
 		c := NewCommitter(NewClient("state:1", st), src, clock, settings.State{WriteRPS: 100, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 		told := 0
 		src.values[JobKey("run-1")] = "job"
-		c.Touch(JobKey("run-1"), Urgent, func() { told++ })
+		c.MarkDirty(JobKey("run-1"), Urgent, func() { told++ })
 		late := st.LateNext(executed)
 		var read *fake.Late
 		if executed {
@@ -270,7 +270,7 @@
 			read.Answer()
 		}
 		src.values[JobKey("run-1")] = "newer"
-		c.Touch(JobKey("run-1"), Urgent, nil)
+		c.MarkDirty(JobKey("run-1"), Urgent, nil)
 		c.Step(context.Background())
 		if len(src.conflict) > 0 || value(t, st.Get(JobKey("run-1"))) != "newer" {
 			t.Errorf("executed %v: conflicts %v", executed, src.conflict)
@@ -296,13 +296,13 @@
 			clock := clockwork.NewFakeClock()
 			st := fake.NewState(clock)
 			client := NewClient("state:1", st)
-			gone := Cond{JobKey("run-3"), st.Put(JobKey("run-3"), "old")}
-			h := NewHedge(client, clock, rate.NewLimiter(10, 10), 10)
+			gone := Condition{JobKey("run-3"), st.Put(JobKey("run-3"), "old")}
+			h := NewHedgedClient(client, clock, rate.NewLimiter(10, 10), 10)
 			late := st.LateNext(c.err == nil)
 			done := make(chan error)
 			go func() {
-				_, _, err := h.Multi(context.Background(), []Cond{{Key: JobKey("run-1")}, {Key: JobKey("run-2")}, gone},
-					[]Op{{Set: JobKey("run-1"), Value: "a"}, {Set: JobKey("run-2"), Value: "b"}, {Delete: gone.Key}})
+				_, _, err := h.Transact(context.Background(), []Condition{{Key: JobKey("run-1")}, {Key: JobKey("run-2")}, gone},
+					[]Operation{{Set: JobKey("run-1"), Value: "a"}, {Set: JobKey("run-2"), Value: "b"}, {Delete: gone.Key}})
 				done <- err
 			}()
 			<-late.Asked
@@ -324,13 +324,13 @@
 func TestPoisonedRecordIsSetAside(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
-	lead := Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
+	lead := Condition{LeaderKey, st.Put(LeaderKey, LeaderRecord{Member: "a"})}
 	src := &scripted{values: map[string]any{}, lead: lead}
 	c := NewCommitter(NewClient("state:1", st), src, clock, settings.State{WriteRPS: 1000, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	large, spaced := JobKey("run-000001"), JobKey("with space")
 	src.values[large], src.values[spaced] = strings.Repeat("x", 17<<10), "job"
 	told := map[string]bool{}
-	touch := func(key string) { c.Touch(key, Urgent, func() { told[key] = true }) }
+	touch := func(key string) { c.MarkDirty(key, Urgent, func() { told[key] = true }) }
 	touch(large)
 	touch(spaced)
 	var others []string
@@ -348,8 +348,8 @@
 			t.Fatalf("%s waits behind what cannot be stored", key)
 		}
 	}
-	if told[large] || told[spaced] || c.Waiting() != 2 {
-		t.Fatalf("told %v %v, %d wait", told[large], told[spaced], c.Waiting())
+	if told[large] || told[spaced] || c.Pending() != 2 {
+		t.Fatalf("told %v %v, %d wait", told[large], told[spaced], c.Pending())
 	}
 	if n := st.Requests; c.Step(context.Background()) <= 0 || st.Requests != n {
 		t.Error("what is set aside is tried again at once")
@@ -371,13 +371,13 @@
 	st, src := fake.NewState(clock), &scripted{values: map[string]any{}}
 	st.Limit(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	limits := settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Next: settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
-	src.lead = Cond{LeaderKey, st.Put(LeaderKey, Leader{Member: "a"})}
+	src.lead = Condition{LeaderKey, st.Put(LeaderKey, LeaderRecord{Member: "a"})}
 	c := NewCommitter(NewClient("state:1", st), src, clock, limits, map[string]uint64{})
 	burst := func(from, to int) {
 		for i := from; i < to; i++ {
 			key := Shard{"run-1", i, 40}.Key()
 			src.values[key] = "x"
-			c.Touch(key, Lazy, nil)
+			c.MarkDirty(key, Lazy, nil)
 		}
 	}
 	ctx := context.Background()
@@ -397,7 +397,7 @@
 	burst(900, 1400)
 	stored := false
 	src.values[JobKey("run-2")] = "job"
-	c.Touch(JobKey("run-2"), Urgent, func() { stored = true })
+	c.MarkDirty(JobKey("run-2"), Urgent, func() { stored = true })
 	if c.Step(ctx); !stored {
 		t.Error("an accept waits though a part of the limit is kept for it")
 	}
@@ -405,8 +405,8 @@
 	if after := st.Refusals(); !maps.Equal(before, after) || st.Largest.Ops > 4 {
 		t.Errorf("refused %v, then %v; %d changes at once", before, after, st.Largest.Ops)
 	}
-	if c.Waiting() > 800 {
-		t.Errorf("%d still wait", c.Waiting())
+	if c.Pending() > 800 {
+		t.Errorf("%d still wait", c.Pending())
 	}
 }
 
@@ -419,18 +419,18 @@
 	shard, other := Shard{"run-1", 0, 40}.Key(), Shard{"run-1", 1, 40}.Key()
 	src.values[shard], src.values[other], src.values[JobKey("run-2")] = "ends", "ends", "job"
 	ends, accepted := 0, false
-	c.TouchLater(shard, Ordinary+2, 2*time.Second, func() { ends++ })
-	c.TouchLater(other, Ordinary+2, 2*time.Second, func() { ends++ })
+	c.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { ends++ })
+	c.MarkDirtyWithin(other, Ordinary+2, 2*time.Second, func() { ends++ })
 	if c.Step(ctx) == 0 || ends > 0 {
 		t.Fatal("written at once")
 	}
-	c.Touch(JobKey("run-2"), Urgent, func() { accepted = true })
+	c.MarkDirty(JobKey("run-2"), Urgent, func() { accepted = true })
 	c.Step(ctx)
 	if !accepted || ends > 0 || st.Get(shard) != nil {
 		t.Fatal("an accept waits, or takes ends along that wait for others")
 	}
-	c.TouchLater(shard, Ordinary+2, 2*time.Second, func() { ends++ })
-	c.Touch(shard, Ordinary+2, nil)
+	c.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { ends++ })
+	c.MarkDirty(shard, Ordinary+2, nil)
 	c.Step(ctx)
 	if ends != 2 || st.Get(other) != nil {
 		t.Fatalf("%d ends are told after a start of their record", ends)
@@ -451,7 +451,7 @@
 	from, n := clock.Now(), 0
 	put := func(key string, urgency int) {
 		src.values[key] = "v"
-		c.Touch(key, urgency, func() { written[key] = clock.Since(from) })
+		c.MarkDirty(key, urgency, func() { written[key] = clock.Since(from) })
 	}
 	for i := range 60 {
 		put(fmt.Sprintf("sf/t/low-%02d", i), Ordinary+3)
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -14,9 +14,9 @@
 	"switchferry/tuning"
 )
 
-// Hedge sends a transaction again while it is unanswered: one answer in some is late by hundreds
+// HedgedClient sends a transaction again while it is unanswered: one answer in some is late by hundreds
 // of milliseconds, and whoever is to be accepted waits behind it.
-type Hedge struct {
+type HedgedClient struct {
 	client *Client
 	clock  clockwork.Clock
 	// limiter is what the writer's changes are taken from, seldom what may be sent again
@@ -24,10 +24,10 @@
 	limiter, seldom *rate.Limiter
 }
 
-// NewHedge makes one for a writer whose changes limiter bounds, of the state service's writeRPS.
-func NewHedge(client *Client, clock clockwork.Clock, limiter *rate.Limiter, writeRPS float64) *Hedge {
+// NewHedgedClient makes one for a writer whose changes limiter bounds, of the state service's writeRPS.
+func NewHedgedClient(client *Client, clock clockwork.Clock, limiter *rate.Limiter, writeRPS float64) *HedgedClient {
 	seldom := rate.NewLimiter(rate.Limit(writeRPS*tuning.HedgeShare), limiter.Burst())
-	return &Hedge{client, clock, limiter, seldom}
+	return &HedgedClient{client, clock, limiter, seldom}
 }
 
 // outcome is what became of a transaction.
@@ -44,21 +44,21 @@
 		return 3
 	case errors.Is(o.err, ErrConflict):
 		return 2
-	case errors.Is(o.err, ErrUnknown):
+	case errors.Is(o.err, ErrOutcomeUnknown):
 		return 1
 	}
 	return 0
 }
 
-// Multi is Client.Multi for a transaction in which every key that is written is also conditional
+// Transact is Client.Transact for a transaction in which every key that is written is also conditional
 // on its revision. However often it is sent, it then takes effect at most once: the first that is
 // executed changes the revisions. When one that was sent later fails for that reason, the
 // earlier one's answer is not waited for: the keys are read, and if all hold what was to be
 // written, at one revision, it was executed.
-func (h *Hedge) Multi(ctx context.Context, conds []Cond, ops []Op) (uint64, []string, error) {
+func (h *HedgedClient) Transact(ctx context.Context, conds []Condition, ops []Operation) (uint64, []string, error) {
 	answers := make(chan outcome, tuning.HedgeTries)
 	send := func() {
-		epoch, failed, err := h.client.Multi(ctx, conds, ops)
+		epoch, failed, err := h.client.Transact(ctx, conds, ops)
 		answers <- outcome{epoch, failed, err}
 	}
 	go send()
@@ -104,7 +104,7 @@
 // allow tells whether so many changes may be sent again: where the writer has many to spare, or
 // seldom. A fixed share alone was used up by large transactions, while four fifths of the
 // limit were left.
-func (h *Hedge) allow(changes int) bool {
+func (h *HedgedClient) allow(changes int) bool {
 	now := h.clock.Now()
 	spare := h.limiter.TokensAt(now)-float64(changes) >= float64(h.limiter.Burst())*tuning.HedgeSpare
 	if !spare && !h.seldom.AllowN(now, changes) {
@@ -116,7 +116,7 @@
 
 // Get is Client.Get, sent again while it is unanswered: what reads its own writes back would
 // else wait as long, for the answers of all keys.
-func (h *Hedge) Get(ctx context.Context, key string) (Item, error) {
+func (h *HedgedClient) Get(ctx context.Context, key string) (Item, error) {
 	type answer struct {
 		it  Item
 		err error
@@ -146,7 +146,7 @@
 }
 
 // confirm tells at which revision the keys were written, ErrConflict if they hold anything else.
-func (h *Hedge) confirm(ctx context.Context, ops []Op) outcome {
+func (h *HedgedClient) confirm(ctx context.Context, ops []Operation) outcome {
 	epochs := make([]uint64, len(ops))
 	errs := make([]error, len(ops))
 	var all sync.WaitGroup
@@ -160,7 +160,7 @@
 			case op.Delete != "" || !same(it.Value, op.Value):
 				errs[i] = ErrConflict
 			default:
-				epochs[i] = it.Stamp
+				epochs[i] = it.Revision
 			}
 		})
 	}
--- a/store/records.go
+++ b/store/records.go
@@ -36,9 +36,9 @@
 	ImagesPrefix = "sf/images/"
 	// DatasetPrefix holds what is registered of datasets, for good.
 	DatasetPrefix = "sf/d/"
-	// HoldsPrefix holds which machines hold which parts of datasets, for the next
+	// ReplicasPrefix holds which machines hold which parts of datasets, for the next
 	// leader: a hint, as the images are.
-	HoldsPrefix = "sf/holds/"
+	ReplicasPrefix = "sf/holds/"
 	// StageRelayPrefix holds agents' reports that a sibling passes on, StageMailPrefix
 	// the leader's orders for them: both in letters (package courier).
 	StageRelayPrefix = "sf/srelay/"
@@ -53,8 +53,8 @@
 // DatasetKey is the key of a dataset.
 func DatasetKey(name string) string { return DatasetPrefix + name }
 
-// HoldsKey is the key of one part of who holds what.
-func HoldsKey(n int) string { return HoldsPrefix + strconv.Itoa(n) }
+// ReplicasKey is the key of one part of who holds what.
+func ReplicasKey(n int) string { return ReplicasPrefix + strconv.Itoa(n) }
 
 // RelayKey and MailKey are the keys of a sibling's relay.
 func RelayKey(member string, n int) string { return letterKey(RelayPrefix, member, n) }
@@ -66,14 +66,14 @@
 
 func letterKey(prefix, member string, n int) string { return fmt.Sprintf("%s%s/%d", prefix, member, n) }
 
-// LetterFrom is the member whose letters stand under a key of this prefix.
-func LetterFrom(prefix, key string) string {
+// RelaySender is the member whose letters stand under a key of this prefix.
+func RelaySender(prefix, key string) string {
 	member, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	return member
 }
 
-// ParseLetterKey is the reverse of letterKey.
-func ParseLetterKey(prefix, key string) (member string, n int, ok bool) {
+// ParseRelayKey is the reverse of letterKey.
+func ParseRelayKey(prefix, key string) (member string, n int, ok bool) {
 	member, num, ok := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	n, err := strconv.Atoi(num)
 	return member, n, ok && err == nil && n >= 0
@@ -95,11 +95,11 @@
 	Cancel bool `json:"cancel,omitempty"`
 }
 
-// Mail is one machine's commands, derived from one report of it, which Session and Seq name.
-type Mail struct {
-	Session  uint64        `json:"w"`
-	Seq      uint64        `json:"q"`
-	Commands []api.Command `json:"o"`
+// RelayedCommands is one machine's commands, derived from one report of it, which Incarnation and Seq name.
+type RelayedCommands struct {
+	Incarnation uint64        `json:"w"`
+	Seq         uint64        `json:"q"`
+	Commands    []api.Command `json:"o"`
 }
 
 // Shard is a run of a job's tasks that share one record: so many, from Index times that on.
@@ -146,19 +146,19 @@
 	return min(tuning.ShardTasks, max(8, n/8*8))
 }
 
-// Leader is the value of LeaderKey.
-type Leader struct {
+// LeaderRecord is the value of LeaderKey.
+type LeaderRecord struct {
 	Member string `json:"member"`
 }
 
 // JobRecord is a job as accepted. At orders the queues; it is the accepting
-// node's time of day in ms. Final is set once the job is done or cancelled, at FinalAt on
+// node's time of day in ms. FinalState is set once the job is done or cancelled, at FinalAt on
 // the same clock.
 type JobRecord struct {
-	Job     api.Submission `json:"job"`
-	At      int64          `json:"at"`
-	Final   string         `json:"final,omitempty"`
-	FinalAt int64          `json:"final_at,omitempty"`
+	Job        api.Submission `json:"job"`
+	At         int64          `json:"at"`
+	FinalState string         `json:"final,omitempty"`
+	FinalAt    int64          `json:"final_at,omitempty"`
 }
 
 // FinalRecord is all that is kept of a job that is over.
@@ -169,44 +169,44 @@
 	Service bool `json:"v,omitempty"`
 }
 
-// Placed is a task that is, or may be, on a machine.
-type Placed struct {
+// PlacedTask is a task that is, or may be, on a machine.
+type PlacedTask struct {
 	Task    int
 	Machine string
 	Attempt uint64
 }
 
 // MarshalJSON writes a short triple: a shard must stay within one value.
-func (p Placed) MarshalJSON() ([]byte, error) {
+func (p PlacedTask) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{p.Task, p.Machine, p.Attempt})
 }
 
 // UnmarshalJSON reads the triple.
-func (p *Placed) UnmarshalJSON(raw []byte) error {
+func (p *PlacedTask) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.Task, &p.Machine, &p.Attempt})
 }
 
 // ShardRecord holds the done bits of a run of tasks and the machines of the
 // others.
 type ShardRecord struct {
-	Done string   `json:"d,omitempty"`
-	On   []Placed `json:"on,omitempty"`
+	Done string       `json:"d,omitempty"`
+	On   []PlacedTask `json:"on,omitempty"`
 }
 
-// Bits is a bitmap of done tasks.
-type Bits []byte
+// TaskBitmap is a bitmap of done tasks.
+type TaskBitmap []byte
 
-// NewBits makes room for n tasks.
-func NewBits(n int) Bits { return make(Bits, (n+7)/8) }
+// NewTaskBitmap makes room for n tasks.
+func NewTaskBitmap(n int) TaskBitmap { return make(TaskBitmap, (n+7)/8) }
 
 // Has and Set read and mark a task.
-func (b Bits) Has(i int) bool { return b[i/8]&(1<<(i%8)) != 0 }
+func (b TaskBitmap) Has(i int) bool { return b[i/8]&(1<<(i%8)) != 0 }
 
 // Set marks a task.
-func (b Bits) Set(i int) { b[i/8] |= 1 << (i % 8) }
+func (b TaskBitmap) Set(i int) { b[i/8] |= 1 << (i % 8) }
 
 // Pack writes the bits of one shard.
-func (b Bits) Pack(s Shard) string {
+func (b TaskBitmap) Pack(s Shard) string {
 	lo := min(len(b), s.Index*s.Size/8)
 	hi := min(len(b), lo+s.Size/8)
 	part := b[lo:hi]
@@ -217,7 +217,7 @@
 }
 
 // Unpack adds the bits of one shard: what is done stays done.
-func (b Bits) Unpack(s Shard, text string) error {
+func (b TaskBitmap) Unpack(s Shard, text string) error {
 	part, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return err
@@ -240,12 +240,12 @@
 // done. Of gives a job's bits, to be added to, and its
 // number of tasks, 0 if there is no such job; the keys of such are given as stray. Of the jobs in damaged nothing
 // can be said, since a record of theirs cannot be read.
-func ReadShards(items []Item, of func(id string, s Shard) (Bits, int)) (on map[string]map[int]Placed, stray []string, damaged map[string]error) {
-	on, damaged = map[string]map[int]Placed{}, map[string]error{}
-	jobs := map[string]Bits{}
+func ReadShards(items []Item, of func(id string, s Shard) (TaskBitmap, int)) (on map[string]map[int]PlacedTask, stray []string, damaged map[string]error) {
+	on, damaged = map[string]map[int]PlacedTask{}, map[string]error{}
+	jobs := map[string]TaskBitmap{}
 	for _, it := range items {
 		shard, ok := ParseShard(it.Key)
-		var bits Bits
+		var bits TaskBitmap
 		total := 0
 		if ok {
 			bits, total = of(shard.Job, shard)
@@ -264,7 +264,7 @@
 			continue
 		}
 		if jobs[shard.Job] = bits; on[shard.Job] == nil {
-			on[shard.Job] = map[int]Placed{}
+			on[shard.Job] = map[int]PlacedTask{}
 		}
 		from, to := shard.Range(total)
 		for _, p := range rec.On {
@@ -277,7 +277,7 @@
 		delete(on, id)
 	}
 	for id, placed := range on {
-		maps.DeleteFunc(placed, func(t int, _ Placed) bool { return jobs[id].Has(t) })
+		maps.DeleteFunc(placed, func(t int, _ PlacedTask) bool { return jobs[id].Has(t) })
 	}
 	return on, stray, damaged
 }
--- a/topology/file.go
+++ b/topology/file.go
@@ -36,9 +36,9 @@
 	return f.on
 }
 
-// Renew reads the file again; the map is nil if it has not changed. A file that cannot be read,
+// Reload reads the file again; the map is nil if it has not changed. A file that cannot be read,
 // has mistakes or whose version has not grown changes nothing, and is told of once.
-func (f *File) Renew() (*Map, error) {
+func (f *File) Reload() (*Map, error) {
 	raw, err := os.ReadFile(f.path)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -21,26 +21,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := f.Renew(); m != nil || err != nil {
+	if m, err := f.Reload(); m != nil || err != nil {
 		t.Fatal(m, err)
 	}
 	for text, want := range map[string]string{"version = 4\n[[domain]]\nname = \"r1\"\nlevel = \"row\"\n": "level", "version = 3\n" + rack + "\n": "must grow"} {
 		write(text)
-		if m, err := f.Renew(); m != nil || err == nil || !strings.Contains(err.Error(), want) {
+		if m, err := f.Reload(); m != nil || err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v %v", text, m, err)
 		}
-		if m, err := f.Renew(); m != nil || err != nil || f.Map().Version() != 3 {
+		if m, err := f.Reload(); m != nil || err != nil || f.Map().Version() != 3 {
 			t.Errorf("%q is told of twice, or taken: %v", text, err)
 		}
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Renew(); err == nil || f.Map().Version() != 3 {
+	if _, err := f.Reload(); err == nil || f.Map().Version() != 3 {
 		t.Error("a file that is gone is not told of, or taken")
 	}
 	write("version = 4\n" + rack)
-	if m, err := f.Renew(); err != nil || m == nil || f.Map().Version() != 4 {
+	if m, err := f.Reload(); err != nil || m == nil || f.Map().Version() != 4 {
 		t.Error(m, err)
 	}
 }
--- a/topology/reserve.go
+++ b/topology/reserve.go
@@ -11,7 +11,7 @@
 	Job    string
 	Rank   int
 	Domain *Domain
-	// At is when the last of its tasks could start there.
+	// Ancestor is when the last of its tasks could start there.
 	At time.Time
 	// until is when it ends unless it is asked for again.
 	until time.Time
@@ -23,9 +23,9 @@
 	held []Reservation
 }
 
-// Hold asks for a domain, or asks again. False: another job has it or one within or around it,
+// Reserve asks for a domain, or asks again. False: another job has it or one within or around it,
 // or as many are held as may be.
-func (r *Reservations) Hold(now time.Time, x Reservation) bool {
+func (r *Reservations) Reserve(now time.Time, x Reservation) bool {
 	r.Expire(now)
 	mine := -1
 	for i, h := range r.held {
@@ -74,9 +74,9 @@
 	r.held = kept
 }
 
-// Bars tells whether a job may not start in a domain, for the sake of another: unless it ends
+// Blocks tells whether a job may not start in a domain, for the sake of another: unless it ends
 // before that one could start, or is of a higher rank. Ends is when it would; zero: never.
-func (r *Reservations) Bars(now time.Time, d *Domain, job string, rank int, ends time.Time) bool {
+func (r *Reservations) Blocks(now time.Time, d *Domain, job string, rank int, ends time.Time) bool {
 	for _, h := range r.held {
 		if h.Job != job && rank <= h.Rank && now.Before(h.until) && d != nil && d.Within(h.Domain) && (ends.IsZero() || ends.After(h.At)) {
 			return true
--- a/topology/seek.go
+++ b/topology/seek.go
@@ -6,12 +6,12 @@
 	"switchferry/tuning"
 )
 
-// Seek decides how many more machines are rented for tasks that no free machine may take,
+// Search decides how many more machines are rented for tasks that no free machine may take,
 // because each stands in the wrong place. The cloud does not say where a new machine will
 // stand before it is up, so it may be of no use either: each try lasts as long as a boot and a
 // while, the next comes after a pause that doubles, and what was rented in vain is returned
 // like any machine without work. It has no clock and stores nothing: a new leader begins anew.
-type Seek struct {
+type Search struct {
 	// floor is what the fleet should have at least during the try that lasts until `until`.
 	floor float64
 	until time.Time
@@ -20,13 +20,13 @@
 	pause time.Duration
 }
 
-// Ask is what the fleet should have at least, in CPUs: 0 without a try. Stranded are the CPUs of
+// Constraint is what the fleet should have at least, in CPUs: 0 without a try. Stranded are the CPUs of
 // tasks that wait for a place, supply what the fleet has, with machines that boot; boot is how
 // long that takes at the most.
-func (s *Seek) Ask(now time.Time, stranded, supply float64, boot time.Duration) float64 {
+func (s *Search) TargetCPUs(now time.Time, stranded, supply float64, boot time.Duration) float64 {
 	if stranded <= 0 {
 		// Found, or nobody waits any more.
-		*s = Seek{}
+		*s = Search{}
 		return 0
 	}
 	if now.Before(s.until) {
--- a/topology/site.go
+++ b/topology/site.go
@@ -40,9 +40,9 @@
 	return s
 }
 
-// Moved is the site over another version of the topology: what runs stays where it is, and
+// Rebased is the site over another version of the topology: what runs stays where it is, and
 // counts where that now is.
-func (s *Site) Moved(t *Tree) *Site {
+func (s *Site) Rebased(t *Tree) *Site {
 	next := t.NewSite(s.near, s.survive)
 	for machine, n := range s.on {
 		for range n {
@@ -74,10 +74,10 @@
 	}
 }
 
-// Aim chooses where the next tasks of a job go that wants to stand near: n of a size, with
+// ChooseDomain chooses where the next tasks of a job go that wants to stand near: n of a size, with
 // `may` telling where they may run at all. All: only where room for all of them is. False:
 // nowhere now, and it waits.
-func (s *Site) Aim(need fleet.Room, n int, all bool, may func(machine string) bool) bool {
+func (s *Site) ChooseDomain(need fleet.Resources, n int, all bool, may func(machine string) bool) bool {
 	s.target, s.nearest, s.short = nil, nil, 0
 	if s.near == nil || n == 0 {
 		return true
@@ -86,7 +86,7 @@
 		// Where the others are, Allows says so; and what only prefers it may leave.
 		return true
 	}
-	best, nearest, short := s.tree.Close(s.near.Level, Ask{need, n, may, s.survive})
+	best, nearest, short := s.tree.Closest(s.near.Level, Constraint{need, n, may, s.survive})
 	if best == nil && nearest != nil && short < n && !all {
 		best = nearest
 	}
@@ -98,23 +98,23 @@
 	return true
 }
 
-// AimWhereRoomIsMade is Aim for a job that may stop others: it goes to the domain where that
+// ChooseDomainByPreemption is Aim for a job that may stop others: it goes to the domain where that
 // loses the least. False: nowhere.
-func (s *Site) AimWhereRoomIsMade(need fleet.Room, n int, may func(machine string) bool, offer func(machine string) []int64) bool {
+func (s *Site) ChooseDomainByPreemption(need fleet.Resources, n int, may func(machine string) bool, offer func(machine string) []int64) bool {
 	if s.near == nil || s.together.total > 0 {
 		return false
 	}
-	s.target = s.tree.Cheapest(s.near.Level, Ask{need, n, may, s.survive}, offer)
+	s.target = s.tree.Cheapest(s.near.Level, Constraint{need, n, may, s.survive}, offer)
 	return s.target != nil
 }
 
-// Drains finds the domain that has room for a job first, and in how long, as offer tells of each
+// SoonestDomain finds the domain that has room for a job first, and in how long, as offer tells of each
 // machine when each further task could start there.
-func (s *Site) Drains(need fleet.Room, n int, may func(machine string) bool, offer func(machine string) []int64) (*Domain, int64) {
+func (s *Site) SoonestDomain(need fleet.Resources, n int, may func(machine string) bool, offer func(machine string) []int64) (*Domain, int64) {
 	if s.near == nil || s.together.total > 0 {
 		return nil, 0
 	}
-	return s.tree.Soonest(s.near.Level, Ask{need, n, may, s.survive}, offer)
+	return s.tree.Soonest(s.near.Level, Constraint{need, n, may, s.survive}, offer)
 }
 
 // Allows tells whether one more task may stand on a machine. Whatever may still run counts, so
@@ -129,25 +129,25 @@
 			return false
 		}
 	}
-	return s.near == nil || !s.near.Must || s.together.Here(machine) == s.together.total
+	return s.near == nil || !s.near.Must || s.together.CountAt(machine) == s.together.total
 }
 
-// Price is how many reasons speak against a machine that is allowed: tasks of the job that
+// Cost is how many reasons speak against a machine that is allowed: tasks of the job that
 // would fall with it, for those that want to survive, and one for standing away from the
 // others, for those that want to stand near.
-func (s *Site) Price(machine string) float64 {
+func (s *Site) Cost(machine string) float64 {
 	p := 0.0
 	if s.survive != nil {
-		p += float64(s.apart.Here(machine))
+		p += float64(s.apart.CountAt(machine))
 	}
-	if s.near != nil && s.together.Here(machine) < s.together.total {
+	if s.near != nil && s.together.CountAt(machine) < s.together.total {
 		p++
 	}
 	return p
 }
 
-// Why says what keeps a job from being placed, or "".
-func (s *Site) Why() string {
+// Reason says what keeps a job from being placed, or "".
+func (s *Site) Reason() string {
 	switch {
 	case s.near == nil || !s.near.Must || s.target != nil || s.together.total > 0 || s.short == 0:
 		return ""
@@ -157,9 +157,9 @@
 	return fmt.Sprintf("no %s has room for all of it: %s %q has none for %d", s.near.Level, s.nearest.Level, s.nearest.Name, s.short)
 }
 
-// Contradict tells why a job of so many tasks that run at once can never stand as it asks; "":
+// Infeasible tells why a job of so many tasks that run at once can never stand as it asks; "":
 // it can.
-func Contradict(near *api.Near, survive *api.Survive, tasks int) string {
+func Infeasible(near *api.Near, survive *api.Survive, tasks int) string {
 	if near == nil || survive == nil || !near.Must || !survive.Must || depth[survive.Level] > depth[near.Level] || tasks <= survive.AtMost {
 		return ""
 	}
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -64,8 +64,8 @@
 // Domain is one node of the tree above the machines.
 type Domain struct {
 	Name, Level string
-	// In is the domain that this one is in; nil: none.
-	In       *Domain
+	// Parent is the domain that this one is in; nil: none.
+	Parent   *Domain
 	patterns []string
 	// path names it and those that it is in.
 	path []string
@@ -168,7 +168,7 @@
 			// This rules out circles as well: every way up ends.
 			fail("domain[%d].in: a %s cannot be in %s %q; outermost is region, then zone, switch, rack", i, d.Level, up.Level, up.Name)
 		default:
-			d.In = up
+			d.Parent = up
 		}
 	}
 	for i, e := range f.Devices {
@@ -194,7 +194,7 @@
 		}
 	}
 	for _, d := range m.domains {
-		for x := d; x != nil; x = x.In {
+		for x := d; x != nil; x = x.Parent {
 			d.path = append(d.path, x.Name)
 		}
 	}
@@ -231,7 +231,7 @@
 
 // Within tells whether d is o, or in it at any depth.
 func (d *Domain) Within(o *Domain) bool {
-	for x := d; x != nil; x = x.In {
+	for x := d; x != nil; x = x.Parent {
 		if x == o {
 			return true
 		}
@@ -239,9 +239,9 @@
 	return false
 }
 
-// At is the domain of a level that d is in, or d itself; nil: it is in none.
-func (d *Domain) At(level string) *Domain {
-	for x := d; x != nil; x = x.In {
+// Ancestor is the domain of a level that d is in, or d itself; nil: it is in none.
+func (d *Domain) Ancestor(level string) *Domain {
+	for x := d; x != nil; x = x.Parent {
 		if x.Level == level {
 			return x
 		}
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -96,7 +96,7 @@
 	m := parse(t, small)
 	tr := NewTree(m)
 	for _, n := range []string{"n-1a", "n-1b", "n-2a", "n-3a", "x-1"} {
-		tr.Set(n, fleet.Room{CPUs: 8, MemoryGB: 32}, true)
+		tr.Set(n, fleet.Resources{CPUs: 8, MemoryGB: 32}, true)
 	}
 	for _, c := range []struct{ machine, level, key string }{
 		{"n-1a", Rack, "rack r1"}, {"n-1a", Switch, "switch s1"}, {"n-2a", Switch, "switch s1"}, {"n-3a", Zone, "zone west"},
@@ -112,8 +112,8 @@
 			t.Errorf("%s at %s: %s, want %s", c.machine, c.level, got, c.key)
 		}
 	}
-	if tr.Lone() != 1 || tr.Ambiguous() != 0 {
-		t.Errorf("%d lone, %d ambiguous", tr.Lone(), tr.Ambiguous())
+	if tr.Unlisted() != 1 || tr.Ambiguous() != 0 {
+		t.Errorf("%d lone, %d ambiguous", tr.Unlisted(), tr.Ambiguous())
 	}
 	if d, ok := m.DevicesOf("n-2a"); !ok || d.Count != 4 || len(d.Linked) != 2 {
 		t.Errorf("%+v", d)
@@ -131,7 +131,7 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		m := parse(t, small)
 		tr := NewTree(m)
-		truth := map[string]fleet.Room{}
+		truth := map[string]fleet.Resources{}
 		usable := map[string]bool{}
 		for range 300 {
 			name := fmt.Sprintf("n-%d%d", 1+rng.IntN(4), rng.IntN(5))
@@ -142,15 +142,15 @@
 				delete(usable, name)
 			case 1:
 				if rng.IntN(10) == 0 {
-					tr = tr.Moved(m)
+					tr = tr.Rebased(m)
 				}
 			default:
-				truth[name] = fleet.Room{CPUs: float64(rng.IntN(64)) / 4, Cards: float64(rng.IntN(4)), MemoryGB: float64(rng.IntN(100))}
+				truth[name] = fleet.Resources{CPUs: float64(rng.IntN(64)) / 4, Cards: float64(rng.IntN(4)), MemoryGB: float64(rng.IntN(100))}
 				usable[name] = rng.IntN(4) > 0
 				tr.Set(name, truth[name], usable[name])
 			}
 			for _, d := range m.Domains() {
-				want, n, up := fleet.Room{}, 0, 0
+				want, n, up := fleet.Resources{}, 0, 0
 				for name, r := range truth {
 					in, _ := m.Of(name)
 					if in == nil || !in.Within(d) {
@@ -171,24 +171,24 @@
 	}
 }
 
-// Close takes the innermost domain that holds all, the fullest of them; where none does it
+// Closest takes the innermost domain that holds all, the fullest of them; where none does it
 // says which comes nearest and by how many tasks it misses. Checked against trying all.
 func TestCloseAgainstTryingAll(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		m := parse(t, small)
 		tr := NewTree(m)
-		free := map[string]fleet.Room{}
+		free := map[string]fleet.Resources{}
 		for r := 1; r <= 3; r++ {
 			for i := range 1 + rng.IntN(4) {
 				name := fmt.Sprintf("n-%d%d", r, i)
-				free[name] = fleet.Room{CPUs: float64(rng.IntN(9)), MemoryGB: 100}
+				free[name] = fleet.Resources{CPUs: float64(rng.IntN(9)), MemoryGB: 100}
 				tr.Set(name, free[name], true)
 			}
 		}
-		need, n := fleet.Room{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, 1+rng.IntN(10)
+		need, n := fleet.Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, 1+rng.IntN(10)
 		level := []string{Zone, Switch, Rack}[rng.IntN(3)]
-		best, nearest, short := tr.Close(level, Ask{Need: need, Tasks: n})
+		best, nearest, short := tr.Closest(level, Constraint{Resources: need, Tasks: n})
 		least, found := n+1, false
 		var want *Domain
 		for _, d := range m.Domains() {
@@ -198,7 +198,7 @@
 			fit := 0
 			for name, r := range free {
 				if in, _ := m.Of(name); in.Within(d) {
-					fit += r.Times(need)
+					fit += r.Multiple(need)
 				}
 			}
 			least = min(least, n-min(n, fit))
@@ -216,19 +216,19 @@
 func TestSpreadCountsWhatMayRun(t *testing.T) {
 	tr := NewTree(parse(t, small))
 	for _, n := range []string{"n-1a", "n-1b", "n-2a", "n-3a"} {
-		tr.Set(n, fleet.Room{CPUs: 8}, true)
+		tr.Set(n, fleet.Resources{CPUs: 8}, true)
 	}
 	s := tr.NewSpread(Rack)
 	s.Add("n-1a")
 	if s.Allows("n-1b", 1) || !s.Allows("n-2a", 1) {
 		t.Fatal("a rack takes more than its bound, or another less")
 	}
-	tr.Set("n-1a", fleet.Room{}, false) // silent
+	tr.Set("n-1a", fleet.Resources{}, false) // silent
 	if s.Allows("n-1b", 1) {
 		t.Fatal("a silent replica does not count")
 	}
 	s.Remove("n-1a")
-	if !s.Allows("n-1b", 1) || s.Most() != 0 {
+	if !s.Allows("n-1b", 1) || s.Max() != 0 {
 		t.Fatal("one that is proved gone still counts")
 	}
 }
@@ -243,15 +243,15 @@
 		}
 		// Whatever is taken is a tree: each way up ends, through outer levels alone.
 		for _, d := range m.Domains() {
-			for x, steps := d, 0; x.In != nil; x, steps = x.In, steps+1 {
-				if steps > len(depth) || depth[x.In.Level] >= depth[x.Level] {
-					t.Fatalf("%s is in %s", x.Name, x.In.Name)
+			for x, steps := d, 0; x.Parent != nil; x, steps = x.Parent, steps+1 {
+				if steps > len(depth) || depth[x.Parent.Level] >= depth[x.Level] {
+					t.Fatalf("%s is in %s", x.Name, x.Parent.Name)
 				}
 			}
 		}
 		tr := NewTree(m)
-		tr.Set("n-1", fleet.Room{CPUs: 1}, true)
-		tr.Close(Rack, Ask{Need: fleet.Room{CPUs: 1}, Tasks: 1})
+		tr.Set("n-1", fleet.Resources{CPUs: 1}, true)
+		tr.Closest(Rack, Constraint{Resources: fleet.Resources{CPUs: 1}, Tasks: 1})
 		tr.Remove("n-1")
 	})
 }
@@ -274,12 +274,12 @@
 			}
 			tr := NewTree(m)
 			for i := range n {
-				tr.Set(fmt.Sprintf("r%d-%d", i/32, i%32), fleet.Room{CPUs: 32}, true)
+				tr.Set(fmt.Sprintf("r%d-%d", i/32, i%32), fleet.Resources{CPUs: 32}, true)
 			}
 			i := 0
 			for b.Loop() {
 				i++
-				tr.Set("r3-7", fleet.Room{CPUs: float64(i % 32)}, true)
+				tr.Set("r3-7", fleet.Resources{CPUs: float64(i % 32)}, true)
 			}
 		})
 	}
--- a/topology/tree.go
+++ b/topology/tree.go
@@ -23,13 +23,13 @@
 type leaf struct {
 	name   string
 	in     *Domain
-	free   fleet.Room
+	free   fleet.Resources
 	twice  bool
 	usable bool
 }
 
 type sum struct {
-	free     fleet.Room
+	free     fleet.Resources
 	machines map[*leaf]bool
 	usable   int
 }
@@ -46,8 +46,8 @@
 // Map is the version that the tree stands on.
 func (t *Tree) Map() *Map { return t.on }
 
-// Moved is the tree of the same machines over another map: a new version of the whole.
-func (t *Tree) Moved(m *Map) *Tree {
+// Rebased is the tree of the same machines over another map: a new version of the whole.
+func (t *Tree) Rebased(m *Map) *Tree {
 	next := NewTree(m)
 	for _, l := range t.machines {
 		next.Set(l.name, l.free, l.usable)
@@ -57,7 +57,7 @@
 
 // Set notes a machine's free room. Of one that may get no work, usable false, nothing
 // counts as free.
-func (t *Tree) Set(machine string, free fleet.Room, usable bool) {
+func (t *Tree) Set(machine string, free fleet.Resources, usable bool) {
 	l := t.machines[machine]
 	if l == nil {
 		l = &leaf{name: machine}
@@ -69,18 +69,18 @@
 		if l.twice {
 			t.ambiguous++
 		}
-		for d := l.in; d != nil; d = d.In {
+		for d := l.in; d != nil; d = d.Parent {
 			t.sums[d].machines[l] = true
 		}
 	}
-	was, now := fleet.Room{}, fleet.Room{}
+	was, now := fleet.Resources{}, fleet.Resources{}
 	if l.usable {
 		was = l.free
 	}
 	if usable {
 		now = free
 	}
-	for d := l.in; d != nil; d = d.In {
+	for d := l.in; d != nil; d = d.Parent {
 		s := t.sums[d]
 		s.free = s.free.Sub(was).Add(now)
 		if l.usable != usable {
@@ -92,7 +92,7 @@
 		}
 		if s.usable == 0 {
 			// What rounding leaves must not add up over months.
-			s.free = fleet.Room{}
+			s.free = fleet.Resources{}
 		}
 	}
 	l.free, l.usable = free, usable
@@ -104,8 +104,8 @@
 	if l == nil {
 		return
 	}
-	t.Set(machine, fleet.Room{}, false)
-	for d := l.in; d != nil; d = d.In {
+	t.Set(machine, fleet.Resources{}, false)
+	for d := l.in; d != nil; d = d.Parent {
 		delete(t.sums[d].machines, l)
 	}
 	if l.in == nil {
@@ -117,8 +117,8 @@
 	delete(t.machines, machine)
 }
 
-// Lone is how many machines no domain names, Ambiguous how many two name.
-func (t *Tree) Lone() int      { return t.lone }
+// Unlisted is how many machines no domain names, Ambiguous how many two name.
+func (t *Tree) Unlisted() int  { return t.lone }
 func (t *Tree) Ambiguous() int { return t.ambiguous }
 
 // Of is the domain that a machine stands in, also of one that is known from a record only;
@@ -149,7 +149,7 @@
 // Place is a machine's at a level.
 func (t *Tree) Place(machine, level string) Place {
 	if level != Machine {
-		for d := t.Of(machine); d != nil; d = d.In {
+		for d := t.Of(machine); d != nil; d = d.Parent {
 			if d.Level == level {
 				return Place{Domain: d}
 			}
@@ -160,35 +160,35 @@
 
 // Free is a domain's free room, Usable how many of its machines may get work, Machines how
 // many it has.
-func (t *Tree) Free(d *Domain) fleet.Room { return t.sums[d].free }
-func (t *Tree) Usable(d *Domain) int      { return t.sums[d].usable }
-func (t *Tree) Machines(d *Domain) int    { return len(t.sums[d].machines) }
+func (t *Tree) Free(d *Domain) fleet.Resources { return t.sums[d].free }
+func (t *Tree) Usable(d *Domain) int           { return t.sums[d].usable }
+func (t *Tree) Machines(d *Domain) int         { return len(t.sums[d].machines) }
 
-// Ask is room for tasks of a size. May tells where they may run; nil: everywhere. Cap bounds
+// Constraint is room for tasks of a size. May tells where they may run; nil: everywhere. Cap bounds
 // how many may stand in one domain, if it must; nil: any number.
-type Ask struct {
-	Need  fleet.Room
-	Tasks int
-	May   func(machine string) bool
-	Cap   *api.Survive
+type Constraint struct {
+	Resources fleet.Resources
+	Tasks     int
+	Allowed   func(machine string) bool
+	Spread    *api.Survive
 }
 
 // Fit is how many of the tasks a domain has room for at once, machine by machine.
-func (t *Tree) Fit(d *Domain, a Ask) int {
+func (t *Tree) Fit(d *Domain, a Constraint) int {
 	n := 0
 	var here map[Place]int
-	capped := a.Cap != nil && a.Cap.Must
+	capped := a.Spread != nil && a.Spread.Must
 	if capped {
 		here = map[Place]int{}
 	}
 	for l := range t.sums[d].machines {
-		if !l.usable || a.May != nil && !a.May(l.name) {
+		if !l.usable || a.Allowed != nil && !a.Allowed(l.name) {
 			continue
 		}
-		k := l.free.Times(a.Need)
+		k := l.free.Multiple(a.Resources)
 		if capped {
-			key := t.Place(l.name, a.Cap.Level)
-			k = min(k, a.Cap.AtMost-here[key])
+			key := t.Place(l.name, a.Spread.Level)
+			k = min(k, a.Spread.AtMost-here[key])
 			here[key] += k
 		}
 		if n += k; n >= a.Tasks {
@@ -198,24 +198,24 @@
 	return n
 }
 
-// Close finds the domain that tasks should stand in together, at a level or further in:
+// Closest finds the domain that tasks should stand in together, at a level or further in:
 // of the innermost ones that hold all of them the one with the least room left over, so
 // that the largest holes stay whole. Nil: no domain does; then nearest is the one that
 // misses the least, and short by how many tasks. Domains whose summed room does not do are
 // not looked into.
-func (t *Tree) Close(level string, a Ask) (best, nearest *Domain, short int) {
+func (t *Tree) Closest(level string, a Constraint) (best, nearest *Domain, short int) {
 	n := a.Tasks
-	all := a.Need.Scale(n)
+	all := a.Resources.Scale(n)
 	short = n + 1
 	for _, d := range t.on.domains {
 		if depth[d.Level] < depth[level] {
 			continue
 		}
 		s := t.sums[d]
-		if !s.free.Holds(all) {
+		if !s.free.Fits(all) {
 			// It cannot; by how much is looked at only while nothing better is known.
 			if best == nil {
-				if miss := n - min(n, s.free.Times(a.Need)); miss < short {
+				if miss := n - min(n, s.free.Multiple(a.Resources)); miss < short {
 					if miss = n - t.Fit(d, a); miss < short {
 						nearest, short = d, miss
 					}
@@ -242,20 +242,20 @@
 // the least loss; nil: nowhere. Offer tells what each further task on a machine costs, in the
 // order in which they would come, up to as many as could be; 0 where room is free. It is
 // cheapest as far as taking the least next cost is, machine by machine.
-func (t *Tree) Cheapest(level string, a Ask, offer func(machine string) []int64) *Domain {
+func (t *Tree) Cheapest(level string, a Constraint, offer func(machine string) []int64) *Domain {
 	d, _ := t.least(level, a, offer, func(sum, _ int64) int64 { return sum })
 	return d
 }
 
 // Soonest finds the domain, at a level or further in, that has room for all tasks first, and
 // when; nil: none has. Offer tells when each further task on a machine could start.
-func (t *Tree) Soonest(level string, a Ask, offer func(machine string) []int64) (*Domain, int64) {
+func (t *Tree) Soonest(level string, a Constraint, offer func(machine string) []int64) (*Domain, int64) {
 	return t.least(level, a, offer, func(_, last int64) int64 { return last })
 }
 
 // least finds the domain whose tasks' costs come to the least; total makes that of their sum
 // and the last one.
-func (t *Tree) least(level string, a Ask, offer func(machine string) []int64, total func(sum, last int64) int64) (best *Domain, least int64) {
+func (t *Tree) least(level string, a Constraint, offer func(machine string) []int64, total func(sum, last int64) int64) (best *Domain, least int64) {
 	type step struct {
 		cost int64
 		at   Place
@@ -267,7 +267,7 @@
 		}
 		var steps []step
 		for l := range t.sums[d].machines {
-			if !l.usable || a.May != nil && !a.May(l.name) {
+			if !l.usable || a.Allowed != nil && !a.Allowed(l.name) {
 				continue
 			}
 			costs, known := offers[l]
@@ -276,8 +276,8 @@
 				offers[l] = costs
 			}
 			var at Place
-			if a.Cap != nil && a.Cap.Must {
-				at = t.Place(l.name, a.Cap.Level)
+			if a.Spread != nil && a.Spread.Must {
+				at = t.Place(l.name, a.Spread.Level)
 			}
 			worst := int64(0)
 			for _, c := range costs {
@@ -296,7 +296,7 @@
 			if n == a.Tasks {
 				break
 			}
-			if s.at != (Place{}) && here[s.at] >= a.Cap.AtMost {
+			if s.at != (Place{}) && here[s.at] >= a.Spread.AtMost {
 				continue
 			}
 			here[s.at]++
@@ -319,8 +319,8 @@
 		cmp.Compare(t.sums[d].free.Cards, t.sums[o].free.Cards), cmp.Compare(d.Name, o.Name)) < 0
 }
 
-// Names are a domain's machines, in order.
-func (t *Tree) Names(d *Domain) []string {
+// MachineNames are a domain's machines, in order.
+func (t *Tree) MachineNames(d *Domain) []string {
 	var out []string
 	for l := range t.sums[d].machines {
 		out = append(out, l.name)
@@ -329,12 +329,12 @@
 	return out
 }
 
-// Room is a machine's free room and whether it may get work.
-func (t *Tree) Room(machine string) (fleet.Room, bool) {
+// FreeOn is a machine's free room and whether it may get work.
+func (t *Tree) FreeOn(machine string) (fleet.Resources, bool) {
 	if l := t.machines[machine]; l != nil {
 		return l.free, l.usable
 	}
-	return fleet.Room{}, false
+	return fleet.Resources{}, false
 }
 
 // Spread counts a job's replicas by what falls together at a level. Whatever may still run
@@ -366,11 +366,11 @@
 	s.total--
 }
 
-// Here is how many stand where a machine stands.
-func (s *Spread) Here(machine string) int { return s.count[s.tree.Place(machine, s.level)] }
+// CountAt is how many stand where a machine stands.
+func (s *Spread) CountAt(machine string) int { return s.count[s.tree.Place(machine, s.level)] }
 
-// Most is the largest number in one domain.
-func (s *Spread) Most() int {
+// Max is the largest number in one domain.
+func (s *Spread) Max() int {
 	most := 0
 	for _, n := range s.count {
 		most = max(most, n)
@@ -380,4 +380,4 @@
 
 // Allows tells whether one more may stand on a machine if at most `bound` may stand in
 // one domain.
-func (s *Spread) Allows(machine string, bound int) bool { return s.Here(machine) < bound }
+func (s *Spread) Allows(machine string, bound int) bool { return s.CountAt(machine) < bound }
--- a/upgrade/marker.go
+++ b/upgrade/marker.go
@@ -13,9 +13,9 @@
 	"switchferry/tuning"
 )
 
-// Marker puts a controller's own mark on record and looks for the others'. It is safe for use from
+// VersionRegistry puts a controller's own mark on record and looks for the others'. It is safe for use from
 // several goroutines at once.
-type Marker struct {
+type VersionRegistry struct {
 	self   string
 	client *store.Client
 	clock  clockwork.Clock
@@ -24,41 +24,41 @@
 	Configuration bool
 
 	mu      sync.Mutex
-	members *Members
+	members *MemberVersions
 }
 
-// NewMarker makes the marker of one of all members.
-func NewMarker(self string, all []string, client *store.Client, clock clockwork.Clock) *Marker {
-	return &Marker{self: self, client: client, clock: clock, all: all, members: NewMembers(all...)}
+// NewVersionRegistry makes the marker of one of all members.
+func NewVersionRegistry(self string, all []string, client *store.Client, clock clockwork.Clock) *VersionRegistry {
+	return &VersionRegistry{self: self, client: client, clock: clock, all: all, members: NewMemberVersions(all...)}
 }
 
 // Older are the members of which an older process may run, or come back.
-func (m *Marker) Older() []string {
+func (m *VersionRegistry) Older() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.members.Older()
 }
 
-// Saw notes a member's mark.
-func (m *Marker) Saw(member string, mark Mark) {
+// Observe notes a member's mark.
+func (m *VersionRegistry) Observe(member string, mark VersionMark) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.members.Seen(member, mark)
+	m.members.Observe(member, mark)
 }
 
 // Run marks this controller and looks for the marks of those that have none yet, until it has seen
 // all or the context ends. True: it has.
-func (m *Marker) Run(ctx context.Context) bool {
+func (m *VersionRegistry) Run(ctx context.Context) bool {
 	own := false
 	for ctx.Err() == nil {
-		own = own || m.Mark(ctx)
+		own = own || m.RecordOwn(ctx)
 		for _, member := range m.Older() {
 			if it, err := m.client.Get(ctx, MarkPrefix+member); err == nil {
 				m.read(member, it)
 			}
 		}
 		if own && len(m.Older()) == 0 {
-			slog.Info("all controllers have this version of data", "data", Data)
+			slog.Info("all controllers have this version of data", "data", DataVersion)
 			return true
 		}
 		select {
@@ -69,24 +69,24 @@
 	return false
 }
 
-func (m *Marker) read(member string, it store.Item) {
-	var mark Mark
+func (m *VersionRegistry) read(member string, it store.Item) {
+	var mark VersionMark
 	if err := json.Unmarshal(it.Value, &mark); err != nil {
 		slog.Error("a controller's mark is damaged", "key", it.Key, "err", err)
 		return
 	}
-	m.Saw(member, mark)
+	m.Observe(member, mark)
 }
 
 // WithoutConfiguration reads the marks of all members and gives those of which a process may run that does not know of
 // live configuration, or has it off.
-func (m *Marker) WithoutConfiguration(ctx context.Context) (without []string, err error) {
+func (m *VersionRegistry) WithoutConfiguration(ctx context.Context) (without []string, err error) {
 	for _, member := range m.all {
 		it, err := m.client.Get(ctx, MarkPrefix+member)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return nil, err
 		}
-		var mark Mark
+		var mark VersionMark
 		if err != nil || json.Unmarshal(it.Value, &mark) != nil || !mark.Configuration {
 			without = append(without, member)
 		}
@@ -94,19 +94,19 @@
 	return without, nil
 }
 
-// Mark puts this controller's own mark on record, unless it stands there; true: it does.
-func (m *Marker) Mark(ctx context.Context) bool {
+// RecordOwn puts this controller's own mark on record, unless it stands there; true: it does.
+func (m *VersionRegistry) RecordOwn(ctx context.Context) bool {
 	key := MarkPrefix + m.self
 	it, err := m.client.Get(ctx, key)
-	var mark Mark
-	if err == nil && json.Unmarshal(it.Value, &mark) == nil && mark.Data >= Data && mark.Configuration == m.Configuration {
-		m.Saw(m.self, mark)
+	var mark VersionMark
+	if err == nil && json.Unmarshal(it.Value, &mark) == nil && mark.Data >= DataVersion && mark.Configuration == m.Configuration {
+		m.Observe(m.self, mark)
 		return true
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
-	_, _, err = m.client.Multi(ctx, []store.Cond{{Key: key, Stamp: it.Stamp}}, []store.Op{{Set: key, Value: Mark{Data: max(Data, mark.Data), Configuration: m.Configuration}}})
+	_, _, err = m.client.Transact(ctx, []store.Condition{{Key: key, Revision: it.Revision}}, []store.Operation{{Set: key, Value: VersionMark{Data: max(DataVersion, mark.Data), Configuration: m.Configuration}}})
 	if err != nil {
 		slog.Info("this controller's version is not on record yet", "err", err)
 	}
--- a/watermark/watermark.go
+++ b/watermark/watermark.go
@@ -26,36 +26,36 @@
 
 // Limits are a deployment's.
 type Limits struct {
-	// Renew is how long leases are renewed without word.
-	Renew time.Duration
-	// Take is how old a cancellation may be that is heard of: over the time in which the tasks must be
+	// RenewFor is how long leases are renewed without word.
+	RenewFor time.Duration
+	// MaxAge is how old a cancellation may be that is heard of: over the time in which the tasks must be
 	// gone, since it was noted before its user was told.
-	Take time.Duration
-	// Keep is how long one is remembered: over Take, so that siblings do not hand each other what they
+	MaxAge time.Duration
+	// Retention is how long one is remembered: over MaxAge, so that siblings do not hand each other what they
 	// have forgotten.
-	Keep time.Duration
+	Retention time.Duration
 }
 
-// LimitsOf are those of a deployment whose cancellations and leases last so long: a lease that is renewed for
+// NewLimits are those of a deployment whose cancellations and leases last so long: a lease that is renewed for
 // the last time ends before the first cancellation that was not heard of is due.
-func LimitsOf(cancel, lease time.Duration) Limits {
-	return Limits{Renew: cancel - lease - tuning.KeepMargin, Take: cancel + lease/2, Keep: cancel + lease}
+func NewLimits(cancel, lease time.Duration) Limits {
+	return Limits{RenewFor: cancel - lease - tuning.KeepMargin, MaxAge: cancel + lease/2, Retention: cancel + lease}
 }
 
-// Saying is what a controller says when it is asked.
-type Saying struct {
-	// Life is a number of the process's own; a process that came back has another.
-	Life uint64
-	// Told are the cancellations after From, the last of them To; Latest is the last there is.
+// Statement is what a controller says when it is asked.
+type Statement struct {
+	// Incarnation is a number of the process's own; a process that came back has another.
+	Incarnation uint64
+	// Cancellation are the cancellations after From, the last of them To; Latest is the last there is.
 	From, To, Latest uint64
-	Told             []Told
-	// Knows: the controller knows of all that anyone told more than Age before it said this.
-	Knows bool
-	Age   time.Duration
+	Cancellations    []Cancellation
+	// Current: the controller knows of all that anyone told more than Age before it said this.
+	Current bool
+	Age     time.Duration
 }
 
-// Told is a cancellation that a user was told, or may have been, that long ago.
-type Told struct {
+// Cancellation is a cancellation that a user was told, or may have been, that long ago.
+type Cancellation struct {
 	Job string
 	Age time.Duration
 }
@@ -114,9 +114,9 @@
 	}
 }
 
-// Tell notes a cancellation that a user is about to be told, or may be told by whoever reads its record
+// RecordCancellation notes a cancellation that a user is about to be told, or may be told by whoever reads its record
 // from now on. It is called before either can happen.
-func (b *Tracker) Tell(now time.Time, job string) {
+func (b *Tracker) RecordCancellation(now time.Time, job string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.take(now, job, now)
@@ -148,7 +148,7 @@
 	}
 	b.swept = now
 	b.log = slices.DeleteFunc(b.log, func(c *cancelled) bool {
-		old := now.Sub(c.at) > b.limits.Keep
+		old := now.Sub(c.at) > b.limits.Retention
 		if old {
 			delete(b.told, c.job)
 		}
@@ -156,8 +156,8 @@
 	})
 }
 
-// Certain notes that all that anyone told before a moment has been noted here.
-func (b *Tracker) Certain(at time.Time) {
+// MarkCurrent notes that all that anyone told before a moment has been noted here.
+func (b *Tracker) MarkCurrent(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.certain(at)
@@ -169,8 +169,8 @@
 	}
 }
 
-// Have is what to ask a sibling with: which life of it is known, and up to where its word.
-func (b *Tracker) Have(member string) (life, have uint64) {
+// Position is what to ask a sibling with: which life of it is known, and up to where its word.
+func (b *Tracker) Position(member string) (life, have uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.siblings[member]; s != nil {
@@ -179,15 +179,15 @@
 	return 0, 0
 }
 
-// Say answers whoever knows a life's word up to there.
-func (b *Tracker) Say(now time.Time, life, have uint64) Saying {
+// Statement answers whoever knows a life's word up to there.
+func (b *Tracker) Statement(now time.Time, life, have uint64) Statement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweep(now)
 	if life != b.life || have > b.latest {
 		have = 0
 	}
-	s := Saying{Life: b.life, From: have, To: b.latest, Latest: b.latest}
+	s := Statement{Incarnation: b.life, From: have, To: b.latest, Latest: b.latest}
 	at, _ := slices.BinarySearchFunc(b.log, have+1, func(c *cancelled, seq uint64) int {
 		if c.seq < seq {
 			return -1
@@ -195,46 +195,46 @@
 		return 1
 	})
 	for _, c := range b.log[at:] {
-		if len(s.Told) == tuning.CancellationsAtOnce {
+		if len(s.Cancellations) == tuning.CancellationsAtOnce {
 			s.To = c.seq - 1
 			break
 		}
-		s.Told = append(s.Told, Told{c.job, max(0, now.Sub(c.at))})
+		s.Cancellations = append(s.Cancellations, Cancellation{c.job, max(0, now.Sub(c.at))})
 	}
-	if age := max(0, now.Sub(b.mark)); !b.mark.IsZero() && age < b.limits.Keep {
-		s.Knows, s.Age = true, age
+	if age := max(0, now.Sub(b.mark)); !b.mark.IsZero() && age < b.limits.Retention {
+		s.Current, s.Age = true, age
 	}
 	return s
 }
 
-// Heard takes in what a sibling answered, now, to a question of that time. An error tells what of it is
+// ApplyStatement takes in what a sibling answered, now, to a question of that time. An error tells what of it is
 // not believed; what is believed only ever adds to what is known.
-func (b *Tracker) Heard(now time.Time, member string, sent time.Time, s Saying) error {
+func (b *Tracker) ApplyStatement(now time.Time, member string, sent time.Time, s Statement) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	x, known := b.siblings[member]
 	switch {
 	case !known:
 		return fmt.Errorf("%s is no sibling", member)
-	case s.Life == 0:
+	case s.Incarnation == 0:
 		return fmt.Errorf("says of no life")
 	case s.To < s.From || s.Latest < s.To || s.Age < 0:
 		return fmt.Errorf("says %d to %d of %d, of %v ago", s.From, s.To, s.Latest, s.Age)
-	case x != nil && x.life == s.Life && s.Latest < x.have:
+	case x != nil && x.life == s.Incarnation && s.Latest < x.have:
 		return fmt.Errorf("knows less than before: %d, was %d", s.Latest, x.have)
 	}
-	if x == nil || x.life != s.Life {
-		x = &sibling{life: s.Life, first: now}
+	if x == nil || x.life != s.Incarnation {
+		x = &sibling{life: s.Incarnation, first: now}
 		b.siblings[member] = x
 	}
 	var bad error
-	for _, t := range s.Told {
+	for _, t := range s.Cancellations {
 		switch {
 		case !api.ValidID(t.Job):
 			bad = fmt.Errorf("names a job %q", t.Job)
 		case t.Age < 0:
 			bad = fmt.Errorf("%s was told %v ahead", t.Job, -t.Age)
-		case t.Age <= b.limits.Take:
+		case t.Age <= b.limits.MaxAge:
 			b.take(now, t.Job, now.Add(-t.Age))
 		}
 	}
@@ -252,7 +252,7 @@
 	if sent.After(x.confirmed) {
 		x.confirmed = sent
 	}
-	if s.Knows {
+	if s.Current {
 		b.certain(sent.Add(-s.Age - tuning.WatermarkGrain))
 	}
 	b.advance()
@@ -275,9 +275,9 @@
 	b.certain(least)
 }
 
-// Renews tells whether a lease may be renewed now: the last one that is ends in time. Without is how long
+// MayRenew tells whether a lease may be renewed now: the last one that is ends in time. WithoutCancelledStarts is how long
 // ago the moment is up to which all is known; negative: there is none.
-func (b *Tracker) Renews(now time.Time) (ok bool, without time.Duration) {
+func (b *Tracker) MayRenew(now time.Time) (ok bool, without time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.siblings) == 0 && !b.mark.IsZero() && !b.born.After(b.mark) {
@@ -287,11 +287,11 @@
 		return false, -1
 	}
 	without = now.Sub(b.mark)
-	return without < b.limits.Renew, without
+	return without < b.limits.RenewFor, without
 }
 
-// Why names the siblings that confirm nothing at present, and what for, for operators.
-func (b *Tracker) Why() (why []string) {
+// UnconfirmedPeers names the siblings that confirm nothing at present, and what for, for operators.
+func (b *Tracker) UnconfirmedPeers() (why []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.born.After(b.mark) {
@@ -311,31 +311,31 @@
 	return why
 }
 
-// Stops are the commands, beside those that are there, that end what a machine reports of cancelled jobs. A
+// KillCommands are the commands, beside those that are there, that end what a machine reports of cancelled jobs. A
 // stop is safe under any token: a cancelled job never runs again.
-func (b *Tracker) Stops(tasks []api.TaskReport, there []api.Command) (out []api.Command) {
+func (b *Tracker) KillCommands(tasks []api.TaskReport, there []api.Command) (out []api.Command) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.told) == 0 {
 		return nil
 	}
 	for _, t := range tasks {
-		if t.State == api.TaskEnded || !b.has(t.Task) || slices.ContainsFunc(there, func(c api.Command) bool {
-			return c.Verb == api.Stop && c.Task == t.Task && c.Attempt == t.Attempt && c.GraceS != nil && *c.GraceS == tuning.CancelKill
+		if t.State == api.TaskExited || !b.has(t.Task) || slices.ContainsFunc(there, func(c api.Command) bool {
+			return c.Verb == api.CommandKill && c.Task == t.Task && c.Attempt == t.Attempt && c.GraceS != nil && *c.GraceS == tuning.CancelKill
 		}) {
 			continue
 		}
 		grace := tuning.CancelKill
-		out = append(out, api.Command{Verb: api.Stop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
+		out = append(out, api.Command{Verb: api.CommandKill, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
 	}
 	return out
 }
 
-// Without is what there is of commands without starts of cancelled jobs: some were derived before that was known.
-func (b *Tracker) Without(there []api.Command) []api.Command {
+// WithoutCancelledStarts is what there is of commands without starts of cancelled jobs: some were derived before that was known.
+func (b *Tracker) WithoutCancelledStarts(there []api.Command) []api.Command {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	starts := func(c api.Command) bool { return c.Verb == api.Start && b.has(c.Task) }
+	starts := func(c api.Command) bool { return c.Verb == api.CommandRun && b.has(c.Task) }
 	if !slices.ContainsFunc(there, starts) {
 		return there
 	}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -27,7 +27,7 @@
 }
 
 // Send delivers commands. The report is the worker's, after them if executed.
-func (c *Client) Send(ctx context.Context, addr string, o api.Orders) (*api.Report, bool, error) {
+func (c *Client) Send(ctx context.Context, addr string, o api.HeartbeatResponse) (*api.Heartbeat, bool, error) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
 	status, body, err := rest.Do(ctx, c.http, http.MethodPost, "http://"+addr+"/orders", o)
@@ -41,7 +41,7 @@
 	case status != http.StatusOK && status != http.StatusConflict:
 		return nil, false, fmt.Errorf("status %d", status)
 	}
-	var r api.Report
+	var r api.Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, false, fmt.Errorf("malformed report: %w", err)
 	}
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -43,7 +43,7 @@
 		{"garbage", says(200, `{"host":`), true, false, false},
 		{"trouble", says(500, ``), true, false, false},
 	} {
-		_, done, err := New(c.rt).Send(context.Background(), "m:1", api.Orders{})
+		_, done, err := New(c.rt).Send(context.Background(), "m:1", api.HeartbeatResponse{})
 		if (err != nil) != c.fails || errors.Is(err, ErrNotSent) != c.notSent || done != c.done {
 			t.Errorf("%s: done %v, %v", c.name, done, err)
 		}
