--- a/controller/awaits.go
+++ b/controller/awaits.go
@@ -12,19 +12,19 @@
 	"switchferry/tuning"
 )
 
-// checkAwaits looks at the jobs that a submission awaits. Not decided: why it cannot be told
+// checkDependencies looks at the jobs that a submission awaits. Not decided: why it cannot be told
 // yet whether all of them were accepted.
-func (n *Controller) checkAwaits(ctx context.Context, core *Core, s *api.Submission) (undecided string, err error) {
-	if len(s.Awaits) > tuning.AwaitsMost {
-		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(s.Awaits), tuning.AwaitsMost)}
+func (c *Controller) checkDependencies(ctx context.Context, sched *Scheduler, submission *api.Submission) (undecided string, err error) {
+	if len(submission.Awaits) > tuning.AwaitsMost {
+		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.AwaitsMost)}
 	}
-	if old := n.marks.Older(); len(old) > 0 {
+	if old := c.versions.Older(); len(old) > 0 {
 		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(old, ", "), nil
 	}
-	refused := make([]error, len(s.Awaits))
-	late := make([]string, len(s.Awaits))
-	lookup.ForEach(s.Awaits, func(i int, id string) { late[i], refused[i] = n.awaitable(ctx, core, s.ID, id) })
-	for i := range s.Awaits {
+	refused := make([]error, len(submission.Awaits))
+	late := make([]string, len(submission.Awaits))
+	lookup.ForEach(submission.Awaits, func(i int, id string) { late[i], refused[i] = c.checkDependency(ctx, sched, submission.ID, id) })
+	for i := range submission.Awaits {
 		if refused[i] != nil {
 			return "", refused[i]
 		}
@@ -33,15 +33,15 @@
 	return undecided, nil
 }
 
-// awaitable tells whether a job may await another.
-func (n *Controller) awaitable(ctx context.Context, core *Core, job, id string) (undecided string, err error) {
+// checkDependency tells whether a job may await another.
+func (c *Controller) checkDependency(ctx context.Context, sched *Scheduler, job, id string) (undecided string, err error) {
 	bad := func(why string) error { return &api.FieldError{Field: "awaits", Want: id + " " + why} }
 	if id == job {
 		return "", bad("is the job itself")
 	}
 	for again := false; ; again = true {
-		if core != nil {
-			switch here, accepted, service := core.Awaitable(id); {
+		if sched != nil {
+			switch here, accepted, service := sched.DependencyState(id); {
 			case service:
 				return "", bad("is a service, which is never done")
 			case accepted:
@@ -50,7 +50,7 @@
 				return id + " is just being accepted", nil
 			}
 		}
-		x, err := n.records.ReadInTurn(ctx, id, "")
+		x, err := c.records.ReadInTurn(ctx, id, "")
 		switch {
 		case err != nil:
 			return "the state service is out of reach", nil
@@ -61,44 +61,44 @@
 		case again:
 			return "", bad("was never accepted")
 		}
-		n.sleep(ctx, tuning.AwaitsAgain)
+		c.sleep(ctx, tuning.AwaitsAgain)
 	}
 }
 
-// seekAwaited looks up the jobs that others await and the leader does not know: they were over
-// before its term, or a sibling has just accepted them. What does not wait for one of them
+// lookUpDependencies looks up the jobs that others await and the leader does not know: they were over
+// compareJobs its term, or a sibling has just accepted them. What does not wait for one of them
 // starts meanwhile.
-func (n *Controller) seekAwaited(ctx context.Context, core *Core, com *store.Committer) {
+func (c *Controller) lookUpDependencies(ctx context.Context, sched *Scheduler, committer *store.Committer) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-core.pipes.ask:
+		case <-sched.dependencies.ask:
 		}
-		ids := core.Missing()
+		ids := sched.UnresolvedDependencies()
 		for len(ids) > 0 && ctx.Err() == nil {
-			n.lookAwaited(ctx, core, com, ids)
-			if ids = core.Missing(); len(ids) > 0 {
-				n.sleep(ctx, tuning.AwaitsRetry)
+			c.lookUpDependency(ctx, sched, committer, ids)
+			if ids = sched.UnresolvedDependencies(); len(ids) > 0 {
+				c.sleep(ctx, tuning.AwaitsRetry)
 			}
 		}
 	}
 }
 
-// lookAwaited looks some jobs up and tells the leader.
-func (n *Controller) lookAwaited(ctx context.Context, core *Core, com *store.Committer, ids []string) {
+// lookUpDependency looks some jobs up and tells the leader.
+func (c *Controller) lookUpDependency(ctx context.Context, sched *Scheduler, committer *store.Committer, ids []string) {
 	lookup.ForEach(ids, func(_ int, id string) {
-		x, err := n.records.Read(ctx, id)
+		x, err := c.records.Read(ctx, id)
 		switch {
 		case err != nil:
 			slog.Info("an awaited job is not looked up yet", "job", id, "err", err)
 		case x.Record != nil:
-			if !core.Has(id) {
-				com.SetRevision(x.Record.Key, x.Record.Revision)
-				core.Conflict(x.Record.Key, x.Record)
+			if !sched.HasJob(id) {
+				committer.SetRevision(x.Record.Key, x.Record.Revision)
+				sched.Conflict(x.Record.Key, x.Record)
 			}
 		case x.Found:
-			core.Learned(id, x.Final)
+			sched.ResolveDependency(id, x.Final)
 		default:
 			slog.Error("a job is awaited of which nothing is on record", "job", id)
 		}
@@ -107,11 +107,11 @@
 
 // markVersion puts this controller's version on record; once all have this one, records are
 // written as it has them.
-func (n *Controller) markVersion(ctx context.Context) {
-	if n.marks.Run(ctx) {
-		n.mu.Lock()
-		own := n.own
-		n.mu.Unlock()
+func (c *Controller) markVersion(ctx context.Context) {
+	if c.versions.Run(ctx) {
+		c.mu.Lock()
+		own := c.useCurrentFormat
+		c.mu.Unlock()
 		if own != nil {
 			own()
 		}
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // BenchmarkPlace is one run of the placer on a full fleet with a backlog: 40
-// machines, 60 small jobs and a guest's array of 100,000 tasks.
+// refreshMachines, 60 small jobs and a guest's array of 100,000 tasks.
 func BenchmarkPlace(b *testing.B) {
 	s := newStage(&testing.T{})
 	for i := range 40 {
@@ -73,7 +73,7 @@
 	sent := s.sent
 	s.sent = nil
 	for _, o := range sent {
-		s.Answered(o.name, o.o, nil, true)
+		s.CommandsAnswered(o.name, o.o, nil, true)
 	}
 	for name, tasks := range on {
 		s.report(name, 1, tasks...)
@@ -140,7 +140,7 @@
 	s := newStage(&testing.T{})
 	s.submit("run-000001", 40, nil)
 	n := New(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
-	n.core = s.Core
+	n.scheduler = s.Scheduler
 	r := peer.Request{Verb: VerbStatus, Job: "run-000001"}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/controller/boot_test.go
+++ b/controller/boot_test.go
@@ -11,8 +11,8 @@
 
 // rented plays a rental's answer.
 func (s *stage) rented(names ...string) {
-	s.renting++
-	s.Rented(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
+	s.instancesRequested++
+	s.InstancesGranted(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
 }
 
 // Fleet-wide lateness: a whole batch was returned after three boot times, just before
@@ -37,7 +37,7 @@
 }
 
 // One machine never comes up while those rented with it do: others are rented in its
-// place long before it is given up.
+// queuedOn long before it is given up.
 func TestOvertakenMachineIsReplaced(t *testing.T) {
 	s := newStage(t)
 	s.report("a0", 1)
@@ -53,7 +53,7 @@
 	if all, _ := s.supply(); all != 2*one {
 		t.Errorf("%v processors counted on, want %v", all, 2*one)
 	}
-	if s.machines["a2"] == nil || s.machines["a2"].returning {
+	if s.machines["a2"] == nil || s.machines["a2"].releasing {
 		t.Error("returned although it may still come up")
 	}
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -18,7 +18,7 @@
 	"switchferry/tuning"
 )
 
-// configured is a configuration of one team.
+// liveConfiguration is a configuration of one team.
 func configured(t *testing.T, text string) *configuration.Active {
 	t.Helper()
 	d, err := configuration.Parse(text)
@@ -35,7 +35,7 @@
 func TestLimitSinksBelowWhatRuns(t *testing.T) {
 	for _, stop := range []bool{false, true} {
 		s := newStage(t)
-		s.active = configured(t, oneTeam("40"))
+		s.configuration = configured(t, oneTeam("40"))
 		s.report("a1", 1)
 		s.submit("run-000001", 2, func(x *api.Submission) { tiny(x); x.Team, x.CPUs, x.Rank = "t", 1, "low" })
 		s.submit("run-000002", 2, func(x *api.Submission) { tiny(x); x.Team, x.CPUs = "t", 1 })
@@ -43,8 +43,8 @@
 		s.commit()
 		running := 0
 		for _, id := range []string{"run-000001", "run-000002"} {
-			for _, a := range s.jobs[id].live {
-				a.seen, a.open = true, 0
+			for _, alloc := range s.jobs[id].allocations {
+				alloc.reported, alloc.unansweredRuns = true, 0
 				running++
 			}
 		}
@@ -52,20 +52,20 @@
 		if stop {
 			text = "[over_limit]\nrunning = \"stop\"\nstop_within_s = 1\n" + text
 		}
-		s.Configure(configured(t, text))
+		s.ApplyConfiguration(configured(t, text))
 		s.submit("run-000003", 1, func(x *api.Submission) { tiny(x); x.Team, x.CPUs = "t", 1 })
-		s.Tend()
+		s.MaintainFleet()
 		s.Place()
 		stopped := map[string]int{}
-		for id, j := range s.jobs {
-			for _, a := range j.live {
-				if a.stop {
+		for id, job := range s.jobs {
+			for _, alloc := range job.allocations {
+				if alloc.stopping {
 					stopped[id]++
 				}
 			}
 		}
-		if running != 4 || len(s.jobs["run-000003"].live) != 0 {
-			t.Fatalf("%d ran, %d of the new job do", running, len(s.jobs["run-000003"].live))
+		if running != 4 || len(s.jobs["run-000003"].allocations) != 0 {
+			t.Fatalf("%d ran, %d of the new job do", running, len(s.jobs["run-000003"].allocations))
 		}
 		if want := map[bool]int{false: 0, true: 2}[stop]; stopped["run-000001"] != want || stopped["run-000002"] != 0 {
 			t.Errorf("stop %v: stopped %v", stop, stopped)
@@ -74,7 +74,7 @@
 			t.Errorf("explained by %v", x.Why)
 		}
 		for text, why := range map[string]string{oneTeam("0.5"): "more at once than the limit of team t allows since revision 3", "[[teams]]\nname = \"u\"\n": "team t is not in the configuration any more (revision 3)"} {
-			s.Configure(configured(t, text))
+			s.ApplyConfiguration(configured(t, text))
 			if x, ok := s.Explain("run-000003"); !ok || !strings.Contains(strings.Join(x.Why, " "), why) {
 				t.Errorf("explained by %v", x.Why)
 			}
@@ -83,37 +83,37 @@
 }
 
 // A start whose answer is lost is not stopped for a limit before its task is seen: nothing would ever prove that it is
-// gone, and it would hold the limit's room for as long as this leader leads.
+// releasedAt, and it would hold the limit's room for as long as this leader leads.
 func TestStartsUnderWayAreNotStoppedForALimit(t *testing.T) {
 	s := newStage(t)
-	s.active = configured(t, oneTeam("40"))
+	s.configuration = configured(t, oneTeam("40"))
 	s.report("a1", 1)
 	s.submit("run-000001", 2, func(x *api.Submission) { tiny(x); x.Team, x.CPUs = "t", 1 })
 	s.Place()
 	s.commit()
-	s.Configure(configured(t, "[over_limit]\nrunning = \"stop\"\n"+oneTeam("1")))
-	s.Tend()
-	stopped := func(then func(a *assign)) (n int) {
-		for _, a := range s.jobs["run-000001"].live {
-			if !a.sent {
+	s.ApplyConfiguration(configured(t, "[over_limit]\nrunning = \"stop\"\n"+oneTeam("1")))
+	s.MaintainFleet()
+	stopped := func(then func(alloc *allocation)) (n int) {
+		for _, alloc := range s.jobs["run-000001"].allocations {
+			if !alloc.runSent {
 				t.Fatal("a start was not sent")
 			}
-			if a.stop {
+			if alloc.stopping {
 				n++
 			}
-			then(a)
+			then(alloc)
 		}
 		return n
 	}
-	if n := stopped(func(a *assign) { a.seen = true }); n != 0 {
+	if n := stopped(func(alloc *allocation) { alloc.reported = true }); n != 0 {
 		t.Fatalf("%d tasks are stopped before they are seen", n)
 	}
-	s.Tend()
-	if n := stopped(func(a *assign) { a.open = 0 }); n != 0 {
+	s.MaintainFleet()
+	if n := stopped(func(alloc *allocation) { alloc.unansweredRuns = 0 }); n != 0 {
 		t.Fatalf("%d tasks are stopped while their start may be executed once more", n)
 	}
-	s.Tend()
-	if n := stopped(func(*assign) {}); n != 1 {
+	s.MaintainFleet()
+	if n := stopped(func(*allocation) {}); n != 1 {
 		t.Errorf("%d of two tasks are stopped once nothing is open, one is over the limit", n)
 	}
 }
@@ -121,11 +121,11 @@
 // What was decided before a change and is not on record is counted until it is.
 func TestUndecidedStartsAreCounted(t *testing.T) {
 	s := newStage(t)
-	s.active = configured(t, oneTeam("40"))
+	s.configuration = configured(t, oneTeam("40"))
 	s.report("a1", 1)
 	s.submit("run-000001", 2, func(x *api.Submission) { tiny(x); x.Team, x.CPUs = "t", 1 })
 	s.Place()
-	undecided := s.Configure(configured(t, oneTeam("2")))
+	undecided := s.ApplyConfiguration(configured(t, oneTeam("2")))
 	if n := undecided(); n != 2 {
 		t.Fatalf("%d starts are not on record, want 2", n)
 	}
@@ -141,8 +141,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var mute atomic.Bool
-	n, clock, st := follower(t, ctx, &mute, func(context.Context, peer.Request) peer.Response { return later(notLeading) })
-	n.keepConfiguration()
+	n, clock, st := follower(t, ctx, &mute, func(context.Context, peer.Request) peer.Response { return retryLater(notLeading) })
+	n.newRevisionStore()
 	submit := func(id string) peer.Response {
 		return n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(strings.Replace(aJob, "run-000001", id, 1))}, false)
 	}
@@ -150,7 +150,7 @@
 		t.Fatalf("before anything was read: %d %s", a.Status, a.Body)
 	}
 	confirm := func() {
-		if _, err := n.config.Refresh(ctx); err != nil {
+		if _, err := n.revisions.Refresh(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -174,7 +174,7 @@
 	if a := submit("run-000002"); a.Status != http.StatusUnprocessableEntity || !strings.Contains(string(a.Body), "team's limit") {
 		t.Errorf("by the new one: %d %s", a.Status, a.Body)
 	}
-	// Known jobs keep their answers, whatever the limit is now.
+	// JobStatus jobs keep their answers, whatever the limit is now.
 	if a := submit("run-000001"); a.Status != http.StatusOK {
 		t.Errorf("a known job: %d %s", a.Status, a.Body)
 	}
@@ -193,8 +193,8 @@
 	defer stop()
 	var mute atomic.Bool
 	n, clock, _ := follower(t, ctx, &mute, never)
-	n.keepConfiguration()
-	if _, err := n.config.Refresh(ctx); err != nil {
+	n.newRevisionStore()
+	if _, err := n.revisions.Refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
 	var s api.Submission
@@ -203,17 +203,17 @@
 	}
 	s.Team = "unknown"
 	judged, err, _ := n.canRun(nil, &s)
-	if err == nil || !judged.stands(n, nil) {
+	if err == nil || !judged.stillValid(n, nil) {
 		t.Fatalf("judged %v", err)
 	}
 	clock.Advance(tuning.ConfigurationRight)
-	if judged.stands(n, nil) {
+	if judged.stillValid(n, nil) {
 		t.Error("it stands after the right is over")
 	}
 }
 
 func change(n *Controller, body []byte) peer.Response {
-	return answered(n.configurationPort().Change(context.Background(), nil, body))
+	return jsonAnswer(n.configurationHandler().Change(context.Background(), nil, body))
 }
 
 // Only once all controllers know of it, and have it on, can anything be changed; a document with a mistake, or with
@@ -221,8 +221,8 @@
 func TestChangesNeedAllControllers(t *testing.T) {
 	s := newStage(t)
 	n := s.beside()
-	n.set.Peers = []settings.Peer{{Member: "z"}}
-	n.keepConfiguration()
+	n.settings.Peers = []settings.Peer{{Member: "z"}}
+	n.newRevisionStore()
 	a := n.Handle(context.Background(), peer.Request{Verb: VerbConfigure, Body: []byte(`{}`)}, true)
 	if a.Status != http.StatusServiceUnavailable {
 		t.Errorf("without a leader: %d %s", a.Status, a.Body)
@@ -246,13 +246,13 @@
 	s := newDataStage(t, features.Staged)
 	n := s.beside()
 	n.data.Ahead = 5
-	l := &configurationLeader{n, s.Core}
+	l := &configurationLeader{n, s.Scheduler}
 	l.Adopt(configured(t, "[features]\nahead_tasks = 9\n"))
-	if s.data.set.Ahead != 9 {
-		t.Fatalf("ahead %d with 9 configured", s.data.set.Ahead)
+	if s.datasets.settings.Ahead != 9 {
+		t.Fatalf("ahead %d with 9 configured", s.datasets.settings.Ahead)
 	}
 	l.Adopt(configured(t, ""))
-	if s.data.set.Ahead != 5 {
-		t.Errorf("ahead %d once it is left out, the features file has 5", s.data.set.Ahead)
+	if s.datasets.settings.Ahead != 5 {
+		t.Errorf("ahead %d once it is left out, the features file has 5", s.datasets.settings.Ahead)
 	}
 }
--- a/controller/core_test.go
+++ b/controller/core_test.go
@@ -22,11 +22,11 @@
 	"switchferry/tuning"
 )
 
-// stage is a leader on a fake clock with a scripted state service; the test
+// planStaging is a leader on a fake clock with a scripted state service; the test
 // plays the workers and the cloud.
 type stage struct {
 	*testing.T
-	*Core
+	*Scheduler
 	clock  *clockwork.FakeClock
 	state  *fake.State
 	com    *store.Committer
@@ -67,20 +67,20 @@
 	client := store.NewClient("state:1", s.state)
 	s.valid, s.sent, s.answered, s.finals = true, nil, 0, map[string]store.FinalRecord{}
 	hooks := Hooks{
-		Touch: func(k string, u int, f func()) { s.com.MarkDirty(k, u, f) },
-		Later: func(k string, u int, _ time.Duration, f func()) { s.com.MarkDirty(k, u, f) },
-		Send:  func(n, _ string, o api.HeartbeatResponse) { s.sent = append(s.sent, sentOrders{n, o}) },
-		Valid: func() bool { return s.valid },
-		Delay: func() time.Duration { return s.com.Delay() },
-		Cut:   func(zone string) bool { return zone == s.cutZone },
-		Final: func(id string, f store.FinalRecord) { s.finals[id] = f },
-		Ended: func(id string) (store.FinalRecord, bool) { f, ok := s.finals[id]; return f, ok },
-	}
-	s.Core = NewCore(term, s.clock, set, policy.Default(), testTypes, hooks)
+		MarkDirty:       func(k string, u int, f func()) { s.com.MarkDirty(k, u, f) },
+		MarkDirtyWithin: func(k string, u int, _ time.Duration, f func()) { s.com.MarkDirty(k, u, f) },
+		SendCommands:    func(n, _ string, o api.HeartbeatResponse) { s.sent = append(s.sent, sentOrders{n, o}) },
+		Leading:         func() bool { return s.valid },
+		CommitDelay:     func() time.Duration { return s.com.Delay() },
+		ZoneUnreachable: func(zone string) bool { return zone == s.cutZone },
+		JobTerminal:     func(id string, f store.FinalRecord) { s.finals[id] = f },
+		TerminalState:   func(id string) (store.FinalRecord, bool) { f, ok := s.finals[id]; return f, ok },
+	}
+	s.Scheduler = NewScheduler(term, s.clock, set, policy.Default(), testTypes, hooks)
 	if s.topo != nil {
 		s.UseTopology(s.topo)
 	}
-	s.com = store.NewCommitter(client, stageSource{s.Core, s}, s.clock, set.Facts.State, map[string]uint64{})
+	s.com = store.NewCommitter(client, stageSource{s.Scheduler, s}, s.clock, set.Facts.State, map[string]uint64{})
 	ctx := context.Background()
 	jobs, _, err := client.List(ctx, store.JobPrefix)
 	if err != nil {
@@ -94,7 +94,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Hint(images)
+	s.LoadImageHints(images)
 	for _, it := range append(append(jobs, shards...), images...) {
 		s.com.SetRevision(it.Key, it.Revision)
 	}
@@ -103,7 +103,7 @@
 }
 
 type stageSource struct {
-	*Core
+	*Scheduler
 	s *stage
 }
 
@@ -130,24 +130,24 @@
 	}
 	s.Submit(gaveUp(), &sub, s.clock.Now())
 	s.commit()
-	if _, ok := s.Known(id); !ok {
+	if _, ok := s.JobStatus(id); !ok {
 		s.Fatalf("%s not accepted", id)
 	}
 }
 
-// next is a machine's next tally.
+// nextTask is a machine's next tally.
 func (s *stage) next(name string) uint64 {
 	s.seq[name]++
 	return s.seq[name]
 }
 
-// report plays a worker that has seen the current term.
+// handleHeartbeat plays a worker that has seen the current term.
 func (s *stage) report(name string, session uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
 	return s.reportAt(name, session, s.next(name), s.term, tasks...)
 }
 
 func (s *stage) reportAt(name string, session, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
-	o, _, _ := s.Report(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: term, Tasks: tasks}, "")
+	o, _, _ := s.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: term, Tasks: tasks}, "")
 	return o
 }
 
@@ -184,7 +184,7 @@
 	return false
 }
 
-// started places a job of one task on a lone machine and returns its start.
+// termStarted places a job of one task on a lone machine and returns its start.
 func (s *stage) started(id string) sentOrders {
 	s.Helper()
 	s.report("a1", 1)
@@ -214,7 +214,7 @@
 func TestUnansweredStartStaysOnItsMachine(t *testing.T) {
 	s := newStage(t)
 	st := s.started("run-000001")
-	s.Answered("a1", st.o, nil, false)
+	s.CommandsAnswered("a1", st.o, nil, false)
 	s.report("b1", 1)
 	for range 5 {
 		s.clock.Advance(time.Second)
@@ -243,7 +243,7 @@
 	if has(o, api.CommandClear, "run-000001/0") {
 		t.Fatal("cleared while its start was unanswered")
 	}
-	s.Answered("a1", st.o, nil, true)
+	s.CommandsAnswered("a1", st.o, nil, true)
 	if o = s.report("a1", 1, task("run-000001/0", a, api.TaskExited, api.CauseStopped)); !has(o, api.CommandClear, "run-000001/0") {
 		t.Error("not cleared after the answer")
 	}
@@ -277,7 +277,7 @@
 }
 
 // After a takeover urgent work does not wait until the fleet has reported: it goes where a
-// machine was heard, by stopping what lies there if need be, and what is recorded on the others
+// machineNamed was heard, by stopping what lies there if need be, and what is recorded on the others
 // stays theirs.
 func TestUrgentWorkIsPlacedBeforeAllHaveReported(t *testing.T) {
 	s := newStage(t)
@@ -337,7 +337,7 @@
 		s.report("a2", 1)
 		s.Place()
 	}
-	names := s.Tend()
+	names := s.MaintainFleet()
 	if len(names) != 1 || names[0] != "a1" {
 		t.Fatalf("to be returned: %v", names)
 	}
@@ -345,14 +345,14 @@
 	if len(s.starts("run-000001/0")) != 1 {
 		t.Fatal("started elsewhere before the proof")
 	}
-	s.Returned(names, nil)
+	s.InstancesReleased(names, nil)
 	s.Place()
 	s.commit()
 	if got := s.starts("run-000001/0"); len(got) != 2 || got[1].name != "a2" {
 		t.Errorf("starts %+v", got)
 	}
 	// What the machine said before, held up on the way, brings nothing back.
-	if _, _, refused := s.Report(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 900, Term: s.term}, ""); !refused {
+	if _, _, refused := s.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 900, Term: s.term}, ""); !refused {
 		t.Error("a returned machine was taken back")
 	}
 }
@@ -385,14 +385,14 @@
 	}
 }
 
-// relayed plays reports that a sibling passes on through the state service.
+// followHeartbeatRelay plays reports that a sibling passes on through the state service.
 func (s *stage) relayed(member string, names ...string) {
 	for _, n := range names {
-		s.Relayed(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: s.next(n), Term: s.term})
+		s.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: s.next(n), Term: s.term})
 	}
 }
 
-// mailed is what stands in the state service for a machine behind a sibling.
+// runRelayed is what stands in the state service for a machine behind a sibling.
 func (s *stage) mailed(member, name string) (m store.RelayedCommands) {
 	s.Helper()
 	var r relay.Reader
@@ -431,7 +431,7 @@
 	s.Cancel(gaveUp(), "run-000001")
 	s.commit()
 	s.relayed("sib", "b1")
-	if len(s.jobs["run-000001"].live) != 1 {
+	if len(s.jobs["run-000001"].allocations) != 1 {
 		t.Fatal("a relayed report was taken for a proof")
 	}
 	s.report("b1", 1)
@@ -452,7 +452,7 @@
 func TestHigherSessionProvesLoss(t *testing.T) {
 	s := newStage(t)
 	st := s.started("run-000001")
-	s.Answered("a1", st.o, nil, false)
+	s.CommandsAnswered("a1", st.o, nil, false)
 	s.report("a1", 2)
 	s.Place()
 	s.commit()
@@ -489,7 +489,7 @@
 
 	s = newStage(t)
 	st := s.started("run-000002")
-	s.Answered("a1", st.o, nil, false)
+	s.CommandsAnswered("a1", st.o, nil, false)
 	s.Cancel(gaveUp(), "run-000002")
 	s.commit()
 	if o := s.report("a1", 1); has(o, api.CommandRun, "run-000002/0") {
@@ -528,7 +528,7 @@
 	if len(s.starts("run-000001/0"))+len(s.starts("run-000001/1")) != 0 {
 		t.Error("run again")
 	}
-	if st, _ := s.Known("run-000001"); st.State != api.Running || st.Done != 1 {
+	if st, _ := s.JobStatus("run-000001"); st.State != api.Running || st.Done != 1 {
 		t.Errorf("status %+v", st)
 	}
 	s.report("a1", 1, task("run-000001/1", at1, api.TaskExited, api.CauseDone))
@@ -552,7 +552,7 @@
 func TestOutageLongerThanLease(t *testing.T) {
 	s := newStage(t)
 	st := s.started("run-000001")
-	s.Answered("a1", st.o, nil, true)
+	s.CommandsAnswered("a1", st.o, nil, true)
 	s.submit("run-000002", 1, nil)
 	s.Place()
 	s.valid = false
@@ -566,7 +566,7 @@
 		if o.Term != s.term || len(o.Commands) != 0 {
 			t.Fatalf("answer in an outage: %+v", o)
 		}
-		if len(s.Tend()) != 0 {
+		if len(s.MaintainFleet()) != 0 {
 			t.Fatal("machines returned in an outage")
 		}
 	}
@@ -581,7 +581,7 @@
 // A worker that has seen a higher term has another leader.
 func TestHigherTermDeposes(t *testing.T) {
 	s := newStage(t)
-	_, deposed, _ := s.Report(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 1, Term: s.term + 5}, "")
+	_, deposed, _ := s.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 1, Term: s.term + 5}, "")
 	if !deposed {
 		t.Error("still leads")
 	}
@@ -591,7 +591,7 @@
 func TestLateReport(t *testing.T) {
 	s := newStage(t)
 	st := s.started("run-000001")
-	s.Answered("a1", st.o, nil, true)
+	s.CommandsAnswered("a1", st.o, nil, true)
 	s.reportAt("a1", 1, 50, s.term, task("run-000001/0", st.o.Commands[0].Attempt, api.TaskRunning, ""))
 	if o := s.reportAt("a1", 1, 40, s.term); len(o.Commands) != 0 {
 		t.Errorf("commands on a late report: %+v", o.Commands)
@@ -607,7 +607,7 @@
 func TestUnexpectedMachineIsUsed(t *testing.T) {
 	s := newStage(t)
 	s.submit("run-000001", 1, nil)
-	s.Listed([]api.Instance{{Name: "a7", Address: "a7:1", Type: "m8", Zone: "a", State: "booting"}})
+	s.ApplyInstanceList([]api.Instance{{Name: "a7", Address: "a7:1", Type: "m8", Zone: "a", State: "booting"}})
 	s.Place()
 	s.report("a7", 1)
 	s.Place()
@@ -634,11 +634,11 @@
 	s := newStage(t)
 	s.submit("run-000001", api.MaxTasks, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Team = 0.01, 0.01, "t" })
 	s.mu.Lock()
-	j := s.jobs["run-000001"]
-	m := s.machine("n-999999")
+	job := s.jobs["run-000001"]
+	machine := s.machineNamed("n-999999")
 	for i := range api.MaxTasks {
-		s.hold(j, i, m, s.nextAttempt()+1<<40)
-		s.touchShard(j, i, nil)
+		s.allocate(job, i, machine, s.nextAttempt()+1<<40)
+		s.markShardDirty(job, i, nil)
 	}
 	s.mu.Unlock()
 	s.commit()
@@ -650,7 +650,7 @@
 		t.Errorf("%d records wait", s.com.Pending())
 	}
 	s.elect()
-	if n := len(s.jobs["run-000001"].live); n != api.MaxTasks {
+	if n := len(s.jobs["run-000001"].allocations); n != api.MaxTasks {
 		t.Errorf("%d tasks read back", n)
 	}
 }
@@ -682,25 +682,25 @@
 	s.submit("run-000001", 3, func(x *api.Submission) { x.Shape, x.Spread, x.Rank = api.Service, true, "prod" })
 	s.Place()
 	s.commit()
-	if len(s.jobs["run-000001"].live) != 2 {
-		t.Fatalf("%d replicas in one zone", len(s.jobs["run-000001"].live))
+	if len(s.jobs["run-000001"].allocations) != 2 {
+		t.Fatalf("%d replicas in one zone", len(s.jobs["run-000001"].allocations))
 	}
 	s.report("b1", 1)
 	s.Place()
-	if len(s.jobs["run-000001"].live) != 3 {
+	if len(s.jobs["run-000001"].allocations) != 3 {
 		t.Error("the third replica did not start in the other zone")
 	}
 }
 
 // Production takes room from lower work, in one command, and never from its
-// own rank.
+// useCurrentFormat rank.
 func TestPreemption(t *testing.T) {
 	s := newStage(t)
 	s.report("a1", 1)
 	s.submit("run-000001", 2, nil)
 	s.Place()
 	s.commit()
-	s.Answered("a1", s.sent[0].o, nil, true)
+	s.CommandsAnswered("a1", s.sent[0].o, nil, true)
 	var run []api.TaskReport
 	for i := range 2 {
 		run = append(run, task(taskKey("run-000001", i), s.starts(taskKey("run-000001", i))[0].o.Commands[0].Attempt, api.TaskRunning, ""))
@@ -730,7 +730,7 @@
 	}
 	s.submit("run-000003", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 8 })
 	s.Place()
-	if s.jobs["run-000002"].live[0].stop {
+	if s.jobs["run-000002"].allocations[0].stopping {
 		t.Error("stopped work of its own rank")
 	}
 }
@@ -751,7 +751,7 @@
 			s.answerAll()
 		}
 	}
-	if names := s.Tend(); len(names) != 1 {
+	if names := s.MaintainFleet(); len(names) != 1 {
 		t.Errorf("suspect machines: %v", names)
 	}
 
@@ -769,7 +769,7 @@
 			s.answerAll()
 		}
 	}
-	if n := len(s.starts("run-000009/0")); n > 4 || len(s.Tend()) != 0 {
+	if n := len(s.starts("run-000009/0")); n > 4 || len(s.MaintainFleet()) != 0 {
 		t.Errorf("a job that always fails was started %d times at once", n)
 	}
 }
@@ -777,7 +777,7 @@
 // answerAll lets the workers answer every direct command.
 func (s *stage) answerAll() {
 	for ; s.answered < len(s.sent); s.answered++ {
-		s.Answered(s.sent[s.answered].name, s.sent[s.answered].o, nil, true)
+		s.CommandsAnswered(s.sent[s.answered].name, s.sent[s.answered].o, nil, true)
 	}
 }
 
@@ -788,7 +788,7 @@
 	s.submit("run-000001", 3, func(x *api.Submission) { x.Shape, x.OneZone = api.Gang, true })
 	s.report("b1", 1)
 	s.Place()
-	if n := len(s.jobs["run-000001"].live); n != 0 || s.machines["a1"].used.CPUs != 0 {
+	if n := len(s.jobs["run-000001"].allocations); n != 0 || s.machines["a1"].used.CPUs != 0 {
 		t.Fatalf("%d of 3 tasks placed in zones with room for 2", n)
 	}
 	s.report("b2", 1)
@@ -813,7 +813,7 @@
 	for i := range 12 {
 		s.report(fmt.Sprintf("a%02d", i), 1)
 	}
-	if r := s.Rentals(); len(r) != 0 {
+	if r := s.InstanceRequests(); len(r) != 0 {
 		t.Fatalf("rented %+v with enough machines", r)
 	}
 	s.valid = false
@@ -823,7 +823,7 @@
 			s.report(fmt.Sprintf("a%02d", i), 1)
 		}
 	}
-	if r := s.Rentals(); len(r) == 0 {
+	if r := s.InstanceRequests(); len(r) == 0 {
 		t.Error("nothing rented for machines that are gone")
 	}
 }
@@ -837,11 +837,11 @@
 	s.submit("run-000003", 3, func(x *api.Submission) { x.Team = "sure" })
 	s.report("a1", 1)
 	s.Place()
-	if live := len(s.jobs["run-000002"].live); live != 2 {
+	if live := len(s.jobs["run-000002"].allocations); live != 2 {
 		t.Errorf("%d of 2 guaranteed tasks placed", live)
 	}
 	// The third does not fit into the guarantee with the second.
-	if s.jobs["run-000003"].beyond != 1 || s.jobs["run-000001"].beyond != 1 {
+	if s.jobs["run-000003"].overQuota != 1 || s.jobs["run-000001"].overQuota != 1 {
 		t.Error("counted as guaranteed")
 	}
 }
@@ -864,7 +864,7 @@
 	s.report("a1", 1, run...)
 	s.submit("run-000003", 2, func(x *api.Submission) { x.Team = "sure" })
 	s.Place()
-	if s.jobs["run-000001"].live[0].stop {
+	if s.jobs["run-000001"].allocations[0].stopping {
 		t.Fatal("stopped at once")
 	}
 	for range 7 {
@@ -872,17 +872,17 @@
 		s.report("a1", 1, run...)
 	}
 	s.Place()
-	if !s.jobs["run-000001"].live[0].stop || len(s.jobs["run-000003"].live) != 1 {
+	if !s.jobs["run-000001"].allocations[0].stopping || len(s.jobs["run-000003"].allocations) != 1 {
 		t.Error("no room for guaranteed work")
 	}
-	if s.jobs["run-000002"].live[0].stop {
+	if s.jobs["run-000002"].allocations[0].stopping {
 		t.Error("production was stopped")
 	}
 }
 
 // A machine with work of its own queue first serves an earlier job that waits
 // elsewhere: on the grown deployments a job's last task waited up to 160 s in the
-// queue of one machine while later jobs started on others.
+// runQueue of one machine while later jobs started on others.
 func TestEarlierJobIsServedBeforeOwnQueue(t *testing.T) {
 	s := newStage(t)
 	for _, m := range []string{"a1", "a2"} {
@@ -896,9 +896,9 @@
 	s.submit("run-000003", 1, nil)
 	// The earlier job's task waits at one machine, the later one's at the other.
 	for i, id := range []string{"run-000002", "run-000003"} {
-		j := s.jobs[id]
-		s.machines[[]string{"a1", "a2"}[i]].enqueue(j, j.pending)
-		j.pending, j.queued = nil, 1
+		job := s.jobs[id]
+		s.machines[[]string{"a1", "a2"}[i]].enqueue(job, job.pending)
+		job.pending, job.queued = nil, 1
 	}
 	var ended []api.TaskReport
 	for _, r := range s.machines["a2"].Tasks {
@@ -913,10 +913,10 @@
 	s.again("a1")
 	s.report("a2", 1, ended...)
 	s.Place()
-	if a := s.jobs["run-000002"].live[0]; a == nil || a.machine.Name != "a2" {
-		t.Errorf("the earlier job did not start on the machine with room: %+v", a)
+	if alloc := s.jobs["run-000002"].allocations[0]; alloc == nil || alloc.machine.Name != "a2" {
+		t.Errorf("the earlier job did not start on the machine with room: %+v", alloc)
 	}
-	if len(s.jobs["run-000003"].live) != 0 {
+	if len(s.jobs["run-000003"].allocations) != 0 {
 		t.Error("the later job went first")
 	}
 }
@@ -936,8 +936,8 @@
 	s.submit("run-000004", api.MaxTasks, func(x *api.Submission) { x.DeadlineS, x.EstimateS = 1e15, 1e14 })
 	s.sortQueues()
 	var got []string
-	for _, j := range s.order {
-		got = append(got, j.id)
+	for _, job := range s.jobOrder {
+		got = append(got, job.id)
 	}
 	if want := []string{"run-000002", "run-000003", "run-000001", "run-000004"}; !slices.Equal(got, want) {
 		t.Errorf("order %v", got)
@@ -948,12 +948,12 @@
 // still meet the multiple of it that its class has an aim for.
 func TestLateJobHasItsNextAim(t *testing.T) {
 	s := newStage(t)
-	s.grace["c"] = []float64{2}
+	s.deadlineMultiples["c"] = []float64{2}
 	due := func(x *api.Submission) { x.DeadlineS = 60 }
 	s.submit("run-000001", 1, due)
-	j := s.jobs["run-000001"]
-	at := func(after float64) int64 { return s.latestStart(j, j.At+int64(after*1000)) - j.At }
-	if at(0) != 30_000 || at(31) != 90_000 || at(91) != math.MaxInt64-j.At {
+	job := s.jobs["run-000001"]
+	at := func(after float64) int64 { return s.latestStart(job, job.At+int64(after*1000)) - job.At }
+	if at(0) != 30_000 || at(31) != 90_000 || at(91) != math.MaxInt64-job.At {
 		t.Errorf("latest starts %d, %d, %d", at(0), at(31), at(91))
 	}
 }
@@ -966,32 +966,32 @@
 		s.report(m, 1)
 	}
 	s.submit("run-000001", 2, func(x *api.Submission) { x.CPUs, x.ImageGB = 4, 5 })
-	j := s.jobs["run-000001"]
-	s.machines["a1"].enqueue(j, j.pending)
-	j.pending, j.queued = nil, 2
+	job := s.jobs["run-000001"]
+	s.machines["a1"].enqueue(job, job.pending)
+	job.pending, job.queued = nil, 2
 	s.submit("run-000002", 1, func(x *api.Submission) { x.CPUs, x.Image = 4, "other" })
 	k := s.jobs["run-000002"]
 	k.pending = nil
-	s.hold(k, 0, s.machines["a1"], 1)
-	s.hold(j, 1, s.machines["a2"], 2)
-	j.queued, s.machines["a1"].queue[0].tasks = 1, []int32{0}
-	if !s.worthPulling(j, s.machines["a2"]) {
+	s.allocate(k, 0, s.machines["a1"], 1)
+	s.allocate(job, 1, s.machines["a2"], 2)
+	job.queued, s.machines["a1"].queues[0].tasks = 1, []int32{0}
+	if !s.worthPulling(job, s.machines["a2"]) {
 		t.Fatal("a machine that gets the image anyway must not wait")
 	}
 	s.machines["a1"].used.CPUs = 8
 	s.Place()
-	if a := j.live[0]; a == nil || a.machine.Name != "a2" {
-		t.Errorf("not taken by the machine that fetches the image: %+v", a)
+	if alloc := job.allocations[0]; alloc == nil || alloc.machine.Name != "a2" {
+		t.Errorf("not taken by the machine that fetches the image: %+v", alloc)
 	}
-	s.drop(j.live[0])
-	s.drop(j.live[1])
-	if len(s.machines["a2"].images) != 0 || s.machines["a2"].fetchS(j) == 0 {
+	s.removeAllocation(job.allocations[0])
+	s.removeAllocation(job.allocations[1])
+	if len(s.machines["a2"].imagesInUse) != 0 || s.machines["a2"].fetchSeconds(job) == 0 {
 		t.Error("counted as held after its tasks are gone")
 	}
 }
 
 // A job that comes within its team's guarantee only as earlier ones end goes
-// first in the queues, but nothing is stopped for it: two teams above their
+// precedence in the queues, but nothing is stopped for it: two teams above their
 // guarantees stopped each other's arrays over and over.
 func TestNothingIsStoppedForJobsThatCameBeyond(t *testing.T) {
 	s := newStage(t)
@@ -1013,13 +1013,13 @@
 		}
 		s.Place()
 	}
-	j := s.jobs["run-000003"]
-	if j.beyond != 0 || j.entitled {
-		t.Fatalf("beyond %d, entitled %v", j.beyond, j.entitled)
+	job := s.jobs["run-000003"]
+	if job.overQuota != 0 || job.guaranteed {
+		t.Fatalf("beyond %d, entitled %v", job.overQuota, job.guaranteed)
 	}
-	for _, a := range s.jobs["run-000001"].live {
-		if a.stop {
-			t.Errorf("%s was stopped", a.key)
+	for _, alloc := range s.jobs["run-000001"].allocations {
+		if alloc.stopping {
+			t.Errorf("%s was stopped", alloc.key)
 		}
 	}
 }
@@ -1028,7 +1028,7 @@
 func TestDemandWithoutCatalog(t *testing.T) {
 	s := newStage(t)
 	s.submit("run-000001", 3, func(x *api.Submission) { x.CPUs, x.MemoryGB = 4, 8 })
-	s.Core.types = map[string]*api.MachineType{}
+	s.Scheduler.machineTypes = map[string]*api.MachineType{}
 	if all, _ := s.demand(); all != 12 {
 		t.Errorf("%v processors for 3 tasks of 4", all)
 	}
@@ -1053,8 +1053,8 @@
 		s.Place()
 	}
 	stopped := 0
-	for _, a := range s.jobs["run-000001"].live {
-		if a.stop {
+	for _, alloc := range s.jobs["run-000001"].allocations {
+		if alloc.stopping {
 			stopped++
 		}
 	}
@@ -1067,7 +1067,7 @@
 // their turn may come; the leader does not keep what it cannot take.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	s := newStage(t)
-	s.com = store.NewCommitter(store.NewClient("state:1", s.state), stageSource{s.Core, s}, s.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
+	s.com = store.NewCommitter(store.NewClient("state:1", s.state), stageSource{s.Scheduler, s}, s.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
 		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
@@ -1135,15 +1135,15 @@
 	same := map[string]string{"a": "b", "b": "a"}[other]
 	s.report(same+"2", 1)
 	s.Place()
-	for _, a := range s.jobs["run-000001"].live {
-		if a.task == 1 {
-			t.Errorf("a replica was placed on %s while the other's zone was unknown", a.machine.Name)
+	for _, alloc := range s.jobs["run-000001"].allocations {
+		if alloc.task == 1 {
+			t.Errorf("a replica was placed on %s while the other's zone was unknown", alloc.machine.Name)
 		}
 	}
-	s.Listed([]api.Instance{{Name: at.name, Type: "m8", Zone: same, State: "running"}})
+	s.ApplyInstanceList([]api.Instance{{Name: at.name, Type: "m8", Zone: same, State: "running"}})
 	s.Place()
-	if a := s.jobs["run-000001"].live[1]; a == nil || a.machine.Zone != other {
-		t.Errorf("not placed in the other zone: %+v", a)
+	if alloc := s.jobs["run-000001"].allocations[1]; alloc == nil || alloc.machine.Zone != other {
+		t.Errorf("not placed in the other zone: %+v", alloc)
 	}
 }
 
@@ -1159,12 +1159,12 @@
 		for m := range left {
 			s.report(m, 1)
 		}
-		for _, n := range s.Tend() {
+		for _, n := range s.MaintainFleet() {
 			delete(left, n)
-			s.Returned([]string{n}, nil)
+			s.InstancesReleased([]string{n}, nil)
 		}
 	}
-	if len(left) > 0 || len(s.Rentals()) > 0 {
+	if len(left) > 0 || len(s.InstanceRequests()) > 0 {
 		t.Errorf("%d machines kept with nothing to do", len(left))
 	}
 }
@@ -1186,16 +1186,16 @@
 	s.report("a1", 1, run[0])
 	s.clock.Advance(5 * time.Second)
 	s.report("a1", 1, run...)
-	j := s.jobs["run-000001"]
-	older, younger := j.live[0], j.live[1]
-	if s.loss(older) <= s.loss(younger) {
+	job := s.jobs["run-000001"]
+	older, younger := job.allocations[0], job.allocations[1]
+	if s.preemptionLoss(older) <= s.preemptionLoss(younger) {
 		t.Fatal("task 1 is not the younger one")
 	}
-	j.moved[1] = 1
+	job.preemptions[1] = 1
 	s.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	s.Place()
-	if !older.stop || younger.stop {
-		t.Errorf("stopped: older %v, younger %v", older.stop, younger.stop)
+	if !older.stopping || younger.stopping {
+		t.Errorf("stopped: older %v, younger %v", older.stopping, younger.stopping)
 	}
 }
 
@@ -1220,9 +1220,9 @@
 		s.Place()
 		s.commit()
 	}
-	for _, a := range s.jobs["run-000001"].live {
-		if a.stop {
-			t.Errorf("%s was stopped by work of lower rank", a.key)
+	for _, alloc := range s.jobs["run-000001"].allocations {
+		if alloc.stopping {
+			t.Errorf("%s was stopped by work of lower rank", alloc.key)
 		}
 	}
 }
@@ -1236,7 +1236,7 @@
 	sure := func(x *api.Submission) { x.Team, x.DeadlineS, x.EstimateS = "sure", 60, 30 }
 	s.submit("run-000001", 4, sure)
 	s.Place()
-	s.submit("run-000002", 2, sure) // beyond the 16 processors, as the first takes them all
+	s.submit("run-000002", 2, sure) // overQuota the 16 processors, as the first takes them all
 	s.Place()
 	s.Cancel(gaveUp(), "run-000001")
 	s.commit()
@@ -1245,9 +1245,9 @@
 	s.report("a1", 1)
 	s.Place()
 	order := func() (out []string) {
-		for _, j := range s.order {
-			if j.FinalState == "" {
-				out = append(out, j.id)
+		for _, job := range s.jobOrder {
+			if job.FinalState == "" {
+				out = append(out, job.id)
 			}
 		}
 		return out
@@ -1275,7 +1275,7 @@
 	s.commit()
 	shards := map[string]string{}
 	for _, id := range []string{"run-000001", "run-000002"} {
-		shards[id] = store.ShardOf(id, 0, s.shardTasks).Key()
+		shards[id] = store.ShardOf(id, 0, s.tasksPerShard).Key()
 		if s.state.Get(shards[id]) == nil {
 			t.Fatalf("no record of the task of %s", id)
 		}
@@ -1286,11 +1286,11 @@
 	s.report("a1", 1)
 	s.Place()
 	s.commit()
-	if _, ok := s.Known("run-000003"); !ok {
+	if _, ok := s.JobStatus("run-000003"); !ok {
 		t.Error("a job whose records are sound is not known")
 	}
 	for _, id := range []string{"run-000001", "run-000002"} {
-		if _, ok := s.Known(id); ok {
+		if _, ok := s.JobStatus(id); ok {
 			t.Errorf("%s is answered for", id)
 		}
 		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
--- a/controller/data_bench_test.go
+++ b/controller/data_bench_test.go
@@ -15,13 +15,13 @@
 // scattered is a leader with so many machines, ten times as many parts of one dataset with
 // three holders each, and a job of 1,000 tasks. In kind "groups" the tasks' parts lie on 64
 // triples of machines, in kind "scattered" each on its own.
-func scattered(t *testing.T, machines int, kind string) (*dataStage, *job) {
+func scattered(t *testing.T, machines int, kind string) (*dataStage, *jobState) {
 	rng := rand.New(rand.NewPCG(11, uint64(machines)))
 	parts := 10 * machines
 	set := &dataset.Summary{Name: "chunks", Bytes: int64(parts) * 64e6, Parts: parts, Usual: 64e6}
 	s := &dataStage{stage: newStage(t), place: features.Staged, agents: map[string]*played{}}
 	s.on()
-	s.Learn(&dataset.Entry{Summary: *set})
+	s.AddDatasets(&dataset.Entry{Summary: *set})
 	on := make([]*roaring.Bitmap, machines)
 	for i := range on {
 		on[i] = roaring.New()
@@ -42,18 +42,18 @@
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
 		s.report(name, 1)
-		s.Staging(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
+		s.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
 			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: on[i]}}}})
 	}
 	s.Submit(gaveUp(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, s.clock.Now())
 	s.commit()
-	j := s.jobs["run-000001"]
-	if j == nil || len(j.pending) != 1000 {
+	job := s.jobs["run-000001"]
+	if job == nil || len(job.pending) != 1000 {
 		t.Fatal("no job")
 	}
-	s.data.snap = s.data.index.Snapshot()
-	return s, j
+	s.datasets.snapshot = s.datasets.index.Snapshot()
+	return s, job
 }
 
 // BenchmarkDataFill is the whole decision for a job of 1,000 tasks with inputs: busy
@@ -64,20 +64,20 @@
 	for _, kind := range []string{"groups", "scattered"} {
 		for _, machines := range []int{250, 500, 1000, 2000} {
 			b.Run(fmt.Sprintf("%s/machines=%d", kind, machines), func(b *testing.B) {
-				s, j := scattered(&testing.T{}, machines, kind)
+				s, job := scattered(&testing.T{}, machines, kind)
 				for b.Loop() {
-					s.at = s.clock.Now()
-					s.dataFill(j)
+					s.roundTime = s.clock.Now()
+					s.placeByLocality(job)
 					b.StopTimer()
-					if len(j.pending) > 0 {
-						b.Fatalf("%d tasks left", len(j.pending))
+					if len(job.pending) > 0 {
+						b.Fatalf("%d tasks left", len(job.pending))
 					}
-					for _, m := range s.machines {
-						m.queue = nil
+					for _, machine := range s.machines {
+						machine.queues = nil
 					}
-					j.queued = 0
-					for t := range j.total {
-						j.pending = append(j.pending, int32(t))
+					job.queued = 0
+					for t := range job.taskCount {
+						job.pending = append(job.pending, int32(t))
 					}
 					b.StartTimer()
 				}
@@ -91,13 +91,13 @@
 func BenchmarkStage(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			s, j := scattered(&testing.T{}, machines, "scattered")
-			s.hooks.Stage = func(string, string, api.StageOrder) {}
-			s.at = s.clock.Now()
-			s.dataFill(j)
-			s.Core.stage()
+			s, job := scattered(&testing.T{}, machines, "scattered")
+			s.hooks.SendStageOrder = func(string, string, api.StageOrder) {}
+			s.roundTime = s.clock.Now()
+			s.placeByLocality(job)
+			s.Scheduler.planStaging()
 			for b.Loop() {
-				s.Core.stage()
+				s.Scheduler.planStaging()
 			}
 		})
 	}
--- a/controller/data_test.go
+++ b/controller/data_test.go
@@ -45,15 +45,15 @@
 	return s
 }
 
-// on switches datasets on in the present term.
+// localityAware switches datasets on in the present term.
 func (s *dataStage) on() {
 	s.UseData(features.Data{On: true, Placement: s.place, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
-	s.hooks.Stage = func(name, _ string, o api.StageOrder) {
+	s.hooks.SendStageOrder = func(name, _ string, o api.StageOrder) {
 		if p := s.agents[name]; p != nil {
 			p.apply(o)
 		}
 	}
-	s.Learn(&dataset.Entry{Summary: *inv})
+	s.AddDatasets(&dataset.Entry{Summary: *inv})
 }
 
 // reelect begins a new term, with agents and machines as they are.
@@ -90,7 +90,7 @@
 	}
 }
 
-// machine brings up a machine and its agent, which holds some parts.
+// machineNamed brings up a machine and its agent, which holds some parts.
 func (s *dataStage) up(name string, parts ...uint32) *played {
 	s.report(name, 1)
 	p := &played{name: name, has: roaring.BitmapOf(parts...)}
@@ -102,7 +102,7 @@
 func (s *dataStage) tell(p *played) {
 	s.Helper()
 	p.seq++
-	if o, _, refused := s.Staging(p.stageReport()); !refused {
+	if o, _, refused := s.HandleStageHeartbeat(p.stageReport()); !refused {
 		p.apply(o)
 	}
 }
@@ -148,7 +148,7 @@
 	for range 3 {
 		s.round()
 	}
-	if len(s.starts("run-000001/0")) != 0 || len(s.machines["a1"].assigns) != 0 {
+	if len(s.starts("run-000001/0")) != 0 || len(s.machines["a1"].allocations) != 0 {
 		t.Fatal("started, or room held, without inputs")
 	}
 	if got := a.copies(); !slices.Equal(got, []int{0, 1}) {
@@ -172,8 +172,8 @@
 	}
 	s.alive("a1", ended...)
 	s.round()
-	st := s.jobs["run-000001"].live[0]
-	if st == nil || s.jobs["run-000001"].live[1] == nil {
+	st := s.jobs["run-000001"].allocations[0]
+	if st == nil || s.jobs["run-000001"].allocations[1] == nil {
 		t.Fatal("not started though its inputs are there")
 	}
 	// What a task runs on stays pinned, and may go when it is over.
@@ -217,7 +217,7 @@
 		t.Fatal("want task 0 running, task 1 waiting")
 	}
 	st := s.starts("run-000001/0")[0].o.Commands[0]
-	old, _, _ := s.data.desk.Order("a1")
+	old, _, _ := s.datasets.planner.Order("a1")
 	s.reelect()
 	// The agent reports before anything else is known; nothing may be let go.
 	s.tell(a)
@@ -272,7 +272,7 @@
 	s.submit("run-000001", 1, withInputs(api.UseOwn))
 	s.round()
 	b := s.up("a2")
-	s.Returned([]string{"a1"}, nil)
+	s.InstancesReleased([]string{"a1"}, nil)
 	delete(s.agents, "a1")
 	s.round()
 	s.round()
@@ -320,7 +320,7 @@
 			s.submit("run-000009", 2, func(x *api.Submission) { x.Rank = "low" })
 			s.round()
 			for k := range 2 {
-				low = append(low, task(taskKey("run-000009", k), s.jobs["run-000009"].live[k].attempt, api.TaskRunning, ""))
+				low = append(low, task(taskKey("run-000009", k), s.jobs["run-000009"].allocations[k].attempt, api.TaskRunning, ""))
 			}
 		}
 		s.submit("run-000001", 2, func(x *api.Submission) {
@@ -336,8 +336,8 @@
 			if len(s.starts("run-000001/0")) != 0 {
 				t.Fatalf("%s: started without its inputs", shape)
 			}
-			for _, x := range s.machines["a1"].assigns {
-				if x.job.id == "run-000001" || x.stop {
+			for _, x := range s.machines["a1"].allocations {
+				if x.job.id == "run-000001" || x.stopping {
 					t.Fatalf("%s: %s holds room, or others are stopped, for bytes", shape, x.key)
 				}
 			}
@@ -351,7 +351,7 @@
 			s.round()
 		}
 		placed := 0
-		for _, x := range s.machines["a1"].assigns {
+		for _, x := range s.machines["a1"].allocations {
 			if x.job.id == "run-000001" {
 				placed++
 			}
@@ -419,22 +419,22 @@
 	s := newDataStage(t, features.Staged)
 	s.up("a1")
 	s.up("a2", 0, 1)
-	s.keepHolds(s.clock.Now().Add(tuning.HoldsEvery))
+	s.storeReplicaHints(s.clock.Now().Add(tuning.HoldsEvery))
 	s.commit()
 	it := s.state.Get(store.ReplicasKey(0))
 	if it == nil {
 		t.Fatal("not on record")
 	}
 	s.reelect()
-	s.HoldsHint([]store.Item{{Key: store.ReplicasKey(0), Value: it}})
+	s.LoadReplicaHints([]store.Item{{Key: store.ReplicasKey(0), Value: it}})
 	s.alive("a1")
 	s.alive("a2")
 	s.tell(s.agents["a1"])
 	s.submit("run-000001", 2, withInputs(api.UseOwn))
 	s.Place()
 	s.commit()
-	if n := len(s.machines["a2"].queue); n != 1 || len(s.machines["a1"].queue) != 0 {
-		t.Fatalf("queued on a2: %d, on a1: %d", n, len(s.machines["a1"].queue))
+	if n := len(s.machines["a2"].queues); n != 1 || len(s.machines["a1"].queues) != 0 {
+		t.Fatalf("queued on a2: %d, on a1: %d", n, len(s.machines["a1"].queues))
 	}
 	if len(s.starts("run-000001/0")) != 0 {
 		t.Fatal("started on a hint")
@@ -448,7 +448,7 @@
 
 // A task that waits for its copy goes to a holder that became free meanwhile, instead of
 // waiting on: found in the experiment, where tasks waited 10 s for a copy of what idle
-// machines held.
+// refreshMachines held.
 func TestFreedHoldersTakeTasksThatWaitForBytes(t *testing.T) {
 	s := newDataStage(t, features.Staged)
 	s.up("a1", 0, 1)
@@ -456,13 +456,13 @@
 	s.round()
 	busy := []api.TaskReport{}
 	for k := range 2 {
-		busy = append(busy, task(taskKey("run-000002", k), s.jobs["run-000002"].live[k].attempt, api.TaskRunning, ""))
+		busy = append(busy, task(taskKey("run-000002", k), s.jobs["run-000002"].allocations[k].attempt, api.TaskRunning, ""))
 	}
 	s.alive("a1", busy...)
 	s.up("a2")
 	s.submit("run-000001", 1, withInputs(api.UseOwn))
 	s.round()
-	if len(s.machines["a2"].queue) != 1 {
+	if len(s.machines["a2"].queues) != 1 {
 		t.Fatal("want it to wait for a copy on the idle machine")
 	}
 	for i := range busy {
@@ -473,7 +473,7 @@
 	for range 3 {
 		s.round()
 	}
-	if a := s.jobs["run-000001"].live[0]; a == nil || a.machine.Name != "a1" {
-		t.Fatalf("not taken by the holder: %+v", a)
+	if alloc := s.jobs["run-000001"].allocations[0]; alloc == nil || alloc.machine.Name != "a1" {
+		t.Fatalf("not taken by the holder: %+v", alloc)
 	}
 }
--- a/controller/dataport_test.go
+++ b/controller/dataport_test.go
@@ -26,16 +26,16 @@
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	n := New(context.Background(), set, policy.Default(), clock, st)
-	n.types = testTypes
+	n.machineTypes = testTypes
 	n.Enable(&features.Features{Data: features.Data{On: on, Placement: features.Staged, CacheGB: 5, LinkMBs: 100, StoreMBs: 100, PerLink: 1, AtStore: 8}})
 	return n, st
 }
 
-func (n *Controller) ask(verb, body string) peer.Response {
+func (c *Controller) ask(verb, body string) peer.Response {
 	// The share of reads that questions may take is another test's matter.
-	n.reads.SetLimit(1e9)
-	n.reads.SetBurst(1 << 30)
-	return n.Handle(context.Background(), peer.Request{Verb: verb, Body: []byte(body)}, false)
+	c.readLimiter.SetLimit(1e9)
+	c.readLimiter.SetBurst(1 << 30)
+	return c.Handle(context.Background(), peer.Request{Verb: verb, Body: []byte(body)}, false)
 }
 
 func summary(name string, parts int, each int64) string {
@@ -50,7 +50,7 @@
 }
 
 // What can never run is refused at once, with the field and the remedy; whatever can, is
-// stored with its inputs.
+// terminalStored with its inputs.
 func TestInputsThatCanNeverBe(t *testing.T) {
 	n, st := dataNode(true)
 	if a := n.ask(VerbRegister, summary("inv", 8, 1e9)); a.Status != 201 {
--- a/controller/datarelay_test.go
+++ b/controller/datarelay_test.go
@@ -77,7 +77,7 @@
 		s.Fatal(err)
 	}
 	s.after = max(s.after, epoch)
-	exchange.UnpackEvents(log, store.StageRelayPrefix, s.term, &s.joiner, s.agentSays)
+	exchange.UnpackEvents(log, store.StageRelayPrefix, s.term, &s.joiner, s.acceptAgentMessage)
 	s.Place()
 	s.commit()
 	if _, err = s.y.agentRelay.post.Fetch(ctx, 0); err != nil {
@@ -113,14 +113,14 @@
 	// A report that was overtaken proves nothing.
 	late := a.stageReport()
 	late.Seq, late.Pinned = 1, nil
-	s.StagingRelayed("y", late)
-	if !s.data.desk.Confirmed("a1", inv, 0) {
+	s.HandleRelayedStageHeartbeat("y", late)
+	if !s.datasets.planner.Confirmed("a1", inv, 0) {
 		t.Error("an old report took a proof back")
 	}
 	// Once the agent reaches the leader itself, the mail ends.
 	s.tell(a)
 	s.commit()
-	if s.data.relayed["a1"] != nil || len(s.data.mail.Machines("y", 0)) != 0 {
+	if s.datasets.relayedReports["a1"] != nil || len(s.datasets.orderMailboxes.Machines("y", 0)) != 0 {
 		t.Error("mail for an agent that is within reach")
 	}
 }
@@ -145,7 +145,7 @@
 	old := s.term
 	s.reelect()
 	s.follow()
-	s.Learn(&dataset.Entry{Summary: *inv})
+	s.AddDatasets(&dataset.Entry{Summary: *inv})
 	if o := s.say(a); o.Order != 0 || !a.wants(0) {
 		t.Fatalf("told %+v", o)
 	}
@@ -156,8 +156,8 @@
 	if a.term != s.term || a.term == old || !a.wants(0) {
 		t.Fatalf("the new leader's order: term %d of %d, %+v", a.term, s.term, a.sets)
 	}
-	id, _ := s.data.desk.ID("a1")
-	if !s.data.index.Snapshot().Has(id, "inv", 0) {
+	id, _ := s.datasets.planner.ID("a1")
+	if !s.datasets.index.Snapshot().Has(id, "inv", 0) {
 		t.Error("the new leader was not told what the agent holds")
 	}
 }
@@ -183,7 +183,7 @@
 		d.Name, d.Manifest = fmt.Sprintf("set-%04d", i), dataset.Sum([]byte{byte(i), byte(i >> 8)})
 		sets = append(sets, &d)
 	}
-	s.Learn(sets...)
+	s.AddDatasets(sets...)
 	var all []*played
 	for i := range 1000 {
 		p := &played{name: fmt.Sprintf("b%04d", i), has: roaring.BitmapOf(uint32(i % 8)), version: 1}
@@ -197,7 +197,7 @@
 	}
 	all[0].seq++
 	full.Seq = all[0].seq
-	if _, err := s.y.agentRelay.report(full, s.term); err != nil {
+	if _, err := s.y.agentRelay.handleHeartbeat(full, s.term); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
@@ -209,8 +209,8 @@
 			t.Fatalf("%s has no order after four rounds", p.name)
 		}
 	}
-	id, _ := s.data.desk.ID("b0000")
-	if !s.data.index.Snapshot().Has(id, "set-1999", 2) {
+	id, _ := s.datasets.planner.ID("b0000")
+	if !s.datasets.index.Snapshot().Has(id, "set-1999", 2) {
 		t.Error("the long report did not arrive")
 	}
 	if len(s.state.Refused) != 0 {
--- a/controller/dataremove.go
+++ b/controller/dataremove.go
@@ -19,15 +19,15 @@
 // run as ever. Once none is left, which only a leader can tell that knows all that
 // siblings accepted until the first step, it is removed, and agents let its bytes go.
 
-// inputConds are the conditions under which a job with these inputs may be accepted. They
+// inputConditions are the conditions under which a job with these inputs may be accepted. They
 // cannot hold for one that is not known, or no longer listed.
-func (c *Core) inputConds(j *job) (out []store.Condition) {
-	if c.data == nil {
+func (s *Scheduler) inputConditions(job *jobState) (out []store.Condition) {
+	if s.datasets == nil {
 		return nil
 	}
-	for _, in := range j.inputs {
+	for _, in := range job.inputs {
 		cond := store.Condition{Key: store.DatasetKey(in.name)}
-		if x := c.data.sets[in.name]; x != nil && x.State == dataset.Listed {
+		if x := s.datasets.entries[in.name]; x != nil && x.State == dataset.Listed {
 			cond.Revision = x.Stamp
 		}
 		out = append(out, cond)
@@ -37,26 +37,26 @@
 
 // datasetFound takes in a dataset's record that is not as a job's acceptance took it to
 // be. Jobs that nobody was told of, and that may not name it any more, are dropped: the
-// users who wait for them are told why by whoever checks the inputs anew.
-func (c *Core) datasetFound(found *store.Item) {
+// requestCounts who wait for them are told why by whoever checks the inputs anew.
+func (s *Scheduler) datasetFound(found *store.Item) {
 	x, err := parseDataset(found)
 	if err != nil {
 		slog.Error("a dataset's record is damaged", "key", found.Key, "err", err)
 		return
 	}
-	c.learn(x)
+	s.addDatasets(x)
 	if x.State == dataset.Listed {
 		return
 	}
-	for _, j := range append([]*job{}, c.order...) {
-		if !j.accepted && j.needs(x.Name) {
-			c.dropJob(j)
-			j.notify()
+	for _, job := range append([]*jobState{}, s.jobOrder...) {
+		if !job.accepted && job.usesDataset(x.Name) {
+			s.removeJob(job)
+			job.notify()
 		}
 	}
 }
 
-func (j *job) needs(name string) bool {
+func (j *jobState) usesDataset(name string) bool {
 	for _, in := range j.inputs {
 		if in.name == name {
 			return true
@@ -66,18 +66,18 @@
 }
 
 // InboxSeen notes up to which revision the jobs are known that siblings accepted.
-func (c *Core) InboxSeen(epoch uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.data != nil {
-		c.data.inbox = max(c.data.inbox, epoch)
+func (s *Scheduler) InboxSeen(epoch uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.datasets != nil {
+		s.datasets.inboxRevision = max(s.datasets.inboxRevision, epoch)
 	}
 }
 
-// neededBy counts the jobs that need a dataset.
-func (c *Core) neededBy(name string) (n int) {
-	for _, j := range c.order {
-		if j.needs(name) {
+// jobsUsing counts the jobs that need a dataset.
+func (s *Scheduler) jobsUsing(name string) (n int) {
+	for _, job := range s.jobOrder {
+		if job.usesDataset(name) {
 			n++
 		}
 	}
@@ -86,41 +86,41 @@
 
 // finishRemovals records datasets as removed that nothing needs any more. A job whose
 // acceptance is not certain counts: it may stand on record.
-func (c *Core) finishRemovals() {
-	if c.data == nil {
+func (s *Scheduler) finishRemovals() {
+	if s.datasets == nil {
 		return
 	}
-	for _, x := range c.data.unlisted {
-		if x.State != dataset.Removing || c.data.inbox < x.Stamp || c.data.removing[x.Name] != "" || c.neededBy(x.Name) > 0 {
+	for _, x := range s.datasets.unlisted {
+		if x.State != dataset.Removing || s.datasets.inboxRevision < x.Stamp || s.datasets.removing[x.Name] != "" || s.jobsUsing(x.Name) > 0 {
 			continue
 		}
-		c.data.removing[x.Name] = dataset.Removing
-		c.hooks.Touch(store.DatasetKey(x.Name), store.Lazy, c.locked(func() {
-			wrote := c.data.removing[x.Name]
-			delete(c.data.removing, x.Name)
+		s.datasets.removing[x.Name] = dataset.Removing
+		s.hooks.MarkDirty(store.DatasetKey(x.Name), store.Lazy, s.withLock(func() {
+			wrote := s.datasets.removing[x.Name]
+			delete(s.datasets.removing, x.Name)
 			if wrote != dataset.Removed || x.State == dataset.Removed {
 				return
 			}
 			slog.Info("dataset removed", "dataset", x.Name)
 			x.State = dataset.Removed
-			c.data.desk.RemoveDataset(x.Name, x.Manifest.String())
-			c.kick()
+			s.datasets.planner.RemoveDataset(x.Name, x.Manifest.String())
+			s.wakePlacer()
 		}))
 	}
 }
 
 // datasetRecord is a dataset's record as the leader writes it: it does so only to remove
 // it. More: it must stand as it was when that was decided.
-func (c *Core) datasetRecord(name string) (rec dataset.Entry, exists bool, more []store.Condition) {
-	if c.data == nil || c.data.unlisted[name] == nil {
+func (s *Scheduler) datasetRecord(name string) (rec dataset.Entry, exists bool, more []store.Condition) {
+	if s.datasets == nil || s.datasets.unlisted[name] == nil {
 		return rec, false, nil
 	}
-	rec = *c.data.unlisted[name]
+	rec = *s.datasets.unlisted[name]
 	more = []store.Condition{{Key: store.DatasetKey(name), Revision: rec.Stamp}}
-	if c.neededBy(name) == 0 {
+	if s.jobsUsing(name) == 0 {
 		rec.State = dataset.Removed
 	}
-	c.data.removing[name] = rec.State
+	s.datasets.removing[name] = rec.State
 	return rec, true, more
 }
 
@@ -134,26 +134,26 @@
 
 // removeDataset takes a dataset off the list: any controller can, since nothing but its
 // record decides. Asking again tells how far it is.
-func (n *Controller) removeDataset(ctx context.Context, name string) peer.Response {
+func (c *Controller) removeDataset(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
-		return answer(http.StatusNotFound, api.Error{Error: "no such dataset"})
+		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
 	for range tuning.RemoveTries {
-		it, err := n.client.Get(ctx, store.DatasetKey(name))
+		it, err := c.client.Get(ctx, store.DatasetKey(name))
 		if errors.Is(err, store.ErrNotFound) {
-			return answer(http.StatusNotFound, api.Error{Error: "no such dataset"})
+			return jsonResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 		}
 		if err != nil {
 			break
 		}
 		x, err := parseDataset(&it)
 		if err != nil {
-			return answer(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
+			return jsonResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
 		if x.State == dataset.Listed {
 			next := *x
 			next.State = dataset.Removing
-			epoch, _, err := n.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}}, []store.Operation{{Set: it.Key, Value: next}})
+			epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}}, []store.Operation{{Set: it.Key, Value: next}})
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
@@ -164,20 +164,20 @@
 			next.Stamp = epoch
 			x = &next
 		}
-		n.keepDataset(x)
+		c.cacheDataset(x)
 		v := RemovalView{Name: name, State: x.State, Jobs: -1}
-		if core := n.leading(); core != nil {
-			core.Learn(x)
-			v.Jobs = core.NeededBy(name)
+		if sched := c.leadingScheduler(); sched != nil {
+			sched.AddDatasets(x)
+			v.Jobs = sched.JobsUsing(name)
 		}
-		return answer(http.StatusOK, v)
+		return jsonResponse(http.StatusOK, v)
 	}
-	return later("the state service is out of reach")
+	return retryLater("the state service is out of reach")
 }
 
-// NeededBy counts the jobs that need a dataset.
-func (c *Core) NeededBy(name string) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.neededBy(name)
+// JobsUsing counts the jobs that need a dataset.
+func (s *Scheduler) JobsUsing(name string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.jobsUsing(name)
 }
--- a/controller/dataremove_test.go
+++ b/controller/dataremove_test.go
@@ -28,7 +28,7 @@
 func (s *dataStage) listed() *dataset.Entry {
 	x := &dataset.Entry{Summary: *inv}
 	x.Stamp = s.state.Put(store.DatasetKey("inv"), x)
-	s.Learn(x)
+	s.AddDatasets(x)
 	return x
 }
 
@@ -38,7 +38,7 @@
 	x := &dataset.Entry{Summary: *inv, State: dataset.Removing}
 	x.Stamp = s.state.Put(store.DatasetKey("inv"), x)
 	if told {
-		s.Learn(x)
+		s.AddDatasets(x)
 	}
 	return x
 }
@@ -55,7 +55,7 @@
 	st := s.starts("run-000001/0")[0].o.Commands[0]
 	s.unlist(true)
 	s.InboxSeen(1 << 40)
-	s.Tend()
+	s.MaintainFleet()
 	s.commit()
 	if got := a.copies(); s.recorded("inv") != dataset.Removing || len(got) != 1 || got[0] != 1 {
 		t.Fatalf("state %q, copies %v: the job that needs it must go on", s.recorded("inv"), got)
@@ -64,7 +64,7 @@
 	s.alive("a1", task("run-000001/0", st.Attempt, api.TaskRunning, ""))
 	s.round()
 	s.round()
-	second := s.jobs["run-000001"].live[1]
+	second := s.jobs["run-000001"].allocations[1]
 	if second == nil {
 		t.Fatal("not started though its inputs are there")
 	}
@@ -77,7 +77,7 @@
 		t.Fatal("let go before it is on record as removed")
 	}
 	for range 3 {
-		s.Tend()
+		s.MaintainFleet()
 		s.commit()
 		s.round()
 	}
@@ -105,7 +105,7 @@
 	x := s.unlist(true)
 	for range 3 {
 		s.InboxSeen(at)
-		s.Tend()
+		s.MaintainFleet()
 		s.commit()
 	}
 	if s.recorded("inv") != dataset.Removing {
@@ -117,15 +117,15 @@
 	}
 	s.Conflict(it.Key, &it)
 	s.InboxSeen(x.Stamp)
-	s.Tend()
+	s.MaintainFleet()
 	s.commit()
-	if s.recorded("inv") != dataset.Removing || s.NeededBy("inv") != 1 {
+	if s.recorded("inv") != dataset.Removing || s.JobsUsing("inv") != 1 {
 		t.Fatal("removed under a job that a sibling accepted")
 	}
 	s.Cancel(gaveUp(), "run-000007")
 	for range 3 {
 		s.commit()
-		s.Tend()
+		s.MaintainFleet()
 		s.commit()
 	}
 	if s.recorded("inv") != dataset.Removed {
@@ -147,12 +147,12 @@
 		s.Submit(gaveUp(), &sub, s.clock.Now())
 		s.unlist(told)
 		s.commit()
-		if s.state.Get(store.JobKey("run-000001")) != nil || s.Has("run-000001") || s.jobs["run-000001"] != nil {
+		if s.state.Get(store.JobKey("run-000001")) != nil || s.HasJob("run-000001") || s.jobs["run-000001"] != nil {
 			t.Errorf("told %v: accepted after its dataset was taken off the list", told)
 		}
 		s.InboxSeen(1 << 40)
 		for range 2 {
-			s.Tend()
+			s.MaintainFleet()
 			s.commit()
 		}
 		if s.recorded("inv") != dataset.Removed {
@@ -183,8 +183,8 @@
 func TestRemoveAnswers(t *testing.T) {
 	n, st := dataNode(true)
 	remove := func(name string) peer.Response {
-		n.reads.SetLimit(1e9)
-		n.reads.SetBurst(1 << 30)
+		n.readLimiter.SetLimit(1e9)
+		n.readLimiter.SetBurst(1 << 30)
 		return n.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: name}, false)
 	}
 	n.ask(VerbRegister, summary("inv", 8, 1))
@@ -223,7 +223,7 @@
 		x := &dataset.Entry{Summary: *inv}
 		x.Name = fmt.Sprintf("set-%02d", i)
 		x.Stamp = s.state.Put(store.DatasetKey(x.Name), x)
-		s.Learn(x)
+		s.AddDatasets(x)
 		in = append(in, api.Input{Dataset: x.Name, Use: api.UseOwn})
 	}
 	for i := range 20 {
@@ -232,7 +232,7 @@
 	}
 	s.commit()
 	for i := range 20 {
-		if !s.Has(fmt.Sprintf("run-%06d", i)) {
+		if !s.HasJob(fmt.Sprintf("run-%06d", i)) {
 			t.Fatalf("job %d is not accepted", i)
 		}
 	}
--- a/controller/dayend_test.go
+++ b/controller/dayend_test.go
@@ -32,13 +32,13 @@
 			via := []string{"", "n1", "n2"}[w.reports%3]
 			for _, n := range w.names {
 				r := &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1 + uint64(since/(10*time.Second)), Seq: s.next(n), Term: s.term}
-				o, _, _ := s.Report(r, via)
+				o, _, _ := s.HandleHeartbeat(r, via)
 				w.count(o.Commands)
 			}
 		}
 		s.Place()
 		s.commit()
-		s.Core.Committed()
+		s.Scheduler.Committed()
 		for ; s.answered < len(s.sent); s.answered++ {
 			o := s.sent[s.answered]
 			deaf := false
@@ -47,12 +47,12 @@
 			}
 			if deaf {
 				w.count(o.o.Commands)
-				s.Answered(o.name, o.o, nil, false)
+				s.CommandsAnswered(o.name, o.o, nil, false)
 			} else {
-				s.Answered(o.name, o.o, nil, true)
+				s.CommandsAnswered(o.name, o.o, nil, true)
 			}
 		}
-		returned = append(returned, s.Tend()...)
+		returned = append(returned, s.MaintainFleet()...)
 	}
 	return returned
 }
@@ -72,7 +72,7 @@
 func TestHalfDeafMachineIsGivenNoMoreWork(t *testing.T) {
 	for _, back := range []bool{false, true} {
 		s := newStage(t)
-		s.set.Facts.Workers.ReportS = 4
+		s.settings.Facts.Workers.ReportS = 4
 		s.report("a1", 1)
 		w := &deafWorkers{s: s, names: []string{"a1"}, began: s.clock.Now(), starts: map[uint64]bool{}}
 		s.submit("run-000001", 30, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Types = 4, 4, []string{"m8"} })
@@ -80,7 +80,7 @@
 		if len(w.starts) != 2 {
 			t.Errorf("%d starts for a machine of two places that hears nothing, want one for each", len(w.starts))
 		}
-		if len(s.jobs["run-000001"].live) != 0 {
+		if len(s.jobs["run-000001"].allocations) != 0 {
 			t.Error("its newer session did not prove that its tasks are gone")
 		}
 		if back {
@@ -88,7 +88,7 @@
 			s.report("a1", 2)
 			s.Place()
 			s.commit()
-			if n := len(s.jobs["run-000001"].live); n != 2 || len(gone) > 0 {
+			if n := len(s.jobs["run-000001"].allocations); n != 2 || len(gone) > 0 {
 				t.Errorf("%d tasks given to the machine that hears again, returned %v", n, gone)
 			}
 			continue
@@ -105,7 +105,7 @@
 // they go a few at a time. The other zone's work goes on.
 func TestHalfDeafZoneIsOneFailure(t *testing.T) {
 	s := newStage(t)
-	s.set.Facts.Workers.ReportS = 4
+	s.settings.Facts.Workers.ReportS = 4
 	w := &deafWorkers{s: s, began: s.clock.Now(), starts: map[uint64]bool{}}
 	for i := range 40 {
 		w.names = append(w.names, fmt.Sprintf("b%d", i))
@@ -144,19 +144,19 @@
 		s.report("a1", 1)
 		for seq := old; seq <= last; seq++ {
 			r := &api.Heartbeat{Machine: "b1", Address: "b1:1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: s.term, PreemptionNoticeS: &notice}
-			if o, _, _ := s.Report(r, "n1"); len(o.Commands) > 0 {
+			if o, _, _ := s.HandleHeartbeat(r, "n1"); len(o.Commands) > 0 {
 				t.Error("a copy's answer carries commands")
 			}
-			s.Relayed("n2", r)
+			s.HandleRelayedHeartbeat("n2", r)
 		}
 	})
 	if len(gone) != 1 || gone[0] != "b1" {
 		t.Fatalf("returned %v, want the machine that only copies speak for", gone)
 	}
-	if m := s.machines["b1"]; m.relay != "" || m.via != "" || !m.PreemptedAt.IsZero() {
-		t.Errorf("copies set its way or its notice: %q %q %v", m.relay, m.via, m.PreemptedAt)
+	if machine := s.machines["b1"]; machine.relayPeer != "" || machine.lastPeer != "" || !machine.PreemptedAt.IsZero() {
+		t.Errorf("copies set its way or its notice: %q %q %v", machine.relayPeer, machine.lastPeer, machine.PreemptedAt)
 	}
-	s.Returned([]string{"b1"}, nil)
+	s.InstancesReleased([]string{"b1"}, nil)
 	s.reportAt("b1", 1, last, s.term, running)
 	if s.machines["b1"] != nil {
 		t.Error("a copy brought a returned machine back")
@@ -174,9 +174,9 @@
 	notice := 5.0
 	for i := range 3 {
 		n := fmt.Sprintf("a%d", 7+i)
-		o, _, _ := s.Report(&api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: "a", Incarnation: 4, Seq: 300, Term: s.term - 3, PreemptionNoticeS: &notice}, "")
+		o, _, _ := s.HandleHeartbeat(&api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: "a", Incarnation: 4, Seq: 300, Term: s.term - 3, PreemptionNoticeS: &notice}, "")
 		s.Place()
-		if m := s.machines[n]; m == nil || len(m.assigns) > 0 || len(o.Commands) > 0 || s.usable(m) {
+		if machine := s.machines[n]; machine == nil || len(machine.allocations) > 0 || len(o.Commands) > 0 || s.schedulable(machine) {
 			t.Fatalf("a first report with an old token brought work: %+v", o)
 		}
 	}
@@ -189,7 +189,7 @@
 	// One that lives hears the token and says so at once.
 	s.reportAt("a8", 4, 301, s.term-3)
 	s.reportAt("a8", 4, 302, s.term)
-	if !s.usable(s.machines["a8"]) {
+	if !s.schedulable(s.machines["a8"]) {
 		t.Error("a machine that carries our token gets no work")
 	}
 }
@@ -201,7 +201,7 @@
 	s.report("a1", 1, task("run-000001/0", st.o.Commands[0].Attempt, api.TaskRunning, ""))
 	s.elect()
 	s.reportAt("a1", 1, 1, s.term-1)
-	if len(s.jobs["run-000001"].live) != 1 {
+	if len(s.jobs["run-000001"].allocations) != 1 {
 		t.Error("an old report proved that a task is gone")
 	}
 }
@@ -211,13 +211,13 @@
 func TestAbsurdTokenEndsNoTerm(t *testing.T) {
 	n, _ := threeNodes(t)
 	valid := true
-	core := NewCore(7, n.clock, n.set, n.policy, testTypes, Hooks{Valid: func() bool { return valid }})
+	sched := NewScheduler(7, n.clock, n.settings, n.policy, testTypes, Hooks{Leading: func() bool { return valid }})
 	r := &api.Heartbeat{Machine: "a1", Zone: "a", Incarnation: 1, Seq: 1, Term: 1<<64 - 1}
-	if status, _ := n.judge(core, r, ""); status != http.StatusBadRequest {
+	if status, _ := n.answerAsLeader(sched, r, ""); status != http.StatusBadRequest {
 		t.Errorf("answered %d", status)
 	}
 	valid = false
-	if !n.deposed(core) {
+	if !n.deposed(sched) {
 		t.Error("a leader whose key may be gone does not believe it")
 	}
 }
@@ -229,22 +229,22 @@
 	term := uint64(9)
 	r := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
 	n.HandleHeartbeat(context.Background(), &r, nil)
-	first := n.relay.report(&r, term)
+	first := n.heartbeatRelay.handleHeartbeat(&r, term)
 	r.Seq = 11
-	n.relay.report(&r, term)
-	streak := n.relay.workers["b1"].streak
-	clock.Advance(seconds(2 * tuning.HearsReports * n.set.Facts.Workers.ReportS))
+	n.heartbeatRelay.handleHeartbeat(&r, term)
+	streak := n.heartbeatRelay.workers["b1"].streak
+	clock.Advance(seconds(2 * tuning.HearsReports * n.settings.Facts.Workers.ReportS))
 	old := r
 	old.Seq = 10
 	status, body := n.HandleHeartbeat(context.Background(), &old, nil)
 	if o, ok := body.(api.HeartbeatResponse); !ok || status != http.StatusOK || o.Term != 0 {
 		t.Errorf("a copy was answered %d %+v", status, body)
 	}
-	if n.hears() {
+	if n.receivesHeartbeats() {
 		t.Error("a copy counts as a worker that reaches this node")
 	}
-	n.relay.report(&old, term)
-	if w := n.relay.workers["b1"]; w.streak != streak || w.report.Seq != 11 || first.Term != term {
+	n.heartbeatRelay.handleHeartbeat(&old, term)
+	if w := n.heartbeatRelay.workers["b1"]; w.streak != streak || w.report.Seq != 11 || first.Term != term {
 		t.Error("a copy undid what the worker had said since")
 	}
 }
@@ -268,7 +268,7 @@
 		}
 		s.Place()
 		s.commit()
-		s.Core.Committed()
+		s.Scheduler.Committed()
 		for ; s.answered < len(s.sent); s.answered++ {
 			o := s.sent[s.answered]
 			for _, c := range o.o.Commands {
@@ -276,7 +276,7 @@
 					on[o.name] = append(on[o.name], run{c.Task, c.Attempt, s.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
 				}
 			}
-			s.Answered(o.name, o.o, nil, true)
+			s.CommandsAnswered(o.name, o.o, nil, true)
 		}
 		s.clock.Advance(500 * time.Millisecond)
 		for i := range machines {
@@ -293,7 +293,7 @@
 			on[m] = keep
 			s.report(m, 1, all...)
 		}
-		if j := s.jobs[id]; began < 0 && (j == nil || len(j.live) > 0 && (j.Job.Shape != api.Gang || len(j.live) == j.total)) {
+		if job := s.jobs[id]; began < 0 && (job == nil || len(job.allocations) > 0 && (job.Job.Shape != api.Gang || len(job.allocations) == job.taskCount)) {
 			began = s.clock.Since(from)
 		}
 	}
@@ -301,9 +301,9 @@
 }
 
 func (s *stage) waiting(class string) (n int) {
-	for _, j := range s.order {
-		if j.Job.Class == class {
-			n += len(j.pending) + j.queued
+	for _, job := range s.jobOrder {
+		if job.Job.Class == class {
+			n += len(job.pending) + job.queued
 		}
 	}
 	return n
@@ -312,7 +312,7 @@
 // While small jobs never stop coming, jobs that need a whole machine, many of them at once, or much
 // work, and those of rank low never began: what ended made room for a smaller task at once, and those
 // that can still be in time went first. Each begins within the four minutes that users bear, and what is
-// kept for it does not stop the others.
+// reservedDomain for it does not stop the others.
 func TestNobodyStarves(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -333,7 +333,7 @@
 		}
 		s.flood(6, "", 40*time.Second, c.small, func() bool { return false })
 		s.submit("run-000001", c.tasks, func(x *api.Submission) { x.Class, x.EstimateS, x.MemoryGB = "l", 60, 1; c.job(x) })
-		at := s.flood(6, "run-000001", 300*time.Second, c.small, func() bool { j := s.jobs["run-000001"]; return j == nil || len(j.live) > 0 })
+		at := s.flood(6, "run-000001", 300*time.Second, c.small, func() bool { j := s.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
 		if at < 0 || at > 240*time.Second {
 			t.Errorf("%s: began after %v", c.name, at)
 		}
@@ -341,7 +341,7 @@
 }
 
 // A fleet with room to spare had no machine on which a job may run, and none was rented: rentals looked
-// at processors in all. One is, once, and not again while it boots.
+// roundTime processors in all. One is, once, and not again while it boots.
 func TestMachineIsRentedForAJobThatNoneCanServe(t *testing.T) {
 	s := newStage(t)
 	for i := range 5 {
@@ -353,12 +353,12 @@
 			s.report(fmt.Sprintf("a%d", i), 1)
 		}
 	})
-	rs := s.Rentals()
+	rs := s.InstanceRequests()
 	if len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 1 {
 		t.Fatalf("rented %+v", rs)
 	}
-	s.Rented(rs[0], []string{"b1"}, nil)
-	if again := s.Rentals(); len(again) != 0 {
+	s.InstancesGranted(rs[0], []string{"b1"}, nil)
+	if again := s.InstanceRequests(); len(again) != 0 {
 		t.Errorf("rented again: %+v", again)
 	}
 }
--- a/controller/guest_test.go
+++ b/controller/guest_test.go
@@ -21,18 +21,18 @@
 	s.submit("run-000001", 40*tuning.ShardTasks, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
 	guest := s.jobs["run-000001"]
 	for shard := range 40 {
-		s.touchShard(guest, shard*tuning.ShardTasks, nil)
+		s.markShardDirty(guest, shard*tuning.ShardTasks, nil)
 	}
 	s.submit("run-000002", 1, func(x *api.Submission) { x.Rank = "prod" })
 	for s.com.Pending() > 0 {
 		s.commit()
 	}
 	for shard := range 40 {
-		s.touchShard(guest, shard*tuning.ShardTasks, nil)
+		s.markShardDirty(guest, shard*tuning.ShardTasks, nil)
 	}
 	owner := s.jobs["run-000002"]
 	stored := false
-	s.touchShard(owner, 0, func() { stored = true })
+	s.markShardDirty(owner, 0, func() { stored = true })
 	accepted := false
 	s.com.MarkDirty(store.JobKey("run-000002"), store.Urgent, func() { accepted = true })
 	s.com.Step(context.Background())
@@ -54,13 +54,13 @@
 			s.commit()
 		}
 		var tasks []api.TaskReport
-		m := s.machines["a1"]
-		for key, a := range m.assigns {
-			if a.sent {
-				tasks = append(tasks, task(key, a.attempt, api.TaskExited, api.CauseDone))
+		machine := s.machines["a1"]
+		for key, alloc := range machine.allocations {
+			if alloc.runSent {
+				tasks = append(tasks, task(key, alloc.attempt, api.TaskExited, api.CauseDone))
 			}
 		}
-		for key, e := range m.ended {
+		for key, e := range machine.exited {
 			tasks = append(tasks, task(key, e.attempt, api.TaskExited, api.CauseDone))
 		}
 		most = max(most, len(tasks))
@@ -74,7 +74,7 @@
 }
 
 // Jobs of rank low filled every gap, and each task of the owners had dozens of theirs
-// stopped first: they leave a tenth of what the others use, and nothing when alone.
+// leaseRenewalProblems first: they leave a tenth of what the others use, and nothing when alone.
 func TestLowRankLeavesAReserve(t *testing.T) {
 	fill := func(owned int) (free float64) {
 		s := newStage(t)
@@ -87,8 +87,8 @@
 		}
 		s.submit("run-000001", 1000, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.25, 0.1 })
 		s.settleStarts()
-		for _, m := range s.machines {
-			free += m.free().CPUs
+		for _, machine := range s.machines {
+			free += machine.free().CPUs
 		}
 		return free
 	}
--- a/controller/holdshint.go
+++ b/controller/holdshint.go
@@ -15,29 +15,29 @@
 // inputs copied there though others hold them. So who holds what is put on record now and
 // then, packed, as with images.
 
-// keepHolds asks for who holds what to be stored, if that changed.
-func (c *Core) keepHolds(now time.Time) {
-	d := c.data
-	if d == nil || now.Sub(d.hintAt) < tuning.HoldsEvery || d.index.Snapshot().Version() == d.hinted {
+// storeReplicaHints asks for who holds what to be stored, if that changed.
+func (s *Scheduler) storeReplicaHints(now time.Time) {
+	d := s.datasets
+	if d == nil || now.Sub(d.hintStoredAt) < tuning.HoldsEvery || d.index.Snapshot().Version() == d.hintedVersion {
 		return
 	}
-	d.hinted, d.hintAt = d.index.Snapshot().Version(), now
-	for i := range c.recordParts() {
-		c.hooks.Touch(store.ReplicasKey(i), store.Lazy, nil)
+	d.hintedVersion, d.hintStoredAt = d.index.Snapshot().Version(), now
+	for i := range s.hintParts() {
+		s.hooks.MarkDirty(store.ReplicasKey(i), store.Lazy, nil)
 	}
 }
 
-// holdsRecord is one part of that record.
-func (c *Core) holdsRecord(key string) (replicas.Hint, bool) {
-	ms := c.recordPart(key, store.ReplicasPrefix)
-	if c.data == nil || ms == nil {
+// replicaHintRecord is one part of that record.
+func (s *Scheduler) replicaHintRecord(key string) (replicas.Hint, bool) {
+	ms := s.hintPartMachines(key, store.ReplicasPrefix)
+	if s.datasets == nil || ms == nil {
 		return replicas.Hint{}, false
 	}
 	var names []string
-	for _, m := range ms {
-		names = append(names, m.Name)
+	for _, machine := range ms {
+		names = append(names, machine.Name)
 	}
-	h, _, err := replicas.EncodeHint(c.data.index.Snapshot(), names, c.data.desk.ID, c.set.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
+	h, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, s.settings.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
 	if err != nil {
 		slog.Error("holdings not packed", "err", err)
 		return h, false
@@ -45,13 +45,13 @@
 	return h, true
 }
 
-// HoldsHint takes in what an earlier leader knew of who holds what. Machines that it
+// LoadReplicaHints takes in what an earlier leader knew of who holds what. Machines that it
 // names may be chosen for a while as if their agents had been heard; nothing starts there
-// before they are.
-func (c *Core) HoldsHint(items []store.Item) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.data == nil {
+// compareJobs they are.
+func (s *Scheduler) LoadReplicaHints(items []store.Item) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.datasets == nil {
 		return
 	}
 	for _, it := range items {
@@ -67,11 +67,11 @@
 		}
 		for name, holds := range all {
 			for d := range holds {
-				if s := c.data.sets[d]; s == nil || s.Parts != holds[d].Of {
+				if entry := s.datasets.entries[d]; entry == nil || entry.Parts != holds[d].Of {
 					delete(holds, d)
 				}
 			}
-			c.data.desk.ApplyHint(name, holds, c.now())
+			s.datasets.planner.ApplyHint(name, holds, s.now())
 		}
 	}
 }
--- a/controller/images.go
+++ b/controller/images.go
@@ -17,43 +17,43 @@
 // each of hundreds of machines would fetch again or wait as if it had to. So what
 // is known is put on record now and then, as a hint.
 
-// used notes that a task ran on a machine.
-func (c *Core) used(m *machine, j *job) {
-	if m.RecordImage(j.Job.Image, j.Job.ImageGB) {
-		c.imagesNew = true
+// recordImageUse notes that a task ran on a machine.
+func (s *Scheduler) recordImageUse(machine *machineState, job *jobState) {
+	if machine.RecordImage(job.Job.Image, job.Job.ImageGB) {
+		s.imagesChanged = true
 	}
 }
 
-// keepImages asks for the images to be stored if something is new.
-func (c *Core) keepImages(now time.Time) {
-	if !c.imagesNew || now.Sub(c.imagesAt) < tuning.ImagesEvery {
+// storeImageHints asks for the images to be stored if something is new.
+func (s *Scheduler) storeImageHints(now time.Time) {
+	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesEvery {
 		return
 	}
-	c.imagesNew, c.imagesAt = false, now
-	for i := range c.recordParts() {
-		c.hooks.Touch(store.ImagesKey(i), store.Lazy, nil)
+	s.imagesChanged, s.imagesStoredAt = false, now
+	for i := range s.hintParts() {
+		s.hooks.MarkDirty(store.ImagesKey(i), store.Lazy, nil)
 	}
 }
 
-// recordMachines is how many machines stand in one such record: half as many where values are
+// machinesPerHint is how many machines stand in one such record: half as many where values are
 // small, so that what does not fit into a small one is little.
-func (c *Core) recordMachines() int {
-	if c.set.Facts.State.Least().ValueBytes() < tuning.ImagesBytes {
+func (s *Scheduler) machinesPerHint() int {
+	if s.settings.Facts.State.Least().ValueBytes() < tuning.ImagesBytes {
 		return tuning.ImagesMachines / 2
 	}
 	return tuning.ImagesMachines
 }
 
-// recordParts is how many records there are, of so many machines each, of what machines
-// hold.
-func (c *Core) recordParts() int {
-	return (len(c.machines) + c.recordMachines() - 1) / c.recordMachines()
+// hintParts is how many records there are, of so many machines each, of what machines
+// allocate.
+func (s *Scheduler) hintParts() int {
+	return (len(s.machines) + s.machinesPerHint() - 1) / s.machinesPerHint()
 }
 
-// recordPart are the machines of one such record, by its key; none: there is no such part.
-func (c *Core) recordPart(key, prefix string) []*machine {
+// hintPartMachines are the machines of one such record, by its key; none: there is no such part.
+func (s *Scheduler) hintPartMachines(key, prefix string) []*machineState {
 	part, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
-	ms, n := c.byName(), c.recordMachines()
+	ms, n := s.sortedMachines(), s.machinesPerHint()
 	if err != nil || part < 0 || part*n >= len(ms) {
 		return nil
 	}
@@ -61,40 +61,40 @@
 }
 
 // imagesRecord is one part of the record. The parts are cut by the machines'
-// order, which shifts as machines come and go; one that stands in two parts does
+// sendStageOrder, which shifts as machines come and go; one that stands in two parts does
 // no harm.
-func (c *Core) imagesRecord(key string) (store.ImagesRecord, bool) {
-	ms := c.recordPart(key, store.ImagesPrefix)
+func (s *Scheduler) imagesRecord(key string) (store.ImagesRecord, bool) {
+	ms := s.hintPartMachines(key, store.ImagesPrefix)
 	if ms == nil {
 		return store.ImagesRecord{}, false
 	}
 	held := make([]softstate.Machine, len(ms))
-	for i, m := range ms {
-		held[i] = softstate.Machine{Name: m.Name, Images: m.Images()}
+	for i, machine := range ms {
+		held[i] = softstate.Machine{Name: machine.Name, Images: machine.Images()}
 	}
-	return softstate.EncodeImages(held, c.set.Facts.State.Least().ValueBytes()), true
+	return softstate.EncodeImages(held, s.settings.Facts.State.Least().ValueBytes()), true
 }
 
-// Hint takes in what an earlier leader knew of images.
-func (c *Core) Hint(items []store.Item) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// LoadImageHints takes in what an earlier leader knew of images.
+func (s *Scheduler) LoadImageHints(items []store.Item) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, it := range items {
 		held, err := softstate.DecodeImages(it.Value)
 		if err != nil {
 			slog.Error("a record of images is damaged", "key", it.Key, "err", err)
 			continue
 		}
-		maps.Copy(c.hints, held)
+		maps.Copy(s.imageHints, held)
 	}
 }
 
-// recall gives a machine that reports for the first time in this term the images
+// restoreImages gives a machine that reports for the first time in this term the images
 // that it held before, unless it began anew since.
-func (c *Core) recall(m *machine) {
-	images := c.hints[m.Name]
-	delete(c.hints, m.Name)
+func (s *Scheduler) restoreImages(machine *machineState) {
+	images := s.imageHints[machine.Name]
+	delete(s.imageHints, machine.Name)
 	for i := len(images) - 1; i >= 0; i-- {
-		m.RecordImage(images[i].Name, images[i].GB)
+		machine.RecordImage(images[i].Name, images[i].GB)
 	}
 }
--- a/controller/images_test.go
+++ b/controller/images_test.go
@@ -11,7 +11,7 @@
 )
 
 // The next leader knows the images of machines from the last one's record, in
-// order of use; without it, it saw no holders and every placement waited for
+// sendStageOrder of use; without it, it saw no holders and every placement waited for
 // fetches that were none.
 func TestNextLeaderKnowsImages(t *testing.T) {
 	s := newStage(t)
@@ -20,31 +20,31 @@
 	}
 	last := s.machines[fmt.Sprintf("a%03d", tuning.ImagesMachines)]
 	s.submit("run-000001", 1, nil)
-	j := s.jobs["run-000001"]
-	j.Job.ImageGB = 9
+	job := s.jobs["run-000001"]
+	job.Job.ImageGB = 9
 	for _, image := range []string{"one", "two", "three"} {
-		j.Job.Image = image
-		s.used(last, j)
+		job.Job.Image = image
+		s.recordImageUse(last, job)
 	}
-	s.Tend()
+	s.MaintainFleet()
 	s.commit()
 	if s.state.Get(store.ImagesKey(1)) == nil {
 		t.Fatal("nothing on record")
 	}
 	s.elect()
 	s.report(last.Name, 1)
-	m := s.machines[last.Name]
-	if !m.HasImage("three") || !m.HasImage("two") || m.HasImage("one") {
-		t.Errorf("known images: %+v", m.Images())
+	machine := s.machines[last.Name]
+	if !machine.HasImage("three") || !machine.HasImage("two") || machine.HasImage("one") {
+		t.Errorf("known images: %+v", machine.Images())
 	}
 	// Nothing new is nothing to write.
 	s.clock.Advance(2 * tuning.ImagesEvery)
 	before := s.com.Pending()
-	s.keepImages(s.clock.Now())
+	s.storeImageHints(s.clock.Now())
 	if s.com.Pending() != before {
 		t.Error("written again without a change")
 	}
-	s.Hint([]store.Item{{Key: store.ImagesKey(0), Value: json.RawMessage(`{"i":["x"],"g":[1],"m":{"a000":[7,-1,0]}}`)}, {Key: store.ImagesKey(1), Value: json.RawMessage(`[`)}})
+	s.LoadImageHints([]store.Item{{Key: store.ImagesKey(0), Value: json.RawMessage(`{"i":["x"],"g":[1],"m":{"a000":[7,-1,0]}}`)}, {Key: store.ImagesKey(1), Value: json.RawMessage(`[`)}})
 	s.report("a000", 1)
 	if !s.machines["a000"].HasImage("x") {
 		t.Error("a record with indices out of range was dropped whole")
@@ -55,11 +55,11 @@
 func TestImagesRecordFitsAValue(t *testing.T) {
 	s := newStage(t)
 	for i := range tuning.ImagesMachines {
-		m := s.machine(fmt.Sprintf("n-%06d", i))
+		machine := s.machineNamed(fmt.Sprintf("n-%06d", i))
 		for k := range 40 {
-			m.RecordImage(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
+			machine.RecordImage(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
 		}
-		m.RecordImage(strings.Repeat("<", 5000), 1)
+		machine.RecordImage(strings.Repeat("<", 5000), 1)
 	}
 	rec, ok := s.imagesRecord(store.ImagesKey(0))
 	raw, err := json.Marshal(rec)
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -35,9 +35,9 @@
 		if n.elector.Campaign(context.Background()) {
 			t.Fatal("two leaders")
 		}
-		core := NewCore(term, clock, set, n.policy, testTypes, Hooks{Valid: func() bool { return false }})
+		sched := NewScheduler(term, clock, set, n.policy, testTypes, Hooks{Leading: func() bool { return false }})
 		st.Down = true
-		if n.keeps() {
+		if n.mayRenewLeases() {
 			t.Error("kept by a process that knows nothing")
 		}
 		word := clock.Now()
@@ -48,7 +48,7 @@
 		for seq := uint64(1); clock.Since(word) < 100*time.Second; seq++ {
 			clock.Advance(time.Second)
 			r := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq, Term: term}
-			status, body := n.judge(core, r, "")
+			status, body := n.answerAsLeader(sched, r, "")
 			if !led {
 				status, body = n.HandleHeartbeat(context.Background(), r, nil)
 			}
@@ -60,7 +60,7 @@
 		if last > most || last < most-tuning.KeepMargin-time.Second {
 			t.Errorf("led %v: the last lease was renewed %v after the cut began; a cancelled task has %v", led, last, most)
 		}
-		if why := strings.Join(n.stopped(), ""); !strings.Contains(why, "n0 has said nothing") || !strings.Contains(why, "not renewed") {
+		if why := strings.Join(n.leaseRenewalProblems(), ""); !strings.Contains(why, "n0 has said nothing") || !strings.Contains(why, "not renewed") {
 			t.Errorf("led %v: an operator is told %q", led, why)
 		}
 		// Meanwhile a worker that finds nobody else is held, without a lease.
@@ -73,14 +73,14 @@
 		// Word comes again, and leases are kept again.
 		st.Down = false
 		_, _ = n.client.Get(context.Background(), "k")
-		if n.keeps() {
+		if n.mayRenewLeases() {
 			t.Error("kept because the state service answers, though nothing of jobs was read")
 		}
 		st.Put(store.JobKey("run-7"), store.JobRecord{Job: api.Submission{ID: "run-7"}, FinalState: api.Cancelled})
-		if _, err := n.readJobs(context.Background(), 0); err != nil || !n.keeps() {
+		if _, err := n.readCancelledJobs(context.Background(), 0); err != nil || !n.mayRenewLeases() {
 			t.Errorf("not kept though the records of jobs were read, %v", err)
 		}
-		status, body := n.judge(core, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{task("run-7/0", 9, api.TaskRunning, "")}}, "")
+		status, body := n.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{task("run-7/0", 9, api.TaskRunning, "")}}, "")
 		if o, ok := body.(api.HeartbeatResponse); !ok || status != 200 || len(o.Commands) != 1 || o.Commands[0].Verb != api.CommandKill || o.Commands[0].Task != "run-7/0" || o.Commands[0].Attempt != 9 {
 			t.Errorf("what was cancelled meanwhile is answered %d %+v", status, body)
 		}
@@ -93,7 +93,7 @@
 func TestCancelledTaskBehindACutIsGoneInTime(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		s := newStage(t)
-		s.set.Facts.Workers.CancelS = 47.5
+		s.settings.Facts.Workers.CancelS = 47.5
 		s.cutZone = "b"
 		far := []string{"b1", "b2", "b3", "b4"}
 		near := func() { s.report("a1", 1) }
@@ -101,8 +101,8 @@
 			near()
 			for _, n := range far {
 				var runs []api.TaskReport
-				for _, a := range s.machine(n).assigns {
-					runs = append(runs, task(a.key, a.attempt, api.TaskRunning, ""))
+				for _, alloc := range s.machineNamed(n).allocations {
+					runs = append(runs, task(alloc.key, alloc.attempt, api.TaskRunning, ""))
 				}
 				s.report(n, 1, runs...)
 			}
@@ -113,8 +113,8 @@
 		s.commit()
 		s.rounds(25*time.Second, both)
 		on := map[string]bool{}
-		for _, a := range s.jobs["run-000001"].live {
-			on[a.machine.Name] = true
+		for _, alloc := range s.jobs["run-000001"].allocations {
+			on[alloc.machine.Name] = true
 		}
 		if len(on) < 2 || len(on) == len(far) {
 			t.Fatalf("on %v", on)
@@ -127,13 +127,13 @@
 			// The leader changes; the new one knows from the record since when.
 			s.rounds(15*time.Second, near)
 			s.elect()
-			s.set.Facts.Workers.CancelS = 47.5
+			s.settings.Facts.Workers.CancelS = 47.5
 			s.cutZone = "b"
 			var list []api.Instance
 			for _, n := range append([]string{"a1"}, far...) {
 				list = append(list, api.Instance{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), State: "running"})
 			}
-			s.Listed(list)
+			s.ApplyInstanceList(list)
 		}
 		gone := map[string]time.Duration{}
 		for s.clock.Since(told) < 50*time.Second {
@@ -153,20 +153,20 @@
 }
 
 // A cancellation is known to the siblings before anyone can be told: before its record is sent, since whoever
-// reads that may tell; and before an answer leaves, whoever it came from.
+// readLimiter that may tell; and before an answer leaves, whoever it came from.
 func TestCancellationsAreKnownBeforeTheyAreTold(t *testing.T) {
 	n, clock := threeNodes(t)
 	knows := func(job string) bool {
 		return len(n.watermark.KillCommands([]api.TaskReport{task(job+"/0", 1, api.TaskRunning, "")}, nil)) > 0
 	}
-	core := NewCore(7, clock, n.set, n.policy, testTypes, Hooks{Touch: func(string, int, func()) {}, Valid: func() bool { return true }, Final: n.final})
-	core.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
+	sched := NewScheduler(7, clock, n.settings, n.policy, testTypes, Hooks{MarkDirty: func(string, int, func()) {}, Leading: func() bool { return true }, JobTerminal: n.rememberTerminal})
+	sched.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
 		{Key: store.JobKey("run-2"), Value: []byte(`{"job":{"name_id":"run-2","parts":1},"at":1,"final":"withdrawn"}`)}}, nil)
 	if knows("run-1") || !knows("run-2") {
 		t.Errorf("after loading: knows run-1 %v, run-2 %v", knows("run-1"), knows("run-2"))
 	}
-	core.Cancel(gaveUp(), "run-1")
-	if _, ok, _ := (source{core, n}).Record(store.JobKey("run-1")); !ok || !knows("run-1") {
+	sched.Cancel(gaveUp(), "run-1")
+	if _, ok, _ := (recordSource{sched, n}).Record(store.JobKey("run-1")); !ok || !knows("run-1") {
 		t.Error("the record of a cancellation leaves, and siblings are told nothing")
 	}
 	st := n.client
@@ -194,11 +194,11 @@
 // renews no lease, and keeps the worker there until it knows. It used to renew as long as its key stood.
 func TestFreshLeaderRenewsNothingBeforeItKnows(t *testing.T) {
 	n, clock := threeNodes(t)
-	n.set.Facts.Workers.CancelS = 40
+	n.settings.Facts.Workers.CancelS = 40
 	n.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
-	core := NewCore(7, clock, n.set, n.policy, testTypes, Hooks{Valid: func() bool { return true }})
+	sched := NewScheduler(7, clock, n.settings, n.policy, testTypes, Hooks{Leading: func() bool { return true }})
 	ask := func(seq uint64) api.HeartbeatResponse {
-		status, body := n.judge(core, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
+		status, body := n.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
 		o, ok := body.(api.HeartbeatResponse)
 		if status != 200 || !ok {
 			t.Errorf("%d %+v", status, body)
--- a/controller/lone_test.go
+++ b/controller/lone_test.go
@@ -24,12 +24,12 @@
 // the other. It resigned after 3.5 s without a report, and they found nobody.
 func TestLoneLeaderGivesWorkersTimeToCome(t *testing.T) {
 	n, clock := threeNodes(t)
-	core := NewCore(7, clock, n.set, n.policy, testTypes, Hooks{Valid: func() bool { return true }})
+	sched := NewScheduler(7, clock, n.settings, n.policy, testTypes, Hooks{Leading: func() bool { return true }})
 	step := func(d time.Duration) (deaf bool) {
 		for ; d > 0 && !deaf; d -= 500 * time.Millisecond {
 			clock.Advance(500 * time.Millisecond)
-			core.Place()
-			deaf = n.deaf(core)
+			sched.Place()
+			deaf = n.isolatedFromWorkers(sched)
 		}
 		return deaf
 	}
--- a/controller/mistake.go
+++ b/controller/mistake.go
@@ -10,102 +10,102 @@
 
 // A job that was submitted with a mistake fails on every machine, at once, until its
 // user cancels it. Its errors say nothing of the machines; and it fails again and
-// again, so it gets one machine at a time, now and then, until a task of it works.
+// resendCommands, so it gets one machine at a time, now and then, until a task of it works.
 
-// mistaken tells whether a job fails wherever it goes: on several machines, with
+// failsEverywhere tells whether a job fails wherever it goes: on several machines, with
 // nothing done and nothing that has been running for a while. A job whose first tasks
 // met faulty machines is so only until another of its tasks has run that long.
-func (c *Core) mistaken(j *job) bool {
-	if len(j.failedOn) < tuning.MistakeMachines || j.done > 0 {
+func (s *Scheduler) failsEverywhere(job *jobState) bool {
+	if len(job.failedOn) < tuning.MistakeMachines || job.completedCount > 0 {
 		return false
 	}
-	for _, a := range j.live {
-		if !a.running.IsZero() && c.since(a.running) > tuning.MistakeRun {
+	for _, alloc := range job.allocations {
+		if !alloc.runningSince.IsZero() && s.since(alloc.runningSince) > tuning.MistakeRun {
 			return false
 		}
 	}
 	return true
 }
 
-// suspect tells whether a machine fails what works elsewhere.
-func (c *Core) suspect(m *machine) bool {
-	return m.Faulty(func(id string) bool {
-		j := c.jobs[id]
-		return j == nil || !c.mistaken(j)
+// faulty tells whether a machine fails what works elsewhere.
+func (s *Scheduler) faulty(machine *machineState) bool {
+	return machine.Faulty(func(id string) bool {
+		job := s.jobs[id]
+		return job == nil || !s.failsEverywhere(job)
 	})
 }
 
-// erred notes an error of a job's task on a machine. Several tasks that fail on one
-// machine are one sign.
-func (c *Core) erred(j *job, m *machine, now time.Time) {
-	m.RecordFailure(j.id)
-	if !m.noted && c.suspect(m) {
-		m.noted = true
-		slog.Info("machine suspect", "machine", m.Name, "errors", m.Failures)
+// recordTaskFailure notes an error of a job's task on a machine. Several tasks that fail on one
+// machineNamed are one sign.
+func (s *Scheduler) recordTaskFailure(job *jobState, machine *machineState, now time.Time) {
+	machine.RecordFailure(job.id)
+	if !machine.faultLogged && s.faulty(machine) {
+		machine.faultLogged = true
+		slog.Info("machine suspect", "machine", machine.Name, "errors", machine.Failures)
 	}
-	again := now.Before(j.avoid[m.Name])
-	j.avoid[m.Name] = now.Add(tuning.BackoffMax)
+	again := now.Before(job.avoidUntil[machine.Name])
+	job.avoidUntil[machine.Name] = now.Add(tuning.BackoffMax)
 	if again {
 		return
 	}
-	was := c.mistaken(j)
-	j.failedOn[m.Name] = true
-	j.errors++
-	if j.errors >= tuning.BackoffErrors {
-		d := min(tuning.BackoffMax, tuning.BackoffBase<<min(j.errors-tuning.BackoffErrors, 6))
-		j.pause = now.Add(d)
-		slog.Debug("job paused", "job", j.id, "errors", j.errors, "for", d)
+	was := s.failsEverywhere(job)
+	job.failedOn[machine.Name] = true
+	job.failures++
+	if job.failures >= tuning.BackoffErrors {
+		d := min(tuning.BackoffMax, tuning.BackoffBase<<min(job.failures-tuning.BackoffErrors, 6))
+		job.pausedUntil = now.Add(d)
+		slog.Debug("job paused", "job", job.id, "errors", job.failures, "for", d)
 	}
-	if !was && c.mistaken(j) {
-		slog.Info("job fails on every machine", "job", j.id, "class", j.Job.Class, "team", j.Job.Team, "machines", len(j.failedOn))
-		c.recallQueued(j)
+	if !was && s.failsEverywhere(job) {
+		slog.Info("job fails on every machine", "job", job.id, "class", job.Job.Class, "team", job.Job.Team, "machines", len(job.failedOn))
+		s.reclaimQueuedTasks(job)
 	}
 }
 
-// worked: a task of the job completed, so whatever failed was not the job.
-func (j *job) worked() {
-	if j.errors > 0 {
-		j.errors, j.pause = 0, time.Time{}
+// clearFailures: a task of the job completed, so whatever failed was not the job.
+func (j *jobState) clearFailures() {
+	if j.failures > 0 {
+		j.failures, j.pausedUntil = 0, time.Time{}
 	}
 }
 
-// forgive takes a mistaken job's errors off the machines when it is over: they would
-// count against these once nobody remembers the job.
-func (c *Core) forgive(j *job) {
-	if !c.mistaken(j) {
+// clearMachineFailures takes a mistaken job's errors off the machines when it is over: they would
+// scratchCounts against these once nobody remembers the job.
+func (s *Scheduler) clearMachineFailures(job *jobState) {
+	if !s.failsEverywhere(job) {
 		return
 	}
-	for name := range j.failedOn {
-		if m := c.machines[name]; m != nil {
-			m.ClearJobFailures(j.id)
+	for name := range job.failedOn {
+		if machine := s.machines[name]; machine != nil {
+			machine.ClearJobFailures(job.id)
 		}
 	}
 }
 
-// recallQueued takes what a job has queued on machines back.
-func (c *Core) recallQueued(j *job) {
-	for _, m := range c.machines {
-		for _, q := range m.queue {
-			if q.job == j {
-				q.giveBack()
+// reclaimQueuedTasks takes what a job has queued on machines back.
+func (s *Scheduler) reclaimQueuedTasks(job *jobState) {
+	for _, machine := range s.machines {
+		for _, queue := range machine.queues {
+			if queue.job == job {
+				queue.returnTasks()
 			}
 		}
-		m.trim()
+		machine.dropEmptyQueues()
 	}
 }
 
-// open is how many of a job's tasks may be given to machines now.
-func (c *Core) open(j *job) int {
-	if c.mistaken(j) {
-		return max(0, 1-len(j.live)-j.queued)
+// unansweredRuns is how many of a job's tasks may be given to machines now.
+func (s *Scheduler) placeableTasks(job *jobState) int {
+	if s.failsEverywhere(job) {
+		return max(0, 1-len(job.allocations)-job.queued)
 	}
-	return len(j.pending)
+	return len(job.pending)
 }
 
-// asks is how many tasks a job needs machines for.
-func (c *Core) asks(j *job) int {
-	if c.mistaken(j) && j.Job.Shape != api.Gang {
-		return max(1, len(j.live))
+// demandedTasks is how many tasks a job needs machines for.
+func (s *Scheduler) demandedTasks(job *jobState) int {
+	if s.failsEverywhere(job) && job.Job.Shape != api.Gang {
+		return max(1, len(job.allocations))
 	}
-	return j.total - j.done
+	return job.taskCount - job.completedCount
 }
--- a/controller/mistake_test.go
+++ b/controller/mistake_test.go
@@ -11,17 +11,17 @@
 
 // play lets all machines report; what was started runs, or fails if bad says so.
 func (s *stage) play(bad func(machine, job string) bool) {
-	for _, m := range s.byName() {
+	for _, m := range s.sortedMachines() {
 		var tasks []api.TaskReport
-		for key, a := range m.assigns {
-			if !a.sent {
+		for key, alloc := range m.allocations {
+			if !alloc.runSent {
 				continue
 			}
 			state, cause := api.TaskRunning, ""
-			if bad(m.Name, a.job.id) {
+			if bad(m.Name, alloc.job.id) {
 				state, cause = api.TaskExited, api.CauseError
 			}
-			tasks = append(tasks, task(key, a.attempt, state, cause))
+			tasks = append(tasks, task(key, alloc.attempt, state, cause))
 		}
 		s.report(m.Name, 1, tasks...)
 	}
@@ -35,7 +35,7 @@
 		s.play(bad)
 		s.Place()
 		s.commit()
-		returned = append(returned, s.Tend()...)
+		returned = append(returned, s.MaintainFleet()...)
 	}
 	return returned
 }
@@ -54,7 +54,7 @@
 		t.Fatalf("healthy machines %v returned", gone)
 	}
 	one, two := s.jobs["run-000001"], s.jobs["run-000002"]
-	if !s.mistaken(one) || !s.mistaken(two) {
+	if !s.failsEverywhere(one) || !s.failsEverywhere(two) {
 		t.Fatal("jobs that fail everywhere are not told from others")
 	}
 	if all, _ := s.demand(); all != 8 {
@@ -65,11 +65,11 @@
 	started := map[string]int{}
 	for range 200 {
 		s.work(tuning.TendEvery, bad)
-		for _, j := range []*job{one, two} {
-			started[j.id] = max(started[j.id], len(j.live)+j.queued)
+		for _, j := range []*jobState{one, two} {
+			started[j.id] = max(started[j.id], len(j.allocations)+j.queued)
 		}
 	}
-	if n := len(s.jobs["run-000009"].live); n != 8 {
+	if n := len(s.jobs["run-000009"].allocations); n != 8 {
 		t.Errorf("%d of 8 tasks of another job run", n)
 	}
 	if started[one.id] > 1 || started[two.id] > 1 {
@@ -102,7 +102,7 @@
 	if !slices.Equal(gone, []string{"a2"}) {
 		t.Errorf("returned %v, want the faulty a2", gone)
 	}
-	if n := len(s.jobs["run-000001"].live); n != 32 {
+	if n := len(s.jobs["run-000001"].allocations); n != 32 {
 		t.Errorf("%d tasks of a good job run, want 32 on four good machines", n)
 	}
 }
--- a/controller/mute_test.go
+++ b/controller/mute_test.go
@@ -42,18 +42,18 @@
 				w.deliver(n, x.Report())
 			}
 		}
-		w.gone = append(w.gone, s.Tend()...)
+		w.gone = append(w.gone, s.MaintainFleet()...)
 		s.Place()
 		s.commit()
 		for ; s.answered < len(s.sent); s.answered++ {
 			o := s.sent[s.answered]
 			w.count(o.name, o.o.Commands)
 			if w.all[o.name] == nil {
-				s.Answered(o.name, o.o, nil, false)
+				s.CommandsAnswered(o.name, o.o, nil, false)
 				continue
 			}
 			r, _ := w.all[o.name].Direct(o.o)
-			s.Answered(o.name, o.o, r, true)
+			s.CommandsAnswered(o.name, o.o, r, true)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 
 // deliver carries a report and its answer.
 func (w *muteWorkers) deliver(name string, r *api.Heartbeat) {
-	o, _, _ := w.s.Report(r, "")
+	o, _, _ := w.s.HandleHeartbeat(r, "")
 	w.count(name, o.Commands)
 	w.all[name].Answer(r, w.s.clock.Now(), o)
 }
@@ -86,8 +86,8 @@
 	s.submit("run-000001", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	s.submit("run-000002", 1, nil)
 	w.run(time.Second)
-	if len(s.machines["a1"].assigns) != 2 {
-		t.Fatalf("%d tasks on a1", len(s.machines["a1"].assigns))
+	if len(s.machines["a1"].allocations) != 2 {
+		t.Fatalf("%d tasks on a1", len(s.machines["a1"].allocations))
 	}
 	for n := range w.heard {
 		w.heard[n] = n != "a1"
@@ -95,13 +95,13 @@
 	before := w.begun["a1"]
 	w.run(6 * time.Second)
 	for _, id := range []string{"run-000001", "run-000002"} {
-		if a := s.jobs[id].live[0]; a == nil || a.machine.Name == "a1" || a.state != api.TaskRunning {
-			t.Errorf("%s does not run elsewhere 6 s after its machine fell mute: %+v", id, a)
+		if alloc := s.jobs[id].allocations[0]; alloc == nil || alloc.machine.Name == "a1" || alloc.state != api.TaskRunning {
+			t.Errorf("%s does not run elsewhere 6 s after its machine fell mute: %+v", id, alloc)
 		}
 	}
 	s.submit("run-000003", 20, nil)
 	w.run(2 * time.Second)
-	if why := strings.Join(s.whyWaiting(s.jobs["run-000003"]), ""); !strings.Contains(why, "1 answer commands and reach no controller (mute)") {
+	if why := strings.Join(s.waitReasons(s.jobs["run-000003"]), ""); !strings.Contains(why, "1 answer commands and reach no controller (mute)") {
 		t.Errorf("an operator is told %q", why)
 	}
 	w.run(6 * time.Second)
@@ -133,11 +133,11 @@
 		w.heard[n] = n == "a1"
 	}
 	w.run(9 * time.Second)
-	if n := len(s.jobs["run-000001"].live); n != 8 || len(w.gone) > 0 {
+	if n := len(s.jobs["run-000001"].allocations); n != 8 || len(w.gone) > 0 {
 		t.Errorf("%d of 8 tasks are left, returned %v", n, w.gone)
 	}
 	w.run(4 * time.Second)
-	if n := len(s.jobs["run-000001"].live); n != 0 || len(w.gone) > 0 {
+	if n := len(s.jobs["run-000001"].allocations); n != 0 || len(w.gone) > 0 {
 		t.Errorf("%d tasks count 13 s after the last report, though their leases have ended; returned %v", n, w.gone)
 	}
 }
@@ -151,15 +151,15 @@
 	s.submit("run-000001", 2, nil)
 	w.run(2 * time.Second)
 	where := func() (out []string) {
-		for _, i := range slices.Sorted(maps.Keys(s.jobs["run-000001"].live)) {
-			a := s.jobs["run-000001"].live[i]
-			out = append(out, fmt.Sprint(a.machine.Name, a.attempt, a.state))
+		for _, i := range slices.Sorted(maps.Keys(s.jobs["run-000001"].allocations)) {
+			alloc := s.jobs["run-000001"].allocations[i]
+			out = append(out, fmt.Sprint(alloc.machine.Name, alloc.attempt, alloc.state))
 		}
 		return out
 	}
 	before, begun := where(), len(w.begun)
 	odd := func(name string, session, seq uint64, tasks ...api.TaskReport) {
-		s.Report(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: s.term, Tasks: tasks}, "")
+		s.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: s.term, Tasks: tasks}, "")
 	}
 	for range 20 {
 		odd("a9", 1, 1, task("run-000001/0", 7, api.TaskRunning, ""), task("run-000001/99", 7, api.TaskRunning, ""))
--- a/controller/pipes_test.go
+++ b/controller/pipes_test.go
@@ -33,14 +33,14 @@
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
 	n := New(context.Background(), set, policy.Default(), s.clock, s.state)
-	n.types = testTypes
-	n.marks.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	n.machineTypes = testTypes
+	n.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	return n
 }
 
 // state is what the leader says of a job.
 func (s *stage) status(id string) string {
-	st, ok := s.Known(id)
+	st, ok := s.JobStatus(id)
 	if !ok {
 		if f, over := s.finals[id]; over {
 			return f.State
@@ -57,10 +57,10 @@
 	s.Place()
 	s.commit()
 	var ran, done []api.TaskReport
-	for key, a := range s.machines[machine].assigns {
-		if a.committed && a.job.id == id {
-			ran = append(ran, task(key, a.attempt, api.TaskRunning, ""))
-			done = append(done, task(key, a.attempt, api.TaskExited, api.CauseDone))
+	for key, alloc := range s.machines[machine].allocations {
+		if alloc.committed && alloc.job.id == id {
+			ran = append(ran, task(key, alloc.attempt, api.TaskRunning, ""))
+			done = append(done, task(key, alloc.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
 	if len(done) == 0 {
@@ -78,7 +78,7 @@
 	s := newStage(t)
 	s.submit("run-000001", 1, tiny)
 	s.submit("run-000002", 1, await("run-000001"))
-	if s.status("run-000002") != api.Pending || s.use["t"].CPUs != 0 || !s.jobs["run-000002"].waits {
+	if s.status("run-000002") != api.Pending || s.usage["t"].CPUs != 0 || !s.jobs["run-000002"].waitsForDependencies {
 		t.Fatal("it does not wait")
 	}
 	if all, _ := s.demand(); all > 0.2 {
@@ -94,15 +94,15 @@
 		t.Fatal("not decided")
 	}
 	s.Place()
-	if len(s.jobs["run-000002"].live) > 0 {
+	if len(s.jobs["run-000002"].allocations) > 0 {
 		t.Fatal("it was placed before the record")
 	}
-	if state, _ := s.pipes.ended("run-000001"); state != "" {
+	if state, _ := s.dependencies.terminalState("run-000001"); state != "" {
 		t.Fatalf("one that is accepted now would take it for %s", state)
 	}
 	s.commit()
 	s.Place()
-	if len(s.jobs["run-000002"].live) != 1 {
+	if len(s.jobs["run-000002"].allocations) != 1 {
 		t.Error("it does not start after the record")
 	}
 }
@@ -147,13 +147,13 @@
 		})
 		s.elect()
 		for range 5 {
-			s.beside().lookAwaited(context.Background(), s.Core, s.com, s.Missing())
+			s.beside().lookUpDependency(context.Background(), s.Scheduler, s.com, s.UnresolvedDependencies())
 		}
 		check("the next leader", func(id string) string {
 			if st := s.status(id); st != "" {
 				return st
 			}
-			st, _, _ := s.beside().lookUp(context.Background(), s.Core, id, true)
+			st, _, _ := s.beside().lookUp(context.Background(), s.Scheduler, id, true)
 			return st.State
 		})
 		s.commit()
@@ -194,7 +194,7 @@
 			sub.ID, sub.Awaits = "run-000002", []string{"run-000001"}
 			accept := func() {
 				if alone {
-					s.beside().submitAlone(context.Background(), &sub, nil)
+					s.beside().submitWithoutLeader(context.Background(), &sub, nil)
 				} else {
 					s.Submit(gaveUp(), &sub, s.clock.Now())
 				}
@@ -314,8 +314,8 @@
 	s := newStage(t)
 	s.submit("run-000001", 1, tiny)
 	n := s.beside()
-	n.marks = upgrade.NewVersionRegistry("y", []string{"y", "z"}, n.client, s.clock)
-	n.marks.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	n.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, n.client, s.clock)
+	n.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	body := strings.Replace(submission("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
 	ask := func() peer.Response {
 		return n.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
@@ -323,11 +323,11 @@
 	if a := ask(); a.Status != 503 || a.RetryAfterS == 0 || !strings.Contains(string(a.Body), "not seen yet of z") {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
-	n.marks.Observe("z", upgrade.VersionMark{Data: 1})
+	n.versions.Observe("z", upgrade.VersionMark{Data: 1})
 	if a := ask(); a.Status != 503 {
 		t.Errorf("beside data of version 1: %d", a.Status)
 	}
-	n.marks.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	n.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	if a := ask(); a.Status != 201 {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
@@ -377,19 +377,19 @@
 	asked     map[string]bool
 	told      map[string]string
 	checked   int
-	// alone answers from the records; a new one for each check, as it remembers what is over.
+	// leaderlessWriter answers from the records; a new one for each check, as it remembers what is over.
 	alone   *Controller
 	running []api.TaskReport
 }
 
-// lost tells from what users were told whether a job must be withdrawn.
+// loseTask tells from what users were told whether a job must be withdrawn.
 func (p *gamble) lost(id string) bool {
 	return p.cancelled[id] || slices.ContainsFunc(p.needs[id], p.lost)
 }
 
 // says is what a user is told of a job: by the leader, or from the records.
 func (p *gamble) says(id string) string {
-	if st, ok := p.Known(id); ok {
+	if st, ok := p.JobStatus(id); ok {
 		return st.State
 	}
 	if p.alone == nil {
@@ -443,18 +443,18 @@
 
 // carry lets a machine report, and writes some of what waits.
 func (p *gamble) carry() {
-	if ids := p.Missing(); len(ids) > 0 {
-		p.beside().lookAwaited(context.Background(), p.Core, p.com, ids)
+	if ids := p.UnresolvedDependencies(); len(ids) > 0 {
+		p.beside().lookUpDependency(context.Background(), p.Scheduler, p.com, ids)
 	}
 	p.report("a1", 1, p.running...)
 	p.Place()
 	p.com.Step(context.Background())
 	p.com.Step(context.Background())
 	p.running = nil
-	for key, a := range p.machine("a1").assigns {
-		if a.committed {
+	for key, alloc := range p.machineNamed("a1").allocations {
+		if alloc.committed {
 			// It completes at once.
-			p.running = append(p.running, task(key, a.attempt, api.TaskExited, api.CauseDone))
+			p.running = append(p.running, task(key, alloc.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
 }
@@ -506,10 +506,10 @@
 	if n := len(s.state.Get(old.Key())); n < 2048 {
 		t.Fatalf("the record has %d bytes only", n)
 	}
-	placed := len(s.jobs["run-000001"].live)
+	placed := len(s.jobs["run-000001"].allocations)
 	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 8}
 	s.elect()
-	s.OwnRecords()
+	s.UseCurrentFormat()
 	s.commit()
 	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 8})
 	s.state.Deliver()
@@ -517,7 +517,7 @@
 		t.Error("the large record still stands")
 	}
 	s.elect()
-	if n := len(s.jobs["run-000001"].live); n != placed || placed == 0 {
+	if n := len(s.jobs["run-000001"].allocations); n != placed || placed == 0 {
 		t.Errorf("%d tasks are on machines, want %d", n, placed)
 	}
 	if len(s.state.Refused) > 0 {
@@ -530,7 +530,7 @@
 	s := newStage(t)
 	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	s.elect()
-	s.OwnRecords()
+	s.UseCurrentFormat()
 	s.com.SetValueLimit(2048)
 	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
 	for i := range 10 {
@@ -579,29 +579,29 @@
 			second()
 		}
 		s.elect()
-		j := s.jobs["run-000001"]
-		if !j.bits.Has(3) || !j.bits.Has(4) || j.done != 2 {
+		job := s.jobs["run-000001"]
+		if !job.completed.Has(3) || !job.completed.Has(4) || job.completedCount != 2 {
 			t.Errorf("late %v: an end is lost", late)
 		}
-		if a := j.live[1]; a == nil || a.machine.Name != "a2" || a.attempt != 9 {
-			t.Errorf("late %v: an older attempt tells where task 1 is: %+v", late, a)
+		if alloc := job.allocations[1]; alloc == nil || alloc.machine.Name != "a2" || alloc.attempt != 9 {
+			t.Errorf("late %v: an older attempt tells where task 1 is: %+v", late, alloc)
 		}
-		if a := j.live[50]; a == nil || a.machine.Name != "a1" {
+		if alloc := job.allocations[50]; alloc == nil || alloc.machine.Name != "a1" {
 			t.Errorf("late %v: task 50, which stands in one record alone, is lost", late)
 		}
-		if a := j.live[2]; a == nil || a.machine.Name != "a1" {
+		if alloc := job.allocations[2]; alloc == nil || alloc.machine.Name != "a1" {
 			t.Fatalf("late %v: task 2 is nowhere, though its machine has not been heard", late)
 		}
 		s.report("a1", 1)
 		s.report("a1", 1)
-		if j.live[2] != nil || j.live[1] == nil {
+		if job.allocations[2] != nil || job.allocations[1] == nil {
 			t.Errorf("late %v: the machine's word does not free task 2, or frees task 1", late)
 		}
 	}
 }
 
 // What a pipeline's last job must keep reaches those before it: the rank below production's, and a
-// latest start that leaves time for what lies between, in waves where the fleet is small. It does
+// latestStart start that leaves time for what lies between, in waves where the fleet is small. It does
 // so again whenever something of that changes.
 func TestLastJobPressesThoseBeforeIt(t *testing.T) {
 	s := newStage(t)
@@ -620,17 +620,17 @@
 	// 10 s for the last; 16 processors' worth of the second on 8 take two waves of 30 s, its
 	// fetch of 1 GB 2 s.
 	due := last.At + 200_000 - tuning.StageGapMS - 10_000
-	if got := second.reach.DuesMS; len(got) != 1 || got[0] != due {
+	if got := second.inherited.DuesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
 	}
-	if got := first.reach.DuesMS; len(got) != 1 || got[0] != due-tuning.StageGapMS-62_000 {
+	if got := first.inherited.DuesMS; len(got) != 1 || got[0] != due-tuning.StageGapMS-62_000 {
 		t.Errorf("the first is due at %v, want %d", got, due-tuning.StageGapMS-62_000)
 	}
 	s.Cancel(gaveUp(), "run-000003")
 	s.commit()
 	s.sortQueues()
-	if first.rank != api.RankLow || len(first.reach.DuesMS) > 0 {
-		t.Errorf("it is still pressed: rank %d, due at %v", first.rank, first.reach.DuesMS)
+	if first.rank != api.RankLow || len(first.inherited.DuesMS) > 0 {
+		t.Errorf("it is still pressed: rank %d, due at %v", first.rank, first.inherited.DuesMS)
 	}
 }
 
@@ -645,13 +645,13 @@
 	s.elect()
 	s.report("a1", 1)
 	s.Place()
-	if len(s.jobs["run-000003"].live) != 1 || len(s.jobs["run-000002"].live) != 0 || !slices.Equal(s.Missing(), []string{"run-000001"}) {
+	if len(s.jobs["run-000003"].allocations) != 1 || len(s.jobs["run-000002"].allocations) != 0 || !slices.Equal(s.UnresolvedDependencies(), []string{"run-000001"}) {
 		t.Fatalf("before the look-up: %d of the urgent one, %d of the one that waits, missing %v",
-			len(s.jobs["run-000003"].live), len(s.jobs["run-000002"].live), s.Missing())
+			len(s.jobs["run-000003"].allocations), len(s.jobs["run-000002"].allocations), s.UnresolvedDependencies())
 	}
-	s.beside().lookAwaited(context.Background(), s.Core, s.com, s.Missing())
+	s.beside().lookUpDependency(context.Background(), s.Scheduler, s.com, s.UnresolvedDependencies())
 	s.Place()
-	if len(s.jobs["run-000002"].live) != 1 || len(s.Missing()) > 0 {
+	if len(s.jobs["run-000002"].allocations) != 1 || len(s.UnresolvedDependencies()) > 0 {
 		t.Error("after it the other does not start")
 	}
 	if f := s.finals["run-000001"]; f.Tasks != 1 {
@@ -669,20 +669,20 @@
 		return New(context.Background(), set, policy.Default(), s.clock, s.state)
 	}
 	n := begin()
-	if n.marks.RecordOwn(context.Background()) || string(s.state.Get("sf/version/y")) != `{"data":2}` {
+	if n.versions.RecordOwn(context.Background()) || string(s.state.Get("sf/version/y")) != `{"data":2}` {
 		t.Fatalf("marked %s", s.state.Get("sf/version/y"))
 	}
 	stamp := s.state.Put("sf/test", 1)
-	if !n.marks.RecordOwn(context.Background()) || s.state.Put("sf/test", 1) != stamp+1 {
+	if !n.versions.RecordOwn(context.Background()) || s.state.Put("sf/test", 1) != stamp+1 {
 		t.Error("its mark was written again")
 	}
-	if old := n.marks.Older(); !slices.Equal(old, []string{"z"}) {
+	if old := n.versions.Older(); !slices.Equal(old, []string{"z"}) {
 		t.Errorf("older %v", old)
 	}
 	s.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	again := begin()
 	again.markVersion(context.Background()) // returns once it has seen all
-	if old := again.marks.Older(); len(old) > 0 {
+	if old := again.versions.Older(); len(old) > 0 {
 		t.Errorf("older %v", old)
 	}
 }
@@ -700,12 +700,12 @@
 	s.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
 	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	s.elect()
-	s.OwnRecords()
+	s.UseCurrentFormat()
 	for i := range 20 {
 		s.report(fmt.Sprintf("a%02d", i), 1)
 	}
-	s.imagesNew = true
-	s.keepImages(s.clock.Now().Add(time.Hour))
+	s.imagesChanged = true
+	s.storeImageHints(s.clock.Now().Add(time.Hour))
 	s.Place()
 	s.Cancel(gaveUp(), "run-000001")
 	s.commit()
--- a/controller/place.go
+++ b/controller/place.go
@@ -19,278 +19,278 @@
 	"switchferry/tuning"
 )
 
-// total is a machine's whole room.
-func (m *machine) total() fleet.Resources {
+// capacity is a machine's whole room.
+func (m *machineState) capacity() fleet.Resources {
 	if m.Spec == nil {
 		return fleet.Resources{}
 	}
 	return fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
 }
 
-// fetchS is the time to get a job's image: none where it is held or, as far as
+// fetchSeconds is the time to get a job's image: none where it is held or, as far as
 // the choice of a machine goes, already on its way.
-func (m *machine) fetchS(j *job) float64 {
-	if m.images[j.Job.Image] > 0 {
+func (m *machineState) fetchSeconds(job *jobState) float64 {
+	if m.imagesInUse[job.Job.Image] > 0 {
 		return 0
 	}
-	return m.FetchSeconds(j.Job.Image, j.Job.ImageGB)
+	return m.FetchSeconds(job.Job.Image, job.Job.ImageGB)
 }
 
-func (m *machine) free() fleet.Resources { return m.total().Sub(m.used) }
+func (m *machineState) free() fleet.Resources { return m.capacity().Sub(m.used) }
 
-// usable tells whether a machine may get new work.
-func (c *Core) usable(m *machine) bool {
-	return m.Up && m.Spec != nil && !m.returning && m.PreemptedAt.IsZero() && !c.suspect(m) &&
-		c.now().After(m.refused) && c.since(m.LastHeartbeat) < c.quiet(m) && m.line.State(c.now(), c.lease()) == reachability.Reachable
+// schedulable tells whether a machine may get new work.
+func (s *Scheduler) schedulable(machine *machineState) bool {
+	return machine.Up && machine.Spec != nil && !machine.releasing && machine.PreemptedAt.IsZero() && !s.faulty(machine) &&
+		s.now().After(machine.refusedUntil) && s.since(machine.LastHeartbeat) < s.heartbeatTimeout(machine) && machine.link.State(s.now(), s.lease()) == reachability.Reachable
 }
 
-// quiet is how long a machine may be unheard and still get work.
-func (c *Core) quiet(m *machine) time.Duration {
-	d := seconds(2.5 * c.set.Facts.Workers.ReportS)
-	if m.relay != "" {
+// heartbeatTimeout is how long a machine may be unheard and still get work.
+func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
+	d := seconds(2.5 * s.settings.Facts.Workers.ReportS)
+	if machine.relayPeer != "" {
 		d += tuning.RelayKeep
 	}
 	return d
 }
 
-// allowed tells whether a job's tasks may ever run on a machine.
-func allowed(j *job, m *machine) bool {
-	return m.Spec.Fits(&j.Job) && (j.Job.Zone == "" || j.Job.Zone == m.Zone) && (!m.Spot || j.Job.Spot)
+// satisfiesConstraints tells whether a job's tasks may ever run on a machine.
+func satisfiesConstraints(job *jobState, machine *machineState) bool {
+	return machine.Spec.Fits(&job.Job) && (job.Job.Zone == "" || job.Job.Zone == machine.Zone) && (!machine.Spot || job.Job.Spot)
 }
 
-func (c *Core) eligible(j *job, m *machine) bool {
-	if !c.usable(m) || !allowed(j, m) {
+func (s *Scheduler) eligible(job *jobState, machine *machineState) bool {
+	if !s.schedulable(machine) || !satisfiesConstraints(job, machine) {
 		return false
 	}
-	until, ok := j.avoid[m.Name]
-	return (!ok || c.now().After(until)) && !c.keptForAged(j, m) && !c.keptForOthers(j, m)
+	until, ok := job.avoidUntil[machine.Name]
+	return (!ok || s.now().After(until)) && !s.reservedForStarved(job, machine) && !s.reservedForOthers(job, machine)
 }
 
-// zoneOK tells whether one more task may start in a machine's zone, given
-// where the others are or may be.
-func zoneOK(j *job, m *machine) bool {
-	if j.site != nil && !j.site.Allows(m.Name) {
+// satisfiesSpread tells whether one more task may start in a machine's zone, given
+// topology the others are or may be.
+func satisfiesSpread(job *jobState, machine *machineState) bool {
+	if job.site != nil && !job.site.Allows(machine.Name) {
 		return false
 	}
-	if !j.Job.OneZone && !j.Job.Spread {
+	if !job.Job.OneZone && !job.Job.Spread {
 		return true
 	}
 	here := 0
-	for _, a := range j.live {
+	for _, alloc := range job.allocations {
 		switch {
-		case a.machine.Zone == m.Zone:
+		case alloc.machine.Zone == machine.Zone:
 			here++
-		case j.Job.OneZone:
+		case job.Job.OneZone:
 			return false
-		case a.machine.Zone == "":
-			// Known from a record only, it may be in this zone.
+		case alloc.machine.Zone == "":
+			// JobStatus from a record only, it may be in this zone.
 			here++
 		}
 	}
-	return !j.Job.Spread || here < (j.total+1)/2
+	return !job.Job.Spread || here < (job.taskCount+1)/2
 }
 
-// withinLimit tells whether a job's team may use one more task's worth, beside what is reserved for another job that
+// withinQuota tells whether a job's team may use one more task's worth, beside what is reserved for another job that
 // goes before it (package quota).
-func (c *Core) withinLimit(j *job) bool {
-	limit, ok := c.active.Limit(j.Job.Team)
+func (s *Scheduler) withinQuota(job *jobState) bool {
+	limit, ok := s.configuration.Limit(job.Job.Team)
 	if !ok {
 		return false
 	}
-	use := c.use[j.Job.Team].Add(j.need)
-	if r, ok := c.quotas.Reservation(j.Job.Team); ok && r.ID != j.id {
-		if o := c.jobs[r.ID]; o != nil && before(o, j) < 0 {
+	use := s.usage[job.Job.Team].Add(job.request)
+	if r, ok := s.quotas.Reservation(job.Job.Team); ok && r.ID != job.id {
+		if o := s.jobs[r.ID]; o != nil && compareJobs(o, job) < 0 {
 			use = use.Add(r.Resources)
 		}
 	}
 	return limit.Allows(use)
 }
 
-// claims are those of the jobs that go before others in their teams, by rank or age, and wait.
-func claims(jobs []*job, limitOf func(string) (quota.Limit, bool), use map[string]fleet.Resources, ready func(*job) bool) (out []quota.Demand) {
+// quotaDemands are those of the jobs that go before others in their teams, by rank or age, and wait.
+func quotaDemands(jobs []*jobState, limitOf func(string) (quota.Limit, bool), use map[string]fleet.Resources, ready func(*jobState) bool) (out []quota.Demand) {
 	stays := map[string]fleet.Resources{}
-	for _, j := range jobs {
-		if j.Job.Shape == api.Service {
-			stays[j.Job.Team] = stays[j.Job.Team].Add(j.need.Scale(len(j.live)))
+	for _, job := range jobs {
+		if job.Job.Shape == api.Service {
+			stays[job.Job.Team] = stays[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
 		}
 	}
-	for _, j := range jobs {
-		limit, ok := limitOf(j.Job.Team)
-		if !ok || j.first() == 0 || len(j.pending)+j.queued == 0 || !ready(j) {
+	for _, job := range jobs {
+		limit, ok := limitOf(job.Job.Team)
+		if !ok || job.precedence() == 0 || len(job.pending)+job.queued == 0 || !ready(job) {
 			continue
 		}
-		need := j.need
-		if j.Job.Shape == api.Gang {
-			need = need.Scale(len(j.pending))
+		need := job.request
+		if job.Job.Shape == api.Gang {
+			need = need.Scale(len(job.pending))
 		}
-		out = append(out, quota.Demand{Team: j.Job.Team, ID: j.id, Limit: limit, Request: need, Use: use[j.Job.Team], Permanent: stays[j.Job.Team]})
+		out = append(out, quota.Demand{Team: job.Job.Team, ID: job.id, Limit: limit, Request: need, Use: use[job.Job.Team], Permanent: stays[job.Job.Team]})
 	}
 	return out
 }
 
-func (c *Core) ready(j *job) bool {
-	return j.accepted && j.FinalState == "" && !c.now().Before(j.pause) && c.dataReady(j) && (len(j.live) == 0 || j.Job.Shape == api.Gang || !c.mistaken(j))
+func (s *Scheduler) startableNow(job *jobState) bool {
+	return job.accepted && job.FinalState == "" && !s.now().Before(job.pausedUntil) && s.inputsReady(job) && (len(job.allocations) == 0 || job.Job.Shape == api.Gang || !s.failsEverywhere(job))
 }
 
 // estimate is how long a task of the job runs, in seconds.
-func estimate(j *job) float64 { return math.Max(tuning.MinRun, j.Job.EstimateS) }
+func estimate(job *jobState) float64 { return math.Max(tuning.MinRun, job.Job.EstimateS) }
 
 // Place gives work to machines. It is the only place where tasks get one.
-func (c *Core) Place() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.beat(c.now())
-	if !c.loaded || !c.hooks.Valid() {
+func (s *Scheduler) Place() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tick(s.now())
+	if !s.loaded || !s.hooks.Leading() {
 		return
 	}
-	c.at = c.clock.Now()
-	defer func() { c.at = time.Time{} }()
-	c.sortQueues()
-	c.quotas.Reserve(c.at, claims(c.order, c.active.Limit, c.use, c.ready))
-	for _, m := range c.machines {
-		if len(m.queue) > 0 && !c.usable(m) {
-			for _, q := range m.queue {
-				q.giveBack()
+	s.roundTime = s.clock.Now()
+	defer func() { s.roundTime = time.Time{} }()
+	s.sortQueues()
+	s.quotas.Reserve(s.roundTime, quotaDemands(s.jobOrder, s.configuration.Limit, s.usage, s.startableNow))
+	for _, machine := range s.machines {
+		if len(machine.queues) > 0 && !s.schedulable(machine) {
+			for _, queue := range machine.queues {
+				queue.returnTasks()
 			}
-			m.queue = nil
+			machine.queues = nil
 		}
 	}
-	if c.data != nil {
-		c.data.snap = c.data.index.Snapshot()
-		c.unstick()
-		defer c.stage()
+	if s.datasets != nil {
+		s.datasets.snapshot = s.datasets.index.Snapshot()
+		s.retryStuckStaging()
+		defer s.planStaging()
 	}
-	c.lookAround()
-	c.keepRoom()
-	for _, j := range c.order {
-		if len(j.pending) == 0 || !c.ready(j) || !c.aimed(j) {
+	s.refreshTopology()
+	s.reserveForStarved()
+	for _, job := range s.jobOrder {
+		if len(job.pending) == 0 || !s.startableNow(job) || !s.chooseDomain(job) {
 			continue
 		}
 		switch {
-		case j.Job.Shape == api.Service:
-			c.placeService(j)
-		case j.Job.Shape == api.Gang:
-			c.placeGang(j)
-		case c.withinLimit(j) && len(j.inputs) > 0:
-			c.dataFill(j)
-		case c.withinLimit(j):
-			c.waterFill(j)
-		}
-	}
-	ms := c.byName()
-	c.serve(ms)
-	lowest := lowestRank(c.order)
-	for _, j := range c.order {
-		if j.rank <= lowest && (!j.entitled || c.since(j.arrived) < tuning.GuaranteePatience) {
+		case job.Job.Shape == api.Service:
+			s.placeService(job)
+		case job.Job.Shape == api.Gang:
+			s.placeGang(job)
+		case s.withinQuota(job) && len(job.inputs) > 0:
+			s.placeByLocality(job)
+		case s.withinQuota(job):
+			s.waterFill(job)
+		}
+	}
+	ms := s.sortedMachines()
+	s.serveQueues(ms)
+	lowest := lowestRank(s.jobOrder)
+	for _, job := range s.jobOrder {
+		if job.rank <= lowest && (!job.guaranteed || s.since(job.learnedAt) < tuning.GuaranteePatience) {
 			// Nothing may be stopped for it.
 			continue
 		}
-		if j.Job.Shape == api.JobArray && len(j.pending)+j.queued > 0 {
-			c.preempt(j, ms)
+		if job.Job.Shape == api.JobArray && len(job.pending)+job.queued > 0 {
+			s.preempt(job, ms)
 		}
 	}
 }
 
 // lowestRank is the least rank of those of the jobs that are on machines.
-func lowestRank(jobs []*job) int {
+func lowestRank(jobs []*jobState) int {
 	lowest := api.RankProduction
-	for _, j := range jobs {
-		if len(j.live) > 0 {
-			lowest = min(lowest, j.rank)
+	for _, job := range jobs {
+		if len(job.allocations) > 0 {
+			lowest = min(lowest, job.rank)
 		}
 	}
 	return lowest
 }
 
-// byName lists the machines by name. The list is shared and must not be changed.
-func (c *Core) byName() []*machine {
-	if c.sorted == nil {
-		c.sorted = make([]*machine, 0, len(c.machines))
-		for _, m := range c.machines {
-			c.sorted = append(c.sorted, m)
+// sortedMachines lists the machines by name. The list is shared and must not be changed.
+func (s *Scheduler) sortedMachines() []*machineState {
+	if s.machinesByName == nil {
+		s.machinesByName = make([]*machineState, 0, len(s.machines))
+		for _, machine := range s.machines {
+			s.machinesByName = append(s.machinesByName, machine)
 		}
-		slices.SortFunc(c.sorted, func(a, b *machine) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(s.machinesByName, func(a, b *machineState) int { return strings.Compare(a.Name, b.Name) })
 	}
-	return c.sorted
+	return s.machinesByName
 }
 
-// ahead is what a machine has outstanding for jobs up to and with j in the
-// order of the queues, as equation (2) needs it, and the room that services
+// queuedAhead is what a machine has outstanding for jobs up to and with j in the
+// sendStageOrder of the queues, as equation (2) needs it, and the room that services
 // leave.
-func (c *Core) ahead(m *machine, j *job, slot float64) (_ []placement.Queued, room fleet.Resources) {
-	room = m.total()
+func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slot float64) (_ []placement.Queued, room fleet.Resources) {
+	room = machine.capacity()
 	// It is asked for each job and machine: what it counts in is used again.
-	if c.count == nil {
-		c.count = map[*job]int{}
+	if s.scratchCounts == nil {
+		s.scratchCounts = map[*jobState]int{}
 	}
-	clear(c.count)
-	count, queued := c.count, c.queued[:0]
-	for _, a := range m.assigns {
-		if a.job.Job.Shape == api.Service {
-			room = room.Sub(a.job.need)
-		} else if !a.stop && before(a.job, j) <= 0 {
-			count[a.job]++
+	clear(s.scratchCounts)
+	count, queued := s.scratchCounts, s.scratchQueued[:0]
+	for _, alloc := range machine.allocations {
+		if alloc.job.Job.Shape == api.Service {
+			room = room.Sub(alloc.job.request)
+		} else if !alloc.stopping && compareJobs(alloc.job, job) <= 0 {
+			count[alloc.job]++
 		}
 	}
-	for _, q := range m.queue {
-		if before(q.job, j) <= 0 {
-			count[q.job] += len(q.tasks)
+	for _, queue := range machine.queues {
+		if compareJobs(queue.job, job) <= 0 {
+			count[queue.job] += len(queue.tasks)
 		}
 	}
 	for o, n := range count {
-		mu := placement.Mu(max(1, room.Multiple(o.need)), slot, estimate(o))
+		mu := placement.Mu(max(1, room.Multiple(o.request)), slot, estimate(o))
 		queued = append(queued, placement.Queued{Tasks: n, Mu: mu})
 	}
-	c.queued = queued
+	s.scratchQueued = queued
 	return queued, room
 }
 
 // server is a machine as the water-filling sees it for a job, without what it must fetch.
-func (c *Core) server(m *machine, j *job, slot float64) placement.Server {
-	queued, room := c.ahead(m, j, slot)
-	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Multiple(j.need), slot, estimate(j)), Free: m.free().Multiple(j.need)}
+func (s *Scheduler) server(machine *machineState, job *jobState, slot float64) placement.Server {
+	queued, room := s.queuedAhead(machine, job, slot)
+	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Multiple(job.request), slot, estimate(job)), Free: machine.free().Multiple(job.request)}
 }
 
 // waterFill queues a job's waiting tasks by the paper's Algorithm 2. All tasks
 // of a job need one image, so they form one group; the machines that lack the
 // image take part with the fetch added to their busy time.
-func (c *Core) waterFill(j *job) {
-	open := c.open(j)
+func (c *Scheduler) waterFill(job *jobState) {
+	open := c.placeableTasks(job)
 	if open <= 0 {
 		return
 	}
-	slot := c.active.Policy.Value(policy.SlotS, nil)
+	slot := c.configuration.Policy.Value(policy.SlotS, nil)
 	// Most machines wait for one of a few fetches: the policy's expression is asked once for
 	// each.
 	penalty := map[float64]int{}
 	type candidate struct {
-		m    *machine
+		m    *machineState
 		s    placement.Server
 		free float64
 	}
 	var all []candidate
-	for _, m := range c.byName() {
-		if !c.eligible(j, m) || j.site != nil && !j.site.Allows(m.Name) {
+	for _, machine := range c.sortedMachines() {
+		if !c.eligible(job, machine) || job.site != nil && !job.site.Allows(machine.Name) {
 			continue
 		}
-		s := c.server(m, j, slot)
-		if s.Mu <= 0 {
+		server := c.server(machine, job, slot)
+		if server.Mu <= 0 {
 			continue
 		}
-		wait := c.costs(j, 0, m, true).Seconds()
+		wait := c.startCost(job, 0, machine, true).Seconds()
 		slots, known := penalty[wait]
 		if !known {
-			slots = fetchPenalty(c.active.Policy, wait, slot)
+			slots = fetchPenalty(c.configuration.Policy, wait, slot)
 			penalty[wait] = slots
 		}
-		s.Busy += slots
-		all = append(all, candidate{m, s, m.free().CPUs})
+		server.Busy += slots
+		all = append(all, candidate{machine, server, machine.free().CPUs})
 	}
 	// Of machines that are as busy, those with the least room left come first.
 	slices.SortStableFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.s.Busy, b.s.Busy), cmp.Compare(a.free, b.free))
 	})
-	ms, servers := make([]*machine, len(all)), make([]placement.Server, len(all))
+	ms, servers := make([]*machineState, len(all)), make([]placement.Server, len(all))
 	for i, x := range all {
 		ms[i], servers[i] = x.m, x.s
 	}
@@ -298,72 +298,72 @@
 	if share == nil {
 		return
 	}
-	slices.Sort(j.pending)
+	slices.Sort(job.pending)
 	for i, n := range share {
 		if n > 0 {
-			ms[i].enqueue(j, j.pending[:n])
-			j.pending = j.pending[n:]
-			j.queued += n
+			ms[i].enqueue(job, job.pending[:n])
+			job.pending = job.pending[n:]
+			job.queued += n
 		}
 	}
-	slog.Debug("job queued", "job", j.id, "machines", len(ms), "shares", share)
+	slog.Debug("job queued", "job", job.id, "machines", len(ms), "shares", share)
 }
 
 // enqueue puts tasks into a machine's queue in the order of the jobs.
-func (m *machine) enqueue(j *job, tasks []int32) {
-	at, ok := slices.BinarySearchFunc(m.queue, j, func(q *queue, j *job) int { return before(q.job, j) })
+func (m *machineState) enqueue(job *jobState, tasks []int32) {
+	at, ok := slices.BinarySearchFunc(m.queues, job, func(queue *runQueue, job *jobState) int { return compareJobs(queue.job, job) })
 	if !ok {
-		m.queue = slices.Insert(m.queue, at, &queue{job: j})
+		m.queues = slices.Insert(m.queues, at, &runQueue{job: job})
 	}
-	m.queue[at].tasks = append(m.queue[at].tasks, tasks...)
+	m.queues[at].tasks = append(m.queues[at].tasks, tasks...)
 }
 
 // pop takes the first task of a queue.
-func (q *queue) pop() int {
+func (q *runQueue) pop() int {
 	t := q.tasks[0]
 	q.tasks = q.tasks[1:]
 	q.job.queued--
 	return int(t)
 }
 
-// giveBack returns a queue's tasks to their job, to be placed again.
-func (q *queue) giveBack() {
+// releaseMachines returns a queue's tasks to their job, to be placed again.
+func (q *runQueue) returnTasks() {
 	q.job.pending = append(q.job.pending, q.tasks...)
 	q.job.queued -= len(q.tasks)
 	q.tasks = nil
 }
 
-func (m *machine) trim() {
-	m.queue = slices.DeleteFunc(m.queue, func(q *queue) bool { return len(q.tasks) == 0 })
+func (m *machineState) dropEmptyQueues() {
+	m.queues = slices.DeleteFunc(m.queues, func(queue *runQueue) bool { return len(queue.tasks) == 0 })
 }
 
-// startable tells whether a task of the job can start on the machine now.
-func (c *Core) startable(j *job, m *machine) bool {
-	return c.ready(j) && m.free().Fits(j.need) && len(m.assigns)+len(m.ended) < tuning.ReportTasks && c.eligible(j, m) && zoneOK(j, m) && c.withinLimit(j)
+// canStart tells whether a task of the job can start on the machine now.
+func (s *Scheduler) canStart(job *jobState, machine *machineState) bool {
+	return s.startableNow(job) && machine.free().Fits(job.request) && len(machine.allocations)+len(machine.exited) < tuning.ReportTasks && s.eligible(job, machine) && satisfiesSpread(job, machine) && s.withinQuota(job)
 }
 
-// place is a queue and the machine that it is on.
-type place struct {
-	m *machine
-	q *queue
+// queuedOn is a queue and the machine that it is on.
+type queuedOn struct {
+	m *machineState
+	q *runQueue
 }
 
-// serve starts queued tasks, job by job in the order of the queues: first where
+// serveAsLeader starts queued tasks, job by job in the order of the queues: first where
 // they are queued, then on other machines with room, out of the longest queue
 // that holds the job. A machine does not start a later job of its own queue while
 // it could serve an earlier one that waits elsewhere: one task left behind a long
 // one, on one machine, keeps its whole job from being done.
-func (c *Core) serve(ms []*machine) {
-	where := map[*job][]place{}
-	length := map[*machine]int{}
+func (s *Scheduler) serveQueues(ms []*machineState) {
+	where := map[*jobState][]queuedOn{}
+	length := map[*machineState]int{}
 	least := math.Inf(1)
 	low := false
-	for _, m := range ms {
-		for _, q := range m.queue {
-			where[q.job] = append(where[q.job], place{m, q})
-			length[m] += len(q.tasks)
-			least = math.Min(least, q.job.need.CPUs)
-			low = low || q.job.rank == api.RankLow
+	for _, machine := range ms {
+		for _, queue := range machine.queues {
+			where[queue.job] = append(where[queue.job], queuedOn{machine, queue})
+			length[machine] += len(queue.tasks)
+			least = math.Min(least, queue.job.request.CPUs)
+			low = low || queue.job.rank == api.RankLow
 		}
 	}
 	if len(where) == 0 {
@@ -371,93 +371,93 @@
 	}
 	// Most machines are full most of the time: those without room for the
 	// smallest queued task are passed over.
-	var roomy []*machine
-	for _, m := range ms {
-		if m.free().CPUs+tuning.RoomSlack >= least && c.usable(m) {
-			roomy = append(roomy, m)
+	var roomy []*machineState
+	for _, machine := range ms {
+		if machine.free().CPUs+tuning.RoomSlack >= least && s.schedulable(machine) {
+			roomy = append(roomy, machine)
 		}
 	}
 	room, reserve := 0.0, 0.0
 	if low {
-		room, reserve = c.reserve(ms)
+		room, reserve = s.lowRankReserve(ms)
 	}
-	for _, j := range c.order {
-		if j.queued == 0 || len(roomy) == 0 || !c.ready(j) || !c.withinLimit(j) {
+	for _, job := range s.jobOrder {
+		if job.queued == 0 || len(roomy) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
 			continue
 		}
-		at := where[j]
+		at := where[job]
 		spare := func() bool {
-			if j.aged {
+			if job.starved {
 				// One task's turn.
-				return !j.started.Equal(c.now())
+				return !job.lastStart.Equal(s.now())
 			}
-			return j.rank > api.RankLow || room-j.need.CPUs >= reserve
+			return job.rank > api.RankLow || room-job.request.CPUs >= reserve
 		}
 		for _, p := range at {
-			for len(p.q.tasks) > 0 && spare() && c.startable(j, p.m) {
-				i := c.next(p.q, p.m)
+			for len(p.q.tasks) > 0 && spare() && s.canStart(job, p.m) {
+				i := s.nextTask(p.q, p.m)
 				if i < 0 {
 					break
 				}
-				c.start(j, p.q.take(i), p.m, nil, "queued here")
+				s.startTask(job, p.q.removeAt(i), p.m, nil, "queued here")
 				length[p.m]--
-				room -= j.need.CPUs
+				room -= job.request.CPUs
 			}
 		}
-		if j.queued > 0 && len(j.inputs) > 0 {
-			c.shift(j, roomy, at)
-		} else if j.queued > 0 && spare() {
-			for _, m := range c.pullers(j, roomy) {
-				for j.queued > 0 && spare() && c.startable(j, m) {
+		if job.queued > 0 && len(job.inputs) > 0 {
+			s.rebalance(job, roomy, at)
+		} else if job.queued > 0 && spare() {
+			for _, machine := range s.pullCandidates(job, roomy) {
+				for job.queued > 0 && spare() && s.canStart(job, machine) {
 					from := -1
 					for i, p := range at {
 						if len(p.q.tasks) > 0 && (from < 0 || length[p.m] > length[at[from].m]) {
 							from = i
 						}
 					}
-					c.start(j, at[from].q.pop(), m, nil, "pulled")
+					s.startTask(job, at[from].q.pop(), machine, nil, "pulled")
 					length[at[from].m]--
-					room -= j.need.CPUs
+					room -= job.request.CPUs
 				}
 			}
 		}
-		roomy = slices.DeleteFunc(roomy, func(m *machine) bool { return m.free().CPUs+tuning.RoomSlack < least })
+		roomy = slices.DeleteFunc(roomy, func(machine *machineState) bool { return machine.free().CPUs+tuning.RoomSlack < least })
 	}
-	for m := range length {
-		m.trim()
+	for machine := range length {
+		machine.dropEmptyQueues()
 	}
 }
 
-// reserve is the room there is, and how much of it jobs of rank low leave to others.
+// lowRankReserve is the room there is, and how much of it jobs of rank low leave to others.
 // Tiny tasks that filled every gap at once had to be stopped by the dozen for each of
 // the owners' tasks, and started again elsewhere.
-func (c *Core) reserve(ms []*machine) (room, reserve float64) {
+func (s *Scheduler) lowRankReserve(ms []*machineState) (room, reserve float64) {
 	owned := 0.0
-	for _, m := range ms {
-		if !c.usable(m) {
+	for _, machine := range ms {
+		if !s.schedulable(machine) {
 			continue
 		}
-		room += m.free().CPUs
-		for _, a := range m.assigns {
-			if a.job.rank > api.RankLow {
-				owned += a.job.need.CPUs
+		room += machine.free().CPUs
+		for _, alloc := range machine.allocations {
+			if alloc.job.rank > api.RankLow {
+				owned += alloc.job.request.CPUs
 			}
 		}
 	}
-	return room, c.active.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": owned})
+	return room, s.configuration.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": owned})
 }
 
-// pullers are the machines that may take a job's task off another's queue, those
+// pullCandidates are the machines that may take a job's task off another's queue, those
 // that hold the image first, and of those the ones with the least room left.
-func (c *Core) pullers(j *job, roomy []*machine) []*machine {
-	var out []*machine
-	for _, m := range roomy {
-		if c.startable(j, m) && c.worthPulling(j, m) {
-			out = append(out, m)
+func (s *Scheduler) pullCandidates(job *jobState, roomy []*machineState) []*machineState {
+	var out []*machineState
+	for _, machine := range roomy {
+		if s.canStart(job, machine) && s.worthPulling(job, machine) {
+			out = append(out, machine)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(c.costs(j, 0, a, true).Seconds(), c.costs(j, 0, b, true).Seconds()),
+	slices.SortStableFunc(out, func(a, b *machineState) int {
+		return cmp.Or(cmp.Compare(s.startCost(job, 0, a, true).Seconds(), s.startCost(job, 0, b, true).Seconds()),
 			cmp.Compare(a.free().CPUs, b.free().CPUs))
 	})
 	return out
@@ -466,129 +466,129 @@
 // worthPulling tells whether a machine without the image should take a job's
 // task off a holder's queue: once the job has waited as long as the fetch takes,
 // so that at worst it waits twice what was best.
-func (c *Core) worthPulling(j *job, m *machine) bool {
-	f := c.costs(j, 0, m, true).Seconds()
-	return f <= tuning.FreeFetch || c.since(j.arrived).Seconds() >= tuning.PullPatience*f
+func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
+	f := s.startCost(job, 0, machine, true).Seconds()
+	return f <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*f
 }
 
-// start records a task's machine; the command goes out once that is stored.
-func (c *Core) start(j *job, task int, m *machine, victims []*assign, why string) {
-	a := c.hold(j, task, m, c.nextAttempt())
-	a.victims = victims
-	c.commitStart(a, why)
+// startTask records a task's machine; the command goes out once that is stored.
+func (s *Scheduler) startTask(job *jobState, task int, machine *machineState, victims []*allocation, why string) {
+	alloc := s.allocate(job, task, machine, s.nextAttempt())
+	alloc.victims = victims
+	s.commitStart(alloc, why)
 }
 
-func (c *Core) commitStart(a *assign, why string) {
-	a.turn, a.job.started = a.job.aged, c.now()
-	slog.Debug("task placed", "task", a.key, "machine", a.machine.Name, "attempt", a.attempt, "why", why, "image", a.machine.HasImage(a.job.Job.Image))
-	c.touchShard(a.job, a.task, c.locked(func() {
-		a.committed = true
-		if a.job.live[a.task] == a {
-			c.toPush[a.machine] = true
+func (s *Scheduler) commitStart(alloc *allocation, why string) {
+	alloc.startedByAgeing, alloc.job.lastStart = alloc.job.starved, s.now()
+	slog.Debug("task placed", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", why, "image", alloc.machine.HasImage(alloc.job.Job.Image))
+	s.markShardDirty(alloc.job, alloc.task, s.withLock(func() {
+		alloc.committed = true
+		if alloc.job.allocations[alloc.task] == alloc {
+			s.commandsReady[alloc.machine] = true
 		}
 	}))
 }
 
-// roomSoon is what a machine has free once the tasks being stopped are gone.
-func (m *machine) roomSoon() (fleet.Resources, []*assign) {
+// freeSoon is what a machine has free once the tasks being stopped are gone.
+func (m *machineState) freeSoon() (fleet.Resources, []*allocation) {
 	free := m.free()
-	var leaving []*assign
-	for _, a := range m.assigns {
-		if a.stop {
-			free = free.Add(a.job.need)
-			leaving = append(leaving, a)
+	var leaving []*allocation
+	for _, alloc := range m.allocations {
+		if alloc.stopping {
+			free = free.Add(alloc.job.request)
+			leaving = append(leaving, alloc)
 		}
 	}
 	return free, leaving
 }
 
-// mayStop tells whether a task may be stopped for a job: work of lower rank, or,
+// mayPreempt tells whether a task may be stopped for a job: work of lower rank, or,
 // for a job that waits within its team's guarantee, work of the same rank that
 // another team runs beyond its own. Were higher ranks stopped as well, which is
-// allowed, they would stop the job's tasks in turn, and so on without end.
+// satisfiesConstraints, they would stop the job's tasks in turn, and so on without end.
 // Production is left alone.
-func (c *Core) mayStop(a *assign, j *job) bool {
-	o := a.job
-	if a.turn && j.rank < api.RankProduction && c.since(a.since) < tuning.TurnKept {
+func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
+	o := alloc.job
+	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.TurnKept {
 		// Stopped at once, its turn would have come in vain.
 		return false
 	}
-	if o.rank < j.rank {
+	if o.rank < job.rank {
 		return true
 	}
-	if o.rank > j.rank || !j.entitled || o.beyond == 0 || o.Job.Team == j.Job.Team || o.rank == api.RankProduction ||
-		c.since(j.arrived) < tuning.GuaranteePatience {
+	if o.rank > job.rank || !job.guaranteed || o.overQuota == 0 || o.Job.Team == job.Job.Team || o.rank == api.RankProduction ||
+		s.since(job.learnedAt) < tuning.GuaranteePatience {
 		return false
 	}
 	// What is being stopped already is not there to be stopped again: counted as
 	// use, it made the other team lose far more than it had borrowed, and that
 	// one then took as much back, all over again.
-	t, _ := c.active.Team(o.Job.Team)
-	stays := c.use[t.Name].Sub(c.leaving[t.Name]).Sub(o.need)
+	t, _ := s.configuration.Team(o.Job.Team)
+	stays := s.usage[t.Name].Sub(s.stoppingUsage[t.Name]).Sub(o.request)
 	return stays.CPUs+tuning.RoomSlack >= t.CPUs && stays.Cards+tuning.RoomSlack >= t.Cards
 }
 
-// stoppable is what may be stopped on a machine for a job, in no order.
-func (c *Core) stoppable(j *job, m *machine) (can []*assign) {
-	for _, a := range m.assigns {
-		if !a.stop && a.seen && c.mayStop(a, j) {
-			can = append(can, a)
+// preemptible is what may be stopped on a machine for a job, in no order.
+func (s *Scheduler) preemptible(job *jobState, machine *machineState) (can []*allocation) {
+	for _, alloc := range machine.allocations {
+		if !alloc.stopping && alloc.reported && s.mayPreempt(alloc, job) {
+			can = append(can, alloc)
 		}
 	}
 	return can
 }
 
-// makeRoom finds what to stop so that one task fits, and of that what loses the
+// findVictims finds what to stop so that one task fits, and of that what loses the
 // least. False: it cannot be done.
-func (c *Core) makeRoom(j *job, m *machine) (leaving, victims []*assign, ok bool) {
-	c.searched++
-	free, leaving := m.roomSoon()
-	if free.Fits(j.need) {
+func (s *Scheduler) findVictims(job *jobState, machine *machineState) (leaving, victims []*allocation, ok bool) {
+	s.victimSearches++
+	free, leaving := machine.freeSoon()
+	if free.Fits(job.request) {
 		return leaving, nil, true
 	}
-	can := c.stoppable(j, m)
+	can := s.preemptible(job, machine)
 	most := free
-	for _, a := range can {
-		most = most.Add(a.job.need)
+	for _, alloc := range can {
+		most = most.Add(alloc.job.request)
 	}
-	if !most.Fits(j.need) {
+	if !most.Fits(job.request) {
 		return nil, nil, false
 	}
-	c.leastFirst(can)
-	for _, a := range can {
-		free = free.Add(a.job.need)
-		victims = append(victims, a)
-		if free.Fits(j.need) {
+	s.sortByLoss(can)
+	for _, alloc := range can {
+		free = free.Add(alloc.job.request)
+		victims = append(victims, alloc)
+		if free.Fits(job.request) {
 			return leaving, victims, true
 		}
 	}
 	return nil, nil, false
 }
 
-// leastFirst puts tasks in the order in which they are stopped.
-func (c *Core) leastFirst(can []*assign) {
-	slices.SortFunc(can, func(a, b *assign) int {
-		return cmp.Or(cmp.Compare(a.job.rank, b.job.rank), cmp.Compare(c.loss(a), c.loss(b)), strings.Compare(a.key, b.key))
+// sortByLoss puts tasks in the order in which they are stopped.
+func (s *Scheduler) sortByLoss(can []*allocation) {
+	slices.SortFunc(can, func(alloc, b *allocation) int {
+		return cmp.Or(cmp.Compare(alloc.job.rank, b.job.rank), cmp.Compare(s.preemptionLoss(alloc), s.preemptionLoss(b)), strings.Compare(alloc.key, b.key))
 	})
 }
 
-// moveAside stops tasks to make room for a job.
-func (c *Core) moveAside(victims []*assign, j *job) {
+// preemptVictims stops tasks to make room for a job.
+func (s *Scheduler) preemptVictims(victims []*allocation, job *jobState) {
 	for _, v := range victims {
-		v.job.moved[v.task]++
-		c.stopTask(v, 0, "room for "+j.id)
+		v.job.preemptions[v.task]++
+		s.stopTask(v, 0, "room for "+job.id)
 	}
 }
 
-// loss is the work, in ms, that stopping a task at once throws away. A task that
+// preemptionLoss is the work, in ms, that stopping a task at once throws away. A task that
 // made room before counts for more: it is the youngest again each time.
-func (c *Core) loss(a *assign) int64 {
-	before := int64(a.job.moved[a.task]) * tuning.MovedLoss.Milliseconds()
-	if a.running.IsZero() {
+func (s *Scheduler) preemptionLoss(alloc *allocation) int64 {
+	before := int64(alloc.job.preemptions[alloc.task]) * tuning.MovedLoss.Milliseconds()
+	if alloc.runningSince.IsZero() {
 		return before
 	}
-	run := c.since(a.running)
-	if cp := seconds(a.job.Job.Checkpoint); cp > 0 {
+	run := s.since(alloc.runningSince)
+	if cp := seconds(alloc.job.Job.Checkpoint); cp > 0 {
 		run = run % cp
 	}
 	return before + run.Milliseconds()
@@ -597,37 +597,37 @@
 // placeService starts replicas at once: they skip the water-filling, since
 // they run until they are cancelled. A machine that holds the image is worth
 // more than one that must fetch it, and worth stopping lower work for.
-func (c *Core) placeService(j *job) {
+func (s *Scheduler) placeService(job *jobState) {
 	var unstaged []int32
-	defer func() { j.pending = append(j.pending, unstaged...) }()
-	for len(j.pending) > 0 && c.withinLimit(j) && c.ready(j) {
-		task := int(j.pending[0])
-		var best *machine
-		var bestOut, bestVictims []*assign
+	defer func() { job.pending = append(job.pending, unstaged...) }()
+	for len(job.pending) > 0 && s.withinQuota(job) && s.startableNow(job) {
+		task := int(job.pending[0])
+		var best *machineState
+		var bestOut, bestVictims []*allocation
 		bestScore := math.Inf(1)
-		meant := c.meant(j, task)
-		for _, m := range c.byName() {
-			if !c.eligible(j, m) || !zoneOK(j, m) || !c.stages(j, m) || meant != nil && meant != m {
+		meant := s.intendedMachine(job, task)
+		for _, machine := range s.sortedMachines() {
+			if !s.eligible(job, machine) || !satisfiesSpread(job, machine) || !s.mayStage(job, machine) || meant != nil && meant != machine {
 				continue
 			}
-			score := c.costs(j, task, m, false).Seconds()
-			if j.site != nil {
-				score += tuning.SitePrice * j.site.Cost(m.Name)
+			score := s.startCost(job, task, machine, false).Seconds()
+			if job.site != nil {
+				score += tuning.SitePrice * job.site.Cost(machine.Name)
 			}
 			// Replicas on one machine are lost together.
-			for _, a := range m.assigns {
-				if a.job == j {
+			for _, alloc := range machine.allocations {
+				if alloc.job == job {
 					score += 0.5
-				} else if a.job.Job.Shape == api.Service {
+				} else if alloc.job.Job.Shape == api.Service {
 					score += 0.2
 				}
 			}
-			score += 0.1 * m.used.CPUs / m.Spec.CPUs
-			var out, victims []*assign
-			if !m.free().Fits(j.need) {
+			score += 0.1 * machine.used.CPUs / machine.Spec.CPUs
+			var out, victims []*allocation
+			if !machine.free().Fits(job.request) {
 				ok := false
-				if !c.mistaken(j) {
-					out, victims, ok = c.makeRoom(j, m)
+				if !s.failsEverywhere(job) {
+					out, victims, ok = s.findVictims(job, machine)
 				}
 				if !ok {
 					continue
@@ -635,7 +635,7 @@
 				score += 1 + 0.2*float64(len(victims))
 			}
 			if score < bestScore {
-				best, bestOut, bestVictims, bestScore = m, out, victims, score
+				best, bestOut, bestVictims, bestScore = machine, out, victims, score
 			}
 		}
 		if best == nil {
@@ -643,156 +643,156 @@
 				return
 			}
 			// What it waited for has no room any more: another is looked for.
-			delete(j.meant, task)
-			j.pending, unstaged = j.pending[1:], append(unstaged, int32(task))
+			delete(job.intendedMachines, task)
+			job.pending, unstaged = job.pending[1:], append(unstaged, int32(task))
 			continue
 		}
-		j.pending = j.pending[1:]
-		if !c.staged(j, task, best) {
+		job.pending = job.pending[1:]
+		if !s.inputsStaged(job, task, best) {
 			// Nothing is stopped, and no room held, while its inputs are copied there.
-			j.mean(task, best)
+			job.setIntendedMachine(task, best)
 			unstaged = append(unstaged, int32(task))
 			continue
 		}
-		c.moveAside(bestVictims, j)
-		c.start(j, task, best, append(bestOut, bestVictims...), "service")
+		s.preemptVictims(bestVictims, job)
+		s.startTask(job, task, best, append(bestOut, bestVictims...), "service")
 	}
 }
 
 // placeGang starts all waiting tasks of a gang, or none: a few of them would
 // only hold room while they wait for the others.
-func (c *Core) placeGang(j *job) {
-	if len(j.live) > 0 {
+func (s *Scheduler) placeGang(job *jobState) {
+	if len(job.allocations) > 0 {
 		// The rest of an earlier try ends by itself, for want of its mates.
 		return
 	}
-	ms := slices.Clone(c.byName())
-	holders := func(a, b *machine) int {
-		return int(c.costs(j, 0, a, false).Seconds() - c.costs(j, 0, b, false).Seconds())
+	ms := slices.Clone(s.sortedMachines())
+	holders := func(a, b *machineState) int {
+		return int(s.startCost(job, 0, a, false).Seconds() - s.startCost(job, 0, b, false).Seconds())
 	}
 	// A gang whose inputs are being copied keeps to its machines while they will do.
-	kept := len(j.meant) > 0
-	for _, t := range j.pending {
-		kept = kept && c.meant(j, int(t)) != nil
+	kept := len(job.intendedMachines) > 0
+	for _, t := range job.pending {
+		kept = kept && s.intendedMachine(job, int(t)) != nil
 	}
 	slices.SortStableFunc(ms, holders)
-	var held []*assign
+	var held []*allocation
 	// Workers bring those together that have the same attempt.
-	attempt := c.nextAttempt()
+	attempt := s.nextAttempt()
 	zone := ""
 	for _, first := range ms {
-		if !c.eligible(j, first) || !zoneOK(j, first) || j.Job.OneZone && first.Zone == zone {
+		if !s.eligible(job, first) || !satisfiesSpread(job, first) || job.Job.OneZone && first.Zone == zone {
 			continue
 		}
 		zone = first.Zone
-		for _, m := range ms {
-			for len(held) < len(j.pending) && c.startable(j, m) && c.stages(j, m) && (!j.Job.OneZone || m.Zone == zone) {
-				held = append(held, c.hold(j, int(j.pending[len(held)]), m, attempt))
+		for _, machine := range ms {
+			for len(held) < len(job.pending) && s.canStart(job, machine) && s.mayStage(job, machine) && (!job.Job.OneZone || machine.Zone == zone) {
+				held = append(held, s.allocate(job, int(job.pending[len(held)]), machine, attempt))
 			}
 		}
 		if kept {
-			for _, a := range held {
-				c.drop(a)
+			for _, alloc := range held {
+				s.removeAllocation(alloc)
 			}
-			if held = c.holdMeant(j, attempt); held == nil {
-				clear(j.meant)
+			if held = s.allocateIntended(job, attempt); held == nil {
+				clear(job.intendedMachines)
 				return
 			}
 		}
-		if len(held) == len(j.pending) {
+		if len(held) == len(job.pending) {
 			break
 		}
-		for _, a := range held {
-			c.drop(a)
+		for _, alloc := range held {
+			s.removeAllocation(alloc)
 		}
 		held = nil
 	}
 	if held == nil {
-		if j.site != nil && j.Job.Near != nil && j.Job.Near.Must && j.rank > lowestRank(c.order) && len(j.inputs) == 0 && !c.mistaken(j) {
-			c.gangByForce(j, ms)
+		if job.site != nil && job.Job.Near != nil && job.Job.Near.Must && job.rank > lowestRank(s.jobOrder) && len(job.inputs) == 0 && !s.failsEverywhere(job) {
+			s.placeGangByPreemption(job, ms)
 		}
 		return
 	}
-	for _, a := range held {
-		if !c.staged(j, a.task, a.machine) {
+	for _, alloc := range held {
+		if !s.inputsStaged(job, alloc.task, alloc.machine) {
 			// All of it starts, or nothing: room is held by none meanwhile.
-			for _, a := range held {
-				j.mean(a.task, a.machine)
-				c.drop(a)
+			for _, alloc := range held {
+				job.setIntendedMachine(alloc.task, alloc.machine)
+				s.removeAllocation(alloc)
 			}
 			return
 		}
 	}
-	j.pending = nil
-	for _, a := range held {
-		c.commitStart(a, "gang")
+	job.pending = nil
+	for _, alloc := range held {
+		s.commitStart(alloc, "gang")
 	}
 }
 
-// holdMeant makes a gang's tasks count on the machines that their inputs are copied to;
+// allocateIntended makes a gang's tasks count on the machines that their inputs are copied to;
 // nil: one of them has no room.
-func (c *Core) holdMeant(j *job, attempt uint64) (held []*assign) {
-	for _, t := range j.pending {
-		m := j.meant[int(t)]
-		if m == nil || !c.startable(j, m) {
-			for _, a := range held {
-				c.drop(a)
+func (s *Scheduler) allocateIntended(job *jobState, attempt uint64) (held []*allocation) {
+	for _, t := range job.pending {
+		machine := job.intendedMachines[int(t)]
+		if machine == nil || !s.canStart(job, machine) {
+			for _, alloc := range held {
+				s.removeAllocation(alloc)
 			}
 			return nil
 		}
-		held = append(held, c.hold(j, int(t), m, attempt))
+		held = append(held, s.allocate(job, int(t), machine, attempt))
 	}
 	return held
 }
 
-// option is a machine where room can be made, and what that costs.
-type option struct {
-	m               *machine
-	leaving, victim []*assign
+// candidate is a machine where room can be made, and what that costs.
+type candidate struct {
+	m               *machineState
+	leaving, victim []*allocation
 	score           float64
 }
 
-// options are the machines where room can be made for a job, cheapest first.
+// candidateHeap are the machines where room can be made for a job, cheapest first.
 // They are looked at once for the job, not once for each of its tasks: a fleet
 // of hundreds of machines and an array of hundreds of tasks would otherwise take
 // the leader's whole processor. That is exact, since what is done on one machine
 // makes no other one cheaper.
-type options []option
+type candidateHeap []candidate
 
-func (o options) Len() int { return len(o) }
-func (o options) Less(a, b int) bool {
+func (o candidateHeap) Len() int { return len(o) }
+func (o candidateHeap) Less(a, b int) bool {
 	return cmp.Or(cmp.Compare(o[a].score, o[b].score), strings.Compare(o[a].m.Name, o[b].m.Name)) < 0
 }
-func (o options) Swap(a, b int) { o[a], o[b] = o[b], o[a] }
-func (o *options) Push(x any)   { *o = append(*o, x.(option)) }
-func (o *options) Pop() any {
+func (o candidateHeap) Swap(a, b int) { o[a], o[b] = o[b], o[a] }
+func (o *candidateHeap) Push(x any)   { *o = append(*o, x.(candidate)) }
+func (o *candidateHeap) Pop() any {
 	last := len(*o) - 1
 	x := (*o)[last]
 	*o = (*o)[:last]
 	return x
 }
 
-// optionOn is what room for one task of a job costs on a machine.
-func (c *Core) optionOn(j *job, m *machine) (option, bool) {
-	if !c.eligible(j, m) || !zoneOK(j, m) || len(j.inputs) > 0 && !c.hasStaged(j, m) {
-		return option{}, false
+// candidateOn is what room for one task of a job costs on a machine.
+func (s *Scheduler) candidateOn(job *jobState, machine *machineState) (candidate, bool) {
+	if !s.eligible(job, machine) || !satisfiesSpread(job, machine) || len(job.inputs) > 0 && !s.hasStaged(job, machine) {
+		return candidate{}, false
 	}
-	out, victims, ok := c.makeRoom(j, m)
+	out, victims, ok := s.findVictims(job, machine)
 	if !ok {
-		return option{}, false
+		return candidate{}, false
 	}
 	// Only machines that have a task's inputs are looked at.
-	score := c.costs(j, 0, m, true).Image
-	for _, a := range victims {
-		score += float64(c.loss(a)) / 1000
+	score := s.startCost(job, 0, machine, true).Image
+	for _, alloc := range victims {
+		score += float64(s.preemptionLoss(alloc)) / 1000
 	}
-	return option{m, out, victims, score}, true
+	return candidate{machine, out, victims, score}, true
 }
 
-func (c *Core) options(j *job, all []*machine) *options {
-	o := &options{}
-	for _, m := range all {
-		if x, ok := c.optionOn(j, m); ok {
+func (s *Scheduler) candidates(job *jobState, all []*machineState) *candidateHeap {
+	o := &candidateHeap{}
+	for _, machine := range all {
+		if x, ok := s.candidateOn(job, machine); ok {
 			*o = append(*o, x)
 		}
 	}
@@ -800,12 +800,12 @@
 	return o
 }
 
-// best takes the cheapest option that still stands. The caller puts the machine
+// bestCandidate takes the cheapest option that still stands. The caller puts the machine
 // back once it has used it.
-func (c *Core) best(j *job, o *options) (option, bool) {
+func (s *Scheduler) bestCandidate(job *jobState, o *candidateHeap) (candidate, bool) {
 	for o.Len() > 0 {
-		x := heap.Pop(o).(option)
-		now, ok := c.optionOn(j, x.m)
+		x := heap.Pop(o).(candidate)
+		now, ok := s.candidateOn(job, x.m)
 		if !ok {
 			continue
 		}
@@ -814,43 +814,43 @@
 		}
 		heap.Push(o, now)
 	}
-	return option{}, false
+	return candidate{}, false
 }
 
-// pushOption puts a machine back after its use.
-func (c *Core) pushOption(j *job, m *machine, o *options) {
-	if x, ok := c.optionOn(j, m); ok {
+// pushCandidate puts a machine back after its use.
+func (s *Scheduler) pushCandidate(job *jobState, machine *machineState, o *candidateHeap) {
+	if x, ok := s.candidateOn(job, machine); ok {
 		heap.Push(o, x)
 	}
 }
 
 // preempt makes room for an array of higher rank that found none.
-func (c *Core) preempt(j *job, all []*machine) {
-	if !c.ready(j) || c.mistaken(j) || !c.withinLimit(j) || !c.stopsAny(j) {
+func (s *Scheduler) preempt(job *jobState, all []*machineState) {
+	if !s.startableNow(job) || s.failsEverywhere(job) || !s.withinQuota(job) || !s.preemptsAny(job) {
 		return
 	}
-	opts := c.options(j, all)
-	var queues []*queue
-	for _, m := range all {
-		for _, q := range m.queue {
-			if q.job == j {
-				queues = append(queues, q)
+	opts := s.candidates(job, all)
+	var queues []*runQueue
+	for _, machine := range all {
+		for _, queue := range machine.queues {
+			if queue.job == job {
+				queues = append(queues, queue)
 			}
 		}
 	}
-	for len(j.pending)+j.queued > 0 && c.withinLimit(j) {
-		x, ok := c.best(j, opts)
+	for len(job.pending)+job.queued > 0 && s.withinQuota(job) {
+		x, ok := s.bestCandidate(job, opts)
 		if !ok {
 			break
 		}
 		task := -1
-		if len(j.inputs) > 0 {
-			if task = c.takeStaged(j, x.m); task < 0 {
+		if len(job.inputs) > 0 {
+			if task = s.takeStaged(job, x.m); task < 0 {
 				break
 			}
-		} else if len(j.pending) > 0 {
-			task = int(j.pending[0])
-			j.pending = j.pending[1:]
+		} else if len(job.pending) > 0 {
+			task = int(job.pending[0])
+			job.pending = job.pending[1:]
 		} else {
 			for len(queues) > 0 && len(queues[0].tasks) == 0 {
 				queues = queues[1:]
@@ -860,24 +860,24 @@
 			}
 			task = queues[0].pop()
 		}
-		c.moveAside(x.victim, j)
-		c.start(j, task, x.m, append(x.leaving, x.victim...), "preempting")
-		c.pushOption(j, x.m, opts)
+		s.preemptVictims(x.victim, job)
+		s.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
+		s.pushCandidate(job, x.m, opts)
 	}
-	for _, m := range all {
-		m.trim()
+	for _, machine := range all {
+		machine.dropEmptyQueues()
 	}
 }
 
-// stopsAny tells whether anything may be stopped for a job at all. Most jobs
+// preemptsAny tells whether anything may be stopped for a job at all. Most jobs
 // that wait are of the lowest rank, and need not search the fleet.
-func (c *Core) stopsAny(j *job) bool {
-	for _, o := range c.order {
-		for _, a := range o.live {
-			if c.mayStop(a, j) {
+func (s *Scheduler) preemptsAny(job *jobState) bool {
+	for _, o := range s.jobOrder {
+		for _, alloc := range o.allocations {
+			if s.mayPreempt(alloc, job) {
 				return true
 			}
-			if !a.turn {
+			if !alloc.startedByAgeing {
 				break // what a job's tasks may be stopped for is the same for all others
 			}
 		}
@@ -887,8 +887,8 @@
 
 // Conflict takes in a job record that another node, or a lost answer of ours,
 // has written.
-func (c *Core) Conflict(key string, found *store.Item) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.adopt(key, found)
+func (s *Scheduler) Conflict(key string, found *store.Item) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.adoptRecord(key, found)
 }
--- a/controller/places.go
+++ b/controller/places.go
@@ -22,58 +22,58 @@
 )
 
 // TopologyOn tells whether a topology is on.
-func (n *Controller) TopologyOn() bool { return n.topology != nil }
+func (c *Controller) TopologyOn() bool { return c.topology != nil }
 
-// aboutPlaces serves requests about where things stand: the leader knows.
-func (n *Controller) aboutPlaces(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if n.topology == nil && r.Verb == VerbTopology {
-		return answer(http.StatusNotFound, api.Error{Error: "no topology is declared"})
+// handleTopology serves requests about where things stand: the leader knows.
+func (c *Controller) handleTopology(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
+	if c.topology == nil && r.Verb == VerbTopology {
+		return jsonResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
-	core := n.leading()
-	if core == nil {
-		return n.passOn(ctx, r, forwarded)
+	sched := c.leadingScheduler()
+	if sched == nil {
+		return c.forwardToLeader(ctx, r, forwarded)
 	}
 	if r.Verb == VerbTopology {
-		return answer(http.StatusOK, core.Topology())
+		return jsonResponse(http.StatusOK, sched.Topology())
 	}
-	if x, ok := core.Explain(r.Job); ok {
-		x.Why = append(x.Why, n.stopped()...)
-		return answer(http.StatusOK, x)
+	if x, ok := sched.Explain(r.Job); ok {
+		x.Why = append(x.Why, c.leaseRenewalProblems()...)
+		return jsonResponse(http.StatusOK, x)
 	}
 	// Over, or not known: its record tells.
-	st, found, err := n.lookUp(ctx, core, r.Job, true)
+	st, found, err := c.lookUp(ctx, sched, r.Job, true)
 	switch {
 	case err != nil:
-		return later("the state service is out of reach")
+		return retryLater("the state service is out of reach")
 	case !found:
-		return answer(http.StatusNotFound, api.Error{Error: "no such job"})
+		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return answer(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
+	return jsonResponse(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
 }
 
-// passOn asks the leader.
-func (n *Controller) passOn(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	leader, _ := n.elector.Leader()
-	leader, _, there := whoLeads(leader, 0, n.peers.LivePeers())
+// forwardToLeader asks the leader.
+func (c *Controller) forwardToLeader(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
+	leader, _ := c.elector.Leader()
+	leader, _, there := newestLeader(leader, 0, c.peers.LivePeers())
 	if forwarded || !there {
-		return later("no leader answers")
+		return retryLater("no leader answers")
 	}
-	a, err := n.peers.Ask(ctx, leader, r, tuning.PeerTimeout)
+	a, err := c.peers.Ask(ctx, leader, r, tuning.PeerTimeout)
 	if err != nil {
-		return later("the leader does not answer")
+		return retryLater("the leader does not answer")
 	}
 	return a
 }
 
 // Topology is the tree, domains in the order of the file.
-func (c *Core) Topology() api.TopologyView {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (s *Scheduler) Topology() api.TopologyView {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	v := api.TopologyView{Domains: []api.DomainView{}, Waiting: []api.WaitingView{}, Reserved: []api.ReservedView{}}
-	if c.where == nil {
+	if s.topology == nil {
 		return v
 	}
-	t := c.where.tree
+	t := s.topology.tree
 	v.Version, v.Unlisted, v.Ambiguous = t.Map().Version(), t.Unlisted(), t.Ambiguous()
 	for _, d := range t.Map().Domains() {
 		free := t.Free(d)
@@ -84,51 +84,51 @@
 		}
 		v.Domains = append(v.Domains, x)
 	}
-	for _, r := range c.where.held.All(c.now()) {
-		v.Reserved = append(v.Reserved, api.ReservedView{Domain: r.Domain.Name, Job: r.Job, InS: r.At.Sub(c.now()).Seconds()})
+	for _, r := range s.topology.reservations.All(s.now()) {
+		v.Reserved = append(v.Reserved, api.ReservedView{Domain: r.Domain.Name, Job: r.Job, InS: r.At.Sub(s.now()).Seconds()})
 	}
-	for _, j := range c.order {
-		if j.why != "" && len(j.pending) > 0 {
-			v.Waiting = append(v.Waiting, api.WaitingView{Job: j.id, Tasks: len(j.pending), Why: j.why})
+	for _, job := range s.jobOrder {
+		if job.waitReason != "" && len(job.pending) > 0 {
+			v.Waiting = append(v.Waiting, api.WaitingView{Job: job.id, Tasks: len(job.pending), Why: job.waitReason})
 		}
 	}
 	return v
 }
 
 // Explain tells about a job that this leader knows.
-func (c *Core) Explain(id string) (x api.Explanation, ok bool) {
-	st, known := c.Known(id)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.jobs[id]
-	if j == nil || !known {
+func (s *Scheduler) Explain(id string) (x api.Explanation, ok bool) {
+	st, known := s.JobStatus(id)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	job := s.jobs[id]
+	if job == nil || !known {
 		return x, false
 	}
-	x = api.Explanation{Job: id, State: st.State, Tasks: j.total, Done: j.done, Waiting: len(j.pending) + j.queued, Why: []string{}, Locations: c.stands(j)}
-	if j.waits {
-		x.Waiting = j.total - j.done - len(j.live)
+	x = api.Explanation{Job: id, State: st.State, Tasks: job.taskCount, Done: job.completedCount, Waiting: len(job.pending) + job.queued, Why: []string{}, Locations: s.taskLocations(job)}
+	if job.waitsForDependencies {
+		x.Waiting = job.taskCount - job.completedCount - len(job.allocations)
 	}
-	if j.FinalState == "" && x.Waiting > 0 {
-		x.Why = c.whyWaiting(j)
+	if job.FinalState == "" && x.Waiting > 0 {
+		x.Why = s.waitReasons(job)
 	}
 	return x, true
 }
 
-func (c *Core) stands(j *job) []api.TaskLocation {
+func (c *Scheduler) taskLocations(job *jobState) []api.TaskLocation {
 	by := map[string]*api.TaskLocation{}
-	for _, a := range j.live {
-		s := api.TaskLocation{Domain: a.machine.Name, Level: "machine"}
-		if c.where != nil {
-			if d := c.where.tree.Of(a.machine.Name); d != nil {
-				s.Domain, s.Level = d.Name, d.Level
+	for _, alloc := range job.allocations {
+		location := api.TaskLocation{Domain: alloc.machine.Name, Level: "machine"}
+		if c.topology != nil {
+			if d := c.topology.tree.Of(alloc.machine.Name); d != nil {
+				location.Domain, location.Level = d.Name, d.Level
 			}
 		}
-		key := s.Level + " " + s.Domain
+		key := location.Level + " " + location.Domain
 		if by[key] == nil {
-			by[key] = &s
+			by[key] = &location
 		}
 		by[key].Tasks++
-		if c.since(a.machine.LastHeartbeat) >= c.quiet(a.machine) || a.machine.line.State(c.now(), c.lease()) == reachability.OutboundLost {
+		if c.since(alloc.machine.LastHeartbeat) >= c.heartbeatTimeout(alloc.machine) || alloc.machine.link.State(c.now(), c.lease()) == reachability.OutboundLost {
 			by[key].Unconfirmed++
 		}
 	}
@@ -140,38 +140,38 @@
 	return out
 }
 
-// whyWaiting lists what keeps a job's waiting tasks, from the job's own reasons to the
-// machines'.
-func (c *Core) whyWaiting(j *job) (why []string) {
+// waitReasons lists what keeps a job's waiting tasks, from the job's own reasons to the
+// refreshMachines'.
+func (s *Scheduler) waitReasons(job *jobState) (why []string) {
 	switch {
-	case !j.accepted:
+	case !job.accepted:
 		return []string{"it is not on record yet"}
-	case j.waits:
-		return c.pipes.why(j)
-	case c.now().Before(j.pause):
-		why = append(why, fmt.Sprintf("its tasks failed on %d machines in a row; it is tried again in %.0f s", j.errors, j.pause.Sub(c.now()).Seconds()))
-	case !c.withinLimit(j):
-		why = append(why, limitReason(c.active, j))
-	case !c.dataReady(j):
+	case job.waitsForDependencies:
+		return s.dependencies.waitReasons(job)
+	case s.now().Before(job.pausedUntil):
+		why = append(why, fmt.Sprintf("its tasks failed on %d machines in a row; it is tried again in %.0f s", job.failures, job.pausedUntil.Sub(s.now()).Seconds()))
+	case !s.withinQuota(job):
+		why = append(why, limitReason(s.configuration, job))
+	case !s.inputsReady(job):
 		why = append(why, "its datasets are not known yet")
 	}
-	if j.why != "" {
-		why = append(why, j.why)
+	if job.waitReason != "" {
+		why = append(why, job.waitReason)
 	}
 	var may, silent, mute, deaf, bounded, full int
-	for _, m := range c.machines {
+	for _, machine := range s.machines {
 		switch {
-		case m.Spec == nil || !allowed(j, m):
+		case machine.Spec == nil || !satisfiesConstraints(job, machine):
 			continue
-		case m.Up && !m.returning && m.line.State(c.now(), c.lease()) != reachability.Reachable:
+		case machine.Up && !machine.releasing && machine.link.State(s.now(), s.lease()) != reachability.Reachable:
 			deaf++
-		case c.mute(m):
+		case s.inboundLost(machine):
 			mute++
-		case !c.eligible(j, m):
+		case !s.eligible(job, machine):
 			silent++
-		case !zoneOK(j, m):
+		case !satisfiesSpread(job, machine):
 			bounded++
-		case !m.free().Fits(j.need):
+		case !machine.free().Fits(job.request):
 			full++
 		}
 		may++
--- a/controller/relay.go
+++ b/controller/relay.go
@@ -19,7 +19,7 @@
 // while the state service says that it leads. Their reports go to the leader,
 // and its commands come back, in letters through the state service (package courier).
 // Without it, every worker on the far side of a cut would kill its tasks when its lease
-// ends.
+// notifications.
 type heartbeatRelay struct {
 	n    *Controller
 	post *exchange.Exchange
@@ -39,42 +39,42 @@
 	streak, told uint64
 }
 
-func newRelay(n *Controller) *heartbeatRelay {
-	y := &heartbeatRelay{n: n, workers: map[string]*relayed{}, box: relay.NewOutbox(exchange.PacketLimits(n.set.Facts.State), uint64(n.clock.Now().UnixMilli()))}
-	y.post = n.exchange(store.RelayKey, store.MailPrefix, tuning.RelayKeep)
-	y.post.Lock, y.post.Outbox, y.post.Reader, y.post.Expire, y.post.TermEnded = &y.mu, y.box, &y.mail, y.forget, func() { y.begin(0) }
+func newHeartbeatRelay(n *Controller) *heartbeatRelay {
+	y := &heartbeatRelay{n: n, workers: map[string]*relayed{}, box: relay.NewOutbox(exchange.PacketLimits(n.settings.Facts.State), uint64(n.clock.Now().UnixMilli()))}
+	y.post = n.newExchange(store.RelayKey, store.MailPrefix, tuning.RelayKeep)
+	y.post.Lock, y.post.Outbox, y.post.Reader, y.post.Expire, y.post.TermEnded = &y.mu, y.box, &y.mail, y.expire, func() { y.reset(0) }
 	return y
 }
 
-// mailroom holds a leader's letters of one kind.
-func mailroom(c *Core, prefix string, key func(string, int) string, body func(member, machine string) json.RawMessage) *exchange.Mailboxes {
-	return &exchange.Mailboxes{Term: c.term, Limits: exchange.PacketLimits(c.set.Facts.State), Prefix: prefix, Key: key, Body: body,
-		MarkDirty: func(key string, urgency int, after func()) { c.hooks.Touch(key, urgency, after) }}
+// newMailboxes holds a leader's letters of one kind.
+func newMailboxes(sched *Scheduler, prefix string, key func(string, int) string, body func(member, machine string) json.RawMessage) *exchange.Mailboxes {
+	return &exchange.Mailboxes{Term: sched.term, Limits: exchange.PacketLimits(sched.settings.Facts.State), Prefix: prefix, Key: key, Body: body,
+		MarkDirty: func(key string, urgency int, after func()) { sched.hooks.MarkDirty(key, urgency, after) }}
 }
 
-// exchange carries letters of one kind; what it carries for whom is to be filled in.
-func (n *Controller) exchange(up func(member string, i int) string, down string, keep time.Duration) *exchange.Exchange {
-	return &exchange.Exchange{Member: n.set.Member, Client: n.client, Clock: n.clock, Rate: n.letterRate, UplinkKey: up, DownlinkPrefix: down + n.set.Member + "/", RefreshEvery: keep}
+// newExchange carries letters of one kind; what it carries for whom is to be filled in.
+func (c *Controller) newExchange(up func(member string, i int) string, down string, keep time.Duration) *exchange.Exchange {
+	return &exchange.Exchange{Member: c.settings.Member, Client: c.client, Clock: c.clock, Rate: c.relayLimiter, UplinkKey: up, DownlinkPrefix: down + c.settings.Member + "/", RefreshEvery: keep}
 }
 
-// begin starts anew for the leader of a term; 0: for none.
-func (y *heartbeatRelay) begin(term uint64) {
+// reset starts anew for the leader of a term; 0: for none.
+func (y *heartbeatRelay) reset(term uint64) {
 	y.box.Reset(term)
 	y.workers = map[string]*relayed{}
 }
 
-func (y *heartbeatRelay) forget(now time.Time) {
+func (y *heartbeatRelay) expire(now time.Time) {
 	for _, name := range y.box.Expire(now, 2*tuning.RelayKeep) {
 		delete(y.workers, name)
 	}
 }
 
-// report answers a worker for the leader of a term.
-func (y *heartbeatRelay) report(r *api.Heartbeat, term uint64) api.HeartbeatResponse {
+// handleHeartbeat answers a worker for the leader of a term.
+func (y *heartbeatRelay) handleHeartbeat(r *api.Heartbeat, term uint64) api.HeartbeatResponse {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if y.box.Term() != term {
-		y.begin(term)
+		y.reset(term)
 	}
 	w := y.workers[r.Machine]
 	if w != nil && !r.NewerThan(w.report.Incarnation, w.report.Seq) {
@@ -110,14 +110,14 @@
 	return o
 }
 
-// relayed is the leader's side: it takes in what siblings pass on.
-func (n *Controller) relayed(ctx context.Context, core *Core, com *store.Committer, after uint64) {
-	exchange.ClaimPackets(ctx, n.client, n.clock, com, store.MailPrefix)
-	exchange.Follow(ctx, n.client, n.clock, store.RelayPrefix, after, core.term, core.workerSays)
+// followHeartbeatRelay is the leader's side: it takes in what siblings pass on.
+func (c *Controller) followHeartbeatRelay(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
+	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.MailPrefix)
+	exchange.Follow(ctx, c.client, c.clock, store.RelayPrefix, after, sched.term, sched.acceptWorkerMessage)
 }
 
-// workerSays takes in one report that a sibling passed on.
-func (c *Core) workerSays(member string, m relay.Message) {
+// acceptWorkerMessage takes in one report that a sibling passed on.
+func (s *Scheduler) acceptWorkerMessage(member string, m relay.Message) {
 	var r api.Heartbeat
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
@@ -127,64 +127,64 @@
 		slog.Error("malformed report", "through", member, "err", err)
 		return
 	}
-	c.Relayed(member, &r)
+	s.HandleRelayedHeartbeat(member, &r)
 }
 
-// Relayed takes in a report that a sibling passed on.
-func (c *Core) Relayed(member string, r *api.Heartbeat) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if r.Term > c.term {
+// HandleRelayedHeartbeat takes in a report that a sibling passed on.
+func (s *Scheduler) HandleRelayedHeartbeat(member string, r *api.Heartbeat) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r.Term > s.term {
 		return
 	}
-	if _, ok := c.gone[r.Machine]; ok {
+	if _, ok := s.releasedAt[r.Machine]; ok {
 		return
 	}
-	m := c.machine(r.Machine)
-	if !c.hear(m, r, member, true) || !m.Newer(r) || !c.loaded {
+	machine := s.machineNamed(r.Machine)
+	if !s.acceptHeartbeat(machine, r, member, true) || !machine.Newer(r) || !s.loaded {
 		return
 	}
-	if m.relay != member {
+	if machine.relayPeer != member {
 		slog.Debug("machine reports through a sibling", "machine", r.Machine, "sibling", member)
-		c.direct(m)
+		s.reachedDirectly(machine)
 	}
-	m.relay = member
-	c.take(m, r, byRelay)
-	c.mail(m)
+	machine.relayPeer = member
+	s.reconcile(machine, r, byRelay)
+	s.relayCommands(machine)
 }
 
-// direct notes that a machine reports without a relay, or through another one.
-func (c *Core) direct(m *machine) {
-	if m.relay == "" {
+// reachedDirectly notes that a machine reports without a relay, or through another one.
+func (s *Scheduler) reachedDirectly(machine *machineState) {
+	if machine.relayPeer == "" {
 		return
 	}
-	c.workerMail.Remove(m.relay, m.Name, m.mail != nil)
-	m.relay, m.mail = "", nil
+	s.commandMailboxes.Remove(machine.relayPeer, machine.Name, machine.relayedCommands != nil)
+	machine.relayPeer, machine.relayedCommands = "", nil
 }
 
-// mail puts the commands for a machine behind a sibling into its letter. They are derived
+// relayedCommands puts the commands for a machine behind a sibling into its letter. They are derived
 // from its newest report, which Session and Seq name.
-func (c *Core) mail(m *machine) {
-	cmds := c.commands(m, byRelay)
-	if len(cmds) == 0 && m.mail == nil {
+func (s *Scheduler) relayCommands(machine *machineState) {
+	cmds := s.commands(machine, byRelay)
+	if len(cmds) == 0 && machine.relayedCommands == nil {
 		return
 	}
-	m.mail = nil
+	machine.relayedCommands = nil
 	if len(cmds) > 0 {
-		raw, err := json.Marshal(store.RelayedCommands{Incarnation: m.Incarnation, Seq: m.Seq, Commands: cmds})
+		raw, err := json.Marshal(store.RelayedCommands{Incarnation: machine.Incarnation, Seq: machine.Seq, Commands: cmds})
 		if err != nil {
-			slog.Error("commands cannot be encoded", "machine", m.Name, "err", err)
+			slog.Error("commands cannot be encoded", "machine", machine.Name, "err", err)
 			return
 		}
-		m.mail = raw
+		machine.relayedCommands = raw
 	}
-	c.workerMail.Update(m.relay, m.Name)
+	s.commandMailboxes.Update(machine.relayPeer, machine.Name)
 }
 
-// mailBody is what stands in the mail for a machine behind a sibling.
-func (c *Core) mailBody(member, name string) json.RawMessage {
-	if m := c.machines[name]; m != nil && m.relay == member {
-		return m.mail
+// relayedCommandBody is what stands in the mail for a machine behind a sibling.
+func (s *Scheduler) relayedCommandBody(member, name string) json.RawMessage {
+	if machine := s.machines[name]; machine != nil && machine.relayPeer == member {
+		return machine.relayedCommands
 	}
 	return nil
 }
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -27,17 +27,17 @@
 	clock := clockwork.NewFakeClock()
 	n := New(context.Background(), userSettings(), policy.Default(), clock, fake.NewState(clock))
 	say := func(seq uint64) api.HeartbeatResponse {
-		return n.relay.report(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
+		return n.heartbeatRelay.handleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
 	}
 	say(10)
 	mail := func(part int, stamp, seq uint64, verb string) {
 		t.Helper()
-		s := relay.NewMailbox(exchange.PacketLimits(n.set.Facts.State))
+		s := relay.NewMailbox(exchange.PacketLimits(n.settings.Facts.State))
 		s.PacketOf("b1")
 		raw, _ := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
 		l, _, _, err := s.BuildPacket(7, 0, func(string) json.RawMessage { return raw })
 		if err == nil {
-			err = n.relay.mail.Apply(store.MailKey("y", part), stamp, &l)
+			err = n.heartbeatRelay.mail.Apply(store.MailKey("y", part), stamp, &l)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -62,7 +62,7 @@
 	if o := say(16); len(o.Commands) != 0 {
 		t.Errorf("mail from before the one that was told: %+v", o)
 	}
-	if o := n.relay.report(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
+	if o := n.heartbeatRelay.handleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
 		t.Errorf("mail of another term: %+v", o)
 	}
 }
@@ -74,7 +74,7 @@
 	st := fake.NewState(clock)
 	n := New(context.Background(), userSettings(), policy.Default(), clock, st)
 	ask := func() int {
-		return n.told(context.Background(), nil, "run-000404", true).Status
+		return n.answerStatus(context.Background(), nil, "run-000404", true).Status
 	}
 	st.Down = true
 	if got := ask(); got != 503 {
@@ -107,7 +107,7 @@
 	n.watermark.MarkCurrent(clock.Now())
 	st.Down = true
 	clock.Advance(time.Second)
-	n.told(context.Background(), nil, "run-1", true)
+	n.answerStatus(context.Background(), nil, "run-1", true)
 	r := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
 	status, body := n.HandleHeartbeat(context.Background(), r, nil)
 	if status != 421 || body.(api.Redirect).Controller != "n0" {
@@ -135,7 +135,7 @@
 		{[]peer.Hello{{Member: "n2", Term: 7}, {Member: "n1", Term: 9}}, "n1", true},
 		{[]peer.Hello{{Member: "n1", Term: 5}}, "n2", false},
 	} {
-		if leader, _, there := whoLeads("n2", 7, c.alive); leader != c.leader || there != c.there {
+		if leader, _, there := newestLeader("n2", 7, c.alive); leader != c.leader || there != c.there {
 			t.Errorf("%+v: %s %v", c.alive, leader, there)
 		}
 	}
@@ -147,9 +147,9 @@
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
 	n := New(context.Background(), userSettings(), policy.Default(), clock, st)
-	n.types = testTypes
+	n.machineTypes = testTypes
 	ask := func(body string) int {
-		return n.serve(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
+		return n.serveAsLeader(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
 	}
 	bad := `{"name_id":"run-000001","parts":-4}`
 	if got := ask(bad); got != 400 {
@@ -175,16 +175,16 @@
 	clock := clockwork.NewFakeClock()
 	st := fake.NewState(clock)
 	n := New(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, st)
-	s := &api.Submission{ID: "run-000001", Tasks: 1}
-	if got := n.submitAlone(context.Background(), s, nil).Status; got != 201 {
+	submission := &api.Submission{ID: "run-000001", Tasks: 1}
+	if got := n.submitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
 		t.Fatalf("first: %d", got)
 	}
-	if got := n.submitAlone(context.Background(), s, nil).Status; got != 200 || st.Get(store.InboxKey("run-000001")) == nil {
+	if got := n.submitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || st.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("again: %d", got)
 	}
 	// With a leader's key standing, only the leader cancels; it is told.
 	st.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	if got := n.cancelAlone(context.Background(), "run-000001").Status; got != 503 {
+	if got := n.cancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
 		t.Errorf("cancelled beside a leader: %d", got)
 	}
 	if string(st.Get(store.InboxKey("run-000001"))) != `{"cancel":true}` {
@@ -206,7 +206,7 @@
 	set := userSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	n := New(context.Background(), set, policy.Default(), clock, st)
-	n.types = testTypes
+	n.machineTypes = testTypes
 	body := submission("run-000001", 4, `,"x":1`)
 	long := strings.Replace(body, `"bundle":"img"`, `"bundle":"`+strings.Repeat("i", 17<<10)+`"`, 1)
 	if a := n.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(long)}, false); a.Status != 400 || !strings.Contains(string(a.Body), "at most 16384") {
@@ -225,7 +225,7 @@
 		s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 		set := &settings.Settings{Member: "y", Zone: "b", Peers: []settings.Peer{{Member: "x", Zone: "a", Address: "127.0.0.1:1"}}}
 		set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-		set.Facts.Workers = s.set.Facts.Workers
+		set.Facts.Workers = s.settings.Facts.Workers
 		y := New(context.Background(), set, policy.Default(), s.clock, s.state)
 		if y.elector.Campaign(context.Background()) {
 			t.Fatal("two leaders")
@@ -237,7 +237,7 @@
 			seq++
 			for i := range many {
 				r := &api.Heartbeat{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: s.term}
-				if o := y.relay.report(r, s.term); len(o.Commands) > 0 {
+				if o := y.heartbeatRelay.handleHeartbeat(r, s.term); len(o.Commands) > 0 {
 					told[o.Commands[0].Task] = name(i)
 				}
 			}
@@ -246,17 +246,17 @@
 		after := s.term
 		carry := func() {
 			s.clock.Advance(tuning.RelayEvery)
-			for y.relay.post.Write(context.Background()) {
+			for y.heartbeatRelay.post.Write(context.Background()) {
 			}
 			log, epoch, err := y.client.Watch(context.Background(), store.RelayPrefix, after, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			after = max(after, epoch)
-			exchange.UnpackEvents(log, store.RelayPrefix, s.term, &joiner, s.workerSays)
+			exchange.UnpackEvents(log, store.RelayPrefix, s.term, &joiner, s.acceptWorkerMessage)
 			s.Place()
 			s.commit()
-			if _, err := y.relay.post.Fetch(context.Background(), 0); err != nil {
+			if _, err := y.heartbeatRelay.post.Fetch(context.Background(), 0); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -277,7 +277,7 @@
 			t.Errorf("%d workers: %d starts arrived", many, len(told))
 		}
 		for key, n := range told {
-			if a := s.jobs["run-000001"].live[keyTask(key)]; a == nil || a.machine.Name != n {
+			if alloc := s.jobs["run-000001"].allocations[keyTask(key)]; alloc == nil || alloc.machine.Name != n {
 				t.Fatalf("%s was told to %s", key, n)
 			}
 		}
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -18,19 +18,19 @@
 // of the leader's processor, and submissions and reports waited.
 func TestPreemptionSearchesTheFleetOnceForAJob(t *testing.T) {
 	s := fullFleet(t, 280)
-	s.searched = 0
+	s.victimSearches = 0
 	s.Place()
 	started := 0
-	for _, j := range s.order {
-		if j.rank == 2 {
-			started += len(j.live)
+	for _, job := range s.jobOrder {
+		if job.rank == 2 {
+			started += len(job.allocations)
 		}
 	}
 	if started < 150 {
 		t.Fatalf("%d urgent tasks started, want nearly all of 200", started)
 	}
-	if most := 4*280 + 3*started; s.searched > most {
-		t.Errorf("%d machines searched for 4 jobs, want %d at most", s.searched, most)
+	if most := 4*280 + 3*started; s.victimSearches > most {
+		t.Errorf("%d machines searched for 4 jobs, want %d at most", s.victimSearches, most)
 	}
 }
 
@@ -56,18 +56,18 @@
 			}
 		}
 		s.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
-		j := s.jobs["run-900000"]
-		opts := s.options(j, s.byName())
+		job := s.jobs["run-900000"]
+		opts := s.candidates(job, s.sortedMachines())
 		for {
 			plain := math.Inf(1)
-			for _, m := range s.byName() {
-				if x, ok := s.optionOn(j, m); ok {
+			for _, machine := range s.sortedMachines() {
+				if x, ok := s.candidateOn(job, machine); ok {
 					plain = math.Min(plain, x.score)
 				}
 			}
-			x, ok := s.best(j, opts)
-			if !ok || len(j.pending) == 0 {
-				if !math.IsInf(plain, 1) && len(j.pending) > 0 {
+			x, ok := s.bestCandidate(job, opts)
+			if !ok || len(job.pending) == 0 {
+				if !math.IsInf(plain, 1) && len(job.pending) > 0 {
 					t.Fatalf("seed %d: nothing found, a plain search finds %v", seed, plain)
 				}
 				break
@@ -75,24 +75,24 @@
 			if x.score != plain {
 				t.Fatalf("seed %d: found %v, a plain search %v", seed, x.score, plain)
 			}
-			task := int(j.pending[0])
-			j.pending = j.pending[1:]
-			s.moveAside(x.victim, j)
-			s.start(j, task, x.m, append(x.leaving, x.victim...), "preempting")
-			s.pushOption(j, x.m, opts)
+			task := int(job.pending[0])
+			job.pending = job.pending[1:]
+			s.preemptVictims(x.victim, job)
+			s.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
+			s.pushCandidate(job, x.m, opts)
 		}
-		if len(j.live) == 0 {
+		if len(job.allocations) == 0 {
 			t.Fatalf("seed %d: nothing was started", seed)
 		}
-		for _, m := range s.machines {
-			if free, _ := m.roomSoon(); !free.Fits(fleet.Resources{}) {
-				t.Fatalf("seed %d: %s holds more than its room", seed, m.Name)
+		for _, machine := range s.machines {
+			if free, _ := machine.freeSoon(); !free.Fits(fleet.Resources{}) {
+				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
 			}
 		}
 	}
 }
 
-// again repeats a worker's last report.
+// resendCommands repeats a worker's last report.
 func (s *stage) again(name string) {
 	var tasks []api.TaskReport
 	for _, t := range s.machines[name].Tasks {
