--- a/controller/silence.go
+++ b/controller/silence.go
@@ -12,27 +12,27 @@
 	"switchferry/tuning"
 )
 
-// beat notes that the leader does its rounds.
-func (c *Core) beat(now time.Time) {
-	if stood := c.silence.Tick(now); stood > 0 {
+// tick notes that the leader does its rounds.
+func (s *Scheduler) tick(now time.Time) {
+	if stood := s.detector.Tick(now); stood > 0 {
 		slog.Info("stood still", "for", stood.Round(time.Millisecond))
 	}
 }
 
-// listening is since when this leader hears nobody, as far as it could.
-func (c *Core) listening() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.beat(c.now())
-	return latest(c.heard, c.silence.ResumedAt())
+// lastContact is since when this leader hears nobody, as far as it could.
+func (s *Scheduler) lastContact() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tick(s.now())
+	return latest(s.lastHeartbeat, s.detector.ResumedAt())
 }
 
-// deafened tells whether this leader reaches no worker any more while a sibling hears
+// outboundLost tells whether this leader reaches no worker any more while a sibling hears
 // them: reports come through that one, but no command goes out at once.
-func (c *Core) deafened(siblings []peer.Hello) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.failed < tuning.DeafCommands || c.since(latest(c.reached, c.silence.ResumedAt())) < tuning.DeafAfter {
+func (s *Scheduler) outboundLost(siblings []peer.Hello) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unansweredCommands < tuning.DeafCommands || s.since(latest(s.lastDirectContact, s.detector.ResumedAt())) < tuning.DeafAfter {
 		return false
 	}
 	return slices.ContainsFunc(siblings, func(h peer.Hello) bool { return h.ReceivesHeartbeats && h.StateOK })
@@ -45,38 +45,38 @@
 	return b
 }
 
-// reports tells whether a machine should report by now: it certainly did in this term, or it is
+// expectedToReport tells whether a machine should report by now: it certainly did in this term, or it is
 // recorded to have tasks, or the cloud lists it as up.
-func (m *machine) reports() bool {
-	return m.Up && (m.line.AliveThisTerm() || m.listed) || !m.failed && (len(m.assigns) > 0 || m.running)
+func (m *machineState) expectedToReport() bool {
+	return m.Up && (m.link.AliveThisTerm() || m.listed) || !m.listedFailed && (len(m.allocations) > 0 || m.listedRunning)
 }
 
-// sighting tells when a machine was last heard.
-func (c *Core) sighting(m *machine) failuredetector.Observation {
-	s := failuredetector.Observation{Zone: m.Zone, Via: m.via, Timeout: c.quiet(m)}
-	if m.Up {
-		s.LastHeartbeat = m.LastHeartbeat
+// observation tells when a machine was last heard.
+func (s *Scheduler) observation(machine *machineState) failuredetector.Observation {
+	observed := failuredetector.Observation{Zone: machine.Zone, Via: machine.lastPeer, Timeout: s.heartbeatTimeout(machine)}
+	if machine.Up {
+		observed.LastHeartbeat = machine.LastHeartbeat
 	}
-	if c.where != nil {
-		s.Domains = c.where.tree.Path(m.Name)
+	if s.topology != nil {
+		observed.Domains = s.topology.tree.Path(machine.Name)
 	}
-	return s
+	return observed
 }
 
-// noteBlindness looks whether whole zones or ways are unheard.
-func (c *Core) noteBlindness(now time.Time) {
-	found := c.silence.Observe(now, func(yield func(failuredetector.Observation)) {
-		for _, m := range c.machines {
-			if m.reports() && !m.returning {
-				s := c.sighting(m)
-				if m.line.State(now, c.lease()) == reachability.OutboundLost {
+// detectPartitions looks whether whole zones or ways are unheard.
+func (s *Scheduler) detectPartitions(now time.Time) {
+	found := s.detector.Observe(now, func(yield func(failuredetector.Observation)) {
+		for _, machine := range s.machines {
+			if machine.expectedToReport() && !machine.releasing {
+				observed := s.observation(machine)
+				if machine.link.State(now, s.lease()) == reachability.OutboundLost {
 					// A zone of such machines is one failure, as a silent one is.
-					s.LastHeartbeat = m.line.ConfirmedAt()
+					observed.LastHeartbeat = machine.link.ConfirmedAt()
 				}
-				yield(s)
+				yield(observed)
 			}
 		}
-	}, c.hooks.Cut)
+	}, s.hooks.ZoneUnreachable)
 	for _, f := range found {
 		if f.Domain != "" {
 			slog.Info("most machines of a domain unheard", "domain", f.Domain, "machines", f.Machines, "heard", f.Responding)
@@ -88,65 +88,65 @@
 	}
 }
 
-// judge tells what becomes of a machine.
-func (c *Core) judge(m *machine, now time.Time) (failuredetector.Action, string) {
-	l := failuredetector.Limits{SuspectAfter: c.quiet(m), ReleaseAfter: max(tuning.SilentMin, seconds(tuning.SilentReports*c.set.Facts.Workers.ReportS)),
-		ElectionGrace: c.lease() + tuning.NewTermGrace, InboundLost: tuning.MuteLeases * c.lease()}
-	if m.relay != "" {
+// decideMachine tells what becomes of a machine.
+func (s *Scheduler) decideMachine(machine *machineState, now time.Time) (failuredetector.Action, string) {
+	l := failuredetector.Limits{SuspectAfter: s.heartbeatTimeout(machine), ReleaseAfter: max(tuning.SilentMin, seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
+		ElectionGrace: s.lease() + tuning.NewTermGrace, InboundLost: tuning.MuteLeases * s.lease()}
+	if machine.relayPeer != "" {
 		l.ReleaseAfter += tuning.RelayKeep
 	}
-	heard := c.sighting(m)
+	heard := s.observation(machine)
 	hears := heard
-	hears.LastHeartbeat = m.line.ConfirmedAt()
-	x := failuredetector.MachineState{Failed: m.failed, Listed: m.listed, Up: m.Up, Link: m.line.State(now, c.lease()), Tasks: len(m.assigns),
-		SilentFor: now.Sub(c.silence.SilentSince(now, heard)), UnconfirmedFor: now.Sub(c.silence.SilentSince(now, hears)),
-		PreemptionNotice: !m.PreemptedAt.IsZero(), NoticeExpired: now.After(m.PreemptedAt.Add(time.Second)), Faulty: c.suspect(m)}
-	x.InboundLost = c.mute(m)
-	x.SilentShare, _ = c.silence.SilentShare(m.Zone)
-	if !m.Up {
+	hears.LastHeartbeat = machine.link.ConfirmedAt()
+	x := failuredetector.MachineState{Failed: machine.listedFailed, Listed: machine.listed, Up: machine.Up, Link: machine.link.State(now, s.lease()), Tasks: len(machine.allocations),
+		SilentFor: now.Sub(s.detector.SilentSince(now, heard)), UnconfirmedFor: now.Sub(s.detector.SilentSince(now, hears)),
+		PreemptionNotice: !machine.PreemptedAt.IsZero(), NoticeExpired: now.After(machine.PreemptedAt.Add(time.Second)), Faulty: s.faulty(machine)}
+	x.InboundLost = s.inboundLost(machine)
+	x.SilentShare, _ = s.detector.SilentShare(machine.Zone)
+	if !machine.Up {
 		ready := tuning.ReadyUnknown
-		if m.Spec != nil {
-			ready = seconds(m.Spec.BootS)
+		if machine.Spec != nil {
+			ready = seconds(machine.Spec.BootS)
 		}
 		limit := time.Duration(tuning.BootFactor * float64(ready))
-		if m.ours {
-			limit = c.boots.Deadline(m.Type, m.RequestedAt, ready)
+		if machine.requestedHere {
+			limit = s.startupTimes.Deadline(machine.Type, machine.RequestedAt, ready)
 		}
-		x.StartupExpired = (len(m.assigns) > 0 || now.Sub(m.RequestedAt) > max(l.ElectionGrace, limit)) && now.Sub(c.silence.ResumedAt()) > l.ElectionGrace
+		x.StartupExpired = (len(machine.allocations) > 0 || now.Sub(machine.RequestedAt) > max(l.ElectionGrace, limit)) && now.Sub(s.detector.ResumedAt()) > l.ElectionGrace
 	}
-	if x.Link == reachability.OutboundLost && !m.deafTold {
-		m.deafTold = true
-		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", m.Name, "zone", m.Zone,
-			"tasks", len(m.assigns), "why", m.line.Reason(now))
+	if x.Link == reachability.OutboundLost && !machine.outboundLossLogged {
+		machine.outboundLossLogged = true
+		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", machine.Name, "zone", machine.Zone,
+			"tasks", len(machine.allocations), "why", machine.link.Reason(now))
 	}
 	return failuredetector.Decide(x, l)
 }
 
-// mute tells whether a machine answers commands while it reaches no controller.
-func (c *Core) mute(m *machine) bool {
-	return m.Up && m.relay == "" && c.since(m.LastHeartbeat) > c.quiet(m) && m.line.InboundLost(c.now(), c.since(m.LastHeartbeat), c.quiet(m))
+// inboundLost tells whether a machine answers commands while it reaches no controller.
+func (s *Scheduler) inboundLost(machine *machineState) bool {
+	return machine.Up && machine.relayPeer == "" && s.since(machine.LastHeartbeat) > s.heartbeatTimeout(machine) && machine.link.InboundLost(s.now(), s.since(machine.LastHeartbeat), s.heartbeatTimeout(machine))
 }
 
-// askDoubtful asks some machines that are heard, and do not show that they hear, by an empty command: an answer is
+// probeUnconfirmed asks some machines that are heard, and do not show that they hear, by an empty command: an answer is
 // proof, and they get work again. It asks those that are no longer heard, too: one that answers reaches no
 // controller, and what its lease has ended is known by the session of its answer.
-func (c *Core) askDoubtful(now time.Time) {
-	var due []*machine
+func (s *Scheduler) probeUnconfirmed(now time.Time) {
+	var due []*machineState
 	left := tuning.AsksAtOnce
-	for _, m := range c.byName() {
-		s := m.line.State(now, c.lease())
-		silent := now.Sub(m.LastHeartbeat) > c.quiet(m)
+	for _, machine := range s.sortedMachines() {
+		state := machine.link.State(now, s.lease())
+		silent := now.Sub(machine.LastHeartbeat) > s.heartbeatTimeout(machine)
 		switch {
-		case !m.Up || m.returning || m.relay != "" || !silent && s != reachability.Suspected && s != reachability.OutboundLost:
-		case m.sending:
+		case !machine.Up || machine.releasing || machine.relayPeer != "" || !silent && state != reachability.Suspected && state != reachability.OutboundLost:
+		case machine.commandInFlight:
 			left--
-		case now.Sub(m.asked) >= seconds(c.set.Facts.Workers.ReportS):
-			due = append(due, m)
+		case now.Sub(machine.probedAt) >= seconds(s.settings.Facts.Workers.ReportS):
+			due = append(due, machine)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *machine) int { return a.asked.Compare(b.asked) })
-	for _, m := range due[:max(0, min(left, len(due)))] {
-		m.sending, m.asked = true, now
-		c.hooks.Send(m.Name, m.Address, api.HeartbeatResponse{Term: c.term, Incarnation: m.Incarnation, Commands: []api.Command{}})
+	slices.SortStableFunc(due, func(a, b *machineState) int { return a.probedAt.Compare(b.probedAt) })
+	for _, machine := range due[:max(0, min(left, len(due)))] {
+		machine.commandInFlight, machine.probedAt = true, now
+		s.hooks.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: []api.Command{}})
 	}
 }
--- a/controller/silence_test.go
+++ b/controller/silence_test.go
@@ -13,16 +13,16 @@
 
 // through plays a report that comes through a sibling.
 func (s *stage) through(via, name string) {
-	s.Report(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: s.next(name), Term: s.term}, via)
+	s.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: s.next(name), Term: s.term}, via)
 }
 
 // rounds lets time pass with the leader at work: each step the named machines
-// report, then it looks after machines.
+// handleHeartbeat, then it looks after machines.
 func (s *stage) rounds(d time.Duration, reports func()) (returned []string) {
 	for ; d > 0; d -= tuning.TendEvery {
 		s.clock.Advance(tuning.TendEvery)
 		reports()
-		returned = append(returned, s.Tend()...)
+		returned = append(returned, s.MaintainFleet()...)
 	}
 	return returned
 }
@@ -44,7 +44,7 @@
 	for _, n := range all[:4] {
 		s.report(n, 1)
 	}
-	if gone := s.Tend(); len(gone) > 0 {
+	if gone := s.MaintainFleet(); len(gone) > 0 {
 		t.Fatalf("%v given up for the time in which the leader stood still", gone)
 	}
 	gone := s.rounds(5*time.Second, func() {
@@ -100,26 +100,26 @@
 	s.report("a2", 1)
 	miss := func(n int) {
 		for range n {
-			s.Answered("a1", api.HeartbeatResponse{Term: s.term}, nil, true)
+			s.CommandsAnswered("a1", api.HeartbeatResponse{Term: s.term}, nil, true)
 		}
 	}
 	quiet := func() { s.through("n1", "a1"); s.through("n1", "a2") }
 	miss(tuning.DeafCommands)
-	if s.deafened(hears) {
+	if s.outboundLost(hears) {
 		t.Error("resigns for a few commands in a moment")
 	}
 	s.rounds(5*time.Second, quiet)
-	if !s.deafened(hears) {
+	if !s.outboundLost(hears) {
 		t.Error("leads on although it reaches no worker and a sibling hears them")
 	}
-	if s.deafened([]peer.Hello{{Member: "n1", StateOK: true}}) {
+	if s.outboundLost([]peer.Hello{{Member: "n1", StateOK: true}}) {
 		t.Error("resigns although no sibling hears workers either")
 	}
 	s.report("a2", 1)
 	s.report("a2", 1)
 	s.rounds(5*time.Second, quiet)
 	miss(tuning.DeafCommands - 1)
-	if s.deafened(hears) {
+	if s.outboundLost(hears) {
 		t.Error("resigns because one machine does not answer")
 	}
 }
--- a/controller/teams_bench_test.go
+++ b/controller/teams_bench_test.go
@@ -28,7 +28,7 @@
 				}
 				teams = append(teams, t)
 			}
-			s.active = configuration.FromFiles(teams, policy.Default())
+			s.configuration = configuration.FromFiles(teams, policy.Default())
 			for i := range 280 {
 				s.report(fmt.Sprintf("a%03d", i), 1)
 			}
@@ -61,9 +61,9 @@
 				teams = append(teams, settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 1e6})
 			}
 			active := configuration.FromFiles(teams, nil)
-			s := &api.Submission{Team: teams[n-1].Name, Shape: api.JobArray, Tasks: 1, CPUs: 1}
+			submission := &api.Submission{Team: teams[n-1].Name, Shape: api.JobArray, Tasks: 1, CPUs: 1}
 			for b.Loop() {
-				if !admits(active, s) {
+				if !admits(active, submission) {
 					b.Fatal("not admitted")
 				}
 			}
--- a/controller/topology_test.go
+++ b/controller/topology_test.go
@@ -71,7 +71,7 @@
 	return tasks
 }
 
-// turn lets every machine report that is not silent, a round be placed, and it be stored.
+// startedByAgeing lets every machine report that is not silent, a round be placed, and it be stored.
 func (y *yard) turn() {
 	for _, name := range y.names {
 		if y.quiet[name] > 0 {
@@ -105,8 +105,8 @@
 }
 
 func service(near *api.Near, survive *api.Survive) func(*api.Submission) {
-	return func(s *api.Submission) {
-		s.Shape, s.EstimateS, s.Near, s.Survive = api.Service, 0, near, survive
+	return func(submission *api.Submission) {
+		submission.Shape, submission.EstimateS, submission.Near, submission.Survive = api.Service, 0, near, survive
 	}
 }
 
@@ -136,7 +136,7 @@
 			t.Fatalf("stand %v while %s may still run one", by, silent)
 		}
 	}
-	y.Returned([]string{silent}, nil)
+	y.InstancesReleased([]string{silent}, nil)
 	y.runs[silent] = map[string]uint64{}
 	y.turn()
 	y.turn()
@@ -155,7 +155,9 @@
 	y.turn()
 	y.turn()
 	_, by := y.standing("run-000001")
-	gang := func(s *api.Submission) { s.Shape, s.Near, s.CPUs = api.Gang, near, 4 }
+	gang := func(submission *api.Submission) {
+		submission.Shape, submission.Near, submission.CPUs = api.Gang, near, 4
+	}
 	y.submit("run-000002", 3, gang)
 	y.turn()
 	y.turn()
@@ -186,7 +188,7 @@
 	if three+four != 4 || three*four != 0 {
 		t.Fatalf("of two gangs of four stand %d and %d", three, four)
 	}
-	if y.jobs["run-000004"].why == "" && y.jobs["run-000003"].why == "" {
+	if y.jobs["run-000004"].waitReason == "" && y.jobs["run-000003"].waitReason == "" {
 		t.Error("the one that waits does not say why")
 	}
 }
@@ -197,7 +199,7 @@
 	for _, shape := range []string{api.Service, api.Gang} {
 		y := newYard(t, 2, 2)
 		// Both racks are full; what lies in one of them began a minute later.
-		y.submit("run-000001", 4, func(s *api.Submission) { s.Near = &api.Near{Level: "rack", Must: true} })
+		y.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
 		y.turn()
 		y.turn()
 		for range 60 {
@@ -212,19 +214,19 @@
 			t.Fatalf("%v, %v", old, young)
 		}
 		// No rack holds nine.
-		y.submit("run-000003", 9, func(s *api.Submission) {
-			s.Shape, s.Rank, s.Near, s.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
+		y.submit("run-000003", 9, func(submission *api.Submission) {
+			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
 		y.turn()
 		y.turn()
-		if n, _ := y.standing("run-000003"); n != 0 || y.jobs["run-000003"].why == "" {
-			t.Errorf("%s: %d of nine run, %q", shape, n, y.jobs["run-000003"].why)
+		if n, _ := y.standing("run-000003"); n != 0 || y.jobs["run-000003"].waitReason == "" {
+			t.Errorf("%s: %d of nine run, %q", shape, n, y.jobs["run-000003"].waitReason)
 		}
 		if n, _ := y.standing("run-000001"); n != 4 {
 			t.Errorf("%s: tasks were stopped in vain", shape)
 		}
-		y.submit("run-000004", 4, func(s *api.Submission) {
-			s.Shape, s.Rank, s.Near, s.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
+		y.submit("run-000004", 4, func(submission *api.Submission) {
+			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
 		for range 4 {
 			y.turn()
@@ -247,13 +249,13 @@
 	}
 	rented := 0
 	for i := range 60 {
-		for _, r := range y.Rentals() {
+		for _, r := range y.InstanceRequests() {
 			var names []string
 			for range r.Count {
 				rented++
 				names = append(names, fmt.Sprintf("n-%d", rented))
 			}
-			y.Rented(r, names, nil)
+			y.InstancesGranted(r, names, nil)
 			if i > 40 {
 				t.Errorf("rented again: %+v", r)
 			}
@@ -275,12 +277,14 @@
 }
 
 // A rack that drains before a machine boots is kept for a job that waits for all of it: what ends
-// before goes in, what does not stays out, and the job starts when the rack is empty. Without
+// compareJobs goes in, what does not stays out, and the job starts when the rack is empty. Without
 // that small jobs would fill every hole, and it would wait for ever.
 func TestDrainingRackIsKept(t *testing.T) {
 	y := newYard(t, 2, 2)
-	long := func(s *api.Submission) { s.EstimateS = 500 }
-	short := func(s *api.Submission) { s.EstimateS, s.Near = 20, &api.Near{Level: "rack", Must: true} }
+	long := func(submission *api.Submission) { submission.EstimateS = 500 }
+	short := func(submission *api.Submission) {
+		submission.EstimateS, submission.Near = 20, &api.Near{Level: "rack", Must: true}
+	}
 	y.submit("run-000001", 4, short)
 	y.turn()
 	y.turn()
@@ -288,10 +292,12 @@
 	y.submit("run-000002", 4, long)
 	y.turn()
 	y.turn()
-	y.submit("run-000003", 4, func(s *api.Submission) { s.Shape, s.Near = api.Gang, &api.Near{Level: "rack", Must: true} })
+	y.submit("run-000003", 4, func(submission *api.Submission) {
+		submission.Shape, submission.Near = api.Gang, &api.Near{Level: "rack", Must: true}
+	})
 	y.turn()
 	y.turn()
-	if why := y.jobs["run-000003"].why; !strings.Contains(why, "is kept for it") {
+	if why := y.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
 		t.Fatalf("why: %q", why)
 	}
 	// Half of the rack ends; long work waits for room.
@@ -348,7 +354,7 @@
 	}
 	for range 16 {
 		y.turn()
-		y.Returned(y.Tend(), nil)
+		y.InstancesReleased(y.MaintainFleet(), nil)
 	}
 	if n, by := y.standing("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
 		t.Fatalf("stand %v", by)
@@ -392,11 +398,11 @@
 				y.submit("run-000002", 6, nil)
 			}
 			y.turn()
-			gone := y.Tend()
+			gone := y.MaintainFleet()
 			for _, name := range gone {
 				y.runs[name] = map[string]uint64{}
 			}
-			y.Returned(gone, nil)
+			y.InstancesReleased(gone, nil)
 			returned = append(returned, gone...)
 			if n, by := y.standing("run-000002"); i < 8 && by["a1"] > 0 {
 				t.Fatalf("%d of %d tasks were placed in a silent rack", by["a1"], n)
@@ -435,7 +441,7 @@
 		t.Fatal(err)
 	}
 	y.topo = m
-	y.MoveTopology(m)
+	y.ReplaceTopology(m)
 	for range 4 {
 		y.turn()
 	}
@@ -469,20 +475,20 @@
 			switch rng.IntN(6) {
 			case 0, 1:
 				x := asked{id: fmt.Sprintf("run-%06d", step), tasks: 1 + rng.IntN(6), near: rng.IntN(2) == 0, gang: rng.IntN(3) == 0}
-				change := func(s *api.Submission) {
-					s.Shape = []string{api.Service, api.JobArray}[rng.IntN(2)]
-					s.Rank = []string{"low", "normal", "high", "prod"}[rng.IntN(4)]
+				change := func(submission *api.Submission) {
+					submission.Shape = []string{api.Service, api.JobArray}[rng.IntN(2)]
+					submission.Rank = []string{"low", "normal", "high", "prod"}[rng.IntN(4)]
 					if x.gang {
-						s.Shape = api.Gang
+						submission.Shape = api.Gang
 					}
-					if s.Shape == api.Service {
-						s.EstimateS = 0
+					if submission.Shape == api.Service {
+						submission.EstimateS = 0
 					}
 					if x.near {
-						s.Near = &api.Near{Level: "rack", Must: true}
+						submission.Near = &api.Near{Level: "rack", Must: true}
 					} else {
 						x.most = 1 + rng.IntN(2)
-						s.Survive = &api.Survive{Level: "rack", AtMost: x.most, Must: true}
+						submission.Survive = &api.Survive{Level: "rack", AtMost: x.most, Must: true}
 					}
 				}
 				y.submit(x.id, x.tasks, change)
--- a/controller/user.go
+++ b/controller/user.go
@@ -24,24 +24,24 @@
 	verbReport = "report"
 )
 
-func answer(status int, body any) peer.Response {
+func jsonResponse(status int, body any) peer.Response {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return later("internal error")
+		return retryLater("internal error")
 	}
 	return peer.Response{Status: status, Body: raw}
 }
 
-// later refuses at once and tells when to come back.
-func later(why string) peer.Response {
-	a := answer(http.StatusServiceUnavailable, api.Error{Error: why})
+// retryLater refuses at once and tells when to come back.
+func retryLater(why string) peer.Response {
+	a := jsonResponse(http.StatusServiceUnavailable, api.Error{Error: why})
 	a.RetryAfterS = tuning.RetryAfterS
 	return a
 }
 
-// laterBy is the same with the time that it will take.
-func laterBy(why string, after time.Duration) peer.Response {
-	a := later(why)
+// retryLaterBy is the same with the time that it will take.
+func retryLaterBy(why string, after time.Duration) peer.Response {
+	a := retryLater(why)
 	a.RetryAfterS = min(tuning.RetryAfterMost, max(a.RetryAfterS, int(math.Ceil(after.Seconds()))))
 	return a
 }
@@ -51,7 +51,7 @@
 	if fe, ok := err.(*api.FieldError); ok {
 		e.Field = fe.Field
 	}
-	return answer(status, e)
+	return jsonResponse(status, e)
 }
 
 func finalStatus(id string, f store.FinalRecord) api.JobStatus {
@@ -59,13 +59,13 @@
 }
 
 // status is what a user is told of a job, with the lock held.
-func (c *Core) status(j *job) api.JobStatus {
-	if j.stored {
-		return finalStatus(j.id, j.finalRecord(c.own))
+func (s *Scheduler) status(job *jobState) api.JobStatus {
+	if job.terminalStored {
+		return finalStatus(job.id, job.finalRecord(s.currentFormat))
 	}
-	st := api.JobStatus{ID: j.id, State: api.Pending, Done: j.done}
-	for _, a := range j.live {
-		if a.state == api.TaskRunning {
+	st := api.JobStatus{ID: job.id, State: api.Pending, Done: job.completedCount}
+	for _, alloc := range job.allocations {
+		if alloc.state == api.TaskRunning {
 			st.Running++
 		}
 	}
@@ -75,132 +75,132 @@
 	return st
 }
 
-// Known answers for a job in memory; false: it is not here, or what is here may be
+// JobStatus answers for a job in memory; false: it is not here, or what is here may be
 // old. That is looked at last: this process can stand still between any two steps,
 // while another one leads and cancels the job.
-func (c *Core) Known(id string) (api.JobStatus, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.jobs[id]
-	if j == nil || !j.accepted || c.pipes.unsure(j) {
+func (s *Scheduler) JobStatus(id string) (api.JobStatus, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	job := s.jobs[id]
+	if job == nil || !job.accepted || s.dependencies.hasUnknown(job) {
 		return api.JobStatus{}, false
 	}
-	st := c.status(j)
-	return st, j.stored || c.hooks.Valid()
+	st := s.status(job)
+	return st, job.terminalStored || s.hooks.Leading()
 }
 
-// Has tells whether an accepted job is in memory, whoever leads.
-func (c *Core) Has(id string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.jobs[id]
-	return j != nil && j.accepted
+// HasJob tells whether an accepted job is in memory, whoever leads.
+func (s *Scheduler) HasJob(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	job := s.jobs[id]
+	return job != nil && job.accepted
 }
 
 // Submit stores a new job and waits until it is stored. False: look again.
-func (c *Core) Submit(ctx context.Context, s *api.Submission, now time.Time) (peer.Response, bool) {
-	c.mu.Lock()
-	j := c.jobs[s.ID]
-	fresh := j == nil
-	if delay := c.hooks.Delay(); fresh && delay > tuning.AcceptWait {
+func (s *Scheduler) Submit(ctx context.Context, submission *api.Submission, now time.Time) (peer.Response, bool) {
+	s.mu.Lock()
+	job := s.jobs[submission.ID]
+	fresh := job == nil
+	if delay := s.hooks.CommitDelay(); fresh && delay > tuning.AcceptWait {
 		// Its user would have been told to come back by the time it is stored:
 		// better now, and when the backlog is written.
-		c.mu.Unlock()
-		return laterBy("more jobs come in than can be stored", delay), true
+		s.mu.Unlock()
+		return retryLaterBy("more jobs come in than can be stored", delay), true
 	}
-	if c.damaged[s.ID] {
+	if s.damagedJobs[submission.ID] {
 		// What its user was told before is not known: to write it anew might go back on that.
-		c.mu.Unlock()
-		return later("the job's record is damaged"), true
+		s.mu.Unlock()
+		return retryLater("the job's record is damaged"), true
 	}
-	if fresh && c.configured && !admits(c.active, s) {
+	if fresh && s.liveConfiguration && !admits(s.configuration, submission) {
 		// The configuration has changed since this was looked at.
-		c.mu.Unlock()
-		return later("the configuration has just changed"), true
+		s.mu.Unlock()
+		return retryLater("the configuration has just changed"), true
 	}
 	if fresh {
-		j = c.addJob(store.JobRecord{Job: *s, At: now.UnixMilli()}, false)
-		c.hooks.Touch(store.JobKey(s.ID), store.Urgent, c.locked(func() { c.accept(s.ID) }))
+		job = s.addJob(store.JobRecord{Job: *submission, At: now.UnixMilli()}, false)
+		s.hooks.MarkDirty(store.JobKey(submission.ID), store.Urgent, s.withLock(func() { s.markAccepted(submission.ID) }))
 	}
-	if j.accepted {
-		c.mu.Unlock()
-		st, ok := c.Known(s.ID)
-		return answer(http.StatusOK, st), ok
+	if job.accepted {
+		s.mu.Unlock()
+		st, ok := s.JobStatus(submission.ID)
+		return jsonResponse(http.StatusOK, st), ok
 	}
-	changed := j.changed
-	c.mu.Unlock()
-	if !c.wait(ctx, changed, tuning.AcceptWait) {
-		return laterBy("the record is not stored yet", c.hooks.Delay()), true
+	changed := job.changed
+	s.mu.Unlock()
+	if !s.waitForChange(ctx, changed, tuning.AcceptWait) {
+		return retryLaterBy("the record is not stored yet", s.hooks.CommitDelay()), true
 	}
-	st, ok := c.Known(s.ID)
+	st, ok := s.JobStatus(submission.ID)
 	if !ok {
 		return peer.Response{}, false
 	}
 	if fresh && st.State == api.Pending {
-		return answer(http.StatusCreated, st), true
+		return jsonResponse(http.StatusCreated, st), true
 	}
-	return answer(http.StatusOK, st), true
+	return jsonResponse(http.StatusOK, st), true
 }
 
-// startsUnderWay tells whether a start that this leader sent may still be executed, of a task that is not seen yet.
-func (j *job) startsUnderWay() bool {
-	for _, a := range j.live {
-		if !a.seen && (a.open > 0 || a.answered > 0) {
+// hasUnsettledStarts tells whether a start that this leader sent may still be executed, of a task that is not seen yet.
+func (j *jobState) hasUnsettledStarts() bool {
+	for _, alloc := range j.allocations {
+		if !alloc.reported && (alloc.unansweredRuns > 0 || alloc.answeredSeq > 0) {
 			return true
 		}
 	}
 	return false
 }
 
-// settledStarts wakes whoever waits for the starts of a cancelled job, once none is under way.
-func (j *job) settledStarts() {
-	if j.FinalState == api.Cancelled && j.stored && !j.startsUnderWay() {
+// notifySettledStarts wakes whoever waits for the starts of a cancelled job, once none is under way.
+func (j *jobState) notifySettledStarts() {
+	if j.FinalState == api.Cancelled && j.terminalStored && !j.hasUnsettledStarts() {
 		j.notify()
 	}
 }
 
-// wait waits until a job has changed, for so long at most.
-func (c *Core) wait(ctx context.Context, changed chan struct{}, most time.Duration) bool {
+// waitForChange waits until a job has changed, for so long at most.
+func (s *Scheduler) waitForChange(ctx context.Context, changed chan struct{}, most time.Duration) bool {
 	select {
 	case <-changed:
 		return true
 	case <-ctx.Done():
-	case <-c.clock.After(most):
+	case <-s.clock.After(most):
 	}
 	return false
 }
 
-// accept: the job's record is stored.
-func (c *Core) accept(id string) {
-	j := c.jobs[id]
-	if j == nil || j.accepted {
+// markAccepted: the job's record is stored.
+func (s *Scheduler) markAccepted(id string) {
+	job := s.jobs[id]
+	if job == nil || job.accepted {
 		return
 	}
-	j.accepted = true
-	if j.FinalState == "" && !c.pipes.enter(j) {
-		j.open()
+	job.accepted = true
+	if job.FinalState == "" && !s.dependencies.add(job) {
+		job.makeEligible()
 	}
-	slog.Info("job accepted", "job", id, "class", j.Job.Class, "team", j.Job.Team, "tasks", j.total, "cpus", j.need.CPUs, "rank", j.Job.Rank, "expect_s", j.Job.EstimateS, "due_s", j.Job.DeadlineS, "awaits", strings.Join(j.Job.Awaits, ","))
-	j.notify()
-	c.kick()
+	slog.Info("job accepted", "job", id, "class", job.Job.Class, "team", job.Job.Team, "tasks", job.taskCount, "cpus", job.request.CPUs, "rank", job.Job.Rank, "expect_s", job.Job.EstimateS, "due_s", job.Job.DeadlineS, "awaits", strings.Join(job.Job.Awaits, ","))
+	job.notify()
+	s.wakePlacer()
 }
 
-// adopt takes in a job's record as the state service holds it.
-func (c *Core) adopt(key string, found *store.Item) {
+// adoptRecord takes in a job's record as the state service holds it.
+func (s *Scheduler) adoptRecord(key string, found *store.Item) {
 	switch {
 	case strings.HasPrefix(key, store.DatasetPrefix):
-		c.datasetFound(found)
+		s.datasetFound(found)
 	case strings.HasPrefix(key, store.FinalPrefix):
 		id := strings.TrimPrefix(key, store.FinalPrefix)
 		var f store.FinalRecord
-		j := c.jobs[id]
-		if json.Unmarshal(found.Value, &f) != nil || j == nil || j.accepted {
+		job := s.jobs[id]
+		if json.Unmarshal(found.Value, &f) != nil || job == nil || job.accepted {
 			return
 		}
-		c.dropJob(j)
-		c.hooks.Final(id, f)
-		j.notify()
-		c.pipes.over(id, f.State)
+		s.removeJob(job)
+		s.hooks.JobTerminal(id, f)
+		job.notify()
+		s.dependencies.onTerminal(id, f.State)
 	case strings.HasPrefix(key, store.JobPrefix):
 		id := strings.TrimPrefix(key, store.JobPrefix)
 		var rec store.JobRecord
@@ -208,64 +208,64 @@
 			slog.Error("a job's record is damaged", "key", key)
 			return
 		}
-		j := c.jobs[id]
-		if j != nil && j.accepted {
+		job := s.jobs[id]
+		if job != nil && job.accepted {
 			return
 		}
 		var changed chan struct{}
-		if j != nil {
-			changed = j.changed
-			c.dropJob(j)
+		if job != nil {
+			changed = job.changed
+			s.removeJob(job)
 		}
-		j = c.addJob(rec, false)
+		job = s.addJob(rec, false)
 		if changed != nil {
-			j.changed = changed
+			job.changed = changed
 		}
 		if rec.FinalState != "" {
-			j.stored = true
-			c.hooks.Final(id, j.finalRecord(c.own))
+			job.terminalStored = true
+			s.hooks.JobTerminal(id, job.finalRecord(s.currentFormat))
 		}
-		c.accept(id)
-		if j.stored {
-			c.pipes.over(id, j.FinalState)
+		s.markAccepted(id)
+		if job.terminalStored {
+			s.dependencies.onTerminal(id, job.FinalState)
 		}
-		c.settle(j)
+		s.archive(job)
 	}
 }
 
 // Cancel stores that a job is cancelled and waits until that is stored.
-func (c *Core) Cancel(ctx context.Context, id string) (peer.Response, bool) {
-	c.mu.Lock()
-	j := c.jobs[id]
-	if j == nil {
-		c.mu.Unlock()
+func (s *Scheduler) Cancel(ctx context.Context, id string) (peer.Response, bool) {
+	s.mu.Lock()
+	job := s.jobs[id]
+	if job == nil {
+		s.mu.Unlock()
 		return peer.Response{}, false
 	}
-	if !j.accepted {
-		c.mu.Unlock()
-		return later("the job is not accepted yet"), true
+	if !job.accepted {
+		s.mu.Unlock()
+		return retryLater("the job is not accepted yet"), true
 	}
-	if j.FinalState == "" {
-		c.finish(j, api.Cancelled)
-		for _, a := range j.live {
-			c.stopTask(a, tuning.CancelKill, "cancelled")
+	if job.FinalState == "" {
+		s.finish(job, api.Cancelled)
+		for _, alloc := range job.allocations {
+			s.stopTask(alloc, tuning.CancelKill, "cancelled")
 		}
 	}
-	stored, changed := j.stored, j.changed
-	c.mu.Unlock()
-	if !stored && !c.wait(ctx, changed, tuning.AcceptWait) {
-		return later("the record is not stored yet"), true
+	stored, changed := job.terminalStored, job.changed
+	s.mu.Unlock()
+	if !stored && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
+		return retryLater("the record is not stored yet"), true
 	}
-	c.mu.Lock()
-	if changed = j.changed; j.FinalState == api.Cancelled && j.startsUnderWay() {
+	s.mu.Lock()
+	if changed = job.changed; job.FinalState == api.Cancelled && job.hasUnsettledStarts() {
 		// Whoever is told now may see one of them begin: it is stopped then, but nothing should start after that
-		// answer. Most are answered within milliseconds.
-		c.mu.Unlock()
-		c.wait(ctx, changed, tuning.CancelStarts)
-		c.mu.Lock()
+		// jsonResponse. Most are answered within milliseconds.
+		s.mu.Unlock()
+		s.waitForChange(ctx, changed, tuning.CancelStarts)
+		s.mu.Lock()
 	}
-	c.mu.Unlock()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return answer(http.StatusOK, api.JobStatus{ID: id, State: j.FinalState, Done: j.done}), true
+	s.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return jsonResponse(http.StatusOK, api.JobStatus{ID: id, State: job.FinalState, Done: job.completedCount}), true
 }
--- a/controller/user_test.go
+++ b/controller/user_test.go
@@ -25,7 +25,7 @@
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
 // follower is a controller that has greeted its leader n0. The leader falls silent once
-// mute is set: connections stand, and nothing is answered.
+// inboundLost is set: connections stand, and nothing is answered.
 func follower(t *testing.T, ctx context.Context, mute *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 	set.Peers = []settings.Peer{{Member: "n0", Address: l.Addr().String()}}
 	st := fake.NewState(clock)
 	n := New(ctx, set, policy.Default(), clock, st)
-	n.types = testTypes
+	n.machineTypes = testTypes
 	n.peers.Run(ctx)
 	for !n.peers.Reachable("n0") {
 		// The greeting is on its way.
@@ -97,7 +97,7 @@
 func TestFormerLeaderIsPassedBy(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, _, st := follower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return later(notLeading) })
+	n, _, st := follower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return retryLater(notLeading) })
 	if a := n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(aJob)}, false); a.Status != 201 || st.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
@@ -141,7 +141,7 @@
 	s := newStage(t)
 	s.submit("run-000001", 1, nil)
 	n := New(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
-	n.core = s.Core
+	n.scheduler = s.Scheduler
 	ask := func() peer.Response {
 		return n.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-000001"}, false)
 	}
@@ -153,7 +153,7 @@
 	}
 	s.valid = false
 	s.state.Put(store.JobKey("run-000001"), store.JobRecord{Job: s.jobs["run-000001"].Job, FinalState: api.Cancelled})
-	if _, ok := s.Known("run-000001"); ok {
+	if _, ok := s.JobStatus("run-000001"); ok {
 		t.Error("memory answers without a term")
 	}
 	if a := ask(); a.Status != 200 || !strings.Contains(string(a.Body), api.Cancelled) {
@@ -201,13 +201,13 @@
 	s.report("a1", 1)
 	n := New(context.Background(), userSettings(), policy.Default(), s.clock, s.state)
 	s.valid = false
-	s.machines["a1"].returning = true
+	s.machines["a1"].releasing = true
 	before := s.state.Requests
-	n.giveBack(context.Background(), s.Core, []string{"a1"})
+	n.releaseMachines(context.Background(), s.Scheduler, []string{"a1"})
 	if s.state.Requests != before {
 		t.Error("the cloud was asked to take the machine back")
 	}
-	if m := s.machines["a1"]; m == nil || m.returning {
+	if machine := s.machines["a1"]; machine == nil || machine.releasing {
 		t.Error("the machine counts as returned")
 	}
 }
@@ -240,9 +240,9 @@
 			asked, release := make(chan struct{}), make(chan struct{})
 			n, _, _ := follower(t, ctx, new(atomic.Bool), func(_ context.Context, r peer.Request) peer.Response {
 				if r.Verb == VerbCancel {
-					return answer(200, api.JobStatus{ID: r.Job, State: api.Cancelled})
+					return jsonResponse(200, api.JobStatus{ID: r.Job, State: api.Cancelled})
 				}
-				a := answer(200, api.JobStatus{ID: r.Job, State: api.Running, Running: 1})
+				a := jsonResponse(200, api.JobStatus{ID: r.Job, State: api.Running, Running: 1})
 				close(asked)
 				<-release
 				return a
@@ -274,7 +274,7 @@
 	for _, answered := range []bool{true, false} {
 		s := newStage(t)
 		start := s.started("run-000001")
-		a := s.jobs["run-000001"].live[0]
+		alloc := s.jobs["run-000001"].allocations[0]
 		s.Cancel(gaveUp(), "run-000001")
 		s.commit()
 		// Nobody waits for these any more.
@@ -290,8 +290,8 @@
 			t.Fatal("confirmed while a start is under way")
 		}
 		if answered {
-			r := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: s.next("a1"), Term: s.term, Tasks: []api.TaskReport{task(a.key, a.attempt, api.TaskRunning, "")}}
-			s.Answered("a1", start.o, r, true)
+			r := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: s.next("a1"), Term: s.term, Tasks: []api.TaskReport{task(alloc.key, alloc.attempt, api.TaskRunning, "")}}
+			s.CommandsAnswered("a1", start.o, r, true)
 		} else {
 			s.clock.Advance(tuning.CancelStarts)
 		}
--- a/controller/version1_test.go
+++ b/controller/version1_test.go
@@ -37,11 +37,11 @@
 	}
 	for _, m := range []string{"a1", "a2", "b1"} {
 		var now []api.TaskReport
-		for key, a := range s.machines[m].assigns {
+		for key, alloc := range s.machines[m].allocations {
 			if strings.HasPrefix(key, "run-000003/") || key == "run-000001/0" {
-				now = append(now, task(key, a.attempt, api.TaskExited, api.CauseDone))
+				now = append(now, task(key, alloc.attempt, api.TaskExited, api.CauseDone))
 			} else {
-				now = append(now, task(key, a.attempt, api.TaskRunning, ""))
+				now = append(now, task(key, alloc.attempt, api.TaskRunning, ""))
 			}
 		}
 		s.report(m, 1, now...)
@@ -49,8 +49,8 @@
 	s.commit()
 	s.Cancel(gaveUp(), "run-000004")
 	s.commit()
-	s.imagesNew = true
-	s.keepImages(s.clock.Now().Add(time.Hour))
+	s.imagesChanged = true
+	s.storeImageHints(s.clock.Now().Add(time.Hour))
 	s.commit()
 	s.state.Put(store.InboxKey("run-000009"), store.InboxRecord{})
 	s.state.Put(store.InboxKey("run-000008"), store.InboxRecord{Cancel: true})
@@ -101,20 +101,20 @@
 	s.elect()
 	where := func() map[string]string {
 		m := map[string]string{}
-		for _, j := range s.jobs {
-			for _, a := range j.live {
-				m[a.key] = a.machine.Name
+		for _, job := range s.jobs {
+			for _, alloc := range job.allocations {
+				m[alloc.key] = alloc.machine.Name
 			}
 		}
 		return m
 	}
-	before, done := where(), s.jobs["run-000001"].done
+	before, done := where(), s.jobs["run-000001"].completedCount
 	if len(before) != 37 || done != 1 || len(s.jobs) != 3 {
 		t.Fatalf("%d tasks on machines, %d done, %d jobs", len(before), done, len(s.jobs))
 	}
 	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	s.elect()
-	s.OwnRecords()
+	s.UseCurrentFormat()
 	s.commit()
 	for _, key := range []string{"sf/t/run-000001/0", "sf/t/run-000001/1", "sf/t/run-000002/0"} {
 		if s.state.Get(key) != nil {
@@ -122,7 +122,7 @@
 		}
 	}
 	s.elect()
-	if got := where(); !maps.Equal(got, before) || s.jobs["run-000001"].done != done {
+	if got := where(); !maps.Equal(got, before) || s.jobs["run-000001"].completedCount != done {
 		t.Errorf("%d tasks on machines, want %d", len(got), len(before))
 	}
 }
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -178,7 +178,7 @@
 // playing is one run.
 type playing struct {
 	*Locality
-	core     *controller.Core
+	core     *controller.Scheduler
 	machines map[string]*machine
 	store    *storeServer
 
@@ -211,26 +211,26 @@
 		defer p.mu.Unlock()
 		p.stored = append(p.stored, after)
 	}
-	p.core = controller.NewCore(1, clockwork.NewRealClock(), set, policy.Default(), types, controller.Hooks{
-		Touch: func(_ string, _ int, after func()) { touch(after) },
-		Later: func(_ string, _ int, _ time.Duration, after func()) { touch(after) },
-		Send:  func(name, _ string, o api.HeartbeatResponse) { go p.send(name, o) },
-		Stage: func(name, _ string, o api.StageOrder) {
+	p.core = controller.NewScheduler(1, clockwork.NewRealClock(), set, policy.Default(), types, controller.Hooks{
+		MarkDirty:       func(_ string, _ int, after func()) { touch(after) },
+		MarkDirtyWithin: func(_ string, _ int, _ time.Duration, after func()) { touch(after) },
+		SendCommands:    func(name, _ string, o api.HeartbeatResponse) { go p.send(name, o) },
+		SendStageOrder: func(name, _ string, o api.StageOrder) {
 			if m := p.machines[name]; m != nil {
 				go m.order(p.core, o)
 			}
 		},
-		Valid: func() bool { return true },
-		Delay: func() time.Duration { return 0 },
-		Cut:   func(string) bool { return false },
-		Final: func(string, store.FinalRecord) {},
-		Ended: func(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false },
+		Leading:         func() bool { return true },
+		CommitDelay:     func() time.Duration { return 0 },
+		ZoneUnreachable: func(string) bool { return false },
+		JobTerminal:     func(string, store.FinalRecord) {},
+		TerminalState:   func(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false },
 	})
 	p.core.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
 		PerLink: tuning.StagePerLink, AtStore: max(tuning.StageAtStore, l.Machines/2), Ahead: tuning.StageAhead})
 	p.core.Load(nil, nil)
 	for _, s := range p.store.sets {
-		p.core.Learn(&dataset.Entry{Summary: *s})
+		p.core.AddDatasets(&dataset.Entry{Summary: *s})
 	}
 	for i := range l.Machines {
 		m, err := p.machine(ctx, dir, i)
@@ -273,7 +273,7 @@
 	for left := len(jobs); left > 0; {
 		left = 0
 		for i := range jobs {
-			if st, _ := p.core.Known(fmt.Sprintf("run-%06d", i)); st.State == api.Pending || st.State == api.Running {
+			if st, _ := p.core.JobStatus(fmt.Sprintf("run-%06d", i)); st.State == api.Pending || st.State == api.Running {
 				left++
 			}
 		}
@@ -325,7 +325,7 @@
 	m := p.machines[name]
 	m.do(p, o)
 	r := m.report()
-	p.core.Answered(name, o, r, true)
+	p.core.CommandsAnswered(name, o, r, true)
 }
 
 // machine is a simulated worker with a real agent beside it.
@@ -364,10 +364,10 @@
 // live reports for worker and agent until the context ends.
 func (m *machine) live(ctx context.Context, p *playing) {
 	for ctx.Err() == nil {
-		o, _, _ := p.core.Report(m.report(), "")
+		o, _, _ := p.core.HandleHeartbeat(m.report(), "")
 		m.do(p, o)
 		r := m.agent.Next()
-		if so, _, refused := p.core.Staging(&r); !refused {
+		if so, _, refused := p.core.HandleStageHeartbeat(&r); !refused {
 			_, _ = m.agent.Apply(&so)
 		}
 		select {
@@ -378,10 +378,10 @@
 	}
 }
 
-func (m *machine) order(core *controller.Core, o api.StageOrder) {
+func (m *machine) order(core *controller.Scheduler, o api.StageOrder) {
 	_, _ = m.agent.Apply(&o)
 	r := m.agent.Next()
-	core.Staging(&r)
+	core.HandleStageHeartbeat(&r)
 }
 
 func (m *machine) report() *api.Heartbeat {
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -490,15 +490,15 @@
 	for _, c := range []float64{8, 16, 32} {
 		types = append(types, api.MachineType{Name: fmt.Sprintf("m%g", c), CPUs: c, MemoryGB: 1000, CacheGB: 100, PullGBs: 1, BootS: 30, Zones: []string{"z"}})
 	}
-	p.core = controller.NewCore(1, w.clock, set, policy.Default(), types, controller.Hooks{
-		Touch: func(_ string, _ int, after func()) { p.stored = append(p.stored, after) },
-		Later: func(_ string, _ int, _ time.Duration, after func()) { p.stored = append(p.stored, after) },
-		Send:  func(name, _ string, o api.HeartbeatResponse) { p.sent = append(p.sent, order{name, o}) },
-		Valid: func() bool { return true },
-		Delay: func() time.Duration { return 0 },
-		Cut:   func(string) bool { return false },
-		Final: func(string, store.FinalRecord) {},
-		Ended: func(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false },
+	p.core = controller.NewScheduler(1, w.clock, set, policy.Default(), types, controller.Hooks{
+		MarkDirty:       func(_ string, _ int, after func()) { p.stored = append(p.stored, after) },
+		MarkDirtyWithin: func(_ string, _ int, _ time.Duration, after func()) { p.stored = append(p.stored, after) },
+		SendCommands:    func(name, _ string, o api.HeartbeatResponse) { p.sent = append(p.sent, order{name, o}) },
+		Leading:         func() bool { return true },
+		CommitDelay:     func() time.Duration { return 0 },
+		ZoneUnreachable: func(string) bool { return false },
+		JobTerminal:     func(string, store.FinalRecord) {},
+		TerminalState:   func(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false },
 	})
 	if name == "topology" {
 		m, err := w.declared()
@@ -520,7 +520,7 @@
 // corePlacer is the leader's Core, whose records are stored at once.
 type corePlacer struct {
 	w      *rackWorld
-	core   *controller.Core
+	core   *controller.Scheduler
 	stored []func()
 	sent   []order
 	view   api.TopologyView
@@ -577,7 +577,7 @@
 		r.Tasks = append(r.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int { return cmp.Compare(a.Task, b.Task) })
-	o, _, refused := p.core.Report(&r, "")
+	o, _, refused := p.core.HandleHeartbeat(&r, "")
 	if refused {
 		m.dead = true
 		return
@@ -597,11 +597,11 @@
 		}
 	}
 	p.sent = nil
-	if gone := p.core.Tend(); len(gone) > 0 {
+	if gone := p.core.MaintainFleet(); len(gone) > 0 {
 		for _, name := range gone {
 			p.w.replace(name)
 		}
-		p.core.Returned(gone, nil)
+		p.core.InstancesReleased(gone, nil)
 		p.store()
 	}
 	p.view = p.core.Topology()
