--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -18,7 +18,7 @@
 	"switchferry/tuning"
 )
 
-// liveConfiguration is a configuration of one team.
+// configured is a configuration of one team.
 func configured(t *testing.T, text string) *configuration.Active {
 	t.Helper()
 	d, err := configuration.Parse(text)
--- a/controller/core_test.go
+++ b/controller/core_test.go
@@ -22,7 +22,7 @@
 	"switchferry/tuning"
 )
 
-// planStaging is a leader on a fake clock with a scripted state service; the test
+// stage is a leader on a fake clock with a scripted state service; the test
 // plays the workers and the cloud.
 type stage struct {
 	*testing.T
@@ -135,13 +135,13 @@
 	}
 }
 
-// nextTask is a machine's next tally.
+// next is a machine's next tally.
 func (s *stage) next(name string) uint64 {
 	s.seq[name]++
 	return s.seq[name]
 }
 
-// handleHeartbeat plays a worker that has seen the current term.
+// report plays a worker that has seen the current term.
 func (s *stage) report(name string, session uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
 	return s.reportAt(name, session, s.next(name), s.term, tasks...)
 }
@@ -184,7 +184,7 @@
 	return false
 }
 
-// termStarted places a job of one task on a lone machine and returns its start.
+// started places a job of one task on a lone machine and returns its start.
 func (s *stage) started(id string) sentOrders {
 	s.Helper()
 	s.report("a1", 1)
@@ -385,14 +385,14 @@
 	}
 }
 
-// followHeartbeatRelay plays reports that a sibling passes on through the state service.
+// relayed plays reports that a sibling passes on through the state service.
 func (s *stage) relayed(member string, names ...string) {
 	for _, n := range names {
 		s.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: s.next(n), Term: s.term})
 	}
 }
 
-// runRelayed is what stands in the state service for a machine behind a sibling.
+// mailed is what stands in the state service for a machine behind a sibling.
 func (s *stage) mailed(member, name string) (m store.RelayedCommands) {
 	s.Helper()
 	var r relay.Reader
@@ -603,7 +603,7 @@
 	}
 }
 
-// Machines of a rental whose answer was lost turn up and are used.
+// TestUnexpectedMachineIsUsed of a rental whose answer was lost turn up and are used.
 func TestUnexpectedMachineIsUsed(t *testing.T) {
 	s := newStage(t)
 	s.submit("run-000001", 1, nil)
@@ -672,7 +672,7 @@
 	}
 }
 
-// Spread: at most half of the replicas, rounded up, in one zone, also while
+// TestSpread: at most half of the replicas, rounded up, in one zone, also while
 // one zone has no machine.
 func TestSpread(t *testing.T) {
 	s := newStage(t)
@@ -801,7 +801,7 @@
 	}
 }
 
-// Machines that are gone are replaced at once, also while the state service is
+// TestRentsInOutage that are gone are replaced at once, also while the state service is
 // out: they take long to boot.
 func TestRentsInOutage(t *testing.T) {
 	s := newStage(t)
--- a/controller/data_test.go
+++ b/controller/data_test.go
@@ -45,7 +45,7 @@
 	return s
 }
 
-// localityAware switches datasets on in the present term.
+// on switches datasets on in the present term.
 func (s *dataStage) on() {
 	s.UseData(features.Data{On: true, Placement: s.place, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
 	s.hooks.SendStageOrder = func(name, _ string, o api.StageOrder) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// machineNamed brings up a machine and its agent, which holds some parts.
+// up brings up a machine and its agent, which holds some parts.
 func (s *dataStage) up(name string, parts ...uint32) *played {
 	s.report(name, 1)
 	p := &played{name: name, has: roaring.BitmapOf(parts...)}
--- a/controller/dataremove.go
+++ b/controller/dataset_removal.go
@@ -1,16 +1,10 @@
 package controller
 
 import (
-	"context"
-	"errors"
 	"log/slog"
-	"net/http"
 
-	"switchferry/api"
 	"switchferry/dataset"
-	"switchferry/peer"
 	"switchferry/store"
-	"switchferry/tuning"
 )
 
 // A dataset is removed in two steps, each a change of its record. First it is no longer
@@ -84,6 +78,13 @@
 	return n
 }
 
+// JobsUsing counts the jobs that need a dataset.
+func (s *Scheduler) JobsUsing(name string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.jobsUsing(name)
+}
+
 // finishRemovals records datasets as removed that nothing needs any more. A job whose
 // acceptance is not certain counts: it may stand on record.
 func (s *Scheduler) finishRemovals() {
@@ -123,61 +124,3 @@
 	s.datasets.removing[name] = rec.State
 	return rec, true, more
 }
-
-// RemovalView is how far a dataset's removal is. Jobs still need it; -1: this controller
-// cannot tell.
-type RemovalView struct {
-	Name  string `json:"name"`
-	State string `json:"state"`
-	Jobs  int    `json:"jobs"`
-}
-
-// removeDataset takes a dataset off the list: any controller can, since nothing but its
-// record decides. Asking again tells how far it is.
-func (c *Controller) removeDataset(ctx context.Context, name string) peer.Response {
-	if !dataset.ValidName(name) {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
-	}
-	for range tuning.RemoveTries {
-		it, err := c.client.Get(ctx, store.DatasetKey(name))
-		if errors.Is(err, store.ErrNotFound) {
-			return jsonResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
-		}
-		if err != nil {
-			break
-		}
-		x, err := parseDataset(&it)
-		if err != nil {
-			return jsonResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
-		}
-		if x.State == dataset.Listed {
-			next := *x
-			next.State = dataset.Removing
-			epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}}, []store.Operation{{Set: it.Key, Value: next}})
-			if errors.Is(err, store.ErrConflict) {
-				continue
-			}
-			if err != nil {
-				break
-			}
-			slog.Info("dataset no longer listed", "dataset", name)
-			next.Stamp = epoch
-			x = &next
-		}
-		c.cacheDataset(x)
-		v := RemovalView{Name: name, State: x.State, Jobs: -1}
-		if sched := c.leadingScheduler(); sched != nil {
-			sched.AddDatasets(x)
-			v.Jobs = sched.JobsUsing(name)
-		}
-		return jsonResponse(http.StatusOK, v)
-	}
-	return retryLater("the state service is out of reach")
-}
-
-// JobsUsing counts the jobs that need a dataset.
-func (s *Scheduler) JobsUsing(name string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.jobsUsing(name)
-}
--- a/controller/pipes.go
+++ b/controller/dependencies.go
@@ -29,7 +29,7 @@
 	return &dependencies{core: sched, graph: dag.New(), missing: map[string]bool{}, ask: make(chan struct{}, 1)}
 }
 
-// exited is the final state of a job that is on record; known: the job is. A final state that is
+// terminalState is the final state of a job that is on record; known: the job is. A final state that is
 // only decided does not count.
 func (p *dependencies) terminalState(id string) (state string, known bool) {
 	if job := p.core.jobs[id]; job != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// releaseAllocation lets a job start. Sought: what it awaited was looked up, so it may have been over long ago,
+// release lets a job start. Sought: what it awaited was looked up, so it may have been over long ago,
 // under an earlier leader, and the job may have waited since.
 func (p *dependencies) release(id string, sought bool) {
 	job := p.core.jobs[id]
@@ -147,16 +147,6 @@
 	sched.terminalStored(job)
 }
 
-// unansweredRuns makes all tasks of a job wait for machines that are neither done nor on one.
-func (j *jobState) makeEligible() {
-	j.pending = j.pending[:0]
-	for t := range j.taskCount {
-		if !j.completed.Has(t) && j.allocations[t] == nil {
-			j.pending = append(j.pending, int32(t))
-		}
-	}
-}
-
 // inheritUrgency brings down to each job the rank and the due times of those behind it. A rank is
 // not raised to that of production, which no pipeline may starve. Cpus are those of the fleet
 // that is up.
@@ -236,6 +226,16 @@
 	return why
 }
 
+// makeEligible makes all tasks of a job wait for machines that are neither done nor on one.
+func (j *jobState) makeEligible() {
+	j.pending = j.pending[:0]
+	for t := range j.taskCount {
+		if !j.completed.Has(t) && j.allocations[t] == nil {
+			j.pending = append(j.pending, int32(t))
+		}
+	}
+}
+
 // UnresolvedDependencies are jobs that others await and this leader does not know.
 func (s *Scheduler) UnresolvedDependencies() (ids []string) {
 	s.mu.Lock()
--- a/controller/places.go
+++ b/controller/explain.go
@@ -2,69 +2,13 @@
 
 import (
 	"cmp"
-	"context"
 	"fmt"
-	"net/http"
 	"slices"
 
 	"switchferry/api"
-	"switchferry/peer"
 	"switchferry/reachability"
-	"switchferry/tuning"
 )
 
-// Verbs of requests about where machines and jobs stand.
-const (
-	// VerbTopology shows the tree of domains; it is served only with a topology.
-	VerbTopology = "topology"
-	// VerbExplain tells why a job waits, or where it stands; Request.Job names it.
-	VerbExplain = "explain"
-)
-
-// TopologyOn tells whether a topology is on.
-func (c *Controller) TopologyOn() bool { return c.topology != nil }
-
-// handleTopology serves requests about where things stand: the leader knows.
-func (c *Controller) handleTopology(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if c.topology == nil && r.Verb == VerbTopology {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
-	}
-	sched := c.leadingScheduler()
-	if sched == nil {
-		return c.forwardToLeader(ctx, r, forwarded)
-	}
-	if r.Verb == VerbTopology {
-		return jsonResponse(http.StatusOK, sched.Topology())
-	}
-	if x, ok := sched.Explain(r.Job); ok {
-		x.Why = append(x.Why, c.leaseRenewalProblems()...)
-		return jsonResponse(http.StatusOK, x)
-	}
-	// Over, or not known: its record tells.
-	st, found, err := c.lookUp(ctx, sched, r.Job, true)
-	switch {
-	case err != nil:
-		return retryLater("the state service is out of reach")
-	case !found:
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such job"})
-	}
-	return jsonResponse(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
-}
-
-// forwardToLeader asks the leader.
-func (c *Controller) forwardToLeader(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	leader, _ := c.elector.Leader()
-	leader, _, there := newestLeader(leader, 0, c.peers.LivePeers())
-	if forwarded || !there {
-		return retryLater("no leader answers")
-	}
-	a, err := c.peers.Ask(ctx, leader, r, tuning.PeerTimeout)
-	if err != nil {
-		return retryLater("the leader does not answer")
-	}
-	return a
-}
-
 // Topology is the tree, domains in the order of the file.
 func (s *Scheduler) Topology() api.TopologyView {
 	s.mu.Lock()
--- a/controller/silence.go
+++ b/controller/failure_detection.go
@@ -38,13 +38,6 @@
 	return slices.ContainsFunc(siblings, func(h peer.Hello) bool { return h.ReceivesHeartbeats && h.StateOK })
 }
 
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
 // expectedToReport tells whether a machine should report by now: it certainly did in this term, or it is
 // recorded to have tasks, or the cloud lists it as up.
 func (m *machineState) expectedToReport() bool {
--- /dev/null
+++ b/controller/live_configuration.go
@@ -0,0 +1,50 @@
+package controller
+
+import (
+	"slices"
+
+	"switchferry/api"
+	"switchferry/configuration"
+	"switchferry/feasibility"
+)
+
+// ApplyConfiguration has decisions go by this from now on. The result counts the starts and accepts of before that are not on
+// record yet.
+func (s *Scheduler) ApplyConfiguration(active *configuration.Active) (undecided func() int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.configuration, s.liveConfiguration = active, true
+	if s.datasets != nil && active.AheadTasks != nil {
+		s.datasets.settings.Ahead = *active.AheadTasks
+	}
+	if active.Topology != nil {
+		replaceTopology(s, active.Topology)
+	}
+	var starts []*allocation
+	var accepts []*jobState
+	for _, job := range s.jobOrder {
+		if !job.accepted {
+			accepts = append(accepts, job)
+		}
+		for _, alloc := range job.allocations {
+			if !alloc.committed {
+				starts = append(starts, alloc)
+			}
+		}
+	}
+	s.wakePlacer()
+	return func() int {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		starts = slices.DeleteFunc(starts, func(alloc *allocation) bool { return alloc.committed || alloc.job.allocations[alloc.task] != alloc })
+		accepts = slices.DeleteFunc(accepts, func(job *jobState) bool { return job.accepted || s.jobs[job.id] != job })
+		return len(starts) + len(accepts)
+	}
+}
+
+// admits tells whether a job may be accepted under a configuration: its team is there, and its limit has room for the
+// least that the job needs at once.
+func admits(active *configuration.Active, submission *api.Submission) bool {
+	limit, ok := active.Limit(submission.Team)
+	return ok && limit.Allows(feasibility.ConcurrentRequest(submission))
+}
--- a/controller/members.go
+++ b/controller/membership.go
@@ -11,9 +11,6 @@
 	"switchferry/tuning"
 )
 
-// VerbMembers shows how this controller sees all members, served only with membership on.
-const VerbMembers = "members"
-
 // newMembershipWatcher lets this node keep a table of members; it is called before Run.
 func (c *Controller) newMembershipWatcher() {
 	var others []string
--- /dev/null
+++ b/controller/ordering.go
@@ -0,0 +1,156 @@
+package controller
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"strings"
+
+	"switchferry/ageing"
+	"switchferry/api"
+	"switchferry/fleet"
+	"switchferry/policy"
+	"switchferry/tuning"
+)
+
+// compareJobs is the order of the queues: production, then jobs whose turn has come by their age, then
+// rank, then jobs that came within their team's
+// guarantee, then the jobs that can still be in time by their latest start, then
+// arrival.
+func compareJobs(a, b *jobState) int {
+	return cmp.Or(
+		cmp.Compare(b.precedence(), a.precedence()),
+		cmp.Compare(b.rank, a.rank),
+		cmp.Compare(b.guaranteeRank(), a.guaranteeRank()),
+		cmp.Compare(a.latestStart, b.latestStart),
+		cmp.Compare(a.eligibleAt, b.eligibleAt),
+		strings.Compare(a.id, b.id))
+}
+
+// precedence is 2 for production, 1 for a job whose turn has come by its age, else 0.
+func (j *jobState) precedence() int {
+	switch {
+	case j.rank == api.RankProduction:
+		return 2
+	case j.starved:
+		return 1
+	}
+	return 0
+}
+
+// guaranteeRank is 1 for a job that came within its team's guarantee, and lies in it: it need not
+// waitForChange. One that comes within it as earlier ones end does not count: under a backlog these are
+// the jobs that have waited longest, so the queues went by arrival, whatever the deadlines
+// (docs/incidents/fleet-guarantee-by-arrival.md).
+func (j *jobState) guaranteeRank() int {
+	if j.guaranteed && j.overQuota == 0 {
+		return 1
+	}
+	return 0
+}
+
+// sortQueues brings jobs and queues into order as of now.
+func (s *Scheduler) sortQueues() {
+	s.markGuaranteed()
+	now := s.now().UnixMilli()
+	fleet := 0.0
+	for _, machine := range s.machines {
+		if machine.Up && machine.Spec != nil {
+			fleet += machine.Spec.CPUs
+		}
+	}
+	waiting := 0.0
+	s.dependencies.inheritUrgency(fleet)
+	for _, job := range s.jobOrder {
+		if job.FinalState == "" && len(job.pending)+job.queued > 0 {
+			waiting++
+		}
+	}
+	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*waiting)
+	by := seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
+	for _, job := range s.jobOrder {
+		job.starved = len(job.pending)+job.queued > 0 && job.rank != api.RankProduction && ageing.Due(s.now(), job.waitingSince, job.lastStart, by) && s.startableNow(job)
+		job.latestStart = s.latestStart(job, now)
+		if job.latestStart < math.MaxInt64 && fleet > 0 {
+			// Of two jobs that are as urgent, the one that takes less of the
+			// fleet goes first: when not all can be in time, more are.
+			work := float64(job.taskCount-job.completedCount) * estimate(job) * job.request.CPUs / fleet
+			job.latestStart += int64(weight * math.Min(work, tuning.WorkMost) * 1000)
+		}
+	}
+	slices.SortFunc(s.jobOrder, compareJobs)
+	for _, machine := range s.machines {
+		slices.SortFunc(machine.queues, func(a, b *runQueue) int { return compareJobs(a.job, b.job) })
+	}
+}
+
+// markGuaranteed tells the jobs that fit into their team's guarantee together
+// with the team's earlier unfinished ones: these need not wait for other teams.
+func (s *Scheduler) markGuaranteed() {
+	slices.SortFunc(s.jobOrder, func(a, b *jobState) int { return cmp.Compare(a.eligibleAt, b.eligibleAt) })
+	sum := map[string]fleet.Resources{}
+	for _, job := range s.jobOrder {
+		if job.FinalState != "" || job.waitsForDependencies {
+			continue
+		}
+		n := float64(job.taskCount - job.completedCount)
+		u := sum[job.Job.Team].Add(fleet.Resources{CPUs: n * job.request.CPUs, Cards: n * job.request.Cards})
+		sum[job.Job.Team] = u
+		t, _ := s.configuration.Team(job.Job.Team)
+		job.overQuota = 1
+		if t.CPUs > 0 && u.CPUs <= t.CPUs+tuning.RoomSlack && u.Cards <= t.Cards+tuning.RoomSlack {
+			job.overQuota = 0
+		}
+		if !job.guaranteeChecked {
+			job.guaranteeChecked, job.guaranteed = true, job.overQuota == 0
+		}
+	}
+}
+
+// latestStart is when the rest of a job must start to be in time, in ms. A job
+// that can no longer be in time yields to those that can.
+func (s *Scheduler) latestStart(job *jobState, now int64) int64 {
+	run := int64(estimate(job) * 1000)
+	dues := job.inherited.DuesMS
+	if dues == nil {
+		dues = s.deadlines(job)
+	}
+	for _, due := range dues {
+		if t := due - run; t >= now {
+			return t
+		}
+	}
+	return math.MaxInt64
+}
+
+// deadlines are the times by which a job should be complete, in ms, sooner first: its own
+// deadline, and the multiples of it that its class has aims for, or, without a deadline, the
+// objectives of its class. A job that missed the first one still has the next to meet. A deadline
+// counts from the submission, aims from when the job could start.
+func (s *Scheduler) deadlines(job *jobState) (out []int64) {
+	if job.Job.DeadlineS <= 0 {
+		for _, within := range s.objectives[job.Job.Class] {
+			out = append(out, job.eligibleAt+int64(within*1000))
+		}
+		return out
+	}
+	out = append(out, job.At+int64(job.Job.DeadlineS*1000))
+	for _, times := range s.deadlineMultiples[job.Job.Class] {
+		out = append(out, job.At+int64(times*job.Job.DeadlineS*1000))
+	}
+	return out
+}
+
+// lowestRank is the least rank of those of the jobs that are on machines.
+func lowestRank(jobs []*jobState) int {
+	lowest := api.RankProduction
+	for _, job := range jobs {
+		if len(job.allocations) > 0 {
+			lowest = min(lowest, job.rank)
+		}
+	}
+	return lowest
+}
+
+// estimate is how long a task of the job runs, in seconds.
+func estimate(job *jobState) float64 { return math.Max(tuning.MinRun, job.Job.EstimateS) }
--- a/controller/pipes_test.go
+++ b/controller/pipes_test.go
@@ -382,7 +382,7 @@
 	running []api.TaskReport
 }
 
-// loseTask tells from what users were told whether a job must be withdrawn.
+// lost tells from what users were told whether a job must be withdrawn.
 func (p *gamble) lost(id string) bool {
 	return p.cancelled[id] || slices.ContainsFunc(p.needs[id], p.lost)
 }
--- /dev/null
+++ b/controller/placement_topology.go
@@ -0,0 +1,166 @@
+package controller
+
+import (
+	"log/slog"
+	"time"
+
+	"switchferry/api"
+	"switchferry/topology"
+	"switchferry/tuning"
+)
+
+// topologyView is what the leader knows of where machines stand.
+type topologyView struct {
+	tree *topology.Tree
+	// unlisted and ambiguous are how many machines were last complained about.
+	unlisted, ambiguous int
+	search              topology.Search
+	reservations        topology.Reservations
+}
+
+// UseTopology switches near and survive on, before anything is loaded.
+func (s *Scheduler) UseTopology(m *topology.Map) {
+	s.topology = &topologyView{tree: topology.NewTree(m)}
+}
+
+// ReplaceTopology goes over to another version of the topology. What runs stays where it is and
+// counts where it stands now; only what is placed from here on goes by the new one.
+func (s *Scheduler) ReplaceTopology(m *topology.Map) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replaceTopology(s, m)
+}
+
+// replaceTopology is ReplaceTopology with the lock held; it does nothing without a topology, or with the one that is used.
+func replaceTopology(sched *Scheduler, m *topology.Map) {
+	if sched.topology == nil || sched.topology.tree.Map() == m {
+		return
+	}
+	sched.topology.tree = sched.topology.tree.Rebased(m)
+	sched.topology.unlisted, sched.topology.ambiguous = 0, 0
+	for _, job := range sched.jobs {
+		if job.site != nil {
+			job.site = job.site.Rebased(sched.topology.tree)
+		}
+	}
+	slog.Info("topology changed", "version", m.Version())
+	sched.wakePlacer()
+}
+
+// initSite gives a job that asks where its tasks stand the count of where they do.
+func (s *Scheduler) initSite(job *jobState) {
+	if s.topology == nil {
+		return
+	}
+	job.site = s.topology.tree.NewSite(job.Job.Near, job.Job.Survive)
+}
+
+// updateFreeResources keeps the summed room of domains.
+func (s *Scheduler) updateFreeResources(machine *machineState) {
+	if s.topology != nil && machine.Spec != nil {
+		s.topology.tree.Set(machine.Name, machine.free(), s.schedulable(machine))
+	}
+}
+
+func (s *Scheduler) removeFromTopology(name string) {
+	if s.topology != nil {
+		s.topology.tree.Remove(name)
+	}
+}
+
+// refreshTopology takes in which machines may get work now: that ends by time as well, with no
+// event of their own.
+func (s *Scheduler) refreshTopology() {
+	if s.topology == nil {
+		return
+	}
+	w := s.topology
+	for _, machine := range s.machines {
+		s.updateFreeResources(machine)
+	}
+	for _, job := range s.jobOrder {
+		if job.Job.Near != nil && job.queued > 0 && len(job.allocations) == 0 {
+			// Where it goes is chosen anew: a domain may have filled up since.
+			s.reclaimQueued(job)
+		}
+	}
+	// Else each start would be weighed against reservations that nobody asks for any more.
+	w.reservations.Expire(s.now())
+	if l, a := w.tree.Unlisted(), w.tree.Ambiguous(); l > w.unlisted || a > w.ambiguous {
+		w.unlisted, w.ambiguous = l, a
+		slog.Warn("machines that the topology does not name stand alone; of those that two domains name the first counts", "not_named", l, "named_twice", a)
+	}
+}
+
+// chooseDomain chooses where a job's waiting tasks go, and tells whether they go anywhere now.
+func (s *Scheduler) chooseDomain(job *jobState) bool {
+	if job.site == nil {
+		return true
+	}
+	may := func(name string) bool {
+		machine := s.machines[name]
+		return machine != nil && s.eligible(job, machine) && s.mayStage(job, machine)
+	}
+	ok := job.site.ChooseDomain(job.request, len(job.pending), job.Job.Shape != api.JobArray, may)
+	why := job.site.Reason()
+	if !ok && job.Job.Shape != api.JobArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
+		// Arrays stop others one task at a time, like all arrays.
+		job.nextDomainSearch = s.now().Add(tuning.AimAgain)
+		ok = job.site.ChooseDomainByPreemption(job.request, len(job.pending), may, func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) })
+	}
+	if !ok && job.Job.Shape != api.JobArray {
+		if kept := s.reserveDomain(job, may); kept != "" {
+			why = kept
+		}
+	}
+	if why != job.waitReason {
+		job.waitReason = why
+		if why != "" {
+			slog.Info("job waits for a place", "job", job.id, "why", why)
+		}
+	}
+	return ok
+}
+
+// strandedCPUs are the CPUs of tasks that must stand where no machine with room does, of each job
+// those of as many tasks as could stand on a machine more.
+func (s *Scheduler) strandedCPUs() (cpus float64) {
+	for _, job := range s.jobOrder {
+		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
+			continue
+		}
+		bound := false
+		room := false
+		for _, machine := range s.machines {
+			if !s.eligible(job, machine) || !machine.free().Fits(job.request) {
+				continue
+			}
+			if satisfiesSpread(job, machine) && job.waitReason == "" {
+				room = true
+				break
+			}
+			bound = true
+		}
+		if bound && !room {
+			n := len(job.pending)
+			if x := job.Job.Survive; x != nil && x.Must {
+				n = min(n, x.AtMost)
+			}
+			cpus += float64(n) * job.request.CPUs
+		}
+	}
+	return cpus
+}
+
+// topologySearchCPUs is what the fleet should have at least for tasks without a place, in CPUs.
+func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
+	if s.topology == nil {
+		return 0
+	}
+	boot := 0.0
+	for _, t := range s.machineTypes {
+		boot = max(boot, t.BootS)
+	}
+	supply, _ := s.supply()
+	return s.topology.search.TargetCPUs(now, s.strandedCPUs(), supply, seconds(boot))
+}
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// resendCommands repeats a worker's last report.
+// again repeats a worker's last report.
 func (s *stage) again(name string) {
 	var tasks []api.TaskReport
 	for _, t := range s.machines[name].Tasks {
--- a/controller/mistake.go
+++ b/controller/task_failures.go
@@ -82,19 +82,7 @@
 	}
 }
 
-// reclaimQueuedTasks takes what a job has queued on machines back.
-func (s *Scheduler) reclaimQueuedTasks(job *jobState) {
-	for _, machine := range s.machines {
-		for _, queue := range machine.queues {
-			if queue.job == job {
-				queue.returnTasks()
-			}
-		}
-		machine.dropEmptyQueues()
-	}
-}
-
-// unansweredRuns is how many of a job's tasks may be given to machines now.
+// placeableTasks is how many of a job's tasks may be given to machines now.
 func (s *Scheduler) placeableTasks(job *jobState) int {
 	if s.failsEverywhere(job) {
 		return max(0, 1-len(job.allocations)-job.queued)
--- a/controller/topology_test.go
+++ b/controller/topology_test.go
@@ -71,7 +71,7 @@
 	return tasks
 }
 
-// startedByAgeing lets every machine report that is not silent, a round be placed, and it be stored.
+// turn lets every machine report that is not silent, a round be placed, and it be stored.
 func (y *yard) turn() {
 	for _, name := range y.names {
 		if y.quiet[name] > 0 {
--- a/failuredetector/evidence_test.go
+++ b/failuredetector/evidence_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// Machines on record that nobody heard and the cloud does not list have no zone, and are none
+// TestMachinesOfNoZoneAreNoZone on record that nobody heard and the cloud does not list have no zone, and are none
 // together: after a wave and a change of leader they were left for minutes, as a silent zone.
 func TestMachinesOfNoZoneAreNoZone(t *testing.T) {
 	w := newWorld()
--- a/lookup/turns.go
+++ b/lookup/turns.go
@@ -13,7 +13,7 @@
 	"switchferry/tuning"
 )
 
-// Queue shares the reads that questions may take among those who ask: the job about which no question was
+// FairQueue shares the reads that questions may take among those who ask: the job about which no question was
 // answered for the longest comes first. Whoever comes first took what there was before, so that with more
 // questions than reads, about jobs that nobody knows or that were over long ago, it hung on chance
 // whether one about a running job was ever answered. It is safe for use from several goroutines at once.
--- a/lookup/turns_test.go
+++ b/lookup/turns_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Get 1,000 jobs asked about every 5 s, a few reads a second can answer but some: with the first to come
+// TestNobodyIsShutOutByAFlood 1,000 jobs asked about every 5 s, a few reads a second can answer but some: with the first to come
 // served first, it hung on chance when one was, and some were not for minutes. The one that has waited
 // longest comes first, so that each is answered in the time that all take; and the limit is kept.
 func TestNobodyIsShutOutByAFlood(t *testing.T) {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -101,7 +101,7 @@
 	b.held = held
 }
 
-// Usage is the team's reservation.
+// Reservation is the team's reservation.
 func (b *Ledger) Reservation(team string) (Reservation, bool) {
 	r, ok := b.held[team]
 	return r, ok
--- a/reachability/contact.go
+++ b/reachability/contact.go
@@ -50,7 +50,7 @@
 	return [...]string{"unproved", "reached", "half-deaf suspected", "half-deaf"}[s]
 }
 
-// Observe is what matters of a report.
+// Heartbeat is what matters of a report.
 type Heartbeat struct {
 	Incarnation, Seq uint64
 	// HighestTerm is the highest term that the worker has seen, Term that of the leader who judges it.
--- a/replicas/holdings.go
+++ b/replicas/holdings.go
@@ -16,7 +16,7 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// ID is a machine's number, given by Index.ID. Numbers are small, and are used
+// MachineID is a machine's number, given by Index.ID. Numbers are small, and are used
 // again after a machine is dropped.
 type MachineID uint32
 
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -51,7 +51,7 @@
 	return vain, last
 }
 
-// Spread out, users who were refused come back as they can be taken: few tries are in vain, and
+// TestRetriesAreSpread out, users who were refused come back as they can be taken: few tries are in vain, and
 // all are taken about as soon.
 func TestRetriesAreSpread(t *testing.T) {
 	for _, users := range []int{50, 500, 2000} {
--- a/topology/seek.go
+++ b/topology/seek.go
@@ -20,7 +20,7 @@
 	pause time.Duration
 }
 
-// Constraint is what the fleet should have at least, in CPUs: 0 without a try. Stranded are the CPUs of
+// TargetCPUs is what the fleet should have at least, in CPUs: 0 without a try. Stranded are the CPUs of
 // tasks that wait for a place, supply what the fleet has, with machines that boot; boot is how
 // long that takes at the most.
 func (s *Search) TargetCPUs(now time.Time, stranded, supply float64, boot time.Duration) float64 {
--- a/topology/seek_test.go
+++ b/topology/seek_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Machines that were rented in vain must not be followed by more at once, nor forever: a
+// TestSeekGivesUpAndTriesAgainLater that were rented in vain must not be followed by more at once, nor forever: a
 // service that wants a third rack where there are two would rent the cloud empty.
 func TestSeekGivesUpAndTriesAgainLater(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// Closest takes the innermost domain that holds all, the fullest of them; where none does it
+// TestCloseAgainstTryingAll takes the innermost domain that holds all, the fullest of them; where none does it
 // says which comes nearest and by how many tasks it misses. Checked against trying all.
 func TestCloseAgainstTryingAll(t *testing.T) {
 	for seed := range uint64(400) {
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -19,7 +19,7 @@
 // MarkPrefix holds one key a member: the version of data that its processes write at least.
 const MarkPrefix = "sf/version/"
 
-// RecordOwn is its value. A process writes it before it does anything that an older one would
+// VersionMark is its value. A process writes it before it does anything that an older one would
 // misread. A platform that replaced a member's program starts no older one of it again, so
 // the mark holds for good.
 type VersionMark struct {
