--- a/controller/admission.go
+++ b/controller/admission.go
@@ -35,11 +35,11 @@
 	submission, id, err := api.ParseSubmission(body)
 	if id != "" {
 		if f, ok := c.terminalState(id); ok {
-			return jsonResponse(http.StatusOK, finalStatus(id, f))
+			return peer.JSONResponse(http.StatusOK, f.JobStatus(id))
 		}
 		if sched != nil {
 			if st, ok := sched.JobStatus(id); ok {
-				return jsonResponse(http.StatusOK, st)
+				return peer.JSONResponse(http.StatusOK, st)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case v.again != "":
-		return retryLater(v.again)
+		return peer.RetryLater(v.again)
 	case v.err != nil || v.undecided:
 		return c.refuseSubmission(ctx, sched, id, v)
 	case sched == nil:
@@ -62,9 +62,9 @@
 	if a.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
 		// One of its datasets was taken off the list meanwhile.
 		if status, err, _ := c.checkInputs(ctx, sched, submission, body); err != nil {
-			return refusal(status, err)
+			return peer.Refusal(status, err)
 		}
-		return retryLater("a dataset of the job has just changed")
+		return peer.RetryLater("a dataset of the job has just changed")
 	}
 	return a
 }
@@ -99,26 +99,26 @@
 	if id != "" {
 		if sched != nil {
 			if here, _, _ := sched.DependencyState(id); here {
-				return retryLater("the job is just being accepted")
+				return peer.RetryLater("the job is just being accepted")
 			}
 		}
 		if st, found, err := c.lookUp(ctx, sched, id, false); err != nil {
-			return retryLater("the state service is out of reach")
+			return peer.RetryLater("the state service is out of reach")
 		} else if found {
-			return jsonResponse(http.StatusOK, st)
+			return peer.JSONResponse(http.StatusOK, st)
 		}
 	}
 	switch {
 	case v.err != nil && !v.judged.stillValid(c, sched):
-		return retryLater("the configuration has just changed")
+		return peer.RetryLater("the configuration has just changed")
 	case v.err != nil:
-		return refusal(v.status, v.err)
+		return peer.Refusal(v.status, v.err)
 	case v.judged.why != "":
-		return retryLater(v.judged.why)
+		return peer.RetryLater(v.judged.why)
 	case c.data.On:
-		return retryLater("the machine types, or the job's datasets, are not known yet")
+		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
-	return retryLater("the machine types are not known yet")
+	return peer.RetryLater("the machine types are not known yet")
 }
 
 // fitsSomeMachineType finds a job whose record is too large for the state service.
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -59,11 +59,11 @@
 	sched := c.leadingScheduler()
 	var r api.StageHeartbeat
 	if err := json.Unmarshal(raw, &r); err != nil || r.Check() != nil || sched == nil {
-		return jsonResponse(http.StatusMisdirectedRequest, api.Redirect{})
+		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	a := jsonResponse(c.stageOrderFor(sched, &r))
+	a := peer.JSONResponse(c.stageOrderFor(sched, &r))
 	if len(a.Body) > tuning.BodyLimit {
-		return jsonResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
+		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
 	return a
 }
--- a/controller/allocation.go
+++ b/controller/allocation.go
@@ -24,7 +24,7 @@
 	// unansweredRuns counts direct runs whose outcome is unknown: they may be executed
 	// roundTime any later time of this term.
 	unansweredRuns int
-	// jsonAnswer is the report whose answer carried a run last; the worker is
+	// encodeResponse is the report whose answer carried a run last; the worker is
 	// completedCount with that answer when it sends the next report.
 	answeredSeq uint64
 	// runRelayed: a run went into a relay's mail. A relayed report cannot tell
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -15,11 +15,11 @@
 	st, found, err := c.lookUp(ctx, sched, id, waits)
 	switch {
 	case err != nil:
-		return retryLater("the state service is out of reach")
+		return peer.RetryLater("the state service is out of reach")
 	case !found:
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such job"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return jsonResponse(http.StatusOK, st)
+	return peer.JSONResponse(http.StatusOK, st)
 }
 
 // lookUp reads a job's record: its own key first, since the final one is
@@ -43,11 +43,11 @@
 	case err != nil || !x.Found:
 		return api.JobStatus{}, false, err
 	case x.Record == nil:
-		return finalStatus(id, x.Final), true, nil
+		return x.Final.JobStatus(id), true, nil
 	}
 	if f, ok := c.terminalState(id); ok {
 		// It ended while we read: the record is old by now.
-		return finalStatus(id, f), true, nil
+		return f.JobStatus(id), true, nil
 	}
 	if sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
@@ -96,7 +96,7 @@
 		c.watermark.RecordCancellation(c.clock.Now(), st.ID)
 	}
 	if newest, older := c.notifications.Newest(st); older {
-		return jsonResponse(http.StatusOK, newest)
+		return peer.JSONResponse(http.StatusOK, newest)
 	}
 	return a
 }
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -119,7 +119,7 @@
 }
 
 // CommandsAnswered takes in the outcome of a direct command. Certain: the worker
-// jsonAnswer, or the command never left; otherwise it may still be executed.
+// encodeResponse, or the command never left; otherwise it may still be executed.
 func (s *Scheduler) CommandsAnswered(name string, o api.HeartbeatResponse, r *api.Heartbeat, certain bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -87,17 +87,17 @@
 // handleConfiguration serves requests about the configuration.
 func (c *Controller) handleConfiguration(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if c.revisions == nil {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
 	if r.Verb == verbConfirm {
 		number, err := c.revisions.Refresh(ctx)
 		if err != nil {
-			return retryLater("the state service is out of reach")
+			return peer.RetryLater("the state service is out of reach")
 		}
-		return jsonResponse(http.StatusOK, number)
+		return peer.JSONResponse(http.StatusOK, number)
 	}
 	if r.Verb == VerbConfiguration && r.Job != "" {
-		return jsonAnswer(c.configurationHandler().Revision(ctx, r.Job))
+		return encodeResponse(c.configurationHandler().Revision(ctx, r.Job))
 	}
 	applier := c.currentApplier()
 	switch {
@@ -109,13 +109,13 @@
 		}
 		// Nobody leads: the records tell.
 		if _, err := c.revisions.Refresh(ctx); err != nil {
-			return retryLater("the state service is out of reach")
+			return peer.RetryLater("the state service is out of reach")
 		}
-		return jsonResponse(http.StatusOK, c.configurationHandler().Present(nil))
+		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(nil))
 	case r.Verb == VerbConfiguration:
-		return jsonResponse(http.StatusOK, c.configurationHandler().Present(applier))
+		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(applier))
 	}
-	return jsonAnswer(c.configurationHandler().Change(ctx, applier, r.Body))
+	return encodeResponse(c.configurationHandler().Change(ctx, applier, r.Body))
 }
 
 func (c *Controller) configurationHandler() *httpapi.Handler {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -141,7 +141,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var mute atomic.Bool
-	n, clock, st := follower(t, ctx, &mute, func(context.Context, peer.Request) peer.Response { return retryLater(notLeading) })
+	n, clock, st := follower(t, ctx, &mute, func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
 	n.newRevisionStore()
 	submit := func(id string) peer.Response {
 		return n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(strings.Replace(aJob, "run-000001", id, 1))}, false)
@@ -213,7 +213,7 @@
 }
 
 func change(n *Controller, body []byte) peer.Response {
-	return jsonAnswer(n.configurationHandler().Change(context.Background(), nil, body))
+	return encodeResponse(n.configurationHandler().Change(context.Background(), nil, body))
 }
 
 // Only once all controllers know of it, and have it on, can anything be changed; a document with a mistake, or with
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -130,7 +130,7 @@
 		all = append(all, s.Member)
 	}
 	n.fileConfiguration = []*configuration.Active{configuration.FromFiles(set.Facts.Teams, pol)}
-	n.watermark = watermark.New(n.startedAt, all[1:], watermark.NewLimits(seconds(set.Facts.Workers.CancelS), seconds(set.Facts.Workers.LeaseS)))
+	n.watermark = watermark.New(n.startedAt, all[1:], watermark.NewLimits(settings.Seconds(set.Facts.Workers.CancelS), settings.Seconds(set.Facts.Workers.LeaseS)))
 	n.client = store.NewClient(set.External.State, transport)
 	n.versions = upgrade.NewVersionRegistry(set.Member, all, n.client, clock)
 	n.client.OnResponse = n.recordStateResponse
@@ -270,7 +270,7 @@
 func (c *Controller) receivesHeartbeats() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.lastHeartbeat.IsZero() && c.clock.Since(c.lastHeartbeat) < seconds(tuning.HearsReports*c.settings.Facts.Workers.ReportS)
+	return !c.lastHeartbeat.IsZero() && c.clock.Since(c.lastHeartbeat) < settings.Seconds(tuning.HearsReports*c.settings.Facts.Workers.ReportS)
 }
 
 func (c *Controller) recordStateResponse(served bool) {
@@ -321,5 +321,3 @@
 	case <-c.clock.After(d):
 	}
 }
-
-func seconds(within float64) time.Duration { return time.Duration(within * float64(time.Second)) }
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -143,10 +143,10 @@
 func (c *Controller) registerDataset(ctx context.Context, body []byte) peer.Response {
 	var s dataset.Entry
 	if err := json.Unmarshal(body, &s.Summary); err != nil {
-		return refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
+		return peer.Refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
 	}
 	if err := s.Check(); err != nil {
-		return refusal(http.StatusBadRequest, err)
+		return peer.Refusal(http.StatusBadRequest, err)
 	}
 	epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(s.Name)}}, []store.Operation{{Set: store.DatasetKey(s.Name), Value: s}})
 	switch {
@@ -156,7 +156,7 @@
 		if sched := c.leadingScheduler(); sched != nil {
 			sched.AddDatasets(&s)
 		}
-		return jsonResponse(http.StatusCreated, s)
+		return peer.JSONResponse(http.StatusCreated, s)
 	case errors.Is(err, store.ErrConflict):
 		it, err := c.client.Get(ctx, store.DatasetKey(s.Name))
 		if err != nil {
@@ -164,14 +164,14 @@
 		}
 		old, err := parseDataset(&it)
 		if err == nil && old.State != dataset.Listed {
-			return jsonResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
+			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
 		}
 		if err == nil && old.Equal(&s.Summary) {
-			return jsonResponse(http.StatusOK, s)
+			return peer.JSONResponse(http.StatusOK, s)
 		}
-		return jsonResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
+		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
 	}
-	return retryLater("the state service is out of reach")
+	return peer.RetryLater("the state service is out of reach")
 }
 
 // RemovalView is how far a dataset's removal is. Jobs still need it; -1: this controller
@@ -186,19 +186,19 @@
 // record decides. Asking again tells how far it is.
 func (c *Controller) removeDataset(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
 	for range tuning.RemoveTries {
 		it, err := c.client.Get(ctx, store.DatasetKey(name))
 		if errors.Is(err, store.ErrNotFound) {
-			return jsonResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
+			return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 		}
 		if err != nil {
 			break
 		}
 		x, err := parseDataset(&it)
 		if err != nil {
-			return jsonResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
+			return peer.JSONResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
 		if x.State == dataset.Listed {
 			next := *x
@@ -220,15 +220,15 @@
 			sched.AddDatasets(x)
 			v.Jobs = sched.JobsUsing(name)
 		}
-		return jsonResponse(http.StatusOK, v)
+		return peer.JSONResponse(http.StatusOK, v)
 	}
-	return retryLater("the state service is out of reach")
+	return peer.RetryLater("the state service is out of reach")
 }
 
 // handleDatasets serves requests about datasets; they know no job.
 func (c *Controller) handleDatasets(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if !c.data.On {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "datasets are off"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "datasets are off"})
 	}
 	switch r.Verb {
 	case VerbRegister:
@@ -247,7 +247,7 @@
 	}
 	if sched := c.leadingScheduler(); sched != nil {
 		if v, on := sched.Datasets(); on {
-			return jsonResponse(http.StatusOK, v)
+			return peer.JSONResponse(http.StatusOK, v)
 		}
 	}
 	return c.forwardToLeader(ctx, r, forwarded)
--- a/controller/dayend_test.go
+++ b/controller/dayend_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"switchferry/api"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -233,7 +234,7 @@
 	r.Seq = 11
 	n.heartbeatRelay.handleHeartbeat(&r, term)
 	streak := n.heartbeatRelay.workers["b1"].streak
-	clock.Advance(seconds(2 * tuning.HearsReports * n.settings.Facts.Workers.ReportS))
+	clock.Advance(settings.Seconds(2 * tuning.HearsReports * n.settings.Facts.Workers.ReportS))
 	old := r
 	old.Seq = 10
 	status, body := n.HandleHeartbeat(context.Background(), &old, nil)
--- a/controller/domain_reservation.go
+++ b/controller/domain_reservation.go
@@ -8,6 +8,7 @@
 
 	"switchferry/api"
 	"switchferry/fleet"
+	"switchferry/settings"
 	"switchferry/topology"
 	"switchferry/tuning"
 )
@@ -85,7 +86,7 @@
 	}
 	var ends time.Time
 	if job.Job.Shape != api.Service {
-		ends = s.now().Add(seconds(estimate(job) + s.startCost(job, 0, machine, false).Seconds()))
+		ends = s.now().Add(settings.Seconds(estimate(job) + s.startCost(job, 0, machine, false).Seconds()))
 	}
 	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, ends)
 }
--- a/controller/failure_detection.go
+++ b/controller/failure_detection.go
@@ -9,6 +9,7 @@
 	"switchferry/failuredetector"
 	"switchferry/peer"
 	"switchferry/reachability"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -83,7 +84,7 @@
 
 // decideMachine tells what becomes of a machine.
 func (s *Scheduler) decideMachine(machine *machineState, now time.Time) (failuredetector.Action, string) {
-	l := failuredetector.Limits{SuspectAfter: s.heartbeatTimeout(machine), ReleaseAfter: max(tuning.SilentMin, seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
+	l := failuredetector.Limits{SuspectAfter: s.heartbeatTimeout(machine), ReleaseAfter: max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace, InboundLost: tuning.MuteLeases * s.lease()}
 	if machine.relayPeer != "" {
 		l.ReleaseAfter += tuning.RelayKeep
@@ -99,7 +100,7 @@
 	if !machine.Up {
 		ready := tuning.ReadyUnknown
 		if machine.Spec != nil {
-			ready = seconds(machine.Spec.BootS)
+			ready = settings.Seconds(machine.Spec.BootS)
 		}
 		limit := time.Duration(tuning.BootFactor * float64(ready))
 		if machine.requestedHere {
@@ -133,7 +134,7 @@
 		case !machine.Up || machine.releasing || machine.relayPeer != "" || !silent && state != reachability.Suspected && state != reachability.OutboundLost:
 		case machine.commandInFlight:
 			left--
-		case now.Sub(machine.probedAt) >= seconds(s.settings.Facts.Workers.ReportS):
+		case now.Sub(machine.probedAt) >= settings.Seconds(s.settings.Facts.Workers.ReportS):
 			due = append(due, machine)
 		}
 	}
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -10,6 +10,7 @@
 	"switchferry/api"
 	"switchferry/failuredetector"
 	"switchferry/policy"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -157,7 +158,7 @@
 		if !s.schedulable(machine) || len(machine.allocations) > 0 || len(machine.queues) > 0 {
 			continue
 		}
-		keep := seconds(s.configuration.Policy.Value(policy.IdleKeepS, policy.Vars{"boot_s": machine.Spec.BootS}))
+		keep := settings.Seconds(s.configuration.Policy.Value(policy.IdleKeepS, policy.Vars{"boot_s": machine.Spec.BootS}))
 		if now.Sub(machine.idleSince) < keep || all-machine.Spec.CPUs < want || !machine.Spot && all-spot-machine.Spec.CPUs < ordWant {
 			continue
 		}
@@ -230,12 +231,12 @@
 		_, known := s.machines[l.Name]
 		machine := s.machineNamed(l.Name)
 		if !known {
-			machine.RequestedAt = now.Add(-seconds(l.AgeS))
+			machine.RequestedAt = now.Add(-settings.Seconds(l.AgeS))
 			slog.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "state", l.State)
 		}
 		machine.listed = true
 		if !machine.Up {
-			if l.State == "booting" && now.Sub(s.termStarted) > seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
+			if l.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
 				machine.link.MarkStarted()
 			}
 			machine.listedRunning = l.State == "running"
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -61,7 +61,7 @@
 }
 
 // announceTerm lets a worker see our term. Its session is not known: a wrong guess is
-// jsonAnswer with the right one.
+// encodeResponse with the right one.
 func (c *Controller) announceTerm(ctx context.Context, sched *Scheduler, name, addr string) {
 	session := uint64(1)
 	for range 2 {
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -24,7 +24,7 @@
 	c.mu.Unlock()
 	if !fresh {
 		// A copy that came late shows neither that workers reach this node nor where one is; an
-		// jsonResponse without a token renews nothing.
+		// JSONResponse without a token renews nothing.
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
 	if sched := c.leadingScheduler(); sched != nil {
@@ -77,9 +77,9 @@
 	sched := c.leadingScheduler()
 	var r api.Heartbeat
 	if err := json.Unmarshal(raw, &r); err != nil || r.Check() != nil || sched == nil {
-		return jsonResponse(http.StatusMisdirectedRequest, api.Redirect{})
+		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	return jsonResponse(c.answerAsLeader(sched, &r, from))
+	return peer.JSONResponse(c.answerAsLeader(sched, &r, from))
 }
 
 // answerAsLeader answers a report as the leader. Via is the sibling that passes it on.
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -56,7 +56,7 @@
 				last = clock.Since(word)
 			}
 		}
-		most := seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
+		most := settings.Seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
 		if last > most || last < most-tuning.KeepMargin-time.Second {
 			t.Errorf("led %v: the last lease was renewed %v after the cut began; a cancelled task has %v", led, last, most)
 		}
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -20,34 +20,34 @@
 	conds := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
 	inputs, err := c.inputConditions(ctx, submission)
 	if err != nil {
-		return retryLater("the state service is out of reach")
+		return peer.RetryLater("the state service is out of reach")
 	}
 	_, failed, err := c.leaderlessWriter.Transact(ctx, slices.Concat(conds, more, inputs),
 		[]store.Operation{{Set: store.JobKey(submission.ID), Value: rec}, {Set: store.InboxKey(submission.ID), Value: store.InboxRecord{}}})
 	switch {
 	case err == nil:
-		return jsonResponse(http.StatusCreated, api.JobStatus{ID: submission.ID, State: api.Pending})
+		return peer.JSONResponse(http.StatusCreated, api.JobStatus{ID: submission.ID, State: api.Pending})
 	case errors.Is(err, store.ErrConflict) && !slices.Contains(failed, store.JobKey(submission.ID)) && !slices.Contains(failed, store.FinalKey(submission.ID)):
 		if slices.Contains(failed, configuration.HeadKey) {
-			return retryLater("the configuration has just changed")
+			return peer.RetryLater("the configuration has just changed")
 		}
 		// A dataset is not as it was.
 		c.evictDatasets(submission)
 		if status, err, _ := c.checkInputs(ctx, nil, submission, body); err != nil {
-			return refusal(status, err)
+			return peer.Refusal(status, err)
 		}
-		return retryLater("a dataset of the job has just changed")
+		return peer.RetryLater("a dataset of the job has just changed")
 	case errors.Is(err, store.ErrConflict):
 		return c.answerStatus(ctx, nil, submission.ID, false)
 	}
-	return retryLater("the state service is out of reach")
+	return peer.RetryLater("the state service is out of reach")
 }
 
 // cancelWithoutLeader cancels while there is no leader; with one, only it may, since it
 // answers polls from memory.
 func (c *Controller) cancelWithoutLeader(ctx context.Context, id string) peer.Response {
 	if !api.ValidID(id) {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such job"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
 	it, err := c.client.Get(ctx, store.JobKey(id))
 	if errors.Is(err, store.ErrNotFound) {
@@ -55,7 +55,7 @@
 	}
 	var rec store.JobRecord
 	if err != nil || json.Unmarshal(it.Value, &rec) != nil {
-		return retryLater("the state service is out of reach")
+		return peer.RetryLater("the state service is out of reach")
 	}
 	if rec.FinalState == "" {
 		rec.FinalState, rec.FinalAt = api.Cancelled, c.clock.Now().UnixMilli()
@@ -69,8 +69,8 @@
 				[]store.Operation{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
 		}
 		if err != nil {
-			return retryLater("the leader is out of reach")
+			return peer.RetryLater("the leader is out of reach")
 		}
 	}
-	return jsonResponse(http.StatusOK, api.JobStatus{ID: id, State: rec.FinalState})
+	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: rec.FinalState})
 }
--- a/controller/lifecycle.go
+++ b/controller/lifecycle.go
@@ -6,6 +6,7 @@
 
 	"switchferry/api"
 	"switchferry/reachability"
+	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -98,9 +99,9 @@
 
 // overdueCancellations are the machines that must be returned lest a cancelled job's task is on them
 // past cancel_s: they were told to end it, and did not say that it is gone. The cloud's
-// jsonResponse takes a while.
+// JSONResponse takes a while.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
-	limit := seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReturn
+	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReturn
 	var out []*machineState
 	for _, job := range s.jobOrder {
 		if job.FinalState != api.Cancelled || len(job.allocations) == 0 || now.Sub(job.terminalAt) < limit {
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -8,6 +8,7 @@
 
 	"switchferry/fleet"
 	"switchferry/reachability"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -113,7 +114,7 @@
 
 // heartbeatTimeout is how long a machine may be unheard and still get work.
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
-	d := seconds(2.5 * s.settings.Facts.Workers.ReportS)
+	d := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
 	if machine.relayPeer != "" {
 		d += tuning.RelayKeep
 	}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -27,9 +27,9 @@
 // handleMembers answers with this controller's own view: another's may differ, and that is shown.
 func (c *Controller) handleMembers() peer.Response {
 	if c.members == nil {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "membership is off"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "membership is off"})
 	}
-	return jsonResponse(http.StatusOK, c.members.Views())
+	return peer.JSONResponse(http.StatusOK, c.members.Views())
 }
 
 // isShuttingDown tells whether this process ends by plan.
--- a/controller/ordering.go
+++ b/controller/ordering.go
@@ -10,6 +10,7 @@
 	"switchferry/api"
 	"switchferry/fleet"
 	"switchferry/policy"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -67,7 +68,7 @@
 		}
 	}
 	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*waiting)
-	by := seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
+	by := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
 	for _, job := range s.jobOrder {
 		job.starved = len(job.pending)+job.queued > 0 && job.rank != api.RankProduction && ageing.Due(s.now(), job.waitingSince, job.lastStart, by) && s.startableNow(job)
 		job.latestStart = s.latestStart(job, now)
--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"switchferry/api"
+	"switchferry/settings"
 	"switchferry/topology"
 	"switchferry/tuning"
 )
@@ -162,5 +163,5 @@
 		boot = max(boot, t.BootS)
 	}
 	supply, _ := s.supply()
-	return s.topology.search.TargetCPUs(now, s.strandedCPUs(), supply, seconds(boot))
+	return s.topology.search.TargetCPUs(now, s.strandedCPUs(), supply, settings.Seconds(boot))
 }
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -7,6 +7,7 @@
 
 	"switchferry/api"
 	"switchferry/fleet"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -109,7 +110,7 @@
 		return before
 	}
 	run := s.since(alloc.runningSince)
-	if cp := seconds(alloc.job.Job.Checkpoint); cp > 0 {
+	if cp := settings.Seconds(alloc.job.Job.Checkpoint); cp > 0 {
 		run = run % cp
 	}
 	return before + run.Milliseconds()
--- a/controller/requests.go
+++ b/controller/requests.go
@@ -14,7 +14,7 @@
 // status is what a user is told of a job, with the lock held.
 func (s *Scheduler) status(job *jobState) api.JobStatus {
 	if job.terminalStored {
-		return finalStatus(job.id, job.finalRecord(s.currentFormat))
+		return job.finalRecord(s.currentFormat).JobStatus(job.id)
 	}
 	st := api.JobStatus{ID: job.id, State: api.Pending, Done: job.completedCount}
 	for _, alloc := range job.allocations {
@@ -59,17 +59,17 @@
 		// Its user would have been told to come back by the time it is stored:
 		// better now, and when the backlog is written.
 		s.mu.Unlock()
-		return retryLaterBy("more jobs come in than can be stored", delay), true
+		return peer.RetryLaterAfter("more jobs come in than can be stored", delay), true
 	}
 	if s.damagedJobs[submission.ID] {
 		// What its user was told before is not known: to write it anew might go back on that.
 		s.mu.Unlock()
-		return retryLater("the job's record is damaged"), true
+		return peer.RetryLater("the job's record is damaged"), true
 	}
 	if fresh && s.liveConfiguration && !admits(s.configuration, submission) {
 		// The configuration has changed since this was looked at.
 		s.mu.Unlock()
-		return retryLater("the configuration has just changed"), true
+		return peer.RetryLater("the configuration has just changed"), true
 	}
 	if fresh {
 		job = s.addJob(store.JobRecord{Job: *submission, At: now.UnixMilli()}, false)
@@ -78,21 +78,21 @@
 	if job.accepted {
 		s.mu.Unlock()
 		st, ok := s.JobStatus(submission.ID)
-		return jsonResponse(http.StatusOK, st), ok
+		return peer.JSONResponse(http.StatusOK, st), ok
 	}
 	changed := job.changed
 	s.mu.Unlock()
 	if !s.waitForChange(ctx, changed, tuning.AcceptWait) {
-		return retryLaterBy("the record is not stored yet", s.hooks.CommitDelay()), true
+		return peer.RetryLaterAfter("the record is not stored yet", s.hooks.CommitDelay()), true
 	}
 	st, ok := s.JobStatus(submission.ID)
 	if !ok {
 		return peer.Response{}, false
 	}
 	if fresh && st.State == api.Pending {
-		return jsonResponse(http.StatusCreated, st), true
+		return peer.JSONResponse(http.StatusCreated, st), true
 	}
-	return jsonResponse(http.StatusOK, st), true
+	return peer.JSONResponse(http.StatusOK, st), true
 }
 
 // Cancel stores that a job is cancelled and waits until that is stored.
@@ -105,7 +105,7 @@
 	}
 	if !job.accepted {
 		s.mu.Unlock()
-		return retryLater("the job is not accepted yet"), true
+		return peer.RetryLater("the job is not accepted yet"), true
 	}
 	if job.FinalState == "" {
 		s.finish(job, api.Cancelled)
@@ -116,12 +116,12 @@
 	stored, changed := job.terminalStored, job.changed
 	s.mu.Unlock()
 	if !stored && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
-		return retryLater("the record is not stored yet"), true
+		return peer.RetryLater("the record is not stored yet"), true
 	}
 	s.mu.Lock()
 	if changed = job.changed; job.FinalState == api.Cancelled && job.hasUnsettledStarts() {
 		// Whoever is told now may see one of them begin: it is stopped then, but nothing should start after that
-		// jsonResponse. Most are answered within milliseconds.
+		// JSONResponse. Most are answered within milliseconds.
 		s.mu.Unlock()
 		s.waitForChange(ctx, changed, tuning.CancelStarts)
 		s.mu.Lock()
@@ -129,7 +129,7 @@
 	s.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return jsonResponse(http.StatusOK, api.JobStatus{ID: id, State: job.FinalState, Done: job.completedCount}), true
+	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: job.FinalState, Done: job.completedCount}), true
 }
 
 // hasUnsettledStarts tells whether a start that this leader sent may still be executed, of a task that is not seen yet.
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -53,7 +53,7 @@
 		return c.handleDatasets(ctx, r, forwarded)
 	}
 	if f, ok := c.terminalState(r.Job); ok && r.Verb != VerbSubmit {
-		return jsonResponse(http.StatusOK, finalStatus(r.Job, f))
+		return peer.JSONResponse(http.StatusOK, f.JobStatus(r.Job))
 	}
 	if sched := c.leadingScheduler(); sched != nil {
 		switch {
@@ -63,17 +63,17 @@
 			if r.Verb == VerbSubmit {
 				_, id, _ := api.ParseSubmission(r.Body)
 				if f, ok := c.terminalState(id); ok {
-					return jsonResponse(http.StatusOK, finalStatus(id, f))
+					return peer.JSONResponse(http.StatusOK, f.JobStatus(id))
 				}
 			}
-			return retryLater("the state service is out of reach")
+			return peer.RetryLater("the state service is out of reach")
 		}
 		// Not the leader yet, or no more, and the state service answers: whatever
 		// is read and written there is as good from us as from any node.
 		return c.serveAsLeader(ctx, nil, r)
 	}
 	if forwarded {
-		return retryLater(notLeading)
+		return peer.RetryLater(notLeading)
 	}
 	leader, term := c.elector.Leader()
 	leader, _, there := newestLeader(leader, term, c.peers.LivePeers())
@@ -87,7 +87,7 @@
 			// for. Users were told to come back by the one that had just handed over.
 		case errors.Is(err, peer.ErrBusy):
 			// To do its work beside it would only take more of what it lacks.
-			return retryLater("the leader is busy")
+			return peer.RetryLater("the leader is busy")
 		}
 		// It may have fallen silent: what it was asked is stored or read without
 		// it, as conditions on the keys allow whether it goes on or not.
@@ -138,11 +138,11 @@
 	leader, _ := c.elector.Leader()
 	leader, _, there := newestLeader(leader, 0, c.peers.LivePeers())
 	if forwarded || !there {
-		return retryLater("no leader answers")
+		return peer.RetryLater("no leader answers")
 	}
 	a, err := c.peers.Ask(ctx, leader, r, tuning.PeerTimeout)
 	if err != nil {
-		return retryLater("the leader does not answer")
+		return peer.RetryLater("the leader does not answer")
 	}
 	return a
 }
@@ -156,12 +156,12 @@
 	case VerbStatus:
 		if sched != nil {
 			if st, ok := sched.JobStatus(r.Job); ok {
-				return jsonResponse(http.StatusOK, st)
+				return peer.JSONResponse(http.StatusOK, st)
 			}
 		}
 		return c.answerStatus(ctx, sched, r.Job, true)
 	case VerbCancel:
 		return c.serveCancellation(ctx, sched, r.Job)
 	}
-	return jsonResponse(http.StatusNotFound, api.Error{Error: "no such request"})
+	return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such request"})
 }
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -11,6 +11,7 @@
 	"switchferry/feasibility"
 	"switchferry/policy"
 	"switchferry/reachability"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -70,7 +71,7 @@
 		return false
 	}
 	age := s.since(machine.RequestedAt)
-	late, others := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, seconds(machine.Spec.BootS))
+	late, others := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
 	if late && !machine.faultLogged {
 		machine.faultLogged = true
 		slog.Info("machine overdue", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", others.Round(time.Second))
@@ -86,7 +87,7 @@
 			return true
 		}
 		heard := latest(machine.LastHeartbeat, s.detector.ResumedAt())
-		if s.since(machine.LastHeartbeat) <= seconds(s.settings.Facts.Workers.LeaseS) {
+		if s.since(machine.LastHeartbeat) <= settings.Seconds(s.settings.Facts.Workers.LeaseS) {
 			heard = latest(heard, s.detector.PathLostAt(machine.lastPeer))
 		}
 		return s.since(heard) > 2*s.heartbeatTimeout(machine)
@@ -120,7 +121,7 @@
 	now := c.now()
 	// This goes on while the state service is out: the names of rentals are
 	// this term's own, and the machines will be needed whoever leads.
-	if !c.loaded || c.instancesRequested > 0 || now.Sub(c.termStarted) < seconds(2*c.settings.Facts.Workers.ReportS) {
+	if !c.loaded || c.instancesRequested > 0 || now.Sub(c.termStarted) < settings.Seconds(2*c.settings.Facts.Workers.ReportS) {
 		return nil
 	}
 	want, ordWant := c.desiredCapacity()
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -126,7 +126,7 @@
 		wake: make(chan struct{}, 1), termStarted: clock.Now(), tasksPerShard: tuning.ShardTasks}
 	sched.dependencies = newDependencies(sched)
 	sched.lastHeartbeat = sched.termStarted
-	sched.detector = failuredetector.New(sched.termStarted, seconds(set.Facts.Workers.LeaseS))
+	sched.detector = failuredetector.New(sched.termStarted, settings.Seconds(set.Facts.Workers.LeaseS))
 	sched.lastDirectContact = sched.termStarted
 	sched.commandMailboxes = newMailboxes(sched, store.MailPrefix, store.MailKey, sched.relayedCommandBody)
 	sched.objectives, sched.deadlineMultiples = map[string][]float64{}, map[string][]float64{}
@@ -202,7 +202,7 @@
 func (s *Scheduler) since(t time.Time) time.Duration { return s.now().Sub(t) }
 
 // lease is the workers' lease.
-func (s *Scheduler) lease() time.Duration { return seconds(s.settings.Facts.Workers.LeaseS) }
+func (s *Scheduler) lease() time.Duration { return settings.Seconds(s.settings.Facts.Workers.LeaseS) }
 
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/controller/starvation.go
+++ b/controller/starvation.go
@@ -6,6 +6,7 @@
 
 	"switchferry/ageing"
 	"switchferry/api"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
@@ -74,5 +75,5 @@
 	if machine.reservedFor == nil || machine.reservedFor == job || job.rank == api.RankProduction {
 		return false
 	}
-	return job.Job.Shape != api.JobArray || s.now().Add(seconds(estimate(job)+machine.fetchSeconds(job))).After(machine.reservedUntil)
+	return job.Job.Shape != api.JobArray || s.now().Add(settings.Seconds(estimate(job)+machine.fetchSeconds(job))).After(machine.reservedUntil)
 }
--- a/controller/term.go
+++ b/controller/term.go
@@ -8,6 +8,7 @@
 
 	"switchferry/api"
 	"switchferry/configuration/revisions"
+	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -212,7 +213,7 @@
 // dead end after the other: whoever leads alone must give them a lease's time, or
 // they find nobody when they come.
 func (c *Controller) isolatedFromWorkers(sched *Scheduler) bool {
-	return c.clock.Since(sched.termStarted) > seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.lastContact()) > tuning.DeafAfter
+	return c.clock.Since(sched.termStarted) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.lastContact()) > tuning.DeafAfter
 }
 
 // zoneUnreachable tells whether no controller in another zone can be reached.
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -34,26 +34,26 @@
 // handleTopology serves requests about where things stand: the leader knows.
 func (c *Controller) handleTopology(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
 	if c.topology == nil && r.Verb == VerbTopology {
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
 	sched := c.leadingScheduler()
 	if sched == nil {
 		return c.forwardToLeader(ctx, r, forwarded)
 	}
 	if r.Verb == VerbTopology {
-		return jsonResponse(http.StatusOK, sched.Topology())
+		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
 	if x, ok := sched.Explain(r.Job); ok {
 		x.Why = append(x.Why, c.leaseRenewalProblems()...)
-		return jsonResponse(http.StatusOK, x)
+		return peer.JSONResponse(http.StatusOK, x)
 	}
 	// Over, or not known: its record tells.
 	st, found, err := c.lookUp(ctx, sched, r.Job, true)
 	switch {
 	case err != nil:
-		return retryLater("the state service is out of reach")
+		return peer.RetryLater("the state service is out of reach")
 	case !found:
-		return jsonResponse(http.StatusNotFound, api.Error{Error: "no such job"})
+		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return jsonResponse(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
+	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
 }
--- a/controller/user_test.go
+++ b/controller/user_test.go
@@ -97,7 +97,7 @@
 func TestFormerLeaderIsPassedBy(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, _, st := follower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return retryLater(notLeading) })
+	n, _, st := follower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
 	if a := n.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(aJob)}, false); a.Status != 201 || st.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("%d %s", a.Status, a.Body)
 	}
@@ -240,9 +240,9 @@
 			asked, release := make(chan struct{}), make(chan struct{})
 			n, _, _ := follower(t, ctx, new(atomic.Bool), func(_ context.Context, r peer.Request) peer.Response {
 				if r.Verb == VerbCancel {
-					return jsonResponse(200, api.JobStatus{ID: r.Job, State: api.Cancelled})
+					return peer.JSONResponse(200, api.JobStatus{ID: r.Job, State: api.Cancelled})
 				}
-				a := jsonResponse(200, api.JobStatus{ID: r.Job, State: api.Running, Running: 1})
+				a := peer.JSONResponse(200, api.JobStatus{ID: r.Job, State: api.Running, Running: 1})
 				close(asked)
 				<-release
 				return a
