--- a/controller/admission.go
+++ b/controller/admission.go
@@ -25,7 +25,7 @@
 	status int
 	err    error
 	// undecided: what it hangs on is not known, which leaves a known job its answer; again is why its user has to ask
-	// resendCommands whatever is known.
+	// again whatever is known.
 	undecided bool
 	again     string
 	judged    admission
@@ -133,10 +133,10 @@
 // admission is what a submission was judged by.
 type admission struct {
 	// by are the configurations under which the answer must come out the same; conds hold while a follower's is the
-	// newestHeartbeats.
+	// newest.
 	by    []*configuration.Active
 	conds []store.Condition
-	// waitReasons nothing could be judged, where it is the configuration's matter.
+	// why nothing could be judged, where it is the configuration's matter.
 	why string
 }
 
@@ -160,7 +160,7 @@
 }
 
 // canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
-// configuration is not, or it is just changing and the answers differ.
+// active is not, or it is just changing and the answers differ.
 func (c *Controller) canRun(sched *Scheduler, submission *api.Submission) (judged admission, err error, undecided bool) {
 	c.mu.Lock()
 	types := c.machineTypes
--- a/controller/allocation.go
+++ b/controller/allocation.go
@@ -22,10 +22,10 @@
 	runSent     bool
 	incarnation uint64
 	// unansweredRuns counts direct runs whose outcome is unknown: they may be executed
-	// roundTime any later time of this term.
+	// at any later time of this term.
 	unansweredRuns int
 	// encodeResponse is the report whose answer carried a run last; the worker is
-	// completedCount with that answer when it sends the next report.
+	// done with that answer when it sends the next report.
 	answeredSeq uint64
 	// runRelayed: a run went into a relay's mail. A relayed report cannot tell
 	// whether it is still to come; one that reaches us directly can, since
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // BenchmarkPlace is one run of the placer on a full fleet with a backlog: 40
-// refreshMachines, 60 small jobs and a guest's array of 100,000 tasks.
+// machines, 60 small jobs and a guest's array of 100,000 tasks.
 func BenchmarkPlace(b *testing.B) {
 	s := newStage(&testing.T{})
 	for i := range 40 {
--- a/controller/boot_test.go
+++ b/controller/boot_test.go
@@ -38,7 +38,7 @@
 }
 
 // One machine never comes up while those rented with it do: others are rented in its
-// queuedOn long before it is given up.
+// place long before it is given up.
 func TestOvertakenMachineIsReplaced(t *testing.T) {
 	s := newStage(t)
 	s.report("a0", 1)
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -27,7 +27,7 @@
 }
 
 // commands derives what to tell a worker from what is wanted and what it
-// reported. Repeating them is harmless.
+// seen. Repeating them is harmless.
 func (s *Scheduler) commands(machine *machineState, by deliveryPath) []api.Command {
 	out := []api.Command{}
 	kill := func(key string, attempt uint64, grace float64) {
@@ -44,7 +44,7 @@
 		}
 		if e := machine.exited[key]; e != nil && e.attempt == t.Attempt {
 			// A run of this attempt that is still under way would start it
-			// resendCommands after a clear.
+			// again after a clear.
 			if e.stored && e.unansweredRuns == 0 {
 				out = append(out, api.Command{Verb: api.CommandClear, Task: key, Attempt: t.Attempt})
 			}
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -83,7 +83,7 @@
 }
 
 // A start whose answer is lost is not stopped for a limit before its task is seen: nothing would ever prove that it is
-// releasedAt, and it would hold the limit's room for as long as this leader leads.
+// gone, and it would hold the limit's room for as long as this leader leads.
 func TestStartsUnderWayAreNotStoppedForALimit(t *testing.T) {
 	s := newStage(t)
 	s.configuration = configured(t, oneTeam("40"))
--- a/controller/constraints.go
+++ b/controller/constraints.go
@@ -11,7 +11,7 @@
 }
 
 // satisfiesSpread tells whether one more task may start in a machine's zone, given
-// topology the others are or may be.
+// where the others are or may be.
 func satisfiesSpread(job *jobState, machine *machineState) bool {
 	if job.site != nil && !job.site.Allows(machine.Name) {
 		return false
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -101,7 +101,7 @@
 	// fileConfiguration is what files and settings say, alone in its list.
 	fileConfiguration []*configuration.Active
 	// revisions keeps the configuration, which can change while this process runs, and applier changes it in the present
-	// runTerm; both are nil unless that feature is on.
+	// term; both are nil unless that feature is on.
 	revisions *revisions.Store
 	applier   *revisions.Applier
 
@@ -110,7 +110,7 @@
 	// transfer is used by the loop of a term alone.
 	transfer cpupressure.LeadershipTransfer
 
-	// followDatasets says whether datasets are on; sets are those read lately, agents the client
+	// datasets says whether datasets are on; sets are those read lately, agents the client
 	// for orders to their agents.
 	data         features.Data
 	datasetCache map[string]*dataset.Entry
--- a/controller/core_test.go
+++ b/controller/core_test.go
@@ -277,7 +277,7 @@
 }
 
 // After a takeover urgent work does not wait until the fleet has reported: it goes where a
-// machineNamed was heard, by stopping what lies there if need be, and what is recorded on the others
+// machine was heard, by stopping what lies there if need be, and what is recorded on the others
 // stays theirs.
 func TestUrgentWorkIsPlacedBeforeAllHaveReported(t *testing.T) {
 	s := newStage(t)
@@ -693,7 +693,7 @@
 }
 
 // Production takes room from lower work, in one command, and never from its
-// useCurrentFormat rank.
+// own rank.
 func TestPreemption(t *testing.T) {
 	s := newStage(t)
 	s.report("a1", 1)
@@ -882,7 +882,7 @@
 
 // A machine with work of its own queue first serves an earlier job that waits
 // elsewhere: on the grown deployments a job's last task waited up to 160 s in the
-// runQueue of one machine while later jobs started on others.
+// queue of one machine while later jobs started on others.
 func TestEarlierJobIsServedBeforeOwnQueue(t *testing.T) {
 	s := newStage(t)
 	for _, m := range []string{"a1", "a2"} {
@@ -991,7 +991,7 @@
 }
 
 // A job that comes within its team's guarantee only as earlier ones end goes
-// precedence in the queues, but nothing is stopped for it: two teams above their
+// first in the queues, but nothing is stopped for it: two teams above their
 // guarantees stopped each other's arrays over and over.
 func TestNothingIsStoppedForJobsThatCameBeyond(t *testing.T) {
 	s := newStage(t)
--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -14,7 +14,7 @@
 
 // planStaging decides what is to be copied, after a round of the placer, and sends out the
 // orders that changed. First stands what runs, which must stay where it is; then, job by
-// jobState in the order of the queues, tasks that a machine has room for, and some more.
+// job in the order of the queues, tasks that a machine has room for, and some more.
 func (s *Scheduler) planStaging() {
 	d := s.datasets
 	if d == nil {
@@ -148,7 +148,7 @@
 }
 
 // takeStaged takes a task of the job that could start on a machine out of that machine's
-// runQueue; -1: none. Nothing is stopped to make room for a task that would only wait there.
+// queue; -1: none. Nothing is stopped to make room for a task that would only wait there.
 func (s *Scheduler) takeStaged(job *jobState, machine *machineState) int {
 	if queue, i := s.stagedOn(job, machine); i >= 0 {
 		return queue.removeAt(i)
@@ -208,7 +208,7 @@
 	o, _, ok := s.datasets.planner.Order(r.Machine)
 	if !ok || !s.loaded || !s.hooks.Leading() {
 		// What runs there is not known yet, or we may not lead: nothing may be let go. An
-		// sendStageOrder of number 0 changes nothing.
+		// order of number 0 changes nothing.
 		o = api.StageOrder{Term: r.Term, Sets: []api.StageSet{}}
 	}
 	return o, false, false
--- a/controller/data_test.go
+++ b/controller/data_test.go
@@ -448,7 +448,7 @@
 
 // A task that waits for its copy goes to a holder that became free meanwhile, instead of
 // waiting on: found in the experiment, where tasks waited 10 s for a copy of what idle
-// refreshMachines held.
+// machines held.
 func TestFreedHoldersTakeTasksThatWaitForBytes(t *testing.T) {
 	s := newDataStage(t, features.Staged)
 	s.up("a1", 0, 1)
--- a/controller/dataport_test.go
+++ b/controller/dataport_test.go
@@ -50,7 +50,7 @@
 }
 
 // What can never run is refused at once, with the field and the remedy; whatever can, is
-// terminalStored with its inputs.
+// stored with its inputs.
 func TestInputsThatCanNeverBe(t *testing.T) {
 	n, st := dataNode(true)
 	if a := n.ask(VerbRegister, summary("inv", 8, 1e9)); a.Status != 201 {
--- a/controller/dataset_removal.go
+++ b/controller/dataset_removal.go
@@ -31,7 +31,7 @@
 
 // datasetFound takes in a dataset's record that is not as a job's acceptance took it to
 // be. Jobs that nobody was told of, and that may not name it any more, are dropped: the
-// requestCounts who wait for them are told why by whoever checks the inputs anew.
+// users who wait for them are told why by whoever checks the inputs anew.
 func (s *Scheduler) datasetFound(found *store.Item) {
 	x, err := parseDataset(found)
 	if err != nil {
--- a/controller/dataset_views.go
+++ b/controller/dataset_views.go
@@ -45,7 +45,7 @@
 }
 
 // Datasets shows datasets, who holds them, and what is copied. Who holds what is read from a
-// snapshot, without the core's lock.
+// snap, without the core's lock.
 func (s *Scheduler) Datasets() (v DataView, on bool) {
 	s.mu.Lock()
 	d := s.datasets
--- a/controller/datasets.go
+++ b/controller/datasets.go
@@ -34,7 +34,7 @@
 	// hintedVersion is the version of the index that was last put on record, at hintStoredAt.
 	hintedVersion uint64
 	hintStoredAt  time.Time
-	// followHeartbeatRelay are the agents whose last report came through a sibling; mail holds the
+	// relayed are the agents whose last report came through a sibling; mail holds the
 	// orders for those behind each.
 	relayedReports map[string]*relayedReport
 	orderMailboxes *exchange.Mailboxes
--- a/controller/dayend_test.go
+++ b/controller/dayend_test.go
@@ -313,7 +313,7 @@
 // While small jobs never stop coming, jobs that need a whole machine, many of them at once, or much
 // work, and those of rank low never began: what ended made room for a smaller task at once, and those
 // that can still be in time went first. Each begins within the four minutes that users bear, and what is
-// reservedDomain for it does not stop the others.
+// kept for it does not stop the others.
 func TestNobodyStarves(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -342,7 +342,7 @@
 }
 
 // A fleet with room to spare had no machine on which a job may run, and none was rented: rentals looked
-// roundTime processors in all. One is, once, and not again while it boots.
+// at processors in all. One is, once, and not again while it boots.
 func TestMachineIsRentedForAJobThatNoneCanServe(t *testing.T) {
 	s := newStage(t)
 	for i := range 5 {
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -20,7 +20,7 @@
 type dependencies struct {
 	core  *Scheduler
 	graph *dag.Graph
-	// mayNeverStart are awaited jobs that this leader does not know; ask tells that there are more.
+	// missing are awaited jobs that this leader does not know; ask tells that there are more.
 	missing map[string]bool
 	ask     chan struct{}
 }
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -10,7 +10,7 @@
 )
 
 // lookUpDependencies looks up the jobs that others await and the leader does not know: they were over
-// compareJobs its term, or a sibling has just accepted them. What does not wait for one of them
+// before its term, or a sibling has just accepted them. What does not wait for one of them
 // starts meanwhile.
 func (c *Controller) lookUpDependencies(ctx context.Context, sched *Scheduler, committer *store.Committer) {
 	for ctx.Err() == nil {
--- a/controller/explain.go
+++ b/controller/explain.go
@@ -85,7 +85,7 @@
 }
 
 // waitReasons lists what keeps a job's waiting tasks, from the job's own reasons to the
-// refreshMachines'.
+// machines'.
 func (s *Scheduler) waitReasons(job *jobState) (why []string) {
 	switch {
 	case !job.accepted:
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -29,7 +29,7 @@
 }
 
 // deposed ends the term if a worker's word of a higher one can be true: while our key certainly
-// taskLocations nobody else can have won one, and a worker that claims it must not end every term.
+// stands nobody else can have won one, and a worker that claims it must not end every term.
 func (c *Controller) deposed(sched *Scheduler) bool {
 	if sched.hooks.Leading() {
 		return false
@@ -39,7 +39,7 @@
 }
 
 // refreshMachines reads the cloud's list. The first one tells a new leader whom to
-// announceTerm its term, so that workers turn to it at once.
+// show its term, so that workers turn to it at once.
 func (c *Controller) refreshMachines(ctx context.Context, sched *Scheduler) {
 	first := true
 	for ctx.Err() == nil {
--- a/controller/guest_test.go
+++ b/controller/guest_test.go
@@ -74,7 +74,7 @@
 }
 
 // Jobs of rank low filled every gap, and each task of the owners had dozens of theirs
-// leaseRenewalProblems first: they leave a tenth of what the others use, and nothing when alone.
+// stopped first: they leave a tenth of what the others use, and nothing when alone.
 func TestLowRankLeavesAReserve(t *testing.T) {
 	fill := func(owned int) (free float64) {
 		s := newStage(t)
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -19,7 +19,7 @@
 // while the state service says that it leads. Their reports go to the leader,
 // and its commands come back, in letters through the state service (package courier).
 // Without it, every worker on the far side of a cut would kill its tasks when its lease
-// notifications.
+// ends.
 type heartbeatRelay struct {
 	n    *Controller
 	post *exchange.Exchange
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -61,7 +61,7 @@
 			return a.Status, json.RawMessage(a.Body)
 		}
 		// Whatever the leader answered, this report's answer is ours now: it
-		// mayRenewLeases the lease and carries nothing that was not in the mail.
+		// keeps the lease and carries nothing that was not in the mail.
 	}
 	if r.Term > term {
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
--- a/controller/hints.go
+++ b/controller/hints.go
@@ -47,7 +47,7 @@
 }
 
 // hintParts is how many records there are, of so many machines each, of what machines
-// allocate.
+// hold.
 func (s *Scheduler) hintParts() int {
 	return (len(s.machines) + s.machinesPerHint() - 1) / s.machinesPerHint()
 }
@@ -63,7 +63,7 @@
 }
 
 // imagesRecord is one part of the record. The parts are cut by the machines'
-// sendStageOrder, which shifts as machines come and go; one that stands in two parts does
+// order, which shifts as machines come and go; one that stands in two parts does
 // no harm.
 func (s *Scheduler) imagesRecord(key string) (store.ImagesRecord, bool) {
 	ms := s.hintPartMachines(key, store.ImagesPrefix)
@@ -138,7 +138,7 @@
 
 // LoadReplicaHints takes in what an earlier leader knew of who holds what. Machines that it
 // names may be chosen for a while as if their agents had been heard; nothing starts there
-// compareJobs they are.
+// before they are.
 func (s *Scheduler) LoadReplicaHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/controller/images_test.go
+++ b/controller/images_test.go
@@ -11,7 +11,7 @@
 )
 
 // The next leader knows the images of machines from the last one's record, in
-// sendStageOrder of use; without it, it saw no holders and every placement waited for
+// order of use; without it, it saw no holders and every placement waited for
 // fetches that were none.
 func TestNextLeaderKnowsImages(t *testing.T) {
 	s := newStage(t)
--- a/controller/inbox.go
+++ b/controller/inbox.go
@@ -13,8 +13,8 @@
 
 // followInbox takes in jobs that siblings accepted while they did not reach us.
 func (c *Controller) followInbox(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
-	// removeAt is done with a key, or has to look again: a job that was passed over here stood
-	// localityAware record, accepted, and ran only once its user had asked for it.
+	// take is done with a key, or has to look again: a job that was passed over here stood
+	// on record, accepted, and ran only once its user had asked for it.
 	take := func(key string) bool {
 		id := strings.TrimPrefix(key, store.InboxPrefix)
 		it, err := c.client.Get(ctx, store.JobKey(id))
--- a/controller/job.go
+++ b/controller/job.go
@@ -45,7 +45,7 @@
 	avoidUntil  map[string]time.Time
 	failedOn    map[string]bool
 	// terminalStored: the final state is on record and users may be told; filed: it
-	// taskLocations under its own key, and the other records can go.
+	// stands under its own key, and the other records can go.
 	terminalStored, archived bool
 	onTerminal               []func()
 	// terminalAt is when its cancellation was decided, if it was.
@@ -53,7 +53,7 @@
 	// latestStart orders it among those of its rank.
 	latestStart int64
 	// waitsForDependencies: jobs that it awaits are not known to be done, so none of its tasks is pending.
-	// eligibleAt is when it came, or the last of those was done, in ms on the clock of At. reach is
+	// began is when it came, or the last of those was done, in ms on the clock of At. reach is
 	// what it has to keep for the sake of those behind it; it is only set while there are some.
 	waitsForDependencies bool
 	eligibleAt           int64
@@ -61,8 +61,8 @@
 	// overQuota is 1 unless the job is within its team's guarantee.
 	overQuota int
 	// guaranteed: it was within the guarantee when this leader first looked, so it
-	// request not wait for other teams. One that comes within as others end goes
-	// precedence in the queues, but nothing is stopped for it. judged: that was
+	// need not wait for other teams. One that comes within as others end goes
+	// first in the queues, but nothing is stopped for it. judged: that was
 	// looked at.
 	guaranteed, guaranteeChecked bool
 	// learnedAt is when this leader got to know it.
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -153,7 +153,7 @@
 }
 
 // A cancellation is known to the siblings before anyone can be told: before its record is sent, since whoever
-// readLimiter that may tell; and before an answer leaves, whoever it came from.
+// reads that may tell; and before an answer leaves, whoever it came from.
 func TestCancellationsAreKnownBeforeTheyAreTold(t *testing.T) {
 	n, clock := threeNodes(t)
 	knows := func(job string) bool {
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -14,7 +14,7 @@
 )
 
 // submitWithoutLeader accepts a job without the leader, which learns of it by the
-// followInbox, as long as further conditions hold.
+// inbox, as long as further conditions hold.
 func (c *Controller) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
 	rec := store.JobRecord{Job: *submission, At: c.clock.Now().UnixMilli()}
 	conds := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -14,7 +14,7 @@
 // Whoever answers a worker renews its lease, and so keeps its tasks alive. A controller
 // that is cut off may do so for its zone's workers ("inside, a cut-off zone keeps
 // working"), but not for as long as it likes: on the other side a user may be told that a
-// jobState is cancelled, and within cancel_s its tasks must be gone, which nobody can order
+// job is cancelled, and within cancel_s its tasks must be gone, which nobody can order
 // here. So leases are renewed only while the last one ends in time, counted from the moment
 // up to which this controller knows of all that was told (package watermark): that all
 // siblings were alive was once taken for that, and cancelled tasks ran on through an outage
@@ -69,7 +69,7 @@
 }
 
 // enforceCancellations adds to an answer what ends the tasks of cancelled jobs that the worker reports, and takes out what would
-// startTask more. The token is the one that it has: a stop is safe under any.
+// start more. The token is the one that it has: a stop is safe under any.
 func (c *Controller) enforceCancellations(r *api.Heartbeat, o api.HeartbeatResponse) api.HeartbeatResponse {
 	o.Commands = c.watermark.WithoutCancelledStarts(o.Commands)
 	if more := c.watermark.KillCommands(r.Tasks, o.Commands); len(more) > 0 {
--- a/controller/locality.go
+++ b/controller/locality.go
@@ -30,7 +30,7 @@
 	lastS float64
 	lastN int
 	// on: inputs are weighed at all; single: there is one, of which each task needs its
-	// useCurrentFormat part.
+	// own part.
 	localityAware, single bool
 	// lastBehind and lastSlots are what a machine of the group had to bring already, and
 	// what that came to.
@@ -43,7 +43,7 @@
 	fromStore bool
 	// spread is how long its sources take to give its parts to one more machine.
 	spread float64
-	// inFlightCopies are the machines that its part is on its way to.
+	// coming are the machines that its part is on its way to.
 	coming map[replicas.MachineID]float64
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Least is what the smallest input takes on the idlest link: a machine that is no holder
-// missingBytes one at least.
+// lacks one at least.
 func (x *missingInputs) Least(group int) int {
 	if !x.localityAware {
 		return 0
@@ -174,7 +174,7 @@
 
 // delay is how long a task's inputs take to a machine: behind what its link has to bring
 // already, and behind the machines that wait for the same parts, unless they are on their
-// deliveryPath there as well. Like an image, a part that comes anyway costs the next task little.
+// way there as well. Like an image, a part that comes anyway costs the next task little.
 func (d *datasetState) delay(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.MachineID]float64, id replicas.MachineID) float64 {
 	if left, ok := coming[id]; ok {
 		return d.planner.TransferDelay(max(0, behind-left), left, false)
@@ -192,7 +192,7 @@
 }
 
 // spread is how long a task's own parts take until one more machine has them, as many as
-// waitForChange for them already, in seconds.
+// wait for them already, in seconds.
 func (d *datasetState) spread(job *jobState, task int) (within float64) {
 	for _, in := range job.inputs {
 		if in.partPerTask && in.summary != nil {
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -25,7 +25,7 @@
 	exited map[string]*exitedTask
 	// commandInFlight: a direct command is under way; again: another is wanted.
 	commandInFlight, resendCommands bool
-	// heartbeatRelay is the sibling that its reports come through; empty: directly.
+	// relay is the sibling that its reports come through; empty: directly.
 	relayPeer string
 	// relayedCommands is what stands for it in the letters to that sibling; nil: nothing.
 	relayedCommands json.RawMessage
@@ -46,7 +46,7 @@
 	requestedHere bool
 	// faultLogged: that it is suspect was logged.
 	faultLogged bool
-	// runningSince: the cloud lists it as up, though it has not reported yet; failed: it
+	// running: the cloud lists it as up, though it has not reported yet; failed: it
 	// lists it as stopped.
 	listedRunning, listedFailed bool
 	idleSince                   time.Time
--- a/controller/ordering.go
+++ b/controller/ordering.go
@@ -40,7 +40,7 @@
 }
 
 // guaranteeRank is 1 for a job that came within its team's guarantee, and lies in it: it need not
-// waitForChange. One that comes within it as earlier ones end does not count: under a backlog these are
+// wait. One that comes within it as earlier ones end does not count: under a backlog these are
 // the jobs that have waited longest, so the queues went by arrival, whatever the deadlines
 // (docs/incidents/fleet-guarantee-by-arrival.md).
 func (j *jobState) guaranteeRank() int {
@@ -126,7 +126,7 @@
 
 // deadlines are the times by which a job should be complete, in ms, sooner first: its own
 // deadline, and the multiples of it that its class has aims for, or, without a deadline, the
-// objectives of its class. A job that missed the first one still has the next to meet. A deadline
+// aims of its class. A job that missed the first one still has the next to meet. A deadline
 // counts from the submission, aims from when the job could start.
 func (s *Scheduler) deadlines(job *jobState) (out []int64) {
 	if job.Job.DeadlineS <= 0 {
--- a/controller/pipes_test.go
+++ b/controller/pipes_test.go
@@ -377,7 +377,7 @@
 	asked     map[string]bool
 	told      map[string]string
 	checked   int
-	// leaderlessWriter answers from the records; a new one for each check, as it remembers what is over.
+	// alone answers from the records; a new one for each check, as it remembers what is over.
 	alone   *Controller
 	running []api.TaskReport
 }
@@ -601,7 +601,7 @@
 }
 
 // What a pipeline's last job must keep reaches those before it: the rank below production's, and a
-// latestStart start that leaves time for what lies between, in waves where the fleet is small. It does
+// latest start that leaves time for what lies between, in waves where the fleet is small. It does
 // so again whenever something of that changes.
 func TestLastJobPressesThoseBeforeIt(t *testing.T) {
 	s := newStage(t)
--- a/controller/placement_round.go
+++ b/controller/placement_round.go
@@ -71,7 +71,7 @@
 }
 
 // queuedAhead is what a machine has outstanding for jobs up to and with j in the
-// sendStageOrder of the queues, as equation (2) needs it, and the room that services
+// order of the queues, as equation (2) needs it, and the room that services
 // leave.
 func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slot float64) (_ []placement.Queued, room fleet.Resources) {
 	room = machine.capacity()
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -27,7 +27,7 @@
 // mayPreempt tells whether a task may be stopped for a job: work of lower rank, or,
 // for a job that waits within its team's guarantee, work of the same rank that
 // another team runs beyond its own. Were higher ranks stopped as well, which is
-// satisfiesConstraints, they would stop the job's tasks in turn, and so on without end.
+// allowed, they would stop the job's tasks in turn, and so on without end.
 // Production is left alone.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
 	o := alloc.job
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -19,8 +19,8 @@
 )
 
 // HandleHeartbeat takes in a worker's report and returns the answer. Via is the sibling that
-// passedOverLogged it on; empty: it came directly. Deposed: the worker has seen a higher
-// runTerm, and we no longer lead.
+// passed it on; empty: it came directly. Deposed: the worker has seen a higher
+// term, and we no longer lead.
 func (s *Scheduler) HandleHeartbeat(r *api.Heartbeat, via string) (o api.HeartbeatResponse, deposed, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/controller/records.go
+++ b/controller/records.go
@@ -153,7 +153,7 @@
 		job := s.jobs[id]
 		for _, t := range slices.Sorted(maps.Keys(placed)) {
 			// It may run there, or its command was never sent: until the
-			// machineNamed proves otherwise it counts as running.
+			// machine proves otherwise it counts as running.
 			alloc := s.allocate(job, t, s.machineNamed(placed[t].Machine), placed[t].Attempt)
 			alloc.committed, alloc.runSent = true, true
 			job.lastStart = s.now()
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -62,7 +62,7 @@
 	machinesByName []*machineState
 	releasedAt     map[string]time.Time
 	// usage is what each team's tasks take; leaving is the part of it that tasks
-	// removeAt which are being stopped.
+	// take which are being stopped.
 	usage               map[string]fleet.Resources
 	stoppingUsage       map[string]fleet.Resources
 	quotas              quota.Ledger
@@ -70,7 +70,7 @@
 	lastInstanceRequest uint64
 	// objectives are the classes' times of completion, sooner first.
 	objectives map[string][]float64
-	// stopGraceS are the multiples of their deadlines, above one, by which most
+	// grace are the multiples of their deadlines, above one, by which most
 	// jobs of a class should be complete; smaller first.
 	deadlineMultiples map[string][]float64
 	// commandsReady are machines with commands that a commit has set free.
@@ -85,7 +85,7 @@
 	evictionBudget   failuredetector.EvictionBudget
 	deferralLoggedAt time.Time
 	// lastDirectContact is when a worker last reported to us itself or answered a command;
-	// unansweredCommands counts commands since that none answered.
+	// failed counts commands since that none answered.
 	lastDirectContact  time.Time
 	unansweredCommands int
 	startupTimes       failuredetector.StartupTimes
@@ -95,7 +95,7 @@
 	imageHints     map[string][]fleet.Image
 	imagesChanged  bool
 	imagesStoredAt time.Time
-	// answerStatus is when the fleet was last logged.
+	// told is when the fleet was last logged.
 	fleetLoggedAt time.Time
 	// victimSearches counts the machines that were searched for something to stop.
 	victimSearches int
@@ -106,7 +106,7 @@
 	roundTime time.Time
 	// commandMailboxes holds what stands in the mail for the machines behind each sibling.
 	commandMailboxes *exchange.Mailboxes
-	// followDatasets is nil unless datasets are on.
+	// datasets is nil unless datasets are on.
 	datasets *datasetState
 	// tasksPerShard is how many tasks share a record that is written now; own: it is this version's
 	// number, which keeps to the least limit, for machines with names of longestName.
--- a/controller/silence_test.go
+++ b/controller/silence_test.go
@@ -17,7 +17,7 @@
 }
 
 // rounds lets time pass with the leader at work: each step the named machines
-// handleHeartbeat, then it looks after machines.
+// report, then it looks after machines.
 func (s *stage) rounds(d time.Duration, reports func()) (returned []string) {
 	for ; d > 0; d -= tuning.TendEvery {
 		s.clock.Advance(tuning.TendEvery)
--- a/controller/task_failures.go
+++ b/controller/task_failures.go
@@ -10,7 +10,7 @@
 
 // A job that was submitted with a mistake fails on every machine, at once, until its
 // user cancels it. Its errors say nothing of the machines; and it fails again and
-// resendCommands, so it gets one machine at a time, now and then, until a task of it works.
+// again, so it gets one machine at a time, now and then, until a task of it works.
 
 // failsEverywhere tells whether a job fails wherever it goes: on several machines, with
 // nothing done and nothing that has been running for a while. A job whose first tasks
@@ -36,7 +36,7 @@
 }
 
 // recordTaskFailure notes an error of a job's task on a machine. Several tasks that fail on one
-// machineNamed are one sign.
+// machine are one sign.
 func (s *Scheduler) recordTaskFailure(job *jobState, machine *machineState, now time.Time) {
 	machine.RecordFailure(job.id)
 	if !machine.faultLogged && s.faulty(machine) {
@@ -70,7 +70,7 @@
 }
 
 // clearMachineFailures takes a mistaken job's errors off the machines when it is over: they would
-// scratchCounts against these once nobody remembers the job.
+// count against these once nobody remembers the job.
 func (s *Scheduler) clearMachineFailures(job *jobState) {
 	if !s.failsEverywhere(job) {
 		return
--- a/controller/topology_test.go
+++ b/controller/topology_test.go
@@ -277,7 +277,7 @@
 }
 
 // A rack that drains before a machine boots is kept for a job that waits for all of it: what ends
-// compareJobs goes in, what does not stays out, and the job starts when the rack is empty. Without
+// before goes in, what does not stays out, and the job starts when the rack is empty. Without
 // that small jobs would fill every hole, and it would wait for ever.
 func TestDrainingRackIsKept(t *testing.T) {
 	y := newYard(t, 2, 2)
--- a/controller/user_test.go
+++ b/controller/user_test.go
@@ -25,7 +25,7 @@
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
 // follower is a controller that has greeted its leader n0. The leader falls silent once
-// inboundLost is set: connections stand, and nothing is answered.
+// mute is set: connections stand, and nothing is answered.
 func follower(t *testing.T, ctx context.Context, mute *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
