--- a/controller/admission.go
+++ b/controller/admission.go
@@ -147,7 +147,7 @@
 	}
 	if applier := c.currentApplier(); sched != nil && applier != nil {
 		by := applier.Candidates()
-		if len(by) == 0 || !sched.hooks.Leading() {
+		if len(by) == 0 || !sched.Leading() {
 			return admission{why: "the configuration is not known yet"}
 		}
 		return admission{by: by}
--- a/controller/agent_relay.go
+++ b/controller/agent_relay.go
@@ -45,5 +45,5 @@
 // followAgentRelay is the leader's side: it takes in what siblings pass on of agents.
 func (c *Controller) followAgentRelay(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
 	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.StageMailPrefix)
-	exchange.Follow(ctx, c.client, c.clock, store.StageRelayPrefix, after, sched.term, sched.acceptAgentMessage)
+	exchange.Follow(ctx, c.client, c.clock, store.StageRelayPrefix, after, sched.Term(), sched.AcceptAgentMessage)
 }
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -116,7 +116,7 @@
 		}
 		for _, e := range log {
 			it := store.Item{Key: e.Set, Value: e.Value, Revision: e.Revision}
-			if entry, err := parseDataset(&it); e.Set != "" && err == nil {
+			if entry, err := DecodeDataset(&it); e.Set != "" && err == nil {
 				sched.AddDatasets(entry)
 				c.cacheDataset(entry)
 			}
@@ -133,7 +133,7 @@
 	}
 	var sets []*dataset.Entry
 	for i := range items {
-		entry, err := parseDataset(&items[i])
+		entry, err := DecodeDataset(&items[i])
 		if err != nil {
 			slog.Error("a dataset's record is damaged; jobs that need it wait", "key", items[i].Key, "err", err)
 			continue
--- a/controller/command_relay.go
+++ b/controller/command_relay.go
@@ -39,8 +39,8 @@
 	s.relayCommands(machine)
 }
 
-// acceptWorkerMessage takes in one report that a sibling passed on.
-func (s *Scheduler) acceptWorkerMessage(member string, m relay.Message) {
+// AcceptWorkerMessage takes in one report that a sibling passed on.
+func (s *Scheduler) AcceptWorkerMessage(member string, m relay.Message) {
 	var r api.Heartbeat
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
--- a/controller/datarelay_test.go
+++ b/controller/datarelay_test.go
@@ -77,7 +77,7 @@
 		s.Fatal(err)
 	}
 	s.after = max(s.after, epoch)
-	exchange.UnpackEvents(log, store.StageRelayPrefix, s.term, &s.joiner, s.acceptAgentMessage)
+	exchange.UnpackEvents(log, store.StageRelayPrefix, s.term, &s.joiner, s.AcceptAgentMessage)
 	s.Place()
 	s.commit()
 	if _, err = s.y.agentRelay.post.Fetch(ctx, 0); err != nil {
--- a/controller/dataset_removal.go
+++ b/controller/dataset_removal.go
@@ -33,7 +33,7 @@
 // be. Jobs that nobody was told of, and that may not name it any more, are dropped: the
 // users who wait for them are told why by whoever checks the inputs anew.
 func (s *Scheduler) datasetFound(found *store.Item) {
-	x, err := parseDataset(found)
+	x, err := DecodeDataset(found)
 	if err != nil {
 		slog.Error("a dataset's record is damaged", "key", found.Key, "err", err)
 		return
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if entry, err = parseDataset(&it); err != nil {
+	if entry, err = DecodeDataset(&it); err != nil {
 		return nil, fmt.Errorf("record %s is damaged: %w", it.Key, err)
 	}
 	c.cacheDataset(entry)
@@ -162,7 +162,7 @@
 		if err != nil {
 			break
 		}
-		old, err := parseDataset(&it)
+		old, err := DecodeDataset(&it)
 		if err == nil && old.State != dataset.Listed {
 			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
 		}
@@ -196,7 +196,7 @@
 		if err != nil {
 			break
 		}
-		x, err := parseDataset(&it)
+		x, err := DecodeDataset(&it)
 		if err != nil {
 			return peer.JSONResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
--- a/controller/datasets.go
+++ b/controller/datasets.go
@@ -152,8 +152,8 @@
 	return true
 }
 
-// parseDataset reads a dataset's record.
-func parseDataset(it *store.Item) (*dataset.Entry, error) {
+// DecodeDataset reads a dataset's record.
+func DecodeDataset(it *store.Item) (*dataset.Entry, error) {
 	var s dataset.Entry
 	if err := json.Unmarshal(it.Value, &s); err != nil {
 		return nil, err
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -18,27 +18,27 @@
 // whoever is asked, and what is written of them is for the readers' convenience. The core's lock
 // is held.
 type dependencies struct {
-	core  *Scheduler
-	graph *dag.Graph
+	scheduler *Scheduler
+	graph     *dag.Graph
 	// missing are awaited jobs that this leader does not know; ask tells that there are more.
-	missing map[string]bool
-	ask     chan struct{}
+	missing      map[string]bool
+	lookupNeeded chan struct{}
 }
 
 func newDependencies(sched *Scheduler) *dependencies {
-	return &dependencies{core: sched, graph: dag.New(), missing: map[string]bool{}, ask: make(chan struct{}, 1)}
+	return &dependencies{scheduler: sched, graph: dag.New(), missing: map[string]bool{}, lookupNeeded: make(chan struct{}, 1)}
 }
 
 // terminalState is the final state of a job that is on record; known: the job is. A final state that is
 // only decided does not count.
 func (p *dependencies) terminalState(id string) (state string, known bool) {
-	if job := p.core.jobs[id]; job != nil {
+	if job := p.scheduler.jobs[id]; job != nil {
 		if job.terminalStored {
 			return job.FinalState, true
 		}
 		return "", true
 	}
-	f, ok := p.core.hooks.TerminalState(id)
+	f, ok := p.scheduler.hooks.TerminalState(id)
 	return f.State, ok
 }
 
@@ -95,7 +95,7 @@
 func (p *dependencies) requestLookup(id string) {
 	p.missing[id] = true
 	select {
-	case p.ask <- struct{}{}:
+	case p.lookupNeeded <- struct{}{}:
 	default:
 	}
 }
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, next := range p.graph.Cancel(id) {
-		if job := p.core.jobs[next]; job != nil && job.FinalState == "" {
+		if job := p.scheduler.jobs[next]; job != nil && job.FinalState == "" {
 			p.cancel(job, id)
 		}
 	}
@@ -120,23 +120,23 @@
 // release lets a job start. Sought: what it awaited was looked up, so it may have been over long ago,
 // under an earlier leader, and the job may have waited since.
 func (p *dependencies) release(id string, sought bool) {
-	job := p.core.jobs[id]
+	job := p.scheduler.jobs[id]
 	if job == nil || job.FinalState != "" {
 		return
 	}
-	job.waitsForDependencies, job.learnedAt, job.eligibleAt = false, p.core.now(), p.core.now().UnixMilli()
+	job.waitsForDependencies, job.learnedAt, job.eligibleAt = false, p.scheduler.now(), p.scheduler.now().UnixMilli()
 	if !sought {
 		job.waitingSince = job.learnedAt
 	}
 	slog.Debug("job may start", "job", id, "waited", time.Duration(job.eligibleAt-job.At)*time.Millisecond)
 	job.makeEligible()
-	p.core.wakePlacer()
+	p.scheduler.wakePlacer()
 }
 
 // cancel ends a job with a cancelled one that it awaits, directly or through others. Nothing
 // of it has started, so its final record is all that there is to write.
 func (p *dependencies) cancel(job *jobState, with string) {
-	sched := p.core
+	sched := p.scheduler
 	job.waitsForDependencies = false
 	job.setTerminal(sched, api.Cancelled)
 	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", job.FinalState, "with", with)
@@ -151,7 +151,7 @@
 // not raised to that of production, which no pipeline may starve. Cpus are those of the fleet
 // that is up.
 func (p *dependencies) inheritUrgency(cpus float64) {
-	sched := p.core
+	sched := p.scheduler
 	got := p.graph.Inherit(func(id string) (dag.Stage, bool) {
 		job := sched.jobs[id]
 		if job == nil || job.FinalState != "" {
@@ -173,7 +173,7 @@
 		waves = max(1, float64(job.taskCount-job.completedCount)*job.request.CPUs/cpus)
 	}
 	pull, n := 0.0, 0.0
-	for _, t := range p.core.machineTypes {
+	for _, t := range p.scheduler.machineTypes {
 		if t.Fits(&job.Job) && t.PullGBs > 0 {
 			pull, n = pull+t.PullGBs, n+1
 		}
@@ -188,7 +188,7 @@
 // startsSoon tells whether machines for a job that waits are worth renting: all that it awaits runs,
 // and by the estimates ends within the boot of a machine.
 func (p *dependencies) startsSoon(job *jobState) bool {
-	sched := p.core
+	sched := p.scheduler
 	boot := 0.0
 	for _, t := range sched.machineTypes {
 		boot = max(boot, t.BootS)
@@ -211,7 +211,7 @@
 func (p *dependencies) waitReasons(job *jobState) (why []string) {
 	for _, id := range p.graph.Dependencies(job.id) {
 		state := "is not over"
-		switch o := p.core.jobs[id]; {
+		switch o := p.scheduler.jobs[id]; {
 		case o == nil:
 			state = "is being looked up"
 		case o.waitsForDependencies:
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -17,7 +17,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-sched.dependencies.ask:
+		case <-sched.LookupNeeded():
 		}
 		ids := sched.UnresolvedDependencies()
 		for len(ids) > 0 && ctx.Err() == nil {
--- a/controller/failure_detection.go
+++ b/controller/failure_detection.go
@@ -20,17 +20,17 @@
 	}
 }
 
-// lastContact is since when this leader hears nobody, as far as it could.
-func (s *Scheduler) lastContact() time.Time {
+// LastContact is since when this leader hears nobody, as far as it could.
+func (s *Scheduler) LastContact() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tick(s.now())
 	return latest(s.lastHeartbeat, s.detector.ResumedAt())
 }
 
-// outboundLost tells whether this leader reaches no worker any more while a sibling hears
+// OutboundLost tells whether this leader reaches no worker any more while a sibling hears
 // them: reports come through that one, but no command goes out at once.
-func (s *Scheduler) outboundLost(siblings []peer.Hello) bool {
+func (s *Scheduler) OutboundLost(siblings []peer.Hello) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unansweredCommands < tuning.DeafCommands || s.since(latest(s.lastDirectContact, s.detector.ResumedAt())) < tuning.DeafAfter {
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -22,7 +22,7 @@
 		sched.CommandsAnswered(name, o, nil, errors.Is(err, worker.ErrNotSent))
 		return
 	}
-	if r.Term > sched.term {
+	if r.Term > sched.Term() {
 		c.deposed(sched)
 	}
 	sched.CommandsAnswered(name, o, r, true)
@@ -31,7 +31,7 @@
 // deposed ends the term if a worker's word of a higher one can be true: while our key certainly
 // stands nobody else can have won one, and a worker that claims it must not end every term.
 func (c *Controller) deposed(sched *Scheduler) bool {
-	if sched.hooks.Leading() {
+	if sched.Leading() {
 		return false
 	}
 	c.elector.Resign("a worker has seen a higher term")
@@ -65,7 +65,7 @@
 func (c *Controller) announceTerm(ctx context.Context, sched *Scheduler, name, addr string) {
 	session := uint64(1)
 	for range 2 {
-		o := api.HeartbeatResponse{Term: sched.term, Incarnation: session, Commands: []api.Command{}}
+		o := api.HeartbeatResponse{Term: sched.Term(), Incarnation: session, Commands: []api.Command{}}
 		r, done, err := c.worker.Send(ctx, addr, o)
 		if err != nil {
 			return
@@ -106,7 +106,7 @@
 // another leader by now.
 func (c *Controller) releaseMachines(ctx context.Context, sched *Scheduler, names []string) {
 	err := errNoTerm
-	if sched.hooks.Leading() {
+	if sched.Leading() {
 		err = c.cloud.Return(ctx, names)
 	}
 	if err != nil {
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -107,5 +107,5 @@
 // followHeartbeatRelay is the leader's side: it takes in what siblings pass on.
 func (c *Controller) followHeartbeatRelay(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
 	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.MailPrefix)
-	exchange.Follow(ctx, c.client, c.clock, store.RelayPrefix, after, sched.term, sched.acceptWorkerMessage)
+	exchange.Follow(ctx, c.client, c.clock, store.RelayPrefix, after, sched.Term(), sched.AcceptWorkerMessage)
 }
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -87,7 +87,7 @@
 	// A leader that has not read the records knows of cancellations what its siblings say, or nothing.
 	sure := c.markCurrentIfLeading()
 	kept := sure || c.mayRenewLeases()
-	if !kept && !sched.hooks.Leading() {
+	if !kept && !sched.Leading() {
 		return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
 	}
 	o, deposed, refused := sched.HandleHeartbeat(r, via)
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -253,7 +253,7 @@
 				t.Fatal(err)
 			}
 			after = max(after, epoch)
-			exchange.UnpackEvents(log, store.RelayPrefix, s.term, &joiner, s.acceptWorkerMessage)
+			exchange.UnpackEvents(log, store.RelayPrefix, s.term, &joiner, s.AcceptWorkerMessage)
 			s.Place()
 			s.commit()
 			if _, err := y.heartbeatRelay.post.Fetch(context.Background(), 0); err != nil {
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -57,7 +57,7 @@
 	}
 	if sched := c.leadingScheduler(); sched != nil {
 		switch {
-		case sched.hooks.Leading() && sched.Loaded():
+		case sched.Leading() && sched.Loaded():
 			return c.serveAsLeader(ctx, sched, r)
 		case !c.stateServiceHealthy():
 			if r.Verb == VerbSubmit {
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -144,6 +144,21 @@
 	return sched
 }
 
+// Term returns the number of this term of the leader, the fencing token of its commands.
+func (s *Scheduler) Term() uint64 { return s.term }
+
+// TermStarted returns when this term began.
+func (s *Scheduler) TermStarted() time.Time { return s.termStarted }
+
+// Leading reports whether this controller certainly still leads in this term.
+func (s *Scheduler) Leading() bool { return s.hooks.Leading() }
+
+// Wake returns a channel that receives when there is something to place before the next tick.
+func (s *Scheduler) Wake() <-chan struct{} { return s.wake }
+
+// LookupNeeded returns a channel that receives when UnresolvedDependencies has grown.
+func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
+
 // SetTypes takes in the cloud's catalog.
 func (s *Scheduler) SetTypes(types []api.MachineType) {
 	s.mu.Lock()
--- a/controller/silence_test.go
+++ b/controller/silence_test.go
@@ -105,21 +105,21 @@
 	}
 	quiet := func() { s.through("n1", "a1"); s.through("n1", "a2") }
 	miss(tuning.DeafCommands)
-	if s.outboundLost(hears) {
+	if s.OutboundLost(hears) {
 		t.Error("resigns for a few commands in a moment")
 	}
 	s.rounds(5*time.Second, quiet)
-	if !s.outboundLost(hears) {
+	if !s.OutboundLost(hears) {
 		t.Error("leads on although it reaches no worker and a sibling hears them")
 	}
-	if s.outboundLost([]peer.Hello{{Member: "n1", StateOK: true}}) {
+	if s.OutboundLost([]peer.Hello{{Member: "n1", StateOK: true}}) {
 		t.Error("resigns although no sibling hears workers either")
 	}
 	s.report("a2", 1)
 	s.report("a2", 1)
 	s.rounds(5*time.Second, quiet)
 	miss(tuning.DeafCommands - 1)
-	if s.outboundLost(hears) {
+	if s.OutboundLost(hears) {
 		t.Error("resigns because one machine does not answer")
 	}
 }
--- a/controller/stage_relay.go
+++ b/controller/stage_relay.go
@@ -74,8 +74,8 @@
 	return raw
 }
 
-// acceptAgentMessage takes in one message about an agent.
-func (s *Scheduler) acceptAgentMessage(member string, m relay.Message) {
+// AcceptAgentMessage takes in one message about an agent.
+func (s *Scheduler) AcceptAgentMessage(member string, m relay.Message) {
 	var r api.StageHeartbeat
 	err := json.Unmarshal(m.Body, &r)
 	if err == nil {
--- a/controller/term.go
+++ b/controller/term.go
@@ -21,7 +21,7 @@
 
 func (s recordSource) Condition() (store.Condition, bool) {
 	term, valid := s.n.elector.Term()
-	return store.Condition{Key: store.LeaderKey, Revision: s.term}, valid && term == s.term
+	return store.Condition{Key: store.LeaderKey, Revision: s.Term()}, valid && term == s.Term()
 }
 
 // Record has a cancellation known to the siblings before it can be read by anyone.
@@ -36,7 +36,7 @@
 // Conflict lets this node forget what it believed of a dataset.
 func (s recordSource) Conflict(key string, found *store.Item) {
 	if strings.HasPrefix(key, store.DatasetPrefix) {
-		if x, err := parseDataset(found); err == nil {
+		if x, err := DecodeDataset(found); err == nil {
 			s.n.cacheDataset(x)
 		}
 	}
@@ -66,10 +66,11 @@
 	c.mu.Lock()
 	types := c.machineTypes
 	c.mu.Unlock()
-	sched := NewScheduler(term, c.clock, c.settings, c.policy, types, hooks)
-	sched.hooks.SendCommands = func(name, addr string, o api.HeartbeatResponse) { go c.sendCommands(ctx, sched, name, addr, o) }
+	var sched *Scheduler
+	hooks.SendCommands = func(name, addr string, o api.HeartbeatResponse) { go c.sendCommands(ctx, sched, name, addr, o) }
+	hooks.SendStageOrder = func(name, addr string, o api.StageOrder) { go c.sendStageOrder(ctx, sched, name, addr, o) }
+	sched = NewScheduler(term, c.clock, c.settings, c.policy, types, hooks)
 	if c.data.On {
-		sched.hooks.SendStageOrder = func(name, addr string, o api.StageOrder) { go c.sendStageOrder(ctx, sched, name, addr, o) }
 		sched.UseData(c.data)
 	}
 	if c.topology != nil {
@@ -148,7 +149,7 @@
 			sched.Load(jobs, shards)
 		}
 		if err == nil {
-			c.loadedTerm.Store(sched.term)
+			c.loadedTerm.Store(sched.Term())
 			inbox = epoch
 			break
 		}
@@ -169,7 +170,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-sched.wake:
+		case <-sched.Wake():
 		case <-c.clock.After(tuning.Tick):
 		}
 		began := c.clock.Now()
@@ -185,14 +186,14 @@
 // unfitReason is why this node should no longer lead; empty: it should.
 func (c *Controller) unfitReason(sched *Scheduler) string {
 	for _, h := range c.peers.LivePeers() {
-		if h.Term > sched.term {
+		if h.Term > sched.Term() {
 			return "a sibling has a higher term"
 		}
 	}
-	if sched.hooks.Leading() && c.transfer.Due(c.clock.Now(), sched.termStarted, c.cpuMonitor.ComparisonUS(), c.peers.LivePeers()) {
+	if sched.Leading() && c.transfer.Due(c.clock.Now(), sched.TermStarted(), c.cpuMonitor.ComparisonUS(), c.peers.LivePeers()) {
 		return "computes slower than a sibling"
 	}
-	if sched.hooks.Leading() && sched.outboundLost(c.peers.LivePeers()) {
+	if sched.Leading() && sched.OutboundLost(c.peers.LivePeers()) {
 		return "reaches no worker, a sibling does"
 	}
 	if !c.peers.Isolated() {
@@ -213,7 +214,7 @@
 // dead end after the other: whoever leads alone must give them a lease's time, or
 // they find nobody when they come.
 func (c *Controller) isolatedFromWorkers(sched *Scheduler) bool {
-	return c.clock.Since(sched.termStarted) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.lastContact()) > tuning.DeafAfter
+	return c.clock.Since(sched.TermStarted()) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.LastContact()) > tuning.DeafAfter
 }
 
 // zoneUnreachable tells whether no controller in another zone can be reached.
