--- a/controller/agents.go
+++ b/controller/agents.go
@@ -45,7 +45,7 @@
 		// Nobody's word comes through here: another controller may do better.
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	o, err := c.agentRelay.handleHeartbeat(r, term)
+	o, err := c.agentProxy.HandleHeartbeat(r, term)
 	if err != nil {
 		slog.Error("an agent's order in the mail is damaged", "machine", r.Machine, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -39,31 +39,17 @@
 	}
 	// Questions must not take the requests that leading needs.
 	x, err := c.records.ReadInTurn(ctx, id, asked)
-	switch {
-	case err != nil || !x.Found:
+	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
-	case x.Record == nil:
-		return x.Final.JobStatus(id), true, nil
-	}
-	if f, ok := c.terminalState(id); ok {
-		// It ended while we read: the record is old by now.
-		return f.JobStatus(id), true, nil
 	}
-	if sched != nil {
+	if _, over := c.terminalState(id); x.Record != nil && !over && sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
 		if st, ok := sched.JobStatus(id); ok {
 			return st, true, nil
 		}
 	}
-	st := api.JobStatus{ID: id, State: api.Pending}
-	if x.Final.State != "" {
-		st.State = x.Final.State
-	} else if gone, err := c.records.DependsOnCancelled(ctx, x.Awaits, asked); err != nil {
-		return st, false, err
-	} else if gone {
-		st.State = api.Cancelled
-	}
-	return st, true, nil
+	st, err := c.records.Status(ctx, id, x, asked)
+	return st, err == nil, err
 }
 
 func (c *Controller) serveCancellation(ctx context.Context, sched *Scheduler, id string) peer.Response {
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -45,14 +45,19 @@
 // Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
 // revision before had something else.
 func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
-	withFiles := *active
-	if withFiles.Topology == nil && l.n.topology != nil {
-		withFiles.Topology = l.n.topology.Map()
+	return l.core.ApplyConfiguration(l.n.withFileDefaults(active))
+}
+
+// withFileDefaults returns a configuration in which the files stand in for what the revision leaves out.
+func (c *Controller) withFileDefaults(active *configuration.Active) *configuration.Active {
+	complete := *active
+	if complete.Topology == nil && c.topology != nil {
+		complete.Topology = c.topology.Map()
 	}
-	if withFiles.AheadTasks == nil {
-		withFiles.AheadTasks = &l.n.data.Ahead
+	if complete.AheadTasks == nil {
+		complete.AheadTasks = &c.data.Ahead
 	}
-	return l.core.ApplyConfiguration(&withFiles)
+	return &complete
 }
 
 // Peers are all other controllers.
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -31,6 +31,7 @@
 	"switchferry/reachability"
 	"switchferry/redirect"
 	"switchferry/relay/exchange"
+	"switchferry/relay/proxy"
 	"switchferry/retry"
 	"switchferry/settings"
 	"switchferry/store"
@@ -105,8 +106,8 @@
 	revisions *revisions.Store
 	applier   *revisions.Applier
 
-	heartbeatRelay *heartbeatRelay
-	cpuMonitor     *cpupressure.Monitor
+	workerProxy *proxy.Workers
+	cpuMonitor  *cpupressure.Monitor
 	// transfer is used by the loop of a term alone.
 	transfer cpupressure.LeadershipTransfer
 
@@ -118,7 +119,7 @@
 	// agentRedirects remembers agents that were sent to the leader; agentRelay answers
 	// those that do not reach it.
 	agentRedirects redirect.Tracker
-	agentRelay     *agentRelay
+	agentProxy     *proxy.Agents
 }
 
 // New makes a controller. Transport carries its calls to other services.
@@ -153,7 +154,7 @@
 	if err != nil {
 		panic(err) // only for a limit below one
 	}
-	n.heartbeatRelay = newHeartbeatRelay(n)
+	n.workerProxy = proxy.NewWorkers(n.proxyOptions())
 	n.cpuMonitor = cpupressure.NewMonitor(clock)
 	n.agentClient = &http.Client{Transport: transport}
 	return n
@@ -193,7 +194,7 @@
 	c.data = f.Data
 	c.datasetCache = map[string]*dataset.Entry{}
 	c.agentRedirects = redirect.NewTracker()
-	c.agentRelay = newAgentRelay(c)
+	c.agentProxy = proxy.NewAgents(c.proxyOptions())
 	if f.Membership.On {
 		c.newMembershipWatcher()
 	}
@@ -213,9 +214,9 @@
 	go c.refreshCatalog()
 	go c.markVersion(c.ctx)
 	go c.requestCounts.Log(c.ctx, c.clock, tuning.FleetLogEvery)
-	go c.heartbeatRelay.post.Run(c.ctx)
+	go c.workerProxy.Exchange.Run(c.ctx)
 	if c.data.On {
-		go c.agentRelay.post.Run(c.ctx)
+		go c.agentProxy.Exchange.Run(c.ctx)
 	}
 	if c.topology != nil {
 		go c.watchTopology()
--- /dev/null
+++ b/controller/dependency_resolution.go
@@ -0,0 +1,31 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+
+	"switchferry/lookup"
+	"switchferry/store"
+)
+
+// LookUpDependencies reads the records of awaited jobs that this term does not know: they ended before it began, or a peer
+// has just accepted them. A job that cannot be read stays in UnresolvedDependencies. The records are read without the
+// scheduler's lock.
+func (s *Scheduler) LookUpDependencies(ctx context.Context, records *lookup.Jobs, committer *store.Committer, ids []string) {
+	lookup.ForEach(ids, func(_ int, id string) {
+		found, err := records.Read(ctx, id)
+		switch {
+		case err != nil:
+			slog.Info("an awaited job is not looked up yet", "job", id, "err", err)
+		case found.Record != nil:
+			if !s.HasJob(id) {
+				committer.SetRevision(found.Record.Key, found.Record.Revision)
+				s.Conflict(found.Record.Key, found.Record)
+			}
+		case found.Found:
+			s.ResolveDependency(id, found.Final)
+		default:
+			slog.Error("a job is awaited of which nothing is on record", "job", id)
+		}
+	})
+}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -69,7 +69,7 @@
 	if !c.mayRenewLeases() {
 		return c.refuseRenewal()
 	}
-	return http.StatusOK, c.enforceCancellations(r, c.heartbeatRelay.handleHeartbeat(r, term))
+	return http.StatusOK, c.enforceCancellations(r, c.workerProxy.HandleHeartbeat(r, term))
 }
 
 // handleForwardedHeartbeat serves a report that a sibling passes on.
--- /dev/null
+++ b/controller/leader_test.go
@@ -0,0 +1,148 @@
+package controller
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/api"
+	"switchferry/internal/fake"
+	"switchferry/policy"
+	"switchferry/settings"
+	"switchferry/store"
+	"switchferry/upgrade"
+)
+
+// leader is a scheduler on a fake clock with a scripted state service. Nothing of it runs by itself: the test plays the
+// workers and commits records.
+type leader struct {
+	*testing.T
+	*Scheduler
+	clock     *clockwork.FakeClock
+	state     *fake.State
+	committer *store.Committer
+	// leading is what the scheduler is told of whether it still leads.
+	leading bool
+	// seq numbers the heartbeats of all machines.
+	seq uint64
+	// commands are those sent directly, by task.
+	commands map[string][]api.Command
+	// terminal has the jobs that are over for good.
+	terminal map[string]store.FinalRecord
+}
+
+// committedRecords lets the leader's committer write while it leads.
+type committedRecords struct {
+	*Scheduler
+	leader *leader
+}
+
+func (r committedRecords) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: r.Term()}, r.leader.leading
+}
+
+func (r committedRecords) Deposed() { r.leader.leading = false }
+
+// newLeader returns the leader x of a new term with one team t.
+func newLeader(t *testing.T) *leader {
+	t.Helper()
+	clock := clockwork.NewFakeClock()
+	l := &leader{T: t, clock: clock, state: fake.NewState(clock), leading: true, commands: map[string][]api.Command{}, terminal: map[string]store.FinalRecord{}}
+	set := &settings.Settings{Member: "x"}
+	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
+	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}}
+	term := l.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
+	l.Scheduler = NewScheduler(term, clock, set, policy.Default(), testTypes, Hooks{
+		MarkDirty: func(key string, urgency int, after func()) { l.committer.MarkDirty(key, urgency, after) },
+		MarkDirtyWithin: func(key string, urgency int, _ time.Duration, after func()) {
+			l.committer.MarkDirty(key, urgency, after)
+		},
+		SendCommands:    l.recordCommands,
+		Leading:         func() bool { return l.leading },
+		CommitDelay:     func() time.Duration { return l.committer.Delay() },
+		ZoneUnreachable: func(string) bool { return false },
+		JobTerminal:     func(id string, final store.FinalRecord) { l.terminal[id] = final },
+		TerminalState: func(id string) (store.FinalRecord, bool) {
+			final, ok := l.terminal[id]
+			return final, ok
+		},
+	})
+	l.committer = store.NewCommitter(store.NewClient("state:1", l.state), committedRecords{l.Scheduler, l}, clock, set.Facts.State, map[string]uint64{})
+	l.Load(nil, nil)
+	return l
+}
+
+func (l *leader) recordCommands(_, _ string, sent api.HeartbeatResponse) {
+	for _, command := range sent.Commands {
+		l.commands[command.Task] = append(l.commands[command.Task], command)
+	}
+}
+
+// commit writes all dirty records.
+func (l *leader) commit() {
+	for i := 0; l.committer.Pending() > 0 && i < 2000; i++ {
+		l.committer.Step(context.Background())
+		l.clock.Advance(time.Millisecond)
+	}
+}
+
+// heartbeat plays a worker of zone a that has seen the present term.
+func (l *leader) heartbeat(machine string) {
+	l.seq++
+	l.HandleHeartbeat(&api.Heartbeat{Machine: machine, Address: machine + ":1", Type: "m8", Zone: "a", Incarnation: 1, Seq: l.seq, Term: l.Term()}, "")
+}
+
+// smallJob returns a job of one task of team t.
+func smallJob(id string) *api.Submission {
+	return &api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1,
+		CPUs: 0.1, MemoryGB: 0.1, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30}
+}
+
+// submit stores a job.
+func (l *leader) submit(job *api.Submission) {
+	l.Helper()
+	l.Submit(cancelledContext(), job, l.clock.Now())
+	l.commit()
+	if _, ok := l.JobStatus(job.ID); !ok {
+		l.Fatalf("%s not accepted", job.ID)
+	}
+}
+
+// status returns the state of a job as the leader knows it, empty if it knows none.
+func (l *leader) status(id string) string {
+	if status, ok := l.JobStatus(id); ok {
+		return status.State
+	}
+	return l.terminal[id].State
+}
+
+// starts returns how many run commands were sent directly for a task.
+func (l *leader) starts(task string) (n int) {
+	for _, command := range l.commands[task] {
+		if command.Verb == api.CommandRun {
+			n++
+		}
+	}
+	return n
+}
+
+// beside returns another controller, which answers from the records alone. All members have this version.
+func (l *leader) beside() *Controller {
+	set := &settings.Settings{Member: "y"}
+	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
+	set.Facts.Teams = []settings.Team{{Name: "t"}}
+	c := New(context.Background(), set, policy.Default(), l.clock, l.state)
+	c.machineTypes = testTypes
+	c.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	return c
+}
+
+// cancelledContext is that of a user who waits for nothing.
+func cancelledContext() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	return ctx
+}
--- /dev/null
+++ b/controller/relays.go
@@ -0,0 +1,26 @@
+package controller
+
+import (
+	"context"
+
+	"switchferry/relay/exchange"
+	"switchferry/relay/proxy"
+	"switchferry/store"
+)
+
+// proxyOptions returns what the proxies of workers and agents need of this controller.
+func (c *Controller) proxyOptions() proxy.Options {
+	return proxy.Options{Member: c.settings.Member, Client: c.client, Clock: c.clock, WriteLimit: c.relayLimiter, State: c.settings.Facts.State}
+}
+
+// followWorkerRelay takes in, as the leader, the workers' heartbeats that peers relay through the state service.
+func (c *Controller) followWorkerRelay(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
+	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.MailPrefix)
+	exchange.Follow(ctx, c.client, c.clock, store.RelayPrefix, after, sched.Term(), sched.AcceptWorkerMessage)
+}
+
+// followAgentRelay takes in, as the leader, the agents' heartbeats that peers relay through the state service.
+func (c *Controller) followAgentRelay(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
+	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.StageMailPrefix)
+	exchange.Follow(ctx, c.client, c.clock, store.StageRelayPrefix, after, sched.Term(), sched.AcceptAgentMessage)
+}
--- a/controller/term.go
+++ b/controller/term.go
@@ -159,7 +159,7 @@
 	go committer.Run(ctx)
 	go c.followInbox(ctx, sched, committer, inbox)
 	go c.lookUpDependencies(ctx, sched, committer)
-	go c.followHeartbeatRelay(ctx, sched, committer, inbox)
+	go c.followWorkerRelay(ctx, sched, committer, inbox)
 	go c.refreshMachines(ctx, sched)
 	if c.data.On {
 		go c.followDatasets(ctx, sched, known)
--- /dev/null
+++ b/relay/proxy/workers_test.go
@@ -0,0 +1,86 @@
+package proxy
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/api"
+	"switchferry/internal/fake"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
+	"switchferry/settings"
+	"switchferry/store"
+)
+
+// newWorkers returns the proxy of a controller y.
+func newWorkers() *Workers {
+	clock := clockwork.NewFakeClock()
+	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
+	client := store.NewClient("state:1", fake.NewState(clock))
+	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+}
+
+// Mail is delivered only while the worker speaks to this relay alone: in a gap
+// another node may have cleared the attempt that the mail would start.
+func TestStaleMailIsNotDelivered(t *testing.T) {
+	n := newWorkers()
+	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
+	say := func(seq uint64) api.HeartbeatResponse {
+		return n.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
+	}
+	say(10)
+	mail := func(part int, stamp, seq uint64, verb string) {
+		t.Helper()
+		s := relay.NewMailbox(exchange.PacketLimits(limits))
+		s.PacketOf("b1")
+		raw, _ := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
+		l, _, _, err := s.BuildPacket(7, 0, func(string) json.RawMessage { return raw })
+		if err == nil {
+			err = n.inbox.Apply(store.MailKey("y", part), stamp, &l)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	mail(0, 50, 10, api.CommandRun)
+	if o := say(11); len(o.Commands) != 1 || o.Term != 7 {
+		t.Fatalf("mail not delivered: %+v", o)
+	}
+	for _, seq := range []uint64{13, 14} {
+		if o := say(seq); len(o.Commands) != 0 {
+			t.Errorf("stale mail delivered at %d", seq)
+		}
+	}
+	// What was told last is not followed by what was derived from an earlier report, in
+	// whichever letter it is found: after a clear, a start would begin the task again.
+	mail(1, 60, 14, api.CommandClear)
+	if o := say(15); len(o.Commands) != 1 || o.Commands[0].Verb != api.CommandClear {
+		t.Fatalf("the newer mail: %+v", o)
+	}
+	mail(0, 70, 13, api.CommandRun)
+	if o := say(16); len(o.Commands) != 0 {
+		t.Errorf("mail from before the one that was told: %+v", o)
+	}
+	if o := n.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
+		t.Errorf("mail of another term: %+v", o)
+	}
+}
+
+// A late copy of a heartbeat does not undo what the worker has said since.
+func TestCopyOfAHeartbeatChangesNothing(t *testing.T) {
+	w := newWorkers()
+	term := uint64(9)
+	r := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
+	first := w.HandleHeartbeat(&r, term)
+	r.Seq = 11
+	w.HandleHeartbeat(&r, term)
+	firstSeq := w.workers["b1"].firstSeq
+	old := r
+	old.Seq = 10
+	w.HandleHeartbeat(&old, term)
+	if s := w.workers["b1"]; s.firstSeq != firstSeq || s.heartbeat.Seq != 11 || first.Term != term {
+		t.Error("a copy undid what the worker had said since")
+	}
+}
