--- a/cli/data.go
+++ b/cli/data.go
@@ -26,6 +26,7 @@
 	"switchferry/dataagent"
 	"switchferry/dataset"
 	"switchferry/httpapi"
+	"switchferry/scheduler"
 	"switchferry/tuning"
 )
 
@@ -103,7 +104,7 @@
 	cmd := &cobra.Command{Use: "data", Short: "Show datasets, who holds them, and copies under way", Args: cobra.NoArgs,
 		Example: "  switchferry data --node 10.0.0.1:8080\n  switchferry data --json | jq .copies",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var v controller.DataView
+			var v scheduler.DataView
 			if printed, err := c.answer(cmd, http.MethodGet, "/datasets", nil, &v, dataOff); err != nil || printed {
 				return err
 			}
@@ -120,7 +121,7 @@
 	return coded(ExitRefused, errors.New("datasets are off: start the controllers with --features"))
 }
 
-func showData(w io.Writer, v *controller.DataView) {
+func showData(w io.Writer, v *scheduler.DataView) {
 	if len(v.Datasets) == 0 {
 		fmt.Fprintln(w, "no datasets are registered; `switchferry data add` registers one")
 	}
--- a/controller/admission.go
+++ b/controller/admission.go
@@ -14,6 +14,7 @@
 	"switchferry/feasibility"
 	"switchferry/lookup"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/topology"
 	"switchferry/tuning"
@@ -31,7 +32,7 @@
 	judged    admission
 }
 
-func (c *Controller) serveSubmission(ctx context.Context, sched *Scheduler, body []byte) peer.Response {
+func (c *Controller) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
 	if id != "" {
 		if f, ok := c.terminalState(id); ok {
@@ -70,7 +71,7 @@
 }
 
 // evaluateSubmission checks what can be wrong with a submission, one thing after the other.
-func (c *Controller) evaluateSubmission(ctx context.Context, sched *Scheduler, submission *api.Submission, body []byte) (v submissionVerdict) {
+func (c *Controller) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (v submissionVerdict) {
 	v.status = http.StatusUnprocessableEntity
 	v.judged, v.err, v.undecided = c.canRun(sched, submission)
 	if v.err == nil {
@@ -95,7 +96,7 @@
 
 // refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is never refused, whatever the
 // body, nor sent away while nothing can be judged.
-func (c *Controller) refuseSubmission(ctx context.Context, sched *Scheduler, id string, v submissionVerdict) peer.Response {
+func (c *Controller) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, v submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
 			if here, _, _ := sched.DependencyState(id); here {
@@ -141,7 +142,7 @@
 }
 
 // admissionRules gives what a submission is judged by now.
-func (c *Controller) admissionRules(sched *Scheduler) admission {
+func (c *Controller) admissionRules(sched *scheduler.Scheduler) admission {
 	if c.revisions == nil {
 		return admission{by: c.fileConfiguration}
 	}
@@ -161,7 +162,7 @@
 
 // canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
 // active is not, or it is just changing and the answers differ.
-func (c *Controller) canRun(sched *Scheduler, submission *api.Submission) (judged admission, err error, undecided bool) {
+func (c *Controller) canRun(sched *scheduler.Scheduler, submission *api.Submission) (judged admission, err error, undecided bool) {
 	c.mu.Lock()
 	types := c.machineTypes
 	c.mu.Unlock()
@@ -182,7 +183,7 @@
 
 // stillValid tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
 // stood still.
-func (j admission) stillValid(n *Controller, sched *Scheduler) bool {
+func (j admission) stillValid(n *Controller, sched *scheduler.Scheduler) bool {
 	if n.revisions == nil || j.by == nil {
 		return true
 	}
@@ -206,7 +207,7 @@
 
 // checkDependencies looks at the jobs that a submission awaits. Not decided: why it cannot be told
 // yet whether all of them were accepted.
-func (c *Controller) checkDependencies(ctx context.Context, sched *Scheduler, submission *api.Submission) (undecided string, err error) {
+func (c *Controller) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
 	if len(submission.Awaits) > tuning.AwaitsMost {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.AwaitsMost)}
 	}
@@ -226,7 +227,7 @@
 }
 
 // checkDependency tells whether a job may await another.
-func (c *Controller) checkDependency(ctx context.Context, sched *Scheduler, job, id string) (undecided string, err error) {
+func (c *Controller) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
 	bad := func(why string) error { return &api.FieldError{Field: "awaits", Want: id + " " + why} }
 	if id == job {
 		return "", bad("is the job itself")
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -11,6 +11,7 @@
 	"switchferry/dataset"
 	"switchferry/internal/rest"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -69,7 +70,7 @@
 }
 
 // stageOrderFor answers an agent as the leader.
-func (c *Controller) stageOrderFor(sched *Scheduler, r *api.StageHeartbeat) (status int, body any) {
+func (c *Controller) stageOrderFor(sched *scheduler.Scheduler, r *api.StageHeartbeat) (status int, body any) {
 	o, deposed, refused := sched.HandleStageHeartbeat(r)
 	switch {
 	case deposed:
@@ -83,7 +84,7 @@
 
 // sendStageOrder delivers an order to an agent. One that is lost is sent again, and goes out with
 // the answer to the agent's next report in any case.
-func (c *Controller) sendStageOrder(ctx context.Context, sched *Scheduler, name, addr string, o api.StageOrder) {
+func (c *Controller) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, o api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
 	status, body, err := rest.Do(ctx, c.agentClient, http.MethodPost, "http://"+addr+"/stage", o)
@@ -103,7 +104,7 @@
 }
 
 // followDatasets keeps a leader up to date with what is registered, by any controller.
-func (c *Controller) followDatasets(ctx context.Context, sched *Scheduler, after uint64) {
+func (c *Controller) followDatasets(ctx context.Context, sched *scheduler.Scheduler, after uint64) {
 	for ctx.Err() == nil {
 		log, epoch, err := c.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
 		if errors.Is(err, store.ErrCompacted) {
@@ -116,7 +117,7 @@
 		}
 		for _, e := range log {
 			it := store.Item{Key: e.Set, Value: e.Value, Revision: e.Revision}
-			if entry, err := DecodeDataset(&it); e.Set != "" && err == nil {
+			if entry, err := scheduler.DecodeDataset(&it); e.Set != "" && err == nil {
 				sched.AddDatasets(entry)
 				c.cacheDataset(entry)
 			}
@@ -126,14 +127,14 @@
 }
 
 // loadDatasets reads all datasets.
-func (c *Controller) loadDatasets(ctx context.Context, sched *Scheduler) (uint64, error) {
+func (c *Controller) loadDatasets(ctx context.Context, sched *scheduler.Scheduler) (uint64, error) {
 	items, epoch, err := c.client.List(ctx, store.DatasetPrefix)
 	if err != nil {
 		return 0, err
 	}
 	var sets []*dataset.Entry
 	for i := range items {
-		entry, err := DecodeDataset(&items[i])
+		entry, err := scheduler.DecodeDataset(&items[i])
 		if err != nil {
 			slog.Error("a dataset's record is damaged; jobs that need it wait", "key", items[i].Key, "err", err)
 			continue
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -8,10 +8,11 @@
 
 	"switchferry/api"
 	"switchferry/peer"
+	"switchferry/scheduler"
 )
 
 // answerStatus answers from the state service.
-func (c *Controller) answerStatus(ctx context.Context, sched *Scheduler, id string, waits bool) peer.Response {
+func (c *Controller) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
 	st, found, err := c.lookUp(ctx, sched, id, waits)
 	switch {
 	case err != nil:
@@ -24,7 +25,7 @@
 
 // lookUp reads a job's record: its own key first, since the final one is
 // written before that goes. Waits: a question's user waits for its turn; a submission is refused at once.
-func (c *Controller) lookUp(ctx context.Context, sched *Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
+func (c *Controller) lookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
@@ -52,7 +53,7 @@
 	return st, err == nil, err
 }
 
-func (c *Controller) serveCancellation(ctx context.Context, sched *Scheduler, id string) peer.Response {
+func (c *Controller) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
 		return c.cancelWithoutLeader(ctx, id)
 	}
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -11,6 +11,7 @@
 	"switchferry/configuration/httpapi"
 	"switchferry/configuration/revisions"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -34,7 +35,7 @@
 // configurationLeader is a term's side of a change.
 type configurationLeader struct {
 	n    *Controller
-	core *Scheduler
+	core *scheduler.Scheduler
 }
 
 // Condition holds while the term lasts.
@@ -81,7 +82,7 @@
 }
 
 // reapplyConfiguration has the leader go by its present configuration once more, after the topology file has changed.
-func (c *Controller) reapplyConfiguration(sched *Scheduler) {
+func (c *Controller) reapplyConfiguration(sched *scheduler.Scheduler) {
 	if applier := c.currentApplier(); applier != nil {
 		applier.Reapply()
 		return
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -33,6 +33,7 @@
 	"switchferry/relay/exchange"
 	"switchferry/relay/proxy"
 	"switchferry/retry"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/topology"
@@ -57,7 +58,7 @@
 	ctx       context.Context
 
 	mu             sync.Mutex
-	scheduler      *Scheduler
+	scheduler      *scheduler.Scheduler
 	endTerm        context.CancelFunc
 	machineTypes   []api.MachineType
 	stateServedAt  time.Time
@@ -290,7 +291,7 @@
 	return !c.stateServedAt.IsZero() && !c.stateRefusedAt.After(c.stateServedAt)
 }
 
-func (c *Controller) leadingScheduler() *Scheduler {
+func (c *Controller) leadingScheduler() *scheduler.Scheduler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scheduler
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -11,6 +11,7 @@
 	"switchferry/api"
 	"switchferry/dataset"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -37,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if entry, err = DecodeDataset(&it); err != nil {
+	if entry, err = scheduler.DecodeDataset(&it); err != nil {
 		return nil, fmt.Errorf("record %s is damaged: %w", it.Key, err)
 	}
 	c.cacheDataset(entry)
@@ -72,7 +73,7 @@
 // checkInputs reads a submission's inputs and finds out whether it can ever run with
 // them. Undecided: that cannot be told now. The error says which field is wrong; it is
 // a *api.FieldError, malformed or impossible as told by the status.
-func (c *Controller) checkInputs(ctx context.Context, sched *Scheduler, submission *api.Submission, body []byte) (status int, err error, undecided bool) {
+func (c *Controller) checkInputs(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (status int, err error, undecided bool) {
 	if submission.Inputs, err = api.ParseInputs(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err, false
 	}
@@ -162,7 +163,7 @@
 		if err != nil {
 			break
 		}
-		old, err := DecodeDataset(&it)
+		old, err := scheduler.DecodeDataset(&it)
 		if err == nil && old.State != dataset.Listed {
 			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
 		}
@@ -196,7 +197,7 @@
 		if err != nil {
 			break
 		}
-		x, err := DecodeDataset(&it)
+		x, err := scheduler.DecodeDataset(&it)
 		if err != nil {
 			return peer.JSONResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
 
 // lookUpDependencies has the scheduler look up the jobs that others await and that it does not know, until the context
 // ends. Jobs that do not await one of them start meanwhile.
-func (c *Controller) lookUpDependencies(ctx context.Context, sched *Scheduler, committer *store.Committer) {
+func (c *Controller) lookUpDependencies(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -7,12 +7,13 @@
 
 	"switchferry/api"
 	"switchferry/connlimit"
+	"switchferry/scheduler"
 	"switchferry/tuning"
 	"switchferry/worker"
 )
 
 // sendCommands delivers a direct command.
-func (c *Controller) sendCommands(ctx context.Context, sched *Scheduler, name, addr string, o api.HeartbeatResponse) {
+func (c *Controller) sendCommands(ctx context.Context, sched *scheduler.Scheduler, name, addr string, o api.HeartbeatResponse) {
 	r, _, err := c.worker.Send(ctx, addr, o)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
@@ -30,7 +31,7 @@
 
 // deposed ends the term if a worker's word of a higher one can be true: while our key certainly
 // stands nobody else can have won one, and a worker that claims it must not end every term.
-func (c *Controller) deposed(sched *Scheduler) bool {
+func (c *Controller) deposed(sched *scheduler.Scheduler) bool {
 	if sched.Leading() {
 		return false
 	}
@@ -40,7 +41,7 @@
 
 // refreshMachines reads the cloud's list. The first one tells a new leader whom to
 // show its term, so that workers turn to it at once.
-func (c *Controller) refreshMachines(ctx context.Context, sched *Scheduler) {
+func (c *Controller) refreshMachines(ctx context.Context, sched *scheduler.Scheduler) {
 	first := true
 	for ctx.Err() == nil {
 		list, err := c.cloud.List(ctx)
@@ -62,7 +63,7 @@
 
 // announceTerm lets a worker see our term. Its session is not known: a wrong guess is
 // encodeResponse with the right one.
-func (c *Controller) announceTerm(ctx context.Context, sched *Scheduler, name, addr string) {
+func (c *Controller) announceTerm(ctx context.Context, sched *scheduler.Scheduler, name, addr string) {
 	session := uint64(1)
 	for range 2 {
 		o := api.HeartbeatResponse{Term: sched.Term(), Incarnation: session, Commands: []api.Command{}}
@@ -79,7 +80,7 @@
 }
 
 // maintainFleet rents and returns machines.
-func (c *Controller) maintainFleet(ctx context.Context, sched *Scheduler) {
+func (c *Controller) maintainFleet(ctx context.Context, sched *scheduler.Scheduler) {
 	for ctx.Err() == nil {
 		if names := sched.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
@@ -104,7 +105,7 @@
 // releaseMachines returns machines to the cloud. Whether we lead is looked at once more: this
 // process may have stood still since that was decided, and the machines may work for
 // another leader by now.
-func (c *Controller) releaseMachines(ctx context.Context, sched *Scheduler, names []string) {
+func (c *Controller) releaseMachines(ctx context.Context, sched *scheduler.Scheduler, names []string) {
 	err := errNoTerm
 	if sched.Leading() {
 		err = c.cloud.Return(ctx, names)
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -8,6 +8,7 @@
 	"switchferry/api"
 	"switchferry/peer"
 	"switchferry/redirect"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/tuning"
 )
@@ -83,7 +84,7 @@
 }
 
 // answerAsLeader answers a report as the leader. Via is the sibling that passes it on.
-func (c *Controller) answerAsLeader(sched *Scheduler, r *api.Heartbeat, via string) (status int, body any) {
+func (c *Controller) answerAsLeader(sched *scheduler.Scheduler, r *api.Heartbeat, via string) (status int, body any) {
 	// A leader that has not read the records knows of cancellations what its siblings say, or nothing.
 	sure := c.markCurrentIfLeading()
 	kept := sure || c.mayRenewLeases()
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"switchferry/api"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/tuning"
 )
@@ -35,7 +36,7 @@
 func TestAbsurdTokenEndsNoTerm(t *testing.T) {
 	n, _ := threeNodes(t)
 	valid := true
-	sched := NewScheduler(7, n.clock, n.settings, n.policy, testTypes, Hooks{Leading: func() bool { return valid }})
+	sched := scheduler.New(7, n.clock, n.settings, n.policy, testTypes, scheduler.Hooks{Leading: func() bool { return valid }})
 	r := &api.Heartbeat{Machine: "a1", Zone: "a", Incarnation: 1, Seq: 1, Term: 1<<64 - 1}
 	if status, _ := n.answerAsLeader(sched, r, ""); status != http.StatusBadRequest {
 		t.Errorf("answered %d", status)
--- a/controller/inbox.go
+++ b/controller/inbox.go
@@ -7,12 +7,13 @@
 	"slices"
 	"strings"
 
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
 
 // followInbox takes in jobs that siblings accepted while they did not reach us.
-func (c *Controller) followInbox(ctx context.Context, sched *Scheduler, committer *store.Committer, after uint64) {
+func (c *Controller) followInbox(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, after uint64) {
 	// take is done with a key, or has to look again: a job that was passed over here stood
 	// on record, accepted, and ran only once its user had asked for it.
 	take := func(key string) bool {
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -12,6 +12,7 @@
 	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -35,7 +36,7 @@
 		if n.elector.Campaign(context.Background()) {
 			t.Fatal("two leaders")
 		}
-		sched := NewScheduler(term, clock, set, n.policy, testTypes, Hooks{Leading: func() bool { return false }})
+		sched := scheduler.New(term, clock, set, n.policy, testTypes, scheduler.Hooks{Leading: func() bool { return false }})
 		st.Down = true
 		if n.mayRenewLeases() {
 			t.Error("kept by a process that knows nothing")
@@ -80,7 +81,7 @@
 		if _, err := n.readCancelledJobs(context.Background(), 0); err != nil || !n.mayRenewLeases() {
 			t.Errorf("not kept though the records of jobs were read, %v", err)
 		}
-		status, body := n.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{task("run-7/0", 9, api.TaskRunning, "")}}, "")
+		status, body := n.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{{Task: "run-7/0", Attempt: 9, State: api.TaskRunning}}}, "")
 		if o, ok := body.(api.HeartbeatResponse); !ok || status != 200 || len(o.Commands) != 1 || o.Commands[0].Verb != api.CommandKill || o.Commands[0].Task != "run-7/0" || o.Commands[0].Attempt != 9 {
 			t.Errorf("what was cancelled meanwhile is answered %d %+v", status, body)
 		}
@@ -94,7 +95,7 @@
 	knows := func(job string) bool {
 		return len(n.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
 	}
-	sched := NewScheduler(7, clock, n.settings, n.policy, testTypes, Hooks{MarkDirty: func(string, int, func()) {}, Leading: func() bool { return true }, JobTerminal: n.rememberTerminal})
+	sched := scheduler.New(7, clock, n.settings, n.policy, testTypes, scheduler.Hooks{MarkDirty: func(string, int, func()) {}, Leading: func() bool { return true }, JobTerminal: n.rememberTerminal})
 	sched.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
 		{Key: store.JobKey("run-2"), Value: []byte(`{"job":{"name_id":"run-2","parts":1},"at":1,"final":"withdrawn"}`)}}, nil)
 	if knows("run-1") || !knows("run-2") {
@@ -131,7 +132,7 @@
 	n, clock := threeNodes(t)
 	n.settings.Facts.Workers.CancelS = 40
 	n.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
-	sched := NewScheduler(7, clock, n.settings, n.policy, testTypes, Hooks{Leading: func() bool { return true }})
+	sched := scheduler.New(7, clock, n.settings, n.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
 	ask := func(seq uint64) api.HeartbeatResponse {
 		status, body := n.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
 		o, ok := body.(api.HeartbeatResponse)
--- a/controller/leader_test.go
+++ b/controller/leader_test.go
@@ -10,16 +10,20 @@
 	"switchferry/api"
 	"switchferry/internal/fake"
 	"switchferry/policy"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/upgrade"
 )
 
+// testTypes is the catalog of the tests' cloud.
+var testTypes = []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 0.5, BootS: 30, Zones: []string{"a", "b"}}}
+
 // leader is a scheduler on a fake clock with a scripted state service. Nothing of it runs by itself: the test plays the
 // workers and commits records.
 type leader struct {
 	*testing.T
-	*Scheduler
+	*scheduler.Scheduler
 	clock     *clockwork.FakeClock
 	state     *fake.State
 	committer *store.Committer
@@ -35,7 +39,7 @@
 
 // committedRecords lets the leader's committer write while it leads.
 type committedRecords struct {
-	*Scheduler
+	*scheduler.Scheduler
 	leader *leader
 }
 
@@ -55,7 +59,7 @@
 	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
 	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}}
 	term := l.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	l.Scheduler = NewScheduler(term, clock, set, policy.Default(), testTypes, Hooks{
+	l.Scheduler = scheduler.New(term, clock, set, policy.Default(), testTypes, scheduler.Hooks{
 		MarkDirty: func(key string, urgency int, after func()) { l.committer.MarkDirty(key, urgency, after) },
 		MarkDirtyWithin: func(key string, urgency int, _ time.Duration, after func()) {
 			l.committer.MarkDirty(key, urgency, after)
--- a/controller/lone_test.go
+++ b/controller/lone_test.go
@@ -9,6 +9,7 @@
 
 	"switchferry/internal/fake"
 	"switchferry/policy"
+	"switchferry/scheduler"
 	"switchferry/settings"
 )
 
@@ -24,7 +25,7 @@
 // the other. It resigned after 3.5 s without a report, and they found nobody.
 func TestLoneLeaderGivesWorkersTimeToCome(t *testing.T) {
 	n, clock := threeNodes(t)
-	sched := NewScheduler(7, clock, n.settings, n.policy, testTypes, Hooks{Leading: func() bool { return true }})
+	sched := scheduler.New(7, clock, n.settings, n.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
 	step := func(d time.Duration) (deaf bool) {
 		for ; d > 0 && !deaf; d -= 500 * time.Millisecond {
 			clock.Advance(500 * time.Millisecond)
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -10,6 +10,7 @@
 
 	"switchferry/api"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/tuning"
 )
 
@@ -149,7 +150,7 @@
 
 // serveAsLeader answers as the leader (core) or, while the leader is out of reach,
 // from the state service itself.
-func (c *Controller) serveAsLeader(ctx context.Context, sched *Scheduler, r peer.Request) peer.Response {
+func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, r peer.Request) peer.Response {
 	switch r.Verb {
 	case VerbSubmit:
 		return c.serveSubmission(ctx, sched, r.Body)
--- a/controller/term.go
+++ b/controller/term.go
@@ -8,6 +8,7 @@
 
 	"switchferry/api"
 	"switchferry/configuration/revisions"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -15,7 +16,7 @@
 
 // recordSource ties a term's core to its committer.
 type recordSource struct {
-	*Scheduler
+	*scheduler.Scheduler
 	n *Controller
 }
 
@@ -36,7 +37,7 @@
 // Conflict lets this node forget what it believed of a dataset.
 func (s recordSource) Conflict(key string, found *store.Item) {
 	if strings.HasPrefix(key, store.DatasetPrefix) {
-		if x, err := DecodeDataset(found); err == nil {
+		if x, err := scheduler.DecodeDataset(found); err == nil {
 			s.n.cacheDataset(x)
 		}
 	}
@@ -49,7 +50,7 @@
 func (c *Controller) Elected(term uint64) {
 	ctx, end := context.WithCancel(c.ctx)
 	var committer *store.Committer
-	hooks := Hooks{
+	hooks := scheduler.Hooks{
 		MarkDirty: func(key string, urgency int, after func()) { committer.MarkDirty(key, urgency, after) },
 		MarkDirtyWithin: func(key string, urgency int, wait time.Duration, after func()) {
 			committer.MarkDirtyWithin(key, urgency, wait, after)
@@ -66,10 +67,10 @@
 	c.mu.Lock()
 	types := c.machineTypes
 	c.mu.Unlock()
-	var sched *Scheduler
+	var sched *scheduler.Scheduler
 	hooks.SendCommands = func(name, addr string, o api.HeartbeatResponse) { go c.sendCommands(ctx, sched, name, addr, o) }
 	hooks.SendStageOrder = func(name, addr string, o api.StageOrder) { go c.sendStageOrder(ctx, sched, name, addr, o) }
-	sched = NewScheduler(term, c.clock, c.settings, c.policy, types, hooks)
+	sched = scheduler.New(term, c.clock, c.settings, c.policy, types, hooks)
 	if c.data.On {
 		sched.UseData(c.data)
 	}
@@ -104,7 +105,7 @@
 	c.scheduler, c.endTerm, c.useCurrentFormat, c.applier = nil, nil, nil, nil
 }
 
-func (c *Controller) runTerm(ctx context.Context, sched *Scheduler, committer *store.Committer, applier *revisions.Applier) {
+func (c *Controller) runTerm(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, applier *revisions.Applier) {
 	var inbox, known uint64
 	for ctx.Err() == nil {
 		if applier != nil {
@@ -184,7 +185,7 @@
 }
 
 // unfitReason is why this node should no longer lead; empty: it should.
-func (c *Controller) unfitReason(sched *Scheduler) string {
+func (c *Controller) unfitReason(sched *scheduler.Scheduler) string {
 	for _, h := range c.peers.LivePeers() {
 		if h.Term > sched.Term() {
 			return "a sibling has a higher term"
@@ -213,7 +214,7 @@
 // isolatedFromWorkers tells whether nobody is heard for long. The workers of silent siblings try one
 // dead end after the other: whoever leads alone must give them a lease's time, or
 // they find nobody when they come.
-func (c *Controller) isolatedFromWorkers(sched *Scheduler) bool {
+func (c *Controller) isolatedFromWorkers(sched *scheduler.Scheduler) bool {
 	return c.clock.Since(sched.TermStarted()) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.LastContact()) > tuning.DeafAfter
 }
 
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -27,12 +27,12 @@
 
 	"switchferry/api"
 	"switchferry/connlimit"
-	"switchferry/controller"
 	"switchferry/dataagent"
 	"switchferry/dataset"
 	"switchferry/features"
 	"switchferry/httpapi"
 	"switchferry/policy"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -178,7 +178,7 @@
 // playing is one run.
 type playing struct {
 	*Locality
-	core     *controller.Scheduler
+	core     *scheduler.Scheduler
 	machines map[string]*machine
 	store    *storeServer
 
@@ -211,7 +211,7 @@
 		defer p.mu.Unlock()
 		p.stored = append(p.stored, after)
 	}
-	p.core = controller.NewScheduler(1, clockwork.NewRealClock(), set, policy.Default(), types, controller.Hooks{
+	p.core = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Hooks{
 		MarkDirty:       func(_ string, _ int, after func()) { touch(after) },
 		MarkDirtyWithin: func(_ string, _ int, _ time.Duration, after func()) { touch(after) },
 		SendCommands:    func(name, _ string, o api.HeartbeatResponse) { go p.send(name, o) },
@@ -378,7 +378,7 @@
 	}
 }
 
-func (m *machine) order(core *controller.Scheduler, o api.StageOrder) {
+func (m *machine) order(core *scheduler.Scheduler, o api.StageOrder) {
 	_, _ = m.agent.Apply(&o)
 	r := m.agent.Next()
 	core.HandleStageHeartbeat(&r)
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 
 	"switchferry/api"
-	"switchferry/controller"
 	"switchferry/policy"
+	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/topology"
@@ -490,7 +490,7 @@
 	for _, c := range []float64{8, 16, 32} {
 		types = append(types, api.MachineType{Name: fmt.Sprintf("m%g", c), CPUs: c, MemoryGB: 1000, CacheGB: 100, PullGBs: 1, BootS: 30, Zones: []string{"z"}})
 	}
-	p.core = controller.NewScheduler(1, w.clock, set, policy.Default(), types, controller.Hooks{
+	p.core = scheduler.New(1, w.clock, set, policy.Default(), types, scheduler.Hooks{
 		MarkDirty:       func(_ string, _ int, after func()) { p.stored = append(p.stored, after) },
 		MarkDirtyWithin: func(_ string, _ int, _ time.Duration, after func()) { p.stored = append(p.stored, after) },
 		SendCommands:    func(name, _ string, o api.HeartbeatResponse) { p.sent = append(p.sent, order{name, o}) },
@@ -520,7 +520,7 @@
 // corePlacer is the leader's Core, whose records are stored at once.
 type corePlacer struct {
 	w      *rackWorld
-	core   *controller.Scheduler
+	core   *scheduler.Scheduler
 	stored []func()
 	sent   []order
 	view   api.TopologyView
--- a/controller/core_test.go
+++ b/scheduler/core_test.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"context"
@@ -76,7 +76,7 @@
 		JobTerminal:     func(id string, f store.FinalRecord) { s.finals[id] = f },
 		TerminalState:   func(id string) (store.FinalRecord, bool) { f, ok := s.finals[id]; return f, ok },
 	}
-	s.Scheduler = NewScheduler(term, s.clock, set, policy.Default(), testTypes, hooks)
+	s.Scheduler = New(term, s.clock, set, policy.Default(), testTypes, hooks)
 	if s.topo != nil {
 		s.UseTopology(s.topo)
 	}
--- a/controller/machine.go
+++ b/scheduler/machine.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"encoding/json"
--- a/controller/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,8 @@
-package controller
+// Package scheduler is the leader's state and decisions during one term: which jobs there are, where their tasks run, which
+// machines are rented and returned, and what is written of it. A Scheduler does no I/O of its own: the process (package
+// controller) hands heartbeats, records and answers in, and carries out what the scheduler asks of its collaborators.
+// One lock, held briefly, guards all of a term's state.
+package scheduler
 
 import (
 	"slices"
@@ -118,8 +122,8 @@
 	damagedJobs map[string]bool
 }
 
-// NewScheduler makes the state of a term.
-func NewScheduler(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
+// New makes the state of a term.
+func New(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
 	sched := &Scheduler{term: term, clock: clock, settings: set, configuration: configuration.FromFiles(set.Facts.Teams, pol), hooks: hooks,
 		machineTypes: map[string]*api.MachineType{}, jobs: map[string]*jobState{}, machines: map[string]*machineState{},
 		releasedAt: map[string]time.Time{}, commandsReady: map[*machineState]bool{}, usage: map[string]fleet.Resources{}, stoppingUsage: map[string]fleet.Resources{}, imageHints: map[string][]fleet.Image{}, instanceRefusals: map[capacityPool]time.Time{},
