--- a/store/client.go
+++ b/store/client.go
@@ -75,7 +75,7 @@
 func (c *Client) call(ctx context.Context, method, path string, body, into any, timeout time.Duration) (int, error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	status, raw, err := rest.Do(ctx, c.http, method, c.base+path, body)
+	status, encoded, err := rest.Do(ctx, c.http, method, c.base+path, body)
 	if err != nil {
 		c.OnResponse(false)
 		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
@@ -88,29 +88,31 @@
 		return status, ErrRateLimited
 	}
 	c.OnResponse(true)
-	if into != nil && len(raw) > 0 {
-		if err := json.Unmarshal(raw, into); err != nil {
+	if into != nil && len(encoded) > 0 {
+		if err := json.Unmarshal(encoded, into); err != nil {
 			return status, fmt.Errorf("%w: malformed answer: %v", ErrOutcomeUnknown, err)
 		}
 	}
 	return status, nil
 }
 
-func unexpected(status int) error { return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status) }
+func unexpectedStatus(status int) error {
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+}
 
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
-	var it Item
-	status, err := c.call(ctx, http.MethodGet, "/store/"+key, nil, &it, tuning.StateTimeout)
+	var item Item
+	status, err := c.call(ctx, http.MethodGet, "/store/"+key, nil, &item, tuning.StateTimeout)
 	switch {
 	case err != nil:
-		return it, err
+		return item, err
 	case status == http.StatusOK:
-		return it, nil
+		return item, nil
 	case status == http.StatusNotFound:
-		return it, ErrNotFound
+		return item, ErrNotFound
 	}
-	return it, unexpected(status)
+	return item, unexpectedStatus(status)
 }
 
 // List reads all keys under a prefix, and the revision before the first page.
@@ -119,21 +121,21 @@
 	var first uint64
 	after := ""
 	for {
-		q := url.Values{"under": {prefix}, "limit": {"500"}}
+		query := url.Values{"under": {prefix}, "limit": {"500"}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set("after", after)
 		}
 		var page struct {
 			Rows  []Item `json:"rows"`
 			More  bool   `json:"more"`
 			Epoch uint64 `json:"epoch"`
 		}
-		status, err := c.call(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &page, tuning.StateTimeout)
+		status, err := c.call(ctx, http.MethodGet, "/store?"+query.Encode(), nil, &page, tuning.StateTimeout)
 		if err != nil {
 			return nil, 0, err
 		}
 		if status != http.StatusOK {
-			return nil, 0, unexpected(status)
+			return nil, 0, unexpectedStatus(status)
 		}
 		if first == 0 {
 			first = page.Epoch
@@ -148,45 +150,45 @@
 
 // Transact runs a transaction and returns its revision; on ErrConflict the keys
 // whose conditions failed.
-func (c *Client) Transact(ctx context.Context, conds []Condition, ops []Operation) (uint64, []string, error) {
+func (c *Client) Transact(ctx context.Context, conditions []Condition, operations []Operation) (uint64, []string, error) {
 	body := struct {
 		If   []Condition `json:"if"`
 		Then []Operation `json:"then,omitempty"`
-	}{conds, ops}
-	var ans struct {
+	}{conditions, operations}
+	var answer struct {
 		Epoch  uint64   `json:"epoch"`
 		Failed []string `json:"failed"`
 		Error  string   `json:"error"`
 	}
-	status, err := c.call(ctx, http.MethodPost, "/multi", body, &ans, tuning.StateTimeout)
+	status, err := c.call(ctx, http.MethodPost, "/multi", body, &answer, tuning.StateTimeout)
 	switch {
 	case err != nil:
 		return 0, nil, err
-	case status == http.StatusOK && ans.Epoch > 0:
-		return ans.Epoch, nil, nil
+	case status == http.StatusOK && answer.Epoch > 0:
+		return answer.Epoch, nil, nil
 	case status == http.StatusConflict:
-		return ans.Epoch, ans.Failed, ErrConflict
-	case status == http.StatusBadRequest && ans.Error == "no such lease":
+		return answer.Epoch, answer.Failed, ErrConflict
+	case status == http.StatusBadRequest && answer.Error == "no such lease":
 		return 0, nil, ErrNoLease
 	case status >= 400 && status < 500:
-		return 0, nil, fmt.Errorf("%w: status %d %s", ErrInvalidRequest, status, ans.Error)
+		return 0, nil, fmt.Errorf("%w: status %d %s", ErrInvalidRequest, status, answer.Error)
 	}
-	return 0, nil, unexpected(status)
+	return 0, nil, unexpectedStatus(status)
 }
 
 // GrantLease makes a lease.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	var ans struct {
+	var answer struct {
 		Ticket uint64 `json:"ticket"`
 	}
-	status, err := c.call(ctx, http.MethodPost, "/leases", map[string]int64{"life_ms": life.Milliseconds()}, &ans, tuning.StateTimeout)
+	status, err := c.call(ctx, http.MethodPost, "/leases", map[string]int64{"life_ms": life.Milliseconds()}, &answer, tuning.StateTimeout)
 	if err != nil {
 		return 0, err
 	}
-	if status != http.StatusOK || ans.Ticket == 0 {
-		return 0, unexpected(status)
+	if status != http.StatusOK || answer.Ticket == 0 {
+		return 0, unexpectedStatus(status)
 	}
-	return ans.Ticket, nil
+	return answer.Ticket, nil
 }
 
 func leasePath(id uint64) string { return "/leases/" + strconv.FormatUint(id, 10) }
@@ -202,7 +204,7 @@
 	case status == http.StatusNotFound:
 		return ErrNoLease
 	}
-	return unexpected(status)
+	return unexpectedStatus(status)
 }
 
 // RevokeLease ends a lease at once, and the keys on it.
@@ -213,20 +215,20 @@
 
 // Watch waits for changes under a prefix after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) ([]Event, uint64, error) {
-	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
+	query := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"block_ms": {strconv.FormatInt(block.Milliseconds(), 10)}}
-	var ans struct {
+	var answer struct {
 		Epoch uint64  `json:"epoch"`
 		Log   []Event `json:"log"`
 	}
-	status, err := c.call(ctx, http.MethodGet, "/watch?"+q.Encode(), nil, &ans, block+tuning.StateTimeout)
+	status, err := c.call(ctx, http.MethodGet, "/watch?"+query.Encode(), nil, &answer, block+tuning.StateTimeout)
 	switch {
 	case err != nil:
 		return nil, 0, err
 	case status == http.StatusOK:
-		return ans.Log, ans.Epoch, nil
+		return answer.Log, answer.Epoch, nil
 	case status == http.StatusGone:
 		return nil, 0, ErrCompacted
 	}
-	return nil, 0, unexpected(status)
+	return nil, 0, unexpectedStatus(status)
 }
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -19,9 +19,9 @@
 type HedgedClient struct {
 	client *Client
 	clock  clockwork.Clock
-	// limiter is what the writer's changes are taken from, seldom what may be sent again
+	// writeLimiter is what the writer's changes are taken from, seldom what may be sent again
 	// although that has little left.
-	limiter, seldom *rate.Limiter
+	writeLimiter, resendLimiter *rate.Limiter
 }
 
 // NewHedgedClient makes one for a writer whose changes limiter bounds, of the state service's writeRPS.
@@ -32,13 +32,13 @@
 
 // outcome is what became of a transaction.
 type outcome struct {
-	epoch  uint64
-	failed []string
-	err    error
+	revision   uint64
+	failedKeys []string
+	err        error
 }
 
-// rank orders outcomes by how much they tell.
-func (o outcome) rank() int {
+// certainty orders outcomes by how much they tell.
+func (o outcome) certainty() int {
 	switch {
 	case o.err == nil:
 		return 3
@@ -54,63 +54,63 @@
 // on its revision. However often it is sent, it then takes effect at most once: the first that is
 // executed changes the revisions. When one that was sent later fails for that reason, the
 // earlier one's answer is not waited for: the keys are read, and if all hold what was to be
-// written, at one revision, it was executed.
-func (h *HedgedClient) Transact(ctx context.Context, conds []Condition, ops []Operation) (uint64, []string, error) {
+// writesByKind, at one revision, it was executed.
+func (h *HedgedClient) Transact(ctx context.Context, conditions []Condition, operations []Operation) (uint64, []string, error) {
 	answers := make(chan outcome, tuning.HedgeTries)
 	send := func() {
-		epoch, failed, err := h.client.Transact(ctx, conds, ops)
-		answers <- outcome{epoch, failed, err}
+		revision, failed, err := h.client.Transact(ctx, conditions, operations)
+		answers <- outcome{revision, failed, err}
 	}
 	go send()
 	sent, answered := 1, 0
-	again := h.clock.After(tuning.HedgeAfter)
+	resendAt := h.clock.After(tuning.HedgeAfter)
 	best := outcome{err: ErrBusy}
 	var read chan outcome
 	for {
 		select {
 		case o := <-answers:
 			answered++
-			if o.rank() >= best.rank() {
+			if o.certainty() >= best.certainty() {
 				best = o
 			}
 			switch {
 			case best.err == nil:
-				return best.epoch, nil, nil
+				return best.revision, nil, nil
 			case sent > 1 && errors.Is(o.err, ErrConflict) && read == nil:
-				again = nil
+				resendAt = nil
 				read = make(chan outcome, 1)
-				go func() { read <- h.confirm(ctx, ops) }()
+				go func() { read <- h.verifyWritten(ctx, operations) }()
 			case answered == sent && read == nil:
-				return best.epoch, best.failed, best.err
+				return best.revision, best.failedKeys, best.err
 			}
 		case o := <-read:
 			if o.err == nil {
-				return o.epoch, nil, nil
+				return o.revision, nil, nil
 			}
 			// Written by another, or not told.
-			return best.epoch, best.failed, best.err
-		case <-again:
-			again = nil
-			if sent == tuning.HedgeTries || !h.allow(len(ops)) {
+			return best.revision, best.failedKeys, best.err
+		case <-resendAt:
+			resendAt = nil
+			if sent == tuning.HedgeTries || !h.allowResend(len(operations)) {
 				continue
 			}
 			sent++
 			go send()
-			again = h.clock.After(tuning.HedgeAfter)
+			resendAt = h.clock.After(tuning.HedgeAfter)
 		}
 	}
 }
 
-// allow tells whether so many changes may be sent again: where the writer has many to spare, or
-// seldom. A fixed share alone was used up by large transactions, while four fifths of the
+// allowResend tells whether so many changes may be sent again: where the writer has many to spare, or
+// resendLimiter. A fixed share alone was used up by large transactions, while four fifths of the
 // limit were left.
-func (h *HedgedClient) allow(changes int) bool {
+func (h *HedgedClient) allowResend(changes int) bool {
 	now := h.clock.Now()
-	spare := h.limiter.TokensAt(now)-float64(changes) >= float64(h.limiter.Burst())*tuning.HedgeSpare
-	if !spare && !h.seldom.AllowN(now, changes) {
+	spare := h.writeLimiter.TokensAt(now)-float64(changes) >= float64(h.writeLimiter.Burst())*tuning.HedgeSpare
+	if !spare && !h.resendLimiter.AllowN(now, changes) {
 		return false
 	}
-	h.limiter.AllowN(now, changes)
+	h.writeLimiter.AllowN(now, changes)
 	return true
 }
 
@@ -123,14 +123,14 @@
 	}
 	answers := make(chan answer, tuning.HedgeTries)
 	send := func() {
-		it, err := h.client.Get(ctx, key)
-		answers <- answer{it, err}
+		item, err := h.client.Get(ctx, key)
+		answers <- answer{item, err}
 	}
 	go send()
 	for sent, answered := 1, 0; ; {
-		var again <-chan time.Time
+		var resendAt <-chan time.Time
 		if sent < tuning.HedgeTries {
-			again = h.clock.After(tuning.HedgeAfter)
+			resendAt = h.clock.After(tuning.HedgeAfter)
 		}
 		select {
 		case a := <-answers:
@@ -138,53 +138,53 @@
 			if a.err == nil || errors.Is(a.err, ErrNotFound) || answered == sent {
 				return a.it, a.err
 			}
-		case <-again:
+		case <-resendAt:
 			sent++
 			go send()
 		}
 	}
 }
 
-// confirm tells at which revision the keys were written, ErrConflict if they hold anything else.
-func (h *HedgedClient) confirm(ctx context.Context, ops []Operation) outcome {
-	epochs := make([]uint64, len(ops))
-	errs := make([]error, len(ops))
+// verifyWritten tells at which revision the keys were written, ErrConflict if they hold anything else.
+func (h *HedgedClient) verifyWritten(ctx context.Context, operations []Operation) outcome {
+	revisions := make([]uint64, len(operations))
+	errs := make([]error, len(operations))
 	var all sync.WaitGroup
-	for i, op := range ops {
+	for i, operation := range operations {
 		all.Go(func() {
-			it, err := h.Get(ctx, op.Set+op.Delete)
+			item, err := h.Get(ctx, operation.Set+operation.Delete)
 			switch {
-			case op.Delete != "" && errors.Is(err, ErrNotFound):
+			case operation.Delete != "" && errors.Is(err, ErrNotFound):
 			case err != nil:
 				errs[i] = err
-			case op.Delete != "" || !same(it.Value, op.Value):
+			case operation.Delete != "" || !equalJSON(item.Value, operation.Value):
 				errs[i] = ErrConflict
 			default:
-				epochs[i] = it.Revision
+				revisions[i] = item.Revision
 			}
 		})
 	}
 	all.Wait()
-	var epoch uint64
-	for i, op := range ops {
+	var revision uint64
+	for i, operation := range operations {
 		switch {
 		case errs[i] != nil:
 			return outcome{err: errs[i]}
-		case op.Set != "" && epoch != 0 && epochs[i] != epoch:
+		case operation.Set != "" && revision != 0 && revisions[i] != revision:
 			return outcome{err: ErrConflict}
-		case op.Set != "":
-			epoch = epochs[i]
+		case operation.Set != "":
+			revision = revisions[i]
 		}
 	}
-	return outcome{epoch: epoch}
+	return outcome{revision: revision}
 }
 
-// same compares a stored value with one to be written, whatever spaces and order of keys.
-func same(stored json.RawMessage, value any) bool {
-	raw, err := json.Marshal(value)
+// equalJSON compares a stored value with one to be written, whatever spaces and order of keys.
+func equalJSON(stored json.RawMessage, value any) bool {
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return false
 	}
 	var a, b any
-	return json.Unmarshal(stored, &a) == nil && json.Unmarshal(raw, &b) == nil && reflect.DeepEqual(a, b)
+	return json.Unmarshal(stored, &a) == nil && json.Unmarshal(encoded, &b) == nil && reflect.DeepEqual(a, b)
 }
--- a/store/records.go
+++ b/store/records.go
@@ -14,8 +14,8 @@
 
 // Keys. The layout is described in docs/operators.md.
 const (
-	// keyRoot begins every key.
-	keyRoot = "sf/"
+	// rootPrefix begins every key.
+	rootPrefix = "sf/"
 	// LeaderKey holds the leader; it hangs on a lease.
 	LeaderKey = "sf/leader"
 	// JobPrefix holds the jobs that are not over.
@@ -32,7 +32,7 @@
 	RelayPrefix = "sf/relay/"
 	MailPrefix  = "sf/mail/"
 	// ImagesPrefix holds which machines likely hold which images, for the
-	// next leader. It is a hint: nothing breaks when it is old or missing.
+	// sequence leader. It is a hint: nothing breaks when it is old or missing.
 	ImagesPrefix = "sf/images/"
 	// DatasetPrefix holds what is registered of datasets, for good.
 	DatasetPrefix = "sf/d/"
@@ -54,17 +54,23 @@
 func DatasetKey(name string) string { return DatasetPrefix + name }
 
 // ReplicasKey is the key of one part of who holds what.
-func ReplicasKey(n int) string { return ReplicasPrefix + strconv.Itoa(n) }
+func ReplicasKey(count int) string { return ReplicasPrefix + strconv.Itoa(count) }
 
 // RelayKey and MailKey are the keys of a sibling's relay.
-func RelayKey(member string, n int) string { return letterKey(RelayPrefix, member, n) }
-func MailKey(member string, n int) string  { return letterKey(MailPrefix, member, n) }
+func RelayKey(member string, count int) string { return relayedMessageKey(RelayPrefix, member, count) }
+func MailKey(member string, count int) string  { return relayedMessageKey(MailPrefix, member, count) }
 
 // StageRelayKey and StageMailKey are the keys of one letter from and to a sibling.
-func StageRelayKey(member string, n int) string { return letterKey(StageRelayPrefix, member, n) }
-func StageMailKey(member string, n int) string  { return letterKey(StageMailPrefix, member, n) }
+func StageRelayKey(member string, count int) string {
+	return relayedMessageKey(StageRelayPrefix, member, count)
+}
+func StageMailKey(member string, count int) string {
+	return relayedMessageKey(StageMailPrefix, member, count)
+}
 
-func letterKey(prefix, member string, n int) string { return fmt.Sprintf("%s%s/%d", prefix, member, n) }
+func relayedMessageKey(prefix, member string, count int) string {
+	return fmt.Sprintf("%s%s/%d", prefix, member, count)
+}
 
 // RelaySender is the member whose letters stand under a key of this prefix.
 func RelaySender(prefix, key string) string {
@@ -72,15 +78,15 @@
 	return member
 }
 
-// ParseRelayKey is the reverse of letterKey.
-func ParseRelayKey(prefix, key string) (member string, n int, ok bool) {
-	member, num, ok := strings.Cut(strings.TrimPrefix(key, prefix), "/")
-	n, err := strconv.Atoi(num)
-	return member, n, ok && err == nil && n >= 0
+// ParseRelayKey is the reverse of relayedMessageKey.
+func ParseRelayKey(prefix, key string) (member string, count int, ok bool) {
+	member, number, ok := strings.Cut(strings.TrimPrefix(key, prefix), "/")
+	count, err := strconv.Atoi(number)
+	return member, count, ok && err == nil && count >= 0
 }
 
 // ImagesKey is the key of one part of the images.
-func ImagesKey(n int) string { return ImagesPrefix + strconv.Itoa(n) }
+func ImagesKey(count int) string { return ImagesPrefix + strconv.Itoa(count) }
 
 // ImagesRecord says what some machines likely hold: for each, indices into Names
 // and GB, the most recently used first.
@@ -127,8 +133,8 @@
 
 // ParseShard is the reverse of Key.
 func ParseShard(key string) (Shard, bool) {
-	id, num, ok := strings.Cut(strings.TrimPrefix(key, ShardPrefix), "/")
-	index, size, sized := strings.Cut(num, ".")
+	id, number, ok := strings.Cut(strings.TrimPrefix(key, ShardPrefix), "/")
+	index, size, sized := strings.Cut(number, ".")
 	s := Shard{Job: id, Size: tuning.ShardTasks}
 	var err, serr error
 	s.Index, err = strconv.Atoi(index)
@@ -142,8 +148,8 @@
 // ShardSize is how many tasks' records always fit into a value of so many bytes, on machines whose
 // names have nameBytes at most.
 func ShardSize(valueBytes, nameBytes int) int {
-	n := (valueBytes - tuning.ShardMargin) / (tuning.PlacedBytes + max(nameBytes, tuning.NameBytes))
-	return min(tuning.ShardTasks, max(8, n/8*8))
+	count := (valueBytes - tuning.ShardMargin) / (tuning.PlacedBytes + max(nameBytes, tuning.NameBytes))
+	return min(tuning.ShardTasks, max(8, count/8*8))
 }
 
 // LeaderRecord is the value of LeaderKey.
@@ -182,8 +188,8 @@
 }
 
 // UnmarshalJSON reads the triple.
-func (p *PlacedTask) UnmarshalJSON(raw []byte) error {
-	return json.Unmarshal(raw, &[]any{&p.Task, &p.Machine, &p.Attempt})
+func (p *PlacedTask) UnmarshalJSON(encoded []byte) error {
+	return json.Unmarshal(encoded, &[]any{&p.Task, &p.Machine, &p.Attempt})
 }
 
 // ShardRecord holds the done bits of a run of tasks and the machines of the
@@ -197,7 +203,7 @@
 type TaskBitmap []byte
 
 // NewTaskBitmap makes room for n tasks.
-func NewTaskBitmap(n int) TaskBitmap { return make(TaskBitmap, (n+7)/8) }
+func NewTaskBitmap(count int) TaskBitmap { return make(TaskBitmap, (count+7)/8) }
 
 // Has and Set read and mark a task.
 func (b TaskBitmap) Has(i int) bool { return b[i/8]&(1<<(i%8)) != 0 }
@@ -243,31 +249,31 @@
 func ReadShards(items []Item, of func(id string, s Shard) (TaskBitmap, int)) (on map[string]map[int]PlacedTask, stray []string, damaged map[string]error) {
 	on, damaged = map[string]map[int]PlacedTask{}, map[string]error{}
 	jobs := map[string]TaskBitmap{}
-	for _, it := range items {
-		shard, ok := ParseShard(it.Key)
+	for _, item := range items {
+		shard, ok := ParseShard(item.Key)
 		var bits TaskBitmap
 		total := 0
 		if ok {
 			bits, total = of(shard.Job, shard)
 		}
 		if total == 0 {
-			stray = append(stray, it.Key)
+			stray = append(stray, item.Key)
 			continue
 		}
-		var rec ShardRecord
-		err := json.Unmarshal(it.Value, &rec)
+		var record ShardRecord
+		err := json.Unmarshal(item.Value, &record)
 		if err == nil {
-			err = bits.Unpack(shard, rec.Done)
+			err = bits.Unpack(shard, record.Done)
 		}
 		if err != nil {
-			damaged[shard.Job] = fmt.Errorf("record %s is damaged: %w", it.Key, err)
+			damaged[shard.Job] = fmt.Errorf("record %s is damaged: %w", item.Key, err)
 			continue
 		}
 		if jobs[shard.Job] = bits; on[shard.Job] == nil {
 			on[shard.Job] = map[int]PlacedTask{}
 		}
 		from, to := shard.Range(total)
-		for _, p := range rec.On {
+		for _, p := range record.On {
 			if was, ok := on[shard.Job][p.Task]; p.Task >= from && p.Task < to && (!ok || p.Attempt > was.Attempt) {
 				on[shard.Job][p.Task] = p
 			}
