--- a/store/client.go
+++ b/store/client.go
@@ -1,4 +1,10 @@
-// Package store keeps the service's records in the state service.
+// Package store is the client of the state service, a small consistent key-value store with
+// transactions, leases and watches, and the layer that keeps the scheduler's records there:
+//
+//   - Client makes one call, and tells a refusal from an unknown outcome.
+//   - HedgedClient sends transactions and reads again while they are unanswered.
+//   - Committer writes the leader's records in groups, within the limits of the state service.
+//   - The remaining files define the keys and the records.
 package store
 
 import (
@@ -15,21 +21,30 @@
 	"switchferry/tuning"
 )
 
-// Outcomes of a call. ErrOutcomeUnknown: it may have been executed, or may be later.
+// Errors of a call, to be tested with errors.Is. Any error that is not listed here comes from
+// encoding the request.
 var (
+	// ErrConflict: a condition of the transaction did not hold; nothing was executed.
 	ErrConflict = errors.New("a condition failed")
+	// ErrNotFound: the key does not exist.
 	ErrNotFound = errors.New("no such key")
-	ErrNoLease  = errors.New("no such lease")
-	ErrBusy     = errors.New("refused, not executed")
-	// ErrRateLimited is an ErrBusy: refused for the number of requests or changes.
-	ErrRateLimited    = fmt.Errorf("%w: status 429", ErrBusy)
+	// ErrNoLease: the lease does not exist, or has expired.
+	ErrNoLease = errors.New("no such lease")
+	// ErrBusy: the call was refused and not executed; it may be repeated.
+	ErrBusy = errors.New("refused, not executed")
+	// ErrRateLimited is the ErrBusy of a caller that exceeds the rate of requests or changes.
+	ErrRateLimited = fmt.Errorf("%w: status 429", ErrBusy)
+	// ErrOutcomeUnknown: no usable response arrived. The call may have been executed, and may
+	// still be executed at any later time.
 	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
-	// ErrInvalidRequest: what was sent is not allowed, and will not be when it is sent again.
+	// ErrInvalidRequest: the request is not allowed, and will not be when it is repeated.
 	ErrInvalidRequest = errors.New("refused for what it is")
-	ErrCompacted      = errors.New("revision no longer kept")
+	// ErrCompacted: changes since the revision of a watch are no longer kept.
+	ErrCompacted = errors.New("revision no longer kept")
 )
 
-// Item is a key with its value and the revision of its last change.
+// Item is a key with its value, the revision of its last change, and the lease that deletes it when
+// it expires (0: none).
 type Item struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"value"`
@@ -37,13 +52,15 @@
 	Lease    uint64          `json:"ticket"`
 }
 
-// Condition holds if Key has this revision; 0: it does not exist.
+// Condition holds if the last change of Key has this revision. Revision 0 means that Key does not
+// exist.
 type Condition struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Operation sets or deletes a key.
+// Operation is one change of a transaction: it either sets the key Set to Value, optionally attached
+// to a lease, or deletes the key Delete.
 type Operation struct {
 	Set    string `json:"set,omitempty"`
 	Value  any    `json:"value,omitempty"`
@@ -51,7 +68,10 @@
 	Delete string `json:"delete,omitempty"`
 }
 
-// Event is one change that a watch saw.
+// key is the key that the operation sets or deletes.
+func (o Operation) key() string { return o.Set + o.Delete }
+
+// Event is one change that a watch reports: the key Set has a new value, or the key Delete is gone.
 type Event struct {
 	Set      string          `json:"set"`
 	Value    json.RawMessage `json:"value"`
@@ -59,51 +79,59 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Client speaks to the state service.
+// Client makes calls to the state service. It keeps no state of its own and is safe for concurrent
+// use once OnResponse is set.
 type Client struct {
 	base string
 	http *http.Client
-	// OnResponse is told of every answer: true when the service served the call.
+	// OnResponse is called after every call that was not rate-limited, with true if the state
+	// service served it and false if it refused it (status 503) or did not respond. It must not
+	// block.
 	OnResponse func(served bool)
 }
 
-// NewClient makes a client for an address.
+// NewClient returns a client of the state service at the address addr (host:port).
 func NewClient(addr string, transport http.RoundTripper) *Client {
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, OnResponse: func(bool) {}}
 }
 
+// call makes one call and decodes the response into the value that into points to (nil: none).
+// It returns the status, or ErrBusy, ErrRateLimited or ErrOutcomeUnknown; other statuses are left to
+// the caller.
 func (c *Client) call(ctx context.Context, method, path string, body, into any, timeout time.Duration) (int, error) {
-	ctx, stop := context.WithTimeout(ctx, timeout)
-	defer stop()
-	status, encoded, err := rest.Do(ctx, c.http, method, c.base+path, body)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	status, response, err := rest.Do(ctx, c.http, method, c.base+path, body)
 	if err != nil {
 		c.OnResponse(false)
-		return 0, fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch status {
 	case http.StatusServiceUnavailable:
 		c.OnResponse(false)
-		return status, fmt.Errorf("%w: status 503", ErrBusy)
+		return status, fmt.Errorf("%s %s: %w: status 503", method, path, ErrBusy)
 	case http.StatusTooManyRequests:
-		return status, ErrRateLimited
+		return status, fmt.Errorf("%s %s: %w", method, path, ErrRateLimited)
 	}
 	c.OnResponse(true)
-	if into != nil && len(encoded) > 0 {
-		if err := json.Unmarshal(encoded, into); err != nil {
-			return status, fmt.Errorf("%w: malformed answer: %v", ErrOutcomeUnknown, err)
+	if into != nil && len(response) > 0 {
+		if err := json.Unmarshal(response, into); err != nil {
+			return status, fmt.Errorf("%s %s: %w: malformed response: %w", method, path, ErrOutcomeUnknown, err)
 		}
 	}
 	return status, nil
 }
 
-func unexpectedStatus(status int) error {
-	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+// unexpectedStatus is the error of a call that was answered with a status that it does not define.
+func unexpectedStatus(method, path string, status int) error {
+	return fmt.Errorf("%s %s: %w: status %d", method, path, ErrOutcomeUnknown, status)
 }
 
-// Get reads a key.
+// Get reads a key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
 	var item Item
-	status, err := c.call(ctx, http.MethodGet, "/store/"+key, nil, &item, tuning.StateTimeout)
+	path := "/store/" + key
+	status, err := c.call(ctx, http.MethodGet, path, nil, &item, tuning.StateTimeout)
 	switch {
 	case err != nil:
 		return item, err
@@ -112,16 +140,19 @@
 	case status == http.StatusNotFound:
 		return item, ErrNotFound
 	}
-	return item, unexpectedStatus(status)
+	return item, unexpectedStatus(http.MethodGet, path, status)
 }
 
-// List reads all keys under a prefix, and the revision before the first page.
-func (c *Client) List(ctx context.Context, prefix string) ([]Item, uint64, error) {
-	var out []Item
-	var first uint64
+// listPageSize is the number of keys that List reads at once.
+const listPageSize = "500"
+
+// List reads all keys under a prefix, page by page. The pages are not one snapshot: a watch from
+// the returned revision, which is that of the first page, reports every change that List may have
+// missed.
+func (c *Client) List(ctx context.Context, prefix string) (items []Item, revision uint64, err error) {
 	after := ""
 	for {
-		query := url.Values{"under": {prefix}, "limit": {"500"}}
+		query := url.Values{"under": {prefix}, "limit": {listPageSize}}
 		if after != "" {
 			query.Set("after", after)
 		}
@@ -130,72 +161,81 @@
 			More  bool   `json:"more"`
 			Epoch uint64 `json:"epoch"`
 		}
-		status, err := c.call(ctx, http.MethodGet, "/store?"+query.Encode(), nil, &page, tuning.StateTimeout)
+		path := "/store?" + query.Encode()
+		status, err := c.call(ctx, http.MethodGet, path, nil, &page, tuning.StateTimeout)
 		if err != nil {
 			return nil, 0, err
 		}
 		if status != http.StatusOK {
-			return nil, 0, unexpectedStatus(status)
+			return nil, 0, unexpectedStatus(http.MethodGet, path, status)
 		}
-		if first == 0 {
-			first = page.Epoch
+		if revision == 0 {
+			revision = page.Epoch
 		}
-		out = append(out, page.Rows...)
+		items = append(items, page.Rows...)
 		if !page.More || len(page.Rows) == 0 {
-			return out, first, nil
+			return items, revision, nil
 		}
 		after = page.Rows[len(page.Rows)-1].Key
 	}
 }
 
-// Transact runs a transaction and returns its revision; on ErrConflict the keys
-// whose conditions failed.
-func (c *Client) Transact(ctx context.Context, conditions []Condition, operations []Operation) (uint64, []string, error) {
+// Transact executes the operations if all conditions hold, and returns the revision of the change.
+// Otherwise nothing is executed: with ErrConflict, failed are the keys whose conditions did not
+// hold; ErrNoLease means that the lease of an operation has expired.
+func (c *Client) Transact(ctx context.Context, conditions []Condition, operations []Operation) (revision uint64, failed []string, err error) {
+	const path = "/multi"
 	body := struct {
 		If   []Condition `json:"if"`
 		Then []Operation `json:"then,omitempty"`
 	}{conditions, operations}
-	var answer struct {
+	var response struct {
 		Epoch  uint64   `json:"epoch"`
 		Failed []string `json:"failed"`
 		Error  string   `json:"error"`
 	}
-	status, err := c.call(ctx, http.MethodPost, "/multi", body, &answer, tuning.StateTimeout)
+	status, err := c.call(ctx, http.MethodPost, path, body, &response, tuning.StateTimeout)
 	switch {
 	case err != nil:
 		return 0, nil, err
-	case status == http.StatusOK && answer.Epoch > 0:
-		return answer.Epoch, nil, nil
+	case status == http.StatusOK && response.Epoch > 0:
+		return response.Epoch, nil, nil
 	case status == http.StatusConflict:
-		return answer.Epoch, answer.Failed, ErrConflict
-	case status == http.StatusBadRequest && answer.Error == "no such lease":
+		return response.Epoch, response.Failed, ErrConflict
+	case status == http.StatusBadRequest && response.Error == "no such lease":
 		return 0, nil, ErrNoLease
 	case status >= 400 && status < 500:
-		return 0, nil, fmt.Errorf("%w: status %d %s", ErrInvalidRequest, status, answer.Error)
+		return 0, nil, fmt.Errorf("%w: status %d %s", ErrInvalidRequest, status, response.Error)
 	}
-	return 0, nil, unexpectedStatus(status)
+	return 0, nil, unexpectedStatus(http.MethodPost, path, status)
 }
 
-// GrantLease makes a lease.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	var answer struct {
+// GrantLease creates a lease that expires ttl after its last renewal, and returns its id.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	const path = "/leases"
+	body := struct {
+		Milliseconds int64 `json:"life_ms"`
+	}{ttl.Milliseconds()}
+	var response struct {
 		Ticket uint64 `json:"ticket"`
 	}
-	status, err := c.call(ctx, http.MethodPost, "/leases", map[string]int64{"life_ms": life.Milliseconds()}, &answer, tuning.StateTimeout)
+	status, err := c.call(ctx, http.MethodPost, path, body, &response, tuning.StateTimeout)
 	if err != nil {
 		return 0, err
 	}
-	if status != http.StatusOK || answer.Ticket == 0 {
-		return 0, unexpectedStatus(status)
+	if status != http.StatusOK || response.Ticket == 0 {
+		return 0, unexpectedStatus(http.MethodPost, path, status)
 	}
-	return answer.Ticket, nil
+	return response.Ticket, nil
 }
 
+// leasePath is the path of a lease.
 func leasePath(id uint64) string { return "/leases/" + strconv.FormatUint(id, 10) }
 
-// RenewLease renews a lease.
+// RenewLease renews a lease. It returns ErrNoLease if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
-	status, err := c.call(ctx, http.MethodPost, leasePath(id)+"/renew", nil, nil, tuning.StateTimeout)
+	path := leasePath(id) + "/renew"
+	status, err := c.call(ctx, http.MethodPost, path, nil, nil, tuning.StateTimeout)
 	switch {
 	case err != nil:
 		return err
@@ -204,31 +244,39 @@
 	case status == http.StatusNotFound:
 		return ErrNoLease
 	}
-	return unexpectedStatus(status)
+	return unexpectedStatus(http.MethodPost, path, status)
 }
 
-// RevokeLease ends a lease at once, and the keys on it.
+// RevokeLease ends a lease at once and deletes the keys that are attached to it. A lease that has
+// already expired is not an error.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	_, err := c.call(ctx, http.MethodDelete, leasePath(id), nil, nil, tuning.StateTimeout)
 	return err
 }
 
-// Watch waits for changes under a prefix after a revision.
+// Watch waits up to block for changes under a prefix that are newer than the revision after, and
+// returns them with the revision to continue from. Without a change it returns no events. It returns
+// ErrCompacted if changes after that revision are no longer kept; the caller then lists the prefix
+// again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) ([]Event, uint64, error) {
-	query := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
-		"block_ms": {strconv.FormatInt(block.Milliseconds(), 10)}}
-	var answer struct {
+	query := url.Values{
+		"under":    {prefix},
+		"after":    {strconv.FormatUint(after, 10)},
+		"block_ms": {strconv.FormatInt(block.Milliseconds(), 10)},
+	}
+	var response struct {
 		Epoch uint64  `json:"epoch"`
 		Log   []Event `json:"log"`
 	}
-	status, err := c.call(ctx, http.MethodGet, "/watch?"+query.Encode(), nil, &answer, block+tuning.StateTimeout)
+	path := "/watch?" + query.Encode()
+	status, err := c.call(ctx, http.MethodGet, path, nil, &response, block+tuning.StateTimeout)
 	switch {
 	case err != nil:
 		return nil, 0, err
 	case status == http.StatusOK:
-		return answer.Log, answer.Epoch, nil
+		return response.Log, response.Epoch, nil
 	case status == http.StatusGone:
 		return nil, 0, ErrCompacted
 	}
-	return nil, 0, unexpectedStatus(status)
+	return nil, 0, unexpectedStatus(http.MethodGet, path, status)
 }
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -14,30 +14,33 @@
 	"switchferry/tuning"
 )
 
-// HedgedClient sends a transaction again while it is unanswered: one answer in some is late by hundreds
-// of milliseconds, and whoever is to be accepted waits behind it.
+// HedgedClient repeats a transaction or a read while it is unanswered: one response in 25 was late by
+// hundreds of milliseconds, and held up every record behind it
+// (docs/incidents/fleet-late-commits.md). It is safe for concurrent use.
 type HedgedClient struct {
 	client *Client
 	clock  clockwork.Clock
-	// writeLimiter is what the writer's changes are taken from, seldom what may be sent again
-	// although that has little left.
-	writeLimiter, resendLimiter *rate.Limiter
+	// writeLimiter is the limiter of the writer, which a repeated transaction counts against.
+	writeLimiter *rate.Limiter
+	// resendLimiter allows some repetitions while writeLimiter has little capacity left.
+	resendLimiter *rate.Limiter
 }
 
-// NewHedgedClient makes one for a writer whose changes limiter bounds, of the state service's writeRPS.
-func NewHedgedClient(client *Client, clock clockwork.Clock, limiter *rate.Limiter, writeRPS float64) *HedgedClient {
-	seldom := rate.NewLimiter(rate.Limit(writeRPS*tuning.HedgeShare), limiter.Burst())
-	return &HedgedClient{client, clock, limiter, seldom}
+// NewHedgedClient returns a hedged client for a writer whose changes writeLimiter limits. writeRPS is the
+// limit of the state service in changes a second.
+func NewHedgedClient(client *Client, clock clockwork.Clock, writeLimiter *rate.Limiter, writeRPS float64) *HedgedClient {
+	resendLimiter := rate.NewLimiter(rate.Limit(writeRPS*tuning.HedgeShare), writeLimiter.Burst())
+	return &HedgedClient{client: client, clock: clock, writeLimiter: writeLimiter, resendLimiter: resendLimiter}
 }
 
-// outcome is what became of a transaction.
+// outcome is the result of a transaction.
 type outcome struct {
 	revision   uint64
 	failedKeys []string
 	err        error
 }
 
-// certainty orders outcomes by how much they tell.
+// certainty orders outcomes by how much they say about what was executed.
 func (o outcome) certainty() int {
 	switch {
 	case o.err == nil:
@@ -50,63 +53,66 @@
 	return 0
 }
 
-// Transact is Client.Transact for a transaction in which every key that is written is also conditional
-// on its revision. However often it is sent, it then takes effect at most once: the first that is
-// executed changes the revisions. When one that was sent later fails for that reason, the
-// earlier one's answer is not waited for: the keys are read, and if all hold what was to be
-// writesByKind, at one revision, it was executed.
+// Transact is Client.Transact for a transaction that is conditional on the revision of every key that it
+// writes. However often such a transaction is sent, it takes effect at most once, because the first
+// execution changes the revisions.
+//
+// If a repetition fails with ErrConflict, an earlier one may have been executed and its response may be
+// late. That response is not waited for: the keys are read, and if all of them hold what was to be
+// written, at one revision, the transaction was executed.
 func (h *HedgedClient) Transact(ctx context.Context, conditions []Condition, operations []Operation) (uint64, []string, error) {
-	answers := make(chan outcome, tuning.HedgeTries)
+	responses := make(chan outcome, tuning.HedgeTries)
 	send := func() {
-		revision, failed, err := h.client.Transact(ctx, conditions, operations)
-		answers <- outcome{revision, failed, err}
+		revision, failedKeys, err := h.client.Transact(ctx, conditions, operations)
+		responses <- outcome{revision, failedKeys, err}
 	}
 	go send()
 	sent, answered := 1, 0
-	resendAt := h.clock.After(tuning.HedgeAfter)
+	resend := h.clock.After(tuning.HedgeAfter)
 	best := outcome{err: ErrBusy}
-	var read chan outcome
+	var verified chan outcome // nil: the keys are not being read
 	for {
 		select {
-		case o := <-answers:
+		case response := <-responses:
 			answered++
-			if o.certainty() >= best.certainty() {
-				best = o
+			if response.certainty() >= best.certainty() {
+				best = response
 			}
 			switch {
 			case best.err == nil:
 				return best.revision, nil, nil
-			case sent > 1 && errors.Is(o.err, ErrConflict) && read == nil:
-				resendAt = nil
-				read = make(chan outcome, 1)
-				go func() { read <- h.verifyWritten(ctx, operations) }()
-			case answered == sent && read == nil:
+			case sent > 1 && errors.Is(response.err, ErrConflict) && verified == nil:
+				resend = nil
+				verified = make(chan outcome, 1)
+				go func() { verified <- h.verifyWritten(ctx, operations) }()
+			case answered == sent && verified == nil:
 				return best.revision, best.failedKeys, best.err
 			}
-		case o := <-read:
-			if o.err == nil {
-				return o.revision, nil, nil
+		case verification := <-verified:
+			if verification.err == nil {
+				return verification.revision, nil, nil
 			}
-			// Written by another, or not told.
+			// Another process wrote a key, or the keys could not be read.
 			return best.revision, best.failedKeys, best.err
-		case <-resendAt:
-			resendAt = nil
+		case <-resend:
+			resend = nil
 			if sent == tuning.HedgeTries || !h.allowResend(len(operations)) {
 				continue
 			}
 			sent++
 			go send()
-			resendAt = h.clock.After(tuning.HedgeAfter)
+			resend = h.clock.After(tuning.HedgeAfter)
 		}
 	}
 }
 
-// allowResend tells whether so many changes may be sent again: where the writer has many to spare, or
-// resendLimiter. A fixed share alone was used up by large transactions, while four fifths of the
-// limit were left.
+// allowResend returns whether so many changes may be sent again, and counts them against the write limit:
+// either the writer has much of its limit left, or resendLimiter allows it. A fixed share alone was used
+// up by large transactions while four fifths of the limit were left.
 func (h *HedgedClient) allowResend(changes int) bool {
 	now := h.clock.Now()
-	spare := h.writeLimiter.TokensAt(now)-float64(changes) >= float64(h.writeLimiter.Burst())*tuning.HedgeSpare
+	left := h.writeLimiter.TokensAt(now) - float64(changes)
+	spare := left >= float64(h.writeLimiter.Burst())*tuning.HedgeSpare
 	if !spare && !h.resendLimiter.AllowN(now, changes) {
 		return false
 	}
@@ -114,77 +120,84 @@
 	return true
 }
 
-// Get is Client.Get, sent again while it is unanswered: what reads its own writes back would
-// else wait as long, for the answers of all keys.
+// Get is Client.Get, repeated while it is unanswered: reading several keys back would otherwise wait
+// for the latest of the responses.
 func (h *HedgedClient) Get(ctx context.Context, key string) (Item, error) {
-	type answer struct {
-		it  Item
-		err error
+	type result struct {
+		item Item
+		err  error
 	}
-	answers := make(chan answer, tuning.HedgeTries)
+	responses := make(chan result, tuning.HedgeTries)
 	send := func() {
 		item, err := h.client.Get(ctx, key)
-		answers <- answer{item, err}
+		responses <- result{item, err}
 	}
 	go send()
 	for sent, answered := 1, 0; ; {
-		var resendAt <-chan time.Time
+		var resend <-chan time.Time
 		if sent < tuning.HedgeTries {
-			resendAt = h.clock.After(tuning.HedgeAfter)
+			resend = h.clock.After(tuning.HedgeAfter)
 		}
 		select {
-		case a := <-answers:
+		case response := <-responses:
 			answered++
-			if a.err == nil || errors.Is(a.err, ErrNotFound) || answered == sent {
-				return a.it, a.err
+			if response.err == nil || errors.Is(response.err, ErrNotFound) || answered == sent {
+				return response.item, response.err
 			}
-		case <-resendAt:
+		case <-resend:
 			sent++
 			go send()
 		}
 	}
 }
 
-// verifyWritten tells at which revision the keys were written, ErrConflict if they hold anything else.
+// verifyWritten reads the keys of operations and returns the revision at which all of them were written
+// together. Its error is ErrConflict if any key holds anything else.
 func (h *HedgedClient) verifyWritten(ctx context.Context, operations []Operation) outcome {
 	revisions := make([]uint64, len(operations))
 	errs := make([]error, len(operations))
-	var all sync.WaitGroup
+	var reads sync.WaitGroup
 	for i, operation := range operations {
-		all.Go(func() {
-			item, err := h.Get(ctx, operation.Set+operation.Delete)
-			switch {
-			case operation.Delete != "" && errors.Is(err, ErrNotFound):
-			case err != nil:
-				errs[i] = err
-			case operation.Delete != "" || !equalJSON(item.Value, operation.Value):
-				errs[i] = ErrConflict
-			default:
-				revisions[i] = item.Revision
-			}
-		})
+		reads.Go(func() { revisions[i], errs[i] = h.verifyOperation(ctx, operation) })
 	}
-	all.Wait()
+	reads.Wait()
 	var revision uint64
 	for i, operation := range operations {
 		switch {
 		case errs[i] != nil:
 			return outcome{err: errs[i]}
-		case operation.Set != "" && revision != 0 && revisions[i] != revision:
+		case operation.Delete != "":
+		case revision != 0 && revisions[i] != revision:
 			return outcome{err: ErrConflict}
-		case operation.Set != "":
+		default:
 			revision = revisions[i]
 		}
 	}
 	return outcome{revision: revision}
 }
 
-// equalJSON compares a stored value with one to be written, whatever spaces and order of keys.
+// verifyOperation reads the key of an operation and returns its revision (0 if it was deleted), or
+// ErrConflict if the key is not as the operation leaves it.
+func (h *HedgedClient) verifyOperation(ctx context.Context, operation Operation) (uint64, error) {
+	item, err := h.Get(ctx, operation.key())
+	switch {
+	case operation.Delete != "" && errors.Is(err, ErrNotFound):
+		return 0, nil
+	case err != nil:
+		return 0, err
+	case operation.Delete != "" || !equalJSON(item.Value, operation.Value):
+		return 0, ErrConflict
+	}
+	return item.Revision, nil
+}
+
+// equalJSON compares a stored value with one that was to be written, whatever their spaces and the order
+// of their keys.
 func equalJSON(stored json.RawMessage, value any) bool {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return false
 	}
-	var a, b any
-	return json.Unmarshal(stored, &a) == nil && json.Unmarshal(encoded, &b) == nil && reflect.DeepEqual(a, b)
+	var got, want any
+	return json.Unmarshal(stored, &got) == nil && json.Unmarshal(encoded, &want) == nil && reflect.DeepEqual(got, want)
 }
