--- a/store/commit_failure.go
+++ b/store/commit_failure.go
@@ -37,7 +37,7 @@
 	case errors.Is(err, ErrOutcomeUnknown):
 		// The transaction may have been executed, or may be later: read the revisions of its
 		// keys. Should it be executed after that, the next attempt fails.
-		slog.Info("outcome of a commit is unknown, reading again", "err", err)
+		slog.Info("commit outcome unknown, reading keys back", "err", err)
 		keys := make([]string, len(transaction.operations))
 		for i, operation := range transaction.operations {
 			keys[i] = operation.key()
@@ -45,7 +45,7 @@
 		c.refreshRevisions(ctx, keys, false)
 		return retryDelay
 	}
-	slog.Error("commit refused", "err", err)
+	slog.Error("commit failed", "err", err)
 	return unexpectedRetryDelay
 }
 
@@ -55,7 +55,7 @@
 	if c.announcedRate == 0 || c.limiter.Limit() <= c.announcedRate {
 		return
 	}
-	slog.Info("the state service takes fewer changes a second", "from", float64(c.limiter.Limit()), "to", float64(c.announcedRate))
+	slog.Info("write rate lowered to the announced limit", "from", float64(c.limiter.Limit()), "to", float64(c.announcedRate))
 	now := c.clock.Now()
 	c.limiter.SetLimitAt(now, c.announcedRate)
 	c.limiter.SetBurstAt(now, max(1, int(c.announcedRate)))
@@ -65,7 +65,7 @@
 // others: one that was too large did, again every second (docs/incidents/fleet-relay-too-long.md).
 // Its callbacks keep waiting.
 func (c *Committer) quarantine(record *pendingRecord, err error) {
-	slog.Error("a record cannot be stored and is set aside", "key", record.key, "again_in", tuning.AsideFor, "err", err)
+	slog.Error("record quarantined", "key", record.key, "again_in", tuning.AsideFor, "err", err)
 	record.quarantinedUntil = c.clock.Now().Add(tuning.AsideFor)
 	record.isolated = true
 	c.requeue([]*pendingRecord{record})
@@ -78,7 +78,7 @@
 		c.quarantine(batch[0], err)
 		return
 	}
-	slog.Error("a transaction is refused, trying its records one by one", "records", len(batch), "err", err)
+	slog.Error("transaction rejected, retrying its records one by one", "records", len(batch), "err", err)
 	for _, record := range batch {
 		record.isolated = true
 	}
