--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -1,26 +1,22 @@
 package store
 
 import (
-	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"runtime"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/jonboulle/clockwork"
-	"golang.org/x/time/rate"
 
 	"switchferry/internal/fake"
 	"switchferry/settings"
 	"switchferry/tuning"
 )
 
-// fakeSource is a term whose records are what the test says.
+// fakeSource is a RecordSource whose records the test sets.
 type fakeSource struct {
 	values    map[string]any
 	lead      Condition
@@ -37,18 +33,25 @@
 func (s *fakeSource) Committed()                   {}
 func (s *fakeSource) Deposed()                     { s.deposed = true }
 
+// newTestCommitter returns a committer that leads, with its state service and the source of its records.
 func newTestCommitter() (*fake.State, *fakeSource, *Committer) {
 	return newTestCommitterAt(clockwork.NewFakeClock())
 }
 
 func newTestCommitterAt(clock clockwork.Clock) (*fake.State, *fakeSource, *Committer) {
+	return newTestCommitterWithin(clock, settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16})
+}
+
+// newTestCommitterWithin returns a committer that leads and keeps to limits; its state service does not enforce
+// any.
+func newTestCommitterWithin(clock clockwork.Clock, limits settings.State) (*fake.State, *fakeSource, *Committer) {
 	state := fake.NewState(clock)
 	source := &fakeSource{values: map[string]any{}}
 	source.lead = Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
-	committer := NewCommitter(NewClient("x:1", state), source, clock, settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
-	return state, source, committer
+	return state, source, NewCommitter(NewClient("state:1", state), source, clock, limits, map[string]uint64{})
 }
 
+// decodeString decodes a stored string; a missing value is the empty one.
 func decodeString(t *testing.T, encoded json.RawMessage) (v string) {
 	t.Helper()
 	if encoded != nil && json.Unmarshal(encoded, &v) != nil {
@@ -57,8 +60,8 @@
 	return v
 }
 
-// With the limit of writes used up, an accept goes out as soon as there is room
-// for one change, and not when there is room for all that waits with it.
+// With the write limit used up, an accepted job is stored as soon as the limit allows one change, and not
+// only when it allows all pending ones.
 func TestUrgentRecordNeedsCapacityForItselfOnly(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state, source, committer := newTestCommitterAt(clock)
@@ -67,7 +70,7 @@
 		source.values[key] = "x"
 		committer.MarkDirty(key, Ordinary, nil)
 	}
-	ctx := context.Background()
+	ctx := t.Context()
 	for range 20 {
 		committer.Step(ctx)
 	}
@@ -87,31 +90,30 @@
 	}
 }
 
-// A leader that wakes up late must not write: its transactions are conditional
-// on the leader's key.
+// A leader that continues after it was deposed must not write: its transactions are conditional on the
+// leader's key.
 func TestDeposedLeaderCannotCommit(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	state.Put(LeaderKey, LeaderRecord{Member: "b"})
 	source.values["sf/t/run-1/0"] = "old"
 	stored := false
 	committer.MarkDirty("sf/t/run-1/0", Ordinary, func() { stored = true })
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	if state.Get("sf/t/run-1/0") != nil || stored || !source.deposed {
 		t.Errorf("written %s, told %v, deposed %v", state.Get("sf/t/run-1/0"), stored, source.deposed)
 	}
 }
 
-// A transaction without an answer that is applied late must not undo a newer
-// one.
+// A transaction without a response that is executed late must not undo a newer one.
 func TestLateTransactionCannotUndoNewerOne(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	const key = "sf/t/run-1/0"
 	source.values[key] = "first"
 	committer.MarkDirty(key, Ordinary, nil)
 	state.HoldNext = true
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	source.values[key] = "second"
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	if got := decodeString(t, state.Get(key)); got != "second" {
 		t.Fatalf("stored %q", got)
 	}
@@ -121,19 +123,19 @@
 	}
 }
 
-// A transaction that was applied although its answer was lost counts once the
-// key is read again, and what waits for it runs once.
+// A transaction that was executed although its response was lost counts once its key is read back, and its
+// callbacks run once.
 func TestLostResponseRunsCallbackOnce(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	source.values["sf/j/run-1"] = "job"
 	stored := 0
 	committer.MarkDirty("sf/j/run-1", Urgent, func() { stored++ })
 	state.LoseAnswer = true
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	if stored != 0 {
 		t.Fatal("told before the outcome was known")
 	}
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	if stored != 1 || len(source.conflicts) != 1 {
 		t.Errorf("told %d times, conflicts %v", stored, source.conflicts)
 	}
@@ -147,14 +149,14 @@
 	}
 	source.values["sf/j/run-9"] = "job"
 	committer.MarkDirty("sf/j/run-9", Urgent, nil)
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	if state.Get("sf/j/run-9") == nil || state.Largest.Ops > 12 {
 		t.Errorf("accept not first, or %d changes", state.Largest.Ops)
 	}
 	for range 10 {
-		committer.Step(context.Background())
+		committer.Step(t.Context())
 	}
-	// On a clock that stands still no more than one second's worth goes out.
+	// While the clock is stopped, no more than the changes of one second are written.
 	if committer.Pending() != 0 {
 		t.Errorf("%d records wait", committer.Pending())
 	}
@@ -165,168 +167,84 @@
 	source.values["sf/j/run-1"] = "job"
 	committer.MarkDirty("sf/j/run-1", Urgent, nil)
 	state.Down = true
-	if committer.Step(context.Background()) == 0 || committer.Pending() != 1 {
+	if committer.Step(t.Context()) == 0 || committer.Pending() != 1 {
 		t.Error("the record does not wait for the service")
 	}
 	state.Down = false
-	committer.Step(context.Background())
+	committer.Step(t.Context())
 	if state.Get("sf/j/run-1") == nil {
 		t.Error("not written after the outage")
 	}
 }
 
-func TestTaskBitmapAndShardKeys(t *testing.T) {
-	bitmap := NewTaskBitmap(1000)
-	for _, i := range []int{0, 399, 400, 807, 999} {
-		bitmap.Set(i)
-	}
-	got := NewTaskBitmap(1000)
-	for s := range 3 {
-		x := Shard{"run-1", s, 400}
-		if err := got.Unpack(x, bitmap.Pack(x)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	small := NewTaskBitmap(1000)
-	for s := range 25 {
-		x := Shard{"run-1", s, 40}
-		if err := small.Unpack(x, bitmap.Pack(x)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if !slices.Equal(small, bitmap) {
-		t.Error("in shards of 40 other tasks are done")
-	}
-	for i := range 1000 {
-		if got.Has(i) != bitmap.Has(i) {
-			t.Fatalf("bit %d", i)
-		}
-	}
-	if got.Unpack(Shard{"run-1", 2, 400}, "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA") == nil {
-		t.Error("a shard longer than its job was taken")
-	}
-	for _, x := range []Shard{{"run-000412", 17, 400}, {"run-000412", 17, 40}} {
-		if got, ok := ParseShard(x.Key()); got != x || !ok {
-			t.Error(got, ok)
-		}
-	}
-	if old := (Shard{"run-000412", 17, 400}).Key(); old != "sf/t/run-000412/17" {
-		t.Error("the first version does not know", old)
-	}
-	for _, bad := range []string{"sf/t/run-1", "sf/t/run-1/", "sf/t/run-1/-1", "sf/t/run-1/1.", "sf/t/run-1/1.0", "sf/t/run-1/1.7", "sf/t/run-1/999999999"} {
-		if _, ok := ParseShard(bad); ok {
-			t.Error("taken:", bad)
-		}
-	}
-}
-
-// A transaction whose answer is late is sent once more, and whoever waits for it is told as
-// soon as either is answered. Only one of the two takes effect. One answer in 25 took
-// 240 ms on a day of the fleet, and held up all that stood behind it.
+// A transaction whose response is late is sent once more, and its callbacks run as soon as either is answered.
+// Only one of the two takes effect. One response in 25 took 240 ms on a day of the fleet, and held up all
+// records behind it.
 func TestLateAnswersAreNotWaitedFor(t *testing.T) {
 	for _, executed := range []bool{true, false} {
-		clock := clockwork.NewFakeClock()
-		state := fake.NewState(clock)
-		leader := Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
-		source := &fakeSource{values: map[string]any{}, lead: leader}
-		committer := NewCommitter(NewClient("state:1", state), source, clock, settings.State{WriteRPS: 100, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
-		stored := 0
-		source.values[JobKey("run-1")] = "job"
-		committer.MarkDirty(JobKey("run-1"), Urgent, func() { stored++ })
-		late := state.LateNext(executed)
-		var read *fake.Late
-		if executed {
-			// So is the reading that tells that the first took effect.
-			read = state.LateRead(false)
-		}
-		done := make(chan struct{})
-		go func() {
-			committer.Step(context.Background())
-			close(done)
-		}()
-		<-late.Asked
-		if err := clock.BlockUntilContext(context.Background(), 1); err != nil {
-			t.Fatal(err)
-		}
-		clock.Advance(40 * time.Millisecond)
-		// Executed, the second fails; that the first took effect is read, not waited for.
-		if executed {
-			<-read.Asked
-		}
-		for waiting := true; waiting; {
-			select {
-			case <-done:
-				waiting = false
-			default:
-				clock.Advance(time.Millisecond)
-				runtime.Gosched()
-			}
-		}
-		if stored != 1 || decodeString(t, state.Get(JobKey("run-1"))) != "job" {
-			t.Errorf("executed %v: told %d times", executed, stored)
-		}
-		late.Answer()
-		if executed {
-			read.Answer()
-		}
-		source.values[JobKey("run-1")] = "newer"
-		committer.MarkDirty(JobKey("run-1"), Urgent, nil)
-		committer.Step(context.Background())
-		if len(source.conflicts) > 0 || decodeString(t, state.Get(JobKey("run-1"))) != "newer" {
-			t.Errorf("executed %v: conflicts %v", executed, source.conflicts)
-		}
-	}
-}
-
-// A transaction that was sent twice and failed, since another controller wrote one of its keys,
-// must not be taken for one of which the first try took effect: a job that a sibling had
-// cancelled would start.
-func TestForeignWriteIsNoLateAnswer(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		before func(state *fake.State)
-		err    error
-	}{
-		{"executed", func(*fake.State) {}, nil},
-		{"one key another's", func(state *fake.State) { state.Put(JobKey("run-2"), "withdrawn") }, ErrConflict},
-		{"all written, by two", func(state *fake.State) { state.Put(JobKey("run-1"), "a"); state.Put(JobKey("run-2"), "b") }, ErrConflict},
-		{"not deleted", func(state *fake.State) { state.Put(JobKey("run-3"), "again") }, ErrConflict},
-	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(fmt.Sprintf("executed %v", executed), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			state := fake.NewState(clock)
-			client := NewClient("state:1", state)
-			gone := Condition{JobKey("run-3"), state.Put(JobKey("run-3"), "old")}
-			hedged := NewHedgedClient(client, clock, rate.NewLimiter(10, 10), 10)
-			late := state.LateNext(c.err == nil)
-			done := make(chan error)
+			state, source, committer := newTestCommitterWithin(clock, settings.State{WriteRPS: 100, TxnOps: 12, ValueKB: 16})
+			stored := 0
+			source.values[JobKey("run-1")] = "job"
+			committer.MarkDirty(JobKey("run-1"), Urgent, func() { stored++ })
+			late := state.LateNext(executed)
+			var read *fake.Late
+			if executed {
+				// The read that finds the effect of the first is late as well.
+				read = state.LateRead(false)
+			}
+			done := make(chan struct{})
 			go func() {
-				_, _, err := hedged.Transact(context.Background(), []Condition{{Key: JobKey("run-1")}, {Key: JobKey("run-2")}, gone},
-					[]Operation{{Set: JobKey("run-1"), Value: "a"}, {Set: JobKey("run-2"), Value: "b"}, {Delete: gone.Key}})
-				done <- err
+				committer.Step(t.Context())
+				close(done)
 			}()
 			<-late.Asked
-			c.before(state)
-			if err := clock.BlockUntilContext(context.Background(), 1); err != nil {
+			if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
-			clock.Advance(tuning.HedgeAfter)
-			if err := <-done; !errors.Is(err, c.err) {
-				t.Errorf("told %v, want %v", err, c.err)
+			clock.Advance(40 * time.Millisecond)
+			// If the first was executed, the second fails; its effect is read back, its response is not
+			// waited for.
+			if executed {
+				<-read.Asked
+			}
+			advanceUntil(clock, done)
+			if stored != 1 || decodeString(t, state.Get(JobKey("run-1"))) != "job" {
+				t.Errorf("told %d times", stored)
 			}
 			late.Answer()
+			if executed {
+				read.Answer()
+			}
+			source.values[JobKey("run-1")] = "newer"
+			committer.MarkDirty(JobKey("run-1"), Urgent, nil)
+			committer.Step(t.Context())
+			if len(source.conflicts) > 0 || decodeString(t, state.Get(JobKey("run-1"))) != "newer" {
+				t.Errorf("conflicts %v", source.conflicts)
+			}
 		})
 	}
 }
 
-// A record that the state service does not take, whether that can be told beforehand or not,
-// is set aside with its name in the log; all others are written, and so is it once it can be.
+// advanceUntil advances the clock until done is closed.
+func advanceUntil(clock *clockwork.FakeClock, done <-chan struct{}) {
+	for {
+		select {
+		case <-done:
+			return
+		default:
+			clock.Advance(time.Millisecond)
+			runtime.Gosched()
+		}
+	}
+}
+
+// A record that the state service rejects, whether that is known beforehand or not, is quarantined and logged
+// with its key. All others are written, and so is it once it is accepted.
 func TestPoisonedRecordIsSetAside(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	state := fake.NewState(clock)
-	leader := Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
-	source := &fakeSource{values: map[string]any{}, lead: leader}
-	committer := NewCommitter(NewClient("state:1", state), source, clock, settings.State{WriteRPS: 1000, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
+	state, source, committer := newTestCommitterWithin(clock, settings.State{WriteRPS: 1000, TxnOps: 12, ValueKB: 16})
 	large, spaced := JobKey("run-000001"), JobKey("with space")
 	source.values[large], source.values[spaced] = strings.Repeat("x", 17<<10), "job"
 	stored := map[string]bool{}
@@ -341,7 +259,7 @@
 		touch(key)
 	}
 	for range 40 {
-		committer.Step(context.Background())
+		committer.Step(t.Context())
 	}
 	for _, key := range others {
 		if !stored[key] {
@@ -351,13 +269,13 @@
 	if stored[large] || stored[spaced] || committer.Pending() != 2 {
 		t.Fatalf("told %v %v, %d wait", stored[large], stored[spaced], committer.Pending())
 	}
-	if count := state.Requests; committer.Step(context.Background()) <= 0 || state.Requests != count {
+	if count := state.Requests; committer.Step(t.Context()) <= 0 || state.Requests != count {
 		t.Error("what is set aside is tried again at once")
 	}
 	source.values[large] = "short now"
 	clock.Advance(tuning.AsideFor + time.Second)
 	for range 3 {
-		committer.Step(context.Background())
+		committer.Step(t.Context())
 	}
 	if !stored[large] || stored[spaced] {
 		t.Errorf("after the pause: told %v %v", stored[large], stored[spaced])
@@ -368,11 +286,9 @@
 // isolateRecords after that, and accepts still go before what waits.
 func TestRateSinksAtTheFirstRefusal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	state, source := fake.NewState(clock), &fakeSource{values: map[string]any{}}
-	state.Limit(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	limits := settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Next: settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
-	source.lead = Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
-	committer := NewCommitter(NewClient("state:1", state), source, clock, limits, map[string]uint64{})
+	state, source, committer := newTestCommitterWithin(clock, limits)
+	state.Limit(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	burst := func(from, to int) {
 		for i := from; i < to; i++ {
 			key := Shard{"run-1", i, 40}.Key()
@@ -380,7 +296,7 @@
 			committer.MarkDirty(key, Lazy, nil)
 		}
 	}
-	ctx := context.Background()
+	ctx := t.Context()
 	play := func(d time.Duration) {
 		for end := clock.Now().Add(d); clock.Now().Before(end); {
 			clock.Advance(max(time.Millisecond, committer.Step(ctx)))
@@ -410,12 +326,12 @@
 	}
 }
 
-// Ends of tasks wait for others of their record; a start of the same record takes them along,
-// and an accept does not wait for them.
+// Ends of tasks wait for other changes of their record; a start in the same record is written together with
+// them, and an accepted job does not wait for them.
 func TestDelayedRecordsWaitForOtherChanges(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state, source, committer := newTestCommitterAt(clock)
-	ctx := context.Background()
+	ctx := t.Context()
 	shard, other := Shard{"run-1", 0, 40}.Key(), Shard{"run-1", 1, 40}.Key()
 	source.values[shard], source.values[other], source.values[JobKey("run-2")] = "ends", "ends", "job"
 	ends, accepted := 0, false
@@ -442,8 +358,8 @@
 	}
 }
 
-// While records of a higher rank come faster than the limit lets them be written, those of lower ranks
-// have a share of the changes once they waited 5 s, oldest first; accepts go first all the same.
+// While records of a higher rank arrive faster than the limit allows, those of lower ranks get a share of the
+// changes once they have waited 5 s, oldest first. Accepted jobs still go first.
 func TestRecordsOfLowRanksDoNotWaitForEver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	_, source, committer := newTestCommitterAt(clock)
@@ -464,7 +380,7 @@
 		accept := JobKey(fmt.Sprintf("run-%d", count))
 		put(accept, Urgent)
 		for range 10 {
-			committer.Step(context.Background())
+			committer.Step(t.Context())
 			clock.Advance(10 * time.Millisecond)
 		}
 		if at, ok := written[accept]; !ok || clock.Since(from)-at > 150*time.Millisecond {
