--- a/election/election_test.go
+++ b/election/election_test.go
@@ -16,82 +16,84 @@
 	"switchferry/tuning"
 )
 
-type events struct {
+type recordedEvents struct {
 	elected, lost []uint64
-	alone         bool
+	isolated      bool
 }
 
-func (e *events) Elected(t uint64)        { e.elected = append(e.elected, t) }
-func (e *events) Lost(t uint64, _ string) { e.lost = append(e.lost, t) }
-func (e *events) Isolated() bool          { return e.alone }
+func (e *recordedEvents) Elected(t uint64)        { e.elected = append(e.elected, t) }
+func (e *recordedEvents) Lost(t uint64, _ string) { e.lost = append(e.lost, t) }
+func (e *recordedEvents) Isolated() bool          { return e.isolated }
 
-func two() (*fake.State, *clockwork.FakeClock, *Elector, *Elector) {
+func newElectors() (*fake.State, *clockwork.FakeClock, *Elector, *Elector) {
 	clock := clockwork.NewFakeClock()
-	st := fake.NewState(clock)
-	mk := func(m string) *Elector { return New(m, store.NewClient("x:1", st), clock, &events{}) }
-	return st, clock, mk("n0"), mk("n1")
+	state := fake.NewState(clock)
+	newElector := func(member string) *Elector {
+		return New(member, store.NewClient("x:1", state), clock, &recordedEvents{})
+	}
+	return state, clock, newElector("n0"), newElector("n1")
 }
 
 var bg = context.Background()
 
 // One leads at a time, and terms only grow.
 func TestOneLeaderAtATime(t *testing.T) {
-	_, clock, a, b := two()
-	if !a.Campaign(bg) || b.Campaign(bg) {
+	_, clock, first, second := newElectors()
+	if !first.Campaign(bg) || second.Campaign(bg) {
 		t.Fatal("not exactly one leader")
 	}
-	first, valid := a.Term()
-	if m, term := b.Leader(); m != "n0" || term != first || !valid {
-		t.Errorf("n1 follows %s in term %d", m, term)
+	firstTerm, valid := first.Term()
+	if member, term := second.Leader(); member != "n0" || term != firstTerm || !valid {
+		t.Errorf("n1 follows %s in term %d", member, term)
 	}
 	clock.Advance(tuning.TermTTL + time.Second)
-	if _, valid := a.Term(); valid {
+	if _, valid := first.Term(); valid {
 		t.Error("valid although its lease has run out")
 	}
-	if !b.Campaign(bg) {
+	if !second.Campaign(bg) {
 		t.Fatal("n1 not elected")
 	}
-	if second, _ := b.Term(); second <= first {
-		t.Errorf("term %d after %d", second, first)
+	if secondTerm, _ := second.Term(); secondTerm <= firstTerm {
+		t.Errorf("term %d after %d", secondTerm, firstTerm)
 	}
 }
 
 // An election whose answer was lost is read again before anything else.
-func TestElectionWithLostAnswer(t *testing.T) {
-	st, _, a, b := two()
-	st.LoseAnswer = true
-	if !a.Campaign(bg) {
+func TestWinnerOfLostResponseKnowsThatItWon(t *testing.T) {
+	state, _, first, second := newElectors()
+	state.LoseAnswer = true
+	if !first.Campaign(bg) {
 		t.Fatal("the winner does not know that it won")
 	}
-	if b.Campaign(bg) {
+	if second.Campaign(bg) {
 		t.Error("two leaders")
 	}
 }
 
 // A node that the state service refuses, while others are served, is no leader
 // once its key's life is over.
-func TestOutageEndsValidity(t *testing.T) {
-	st, clock, a, _ := two()
-	if !a.Campaign(bg) {
+func TestOutageEndsLeadership(t *testing.T) {
+	state, clock, first, _ := newElectors()
+	if !first.Campaign(bg) {
 		t.Fatal("not elected")
 	}
-	st.Down = true
+	state.Down = true
 	clock.Advance(tuning.TermTTL)
-	if _, valid := a.Term(); valid {
+	if _, valid := first.Term(); valid {
 		t.Error("valid without a renewal")
 	}
-	if a.ExpiredFor() <= 0 {
+	if first.ExpiredFor() <= 0 {
 		t.Error("not overdue")
 	}
 }
 
 // What our own earlier process left behind does not hold up the next.
-func TestOwnLeftover(t *testing.T) {
-	st, clock, a, _ := two()
-	if !a.Campaign(bg) {
+func TestLeaseOfPreviousIncarnationIsRevoked(t *testing.T) {
+	state, clock, first, _ := newElectors()
+	if !first.Campaign(bg) {
 		t.Fatal("not elected")
 	}
-	again := New("n0", store.NewClient("x:1", st), clock, &events{})
+	again := New("n0", store.NewClient("x:1", state), clock, &recordedEvents{})
 	done := make(chan bool)
 	go func() { done <- again.Campaign(bg) }()
 	clock.BlockUntilContext(bg, 1)
@@ -101,31 +103,31 @@
 	}
 }
 
-// late answers renewals so much later than it executes them, and loses every so many.
-type late struct {
-	st   *fake.State
-	by   time.Duration
-	lose int
+// slowRenewals answers renewals so much later than it executes them, and loses every so many.
+type slowRenewals struct {
+	state     *fake.State
+	delay     time.Duration
+	loseEvery int
 
-	mu sync.Mutex
-	n  int
+	mu       sync.Mutex
+	renewals int
 }
 
-func (l *late) RoundTrip(r *http.Request) (*http.Response, error) {
-	resp, err := l.st.RoundTrip(r)
+func (s *slowRenewals) RoundTrip(r *http.Request) (*http.Response, error) {
+	response, err := s.state.RoundTrip(r)
 	if !strings.HasSuffix(r.URL.Path, "/renew") {
-		return resp, err
+		return response, err
 	}
-	l.mu.Lock()
-	l.n++
-	lost := l.lose > 0 && l.n%l.lose == 0
-	l.mu.Unlock()
+	s.mu.Lock()
+	s.renewals++
+	lost := s.loseEvery > 0 && s.renewals%s.loseEvery == 0
+	s.mu.Unlock()
 	if lost {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
-	time.Sleep(l.by)
-	return resp, err
+	time.Sleep(s.delay)
+	return response, err
 }
 
 // A leader whose renewals are answered late, some never, keeps its term: the next one does not
@@ -134,31 +136,31 @@
 func TestSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
-		st := fake.NewState(clock)
-		mk := func(m string, l *late) (*Elector, *events) {
-			ev := &events{}
-			l.st = st
-			return New(m, store.NewClient("x:1", l), clock, ev), ev
+		state := fake.NewState(clock)
+		newElector := func(member string, transport *slowRenewals) (*Elector, *recordedEvents) {
+			recorded := &recordedEvents{}
+			transport.state = state
+			return New(member, store.NewClient("x:1", transport), clock, recorded), recorded
 		}
-		a, of := mk("n0", &late{by: 300 * time.Millisecond, lose: 3})
-		b, _ := mk("n1", &late{})
+		first, recorded := newElector("n0", &slowRenewals{delay: 300 * time.Millisecond, loseEvery: 3})
+		second, _ := newElector("n1", &slowRenewals{})
 		ctx, crash := context.WithCancel(bg)
 		defer crash()
 		rest, stop := context.WithCancel(bg)
 		defer stop()
-		go a.Run(ctx)
+		go first.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
-		go b.Run(rest)
-		term, _ := a.Term()
+		go second.Run(rest)
+		term, _ := first.Term()
 		for range 600 {
 			time.Sleep(50 * time.Millisecond)
-			if now, valid := a.Term(); now != term || !valid || len(of.lost) > 0 {
-				t.Fatalf("term %d of %d, valid %v, lost %v", now, term, valid, of.lost)
+			if now, valid := first.Term(); now != term || !valid || len(recorded.lost) > 0 {
+				t.Fatalf("term %d of %d, valid %v, lost %v", now, term, valid, recorded.lost)
 			}
 		}
 		crash()
 		at := time.Now()
-		for led := uint64(0); led <= term; led, _ = b.Term() {
+		for led := uint64(0); led <= term; led, _ = second.Term() {
 			if time.Since(at) > 3*time.Second {
 				t.Fatal("nobody follows")
 			}
@@ -167,12 +169,12 @@
 		if took := time.Since(at); took >= time.Second {
 			t.Errorf("succeeded after %v", took)
 		}
-		if _, valid := a.Term(); valid {
+		if _, valid := first.Term(); valid {
 			t.Error("the crashed leader's key still counts for it")
 		}
-		st.Outage(true)
+		state.Outage(true)
 		time.Sleep(tuning.TermTTL)
-		if _, valid := b.Term(); valid {
+		if _, valid := second.Term(); valid {
 			t.Error("valid without the state service")
 		}
 	})
@@ -181,13 +183,13 @@
 // A process that is back within a fraction of a second finds the key of its own former life, whose lease
 // still runs: it is not its own, or attempts and names of rentals of the former life would be used twice.
 func TestKeyOfTheFormerLifeIsNotOnesOwn(t *testing.T) {
-	st, clock, a, _ := two()
-	if !a.Campaign(bg) {
+	state, clock, first, _ := newElectors()
+	if !first.Campaign(bg) {
 		t.Fatal("not elected")
 	}
-	old, _ := a.Term()
-	told := &events{}
-	again := New("n0", store.NewClient("x:1", st), clock, told)
+	old, _ := first.Term()
+	recorded := &recordedEvents{}
+	again := New("n0", store.NewClient("x:1", state), clock, recorded)
 	done := make(chan bool, 1)
 	standing, stop := context.WithCancel(bg)
 	go func() {
