--- /dev/null
+++ b/election/campaign.go
@@ -0,0 +1,131 @@
+package election
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"time"
+
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+// shortRetry is the wait after an attempt that failed because another process was faster, or to let the
+// state service remove the key of a revoked lease.
+const shortRetry = tuning.ElectRetry / 5
+
+// Campaign reads who leads and, if nobody does, tries to become the leader. It returns whether this member
+// has been elected. Otherwise it has waited for as long as is useful before the next attempt, unless another
+// member leads.
+func (e *Elector) Campaign(ctx context.Context) bool {
+	if !e.leadershipVacant(ctx) || !e.mayCampaign(ctx) {
+		return false
+	}
+	requested := e.clock.Now()
+	leaseID, err := e.client.GrantLease(ctx, tuning.TermTTL)
+	if err != nil {
+		e.sleep(ctx, tuning.ElectRetry)
+		return false
+	}
+	term, err := e.claimLeadership(ctx, leaseID)
+	if err != nil {
+		_ = e.client.RevokeLease(ctx, leaseID) // it expires by itself if this fails
+		e.sleep(ctx, shortRetry)
+		return false
+	}
+	e.beginTerm(term, leaseID, requested)
+	slog.Info("elected", "term", term)
+	e.callbacks.Elected(term)
+	return true
+}
+
+// leadershipVacant reads the leader's key, records who leads, and returns whether nobody does.
+func (e *Elector) leadershipVacant(ctx context.Context) bool {
+	item, err := e.client.Get(ctx, store.LeaderKey)
+	switch {
+	case errors.Is(err, store.ErrNotFound):
+		e.observeLeader("", 0)
+		return true
+	case err != nil:
+		e.sleep(ctx, tuning.ElectRetry)
+		return false
+	}
+	var record store.LeaderRecord
+	if json.Unmarshal(item.Value, &record) != nil {
+		slog.Error("the leader's key holds something else", "value", string(item.Value))
+	}
+	if record.Member == e.member {
+		// The key was written by a previous process of this member. Nobody else has this name, so
+		// the lease can be revoked at once.
+		slog.Info("ending the lease of our earlier process")
+		_ = e.client.RevokeLease(ctx, item.Lease) // it expires by itself if this fails
+		e.sleep(ctx, shortRetry)
+		return false
+	}
+	e.observeLeader(record.Member, item.Revision)
+	e.observedRevision = item.Revision
+	return false
+}
+
+// mayCampaign returns whether this member may campaign now. It waits where others are to come first: after a
+// resignation, and while this member cannot reach any peer.
+func (e *Elector) mayCampaign(ctx context.Context) bool {
+	e.mu.Lock()
+	wait := e.campaignAfter.Sub(e.clock.Now())
+	e.mu.Unlock()
+	if wait > 0 {
+		e.sleep(ctx, min(wait, tuning.ElectRetry))
+		return false
+	}
+	if e.callbacks.Isolated() {
+		e.sleep(ctx, tuning.LoneDelay)
+		if _, err := e.client.Get(ctx, store.LeaderKey); !errors.Is(err, store.ErrNotFound) {
+			return false
+		}
+	}
+	return true
+}
+
+// claimLeadership writes the leader's key, attached to the lease, if there is none. It returns the term.
+func (e *Elector) claimLeadership(ctx context.Context, leaseID uint64) (term uint64, err error) {
+	term, _, err = e.client.Transact(ctx,
+		[]store.Condition{{Key: store.LeaderKey, Revision: 0}},
+		[]store.Operation{{Set: store.LeaderKey, Value: store.LeaderRecord{Member: e.member}, Lease: leaseID}})
+	if errors.Is(err, store.ErrOutcomeUnknown) {
+		// It may have been executed: read the key before anything else.
+		item, readErr := e.client.Get(ctx, store.LeaderKey)
+		if readErr == nil && item.Lease == leaseID {
+			return item.Revision, nil
+		}
+	}
+	return term, err
+}
+
+// beginTerm records that this member leads. Its lease was requested at the given time. A resignation that
+// was meant for an earlier term is dropped.
+func (e *Elector) beginTerm(term, leaseID uint64, requested time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.term, e.leaseID, e.leader = term, leaseID, e.member
+	e.validUntil = leaseValidUntil(requested)
+	select {
+	case <-e.resignations:
+	default:
+	}
+}
+
+// awaitLeaderChange waits until the leader's key changes after a revision, or cannot be watched.
+func (e *Elector) awaitLeaderChange(ctx context.Context, after uint64) {
+	for ctx.Err() == nil {
+		changes, revision, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchBlock)
+		if err != nil {
+			e.sleep(ctx, tuning.ElectRetry)
+			return
+		}
+		if len(changes) > 0 {
+			return
+		}
+		after = max(after, revision)
+	}
+}
