--- a/election/election_test.go
+++ b/election/election_test.go
@@ -34,12 +34,10 @@
 	return state, clock, newElector("n0"), newElector("n1")
 }
 
-var bg = context.Background()
-
 // One leads at a time, and terms only grow.
 func TestOneLeaderAtATime(t *testing.T) {
 	_, clock, first, second := newElectors()
-	if !first.Campaign(bg) || second.Campaign(bg) {
+	if !first.Campaign(t.Context()) || second.Campaign(t.Context()) {
 		t.Fatal("not exactly one leader")
 	}
 	firstTerm, valid := first.Term()
@@ -50,7 +48,7 @@
 	if _, valid := first.Term(); valid {
 		t.Error("valid although its lease has run out")
 	}
-	if !second.Campaign(bg) {
+	if !second.Campaign(t.Context()) {
 		t.Fatal("n1 not elected")
 	}
 	if secondTerm, _ := second.Term(); secondTerm <= firstTerm {
@@ -58,23 +56,23 @@
 	}
 }
 
-// An election whose answer was lost is read again before anything else.
+// After an election without a response, the key is read before anything else.
 func TestWinnerOfLostResponseKnowsThatItWon(t *testing.T) {
 	state, _, first, second := newElectors()
 	state.LoseAnswer = true
-	if !first.Campaign(bg) {
+	if !first.Campaign(t.Context()) {
 		t.Fatal("the winner does not know that it won")
 	}
-	if second.Campaign(bg) {
+	if second.Campaign(t.Context()) {
 		t.Error("two leaders")
 	}
 }
 
-// A node that the state service refuses, while others are served, is no leader
-// once its key's life is over.
+// A controller that the state service refuses, while others are served, is no leader once its lease has
+// expired.
 func TestOutageEndsLeadership(t *testing.T) {
 	state, clock, first, _ := newElectors()
-	if !first.Campaign(bg) {
+	if !first.Campaign(t.Context()) {
 		t.Fatal("not elected")
 	}
 	state.Down = true
@@ -87,23 +85,25 @@
 	}
 }
 
-// What our own earlier process left behind does not hold up the next.
+// The lease of a previous process of the same member does not hold up the next one.
 func TestLeaseOfPreviousIncarnationIsRevoked(t *testing.T) {
 	state, clock, first, _ := newElectors()
-	if !first.Campaign(bg) {
+	if !first.Campaign(t.Context()) {
 		t.Fatal("not elected")
 	}
 	again := New("n0", store.NewClient("x:1", state), clock, &recordedEvents{})
 	done := make(chan bool)
-	go func() { done <- again.Campaign(bg) }()
-	clock.BlockUntilContext(bg, 1)
+	go func() { done <- again.Campaign(t.Context()) }()
+	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
+		t.Fatal(err)
+	}
 	clock.Advance(time.Second)
-	if <-done || !again.Campaign(bg) {
+	if <-done || !again.Campaign(t.Context()) {
 		t.Error("still waits for its own old lease")
 	}
 }
 
-// slowRenewals answers renewals so much later than it executes them, and loses every so many.
+// slowRenewals is a transport that delays the responses to renewals, and drops every loseEvery-th (0: none).
 type slowRenewals struct {
 	state     *fake.State
 	delay     time.Duration
@@ -130,9 +130,9 @@
 	return response, err
 }
 
-// A leader whose renewals are answered late, some never, keeps its term: the next one does not
-// wait. One that crashed is succeeded in under a second; it took 2.2 to 2.5 s. One that is cut
-// off from the state service is succeeded only when its key ends, and by then it knows.
+// A leader keeps its term while responses to its renewals are late and some are lost, since the next renewal
+// does not wait for them. A leader that crashed is succeeded in under a second; it took 2.2 to 2.5 s. A leader
+// that is cut off from the state service is succeeded only when its lease expires, and by then it knows.
 func TestSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
@@ -144,9 +144,9 @@
 		}
 		first, recorded := newElector("n0", &slowRenewals{delay: 300 * time.Millisecond, loseEvery: 3})
 		second, _ := newElector("n1", &slowRenewals{})
-		ctx, crash := context.WithCancel(bg)
+		ctx, crash := context.WithCancel(t.Context())
 		defer crash()
-		rest, stop := context.WithCancel(bg)
+		rest, stop := context.WithCancel(t.Context())
 		defer stop()
 		go first.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
@@ -180,23 +180,24 @@
 	})
 }
 
-// A process that is back within a fraction of a second finds the key of its own former life, whose lease
-// still runs: it is not its own, or attempts and names of rentals of the former life would be used twice.
+// A process that restarts within a fraction of a second finds the key of its previous incarnation, whose lease
+// is still valid. It must not take it for its own, or attempts and names of instances of the previous
+// incarnation would be used twice.
 func TestKeyOfTheFormerLifeIsNotOnesOwn(t *testing.T) {
 	state, clock, first, _ := newElectors()
-	if !first.Campaign(bg) {
+	if !first.Campaign(t.Context()) {
 		t.Fatal("not elected")
 	}
 	old, _ := first.Term()
 	recorded := &recordedEvents{}
 	again := New("n0", store.NewClient("x:1", state), clock, recorded)
 	done := make(chan bool, 1)
-	standing, stop := context.WithCancel(bg)
+	standing, stop := context.WithCancel(t.Context())
 	go func() {
-		done <- again.Campaign(bg)
+		done <- again.Campaign(t.Context())
 		stop()
 	}()
-	_ = clock.BlockUntilContext(standing, 1)
+	_ = clock.BlockUntilContext(standing, 1) // the campaign may end without a wait
 	clock.Advance(100 * time.Millisecond)
 	if won := <-done; won {
 		t.Error("took the former life's key for its own")
@@ -204,7 +205,7 @@
 	if term, valid := again.Term(); term != 0 || valid {
 		t.Errorf("leads in term %d, %v", term, valid)
 	}
-	if !again.Campaign(bg) {
+	if !again.Campaign(t.Context()) {
 		t.Fatal("does not lead anew though nobody does")
 	}
 	if term, _ := again.Term(); term <= old {
