--- a/election/campaign.go
+++ b/election/campaign.go
@@ -53,12 +53,12 @@
 	}
 	var record store.LeaderRecord
 	if json.Unmarshal(item.Value, &record) != nil {
-		slog.Error("the leader's key holds something else", "value", string(item.Value))
+		slog.Error("corrupt leader record", "value", string(item.Value))
 	}
 	if record.Member == e.member {
 		// The key was written by a previous process of this member. Nobody else has this name, so
 		// the lease can be revoked at once.
-		slog.Info("ending the lease of our earlier process")
+		slog.Info("revoking lease of previous incarnation")
 		_ = e.client.RevokeLease(ctx, item.Lease) // it expires by itself if this fails
 		e.sleep(ctx, shortRetry)
 		return false
--- a/election/term.go
+++ b/election/term.go
@@ -12,8 +12,8 @@
 
 // Reasons for which a term ends without a resignation.
 const (
-	leaseExpired     = "the lease ended"
-	storeUnreachable = "the state service is out of reach"
+	leaseExpired     = "lease expired"
+	storeUnreachable = "state service unreachable"
 )
 
 // leaseValidUntil is until when a lease that was requested or renewed by a call sent at the given time has
@@ -94,7 +94,7 @@
 		e.campaignAfter = time.Time{}
 	}
 	e.mu.Unlock()
-	slog.Info("term over", "term", term, "why", why)
+	slog.Info("leadership lost", "term", term, "why", why)
 	e.callbacks.Lost(term, why)
 	_ = e.client.RevokeLease(ctx, leaseID) // it expires by itself if this fails
 }
