--- a/lookup/turns_test.go
+++ b/lookup/fair_queue_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const jobs, perSecond = 1000, 20
 		clock := clockwork.NewRealClock()
-		turns := NewFairQueue(clock, rate.NewLimiter(perSecond, perSecond))
+		queue := NewFairQueue(clock, rate.NewLimiter(perSecond, perSecond))
 		rng := rand.New(rand.NewPCG(1, 1))
 		began := time.Now()
 		var mu sync.Mutex
@@ -34,8 +34,8 @@
 				last := time.Now()
 				for time.Since(began) < 3*time.Minute {
 					ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-					if turns.Acquire(ctx, id) {
-						turns.Answered(id)
+					if queue.Acquire(ctx, id) {
+						queue.Answered(id)
 						mu.Lock()
 						answered++
 						longest = max(longest, time.Since(last))
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -43,34 +43,34 @@
 
 // Read reads a job: its own key first, since the final one is written before that goes. The error
 // is that of the state service, or names a damaged record.
-func (j *Jobs) Read(ctx context.Context, id string) (x Job, err error) {
-	if f, ok := j.Recall(id); ok {
-		return Job{Found: true, Final: f, Service: f.Service}, nil
+func (j *Jobs) Read(ctx context.Context, id string) (job Job, err error) {
+	if final, ok := j.Recall(id); ok {
+		return Job{Found: true, Final: final, Service: final.Service}, nil
 	}
-	it, err := j.Client.Get(ctx, store.JobKey(id))
+	item, err := j.Client.Get(ctx, store.JobKey(id))
 	if err == nil {
-		var rec store.JobRecord
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			return x, fmt.Errorf("record %s is damaged: %w", it.Key, err)
+		var record store.JobRecord
+		if err := json.Unmarshal(item.Value, &record); err != nil {
+			return job, fmt.Errorf("record %s is damaged: %w", item.Key, err)
 		}
-		return Job{true, rec.Job.Shape == api.Service, store.FinalRecord{State: rec.FinalState}, rec.Job.Awaits, &it}, nil
+		return Job{true, record.Job.Shape == api.Service, store.FinalRecord{State: record.FinalState}, record.Job.Awaits, &item}, nil
 	}
 	if !errors.Is(err, store.ErrNotFound) {
-		return x, err
+		return job, err
 	}
-	it, err = j.Client.Get(ctx, store.FinalKey(id))
+	item, err = j.Client.Get(ctx, store.FinalKey(id))
 	if errors.Is(err, store.ErrNotFound) {
-		return x, nil
+		return job, nil
 	}
-	var f store.FinalRecord
+	var final store.FinalRecord
 	if err == nil {
-		err = json.Unmarshal(it.Value, &f)
+		err = json.Unmarshal(item.Value, &final)
 	}
 	if err != nil {
-		return x, err
+		return job, err
 	}
-	j.Remember(id, f)
-	return Job{Found: true, Final: f, Service: f.Service}, nil
+	j.Remember(id, final)
+	return Job{Found: true, Final: final, Service: final.Service}, nil
 }
 
 // ReadInTurn is Read for a question about the job asked, which waits for its turn; without one it does not
@@ -87,9 +87,9 @@
 // else. Asked is as for Ask. It is store.ErrBusy where no more may be read, ErrTooDeep after tuning.AwaitsReads.
 func (j *Jobs) DependsOnCancelled(ctx context.Context, awaits []string, asked string) (bool, error) {
 	seen := map[string]bool{}
-	for todo := slices.Clone(awaits); len(todo) > 0; {
-		id := todo[0]
-		todo = todo[1:]
+	for pending := slices.Clone(awaits); len(pending) > 0; {
+		id := pending[0]
+		pending = pending[1:]
 		if seen[id] {
 			continue
 		}
@@ -97,14 +97,14 @@
 		if _, ok := j.Recall(id); !ok && len(seen) > tuning.AwaitsReads {
 			return false, ErrTooDeep
 		}
-		x, err := j.ReadInTurn(ctx, id, asked)
+		job, err := j.ReadInTurn(ctx, id, asked)
 		switch {
 		case err != nil:
 			return false, err
-		case x.Final.State == api.Cancelled:
+		case job.Final.State == api.Cancelled:
 			return true, nil
-		case x.Final.State == "":
-			todo = append(todo, x.Awaits...)
+		case job.Final.State == "":
+			pending = append(pending, job.Awaits...)
 		}
 	}
 	return false, nil
