--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -1,6 +1,9 @@
-// Package lookup reads what the records tell of jobs, for whoever does not have them in memory: a
-// controller that answers without the leader, and a new leader that has yet to learn what was over
-// before its term.
+// Package lookup answers questions about jobs from their records in the state service, for a controller
+// that does not have the jobs in memory: one that cannot reach the leader, or a new leader that does not
+// know yet which jobs ended before its term.
+//
+// Questions share a limited number of reads (FairQueue). What was read of ended jobs is remembered
+// (TerminalStates), and so is what users were told of them (Notifications).
 package lookup
 
 import (
@@ -16,85 +19,124 @@
 	"switchferry/tuning"
 )
 
-// ErrTooDeep means: more jobs stand before one than are looked at to answer a question.
+// ErrTooDeep is returned if a job depends, directly or through others, on more than tuning.AwaitsReads jobs.
 var ErrTooDeep = errors.New("too many jobs before this one to look at without the leader")
 
-// Jobs reads jobs' records. Its functions are safe for use from several goroutines at once if what it
-// is made of is.
+// Jobs reads the records of jobs. Its methods are safe for concurrent use if Recall and Remember are.
 type Jobs struct {
 	Client *store.Client
-	// Recall is what is remembered of a job that is over, Remember remembers it.
-	Recall   func(id string) (store.FinalRecord, bool)
+	// Recall returns the final record of an archived job if it is remembered.
+	Recall func(id string) (store.FinalRecord, bool)
+	// Remember is called with every final record that is read.
 	Remember func(id string, f store.FinalRecord)
-	// Queue shares the reads among questions.
+	// Queue limits the reads and shares them among the questions.
 	Queue *FairQueue
 }
 
-// Job is what the records tell of a job.
+// Job is what the records say of a job.
 type Job struct {
-	Found, Service bool
-	// Final has no state while the job is not over by its own records; Awaits are then what it
-	// waits for itself.
-	Final  store.FinalRecord
+	// Found is false if the job was never accepted.
+	Found   bool
+	Service bool
+	// Final is the final state of the job. Its State is empty while the job has not ended by its own
+	// records.
+	Final store.FinalRecord
+	// Awaits are the jobs that the job depends on, while it is not archived.
 	Awaits []string
-	// Record is its own record, while it has one.
+	// Record is the job's JobRecord, nil once the job is archived.
 	Record *store.Item
 }
 
-// Read reads a job: its own key first, since the final one is written before that goes. The error
-// is that of the state service, or names a damaged record.
-func (j *Jobs) Read(ctx context.Context, id string) (job Job, err error) {
-	if final, ok := j.Recall(id); ok {
-		return Job{Found: true, Final: final, Service: final.Service}, nil
+// Read reads a job. Its JobRecord is read first, since the final record is written before the JobRecord is
+// deleted. The error is that of the state service, or names a damaged record.
+func (j *Jobs) Read(ctx context.Context, jobID string) (Job, error) {
+	if final, ok := j.Recall(jobID); ok {
+		return archivedJob(final), nil
 	}
-	item, err := j.Client.Get(ctx, store.JobKey(id))
-	if err == nil {
-		var record store.JobRecord
-		if err := json.Unmarshal(item.Value, &record); err != nil {
-			return job, fmt.Errorf("record %s is damaged: %w", item.Key, err)
-		}
-		return Job{true, record.Job.Shape == api.Service, store.FinalRecord{State: record.FinalState}, record.Job.Awaits, &item}, nil
-	}
-	if !errors.Is(err, store.ErrNotFound) {
-		return job, err
+	item, err := j.Client.Get(ctx, store.JobKey(jobID))
+	switch {
+	case err == nil:
+		return decodeJob(item)
+	case !errors.Is(err, store.ErrNotFound):
+		return Job{}, fmt.Errorf("reading job %s: %w", jobID, err)
 	}
-	item, err = j.Client.Get(ctx, store.FinalKey(id))
-	if errors.Is(err, store.ErrNotFound) {
-		return job, nil
+	return j.readArchived(ctx, jobID)
+}
+
+// readArchived reads the final record of a job, and remembers it.
+func (j *Jobs) readArchived(ctx context.Context, jobID string) (Job, error) {
+	item, err := j.Client.Get(ctx, store.FinalKey(jobID))
+	switch {
+	case errors.Is(err, store.ErrNotFound):
+		return Job{}, nil
+	case err != nil:
+		return Job{}, fmt.Errorf("reading the final state of job %s: %w", jobID, err)
 	}
 	var final store.FinalRecord
-	if err == nil {
-		err = json.Unmarshal(item.Value, &final)
+	if err := json.Unmarshal(item.Value, &final); err != nil {
+		return Job{}, damaged(item, err)
 	}
-	if err != nil {
-		return job, err
+	j.Remember(jobID, final)
+	return archivedJob(final), nil
+}
+
+// archivedJob is the job of a final record.
+func archivedJob(final store.FinalRecord) Job {
+	return Job{Found: true, Service: final.Service, Final: final}
+}
+
+// decodeJob decodes a JobRecord.
+func decodeJob(item store.Item) (Job, error) {
+	var record store.JobRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
+		return Job{}, damaged(item, err)
 	}
-	j.Remember(id, final)
-	return Job{Found: true, Final: final, Service: final.Service}, nil
+	return Job{
+		Found:   true,
+		Service: record.Job.Shape == api.Service,
+		Final:   store.FinalRecord{State: record.FinalState},
+		Awaits:  record.Job.Awaits,
+		Record:  &item,
+	}, nil
+}
+
+// damaged is the error of a record that cannot be decoded.
+func damaged(item store.Item, err error) error {
+	return fmt.Errorf("record %s is damaged: %w", item.Key, err)
 }
 
-// ReadInTurn is Read for a question about the job asked, which waits for its turn; without one it does not
-// wait. It is store.ErrBusy where nothing more may be read for it in time.
-func (j *Jobs) ReadInTurn(ctx context.Context, id, asked string) (Job, error) {
-	if _, ok := j.Recall(id); !ok && !(asked == "" && j.Queue.TryAcquire() || asked != "" && j.Queue.Acquire(ctx, asked)) {
+// ReadInTurn is Read within the limit of reads, on behalf of a question about the job asked. The question
+// waits for its turn; if asked is empty, it does not wait. It returns store.ErrBusy if no read is allowed in
+// time.
+func (j *Jobs) ReadInTurn(ctx context.Context, jobID, asked string) (Job, error) {
+	if _, known := j.Recall(jobID); !known && !j.acquire(ctx, asked) {
 		return Job{}, store.ErrBusy
 	}
-	return j.Read(ctx, id)
+	return j.Read(ctx, jobID)
+}
+
+// acquire takes one read from the queue for a question about the job asked (empty: without waiting).
+func (j *Jobs) acquire(ctx context.Context, asked string) bool {
+	if asked == "" {
+		return j.Queue.TryAcquire()
+	}
+	return j.Queue.Acquire(ctx, asked)
 }
 
-// DependsOnCancelled tells, from the records alone, whether one of the jobs that a job awaits is cancelled,
-// itself or through others: whoever answers without the leader must not call the job anything
-// else. Asked is as for Ask. It is store.ErrBusy where no more may be read, ErrTooDeep after tuning.AwaitsReads.
+// DependsOnCancelled returns whether any of the jobs awaits, or a job that they depend on, directly or through
+// others, is cancelled: a job that depends on them is then cancelled too, and a controller that answers
+// without the leader must not say anything else. It reads on behalf of a question about the job asked, as
+// ReadInTurn does, and returns ErrTooDeep after tuning.AwaitsReads jobs.
 func (j *Jobs) DependsOnCancelled(ctx context.Context, awaits []string, asked string) (bool, error) {
-	seen := map[string]bool{}
+	visited := map[string]bool{}
 	for pending := slices.Clone(awaits); len(pending) > 0; {
 		id := pending[0]
 		pending = pending[1:]
-		if seen[id] {
+		if visited[id] {
 			continue
 		}
-		seen[id] = true
-		if _, ok := j.Recall(id); !ok && len(seen) > tuning.AwaitsReads {
+		visited[id] = true
+		if _, known := j.Recall(id); !known && len(visited) > tuning.AwaitsReads {
 			return false, ErrTooDeep
 		}
 		job, err := j.ReadInTurn(ctx, id, asked)
@@ -110,16 +152,17 @@
 	return false, nil
 }
 
-// ForEach calls f for all ids, tuning.AwaitsAtOnce at once, and waits for all.
-func ForEach(ids []string, f func(i int, id string)) {
+// ForEach calls visit for each of ids with its index, up to tuning.AwaitsAtOnce calls at the same time, and
+// returns when all calls have returned.
+func ForEach(ids []string, visit func(i int, id string)) {
 	slots := make(chan struct{}, tuning.AwaitsAtOnce)
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, id := range ids {
 		slots <- struct{}{}
-		all.Go(func() {
+		calls.Go(func() {
 			defer func() { <-slots }()
-			f(i, id)
+			visit(i, id)
 		})
 	}
-	all.Wait()
+	calls.Wait()
 }
