--- a/lookup/fair_queue_test.go
+++ b/lookup/fair_queue_test.go
@@ -13,9 +13,9 @@
 	"golang.org/x/time/rate"
 )
 
-// Get 1,000 jobs asked about every 5 s, a few reads a second can answer but some: with the first to come
-// served first, it hung on chance when one was, and some were not for minutes. The one that has waited
-// longest comes first, so that each is answered in the time that all take; and the limit is kept.
+// 1,000 jobs are asked about every 5 s, far more than the limit of reads allows. In order of arrival, some were
+// not answered for minutes. With the job that has waited longest first, each is answered within the time that
+// all of them take, and the limit is used up but not exceeded.
 func TestNobodyIsShutOutByAFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs, perSecond = 1000, 20
@@ -33,7 +33,7 @@
 				time.Sleep(first)
 				last := time.Now()
 				for time.Since(began) < 3*time.Minute {
-					ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
+					ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 					if queue.Acquire(ctx, id) {
 						queue.Answered(id)
 						mu.Lock()
@@ -42,7 +42,7 @@
 						mu.Unlock()
 						last = time.Now()
 					}
-					stop()
+					cancel()
 					time.Sleep(5 * time.Second)
 				}
 				mu.Lock()
