--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -16,8 +16,8 @@
 	FrameVersion = 2
 )
 
-// MarkPrefix holds one key a member: the version of data that its processes write at least.
-const MarkPrefix = "sf/version/"
+// recordPrefix holds one key a member: the version of data that its processes write at least.
+const recordPrefix = "sf/version/"
 
 // RecordOwn is its value. A process writes it before it does anything that an older one would
 // misread. A platform that replaced a member's program starts no older one of it again, so
@@ -28,35 +28,35 @@
 	Configuration bool `json:"configuration,omitempty"`
 }
 
-// MemberVersions are the controllers of a deployment and the marks that were seen of them. It is pure,
+// memberVersions are the controllers of a deployment and the marks that were seen of them. It is pure,
 // and not safe for use from several goroutines at once.
-type MemberVersions struct {
-	seen map[string]int
+type memberVersions struct {
+	dataVersions map[string]int
 }
 
-// NewMemberVersions are those of a deployment, this one among them.
-func NewMemberVersions(all ...string) *MemberVersions {
-	m := &MemberVersions{seen: map[string]int{}}
-	for _, name := range all {
-		m.seen[name] = 0
+// newMemberVersions are those of a deployment, this one among them.
+func newMemberVersions(members ...string) *memberVersions {
+	m := &memberVersions{dataVersions: map[string]int{}}
+	for _, name := range members {
+		m.dataVersions[name] = 0
 	}
 	return m
 }
 
-// Observe notes a member's mark; that of a stranger counts for nothing.
-func (m *MemberVersions) Observe(member string, mark VersionMark) {
-	if was, ok := m.seen[member]; ok {
-		m.seen[member] = max(was, mark.Data)
+// observe notes a member's mark; that of a stranger counts for nothing.
+func (m *memberVersions) observe(member string, mark VersionMark) {
+	if known, ok := m.dataVersions[member]; ok {
+		m.dataVersions[member] = max(known, mark.Data)
 	}
 }
 
-// Older are the members of which no mark of this version was seen: an older process of
+// older are the members of which no mark of this version was seen: an older process of
 // theirs may run, or come back.
-func (m *MemberVersions) Older() (old []string) {
-	for _, name := range slices.Sorted(maps.Keys(m.seen)) {
-		if m.seen[name] < DataVersion {
-			old = append(old, name)
+func (m *memberVersions) older() (older []string) {
+	for _, name := range slices.Sorted(maps.Keys(m.dataVersions)) {
+		if m.dataVersions[name] < DataVersion {
+			older = append(older, name)
 		}
 	}
-	return old
+	return older
 }
