--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"sync"
 
@@ -13,41 +14,49 @@
 	"switchferry/tuning"
 )
 
-// VersionRegistry puts a controller's own mark on record and looks for the others'. It is safe for use from
-// several goroutines at once.
+// VersionRegistry writes the version record of this controller and reads those of the others. It is safe for
+// concurrent use once Configuration is set.
 type VersionRegistry struct {
 	member  string
+	members []string // of the deployment, with member
 	client  *store.Client
 	clock   clockwork.Clock
-	members []string
-	// Configuration is whether this process has live configuration on; it is set before the first mark.
+	// Configuration is whether this process has live configuration on. It is set before the first use of
+	// the registry.
 	Configuration bool
 
 	mu       sync.Mutex
 	versions *memberVersions
 }
 
-// NewVersionRegistry makes the marker of one of all members.
+// NewVersionRegistry returns the registry of one member of a deployment.
 func NewVersionRegistry(member string, members []string, client *store.Client, clock clockwork.Clock) *VersionRegistry {
-	return &VersionRegistry{member: member, client: client, clock: clock, members: members, versions: newMemberVersions(members...)}
+	return &VersionRegistry{
+		member:   member,
+		members:  members,
+		client:   client,
+		clock:    clock,
+		versions: newMemberVersions(members...),
+	}
 }
 
-// older are the members of which an older process may run, or come back.
+// Older returns the members, in order, that may still run, or go back to, a process with an older version of
+// data, since no version record of theirs was seen.
 func (r *VersionRegistry) Older() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.versions.older()
 }
 
-// observe notes a member's mark.
+// Observe records the version record of a member.
 func (r *VersionRegistry) Observe(member string, mark VersionMark) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.versions.observe(member, mark)
 }
 
-// Run marks this controller and looks for the marks of those that have none yet, until it has seen
-// versions or the context ends. True: it has.
+// Run writes the version record of this controller and reads those that are missing, every
+// tuning.UpgradeEvery, until all are seen. It returns false if the context ends before.
 func (r *VersionRegistry) Run(ctx context.Context) bool {
 	recorded := false
 	for ctx.Err() == nil {
@@ -69,6 +78,7 @@
 	return false
 }
 
+// observeRecord decodes and records the version record of a member.
 func (r *VersionRegistry) observeRecord(member string, item store.Item) {
 	var mark VersionMark
 	if err := json.Unmarshal(item.Value, &mark); err != nil {
@@ -78,13 +88,13 @@
 	r.Observe(member, mark)
 }
 
-// WithoutConfiguration reads the marks of all members and gives those of which a process may run that does not know of
-// live configuration, or has it off.
+// WithoutConfiguration reads the version records of all members and returns those that may run a process that
+// does not know live configuration, or has it off. A record that cannot be decoded counts as missing.
 func (r *VersionRegistry) WithoutConfiguration(ctx context.Context) (without []string, err error) {
 	for _, member := range r.members {
 		item, err := r.client.Get(ctx, recordPrefix+member)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
-			return nil, err
+			return nil, fmt.Errorf("reading the version record of %s: %w", member, err)
 		}
 		var mark VersionMark
 		if err != nil || json.Unmarshal(item.Value, &mark) != nil || !mark.Configuration {
@@ -94,7 +104,8 @@
 	return without, nil
 }
 
-// RecordOwn puts this controller's own mark on record, unless it stands there; true: it does.
+// RecordOwn writes the version record of this controller unless it is as it should be, and returns whether it
+// was found so. After a write it returns false: whether the write was executed is known by the next call.
 func (r *VersionRegistry) RecordOwn(ctx context.Context) bool {
 	key := recordPrefix + r.member
 	item, err := r.client.Get(ctx, key)
@@ -106,7 +117,11 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
-	_, _, err = r.client.Transact(ctx, []store.Condition{{Key: key, Revision: item.Revision}}, []store.Operation{{Set: key, Value: VersionMark{Data: max(DataVersion, mark.Data), Configuration: r.Configuration}}})
+	// The version of data is never lowered: a newer process of this member may have written it.
+	mark = VersionMark{Data: max(DataVersion, mark.Data), Configuration: r.Configuration}
+	_, _, err = r.client.Transact(ctx,
+		[]store.Condition{{Key: key, Revision: item.Revision}},
+		[]store.Operation{{Set: key, Value: mark}})
 	if err != nil {
 		slog.Info("this controller's version is not on record yet", "err", err)
 	}
