--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -67,7 +67,7 @@
 			}
 		}
 		if recorded && len(r.Older()) == 0 {
-			slog.Info("all controllers have this version of data", "data", DataVersion)
+			slog.Info("all controllers run this data version", "data", DataVersion)
 			return true
 		}
 		select {
@@ -82,7 +82,7 @@
 func (r *VersionRegistry) observeRecord(member string, item store.Item) {
 	var mark VersionMark
 	if err := json.Unmarshal(item.Value, &mark); err != nil {
-		slog.Error("a controller's mark is damaged", "key", item.Key, "err", err)
+		slog.Error("corrupt version record", "key", item.Key, "err", err)
 		return
 	}
 	r.Observe(member, mark)
@@ -123,7 +123,7 @@
 		[]store.Condition{{Key: key, Revision: item.Revision}},
 		[]store.Operation{{Set: key, Value: mark}})
 	if err != nil {
-		slog.Info("this controller's version is not on record yet", "err", err)
+		slog.Info("version record not written yet", "err", err)
 	}
 	return false
 }
