--- /dev/null
+++ b/upgrade/upgrade_test.go
@@ -0,0 +1,96 @@
+package upgrade
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/internal/fake"
+	"switchferry/store"
+)
+
+func newTestRegistry(member string) (*fake.State, *VersionRegistry) {
+	clock := clockwork.NewFakeClock()
+	state := fake.NewState(clock)
+	return state, NewVersionRegistry(member, []string{"n0", "n1", "n2"}, store.NewClient("state:1", state), clock)
+}
+
+// A member counts as older until its version record was seen. Records of strangers are ignored, and a version
+// that was seen never becomes lower.
+func TestMembersAreOlderUntilTheirRecordIsSeen(t *testing.T) {
+	_, registry := newTestRegistry("n0")
+	for _, step := range []struct {
+		member string
+		data   int
+		older  []string
+	}{
+		{"n1", DataVersion, []string{"n0", "n2"}},
+		{"n1", DataVersion - 1, []string{"n0", "n2"}},
+		{"stranger", DataVersion, []string{"n0", "n2"}},
+		{"n0", DataVersion - 1, []string{"n0", "n2"}},
+		{"n0", DataVersion, []string{"n2"}},
+		{"n2", DataVersion + 1, nil},
+	} {
+		registry.Observe(step.member, VersionMark{Data: step.data})
+		if older := registry.Older(); !slices.Equal(older, step.older) {
+			t.Errorf("after version %d of %s: older %v, want %v", step.data, step.member, older, step.older)
+		}
+	}
+}
+
+// RecordOwn writes the record of this member if it is missing, damaged, older or of another setting, and keeps
+// the version of a newer process. It returns true only for a record that it has read.
+func TestRecordOwnWritesUnlessItIsRecorded(t *testing.T) {
+	for _, test := range []struct {
+		name          string
+		stored        any // nil: none
+		configuration bool
+		want          string
+	}{
+		{"missing", nil, false, `{"data":2}`},
+		{"damaged", "not a record", false, `{"data":2}`},
+		{"older", VersionMark{Data: 1}, false, `{"data":2}`},
+		{"newer, configuration now on", VersionMark{Data: 3}, true, `{"data":3,"configuration":true}`},
+		{"configuration now off", VersionMark{Data: 2, Configuration: true}, false, `{"data":2}`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			state, registry := newTestRegistry("n0")
+			registry.Configuration = test.configuration
+			if test.stored != nil {
+				state.Put(recordPrefix+"n0", test.stored)
+			}
+			if registry.RecordOwn(t.Context()) {
+				t.Error("recorded before it was read")
+			}
+			if got := string(state.Get(recordPrefix + "n0")); got != test.want {
+				t.Errorf("stored %s, want %s", got, test.want)
+			}
+			if !registry.RecordOwn(t.Context()) || slices.Contains(registry.Older(), "n0") {
+				t.Error("not recorded after it was written")
+			}
+		})
+	}
+}
+
+// A member whose record is missing, damaged or says that live configuration is off is reported; if a record
+// cannot be read, nothing is.
+func TestMembersWithoutConfiguration(t *testing.T) {
+	state, registry := newTestRegistry("n0")
+	state.Put(recordPrefix+"n0", VersionMark{Data: DataVersion, Configuration: true})
+	state.Put(recordPrefix+"n1", "not a record")
+	without, err := registry.WithoutConfiguration(t.Context())
+	if err != nil || !slices.Equal(without, []string{"n1", "n2"}) {
+		t.Errorf("without configuration %v, %v", without, err)
+	}
+	state.Put(recordPrefix+"n1", VersionMark{Data: DataVersion, Configuration: true})
+	state.Put(recordPrefix+"n2", VersionMark{Data: DataVersion})
+	without, err = registry.WithoutConfiguration(t.Context())
+	if err != nil || !slices.Equal(without, []string{"n2"}) {
+		t.Errorf("without configuration %v, %v", without, err)
+	}
+	state.Down = true
+	if without, err := registry.WithoutConfiguration(t.Context()); err == nil {
+		t.Errorf("without configuration %v though nothing can be read", without)
+	}
+}
