--- a/store/client.go
+++ b/store/client.go
@@ -21,25 +21,24 @@
 	"switchferry/tuning"
 )
 
-// Errors of a call, to be tested with errors.Is. Any error that is not listed here comes from
-// encoding the request.
+// Errors of a call, to be tested with errors.Is.
 var (
-	// ErrConflict: a condition of the transaction did not hold; nothing was executed.
+	// ErrConflict means that a condition of the transaction did not hold; nothing was executed.
 	ErrConflict = errors.New("a condition failed")
-	// ErrNotFound: the key does not exist.
+	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("no such key")
-	// ErrNoLease: the lease does not exist, or has expired.
+	// ErrNoLease means that the lease does not exist or has expired.
 	ErrNoLease = errors.New("no such lease")
-	// ErrBusy: the call was refused and not executed; it may be repeated.
+	// ErrBusy means that the call was refused and not executed; it may be repeated.
 	ErrBusy = errors.New("refused, not executed")
 	// ErrRateLimited is the ErrBusy of a caller that exceeds the rate of requests or changes.
 	ErrRateLimited = fmt.Errorf("%w: status 429", ErrBusy)
-	// ErrOutcomeUnknown: no usable response arrived. The call may have been executed, and may
-	// still be executed at any later time.
+	// ErrOutcomeUnknown means that no usable response arrived. The call may have been executed, and
+	// may still be executed at any later time.
 	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
-	// ErrInvalidRequest: the request is not allowed, and will not be when it is repeated.
+	// ErrInvalidRequest means that the request is not allowed, and will not be when it is repeated.
 	ErrInvalidRequest = errors.New("refused for what it is")
-	// ErrCompacted: changes since the revision of a watch are no longer kept.
+	// ErrCompacted means that the changes since the revision of a watch are no longer kept.
 	ErrCompacted = errors.New("revision no longer kept")
 )
 
--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -282,8 +282,8 @@
 	}
 }
 
-// The announced rate is kept to from the first refusal on, in the middle of a burst: nothing is
-// isolateRecords after that, and accepts still go before what waits.
+// The announced rate applies from the first refusal on, in the middle of a burst: nothing is refused after
+// that, and accepted jobs still go before other pending records.
 func TestRateSinksAtTheFirstRefusal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	limits := settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Next: settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
