--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -3,7 +3,7 @@
 // know yet which jobs ended before its term.
 //
 // Questions share a limited number of reads (FairQueue). What was read of ended jobs is remembered
-// (TerminalStates), and so is what users were told of them (Notifications).
+// (TerminalStates), and so are the final states that were sent to users (Notifications).
 package lookup
 
 import (
--- a/store/client.go
+++ b/store/client.go
@@ -1,7 +1,7 @@
 // Package store is the client of the state service, a small consistent key-value store with
 // transactions, leases and watches, and the layer that keeps the scheduler's records there:
 //
-//   - Client makes one call, and tells a refusal from an unknown outcome.
+//   - Client makes one call, and distinguishes a refusal from an unknown outcome.
 //   - HedgedClient sends transactions and reads again while they are unanswered.
 //   - Committer writes the leader's records in groups, within the limits of the state service.
 //   - The remaining files define the keys and the records.
--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -86,7 +86,7 @@
 	clock.Advance(wait + time.Millisecond)
 	committer.Step(ctx)
 	if state.Get(JobKey("run-2")) == nil {
-		t.Error("the accept waits behind ordinary records")
+		t.Error("the accepted job waits behind ordinary records")
 	}
 }
 
@@ -100,7 +100,7 @@
 	committer.MarkDirty("sf/t/run-1/0", Ordinary, func() { stored = true })
 	committer.Step(t.Context())
 	if state.Get("sf/t/run-1/0") != nil || stored || !source.deposed {
-		t.Errorf("written %s, told %v, deposed %v", state.Get("sf/t/run-1/0"), stored, source.deposed)
+		t.Errorf("written %s, callback run %v, deposed %v", state.Get("sf/t/run-1/0"), stored, source.deposed)
 	}
 }
 
@@ -133,11 +133,11 @@
 	state.LoseAnswer = true
 	committer.Step(t.Context())
 	if stored != 0 {
-		t.Fatal("told before the outcome was known")
+		t.Fatal("callback run before the outcome was known")
 	}
 	committer.Step(t.Context())
 	if stored != 1 || len(source.conflicts) != 1 {
-		t.Errorf("told %d times, conflicts %v", stored, source.conflicts)
+		t.Errorf("callback run %d times, conflicts %v", stored, source.conflicts)
 	}
 }
 
@@ -151,7 +151,7 @@
 	committer.MarkDirty("sf/j/run-9", Urgent, nil)
 	committer.Step(t.Context())
 	if state.Get("sf/j/run-9") == nil || state.Largest.Ops > 12 {
-		t.Errorf("accept not first, or %d changes", state.Largest.Ops)
+		t.Errorf("accepted job not first, or %d changes", state.Largest.Ops)
 	}
 	for range 10 {
 		committer.Step(t.Context())
@@ -211,7 +211,7 @@
 			}
 			advanceUntil(clock, done)
 			if stored != 1 || decodeString(t, state.Get(JobKey("run-1"))) != "job" {
-				t.Errorf("told %d times", stored)
+				t.Errorf("callback run %d times", stored)
 			}
 			late.Answer()
 			if executed {
@@ -267,7 +267,7 @@
 		}
 	}
 	if stored[large] || stored[spaced] || committer.Pending() != 2 {
-		t.Fatalf("told %v %v, %d wait", stored[large], stored[spaced], committer.Pending())
+		t.Fatalf("stored %v %v, %d wait", stored[large], stored[spaced], committer.Pending())
 	}
 	if count := state.Requests; committer.Step(t.Context()) <= 0 || state.Requests != count {
 		t.Error("what is set aside is tried again at once")
@@ -278,7 +278,7 @@
 		committer.Step(t.Context())
 	}
 	if !stored[large] || stored[spaced] {
-		t.Errorf("after the pause: told %v %v", stored[large], stored[spaced])
+		t.Errorf("after the pause: stored %v %v", stored[large], stored[spaced])
 	}
 }
 
@@ -315,7 +315,7 @@
 	source.values[JobKey("run-2")] = "job"
 	committer.MarkDirty(JobKey("run-2"), Urgent, func() { stored = true })
 	if committer.Step(ctx); !stored {
-		t.Error("an accept waits though a part of the limit is kept for it")
+		t.Error("an accepted job waits though a part of the limit is reserved for it")
 	}
 	play(5 * time.Second)
 	if after := state.Refusals(); !maps.Equal(before, after) || state.Largest.Ops > 4 {
@@ -343,13 +343,13 @@
 	committer.MarkDirty(JobKey("run-2"), Urgent, func() { accepted = true })
 	committer.Step(ctx)
 	if !accepted || ends > 0 || state.Get(shard) != nil {
-		t.Fatal("an accept waits, or takes ends along that wait for others")
+		t.Fatal("an accepted job waits, or is written with ends that wait for other changes")
 	}
 	committer.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { ends++ })
 	committer.MarkDirty(shard, Ordinary+2, nil)
 	committer.Step(ctx)
 	if ends != 2 || state.Get(other) != nil {
-		t.Fatalf("%d ends are told after a start of their record", ends)
+		t.Fatalf("%d callbacks of ends run after a start in their record", ends)
 	}
 	clock.Advance(2 * time.Second)
 	committer.Step(ctx)
@@ -377,14 +377,14 @@
 			count++
 			put(fmt.Sprintf("sf/t/high-%d", count), Ordinary)
 		}
-		accept := JobKey(fmt.Sprintf("run-%d", count))
-		put(accept, Urgent)
+		accepted := JobKey(fmt.Sprintf("run-%d", count))
+		put(accepted, Urgent)
 		for range 10 {
 			committer.Step(t.Context())
 			clock.Advance(10 * time.Millisecond)
 		}
-		if at, ok := written[accept]; !ok || clock.Since(from)-at > 150*time.Millisecond {
-			t.Fatalf("an accept waits: %v", at)
+		if at, ok := written[accepted]; !ok || clock.Since(from)-at > 150*time.Millisecond {
+			t.Fatalf("an accepted job waits: %v", at)
 		}
 	}
 	for i := range 60 {
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -44,7 +44,7 @@
 			}
 			clock.Advance(tuning.HedgeAfter)
 			if err := <-done; !errors.Is(err, test.err) {
-				t.Errorf("told %v, want %v", err, test.err)
+				t.Errorf("error %v, want %v", err, test.err)
 			}
 			late.Answer()
 		})
