--- /dev/null
+++ b/internal/golden/packed_test.go
@@ -0,0 +1,180 @@
+package golden_test
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/RoaringBitmap/roaring/v2"
+
+	"switchferry/configuration"
+	"switchferry/courier"
+	"switchferry/fleet"
+	"switchferry/hints"
+	"switchferry/holdings"
+	"switchferry/store"
+)
+
+// smallValue is so few bytes that a packed text takes several values.
+const smallValue = 400
+
+// manyBytes is text that packing makes little smaller.
+func manyBytes() string {
+	random := rand.New(rand.NewPCG(1, 2))
+	text := make([]byte, 900)
+	for i := range text {
+		text[i] = byte('a' + random.IntN(26))
+	}
+	return string(text)
+}
+
+// A revision of the configuration is packed into parts, and read from them.
+func TestConfigurationStaysAsStored(t *testing.T) {
+	revision := filled[configuration.Revision]()
+	revision.Document = manyBytes()
+	head, parts, err := configuration.Encode(&revision, smallValue)
+	if err != nil || len(parts) < 2 {
+		t.Fatalf("%d parts, %v; want several", len(parts), err)
+	}
+	compare(t, "packed/configuration-head.json", encode(t, head))
+	compare(t, "packed/configuration-parts.json", encode(t, parts))
+
+	head, err = configuration.ParseHead(golden(t, "packed/configuration-head.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var stored []json.RawMessage
+	decode(t, golden(t, "packed/configuration-parts.json"), &stored)
+	parts = nil
+	for _, raw := range stored {
+		part, err := configuration.ParsePart(raw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		parts = append(parts, part)
+	}
+	read, err := configuration.Decode(head.Number, head.Digest, parts)
+	if err != nil || *read != revision {
+		t.Errorf("read as %+v, %v; want %+v", read, err, revision)
+	}
+}
+
+// Messages that are passed on are packed into letters: many in one, or one in several pieces.
+func TestLettersStayAsStored(t *testing.T) {
+	long, err := json.Marshal(manyBytes())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		file     string
+		messages []courier.Message
+	}{
+		{"packed/letters-whole.json", []courier.Message{{Name: "n-1", Body: json.RawMessage(`{"host":"n-1"}`)}, {Name: "n-2", Body: json.RawMessage(`{"host":"n-2"}`)}}},
+		{"packed/letters-pieces.json", []courier.Message{{Name: "n-3", Body: long}}},
+	} {
+		t.Run(c.file, func(t *testing.T) {
+			compare(t, c.file, encode(t, letters(t, c.messages)))
+			var stored []courier.Letter
+			decode(t, golden(t, c.file), &stored)
+			if read := messages(t, stored); !reflect.DeepEqual(read, c.messages) {
+				t.Errorf("read as %s, want %s", read, c.messages)
+			}
+		})
+	}
+}
+
+// letters packs messages.
+func letters(t *testing.T, all []courier.Message) []courier.Letter {
+	t.Helper()
+	now := time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC)
+	outbox := courier.NewOutbox(courier.Limits{Value: smallValue, Request: 60_000, Ops: 12}, 7)
+	outbox.Begin(1873)
+	for _, m := range all {
+		outbox.Put(m.Name, m.Body, true, now)
+	}
+	batch, err := outbox.Next(now, time.Second, 12)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return batch.Letters
+}
+
+// messages unpacks letters.
+func messages(t *testing.T, all []courier.Letter) (out []courier.Message) {
+	t.Helper()
+	var joiner courier.Joiner
+	for _, l := range all {
+		found, err := joiner.Open("n1", &l)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out = append(out, found...)
+	}
+	return out
+}
+
+// The leader's letters to machines behind another controller are read by that one.
+func TestLeadersMailStaysAsStored(t *testing.T) {
+	body := json.RawMessage(encode(t, filled[store.Mail]()))
+	shelf := courier.NewShelf(courier.Limits{Value: 4096, Request: 60_000, Ops: 12})
+	letter, _, _, err := shelf.Build(1873, shelf.Part("n-1"), func(string) json.RawMessage { return body })
+	if err != nil {
+		t.Fatal(err)
+	}
+	compare(t, "packed/leaders-mail.json", encode(t, letter))
+
+	var stored courier.Letter
+	decode(t, golden(t, "packed/leaders-mail.json"), &stored)
+	var reader courier.Reader
+	if err := reader.Take(store.MailKey("n1", 0), 5, &stored); err != nil {
+		t.Fatal(err)
+	}
+	var mail store.Mail
+	decode(t, reader.Told(1873, "n-1"), &mail)
+	if want := filled[store.Mail](); !reflect.DeepEqual(mail, want) {
+		t.Errorf("read as %+v, want %+v", mail, want)
+	}
+}
+
+// Which machine holds which parts of datasets is packed into a hint for the next leader.
+func TestHoldingsStayAsStored(t *testing.T) {
+	index := holdings.New()
+	parts := roaring.BitmapOf(1, 2, 7)
+	index.Take("n-1", map[string]holdings.Holding{"inventory-7": {Parts: parts, Of: 9}})
+	number := func(name string) (holdings.Machine, bool) { return index.Machine(name), true }
+	hint, told, err := holdings.PackHint(index.Snapshot(), []string{"n-1"}, number, 4096)
+	if err != nil || told != 1 {
+		t.Fatalf("%d machines in the hint, %v", told, err)
+	}
+	compare(t, "packed/holdings.json", encode(t, hint))
+
+	var stored holdings.Hint
+	decode(t, golden(t, "packed/holdings.json"), &stored)
+	held, err := stored.Unpack()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if read := held["n-1"]["inventory-7"]; read.Of != 9 || !read.Parts.Equals(parts) {
+		t.Errorf("read as %d of %d parts", read.Parts.GetCardinality(), read.Of)
+	}
+}
+
+// Which machine holds which images is a record that shares the images' names.
+func TestImagesStayAsStored(t *testing.T) {
+	machines := []hints.Machine{
+		{Name: "n-1", Images: []fleet.Image{{Name: "img-07", GB: 6.5}, {Name: "img-08", GB: 2}}},
+		{Name: "n-2", Images: []fleet.Image{{Name: "img-08", GB: 2}}},
+	}
+	compare(t, "packed/images.json", encode(t, hints.Pack(machines, 4096)))
+	held, err := hints.Unpack(golden(t, "packed/images.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, m := range machines {
+		if !reflect.DeepEqual(held[m.Name], m.Images) {
+			t.Errorf("%s is read with %v, want %v", m.Name, held[m.Name], m.Images)
+		}
+	}
+}
--- /dev/null
+++ b/internal/golden/records_test.go
@@ -0,0 +1,87 @@
+package golden_test
+
+import (
+	"bytes"
+	"testing"
+
+	"switchferry/configuration"
+	"switchferry/courier"
+	"switchferry/dataset"
+	"switchferry/holdings"
+	"switchferry/store"
+	"switchferry/tuning"
+	"switchferry/upgrade"
+)
+
+// Records in the state service are read and written as the version in production does.
+func TestRecordsStayAsStored(t *testing.T) {
+	pinAll(t, "records", []message{
+		of[store.Leader]("leader"),
+		of[store.JobRecord]("job"),
+		of[store.ShardRecord]("shard"),
+		of[store.FinalRecord]("final"),
+		of[store.InboxRecord]("inbox"),
+		of[store.ImagesRecord]("images"),
+		of[holdings.Hint]("holdings"),
+		of[dataset.Entry]("dataset"),
+		of[courier.Letter]("letter"),
+		of[courier.Message]("letter-message"),
+		of[store.Mail]("mail"),
+		of[upgrade.Mark]("version-mark"),
+		of[configuration.Head]("configuration-head"),
+		of[configuration.Part]("configuration-part"),
+		of[configuration.Revision]("configuration-revision"),
+	})
+}
+
+// Keys of the state service are as documented for operators.
+func TestKeysStayAsStored(t *testing.T) {
+	for _, c := range []struct{ got, want string }{
+		{store.LeaderKey, "sf/leader"},
+		{store.JobKey("run-000412"), "sf/j/run-000412"},
+		{store.FinalKey("run-000412"), "sf/f/run-000412"},
+		{store.InboxKey("run-000412"), "sf/in/run-000412"},
+		{store.ShardOf("run-000412", 900, tuning.ShardTasks).Key(), "sf/t/run-000412/2"},
+		{store.ShardOf("run-000412", 900, 64).Key(), "sf/t/run-000412/14.64"},
+		{store.ImagesKey(3), "sf/images/3"},
+		{store.HoldsKey(3), "sf/holds/3"},
+		{store.DatasetKey("inventory-7"), "sf/d/inventory-7"},
+		{store.RelayKey("n1", 3), "sf/relay/n1/3"},
+		{store.MailKey("n1", 3), "sf/mail/n1/3"},
+		{store.StageRelayKey("n1", 3), "sf/srelay/n1/3"},
+		{store.StageMailKey("n1", 3), "sf/smail/n1/3"},
+		{upgrade.MarkPrefix, "sf/version/"},
+		{configuration.HeadKey, "sf/config/head"},
+		{configuration.PartKey(41, 2), "sf/config/r/00000041/2"},
+	} {
+		if c.got != c.want {
+			t.Errorf("key %q, want %q", c.got, c.want)
+		}
+	}
+}
+
+// A key of a shard names its job, its number and its size.
+func TestShardKeysAreRead(t *testing.T) {
+	for _, want := range []store.Shard{store.ShardOf("run-000412", 900, tuning.ShardTasks), store.ShardOf("run-000412", 900, 64)} {
+		if got, ok := store.ParseShard(want.Key()); !ok || got != want {
+			t.Errorf("%s is read as %+v, %t", want.Key(), got, ok)
+		}
+	}
+}
+
+// The bitmap of done tasks is text in a record.
+func TestDoneTasksStayAsStored(t *testing.T) {
+	shard := store.ShardOf("run-000412", 64, 64)
+	done := store.NewBits(200)
+	for _, task := range []int{64, 67, 100} {
+		done.Set(task)
+	}
+	const want = "CQAAABA"
+	if got := done.Pack(shard); got != want {
+		t.Errorf("packed as %q, want %q", got, want)
+	}
+	read := store.NewBits(200)
+	if err := read.Unpack(shard, want); err != nil || !bytes.Equal(read, done) {
+		t.Errorf("read as %v, %v; want %v", read, err, done)
+	}
+}
