--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -6,6 +6,8 @@
 	"flag"
 	"os"
 	"path/filepath"
+	"reflect"
+	"slices"
 	"testing"
 )
 
@@ -65,28 +67,44 @@
 // message is one type whose JSON is pinned.
 type message struct {
 	file string
+	// name is the type's, without its package.
+	name string
 	// check compares both directions of the type's JSON with a golden file.
 	check func(t *testing.T, file string)
 }
 
 // of is the message of a type.
-func of[T any](file string) message { return message{file, pin[T]} }
+func of[T any](file string) message { return message{file, nameOf[T](), pin[T]} }
 
-// pin compares a type's JSON with a golden file of two lines, a value with every field set and the zero value, and
-// reads each line and writes it again.
+// nameOf is the name of a type without its package.
+func nameOf[T any]() string { return reflect.TypeFor[T]().Name() }
+
+// pin compares a type's JSON with a golden file of three lines: a value with every field set, the zero value, and what
+// the zero value is written as once it was read. The first line is written again as it was read.
 func pin[T any](t *testing.T, file string) {
 	t.Helper()
 	var zero T
-	compare(t, file, append(encode(t, filled[T]()), encode(t, zero)...))
-	for line := range bytes.Lines(golden(t, file)) {
-		var value T
-		decode(t, line, &value)
-		if again := encode(t, value); !bytes.Equal(again, line) {
-			t.Errorf("%s is written again as\n%s, want\n%s", file, again, line)
+	filledLine, zeroLine := encode(t, filled[T]()), encode(t, zero)
+	compare(t, file, slices.Concat(filledLine, zeroLine, rewrite[T](t, zeroLine)))
+	lines := slices.Collect(bytes.Lines(golden(t, file)))
+	if len(lines) != 3 {
+		t.Fatalf("%s has %d lines", file, len(lines))
+	}
+	for _, c := range []struct{ stored, want []byte }{{lines[0], lines[0]}, {lines[1], lines[2]}} {
+		if again := rewrite[T](t, c.stored); !bytes.Equal(again, c.want) {
+			t.Errorf("%s is written again as\n%s, want\n%s", file, again, c.want)
 		}
 	}
 }
 
+// rewrite reads a type's JSON and writes it again.
+func rewrite[T any](t *testing.T, raw []byte) []byte {
+	t.Helper()
+	var value T
+	decode(t, raw, &value)
+	return encode(t, value)
+}
+
 // pinAll runs one subtest for each message, whose files are in a folder.
 func pinAll(t *testing.T, folder string, messages []message) {
 	t.Helper()
--- /dev/null
+++ b/internal/golden/messages_test.go
@@ -0,0 +1,157 @@
+package golden_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"switchferry/api"
+	"switchferry/configuration"
+	"switchferry/configuration/keeper"
+	"switchferry/controller"
+	"switchferry/dataset"
+	"switchferry/membership"
+	"switchferry/store"
+)
+
+// apiMessages are the messages of package api.
+var apiMessages = []message{
+	of[api.Submission]("submission"),
+	of[api.Input]("input"),
+	of[api.Near]("near"),
+	of[api.Survive]("survive"),
+	of[api.JobStatus]("job-status"),
+	of[api.Error]("error"),
+	of[api.TaskReport]("task-report"),
+	of[api.Report]("report"),
+	of[api.Command]("command"),
+	of[api.Orders]("orders"),
+	of[api.Redirect]("redirect"),
+	of[api.MachineType]("machine-type"),
+	of[api.Rental]("rental"),
+	of[api.CloudMachine]("cloud-machine"),
+	of[api.StageSource]("stage-source"),
+	of[api.StageCopy]("stage-copy"),
+	of[api.StageSet]("stage-set"),
+	of[api.StageOrder]("stage-order"),
+	of[api.StageHeld]("stage-held"),
+	of[api.StageFailure]("stage-failure"),
+	of[api.StageProgress]("stage-progress"),
+	of[api.StageReport]("stage-report"),
+	of[api.TopologyView]("topology-view"),
+	of[api.ReservedView]("reserved-view"),
+	of[api.DomainView]("domain-view"),
+	of[api.WaitingView]("waiting-view"),
+	of[api.Explanation]("explanation"),
+	of[api.Stand]("stand"),
+	of[api.ConfigurationRequest]("configuration-request"),
+	of[api.ConfigurationView]("configuration-view"),
+	of[api.ConfigurationMistake]("configuration-mistake"),
+	of[api.ConfigurationMistakes]("configuration-mistakes"),
+	of[api.ConfigurationConflict]("configuration-conflict"),
+}
+
+// Messages that users, workers, agents and the cloud exchange with controllers keep their form.
+func TestMessagesStayOnTheWire(t *testing.T) {
+	pinAll(t, "messages", apiMessages)
+}
+
+// Answers that other packages make, and what the state service is asked and answers, keep their form.
+func TestMessagesOfOtherPackagesStayOnTheWire(t *testing.T) {
+	pinAll(t, "messages", []message{
+		of[membership.View]("member-view"),
+		of[controller.DataView]("data-view"),
+		of[controller.DatasetView]("dataset-view"),
+		of[controller.CopyView]("copy-view"),
+		of[controller.RemovalView]("removal-view"),
+		of[keeper.Answer]("configuration-answer"),
+		of[configuration.Difference]("configuration-difference"),
+		of[configuration.Mistake]("document-mistake"),
+		of[dataset.Summary]("dataset-summary"),
+		of[dataset.Manifest]("dataset-manifest"),
+		of[store.Item]("state-item"),
+		of[store.Cond]("state-condition"),
+		of[store.Op]("state-change"),
+		of[store.Event]("state-event"),
+	})
+}
+
+// Every struct of package api that JSON shows has a golden file.
+func TestEveryMessageIsPinned(t *testing.T) {
+	var pinned []string
+	for _, m := range apiMessages {
+		pinned = append(pinned, m.name)
+	}
+	for _, name := range structsWithTags(t, "../../api") {
+		if !slices.Contains(pinned, name) {
+			t.Errorf("api.%s has no golden file", name)
+		}
+	}
+}
+
+// structsWithTags are the exported structs of a package that have JSON tags.
+func structsWithTags(t *testing.T, folder string) (names []string) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	if err != nil || len(files) == 0 {
+		t.Fatalf("no sources in %s, %v", folder, err)
+	}
+	for _, file := range files {
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ast.Inspect(parsed, func(n ast.Node) bool {
+			if spec, ok := n.(*ast.TypeSpec); ok && spec.Name.IsExported() && hasTags(spec.Type) {
+				names = append(names, spec.Name.Name)
+			}
+			return true
+		})
+	}
+	return names
+}
+
+// hasTags tells whether a type is a struct with a JSON tag.
+func hasTags(expression ast.Expr) bool {
+	fields, ok := expression.(*ast.StructType)
+	return ok && slices.ContainsFunc(fields.Fields.List, func(f *ast.Field) bool {
+		return f.Tag != nil && strings.Contains(f.Tag.Value, "json:")
+	})
+}
+
+// Words of the protocol that stand in values.
+func TestWordsStayOnTheWire(t *testing.T) {
+	for _, c := range []struct{ got, want string }{
+		{api.Array, "sweep"}, {api.Gang, "gang"}, {api.Service, "standing"},
+		{api.Pending, "pending"}, {api.Running, "running"}, {api.Done, "done"}, {api.Withdrawn, "withdrawn"},
+		{api.TaskFetching, "fetching"}, {api.TaskRunning, "running"}, {api.TaskSaving, "flushing"}, {api.TaskEnded, "ended"},
+		{api.CauseDone, "done"}, {api.CauseStopped, "halted"}, {api.CauseError, "error"}, {api.CauseNoRoom, "no_room"},
+		{api.CauseBusy, "busy"}, {api.CauseUnknown, "unknown"},
+		{api.Start, "run"}, {api.Stop, "kill"}, {api.Forget, "clear"},
+		{api.UseAll, "all"}, {api.UseOwn, "own"},
+		{dataset.Listed, ""}, {dataset.Removing, "removing"}, {dataset.Removed, "removed"},
+		{configuration.Leave, "leave"}, {configuration.Stop, "stop"},
+		{string(membership.Unknown), "unknown"}, {string(membership.Alive), "alive"}, {string(membership.Slow), "slow"},
+		{string(membership.Suspected), "suspected"}, {string(membership.Failed), "failed"}, {string(membership.Left), "left"},
+		{strings.Join(api.Levels, " "), "region zone switch rack machine"},
+	} {
+		if c.got != c.want {
+			t.Errorf("word %q, want %q", c.got, c.want)
+		}
+	}
+}
+
+// Ranks are ordered as the protocol has them.
+func TestRanksStayOnTheWire(t *testing.T) {
+	for level, rank := range []string{"low", "normal", "high", "prod"} {
+		var s api.Submission
+		decode(t, []byte(`{"rank":"`+rank+`"}`), &s)
+		if got := s.RankLevel(); got != level {
+			t.Errorf("rank %s has level %d, want %d", rank, got, level)
+		}
+	}
+}
