--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -4,6 +4,8 @@
 	"bytes"
 	"encoding/json"
 	"flag"
+	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -13,6 +15,12 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// TestMain silences the logs of what is tested.
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	os.Exit(m.Run())
+}
+
 // golden reads a golden file.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -30,8 +38,19 @@
 		write(t, name, got)
 	}
 	if want := golden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\ngot  %s\nwant %s", name, got, want)
+		t.Errorf("%s differs, first in %s", name, firstDifference(got, want))
+	}
+}
+
+// firstDifference shows the first line that two texts do not share.
+func firstDifference(got, want []byte) string {
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			return fmt.Sprintf("line %d:\ngot  %s\nwant %s", i+1, gotLines[i], wantLines[i])
+		}
 	}
+	return fmt.Sprintf("their lengths: got %d lines, want %d", len(gotLines), len(wantLines))
 }
 
 // write makes a golden file.
