--- /dev/null
+++ b/internal/golden/cli_test.go
@@ -0,0 +1,233 @@
+package golden_test
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+
+	"switchferry/capacity"
+	"switchferry/cli"
+	"switchferry/dataset"
+	"switchferry/experiment"
+)
+
+// execute runs the program and gives its output, and its error with the exit code.
+func execute(t *testing.T, args ...string) string {
+	t.Helper()
+	// The user's name is a default.
+	t.Setenv("USER", "operator")
+	var out, errs bytes.Buffer
+	root := cli.Root()
+	root.SetArgs(args)
+	root.SetOut(&out)
+	root.SetErr(&errs)
+	if err := root.Execute(); err != nil {
+		fmt.Fprintf(&errs, "exit code %d: %v\n", cli.ExitCode(err), err)
+	}
+	if errs.Len() > 0 {
+		fmt.Fprintf(&out, "-- standard error --\n%s", errs.String())
+	}
+	return out.String()
+}
+
+// Help of every command, with its flags and their defaults, stays.
+func TestHelpStays(t *testing.T) {
+	var all bytes.Buffer
+	var add func(command *cobra.Command)
+	add = func(command *cobra.Command) {
+		path := strings.Fields(command.CommandPath())
+		fmt.Fprintf(&all, "$ %s --help\n%s\n", strings.Join(path, " "), execute(t, append(path[1:], "--help")...))
+		for _, sub := range command.Commands() {
+			add(sub)
+		}
+	}
+	t.Setenv("USER", "operator")
+	add(cli.Root())
+	compare(t, "cli/help.txt", all.Bytes())
+}
+
+// example is the JSON of a message with every field set.
+func example(t *testing.T, name string) string {
+	t.Helper()
+	line, _, _ := strings.Cut(string(golden(t, "messages/"+name+".jsonl")), "\n")
+	return line
+}
+
+// response is what a controller answers.
+type response struct {
+	status int
+	body   string
+}
+
+// controllerAnswers plays a controller, and notes what it is asked.
+type controllerAnswers struct {
+	responses map[string]response
+	asked     bytes.Buffer
+}
+
+// ServeHTTP answers by method and path.
+func (c *controllerAnswers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	request := r.Method + " " + r.URL.RequestURI()
+	fmt.Fprintf(&c.asked, "> %s %s\n", request, body)
+	answer, ok := c.responses[request]
+	if !ok {
+		answer = response{http.StatusNotFound, `{"error":"Not Found"}`}
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(answer.status)
+	_, _ = io.WriteString(w, answer.body)
+}
+
+// answering is a controller whose answers have every field set.
+func answering(t *testing.T) *controllerAnswers {
+	t.Helper()
+	ok := func(name string) response { return response{http.StatusOK, example(t, name)} }
+	list := func(name string) response { return response{http.StatusOK, "[" + example(t, name) + "]"} }
+	document := string(encode(t, map[string]any{"revision": 40, "by": "ops", "why": "a test", "at_ms": 1789999200000, "in_force": true, "leader": true,
+		"document": "[[teams]]\nname = \"vision\"\ncpus = 2.0\ncpus_max = 4.0\n"}))
+	return &controllerAnswers{responses: map[string]response{
+		"POST /submissions":                       {http.StatusCreated, example(t, "job-status")},
+		"GET /submissions/run-000001":             ok("job-status"),
+		"POST /submissions/run-000001/cancel":     ok("job-status"),
+		"GET /submissions/run-000001/explanation": ok("explanation"),
+		"POST /submissions/run-000003/cancel":     {http.StatusUnprocessableEntity, example(t, "error")},
+		"GET /topology":                           ok("topology-view"),
+		"GET /members":                            list("member-view"),
+		"GET /datasets":                           ok("data-view"),
+		"POST /datasets":                          {http.StatusCreated, example(t, "dataset-summary")},
+		"POST /datasets/inventory-7/remove":       ok("removal-view"),
+		"GET /configuration":                      {http.StatusOK, document},
+		"GET /configuration/40":                   {http.StatusOK, document},
+		"GET /configuration/39":                   {http.StatusNotFound, `{"error":"the last 50 revisions are kept"}`},
+		"GET /configuration/history":              list("configuration-view"),
+		"POST /configuration":                     ok("configuration-answer"),
+	}}
+}
+
+// transcript is what a command asks of a controller and prints.
+func transcript(t *testing.T, answers *controllerAnswers, args ...string) string {
+	t.Helper()
+	server := httptest.NewServer(answers)
+	defer server.Close()
+	answers.asked.Reset()
+	printed := execute(t, append(args, "--node", strings.TrimPrefix(server.URL, "http://"))...)
+	return fmt.Sprintf("$ switchferry %s\n%s%s\n", strings.Join(args, " "), answers.asked.String(), printed)
+}
+
+// Commands ask controllers, and print their answers as JSON and as text, as the version in production does.
+func TestCommandsOfUsersStay(t *testing.T) {
+	const document, manifest = "testdata/files/configuration.toml", "testdata/cli/manifest.json"
+	writeManifest(t)
+	var all strings.Builder
+	for _, args := range [][]string{
+		{"submit", "--file", "testdata/cli/job.json"},
+		{"submit", "--id", "run-000002", "--class", "train", "--team", "vision", "--shape", "gang", "--rank", "high", "--tasks", "3", "--cpus", "2", "--cards", "1", "--memory-gb", "4",
+			"--image", "img-07", "--image-gb", "2", "--type", "m8,g8", "--zone", "a", "--one-zone", "--spread", "--spot", "--estimate-s", "240", "--checkpoint-s", "30", "--save-s", "4",
+			"--deadline-s", "900", "--await", "run-000001"},
+		{"status", "run-000001"},
+		{"status", "run-000009"},
+		{"cancel", "run-000001"},
+		{"cancel", "run-000003"},
+		{"explain", "run-000001"},
+		{"topology"},
+		{"members"},
+		{"data"},
+		{"data", "add", manifest},
+		{"data", "remove", "inventory-7"},
+		{"config", "show"},
+		{"config", "show", "--revision", "39"},
+		{"config", "history"},
+		{"config", "diff", document},
+		{"config", "apply", document, "--why", "a test", "--expect", "40"},
+		{"config", "rollback", "40", "--why", "back"},
+	} {
+		all.WriteString(transcript(t, answering(t), args...))
+		all.WriteString(transcript(t, answering(t), append(args, "--json")...))
+	}
+	compare(t, "cli/users.txt", []byte(all.String()))
+}
+
+// writeManifest makes the manifest that commands read, with -update.
+func writeManifest(t *testing.T) {
+	t.Helper()
+	m, err := dataset.Build("inventory-7", strings.NewReader(strings.Repeat("0123456789", 100)), 300, 2, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, _, err := m.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	compare(t, "cli/manifest.json", append(raw, '\n'))
+}
+
+// A change of the configuration that is refused, or not in force in time, ends with its own exit code.
+func TestRefusedChangesStay(t *testing.T) {
+	pending := `{"revision":41,"in_force":false,"waits_for":["n1","n2"]}`
+	var all strings.Builder
+	for _, answer := range []response{
+		{http.StatusConflict, example(t, "configuration-conflict")},
+		{http.StatusBadRequest, example(t, "configuration-mistakes")},
+		{http.StatusUnprocessableEntity, example(t, "error")},
+		{http.StatusAccepted, pending},
+	} {
+		answers := answering(t)
+		answers.responses["POST /configuration"] = answer
+		answers.responses["GET /configuration"] = response{http.StatusNotFound, ""}
+		printed := transcript(t, answers, "config", "apply", "testdata/files/configuration.toml", "--wait", "1s")
+		// How often it asks meanwhile is not pinned.
+		all.WriteString(strings.ReplaceAll(printed, "> GET /configuration \n", ""))
+	}
+	compare(t, "cli/refused.txt", []byte(all.String()))
+}
+
+// Commands that ask nobody print the same.
+func TestOfflineCommandsStay(t *testing.T) {
+	const config = "testdata/http/controller.toml"
+	var all strings.Builder
+	for _, args := range [][]string{
+		{"version"},
+		{"version", "--json"},
+		{"policy"},
+		{"check", "--config", config, "--features", "testdata/http/features.toml"},
+		{"check"},
+		{"config", "check", "testdata/files/configuration.toml"},
+		{"capacity", "--config", config},
+		{"capacity", "--config", config, "--json"},
+		{"data", "manifest", "--name", "inventory-7", "--chunk", "100B", "--part-chunks", "2", "testdata/cli/job.json"},
+		{"status", "job-1"},
+		{"ponder"},
+	} {
+		fmt.Fprintf(&all, "$ switchferry %s\n%s\n", strings.Join(args, " "), execute(t, args...))
+	}
+	compare(t, "cli/offline.txt", []byte(all.String()))
+}
+
+// What experiments print as JSON keeps its form.
+func TestExperimentResultsStay(t *testing.T) {
+	pinAll(t, "experiments", []message{
+		of[experiment.Gap]("gap"),
+		of[experiment.HandedOver]("handover"),
+		of[experiment.DayEndResult]("dayend"),
+		of[experiment.UpgradeResult]("upgrade"),
+		of[experiment.RecoveryResult]("recovery"),
+		of[experiment.OrderResult]("order"),
+		of[experiment.LocalityResult]("locality"),
+		of[experiment.TopologyResult]("topology"),
+		of[experiment.ScaleResult]("scale"),
+		of[capacity.Record]("capacity-record"),
+		of[capacity.Measurement]("capacity-measurement"),
+		of[capacity.Size]("capacity-size"),
+		of[capacity.Slopes]("capacity-slopes"),
+		of[capacity.Row]("capacity-row"),
+		of[capacity.JobCost]("capacity-job-cost"),
+		of[capacity.Limit]("capacity-limit"),
+	})
+}
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -11,12 +11,14 @@
 	"reflect"
 	"slices"
 	"testing"
+	"time"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestMain silences the logs of what is tested.
+// TestMain silences the logs of what is tested, and has times of day printed in UTC.
 func TestMain(m *testing.M) {
+	time.Local = time.UTC
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
 }
