--- /dev/null
+++ b/internal/golden/files_test.go
@@ -0,0 +1,162 @@
+package golden_test
+
+import (
+	"bytes"
+	"fmt"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"switchferry/configuration"
+	"switchferry/features"
+	"switchferry/policy"
+	"switchferry/settings"
+	"switchferry/topology"
+)
+
+// inTOML is a value as TOML, by the names that files have.
+func inTOML(t *testing.T, value any) []byte {
+	t.Helper()
+	raw, err := toml.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// unset are the exported fields of a value that are zero, by their paths.
+func unset(v reflect.Value, path string) (missing []string) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				missing = append(missing, unset(v.Field(i), path+"."+field.Tag.Get("toml"))...)
+			}
+		}
+		return missing
+	case reflect.Slice:
+		for i := range v.Len() {
+			missing = append(missing, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+		}
+	}
+	if v.IsZero() {
+		missing = append(missing, path)
+	}
+	return missing
+}
+
+// fullySet checks that a file sets every field, and so that a new field gets into it.
+func fullySet(t *testing.T, value any) {
+	t.Helper()
+	if missing := unset(reflect.ValueOf(value).Elem(), ""); len(missing) > 0 {
+		t.Errorf("not in the file: %v", missing)
+	}
+}
+
+// Every field of a settings file is read, by the operators' names.
+func TestSettingsFileIsRead(t *testing.T) {
+	set, err := settings.Load("testdata/files/settings.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fullySet(t, set)
+	compare(t, "files/settings.read.toml", inTOML(t, set))
+	again, err := settings.Parse(golden(t, "files/settings.read.toml"))
+	if err != nil || !reflect.DeepEqual(again, set) {
+		t.Errorf("what was read is read again as %+v, %v; want %+v", again, err, set)
+	}
+}
+
+// Every field of a features file is read, by the operators' names, and what it leaves out has its default.
+func TestFeaturesFileIsRead(t *testing.T) {
+	on, err := features.Load("testdata/files/features.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fullySet(t, on)
+	compare(t, "files/features.read.toml", inTOML(t, on))
+	again, err := features.Parse(golden(t, "files/features.read.toml"))
+	if err != nil || !reflect.DeepEqual(again, on) {
+		t.Errorf("what was read is read again as %+v, %v; want %+v", again, err, on)
+	}
+
+	defaults, err := features.Parse(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compare(t, "files/features.defaults.toml", inTOML(t, defaults))
+}
+
+// describe lists what a topology says, and what it says of some machines.
+func describe(m *topology.Map) []byte {
+	var out bytes.Buffer
+	fmt.Fprintf(&out, "version %d\n", m.Version())
+	for _, d := range m.Domains() {
+		in := "nothing"
+		if d.In != nil {
+			in = d.In.Name
+		}
+		fmt.Fprintf(&out, "%s %s in %s, machines %q\n", d.Level, d.Name, in, d.Patterns())
+	}
+	for _, machine := range []string{"n-000001", "n-00011", "n-000200", "n-000300"} {
+		domain := "nothing"
+		if d, _ := m.Of(machine); d != nil {
+			domain = d.Name
+		}
+		devices, known := m.DevicesOf(machine)
+		fmt.Fprintf(&out, "%s in %s, devices %d linked %v, known %t\n", machine, domain, devices.Count, devices.Linked, known)
+	}
+	return out.Bytes()
+}
+
+// Every field of a topology file is read.
+func TestTopologyFileIsRead(t *testing.T) {
+	raw := golden(t, "files/topology.toml")
+	m, err := topology.Parse(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compare(t, "files/topology.read.txt", describe(m))
+
+	var declared topology.Declaration
+	if err := toml.Unmarshal(raw, &declared); err != nil {
+		t.Fatal(err)
+	}
+	compare(t, "files/topology.read.toml", inTOML(t, declared))
+	again, err := topology.Parse(golden(t, "files/topology.read.toml"))
+	if err != nil || !bytes.Equal(describe(again), describe(m)) {
+		t.Errorf("what was read is read again as another topology, %v", err)
+	}
+}
+
+// Every section of a configuration document is read.
+func TestConfigurationDocumentIsRead(t *testing.T) {
+	document, err := configuration.Parse(string(golden(t, "files/configuration.toml")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	sections := map[string]any{"over_limit": document.OverLimit, "policy": document.Policy, "teams": document.Teams, "features": document.Switches}
+	compare(t, "files/configuration.read.toml", inTOML(t, sections))
+	compare(t, "files/configuration.topology.txt", describe(document.Topology))
+}
+
+// Expressions of a policy file are read with their variables, and give the values that they gave.
+func TestPolicyFileIsRead(t *testing.T) {
+	night, err := policy.Load(filepath.Join("testdata", "files", "night.policy"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	for _, name := range policy.Names() {
+		_, fallback, names := policy.Describe(name)
+		vars := policy.Vars{}
+		for i, v := range slices.Sorted(slices.Values(names)) {
+			vars[v] = float64(20 * (i + 1))
+		}
+		fmt.Fprintf(&out, "%s %v: %g, by default %s = %g\n", name, vars, night.Value(name, vars), fallback, policy.Default().Value(name, vars))
+	}
+	compare(t, "files/policy.read.txt", out.Bytes())
+}
