--- /dev/null
+++ b/internal/golden/stager_test.go
@@ -0,0 +1,165 @@
+package golden_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io/fs"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/RoaringBitmap/roaring/v2"
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/api"
+	"switchferry/dataset"
+	"switchferry/internal/standin"
+	"switchferry/stager"
+)
+
+const (
+	// agentQuota is the size of the cache.
+	agentQuota = 1 << 20
+	// agentPatience is how long copies may take, at most.
+	agentPatience = 20 * time.Second
+	// storeData are the bytes of the dataset, storeChunk those of a chunk.
+	storeData  = "the first chunk.the second one..the third chunk.the fourth one.."
+	storeChunk = 16
+)
+
+// startAgent runs an agent over a folder until the test ends, or end is called.
+func startAgent(t *testing.T, dir, store string) (a *stager.Agent, end func()) {
+	t.Helper()
+	ctx, stop := context.WithCancel(t.Context())
+	a, err := stager.New(ctx, stager.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, Quota: agentQuota, Store: store, Clock: clockwork.NewRealClock()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() { a.Run(ctx); close(done) }()
+	return a, func() { stop(); <-done }
+}
+
+// pinnedParts are the parts of a dataset that an agent keeps.
+func pinnedParts(a *stager.Agent, name string) uint64 {
+	for _, held := range a.Report(false).Pinned {
+		if held.Dataset == name {
+			return held.Parts.GetCardinality()
+		}
+	}
+	return 0
+}
+
+// awaitParts waits until an agent keeps so many parts of a dataset.
+func awaitParts(t *testing.T, a *stager.Agent, name string, parts uint64) {
+	t.Helper()
+	for end := time.Now().Add(agentPatience); pinnedParts(a, name) != parts; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("the agent keeps %d parts of %s, want %d", pinnedParts(a, name), name, parts)
+		}
+	}
+}
+
+// stage has an agent over a folder copy parts 0 and 1 of a dataset of two chunks a part, and leaves a chunk half copied.
+func stage(t *testing.T, dir string) {
+	t.Helper()
+	objects := standin.NewObjects()
+	manifest, digest := objects.Add("inventory-7", []byte(storeData), storeChunk, 2)
+	server := httptest.NewServer(objects)
+	defer server.Close()
+	a, end := startAgent(t, dir, server.URL)
+	parts := []uint32{0, 1}
+	set := api.StageSet{Dataset: manifest.Name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
+	for _, part := range parts {
+		set.Copies = append(set.Copies, api.StageCopy{Part: int(part), From: []api.StageSource{{Store: true}}})
+	}
+	if ok, err := a.Apply(&api.StageOrder{Term: 1873, Order: 5, Sets: []api.StageSet{set}}); !ok || err != nil {
+		t.Fatalf("the order was taken: %t, %v", ok, err)
+	}
+	awaitParts(t, a, manifest.Name, uint64(len(parts)))
+	end()
+	leaveHalf(t, dir)
+}
+
+// leaveHalf leaves a chunk of which some bytes are there.
+func leaveHalf(t *testing.T, dir string) {
+	t.Helper()
+	cache, err := stager.OpenCache(dir, agentQuota, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	whole := []byte("a chunk that is cut off")
+	w, err := cache.Begin(dataset.Chunk{Digest: dataset.Sum(whole), Bytes: int64(len(whole))})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := w.Write(whole[:7]); err != nil {
+		t.Fatal(err)
+	}
+	w.Leave()
+}
+
+// listing is a folder as text: each file's path, and its content.
+func listing(t *testing.T, dir string) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		raw, err := os.ReadFile(path)
+		name, rerr := filepath.Rel(dir, path)
+		fmt.Fprintf(&out, "-- %s --\n%s\n", name, raw)
+		if err != nil {
+			return err
+		}
+		return rerr
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
+
+// restore makes a folder of a listing.
+func restore(t *testing.T, raw []byte, dir string) {
+	t.Helper()
+	for _, file := range strings.Split("\n"+string(raw), "\n-- ")[1:] {
+		name, content, ok := strings.Cut(file, " --\n")
+		if !ok {
+			t.Fatalf("no name of a file in %q", file)
+		}
+		path := filepath.Join(dir, name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(strings.TrimSuffix(content, "\n")), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// What an agent keeps on disk is written as the version in production writes it.
+func TestAgentsStoreStaysAsStored(t *testing.T) {
+	dir := t.TempDir()
+	stage(t, dir)
+	compare(t, "stager/store.txt", listing(t, dir))
+}
+
+// An agent takes up what another version left on disk, without a store: it keeps and tells the same parts.
+func TestAgentsStoreIsRead(t *testing.T) {
+	dir := t.TempDir()
+	restore(t, golden(t, "stager/store.txt"), dir)
+	a, end := startAgent(t, dir, "http://127.0.0.1:1")
+	awaitParts(t, a, "inventory-7", 2)
+	report := a.Report(true)
+	end()
+	// How often it was asked is not pinned.
+	report.Seq = 1
+	compare(t, "stager/report.json", encode(t, report))
+	compare(t, "stager/store.read.txt", listing(t, dir))
+}
