--- /dev/null
+++ b/controller/golden_test.go
@@ -0,0 +1,17 @@
+package controller
+
+import "testing"
+
+// Verbs of requests that controllers alone send each other stay as the version in production has them; those of users
+// and operators are pinned by package internal/golden.
+func TestVerbsBetweenControllersStay(t *testing.T) {
+	for _, c := range []struct{ got, want string }{
+		{verbReport, "report"},
+		{verbStage, "stage"},
+		{verbConfirm, "confirm-configuration"},
+	} {
+		if c.got != c.want {
+			t.Errorf("verb %q, want %q", c.got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/golden/calls_test.go
@@ -0,0 +1,176 @@
+package golden_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/cloud"
+	"switchferry/store"
+	"switchferry/worker"
+)
+
+// callRecorder notes each call and answers it.
+type callRecorder struct {
+	seen   bytes.Buffer
+	status int
+	body   string
+}
+
+// RoundTrip answers with what is set.
+func (r *callRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
+	var body []byte
+	if request.Body != nil {
+		body, _ = io.ReadAll(request.Body)
+	}
+	fmt.Fprintf(&r.seen, "%s %s %s\n", request.Method, request.URL, body)
+	return &http.Response{StatusCode: r.status, Body: io.NopCloser(strings.NewReader(r.body)), Header: http.Header{}, Request: request}, nil
+}
+
+// call is one call to another service, and what the service answers.
+type call struct {
+	name   string
+	status int
+	body   string
+	// make carries the call out and gives what was made of the answer.
+	make func(ctx context.Context, transport http.RoundTripper) (result any, err error)
+}
+
+// outcomes are the errors by which callers decide, the narrower ones first.
+var outcomes = []struct {
+	name string
+	err  error
+}{
+	{"condition failed", store.ErrConflict},
+	{"not found", store.ErrNotFound},
+	{"no lease", store.ErrNoLease},
+	{"too many requests", store.ErrTooMany},
+	{"busy", store.ErrBusy},
+	{"refused", store.ErrRefused},
+	{"too old", store.ErrTooOld},
+	{"unknown", store.ErrUnknown},
+	{"no capacity", cloud.ErrNoCapacity},
+	{"cloud in trouble", cloud.ErrTrouble},
+	{"not sent", worker.ErrNotSent},
+}
+
+// outcome names an error, whatever its text.
+func outcome(err error) string {
+	if err == nil {
+		return "none"
+	}
+	for _, o := range outcomes {
+		if errors.Is(err, o.err) {
+			return o.name
+		}
+	}
+	return "another"
+}
+
+// recordCalls carries calls out and compares what was sent, and what was made of the answers.
+func recordCalls(t *testing.T, file string, calls []call) {
+	t.Helper()
+	var all bytes.Buffer
+	for _, c := range calls {
+		recorder := &callRecorder{status: c.status, body: c.body}
+		result, err := c.make(t.Context(), recorder)
+		fmt.Fprintf(&all, "# %s\n%s  %d %s\n  %s  error: %s\n", c.name, recorder.seen.String(), c.status, c.body, encode(t, result), outcome(err))
+	}
+	compare(t, file, all.Bytes())
+}
+
+// Calls to the state service, and what its answers mean, stay.
+func TestCallsToTheStateServiceStay(t *testing.T) {
+	client := func(transport http.RoundTripper) *store.Client { return store.NewClient("state:1", transport) }
+	conditions, changes := []store.Cond{filled[store.Cond]()}, []store.Op{filled[store.Op]()}
+	item := `{"k":"sf/j/run-000412","value":{"n":1},"stamp":7,"ticket":8}`
+	multi := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		stamp, failed, err := client(transport).Multi(ctx, conditions, changes)
+		return []any{stamp, failed}, err
+	}
+	grant := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return client(transport).Grant(ctx, 2500*time.Millisecond)
+	}
+	renew := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return nil, client(transport).Renew(ctx, 8)
+	}
+	get := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return client(transport).Get(ctx, store.JobKey("run-000412"))
+	}
+	watch := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		log, epoch, err := client(transport).Watch(ctx, store.InboxPrefix, 6, 1500*time.Millisecond)
+		return []any{log, epoch}, err
+	}
+	list := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		items, epoch, err := client(transport).List(ctx, store.JobPrefix)
+		return []any{items, epoch}, err
+	}
+	end := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return nil, client(transport).End(ctx, 8)
+	}
+	recordCalls(t, "calls/state.txt", []call{
+		{"get", 200, item, get},
+		{"get what is not there", 404, `{"error":"no such key"}`, get},
+		{"get when it is busy", 429, `{"error":"too many requests"}`, get},
+		{"get when it is down", 503, `{"error":"down"}`, get},
+		{"list", 200, `{"rows":[` + item + `],"more":false,"epoch":9}`, list},
+		{"transaction", 200, `{"epoch":10}`, multi},
+		{"transaction whose condition fails", 409, `{"epoch":10,"failed":["sf/leader"]}`, multi},
+		{"transaction with a lease that is over", 400, `{"error":"no such lease"}`, multi},
+		{"transaction that is refused", 400, `{"error":"value too large"}`, multi},
+		{"grant a lease", 200, `{"ticket":8}`, grant},
+		{"renew a lease", 200, `{}`, renew},
+		{"renew a lease that is over", 404, `{"error":"no such lease"}`, renew},
+		{"end a lease", 200, `{}`, end},
+		{"watch", 200, `{"epoch":9,"log":[{"set":"sf/in/run-000412","value":{},"stamp":7},{"delete":"sf/in/run-000411","stamp":8}]}`, watch},
+		{"watch from what is no longer kept", 410, `{"error":"too old"}`, watch},
+	})
+}
+
+// Calls to the cloud, and what its answers mean, stay.
+func TestCallsToTheCloudStay(t *testing.T) {
+	client := func(transport http.RoundTripper) *cloud.Client { return cloud.New("cloud:1", 20, transport) }
+	catalog := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return client(transport).Catalog(ctx)
+	}
+	rent := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return client(transport).Rent(ctx, filled[api.Rental]())
+	}
+	giveBack := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return nil, client(transport).Return(ctx, []string{"n-000001", "n-000002"})
+	}
+	list := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		return client(transport).List(ctx)
+	}
+	recordCalls(t, "calls/cloud.txt", []call{
+		{"catalog", 200, `{"hulls":[` + example(t, "machine-type") + `]}`, catalog},
+		{"empty catalog", 200, `{"hulls":[]}`, catalog},
+		{"rent", 200, `{"hosts":["n-000001"]}`, rent},
+		{"rent what is not to be had", 503, `{"error":"no capacity"}`, rent},
+		{"rent when it is in trouble", 503, `{"error":"down"}`, rent},
+		{"rent what is malformed", 400, `{"error":"malformed rental"}`, rent},
+		{"give back", 200, `{}`, giveBack},
+		{"list", 200, `{"hosts":[` + example(t, "cloud-machine") + `],"more":false}`, list},
+	})
+}
+
+// Commands that go directly to a worker, and what its answers mean, stay.
+func TestCallsToWorkersStay(t *testing.T) {
+	send := func(ctx context.Context, transport http.RoundTripper) (any, error) {
+		report, executed, err := worker.New(transport).Send(ctx, "worker-0:9000", filled[api.Orders]())
+		return []any{report, executed}, err
+	}
+	recordCalls(t, "calls/worker.txt", []call{
+		{"executed", 200, example(t, "report"), send},
+		{"refused", 409, example(t, "report"), send},
+		{"in trouble", 500, "", send},
+		{"malformed", 200, "{", send},
+	})
+}
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -8,6 +8,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
@@ -163,3 +164,42 @@
 	compare(t, "stager/report.json", encode(t, report))
 	compare(t, "stager/store.read.txt", listing(t, dir))
 }
+
+// reports counts an agent's reports, which hangs on how often it was asked.
+var reports = regexp.MustCompile(`"seq":[0-9]+`)
+
+// Answers of an agent's port, to peers, the leader and operators, stay.
+func TestAgentsPortStaysOnTheWire(t *testing.T) {
+	dir := t.TempDir()
+	restore(t, golden(t, "stager/store.txt"), dir)
+	a, end := startAgent(t, dir, "http://127.0.0.1:1")
+	defer end()
+	awaitParts(t, a, "inventory-7", 2)
+	const chunk, manifest = "e24ed97ccb1da8f0391bf5f6b125e31d5e6d796ebc001d203fc99d1e93ebcbf6", "f92d09a34602c40cd2e20a7db26240497dc414b8469b113dc991e80dd3c05efa"
+	var all bytes.Buffer
+	for _, c := range []struct{ method, path, bytes, body string }{
+		{"GET", "/chunk/" + chunk, "", ""},
+		{"GET", "/chunk/" + chunk, "bytes=4-8", ""},
+		{"GET", "/chunk/" + manifest, "", ""},
+		{"GET", "/chunk/abc", "", ""},
+		{"GET", "/manifest/" + manifest, "", ""},
+		{"GET", "/manifest/" + chunk, "", ""},
+		{"GET", "/manifest/abc", "", ""},
+		{"GET", "/show", "", ""},
+		{"POST", "/stage", "", "{"},
+		{"POST", "/stage", "", `{"order":9}`},
+		{"POST", "/stage", "", `{"helm":1872,"order":9,"known":1,"sets":[]}`},
+		{"POST", "/stage", "", `{"helm":1873,"session":1,"order":6,"known":1,"sets":[]}`},
+		{"POST", "/stage", "", `{"helm":1873,"session":2,"order":6,"known":1,"sets":[]}`},
+	} {
+		request := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
+		if c.bytes != "" {
+			request.Header.Set("Range", c.bytes)
+		}
+		w := httptest.NewRecorder()
+		a.Handler().ServeHTTP(w, request)
+		answer := reports.ReplaceAllString(strings.TrimSpace(w.Body.String()), `"seq":COUNT`)
+		fmt.Fprintf(&all, "%s %s %s %s\n  %d %s\n  %s\n", c.method, c.path, c.bytes, c.body, w.Code, w.Header().Get("Content-Type"), answer)
+	}
+	compare(t, "stager/port.txt", all.Bytes())
+}
