--- a/internal/golden/calls_test.go
+++ b/internal/golden/calls_test.go
@@ -51,11 +51,11 @@
 	{"condition failed", store.ErrConflict},
 	{"not found", store.ErrNotFound},
 	{"no lease", store.ErrNoLease},
-	{"too many requests", store.ErrTooMany},
+	{"too many requests", store.ErrRateLimited},
 	{"busy", store.ErrBusy},
-	{"refused", store.ErrRefused},
-	{"too old", store.ErrTooOld},
-	{"unknown", store.ErrUnknown},
+	{"refused", store.ErrInvalidRequest},
+	{"too old", store.ErrCompacted},
+	{"unknown", store.ErrOutcomeUnknown},
 	{"no capacity", cloud.ErrNoCapacity},
 	{"cloud in trouble", cloud.ErrTrouble},
 	{"not sent", worker.ErrNotSent},
@@ -89,17 +89,17 @@
 // Calls to the state service, and what its answers mean, stay.
 func TestCallsToTheStateServiceStay(t *testing.T) {
 	client := func(transport http.RoundTripper) *store.Client { return store.NewClient("state:1", transport) }
-	conditions, changes := []store.Cond{filled[store.Cond]()}, []store.Op{filled[store.Op]()}
+	conditions, changes := []store.Condition{filled[store.Condition]()}, []store.Operation{filled[store.Operation]()}
 	item := `{"k":"sf/j/run-000412","value":{"n":1},"stamp":7,"ticket":8}`
 	multi := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		stamp, failed, err := client(transport).Multi(ctx, conditions, changes)
+		stamp, failed, err := client(transport).Transact(ctx, conditions, changes)
 		return []any{stamp, failed}, err
 	}
 	grant := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		return client(transport).Grant(ctx, 2500*time.Millisecond)
+		return client(transport).GrantLease(ctx, 2500*time.Millisecond)
 	}
 	renew := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		return nil, client(transport).Renew(ctx, 8)
+		return nil, client(transport).RenewLease(ctx, 8)
 	}
 	get := func(ctx context.Context, transport http.RoundTripper) (any, error) {
 		return client(transport).Get(ctx, store.JobKey("run-000412"))
@@ -113,7 +113,7 @@
 		return []any{items, epoch}, err
 	}
 	end := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		return nil, client(transport).End(ctx, 8)
+		return nil, client(transport).RevokeLease(ctx, 8)
 	}
 	recordCalls(t, "calls/state.txt", []call{
 		{"get", 200, item, get},
@@ -141,7 +141,7 @@
 		return client(transport).Catalog(ctx)
 	}
 	rent := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		return client(transport).Rent(ctx, filled[api.Rental]())
+		return client(transport).Rent(ctx, filled[api.InstanceRequest]())
 	}
 	giveBack := func(ctx context.Context, transport http.RoundTripper) (any, error) {
 		return nil, client(transport).Return(ctx, []string{"n-000001", "n-000002"})
@@ -164,7 +164,7 @@
 // Commands that go directly to a worker, and what its answers mean, stay.
 func TestCallsToWorkersStay(t *testing.T) {
 	send := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		report, executed, err := worker.New(transport).Send(ctx, "worker-0:9000", filled[api.Orders]())
+		report, executed, err := worker.New(transport).Send(ctx, "worker-0:9000", filled[api.HeartbeatResponse]())
 		return []any{report, executed}, err
 	}
 	recordCalls(t, "calls/worker.txt", []call{
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -96,8 +96,8 @@
 	fmt.Fprintf(&out, "version %d\n", m.Version())
 	for _, d := range m.Domains() {
 		in := "nothing"
-		if d.In != nil {
-			in = d.In.Name
+		if d.Parent != nil {
+			in = d.Parent.Name
 		}
 		fmt.Fprintf(&out, "%s %s in %s, machines %q\n", d.Level, d.Name, in, d.Patterns())
 	}
--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -34,27 +34,27 @@
 
 // memory is what a controller knows of cancellations, and what it is told of them.
 type memory struct {
-	says watermark.Saying
-	told chan watermark.Saying
+	says watermark.Statement
+	told chan watermark.Statement
 	// asked gets what each question says that the other one has.
 	asked chan [2]uint64
 }
 
 func newMemory() *memory {
-	return &memory{says: filled[watermark.Saying](), told: make(chan watermark.Saying, 1), asked: make(chan [2]uint64, 1)}
+	return &memory{says: filled[watermark.Statement](), told: make(chan watermark.Statement, 1), asked: make(chan [2]uint64, 1)}
 }
 
 // Have tells what this controller has of the other's.
-func (m *memory) Have(string) (life, have uint64, ok bool) { return 1234, 56, true }
+func (m *memory) Position(string) (life, have uint64, ok bool) { return 1234, 56, true }
 
 // Say gives all there is.
-func (m *memory) Say(life, have uint64) (watermark.Saying, bool) {
+func (m *memory) Statement(life, have uint64) (watermark.Statement, bool) {
 	m.asked <- [2]uint64{life, have}
 	return m.says, true
 }
 
 // Heard takes word in.
-func (m *memory) Heard(_ string, _ time.Time, s watermark.Saying) { m.told <- s }
+func (m *memory) ApplyStatement(_ string, _ time.Time, s watermark.Statement) { m.told <- s }
 
 // wireEnd is the other end of a controller's connection.
 type wireEnd struct {
@@ -139,9 +139,9 @@
 }
 
 // dial is the wire to a controller that asks, and the controller.
-func dial(t *testing.T, words peer.Watermarks) (*wireEnd, *peer.Net, chan membership.Observation) {
+func dial(t *testing.T, words peer.Watermarks) (*wireEnd, *peer.Network, chan membership.Observation) {
 	t.Helper()
-	n := peer.New([]settings.Sibling{{Member: "n1", Address: "10.0.0.2:7000"}}, clockwork.NewFakeClock(), filled[peer.Hello], nil)
+	n := peer.New([]settings.Peer{{Member: "n1", Address: "10.0.0.2:7000"}}, clockwork.NewFakeClock(), filled[peer.Hello], nil)
 	n.Watermarks = words
 	here, there := net.Pipe()
 	conns := make(chan net.Conn, 1)
@@ -155,7 +155,7 @@
 		}
 	}
 	seen := make(chan membership.Observation, 64)
-	n.Told = func(o membership.Observation) { seen <- o }
+	n.OnObservation = func(o membership.Observation) { seen <- o }
 	n.Run(t.Context())
 	return newWireEnd(t, here), n, seen
 }
@@ -172,10 +172,10 @@
 }
 
 // greetingSeen waits until a greeting is taken in.
-func greetingSeen(t *testing.T, seen <-chan membership.Observation) membership.Greeting {
+func greetingSeen(t *testing.T, seen <-chan membership.Observation) membership.Hello {
 	t.Helper()
 	for {
-		if g, ok := receive(t, seen).(membership.Greeting); ok {
+		if g, ok := receive(t, seen).(membership.Hello); ok {
 			return g
 		}
 	}
@@ -217,13 +217,13 @@
 	wire, n, seen := dial(t, words)
 	wire.read()
 	wire.send(frameWord)
-	if got, want := receive(t, words.told), filled[watermark.Saying](); !reflect.DeepEqual(got, want) {
+	if got, want := receive(t, words.told), filled[watermark.Statement](); !reflect.DeepEqual(got, want) {
 		t.Errorf("word is read as %+v, want %+v", got, want)
 	}
 	greetingSeen(t, seen)
 	want := filled[peer.Hello]()
 	want.Member = "n1"
-	if got := n.Alive(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
+	if got := n.LivePeers(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 		t.Errorf("greetings are read as %+v, want %+v", got, want)
 	}
 }
@@ -234,7 +234,7 @@
 	wire.read()
 	wire.send(frameGreeting)
 	greetingSeen(t, seen)
-	answers := make(chan peer.Answer, 1)
+	answers := make(chan peer.Response, 1)
 	go func() {
 		a, err := n.Ask(t.Context(), "n1", filled[peer.Request](), frameWait)
 		if err == nil {
@@ -245,7 +245,7 @@
 	wire.expect(frameGreeting)
 	wire.expect(frameRequest)
 	wire.send(frameReply)
-	if got, want := receive(t, answers), filled[peer.Answer](); !reflect.DeepEqual(got, want) {
+	if got, want := receive(t, answers), filled[peer.Response](); !reflect.DeepEqual(got, want) {
 		t.Errorf("the answer is read as %+v, want %+v", got, want)
 	}
 }
@@ -253,9 +253,9 @@
 // The other controller reads the request as it was asked, and answers.
 func TestRequestsAreReadAndAnswered(t *testing.T) {
 	requests := make(chan peer.Request, 1)
-	wire := serve(t, nil, func(_ context.Context, r peer.Request) peer.Answer {
+	wire := serve(t, nil, func(_ context.Context, r peer.Request) peer.Response {
 		requests <- r
-		return filled[peer.Answer]()
+		return filled[peer.Response]()
 	})
 	wire.send(frameRequest)
 	if got, want := receive(t, requests), filled[peer.Request](); !reflect.DeepEqual(got, want) {
--- a/internal/golden/http_test.go
+++ b/internal/golden/http_test.go
@@ -17,15 +17,15 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
+	"switchferry/connlimit"
 	"switchferry/controller"
 	"switchferry/features"
 	"switchferry/httpapi"
-	"switchferry/internal/pack"
-	"switchferry/internal/standin"
+	"switchferry/internal/compress"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
 	"switchferry/settings"
-	"switchferry/sockets"
 	"switchferry/topology"
 )
 
@@ -76,18 +76,18 @@
 
 // recorder notes which verb a path has between controllers.
 type recorder struct {
-	httpapi.Node
+	httpapi.Controller
 	last string
 }
 
 // Handle passes the request on.
-func (r *recorder) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Answer {
+func (r *recorder) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	r.last = strings.TrimSpace(request.Verb + " " + request.Job)
-	return r.Node.Handle(ctx, request, forwarded)
+	return r.Controller.Handle(ctx, request, forwarded)
 }
 
 // startController runs a controller with all features on against stand-ins. It ends with stop.
-func startController(t *testing.T) (node *controller.Node, stop func()) {
+func startController(t *testing.T) (node *controller.Controller, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	clock := clockwork.NewRealClock()
@@ -105,11 +105,11 @@
 	}
 	var types []api.MachineType
 	decode(t, golden(t, "http/catalog.json"), &types)
-	cloud := standin.NewCloud(clock, types, 20)
+	cloud := fake.NewCloud(clock, types, 20)
 	cloud.Add("m8", "a", false)
-	node = controller.NewNode(ctx, set, policy.Default(), clock, services{standin.NewState(clock), cloud, time.Now().Add(cloudOpens)})
+	node = controller.New(ctx, set, policy.Default(), clock, services{fake.NewState(clock), cloud, time.Now().Add(cloudOpens)})
 	node.Enable(on)
-	node.PlaceBy(where)
+	node.UseTopologyFile(where)
 	back, done := make(silentPort), make(chan struct{})
 	go func() { node.Run(back); close(done) }()
 	return node, func() {
@@ -124,7 +124,7 @@
 // used outside.
 func warmCompression(t *testing.T) {
 	t.Helper()
-	for _, text := range []func(any) (string, error){pack.Fast, pack.Small} {
+	for _, text := range []func(any) (string, error){compress.EncodeFast, compress.EncodeSmall} {
 		if _, err := text(nil); err != nil {
 			t.Fatal(err)
 		}
@@ -158,8 +158,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		node, stop := startController(t)
 		defer stop()
-		seen := &recorder{Node: node}
-		handler := httpapi.New(seen, sockets.NewBudget(0))
+		seen := &recorder{Controller: node}
+		handler := httpapi.New(seen, connlimit.NewLimiter(0))
 		var transcript bytes.Buffer
 		for line := range strings.Lines(string(golden(t, "http/requests.txt"))) {
 			line = strings.TrimSuffix(line, "\n")
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -11,10 +11,11 @@
 
 	"switchferry/api"
 	"switchferry/configuration"
-	"switchferry/configuration/keeper"
+	"switchferry/configuration/revisions"
 	"switchferry/controller"
 	"switchferry/dataset"
 	"switchferry/membership"
+	"switchferry/scheduler"
 	"switchferry/store"
 )
 
@@ -27,13 +28,13 @@
 	of[api.JobStatus]("job-status"),
 	of[api.Error]("error"),
 	of[api.TaskReport]("task-report"),
-	of[api.Report]("report"),
+	of[api.Heartbeat]("report"),
 	of[api.Command]("command"),
-	of[api.Orders]("orders"),
+	of[api.HeartbeatResponse]("orders"),
 	of[api.Redirect]("redirect"),
 	of[api.MachineType]("machine-type"),
-	of[api.Rental]("rental"),
-	of[api.CloudMachine]("cloud-machine"),
+	of[api.InstanceRequest]("rental"),
+	of[api.Instance]("cloud-machine"),
 	of[api.StageSource]("stage-source"),
 	of[api.StageCopy]("stage-copy"),
 	of[api.StageSet]("stage-set"),
@@ -41,13 +42,13 @@
 	of[api.StageHeld]("stage-held"),
 	of[api.StageFailure]("stage-failure"),
 	of[api.StageProgress]("stage-progress"),
-	of[api.StageReport]("stage-report"),
+	of[api.StageHeartbeat]("stage-report"),
 	of[api.TopologyView]("topology-view"),
 	of[api.ReservedView]("reserved-view"),
 	of[api.DomainView]("domain-view"),
 	of[api.WaitingView]("waiting-view"),
 	of[api.Explanation]("explanation"),
-	of[api.Stand]("stand"),
+	of[api.TaskLocation]("stand"),
 	of[api.ConfigurationRequest]("configuration-request"),
 	of[api.ConfigurationView]("configuration-view"),
 	of[api.ConfigurationMistake]("configuration-mistake"),
@@ -64,18 +65,18 @@
 func TestMessagesOfOtherPackagesStayOnTheWire(t *testing.T) {
 	pinAll(t, "messages", []message{
 		of[membership.View]("member-view"),
-		of[controller.DataView]("data-view"),
-		of[controller.DatasetView]("dataset-view"),
-		of[controller.CopyView]("copy-view"),
+		of[scheduler.DataView]("data-view"),
+		of[scheduler.DatasetView]("dataset-view"),
+		of[scheduler.CopyView]("copy-view"),
 		of[controller.RemovalView]("removal-view"),
-		of[keeper.Answer]("configuration-answer"),
+		of[revisions.Answer]("configuration-answer"),
 		of[configuration.Difference]("configuration-difference"),
-		of[configuration.Mistake]("document-mistake"),
+		of[configuration.FieldError]("document-mistake"),
 		of[dataset.Summary]("dataset-summary"),
 		of[dataset.Manifest]("dataset-manifest"),
 		of[store.Item]("state-item"),
-		of[store.Cond]("state-condition"),
-		of[store.Op]("state-change"),
+		of[store.Condition]("state-condition"),
+		of[store.Operation]("state-change"),
 		of[store.Event]("state-event"),
 	})
 }
@@ -126,12 +127,12 @@
 // Words of the protocol that stand in values.
 func TestWordsStayOnTheWire(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{api.Array, "sweep"}, {api.Gang, "gang"}, {api.Service, "standing"},
-		{api.Pending, "pending"}, {api.Running, "running"}, {api.Done, "done"}, {api.Withdrawn, "withdrawn"},
-		{api.TaskFetching, "fetching"}, {api.TaskRunning, "running"}, {api.TaskSaving, "flushing"}, {api.TaskEnded, "ended"},
+		{api.JobArray, "sweep"}, {api.Gang, "gang"}, {api.Service, "standing"},
+		{api.Pending, "pending"}, {api.Running, "running"}, {api.Done, "done"}, {api.Cancelled, "withdrawn"},
+		{api.TaskFetching, "fetching"}, {api.TaskRunning, "running"}, {api.TaskSaving, "flushing"}, {api.TaskExited, "ended"},
 		{api.CauseDone, "done"}, {api.CauseStopped, "halted"}, {api.CauseError, "error"}, {api.CauseNoRoom, "no_room"},
 		{api.CauseBusy, "busy"}, {api.CauseUnknown, "unknown"},
-		{api.Start, "run"}, {api.Stop, "kill"}, {api.Forget, "clear"},
+		{api.CommandRun, "run"}, {api.CommandKill, "kill"}, {api.CommandClear, "clear"},
 		{api.UseAll, "all"}, {api.UseOwn, "own"},
 		{dataset.Listed, ""}, {dataset.Removing, "removing"}, {dataset.Removed, "removed"},
 		{configuration.Leave, "leave"}, {configuration.Stop, "stop"},
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -10,10 +10,10 @@
 	"github.com/RoaringBitmap/roaring/v2"
 
 	"switchferry/configuration"
-	"switchferry/courier"
 	"switchferry/fleet"
-	"switchferry/hints"
-	"switchferry/holdings"
+	"switchferry/relay"
+	"switchferry/replicas"
+	"switchferry/softstate"
 	"switchferry/store"
 )
 
@@ -69,14 +69,14 @@
 	}
 	for _, c := range []struct {
 		file     string
-		messages []courier.Message
+		messages []relay.Message
 	}{
-		{"packed/letters-whole.json", []courier.Message{{Name: "n-1", Body: json.RawMessage(`{"host":"n-1"}`)}, {Name: "n-2", Body: json.RawMessage(`{"host":"n-2"}`)}}},
-		{"packed/letters-pieces.json", []courier.Message{{Name: "n-3", Body: long}}},
+		{"packed/letters-whole.json", []relay.Message{{Name: "n-1", Body: json.RawMessage(`{"host":"n-1"}`)}, {Name: "n-2", Body: json.RawMessage(`{"host":"n-2"}`)}}},
+		{"packed/letters-pieces.json", []relay.Message{{Name: "n-3", Body: long}}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			compare(t, c.file, encode(t, letters(t, c.messages)))
-			var stored []courier.Letter
+			var stored []relay.Packet
 			decode(t, golden(t, c.file), &stored)
 			if read := messages(t, stored); !reflect.DeepEqual(read, c.messages) {
 				t.Errorf("read as %s, want %s", read, c.messages)
@@ -86,11 +86,11 @@
 }
 
 // letters packs messages.
-func letters(t *testing.T, all []courier.Message) []courier.Letter {
+func letters(t *testing.T, all []relay.Message) []relay.Packet {
 	t.Helper()
 	now := time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC)
-	outbox := courier.NewOutbox(courier.Limits{Value: smallValue, Request: 60_000, Ops: 12}, 7)
-	outbox.Begin(1873)
+	outbox := relay.NewOutbox(relay.Limits{Value: smallValue, Request: 60_000, Ops: 12}, 7)
+	outbox.Reset(1873)
 	for _, m := range all {
 		outbox.Put(m.Name, m.Body, true, now)
 	}
@@ -98,15 +98,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return batch.Letters
+	return batch.Packets
 }
 
 // messages unpacks letters.
-func messages(t *testing.T, all []courier.Letter) (out []courier.Message) {
+func messages(t *testing.T, all []relay.Packet) (out []relay.Message) {
 	t.Helper()
-	var joiner courier.Joiner
+	var joiner relay.Reassembler
 	for _, l := range all {
-		found, err := joiner.Open("n1", &l)
+		found, err := joiner.Unpack("n1", &l)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,42 +117,42 @@
 
 // The leader's letters to machines behind another controller are read by that one.
 func TestLeadersMailStaysAsStored(t *testing.T) {
-	body := json.RawMessage(encode(t, filled[store.Mail]()))
-	shelf := courier.NewShelf(courier.Limits{Value: 4096, Request: 60_000, Ops: 12})
-	letter, _, _, err := shelf.Build(1873, shelf.Part("n-1"), func(string) json.RawMessage { return body })
+	body := json.RawMessage(encode(t, filled[store.RelayedCommands]()))
+	shelf := relay.NewMailbox(relay.Limits{Value: 4096, Request: 60_000, Ops: 12})
+	letter, _, _, err := shelf.BuildPacket(1873, shelf.PacketOf("n-1"), func(string) json.RawMessage { return body })
 	if err != nil {
 		t.Fatal(err)
 	}
 	compare(t, "packed/leaders-mail.json", encode(t, letter))
 
-	var stored courier.Letter
+	var stored relay.Packet
 	decode(t, golden(t, "packed/leaders-mail.json"), &stored)
-	var reader courier.Reader
-	if err := reader.Take(store.MailKey("n1", 0), 5, &stored); err != nil {
+	var reader relay.Reader
+	if err := reader.Apply(store.MailKey("n1", 0), 5, &stored); err != nil {
 		t.Fatal(err)
 	}
-	var mail store.Mail
-	decode(t, reader.Told(1873, "n-1"), &mail)
-	if want := filled[store.Mail](); !reflect.DeepEqual(mail, want) {
+	var mail store.RelayedCommands
+	decode(t, reader.MessageFor(1873, "n-1"), &mail)
+	if want := filled[store.RelayedCommands](); !reflect.DeepEqual(mail, want) {
 		t.Errorf("read as %+v, want %+v", mail, want)
 	}
 }
 
 // Which machine holds which parts of datasets is packed into a hint for the next leader.
 func TestHoldingsStayAsStored(t *testing.T) {
-	index := holdings.New()
+	index := replicas.New()
 	parts := roaring.BitmapOf(1, 2, 7)
-	index.Take("n-1", map[string]holdings.Holding{"inventory-7": {Parts: parts, Of: 9}})
-	number := func(name string) (holdings.Machine, bool) { return index.Machine(name), true }
-	hint, told, err := holdings.PackHint(index.Snapshot(), []string{"n-1"}, number, 4096)
+	index.Set("n-1", map[string]replicas.Replica{"inventory-7": {Parts: parts, Of: 9}})
+	number := func(name string) (replicas.MachineID, bool) { return index.ID(name), true }
+	hint, told, err := replicas.EncodeHint(index.Snapshot(), []string{"n-1"}, number, 4096)
 	if err != nil || told != 1 {
 		t.Fatalf("%d machines in the hint, %v", told, err)
 	}
 	compare(t, "packed/holdings.json", encode(t, hint))
 
-	var stored holdings.Hint
+	var stored replicas.Hint
 	decode(t, golden(t, "packed/holdings.json"), &stored)
-	held, err := stored.Unpack()
+	held, err := stored.Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,12 +163,12 @@
 
 // Which machine holds which images is a record that shares the images' names.
 func TestImagesStayAsStored(t *testing.T) {
-	machines := []hints.Machine{
+	machines := []softstate.Machine{
 		{Name: "n-1", Images: []fleet.Image{{Name: "img-07", GB: 6.5}, {Name: "img-08", GB: 2}}},
 		{Name: "n-2", Images: []fleet.Image{{Name: "img-08", GB: 2}}},
 	}
-	compare(t, "packed/images.json", encode(t, hints.Pack(machines, 4096)))
-	held, err := hints.Unpack(golden(t, "packed/images.json"))
+	compare(t, "packed/images.json", encode(t, softstate.EncodeImages(machines, 4096)))
+	held, err := softstate.DecodeImages(golden(t, "packed/images.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"switchferry/configuration"
-	"switchferry/courier"
 	"switchferry/dataset"
-	"switchferry/holdings"
+	"switchferry/relay"
+	"switchferry/replicas"
 	"switchferry/store"
 	"switchferry/tuning"
 	"switchferry/upgrade"
@@ -16,18 +16,18 @@
 // Records in the state service are read and written as the version in production does.
 func TestRecordsStayAsStored(t *testing.T) {
 	pinAll(t, "records", []message{
-		of[store.Leader]("leader"),
+		of[store.LeaderRecord]("leader"),
 		of[store.JobRecord]("job"),
 		of[store.ShardRecord]("shard"),
 		of[store.FinalRecord]("final"),
 		of[store.InboxRecord]("inbox"),
 		of[store.ImagesRecord]("images"),
-		of[holdings.Hint]("holdings"),
+		of[replicas.Hint]("holdings"),
 		of[dataset.Entry]("dataset"),
-		of[courier.Letter]("letter"),
-		of[courier.Message]("letter-message"),
-		of[store.Mail]("mail"),
-		of[upgrade.Mark]("version-mark"),
+		of[relay.Packet]("letter"),
+		of[relay.Message]("letter-message"),
+		of[store.RelayedCommands]("mail"),
+		of[upgrade.VersionMark]("version-mark"),
 		of[configuration.Head]("configuration-head"),
 		of[configuration.Part]("configuration-part"),
 		of[configuration.Revision]("configuration-revision"),
@@ -44,13 +44,13 @@
 		{store.ShardOf("run-000412", 900, tuning.ShardTasks).Key(), "sf/t/run-000412/2"},
 		{store.ShardOf("run-000412", 900, 64).Key(), "sf/t/run-000412/14.64"},
 		{store.ImagesKey(3), "sf/images/3"},
-		{store.HoldsKey(3), "sf/holds/3"},
+		{store.ReplicasKey(3), "sf/holds/3"},
 		{store.DatasetKey("inventory-7"), "sf/d/inventory-7"},
 		{store.RelayKey("n1", 3), "sf/relay/n1/3"},
 		{store.MailKey("n1", 3), "sf/mail/n1/3"},
 		{store.StageRelayKey("n1", 3), "sf/srelay/n1/3"},
 		{store.StageMailKey("n1", 3), "sf/smail/n1/3"},
-		{upgrade.MarkPrefix, "sf/version/"},
+		{upgrade.RecordPrefix, "sf/version/"},
 		{configuration.HeadKey, "sf/config/head"},
 		{configuration.PartKey(41, 2), "sf/config/r/00000041/2"},
 	} {
@@ -72,7 +72,7 @@
 // The bitmap of done tasks is text in a record.
 func TestDoneTasksStayAsStored(t *testing.T) {
 	shard := store.ShardOf("run-000412", 64, 64)
-	done := store.NewBits(200)
+	done := store.NewTaskBitmap(200)
 	for _, task := range []int{64, 67, 100} {
 		done.Set(task)
 	}
@@ -80,7 +80,7 @@
 	if got := done.Pack(shard); got != want {
 		t.Errorf("packed as %q, want %q", got, want)
 	}
-	read := store.NewBits(200)
+	read := store.NewTaskBitmap(200)
 	if err := read.Unpack(shard, want); err != nil || !bytes.Equal(read, done) {
 		t.Errorf("read as %v, %v; want %v", read, err, done)
 	}
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -17,9 +17,9 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
+	"switchferry/dataagent"
 	"switchferry/dataset"
-	"switchferry/internal/standin"
-	"switchferry/stager"
+	"switchferry/internal/fake"
 )
 
 const (
@@ -33,10 +33,10 @@
 )
 
 // startAgent runs an agent over a folder until the test ends, or end is called.
-func startAgent(t *testing.T, dir, store string) (a *stager.Agent, end func()) {
+func startAgent(t *testing.T, dir, store string) (a *dataagent.Agent, end func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	a, err := stager.New(ctx, stager.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, Quota: agentQuota, Store: store, Clock: clockwork.NewRealClock()})
+	a, err := dataagent.New(ctx, dataagent.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, CacheBytes: agentQuota, Store: store, Clock: clockwork.NewRealClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 }
 
 // pinnedParts are the parts of a dataset that an agent keeps.
-func pinnedParts(a *stager.Agent, name string) uint64 {
+func pinnedParts(a *dataagent.Agent, name string) uint64 {
 	for _, held := range a.Report(false).Pinned {
 		if held.Dataset == name {
 			return held.Parts.GetCardinality()
@@ -56,7 +56,7 @@
 }
 
 // awaitParts waits until an agent keeps so many parts of a dataset.
-func awaitParts(t *testing.T, a *stager.Agent, name string, parts uint64) {
+func awaitParts(t *testing.T, a *dataagent.Agent, name string, parts uint64) {
 	t.Helper()
 	for end := time.Now().Add(agentPatience); pinnedParts(a, name) != parts; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -68,7 +68,7 @@
 // stage has an agent over a folder copy parts 0 and 1 of a dataset of two chunks a part, and leaves a chunk half copied.
 func stage(t *testing.T, dir string) {
 	t.Helper()
-	objects := standin.NewObjects()
+	objects := fake.NewObjects()
 	manifest, digest := objects.Add("inventory-7", []byte(storeData), storeChunk, 2)
 	server := httptest.NewServer(objects)
 	defer server.Close()
@@ -89,7 +89,7 @@
 // leaveHalf leaves a chunk of which some bytes are there.
 func leaveHalf(t *testing.T, dir string) {
 	t.Helper()
-	cache, err := stager.OpenCache(dir, agentQuota, nil)
+	cache, err := dataagent.OpenCache(dir, agentQuota, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -62,7 +62,7 @@
 	for ctx.Err() == nil {
 		recorded = recorded || r.RecordOwn(ctx)
 		for _, member := range r.Older() {
-			if item, err := r.client.Get(ctx, recordPrefix+member); err == nil {
+			if item, err := r.client.Get(ctx, RecordPrefix+member); err == nil {
 				r.observeRecord(member, item)
 			}
 		}
@@ -92,7 +92,7 @@
 // does not know live configuration, or has it off. A record that cannot be decoded counts as missing.
 func (r *VersionRegistry) WithoutConfiguration(ctx context.Context) (without []string, err error) {
 	for _, member := range r.members {
-		item, err := r.client.Get(ctx, recordPrefix+member)
+		item, err := r.client.Get(ctx, RecordPrefix+member)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return nil, fmt.Errorf("reading the version record of %s: %w", member, err)
 		}
@@ -107,7 +107,7 @@
 // RecordOwn writes the version record of this controller unless it is as it should be, and returns whether it
 // was found so. After a write it returns false: whether the write was executed is known by the next call.
 func (r *VersionRegistry) RecordOwn(ctx context.Context) bool {
-	key := recordPrefix + r.member
+	key := RecordPrefix + r.member
 	item, err := r.client.Get(ctx, key)
 	var mark VersionMark
 	if err == nil && json.Unmarshal(item.Value, &mark) == nil && mark.Data >= DataVersion && mark.Configuration == r.Configuration {
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -21,8 +21,8 @@
 	FrameVersion = 2
 )
 
-// recordPrefix is the prefix of the version records, which hold one VersionMark for each member.
-const recordPrefix = "sf/version/"
+// RecordPrefix is the prefix of the version records, which hold one VersionMark for each member.
+const RecordPrefix = "sf/version/"
 
 // VersionMark is the version record of a member. A process writes it before it does anything that an older one
 // would misread. A platform that has replaced a member's program does not start an older one again, so the
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -58,12 +58,12 @@
 			state, registry := newTestRegistry("n0")
 			registry.Configuration = test.configuration
 			if test.stored != nil {
-				state.Put(recordPrefix+"n0", test.stored)
+				state.Put(RecordPrefix+"n0", test.stored)
 			}
 			if registry.RecordOwn(t.Context()) {
 				t.Error("recorded before it was read")
 			}
-			if got := string(state.Get(recordPrefix + "n0")); got != test.want {
+			if got := string(state.Get(RecordPrefix + "n0")); got != test.want {
 				t.Errorf("stored %s, want %s", got, test.want)
 			}
 			if !registry.RecordOwn(t.Context()) || slices.Contains(registry.Older(), "n0") {
@@ -77,14 +77,14 @@
 // cannot be read, nothing is.
 func TestMembersWithoutConfiguration(t *testing.T) {
 	state, registry := newTestRegistry("n0")
-	state.Put(recordPrefix+"n0", VersionMark{Data: DataVersion, Configuration: true})
-	state.Put(recordPrefix+"n1", "not a record")
+	state.Put(RecordPrefix+"n0", VersionMark{Data: DataVersion, Configuration: true})
+	state.Put(RecordPrefix+"n1", "not a record")
 	without, err := registry.WithoutConfiguration(t.Context())
 	if err != nil || !slices.Equal(without, []string{"n1", "n2"}) {
 		t.Errorf("without configuration %v, %v", without, err)
 	}
-	state.Put(recordPrefix+"n1", VersionMark{Data: DataVersion, Configuration: true})
-	state.Put(recordPrefix+"n2", VersionMark{Data: DataVersion})
+	state.Put(RecordPrefix+"n1", VersionMark{Data: DataVersion, Configuration: true})
+	state.Put(RecordPrefix+"n2", VersionMark{Data: DataVersion})
 	without, err = registry.WithoutConfiguration(t.Context())
 	if err != nil || !slices.Equal(without, []string{"n2"}) {
 		t.Errorf("without configuration %v, %v", without, err)
