--- a/watermark/watermark.go
+++ b/watermark/watermark.go
@@ -32,7 +32,7 @@
 	// gone, since it was noted before its user was told.
 	MaxAge time.Duration
 	// Retention is how long one is remembered: over MaxAge, so that siblings do not hand each other what they
-	// have forgotten.
+	// receivedSeq forgotten.
 	Retention time.Duration
 }
 
@@ -60,290 +60,290 @@
 	Age time.Duration
 }
 
-// sibling is what is known of another controller.
-type sibling struct {
-	life uint64
-	// first is when this life's first answer came: it began before that.
-	first time.Time
-	// have is the last of its cancellations that was taken in; confirmed is when the last question was
+// peerState is what is known of another controller.
+type peerState struct {
+	incarnation uint64
+	// firstAnswerAt is when this life's first answer came: it began before that.
+	firstAnswerAt time.Time
+	// receivedSeq is the last of its cancellations that was taken in; confirmed is when the last question was
 	// sent whose answer gave all there were.
-	have      uint64
-	confirmed time.Time
+	receivedSeq uint64
+	confirmedAt time.Time
 }
 
 // Tracker is one process's knowledge.
 type Tracker struct {
 	limits Limits
 
-	mu   sync.Mutex
-	life uint64
-	born time.Time
-	// mark: all that anyone told before it is here.
-	mark time.Time
-	told map[string]*cancelled
-	// log has them in the order in which they came to be known.
-	log    []*cancelled
-	latest uint64
-	swept  time.Time
-	// siblings has an entry for each, nil until it was heard.
-	siblings map[string]*sibling
+	mu          sync.Mutex
+	incarnation uint64
+	startedAt   time.Time
+	// completeUntil: all that anyone told before it is here.
+	completeUntil time.Time
+	byJob         map[string]*cancellation
+	// ordered has them in the order in which they came to be known.
+	ordered    []*cancellation
+	latestSeq  uint64
+	lastExpiry time.Time
+	// peers has an entry for each, nil until it was heard.
+	peers map[string]*peerState
 }
 
-type cancelled struct {
-	job string
-	at  time.Time
-	seq uint64
+type cancellation struct {
+	job            string
+	acknowledgedAt time.Time
+	seq            uint64
 }
 
 // New makes the book of a process that begins now, beside these siblings.
-func New(now time.Time, siblings []string, l Limits) *Tracker {
-	b := &Tracker{limits: l, siblings: map[string]*sibling{}}
-	for _, s := range siblings {
-		b.siblings[s] = nil
+func New(now time.Time, peers []string, limits Limits) *Tracker {
+	t := &Tracker{limits: limits, peers: map[string]*peerState{}}
+	for _, name := range peers {
+		t.peers[name] = nil
 	}
-	b.begin(now)
-	return b
+	t.reset(now)
+	return t
 }
 
-// begin forgets all; the lock is held, or nobody else is there yet.
-func (b *Tracker) begin(now time.Time) {
-	b.life, b.born, b.mark = rand.Uint64()|1, now, time.Time{}
-	b.told, b.log, b.latest = map[string]*cancelled{}, nil, 0
-	for name := range b.siblings {
-		b.siblings[name] = nil
+// reset forgets all; the lock is held, or nobody else is there yet.
+func (t *Tracker) reset(now time.Time) {
+	t.incarnation, t.startedAt, t.completeUntil = rand.Uint64()|1, now, time.Time{}
+	t.byJob, t.ordered, t.latestSeq = map[string]*cancellation{}, nil, 0
+	for name := range t.peers {
+		t.peers[name] = nil
 	}
 }
 
 // RecordCancellation notes a cancellation that a user is about to be told, or may be told by whoever reads its record
 // from now on. It is called before either can happen.
-func (b *Tracker) RecordCancellation(now time.Time, job string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.take(now, job, now)
+func (t *Tracker) RecordCancellation(now time.Time, jobID string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.record(now, jobID, now)
 }
 
-// take notes a cancellation of that time. One that is known already is said again only if it was told
+// record notes a cancellation of that time. One that is known already is said again only if it was told
 // again a good while later: its tasks have that much longer.
-func (b *Tracker) take(now time.Time, job string, at time.Time) {
-	b.sweep(now)
-	if c := b.told[job]; c != nil {
-		if at.Sub(c.at) < tuning.CancellationAgain {
+func (t *Tracker) record(now time.Time, jobID string, acknowledgedAt time.Time) {
+	t.removeExpired(now)
+	if known := t.byJob[jobID]; known != nil {
+		if acknowledgedAt.Sub(known.acknowledgedAt) < tuning.CancellationAgain {
 			return
 		}
-		b.log = slices.DeleteFunc(b.log, func(x *cancelled) bool { return x == c })
+		t.ordered = slices.DeleteFunc(t.ordered, func(c *cancellation) bool { return c == known })
 	}
-	if len(b.told) >= tuning.CancellationsKept {
+	if len(t.byJob) >= tuning.CancellationsKept {
 		// What is forgotten here cannot be confirmed for: as if the process had ended.
-		b.begin(now)
+		t.reset(now)
 	}
-	b.latest++
-	c := &cancelled{job, at, b.latest}
-	b.told[job], b.log = c, append(b.log, c)
+	t.latestSeq++
+	recorded := &cancellation{jobID, acknowledgedAt, t.latestSeq}
+	t.byJob[jobID], t.ordered = recorded, append(t.ordered, recorded)
 }
 
-// sweep forgets what has been due for long.
-func (b *Tracker) sweep(now time.Time) {
-	if now.Sub(b.swept) < tuning.CancellationSweep {
+// removeExpired forgets what has been due for long.
+func (t *Tracker) removeExpired(now time.Time) {
+	if now.Sub(t.lastExpiry) < tuning.CancellationSweep {
 		return
 	}
-	b.swept = now
-	b.log = slices.DeleteFunc(b.log, func(c *cancelled) bool {
-		old := now.Sub(c.at) > b.limits.Retention
-		if old {
-			delete(b.told, c.job)
+	t.lastExpiry = now
+	t.ordered = slices.DeleteFunc(t.ordered, func(c *cancellation) bool {
+		expired := now.Sub(c.acknowledgedAt) > t.limits.Retention
+		if expired {
+			delete(t.byJob, c.job)
 		}
-		return old
+		return expired
 	})
 }
 
 // MarkCurrent notes that all that anyone told before a moment has been noted here.
-func (b *Tracker) MarkCurrent(at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.certain(at)
+func (t *Tracker) MarkCurrent(moment time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.advanceTo(moment)
 }
 
-func (b *Tracker) certain(at time.Time) {
-	if at.After(b.mark) {
-		b.mark = at
+func (t *Tracker) advanceTo(moment time.Time) {
+	if moment.After(t.completeUntil) {
+		t.completeUntil = moment
 	}
 }
 
 // Position is what to ask a sibling with: which life of it is known, and up to where its word.
-func (b *Tracker) Position(member string) (life, have uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.siblings[member]; s != nil {
-		return s.life, s.have
+func (t *Tracker) Position(member string) (incarnation, receivedSeq uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if peer := t.peers[member]; peer != nil {
+		return peer.incarnation, peer.receivedSeq
 	}
 	return 0, 0
 }
 
 // Statement answers whoever knows a life's word up to there.
-func (b *Tracker) Statement(now time.Time, life, have uint64) Statement {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sweep(now)
-	if life != b.life || have > b.latest {
-		have = 0
+func (t *Tracker) Statement(now time.Time, incarnation, receivedSeq uint64) Statement {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.removeExpired(now)
+	if incarnation != t.incarnation || receivedSeq > t.latestSeq {
+		receivedSeq = 0
 	}
-	s := Statement{Incarnation: b.life, From: have, To: b.latest, Latest: b.latest}
-	at, _ := slices.BinarySearchFunc(b.log, have+1, func(c *cancelled, seq uint64) int {
+	statement := Statement{Incarnation: t.incarnation, From: receivedSeq, To: t.latestSeq, Latest: t.latestSeq}
+	first, _ := slices.BinarySearchFunc(t.ordered, receivedSeq+1, func(c *cancellation, seq uint64) int {
 		if c.seq < seq {
 			return -1
 		}
 		return 1
 	})
-	for _, c := range b.log[at:] {
-		if len(s.Cancellations) == tuning.CancellationsAtOnce {
-			s.To = c.seq - 1
+	for _, c := range t.ordered[first:] {
+		if len(statement.Cancellations) == tuning.CancellationsAtOnce {
+			statement.To = c.seq - 1
 			break
 		}
-		s.Cancellations = append(s.Cancellations, Cancellation{c.job, max(0, now.Sub(c.at))})
+		statement.Cancellations = append(statement.Cancellations, Cancellation{c.job, max(0, now.Sub(c.acknowledgedAt))})
 	}
-	if age := max(0, now.Sub(b.mark)); !b.mark.IsZero() && age < b.limits.Retention {
-		s.Current, s.Age = true, age
+	if age := max(0, now.Sub(t.completeUntil)); !t.completeUntil.IsZero() && age < t.limits.Retention {
+		statement.Current, statement.Age = true, age
 	}
-	return s
+	return statement
 }
 
 // ApplyStatement takes in what a sibling answered, now, to a question of that time. An error tells what of it is
 // not believed; what is believed only ever adds to what is known.
-func (b *Tracker) ApplyStatement(now time.Time, member string, sent time.Time, s Statement) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	x, known := b.siblings[member]
+func (t *Tracker) ApplyStatement(now time.Time, member string, sentAt time.Time, statement Statement) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	peer, known := t.peers[member]
 	switch {
 	case !known:
 		return fmt.Errorf("%s is no sibling", member)
-	case s.Incarnation == 0:
+	case statement.Incarnation == 0:
 		return fmt.Errorf("says of no life")
-	case s.To < s.From || s.Latest < s.To || s.Age < 0:
-		return fmt.Errorf("says %d to %d of %d, of %v ago", s.From, s.To, s.Latest, s.Age)
-	case x != nil && x.life == s.Incarnation && s.Latest < x.have:
-		return fmt.Errorf("knows less than before: %d, was %d", s.Latest, x.have)
+	case statement.To < statement.From || statement.Latest < statement.To || statement.Age < 0:
+		return fmt.Errorf("says %d to %d of %d, of %v ago", statement.From, statement.To, statement.Latest, statement.Age)
+	case peer != nil && peer.incarnation == statement.Incarnation && statement.Latest < peer.receivedSeq:
+		return fmt.Errorf("knows less than before: %d, was %d", statement.Latest, peer.receivedSeq)
 	}
-	if x == nil || x.life != s.Incarnation {
-		x = &sibling{life: s.Incarnation, first: now}
-		b.siblings[member] = x
+	if peer == nil || peer.incarnation != statement.Incarnation {
+		peer = &peerState{incarnation: statement.Incarnation, firstAnswerAt: now}
+		t.peers[member] = peer
 	}
-	var bad error
-	for _, t := range s.Cancellations {
+	var invalid error
+	for _, reported := range statement.Cancellations {
 		switch {
-		case !api.ValidID(t.Job):
-			bad = fmt.Errorf("names a job %q", t.Job)
-		case t.Age < 0:
-			bad = fmt.Errorf("%s was told %v ahead", t.Job, -t.Age)
-		case t.Age <= b.limits.MaxAge:
-			b.take(now, t.Job, now.Add(-t.Age))
+		case !api.ValidID(reported.Job):
+			invalid = fmt.Errorf("names a job %q", reported.Job)
+		case reported.Age < 0:
+			invalid = fmt.Errorf("%s was told %v ahead", reported.Job, -reported.Age)
+		case reported.Age <= t.limits.MaxAge:
+			t.record(now, reported.Job, now.Add(-reported.Age))
 		}
 	}
-	if bad != nil {
-		return bad
+	if invalid != nil {
+		return invalid
 	}
-	if b.siblings[member] != x || s.From > x.have {
+	if t.peers[member] != peer || statement.From > peer.receivedSeq {
 		// There was too much to remember, or this says only what came after more than we have.
 		return nil
 	}
-	x.have = max(x.have, s.To)
-	if x.have < s.Latest {
+	peer.receivedSeq = max(peer.receivedSeq, statement.To)
+	if peer.receivedSeq < statement.Latest {
 		return nil
 	}
-	if sent.After(x.confirmed) {
-		x.confirmed = sent
+	if sentAt.After(peer.confirmedAt) {
+		peer.confirmedAt = sentAt
 	}
-	if s.Current {
-		b.certain(sent.Add(-s.Age - tuning.WatermarkGrain))
+	if statement.Current {
+		t.advanceTo(sentAt.Add(-statement.Age - tuning.WatermarkGrain))
 	}
-	b.advance()
+	t.advanceFromPeers()
 	return nil
 }
 
-// advance goes on from the moment up to which all is known to where every sibling has said what it told since:
+// advanceFromPeers goes on from the moment up to which all is known to where every sibling has said what it told since:
 // only if each was heard, in the life that it has, before that moment, so that neither it nor this process
 // can have had another since.
-func (b *Tracker) advance() {
-	var least time.Time
-	for _, s := range b.siblings {
-		if s == nil || s.first.After(b.mark) {
+func (t *Tracker) advanceFromPeers() {
+	var earliest time.Time
+	for _, peer := range t.peers {
+		if peer == nil || peer.firstAnswerAt.After(t.completeUntil) {
 			return
 		}
-		if least.IsZero() || s.confirmed.Before(least) {
-			least = s.confirmed
+		if earliest.IsZero() || peer.confirmedAt.Before(earliest) {
+			earliest = peer.confirmedAt
 		}
 	}
-	b.certain(least)
+	t.advanceTo(earliest)
 }
 
 // MayRenew tells whether a lease may be renewed now: the last one that is ends in time. WithoutCancelledStarts is how long
 // ago the moment is up to which all is known; negative: there is none.
-func (b *Tracker) MayRenew(now time.Time) (ok bool, without time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.siblings) == 0 && !b.mark.IsZero() && !b.born.After(b.mark) {
-		b.certain(now)
+func (t *Tracker) MayRenew(now time.Time) (allowed bool, age time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.peers) == 0 && !t.completeUntil.IsZero() && !t.startedAt.After(t.completeUntil) {
+		t.advanceTo(now)
 	}
-	if b.mark.IsZero() {
+	if t.completeUntil.IsZero() {
 		return false, -1
 	}
-	without = now.Sub(b.mark)
-	return without < b.limits.RenewFor, without
+	age = now.Sub(t.completeUntil)
+	return age < t.limits.RenewFor, age
 }
 
 // UnconfirmedPeers names the siblings that confirm nothing at present, and what for, for operators.
-func (b *Tracker) UnconfirmedPeers() (why []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.born.After(b.mark) {
-		why = append(why, "this process began since")
+func (t *Tracker) UnconfirmedPeers() (reasons []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.startedAt.After(t.completeUntil) {
+		reasons = append(reasons, "this process began since")
 	}
-	for name, s := range b.siblings {
+	for name, peer := range t.peers {
 		switch {
-		case s == nil:
-			why = append(why, name+" has said nothing")
-		case s.first.After(b.mark):
-			why = append(why, name+" may have been another process since")
-		case !s.confirmed.After(b.mark):
-			why = append(why, name+" has said nothing since")
+		case peer == nil:
+			reasons = append(reasons, name+" has said nothing")
+		case peer.firstAnswerAt.After(t.completeUntil):
+			reasons = append(reasons, name+" may have been another process since")
+		case !peer.confirmedAt.After(t.completeUntil):
+			reasons = append(reasons, name+" has said nothing since")
 		}
 	}
-	slices.Sort(why)
-	return why
+	slices.Sort(reasons)
+	return reasons
 }
 
 // KillCommands are the commands, beside those that are there, that end what a machine reports of cancelled jobs. A
 // stop is safe under any token: a cancelled job never runs again.
-func (b *Tracker) KillCommands(tasks []api.TaskReport, there []api.Command) (out []api.Command) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.told) == 0 {
+func (t *Tracker) KillCommands(tasks []api.TaskReport, pending []api.Command) (kills []api.Command) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.byJob) == 0 {
 		return nil
 	}
-	for _, t := range tasks {
-		if t.State == api.TaskExited || !b.has(t.Task) || slices.ContainsFunc(there, func(c api.Command) bool {
-			return c.Verb == api.CommandKill && c.Task == t.Task && c.Attempt == t.Attempt && c.GraceS != nil && *c.GraceS == tuning.CancelKill
+	for _, task := range tasks {
+		if task.State == api.TaskExited || !t.isCancelled(task.Task) || slices.ContainsFunc(pending, func(command api.Command) bool {
+			return command.Verb == api.CommandKill && command.Task == task.Task && command.Attempt == task.Attempt && command.GraceS != nil && *command.GraceS == tuning.CancelKill
 		}) {
 			continue
 		}
 		grace := tuning.CancelKill
-		out = append(out, api.Command{Verb: api.CommandKill, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
+		kills = append(kills, api.Command{Verb: api.CommandKill, Task: task.Task, Attempt: task.Attempt, GraceS: &grace})
 	}
-	return out
+	return kills
 }
 
 // WithoutCancelledStarts is what there is of commands without starts of cancelled jobs: some were derived before that was known.
-func (b *Tracker) WithoutCancelledStarts(there []api.Command) []api.Command {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	starts := func(c api.Command) bool { return c.Verb == api.CommandRun && b.has(c.Task) }
-	if !slices.ContainsFunc(there, starts) {
-		return there
+func (t *Tracker) WithoutCancelledStarts(pending []api.Command) []api.Command {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	startsCancelled := func(command api.Command) bool { return command.Verb == api.CommandRun && t.isCancelled(command.Task) }
+	if !slices.ContainsFunc(pending, startsCancelled) {
+		return pending
 	}
-	return slices.DeleteFunc(slices.Clone(there), starts)
+	return slices.DeleteFunc(slices.Clone(pending), startsCancelled)
 }
 
-// has tells whether a task is one of a cancelled job.
-func (b *Tracker) has(task string) bool {
-	job, _, _ := strings.Cut(task, "/")
-	return b.told[job] != nil
+// cancellation tells whether a task is one of a cancelled job.
+func (t *Tracker) isCancelled(task string) bool {
+	jobID, _, _ := strings.Cut(task, "/")
+	return t.byJob[jobID] != nil
 }
--- a/watermark/watermark_test.go
+++ b/watermark/watermark_test.go
@@ -9,214 +9,223 @@
 	"switchferry/tuning"
 )
 
-// trio is three controllers on a clock of its own. a is the one that is watched: it led for certain until
-// second 0.
-type trio struct {
-	t  *testing.T
-	at time.Time
-	of map[string]*Tracker
-	// off are those who do not reach each other, "ab".
-	off map[string]bool
+// cluster is three controllers, a, b and c, on one simulated clock. The tests observe a, which is certain to
+// have led until start.
+type cluster struct {
+	t        *testing.T
+	now      time.Time
+	trackers map[string]*Tracker
+	// disconnected has the pairs that do not reach each other, "ab" for a and b.
+	disconnected map[string]bool
 }
 
 var (
 	start  = time.Unix(1_000_000, 0)
-	limits = NewLimits(47*time.Second, 17*time.Second) // leases are renewed for 29 s without word
+	limits = NewLimits(47*time.Second, 17*time.Second) // leases are renewed for 29 s without confirmation
 )
 
-func newTrio(t *testing.T) *trio {
-	x := &trio{t: t, at: start.Add(-20 * time.Second), of: map[string]*Tracker{}, off: map[string]bool{}}
-	for _, m := range []string{"a", "b", "c"} {
-		x.begin(m)
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, now: start.Add(-20 * time.Second), trackers: map[string]*Tracker{}, disconnected: map[string]bool{}}
+	for _, member := range []string{"a", "b", "c"} {
+		c.restart(member)
 	}
-	for x.at.Before(start) {
-		x.of["a"].MarkCurrent(x.at)
-		x.second()
+	for c.now.Before(start) {
+		c.trackers["a"].MarkCurrent(c.now)
+		c.exchangeAndAdvance()
 	}
-	x.of["a"].MarkCurrent(x.at)
-	return x
+	c.trackers["a"].MarkCurrent(c.now)
+	return c
 }
 
-// begin starts a process anew.
-func (x *trio) begin(m string) {
+// restart replaces a controller by a new process that knows nothing.
+func (c *cluster) restart(member string) {
 	var others []string
-	for _, o := range []string{"a", "b", "c"} {
-		if o != m {
-			others = append(others, o)
+	for _, other := range []string{"a", "b", "c"} {
+		if other != member {
+			others = append(others, other)
 		}
 	}
-	x.of[m] = New(x.at, others, limits)
+	c.trackers[member] = New(c.now, others, limits)
 }
 
-// second lets each ask the others, and a second pass.
-func (x *trio) second() {
-	for m, b := range x.of {
-		for o, s := range x.of {
-			if o == m || x.off[m+o] || x.off[o+m] {
+// exchangeAndAdvance lets every controller apply a statement of each peer, and advances the clock by a second.
+func (c *cluster) exchangeAndAdvance() {
+	for member, tracker := range c.trackers {
+		for other, peer := range c.trackers {
+			if other == member || c.disconnected[member+other] || c.disconnected[other+member] {
 				continue
 			}
-			life, have := b.Position(o)
-			if err := b.ApplyStatement(x.at, o, x.at, s.Statement(x.at, life, have)); err != nil {
-				x.t.Errorf("%s of %s: %v", m, o, err)
+			incarnation, receivedSeq := tracker.Position(other)
+			if err := tracker.ApplyStatement(c.now, other, c.now, peer.Statement(c.now, incarnation, receivedSeq)); err != nil {
+				c.t.Errorf("%s of %s: %v", member, other, err)
 			}
 		}
 	}
-	x.at = x.at.Add(time.Second)
+	c.now = c.now.Add(time.Second)
 }
 
-// Until when a renews leases that a worker then keeps for another 17 s, and what of a cancellation told by b
-// or c it knows by then. Nobody reaches the state service from second 0 on, but where it is said.
-func TestUntilWhenLeasesAreRenewed(t *testing.T) {
+// Without confirmation by its peers a controller renews leases, each of which lasts another 17 s, for 29 s
+// and no longer. Each case also says whether a learns of a cancellation that b acknowledged. Except where a
+// case says so, no controller reaches the state service after start.
+func TestLeaseRenewalEndsWithoutConfirmation(t *testing.T) {
 	const ever = 120
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		// does is what happens at each second.
-		does func(x *trio, s int)
-		// last is the last second in which a renews; knows: it knows of run-1, if that was told.
-		last  int
+		// apply makes happen what happens at a second.
+		apply func(c *cluster, second int)
+		// last is the last second in which a renews leases.
+		last int
+		// knows is whether a learns that run-1 is cancelled.
 		knows bool
 	}{
-		{"all well", func(*trio, int) {}, ever, false},
-		{"told by another", func(x *trio, s int) {
-			if s == 5 {
-				x.of["b"].RecordCancellation(x.at, "run-1")
+		{"all well", func(*cluster, int) {}, ever, false},
+		{"told by another", func(c *cluster, second int) {
+			if second == 5 {
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, ever, true},
-		{"told by one that reaches only a third", func(x *trio, s int) {
-			x.off["ab"] = true
-			if s == 5 {
-				x.of["b"].RecordCancellation(x.at, "run-1")
+		{"told by one that reaches only a third", func(c *cluster, second int) {
+			c.disconnected["ab"] = true
+			if second == 5 {
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
-			// c confirms what b has told it.
+			// c passes on what b has stated.
 		}, ever, true},
-		{"told by one that is cut off then", func(x *trio, s int) {
-			if x.off["ab"], x.off["bc"] = s >= 5, s >= 5; s == 5 {
-				x.of["b"].RecordCancellation(x.at, "run-1")
+		{"told by one that is cut off then", func(c *cluster, second int) {
+			if c.disconnected["ab"], c.disconnected["bc"] = second >= 5, second >= 5; second == 5 {
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, 4 + 29, false},
-		{"out of reach for a while", func(x *trio, s int) { x.off["ab"], x.off["ac"] = s > 5 && s < 20, s > 5 && s < 20 }, ever, false},
-		{"out of reach one after the other", func(x *trio, s int) { x.off["ab"], x.off["ac"] = s > 5 && s < 20, s > 30 && s < 50 }, ever, false},
-		{"out of reach of both for good", func(x *trio, s int) { x.off["ab"], x.off["ac"] = s > 5, s > 5 }, 5 + 29, false},
-		{"out of reach of both for long", func(x *trio, s int) { x.off["ab"], x.off["ac"] = s > 5 && s < 60, s > 5 && s < 60 }, ever, false},
-		{"told, and back at once", func(x *trio, s int) {
-			if s == 5 {
-				x.of["b"].RecordCancellation(x.at, "run-1")
-				x.begin("b")
+		{"out of reach for a while", func(c *cluster, second int) {
+			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 20, second > 5 && second < 20
+		}, ever, false},
+		{"out of reach one after the other", func(c *cluster, second int) {
+			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 20, second > 30 && second < 50
+		}, ever, false},
+		{"out of reach of both for good", func(c *cluster, second int) { c.disconnected["ab"], c.disconnected["ac"] = second > 5, second > 5 }, 5 + 29, false},
+		{"out of reach of both for long", func(c *cluster, second int) {
+			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 60, second > 5 && second < 60
+		}, ever, false},
+		{"told, and back at once", func(c *cluster, second int) {
+			if second == 5 {
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
+				c.restart("b")
 			}
 		}, 4 + 29, false},
-		{"told, heard, and back", func(x *trio, s int) {
-			switch s {
+		{"told, heard, and back", func(c *cluster, second int) {
+			switch second {
 			case 5:
-				x.of["b"].RecordCancellation(x.at, "run-1")
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			case 7:
-				x.begin("b")
+				c.restart("b")
 			}
 		}, 6 + 29, true},
-		{"told, heard, back, and told", func(x *trio, s int) {
-			switch s {
+		{"told, heard, back, and told", func(c *cluster, second int) {
+			switch second {
 			case 3:
-				x.of["b"].RecordCancellation(x.at, "run-9")
+				c.trackers["b"].RecordCancellation(c.now, "run-9")
 			case 5:
-				x.begin("b")
-				x.of["b"].RecordCancellation(x.at, "run-1")
+				c.restart("b")
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, 4 + 29, true},
-		{"both back one after the other", func(x *trio, s int) {
-			switch s {
+		{"both back one after the other", func(c *cluster, second int) {
+			switch second {
 			case 5:
-				x.begin("b")
+				c.restart("b")
 			case 20:
-				x.begin("c")
+				c.restart("c")
 			}
 		}, 4 + 29, false},
-		{"back itself", func(x *trio, s int) {
-			if s == 10 {
-				x.begin("a")
+		{"back itself", func(c *cluster, second int) {
+			if second == 10 {
+				c.restart("a")
 			}
-			// It has what b and c know, and they know what it told before it ended at second 9.
+			// It learns what b and c know, which includes what its previous process acknowledged until second 9.
 		}, 9 + 28, false},
-		{"all back at once", func(x *trio, s int) {
-			if s == 0 {
-				x.begin("a")
-				x.begin("b")
-				x.begin("c")
+		{"all back at once", func(c *cluster, second int) {
+			if second == 0 {
+				c.restart("a")
+				c.restart("b")
+				c.restart("c")
 			}
 		}, -1, false},
-		{"one back, then a leader who is certain", func(x *trio, s int) {
+		{"one back, then a leader who is certain", func(c *cluster, second int) {
 			switch {
-			case s == 5:
-				x.begin("b")
-			case s >= 30:
-				x.of["b"].RecordCancellation(x.at, "run-1")
-				x.of["b"].MarkCurrent(x.at)
+			case second == 5:
+				c.restart("b")
+			case second >= 30:
+				c.trackers["b"].RecordCancellation(c.now, "run-1")
+				c.trackers["b"].MarkCurrent(c.now)
 			}
 		}, ever, true},
-		{"more at once than an answer holds", func(x *trio, s int) {
-			if s == 5 {
+		{"more at once than an answer holds", func(c *cluster, second int) {
+			if second == 5 {
 				for i := range 2*tuning.CancellationsAtOnce + 1 {
-					x.of["b"].RecordCancellation(x.at, fmt.Sprintf("run-%d", i+1))
+					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
 				}
 			}
 		}, ever, true},
-		{"more than can be remembered", func(x *trio, s int) {
-			if s == 5 {
+		{"more than can be remembered", func(c *cluster, second int) {
+			if second == 5 {
 				for i := range tuning.CancellationsKept + 1 {
-					x.of["b"].RecordCancellation(x.at, fmt.Sprintf("run-%d", i+1))
+					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
 				}
 			}
 		}, 4 + 29, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			x := newTrio(t)
+		t.Run(test.name, func(t *testing.T) {
+			cluster := newCluster(t)
 			last, knows := -1, false
-			for s := range ever + 1 {
-				c.does(x, s)
-				if ok, _ := x.of["a"].MayRenew(x.at.Add(-time.Millisecond)); ok {
-					last = s
-				} else if len(x.of["a"].UnconfirmedPeers()) == 0 {
-					t.Errorf("second %d: no reason why leases are not renewed", s)
+			for second := range ever + 1 {
+				test.apply(cluster, second)
+				if allowed, _ := cluster.trackers["a"].MayRenew(cluster.now.Add(-time.Millisecond)); allowed {
+					last = second
+				} else if len(cluster.trackers["a"].UnconfirmedPeers()) == 0 {
+					t.Errorf("second %d: no reason why leases are not renewed", second)
 				}
-				knows = knows || len(x.of["a"].KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0
-				x.second()
+				knows = knows || len(cluster.trackers["a"].KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0
+				cluster.exchangeAndAdvance()
 			}
-			if last != c.last || knows != c.knows {
-				t.Errorf("renewed until second %d, knows %v; want %d, %v", last, knows, c.last, c.knows)
+			if last != test.last || knows != test.knows {
+				t.Errorf("renewed until second %d, knows %v; want %d, %v", last, knows, test.last, test.knows)
 			}
 		})
 	}
 }
 
-// An answer counts from its question: with the time of its arrival, what was told in between was held for known.
-func TestAnswersCountFromTheQuestion(t *testing.T) {
-	x := newTrio(t)
-	a, b, c := x.of["a"], x.of["b"], x.of["c"]
-	lb, hb := a.Position("b")
-	lc, hc := a.Position("c")
-	sb, sc := b.Statement(x.at, lb, hb), c.Statement(x.at, lc, hc)
-	b.RecordCancellation(x.at.Add(time.Second), "run-1")
-	later := x.at.Add(10 * time.Second)
-	if err := a.ApplyStatement(later, "b", x.at, sb); err != nil {
+// A statement counts from when it was asked for. Counted from its arrival, what was acknowledged in between
+// would be taken for known.
+func TestStatementsCountFromTheirRequest(t *testing.T) {
+	cluster := newCluster(t)
+	a, b, c := cluster.trackers["a"], cluster.trackers["b"], cluster.trackers["c"]
+	incarnationB, receivedB := a.Position("b")
+	incarnationC, receivedC := a.Position("c")
+	statementB, statementC := b.Statement(cluster.now, incarnationB, receivedB), c.Statement(cluster.now, incarnationC, receivedC)
+	b.RecordCancellation(cluster.now.Add(time.Second), "run-1")
+	later := cluster.now.Add(10 * time.Second)
+	if err := a.ApplyStatement(later, "b", cluster.now, statementB); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.ApplyStatement(later, "c", x.at, sc); err != nil {
+	if err := a.ApplyStatement(later, "c", cluster.now, statementC); err != nil {
 		t.Fatal(err)
 	}
-	if ok, without := a.MayRenew(later); !ok || without < 10*time.Second {
-		t.Errorf("renews %v, word of %v ago, from answers to what was asked 10 s ago", ok, without)
+	if allowed, age := a.MayRenew(later); !allowed || age < 10*time.Second {
+		t.Errorf("renews %v, word of %v ago, from answers to what was asked 10 s ago", allowed, age)
 	}
-	// One that comes after newer ones takes nothing back.
-	x.at = later
-	x.second()
+	// A statement that arrives after a newer one changes nothing.
+	cluster.now = later
+	cluster.exchangeAndAdvance()
 	_, before := a.MayRenew(later)
-	_ = a.ApplyStatement(later, "b", start, sb)
-	if _, without := a.MayRenew(later); without != before {
-		t.Errorf("word of %v ago, was %v", without, before)
+	_ = a.ApplyStatement(later, "b", start, statementB)
+	if _, age := a.MayRenew(later); age != before {
+		t.Errorf("word of %v ago, was %v", age, before)
 	}
 }
 
-// Whatever a sibling says that cannot be true is not believed, and makes nobody renew for longer, nor names a
-// job to be stopped.
-func TestBadWordIsNotBelieved(t *testing.T) {
+// A statement that cannot be true is rejected: it neither extends the time for which leases are renewed nor
+// cancels a job.
+func TestInvalidStatementsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(s *Statement){
 		"no life":              func(s *Statement) { s.Incarnation = 0 },
 		"to before from":       func(s *Statement) { s.From, s.To = 5, 4 },
@@ -226,87 +235,87 @@
 		"no job's name":        func(s *Statement) { s.Cancellations = []Cancellation{{"run-1/0", 0}} },
 		"less than before":     func(s *Statement) { s.From, s.To, s.Latest = 0, 0, 0 },
 	} {
-		x := newTrio(t)
-		x.of["b"].RecordCancellation(x.at, "run-7")
-		x.second()
-		a, at := x.of["a"], x.at.Add(20*time.Second)
-		_, before := a.MayRenew(at)
-		life, have := a.Position("b")
-		s := x.of["b"].Statement(at, life, have)
-		s.Current, s.Age = true, 0
-		spoil(&s)
-		if err := a.ApplyStatement(at, "b", at, s); err == nil {
+		cluster := newCluster(t)
+		cluster.trackers["b"].RecordCancellation(cluster.now, "run-7")
+		cluster.exchangeAndAdvance()
+		a, later := cluster.trackers["a"], cluster.now.Add(20*time.Second)
+		_, before := a.MayRenew(later)
+		incarnation, receivedSeq := a.Position("b")
+		statement := cluster.trackers["b"].Statement(later, incarnation, receivedSeq)
+		statement.Current, statement.Age = true, 0
+		spoil(&statement)
+		if err := a.ApplyStatement(later, "b", later, statement); err == nil {
 			t.Errorf("%s: believed", name)
 		}
-		if _, without := a.MayRenew(at); without != before {
-			t.Errorf("%s: word of %v ago, was %v", name, without, before)
+		if _, age := a.MayRenew(later); age != before {
+			t.Errorf("%s: word of %v ago, was %v", name, age, before)
 		}
 		if len(a.KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0 {
 			t.Errorf("%s: stops a job that nobody cancelled", name)
 		}
 	}
-	x := newTrio(t)
-	if x.of["a"].ApplyStatement(x.at, "d", x.at, x.of["b"].Statement(x.at, 0, 0)) == nil {
+	cluster := newCluster(t)
+	if cluster.trackers["a"].ApplyStatement(cluster.now, "d", cluster.now, cluster.trackers["b"].Statement(cluster.now, 0, 0)) == nil {
 		t.Error("a stranger is believed")
 	}
-	// What is only said from further on than we have leaves a gap, and confirms nothing.
-	x.of["b"].RecordCancellation(x.at, "run-1")
-	x.of["b"].RecordCancellation(x.at, "run-2")
-	at := x.at.Add(20 * time.Second)
-	_, before := x.of["a"].MayRenew(at)
-	life, have := x.of["a"].Position("b")
-	s := x.of["b"].Statement(at, life, have+1)
-	s.Current = true
-	_ = x.of["a"].ApplyStatement(at, "b", at, s)
-	if _, without := x.of["a"].MayRenew(at); without != before {
-		t.Errorf("word of %v ago from an answer with a gap, was %v", without, before)
+	// A statement that begins after what was received leaves a gap, and confirms nothing.
+	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1")
+	cluster.trackers["b"].RecordCancellation(cluster.now, "run-2")
+	later := cluster.now.Add(20 * time.Second)
+	_, before := cluster.trackers["a"].MayRenew(later)
+	incarnation, receivedSeq := cluster.trackers["a"].Position("b")
+	statement := cluster.trackers["b"].Statement(later, incarnation, receivedSeq+1)
+	statement.Current = true
+	_ = cluster.trackers["a"].ApplyStatement(later, "b", later, statement)
+	if _, age := cluster.trackers["a"].MayRenew(later); age != before {
+		t.Errorf("word of %v ago from an answer with a gap, was %v", age, before)
 	}
 }
 
-// A cancellation is remembered until its tasks are gone for certain, counted from when it was told last, and
-// then by nobody, however often siblings hand it to each other.
-func TestCancellationsAreForgotten(t *testing.T) {
-	x := newTrio(t)
-	stops := func(m string) bool {
-		return len(x.of[m].KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0
+// A cancellation is remembered until its tasks are certain to be gone, counted from its last acknowledgement.
+// After that every controller forgets it, however often peers have passed it on to each other.
+func TestCancellationsExpire(t *testing.T) {
+	cluster := newCluster(t)
+	stops := func(member string) bool {
+		return len(cluster.trackers[member].KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0
 	}
-	x.of["b"].RecordCancellation(x.at, "run-1")
+	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1")
 	for range 30 {
-		x.second()
+		cluster.exchangeAndAdvance()
 	}
-	x.of["b"].RecordCancellation(x.at, "run-1") // its record was stored only now
+	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1") // its record was stored only now
 	for s := range 140 {
-		x.second()
-		for m := range x.of {
-			if s < 47 && !stops(m) {
-				t.Fatalf("%s has forgotten after %d s", m, s)
+		cluster.exchangeAndAdvance()
+		for member := range cluster.trackers {
+			if s < 47 && !stops(member) {
+				t.Fatalf("%s has forgotten after %d s", member, s)
 			}
-			if s > 70 && stops(m) {
-				t.Fatalf("%s still remembers after %d s", m, s)
+			if s > 70 && stops(member) {
+				t.Fatalf("%s still remembers after %d s", member, s)
 			}
 		}
 	}
 }
 
-// What is on the machine of a cancelled job is ended, and nothing else, and nothing twice.
-func TestStops(t *testing.T) {
-	b := New(start, nil, limits)
-	b.RecordCancellation(start, "run-1")
-	slow, now := 10.0, tuning.CancelKill
+// Every running task of a cancelled job is killed at once, no other task is, and none is killed twice.
+func TestKillCommandsCoverOnlyCancelledJobs(t *testing.T) {
+	tracker := New(start, nil, limits)
+	tracker.RecordCancellation(start, "run-1")
+	slowGrace, noGrace := 10.0, tuning.CancelKill
 	tasks := []api.TaskReport{{Task: "run-1/0", Attempt: 3, State: api.TaskRunning}, {Task: "run-1/1", Attempt: 4, State: api.TaskFetching},
 		{Task: "run-1/2", Attempt: 5, State: api.TaskExited}, {Task: "run-1/3", Attempt: 6, State: api.TaskSaving}, {Task: "run-1/4", Attempt: 7, State: api.TaskRunning}, {Task: "run-12/0", Attempt: 8, State: api.TaskRunning}}
-	got := b.KillCommands(tasks, []api.Command{{Verb: api.CommandKill, Task: "run-1/3", Attempt: 6, GraceS: &slow}, {Verb: api.CommandKill, Task: "run-1/4", Attempt: 7, GraceS: &now}})
+	got := tracker.KillCommands(tasks, []api.Command{{Verb: api.CommandKill, Task: "run-1/3", Attempt: 6, GraceS: &slowGrace}, {Verb: api.CommandKill, Task: "run-1/4", Attempt: 7, GraceS: &noGrace}})
 	want := []string{"run-1/0 3", "run-1/1 4", "run-1/3 6"}
 	if len(got) != len(want) {
 		t.Fatalf("%+v", got)
 	}
-	for i, c := range got {
-		if fmt.Sprint(c.Task, " ", c.Attempt) != want[i] || c.Verb != api.CommandKill || *c.GraceS != 0 {
-			t.Errorf("%+v, want %s", c, want[i])
+	for i, command := range got {
+		if fmt.Sprint(command.Task, " ", command.Attempt) != want[i] || command.Verb != api.CommandKill || *command.GraceS != 0 {
+			t.Errorf("%+v, want %s", command, want[i])
 		}
 	}
-	mail := []api.Command{{Verb: api.CommandRun, Task: "run-1/5"}, {Verb: api.CommandRun, Task: "run-12/1"}, {Verb: api.CommandClear, Task: "run-1/2"}}
-	if left := b.WithoutCancelledStarts(mail); len(left) != 2 || left[0].Task != "run-12/1" || left[1].Verb != api.CommandClear || len(mail) != 3 || mail[0].Task != "run-1/5" {
-		t.Errorf("of %+v %+v is left", mail, left)
+	commands := []api.Command{{Verb: api.CommandRun, Task: "run-1/5"}, {Verb: api.CommandRun, Task: "run-12/1"}, {Verb: api.CommandClear, Task: "run-1/2"}}
+	if left := tracker.WithoutCancelledStarts(commands); len(left) != 2 || left[0].Task != "run-12/1" || left[1].Verb != api.CommandClear || len(commands) != 3 || commands[0].Task != "run-1/5" {
+		t.Errorf("of %+v %+v is left", commands, left)
 	}
 }
