--- /dev/null
+++ b/watermark/commands.go
@@ -0,0 +1,49 @@
+package watermark
+
+import (
+	"slices"
+
+	"switchferry/api"
+	"switchferry/tuning"
+)
+
+// KillCommands returns the commands that end a machine's tasks of cancelled jobs at once, except those that
+// are already among its pending commands. They are safe under any fencing token, since a cancelled job never
+// runs again.
+func (t *Tracker) KillCommands(tasks []api.TaskReport, pending []api.Command) (kills []api.Command) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.byJob) == 0 {
+		return nil
+	}
+	for _, task := range tasks {
+		if task.State == api.TaskExited || !t.isCancelled(task.Task) || killsAtOnce(pending, task) {
+			continue
+		}
+		grace := tuning.CancelKill
+		kills = append(kills, api.Command{Verb: api.CommandKill, Task: task.Task, Attempt: task.Attempt, GraceS: &grace})
+	}
+	return kills
+}
+
+// killsAtOnce reports whether commands end an attempt of a task without letting it save.
+func killsAtOnce(commands []api.Command, task api.TaskReport) bool {
+	return slices.ContainsFunc(commands, func(command api.Command) bool {
+		return command.Verb == api.CommandKill && command.Task == task.Task && command.Attempt == task.Attempt &&
+			command.GraceS != nil && *command.GraceS == tuning.CancelKill
+	})
+}
+
+// WithoutCancelledStarts returns commands without the starts of cancelled jobs' tasks, which may have been
+// derived before the cancellation was known. It does not change its argument.
+func (t *Tracker) WithoutCancelledStarts(commands []api.Command) []api.Command {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	startsCancelled := func(command api.Command) bool {
+		return command.Verb == api.CommandRun && t.isCancelled(command.Task)
+	}
+	if !slices.ContainsFunc(commands, startsCancelled) {
+		return commands
+	}
+	return slices.DeleteFunc(slices.Clone(commands), startsCancelled)
+}
--- a/watermark/watermark_test.go
+++ b/watermark/watermark_test.go
@@ -78,41 +78,41 @@
 		// knows is whether a learns that run-1 is cancelled.
 		knows bool
 	}{
-		{"all well", func(*cluster, int) {}, ever, false},
-		{"told by another", func(c *cluster, second int) {
+		{"no fault", func(*cluster, int) {}, ever, false},
+		{"cancelled by a peer", func(c *cluster, second int) {
 			if second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, ever, true},
-		{"told by one that reaches only a third", func(c *cluster, second int) {
+		{"cancelled by a peer that reaches only the other", func(c *cluster, second int) {
 			c.disconnected["ab"] = true
 			if second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 			// c passes on what b has stated.
 		}, ever, true},
-		{"told by one that is cut off then", func(c *cluster, second int) {
+		{"cancelled by a peer that is cut off then", func(c *cluster, second int) {
 			if c.disconnected["ab"], c.disconnected["bc"] = second >= 5, second >= 5; second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, 4 + 29, false},
-		{"out of reach for a while", func(c *cluster, second int) {
+		{"cut off briefly", func(c *cluster, second int) {
 			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 20, second > 5 && second < 20
 		}, ever, false},
-		{"out of reach one after the other", func(c *cluster, second int) {
+		{"peers cut off one after the other", func(c *cluster, second int) {
 			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 20, second > 30 && second < 50
 		}, ever, false},
-		{"out of reach of both for good", func(c *cluster, second int) { c.disconnected["ab"], c.disconnected["ac"] = second > 5, second > 5 }, 5 + 29, false},
-		{"out of reach of both for long", func(c *cluster, second int) {
+		{"cut off for good", func(c *cluster, second int) { c.disconnected["ab"], c.disconnected["ac"] = second > 5, second > 5 }, 5 + 29, false},
+		{"cut off for long", func(c *cluster, second int) {
 			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 60, second > 5 && second < 60
 		}, ever, false},
-		{"told, and back at once", func(c *cluster, second int) {
+		{"peer cancels and restarts at once", func(c *cluster, second int) {
 			if second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 				c.restart("b")
 			}
 		}, 4 + 29, false},
-		{"told, heard, and back", func(c *cluster, second int) {
+		{"peer cancels, states it and restarts", func(c *cluster, second int) {
 			switch second {
 			case 5:
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
@@ -120,7 +120,7 @@
 				c.restart("b")
 			}
 		}, 6 + 29, true},
-		{"told, heard, back, and told", func(c *cluster, second int) {
+		{"peer cancels, states it, restarts and cancels", func(c *cluster, second int) {
 			switch second {
 			case 3:
 				c.trackers["b"].RecordCancellation(c.now, "run-9")
@@ -129,7 +129,7 @@
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, 4 + 29, true},
-		{"both back one after the other", func(c *cluster, second int) {
+		{"both peers restart one after the other", func(c *cluster, second int) {
 			switch second {
 			case 5:
 				c.restart("b")
@@ -137,20 +137,20 @@
 				c.restart("c")
 			}
 		}, 4 + 29, false},
-		{"back itself", func(c *cluster, second int) {
+		{"restart", func(c *cluster, second int) {
 			if second == 10 {
 				c.restart("a")
 			}
 			// It learns what b and c know, which includes what its previous process acknowledged until second 9.
 		}, 9 + 28, false},
-		{"all back at once", func(c *cluster, second int) {
+		{"all restart at once", func(c *cluster, second int) {
 			if second == 0 {
 				c.restart("a")
 				c.restart("b")
 				c.restart("c")
 			}
 		}, -1, false},
-		{"one back, then a leader who is certain", func(c *cluster, second int) {
+		{"peer restarts and then leads", func(c *cluster, second int) {
 			switch {
 			case second == 5:
 				c.restart("b")
@@ -159,14 +159,14 @@
 				c.trackers["b"].MarkCurrent(c.now)
 			}
 		}, ever, true},
-		{"more at once than an answer holds", func(c *cluster, second int) {
+		{"more than a statement holds", func(c *cluster, second int) {
 			if second == 5 {
 				for i := range 2*tuning.CancellationsAtOnce + 1 {
 					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
 				}
 			}
 		}, ever, true},
-		{"more than can be remembered", func(c *cluster, second int) {
+		{"more than is kept", func(c *cluster, second int) {
 			if second == 5 {
 				for i := range tuning.CancellationsKept + 1 {
 					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
@@ -198,28 +198,28 @@
 // would be taken for known.
 func TestStatementsCountFromTheirRequest(t *testing.T) {
 	cluster := newCluster(t)
-	a, b, c := cluster.trackers["a"], cluster.trackers["b"], cluster.trackers["c"]
-	incarnationB, receivedB := a.Position("b")
-	incarnationC, receivedC := a.Position("c")
-	statementB, statementC := b.Statement(cluster.now, incarnationB, receivedB), c.Statement(cluster.now, incarnationC, receivedC)
-	b.RecordCancellation(cluster.now.Add(time.Second), "run-1")
+	tracker, peerB, peerC := cluster.trackers["a"], cluster.trackers["b"], cluster.trackers["c"]
+	incarnationB, receivedB := tracker.Position("b")
+	incarnationC, receivedC := tracker.Position("c")
+	statementB, statementC := peerB.Statement(cluster.now, incarnationB, receivedB), peerC.Statement(cluster.now, incarnationC, receivedC)
+	peerB.RecordCancellation(cluster.now.Add(time.Second), "run-1")
 	later := cluster.now.Add(10 * time.Second)
-	if err := a.ApplyStatement(later, "b", cluster.now, statementB); err != nil {
+	if err := tracker.ApplyStatement(later, "b", cluster.now, statementB); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.ApplyStatement(later, "c", cluster.now, statementC); err != nil {
+	if err := tracker.ApplyStatement(later, "c", cluster.now, statementC); err != nil {
 		t.Fatal(err)
 	}
-	if allowed, age := a.MayRenew(later); !allowed || age < 10*time.Second {
-		t.Errorf("renews %v, word of %v ago, from answers to what was asked 10 s ago", allowed, age)
+	if allowed, age := tracker.MayRenew(later); !allowed || age < 10*time.Second {
+		t.Errorf("renews %v, confirmed %v ago, by statements asked for 10 s ago", allowed, age)
 	}
 	// A statement that arrives after a newer one changes nothing.
 	cluster.now = later
 	cluster.exchangeAndAdvance()
-	_, before := a.MayRenew(later)
-	_ = a.ApplyStatement(later, "b", start, statementB)
-	if _, age := a.MayRenew(later); age != before {
-		t.Errorf("word of %v ago, was %v", age, before)
+	_, before := tracker.MayRenew(later)
+	_ = tracker.ApplyStatement(later, "b", start, statementB)
+	if _, age := tracker.MayRenew(later); age != before {
+		t.Errorf("confirmed %v ago, was %v", age, before)
 	}
 }
 
@@ -227,36 +227,36 @@
 // cancels a job.
 func TestInvalidStatementsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(s *Statement){
-		"no life":              func(s *Statement) { s.Incarnation = 0 },
-		"to before from":       func(s *Statement) { s.From, s.To = 5, 4 },
-		"more than the latest": func(s *Statement) { s.To = s.Latest + 1 },
-		"knows ahead":          func(s *Statement) { s.Age = -time.Minute },
-		"told ahead":           func(s *Statement) { s.Cancellations = []Cancellation{{"run-1", -time.Hour}} },
-		"no job's name":        func(s *Statement) { s.Cancellations = []Cancellation{{"run-1/0", 0}} },
-		"less than before":     func(s *Statement) { s.From, s.To, s.Latest = 0, 0, 0 },
+		"no incarnation":             func(s *Statement) { s.Incarnation = 0 },
+		"to before from":             func(s *Statement) { s.From, s.To = 5, 4 },
+		"more than the latest":       func(s *Statement) { s.To = s.Latest + 1 },
+		"age below zero":             func(s *Statement) { s.Age = -time.Minute },
+		"cancellation in the future": func(s *Statement) { s.Cancellations = []Cancellation{{"run-1", -time.Hour}} },
+		"invalid job ID":             func(s *Statement) { s.Cancellations = []Cancellation{{"run-1/0", 0}} },
+		"latest below received":      func(s *Statement) { s.From, s.To, s.Latest = 0, 0, 0 },
 	} {
 		cluster := newCluster(t)
 		cluster.trackers["b"].RecordCancellation(cluster.now, "run-7")
 		cluster.exchangeAndAdvance()
-		a, later := cluster.trackers["a"], cluster.now.Add(20*time.Second)
-		_, before := a.MayRenew(later)
-		incarnation, receivedSeq := a.Position("b")
+		tracker, later := cluster.trackers["a"], cluster.now.Add(20*time.Second)
+		_, before := tracker.MayRenew(later)
+		incarnation, receivedSeq := tracker.Position("b")
 		statement := cluster.trackers["b"].Statement(later, incarnation, receivedSeq)
 		statement.Current, statement.Age = true, 0
 		spoil(&statement)
-		if err := a.ApplyStatement(later, "b", later, statement); err == nil {
-			t.Errorf("%s: believed", name)
+		if err := tracker.ApplyStatement(later, "b", later, statement); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
-		if _, age := a.MayRenew(later); age != before {
-			t.Errorf("%s: word of %v ago, was %v", name, age, before)
+		if _, age := tracker.MayRenew(later); age != before {
+			t.Errorf("%s: confirmed %v ago, was %v", name, age, before)
 		}
-		if len(a.KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0 {
-			t.Errorf("%s: stops a job that nobody cancelled", name)
+		if len(tracker.KillCommands([]api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}, nil)) > 0 {
+			t.Errorf("%s: kills a job that nobody cancelled", name)
 		}
 	}
 	cluster := newCluster(t)
 	if cluster.trackers["a"].ApplyStatement(cluster.now, "d", cluster.now, cluster.trackers["b"].Statement(cluster.now, 0, 0)) == nil {
-		t.Error("a stranger is believed")
+		t.Error("an unknown peer is accepted")
 	}
 	// A statement that begins after what was received leaves a gap, and confirms nothing.
 	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1")
@@ -268,7 +268,7 @@
 	statement.Current = true
 	_ = cluster.trackers["a"].ApplyStatement(later, "b", later, statement)
 	if _, age := cluster.trackers["a"].MayRenew(later); age != before {
-		t.Errorf("word of %v ago from an answer with a gap, was %v", age, before)
+		t.Errorf("confirmed %v ago by a statement with a gap, was %v", age, before)
 	}
 }
 
