--- a/failuredetector/judge.go
+++ b/failuredetector/decision.go
@@ -49,37 +49,37 @@
 )
 
 // Decide tells what becomes of a machine, and why.
-func Decide(m MachineState, l Limits) (Action, string) {
+func Decide(machine MachineState, limits Limits) (Action, string) {
 	switch {
-	case m.Failed:
+	case machine.Failed:
 		return Release, "failed"
-	case !m.Up:
-		if m.StartupExpired && m.SilentFor > l.ElectionGrace {
+	case !machine.Up:
+		if machine.StartupExpired && machine.SilentFor > limits.ElectionGrace {
 			return ReleaseWithinBudget, "never reported"
 		}
 		return Keep, ""
-	case m.Link == reachability.Unconfirmed && m.SilentFor > l.ElectionGrace && !m.Listed && m.Tasks == 0:
+	case machine.Link == reachability.Unconfirmed && machine.SilentFor > limits.ElectionGrace && !machine.Listed && machine.Tasks == 0:
 		return Forget, "one old report, and the cloud does not list it"
-	case m.Link == reachability.Unconfirmed && m.SilentFor <= l.ElectionGrace:
+	case machine.Link == reachability.Unconfirmed && machine.SilentFor <= limits.ElectionGrace:
 		// Neither its notice nor its quiet counts before it certainly lived in this term.
 		return Keep, ""
-	case m.PreemptionNotice && m.NoticeExpired && m.SilentFor > l.SuspectAfter:
+	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
 		return Release, "taken back"
-	case m.InboundLost && m.SilentFor > l.ReleaseAfter && m.SilentFor <= l.InboundLost:
-		if m.SilentShare > tuning.ReturnFreely {
+	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
+		if machine.SilentShare > tuning.ReturnFreely {
 			// Something stands between most of the zone and the controllers, not in the machine: there may be no
 			// room elsewhere, and what it runs lives until its lease ends, or on.
 			return Keep, ""
 		}
 		return Drain, "mute"
-	case m.SilentFor > l.ReleaseAfter:
+	case machine.SilentFor > limits.ReleaseAfter:
 		return ReleaseWithinBudget, "silent"
-	case m.Link == reachability.OutboundLost && m.UnconfirmedFor > l.ElectionGrace:
+	case machine.Link == reachability.OutboundLost && machine.UnconfirmedFor > limits.ElectionGrace:
 		// Its lease has ended since: it is empty, and nobody can give it anything.
 		return ReleaseWithinBudget, "half-deaf"
-	case m.Faulty:
+	case machine.Faulty:
 		return Release, "suspect"
-	case m.PreemptionNotice:
+	case machine.PreemptionNotice:
 		return Drain, ""
 	}
 	return Keep, ""
