--- a/failuredetector/decision.go
+++ b/failuredetector/decision.go
@@ -7,49 +7,65 @@
 	"switchferry/tuning"
 )
 
-// MachineState is what a leader knows of a machine when it looks after the fleet.
+// MachineState is what the leader knows of a machine when it decides what becomes of it.
 type MachineState struct {
-	// Failed: the cloud lists it as stopped. Listed: the cloud's list had it in this term. Up: it
-	// reported in this term.
+	// Failed means that the cloud lists the machine as failed, Listed that the cloud listed it in this term,
+	// Up that it sent a heartbeat in this term.
 	Failed, Listed, Up bool
-	// Link is whether it hears us.
+	// Link is whether answers and commands reach the machine.
 	Link reachability.State
-	// Tasks are those that it has, or may have.
+	// Tasks is how many tasks the machine has, or may have.
 	Tasks int
-	// SilentFor is how long its quiet counts against it, UnconfirmedFor the same for not having shown
-	// that it hears us.
+	// SilentFor is for how long the machine's silence counts against it, UnconfirmedFor for how long it
+	// counts that the machine has not shown that answers and commands reach it.
 	SilentFor, UnconfirmedFor time.Duration
-	// PreemptionNotice: the cloud takes it back; NoticeExpired: the time for that has passed.
+	// PreemptionNotice means that the cloud takes the machine back, NoticeExpired that the time that it gave
+	// has passed.
 	PreemptionNotice, NoticeExpired bool
-	// Faulty: it fails what works elsewhere.
+	// Faulty means that tasks fail on the machine that succeed elsewhere.
 	Faulty bool
-	// InboundLost: it answers commands and reaches no controller, so its lease runs out however well it obeys. SilentShare is the
-	// part of its zone's machines that is unheard.
+	// InboundLost means that the machine answers commands while its heartbeats reach no controller, so its
+	// lease expires although it is healthy.
 	InboundLost bool
+	// SilentShare is the share of its zone's machines that are silent, from 0 to 1.
 	SilentShare float64
-	// StartupExpired: it is not up, and its time to boot is over.
+	// StartupExpired means that the machine is not up and its startup deadline has passed.
 	StartupExpired bool
 }
 
-// Limits are how long a machine may be unheard: Timeout, and still get work; ReleaseAfter, before it is given
-// up; ElectionGrace, if it is to find a new leader, or one that it does not hear; InboundLost, if it answers commands.
-type Limits struct{ SuspectAfter, ReleaseAfter, ElectionGrace, InboundLost time.Duration }
+// Limits are for how long a machine may be silent.
+type Limits struct {
+	// SuspectAfter is the time after which it gets no more work.
+	SuspectAfter time.Duration
+	// ReleaseAfter is the time after which it is released.
+	ReleaseAfter time.Duration
+	// ElectionGrace replaces ReleaseAfter for a machine that has to find a new leader, or that does not
+	// receive the leader's answers.
+	ElectionGrace time.Duration
+	// InboundLost replaces ReleaseAfter for a machine that answers commands.
+	InboundLost time.Duration
+}
 
 // Action is what becomes of a machine.
 type Action int
 
-// The actions. Due is a return within the budget; Forget: nothing but a report told of it, which
-// may have been a copy of what a machine said before it died.
 const (
+	// Keep changes nothing.
 	Keep Action = iota
+	// Release returns the machine to the cloud now.
 	Release
+	// ReleaseWithinBudget returns it as the eviction budget allows.
 	ReleaseWithinBudget
+	// Drain saves its tasks and gives it no more work.
 	Drain
+	// Forget drops a machine that is known only from a heartbeat that may have been a delayed copy of one
+	// from before its failure.
 	Forget
 )
 
-// Decide tells what becomes of a machine, and why.
-func Decide(machine MachineState, limits Limits) (Action, string) {
+// Decide returns what becomes of a machine, and for operators the reason, which is empty for Keep and may be
+// empty for Drain.
+func Decide(machine MachineState, limits Limits) (action Action, reason string) {
 	switch {
 	case machine.Failed:
 		return Release, "failed"
@@ -61,21 +77,21 @@
 	case machine.Link == reachability.Unconfirmed && machine.SilentFor > limits.ElectionGrace && !machine.Listed && machine.Tasks == 0:
 		return Forget, "one old report, and the cloud does not list it"
 	case machine.Link == reachability.Unconfirmed && machine.SilentFor <= limits.ElectionGrace:
-		// Neither its notice nor its quiet counts before it certainly lived in this term.
+		// Neither its preemption notice nor its silence counts before it is certain to have lived in this term.
 		return Keep, ""
 	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
 		return Release, "taken back"
 	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
 		if machine.SilentShare > tuning.ReturnFreely {
-			// Something stands between most of the zone and the controllers, not in the machine: there may be no
-			// room elsewhere, and what it runs lives until its lease ends, or on.
+			// The cause lies between most of the zone and the controllers, not in the machine. There may be no
+			// capacity elsewhere, and its tasks live until its lease expires, or longer.
 			return Keep, ""
 		}
 		return Drain, "mute"
 	case machine.SilentFor > limits.ReleaseAfter:
 		return ReleaseWithinBudget, "silent"
 	case machine.Link == reachability.OutboundLost && machine.UnconfirmedFor > limits.ElectionGrace:
-		// Its lease has ended since: it is empty, and nobody can give it anything.
+		// Its lease has expired since: it has no tasks, and cannot be given any.
 		return ReleaseWithinBudget, "half-deaf"
 	case machine.Faulty:
 		return Release, "suspect"
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -1,12 +1,3 @@
-// Package failuredetector judges what the silence of machines says: since when it counts against
-// one, and how many may be given up at once. It knows when and on which way machines were
-// lastHeartbeat in this term, not what they are or what runs on them; it has no clock and no lock.
-//
-// What a leader could not have heard is no evidence. It could not while it stood still
-// itself; where most machines of a zone are unheard, or most of those whose reports came
-// through one controller, more likely the way is cut than the machines are gone. Machines
-// that it knows from records or from the cloud's list alone count as unheard: after a change of
-// leader inside a cut nothing else shows that a whole zone is silent.
 package failuredetector
 
 import (
@@ -17,46 +8,72 @@
 	"switchferry/tuning"
 )
 
-// Observation is when a machine that should report was last heard. It matters where from: a
-// zone is cut as a whole, and so are those that one controller speaks for, or one switch.
+// Observation is what the leader knows of the heartbeats of a machine that should send them.
 type Observation struct {
-	// Zone is empty while it is not known: of a machine that is on record, but that nobody
-	// lastHeartbeat and the cloud does not list. It is most likely gone, and its kind is no zone.
+	// Zone is the machine's zone. It is empty while the zone is not known, as for a recorded machine that
+	// sent no heartbeat and that the cloud does not list. Such a machine is most likely gone, and does not
+	// form a zone with others like it.
 	Zone string
-	// Via is the controller that its last report came through, if LastHeartbeat is not zero;
-	// empty: it came directly.
+	// Via is the controller that relayed the last heartbeat, empty if it came directly. It means nothing
+	// while LastHeartbeat is zero.
 	Via string
-	// LastHeartbeat is its last report of this term; zero: none.
+	// LastHeartbeat is when the last heartbeat of this term arrived; zero if none did.
 	LastHeartbeat time.Time
-	// Domains are those that the machine stands in, if a topology is declared: racks,
-	// switches. No controller stands in one of them alone.
+	// Domains are the failure domains that the machine is in, such as racks and switches, if a topology is
+	// declared. No controller is in one of them alone.
 	Domains []string
-	// Timeout is how long it may say nothing without anything being wrong.
+	// Timeout is how long the machine may be silent without anything being wrong.
 	Timeout time.Duration
 }
 
-// Detector is what one term knows of what it could not have heard.
+// Verdict is a zone, a failure domain or a path, of which exactly one is set, that was newly found lost: most
+// of its machines are silent, or none of its controllers is reachable.
+type Verdict struct {
+	// Zone is a zone's name if IsZone is set.
+	Zone   string
+	IsZone bool
+	// Domain is a failure domain's name; empty if the verdict is about none.
+	Domain string
+	// Via is the controller that the heartbeats came through, empty for the direct path.
+	Via string
+	// Machines is how many machines should send heartbeats, Responding how many of them do.
+	Machines, Responding int
+	// Cut means that none of the zone's controllers is reachable.
+	Cut bool
+}
+
+// Detector tracks, for one leadership term, from which machines the leader could not have received
+// heartbeats.
 type Detector struct {
 	started time.Time
 	lease   time.Duration
-	// lastTick is when the leader last did its rounds; woke is the end of its last
-	// standstill.
+	// lastTick is when the leader last called Tick, resumedAt when its process last resumed after a pause.
 	lastTick, resumedAt time.Time
-	// zoneLostAt, ways and domains are when most of a zone, of those that came one way, or of a
-	// domain were last unheard.
+	// zoneLostAt, pathLostAt and domainLostAt are when most machines of a zone, of those whose heartbeats
+	// came through one controller, or of a failure domain were last silent.
 	zoneLostAt, pathLostAt, domainLostAt map[string]time.Time
-	silentShares                         map[string]float64
-	zoneSizes                            map[string]int
+	// silentShares and zoneSizes describe each zone at the last call of Observe.
+	silentShares map[string]float64
+	zoneSizes    map[string]int
 }
 
-// New begins a term whose workers' lease is so long.
+// New returns the detector of a term that begins now, for workers with leases of this length.
 func New(now time.Time, lease time.Duration) *Detector {
-	return &Detector{lease: lease, started: now, lastTick: now, zoneLostAt: map[string]time.Time{}, pathLostAt: map[string]time.Time{}, domainLostAt: map[string]time.Time{}, silentShares: map[string]float64{}, zoneSizes: map[string]int{}}
+	return &Detector{
+		started:      now,
+		lease:        lease,
+		lastTick:     now,
+		zoneLostAt:   map[string]time.Time{},
+		pathLostAt:   map[string]time.Time{},
+		domainLostAt: map[string]time.Time{},
+		silentShares: map[string]float64{},
+		zoneSizes:    map[string]int{},
+	}
 }
 
-// Tick notes that the leader does its rounds. A gap that no load explains is a standstill,
-// whose length it gives: reports that came meanwhile are still to be read, and workers that
-// turned away meanwhile are still to come back. 0: there was none.
+// Tick must be called in every round of the leader. It returns how long the process was paused, or 0 if the
+// gap since the last call is one that load explains. After a pause, heartbeats that arrived meanwhile are
+// still to be read, and workers that turned to another controller meanwhile are still to return.
 func (d *Detector) Tick(now time.Time) (paused time.Duration) {
 	if gap := now.Sub(d.lastTick); gap > tuning.StandstillMin {
 		d.resumedAt, paused = now, gap
@@ -65,122 +82,131 @@
 	return paused
 }
 
-// ResumedAt is the end of the leader's last standstill; zero: it never stood still.
+// ResumedAt returns when the leader's process last resumed after a pause; zero if it never paused.
 func (d *Detector) ResumedAt() time.Time { return d.resumedAt }
 
-// PathLostAt is when most machines whose reports came through a controller were last unheard.
+// PathLostAt returns when most machines whose heartbeats came through a controller were last silent; zero if
+// they never were.
 func (d *Detector) PathLostAt(via string) time.Time { return d.pathLostAt[via] }
 
-// SilentShare is the part of a zone's machines that were unheard at the last look, and how many
-// machines there were.
-func (d *Detector) SilentShare(zone string) (float64, int) {
+// SilentShare returns the share of a zone's machines that were silent at the last call of Observe, from 0 to
+// 1, and how many machines it had.
+func (d *Detector) SilentShare(zone string) (share float64, machines int) {
 	return d.silentShares[zone], d.zoneSizes[zone]
 }
 
-// Verdict is a zone, a domain or a way most of which is unheard, anew.
-type Verdict struct {
-	// Zone, Domain or Via names it; Domain and IsZone tell which it is.
-	Zone, Domain, Via string
-	IsZone            bool
-	// Of so many machines that should report, so many are heard.
-	Machines, Responding int
-	// Cut: none of the zone's controllers is within reach.
-	Cut bool
-}
+// responses counts the machines of a group that should send heartbeats, and those of them that do.
+type responses struct{ machines, responding int }
 
-// Observe takes in all machines that should report. Cut tells of a zone whose controllers are
-// machines out of reach. The findings are those to be told of, in the order of their names.
-func (d *Detector) Observe(now time.Time, each func(yield func(Observation)), zoneUnreachable func(zone string) bool) (verdicts []Verdict) {
-	type count struct{ all, heard int }
-	zones, paths, domains := map[string]*count{}, map[string]*count{}, map[string]*count{}
-	add := func(counts map[string]*count, key string, responding bool) {
-		counted := counts[key]
-		if counted == nil {
-			counted = &count{}
-			counts[key] = counted
-		}
-		counted.all++
-		if responding {
-			counted.heard++
-		}
+// mostSilent reports whether more than half of the group's machines are silent. A single machine says
+// nothing about the group.
+func (r responses) mostSilent() bool { return r.machines > 1 && 2*r.responding < r.machines }
+
+// responsesByGroup has the responses of each zone, path or failure domain, by name.
+type responsesByGroup map[string]responses
+
+func (g responsesByGroup) add(group string, responding bool) {
+	counted := g[group]
+	counted.machines++
+	if responding {
+		counted.responding++
 	}
+	g[group] = counted
+}
+
+// Observe takes the observations of all machines that should send heartbeats; zoneUnreachable reports whether
+// none of a zone's controllers is reachable. It returns what was newly found lost, sorted by name: what is
+// lost for longer is returned again only after it was not for a lease.
+func (d *Detector) Observe(now time.Time, each func(yield func(Observation)), zoneUnreachable func(zone string) bool) []Verdict {
+	zones, paths, domains := responsesByGroup{}, responsesByGroup{}, responsesByGroup{}
 	each(func(observed Observation) {
 		responding := !observed.LastHeartbeat.IsZero() && now.Sub(observed.LastHeartbeat) < observed.Timeout
 		if observed.Zone != "" {
-			add(zones, observed.Zone, responding)
+			zones.add(observed.Zone, responding)
 		}
 		if !observed.LastHeartbeat.IsZero() {
-			add(paths, observed.Via, responding)
+			paths.add(observed.Via, responding)
 		}
 		for _, domain := range observed.Domains {
-			add(domains, domain, responding)
+			domains.add(domain, responding)
 		}
 	})
+	d.recordSilentShares(zones)
+	verdicts := slices.Concat(
+		d.detectLost(now, zones, d.zoneLostAt, func(zone string) Verdict {
+			return Verdict{Zone: zone, IsZone: true, Cut: zoneUnreachable(zone)}
+		}),
+		d.detectLost(now, paths, d.pathLostAt, func(via string) Verdict { return Verdict{Via: via} }),
+		d.detectLost(now, domains, d.domainLostAt, func(domain string) Verdict { return Verdict{Domain: domain} }),
+	)
+	slices.SortFunc(verdicts, func(a, b Verdict) int {
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Via, b.Via))
+	})
+	return verdicts
+}
+
+// recordSilentShares replaces what SilentShare returns.
+func (d *Detector) recordSilentShares(zones responsesByGroup) {
 	clear(d.silentShares)
 	clear(d.zoneSizes)
 	for zone, counted := range zones {
-		d.silentShares[zone], d.zoneSizes[zone] = 1-float64(counted.heard)/float64(counted.all), counted.all
-		unreachable := zoneUnreachable(zone)
-		if unreachable || counted.all > 1 && 2*counted.heard < counted.all {
-			if last, ok := d.zoneLostAt[zone]; !ok || now.Sub(last) > d.lease {
-				verdicts = append(verdicts, Verdict{Zone: zone, IsZone: true, Machines: counted.all, Responding: counted.heard, Cut: unreachable})
-			}
-			d.zoneLostAt[zone] = now
-		}
+		d.silentShares[zone] = 1 - float64(counted.responding)/float64(counted.machines)
+		d.zoneSizes[zone] = counted.machines
 	}
-	detectLost := func(counts map[string]*count, lostAt map[string]time.Time, verdict func(key string) Verdict) {
-		for key, counted := range counts {
-			if counted.all > 1 && 2*counted.heard < counted.all {
-				if last, ok := lostAt[key]; !ok || now.Sub(last) > d.lease {
-					lost := verdict(key)
-					lost.Machines, lost.Responding = counted.all, counted.heard
-					verdicts = append(verdicts, lost)
-				}
-				lostAt[key] = now
-			}
+}
+
+// detectLost notes in lostAt which groups are lost now, and returns the verdicts on those that were not lost
+// within the last lease. The verdict function returns a group's verdict without its counts.
+func (d *Detector) detectLost(now time.Time, groups responsesByGroup, lostAt map[string]time.Time, verdict func(group string) Verdict) []Verdict {
+	var verdicts []Verdict
+	for group, counted := range groups {
+		lost := verdict(group)
+		if !lost.Cut && !counted.mostSilent() {
+			continue
+		}
+		if last, known := lostAt[group]; !known || now.Sub(last) > d.lease {
+			lost.Machines, lost.Responding = counted.machines, counted.responding
+			verdicts = append(verdicts, lost)
 		}
+		lostAt[group] = now
 	}
-	detectLost(paths, d.pathLostAt, func(key string) Verdict { return Verdict{Via: key} })
-	detectLost(domains, d.domainLostAt, func(key string) Verdict { return Verdict{Domain: key} })
-	slices.SortFunc(verdicts, func(a, b Verdict) int {
-		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Via, b.Via))
-	})
 	return verdicts
 }
 
-// SilentSince is since when a machine's silence counts against it: its last report, or the
-// beginning of the term, or when it could last not have been heard.
+// SilentSince returns since when a machine's silence counts against it: the latest of its last heartbeat, or
+// the beginning of the term if there was none, and of the moments at which its heartbeat could not have
+// arrived.
 func (d *Detector) SilentSince(now time.Time, observed Observation) time.Time {
-	from := observed.LastHeartbeat
-	if from.IsZero() {
-		from = d.started
+	since := observed.LastHeartbeat
+	if since.IsZero() {
+		since = d.started
 	}
-	silentFor := now.Sub(from)
+	silentFor := now.Sub(since)
 	if silentFor <= tuning.CutLeases*d.lease {
-		// More likely the way to the zone is cut than its machines are gone: they need
-		// time to find a sibling that relays for them, and its zone's controllers may be
-		// keeping their tasks alive.
-		from = latest(from, d.zoneLostAt[observed.Zone])
+		// A partition is more likely than the failure of all machines of a zone. They need time to find a
+		// controller that relays for them, and their own zone's controllers may keep their tasks alive.
+		since = latest(since, d.zoneLostAt[observed.Zone])
 	}
 	if silentFor <= d.lease && !observed.LastHeartbeat.IsZero() {
-		// The controller that their reports came through is silent: they turn to the
-		// next one in half a lease. Past a whole one nothing on them lives any more.
-		from = latest(from, d.pathLostAt[observed.Via])
+		// If the controller that relayed their heartbeats has failed, they turn to the next one within half
+		// a lease. After a whole lease no task on them is left.
+		since = latest(since, d.pathLostAt[observed.Via])
 	}
 	if silentFor <= d.lease {
-		// A switch is more likely down than all machines behind it: their tasks go on, and
-		// are still there if it comes back before their leases end. After that nothing on
-		// them lives, and they are given up like any.
+		// The failure of a switch is more likely than that of all machines behind it. Their tasks go on, and
+		// are still there if the switch returns before the leases expire. After that none is left, and the
+		// machines are released like any others.
 		for _, domain := range observed.Domains {
-			from = latest(from, d.domainLostAt[domain])
+			since = latest(since, d.domainLostAt[domain])
 		}
 	}
 	if silentFor <= 2*d.lease {
-		from = latest(from, d.resumedAt)
+		since = latest(since, d.resumedAt)
 	}
-	return from
+	return since
 }
 
+// latest returns the later of two moments.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/failuredetector/eviction_budget.go
+++ b/failuredetector/eviction_budget.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -9,101 +10,120 @@
 	"switchferry/tuning"
 )
 
-// Candidate is a machine whose silence is long enough to be given up.
+// Candidate is a machine that has been silent for long enough to be released.
 type Candidate struct {
 	Name, Zone string
-	// Tasks are what runs again elsewhere once its return proves that it is gone.
+	// Tasks is how many tasks can run elsewhere once the machine's release proves that they are gone.
 	Tasks int
-	// Unconditional: it goes now whatever that costs.
+	// Unconditional means that the machine is released whatever the budget is.
 	Unconditional bool
 }
 
-// EvictionDecision is what is decided of the candidates of a zone.
+// EvictionDecision says which of a zone's candidates are released.
 type EvictionDecision struct {
 	Zone string
-	// SilentShare is the part of the zone's machines that is unheard, Machines their number.
-	Share    float64
+	// Share is the share of the zone's machines that are silent, from 0 to 1.
+	Share float64
+	// Machines is how many machines the zone has.
 	Machines int
-	// Release are given up now; Deferred stay as they are for now, with so many tasks on them.
-	Release       []string
-	Deferred      int
-	DeferredTasks int
+	// Release has the names of the machines that are released now.
+	Release []string
+	// Deferred is how many candidates are kept for now, DeferredTasks how many tasks are on them.
+	Deferred, DeferredTasks int
 }
 
-// EvictionBudget bounds how many machines of a zone are given up. One by one, machines that stay
-// releaseAfter are most likely gone, and every second costs their tasks. The more of a zone is
-// releaseAfter, the more likely something else is: then its machines come back with their tasks,
-// or at least with their images, and to replace them all takes a boot each. So the budget
-// shrinks as the silent share grows, as Kubernetes' node controller does it, but never to
-// nothing: a zone that is really gone is given up too, in minutes.
+// EvictionBudget limits how many machines of a zone are released. Single machines that stay silent have most
+// likely failed, and every second of waiting costs their tasks. The more machines of a zone are silent, the
+// more likely is another cause: the machines then come back with their tasks, or at least their images, while
+// every replacement has to boot. So the budget shrinks as the silent share grows, as that of Kubernetes' node
+// lifecycle controller does, but never to nothing: a zone that is lost for good is released within minutes.
+//
+// The zero value is a full budget.
 type EvictionBudget struct {
 	zones map[string]*zoneBudget
 }
 
+// zoneBudget is how many machines of one zone may be released at a moment.
 type zoneBudget struct {
 	machines   float64
 	refilledAt time.Time
 }
 
-// releaseRate is which part of a zone's machines may be given up a second.
-func releaseRate(share float64) float64 {
+// slowdownPastReturnSlowly divides the release rate of a zone whose silent share exceeds tuning.ReturnSlowly.
+const slowdownPastReturnSlowly = 5
+
+// releaseRate returns which share of a zone's machines may be released per second, given the share of them
+// that is silent; infinity means that there is no limit.
+func releaseRate(silentShare float64) float64 {
 	switch {
-	case share <= tuning.ReturnFreely:
+	case silentShare <= tuning.ReturnFreely:
 		return math.Inf(1)
-	case share <= tuning.ReturnSlowly:
+	case silentShare <= tuning.ReturnSlowly:
 		return tuning.ReturnShare
 	}
-	return tuning.ReturnShare / 5
+	return tuning.ReturnShare / slowdownPastReturnSlowly
 }
 
-// Spend decides which of the candidates are given up now: those with the most tasks first,
-// since these wait for the proof. SilentShare and machines tell of each zone. Zones come in the
-// order of their names.
-func (b *EvictionBudget) Spend(now time.Time, candidates []Candidate, share func(zone string) (float64, int)) []EvictionDecision {
+// Spend decides which candidates are released now, and takes them from the budget. Those with the most tasks
+// come first, since these wait for the release. The function silentShare returns the silent share and the
+// number of machines of a zone. The decisions are sorted by zone; zones without candidates have none.
+func (b *EvictionBudget) Spend(now time.Time, candidates []Candidate, silentShare func(zone string) (share float64, machines int)) []EvictionDecision {
 	if b.zones == nil {
 		b.zones = map[string]*zoneBudget{}
 	}
-	zones := map[string][]Candidate{}
-	for _, c := range candidates {
-		zones[c.Zone] = append(zones[c.Zone], c)
+	byZone := map[string][]Candidate{}
+	for _, candidate := range candidates {
+		byZone[candidate.Zone] = append(byZone[candidate.Zone], candidate)
 	}
 	var decisions []EvictionDecision
-	for zone, list := range zones {
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		decision := EvictionDecision{Zone: zone}
-		decision.Share, decision.Machines = share(zone)
-		capacity := math.Max(tuning.ReturnAnyway, tuning.ReturnAtOnce*float64(decision.Machines))
-		budget := b.zones[zone]
-		if budget == nil {
-			budget = &zoneBudget{capacity, now}
-			b.zones[zone] = budget
-		}
-		perSecond := releaseRate(decision.Share)
-		if zone == "" {
-			perSecond = math.Inf(1)
-		}
-		if math.IsInf(perSecond, 1) {
-			budget.machines = capacity
-		} else {
-			budget.machines = math.Min(capacity, budget.machines+perSecond*float64(decision.Machines)*now.Sub(budget.refilledAt).Seconds())
-		}
-		budget.refilledAt = now
-		slices.SortFunc(list, func(first, second Candidate) int {
-			return cmp.Or(cmp.Compare(second.Tasks, first.Tasks), cmp.Compare(first.Name, second.Name))
-		})
-		for _, c := range list {
-			switch {
-			case c.Unconditional || math.IsInf(perSecond, 1):
-				decision.Release = append(decision.Release, c.Name)
-			case budget.machines >= 1:
-				budget.machines--
-				decision.Release = append(decision.Release, c.Name)
-			default:
-				decision.Deferred++
-				decision.DeferredTasks += c.Tasks
-			}
-		}
+		decision.Share, decision.Machines = silentShare(zone)
+		b.spendInZone(now, byZone[zone], &decision)
 		decisions = append(decisions, decision)
 	}
-	slices.SortFunc(decisions, func(first, second EvictionDecision) int { return cmp.Compare(first.Zone, second.Zone) })
 	return decisions
 }
+
+// spendInZone completes the decision on a zone's candidates. It sorts them.
+func (b *EvictionBudget) spendInZone(now time.Time, candidates []Candidate, decision *EvictionDecision) {
+	perSecond := releaseRate(decision.Share)
+	if decision.Zone == "" {
+		perSecond = math.Inf(1) // Machines of unknown zone do not fail together.
+	}
+	budget := b.refill(now, decision.Zone, decision.Machines, perSecond)
+	slices.SortFunc(candidates, func(a, b Candidate) int {
+		return cmp.Or(cmp.Compare(b.Tasks, a.Tasks), cmp.Compare(a.Name, b.Name))
+	})
+	for _, candidate := range candidates {
+		switch {
+		case candidate.Unconditional || math.IsInf(perSecond, 1):
+			decision.Release = append(decision.Release, candidate.Name)
+		case budget.machines >= 1:
+			budget.machines--
+			decision.Release = append(decision.Release, candidate.Name)
+		default:
+			decision.Deferred++
+			decision.DeferredTasks += candidate.Tasks
+		}
+	}
+}
+
+// refill returns the budget of a zone with so many machines after adding to it what has accrued since the
+// last call, at a rate of so many times the zone's machines per second. A zone's first budget is full.
+func (b *EvictionBudget) refill(now time.Time, zone string, machines int, perSecond float64) *zoneBudget {
+	capacity := math.Max(tuning.ReturnAnyway, tuning.ReturnAtOnce*float64(machines))
+	budget := b.zones[zone]
+	if budget == nil {
+		budget = &zoneBudget{capacity, now}
+		b.zones[zone] = budget
+	}
+	if math.IsInf(perSecond, 1) {
+		budget.machines = capacity
+	} else {
+		accrued := perSecond * float64(machines) * now.Sub(budget.refilledAt).Seconds()
+		budget.machines = math.Min(capacity, budget.machines+accrued)
+	}
+	budget.refilledAt = now
+	return budget
+}
--- a/failuredetector/startup.go
+++ b/failuredetector/startup.go
@@ -6,18 +6,20 @@
 	"switchferry/tuning"
 )
 
-// StartupTimes tells, by machine type, how long the machine took that came up of those rented last. Machines come up late, or
-// never: that all of them are late says nothing of one, that one is late which later ones have overtaken does. The
-// zero value knows of none.
-type StartupTimes struct{ latest map[string]startup }
+// StartupTimes has, by machine type, the startup time of the machine that was requested last among those that
+// have started. Machines start late, or never. That all of them are late says nothing about one; that one is
+// late while others that were requested later have started does. The zero value knows of none.
+type StartupTimes struct {
+	latest map[string]startup
+}
 
-// startup is how long a machine took to come up, and when it was rented.
+// startup is when a machine was requested, and how long it took from then to its first heartbeat.
 type startup struct {
 	requestedAt time.Time
 	duration    time.Duration
 }
 
-// RecordStartup notes that a machine reports for the first time.
+// RecordStartup records a machine's first heartbeat.
 func (b *StartupTimes) RecordStartup(machineType string, requestedAt time.Time, duration time.Duration) {
 	if b.latest == nil {
 		b.latest = map[string]startup{}
@@ -27,23 +29,24 @@
 	}
 }
 
-// overtaken tells whether a machine of the same type that was rented no earlier is up.
+// overtaken reports whether a machine of the same type that was requested at the same time or later has
+// started.
 func (b *StartupTimes) overtaken(machineType string, requestedAt time.Time) bool {
 	last, ok := b.latest[machineType]
 	return ok && !last.requestedAt.Before(requestedAt)
 }
 
-// Overdue tells whether a machine that is not up yet more likely never will be, and how long others took. Ready is
-// what its type usually takes.
+// Overdue reports whether a machine of this age that has not started most likely never will, given the
+// startup time that is expected of its type. It also returns how long the last one to start took.
 func (b *StartupTimes) Overdue(machineType string, requestedAt time.Time, age, expected time.Duration) (overdue bool, latestDuration time.Duration) {
 	latestDuration = b.latest[machineType].duration
-	tolerated := func(deadline time.Duration) time.Duration { return time.Duration(tuning.BootUsual * float64(deadline)) }
+	tolerated := func(duration time.Duration) time.Duration { return time.Duration(tuning.BootUsual * float64(duration)) }
 	return b.overtaken(machineType, requestedAt) && age > tolerated(expected) && age > tolerated(latestDuration), latestDuration
 }
 
-// Deadline is how long a machine that this leader rented may take to come up before it is returned. While none of those
-// requestedAt since is up either, all are late, and it is given twice the time: returned, it would be replaced by one that
-// is as late.
+// Deadline returns how long a machine that this leader requested may take to start before it is released.
+// While none of those requested since has started either, all of them are late, and the deadline is twice as
+// long: a replacement would be as late.
 func (b *StartupTimes) Deadline(machineType string, requestedAt time.Time, expected time.Duration) time.Duration {
 	deadline := time.Duration(tuning.BootFactor * float64(expected))
 	if !b.overtaken(machineType, requestedAt) {
