--- a/failuredetector/decision.go
+++ b/failuredetector/decision.go
@@ -75,26 +75,26 @@
 		}
 		return Keep, ""
 	case machine.Link == reachability.Unconfirmed && machine.SilentFor > limits.ElectionGrace && !machine.Listed && machine.Tasks == 0:
-		return Forget, "one old report, and the cloud does not list it"
+		return Forget, "one unconfirmed heartbeat, and the cloud does not list it"
 	case machine.Link == reachability.Unconfirmed && machine.SilentFor <= limits.ElectionGrace:
 		// Neither its preemption notice nor its silence counts before it is certain to have lived in this term.
 		return Keep, ""
 	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
-		return Release, "taken back"
+		return Release, "preempted by the cloud"
 	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
 		if machine.SilentShare > tuning.ReturnFreely {
 			// The cause lies between most of the zone and the controllers, not in the machine. There may be no
 			// capacity elsewhere, and its tasks live until its lease expires, or longer.
 			return Keep, ""
 		}
-		return Drain, "mute"
+		return Drain, "heartbeats lost"
 	case machine.SilentFor > limits.ReleaseAfter:
-		return ReleaseWithinBudget, "silent"
+		return ReleaseWithinBudget, "heartbeat timeout"
 	case machine.Link == reachability.OutboundLost && machine.UnconfirmedFor > limits.ElectionGrace:
 		// Its lease has expired since: it has no tasks, and cannot be given any.
-		return ReleaseWithinBudget, "half-deaf"
+		return ReleaseWithinBudget, "commands lost"
 	case machine.Faulty:
-		return Release, "suspect"
+		return Release, "faulty"
 	case machine.PreemptionNotice:
 		return Drain, ""
 	}
