--- a/reachability/contact.go
+++ b/reachability/link.go
@@ -18,7 +18,7 @@
 //	newer reports that show nothing of the above      yes           hint: no   a controller may have failed as well
 //
 // Hints only suspect. Nothing is concluded from time alone: what a machine that hears nobody runs is
-// lost by its newer session, by ends that it reports, or by the cloud's answer to its return.
+// lostCommands by its newer session, by ends that it reports, or by the cloud's answer to its return.
 package reachability
 
 import (
@@ -42,7 +42,7 @@
 	// Suspected: since then commands were lost, or reports came that do not show it.
 	Suspected
 	// OutboundLost: for a whole lease it was heard, through more than one controller or into a new
-	// session, and nothing reached it.
+	// incarnation, and nothing reached it.
 	OutboundLost
 )
 
@@ -64,101 +64,101 @@
 // Link is the way to one machine in one term. The zero value is that of a machine not heard yet.
 type Link struct {
 	// Incarnation and Seq are those of the newest report, from is the controller that it came through.
-	// replied is the tally of its last answer to a command, which counts on with the reports'.
-	session, seq uint64
-	replied      uint64
-	from         string
-	relayed      bool
-	// proved is when it last showed that it hears, answered when it last answered a command; zero: never.
-	proved, answered time.Time
+	// answerSeq is the tally of its last answer to a command, which counts on with the reports'.
+	incarnation, seq uint64
+	answerSeq        uint64
+	via              string
+	relayed          bool
+	// confirmedAt is when it last showed that it hears, answered when it last answered a command; zero: never.
+	confirmedAt, answeredAt time.Time
 	// Since then: unproved newer reports, the first of which came at first, through so many
 	// controllers as ways names; rose: its session rose; lost: commands went unanswered.
-	unproved int
-	first    time.Time
-	ways     []string
-	rose     bool
-	lost     int
-	// began: it was rented or seen booting in this term, so nothing older than the term is told of it.
-	began bool
+	unconfirmed        int
+	firstUnconfirmedAt time.Time
+	paths              []string
+	newIncarnation     bool
+	lostCommands       int
+	// startedThisTerm: it was rented or seen booting in this term, so nothing older than the term is told of it.
+	startedThisTerm bool
 }
 
 // MarkStarted notes that the machine began in this term: no report of it can be older.
-func (w *Link) MarkStarted() { w.began = true }
+func (l *Link) MarkStarted() { l.startedThisTerm = true }
 
 // Observe takes in a report. News: it is newer than all before; anything else shows nothing. Proof: it
 // shows that the machine hears.
-func (w *Link) Observe(now time.Time, r Heartbeat) (news, proof bool) {
-	if r.Incarnation < w.session || r.Incarnation == w.session && r.Seq <= w.seq {
+func (l *Link) Observe(now time.Time, heartbeat Heartbeat) (newer, confirmed bool) {
+	if heartbeat.Incarnation < l.incarnation || heartbeat.Incarnation == l.incarnation && heartbeat.Seq <= l.seq {
 		return false, false
 	}
-	inLine := r.Incarnation == w.session && (r.Seq == w.seq+1 || r.Seq == w.replied+1) && r.Via == w.from && !r.Relayed && !w.relayed
+	consecutive := heartbeat.Incarnation == l.incarnation && (heartbeat.Seq == l.seq+1 || heartbeat.Seq == l.answerSeq+1) && heartbeat.Via == l.via && !heartbeat.Relayed && !l.relayed
 	// A token is told once; it shows for ever that the machine heard, but only the first report
 	// with it that it does so now.
-	token := r.HighestTerm == r.Term && w.proved.IsZero()
-	rose := w.session > 0 && r.Incarnation > w.session
-	w.session, w.seq, w.from, w.relayed = r.Incarnation, r.Seq, r.Via, r.Relayed
+	firstWithTerm := heartbeat.HighestTerm == heartbeat.Term && l.confirmedAt.IsZero()
+	newIncarnation := l.incarnation > 0 && heartbeat.Incarnation > l.incarnation
+	l.incarnation, l.seq, l.via, l.relayed = heartbeat.Incarnation, heartbeat.Seq, heartbeat.Via, heartbeat.Relayed
 	switch {
-	case inLine || token:
-		w.prove(now)
+	case consecutive || firstWithTerm:
+		l.confirm(now)
 		return true, true
-	case r.Relayed:
+	case heartbeat.Relayed:
 		return true, false
 	}
-	if w.unproved++; w.unproved == 1 {
-		w.first = now
+	if l.unconfirmed++; l.unconfirmed == 1 {
+		l.firstUnconfirmedAt = now
 	}
-	w.rose = w.rose || rose
-	if !slices.Contains(w.ways, r.Via) {
-		w.ways = append(w.ways, r.Via)
+	l.newIncarnation = l.newIncarnation || newIncarnation
+	if !slices.Contains(l.paths, heartbeat.Via) {
+		l.paths = append(l.paths, heartbeat.Via)
 	}
 	return true, false
 }
 
 // CommandAnswered takes in that the machine answered a command, with the tally of its answer.
-func (w *Link) CommandAnswered(now time.Time, seq uint64) {
-	w.replied, w.answered = seq, now
-	w.prove(now)
+func (l *Link) CommandAnswered(now time.Time, seq uint64) {
+	l.answerSeq, l.answeredAt = seq, now
+	l.confirm(now)
 }
 
 // CommandLost takes in that a command got no answer.
-func (w *Link) CommandLost() { w.lost++ }
+func (l *Link) CommandLost() { l.lostCommands++ }
 
-func (w *Link) prove(now time.Time) {
-	w.proved, w.unproved, w.ways, w.rose, w.lost = now, 0, nil, false, 0
+func (l *Link) confirm(now time.Time) {
+	l.confirmedAt, l.unconfirmed, l.paths, l.newIncarnation, l.lostCommands = now, 0, nil, false, 0
 }
 
 // InboundLost tells whether a machine that is not heard answers commands: it cannot reach any controller, and obeys.
 // Unheard is how long it has not been heard, within is how long an answer counts.
-func (w *Link) InboundLost(now time.Time, unheard, within time.Duration) bool {
-	return !w.answered.IsZero() && now.Sub(w.answered) < min(unheard, within)
+func (l *Link) InboundLost(now time.Time, silentFor, validFor time.Duration) bool {
+	return !l.answeredAt.IsZero() && now.Sub(l.answeredAt) < min(silentFor, validFor)
 }
 
 // ConfirmedAt is when the machine last showed that it hears; zero: never in this term.
-func (w *Link) ConfirmedAt() time.Time { return w.proved }
+func (l *Link) ConfirmedAt() time.Time { return l.confirmedAt }
 
 // AliveThisTerm tells whether the machine certainly lived in this term.
-func (w *Link) AliveThisTerm() bool { return w.began || !w.proved.IsZero() }
+func (l *Link) AliveThisTerm() bool { return l.startedThisTerm || !l.confirmedAt.IsZero() }
 
 // State is the way's state. Lease is the workers' lease.
-func (w *Link) State(now time.Time, lease time.Duration) State {
+func (l *Link) State(now time.Time, lease time.Duration) State {
 	switch {
-	case w.relayed && w.AliveThisTerm():
+	case l.relayed && l.AliveThisTerm():
 		return Reachable
-	case w.unproved >= tuning.HopsHalfDeaf && now.Sub(w.first) >= lease && (len(w.ways) > 1 || w.rose):
+	case l.unconfirmed >= tuning.HopsHalfDeaf && now.Sub(l.firstUnconfirmedAt) >= lease && (len(l.paths) > 1 || l.newIncarnation):
 		return OutboundLost
-	case w.unproved >= tuning.HopsSuspect || w.lost > 0:
+	case l.unconfirmed >= tuning.HopsSuspect || l.lostCommands > 0:
 		return Suspected
-	case !w.AliveThisTerm():
+	case !l.AliveThisTerm():
 		return Unconfirmed
 	}
 	return Reachable
 }
 
 // Reason tells the state's reason in an operator's words.
-func (w *Link) Reason(now time.Time) string {
-	if !w.AliveThisTerm() && w.unproved < tuning.HopsSuspect && w.lost == 0 {
+func (l *Link) Reason(now time.Time) string {
+	if !l.AliveThisTerm() && l.unconfirmed < tuning.HopsSuspect && l.lostCommands == 0 {
 		return "it has not shown yet that it hears this term's leader"
 	}
 	return fmt.Sprintf("since it last showed that it hears, it reported %d times in %.0f s, to %d controllers, and %d commands got no answer",
-		w.unproved, max(0, now.Sub(w.first).Seconds()), len(w.ways), w.lost)
+		l.unconfirmed, max(0, now.Sub(l.firstUnconfirmedAt).Seconds()), len(l.paths), l.lostCommands)
 }
--- /dev/null
+++ b/reachability/link_test.go
@@ -0,0 +1,128 @@
+package reachability
+
+import (
+	"testing"
+	"time"
+)
+
+const lease = 10 * time.Second
+
+// script plays heartbeats and commands against one link.
+type script struct {
+	t    *testing.T
+	link Link
+	now  time.Time
+}
+
+// heartbeat observes a heartbeat to the leader of term 7 that arrives after the one before.
+func (s *script) heartbeat(after time.Duration, via string, incarnation, seq, highestTerm uint64) (newer, confirmed bool) {
+	s.now = s.now.Add(after)
+	return s.link.Observe(s.now, Heartbeat{Incarnation: incarnation, Seq: seq, HighestTerm: highestTerm, Term: 7, Via: via})
+}
+
+func (s *script) want(state State) {
+	s.t.Helper()
+	if got := s.link.State(s.now, lease); got != state {
+		s.t.Errorf("%v, want %v: %s", got, state, s.link.Reason(s.now))
+	}
+}
+
+func newScript(t *testing.T) *script {
+	return &script{t: t, now: time.Unix(1_800_000_000, 0)}
+}
+
+// newReachable returns the script of a machine that has shown that the leader's answers reach it.
+func newReachable(t *testing.T) *script {
+	script := newScript(t)
+	script.heartbeat(0, "", 1, 5, 6)
+	script.want(Unconfirmed)
+	if _, confirmed := script.heartbeat(500*time.Millisecond, "", 1, 6, 7); !confirmed {
+		t.Error("this term's token in a report is no proof")
+	}
+	script.want(Reachable)
+	return script
+}
+
+// Answers do not reach the machine: it turns from controller to controller every 5 s, is suspected with its
+// second unconfirmed heartbeat, and its link counts as lost after a lease. One answer that arrives ends that.
+func TestOutboundLossNeedsSeveralPaths(t *testing.T) {
+	script := newReachable(t)
+	script.heartbeat(time.Second, "", 1, 7, 7)
+	script.want(Reachable)
+	script.heartbeat(5*time.Second, "n1", 1, 8, 7)
+	script.want(Reachable) // the failure of a controller would look the same
+	script.heartbeat(5*time.Second, "n2", 1, 9, 7)
+	script.want(Suspected)
+	script.heartbeat(5*time.Second, "", 1, 10, 7)
+	script.want(OutboundLost)
+	script.heartbeat(5*time.Second, "n1", 2, 11, 7)
+	script.want(OutboundLost)
+	script.heartbeat(time.Second, "n1", 2, 12, 7)
+	script.want(Reachable)
+	script.link.CommandLost()
+	script.want(Suspected)
+	script.link.CommandAnswered(script.now, 13)
+	script.want(Reachable)
+	if _, confirmed := script.heartbeat(time.Second, "n1", 2, 14, 7); !confirmed {
+		t.Error("an answer to a command counts in between as a report that was not answered")
+	}
+}
+
+// A controller cannot send, but the next one that the machine turns to can: its link never counts as lost.
+func TestControllerThatCannotSendDoesNotBlameMachine(t *testing.T) {
+	script := newReachable(t)
+	for seq := uint64(7); seq < 40; seq += 3 {
+		script.heartbeat(5*time.Second, "", 1, seq, 7)
+		script.link.CommandLost()
+		script.heartbeat(5*time.Second, "n1", 1, seq+1, 7)
+		script.heartbeat(time.Second, "n1", 1, seq+2, 7)
+		script.want(Reachable)
+	}
+}
+
+// With a single controller its incarnations show the loss: they rise although its heartbeats arrive.
+func TestOutboundLossShowsByNewIncarnations(t *testing.T) {
+	script := newReachable(t)
+	for i := range uint64(4) {
+		script.heartbeat(5*time.Second, "", 2+i, 10+2*i, 7)
+	}
+	script.want(OutboundLost)
+}
+
+// Copies show nothing, however late, of whatever incarnation. A heartbeat that the answer to a command has
+// overtaken is no copy.
+func TestDelayedCopiesShowNothing(t *testing.T) {
+	script := newReachable(t)
+	script.heartbeat(time.Second, "", 2, 9, 7)
+	for _, copied := range [][2]uint64{{2, 9}, {2, 8}, {1, 6}, {1, 99}, {0, 0}} {
+		if newer, confirmed := script.heartbeat(time.Second, "n1", copied[0], copied[1], 7); newer || confirmed {
+			t.Errorf("a copy of report %v is taken for news", copied)
+		}
+	}
+	script.link.CommandAnswered(script.now, 12)
+	if newer, _ := script.heartbeat(time.Second, "", 2, 11, 7); !newer {
+		t.Error("a report that an answer overtook is taken for a copy")
+	}
+}
+
+// The first heartbeat that a new leader receives may be old, and is unconfirmed until the machine has received
+// an answer. A machine that started in this term can have sent none before it.
+func TestFirstHeartbeatOfTermIsUnconfirmed(t *testing.T) {
+	script := newScript(t)
+	script.heartbeat(0, "", 3, 500, 6)
+	script.want(Unconfirmed)
+	script = newScript(t)
+	script.link.MarkStarted()
+	script.heartbeat(0, "", 1, 1, 0)
+	script.want(Reachable)
+}
+
+// A controller that relays passes on only some heartbeats, so gaps between them show nothing.
+func TestRelayedHeartbeatsSuspectNoMachine(t *testing.T) {
+	script := newReachable(t)
+	for seq := uint64(10); seq < 100; seq += 9 {
+		script.now = script.now.Add(3 * time.Second)
+		script.link.Observe(script.now, Heartbeat{Incarnation: 1, Seq: seq, HighestTerm: 7, Term: 7, Via: "n1", Relayed: true})
+		script.want(Reachable)
+	}
+}
