--- a/reachability/deduplicator.go
+++ b/reachability/deduplicator.go
@@ -6,27 +6,29 @@
 	"switchferry/api"
 )
 
-// Deduplicator remembers the newest report of each machine that spoke to one controller, whoever leads. It
-// is not safe for use from several goroutines at once.
+// Deduplicator recognizes delayed copies among the heartbeats that one controller receives, whoever leads. It
+// remembers the newest heartbeat of each machine. It is not safe for use from several goroutines at once.
 type Deduplicator struct {
-	newest *simplelru.LRU[string, [2]uint64]
+	newest *simplelru.LRU[string, position]
 }
 
-// NewDeduplicator remembers as many machines as limit says, which is 1 or more.
+// NewDeduplicator returns a deduplicator for so many machines, 1 or more; beyond that it forgets the machine
+// whose heartbeat was accepted longest ago. It panics if the limit is below 1.
 func NewDeduplicator(limit int) *Deduplicator {
-	newest, err := simplelru.NewLRU[string, [2]uint64](limit, nil)
+	newest, err := simplelru.NewLRU[string, position](limit, nil)
 	if err != nil {
-		panic(err) // only for a limit below one
+		panic(err)
 	}
 	return &Deduplicator{newest}
 }
 
-// Accept tells whether a report is newer than all before of its machine. A worker sends no tally twice: any
-// other is a copy, or was held up on its way until its worker gave it up, and nobody waits for its answer.
+// Accept reports whether a heartbeat is newer than all before from its machine, and remembers it if it is. A
+// worker uses no sequence number twice, so any other is a copy, or was delayed until its worker stopped
+// waiting for the answer.
 func (d *Deduplicator) Accept(heartbeat *api.Heartbeat) bool {
-	if last, ok := d.newest.Get(heartbeat.Machine); ok && !heartbeat.NewerThan(last[0], last[1]) {
+	if last, ok := d.newest.Get(heartbeat.Machine); ok && !heartbeat.NewerThan(last.incarnation, last.seq) {
 		return false
 	}
-	d.newest.Add(heartbeat.Machine, [2]uint64{heartbeat.Incarnation, heartbeat.Seq})
+	d.newest.Add(heartbeat.Machine, position{heartbeat.Incarnation, heartbeat.Seq})
 	return true
 }
--- a/reachability/link.go
+++ b/reachability/link.go
@@ -1,24 +1,28 @@
-// Package reachability judges whether a machine hears its controllers, apart from whether it is heard.
-// Its reports may arrive while answers and commands do not reach it, and copies of its reports may
-// arrive long after it has died. It knows tallies, tokens and ways of reports and the fate of
-// commands, not what a machine is or runs; it has no clock and no lock.
+// Package reachability judges whether a machine receives the answers and commands of its controllers, apart
+// from whether its heartbeats arrive. In a one-way partition heartbeats arrive while answers and commands do
+// not, or commands arrive while heartbeats do not; and delayed copies of heartbeats may arrive long after the
+// machine has failed. The package knows incarnations, sequence numbers, terms and paths of heartbeats and the
+// outcome of commands, not what a machine is or runs. It has no clock and no lock.
 //
-// What each observation shows:
+// What each observation shows of the two directions, to the controllers (inbound) and to the machine
+// (outbound):
 //
-//	observation                                       it is heard   it hears   why
-//	a report newer than any before, by session, tally yes           no         a copy is never newer than what it was copied from
-//	a report that is not newer                        no            no         a copy, or overtaken: in both cases old
-//	a report that carries this term's token           yes           yes        only an answer or a command of this term can have told it
-//	the next report, one tally on, to the same
-//	controller, in the same session                   yes           yes        unanswered, a worker turns to another controller
-//	an answer to a command, executed or refused       no            yes        an answer answers what arrived
-//	a report through a controller that relays         yes           unknown    these are not passed on one by one
-//	an answer to a command, and no report for long    no            yes        mute: it reaches no controller, and its lease runs out
-//	a command without an answer                       no            hint: no   command or answer was lost
-//	newer reports that show nothing of the above      yes           hint: no   a controller may have failed as well
+//	observation                                      inbound works   outbound works   because
+//	heartbeat newer than any before, by incarnation
+//	and sequence number                              yes             no               a copy is never newer than its original
+//	heartbeat that is not newer                      no              no               it is a copy, or was overtaken
+//	heartbeat with this term's token                 yes             yes              only an answer or a command of this term has the token
+//	the next heartbeat in sequence, to the same
+//	controller, in the same incarnation              yes             yes              without an answer, a worker turns to another controller
+//	answer to a command, executed or refused         no              yes              the command arrived
+//	heartbeat through a controller that relays       yes             unknown          it does not pass on every heartbeat
+//	answer to a command, but no heartbeat for long   no              yes              the machine reaches no controller, and its lease expires
+//	command without an answer                        no              hint: no         the command or its answer was lost
+//	newer heartbeats that show none of the above     yes             hint: no         a controller may have failed instead
 //
-// Hints only suspect. Nothing is concluded from time alone: what a machine that hears nobody runs is
-// lostCommands by its newer session, by ends that it reports, or by the cloud's answer to its return.
+// A hint only leads to suspicion. Nothing is concluded from time alone: that the tasks of an unreachable
+// machine are gone is known from a newer incarnation, from exits that it reports, or from the cloud's answer
+// to its release. docs/dayend.md has the reasons in full.
 package reachability
 
 import (
@@ -29,117 +33,145 @@
 	"switchferry/tuning"
 )
 
-// State is what is known of the way to a machine.
+// State is whether answers and commands reach a machine, as far as is known.
 type State int
 
-// The states of the way to a machine.
 const (
-	// Unconfirmed: nothing shows yet that it hears this term's controllers. What was heard of it may
-	// be a copy of what it said before it died.
+	// Unconfirmed means that nothing shows yet that the machine receives anything of this term's
+	// controllers. Its heartbeats may be copies of what it sent before it failed.
 	Unconfirmed State = iota
-	// Reachable: it showed last that it hears.
+	// Reachable means that the last evidence confirmed it.
 	Reachable
-	// Suspected: since then commands were lost, or reports came that do not show it.
+	// Suspected means that since then commands were lost, or heartbeats came that do not confirm it.
 	Suspected
-	// OutboundLost: for a whole lease it was heard, through more than one controller or into a new
-	// incarnation, and nothing reached it.
+	// OutboundLost means that for a whole lease heartbeats came through more than one controller, or into a
+	// new incarnation, while nothing reached the machine.
 	OutboundLost
 )
 
+// String returns the state's name for logs and tests.
 func (s State) String() string {
 	return [...]string{"unproved", "reached", "half-deaf suspected", "half-deaf"}[s]
 }
 
-// Observe is what matters of a report.
+// Heartbeat is what matters here of a heartbeat.
 type Heartbeat struct {
 	Incarnation, Seq uint64
-	// HighestTerm is the highest term that the worker has seen, Term that of the leader who judges it.
+	// HighestTerm is the highest term that the worker has seen, Term that of the leader that observes it.
 	HighestTerm, Term uint64
-	// Via is the controller that it came through; empty: it came directly.
+	// Via is the controller that the heartbeat came through, empty if it came directly.
 	Via string
-	// Relayed: that controller answers in the leader's place, and passes on only some reports.
+	// Relayed means that Via answers in the leader's place and passes on only some heartbeats.
 	Relayed bool
 }
 
-// Link is the way to one machine in one term. The zero value is that of a machine not heard yet.
+// Link is what is known in one term of the connection to one machine. The zero value is that of a machine
+// that sent nothing yet.
 type Link struct {
-	// Incarnation and Seq are those of the newest report, from is the controller that it came through.
-	// answerSeq is the tally of its last answer to a command, which counts on with the reports'.
-	incarnation, seq uint64
-	answerSeq        uint64
-	via              string
-	relayed          bool
-	// confirmedAt is when it last showed that it hears, answered when it last answered a command; zero: never.
+	// newest is the position of the newest heartbeat, via the controller that it came through, and relayed
+	// whether that one answers in the leader's place.
+	newest  position
+	via     string
+	relayed bool
+	// answerSeq is the sequence number of the last answer to a command; answers and heartbeats are numbered
+	// together.
+	answerSeq uint64
+	// confirmedAt is when the machine last showed that answers or commands reach it, answeredAt when it last
+	// answered a command; zero if never in this term.
 	confirmedAt, answeredAt time.Time
-	// Since then: unproved newer reports, the first of which came at first, through so many
-	// controllers as ways names; rose: its session rose; lost: commands went unanswered.
+	// startedThisTerm means that the machine was rented or seen booting in this term, so that none of its
+	// heartbeats can be older than the term.
+	startedThisTerm bool
+
+	// The fields below describe the time since confirmedAt.
+
+	// unconfirmed is how many newer heartbeats confirmed nothing, the first of them at firstUnconfirmedAt,
+	// through the controllers in paths.
 	unconfirmed        int
 	firstUnconfirmedAt time.Time
 	paths              []string
-	newIncarnation     bool
-	lostCommands       int
-	// startedThisTerm: it was rented or seen booting in this term, so nothing older than the term is told of it.
-	startedThisTerm bool
+	// newIncarnation means that one of them began a new incarnation.
+	newIncarnation bool
+	// lostCommands is how many commands got no answer.
+	lostCommands int
 }
 
-// MarkStarted notes that the machine began in this term: no report of it can be older.
+// position is the place of a heartbeat in the order in which a worker sends them.
+type position struct{ incarnation, seq uint64 }
+
+// MarkStarted records that the machine started in this term, so that no heartbeat of it can be older.
 func (l *Link) MarkStarted() { l.startedThisTerm = true }
 
-// Observe takes in a report. News: it is newer than all before; anything else shows nothing. Proof: it
-// shows that the machine hears.
+// Observe records a heartbeat. It returns whether the heartbeat is newer than all before, which shows nothing
+// if it is not, and whether it confirms that answers or commands reach the machine.
 func (l *Link) Observe(now time.Time, heartbeat Heartbeat) (newer, confirmed bool) {
-	if heartbeat.Incarnation < l.incarnation || heartbeat.Incarnation == l.incarnation && heartbeat.Seq <= l.seq {
+	sent := position{heartbeat.Incarnation, heartbeat.Seq}
+	if sent.incarnation < l.newest.incarnation || sent.incarnation == l.newest.incarnation && sent.seq <= l.newest.seq {
 		return false, false
 	}
-	consecutive := heartbeat.Incarnation == l.incarnation && (heartbeat.Seq == l.seq+1 || heartbeat.Seq == l.answerSeq+1) && heartbeat.Via == l.via && !heartbeat.Relayed && !l.relayed
-	// A token is told once; it shows for ever that the machine heard, but only the first report
-	// with it that it does so now.
+	// A worker adopts a term's token once, and shows it from then on. So only the first heartbeat with the
+	// token shows that the worker receives anything now.
 	firstWithTerm := heartbeat.HighestTerm == heartbeat.Term && l.confirmedAt.IsZero()
-	newIncarnation := l.incarnation > 0 && heartbeat.Incarnation > l.incarnation
-	l.incarnation, l.seq, l.via, l.relayed = heartbeat.Incarnation, heartbeat.Seq, heartbeat.Via, heartbeat.Relayed
+	confirmed = firstWithTerm || l.followsAnswered(heartbeat)
+	newIncarnation := l.newest.incarnation > 0 && sent.incarnation > l.newest.incarnation
+	l.newest, l.via, l.relayed = sent, heartbeat.Via, heartbeat.Relayed
 	switch {
-	case consecutive || firstWithTerm:
+	case confirmed:
 		l.confirm(now)
-		return true, true
-	case heartbeat.Relayed:
-		return true, false
+	case !heartbeat.Relayed:
+		l.recordUnconfirmed(now, newIncarnation)
 	}
-	if l.unconfirmed++; l.unconfirmed == 1 {
+	return true, confirmed
+}
+
+// followsAnswered reports whether a heartbeat is the next after one that was answered: it follows the newest
+// one, or the last answer to a command, in the same incarnation and to the same controller.
+func (l *Link) followsAnswered(heartbeat Heartbeat) bool {
+	return heartbeat.Incarnation == l.newest.incarnation &&
+		(heartbeat.Seq == l.newest.seq+1 || heartbeat.Seq == l.answerSeq+1) &&
+		heartbeat.Via == l.via && !heartbeat.Relayed && !l.relayed
+}
+
+// recordUnconfirmed counts the newest heartbeat as one that confirms nothing.
+func (l *Link) recordUnconfirmed(now time.Time, newIncarnation bool) {
+	l.unconfirmed++
+	if l.unconfirmed == 1 {
 		l.firstUnconfirmedAt = now
 	}
 	l.newIncarnation = l.newIncarnation || newIncarnation
-	if !slices.Contains(l.paths, heartbeat.Via) {
-		l.paths = append(l.paths, heartbeat.Via)
+	if !slices.Contains(l.paths, l.via) {
+		l.paths = append(l.paths, l.via)
 	}
-	return true, false
 }
 
-// CommandAnswered takes in that the machine answered a command, with the tally of its answer.
+// CommandAnswered records the machine's answer to a command, with the sequence number of that answer.
 func (l *Link) CommandAnswered(now time.Time, seq uint64) {
 	l.answerSeq, l.answeredAt = seq, now
 	l.confirm(now)
 }
 
-// CommandLost takes in that a command got no answer.
+// CommandLost records that a command got no answer.
 func (l *Link) CommandLost() { l.lostCommands++ }
 
+// confirm records that answers or commands reach the machine.
 func (l *Link) confirm(now time.Time) {
 	l.confirmedAt, l.unconfirmed, l.paths, l.newIncarnation, l.lostCommands = now, 0, nil, false, 0
 }
 
-// InboundLost tells whether a machine that is not heard answers commands: it cannot reach any controller, and obeys.
-// Unheard is how long it has not been heard, within is how long an answer counts.
+// InboundLost reports whether a machine that has been silent for a while has answered a command since its last
+// heartbeat: it receives commands and reaches no controller. An answer counts for validFor.
 func (l *Link) InboundLost(now time.Time, silentFor, validFor time.Duration) bool {
 	return !l.answeredAt.IsZero() && now.Sub(l.answeredAt) < min(silentFor, validFor)
 }
 
-// ConfirmedAt is when the machine last showed that it hears; zero: never in this term.
+// ConfirmedAt returns when the machine last showed that answers or commands reach it; zero if it never did in
+// this term.
 func (l *Link) ConfirmedAt() time.Time { return l.confirmedAt }
 
-// AliveThisTerm tells whether the machine certainly lived in this term.
+// AliveThisTerm reports whether the machine is certain to have been alive in this term.
 func (l *Link) AliveThisTerm() bool { return l.startedThisTerm || !l.confirmedAt.IsZero() }
 
-// State is the way's state. Lease is the workers' lease.
+// State returns the link's state, given the length of the workers' lease.
 func (l *Link) State(now time.Time, lease time.Duration) State {
 	switch {
 	case l.relayed && l.AliveThisTerm():
@@ -154,7 +186,7 @@
 	return Reachable
 }
 
-// Reason tells the state's reason in an operator's words.
+// Reason returns, for operators, what the link's state follows from.
 func (l *Link) Reason(now time.Time) string {
 	if !l.AliveThisTerm() && l.unconfirmed < tuning.HopsSuspect && l.lostCommands == 0 {
 		return "it has not shown yet that it hears this term's leader"
