--- a/reachability/deduplicator.go
+++ b/reachability/deduplicator.go
@@ -13,7 +13,7 @@
 }
 
 // NewDeduplicator returns a deduplicator for so many machines, 1 or more; beyond that it forgets the machine
-// whose heartbeat was accepted longest ago. It panics if the limit is below 1.
+// that has sent nothing for longest. It panics if the limit is below 1.
 func NewDeduplicator(limit int) *Deduplicator {
 	newest, err := simplelru.NewLRU[string, position](limit, nil)
 	if err != nil {
--- a/reachability/link.go
+++ b/reachability/link.go
@@ -51,7 +51,7 @@
 
 // String returns the state's name for logs and tests.
 func (s State) String() string {
-	return [...]string{"unproved", "reached", "half-deaf suspected", "half-deaf"}[s]
+	return [...]string{"unconfirmed", "reachable", "suspected", "outbound lost"}[s]
 }
 
 // Heartbeat is what matters here of a heartbeat.
@@ -189,8 +189,8 @@
 // Reason returns, for operators, what the link's state follows from.
 func (l *Link) Reason(now time.Time) string {
 	if !l.AliveThisTerm() && l.unconfirmed < tuning.HopsSuspect && l.lostCommands == 0 {
-		return "it has not shown yet that it hears this term's leader"
+		return "nothing of this term's leader is confirmed to have reached it"
 	}
-	return fmt.Sprintf("since it last showed that it hears, it reported %d times in %.0f s, to %d controllers, and %d commands got no answer",
+	return fmt.Sprintf("since the last confirmation %d heartbeats in %.0f s through %d controllers, and %d commands without an answer",
 		l.unconfirmed, max(0, now.Sub(l.firstUnconfirmedAt).Seconds()), len(l.paths), l.lostCommands)
 }
