--- a/membership/membership.go
+++ b/membership/membership.go
@@ -37,7 +37,7 @@
 )
 
 // Observation is something that was seen of a member.
-type Observation interface{ of() string }
+type Observation interface{ subject() string }
 
 // Hello is what a member said of itself.
 type Hello struct {
@@ -75,9 +75,9 @@
 // LocalState is what this controller says of itself, as in Hello.
 type LocalState struct{ Leads, StateOK, ReceivesHeartbeats bool }
 
-func (g Hello) of() string      { return g.From }
-func (c Connection) of() string { return c.To }
-func (LocalState) of() string   { return "" }
+func (g Hello) subject() string      { return g.From }
+func (c Connection) subject() string { return c.To }
+func (LocalState) subject() string   { return "" }
 
 // Change is a step from one level to another, or another part in trouble.
 type Change struct {
@@ -104,278 +104,280 @@
 }
 
 type member struct {
-	name  string
-	level Level
-	parts []string
-	why   string
-	since time.Time
-	// heard is the last greeting, or the start of a silence that could be heard.
-	heard time.Time
-	last  Hello
-	gaps  *arrivals
-	// greeted: it was heard since it was last given up.
-	greeted bool
-	// reset and refused are when a connection to it was last reset, refused; open when one
+	name   string
+	level  Level
+	parts  []string
+	reason string
+	since  time.Time
+	// lastHelloAt is the last greeting, or the start of a silence that could be heard.
+	lastHelloAt time.Time
+	lastHello   Hello
+	intervals   *intervals
+	// heardSinceFailure: it was heard since it was last given up.
+	heardSinceFailure bool
+	// resetAt and refused are when a connection to it was last reset, refused; open when one
 	// was last established.
-	reset, refused, open time.Time
+	resetAt, refusedAt, establishedAt time.Time
 }
 
 // MemberList is what is known of all members. It is not safe for use from several goroutines at once.
 type MemberList struct {
 	self    *member
 	members []*member
-	// health counts this controller's own troubles, as the local health multiplier of Lifeguard
+	// localTroubles counts this controller's own troubles, as the local health multiplier of Lifeguard
 	// does (A. Dadgar, J. Phillips, J. Currey: "Lifeguard: local health awareness for more
 	// accurate failure detection", 2017): who stood still, or has no socket, waits longer
 	// before it suspects others.
-	health  int
-	trouble time.Time
-	stepped time.Time
-	own     LocalState
+	localTroubles  int
+	localTroubleAt time.Time
+	lastStep       time.Time
+	local          LocalState
 }
 
 // New is the table of a controller that has just begun.
 func New(self string, others []string, now time.Time) *MemberList {
-	t := &MemberList{self: newMember(self, now), stepped: now}
-	t.self.level, t.self.why = Alive, "this controller"
+	list := &MemberList{self: newMember(self, now), lastStep: now}
+	list.self.level, list.self.reason = Alive, "this controller"
 	for _, name := range others {
-		t.members = append(t.members, newMember(name, now))
+		list.members = append(list.members, newMember(name, now))
 	}
-	slices.SortFunc(t.members, func(a, b *member) int { return strings.Compare(a.name, b.name) })
-	return t
+	slices.SortFunc(list.members, func(a, b *member) int { return strings.Compare(a.name, b.name) })
+	return list
 }
 
 func newMember(name string, now time.Time) *member {
-	return &member{name: name, level: Unknown, why: "not heard yet", since: now, heard: now, gaps: newArrivals(tuning.PeerHello)}
+	return &member{name: name, level: Unknown, reason: "not heard yet", since: now, lastHelloAt: now, intervals: newIntervals(tuning.PeerHello)}
 }
 
 // Step takes in what was observed since the last step, in order, and judges all members anew. It is
 // called several times a second also without observations.
-func (t *MemberList) Step(now time.Time, seen ...Observation) []Change {
-	if gap := now.Sub(t.stepped); gap >= tuning.PauseLeast {
+func (l *MemberList) Step(now time.Time, observations ...Observation) []Change {
+	if interval := now.Sub(l.lastStep); interval >= tuning.PauseLeast {
 		// We stood still, or had no processor: what others said meanwhile is still to be read.
-		t.troubled(now)
-		for _, m := range t.members {
-			m.heard = m.heard.Add(gap)
+		l.recordLocalTrouble(now)
+		for _, peer := range l.members {
+			peer.lastHelloAt = peer.lastHelloAt.Add(interval)
 		}
 	}
-	t.stepped = now
-	if t.health > 0 && now.Sub(t.trouble) >= tuning.HealthAgain {
-		t.health, t.trouble = t.health-1, now
+	l.lastStep = now
+	if l.localTroubles > 0 && now.Sub(l.localTroubleAt) >= tuning.HealthAgain {
+		l.localTroubles, l.localTroubleAt = l.localTroubles-1, now
 	}
-	var out []Change
-	for _, o := range seen {
-		out = append(out, t.take(now, o)...)
+	var changes []Change
+	for _, observation := range observations {
+		changes = append(changes, l.apply(now, observation)...)
 	}
-	for _, m := range t.members {
-		out = t.judge(now, m, out)
+	for _, peer := range l.members {
+		changes = l.evaluate(now, peer, changes)
 	}
-	return t.judgeSelf(now, out)
+	return l.evaluateSelf(now, changes)
 }
 
-func (t *MemberList) troubled(now time.Time) {
-	t.health, t.trouble = min(tuning.HealthMost, t.health+1), now
+func (l *MemberList) recordLocalTrouble(now time.Time) {
+	l.localTroubles, l.localTroubleAt = min(tuning.HealthMost, l.localTroubles+1), now
 }
 
-func (t *MemberList) find(name string) *member {
-	for _, m := range t.members {
-		if m.name == name {
-			return m
+func (l *MemberList) find(name string) *member {
+	for _, peer := range l.members {
+		if peer.name == name {
+			return peer
 		}
 	}
 	return nil
 }
 
-func (t *MemberList) take(now time.Time, o Observation) (out []Change) {
-	if own, ok := o.(LocalState); ok {
-		t.own = own
+func (l *MemberList) apply(now time.Time, observation Observation) (changes []Change) {
+	if local, ok := observation.(LocalState); ok {
+		l.local = local
 		return nil
 	}
-	m := t.find(o.of())
-	if m == nil {
+	peer := l.find(observation.subject())
+	if peer == nil {
 		return nil
 	}
-	switch o := o.(type) {
+	switch o := observation.(type) {
 	case Hello:
-		if o.StartedMS < m.last.StartedMS {
-			return nil // of an earlier process, late
+		if o.StartedMS < peer.lastHello.StartedMS {
+			return nil // It is a late one of an earlier process.
 		}
-		anew := o.StartedMS > m.last.StartedMS && m.last.StartedMS > 0
-		if anew || !m.greeted {
+		restarted := o.StartedMS > peer.lastHello.StartedMS && peer.lastHello.StartedMS > 0
+		if restarted || !peer.heardSinceFailure {
 			// What silence lay between two processes says nothing of the next one's pace.
-			m.gaps = newArrivals(tuning.PeerHello)
-		} else if gap := now.Sub(m.heard); gap > 0 {
-			m.gaps.add(gap)
+			peer.intervals = newIntervals(tuning.PeerHello)
+		} else if interval := now.Sub(peer.lastHelloAt); interval > 0 {
+			peer.intervals.add(interval)
 		}
-		m.heard, m.last, m.greeted = now, o, true
-		if anew {
-			m.level = Unknown
-			out = m.become(now, Alive, nil, "a new process of it greets", out)
+		peer.lastHelloAt, peer.lastHello, peer.heardSinceFailure = now, o, true
+		if restarted {
+			peer.level = Unknown
+			changes = peer.setLevel(now, Alive, nil, "a new process of it greets", changes)
 		}
 	case Connection:
 		switch o.Outcome {
 		case Established:
-			m.open = now
+			peer.establishedAt = now
 		case Refused:
-			m.refused = now
+			peer.refusedAt = now
 		case Reset:
-			m.reset = now
+			peer.resetAt = now
 		case NoSocket:
-			t.troubled(now)
+			l.recordLocalTrouble(now)
 		case Hanging:
 		}
 	}
-	return out
+	return changes
 }
 
-// become notes a level; nothing is said where nothing changes.
-func (m *member) become(now time.Time, to Level, parts []string, why string, out []Change) []Change {
+// setLevel notes a level; nothing is said where nothing changes.
+func (m *member) setLevel(now time.Time, to Level, parts []string, reason string, changes []Change) []Change {
 	if m.level == to && slices.Equal(m.parts, parts) {
-		return out
+		return changes
 	}
-	c := Change{Member: m.name, From: m.level, To: to, Parts: parts, Why: why}
-	m.level, m.parts, m.why, m.since = to, parts, why, now
-	return append(out, c)
+	change := Change{Member: m.name, From: m.level, To: to, Parts: parts, Why: reason}
+	m.level, m.parts, m.reason, m.since = to, parts, reason, now
+	return append(changes, change)
 }
 
 // phi of a member's silence; our own troubles stretch the time that counts.
-func (t *MemberList) phi(now time.Time, m *member) float64 {
-	return m.gaps.phi(now.Sub(m.heard) / time.Duration(1+t.health))
+func (l *MemberList) phi(now time.Time, peer *member) float64 {
+	return peer.intervals.phi(now.Sub(peer.lastHelloAt) / time.Duration(1+l.localTroubles))
 }
 
 // crashed tells whether a member's connections show the end of its process: one that stood was
-// reset, and since then new ones are refused. A filter does one or the other, a cut neither.
+// resetAt, and since then new ones are refused. A filter does one or the other, a cut neither.
 func (m *member) crashed(now time.Time) bool {
-	return !m.reset.IsZero() && m.refused.After(m.reset) && m.open.Before(m.reset) && now.Sub(m.refused) < tuning.CrashFresh
+	return !m.resetAt.IsZero() && m.refusedAt.After(m.resetAt) && m.establishedAt.Before(m.resetAt) && now.Sub(m.refusedAt) < tuning.CrashFresh
 }
 
-// others counts the members heard by this one, m aside, that say that they hear m, and that do not.
-func (t *MemberList) others(now time.Time, m *member) (hear, not int) {
-	for _, o := range t.members {
-		if o == m || !o.greeted || o.last.StartedMS == 0 || now.Sub(o.heard) > tuning.ViewFresh {
+// peerOpinions counts the members heard by this one, m aside, that say that they hear m, and that do not.
+func (l *MemberList) peerOpinions(now time.Time, peer *member) (hearing, notHearing int) {
+	for _, other := range l.members {
+		if other == peer || !other.heardSinceFailure || other.lastHello.StartedMS == 0 || now.Sub(other.lastHelloAt) > tuning.ViewFresh {
 			continue
 		}
-		if slices.Contains(o.last.HeardPeers, m.name) {
-			hear++
+		if slices.Contains(other.lastHello.HeardPeers, peer.name) {
+			hearing++
 		} else {
-			not++
+			notHearing++
 		}
 	}
-	return hear, not
+	return hearing, notHearing
 }
 
-func (t *MemberList) judge(now time.Time, m *member, out []Change) []Change {
-	if !m.greeted && (m.level == Unknown || m.level == Failed) {
-		return out
+func (l *MemberList) evaluate(now time.Time, peer *member, changes []Change) []Change {
+	if !peer.heardSinceFailure && (peer.level == Unknown || peer.level == Failed) {
+		return changes
 	}
-	phi := t.phi(now, m)
-	crashed := m.crashed(now)
-	if m.last.Leaving {
-		return m.become(now, Left, nil, "it said that it leaves", out)
+	phi := l.phi(now, peer)
+	crashed := peer.crashed(now)
+	if peer.lastHello.Leaving {
+		return peer.setLevel(now, Left, nil, "it said that it leaves", changes)
 	}
 	if phi < tuning.PhiSuspect && !crashed {
 		var parts []string
-		if !m.last.StateOK && t.own.StateOK {
+		if !peer.lastHello.StateOK && l.local.StateOK {
 			parts = append(parts, State)
 		}
-		if m.last.Leads && !m.last.ReceivesHeartbeats && t.anyWorked(m) {
+		if peer.lastHello.Leads && !peer.lastHello.ReceivesHeartbeats && l.anyReceivesHeartbeats(peer) {
 			parts = append(parts, Workers)
 		}
-		why := "it greets"
+		reason := "it greets"
 		if len(parts) > 0 {
-			why = "it says that it does not reach: " + strings.Join(parts, ", ")
+			reason = "it says that it does not reach: " + strings.Join(parts, ", ")
 		}
-		if pace := t.fastest(m); pace > 0 && float64(m.last.BenchmarkUS) >= tuning.SlowPace*float64(pace) {
-			return m.become(now, Slow, parts, fmt.Sprintf("computes %.1f times slower than another", float64(m.last.BenchmarkUS)/float64(pace)), out)
+		if pace := l.fastestBenchmarkUS(peer); pace > 0 && float64(peer.lastHello.BenchmarkUS) >= tuning.SlowPace*float64(pace) {
+			return peer.setLevel(now, Slow, parts, fmt.Sprintf("computes %.1f times slower than another", float64(peer.lastHello.BenchmarkUS)/float64(pace)), changes)
 		}
-		return m.become(now, Alive, parts, why, out)
+		return peer.setLevel(now, Alive, parts, reason, changes)
 	}
-	hear, not := t.others(now, m)
-	why := fmt.Sprintf("silent for %.1f s", now.Sub(m.heard).Seconds())
+	hearing, notHearing := l.peerOpinions(now, peer)
+	reason := fmt.Sprintf("silent for %.1f s", now.Sub(peer.lastHelloAt).Seconds())
 	if crashed {
-		why = "its connection was reset and new ones are refused"
+		reason = "its connection was reset and new ones are refused"
 	}
 	switch {
-	case hear > 0:
-		return m.become(now, Suspected, []string{Link}, fmt.Sprintf("%s, but heard by %d other", why, hear), out)
-	case not > 0 && (crashed || phi >= tuning.PhiFail && now.Sub(m.heard) >= tuning.FailQuiet):
+	case hearing > 0:
+		return peer.setLevel(now, Suspected, []string{Link}, fmt.Sprintf("%s, but heard by %d other", reason, hearing), changes)
+	case notHearing > 0 && (crashed || phi >= tuning.PhiFail && now.Sub(peer.lastHelloAt) >= tuning.FailQuiet):
 		// Two see it, and nobody the contrary.
-		m.greeted = false
-		return m.become(now, Failed, []string{Process}, fmt.Sprintf("%s, and not heard by %d other either", why, not), out)
+		peer.heardSinceFailure = false
+		return peer.setLevel(now, Failed, []string{Process}, fmt.Sprintf("%s, and not heard by %d other either", reason, notHearing), changes)
 	}
-	return m.become(now, Suspected, []string{Process}, why, out)
+	return peer.setLevel(now, Suspected, []string{Process}, reason, changes)
 }
 
-// anyWorked tells whether workers report to anyone but m.
-func (t *MemberList) anyWorked(m *member) bool {
-	return t.own.ReceivesHeartbeats || slices.ContainsFunc(t.members, func(o *member) bool { return o != m && o.level == Alive && o.last.ReceivesHeartbeats })
+// anyReceivesHeartbeats tells whether workers report to anyone but m.
+func (l *MemberList) anyReceivesHeartbeats(peer *member) bool {
+	return l.local.ReceivesHeartbeats || slices.ContainsFunc(l.members, func(other *member) bool {
+		return other != peer && other.level == Alive && other.lastHello.ReceivesHeartbeats
+	})
 }
 
-// fastest is the least pace of those heard, m aside; 0: none says.
-func (t *MemberList) fastest(m *member) (us uint32) {
-	for _, o := range t.members {
-		if p := o.last.BenchmarkUS; o != m && o.level == Alive && p > 0 && (us == 0 || p < us) {
-			us = p
+// fastestBenchmarkUS is the least pace of those heard, m aside; 0: none says.
+func (l *MemberList) fastestBenchmarkUS(peer *member) (us uint32) {
+	for _, other := range l.members {
+		if benchmarkUS := other.lastHello.BenchmarkUS; other != peer && other.level == Alive && benchmarkUS > 0 && (us == 0 || benchmarkUS < us) {
+			us = benchmarkUS
 		}
 	}
 	return us
 }
 
-// judgeSelf suspects this controller itself: who hears nobody is more likely cut off than alone.
-func (t *MemberList) judgeSelf(now time.Time, out []Change) []Change {
+// evaluateSelf suspects this controller itself: who hears nobody is more likely cut off than alone.
+func (l *MemberList) evaluateSelf(now time.Time, changes []Change) []Change {
 	var parts []string
 	heard, answered := 0, 0
-	for _, m := range t.members {
-		if m.level == Alive || m.level == Slow {
+	for _, peer := range l.members {
+		if peer.level == Alive || peer.level == Slow {
 			heard++
 		}
-		if now.Sub(m.refused) < tuning.CrashFresh {
+		if now.Sub(peer.refusedAt) < tuning.CrashFresh {
 			answered++
 		}
 	}
-	ever := slices.ContainsFunc(t.members, func(m *member) bool { return m.level != Unknown })
-	if ever && heard+answered == 0 && len(t.members) > 0 {
+	ever := slices.ContainsFunc(l.members, func(peer *member) bool { return peer.level != Unknown })
+	if ever && heard+answered == 0 && len(l.members) > 0 {
 		parts = append(parts, Link)
 	}
-	if others := slices.ContainsFunc(t.members, func(m *member) bool { return m.level == Alive && m.last.StateOK }); !t.own.StateOK && others {
+	if others := slices.ContainsFunc(l.members, func(peer *member) bool { return peer.level == Alive && peer.lastHello.StateOK }); !l.local.StateOK && others {
 		parts = append(parts, State)
 	}
-	if t.own.Leads && !t.own.ReceivesHeartbeats && t.anyWorked(nil) {
+	if l.local.Leads && !l.local.ReceivesHeartbeats && l.anyReceivesHeartbeats(nil) {
 		parts = append(parts, Workers)
 	}
 	switch {
-	case t.health >= tuning.HealthSlow:
-		return t.self.become(now, Slow, parts, fmt.Sprintf("stood still or had no socket %d times lately", t.health), out)
+	case l.localTroubles >= tuning.HealthSlow:
+		return l.self.setLevel(now, Slow, parts, fmt.Sprintf("stood still or had no socket %d times lately", l.localTroubles), changes)
 	case len(parts) > 0:
-		return t.self.become(now, Suspected, parts, "does not reach: "+strings.Join(parts, ", "), out)
+		return l.self.setLevel(now, Suspected, parts, "does not reach: "+strings.Join(parts, ", "), changes)
 	}
-	return t.self.become(now, Alive, nil, "this controller", out)
+	return l.self.setLevel(now, Alive, nil, "this controller", changes)
 }
 
 // HeardPeers are the members that this controller hears, in order: what it tells others of them.
-func (t *MemberList) HeardPeers() (names []string) {
-	for _, m := range t.members {
-		if m.level == Alive || m.level == Slow {
-			names = append(names, m.name)
+func (l *MemberList) HeardPeers() (names []string) {
+	for _, peer := range l.members {
+		if peer.level == Alive || peer.level == Slow {
+			names = append(names, peer.name)
 		}
 	}
 	return names
 }
 
 // Views are all members as they stand, this one first.
-func (t *MemberList) Views(now time.Time) []View {
-	out := []View{}
-	for _, m := range append([]*member{t.self}, t.members...) {
-		v := View{Member: m.name, Self: m == t.self, Level: m.level, Parts: append([]string{}, m.parts...), Why: m.why, HeardPeers: append([]string{}, m.last.HeardPeers...)}
-		v.ForS = seconds(now.Sub(m.since))
-		if v.Self {
-			v.HeardPeers = append(v.HeardPeers, t.HeardPeers()...)
+func (l *MemberList) Views(now time.Time) []View {
+	views := []View{}
+	for _, peer := range append([]*member{l.self}, l.members...) {
+		view := View{Member: peer.name, Self: peer == l.self, Level: peer.level, Parts: append([]string{}, peer.parts...), Why: peer.reason, HeardPeers: append([]string{}, peer.lastHello.HeardPeers...)}
+		view.ForS = seconds(now.Sub(peer.since))
+		if view.Self {
+			view.HeardPeers = append(view.HeardPeers, l.HeardPeers()...)
 		} else {
-			v.QuietS, v.Phi = seconds(now.Sub(m.heard)), math.Round(10*t.phi(now, m))/10
+			view.QuietS, view.Phi = seconds(now.Sub(peer.lastHelloAt)), math.Round(10*l.phi(now, peer))/10
 		}
-		out = append(out, v)
+		views = append(views, view)
 	}
-	return out
+	return views
 }
 
 func seconds(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
--- a/membership/watch.go
+++ b/membership/watcher.go
@@ -14,27 +14,27 @@
 type Watcher struct {
 	clock clockwork.Clock
 	mu    sync.Mutex
-	table *MemberList
+	list  *MemberList
 }
 
 // NewWatcher makes the watcher of a controller that has just begun.
 func NewWatcher(self string, others []string, clock clockwork.Clock) *Watcher {
-	return &Watcher{clock: clock, table: New(self, others, clock.Now())}
+	return &Watcher{clock: clock, list: New(self, others, clock.Now())}
 }
 
 // Observe takes in an observation.
-func (w *Watcher) Observe(seen ...Observation) {
+func (w *Watcher) Observe(observations ...Observation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range w.table.Step(w.clock.Now(), seen...) {
-		slog.Info("member", "member", c.Member, "from", string(c.From), "to", string(c.To), "parts", c.Parts, "why", c.Why)
+	for _, change := range w.list.Step(w.clock.Now(), observations...) {
+		slog.Info("member", "member", change.Member, "from", string(change.From), "to", string(change.To), "parts", change.Parts, "why", change.Why)
 	}
 }
 
 // Run steps the table until the context ends, with what this controller says of itself.
-func (w *Watcher) Run(ctx context.Context, own func() LocalState) {
+func (w *Watcher) Run(ctx context.Context, local func() LocalState) {
 	for ctx.Err() == nil {
-		w.Observe(own())
+		w.Observe(local())
 		select {
 		case <-ctx.Done():
 		case <-w.clock.After(tuning.MembersEvery):
@@ -46,12 +46,12 @@
 func (w *Watcher) HeardPeers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.table.HeardPeers()
+	return w.list.HeardPeers()
 }
 
 // Views are all members as they stand, this one first.
 func (w *Watcher) Views() []View {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.table.Views(w.clock.Now())
+	return w.list.Views(w.clock.Now())
 }
