--- a/membership/intervals.go
+++ b/membership/intervals.go
@@ -9,20 +9,22 @@
 	"switchferry/tuning"
 )
 
-// intervals is the distribution of the times between a member's greetings, over the last ones. From
-// it follows how unlikely a silence is: phi, as N. Hayashibara, X. Défago, R. Yared and T. Katayama
-// define it ("The phi accrual failure detector", SRDS 2004). Before there are enough, the priors
-// count: greetings at their usual pace, with a quarter of it as deviation.
+// intervals is the distribution of the last times between a member's hellos. From it follows how unlikely a
+// silence is, as phi of the phi accrual failure detector (N. Hayashibara, X. Défago, R. Yared, T. Katayama:
+// "The phi accrual failure detector", SRDS 2004). A prior weighs as much as tuning.ArrivalsPrior samples:
+// hellos at the expected interval, with a standard deviation of a quarter of it.
 type intervals struct {
 	expectedInterval time.Duration
-	samples          []float64 // seconds, a ring
-	oldest           int
-	sum              float64
-	squares          float64
+	// samples is a ring of tuning.ArrivalsKept intervals in seconds, the oldest of them at that index once it
+	// is full; sum and squares are their sum and the sum of their squares.
+	samples      []float64
+	oldest       int
+	sum, squares float64
 }
 
 func newIntervals(expected time.Duration) *intervals { return &intervals{expectedInterval: expected} }
 
+// add records one interval.
 func (i *intervals) add(interval time.Duration) {
 	seconds := interval.Seconds()
 	if len(i.samples) < tuning.ArrivalsKept {
@@ -36,17 +38,16 @@
 	i.sum, i.squares = i.sum+seconds, i.squares+seconds*seconds
 }
 
-// phi is -log10 of the probability that a greeting comes after a silence that long, at most
+// phi returns -log10 of the probability that a hello still arrives after a silence of this length, at most
 // tuning.PhiMost.
 func (i *intervals) phi(silentFor time.Duration) float64 {
 	prior, count := i.expectedInterval.Seconds(), float64(len(i.samples))
-	spread := prior * tuning.ArrivalsSpread
-	// The priors weigh as much as some greetings.
+	priorDeviation := prior * tuning.ArrivalsSpread
 	weight := count + tuning.ArrivalsPrior
 	mean := (i.sum + tuning.ArrivalsPrior*prior) / weight
-	square := (i.squares + tuning.ArrivalsPrior*(prior*prior+spread*spread)) / weight
-	sigma := math.Max(spread, math.Sqrt(math.Max(0, square-mean*mean)))
-	probability := distuv.Normal{Mu: mean, Sigma: sigma}.Survival(silentFor.Seconds())
+	meanSquare := (i.squares + tuning.ArrivalsPrior*(prior*prior+priorDeviation*priorDeviation)) / weight
+	deviation := math.Max(priorDeviation, math.Sqrt(math.Max(0, meanSquare-mean*mean)))
+	probability := distuv.Normal{Mu: mean, Sigma: deviation}.Survival(silentFor.Seconds())
 	if probability <= 0 {
 		return tuning.PhiMost
 	}
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -10,19 +10,22 @@
 	"switchferry/tuning"
 )
 
-// Watcher holds a controller's table behind a lock, steps it, and logs each change once.
+// Watcher keeps a process's MemberList and logs each change once. It may be used from several goroutines at
+// once.
 type Watcher struct {
 	clock clockwork.Clock
-	mu    sync.Mutex
-	list  *MemberList
+
+	// mu guards list.
+	mu   sync.Mutex
+	list *MemberList
 }
 
-// NewWatcher makes the watcher of a controller that has just begun.
+// NewWatcher returns the watcher of a controller that starts now, with the names of all other controllers.
 func NewWatcher(self string, others []string, clock clockwork.Clock) *Watcher {
 	return &Watcher{clock: clock, list: New(self, others, clock.Now())}
 }
 
-// Observe takes in an observation.
+// Observe applies observations, in order, and logs the changes that follow.
 func (w *Watcher) Observe(observations ...Observation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -31,7 +34,8 @@
 	}
 }
 
-// Run steps the table until the context ends, with what this controller says of itself.
+// Run observes this controller's own state every tuning.MembersEvery, which keeps the levels current, until
+// the context ends.
 func (w *Watcher) Run(ctx context.Context, local func() LocalState) {
 	for ctx.Err() == nil {
 		w.Observe(local())
@@ -42,14 +46,14 @@
 	}
 }
 
-// HeardPeers are the members that this controller hears.
+// HeardPeers returns the names of the peers from which this controller receives hellos, sorted.
 func (w *Watcher) HeardPeers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.list.HeardPeers()
 }
 
-// Views are all members as they stand, this one first.
+// Views returns the views of all members, this controller's first, the others sorted by name.
 func (w *Watcher) Views() []View {
 	w.mu.Lock()
 	defer w.mu.Unlock()
