--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -30,7 +30,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, change := range w.list.Step(w.clock.Now(), observations...) {
-		slog.Info("member", "member", change.Member, "from", string(change.From), "to", string(change.To), "parts", change.Parts, "why", change.Why)
+		slog.Info("membership level changed", "member", change.Member, "from", string(change.From), "to", string(change.To), "parts", change.Parts, "why", change.Why)
 	}
 }
 
