--- a/cpupressure/pace.go
+++ b/cpupressure/monitor.go
@@ -28,18 +28,18 @@
 type Monitor struct {
 	clock clockwork.Clock
 
-	mu    sync.Mutex
-	tries []time.Duration
+	mu      sync.Mutex
+	samples []time.Duration
 }
 
 // NewMonitor makes a measure that has no tries yet.
 func NewMonitor(clock clockwork.Clock) *Monitor { return &Monitor{clock: clock} }
 
 // Run measures until the context ends.
-func (p *Monitor) Run(ctx context.Context) {
+func (m *Monitor) Run(ctx context.Context) {
 	work := make([]byte, tuning.PaceBytes)
 	for ctx.Err() == nil {
-		if took, err := processorTime(func() {
+		if used, err := processorTime(func() {
 			for range tuning.PaceRounds {
 				sha256.Sum256(work)
 			}
@@ -47,11 +47,11 @@
 			slog.Error("pace not measured", "err", err)
 			return
 		} else {
-			p.add(took)
+			m.add(used)
 		}
 		select {
 		case <-ctx.Done():
-		case <-p.clock.After(tuning.PaceEvery):
+		case <-m.clock.After(tuning.PaceEvery):
 		}
 	}
 }
@@ -60,42 +60,42 @@
 func processorTime(work func()) (time.Duration, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var from, to unix.Timespec
-	err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &from)
+	var start, end unix.Timespec
+	err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &start)
 	work()
 	if err == nil {
-		err = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &to)
+		err = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &end)
 	}
-	return time.Duration(to.Nano() - from.Nano()), err
+	return time.Duration(end.Nano() - start.Nano()), err
 }
 
-func (p *Monitor) add(took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.tries = append(p.tries, took); len(p.tries) > tuning.PaceTries {
-		p.tries = p.tries[1:]
+func (m *Monitor) add(used time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.samples = append(m.samples, used); len(m.samples) > tuning.PaceTries {
+		m.samples = m.samples[1:]
 	}
 }
 
 // PublishedUS is the pace that others compare with, in microseconds; 0: not known yet.
-func (p *Monitor) PublishedUS() uint32 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.tries) < tuning.PaceTries/2 {
+func (m *Monitor) PublishedUS() uint32 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.samples) < tuning.PaceTries/2 {
 		return 0
 	}
-	return uint32(max(1, slices.Max(p.tries).Microseconds()))
+	return uint32(max(1, slices.Max(m.samples).Microseconds()))
 }
 
 // ComparisonUS is the pace that this controller compares, in microseconds; 0: not known yet.
-func (p *Monitor) ComparisonUS() uint32 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.tries) < tuning.PaceLast {
+func (m *Monitor) ComparisonUS() uint32 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.samples) < tuning.PaceLast {
 		return 0
 	}
-	last := slices.Sorted(slices.Values(p.tries[len(p.tries)-tuning.PaceLast:]))
-	return uint32(max(1, last[len(last)-tuning.PaceRank].Microseconds()))
+	recent := slices.Sorted(slices.Values(m.samples[len(m.samples)-tuning.PaceLast:]))
+	return uint32(max(1, recent[len(recent)-tuning.PaceRank].Microseconds()))
 }
 
 // LeadershipTransfer tells when a leader should leave the post to a sibling because it
@@ -103,24 +103,24 @@
 // late for as long as that lasts. A load that is merely high slows every leader
 // alike and is no reason.
 type LeadershipTransfer struct {
-	since time.Time
+	slowSince time.Time
 }
 
 // Due tells whether a leader elected then, of this pace, should leave the post now.
-func (h *LeadershipTransfer) Due(now, elected time.Time, mine uint32, siblings []peer.Hello) bool {
-	best := uint32(0)
-	for _, s := range siblings {
-		if s.StateOK && s.BenchmarkUS > 0 && (best == 0 || s.BenchmarkUS < best) {
-			best = s.BenchmarkUS
+func (t *LeadershipTransfer) Due(now, elected time.Time, ownUS uint32, peers []peer.Hello) bool {
+	fastestUS := uint32(0)
+	for _, hello := range peers {
+		if hello.StateOK && hello.BenchmarkUS > 0 && (fastestUS == 0 || hello.BenchmarkUS < fastestUS) {
+			fastestUS = hello.BenchmarkUS
 		}
 	}
-	if mine == 0 || best == 0 || float64(mine) < tuning.SlowPace*float64(best) {
-		h.since = time.Time{}
+	if ownUS == 0 || fastestUS == 0 || float64(ownUS) < tuning.SlowPace*float64(fastestUS) {
+		t.slowSince = time.Time{}
 		return false
 	}
-	if h.since.IsZero() {
-		h.since = now
-		slog.Info("computing slower than a sibling", "pace_us", mine, "sibling_us", best)
+	if t.slowSince.IsZero() {
+		t.slowSince = now
+		slog.Info("computing slower than a sibling", "pace_us", ownUS, "sibling_us", fastestUS)
 	}
-	return now.Sub(h.since) >= tuning.SlowFor && now.Sub(elected) >= tuning.SlowTerm
+	return now.Sub(t.slowSince) >= tuning.SlowFor && now.Sub(elected) >= tuning.SlowTerm
 }
