--- a/cpupressure/monitor.go
+++ b/cpupressure/monitor.go
@@ -1,10 +1,11 @@
-// Package cpupressure measures how fast a controller computes, and tells when a leader should hand over to a sibling
-// that is several times faster.
+// Package cpupressure measures how fast a controller computes, and decides when a leader should transfer its
+// leadership to a peer that is several times faster.
 package cpupressure
 
 import (
 	"context"
 	"crypto/sha256"
+	"fmt"
 	"log/slog"
 	"runtime"
 	"slices"
@@ -14,41 +15,46 @@
 	"github.com/jonboulle/clockwork"
 	"golang.org/x/sys/unix"
 
-	"switchferry/peer"
 	"switchferry/tuning"
 )
 
-// Monitor is how fast this controller computes: the processor time of a fixed piece of work.
-// Processor time does not count moments in which others ran. Where it is counted in steps, most
-// short tries take none at all, on an idle controller more than on a busy one, so that the least
-// of some tells nothing: with it leaders that were only busy handed over several times a day
-// (docs/incidents/fleet-busy-taken-for-slow.md). So a controller says of itself, for others to
-// compare with, the most that a try took in half a minute, and compares one of the larger of its
-// last ones: each errs to the side on which a leader keeps its post.
+// Monitor measures the processor time of a fixed benchmark at regular intervals. It may be used from several
+// goroutines at once.
+//
+// Processor time excludes the moments in which other processes ran. Where the operating system counts it in
+// coarse steps, most short samples show no time at all, on an idle controller more often than on a busy one.
+// The least of some samples is then useless: with it, leaders that were merely busy transferred their
+// leadership several times a day (docs/incidents/fleet-busy-taken-for-slow.md). So a controller publishes, for
+// others to compare with, the longest sample of half a minute, and compares one of the longer of its recent
+// ones. Both err in favour of the current leader.
 type Monitor struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
+	// mu guards samples.
+	mu sync.Mutex
+	// samples are the last tuning.PaceTries at most, the newest last.
 	samples []time.Duration
 }
 
-// NewMonitor makes a measure that has no tries yet.
+// NewMonitor returns a monitor without samples.
 func NewMonitor(clock clockwork.Clock) *Monitor { return &Monitor{clock: clock} }
 
-// Run measures until the context ends.
+// Run takes a sample every tuning.PaceEvery until the context ends. It gives up, with a log line, if the
+// operating system does not report processor time.
 func (m *Monitor) Run(ctx context.Context) {
-	work := make([]byte, tuning.PaceBytes)
+	data := make([]byte, tuning.PaceBytes)
+	benchmark := func() {
+		for range tuning.PaceRounds {
+			sha256.Sum256(data)
+		}
+	}
 	for ctx.Err() == nil {
-		if used, err := processorTime(func() {
-			for range tuning.PaceRounds {
-				sha256.Sum256(work)
-			}
-		}); err != nil {
+		used, err := processorTime(benchmark)
+		if err != nil {
 			slog.Error("pace not measured", "err", err)
 			return
-		} else {
-			m.add(used)
 		}
+		m.add(used)
 		select {
 		case <-ctx.Done():
 		case <-m.clock.After(tuning.PaceEvery):
@@ -56,7 +62,7 @@
 	}
 }
 
-// processorTime is what a piece of work takes of the processor.
+// processorTime returns how much processor time work takes on the calling goroutine's thread.
 func processorTime(work func()) (time.Duration, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -66,9 +72,13 @@
 	if err == nil {
 		err = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &end)
 	}
-	return time.Duration(end.Nano() - start.Nano()), err
+	if err != nil {
+		return 0, fmt.Errorf("read the thread's processor time: %w", err)
+	}
+	return time.Duration(end.Nano() - start.Nano()), nil
 }
 
+// add records a sample.
 func (m *Monitor) add(used time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,17 +87,19 @@
 	}
 }
 
-// PublishedUS is the pace that others compare with, in microseconds; 0: not known yet.
+// PublishedUS returns the benchmark time in microseconds that other controllers compare with, 1 or more; 0
+// while there are too few samples.
 func (m *Monitor) PublishedUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.samples) < tuning.PaceTries/2 {
 		return 0
 	}
-	return uint32(max(1, slices.Max(m.samples).Microseconds()))
+	return microseconds(slices.Max(m.samples))
 }
 
-// ComparisonUS is the pace that this controller compares, in microseconds; 0: not known yet.
+// ComparisonUS returns the benchmark time in microseconds that this controller compares with those of others,
+// 1 or more; 0 while there are too few samples.
 func (m *Monitor) ComparisonUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,32 +107,8 @@
 		return 0
 	}
 	recent := slices.Sorted(slices.Values(m.samples[len(m.samples)-tuning.PaceLast:]))
-	return uint32(max(1, recent[len(recent)-tuning.PaceRank].Microseconds()))
-}
-
-// LeadershipTransfer tells when a leader should leave the post to a sibling because it
-// computes several times slower: with hundreds of machines its answers would be
-// late for as long as that lasts. A load that is merely high slows every leader
-// alike and is no reason.
-type LeadershipTransfer struct {
-	slowSince time.Time
+	return microseconds(recent[len(recent)-tuning.PaceRank])
 }
 
-// Due tells whether a leader elected then, of this pace, should leave the post now.
-func (t *LeadershipTransfer) Due(now, elected time.Time, ownUS uint32, peers []peer.Hello) bool {
-	fastestUS := uint32(0)
-	for _, hello := range peers {
-		if hello.StateOK && hello.BenchmarkUS > 0 && (fastestUS == 0 || hello.BenchmarkUS < fastestUS) {
-			fastestUS = hello.BenchmarkUS
-		}
-	}
-	if ownUS == 0 || fastestUS == 0 || float64(ownUS) < tuning.SlowPace*float64(fastestUS) {
-		t.slowSince = time.Time{}
-		return false
-	}
-	if t.slowSince.IsZero() {
-		t.slowSince = now
-		slog.Info("computing slower than a sibling", "pace_us", ownUS, "sibling_us", fastestUS)
-	}
-	return now.Sub(t.slowSince) >= tuning.SlowFor && now.Sub(elected) >= tuning.SlowTerm
-}
+// microseconds returns a sample in microseconds, at least 1, since 0 means that there is none.
+func microseconds(used time.Duration) uint32 { return uint32(max(1, used.Microseconds())) }
--- a/redirect/redirect.go
+++ b/redirect/redirect.go
@@ -1,4 +1,5 @@
-// Package redirect decides which controller a worker should report to. It has no clock and no lock.
+// Package redirect decides which controller a worker should send its heartbeats to. It has no clock and no
+// lock: the caller passes the time and serializes the calls.
 package redirect
 
 import (
@@ -10,69 +11,77 @@
 	"switchferry/tuning"
 )
 
-// Tracker remembers which workers were sent to other controllers. A worker gives an
-// unanswered report up after 4 s and takes another second to turn to the next node,
-// so of a lease of 10 s it can afford one dead end, not two in a row.
+// Tracker remembers which workers were redirected to other controllers. A worker waits 4 s for the answer to
+// a heartbeat and another second before it tries the next controller, so with a lease of 10 s it survives one
+// controller that does not answer, but not two in a row.
 type Tracker struct {
-	// redirectedAt is when a worker was last sent away. One that comes back soon could
-	// not reach the node that it was sent to.
+	// redirectedAt is when a worker was first redirected within the last tuning.BounceKeep. One that comes
+	// back could not reach the controller that it was redirected to.
 	redirectedAt map[string]time.Time
-	// probedAt is when a worker was last sent to a controller that hears none.
+	// probedAt is when a worker was last redirected to a controller that receives no heartbeats.
 	probedAt map[string]time.Time
 }
 
-// NewTracker remembers none.
+// NewTracker returns a tracker without entries.
 func NewTracker() Tracker {
 	return Tracker{redirectedAt: map[string]time.Time{}, probedAt: map[string]time.Time{}}
 }
 
-// Allow tells whether a worker may be sent to a controller, and notes that it is.
-// hears: that one says that workers reach it. To one that says so no more, whatever
-// else it answers, a single worker is sent now and then: it may just have none.
+// Allow reports whether a worker may be redirected to the target now, and records that it is. A worker that
+// came back after an earlier redirect may not. A target that states that it receives no heartbeats may be
+// unreachable for workers, or merely have none: it is probed with one worker every tuning.BounceProbe.
 func (t *Tracker) Allow(now time.Time, worker, target string, receivesHeartbeats bool) bool {
-	redirectedAt, known := t.redirectedAt[worker]
-	if known && now.Sub(redirectedAt) < tuning.BounceKeep && now.Sub(redirectedAt) > tuning.BounceTrip {
-		return false
+	if redirectedAt, known := t.redirectedAt[worker]; known {
+		if since := now.Sub(redirectedAt); since > tuning.BounceTrip && since < tuning.BounceKeep {
+			return false
+		}
 	}
 	if !receivesHeartbeats {
-		if probedAt, ok := t.probedAt[target]; ok && now.Sub(probedAt) < tuning.BounceProbe {
+		if probedAt, probed := t.probedAt[target]; probed && now.Sub(probedAt) < tuning.BounceProbe {
 			return false
 		}
 		t.probedAt[target] = now
 	}
-	for name, redirectedAt := range t.redirectedAt {
-		if now.Sub(redirectedAt) >= tuning.BounceKeep {
-			delete(t.redirectedAt, name)
-		}
-	}
-	if _, ok := t.redirectedAt[worker]; !ok {
+	t.removeExpired(now)
+	if _, known := t.redirectedAt[worker]; !known {
 		t.redirectedAt[worker] = now
 	}
 	return true
 }
 
-// Target is where workers should report that belong to a controller, given those that
-// are silent. Workers try the nodes in the order of their names. Those of the node
-// before a silent one would, should theirs fall silent too, run into two dead ends in a
-// row and lose their leases: they go to a node with a living one behind it, of their
-// own zone if there is one.
-func Target(controllers []settings.Peer, target, zone string, silent func(string) bool) string {
-	controllers = slices.Clone(controllers)
-	slices.SortFunc(controllers, func(a, b settings.Peer) int { return strings.Compare(a.Member, b.Member) })
-	candidate := ""
+// removeExpired removes the redirects that are older than tuning.BounceKeep.
+func (t *Tracker) removeExpired(now time.Time) {
+	for worker, redirectedAt := range t.redirectedAt {
+		if now.Sub(redirectedAt) >= tuning.BounceKeep {
+			delete(t.redirectedAt, worker)
+		}
+	}
+}
+
+// Target returns the controller that workers of a zone should report to which belong to the target, given which
+// controllers are silent. Workers try the controllers in the order of their names. If the target's successor
+// in this order is silent and the target then fails, too, its workers meet two controllers in a row that do
+// not answer, and lose their leases. So they are redirected to a responding controller whose successor
+// responds, if possible of their own zone. If there is none, Target returns the target.
+func Target(controllers []settings.Peer, target, zone string, silent func(member string) bool) string {
+	controllers = slices.SortedFunc(slices.Values(controllers), func(a, b settings.Peer) int {
+		return strings.Compare(a.Member, b.Member)
+	})
+	best := ""
 	for i, controller := range controllers {
-		if silent(controller.Member) || silent(controllers[(i+1)%len(controllers)].Member) {
+		successor := controllers[(i+1)%len(controllers)]
+		if silent(controller.Member) || silent(successor.Member) {
 			continue
 		}
 		if controller.Member == target {
 			return target
 		}
-		if candidate == "" || controller.Zone == zone {
-			candidate = controller.Member
+		if best == "" || controller.Zone == zone {
+			best = controller.Member
 		}
 	}
-	if candidate == "" {
+	if best == "" {
 		return target
 	}
-	return candidate
+	return best
 }
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -11,42 +11,42 @@
 	"switchferry/tuning"
 )
 
-// A controller that lost its workers but greets its siblings as ever: workers that
-// turned away from it were all sent back, and a second dead end ends a lease.
+// A controller that workers cannot reach still sends hellos to its peers. Workers that had turned away from it
+// were all redirected back to it, and a second controller that does not answer costs the lease.
 func TestWorkersAreNotRedirectedToControllerWithoutHeartbeats(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	tracker := NewTracker()
 	sent := 0
 	for _, worker := range []string{"n-1", "n-2", "n-3", "n-4"} {
-		if tracker.Allow(clock.Now(), worker, "deaf", false) {
+		if tracker.Allow(clock.Now(), worker, "unreachable", false) {
 			sent++
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d of 4 workers were sent to a controller that hears none, want one to try", sent)
+		t.Errorf("%d of 4 workers were redirected to a controller without heartbeats, want one to probe it", sent)
 	}
 	if !tracker.Allow(clock.Now(), "n-2", "other", true) {
-		t.Error("not sent to a controller that hears workers")
+		t.Error("not redirected to a controller that receives heartbeats")
 	}
 	clock.Advance(tuning.BounceProbe)
-	if tracker.Allow(clock.Now(), "n-1", "deaf", false) {
-		t.Error("the worker that had tried was sent again")
+	if tracker.Allow(clock.Now(), "n-1", "unreachable", false) {
+		t.Error("the worker that had probed it was redirected again")
 	}
-	if !tracker.Allow(clock.Now(), "n-3", "deaf", false) {
-		t.Error("nobody tries whether it hears again")
+	if !tracker.Allow(clock.Now(), "n-3", "unreachable", false) {
+		t.Error("no other worker probes it")
 	}
 	clock.Advance(tuning.BounceTrip / 2)
-	if !tracker.Allow(clock.Now(), "n-4", "deaf", true) {
-		t.Error("not sent although it hears workers again")
+	if !tracker.Allow(clock.Now(), "n-4", "unreachable", true) {
+		t.Error("not redirected although it receives heartbeats again")
 	}
 	clock.Advance(5 * time.Second)
-	if tracker.Allow(clock.Now(), "n-4", "deaf", true) {
-		t.Error("a worker that came back was sent again")
+	if tracker.Allow(clock.Now(), "n-4", "unreachable", true) {
+		t.Error("a worker that came back was redirected again")
 	}
 }
 
-// Two controllers out of three fell silent, one after the other: workers of the second
-// tried the first next, and their leases ended in the second dead end.
+// Two controllers out of three fell silent, one after the other. Workers of the second tried the first next,
+// and their leases expired before they reached the third.
 func TestTargetHasRespondingSuccessor(t *testing.T) {
 	controllers := []settings.Peer{{Member: "n1", Zone: "b"}, {Member: "n0", Zone: "a"}, {Member: "n2", Zone: "a"}}
 	for _, test := range []struct{ silent, to, zone, want string }{
