--- a/cpupressure/monitor.go
+++ b/cpupressure/monitor.go
@@ -51,7 +51,7 @@
 	for ctx.Err() == nil {
 		used, err := processorTime(benchmark)
 		if err != nil {
-			slog.Error("pace not measured", "err", err)
+			slog.Error("CPU benchmark failed", "err", err)
 			return
 		}
 		m.add(used)
--- a/cpupressure/transfer.go
+++ b/cpupressure/transfer.go
@@ -28,7 +28,7 @@
 	}
 	if t.slowSince.IsZero() {
 		t.slowSince = now
-		slog.Info("computing slower than a sibling", "pace_us", ownUS, "sibling_us", fastestUS)
+		slog.Info("computing slower than a peer", "pace_us", ownUS, "sibling_us", fastestUS)
 	}
 	return now.Sub(t.slowSince) >= tuning.SlowFor && now.Sub(elected) >= tuning.SlowTerm
 }
