--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -185,6 +185,20 @@
 	}
 }
 
+// The hellos that arrived during this controller's own pause are still to be read after it, so the pause is not
+// the silence of others.
+func TestOwnPauseIsNotTheSilenceOfOthers(t *testing.T) {
+	now := time.Unix(1_790_000_000, 0)
+	list := New("a", []string{"b"}, now)
+	for range 20 {
+		now = now.Add(tuning.PeerHello)
+		list.Step(now, Hello{From: "b", StartedMS: 1, StateOK: true})
+	}
+	if changes := list.Step(now.Add(10 * time.Second)); len(changes) > 0 {
+		t.Errorf("after a pause: %+v", changes)
+	}
+}
+
 // A controller that one peer does not hear while the other does is behind a broken link, whether the link
 // fails in one direction or in both. It has not failed.
 func TestLinkFailureIsNotAProcessFailure(t *testing.T) {
--- a/reachability/link_test.go
+++ b/reachability/link_test.go
@@ -125,4 +125,6 @@
 		script.link.Observe(script.now, Heartbeat{Incarnation: 1, Seq: seq, HighestTerm: 7, Term: 7, Via: "n1", Relayed: true})
 		script.want(Reachable)
 	}
+	script.heartbeat(time.Second, "", 1, 200, 7)
+	script.want(Reachable) // the first unconfirmed heartbeat after the relayed ones
 }
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -28,6 +28,9 @@
 	if !tracker.Allow(clock.Now(), "n-2", "other", true) {
 		t.Error("not redirected to a controller that receives heartbeats")
 	}
+	if !tracker.Allow(clock.Now(), "n-2", "other", true) {
+		t.Error("not redirected again by the answer to a heartbeat that was sent before the redirect arrived")
+	}
 	clock.Advance(tuning.BounceProbe)
 	if tracker.Allow(clock.Now(), "n-1", "unreachable", false) {
 		t.Error("the worker that had probed it was redirected again")
--- a/watermark/statement_test.go
+++ b/watermark/statement_test.go
@@ -86,7 +86,7 @@
 	_, before := tracker.MayRenew(later)
 	incarnation, receivedSeq := tracker.Position("b")
 	statement := cluster.trackers["b"].Statement(later, incarnation, receivedSeq+1)
-	statement.Current = true
+	statement.Current, statement.Age = true, 0
 	_ = tracker.ApplyStatement(later, "b", later, statement)
 	if _, age := tracker.MayRenew(later); age != before {
 		t.Errorf("confirmed %v ago, was %v", age, before)
