--- a/dag/pipeline_test.go
+++ b/dag/graph_test.go
@@ -20,7 +20,7 @@
 		lost := func(id string) bool { return false }
 		lost = func(id string) bool { return cancelled[id] || slices.ContainsFunc(needs[id], lost) }
 		ready := func(id string) bool {
-			return !lost(id) && !slices.ContainsFunc(needs[id], func(n string) bool { return !done[n] })
+			return !lost(id) && !slices.ContainsFunc(needs[id], func(dependency string) bool { return !done[dependency] })
 		}
 		check := func(what string, got []string, was map[string]bool, now func(string) bool) {
 			var want []string
@@ -86,7 +86,7 @@
 
 // What must be done by when follows from the critical path behind each job, and the rank from
 // the highest behind it. A list of several due times keeps each by its number.
-func TestReach(t *testing.T) {
+func TestInheritPropagatesRankAndDueTimes(t *testing.T) {
 	g := New()
 	g.Add("rewrite", []string{"export"})
 	g.Add("sweep", []string{"rewrite"})
@@ -96,7 +96,7 @@
 		"export": {TakesMS: 15}, "rewrite": {TakesMS: 25}, "sweep": {Rank: 1, TakesMS: 20, DuesMS: []int64{500}},
 		"publish": {Rank: 2, TakesMS: 8, DuesMS: []int64{200, 300}}, "other": {Rank: 3, TakesMS: 5},
 	}
-	got := g.Inherit(func(id string) (Stage, bool) { s, ok := stages[id]; return s, ok })
+	got := g.Inherit(func(id string) (Stage, bool) { stage, ok := stages[id]; return stage, ok })
 	want := map[string]struct {
 		rank int
 		dues []int64
@@ -115,7 +115,7 @@
 		t.Error("a job's own due times were changed")
 	}
 	g.Complete("export")
-	if got := g.Inherit(func(id string) (Stage, bool) { s, ok := stages[id]; return s, ok }); len(got) != 2 {
+	if got := g.Inherit(func(id string) (Stage, bool) { stage, ok := stages[id]; return stage, ok }); len(got) != 2 {
 		t.Errorf("after the first stage: %v", got)
 	}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,36 +14,38 @@
 type Resources struct{ CPUs, Cards, MemoryGB float64 }
 
 // RequestOf is what one task of a job takes.
-func RequestOf(s *api.Submission) Resources { return Resources{s.CPUs, s.Cards, s.MemoryGB} }
+func RequestOf(job *api.Submission) Resources {
+	return Resources{job.CPUs, job.Cards, job.MemoryGB}
+}
 
 // Sub takes o away.
-func (r Resources) Sub(o Resources) Resources {
-	return Resources{r.CPUs - o.CPUs, r.Cards - o.Cards, r.MemoryGB - o.MemoryGB}
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{r.CPUs - other.CPUs, r.Cards - other.Cards, r.MemoryGB - other.MemoryGB}
 }
 
 // Add puts o back.
-func (r Resources) Add(o Resources) Resources {
-	return Resources{r.CPUs + o.CPUs, r.Cards + o.Cards, r.MemoryGB + o.MemoryGB}
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.CPUs + other.CPUs, r.Cards + other.Cards, r.MemoryGB + other.MemoryGB}
 }
 
 // Scale is n times r.
 func (r Resources) Scale(n int) Resources {
-	f := float64(n)
-	return Resources{r.CPUs * f, r.Cards * f, r.MemoryGB * f}
+	factor := float64(n)
+	return Resources{r.CPUs * factor, r.Cards * factor, r.MemoryGB * factor}
 }
 
 // Fits tells whether o fits.
-func (r Resources) Fits(o Resources) bool {
+func (r Resources) Fits(other Resources) bool {
 	const s = tuning.RoomSlack
-	return r.CPUs+s >= o.CPUs && r.Cards+s >= o.Cards && r.MemoryGB+s >= o.MemoryGB
+	return r.CPUs+s >= other.CPUs && r.Cards+s >= other.Cards && r.MemoryGB+s >= other.MemoryGB
 }
 
 // Multiple is how many of o fit at once.
-func (r Resources) Multiple(o Resources) int {
+func (r Resources) Multiple(other Resources) int {
 	n := 1 << 20
-	for _, p := range [3][2]float64{{r.CPUs, o.CPUs}, {r.Cards, o.Cards}, {r.MemoryGB, o.MemoryGB}} {
-		if p[1] > 0 {
-			n = min(n, max(0, int((p[0]+tuning.RoomSlack)/p[1])))
+	for _, amounts := range [3][2]float64{{r.CPUs, other.CPUs}, {r.Cards, other.Cards}, {r.MemoryGB, other.MemoryGB}} {
+		if amounts[1] > 0 {
+			n = min(n, max(0, int((amounts[0]+tuning.RoomSlack)/amounts[1])))
 		}
 	}
 	return n
@@ -70,29 +72,29 @@
 	PreemptedAt time.Time
 	Tasks       map[string]api.TaskReport
 
-	cache images
+	cache imageCache
 	// Failures counts failures in a row by job.
 	Failures map[string]int
 }
 
 // Newer tells whether a report is newer than the last one taken in. A late
 // report must not undo a newer one.
-func (m *Machine) Newer(r *api.Heartbeat) bool {
-	return r.NewerThan(m.Incarnation, m.Seq)
+func (m *Machine) Newer(heartbeat *api.Heartbeat) bool {
+	return heartbeat.NewerThan(m.Incarnation, m.Seq)
 }
 
 // ApplyHeartbeat notes a report that is newer.
-func (m *Machine) ApplyHeartbeat(r *api.Heartbeat, now time.Time) {
+func (m *Machine) ApplyHeartbeat(heartbeat *api.Heartbeat, now time.Time) {
 	m.Up = true
-	m.Address, m.Type, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
-	m.Incarnation, m.Seq, m.Term = r.Incarnation, r.Seq, r.Term
-	if r.PreemptionNoticeS != nil {
-		m.PreemptedAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
+	m.Address, m.Type, m.Zone, m.Spot = heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.Incarnation, m.Seq, m.Term = heartbeat.Incarnation, heartbeat.Seq, heartbeat.Term
+	if heartbeat.PreemptionNoticeS != nil {
+		m.PreemptedAt = now.Add(time.Duration(*heartbeat.PreemptionNoticeS * float64(time.Second)))
 	} else {
 		m.PreemptedAt = time.Time{}
 	}
-	m.Tasks = make(map[string]api.TaskReport, len(r.Tasks))
-	for _, t := range r.Tasks {
+	m.Tasks = make(map[string]api.TaskReport, len(heartbeat.Tasks))
+	for _, t := range heartbeat.Tasks {
 		m.Tasks[t.Task] = t
 	}
 }
@@ -114,18 +116,18 @@
 // Faulty tells whether the machine should get no more work: several failures in a
 // row, and not all of one job, whose own mistake they may be. Counts says whether a
 // job's failures speak against machines at all.
-func (m *Machine) Faulty(counts func(job string) bool) bool {
+func (m *Machine) Faulty(countsAgainstMachines func(job string) bool) bool {
 	if len(m.Failures) < 2 {
 		return false
 	}
-	jobs, errors := 0, 0
+	jobs, failures := 0, 0
 	for job, n := range m.Failures {
-		if counts(job) {
+		if countsAgainstMachines(job) {
 			jobs++
-			errors += n
+			failures += n
 		}
 	}
-	return errors >= tuning.SickErrors && jobs >= 2
+	return failures >= tuning.SickErrors && jobs >= 2
 }
 
 // RecordImage notes that a task with this image ran here; it tells whether the image is
@@ -136,7 +138,7 @@
 		limit = m.Spec.CacheGB
 	}
 	known := m.cache.has(image)
-	m.cache.use(image, gb, limit)
+	m.cache.touch(image, gb, limit)
 	return !known
 }
 
@@ -150,7 +152,7 @@
 func (m *Machine) Images() []Image {
 	out := make([]Image, len(m.cache.names))
 	for i, n := range m.cache.names {
-		out[i] = Image{n, m.cache.gb[i]}
+		out[i] = Image{n, m.cache.sizesGB[i]}
 	}
 	return out
 }
@@ -166,14 +168,14 @@
 	return cost.Fetch(gb, m.Spec.PullGBs)
 }
 
-// images is the worker's cache as inferred from its reports: the most recently
+// imageCache is the worker's cache as inferred from its reports: the most recently
 // used images that fit.
-type images struct {
-	names []string // most recent first
-	gb    []float64
+type imageCache struct {
+	names   []string // most recent first
+	sizesGB []float64
 }
 
-func (c *images) has(name string) bool {
+func (c *imageCache) has(name string) bool {
 	for _, n := range c.names {
 		if n == name {
 			return true
@@ -182,22 +184,22 @@
 	return false
 }
 
-func (c *images) use(name string, gb, limit float64) {
+func (c *imageCache) touch(name string, gb, limit float64) {
 	for i, n := range c.names {
 		if n == name {
 			copy(c.names[1:i+1], c.names[:i])
-			copy(c.gb[1:i+1], c.gb[:i])
-			c.names[0], c.gb[0] = name, gb
+			copy(c.sizesGB[1:i+1], c.sizesGB[:i])
+			c.names[0], c.sizesGB[0] = name, gb
 			return
 		}
 	}
 	c.names = append([]string{name}, c.names...)
-	c.gb = append([]float64{gb}, c.gb...)
-	sum := 0.0
-	for i, g := range c.gb {
-		sum += g
-		if i > 0 && limit > 0 && sum > limit {
-			c.names, c.gb = c.names[:i], c.gb[:i]
+	c.sizesGB = append([]float64{gb}, c.sizesGB...)
+	totalGB := 0.0
+	for i, g := range c.sizesGB {
+		totalGB += g
+		if i > 0 && limit > 0 && totalGB > limit {
+			c.names, c.sizesGB = c.names[:i], c.sizesGB[:i]
 			return
 		}
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 )
 
 // The cache holds the most recently used images that fit.
-func TestImageCache(t *testing.T) {
+func TestImageCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	m := &Machine{Spec: &api.MachineType{CacheGB: 5, PullGBs: 0.5}}
 	m.RecordImage("a", 2)
 	m.RecordImage("b", 2)
@@ -28,32 +28,32 @@
 
 // A machine is suspect after failures of several jobs in a row, not of one job, whose
 // own mistake they may be, nor of jobs that fail everywhere; a task that works clears it.
-func TestSuspect(t *testing.T) {
+func TestMachineIsFaultyAfterFailuresOfSeveralJobs(t *testing.T) {
 	m := &Machine{}
-	counts := func(job string) bool { return job != "mistaken" }
+	countsAgainstMachines := func(job string) bool { return job != "mistaken" }
 	for range 5 {
 		m.RecordFailure("one")
 		m.RecordFailure("mistaken")
-		if m.Faulty(counts) {
+		if m.Faulty(countsAgainstMachines) {
 			t.Fatal("suspect for one job's failures")
 		}
 	}
 	m.RecordFailure("two")
-	if !m.Faulty(counts) {
+	if !m.Faulty(countsAgainstMachines) {
 		t.Error("not suspect after failures of two jobs")
 	}
 	m.ClearJobFailures("two")
-	if m.Faulty(counts) {
+	if m.Faulty(countsAgainstMachines) {
 		t.Error("suspect for failures that were forgiven")
 	}
 	m.RecordFailure("two")
 	m.ClearFailures()
-	if m.Faulty(counts) {
+	if m.Faulty(countsAgainstMachines) {
 		t.Error("suspect after a task that worked")
 	}
 }
 
-func TestNewerBySessionThenSeq(t *testing.T) {
+func TestNewerByIncarnationThenSequence(t *testing.T) {
 	m := &Machine{}
 	m.ApplyHeartbeat(&api.Heartbeat{Incarnation: 2, Seq: 9}, time.Now())
 	for _, c := range []struct {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestRoom(t *testing.T) {
+func TestResourcesMultipleAndFitsTolerateRounding(t *testing.T) {
 	r := Resources{CPUs: 8, MemoryGB: 32}
 	if n := r.Multiple(Resources{CPUs: 0.8, MemoryGB: 3.2}); n != 10 {
 		t.Errorf("%d tasks, want 10 despite rounding", n)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -36,20 +36,20 @@
 
 // Excess are the tasks to stop, by their place in the list, so that a team's use is within its limit: those of the
 // lowest rank first, of these the ones that lose the least.
-func Excess(limit Limit, use fleet.Resources, held []Usage) (stop []int) {
-	order := make([]int, len(held))
+func Excess(limit Limit, use fleet.Resources, running []Usage) (stop []int) {
+	order := make([]int, len(running))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(held[a].Rank, held[b].Rank), cmp.Compare(held[a].Loss, held[b].Loss))
+		return cmp.Or(cmp.Compare(running[a].Rank, running[b].Rank), cmp.Compare(running[a].Loss, running[b].Loss))
 	})
 	for _, i := range order {
 		if limit.Allows(use) {
 			break
 		}
 		stop = append(stop, i)
-		use = use.Sub(held[i].Resources)
+		use = use.Sub(running[i].Resources)
 	}
 	return stop
 }
@@ -71,38 +71,38 @@
 
 // Ledger has one reservation a team at most. The zero value has none.
 type Ledger struct {
-	held map[string]Reservation
-	// rests is until when a team's limit is not reserved.
-	rests map[string]time.Time
+	reservations map[string]Reservation
+	// pausedUntil is until when a team's limit is not reserved.
+	pausedUntil map[string]time.Time
 }
 
 // Reserve takes in all claims, in the order of the queues: of each team the first that can be met holds. A team
 // without one holds no reservation from then on.
-func (b *Ledger) Reserve(now time.Time, claims []Demand) {
-	held := map[string]Reservation{}
-	for _, c := range claims {
-		if _, ok := held[c.Team]; ok || now.Before(b.rests[c.Team]) || c.Limit.Allows(c.Use.Add(c.Request)) || !c.Limit.Allows(c.Permanent.Add(c.Request)) {
+func (l *Ledger) Reserve(now time.Time, demands []Demand) {
+	reservations := map[string]Reservation{}
+	for _, demand := range demands {
+		if _, ok := reservations[demand.Team]; ok || now.Before(l.pausedUntil[demand.Team]) || demand.Limit.Allows(demand.Use.Add(demand.Request)) || !demand.Limit.Allows(demand.Permanent.Add(demand.Request)) {
 			continue
 		}
-		r := Reservation{c.ID, c.Request, now}
-		if was, ok := b.held[c.Team]; ok {
+		reservation := Reservation{demand.ID, demand.Request, now}
+		if previous, ok := l.reservations[demand.Team]; ok {
 			// Also for another job the team's others have been held up since then.
-			r.since = was.since
+			reservation.since = previous.since
 		}
-		if now.Sub(r.since) >= tuning.QuotaReserved {
-			if b.rests == nil {
-				b.rests = map[string]time.Time{}
+		if now.Sub(reservation.since) >= tuning.QuotaReserved {
+			if l.pausedUntil == nil {
+				l.pausedUntil = map[string]time.Time{}
 			}
-			b.rests[c.Team] = now.Add(tuning.QuotaRests)
+			l.pausedUntil[demand.Team] = now.Add(tuning.QuotaRests)
 			continue
 		}
-		held[c.Team] = r
+		reservations[demand.Team] = reservation
 	}
-	b.held = held
+	l.reservations = reservations
 }
 
 // Usage is the team's reservation.
-func (b *Ledger) Reservation(team string) (Reservation, bool) {
-	r, ok := b.held[team]
-	return r, ok
+func (l *Ledger) Reservation(team string) (Reservation, bool) {
+	reservation, ok := l.reservations[team]
+	return reservation, ok
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -10,7 +10,7 @@
 
 func cpus(n float64) fleet.Resources { return fleet.Resources{CPUs: n} }
 
-func TestLimit(t *testing.T) {
+func TestLimitAllowsUsageUpToItsAmounts(t *testing.T) {
 	for _, c := range []struct {
 		l    Limit
 		use  fleet.Resources
@@ -25,12 +25,12 @@
 
 // The first claim of a team holds, unless what never ends takes too much, or it has been held for long without
 // coming to its room; then the limit rests.
-func TestReserve(t *testing.T) {
+func TestFirstFeasibleDemandHoldsReservationUntilItExpires(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	claim := func(id string, need, use, stays float64) Demand {
 		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(need), Use: cpus(use), Permanent: cpus(stays)}
 	}
-	var b Ledger
+	var ledger Ledger
 	for _, c := range []struct {
 		after  time.Duration
 		claims []Demand
@@ -46,11 +46,11 @@
 		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Demand{claim("other", 2, 24, 0)}, ""},
 		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Demand{claim("other", 2, 24, 0)}, "other"},
 	} {
-		b.Reserve(now.Add(c.after), c.claims)
-		if r, _ := b.Reservation("one"); r.ID != c.want {
-			t.Errorf("after %v: held for %q, want %q", c.after, r.ID, c.want)
+		ledger.Reserve(now.Add(c.after), c.claims)
+		if reservation, _ := ledger.Reservation("one"); reservation.ID != c.want {
+			t.Errorf("after %v: held for %q, want %q", c.after, reservation.ID, c.want)
 		}
-		if _, ok := b.Reservation("two"); ok {
+		if _, ok := ledger.Reservation("two"); ok {
 			t.Error("held in a team without claims")
 		}
 	}
