--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,13 +1,13 @@
-// Package quota keeps teams within their limits, and reserves a limit's room for the job that goes first in its team.
-// It knows amounts, times and the order in which jobs are given to it, not jobs or machines; it has no clock and no
-// lock.
+// Package quota enforces teams' resource limits and reserves quota for the job that is first in a team's queue.
 //
-// A team that is at its limit has room for one small task each time one ends, and never for a task that needs more,
-// while small ones keep coming: whatever is ahead of them in the queues is passed by for ever. So the first job in
-// the queues that goes before others by rank or age, and for which the limit alone leaves no room, has that room
-// reserved: what stands behind it starts only beside it. Two bounds keep a reservation from being held in vain: there
-// is none where what never ends already takes too much, and it rests after a while, so that nobody waits long for a
-// job whose room does not come.
+// A team at its limit gets quota back one small task at a time, so a job that needs more than that would starve while
+// small tasks keep coming. A Ledger therefore reserves the missing quota for the first job, by priority or age, that
+// only the limit keeps from starting: jobs behind it start only within what the reservation leaves. Two rules keep a
+// reservation from being held in vain. There is none where usage that does not end by itself already takes too much,
+// and it lapses for a while after tuning.QuotaReserved, so that other jobs do not wait long for one that cannot start.
+//
+// The package knows amounts, times and the order in which demands are passed to it, not jobs or machines. It has no
+// clock and no lock.
 package quota
 
 import (
@@ -19,23 +19,26 @@
 	"switchferry/tuning"
 )
 
-// Limit is what a team may use at most; 0 of something: as much as there is.
+// Limit is the most that a team may use at once. A zero field does not limit that resource.
 type Limit struct{ CPUs, Cards float64 }
 
-// Allows tells whether a use is within the limit.
+// Allows reports whether a usage is within the limit.
 func (l Limit) Allows(use fleet.Resources) bool {
 	return (l.CPUs == 0 || use.CPUs <= l.CPUs+tuning.RoomSlack) && (l.Cards == 0 || use.Cards <= l.Cards+tuning.RoomSlack)
 }
 
-// Usage is a task of a team that runs: its job's rank, what stopping it loses, and what it takes.
+// Usage is one running task of a team.
 type Usage struct {
-	Rank      int
-	Loss      int64
+	// Rank is the priority of the task's job; higher is more important.
+	Rank int
+	// Loss is the work that is lost if the task is stopped now, in any unit that is the same for all tasks.
+	Loss int64
+	// Resources is what the task takes.
 	Resources fleet.Resources
 }
 
-// Excess are the tasks to stop, by their place in the list, so that a team's use is within its limit: those of the
-// lowest rank first, of these the ones that lose the least.
+// Excess returns the indices of the running tasks to stop so that a team's usage is within its limit: tasks of the
+// lowest rank first, and among these the ones with the least loss. The usage is the sum over all running tasks.
 func Excess(limit Limit, use fleet.Resources, running []Usage) (stop []int) {
 	order := make([]int, len(running))
 	for i := range order {
@@ -54,46 +57,54 @@
 	return stop
 }
 
-// Demand is a job that goes before others in its team's queue and could start but for the limit.
+// Demand is a job that is first in its team's queue and that only the team's limit may keep from starting.
 type Demand struct {
 	Team, ID string
 	Limit    Limit
-	// Resources is what it needs at once; Use what the team uses, and Permanent the part of it that does not end by itself.
+	// Request is what the job needs at once, Use what its team uses now, and Permanent the part of that use which does
+	// not end by itself, such as services.
 	Request, Use, Permanent fleet.Resources
 }
 
-// Reservation is room of a limit that is kept for a job.
+// feasible reports whether the job could start once all usage that ends by itself has ended.
+func (d Demand) feasible() bool { return d.Limit.Allows(d.Permanent.Add(d.Request)) }
+
+// satisfied reports whether the limit allows the job to start now.
+func (d Demand) satisfied() bool { return d.Limit.Allows(d.Use.Add(d.Request)) }
+
+// Reservation is quota that is kept for one job.
 type Reservation struct {
 	ID        string
 	Resources fleet.Resources
-	since     time.Time
+	// since is when the team's limit was first reserved without a break, for this job or for one before it.
+	since time.Time
 }
 
-// Ledger has one reservation a team at most. The zero value has none.
+// Ledger holds at most one reservation for each team. The zero value holds none. It is not safe for concurrent use.
 type Ledger struct {
+	// reservations are the current reservations by team.
 	reservations map[string]Reservation
-	// pausedUntil is until when a team's limit is not reserved.
+	// pausedUntil is, by team, when its limit may be reserved again after a reservation lapsed.
 	pausedUntil map[string]time.Time
 }
 
-// Reserve takes in all claims, in the order of the queues: of each team the first that can be met holds. A team
-// without one holds no reservation from then on.
+// Reserve replaces all reservations. Demands are given in queue order, and the first one of each team that is feasible
+// but not satisfied gets the reservation; a team without such a demand has none. A reservation that was held for
+// tuning.QuotaReserved lapses, and the team's limit is not reserved again for tuning.QuotaRests.
 func (l *Ledger) Reserve(now time.Time, demands []Demand) {
 	reservations := map[string]Reservation{}
 	for _, demand := range demands {
-		if _, ok := reservations[demand.Team]; ok || now.Before(l.pausedUntil[demand.Team]) || demand.Limit.Allows(demand.Use.Add(demand.Request)) || !demand.Limit.Allows(demand.Permanent.Add(demand.Request)) {
+		_, reserved := reservations[demand.Team]
+		if reserved || now.Before(l.pausedUntil[demand.Team]) || demand.satisfied() || !demand.feasible() {
 			continue
 		}
-		reservation := Reservation{demand.ID, demand.Request, now}
+		reservation := Reservation{ID: demand.ID, Resources: demand.Request, since: now}
 		if previous, ok := l.reservations[demand.Team]; ok {
-			// Also for another job the team's others have been held up since then.
+			// Jobs behind it have been held back since then, whichever job the quota was reserved for.
 			reservation.since = previous.since
 		}
 		if now.Sub(reservation.since) >= tuning.QuotaReserved {
-			if l.pausedUntil == nil {
-				l.pausedUntil = map[string]time.Time{}
-			}
-			l.pausedUntil[demand.Team] = now.Add(tuning.QuotaRests)
+			l.pause(demand.Team, now.Add(tuning.QuotaRests))
 			continue
 		}
 		reservations[demand.Team] = reservation
@@ -101,7 +112,15 @@
 	l.reservations = reservations
 }
 
-// Usage is the team's reservation.
+// pause keeps a team's limit from being reserved for some time.
+func (l *Ledger) pause(team string, until time.Time) {
+	if l.pausedUntil == nil {
+		l.pausedUntil = map[string]time.Time{}
+	}
+	l.pausedUntil[team] = until
+}
+
+// Reservation returns a team's reservation, and false if it has none.
 func (l *Ledger) Reservation(team string) (Reservation, bool) {
 	reservation, ok := l.reservations[team]
 	return reservation, ok
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,46 +12,54 @@
 
 func TestLimitAllowsUsageUpToItsAmounts(t *testing.T) {
 	for _, c := range []struct {
-		l    Limit
-		use  fleet.Resources
-		want bool
-	}{{Limit{}, fleet.Resources{CPUs: 1e6, Cards: 1e6}, true}, {Limit{CPUs: 8}, cpus(8), true}, {Limit{CPUs: 8}, cpus(8.5), false},
-		{Limit{CPUs: 8, Cards: 2}, fleet.Resources{CPUs: 1, Cards: 3}, false}, {Limit{Cards: 2}, fleet.Resources{CPUs: 99, Cards: 2}, true}} {
-		if got := c.l.Allows(c.use); got != c.want {
-			t.Errorf("%+v holds %+v: %v", c.l, c.use, got)
-		}
+		name  string
+		limit Limit
+		use   fleet.Resources
+		want  bool
+	}{
+		{"no limit", Limit{}, fleet.Resources{CPUs: 1e6, Cards: 1e6}, true},
+		{"at the limit", Limit{CPUs: 8}, cpus(8), true},
+		{"over the limit", Limit{CPUs: 8}, cpus(8.5), false},
+		{"over one of two limits", Limit{CPUs: 8, Cards: 2}, fleet.Resources{CPUs: 1, Cards: 3}, false},
+		{"only cards are limited", Limit{Cards: 2}, fleet.Resources{CPUs: 99, Cards: 2}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.limit.Allows(c.use); got != c.want {
+				t.Errorf("%+v allows %+v: %v, want %v", c.limit, c.use, got, c.want)
+			}
+		})
 	}
 }
 
-// The first claim of a team holds, unless what never ends takes too much, or it has been held for long without
-// coming to its room; then the limit rests.
+// The first feasible demand of a team holds the reservation until it is satisfied or has waited for too long; then the
+// limit is not reserved for a while. The steps share one ledger, in order.
 func TestFirstFeasibleDemandHoldsReservationUntilItExpires(t *testing.T) {
-	now := time.Unix(1_800_000_000, 0)
-	claim := func(id string, need, use, stays float64) Demand {
-		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(need), Use: cpus(use), Permanent: cpus(stays)}
+	start := time.Unix(1_800_000_000, 0)
+	demand := func(id string, request, use, permanent float64) Demand {
+		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(request), Use: cpus(use), Permanent: cpus(permanent)}
 	}
 	var ledger Ledger
-	for _, c := range []struct {
-		after  time.Duration
-		claims []Demand
-		want   string
+	for _, step := range []struct {
+		after   time.Duration
+		demands []Demand
+		want    string
 	}{
-		{0, []Demand{claim("big", 8, 24, 0), claim("next", 4, 24, 0)}, "big"},
-		{time.Second, []Demand{claim("big", 8, 17, 0)}, "big"},
-		{2 * time.Second, []Demand{claim("big", 8, 16, 0)}, ""},
+		{0, []Demand{demand("big", 8, 24, 0), demand("next", 4, 24, 0)}, "big"},
+		{time.Second, []Demand{demand("big", 8, 17, 0)}, "big"},
+		{2 * time.Second, []Demand{demand("big", 8, 16, 0)}, ""},
 		{3 * time.Second, nil, ""},
-		{4 * time.Second, []Demand{claim("never", 8, 24, 20), claim("next", 4, 24, 20)}, "next"},
-		{4*time.Second + tuning.QuotaReserved - 1, []Demand{claim("other", 2, 24, 0)}, "other"},
-		{4*time.Second + tuning.QuotaReserved, []Demand{claim("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Demand{claim("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Demand{claim("other", 2, 24, 0)}, "other"},
+		{4 * time.Second, []Demand{demand("never", 8, 24, 20), demand("next", 4, 24, 20)}, "next"},
+		{4*time.Second + tuning.QuotaReserved - 1, []Demand{demand("other", 2, 24, 0)}, "other"},
+		{4*time.Second + tuning.QuotaReserved, []Demand{demand("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Demand{demand("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Demand{demand("other", 2, 24, 0)}, "other"},
 	} {
-		ledger.Reserve(now.Add(c.after), c.claims)
-		if reservation, _ := ledger.Reservation("one"); reservation.ID != c.want {
-			t.Errorf("after %v: held for %q, want %q", c.after, reservation.ID, c.want)
+		ledger.Reserve(start.Add(step.after), step.demands)
+		if reservation, _ := ledger.Reservation("one"); reservation.ID != step.want {
+			t.Errorf("after %v: reserved for %q, want %q", step.after, reservation.ID, step.want)
 		}
 		if _, ok := ledger.Reservation("two"); ok {
-			t.Error("held in a team without claims")
+			t.Errorf("after %v: a reservation for a team without demands", step.after)
 		}
 	}
 }
