--- /dev/null
+++ b/fleet/machine.go
@@ -0,0 +1,98 @@
+// Package fleet models one worker machine as the leader knows it: its identity, its latest heartbeat, the task failures
+// on it, the container images that it likely caches, and amounts of resources. It decides nothing about placement.
+package fleet
+
+import (
+	"time"
+
+	"switchferry/api"
+	"switchferry/tuning"
+)
+
+// Machine is what is known of one machine. The zero value is a machine that has not reported. It is not safe for
+// concurrent use.
+type Machine struct {
+	Name    string
+	Address string
+	Type    string
+	Zone    string
+	// Spot is whether the machine is a preemptible instance.
+	Spot bool
+	// Spec is the machine's type as the cloud describes it; nil while it is not known.
+	Spec *api.MachineType
+
+	// Up is whether the machine's worker has reported in this leadership term.
+	Up bool
+	// Incarnation, Seq and Term (the fencing token) are those of the latest accepted heartbeat.
+	Incarnation uint64
+	Seq         uint64
+	Term        uint64
+	// LastHeartbeat is when a heartbeat last arrived, and RequestedAt when the machine was requested from the cloud.
+	// Until that is known, both are when the leader first learned of the machine.
+	LastHeartbeat time.Time
+	RequestedAt   time.Time
+	// PreemptedAt is when the cloud preempts the instance; zero without a preemption notice.
+	PreemptedAt time.Time
+	// Tasks are the tasks of the latest accepted heartbeat, by name.
+	Tasks map[string]api.TaskReport
+
+	cache imageCache
+	// Failures counts, by job, the tasks that failed since a task last completed here.
+	Failures map[string]int
+}
+
+// Newer reports whether a heartbeat is newer than the latest accepted one. A delayed heartbeat must not replace a newer
+// one.
+func (m *Machine) Newer(heartbeat *api.Heartbeat) bool {
+	return heartbeat.NewerThan(m.Incarnation, m.Seq)
+}
+
+// ApplyHeartbeat takes over what a heartbeat says. The caller has checked with Newer that it is newer.
+func (m *Machine) ApplyHeartbeat(heartbeat *api.Heartbeat, now time.Time) {
+	m.Up = true
+	m.Address, m.Type, m.Zone, m.Spot = heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	m.Incarnation, m.Seq, m.Term = heartbeat.Incarnation, heartbeat.Seq, heartbeat.Term
+	if heartbeat.PreemptionNoticeS != nil {
+		m.PreemptedAt = now.Add(time.Duration(*heartbeat.PreemptionNoticeS * float64(time.Second)))
+	} else {
+		m.PreemptedAt = time.Time{}
+	}
+	m.Tasks = make(map[string]api.TaskReport, len(heartbeat.Tasks))
+	for _, task := range heartbeat.Tasks {
+		m.Tasks[task.Task] = task
+	}
+}
+
+// RecordFailure counts a task of a job that failed on the machine.
+func (m *Machine) RecordFailure(job string) {
+	if m.Failures == nil {
+		m.Failures = map[string]int{}
+	}
+	m.Failures[job]++
+}
+
+// ClearFailures resets all failure counts, as a task that completes shows that the machine works.
+func (m *Machine) ClearFailures() { m.Failures = nil }
+
+// ClearJobFailures resets the failure count of one job.
+func (m *Machine) ClearJobFailures(job string) { delete(m.Failures, job) }
+
+// faultyJobs is how many jobs must have failed on a machine before it counts as faulty: the failures of a single job may
+// be that job's own fault.
+const faultyJobs = 2
+
+// Faulty reports whether the machine should get no more tasks: since a task last completed, at least tuning.SickErrors
+// tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines is false are left out.
+func (m *Machine) Faulty(countsAgainstMachines func(job string) bool) bool {
+	if len(m.Failures) < faultyJobs {
+		return false
+	}
+	jobs, failures := 0, 0
+	for job, n := range m.Failures {
+		if countsAgainstMachines(job) {
+			jobs++
+			failures += n
+		}
+	}
+	return failures >= tuning.SickErrors && jobs >= faultyJobs
+}
--- /dev/null
+++ b/fleet/resources.go
@@ -0,0 +1,54 @@
+package fleet
+
+import (
+	"switchferry/api"
+	"switchferry/tuning"
+)
+
+// Resources is an amount of each resource of a machine: processors, cards (accelerators) and memory in gigabytes. The
+// zero value is no resources. Amounts may be fractions, and differences may be negative.
+type Resources struct{ CPUs, Cards, MemoryGB float64 }
+
+// RequestOf returns what one task of a job takes.
+func RequestOf(job *api.Submission) Resources {
+	return Resources{job.CPUs, job.Cards, job.MemoryGB}
+}
+
+// Sub returns r less other.
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{r.CPUs - other.CPUs, r.Cards - other.Cards, r.MemoryGB - other.MemoryGB}
+}
+
+// Add returns the sum of r and other.
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.CPUs + other.CPUs, r.Cards + other.Cards, r.MemoryGB + other.MemoryGB}
+}
+
+// Scale returns n times r.
+func (r Resources) Scale(n int) Resources {
+	factor := float64(n)
+	return Resources{r.CPUs * factor, r.Cards * factor, r.MemoryGB * factor}
+}
+
+// Fits reports whether a request fits into r. It tolerates tuning.RoomSlack, for the rounding of decimal amounts.
+func (r Resources) Fits(request Resources) bool {
+	const slack = tuning.RoomSlack
+	return r.CPUs+slack >= request.CPUs && r.Cards+slack >= request.Cards && r.MemoryGB+slack >= request.MemoryGB
+}
+
+// unlimited is how many empty requests fit.
+const unlimited = 1 << 20
+
+// Multiple returns how many times a request fits into r at once, with the tolerance of Fits. A request of nothing fits
+// 1<<20 times.
+func (r Resources) Multiple(request Resources) int {
+	n := unlimited
+	for _, pair := range [3]struct{ available, requested float64 }{
+		{r.CPUs, request.CPUs}, {r.Cards, request.Cards}, {r.MemoryGB, request.MemoryGB},
+	} {
+		if pair.requested > 0 {
+			n = min(n, max(0, int((pair.available+tuning.RoomSlack)/pair.requested)))
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/fleet/resources_test.go
@@ -0,0 +1,13 @@
+package fleet
+
+import "testing"
+
+func TestResourcesMultipleAndFitsTolerateRounding(t *testing.T) {
+	r := Resources{CPUs: 8, MemoryGB: 32}
+	if n := r.Multiple(Resources{CPUs: 0.8, MemoryGB: 3.2}); n != 10 {
+		t.Errorf("%d tasks fit, want 10 despite rounding", n)
+	}
+	if r.Fits(Resources{CPUs: 1, Cards: 1}) || !r.Fits(Resources{CPUs: 8, MemoryGB: 32}) {
+		t.Errorf("%+v fits a card, or does not fit its own amount", r)
+	}
+}
