--- a/placement/groups.go
+++ b/placement/groups.go
@@ -30,15 +30,15 @@
 		return cmp.Or(cmp.Compare(len(a.holders), len(b.holders)), slices.Compare(a.holders, b.holders),
 			cmp.Compare(a.task, b.task))
 	})
-	var out []Group
+	var groups []Group
 	for _, x := range all {
-		if n := len(out); n == 0 || !slices.Equal(out[n-1].Holders, x.holders) {
-			out = append(out, Group{Holders: x.holders})
+		if n := len(groups); n == 0 || !slices.Equal(groups[n-1].Holders, x.holders) {
+			groups = append(groups, Group{Holders: x.holders})
 		}
-		g := &out[len(out)-1]
+		g := &groups[len(groups)-1]
 		g.Tasks = append(g.Tasks, x.task)
 	}
-	return out
+	return groups
 }
 
 // InputCost tells what missing inputs cost; groups and servers are given by index. Slots are
@@ -60,7 +60,7 @@
 }
 
 // FillGroups is Algorithm 2 for a job of several groups: group after group it finds the
-// least level and gives each server below it (level-b)*mu tasks. Servers that hold not
+// minimum level and gives each server below it (level-b)*mu tasks. Servers that hold not
 // all inputs take part with b raised by what the missing ones cost; a nil extra leaves
 // them out, as in equation (1). Servers' Busy and Now are updated as in (10), but for one
 // that must get inputs first only by the work that it gets: while bytes come in, it can
@@ -69,60 +69,60 @@
 // The largest `most` groups are filled so, each in one or two passes over the servers. The
 // tasks of all others are placed one by one, each a group of its own: on the holder where
 // the level is least, or on the least busy server if that is sooner. So a decision takes
-// at most `most` passes, and a few steps for each task, however many groups there are.
+// positions most `most` passes, and a few steps for each task, however many groups there are.
 //
 // Tasks that no server can take are left out.
-func FillGroups(servers []Server, groups []Group, extra InputCost, most int) []Share {
+func FillGroups(servers []Server, groups []Group, inputCost InputCost, waterFilled int) []Share {
 	n := len(servers)
-	f := filler{servers: servers, extra: extra, part: make([]Server, 0, n), of: make([]int32, 0, n), hold: make([]bool, 0, n), order: make([]int32, 0, n)}
+	f := filler{servers: servers, inputCost: inputCost, participants: make([]Server, 0, n), indices: make([]int32, 0, n), holdsInputs: make([]bool, 0, n), byLoad: make([]int32, 0, n)}
 	large := make([]bool, len(groups))
 	order := make([]int, len(groups))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(len(groups[b].Tasks), len(groups[a].Tasks)) })
-	for _, i := range order[:min(most, len(order))] {
+	for _, i := range order[:min(waterFilled, len(order))] {
 		large[i] = true
 	}
 	for i := range groups {
 		if large[i] {
-			f.fill(i, &groups[i])
+			f.waterFill(i, &groups[i])
 		}
 	}
 	for i := range groups {
 		if !large[i] {
-			f.single(i, &groups[i])
+			f.placeSingly(i, &groups[i])
 		}
 	}
-	return f.out
+	return f.shares
 }
 
 type filler struct {
-	servers []Server
-	extra   InputCost
-	out     []Share
-	// part, of and hold are scratch: the servers that take part in a group, which
+	servers   []Server
+	inputCost InputCost
+	shares    []Share
+	// participants, of and hold are scratch: the servers that take part in a group, which
 	// ones they are, and which of them hold the inputs.
-	part []Server
-	of   []int32
-	hold []bool
-	// order are those of them that get tasks, the least busy first.
-	order []int32
-	idle  *byBusy
+	participants []Server
+	indices      []int32
+	holdsInputs  []bool
+	// byLoad are those of them that get tasks, the least busy first.
+	byLoad      []int32
+	leastLoaded *busyHeap
 }
 
-// fill water-fills one group.
-func (f *filler) fill(g int, group *Group) {
-	part, of, hold := f.part[:0], f.of[:0], f.hold[:0]
+// waterFill water-fills one group.
+func (f *filler) waterFill(g int, group *Group) {
+	participants, indices, holdsInputs := f.participants[:0], f.indices[:0], f.holdsInputs[:0]
 	for _, i := range group.Holders {
 		if f.servers[i].Mu > 0 {
-			part, of, hold = append(part, f.servers[i]), append(of, i), append(hold, true)
+			participants, indices, holdsInputs = append(participants, f.servers[i]), append(indices, i), append(holdsInputs, true)
 		}
 	}
 	n := len(group.Tasks)
-	level, ok := Level(part, n)
-	if f.extra != nil && (!ok || f.leastBusy()+f.extra.Least(g) < level) {
-		holders, rate := group.Holders, f.extra.Rate(g)
+	level, ok := Level(participants, n)
+	if f.inputCost != nil && (!ok || f.minBusy()+f.inputCost.Least(g) < level) {
+		holders, rate := group.Holders, f.inputCost.Rate(g)
 		for i, s := range f.servers {
 			for len(holders) > 0 && int(holders[0]) < i {
 				holders = holders[1:]
@@ -132,51 +132,53 @@
 			}
 			// Its link brings the inputs of one task after the other: it has room for
 			// one at once, however many processors are idle.
-			s.Busy, s.Mu, s.Free = s.Busy+f.extra.Slots(g, i), min(s.Mu, rate), min(s.Free, 1)
+			s.Busy, s.Mu, s.Free = s.Busy+f.inputCost.Slots(g, i), min(s.Mu, rate), min(s.Free, 1)
 			if !ok || s.Busy < level {
-				part, of, hold = append(part, s), append(of, int32(i)), append(hold, false)
+				participants, indices, holdsInputs = append(participants, s), append(indices, int32(i)), append(holdsInputs, false)
 			}
 		}
-		level, ok = Level(part, n)
+		level, ok = Level(participants, n)
 	}
-	f.part, f.of, f.hold, f.idle = part, of, hold, nil
+	f.participants, f.indices, f.holdsInputs, f.leastLoaded = participants, indices, holdsInputs, nil
 	if !ok {
 		return
 	}
-	order, sorted := f.order[:0], true
-	for i, s := range part {
+	order, sorted := f.byLoad[:0], true
+	for i, s := range participants {
 		if s.Busy < level {
-			sorted = sorted && (len(order) == 0 || part[order[len(order)-1]].Busy <= s.Busy)
+			sorted = sorted && (len(order) == 0 || participants[order[len(order)-1]].Busy <= s.Busy)
 			order = append(order, int32(i))
 		}
 	}
-	if f.order = order; !sorted {
-		slices.SortFunc(order, func(a, b int32) int { return cmp.Or(cmp.Compare(part[a].Busy, part[b].Busy), cmp.Compare(a, b)) })
+	if f.byLoad = order; !sorted {
+		slices.SortFunc(order, func(a, b int32) int {
+			return cmp.Or(cmp.Compare(participants[a].Busy, participants[b].Busy), cmp.Compare(a, b))
+		})
 	}
 	tasks := group.Tasks
 	for at, i := range order {
 		if len(tasks) == 0 {
 			break
 		}
-		s := part[i]
+		s := participants[i]
 		n := min(len(tasks), max(s.Free, ceil(float64(level-s.Busy)*s.Mu)))
 		if at == len(order)-1 {
 			n = len(tasks)
 		}
-		to := &f.servers[of[i]]
-		if hold[i] {
-			to.Busy = max(to.Busy, level)
+		server := &f.servers[indices[i]]
+		if holdsInputs[i] {
+			server.Busy = max(server.Busy, level)
 		} else {
-			to.Busy += ceil(float64(n) / to.Mu)
-			f.extra.Took(g, int(of[i]), n)
+			server.Busy += ceil(float64(n) / server.Mu)
+			f.inputCost.Took(g, int(indices[i]), n)
 		}
-		to.Free = max(0, to.Free-n)
-		f.out = append(f.out, Share{int(of[i]), tasks[:n:n]})
+		server.Free = max(0, server.Free-n)
+		f.shares = append(f.shares, Share{int(indices[i]), tasks[:n:n]})
 		tasks = tasks[n:]
 	}
 }
 
-func (f *filler) leastBusy() int {
+func (f *filler) minBusy() int {
 	least := int(^uint(0) >> 1)
 	for _, s := range f.servers {
 		if s.Mu > 0 {
@@ -186,84 +188,84 @@
 	return least
 }
 
-// single places the tasks of a small group one by one.
-func (f *filler) single(g int, group *Group) {
+// placeSingly places the tasks of a small group one by one.
+func (f *filler) placeSingly(g int, group *Group) {
 	for i := range group.Tasks {
-		best, level := -1, 0
-		better := func(i, extra int) {
+		chosen, level := -1, 0
+		consider := func(i, extra int) {
 			s := f.servers[i]
 			if s.Mu <= 0 {
 				return
 			}
 			l := s.Busy + extra + ceil(1/s.Mu)
-			if best < 0 || l < level || l == level && s.Free > f.servers[best].Free {
-				best, level = i, l
+			if chosen < 0 || l < level || l == level && s.Free > f.servers[chosen].Free {
+				chosen, level = i, l
 			}
 		}
 		for _, i := range group.Holders {
-			better(int(i), 0)
+			consider(int(i), 0)
 		}
-		if f.extra != nil {
-			if f.idle == nil {
-				f.idle = newByBusy(f.servers)
+		if f.inputCost != nil {
+			if f.leastLoaded == nil {
+				f.leastLoaded = newBusyHeap(f.servers)
 			}
-			if least := f.idle.least(); least >= 0 && (best < 0 || f.servers[least].Busy+f.extra.Least(g) < level) {
-				better(least, f.extra.Slots(g, least))
+			if least := f.leastLoaded.minimum(); least >= 0 && (chosen < 0 || f.servers[least].Busy+f.inputCost.Least(g) < level) {
+				consider(least, f.inputCost.Slots(g, least))
 			}
 		}
-		if best < 0 {
+		if chosen < 0 {
 			continue
 		}
-		s := &f.servers[best]
+		s := &f.servers[chosen]
 		s.Busy += ceil(1 / s.Mu)
 		s.Free = max(0, s.Free-1)
-		if f.idle != nil {
-			f.idle.raised(best)
+		if f.leastLoaded != nil {
+			f.leastLoaded.fix(chosen)
 		}
-		if _, holds := slices.BinarySearch(group.Holders, int32(best)); !holds {
-			f.extra.Took(g, best, 1)
+		if _, holds := slices.BinarySearch(group.Holders, int32(chosen)); !holds {
+			f.inputCost.Took(g, chosen, 1)
 		}
-		f.out = append(f.out, Share{best, group.Tasks[i : i+1 : i+1]})
+		f.shares = append(f.shares, Share{chosen, group.Tasks[i : i+1 : i+1]})
 	}
 }
 
-// byBusy keeps servers in a heap, the least busy first, those with room first among them.
-type byBusy struct {
-	servers []Server
-	heap    []int32
-	at      []int32
+// busyHeap keeps servers in a heap, the least busy first, those with room first among them.
+type busyHeap struct {
+	servers   []Server
+	order     []int32
+	positions []int32
 }
 
-func newByBusy(servers []Server) *byBusy {
-	b := &byBusy{servers: servers, at: make([]int32, len(servers))}
+func newBusyHeap(servers []Server) *busyHeap {
+	b := &busyHeap{servers: servers, positions: make([]int32, len(servers))}
 	for i, s := range servers {
-		b.at[i] = -1
+		b.positions[i] = -1
 		if s.Mu > 0 {
-			b.at[i] = int32(len(b.heap))
-			b.heap = append(b.heap, int32(i))
+			b.positions[i] = int32(len(b.order))
+			b.order = append(b.order, int32(i))
 		}
 	}
 	heap.Init(b)
 	return b
 }
 
-func (b *byBusy) least() int {
-	if len(b.heap) == 0 {
+func (b *busyHeap) minimum() int {
+	if len(b.order) == 0 {
 		return -1
 	}
-	return int(b.heap[0])
+	return int(b.order[0])
 }
 
-func (b *byBusy) raised(i int) { heap.Fix(b, int(b.at[i])) }
+func (b *busyHeap) fix(i int) { heap.Fix(b, int(b.positions[i])) }
 
-func (b *byBusy) Len() int { return len(b.heap) }
-func (b *byBusy) Less(x, y int) bool {
-	p, q := b.servers[b.heap[x]], b.servers[b.heap[y]]
-	return cmp.Or(cmp.Compare(p.Busy, q.Busy), cmp.Compare(q.Free, p.Free), cmp.Compare(b.heap[x], b.heap[y])) < 0
+func (b *busyHeap) Len() int { return len(b.order) }
+func (b *busyHeap) Less(x, y int) bool {
+	p, q := b.servers[b.order[x]], b.servers[b.order[y]]
+	return cmp.Or(cmp.Compare(p.Busy, q.Busy), cmp.Compare(q.Free, p.Free), cmp.Compare(b.order[x], b.order[y])) < 0
 }
-func (b *byBusy) Swap(x, y int) {
-	b.heap[x], b.heap[y] = b.heap[y], b.heap[x]
-	b.at[b.heap[x]], b.at[b.heap[y]] = int32(x), int32(y)
+func (b *busyHeap) Swap(x, y int) {
+	b.order[x], b.order[y] = b.order[y], b.order[x]
+	b.positions[b.order[x]], b.positions[b.order[y]] = int32(x), int32(y)
 }
-func (b *byBusy) Push(any) {}
-func (b *byBusy) Pop() any { return nil }
+func (b *busyHeap) Push(any) {}
+func (b *busyHeap) Pop() any { return nil }
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-func TestGroupsShareTheirHolders(t *testing.T) {
+func TestGroupsByHoldersFewestFirst(t *testing.T) {
 	holders := [][]int32{{1, 2}, {0}, {1, 2}, nil, {0, 1, 2}}
 	got := Groups(tasks(0, 5), func(t int32) []int32 { return holders[t] })
 	want := []Group{{[]int32{3}, nil}, {[]int32{1}, []int32{0}}, {[]int32{0, 2}, []int32{1, 2}}, {[]int32{4}, []int32{0, 1, 2}}}
@@ -25,27 +25,27 @@
 	}
 }
 
-type flat struct{ slots int }
+type flatCost struct{ slots int }
 
-func (f flat) Slots(int, int) int { return f.slots }
-func (f flat) Least(int) int      { return f.slots }
-func (f flat) Rate(int) float64   { return math.Inf(1) }
-func (f flat) Took(int, int, int) {}
+func (f flatCost) Slots(int, int) int { return f.slots }
+func (f flatCost) Least(int) int      { return f.slots }
+func (f flatCost) Rate(int) float64   { return math.Inf(1) }
+func (f flatCost) Took(int, int, int) {}
 
-// thin has links that bring one task's inputs a slot.
-type thin struct{ flat }
+// slowLinkCost has links that bring one task's inputs a slot.
+type slowLinkCost struct{ flatCost }
 
-func (thin) Rate(int) float64 { return 1 }
+func (slowLinkCost) Rate(int) float64 { return 1 }
 
 // Tasks whose inputs nobody holds are one group, but each needs its own: found when two
 // tasks were packed on one idle machine, one after the other over its link, while others
 // stood idle.
-func TestCopiesAreSpreadOverLinks(t *testing.T) {
+func TestTasksThatNeedCopiesSpreadOverMachines(t *testing.T) {
 	servers := make([]Server, 4)
 	for i := range servers {
 		servers[i] = Server{Mu: 4, Free: 4}
 	}
-	for _, s := range FillGroups(servers, []Group{{Tasks: tasks(0, 4)}}, thin{flat{1}}, 64) {
+	for _, s := range FillGroups(servers, []Group{{Tasks: tasks(0, 4)}}, slowLinkCost{flatCost{1}}, 64) {
 		if len(s.Tasks) != 1 {
 			t.Fatalf("%d tasks wait for one link", len(s.Tasks))
 		}
@@ -54,12 +54,12 @@
 
 // A machine without the inputs takes part once its holders are busy for longer than the
 // copying takes, and not before.
-func TestMachinesWithoutInputsPayForThem(t *testing.T) {
+func TestMachineWithoutInputsIsUsedOnlyIfCopyingIsSooner(t *testing.T) {
 	for _, c := range []struct{ copy, away int }{{100, 0}, {2, 8}} {
 		servers := []Server{{Busy: 10, Mu: 1}, {Busy: 0, Mu: 1}}
 		groups := []Group{{tasks(0, 10), []int32{0}}}
 		away := 0
-		for _, s := range FillGroups(servers, groups, flat{c.copy}, 64) {
+		for _, s := range FillGroups(servers, groups, flatCost{c.copy}, 64) {
 			if s.Server == 1 {
 				away += len(s.Tasks)
 			}
@@ -75,7 +75,7 @@
 
 // However a job is cut into groups, each task goes to exactly one server, and, without
 // copies, to a holder.
-func TestEachTaskOnceAndOnAHolder(t *testing.T) {
+func TestEveryTaskIsPlacedOnceAndOnAHolder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 300 {
 		servers := make([]Server, 1+rng.IntN(30))
@@ -92,24 +92,24 @@
 			}
 		}
 		groups := Groups(tasks(0, n), func(t int32) []int32 { return holders[t] })
-		var extra InputCost
+		var inputCost InputCost
 		if rng.IntN(2) == 0 {
-			extra = flat{rng.IntN(10)}
+			inputCost = flatCost{rng.IntN(10)}
 		}
 		seen := map[int32]bool{}
-		for _, s := range FillGroups(servers, groups, extra, rng.IntN(6)) {
+		for _, s := range FillGroups(servers, groups, inputCost, rng.IntN(6)) {
 			for _, k := range s.Tasks {
 				if seen[k] {
 					t.Fatalf("task %d twice", k)
 				}
 				seen[k] = true
-				if extra == nil && !slices.Contains(holders[k], int32(s.Server)) {
+				if inputCost == nil && !slices.Contains(holders[k], int32(s.Server)) {
 					t.Fatalf("task %d is away from its inputs", k)
 				}
 			}
 		}
 		for k := range holders {
-			if !seen[int32(k)] && (extra != nil || len(holders[k]) > 0) {
+			if !seen[int32(k)] && (inputCost != nil || len(holders[k]) > 0) {
 				t.Fatalf("task %d is lost", k)
 			}
 		}
@@ -121,20 +121,20 @@
 	edges [][]edge
 }
 
-type edge struct{ to, back, room int }
+type edge struct{ to, back, capacity int }
 
-func (n *network) edge(from, to, room int) {
-	n.edges[from] = append(n.edges[from], edge{to, len(n.edges[to]), room})
+func (n *network) addEdge(from, to, concurrent int) {
+	n.edges[from] = append(n.edges[from], edge{to, len(n.edges[to]), concurrent})
 	n.edges[to] = append(n.edges[to], edge{from, len(n.edges[from]) - 1, 0})
 }
 
-func (n *network) flow(source, sink int) (sum int) {
+func (n *network) maxFlow(source, sink int) (sum int) {
 	for {
 		dist := make([]int, len(n.edges))
 		dist[source] = 1
 		for queue := []int{source}; len(queue) > 0; queue = queue[1:] {
 			for _, e := range n.edges[queue[0]] {
-				if e.room > 0 && dist[e.to] == 0 {
+				if e.capacity > 0 && dist[e.to] == 0 {
 					dist[e.to] = dist[queue[0]] + 1
 					queue = append(queue, e.to)
 				}
@@ -144,17 +144,17 @@
 			return sum
 		}
 		next := make([]int, len(n.edges))
-		var push func(at, most int) int
-		push = func(at, most int) int {
+		var push func(at, waterFilled int) int
+		push = func(at, waterFilled int) int {
 			if at == sink {
-				return most
+				return waterFilled
 			}
 			for ; next[at] < len(n.edges[at]); next[at]++ {
 				e := &n.edges[at][next[at]]
-				if e.room > 0 && dist[e.to] == dist[at]+1 {
-					if got := push(e.to, min(most, e.room)); got > 0 {
-						e.room -= got
-						n.edges[e.to][e.back].room += got
+				if e.capacity > 0 && dist[e.to] == dist[at]+1 {
+					if got := push(e.to, min(waterFilled, e.capacity)); got > 0 {
+						e.capacity -= got
+						n.edges[e.to][e.back].capacity += got
 						return got
 					}
 				}
@@ -171,12 +171,12 @@
 	}
 }
 
-// optimum is the least level at which a job's groups flow to their holders, within
+// optimalLevel is the least level at which a job's groups flow to their holders, within
 // (level-b)*mu tasks each, and the tasks of each server. Two groups may share a slot, which
 // the paper's program (4) does not let them, so this is its exact optimum or below.
-func optimum(servers []Server, groups []Group) (int, []int) {
+func optimalLevel(servers []Server, groups []Group) (int, []int) {
 	all := 0
-	lo, hi := 0, 0
+	low, high := 0, 0
 	for _, g := range groups {
 		all += len(g.Tasks)
 		var own []Server
@@ -184,41 +184,41 @@
 			own = append(own, servers[i])
 		}
 		x, _ := Level(own, len(g.Tasks)) // (6)
-		lo = max(lo, x)
+		low = max(low, x)
 	}
 	for _, s := range servers {
-		hi = max(hi, s.Busy+ceil(float64(all)/s.Mu))
+		high = max(high, s.Busy+ceil(float64(all)/s.Mu))
 	}
 	try := func(level int) ([]int, bool) {
 		source, sink := len(groups)+len(servers), len(groups)+len(servers)+1
 		n := network{make([][]edge, sink+1)}
 		for g := range groups {
-			n.edge(source, g, len(groups[g].Tasks))
+			n.addEdge(source, g, len(groups[g].Tasks))
 			for _, h := range groups[g].Holders {
-				n.edge(g, len(groups)+int(h), all)
+				n.addEdge(g, len(groups)+int(h), all)
 			}
 		}
 		for i, s := range servers {
-			n.edge(len(groups)+i, sink, int(float64(max(0, level-s.Busy))*s.Mu))
+			n.addEdge(len(groups)+i, sink, int(float64(max(0, level-s.Busy))*s.Mu))
 		}
-		ok := n.flow(source, sink) == all
+		ok := n.maxFlow(source, sink) == all
 		used := make([]int, len(servers))
 		for i := range servers {
 			es := n.edges[len(groups)+i]
 			back := es[len(es)-1]
-			used[i] = n.edges[sink][back.back].room
+			used[i] = n.edges[sink][back.back].capacity
 		}
 		return used, ok
 	}
-	for lo < hi {
-		if _, ok := try((lo + hi) / 2); ok {
-			hi = (lo + hi) / 2
+	for low < high {
+		if _, ok := try((low + high) / 2); ok {
+			high = (low + high) / 2
 		} else {
-			lo = (lo+hi)/2 + 1
+			low = (low+high)/2 + 1
 		}
 	}
-	used, _ := try(lo)
-	return lo, used
+	used, _ := try(low)
+	return low, used
 }
 
 // paperJob is a job of the paper's experiment (section V): when it arrives, in slots, and
@@ -232,7 +232,7 @@
 // paperJobs draws 250 jobs of about 113,000 tasks in 5.5 groups for 100 servers. The
 // paper cuts them out of a published trace; here sizes are drawn with a long tail, as
 // no trace is brought in. Alpha is the skew of the groups' first holder, load the share
-// of the servers that the jobs need on average.
+// indices the servers that the jobs need on average.
 func paperJobs(seed uint64, alpha, load float64, holders [2]int) []paperJob {
 	const servers, jobs, total = 100, 250, 113_653
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -285,10 +285,10 @@
 	return out
 }
 
-// play runs the jobs through first-in-first-out queues. It gives the mean completion time
+// simulateQueues runs the jobs through first-in-first-out queues. It gives the mean completion time
 // in slots by water-filling, the mean of what the optimum would have reached at each
 // arrival with the same backlog, and the time of a decision.
-func play(jobs []paperJob, optimum func(servers []Server, groups []Group) (int, []int)) (mean, best float64, each time.Duration) {
+func simulateQueues(jobs []paperJob, optimum func(servers []Server, groups []Group) (int, []int)) (mean, best float64, each time.Duration) {
 	busyUntil := make([]float64, 100)
 	for _, j := range jobs {
 		servers := make([]Server, len(busyUntil))
@@ -322,7 +322,7 @@
 		for _, alpha := range []float64{0, 1, 2} {
 			wf, opt := 0.0, 0.0
 			for seed := range uint64(3) {
-				m, o, _ := play(paperJobs(seed, alpha, load, [2]int{8, 12}), optimum)
+				m, o, _ := simulateQueues(paperJobs(seed, alpha, load, [2]int{8, 12}), optimalLevel)
 				wf, opt = wf+m, opt+o
 			}
 			t.Logf("load %.2f alpha %.0f: water-filling %.1f, optimum %.1f slots, %.4f", load, alpha, wf/3, opt/3, wf/opt)
@@ -340,10 +340,10 @@
 	for _, p := range []int{4, 6, 8, 10, 12} {
 		b.Run(fmt.Sprintf("holders=%d", p), func(b *testing.B) {
 			jobs := paperJobs(1, 2, 0.75, [2]int{p, p})
-			m, o, _ := play(jobs, optimum)
+			m, o, _ := simulateQueues(jobs, optimalLevel)
 			var each time.Duration
 			for b.Loop() {
-				_, _, each = play(jobs, nil)
+				_, _, each = simulateQueues(jobs, nil)
 			}
 			b.ReportMetric(m, "slots")
 			b.ReportMetric(m/o-1, "behind")
@@ -377,7 +377,7 @@
 				for b.Loop() {
 					s := slices.Clone(servers)
 					groups := Groups(all, func(t int32) []int32 { return sets[int(t)%len(sets)] })
-					FillGroups(s, groups, flat{12}, 64)
+					FillGroups(s, groups, flatCost{12}, 64)
 				}
 			})
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -24,9 +24,9 @@
 // Busy is equation (2): the sum over the queued jobs of tasks by mu, rounded up.
 func Busy(queue []Queued) int {
 	b := 0
-	for _, q := range queue {
-		if q.Tasks > 0 && q.Mu > 0 {
-			b += ceil(float64(q.Tasks) / q.Mu)
+	for _, queued := range queue {
+		if queued.Tasks > 0 && queued.Mu > 0 {
+			b += ceil(float64(queued.Tasks) / queued.Mu)
 		}
 	}
 	return b
@@ -34,15 +34,15 @@
 
 // Mu is the tasks of one job that a machine with room for `room` of them at
 // once finishes in a slot.
-func Mu(room int, slotS, taskS float64) float64 {
-	if room <= 0 || slotS <= 0 || taskS <= 0 {
+func Mu(concurrent int, slotS, taskS float64) float64 {
+	if concurrent <= 0 || slotS <= 0 || taskS <= 0 {
 		return 0
 	}
-	return float64(room) * slotS / taskS
+	return float64(concurrent) * slotS / taskS
 }
 
-// covers is the left side of condition (9) at a level.
-func covers(servers []Server, level int) float64 {
+// coveredTasks is the left side of condition (9) at a level.
+func coveredTasks(servers []Server, level int) float64 {
 	sum := 0.0
 	for _, s := range servers {
 		if level > s.Busy {
@@ -58,39 +58,39 @@
 	if tasks <= 0 {
 		return 0, true
 	}
-	lo, hi, ok := math.MaxInt, 0, false
+	low, high, ok := math.MaxInt, 0, false
 	mu, work := 0.0, 0.0
 	for _, s := range servers {
 		if s.Mu > 0 {
 			// This server alone covers the tasks here, as in (5).
-			top := s.Busy + ceil(float64(tasks)/s.Mu)
-			if !ok || top < hi {
-				hi = top
+			bound := s.Busy + ceil(float64(tasks)/s.Mu)
+			if !ok || bound < high {
+				high = bound
 			}
 			ok = true
 			// Below its queue no server takes any.
-			lo = min(lo, s.Busy+1)
+			low = min(low, s.Busy+1)
 			mu += s.Mu
 			work += float64(s.Busy) * s.Mu
 		}
 	}
 	// All together cover them where they would if each began at this level with a debt
-	// of what it is short of b, which some do not have.
-	if top := math.Ceil((float64(tasks)+work)/mu + epsilon); top < float64(hi) {
-		hi = max(lo, int(top))
+	// indices what it is short of b, which some do not have.
+	if combined := math.Ceil((float64(tasks)+work)/mu + epsilon); combined < float64(high) {
+		high = max(low, int(combined))
 	}
 	if !ok {
 		return 0, false
 	}
-	for lo < hi {
-		mid := lo + (hi-lo)/2
-		if covers(servers, mid) >= float64(tasks)-epsilon {
-			hi = mid
+	for low < high {
+		mid := low + (high-low)/2
+		if coveredTasks(servers, mid) >= float64(tasks)-epsilon {
+			high = mid
 		} else {
-			lo = mid + 1
+			low = mid + 1
 		}
 	}
-	return lo, true
+	return low, true
 }
 
 // Fill gives each server below the level (level-b)*mu tasks, and the last
@@ -104,7 +104,7 @@
 	if !ok {
 		return nil
 	}
-	out := make([]int, len(servers))
+	shares := make([]int, len(servers))
 	last := -1
 	left := tasks
 	for i, s := range servers {
@@ -113,16 +113,16 @@
 		}
 		last = i
 		n := min(left, max(s.Free, ceil(float64(level-s.Busy)*s.Mu)))
-		out[i] = n
+		shares[i] = n
 		left -= n
 	}
 	if last >= 0 {
-		out[last] += left
+		shares[last] += left
 	}
 	for i := range servers {
 		servers[i].Busy = max(servers[i].Busy, level)
 	}
-	return out
+	return shares
 }
 
 const epsilon = 1e-9
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -8,7 +8,7 @@
 
 // Worked by hand: b = 0, 2, 5 and mu = 2, 1, 4; ten tasks. At level 3 the
 // servers cover 6+1+0 = 7, at level 4 8+2 = 10.
-func TestFillByHand(t *testing.T) {
+func TestFillMatchesWorkedExample(t *testing.T) {
 	s := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
 	if l, ok := Level(s, 10); !ok || l != 4 {
 		t.Fatalf("level %d, want 4", l)
@@ -29,7 +29,7 @@
 // Ten tasks that last 12 slots go to three idle machines with room for four at
 // once, not one each to ten: a machine with one small task has no room for a
 // large one. A machine above the level gets none all the same.
-func TestFillUsesRoomAtOnce(t *testing.T) {
+func TestFillUsesFreeSlotsOfOneMachineFirst(t *testing.T) {
 	var s []Server
 	for range 12 {
 		s = append(s, Server{Mu: 4.0 / 12, Free: 4})
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestNobodyCanServe(t *testing.T) {
+func TestFillWithoutCapacityPlacesNothing(t *testing.T) {
 	if Fill([]Server{{}}, 3) != nil || Fill(nil, 1) != nil {
 		t.Error("a share without a server")
 	}
@@ -54,7 +54,7 @@
 
 // The binary search finds what trying every level in turn finds, and the
 // shares add up with none above the level.
-func TestLevelAgainstBruteForce(t *testing.T) {
+func TestLevelAndFillAgainstBruteForce(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
 		var s []Server
@@ -97,7 +97,7 @@
 }
 
 // The search begins between two bounds; the level is the least one all the same.
-func TestLevelIsTheLeast(t *testing.T) {
+func TestLevelIsTheLeastThatCovers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 3000 {
 		servers := make([]Server, 1+rng.IntN(20))
@@ -110,12 +110,12 @@
 		n := 1 + rng.IntN(200)
 		level, ok := Level(servers, n)
 		if !ok {
-			if covers(servers, 1<<20) > 0 {
+			if coveredTasks(servers, 1<<20) > 0 {
 				t.Fatalf("none for %v", servers)
 			}
 			continue
 		}
-		if covers(servers, level) < float64(n)-1e-6 || covers(servers, level-1) >= float64(n)-epsilon {
+		if coveredTasks(servers, level) < float64(n)-1e-6 || coveredTasks(servers, level-1) >= float64(n)-epsilon {
 			t.Fatalf("%d for %d tasks on %v", level, n, servers)
 		}
 	}
