--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -18,11 +18,11 @@
 
 // Due tells whether a job's turn has come: it could start since began, a task of it was last started at
 // started (zero: none), and by is how long that may be.
-func Due(now, began, started time.Time, by time.Duration) bool {
-	if started.After(began) {
-		began = started
+func Due(now, waitingSince, started time.Time, limit time.Duration) bool {
+	if started.After(waitingSince) {
+		waitingSince = started
 	}
-	return now.Sub(began) >= by
+	return now.Sub(waitingSince) >= limit
 }
 
 // Machine is when further tasks of a job could start on a machine, as what runs there ends.
@@ -34,12 +34,12 @@
 
 // Keep chooses the machines on which so many tasks can start soonest, all in one zone if that is asked,
 // and tells how soon. Nothing is chosen if there is no room for all of them ever.
-func Keep(ms []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
+func Keep(machines []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
 	if !oneZone {
-		return keep(ms, tasks)
+		return earliest(machines, tasks)
 	}
 	zones := map[string][]Machine{}
-	for _, m := range ms {
+	for _, m := range machines {
 		zones[m.Zone] = append(zones[m.Zone], m)
 	}
 	var order []string
@@ -48,32 +48,32 @@
 	}
 	slices.Sort(order)
 	for _, z := range order {
-		if n, t := keep(zones[z], tasks); n != nil && (names == nil || t < at) {
+		if n, t := earliest(zones[z], tasks); n != nil && (names == nil || t < at) {
 			names, at = n, t
 		}
 	}
 	return names, at
 }
 
-func keep(ms []Machine, tasks int) (names []string, at time.Duration) {
+func earliest(machines []Machine, tasks int) (names []string, at time.Duration) {
 	type slot struct {
 		at   time.Duration
 		name string
 	}
-	var all []slot
-	for _, m := range ms {
+	var slots []slot
+	for _, m := range machines {
 		for _, t := range m.At[:min(tasks, len(m.At))] {
-			all = append(all, slot{t, m.Name})
+			slots = append(slots, slot{t, m.Name})
 		}
 	}
-	if tasks <= 0 || len(all) < tasks {
+	if tasks <= 0 || len(slots) < tasks {
 		return nil, 0
 	}
-	slices.SortFunc(all, func(a, b slot) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) })
-	for _, s := range all[:tasks] {
+	slices.SortFunc(slots, func(a, b slot) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) })
+	for _, s := range slots[:tasks] {
 		if !slices.Contains(names, s.name) {
 			names = append(names, s.name)
 		}
 	}
-	return names, all[tasks-1].at
+	return names, slots[tasks-1].at
 }
--- a/connlimit/sockets.go
+++ b/connlimit/limiter.go
@@ -41,9 +41,9 @@
 	classes
 )
 
-var names = [classes]string{"new", "worker", "user", "command", "service", "sibling"}
+var classNames = [classes]string{"new", "worker", "user", "command", "service", "sibling"}
 
-func (c Class) String() string { return names[c] }
+func (c Class) String() string { return classNames[c] }
 
 // ErrLimit means: no socket is left for this class.
 var ErrLimit = errors.New("sockets are scarce")
@@ -53,14 +53,14 @@
 type Limiter struct {
 	limit int
 
-	mu   sync.Mutex
-	open int
-	by   [classes]int
-	// idle are workers' connections between two reports, the longest first.
-	idle *simplelru.LRU[*conn, struct{}]
+	mu          sync.Mutex
+	open        int
+	openByClass [classes]int
+	// idleWorkers are workers' connections between two reports, the longest first.
+	idleWorkers *simplelru.LRU[*conn, struct{}]
 	// IdleClosed counts those that were closed for newcomers, Refused commands that found no
 	// socket.
-	closed, refused int
+	idleClosed, refused int
 }
 
 // NewLimiter makes a budget of so many sockets.
@@ -69,14 +69,14 @@
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &Limiter{limit: limit, idle: idle}
+	return &Limiter{limit: limit, idleWorkers: idle}
 }
 
 // SetLimit changes the limit.
-func (b *Limiter) SetLimit(limit int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.limit = limit
+func (l *Limiter) SetLimit(limit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limit = limit
 }
 
 // Counts are the open sockets, in all and by class.
@@ -87,11 +87,11 @@
 }
 
 // Counts tells how many are open.
-func (b *Limiter) Counts() Counts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := Counts{Open: b.open, Limit: b.limit, ByClass: map[string]int{}, IdleClosed: b.closed, Refused: b.refused}
-	for i, n := range b.by {
+func (l *Limiter) Counts() Counts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := Counts{Open: l.open, Limit: l.limit, ByClass: map[string]int{}, IdleClosed: l.idleClosed, Refused: l.refused}
+	for i, n := range l.openByClass {
 		if n > 0 {
 			c.ByClass[Class(i).String()] = n
 		}
@@ -99,55 +99,55 @@
 	return c
 }
 
-// share is how many sockets a part of the limit is; without one, more than there can be.
-func (b *Limiter) share(part float64) int {
-	if b.limit <= 0 {
+// threshold is how many sockets a part of the limit is; without one, more than there can be.
+func (l *Limiter) threshold(part float64) int {
+	if l.limit <= 0 {
 		return 1 << 30
 	}
-	return int(part * float64(b.limit))
+	return int(part * float64(l.limit))
 }
 
 // NearLimit tells whether workers should close their connections after an answer.
-func (b *Limiter) NearLimit() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.open >= b.share(tuning.SocketsScarce)
+func (l *Limiter) NearLimit() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open >= l.threshold(tuning.SocketsScarce)
 }
 
 // conn is one counted connection.
 type conn struct {
 	net.Conn
-	b     *Limiter
-	class Class
-	once  sync.Once
+	limiter *Limiter
+	class   Class
+	once    sync.Once
 }
 
 // Close closes it and counts it no more.
 func (c *conn) Close() error {
 	c.once.Do(func() {
-		c.b.mu.Lock()
-		defer c.b.mu.Unlock()
-		c.b.open--
-		c.b.by[c.class]--
-		c.b.idle.Remove(c)
+		c.limiter.mu.Lock()
+		defer c.limiter.mu.Unlock()
+		c.limiter.open--
+		c.limiter.openByClass[c.class]--
+		c.limiter.idleWorkers.Remove(c)
 	})
 	return c.Conn.Close()
 }
 
-func (b *Limiter) add(c net.Conn, class Class) *conn {
-	x := &conn{Conn: c, b: b, class: class}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.open++
-	b.by[class]++
-	return x
+func (l *Limiter) track(c net.Conn, class Class) *conn {
+	tracked := &conn{Conn: c, limiter: l, class: class}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.open++
+	l.openByClass[class]++
+	return tracked
 }
 
 // listener counts what it accepts.
 type listener struct {
 	net.Listener
-	b     *Limiter
-	class Class
+	limiter *Limiter
+	class   Class
 }
 
 // Listen counts the connections that a listener accepts: as New, whose class is told later, or
@@ -155,114 +155,114 @@
 func (b *Limiter) Listen(l net.Listener, class Class) net.Listener { return &listener{l, b, class} }
 
 // Accept waits for a connection. Near the limit, the worker's connection that is idle longest is
-// closed for it.
+// idleClosed for it.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	x := l.b.add(c, l.class)
-	l.b.makeRoom()
-	return x, nil
+	tracked := l.limiter.track(c, l.class)
+	l.limiter.closeIdle()
+	return tracked, nil
 }
 
-// makeRoom closes idle workers' connections while too many are open.
-func (b *Limiter) makeRoom() {
+// closeIdle closes idle workers' connections while too many are open.
+func (l *Limiter) closeIdle() {
 	for {
-		b.mu.Lock()
-		var old *conn
-		if b.open > b.share(tuning.SocketsFull) {
-			old, _, _ = b.idle.RemoveOldest()
-			if old != nil {
-				b.closed++
+		l.mu.Lock()
+		var oldest *conn
+		if l.open > l.threshold(tuning.SocketsFull) {
+			oldest, _, _ = l.idleWorkers.RemoveOldest()
+			if oldest != nil {
+				l.idleClosed++
 			}
 		}
-		b.mu.Unlock()
-		if old == nil {
+		l.mu.Unlock()
+		if oldest == nil {
 			return
 		}
-		_ = old.Close()
+		_ = oldest.Close()
 	}
 }
 
 // Classify says what class a connection is of, and whether it is idle, as its first request shows.
-func (b *Limiter) Classify(c net.Conn, class Class) {
-	x, ok := c.(*conn)
+func (l *Limiter) Classify(c net.Conn, class Class) {
+	tracked, ok := c.(*conn)
 	if !ok || class == Unclassified {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.by[x.class]--
-	x.class = class
-	b.by[class]++
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.openByClass[tracked.class]--
+	tracked.class = class
+	l.openByClass[class]++
 }
 
 // State follows an HTTP server's connections: http.Server.ConnState.
-func (b *Limiter) State(c net.Conn, s http.ConnState) {
-	x, ok := c.(*conn)
+func (l *Limiter) State(c net.Conn, s http.ConnState) {
+	tracked, ok := c.(*conn)
 	if !ok {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s == http.StateIdle && x.class == Worker {
-		b.idle.Add(x, struct{}{})
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s == http.StateIdle && tracked.class == Worker {
+		l.idleWorkers.Add(tracked, struct{}{})
 	} else {
-		b.idle.Remove(x)
+		l.idleWorkers.Remove(tracked)
 	}
 }
 
 // Dial opens connections of a class. ErrLimit: there are too few sockets for commands; they
 // reach their workers with the answers to their reports.
-func (b *Limiter) Dial(class func(addr string) Class) func(ctx context.Context, network, addr string) (net.Conn, error) {
-	d := net.Dialer{Timeout: tuning.DialTimeout}
+func (l *Limiter) Dial(class func(addr string) Class) func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: tuning.DialTimeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		k := class(addr)
-		b.mu.Lock()
-		no := k == Command && b.open >= b.share(tuning.SocketsCommands)
-		if no {
-			b.refused++
+		l.mu.Lock()
+		refuse := k == Command && l.open >= l.threshold(tuning.SocketsCommands)
+		if refuse {
+			l.refused++
 		}
-		b.mu.Unlock()
-		if no {
+		l.mu.Unlock()
+		if refuse {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: ErrLimit}
 		}
-		c, err := d.DialContext(ctx, network, addr)
+		c, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		x := b.add(c, k)
-		b.makeRoom()
-		return x, nil
+		tracked := l.track(c, k)
+		l.closeIdle()
+		return tracked, nil
 	}
 }
 
-type key struct{}
+type contextKey struct{}
 
 // Context lets a handler find the connection of a request: http.Server.ConnContext.
 func Context(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, key{}, c)
+	return context.WithValue(ctx, contextKey{}, c)
 }
 
 // FromContext is the connection that a request came on; nil: not known.
 func FromContext(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(key{}).(net.Conn)
+	c, _ := ctx.Value(contextKey{}).(net.Conn)
 	return c
 }
 
 // Watch logs now and then how many are open, when they get scarce.
-func (b *Limiter) Watch(ctx context.Context, every time.Duration, told func(Counts)) {
-	t := time.NewTicker(every)
-	defer t.Stop()
+func (l *Limiter) Watch(ctx context.Context, every time.Duration, notify func(Counts)) {
+	ticker := time.NewTicker(every)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		if b.NearLimit() {
-			told(b.Counts())
+		if l.NearLimit() {
+			notify(l.Counts())
 		}
 	}
 }
--- a/connlimit/sockets_test.go
+++ b/connlimit/limiter_test.go
@@ -88,7 +88,7 @@
 
 // Near the limit idle workers' connections are closed for newcomers, the longest idle first,
 // and nobody else's.
-func TestIdleWorkersGoFirst(t *testing.T) {
+func TestIdleWorkerConnectionsAreClosedNearLimit(t *testing.T) {
 	b, addr := served(t, 1000)
 	first, _, err := ask(addr, "/v1/report")
 	if err != nil {
@@ -117,7 +117,7 @@
 }
 
 // Commands leave the last sockets to the state service; one that finds none was never sent.
-func TestCommandsGiveWay(t *testing.T) {
+func TestCommandsAreRefusedNearLimit(t *testing.T) {
 	_, addr := served(t, 0)
 	b := connlimit.NewLimiter(10)
 	dial := b.Dial(func(string) connlimit.Class { return connlimit.Command })
--- a/cost/cost.go
+++ b/cost/cost.go
@@ -19,11 +19,11 @@
 
 // Fetch is the time for so many gigabytes at a rate in gigabytes a second, 0 where the
 // rate is not known.
-func Fetch(gb, perS float64) float64 {
-	if perS <= 0 {
+func Fetch(gb, rate float64) float64 {
+	if rate <= 0 {
 		return 0
 	}
-	return gb / perS
+	return gb / rate
 }
 
 // Copy is the time until so many bytes are on a machine: after what its link has to bring
--- a/dag/graph_test.go
+++ b/dag/graph_test.go
@@ -54,44 +54,44 @@
 func TestGraphAgainstReference(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		g := New()
-		m := &model{needs: map[string][]string{}, done: map[string]bool{}, cancelled: map[string]bool{}}
+		graph := New()
+		reference := &model{needs: map[string][]string{}, done: map[string]bool{}, cancelled: map[string]bool{}}
 		for step := range 40 {
 			switch pick := rng.IntN(4); {
-			case pick < 2 || len(m.ids) == 0:
+			case pick < 2 || len(reference.ids) == 0:
 				id := fmt.Sprintf("run-%d", step)
 				var open []string
-				for _, other := range m.ids {
-					if rng.IntN(4) == 0 && !m.lost(other) {
-						m.needs[id] = append(m.needs[id], other)
-						if !m.done[other] {
+				for _, other := range reference.ids {
+					if rng.IntN(4) == 0 && !reference.lost(other) {
+						reference.needs[id] = append(reference.needs[id], other)
+						if !reference.done[other] {
 							open = append(open, other)
 						}
 					}
 				}
-				m.ids = append(m.ids, id)
-				g.Add(id, open)
+				reference.ids = append(reference.ids, id)
+				graph.Add(id, open)
 			case pick == 2:
-				id := m.ids[rng.IntN(len(m.ids))]
-				if m.done[id] || !m.ready(id) {
+				id := reference.ids[rng.IntN(len(reference.ids))]
+				if reference.done[id] || !reference.ready(id) {
 					continue
 				}
-				before := m.all(m.ready)
-				m.done[id] = true
-				m.checkNewly(t, fmt.Sprintf("seed %d, complete %s", seed, id), g.Complete(id), before, m.ready)
+				before := reference.all(reference.ready)
+				reference.done[id] = true
+				reference.checkNewly(t, fmt.Sprintf("seed %d, complete %s", seed, id), graph.Complete(id), before, reference.ready)
 			default:
-				id := m.ids[rng.IntN(len(m.ids))]
-				if m.done[id] || m.lost(id) {
+				id := reference.ids[rng.IntN(len(reference.ids))]
+				if reference.done[id] || reference.lost(id) {
 					continue
 				}
-				before := m.all(m.lost)
-				m.cancelled[id] = true
+				before := reference.all(reference.lost)
+				reference.cancelled[id] = true
 				before[id] = true
-				m.checkNewly(t, fmt.Sprintf("seed %d, cancel %s", seed, id), g.Cancel(id), before, m.lost)
+				reference.checkNewly(t, fmt.Sprintf("seed %d, cancel %s", seed, id), graph.Cancel(id), before, reference.lost)
 			}
-			for _, id := range m.ids {
-				if want := !m.ready(id) && !m.lost(id) && !m.done[id]; g.Waiting(id) != want {
-					t.Fatalf("seed %d: %s waits: %v, want %v", seed, id, g.Waiting(id), want)
+			for _, id := range reference.ids {
+				if want := !reference.ready(id) && !reference.lost(id) && !reference.done[id]; graph.Waiting(id) != want {
+					t.Fatalf("seed %d: %s waits: %v, want %v", seed, id, graph.Waiting(id), want)
 				}
 			}
 		}
--- a/dag/inherit_test.go
+++ b/dag/inherit_test.go
@@ -9,17 +9,17 @@
 // A job's due times follow from the critical path through its dependents, each by its index, and its rank is the highest
 // of all.
 func TestInheritPropagatesRankAndDueTimes(t *testing.T) {
-	g := New()
-	g.Add("rewrite", []string{"export"})
-	g.Add("sweep", []string{"rewrite"})
-	g.Add("publish", []string{"export", "sweep"})
-	g.Add("other", []string{"export"})
+	graph := New()
+	graph.Add("rewrite", []string{"export"})
+	graph.Add("sweep", []string{"rewrite"})
+	graph.Add("publish", []string{"export", "sweep"})
+	graph.Add("other", []string{"export"})
 	stages := map[string]Stage{
 		"export": {TakesMS: 15}, "rewrite": {TakesMS: 25}, "sweep": {Rank: 1, TakesMS: 20, DuesMS: []int64{500}},
 		"publish": {Rank: 2, TakesMS: 8, DuesMS: []int64{200, 300}}, "other": {Rank: 3, TakesMS: 5},
 	}
 	stageOf := func(id string) (Stage, bool) { stage, ok := stages[id]; return stage, ok }
-	got := g.Inherit(stageOf)
+	got := graph.Inherit(stageOf)
 	want := map[string]struct {
 		rank int
 		dues []int64
@@ -37,8 +37,8 @@
 	if !slices.Equal(stages["sweep"].DuesMS, []int64{500}) {
 		t.Error("a job's own due times were changed")
 	}
-	g.Complete("export")
-	if got := g.Inherit(stageOf); len(got) != 2 {
+	graph.Complete("export")
+	if got := graph.Inherit(stageOf); len(got) != 2 {
 		t.Errorf("after the first job is complete: %v, want 2 stages", got)
 	}
 }
--- a/feasibility/supply.go
+++ b/feasibility/feasibility.go
@@ -29,35 +29,35 @@
 }
 
 // serves tells whether a machine can at some time run a task of a job.
-func (m *Machine) serves(s *api.Submission) bool {
-	if m.Spec == nil || m.Spot && !s.Spot || s.Zone != "" && s.Zone != m.Zone || !m.Spec.Fits(s) {
+func (m *Machine) serves(job *api.Submission) bool {
+	if m.Spec == nil || m.Spot && !job.Spot || job.Zone != "" && job.Zone != m.Zone || !m.Spec.Fits(job) {
 		return false
 	}
-	room := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
-	return room.Sub(m.Used).Fits(fleet.RequestOf(s))
+	free := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
+	return free.Sub(m.Used).Fits(fleet.RequestOf(job))
 }
 
 // Unplaceable are the jobs of which no machine can ever run a task, in their order; of those that ask for the
 // same, the first.
-func Unplaceable(jobs []*api.Submission, ms []Machine) (out []*api.Submission) {
+func Unplaceable(jobs []*api.Submission, machines []Machine) (out []*api.Submission) {
 	seen := map[string]bool{}
-	for _, s := range jobs {
-		key := fmt.Sprint(s.Types, s.Zone, s.Spot, s.CPUs, s.Cards, s.MemoryGB, s.ImageGB)
+	for _, job := range jobs {
+		key := fmt.Sprint(job.Types, job.Zone, job.Spot, job.CPUs, job.Cards, job.MemoryGB, job.ImageGB)
 		if seen[key] {
 			continue
 		}
 		seen[key] = true
-		if !slices.ContainsFunc(ms, func(m Machine) bool { return m.serves(s) }) {
-			out = append(out, s)
+		if !slices.ContainsFunc(machines, func(m Machine) bool { return m.serves(job) }) {
+			out = append(out, job)
 		}
 	}
 	return out
 }
 
 // PoolFor is the first pool whose machines can run a job's tasks.
-func PoolFor(s *api.Submission, pools []Pool) (Pool, bool) {
-	i := slices.IndexFunc(pools, func(p Pool) bool {
-		return (&Machine{Spec: p.Type, Zone: p.Zone, Spot: p.Spot}).serves(s)
+func PoolFor(job *api.Submission, pools []Pool) (Pool, bool) {
+	i := slices.IndexFunc(pools, func(pool Pool) bool {
+		return (&Machine{Spec: pool.Type, Zone: pool.Zone, Spot: pool.Spot}).serves(job)
 	})
 	if i < 0 {
 		return Pool{}, false
@@ -66,28 +66,28 @@
 }
 
 // ConcurrentRequest is the least that a job must have at once, to run at all.
-func ConcurrentRequest(s *api.Submission) fleet.Resources {
-	if s.Shape == api.JobArray {
-		return fleet.RequestOf(s)
+func ConcurrentRequest(job *api.Submission) fleet.Resources {
+	if job.Shape == api.JobArray {
+		return fleet.RequestOf(job)
 	}
-	return fleet.RequestOf(s).Scale(s.Tasks)
+	return fleet.RequestOf(job).Scale(job.Tasks)
 }
 
 // CanRun checks a submission against teams' limits and machine types. Not decided:
 // the machine types are not known yet.
-func CanRun(s *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (err error, undecided bool) {
-	limit, ok := limitOf(s.Team)
+func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (err error, undecided bool) {
+	limit, ok := limitOf(job.Team)
 	if !ok {
 		return &api.FieldError{Field: "owner", Want: "no such team"}, false
 	}
-	if !limit.Allows(ConcurrentRequest(s)) {
+	if !limit.Allows(ConcurrentRequest(job)) {
 		return &api.FieldError{Field: "parts", Want: "the job needs more than its team's limit"}, false
 	}
 	if len(types) == 0 {
 		return nil, true
 	}
 	for i := range types {
-		if types[i].Fits(s) {
+		if types[i].Fits(job) {
 			return nil, false
 		}
 	}
--- a/feasibility/supply_test.go
+++ b/feasibility/feasibility_test.go
@@ -9,7 +9,7 @@
 
 // A job is unmet where no machine of its type, zone, kind and size is there, or services hold all that
 // are; the pool that is rented for it is one that it may run on.
-func TestUnmet(t *testing.T) {
+func TestUnplaceableJobsAndThePoolsForThem(t *testing.T) {
 	small := &api.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
 	large := &api.MachineType{Name: "large", CPUs: 32, MemoryGB: 256, Zones: []string{"a", "b"}}
 	fleetNow := []Machine{{Spec: small, Zone: "a"}, {Spec: small, Zone: "b", Spot: true}, {Spec: nil, Zone: "b"},
@@ -33,8 +33,8 @@
 			continue
 		}
 		if len(unmet) == 1 {
-			if p, ok := PoolFor(unmet[0], pools); !ok || p.Type.Name+" "+p.Zone != c.rent {
-				t.Errorf("%s: rents %+v", c.name, p)
+			if pool, ok := PoolFor(unmet[0], pools); !ok || pool.Type.Name+" "+pool.Zone != c.rent {
+				t.Errorf("%s: rents %+v", c.name, pool)
 			}
 		}
 	}
--- a/placement/filler.go
+++ b/placement/filler.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// filler carries out FillGroups on one job.
-type filler struct {
+// groupFiller carries out FillGroups on one job.
+type groupFiller struct {
 	servers   []Server
 	inputCost InputCost
 	shares    []Share
@@ -27,35 +27,35 @@
 	holdsInputs bool
 }
 
-func newFiller(servers []Server, inputCost InputCost) *filler {
+func newFiller(servers []Server, inputCost InputCost) *groupFiller {
 	n := len(servers)
-	return &filler{
+	return &groupFiller{
 		servers: servers, inputCost: inputCost,
 		participants: make([]Server, 0, n), members: make([]member, 0, n), byLoad: make([]int32, 0, n),
 	}
 }
 
 // waterFill assigns the tasks of a group, given with its index, by the least level.
-func (f *filler) waterFill(g int, group *Group) {
+func (f *groupFiller) waterFill(groupIndex int, group *Group) {
 	f.leastLoaded = nil
 	f.addHolders(group)
 	tasks := len(group.Tasks)
 	level, ok := Level(f.participants, tasks)
-	if f.inputCost != nil && (!ok || f.minBusy()+f.inputCost.Least(g) < level) {
+	if f.inputCost != nil && (!ok || f.minBusy()+f.inputCost.Least(groupIndex) < level) {
 		if !ok {
 			level = math.MaxInt
 		}
-		f.addOthers(g, group, level)
+		f.addOthers(groupIndex, group, level)
 		level, ok = Level(f.participants, tasks)
 	}
 	if ok {
 		f.sortBelow(level)
-		f.distribute(g, group.Tasks, level)
+		f.distribute(groupIndex, group.Tasks, level)
 	}
 }
 
 // addHolders makes the servers that hold the group's inputs its only participants.
-func (f *filler) addHolders(group *Group) {
+func (f *groupFiller) addHolders(group *Group) {
 	f.participants, f.members = f.participants[:0], f.members[:0]
 	for _, i := range group.Holders {
 		if f.servers[i].Mu > 0 {
@@ -65,8 +65,8 @@
 }
 
 // addOthers adds the servers that lack inputs and that, with the cost of copying them, are still below a level.
-func (f *filler) addOthers(g int, group *Group, level int) {
-	holders, rate := group.Holders, f.inputCost.Rate(g)
+func (f *groupFiller) addOthers(groupIndex int, group *Group, level int) {
+	holders, rate := group.Holders, f.inputCost.Rate(groupIndex)
 	for i, s := range f.servers {
 		for len(holders) > 0 && int(holders[0]) < i {
 			holders = holders[1:]
@@ -76,7 +76,7 @@
 		}
 		// The link copies the inputs of one task after the other, so only one can start at once, however many
 		// processors are idle.
-		s.Busy, s.Mu, s.Free = s.Busy+f.inputCost.Slots(g, i), min(s.Mu, rate), min(s.Free, 1)
+		s.Busy, s.Mu, s.Free = s.Busy+f.inputCost.Slots(groupIndex, i), min(s.Mu, rate), min(s.Free, 1)
 		if s.Busy < level {
 			f.participants, f.members = append(f.participants, s), append(f.members, member{int32(i), false})
 		}
@@ -84,7 +84,7 @@
 }
 
 // minBusy returns the least Busy of all servers that take tasks, and math.MaxInt if there are none.
-func (f *filler) minBusy() int {
+func (f *groupFiller) minBusy() int {
 	least := math.MaxInt
 	for _, s := range f.servers {
 		if s.Mu > 0 {
@@ -95,7 +95,7 @@
 }
 
 // sortBelow fills byLoad with the participants below a level.
-func (f *filler) sortBelow(level int) {
+func (f *groupFiller) sortBelow(level int) {
 	order, sorted := f.byLoad[:0], true
 	for i, s := range f.participants {
 		if s.Busy < level {
@@ -112,7 +112,7 @@
 }
 
 // distribute assigns tasks to the participants of byLoad; the last one takes the rest.
-func (f *filler) distribute(g int, tasks []int32, level int) {
+func (f *groupFiller) distribute(groupIndex int, tasks []int32, level int) {
 	for k, i := range f.byLoad {
 		if len(tasks) == 0 {
 			return
@@ -121,28 +121,28 @@
 		if k < len(f.byLoad)-1 {
 			n = min(n, f.participants[i].share(level))
 		}
-		f.assign(g, f.members[i], tasks[:n:n], level)
+		f.assign(groupIndex, f.members[i], tasks[:n:n], level)
 		tasks = tasks[n:]
 	}
 }
 
 // assign gives tasks to a participant that works up to a level.
-func (f *filler) assign(g int, to member, tasks []int32, level int) {
+func (f *groupFiller) assign(groupIndex int, to member, tasks []int32, level int) {
 	server, n := &f.servers[to.server], len(tasks)
 	if to.holdsInputs {
 		server.Busy = max(server.Busy, level)
 	} else {
 		server.Busy += ceil(float64(n) / server.Mu)
-		f.inputCost.Took(g, int(to.server), n)
+		f.inputCost.Took(groupIndex, int(to.server), n)
 	}
 	server.Free = max(0, server.Free-n)
 	f.shares = append(f.shares, Share{int(to.server), tasks})
 }
 
 // placeSingly assigns the tasks of a small group one by one.
-func (f *filler) placeSingly(g int, group *Group) {
+func (f *groupFiller) placeSingly(groupIndex int, group *Group) {
 	for i := range group.Tasks {
-		best := f.bestServer(g, group)
+		best := f.bestServer(groupIndex, group)
 		if best < 0 {
 			continue
 		}
@@ -153,7 +153,7 @@
 			f.leastLoaded.fix(best)
 		}
 		if _, holds := slices.BinarySearch(group.Holders, int32(best)); !holds {
-			f.inputCost.Took(g, best, 1)
+			f.inputCost.Took(groupIndex, best, 1)
 		}
 		f.shares = append(f.shares, Share{best, group.Tasks[i : i+1 : i+1]})
 	}
@@ -161,7 +161,7 @@
 
 // bestServer returns the server on which one more task of a group is finished first, or -1 if none takes it: a holder of
 // the group's inputs, or the least busy of all servers with the cost of copying them.
-func (f *filler) bestServer(g int, group *Group) int {
+func (f *groupFiller) bestServer(groupIndex int, group *Group) int {
 	best, level := -1, 0
 	consider := func(i, copySlots int) {
 		s := f.servers[i]
@@ -183,8 +183,8 @@
 		f.leastLoaded = newBusyHeap(f.servers)
 	}
 	least := f.leastLoaded.minimum()
-	if least >= 0 && (best < 0 || f.servers[least].Busy+f.inputCost.Least(g) < level) {
-		consider(least, f.inputCost.Slots(g, least))
+	if least >= 0 && (best < 0 || f.servers[least].Busy+f.inputCost.Least(groupIndex) < level) {
+		consider(least, f.inputCost.Slots(groupIndex, least))
 	}
 	return best
 }
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -70,19 +70,19 @@
 // The tasks of the others are placed one by one: on the holder with the least level, or on the least busy server if that
 // is sooner. So a decision takes at most waterFilled passes and a few steps for each task, however many groups there are.
 func FillGroups(servers []Server, groups []Group, inputCost InputCost, waterFilled int) []Share {
-	f := newFiller(servers, inputCost)
+	filler := newFiller(servers, inputCost)
 	large := largest(groups, waterFilled)
 	for i := range groups {
 		if large[i] {
-			f.waterFill(i, &groups[i])
+			filler.waterFill(i, &groups[i])
 		}
 	}
 	for i := range groups {
 		if !large[i] {
-			f.placeSingly(i, &groups[i])
+			filler.placeSingly(i, &groups[i])
 		}
 	}
-	return f.shares
+	return filler.shares
 }
 
 // largest marks the n groups with the most tasks, the first ones among equals.
--- a/placement/optimum_test.go
+++ b/placement/optimum_test.go
@@ -102,10 +102,10 @@
 func flowWithin(servers []Server, groups []Group, tasks, level int) (used []int, ok bool) {
 	source, sink := len(groups)+len(servers), len(groups)+len(servers)+1
 	n := network{make([][]edge, sink+1)}
-	for g := range groups {
-		n.addEdge(source, g, len(groups[g].Tasks))
-		for _, holder := range groups[g].Holders {
-			n.addEdge(g, len(groups)+int(holder), tasks)
+	for groupIndex := range groups {
+		n.addEdge(source, groupIndex, len(groups[groupIndex].Tasks))
+		for _, holder := range groups[groupIndex].Holders {
+			n.addEdge(groupIndex, len(groups)+int(holder), tasks)
 		}
 	}
 	for i, s := range servers {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -16,35 +16,35 @@
 // Spread is what one controller knows of those it refused. It is not safe for use from several
 // goroutines at once.
 type Spread struct {
-	rate        float64
-	least, most int
-	keep        time.Duration
-	waiting     *simplelru.LRU[string, time.Time]
-	next        float64
+	rate                   float64
+	minSeconds, maxSeconds int
+	forgetAfter            time.Duration
+	waiting                *simplelru.LRU[string, time.Time]
+	phase                  float64
 }
 
 // New makes a spread for a controller that can take so many submissions a second. Answers lie
 // between least and most, in whole seconds; whoever has not come back after keep has given up;
 // at most limit are remembered.
-func New(rate float64, least, most int, keep time.Duration, limit int) (*Spread, error) {
-	w, err := simplelru.NewLRU[string, time.Time](limit, nil)
-	return &Spread{rate: math.Max(rate, 1e-3), least: least, most: most, keep: keep, waiting: w}, err
+func New(rate float64, minSeconds, most int, forgetAfter time.Duration, limit int) (*Spread, error) {
+	waiting, err := simplelru.NewLRU[string, time.Time](limit, nil)
+	return &Spread{rate: math.Max(rate, 1e-3), minSeconds: minSeconds, maxSeconds: most, forgetAfter: forgetAfter, waiting: waiting}, err
 }
 
 // Refused is after how many seconds the user of a job that cannot be taken now shall come back.
 func (s *Spread) Refused(now time.Time, id string) int {
 	for {
 		_, at, ok := s.waiting.GetOldest()
-		if !ok || now.Sub(at) < s.keep {
+		if !ok || now.Sub(at) < s.forgetAfter {
 			break
 		}
 		s.waiting.RemoveOldest()
 	}
 	s.waiting.Add(id, now)
-	span := math.Min(float64(s.most-s.least), float64(s.waiting.Len())/s.rate)
+	span := math.Min(float64(s.maxSeconds-s.minSeconds), float64(s.waiting.Len())/s.rate)
 	// Multiples of the golden ratio fill the span evenly, whatever their number.
-	_, s.next = math.Modf(s.next + math.Phi)
-	return s.least + int(math.Round(span*s.next))
+	_, s.phase = math.Modf(s.phase + math.Phi)
+	return s.minSeconds + int(math.Round(span*s.phase))
 }
 
 // Taken forgets a job that was taken, or refused for good.
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// after plays an outage of 20 s in which so many users are refused, and then what can be
+// simulateOutage plays an outage of 20 s in which so many users are refused, and then what can be
 // stored, rate a second; the others are refused again. It gives how many tries were in vain
-// after the outage, and when the last was taken.
-func after(t *testing.T, users int, rate float64, spread bool) (vain int, last time.Duration) {
+// simulateOutage the outage, and when the last was taken.
+func simulateOutage(t *testing.T, users int, rate float64, spread bool) (vain int, last time.Duration) {
 	s, err := New(rate, 1, 30, 60*time.Second, 100_000)
 	if err != nil {
 		t.Fatal(err)
@@ -55,8 +55,8 @@
 // all are taken about as soon.
 func TestRetriesAreSpread(t *testing.T) {
 	for _, users := range []int{50, 500, 2000} {
-		plain, first := after(t, users, 80, false)
-		spread, then := after(t, users, 80, true)
+		plain, first := simulateOutage(t, users, 80, false)
+		spread, then := simulateOutage(t, users, 80, true)
 		t.Logf("%d users, 80 a second: told 1 s %d tries in vain, last after %v; spread %d, last after %v", users, plain, first, spread, then)
 		if spread > plain/2+5 || then > 2*first+2*time.Second {
 			t.Errorf("%d users: %d tries in vain and %v, %d and %v without", users, spread, then, plain, first)
@@ -65,7 +65,7 @@
 }
 
 // Few who wait are told the least; never more than what users heed.
-func TestBounds(t *testing.T) {
+func TestDelayStaysWithinBounds(t *testing.T) {
 	s, err := New(100, 1, 30, time.Minute, 1000)
 	if err != nil {
 		t.Fatal(err)
--- a/topology/file.go
+++ b/topology/file.go
@@ -11,9 +11,9 @@
 type File struct {
 	path string
 
-	mu  sync.Mutex
-	raw []byte
-	on  *Map
+	mu      sync.Mutex
+	raw     []byte
+	current *Map
 }
 
 // Open reads and checks a file.
@@ -22,18 +22,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("topology: %w", err)
 	}
-	m, err := Parse(raw)
+	topology, err := Parse(raw)
 	if err != nil {
 		return nil, err
 	}
-	return &File{path: path, raw: raw, on: m}, nil
+	return &File{path: path, raw: raw, current: topology}, nil
 }
 
 // Map is the version in use.
 func (f *File) Map() *Map {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.on
+	return f.current
 }
 
 // Reload reads the file again; the map is nil if it has not changed. A file that cannot be read,
@@ -47,19 +47,19 @@
 			return nil, nil
 		}
 		f.raw = nil
-		return nil, fmt.Errorf("topology: %w; version %d stays in use", err, f.on.version)
+		return nil, fmt.Errorf("topology: %w; version %d stays in use", err, f.current.version)
 	}
 	if bytes.Equal(raw, f.raw) {
 		return nil, nil
 	}
 	f.raw = raw
-	m, err := Parse(raw)
+	topology, err := Parse(raw)
 	if err != nil {
-		return nil, fmt.Errorf("%w; version %d stays in use", err, f.on.version)
+		return nil, fmt.Errorf("%w; version %d stays in use", err, f.current.version)
 	}
-	if m.version <= f.on.version {
-		return nil, fmt.Errorf("topology: version: must grow with each change, from %d, not be %d; that one stays in use", f.on.version, m.version)
+	if topology.version <= f.current.version {
+		return nil, fmt.Errorf("topology: version: must grow with each change, from %d, not be %d; that one stays in use", f.current.version, topology.version)
 	}
-	f.on = m
-	return m, nil
+	f.current = topology
+	return topology, nil
 }
--- a/topology/seek_test.go
+++ b/topology/search_test.go
@@ -10,12 +10,12 @@
 func TestSeekGivesUpAndTriesAgainLater(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	const boot = 50 * time.Second
-	var s Search
+	var search Search
 	supply, tries := 100.0, 0
 	var last float64
 	for range 2 * 3600 {
 		now = now.Add(time.Second)
-		ask := s.TargetCPUs(now, 8, supply, boot)
+		ask := search.TargetCPUs(now, 8, supply, boot)
 		if ask > supply {
 			tries++
 			supply = ask
@@ -33,7 +33,7 @@
 	if tries < 4 || tries > 7 {
 		t.Errorf("%d tries in two hours", tries)
 	}
-	if s.TargetCPUs(now, 0, supply, boot) != 0 || s.TargetCPUs(now, 8, 100, boot) != 108 {
+	if search.TargetCPUs(now, 0, supply, boot) != 0 || search.TargetCPUs(now, 8, 100, boot) != 108 {
 		t.Error("once nothing waits it must begin anew")
 	}
 }
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -25,7 +25,7 @@
 	Machine = "machine"
 )
 
-var depth = func() map[string]int {
+var levelDepth = func() map[string]int {
 	out := map[string]int{}
 	for i, level := range api.Levels {
 		out[level] = i
@@ -35,7 +35,7 @@
 
 // ValidLevel tells whether a level has this name.
 func ValidLevel(s string) bool {
-	_, ok := depth[s]
+	_, ok := levelDepth[s]
 	return ok
 }
 
@@ -98,141 +98,141 @@
 
 // Domain finds one by name.
 func (m *Map) Domain(name string) (*Domain, bool) {
-	d, ok := m.byName[name]
-	return d, ok
+	domain, ok := m.byName[name]
+	return domain, ok
 }
 
 // Parse reads and checks a topology file. The error lists every mistake, by entry.
 func Parse(raw []byte) (*Map, error) {
-	var f Declaration
-	unknown, err := stricttoml.Decode(raw, &f)
+	var declaration Declaration
+	unknown, err := stricttoml.Decode(raw, &declaration)
 	if err != nil {
 		return nil, fmt.Errorf("topology: %w", err)
 	}
-	var bad []error
+	var mistakes []error
 	add := func(err error) {
-		if len(bad) < tuning.MistakesTold {
-			bad = append(bad, fmt.Errorf("topology: %w", err))
+		if len(mistakes) < tuning.MistakesTold {
+			mistakes = append(mistakes, fmt.Errorf("topology: %w", err))
 		}
 	}
 	for _, e := range unknown {
 		add(e)
 	}
-	m := f.Map(func(field, want string) { add(fmt.Errorf("%s: %s", field, want)) })
-	if len(bad) > 0 {
-		return nil, errors.Join(bad...)
+	topology := declaration.Map(func(field, want string) { add(fmt.Errorf("%s: %s", field, want)) })
+	if len(mistakes) > 0 {
+		return nil, errors.Join(mistakes...)
 	}
-	return m, nil
+	return topology, nil
 }
 
 // Map is the topology that is declared. It is of use only if tell was not told of a mistake, by field.
-func (f *Declaration) Map(tell func(field, want string)) *Map {
-	fail := func(format string, a ...any) {
+func (f *Declaration) Map(report func(field, want string)) *Map {
+	failf := func(format string, a ...any) {
 		field, want, _ := strings.Cut(fmt.Sprintf(format, a...), ": ")
-		tell(field, want)
+		report(field, want)
 	}
 	if f.Version < 1 {
-		fail("version: must be 1 or more, and grow with each change, not %d", f.Version)
+		failf("version: must be 1 or more, and grow with each change, not %d", f.Version)
 	}
-	m := &Map{version: f.Version, byName: map[string]*Domain{}}
-	pattern := func(where, p string) {
+	topology := &Map{version: f.Version, byName: map[string]*Domain{}}
+	checkPattern := func(where, p string) {
 		if _, err := path.Match(p, "x"); err != nil || p == "" {
-			fail("%s: pattern %q is malformed; write names with * and ?, like n-0001*", where, p)
+			failf("%s: pattern %q is malformed; write names with * and ?, like n-0001*", where, p)
 		}
 	}
-	for i, e := range f.Domains {
+	for i, entry := range f.Domains {
 		where := fmt.Sprintf("domain[%d]", i)
-		if e.Name == "" || m.byName[e.Name] != nil {
-			fail("%s.name: %q is missing or stands twice", where, e.Name)
+		if entry.Name == "" || topology.byName[entry.Name] != nil {
+			failf("%s.name: %q is missing or stands twice", where, entry.Name)
 			continue
 		}
-		if _, ok := depth[e.Level]; !ok || e.Level == Machine {
-			fail("%s.level: %q must be region, zone, switch or rack", where, e.Level)
+		if _, ok := levelDepth[entry.Level]; !ok || entry.Level == Machine {
+			failf("%s.level: %q must be region, zone, switch or rack", where, entry.Level)
 		}
-		for _, p := range e.Machines {
-			pattern(where+".machines", p)
+		for _, p := range entry.Machines {
+			checkPattern(where+".machines", p)
 		}
-		d := &Domain{Name: e.Name, Level: e.Level, patterns: e.Machines}
-		m.domains, m.byName[e.Name] = append(m.domains, d), d
+		domain := &Domain{Name: entry.Name, Level: entry.Level, patterns: entry.Machines}
+		topology.domains, topology.byName[entry.Name] = append(topology.domains, domain), domain
 	}
-	for i, e := range f.Domains {
-		d := m.byName[e.Name]
-		if d == nil || e.In == "" || e.Name == "" {
+	for i, entry := range f.Domains {
+		domain := topology.byName[entry.Name]
+		if domain == nil || entry.In == "" || entry.Name == "" {
 			continue
 		}
-		up := m.byName[e.In]
+		parent := topology.byName[entry.In]
 		switch {
-		case up == nil:
-			fail("domain[%d].in: there is no domain %q", i, e.In)
-		case depth[up.Level] >= depth[d.Level]:
+		case parent == nil:
+			failf("domain[%d].in: there is no domain %q", i, entry.In)
+		case levelDepth[parent.Level] >= levelDepth[domain.Level]:
 			// This rules out circles as well: every way up ends.
-			fail("domain[%d].in: a %s cannot be in %s %q; outermost is region, then zone, switch, rack", i, d.Level, up.Level, up.Name)
+			failf("domain[%d].in: a %s cannot be in %s %q; outermost is region, then zone, switch, rack", i, domain.Level, parent.Level, parent.Name)
 		default:
-			d.Parent = up
+			domain.Parent = parent
 		}
 	}
-	for i, e := range f.Devices {
+	for i, entry := range f.Devices {
 		where := fmt.Sprintf("devices[%d]", i)
-		if len(e.Machines) == 0 {
-			fail("%s.machines: is missing", where)
+		if len(entry.Machines) == 0 {
+			failf("%s.machines: is missing", where)
 		}
-		for _, p := range e.Machines {
-			pattern(where+".machines", p)
+		for _, p := range entry.Machines {
+			checkPattern(where+".machines", p)
 		}
-		if e.Count < 1 || e.Count > tuning.CardsMost {
-			fail("%s.count: must be 1 to %d, not %d", where, tuning.CardsMost, e.Count)
+		if entry.Count < 1 || entry.Count > tuning.CardsMost {
+			failf("%s.count: must be 1 to %d, not %d", where, tuning.CardsMost, entry.Count)
 			continue
 		}
 		seen := map[int]bool{}
-		for _, set := range e.Linked {
+		for _, set := range entry.Linked {
 			for _, c := range set {
-				if c < 0 || c >= e.Count || seen[c] {
-					fail("%s.linked: card %d is none of 0 to %d, or stands twice", where, c, e.Count-1)
+				if c < 0 || c >= entry.Count || seen[c] {
+					failf("%s.linked: card %d is none of 0 to %d, or stands twice", where, c, entry.Count-1)
 				}
 				seen[c] = true
 			}
 		}
 	}
-	for _, d := range m.domains {
-		for x := d; x != nil; x = x.Parent {
-			d.path = append(d.path, x.Name)
+	for _, domain := range topology.domains {
+		for ancestor := domain; ancestor != nil; ancestor = ancestor.Parent {
+			domain.path = append(domain.path, ancestor.Name)
 		}
 	}
-	m.devices = f.Devices
-	return m
+	topology.devices = f.Devices
+	return topology
 }
 
 // Of is the innermost domain that a machine's name is declared in; nil: none. Ambiguous:
 // patterns of two domains match, neither of which is in the other; the first one counts.
-func (m *Map) Of(machine string) (d *Domain, ambiguous bool) {
-	for _, x := range m.domains {
-		if !slices.ContainsFunc(x.patterns, func(p string) bool { ok, _ := path.Match(p, machine); return ok }) {
+func (m *Map) Of(machine string) (domain *Domain, ambiguous bool) {
+	for _, ancestor := range m.domains {
+		if !slices.ContainsFunc(ancestor.patterns, func(p string) bool { ok, _ := path.Match(p, machine); return ok }) {
 			continue
 		}
 		switch {
-		case d == nil || x.Within(d):
-			d = x
-		case !d.Within(x):
+		case domain == nil || ancestor.Within(domain):
+			domain = ancestor
+		case !domain.Within(ancestor):
 			ambiguous = true
 		}
 	}
-	return d, ambiguous
+	return domain, ambiguous
 }
 
 // DevicesOf are a machine's cards; false: nothing is declared for it.
 func (m *Map) DevicesOf(machine string) (Devices, bool) {
-	for _, e := range m.devices {
-		if slices.ContainsFunc(e.Machines, func(p string) bool { ok, _ := path.Match(p, machine); return ok }) {
-			return Devices{e.Count, e.Linked}, true
+	for _, entry := range m.devices {
+		if slices.ContainsFunc(entry.Machines, func(p string) bool { ok, _ := path.Match(p, machine); return ok }) {
+			return Devices{entry.Count, entry.Linked}, true
 		}
 	}
 	return Devices{}, false
 }
 
 // Within tells whether d is o, or in it at any depth.
-func (d *Domain) Within(o *Domain) bool {
-	for x := d; x != nil; x = x.Parent {
-		if x == o {
+func (d *Domain) Within(other *Domain) bool {
+	for ancestor := d; ancestor != nil; ancestor = ancestor.Parent {
+		if ancestor == other {
 			return true
 		}
 	}
@@ -241,9 +241,9 @@
 
 // Ancestor is the domain of a level that d is in, or d itself; nil: it is in none.
 func (d *Domain) Ancestor(level string) *Domain {
-	for x := d; x != nil; x = x.Parent {
-		if x.Level == level {
-			return x
+	for ancestor := d; ancestor != nil; ancestor = ancestor.Parent {
+		if ancestor.Level == level {
+			return ancestor
 		}
 	}
 	return nil
@@ -252,11 +252,11 @@
 // Check finds machines that stand in two domains of which neither is in the other. The
 // error names the first few.
 func (m *Map) Check(machines []string) error {
-	var bad []error
+	var mistakes []error
 	for _, name := range machines {
-		if _, twice := m.Of(name); twice && len(bad) < tuning.MistakesTold {
-			bad = append(bad, fmt.Errorf("topology: machine %q stands in two domains; make the patterns exclude one another", name))
+		if _, twice := m.Of(name); twice && len(mistakes) < tuning.MistakesTold {
+			mistakes = append(mistakes, fmt.Errorf("topology: machine %q stands in two domains; make the patterns exclude one another", name))
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(mistakes...)
 }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -10,7 +10,7 @@
 	"switchferry/fleet"
 )
 
-const small = `version = 3
+const smallTopology = `version = 3
 [[domain]]
 name = "west"
 level = "zone"
@@ -39,17 +39,17 @@
 linked = [[0, 1], [2, 3]]
 `
 
-func parse(t *testing.T, text string) *Map {
+func mustParse(t *testing.T, text string) *Map {
 	t.Helper()
-	m, err := Parse([]byte(text))
+	topology, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return topology
 }
 
 // A file with many mistakes names each of them, by entry.
-func TestEveryMistakeIsNamed(t *testing.T) {
+func TestParseReportsEveryMistake(t *testing.T) {
 	_, err := Parse([]byte(`version = 0
 colour = "red"
 [[domain]]
@@ -81,7 +81,7 @@
 
 // Domains that stand in one another in a circle cannot be declared: each way up goes to
 // an outer level.
-func TestNoCircles(t *testing.T) {
+func TestParseRejectsCycles(t *testing.T) {
 	for _, text := range []string{
 		"version=1\n[[domain]]\nname='a'\nlevel='rack'\nin='a'\n",
 		"version=1\n[[domain]]\nname='a'\nlevel='rack'\nin='b'\n[[domain]]\nname='b'\nlevel='rack'\nin='a'\n",
@@ -92,18 +92,18 @@
 	}
 }
 
-func TestWhereMachinesStand(t *testing.T) {
-	m := parse(t, small)
-	tr := NewTree(m)
+func TestPlaceOfMachines(t *testing.T) {
+	topology := mustParse(t, smallTopology)
+	tree := NewTree(topology)
 	for _, n := range []string{"n-1a", "n-1b", "n-2a", "n-3a", "x-1"} {
-		tr.Set(n, fleet.Resources{CPUs: 8, MemoryGB: 32}, true)
+		tree.Set(n, fleet.Resources{CPUs: 8, MemoryGB: 32}, true)
 	}
 	for _, c := range []struct{ machine, level, key string }{
 		{"n-1a", Rack, "rack r1"}, {"n-1a", Switch, "switch s1"}, {"n-2a", Switch, "switch s1"}, {"n-3a", Zone, "zone west"},
 		// Without a switch of its own, and without any domain, it falls alone.
 		{"n-3a", Switch, "machine n-3a"}, {"x-1", Zone, "machine x-1"}, {"n-1a", Machine, "machine n-1a"},
 	} {
-		at := tr.Place(c.machine, c.level)
+		at := tree.Place(c.machine, c.level)
 		got := Machine + " " + at.Machine
 		if at.Domain != nil {
 			got = at.Domain.Level + " " + at.Domain.Name
@@ -112,13 +112,13 @@
 			t.Errorf("%s at %s: %s, want %s", c.machine, c.level, got, c.key)
 		}
 	}
-	if tr.Unlisted() != 1 || tr.Ambiguous() != 0 {
-		t.Errorf("%d lone, %d ambiguous", tr.Unlisted(), tr.Ambiguous())
+	if tree.Unlisted() != 1 || tree.Ambiguous() != 0 {
+		t.Errorf("%d lone, %d ambiguous", tree.Unlisted(), tree.Ambiguous())
 	}
-	if d, ok := m.DevicesOf("n-2a"); !ok || d.Count != 4 || len(d.Linked) != 2 {
+	if d, ok := topology.DevicesOf("n-2a"); !ok || d.Count != 4 || len(d.Linked) != 2 {
 		t.Errorf("%+v", d)
 	}
-	two := parse(t, "version=1\n[[domain]]\nname='a'\nlevel='rack'\nmachines=['n*']\n[[domain]]\nname='b'\nlevel='rack'\nmachines=['n-1']\n")
+	two := mustParse(t, "version=1\n[[domain]]\nname='a'\nlevel='rack'\nmachines=['n*']\n[[domain]]\nname='b'\nlevel='rack'\nmachines=['n-1']\n")
 	if err := two.Check([]string{"n-1", "n-2"}); err == nil || !strings.Contains(err.Error(), `"n-1"`) || strings.Contains(err.Error(), `"n-2"`) {
 		t.Error(err)
 	}
@@ -126,34 +126,34 @@
 
 // However machines come, change, go and are declared anew, each domain's sums are those
 // of its machines.
-func TestSumsAreThoseOfTheMachines(t *testing.T) {
+func TestDomainTotalsAgreeWithMachines(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		m := parse(t, small)
-		tr := NewTree(m)
+		topology := mustParse(t, smallTopology)
+		tree := NewTree(topology)
 		truth := map[string]fleet.Resources{}
 		usable := map[string]bool{}
 		for range 300 {
 			name := fmt.Sprintf("n-%d%d", 1+rng.IntN(4), rng.IntN(5))
 			switch rng.IntN(6) {
 			case 0:
-				tr.Remove(name)
+				tree.Remove(name)
 				delete(truth, name)
 				delete(usable, name)
 			case 1:
 				if rng.IntN(10) == 0 {
-					tr = tr.Rebased(m)
+					tree = tree.Rebased(topology)
 				}
 			default:
 				truth[name] = fleet.Resources{CPUs: float64(rng.IntN(64)) / 4, Cards: float64(rng.IntN(4)), MemoryGB: float64(rng.IntN(100))}
 				usable[name] = rng.IntN(4) > 0
-				tr.Set(name, truth[name], usable[name])
+				tree.Set(name, truth[name], usable[name])
 			}
-			for _, d := range m.Domains() {
+			for _, domain := range topology.Domains() {
 				want, n, up := fleet.Resources{}, 0, 0
 				for name, r := range truth {
-					in, _ := m.Of(name)
-					if in == nil || !in.Within(d) {
+					in, _ := topology.Of(name)
+					if in == nil || !in.Within(domain) {
 						continue
 					}
 					n++
@@ -162,9 +162,9 @@
 						want = want.Add(r)
 					}
 				}
-				got := tr.Free(d)
-				if math.Abs(got.CPUs-want.CPUs)+math.Abs(got.Cards-want.Cards)+math.Abs(got.MemoryGB-want.MemoryGB) > 1e-6 || tr.Machines(d) != n || tr.Usable(d) != up {
-					t.Fatalf("seed %d: %s has %+v of %d machines, %d usable; want %+v, %d, %d", seed, d.Name, got, tr.Machines(d), tr.Usable(d), want, n, up)
+				got := tree.Free(domain)
+				if math.Abs(got.CPUs-want.CPUs)+math.Abs(got.Cards-want.Cards)+math.Abs(got.MemoryGB-want.MemoryGB) > 1e-6 || tree.Machines(domain) != n || tree.Usable(domain) != up {
+					t.Fatalf("seed %d: %s has %+v of %d machines, %d usable; want %+v, %d, %d", seed, domain.Name, got, tree.Machines(domain), tree.Usable(domain), want, n, up)
 				}
 			}
 		}
@@ -173,57 +173,57 @@
 
 // Closest takes the innermost domain that holds all, the fullest of them; where none does it
 // says which comes nearest and by how many tasks it misses. Checked against trying all.
-func TestCloseAgainstTryingAll(t *testing.T) {
+func TestClosestAgainstBruteForce(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		m := parse(t, small)
-		tr := NewTree(m)
+		topology := mustParse(t, smallTopology)
+		tree := NewTree(topology)
 		free := map[string]fleet.Resources{}
 		for r := 1; r <= 3; r++ {
 			for i := range 1 + rng.IntN(4) {
 				name := fmt.Sprintf("n-%d%d", r, i)
 				free[name] = fleet.Resources{CPUs: float64(rng.IntN(9)), MemoryGB: 100}
-				tr.Set(name, free[name], true)
+				tree.Set(name, free[name], true)
 			}
 		}
-		need, n := fleet.Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, 1+rng.IntN(10)
+		request, n := fleet.Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, 1+rng.IntN(10)
 		level := []string{Zone, Switch, Rack}[rng.IntN(3)]
-		best, nearest, short := tr.Closest(level, Constraint{Resources: need, Tasks: n})
+		best, nearest, shortfall := tree.Closest(level, Constraint{Resources: request, Tasks: n})
 		least, found := n+1, false
 		var want *Domain
-		for _, d := range m.Domains() {
-			if depth[d.Level] < depth[level] {
+		for _, domain := range topology.Domains() {
+			if levelDepth[domain.Level] < levelDepth[level] {
 				continue
 			}
 			fit := 0
 			for name, r := range free {
-				if in, _ := m.Of(name); in.Within(d) {
-					fit += r.Multiple(need)
+				if in, _ := topology.Of(name); in.Within(domain) {
+					fit += r.Multiple(request)
 				}
 			}
 			least = min(least, n-min(n, fit))
-			if fit >= n && (want == nil || tr.before(d, want)) {
-				want, found = d, true
+			if fit >= n && (want == nil || tree.preferred(domain, want)) {
+				want, found = domain, true
 			}
 		}
-		if best != want || !found && (nearest == nil || short != least) || found && short != 0 {
-			t.Fatalf("seed %d: %d tasks of %g at %s: got %v, nearest %v short of %d; want %v, %d", seed, n, need.CPUs, level, best, nearest, short, want, least)
+		if best != want || !found && (nearest == nil || shortfall != least) || found && shortfall != 0 {
+			t.Fatalf("seed %d: %d tasks of %g at %s: got %v, nearest %v short of %d; want %v, %d", seed, n, request.CPUs, level, best, nearest, shortfall, want, least)
 		}
 	}
 }
 
 // Replicas that are silent, or being stopped, count until they are proved gone.
-func TestSpreadCountsWhatMayRun(t *testing.T) {
-	tr := NewTree(parse(t, small))
+func TestSpreadCountsUntilTasksAreGone(t *testing.T) {
+	tree := NewTree(mustParse(t, smallTopology))
 	for _, n := range []string{"n-1a", "n-1b", "n-2a", "n-3a"} {
-		tr.Set(n, fleet.Resources{CPUs: 8}, true)
+		tree.Set(n, fleet.Resources{CPUs: 8}, true)
 	}
-	s := tr.NewSpread(Rack)
+	s := tree.NewSpread(Rack)
 	s.Add("n-1a")
 	if s.Allows("n-1b", 1) || !s.Allows("n-2a", 1) {
 		t.Fatal("a rack takes more than its bound, or another less")
 	}
-	tr.Set("n-1a", fleet.Resources{}, false) // silent
+	tree.Set("n-1a", fleet.Resources{}, false) // silent
 	if s.Allows("n-1b", 1) {
 		t.Fatal("a silent replica does not count")
 	}
@@ -234,25 +234,25 @@
 }
 
 func FuzzTopology(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallTopology))
 	f.Add([]byte("version=1\n[[domain]]\nname='a'\nlevel='rack'\nin='b'\n[[domain]]\nname='b'\nlevel='zone'\nmachines=['*']\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, err := Parse(raw)
+		topology, err := Parse(raw)
 		if err != nil {
 			return
 		}
 		// Whatever is taken is a tree: each way up ends, through outer levels alone.
-		for _, d := range m.Domains() {
-			for x, steps := d, 0; x.Parent != nil; x, steps = x.Parent, steps+1 {
-				if steps > len(depth) || depth[x.Parent.Level] >= depth[x.Level] {
-					t.Fatalf("%s is in %s", x.Name, x.Parent.Name)
+		for _, domain := range topology.Domains() {
+			for ancestor, steps := domain, 0; ancestor.Parent != nil; ancestor, steps = ancestor.Parent, steps+1 {
+				if steps > len(levelDepth) || levelDepth[ancestor.Parent.Level] >= levelDepth[ancestor.Level] {
+					t.Fatalf("%s is in %s", ancestor.Name, ancestor.Parent.Name)
 				}
 			}
 		}
-		tr := NewTree(m)
-		tr.Set("n-1", fleet.Resources{CPUs: 1}, true)
-		tr.Closest(Rack, Constraint{Resources: fleet.Resources{CPUs: 1}, Tasks: 1})
-		tr.Remove("n-1")
+		tree := NewTree(topology)
+		tree.Set("n-1", fleet.Resources{CPUs: 1}, true)
+		tree.Closest(Rack, Constraint{Resources: fleet.Resources{CPUs: 1}, Tasks: 1})
+		tree.Remove("n-1")
 	})
 }
 
@@ -268,18 +268,18 @@
 			for i := range (n + 31) / 32 {
 				fmt.Fprintf(&text, "[[domain]]\nname = \"r%d\"\nlevel = \"rack\"\nin = \"s%d\"\nmachines = [\"r%d-*\"]\n", i, i/8, i)
 			}
-			m, err := Parse([]byte(text.String()))
+			topology, err := Parse([]byte(text.String()))
 			if err != nil {
 				b.Fatal(err)
 			}
-			tr := NewTree(m)
+			tree := NewTree(topology)
 			for i := range n {
-				tr.Set(fmt.Sprintf("r%d-%d", i/32, i%32), fleet.Resources{CPUs: 32}, true)
+				tree.Set(fmt.Sprintf("r%d-%d", i/32, i%32), fleet.Resources{CPUs: 32}, true)
 			}
 			i := 0
 			for b.Loop() {
 				i++
-				tr.Set("r3-7", fleet.Resources{CPUs: float64(i % 32)}, true)
+				tree.Set("r3-7", fleet.Resources{CPUs: float64(i % 32)}, true)
 			}
 		})
 	}
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -21,8 +21,8 @@
 
 // Counter counts. The zero value has counted nothing; it is safe for use from several goroutines at once.
 type Counter struct {
-	mu  sync.Mutex
-	now Counts
+	mu      sync.Mutex
+	current Counts
 }
 
 // Add counts one request; question: about a job's state; refused: its user was told to come back.
@@ -30,12 +30,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if question {
-		c.now.Questions++
+		c.current.Questions++
 	} else {
-		c.now.Requests++
+		c.current.Requests++
 	}
 	if refused {
-		c.now.Refused++
+		c.current.Refused++
 	}
 }
 
@@ -43,15 +43,15 @@
 func (c *Counter) Passed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now.Passed++
+	c.current.Passed++
 }
 
 // Take gives what was counted, and begins anew.
 func (c *Counter) Take() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counts := c.now
-	c.now = Counts{}
+	counts := c.current
+	c.current = Counts{}
 	return counts
 }
 
@@ -63,8 +63,8 @@
 			return
 		case <-clock.After(every):
 		}
-		if u := c.Take(); u != (Counts{}) {
-			slog.Info("users", "questions", u.Questions, "other_requests", u.Requests, "refused", u.Refused, "leader_silent", u.Passed)
+		if counts := c.Take(); counts != (Counts{}) {
+			slog.Info("users", "questions", counts.Questions, "other_requests", counts.Requests, "refused", counts.Refused, "leader_silent", counts.Passed)
 		}
 	}
 }
--- a/upperbound/bound.go
+++ b/upperbound/upperbound.go
@@ -43,53 +43,53 @@
 
 // InTime finds the bound in so many rounds; more make it tighter.
 func InTime(jobs []Job, free Free, rounds int) Result {
-	res := Result{Jobs: len(jobs), Most: float64(len(jobs)), Prices: make([]float64, len(free.CPUs))}
+	result := Result{Jobs: len(jobs), Most: float64(len(jobs)), Prices: make([]float64, len(free.CPUs))}
 	var possible []Job
-	for _, j := range jobs {
-		if alone(j) {
-			possible = append(possible, j)
+	for _, job := range jobs {
+		if feasibleAlone(job) {
+			possible = append(possible, job)
 		}
 	}
-	res.Alone = len(jobs) - len(possible)
-	res.Most = float64(len(possible))
-	price := make([]float64, len(free.CPUs))
-	use := make([]float64, len(free.CPUs))
-	slope := make([]float64, len(free.CPUs))
+	result.Alone = len(jobs) - len(possible)
+	result.Most = float64(len(possible))
+	prices := make([]float64, len(free.CPUs))
+	usage := make([]float64, len(free.CPUs))
+	subgradient := make([]float64, len(free.CPUs))
 	// Polyak's steps, towards a little less than the best so far; less the longer nothing better
 	// is found.
-	aim := 0.1
-	for since := 0; rounds > 0; rounds-- {
-		value := evaluate(possible, free, price, use)
-		if value < res.Most-1e-9 {
-			since = 0
-			res.Most = value
-			copy(res.Prices, price)
-		} else if since++; since > 12 {
-			since, aim = 0, aim/2
-			copy(price, res.Prices)
-			value = evaluate(possible, free, price, use)
+	target := 0.1
+	for stale := 0; rounds > 0; rounds-- {
+		value := evaluate(possible, free, prices, usage)
+		if value < result.Most-1e-9 {
+			stale = 0
+			result.Most = value
+			copy(result.Prices, prices)
+		} else if stale++; stale > 12 {
+			stale, target = 0, target/2
+			copy(prices, result.Prices)
+			value = evaluate(possible, free, prices, usage)
 		}
 		for i, c := range free.CPUs {
-			slope[i] = math.Max(0, c)*free.Slot - use[i]
-			if price[i] == 0 && slope[i] > 0 {
-				slope[i] = 0
+			subgradient[i] = math.Max(0, c)*free.Slot - usage[i]
+			if prices[i] == 0 && subgradient[i] > 0 {
+				subgradient[i] = 0
 			}
 		}
-		norm := floats.Dot(slope, slope)
+		norm := floats.Dot(subgradient, subgradient)
 		if norm == 0 {
 			break
 		}
-		floats.AddScaled(price, -(value-res.Most*(1-aim))/norm, slope)
-		for i := range price {
-			price[i] = math.Max(0, price[i])
+		floats.AddScaled(prices, -(value-result.Most*(1-target))/norm, subgradient)
+		for i := range prices {
+			prices[i] = math.Max(0, prices[i])
 		}
 	}
-	return res
+	return result
 }
 
-func alone(j Job) bool {
-	for _, t := range j.Tasks {
-		if j.Arrive+t.Run > j.Due {
+func feasibleAlone(job Job) bool {
+	for _, task := range job.Tasks {
+		if job.Arrive+task.Run > job.Due {
 			return false
 		}
 	}
@@ -97,30 +97,30 @@
 }
 
 // evaluate is the bound at some prices; use gets what the jobs worth taking use of each stretch.
-func evaluate(jobs []Job, free Free, price, use []float64) float64 {
-	sum := make([]float64, len(price)+1) // price of all up to a stretch
+func evaluate(jobs []Job, free Free, prices, usage []float64) float64 {
+	sum := make([]float64, len(prices)+1) // price of all up to a stretch
 	total := 0.0
-	for i, p := range price {
+	for i, p := range prices {
 		sum[i+1] = sum[i] + p*free.Slot
 		total += p * math.Max(0, free.CPUs[i]) * free.Slot
-		use[i] = 0
+		usage[i] = 0
 	}
-	upTo := func(t float64) float64 {
+	priceUpTo := func(t float64) float64 {
 		x := math.Max(0, t/free.Slot)
-		i := min(int(x), len(price))
-		if i == len(price) {
+		i := min(int(x), len(prices))
+		if i == len(prices) {
 			return sum[i]
 		}
-		return sum[i] + (x-float64(i))*free.Slot*price[i]
+		return sum[i] + (x-float64(i))*free.Slot*prices[i]
 	}
 	var starts []float64
-	for _, j := range jobs {
+	for _, job := range jobs {
 		starts = starts[:0]
 		cost := 0.0
-		for _, t := range j.Tasks {
-			at, c := cheapest(j, t, free.Slot, upTo)
+		for _, task := range job.Tasks {
+			at, c := cheapestStart(job, task, free.Slot, priceUpTo)
 			starts = append(starts, at)
-			if cost += t.CPUs * c; cost >= 1 {
+			if cost += task.CPUs * c; cost >= 1 {
 				break
 			}
 		}
@@ -128,39 +128,39 @@
 			continue
 		}
 		total += 1 - cost
-		for i, t := range j.Tasks {
-			spread(use, free.Slot, starts[i], starts[i]+t.Run, t.CPUs)
+		for i, task := range job.Tasks {
+			addUsage(usage, free.Slot, starts[i], starts[i]+task.Run, task.CPUs)
 		}
 	}
 	return total
 }
 
-// cheapest is when a task costs least to begin, and what it costs a processor then: prices
+// cheapestStart is when a task costs least to begin, and what it costs a processor then: prices
 // change only between stretches, so it begins or ends at such a time, or at the first or the last
 // moment.
-func cheapest(j Job, t Task, slot float64, upTo func(float64) float64) (at, cost float64) {
-	last := j.Due - t.Run
-	at, cost = j.Arrive, math.Inf(1)
+func cheapestStart(job Job, task Task, slot float64, priceUpTo func(float64) float64) (at, cost float64) {
+	last := job.Due - task.Run
+	at, cost = job.Arrive, math.Inf(1)
 	try := func(s float64) {
-		if s < j.Arrive || s > last {
+		if s < job.Arrive || s > last {
 			return
 		}
-		if c := upTo(s+t.Run) - upTo(s); c < cost {
+		if c := priceUpTo(s+task.Run) - priceUpTo(s); c < cost {
 			at, cost = s, c
 		}
 	}
-	try(j.Arrive)
+	try(job.Arrive)
 	try(last)
-	for s := math.Ceil(j.Arrive/slot) * slot; s <= j.Due && cost > 0; s += slot {
+	for s := math.Ceil(job.Arrive/slot) * slot; s <= job.Due && cost > 0; s += slot {
 		try(s)
-		try(s - t.Run)
+		try(s - task.Run)
 	}
 	return at, cost
 }
 
-// spread adds a run to what is used of each stretch.
-func spread(use []float64, slot, from, to, cpus float64) {
-	for i := max(0, int(from/slot)); i < len(use) && float64(i)*slot < to; i++ {
-		use[i] += cpus * (math.Min(to, float64(i+1)*slot) - math.Max(from, float64(i)*slot))
+// addUsage adds a run to what is used of each stretch.
+func addUsage(usage []float64, slot, from, to, cpus float64) {
+	for i := max(0, int(from/slot)); i < len(usage) && float64(i)*slot < to; i++ {
+		usage[i] += cpus * (math.Min(to, float64(i+1)*slot) - math.Max(from, float64(i)*slot))
 	}
 }
--- a/upperbound/bound_test.go
+++ b/upperbound/upperbound_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// most is the largest number of jobs that can be in time together, by trying all sets of jobs
+// bruteForce is the largest number of jobs that can be in time together, by trying all sets of jobs
 // and all starts at whole seconds.
-func most(jobs []Job, free Free) int {
+func bruteForce(jobs []Job, free Free) int {
 	left := append([]float64{}, free.CPUs...)
-	var tasks func(j Job, k int, then func() bool) bool
-	tasks = func(j Job, k int, then func() bool) bool {
-		if k == len(j.Tasks) {
+	var tasks func(job Job, k int, then func() bool) bool
+	tasks = func(job Job, k int, then func() bool) bool {
+		if k == len(job.Tasks) {
 			return then()
 		}
-		t := j.Tasks[k]
-		for s := int(j.Arrive); float64(s)+t.Run <= j.Due; s++ {
-			ok := s+int(t.Run) <= len(left)
-			for i := s; ok && i < s+int(t.Run); i++ {
-				ok = left[i] >= t.CPUs
+		task := job.Tasks[k]
+		for s := int(job.Arrive); float64(s)+task.Run <= job.Due; s++ {
+			ok := s+int(task.Run) <= len(left)
+			for i := s; ok && i < s+int(task.Run); i++ {
+				ok = left[i] >= task.CPUs
 			}
 			if !ok {
 				continue
 			}
-			for i := s; i < s+int(t.Run); i++ {
-				left[i] -= t.CPUs
+			for i := s; i < s+int(task.Run); i++ {
+				left[i] -= task.CPUs
 			}
-			if tasks(j, k+1, then) {
+			if tasks(job, k+1, then) {
 				return true
 			}
-			for i := s; i < s+int(t.Run); i++ {
-				left[i] += t.CPUs
+			for i := s; i < s+int(task.Run); i++ {
+				left[i] += task.CPUs
 			}
 		}
 		return false
@@ -39,9 +39,9 @@
 	best := 0
 	for set := range 1 << len(jobs) {
 		var chosen []Job
-		for i, j := range jobs {
+		for i, job := range jobs {
 			if set>>i&1 == 1 {
-				chosen = append(chosen, j)
+				chosen = append(chosen, job)
 			}
 		}
 		if len(chosen) <= best {
@@ -60,7 +60,7 @@
 }
 
 // The bound is never below what can be done, over 300 small days tried out, and close to it.
-func TestBoundHoldsAndIsClose(t *testing.T) {
+func TestBoundAgainstBruteForce(t *testing.T) {
 	gap, sum := 0.0, 0
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -70,15 +70,15 @@
 		}
 		var jobs []Job
 		for range 5 {
-			j := Job{Arrive: float64(r.IntN(5))}
-			j.Due = j.Arrive + float64(2+r.IntN(5))
+			job := Job{Arrive: float64(r.IntN(5))}
+			job.Due = job.Arrive + float64(2+r.IntN(5))
 			for range 1 + r.IntN(2) {
-				j.Tasks = append(j.Tasks, Task{CPUs: float64(1 + r.IntN(2)), Run: float64(1 + r.IntN(3))})
+				job.Tasks = append(job.Tasks, Task{CPUs: float64(1 + r.IntN(2)), Run: float64(1 + r.IntN(3))})
 			}
-			jobs = append(jobs, j)
+			jobs = append(jobs, job)
 		}
 		got := InTime(jobs, free, 400)
-		want := most(jobs, free)
+		want := bruteForce(jobs, free)
 		if got.Most < float64(want)-1e-6 {
 			t.Fatalf("seed %d: bound %.3f, but %d can be in time", seed, got.Most, want)
 		}
@@ -92,7 +92,7 @@
 }
 
 // With room for all, all that can be in time alone can be in time.
-func TestRoomForAll(t *testing.T) {
+func TestBoundCountsJobsThatFitAlone(t *testing.T) {
 	jobs := []Job{{0, 10, []Task{{2, 5}}}, {3, 9, []Task{{4, 6}, {1, 2}}}, {0, 4, []Task{{1, 5}}}}
 	if got := InTime(jobs, Free{Slot: 5, CPUs: []float64{100, 100}}, 50); got.Most != 2 || got.Alone != 1 {
 		t.Errorf("%+v", got)
