--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A mistake in a file that is changed while it is in use must leave what is in use.
+// A file that is changed while it is in use and has a mistake leaves the current version in use, and is reported once.
 func TestChangedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "topology.toml")
 	write := func(text string) {
@@ -22,26 +22,29 @@
 		t.Fatal(err)
 	}
 	if topology, err := file.Reload(); topology != nil || err != nil {
-		t.Fatal(topology, err)
-	}
-	for text, want := range map[string]string{"version = 4\n[[domain]]\nname = \"r1\"\nlevel = \"row\"\n": "level", "version = 3\n" + rack + "\n": "must grow"} {
-		write(text)
-		if topology, err := file.Reload(); topology != nil || err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v %v", text, topology, err)
+		t.Fatalf("unchanged file: topology %v and error %v, want neither", topology, err)
+	}
+	for _, c := range []struct{ name, text, want string }{
+		{"unknown level", "version = 4\n[[domain]]\nname = \"r1\"\nlevel = \"row\"\n", "level"},
+		{"same version", "version = 3\n" + rack + "\n", "must grow"},
+	} {
+		write(c.text)
+		if topology, err := file.Reload(); topology != nil || err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: topology %v and error %v, want none and one with %q", c.name, topology, err, c.want)
 		}
 		if topology, err := file.Reload(); topology != nil || err != nil || file.Map().Version() != 3 {
-			t.Errorf("%q is told of twice, or taken: %v", text, err)
+			t.Errorf("%s: reported twice, or in use: %v", c.name, err)
 		}
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := file.Reload(); err == nil || file.Map().Version() != 3 {
-		t.Error("a file that is gone is not told of, or taken")
+		t.Error("a file that is gone is not reported, or its version is no longer in use")
 	}
 	write("version = 4\n" + rack)
 	if topology, err := file.Reload(); err != nil || topology == nil || file.Map().Version() != 4 {
-		t.Error(topology, err)
+		t.Errorf("raised version: topology %v and error %v, want version 4", topology, err)
 	}
 }
 
@@ -50,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if domain, twice := file.Map().Of("n-000123"); domain == nil || domain.Name != "rack-2" || twice {
-		t.Errorf("%+v %v", domain, twice)
+	if domain, ambiguous := file.Map().Of("n-000123"); domain == nil || domain.Name != "rack-2" || ambiguous {
+		t.Errorf("domain %+v, ambiguous: %v; want rack-2", domain, ambiguous)
 	}
 }
--- a/topology/search.go
+++ b/topology/search.go
@@ -6,26 +6,28 @@
 	"switchferry/tuning"
 )
 
-// Search decides how many more machines are rented for tasks that no free machine may take,
-// because each stands in the wrong place. The cloud does not say where a new machine will
-// stand before it is up, so it may be of no use either: each try lasts as long as a boot and a
-// while, the next comes after a pause that doubles, and what was rented in vain is returned
-// like any machine without work. It has no clock and stores nothing: a new leader begins anew.
+// Search decides how many machines to request from the cloud for stranded tasks: those that no free machine may take since
+// all are in the wrong failure domain. The cloud does not say where a new machine is before it has started, so it may be
+// of no use either. An attempt therefore lasts as long as a machine takes to start and tuning.SeekAfterBoot, the pause
+// before the next one doubles each time, from tuning.SeekPause up to tuning.SeekPauseMost, and machines that turn out to
+// be of no use are returned like any without work.
+//
+// The zero value has made no attempt. A Search has no clock, is not persisted, so that a new leader starts anew, and is
+// not safe for concurrent use.
 type Search struct {
-	// targetCPUs is what the fleet should have at least during the try that lasts until `until`.
+	// targetCPUs is the result of TargetCPUs during the attempt that lasts until attemptUntil.
 	targetCPUs   float64
 	attemptUntil time.Time
-	// nextAttempt is when the next try may begin, pause the one after that try.
+	// nextAttempt is when the next attempt may begin, and pause the time between the end of the latest one and then.
 	nextAttempt time.Time
 	pause       time.Duration
 }
 
-// Constraint is what the fleet should have at least, in CPUs: 0 without a try. Stranded are the CPUs of
-// tasks that wait for a place, supply what the fleet has, with machines that boot; boot is how
-// long that takes at the most.
-func (s *Search) TargetCPUs(now time.Time, stranded, supply float64, bootTime time.Duration) float64 {
+// TargetCPUs returns how many CPUs the fleet should have at least for the sake of stranded tasks, or 0 between attempts.
+// Stranded is the CPUs that these tasks request, supply what the fleet has including machines that start, and startup the
+// longest time that a machine takes to start.
+func (s *Search) TargetCPUs(now time.Time, stranded, supply float64, startup time.Duration) float64 {
 	if stranded <= 0 {
-		// Found, or nobody waits any more.
 		*s = Search{}
 		return 0
 	}
@@ -36,7 +38,7 @@
 		return 0
 	}
 	s.targetCPUs = supply + stranded
-	s.attemptUntil = now.Add(bootTime + tuning.SeekAfterBoot)
+	s.attemptUntil = now.Add(startup + tuning.SeekAfterBoot)
 	s.pause = min(max(2*s.pause, tuning.SeekPause), tuning.SeekPauseMost)
 	s.nextAttempt = s.attemptUntil.Add(s.pause)
 	return s.targetCPUs
--- /dev/null
+++ b/topology/spread_test.go
@@ -0,0 +1,28 @@
+package topology
+
+import (
+	"testing"
+
+	"switchferry/fleet"
+)
+
+// A task on a silent machine counts until it is known to be gone.
+func TestSpreadCountsUntilTasksAreGone(t *testing.T) {
+	tree := NewTree(mustParse(t, smallTopology))
+	for _, machine := range []string{"n-1a", "n-1b", "n-2a", "n-3a"} {
+		tree.Set(machine, fleet.Resources{CPUs: 8}, true)
+	}
+	spread := tree.NewSpread(Rack)
+	spread.Add("n-1a")
+	if spread.Allows("n-1b", 1) || !spread.Allows("n-2a", 1) {
+		t.Fatal("a rack takes more tasks than its bound, or another one fewer")
+	}
+	tree.Set("n-1a", fleet.Resources{}, false) // silent
+	if spread.Allows("n-1b", 1) {
+		t.Fatal("a task on a silent machine does not count")
+	}
+	spread.Remove("n-1a")
+	if !spread.Allows("n-1b", 1) || len(spread.tasksAt) != 0 {
+		t.Fatal("a task that is gone still counts")
+	}
+}
