--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -1,79 +1,80 @@
-// Package ageing sees to it that no accepted job waits for ever behind others: when its turn comes
-// whatever stands before it, and which machines are kept so that there is room for it then. It knows
-// times, zones and when tasks could start, not jobs or machines; it has no clock and no lock.
+// Package ageing prevents starvation: it decides when a job has waited so long that it is served before others, and which
+// machines to keep free so that its tasks can start soonest.
 //
-// Ranks and latest starts alone starve: while small jobs, or those of higher rank, never stop coming,
-// the largest of a class, those that can no longer be in time, and whatever needs a whole machine are
-// passed over each time. So a job of which nothing started for a while has one task's turn, or a whole
-// gang's, before all but production; then it stands where it stood. What that takes from the others is
-// one task for each waiting job in that time, and it bounds the wait of each by the time plus what a
-// machine takes to drain.
+// Priorities and due times alone starve jobs: while small jobs, or those of higher priority, keep coming, the largest jobs
+// of a class, those that can no longer meet their due time and those that need a whole machine are passed over each time.
+// So a job of which nothing has started for a while may start one task, or a gang as a whole, before all but production
+// jobs; after that it has its ordinary position again. This costs the other jobs one task for each waiting job in that
+// time, and bounds the wait of each by that time plus the time that a machine takes to drain.
+//
+// The package knows times, zones and when tasks could start, not jobs or machines. It has no clock and no lock.
 package ageing
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
 
-// Due tells whether a job's turn has come: it could start since began, a task of it was last started at
-// started (zero: none), and by is how long that may be.
-func Due(now, waitingSince, started time.Time, limit time.Duration) bool {
-	if started.After(waitingSince) {
-		waitingSince = started
+// Due reports whether a job has starved for limit or longer. It could have started since waitingSince, and a task of it
+// was last started at lastStart; zero: none was.
+func Due(now, waitingSince, lastStart time.Time, limit time.Duration) bool {
+	if lastStart.After(waitingSince) {
+		waitingSince = lastStart
 	}
 	return now.Sub(waitingSince) >= limit
 }
 
-// Machine is when further tasks of a job could start on a machine, as what runs there ends.
+// Machine is when further tasks of a job could start on one machine, as what runs there ends.
 type Machine struct {
 	Name, Zone string
-	// At are the times from now, soonest first; none: never.
+	// At are the times from now at which one more task each could start, in ascending order; none: never.
 	At []time.Duration
 }
 
-// Keep chooses the machines on which so many tasks can start soonest, all in one zone if that is asked,
-// and tells how soon. Nothing is chosen if there is no room for all of them ever.
+// Keep chooses the machines on which so many tasks can all have started soonest, with oneZone in a single zone, and
+// returns their names and in how long that is. The names are nil if the tasks can never all start.
 func Keep(machines []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
 	if !oneZone {
 		return earliest(machines, tasks)
 	}
 	zones := map[string][]Machine{}
-	for _, m := range machines {
-		zones[m.Zone] = append(zones[m.Zone], m)
-	}
-	var order []string
-	for z := range zones {
-		order = append(order, z)
+	for _, machine := range machines {
+		zones[machine.Zone] = append(zones[machine.Zone], machine)
 	}
-	slices.Sort(order)
-	for _, z := range order {
-		if n, t := earliest(zones[z], tasks); n != nil && (names == nil || t < at) {
-			names, at = n, t
+	for _, zone := range slices.Sorted(maps.Keys(zones)) {
+		zoneNames, zoneAt := earliest(zones[zone], tasks)
+		if zoneNames != nil && (names == nil || zoneAt < at) {
+			names, at = zoneNames, zoneAt
 		}
 	}
 	return names, at
 }
 
+// earliest is Keep without regard to zones.
 func earliest(machines []Machine, tasks int) (names []string, at time.Duration) {
-	type slot struct {
+	type start struct {
 		at   time.Duration
 		name string
 	}
-	var slots []slot
-	for _, m := range machines {
-		for _, t := range m.At[:min(tasks, len(m.At))] {
-			slots = append(slots, slot{t, m.Name})
+	var starts []start
+	for _, machine := range machines {
+		for _, at := range machine.At[:min(tasks, len(machine.At))] {
+			starts = append(starts, start{at, machine.Name})
 		}
 	}
-	if tasks <= 0 || len(slots) < tasks {
+	if tasks <= 0 || len(starts) < tasks {
 		return nil, 0
 	}
-	slices.SortFunc(slots, func(a, b slot) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) })
-	for _, s := range slots[:tasks] {
-		if !slices.Contains(names, s.name) {
-			names = append(names, s.name)
+	slices.SortFunc(starts, func(a, b start) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name))
+	})
+	starts = starts[:tasks]
+	for _, start := range starts {
+		if !slices.Contains(names, start.name) {
+			names = append(names, start.name)
 		}
 	}
-	return names, slots[tasks-1].at
+	return names, starts[tasks-1].at
 }
--- a/ageing/ageing_test.go
+++ b/ageing/ageing_test.go
@@ -9,38 +9,58 @@
 func TestDueAfterWaitingSinceLastStart(t *testing.T) {
 	waitingSince := time.Unix(1_800_000_000, 0)
 	for _, c := range []struct {
-		after, started time.Duration
-		want           bool
-	}{{149 * time.Second, 0, false}, {150 * time.Second, 0, true}, {200 * time.Second, 60 * time.Second, false}, {210 * time.Second, 60 * time.Second, true}} {
-		var started time.Time
-		if c.started > 0 {
-			started = waitingSince.Add(c.started)
-		}
-		if got := Due(waitingSince.Add(c.after), waitingSince, started, 150*time.Second); got != c.want {
-			t.Errorf("%v after it could start, last start at %v: due %v", c.after, c.started, got)
-		}
+		name             string
+		after, lastStart time.Duration
+		want             bool
+	}{
+		{"never started, waits for less than the limit", 149 * time.Second, 0, false},
+		{"never started, waits for the limit", 150 * time.Second, 0, true},
+		{"started since, waits for less than the limit", 200 * time.Second, 60 * time.Second, false},
+		{"started since, waits for the limit", 210 * time.Second, 60 * time.Second, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var lastStart time.Time
+			if c.lastStart > 0 {
+				lastStart = waitingSince.Add(c.lastStart)
+			}
+			if got := Due(waitingSince.Add(c.after), waitingSince, lastStart, 150*time.Second); got != c.want {
+				t.Errorf("due %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// The machines that drain soonest are kept, in one zone where all must stand there, and none where
-// there is no room for all.
 func TestKeepChoosesMachinesThatDrainSoonest(t *testing.T) {
-	s := func(secs ...int) (out []time.Duration) {
-		for _, x := range secs {
-			out = append(out, time.Duration(x)*time.Second)
+	seconds := func(list ...int) (at []time.Duration) {
+		for _, s := range list {
+			at = append(at, time.Duration(s)*time.Second)
 		}
-		return out
+		return at
+	}
+	machines := []Machine{
+		{"a1", "a", seconds(5, 9)}, {"a2", "a", seconds(30)},
+		{"b1", "b", seconds(1, 2)}, {"b2", "b", seconds(40, 40)}, {"b3", "b", nil},
 	}
-	machines := []Machine{{"a1", "a", s(5, 9)}, {"a2", "a", s(30)}, {"b1", "b", s(1, 2)}, {"b2", "b", s(40, 40)}, {"b3", "b", nil}}
 	for _, c := range []struct {
+		name    string
 		tasks   int
 		oneZone bool
 		want    []string
-		at      int
-	}{{1, false, []string{"b1"}, 1}, {3, false, []string{"b1", "a1"}, 5}, {3, true, []string{"a1", "a2"}, 30}, {4, true, []string{"b1", "b2"}, 40}, {5, true, nil, 0}, {8, false, nil, 0}, {0, false, nil, 0}} {
-		names, at := Keep(machines, c.tasks, c.oneZone)
-		if !slices.Equal(names, c.want) || at != time.Duration(c.at)*time.Second {
-			t.Errorf("%d tasks, one zone %v: %v in %v, want %v in %d s", c.tasks, c.oneZone, names, at, c.want, c.at)
-		}
+		seconds int
+	}{
+		{"one task", 1, false, []string{"b1"}, 1},
+		{"any zone", 3, false, []string{"b1", "a1"}, 5},
+		{"the zone that is sooner", 3, true, []string{"a1", "a2"}, 30},
+		{"the only zone that is large enough", 4, true, []string{"b1", "b2"}, 40},
+		{"no zone is large enough", 5, true, nil, 0},
+		{"the fleet is not large enough", 8, false, nil, 0},
+		{"no tasks", 0, false, nil, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			names, at := Keep(machines, c.tasks, c.oneZone)
+			if !slices.Equal(names, c.want) || at != time.Duration(c.seconds)*time.Second {
+				t.Errorf("%v in %v, want %v in %d s", names, at, c.want, c.seconds)
+			}
+		})
 	}
 }
--- a/feasibility/feasibility.go
+++ b/feasibility/feasibility.go
@@ -1,6 +1,8 @@
-// Package feasibility finds jobs that no machine will ever serve, however many there are: rentals follow
-// how many processors are asked for in all, so that a fleet with room to spare may have none of the
-// type, the zone or the size that one job needs. It has no clock and no lock.
+// Package feasibility checks whether a job can ever run: on the machines that there are or that the cloud rents, and
+// within its team's limit. Scale-out follows the total of CPUs that are requested, so a fleet with enough free CPUs may
+// still have no machine of the type, zone or size that one job needs.
+//
+// The package has no clock and no lock.
 package feasibility
 
 import (
@@ -12,12 +14,14 @@
 	"switchferry/quota"
 )
 
-// Machine is one that is there or coming. Used is what services take of it, which end by their users
-// alone.
+// Machine is a machine that runs or is being started.
 type Machine struct {
+	// Spec is the machine's type; nil: not known, and then no job can run on it.
 	Spec *api.MachineType
 	Zone string
+	// Spot is whether it is a preemptible instance.
 	Spot bool
+	// Used is what services take, which only their users end.
 	Used fleet.Resources
 }
 
@@ -28,36 +32,37 @@
 	Spot bool
 }
 
-// serves tells whether a machine can at some time run a task of a job.
-func (m *Machine) serves(job *api.Submission) bool {
+// canRun reports whether the machine can run a task of a job at some time, once all but services has ended there.
+func (m *Machine) canRun(job *api.Submission) bool {
 	if m.Spec == nil || m.Spot && !job.Spot || job.Zone != "" && job.Zone != m.Zone || !m.Spec.Fits(job) {
 		return false
 	}
-	free := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
-	return free.Sub(m.Used).Fits(fleet.RequestOf(job))
+	total := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
+	return total.Sub(m.Used).Fits(fleet.RequestOf(job))
 }
 
-// Unplaceable are the jobs of which no machine can ever run a task, in their order; of those that ask for the
-// same, the first.
-func Unplaceable(jobs []*api.Submission, machines []Machine) (out []*api.Submission) {
-	seen := map[string]bool{}
+// Unplaceable returns the jobs of which no machine can ever run a task, in the given order; of jobs with equal
+// requirements only the first.
+func Unplaceable(jobs []*api.Submission, machines []Machine) (unplaceable []*api.Submission) {
+	checked := map[string]bool{}
 	for _, job := range jobs {
-		key := fmt.Sprint(job.Types, job.Zone, job.Spot, job.CPUs, job.Cards, job.MemoryGB, job.ImageGB)
-		if seen[key] {
+		requirements := fmt.Sprint(job.Types, job.Zone, job.Spot, job.CPUs, job.Cards, job.MemoryGB, job.ImageGB)
+		if checked[requirements] {
 			continue
 		}
-		seen[key] = true
-		if !slices.ContainsFunc(machines, func(m Machine) bool { return m.serves(job) }) {
-			out = append(out, job)
+		checked[requirements] = true
+		if !slices.ContainsFunc(machines, func(m Machine) bool { return m.canRun(job) }) {
+			unplaceable = append(unplaceable, job)
 		}
 	}
-	return out
+	return unplaceable
 }
 
-// PoolFor is the first pool whose machines can run a job's tasks.
+// PoolFor returns the first pool whose machines can run a job's tasks, and false if there is none.
 func PoolFor(job *api.Submission, pools []Pool) (Pool, bool) {
 	i := slices.IndexFunc(pools, func(pool Pool) bool {
-		return (&Machine{Spec: pool.Type, Zone: pool.Zone, Spot: pool.Spot}).serves(job)
+		machine := Machine{Spec: pool.Type, Zone: pool.Zone, Spot: pool.Spot}
+		return machine.canRun(job)
 	})
 	if i < 0 {
 		return Pool{}, false
@@ -65,7 +70,8 @@
 	return pools[i], true
 }
 
-// ConcurrentRequest is the least that a job must have at once, to run at all.
+// ConcurrentRequest returns the least that a job must have at once to run at all: one task of a job array, and all tasks
+// of a gang or a service.
 func ConcurrentRequest(job *api.Submission) fleet.Resources {
 	if job.Shape == api.JobArray {
 		return fleet.RequestOf(job)
@@ -73,8 +79,9 @@
 	return fleet.RequestOf(job).Scale(job.Tasks)
 }
 
-// CanRun checks a submission against teams' limits and machine types. Not decided:
-// the machine types are not known yet.
+// CanRun checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
+// there is no such team. An error is an *api.FieldError that names the submission's field. If undecided, the machine
+// types are not known yet, and the rest is in order.
 func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (err error, undecided bool) {
 	limit, ok := limitOf(job.Team)
 	if !ok {
@@ -86,10 +93,8 @@
 	if len(types) == 0 {
 		return nil, true
 	}
-	for i := range types {
-		if types[i].Fits(job) {
-			return nil, false
-		}
+	if !slices.ContainsFunc(types, func(machineType api.MachineType) bool { return machineType.Fits(job) }) {
+		return &api.FieldError{Field: "cores", Want: "a task fits no allowed machine type"}, false
 	}
-	return &api.FieldError{Field: "cores", Want: "a task fits no allowed machine type"}, false
+	return nil, false
 }
--- a/feasibility/feasibility_test.go
+++ b/feasibility/feasibility_test.go
@@ -7,38 +7,43 @@
 	"switchferry/fleet"
 )
 
-// A job is unmet where no machine of its type, zone, kind and size is there, or services hold all that
-// are; the pool that is rented for it is one that it may run on.
+// A job is unplaceable where there is no machine of its type, zone, kind and size, or services hold all of these; its pool
+// is one that it may run on.
 func TestUnplaceableJobsAndThePoolsForThem(t *testing.T) {
 	small := &api.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
 	large := &api.MachineType{Name: "large", CPUs: 32, MemoryGB: 256, Zones: []string{"a", "b"}}
-	fleetNow := []Machine{{Spec: small, Zone: "a"}, {Spec: small, Zone: "b", Spot: true}, {Spec: nil, Zone: "b"},
-		{Spec: large, Zone: "a", Used: fleet.Resources{CPUs: 30}}}
+	machines := []Machine{
+		{Spec: small, Zone: "a"}, {Spec: small, Zone: "b", Spot: true}, {Spec: nil, Zone: "b"},
+		{Spec: large, Zone: "a", Used: fleet.Resources{CPUs: 30}},
+	}
 	pools := []Pool{{small, "a", false}, {small, "b", false}, {large, "b", false}, {large, "b", true}}
 	for _, c := range []struct {
 		name string
-		s    api.Submission
-		rent string
+		job  api.Submission
+		// wantPool is the pool for an unplaceable job; "": the job is placeable.
+		wantPool string
 	}{
-		{"any", api.Submission{CPUs: 1, MemoryGB: 1}, ""},
-		{"no ordinary machine there", api.Submission{CPUs: 1, Zone: "b"}, "small b"},
-		{"cheap ones will do", api.Submission{CPUs: 1, Zone: "b", Spot: true}, ""},
-		{"its type is held by services", api.Submission{CPUs: 4, Types: []string{"large"}}, "large b"},
-		{"its size is", api.Submission{CPUs: 1, MemoryGB: 100}, ""},
-		{"too large for all that is free", api.Submission{CPUs: 8, MemoryGB: 100}, "large b"},
+		{"any machine", api.Submission{CPUs: 1, MemoryGB: 1}, ""},
+		{"only preemptible machines in its zone", api.Submission{CPUs: 1, Zone: "b"}, "small b"},
+		{"preemptible machines are allowed", api.Submission{CPUs: 1, Zone: "b", Spot: true}, ""},
+		{"services hold its machine type", api.Submission{CPUs: 4, Types: []string{"large"}}, "large b"},
+		{"services leave enough of its machine type", api.Submission{CPUs: 1, MemoryGB: 100}, ""},
+		{"too large for what services leave", api.Submission{CPUs: 8, MemoryGB: 100}, "large b"},
 	} {
-		unmet := Unplaceable([]*api.Submission{&c.s, &c.s}, fleetNow)
-		if len(unmet) != min(1, len(c.rent)) {
-			t.Errorf("%s: %d unmet", c.name, len(unmet))
-			continue
-		}
-		if len(unmet) == 1 {
-			if pool, ok := PoolFor(unmet[0], pools); !ok || pool.Type.Name+" "+pool.Zone != c.rent {
-				t.Errorf("%s: rents %+v", c.name, pool)
+		t.Run(c.name, func(t *testing.T) {
+			unplaceable := Unplaceable([]*api.Submission{&c.job, &c.job}, machines)
+			if len(unplaceable) != min(1, len(c.wantPool)) {
+				t.Fatalf("%d jobs unplaceable, want %d", len(unplaceable), min(1, len(c.wantPool)))
+			}
+			if len(unplaceable) == 0 {
+				return
+			}
+			if pool, ok := PoolFor(unplaceable[0], pools); !ok || pool.Type.Name+" "+pool.Zone != c.wantPool {
+				t.Errorf("pool %+v, want %s", pool, c.wantPool)
 			}
-		}
+		})
 	}
 	if _, ok := PoolFor(&api.Submission{CPUs: 64}, pools); ok {
-		t.Error("a pool for what fits none")
+		t.Error("a pool for a job that fits no machine type")
 	}
 }
