--- a/softstate/images.go
+++ b/softstate/images.go
@@ -1,5 +1,7 @@
-// Package softstate puts on record what a leader infers of the images that machines hold, and reads it for the next one.
-// Nothing breaks if a hint is old, damaged or gone. It has no clock and no lock.
+// Package softstate encodes what a leader infers and may lose, so that the next leader need not learn it anew: the images
+// that machines likely cache. Nothing depends on such a record being current, complete or there at all.
+//
+// The package has no clock and no lock.
 package softstate
 
 import (
@@ -11,13 +13,14 @@
 	"switchferry/tuning"
 )
 
-// Machine is a machine and the images that it holds, the newest first.
+// Machine is a machine and the images that it likely caches, the most recently used first.
 type Machine struct {
 	Name   string
 	Images []fleet.Image
 }
 
-// EncodeImages is the record of some machines, with as many images of each as fit into so many bytes.
+// EncodeImages returns the record of some machines with the most recently used images of each, as many as fit into limit
+// bytes of JSON, and tuning.ImagesEach at most.
 func EncodeImages(machines []Machine, limit int) store.ImagesRecord {
 	for perMachine := tuning.ImagesEach; ; perMachine /= 2 {
 		record := encode(machines, perMachine)
@@ -28,53 +31,69 @@
 	}
 }
 
-// encode is the record of some machines, with so many images of each, the newest.
+// encode returns the record of some machines with so many images of each. Machines without images are left out.
 func encode(machines []Machine, perMachine int) store.ImagesRecord {
-	record := store.ImagesRecord{On: map[string][]int{}}
-	index := map[string]int{}
+	table := imageTable{indices: map[string]int{}}
+	cachedOn := map[string][]int{}
 	for _, machine := range machines {
-		var held []int
+		var cached []int
 		for _, image := range machine.Images {
-			if len(held) >= perMachine {
+			if len(cached) >= perMachine {
 				break
 			}
-			i, ok := index[image.Name]
-			if !ok {
-				raw, err := json.Marshal(image.Name)
-				if err != nil || len(raw) > tuning.ImagesNameBytes || len(index) >= tuning.ImagesNames {
-					continue
-				}
-				i = len(index)
-				index[image.Name] = i
-				record.Names, record.GB = append(record.Names, image.Name), append(record.GB, image.GB)
+			if index, ok := table.index(image); ok {
+				cached = append(cached, index)
 			}
-			held = append(held, i)
 		}
-		if len(held) > 0 {
-			record.On[machine.Name] = held
+		if len(cached) > 0 {
+			cachedOn[machine.Name] = cached
 		}
 	}
-	return record
+	return store.ImagesRecord{Names: table.names, GB: table.sizesGB, On: cachedOn}
 }
 
-// DecodeImages reads a record: images by machine.
+// imageTable numbers the images of a record.
+type imageTable struct {
+	names   []string
+	sizesGB []float64
+	indices map[string]int
+}
+
+// index returns the number of an image, which is added if it is new. It returns false for an image that a record cannot
+// have: its name is too long, or there are tuning.ImagesNames images already.
+func (t *imageTable) index(image fleet.Image) (index int, ok bool) {
+	if index, ok := t.indices[image.Name]; ok {
+		return index, true
+	}
+	name, err := json.Marshal(image.Name)
+	if err != nil || len(name) > tuning.ImagesNameBytes || len(t.names) >= tuning.ImagesNames {
+		return 0, false
+	}
+	index = len(t.names)
+	t.indices[image.Name] = index
+	t.names, t.sizesGB = append(t.names, image.Name), append(t.sizesGB, image.GB)
+	return index, true
+}
+
+// DecodeImages returns the images of each machine of an encoded record, the most recently used first. Indices that the
+// record does not define are ignored.
 func DecodeImages(raw []byte) (map[string][]fleet.Image, error) {
 	var record store.ImagesRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode record of images: %w", err)
 	}
 	if len(record.Names) != len(record.GB) {
-		return nil, fmt.Errorf("%d names and %d sizes", len(record.Names), len(record.GB))
+		return nil, fmt.Errorf("record of images has %d names and %d sizes", len(record.Names), len(record.GB))
 	}
-	out := map[string][]fleet.Image{}
-	for name, held := range record.On {
+	imagesOn := map[string][]fleet.Image{}
+	for machine, cached := range record.On {
 		var images []fleet.Image
-		for _, index := range held {
+		for _, index := range cached {
 			if index >= 0 && index < len(record.Names) {
 				images = append(images, fleet.Image{Name: record.Names[index], GB: record.GB[index]})
 			}
 		}
-		out[name] = images
+		imagesOn[machine] = images
 	}
-	return out, nil
+	return imagesOn, nil
 }
