--- a/cost/cost.go
+++ b/cost/cost.go
@@ -1,41 +1,41 @@
-// Package cost knows what a task must wait for on a machine before it can start there, in
-// seconds. It does not know jobs or machines: whoever places looks up what is missing and
-// asks here what that costs, so that the water-filling, pulls, preemption and services
-// all weigh it alike. A new concern is one more field and one more entry in Seconds.
+// Package cost computes how long a task waits on a machine before it can run there. Whoever places tasks finds out what is
+// missing on a machine and asks here what that costs, so that water-filling, rebalancing, preemption and services weigh it
+// alike. A new kind of cost is one more field of Wait and one more term of Wait.Seconds.
+//
+// All functions are pure.
 package cost
 
 import "math"
 
-// Wait is what one task would wait for on one machine, in seconds.
+// Wait is what one task waits for on one machine, in seconds.
 type Wait struct {
-	// Image is the fetch of its image; the worker does it after the start.
+	// Image is the time to fetch its image, which the worker does after the task was started.
 	Image float64
-	// Data is the copying of missing inputs; it is done before the start.
+	// Data is the time to copy missing inputs, which is done before the task is started.
 	Data float64
 }
 
-// Seconds is the whole wait: the image is fetched only once the inputs are there.
+// Seconds returns the whole wait. Its parts add up since the image is fetched only once the inputs are there.
 func (w Wait) Seconds() float64 { return w.Image + w.Data }
 
-// Fetch is the time for so many gigabytes at a rate in gigabytes a second, 0 where the
-// rate is not known.
-func Fetch(gb, rate float64) float64 {
+// Fetch returns the seconds to transfer an amount at a rate in the same unit a second, and 0 if the rate is not positive,
+// as it is not known or not limited.
+func Fetch(amount, rate float64) float64 {
 	if rate <= 0 {
 		return 0
 	}
-	return gb / rate
+	return amount / rate
 }
 
-// Copy is the time until so many bytes are on a machine: after what its link has to bring
-// already, and, where they can only come from the store, after what that has to give out.
-// Rates are in bytes a second; 0: no limit.
+// Copy returns the seconds until some bytes have been copied to a machine. They come after the backlog of the machine's
+// link and, if they are only in the object store, after the backlog of that. Rates are in bytes a second; 0: no limit.
 func Copy(bytes, linkBacklog, linkRate, storeBacklog, storeRate float64, storeOnly bool) float64 {
 	if bytes <= 0 {
 		return 0
 	}
-	t := Fetch(linkBacklog+bytes, linkRate)
+	seconds := Fetch(linkBacklog+bytes, linkRate)
 	if storeOnly {
-		t = math.Max(t, Fetch(storeBacklog+bytes, storeRate))
+		seconds = math.Max(seconds, Fetch(storeBacklog+bytes, storeRate))
 	}
-	return t
+	return seconds
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -6,82 +6,88 @@
 	"time"
 )
 
-// simulateOutage plays an outage of 20 s in which so many users are refused, and then what can be
-// stored, rate a second; the others are refused again. It gives how many tries were in vain
-// simulateOutage the outage, and when the last was taken.
-func simulateOutage(t *testing.T, users int, rate float64, spread bool) (vain int, last time.Duration) {
-	s, err := New(rate, 1, 30, 60*time.Second, 100_000)
+// simulateOutage simulates an outage of 20 s in which so many users are refused, after which rate requests a second are
+// stored and the others refused again. Without spread, refused users are told to come back after 1 s. It returns how many
+// requests were refused after the outage, and how long after it the last one was stored.
+func simulateOutage(t *testing.T, users int, rate float64, spread bool) (refused int, last time.Duration) {
+	t.Helper()
+	const (
+		ticksPerSecond = 10
+		outageTicks    = 20 * ticksPerSecond
+		lastTick       = 300 * ticksPerSecond
+	)
+	delays, err := New(rate, 1, 30, 60*time.Second, 100_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	due := map[int]int{} // user by the tenth of a second of the next try
-	for u := range users {
-		due[u] = u * 200 / users
+	nextTry := map[int]int{} // the tick of each user's next request
+	for user := range users {
+		nextTry[user] = user * outageTicks / users
 	}
-	begin := time.Unix(0, 0)
-	room := 0.0
-	for tick := 0; len(due) > 0 && tick < 3000; tick++ {
-		now := begin.Add(time.Duration(tick) * 100 * time.Millisecond)
-		room = min(rate, room+rate/10)
-		for u := range users {
-			if at, ok := due[u]; !ok || at > tick {
+	start := time.Unix(0, 0)
+	capacity := 0.0
+	for tick := 0; len(nextTry) > 0 && tick < lastTick; tick++ {
+		now := start.Add(time.Duration(tick) * time.Second / ticksPerSecond)
+		capacity = min(rate, capacity+rate/ticksPerSecond)
+		for user := range users {
+			if at, ok := nextTry[user]; !ok || at > tick {
 				continue
 			}
-			id := fmt.Sprint(u)
-			if tick >= 200 && room >= 1 {
-				room--
-				s.Taken(id)
-				delete(due, u)
-				last = now.Sub(begin) - 20*time.Second
+			job := fmt.Sprint(user)
+			if tick >= outageTicks && capacity >= 1 {
+				capacity--
+				delays.Taken(job)
+				delete(nextTry, user)
+				last = now.Sub(start) - 20*time.Second
 				continue
 			}
-			if tick >= 200 {
-				vain++
+			if tick >= outageTicks {
+				refused++
 			}
-			wait := 1
+			delay := 1
 			if spread {
-				wait = s.Refused(now, id)
+				delay = delays.Refused(now, job)
 			}
-			due[u] = tick + 10*wait
+			nextTry[user] = tick + ticksPerSecond*delay
 		}
 	}
-	if len(due) > 0 || s.Waiting() != 0 {
-		t.Fatalf("%d never taken, %d remembered", len(due), s.Waiting())
+	if len(nextTry) > 0 || delays.Waiting() != 0 {
+		t.Fatalf("%d users were never served, %d are remembered", len(nextTry), delays.Waiting())
 	}
-	return vain, last
+	return refused, last
 }
 
-// Spread out, users who were refused come back as they can be taken: few tries are in vain, and
-// all are taken about as soon.
+// With spread delays, users come back as they can be served: few requests are refused, and all are stored about as soon.
 func TestRetriesAreSpread(t *testing.T) {
 	for _, users := range []int{50, 500, 2000} {
-		plain, first := simulateOutage(t, users, 80, false)
-		spread, then := simulateOutage(t, users, 80, true)
-		t.Logf("%d users, 80 a second: told 1 s %d tries in vain, last after %v; spread %d, last after %v", users, plain, first, spread, then)
-		if spread > plain/2+5 || then > 2*first+2*time.Second {
-			t.Errorf("%d users: %d tries in vain and %v, %d and %v without", users, spread, then, plain, first)
+		plain, plainLast := simulateOutage(t, users, 80, false)
+		spread, spreadLast := simulateOutage(t, users, 80, true)
+		t.Logf("%d users, 80 a second: with a delay of 1 s %d refused, last stored after %v; with spread delays %d, after %v", users, plain, plainLast, spread, spreadLast)
+		if spread > plain/2+5 || spreadLast > 2*plainLast+2*time.Second {
+			t.Errorf("%d users: %d refused and the last stored after %v, without spread %d and %v", users, spread, spreadLast, plain, plainLast)
 		}
 	}
 }
 
-// Few who wait are told the least; never more than what users heed.
+// A single user is told the least delay, and none more than the greatest. At most the limit of users are remembered, and
+// none after they are assumed to have given up.
 func TestDelayStaysWithinBounds(t *testing.T) {
-	s, err := New(100, 1, 30, time.Minute, 1000)
+	delays, err := New(100, 1, 30, time.Minute, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Unix(0, 0)
-	if got := s.Refused(now, "a"); got != 1 {
-		t.Errorf("alone: %d s", got)
+	if got := delays.Refused(now, "a"); got != 1 {
+		t.Errorf("a single user is told %d s, want 1 s", got)
 	}
 	most := 0
 	for i := range 5000 {
-		most = max(most, s.Refused(now, fmt.Sprint(i)))
+		most = max(most, delays.Refused(now, fmt.Sprint(i)))
 	}
-	if most > 30 || most < 9 || s.Waiting() != 1000 {
-		t.Errorf("most %d s, %d remembered", most, s.Waiting())
+	if most > 30 || most < 9 || delays.Waiting() != 1000 {
+		t.Errorf("greatest delay %d s, %d users remembered; want 9 to 30 s, 1000 users", most, delays.Waiting())
 	}
-	if s.Refused(now.Add(2*time.Minute), "b"); s.Waiting() != 1 {
-		t.Errorf("%d remembered after all gave up", s.Waiting())
+	if delays.Refused(now.Add(2*time.Minute), "b"); delays.Waiting() != 1 {
+		t.Errorf("%d users remembered after all but one gave up", delays.Waiting())
 	}
 }
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts what users ask of a controller, and logs it now and then, so that a storm of questions and a
-// silent leader can be told from other troubles.
+// Package traffic counts users' requests to a controller and logs the counts periodically, so that a surge of requests or
+// an unresponsive leader can be told from other faults.
 package traffic
 
 import (
@@ -11,21 +11,23 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Counts are what users asked since the last line of the log.
+// Counts are users' requests since the counts were last taken.
 type Counts struct {
-	// Questions are about a job's state, Requests all others; Refused are those of both that were told to come back.
+	// Questions are requests for a job's state, Requests all others, and Refused those of both that were told to try
+	// again later.
 	Questions, Requests, Refused int
-	// Passed is how often the leader did not answer and was passed by.
+	// Passed is how often a request was handled without the leader, as it did not answer.
 	Passed int
 }
 
-// Counter counts. The zero value has counted nothing; it is safe for use from several goroutines at once.
+// Counter counts requests. The zero value is ready for use. It is safe for concurrent use.
 type Counter struct {
 	mu      sync.Mutex
 	current Counts
 }
 
-// Add counts one request; question: about a job's state; refused: its user was told to come back.
+// Add counts one request: question is whether it asked for a job's state, and refused whether its user was told to try
+// again later.
 func (c *Counter) Add(question, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,14 +41,14 @@
 	}
 }
 
-// Passed counts a leader that did not answer and was passed by.
+// Passed counts a request that was handled without the leader, as it did not answer.
 func (c *Counter) Passed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current.Passed++
 }
 
-// Take gives what was counted, and begins anew.
+// Take returns the counts and resets them.
 func (c *Counter) Take() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +57,7 @@
 	return counts
 }
 
-// Log writes a line each time so much has passed, unless nothing was asked, until the context ends.
+// Log takes and logs the counts once in every such interval, unless they are all zero, until the context ends.
 func (c *Counter) Log(ctx context.Context, clock clockwork.Clock, every time.Duration) {
 	for {
 		select {
--- /dev/null
+++ b/traffic/traffic_test.go
@@ -0,0 +1,18 @@
+package traffic
+
+import "testing"
+
+func TestTakeReturnsCountsSinceLastTaken(t *testing.T) {
+	var counter Counter
+	counter.Add(true, false)
+	counter.Add(true, true)
+	counter.Add(false, true)
+	counter.Passed()
+	want := Counts{Questions: 2, Requests: 1, Refused: 2, Passed: 1}
+	if got := counter.Take(); got != want {
+		t.Errorf("counts %+v, want %+v", got, want)
+	}
+	if got := counter.Take(); got != (Counts{}) {
+		t.Errorf("counts %+v after they were taken, want none", got)
+	}
+}
