--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -66,7 +66,7 @@
 		case <-clock.After(every):
 		}
 		if counts := c.Take(); counts != (Counts{}) {
-			slog.Info("users", "questions", counts.Questions, "other_requests", counts.Requests, "refused", counts.Refused, "leader_silent", counts.Passed)
+			slog.Info("request statistics", "questions", counts.Questions, "other_requests", counts.Requests, "refused", counts.Refused, "leader_silent", counts.Passed)
 		}
 	}
 }
