--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -1,18 +1,17 @@
-// Package connlimit keeps a controller within its limit of sockets, by class: it knows how many
-// are open and who opened them, not what is said on them.
+// Package connlimit keeps a controller's open connections within the platform's limit of sockets, by class of the other
+// side. It knows how many are open and who opened them, not what is sent on them.
 //
-// Past the platform's limit every new connection fails, a user's and a sibling's like a
-// worker's. A large fleet's workers keep their connections open between reports, for which
-// there is no need. So once sockets get scarce, workers are told to close theirs after each
-// answer, idle ones are closed for newcomers, and commands that go to workers directly wait for
-// the workers' next reports. What is left is for users, siblings, state service and cloud.
+// Beyond the platform's limit every new connection fails, those of users and peers like those of workers, and the workers
+// of a large fleet would keep theirs open between heartbeats without need. So as the limit comes nearer, workers are told
+// to close their connections after each response, commands are no longer sent to workers directly but with the responses
+// to their heartbeats, and idle connections of workers are closed for new ones. The rest is left to users, peers, the
+// state service and the cloud.
 package connlimit
 
 import (
 	"context"
 	"errors"
-	"net"
-	"net/http"
+	"math"
 	"sync"
 	"time"
 
@@ -21,237 +20,142 @@
 	"switchferry/tuning"
 )
 
-// Class is whose socket it is.
+// Class is who is on the other side of a connection.
 type Class int
 
-// Classes, by what may go first when sockets get scarce.
+// The classes of connections.
 const (
-	// Unclassified is an accepted connection that has said nothing yet.
+	// Unclassified is an accepted connection on which no request has arrived yet.
 	Unclassified Class = iota
-	// Worker is a worker's or an agent's, reporting.
+	// Worker is a connection on which a worker or an agent sends heartbeats.
 	Worker
-	// User is anybody else's on the port for users.
+	// User is any other connection to the port for users.
 	User
-	// Command goes out to a worker or an agent.
+	// Command is a connection to a worker or an agent.
 	Command
-	// Service goes out to the state service or the cloud.
+	// Service is a connection to the state service or the cloud.
 	Service
-	// Peer is on the back port, either way.
+	// Peer is a connection on the port between controllers, in either direction.
 	Peer
-	classes
+	classCount
 )
 
-var classNames = [classes]string{"new", "worker", "user", "command", "service", "sibling"}
+var classNames = [classCount]string{"new", "worker", "user", "command", "service", "sibling"}
 
+// String returns the name under which the class is logged.
 func (c Class) String() string { return classNames[c] }
 
-// ErrLimit means: no socket is left for this class.
+// ErrLimit is the error of a connection that was not opened since too many are open.
 var ErrLimit = errors.New("sockets are scarce")
 
-// Limiter counts the sockets of this process. A limit of 0 is none. Its methods may be called
-// from anywhere.
+// Limiter counts the connections of a process and closes or refuses some near the limit. It is safe for concurrent use;
+// NewLimiter makes one.
 type Limiter struct {
-	limit int
-
 	mu          sync.Mutex
+	limit       int // 0: none
 	open        int
-	openByClass [classes]int
-	// idleWorkers are workers' connections between two reports, the longest first.
+	openByClass [classCount]int
+	// idleWorkers are the connections of workers on which no request is being handled, the longest idle first.
 	idleWorkers *simplelru.LRU[*conn, struct{}]
-	// IdleClosed counts those that were closed for newcomers, Refused commands that found no
-	// socket.
+	// idleClosed counts those that were closed for new ones, and refused the commands that were not sent.
 	idleClosed, refused int
 }
 
-// NewLimiter makes a budget of so many sockets.
+// NewLimiter returns a Limiter for at most so many connections; 0: any number.
 func NewLimiter(limit int) *Limiter {
-	idle, err := simplelru.NewLRU[*conn, struct{}](1<<31-1, nil)
+	idle, err := simplelru.NewLRU[*conn, struct{}](math.MaxInt32, nil)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
 	return &Limiter{limit: limit, idleWorkers: idle}
 }
 
-// SetLimit changes the limit.
+// SetLimit changes the limit. Connections that are already open stay open.
 func (l *Limiter) SetLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = limit
 }
 
-// Counts are the open sockets, in all and by class.
+// Counts is how many connections are open.
 type Counts struct {
-	Open, Limit         int
-	ByClass             map[string]int
+	Open, Limit int
+	// ByClass is how many are open by the name of their class, without classes that have none.
+	ByClass map[string]int
+	// IdleClosed is how many idle connections of workers have been closed for new ones, and Refused how many commands
+	// have not been sent.
 	IdleClosed, Refused int
 }
 
-// Counts tells how many are open.
+// Counts returns how many connections are open.
 func (l *Limiter) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := Counts{Open: l.open, Limit: l.limit, ByClass: map[string]int{}, IdleClosed: l.idleClosed, Refused: l.refused}
-	for i, n := range l.openByClass {
-		if n > 0 {
-			c.ByClass[Class(i).String()] = n
+	counts := Counts{Open: l.open, Limit: l.limit, ByClass: map[string]int{}, IdleClosed: l.idleClosed, Refused: l.refused}
+	for class, open := range l.openByClass {
+		if open > 0 {
+			counts.ByClass[Class(class).String()] = open
 		}
 	}
-	return c
+	return counts
 }
 
-// threshold is how many sockets a part of the limit is; without one, more than there can be.
-func (l *Limiter) threshold(part float64) int {
+// unlimited is the threshold without a limit: more connections than a process can have.
+const unlimited = 1 << 30
+
+// threshold returns how many connections a fraction of the limit is. The mutex must be held.
+func (l *Limiter) threshold(fraction float64) int {
 	if l.limit <= 0 {
-		return 1 << 30
+		return unlimited
 	}
-	return int(part * float64(l.limit))
+	return int(fraction * float64(l.limit))
 }
 
-// NearLimit tells whether workers should close their connections after an answer.
+// NearLimit reports whether workers should close their connections after a response.
 func (l *Limiter) NearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open >= l.threshold(tuning.SocketsScarce)
 }
 
-// conn is one counted connection.
-type conn struct {
-	net.Conn
-	limiter *Limiter
-	class   Class
-	once    sync.Once
-}
-
-// Close closes it and counts it no more.
-func (c *conn) Close() error {
-	c.once.Do(func() {
-		c.limiter.mu.Lock()
-		defer c.limiter.mu.Unlock()
-		c.limiter.open--
-		c.limiter.openByClass[c.class]--
-		c.limiter.idleWorkers.Remove(c)
-	})
-	return c.Conn.Close()
-}
-
-func (l *Limiter) track(c net.Conn, class Class) *conn {
-	tracked := &conn{Conn: c, limiter: l, class: class}
+// refuseCommand reports whether too many connections are open to send a command, and counts it if so.
+func (l *Limiter) refuseCommand() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open++
-	l.openByClass[class]++
-	return tracked
-}
-
-// listener counts what it accepts.
-type listener struct {
-	net.Listener
-	limiter *Limiter
-	class   Class
-}
-
-// Listen counts the connections that a listener accepts: as New, whose class is told later, or
-// as Peer.
-func (b *Limiter) Listen(l net.Listener, class Class) net.Listener { return &listener{l, b, class} }
-
-// Accept waits for a connection. Near the limit, the worker's connection that is idle longest is
-// idleClosed for it.
-func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
+	refuse := l.open >= l.threshold(tuning.SocketsCommands)
+	if refuse {
+		l.refused++
 	}
-	tracked := l.limiter.track(c, l.class)
-	l.limiter.closeIdle()
-	return tracked, nil
+	return refuse
 }
 
-// closeIdle closes idle workers' connections while too many are open.
+// closeIdle closes idle connections of workers, the longest idle first, while too many are open.
 func (l *Limiter) closeIdle() {
 	for {
-		l.mu.Lock()
-		var oldest *conn
-		if l.open > l.threshold(tuning.SocketsFull) {
-			oldest, _, _ = l.idleWorkers.RemoveOldest()
-			if oldest != nil {
-				l.idleClosed++
-			}
-		}
-		l.mu.Unlock()
+		oldest := l.takeIdle()
 		if oldest == nil {
 			return
 		}
-		_ = oldest.Close()
+		_ = oldest.Close() // it is of no use any more, and counted as closed in any case
 	}
 }
 
-// Classify says what class a connection is of, and whether it is idle, as its first request shows.
-func (l *Limiter) Classify(c net.Conn, class Class) {
-	tracked, ok := c.(*conn)
-	if !ok || class == Unclassified {
-		return
-	}
+// takeIdle returns the idle connection to close next, or nil if none has to be closed or none is idle.
+func (l *Limiter) takeIdle() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.openByClass[tracked.class]--
-	tracked.class = class
-	l.openByClass[class]++
-}
-
-// State follows an HTTP server's connections: http.Server.ConnState.
-func (l *Limiter) State(c net.Conn, s http.ConnState) {
-	tracked, ok := c.(*conn)
-	if !ok {
-		return
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s == http.StateIdle && tracked.class == Worker {
-		l.idleWorkers.Add(tracked, struct{}{})
-	} else {
-		l.idleWorkers.Remove(tracked)
+	if l.open <= l.threshold(tuning.SocketsFull) {
+		return nil
 	}
-}
-
-// Dial opens connections of a class. ErrLimit: there are too few sockets for commands; they
-// reach their workers with the answers to their reports.
-func (l *Limiter) Dial(class func(addr string) Class) func(ctx context.Context, network, addr string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: tuning.DialTimeout}
-	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		k := class(addr)
-		l.mu.Lock()
-		refuse := k == Command && l.open >= l.threshold(tuning.SocketsCommands)
-		if refuse {
-			l.refused++
-		}
-		l.mu.Unlock()
-		if refuse {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: ErrLimit}
-		}
-		c, err := dialer.DialContext(ctx, network, addr)
-		if err != nil {
-			return nil, err
-		}
-		tracked := l.track(c, k)
-		l.closeIdle()
-		return tracked, nil
+	oldest, _, ok := l.idleWorkers.RemoveOldest()
+	if !ok {
+		return nil
 	}
+	l.idleClosed++
+	return oldest
 }
 
-type contextKey struct{}
-
-// Context lets a handler find the connection of a request: http.Server.ConnContext.
-func Context(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, contextKey{}, c)
-}
-
-// FromContext is the connection that a request came on; nil: not known.
-func FromContext(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(contextKey{}).(net.Conn)
-	return c
-}
-
-// Watch logs now and then how many are open, when they get scarce.
+// Watch calls notify with the counts once in every such interval while NearLimit holds, until the context ends.
 func (l *Limiter) Watch(ctx context.Context, every time.Duration, notify func(Counts)) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
--- a/connlimit/limiter_test.go
+++ b/connlimit/limiter_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -12,127 +11,133 @@
 	"switchferry/connlimit"
 )
 
-// served is a port with a budget, where /v1/report is a worker's path.
-func served(t *testing.T, limit int) (*connlimit.Limiter, string) {
-	b := connlimit.NewLimiter(limit)
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// serve starts an HTTP server whose connections a Limiter counts; /v1/report is the path of workers. It returns the
+// server's address.
+func serve(t *testing.T, limit int) (*connlimit.Limiter, string) {
+	t.Helper()
+	limiter := connlimit.NewLimiter(limit)
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{ConnContext: connlimit.Context, ConnState: b.State, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	handle := func(w http.ResponseWriter, r *http.Request) {
 		class := connlimit.User
 		if r.URL.Path == "/v1/report" {
 			class = connlimit.Worker
-			if b.NearLimit() {
+			if limiter.NearLimit() {
 				w.Header().Set("Connection", "close")
 			}
 		}
-		b.Classify(connlimit.FromContext(r.Context()), class)
-	})}
-	go func() { _ = s.Serve(b.Listen(l, connlimit.Unclassified)) }()
-	t.Cleanup(func() { _ = s.Close() })
-	return b, l.Addr().String()
+		limiter.Classify(connlimit.FromContext(r.Context()), class)
+	}
+	server := &http.Server{ConnContext: connlimit.Context, ConnState: limiter.State, Handler: http.HandlerFunc(handle)}
+	go func() { _ = server.Serve(limiter.Listen(listener, connlimit.Unclassified)) }()
+	t.Cleanup(func() { _ = server.Close() })
+	return limiter, listener.Addr().String()
 }
 
-// ask opens a connection, asks once and leaves it open; closed: the server says it will close.
-func ask(addr, path string) (c net.Conn, closed bool, err error) {
-	c, err = net.Dial("tcp4", addr)
+// request opens a connection, sends one request and leaves the connection open. It returns whether the server says that
+// it will close it.
+func request(t *testing.T, addr, path string) (conn net.Conn, closed bool, err error) {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err = dialer.DialContext(t.Context(), "tcp4", addr)
 	if err != nil {
 		return nil, false, err
 	}
-	if _, err = fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path); err != nil {
-		return c, false, err
+	t.Cleanup(func() { _ = conn.Close() })
+	closed, err = requestOn(conn, path)
+	return conn, closed, err
+}
+
+// requestOn sends one request on an open connection.
+func requestOn(conn net.Conn, path string) (closed bool, err error) {
+	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path); err != nil {
+		return false, err
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return c, false, err
+		return false, err
 	}
-	_ = resp.Body.Close()
-	return c, resp.Close, nil
+	return response.Close, response.Body.Close()
 }
 
-// Workers of 80%, 100% and 120% of the limit come and keep their connections as long as they
-// may; users are answered all the same, and no more are open than the limit, whose last part
-// stays free for them.
+// Workers of 80%, 100% and 120% of the limit connect and keep their connections as long as they may. Users are still
+// served, and never are more connections open than the limit, since its last part is kept free for users.
 func TestWorkersLeaveSocketsForOthers(t *testing.T) {
-	const limit = 200
+	const limit, users = 200, 20
 	for _, workers := range []int{160, 200, 240} {
-		b, addr := served(t, limit)
-		var open []net.Conn
-		for range workers {
-			c, closed, err := ask(addr, "/v1/report")
-			if err != nil {
-				t.Fatalf("%d workers: a report is refused: %v", workers, err)
+		t.Run(fmt.Sprintf("workers=%d", workers), func(t *testing.T) {
+			limiter, addr := serve(t, limit)
+			for range workers {
+				conn, closed, err := request(t, addr, "/v1/report")
+				if err != nil {
+					t.Fatalf("a heartbeat is refused: %v", err)
+				}
+				if closed {
+					_ = conn.Close()
+				}
 			}
-			if closed {
-				_ = c.Close()
-			} else {
-				open = append(open, c)
+			for range users {
+				if _, _, err := request(t, addr, "/submissions/run-000001"); err != nil {
+					t.Fatalf("a user is refused: %v", err)
+				}
 			}
-		}
-		for range 20 {
-			c, _, err := ask(addr, "/submissions/run-000001")
-			if err != nil {
-				t.Fatalf("%d workers: a user is refused: %v", workers, err)
+			if counts := limiter.Counts(); counts.Open > limit || counts.ByClass["user"] != users {
+				t.Errorf("%+v, want %d open at most, %d of them users", counts, limit, users)
 			}
-			open = append(open, c)
-		}
-		if n := b.Counts(); n.Open > limit || n.ByClass["user"] != 20 {
-			t.Errorf("%d workers: %+v", workers, n)
-		}
-		for _, c := range open {
-			_ = c.Close()
-		}
+		})
 	}
 }
 
-// Near the limit idle workers' connections are closed for newcomers, the longest idle first,
-// and nobody else's.
+// Near the limit the connections of workers that are idle for longest are closed for new ones, and no others.
 func TestIdleWorkerConnectionsAreClosedNearLimit(t *testing.T) {
-	b, addr := served(t, 1000)
-	first, _, err := ask(addr, "/v1/report")
+	limiter, addr := serve(t, 1000)
+	worker, _, err := request(t, addr, "/v1/report")
 	if err != nil {
 		t.Fatal(err)
 	}
-	user, _, err := ask(addr, "/submissions/run-000001")
+	user, _, err := request(t, addr, "/submissions/run-000001")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.SetLimit(3)
-	if _, _, err := ask(addr, "/submissions/run-000002"); err != nil {
+	limiter.SetLimit(3)
+	if _, _, err := request(t, addr, "/submissions/run-000002"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := first.Read(make([]byte, 1)); err == nil {
+	if _, err := worker.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle worker keeps its connection")
 	}
-	if _, err := fmt.Fprintf(user, "GET /submissions/x HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
-		t.Error(err)
-	}
-	if _, err := http.ReadResponse(bufio.NewReader(user), nil); err != nil {
+	if _, err := requestOn(user, "/submissions/x"); err != nil {
 		t.Errorf("a user's connection was closed: %v", err)
 	}
-	if n := b.Counts(); n.IdleClosed != 1 {
-		t.Errorf("%+v", n)
+	if counts := limiter.Counts(); counts.IdleClosed != 1 {
+		t.Errorf("%+v, want one idle connection closed", counts)
 	}
 }
 
-// Commands leave the last sockets to the state service; one that finds none was never sent.
+// Commands leave the last connections to the state service; a command that is refused was never sent.
 func TestCommandsAreRefusedNearLimit(t *testing.T) {
-	_, addr := served(t, 0)
-	b := connlimit.NewLimiter(10)
-	dial := b.Dial(func(string) connlimit.Class { return connlimit.Command })
-	for i := 0; ; i++ {
-		_, err := dial(context.Background(), "tcp4", addr)
+	_, addr := serve(t, 0)
+	limiter := connlimit.NewLimiter(10)
+	dialCommand := limiter.Dial(func(string) connlimit.Class { return connlimit.Command })
+	for sent := 0; ; sent++ {
+		conn, err := dialCommand(t.Context(), "tcp4", addr)
 		if err == nil {
+			t.Cleanup(func() { _ = conn.Close() })
 			continue
 		}
-		var op *net.OpError
-		if !errors.As(err, &op) || op.Op != "dial" || !errors.Is(err, connlimit.ErrLimit) || i < 5 || i > 9 {
-			t.Fatalf("after %d commands: %v", i, err)
+		var opError *net.OpError
+		if !errors.As(err, &opError) || opError.Op != "dial" || !errors.Is(err, connlimit.ErrLimit) || sent < 5 || sent > 9 {
+			t.Fatalf("after %d commands: %v, want ErrLimit after 5 to 9", sent, err)
 		}
 		break
 	}
-	if _, err := b.Dial(func(string) connlimit.Class { return connlimit.Service })(context.Background(), "tcp4", addr); err != nil {
-		t.Errorf("the state service: %v", err)
+	dialService := limiter.Dial(func(string) connlimit.Class { return connlimit.Service })
+	conn, err := dialService(t.Context(), "tcp4", addr)
+	if err != nil {
+		t.Fatalf("the state service is refused: %v", err)
 	}
+	_ = conn.Close()
 }
