--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -40,13 +40,13 @@
 	classCount
 )
 
-var classNames = [classCount]string{"new", "worker", "user", "command", "service", "sibling"}
+var classNames = [classCount]string{"unclassified", "worker", "user", "command", "service", "peer"}
 
 // String returns the name under which the class is logged.
 func (c Class) String() string { return classNames[c] }
 
 // ErrLimit is the error of a connection that was not opened since too many are open.
-var ErrLimit = errors.New("sockets are scarce")
+var ErrLimit = errors.New("connection limit reached")
 
 // Limiter counts the connections of a process and closes or refuses some near the limit. It is safe for concurrent use;
 // NewLimiter makes one.
