--- a/connlimit/limiter_test.go
+++ b/connlimit/limiter_test.go
@@ -109,9 +109,13 @@
 	if _, err := worker.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle worker keeps its connection")
 	}
-	if _, err := requestOn(user, "/submissions/x"); err != nil {
+	closed, err := requestOn(user, "/submissions/x")
+	if err != nil {
 		t.Errorf("a user's connection was closed: %v", err)
 	}
+	if closed {
+		t.Error("the server closes a user's connection after a response")
+	}
 	if counts := limiter.Counts(); counts.IdleClosed != 1 {
 		t.Errorf("%+v, want one idle connection closed", counts)
 	}
