--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -1,12 +1,12 @@
-// Package upperbound says how many jobs of a day could have been in time at most, whatever the order
-// they were taken in. It knows what each task took and how much was free when, not machines: a
-// task may run anywhere, and nothing is fetched.
+// Package upperbound computes an upper bound of how many jobs of a recorded day could have met their due times, whatever
+// the order in which they were served. It knows how long each task ran and how many CPUs were free when, not machines: a
+// task may run anywhere, and nothing has to be fetched.
 //
-// It is a Lagrangian relaxation. A price is set on processor time for each stretch of the day.
-// Given prices, each task by itself is put where it costs least, without a break and ending by
-// the time it is due, and a job is worth taking if all of it costs less than one. What all that is
-// free costs, and what the jobs that are worth taking have left, is no less than the number of jobs
-// that can be in time together, for any prices; the least over many prices is the bound.
+// The bound is a Lagrangian relaxation. Each slot of the day has a price for CPU time. At given prices each task by itself
+// is placed where it costs least, without a break and ending by its due time, and a job is served if all of it costs less
+// than one. The price of all free CPU time, plus what the jobs that are served have left of one each, is no less than the
+// number of jobs that can meet their due times together, for any prices. The bound is the least such value over many
+// prices, which a subgradient method finds.
 package upperbound
 
 import (
@@ -15,17 +15,16 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// Task is what one task took, in processors and seconds.
+// Task is the CPUs that one task took, and for how many seconds it ran.
 type Task struct{ CPUs, Run float64 }
 
-// Job is due, all of it, at Due; both are seconds of the day.
+// Job is a job that could start at Arrive and of which all tasks are due at Due, in seconds of the day.
 type Job struct {
 	Arrive, Due float64
 	Tasks       []Task
 }
 
-// Free is how many processors were free for these jobs, in stretches of Slot seconds from the
-// day's begin.
+// Free is how many CPUs were free for these jobs, by slots of so many seconds from the start of the day.
 type Free struct {
 	Slot float64
 	CPUs []float64
@@ -33,48 +32,48 @@
 
 // Result is the bound and what goes with it.
 type Result struct {
-	// Jobs is their number, Alone how many could not be in time with the whole fleet for
-	// themselves, Most the most that could be in time together.
+	// Jobs is how many jobs there are, and Alone how many of them could not have met their due times with the whole fleet
+	// for themselves.
 	Jobs, Alone int
-	Most        float64
-	// Prices are those of the bound, in jobs a processor second, by stretch.
+	// Most is the bound: at most so many could have met their due times together.
+	Most float64
+	// Prices are those of the bound, in jobs a CPU second, by slot.
 	Prices []float64
 }
 
-// InTime finds the bound in so many rounds; more make it tighter.
+// The subgradient method takes Polyak's steps towards a value below the best so far, by initialTarget of it at first, and
+// by half as much each time that nothing better was found for more than staleRounds rounds.
+const (
+	initialTarget = 0.1
+	staleRounds   = 12
+	// improvement is by how much a value must be below the best so far to count as better.
+	improvement = 1e-9
+)
+
+// InTime returns the bound after so many rounds; more rounds make it tighter.
 func InTime(jobs []Job, free Free, rounds int) Result {
-	result := Result{Jobs: len(jobs), Most: float64(len(jobs)), Prices: make([]float64, len(free.CPUs))}
-	var possible []Job
-	for _, job := range jobs {
-		if feasibleAlone(job) {
-			possible = append(possible, job)
-		}
+	possible := possibleAlone(jobs)
+	result := Result{
+		Jobs: len(jobs), Alone: len(jobs) - len(possible),
+		Most: float64(len(possible)), Prices: make([]float64, len(free.CPUs)),
 	}
-	result.Alone = len(jobs) - len(possible)
-	result.Most = float64(len(possible))
 	prices := make([]float64, len(free.CPUs))
 	usage := make([]float64, len(free.CPUs))
 	subgradient := make([]float64, len(free.CPUs))
-	// Polyak's steps, towards a little less than the best so far; less the longer nothing better
-	// is found.
-	target := 0.1
-	for stale := 0; rounds > 0; rounds-- {
+	target := initialTarget
+	stale := 0
+	for range rounds {
 		value := evaluate(possible, free, prices, usage)
-		if value < result.Most-1e-9 {
+		if value < result.Most-improvement {
 			stale = 0
 			result.Most = value
 			copy(result.Prices, prices)
-		} else if stale++; stale > 12 {
+		} else if stale++; stale > staleRounds {
 			stale, target = 0, target/2
 			copy(prices, result.Prices)
 			value = evaluate(possible, free, prices, usage)
 		}
-		for i, c := range free.CPUs {
-			subgradient[i] = math.Max(0, c)*free.Slot - usage[i]
-			if prices[i] == 0 && subgradient[i] > 0 {
-				subgradient[i] = 0
-			}
-		}
+		setSubgradient(subgradient, free, prices, usage)
 		norm := floats.Dot(subgradient, subgradient)
 		if norm == 0 {
 			break
@@ -87,6 +86,16 @@
 	return result
 }
 
+// possibleAlone returns the jobs that can meet their due times with the whole fleet for themselves.
+func possibleAlone(jobs []Job) (possible []Job) {
+	for _, job := range jobs {
+		if feasibleAlone(job) {
+			possible = append(possible, job)
+		}
+	}
+	return possible
+}
+
 func feasibleAlone(job Job) bool {
 	for _, task := range job.Tasks {
 		if job.Arrive+task.Run > job.Due {
@@ -96,31 +105,34 @@
 	return true
 }
 
-// evaluate is the bound at some prices; use gets what the jobs worth taking use of each stretch.
+// setSubgradient sets the subgradient of the bound at some prices, by slot: the CPU time that is free and not used. Where it
+// would only lower a price that is zero already, it is zero.
+func setSubgradient(subgradient []float64, free Free, prices, usage []float64) {
+	for i, cpus := range free.CPUs {
+		subgradient[i] = math.Max(0, cpus)*free.Slot - usage[i]
+		if prices[i] == 0 && subgradient[i] > 0 {
+			subgradient[i] = 0
+		}
+	}
+}
+
+// evaluate returns the bound at some prices, and sets usage to the CPU seconds that the jobs which are served use of each
+// slot.
 func evaluate(jobs []Job, free Free, prices, usage []float64) float64 {
-	sum := make([]float64, len(prices)+1) // price of all up to a stretch
 	total := 0.0
-	for i, p := range prices {
-		sum[i+1] = sum[i] + p*free.Slot
-		total += p * math.Max(0, free.CPUs[i]) * free.Slot
+	for i, price := range prices {
+		total += price * math.Max(0, free.CPUs[i]) * free.Slot
 		usage[i] = 0
 	}
-	priceUpTo := func(t float64) float64 {
-		x := math.Max(0, t/free.Slot)
-		i := min(int(x), len(prices))
-		if i == len(prices) {
-			return sum[i]
-		}
-		return sum[i] + (x-float64(i))*free.Slot*prices[i]
-	}
+	cumulative := newCumulativePrice(prices, free.Slot)
 	var starts []float64
 	for _, job := range jobs {
 		starts = starts[:0]
 		cost := 0.0
 		for _, task := range job.Tasks {
-			at, c := cheapestStart(job, task, free.Slot, priceUpTo)
-			starts = append(starts, at)
-			if cost += task.CPUs * c; cost >= 1 {
+			start, costPerCPU := cumulative.cheapestStart(job, task)
+			starts = append(starts, start)
+			if cost += task.CPUs * costPerCPU; cost >= 1 {
 				break
 			}
 		}
@@ -135,30 +147,55 @@
 	return total
 }
 
-// cheapestStart is when a task costs least to begin, and what it costs a processor then: prices
-// change only between stretches, so it begins or ends at such a time, or at the first or the last
-// moment.
-func cheapestStart(job Job, task Task, slot float64, priceUpTo func(float64) float64) (at, cost float64) {
+// cumulativePrice is what one CPU costs from the start of the day up to a time.
+type cumulativePrice struct {
+	slot   float64
+	prices []float64
+	// upToSlot is the cost up to the start of each slot, and up to the end of the last one.
+	upToSlot []float64
+}
+
+func newCumulativePrice(prices []float64, slot float64) *cumulativePrice {
+	upToSlot := make([]float64, len(prices)+1)
+	for i, price := range prices {
+		upToSlot[i+1] = upToSlot[i] + price*slot
+	}
+	return &cumulativePrice{slot: slot, prices: prices, upToSlot: upToSlot}
+}
+
+// upTo returns the cost up to a time in seconds. After the last slot CPU time costs nothing.
+func (c *cumulativePrice) upTo(seconds float64) float64 {
+	slots := math.Max(0, seconds/c.slot)
+	i := min(int(slots), len(c.prices))
+	if i == len(c.prices) {
+		return c.upToSlot[i]
+	}
+	return c.upToSlot[i] + (slots-float64(i))*c.slot*c.prices[i]
+}
+
+// cheapestStart returns when a task of a job costs least to start, and what each of its CPUs costs then. Prices change
+// only between slots, so it starts or ends at such a time, or at the first or the last moment that is possible.
+func (c *cumulativePrice) cheapestStart(job Job, task Task) (start, cost float64) {
 	last := job.Due - task.Run
-	at, cost = job.Arrive, math.Inf(1)
-	try := func(s float64) {
-		if s < job.Arrive || s > last {
+	start, cost = job.Arrive, math.Inf(1)
+	try := func(at float64) {
+		if at < job.Arrive || at > last {
 			return
 		}
-		if c := priceUpTo(s+task.Run) - priceUpTo(s); c < cost {
-			at, cost = s, c
+		if costAt := c.upTo(at+task.Run) - c.upTo(at); costAt < cost {
+			start, cost = at, costAt
 		}
 	}
 	try(job.Arrive)
 	try(last)
-	for s := math.Ceil(job.Arrive/slot) * slot; s <= job.Due && cost > 0; s += slot {
-		try(s)
-		try(s - task.Run)
+	for boundary := math.Ceil(job.Arrive/c.slot) * c.slot; boundary <= job.Due && cost > 0; boundary += c.slot {
+		try(boundary)
+		try(boundary - task.Run)
 	}
-	return at, cost
+	return start, cost
 }
 
-// addUsage adds a run to what is used of each stretch.
+// addUsage adds what some CPUs use from one time to another, in CPU seconds, to the usage of each slot.
 func addUsage(usage []float64, slot, from, to, cpus float64) {
 	for i := max(0, int(from/slot)); i < len(usage) && float64(i)*slot < to; i++ {
 		usage[i] += cpus * (math.Min(to, float64(i+1)*slot) - math.Max(from, float64(i)*slot))
--- a/upperbound/upperbound_test.go
+++ b/upperbound/upperbound_test.go
@@ -3,39 +3,56 @@
 import (
 	"math"
 	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
-// bruteForce is the largest number of jobs that can be in time together, by trying all sets of jobs
-// and all starts at whole seconds.
-func bruteForce(jobs []Job, free Free) int {
-	left := append([]float64{}, free.CPUs...)
-	var tasks func(job Job, k int, then func() bool) bool
-	tasks = func(job Job, k int, then func() bool) bool {
-		if k == len(job.Tasks) {
-			return then()
+// schedule is the CPUs that are left in each second while a search places tasks.
+type schedule struct{ left []float64 }
+
+// fits reports whether a task can run from a second on.
+func (s *schedule) fits(task Task, from int) bool {
+	to := from + int(task.Run)
+	return to <= len(s.left) && !slices.ContainsFunc(s.left[from:to], func(cpus float64) bool { return cpus < task.CPUs })
+}
+
+// reserve takes some CPUs away for the run of a task, or gives them back if they are negative.
+func (s *schedule) reserve(cpus float64, from, seconds int) {
+	for i := from; i < from+seconds; i++ {
+		s.left[i] -= cpus
+	}
+}
+
+// place tries all starts of the tasks of a job, from the given one on, until then returns true.
+func (s *schedule) place(job Job, task int, then func() bool) bool {
+	if task == len(job.Tasks) {
+		return then()
+	}
+	placed := job.Tasks[task]
+	for start := int(job.Arrive); float64(start)+placed.Run <= job.Due; start++ {
+		if !s.fits(placed, start) {
+			continue
 		}
-		task := job.Tasks[k]
-		for s := int(job.Arrive); float64(s)+task.Run <= job.Due; s++ {
-			ok := s+int(task.Run) <= len(left)
-			for i := s; ok && i < s+int(task.Run); i++ {
-				ok = left[i] >= task.CPUs
-			}
-			if !ok {
-				continue
-			}
-			for i := s; i < s+int(task.Run); i++ {
-				left[i] -= task.CPUs
-			}
-			if tasks(job, k+1, then) {
-				return true
-			}
-			for i := s; i < s+int(task.Run); i++ {
-				left[i] += task.CPUs
-			}
+		s.reserve(placed.CPUs, start, int(placed.Run))
+		if s.place(job, task+1, then) {
+			return true
 		}
-		return false
+		s.reserve(-placed.CPUs, start, int(placed.Run))
+	}
+	return false
+}
+
+// placeAll reports whether all jobs can meet their due times together.
+func (s *schedule) placeAll(jobs []Job) bool {
+	if len(jobs) == 0 {
+		return true
 	}
+	return s.place(jobs[0], 0, func() bool { return s.placeAll(jobs[1:]) })
+}
+
+// bruteForce returns the largest number of jobs that can meet their due times together, by trying all sets of jobs and all
+// starts at whole seconds.
+func bruteForce(jobs []Job, free Free) int {
 	best := 0
 	for set := range 1 << len(jobs) {
 		var chosen []Job
@@ -47,54 +64,50 @@
 		if len(chosen) <= best {
 			continue
 		}
-		copy(left, free.CPUs)
-		var all func(i int) bool
-		all = func(i int) bool {
-			return i == len(chosen) || tasks(chosen[i], 0, func() bool { return all(i + 1) })
-		}
-		if all(0) {
+		s := schedule{left: slices.Clone(free.CPUs)}
+		if s.placeAll(chosen) {
 			best = len(chosen)
 		}
 	}
 	return best
 }
 
-// The bound is never below what can be done, over 300 small days tried out, and close to it.
+// The bound is never below what is possible, over 300 small days for which that is tried out, and close to it.
 func TestBoundAgainstBruteForce(t *testing.T) {
 	gap, sum := 0.0, 0
 	for seed := range uint64(300) {
-		r := rand.New(rand.NewPCG(seed, 9))
+		rng := rand.New(rand.NewPCG(seed, 9))
 		free := Free{Slot: 1}
 		for range 10 {
-			free.CPUs = append(free.CPUs, float64(r.IntN(4)))
+			free.CPUs = append(free.CPUs, float64(rng.IntN(4)))
 		}
 		var jobs []Job
 		for range 5 {
-			job := Job{Arrive: float64(r.IntN(5))}
-			job.Due = job.Arrive + float64(2+r.IntN(5))
-			for range 1 + r.IntN(2) {
-				job.Tasks = append(job.Tasks, Task{CPUs: float64(1 + r.IntN(2)), Run: float64(1 + r.IntN(3))})
+			job := Job{Arrive: float64(rng.IntN(5))}
+			job.Due = job.Arrive + float64(2+rng.IntN(5))
+			for range 1 + rng.IntN(2) {
+				job.Tasks = append(job.Tasks, Task{CPUs: float64(1 + rng.IntN(2)), Run: float64(1 + rng.IntN(3))})
 			}
 			jobs = append(jobs, job)
 		}
 		got := InTime(jobs, free, 400)
 		want := bruteForce(jobs, free)
 		if got.Most < float64(want)-1e-6 {
-			t.Fatalf("seed %d: bound %.3f, but %d can be in time", seed, got.Most, want)
+			t.Fatalf("seed %d: bound %.3f, but %d jobs can meet their due times", seed, got.Most, want)
 		}
 		gap += math.Floor(got.Most+1e-6) - float64(want)
 		sum += want
 	}
-	t.Logf("%d jobs in time at most over all days; the bounds, rounded down, allow %.0f more", sum, gap)
+	t.Logf("%d jobs can meet their due times over all days; the bounds, rounded down, allow %.0f more", sum, gap)
 	if gap > 0.15*float64(sum) {
-		t.Errorf("%.0f above %d", gap, sum)
+		t.Errorf("the bounds are %.0f above %d", gap, sum)
 	}
 }
 
-// With room for all, all that can be in time alone can be in time.
+// With enough free CPUs for all, every job that can meet its due time alone does so.
 func TestBoundCountsJobsThatFitAlone(t *testing.T) {
 	jobs := []Job{{0, 10, []Task{{2, 5}}}, {3, 9, []Task{{4, 6}, {1, 2}}}, {0, 4, []Task{{1, 5}}}}
 	if got := InTime(jobs, Free{Slot: 5, CPUs: []float64{100, 100}}, 50); got.Most != 2 || got.Alone != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want a bound of 2 and 1 job that cannot be in time alone", got)
 	}
 }
