--- a/dag/graph_test.go
+++ b/dag/graph_test.go
@@ -16,31 +16,31 @@
 }
 
 // lost reports whether a job is cancelled, itself or through a dependency.
-func (m *model) lost(id string) bool {
-	return m.cancelled[id] || slices.ContainsFunc(m.needs[id], m.lost)
+func (m *model) lost(job string) bool {
+	return m.cancelled[job] || slices.ContainsFunc(m.needs[job], m.lost)
 }
 
 // ready reports whether a job waits for nothing.
-func (m *model) ready(id string) bool {
-	return !m.lost(id) && !slices.ContainsFunc(m.needs[id], func(dependency string) bool { return !m.done[dependency] })
+func (m *model) ready(job string) bool {
+	return !m.lost(job) && !slices.ContainsFunc(m.needs[job], func(dependency string) bool { return !m.done[dependency] })
 }
 
 // all returns a predicate's value for every job.
-func (m *model) all(predicate func(id string) bool) map[string]bool {
+func (m *model) all(predicate func(job string) bool) map[string]bool {
 	values := map[string]bool{}
-	for _, id := range m.ids {
-		values[id] = predicate(id)
+	for _, job := range m.ids {
+		values[job] = predicate(job)
 	}
 	return values
 }
 
 // checkNewly checks that got holds the jobs for which a predicate is true now and was not before.
-func (m *model) checkNewly(t *testing.T, operation string, got []string, before map[string]bool, now func(id string) bool) {
+func (m *model) checkNewly(t *testing.T, operation string, got []string, before map[string]bool, now func(job string) bool) {
 	t.Helper()
 	var want []string
-	for _, id := range m.ids {
-		if !before[id] && now(id) {
-			want = append(want, id)
+	for _, job := range m.ids {
+		if !before[job] && now(job) {
+			want = append(want, job)
 		}
 	}
 	slices.Sort(want)
@@ -59,39 +59,39 @@
 		for step := range 40 {
 			switch pick := rng.IntN(4); {
 			case pick < 2 || len(reference.ids) == 0:
-				id := fmt.Sprintf("run-%d", step)
+				job := fmt.Sprintf("run-%d", step)
 				var open []string
 				for _, other := range reference.ids {
 					if rng.IntN(4) == 0 && !reference.lost(other) {
-						reference.needs[id] = append(reference.needs[id], other)
+						reference.needs[job] = append(reference.needs[job], other)
 						if !reference.done[other] {
 							open = append(open, other)
 						}
 					}
 				}
-				reference.ids = append(reference.ids, id)
-				graph.Add(id, open)
+				reference.ids = append(reference.ids, job)
+				graph.Add(job, open)
 			case pick == 2:
-				id := reference.ids[rng.IntN(len(reference.ids))]
-				if reference.done[id] || !reference.ready(id) {
+				job := reference.ids[rng.IntN(len(reference.ids))]
+				if reference.done[job] || !reference.ready(job) {
 					continue
 				}
 				before := reference.all(reference.ready)
-				reference.done[id] = true
-				reference.checkNewly(t, fmt.Sprintf("seed %d, complete %s", seed, id), graph.Complete(id), before, reference.ready)
+				reference.done[job] = true
+				reference.checkNewly(t, fmt.Sprintf("seed %d, complete %s", seed, job), graph.Complete(job), before, reference.ready)
 			default:
-				id := reference.ids[rng.IntN(len(reference.ids))]
-				if reference.done[id] || reference.lost(id) {
+				job := reference.ids[rng.IntN(len(reference.ids))]
+				if reference.done[job] || reference.lost(job) {
 					continue
 				}
 				before := reference.all(reference.lost)
-				reference.cancelled[id] = true
-				before[id] = true
-				reference.checkNewly(t, fmt.Sprintf("seed %d, cancel %s", seed, id), graph.Cancel(id), before, reference.lost)
+				reference.cancelled[job] = true
+				before[job] = true
+				reference.checkNewly(t, fmt.Sprintf("seed %d, cancel %s", seed, job), graph.Cancel(job), before, reference.lost)
 			}
-			for _, id := range reference.ids {
-				if want := !reference.ready(id) && !reference.lost(id) && !reference.done[id]; graph.Waiting(id) != want {
-					t.Fatalf("seed %d: %s waits: %v, want %v", seed, id, graph.Waiting(id), want)
+			for _, job := range reference.ids {
+				if want := !reference.ready(job) && !reference.lost(job) && !reference.done[job]; graph.Waiting(job) != want {
+					t.Fatalf("seed %d: %s waits: %v, want %v", seed, job, graph.Waiting(job), want)
 				}
 			}
 		}
--- a/dag/inherit_test.go
+++ b/dag/inherit_test.go
@@ -18,7 +18,7 @@
 		"export": {TakesMS: 15}, "rewrite": {TakesMS: 25}, "sweep": {Rank: 1, TakesMS: 20, DuesMS: []int64{500}},
 		"publish": {Rank: 2, TakesMS: 8, DuesMS: []int64{200, 300}}, "other": {Rank: 3, TakesMS: 5},
 	}
-	stageOf := func(id string) (Stage, bool) { stage, ok := stages[id]; return stage, ok }
+	stageOf := func(job string) (Stage, bool) { stage, ok := stages[job]; return stage, ok }
 	got := graph.Inherit(stageOf)
 	want := map[string]struct {
 		rank int
@@ -29,9 +29,9 @@
 	if !slices.Equal(slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want))) {
 		t.Fatalf("stages of %v, want those of %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 	}
-	for id, w := range want {
-		if got[id].Rank != w.rank || !slices.Equal(got[id].DuesMS, w.dues) {
-			t.Errorf("%s: %+v, want %+v", id, got[id], w)
+	for job, w := range want {
+		if got[job].Rank != w.rank || !slices.Equal(got[job].DuesMS, w.dues) {
+			t.Errorf("%s: %+v, want %+v", job, got[job], w)
 		}
 	}
 	if !slices.Equal(stages["sweep"].DuesMS, []int64{500}) {
--- a/placement/busyheap.go
+++ b/placement/busyheap.go
@@ -16,9 +16,9 @@
 
 func newBusyHeap(servers []Server) *busyHeap {
 	b := &busyHeap{servers: servers, positions: make([]int32, len(servers))}
-	for i, s := range servers {
+	for i, server := range servers {
 		b.positions[i] = -1
-		if s.Mu > 0 {
+		if server.Mu > 0 {
 			b.positions[i] = int32(len(b.order))
 			b.order = append(b.order, int32(i))
 		}
--- a/placement/filler.go
+++ b/placement/filler.go
@@ -67,18 +67,18 @@
 // addOthers adds the servers that lack inputs and that, with the cost of copying them, are still below a level.
 func (f *groupFiller) addOthers(groupIndex int, group *Group, level int) {
 	holders, rate := group.Holders, f.inputCost.Rate(groupIndex)
-	for i, s := range f.servers {
+	for i, server := range f.servers {
 		for len(holders) > 0 && int(holders[0]) < i {
 			holders = holders[1:]
 		}
-		if s.Mu <= 0 || len(holders) > 0 && int(holders[0]) == i || s.Busy+1 >= level {
+		if server.Mu <= 0 || len(holders) > 0 && int(holders[0]) == i || server.Busy+1 >= level {
 			continue
 		}
 		// The link copies the inputs of one task after the other, so only one can start at once, however many
 		// processors are idle.
-		s.Busy, s.Mu, s.Free = s.Busy+f.inputCost.Slots(groupIndex, i), min(s.Mu, rate), min(s.Free, 1)
-		if s.Busy < level {
-			f.participants, f.members = append(f.participants, s), append(f.members, member{int32(i), false})
+		server.Busy, server.Mu, server.Free = server.Busy+f.inputCost.Slots(groupIndex, i), min(server.Mu, rate), min(server.Free, 1)
+		if server.Busy < level {
+			f.participants, f.members = append(f.participants, server), append(f.members, member{int32(i), false})
 		}
 	}
 }
@@ -86,9 +86,9 @@
 // minBusy returns the least Busy of all servers that take tasks, and math.MaxInt if there are none.
 func (f *groupFiller) minBusy() int {
 	least := math.MaxInt
-	for _, s := range f.servers {
-		if s.Mu > 0 {
-			least = min(least, s.Busy)
+	for _, server := range f.servers {
+		if server.Mu > 0 {
+			least = min(least, server.Busy)
 		}
 	}
 	return least
@@ -97,9 +97,9 @@
 // sortBelow fills byLoad with the participants below a level.
 func (f *groupFiller) sortBelow(level int) {
 	order, sorted := f.byLoad[:0], true
-	for i, s := range f.participants {
-		if s.Busy < level {
-			sorted = sorted && (len(order) == 0 || f.participants[order[len(order)-1]].Busy <= s.Busy)
+	for i, server := range f.participants {
+		if server.Busy < level {
+			sorted = sorted && (len(order) == 0 || f.participants[order[len(order)-1]].Busy <= server.Busy)
 			order = append(order, int32(i))
 		}
 	}
@@ -164,12 +164,12 @@
 func (f *groupFiller) bestServer(groupIndex int, group *Group) int {
 	best, level := -1, 0
 	consider := func(i, copySlots int) {
-		s := f.servers[i]
-		if s.Mu <= 0 {
+		server := f.servers[i]
+		if server.Mu <= 0 {
 			return
 		}
-		finished := s.Busy + copySlots + ceil(1/s.Mu)
-		if best < 0 || finished < level || finished == level && s.Free > f.servers[best].Free {
+		finished := server.Busy + copySlots + ceil(1/server.Mu)
+		if best < 0 || finished < level || finished == level && server.Free > f.servers[best].Free {
 			best, level = i, finished
 		}
 	}
--- a/placement/optimum_test.go
+++ b/placement/optimum_test.go
@@ -82,8 +82,8 @@
 		x, _ := Level(holders, len(g.Tasks)) // (6)
 		low = max(low, x)
 	}
-	for _, s := range servers {
-		high = max(high, s.Busy+ceil(float64(all)/s.Mu))
+	for _, server := range servers {
+		high = max(high, server.Busy+ceil(float64(all)/server.Mu))
 	}
 	for low < high {
 		middle := (low + high) / 2
@@ -108,8 +108,8 @@
 			n.addEdge(groupIndex, len(groups)+int(holder), tasks)
 		}
 	}
-	for i, s := range servers {
-		n.addEdge(len(groups)+i, sink, int(float64(max(0, level-s.Busy))*s.Mu))
+	for i, server := range servers {
+		n.addEdge(len(groups)+i, sink, int(float64(max(0, level-server.Busy))*server.Mu))
 	}
 	ok = n.maxFlow(source, sink) == tasks
 	used = make([]int, len(servers))
--- a/placement/paper_test.go
+++ b/placement/paper_test.go
@@ -76,25 +76,25 @@
 // optimum), and the time of a decision.
 func simulateQueues(jobs []paperJob, optimum func(servers []Server, groups []Group) (int, []int)) (mean, best float64, each time.Duration) {
 	busyUntil := make([]float64, 100)
-	for _, j := range jobs {
+	for _, job := range jobs {
 		servers := make([]Server, len(busyUntil))
 		for i := range servers {
-			servers[i] = Server{Busy: int(math.Ceil(max(0, busyUntil[i]-j.arrival))), Mu: j.mu[i]}
+			servers[i] = Server{Busy: int(math.Ceil(max(0, busyUntil[i]-job.arrival))), Mu: job.mu[i]}
 		}
 		before := slices.Clone(servers)
 		began := time.Now()
-		FillGroups(servers, j.groups, nil, len(j.groups))
+		FillGroups(servers, job.groups, nil, len(job.groups))
 		each += time.Since(began)
 		done := 0
-		for i, s := range servers {
-			if s.Busy > before[i].Busy {
-				done = max(done, s.Busy)
-				busyUntil[i] = max(busyUntil[i], j.arrival+float64(s.Busy))
+		for i, server := range servers {
+			if server.Busy > before[i].Busy {
+				done = max(done, server.Busy)
+				busyUntil[i] = max(busyUntil[i], job.arrival+float64(server.Busy))
 			}
 		}
 		mean += float64(done) / float64(len(jobs))
 		if optimum != nil {
-			level, _ := optimum(before, j.groups)
+			level, _ := optimum(before, job.groups)
 			best += float64(level) / float64(len(jobs))
 		}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -47,9 +47,9 @@
 // coveredTasks returns how many tasks the servers finish up to a level: the left side of (9).
 func coveredTasks(servers []Server, level int) float64 {
 	sum := 0.0
-	for _, s := range servers {
-		if level > s.Busy {
-			sum += float64(level-s.Busy) * s.Mu
+	for _, server := range servers {
+		if level > server.Busy {
+			sum += float64(level-server.Busy) * server.Mu
 		}
 	}
 	return sum
@@ -80,22 +80,22 @@
 // server takes tasks.
 func levelBounds(servers []Server, tasks int) (low, high int, ok bool) {
 	low, high = math.MaxInt, math.MaxInt
-	mu, work := 0.0, 0.0
-	for _, s := range servers {
-		if s.Mu <= 0 {
+	totalMu, work := 0.0, 0.0
+	for _, server := range servers {
+		if server.Mu <= 0 {
 			continue
 		}
 		ok = true
 		// This server alone covers the tasks at this level, as in (5).
-		high = min(high, s.Busy+ceil(float64(tasks)/s.Mu))
+		high = min(high, server.Busy+ceil(float64(tasks)/server.Mu))
 		// Below its queue no server takes any.
-		low = min(low, s.Busy+1)
-		mu += s.Mu
-		work += float64(s.Busy) * s.Mu
+		low = min(low, server.Busy+1)
+		totalMu += server.Mu
+		work += float64(server.Busy) * server.Mu
 	}
 	// All servers together cover the tasks at this level even if each of them also has to catch up on a queue that is
 	// longer than the level, which none has to.
-	if combined := math.Ceil((float64(tasks)+work)/mu + epsilon); combined < float64(high) {
+	if combined := math.Ceil((float64(tasks)+work)/totalMu + epsilon); combined < float64(high) {
 		high = max(low, int(combined))
 	}
 	return low, high, ok
@@ -116,12 +116,12 @@
 	shares := make([]int, len(servers))
 	last := -1
 	left := tasks
-	for i, s := range servers {
-		if s.Busy >= level || s.Mu <= 0 {
+	for i, server := range servers {
+		if server.Busy >= level || server.Mu <= 0 {
 			continue
 		}
 		last = i
-		n := min(left, s.share(level))
+		n := min(left, server.share(level))
 		shares[i] = n
 		left -= n
 	}
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -13,11 +13,11 @@
 
 // Counts are users' requests since the counts were last taken.
 type Counts struct {
-	// Questions are requests for a job's state, Requests all others, and Refused those of both that were told to try
+	// StateQueries are requests for a job's state, OtherRequests all others, and Refused those of both that were told to try
 	// again later.
-	Questions, Requests, Refused int
-	// Passed is how often a request was handled without the leader, as it did not answer.
-	Passed int
+	StateQueries, OtherRequests, Refused int
+	// LeaderBypassed is how often a request was handled without the leader, as it did not answer.
+	LeaderBypassed int
 }
 
 // Counter counts requests. The zero value is ready for use. It is safe for concurrent use.
@@ -32,20 +32,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if question {
-		c.current.Questions++
+		c.current.StateQueries++
 	} else {
-		c.current.Requests++
+		c.current.OtherRequests++
 	}
 	if refused {
 		c.current.Refused++
 	}
 }
 
-// Passed counts a request that was handled without the leader, as it did not answer.
+// LeaderBypassed counts a request that was handled without the leader, as it did not answer.
 func (c *Counter) Passed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.current.Passed++
+	c.current.LeaderBypassed++
 }
 
 // Take returns the counts and resets them.
@@ -66,7 +66,7 @@
 		case <-clock.After(every):
 		}
 		if counts := c.Take(); counts != (Counts{}) {
-			slog.Info("request statistics", "questions", counts.Questions, "other_requests", counts.Requests, "refused", counts.Refused, "leader_silent", counts.Passed)
+			slog.Info("request statistics", "questions", counts.StateQueries, "other_requests", counts.OtherRequests, "refused", counts.Refused, "leader_silent", counts.LeaderBypassed)
 		}
 	}
 }
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -8,7 +8,7 @@
 	counter.Add(true, true)
 	counter.Add(false, true)
 	counter.Passed()
-	want := Counts{Questions: 2, Requests: 1, Refused: 2, Passed: 1}
+	want := Counts{StateQueries: 2, OtherRequests: 1, Refused: 2, LeaderBypassed: 1}
 	if got := counter.Take(); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
