--- a/ageing/ageing_test.go
+++ b/ageing/ageing_test.go
@@ -8,7 +8,7 @@
 
 func TestDueAfterWaitingSinceLastStart(t *testing.T) {
 	waitingSince := time.Unix(1_800_000_000, 0)
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name             string
 		after, lastStart time.Duration
 		want             bool
@@ -18,13 +18,13 @@
 		{"started since, waits for less than the limit", 200 * time.Second, 60 * time.Second, false},
 		{"started since, waits for the limit", 210 * time.Second, 60 * time.Second, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			var lastStart time.Time
-			if c.lastStart > 0 {
-				lastStart = waitingSince.Add(c.lastStart)
+			if testCase.lastStart > 0 {
+				lastStart = waitingSince.Add(testCase.lastStart)
 			}
-			if got := Due(waitingSince.Add(c.after), waitingSince, lastStart, 150*time.Second); got != c.want {
-				t.Errorf("due %v, want %v", got, c.want)
+			if got := Due(waitingSince.Add(testCase.after), waitingSince, lastStart, 150*time.Second); got != testCase.want {
+				t.Errorf("due %v, want %v", got, testCase.want)
 			}
 		})
 	}
@@ -41,7 +41,7 @@
 		{"a1", "a", seconds(5, 9)}, {"a2", "a", seconds(30)},
 		{"b1", "b", seconds(1, 2)}, {"b2", "b", seconds(40, 40)}, {"b3", "b", nil},
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		tasks   int
 		oneZone bool
@@ -56,10 +56,10 @@
 		{"the fleet is not large enough", 8, false, nil, 0},
 		{"no tasks", 0, false, nil, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			names, at := Keep(machines, c.tasks, c.oneZone)
-			if !slices.Equal(names, c.want) || at != time.Duration(c.seconds)*time.Second {
-				t.Errorf("%v in %v, want %v in %d s", names, at, c.want, c.seconds)
+		t.Run(testCase.name, func(t *testing.T) {
+			names, at := Keep(machines, testCase.tasks, testCase.oneZone)
+			if !slices.Equal(names, testCase.want) || at != time.Duration(testCase.seconds)*time.Second {
+				t.Errorf("%v in %v, want %v in %d s", names, at, testCase.want, testCase.seconds)
 			}
 		})
 	}
--- a/cost/cost_test.go
+++ b/cost/cost_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestCopyWaitsForTheSlowerOfLinkAndStore(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name                                                  string
 		bytes, linkBacklog, linkRate, storeBacklog, storeRate float64
 		storeOnly                                             bool
@@ -16,9 +16,9 @@
 		{"the link is slower than the store", 100, 0, 1, 0, 10, true, 100},
 		{"no limits", 100, 50, 0, 50, 0, true, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := Copy(c.bytes, c.linkBacklog, c.linkRate, c.storeBacklog, c.storeRate, c.storeOnly); got != c.want {
-				t.Errorf("%v s, want %v s", got, c.want)
+		t.Run(testCase.name, func(t *testing.T) {
+			if got := Copy(testCase.bytes, testCase.linkBacklog, testCase.linkRate, testCase.storeBacklog, testCase.storeRate, testCase.storeOnly); got != testCase.want {
+				t.Errorf("%v s, want %v s", got, testCase.want)
 			}
 		})
 	}
--- a/feasibility/feasibility_test.go
+++ b/feasibility/feasibility_test.go
@@ -17,7 +17,7 @@
 		{Spec: large, Zone: "a", Used: fleet.Resources{CPUs: 30}},
 	}
 	pools := []Pool{{small, "a", false}, {small, "b", false}, {large, "b", false}, {large, "b", true}}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name string
 		job  api.Submission
 		// wantPool is the pool for an unplaceable job; "": the job is placeable.
@@ -30,16 +30,16 @@
 		{"services leave enough of its machine type", api.Submission{CPUs: 1, MemoryGB: 100}, ""},
 		{"too large for what services leave", api.Submission{CPUs: 8, MemoryGB: 100}, "large b"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			unplaceable := Unplaceable([]*api.Submission{&c.job, &c.job}, machines)
-			if len(unplaceable) != min(1, len(c.wantPool)) {
-				t.Fatalf("%d jobs unplaceable, want %d", len(unplaceable), min(1, len(c.wantPool)))
+		t.Run(testCase.name, func(t *testing.T) {
+			unplaceable := Unplaceable([]*api.Submission{&testCase.job, &testCase.job}, machines)
+			if len(unplaceable) != min(1, len(testCase.wantPool)) {
+				t.Fatalf("%d jobs unplaceable, want %d", len(unplaceable), min(1, len(testCase.wantPool)))
 			}
 			if len(unplaceable) == 0 {
 				return
 			}
-			if pool, ok := PoolFor(unplaceable[0], pools); !ok || pool.Type.Name+" "+pool.Zone != c.wantPool {
-				t.Errorf("pool %+v, want %s", pool, c.wantPool)
+			if pool, ok := PoolFor(unplaceable[0], pools); !ok || pool.Type.Name+" "+pool.Zone != testCase.wantPool {
+				t.Errorf("pool %+v, want %s", pool, testCase.wantPool)
 			}
 		})
 	}
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -37,12 +37,12 @@
 func TestNewerByIncarnationThenSequence(t *testing.T) {
 	machine := &Machine{}
 	machine.ApplyHeartbeat(&api.Heartbeat{Incarnation: 2, Seq: 9}, time.Now())
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		incarnation, seq uint64
 		want             bool
 	}{{2, 10, true}, {2, 9, false}, {1, 50, false}, {3, 1, true}} {
-		if got := machine.Newer(&api.Heartbeat{Incarnation: c.incarnation, Seq: c.seq}); got != c.want {
-			t.Errorf("heartbeat %d of incarnation %d is newer: %v, want %v", c.seq, c.incarnation, got, c.want)
+		if got := machine.Newer(&api.Heartbeat{Incarnation: testCase.incarnation, Seq: testCase.seq}); got != testCase.want {
+			t.Errorf("heartbeat %d of incarnation %d is newer: %v, want %v", testCase.seq, testCase.incarnation, got, testCase.want)
 		}
 	}
 }
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -54,19 +54,19 @@
 
 // A machine without the inputs takes part once their holders are busy for longer than copying takes, and not before.
 func TestMachineWithoutInputsIsUsedOnlyIfCopyingIsSooner(t *testing.T) {
-	for _, c := range []struct{ copySlots, wantAway int }{{100, 0}, {2, 8}} {
+	for _, testCase := range []struct{ copySlots, wantAway int }{{100, 0}, {2, 8}} {
 		servers := []Server{{Busy: 10, Mu: 1}, {Busy: 0, Mu: 1}}
 		groups := []Group{{tasks(0, 10), []int32{0}}}
 		away := 0
-		for _, s := range FillGroups(servers, groups, flatCost{c.copySlots}, 64) {
+		for _, s := range FillGroups(servers, groups, flatCost{testCase.copySlots}, 64) {
 			if s.Server == 1 {
 				away += len(s.Tasks)
 			}
 		}
-		if (away > 0) != (c.wantAway > 0) || away < c.wantAway {
-			t.Errorf("copying takes %d slots: %d tasks on the machine without inputs", c.copySlots, away)
+		if (away > 0) != (testCase.wantAway > 0) || away < testCase.wantAway {
+			t.Errorf("copying takes %d slots: %d tasks on the machine without inputs", testCase.copySlots, away)
 		}
-		if c.wantAway > 0 && servers[1].Busy != away {
+		if testCase.wantAway > 0 && servers[1].Busy != away {
 			t.Errorf("the machine that copies is busy for %d slots with %d tasks", servers[1].Busy, away)
 		}
 	}
--- a/placement/optimum_test.go
+++ b/placement/optimum_test.go
@@ -101,22 +101,22 @@
 // do.
 func flowWithin(servers []Server, groups []Group, tasks, level int) (used []int, ok bool) {
 	source, sink := len(groups)+len(servers), len(groups)+len(servers)+1
-	n := network{make([][]edge, sink+1)}
+	flow := network{make([][]edge, sink+1)}
 	for groupIndex := range groups {
-		n.addEdge(source, groupIndex, len(groups[groupIndex].Tasks))
+		flow.addEdge(source, groupIndex, len(groups[groupIndex].Tasks))
 		for _, holder := range groups[groupIndex].Holders {
-			n.addEdge(groupIndex, len(groups)+int(holder), tasks)
+			flow.addEdge(groupIndex, len(groups)+int(holder), tasks)
 		}
 	}
 	for i, server := range servers {
-		n.addEdge(len(groups)+i, sink, int(float64(max(0, level-server.Busy))*server.Mu))
+		flow.addEdge(len(groups)+i, sink, int(float64(max(0, level-server.Busy))*server.Mu))
 	}
-	ok = n.maxFlow(source, sink) == tasks
+	ok = flow.maxFlow(source, sink) == tasks
 	used = make([]int, len(servers))
 	for i := range servers {
-		edges := n.edges[len(groups)+i]
+		edges := flow.edges[len(groups)+i]
 		toSink := edges[len(edges)-1]
-		used[i] = n.edges[sink][toSink.back].capacity
+		used[i] = flow.edges[sink][toSink.back].capacity
 	}
 	return used, ok
 }
--- a/placement/paper_test.go
+++ b/placement/paper_test.go
@@ -25,15 +25,15 @@
 	out := make([]paperJob, jobs)
 	weight := make([][]float64, jobs)
 	sum := 0.0
-	for j := range out {
+	for jobIndex := range out {
 		n := 1
 		for n < 25 && rng.Float64() > 1/5.52 {
 			n++
 		}
 		for range n {
-			w := math.Exp(rng.NormFloat64() * 1.4)
-			weight[j] = append(weight[j], w)
-			sum += w
+			groupWeight := math.Exp(rng.NormFloat64() * 1.4)
+			weight[jobIndex] = append(weight[jobIndex], groupWeight)
+			sum += groupWeight
 		}
 	}
 	zipf := make([]float64, servers)
@@ -44,14 +44,14 @@
 	}
 	span := total / (servers * 4 * load)
 	arrival := 0.0
-	for j := range out {
+	for jobIndex := range out {
 		arrival += rng.ExpFloat64() * span / jobs
-		out[j].arrival = arrival
+		out[jobIndex].arrival = arrival
 		for range servers {
-			out[j].mu = append(out[j].mu, float64(3+rng.IntN(3)))
+			out[jobIndex].mu = append(out[jobIndex].mu, float64(3+rng.IntN(3)))
 		}
 		task := 0
-		for _, w := range weight[j] {
+		for _, groupWeight := range weight[jobIndex] {
 			first, x := 0, rng.Float64()*norm
 			for x > zipf[first] && first < servers-1 {
 				x -= zipf[first]
@@ -62,11 +62,11 @@
 				on = append(on, int32((first+i)%servers))
 			}
 			slices.Sort(on)
-			n := max(1, int(math.Round(w/sum*total)))
-			out[j].groups = append(out[j].groups, Group{tasks(task, task+n), on})
+			n := max(1, int(math.Round(groupWeight/sum*total)))
+			out[jobIndex].groups = append(out[jobIndex].groups, Group{tasks(task, task+n), on})
 			task += n
 		}
-		slices.SortStableFunc(out[j].groups, func(a, b Group) int { return len(a.Holders) - len(b.Holders) })
+		slices.SortStableFunc(out[jobIndex].groups, func(a, b Group) int { return len(a.Holders) - len(b.Holders) })
 	}
 	return out
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -8,16 +8,16 @@
 
 // With b = 0, 2, 5, mu = 2, 1, 4 and ten tasks, the servers cover 6+1+0 = 7 at level 3, and 8+2 = 10 at level 4.
 func TestFillMatchesWorkedExample(t *testing.T) {
-	s := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
-	if l, ok := Level(s, 10); !ok || l != 4 {
+	servers := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
+	if l, ok := Level(servers, 10); !ok || l != 4 {
 		t.Fatalf("level %d, want 4", l)
 	}
-	if got := Fill(s, 10); !slices.Equal(got, []int{8, 2, 0}) {
+	if got := Fill(servers, 10); !slices.Equal(got, []int{8, 2, 0}) {
 		t.Errorf("shares %v, want 8, 2, 0", got)
 	}
 	// Busy becomes max(b, level).
-	if s[0].Busy != 4 || s[1].Busy != 4 || s[2].Busy != 5 {
-		t.Errorf("busy until %+v, want 4, 4, 5", s)
+	if servers[0].Busy != 4 || servers[1].Busy != 4 || servers[2].Busy != 5 {
+		t.Errorf("busy until %+v, want 4, 4, 5", servers)
 	}
 	// Nine tasks need level 4 as well; the last server below it gets only the rest.
 	if got := Fill([]Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}, 9); !slices.Equal(got, []int{8, 1, 0}) {
@@ -28,12 +28,12 @@
 // Ten tasks that last 12 slots are assigned to three idle machines that run four at once, not one each to ten machines: a
 // machine with one small task cannot take a large one. A machine above the level still gets none.
 func TestFillUsesFreeSlotsOfOneMachineFirst(t *testing.T) {
-	var s []Server
+	var servers []Server
 	for range 12 {
-		s = append(s, Server{Mu: 4.0 / 12, Free: 4})
+		servers = append(servers, Server{Mu: 4.0 / 12, Free: 4})
 	}
-	s[0] = Server{Busy: 9, Mu: 4.0 / 12, Free: 4}
-	if got := Fill(s, 10); !slices.Equal(got[:4], []int{0, 4, 4, 2}) {
+	servers[0] = Server{Busy: 9, Mu: 4.0 / 12, Free: 4}
+	if got := Fill(servers, 10); !slices.Equal(got[:4], []int{0, 4, 4, 2}) {
 		t.Errorf("shares %v, want 0, 4, 4, 2 and no more", got)
 	}
 }
@@ -54,31 +54,31 @@
 func TestLevelAndFillAgainstBruteForce(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
-		var s []Server
+		var servers []Server
 		for range 1 + rnd.IntN(8) {
-			s = append(s, Server{Busy: rnd.IntN(20), Mu: float64(rnd.IntN(9)) / 4})
+			servers = append(servers, Server{Busy: rnd.IntN(20), Mu: float64(rnd.IntN(9)) / 4})
 		}
 		tasks := 1 + rnd.IntN(60)
 		want := -1
 		for level := 0; level < 2000 && want < 0; level++ {
 			sum := 0.0
-			for _, x := range s {
+			for _, x := range servers {
 				sum += float64(max(level-x.Busy, 0)) * x.Mu
 			}
 			if sum >= float64(tasks) {
 				want = level
 			}
 		}
-		got, ok := Level(s, tasks)
+		got, ok := Level(servers, tasks)
 		if ok != (want >= 0) || ok && got != want {
-			t.Fatalf("%v, %d tasks: level %d, want %d", s, tasks, got, want)
+			t.Fatalf("%v, %d tasks: level %d, want %d", servers, tasks, got, want)
 		}
 		if !ok {
 			continue
 		}
-		before := slices.Clone(s)
+		before := slices.Clone(servers)
 		sum := 0
-		for i, n := range Fill(s, tasks) {
+		for i, n := range Fill(servers, tasks) {
 			sum += n
 			if n > 0 && before[i].Busy >= got {
 				t.Fatalf("%v: server %d above the level got %d", before, i, n)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -11,7 +11,7 @@
 func cpus(n float64) fleet.Resources { return fleet.Resources{CPUs: n} }
 
 func TestLimitAllowsUsageUpToItsAmounts(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		limit Limit
 		use   fleet.Resources
@@ -23,9 +23,9 @@
 		{"over one of two limits", Limit{CPUs: 8, Cards: 2}, fleet.Resources{CPUs: 1, Cards: 3}, false},
 		{"only cards are limited", Limit{Cards: 2}, fleet.Resources{CPUs: 99, Cards: 2}, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := c.limit.Allows(c.use); got != c.want {
-				t.Errorf("%+v allows %+v: %v, want %v", c.limit, c.use, got, c.want)
+		t.Run(testCase.name, func(t *testing.T) {
+			if got := testCase.limit.Allows(testCase.use); got != testCase.want {
+				t.Errorf("%+v allows %+v: %v, want %v", testCase.limit, testCase.use, got, testCase.want)
 			}
 		})
 	}
--- a/softstate/images_test.go
+++ b/softstate/images_test.go
@@ -66,12 +66,12 @@
 }
 
 func TestDecodeImagesOfDamagedRecords(t *testing.T) {
-	for _, c := range []struct{ name, raw string }{
+	for _, testCase := range []struct{ name, raw string }{
 		{"no JSON", "{"},
 		{"sizes are missing", `{"i":["a"],"g":[],"m":{}}`},
 	} {
-		if _, err := DecodeImages([]byte(c.raw)); err == nil {
-			t.Errorf("%s: no error", c.name)
+		if _, err := DecodeImages([]byte(testCase.raw)); err == nil {
+			t.Errorf("%s: no error", testCase.name)
 		}
 	}
 	images, err := DecodeImages([]byte(`{"i":["a"],"g":[1],"m":{"n-1":[0,1,-1]}}`))
--- a/topology/declaration.go
+++ b/topology/declaration.go
@@ -58,40 +58,40 @@
 // Map returns the declared topology. Report is called for every mistake, with its field and what is expected there; if
 // it was called, the result must not be used.
 func (d *Declaration) Map(report func(field, want string)) *Map {
-	b := builder{report: report, topology: &Map{version: d.Version, byName: map[string]*Domain{}, devices: d.Devices}}
+	checked := mapBuilder{report: report, topology: &Map{version: d.Version, byName: map[string]*Domain{}, devices: d.Devices}}
 	if d.Version < 1 {
-		b.reportf("version", "must be 1 or more, and grow with each change, not %d", d.Version)
+		checked.reportf("version", "must be 1 or more, and grow with each change, not %d", d.Version)
 	}
 	for i, entry := range d.Domains {
-		b.addDomain(fmt.Sprintf("domain[%d]", i), entry)
+		checked.addDomain(fmt.Sprintf("domain[%d]", i), entry)
 	}
 	for i, entry := range d.Domains {
-		b.setParent(fmt.Sprintf("domain[%d].in", i), entry)
+		checked.setParent(fmt.Sprintf("domain[%d].in", i), entry)
 	}
 	for i, entry := range d.Devices {
-		b.checkDevices(fmt.Sprintf("devices[%d]", i), entry)
+		checked.checkDevices(fmt.Sprintf("devices[%d]", i), entry)
 	}
-	for _, domain := range b.topology.domains {
+	for _, domain := range checked.topology.domains {
 		for ancestor := domain; ancestor != nil; ancestor = ancestor.Parent {
 			domain.path = append(domain.path, ancestor.Name)
 		}
 	}
-	return b.topology
+	return checked.topology
 }
 
-// builder makes a Map from a declaration and reports the mistakes that it finds.
-type builder struct {
+// mapBuilder makes a Map from a declaration and reports the mistakes that it finds.
+type mapBuilder struct {
 	topology *Map
 	report   func(field, want string)
 }
 
 // reportf reports a mistake in a field.
-func (b *builder) reportf(field, format string, args ...any) {
+func (b *mapBuilder) reportf(field, format string, args ...any) {
 	b.report(field, fmt.Sprintf(format, args...))
 }
 
 // checkPatterns reports patterns of machines' names that are malformed.
-func (b *builder) checkPatterns(field string, patterns []string) {
+func (b *mapBuilder) checkPatterns(field string, patterns []string) {
 	for _, pattern := range patterns {
 		if _, err := path.Match(pattern, "x"); err != nil || pattern == "" {
 			b.reportf(field, "pattern %q is malformed; write names with * and ?, like n-0001*", pattern)
@@ -100,7 +100,7 @@
 }
 
 // addDomain adds a domain without its parent, which may be declared later.
-func (b *builder) addDomain(field string, entry DomainEntry) {
+func (b *mapBuilder) addDomain(field string, entry DomainEntry) {
 	if entry.Name == "" || b.topology.byName[entry.Name] != nil {
 		b.reportf(field+".name", "%q is missing or stands twice", entry.Name)
 		return
@@ -115,7 +115,7 @@
 }
 
 // setParent sets the parent of a domain, if one is declared.
-func (b *builder) setParent(field string, entry DomainEntry) {
+func (b *mapBuilder) setParent(field string, entry DomainEntry) {
 	domain := b.topology.byName[entry.Name]
 	if domain == nil || entry.In == "" {
 		return
@@ -133,7 +133,7 @@
 }
 
 // checkDevices reports mistakes in the cards of machines.
-func (b *builder) checkDevices(field string, entry DeviceEntry) {
+func (b *mapBuilder) checkDevices(field string, entry DeviceEntry) {
 	if len(entry.Machines) == 0 {
 		b.reportf(field+".machines", "is missing")
 	}
--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -24,16 +24,16 @@
 	if topology, err := file.Reload(); topology != nil || err != nil {
 		t.Fatalf("unchanged file: topology %v and error %v, want neither", topology, err)
 	}
-	for _, c := range []struct{ name, text, want string }{
+	for _, testCase := range []struct{ name, text, want string }{
 		{"unknown level", "version = 4\n[[domain]]\nname = \"r1\"\nlevel = \"row\"\n", "level"},
 		{"same version", "version = 3\n" + rack + "\n", "must grow"},
 	} {
-		write(c.text)
-		if topology, err := file.Reload(); topology != nil || err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: topology %v and error %v, want none and one with %q", c.name, topology, err, c.want)
+		write(testCase.text)
+		if topology, err := file.Reload(); topology != nil || err == nil || !strings.Contains(err.Error(), testCase.want) {
+			t.Errorf("%s: topology %v and error %v, want none and one with %q", testCase.name, topology, err, testCase.want)
 		}
 		if topology, err := file.Reload(); topology != nil || err != nil || file.Map().Version() != 3 {
-			t.Errorf("%s: reported twice, or in use: %v", c.name, err)
+			t.Errorf("%s: reported twice, or in use: %v", testCase.name, err)
 		}
 	}
 	if err := os.Remove(path); err != nil {
--- a/topology/tree_test.go
+++ b/topology/tree_test.go
@@ -15,18 +15,18 @@
 	for _, machine := range []string{"n-1a", "n-1b", "n-2a", "n-3a", "x-1"} {
 		tree.Set(machine, fleet.Resources{CPUs: 8, MemoryGB: 32}, true)
 	}
-	for _, c := range []struct{ machine, level, want string }{
+	for _, testCase := range []struct{ machine, level, want string }{
 		{"n-1a", Rack, "rack r1"}, {"n-1a", Switch, "switch s1"}, {"n-2a", Switch, "switch s1"}, {"n-3a", Zone, "zone west"},
 		// A machine without a domain of the level is a failure domain of its own.
 		{"n-3a", Switch, "machine n-3a"}, {"x-1", Zone, "machine x-1"}, {"n-1a", Machine, "machine n-1a"},
 	} {
-		place := tree.Place(c.machine, c.level)
+		place := tree.Place(testCase.machine, testCase.level)
 		got := Machine + " " + place.Machine
 		if place.Domain != nil {
 			got = place.Domain.Level + " " + place.Domain.Name
 		}
-		if got != c.want {
-			t.Errorf("%s at %s: %s, want %s", c.machine, c.level, got, c.want)
+		if got != testCase.want {
+			t.Errorf("%s at %s: %s, want %s", testCase.machine, testCase.level, got, testCase.want)
 		}
 	}
 	if tree.Unlisted() != 1 || tree.Ambiguous() != 0 {
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// LeaderBypassed counts a request that was handled without the leader, as it did not answer.
+// Passed counts a request that was handled without the leader, as it did not answer.
 func (c *Counter) Passed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
