--- a/placement/filler.go
+++ b/placement/filler.go
@@ -67,22 +67,28 @@
 // addOthers adds the servers that lack inputs and that, with the cost of copying them, are still below a level.
 func (f *groupFiller) addOthers(groupIndex int, group *Group, level int) {
 	holders, rate := group.Holders, f.inputCost.Rate(groupIndex)
-	for i, server := range f.servers {
-		for len(holders) > 0 && int(holders[0]) < i {
+	for index, server := range f.servers {
+		for len(holders) > 0 && int(holders[0]) < index {
 			holders = holders[1:]
 		}
-		if server.Mu <= 0 || len(holders) > 0 && int(holders[0]) == i || server.Busy+1 >= level {
+		isHolder := len(holders) > 0 && int(holders[0]) == index
+		if isHolder || server.Mu <= 0 || server.Busy+1 >= level {
 			continue
 		}
-		// The link copies the inputs of one task after the other, so only one can start at once, however many
-		// processors are idle.
-		server.Busy, server.Mu, server.Free = server.Busy+f.inputCost.Slots(groupIndex, i), min(server.Mu, rate), min(server.Free, 1)
-		if server.Busy < level {
-			f.participants, f.members = append(f.participants, server), append(f.members, member{int32(i), false})
+		copying := server.copying(f.inputCost.Slots(groupIndex, index), rate)
+		if copying.Busy < level {
+			f.participants, f.members = append(f.participants, copying), append(f.members, member{int32(index), false})
 		}
 	}
 }
 
+// copying returns a server as a group sees it whose inputs it must copy, in so many slots for one task and at a rate of so
+// many tasks in a slot. Its link copies the inputs of one task after the other, so only one task can start at once, however
+// many processors are idle.
+func (s Server) copying(slots int, rate float64) Server {
+	return Server{Busy: s.Busy + slots, Mu: min(s.Mu, rate), Free: min(s.Free, 1)}
+}
+
 // minBusy returns the least Busy of all servers that take tasks, and math.MaxInt if there are none.
 func (f *groupFiller) minBusy() int {
 	least := math.MaxInt
@@ -142,23 +148,26 @@
 // placeSingly assigns the tasks of a small group one by one.
 func (f *groupFiller) placeSingly(groupIndex int, group *Group) {
 	for i := range group.Tasks {
-		best := f.bestServer(groupIndex, group)
-		if best < 0 {
-			continue
+		if best := f.bestServer(groupIndex, group); best >= 0 {
+			f.assignOne(groupIndex, group, best, group.Tasks[i:i+1:i+1])
 		}
-		server := &f.servers[best]
-		server.Busy += ceil(1 / server.Mu)
-		server.Free = max(0, server.Free-1)
-		if f.leastLoaded != nil {
-			f.leastLoaded.fix(best)
-		}
-		if _, holds := slices.BinarySearch(group.Holders, int32(best)); !holds {
-			f.inputCost.Took(groupIndex, best, 1)
-		}
-		f.shares = append(f.shares, Share{best, group.Tasks[i : i+1 : i+1]})
 	}
 }
 
+// assignOne gives one task of a group to a server.
+func (f *groupFiller) assignOne(groupIndex int, group *Group, best int, task []int32) {
+	server := &f.servers[best]
+	server.Busy += ceil(1 / server.Mu)
+	server.Free = max(0, server.Free-1)
+	if f.leastLoaded != nil {
+		f.leastLoaded.fix(best)
+	}
+	if _, holds := slices.BinarySearch(group.Holders, int32(best)); !holds {
+		f.inputCost.Took(groupIndex, best, 1)
+	}
+	f.shares = append(f.shares, Share{best, task})
+}
+
 // bestServer returns the server on which one more task of a group is finished first, or -1 if none takes it: a holder of
 // the group's inputs, or the least busy of all servers with the cost of copying them.
 func (f *groupFiller) bestServer(groupIndex int, group *Group) int {
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -117,11 +117,11 @@
 // BenchmarkFleet measures one decision at scale: a job of 1,000 tasks whose inputs have up to three holders each, in 64
 // groups by water-filling, or scattered over 1,000 groups, of which all but 64 are placed one by one.
 func BenchmarkFleet(b *testing.B) {
-	for _, n := range []int{250, 500, 1000, 2000} {
+	for _, machines := range []int{250, 500, 1000, 2000} {
 		for _, kind := range []string{"groups=64", "scattered"} {
-			b.Run(fmt.Sprintf("machines=%d/%s", n, kind), func(b *testing.B) {
-				rng := rand.New(rand.NewPCG(5, uint64(n)))
-				servers := make([]Server, n)
+			b.Run(fmt.Sprintf("machines=%d/%s", machines, kind), func(b *testing.B) {
+				rng := rand.New(rand.NewPCG(5, uint64(machines)))
+				servers := make([]Server, machines)
 				for i := range servers {
 					servers[i] = Server{Busy: rng.IntN(40), Mu: 0.1 + rng.Float64(), Free: rng.IntN(4)}
 				}
@@ -130,7 +130,7 @@
 					sets = make([][]int32, 1000)
 				}
 				for i := range sets {
-					sets[i] = []int32{int32(rng.IntN(n)), int32(rng.IntN(n)), int32(rng.IntN(n))}
+					sets[i] = []int32{int32(rng.IntN(machines)), int32(rng.IntN(machines)), int32(rng.IntN(machines))}
 					slices.Sort(sets[i])
 					sets[i] = slices.Compact(sets[i])
 				}
