--- a/topology/declaration.go
+++ b/topology/declaration.go
@@ -58,25 +58,25 @@
 // Map returns the declared topology. Report is called for every mistake, with its field and what is expected there; if
 // it was called, the result must not be used.
 func (d *Declaration) Map(report func(field, want string)) *Map {
-	checked := mapBuilder{report: report, topology: &Map{version: d.Version, byName: map[string]*Domain{}, devices: d.Devices}}
+	builder := mapBuilder{report: report, topology: &Map{version: d.Version, byName: map[string]*Domain{}, devices: d.Devices}}
 	if d.Version < 1 {
-		checked.reportf("version", "must be 1 or more, and grow with each change, not %d", d.Version)
+		builder.reportf("version", "must be 1 or more, and grow with each change, not %d", d.Version)
 	}
 	for i, entry := range d.Domains {
-		checked.addDomain(fmt.Sprintf("domain[%d]", i), entry)
+		builder.addDomain(fmt.Sprintf("domain[%d]", i), entry)
 	}
 	for i, entry := range d.Domains {
-		checked.setParent(fmt.Sprintf("domain[%d].in", i), entry)
+		builder.setParent(fmt.Sprintf("domain[%d].in", i), entry)
 	}
 	for i, entry := range d.Devices {
-		checked.checkDevices(fmt.Sprintf("devices[%d]", i), entry)
+		builder.checkDevices(fmt.Sprintf("devices[%d]", i), entry)
 	}
-	for _, domain := range checked.topology.domains {
+	for _, domain := range builder.topology.domains {
 		for ancestor := domain; ancestor != nil; ancestor = ancestor.Parent {
 			domain.path = append(domain.path, ancestor.Name)
 		}
 	}
-	return checked.topology
+	return builder.topology
 }
 
 // mapBuilder makes a Map from a declaration and reports the mistakes that it finds.
