--- /dev/null
+++ b/topology/site_test.go
@@ -0,0 +1,133 @@
+package topology
+
+import (
+	"testing"
+
+	"switchferry/api"
+	"switchferry/fleet"
+)
+
+// siteTree returns a tree of smallTopology with so many free CPUs on one machine in each of its three racks.
+func siteTree(t *testing.T, rack1, rack2, rack3 float64) *Tree {
+	t.Helper()
+	tree := NewTree(mustParse(t, smallTopology))
+	for machine, cpus := range map[string]float64{"n-10": rack1, "n-20": rack2, "n-30": rack3} {
+		tree.Set(machine, fleet.Resources{CPUs: cpus, MemoryGB: 64}, true)
+	}
+	return tree
+}
+
+func TestSiteWithoutConstraintsIsNil(t *testing.T) {
+	if site := siteTree(t, 8, 8, 8).NewSite(nil, nil); site != nil {
+		t.Errorf("site %+v, want nil", site)
+	}
+}
+
+func TestChooseDomainForAffinity(t *testing.T) {
+	for _, testCase := range []struct {
+		name         string
+		near         api.Near
+		rack1, rack2 float64
+		all          bool
+		want         bool
+		wantAllowed  []string
+		wantReason   string
+	}{
+		{"a rack for all", api.Near{Level: Rack, Must: true}, 1, 4, true, true, []string{"n-20"}, ""},
+		{"none for all", api.Near{Level: Rack, Must: true}, 1, 3, true, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r2" has none for 1`},
+		{"none for all, and some are enough", api.Near{Level: Rack, Must: true}, 1, 3, false, true, []string{"n-20"}, ""},
+		{"none for all, and it is no must", api.Near{Level: Rack}, 1, 3, true, true, []string{"n-10", "n-20", "n-30"}, ""},
+		{"none for any", api.Near{Level: Rack, Must: true}, 0, 0, false, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r1" has none for 4`},
+		{"a switch for all", api.Near{Level: Switch, Must: true}, 2, 2, true, true, []string{"n-10", "n-20"}, ""},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			site := siteTree(t, testCase.rack1, testCase.rack2, 0).NewSite(&testCase.near, nil)
+			if got := site.ChooseDomain(fleet.Resources{CPUs: 1}, 4, testCase.all, nil); got != testCase.want {
+				t.Errorf("chosen %v, want %v", got, testCase.want)
+			}
+			allowed := map[string]bool{}
+			for _, machine := range testCase.wantAllowed {
+				allowed[machine] = true
+			}
+			for _, machine := range []string{"n-10", "n-20", "n-30"} {
+				if got := site.Allows(machine); got != allowed[machine] {
+					t.Errorf("%s allowed: %v, want %v", machine, got, allowed[machine])
+				}
+			}
+			if got := site.Reason(); got != testCase.wantReason {
+				t.Errorf("reason %q, want %q", got, testCase.wantReason)
+			}
+		})
+	}
+}
+
+func TestChooseDomainByPreemptionLosesTheLeast(t *testing.T) {
+	site := siteTree(t, 8, 8, 8).NewSite(&api.Near{Level: Rack, Must: true}, nil)
+	losses := map[string][]int64{"n-10": {0, 9}, "n-20": {3, 4}, "n-30": {1}}
+	offer := func(machine string) []int64 { return losses[machine] }
+	if !site.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 2, nil, offer) || !site.Allows("n-20") || site.Allows("n-10") {
+		t.Error("the rack with the least loss is not chosen")
+	}
+	if site.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 3, nil, offer) {
+		t.Error("a rack is chosen that cannot run all tasks")
+	}
+}
+
+func TestSoonestDomainIsWhereTheLastTaskStartsFirst(t *testing.T) {
+	site := siteTree(t, 8, 8, 8).NewSite(&api.Near{Level: Rack, Must: true}, nil)
+	starts := map[string][]int64{"n-10": {0, 9}, "n-20": {6, 7}, "n-30": {1}}
+	domain, at := site.SoonestDomain(fleet.Resources{CPUs: 8}, 2, nil, func(machine string) []int64 { return starts[machine] })
+	if domain == nil || domain.Name != "r2" || at != 7 {
+		t.Errorf("domain %+v at %d, want r2 at 7", domain, at)
+	}
+}
+
+// Further tasks stay near the first one, and count against the bound of a spread until they are removed, also on a new
+// version of the topology.
+func TestSiteCountsTasksOnMachines(t *testing.T) {
+	tree := siteTree(t, 8, 8, 8)
+	near := tree.NewSite(&api.Near{Level: Switch, Must: true}, nil)
+	near.Add("n-10")
+	if !near.Allows("n-20") || near.Allows("n-30") {
+		t.Error("a task is not kept under the switch of the first one")
+	}
+	spread := tree.NewSite(nil, &api.Survive{Level: Rack, AtMost: 1, Must: true})
+	spread.Add("n-10")
+	if spread.Allows("n-10") || !spread.Allows("n-20") {
+		t.Error("a rack takes more tasks than its bound, or another one fewer")
+	}
+	if spread.Cost("n-10") != 1 || spread.Cost("n-20") != 0 {
+		t.Errorf("costs %v and %v, want 1 and 0", spread.Cost("n-10"), spread.Cost("n-20"))
+	}
+	moved := mustParse(t, "version = 4\n[[domain]]\nname = \"r9\"\nlevel = \"rack\"\nmachines = [\"n-10\", \"n-20\"]\n")
+	if rebased := spread.Rebased(tree.Rebased(moved)); rebased.Allows("n-20") || !rebased.Allows("n-30") {
+		t.Error("the task does not count in its rack of the new version")
+	}
+	spread.Remove("n-10")
+	if !spread.Allows("n-10") {
+		t.Error("a task that was removed counts")
+	}
+}
+
+func TestInfeasible(t *testing.T) {
+	rack, zone := &api.Near{Level: Rack, Must: true}, &api.Near{Level: Zone, Must: true}
+	two := &api.Survive{Level: Switch, AtMost: 2, Must: true}
+	for _, testCase := range []struct {
+		name    string
+		near    *api.Near
+		survive *api.Survive
+		tasks   int
+		want    bool
+	}{
+		{"no spread", rack, nil, 9, false},
+		{"no affinity", nil, two, 9, false},
+		{"more tasks in one rack than a switch may have", rack, two, 3, true},
+		{"few enough tasks", rack, two, 2, false},
+		{"several switches in one zone", zone, two, 9, false},
+		{"the affinity is no must", &api.Near{Level: Rack}, two, 9, false},
+	} {
+		if got := Infeasible(testCase.near, testCase.survive, testCase.tasks) != ""; got != testCase.want {
+			t.Errorf("%s: infeasible %v, want %v", testCase.name, got, testCase.want)
+		}
+	}
+}
