--- a/cost/cost.go
+++ b/cost/cost.go
@@ -1,6 +1,6 @@
-// Package cost computes how long a task waits on a machine before it can run there. Whoever places tasks finds out what is
-// missing on a machine and asks here what that costs, so that water-filling, rebalancing, preemption and services weigh it
-// alike. A new kind of cost is one more field of Wait and one more term of Wait.Seconds.
+// Package cost computes how long a task waits on a machine before it can run there. The scheduler determines what a machine
+// lacks, and this package what that costs, so that water-filling, rebalancing, preemption and services weigh it alike. A
+// new kind of cost is one more field of Wait and one more term of Wait.Seconds.
 //
 // All functions are pure.
 package cost
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -2,9 +2,9 @@
 //
 // A team at its limit gets quota back one small task at a time, so a job that needs more than that would starve while
 // small tasks keep coming. A Ledger therefore reserves the missing quota for the first job, by priority or age, that
-// only the limit keeps from starting: jobs behind it start only within what the reservation leaves. Two rules keep a
-// reservation from being held in vain. There is none where usage that does not end by itself already takes too much,
-// and it lapses for a while after tuning.QuotaReserved, so that other jobs do not wait long for one that cannot start.
+// only the limit keeps from starting: jobs behind it start only within what the reservation leaves. Two rules bound what a
+// reservation costs other jobs. There is none where usage that does not end by itself already takes too much, and it
+// lapses for a while after tuning.QuotaReserved, so that other jobs do not wait long for one that cannot start.
 //
 // The package knows amounts, times and the order in which demands are passed to it, not jobs or machines. It has no
 // clock and no lock.
--- a/topology/constraint.go
+++ b/topology/constraint.go
@@ -60,8 +60,8 @@
 	shortfall = constraint.Tasks + 1
 	for domain := range t.domainsFrom(level) {
 		free := t.totals[domain].free
-		// Fit looks at every machine of a domain, so it is asked only if its answer could matter: in a domain whose
-		// total is too small, only if there is none better and the total alone does not miss as many tasks already.
+		// Fit visits every machine of a domain, so it is called only if its result could matter: in a domain whose total
+		// is too small, only if there is none better and the total alone does not miss as many tasks already.
 		fits := free.Fits(all)
 		if !fits && (best != nil || constraint.Tasks-min(constraint.Tasks, free.Multiple(constraint.Resources)) >= shortfall) {
 			continue
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,5 +1,5 @@
 // Package traffic counts users' requests to a controller and logs the counts periodically, so that a surge of requests or
-// an unresponsive leader can be told from other faults.
+// an unresponsive leader can be distinguished from other faults.
 package traffic
 
 import (
@@ -13,8 +13,8 @@
 
 // Counts are users' requests since the counts were last taken.
 type Counts struct {
-	// StateQueries are requests for a job's state, OtherRequests all others, and Refused those of both that were told to try
-	// again later.
+	// StateQueries are requests for a job's state, OtherRequests all others, and Refused those of both that were refused
+	// with a time to try again.
 	StateQueries, OtherRequests, Refused int
 	// LeaderBypassed is how often a request was handled without the leader, as it did not answer.
 	LeaderBypassed int
@@ -26,8 +26,8 @@
 	current Counts
 }
 
-// Add counts one request: question is whether it asked for a job's state, and refused whether its user was told to try
-// again later.
+// Add counts one request: question is whether it asked for a job's state, and refused whether it was refused with a
+// time to try again.
 func (c *Counter) Add(question, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -4,7 +4,7 @@
 //
 // The bound is a Lagrangian relaxation. Each slot of the day has a price for CPU time. At given prices each task by itself
 // is placed where it costs least, without a break and ending by its due time, and a job is served if all of it costs less
-// than one. The price of all free CPU time, plus what the jobs that are served have left of one each, is no less than the
+// than one. The price of all free CPU time, plus one less its cost for each job that is served, is no less than the
 // number of jobs that can meet their due times together, for any prices. The bound is the least such value over many
 // prices, which a subgradient method finds.
 package upperbound
@@ -30,7 +30,7 @@
 	CPUs []float64
 }
 
-// Result is the bound and what goes with it.
+// Result is the bound, with the prices at which it was found.
 type Result struct {
 	// Jobs is how many jobs there are, and Alone how many of them could not have met their due times with the whole fleet
 	// for themselves.
