--- /dev/null
+++ b/dag/graph_test.go
@@ -0,0 +1,99 @@
+package dag
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// model is a reference for Graph: it knows only who needs whom, who is done and who was cancelled, and derives everything
+// else anew each time.
+type model struct {
+	ids             []string
+	needs           map[string][]string
+	done, cancelled map[string]bool
+}
+
+// lost reports whether a job is cancelled, itself or through a dependency.
+func (m *model) lost(job string) bool {
+	return m.cancelled[job] || slices.ContainsFunc(m.needs[job], m.lost)
+}
+
+// ready reports whether a job waits for nothing.
+func (m *model) ready(job string) bool {
+	return !m.lost(job) && !slices.ContainsFunc(m.needs[job], func(dependency string) bool { return !m.done[dependency] })
+}
+
+// all returns a predicate's value for every job.
+func (m *model) all(predicate func(job string) bool) map[string]bool {
+	values := map[string]bool{}
+	for _, job := range m.ids {
+		values[job] = predicate(job)
+	}
+	return values
+}
+
+// checkNewly checks that got holds the jobs for which a predicate is true now and was not before.
+func (m *model) checkNewly(t *testing.T, operation string, got []string, before map[string]bool, now func(job string) bool) {
+	t.Helper()
+	var want []string
+	for _, job := range m.ids {
+		if !before[job] && now(job) {
+			want = append(want, job)
+		}
+	}
+	slices.Sort(want)
+	got = slices.Sorted(slices.Values(got))
+	if !slices.Equal(got, want) {
+		t.Fatalf("%s: got %v, want %v", operation, got, want)
+	}
+}
+
+// Random graphs with random completions and cancellations agree with the model after each step.
+func TestGraphAgainstReference(t *testing.T) {
+	for seed := range uint64(1000) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		graph := New()
+		reference := &model{needs: map[string][]string{}, done: map[string]bool{}, cancelled: map[string]bool{}}
+		for step := range 40 {
+			switch pick := rng.IntN(4); {
+			case pick < 2 || len(reference.ids) == 0:
+				job := fmt.Sprintf("run-%d", step)
+				var open []string
+				for _, other := range reference.ids {
+					if rng.IntN(4) == 0 && !reference.lost(other) {
+						reference.needs[job] = append(reference.needs[job], other)
+						if !reference.done[other] {
+							open = append(open, other)
+						}
+					}
+				}
+				reference.ids = append(reference.ids, job)
+				graph.Add(job, open)
+			case pick == 2:
+				job := reference.ids[rng.IntN(len(reference.ids))]
+				if reference.done[job] || !reference.ready(job) {
+					continue
+				}
+				before := reference.all(reference.ready)
+				reference.done[job] = true
+				reference.checkNewly(t, fmt.Sprintf("seed %d, complete %s", seed, job), graph.Complete(job), before, reference.ready)
+			default:
+				job := reference.ids[rng.IntN(len(reference.ids))]
+				if reference.done[job] || reference.lost(job) {
+					continue
+				}
+				before := reference.all(reference.lost)
+				reference.cancelled[job] = true
+				before[job] = true
+				reference.checkNewly(t, fmt.Sprintf("seed %d, cancel %s", seed, job), graph.Cancel(job), before, reference.lost)
+			}
+			for _, job := range reference.ids {
+				if want := !reference.ready(job) && !reference.lost(job) && !reference.done[job]; graph.Waiting(job) != want {
+					t.Fatalf("seed %d: %s waits: %v, want %v", seed, job, graph.Waiting(job), want)
+				}
+			}
+		}
+	}
+}
