--- /dev/null
+++ b/relay/reader_test.go
@@ -0,0 +1,47 @@
+package relay
+
+import (
+	"encoding/json"
+	"testing"
+
+	"switchferry/internal/compress"
+)
+
+// A machine that moves from one packet to another gets the message of the newer one, in whatever
+// order the packets are read. Packets of another term, or of an older revision of a key, are ignored.
+func TestReaderKeepsNewestMessage(t *testing.T) {
+	packetOf := func(term uint64, messages ...Message) *Packet {
+		packed, err := compress.EncodeFast(messages)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return &Packet{Term: term, Packed: packed}
+	}
+	message := func(name, body string) Message { return Message{name, json.RawMessage(body)} }
+	var r Reader
+	steps := []struct {
+		key      string
+		revision uint64
+		packet   *Packet
+		want     string
+	}{
+		{"k/0", 5, packetOf(7, message("a", `"run"`)), `"run"`},
+		{"k/1", 9, packetOf(7, message("a", `"clear"`)), `"clear"`},
+		{"k/0", 8, packetOf(7, message("b", `1`)), `"clear"`},
+		{"k/0", 6, packetOf(7, message("a", `"late"`)), `"clear"`},
+		{"k/1", 12, packetOf(7), ``},
+		{"k/0", 13, packetOf(6, message("a", `"deposed"`)), ``},
+		{"k/0", 14, packetOf(7, message("a", `"again"`)), `"again"`},
+	}
+	for i, step := range steps {
+		if err := r.Apply(step.key, step.revision, step.packet); err != nil {
+			t.Fatal(err)
+		}
+		if got := string(r.MessageFor(7, "a")); got != step.want {
+			t.Errorf("step %d: told %s, want %s", i, got, step.want)
+		}
+	}
+	if err := r.Apply("k/0", 20, packetOf(9, message("a", `"new"`))); err != nil || r.MessageFor(7, "a") != nil || string(r.MessageFor(9, "a")) != `"new"` {
+		t.Error("terms are mixed up")
+	}
+}
