--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -21,30 +21,30 @@
 
 // Follow is the leader's side: it takes in what siblings pass on under a prefix, after a
 // revision, until the context ends.
-func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, take func(member string, m relay.Message)) {
-	var joiner relay.Reassembler
+func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, deliver func(member string, message relay.Message)) {
+	var reassembler relay.Reassembler
 	for ctx.Err() == nil {
-		log, epoch, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
+		events, revision, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
 		if errors.Is(err, store.ErrCompacted) {
 			// What senders say comes again and again: only the revision matters.
-			_, epoch, err = client.List(ctx, prefix)
+			_, revision, err = client.List(ctx, prefix)
 		}
 		if err != nil {
 			sleep(ctx, clock, tuning.ElectRetry)
 			continue
 		}
-		UnpackEvents(log, prefix, term, &joiner, take)
-		after = max(after, epoch)
+		UnpackEvents(events, prefix, term, &reassembler, deliver)
+		after = max(after, revision)
 	}
 }
 
 // ClaimPackets lets letters of earlier terms be written over, or go.
 func ClaimPackets(ctx context.Context, client *store.Client, clock clockwork.Clock, committer *store.Committer, prefix string) {
 	for {
-		old, _, err := client.List(ctx, prefix)
-		for _, it := range old {
-			committer.SetRevision(it.Key, it.Revision)
-			committer.MarkDirty(it.Key, store.Lazy, nil)
+		items, _, err := client.List(ctx, prefix)
+		for _, item := range items {
+			committer.SetRevision(item.Key, item.Revision)
+			committer.MarkDirty(item.Key, store.Lazy, nil)
 		}
 		if err == nil || ctx.Err() != nil {
 			return
@@ -53,23 +53,23 @@
 	}
 }
 
-func sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) {
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-clock.After(d):
+	case <-clock.After(duration):
 	}
 }
 
 // PacketLimits are what letters through the state service must keep.
-func PacketLimits(f settings.State) relay.Limits {
-	least := f.Least()
+func PacketLimits(facts settings.State) relay.Limits {
+	least := facts.Least()
 	return relay.Limits{Value: least.ValueBytes(), Request: tuning.LetterRequest, Ops: least.TxnOps}
 }
 
 // WriteRate is what a controller writes of letters, all kinds together: the leader's records come first.
-func WriteRate(f settings.State) *rate.Limiter {
-	share := tuning.RelayShare * f.Least().WriteRPS
-	return rate.NewLimiter(rate.Limit(share), max(PacketLimits(f).MaxPackets(), int(share)))
+func WriteRate(facts settings.State) *rate.Limiter {
+	writesPerSecond := tuning.RelayShare * facts.Least().WriteRPS
+	return rate.NewLimiter(rate.Limit(writesPerSecond), max(PacketLimits(facts).MaxPackets(), int(writesPerSecond)))
 }
 
 // Exchange carries letters of one kind between this controller, Member, and a leader that it does not
@@ -96,36 +96,36 @@
 }
 
 // Run writes and reads while there is somebody to carry letters for.
-func (x *Exchange) Run(ctx context.Context) {
-	go x.read(ctx)
+func (e *Exchange) Run(ctx context.Context) {
+	go e.read(ctx)
 	for ctx.Err() == nil {
-		sleep(ctx, x.Clock, tuning.RelayEvery)
-		for x.Write(ctx) {
+		sleep(ctx, e.Clock, tuning.RelayEvery)
+		for e.Write(ctx) {
 		}
 	}
 }
 
-func (x *Exchange) active() bool {
-	x.Lock.Lock()
-	defer x.Lock.Unlock()
-	x.Expire(x.Clock.Now())
-	return x.Outbox.Len() > 0
+func (e *Exchange) active() bool {
+	e.Lock.Lock()
+	defer e.Lock.Unlock()
+	e.Expire(e.Clock.Now())
+	return e.Outbox.Len() > 0
 }
 
 // Write passes on one transaction of letters. True: there may be more.
-func (x *Exchange) Write(ctx context.Context) bool {
-	if !x.active() {
+func (e *Exchange) Write(ctx context.Context) bool {
+	if !e.active() {
 		return false
 	}
-	now := x.Clock.Now()
-	most := int(x.Rate.TokensAt(now))
-	if most < 1 {
+	now := e.Clock.Now()
+	maxPackets := int(e.Rate.TokensAt(now))
+	if maxPackets < 1 {
 		return false
 	}
-	x.Lock.Lock()
-	batch, err := x.Outbox.Next(now, x.RefreshEvery, most)
-	term := x.Outbox.Term()
-	x.Lock.Unlock()
+	e.Lock.Lock()
+	batch, err := e.Outbox.Next(now, e.RefreshEvery, maxPackets)
+	term := e.Outbox.Term()
+	e.Lock.Unlock()
 	if err != nil {
 		slog.Error("a report cannot be passed on", "err", err)
 	}
@@ -133,100 +133,100 @@
 		return false
 	}
 	var ops []store.Operation
-	for i, l := range batch.Packets {
-		ops = append(ops, store.Operation{Set: x.UplinkKey(x.Member, i), Value: l})
+	for i, packet := range batch.Packets {
+		ops = append(ops, store.Operation{Set: e.UplinkKey(e.Member, i), Value: packet})
 	}
-	x.Rate.AllowN(now, len(ops))
+	e.Rate.AllowN(now, len(ops))
 	// Only the leader that they are meant for may be told.
-	_, _, err = x.Client.Transact(ctx, []store.Condition{{Key: store.LeaderKey, Revision: term}}, ops)
+	_, _, err = e.Client.Transact(ctx, []store.Condition{{Key: store.LeaderKey, Revision: term}}, ops)
 	if err == nil {
 		return true
 	}
 	slog.Info("reports not passed on", "letters", len(ops), "err", err)
-	x.Lock.Lock()
-	defer x.Lock.Unlock()
+	e.Lock.Lock()
+	defer e.Lock.Unlock()
 	if errors.Is(err, store.ErrConflict) {
-		x.TermEnded()
+		e.TermEnded()
 		return false
 	}
-	x.Outbox.Requeue(batch)
+	e.Outbox.Requeue(batch)
 	return false
 }
 
 // read follows the leader's letters.
-func (x *Exchange) read(ctx context.Context) {
+func (e *Exchange) read(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
-		if !x.active() {
+		if !e.active() {
 			after = 0
-		} else if next, err := x.Fetch(ctx, after); err == nil {
+		} else if next, err := e.Fetch(ctx, after); err == nil {
 			after = next
 			continue
 		} else {
 			after = 0
 		}
-		sleep(ctx, x.Clock, tuning.RelayEvery)
+		sleep(ctx, e.Clock, tuning.RelayEvery)
 	}
 }
 
 // Fetch takes in the leader's letters: all that stand, or, after a revision, those that
 // are new. It gives the revision to go on from.
-func (x *Exchange) Fetch(ctx context.Context, after uint64) (uint64, error) {
-	var log []store.Event
-	var epoch uint64
+func (e *Exchange) Fetch(ctx context.Context, after uint64) (uint64, error) {
+	var events []store.Event
+	var revision uint64
 	var err error
 	if after > 0 {
-		log, epoch, err = x.Client.Watch(ctx, x.DownlinkPrefix, after, tuning.WatchBlock)
+		events, revision, err = e.Client.Watch(ctx, e.DownlinkPrefix, after, tuning.WatchBlock)
 	} else {
-		var all []store.Item
-		all, epoch, err = x.Client.List(ctx, x.DownlinkPrefix)
-		for _, it := range all {
-			log = append(log, store.Event{Set: it.Key, Value: it.Value, Revision: it.Revision})
+		var items []store.Item
+		items, revision, err = e.Client.List(ctx, e.DownlinkPrefix)
+		for _, item := range items {
+			events = append(events, store.Event{Set: item.Key, Value: item.Value, Revision: item.Revision})
 		}
 	}
 	if err != nil {
 		return 0, err
 	}
-	x.Lock.Lock()
-	defer x.Lock.Unlock()
-	for _, e := range log {
-		if e.Set == "" {
+	e.Lock.Lock()
+	defer e.Lock.Unlock()
+	for _, event := range events {
+		if event.Set == "" {
 			continue
 		}
-		var l relay.Packet
-		err := json.Unmarshal(e.Value, &l)
+		var packet relay.Packet
+		err := json.Unmarshal(event.Value, &packet)
 		if err == nil {
-			err = x.Reader.Apply(e.Set, e.Revision, &l)
+			err = e.Reader.Apply(event.Set, event.Revision, &packet)
 		}
 		if err != nil {
-			slog.Error("a letter of the leader is damaged", "key", e.Set, "err", err)
+			slog.Error("a letter of the leader is damaged", "key", event.Set, "err", err)
 		}
 	}
-	return max(after, epoch), nil
+	return max(after, revision), nil
 }
 
 // UnpackEvents takes the messages out of letters for the leader of a term.
-func UnpackEvents(log []store.Event, prefix string, term uint64, joiner *relay.Reassembler, take func(member string, m relay.Message)) {
-	for _, e := range log {
-		if e.Set == "" {
+func UnpackEvents(events []store.Event, prefix string, term uint64, reassembler *relay.Reassembler, deliver func(member string, message relay.Message)) {
+	for _, event := range events {
+		if event.Set == "" {
 			continue
 		}
-		member := store.RelaySender(prefix, e.Set)
-		var l relay.Packet
-		err := json.Unmarshal(e.Value, &l)
-		if err == nil && l.Term != term {
+		member := store.RelaySender(prefix, event.Set)
+		var packet relay.Packet
+		err := json.Unmarshal(event.Value, &packet)
+		if err == nil && packet.Term != term {
 			continue
 		}
-		var ms []relay.Message
+		var messages []relay.Message
 		if err == nil {
-			ms, err = joiner.Unpack(member, &l)
+			messages, err = reassembler.Unpack(member, &packet)
 		}
 		if err != nil {
-			slog.Error("a letter of a sibling is damaged", "key", e.Set, "err", err)
+			slog.Error("a letter of a sibling is damaged", "key", event.Set, "err", err)
 			continue
 		}
-		for _, m := range ms {
-			take(member, m)
+		for _, message := range messages {
+			deliver(member, message)
 		}
 	}
 }
