--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -1,11 +1,16 @@
-// Package exchange carries letters (package courier) through the state service: a controller's to a leader that it does
-// not reach, and the leader's to those behind each sibling. It knows when and how much is written, not what is said.
+// Package exchange relays messages between a controller and a leader that cannot reach each other,
+// by writing the packets of package relay to the state service and reading them. It decides when and
+// how much is written; what the messages say is up to its users.
+//
+// An Exchange is the side of a controller that does not reach the leader. Follow and Mailboxes are
+// the leader's side.
 package exchange
 
 import (
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"sync"
 	"time"
@@ -14,90 +19,41 @@
 	"golang.org/x/time/rate"
 
 	"switchferry/relay"
-	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
 )
 
-// Follow is the leader's side: it takes in what siblings pass on under a prefix, after a
-// revision, until the context ends.
-func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, deliver func(member string, message relay.Message)) {
-	var reassembler relay.Reassembler
-	for ctx.Err() == nil {
-		events, revision, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
-		if errors.Is(err, store.ErrCompacted) {
-			// What senders say comes again and again: only the revision matters.
-			_, revision, err = client.List(ctx, prefix)
-		}
-		if err != nil {
-			sleep(ctx, clock, tuning.ElectRetry)
-			continue
-		}
-		UnpackEvents(events, prefix, term, &reassembler, deliver)
-		after = max(after, revision)
-	}
-}
-
-// ClaimPackets lets letters of earlier terms be written over, or go.
-func ClaimPackets(ctx context.Context, client *store.Client, clock clockwork.Clock, committer *store.Committer, prefix string) {
-	for {
-		items, _, err := client.List(ctx, prefix)
-		for _, item := range items {
-			committer.SetRevision(item.Key, item.Revision)
-			committer.MarkDirty(item.Key, store.Lazy, nil)
-		}
-		if err == nil || ctx.Err() != nil {
-			return
-		}
-		sleep(ctx, clock, tuning.ElectRetry)
-	}
-}
-
-func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-clock.After(duration):
-	}
-}
-
-// PacketLimits are what letters through the state service must keep.
-func PacketLimits(facts settings.State) relay.Limits {
-	least := facts.Least()
-	return relay.Limits{Value: least.ValueBytes(), Request: tuning.LetterRequest, Ops: least.TxnOps}
-}
-
-// WriteRate is what a controller writes of letters, all kinds together: the leader's records come first.
-func WriteRate(facts settings.State) *rate.Limiter {
-	writesPerSecond := tuning.RelayShare * facts.Least().WriteRPS
-	return rate.NewLimiter(rate.Limit(writesPerSecond), max(PacketLimits(facts).MaxPackets(), int(writesPerSecond)))
-}
-
-// Exchange carries letters of one kind between this controller, Member, and a leader that it does not
-// reach. What they say is for whoever made it.
+// Exchange relays messages of one kind between this controller, Member, and a leader that it does
+// not reach. Its fields are set before the first call and not changed after.
 type Exchange struct {
 	Member string
 	Client *store.Client
 	Clock  clockwork.Clock
-	Rate   *rate.Limiter
-	// UplinkKey names the value that a letter to the leader goes into; DownlinkPrefix is the prefix of
-	// the leader's.
+	// Rate limits the packets that this controller writes, of all its exchanges together.
+	Rate *rate.Limiter
+	// UplinkKey returns the key of the i-th packet to the leader. DownlinkPrefix is the prefix of
+	// the keys of the leader's packets.
 	UplinkKey      func(member string, i int) string
 	DownlinkPrefix string
-	// RefreshEvery is how long an unchanged message is not written again.
+	// RefreshEvery is the interval at which an unchanged message is written again.
 	RefreshEvery time.Duration
-	// Lock guards Box and Reader, which stand in what the owner keeps.
+
+	// Lock guards Outbox and Reader, which the owner shares.
 	Lock   *sync.Mutex
 	Outbox *relay.Outbox
 	Reader *relay.Reader
-	// Expire drops senders that went elsewhere; TermEnded: the term that letters were for has
-	// ended. Both are called with the lock held.
-	Expire    func(now time.Time)
+	// Expire removes senders that are no longer relayed. It is called with Lock held.
+	Expire func(now time.Time)
+	// TermEnded is called with Lock held when the term that the outbox is addressed to has ended.
 	TermEnded func()
 }
 
-// Run writes and reads while there is somebody to carry letters for.
+// Run writes and reads packets while the outbox has senders. It returns once the context has ended
+// and its reader has stopped.
 func (e *Exchange) Run(ctx context.Context) {
-	go e.read(ctx)
+	var reader sync.WaitGroup
+	reader.Go(func() { e.read(ctx) })
+	defer reader.Wait()
 	for ctx.Err() == nil {
 		sleep(ctx, e.Clock, tuning.RelayEvery)
 		for e.Write(ctx) {
@@ -105,6 +61,7 @@
 	}
 }
 
+// active expires senders, and tells whether there are any left.
 func (e *Exchange) active() bool {
 	e.Lock.Lock()
 	defer e.Lock.Unlock()
@@ -112,7 +69,8 @@
 	return e.Outbox.Len() > 0
 }
 
-// Write passes on one transaction of letters. True: there may be more.
+// Write sends the packets that are due, as many as one transaction and Rate allow. It returns true
+// if there may be more to send.
 func (e *Exchange) Write(ctx context.Context) bool {
 	if !e.active() {
 		return false
@@ -127,22 +85,23 @@
 	term := e.Outbox.Term()
 	e.Lock.Unlock()
 	if err != nil {
-		slog.Error("a report cannot be passed on", "err", err)
+		slog.Error("relayed message cannot be encoded", "err", err)
 	}
 	if len(batch.Packets) == 0 {
 		return false
 	}
-	var ops []store.Operation
+	var operations []store.Operation
 	for i, packet := range batch.Packets {
-		ops = append(ops, store.Operation{Set: e.UplinkKey(e.Member, i), Value: packet})
+		operations = append(operations, store.Operation{Set: e.UplinkKey(e.Member, i), Value: packet})
 	}
-	e.Rate.AllowN(now, len(ops))
-	// Only the leader that they are meant for may be told.
-	_, _, err = e.Client.Transact(ctx, []store.Condition{{Key: store.LeaderKey, Revision: term}}, ops)
+	e.Rate.AllowN(now, len(operations))
+	// The condition holds for the addressed leader only: a later one must not read these packets.
+	addressed := []store.Condition{{Key: store.LeaderKey, Revision: term}}
+	_, _, err = e.Client.Transact(ctx, addressed, operations)
 	if err == nil {
 		return true
 	}
-	slog.Info("reports not passed on", "letters", len(ops), "err", err)
+	slog.Info("relay write failed", "letters", len(operations), "err", err)
 	e.Lock.Lock()
 	defer e.Lock.Unlock()
 	if errors.Is(err, store.ErrConflict) {
@@ -153,37 +112,28 @@
 	return false
 }
 
-// read follows the leader's letters.
+// read follows the leader's packets until the context ends. It starts with a full reading after each
+// error, and each time that there are senders again.
 func (e *Exchange) read(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
-		if !e.active() {
-			after = 0
-		} else if next, err := e.Fetch(ctx, after); err == nil {
-			after = next
-			continue
-		} else {
-			after = 0
+		if e.active() {
+			next, err := e.Fetch(ctx, after)
+			if err == nil {
+				after = next
+				continue
+			}
 		}
+		after = 0
 		sleep(ctx, e.Clock, tuning.RelayEvery)
 	}
 }
 
-// Fetch takes in the leader's letters: all that stand, or, after a revision, those that
-// are new. It gives the revision to go on from.
+// Fetch applies the leader's packets to Reader: all of them if after is 0, otherwise those that
+// changed after that revision of the state service, for which it waits. It returns the revision to
+// continue from. The error is that of the state service; packets that are corrupt are logged.
 func (e *Exchange) Fetch(ctx context.Context, after uint64) (uint64, error) {
-	var events []store.Event
-	var revision uint64
-	var err error
-	if after > 0 {
-		events, revision, err = e.Client.Watch(ctx, e.DownlinkPrefix, after, tuning.WatchBlock)
-	} else {
-		var items []store.Item
-		items, revision, err = e.Client.List(ctx, e.DownlinkPrefix)
-		for _, item := range items {
-			events = append(events, store.Event{Set: item.Key, Value: item.Value, Revision: item.Revision})
-		}
-	}
+	events, revision, err := e.downlinkEvents(ctx, after)
 	if err != nil {
 		return 0, err
 	}
@@ -193,40 +143,47 @@
 		if event.Set == "" {
 			continue
 		}
-		var packet relay.Packet
-		err := json.Unmarshal(event.Value, &packet)
+		packet, err := parsePacket(event.Value)
 		if err == nil {
 			err = e.Reader.Apply(event.Set, event.Revision, &packet)
 		}
 		if err != nil {
-			slog.Error("a letter of the leader is damaged", "key", event.Set, "err", err)
+			logCorruptPacket(event.Set, err)
 		}
 	}
 	return max(after, revision), nil
 }
 
-// UnpackEvents takes the messages out of letters for the leader of a term.
-func UnpackEvents(events []store.Event, prefix string, term uint64, reassembler *relay.Reassembler, deliver func(member string, message relay.Message)) {
-	for _, event := range events {
-		if event.Set == "" {
-			continue
-		}
-		member := store.RelaySender(prefix, event.Set)
-		var packet relay.Packet
-		err := json.Unmarshal(event.Value, &packet)
-		if err == nil && packet.Term != term {
-			continue
-		}
-		var messages []relay.Message
-		if err == nil {
-			messages, err = reassembler.Unpack(member, &packet)
-		}
-		if err != nil {
-			slog.Error("a letter of a sibling is damaged", "key", event.Set, "err", err)
-			continue
-		}
-		for _, message := range messages {
-			deliver(member, message)
-		}
+// downlinkEvents returns the leader's packets as events, and the revision that they are as of.
+func (e *Exchange) downlinkEvents(ctx context.Context, after uint64) ([]store.Event, uint64, error) {
+	if after > 0 {
+		return e.Client.Watch(ctx, e.DownlinkPrefix, after, tuning.WatchBlock)
+	}
+	items, revision, err := e.Client.List(ctx, e.DownlinkPrefix)
+	var events []store.Event
+	for _, item := range items {
+		events = append(events, store.Event{Set: item.Key, Value: item.Value, Revision: item.Revision})
+	}
+	return events, revision, err
+}
+
+// parsePacket parses a value of the state service.
+func parsePacket(raw json.RawMessage) (packet relay.Packet, err error) {
+	if err := json.Unmarshal(raw, &packet); err != nil {
+		return packet, fmt.Errorf("parsing a relayed packet: %w", err)
+	}
+	return packet, nil
+}
+
+// logCorruptPacket logs that the packet under a key is skipped.
+func logCorruptPacket(key string, err error) {
+	slog.Error("corrupt relayed message", "key", key, "err", err)
+}
+
+// sleep waits for a duration, or until the context ends.
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-clock.After(duration):
 	}
 }
--- /dev/null
+++ b/relay/exchange/follow.go
@@ -0,0 +1,75 @@
+package exchange
+
+import (
+	"context"
+	"errors"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/relay"
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+// Follow is the leader's reader: it passes the messages that peers relay under a prefix to deliver,
+// beginning after a revision of the state service, until the context ends. Packets that are not
+// addressed to the leader of term are ignored. It calls deliver from its own goroutine only.
+func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, deliver func(member string, message relay.Message)) {
+	var reassembler relay.Reassembler
+	for ctx.Err() == nil {
+		events, revision, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
+		if errors.Is(err, store.ErrCompacted) {
+			// Only the revision is needed: senders repeat their messages.
+			_, revision, err = client.List(ctx, prefix)
+		}
+		if err != nil {
+			sleep(ctx, clock, tuning.ElectRetry)
+			continue
+		}
+		UnpackEvents(events, prefix, term, &reassembler, deliver)
+		after = max(after, revision)
+	}
+}
+
+// UnpackEvents passes the messages in the packets that events set to deliver, each with the member
+// that relayed it. Packets that are not addressed to the leader of term are ignored; packets that are
+// corrupt are logged and skipped.
+func UnpackEvents(events []store.Event, prefix string, term uint64, reassembler *relay.Reassembler, deliver func(member string, message relay.Message)) {
+	for _, event := range events {
+		if event.Set == "" {
+			continue
+		}
+		member := store.RelaySender(prefix, event.Set)
+		packet, err := parsePacket(event.Value)
+		if err == nil && packet.Term != term {
+			continue
+		}
+		var messages []relay.Message
+		if err == nil {
+			messages, err = reassembler.Unpack(member, &packet)
+		}
+		if err != nil {
+			logCorruptPacket(event.Set, err)
+			continue
+		}
+		for _, message := range messages {
+			deliver(member, message)
+		}
+	}
+}
+
+// ClaimPackets hands the packets of earlier leaders to the committer, which then overwrites or
+// deletes them. It repeats until the packets are listed or the context ends.
+func ClaimPackets(ctx context.Context, client *store.Client, clock clockwork.Clock, committer *store.Committer, prefix string) {
+	for {
+		items, _, err := client.List(ctx, prefix)
+		for _, item := range items {
+			committer.SetRevision(item.Key, item.Revision)
+			committer.MarkDirty(item.Key, store.Lazy, nil)
+		}
+		if err == nil || ctx.Err() != nil {
+			return
+		}
+		sleep(ctx, clock, tuning.ElectRetry)
+	}
+}
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -8,22 +8,28 @@
 	"switchferry/store"
 )
 
-// Mailboxes holds the leader's letters of one kind, for workers or agents, to what stands behind
-// each sibling. It is not safe for use from several goroutines at once.
+// Mailboxes holds the leader's packets of one kind, for workers or for data agents: a mailbox for
+// each peer with those that are behind it. It is not safe for concurrent use. Its exported fields
+// are set before the first call and not changed after.
 type Mailboxes struct {
-	// Term is the leader's, PacketLimits what letters must keep.
-	Term   uint64
+	// Term is the leader's term.
+	Term uint64
+	// Limits are those that packets keep.
 	Limits relay.Limits
-	// Prefix and Key name the letters, MarkDirty asks for one to be written.
-	Prefix    string
-	Key       func(member string, part int) string
+	// Prefix is the prefix of the packets' keys, and Key returns one of them.
+	Prefix string
+	Key    func(member string, part int) string
+	// MarkDirty asks for the packet of a key to be built by Packet and written.
 	MarkDirty func(key string, urgency int, after func())
-	// Body is what a machine behind a sibling is told; nil: nothing.
-	Body      func(member, machine string) json.RawMessage
+	// Body returns the message for a machine behind a peer; nil: there is none.
+	Body func(member, machine string) json.RawMessage
+
+	// mailboxes are by the name of the peer.
 	mailboxes map[string]*relay.Mailbox
 }
 
-// Update asks for a machine's letter to be written as it stands then.
+// Update asks for a machine's packet to be written with its message as it is then. The machine is
+// added to the peer's mailbox if it is new.
 func (m *Mailboxes) Update(member, machine string) {
 	mailbox := m.mailboxes[member]
 	if mailbox == nil {
@@ -36,39 +42,40 @@
 	m.MarkDirty(m.Key(member, mailbox.PacketOf(machine)), store.Ordinary, nil)
 }
 
-// Remove takes a machine out of its letter. Stands: there is something of it in the letter, which
-// is to be written without it.
-func (m *Mailboxes) Remove(member, machine string, stands bool) {
+// Remove takes a machine out of a peer's mailbox. Stored tells that its message is in the stored
+// packet, which is then written without it.
+func (m *Mailboxes) Remove(member, machine string, stored bool) {
 	mailbox := m.mailboxes[member]
 	if mailbox == nil {
 		return
 	}
-	if index := mailbox.Remove(machine); index >= 0 && stands {
+	if index := mailbox.Remove(machine); index >= 0 && stored {
 		m.MarkDirty(m.Key(member, index), store.Lazy, nil)
 	}
 }
 
-// Packet builds one letter; false: there is none of that number. Of the same kind, those that
-// took machines over from it are asked for.
+// Packet builds the packet of a key, and asks for the packets that took over machines from it to be
+// written. It returns false if there is no packet of that key, and the packet is to be deleted.
 func (m *Mailboxes) Packet(key string) (relay.Packet, bool) {
 	member, index, ok := store.ParseRelayKey(m.Prefix, key)
 	if !ok || m.mailboxes[member] == nil {
 		return relay.Packet{}, false
 	}
-	packet, touched, tooLarge, err := m.mailboxes[member].BuildPacket(m.Term, index, func(name string) json.RawMessage { return m.Body(member, name) })
-	for _, index := range touched {
-		m.MarkDirty(m.Key(member, index), store.Ordinary, nil)
+	body := func(machine string) json.RawMessage { return m.Body(member, machine) }
+	packet, touched, tooLarge, err := m.mailboxes[member].BuildPacket(m.Term, index, body)
+	for _, other := range touched {
+		m.MarkDirty(m.Key(member, other), store.Ordinary, nil)
 	}
 	for _, machine := range tooLarge {
-		slog.Error("mail is too large for one letter; it waits until the machine reports directly", "key", key, "machine", machine)
+		slog.Error("relayed message too large", "key", key, "machine", machine)
 	}
 	if err != nil {
-		slog.Error("mail not packed", "key", key, "err", err)
+		slog.Error("relayed packet cannot be encoded", "key", key, "err", err)
 	}
 	return packet, packet.Packed != ""
 }
 
-// Machines are the machines with something in one letter to those behind a sibling.
+// Machines returns the machines that are assigned to a packet for a peer, sorted by name.
 func (m *Mailboxes) Machines(member string, index int) []string {
 	if mailbox := m.mailboxes[member]; mailbox != nil {
 		return mailbox.Machines(index)
