--- a/configuration/active.go
+++ b/configuration/active.go
@@ -23,25 +23,25 @@
 }
 
 // FromFiles is what counts without any revision.
-func FromFiles(teams []settings.Team, pol *policy.Policy) *Active {
-	a := &Active{Policy: pol, OverLimit: OverLimit{Running: Leave}}
+func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
+	a := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
 	a.setTeams(teams)
 	return a
 }
 
 func (a *Active) setTeams(teams []settings.Team) {
 	a.teams, a.byName = teams, make(map[string]settings.Team, len(teams))
-	for _, t := range teams {
-		if _, twice := a.byName[t.Name]; !twice {
-			a.byName[t.Name] = t
+	for _, team := range teams {
+		if _, duplicate := a.byName[team.Name]; !duplicate {
+			a.byName[team.Name] = team
 		}
 	}
 }
 
 // Team finds a team by name.
 func (a *Active) Team(name string) (settings.Team, bool) {
-	t, ok := a.byName[name]
-	return t, ok
+	team, ok := a.byName[name]
+	return team, ok
 }
 
 // Teams are all teams. The list must not be changed.
@@ -77,13 +77,13 @@
 func Stricter(before, after *Active) *Active {
 	a := *before
 	var teams []settings.Team
-	for _, t := range before.teams {
-		other, ok := after.byName[t.Name]
+	for _, team := range before.teams {
+		other, ok := after.byName[team.Name]
 		if !ok {
 			continue
 		}
-		teams = append(teams, settings.Team{Name: t.Name, CPUs: min(t.CPUs, other.CPUs), Cards: min(t.Cards, other.Cards),
-			CPUsMax: lowerLimit(t.CPUsMax, other.CPUsMax), CardsMax: lowerLimit(t.CardsMax, other.CardsMax)})
+		teams = append(teams, settings.Team{Name: team.Name, CPUs: min(team.CPUs, other.CPUs), Cards: min(team.Cards, other.Cards),
+			CPUsMax: lowerLimit(team.CPUsMax, other.CPUsMax), CardsMax: lowerLimit(team.CardsMax, other.CardsMax)})
 	}
 	a.setTeams(teams)
 	return &a
--- a/configuration/difference.go
+++ b/configuration/difference.go
@@ -17,18 +17,18 @@
 }
 
 func (d Difference) String() string {
-	shown := func(s string) string {
-		if s == "" {
+	display := func(value string) string {
+		if value == "" {
 			return "(none)"
 		}
-		return s
+		return value
 	}
-	return fmt.Sprintf("%s: %s -> %s", d.Field, shown(d.From), shown(d.To))
+	return fmt.Sprintf("%s: %s -> %s", d.Field, display(d.From), display(d.To))
 }
 
 // Differences are those from one document to another, by field. A nil document has no sections.
 func Differences(from, to *Document) (out []Difference) {
-	before, after := fieldsOf(from), fieldsOf(to)
+	before, after := documentFields(from), documentFields(to)
 	names := map[string]bool{}
 	for name := range before {
 		names[name] = true
@@ -44,27 +44,27 @@
 	return out
 }
 
-// fieldsOf are a document's values by field, as text.
-func fieldsOf(d *Document) map[string]string {
+// documentFields are a document's values by field, as text.
+func documentFields(document *Document) map[string]string {
 	out := map[string]string{}
-	if d == nil {
+	if document == nil {
 		return out
 	}
-	if d.OverLimit.Running != Leave {
-		out["over_limit"] = fmt.Sprintf("%s within %g s", d.OverLimit.Running, d.OverLimit.StopWithinS)
+	if document.OverLimit.Running != Leave {
+		out["over_limit"] = fmt.Sprintf("%s within %g s", document.OverLimit.Running, document.OverLimit.StopWithinS)
 	}
-	for name, text := range d.Policy {
+	for name, text := range document.Policy {
 		out["policy."+name] = text
 	}
-	for _, t := range d.Teams {
-		out["teams."+t.Name] = teamText(t)
+	for _, team := range document.Teams {
+		out["teams."+team.Name] = teamText(team)
 	}
-	if n := d.Switches.AheadTasks; n != nil {
-		out["features.ahead_tasks"] = fmt.Sprint(*n)
+	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil {
+		out["features.ahead_tasks"] = fmt.Sprint(*aheadTasks)
 	}
-	if m := d.Topology; m != nil {
-		out["topology.version"] = fmt.Sprint(m.Version())
-		for _, domain := range m.Domains() {
+	if declared := document.Topology; declared != nil {
+		out["topology.version"] = fmt.Sprint(declared.Version())
+		for _, domain := range declared.Domains() {
 			in := ""
 			if domain.Parent != nil {
 				in = " in " + domain.Parent.Name
@@ -75,17 +75,17 @@
 	return out
 }
 
-func teamText(t settings.Team) string {
-	text := fmt.Sprintf("%g guaranteed, %s at most", t.CPUs, limitText(t.CPUsMax))
-	if t.Cards > 0 || t.CardsMax > 0 {
-		text += fmt.Sprintf("; cards %g guaranteed, %s at most", t.Cards, limitText(t.CardsMax))
+func teamText(team settings.Team) string {
+	text := fmt.Sprintf("%g guaranteed, %s at most", team.CPUs, limitText(team.CPUsMax))
+	if team.Cards > 0 || team.CardsMax > 0 {
+		text += fmt.Sprintf("; cards %g guaranteed, %s at most", team.Cards, limitText(team.CardsMax))
 	}
 	return text
 }
 
-func limitText(v float64) string {
-	if v == 0 {
+func limitText(limit float64) string {
+	if limit == 0 {
 		return "any"
 	}
-	return fmt.Sprintf("%g", v)
+	return fmt.Sprintf("%g", limit)
 }
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -60,8 +60,8 @@
 	policy *policy.Policy
 }
 
-// sections is the document's TOML.
-type sections struct {
+// documentTOML is the document's TOML.
+type documentTOML struct {
 	OverLimit OverLimit             `toml:"over_limit"`
 	Policy    map[string]string     `toml:"policy"`
 	Teams     []settings.Team       `toml:"teams"`
@@ -78,21 +78,21 @@
 	Remedy string `json:"remedy"`
 }
 
-func (m FieldError) String() string {
-	where := m.Field
-	if m.Line > 0 {
-		where = fmt.Sprintf("line %d: %s", m.Line, m.Field)
+func (e FieldError) String() string {
+	where := e.Field
+	if e.Line > 0 {
+		where = fmt.Sprintf("line %d: %s", e.Line, e.Field)
 	}
-	return where + ": " + m.Remedy
+	return where + ": " + e.Remedy
 }
 
 // FieldErrors are all that is wrong with a document. It is the error of Parse.
 type FieldErrors []FieldError
 
-func (all FieldErrors) Error() string {
-	lines := make([]string, len(all))
-	for i, m := range all {
-		lines[i] = m.String()
+func (e FieldErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, fieldError := range e {
+		lines[i] = fieldError.String()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -102,7 +102,7 @@
 	if len(text) > tuning.ConfigurationBytes {
 		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
 	}
-	file := sections{OverLimit: OverLimit{Running: Leave}}
+	file := documentTOML{OverLimit: OverLimit{Running: Leave}}
 	unknown, err := stricttoml.Decode([]byte(text), &file)
 	if err != nil {
 		var value *stricttoml.ValueError
@@ -111,90 +111,90 @@
 		}
 		return nil, FieldErrors{{Field: "document", Remedy: "must be TOML: " + err.Error()}}
 	}
-	c := checker{lines: linesOf(text)}
+	check := documentChecker{lines: fieldLines(text)}
 	for _, err := range unknown {
 		var name *stricttoml.UnknownError
 		if errors.As(err, &name) {
-			c.mistakes = append(c.mistakes, FieldError{name.Line, name.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
+			check.fieldErrors = append(check.fieldErrors, FieldError{name.Line, name.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
 		}
 	}
-	d := &Document{OverLimit: file.OverLimit, Policy: file.Policy, Teams: file.Teams, Switches: file.Features, Text: text}
-	c.document(d, file.Topology)
-	if len(c.mistakes) > 0 {
-		slices.SortStableFunc(c.mistakes, func(a, b FieldError) int { return a.Line - b.Line })
-		return nil, c.mistakes
+	document := &Document{OverLimit: file.OverLimit, Policy: file.Policy, Teams: file.Teams, Switches: file.Features, Text: text}
+	check.checkDocument(document, file.Topology)
+	if len(check.fieldErrors) > 0 {
+		slices.SortStableFunc(check.fieldErrors, func(a, b FieldError) int { return a.Line - b.Line })
+		return nil, check.fieldErrors
 	}
-	return d, nil
+	return document, nil
 }
 
-// checker collects mistakes, each with the line of its field.
-type checker struct {
-	lines    map[string]int
-	mistakes FieldErrors
+// documentChecker collects mistakes, each with the line of its field.
+type documentChecker struct {
+	lines       map[string]int
+	fieldErrors FieldErrors
 }
 
-// fail notes a mistake; the line is that of the field, or of what it stands in.
-func (c *checker) fail(field, remedy string) {
+// addError notes a mistake; the line is that of the field, or of what it stands in.
+func (c *documentChecker) addError(field, remedy string) {
 	line := 0
-	for at := field; at != "" && line == 0; at = parent(at) {
+	for at := field; at != "" && line == 0; at = parentField(at) {
 		line = c.lines[at]
 	}
-	c.mistakes = append(c.mistakes, FieldError{line, field, remedy})
+	c.fieldErrors = append(c.fieldErrors, FieldError{line, field, remedy})
 }
 
-// parent is what a field stands in; empty: nothing.
-func parent(field string) string {
+// parentField is what a field stands in; empty: nothing.
+func parentField(field string) string {
 	i := strings.LastIndexAny(field, ".[")
 	return field[:max(i, 0)]
 }
 
-func (c *checker) document(d *Document, declared *topology.Declaration) {
-	switch d.OverLimit.Running {
+func (c *documentChecker) checkDocument(document *Document, declared *topology.Declaration) {
+	switch document.OverLimit.Running {
 	case Leave:
-		if d.OverLimit.StopWithinS != 0 {
-			c.fail("over_limit.stop_within_s", `goes with running = "stop" alone; leave it out`)
+		if document.OverLimit.StopWithinS != 0 {
+			c.addError("over_limit.stop_within_s", `goes with running = "stop" alone; leave it out`)
 		}
 	case Stop:
-		if !(d.OverLimit.StopWithinS >= 0 && d.OverLimit.StopWithinS <= tuning.ConfigurationStopMostS) {
-			c.fail("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.ConfigurationStopMostS))
+		if !(document.OverLimit.StopWithinS >= 0 && document.OverLimit.StopWithinS <= tuning.ConfigurationStopMostS) {
+			c.addError("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.ConfigurationStopMostS))
 		}
 	default:
-		c.fail("over_limit.running", fmt.Sprintf("must be %q or %q, not %q", Leave, Stop, d.OverLimit.Running))
+		c.addError("over_limit.running", fmt.Sprintf("must be %q or %q, not %q", Leave, Stop, document.OverLimit.Running))
 	}
-	if d.Policy != nil {
-		d.policy = policy.Of(d.Policy, func(name, want string) { c.fail("policy."+name, want) })
+	if document.Policy != nil {
+		document.policy = policy.Of(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
 	}
-	c.teams(d.Teams)
-	if n := d.Switches.AheadTasks; n != nil && (*n < 0 || *n > tuning.AheadMost) {
-		c.fail("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, *n))
+	c.checkTeams(document.Teams)
+	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.AheadMost) {
+		c.addError("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, *aheadTasks))
 	}
 	if declared != nil {
-		d.Topology = declared.Map(func(field, want string) { c.fail("topology."+field, want) })
+		document.Topology = declared.Map(func(field, want string) { c.addError("topology."+field, want) })
 	}
 }
 
-func (c *checker) teams(teams []settings.Team) {
+func (c *documentChecker) checkTeams(teams []settings.Team) {
 	settings.CheckTeams(teams, func(i int, field, want string) {
 		name := fmt.Sprintf("teams[%d]", i)
 		if field != "" {
 			name += "." + field
 		}
-		c.fail(name, want)
+		c.addError(name, want)
 	})
-	for i, t := range teams {
+	for i, team := range teams {
 		for _, amount := range []struct {
 			field             string
 			guaranteed, limit float64
-		}{{"cpus", t.CPUs, t.CPUsMax}, {"gpus", t.Cards, t.CardsMax}} {
+		}{{"cpus", team.CPUs, team.CPUsMax}, {"gpus", team.Cards, team.CardsMax}} {
 			if amount.limit > 0 && amount.guaranteed > amount.limit {
-				c.fail(fmt.Sprintf("teams[%d].%s", i, amount.field), fmt.Sprintf("%s is guaranteed %g and may use %g; raise %s_max or lower %s", t.Name, amount.guaranteed, amount.limit, amount.field, amount.field))
+				c.addError(fmt.Sprintf("teams[%d].%s", i, amount.field), fmt.Sprintf("%s is guaranteed %g and may use %g; raise %s_max or lower %s", team.Name, amount.guaranteed, amount.limit, amount.field, amount.field))
 			}
 		}
 	}
 }
 
-// linesOf tells in which line each name of a document stands: tables, entries of arrays of tables as name[i], and keys.
-func linesOf(text string) map[string]int {
+// fieldLines tells in which line each name of a document stands: tables, entries of arrays of tables as name[i], and keys.
+func fieldLines(text string) map[string]int {
 	lines, counts := map[string]int{}, map[string]int{}
 	var parser unstable.Parser
 	parser.Reset([]byte(text))
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -40,14 +40,14 @@
 
 func parse(t *testing.T, text string) *Document {
 	t.Helper()
-	d, err := Parse(text)
+	document, err := Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return document
 }
 
-func TestDocumentOverFiles(t *testing.T) {
+func TestDocumentOverridesFiles(t *testing.T) {
 	files := FromFiles([]settings.Team{{Name: "other", CPUsMax: 5}}, policy.Default())
 	a := parse(t, whole).Over(files, 4)
 	if limit, ok := a.Limit("vision"); !ok || limit.CPUs != 40 || a.Revision != 4 || *a.AheadTasks != 7 || a.Topology.Version() != 2 || a.Policy.Value(policy.SlotS, nil) != 3 || a.OverLimit.StopWithinS != 30 {
@@ -64,7 +64,7 @@
 }
 
 // Every mistake is told, with its line, its field and what it must be; a document with any is not taken.
-func TestMistakesAreToldAllAtOnce(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want []string
@@ -80,10 +80,10 @@
 		{"[policy\n", []string{"line 1"}},
 		{strings.Repeat("# a comment\n", 5000), []string{"document: takes 60000 bytes, at most 40960"}},
 	} {
-		d, err := Parse(c.text)
-		var all FieldErrors
-		if d != nil || !errors.As(err, &all) || len(all) < len(c.want) {
-			t.Errorf("%.40q: %v, %v", c.text, d, err)
+		document, err := Parse(c.text)
+		var fieldErrors FieldErrors
+		if document != nil || !errors.As(err, &fieldErrors) || len(fieldErrors) < len(c.want) {
+			t.Errorf("%.40q: %v, %v", c.text, document, err)
 			continue
 		}
 		for _, want := range c.want {
@@ -111,7 +111,7 @@
 }
 
 // While a change is on its way, whatever is started is within both revisions' limits.
-func TestLowerLimitsCountBetweenTwoRevisions(t *testing.T) {
+func TestStricterTakesLowerLimitsOfBothRevisions(t *testing.T) {
 	team := func(name string, guaranteed, limit float64) settings.Team {
 		return settings.Team{Name: name, CPUs: guaranteed, CPUsMax: limit, Cards: guaranteed, CardsMax: limit}
 	}
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -75,18 +75,18 @@
 	if err != nil {
 		return Head{}, nil, err
 	}
-	room := valueBytes - tuning.ConfigurationPartMargin
-	if room < 1 {
+	partBytes := valueBytes - tuning.ConfigurationPartMargin
+	if partBytes < 1 {
 		return Head{}, nil, fmt.Errorf("values of %d bytes are too small for a revision", valueBytes)
 	}
 	digest := digestOf(text)
-	count := (len(text) + room - 1) / room
+	count := (len(text) + partBytes - 1) / partBytes
 	if count > tuning.ConfigurationPartsMost {
 		return Head{}, nil, fmt.Errorf("the document takes %d values of %d bytes, at most %d are stored; shorten it", count, valueBytes, tuning.ConfigurationPartsMost)
 	}
 	var parts []Part
 	for rest := text; rest != ""; {
-		n := min(room, len(rest))
+		n := min(partBytes, len(rest))
 		parts = append(parts, Part{Format: Format, Of: count, Digest: digest, Text: rest[:n]})
 		rest = rest[n:]
 	}
@@ -97,45 +97,45 @@
 // ErrDamaged or ErrNewer, with the reason.
 func Decode(number uint64, digest string, parts []Part) (*Revision, error) {
 	var text strings.Builder
-	for i, p := range parts {
+	for i, part := range parts {
 		switch {
-		case p.Format > Format:
-			return nil, fmt.Errorf("%w: revision %d has format %d, this program knows %d", ErrNewer, number, p.Format, Format)
-		case p.Of != len(parts) || p.Digest != parts[0].Digest:
+		case part.Format > Format:
+			return nil, fmt.Errorf("%w: revision %d has format %d, this program knows %d", ErrNewer, number, part.Format, Format)
+		case part.Of != len(parts) || part.Digest != parts[0].Digest:
 			return nil, fmt.Errorf("%w: part %d of revision %d belongs to another", ErrDamaged, i, number)
 		}
-		text.WriteString(p.Text)
+		text.WriteString(part.Text)
 	}
 	found := digestOf(text.String())
 	if len(parts) == 0 || found != parts[0].Digest || digest != "" && found != digest {
 		return nil, fmt.Errorf("%w: the digest of revision %d is wrong", ErrDamaged, number)
 	}
-	var r Revision
-	if err := compress.Decode(text.String(), &r); err != nil {
+	var revision Revision
+	if err := compress.Decode(text.String(), &revision); err != nil {
 		return nil, fmt.Errorf("%w: revision %d: %v", ErrDamaged, number, err)
 	}
-	if r.Number != number {
-		return nil, fmt.Errorf("%w: revision %d calls itself %d", ErrDamaged, number, r.Number)
+	if revision.Number != number {
+		return nil, fmt.Errorf("%w: revision %d calls itself %d", ErrDamaged, number, revision.Number)
 	}
-	return &r, nil
+	return &revision, nil
 }
 
 // ParsePart reads a stored part.
 func ParsePart(raw json.RawMessage) (Part, error) {
-	var p Part
-	if err := json.Unmarshal(raw, &p); err != nil || p.Of < 1 || p.Of > tuning.ConfigurationPartsMost {
-		return p, fmt.Errorf("%w: a part cannot be read", ErrDamaged)
+	var part Part
+	if err := json.Unmarshal(raw, &part); err != nil || part.Of < 1 || part.Of > tuning.ConfigurationPartsMost {
+		return part, fmt.Errorf("%w: a part cannot be read", ErrDamaged)
 	}
-	return p, nil
+	return part, nil
 }
 
 // ParseHead reads the stored head.
 func ParseHead(raw json.RawMessage) (Head, error) {
-	var h Head
-	if err := json.Unmarshal(raw, &h); err != nil || h.Number == 0 {
-		return h, fmt.Errorf("%w: the head cannot be read", ErrDamaged)
+	var head Head
+	if err := json.Unmarshal(raw, &head); err != nil || head.Number == 0 {
+		return head, fmt.Errorf("%w: the head cannot be read", ErrDamaged)
 	}
-	return h, nil
+	return head, nil
 }
 
 func digestOf(text string) string {
--- a/configuration/revision_test.go
+++ b/configuration/revision_test.go
@@ -24,16 +24,16 @@
 }
 
 // A hundred and ten teams fit, also into the smallest values; what is damaged in any way is not taken.
-func TestRevisionsAsStored(t *testing.T) {
+func TestRevisionSurvivesStorageOrIsRefused(t *testing.T) {
 	want := Revision{Number: 12, By: "ops", Why: "why", AtMS: 5, Document: teamsText(110)}
 	for _, valueBytes := range []int{16 << 10, 2 << 10, 1 << 10} {
 		head, parts, err := Encode(&want, valueBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, p := range parts {
-			if len(p.Text)+tuning.ConfigurationPartMargin > valueBytes {
-				t.Errorf("a part of %d bytes for values of %d", len(p.Text), valueBytes)
+		for _, part := range parts {
+			if len(part.Text)+tuning.ConfigurationPartMargin > valueBytes {
+				t.Errorf("a part of %d bytes for values of %d", len(part.Text), valueBytes)
 			}
 		}
 		got, err := Decode(12, head.Digest, parts)
@@ -70,7 +70,7 @@
 
 // A change is in force once every sibling has confirmed it, or no right to an older one can last; and never before what
 // was decided by the older one is on record.
-func TestInForce(t *testing.T) {
+func TestRolloutIsInForceOnceNoOlderRevisionIsValid(t *testing.T) {
 	at := time.Unix(1000, 0)
 	before, after := FromFiles([]settings.Team{{Name: "a", CPUsMax: 9}}, nil), FromFiles([]settings.Team{{Name: "a", CPUsMax: 5}}, nil)
 	after.Revision = 7
@@ -89,34 +89,34 @@
 		{"both confirmed, one an older one", map[string]uint64{"x": 7, "y": 6}, 0, at, Spreading},
 		{"both confirmed, starts are not on record", map[string]uint64{"x": 7, "y": 7}, 2, last.Add(time.Hour), Spreading},
 	} {
-		a := NewRollout(before, after, []string{"x", "y"})
-		a.Confirmed("x", 7) // before it is stored, that means nothing
-		if limit, _ := a.Effective().Limit("a"); limit.CPUs != 5 || a.Step(last.Add(time.Hour)) != Storing {
-			t.Fatalf("before it is stored: %+v, %v", limit, a.Stage())
+		rollout := NewRollout(before, after, []string{"x", "y"})
+		rollout.Confirm("x", 7) // before it is stored, that means nothing
+		if limit, _ := rollout.Effective().Limit("a"); limit.CPUs != 5 || rollout.Advance(last.Add(time.Hour)) != Storing {
+			t.Fatalf("before it is stored: %+v, %v", limit, rollout.Stage())
 		}
-		a.Stored(at)
+		rollout.MarkStored(at)
 		for member, n := range c.confirm {
-			a.Confirmed(member, n)
+			rollout.Confirm(member, n)
 		}
-		a.Undecided(c.undecided)
-		if got := a.Step(c.now); got != c.want || (got == InForce) != (len(a.WaitsFor(c.now)) == 0) {
-			t.Errorf("%s: %v, waits for %v", c.name, got, a.WaitsFor(c.now))
+		rollout.SetUnrecorded(c.undecided)
+		if got := rollout.Advance(c.now); got != c.want || (got == InForce) != (len(rollout.WaitsFor(c.now)) == 0) {
+			t.Errorf("%s: %v, waits for %v", c.name, got, rollout.WaitsFor(c.now))
 		}
-		if want := map[Stage]*Active{Spreading: a.between, InForce: after}[c.want]; a.Effective() != want {
+		if want := map[Stage]*Active{Spreading: rollout.stricter, InForce: after}[c.want]; rollout.Effective() != want {
 			t.Errorf("%s: decisions go by another one", c.name)
 		}
 	}
-	a := NewRollout(before, after, nil)
-	a.Refuse()
-	if a.Effective() != before || a.Step(last.Add(time.Hour)) != Refused {
+	rollout := NewRollout(before, after, nil)
+	rollout.MarkRefused()
+	if rollout.Effective() != before || rollout.Advance(last.Add(time.Hour)) != Refused {
 		t.Error("a refused change counts")
 	}
 }
 
-func TestRightEnds(t *testing.T) {
+func TestValidityLeaseExpires(t *testing.T) {
 	at := time.Unix(1000, 0)
-	r := ValidityLease{Active: FromFiles(nil, nil), Asked: at}
-	if !r.ValidAt(at.Add(tuning.ConfigurationRight-1)) || r.ValidAt(at.Add(tuning.ConfigurationRight)) || (ValidityLease{Asked: at}).ValidAt(at) {
+	r := ValidityLease{Active: FromFiles(nil, nil), RequestedAt: at}
+	if !r.ValidAt(at.Add(tuning.ConfigurationRight-1)) || r.ValidAt(at.Add(tuning.ConfigurationRight)) || (ValidityLease{RequestedAt: at}).ValidAt(at) {
 		t.Error("the bound of a right")
 	}
 }
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	right, ok := a.Lease()
-	if !ok || right.Asked.Before(sent) {
+	if !ok || right.RequestedAt.Before(sent) {
 		return ErrNotLoaded
 	}
 	var document *configuration.Document
@@ -111,7 +111,7 @@
 // may still go by an older one.
 func (a *Applier) takeOver(active *configuration.Active) {
 	change := configuration.NewRollout(active, active, a.leader.Peers())
-	change.Stored(a.clock.Now())
+	change.MarkStored(a.clock.Now())
 	a.mu.Lock()
 	a.change = change
 	a.mu.Unlock()
@@ -235,16 +235,16 @@
 	epoch, err := a.store(revision, stamp)
 	if err != nil {
 		a.mu.Lock()
-		change.Refuse()
+		change.MarkRefused()
 		a.mu.Unlock()
 		a.leader.Adopt(change.Before)
 		return err
 	}
 	a.mu.Lock()
-	change.Stored(a.clock.Now())
+	change.MarkStored(a.clock.Now())
 	a.active, a.document, a.stamp = change.After, document, epoch
 	a.mu.Unlock()
-	a.take(configuration.ValidityLease{Active: change.After, StoreRevision: epoch, Asked: a.clock.Now()}, revision, revision.Number, "")
+	a.take(configuration.ValidityLease{Active: change.After, StoreRevision: epoch, RequestedAt: a.clock.Now()}, revision, revision.Number, "")
 	began := a.clock.Now()
 	a.spread(change, undecided)
 	if change.Stage() != configuration.InForce {
@@ -263,9 +263,9 @@
 	for a.ctx.Err() == nil {
 		n := undecided()
 		a.mu.Lock()
-		change.Undecided(n)
+		change.SetUnrecorded(n)
 		// What is decided from here on goes by the new one alone, before anybody hears that it is in force.
-		done := change.Step(a.clock.Now()) == configuration.InForce
+		done := change.Advance(a.clock.Now()) == configuration.InForce
 		if done {
 			a.leader.Adopt(change.Effective())
 		}
@@ -286,7 +286,7 @@
 		number, err := a.leader.RefreshPeer(a.ctx, member, change.After.Revision)
 		a.mu.Lock()
 		if err == nil {
-			change.Confirmed(member, number)
+			change.Confirm(member, number)
 		}
 		over := change.Stage() == configuration.InForce || err == nil && number >= change.After.Revision
 		a.mu.Unlock()
--- a/configuration/revisions/keeper.go
+++ b/configuration/revisions/keeper.go
@@ -83,15 +83,15 @@
 	}
 	k.mu.Lock()
 	same := k.right.Active != nil && k.right.StoreRevision == item.Revision
-	if same && sent.After(k.right.Asked) {
-		k.right.Asked = sent
+	if same && sent.After(k.right.RequestedAt) {
+		k.right.RequestedAt = sent
 	}
 	newest := k.newest
 	k.mu.Unlock()
 	if same {
 		return newest, nil
 	}
-	return k.load(ctx, item, configuration.ValidityLease{StoreRevision: item.Revision, Asked: sent})
+	return k.load(ctx, item, configuration.ValidityLease{StoreRevision: item.Revision, RequestedAt: sent})
 }
 
 // load reads the revision that a head names. One that is damaged or of a newer format is not taken: the last good one
@@ -151,7 +151,7 @@
 func (k *Store) take(right configuration.ValidityLease, revision *configuration.Revision, newest uint64, trouble string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.right.Active != nil && right.Asked.Before(k.right.Asked) {
+	if k.right.Active != nil && right.RequestedAt.Before(k.right.RequestedAt) {
 		return // overtaken by a reading that was asked for later
 	}
 	k.right, k.revision, k.newest, k.trouble = right, revision, newest, trouble
