--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -78,6 +78,11 @@
 		{"[teams]\n", []string{"line 1: teams"}},
 		{"team = 1\n[what]\n", []string{"line 1: team: no such setting", "line 2: what: no such setting"}},
 		{"[policy\n", []string{"line 1"}},
+		{`teams = "vision"`, []string{"line 1: teams: must be a list of tables, [[teams]], not a string"}},
+		{"[[teams]]\ncpus = \"many\"\n", []string{"line 2: teams.cpus: must be a number, not a string"}},
+		{"[policy]\nslot_s = 3\n", []string{"line 2: policy.slot_s: must be a string in quotes, not an integer"}},
+		{"[features]\nahead_tasks = 1.5\n", []string{"line 2: features.ahead_tasks: must be a whole number, not a fraction"}},
+		{"[[topology.domain]]\nmachines = \"n-1\"\n", []string{"line 2: topology.domain.machines: must be a list of strings in quotes, not a string"}},
 		{strings.Repeat("# a comment\n", 5000), []string{"document: takes 60000 bytes, at most 40960"}},
 	} {
 		document, err := Parse(c.text)
--- /dev/null
+++ b/internal/stricttoml/typeerror.go
@@ -0,0 +1,176 @@
+package stricttoml
+
+import (
+	"fmt"
+	"reflect"
+	"regexp"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// TypeError tells that a setting has a value of the wrong type.
+type TypeError struct {
+	// Want and Got describe the types, in TOML's terms and with an article: "a list of strings".
+	Want, Got string
+	// Inside tells that the value itself is of the right type, and Got is something that it contains.
+	Inside bool
+}
+
+func (e *TypeError) Error() string {
+	if e.Inside {
+		return fmt.Sprintf("must be %s; it contains %s where something else belongs", e.Want, e.Got)
+	}
+	return fmt.Sprintf("must be %s, not %s", e.Want, e.Got)
+}
+
+// mismatches are the messages with which the decoder refuses a value because of its type. The first
+// group is what the value is, or the number that is out of range; the second names the Go type that it does not fit.
+var mismatches = []*regexp.Regexp{
+	regexp.MustCompile(`cannot decode TOML (.+?) into (?:struct field .* of type )?(.+)$`),
+	regexp.MustCompile(`cannot store an? (array table|table) in an? (.+)$`),
+	regexp.MustCompile(`integer value (\S+) cannot be stored in (.+)$`),
+}
+
+// typeErrorOf returns the name of the setting and the type error that a decoder's error stands for;
+// false: it stands for another.
+func typeErrorOf(err *toml.DecodeError, v any) (name string, typeErr *TypeError, ok bool) {
+	for _, mismatch := range mismatches {
+		match := mismatch.FindStringSubmatch(err.Error())
+		if match == nil {
+			continue
+		}
+		name, found := resolve(reflect.TypeOf(v), err.Key())
+		if name == "" {
+			return "", nil, false
+		}
+		inside := isCollection(found) && match[1] != "table" && match[1] != "array table" && match[2] != found.String()
+		return name, &TypeError{Want: describe(found, name), Got: describeKind(match[1]), Inside: inside}, true
+	}
+	return "", nil, false
+}
+
+// resolve follows the key of a setting from the type of the destination. It stops at a type that has
+// no settings of its own, and returns the name and the type of the setting that it came to.
+func resolve(destination reflect.Type, key []string) (name string, found reflect.Type) {
+	found = indirect(destination)
+	for i, part := range key {
+		container := found
+		if container.Kind() == reflect.Slice {
+			container = indirect(container.Elem())
+		}
+		switch container.Kind() {
+		case reflect.Struct:
+			field, ok := fieldOf(container, part)
+			if !ok {
+				return name, found
+			}
+			found = indirect(field.Type)
+		case reflect.Map:
+			found = indirect(container.Elem())
+		default:
+			return name, found
+		}
+		name = strings.Join(key[:i+1], ".")
+	}
+	return name, found
+}
+
+// fieldOf returns the field of a struct that a TOML name is decoded into.
+func fieldOf(structure reflect.Type, name string) (reflect.StructField, bool) {
+	return structure.FieldByNameFunc(func(fieldName string) bool {
+		field, _ := structure.FieldByName(fieldName)
+		tag, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
+		if tag != "" {
+			return tag == name
+		}
+		return strings.EqualFold(fieldName, name)
+	})
+}
+
+// indirect returns the type that a pointer type points to, and any other type as it is.
+func indirect(t reflect.Type) reflect.Type {
+	for t.Kind() == reflect.Pointer {
+		t = t.Elem()
+	}
+	return t
+}
+
+func isCollection(t reflect.Type) bool {
+	return t.Kind() == reflect.Slice || t.Kind() == reflect.Struct || t.Kind() == reflect.Map
+}
+
+// describe says what values the setting of a name and a Go type takes.
+func describe(t reflect.Type, name string) string {
+	switch t.Kind() {
+	case reflect.String:
+		return "a string in quotes"
+	case reflect.Bool:
+		return "true or false"
+	case reflect.Float32, reflect.Float64:
+		return "a number"
+	case reflect.Int, reflect.Int64:
+		return "a whole number"
+	case reflect.Int8, reflect.Int16, reflect.Int32:
+		limit := int64(1) << (t.Bits() - 1)
+		return fmt.Sprintf("a whole number from %d to %d", -limit, limit-1)
+	case reflect.Uint, reflect.Uint64:
+		return "a whole number of 0 or more"
+	case reflect.Uint8, reflect.Uint16, reflect.Uint32:
+		return fmt.Sprintf("a whole number from 0 to %d", uint64(1)<<t.Bits()-1)
+	case reflect.Slice:
+		return describeList(indirect(t.Elem()), name)
+	case reflect.Map:
+		return fmt.Sprintf("a table, [%s], of %s", name, describePlural(indirect(t.Elem())))
+	case reflect.Struct:
+		return fmt.Sprintf("a table, [%s]", name)
+	}
+	return "a value of another type"
+}
+
+// describeList says what values a list of a Go type takes.
+func describeList(element reflect.Type, name string) string {
+	if element.Kind() == reflect.Struct || element.Kind() == reflect.Map {
+		return fmt.Sprintf("a list of tables, [[%s]]", name)
+	}
+	return "a list of " + describePlural(element)
+}
+
+// describePlural says what the values of a list or table are.
+func describePlural(t reflect.Type) string {
+	switch t.Kind() {
+	case reflect.String:
+		return "strings in quotes"
+	case reflect.Float32, reflect.Float64:
+		return "numbers"
+	case reflect.Slice:
+		return "lists"
+	case reflect.Struct, reflect.Map:
+		return "tables"
+	case reflect.Bool:
+		return "true or false"
+	}
+	return "whole numbers"
+}
+
+// describeKind says what the decoder found.
+func describeKind(kind string) string {
+	switch kind {
+	case "array table":
+		return "a list of tables"
+	case "array":
+		return "a list"
+	case "inline table":
+		return "a table"
+	case "float":
+		return "a fraction"
+	case "integer":
+		return "an integer"
+	case "string", "boolean", "table":
+		return "a " + kind
+	}
+	if strings.Contains(kind, "date") || strings.Contains(kind, "time") {
+		return "a date or time"
+	}
+	return kind // a number that is out of range
+}
