--- a/configuration/active.go
+++ b/configuration/active.go
@@ -7,28 +7,31 @@
 	"switchferry/topology"
 )
 
-// Active is what decisions go by: a revision over what files and settings say. It never changes; a change is another
-// one.
+// Active is the configuration that decisions use: a revision's document on top of files and settings.
+// It is immutable; a new revision has an Active of its own.
 type Active struct {
-	// Revision is 0 where files and settings count alone.
+	// Revision is 0 if files and settings apply alone.
 	Revision  uint64
 	Policy    *policy.Policy
 	OverLimit OverLimit
-	// AheadTasks is nil where the features file counts, Topology where the topology file does.
+	// AheadTasks is nil if the features file applies.
 	AheadTasks *int
-	Topology   *topology.Map
+	// Topology is nil if the topology file applies.
+	Topology *topology.Map
 
-	teams  []settings.Team
+	teams []settings.Team
+	// byName has the first of teams of each name.
 	byName map[string]settings.Team
 }
 
-// FromFiles is what counts without any revision.
+// FromFiles returns the configuration without any revision.
 func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
 	a := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
 	a.setTeams(teams)
 	return a
 }
 
+// setTeams sets the teams of a configuration that is not in use yet.
 func (a *Active) setTeams(teams []settings.Team) {
 	a.teams, a.byName = teams, make(map[string]settings.Team, len(teams))
 	for _, team := range teams {
@@ -38,22 +41,22 @@
 	}
 }
 
-// Team finds a team by name.
+// Team returns the team of a name; false: there is none.
 func (a *Active) Team(name string) (settings.Team, bool) {
 	team, ok := a.byName[name]
 	return team, ok
 }
 
-// Teams are all teams. The list must not be changed.
+// Teams returns all teams. The caller must not change the list.
 func (a *Active) Teams() []settings.Team { return a.teams }
 
-// Limit is what a team may use at most; false: there is no such team.
-func (a *Active) Limit(team string) (limit quota.Limit, ok bool) {
-	t, ok := a.byName[team]
-	return quota.Limit{CPUs: t.CPUsMax, Cards: t.CardsMax}, ok
+// Limit returns what a team may use at most; false: there is no such team.
+func (a *Active) Limit(name string) (limit quota.Limit, ok bool) {
+	team, ok := a.byName[name]
+	return quota.Limit{CPUs: team.CPUsMax, Cards: team.CardsMax}, ok
 }
 
-// Over is the document as that revision, over what counts without it.
+// Over returns the configuration of the document as a revision, on top of files and settings.
 func (d *Document) Over(files *Active, revision uint64) *Active {
 	a := *files
 	a.Revision, a.OverLimit = revision, d.OverLimit
@@ -72,8 +75,9 @@
 	return &a
 }
 
-// Stricter is what decisions go by while a change is on its way: everything as before, but of each limit and guarantee
-// the lower one, and only teams that both know. Whatever is started by it is within both revisions' limits.
+// Stricter returns the configuration that decisions use during a rollout. It is the one from before
+// with the lower of each limit and guarantee, and only the teams that both have, so that whatever it
+// admits is within the limits of both revisions.
 func Stricter(before, after *Active) *Active {
 	a := *before
 	var teams []settings.Team
@@ -82,14 +86,19 @@
 		if !ok {
 			continue
 		}
-		teams = append(teams, settings.Team{Name: team.Name, CPUs: min(team.CPUs, other.CPUs), Cards: min(team.Cards, other.Cards),
-			CPUsMax: lowerLimit(team.CPUsMax, other.CPUsMax), CardsMax: lowerLimit(team.CardsMax, other.CardsMax)})
+		teams = append(teams, settings.Team{
+			Name:     team.Name,
+			CPUs:     min(team.CPUs, other.CPUs),
+			Cards:    min(team.Cards, other.Cards),
+			CPUsMax:  lowerLimit(team.CPUsMax, other.CPUsMax),
+			CardsMax: lowerLimit(team.CardsMax, other.CardsMax),
+		})
 	}
 	a.setTeams(teams)
 	return &a
 }
 
-// lowerLimit is the lower of two limits, of which 0 is none.
+// lowerLimit returns the lower of two limits; 0 stands for no limit.
 func lowerLimit(a, b float64) float64 {
 	switch {
 	case a == 0:
--- /dev/null
+++ b/configuration/check.go
@@ -0,0 +1,134 @@
+package configuration
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+
+	"switchferry/policy"
+	"switchferry/settings"
+	"switchferry/topology"
+	"switchferry/tuning"
+)
+
+// documentChecker collects the errors in a document, each with the line of its field.
+type documentChecker struct {
+	// lines is from fieldLines.
+	lines       map[string]int
+	fieldErrors FieldErrors
+}
+
+// addError adds an error at the line of the field, or of the innermost table around it that has one.
+func (c *documentChecker) addError(field, remedy string) {
+	line := 0
+	for at := field; at != "" && line == 0; at = parentField(at) {
+		line = c.lines[at]
+	}
+	c.fieldErrors = append(c.fieldErrors, FieldError{line, field, remedy})
+}
+
+// parentField returns the name of the table or list that a field is in; "": none.
+func parentField(field string) string {
+	i := strings.LastIndexAny(field, ".[")
+	return field[:max(i, 0)]
+}
+
+// checkDocument checks a document, and sets its compiled policy and its topology.
+func (c *documentChecker) checkDocument(document *Document, declared *topology.Declaration) {
+	c.checkOverLimit(document.OverLimit)
+	if document.Policy != nil {
+		document.policy = policy.Of(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
+	}
+	c.checkTeams(document.Teams)
+	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.AheadMost) {
+		c.addError("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, *aheadTasks))
+	}
+	if declared != nil {
+		document.Topology = declared.Map(func(field, want string) { c.addError("topology."+field, want) })
+	}
+}
+
+func (c *documentChecker) checkOverLimit(overLimit OverLimit) {
+	switch overLimit.Running {
+	case Leave:
+		if overLimit.StopWithinS != 0 {
+			c.addError("over_limit.stop_within_s", `goes with running = "stop" alone; leave it out`)
+		}
+	case Stop:
+		// The negation also holds for NaN.
+		if !(overLimit.StopWithinS >= 0 && overLimit.StopWithinS <= tuning.ConfigurationStopMostS) {
+			c.addError("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.ConfigurationStopMostS))
+		}
+	default:
+		c.addError("over_limit.running", fmt.Sprintf("must be %q or %q, not %q", Leave, Stop, overLimit.Running))
+	}
+}
+
+// checkTeams checks the teams by the rules of the settings, and that no guarantee exceeds its limit.
+func (c *documentChecker) checkTeams(teams []settings.Team) {
+	settings.CheckTeams(teams, func(i int, field, want string) {
+		name := fmt.Sprintf("teams[%d]", i)
+		if field != "" {
+			name += "." + field
+		}
+		c.addError(name, want)
+	})
+	for i, team := range teams {
+		for _, amount := range []struct {
+			field             string
+			guaranteed, limit float64
+		}{
+			{"cpus", team.CPUs, team.CPUsMax},
+			{"gpus", team.Cards, team.CardsMax},
+		} {
+			if amount.limit > 0 && amount.guaranteed > amount.limit {
+				c.addError(fmt.Sprintf("teams[%d].%s", i, amount.field), fmt.Sprintf("%s is guaranteed %g and may use %g; raise %s_max or lower %s", team.Name, amount.guaranteed, amount.limit, amount.field, amount.field))
+			}
+		}
+	}
+}
+
+// fieldLines returns the line of each name in a document: tables, entries of arrays of tables as
+// name[i], and keys by their full names.
+func fieldLines(text string) map[string]int {
+	lines, counts := map[string]int{}, map[string]int{}
+	var parser unstable.Parser
+	parser.Reset([]byte(text))
+	table := ""
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		switch expression.Kind {
+		case unstable.Table:
+			name, line := expressionKey(&parser, expression)
+			table = name
+			lines[table] = line
+		case unstable.ArrayTable:
+			name, line := expressionKey(&parser, expression)
+			table = fmt.Sprintf("%s[%d]", name, counts[name])
+			counts[name]++
+			lines[table] = line
+		case unstable.KeyValue:
+			name, line := expressionKey(&parser, expression)
+			if table != "" {
+				name = table + "." + name
+			}
+			lines[name] = line
+		default: // a comment
+		}
+	}
+	return lines
+}
+
+// expressionKey returns the key of an expression, with dots, and its line.
+func expressionKey(parser *unstable.Parser, expression *unstable.Node) (name string, line int) {
+	var parts []string
+	for keys := expression.Key(); keys.Next(); {
+		node := keys.Node()
+		parts = append(parts, string(node.Data))
+		if line == 0 {
+			line = parser.Shape(node.Raw).Start.Line
+		}
+	}
+	return strings.Join(parts, "."), line
+}
--- a/configuration/difference.go
+++ b/configuration/difference.go
@@ -9,11 +9,12 @@
 	"switchferry/settings"
 )
 
-// Difference is one thing in which two documents differ. From and To are empty where there is nothing.
+// Difference is a setting in which two documents differ.
 type Difference struct {
 	Field string `json:"field"`
-	From  string `json:"from"`
-	To    string `json:"to"`
+	// From and To are the values as text; empty: the document does not have the setting.
+	From string `json:"from"`
+	To   string `json:"to"`
 }
 
 func (d Difference) String() string {
@@ -26,17 +27,13 @@
 	return fmt.Sprintf("%s: %s -> %s", d.Field, display(d.From), display(d.To))
 }
 
-// Differences are those from one document to another, by field. A nil document has no sections.
+// Differences returns how one document differs from another, sorted by field. A nil document has no
+// settings.
 func Differences(from, to *Document) (out []Difference) {
 	before, after := documentFields(from), documentFields(to)
-	names := map[string]bool{}
-	for name := range before {
-		names[name] = true
-	}
-	for name := range after {
-		names[name] = true
-	}
-	for _, name := range slices.Sorted(maps.Keys(names)) {
+	all := maps.Clone(before)
+	maps.Copy(all, after)
+	for _, name := range slices.Sorted(maps.Keys(all)) {
 		if before[name] != after[name] {
 			out = append(out, Difference{name, before[name], after[name]})
 		}
@@ -44,7 +41,7 @@
 	return out
 }
 
-// documentFields are a document's values by field, as text.
+// documentFields returns the values of a document's settings as text, by the names of Difference.Field.
 func documentFields(document *Document) map[string]string {
 	out := map[string]string{}
 	if document == nil {
@@ -75,6 +72,7 @@
 	return out
 }
 
+// teamText returns the amounts of a team.
 func teamText(team settings.Team) string {
 	text := fmt.Sprintf("%g guaranteed, %s at most", team.CPUs, limitText(team.CPUsMax))
 	if team.Cards > 0 || team.CardsMax > 0 {
@@ -83,6 +81,7 @@
 	return text
 }
 
+// limitText returns a limit; 0 stands for no limit.
 func limitText(limit float64) string {
 	if limit == 0 {
 		return "any"
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -56,14 +56,14 @@
 	if _, ok := a.Limit("other"); ok {
 		t.Error("a team that the document lacks is still there")
 	}
-	// A section that is missing stays as the files have it.
+	// For a section that is missing, the files apply.
 	b := parse(t, "").Over(files, 5)
 	if limit, ok := b.Limit("other"); !ok || limit.CPUs != 5 || b.AheadTasks != nil || b.Topology != nil || b.Policy != files.Policy {
 		t.Errorf("%+v", b)
 	}
 }
 
-// Every mistake is told, with its line, its field and what it must be; a document with any is not taken.
+// Each error has its line, its field and what the field must be; a document with any error is refused.
 func TestParseReportsAllErrors(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -115,7 +115,7 @@
 	}
 }
 
-// While a change is on its way, whatever is started is within both revisions' limits.
+// During a rollout, whatever is started is within the limits of both revisions.
 func TestStricterTakesLowerLimitsOfBothRevisions(t *testing.T) {
 	team := func(name string, guaranteed, limit float64) settings.Team {
 		return settings.Team{Name: name, CPUs: guaranteed, CPUsMax: limit, Cards: guaranteed, CardsMax: limit}
--- /dev/null
+++ b/configuration/fielderror.go
@@ -0,0 +1,35 @@
+package configuration
+
+import (
+	"fmt"
+	"strings"
+)
+
+// FieldError is one error in a document.
+type FieldError struct {
+	// Line counts from 1; 0: the error belongs to no line, or the line is not known.
+	Line int `json:"line,omitempty"`
+	// Field is the full name of the setting, with dots and indices: "teams[0].cpus".
+	Field string `json:"field"`
+	// Remedy says what the setting must be.
+	Remedy string `json:"remedy"`
+}
+
+func (e FieldError) String() string {
+	where := e.Field
+	if e.Line > 0 {
+		where = fmt.Sprintf("line %d: %s", e.Line, e.Field)
+	}
+	return where + ": " + e.Remedy
+}
+
+// FieldErrors are the errors in a document, at least one. It is the error of Parse.
+type FieldErrors []FieldError
+
+func (e FieldErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, fieldError := range e {
+		lines[i] = fieldError.String()
+	}
+	return strings.Join(lines, "\n")
+}
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -14,66 +14,72 @@
 	"switchferry/tuning"
 )
 
-// Format is the version of stored revisions that this program writes and the highest that it reads.
+// Format is the version of the storage format that this program writes, and the highest that it reads.
 const Format = 1
 
-// Keys of the state service.
+// Keys in the state service.
 const (
-	// HeadKey names the newest revision.
+	// HeadKey is the key of the Head, which names the newest revision.
 	HeadKey = "sf/config/head"
-	// PartPrefix holds the parts of revisions, PartKey one of them.
+	// PartPrefix is the prefix of the keys of all Parts.
 	PartPrefix = "sf/config/r/"
 )
 
-// PartKey is the key of one part of a revision.
+// PartKey returns the key of a part of a revision, counted from 0.
 func PartKey(revision uint64, part int) string {
 	return fmt.Sprintf("%s%08d/%d", PartPrefix, revision, part)
 }
 
-// ParsePartKey is the revision that a part's key names; false: it is no such key.
+// ParsePartKey returns the revision that the key of a part belongs to; false: it is no such key.
 func ParsePartKey(key string) (uint64, bool) {
 	text, _, ok := strings.Cut(strings.TrimPrefix(key, PartPrefix), "/")
 	number, err := strconv.ParseUint(text, 10, 64)
 	return number, ok && err == nil
 }
 
-// Revision is a document that was applied, with who did so and why.
+// Revision is a document that was applied, with who applied it and why.
 type Revision struct {
 	Number uint64 `json:"number"`
 	By     string `json:"by"`
 	Why    string `json:"why"`
-	// AtMS is when it was applied, by the leader's time of day.
+	// AtMS is when it was applied, by the leader's clock, in milliseconds of Unix time.
 	AtMS     int64  `json:"at_ms"`
 	Document string `json:"document"`
 }
 
-// Head is the value of HeadKey.
+// Head is the value of HeadKey. It names the newest revision.
 type Head struct {
 	Number uint64 `json:"number"`
-	// Digest is that of the revision's packed text.
+	// Digest is the digest of the revision's compressed text.
 	Digest string `json:"digest"`
 }
 
-// Part is one value of a revision's text.
+// Part is one value of a stored revision.
 type Part struct {
+	// Format is the version of the storage format.
 	Format int `json:"format"`
-	// Of is how many parts there are.
-	Of     int    `json:"of"`
+	// Of is the number of parts of the revision.
+	Of int `json:"of"`
+	// Digest is the digest of the text of all parts.
 	Digest string `json:"digest"`
-	Text   string `json:"text"`
+	// Text is a section of the compressed text.
+	Text string `json:"text"`
 }
 
-// Why a stored revision is not taken.
+// Why a stored revision is not used.
 var (
+	// ErrDamaged: the revision is incomplete or inconsistent.
 	ErrDamaged = errors.New("the stored revision is damaged")
-	ErrNewer   = errors.New("the stored revision is of a newer format than this program knows")
+	// ErrNewer: the revision was stored by a newer version of the program.
+	ErrNewer = errors.New("the stored revision is of a newer format than this program knows")
 )
 
-// Encode is a revision as it is stored, in parts of at most so many bytes each.
+// Encode returns a revision as it is stored, in parts that fit into values of valueBytes each. It
+// fails if the revision takes more than tuning.ConfigurationPartsMost parts.
 func Encode(r *Revision, valueBytes int) (Head, []Part, error) {
 	text, err := compress.EncodeSmall(r)
 	if err != nil {
-		return Head{}, nil, err
+		return Head{}, nil, fmt.Errorf("compressing revision %d: %w", r.Number, err)
 	}
 	partBytes := valueBytes - tuning.ConfigurationPartMargin
 	if partBytes < 1 {
@@ -93,8 +99,8 @@
 	return Head{r.Number, digest}, parts, nil
 }
 
-// Decode is the reverse of Encode; digest is what the revision must have, empty where only the parts tell. The error is
-// ErrDamaged or ErrNewer, with the reason.
+// Decode is the reverse of Encode. Digest is that of the Head; empty: it is not known, and the parts
+// need only agree with each other. The error wraps ErrDamaged or ErrNewer.
 func Decode(number uint64, digest string, parts []Part) (*Revision, error) {
 	var text strings.Builder
 	for i, part := range parts {
@@ -112,7 +118,7 @@
 	}
 	var revision Revision
 	if err := compress.Decode(text.String(), &revision); err != nil {
-		return nil, fmt.Errorf("%w: revision %d: %v", ErrDamaged, number, err)
+		return nil, fmt.Errorf("%w: revision %d: %w", ErrDamaged, number, err)
 	}
 	if revision.Number != number {
 		return nil, fmt.Errorf("%w: revision %d calls itself %d", ErrDamaged, number, revision.Number)
@@ -120,7 +126,7 @@
 	return &revision, nil
 }
 
-// ParsePart reads a stored part.
+// ParsePart parses a stored part. The error wraps ErrDamaged.
 func ParsePart(raw json.RawMessage) (Part, error) {
 	var part Part
 	if err := json.Unmarshal(raw, &part); err != nil || part.Of < 1 || part.Of > tuning.ConfigurationPartsMost {
@@ -129,7 +135,7 @@
 	return part, nil
 }
 
-// ParseHead reads the stored head.
+// ParseHead parses the stored head. The error wraps ErrDamaged.
 func ParseHead(raw json.RawMessage) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(raw, &head); err != nil || head.Number == 0 {
@@ -138,7 +144,11 @@
 	return head, nil
 }
 
+// digestBytes is how much of a hash is kept as a digest.
+const digestBytes = 18
+
+// digestOf returns the digest of a compressed text.
 func digestOf(text string) string {
 	sum := blake3.Sum256([]byte(text))
-	return base64.RawStdEncoding.EncodeToString(sum[:18])
+	return base64.RawStdEncoding.EncodeToString(sum[:digestBytes])
 }
--- a/configuration/rollout.go
+++ b/configuration/rollout.go
@@ -8,49 +8,40 @@
 	"switchferry/tuning"
 )
 
-// ValidityLease is what a controller has read, and since when it knows that it was the newest: it may go by it for a bounded
-// time, by its own clock, from when it asked. So whoever stores a newer one knows, without asking, when nobody goes by
-// the old one any more.
-type ValidityLease struct {
-	Active *Active
-	// StoreRevision is the revision of HeadKey in the state service; 0: there is none.
-	StoreRevision uint64
-	// RequestedAt is when the reading was sent that last found it the newest.
-	RequestedAt time.Time
-}
-
-// ValidAt tells whether it may still be gone by.
-func (l ValidityLease) ValidAt(now time.Time) bool {
-	return l.Active != nil && now.Sub(l.RequestedAt) < tuning.ConfigurationRight
-}
-
-// Stage is how far a change has come.
+// Stage is how far a rollout has come.
 type Stage int
 
-// Stages of a change.
+// The stages of a rollout. It begins with Storing, and ends with Refused or InForce.
 const (
-	// Storing: it is not known to be stored yet. Both revisions' lower limits count.
+	// Storing: the revision is not known to be stored. The lower limits of both revisions apply.
 	Storing Stage = iota
-	// Refused: it is not stored, and will not be. The former one counts.
+	// Refused: the revision is not stored, and will not be. The former one applies.
 	Refused
-	// Spreading: it is stored; some may still go by the former one.
+	// Spreading: the revision is stored, and some controllers may still use the former one. The
+	// lower limits of both apply.
 	Spreading
-	// InForce: nobody decides or answers by an older one.
+	// InForce: no controller decides or answers by an older revision. The new one applies.
 	InForce
 )
 
-// Rollout is one change, from before it is stored until it is in force, as the leader sees it. It is not safe for
-// use from several goroutines at once.
+// Rollout is the change from one revision to the next as the leader sees it, from before the new one
+// is stored until it is in force. It is not safe for concurrent use.
 type Rollout struct {
+	// Before and After do not change.
 	Before, After *Active
-	stricter      *Active
-	stage         Stage
-	storedAt      time.Time
-	unconfirmed   map[string]bool
-	unrecorded    int
+	// stricter is Stricter(Before, After).
+	stricter *Active
+	stage    Stage
+	// storedAt is when the state service answered that the revision is stored.
+	storedAt time.Time
+	// unconfirmed are the peers that may use a revision older than After.
+	unconfirmed map[string]bool
+	// unrecorded is the number of decisions from before the change that are not persisted.
+	unrecorded int
 }
 
-// NewRollout is a change that is about to be stored. Siblings are all other controllers.
+// NewRollout returns a rollout in stage Storing. Peers are all other controllers. Until SetUnrecorded
+// is called, it counts as having unrecorded decisions.
 func NewRollout(before, after *Active, peers []string) *Rollout {
 	rollout := &Rollout{Before: before, After: after, stricter: Stricter(before, after), unconfirmed: map[string]bool{}, unrecorded: 1}
 	for _, peer := range peers {
@@ -59,7 +50,7 @@
 	return rollout
 }
 
-// Effective is what decisions go by now.
+// Effective returns the configuration that decisions are to use now.
 func (r *Rollout) Effective() *Active {
 	switch r.stage {
 	case Refused:
@@ -70,27 +61,31 @@
 	return r.stricter
 }
 
-// Stage is how far it has come.
+// Stage returns how far the rollout has come.
 func (r *Rollout) Stage() Stage { return r.stage }
 
-// MarkRefused notes that it is not stored.
+// MarkRefused notes that the revision is not stored.
 func (r *Rollout) MarkRefused() { r.stage = Refused }
 
-// MarkStored notes that it is stored, as answered at that moment: at the latest then, since it is not known when before.
+// MarkStored notes that the revision is stored, and when the state service answered so. The revision
+// may have been stored earlier; the answer is the latest that it can have been.
 func (r *Rollout) MarkStored(answered time.Time) { r.stage, r.storedAt = Spreading, answered }
 
-// Confirm notes that a sibling's present process has read this revision, or a newer one, since it was stored.
+// Confirm notes that the present process of a peer has read the revision, or a newer one. It has no
+// effect before MarkStored.
 func (r *Rollout) Confirm(member string, revision uint64) {
 	if r.stage == Spreading && revision >= r.After.Revision {
 		delete(r.unconfirmed, member)
 	}
 }
 
-// SetUnrecorded notes how many decisions of before the change, starts and accepts, are not on record yet.
+// SetUnrecorded sets the number of decisions from before the change, starts and accepts, that are not
+// persisted.
 func (r *Rollout) SetUnrecorded(n int) { r.unrecorded = n }
 
-// Advance looks whether it is in force by now: once every sibling has confirmed it, or no right to an older one can last,
-// and nothing that was decided before it is still to be recorded.
+// Advance moves a stored revision to InForce once all decisions from before the change are persisted,
+// and either each peer has confirmed the revision or no lease on an older one can be valid. It
+// returns the stage.
 func (r *Rollout) Advance(now time.Time) Stage {
 	if r.stage == Spreading && r.unrecorded == 0 && (len(r.unconfirmed) == 0 || !now.Before(r.leasesExpireAt())) {
 		r.stage = InForce
@@ -98,13 +93,14 @@
 	return r.stage
 }
 
-// leasesExpireAt is when no right to an older revision can last: a reading that was sent after it was stored finds it, one
-// sent before ends so much later on its controller's clock.
+// leasesExpireAt returns when no lease on an older revision can be valid any more. A request that was
+// sent after the revision was stored finds it; a lease by an earlier one has expired by then, even
+// with the drift between the clocks of two controllers.
 func (r *Rollout) leasesExpireAt() time.Time {
 	return r.storedAt.Add(tuning.ConfigurationRight + tuning.ConfigurationGrain)
 }
 
-// WaitsFor tells whom and what it waits for; empty: for nothing.
+// WaitsFor returns what the rollout waits for, sorted, in words for operators; empty: nothing.
 func (r *Rollout) WaitsFor(now time.Time) (out []string) {
 	if r.stage == Storing {
 		return []string{"the state service"}
