--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -50,8 +50,8 @@
 	// ErrBusy: another change is on its way; ErrUnavailable: the state service does not answer, and nothing was stored.
 	ErrBusy        = errors.New("another change is on its way")
 	ErrUnavailable = errors.New("the state service is out of reach; nothing was stored")
-	// ErrUnknown: it is not known yet whether it is stored. It goes on being found out.
-	ErrUnknown = errors.New("it is not known yet whether the change is stored")
+	// ErrOutcomeUnknown: it is not known yet whether it is stored. It goes on being found out.
+	ErrOutcomeUnknown = errors.New("it is not known yet whether the change is stored")
 	// ErrNotLeader: this controller does not lead any more.
 	ErrNotLeader = errors.New("this controller does not lead any more")
 	// ErrNotLoaded: the newest revision is not known here yet.
@@ -61,33 +61,33 @@
 // Applier makes changes in one term of the leader, one at a time. It is safe for use from several goroutines at once.
 type Applier struct {
 	*Store
-	leader Leader
-	ctx    context.Context
-	turn   chan struct{}
+	leader     Leader
+	termCtx    context.Context
+	inProgress chan struct{}
 
 	mu sync.Mutex
 	// active and stamp are what counts in this term, nil before it was read; change is what is on its way, or was last.
-	active   *configuration.Active
-	document *configuration.Document
-	stamp    uint64
-	change   *configuration.Rollout
+	active       *configuration.Active
+	document     *configuration.Document
+	headRevision uint64
+	rollout      *configuration.Rollout
 }
 
 // NewApplier makes the applier of a term, which lasts as long as the context.
-func NewApplier(ctx context.Context, k *Store, leader Leader) *Applier {
-	return &Applier{Store: k, leader: leader, ctx: ctx, turn: make(chan struct{}, 1)}
+func NewApplier(ctx context.Context, configStore *Store, leader Leader) *Applier {
+	return &Applier{Store: configStore, leader: leader, termCtx: ctx, inProgress: make(chan struct{}, 1)}
 }
 
 // Load reads the newest revision, after the leader's key was won, and has decisions go by it. Nothing may be decided
 // before it has succeeded.
 func (a *Applier) Load(ctx context.Context) error {
 	// What was read before this term may be older than what its last leader stored.
-	sent := a.clock.Now()
+	requestedAt := a.clock.Now()
 	if _, err := a.Refresh(ctx); err != nil {
 		return err
 	}
-	right, ok := a.Lease()
-	if !ok || right.RequestedAt.Before(sent) {
+	lease, ok := a.Lease()
+	if !ok || lease.RequestedAt.Before(requestedAt) {
 		return ErrNotLoaded
 	}
 	var document *configuration.Document
@@ -98,28 +98,28 @@
 		}
 	}
 	a.mu.Lock()
-	a.active, a.document, a.stamp = right.Active, document, right.StoreRevision
+	a.active, a.document, a.headRevision = lease.Active, document, lease.StoreRevision
 	a.mu.Unlock()
-	a.leader.Adopt(right.Active)
-	if right.StoreRevision != 0 {
-		a.takeOver(right.Active)
+	a.leader.Adopt(lease.Active)
+	if lease.StoreRevision != 0 {
+		a.resumeRollout(lease.Active)
 	}
 	return nil
 }
 
-// takeOver sees to it that what the last leader stored comes into force: that one may have ended before it did, and some
+// resumeRollout sees to it that what the last leader stored comes into force: that one may have ended before it did, and some
 // may still go by an older one.
-func (a *Applier) takeOver(active *configuration.Active) {
-	change := configuration.NewRollout(active, active, a.leader.Peers())
-	change.MarkStored(a.clock.Now())
+func (a *Applier) resumeRollout(active *configuration.Active) {
+	rollout := configuration.NewRollout(active, active, a.leader.Peers())
+	rollout.MarkStored(a.clock.Now())
 	a.mu.Lock()
-	a.change = change
+	a.rollout = rollout
 	a.mu.Unlock()
 	// No change has been asked for in this term yet.
-	a.turn <- struct{}{}
+	a.inProgress <- struct{}{}
 	go func() {
-		defer a.endTurn()
-		a.spread(change, func() int { return 0 })
+		defer a.release()
+		a.awaitInForce(rollout, func() int { return 0 })
 	}()
 }
 
@@ -131,8 +131,8 @@
 	switch {
 	case a.active == nil:
 		return nil
-	case a.change != nil && a.change.Before != a.change.After && (a.change.Stage() == configuration.Storing || a.change.Stage() == configuration.Spreading):
-		return []*configuration.Active{a.change.Before, a.change.After}
+	case a.rollout != nil && a.rollout.Before != a.rollout.After && (a.rollout.Stage() == configuration.Storing || a.rollout.Stage() == configuration.Spreading):
+		return []*configuration.Active{a.rollout.Before, a.rollout.After}
 	}
 	return []*configuration.Active{a.active}
 }
@@ -143,8 +143,8 @@
 	defer a.mu.Unlock()
 	switch {
 	case a.active == nil:
-	case a.change != nil && a.change.Stage() != configuration.Refused:
-		a.leader.Adopt(a.change.Effective())
+	case a.rollout != nil && a.rollout.Stage() != configuration.Refused:
+		a.leader.Adopt(a.rollout.Effective())
 	default:
 		a.leader.Adopt(a.active)
 	}
@@ -152,50 +152,50 @@
 
 // Apply makes a change, and waits until it is in force or for tuning.ConfigurationAnswer. The answer tells which; the
 // error is one of this package's, and then nothing is, or is known to be, stored.
-func (a *Applier) Apply(ctx context.Context, r Request) (Answer, error) {
-	if err := a.takeTurn(ctx); err != nil {
+func (a *Applier) Apply(ctx context.Context, request Request) (Answer, error) {
+	if err := a.acquire(ctx); err != nil {
 		return Answer{}, err
 	}
 	a.mu.Lock()
-	active, document, stamp := a.active, a.document, a.stamp
+	active, document, headRevision := a.active, a.document, a.headRevision
 	a.mu.Unlock()
 	_, newest, _ := a.Current()
 	switch {
 	case active == nil:
-		a.endTurn()
+		a.release()
 		return Answer{}, ErrNotLoaded
-	case r.Expect != nil && *r.Expect != newest:
-		a.endTurn()
-		return Answer{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *r.Expect)
-	case document != nil && document.Text == r.Document.Text && active.Revision == newest:
-		a.endTurn()
+	case request.Expect != nil && *request.Expect != newest:
+		a.release()
+		return Answer{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *request.Expect)
+	case document != nil && document.Text == request.Document.Text && active.Revision == newest:
+		a.release()
 		return Answer{Revision: newest, InForce: true, Unchanged: true}, nil
 	}
-	revision := &configuration.Revision{Number: newest + 1, By: r.By, Why: r.Why, AtMS: a.clock.Now().UnixMilli(), Document: r.Document.Text}
-	change := configuration.NewRollout(active, r.Document.Over(a.files, revision.Number), a.leader.Peers())
+	revision := &configuration.Revision{Number: newest + 1, By: request.By, Why: request.Why, AtMS: a.clock.Now().UnixMilli(), Document: request.Document.Text}
+	rollout := configuration.NewRollout(active, request.Document.Over(a.files, revision.Number), a.leader.Peers())
 	done := make(chan error, 1)
 	go func() {
-		defer a.endTurn()
-		done <- a.carryOut(change, revision, r.Document, stamp)
+		defer a.release()
+		done <- a.rollOut(rollout, revision, request.Document, headRevision)
 	}()
-	return a.wait(ctx, change, done)
+	return a.awaitOutcome(ctx, rollout, done)
 }
 
-func (a *Applier) takeTurn(ctx context.Context) error {
+func (a *Applier) acquire(ctx context.Context) error {
 	select {
-	case a.turn <- struct{}{}:
+	case a.inProgress <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-	case <-a.ctx.Done():
+	case <-a.termCtx.Done():
 	case <-a.clock.After(tuning.ConfigurationTurn):
 	}
 	return ErrBusy
 }
 
-func (a *Applier) endTurn() { <-a.turn }
+func (a *Applier) release() { <-a.inProgress }
 
-// wait waits for a change to be in force, or for as long as its user can be kept.
-func (a *Applier) wait(ctx context.Context, change *configuration.Rollout, done <-chan error) (Answer, error) {
+// awaitOutcome waits for a change to be in force, or for as long as its user can be kept.
+func (a *Applier) awaitOutcome(ctx context.Context, rollout *configuration.Rollout, done <-chan error) (Answer, error) {
 	select {
 	case err := <-done:
 		if err != nil {
@@ -206,144 +206,144 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	switch change.Stage() {
+	switch rollout.Stage() {
 	case configuration.Storing:
-		return Answer{}, ErrUnknown
+		return Answer{}, ErrOutcomeUnknown
 	case configuration.Refused:
 		return Answer{}, ErrUnavailable
 	}
-	return Answer{Revision: change.After.Revision, InForce: change.Stage() == configuration.InForce, WaitsFor: change.WaitsFor(a.clock.Now())}, nil
+	return Answer{Revision: rollout.After.Revision, InForce: rollout.Stage() == configuration.InForce, WaitsFor: rollout.WaitsFor(a.clock.Now())}, nil
 }
 
 // Progress is how far the last change of this term has come; false: there was none.
 func (a *Applier) Progress() (Answer, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.change == nil || a.change.Stage() == configuration.Refused || a.change.Stage() == configuration.Storing {
+	if a.rollout == nil || a.rollout.Stage() == configuration.Refused || a.rollout.Stage() == configuration.Storing {
 		return Answer{}, false
 	}
-	return Answer{Revision: a.change.After.Revision, InForce: a.change.Stage() == configuration.InForce, WaitsFor: a.change.WaitsFor(a.clock.Now())}, true
+	return Answer{Revision: a.rollout.After.Revision, InForce: a.rollout.Stage() == configuration.InForce, WaitsFor: a.rollout.WaitsFor(a.clock.Now())}, true
 }
 
-// carryOut takes a change from before it is stored until it is in force. The error tells why it is not stored.
-func (a *Applier) carryOut(change *configuration.Rollout, revision *configuration.Revision, document *configuration.Document, stamp uint64) error {
+// rollOut takes a change from before it is stored until it is in force. The error tells why it is not stored.
+func (a *Applier) rollOut(rollout *configuration.Rollout, revision *configuration.Revision, document *configuration.Document, headRevision uint64) error {
 	a.mu.Lock()
-	a.change = change
+	a.rollout = rollout
 	a.mu.Unlock()
 	// From here on the lower limits of both count, whatever becomes of it.
-	undecided := a.leader.Adopt(change.Effective())
-	epoch, err := a.store(revision, stamp)
+	unrecordedCount := a.leader.Adopt(rollout.Effective())
+	storeRevision, err := a.persist(revision, headRevision)
 	if err != nil {
 		a.mu.Lock()
-		change.MarkRefused()
+		rollout.MarkRefused()
 		a.mu.Unlock()
-		a.leader.Adopt(change.Before)
+		a.leader.Adopt(rollout.Before)
 		return err
 	}
 	a.mu.Lock()
-	change.MarkStored(a.clock.Now())
-	a.active, a.document, a.stamp = change.After, document, epoch
+	rollout.MarkStored(a.clock.Now())
+	a.active, a.document, a.headRevision = rollout.After, document, storeRevision
 	a.mu.Unlock()
-	a.take(configuration.ValidityLease{Active: change.After, StoreRevision: epoch, RequestedAt: a.clock.Now()}, revision, revision.Number, "")
-	began := a.clock.Now()
-	a.spread(change, undecided)
-	if change.Stage() != configuration.InForce {
+	a.setCurrent(configuration.ValidityLease{Active: rollout.After, StoreRevision: storeRevision, RequestedAt: a.clock.Now()}, revision, revision.Number, "")
+	storedAt := a.clock.Now()
+	a.awaitInForce(rollout, unrecordedCount)
+	if rollout.Stage() != configuration.InForce {
 		return ErrNotLeader
 	}
-	slog.Info("configuration in force", "revision", revision.Number, "by", revision.By, "why", revision.Why, "stored_to_in_force_ms", a.clock.Since(began).Milliseconds())
-	a.sweep(revision.Number)
+	slog.Info("configuration in force", "revision", revision.Number, "by", revision.By, "why", revision.Why, "stored_to_in_force_ms", a.clock.Since(storedAt).Milliseconds())
+	a.removeOldRevisions(revision.Number)
 	return nil
 }
 
-// spread waits until a stored change is in force, or the term is over.
-func (a *Applier) spread(change *configuration.Rollout, undecided func() int) {
+// awaitInForce waits until a stored change is in force, or the term is over.
+func (a *Applier) awaitInForce(rollout *configuration.Rollout, unrecordedCount func() int) {
 	for _, member := range a.leader.Peers() {
-		go a.confirm(change, member)
+		go a.awaitConfirmation(rollout, member)
 	}
-	for a.ctx.Err() == nil {
-		n := undecided()
+	for a.termCtx.Err() == nil {
+		unrecorded := unrecordedCount()
 		a.mu.Lock()
-		change.SetUnrecorded(n)
+		rollout.SetUnrecorded(unrecorded)
 		// What is decided from here on goes by the new one alone, before anybody hears that it is in force.
-		done := change.Advance(a.clock.Now()) == configuration.InForce
+		done := rollout.Advance(a.clock.Now()) == configuration.InForce
 		if done {
-			a.leader.Adopt(change.Effective())
+			a.leader.Adopt(rollout.Effective())
 		}
 		a.mu.Unlock()
 		if done {
 			return
 		}
 		select {
-		case <-a.ctx.Done():
+		case <-a.termCtx.Done():
 		case <-a.clock.After(tuning.ConfigurationStep):
 		}
 	}
 }
 
-// confirm asks a sibling until it has read the change, or that no longer matters.
-func (a *Applier) confirm(change *configuration.Rollout, member string) {
-	for a.ctx.Err() == nil {
-		number, err := a.leader.RefreshPeer(a.ctx, member, change.After.Revision)
+// awaitConfirmation asks a sibling until it has read the change, or that no longer matters.
+func (a *Applier) awaitConfirmation(rollout *configuration.Rollout, member string) {
+	for a.termCtx.Err() == nil {
+		number, err := a.leader.RefreshPeer(a.termCtx, member, rollout.After.Revision)
 		a.mu.Lock()
 		if err == nil {
-			change.Confirm(member, number)
+			rollout.Confirm(member, number)
 		}
-		over := change.Stage() == configuration.InForce || err == nil && number >= change.After.Revision
+		finished := rollout.Stage() == configuration.InForce || err == nil && number >= rollout.After.Revision
 		a.mu.Unlock()
-		if over {
+		if finished {
 			return
 		}
 		select {
-		case <-a.ctx.Done():
+		case <-a.termCtx.Done():
 		case <-a.clock.After(tuning.ConfigurationEvery / 4):
 		}
 	}
 }
 
-// store writes a revision's parts and then its head, on condition that this controller leads and the head is as it was.
+// persist writes a revision's parts and then its head, on condition that this controller leads and the head is as it was.
 // Once the outcome of a transaction is not known it is sent again until it is: a second execution of the same changes
 // nothing. The error is ErrUnavailable where nothing can have been stored.
-func (a *Applier) store(revision *configuration.Revision, stamp uint64) (epoch uint64, err error) {
+func (a *Applier) persist(revision *configuration.Revision, headRevision uint64) (storeRevision uint64, err error) {
 	head, parts, err := configuration.Encode(revision, a.limits.ValueBytes())
 	if err != nil {
 		return 0, err
 	}
-	conds := []store.Condition{{Key: configuration.HeadKey, Revision: stamp}}
-	var ops []store.Operation
+	conditions := []store.Condition{{Key: configuration.HeadKey, Revision: headRevision}}
+	var operations []store.Operation
 	for i, part := range parts {
 		key := configuration.PartKey(revision.Number, i)
-		ops = append(ops, store.Operation{Set: key, Value: part})
-		if len(ops)+1 < a.limits.TxnOps || i == len(parts)-1 {
+		operations = append(operations, store.Operation{Set: key, Value: part})
+		if len(operations)+1 < a.limits.TxnOps || i == len(parts)-1 {
 			continue
 		}
-		if epoch, err = a.write(conds, ops, nil); err != nil {
+		if storeRevision, err = a.transact(conditions, operations, nil); err != nil {
 			return 0, err
 		}
 		// A late copy of an earlier try must not change what the head will name.
-		for _, op := range ops {
-			conds = append(conds, store.Condition{Key: op.Set, Revision: epoch})
+		for _, operation := range operations {
+			conditions = append(conditions, store.Condition{Key: operation.Set, Revision: storeRevision})
 		}
-		ops = nil
+		operations = nil
 	}
-	ops = append(ops, store.Operation{Set: configuration.HeadKey, Value: head})
-	return a.write(conds, ops, &head)
+	operations = append(operations, store.Operation{Set: configuration.HeadKey, Value: head})
+	return a.transact(conditions, operations, &head)
 }
 
-// write runs one transaction to a known outcome. Head is what it makes the head, if it does.
-func (a *Applier) write(conds []store.Condition, ops []store.Operation, head *configuration.Head) (epoch uint64, err error) {
-	unknown := false
-	for a.ctx.Err() == nil {
-		lead, ok := a.leader.Condition()
-		if !ok && !unknown {
+// transact runs one transaction to a known outcome. Head is what it makes the head, if it does.
+func (a *Applier) transact(conditions []store.Condition, operations []store.Operation, head *configuration.Head) (storeRevision uint64, err error) {
+	outcomeUnknown := false
+	for a.termCtx.Err() == nil {
+		leading, ok := a.leader.Condition()
+		if !ok && !outcomeUnknown {
 			return 0, ErrNotLeader
 		}
-		epoch, failed, err := a.client.Transact(a.ctx, append([]store.Condition{lead}, conds...), ops)
+		storeRevision, failed, err := a.client.Transact(a.termCtx, append([]store.Condition{leading}, conditions...), operations)
 		switch {
 		case err == nil:
-			return epoch, nil
+			return storeRevision, nil
 		case errors.Is(err, store.ErrConflict):
-			if unknown && head != nil {
-				if found, ok := a.wrote(head); ok {
+			if outcomeUnknown && head != nil {
+				if found, ok := a.findHead(head); ok {
 					return found, nil
 				}
 			}
@@ -351,26 +351,26 @@
 				return 0, ErrNotLeader
 			}
 			return 0, fmt.Errorf("%w: %v", ErrConflict, failed)
-		case errors.Is(err, store.ErrRateLimited), unknown && errors.Is(err, store.ErrBusy):
+		case errors.Is(err, store.ErrRateLimited), outcomeUnknown && errors.Is(err, store.ErrBusy):
 		case errors.Is(err, store.ErrBusy):
 			return 0, ErrUnavailable
 		case errors.Is(err, store.ErrInvalidRequest):
 			return 0, err
 		default:
-			unknown = true
+			outcomeUnknown = true
 		}
 		select {
-		case <-a.ctx.Done():
+		case <-a.termCtx.Done():
 		case <-a.clock.After(tuning.ElectRetry):
 		}
 	}
-	return 0, ErrUnknown
+	return 0, ErrOutcomeUnknown
 }
 
-// wrote tells whether the head is what was to be written, and at which revision of the state service.
-func (a *Applier) wrote(head *configuration.Head) (epoch uint64, ok bool) {
-	for a.ctx.Err() == nil {
-		item, err := a.client.Get(a.ctx, configuration.HeadKey)
+// findHead tells whether the head is what was to be written, and at which revision of the state service.
+func (a *Applier) findHead(head *configuration.Head) (storeRevision uint64, ok bool) {
+	for a.termCtx.Err() == nil {
+		item, err := a.client.Get(a.termCtx, configuration.HeadKey)
 		if err == nil {
 			found, err := configuration.ParseHead(item.Value)
 			return item.Revision, err == nil && found == *head
@@ -379,18 +379,18 @@
 			return 0, false
 		}
 		select {
-		case <-a.ctx.Done():
+		case <-a.termCtx.Done():
 		case <-a.clock.After(tuning.ElectRetry):
 		}
 	}
 	return 0, false
 }
 
-// sweep removes revisions that are older than the last ones that are kept. What fails is tried with a later change.
-func (a *Applier) sweep(newest uint64) {
+// removeOldRevisions removes revisions that are older than the last ones that are kept. What fails is tried with a later change.
+func (a *Applier) removeOldRevisions(newest uint64) {
 	for back := uint64(tuning.ConfigurationKept); back < tuning.ConfigurationKept+tuning.ConfigurationSwept && back < newest; back++ {
-		old := newest - back
-		item, err := a.client.Get(a.ctx, configuration.PartKey(old, 0))
+		number := newest - back
+		item, err := a.client.Get(a.termCtx, configuration.PartKey(number, 0))
 		if err != nil {
 			continue
 		}
@@ -398,14 +398,14 @@
 		if err != nil {
 			continue
 		}
-		lead, ok := a.leader.Condition()
+		leading, ok := a.leader.Condition()
 		if !ok {
 			return
 		}
 		// The first part goes last: it tells how many there are.
 		for i := part.Of - 1; i >= 0; i-- {
-			if _, _, err := a.client.Transact(a.ctx, []store.Condition{lead}, []store.Operation{{Delete: configuration.PartKey(old, i)}}); err != nil {
-				slog.Info("an old revision is not removed yet", "revision", old, "err", err)
+			if _, _, err := a.client.Transact(a.termCtx, []store.Condition{leading}, []store.Operation{{Delete: configuration.PartKey(number, i)}}); err != nil {
+				slog.Info("an old revision is not removed yet", "revision", number, "err", err)
 				return
 			}
 		}
