--- /dev/null
+++ b/configuration/revisions/persist.go
@@ -0,0 +1,139 @@
+package revisions
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+
+	"switchferry/configuration"
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+// persist writes the parts of a revision and then its head, on condition that this controller leads
+// and that the head is still at headRevision. It returns the state service's revision of the new head.
+// On an error the head is not written, except for ErrOutcomeUnknown.
+func (a *Applier) persist(revision *configuration.Revision, headRevision uint64) (newHeadRevision uint64, err error) {
+	head, parts, err := configuration.Encode(revision, a.limits.ValueBytes())
+	if err != nil {
+		return 0, err
+	}
+	conditions := []store.Condition{{Key: configuration.HeadKey, Revision: headRevision}}
+	var operations []store.Operation
+	for i, part := range parts {
+		operations = append(operations, store.Operation{Set: configuration.PartKey(revision.Number, i), Value: part})
+		if len(operations)+1 < a.limits.TxnOps || i == len(parts)-1 {
+			continue
+		}
+		storeRevision, err := a.transact(conditions, operations, nil)
+		if err != nil {
+			return 0, err
+		}
+		// A late copy of an earlier attempt must not change the parts that the head will name.
+		for _, operation := range operations {
+			conditions = append(conditions, store.Condition{Key: operation.Set, Revision: storeRevision})
+		}
+		operations = nil
+	}
+	operations = append(operations, store.Operation{Set: configuration.HeadKey, Value: head})
+	return a.transact(conditions, operations, &head)
+}
+
+// transact repeats a transaction until its outcome is known, and returns the state service's revision
+// of it. It may be executed twice: the second execution fails by the conditions. Head is the head that
+// the transaction writes; nil: it writes none. The error is ErrUnavailable if nothing can have been
+// executed, and ErrOutcomeUnknown if the term ended before the outcome was known.
+func (a *Applier) transact(conditions []store.Condition, operations []store.Operation, head *configuration.Head) (uint64, error) {
+	outcomeUnknown := false
+	for a.termCtx.Err() == nil {
+		leading, ok := a.leader.Condition()
+		if !ok && !outcomeUnknown {
+			return 0, ErrNotLeader
+		}
+		storeRevision, failed, err := a.client.Transact(a.termCtx, append([]store.Condition{leading}, conditions...), operations)
+		switch {
+		case err == nil:
+			return storeRevision, nil
+		case errors.Is(err, store.ErrConflict):
+			// An attempt without an answer may have been executed.
+			if outcomeUnknown {
+				if found, ok := a.findHead(head); ok {
+					return found, nil
+				}
+			}
+			return 0, conflictError(failed)
+		case errors.Is(err, store.ErrRateLimited), outcomeUnknown && errors.Is(err, store.ErrBusy):
+			// This attempt was not executed.
+		case errors.Is(err, store.ErrBusy):
+			return 0, ErrUnavailable
+		case errors.Is(err, store.ErrInvalidRequest):
+			return 0, fmt.Errorf("storing a configuration revision: %w", err)
+		default:
+			outcomeUnknown = true
+		}
+		a.sleep(tuning.ElectRetry)
+	}
+	return 0, ErrOutcomeUnknown
+}
+
+// conflictError returns why a transaction whose conditions on these keys failed was not executed.
+func conflictError(failed []string) error {
+	if len(failed) > 0 && failed[0] == store.LeaderKey {
+		return ErrNotLeader
+	}
+	return fmt.Errorf("%w: %v", ErrConflict, failed)
+}
+
+// findHead tells whether a head is the one that is stored, and at which revision of the state service.
+// It asks until there is an answer or the term ends.
+func (a *Applier) findHead(head *configuration.Head) (storeRevision uint64, ok bool) {
+	if head == nil {
+		return 0, false
+	}
+	for a.termCtx.Err() == nil {
+		item, err := a.client.Get(a.termCtx, configuration.HeadKey)
+		if err == nil {
+			found, err := configuration.ParseHead(item.Value)
+			return item.Revision, err == nil && found == *head
+		}
+		if errors.Is(err, store.ErrNotFound) {
+			return 0, false
+		}
+		a.sleep(tuning.ElectRetry)
+	}
+	return 0, false
+}
+
+// removeOldRevisions removes the newest of the revisions that are no longer kept, at most
+// tuning.ConfigurationSwept. What fails is attempted again after a later change.
+func (a *Applier) removeOldRevisions(newest uint64) {
+	for back := uint64(tuning.ConfigurationKept); back < tuning.ConfigurationKept+tuning.ConfigurationSwept && back < newest; back++ {
+		number := newest - back
+		parts, ok := a.storedParts(number)
+		if !ok {
+			continue
+		}
+		leading, ok := a.leader.Condition()
+		if !ok {
+			return
+		}
+		// The first part goes last, since it has the number of parts.
+		for i := parts - 1; i >= 0; i-- {
+			operations := []store.Operation{{Delete: configuration.PartKey(number, i)}}
+			if _, _, err := a.client.Transact(a.termCtx, []store.Condition{leading}, operations); err != nil {
+				slog.Info("configuration revision not removed", "revision", number, "err", err)
+				return
+			}
+		}
+	}
+}
+
+// storedParts returns the number of parts of a revision; false: it is not stored, or cannot be read.
+func (a *Applier) storedParts(number uint64) (int, bool) {
+	item, err := a.client.Get(a.termCtx, configuration.PartKey(number, 0))
+	if err != nil {
+		return 0, false
+	}
+	part, err := configuration.ParsePart(item.Value)
+	return part.Of, err == nil
+}
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -1,6 +1,8 @@
-// Package revisions carries package configuration out against the state service: it reads the newest revision again and
-// again, so that this controller knows until when it may go by it; on the leader it stores a new one and takes it to
-// the point where it is in force everywhere. It decides nothing about jobs: what is gone by is handed to whoever does.
+// Package revisions reads and writes the configuration in the state service. A Store reads the newest
+// revision at intervals, so that its controller knows until when it may use what it has read. The
+// leader's Applier stores a new revision and brings it into force on all controllers.
+//
+// What a revision means is up to package configuration, and what decisions use it to the controller.
 package revisions
 
 import (
@@ -9,6 +11,7 @@
 	"fmt"
 	"log/slog"
 	"sync"
+	"time"
 
 	"github.com/jonboulle/clockwork"
 
@@ -18,30 +21,32 @@
 	"switchferry/tuning"
 )
 
-// Store is one process's knowledge of the configuration. It is safe for use from several goroutines at once.
+// Store has the newest revision that this process has read. It is safe for concurrent use.
 type Store struct {
 	client *store.Client
 	clock  clockwork.Clock
-	files  *configuration.Active
-	// limits are the least that the state service will ever have.
+	// files is the configuration without any revision.
+	files *configuration.Active
+	// limits are the lowest that the state service has or will have.
 	limits settings.State
 
 	mu    sync.Mutex
 	lease configuration.ValidityLease
-	// revision is the one that right goes by; nil: files and settings count alone. trouble is why a newer one than that
-	// is not taken; empty: there is none.
-	revision  *configuration.Revision
-	newest    uint64
+	// revision is the one that the lease is for; nil: files and settings apply alone.
+	revision *configuration.Revision
+	// newest is the number of the newest revision that is stored; 0: there is none.
+	newest uint64
+	// rejection is why the newest revision is not used; empty: it is.
 	rejection string
 }
 
-// New makes the keeper of a process that has read nothing yet. Files is what counts without any revision.
+// New returns a Store that has read nothing yet. Files is the configuration without any revision.
 func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Store {
 	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
 }
 
-// Run reads the newest revision again and again until the context ends. Paused tells whether there is no need to: a
-// testLeader knows.
+// Run refreshes at intervals until the context ends. It pauses while paused returns true, as on the
+// leader, which knows the newest revision.
 func (s *Store) Run(ctx context.Context, paused func() bool) {
 	for ctx.Err() == nil {
 		if !paused() {
@@ -49,53 +54,64 @@
 				slog.Debug("configuration not confirmed", "err", err)
 			}
 		}
-		select {
-		case <-ctx.Done():
-		case <-s.clock.After(tuning.ConfigurationEvery):
-		}
+		sleep(ctx, s.clock, tuning.ConfigurationEvery)
 	}
 }
 
-// Lease is what may be gone by now; false: nothing may, since it was not confirmed lately.
+// sleep waits for a duration, or until the context ends.
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-clock.After(duration):
+	}
+}
+
+// Lease returns the configuration that was read last, and whether it may be used now.
 func (s *Store) Lease() (configuration.ValidityLease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease, s.lease.ValidAt(s.clock.Now())
 }
 
-// Current is the revision that was last read; nil: files and settings count alone. Newest is the number of the newest
-// on record, and trouble why that is not taken; empty: it is.
+// Current returns the revision that was read last; nil: files and settings apply alone. Newest is the
+// number of the newest revision that is stored, and rejection says why that is not used; empty: it is.
 func (s *Store) Current() (revision *configuration.Revision, newest uint64, rejection string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision, s.newest, s.rejection
 }
 
-// Refresh reads which revision is the newest, and that revision if it is another than before. It gives its number.
+// Refresh renews the lease: it reads which revision is the newest, and reads that one if it is not
+// the present one. It returns the number of the newest; 0: there is none. The error is that of the
+// state service; a revision that cannot be used is no error.
 func (s *Store) Refresh(ctx context.Context) (uint64, error) {
 	requestedAt := s.clock.Now()
-	item, err := s.client.Get(ctx, configuration.HeadKey)
-	if err != nil && !errors.Is(err, store.ErrNotFound) {
-		return 0, err
-	}
+	head, err := s.client.Get(ctx, configuration.HeadKey)
 	if errors.Is(err, store.ErrNotFound) {
-		item = store.Item{}
+		head, err = store.Item{}, nil
+	}
+	if err != nil {
+		return 0, fmt.Errorf("reading the configuration's head: %w", err)
+	}
+	if newest, unchanged := s.renew(head.Revision, requestedAt); unchanged {
+		return newest, nil
 	}
+	return s.load(ctx, head, configuration.ValidityLease{StoreRevision: head.Revision, RequestedAt: requestedAt})
+}
+
+// renew renews the lease if the head of its revision is unchanged, and tells whether it is.
+func (s *Store) renew(headRevision uint64, requestedAt time.Time) (newest uint64, unchanged bool) {
 	s.mu.Lock()
-	unchanged := s.lease.Active != nil && s.lease.StoreRevision == item.Revision
+	defer s.mu.Unlock()
+	unchanged = s.lease.Active != nil && s.lease.StoreRevision == headRevision
 	if unchanged && requestedAt.After(s.lease.RequestedAt) {
 		s.lease.RequestedAt = requestedAt
 	}
-	newest := s.newest
-	s.mu.Unlock()
-	if unchanged {
-		return newest, nil
-	}
-	return s.load(ctx, item, configuration.ValidityLease{StoreRevision: item.Revision, RequestedAt: requestedAt})
+	return s.newest, unchanged
 }
 
-// load reads the revision that a head names. One that is damaged or of a newer format is not taken: the last good one
-// counts, and that is said.
+// load reads the revision that a head names, and makes it the current one. If it cannot be used, the
+// newest one before it that can is. It returns the number of the newest.
 func (s *Store) load(ctx context.Context, head store.Item, lease configuration.ValidityLease) (uint64, error) {
 	if head.Revision == 0 {
 		lease.Active = s.files
@@ -105,7 +121,7 @@
 	rejection := ""
 	namedHead, err := configuration.ParseHead(head.Value)
 	if err != nil {
-		slog.Error("the configuration's head is damaged; the last good revision on record counts", "key", configuration.HeadKey, "err", err)
+		slog.Error("corrupt configuration head", "key", configuration.HeadKey, "err", err)
 		rejection = err.Error()
 		if namedHead.Number, err = s.highestStored(ctx); err != nil {
 			return 0, err
@@ -119,25 +135,30 @@
 			s.setCurrent(lease, revision, namedHead.Number, rejection)
 			return namedHead.Number, nil
 		}
-		if !errors.Is(err, configuration.ErrDamaged) && !errors.Is(err, configuration.ErrNewer) {
+		if !isUnusable(err) {
 			return 0, err
 		}
-		slog.Error("a revision of the configuration is not taken; the last good one counts", "revision", number, "err", err)
+		slog.Error("configuration revision rejected", "revision", number, "err", err)
 		if rejection == "" {
 			rejection = err.Error()
 		}
-		digest = ""
+		digest = "" // The head has that of the newest only.
 	}
 	lease.Active = s.files
 	s.setCurrent(lease, nil, namedHead.Number, rejection)
 	return namedHead.Number, nil
 }
 
-// highestStored is the highest number of which a part is on record; 0: there is none.
+// isUnusable tells whether an error is about a stored revision, and not about reading it.
+func isUnusable(err error) bool {
+	return errors.Is(err, configuration.ErrDamaged) || errors.Is(err, configuration.ErrNewer)
+}
+
+// highestStored returns the highest number of a revision of which a part is stored; 0: there is none.
 func (s *Store) highestStored(ctx context.Context) (uint64, error) {
 	items, _, err := s.client.List(ctx, configuration.PartPrefix)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("listing configuration revisions: %w", err)
 	}
 	highest := uint64(0)
 	for _, item := range items {
@@ -148,11 +169,12 @@
 	return highest, nil
 }
 
+// setCurrent sets what was read last, unless it was requested before the present one was.
 func (s *Store) setCurrent(lease configuration.ValidityLease, revision *configuration.Revision, newest uint64, rejection string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lease.Active != nil && lease.RequestedAt.Before(s.lease.RequestedAt) {
-		return // overtaken by a reading that was asked for later
+		return
 	}
 	s.lease, s.revision, s.newest, s.rejection = lease, revision, newest, rejection
 	if lease.Active != nil {
@@ -160,7 +182,8 @@
 	}
 }
 
-// readRevision reads one revision and its document.
+// readRevision reads a revision and its document. Digest is that of the head; empty: not known. The
+// error wraps configuration.ErrDamaged or configuration.ErrNewer if the revision cannot be used.
 func (s *Store) readRevision(ctx context.Context, number uint64, digest string) (*configuration.Revision, *configuration.Document, error) {
 	var parts []configuration.Part
 	for i := 0; i == 0 || i < parts[0].Of; i++ {
@@ -169,7 +192,7 @@
 			return nil, nil, fmt.Errorf("%w: part %d of revision %d is missing", configuration.ErrDamaged, i, number)
 		}
 		if err != nil {
-			return nil, nil, err
+			return nil, nil, fmt.Errorf("reading part %d of configuration revision %d: %w", i, number, err)
 		}
 		part, err := configuration.ParsePart(item.Value)
 		if err != nil {
@@ -183,18 +206,20 @@
 	}
 	document, err := configuration.Parse(revision.Document)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: the document of revision %d: %v", configuration.ErrDamaged, number, err)
+		return nil, nil, fmt.Errorf("%w: the document of revision %d: %w", configuration.ErrDamaged, number, err)
 	}
 	return revision, document, nil
 }
 
-// Revision reads one revision from the records.
+// Revision reads a stored revision. The error wraps configuration.ErrDamaged or
+// configuration.ErrNewer if the revision is not stored or cannot be used.
 func (s *Store) Revision(ctx context.Context, number uint64) (*configuration.Revision, error) {
 	revision, _, err := s.readRevision(ctx, number, "")
 	return revision, err
 }
 
-// History reads the last revisions that are on record, the newest first.
+// History reads the last revisions that are stored, the newest first, without their documents. For a
+// revision that cannot be used, Why has the reason.
 func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
 	newest, err := s.Refresh(ctx)
 	if err != nil {
@@ -203,7 +228,7 @@
 	out := []*configuration.Revision{}
 	for number := newest; number > 0 && number+tuning.ConfigurationKept > newest; number-- {
 		revision, err := s.Revision(ctx, number)
-		if errors.Is(err, configuration.ErrDamaged) || errors.Is(err, configuration.ErrNewer) {
+		if isUnusable(err) {
 			revision, err = &configuration.Revision{Number: number, Why: err.Error()}, nil
 		}
 		if err != nil {
