--- a/configuration/httpapi/port.go
+++ b/configuration/httpapi/handler.go
@@ -30,62 +30,62 @@
 }
 
 // Present is the present configuration and how far the last change has come.
-func (p *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
-	revision, newest, trouble := p.Store.Current()
-	v := api.ConfigurationView{Newest: newest, NotTaken: trouble, Leader: applier != nil}
+func (h *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
+	revision, newest, rejection := h.Store.Current()
+	view := api.ConfigurationView{Newest: newest, NotTaken: rejection, Leader: applier != nil}
 	if revision != nil {
-		v.Revision, v.By, v.Why, v.AtMS, v.Document = revision.Number, revision.By, revision.Why, revision.AtMS, revision.Document
+		view.Revision, view.By, view.Why, view.AtMS, view.Document = revision.Number, revision.By, revision.Why, revision.AtMS, revision.Document
 	}
 	if applier != nil {
-		v.InForce = true
-		if progress, ok := applier.Progress(); ok && progress.Revision == v.Revision {
-			v.InForce, v.WaitsFor = progress.InForce, progress.WaitsFor
+		view.InForce = true
+		if progress, ok := applier.Progress(); ok && progress.Revision == view.Revision {
+			view.InForce, view.WaitsFor = progress.InForce, progress.WaitsFor
 		}
 	}
-	return v
+	return view
 }
 
 // Revision answers from the records.
-func (p *Handler) Revision(ctx context.Context, which string) (status int, body any) {
+func (h *Handler) Revision(ctx context.Context, which string) (status int, body any) {
 	if which == History {
-		all, err := p.Store.History(ctx)
+		history, err := h.Store.History(ctx)
 		if err != nil {
 			return http.StatusServiceUnavailable, api.Error{Error: "the state service is out of reach"}
 		}
-		out := []api.ConfigurationView{}
-		for _, r := range all {
-			out = append(out, api.ConfigurationView{Revision: r.Number, By: r.By, Why: r.Why, AtMS: r.AtMS})
+		views := []api.ConfigurationView{}
+		for _, revision := range history {
+			views = append(views, api.ConfigurationView{Revision: revision.Number, By: revision.By, Why: revision.Why, AtMS: revision.AtMS})
 		}
-		return http.StatusOK, out
+		return http.StatusOK, views
 	}
 	number, err := strconv.ParseUint(which, 10, 64)
 	if err != nil || number == 0 {
 		return http.StatusBadRequest, api.Error{Error: fmt.Sprintf("%q is no revision; revisions are numbered from 1", which), Field: "revision"}
 	}
-	r, err := p.Store.Revision(ctx, number)
+	revision, err := h.Store.Revision(ctx, number)
 	switch {
 	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewer):
 		return http.StatusNotFound, api.Error{Error: err.Error() + "; the last 50 revisions are kept"}
 	case err != nil:
 		return http.StatusServiceUnavailable, api.Error{Error: "the state service is out of reach"}
 	}
-	return http.StatusOK, api.ConfigurationView{Revision: r.Number, By: r.By, Why: r.Why, AtMS: r.AtMS, Document: r.Document}
+	return http.StatusOK, api.ConfigurationView{Revision: revision.Number, By: revision.By, Why: revision.Why, AtMS: revision.AtMS, Document: revision.Document}
 }
 
 // Change makes a change as the leader.
-func (p *Handler) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
+func (h *Handler) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
 	var request api.ConfigurationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return http.StatusBadRequest, api.Error{Error: "the body must be a JSON object with a document", Field: "body"}
 	}
 	document, err := configuration.Parse(request.Document)
 	if err == nil {
-		err = p.cannotUse(document)
+		err = h.checkFeatures(document)
 	}
 	if err != nil {
-		return http.StatusBadRequest, api.ConfigurationMistakes{Error: "the document has mistakes; nothing was changed", Mistakes: mistakesOf(err)}
+		return http.StatusBadRequest, api.ConfigurationMistakes{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
 	}
-	without, err := p.Versions.WithoutConfiguration(ctx)
+	without, err := h.Versions.WithoutConfiguration(ctx)
 	if err != nil {
 		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrUnavailable.Error()}
 	}
@@ -95,7 +95,7 @@
 	made, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
 	switch {
 	case errors.Is(err, revisions.ErrConflict):
-		return http.StatusConflict, p.conflict(document, err)
+		return http.StatusConflict, h.conflictAnswer(document, err)
 	case err != nil:
 		slog.Info("configuration not changed", "by", request.By, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: err.Error()}
@@ -105,44 +105,44 @@
 	return http.StatusAccepted, made
 }
 
-// cannotUse finds sections that need a feature which is off.
-func (p *Handler) cannotUse(d *configuration.Document) error {
-	var bad configuration.FieldErrors
-	if d.Topology != nil && !p.TopologyOn {
-		bad = append(bad, configuration.FieldError{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
+// checkFeatures finds sections that need a feature which is off.
+func (h *Handler) checkFeatures(document *configuration.Document) error {
+	var fieldErrors configuration.FieldErrors
+	if document.Topology != nil && !h.TopologyOn {
+		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
 	}
-	if d.Switches.AheadTasks != nil && !p.DataOn {
-		bad = append(bad, configuration.FieldError{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
+	if document.Switches.AheadTasks != nil && !h.DataOn {
+		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
 	}
-	if len(bad) == 0 {
+	if len(fieldErrors) == 0 {
 		return nil
 	}
-	return bad
+	return fieldErrors
 }
 
-func mistakesOf(err error) (out []api.ConfigurationMistake) {
-	var all configuration.FieldErrors
-	if !errors.As(err, &all) {
-		all = configuration.FieldErrors{{Field: "document", Remedy: err.Error()}}
+func fieldErrorViews(err error) (views []api.ConfigurationMistake) {
+	var fieldErrors configuration.FieldErrors
+	if !errors.As(err, &fieldErrors) {
+		fieldErrors = configuration.FieldErrors{{Field: "document", Remedy: err.Error()}}
 	}
-	for _, m := range all {
-		out = append(out, api.ConfigurationMistake{Line: m.Line, Field: m.Field, Remedy: m.Remedy})
+	for _, fieldError := range fieldErrors {
+		views = append(views, api.ConfigurationMistake{Line: fieldError.Line, Field: fieldError.Field, Remedy: fieldError.Remedy})
 	}
-	return out
+	return views
 }
 
-// conflict tells whoever lost against another change what that one was.
-func (p *Handler) conflict(wanted *configuration.Document, err error) api.ConfigurationConflict {
-	out := api.ConfigurationConflict{Error: err.Error()}
-	revision, _, _ := p.Store.Current()
+// conflictAnswer tells whoever lost against another change what that one was.
+func (h *Handler) conflictAnswer(wanted *configuration.Document, err error) api.ConfigurationConflict {
+	conflict := api.ConfigurationConflict{Error: err.Error()}
+	revision, _, _ := h.Store.Current()
 	if revision == nil {
-		return out
+		return conflict
 	}
-	out.Revision, out.By, out.Why = revision.Number, revision.By, revision.Why
-	if present, perr := configuration.Parse(revision.Document); perr == nil {
-		for _, d := range configuration.Differences(present, wanted) {
-			out.Differences = append(out.Differences, d.String())
+	conflict.Revision, conflict.By, conflict.Why = revision.Number, revision.By, revision.Why
+	if present, parseErr := configuration.Parse(revision.Document); parseErr == nil {
+		for _, difference := range configuration.Differences(present, wanted) {
+			conflict.Differences = append(conflict.Differences, difference.String())
 		}
 	}
-	return out
+	return conflict
 }
