--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -1,5 +1,6 @@
-// Package httpapi answers operators' requests about the configuration: it turns what package keeper knows and does into
-// statuses and bodies, as docs/configuration-operators.md has them. A status of 503 means: come back.
+// Package httpapi answers operators' requests about the configuration. It turns what package
+// revisions knows and does into the statuses and bodies of docs/configuration-operators.md. A status
+// of 503 asks the client to try again.
 package httpapi
 
 import (
@@ -15,27 +16,34 @@
 	"switchferry/api"
 	"switchferry/configuration"
 	"switchferry/configuration/revisions"
+	"switchferry/tuning"
 	"switchferry/upgrade"
 )
 
 // History asks, in place of a revision's number, for the last revisions.
 const History = "history"
 
-// Handler answers for one controller.
+// stateUnreachable is the error of an answer that needs the state service.
+const stateUnreachable = "the state service is out of reach"
+
+// Handler answers for one controller. Its methods are safe for concurrent use.
 type Handler struct {
 	Store    *revisions.Store
 	Versions *upgrade.VersionRegistry
-	// TopologyOn and DataOn tell whether these features are on: what needs them can only be configured then.
+	// TopologyOn and DataOn tell whether these features are on. Settings that need a feature can be
+	// configured only then.
 	TopologyOn, DataOn bool
 }
 
-// Present is the present configuration and how far the last change has come.
+// Present returns the present configuration and, on the leader, how far the last change has come.
+// Applier is nil on other controllers.
 func (h *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
 	revision, newest, rejection := h.Store.Current()
-	view := api.ConfigurationView{Newest: newest, NotTaken: rejection, Leader: applier != nil}
+	var view api.ConfigurationView
 	if revision != nil {
-		view.Revision, view.By, view.Why, view.AtMS, view.Document = revision.Number, revision.By, revision.Why, revision.AtMS, revision.Document
+		view = viewOf(revision)
 	}
+	view.Newest, view.NotTaken, view.Leader = newest, rejection, applier != nil
 	if applier != nil {
 		view.InForce = true
 		if progress, ok := applier.Progress(); ok && progress.Revision == view.Revision {
@@ -45,18 +53,21 @@
 	return view
 }
 
-// Revision answers from the records.
+// viewOf shows a revision.
+func viewOf(revision *configuration.Revision) api.ConfigurationView {
+	return api.ConfigurationView{
+		Revision: revision.Number,
+		By:       revision.By,
+		Why:      revision.Why,
+		AtMS:     revision.AtMS,
+		Document: revision.Document,
+	}
+}
+
+// Revision returns the status and body for a stored revision, named by its number, or for History.
 func (h *Handler) Revision(ctx context.Context, which string) (status int, body any) {
 	if which == History {
-		history, err := h.Store.History(ctx)
-		if err != nil {
-			return http.StatusServiceUnavailable, api.Error{Error: "the state service is out of reach"}
-		}
-		views := []api.ConfigurationView{}
-		for _, revision := range history {
-			views = append(views, api.ConfigurationView{Revision: revision.Number, By: revision.By, Why: revision.Why, AtMS: revision.AtMS})
-		}
-		return http.StatusOK, views
+		return h.history(ctx)
 	}
 	number, err := strconv.ParseUint(which, 10, 64)
 	if err != nil || number == 0 {
@@ -65,14 +76,28 @@
 	revision, err := h.Store.Revision(ctx, number)
 	switch {
 	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewer):
-		return http.StatusNotFound, api.Error{Error: err.Error() + "; the last 50 revisions are kept"}
+		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationKept)}
 	case err != nil:
-		return http.StatusServiceUnavailable, api.Error{Error: "the state service is out of reach"}
+		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
 	}
-	return http.StatusOK, api.ConfigurationView{Revision: revision.Number, By: revision.By, Why: revision.Why, AtMS: revision.AtMS, Document: revision.Document}
+	return http.StatusOK, viewOf(revision)
 }
 
-// Change makes a change as the leader.
+// history returns the status and body for the last revisions, without their documents.
+func (h *Handler) history(ctx context.Context) (status int, body any) {
+	history, err := h.Store.History(ctx)
+	if err != nil {
+		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
+	}
+	views := []api.ConfigurationView{}
+	for _, revision := range history {
+		views = append(views, viewOf(revision))
+	}
+	return http.StatusOK, views
+}
+
+// Change makes the change that a body asks for, on the leader, and returns the status and body of the
+// answer.
 func (h *Handler) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
 	var request api.ConfigurationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -92,20 +117,20 @@
 	if len(without) > 0 {
 		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can only change once all controllers run a version that knows of it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
 	}
-	made, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
+	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
 	switch {
 	case errors.Is(err, revisions.ErrConflict):
 		return http.StatusConflict, h.conflictAnswer(document, err)
 	case err != nil:
 		slog.Info("configuration not changed", "by", request.By, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: err.Error()}
-	case made.InForce:
-		return http.StatusOK, made
+	case progress.InForce:
+		return http.StatusOK, progress
 	}
-	return http.StatusAccepted, made
+	return http.StatusAccepted, progress
 }
 
-// checkFeatures finds sections that need a feature which is off.
+// checkFeatures returns configuration.FieldErrors for the sections that need a feature which is off.
 func (h *Handler) checkFeatures(document *configuration.Document) error {
 	var fieldErrors configuration.FieldErrors
 	if document.Topology != nil && !h.TopologyOn {
@@ -120,9 +145,10 @@
 	return fieldErrors
 }
 
+// fieldErrorViews shows the errors in a document.
 func fieldErrorViews(err error) (views []api.ConfigurationMistake) {
-	var fieldErrors configuration.FieldErrors
-	if !errors.As(err, &fieldErrors) {
+	fieldErrors, ok := errors.AsType[configuration.FieldErrors](err)
+	if !ok {
 		fieldErrors = configuration.FieldErrors{{Field: "document", Remedy: err.Error()}}
 	}
 	for _, fieldError := range fieldErrors {
@@ -131,7 +157,8 @@
 	return views
 }
 
-// conflictAnswer tells whoever lost against another change what that one was.
+// conflictAnswer shows the present revision to the operator whose change was refused because of it,
+// and how the wanted document differs from it.
 func (h *Handler) conflictAnswer(wanted *configuration.Document, err error) api.ConfigurationConflict {
 	conflict := api.ConfigurationConflict{Error: err.Error()}
 	revision, _, _ := h.Store.Current()
