--- /dev/null
+++ b/relay/exchange/exchange_test.go
@@ -0,0 +1,230 @@
+package exchange
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"os"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/internal/compress"
+	"switchferry/internal/fake"
+	"switchferry/relay"
+	"switchferry/settings"
+	"switchferry/store"
+)
+
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	// The compressor is made once, and must not be made within a bubble of synctest.
+	if _, err := compress.EncodeFast(0); err != nil {
+		panic(err)
+	}
+	os.Exit(m.Run())
+}
+
+var facts = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+
+// partition is a controller "y" and a leader that reach the state service alone.
+type partition struct {
+	state  *fake.State
+	client *store.Client
+	clock  clockwork.Clock
+	term   uint64
+	// exchange is the controller's.
+	exchange *Exchange
+
+	mu sync.Mutex
+	// ended counts the calls of TermEnded.
+	ended int
+}
+
+func newPartition(t *testing.T) *partition {
+	t.Helper()
+	clock := clockwork.NewRealClock()
+	p := &partition{state: fake.NewState(clock), clock: clock}
+	p.client = store.NewClient("state:1", p.state)
+	p.elect()
+	p.exchange = &Exchange{
+		Member:         "y",
+		Client:         p.client,
+		Clock:          clock,
+		Rate:           WriteRate(facts),
+		UplinkKey:      store.RelayKey,
+		DownlinkPrefix: store.MailPrefix + "y/",
+		RefreshEvery:   time.Hour,
+		Lock:           &p.mu,
+		Outbox:         relay.NewOutbox(PacketLimits(facts), 1),
+		Reader:         &relay.Reader{},
+		Expire:         func(time.Time) {},
+		TermEnded:      func() { p.ended++ },
+	}
+	p.exchange.Outbox.Reset(p.term)
+	return p
+}
+
+// elect begins a term of the leader.
+func (p *partition) elect() {
+	p.term = p.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
+}
+
+// put puts a message of a machine into the outbox.
+func (p *partition) put(machine, body string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.exchange.Outbox.Put(machine, json.RawMessage(body), true, p.clock.Now())
+}
+
+// messageFor returns the newest message for a machine.
+func (p *partition) messageFor(machine string) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return string(p.exchange.Reader.MessageFor(p.term, machine))
+}
+
+// received collects what the leader receives, as "member machine body".
+type received struct {
+	mu       sync.Mutex
+	messages []string
+}
+
+func (r *received) deliver(member string, message relay.Message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.messages = append(r.messages, fmt.Sprintf("%s %s %s", member, message.Name, message.Body))
+}
+
+func (r *received) String() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return fmt.Sprint(r.messages)
+}
+
+// packetOf returns a packet for the leader of a term with a message of a machine.
+func packetOf(t *testing.T, term uint64, machine, body string) relay.Packet {
+	t.Helper()
+	outbox := relay.NewOutbox(PacketLimits(facts), 1)
+	outbox.Reset(term)
+	outbox.Put(machine, json.RawMessage(body), true, time.Unix(1_800_000_000, 0))
+	batch, err := outbox.Next(time.Unix(1_800_000_000, 0), time.Hour, 1)
+	if err != nil || len(batch.Packets) != 1 {
+		t.Fatalf("%d packets, %v", len(batch.Packets), err)
+	}
+	return batch.Packets[0]
+}
+
+// Messages cross in both directions while both sides run, and both stop with their contexts. A packet
+// that is corrupt, or of another term, is skipped.
+func TestMessagesCrossInBothDirections(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := newPartition(t)
+		ctx, stop := context.WithCancel(t.Context())
+		var running sync.WaitGroup
+		running.Go(func() { p.exchange.Run(ctx) })
+		var got received
+		running.Go(func() { Follow(ctx, p.client, p.clock, store.RelayPrefix, p.term, p.term, got.deliver) })
+		mailboxes := &Mailboxes{
+			Term:   p.term,
+			Limits: PacketLimits(facts),
+			Prefix: store.MailPrefix,
+			Key:    store.MailKey,
+			Body: func(member, machine string) json.RawMessage {
+				return json.RawMessage(`"to ` + machine + ` by ` + member + `"`)
+			},
+		}
+		mailboxes.MarkDirty = func(key string, _ int, _ func()) {
+			packet, ok := mailboxes.Packet(key)
+			if !ok {
+				t.Errorf("no packet of key %s", key)
+			}
+			p.state.Put(key, packet)
+		}
+
+		p.put("n1", `"from n1"`)
+		mailboxes.Update("y", "n1")
+		p.state.Put(store.RelayKey("y", 8), "corrupt")
+		p.state.Put(store.RelayKey("y", 9), packetOf(t, p.term+1, "n9", `"for another leader"`))
+		p.state.Put(store.MailPrefix+"y/!", "corrupt") // is read before the packet of key 0
+		time.Sleep(10 * time.Second)
+		if want := `[y n1 "from n1"]`; got.String() != want {
+			t.Errorf("the leader received %s, want %s", &got, want)
+		}
+		if body, want := p.messageFor("n1"), `"to n1 by y"`; body != want {
+			t.Errorf("the message for n1 is %s, want %s", body, want)
+		}
+		mailboxes.Update("y", "n2")
+		time.Sleep(10 * time.Second)
+		if body, want := p.messageFor("n2"), `"to n2 by y"`; body != want {
+			t.Errorf("the message for n2 is %s, want %s", body, want)
+		}
+		stop()
+		running.Wait()
+	})
+}
+
+// Packets are written for the leader of their term alone. After a change of leader nothing is written,
+// and the owner is told.
+func TestWriteStopsWhenTermHasEnded(t *testing.T) {
+	p := newPartition(t)
+	p.put("n1", `1`)
+	p.elect()
+	if p.exchange.Write(t.Context()) || p.ended != 1 || p.state.Under(store.RelayPrefix) != 0 {
+		t.Errorf("%d ends of the term, %d packets written", p.ended, p.state.Under(store.RelayPrefix))
+	}
+}
+
+// Messages whose write was refused are written with the next attempt.
+func TestWriteRetriesAfterOutage(t *testing.T) {
+	p := newPartition(t)
+	p.put("n1", `1`)
+	p.state.Outage(true)
+	if p.exchange.Write(t.Context()) || p.ended != 0 {
+		t.Errorf("%d ends of the term in an outage", p.ended)
+	}
+	p.state.Outage(false)
+	if !p.exchange.Write(t.Context()) || p.state.Under(store.RelayPrefix) != 1 {
+		t.Errorf("%d packets written after an outage", p.state.Under(store.RelayPrefix))
+	}
+	if p.exchange.Write(t.Context()) {
+		t.Error("an unchanged message is written again at once")
+	}
+}
+
+// The packet of a machine that is removed is written again if it has the machine's message, and only then.
+func TestMailboxesWritePacketOfRemovedMachine(t *testing.T) {
+	var dirty []string
+	mailboxes := &Mailboxes{
+		Term:      7,
+		Limits:    PacketLimits(facts),
+		Prefix:    store.MailPrefix,
+		Key:       store.MailKey,
+		MarkDirty: func(key string, _ int, _ func()) { dirty = append(dirty, key) },
+		Body:      func(_, machine string) json.RawMessage { return json.RawMessage(`"` + machine + `"`) },
+	}
+	mailboxes.Update("y", "n1")
+	mailboxes.Update("y", "n2")
+	key := store.MailKey("y", 0)
+	mailboxes.Remove("y", "n1", true)
+	if got, want := fmt.Sprint(dirty), fmt.Sprint([]string{key, key, key}); got != want {
+		t.Errorf("packets to be written: %s, want %s", got, want)
+	}
+	if got := fmt.Sprint(mailboxes.Machines("y", 0)); got != "[n2]" {
+		t.Errorf("machines: %s", got)
+	}
+	mailboxes.Remove("y", "n2", false)
+	mailboxes.Remove("z", "n1", true)
+	if len(dirty) != 3 {
+		t.Errorf("packets to be written: %v", dirty)
+	}
+	for _, unknown := range []string{store.MailKey("z", 0), store.MailPrefix + "y/x"} {
+		if _, ok := mailboxes.Packet(unknown); ok {
+			t.Errorf("%s has a packet", unknown)
+		}
+	}
+}
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -55,7 +55,7 @@
 }
 
 // Packet builds the packet of a key, and asks for the packets that took over machines from it to be
-// written. It returns false if there is no packet of that key, and the packet is to be deleted.
+// written. It returns false if the key is not that of a packet, and what is stored is to be deleted.
 func (m *Mailboxes) Packet(key string) (relay.Packet, bool) {
 	member, index, ok := store.ParseRelayKey(m.Prefix, key)
 	if !ok || m.mailboxes[member] == nil {
