--- a/configuration/active.go
+++ b/configuration/active.go
@@ -26,9 +26,9 @@
 
 // FromFiles returns the configuration without any revision.
 func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
-	a := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
-	a.setTeams(teams)
-	return a
+	active := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
+	active.setTeams(teams)
+	return active
 }
 
 // setTeams sets the teams of a configuration that is not in use yet.
@@ -58,28 +58,28 @@
 
 // Over returns the configuration of the document as a revision, on top of files and settings.
 func (d *Document) Over(files *Active, revision uint64) *Active {
-	a := *files
-	a.Revision, a.OverLimit = revision, d.OverLimit
+	active := *files
+	active.Revision, active.OverLimit = revision, d.OverLimit
 	if d.policy != nil {
-		a.Policy = d.policy
+		active.Policy = d.policy
 	}
 	if len(d.Teams) > 0 {
-		a.setTeams(d.Teams)
+		active.setTeams(d.Teams)
 	}
 	if d.Switches.AheadTasks != nil {
-		a.AheadTasks = d.Switches.AheadTasks
+		active.AheadTasks = d.Switches.AheadTasks
 	}
 	if d.Topology != nil {
-		a.Topology = d.Topology
+		active.Topology = d.Topology
 	}
-	return &a
+	return &active
 }
 
 // Stricter returns the configuration that decisions use during a rollout. It is the one from before
 // with the lower of each limit and guarantee, and only the teams that both have, so that whatever it
 // admits is within the limits of both revisions.
 func Stricter(before, after *Active) *Active {
-	a := *before
+	active := *before
 	var teams []settings.Team
 	for _, team := range before.teams {
 		other, ok := after.byName[team.Name]
@@ -94,8 +94,8 @@
 			CardsMax: lowerLimit(team.CardsMax, other.CardsMax),
 		})
 	}
-	a.setTeams(teams)
-	return &a
+	active.setTeams(teams)
+	return &active
 }
 
 // lowerLimit returns the lower of two limits; 0 stands for no limit.
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -49,11 +49,11 @@
 
 func TestDocumentOverridesFiles(t *testing.T) {
 	files := FromFiles([]settings.Team{{Name: "other", CPUsMax: 5}}, policy.Default())
-	a := parse(t, whole).Over(files, 4)
-	if limit, ok := a.Limit("vision"); !ok || limit.CPUs != 40 || a.Revision != 4 || *a.AheadTasks != 7 || a.Topology.Version() != 2 || a.Policy.Value(policy.SlotS, nil) != 3 || a.OverLimit.StopWithinS != 30 {
-		t.Errorf("%+v", a)
+	active := parse(t, whole).Over(files, 4)
+	if limit, ok := active.Limit("vision"); !ok || limit.CPUs != 40 || active.Revision != 4 || *active.AheadTasks != 7 || active.Topology.Version() != 2 || active.Policy.Value(policy.SlotS, nil) != 3 || active.OverLimit.StopWithinS != 30 {
+		t.Errorf("%+v", active)
 	}
-	if _, ok := a.Limit("other"); ok {
+	if _, ok := active.Limit("other"); ok {
 		t.Error("a team that the document lacks is still there")
 	}
 	// For a section that is missing, the files apply.
@@ -65,7 +65,7 @@
 
 // Each error has its line, its field and what the field must be; a document with any error is refused.
 func TestParseReportsAllErrors(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text string
 		want []string
 	}{
@@ -85,15 +85,15 @@
 		{"[[topology.domain]]\nmachines = \"n-1\"\n", []string{"line 2: topology.domain.machines: must be a list of strings in quotes, not a string"}},
 		{strings.Repeat("# a comment\n", 5000), []string{"document: takes 60000 bytes, at most 40960"}},
 	} {
-		document, err := Parse(c.text)
+		document, err := Parse(test.text)
 		var fieldErrors FieldErrors
-		if document != nil || !errors.As(err, &fieldErrors) || len(fieldErrors) < len(c.want) {
-			t.Errorf("%.40q: %v, %v", c.text, document, err)
+		if document != nil || !errors.As(err, &fieldErrors) || len(fieldErrors) < len(test.want) {
+			t.Errorf("%.40q: %v, %v", test.text, document, err)
 			continue
 		}
-		for _, want := range c.want {
+		for _, want := range test.want {
 			if !strings.Contains(err.Error(), want) {
-				t.Errorf("%.40q: no %q in\n%v", c.text, want, err)
+				t.Errorf("%.40q: no %q in\n%v", test.text, want, err)
 			}
 		}
 	}
--- a/configuration/httpapi/handler_test.go
+++ b/configuration/httpapi/handler_test.go
@@ -100,7 +100,7 @@
 		handler, applier, state := newLeadingHandler(t)
 		none := uint64(0)
 		first := api.ConfigurationRequest{Document: "[[teams]]\nname = \"team\"\ncpus_max = 40\n", By: "ann", Why: "less"}
-		for _, c := range []struct {
+		for _, test := range []struct {
 			name   string
 			body   []byte
 			status int
@@ -116,8 +116,8 @@
 			{"another revision expected", changeBody(t, api.ConfigurationRequest{Document: "# empty\n", Expect: &none}), http.StatusConflict,
 				[]string{`"revision":1`, `"by":"ann"`, `"differences":["teams.team: 0 guaranteed, 40 at most`}},
 		} {
-			status, answer := handler.Change(t.Context(), applier, c.body)
-			requireAnswer(t, c.name, status, answer, c.status, c.want...)
+			status, answer := handler.Change(t.Context(), applier, test.body)
+			requireAnswer(t, test.name, status, answer, test.status, test.want...)
 		}
 		state.Put(upgrade.MarkPrefix+"n0", upgrade.VersionMark{Data: upgrade.DataVersion})
 		status, answer := handler.Change(t.Context(), applier, changeBody(t, first))
@@ -139,7 +139,7 @@
 		}
 		view = handler.Present(nil)
 		requireAnswer(t, "a controller that does not lead", http.StatusOK, view, http.StatusOK, `"revision":1`, `"newest":1`, `"in_force":false`, `"leader":false`)
-		for _, c := range []struct {
+		for _, test := range []struct {
 			which  string
 			status int
 			want   []string
@@ -150,8 +150,8 @@
 			{"0", http.StatusBadRequest, []string{"revisions are numbered from 1"}},
 			{"first", http.StatusBadRequest, []string{"is no revision"}},
 		} {
-			status, answer := handler.Revision(t.Context(), c.which)
-			requireAnswer(t, c.which, status, answer, c.status, c.want...)
+			status, answer := handler.Revision(t.Context(), test.which)
+			requireAnswer(t, test.which, status, answer, test.status, test.want...)
 		}
 		state.Outage(true)
 		time.Sleep(time.Second)
--- a/configuration/lease_test.go
+++ b/configuration/lease_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestValidityLeaseExpires(t *testing.T) {
-	at := time.Unix(1000, 0)
-	r := ValidityLease{Active: FromFiles(nil, nil), RequestedAt: at}
-	if !r.ValidAt(at.Add(tuning.ConfigurationRight-1)) || r.ValidAt(at.Add(tuning.ConfigurationRight)) || (ValidityLease{RequestedAt: at}).ValidAt(at) {
+	start := time.Unix(1000, 0)
+	r := ValidityLease{Active: FromFiles(nil, nil), RequestedAt: start}
+	if !r.ValidAt(start.Add(tuning.ConfigurationRight-1)) || r.ValidAt(start.Add(tuning.ConfigurationRight)) || (ValidityLease{RequestedAt: start}).ValidAt(start) {
 		t.Error("the lease does not expire at its bound")
 	}
 }
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -76,10 +76,10 @@
 
 // Encode returns a revision as it is stored, in parts that fit into values of valueBytes each. It
 // fails if the revision takes more than tuning.ConfigurationPartsMost parts.
-func Encode(r *Revision, valueBytes int) (Head, []Part, error) {
-	text, err := compress.EncodeSmall(r)
+func Encode(revision *Revision, valueBytes int) (Head, []Part, error) {
+	text, err := compress.EncodeSmall(revision)
 	if err != nil {
-		return Head{}, nil, fmt.Errorf("compressing revision %d: %w", r.Number, err)
+		return Head{}, nil, fmt.Errorf("compressing revision %d: %w", revision.Number, err)
 	}
 	partBytes := valueBytes - tuning.ConfigurationPartMargin
 	if partBytes < 1 {
@@ -96,7 +96,7 @@
 		parts = append(parts, Part{Format: Format, Of: count, Digest: digest, Text: rest[:n]})
 		rest = rest[n:]
 	}
-	return Head{r.Number, digest}, parts, nil
+	return Head{revision.Number, digest}, parts, nil
 }
 
 // Decode is the reverse of Encode. Digest is that of the Head; empty: it is not known, and the parts
--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -533,7 +533,7 @@
 			t.Fatalf("%d parts, %v", len(parts), err)
 		}
 		transactions := 0
-		at := func(n int, what func()) func() bool {
+		atTransaction := func(n int, what func()) func() bool {
 			transactions = 0
 			return func() bool {
 				if transactions++; transactions == n {
@@ -545,14 +545,14 @@
 		// The first try's first parts are held back, and sent again; then the state service is out.
 		cluster.state.HoldNext = true
 		cluster.mu.Lock()
-		cluster.dropRequest = at(3, func() { cluster.state.Outage(true) })
+		cluster.dropRequest = atTransaction(3, func() { cluster.state.Outage(true) })
 		cluster.mu.Unlock()
 		if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(1))}); !errors.Is(err, ErrUnavailable) {
 			t.Fatalf("the first change: %v", err)
 		}
 		cluster.state.Outage(false)
 		cluster.mu.Lock()
-		cluster.dropRequest = at((len(parts)-1)/2+1, cluster.state.Deliver)
+		cluster.dropRequest = atTransaction((len(parts)-1)/2+1, cluster.state.Deliver)
 		cluster.mu.Unlock()
 		if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))}); !errors.Is(err, ErrConflict) {
 			t.Errorf("the second change: %v", err)
--- a/configuration/rollout_test.go
+++ b/configuration/rollout_test.go
@@ -11,11 +11,11 @@
 // A revision is in force once each peer has confirmed it or no lease on an older one can be valid, and
 // never before all decisions by the older one are persisted.
 func TestRolloutIsInForceOnceNoOlderRevisionIsValid(t *testing.T) {
-	at := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	before, after := FromFiles([]settings.Team{{Name: "a", CPUsMax: 9}}, nil), FromFiles([]settings.Team{{Name: "a", CPUsMax: 5}}, nil)
 	after.Revision = 7
-	last := at.Add(tuning.ConfigurationRight + tuning.ConfigurationGrain)
-	for _, c := range []struct {
+	last := start.Add(tuning.ConfigurationRight + tuning.ConfigurationGrain)
+	for _, test := range []struct {
 		name      string
 		confirm   map[string]uint64
 		undecided int
@@ -24,9 +24,9 @@
 	}{
 		{"nobody confirmed, leases are valid", nil, 0, last.Add(-time.Millisecond), Spreading},
 		{"nobody confirmed, leases have expired", nil, 0, last, InForce},
-		{"one confirmed", map[string]uint64{"x": 7}, 0, at, Spreading},
-		{"both confirmed, one a newer one", map[string]uint64{"x": 7, "y": 8}, 0, at, InForce},
-		{"both confirmed, one an older one", map[string]uint64{"x": 7, "y": 6}, 0, at, Spreading},
+		{"one confirmed", map[string]uint64{"x": 7}, 0, start, Spreading},
+		{"both confirmed, one a newer one", map[string]uint64{"x": 7, "y": 8}, 0, start, InForce},
+		{"both confirmed, one an older one", map[string]uint64{"x": 7, "y": 6}, 0, start, Spreading},
 		{"both confirmed, starts are not on record", map[string]uint64{"x": 7, "y": 7}, 2, last.Add(time.Hour), Spreading},
 	} {
 		rollout := NewRollout(before, after, []string{"x", "y"})
@@ -34,16 +34,16 @@
 		if limit, _ := rollout.Effective().Limit("a"); limit.CPUs != 5 || rollout.Advance(last.Add(time.Hour)) != Storing {
 			t.Fatalf("before it is stored: %+v, %v", limit, rollout.Stage())
 		}
-		rollout.MarkStored(at)
-		for member, n := range c.confirm {
+		rollout.MarkStored(start)
+		for member, n := range test.confirm {
 			rollout.Confirm(member, n)
 		}
-		rollout.SetUnrecorded(c.undecided)
-		if got := rollout.Advance(c.now); got != c.want || (got == InForce) != (len(rollout.WaitsFor(c.now)) == 0) {
-			t.Errorf("%s: %v, waits for %v", c.name, got, rollout.WaitsFor(c.now))
+		rollout.SetUnrecorded(test.undecided)
+		if got := rollout.Advance(test.now); got != test.want || (got == InForce) != (len(rollout.WaitsFor(test.now)) == 0) {
+			t.Errorf("%s: %v, waits for %v", test.name, got, rollout.WaitsFor(test.now))
 		}
-		if want := map[Stage]*Active{Spreading: rollout.stricter, InForce: after}[c.want]; rollout.Effective() != want {
-			t.Errorf("%s: decisions go by another one", c.name)
+		if want := map[Stage]*Active{Spreading: rollout.stricter, InForce: after}[test.want]; rollout.Effective() != want {
+			t.Errorf("%s: decisions go by another one", test.name)
 		}
 	}
 	rollout := NewRollout(before, after, nil)
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestDecodeNamesSettingAndExpectedType(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{`teams = "a"`, `line 1: teams: must be a list of tables, [[teams]], not a string`},
 		{`teams = [1]`, `line 1: teams: must be a list of tables, [[teams]]; it contains an integer where something else belongs`},
 		{`teams = [{name = 3}]`, `line 1: teams: must be a list of tables, [[teams]]; it contains an integer where something else belongs`},
@@ -57,16 +57,16 @@
 		{"[[topology.domain]]\npriority = 300", `line 2: topology.domain.priority: must be a whole number from 0 to 255, not 300`},
 	} {
 		var v destination
-		_, err := Decode([]byte(c.text), &v)
+		_, err := Decode([]byte(test.text), &v)
 		typeErr, ok := errors.AsType[*TypeError](err)
-		if !ok || err.Error() != c.want {
-			t.Errorf("%q:\n%v, %v\nwant\n%s", c.text, err, typeErr, c.want)
+		if !ok || err.Error() != test.want {
+			t.Errorf("%q:\n%v, %v\nwant\n%s", test.text, err, typeErr, test.want)
 		}
 	}
 }
 
 func TestDecodeKeepsSyntaxErrors(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text, want string
 		line       int
 	}{
@@ -75,13 +75,13 @@
 		{"on = true\non = false\n", "already defined", 2},
 	} {
 		var v destination
-		_, err := Decode([]byte(c.text), &v)
+		_, err := Decode([]byte(test.text), &v)
 		valueErr, ok := errors.AsType[*ValueError](err)
-		if !ok || valueErr.Line != c.line || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want line %d: %s", c.text, err, c.line, c.want)
+		if !ok || valueErr.Line != test.line || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: %v, want line %d: %s", test.text, err, test.line, test.want)
 		}
 		if _, ok := errors.AsType[*TypeError](err); ok {
-			t.Errorf("%q is called a type error: %v", c.text, err)
+			t.Errorf("%q is called a type error: %v", test.text, err)
 		}
 	}
 }
@@ -96,9 +96,9 @@
 	if len(unknown) != len(want) {
 		t.Fatalf("%v", unknown)
 	}
-	for i, err := range unknown {
-		if found, ok := errors.AsType[*UnknownError](err); !ok || *found != want[i] {
-			t.Errorf("%v, want %+v", err, want[i])
+	for index, err := range unknown {
+		if found, ok := errors.AsType[*UnknownError](err); !ok || *found != want[index] {
+			t.Errorf("%v, want %+v", err, want[index])
 		}
 	}
 }
--- a/internal/stricttoml/typeerror.go
+++ b/internal/stricttoml/typeerror.go
@@ -54,7 +54,7 @@
 // no settings of its own, and returns the name and the type of the setting that it came to.
 func resolve(destination reflect.Type, key []string) (name string, found reflect.Type) {
 	found = indirect(destination)
-	for i, part := range key {
+	for index, part := range key {
 		container := found
 		if container.Kind() == reflect.Slice {
 			container = indirect(container.Elem())
@@ -71,7 +71,7 @@
 		default:
 			return name, found
 		}
-		name = strings.Join(key[:i+1], ".")
+		name = strings.Join(key[:index+1], ".")
 	}
 	return name, found
 }
@@ -89,20 +89,20 @@
 }
 
 // indirect returns the type that a pointer type points to, and any other type as it is.
-func indirect(t reflect.Type) reflect.Type {
-	for t.Kind() == reflect.Pointer {
-		t = t.Elem()
+func indirect(goType reflect.Type) reflect.Type {
+	for goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
-	return t
+	return goType
 }
 
-func isCollection(t reflect.Type) bool {
-	return t.Kind() == reflect.Slice || t.Kind() == reflect.Struct || t.Kind() == reflect.Map
+func isCollection(goType reflect.Type) bool {
+	return goType.Kind() == reflect.Slice || goType.Kind() == reflect.Struct || goType.Kind() == reflect.Map
 }
 
 // describe says what values the setting of a name and a Go type takes.
-func describe(t reflect.Type, name string) string {
-	switch t.Kind() {
+func describe(goType reflect.Type, name string) string {
+	switch goType.Kind() {
 	case reflect.String:
 		return "a string in quotes"
 	case reflect.Bool:
@@ -112,16 +112,16 @@
 	case reflect.Int, reflect.Int64:
 		return "a whole number"
 	case reflect.Int8, reflect.Int16, reflect.Int32:
-		limit := int64(1) << (t.Bits() - 1)
+		limit := int64(1) << (goType.Bits() - 1)
 		return fmt.Sprintf("a whole number from %d to %d", -limit, limit-1)
 	case reflect.Uint, reflect.Uint64:
 		return "a whole number of 0 or more"
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32:
-		return fmt.Sprintf("a whole number from 0 to %d", uint64(1)<<t.Bits()-1)
+		return fmt.Sprintf("a whole number from 0 to %d", uint64(1)<<goType.Bits()-1)
 	case reflect.Slice:
-		return describeList(indirect(t.Elem()), name)
+		return describeList(indirect(goType.Elem()), name)
 	case reflect.Map:
-		return fmt.Sprintf("a table, [%s], of %s", name, describePlural(indirect(t.Elem())))
+		return fmt.Sprintf("a table, [%s], of %s", name, describePlural(indirect(goType.Elem())))
 	case reflect.Struct:
 		return fmt.Sprintf("a table, [%s]", name)
 	}
@@ -137,8 +137,8 @@
 }
 
 // describePlural says what the values of a list or table are.
-func describePlural(t reflect.Type) string {
-	switch t.Kind() {
+func describePlural(goType reflect.Type) string {
+	switch goType.Kind() {
 	case reflect.String:
 		return "strings in quotes"
 	case reflect.Float32, reflect.Float64:
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -48,25 +48,25 @@
 func newPartition(t *testing.T) *partition {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	p := &partition{state: fake.NewState(clock), clock: clock}
-	p.client = store.NewClient("state:1", p.state)
-	p.elect()
-	p.exchange = &Exchange{
+	link := &partition{state: fake.NewState(clock), clock: clock}
+	link.client = store.NewClient("state:1", link.state)
+	link.elect()
+	link.exchange = &Exchange{
 		Member:         "y",
-		Client:         p.client,
+		Client:         link.client,
 		Clock:          clock,
 		Rate:           WriteRate(facts),
 		UplinkKey:      store.RelayKey,
 		DownlinkPrefix: store.MailPrefix + "y/",
 		RefreshEvery:   time.Hour,
-		Lock:           &p.mu,
+		Lock:           &link.mu,
 		Outbox:         relay.NewOutbox(PacketLimits(facts), 1),
 		Reader:         &relay.Reader{},
 		Expire:         func(time.Time) {},
-		TermEnded:      func() { p.ended++ },
+		TermEnded:      func() { link.ended++ },
 	}
-	p.exchange.Outbox.Reset(p.term)
-	return p
+	link.exchange.Outbox.Reset(link.term)
+	return link
 }
 
 // elect begins a term of the leader.
@@ -123,14 +123,14 @@
 // that is corrupt, or of another term, is skipped.
 func TestMessagesCrossInBothDirections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPartition(t)
+		link := newPartition(t)
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		running.Go(func() { p.exchange.Run(ctx) })
+		running.Go(func() { link.exchange.Run(ctx) })
 		var got received
-		running.Go(func() { Follow(ctx, p.client, p.clock, store.RelayPrefix, p.term, p.term, got.deliver) })
+		running.Go(func() { Follow(ctx, link.client, link.clock, store.RelayPrefix, link.term, link.term, got.deliver) })
 		mailboxes := &Mailboxes{
-			Term:   p.term,
+			Term:   link.term,
 			Limits: PacketLimits(facts),
 			Prefix: store.MailPrefix,
 			Key:    store.MailKey,
@@ -143,24 +143,24 @@
 			if !ok {
 				t.Errorf("no packet of key %s", key)
 			}
-			p.state.Put(key, packet)
+			link.state.Put(key, packet)
 		}
 
-		p.put("n1", `"from n1"`)
+		link.put("n1", `"from n1"`)
 		mailboxes.Update("y", "n1")
-		p.state.Put(store.RelayKey("y", 8), "corrupt")
-		p.state.Put(store.RelayKey("y", 9), packetOf(t, p.term+1, "n9", `"for another leader"`))
-		p.state.Put(store.MailPrefix+"y/!", "corrupt") // is read before the packet of key 0
+		link.state.Put(store.RelayKey("y", 8), "corrupt")
+		link.state.Put(store.RelayKey("y", 9), packetOf(t, link.term+1, "n9", `"for another leader"`))
+		link.state.Put(store.MailPrefix+"y/!", "corrupt") // is read before the packet of key 0
 		time.Sleep(10 * time.Second)
 		if want := `[y n1 "from n1"]`; got.String() != want {
 			t.Errorf("the leader received %s, want %s", &got, want)
 		}
-		if body, want := p.messageFor("n1"), `"to n1 by y"`; body != want {
+		if body, want := link.messageFor("n1"), `"to n1 by y"`; body != want {
 			t.Errorf("the message for n1 is %s, want %s", body, want)
 		}
 		mailboxes.Update("y", "n2")
 		time.Sleep(10 * time.Second)
-		if body, want := p.messageFor("n2"), `"to n2 by y"`; body != want {
+		if body, want := link.messageFor("n2"), `"to n2 by y"`; body != want {
 			t.Errorf("the message for n2 is %s, want %s", body, want)
 		}
 		stop()
@@ -171,27 +171,27 @@
 // Packets are written for the leader of their term alone. After a change of leader nothing is written,
 // and the owner is told.
 func TestWriteStopsWhenTermHasEnded(t *testing.T) {
-	p := newPartition(t)
-	p.put("n1", `1`)
-	p.elect()
-	if p.exchange.Write(t.Context()) || p.ended != 1 || p.state.Under(store.RelayPrefix) != 0 {
-		t.Errorf("%d ends of the term, %d packets written", p.ended, p.state.Under(store.RelayPrefix))
+	link := newPartition(t)
+	link.put("n1", `1`)
+	link.elect()
+	if link.exchange.Write(t.Context()) || link.ended != 1 || link.state.Under(store.RelayPrefix) != 0 {
+		t.Errorf("%d ends of the term, %d packets written", link.ended, link.state.Under(store.RelayPrefix))
 	}
 }
 
 // Messages whose write was refused are written with the next attempt.
 func TestWriteRetriesAfterOutage(t *testing.T) {
-	p := newPartition(t)
-	p.put("n1", `1`)
-	p.state.Outage(true)
-	if p.exchange.Write(t.Context()) || p.ended != 0 {
-		t.Errorf("%d ends of the term in an outage", p.ended)
+	link := newPartition(t)
+	link.put("n1", `1`)
+	link.state.Outage(true)
+	if link.exchange.Write(t.Context()) || link.ended != 0 {
+		t.Errorf("%d ends of the term in an outage", link.ended)
 	}
-	p.state.Outage(false)
-	if !p.exchange.Write(t.Context()) || p.state.Under(store.RelayPrefix) != 1 {
-		t.Errorf("%d packets written after an outage", p.state.Under(store.RelayPrefix))
+	link.state.Outage(false)
+	if !link.exchange.Write(t.Context()) || link.state.Under(store.RelayPrefix) != 1 {
+		t.Errorf("%d packets written after an outage", link.state.Under(store.RelayPrefix))
 	}
-	if p.exchange.Write(t.Context()) {
+	if link.exchange.Write(t.Context()) {
 		t.Error("an unchanged message is written again at once")
 	}
 }
--- a/relay/mailbox_test.go
+++ b/relay/mailbox_test.go
@@ -11,12 +11,12 @@
 // the number of machines and the size of their messages. A message that is too large on its own is
 // left out, and the others are delivered.
 func TestMailboxStaysWithinLimits(t *testing.T) {
-	r := rand.New(rand.NewPCG(4, 4))
+	random := rand.New(rand.NewPCG(4, 4))
 	mailbox := NewMailbox(limits)
 	size := map[string]int{}
 	for i := range 5000 {
 		name := fmt.Sprintf("n-%06d", i)
-		size[name] = 100 + r.IntN(3000)
+		size[name] = 100 + random.IntN(3000)
 		mailbox.PacketOf(name)
 	}
 	size["n-000007"] = 200 << 10
@@ -24,7 +24,7 @@
 	revision := uint64(10)
 	large := 0
 	for index := 0; index < len(mailbox.packets); index++ { //nolint:intrange // BuildPacket adds packets.
-		packet, _, tooLarge, err := mailbox.BuildPacket(7, index, func(name string) json.RawMessage { return messageBody(r, size[name]) })
+		packet, _, tooLarge, err := mailbox.BuildPacket(7, index, func(name string) json.RawMessage { return messageBody(random, size[name]) })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/relay/outbox_test.go
+++ b/relay/outbox_test.go
@@ -15,10 +15,10 @@
 )
 
 // messageBody returns a body that compresses about as well as a heartbeat does.
-func messageBody(r *rand.Rand, size int) json.RawMessage {
+func messageBody(random *rand.Rand, size int) json.RawMessage {
 	b := []byte(`{"host":"n-`)
 	for len(b) < size-2 {
-		b = fmt.Appendf(b, "%06d running ", r.IntN(1_000_000))
+		b = fmt.Appendf(b, "%06d running ", random.IntN(1_000_000))
 	}
 	return append(b[:size-2], `"}`...)
 }
@@ -44,15 +44,15 @@
 // partition lasted (docs/incidents/fleet-relay-too-long.md).
 func TestFleetOfAnySizeIsRelayedWithinLimits(t *testing.T) {
 	for _, count := range []int{50, 500, 2500, 5000} {
-		r := rand.New(rand.NewPCG(1, uint64(count)))
+		random := rand.New(rand.NewPCG(1, uint64(count)))
 		outbox, got := NewOutbox(limits, 1), map[string][]byte{}
 		outbox.Reset(7)
 		want := map[string][]byte{}
 		for i := range count {
 			name := fmt.Sprintf("n-%06d", i)
-			want[name] = messageBody(r, 200+r.IntN(800))
+			want[name] = messageBody(random, 200+random.IntN(800))
 			if i == count/2 {
-				want[name] = messageBody(r, 300<<10)
+				want[name] = messageBody(random, 300<<10)
 			}
 			outbox.Put(name, want[name], true, start)
 		}
@@ -95,9 +95,9 @@
 func TestOutboxSendsOldestFirstAndRetriesFailures(t *testing.T) {
 	outbox := NewOutbox(limits, 1)
 	outbox.Reset(7)
-	r := rand.New(rand.NewPCG(2, 2))
+	random := rand.New(rand.NewPCG(2, 2))
 	for i := range 400 {
-		outbox.Put(fmt.Sprintf("n-%03d", i), messageBody(r, 900), true, start.Add(time.Duration(i)*time.Millisecond))
+		outbox.Put(fmt.Sprintf("n-%03d", i), messageBody(random, 900), true, start.Add(time.Duration(i)*time.Millisecond))
 	}
 	batch, _ := outbox.Next(start.Add(time.Second), time.Minute, 1)
 	requireWithinLimits(t, batch)
@@ -121,7 +121,7 @@
 		t.Fatalf("%d senders, n-000 says %s", len(seen), seen["n-000"])
 	}
 	// An unchanged message is sent again after the refresh interval, if its sender is alive.
-	outbox.Put("n-001", messageBody(r, 100), false, start.Add(3*time.Second))
+	outbox.Put("n-001", messageBody(random, 100), false, start.Add(3*time.Second))
 	if batch, _ := outbox.Next(start.Add(4*time.Second), time.Minute, 2); len(batch.Packets) != 0 {
 		t.Error("what did not change went again at once")
 	}
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -18,7 +18,7 @@
 		return &Packet{Term: term, Packed: packed}
 	}
 	message := func(name, body string) Message { return Message{name, json.RawMessage(body)} }
-	var r Reader
+	var reader Reader
 	steps := []struct {
 		key      string
 		revision uint64
@@ -34,14 +34,14 @@
 		{"k/0", 14, packetOf(7, message("a", `"again"`)), `"again"`},
 	}
 	for i, step := range steps {
-		if err := r.Apply(step.key, step.revision, step.packet); err != nil {
+		if err := reader.Apply(step.key, step.revision, step.packet); err != nil {
 			t.Fatal(err)
 		}
-		if got := string(r.MessageFor(7, "a")); got != step.want {
+		if got := string(reader.MessageFor(7, "a")); got != step.want {
 			t.Errorf("step %d: told %s, want %s", i, got, step.want)
 		}
 	}
-	if err := r.Apply("k/0", 20, packetOf(9, message("a", `"new"`))); err != nil || r.MessageFor(7, "a") != nil || string(r.MessageFor(9, "a")) != `"new"` {
+	if err := reader.Apply("k/0", 20, packetOf(9, message("a", `"new"`))); err != nil || reader.MessageFor(7, "a") != nil || string(reader.MessageFor(9, "a")) != `"new"` {
 		t.Error("terms are mixed up")
 	}
 }
--- a/relay/reassembler_test.go
+++ b/relay/reassembler_test.go
@@ -11,10 +11,10 @@
 func TestLostFragmentLosesOnlyItsMessage(t *testing.T) {
 	outbox := NewOutbox(limits, 1)
 	outbox.Reset(7)
-	r := rand.New(rand.NewPCG(3, 3))
+	random := rand.New(rand.NewPCG(3, 3))
 	var reassembler Reassembler
 	send := func(lose int) (out []Message) {
-		outbox.Put("big", messageBody(r, 200<<10), true, start)
+		outbox.Put("big", messageBody(random, 200<<10), true, start)
 		outbox.Put("small", json.RawMessage(`1`), true, start)
 		for i := 0; ; {
 			batch, _ := outbox.Next(start, time.Minute, 3)
