--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -4,203 +4,20 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
 	"math/rand/v2"
-	"net/http"
-	"os"
 	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/jonboulle/clockwork"
-
 	"switchferry/configuration"
-	"switchferry/internal/compress"
-	"switchferry/internal/fake"
-	"switchferry/policy"
 	"switchferry/settings"
-	"switchferry/store"
 	"switchferry/tuning"
 )
 
-func TestMain(m *testing.M) {
-	slog.SetDefault(slog.New(slog.DiscardHandler))
-	// The packer is made once; what is made within one bubble cannot be used in another.
-	if _, err := compress.EncodeSmall(0); err != nil {
-		panic(err)
-	}
-	os.Exit(m.Run())
-}
-
-// testCluster is a state service, two followers, and whoever leads.
-type testCluster struct {
-	t         *testing.T
-	ctx       context.Context
-	state     *fake.State
-	clock     clockwork.Clock
-	limits    settings.State
-	followers map[string]*Store
-	// dropAnswer tells whether a transaction of the leader is executed and its answer lost, fail whether it is not executed.
-	mu                      sync.Mutex
-	dropAnswer, dropRequest func() bool
-	// isolated are the followers that answer no sibling, and whose readings get no answer.
-	isolated map[string]bool
-	// unrecorded is what the leader still has to put on record.
-	unrecorded int
-	adopted    []*configuration.Active
-	term       uint64
-}
-
-var fileConfiguration = configuration.FromFiles([]settings.Team{{Name: "a", CPUsMax: 100}}, policy.Default())
-
-func newTestCluster(t *testing.T, limits settings.State) *testCluster {
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	clock := clockwork.NewRealClock()
-	cluster := &testCluster{t: t, ctx: ctx, state: fake.NewState(clock), clock: clock, limits: limits, followers: map[string]*Store{}, isolated: map[string]bool{},
-		dropAnswer: func() bool { return false }, dropRequest: func() bool { return false }}
-	cluster.state.Limit(fake.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
-	for _, name := range []string{"x", "y"} {
-		cluster.followers[name] = New(store.NewClient("state:1", transport{cluster, name}), clock, fileConfiguration, limits)
-		go cluster.followers[name].Run(ctx, func() bool { return false })
-	}
-	return cluster
-}
-
-// transport is the way from one controller to the state service.
-type transport struct {
-	*testCluster
-	name string
-}
-
-var errNoAnswer = errors.New("no answer")
-
-func (l transport) RoundTrip(request *http.Request) (*http.Response, error) {
-	l.mu.Lock()
-	cut := l.isolated[l.name]
-	drop, fail := false, false
-	if request.URL.Path == "/multi" {
-		drop, fail = l.dropAnswer(), l.dropRequest()
-	}
-	l.mu.Unlock()
-	if cut {
-		<-request.Context().Done()
-		return nil, request.Context().Err()
-	}
-	if fail {
-		return nil, errNoAnswer
-	}
-	resp, err := l.state.RoundTrip(request)
-	if drop && err == nil {
-		_, _ = io.Copy(io.Discard, resp.Body)
-		return nil, errNoAnswer
-	}
-	return resp, err
-}
-
-// testLeader is a term of a controller named z.
-type testLeader struct {
-	*testCluster
-	term uint64
-}
-
-func (l *testLeader) Condition() (store.Condition, bool) {
-	return store.Condition{Key: store.LeaderKey, Revision: l.term}, true
-}
-
-func (l *testLeader) Adopt(active *configuration.Active) func() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.adopted = append(l.adopted, active)
-	return func() int {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.unrecorded
-	}
-}
-
-func (l *testLeader) Peers() []string { return []string{"x", "y"} }
-
-func (l *testLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (uint64, error) {
-	l.mu.Lock()
-	cut := l.isolated[member]
-	l.mu.Unlock()
-	if cut {
-		return 0, errNoAnswer
-	}
-	return l.followers[member].Refresh(ctx)
-}
-
-// awaitSettled waits until an applier has brought into force what it has read.
-func (c *testCluster) awaitSettled(applier *Applier) *Applier {
-	c.t.Helper()
-	for range 1000 {
-		if progress, ok := applier.Progress(); !ok || progress.InForce {
-			return applier
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	c.t.Fatal("what it has read does not come into force")
-	return nil
-}
-
-// elect begins a term; any before it is over.
-func (c *testCluster) elect() *Applier {
-	c.t.Helper()
-	c.term = c.state.Put(store.LeaderKey, store.LeaderRecord{Member: "z"})
-	configStore := New(store.NewClient("state:1", transport{c, "z"}), c.clock, fileConfiguration, c.limits)
-	applier := NewApplier(c.ctx, configStore, &testLeader{c, c.term})
-	if err := applier.Load(c.ctx); err != nil {
-		c.t.Fatal(err)
-	}
-	return applier
-}
-
-func parseDocument(t *testing.T, text string) *configuration.Document {
-	t.Helper()
-	parsed, err := configuration.Parse(text)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return parsed
-}
-
-func documentWithLimit(t *testing.T, cpus int) *configuration.Document {
-	return parseDocument(t, fmt.Sprintf("[[teams]]\nname = \"a\"\ncpus_max = %d\n", cpus))
-}
-
-// isolate cuts a follower off, or ends that.
-func (c *testCluster) isolate(name string, cut bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.isolated[name] = cut
-}
-
-// lastAdopted is what the leader was last told to go by.
-func (c *testCluster) lastAdopted() *configuration.Active {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.adopted[len(c.adopted)-1]
-}
-
-// requireNoOlderLease fails if a follower may go by an older revision than one that is in force.
-func (c *testCluster) requireNoOlderLease(inForce uint64) {
-	c.t.Helper()
-	for name, configStore := range c.followers {
-		if lease, ok := configStore.Lease(); ok && lease.Active.Revision < inForce {
-			c.t.Errorf("%s may go by revision %d while %d is in force", name, lease.Active.Revision, inForce)
-		}
-	}
-}
-
-var smallLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
-var usualLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
-
-// With everyone there a change is in force at once; with a sibling out of reach, once its right is over, and that one
-// decides nothing by the old one from then on.
+// With all peers in reach a change is in force at once. With a peer out of reach it is in force once that
+// peer's lease has expired, and the peer decides nothing by the old revision from then on.
 func TestApplyWaitsForPeersOrTheirLeases(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -225,20 +42,17 @@
 				t.Errorf("in force after %v", took)
 			}
 			if last := cluster.lastAdopted(); last.Revision != 1 {
-				t.Errorf("the leader goes by revision %d", last.Revision)
+				t.Errorf("the leader uses revision %d", last.Revision)
 			}
 			if _, ok := cluster.followers["y"].Lease(); ok == cut {
-				t.Errorf("y has a right: %v", ok)
+				t.Errorf("y has a lease: %v", ok)
 			}
 			cluster.reconnectAll()
 		})
 	}
 }
 
-// reconnectAll lets everything that a bubble has started end.
-func (c *testCluster) reconnectAll() { c.mu.Lock(); c.isolated = map[string]bool{}; c.mu.Unlock() }
-
-// A start that was decided before the change and is not on record holds it up, and is named.
+// A start that was decided before the change delays it until the start is persisted, and the answer says so.
 func TestChangeWaitsForEarlierDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -263,7 +77,8 @@
 	})
 }
 
-// Of two operators one wins, and the other hears of it; the same document once more changes nothing.
+// Of two changes that expect the same revision one is made, and the other is refused. The same document
+// once more changes nothing.
 func TestOneOfTwoConcurrentChangesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -291,7 +106,7 @@
 	})
 }
 
-// A flood of changes: each is in force or refused at once, none is lost, and the last 50 stay on record.
+// Of many concurrent changes each is in force in the end, and the last 50 revisions are kept.
 func TestManyConcurrentChangesAllComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
@@ -326,18 +141,8 @@
 	})
 }
 
-// largeDocument is a document of many parts in small values.
-func largeDocument(n int) string {
-	rng := rand.New(rand.NewPCG(uint64(n), 1))
-	var b strings.Builder
-	for i := range 160 {
-		fmt.Fprintf(&b, "[[teams]]\nname = \"team-%d\"\ncpus_max = %d\n", rng.IntN(1e9)*100+i, 1+rng.IntN(1e9))
-	}
-	return b.String()
-}
-
-// The leader ends between any two of its writes: the next one goes by a whole revision, the former or the new one, and
-// can change it again.
+// The leader crashes between any two of its writes. The next one uses a whole revision, the former or the
+// new one, and can change it.
 func TestCrashBetweenWritesLeavesWholeRevision(t *testing.T) {
 	for writes := range 12 {
 		synctest.Test(t, func(t *testing.T) {
@@ -369,8 +174,8 @@
 	}
 }
 
-// A revision that is damaged, or of a newer format, is not taken: the last good one counts, and a change goes on from
-// there.
+// A revision that is damaged or of a newer format is not used. The last good one is, and a change can
+// follow.
 func TestUnreadableRevisionFallsBackToLastGood(t *testing.T) {
 	for name, damage := range map[string]func(cluster *testCluster){
 		"a part": func(cluster *testCluster) {
@@ -407,7 +212,7 @@
 	}
 }
 
-// In an outage a change is refused at once, and what is in force stays in force.
+// In an outage a change is refused at once, and the present revision stays in force.
 func TestOutageRefusesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -421,17 +226,17 @@
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if last := cluster.lastAdopted(); last.Revision != 1 {
-			t.Errorf("the leader goes by revision %d", last.Revision)
+			t.Errorf("the leader uses revision %d", last.Revision)
 		}
 		time.Sleep(3 * time.Second)
 		if _, ok := cluster.followers["x"].Lease(); ok {
-			t.Error("a follower that cannot confirm it still goes by it")
+			t.Error("a follower that cannot confirm its revision still uses it")
 		}
 	})
 }
 
-// A leader that has just begun does not call in force what it has read: its former one may have stored it a moment ago,
-// and a controller that is cut off may still go by the older one.
+// A new leader does not call the revision in force that it has read: the former leader may have stored it a
+// moment ago, and a controller that is isolated may still use an older one.
 func TestNewLeaderCallsNothingInForceAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -454,7 +259,7 @@
 		for {
 			progress, ok := next.Progress()
 			if lease, holds := cluster.followers["y"].Lease(); ok && progress.InForce && holds && lease.Active.Revision < 2 {
-				t.Fatal("called in force while y may go by revision 1")
+				t.Fatal("called in force while y may use revision 1")
 			}
 			if progress.InForce {
 				break
@@ -468,16 +273,16 @@
 	})
 }
 
-// Random troubles: answers lost, transactions not executed, followers out of reach, leaders that change at any moment.
-// Whatever happens, no follower may go by a revision older than one that was told to be in force, and every leader
-// begins with one that is as new.
+// Random faults: lost answers, transactions that are not executed, isolated followers, changes of leader at
+// any moment. No follower may ever use a revision older than one that was reported to be in force, and
+// every leader begins with one that is as new.
 func TestNoLeaseIsOlderThanRevisionInForce(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			cluster := newTestCluster(t, []settings.State{smallLimits, usualLimits}[seed%2])
 			cluster.mu.Lock()
-			// Drawn with the lock held, by whoever calls.
+			// The callers hold the lock.
 			network := rand.New(rand.NewPCG(seed, 4))
 			cluster.dropAnswer = func() bool { return network.IntN(4) == 0 }
 			cluster.dropRequest = func() bool { return network.IntN(6) == 0 }
@@ -522,8 +327,8 @@
 	}
 }
 
-// A part that was written for a change which was then refused is executed once more, late, between the parts and the
-// head of the next change: that one is not stored with a part of the other.
+// A part that was written for a refused change is written once more, late, between the parts and the head of
+// the next change. The next change is not stored with a part of the other.
 func TestLateCopyOfEarlierPartIsNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
@@ -542,7 +347,7 @@
 				return false
 			}
 		}
-		// The first try's first parts are held back, and sent again; then the state service is out.
+		// The first parts of the first change are held back and sent again. Then the outage begins.
 		cluster.state.HoldNext = true
 		cluster.mu.Lock()
 		cluster.dropRequest = atTransaction(3, func() { cluster.state.Outage(true) })
--- /dev/null
+++ b/configuration/revisions/cluster_test.go
@@ -0,0 +1,225 @@
+package revisions
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/configuration"
+	"switchferry/internal/compress"
+	"switchferry/internal/fake"
+	"switchferry/policy"
+	"switchferry/settings"
+	"switchferry/store"
+)
+
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	// The compressor is made once, and must not be made within a bubble of synctest.
+	if _, err := compress.EncodeSmall(0); err != nil {
+		panic(err)
+	}
+	os.Exit(m.Run())
+}
+
+// testCluster is a state service, two followers x and y, and a leader z.
+type testCluster struct {
+	t         *testing.T
+	ctx       context.Context
+	state     *fake.State
+	clock     clockwork.Clock
+	limits    settings.State
+	followers map[string]*Store
+	// term is the leader's last term.
+	term uint64
+
+	mu sync.Mutex
+	// dropAnswer decides whether a transaction of the leader is executed and its answer lost,
+	// dropRequest whether it is not executed.
+	dropAnswer, dropRequest func() bool
+	// isolated are the followers that answer no peer, and that the state service does not answer.
+	isolated map[string]bool
+	// unrecorded is the number of the leader's decisions that are not persisted.
+	unrecorded int
+	// adopted are the configurations that the leader was given, the last at the end.
+	adopted []*configuration.Active
+}
+
+// fileConfiguration is the configuration without any revision.
+var fileConfiguration = configuration.FromFiles([]settings.Team{{Name: "a", CPUsMax: 100}}, policy.Default())
+
+// newTestCluster returns a cluster whose followers run until the test ends, and which has no leader.
+func newTestCluster(t *testing.T, limits settings.State) *testCluster {
+	t.Helper()
+	ctx := t.Context()
+	clock := clockwork.NewRealClock()
+	cluster := &testCluster{t: t, ctx: ctx, state: fake.NewState(clock), clock: clock, limits: limits, followers: map[string]*Store{}, isolated: map[string]bool{},
+		dropAnswer: func() bool { return false }, dropRequest: func() bool { return false }}
+	cluster.state.Limit(fake.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
+	for _, name := range []string{"x", "y"} {
+		cluster.followers[name] = New(store.NewClient("state:1", transport{cluster, name}), clock, fileConfiguration, limits)
+		go cluster.followers[name].Run(ctx, func() bool { return false })
+	}
+	return cluster
+}
+
+// transport is the connection of one controller to the state service.
+type transport struct {
+	*testCluster
+	name string
+}
+
+// errNoAnswer is the error of a request that is lost.
+var errNoAnswer = errors.New("no answer")
+
+func (l transport) RoundTrip(request *http.Request) (*http.Response, error) {
+	l.mu.Lock()
+	cut := l.isolated[l.name]
+	drop, fail := false, false
+	if request.URL.Path == "/multi" {
+		drop, fail = l.dropAnswer(), l.dropRequest()
+	}
+	l.mu.Unlock()
+	if cut {
+		<-request.Context().Done()
+		return nil, request.Context().Err()
+	}
+	if fail {
+		return nil, errNoAnswer
+	}
+	resp, err := l.state.RoundTrip(request)
+	if drop && err == nil {
+		_, _ = io.Copy(io.Discard, resp.Body)
+		return nil, errNoAnswer
+	}
+	return resp, err
+}
+
+// testLeader is the controller z in one term.
+type testLeader struct {
+	*testCluster
+	term uint64
+}
+
+func (l *testLeader) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: l.term}, true
+}
+
+func (l *testLeader) Adopt(active *configuration.Active) func() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.adopted = append(l.adopted, active)
+	return func() int {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return l.unrecorded
+	}
+}
+
+func (l *testLeader) Peers() []string { return []string{"x", "y"} }
+
+func (l *testLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (uint64, error) {
+	l.mu.Lock()
+	cut := l.isolated[member]
+	l.mu.Unlock()
+	if cut {
+		return 0, errNoAnswer
+	}
+	return l.followers[member].Refresh(ctx)
+}
+
+// awaitSettled waits until an applier has brought the revision into force that it has read.
+func (c *testCluster) awaitSettled(applier *Applier) *Applier {
+	c.t.Helper()
+	for range 1000 {
+		if progress, ok := applier.Progress(); !ok || progress.InForce {
+			return applier
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	c.t.Fatal("the revision that was read does not come into force")
+	return nil
+}
+
+// elect begins a term, which ends the one before.
+func (c *testCluster) elect() *Applier {
+	c.t.Helper()
+	c.term = c.state.Put(store.LeaderKey, store.LeaderRecord{Member: "z"})
+	configStore := New(store.NewClient("state:1", transport{c, "z"}), c.clock, fileConfiguration, c.limits)
+	applier := NewApplier(c.ctx, configStore, &testLeader{c, c.term})
+	if err := applier.Load(c.ctx); err != nil {
+		c.t.Fatal(err)
+	}
+	return applier
+}
+
+// parseDocument returns a document that must be valid.
+func parseDocument(t *testing.T, text string) *configuration.Document {
+	t.Helper()
+	parsed, err := configuration.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+// documentWithLimit returns a document that limits team a.
+func documentWithLimit(t *testing.T, cpus int) *configuration.Document {
+	return parseDocument(t, fmt.Sprintf("[[teams]]\nname = \"a\"\ncpus_max = %d\n", cpus))
+}
+
+// isolate cuts a follower off from all others, or reconnects it.
+func (c *testCluster) isolate(name string, cut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isolated[name] = cut
+}
+
+// lastAdopted returns the configuration that the leader uses.
+func (c *testCluster) lastAdopted() *configuration.Active {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.adopted[len(c.adopted)-1]
+}
+
+// requireNoOlderLease fails if a follower may use an older revision than one that is in force.
+func (c *testCluster) requireNoOlderLease(inForce uint64) {
+	c.t.Helper()
+	for name, configStore := range c.followers {
+		if lease, ok := configStore.Lease(); ok && lease.Active.Revision < inForce {
+			c.t.Errorf("%s may use revision %d while %d is in force", name, lease.Active.Revision, inForce)
+		}
+	}
+}
+
+// smallLimits make a large document take many parts and several transactions.
+var smallLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
+var usualLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+
+// reconnectAll reconnects all followers.
+func (c *testCluster) reconnectAll() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isolated = map[string]bool{}
+}
+
+// largeDocument returns a document, one for each n, that takes many parts under smallLimits.
+func largeDocument(n int) string {
+	rng := rand.New(rand.NewPCG(uint64(n), 1))
+	var b strings.Builder
+	for i := range 160 {
+		fmt.Fprintf(&b, "[[teams]]\nname = \"team-%d\"\ncpus_max = %d\n", rng.IntN(1e9)*100+i, 1+rng.IntN(1e9))
+	}
+	return b.String()
+}
