--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -212,6 +212,29 @@
 	}
 }
 
+// A change whose answer from the state service is lost is stored all the same, and is found to be.
+func TestLostAnswerDoesNotRefuseChange(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, usualLimits)
+		applier := cluster.elect()
+		lost := false
+		cluster.mu.Lock()
+		cluster.dropAnswer = func() bool {
+			first := !lost
+			lost = true
+			return first
+		}
+		cluster.mu.Unlock()
+		answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10)})
+		if err != nil || answer.Revision != 1 || !answer.InForce || !lost {
+			t.Errorf("%+v, %v, answer lost: %v", answer, err, lost)
+		}
+		if limit, _ := cluster.lastAdopted().Limit("a"); limit.CPUs != 10 {
+			t.Errorf("the leader limits the team to %g", limit.CPUs)
+		}
+	})
+}
+
 // In an outage a change is refused at once, and the present revision stays in force.
 func TestOutageRefusesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
