--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -202,7 +202,7 @@
 			next := cluster.awaitSettled(cluster.elect())
 			revision, newest, rejection := next.Current()
 			if revision == nil || revision.Number != 1 || newest != 2 || rejection == "" || next.active.Revision != 1 {
-				t.Fatalf("%s: %+v, newest %d, trouble %q", name, revision, newest, rejection)
+				t.Fatalf("%s: %+v, newest %d, rejection %q", name, revision, newest, rejection)
 			}
 			answer, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 30)})
 			if revision, _, rejection = next.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || rejection != "" {
@@ -391,7 +391,7 @@
 		answer, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))})
 		next := cluster.elect()
 		if revision, _, rejection := next.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
-			t.Errorf("tried again: %+v, %v, trouble %q", answer, err, rejection)
+			t.Errorf("tried again: %+v, %v, rejection %q", answer, err, rejection)
 		}
 	})
 }
--- a/configuration/rollout_test.go
+++ b/configuration/rollout_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("%s: %v, waits for %v", test.name, got, rollout.WaitsFor(test.now))
 		}
 		if want := map[Stage]*Active{Spreading: rollout.stricter, InForce: after}[test.want]; rollout.Effective() != want {
-			t.Errorf("%s: decisions go by another one", test.name)
+			t.Errorf("%s: another configuration is effective", test.name)
 		}
 	}
 	rollout := NewRollout(before, after, nil)
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -169,7 +169,7 @@
 }
 
 // Packets are written for the leader of their term alone. After a change of leader nothing is written,
-// and the owner is told.
+// and TermEnded is called.
 func TestWriteStopsWhenTermHasEnded(t *testing.T) {
 	link := newPartition(t)
 	link.put("n1", `1`)
--- a/relay/mailbox_test.go
+++ b/relay/mailbox_test.go
@@ -40,7 +40,7 @@
 	}
 	for name := range size {
 		if delivered := reader.MessageFor(7, name); (delivered == nil) != (name == "n-000007") {
-			t.Errorf("%s is told %d bytes", name, len(delivered))
+			t.Errorf("%s has a message of %d bytes", name, len(delivered))
 		}
 	}
 }
--- a/relay/outbox_test.go
+++ b/relay/outbox_test.go
@@ -30,12 +30,12 @@
 	for _, packet := range batch.Packets {
 		raw, err := json.Marshal(packet)
 		if err != nil || len(raw) > limits.Value {
-			t.Fatalf("a letter of %d bytes: %v", len(raw), err)
+			t.Fatalf("a packet of %d bytes: %v", len(raw), err)
 		}
 		sum += len(raw)
 	}
 	if sum > limits.Request || len(batch.Packets) > limits.Ops {
-		t.Fatalf("%d letters of %d bytes in one transaction", len(batch.Packets), sum)
+		t.Fatalf("%d packets of %d bytes in one transaction", len(batch.Packets), sum)
 	}
 }
 
@@ -83,9 +83,9 @@
 				t.Fatalf("%d machines: %s lost or changed", count, name)
 			}
 		}
-		t.Logf("%d machines: %d letters", count, writes)
+		t.Logf("%d machines: %d packets", count, writes)
 		if limit := 25 + count/15; writes > limit {
-			t.Errorf("%d machines took %d letters, want at most %d", count, writes, limit)
+			t.Errorf("%d machines took %d packets, want at most %d", count, writes, limit)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	batch, _ := outbox.Next(start.Add(time.Second), time.Minute, 1)
 	requireWithinLimits(t, batch)
 	if len(batch.senders) < 10 || batch.senders[0] != "n-000" || batch.senders[1] != "n-001" {
-		t.Fatalf("first letter: %v", batch.senders)
+		t.Fatalf("first packet: %v", batch.senders)
 	}
 	outbox.Requeue(batch)
 	outbox.Put("n-000", json.RawMessage(`"newer"`), false, start.Add(2*time.Second))
@@ -123,9 +123,9 @@
 	// An unchanged message is sent again after the refresh interval, if its sender is alive.
 	outbox.Put("n-001", messageBody(random, 100), false, start.Add(3*time.Second))
 	if batch, _ := outbox.Next(start.Add(4*time.Second), time.Minute, 2); len(batch.Packets) != 0 {
-		t.Error("what did not change went again at once")
+		t.Error("an unchanged message was sent again at once")
 	}
 	if batch, _ := outbox.Next(start.Add(2*time.Minute), time.Minute, 2); len(batch.senders) != 1 {
-		t.Errorf("after the pause: %v", batch.senders)
+		t.Errorf("after the refresh interval: %v", batch.senders)
 	}
 }
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		if got := string(reader.MessageFor(7, "a")); got != step.want {
-			t.Errorf("step %d: told %s, want %s", i, got, step.want)
+			t.Errorf("step %d: message %s, want %s", i, got, step.want)
 		}
 	}
 	if err := reader.Apply("k/0", 20, packetOf(9, message("a", `"new"`))); err != nil || reader.MessageFor(7, "a") != nil || string(reader.MessageFor(9, "a")) != `"new"` {
--- a/relay/reassembler_test.go
+++ b/relay/reassembler_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	if out := send(2); len(out) != 1 || out[0].Name != "small" {
-		t.Fatalf("with a lost piece: %d messages", len(out))
+		t.Fatalf("with a lost fragment: %d messages", len(out))
 	}
 	if out := send(0); len(out) != 2 {
 		t.Errorf("afterwards: %d messages", len(out))
