--- a/configuration/active.go
+++ b/configuration/active.go
@@ -7,89 +7,98 @@
 	"switchferry/topology"
 )
 
-// Active is what decisions go by: a revision over what files and settings say. It never changes; a change is another
-// one.
+// Active is the configuration that decisions use: a revision's document on top of files and settings.
+// It is immutable; a new revision has an Active of its own.
 type Active struct {
-	// Revision is 0 where files and settings count alone.
+	// Revision is 0 if files and settings apply alone.
 	Revision  uint64
 	Policy    *policy.Policy
 	OverLimit OverLimit
-	// AheadTasks is nil where the features file counts, Topology where the topology file does.
+	// AheadTasks is nil if the features file applies.
 	AheadTasks *int
-	Topology   *topology.Map
+	// Topology is nil if the topology file applies.
+	Topology *topology.Map
 
-	teams  []settings.Team
+	teams []settings.Team
+	// byName has the first of teams of each name.
 	byName map[string]settings.Team
 }
 
-// FromFiles is what counts without any revision.
-func FromFiles(teams []settings.Team, pol *policy.Policy) *Active {
-	a := &Active{Policy: pol, OverLimit: OverLimit{Running: Leave}}
-	a.setTeams(teams)
-	return a
+// FromFiles returns the configuration without any revision.
+func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
+	active := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
+	active.setTeams(teams)
+	return active
 }
 
+// setTeams sets the teams of a configuration that is not in use yet.
 func (a *Active) setTeams(teams []settings.Team) {
 	a.teams, a.byName = teams, make(map[string]settings.Team, len(teams))
-	for _, t := range teams {
-		if _, twice := a.byName[t.Name]; !twice {
-			a.byName[t.Name] = t
+	for _, team := range teams {
+		if _, duplicate := a.byName[team.Name]; !duplicate {
+			a.byName[team.Name] = team
 		}
 	}
 }
 
-// Team finds a team by name.
+// Team returns the team of a name; false: there is none.
 func (a *Active) Team(name string) (settings.Team, bool) {
-	t, ok := a.byName[name]
-	return t, ok
+	team, ok := a.byName[name]
+	return team, ok
 }
 
-// Teams are all teams. The list must not be changed.
+// Teams returns all teams. The caller must not change the list.
 func (a *Active) Teams() []settings.Team { return a.teams }
 
-// Limit is what a team may use at most; false: there is no such team.
-func (a *Active) Limit(team string) (limit quota.Limit, ok bool) {
-	t, ok := a.byName[team]
-	return quota.Limit{CPUs: t.CPUsMax, Cards: t.CardsMax}, ok
+// Limit returns what a team may use at most; false: there is no such team.
+func (a *Active) Limit(name string) (limit quota.Limit, ok bool) {
+	team, ok := a.byName[name]
+	return quota.Limit{CPUs: team.CPUsMax, Cards: team.CardsMax}, ok
 }
 
-// Over is the document as that revision, over what counts without it.
+// Over returns the configuration of the document as a revision, on top of files and settings.
 func (d *Document) Over(files *Active, revision uint64) *Active {
-	a := *files
-	a.Revision, a.OverLimit = revision, d.OverLimit
+	active := *files
+	active.Revision, active.OverLimit = revision, d.OverLimit
 	if d.policy != nil {
-		a.Policy = d.policy
+		active.Policy = d.policy
 	}
 	if len(d.Teams) > 0 {
-		a.setTeams(d.Teams)
+		active.setTeams(d.Teams)
 	}
 	if d.Switches.AheadTasks != nil {
-		a.AheadTasks = d.Switches.AheadTasks
+		active.AheadTasks = d.Switches.AheadTasks
 	}
 	if d.Topology != nil {
-		a.Topology = d.Topology
+		active.Topology = d.Topology
 	}
-	return &a
+	return &active
 }
 
-// Stricter is what decisions go by while a change is on its way: everything as before, but of each limit and guarantee
-// the lower one, and only teams that both know. Whatever is started by it is within both revisions' limits.
+// Stricter returns the configuration that decisions use during a rollout. It is the one from before
+// with the lower of each limit and guarantee, and only the teams that both have, so that whatever it
+// admits is within the limits of both revisions.
 func Stricter(before, after *Active) *Active {
-	a := *before
+	active := *before
 	var teams []settings.Team
-	for _, t := range before.teams {
-		other, ok := after.byName[t.Name]
+	for _, team := range before.teams {
+		other, ok := after.byName[team.Name]
 		if !ok {
 			continue
 		}
-		teams = append(teams, settings.Team{Name: t.Name, CPUs: min(t.CPUs, other.CPUs), Cards: min(t.Cards, other.Cards),
-			CPUsMax: lowerLimit(t.CPUsMax, other.CPUsMax), CardsMax: lowerLimit(t.CardsMax, other.CardsMax)})
+		teams = append(teams, settings.Team{
+			Name:     team.Name,
+			CPUs:     min(team.CPUs, other.CPUs),
+			Cards:    min(team.Cards, other.Cards),
+			CPUsMax:  lowerLimit(team.CPUsMax, other.CPUsMax),
+			CardsMax: lowerLimit(team.CardsMax, other.CardsMax),
+		})
 	}
-	a.setTeams(teams)
-	return &a
+	active.setTeams(teams)
+	return &active
 }
 
-// lowerLimit is the lower of two limits, of which 0 is none.
+// lowerLimit returns the lower of two limits; 0 stands for no limit.
 func lowerLimit(a, b float64) float64 {
 	switch {
 	case a == 0:
--- /dev/null
+++ b/configuration/revisions/applier_test.go
@@ -0,0 +1,397 @@
+package revisions
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"switchferry/configuration"
+	"switchferry/settings"
+	"switchferry/tuning"
+)
+
+// With all peers in reach a change is in force at once. With a peer out of reach it is in force once that
+// peer's lease has expired, and the peer decides nothing by the old revision from then on.
+func TestApplyWaitsForPeersOrTheirLeases(t *testing.T) {
+	for _, cut := range []bool{false, true} {
+		synctest.Test(t, func(t *testing.T) {
+			cluster := newTestCluster(t, usualLimits)
+			applier := cluster.elect()
+			time.Sleep(time.Second)
+			cluster.isolate("y", cut)
+			began := time.Now()
+			answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50), By: "me", Why: "less"})
+			if err != nil || answer.Revision != 1 || answer.InForce == cut {
+				t.Fatalf("%+v, %v", answer, err)
+			}
+			if cut && (len(answer.WaitsFor) != 1 || !strings.HasPrefix(answer.WaitsFor[0], "y, for")) {
+				t.Errorf("waits for %v", answer.WaitsFor)
+			}
+			for !answer.InForce {
+				time.Sleep(10 * time.Millisecond)
+				answer, _ = applier.Progress()
+			}
+			cluster.requireNoOlderLease(1)
+			if took := time.Since(began); cut && took > 2*time.Second || !cut && took > 100*time.Millisecond {
+				t.Errorf("in force after %v", took)
+			}
+			if last := cluster.lastAdopted(); last.Revision != 1 {
+				t.Errorf("the leader uses revision %d", last.Revision)
+			}
+			if _, ok := cluster.followers["y"].Lease(); ok == cut {
+				t.Errorf("y has a lease: %v", ok)
+			}
+			cluster.reconnectAll()
+		})
+	}
+}
+
+// A start that was decided before the change delays it until the start is persisted, and the answer says so.
+func TestChangeWaitsForEarlierDecisions(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, usualLimits)
+		applier := cluster.elect()
+		cluster.mu.Lock()
+		cluster.unrecorded = 3
+		cluster.mu.Unlock()
+		answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50)})
+		if err != nil || answer.InForce || len(answer.WaitsFor) == 0 || !strings.HasPrefix(answer.WaitsFor[0], "3 starts") {
+			t.Fatalf("%+v, %v", answer, err)
+		}
+		if limit, _ := cluster.lastAdopted().Limit("a"); limit.CPUs != 50 {
+			t.Errorf("meanwhile the limit is %g", limit.CPUs)
+		}
+		cluster.mu.Lock()
+		cluster.unrecorded = 0
+		cluster.mu.Unlock()
+		time.Sleep(100 * time.Millisecond)
+		if answer, _ = applier.Progress(); !answer.InForce {
+			t.Errorf("%+v", answer)
+		}
+	})
+}
+
+// Of two changes that expect the same revision one is made, and the other is refused. The same document
+// once more changes nothing.
+func TestOneOfTwoConcurrentChangesIsRefused(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, usualLimits)
+		applier := cluster.elect()
+		expect := uint64(0)
+		outcomes := make(chan error, 2)
+		for i := range 2 {
+			go func() {
+				_, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10+i), Expect: &expect})
+				outcomes <- err
+			}()
+		}
+		first, second := <-outcomes, <-outcomes
+		if first == nil {
+			first, second = second, first
+		}
+		if !errors.Is(first, ErrConflict) || second != nil {
+			t.Errorf("%v and %v", first, second)
+		}
+		revision, newest, _ := applier.Current()
+		again, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, revision.Document)})
+		if err != nil || !again.Unchanged || !again.InForce || newest != 1 || again.Revision != 1 {
+			t.Errorf("%+v, %v", again, err)
+		}
+	})
+}
+
+// Of many concurrent changes each is in force in the end, and the last 50 revisions are kept.
+func TestManyConcurrentChangesAllComeIntoForce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, smallLimits)
+		applier := cluster.elect()
+		var wg sync.WaitGroup
+		var mu sync.Mutex
+		inForce := 0
+		for i := range 100 {
+			wg.Go(func() {
+				for {
+					answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10+i)})
+					if err == nil && answer.InForce {
+						break
+					}
+					if err != nil && !errors.Is(err, ErrBusy) {
+						t.Error(err)
+					}
+					time.Sleep(100 * time.Millisecond)
+				}
+				mu.Lock()
+				inForce++
+				mu.Unlock()
+			})
+		}
+		wg.Wait()
+		time.Sleep(time.Second)
+		_, newest, _ := applier.Current()
+		history, err := applier.History(cluster.ctx)
+		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationKept || cluster.state.Under(configuration.PartPrefix) != tuning.ConfigurationKept {
+			t.Errorf("%d in force, newest %d, %d in the history, %d on record, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
+		}
+	})
+}
+
+// The leader crashes between any two of its writes. The next one uses a whole revision, the former or the
+// new one, and can change it.
+func TestCrashBetweenWritesLeavesWholeRevision(t *testing.T) {
+	for writes := range 12 {
+		synctest.Test(t, func(t *testing.T) {
+			cluster := newTestCluster(t, smallLimits)
+			applier := cluster.elect()
+			if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(1))}); err != nil {
+				t.Fatal(err)
+			}
+			executed := 0
+			cluster.mu.Lock()
+			cluster.dropRequest = func() bool { executed++; return executed > writes }
+			cluster.mu.Unlock()
+			ctx, stop := context.WithTimeout(cluster.ctx, 2*time.Second)
+			_, _ = applier.Apply(ctx, Request{Document: parseDocument(t, largeDocument(2))})
+			stop()
+			cluster.mu.Lock()
+			cluster.dropRequest = func() bool { return false }
+			cluster.mu.Unlock()
+			next := cluster.awaitSettled(cluster.elect())
+			revision, newest, rejection := next.Current()
+			if rejection != "" || revision.Number != newest || revision.Document != largeDocument(int(revision.Number)) {
+				t.Fatalf("after %d writes: revision %d, newest %d, %s", writes, revision.Number, newest, rejection)
+			}
+			answer, err := next.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(3))})
+			if err != nil || !answer.InForce || answer.Revision != newest+1 {
+				t.Errorf("after %d writes: %+v, %v", writes, answer, err)
+			}
+		})
+	}
+}
+
+// A revision that is damaged or of a newer format is not used. The last good one is, and a change can
+// follow.
+func TestUnreadableRevisionFallsBackToLastGood(t *testing.T) {
+	for name, damage := range map[string]func(cluster *testCluster){
+		"a part": func(cluster *testCluster) {
+			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 1, Of: 1, Text: "x"})
+		},
+		"no JSON": func(cluster *testCluster) { cluster.state.Put(configuration.PartKey(2, 0), "x") },
+		"newer": func(cluster *testCluster) {
+			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 2, Of: 1, Text: "x"})
+		},
+		"the head": func(cluster *testCluster) {
+			cluster.state.Put(configuration.PartKey(2, 0), "x")
+			cluster.state.Put(configuration.HeadKey, "x")
+		},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			cluster := newTestCluster(t, usualLimits)
+			applier := cluster.elect()
+			for i := range 2 {
+				if _, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10+i)}); err != nil {
+					t.Fatal(err)
+				}
+			}
+			damage(cluster)
+			next := cluster.awaitSettled(cluster.elect())
+			revision, newest, rejection := next.Current()
+			if revision == nil || revision.Number != 1 || newest != 2 || rejection == "" || next.active.Revision != 1 {
+				t.Fatalf("%s: %+v, newest %d, rejection %q", name, revision, newest, rejection)
+			}
+			answer, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 30)})
+			if revision, _, rejection = next.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || rejection != "" {
+				t.Errorf("%s: %+v, %v", name, answer, err)
+			}
+		})
+	}
+}
+
+// A change whose answer from the state service is lost is stored all the same, and is found to be.
+func TestLostAnswerDoesNotRefuseChange(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, usualLimits)
+		applier := cluster.elect()
+		lost := false
+		cluster.mu.Lock()
+		cluster.dropAnswer = func() bool {
+			first := !lost
+			lost = true
+			return first
+		}
+		cluster.mu.Unlock()
+		answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10)})
+		if err != nil || answer.Revision != 1 || !answer.InForce || !lost {
+			t.Errorf("%+v, %v, answer lost: %v", answer, err, lost)
+		}
+		if limit, _ := cluster.lastAdopted().Limit("a"); limit.CPUs != 10 {
+			t.Errorf("the leader limits the team to %g", limit.CPUs)
+		}
+	})
+}
+
+// In an outage a change is refused at once, and the present revision stays in force.
+func TestOutageRefusesChanges(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, usualLimits)
+		applier := cluster.elect()
+		if _, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10)}); err != nil {
+			t.Fatal(err)
+		}
+		cluster.state.Outage(true)
+		began := time.Now()
+		if _, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 11)}); !errors.Is(err, ErrUnavailable) || time.Since(began) > time.Second {
+			t.Errorf("%v after %v", err, time.Since(began))
+		}
+		if last := cluster.lastAdopted(); last.Revision != 1 {
+			t.Errorf("the leader uses revision %d", last.Revision)
+		}
+		time.Sleep(3 * time.Second)
+		if _, ok := cluster.followers["x"].Lease(); ok {
+			t.Error("a follower that cannot confirm its revision still uses it")
+		}
+	})
+}
+
+// A new leader does not call the revision in force that it has read: the former leader may have stored it a
+// moment ago, and a controller that is isolated may still use an older one.
+func TestNewLeaderCallsNothingInForceAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, usualLimits)
+		applier := cluster.elect()
+		if _, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10)}); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(time.Second)
+		cluster.isolate("y", true)
+		ctx, stop := context.WithTimeout(cluster.ctx, 10*time.Millisecond)
+		stored, err := applier.Apply(ctx, Request{Document: documentWithLimit(t, 20)})
+		stop()
+		if err != nil || stored.Revision != 2 || stored.InForce {
+			t.Fatalf("%+v, %v", stored, err)
+		}
+		next := cluster.elect()
+		if _, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)}); !errors.Is(err, ErrBusy) {
+			t.Errorf("the same once more, at once: %v", err)
+		}
+		for {
+			progress, ok := next.Progress()
+			if lease, holds := cluster.followers["y"].Lease(); ok && progress.InForce && holds && lease.Active.Revision < 2 {
+				t.Fatal("called in force while y may use revision 1")
+			}
+			if progress.InForce {
+				break
+			}
+			time.Sleep(5 * time.Millisecond)
+		}
+		again, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)})
+		if err != nil || !again.Unchanged || !again.InForce {
+			t.Errorf("%+v, %v", again, err)
+		}
+	})
+}
+
+// Random faults: lost answers, transactions that are not executed, isolated followers, changes of leader at
+// any moment. No follower may ever use a revision older than one that was reported to be in force, and
+// every leader begins with one that is as new.
+func TestNoLeaseIsOlderThanRevisionInForce(t *testing.T) {
+	for seed := range uint64(24) {
+		synctest.Test(t, func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 3))
+			cluster := newTestCluster(t, []settings.State{smallLimits, usualLimits}[seed%2])
+			cluster.mu.Lock()
+			// The callers hold the lock.
+			network := rand.New(rand.NewPCG(seed, 4))
+			cluster.dropAnswer = func() bool { return network.IntN(4) == 0 }
+			cluster.dropRequest = func() bool { return network.IntN(6) == 0 }
+			cluster.mu.Unlock()
+			applier := cluster.elect()
+			inForce := uint64(0)
+			for step := range 40 {
+				cluster.mu.Lock()
+				for _, name := range []string{"x", "y"} {
+					cluster.isolated[name] = rng.IntN(3) == 0
+				}
+				cluster.mu.Unlock()
+				ctx, stop := context.WithTimeout(cluster.ctx, time.Duration(rng.IntN(2500))*time.Millisecond)
+				text := largeDocument(step)
+				if rng.IntN(2) == 0 {
+					text = fmt.Sprintf("[[teams]]\nname = \"a\"\ncpus_max = %d\n", 1+step)
+				}
+				answer, err := applier.Apply(ctx, Request{Document: parseDocument(t, text)})
+				stop()
+				if err == nil && answer.InForce {
+					inForce = max(inForce, answer.Revision)
+				}
+				cluster.requireNoOlderLease(inForce)
+				for range rng.IntN(20) {
+					time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
+					if progress, ok := applier.Progress(); ok && progress.InForce {
+						inForce = max(inForce, progress.Revision)
+					}
+					cluster.requireNoOlderLease(inForce)
+				}
+				if rng.IntN(4) == 0 {
+					applier = cluster.elect()
+					if applier.active.Revision < inForce {
+						t.Fatalf("seed %d: a leader begins with revision %d, %d is in force", seed, applier.active.Revision, inForce)
+					}
+				}
+			}
+			if inForce < 5 {
+				t.Errorf("seed %d: only %d changes came into force", seed, inForce)
+			}
+		})
+	}
+}
+
+// A part that was written for a refused change is written once more, late, between the parts and the head of
+// the next change. The next change is not stored with a part of the other.
+func TestLateCopyOfEarlierPartIsNotStored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(t, smallLimits)
+		applier := cluster.elect()
+		_, parts, err := configuration.Encode(&configuration.Revision{Number: 1, AtMS: time.Now().UnixMilli(), Document: largeDocument(2)}, smallLimits.ValueBytes())
+		if err != nil || len(parts) < 3 {
+			t.Fatalf("%d parts, %v", len(parts), err)
+		}
+		transactions := 0
+		atTransaction := func(n int, what func()) func() bool {
+			transactions = 0
+			return func() bool {
+				if transactions++; transactions == n {
+					what()
+				}
+				return false
+			}
+		}
+		// The first parts of the first change are held back and sent again. Then the outage begins.
+		cluster.state.HoldNext = true
+		cluster.mu.Lock()
+		cluster.dropRequest = atTransaction(3, func() { cluster.state.Outage(true) })
+		cluster.mu.Unlock()
+		if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(1))}); !errors.Is(err, ErrUnavailable) {
+			t.Fatalf("the first change: %v", err)
+		}
+		cluster.state.Outage(false)
+		cluster.mu.Lock()
+		cluster.dropRequest = atTransaction((len(parts)-1)/2+1, cluster.state.Deliver)
+		cluster.mu.Unlock()
+		if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))}); !errors.Is(err, ErrConflict) {
+			t.Errorf("the second change: %v", err)
+		}
+		cluster.mu.Lock()
+		cluster.dropRequest = func() bool { return false }
+		cluster.mu.Unlock()
+		answer, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))})
+		next := cluster.elect()
+		if revision, _, rejection := next.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
+			t.Errorf("tried again: %+v, %v, rejection %q", answer, err, rejection)
+		}
+	})
+}
--- /dev/null
+++ b/configuration/revisions/store.go
@@ -0,0 +1,241 @@
+// Package revisions reads and writes the configuration in the state service. A Store reads the newest
+// revision at intervals, so that its controller knows until when it may use what it has read. The
+// leader's Applier stores a new revision and brings it into force on all controllers.
+//
+// What a revision means is up to package configuration, and what decisions use it to the controller.
+package revisions
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/configuration"
+	"switchferry/settings"
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+// Store has the newest revision that this process has read. It is safe for concurrent use.
+type Store struct {
+	client *store.Client
+	clock  clockwork.Clock
+	// files is the configuration without any revision.
+	files *configuration.Active
+	// limits are the lowest that the state service has or will have.
+	limits settings.State
+
+	mu    sync.Mutex
+	lease configuration.ValidityLease
+	// revision is the one that the lease is for; nil: files and settings apply alone.
+	revision *configuration.Revision
+	// newest is the number of the newest revision that is stored; 0: there is none.
+	newest uint64
+	// rejection is why the newest revision is not used; empty: it is.
+	rejection string
+}
+
+// New returns a Store that has read nothing yet. Files is the configuration without any revision.
+func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Store {
+	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
+}
+
+// Run refreshes at intervals until the context ends. It pauses while paused returns true, as on the
+// leader, which knows the newest revision.
+func (s *Store) Run(ctx context.Context, paused func() bool) {
+	for ctx.Err() == nil {
+		if !paused() {
+			if _, err := s.Refresh(ctx); err != nil {
+				slog.Debug("configuration not confirmed", "err", err)
+			}
+		}
+		sleep(ctx, s.clock, tuning.ConfigurationEvery)
+	}
+}
+
+// sleep waits for a duration, or until the context ends.
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-clock.After(duration):
+	}
+}
+
+// Lease returns the configuration that was read last, and whether it may be used now.
+func (s *Store) Lease() (configuration.ValidityLease, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lease, s.lease.ValidAt(s.clock.Now())
+}
+
+// Current returns the revision that was read last; nil: files and settings apply alone. Newest is the
+// number of the newest revision that is stored, and rejection says why that is not used; empty: it is.
+func (s *Store) Current() (revision *configuration.Revision, newest uint64, rejection string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.revision, s.newest, s.rejection
+}
+
+// Refresh renews the lease: it reads which revision is the newest, and reads that one if it is not
+// the present one. It returns the number of the newest; 0: there is none. The error is that of the
+// state service; a revision that cannot be used is no error.
+func (s *Store) Refresh(ctx context.Context) (uint64, error) {
+	requestedAt := s.clock.Now()
+	head, err := s.client.Get(ctx, configuration.HeadKey)
+	if errors.Is(err, store.ErrNotFound) {
+		head, err = store.Item{}, nil
+	}
+	if err != nil {
+		return 0, fmt.Errorf("reading the configuration's head: %w", err)
+	}
+	if newest, unchanged := s.renew(head.Revision, requestedAt); unchanged {
+		return newest, nil
+	}
+	return s.load(ctx, head, configuration.ValidityLease{StoreRevision: head.Revision, RequestedAt: requestedAt})
+}
+
+// renew renews the lease if the head of its revision is unchanged, and tells whether it is.
+func (s *Store) renew(headRevision uint64, requestedAt time.Time) (newest uint64, unchanged bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	unchanged = s.lease.Active != nil && s.lease.StoreRevision == headRevision
+	if unchanged && requestedAt.After(s.lease.RequestedAt) {
+		s.lease.RequestedAt = requestedAt
+	}
+	return s.newest, unchanged
+}
+
+// load reads the revision that a head names, and makes it the current one. If it cannot be used, the
+// newest one before it that can is. It returns the number of the newest.
+func (s *Store) load(ctx context.Context, head store.Item, lease configuration.ValidityLease) (uint64, error) {
+	if head.Revision == 0 {
+		lease.Active = s.files
+		s.setCurrent(lease, nil, 0, "")
+		return 0, nil
+	}
+	rejection := ""
+	namedHead, err := configuration.ParseHead(head.Value)
+	if err != nil {
+		slog.Error("corrupt configuration head", "key", configuration.HeadKey, "err", err)
+		rejection = err.Error()
+		if namedHead.Number, err = s.highestStored(ctx); err != nil {
+			return 0, err
+		}
+	}
+	digest := namedHead.Digest
+	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationKept > namedHead.Number; number-- {
+		revision, document, err := s.readRevision(ctx, number, digest)
+		if err == nil {
+			lease.Active = document.Over(s.files, number)
+			s.setCurrent(lease, revision, namedHead.Number, rejection)
+			return namedHead.Number, nil
+		}
+		if !isUnusable(err) {
+			return 0, err
+		}
+		slog.Error("configuration revision rejected", "revision", number, "err", err)
+		if rejection == "" {
+			rejection = err.Error()
+		}
+		digest = "" // The head has that of the newest only.
+	}
+	lease.Active = s.files
+	s.setCurrent(lease, nil, namedHead.Number, rejection)
+	return namedHead.Number, nil
+}
+
+// isUnusable tells whether an error is about a stored revision, and not about reading it.
+func isUnusable(err error) bool {
+	return errors.Is(err, configuration.ErrDamaged) || errors.Is(err, configuration.ErrNewer)
+}
+
+// highestStored returns the highest number of a revision of which a part is stored; 0: there is none.
+func (s *Store) highestStored(ctx context.Context) (uint64, error) {
+	items, _, err := s.client.List(ctx, configuration.PartPrefix)
+	if err != nil {
+		return 0, fmt.Errorf("listing configuration revisions: %w", err)
+	}
+	highest := uint64(0)
+	for _, item := range items {
+		if number, ok := configuration.ParsePartKey(item.Key); ok {
+			highest = max(highest, number)
+		}
+	}
+	return highest, nil
+}
+
+// setCurrent sets what was read last, unless it was requested before the present one was.
+func (s *Store) setCurrent(lease configuration.ValidityLease, revision *configuration.Revision, newest uint64, rejection string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lease.Active != nil && lease.RequestedAt.Before(s.lease.RequestedAt) {
+		return
+	}
+	s.lease, s.revision, s.newest, s.rejection = lease, revision, newest, rejection
+	if lease.Active != nil {
+		slog.Info("configuration read", "revision", lease.Active.Revision, "newest", newest)
+	}
+}
+
+// readRevision reads a revision and its document. Digest is that of the head; empty: not known. The
+// error wraps configuration.ErrDamaged or configuration.ErrNewer if the revision cannot be used.
+func (s *Store) readRevision(ctx context.Context, number uint64, digest string) (*configuration.Revision, *configuration.Document, error) {
+	var parts []configuration.Part
+	for i := 0; i == 0 || i < parts[0].Of; i++ {
+		item, err := s.client.Get(ctx, configuration.PartKey(number, i))
+		if errors.Is(err, store.ErrNotFound) {
+			return nil, nil, fmt.Errorf("%w: part %d of revision %d is missing", configuration.ErrDamaged, i, number)
+		}
+		if err != nil {
+			return nil, nil, fmt.Errorf("reading part %d of configuration revision %d: %w", i, number, err)
+		}
+		part, err := configuration.ParsePart(item.Value)
+		if err != nil {
+			return nil, nil, err
+		}
+		parts = append(parts, part)
+	}
+	revision, err := configuration.Decode(number, digest, parts)
+	if err != nil {
+		return nil, nil, err
+	}
+	document, err := configuration.Parse(revision.Document)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%w: the document of revision %d: %w", configuration.ErrDamaged, number, err)
+	}
+	return revision, document, nil
+}
+
+// Revision reads a stored revision. The error wraps configuration.ErrDamaged or
+// configuration.ErrNewer if the revision is not stored or cannot be used.
+func (s *Store) Revision(ctx context.Context, number uint64) (*configuration.Revision, error) {
+	revision, _, err := s.readRevision(ctx, number, "")
+	return revision, err
+}
+
+// History reads the last revisions that are stored, the newest first, without their documents. For a
+// revision that cannot be used, Why has the reason.
+func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
+	newest, err := s.Refresh(ctx)
+	if err != nil {
+		return nil, err
+	}
+	out := []*configuration.Revision{}
+	for number := newest; number > 0 && number+tuning.ConfigurationKept > newest; number-- {
+		revision, err := s.Revision(ctx, number)
+		if isUnusable(err) {
+			revision, err = &configuration.Revision{Number: number, Why: err.Error()}, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+		revision.Document = ""
+		out = append(out, revision)
+	}
+	return out, nil
+}
