--- a/controller/command_relay.go
+++ b/controller/command_relay.go
@@ -17,40 +17,40 @@
 }
 
 // HandleRelayedHeartbeat takes in a report that a sibling passed on.
-func (s *Scheduler) HandleRelayedHeartbeat(member string, r *api.Heartbeat) {
+func (s *Scheduler) HandleRelayedHeartbeat(member string, heartbeat *api.Heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Term > s.term {
+	if heartbeat.Term > s.term {
 		return
 	}
-	if _, ok := s.releasedAt[r.Machine]; ok {
+	if _, ok := s.releasedAt[heartbeat.Machine]; ok {
 		return
 	}
-	machine := s.machineNamed(r.Machine)
-	if !s.acceptHeartbeat(machine, r, member, true) || !machine.Newer(r) || !s.loaded {
+	machine := s.machineNamed(heartbeat.Machine)
+	if !s.acceptHeartbeat(machine, heartbeat, member, true) || !machine.Newer(heartbeat) || !s.loaded {
 		return
 	}
 	if machine.relayPeer != member {
-		slog.Debug("machine reports through a sibling", "machine", r.Machine, "sibling", member)
+		slog.Debug("machine reports through a sibling", "machine", heartbeat.Machine, "sibling", member)
 		s.reachedDirectly(machine)
 	}
 	machine.relayPeer = member
-	s.reconcile(machine, r, byRelay)
+	s.reconcile(machine, heartbeat, byRelay)
 	s.relayCommands(machine)
 }
 
 // AcceptWorkerMessage takes in one report that a sibling passed on.
-func (s *Scheduler) AcceptWorkerMessage(member string, m relay.Message) {
-	var r api.Heartbeat
-	err := json.Unmarshal(m.Body, &r)
+func (s *Scheduler) AcceptWorkerMessage(member string, message relay.Message) {
+	var heartbeat api.Heartbeat
+	err := json.Unmarshal(message.Body, &heartbeat)
 	if err == nil {
-		err = r.Check()
+		err = heartbeat.Check()
 	}
 	if err != nil {
 		slog.Error("malformed report", "through", member, "err", err)
 		return
 	}
-	s.HandleRelayedHeartbeat(member, &r)
+	s.HandleRelayedHeartbeat(member, &heartbeat)
 }
 
 // reachedDirectly notes that a machine reports without a relay, or through another one.
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -28,45 +28,45 @@
 
 // commands derives what to tell a worker from what is wanted and what it
 // seen. Repeating them is harmless.
-func (s *Scheduler) commands(machine *machineState, by deliveryPath) []api.Command {
-	out := []api.Command{}
+func (s *Scheduler) commands(machine *machineState, path deliveryPath) []api.Command {
+	cmds := []api.Command{}
 	kill := func(key string, attempt uint64, grace float64) {
-		out = append(out, api.Command{Verb: api.CommandKill, Task: key, Attempt: attempt, GraceS: &grace})
+		cmds = append(cmds, api.Command{Verb: api.CommandKill, Task: key, Attempt: attempt, GraceS: &grace})
 	}
 	for _, alloc := range machine.allocations {
 		if alloc.stopping && alloc.reported && (alloc.state != api.TaskSaving || alloc.stopGraceS == 0) {
 			kill(alloc.key, alloc.attempt, alloc.stopGraceS)
 		}
 	}
-	for key, t := range machine.Tasks {
-		if alloc := machine.allocations[key]; alloc != nil && alloc.attempt == t.Attempt {
+	for key, report := range machine.Tasks {
+		if alloc := machine.allocations[key]; alloc != nil && alloc.attempt == report.Attempt {
 			continue
 		}
-		if e := machine.exited[key]; e != nil && e.attempt == t.Attempt {
+		if exit := machine.exited[key]; exit != nil && exit.attempt == report.Attempt {
 			// A run of this attempt that is still under way would start it
 			// again after a clear.
-			if e.stored && e.unansweredRuns == 0 {
-				out = append(out, api.Command{Verb: api.CommandClear, Task: key, Attempt: t.Attempt})
+			if exit.stored && exit.unansweredRuns == 0 {
+				cmds = append(cmds, api.Command{Verb: api.CommandClear, Task: key, Attempt: report.Attempt})
 			}
 			continue
 		}
-		if t.State != api.TaskExited {
-			kill(key, t.Attempt, 0)
+		if report.State != api.TaskExited {
+			kill(key, report.Attempt, 0)
 		}
 	}
 	if !s.hooks.Leading() || machine.releasing {
-		return out
+		return cmds
 	}
 	for _, alloc := range machine.allocations {
 		if !alloc.committed || alloc.stopping || alloc.reported || alloc.runSent && (alloc.incarnation == 0 || alloc.incarnation != machine.Incarnation) {
 			continue
 		}
-		if by == byOrders && (alloc.unansweredRuns > 0 || alloc.answeredSeq > 0 || alloc.runRelayed) {
+		if path == byCommandResponse && (alloc.unansweredRuns > 0 || alloc.answeredSeq > 0 || alloc.runRelayed) {
 			continue
 		}
 		ready := true
-		for _, v := range alloc.victims {
-			if v.job.allocations[v.task] == v && !(v.stopping && v.stopGraceS == 0 && v.reported) {
+		for _, victim := range alloc.victims {
+			if victim.job.allocations[victim.task] == victim && !(victim.stopping && victim.stopGraceS == 0 && victim.reported) {
 				ready = false
 			}
 		}
@@ -74,18 +74,18 @@
 			continue
 		}
 		alloc.runSent, alloc.incarnation = true, machine.Incarnation
-		switch by {
-		case byReport:
+		switch path {
+		case byHeartbeat:
 			alloc.answeredSeq = machine.Seq
-		case byOrders:
+		case byCommandResponse:
 			alloc.unansweredRuns++
 		case byRelay:
 			alloc.runRelayed = true
 		}
-		slog.Debug("starting task", "task", alloc.key, "machine", machine.Name, "attempt", alloc.attempt, "direct", by == byOrders)
-		out = append(out, api.Command{Verb: api.CommandRun, Task: alloc.key, Attempt: alloc.attempt})
+		slog.Debug("starting task", "task", alloc.key, "machine", machine.Name, "attempt", alloc.attempt, "direct", path == byCommandResponse)
+		cmds = append(cmds, api.Command{Verb: api.CommandRun, Task: alloc.key, Attempt: alloc.attempt})
 	}
-	return out
+	return cmds
 }
 
 // pushCommands sends a machine its commands directly, one request at a time.
@@ -101,7 +101,7 @@
 		machine.resendCommands = true
 		return
 	}
-	cmds := s.commands(machine, byOrders)
+	cmds := s.commands(machine, byCommandResponse)
 	if len(cmds) == 0 {
 		return
 	}
@@ -120,7 +120,7 @@
 
 // CommandsAnswered takes in the outcome of a direct command. Certain: the worker
 // encodeResponse, or the command never left; otherwise it may still be executed.
-func (s *Scheduler) CommandsAnswered(name string, o api.HeartbeatResponse, r *api.Heartbeat, certain bool) {
+func (s *Scheduler) CommandsAnswered(name string, response api.HeartbeatResponse, heartbeat *api.Heartbeat, settled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	machine := s.machines[name]
@@ -128,43 +128,43 @@
 		return
 	}
 	machine.commandInFlight = false
-	if certain {
-		for _, cmd := range o.Commands {
-			if cmd.Verb != api.CommandRun {
+	if settled {
+		for _, command := range response.Commands {
+			if command.Verb != api.CommandRun {
 				continue
 			}
-			if alloc := machine.allocations[cmd.Task]; alloc != nil && alloc.attempt == cmd.Attempt {
+			if alloc := machine.allocations[command.Task]; alloc != nil && alloc.attempt == command.Attempt {
 				alloc.unansweredRuns--
-				if r == nil && alloc.unansweredRuns == 0 && !alloc.reported && alloc.answeredSeq == 0 && !alloc.runRelayed {
+				if heartbeat == nil && alloc.unansweredRuns == 0 && !alloc.reported && alloc.answeredSeq == 0 && !alloc.runRelayed {
 					alloc.runSent = false
 				}
 			}
-			if e := machine.exited[cmd.Task]; e != nil && e.attempt == cmd.Attempt && e.unansweredRuns > 0 {
-				e.unansweredRuns--
+			if exit := machine.exited[command.Task]; exit != nil && exit.attempt == command.Attempt && exit.unansweredRuns > 0 {
+				exit.unansweredRuns--
 			}
 		}
 	}
 	switch {
-	case r != nil && r.Machine == name:
+	case heartbeat != nil && heartbeat.Machine == name:
 		// A worker that answers shows that our own network works.
 		s.lastHeartbeat = s.now()
 		s.lastDirectContact, s.unansweredCommands = s.lastHeartbeat, 0
-		machine.link.CommandAnswered(s.lastHeartbeat, r.Seq)
+		machine.link.CommandAnswered(s.lastHeartbeat, heartbeat.Seq)
 		machine.outboundLossLogged = false
-	case r == nil:
+	case heartbeat == nil:
 		s.unansweredCommands++
-		if !certain {
+		if !settled {
 			machine.link.CommandLost()
 		}
 	}
 	// A machine that has not reported in this term has its whole lease to find
 	// us; only its own report makes it count as heard.
-	if r != nil && machine.Up && r.Machine == name && r.Term <= s.term && machine.Newer(r) {
-		s.reconcile(machine, r, byOrders)
+	if heartbeat != nil && machine.Up && heartbeat.Machine == name && heartbeat.Term <= s.term && machine.Newer(heartbeat) {
+		s.reconcile(machine, heartbeat, byCommandResponse)
 	}
-	again := machine.resendCommands
+	resend := machine.resendCommands
 	machine.resendCommands = false
-	if again && (certain || r != nil) {
+	if resend && (settled || heartbeat != nil) {
 		s.pushCommands(machine)
 	}
 }
--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, name := range d.planner.Plan(wants, now) {
-		if d.relayedReports[name] != nil {
+		if d.relayedOrders[name] != nil {
 			s.relayStageOrder(name)
 			continue
 		}
--- a/controller/datarelay_test.go
+++ b/controller/datarelay_test.go
@@ -120,7 +120,7 @@
 	// Once the agent reaches the leader itself, the mail ends.
 	s.tell(a)
 	s.commit()
-	if s.datasets.relayedReports["a1"] != nil || len(s.datasets.orderMailboxes.Machines("y", 0)) != 0 {
+	if s.datasets.relayedOrders["a1"] != nil || len(s.datasets.orderMailboxes.Machines("y", 0)) != 0 {
 		t.Error("mail for an agent that is within reach")
 	}
 }
--- a/controller/dataset_removal.go
+++ b/controller/dataset_removal.go
@@ -19,12 +19,12 @@
 	if s.datasets == nil {
 		return nil
 	}
-	for _, in := range job.inputs {
-		cond := store.Condition{Key: store.DatasetKey(in.name)}
-		if x := s.datasets.entries[in.name]; x != nil && x.State == dataset.Listed {
-			cond.Revision = x.Stamp
+	for _, jobInput := range job.inputs {
+		condition := store.Condition{Key: store.DatasetKey(jobInput.name)}
+		if entry := s.datasets.entries[jobInput.name]; entry != nil && entry.State == dataset.Listed {
+			condition.Revision = entry.Stamp
 		}
-		out = append(out, cond)
+		out = append(out, condition)
 	}
 	return out
 }
@@ -33,17 +33,17 @@
 // be. Jobs that nobody was told of, and that may not name it any more, are dropped: the
 // users who wait for them are told why by whoever checks the inputs anew.
 func (s *Scheduler) datasetFound(found *store.Item) {
-	x, err := DecodeDataset(found)
+	entry, err := DecodeDataset(found)
 	if err != nil {
 		slog.Error("a dataset's record is damaged", "key", found.Key, "err", err)
 		return
 	}
-	s.addDatasets(x)
-	if x.State == dataset.Listed {
+	s.addDatasets(entry)
+	if entry.State == dataset.Listed {
 		return
 	}
 	for _, job := range append([]*jobState{}, s.jobOrder...) {
-		if !job.accepted && job.usesDataset(x.Name) {
+		if !job.accepted && job.usesDataset(entry.Name) {
 			s.removeJob(job)
 			job.notify()
 		}
@@ -51,8 +51,8 @@
 }
 
 func (j *jobState) usesDataset(name string) bool {
-	for _, in := range j.inputs {
-		if in.name == name {
+	for _, jobInput := range j.inputs {
+		if jobInput.name == name {
 			return true
 		}
 	}
@@ -91,20 +91,20 @@
 	if s.datasets == nil {
 		return
 	}
-	for _, x := range s.datasets.unlisted {
-		if x.State != dataset.Removing || s.datasets.inboxRevision < x.Stamp || s.datasets.removing[x.Name] != "" || s.jobsUsing(x.Name) > 0 {
+	for _, entry := range s.datasets.unlisted {
+		if entry.State != dataset.Removing || s.datasets.inboxRevision < entry.Stamp || s.datasets.removing[entry.Name] != "" || s.jobsUsing(entry.Name) > 0 {
 			continue
 		}
-		s.datasets.removing[x.Name] = dataset.Removing
-		s.hooks.MarkDirty(store.DatasetKey(x.Name), store.Lazy, s.withLock(func() {
-			wrote := s.datasets.removing[x.Name]
-			delete(s.datasets.removing, x.Name)
-			if wrote != dataset.Removed || x.State == dataset.Removed {
+		s.datasets.removing[entry.Name] = dataset.Removing
+		s.hooks.MarkDirty(store.DatasetKey(entry.Name), store.Lazy, s.withLock(func() {
+			written := s.datasets.removing[entry.Name]
+			delete(s.datasets.removing, entry.Name)
+			if written != dataset.Removed || entry.State == dataset.Removed {
 				return
 			}
-			slog.Info("dataset removed", "dataset", x.Name)
-			x.State = dataset.Removed
-			s.datasets.planner.RemoveDataset(x.Name, x.Manifest.String())
+			slog.Info("dataset removed", "dataset", entry.Name)
+			entry.State = dataset.Removed
+			s.datasets.planner.RemoveDataset(entry.Name, entry.Manifest.String())
 			s.wakePlacer()
 		}))
 	}
@@ -112,15 +112,15 @@
 
 // datasetRecord is a dataset's record as the leader writes it: it does so only to remove
 // it. More: it must stand as it was when that was decided.
-func (s *Scheduler) datasetRecord(name string) (rec dataset.Entry, exists bool, more []store.Condition) {
+func (s *Scheduler) datasetRecord(name string) (record dataset.Entry, exists bool, conditions []store.Condition) {
 	if s.datasets == nil || s.datasets.unlisted[name] == nil {
-		return rec, false, nil
+		return record, false, nil
 	}
-	rec = *s.datasets.unlisted[name]
-	more = []store.Condition{{Key: store.DatasetKey(name), Revision: rec.Stamp}}
+	record = *s.datasets.unlisted[name]
+	conditions = []store.Condition{{Key: store.DatasetKey(name), Revision: record.Stamp}}
 	if s.jobsUsing(name) == 0 {
-		rec.State = dataset.Removed
+		record.State = dataset.Removed
 	}
-	s.datasets.removing[name] = rec.State
-	return rec, true, more
+	s.datasets.removing[name] = record.State
+	return record, true, conditions
 }
--- a/controller/datasets.go
+++ b/controller/datasets.go
@@ -36,7 +36,7 @@
 	hintStoredAt  time.Time
 	// relayed are the agents whose last report came through a sibling; mail holds the
 	// orders for those behind each.
-	relayedReports map[string]*relayedReport
+	relayedOrders  map[string]*relayedOrder
 	orderMailboxes *exchange.Mailboxes
 	// unlisted are datasets that are being removed, or were; inbox is the revision up to
 	// which jobs are known that siblings accepted.
@@ -54,13 +54,13 @@
 }
 
 // UseData switches datasets on, before anything is loaded.
-func (s *Scheduler) UseData(set features.Data) {
+func (s *Scheduler) UseData(dataSettings features.Data) {
 	index := replicas.New()
-	limits := staging.Limits{LinkRate: set.LinkMBs * 1e6, StoreRate: set.StoreMBs * 1e6, PerLink: set.PerLink, AtStore: set.AtStore,
-		Peers: set.Placement == features.Local || set.Placement == features.Staged}
-	s.datasets = &datasetState{settings: set, index: index, planner: staging.New(s.term, limits, index), entries: map[string]*dataset.Entry{},
+	limits := staging.Limits{LinkRate: dataSettings.LinkMBs * 1e6, StoreRate: dataSettings.StoreMBs * 1e6, PerLink: dataSettings.PerLink, AtStore: dataSettings.AtStore,
+		Peers: dataSettings.Placement == features.Local || dataSettings.Placement == features.Staged}
+	s.datasets = &datasetState{settings: dataSettings, index: index, planner: staging.New(s.term, limits, index), entries: map[string]*dataset.Entry{},
 		snapshot: index.Snapshot(), stuckSince: map[string]time.Time{}, waiting: map[string]int{},
-		relayedReports: map[string]*relayedReport{}, orderMailboxes: newMailboxes(s, store.StageMailPrefix, store.StageMailKey, s.stageOrderBody), unlisted: map[string]*dataset.Entry{}, removing: map[string]string{}}
+		relayedOrders: map[string]*relayedOrder{}, orderMailboxes: newMailboxes(s, store.StageMailPrefix, store.StageMailKey, s.stageOrderBody), unlisted: map[string]*dataset.Entry{}, removing: map[string]string{}}
 }
 
 // localityAware tells whether the placer looks at who holds what.
@@ -69,10 +69,10 @@
 }
 
 // AddDatasets takes in datasets as they stand on record.
-func (s *Scheduler) AddDatasets(sets ...*dataset.Entry) {
+func (s *Scheduler) AddDatasets(entries ...*dataset.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addDatasets(sets...)
+	s.addDatasets(entries...)
 }
 
 func (s *Scheduler) addDatasets(sets ...*dataset.Entry) {
@@ -115,8 +115,8 @@
 	}
 	for i := range job.inputs {
 		if job.inputs[i].summary == nil && s.datasets != nil {
-			if x := s.datasets.entries[job.inputs[i].name]; x != nil && x.State != dataset.Removed {
-				job.inputs[i].summary = &x.Summary
+			if entry := s.datasets.entries[job.inputs[i].name]; entry != nil && entry.State != dataset.Removed {
+				job.inputs[i].summary = &entry.Summary
 			}
 		}
 	}
@@ -125,8 +125,8 @@
 // inputsReady tells whether a job's inputs are known here at all. A job that was accepted
 // while the feature was on must not start without its inputs now that it is off.
 func (s *Scheduler) inputsReady(job *jobState) bool {
-	for _, in := range job.inputs {
-		if s.datasets == nil || in.summary == nil {
+	for _, jobInput := range job.inputs {
+		if s.datasets == nil || jobInput.summary == nil {
 			return false
 		}
 	}
@@ -136,14 +136,14 @@
 // inputsStaged tells whether a task's inputs are proved to be on a machine. Jobs without inputs
 // are always staged.
 func (s *Scheduler) inputsStaged(job *jobState, task int, machine *machineState) bool {
-	for _, in := range job.inputs {
+	for _, jobInput := range job.inputs {
 		ok := false
 		switch {
-		case s.datasets == nil || in.summary == nil:
-		case in.partPerTask:
-			ok = s.datasets.planner.Confirmed(machine.Name, in.summary, task)
+		case s.datasets == nil || jobInput.summary == nil:
+		case jobInput.partPerTask:
+			ok = s.datasets.planner.Confirmed(machine.Name, jobInput.summary, task)
 		default:
-			ok = s.datasets.planner.ConfirmedAll(machine.Name, in.summary)
+			ok = s.datasets.planner.ConfirmedAll(machine.Name, jobInput.summary)
 		}
 		if !ok {
 			return false
@@ -153,14 +153,14 @@
 }
 
 // DecodeDataset reads a dataset's record.
-func DecodeDataset(it *store.Item) (*dataset.Entry, error) {
-	var s dataset.Entry
-	if err := json.Unmarshal(it.Value, &s); err != nil {
+func DecodeDataset(item *store.Item) (*dataset.Entry, error) {
+	var entry dataset.Entry
+	if err := json.Unmarshal(item.Value, &entry); err != nil {
 		return nil, err
 	}
-	s.Stamp = it.Revision
-	if s.State != dataset.Listed && s.State != dataset.Removing && s.State != dataset.Removed {
-		return nil, fmt.Errorf("state %.20q is not known to this version", s.State)
+	entry.Stamp = item.Revision
+	if entry.State != dataset.Listed && entry.State != dataset.Removing && entry.State != dataset.Removed {
+		return nil, fmt.Errorf("state %.20q is not known to this version", entry.State)
 	}
-	return &s, s.Check()
+	return &entry, entry.Check()
 }
--- a/controller/failure_detection.go
+++ b/controller/failure_detection.go
@@ -15,8 +15,8 @@
 
 // tick notes that the leader does its rounds.
 func (s *Scheduler) tick(now time.Time) {
-	if stood := s.detector.Tick(now); stood > 0 {
-		slog.Info("stood still", "for", stood.Round(time.Millisecond))
+	if pause := s.detector.Tick(now); pause > 0 {
+		slog.Info("stood still", "for", pause.Round(time.Millisecond))
 	}
 }
 
@@ -30,13 +30,13 @@
 
 // OutboundLost tells whether this leader reaches no worker any more while a sibling hears
 // them: reports come through that one, but no command goes out at once.
-func (s *Scheduler) OutboundLost(siblings []peer.Hello) bool {
+func (s *Scheduler) OutboundLost(peers []peer.Hello) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unansweredCommands < tuning.DeafCommands || s.since(latest(s.lastDirectContact, s.detector.ResumedAt())) < tuning.DeafAfter {
 		return false
 	}
-	return slices.ContainsFunc(siblings, func(h peer.Hello) bool { return h.ReceivesHeartbeats && h.StateOK })
+	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
 // expectedToReport tells whether a machine should report by now: it certainly did in this term, or it is
@@ -59,7 +59,7 @@
 
 // detectPartitions looks whether whole zones or ways are unheard.
 func (s *Scheduler) detectPartitions(now time.Time) {
-	found := s.detector.Observe(now, func(yield func(failuredetector.Observation)) {
+	partitions := s.detector.Observe(now, func(yield func(failuredetector.Observation)) {
 		for _, machine := range s.machines {
 			if machine.expectedToReport() && !machine.releasing {
 				observed := s.observation(machine)
@@ -71,7 +71,7 @@
 			}
 		}
 	}, s.hooks.ZoneUnreachable)
-	for _, f := range found {
+	for _, f := range partitions {
 		if f.Domain != "" {
 			slog.Info("most machines of a domain unheard", "domain", f.Domain, "machines", f.Machines, "heard", f.Responding)
 		} else if f.IsZone {
@@ -84,19 +84,19 @@
 
 // decideMachine tells what becomes of a machine.
 func (s *Scheduler) decideMachine(machine *machineState, now time.Time) (failuredetector.Action, string) {
-	l := failuredetector.Limits{SuspectAfter: s.heartbeatTimeout(machine), ReleaseAfter: max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
+	limits := failuredetector.Limits{SuspectAfter: s.heartbeatTimeout(machine), ReleaseAfter: max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace, InboundLost: tuning.MuteLeases * s.lease()}
 	if machine.relayPeer != "" {
-		l.ReleaseAfter += tuning.RelayKeep
+		limits.ReleaseAfter += tuning.RelayKeep
 	}
-	heard := s.observation(machine)
-	hears := heard
-	hears.LastHeartbeat = machine.link.ConfirmedAt()
-	x := failuredetector.MachineState{Failed: machine.listedFailed, Listed: machine.listed, Up: machine.Up, Link: machine.link.State(now, s.lease()), Tasks: len(machine.allocations),
-		SilentFor: now.Sub(s.detector.SilentSince(now, heard)), UnconfirmedFor: now.Sub(s.detector.SilentSince(now, hears)),
+	observed := s.observation(machine)
+	confirmed := observed
+	confirmed.LastHeartbeat = machine.link.ConfirmedAt()
+	state := failuredetector.MachineState{Failed: machine.listedFailed, Listed: machine.listed, Up: machine.Up, Link: machine.link.State(now, s.lease()), Tasks: len(machine.allocations),
+		SilentFor: now.Sub(s.detector.SilentSince(now, observed)), UnconfirmedFor: now.Sub(s.detector.SilentSince(now, confirmed)),
 		PreemptionNotice: !machine.PreemptedAt.IsZero(), NoticeExpired: now.After(machine.PreemptedAt.Add(time.Second)), Faulty: s.faulty(machine)}
-	x.InboundLost = s.inboundLost(machine)
-	x.SilentShare, _ = s.detector.SilentShare(machine.Zone)
+	state.InboundLost = s.inboundLost(machine)
+	state.SilentShare, _ = s.detector.SilentShare(machine.Zone)
 	if !machine.Up {
 		ready := tuning.ReadyUnknown
 		if machine.Spec != nil {
@@ -106,14 +106,14 @@
 		if machine.requestedHere {
 			limit = s.startupTimes.Deadline(machine.Type, machine.RequestedAt, ready)
 		}
-		x.StartupExpired = (len(machine.allocations) > 0 || now.Sub(machine.RequestedAt) > max(l.ElectionGrace, limit)) && now.Sub(s.detector.ResumedAt()) > l.ElectionGrace
+		state.StartupExpired = (len(machine.allocations) > 0 || now.Sub(machine.RequestedAt) > max(limits.ElectionGrace, limit)) && now.Sub(s.detector.ResumedAt()) > limits.ElectionGrace
 	}
-	if x.Link == reachability.OutboundLost && !machine.outboundLossLogged {
+	if state.Link == reachability.OutboundLost && !machine.outboundLossLogged {
 		machine.outboundLossLogged = true
 		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", machine.Name, "zone", machine.Zone,
 			"tasks", len(machine.allocations), "why", machine.link.Reason(now))
 	}
-	return failuredetector.Decide(x, l)
+	return failuredetector.Decide(state, limits)
 }
 
 // inboundLost tells whether a machine answers commands while it reaches no controller.
@@ -125,21 +125,21 @@
 // proof, and they get work again. It asks those that are no longer heard, too: one that answers reaches no
 // controller, and what its lease has ended is known by the session of its answer.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
-	var due []*machineState
-	left := tuning.AsksAtOnce
+	var unconfirmed []*machineState
+	remaining := tuning.AsksAtOnce
 	for _, machine := range s.sortedMachines() {
 		state := machine.link.State(now, s.lease())
 		silent := now.Sub(machine.LastHeartbeat) > s.heartbeatTimeout(machine)
 		switch {
 		case !machine.Up || machine.releasing || machine.relayPeer != "" || !silent && state != reachability.Suspected && state != reachability.OutboundLost:
 		case machine.commandInFlight:
-			left--
+			remaining--
 		case now.Sub(machine.probedAt) >= settings.Seconds(s.settings.Facts.Workers.ReportS):
-			due = append(due, machine)
+			unconfirmed = append(unconfirmed, machine)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *machineState) int { return a.probedAt.Compare(b.probedAt) })
-	for _, machine := range due[:max(0, min(left, len(due)))] {
+	slices.SortStableFunc(unconfirmed, func(a, b *machineState) int { return a.probedAt.Compare(b.probedAt) })
+	for _, machine := range unconfirmed[:max(0, min(remaining, len(unconfirmed)))] {
 		machine.commandInFlight, machine.probedAt = true, now
 		s.hooks.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: []api.Command{}})
 	}
--- a/controller/hints.go
+++ b/controller/hints.go
@@ -55,23 +55,23 @@
 // hintPartMachines are the machines of one such record, by its key; none: there is no such part.
 func (s *Scheduler) hintPartMachines(key, prefix string) []*machineState {
 	part, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
-	ms, n := s.sortedMachines(), s.machinesPerHint()
-	if err != nil || part < 0 || part*n >= len(ms) {
+	machines, n := s.sortedMachines(), s.machinesPerHint()
+	if err != nil || part < 0 || part*n >= len(machines) {
 		return nil
 	}
-	return ms[part*n : min(len(ms), (part+1)*n)]
+	return machines[part*n : min(len(machines), (part+1)*n)]
 }
 
 // imagesRecord is one part of the record. The parts are cut by the machines'
 // order, which shifts as machines come and go; one that stands in two parts does
 // no harm.
 func (s *Scheduler) imagesRecord(key string) (store.ImagesRecord, bool) {
-	ms := s.hintPartMachines(key, store.ImagesPrefix)
-	if ms == nil {
+	machines := s.hintPartMachines(key, store.ImagesPrefix)
+	if machines == nil {
 		return store.ImagesRecord{}, false
 	}
-	held := make([]softstate.Machine, len(ms))
-	for i, machine := range ms {
+	held := make([]softstate.Machine, len(machines))
+	for i, machine := range machines {
 		held[i] = softstate.Machine{Name: machine.Name, Images: machine.Images()}
 	}
 	return softstate.EncodeImages(held, s.settings.Facts.State.Least().ValueBytes()), true
@@ -81,10 +81,10 @@
 func (s *Scheduler) LoadImageHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, it := range items {
-		held, err := softstate.DecodeImages(it.Value)
+	for _, item := range items {
+		held, err := softstate.DecodeImages(item.Value)
 		if err != nil {
-			slog.Error("a record of images is damaged", "key", it.Key, "err", err)
+			slog.Error("a record of images is damaged", "key", item.Key, "err", err)
 			continue
 		}
 		maps.Copy(s.imageHints, held)
@@ -120,20 +120,20 @@
 
 // replicaHintRecord is one part of that record.
 func (s *Scheduler) replicaHintRecord(key string) (replicas.Hint, bool) {
-	ms := s.hintPartMachines(key, store.ReplicasPrefix)
-	if s.datasets == nil || ms == nil {
+	machines := s.hintPartMachines(key, store.ReplicasPrefix)
+	if s.datasets == nil || machines == nil {
 		return replicas.Hint{}, false
 	}
 	var names []string
-	for _, machine := range ms {
+	for _, machine := range machines {
 		names = append(names, machine.Name)
 	}
-	h, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, s.settings.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
+	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, s.settings.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
 	if err != nil {
 		slog.Error("holdings not packed", "err", err)
-		return h, false
+		return hint, false
 	}
-	return h, true
+	return hint, true
 }
 
 // LoadReplicaHints takes in what an earlier leader knew of who holds what. Machines that it
@@ -145,24 +145,24 @@
 	if s.datasets == nil {
 		return
 	}
-	for _, it := range items {
-		var h replicas.Hint
-		err := json.Unmarshal(it.Value, &h)
-		var all map[string]map[string]replicas.Replica
+	for _, item := range items {
+		var hint replicas.Hint
+		err := json.Unmarshal(item.Value, &hint)
+		var heldByMachine map[string]map[string]replicas.Replica
 		if err == nil {
-			all, err = h.Decode()
+			heldByMachine, err = hint.Decode()
 		}
 		if err != nil {
-			slog.Error("a record of holdings is damaged", "key", it.Key, "err", err)
+			slog.Error("a record of holdings is damaged", "key", item.Key, "err", err)
 			continue
 		}
-		for name, holds := range all {
-			for d := range holds {
-				if entry := s.datasets.entries[d]; entry == nil || entry.Parts != holds[d].Of {
-					delete(holds, d)
+		for name, held := range heldByMachine {
+			for d := range held {
+				if entry := s.datasets.entries[d]; entry == nil || entry.Parts != held[d].Of {
+					delete(held, d)
 				}
 			}
-			s.datasets.planner.ApplyHint(name, holds, s.now())
+			s.datasets.planner.ApplyHint(name, held, s.now())
 		}
 	}
 }
--- a/controller/job.go
+++ b/controller/job.go
@@ -101,9 +101,9 @@
 // starts of all others waited for seconds behind it.
 func (j *jobState) urgency() int { return store.Ordinary + api.RankProduction - j.rank }
 
-func (s *Scheduler) addJob(rec store.JobRecord, accepted bool) *jobState {
-	job := &jobState{JobRecord: rec, id: rec.Job.ID, taskCount: rec.Job.Tasks, rank: rec.Job.RankLevel(), request: fleet.RequestOf(&rec.Job), accepted: accepted, changed: make(chan struct{}),
-		completed: store.NewTaskBitmap(rec.Job.Tasks), allocations: map[int]*allocation{}, shards: map[store.Shard]bool{}, eligibleAt: rec.At, avoidUntil: map[string]time.Time{}, failedOn: map[string]bool{}, preemptions: map[int]int{}, learnedAt: s.now(), waitingSince: time.UnixMilli(rec.At)}
+func (s *Scheduler) addJob(record store.JobRecord, accepted bool) *jobState {
+	job := &jobState{JobRecord: record, id: record.Job.ID, taskCount: record.Job.Tasks, rank: record.Job.RankLevel(), request: fleet.RequestOf(&record.Job), accepted: accepted, changed: make(chan struct{}),
+		completed: store.NewTaskBitmap(record.Job.Tasks), allocations: map[int]*allocation{}, shards: map[store.Shard]bool{}, eligibleAt: record.At, avoidUntil: map[string]time.Time{}, failedOn: map[string]bool{}, preemptions: map[int]int{}, learnedAt: s.now(), waitingSince: time.UnixMilli(record.At)}
 	if job.FinalState != "" {
 		// Its user was told by then, if at all; an earlier version left no time.
 		job.terminalAt = job.learnedAt
--- a/controller/lifecycle.go
+++ b/controller/lifecycle.go
@@ -75,8 +75,8 @@
 }
 
 // finalRecord is what is kept of a job that is over; own: as this version has it.
-func (j *jobState) finalRecord(own bool) store.FinalRecord {
-	return store.FinalRecord{State: j.FinalState, Tasks: j.completedCount, Service: own && j.Job.Shape == api.Service}
+func (j *jobState) finalRecord(currentFormat bool) store.FinalRecord {
+	return store.FinalRecord{State: j.FinalState, Tasks: j.completedCount, Service: currentFormat && j.Job.Shape == api.Service}
 }
 
 // archive files a job that is over and has nothing left on machines: its final
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -13,45 +13,45 @@
 type deliveryPath int
 
 const (
-	byReport deliveryPath = iota
-	byOrders
+	byHeartbeat deliveryPath = iota
+	byCommandResponse
 	byRelay
 )
 
 // HandleHeartbeat takes in a worker's report and returns the answer. Via is the sibling that
 // passed it on; empty: it came directly. Deposed: the worker has seen a higher
 // term, and we no longer lead.
-func (s *Scheduler) HandleHeartbeat(r *api.Heartbeat, via string) (o api.HeartbeatResponse, deposed, refused bool) {
+func (s *Scheduler) HandleHeartbeat(heartbeat *api.Heartbeat, via string) (response api.HeartbeatResponse, deposed, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o = api.HeartbeatResponse{Term: s.term, Commands: []api.Command{}}
-	if r.Term > s.term {
-		return o, true, false
+	response = api.HeartbeatResponse{Term: s.term, Commands: []api.Command{}}
+	if heartbeat.Term > s.term {
+		return response, true, false
 	}
-	if _, ok := s.releasedAt[r.Machine]; ok {
-		return o, false, true
+	if _, ok := s.releasedAt[heartbeat.Machine]; ok {
+		return response, false, true
 	}
-	machine := s.machineNamed(r.Machine)
-	if !s.acceptHeartbeat(machine, r, via, false) {
+	machine := s.machineNamed(heartbeat.Machine)
+	if !s.acceptHeartbeat(machine, heartbeat, via, false) {
 		// A copy: whoever waits for its answer keeps its lease, and that is all.
-		return o, false, false
+		return response, false, false
 	}
 	s.reachedDirectly(machine)
 	// A report that a command's answer has overtaken is no copy, but its task list is old. Before
 	// the records are read only the lease is kept.
-	if !machine.Newer(r) || !s.loaded {
-		return o, false, false
+	if !machine.Newer(heartbeat) || !s.loaded {
+		return response, false, false
 	}
-	s.reconcile(machine, r, byReport)
-	o.Commands = s.commands(machine, byReport)
-	return o, false, false
+	s.reconcile(machine, heartbeat, byHeartbeat)
+	response.Commands = s.commands(machine, byHeartbeat)
+	return response, false, false
 }
 
 // acceptHeartbeat notes that a machine reports. False: the report is no newer than one that was heard before, so
 // it shows nothing (package contact).
-func (s *Scheduler) acceptHeartbeat(machine *machineState, r *api.Heartbeat, via string, relayed bool) bool {
+func (s *Scheduler) acceptHeartbeat(machine *machineState, heartbeat *api.Heartbeat, via string, relayed bool) bool {
 	now := s.now()
-	news, proof := machine.link.Observe(now, reachability.Heartbeat{Incarnation: r.Incarnation, Seq: r.Seq, HighestTerm: r.Term, Term: s.term, Via: via, Relayed: relayed})
+	news, proof := machine.link.Observe(now, reachability.Heartbeat{Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, HighestTerm: heartbeat.Term, Term: s.term, Via: via, Relayed: relayed})
 	if !news {
 		return false
 	}
@@ -66,11 +66,11 @@
 }
 
 // reconcile works a newer report into the state.
-func (s *Scheduler) reconcile(machine *machineState, r *api.Heartbeat, by deliveryPath) {
+func (s *Scheduler) reconcile(machine *machineState, heartbeat *api.Heartbeat, path deliveryPath) {
 	now := s.now()
 	first := !machine.Up
 	if first {
-		slog.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "after", now.Sub(machine.RequestedAt).Round(time.Second))
+		slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", now.Sub(machine.RequestedAt).Round(time.Second))
 		machine.idleSince = now
 		machine.faultLogged = false
 		if machine.requestedHere {
@@ -78,11 +78,11 @@
 		}
 		s.wakePlacer()
 	}
-	if r.PreemptionNoticeS != nil && machine.PreemptedAt.IsZero() {
-		slog.Info("machine will be taken", "machine", r.Machine, "in_s", *r.PreemptionNoticeS)
+	if heartbeat.PreemptionNoticeS != nil && machine.PreemptedAt.IsZero() {
+		slog.Info("machine will be taken", "machine", heartbeat.Machine, "in_s", *heartbeat.PreemptionNoticeS)
 		s.wakePlacer()
 	}
-	machine.ApplyHeartbeat(r, now)
+	machine.ApplyHeartbeat(heartbeat, now)
 	if machine.Spec == nil {
 		machine.Spec = s.machineTypes[machine.Type]
 	}
@@ -90,31 +90,31 @@
 		s.restoreImages(machine)
 	}
 	for key, alloc := range machine.allocations {
-		t, ok := machine.Tasks[key]
-		if ok && t.Attempt == alloc.attempt {
-			s.reconcileActive(machine, alloc, t)
+		report, ok := machine.Tasks[key]
+		if ok && report.Attempt == alloc.attempt {
+			s.reconcileActive(machine, alloc, report)
 			continue
 		}
-		s.reconcileMissing(machine, alloc, by)
+		s.reconcileMissing(machine, alloc, path)
 	}
-	for key, e := range machine.exited {
-		if t, ok := machine.Tasks[key]; !ok || t.Attempt != e.attempt {
+	for key, exit := range machine.exited {
+		if report, ok := machine.Tasks[key]; !ok || report.Attempt != exit.attempt {
 			delete(machine.exited, key)
 		}
 	}
-	for key, t := range machine.Tasks {
-		if alloc := machine.allocations[key]; alloc != nil && alloc.attempt == t.Attempt {
+	for key, report := range machine.Tasks {
+		if alloc := machine.allocations[key]; alloc != nil && alloc.attempt == report.Attempt {
 			continue
 		}
-		if e := machine.exited[key]; e != nil && e.attempt == t.Attempt {
+		if exit := machine.exited[key]; exit != nil && exit.attempt == report.Attempt {
 			continue
 		}
-		s.reconcileUnknown(machine, key, t)
+		s.reconcileUnknown(machine, key, report)
 	}
 }
 
 // reconcileActive notes the state of a task that is where it should be.
-func (s *Scheduler) reconcileActive(machine *machineState, alloc *allocation, t api.TaskReport) {
+func (s *Scheduler) reconcileActive(machine *machineState, alloc *allocation, report api.TaskReport) {
 	now := s.now()
 	if !alloc.reported {
 		alloc.reported, alloc.runSent = true, true
@@ -123,27 +123,27 @@
 	if alloc.incarnation == 0 {
 		alloc.incarnation = machine.Incarnation
 	}
-	if alloc.state != t.State {
-		alloc.state = t.State
-		if t.State == api.TaskRunning {
+	if alloc.state != report.State {
+		alloc.state = report.State
+		if report.State == api.TaskRunning {
 			alloc.runningSince = now
 			slog.Debug("task running", "task", alloc.key, "machine", machine.Name, "after", now.Sub(alloc.allocatedAt).Round(time.Millisecond), "fetched", !machine.HasImage(alloc.job.Job.Image))
 			s.recordImageUse(machine, alloc.job)
 		}
 	}
-	if t.State == api.TaskExited {
-		s.reconcileExited(machine, alloc, t)
+	if report.State == api.TaskExited {
+		s.reconcileExited(machine, alloc, report)
 	}
 }
 
 // reconcileExited handles an exit.
-func (s *Scheduler) reconcileExited(machine *machineState, alloc *allocation, t api.TaskReport) {
+func (s *Scheduler) reconcileExited(machine *machineState, alloc *allocation, report api.TaskReport) {
 	job := alloc.job
 	now := s.now()
-	e := &exitedTask{attempt: alloc.attempt, unansweredRuns: alloc.unansweredRuns, stored: t.Cause != api.CauseDone}
-	machine.exited[alloc.key] = e
-	slog.Debug("task ended", "task", alloc.key, "machine", machine.Name, "cause", t.Cause)
-	if t.Cause == api.CauseDone {
+	exit := &exitedTask{attempt: alloc.attempt, unansweredRuns: alloc.unansweredRuns, stored: report.Cause != api.CauseDone}
+	machine.exited[alloc.key] = exit
+	slog.Debug("task ended", "task", alloc.key, "machine", machine.Name, "cause", report.Cause)
+	if report.Cause == api.CauseDone {
 		// The clear waits for the record: until it is stored, only the
 		// worker knows that the task is done.
 		machine.ClearFailures()
@@ -152,18 +152,18 @@
 		s.recordImageUse(machine, job)
 		s.releaseAllocation(alloc)
 		s.markCompleted(job, alloc.task, func() {
-			e.stored = true
+			exit.stored = true
 			s.commandsReady[machine] = true
 		})
 		return
 	}
-	switch t.Cause {
+	switch report.Cause {
 	case api.CauseError:
 		s.recordTaskFailure(job, machine, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseUnknown:
-		slog.Info("start refused", "task", alloc.key, "machine", machine.Name, "cause", t.Cause)
+		slog.Info("start refused", "task", alloc.key, "machine", machine.Name, "cause", report.Cause)
 		machine.refusedUntil = now.Add(tuning.BackoffBase)
-		if t.Cause == api.CauseUnknown {
+		if report.Cause == api.CauseUnknown {
 			job.pausedUntil = now.Add(tuning.BackoffBase)
 		}
 	}
@@ -174,7 +174,7 @@
 
 // reconcileMissing judges a task that the newest report lacks. Only a report that no
 // command under way can overtake proves that the task is not there.
-func (s *Scheduler) reconcileMissing(machine *machineState, alloc *allocation, by deliveryPath) {
+func (s *Scheduler) reconcileMissing(machine *machineState, alloc *allocation, path deliveryPath) {
 	if !alloc.runSent {
 		return
 	}
@@ -187,7 +187,7 @@
 		s.loseTask(alloc, "the worker began a new session")
 		return
 	}
-	if alloc.unansweredRuns > 0 || alloc.answeredSeq > 0 && (by == byOrders || machine.Seq <= alloc.answeredSeq) || alloc.runRelayed && !alloc.reported && by != byReport {
+	if alloc.unansweredRuns > 0 || alloc.answeredSeq > 0 && (path == byCommandResponse || machine.Seq <= alloc.answeredSeq) || alloc.runRelayed && !alloc.reported && path != byHeartbeat {
 		return
 	}
 	switch {
@@ -204,22 +204,22 @@
 }
 
 // reconcileUnknown judges a task that should not be there.
-func (s *Scheduler) reconcileUnknown(machine *machineState, key string, t api.TaskReport) {
+func (s *Scheduler) reconcileUnknown(machine *machineState, key string, report api.TaskReport) {
 	id, task, ok := splitTask(key)
 	job := s.jobs[id]
 	if !ok || job == nil || task >= job.taskCount {
-		if t.State == api.TaskExited {
-			machine.exited[key] = &exitedTask{attempt: t.Attempt, stored: true}
+		if report.State == api.TaskExited {
+			machine.exited[key] = &exitedTask{attempt: report.Attempt, stored: true}
 		}
 		return
 	}
-	if t.State == api.TaskExited {
-		e := &exitedTask{attempt: t.Attempt, stored: t.Cause != api.CauseDone}
-		machine.exited[key] = e
-		if t.Cause == api.CauseDone {
+	if report.State == api.TaskExited {
+		exit := &exitedTask{attempt: report.Attempt, stored: report.Cause != api.CauseDone}
+		machine.exited[key] = exit
+		if report.Cause == api.CauseDone {
 			s.removeQueuedTask(job, task)
 			s.markCompleted(job, task, func() {
-				e.stored = true
+				exit.stored = true
 				s.commandsReady[machine] = true
 			})
 		}
@@ -227,10 +227,10 @@
 	}
 	if job.allocations[task] == nil && machine.allocations[key] == nil {
 		// A task that we know nothing of runs: from here on it counts.
-		slog.Info("task found", "task", key, "machine", machine.Name, "attempt", t.Attempt)
-		alloc := s.allocate(job, task, machine, t.Attempt)
+		slog.Info("task found", "task", key, "machine", machine.Name, "attempt", report.Attempt)
+		alloc := s.allocate(job, task, machine, report.Attempt)
 		alloc.committed = true
-		s.reconcileActive(machine, alloc, t)
+		s.reconcileActive(machine, alloc, report)
 		s.removeQueuedTask(job, task)
 		if job.FinalState != "" || job.completed.Has(task) {
 			s.stopTask(alloc, 0, "not wanted")
--- a/controller/records.go
+++ b/controller/records.go
@@ -11,7 +11,7 @@
 	"switchferry/store"
 )
 
-// Record builds a record for the committer.
+// Record builds a rec for the committer.
 func (s *Scheduler) Record(key string) (any, bool, []store.Condition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,10 +21,10 @@
 		if job == nil {
 			return nil, false, nil
 		}
-		var more []store.Condition
+		var conditions []store.Condition
 		if !job.accepted {
 			// A job that is over must not come back to life.
-			more = append([]store.Condition{{Key: store.FinalKey(job.id), Revision: 0}}, s.inputConditions(job)...)
+			conditions = append([]store.Condition{{Key: store.FinalKey(job.id), Revision: 0}}, s.inputConditions(job)...)
 		}
 		rec := job.JobRecord
 		if job.FinalState != "" {
@@ -33,7 +33,7 @@
 				rec.Job.Types, rec.Job.Inputs, rec.Job.Awaits, rec.Job.Image = nil, nil, nil, ""
 			}
 		}
-		return rec, true, more
+		return rec, true, conditions
 	case strings.HasPrefix(key, store.FinalPrefix):
 		job := s.jobs[strings.TrimPrefix(key, store.FinalPrefix)]
 		if job == nil || job.FinalState == "" {
@@ -64,8 +64,8 @@
 			return nil, false, nil
 		}
 		rec := store.ShardRecord{Done: job.completed.Pack(shard)}
-		from, to := shard.Range(job.taskCount)
-		for t := from; t < to; t++ {
+		first, to := shard.Range(job.taskCount)
+		for t := first; t < to; t++ {
 			if alloc := job.allocations[t]; alloc != nil {
 				rec.On = append(rec.On, store.PlacedTask{Task: t, Machine: alloc.machine.Name, Attempt: alloc.attempt})
 			}
@@ -82,13 +82,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.damagedJobs = map[string]bool{}
-	for _, it := range jobs {
-		var rec store.JobRecord
-		if id := strings.TrimPrefix(it.Key, store.JobPrefix); json.Unmarshal(it.Value, &rec) != nil || rec.Job.ID != id || rec.Job.Tasks < 1 || rec.Job.Tasks > api.MaxTasks {
-			slog.Error("a job's record is damaged, and the job left out", "key", it.Key)
+	for _, item := range jobs {
+		var record store.JobRecord
+		if id := strings.TrimPrefix(item.Key, store.JobPrefix); json.Unmarshal(item.Value, &record) != nil || record.Job.ID != id || record.Job.Tasks < 1 || record.Job.Tasks > api.MaxTasks {
+			slog.Error("a job's record is damaged, and the job left out", "key", item.Key)
 			s.damagedJobs[id] = true
 		} else if s.jobs[id] == nil {
-			s.addJob(rec, true)
+			s.addJob(record, true)
 		}
 	}
 	s.loadShards(shards)
@@ -131,7 +131,7 @@
 
 // loadShards takes in the records of tasks, but of damaged jobs.
 func (s *Scheduler) loadShards(items []store.Item) {
-	on, stray, bad := store.ReadShards(items, func(id string, shard store.Shard) (store.TaskBitmap, int) {
+	placedTasks, orphans, damaged := store.ReadShards(items, func(id string, shard store.Shard) (store.TaskBitmap, int) {
 		job := s.jobs[id]
 		if job == nil {
 			return nil, 0
@@ -139,17 +139,17 @@
 		job.shards[shard] = true
 		return job.completed, job.taskCount
 	})
-	for id, err := range bad {
+	for id, err := range damaged {
 		slog.Error("a record of a job's tasks is damaged, and the job left out", "job", id, "err", err)
 		s.damagedJobs[id] = true
 		s.removeJob(s.jobs[id])
 	}
-	for _, key := range stray {
+	for _, key := range orphans {
 		if shard, ok := store.ParseShard(key); !ok || !s.damagedJobs[shard.Job] {
 			s.hooks.MarkDirty(key, store.Lazy, nil)
 		}
 	}
-	for id, placed := range on {
+	for id, placed := range placedTasks {
 		job := s.jobs[id]
 		for _, t := range slices.Sorted(maps.Keys(placed)) {
 			// It may run there, or its command was never sent: until the
@@ -191,19 +191,19 @@
 		s.datasetFound(found)
 	case strings.HasPrefix(key, store.FinalPrefix):
 		id := strings.TrimPrefix(key, store.FinalPrefix)
-		var f store.FinalRecord
+		var final store.FinalRecord
 		job := s.jobs[id]
-		if json.Unmarshal(found.Value, &f) != nil || job == nil || job.accepted {
+		if json.Unmarshal(found.Value, &final) != nil || job == nil || job.accepted {
 			return
 		}
 		s.removeJob(job)
-		s.hooks.JobTerminal(id, f)
+		s.hooks.JobTerminal(id, final)
 		job.notify()
-		s.dependencies.onTerminal(id, f.State)
+		s.dependencies.onTerminal(id, final.State)
 	case strings.HasPrefix(key, store.JobPrefix):
 		id := strings.TrimPrefix(key, store.JobPrefix)
-		var rec store.JobRecord
-		if json.Unmarshal(found.Value, &rec) != nil || rec.Job.ID != id {
+		var record store.JobRecord
+		if json.Unmarshal(found.Value, &record) != nil || record.Job.ID != id {
 			slog.Error("a job's record is damaged", "key", key)
 			return
 		}
@@ -216,11 +216,11 @@
 			changed = job.changed
 			s.removeJob(job)
 		}
-		job = s.addJob(rec, false)
+		job = s.addJob(record, false)
 		if changed != nil {
 			job.changed = changed
 		}
-		if rec.FinalState != "" {
+		if record.FinalState != "" {
 			job.terminalStored = true
 			s.hooks.JobTerminal(id, job.finalRecord(s.currentFormat))
 		}
--- a/controller/requests.go
+++ b/controller/requests.go
@@ -150,12 +150,12 @@
 }
 
 // waitForChange waits until a job has changed, for so long at most.
-func (s *Scheduler) waitForChange(ctx context.Context, changed chan struct{}, most time.Duration) bool {
+func (s *Scheduler) waitForChange(ctx context.Context, changed chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-changed:
 		return true
 	case <-ctx.Done():
-	case <-s.clock.After(most):
+	case <-s.clock.After(timeout):
 	}
 	return false
 }
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -20,34 +20,34 @@
 // reshard writes what a job has in records of another size into such of the size that is
 // written now, and then deletes those: which of them a crash leaves behind makes no difference.
 func (s *Scheduler) reshard(job *jobState) {
-	var old []store.Shard
+	var oldShards []store.Shard
 	for shard := range job.shards {
 		if shard.Size != s.tasksPerShard {
-			old = append(old, shard)
+			oldShards = append(oldShards, shard)
 		}
 	}
-	if len(old) == 0 || job.resharding {
+	if len(oldShards) == 0 || job.resharding {
 		return
 	}
 	job.resharding = true
-	fresh := map[store.Shard]bool{}
+	newShards := map[store.Shard]bool{}
 	for t := range job.taskCount {
 		if job.completed.Has(t) || job.allocations[t] != nil {
-			fresh[store.ShardOf(job.id, t, s.tasksPerShard)] = true
+			newShards[store.ShardOf(job.id, t, s.tasksPerShard)] = true
 		}
 	}
-	left := len(fresh) + 1
+	remaining := len(newShards) + 1
 	stored := func() {
-		if left--; left > 0 {
+		if remaining--; remaining > 0 {
 			return
 		}
 		job.resharding = false
-		for _, shard := range old {
+		for _, shard := range oldShards {
 			delete(job.shards, shard)
 			s.hooks.MarkDirty(shard.Key(), store.Lazy, nil)
 		}
 	}
-	for shard := range fresh {
+	for shard := range newShards {
 		job.shards[shard] = true
 		s.hooks.MarkDirty(shard.Key(), job.urgency(), s.withLock(stored))
 	}
