--- a/controller/allocation.go
+++ b/controller/allocation.go
@@ -8,47 +8,55 @@
 	"switchferry/tuning"
 )
 
-// allocation puts one task on one machine. It stays until that machine is proved
-// to be done with it, and until then counts for limits, zones and room.
+// allocation is one attempt of a task on one machine. It lasts until that machine is proved to be done with the attempt,
+// and until then counts for the team's limit, for zones and domains and for the machine's resources. All of it is
+// guarded by Scheduler.mu.
 type allocation struct {
 	job     *jobState
 	task    int
 	key     string
 	machine *machineState
 	attempt uint64
-	// committed: the record is stored, so the command may be sent.
+
+	// committed is set once the record that holds the allocation is stored, so that the run command may be sent.
 	committed bool
-	// runSent: a run was sent, by this leader or perhaps by an earlier one.
-	runSent     bool
+	// runSent is set once a run command was sent, by this leader or perhaps by an earlier one.
+	runSent bool
+	// incarnation is the worker's incarnation that the run was sent to or that reported the attempt; 0: not known.
 	incarnation uint64
-	// unansweredRuns counts direct runs whose outcome is unknown: they may be executed
-	// at any later time of this term.
+	// unansweredRuns counts run commands sent directly whose outcome is unknown. Each may be executed at any later
+	// time of this term.
 	unansweredRuns int
-	// encodeResponse is the report whose answer carried a run last; the worker is
-	// done with that answer when it sends the next report.
+	// answeredSeq is the sequence number of the heartbeat whose response carried a run last, or 0. The worker has
+	// executed that response, or dropped it, when it sends its next heartbeat.
 	answeredSeq uint64
-	// runRelayed: a run went into a relay's mail. A relayed report cannot tell
-	// whether it is still to come; one that reaches us directly can, since
-	// the relay then starts afresh with that worker.
-	runRelayed   bool
+	// runRelayed is set once a run was handed to a relay. A relayed heartbeat does not show whether the run is still
+	// to come. A heartbeat that reaches this leader directly does, since the relay then starts afresh with that worker.
+	runRelayed bool
+
+	// reported is set once a heartbeat showed the attempt; state is the task state of the newest such heartbeat.
 	reported     bool
 	state        string
 	allocatedAt  time.Time
 	runningSince time.Time
-	stopping     bool
-	stopGraceS   float64
-	// startedByAgeing: it was started because its job had waited long.
+
+	// stopping is set once the task is to be stopped, within stopGraceS seconds.
+	stopping   bool
+	stopGraceS float64
+	// startedByAgeing is set if the task was started because its job was starved.
 	startedByAgeing bool
-	// victims make room for this task and are killed in the same command.
+	// victims are stopped for this task. They are killed in the command that starts it.
 	victims []*allocation
 }
 
+// nextAttempt returns an attempt number that was never used before: the term followed by a counter.
+// s.mu must be held.
 func (s *Scheduler) nextAttempt() uint64 {
 	s.lastAttempt++
 	return s.term<<tuning.AttemptBits | s.lastAttempt
 }
 
-// allocate makes an assignment count.
+// allocate adds an allocation and counts its resources. s.mu must be held.
 func (s *Scheduler) allocate(job *jobState, task int, machine *machineState, attempt uint64) *allocation {
 	alloc := &allocation{job: job, task: task, key: taskKey(job.id, task), machine: machine, attempt: attempt, allocatedAt: s.now()}
 	job.allocations[task] = alloc
@@ -63,7 +71,7 @@
 	return alloc
 }
 
-// releaseAllocation ends an assignment that is proved to be over.
+// releaseAllocation ends an allocation whose machine is proved to be done with it. s.mu must be held.
 func (s *Scheduler) releaseAllocation(alloc *allocation) {
 	if alloc.job.allocations[alloc.task] != alloc {
 		return
@@ -74,35 +82,38 @@
 	s.wakePlacer()
 }
 
-// removeAllocation makes an assignment count no more.
+// removeAllocation undoes allocate. s.mu must be held.
 func (s *Scheduler) removeAllocation(alloc *allocation) {
-	delete(alloc.job.allocations, alloc.task)
-	delete(alloc.machine.allocations, alloc.key)
-	defer s.updateFreeResources(alloc.machine)
-	if alloc.job.site != nil {
-		alloc.job.site.Remove(alloc.machine.Name)
+	job, machine := alloc.job, alloc.machine
+	delete(job.allocations, alloc.task)
+	delete(machine.allocations, alloc.key)
+	if job.site != nil {
+		job.site.Remove(machine.Name)
 	}
-	alloc.machine.used = alloc.machine.used.Sub(alloc.job.request)
-	if alloc.machine.imagesInUse[alloc.job.Job.Image]--; alloc.machine.imagesInUse[alloc.job.Job.Image] == 0 {
-		delete(alloc.machine.imagesInUse, alloc.job.Job.Image)
+	machine.used = machine.used.Sub(job.request)
+	if machine.imagesInUse[job.Job.Image]--; machine.imagesInUse[job.Job.Image] == 0 {
+		delete(machine.imagesInUse, job.Job.Image)
 	}
-	s.usage[alloc.job.Job.Team] = s.usage[alloc.job.Job.Team].Sub(alloc.job.request)
+	s.usage[job.Job.Team] = s.usage[job.Job.Team].Sub(job.request)
 	if alloc.stopping {
-		s.stoppingUsage[alloc.job.Job.Team] = s.stoppingUsage[alloc.job.Job.Team].Sub(alloc.job.request)
+		s.stoppingUsage[job.Job.Team] = s.stoppingUsage[job.Job.Team].Sub(job.request)
 	}
-	if len(alloc.machine.allocations) == 0 {
-		alloc.machine.idleSince = s.now()
-		alloc.machine.used = fleet.Resources{}
+	if len(machine.allocations) == 0 {
+		machine.idleSince = s.now()
+		// Rounding errors of the sums must not outlive the tasks.
+		machine.used = fleet.Resources{}
 	}
+	s.updateFreeResources(machine)
 }
 
-// loseTask ends an assignment whose task must run again elsewhere.
+// loseTask releases an allocation whose task has to run again. Why is logged. s.mu must be held.
 func (s *Scheduler) loseTask(alloc *allocation, why string) {
 	slog.Info("task lost", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", why)
 	s.releaseAllocation(alloc)
 	s.requeue(alloc.job, alloc.task)
 }
 
+// requeue makes a task pending again, unless it needs no further run. s.mu must be held.
 func (s *Scheduler) requeue(job *jobState, task int) {
 	if job.FinalState != "" || job.waitsForDependencies || job.completed.Has(task) {
 		return
--- a/controller/lifecycle.go
+++ b/controller/lifecycle.go
@@ -11,17 +11,11 @@
 	"switchferry/tuning"
 )
 
-// markCompleted notes a completed task; stored runs once that is on record.
+// markCompleted notes that a task completed and calls stored once that is on record, which may be at once.
+// s.mu must be held, and is held when stored is called.
 func (s *Scheduler) markCompleted(job *jobState, task int, stored func()) {
 	if job.FinalState == "" && !job.completed.Has(task) {
-		job.completed.Set(task)
-		job.completedCount++
-		if alloc := job.allocations[task]; alloc != nil {
-			s.stopTask(alloc, 0, "done elsewhere")
-		}
-		if job.completedCount == job.taskCount && job.Job.Shape != api.Service {
-			s.finish(job, api.Done)
-		}
+		s.recordCompletion(job, task)
 	}
 	switch {
 	case job.terminalStored:
@@ -29,13 +23,32 @@
 	case job.FinalState != "":
 		job.onTerminal = append(job.onTerminal, stored)
 	default:
-		// Until it is on record the worker goes on reporting the end, so nothing is lost with
-		// this leader; each end written by itself took a third of the limit of writes.
+		// The worker reports the exit until it is on record, so nothing is lost with this leader. Exits are written
+		// together because writing each by itself took a third of the state service's write limit.
 		s.hooks.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.EndsTogether, s.withLock(stored))
 	}
 }
 
-// finish stores a job's final state; from then on users may be told.
+// recordCompletion counts a task that completed for the first time, stops any other attempt of it, and finishes the
+// job with its last task. s.mu must be held.
+func (s *Scheduler) recordCompletion(job *jobState, task int) {
+	job.completed.Set(task)
+	job.completedCount++
+	if alloc := job.allocations[task]; alloc != nil {
+		s.stopTask(alloc, 0, "done elsewhere")
+	}
+	if job.allTasksCompleted() {
+		s.finish(job, api.Done)
+	}
+}
+
+// allTasksCompleted reports whether the job is done for want of tasks to run. A service runs until it is cancelled.
+func (j *jobState) allTasksCompleted() bool {
+	return j.completedCount == j.taskCount && j.Job.Shape != api.Service
+}
+
+// finish decides a job's terminal state, if it has none, and has it stored. Users may be told once it is.
+// s.mu must be held.
 func (s *Scheduler) finish(job *jobState, state string) {
 	if job.FinalState != "" {
 		return
@@ -46,12 +59,11 @@
 	if state == api.Done && job.rank == api.RankLow {
 		urgency = job.urgency()
 	}
-	s.hooks.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() {
-		s.terminalStored(job)
-	}))
+	s.hooks.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() { s.terminalStored(job) }))
 }
 
-// setTerminal ends a job; nobody may be told before that is on record.
+// setTerminal sets a job's terminal state in memory. No user may be told before it is stored. Scheduler.mu must be
+// held.
 func (j *jobState) setTerminal(sched *Scheduler, state string) {
 	j.FinalState, j.terminalAt = state, sched.now()
 	if state == api.Cancelled {
@@ -61,27 +73,29 @@
 	sched.clearMachineFailures(j)
 }
 
-// terminalStored: the final state is on record, or follows from what is.
+// terminalStored is called once a job's terminal state is on record, or follows from another job's that is: it lets
+// users, dependants and waiting callbacks know. s.mu must be held.
 func (s *Scheduler) terminalStored(job *jobState) {
 	job.terminalStored = true
 	s.hooks.JobTerminal(job.id, job.finalRecord(s.currentFormat))
 	job.notify()
-	for _, f := range job.onTerminal {
-		f()
+	for _, stored := range job.onTerminal {
+		stored()
 	}
 	job.onTerminal = nil
 	s.dependencies.onTerminal(job.id, job.FinalState)
 	s.archive(job)
 }
 
-// finalRecord is what is kept of a job that is over; own: as this version has it.
+// finalRecord returns what is kept of a job that is over. Unless currentFormat is set, it leaves out what older
+// versions do not read.
 func (j *jobState) finalRecord(currentFormat bool) store.FinalRecord {
 	return store.FinalRecord{State: j.FinalState, Tasks: j.completedCount, Service: currentFormat && j.Job.Shape == api.Service}
 }
 
-// archive files a job that is over and has nothing left on machines: its final
-// state under a key of its own first, so that at every moment one of the two
-// keys answers for it; then its own key and its shards go.
+// archive replaces the records of a job that is over and has no task left on machines by its terminal state, under a
+// key of its own. The terminal state is written first, so that at every moment one of the two keys answers for the
+// job; then the job's key and its shards are deleted. s.mu must be held.
 func (s *Scheduler) archive(job *jobState) {
 	if !job.terminalStored || job.archived || len(job.allocations) > 0 {
 		return
@@ -97,22 +111,28 @@
 	}))
 }
 
-// overdueCancellations are the machines that must be returned lest a cancelled job's task is on them
-// past cancel_s: they were told to end it, and did not say that it is gone. The cloud's
-// JSONResponse takes a while.
+// overdueCancellations returns the machines, one entry for each task, that must be returned to the cloud lest a task
+// of a cancelled job is on them past cancel_s: they were commanded to end the task and have not confirmed that it is
+// gone. The margin covers the time that the cloud takes to answer. s.mu must be held.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
 	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReturn
-	var out []*machineState
+	var overdue []*machineState
 	for _, job := range s.jobOrder {
 		if job.FinalState != api.Cancelled || len(job.allocations) == 0 || now.Sub(job.terminalAt) < limit {
 			continue
 		}
 		for _, alloc := range job.allocations {
-			// One that is heard, and was found late, ends it sooner by command.
-			if now.Sub(alloc.machine.LastHeartbeat) > s.heartbeatTimeout(alloc.machine) || now.Sub(alloc.allocatedAt) >= limit || alloc.machine.link.State(now, s.lease()) != reachability.Reachable {
-				out = append(out, alloc.machine)
+			if now.Sub(alloc.allocatedAt) >= limit || !s.obeysCommands(alloc.machine, now) {
+				overdue = append(overdue, alloc.machine)
 			}
 		}
 	}
-	return out
+	return overdue
+}
+
+// obeysCommands reports whether a machine sends heartbeats and receives responses, so that a command ends a task on it
+// sooner than the machine's return would. s.mu must be held.
+func (s *Scheduler) obeysCommands(machine *machineState, now time.Time) bool {
+	return now.Sub(machine.LastHeartbeat) <= s.heartbeatTimeout(machine) &&
+		machine.link.State(now, s.lease()) == reachability.Reachable
 }
--- a/controller/records.go
+++ b/controller/records.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"maps"
 	"slices"
@@ -11,115 +12,146 @@
 	"switchferry/store"
 )
 
-// Record builds a rec for the committer.
-func (s *Scheduler) Record(key string) (any, bool, []store.Condition) {
+// recordContent is a record as it is to be stored.
+type recordContent struct {
+	// value is encoded as JSON. It counts only if exists is set; otherwise the key is to be deleted.
+	value  any
+	exists bool
+	// conditions must hold besides the key's own revision.
+	conditions []store.Condition
+}
+
+// recordKinds lists the kinds of records that a scheduler writes: the prefix of their keys, and the builder of one,
+// which gets the key without the prefix and is called with s.mu held. No prefix begins with another one.
+var recordKinds = []struct {
+	prefix string
+	build  func(s *Scheduler, name string) recordContent
+}{
+	{store.JobPrefix, (*Scheduler).jobRecord},
+	{store.FinalPrefix, (*Scheduler).finalRecord},
+	{store.ShardPrefix, (*Scheduler).shardRecord},
+	{store.DatasetPrefix, (*Scheduler).datasetRecord},
+	{store.ImagesPrefix, (*Scheduler).imagesRecordContent},
+	{store.ReplicasPrefix, (*Scheduler).replicaHintContent},
+	{store.MailPrefix, (*Scheduler).commandPacket},
+	{store.StageMailPrefix, (*Scheduler).stageOrderPacket},
+}
+
+// Record builds the record of a key from the scheduler's state, for the committer: its value, whether it exists or the
+// key is to be deleted, and the conditions under which it may be written besides the key's own revision.
+func (s *Scheduler) Record(key string) (value any, exists bool, conditions []store.Condition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch {
-	case strings.HasPrefix(key, store.JobPrefix):
-		job := s.jobs[strings.TrimPrefix(key, store.JobPrefix)]
-		if job == nil {
-			return nil, false, nil
-		}
-		var conditions []store.Condition
-		if !job.accepted {
-			// A job that is over must not come back to life.
-			conditions = append([]store.Condition{{Key: store.FinalKey(job.id), Revision: 0}}, s.inputConditions(job)...)
+	for _, kind := range recordKinds {
+		if name, ok := strings.CutPrefix(key, kind.prefix); ok {
+			content := kind.build(s, name)
+			return content.value, content.exists, content.conditions
 		}
-		rec := job.JobRecord
-		if job.FinalState != "" {
-			if raw, err := json.Marshal(rec); err == nil && len(raw) > s.settings.Facts.State.Least().ValueBytes() {
-				// It was accepted when values could be larger. What only its starts need may go.
-				rec.Job.Types, rec.Job.Inputs, rec.Job.Awaits, rec.Job.Image = nil, nil, nil, ""
-			}
-		}
-		return rec, true, conditions
-	case strings.HasPrefix(key, store.FinalPrefix):
-		job := s.jobs[strings.TrimPrefix(key, store.FinalPrefix)]
-		if job == nil || job.FinalState == "" {
-			return nil, false, nil
-		}
-		return job.finalRecord(s.currentFormat), true, nil
-	case strings.HasPrefix(key, store.DatasetPrefix):
-		return s.datasetRecord(strings.TrimPrefix(key, store.DatasetPrefix))
-	case strings.HasPrefix(key, store.ImagesPrefix):
-		rec, ok := s.imagesRecord(key)
-		return rec, ok, nil
-	case strings.HasPrefix(key, store.ReplicasPrefix):
-		rec, ok := s.replicaHintRecord(key)
-		return rec, ok, nil
-	case strings.HasPrefix(key, store.StageMailPrefix):
-		if s.datasets == nil {
-			return nil, false, nil
-		}
-		rec, ok := s.datasets.orderMailboxes.Packet(key)
-		return rec, ok, nil
-	case strings.HasPrefix(key, store.MailPrefix):
-		rec, ok := s.commandMailboxes.Packet(key)
-		return rec, ok, nil
-	case strings.HasPrefix(key, store.ShardPrefix):
-		shard, ok := store.ParseShard(key)
-		job := s.jobs[shard.Job]
-		if !ok || job == nil || !job.shards[shard] {
-			return nil, false, nil
-		}
-		rec := store.ShardRecord{Done: job.completed.Pack(shard)}
-		first, to := shard.Range(job.taskCount)
-		for t := first; t < to; t++ {
-			if alloc := job.allocations[t]; alloc != nil {
-				rec.On = append(rec.On, store.PlacedTask{Task: t, Machine: alloc.machine.Name, Attempt: alloc.attempt})
-			}
-		}
-		return rec, true, nil
 	}
 	return nil, false, nil
 }
 
-// Load takes in what the state service holds. A job of which a record is damaged is left out, and its records as
-// they stand: nothing of it is started or written, what runs of it is ended, and questions about it are answered
-// with 503 until the records are mended. Every leader once tried to read it for ever, and led nothing.
+// jobRecord builds the record of a job that is not archived. A job that is not accepted yet is written on condition
+// that it has no terminal state, lest one that is over come back to life, and that its inputs are as they were checked.
+func (s *Scheduler) jobRecord(id string) recordContent {
+	job := s.jobs[id]
+	if job == nil {
+		return recordContent{}
+	}
+	var conditions []store.Condition
+	if !job.accepted {
+		conditions = append(conditions, store.Condition{Key: store.FinalKey(job.id), Revision: 0})
+		conditions = append(conditions, s.inputConditions(job)...)
+	}
+	record := job.JobRecord
+	if job.FinalState != "" && s.exceedsValueLimit(record) {
+		// The job was accepted while values could be larger. What only its starts need may go.
+		record.Job.Types, record.Job.Inputs, record.Job.Awaits, record.Job.Image = nil, nil, nil, ""
+	}
+	return recordContent{value: record, exists: true, conditions: conditions}
+}
+
+// exceedsValueLimit reports whether a record is larger than a value may be now.
+func (s *Scheduler) exceedsValueLimit(record store.JobRecord) bool {
+	raw, err := json.Marshal(record)
+	return err == nil && len(raw) > s.settings.Facts.State.Least().ValueBytes()
+}
+
+// finalRecord builds the record of a job's terminal state.
+func (s *Scheduler) finalRecord(id string) recordContent {
+	job := s.jobs[id]
+	if job == nil || job.FinalState == "" {
+		return recordContent{}
+	}
+	return recordContent{value: job.finalRecord(s.currentFormat), exists: true}
+}
+
+// shardRecord builds the record of one shard of a job: which of its tasks completed, and where the others are.
+func (s *Scheduler) shardRecord(name string) recordContent {
+	shard, ok := store.ParseShard(store.ShardPrefix + name)
+	job := s.jobs[shard.Job]
+	if !ok || job == nil || !job.shards[shard] {
+		return recordContent{}
+	}
+	record := store.ShardRecord{Done: job.completed.Pack(shard)}
+	first, end := shard.Range(job.taskCount)
+	for task := first; task < end; task++ {
+		if alloc := job.allocations[task]; alloc != nil {
+			record.On = append(record.On, store.PlacedTask{Task: task, Machine: alloc.machine.Name, Attempt: alloc.attempt})
+		}
+	}
+	return recordContent{value: record, exists: true}
+}
+
+// imagesRecordContent builds one part of the hint that says which images machines hold.
+func (s *Scheduler) imagesRecordContent(part string) recordContent {
+	record, ok := s.imagesRecord(store.ImagesPrefix + part)
+	return recordContent{value: record, exists: ok}
+}
+
+// replicaHintContent builds one part of the hint that says which machines hold which parts of datasets.
+func (s *Scheduler) replicaHintContent(part string) recordContent {
+	record, ok := s.replicaHintRecord(store.ReplicasPrefix + part)
+	return recordContent{value: record, exists: ok}
+}
+
+// commandPacket builds one packet of commands for workers that are reached through a peer.
+func (s *Scheduler) commandPacket(name string) recordContent {
+	packet, ok := s.commandMailboxes.Packet(store.MailPrefix + name)
+	return recordContent{value: packet, exists: ok}
+}
+
+// stageOrderPacket builds one packet of orders for agents that are reached through a peer.
+func (s *Scheduler) stageOrderPacket(name string) recordContent {
+	if s.datasets == nil {
+		return recordContent{}
+	}
+	packet, ok := s.datasets.orderMailboxes.Packet(store.StageMailPrefix + name)
+	return recordContent{value: packet, exists: ok}
+}
+
+// Load restores the scheduler's state from the records of jobs and of shards. A job with a corrupt record is left out
+// and its records are left as they are: nothing of it is started or written, what runs of it is stopped, and questions
+// about it are answered with 503 until the records are mended. Every leader once tried forever to read such a record,
+// and led nothing.
 func (s *Scheduler) Load(jobs, shards []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.damagedJobs = map[string]bool{}
-	for _, item := range jobs {
-		var record store.JobRecord
-		if id := strings.TrimPrefix(item.Key, store.JobPrefix); json.Unmarshal(item.Value, &record) != nil || record.Job.ID != id || record.Job.Tasks < 1 || record.Job.Tasks > api.MaxTasks {
-			slog.Error("a job's record is damaged, and the job left out", "key", item.Key)
-			s.damagedJobs[id] = true
-		} else if s.jobs[id] == nil {
-			s.addJob(record, true)
-		}
-	}
+	s.loadJobs(jobs)
 	s.loadShards(shards)
-	all := slices.Clone(s.jobOrder)
-	for _, job := range all {
-		for t := range job.taskCount {
-			if job.completed.Has(t) {
-				job.completedCount++
-			}
-		}
-		if job.FinalState != "" {
-			job.terminalStored = true
-			s.hooks.JobTerminal(job.id, job.finalRecord(s.currentFormat))
-		}
+	loaded := slices.Clone(s.jobOrder)
+	for _, job := range loaded {
+		s.restoreProgress(job)
 	}
-	for _, job := range all {
-		// One of these may have ended with another already.
+	for _, job := range loaded {
+		// An earlier iteration may have ended this job along with one that it depends on.
 		if job.FinalState == "" && !s.dependencies.add(job) {
 			job.makeEligible()
 		}
 	}
-	for _, job := range all {
-		switch {
-		case job.FinalState != "":
-			for _, alloc := range job.allocations {
-				s.stopTask(alloc, 0, "job is over")
-			}
-			s.archive(job)
-		case job.completedCount == job.taskCount && job.Job.Shape != api.Service:
-			s.finish(job, api.Done)
-		}
+	for _, job := range loaded {
+		s.resumeEnding(job)
 	}
 	if s.currentFormat {
 		s.fitShards()
@@ -129,7 +161,38 @@
 	slog.Info("records loaded", "jobs", len(s.jobs), "damaged", len(s.damagedJobs))
 }
 
-// loadShards takes in the records of tasks, but of damaged jobs.
+// loadJobs adds the jobs on record. s.mu must be held.
+func (s *Scheduler) loadJobs(items []store.Item) {
+	for _, item := range items {
+		id := strings.TrimPrefix(item.Key, store.JobPrefix)
+		record, err := decodeJobRecord(id, item.Value)
+		if err == nil && (record.Job.Tasks < 1 || record.Job.Tasks > api.MaxTasks) {
+			err = fmt.Errorf("%d tasks, a job has 1 to %d", record.Job.Tasks, api.MaxTasks)
+		}
+		if err != nil {
+			slog.Error("a job's record is damaged, and the job left out", "key", item.Key, "err", err)
+			s.damagedJobs[id] = true
+			continue
+		}
+		if s.jobs[id] == nil {
+			s.addJob(record, true)
+		}
+	}
+}
+
+// decodeJobRecord decodes a job's record and checks that it is that of the job id.
+func decodeJobRecord(id string, value []byte) (store.JobRecord, error) {
+	var record store.JobRecord
+	if err := json.Unmarshal(value, &record); err != nil {
+		return record, fmt.Errorf("decoding the record of job %s: %w", id, err)
+	}
+	if record.Job.ID != id {
+		return record, fmt.Errorf("the record of job %s is that of job %.40q", id, record.Job.ID)
+	}
+	return record, nil
+}
+
+// loadShards restores which tasks completed and where the others are. s.mu must be held.
 func (s *Scheduler) loadShards(items []store.Item) {
 	placedTasks, orphans, damaged := store.ReadShards(items, func(id string, shard store.Shard) (store.TaskBitmap, int) {
 		job := s.jobs[id]
@@ -150,26 +213,116 @@
 		}
 	}
 	for id, placed := range placedTasks {
-		job := s.jobs[id]
-		for _, t := range slices.Sorted(maps.Keys(placed)) {
-			// It may run there, or its command was never sent: until the
-			// machine proves otherwise it counts as running.
-			alloc := s.allocate(job, t, s.machineNamed(placed[t].Machine), placed[t].Attempt)
-			alloc.committed, alloc.runSent = true, true
-			job.lastStart = s.now()
+		s.restoreAllocations(s.jobs[id], placed)
+	}
+}
+
+// restoreAllocations restores the allocations of a job that earlier leaders recorded. Such a task may run, or its
+// command was never sent: until its machine proves otherwise, it counts as running. s.mu must be held.
+func (s *Scheduler) restoreAllocations(job *jobState, placed map[int]store.PlacedTask) {
+	for _, task := range slices.Sorted(maps.Keys(placed)) {
+		alloc := s.allocate(job, task, s.machineNamed(placed[task].Machine), placed[task].Attempt)
+		alloc.committed, alloc.runSent = true, true
+		job.lastStart = s.now()
+	}
+}
+
+// restoreProgress counts a loaded job's completed tasks and, if it is over, lets users know. s.mu must be held.
+func (s *Scheduler) restoreProgress(job *jobState) {
+	for task := range job.taskCount {
+		if job.completed.Has(task) {
+			job.completedCount++
+		}
+	}
+	if job.FinalState != "" {
+		s.markTerminalOnRecord(job)
+	}
+}
+
+// markTerminalOnRecord notes that a job's terminal state was read from its record, so users may be told.
+// s.mu must be held.
+func (s *Scheduler) markTerminalOnRecord(job *jobState) {
+	job.terminalStored = true
+	s.hooks.JobTerminal(job.id, job.finalRecord(s.currentFormat))
+}
+
+// resumeEnding carries on where an earlier leader was ending a job: it stops what is left of a job that is over, and
+// finishes one whose tasks have all completed. s.mu must be held.
+func (s *Scheduler) resumeEnding(job *jobState) {
+	switch {
+	case job.FinalState != "":
+		for _, alloc := range job.allocations {
+			s.stopTask(alloc, 0, "job is over")
 		}
+		s.archive(job)
+	case job.allTasksCompleted():
+		s.finish(job, api.Done)
 	}
 }
 
-// Conflict takes in a job record that another node, or a lost answer of ours,
-// has written.
+// Conflict adopts a record that another controller wrote, or that this one wrote without getting the answer, and that
+// kept a record of this scheduler from being written.
 func (s *Scheduler) Conflict(key string, found *store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.adoptRecord(key, found)
 }
 
-// markAccepted: the job's record is stored.
+// adoptRecord adopts a record as the state service holds it. s.mu must be held.
+func (s *Scheduler) adoptRecord(key string, found *store.Item) {
+	if strings.HasPrefix(key, store.DatasetPrefix) {
+		s.datasetFound(found)
+	} else if id, ok := strings.CutPrefix(key, store.FinalPrefix); ok {
+		s.adoptFinalRecord(id, found)
+	} else if id, ok := strings.CutPrefix(key, store.JobPrefix); ok {
+		s.adoptJobRecord(id, found)
+	}
+}
+
+// adoptFinalRecord drops a job that was to be accepted although it was already over. s.mu must be held.
+func (s *Scheduler) adoptFinalRecord(id string, found *store.Item) {
+	var final store.FinalRecord
+	job := s.jobs[id]
+	if json.Unmarshal(found.Value, &final) != nil || job == nil || job.accepted {
+		return
+	}
+	s.removeJob(job)
+	s.hooks.JobTerminal(id, final)
+	job.notify()
+	s.dependencies.onTerminal(id, final.State)
+}
+
+// adoptJobRecord adds a job that is on record, in place of one of the same id whose record is not stored yet. Requests
+// that wait for that one then wait for this one. s.mu must be held.
+func (s *Scheduler) adoptJobRecord(id string, found *store.Item) {
+	record, err := decodeJobRecord(id, found.Value)
+	if err != nil {
+		slog.Error("a job's record is damaged", "key", store.JobKey(id), "err", err)
+		return
+	}
+	replaced := s.jobs[id]
+	if replaced != nil && replaced.accepted {
+		return
+	}
+	if replaced != nil {
+		s.removeJob(replaced)
+	}
+	job := s.addJob(record, false)
+	if replaced != nil {
+		job.changed = replaced.changed
+	}
+	if record.FinalState != "" {
+		s.markTerminalOnRecord(job)
+	}
+	s.markAccepted(id)
+	if job.terminalStored {
+		s.dependencies.onTerminal(id, job.FinalState)
+	}
+	s.archive(job)
+}
+
+// markAccepted notes that a job's record is stored: users may learn of the job, and its tasks may start once its
+// dependencies are done. s.mu must be held.
 func (s *Scheduler) markAccepted(id string) {
 	job := s.jobs[id]
 	if job == nil || job.accepted {
@@ -179,55 +332,8 @@
 	if job.FinalState == "" && !s.dependencies.add(job) {
 		job.makeEligible()
 	}
-	slog.Info("job accepted", "job", id, "class", job.Job.Class, "team", job.Job.Team, "tasks", job.taskCount, "cpus", job.request.CPUs, "rank", job.Job.Rank, "expect_s", job.Job.EstimateS, "due_s", job.Job.DeadlineS, "awaits", strings.Join(job.Job.Awaits, ","))
+	slog.Info("job accepted", "job", id, "class", job.Job.Class, "team", job.Job.Team, "tasks", job.taskCount, "cpus", job.request.CPUs,
+		"rank", job.Job.Rank, "expect_s", job.Job.EstimateS, "due_s", job.Job.DeadlineS, "awaits", strings.Join(job.Job.Awaits, ","))
 	job.notify()
 	s.wakePlacer()
 }
-
-// adoptRecord takes in a job's record as the state service holds it.
-func (s *Scheduler) adoptRecord(key string, found *store.Item) {
-	switch {
-	case strings.HasPrefix(key, store.DatasetPrefix):
-		s.datasetFound(found)
-	case strings.HasPrefix(key, store.FinalPrefix):
-		id := strings.TrimPrefix(key, store.FinalPrefix)
-		var final store.FinalRecord
-		job := s.jobs[id]
-		if json.Unmarshal(found.Value, &final) != nil || job == nil || job.accepted {
-			return
-		}
-		s.removeJob(job)
-		s.hooks.JobTerminal(id, final)
-		job.notify()
-		s.dependencies.onTerminal(id, final.State)
-	case strings.HasPrefix(key, store.JobPrefix):
-		id := strings.TrimPrefix(key, store.JobPrefix)
-		var record store.JobRecord
-		if json.Unmarshal(found.Value, &record) != nil || record.Job.ID != id {
-			slog.Error("a job's record is damaged", "key", key)
-			return
-		}
-		job := s.jobs[id]
-		if job != nil && job.accepted {
-			return
-		}
-		var changed chan struct{}
-		if job != nil {
-			changed = job.changed
-			s.removeJob(job)
-		}
-		job = s.addJob(record, false)
-		if changed != nil {
-			job.changed = changed
-		}
-		if record.FinalState != "" {
-			job.terminalStored = true
-			s.hooks.JobTerminal(id, job.finalRecord(s.currentFormat))
-		}
-		s.markAccepted(id)
-		if job.terminalStored {
-			s.dependencies.onTerminal(id, job.FinalState)
-		}
-		s.archive(job)
-	}
-}
--- a/controller/shards.go
+++ b/controller/shards.go
@@ -4,12 +4,13 @@
 	"switchferry/store"
 )
 
-// markShardDirty stores the record of a task's shard.
+// markShardDirty has the shard record of a task written and calls after once it is stored. s.mu must be held.
 func (s *Scheduler) markShardDirty(job *jobState, task int, after func()) {
 	s.hooks.MarkDirty(s.shardKey(job, task), job.urgency(), after)
 }
 
-// shardKey is the key of a task's record, which is to be written.
+// shardKey returns the key of the shard record that holds a task, and notes that the record is to be written.
+// s.mu must be held.
 func (s *Scheduler) shardKey(job *jobState, task int) string {
 	s.reshard(job)
 	shard := store.ShardOf(job.id, task, s.tasksPerShard)
@@ -17,25 +18,15 @@
 	return shard.Key()
 }
 
-// reshard writes what a job has in records of another size into such of the size that is
-// written now, and then deletes those: which of them a crash leaves behind makes no difference.
+// reshard rewrites a job's shard records of other sizes in the current size and deletes the old ones once all new ones
+// are stored. Which of them a crash leaves behind makes no difference. s.mu must be held.
 func (s *Scheduler) reshard(job *jobState) {
-	var oldShards []store.Shard
-	for shard := range job.shards {
-		if shard.Size != s.tasksPerShard {
-			oldShards = append(oldShards, shard)
-		}
-	}
+	oldShards := s.shardsOfOtherSize(job)
 	if len(oldShards) == 0 || job.resharding {
 		return
 	}
 	job.resharding = true
-	newShards := map[store.Shard]bool{}
-	for t := range job.taskCount {
-		if job.completed.Has(t) || job.allocations[t] != nil {
-			newShards[store.ShardOf(job.id, t, s.tasksPerShard)] = true
-		}
-	}
+	newShards := s.shardsToWrite(job)
 	remaining := len(newShards) + 1
 	stored := func() {
 		if remaining--; remaining > 0 {
@@ -54,15 +45,38 @@
 	stored()
 }
 
-// reshardAll writes all records of another size anew. A large one could not be written again once
-// values must be smaller, and the starts that it holds would wait with it.
+// shardsOfOtherSize returns a job's shards that do not have the current size. s.mu must be held.
+func (s *Scheduler) shardsOfOtherSize(job *jobState) []store.Shard {
+	var shards []store.Shard
+	for shard := range job.shards {
+		if shard.Size != s.tasksPerShard {
+			shards = append(shards, shard)
+		}
+	}
+	return shards
+}
+
+// shardsToWrite returns the shards of the current size that hold completed or allocated tasks. s.mu must be held.
+func (s *Scheduler) shardsToWrite(job *jobState) map[store.Shard]bool {
+	shards := map[store.Shard]bool{}
+	for task := range job.taskCount {
+		if job.completed.Has(task) || job.allocations[task] != nil {
+			shards[store.ShardOf(job.id, task, s.tasksPerShard)] = true
+		}
+	}
+	return shards
+}
+
+// reshardAll rewrites all shard records of other sizes. Once the limit on values sinks, a large record could not be
+// written again, and the starts that it holds would wait with it. s.mu must be held.
 func (s *Scheduler) reshardAll() {
 	for _, job := range s.jobOrder {
 		s.reshard(job)
 	}
 }
 
-// UseCurrentFormat writes records as this version has them from now on: no older process reads them.
+// UseCurrentFormat makes the scheduler write records in this version's format from now on. The caller must know that no
+// older version reads them any more.
 func (s *Scheduler) UseCurrentFormat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +84,8 @@
 	s.fitShards()
 }
 
-// fitShards has as many tasks share a record as always fit.
+// fitShards chooses the largest size of shard whose records always fit into a value, and rewrites those of other
+// sizes. s.mu must be held.
 func (s *Scheduler) fitShards() {
 	s.tasksPerShard = store.ShardSize(s.settings.Facts.State.Least().ValueBytes(), s.longestName)
 	s.reshardAll()
