--- a/controller/commands.go
+++ b/controller/commands.go
@@ -2,23 +2,25 @@
 
 import (
 	"log/slog"
-	"time"
+	"slices"
 
 	"switchferry/api"
 )
 
-// stopTask asks for a task to be stopped.
-func (s *Scheduler) stopTask(alloc *allocation, grace float64, why string) {
-	if alloc.stopping && alloc.stopGraceS <= grace {
+// stopTask has a task stopped, with so many seconds to save its progress. A task that is being stopped already is only
+// given less time, never more. Why is logged. s.mu must be held.
+func (s *Scheduler) stopTask(alloc *allocation, graceS float64, why string) {
+	if alloc.stopping && alloc.stopGraceS <= graceS {
 		return
 	}
-	slog.Info("stopping task", "task", alloc.key, "machine", alloc.machine.Name, "why", why, "wind_down_s", grace)
+	slog.Info("stopping task", "task", alloc.key, "machine", alloc.machine.Name, "why", why, "wind_down_s", graceS)
 	if !alloc.stopping {
-		s.stoppingUsage[alloc.job.Job.Team] = s.stoppingUsage[alloc.job.Job.Team].Add(alloc.job.request)
+		team := alloc.job.Job.Team
+		s.stoppingUsage[team] = s.stoppingUsage[team].Add(alloc.job.request)
 	}
-	alloc.stopping, alloc.stopGraceS = true, grace
+	alloc.stopping, alloc.stopGraceS = true, graceS
 	if !alloc.runSent {
-		// Never sent by anyone, so it is nowhere.
+		// No leader has sent the start, so the task is on no machine.
 		s.releaseAllocation(alloc)
 		s.requeue(alloc.job, alloc.task)
 		return
@@ -26,71 +28,94 @@
 	s.pushCommands(alloc.machine)
 }
 
-// commands derives what to tell a worker from what is wanted and what it
-// seen. Repeating them is harmless.
+// commands derives the commands for a worker from its allocations and from the tasks of its newest heartbeat, and notes
+// the runs among them as sent on that path. Commands can be repeated without harm, except that a run after a clear
+// starts the attempt again. The result is never nil, as it is encoded as a JSON list. s.mu must be held.
 func (s *Scheduler) commands(machine *machineState, path deliveryPath) []api.Command {
-	cmds := []api.Command{}
-	kill := func(key string, attempt uint64, grace float64) {
-		cmds = append(cmds, api.Command{Verb: api.CommandKill, Task: key, Attempt: attempt, GraceS: &grace})
-	}
+	commands := []api.Command{}
 	for _, alloc := range machine.allocations {
+		// A task that is saving is ended by a second kill with a grace period of 0; other kills are not repeated to it.
 		if alloc.stopping && alloc.reported && (alloc.state != api.TaskSaving || alloc.stopGraceS == 0) {
-			kill(alloc.key, alloc.attempt, alloc.stopGraceS)
+			commands = append(commands, killCommand(alloc.key, alloc.attempt, alloc.stopGraceS))
 		}
 	}
 	for key, report := range machine.Tasks {
-		if alloc := machine.allocations[key]; alloc != nil && alloc.attempt == report.Attempt {
+		if machine.allocationOf(key, report.Attempt) != nil {
 			continue
 		}
-		if exit := machine.exited[key]; exit != nil && exit.attempt == report.Attempt {
-			// A run of this attempt that is still under way would start it
-			// again after a clear.
+		if exit := machine.exitOf(key, report.Attempt); exit != nil {
+			// Only the worker remembers an exit that is not stored, and a run of the attempt that is still under way
+			// would start it again after a clear.
 			if exit.stored && exit.unansweredRuns == 0 {
-				cmds = append(cmds, api.Command{Verb: api.CommandClear, Task: key, Attempt: report.Attempt})
+				commands = append(commands, api.Command{Verb: api.CommandClear, Task: key, Attempt: report.Attempt})
 			}
-			continue
-		}
-		if report.State != api.TaskExited {
-			kill(key, report.Attempt, 0)
+		} else if report.State != api.TaskExited {
+			commands = append(commands, killCommand(key, report.Attempt, 0))
 		}
 	}
 	if !s.hooks.Leading() || machine.releasing {
-		return cmds
+		return commands
 	}
 	for _, alloc := range machine.allocations {
-		if !alloc.committed || alloc.stopping || alloc.reported || alloc.runSent && (alloc.incarnation == 0 || alloc.incarnation != machine.Incarnation) {
-			continue
-		}
-		if path == byCommandResponse && (alloc.unansweredRuns > 0 || alloc.answeredSeq > 0 || alloc.runRelayed) {
-			continue
-		}
-		ready := true
-		for _, victim := range alloc.victims {
-			if victim.job.allocations[victim.task] == victim && !(victim.stopping && victim.stopGraceS == 0 && victim.reported) {
-				ready = false
-			}
-		}
-		if !ready {
-			continue
-		}
-		alloc.runSent, alloc.incarnation = true, machine.Incarnation
-		switch path {
-		case byHeartbeat:
-			alloc.answeredSeq = machine.Seq
-		case byCommandResponse:
-			alloc.unansweredRuns++
-		case byRelay:
-			alloc.runRelayed = true
+		if alloc.runDue(path) {
+			commands = append(commands, alloc.sendRun(path))
 		}
-		slog.Debug("starting task", "task", alloc.key, "machine", machine.Name, "attempt", alloc.attempt, "direct", path == byCommandResponse)
-		cmds = append(cmds, api.Command{Verb: api.CommandRun, Task: alloc.key, Attempt: alloc.attempt})
 	}
-	return cmds
+	return commands
+}
+
+// killCommand returns the command that stops an attempt of a task, with so many seconds to save its progress.
+func killCommand(key string, attempt uint64, graceS float64) api.Command {
+	return api.Command{Verb: api.CommandKill, Task: key, Attempt: attempt, GraceS: &graceS}
+}
+
+// runDue reports whether the command that starts an allocation's attempt is to be sent on a path now. Scheduler.mu must
+// be held.
+func (a *allocation) runDue(path deliveryPath) bool {
+	if !a.committed || a.stopping || a.reported {
+		// Record first: the allocation must be stored before its command is sent.
+		return false
+	}
+	if a.runSent && (a.incarnation == 0 || a.incarnation != a.machine.Incarnation) {
+		// The run was sent by an earlier leader or to an earlier incarnation of the worker. Only reconciliation may
+		// decide that it never arrived.
+		return false
+	}
+	if path == byCommandResponse && (a.unansweredRuns > 0 || a.answeredSeq > 0 || a.runRelayed) {
+		// The run may be under way already. It is repeated in responses to heartbeats alone.
+		return false
+	}
+	return !slices.ContainsFunc(a.victims, (*allocation).blocksSuccessor)
+}
+
+// blocksSuccessor reports whether a preempted attempt keeps the task that replaces it from being started: it may still
+// be on its machine, and the command that starts the other task does not end it at once. Scheduler.mu must be held.
+func (a *allocation) blocksSuccessor() bool {
+	released := a.job.allocations[a.task] != a
+	endsAtOnce := a.stopping && a.stopGraceS == 0 && a.reported
+	return !released && !endsAtOnce
 }
 
-// pushCommands sends a machine its commands directly, one request at a time.
+// sendRun returns the command that starts an allocation's attempt, and notes that it is sent on that path.
+// Scheduler.mu must be held.
+func (a *allocation) sendRun(path deliveryPath) api.Command {
+	a.runSent, a.incarnation = true, a.machine.Incarnation
+	switch path {
+	case byHeartbeat:
+		a.answeredSeq = a.machine.Seq
+	case byCommandResponse:
+		a.unansweredRuns++
+	case byRelay:
+		a.runRelayed = true
+	}
+	slog.Debug("starting task", "task", a.key, "machine", a.machine.Name, "attempt", a.attempt, "direct", path == byCommandResponse)
+	return api.Command{Verb: api.CommandRun, Task: a.key, Attempt: a.attempt}
+}
+
+// pushCommands sends a machine its commands without waiting for its next heartbeat: directly, one request at a time, or
+// through the relay that its heartbeats come from. s.mu must be held.
 func (s *Scheduler) pushCommands(machine *machineState) {
-	if !machine.Up || machine.releasing || s.releasedAt[machine.Name] != (time.Time{}) {
+	if !machine.Up || machine.releasing || !s.releasedAt[machine.Name].IsZero() {
 		return
 	}
 	if machine.relayPeer != "" {
@@ -101,15 +126,19 @@
 		machine.resendCommands = true
 		return
 	}
-	cmds := s.commands(machine, byCommandResponse)
-	if len(cmds) == 0 {
-		return
+	if commands := s.commands(machine, byCommandResponse); len(commands) > 0 {
+		s.sendDirectly(machine, commands)
 	}
+}
+
+// sendDirectly sends commands to a worker, whose response CommandsAnswered gets. No other command may be in flight to
+// the worker. s.mu must be held.
+func (s *Scheduler) sendDirectly(machine *machineState, commands []api.Command) {
 	machine.commandInFlight = true
-	s.hooks.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: cmds})
+	s.hooks.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: commands})
 }
 
-// ConnectionRefused takes in that a machine took no connection for a command.
+// ConnectionRefused notes that a machine refused the connection for a command.
 func (s *Scheduler) ConnectionRefused(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,9 +147,10 @@
 	}
 }
 
-// CommandsAnswered takes in the outcome of a direct command. Certain: the worker
-// encodeResponse, or the command never left; otherwise it may still be executed.
-func (s *Scheduler) CommandsAnswered(name string, response api.HeartbeatResponse, heartbeat *api.Heartbeat, settled bool) {
+// CommandsAnswered handles the outcome of sent, commands that SendCommands sent to a machine. Heartbeat is the worker's
+// response, or nil without one. Settled says that none of the commands can be executed any more that has not been: the
+// worker responded, or the request was never sent. Otherwise they may still be executed at any time.
+func (s *Scheduler) CommandsAnswered(name string, sent api.HeartbeatResponse, heartbeat *api.Heartbeat, settled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	machine := s.machines[name]
@@ -129,36 +159,15 @@
 	}
 	machine.commandInFlight = false
 	if settled {
-		for _, command := range response.Commands {
-			if command.Verb != api.CommandRun {
-				continue
-			}
-			if alloc := machine.allocations[command.Task]; alloc != nil && alloc.attempt == command.Attempt {
-				alloc.unansweredRuns--
-				if heartbeat == nil && alloc.unansweredRuns == 0 && !alloc.reported && alloc.answeredSeq == 0 && !alloc.runRelayed {
-					alloc.runSent = false
-				}
-			}
-			if exit := machine.exited[command.Task]; exit != nil && exit.attempt == command.Attempt && exit.unansweredRuns > 0 {
-				exit.unansweredRuns--
+		for _, command := range sent.Commands {
+			if command.Verb == api.CommandRun {
+				machine.settleRun(command, heartbeat != nil)
 			}
 		}
 	}
-	switch {
-	case heartbeat != nil && heartbeat.Machine == name:
-		// A worker that answers shows that our own network works.
-		s.lastHeartbeat = s.now()
-		s.lastDirectContact, s.unansweredCommands = s.lastHeartbeat, 0
-		machine.link.CommandAnswered(s.lastHeartbeat, heartbeat.Seq)
-		machine.outboundLossLogged = false
-	case heartbeat == nil:
-		s.unansweredCommands++
-		if !settled {
-			machine.link.CommandLost()
-		}
-	}
-	// A machine that has not reported in this term has its whole lease to find
-	// us; only its own report makes it count as heard.
+	s.noteCommandOutcome(machine, heartbeat, settled)
+	// A machine that has sent no heartbeat in this term has its whole lease to find this leader: only its own
+	// heartbeat makes it count as up.
 	if heartbeat != nil && machine.Up && heartbeat.Machine == name && heartbeat.Term <= s.term && machine.Newer(heartbeat) {
 		s.reconcile(machine, heartbeat, byCommandResponse)
 	}
@@ -168,3 +177,39 @@
 		s.pushCommands(machine)
 	}
 }
+
+// settleRun counts one unanswered run command less, as it was answered or never sent. Scheduler.mu must be held.
+func (m *machineState) settleRun(command api.Command, answered bool) {
+	if alloc := m.allocationOf(command.Task, command.Attempt); alloc != nil {
+		alloc.unansweredRuns--
+		if !answered && !alloc.runMayHaveArrived() {
+			alloc.runSent = false
+		}
+	}
+	if exit := m.exitOf(command.Task, command.Attempt); exit != nil && exit.unansweredRuns > 0 {
+		exit.unansweredRuns--
+	}
+}
+
+// runMayHaveArrived reports whether a run command of this leader has reached the worker or may still reach it.
+// Scheduler.mu must be held.
+func (a *allocation) runMayHaveArrived() bool {
+	return a.reported || a.unansweredRuns != 0 || a.answeredSeq > 0 || a.runRelayed
+}
+
+// noteCommandOutcome notes what the outcome of a direct command shows of the network: a worker that responds receives
+// commands, and shows that this controller's own network works. s.mu must be held.
+func (s *Scheduler) noteCommandOutcome(machine *machineState, heartbeat *api.Heartbeat, settled bool) {
+	switch {
+	case heartbeat == nil:
+		s.unansweredCommands++
+		if !settled {
+			machine.link.CommandLost()
+		}
+	case heartbeat.Machine == machine.Name:
+		s.lastHeartbeat = s.now()
+		s.lastDirectContact, s.unansweredCommands = s.lastHeartbeat, 0
+		machine.link.CommandAnswered(s.lastHeartbeat, heartbeat.Seq)
+		machine.outboundLossLogged = false
+	}
+}
--- a/controller/failure_detection.go
+++ b/controller/failure_detection.go
@@ -13,14 +13,15 @@
 	"switchferry/tuning"
 )
 
-// tick notes that the leader does its rounds.
+// tick notes that the leader is running, and logs how long the process was paused, if it was. s.mu must be held.
 func (s *Scheduler) tick(now time.Time) {
 	if pause := s.detector.Tick(now); pause > 0 {
 		slog.Info("stood still", "for", pause.Round(time.Millisecond))
 	}
 }
 
-// LastContact is since when this leader hears nobody, as far as it could.
+// LastContact returns when this leader last received a heartbeat. If the process was paused since, it returns the end
+// of the pause, as nothing could be received before.
 func (s *Scheduler) LastContact() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,24 +29,28 @@
 	return latest(s.lastHeartbeat, s.detector.ResumedAt())
 }
 
-// OutboundLost tells whether this leader reaches no worker any more while a sibling hears
-// them: reports come through that one, but no command goes out at once.
+// OutboundLost reports whether this leader reaches no worker any more while a peer receives heartbeats: those may still
+// arrive here through the peer, but no command can be sent directly.
 func (s *Scheduler) OutboundLost(peers []peer.Hello) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unansweredCommands < tuning.DeafCommands || s.since(latest(s.lastDirectContact, s.detector.ResumedAt())) < tuning.DeafAfter {
+	lastContact := latest(s.lastDirectContact, s.detector.ResumedAt())
+	if s.unansweredCommands < tuning.DeafCommands || s.since(lastContact) < tuning.DeafAfter {
 		return false
 	}
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
-// expectedToReport tells whether a machine should report by now: it certainly did in this term, or it is
-// recorded to have tasks, or the cloud lists it as up.
+// expectedToReport reports whether a machine should be sending heartbeats: it certainly did in this term, or there are
+// tasks on it by the records, or the cloud lists it as up. Scheduler.mu must be held.
 func (m *machineState) expectedToReport() bool {
-	return m.Up && (m.link.AliveThisTerm() || m.listed) || !m.listedFailed && (len(m.allocations) > 0 || m.listedRunning)
+	if m.Up && (m.link.AliveThisTerm() || m.listed) {
+		return true
+	}
+	return !m.listedFailed && (len(m.allocations) > 0 || m.listedRunning)
 }
 
-// observation tells when a machine was last heard.
+// observation returns what the failure detector needs to know of a machine's last heartbeat. s.mu must be held.
 func (s *Scheduler) observation(machine *machineState) failuredetector.Observation {
 	observed := failuredetector.Observation{Zone: machine.Zone, Via: machine.lastPeer, Timeout: s.heartbeatTimeout(machine)}
 	if machine.Up {
@@ -57,57 +62,46 @@
 	return observed
 }
 
-// detectPartitions looks whether whole zones or ways are unheard.
+// confirmedObservation returns an observation of a machine with the time at which the machine last showed that it
+// receives responses or commands in place of that of its last heartbeat. Scheduler.mu must be held.
+func confirmedObservation(machine *machineState, observed failuredetector.Observation) failuredetector.Observation {
+	observed.LastHeartbeat = machine.link.ConfirmedAt()
+	return observed
+}
+
+// detectPartitions lets the failure detector find zones, domains and peers most of whose machines are silent, and logs
+// those that it finds anew. s.mu must be held.
 func (s *Scheduler) detectPartitions(now time.Time) {
-	partitions := s.detector.Observe(now, func(yield func(failuredetector.Observation)) {
+	observations := func(yield func(failuredetector.Observation)) {
 		for _, machine := range s.machines {
-			if machine.expectedToReport() && !machine.releasing {
-				observed := s.observation(machine)
-				if machine.link.State(now, s.lease()) == reachability.OutboundLost {
-					// A zone of such machines is one failure, as a silent one is.
-					observed.LastHeartbeat = machine.link.ConfirmedAt()
-				}
-				yield(observed)
+			switch {
+			case !machine.expectedToReport() || machine.releasing:
+			case machine.link.State(now, s.lease()) == reachability.OutboundLost:
+				// A zone of machines that receive nothing is one failure, as a silent zone is.
+				yield(confirmedObservation(machine, s.observation(machine)))
+			default:
+				yield(s.observation(machine))
 			}
 		}
-	}, s.hooks.ZoneUnreachable)
-	for _, f := range partitions {
-		if f.Domain != "" {
-			slog.Info("most machines of a domain unheard", "domain", f.Domain, "machines", f.Machines, "heard", f.Responding)
-		} else if f.IsZone {
-			slog.Info("most machines of a zone unheard", "zone", f.Zone, "machines", f.Machines, "heard", f.Responding, "controllers_out_of_reach", f.Cut)
-		} else {
-			slog.Info("most machines of one way unheard", "through", f.Via, "machines", f.Machines, "heard", f.Responding)
+	}
+	for _, partition := range s.detector.Observe(now, observations, s.hooks.ZoneUnreachable) {
+		switch {
+		case partition.Domain != "":
+			slog.Info("most machines of a domain unheard", "domain", partition.Domain, "machines", partition.Machines, "heard", partition.Responding)
+		case partition.IsZone:
+			slog.Info("most machines of a zone unheard", "zone", partition.Zone, "machines", partition.Machines, "heard", partition.Responding, "controllers_out_of_reach", partition.Cut)
+		default:
+			slog.Info("most machines of one way unheard", "through", partition.Via, "machines", partition.Machines, "heard", partition.Responding)
 		}
 	}
 }
 
-// decideMachine tells what becomes of a machine.
+// decideMachine decides whether a machine is kept, drained, returned to the cloud or forgotten, and why. s.mu must be
+// held.
 func (s *Scheduler) decideMachine(machine *machineState, now time.Time) (failuredetector.Action, string) {
-	limits := failuredetector.Limits{SuspectAfter: s.heartbeatTimeout(machine), ReleaseAfter: max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
-		ElectionGrace: s.lease() + tuning.NewTermGrace, InboundLost: tuning.MuteLeases * s.lease()}
-	if machine.relayPeer != "" {
-		limits.ReleaseAfter += tuning.RelayKeep
-	}
-	observed := s.observation(machine)
-	confirmed := observed
-	confirmed.LastHeartbeat = machine.link.ConfirmedAt()
-	state := failuredetector.MachineState{Failed: machine.listedFailed, Listed: machine.listed, Up: machine.Up, Link: machine.link.State(now, s.lease()), Tasks: len(machine.allocations),
-		SilentFor: now.Sub(s.detector.SilentSince(now, observed)), UnconfirmedFor: now.Sub(s.detector.SilentSince(now, confirmed)),
-		PreemptionNotice: !machine.PreemptedAt.IsZero(), NoticeExpired: now.After(machine.PreemptedAt.Add(time.Second)), Faulty: s.faulty(machine)}
-	state.InboundLost = s.inboundLost(machine)
-	state.SilentShare, _ = s.detector.SilentShare(machine.Zone)
-	if !machine.Up {
-		ready := tuning.ReadyUnknown
-		if machine.Spec != nil {
-			ready = settings.Seconds(machine.Spec.BootS)
-		}
-		limit := time.Duration(tuning.BootFactor * float64(ready))
-		if machine.requestedHere {
-			limit = s.startupTimes.Deadline(machine.Type, machine.RequestedAt, ready)
-		}
-		state.StartupExpired = (len(machine.allocations) > 0 || now.Sub(machine.RequestedAt) > max(limits.ElectionGrace, limit)) && now.Sub(s.detector.ResumedAt()) > limits.ElectionGrace
-	}
+	limits := s.detectionLimits(machine)
+	state := s.detectionState(machine, now)
+	state.StartupExpired = !machine.Up && s.startupExpired(machine, now, limits.ElectionGrace)
 	if state.Link == reachability.OutboundLost && !machine.outboundLossLogged {
 		machine.outboundLossLogged = true
 		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", machine.Name, "zone", machine.Zone,
@@ -116,31 +110,100 @@
 	return failuredetector.Decide(state, limits)
 }
 
-// inboundLost tells whether a machine answers commands while it reaches no controller.
+// detectionLimits returns for how long a machine may be silent. Heartbeats that a peer relays take longer. s.mu must be
+// held.
+func (s *Scheduler) detectionLimits(machine *machineState) failuredetector.Limits {
+	limits := failuredetector.Limits{
+		SuspectAfter:  s.heartbeatTimeout(machine),
+		ReleaseAfter:  max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
+		ElectionGrace: s.lease() + tuning.NewTermGrace,
+		InboundLost:   tuning.MuteLeases * s.lease(),
+	}
+	if machine.relayPeer != "" {
+		limits.ReleaseAfter += tuning.RelayKeep
+	}
+	return limits
+}
+
+// detectionState returns what the failure detector decides a machine's fate by, but for StartupExpired. s.mu must be
+// held.
+func (s *Scheduler) detectionState(machine *machineState, now time.Time) failuredetector.MachineState {
+	observed := s.observation(machine)
+	confirmed := confirmedObservation(machine, observed)
+	silentShare, _ := s.detector.SilentShare(machine.Zone)
+	return failuredetector.MachineState{
+		Failed:           machine.listedFailed,
+		Listed:           machine.listed,
+		Up:               machine.Up,
+		Link:             machine.link.State(now, s.lease()),
+		Tasks:            len(machine.allocations),
+		SilentFor:        now.Sub(s.detector.SilentSince(now, observed)),
+		UnconfirmedFor:   now.Sub(s.detector.SilentSince(now, confirmed)),
+		PreemptionNotice: !machine.PreemptedAt.IsZero(),
+		NoticeExpired:    now.After(machine.PreemptedAt.Add(time.Second)),
+		Faulty:           s.faulty(machine),
+		InboundLost:      s.inboundLost(machine),
+		SilentShare:      silentShare,
+	}
+}
+
+// startupExpired reports whether a machine that has sent no heartbeat should have done so by now. One with tasks by the
+// records was up before, so only the time counts that it has to find a new leader, electionGrace. s.mu must be held.
+func (s *Scheduler) startupExpired(machine *machineState, now time.Time, electionGrace time.Duration) bool {
+	bootTime := tuning.ReadyUnknown
+	if machine.Spec != nil {
+		bootTime = settings.Seconds(machine.Spec.BootS)
+	}
+	deadline := time.Duration(tuning.BootFactor * float64(bootTime))
+	if machine.requestedHere {
+		deadline = s.startupTimes.Deadline(machine.Type, machine.RequestedAt, bootTime)
+	}
+	overdue := len(machine.allocations) > 0 || now.Sub(machine.RequestedAt) > max(electionGrace, deadline)
+	return overdue && now.Sub(s.detector.ResumedAt()) > electionGrace
+}
+
+// heartbeatOverdue reports whether a machine has been silent for longer than its heartbeats explain. s.mu must be held.
+func (s *Scheduler) heartbeatOverdue(machine *machineState, now time.Time) bool {
+	return now.Sub(machine.LastHeartbeat) > s.heartbeatTimeout(machine)
+}
+
+// inboundLost reports whether a machine responds to commands although its heartbeats reach no controller. s.mu must be
+// held.
 func (s *Scheduler) inboundLost(machine *machineState) bool {
-	return machine.Up && machine.relayPeer == "" && s.since(machine.LastHeartbeat) > s.heartbeatTimeout(machine) && machine.link.InboundLost(s.now(), s.since(machine.LastHeartbeat), s.heartbeatTimeout(machine))
+	now := s.now()
+	return machine.Up && machine.relayPeer == "" && s.heartbeatOverdue(machine, now) &&
+		machine.link.InboundLost(now, now.Sub(machine.LastHeartbeat), s.heartbeatTimeout(machine))
 }
 
-// probeUnconfirmed asks some machines that are heard, and do not show that they hear, by an empty command: an answer is
-// proof, and they get work again. It asks those that are no longer heard, too: one that answers reaches no
-// controller, and what its lease has ended is known by the session of its answer.
+// probeUnconfirmed sends an empty command to machines that may receive none, the longest not probed first and so many
+// at a time. Those whose heartbeats arrive get work again once they respond. Those that are silent are probed as well:
+// one that responds reaches no controller, and the incarnation in its response shows whether its lease expired.
+// s.mu must be held.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
-	var unconfirmed []*machineState
+	var due []*machineState
 	remaining := tuning.AsksAtOnce
 	for _, machine := range s.sortedMachines() {
-		state := machine.link.State(now, s.lease())
-		silent := now.Sub(machine.LastHeartbeat) > s.heartbeatTimeout(machine)
 		switch {
-		case !machine.Up || machine.releasing || machine.relayPeer != "" || !silent && state != reachability.Suspected && state != reachability.OutboundLost:
+		case !s.needsProbe(machine, now):
 		case machine.commandInFlight:
 			remaining--
 		case now.Sub(machine.probedAt) >= settings.Seconds(s.settings.Facts.Workers.ReportS):
-			unconfirmed = append(unconfirmed, machine)
+			due = append(due, machine)
 		}
 	}
-	slices.SortStableFunc(unconfirmed, func(a, b *machineState) int { return a.probedAt.Compare(b.probedAt) })
-	for _, machine := range unconfirmed[:max(0, min(remaining, len(unconfirmed)))] {
-		machine.commandInFlight, machine.probedAt = true, now
-		s.hooks.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: []api.Command{}})
+	slices.SortStableFunc(due, func(a, b *machineState) int { return a.probedAt.Compare(b.probedAt) })
+	for _, machine := range due[:max(0, min(remaining, len(due)))] {
+		machine.probedAt = now
+		s.sendDirectly(machine, []api.Command{})
+	}
+}
+
+// needsProbe reports whether it is in doubt that a machine receives commands, and a direct command can show it.
+// s.mu must be held.
+func (s *Scheduler) needsProbe(machine *machineState, now time.Time) bool {
+	if !machine.Up || machine.releasing || machine.relayPeer != "" {
+		return false
 	}
+	link := machine.link.State(now, s.lease())
+	return s.heartbeatOverdue(machine, now) || link == reachability.Suspected || link == reachability.OutboundLost
 }
--- a/controller/lifecycle.go
+++ b/controller/lifecycle.go
@@ -133,6 +133,5 @@
 // obeysCommands reports whether a machine sends heartbeats and receives responses, so that a command ends a task on it
 // sooner than the machine's return would. s.mu must be held.
 func (s *Scheduler) obeysCommands(machine *machineState, now time.Time) bool {
-	return now.Sub(machine.LastHeartbeat) <= s.heartbeatTimeout(machine) &&
-		machine.link.State(now, s.lease()) == reachability.Reachable
+	return !s.heartbeatOverdue(machine, now) && machine.link.State(now, s.lease()) == reachability.Reachable
 }
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -9,18 +9,21 @@
 	"switchferry/tuning"
 )
 
-// deliveryPath is how a report came, or how commands go.
+// deliveryPath is how a heartbeat arrived or how commands are sent.
 type deliveryPath int
 
+// The delivery paths: byHeartbeat is a worker's request and its response, also when a peer forwards the request at
+// once; byCommandResponse is a command sent to the worker and its response, which contains a heartbeat; byRelay are
+// packets that a peer and the leader leave for each other in the state service.
 const (
 	byHeartbeat deliveryPath = iota
 	byCommandResponse
 	byRelay
 )
 
-// HandleHeartbeat takes in a worker's report and returns the answer. Via is the sibling that
-// passed it on; empty: it came directly. Deposed: the worker has seen a higher
-// term, and we no longer lead.
+// HandleHeartbeat handles a worker's heartbeat and returns the response to it. Via is the peer that forwarded the
+// heartbeat, or empty if the worker sent it to this controller. Deposed says that the worker has seen a higher term
+// than this one, refused that the machine was returned to the cloud. In both cases the response must not be sent.
 func (s *Scheduler) HandleHeartbeat(heartbeat *api.Heartbeat, via string) (response api.HeartbeatResponse, deposed, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,17 +31,17 @@
 	if heartbeat.Term > s.term {
 		return response, true, false
 	}
-	if _, ok := s.releasedAt[heartbeat.Machine]; ok {
+	if _, released := s.releasedAt[heartbeat.Machine]; released {
 		return response, false, true
 	}
 	machine := s.machineNamed(heartbeat.Machine)
 	if !s.acceptHeartbeat(machine, heartbeat, via, false) {
-		// A copy: whoever waits for its answer keeps its lease, and that is all.
+		// A late copy shows nothing. If a worker waits for the response, its lease is renewed, and that is all.
 		return response, false, false
 	}
 	s.reachedDirectly(machine)
-	// A report that a command's answer has overtaken is no copy, but its task list is old. Before
-	// the records are read only the lease is kept.
+	// A heartbeat that the response to a command has overtaken is no copy, but its list of tasks is old. Until the
+	// records are loaded, nothing can be decided, and only the lease is renewed.
 	if !machine.Newer(heartbeat) || !s.loaded {
 		return response, false, false
 	}
@@ -47,16 +50,24 @@
 	return response, false, false
 }
 
-// acceptHeartbeat notes that a machine reports. False: the report is no newer than one that was heard before, so
-// it shows nothing (package contact).
+// acceptHeartbeat notes that a machine sent a heartbeat. It returns false if the heartbeat is no newer than one before,
+// by incarnation and sequence number, so that it shows nothing (package reachability). Via is the peer that passed it
+// on; relayed says that it came in a packet rather than in a request. s.mu must be held.
 func (s *Scheduler) acceptHeartbeat(machine *machineState, heartbeat *api.Heartbeat, via string, relayed bool) bool {
 	now := s.now()
-	news, proof := machine.link.Observe(now, reachability.Heartbeat{Incarnation: heartbeat.Incarnation, Seq: heartbeat.Seq, HighestTerm: heartbeat.Term, Term: s.term, Via: via, Relayed: relayed})
-	if !news {
+	newer, confirmed := machine.link.Observe(now, reachability.Heartbeat{
+		Incarnation: heartbeat.Incarnation,
+		Seq:         heartbeat.Seq,
+		HighestTerm: heartbeat.Term,
+		Term:        s.term,
+		Via:         via,
+		Relayed:     relayed,
+	})
+	if !newer {
 		return false
 	}
 	s.lastHeartbeat, machine.LastHeartbeat, machine.lastPeer = now, now, via
-	if proof {
+	if confirmed {
 		machine.outboundLossLogged = false
 		if via == "" {
 			s.lastDirectContact, s.unansweredCommands = now, 0
@@ -65,18 +76,13 @@
 	return true
 }
 
-// reconcile works a newer report into the state.
+// reconcile compares a heartbeat that is newer than all before with the scheduler's state: each allocation with the
+// task that the worker reports, and each task that it reports with the allocations. s.mu must be held.
 func (s *Scheduler) reconcile(machine *machineState, heartbeat *api.Heartbeat, path deliveryPath) {
 	now := s.now()
 	first := !machine.Up
 	if first {
-		slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", now.Sub(machine.RequestedAt).Round(time.Second))
-		machine.idleSince = now
-		machine.faultLogged = false
-		if machine.requestedHere {
-			s.startupTimes.RecordStartup(machine.Type, machine.RequestedAt, now.Sub(machine.RequestedAt))
-		}
-		s.wakePlacer()
+		s.machineUp(machine, heartbeat, now)
 	}
 	if heartbeat.PreemptionNoticeS != nil && machine.PreemptedAt.IsZero() {
 		slog.Info("machine will be taken", "machine", heartbeat.Machine, "in_s", *heartbeat.PreemptionNoticeS)
@@ -90,12 +96,11 @@
 		s.restoreImages(machine)
 	}
 	for key, alloc := range machine.allocations {
-		report, ok := machine.Tasks[key]
-		if ok && report.Attempt == alloc.attempt {
+		if report, ok := machine.Tasks[key]; ok && report.Attempt == alloc.attempt {
 			s.reconcileActive(machine, alloc, report)
-			continue
+		} else {
+			s.reconcileMissing(machine, alloc, path)
 		}
-		s.reconcileMissing(machine, alloc, path)
 	}
 	for key, exit := range machine.exited {
 		if report, ok := machine.Tasks[key]; !ok || report.Attempt != exit.attempt {
@@ -103,17 +108,41 @@
 		}
 	}
 	for key, report := range machine.Tasks {
-		if alloc := machine.allocations[key]; alloc != nil && alloc.attempt == report.Attempt {
-			continue
-		}
-		if exit := machine.exited[key]; exit != nil && exit.attempt == report.Attempt {
-			continue
+		if machine.allocationOf(key, report.Attempt) == nil && machine.exitOf(key, report.Attempt) == nil {
+			s.reconcileUnknown(machine, key, report)
 		}
-		s.reconcileUnknown(machine, key, report)
 	}
 }
 
-// reconcileActive notes the state of a task that is where it should be.
+// machineUp notes the first heartbeat of a machine in this term. s.mu must be held.
+func (s *Scheduler) machineUp(machine *machineState, heartbeat *api.Heartbeat, now time.Time) {
+	startup := now.Sub(machine.RequestedAt)
+	slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", startup.Round(time.Second))
+	machine.idleSince = now
+	machine.faultLogged = false
+	if machine.requestedHere {
+		s.startupTimes.RecordStartup(machine.Type, machine.RequestedAt, startup)
+	}
+	s.wakePlacer()
+}
+
+// allocationOf returns the machine's allocation of one attempt of a task, or nil. Scheduler.mu must be held.
+func (m *machineState) allocationOf(key string, attempt uint64) *allocation {
+	if alloc := m.allocations[key]; alloc != nil && alloc.attempt == attempt {
+		return alloc
+	}
+	return nil
+}
+
+// exitOf returns what is known of the exit of one attempt of a task, or nil. Scheduler.mu must be held.
+func (m *machineState) exitOf(key string, attempt uint64) *exitedTask {
+	if exit := m.exited[key]; exit != nil && exit.attempt == attempt {
+		return exit
+	}
+	return nil
+}
+
+// reconcileActive takes over the reported state of an allocation's attempt. s.mu must be held.
 func (s *Scheduler) reconcileActive(machine *machineState, alloc *allocation, report api.TaskReport) {
 	now := s.now()
 	if !alloc.reported {
@@ -132,38 +161,27 @@
 		}
 	}
 	if report.State == api.TaskExited {
-		s.reconcileExited(machine, alloc, report)
+		s.reconcileExited(machine, alloc, report.Cause)
 	}
 }
 
-// reconcileExited handles an exit.
-func (s *Scheduler) reconcileExited(machine *machineState, alloc *allocation, report api.TaskReport) {
-	job := alloc.job
-	now := s.now()
-	exit := &exitedTask{attempt: alloc.attempt, unansweredRuns: alloc.unansweredRuns, stored: report.Cause != api.CauseDone}
+// reconcileExited handles the exit of an allocation's attempt, which is proof that it runs no more. s.mu must be held.
+func (s *Scheduler) reconcileExited(machine *machineState, alloc *allocation, cause string) {
+	exit := &exitedTask{attempt: alloc.attempt, unansweredRuns: alloc.unansweredRuns, stored: cause != api.CauseDone}
 	machine.exited[alloc.key] = exit
-	slog.Debug("task ended", "task", alloc.key, "machine", machine.Name, "cause", report.Cause)
-	if report.Cause == api.CauseDone {
-		// The clear waits for the record: until it is stored, only the
-		// worker knows that the task is done.
-		machine.ClearFailures()
-		machine.faultLogged = false
-		job.clearFailures()
-		s.recordImageUse(machine, job)
-		s.releaseAllocation(alloc)
-		s.markCompleted(job, alloc.task, func() {
-			exit.stored = true
-			s.commandsReady[machine] = true
-		})
+	slog.Debug("task ended", "task", alloc.key, "machine", machine.Name, "cause", cause)
+	if cause == api.CauseDone {
+		s.reconcileCompleted(machine, alloc, exit)
 		return
 	}
-	switch report.Cause {
+	job, now := alloc.job, s.now()
+	switch cause {
 	case api.CauseError:
 		s.recordTaskFailure(job, machine, now)
 	case api.CauseNoRoom, api.CauseBusy, api.CauseUnknown:
-		slog.Info("start refused", "task", alloc.key, "machine", machine.Name, "cause", report.Cause)
+		slog.Info("start refused", "task", alloc.key, "machine", machine.Name, "cause", cause)
 		machine.refusedUntil = now.Add(tuning.BackoffBase)
-		if report.Cause == api.CauseUnknown {
+		if cause == api.CauseUnknown {
 			job.pausedUntil = now.Add(tuning.BackoffBase)
 		}
 	}
@@ -172,25 +190,39 @@
 	s.pushCommands(machine)
 }
 
-// reconcileMissing judges a task that the newest report lacks. Only a report that no
-// command under way can overtake proves that the task is not there.
-func (s *Scheduler) reconcileMissing(machine *machineState, alloc *allocation, path deliveryPath) {
-	if !alloc.runSent {
-		return
-	}
-	if machine.Term != s.term {
-		// The worker has not seen our term: an earlier leader's command may
-		// still reach it.
-		return
-	}
-	if alloc.incarnation != 0 && machine.Incarnation > alloc.incarnation {
-		s.loseTask(alloc, "the worker began a new session")
-		return
-	}
-	if alloc.unansweredRuns > 0 || alloc.answeredSeq > 0 && (path == byCommandResponse || machine.Seq <= alloc.answeredSeq) || alloc.runRelayed && !alloc.reported && path != byHeartbeat {
-		return
+// reconcileCompleted handles the exit of a task that completed. Until that is stored only the worker knows it, so the
+// clear command waits for the record. s.mu must be held.
+func (s *Scheduler) reconcileCompleted(machine *machineState, alloc *allocation, exit *exitedTask) {
+	machine.ClearFailures()
+	machine.faultLogged = false
+	alloc.job.clearFailures()
+	s.recordImageUse(machine, alloc.job)
+	s.releaseAllocation(alloc)
+	s.markCompleted(alloc.job, alloc.task, s.allowClear(machine, exit))
+}
+
+// allowClear returns a function that lets an exited task be cleared on its machine, to be called with s.mu held once
+// the task's completion is stored.
+func (s *Scheduler) allowClear(machine *machineState, exit *exitedTask) func() {
+	return func() {
+		exit.stored = true
+		s.commandsReady[machine] = true
 	}
+}
+
+// reconcileMissing judges an allocation that the newest heartbeat lacks. Only a heartbeat that no command under way can
+// overtake proves that the attempt is not there and will not be (rules 3 and 4 of docs/design.md). s.mu must be held.
+func (s *Scheduler) reconcileMissing(machine *machineState, alloc *allocation, path deliveryPath) {
 	switch {
+	case !alloc.runSent:
+		// No leader has sent the start yet.
+	case machine.Term != s.term:
+		// The worker has not seen this term, so it may still execute a command of an earlier leader.
+	case alloc.incarnation != 0 && machine.Incarnation > alloc.incarnation:
+		// With its lease a worker ends all tasks, and it drops responses to heartbeats of the incarnation before.
+		s.loseTask(alloc, "the worker began a new session")
+	case alloc.runMayArrive(machine.Seq, path):
+		// The worker may start the attempt after this heartbeat.
 	case alloc.reported:
 		s.loseTask(alloc, "the worker no longer has it")
 	case alloc.incarnation == 0:
@@ -198,44 +230,58 @@
 	case alloc.stopping:
 		s.loseTask(alloc, "stopped before it started")
 	default:
-		// The command was lost: the same attempt goes out again.
+		// The command was lost. The same attempt is sent again.
 		alloc.runSent, alloc.answeredSeq, alloc.runRelayed = false, 0, false
 	}
 }
 
-// reconcileUnknown judges a task that should not be there.
+// runMayArrive reports whether a run command of this leader may reach the worker after it sent a heartbeat with such a
+// sequence number. Scheduler.mu must be held.
+func (a *allocation) runMayArrive(seq uint64, path deliveryPath) bool {
+	switch {
+	case a.unansweredRuns > 0:
+		// A command sent directly and not answered may be executed at any time.
+		return true
+	case a.answeredSeq > 0 && (path == byCommandResponse || seq <= a.answeredSeq):
+		// A response is executed before the worker sends its next heartbeat, but answers to commands come in between.
+		return true
+	case a.runRelayed && !a.reported && path != byHeartbeat:
+		// A relay delivers until the worker sends a heartbeat to another controller.
+		return true
+	}
+	return false
+}
+
+// reconcileUnknown judges a reported attempt that is neither an allocation nor a known exit. s.mu must be held.
 func (s *Scheduler) reconcileUnknown(machine *machineState, key string, report api.TaskReport) {
 	id, task, ok := splitTask(key)
 	job := s.jobs[id]
-	if !ok || job == nil || task >= job.taskCount {
-		if report.State == api.TaskExited {
-			machine.exited[key] = &exitedTask{attempt: report.Attempt, stored: true}
-		}
-		return
-	}
-	if report.State == api.TaskExited {
-		exit := &exitedTask{attempt: report.Attempt, stored: report.Cause != api.CauseDone}
+	known := ok && job != nil && task < job.taskCount
+	switch {
+	case report.State == api.TaskExited:
+		exit := &exitedTask{attempt: report.Attempt, stored: !known || report.Cause != api.CauseDone}
 		machine.exited[key] = exit
-		if report.Cause == api.CauseDone {
+		if !exit.stored {
 			s.removeQueuedTask(job, task)
-			s.markCompleted(job, task, func() {
-				exit.stored = true
-				s.commandsReady[machine] = true
-			})
+			s.markCompleted(job, task, s.allowClear(machine, exit))
 		}
-		return
+	case known && job.allocations[task] == nil && machine.allocations[key] == nil:
+		s.adoptTask(machine, job, task, report)
 	}
-	if job.allocations[task] == nil && machine.allocations[key] == nil {
-		// A task that we know nothing of runs: from here on it counts.
-		slog.Info("task found", "task", key, "machine", machine.Name, "attempt", report.Attempt)
-		alloc := s.allocate(job, task, machine, report.Attempt)
-		alloc.committed = true
-		s.reconcileActive(machine, alloc, report)
-		s.removeQueuedTask(job, task)
-		if job.FinalState != "" || job.completed.Has(task) {
-			s.stopTask(alloc, 0, "not wanted")
-			return
-		}
-		s.markShardDirty(job, task, nil)
+	// Whatever else runs is killed by the next commands.
+}
+
+// adoptTask makes an allocation of a running attempt that no record holds, so that it counts from here on. It is
+// stopped if its job does not need it. s.mu must be held.
+func (s *Scheduler) adoptTask(machine *machineState, job *jobState, task int, report api.TaskReport) {
+	slog.Info("task found", "task", taskKey(job.id, task), "machine", machine.Name, "attempt", report.Attempt)
+	alloc := s.allocate(job, task, machine, report.Attempt)
+	alloc.committed = true
+	s.reconcileActive(machine, alloc, report)
+	s.removeQueuedTask(job, task)
+	if job.FinalState != "" || job.completed.Has(task) {
+		s.stopTask(alloc, 0, "not wanted")
+		return
 	}
+	s.markShardDirty(job, task, nil)
 }
