--- a/controller/command_relay.go
+++ b/controller/command_relay.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"log/slog"
 
 	"switchferry/api"
@@ -10,20 +11,31 @@
 	"switchferry/store"
 )
 
-// newMailboxes holds a leader's letters of one kind.
+// newMailboxes returns the mailboxes of a leader for one kind of packet. Key returns the key of a member's packet of
+// some number, which begins with prefix; body returns what the packet holds for a machine, or nil, and is called with
+// Scheduler.mu held.
 func newMailboxes(sched *Scheduler, prefix string, key func(string, int) string, body func(member, machine string) json.RawMessage) *exchange.Mailboxes {
-	return &exchange.Mailboxes{Term: sched.term, Limits: exchange.PacketLimits(sched.settings.Facts.State), Prefix: prefix, Key: key, Body: body,
-		MarkDirty: func(key string, urgency int, after func()) { sched.hooks.MarkDirty(key, urgency, after) }}
+	return &exchange.Mailboxes{
+		Term:   sched.term,
+		Limits: exchange.PacketLimits(sched.settings.Facts.State),
+		Prefix: prefix,
+		Key:    key,
+		Body:   body,
+		MarkDirty: func(key string, urgency int, after func()) {
+			sched.hooks.MarkDirty(key, urgency, after)
+		},
+	}
 }
 
-// HandleRelayedHeartbeat takes in a report that a sibling passed on.
+// HandleRelayedHeartbeat handles a worker's heartbeat that came in a packet of the peer called member. The commands for
+// the worker are relayed through the same peer.
 func (s *Scheduler) HandleRelayedHeartbeat(member string, heartbeat *api.Heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if heartbeat.Term > s.term {
 		return
 	}
-	if _, ok := s.releasedAt[heartbeat.Machine]; ok {
+	if _, released := s.releasedAt[heartbeat.Machine]; released {
 		return
 	}
 	machine := s.machineNamed(heartbeat.Machine)
@@ -39,21 +51,30 @@
 	s.relayCommands(machine)
 }
 
-// AcceptWorkerMessage takes in one report that a sibling passed on.
+// AcceptWorkerMessage handles a relayed message that contains a worker's heartbeat. A malformed one is logged and
+// ignored.
 func (s *Scheduler) AcceptWorkerMessage(member string, message relay.Message) {
 	var heartbeat api.Heartbeat
-	err := json.Unmarshal(message.Body, &heartbeat)
-	if err == nil {
-		err = heartbeat.Check()
-	}
-	if err != nil {
+	if err := decodeRelayed(message, &heartbeat); err != nil {
 		slog.Error("malformed report", "through", member, "err", err)
 		return
 	}
 	s.HandleRelayedHeartbeat(member, &heartbeat)
 }
 
-// reachedDirectly notes that a machine reports without a relay, or through another one.
+// decodeRelayed decodes the body of a relayed message and checks it as if it had come from its sender directly.
+func decodeRelayed(message relay.Message, heartbeat interface{ Check() error }) error {
+	if err := json.Unmarshal(message.Body, heartbeat); err != nil {
+		return fmt.Errorf("decoding a relayed message: %w", err)
+	}
+	if err := heartbeat.Check(); err != nil {
+		return fmt.Errorf("checking a relayed message: %w", err)
+	}
+	return nil
+}
+
+// reachedDirectly stops relaying commands to a machine, because its heartbeats come directly or through another peer.
+// s.mu must be held.
 func (s *Scheduler) reachedDirectly(machine *machineState) {
 	if machine.relayPeer == "" {
 		return
@@ -62,16 +83,17 @@
 	machine.relayPeer, machine.relayedCommands = "", nil
 }
 
-// relayCommands puts the commands for a machine behind a sibling into its letter. They are derived
-// from its newest report, which Session and Seq name.
+// relayCommands has the commands for a machine written into the packets of the peer that relays its heartbeats. The
+// commands are derived from the machine's newest heartbeat, whose incarnation and sequence number go with them.
+// s.mu must be held.
 func (s *Scheduler) relayCommands(machine *machineState) {
-	cmds := s.commands(machine, byRelay)
-	if len(cmds) == 0 && machine.relayedCommands == nil {
+	commands := s.commands(machine, byRelay)
+	if len(commands) == 0 && machine.relayedCommands == nil {
 		return
 	}
 	machine.relayedCommands = nil
-	if len(cmds) > 0 {
-		raw, err := json.Marshal(store.RelayedCommands{Incarnation: machine.Incarnation, Seq: machine.Seq, Commands: cmds})
+	if len(commands) > 0 {
+		raw, err := json.Marshal(store.RelayedCommands{Incarnation: machine.Incarnation, Seq: machine.Seq, Commands: commands})
 		if err != nil {
 			slog.Error("commands cannot be encoded", "machine", machine.Name, "err", err)
 			return
@@ -81,7 +103,7 @@
 	s.commandMailboxes.Update(machine.relayPeer, machine.Name)
 }
 
-// relayedCommandBody is what stands in the mail for a machine behind a sibling.
+// relayedCommandBody returns what a packet for the peer called member holds for a machine, or nil. s.mu must be held.
 func (s *Scheduler) relayedCommandBody(member, name string) json.RawMessage {
 	if machine := s.machines[name]; machine != nil && machine.relayPeer == member {
 		return machine.relayedCommands
--- a/controller/dataset_views.go
+++ b/controller/dataset_views.go
@@ -9,105 +9,143 @@
 
 	"switchferry/api"
 	"switchferry/dataset"
+	"switchferry/replicas"
 )
 
-// DataView is what operators see of datasets.
+// DataView is what operators see of datasets, as JSON.
 type DataView struct {
 	Datasets []DatasetView     `json:"datasets"`
 	Copies   []CopyView        `json:"copies"`
 	Waiting  []api.WaitingView `json:"waiting"`
 }
 
-// DatasetView is one dataset: how many machines hold all or some of it, and how many of
-// its parts no machine holds.
+// DatasetView is what operators see of one dataset.
 type DatasetView struct {
-	Name    string `json:"name"`
-	Bytes   int64  `json:"bytes"`
-	Parts   int    `json:"parts"`
-	Whole   int    `json:"machines_whole"`
-	Some    int    `json:"machines_some"`
-	Nowhere int    `json:"parts_nowhere"`
-	// State is empty, "removing" or "removed"; Jobs still need it.
+	Name  string `json:"name"`
+	Bytes int64  `json:"bytes"`
+	Parts int    `json:"parts"`
+	// Whole counts the machines that hold all parts, Some those that hold any.
+	Whole int `json:"machines_whole"`
+	Some  int `json:"machines_some"`
+	// Nowhere counts the parts that no machine holds.
+	Nowhere int `json:"parts_nowhere"`
+	// State is empty, "removing" or "removed".
 	State string `json:"state,omitempty"`
-	Jobs  int    `json:"jobs"`
+	// Jobs counts the jobs that need the dataset.
+	Jobs int `json:"jobs"`
 }
 
-// CopyView is one copy under way.
+// CopyView is what operators see of one copy that is under way.
 type CopyView struct {
-	Machine string            `json:"machine"`
-	Dataset string            `json:"dataset"`
-	Part    int               `json:"part"`
-	Got     int64             `json:"bytes_got"`
-	Of      int64             `json:"bytes"`
-	From    string            `json:"from"`
-	Failed  map[string]string `json:"failed,omitempty"`
-	Full    bool              `json:"cache_full,omitempty"`
+	Machine string `json:"machine"`
+	Dataset string `json:"dataset"`
+	Part    int    `json:"part"`
+	Got     int64  `json:"bytes_got"`
+	Of      int64  `json:"bytes"`
+	From    string `json:"from"`
+	// Failed holds, by source, why it did not give the part.
+	Failed map[string]string `json:"failed,omitempty"`
+	// Full says that the machine's cache has no space for the part.
+	Full bool `json:"cache_full,omitempty"`
 }
 
-// Datasets shows datasets, who holds them, and what is copied. Who holds what is read from a
-// snap, without the core's lock.
-func (s *Scheduler) Datasets() (v DataView, on bool) {
+// Datasets returns the view of datasets, of the machines that hold them, and of what is copied. It returns false if
+// datasets are off. Which machines hold what is read from a snapshot after s.mu is released, as it takes long.
+func (s *Scheduler) Datasets() (view DataView, on bool) {
+	view, snapshot, on := s.datasetsWithoutHolders()
+	if !on {
+		return DataView{}, false
+	}
+	slices.SortFunc(view.Datasets, func(a, b DatasetView) int { return strings.Compare(a.Name, b.Name) })
+	for i := range view.Datasets {
+		view.Datasets[i].countHolders(snapshot)
+	}
+	return view, true
+}
+
+// datasetsWithoutHolders returns the view of datasets but for what depends on the machines that hold them, and the
+// snapshot that says which do. It returns false if datasets are off.
+func (s *Scheduler) datasetsWithoutHolders() (view DataView, snapshot *replicas.Snapshot, on bool) {
 	s.mu.Lock()
-	d := s.datasets
-	if d == nil {
-		s.mu.Unlock()
-		return v, false
+	defer s.mu.Unlock()
+	if s.datasets == nil {
+		return DataView{}, nil, false
+	}
+	snapshot = s.datasets.index.Snapshot()
+	view = DataView{Datasets: s.datasetViews(snapshot), Copies: []CopyView{}, Waiting: s.inputWaitingViews()}
+	for _, transfer := range s.datasets.planner.Copies() {
+		view.Copies = append(view.Copies, CopyView{
+			Machine: transfer.Machine,
+			Dataset: transfer.Dataset,
+			Part:    transfer.Part,
+			Got:     transfer.Got,
+			Of:      transfer.Of,
+			From:    transfer.From[0].String(),
+			Failed:  transfer.Failed,
+			Full:    transfer.Full,
+		})
 	}
-	v = DataView{Datasets: []DatasetView{}, Copies: []CopyView{}, Waiting: []api.WaitingView{}}
+	return view, snapshot, true
+}
+
+// datasetViews returns the datasets, in no order and without counts of holders. Removed ones are left out once no
+// machine holds any of them. Datasets must be on, and s.mu must be held.
+func (s *Scheduler) datasetViews(snapshot *replicas.Snapshot) []DatasetView {
 	jobs := map[string]int{}
 	for _, job := range s.jobOrder {
-		for _, in := range job.inputs {
-			jobs[in.name]++
+		for _, jobInput := range job.inputs {
+			jobs[jobInput.name]++
 		}
 	}
-	snap := d.index.Snapshot()
-	for _, entry := range d.entries {
-		if entry.State == dataset.Removed && !snap.Known(entry.Name) {
+	views := []DatasetView{}
+	for _, entry := range s.datasets.entries {
+		if entry.State == dataset.Removed && !snapshot.Known(entry.Name) {
 			continue
 		}
-		v.Datasets = append(v.Datasets, DatasetView{Name: entry.Name, Bytes: entry.Bytes, Parts: entry.Parts, State: entry.State, Jobs: jobs[entry.Name]})
-	}
-	for _, x := range d.planner.Copies() {
-		v.Copies = append(v.Copies, CopyView{Machine: x.Machine, Dataset: x.Dataset, Part: x.Part, Got: x.Got, Of: x.Of,
-			From: x.From[0].String(), Failed: x.Failed, Full: x.Full})
+		views = append(views, DatasetView{Name: entry.Name, Bytes: entry.Bytes, Parts: entry.Parts, State: entry.State, Jobs: jobs[entry.Name]})
 	}
+	return views
+}
+
+// inputWaitingViews returns the jobs whose tasks wait for inputs. Datasets must be on, and s.mu must be held.
+func (s *Scheduler) inputWaitingViews() []api.WaitingView {
+	views := []api.WaitingView{}
 	for _, job := range s.jobOrder {
-		switch n := d.waiting[job.id]; {
-		case !s.inputsReady(job):
-			v.Waiting = append(v.Waiting, api.WaitingView{Job: job.id, Tasks: job.taskCount - job.completedCount, Why: "a dataset is not known to this controller yet"})
-		case n > 0:
-			v.Waiting = append(v.Waiting, api.WaitingView{Job: job.id, Tasks: n, Why: "inputs are not on their machines yet"})
+		if !s.inputsReady(job) {
+			views = append(views, api.WaitingView{Job: job.id, Tasks: job.taskCount - job.completedCount, Why: "a dataset is not known to this controller yet"})
+		} else if waiting := s.datasets.waiting[job.id]; waiting > 0 {
+			views = append(views, api.WaitingView{Job: job.id, Tasks: waiting, Why: "inputs are not on their machines yet"})
 		}
 	}
-	s.mu.Unlock()
-	slices.SortFunc(v.Datasets, func(a, b DatasetView) int { return strings.Compare(a.Name, b.Name) })
-	for i := range v.Datasets {
-		x := &v.Datasets[i]
-		some := roaring.New()
-		for k := range x.Parts {
-			on := snap.Holders(x.Name, k)
-			if len(on) == 0 {
-				x.Nowhere++
-			}
-			for _, m := range on {
-				some.Add(uint32(m))
-			}
+	return views
+}
+
+// countHolders counts the machines that hold the dataset.
+func (v *DatasetView) countHolders(snapshot *replicas.Snapshot) {
+	holdersOfAny := roaring.New()
+	for part := range v.Parts {
+		holders := snapshot.Holders(v.Name, part)
+		if len(holders) == 0 {
+			v.Nowhere++
+		}
+		for _, machine := range holders {
+			holdersOfAny.Add(uint32(machine))
 		}
-		x.Whole = len(snap.Complete(x.Name))
-		x.Some = int(some.GetCardinality())
 	}
-	return v, true
+	v.Whole = len(snapshot.Complete(v.Name))
+	v.Some = int(holdersOfAny.GetCardinality())
 }
 
-// logDatasets logs how staging stands.
+// logDatasets logs the backlog and the progress of staging. s.mu must be held.
 func (s *Scheduler) logDatasets() {
 	if s.datasets == nil {
 		return
 	}
 	tasks := 0
-	for _, n := range s.datasets.waiting {
-		tasks += n
+	for _, waiting := range s.datasets.waiting {
+		tasks += waiting
 	}
-	slog.Info("staging", "tasks_waiting", tasks, "jobs_waiting", len(s.datasets.waiting), "copies", len(s.datasets.planner.Copies()),
-		"backlog_mb", int(s.datasets.planner.Backlog()/1e6), "planned", s.datasets.planner.Planned, "failed", s.datasets.planner.Failed)
+	planner := s.datasets.planner
+	slog.Info("staging", "tasks_waiting", tasks, "jobs_waiting", len(s.datasets.waiting), "copies", len(planner.Copies()),
+		"backlog_mb", int(planner.Backlog()/bytesPerMB), "planned", planner.Planned, "failed", planner.Failed)
 }
--- a/controller/datasets.go
+++ b/controller/datasets.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"time"
 
 	"switchferry/api"
@@ -14,90 +15,105 @@
 	"switchferry/store"
 )
 
-// A task with inputs is queued like any other, but starts only once its inputs are proved
-// whole and pinned on its machine. Until then it holds no room: others take what is free.
-// What is copied where follows from the queues, anew in each round, so it needs no record:
-// a new leader builds its queues as ever and learns from the agents who holds what.
+// A task with inputs is queued like any other, but it starts only once its inputs are proved whole and pinned on its
+// machine. Until then it takes no resources, and other tasks use what is free. What is copied where follows from the
+// queues, anew in each round, so it needs no record: a new leader builds its queues as ever and learns from the agents
+// which machines hold what.
 
-// datasetState is what one term knows of datasets.
+// datasetState is what one term of the leader knows of datasets. It is guarded by Scheduler.mu.
 type datasetState struct {
 	settings features.Data
-	index    *replicas.Index
-	planner  *staging.Planner
-	entries  map[string]*dataset.Entry
-	// snapshot is who holds what, for one round of the placer.
+
+	// entries are the known datasets by name, removed ones included.
+	entries map[string]*dataset.Entry
+	// unlisted are those of the entries that are being removed or were removed.
+	unlisted map[string]*dataset.Entry
+	// removing holds, by name of each dataset whose removal is being stored, the state in the record built last.
+	removing map[string]string
+	// inboxRevision is the revision of the state service up to which all jobs are known that peers accepted.
+	inboxRevision uint64
+
+	// index says which machines hold which parts.
+	index *replicas.Index
+	// snapshot is that of the index that one round of the placer uses.
 	snapshot *replicas.Snapshot
-	// stuckSince is since when a machine's cache has had no room for what it was to copy.
+	planner  *staging.Planner
+	// stuckSince is, by machine, since when its cache has had no space for what it was to copy.
 	stuckSince map[string]time.Time
-	// waiting counts tasks that wait for bytes, by job, as of the last round.
+	// waiting counts the tasks that waited for their inputs in the last round, by job.
 	waiting map[string]int
-	// hintedVersion is the version of the index that was last put on record, at hintStoredAt.
+
+	// hintedVersion is the version of the index that was last stored as a hint, at hintStoredAt.
 	hintedVersion uint64
 	hintStoredAt  time.Time
-	// relayed are the agents whose last report came through a sibling; mail holds the
-	// orders for those behind each.
-	relayedOrders  map[string]*relayedOrder
+
+	// relayedOrders are the agents, by machine, whose last heartbeat was relayed by a peer.
+	relayedOrders map[string]*relayedOrder
+	// orderMailboxes hold the orders for those agents, by peer.
 	orderMailboxes *exchange.Mailboxes
-	// unlisted are datasets that are being removed, or were; inbox is the revision up to
-	// which jobs are known that siblings accepted.
-	unlisted      map[string]*dataset.Entry
-	inboxRevision uint64
-	// removing holds, for each whose removal is being stored, the state that was written.
-	removing map[string]string
 }
 
-// input is a dataset that a job needs. Set is nil while the dataset is not known.
+// input is a dataset that a job needs.
 type input struct {
-	name        string
+	name string
+	// partPerTask says that each task needs the part of its own number only, and not the whole dataset.
 	partPerTask bool
-	summary     *dataset.Summary
+	// summary is nil while the dataset is not known.
+	summary *dataset.Summary
 }
 
-// UseData switches datasets on, before anything is loaded.
+// UseData turns datasets on. It must be called before anything is loaded.
 func (s *Scheduler) UseData(dataSettings features.Data) {
 	index := replicas.New()
-	limits := staging.Limits{LinkRate: dataSettings.LinkMBs * 1e6, StoreRate: dataSettings.StoreMBs * 1e6, PerLink: dataSettings.PerLink, AtStore: dataSettings.AtStore,
-		Peers: dataSettings.Placement == features.Local || dataSettings.Placement == features.Staged}
-	s.datasets = &datasetState{settings: dataSettings, index: index, planner: staging.New(s.term, limits, index), entries: map[string]*dataset.Entry{},
-		snapshot: index.Snapshot(), stuckSince: map[string]time.Time{}, waiting: map[string]int{},
-		relayedOrders: map[string]*relayedOrder{}, orderMailboxes: newMailboxes(s, store.StageMailPrefix, store.StageMailKey, s.stageOrderBody), unlisted: map[string]*dataset.Entry{}, removing: map[string]string{}}
+	datasets := &datasetState{
+		settings:       dataSettings,
+		entries:        map[string]*dataset.Entry{},
+		unlisted:       map[string]*dataset.Entry{},
+		removing:       map[string]string{},
+		index:          index,
+		snapshot:       index.Snapshot(),
+		stuckSince:     map[string]time.Time{},
+		waiting:        map[string]int{},
+		relayedOrders:  map[string]*relayedOrder{},
+		orderMailboxes: newMailboxes(s, store.StageMailPrefix, store.StageMailKey, s.stageOrderBody),
+	}
+	datasets.planner = staging.New(s.term, staging.Limits{
+		LinkRate:  dataSettings.LinkMBs * bytesPerMB,
+		StoreRate: dataSettings.StoreMBs * bytesPerMB,
+		PerLink:   dataSettings.PerLink,
+		AtStore:   dataSettings.AtStore,
+		Peers:     datasets.localityAware(),
+	}, index)
+	s.datasets = datasets
 }
 
-// localityAware tells whether the placer looks at who holds what.
+// bytesPerMB is the unit of rates and sizes in settings and logs.
+const bytesPerMB = 1e6
+
+// localityAware reports whether placement considers which machines hold a job's inputs.
 func (d *datasetState) localityAware() bool {
 	return d.settings.Placement == features.Local || d.settings.Placement == features.Staged
 }
 
-// AddDatasets takes in datasets as they stand on record.
+// AddDatasets adds or updates datasets as the state service holds them. It keeps none of the entries.
 func (s *Scheduler) AddDatasets(entries ...*dataset.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addDatasets(entries...)
 }
 
-func (s *Scheduler) addDatasets(sets ...*dataset.Entry) {
+// addDatasets is AddDatasets. s.mu must be held.
+func (s *Scheduler) addDatasets(entries ...*dataset.Entry) {
 	if s.datasets == nil {
 		return
 	}
-	fresh := false
-	for _, entry := range sets {
-		old := s.datasets.entries[entry.Name]
-		if old == nil {
-			x := *entry
-			s.datasets.entries[entry.Name] = &x
-			fresh = true
-		} else if entry.Stamp > old.Stamp {
-			// Jobs point to the summary, which never changes.
-			old.State, old.Stamp = entry.State, entry.Stamp
-		}
-		if entry.State != dataset.Listed {
-			s.datasets.unlisted[entry.Name] = s.datasets.entries[entry.Name]
-		}
-		if entry.State == dataset.Removed {
-			s.datasets.planner.RemoveDataset(entry.Name, entry.Manifest.String())
+	anyNew := false
+	for _, entry := range entries {
+		if s.datasets.update(entry) {
+			anyNew = true
 		}
 	}
-	if !fresh {
+	if !anyNew {
 		return
 	}
 	for _, job := range s.jobOrder {
@@ -106,53 +122,76 @@
 	s.wakePlacer()
 }
 
-// resolveInputs finds a job's datasets.
+// update adds a dataset, or takes over the state of a newer record of it. It returns whether the dataset is new.
+// Scheduler.mu must be held.
+func (d *datasetState) update(entry *dataset.Entry) (isNew bool) {
+	known := d.entries[entry.Name]
+	isNew = known == nil
+	if isNew {
+		added := *entry
+		d.entries[entry.Name] = &added
+	} else if entry.Stamp > known.Stamp {
+		// Jobs point to the summary, which never changes.
+		known.State, known.Stamp = entry.State, entry.Stamp
+	}
+	if entry.State != dataset.Listed {
+		d.unlisted[entry.Name] = d.entries[entry.Name]
+	}
+	if entry.State == dataset.Removed {
+		d.planner.RemoveDataset(entry.Name, entry.Manifest.String())
+	}
+	return isNew
+}
+
+// resolveInputs looks up those of a job's datasets that it has not found yet. s.mu must be held.
 func (s *Scheduler) resolveInputs(job *jobState) {
 	if len(job.inputs) == 0 {
-		for _, in := range job.Job.Inputs {
-			job.inputs = append(job.inputs, input{name: in.Dataset, partPerTask: in.Use == api.UseOwn})
+		for _, named := range job.Job.Inputs {
+			job.inputs = append(job.inputs, input{name: named.Dataset, partPerTask: named.Use == api.UseOwn})
 		}
 	}
+	if s.datasets == nil {
+		return
+	}
 	for i := range job.inputs {
-		if job.inputs[i].summary == nil && s.datasets != nil {
-			if entry := s.datasets.entries[job.inputs[i].name]; entry != nil && entry.State != dataset.Removed {
-				job.inputs[i].summary = &entry.Summary
-			}
+		entry := s.datasets.entries[job.inputs[i].name]
+		if job.inputs[i].summary == nil && entry != nil && entry.State != dataset.Removed {
+			job.inputs[i].summary = &entry.Summary
 		}
 	}
 }
 
-// inputsReady tells whether a job's inputs are known here at all. A job that was accepted
-// while the feature was on must not start without its inputs now that it is off.
+// inputsReady reports whether all of a job's datasets are known. A job that was accepted while datasets were on must not
+// start without its inputs now that they are off. s.mu must be held.
 func (s *Scheduler) inputsReady(job *jobState) bool {
-	for _, jobInput := range job.inputs {
-		if s.datasets == nil || jobInput.summary == nil {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(job.inputs, func(jobInput input) bool { return s.datasets == nil || jobInput.summary == nil })
 }
 
-// inputsStaged tells whether a task's inputs are proved to be on a machine. Jobs without inputs
-// are always staged.
+// inputsStaged reports whether a task's inputs are proved to be on a machine, as those of a job without inputs always
+// are. s.mu must be held.
 func (s *Scheduler) inputsStaged(job *jobState, task int, machine *machineState) bool {
 	for _, jobInput := range job.inputs {
-		ok := false
-		switch {
-		case s.datasets == nil || jobInput.summary == nil:
-		case jobInput.partPerTask:
-			ok = s.datasets.planner.Confirmed(machine.Name, jobInput.summary, task)
-		default:
-			ok = s.datasets.planner.ConfirmedAll(machine.Name, jobInput.summary)
-		}
-		if !ok {
+		if s.datasets == nil || !s.datasets.staged(jobInput, task, machine.Name) {
 			return false
 		}
 	}
 	return true
 }
 
-// DecodeDataset reads a dataset's record.
+// staged reports whether what a task needs of a dataset is proved to be on a machine. Scheduler.mu must be held.
+func (d *datasetState) staged(jobInput input, task int, machine string) bool {
+	switch {
+	case jobInput.summary == nil:
+		return false
+	case jobInput.partPerTask:
+		return d.planner.Confirmed(machine, jobInput.summary, task)
+	default:
+		return d.planner.ConfirmedAll(machine, jobInput.summary)
+	}
+}
+
+// DecodeDataset decodes and checks a dataset's record. The entry's Stamp is the record's revision. Errors do not name
+// the record; they are part of responses to users.
 func DecodeDataset(item *store.Item) (*dataset.Entry, error) {
 	var entry dataset.Entry
 	if err := json.Unmarshal(item.Value, &entry); err != nil {
@@ -162,5 +201,8 @@
 	if entry.State != dataset.Listed && entry.State != dataset.Removing && entry.State != dataset.Removed {
 		return nil, fmt.Errorf("state %.20q is not known to this version", entry.State)
 	}
-	return &entry, entry.Check()
+	if err := entry.Check(); err != nil {
+		return nil, err
+	}
+	return &entry, nil
 }
--- a/controller/hints.go
+++ b/controller/hints.go
@@ -2,8 +2,10 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"maps"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -14,31 +16,59 @@
 	"switchferry/tuning"
 )
 
-// A leader infers the images that machines hold from what ran on them. The next
-// leader would begin without that, would see no holders, and on a large fleet
-// each of hundreds of machines would fetch again or wait as if it had to. So what
-// is known is put on record now and then, as a hint.
+// Two things that a leader learns from its machines over time are stored now and then as hints for the next leader.
+//
+// Images: a leader infers which images a machine holds from what ran on it. Without the hint the next leader would see
+// no holders, and on a large fleet each of hundreds of machines would fetch images again, or wait as if it had to.
+//
+// Replicas: agents report what they hold of datasets, but it takes some seconds until all have found the new leader.
+// Tasks would meanwhile be given to machines whose agents reported first, and their inputs copied there although other
+// machines hold them.
+//
+// A hint is stored in parts of machinesPerHint machines each, in the order of their names. As machines come and go the
+// parts shift, and a machine may be in two parts, which does no harm.
 
-// recordImageUse notes that a task ran on a machine.
+// recordImageUse notes that a machine holds a job's image, as a task of the job ran on it. s.mu must be held.
 func (s *Scheduler) recordImageUse(machine *machineState, job *jobState) {
 	if machine.RecordImage(job.Job.Image, job.Job.ImageGB) {
 		s.imagesChanged = true
 	}
 }
 
-// storeImageHints asks for the images to be stored if something is new.
+// storeImageHints has the hint of images stored if it changed and the last one is old enough. s.mu must be held.
 func (s *Scheduler) storeImageHints(now time.Time) {
 	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesEvery {
 		return
 	}
 	s.imagesChanged, s.imagesStoredAt = false, now
-	for i := range s.hintParts() {
-		s.hooks.MarkDirty(store.ImagesKey(i), store.Lazy, nil)
+	s.storeHintParts(store.ImagesKey)
+}
+
+// storeReplicaHints has the hint of replicas stored if it changed and the last one is old enough. s.mu must be held.
+func (s *Scheduler) storeReplicaHints(now time.Time) {
+	datasets := s.datasets
+	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.HoldsEvery {
+		return
 	}
+	version := datasets.index.Snapshot().Version()
+	if version == datasets.hintedVersion {
+		return
+	}
+	datasets.hintedVersion, datasets.hintStoredAt = version, now
+	s.storeHintParts(store.ReplicasKey)
 }
 
-// machinesPerHint is how many machines stand in one such record: half as many where values are
-// small, so that what does not fit into a small one is little.
+// storeHintParts has all parts of a hint stored. Key returns the key of the part of some number. s.mu must be held.
+func (s *Scheduler) storeHintParts(key func(part int) string) {
+	perPart := s.machinesPerHint()
+	parts := (len(s.machines) + perPart - 1) / perPart
+	for part := range parts {
+		s.hooks.MarkDirty(key(part), store.Lazy, nil)
+	}
+}
+
+// machinesPerHint returns how many machines are in one part of a hint: half as many where values are small, so that
+// little is lost of what does not fit.
 func (s *Scheduler) machinesPerHint() int {
 	if s.settings.Facts.State.Least().ValueBytes() < tuning.ImagesBytes {
 		return tuning.ImagesMachines / 2
@@ -46,25 +76,19 @@
 	return tuning.ImagesMachines
 }
 
-// hintParts is how many records there are, of so many machines each, of what machines
-// hold.
-func (s *Scheduler) hintParts() int {
-	return (len(s.machines) + s.machinesPerHint() - 1) / s.machinesPerHint()
-}
-
-// hintPartMachines are the machines of one such record, by its key; none: there is no such part.
+// hintPartMachines returns the machines in the part of a hint that has such a key, or none if there is no such part.
+// s.mu must be held.
 func (s *Scheduler) hintPartMachines(key, prefix string) []*machineState {
 	part, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
-	machines, n := s.sortedMachines(), s.machinesPerHint()
-	if err != nil || part < 0 || part*n >= len(machines) {
+	machines, perPart := s.sortedMachines(), s.machinesPerHint()
+	if err != nil || part < 0 || part*perPart >= len(machines) {
 		return nil
 	}
-	return machines[part*n : min(len(machines), (part+1)*n)]
+	return machines[part*perPart : min(len(machines), (part+1)*perPart)]
 }
 
-// imagesRecord is one part of the record. The parts are cut by the machines'
-// order, which shifts as machines come and go; one that stands in two parts does
-// no harm.
+// imagesRecord builds the part of the hint of images that has such a key. It returns false if there is no such part.
+// s.mu must be held.
 func (s *Scheduler) imagesRecord(key string) (store.ImagesRecord, bool) {
 	machines := s.hintPartMachines(key, store.ImagesPrefix)
 	if machines == nil {
@@ -77,7 +101,27 @@
 	return softstate.EncodeImages(held, s.settings.Facts.State.Least().ValueBytes()), true
 }
 
-// LoadImageHints takes in what an earlier leader knew of images.
+// replicaHintRecord builds the part of the hint of replicas that has such a key. It returns false if there is no such
+// part. s.mu must be held.
+func (s *Scheduler) replicaHintRecord(key string) (replicas.Hint, bool) {
+	machines := s.hintPartMachines(key, store.ReplicasPrefix)
+	if s.datasets == nil || machines == nil {
+		return replicas.Hint{}, false
+	}
+	names := make([]string, len(machines))
+	for i, machine := range machines {
+		names[i] = machine.Name
+	}
+	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.HoldsMargin
+	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, limit)
+	if err != nil {
+		slog.Error("holdings not packed", "err", err)
+		return hint, false
+	}
+	return hint, true
+}
+
+// LoadImageHints reads the hint of images that an earlier leader stored. A corrupt part is logged and left out.
 func (s *Scheduler) LoadImageHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,54 +135,19 @@
 	}
 }
 
-// restoreImages gives a machine that reports for the first time in this term the images
-// that it held before, unless it began anew since.
+// restoreImages gives a machine that sends its first heartbeat in this term the images that it holds by the hint, the
+// one used least recently first. s.mu must be held.
 func (s *Scheduler) restoreImages(machine *machineState) {
 	images := s.imageHints[machine.Name]
 	delete(s.imageHints, machine.Name)
-	for i := len(images) - 1; i >= 0; i-- {
-		machine.RecordImage(images[i].Name, images[i].GB)
+	for _, image := range slices.Backward(images) {
+		machine.RecordImage(image.Name, image.GB)
 	}
 }
 
-// Agents tell a new leader what they hold, but it takes some seconds until all have found
-// it. Tasks would meanwhile be given to the machines that were heard first, and their
-// inputs copied there though others hold them. So who holds what is put on record now and
-// then, packed, as with images.
-
-// storeReplicaHints asks for who holds what to be stored, if that changed.
-func (s *Scheduler) storeReplicaHints(now time.Time) {
-	d := s.datasets
-	if d == nil || now.Sub(d.hintStoredAt) < tuning.HoldsEvery || d.index.Snapshot().Version() == d.hintedVersion {
-		return
-	}
-	d.hintedVersion, d.hintStoredAt = d.index.Snapshot().Version(), now
-	for i := range s.hintParts() {
-		s.hooks.MarkDirty(store.ReplicasKey(i), store.Lazy, nil)
-	}
-}
-
-// replicaHintRecord is one part of that record.
-func (s *Scheduler) replicaHintRecord(key string) (replicas.Hint, bool) {
-	machines := s.hintPartMachines(key, store.ReplicasPrefix)
-	if s.datasets == nil || machines == nil {
-		return replicas.Hint{}, false
-	}
-	var names []string
-	for _, machine := range machines {
-		names = append(names, machine.Name)
-	}
-	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, s.settings.Facts.State.Least().ValueBytes()-tuning.HoldsMargin)
-	if err != nil {
-		slog.Error("holdings not packed", "err", err)
-		return hint, false
-	}
-	return hint, true
-}
-
-// LoadReplicaHints takes in what an earlier leader knew of who holds what. Machines that it
-// names may be chosen for a while as if their agents had been heard; nothing starts there
-// before they are.
+// LoadReplicaHints reads the hint of replicas that an earlier leader stored. A corrupt part is logged and left out.
+// Machines that the hint names may be chosen for a while as if their agents had reported, but nothing starts on them
+// before they have.
 func (s *Scheduler) LoadReplicaHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,23 +155,26 @@
 		return
 	}
 	for _, item := range items {
-		var hint replicas.Hint
-		err := json.Unmarshal(item.Value, &hint)
-		var heldByMachine map[string]map[string]replicas.Replica
-		if err == nil {
-			heldByMachine, err = hint.Decode()
-		}
+		heldByMachine, err := decodeReplicaHint(item.Value)
 		if err != nil {
 			slog.Error("a record of holdings is damaged", "key", item.Key, "err", err)
 			continue
 		}
-		for name, held := range heldByMachine {
-			for d := range held {
-				if entry := s.datasets.entries[d]; entry == nil || entry.Parts != held[d].Of {
-					delete(held, d)
-				}
-			}
-			s.datasets.planner.ApplyHint(name, held, s.now())
+		for machine, held := range heldByMachine {
+			maps.DeleteFunc(held, func(name string, replica replicas.Replica) bool {
+				entry := s.datasets.entries[name]
+				return entry == nil || entry.Parts != replica.Of
+			})
+			s.datasets.planner.ApplyHint(machine, held, s.now())
 		}
 	}
 }
+
+// decodeReplicaHint decodes a part of the hint of replicas into what each machine holds of each dataset.
+func decodeReplicaHint(value []byte) (map[string]map[string]replicas.Replica, error) {
+	var hint replicas.Hint
+	if err := json.Unmarshal(value, &hint); err != nil {
+		return nil, fmt.Errorf("decoding the hint: %w", err)
+	}
+	return hint.Decode()
+}
--- a/controller/requests.go
+++ b/controller/requests.go
@@ -11,25 +11,25 @@
 	"switchferry/tuning"
 )
 
-// status is what a user is told of a job, with the lock held.
+// status returns what users are told of a job. s.mu must be held.
 func (s *Scheduler) status(job *jobState) api.JobStatus {
 	if job.terminalStored {
 		return job.finalRecord(s.currentFormat).JobStatus(job.id)
 	}
-	st := api.JobStatus{ID: job.id, State: api.Pending, Done: job.completedCount}
+	status := api.JobStatus{ID: job.id, State: api.Pending, Done: job.completedCount}
 	for _, alloc := range job.allocations {
 		if alloc.state == api.TaskRunning {
-			st.Running++
+			status.Running++
 		}
 	}
-	if st.Running > 0 {
-		st.State = api.Running
+	if status.Running > 0 {
+		status.State = api.Running
 	}
-	return st
+	return status
 }
 
-// JobStatus answers for a job in memory; false: it is not here, or what is here may be
-// old. That is looked at last: this process can stand still between any two steps,
+// JobStatus returns the status of a job in memory. It returns false if the job is not in memory, or if what is there
+// may be out of date. Whether this controller leads is checked last: the process may be paused between any two steps
 // while another one leads and cancels the job.
 func (s *Scheduler) JobStatus(id string) (api.JobStatus, bool) {
 	s.mu.Lock()
@@ -38,11 +38,11 @@
 	if job == nil || !job.accepted || s.dependencies.hasUnknown(job) {
 		return api.JobStatus{}, false
 	}
-	st := s.status(job)
-	return st, job.terminalStored || s.hooks.Leading()
+	status := s.status(job)
+	return status, job.terminalStored || s.hooks.Leading()
 }
 
-// HasJob tells whether an accepted job is in memory, whoever leads.
+// HasJob reports whether an accepted job is in memory, whether or not this controller still leads.
 func (s *Scheduler) HasJob(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,52 +50,57 @@
 	return job != nil && job.accepted
 }
 
-// Submit stores a new job and waits until it is stored. False: look again.
+// Submit has a job stored, unless it is already, and waits until it is. The submission has been checked; now is the
+// time of day of its arrival. Submit returns false if it cannot tell the job's state, so that the caller must look
+// again.
 func (s *Scheduler) Submit(ctx context.Context, submission *api.Submission, now time.Time) (peer.Response, bool) {
 	s.mu.Lock()
 	job := s.jobs[submission.ID]
-	fresh := job == nil
-	if delay := s.hooks.CommitDelay(); fresh && delay > tuning.AcceptWait {
-		// Its user would have been told to come back by the time it is stored:
-		// better now, and when the backlog is written.
+	isNew := job == nil
+	if refusal, refused := s.refuseSubmission(submission, isNew); refused {
 		s.mu.Unlock()
-		return peer.RetryLaterAfter("more jobs come in than can be stored", delay), true
-	}
-	if s.damagedJobs[submission.ID] {
-		// What its user was told before is not known: to write it anew might go back on that.
-		s.mu.Unlock()
-		return peer.RetryLater("the job's record is damaged"), true
-	}
-	if fresh && s.liveConfiguration && !admits(s.configuration, submission) {
-		// The configuration has changed since this was looked at.
-		s.mu.Unlock()
-		return peer.RetryLater("the configuration has just changed"), true
+		return refusal, true
 	}
-	if fresh {
+	if isNew {
 		job = s.addJob(store.JobRecord{Job: *submission, At: now.UnixMilli()}, false)
 		s.hooks.MarkDirty(store.JobKey(submission.ID), store.Urgent, s.withLock(func() { s.markAccepted(submission.ID) }))
 	}
-	if job.accepted {
-		s.mu.Unlock()
-		st, ok := s.JobStatus(submission.ID)
-		return peer.JSONResponse(http.StatusOK, st), ok
-	}
-	changed := job.changed
+	accepted, changed := job.accepted, job.changed
 	s.mu.Unlock()
-	if !s.waitForChange(ctx, changed, tuning.AcceptWait) {
+
+	if !accepted && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
 		return peer.RetryLaterAfter("the record is not stored yet", s.hooks.CommitDelay()), true
 	}
-	st, ok := s.JobStatus(submission.ID)
+	status, ok := s.JobStatus(submission.ID)
 	if !ok {
 		return peer.Response{}, false
 	}
-	if fresh && st.State == api.Pending {
-		return peer.JSONResponse(http.StatusCreated, st), true
+	if isNew && status.State == api.Pending {
+		return peer.JSONResponse(http.StatusCreated, status), true
+	}
+	return peer.JSONResponse(http.StatusOK, status), true
+}
+
+// refuseSubmission returns the response to a submission that cannot be taken now, or false if it can. IsNew says that
+// the job is not in memory. s.mu must be held.
+func (s *Scheduler) refuseSubmission(submission *api.Submission, isNew bool) (peer.Response, bool) {
+	delay := s.hooks.CommitDelay()
+	switch {
+	case isNew && delay > tuning.AcceptWait:
+		// Its user would be asked to retry before it is stored: better at once, and for when the backlog is written.
+		return peer.RetryLaterAfter("more jobs come in than can be stored", delay), true
+	case s.damagedJobs[submission.ID]:
+		// What its user was told before is not known. Written anew, the job might go back on that.
+		return peer.RetryLater("the job's record is damaged"), true
+	case isNew && s.liveConfiguration && !admits(s.configuration, submission):
+		// The configuration has changed since the submission was checked.
+		return peer.RetryLater("the configuration has just changed"), true
 	}
-	return peer.JSONResponse(http.StatusOK, st), true
+	return peer.Response{}, false
 }
 
-// Cancel stores that a job is cancelled and waits until that is stored.
+// Cancel cancels a job that is not over yet and waits until its terminal state is stored, which is the response. It
+// returns false if the job is not in memory.
 func (s *Scheduler) Cancel(ctx context.Context, id string) (peer.Response, bool) {
 	s.mu.Lock()
 	job := s.jobs[id]
@@ -115,24 +120,30 @@
 	}
 	stored, changed := job.terminalStored, job.changed
 	s.mu.Unlock()
+
 	if !stored && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
 		return peer.RetryLater("the record is not stored yet"), true
 	}
-	s.mu.Lock()
-	if changed = job.changed; job.FinalState == api.Cancelled && job.hasUnsettledStarts() {
-		// Whoever is told now may see one of them begin: it is stopped then, but nothing should start after that
-		// JSONResponse. Most are answered within milliseconds.
-		s.mu.Unlock()
-		s.waitForChange(ctx, changed, tuning.CancelStarts)
-		s.mu.Lock()
-	}
-	s.mu.Unlock()
+	s.waitForSettledStarts(ctx, job)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: job.FinalState, Done: job.completedCount}), true
 }
 
-// hasUnsettledStarts tells whether a start that this leader sent may still be executed, of a task that is not seen yet.
+// waitForSettledStarts waits, for a moment at most, until no start of a cancelled job is under way. Such a task would be
+// stopped at once, but none should start after the user was told that the job is cancelled. Most starts settle within
+// milliseconds. s.mu must not be held.
+func (s *Scheduler) waitForSettledStarts(ctx context.Context, job *jobState) {
+	s.mu.Lock()
+	unsettled, changed := job.FinalState == api.Cancelled && job.hasUnsettledStarts(), job.changed
+	s.mu.Unlock()
+	if unsettled {
+		s.waitForChange(ctx, changed, tuning.CancelStarts)
+	}
+}
+
+// hasUnsettledStarts reports whether a start that this leader sent may still be executed, of a task that no heartbeat
+// has shown yet. Scheduler.mu must be held.
 func (j *jobState) hasUnsettledStarts() bool {
 	for _, alloc := range j.allocations {
 		if !alloc.reported && (alloc.unansweredRuns > 0 || alloc.answeredSeq > 0) {
@@ -142,15 +153,17 @@
 	return false
 }
 
-// notifySettledStarts wakes whoever waits for the starts of a cancelled job, once none is under way.
+// notifySettledStarts wakes the requests that wait for the starts of a cancelled job, if none is under way any more.
+// Scheduler.mu must be held.
 func (j *jobState) notifySettledStarts() {
 	if j.FinalState == api.Cancelled && j.terminalStored && !j.hasUnsettledStarts() {
 		j.notify()
 	}
 }
 
-// waitForChange waits until a job has changed, for so long at most.
-func (s *Scheduler) waitForChange(ctx context.Context, changed chan struct{}, timeout time.Duration) bool {
+// waitForChange waits until a job's channel of changes is closed, and returns false if ctx ends or the timeout expires
+// before. s.mu must not be held.
+func (s *Scheduler) waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-changed:
 		return true
--- a/controller/stage_relay.go
+++ b/controller/stage_relay.go
@@ -9,64 +9,72 @@
 	"switchferry/relay"
 )
 
-// relayedOrder is what the leader has put into the mail for an agent behind a sibling.
+// relayedOrder identifies the order that was last put into the packets for an agent whose heartbeats a peer relays.
 type relayedOrder struct {
-	member         string
+	// member is the peer that relays.
+	member string
+	// incarnation, order and version are those of the order; all are 0 before the first one.
 	incarnation    uint64
 	order, version uint64
 }
 
-// HandleRelayedStageHeartbeat takes in an agent's report that a sibling passed on.
+// HandleRelayedStageHeartbeat handles an agent's heartbeat that came in a packet of the peer called member. The orders
+// for the agent are relayed through the same peer.
 func (s *Scheduler) HandleRelayedStageHeartbeat(member string, heartbeat *api.StageHeartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.datasets
-	if _, gone := s.releasedAt[heartbeat.Machine]; gone || d == nil || heartbeat.Term > s.term {
+	datasets := s.datasets
+	if _, released := s.releasedAt[heartbeat.Machine]; released || datasets == nil || heartbeat.Term > s.term {
 		return
 	}
-	if !d.planner.ApplyHeartbeat(heartbeat, s.now()) {
+	if !datasets.planner.ApplyHeartbeat(heartbeat, s.now()) {
 		return
 	}
 	s.wakePlacer()
-	was := d.relayedOrders[heartbeat.Machine]
-	if was == nil || was.member != member {
+	if previous := datasets.relayedOrders[heartbeat.Machine]; previous == nil || previous.member != member {
 		slog.Info("agent reports through a sibling", "machine", heartbeat.Machine, "sibling", member)
 		s.agentReachedDirectly(heartbeat.Machine)
-		d.relayedOrders[heartbeat.Machine] = &relayedOrder{member: member}
+		datasets.relayedOrders[heartbeat.Machine] = &relayedOrder{member: member}
 	}
 	s.relayStageOrder(heartbeat.Machine)
 }
 
-// agentReachedDirectly notes that an agent reports without help.
+// agentReachedDirectly stops relaying orders to an agent, because its heartbeats come directly or through another peer.
+// Datasets must be on, and s.mu must be held.
 func (s *Scheduler) agentReachedDirectly(machine string) {
-	d := s.datasets
-	was := d.relayedOrders[machine]
-	if was == nil {
+	datasets := s.datasets
+	previous := datasets.relayedOrders[machine]
+	if previous == nil {
 		return
 	}
-	delete(d.relayedOrders, machine)
-	d.orderMailboxes.Remove(was.member, machine, true)
+	delete(datasets.relayedOrders, machine)
+	datasets.orderMailboxes.Remove(previous.member, machine, true)
 }
 
-// relayStageOrder puts an agent's order into the mail, if it is not there as it stands.
+// relayStageOrder has the current order of a relayed agent written into the packets of its peer, unless they hold it
+// already. s.mu must be held.
 func (s *Scheduler) relayStageOrder(machine string) {
-	d := s.datasets
-	x := d.relayedOrders[machine]
-	o, _, ok := d.planner.Order(machine)
-	if !ok || !s.loaded || !s.hooks.Leading() || x.order == o.Order && x.version == o.Known && x.incarnation == o.Incarnation {
+	order, _, ok := s.datasets.planner.Order(machine)
+	if !ok || !s.loaded || !s.hooks.Leading() {
 		return
 	}
-	x.order, x.version, x.incarnation = o.Order, o.Known, o.Incarnation
-	d.orderMailboxes.Update(x.member, machine)
+	relayed := s.datasets.relayedOrders[machine]
+	current := relayedOrder{member: relayed.member, incarnation: order.Incarnation, order: order.Order, version: order.Known}
+	if *relayed == current {
+		return
+	}
+	*relayed = current
+	s.datasets.orderMailboxes.Update(relayed.member, machine)
 }
 
-// stageOrderBody is what stands in the mail for an agent: its order as it stands now.
+// stageOrderBody returns the current order of a machine's agent as a packet holds it, or nil without one. s.mu must be
+// held.
 func (s *Scheduler) stageOrderBody(_, machine string) json.RawMessage {
-	o, _, ok := s.datasets.planner.Order(machine)
+	order, _, ok := s.datasets.planner.Order(machine)
 	if !ok {
 		return nil
 	}
-	raw, err := json.Marshal(o)
+	raw, err := json.Marshal(order)
 	if err != nil {
 		slog.Error("an order cannot be encoded", "machine", machine, "err", err)
 		return nil
@@ -74,14 +82,11 @@
 	return raw
 }
 
-// AcceptAgentMessage takes in one message about an agent.
+// AcceptAgentMessage handles a relayed message that contains an agent's heartbeat. A malformed one is logged and
+// ignored.
 func (s *Scheduler) AcceptAgentMessage(member string, message relay.Message) {
 	var heartbeat api.StageHeartbeat
-	err := json.Unmarshal(message.Body, &heartbeat)
-	if err == nil {
-		err = heartbeat.Check()
-	}
-	if err != nil {
+	if err := decodeRelayed(message, &heartbeat); err != nil {
 		slog.Error("malformed report of an agent", "through", member, "agent", strings.ToValidUTF8(message.Name, "?"), "err", err)
 		return
 	}
