--- a/controller/command_relay.go
+++ b/controller/command_relay.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if machine.relayPeer != member {
-		slog.Debug("machine reports through a sibling", "machine", heartbeat.Machine, "sibling", member)
+		slog.Debug("worker heartbeats relayed by a peer", "machine", heartbeat.Machine, "sibling", member)
 		s.reachedDirectly(machine)
 	}
 	machine.relayPeer = member
@@ -56,7 +56,7 @@
 func (s *Scheduler) AcceptWorkerMessage(member string, message relay.Message) {
 	var heartbeat api.Heartbeat
 	if err := decodeRelayed(message, &heartbeat); err != nil {
-		slog.Error("malformed report", "through", member, "err", err)
+		slog.Error("malformed relayed heartbeat", "through", member, "err", err)
 		return
 	}
 	s.HandleRelayedHeartbeat(member, &heartbeat)
@@ -95,7 +95,7 @@
 	if len(commands) > 0 {
 		raw, err := json.Marshal(store.RelayedCommands{Incarnation: machine.Incarnation, Seq: machine.Seq, Commands: commands})
 		if err != nil {
-			slog.Error("commands cannot be encoded", "machine", machine.Name, "err", err)
+			slog.Error("encoding commands failed", "machine", machine.Name, "err", err)
 			return
 		}
 		machine.relayedCommands = raw
--- a/controller/dataset_removal.go
+++ b/controller/dataset_removal.go
@@ -36,7 +36,7 @@
 func (s *Scheduler) datasetFound(found *store.Item) {
 	entry, err := DecodeDataset(found)
 	if err != nil {
-		slog.Error("a dataset's record is damaged", "key", found.Key, "err", err)
+		slog.Error("corrupt dataset record", "key", found.Key, "err", err)
 		return
 	}
 	s.addDatasets(entry)
--- a/controller/failure_detection.go
+++ b/controller/failure_detection.go
@@ -16,7 +16,7 @@
 // tick notes that the leader is running, and logs how long the process was paused, if it was. s.mu must be held.
 func (s *Scheduler) tick(now time.Time) {
 	if pause := s.detector.Tick(now); pause > 0 {
-		slog.Info("stood still", "for", pause.Round(time.Millisecond))
+		slog.Info("process paused", "for", pause.Round(time.Millisecond))
 	}
 }
 
@@ -87,11 +87,11 @@
 	for _, partition := range s.detector.Observe(now, observations, s.hooks.ZoneUnreachable) {
 		switch {
 		case partition.Domain != "":
-			slog.Info("most machines of a domain unheard", "domain", partition.Domain, "machines", partition.Machines, "heard", partition.Responding)
+			slog.Info("most machines of a domain silent", "domain", partition.Domain, "machines", partition.Machines, "heard", partition.Responding)
 		case partition.IsZone:
-			slog.Info("most machines of a zone unheard", "zone", partition.Zone, "machines", partition.Machines, "heard", partition.Responding, "controllers_out_of_reach", partition.Cut)
+			slog.Info("most machines of a zone silent", "zone", partition.Zone, "machines", partition.Machines, "heard", partition.Responding, "controllers_out_of_reach", partition.Cut)
 		default:
-			slog.Info("most machines of one way unheard", "through", partition.Via, "machines", partition.Machines, "heard", partition.Responding)
+			slog.Info("most machines behind one controller silent", "through", partition.Via, "machines", partition.Machines, "heard", partition.Responding)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	state.StartupExpired = !machine.Up && s.startupExpired(machine, now, limits.ElectionGrace)
 	if state.Link == reachability.OutboundLost && !machine.outboundLossLogged {
 		machine.outboundLossLogged = true
-		slog.Info("machine half-deaf: its reports arrive, answers and commands do not reach it", "machine", machine.Name, "zone", machine.Zone,
+		slog.Info("machine receives no responses or commands", "machine", machine.Name, "zone", machine.Zone,
 			"tasks", len(machine.allocations), "why", machine.link.Reason(now))
 	}
 	return failuredetector.Decide(state, limits)
--- a/controller/hints.go
+++ b/controller/hints.go
@@ -115,7 +115,7 @@
 	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.HoldsMargin
 	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, limit)
 	if err != nil {
-		slog.Error("holdings not packed", "err", err)
+		slog.Error("encoding replica hint failed", "err", err)
 		return hint, false
 	}
 	return hint, true
@@ -128,7 +128,7 @@
 	for _, item := range items {
 		held, err := softstate.DecodeImages(item.Value)
 		if err != nil {
-			slog.Error("a record of images is damaged", "key", item.Key, "err", err)
+			slog.Error("corrupt image hint", "key", item.Key, "err", err)
 			continue
 		}
 		maps.Copy(s.imageHints, held)
@@ -157,7 +157,7 @@
 	for _, item := range items {
 		heldByMachine, err := decodeReplicaHint(item.Value)
 		if err != nil {
-			slog.Error("a record of holdings is damaged", "key", item.Key, "err", err)
+			slog.Error("corrupt replica hint", "key", item.Key, "err", err)
 			continue
 		}
 		for machine, held := range heldByMachine {
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -85,7 +85,7 @@
 		s.machineUp(machine, heartbeat, now)
 	}
 	if heartbeat.PreemptionNoticeS != nil && machine.PreemptedAt.IsZero() {
-		slog.Info("machine will be taken", "machine", heartbeat.Machine, "in_s", *heartbeat.PreemptionNoticeS)
+		slog.Info("preemption notice", "machine", heartbeat.Machine, "in_s", *heartbeat.PreemptionNoticeS)
 		s.wakePlacer()
 	}
 	machine.ApplyHeartbeat(heartbeat, now)
@@ -274,7 +274,7 @@
 // adoptTask makes an allocation of a running attempt that no record holds, so that it counts from here on. It is
 // stopped if its job does not need it. s.mu must be held.
 func (s *Scheduler) adoptTask(machine *machineState, job *jobState, task int, report api.TaskReport) {
-	slog.Info("task found", "task", taskKey(job.id, task), "machine", machine.Name, "attempt", report.Attempt)
+	slog.Info("adopting unknown task", "task", taskKey(job.id, task), "machine", machine.Name, "attempt", report.Attempt)
 	alloc := s.allocate(job, task, machine, report.Attempt)
 	alloc.committed = true
 	s.reconcileActive(machine, alloc, report)
--- a/controller/records.go
+++ b/controller/records.go
@@ -170,7 +170,7 @@
 			err = fmt.Errorf("%d tasks, a job has 1 to %d", record.Job.Tasks, api.MaxTasks)
 		}
 		if err != nil {
-			slog.Error("a job's record is damaged, and the job left out", "key", item.Key, "err", err)
+			slog.Error("corrupt job record, leaving the job out", "key", item.Key, "err", err)
 			s.damagedJobs[id] = true
 			continue
 		}
@@ -203,7 +203,7 @@
 		return job.completed, job.taskCount
 	})
 	for id, err := range damaged {
-		slog.Error("a record of a job's tasks is damaged, and the job left out", "job", id, "err", err)
+		slog.Error("corrupt shard record, leaving the job out", "job", id, "err", err)
 		s.damagedJobs[id] = true
 		s.removeJob(s.jobs[id])
 	}
@@ -297,7 +297,7 @@
 func (s *Scheduler) adoptJobRecord(id string, found *store.Item) {
 	record, err := decodeJobRecord(id, found.Value)
 	if err != nil {
-		slog.Error("a job's record is damaged", "key", store.JobKey(id), "err", err)
+		slog.Error("corrupt job record", "key", store.JobKey(id), "err", err)
 		return
 	}
 	replaced := s.jobs[id]
--- a/controller/stage_relay.go
+++ b/controller/stage_relay.go
@@ -32,7 +32,7 @@
 	}
 	s.wakePlacer()
 	if previous := datasets.relayedOrders[heartbeat.Machine]; previous == nil || previous.member != member {
-		slog.Info("agent reports through a sibling", "machine", heartbeat.Machine, "sibling", member)
+		slog.Info("agent heartbeats relayed by a peer", "machine", heartbeat.Machine, "sibling", member)
 		s.agentReachedDirectly(heartbeat.Machine)
 		datasets.relayedOrders[heartbeat.Machine] = &relayedOrder{member: member}
 	}
@@ -76,7 +76,7 @@
 	}
 	raw, err := json.Marshal(order)
 	if err != nil {
-		slog.Error("an order cannot be encoded", "machine", machine, "err", err)
+		slog.Error("encoding order failed", "machine", machine, "err", err)
 		return nil
 	}
 	return raw
@@ -87,7 +87,7 @@
 func (s *Scheduler) AcceptAgentMessage(member string, message relay.Message) {
 	var heartbeat api.StageHeartbeat
 	if err := decodeRelayed(message, &heartbeat); err != nil {
-		slog.Error("malformed report of an agent", "through", member, "agent", strings.ToValidUTF8(message.Name, "?"), "err", err)
+		slog.Error("malformed relayed heartbeat of an agent", "through", member, "agent", strings.ToValidUTF8(message.Name, "?"), "err", err)
 		return
 	}
 	s.HandleRelayedStageHeartbeat(member, &heartbeat)
