--- a/controller/command_relay.go
+++ b/controller/command_relay.go
@@ -44,7 +44,7 @@
 	}
 	if machine.relayPeer != member {
 		slog.Debug("worker heartbeats relayed by a peer", "machine", heartbeat.Machine, "sibling", member)
-		s.reachedDirectly(machine)
+		s.stopRelayingCommands(machine)
 	}
 	machine.relayPeer = member
 	s.reconcile(machine, heartbeat, byRelay)
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// reachedDirectly stops relaying commands to a machine, because its heartbeats come directly or through another peer.
-// s.mu must be held.
-func (s *Scheduler) reachedDirectly(machine *machineState) {
+// stopRelayingCommands stops relaying commands to a machine, because its heartbeats come directly or through another
+// peer, or because it is gone. s.mu must be held.
+func (s *Scheduler) stopRelayingCommands(machine *machineState) {
 	if machine.relayPeer == "" {
 		return
 	}
--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -202,7 +202,7 @@
 		return o, false, true
 	}
 	if s.datasets.planner.ApplyHeartbeat(r, s.now()) {
-		s.agentReachedDirectly(r.Machine)
+		s.stopRelayingOrders(r.Machine)
 		s.wakePlacer()
 	}
 	o, _, ok := s.datasets.planner.Order(r.Machine)
--- a/controller/dataset_removal.go
+++ b/controller/dataset_removal.go
@@ -30,10 +30,10 @@
 	return conditions
 }
 
-// datasetFound adopts a dataset's record that differs from what the acceptance of a job was conditional on. Jobs that
-// no user was told of, and that must not name the dataset any more, are dropped: the requests that wait for them check
-// the inputs again and answer with the reason. s.mu must be held.
-func (s *Scheduler) datasetFound(found *store.Item) {
+// adoptDatasetRecord adopts a dataset's record that differs from what the acceptance of a job was conditional on. Jobs
+// that are not accepted yet, and that must not name the dataset any more, are dropped: the requests that wait for them
+// check the inputs again and answer with the reason. s.mu must be held.
+func (s *Scheduler) adoptDatasetRecord(found *store.Item) {
 	entry, err := DecodeDataset(found)
 	if err != nil {
 		slog.Error("corrupt dataset record", "key", found.Key, "err", err)
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -174,11 +174,11 @@
 	for _, queue := range machine.queues {
 		queue.returnTasks()
 	}
-	s.reachedDirectly(machine)
+	s.stopRelayingCommands(machine)
 	delete(s.machines, machine.Name)
 	s.removeFromTopology(machine.Name)
 	if s.datasets != nil {
-		s.agentReachedDirectly(machine.Name)
+		s.stopRelayingOrders(machine.Name)
 		s.datasets.planner.RemoveMachine(machine.Name)
 	}
 	s.machinesByName = nil
--- a/controller/job.go
+++ b/controller/job.go
@@ -174,8 +174,8 @@
 	s.removeFromQueues(job)
 }
 
-// splitTask parses the name of a task, as taskKey makes it. It returns false if the name is malformed.
-func splitTask(key string) (jobID string, task int, ok bool) {
+// parseTaskKey parses the name of a task, as taskKey makes it. It returns false if the name is malformed.
+func parseTaskKey(key string) (jobID string, task int, ok bool) {
 	jobID, number, ok := strings.Cut(key, "/")
 	if !ok {
 		return "", 0, false
--- a/controller/pipes_test.go
+++ b/controller/pipes_test.go
@@ -465,7 +465,7 @@
 	p.alone = nil
 	for _, o := range p.sent[min(p.checked, len(p.sent)):] {
 		for _, c := range o.o.Commands {
-			id, _, _ := splitTask(c.Task)
+			id, _, _ := parseTaskKey(c.Task)
 			if c.Verb != api.CommandRun {
 				continue
 			}
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -39,7 +39,7 @@
 		// A late copy shows nothing. If a worker waits for the response, its lease is renewed, and that is all.
 		return response, false, false
 	}
-	s.reachedDirectly(machine)
+	s.stopRelayingCommands(machine)
 	// A heartbeat that the response to a command has overtaken is no copy, but its list of tasks is old. Until the
 	// records are loaded, nothing can be decided, and only the lease is renewed.
 	if !machine.Newer(heartbeat) || !s.loaded {
@@ -254,7 +254,7 @@
 
 // reconcileUnknown judges a reported attempt that is neither an allocation nor a known exit. s.mu must be held.
 func (s *Scheduler) reconcileUnknown(machine *machineState, key string, report api.TaskReport) {
-	id, task, ok := splitTask(key)
+	id, task, ok := parseTaskKey(key)
 	job := s.jobs[id]
 	known := ok && job != nil && task < job.taskCount
 	switch {
--- a/controller/records.go
+++ b/controller/records.go
@@ -271,7 +271,7 @@
 // adoptRecord adopts a record as the state service holds it. s.mu must be held.
 func (s *Scheduler) adoptRecord(key string, found *store.Item) {
 	if strings.HasPrefix(key, store.DatasetPrefix) {
-		s.datasetFound(found)
+		s.adoptDatasetRecord(found)
 	} else if id, ok := strings.CutPrefix(key, store.FinalPrefix); ok {
 		s.adoptFinalRecord(id, found)
 	} else if id, ok := strings.CutPrefix(key, store.JobPrefix); ok {
@@ -294,13 +294,13 @@
 
 // adoptJobRecord adds a job that is on record, in place of one of the same id whose record is not stored yet. Requests
 // that wait for that one then wait for this one. s.mu must be held.
-func (s *Scheduler) adoptJobRecord(id string, found *store.Item) {
-	record, err := decodeJobRecord(id, found.Value)
+func (s *Scheduler) adoptJobRecord(jobID string, found *store.Item) {
+	record, err := decodeJobRecord(jobID, found.Value)
 	if err != nil {
-		slog.Error("corrupt job record", "key", store.JobKey(id), "err", err)
+		slog.Error("corrupt job record", "key", store.JobKey(jobID), "err", err)
 		return
 	}
-	replaced := s.jobs[id]
+	replaced := s.jobs[jobID]
 	if replaced != nil && replaced.accepted {
 		return
 	}
@@ -314,9 +314,9 @@
 	if record.FinalState != "" {
 		s.markTerminalOnRecord(job)
 	}
-	s.markAccepted(id)
+	s.markAccepted(jobID)
 	if job.terminalStored {
-		s.dependencies.onTerminal(id, job.FinalState)
+		s.dependencies.onTerminal(jobID, job.FinalState)
 	}
 	s.archive(job)
 }
--- a/controller/relay_test.go
+++ b/controller/relay_test.go
@@ -288,6 +288,6 @@
 }
 
 func keyTask(key string) int {
-	_, n, _ := splitTask(key)
+	_, n, _ := parseTaskKey(key)
 	return n
 }
--- a/controller/requests.go
+++ b/controller/requests.go
@@ -101,9 +101,9 @@
 
 // Cancel cancels a job that is not over yet and waits until its terminal state is stored, which is the response. It
 // returns false if the job is not in memory.
-func (s *Scheduler) Cancel(ctx context.Context, id string) (peer.Response, bool) {
+func (s *Scheduler) Cancel(ctx context.Context, jobID string) (peer.Response, bool) {
 	s.mu.Lock()
-	job := s.jobs[id]
+	job := s.jobs[jobID]
 	if job == nil {
 		s.mu.Unlock()
 		return peer.Response{}, false
@@ -127,7 +127,7 @@
 	s.waitForSettledStarts(ctx, job)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: job.FinalState, Done: job.completedCount}), true
+	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: jobID, State: job.FinalState, Done: job.completedCount}), true
 }
 
 // waitForSettledStarts waits, for a moment at most, until no start of a cancelled job is under way. Such a task would be
--- a/controller/stage_relay.go
+++ b/controller/stage_relay.go
@@ -33,15 +33,15 @@
 	s.wakePlacer()
 	if previous := datasets.relayedOrders[heartbeat.Machine]; previous == nil || previous.member != member {
 		slog.Info("agent heartbeats relayed by a peer", "machine", heartbeat.Machine, "sibling", member)
-		s.agentReachedDirectly(heartbeat.Machine)
+		s.stopRelayingOrders(heartbeat.Machine)
 		datasets.relayedOrders[heartbeat.Machine] = &relayedOrder{member: member}
 	}
 	s.relayStageOrder(heartbeat.Machine)
 }
 
-// agentReachedDirectly stops relaying orders to an agent, because its heartbeats come directly or through another peer.
-// Datasets must be on, and s.mu must be held.
-func (s *Scheduler) agentReachedDirectly(machine string) {
+// stopRelayingOrders stops relaying orders to an agent, because its heartbeats come directly or through another peer, or
+// because its machine is gone. Datasets must be on, and s.mu must be held.
+func (s *Scheduler) stopRelayingOrders(machine string) {
 	datasets := s.datasets
 	previous := datasets.relayedOrders[machine]
 	if previous == nil {
