--- a/controller/commands.go
+++ b/controller/commands.go
@@ -44,8 +44,8 @@
 			continue
 		}
 		if exit := machine.exitOf(key, report.Attempt); exit != nil {
-			// Only the worker remembers an exit that is not stored, and a run of the attempt that is still under way
-			// would start it again after a clear.
+			// Only the worker remembers an exit that is not stored (rule 2), and a run of the attempt that is still under
+			// way would start it again after a clear (rule 4).
 			if exit.stored && exit.unansweredRuns == 0 {
 				commands = append(commands, api.Command{Verb: api.CommandClear, Task: key, Attempt: report.Attempt})
 			}
@@ -73,16 +73,17 @@
 // be held.
 func (a *allocation) runDue(path deliveryPath) bool {
 	if !a.committed || a.stopping || a.reported {
-		// Record first: the allocation must be stored before its command is sent.
+		// The allocation must be stored before its command is sent (rule 2 of docs/design.md).
 		return false
 	}
 	if a.runSent && (a.incarnation == 0 || a.incarnation != a.machine.Incarnation) {
-		// The run was sent by an earlier leader or to an earlier incarnation of the worker. Only reconciliation may
-		// decide that it never arrived.
+		// The run was sent by an earlier leader or to an earlier incarnation of the worker. Whether it arrived is for
+		// reconcileMissing to decide (rule 3).
 		return false
 	}
 	if path == byCommandResponse && (a.unansweredRuns > 0 || a.answeredSeq > 0 || a.runRelayed) {
-		// The run may be under way already. It is repeated in responses to heartbeats alone.
+		// The run may be under way already. It is repeated in responses to heartbeats alone, whose execution the next
+		// heartbeat proves (rule 4).
 		return false
 	}
 	return !slices.ContainsFunc(a.victims, (*allocation).blocksSuccessor)
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -144,7 +144,7 @@
 		// Only a damaged record says so.
 		sched.stopTask(alloc, tuning.CancelKill, "cancelled")
 	}
-	sched.terminalStored(job)
+	sched.onTerminalStored(job)
 }
 
 // inheritUrgency brings down to each job the rank and the due times of those behind it. A rank is
--- a/controller/lifecycle.go
+++ b/controller/lifecycle.go
@@ -59,7 +59,7 @@
 	if state == api.Done && job.rank == api.RankLow {
 		urgency = job.urgency()
 	}
-	s.hooks.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() { s.terminalStored(job) }))
+	s.hooks.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() { s.onTerminalStored(job) }))
 }
 
 // setTerminal sets a job's terminal state in memory. No user may be told before it is stored. Scheduler.mu must be
@@ -73,11 +73,11 @@
 	sched.clearMachineFailures(j)
 }
 
-// terminalStored is called once a job's terminal state is on record, or follows from another job's that is: it lets
+// onTerminalStored is called once a job's terminal state is on record, or follows from another job's that is: it lets
 // users, dependants and waiting callbacks know. s.mu must be held.
-func (s *Scheduler) terminalStored(job *jobState) {
+func (s *Scheduler) onTerminalStored(job *jobState) {
 	job.terminalStored = true
-	s.hooks.JobTerminal(job.id, job.finalRecord(s.currentFormat))
+	s.hooks.JobTerminal(job.id, job.terminalRecord(s.currentFormat))
 	job.notify()
 	for _, stored := range job.onTerminal {
 		stored()
@@ -87,9 +87,9 @@
 	s.archive(job)
 }
 
-// finalRecord returns what is kept of a job that is over. Unless currentFormat is set, it leaves out what older
+// terminalRecord returns what is kept of a job that is over. Unless currentFormat is set, it leaves out what older
 // versions do not read.
-func (j *jobState) finalRecord(currentFormat bool) store.FinalRecord {
+func (j *jobState) terminalRecord(currentFormat bool) store.FinalRecord {
 	return store.FinalRecord{State: j.FinalState, Tasks: j.completedCount, Service: currentFormat && j.Job.Shape == api.Service}
 }
 
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -29,9 +29,11 @@
 	defer s.mu.Unlock()
 	response = api.HeartbeatResponse{Term: s.term, Commands: []api.Command{}}
 	if heartbeat.Term > s.term {
+		// The worker would drop a response with this term: only the holder of the highest token may command it.
 		return response, true, false
 	}
 	if _, released := s.releasedAt[heartbeat.Machine]; released {
+		// The machine's return proved that its tasks are gone, and they may run elsewhere (rule 3 of docs/design.md).
 		return response, false, true
 	}
 	machine := s.machineNamed(heartbeat.Machine)
@@ -82,7 +84,7 @@
 	now := s.now()
 	first := !machine.Up
 	if first {
-		s.machineUp(machine, heartbeat, now)
+		s.recordMachineUp(machine, heartbeat, now)
 	}
 	if heartbeat.PreemptionNoticeS != nil && machine.PreemptedAt.IsZero() {
 		slog.Info("preemption notice", "machine", heartbeat.Machine, "in_s", *heartbeat.PreemptionNoticeS)
@@ -114,8 +116,8 @@
 	}
 }
 
-// machineUp notes the first heartbeat of a machine in this term. s.mu must be held.
-func (s *Scheduler) machineUp(machine *machineState, heartbeat *api.Heartbeat, now time.Time) {
+// recordMachineUp notes the first heartbeat of a machine in this term. s.mu must be held.
+func (s *Scheduler) recordMachineUp(machine *machineState, heartbeat *api.Heartbeat, now time.Time) {
 	startup := now.Sub(machine.RequestedAt)
 	slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", startup.Round(time.Second))
 	machine.idleSince = now
@@ -191,7 +193,7 @@
 }
 
 // reconcileCompleted handles the exit of a task that completed. Until that is stored only the worker knows it, so the
-// clear command waits for the record. s.mu must be held.
+// clear command waits for the record (rule 2 of docs/design.md). s.mu must be held.
 func (s *Scheduler) reconcileCompleted(machine *machineState, alloc *allocation, exit *exitedTask) {
 	machine.ClearFailures()
 	machine.faultLogged = false
@@ -236,7 +238,7 @@
 }
 
 // runMayArrive reports whether a run command of this leader may reach the worker after it sent a heartbeat with such a
-// sequence number. Scheduler.mu must be held.
+// sequence number (rule 4 of docs/design.md). Scheduler.mu must be held.
 func (a *allocation) runMayArrive(seq uint64, path deliveryPath) bool {
 	switch {
 	case a.unansweredRuns > 0:
@@ -271,8 +273,9 @@
 	// Whatever else runs is killed by the next commands.
 }
 
-// adoptTask makes an allocation of a running attempt that no record holds, so that it counts from here on. It is
-// stopped if its job does not need it. s.mu must be held.
+// adoptTask makes an allocation of a running attempt that no record holds, so that it counts for limits, zones and
+// resources until it is proved gone (rule 3 of docs/design.md). It is stopped if its job does not need it. s.mu must be
+// held.
 func (s *Scheduler) adoptTask(machine *machineState, job *jobState, task int, report api.TaskReport) {
 	slog.Info("adopting unknown task", "task", taskKey(job.id, task), "machine", machine.Name, "attempt", report.Attempt)
 	alloc := s.allocate(job, task, machine, report.Attempt)
--- a/controller/records.go
+++ b/controller/records.go
@@ -83,7 +83,7 @@
 	if job == nil || job.FinalState == "" {
 		return recordContent{}
 	}
-	return recordContent{value: job.finalRecord(s.currentFormat), exists: true}
+	return recordContent{value: job.terminalRecord(s.currentFormat), exists: true}
 }
 
 // shardRecord builds the record of one shard of a job: which of its tasks completed, and where the others are.
@@ -243,7 +243,7 @@
 // s.mu must be held.
 func (s *Scheduler) markTerminalOnRecord(job *jobState) {
 	job.terminalStored = true
-	s.hooks.JobTerminal(job.id, job.finalRecord(s.currentFormat))
+	s.hooks.JobTerminal(job.id, job.terminalRecord(s.currentFormat))
 }
 
 // resumeEnding carries on where an earlier leader was ending a job: it stops what is left of a job that is over, and
--- a/controller/requests.go
+++ b/controller/requests.go
@@ -14,7 +14,7 @@
 // status returns what users are told of a job. s.mu must be held.
 func (s *Scheduler) status(job *jobState) api.JobStatus {
 	if job.terminalStored {
-		return job.finalRecord(s.currentFormat).JobStatus(job.id)
+		return job.terminalRecord(s.currentFormat).JobStatus(job.id)
 	}
 	status := api.JobStatus{ID: job.id, State: api.Pending, Done: job.completedCount}
 	for _, alloc := range job.allocations {
