--- a/controller/failure_detection.go
+++ b/controller/failure_detection.go
@@ -89,7 +89,8 @@
 		case partition.Domain != "":
 			slog.Info("most machines of a domain silent", "domain", partition.Domain, "machines", partition.Machines, "heard", partition.Responding)
 		case partition.IsZone:
-			slog.Info("most machines of a zone silent", "zone", partition.Zone, "machines", partition.Machines, "heard", partition.Responding, "controllers_out_of_reach", partition.Cut)
+			slog.Info("most machines of a zone silent", "zone", partition.Zone, "machines", partition.Machines, "heard", partition.Responding,
+				"controllers_out_of_reach", partition.Cut)
 		default:
 			slog.Info("most machines behind one controller silent", "through", partition.Via, "machines", partition.Machines, "heard", partition.Responding)
 		}
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -119,7 +119,8 @@
 // recordMachineUp notes the first heartbeat of a machine in this term. s.mu must be held.
 func (s *Scheduler) recordMachineUp(machine *machineState, heartbeat *api.Heartbeat, now time.Time) {
 	startup := now.Sub(machine.RequestedAt)
-	slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "after", startup.Round(time.Second))
+	slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone,
+		"spot", heartbeat.Spot, "after", startup.Round(time.Second))
 	machine.idleSince = now
 	machine.faultLogged = false
 	if machine.requestedHere {
@@ -158,7 +159,8 @@
 		alloc.state = report.State
 		if report.State == api.TaskRunning {
 			alloc.runningSince = now
-			slog.Debug("task running", "task", alloc.key, "machine", machine.Name, "after", now.Sub(alloc.allocatedAt).Round(time.Millisecond), "fetched", !machine.HasImage(alloc.job.Job.Image))
+			slog.Debug("task running", "task", alloc.key, "machine", machine.Name,
+				"after", now.Sub(alloc.allocatedAt).Round(time.Millisecond), "fetched", !machine.HasImage(alloc.job.Job.Image))
 			s.recordImageUse(machine, alloc.job)
 		}
 	}
