--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -33,9 +33,9 @@
 	At []time.Duration
 }
 
-// Keep chooses the machines on which so many tasks can all have started soonest, with oneZone in a single zone, and
+// EarliestMachines chooses the machines on which so many tasks can all have started soonest, with oneZone in a single zone, and
 // returns their names and in how long that is. The names are nil if the tasks can never all start.
-func Keep(machines []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
+func EarliestMachines(machines []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
 	if !oneZone {
 		return earliest(machines, tasks)
 	}
@@ -52,7 +52,7 @@
 	return names, at
 }
 
-// earliest is Keep without regard to zones.
+// earliest is EarliestMachines without regard to zones.
 func earliest(machines []Machine, tasks int) (names []string, at time.Duration) {
 	type start struct {
 		at   time.Duration
--- a/ageing/ageing_test.go
+++ b/ageing/ageing_test.go
@@ -57,7 +57,7 @@
 		{"no tasks", 0, false, nil, 0},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			names, at := Keep(machines, testCase.tasks, testCase.oneZone)
+			names, at := EarliestMachines(machines, testCase.tasks, testCase.oneZone)
 			if !slices.Equal(names, testCase.want) || at != time.Duration(testCase.seconds)*time.Second {
 				t.Errorf("%v in %v, want %v in %d s", names, at, testCase.want, testCase.seconds)
 			}
--- a/api/configuration.go
+++ b/api/configuration.go
@@ -29,17 +29,17 @@
 	Leader bool `json:"leader"`
 }
 
-// ConfigurationMistake is one thing that is wrong with a document.
-type ConfigurationMistake struct {
+// ConfigurationFieldError is one thing that is wrong with a document.
+type ConfigurationFieldError struct {
 	Line   int    `json:"line,omitempty"`
 	Field  string `json:"field"`
 	Remedy string `json:"remedy"`
 }
 
-// ConfigurationMistakes refuse a document.
-type ConfigurationMistakes struct {
-	Error    string                 `json:"error"`
-	Mistakes []ConfigurationMistake `json:"mistakes"`
+// ConfigurationFieldErrors refuse a document.
+type ConfigurationFieldErrors struct {
+	Error    string                    `json:"error"`
+	Mistakes []ConfigurationFieldError `json:"mistakes"`
 }
 
 // ConfigurationConflict refuses a change that expected another revision; the revision is the present one, and the
--- a/cli/config.go
+++ b/cli/config.go
@@ -202,7 +202,7 @@
 		return coded(ExitConflict, fmt.Errorf("%s; %s applied revision %d (%s). Differences from it to yours:\n%s\nlook at it with `switchferry config show`, and apply again with --expect %d",
 			conflict.Error, conflict.By, conflict.Revision, conflict.Why, strings.Join(conflict.Differences, "\n"), conflict.Revision))
 	case status == http.StatusBadRequest:
-		var refused api.ConfigurationMistakes
+		var refused api.ConfigurationFieldErrors
 		_ = json.Unmarshal(raw, &refused)
 		var lines []string
 		for _, m := range refused.Mistakes {
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -108,7 +108,7 @@
 		err = h.checkFeatures(document)
 	}
 	if err != nil {
-		return http.StatusBadRequest, api.ConfigurationMistakes{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
+		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
 	}
 	without, err := h.Versions.WithoutConfiguration(ctx)
 	if err != nil {
@@ -146,13 +146,13 @@
 }
 
 // fieldErrorViews shows the errors in a document.
-func fieldErrorViews(err error) (views []api.ConfigurationMistake) {
+func fieldErrorViews(err error) (views []api.ConfigurationFieldError) {
 	fieldErrors, ok := errors.AsType[configuration.FieldErrors](err)
 	if !ok {
 		fieldErrors = configuration.FieldErrors{{Field: "document", Remedy: err.Error()}}
 	}
 	for _, fieldError := range fieldErrors {
-		views = append(views, api.ConfigurationMistake{Line: fieldError.Line, Field: fieldError.Field, Remedy: fieldError.Remedy})
+		views = append(views, api.ConfigurationFieldError{Line: fieldError.Line, Field: fieldError.Field, Remedy: fieldError.Remedy})
 	}
 	return views
 }
--- a/configuration/lease.go
+++ b/configuration/lease.go
@@ -21,5 +21,5 @@
 
 // ValidAt tells whether the lease is valid at a time of the controller's clock.
 func (l ValidityLease) ValidAt(now time.Time) bool {
-	return l.Active != nil && now.Sub(l.RequestedAt) < tuning.ConfigurationRight
+	return l.Active != nil && now.Sub(l.RequestedAt) < tuning.ConfigurationLease
 }
--- a/configuration/rollout.go
+++ b/configuration/rollout.go
@@ -97,7 +97,7 @@
 // sent after the revision was stored finds it; a lease by an earlier one has expired by then, even
 // with the drift between the clocks of two controllers.
 func (r *Rollout) leasesExpireAt() time.Time {
-	return r.storedAt.Add(tuning.ConfigurationRight + tuning.ConfigurationGrain)
+	return r.storedAt.Add(tuning.ConfigurationLease + tuning.ConfigurationGrain)
 }
 
 // WaitsFor returns what the rollout waits for, sorted, in words for operators; empty: nothing.
--- a/configuration/rollout_test.go
+++ b/configuration/rollout_test.go
@@ -14,7 +14,7 @@
 	start := time.Unix(1000, 0)
 	before, after := FromFiles([]settings.Team{{Name: "a", CPUsMax: 9}}, nil), FromFiles([]settings.Team{{Name: "a", CPUsMax: 5}}, nil)
 	after.Revision = 7
-	last := start.Add(tuning.ConfigurationRight + tuning.ConfigurationGrain)
+	last := start.Add(tuning.ConfigurationLease + tuning.ConfigurationGrain)
 	for _, test := range []struct {
 		name      string
 		confirm   map[string]uint64
--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -115,14 +115,14 @@
 func (l *Limiter) NearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open >= l.threshold(tuning.SocketsScarce)
+	return l.open >= l.threshold(tuning.ConnNearLimit)
 }
 
 // refuseCommand reports whether too many connections are open to send a command, and counts it if so.
 func (l *Limiter) refuseCommand() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	refuse := l.open >= l.threshold(tuning.SocketsCommands)
+	refuse := l.open >= l.threshold(tuning.ConnCommandLimit)
 	if refuse {
 		l.refused++
 	}
@@ -144,7 +144,7 @@
 func (l *Limiter) takeIdle() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open <= l.threshold(tuning.SocketsFull) {
+	if l.open <= l.threshold(tuning.ConnFull) {
 		return nil
 	}
 	oldest, _, ok := l.idleWorkers.RemoveOldest()
--- a/controller/admission.go
+++ b/controller/admission.go
@@ -124,7 +124,7 @@
 
 // fitsSomeMachineType finds a job whose record is too large for the state service.
 func (c *Controller) fitsSomeMachineType(submission *api.Submission) error {
-	raw, err := json.Marshal(store.JobRecord{Job: *submission, At: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
+	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
 	if most := c.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
 	}
@@ -208,8 +208,8 @@
 // checkDependencies looks at the jobs that a submission awaits. Not decided: why it cannot be told
 // yet whether all of them were accepted.
 func (c *Controller) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
-	if len(submission.Awaits) > tuning.AwaitsMost {
-		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.AwaitsMost)}
+	if len(submission.Awaits) > tuning.MaxDependencies {
+		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
 	}
 	if old := c.versions.Older(); len(old) > 0 {
 		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(old, ", "), nil
@@ -254,6 +254,6 @@
 		case again:
 			return "", bad("was never accepted")
 		}
-		c.sleep(ctx, tuning.AwaitsAgain)
+		c.sleep(ctx, tuning.DependencyRetryDelay)
 	}
 }
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -78,7 +78,7 @@
 	n := s.beside()
 	s.leading = false // all is told from the records
 	var long []string
-	for i := range tuning.AwaitsMost + 1 {
+	for i := range tuning.MaxDependencies + 1 {
 		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+i))
 	}
 	ask := func(awaits string) peer.Response {
@@ -92,7 +92,7 @@
 			case a := <-got:
 				return a
 			default:
-				s.clock.Advance(tuning.AwaitsAgain)
+				s.clock.Advance(tuning.DependencyRetryDelay)
 			}
 		}
 	}
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -70,7 +70,7 @@
 	if a := submit("run-000001"); a.Status != http.StatusOK {
 		t.Errorf("a known job: %d %s", a.Status, a.Body)
 	}
-	clock.Advance(tuning.ConfigurationRight)
+	clock.Advance(tuning.ConfigurationLease)
 	if a := submit("run-000003"); a.Status != http.StatusServiceUnavailable {
 		t.Errorf("once the right is over: %d %s", a.Status, a.Body)
 	}
@@ -98,7 +98,7 @@
 	if err == nil || !judged.stillValid(n, nil) {
 		t.Fatalf("judged %v", err)
 	}
-	clock.Advance(tuning.ConfigurationRight)
+	clock.Advance(tuning.ConfigurationLease)
 	if judged.stillValid(n, nil) {
 		t.Error("it stands after the right is over")
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -126,7 +126,7 @@
 // New makes a controller. Transport carries its calls to other services.
 func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
 	n := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), renewingLeases: true, redirects: redirect.NewTracker(),
-		newestHeartbeats: reachability.NewDeduplicator(tuning.NewestKept)}
+		newestHeartbeats: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
 	all := []string{set.Member}
 	for _, s := range set.Peers {
 		all = append(all, s.Member)
@@ -180,7 +180,7 @@
 // UseConnLimiter lets this node keep to a budget of sockets; it is called before Run.
 func (c *Controller) UseConnLimiter(b *connlimit.Limiter) {
 	c.peers.Dial = b.Dial(func(string) connlimit.Class { return connlimit.Peer })
-	go b.Watch(c.ctx, tuning.SocketsTold, func(counts connlimit.Counts) {
+	go b.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
 		slog.Info("sockets are scarce", "open", counts.Open, "limit", counts.Limit, "by", counts.ByClass, "idle_closed", counts.IdleClosed, "commands_not_sent", counts.Refused)
 	})
 }
@@ -272,7 +272,7 @@
 func (c *Controller) receivesHeartbeats() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.lastHeartbeat.IsZero() && c.clock.Since(c.lastHeartbeat) < settings.Seconds(tuning.HearsReports*c.settings.Facts.Workers.ReportS)
+	return !c.lastHeartbeat.IsZero() && c.clock.Since(c.lastHeartbeat) < settings.Seconds(tuning.RecentHeartbeats*c.settings.Facts.Workers.ReportS)
 }
 
 func (c *Controller) recordStateResponse(served bool) {
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -21,7 +21,7 @@
 		for len(ids) > 0 && ctx.Err() == nil {
 			sched.LookUpDependencies(ctx, c.records, committer, ids)
 			if ids = sched.UnresolvedDependencies(); len(ids) > 0 {
-				c.sleep(ctx, tuning.AwaitsRetry)
+				c.sleep(ctx, tuning.DependencyRetryEvery)
 			}
 		}
 	}
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -84,7 +84,7 @@
 	for ctx.Err() == nil {
 		if names := sched.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
-				some := names[:min(len(names), tuning.ReturnBatch)]
+				some := names[:min(len(names), tuning.ReleaseBatch)]
 				names = names[len(some):]
 				go c.releaseMachines(ctx, sched, some)
 			}
@@ -95,7 +95,7 @@
 				sched.InstancesGranted(r, names, err)
 			}()
 		}
-		c.sleep(ctx, tuning.TendEvery)
+		c.sleep(ctx, tuning.MaintainEvery)
 	}
 }
 
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -44,7 +44,7 @@
 	}
 	if leader == "" || leader == c.settings.Member {
 		last, since := c.elector.LeaderlessFor()
-		if last == 0 || r.Term > last || since > tuning.Interregnum && c.stateServiceHealthy() {
+		if last == 0 || r.Term > last || since > tuning.LeaderlessGrace && c.stateServiceHealthy() {
 			return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 		}
 		if !c.mayRenewLeases() {
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -19,7 +19,7 @@
 	r := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
 	n.HandleHeartbeat(context.Background(), &r, nil)
 	r.Seq = 11
-	clock.Advance(settings.Seconds(2 * tuning.HearsReports * n.settings.Facts.Workers.ReportS))
+	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeats * n.settings.Facts.Workers.ReportS))
 	old := r
 	old.Seq = 10
 	status, body := n.HandleHeartbeat(context.Background(), &old, nil)
--- a/controller/keep_test.go
+++ b/controller/keep_test.go
@@ -58,7 +58,7 @@
 			}
 		}
 		most := settings.Seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
-		if last > most || last < most-tuning.KeepMargin-time.Second {
+		if last > most || last < most-tuning.LeaseRenewalMargin-time.Second {
 			t.Errorf("led %v: the last lease was renewed %v after the cut began; a cancelled task has %v", led, last, most)
 		}
 		if why := strings.Join(n.leaseRenewalProblems(), ""); !strings.Contains(why, "n0 has said nothing") || !strings.Contains(why, "not renewed") {
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -16,7 +16,7 @@
 // submitWithoutLeader accepts a job without the leader, which learns of it by the
 // inbox, as long as further conditions hold.
 func (c *Controller) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
-	rec := store.JobRecord{Job: *submission, At: c.clock.Now().UnixMilli()}
+	rec := store.JobRecord{Job: *submission, AcceptedAt: c.clock.Now().UnixMilli()}
 	conds := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
 	inputs, err := c.inputConditions(ctx, submission)
 	if err != nil {
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -49,11 +49,11 @@
 	c.mu.Lock()
 	c.shuttingDown = true
 	c.mu.Unlock()
-	ctx, stop := context.WithTimeout(ctx, tuning.LeaveMost)
+	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
 	slog.Info("leaving by plan", "leads", c.leadingScheduler() != nil)
 	// Peers are told with the next greeting, and the load balancer probes once a second.
-	c.sleep(ctx, tuning.LeaveTold)
+	c.sleep(ctx, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
 		ready := false
@@ -73,5 +73,5 @@
 		}
 		c.sleep(ctx, tuning.ElectRetry/5)
 	}
-	c.sleep(ctx, tuning.LeaveAfter)
+	c.sleep(ctx, tuning.ShutdownLinger)
 }
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -16,12 +16,12 @@
 
 // followWorkerRelay takes in, as the leader, the workers' heartbeats that peers relay through the state service.
 func (c *Controller) followWorkerRelay(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, after uint64) {
-	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.MailPrefix)
+	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.RelayResponsePrefix)
 	exchange.Follow(ctx, c.client, c.clock, store.RelayPrefix, after, sched.Term(), sched.AcceptWorkerMessage)
 }
 
 // followAgentRelay takes in, as the leader, the agents' heartbeats that peers relay through the state service.
 func (c *Controller) followAgentRelay(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, after uint64) {
-	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.StageMailPrefix)
-	exchange.Follow(ctx, c.client, c.clock, store.StageRelayPrefix, after, sched.Term(), sched.AcceptAgentMessage)
+	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.AgentResponsePrefix)
+	exchange.Follow(ctx, c.client, c.clock, store.AgentRelayPrefix, after, sched.Term(), sched.AcceptAgentMessage)
 }
--- a/controller/relays_test.go
+++ b/controller/relays_test.go
@@ -34,12 +34,12 @@
 	if _, ok := body.(api.StageOrder); status != 200 || !ok {
 		t.Fatalf("answered %d %+v", status, body)
 	}
-	if l.state.Under(store.StageRelayPrefix) != 0 {
+	if l.state.Under(store.AgentRelayPrefix) != 0 {
 		t.Fatal("relayed before it was written")
 	}
 	for y.agentProxy.Exchange.Write(context.Background()) {
 	}
-	if l.state.Under(store.StageRelayPrefix) == 0 {
+	if l.state.Under(store.AgentRelayPrefix) == 0 {
 		t.Error("the heartbeat is not relayed")
 	}
 }
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -92,7 +92,7 @@
 		}
 		// It may have fallen silent: what it was asked is stored or read without
 		// it, as conditions on the keys allow whether it goes on or not.
-		c.requestCounts.Passed()
+		c.requestCounts.LeaderBypassed()
 	}
 	return c.serveAsLeader(ctx, nil, r)
 }
--- a/controller/term.go
+++ b/controller/term.go
@@ -203,7 +203,7 @@
 	switch {
 	case c.isolatedFromWorkers(sched):
 		return "hears neither workers nor siblings"
-	case c.elector.ExpiredFor() > tuning.DeafAfter:
+	case c.elector.ExpiredFor() > tuning.IsolatedAfter:
 		// With the siblings answering this would be an outage, in which
 		// workers must go on being answered.
 		return "reaches neither the state service nor siblings"
@@ -215,7 +215,7 @@
 // dead end after the other: whoever leads alone must give them a lease's time, or
 // they find nobody when they come.
 func (c *Controller) isolatedFromWorkers(sched *scheduler.Scheduler) bool {
-	return c.clock.Since(sched.TermStarted()) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.LastContact()) > tuning.DeafAfter
+	return c.clock.Since(sched.TermStarted()) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.LastContact()) > tuning.IsolatedAfter
 }
 
 // zoneUnreachable tells whether no controller in another zone can be reached.
--- a/cpupressure/cpupressure_test.go
+++ b/cpupressure/cpupressure_test.go
@@ -20,7 +20,7 @@
 	if transfer.Due(clock.Now(), elected, 300, fast) {
 		t.Error("due at the first call")
 	}
-	clock.Advance(tuning.SlowFor)
+	clock.Advance(tuning.TransferAfter)
 	if !transfer.Due(clock.Now(), elected, 300, fast) {
 		t.Error("not due though slow for long enough")
 	}
@@ -44,8 +44,8 @@
 // another.
 func TestBenchmarkIgnoresDisturbanceAndCoarseClock(t *testing.T) {
 	var monitor Monitor
-	for i := range tuning.PaceTries {
-		if i < tuning.PaceLast && monitor.ComparisonUS() != 0 || i < tuning.PaceTries/2 && monitor.PublishedUS() != 0 {
+	for i := range tuning.BenchmarkSamples {
+		if i < tuning.BenchmarkRecent && monitor.ComparisonUS() != 0 || i < tuning.BenchmarkSamples/2 && monitor.PublishedUS() != 0 {
 			t.Fatalf("stated after %d samples", i)
 		}
 		used := time.Duration(i%2) * time.Microsecond
@@ -62,7 +62,7 @@
 	if monitor.ComparisonUS() != 1 {
 		t.Errorf("two disturbed samples count: %d", monitor.ComparisonUS())
 	}
-	for range tuning.PaceRank {
+	for range tuning.BenchmarkRank {
 		monitor.add(240 * time.Microsecond)
 	}
 	if monitor.ComparisonUS() != 240 {
--- a/cpupressure/monitor.go
+++ b/cpupressure/monitor.go
@@ -42,9 +42,9 @@
 // Run takes a sample every tuning.PaceEvery until the context ends. It gives up, with a log line, if the
 // operating system does not report processor time.
 func (m *Monitor) Run(ctx context.Context) {
-	data := make([]byte, tuning.PaceBytes)
+	data := make([]byte, tuning.BenchmarkBytes)
 	benchmark := func() {
-		for range tuning.PaceRounds {
+		for range tuning.BenchmarkRounds {
 			sha256.Sum256(data)
 		}
 	}
@@ -57,7 +57,7 @@
 		m.add(used)
 		select {
 		case <-ctx.Done():
-		case <-m.clock.After(tuning.PaceEvery):
+		case <-m.clock.After(tuning.BenchmarkEvery):
 		}
 	}
 }
@@ -82,7 +82,7 @@
 func (m *Monitor) add(used time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.samples = append(m.samples, used); len(m.samples) > tuning.PaceTries {
+	if m.samples = append(m.samples, used); len(m.samples) > tuning.BenchmarkSamples {
 		m.samples = m.samples[1:]
 	}
 }
@@ -92,7 +92,7 @@
 func (m *Monitor) PublishedUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.samples) < tuning.PaceTries/2 {
+	if len(m.samples) < tuning.BenchmarkSamples/2 {
 		return 0
 	}
 	return microseconds(slices.Max(m.samples))
@@ -103,11 +103,11 @@
 func (m *Monitor) ComparisonUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.samples) < tuning.PaceLast {
+	if len(m.samples) < tuning.BenchmarkRecent {
 		return 0
 	}
-	recent := slices.Sorted(slices.Values(m.samples[len(m.samples)-tuning.PaceLast:]))
-	return microseconds(recent[len(recent)-tuning.PaceRank])
+	recent := slices.Sorted(slices.Values(m.samples[len(m.samples)-tuning.BenchmarkRecent:]))
+	return microseconds(recent[len(recent)-tuning.BenchmarkRank])
 }
 
 // microseconds returns a sample in microseconds, at least 1, since 0 means that there is none.
--- a/cpupressure/transfer.go
+++ b/cpupressure/transfer.go
@@ -22,7 +22,7 @@
 // leader must be slower for tuning.SlowFor without interruption.
 func (t *LeadershipTransfer) Due(now, elected time.Time, ownUS uint32, peers []peer.Hello) bool {
 	fastestUS := fastestEligible(peers)
-	if ownUS == 0 || fastestUS == 0 || float64(ownUS) < tuning.SlowPace*float64(fastestUS) {
+	if ownUS == 0 || fastestUS == 0 || float64(ownUS) < tuning.TransferSlowdown*float64(fastestUS) {
 		t.slowSince = time.Time{}
 		return false
 	}
@@ -30,7 +30,7 @@
 		t.slowSince = now
 		slog.Info("computing slower than a peer", "pace_us", ownUS, "sibling_us", fastestUS)
 	}
-	return now.Sub(t.slowSince) >= tuning.SlowFor && now.Sub(elected) >= tuning.SlowTerm
+	return now.Sub(t.slowSince) >= tuning.TransferAfter && now.Sub(elected) >= tuning.TransferMinTerm
 }
 
 // fastestEligible returns the shortest benchmark time in microseconds of the peers that can lead, which are
--- a/dataset/dataset.go
+++ b/dataset/dataset.go
@@ -113,7 +113,7 @@
 func (m *Manifest) index() error {
 	var bad []error
 	fail := func(format string, a ...any) {
-		if len(bad) < tuning.MistakesTold {
+		if len(bad) < tuning.MaxReportedErrors {
 			bad = append(bad, fmt.Errorf("manifest: "+format, a...))
 		}
 	}
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -79,7 +79,7 @@
 		return false
 	}
 	if e.callbacks.Isolated() {
-		e.sleep(ctx, tuning.LoneDelay)
+		e.sleep(ctx, tuning.IsolatedDelay)
 		if _, err := e.client.Get(ctx, store.LeaderKey); !errors.Is(err, store.ErrNotFound) {
 			return false
 		}
--- a/election/term.go
+++ b/election/term.go
@@ -89,7 +89,7 @@
 	term, leaseID := e.term, e.leaseID
 	e.term, e.validUntil = 0, time.Time{}
 	e.leader, e.leaderTerm, e.leaderlessSince = "", term, now
-	e.campaignAfter = now.Add(tuning.StandAgain)
+	e.campaignAfter = now.Add(tuning.CampaignDelay)
 	if why == leaseExpired {
 		e.campaignAfter = time.Time{}
 	}
--- a/failuredetector/decision.go
+++ b/failuredetector/decision.go
@@ -82,7 +82,7 @@
 	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
 		return Release, "preempted by the cloud"
 	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
-		if machine.SilentShare > tuning.ReturnFreely {
+		if machine.SilentShare > tuning.EvictFreelyShare {
 			// The cause lies between most of the zone and the controllers, not in the machine. There may be no
 			// capacity elsewhere, and its tasks live until its lease expires, or longer.
 			return Keep, ""
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -38,8 +38,8 @@
 	Via string
 	// Machines is how many machines should send heartbeats, Responding how many of them do.
 	Machines, Responding int
-	// Cut means that none of the zone's controllers is reachable.
-	Cut bool
+	// ControllersUnreachable means that none of the zone's controllers is reachable.
+	ControllersUnreachable bool
 }
 
 // Detector tracks, for one leadership term, from which machines the leader could not have received
@@ -75,7 +75,7 @@
 // gap since the last call is one that load explains. After a pause, heartbeats that arrived meanwhile are
 // still to be read, and workers that turned to another controller meanwhile are still to return.
 func (d *Detector) Tick(now time.Time) (paused time.Duration) {
-	if gap := now.Sub(d.lastTick); gap > tuning.StandstillMin {
+	if gap := now.Sub(d.lastTick); gap > tuning.MinProcessPause {
 		d.resumedAt, paused = now, gap
 	}
 	d.lastTick = now
@@ -134,7 +134,7 @@
 	d.recordSilentShares(zones)
 	verdicts := slices.Concat(
 		d.detectLost(now, zones, d.zoneLostAt, func(zone string) Verdict {
-			return Verdict{Zone: zone, IsZone: true, Cut: zoneUnreachable(zone)}
+			return Verdict{Zone: zone, IsZone: true, ControllersUnreachable: zoneUnreachable(zone)}
 		}),
 		d.detectLost(now, paths, d.pathLostAt, func(via string) Verdict { return Verdict{Via: via} }),
 		d.detectLost(now, domains, d.domainLostAt, func(domain string) Verdict { return Verdict{Domain: domain} }),
@@ -161,7 +161,7 @@
 	var verdicts []Verdict
 	for group, counted := range groups {
 		lost := verdict(group)
-		if !lost.Cut && !counted.mostSilent() {
+		if !lost.ControllersUnreachable && !counted.mostSilent() {
 			continue
 		}
 		if last, known := lostAt[group]; !known || now.Sub(last) > d.lease {
@@ -182,7 +182,7 @@
 		since = d.started
 	}
 	silentFor := now.Sub(since)
-	if silentFor <= tuning.CutLeases*d.lease {
+	if silentFor <= tuning.PartitionLeases*d.lease {
 		// A partition is more likely than the failure of all machines of a zone. They need time to find a
 		// controller that relays for them, and their own zone's controllers may keep their tasks alive.
 		since = latest(since, d.zoneLostAt[observed.Zone])
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -47,7 +47,7 @@
 func (f *fleet) run(duration time.Duration, reports func(name string) bool) map[string]int {
 	out := map[string]int{}
 	for end := f.now.Add(duration); f.now.Before(end); {
-		f.now = f.now.Add(tuning.TendEvery)
+		f.now = f.now.Add(tuning.MaintainEvery)
 		i := 0
 		for _, name := range f.remaining() {
 			if i++; reports(name) && (f.now.UnixMilli()/500+int64(i))%6 == 0 {
@@ -144,7 +144,7 @@
 func TestLostZoneIsReleasedSlowly(t *testing.T) {
 	fleet := newFleet()
 	fleet.run(30*time.Second, allReport)
-	if released := fleet.run(tuning.CutLeases*lease-10*time.Second, fleet.isNear); released["far"] > 0 {
+	if released := fleet.run(tuning.PartitionLeases*lease-10*time.Second, fleet.isNear); released["far"] > 0 {
 		t.Fatalf("released %v while a partition is likely", released)
 	}
 	first := fleet.run(20*time.Second, fleet.isNear)["far"]
--- a/failuredetector/eviction_budget.go
+++ b/failuredetector/eviction_budget.go
@@ -22,8 +22,8 @@
 // EvictionDecision says which of a zone's candidates are released.
 type EvictionDecision struct {
 	Zone string
-	// Share is the share of the zone's machines that are silent, from 0 to 1.
-	Share float64
+	// SilentShare is the share of the zone's machines that are silent, from 0 to 1.
+	SilentShare float64
 	// Machines is how many machines the zone has.
 	Machines int
 	// Release has the names of the machines that are released now.
@@ -56,12 +56,12 @@
 // that is silent; infinity means that there is no limit.
 func releaseRate(silentShare float64) float64 {
 	switch {
-	case silentShare <= tuning.ReturnFreely:
+	case silentShare <= tuning.EvictFreelyShare:
 		return math.Inf(1)
-	case silentShare <= tuning.ReturnSlowly:
-		return tuning.ReturnShare
+	case silentShare <= tuning.EvictSlowlyShare:
+		return tuning.EvictShare
 	}
-	return tuning.ReturnShare / slowdownPastReturnSlowly
+	return tuning.EvictShare / slowdownPastReturnSlowly
 }
 
 // Spend decides which candidates are released now, and takes them from the budget. Those with the most tasks
@@ -78,7 +78,7 @@
 	var decisions []EvictionDecision
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		decision := EvictionDecision{Zone: zone}
-		decision.Share, decision.Machines = silentShare(zone)
+		decision.SilentShare, decision.Machines = silentShare(zone)
 		b.spendInZone(now, byZone[zone], &decision)
 		decisions = append(decisions, decision)
 	}
@@ -87,7 +87,7 @@
 
 // spendInZone completes the decision on a zone's candidates. It sorts them.
 func (b *EvictionBudget) spendInZone(now time.Time, candidates []Candidate, decision *EvictionDecision) {
-	perSecond := releaseRate(decision.Share)
+	perSecond := releaseRate(decision.SilentShare)
 	if decision.Zone == "" {
 		perSecond = math.Inf(1) // Machines of unknown zone do not fail together.
 	}
@@ -112,7 +112,7 @@
 // refill returns the budget of a zone with so many machines after adding to it what has accrued since the
 // last call, at a rate of so many times the zone's machines per second. A zone's first budget is full.
 func (b *EvictionBudget) refill(now time.Time, zone string, machines int, perSecond float64) *zoneBudget {
-	capacity := math.Max(tuning.ReturnAnyway, tuning.ReturnAtOnce*float64(machines))
+	capacity := math.Max(tuning.EvictBurstMachines, tuning.EvictBurstShare*float64(machines))
 	budget := b.zones[zone]
 	if budget == nil {
 		budget = &zoneBudget{capacity, now}
--- a/failuredetector/startup.go
+++ b/failuredetector/startup.go
@@ -40,7 +40,9 @@
 // startup time that is expected of its type. It also returns how long the last one to start took.
 func (b *StartupTimes) Overdue(machineType string, requestedAt time.Time, age, expected time.Duration) (overdue bool, latestDuration time.Duration) {
 	latestDuration = b.latest[machineType].duration
-	tolerated := func(duration time.Duration) time.Duration { return time.Duration(tuning.BootUsual * float64(duration)) }
+	tolerated := func(duration time.Duration) time.Duration {
+		return time.Duration(tuning.StartupUsualFactor * float64(duration))
+	}
 	return b.overtaken(machineType, requestedAt) && age > tolerated(expected) && age > tolerated(latestDuration), latestDuration
 }
 
@@ -48,7 +50,7 @@
 // While none of those requested since has started either, all of them are late, and the deadline is twice as
 // long: a replacement would be as late.
 func (b *StartupTimes) Deadline(machineType string, requestedAt time.Time, expected time.Duration) time.Duration {
-	deadline := time.Duration(tuning.BootFactor * float64(expected))
+	deadline := time.Duration(tuning.StartupDeadlineFactor * float64(expected))
 	if !b.overtaken(machineType, requestedAt) {
 		deadline *= 2
 	}
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -94,5 +94,5 @@
 			failures += n
 		}
 	}
-	return failures >= tuning.SickErrors && jobs >= faultyJobs
+	return failures >= tuning.FaultyFailures && jobs >= faultyJobs
 }
--- a/fleet/resources.go
+++ b/fleet/resources.go
@@ -32,22 +32,22 @@
 
 // Fits reports whether a request fits into r. It tolerates tuning.RoomSlack, for the rounding of decimal amounts.
 func (r Resources) Fits(request Resources) bool {
-	const slack = tuning.RoomSlack
+	const slack = tuning.ResourceSlack
 	return r.CPUs+slack >= request.CPUs && r.Cards+slack >= request.Cards && r.MemoryGB+slack >= request.MemoryGB
 }
 
 // unlimited is how many empty requests fit.
 const unlimited = 1 << 20
 
-// Multiple returns how many times a request fits into r at once, with the tolerance of Fits. A request of nothing fits
+// Count returns how many times a request fits into r at once, with the tolerance of Fits. A request of nothing fits
 // 1<<20 times.
-func (r Resources) Multiple(request Resources) int {
+func (r Resources) Count(request Resources) int {
 	n := unlimited
 	for _, pair := range [3]struct{ available, requested float64 }{
 		{r.CPUs, request.CPUs}, {r.Cards, request.Cards}, {r.MemoryGB, request.MemoryGB},
 	} {
 		if pair.requested > 0 {
-			n = min(n, max(0, int((pair.available+tuning.RoomSlack)/pair.requested)))
+			n = min(n, max(0, int((pair.available+tuning.ResourceSlack)/pair.requested)))
 		}
 	}
 	return n
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -51,8 +51,8 @@
 	of[api.TaskLocation]("stand"),
 	of[api.ConfigurationRequest]("configuration-request"),
 	of[api.ConfigurationView]("configuration-view"),
-	of[api.ConfigurationMistake]("configuration-mistake"),
-	of[api.ConfigurationMistakes]("configuration-mistakes"),
+	of[api.ConfigurationFieldError]("configuration-mistake"),
+	of[api.ConfigurationFieldErrors]("configuration-mistakes"),
 	of[api.ConfigurationConflict]("configuration-conflict"),
 }
 
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -119,7 +119,7 @@
 func TestLeadersMailStaysAsStored(t *testing.T) {
 	body := json.RawMessage(encode(t, filled[store.RelayedCommands]()))
 	shelf := relay.NewMailbox(relay.Limits{Value: 4096, Request: 60_000, Ops: 12})
-	letter, _, _, err := shelf.BuildPacket(1873, shelf.PacketOf("n-1"), func(string) json.RawMessage { return body })
+	letter, _, _, err := shelf.BuildPacket(1873, shelf.AssignPacket("n-1"), func(string) json.RawMessage { return body })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 	var stored relay.Packet
 	decode(t, golden(t, "packed/leaders-mail.json"), &stored)
 	var reader relay.Reader
-	if err := reader.Apply(store.MailKey("n1", 0), 5, &stored); err != nil {
+	if err := reader.Apply(store.RelayResponseKey("n1", 0), 5, &stored); err != nil {
 		t.Fatal(err)
 	}
 	var mail store.RelayedCommands
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -41,8 +41,8 @@
 	// Final is the final state of the job. Its State is empty while the job has not ended by its own
 	// records.
 	Final store.FinalRecord
-	// Awaits are the jobs that the job depends on, while it is not archived.
-	Awaits []string
+	// DependsOn are the jobs that the job depends on, while it is not archived.
+	DependsOn []string
 	// Record is the job's JobRecord, nil once the job is archived.
 	Record *store.Item
 }
@@ -92,11 +92,11 @@
 		return Job{}, damaged(item, err)
 	}
 	return Job{
-		Found:   true,
-		Service: record.Job.Shape == api.Service,
-		Final:   store.FinalRecord{State: record.FinalState},
-		Awaits:  record.Job.Awaits,
-		Record:  &item,
+		Found:     true,
+		Service:   record.Job.Shape == api.Service,
+		Final:     store.FinalRecord{State: record.FinalState},
+		DependsOn: record.Job.Awaits,
+		Record:    &item,
 	}, nil
 }
 
@@ -136,7 +136,7 @@
 			continue
 		}
 		visited[id] = true
-		if _, known := j.Recall(id); !known && len(visited) > tuning.AwaitsReads {
+		if _, known := j.Recall(id); !known && len(visited) > tuning.MaxDependencyReads {
 			return false, ErrTooDeep
 		}
 		job, err := j.ReadInTurn(ctx, id, asked)
@@ -146,7 +146,7 @@
 		case job.Final.State == api.Cancelled:
 			return true, nil
 		case job.Final.State == "":
-			pending = append(pending, job.Awaits...)
+			pending = append(pending, job.DependsOn...)
 		}
 	}
 	return false, nil
@@ -155,7 +155,7 @@
 // ForEach calls visit for each of ids with its index, up to tuning.AwaitsAtOnce calls at the same time, and
 // returns when all calls have returned.
 func ForEach(ids []string, visit func(i int, id string)) {
-	slots := make(chan struct{}, tuning.AwaitsAtOnce)
+	slots := make(chan struct{}, tuning.DependencyLookups)
 	var calls sync.WaitGroup
 	for i, id := range ids {
 		slots <- struct{}{}
--- a/lookup/status.go
+++ b/lookup/status.go
@@ -21,7 +21,7 @@
 		status.State = found.Final.State
 		return status, nil
 	}
-	cancelled, err := j.DependsOnCancelled(ctx, found.Awaits, asked)
+	cancelled, err := j.DependsOnCancelled(ctx, found.DependsOn, asked)
 	if err != nil {
 		return status, err
 	}
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -26,7 +26,7 @@
 // evaluateHeard sets the level of a peer whose hellos arrive.
 func (l *MemberList) evaluateHeard(now time.Time, peer *member, changes []Change) []Change {
 	parts := l.statedTroubles(peer)
-	if fastest := l.fastestBenchmarkUS(peer); fastest > 0 && float64(peer.lastHello.BenchmarkUS) >= tuning.SlowPace*float64(fastest) {
+	if fastest := l.fastestBenchmarkUS(peer); fastest > 0 && float64(peer.lastHello.BenchmarkUS) >= tuning.TransferSlowdown*float64(fastest) {
 		reason := fmt.Sprintf("computes %.1f times slower than another", float64(peer.lastHello.BenchmarkUS)/float64(fastest))
 		return peer.setLevel(now, Slow, parts, reason, changes)
 	}
@@ -61,7 +61,7 @@
 	switch {
 	case hearing > 0:
 		return peer.setLevel(now, Suspected, []string{Link}, fmt.Sprintf("%s, but heard by %d other", reason, hearing), changes)
-	case notHearing > 0 && (crashed || l.phi(now, peer) >= tuning.PhiFail && silentFor >= tuning.FailQuiet):
+	case notHearing > 0 && (crashed || l.phi(now, peer) >= tuning.PhiFail && silentFor >= tuning.FailSilence):
 		peer.heardSinceFailure = false
 		return peer.setLevel(now, Failed, []string{Process}, fmt.Sprintf("%s, and not heard by %d other either", reason, notHearing), changes)
 	}
--- a/membership/intervals.go
+++ b/membership/intervals.go
@@ -27,7 +27,7 @@
 // add records one interval.
 func (i *intervals) add(interval time.Duration) {
 	seconds := interval.Seconds()
-	if len(i.samples) < tuning.ArrivalsKept {
+	if len(i.samples) < tuning.IntervalsKept {
 		i.samples = append(i.samples, seconds)
 	} else {
 		old := i.samples[i.oldest]
@@ -42,14 +42,14 @@
 // tuning.PhiMost.
 func (i *intervals) phi(silentFor time.Duration) float64 {
 	prior, count := i.expectedInterval.Seconds(), float64(len(i.samples))
-	priorDeviation := prior * tuning.ArrivalsSpread
-	weight := count + tuning.ArrivalsPrior
-	mean := (i.sum + tuning.ArrivalsPrior*prior) / weight
-	meanSquare := (i.squares + tuning.ArrivalsPrior*(prior*prior+priorDeviation*priorDeviation)) / weight
+	priorDeviation := prior * tuning.IntervalsSpread
+	weight := count + tuning.IntervalsPrior
+	mean := (i.sum + tuning.IntervalsPrior*prior) / weight
+	meanSquare := (i.squares + tuning.IntervalsPrior*(prior*prior+priorDeviation*priorDeviation)) / weight
 	deviation := math.Max(priorDeviation, math.Sqrt(math.Max(0, meanSquare-mean*mean)))
 	probability := distuv.Normal{Mu: mean, Sigma: deviation}.Survival(silentFor.Seconds())
 	if probability <= 0 {
-		return tuning.PhiMost
+		return tuning.PhiMax
 	}
-	return math.Min(tuning.PhiMost, -math.Log10(probability))
+	return math.Min(tuning.PhiMax, -math.Log10(probability))
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -56,7 +56,7 @@
 // discountPause notices a pause of this process since the last step. The hellos that arrived meanwhile are
 // still to be read, so no member was silent for that time.
 func (l *MemberList) discountPause(now time.Time) {
-	if pause := now.Sub(l.lastStep); pause >= tuning.PauseLeast {
+	if pause := now.Sub(l.lastStep); pause >= tuning.MinPause {
 		l.recordLocalTrouble(now)
 		for _, peer := range l.peers {
 			peer.lastHelloAt = peer.lastHelloAt.Add(pause)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -24,7 +24,7 @@
 
 // Allows reports whether a usage is within the limit.
 func (l Limit) Allows(use fleet.Resources) bool {
-	return (l.CPUs == 0 || use.CPUs <= l.CPUs+tuning.RoomSlack) && (l.Cards == 0 || use.Cards <= l.Cards+tuning.RoomSlack)
+	return (l.CPUs == 0 || use.CPUs <= l.CPUs+tuning.ResourceSlack) && (l.Cards == 0 || use.Cards <= l.Cards+tuning.ResourceSlack)
 }
 
 // Usage is one running task of a team.
@@ -63,14 +63,14 @@
 	Limit    Limit
 	// Request is what the job needs at once, Use what its team uses now, and Permanent the part of that use which does
 	// not end by itself, such as services.
-	Request, Use, Permanent fleet.Resources
+	Request, Usage, Permanent fleet.Resources
 }
 
 // feasible reports whether the job could start once all usage that ends by itself has ended.
 func (d Demand) feasible() bool { return d.Limit.Allows(d.Permanent.Add(d.Request)) }
 
 // satisfied reports whether the limit allows the job to start now.
-func (d Demand) satisfied() bool { return d.Limit.Allows(d.Use.Add(d.Request)) }
+func (d Demand) satisfied() bool { return d.Limit.Allows(d.Usage.Add(d.Request)) }
 
 // Reservation is quota that is kept for one job.
 type Reservation struct {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -36,7 +36,7 @@
 func TestReserve(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	demand := func(id string, request, use, permanent float64) Demand {
-		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(request), Use: cpus(use), Permanent: cpus(permanent)}
+		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(request), Usage: cpus(use), Permanent: cpus(permanent)}
 	}
 	var ledger Ledger
 	for _, step := range []struct {
--- a/reachability/link.go
+++ b/reachability/link.go
@@ -176,7 +176,7 @@
 	switch {
 	case l.relayed && l.AliveThisTerm():
 		return Reachable
-	case l.unconfirmed >= tuning.HopsHalfDeaf && now.Sub(l.firstUnconfirmedAt) >= lease && (len(l.paths) > 1 || l.newIncarnation):
+	case l.unconfirmed >= tuning.HopsOutboundLost && now.Sub(l.firstUnconfirmedAt) >= lease && (len(l.paths) > 1 || l.newIncarnation):
 		return OutboundLost
 	case l.unconfirmed >= tuning.HopsSuspect || l.lostCommands > 0:
 		return Suspected
--- a/redirect/redirect.go
+++ b/redirect/redirect.go
@@ -32,12 +32,12 @@
 // unreachable for workers, or merely have none: it is probed with one worker every tuning.BounceProbe.
 func (t *Tracker) Allow(now time.Time, worker, target string, receivesHeartbeats bool) bool {
 	if redirectedAt, known := t.redirectedAt[worker]; known {
-		if since := now.Sub(redirectedAt); since > tuning.BounceTrip && since < tuning.BounceKeep {
+		if since := now.Sub(redirectedAt); since > tuning.RedirectTrip && since < tuning.RedirectBackoff {
 			return false
 		}
 	}
 	if !receivesHeartbeats {
-		if probedAt, probed := t.probedAt[target]; probed && now.Sub(probedAt) < tuning.BounceProbe {
+		if probedAt, probed := t.probedAt[target]; probed && now.Sub(probedAt) < tuning.RedirectProbe {
 			return false
 		}
 		t.probedAt[target] = now
@@ -52,7 +52,7 @@
 // removeExpired removes the redirects that are older than tuning.BounceKeep.
 func (t *Tracker) removeExpired(now time.Time) {
 	for worker, redirectedAt := range t.redirectedAt {
-		if now.Sub(redirectedAt) >= tuning.BounceKeep {
+		if now.Sub(redirectedAt) >= tuning.RedirectBackoff {
 			delete(t.redirectedAt, worker)
 		}
 	}
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -31,14 +31,14 @@
 	if !tracker.Allow(clock.Now(), "n-2", "other", true) {
 		t.Error("not redirected again by the answer to a heartbeat that was sent before the redirect arrived")
 	}
-	clock.Advance(tuning.BounceProbe)
+	clock.Advance(tuning.RedirectProbe)
 	if tracker.Allow(clock.Now(), "n-1", "unreachable", false) {
 		t.Error("the worker that had probed it was redirected again")
 	}
 	if !tracker.Allow(clock.Now(), "n-3", "unreachable", false) {
 		t.Error("no other worker probes it")
 	}
-	clock.Advance(tuning.BounceTrip / 2)
+	clock.Advance(tuning.RedirectTrip / 2)
 	if !tracker.Allow(clock.Now(), "n-4", "unreachable", true) {
 		t.Error("not redirected although it receives heartbeats again")
 	}
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -57,7 +57,7 @@
 		Clock:          clock,
 		Rate:           WriteRate(facts),
 		UplinkKey:      store.RelayKey,
-		DownlinkPrefix: store.MailPrefix + "y/",
+		DownlinkPrefix: store.RelayResponsePrefix + "y/",
 		RefreshEvery:   time.Hour,
 		Lock:           &link.mu,
 		Outbox:         relay.NewOutbox(PacketLimits(facts), 1),
@@ -132,8 +132,8 @@
 		mailboxes := &Mailboxes{
 			Term:   link.term,
 			Limits: PacketLimits(facts),
-			Prefix: store.MailPrefix,
-			Key:    store.MailKey,
+			Prefix: store.RelayResponsePrefix,
+			Key:    store.RelayResponseKey,
 			Body: func(member, machine string) json.RawMessage {
 				return json.RawMessage(`"to ` + machine + ` by ` + member + `"`)
 			},
@@ -150,7 +150,7 @@
 		mailboxes.Update("y", "n1")
 		link.state.Put(store.RelayKey("y", 8), "corrupt")
 		link.state.Put(store.RelayKey("y", 9), packetOf(t, link.term+1, "n9", `"for another leader"`))
-		link.state.Put(store.MailPrefix+"y/!", "corrupt") // is read before the packet of key 0
+		link.state.Put(store.RelayResponsePrefix+"y/!", "corrupt") // is read before the packet of key 0
 		time.Sleep(10 * time.Second)
 		if want := `[y n1 "from n1"]`; got.String() != want {
 			t.Errorf("the leader received %s, want %s", &got, want)
@@ -202,14 +202,14 @@
 	mailboxes := &Mailboxes{
 		Term:      7,
 		Limits:    PacketLimits(facts),
-		Prefix:    store.MailPrefix,
-		Key:       store.MailKey,
+		Prefix:    store.RelayResponsePrefix,
+		Key:       store.RelayResponseKey,
 		MarkDirty: func(key string, _ int, _ func()) { dirty = append(dirty, key) },
 		Body:      func(_, machine string) json.RawMessage { return json.RawMessage(`"` + machine + `"`) },
 	}
 	mailboxes.Update("y", "n1")
 	mailboxes.Update("y", "n2")
-	key := store.MailKey("y", 0)
+	key := store.RelayResponseKey("y", 0)
 	mailboxes.Remove("y", "n1", true)
 	if got, want := fmt.Sprint(dirty), fmt.Sprint([]string{key, key, key}); got != want {
 		t.Errorf("packets to be written: %s, want %s", got, want)
@@ -222,7 +222,7 @@
 	if len(dirty) != 3 {
 		t.Errorf("packets to be written: %v", dirty)
 	}
-	for _, unknown := range []string{store.MailKey("z", 0), store.MailPrefix + "y/x"} {
+	for _, unknown := range []string{store.RelayResponseKey("z", 0), store.RelayResponsePrefix + "y/x"} {
 		if _, ok := mailboxes.Packet(unknown); ok {
 			t.Errorf("%s has a packet", unknown)
 		}
--- a/relay/exchange/limits.go
+++ b/relay/exchange/limits.go
@@ -12,7 +12,7 @@
 // or will have.
 func PacketLimits(facts settings.State) relay.Limits {
 	least := facts.Least()
-	return relay.Limits{Value: least.ValueBytes(), Request: tuning.LetterRequest, Ops: least.TxnOps}
+	return relay.Limits{Value: least.ValueBytes(), Request: tuning.PacketRequestBytes, Ops: least.TxnOps}
 }
 
 // WriteRate returns the limiter of the packets that a controller writes, of all kinds together. It is
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -39,7 +39,7 @@
 		}
 		m.mailboxes[member] = mailbox
 	}
-	m.MarkDirty(m.Key(member, mailbox.PacketOf(machine)), store.Ordinary, nil)
+	m.MarkDirty(m.Key(member, mailbox.AssignPacket(machine)), store.Ordinary, nil)
 }
 
 // Remove takes a machine out of a peer's mailbox. Stored tells that its message is in the stored
--- a/relay/mailbox.go
+++ b/relay/mailbox.go
@@ -25,13 +25,13 @@
 	return &Mailbox{limits: limits, packetIndex: map[string]int{}}
 }
 
-// PacketOf returns the index of the packet that a machine is assigned to. A machine that has none
+// AssignPacket returns the index of the packet that a machine is assigned to. A machine that has none
 // is assigned to the first packet with room.
-func (m *Mailbox) PacketOf(name string) int {
+func (m *Mailbox) AssignPacket(name string) int {
 	if index, ok := m.packetIndex[name]; ok {
 		return index
 	}
-	index := slices.IndexFunc(m.packets, func(machines map[string]bool) bool { return len(machines) < tuning.LetterMachines })
+	index := slices.IndexFunc(m.packets, func(machines map[string]bool) bool { return len(machines) < tuning.PacketMachines })
 	if index < 0 {
 		index = m.addPacket()
 	}
--- a/relay/mailbox_test.go
+++ b/relay/mailbox_test.go
@@ -17,7 +17,7 @@
 	for i := range 5000 {
 		name := fmt.Sprintf("n-%06d", i)
 		size[name] = 100 + random.IntN(3000)
-		mailbox.PacketOf(name)
+		mailbox.AssignPacket(name)
 	}
 	size["n-000007"] = 200 << 10
 	var reader Reader
--- a/relay/outbox.go
+++ b/relay/outbox.go
@@ -197,7 +197,7 @@
 			continue
 		}
 		ratio := compressionRatioMargin * float64(rawBytes) / float64(len(packed))
-		o.compressionRatio = max(minCompressionRatio, min(tuning.LetterRatio, ratio))
+		o.compressionRatio = max(minCompressionRatio, min(tuning.PacketRatio, ratio))
 		if count == 1 || len(packed) <= o.limits.packedBytes() {
 			return count, packed, nil
 		}
--- a/relay/packet.go
+++ b/relay/packet.go
@@ -50,4 +50,4 @@
 func (l Limits) MaxPackets() int { return max(1, min(l.Ops, l.Request/max(1, l.Value))) }
 
 // packedBytes returns the largest Packet.Packed, in bytes.
-func (l Limits) packedBytes() int { return l.Value - tuning.LetterMargin }
+func (l Limits) packedBytes() int { return l.Value - tuning.PacketMargin }
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -31,7 +31,7 @@
 }
 
 // senderTimeout is how long a sender may be silent before a proxy forgets it.
-const senderTimeout = 2 * tuning.RelayKeep
+const senderTimeout = 2 * tuning.RelayRefresh
 
 // newOutbox returns an outbox for the packets to the leader. Its pieces are numbered from the time of day, so that no
 // earlier process of this member used the same numbers.
--- a/relay/proxy/workers.go
+++ b/relay/proxy/workers.go
@@ -44,7 +44,7 @@
 // NewWorkers returns a proxy that knows no worker yet.
 func NewWorkers(options Options) *Workers {
 	w := &Workers{clock: options.Clock, workers: map[string]*workerState{}, outbox: options.newOutbox()}
-	w.Exchange = options.newExchange(store.RelayKey, store.MailPrefix, tuning.RelayKeep)
+	w.Exchange = options.newExchange(store.RelayKey, store.RelayResponsePrefix, tuning.RelayRefresh)
 	w.Exchange.Lock, w.Exchange.Outbox, w.Exchange.Reader = &w.mu, w.outbox, &w.inbox
 	w.Exchange.Expire, w.Exchange.TermEnded = w.expire, func() { w.reset(0) }
 	return w
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -34,11 +34,11 @@
 	mail := func(part int, stamp, seq uint64, verb string) {
 		t.Helper()
 		s := relay.NewMailbox(exchange.PacketLimits(limits))
-		s.PacketOf("b1")
+		s.AssignPacket("b1")
 		raw, _ := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
 		l, _, _, err := s.BuildPacket(7, 0, func(string) json.RawMessage { return raw })
 		if err == nil {
-			err = n.inbox.Apply(store.MailKey("y", part), stamp, &l)
+			err = n.inbox.Apply(store.RelayResponseKey("y", part), stamp, &l)
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/relay/reassembler.go
+++ b/relay/reassembler.go
@@ -30,7 +30,7 @@
 	if packet.Of == 0 {
 		return decodeMessages(packet.Packed)
 	}
-	if packet.Of < 0 || packet.Of > tuning.LetterPieces || packet.Piece < 0 || packet.Piece >= packet.Of {
+	if packet.Of < 0 || packet.Of > tuning.MaxPacketPieces || packet.Piece < 0 || packet.Piece >= packet.Of {
 		return nil, fmt.Errorf("fragment %d of %d is out of range", packet.Piece, packet.Of)
 	}
 	partial := r.partial[sender]
--- a/scheduler/boot_test.go
+++ b/scheduler/boot_test.go
@@ -23,7 +23,7 @@
 	s.report("a0", 1)
 	s.rented("a1", "a2", "a3")
 	quiet := func() { s.report("a0", 1) }
-	boots := settings.Seconds(tuning.BootFactor * testTypes[0].BootS)
+	boots := settings.Seconds(tuning.StartupDeadlineFactor * testTypes[0].BootS)
 	if gone := s.rounds(boots+20*time.Second, quiet); len(gone) > 0 {
 		t.Fatalf("%v returned though none of the batch is up", gone)
 	}
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -58,7 +58,7 @@
 		}
 		gone := map[string]time.Duration{}
 		for s.clock.Since(told) < 50*time.Second {
-			for _, n := range s.rounds(tuning.TendEvery, near) {
+			for _, n := range s.rounds(tuning.MaintainEvery, near) {
 				gone[n] = s.clock.Since(told)
 			}
 		}
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -396,7 +396,7 @@
 func (s *stage) mailed(member, name string) (m store.RelayedCommands) {
 	s.Helper()
 	var r relay.Reader
-	items, _, err := store.NewClient("state:1", s.state).List(context.Background(), store.MailPrefix+member+"/")
+	items, _, err := store.NewClient("state:1", s.state).List(context.Background(), store.RelayResponsePrefix+member+"/")
 	for _, it := range items {
 		var l relay.Packet
 		if err == nil {
@@ -952,8 +952,10 @@
 	due := func(x *api.Submission) { x.DeadlineS = 60 }
 	s.submit("run-000001", 1, due)
 	job := s.jobs["run-000001"]
-	at := func(after float64) int64 { return s.latestStart(job, job.At+int64(after*1000)) - job.At }
-	if at(0) != 30_000 || at(31) != 90_000 || at(91) != math.MaxInt64-job.At {
+	at := func(after float64) int64 {
+		return s.latestStart(job, job.AcceptedAt+int64(after*1000)) - job.AcceptedAt
+	}
+	if at(0) != 30_000 || at(31) != 90_000 || at(91) != math.MaxInt64-job.AcceptedAt {
 		t.Errorf("latest starts %d, %d, %d", at(0), at(31), at(91))
 	}
 }
--- a/scheduler/data_test.go
+++ b/scheduler/data_test.go
@@ -419,7 +419,7 @@
 	s := newDataStage(t, features.Staged)
 	s.up("a1")
 	s.up("a2", 0, 1)
-	s.storeReplicaHints(s.clock.Now().Add(tuning.HoldsEvery))
+	s.storeReplicaHints(s.clock.Now().Add(tuning.ReplicaHintsEvery))
 	s.commit()
 	it := s.state.Get(store.ReplicasKey(0))
 	if it == nil {
--- a/scheduler/datarelay_test.go
+++ b/scheduler/datarelay_test.go
@@ -64,12 +64,12 @@
 	s.clock.Advance(tuning.RelayEvery)
 	for s.proxy.Exchange.Write(ctx) {
 	}
-	log, epoch, err := s.client.Watch(ctx, store.StageRelayPrefix, s.after, 0)
+	log, epoch, err := s.client.Watch(ctx, store.AgentRelayPrefix, s.after, 0)
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.after = max(s.after, epoch)
-	exchange.UnpackEvents(log, store.StageRelayPrefix, s.term, &s.packets, s.AcceptAgentMessage)
+	exchange.UnpackEvents(log, store.AgentRelayPrefix, s.term, &s.packets, s.AcceptAgentMessage)
 	s.Place()
 	s.commit()
 	if _, err = s.proxy.Exchange.Fetch(ctx, 0); err != nil {
--- a/scheduler/dataremove_test.go
+++ b/scheduler/dataremove_test.go
@@ -98,7 +98,7 @@
 	s := newDataStage(t, features.Staged)
 	s.listed()
 	rec := store.JobRecord{Job: api.Submission{ID: "run-000007", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
-		Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}, At: s.clock.Now().UnixMilli()}
+		Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}, AcceptedAt: s.clock.Now().UnixMilli()}
 	at := s.state.Put(store.JobKey("run-000007"), rec)
 	x := s.unlist(true)
 	for range 3 {
--- a/scheduler/datasets.go
+++ b/scheduler/datasets.go
@@ -75,7 +75,7 @@
 		stuckSince:     map[string]time.Time{},
 		waiting:        map[string]int{},
 		relayedOrders:  map[string]*relayedOrder{},
-		orderMailboxes: newMailboxes(s, store.StageMailPrefix, store.StageMailKey, s.stageOrderBody),
+		orderMailboxes: newMailboxes(s, store.AgentResponsePrefix, store.AgentResponseKey, s.stageOrderBody),
 	}
 	datasets.planner = staging.New(s.term, staging.Limits{
 		LinkRate:  dataSettings.LinkMBs * bytesPerMB,
--- a/scheduler/dayend_test.go
+++ b/scheduler/dayend_test.go
@@ -22,8 +22,8 @@
 
 func (w *deafWorkers) run(d time.Duration, others func()) (returned []string) {
 	s := w.s
-	for ; d > 0; d -= tuning.TendEvery {
-		s.clock.Advance(tuning.TendEvery)
+	for ; d > 0; d -= tuning.MaintainEvery {
+		s.clock.Advance(tuning.MaintainEvery)
 		others()
 		if since := s.clock.Since(w.began); since >= time.Duration(w.reports+1)*5*time.Second {
 			w.reports++
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -128,7 +128,7 @@
 	if !sought {
 		job.waitingSince = job.learnedAt
 	}
-	slog.Debug("job may start", "job", id, "waited", time.Duration(job.eligibleAt-job.At)*time.Millisecond)
+	slog.Debug("job may start", "job", id, "waited", time.Duration(job.eligibleAt-job.AcceptedAt)*time.Millisecond)
 	job.makeEligible()
 	p.scheduler.wakePlacer()
 }
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -20,7 +20,7 @@
 		return job.reservedDomain
 	}
 	job.reservedDomain = ""
-	job.nextDomainReservation = s.now().Add(tuning.AimAgain)
+	job.nextDomainReservation = s.now().Add(tuning.DomainSearchEvery)
 	boot := 0.0
 	for _, t := range s.machineTypes {
 		if t.Fits(&job.Job) && (boot == 0 || t.BootS < boot) {
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lastContact := latest(s.lastDirectContact, s.detector.ResumedAt())
-	if s.unansweredCommands < tuning.DeafCommands || s.since(lastContact) < tuning.DeafAfter {
+	if s.unansweredCommands < tuning.OutboundLostCommands || s.since(lastContact) < tuning.IsolatedAfter {
 		return false
 	}
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
@@ -90,7 +90,7 @@
 			slog.Info("most machines of a domain silent", "domain", partition.Domain, "machines", partition.Machines, "heard", partition.Responding)
 		case partition.IsZone:
 			slog.Info("most machines of a zone silent", "zone", partition.Zone, "machines", partition.Machines, "heard", partition.Responding,
-				"controllers_out_of_reach", partition.Cut)
+				"controllers_out_of_reach", partition.ControllersUnreachable)
 		default:
 			slog.Info("most machines behind one controller silent", "through", partition.Via, "machines", partition.Machines, "heard", partition.Responding)
 		}
@@ -118,10 +118,10 @@
 		SuspectAfter:  s.heartbeatTimeout(machine),
 		ReleaseAfter:  max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace,
-		InboundLost:   tuning.MuteLeases * s.lease(),
+		InboundLost:   tuning.InboundLostLeases * s.lease(),
 	}
 	if machine.relayPeer != "" {
-		limits.ReleaseAfter += tuning.RelayKeep
+		limits.ReleaseAfter += tuning.RelayRefresh
 	}
 	return limits
 }
@@ -155,7 +155,7 @@
 	if machine.Spec != nil {
 		bootTime = settings.Seconds(machine.Spec.BootS)
 	}
-	deadline := time.Duration(tuning.BootFactor * float64(bootTime))
+	deadline := time.Duration(tuning.StartupDeadlineFactor * float64(bootTime))
 	if machine.requestedHere {
 		deadline = s.startupTimes.Deadline(machine.Type, machine.RequestedAt, bootTime)
 	}
@@ -182,7 +182,7 @@
 // s.mu must be held.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
 	var due []*machineState
-	remaining := tuning.AsksAtOnce
+	remaining := tuning.ProbesAtOnce
 	for _, machine := range s.sortedMachines() {
 		switch {
 		case !s.needsProbe(machine, now):
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -59,9 +59,9 @@
 		for _, name := range v.Release {
 			giveUp(s.machines[name], why[name])
 		}
-		if v.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.ReturnTold {
+		if v.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.EvictionLogEvery {
 			s.deferralLoggedAt = now
-			slog.Info("many machines of a zone are silent; most are left for now", "zone", v.Zone, "silent_share", math.Round(100*v.Share)/100,
+			slog.Info("many machines of a zone are silent; most are left for now", "zone", v.Zone, "silent_share", math.Round(100*v.SilentShare)/100,
 				"machines", v.Machines, "left", v.Deferred, "tasks_that_wait_for_them", v.DeferredTasks, "returned", len(v.Release))
 		}
 	}
@@ -116,7 +116,7 @@
 		if n := len(job.pending) + job.queued; n > 0 && job.FinalState == "" {
 			jobs++
 			waiting += float64(n) * job.request.CPUs
-			if since := latest(latest(job.waitingSince, job.lastStart), s.termStarted); !job.passedOverLogged && s.since(since) > tuning.PassedBy && s.withinQuota(job) && slices.ContainsFunc(s.sortedMachines(), func(machine *machineState) bool {
+			if since := latest(latest(job.waitingSince, job.lastStart), s.termStarted); !job.passedOverLogged && s.since(since) > tuning.PassedOverAfter && s.withinQuota(job) && slices.ContainsFunc(s.sortedMachines(), func(machine *machineState) bool {
 				return machine.Up && !machine.releasing && machine.Spec != nil && satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
 			}) {
 				// Users expect that nobody waits 90 s so. Said once.
@@ -142,7 +142,7 @@
 		}
 		finishes := j.Shape == api.JobArray && estimate(alloc.job)-ran < left
 		switch {
-		case j.Checkpoint > 0 && left < j.SaveS+2*tuning.SpotNoticeSlack+s.settings.Facts.Workers.ReportS:
+		case j.Checkpoint > 0 && left < j.SaveS+2*tuning.PreemptionNoticeSlack+s.settings.Facts.Workers.ReportS:
 			s.stopTask(alloc, j.SaveS, why)
 		case j.Checkpoint == 0 && !finishes:
 			s.stopTask(alloc, 0, why)
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -47,7 +47,7 @@
 // storeReplicaHints has the hint of replicas stored if it changed and the last one is old enough. s.mu must be held.
 func (s *Scheduler) storeReplicaHints(now time.Time) {
 	datasets := s.datasets
-	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.HoldsEvery {
+	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.ReplicaHintsEvery {
 		return
 	}
 	version := datasets.index.Snapshot().Version()
@@ -112,7 +112,7 @@
 	for i, machine := range machines {
 		names[i] = machine.Name
 	}
-	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.HoldsMargin
+	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.ReplicaHintMargin
 	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, limit)
 	if err != nil {
 		slog.Error("encoding replica hint failed", "err", err)
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -129,8 +129,8 @@
 		shards:       map[store.Shard]bool{},
 		avoidUntil:   map[string]time.Time{},
 		failedOn:     map[string]bool{},
-		eligibleAt:   record.At,
-		waitingSince: time.UnixMilli(record.At),
+		eligibleAt:   record.AcceptedAt,
+		waitingSince: time.UnixMilli(record.AcceptedAt),
 	}
 	if record.FinalState != "" {
 		job.terminalAt = recordedTerminalTime(record, now)
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -25,7 +25,7 @@
 	default:
 		// The worker reports the exit until it is on record, so nothing is lost with this leader. Exits are written
 		// together because writing each by itself took a third of the state service's write limit.
-		s.hooks.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.EndsTogether, s.withLock(stored))
+		s.hooks.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.CompletionBatchDelay, s.withLock(stored))
 	}
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	job.setTerminal(s, state)
-	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", state, "after", s.since(time.UnixMilli(job.At)).Round(time.Millisecond))
+	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", state, "after", s.since(time.UnixMilli(job.AcceptedAt)).Round(time.Millisecond))
 	urgency := store.Urgent
 	if state == api.Done && job.rank == api.RankLow {
 		urgency = job.urgency()
@@ -115,7 +115,7 @@
 // of a cancelled job is on them past cancel_s: they were commanded to end the task and have not confirmed that it is
 // gone. The margin covers the time that the cloud takes to answer. s.mu must be held.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
-	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReturn
+	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReleaseMargin
 	var overdue []*machineState
 	for _, job := range s.jobOrder {
 		if job.FinalState != api.Cancelled || len(job.allocations) == 0 || now.Sub(job.terminalAt) < limit {
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -333,7 +333,7 @@
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
 			continue
 		}
-		room := machine.free().Multiple(job.request)
+		room := machine.free().Count(job.request)
 		for _, queue := range machine.queues {
 			room -= len(queue.tasks)
 		}
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -116,7 +116,7 @@
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
 	d := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
 	if machine.relayPeer != "" {
-		d += tuning.RelayKeep
+		d += tuning.RelayRefresh
 	}
 	return d
 }
--- a/scheduler/mistake_test.go
+++ b/scheduler/mistake_test.go
@@ -30,8 +30,8 @@
 
 // work plays a while of the leader's rounds.
 func (s *stage) work(d time.Duration, bad func(machine, job string) bool) (returned []string) {
-	for ; d > 0; d -= tuning.TendEvery {
-		s.clock.Advance(tuning.TendEvery)
+	for ; d > 0; d -= tuning.MaintainEvery {
+		s.clock.Advance(tuning.MaintainEvery)
 		s.play(bad)
 		s.Place()
 		s.commit()
@@ -64,7 +64,7 @@
 	s.submit("run-000009", 8, nil)
 	started := map[string]int{}
 	for range 200 {
-		s.work(tuning.TendEvery, bad)
+		s.work(tuning.MaintainEvery, bad)
 		for _, j := range []*jobState{one, two} {
 			started[j.id] = max(started[j.id], len(j.allocations)+j.queued)
 		}
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -99,7 +99,7 @@
 		sum[job.Job.Team] = u
 		t, _ := s.configuration.Team(job.Job.Team)
 		job.overQuota = 1
-		if t.CPUs > 0 && u.CPUs <= t.CPUs+tuning.RoomSlack && u.Cards <= t.Cards+tuning.RoomSlack {
+		if t.CPUs > 0 && u.CPUs <= t.CPUs+tuning.ResourceSlack && u.Cards <= t.Cards+tuning.ResourceSlack {
 			job.overQuota = 0
 		}
 		if !job.guaranteeChecked {
@@ -135,9 +135,9 @@
 		}
 		return out
 	}
-	out = append(out, job.At+int64(job.Job.DeadlineS*1000))
+	out = append(out, job.AcceptedAt+int64(job.Job.DeadlineS*1000))
 	for _, times := range s.deadlineMultiples[job.Job.Class] {
-		out = append(out, job.At+int64(times*job.Job.DeadlineS*1000))
+		out = append(out, job.AcceptedAt+int64(times*job.Job.DeadlineS*1000))
 	}
 	return out
 }
--- a/scheduler/pipes_test.go
+++ b/scheduler/pipes_test.go
@@ -496,7 +496,7 @@
 	}
 	// 10 s for the last; 16 processors' worth of the second on 8 take two waves of 30 s, its
 	// fetch of 1 GB 2 s.
-	due := last.At + 200_000 - tuning.StageGapMS - 10_000
+	due := last.AcceptedAt + 200_000 - tuning.StageGapMS - 10_000
 	if got := second.inherited.DuesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
 	}
@@ -591,7 +591,7 @@
 			r := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: s.next("a1"), Term: s.term, Tasks: []api.TaskReport{task(alloc.key, alloc.attempt, api.TaskRunning, "")}}
 			s.CommandsAnswered("a1", start.o, r, true)
 		} else {
-			s.clock.Advance(tuning.CancelStarts)
+			s.clock.Advance(tuning.CancelStartWait)
 		}
 		if a := <-got; a.Status != 200 || !strings.Contains(string(a.Body), api.Cancelled) {
 			t.Errorf("answered %v: %d %s", answered, a.Status, a.Body)
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -94,7 +94,7 @@
 		}
 	}
 	for o, n := range count {
-		mu := placement.Mu(max(1, room.Multiple(o.request)), slot, estimate(o))
+		mu := placement.Mu(max(1, room.Count(o.request)), slot, estimate(o))
 		queued = append(queued, placement.Queued{Tasks: n, Mu: mu})
 	}
 	s.scratchQueued = queued
@@ -104,7 +104,7 @@
 // server is a machine as the water-filling sees it for a job, without what it must fetch.
 func (s *Scheduler) server(machine *machineState, job *jobState, slot float64) placement.Server {
 	queued, room := s.queuedAhead(machine, job, slot)
-	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Multiple(job.request), slot, estimate(job)), Free: machine.free().Multiple(job.request)}
+	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Count(job.request), slot, estimate(job)), Free: machine.free().Count(job.request)}
 }
 
 // waterFill queues a job's waiting tasks by the paper's Algorithm 2. All tasks
@@ -198,7 +198,7 @@
 	// smallest queued task are passed over.
 	var roomy []*machineState
 	for _, machine := range ms {
-		if machine.free().CPUs+tuning.RoomSlack >= least && s.schedulable(machine) {
+		if machine.free().CPUs+tuning.ResourceSlack >= least && s.schedulable(machine) {
 			roomy = append(roomy, machine)
 		}
 	}
@@ -246,7 +246,7 @@
 				}
 			}
 		}
-		roomy = slices.DeleteFunc(roomy, func(machine *machineState) bool { return machine.free().CPUs+tuning.RoomSlack < least })
+		roomy = slices.DeleteFunc(roomy, func(machine *machineState) bool { return machine.free().CPUs+tuning.ResourceSlack < least })
 	}
 	for machine := range length {
 		machine.dropEmptyQueues()
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -106,7 +106,7 @@
 	why := job.site.Reason()
 	if !ok && job.Job.Shape != api.JobArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
 		// Arrays stop others one task at a time, like all arrays.
-		job.nextDomainSearch = s.now().Add(tuning.AimAgain)
+		job.nextDomainSearch = s.now().Add(tuning.DomainSearchEvery)
 		ok = job.site.ChooseDomainByPreemption(job.request, len(job.pending), may, func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) })
 	}
 	if !ok && job.Job.Shape != api.JobArray {
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -31,7 +31,7 @@
 // Production is left alone.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
 	o := alloc.job
-	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.TurnKept {
+	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.StarvedStartProtected {
 		// Stopped at once, its turn would have come in vain.
 		return false
 	}
@@ -47,7 +47,7 @@
 	// one then took as much back, all over again.
 	t, _ := s.configuration.Team(o.Job.Team)
 	stays := s.usage[t.Name].Sub(s.stoppingUsage[t.Name]).Sub(o.request)
-	return stays.CPUs+tuning.RoomSlack >= t.CPUs && stays.Cards+tuning.RoomSlack >= t.Cards
+	return stays.CPUs+tuning.ResourceSlack >= t.CPUs && stays.Cards+tuning.ResourceSlack >= t.Cards
 }
 
 // preemptible is what may be stopped on a machine for a job, in no order.
@@ -105,7 +105,7 @@
 // preemptionLoss is the work, in ms, that stopping a task at once throws away. A task that
 // made room before counts for more: it is the youngest again each time.
 func (s *Scheduler) preemptionLoss(alloc *allocation) int64 {
-	before := int64(alloc.job.preemptions[alloc.task]) * tuning.MovedLoss.Milliseconds()
+	before := int64(alloc.job.preemptions[alloc.task]) * tuning.PreemptionLoss.Milliseconds()
 	if alloc.runningSince.IsZero() {
 		return before
 	}
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -43,7 +43,7 @@
 		if job.Job.Shape == api.Gang {
 			need = need.Scale(len(job.pending))
 		}
-		out = append(out, quota.Demand{Team: job.Job.Team, ID: job.id, Limit: limit, Request: need, Use: use[job.Job.Team], Permanent: stays[job.Job.Team]})
+		out = append(out, quota.Demand{Team: job.Job.Team, ID: job.id, Limit: limit, Request: need, Usage: use[job.Job.Team], Permanent: stays[job.Job.Team]})
 	}
 	return out
 }
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -33,8 +33,8 @@
 	{store.DatasetPrefix, (*Scheduler).datasetRecord},
 	{store.ImagesPrefix, (*Scheduler).imagesRecordContent},
 	{store.ReplicasPrefix, (*Scheduler).replicaHintContent},
-	{store.MailPrefix, (*Scheduler).commandPacket},
-	{store.StageMailPrefix, (*Scheduler).stageOrderPacket},
+	{store.RelayResponsePrefix, (*Scheduler).commandPacket},
+	{store.AgentResponsePrefix, (*Scheduler).stageOrderPacket},
 }
 
 // Record builds the record of a key from the scheduler's state, for the committer: its value, whether it exists or the
@@ -117,7 +117,7 @@
 
 // commandPacket builds one packet of commands for workers that are reached through a peer.
 func (s *Scheduler) commandPacket(name string) recordContent {
-	packet, ok := s.commandMailboxes.Packet(store.MailPrefix + name)
+	packet, ok := s.commandMailboxes.Packet(store.RelayResponsePrefix + name)
 	return recordContent{value: packet, exists: ok}
 }
 
@@ -126,7 +126,7 @@
 	if s.datasets == nil {
 		return recordContent{}
 	}
-	packet, ok := s.datasets.orderMailboxes.Packet(store.StageMailPrefix + name)
+	packet, ok := s.datasets.orderMailboxes.Packet(store.AgentResponsePrefix + name)
 	return recordContent{value: packet, exists: ok}
 }
 
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -62,7 +62,7 @@
 		return refusal, true
 	}
 	if isNew {
-		job = s.addJob(store.JobRecord{Job: *submission, At: now.UnixMilli()}, false)
+		job = s.addJob(store.JobRecord{Job: *submission, AcceptedAt: now.UnixMilli()}, false)
 		s.hooks.MarkDirty(store.JobKey(submission.ID), store.Urgent, s.withLock(func() { s.markAccepted(submission.ID) }))
 	}
 	accepted, changed := job.accepted, job.changed
@@ -138,7 +138,7 @@
 	unsettled, changed := job.FinalState == api.Cancelled && job.hasUnsettledStarts(), job.changed
 	s.mu.Unlock()
 	if unsettled {
-		s.waitForChange(ctx, changed, tuning.CancelStarts)
+		s.waitForChange(ctx, changed, tuning.CancelStartWait)
 	}
 }
 
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -111,7 +111,7 @@
 		}
 	}
 	head := s.configuration.Policy.Value(policy.HeadroomCPUs, policy.Vars{"demand_cpus": all, "guaranteed_cpus": guaranteed})
-	return all + head, tuning.ServiceSpare * ord
+	return all + head, tuning.ServiceHeadroom * ord
 }
 
 // InstanceRequests says what to rent now.
@@ -177,7 +177,7 @@
 		if missing <= 0 || len(out) >= 2 {
 			continue
 		}
-		n := min(tuning.RentBatch, int(math.Ceil(missing/t.CPUs)))
+		n := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/t.CPUs)))
 		out = append(out, c.instanceRequest(p, n))
 		if len(out) == 2 {
 			break
@@ -239,7 +239,7 @@
 	defer s.mu.Unlock()
 	s.instancesRequested--
 	if err != nil || len(names) < r.Count {
-		s.instanceRefusals[capacityPool{r.Type, r.Zone, r.Spot}] = s.now().Add(tuning.RefusedPause)
+		s.instanceRefusals[capacityPool{r.Type, r.Zone, r.Spot}] = s.now().Add(tuning.InstanceRefusalPause)
 	}
 	if err != nil {
 		slog.Info("rental refused", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "err", err)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -132,7 +132,7 @@
 	sched.lastHeartbeat = sched.termStarted
 	sched.detector = failuredetector.New(sched.termStarted, settings.Seconds(set.Facts.Workers.LeaseS))
 	sched.lastDirectContact = sched.termStarted
-	sched.commandMailboxes = newMailboxes(sched, store.MailPrefix, store.MailKey, sched.relayedCommandBody)
+	sched.commandMailboxes = newMailboxes(sched, store.RelayResponsePrefix, store.RelayResponseKey, sched.relayedCommandBody)
 	sched.objectives, sched.deadlineMultiples = map[string][]float64{}, map[string][]float64{}
 	for _, o := range set.Facts.Objectives {
 		if o.Kind == "finished" && o.WithinS > 0 {
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -26,7 +26,7 @@
 			}
 			score := s.startCost(job, task, machine, false).Seconds()
 			if job.site != nil {
-				score += tuning.SitePrice * job.site.Cost(machine.Name)
+				score += tuning.SiteCost * job.site.Cost(machine.Name)
 			}
 			// Replicas on one machine are lost together.
 			for _, alloc := range machine.allocations {
--- a/scheduler/silence_test.go
+++ b/scheduler/silence_test.go
@@ -19,8 +19,8 @@
 // rounds lets time pass with the leader at work: each step the named machines
 // report, then it looks after machines.
 func (s *stage) rounds(d time.Duration, reports func()) (returned []string) {
-	for ; d > 0; d -= tuning.TendEvery {
-		s.clock.Advance(tuning.TendEvery)
+	for ; d > 0; d -= tuning.MaintainEvery {
+		s.clock.Advance(tuning.MaintainEvery)
 		reports()
 		returned = append(returned, s.MaintainFleet()...)
 	}
@@ -104,7 +104,7 @@
 		}
 	}
 	quiet := func() { s.through("n1", "a1"); s.through("n1", "a2") }
-	miss(tuning.DeafCommands)
+	miss(tuning.OutboundLostCommands)
 	if s.OutboundLost(hears) {
 		t.Error("resigns for a few commands in a moment")
 	}
@@ -118,7 +118,7 @@
 	s.report("a2", 1)
 	s.report("a2", 1)
 	s.rounds(5*time.Second, quiet)
-	miss(tuning.DeafCommands - 1)
+	miss(tuning.OutboundLostCommands - 1)
 	if s.OutboundLost(hears) {
 		t.Error("resigns because one machine does not answer")
 	}
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -24,12 +24,12 @@
 		}
 	}
 	// One job may always have them, however many it needs.
-	most := max(1, int(tuning.KeptShare*float64(len(s.machines))))
+	most := max(1, int(tuning.ReservedShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
 		if !job.starved || now.Before(job.nextMachineReservation) || machines >= most && !kept[job] || !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
 			continue
 		}
-		job.nextMachineReservation = now.Add(tuning.KeepRoomEvery)
+		job.nextMachineReservation = now.Add(tuning.StarvationReserveEvery)
 		tasks := 1
 		if job.Job.Shape == api.Gang {
 			tasks = len(job.pending)
@@ -45,7 +45,7 @@
 			}
 			ms = append(ms, x)
 		}
-		names, at := ageing.Keep(ms, tasks, job.Job.OneZone)
+		names, at := ageing.EarliestMachines(ms, tasks, job.Job.OneZone)
 		for _, machine := range s.machines {
 			if machine.reservedFor == job {
 				machine.reservedFor = nil
--- a/scheduler/task_failures.go
+++ b/scheduler/task_failures.go
@@ -16,11 +16,11 @@
 // nothing done and nothing that has been running for a while. A job whose first tasks
 // met faulty machines is so only until another of its tasks has run that long.
 func (s *Scheduler) failsEverywhere(job *jobState) bool {
-	if len(job.failedOn) < tuning.MistakeMachines || job.completedCount > 0 {
+	if len(job.failedOn) < tuning.BrokenJobMachines || job.completedCount > 0 {
 		return false
 	}
 	for _, alloc := range job.allocations {
-		if !alloc.runningSince.IsZero() && s.since(alloc.runningSince) > tuning.MistakeRun {
+		if !alloc.runningSince.IsZero() && s.since(alloc.runningSince) > tuning.BrokenJobRunTime {
 			return false
 		}
 	}
--- a/store/commit_failure.go
+++ b/store/commit_failure.go
@@ -65,8 +65,8 @@
 // others: one that was too large did, again every second (docs/incidents/fleet-relay-too-long.md).
 // Its callbacks keep waiting.
 func (c *Committer) quarantine(record *pendingRecord, err error) {
-	slog.Error("record quarantined", "key", record.key, "again_in", tuning.AsideFor, "err", err)
-	record.quarantinedUntil = c.clock.Now().Add(tuning.AsideFor)
+	slog.Error("record quarantined", "key", record.key, "again_in", tuning.QuarantineTime, "err", err)
+	record.quarantinedUntil = c.clock.Now().Add(tuning.QuarantineTime)
 	record.isolated = true
 	c.requeue([]*pendingRecord{record})
 }
--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -273,7 +273,7 @@
 		t.Error("what is set aside is tried again at once")
 	}
 	source.values[large] = "short now"
-	clock.Advance(tuning.AsideFor + time.Second)
+	clock.Advance(tuning.QuarantineTime + time.Second)
 	for range 3 {
 		committer.Step(t.Context())
 	}
--- a/store/keys.go
+++ b/store/keys.go
@@ -24,8 +24,8 @@
 	// RelayPrefix holds packets (package relay) of workers' heartbeats that a peer relays
 	// because the workers cannot reach the leader.
 	RelayPrefix = "sf/relay/"
-	// MailPrefix holds packets with the leader's responses to these heartbeats.
-	MailPrefix = "sf/mail/"
+	// RelayResponsePrefix holds packets with the leader's responses to these heartbeats.
+	RelayResponsePrefix = "sf/mail/"
 	// ImagesPrefix holds ImagesRecords, which machines likely cache which images, for the next
 	// leader. They are soft state: an old or missing record does no harm.
 	ImagesPrefix = "sf/images/"
@@ -34,10 +34,10 @@
 	// ReplicasPrefix holds which machines hold which parts of datasets, for the next leader.
 	// It is soft state.
 	ReplicasPrefix = "sf/holds/"
-	// StageRelayPrefix holds packets of data agents' heartbeats that a peer relays.
-	StageRelayPrefix = "sf/srelay/"
-	// StageMailPrefix holds packets with the leader's responses to these heartbeats.
-	StageMailPrefix = "sf/smail/"
+	// AgentRelayPrefix holds packets of data agents' heartbeats that a peer relays.
+	AgentRelayPrefix = "sf/srelay/"
+	// AgentResponsePrefix holds packets with the leader's responses to these heartbeats.
+	AgentResponsePrefix = "sf/smail/"
 )
 
 // JobKey is the key of a job's JobRecord.
@@ -61,14 +61,14 @@
 // RelayKey is the key of packet n of the heartbeats that a member relays.
 func RelayKey(member string, n int) string { return packetKey(RelayPrefix, member, n) }
 
-// MailKey is the key of packet n of the responses to a member's relayed heartbeats.
-func MailKey(member string, n int) string { return packetKey(MailPrefix, member, n) }
+// RelayResponseKey is the key of packet n of the responses to a member's relayed heartbeats.
+func RelayResponseKey(member string, n int) string { return packetKey(RelayResponsePrefix, member, n) }
 
-// StageRelayKey is the key of packet n of the data agents' heartbeats that a member relays.
-func StageRelayKey(member string, n int) string { return packetKey(StageRelayPrefix, member, n) }
+// AgentRelayKey is the key of packet n of the data agents' heartbeats that a member relays.
+func AgentRelayKey(member string, n int) string { return packetKey(AgentRelayPrefix, member, n) }
 
-// StageMailKey is the key of packet n of the responses to a member's relayed data agents' heartbeats.
-func StageMailKey(member string, n int) string { return packetKey(StageMailPrefix, member, n) }
+// AgentResponseKey is the key of packet n of the responses to a member's relayed data agents' heartbeats.
+func AgentResponseKey(member string, n int) string { return packetKey(AgentResponsePrefix, member, n) }
 
 // packetKey is the key of packet n of a member under a prefix.
 func packetKey(prefix, member string, n int) string { return fmt.Sprintf("%s%s/%d", prefix, member, n) }
@@ -79,7 +79,7 @@
 	return member
 }
 
-// ParseRelayKey is the inverse of RelayKey, MailKey and the two others of their kind, whose prefix is
+// ParseRelayKey is the inverse of RelayKey, RelayResponseKey and the two others of their kind, whose prefix is
 // given. ok is false if key is no such key.
 func ParseRelayKey(prefix, key string) (member string, n int, ok bool) {
 	member, number, ok := strings.Cut(strings.TrimPrefix(key, prefix), "/")
--- a/store/record_queue.go
+++ b/store/record_queue.go
@@ -159,7 +159,7 @@
 // tasks' resources occupied all the while.
 func (q *recordQueue) admitOverdue(ready []*pendingRecord, count int, now time.Time) []*pendingRecord {
 	overdue := slices.DeleteFunc(slices.Clone(ready[count:]), func(record *pendingRecord) bool {
-		return record.urgency() >= Lazy || now.Sub(record.requestedAt) < tuning.RecordWaits
+		return record.urgency() >= Lazy || now.Sub(record.requestedAt) < tuning.RecordOverdueAfter
 	})
 	admitted := ready[:count]
 	if len(overdue) == 0 {
@@ -169,7 +169,7 @@
 	slices.SortFunc(overdue, func(a, b *pendingRecord) int {
 		return cmp.Or(a.requestedAt.Compare(b.requestedAt), cmp.Compare(a.priority, b.priority))
 	})
-	q.overdueCredit += tuning.RecordTurns * float64(count)
+	q.overdueCredit += tuning.OverdueShare * float64(count)
 	for i := count - 1; i >= 0 && q.overdueCredit >= 1 && len(overdue) > 0; i-- {
 		if admitted[i].urgency() == Urgent {
 			break
--- a/store/records.go
+++ b/store/records.go
@@ -14,9 +14,9 @@
 // JobRecord is a job as accepted.
 type JobRecord struct {
 	Job api.Submission `json:"job"`
-	// At is the time of day at which the job was accepted, in ms, by the clock of the
+	// AcceptedAt is the time of day at which the job was accepted, in ms, by the clock of the
 	// controller that accepted it. It orders the queues.
-	At int64 `json:"at"`
+	AcceptedAt int64 `json:"at"`
 	// FinalState is set once the job is done or cancelled, FinalAt to when, on the same clock.
 	FinalState string `json:"final,omitempty"`
 	FinalAt    int64  `json:"final_at,omitempty"`
--- a/topology/constraint.go
+++ b/topology/constraint.go
@@ -39,7 +39,7 @@
 		if !constraint.admits(node) {
 			continue
 		}
-		tasks := node.free.Multiple(constraint.Resources)
+		tasks := node.free.Count(constraint.Resources)
 		if placed != nil {
 			place := t.Place(node.name, constraint.Spread.Level)
 			tasks = min(tasks, constraint.Spread.AtMost-placed[place])
@@ -63,7 +63,7 @@
 		// Fit visits every machine of a domain, so it is called only if its result could matter: in a domain whose total
 		// is too small, only if there is none better and the total alone does not miss as many tasks already.
 		fits := free.Fits(all)
-		if !fits && (best != nil || constraint.Tasks-min(constraint.Tasks, free.Multiple(constraint.Resources)) >= shortfall) {
+		if !fits && (best != nil || constraint.Tasks-min(constraint.Tasks, free.Count(constraint.Resources)) >= shortfall) {
 			continue
 		}
 		if fits && best != nil && !t.preferred(domain, best) {
--- a/topology/constraint_test.go
+++ b/topology/constraint_test.go
@@ -34,7 +34,7 @@
 			fit := 0
 			for name, r := range free {
 				if in, _ := topology.Of(name); in.Within(domain) {
-					fit += r.Multiple(request)
+					fit += r.Count(request)
 				}
 			}
 			least = min(least, tasks-min(tasks, fit))
--- a/topology/declaration.go
+++ b/topology/declaration.go
@@ -41,7 +41,7 @@
 	}
 	var mistakes []error
 	add := func(err error) {
-		if len(mistakes) < tuning.MistakesTold {
+		if len(mistakes) < tuning.MaxReportedErrors {
 			mistakes = append(mistakes, fmt.Errorf("topology: %w", err))
 		}
 	}
--- a/topology/search.go
+++ b/topology/search.go
@@ -38,8 +38,8 @@
 		return 0
 	}
 	s.targetCPUs = supply + stranded
-	s.attemptUntil = now.Add(startup + tuning.SeekAfterBoot)
-	s.pause = min(max(2*s.pause, tuning.SeekPause), tuning.SeekPauseMost)
+	s.attemptUntil = now.Add(startup + tuning.SearchAfterBoot)
+	s.pause = min(max(2*s.pause, tuning.SearchPause), tuning.SearchPauseMax)
 	s.nextAttempt = s.attemptUntil.Add(s.pause)
 	return s.targetCPUs
 }
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -143,7 +143,7 @@
 func (m *Map) Check(machines []string) error {
 	var mistakes []error
 	for _, name := range machines {
-		if _, ambiguous := m.Of(name); ambiguous && len(mistakes) < tuning.MistakesTold {
+		if _, ambiguous := m.Of(name); ambiguous && len(mistakes) < tuning.MaxReportedErrors {
 			mistakes = append(mistakes, fmt.Errorf("topology: machine %q stands in two domains; make the patterns exclude one another", name))
 		}
 	}
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Passed counts a request that was handled without the leader, as it did not answer.
-func (c *Counter) Passed() {
+// LeaderBypassed counts a request that was handled without the leader, as it did not answer.
+func (c *Counter) LeaderBypassed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current.LeaderBypassed++
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -7,7 +7,7 @@
 	counter.Add(true, false)
 	counter.Add(true, true)
 	counter.Add(false, true)
-	counter.Passed()
+	counter.LeaderBypassed()
 	want := Counts{StateQueries: 2, OtherRequests: 1, Refused: 2, LeaderBypassed: 1}
 	if got := counter.Take(); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -18,55 +18,55 @@
 	// Holdover bounds how long a leader that lost the state service goes on
 	// answering reports. Long against an outage, and no proof rests on it.
 	Holdover = 180 * time.Second
-	// StandAgain is how long a leader that resigned leaves the post to others.
-	StandAgain = 5 * time.Second
-	// LoneDelay holds back a candidate that reaches no sibling, so that one
+	// CampaignDelay is how long a leader that resigned leaves the post to others.
+	CampaignDelay = 5 * time.Second
+	// IsolatedDelay holds back a candidate that reaches no sibling, so that one
 	// with a working network wins.
-	LoneDelay = 1500 * time.Millisecond
-	// DeafAfter: a leader that hears no worker and no sibling for so long,
+	IsolatedDelay = 1500 * time.Millisecond
+	// IsolatedAfter: a leader that hears no worker and no sibling for so long,
 	// while machines should report, resigns.
-	DeafAfter = 3500 * time.Millisecond
-	// DeafCommands is how many commands in a row must have gone unanswered, besides,
+	IsolatedAfter = 3500 * time.Millisecond
+	// OutboundLostCommands is how many commands in a row must have gone unanswered, besides,
 	// before a leader holds itself and not the machines for cut off.
-	DeafCommands = 5
-	// Interregnum is how long, with nobody leading although the state service answers,
+	OutboundLostCommands = 5
+	// LeaderlessGrace is how long, with nobody leading although the state service answers,
 	// workers are answered with the last term's token: several elections.
-	Interregnum = 6 * time.Second
-	// KeepMargin is taken off the time for which a controller that hears of no
+	LeaderlessGrace = 6 * time.Second
+	// LeaseRenewalMargin is taken off the time for which a controller that hears of no
 	// cancellation renews leases: drift and the worker's own delay. A command that was
 	// lost just before the cut began is the second line's matter.
-	KeepMargin = time.Second
-	// CancelReturn before a cancelled task must be gone, its machine is returned: a cloud
+	LeaseRenewalMargin = time.Second
+	// CancelReleaseMargin before a cancelled task must be gone, its machine is returned: a cloud
 	// call takes up to 5 s.
-	CancelReturn = 6 * time.Second
+	CancelReleaseMargin = 6 * time.Second
 	// ElectRetry paces a candidate whose attempt failed.
 	ElectRetry = 250 * time.Millisecond
 )
 
 // Pace of computing, which controllers compare.
 const (
-	// PaceBytes are hashed so many times, PaceRounds, to measure it: small enough to stay in
+	// BenchmarkBytes are hashed so many times, BenchmarkRounds, to measure it: small enough to stay in
 	// the nearest cache after the first time, long enough, some 80 microseconds, that this
 	// first time does not count, and a thousandth of the processor.
-	PaceBytes  = 16 << 10
-	PaceRounds = 8
-	// PaceEvery and PaceTries: others compare with the most of so many tries, half a
+	BenchmarkBytes  = 16 << 10
+	BenchmarkRounds = 8
+	// BenchmarkEvery and BenchmarkSamples: others compare with the most of so many tries, half a
 	// minute's: however many a coarse clock shows as nothing, one of them shows its time.
-	PaceEvery = 100 * time.Millisecond
-	PaceTries = 300
-	// PaceLast and PaceRank: of its own last tries a controller compares the third largest:
+	BenchmarkEvery   = 100 * time.Millisecond
+	BenchmarkSamples = 300
+	// BenchmarkRecent and BenchmarkRank: of its own last tries a controller compares the third largest:
 	// one or two may have been disturbed.
-	PaceLast = 30
-	PaceRank = 3
-	// SlowPace is how many times slower than a sibling a leader may compute.
+	BenchmarkRecent = 30
+	BenchmarkRank   = 3
+	// TransferSlowdown is how many times slower than a sibling a leader may compute.
 	// Machines of one kind differ by a tenth or so.
-	SlowPace = 2.0
-	// SlowFor is how long that must last: a change of leader costs a second or
+	TransferSlowdown = 2.0
+	// TransferAfter is how long that must last: a change of leader costs a second or
 	// two of starts.
-	SlowFor = 1500 * time.Millisecond
-	// SlowTerm is the least length of a term that ends for this reason, so
+	TransferAfter = 1500 * time.Millisecond
+	// TransferMinTerm is the least length of a term that ends for this reason, so
 	// that two slow controllers do not pass it back and forth.
-	SlowTerm = 20 * time.Second
+	TransferMinTerm = 20 * time.Second
 )
 
 // Calls.
@@ -127,15 +127,15 @@
 
 // Sockets, as parts of the platform's limit.
 const (
-	// SocketsScarce: from here on workers close their connections after each answer.
-	SocketsScarce = 0.7
-	// SocketsCommands: from here on commands to workers open none.
-	SocketsCommands = 0.8
-	// SocketsFull: above it idle workers' connections are closed for newcomers. The rest
+	// ConnNearLimit: from here on workers close their connections after each answer.
+	ConnNearLimit = 0.7
+	// ConnCommandLimit: from here on commands to workers open none.
+	ConnCommandLimit = 0.8
+	// ConnFull: above it idle workers' connections are closed for newcomers. The rest
 	// is what may open in the moments that this takes.
-	SocketsFull = 0.9
-	// SocketsTold is how often it is logged that sockets are scarce.
-	SocketsTold = 10 * time.Second
+	ConnFull = 0.9
+	// ConnLogEvery is how often it is logged that sockets are scarce.
+	ConnLogEvery = 10 * time.Second
 )
 
 // RefusedKept is how many refused jobs a controller remembers to spread their users' retries.
@@ -182,37 +182,37 @@
 	// QuotaShare is the share of the write limit that the leader uses; the
 	// rest is for siblings that accept jobs themselves.
 	QuotaShare = 0.8
-	// EndsTogether is how long the end of a task may wait to be recorded with others of its
+	// CompletionBatchDelay is how long the end of a task may wait to be recorded with others of its
 	// shard, while its job is not over: what is lost if its machine dies meanwhile is one task.
-	EndsTogether = 2 * time.Second
+	CompletionBatchDelay = 2 * time.Second
 	// UrgentReserve of a second's changes are kept for accepts, cancellations, ends and what
 	// production starts: a burst of some jobs is then stored at once whatever else waits.
 	UrgentReserve = 0.25
-	// RecordWaits is how long a record waits behind others before RecordTurns of all changes are for
+	// RecordOverdueAfter is how long a record waits behind others before OverdueShare of all changes are for
 	// those that have, oldest first.
-	RecordWaits = 5 * time.Second
-	RecordTurns = 0.25
-	// AsideFor is how long a record is left alone that the state service does not take.
-	AsideFor = 10 * time.Second
+	RecordOverdueAfter = 5 * time.Second
+	OverdueShare       = 0.25
+	// QuarantineTime is how long a record is left alone that the state service does not take.
+	QuarantineTime = 10 * time.Second
 	// ReservedFor is how long a domain stays reserved without being asked for again, some rounds;
 	// ReservedMost is how many are at once: each keeps room empty that others wait for.
 	ReservedFor  = 3 * time.Second
 	ReservedMost = 4
-	// SeekAfterBoot is how long a machine that was rented for a task without a place may take to
-	// report and get it, beyond its boot; SeekPause and SeekPauseMost are the pauses between such
+	// SearchAfterBoot is how long a machine that was rented for a task without a place may take to
+	// report and get it, beyond its boot; SearchPause and SearchPauseMax are the pauses between such
 	// tries: a rack may be free at any time, but each try in vain costs a boot.
-	SeekAfterBoot = 30 * time.Second
-	SeekPause     = 2 * time.Minute
-	SeekPauseMost = time.Hour
-	// AimAgain is how long it is not looked again for where room can be made for a job that must
+	SearchAfterBoot = 30 * time.Second
+	SearchPause     = 2 * time.Minute
+	SearchPauseMax  = time.Hour
+	// DomainSearchEvery is how long it is not looked again for where room can be made for a job that must
 	// stand near: all machines are looked at for that.
-	AimAgain = time.Second
+	DomainSearchEvery = time.Second
 	// TopologyEvery is how often the topology file is looked at for a new version.
 	TopologyEvery = 5 * time.Second
-	// SitePrice is what each reason against a machine weighs in the choice for a replica that
+	// SiteCost is what each reason against a machine weighs in the choice for a replica that
 	// only wishes to stand near or apart, in seconds until it starts: more than a fetch of a
 	// large image, so that a wish counts for more than a start a minute earlier.
-	SitePrice = 60.0
+	SiteCost = 60.0
 	// HedgeSpare is the share of what a writer may write at once that must be left for
 	// transactions to be sent again.
 	HedgeSpare = 0.5
@@ -222,19 +222,19 @@
 
 // Pipelines: jobs that await others.
 const (
-	// AwaitsMost is how many jobs one may await: at under 40 bytes each, and a job's other
+	// MaxDependencies is how many jobs one may await: at under 40 bytes each, and a job's other
 	// fields, its record stays within 2 KiB for ids of usual length.
-	AwaitsMost = 64
-	// AwaitsAtOnce bounds how many keys are read at once to look awaited jobs up.
-	AwaitsAtOnce = 8
-	// AwaitsAgain is how long after an awaited job was not found it is looked for once more,
+	MaxDependencies = 64
+	// DependencyLookups bounds how many keys are read at once to look awaited jobs up.
+	DependencyLookups = 8
+	// DependencyRetryDelay is how long after an awaited job was not found it is looked for once more,
 	// before its submission is refused for good: another node may just be storing it.
-	AwaitsAgain = 250 * time.Millisecond
-	// AwaitsReads is how many jobs before one are looked at to answer for it without the
+	DependencyRetryDelay = 250 * time.Millisecond
+	// MaxDependencyReads is how many jobs before one are looked at to answer for it without the
 	// leader; with more, its user is told to ask again.
-	AwaitsReads = 40
-	// AwaitsRetry paces looking up awaited jobs of which the state service did not tell.
-	AwaitsRetry = 500 * time.Millisecond
+	MaxDependencyReads = 40
+	// DependencyRetryEvery paces looking up awaited jobs of which the state service did not tell.
+	DependencyRetryEvery = 500 * time.Millisecond
 	// StageGapMS is what passes between the end of a job and the first start of one that
 	// waits for it, beside the fetch: the report of the end, its record, that of the start and
 	// the command.
@@ -243,23 +243,23 @@
 
 // Membership: how controllers judge each other by their greetings, which come every PeerHello.
 const (
-	// ArrivalsKept are the last times between greetings that count, some 50 s of them;
-	// ArrivalsPrior is how many of them the priors weigh, ArrivalsSpread the priors' deviation
+	// IntervalsKept are the last times between greetings that count, some 50 s of them;
+	// IntervalsPrior is how many of them the priors weigh, IntervalsSpread the priors' deviation
 	// as a part of the usual time, and the least at any time.
-	ArrivalsKept   = 100
-	ArrivalsPrior  = 10.0
-	ArrivalsSpread = 0.25
+	IntervalsKept   = 100
+	IntervalsPrior  = 10.0
+	IntervalsSpread = 0.25
 	// PhiSuspect is the phi from which on a member is suspected: one silence in 100,000 by
-	// chance, 1.05 s with greetings as usual. PhiFail, after FailQuiet at least, which a pause
+	// chance, 1.05 s with greetings as usual. PhiFail, after FailSilence at least, which a pause
 	// seldom reaches, and with another controller that does not hear it either, is a verdict.
-	// PhiMost bounds it, where numbers end.
-	PhiSuspect = 5.0
-	PhiFail    = 12.0
-	PhiMost    = 40.0
-	FailQuiet  = 3500 * time.Millisecond
-	// PauseLeast between two steps, which come four times a second or more, is a standstill of
+	// PhiMax bounds it, where numbers end.
+	PhiSuspect  = 5.0
+	PhiFail     = 12.0
+	PhiMax      = 40.0
+	FailSilence = 3500 * time.Millisecond
+	// MinPause between two steps, which come four times a second or more, is a standstill of
 	// our own.
-	PauseLeast = 700 * time.Millisecond
+	MinPause = 700 * time.Millisecond
 	// HealthMost bounds how many times our own troubles stretch the time before others are
 	// suspected; one of them is forgotten every HealthAgain; from HealthSlow on we call
 	// ourselves slow.
@@ -270,12 +270,12 @@
 	CrashFresh = 3 * time.Second
 	// ViewFresh is how old a greeting may be for what it says of others to count: three of them.
 	ViewFresh = 1500 * time.Millisecond
-	// LeaveMost bounds a planned end; LeaveTold is how long siblings and load balancer are given
-	// to hear of it (two probes, a second each), LeaveAfter how long requests that still came
+	// ShutdownMax bounds a planned end; ShutdownNoticeTime is how long siblings and load balancer are given
+	// to hear of it (two probes, a second each), ShutdownLinger how long requests that still came
 	// here are served once another leads.
-	LeaveMost  = 10 * time.Second
-	LeaveTold  = 2500 * time.Millisecond
-	LeaveAfter = 500 * time.Millisecond
+	ShutdownMax        = 10 * time.Second
+	ShutdownNoticeTime = 2500 * time.Millisecond
+	ShutdownLinger     = 500 * time.Millisecond
 	// MembersEvery is the pace of steps without observations.
 	MembersEvery = 200 * time.Millisecond
 )
@@ -294,77 +294,77 @@
 	SilentReports = 3.2
 	// SilentMin is the least such time: loss and resending take a second.
 	SilentMin = 3500 * time.Millisecond
-	// StandstillMin is the least gap between a leader's rounds, of which there are
+	// MinProcessPause is the least gap between a leader's rounds, of which there are
 	// two a second or more, that is a standstill and not load.
-	StandstillMin = 1500 * time.Millisecond
-	// CutLeases times the workers' lease: so long a machine that may be behind
+	MinProcessPause = 1500 * time.Millisecond
+	// PartitionLeases times the workers' lease: so long a machine that may be behind
 	// a cut is left alone. Its zone's controllers may be keeping its tasks
 	// alive; replicas that are spread could not run elsewhere anyway.
-	CutLeases = 6
+	PartitionLeases = 6
 	// ReadyUnknown is what a machine whose type is not known is taken to need to boot.
 	ReadyUnknown = time.Minute
-	// ReturnFreely is the silent share of a zone up to which its machines are given up as
-	// they become due; up to ReturnSlowly, ReturnShare of the zone's machines a second are,
-	// above it a fifth of that. ReturnAtOnce of them, and ReturnAnyway machines, may go
+	// EvictFreelyShare is the silent share of a zone up to which its machines are given up as
+	// they become due; up to EvictSlowlyShare, EvictShare of the zone's machines a second are,
+	// above it a fifth of that. EvictBurstShare of them, and EvictBurstMachines machines, may go
 	// at any moment. A third of a zone at once is more than spot waves took; above 55%
 	// Kubernetes slows down as well.
-	ReturnFreely = 0.34
-	ReturnSlowly = 0.55
-	ReturnShare  = 0.02
-	ReturnAtOnce = 0.05
-	ReturnAnyway = 8.0
-	// ReturnTold is how often it is logged that machines are not given up.
-	ReturnTold = 10 * time.Second
+	EvictFreelyShare   = 0.34
+	EvictSlowlyShare   = 0.55
+	EvictShare         = 0.02
+	EvictBurstShare    = 0.05
+	EvictBurstMachines = 8.0
+	// EvictionLogEvery is how often it is logged that machines are not given up.
+	EvictionLogEvery = 10 * time.Second
 	// NewTermGrace is added to the workers' lease before a new leader gives
 	// up a machine that it has not heard yet.
 	NewTermGrace = 2 * time.Second
-	// BootUsual times the catalog's boot time, or that of machines rented later, is
+	// StartupUsualFactor times the catalog's boot time, or that of machines rented later, is
 	// what a boot takes at most as a rule.
-	BootUsual = 1.6
-	// BootFactor times the catalog's boot time: later machines are replaced.
-	BootFactor = 3.0
-	// SickErrors: so many errors in a row, of two jobs or more, and the
+	StartupUsualFactor = 1.6
+	// StartupDeadlineFactor times the catalog's boot time: later machines are replaced.
+	StartupDeadlineFactor = 3.0
+	// FaultyFailures: so many errors in a row, of two jobs or more, and the
 	// machine is suspect.
-	SickErrors = 3
-	// MistakeMachines: a job that failed on so many machines, with nothing of it
+	FaultyFailures = 3
+	// BrokenJobMachines: a job that failed on so many machines, with nothing of it
 	// working, more likely has a mistake than bad luck.
-	MistakeMachines = 3
-	// MistakeRun is how long a task runs that is not failing: mistakes and faulty
+	BrokenJobMachines = 3
+	// BrokenJobRunTime is how long a task runs that is not failing: mistakes and faulty
 	// machines show at once.
-	MistakeRun = 3 * time.Second
-	// RefusedPause: after a 503 this kind of machine is not asked for again
+	BrokenJobRunTime = 3 * time.Second
+	// InstanceRefusalPause: after a 503 this kind of machine is not asked for again
 	// for a while.
-	RefusedPause = 12 * time.Second
+	InstanceRefusalPause = 12 * time.Second
 	// ListLagMost times the cloud's lag is how old its list may be, as the protocol says.
 	ListLagMost = 2.0
 	// ListEvery paces the machine list.
 	ListEvery = 5 * time.Second
 	// CatalogEvery paces the catalog.
 	CatalogEvery = 60 * time.Second
-	// ServiceSpare times what may not run on spot machines is kept on ordinary
+	// ServiceHeadroom times what may not run on spot machines is kept on ordinary
 	// ones, so that replicas of a lost machine find room.
-	ServiceSpare = 1.3
-	// RentBatch is the cloud's limit for one rental.
-	RentBatch = 50
-	// ReturnBatch is the cloud's limit for one return.
-	ReturnBatch = 100
-	// SpotNoticeSlack is kept free before a machine is taken back, in seconds.
-	SpotNoticeSlack = 1.0
+	ServiceHeadroom = 1.3
+	// InstanceRequestBatch is the cloud's limit for one rental.
+	InstanceRequestBatch = 50
+	// ReleaseBatch is the cloud's limit for one return.
+	ReleaseBatch = 100
+	// PreemptionNoticeSlack is kept free before a machine is taken back, in seconds.
+	PreemptionNoticeSlack = 1.0
 )
 
 // Workers that are sent from node to node.
 const (
-	// BounceTrip is how long a worker may take to leave for the node that it
+	// RedirectTrip is how long a worker may take to leave for the node that it
 	// was sent to: half a second and a report already under way.
-	BounceTrip = 2 * time.Second
-	// BounceKeep is how long a worker that came back is not sent there again.
-	BounceKeep = 30 * time.Second
-	// BounceProbe is how often one worker may be sent to a controller that hears
+	RedirectTrip = 2 * time.Second
+	// RedirectBackoff is how long a worker that came back is not sent there again.
+	RedirectBackoff = 30 * time.Second
+	// RedirectProbe is how often one worker may be sent to a controller that hears
 	// none. It loses half its lease if that one is deaf.
-	BounceProbe = 10 * time.Second
-	// HearsReports: a controller hears workers if one reported to it within so
+	RedirectProbe = 10 * time.Second
+	// RecentHeartbeats: a controller hears workers if one reported to it within so
 	// many report intervals.
-	HearsReports = 2.5
+	RecentHeartbeats = 2.5
 )
 
 // Relay of reports through the state service, while a sibling does not reach
@@ -373,24 +373,24 @@
 	// RelayEvery is the pace of writing reports: a write a second is little
 	// against the state service's limit.
 	RelayEvery = 700 * time.Millisecond
-	// RelayKeep is how long an unchanged report is not written again.
-	RelayKeep = 3 * time.Second
-	// RelayStageKeep is RelayKeep for agents: under their reports' usual interval, so that
+	// RelayRefresh is how long an unchanged report is not written again.
+	RelayRefresh = 3 * time.Second
+	// RelayStageRefresh is RelayRefresh for agents: under their reports' usual interval, so that
 	// each of these is passed on, and none is taken for silent.
-	RelayStageKeep = 1500 * time.Millisecond
-	// LetterMargin is kept free in a value for the JSON around a letter, in bytes.
-	LetterMargin = 160
-	// LetterRequest bounds a transaction of letters, in bytes, against 64 KiB: keys and
+	RelayStageRefresh = 1500 * time.Millisecond
+	// PacketMargin is kept free in a value for the JSON around a letter, in bytes.
+	PacketMargin = 160
+	// PacketRequestBytes bounds a transaction of letters, in bytes, against 64 KiB: keys and
 	// conditions are the rest.
-	LetterRequest = 56 << 10
-	// LetterRatio bounds how many bytes of messages are packed at once for each byte that
+	PacketRequestBytes = 56 << 10
+	// PacketRatio bounds how many bytes of messages are packed at once for each byte that
 	// a letter holds.
-	LetterRatio = 12.0
-	// LetterPieces is the most pieces of one message: 1 MiB that does not pack.
-	LetterPieces = 256
-	// LetterMachines is how many machines' mail stands in one letter as a rule: a change
+	PacketRatio = 12.0
+	// MaxPacketPieces is the most pieces of one message: 1 MiB that does not pack.
+	MaxPacketPieces = 256
+	// PacketMachines is how many machines' mail stands in one letter as a rule: a change
 	// for one of them writes it anew.
-	LetterMachines = 48
+	PacketMachines = 48
 	// RelayShare is the share of the state service's limit of writes that each controller
 	// takes to pass reports on: two of them beside the leader's 0.8.
 	RelayShare = 0.1
@@ -410,28 +410,28 @@
 	// BeginMostS is the most that operators may set begin_by_s to, in seconds: users expect the
 	// largest jobs, too, to begin within four minutes, and a machine takes some time to drain.
 	BeginMostS = 200
-	// KeepRoomEvery is how often it is looked for machines to keep for a job whose turn has come.
-	KeepRoomEvery = time.Second
-	// TurnKept is how long a task that was started because its job had waited long makes room for
+	// StarvationReserveEvery is how often it is looked for machines to keep for a job whose turn has come.
+	StarvationReserveEvery = time.Second
+	// StarvedStartProtected is how long a task that was started because its job had waited long makes room for
 	// production alone: most tasks are done by then.
-	TurnKept = time.Minute
-	// CancelStarts is how long the answer to a cancellation waits for starts that are under way: a command's answer
+	StarvedStartProtected = time.Minute
+	// CancelStartWait is how long the answer to a cancellation waits for starts that are under way: a command's answer
 	// takes milliseconds, a report after a change half a second, and users wait 5 s.
-	CancelStarts = time.Second
-	// PassedBy is after how long it is logged that a job waits though a machine has room for it: before users call
+	CancelStartWait = time.Second
+	// PassedOverAfter is after how long it is logged that a job waits though a machine has room for it: before users call
 	// that a fault, at 90 s.
-	PassedBy = time.Minute
+	PassedOverAfter = time.Minute
 	// QuotaReserved is how long room of a team's limit is reserved without its coming, and QuotaRests how long there
 	// is none then: users expect that nobody waits 90 s while their team is under its limit.
 	QuotaReserved = time.Minute
 	QuotaRests    = 15 * time.Second
-	// KeptShare of the machines may be kept so at once: half of their room stands empty while they
+	// ReservedShare of the machines may be kept so at once: half of their room stands empty while they
 	// drain, some 2% of the fleet.
-	KeptShare = 0.05
+	ReservedShare = 0.05
 	// FleetLogEvery is the pace of the log line that tells how full the fleet is.
 	FleetLogEvery = 10 * time.Second
-	// TendEvery is the pace of renting and returning.
-	TendEvery = 500 * time.Millisecond
+	// MaintainEvery is the pace of renting and returning.
+	MaintainEvery = 500 * time.Millisecond
 	// BackoffBase and BackoffMax pace a job that fails across machines.
 	BackoffBase = time.Second
 	BackoffMax  = 60 * time.Second
@@ -460,15 +460,15 @@
 	WorkWaiting = 1.0
 	// WorkMost bounds that time, in seconds, against absurd estimates.
 	WorkMost = 1e6
-	// MovedLoss is what each earlier stop adds to the loss of stopping a task
+	// PreemptionLoss is what each earlier stop adds to the loss of stopping a task
 	// again: about a task's run time, so that it is some other's turn.
-	MovedLoss = 30 * time.Second
+	PreemptionLoss = 30 * time.Second
 	// ReportTasks is how many tasks, ended ones that are not cleared included, a
 	// machine may have and still get more: at some 75 bytes each, its report fits
 	// a relay's record of 16 KiB, and a body of 64 KiB with ease.
 	ReportTasks = 160
-	// RoomSlack absorbs the rounding of decimal amounts.
-	RoomSlack = 1e-6
+	// ResourceSlack absorbs the rounding of decimal amounts.
+	ResourceSlack = 1e-6
 )
 
 // Process.
@@ -497,8 +497,8 @@
 	// OddParts is how many parts may have a size of their own, so that a dataset's
 	// record, at some 20 bytes each, stays within one value of the state service.
 	OddParts = 400
-	// MistakesTold bounds the mistakes in one answer.
-	MistakesTold = 20
+	// MaxReportedErrors bounds the mistakes in one answer.
+	MaxReportedErrors = 20
 	// InputsLimit is the most inputs of a job.
 	InputsLimit = 16
 	// GroupsFilled is how many groups of tasks, the largest, are water-filled over the
@@ -563,10 +563,10 @@
 	StageAhead = 4
 	// CardsMost is the most cards of a machine.
 	CardsMost = 64
-	// HoldsEvery is the pace of storing who holds what, a hint worth few writes;
-	// HoldsMargin is kept free in its value for the JSON around it, in bytes.
-	HoldsEvery  = 10 * time.Second
-	HoldsMargin = 64
+	// ReplicaHintsEvery is the pace of storing who holds what, a hint worth few writes;
+	// ReplicaHintMargin is kept free in its value for the JSON around it, in bytes.
+	ReplicaHintsEvery = 10 * time.Second
+	ReplicaHintMargin = 64
 	// RemovePoll is how often the command line asks whether a dataset is removed.
 	RemovePoll = 2 * time.Second
 	// RemoveTries is how often a dataset's record is read again when it changed meanwhile.
@@ -581,19 +581,19 @@
 	// HopsSuspect newer reports that show nothing of an answer, and a machine is suspected to be
 	// half-deaf: one is what a controller that failed leaves behind.
 	HopsSuspect = 2
-	// HopsHalfDeaf such reports over a lease, and it is: workers turn to another controller 5 s after
+	// HopsOutboundLost such reports over a lease, and it is: workers turn to another controller 5 s after
 	// a report that got no answer, so three take one lease of 10 s.
-	HopsHalfDeaf = 3
-	// MuteLeases is for how many leases a machine that answers commands and reaches no controller is kept: filters
+	HopsOutboundLost = 3
+	// InboundLostLeases is for how many leases a machine that answers commands and reaches no controller is kept: filters
 	// between machines and controllers are mended in less, and it costs a boot to replace it.
-	MuteLeases = 2
-	// AsksAtOnce is how many machines that are suspected so, or silent, are asked at once whether they hear,
+	InboundLostLeases = 2
+	// ProbesAtOnce is how many machines that are suspected so, or silent, are asked at once whether they hear,
 	// each for WorkerTimeout at the most: a zone of hundreds must not take all sockets. Silent ones must be asked
 	// between 2.5 and 3.2 report intervals, a fifth of a thousand in two seconds.
-	AsksAtOnce = 48
-	// NewestKept is how many machines a controller remembers the newest report of, to tell copies:
+	ProbesAtOnce = 48
+	// HeartbeatsKept is how many machines a controller remembers the newest report of, to tell copies:
 	// four times the largest fleet, some 100 bytes each.
-	NewestKept = 4096
+	HeartbeatsKept = 4096
 )
 
 // Word of cancellations between controllers (package watermark).
@@ -623,11 +623,11 @@
 // Live configuration (package configuration).
 const (
 	// ConfigurationEvery is the pace at which a controller that does not lead looks for a newer revision: two followers
-	// take five reads a second of the state service's limit. ConfigurationRight is for how long from its question it may
+	// take five reads a second of the state service's limit. ConfigurationLease is for how long from its question it may
 	// go by what it has read: three of these, so that one late answer does not end it, and short against the 4 s in which
 	// a change must be in force everywhere.
 	ConfigurationEvery = 400 * time.Millisecond
-	ConfigurationRight = 1500 * time.Millisecond
+	ConfigurationLease = 1500 * time.Millisecond
 	// ConfigurationGrain is added to that by whoever waits for it to end: the drift of two clocks over it, below 1 ms,
 	// and a timer's delay.
 	ConfigurationGrain = 50 * time.Millisecond
--- a/watermark/limits.go
+++ b/watermark/limits.go
@@ -22,7 +22,7 @@
 // late as is allowed ends before the tasks of the first unknown cancellation must be gone.
 func NewLimits(cancel, lease time.Duration) Limits {
 	return Limits{
-		RenewFor:  cancel - lease - tuning.KeepMargin,
+		RenewFor:  cancel - lease - tuning.LeaseRenewalMargin,
 		MaxAge:    cancel + lease/2,
 		Retention: cancel + lease,
 	}
