--- a/controller/admission.go
+++ b/controller/admission.go
@@ -27,95 +27,95 @@
 	err    error
 	// undecided: what it hangs on is not known, which leaves a known job its answer; again is why its user has to ask
 	// again whatever is known.
-	undecided bool
-	again     string
-	judged    admission
+	undecided   bool
+	retryReason string
+	admission   admission
 }
 
 func (c *Controller) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
 	if id != "" {
-		if f, ok := c.terminalState(id); ok {
-			return peer.JSONResponse(http.StatusOK, f.JobStatus(id))
+		if final, ok := c.terminalState(id); ok {
+			return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
 		}
 		if sched != nil {
-			if st, ok := sched.JobStatus(id); ok {
-				return peer.JSONResponse(http.StatusOK, st)
+			if job, ok := sched.JobStatus(id); ok {
+				return peer.JSONResponse(http.StatusOK, job)
 			}
 		}
 	}
-	v := submissionVerdict{status: http.StatusBadRequest, err: err}
+	verdict := submissionVerdict{status: http.StatusBadRequest, err: err}
 	if err == nil {
-		v = c.evaluateSubmission(ctx, sched, submission, body)
+		verdict = c.evaluateSubmission(ctx, sched, submission, body)
 	}
 	switch {
-	case v.again != "":
-		return peer.RetryLater(v.again)
-	case v.err != nil || v.undecided:
-		return c.refuseSubmission(ctx, sched, id, v)
+	case verdict.retryReason != "":
+		return peer.RetryLater(verdict.retryReason)
+	case verdict.err != nil || verdict.undecided:
+		return c.refuseSubmission(ctx, sched, id, verdict)
 	case sched == nil:
-		return c.submitWithoutLeader(ctx, submission, body, v.judged.conds...)
+		return c.submitWithoutLeader(ctx, submission, body, verdict.admission.conditions...)
 	}
-	if a, ok := sched.Submit(ctx, submission, c.clock.Now()); ok {
-		return a
+	if response, ok := sched.Submit(ctx, submission, c.clock.Now()); ok {
+		return response
 	}
-	a := c.answerStatus(ctx, sched, id, false)
-	if a.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
+	response := c.answerStatus(ctx, sched, id, false)
+	if response.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
 		// One of its datasets was taken off the list meanwhile.
 		if status, err, _ := c.checkInputs(ctx, sched, submission, body); err != nil {
 			return peer.Refusal(status, err)
 		}
 		return peer.RetryLater("a dataset of the job has just changed")
 	}
-	return a
+	return response
 }
 
 // evaluateSubmission checks what can be wrong with a submission, one thing after the other.
-func (c *Controller) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (v submissionVerdict) {
-	v.status = http.StatusUnprocessableEntity
-	v.judged, v.err, v.undecided = c.canRun(sched, submission)
-	if v.err == nil {
-		if v.err = c.fitsSomeMachineType(submission); v.err != nil {
-			v.status = http.StatusBadRequest
+func (c *Controller) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
+	verdict.status = http.StatusUnprocessableEntity
+	verdict.admission, verdict.err, verdict.undecided = c.canRun(sched, submission)
+	if verdict.err == nil {
+		if verdict.err = c.fitsSomeMachineType(submission); verdict.err != nil {
+			verdict.status = http.StatusBadRequest
 		}
 	}
-	if v.err == nil && c.topology != nil {
-		v.status, v.err = checkSite(submission, body)
+	if verdict.err == nil && c.topology != nil {
+		verdict.status, verdict.err = checkSite(submission, body)
 	}
-	if v.err == nil && !v.undecided && len(submission.Awaits) > 0 {
-		if v.again, v.err = c.checkDependencies(ctx, sched, submission); v.again != "" {
-			return v
+	if verdict.err == nil && !verdict.undecided && len(submission.Awaits) > 0 {
+		if verdict.retryReason, verdict.err = c.checkDependencies(ctx, sched, submission); verdict.retryReason != "" {
+			return verdict
 		}
-		v.status = http.StatusUnprocessableEntity
+		verdict.status = http.StatusUnprocessableEntity
 	}
-	if v.err == nil && !v.undecided && c.data.On {
-		v.status, v.err, v.undecided = c.checkInputs(ctx, sched, submission, body)
+	if verdict.err == nil && !verdict.undecided && c.data.On {
+		verdict.status, verdict.err, verdict.undecided = c.checkInputs(ctx, sched, submission, body)
 	}
-	return v
+	return verdict
 }
 
 // refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is never refused, whatever the
 // body, nor sent away while nothing can be judged.
-func (c *Controller) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, v submissionVerdict) peer.Response {
+func (c *Controller) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
 			if here, _, _ := sched.DependencyState(id); here {
 				return peer.RetryLater("the job is just being accepted")
 			}
 		}
-		if st, found, err := c.lookUp(ctx, sched, id, false); err != nil {
+		if job, found, err := c.lookUp(ctx, sched, id, false); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		} else if found {
-			return peer.JSONResponse(http.StatusOK, st)
+			return peer.JSONResponse(http.StatusOK, job)
 		}
 	}
 	switch {
-	case v.err != nil && !v.judged.stillValid(c, sched):
+	case verdict.err != nil && !verdict.admission.stillValid(c, sched):
 		return peer.RetryLater("the configuration has just changed")
-	case v.err != nil:
-		return peer.Refusal(v.status, v.err)
-	case v.judged.why != "":
-		return peer.RetryLater(v.judged.why)
+	case verdict.err != nil:
+		return peer.Refusal(verdict.status, verdict.err)
+	case verdict.admission.unknownReason != "":
+		return peer.RetryLater(verdict.admission.unknownReason)
 	case c.data.On:
 		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
@@ -133,61 +133,61 @@
 
 // admission is what a submission was judged by.
 type admission struct {
-	// by are the configurations under which the answer must come out the same; conds hold while a follower's is the
+	// configurations are those under which the answer must come out the same; conds hold while a follower's is the
 	// newest.
-	by    []*configuration.Active
-	conds []store.Condition
-	// why nothing could be judged, where it is the configuration's matter.
-	why string
+	configurations []*configuration.Active
+	conditions     []store.Condition
+	// unknownReason says why nothing could be judged, where that is a matter of the configuration.
+	unknownReason string
 }
 
 // admissionRules gives what a submission is judged by now.
 func (c *Controller) admissionRules(sched *scheduler.Scheduler) admission {
 	if c.revisions == nil {
-		return admission{by: c.fileConfiguration}
+		return admission{configurations: c.fileConfiguration}
 	}
 	if applier := c.currentApplier(); sched != nil && applier != nil {
 		by := applier.Candidates()
 		if len(by) == 0 || !sched.Leading() {
-			return admission{why: "the configuration is not known yet"}
+			return admission{unknownReason: "the configuration is not known yet"}
 		}
-		return admission{by: by}
+		return admission{configurations: by}
 	}
 	right, ok := c.revisions.Lease()
 	if !ok {
-		return admission{why: "the configuration cannot be confirmed now"}
+		return admission{unknownReason: "the configuration cannot be confirmed now"}
 	}
-	return admission{by: []*configuration.Active{right.Active}, conds: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
+	return admission{configurations: []*configuration.Active{right.Active}, conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
 }
 
 // canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
 // active is not, or it is just changing and the answers differ.
-func (c *Controller) canRun(sched *scheduler.Scheduler, submission *api.Submission) (judged admission, err error, undecided bool) {
+func (c *Controller) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admission, err error, undecided bool) {
 	c.mu.Lock()
 	types := c.machineTypes
 	c.mu.Unlock()
-	judged = c.admissionRules(sched)
-	if judged.why != "" {
-		return judged, nil, true
+	rules = c.admissionRules(sched)
+	if rules.unknownReason != "" {
+		return rules, nil, true
 	}
-	for i, active := range judged.by {
+	for i, active := range rules.configurations {
 		found, open := feasibility.CanRun(submission, active.Limit, types)
 		if i > 0 && (found == nil) != (err == nil) {
-			judged.why = "the configuration is just changing"
-			return judged, nil, true
+			rules.unknownReason = "the configuration is just changing"
+			return rules, nil, true
 		}
 		err, undecided = found, undecided || open
 	}
-	return judged, err, undecided
+	return rules, err, undecided
 }
 
 // stillValid tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
 // stood still.
-func (j admission) stillValid(n *Controller, sched *scheduler.Scheduler) bool {
-	if n.revisions == nil || j.by == nil {
+func (j admission) stillValid(controller *Controller, sched *scheduler.Scheduler) bool {
+	if controller.revisions == nil || j.configurations == nil {
 		return true
 	}
-	return slices.Equal(j.by, n.admissionRules(sched).by)
+	return slices.Equal(j.configurations, controller.admissionRules(sched).configurations)
 }
 
 // checkSite reads what a submission asks of where its tasks stand, and whether that can be.
@@ -199,8 +199,8 @@
 		// Its tasks can run a few at a time.
 		return 0, nil
 	}
-	if why := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); why != "" {
-		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: why}
+	if reason := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); reason != "" {
+		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: reason}
 	}
 	return 0, nil
 }
@@ -228,7 +228,7 @@
 
 // checkDependency tells whether a job may await another.
 func (c *Controller) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
-	bad := func(why string) error { return &api.FieldError{Field: "awaits", Want: id + " " + why} }
+	bad := func(reason string) error { return &api.FieldError{Field: "awaits", Want: id + " " + reason} }
 	if id == job {
 		return "", bad("is the job itself")
 	}
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -18,49 +18,49 @@
 
 // An accept and a cancellation of what it awaits that cross, in both orders of their records,
 // decided by the leader or by a controller alone.
-func TestAcceptAndCancelCross(t *testing.T) {
+func TestConcurrentAcceptAndDependencyCancellationCancelsJob(t *testing.T) {
 	for _, first := range []string{"accept", "cancel"} {
 		for _, alone := range []bool{false, true} {
-			s := newLeader(t)
-			s.submit(smallJob("run-000001"))
-			sub := *smallJob("run-000002")
-			sub.Awaits = []string{"run-000001"}
+			leader := newLeader(t)
+			leader.submit(smallJob("run-000001"))
+			submission := *smallJob("run-000002")
+			submission.Awaits = []string{"run-000001"}
 			accept := func() {
 				if alone {
-					s.beside().submitWithoutLeader(context.Background(), &sub, nil)
+					leader.beside().submitWithoutLeader(context.Background(), &submission, nil)
 				} else {
-					s.Submit(cancelledContext(), &sub, s.clock.Now())
+					leader.Submit(cancelledContext(), &submission, leader.clock.Now())
 				}
 			}
 			if first == "accept" {
 				accept()
 			}
-			s.Cancel(cancelledContext(), "run-000001")
+			leader.Cancel(cancelledContext(), "run-000001")
 			if first == "cancel" {
 				if alone {
-					s.commit()
+					leader.commit()
 				}
 				accept()
 			}
-			s.commit()
+			leader.commit()
 			if alone {
-				it, err := s.beside().client.Get(context.Background(), store.JobKey("run-000002"))
+				item, err := leader.beside().client.Get(context.Background(), store.JobKey("run-000002"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.committer.SetRevision(it.Key, it.Revision)
-				s.Conflict(it.Key, &it)
+				leader.committer.SetRevision(item.Key, item.Revision)
+				leader.Conflict(item.Key, &item)
 			}
-			if st := s.status("run-000002"); st != api.Cancelled {
+			if st := leader.status("run-000002"); st != api.Cancelled {
 				t.Errorf("%s first, alone %v: %q", first, alone, st)
 			}
-			st, _, err := s.beside().lookUp(context.Background(), nil, "run-000002", true)
-			if err != nil || st.State != api.Cancelled {
-				t.Errorf("%s first, alone %v, from the records: %v %v", first, alone, st, err)
+			job, _, err := leader.beside().lookUp(context.Background(), nil, "run-000002", true)
+			if err != nil || job.State != api.Cancelled {
+				t.Errorf("%s first, alone %v, from the records: %v %v", first, alone, job, err)
 			}
-			s.Place()
-			s.commit()
-			if s.starts("run-000002/0") > 0 {
+			leader.Place()
+			leader.commit()
+			if leader.starts("run-000002/0") > 0 {
 				t.Error("it started")
 			}
 		}
@@ -69,34 +69,34 @@
 
 // What a submission may await, and that anything else is refused with the field and changes
 // nothing. A repetition of an accepted job is answered with its state whatever it names.
-func TestAwaitsAreChecked(t *testing.T) {
-	s := newLeader(t)
-	s.submit(smallJob("run-000001"))
+func TestInvalidDependenciesAreRefused(t *testing.T) {
+	leader := newLeader(t)
+	leader.submit(smallJob("run-000001"))
 	service := smallJob("run-000002")
 	service.Shape, service.Rank = api.Service, "prod"
-	s.submit(service)
-	n := s.beside()
-	s.leading = false // all is told from the records
+	leader.submit(service)
+	controller := leader.beside()
+	leader.leading = false // all is told from the records
 	var long []string
 	for i := range tuning.MaxDependencies + 1 {
 		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+i))
 	}
 	ask := func(awaits string) peer.Response {
-		body := strings.Replace(submission("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
+		body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
 		got := make(chan peer.Response, 1)
 		go func() {
-			got <- n.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
+			got <- controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
 		}()
 		for {
 			select {
-			case a := <-got:
-				return a
+			case response := <-got:
+				return response
 			default:
-				s.clock.Advance(tuning.DependencyRetryDelay)
+				leader.clock.Advance(tuning.DependencyRetryDelay)
 			}
 		}
 	}
-	before := s.state.Requests
+	before := leader.state.Requests
 	for awaits, want := range map[string]struct {
 		status int
 		says   string
@@ -113,67 +113,67 @@
 		`{"a":1}`:                                {400, "one or more job ids"},
 		`["` + strings.Repeat("9", 1<<10) + `"]`: {400, "is no job id"},
 	} {
-		if a := ask(awaits); a.Status != want.status || !strings.Contains(string(a.Body), want.says) || !strings.Contains(string(a.Body), `"field":"awaits"`) {
-			t.Errorf("%.60s: %d %.200s", awaits, a.Status, a.Body)
+		if response := ask(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.says) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
+			t.Errorf("%.60s: %d %.200s", awaits, response.Status, response.Body)
 		}
 	}
-	if s.state.Get(store.JobKey("run-000009")) != nil || s.state.Requests-before > 100 {
-		t.Errorf("something was stored, or asked %d times", s.state.Requests-before)
+	if leader.state.Get(store.JobKey("run-000009")) != nil || leader.state.Requests-before > 100 {
+		t.Errorf("something was stored, or asked %d times", leader.state.Requests-before)
 	}
-	if a := ask(`["run-000001"]`); a.Status != 201 {
-		t.Errorf("%d %s", a.Status, a.Body)
+	if response := ask(`["run-000001"]`); response.Status != 201 {
+		t.Errorf("%d %s", response.Status, response.Body)
 	}
-	if a := ask(`["run-000404"]`); a.Status != 200 {
-		t.Errorf("a repetition that names another job: %d %s", a.Status, a.Body)
+	if response := ask(`["run-000404"]`); response.Status != 200 {
+		t.Errorf("a repetition that names another job: %d %s", response.Status, response.Body)
 	}
 }
 
 // While a process of the first version may come back, no job that awaits others is accepted:
 // it would start them at once.
-func TestNoAwaitsBesideAnOlderVersion(t *testing.T) {
-	s := newLeader(t)
-	s.submit(smallJob("run-000001"))
-	n := s.beside()
-	n.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, n.client, s.clock)
-	n.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
-	body := strings.Replace(submission("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
+func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
+	leader := newLeader(t)
+	leader.submit(smallJob("run-000001"))
+	controller := leader.beside()
+	controller.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
+	controller.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
 	ask := func() peer.Response {
-		return n.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
+		return controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
 	}
-	if a := ask(); a.Status != 503 || a.RetryAfterS == 0 || !strings.Contains(string(a.Body), "not seen yet of z") {
-		t.Errorf("%d %s", a.Status, a.Body)
+	if response := ask(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
+		t.Errorf("%d %s", response.Status, response.Body)
 	}
-	n.versions.Observe("z", upgrade.VersionMark{Data: 1})
-	if a := ask(); a.Status != 503 {
-		t.Errorf("beside data of version 1: %d", a.Status)
+	controller.versions.Observe("z", upgrade.VersionMark{Data: 1})
+	if response := ask(); response.Status != 503 {
+		t.Errorf("beside data of version 1: %d", response.Status)
 	}
-	n.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
-	if a := ask(); a.Status != 201 {
-		t.Errorf("%d %s", a.Status, a.Body)
+	controller.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	if response := ask(); response.Status != 201 {
+		t.Errorf("%d %s", response.Status, response.Body)
 	}
 }
 
 // A controller marks its version once, and knows that no older process can come back only when
 // every member's mark stands; one that begins anew learns it from the records.
-func TestMarksTellWhenNoOlderProcessCanComeBack(t *testing.T) {
-	s := newLeader(t)
+func TestVersionMarksShowWhenNoOlderProcessCanReturn(t *testing.T) {
+	leader := newLeader(t)
 	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "z", Address: "127.0.0.1:1"}}}
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24, Next: settings.NextState{ValueKB: 2}}
 	begin := func() *Controller {
-		return New(context.Background(), set, policy.Default(), s.clock, s.state)
+		return New(context.Background(), set, policy.Default(), leader.clock, leader.state)
 	}
-	n := begin()
-	if n.versions.RecordOwn(context.Background()) || string(s.state.Get("sf/version/y")) != `{"data":2}` {
-		t.Fatalf("marked %s", s.state.Get("sf/version/y"))
+	controller := begin()
+	if controller.versions.RecordOwn(context.Background()) || string(leader.state.Get("sf/version/y")) != `{"data":2}` {
+		t.Fatalf("marked %s", leader.state.Get("sf/version/y"))
 	}
-	stamp := s.state.Put("sf/test", 1)
-	if !n.versions.RecordOwn(context.Background()) || s.state.Put("sf/test", 1) != stamp+1 {
+	stamp := leader.state.Put("sf/test", 1)
+	if !controller.versions.RecordOwn(context.Background()) || leader.state.Put("sf/test", 1) != stamp+1 {
 		t.Error("its mark was written again")
 	}
-	if old := n.versions.Older(); !slices.Equal(old, []string{"z"}) {
+	if old := controller.versions.Older(); !slices.Equal(old, []string{"z"}) {
 		t.Errorf("older %v", old)
 	}
-	s.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	leader.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	again := begin()
 	again.markVersion(context.Background()) // returns once it has seen all
 	if old := again.versions.Older(); len(old) > 0 {
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -19,59 +19,59 @@
 // HandleStageHeartbeat answers an agent's report, which came as raw. Agents report to the leader; one
 // that comes back from it is cut off, and its reports are passed on: over the back port
 // while that leads there, else through the state service.
-func (c *Controller) HandleStageHeartbeat(ctx context.Context, r *api.StageHeartbeat, raw []byte) (status int, body any) {
+func (c *Controller) HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
 	if sched := c.leadingScheduler(); sched != nil {
-		return c.stageOrderFor(sched, r)
+		return c.stageOrderFor(sched, heartbeat)
 	}
 	leader, term := c.elector.Leader()
-	leader, term, there := newestLeader(leader, term, c.peers.LivePeers())
+	leader, term, reachable := newestLeader(leader, term, c.peers.LivePeers())
 	if leader == "" || leader == c.settings.Member {
 		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
-	if there {
+	if reachable {
 		c.mu.Lock()
-		may := c.agentRedirects.Allow(c.clock.Now(), r.Machine, leader, true)
+		may := c.agentRedirects.Allow(c.clock.Now(), heartbeat.Machine, leader, true)
 		c.mu.Unlock()
 		if may {
 			return http.StatusMisdirectedRequest, api.Redirect{Controller: leader}
 		}
 		if len(raw) <= tuning.BodyLimit {
-			a, err := c.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: c.settings.Member}, tuning.PeerTimeout)
-			if err == nil && a.Status == http.StatusOK {
-				return a.Status, json.RawMessage(a.Body)
+			response, err := c.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: c.settings.Member}, tuning.PeerTimeout)
+			if err == nil && response.Status == http.StatusOK {
+				return response.Status, json.RawMessage(response.Body)
 			}
 		}
 	}
-	if r.Term > term || !c.stateServiceHealthy() {
+	if heartbeat.Term > term || !c.stateServiceHealthy() {
 		// Nobody's word comes through here: another controller may do better.
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	o, err := c.agentProxy.HandleHeartbeat(r, term)
+	order, err := c.agentProxy.HandleHeartbeat(heartbeat, term)
 	if err != nil {
-		slog.Error("an agent's order in the mail is damaged", "machine", r.Machine, "err", err)
+		slog.Error("an agent's order in the mail is damaged", "machine", heartbeat.Machine, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	return http.StatusOK, o
+	return http.StatusOK, order
 }
 
 // handleForwardedStageHeartbeat serves an agent's report that a sibling passes on. An order that no frame
 // holds goes through the state service.
 func (c *Controller) handleForwardedStageHeartbeat(raw []byte) peer.Response {
 	sched := c.leadingScheduler()
-	var r api.StageHeartbeat
-	if err := json.Unmarshal(raw, &r); err != nil || r.Check() != nil || sched == nil {
+	var heartbeat api.StageHeartbeat
+	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	a := peer.JSONResponse(c.stageOrderFor(sched, &r))
-	if len(a.Body) > tuning.BodyLimit {
+	response := peer.JSONResponse(c.stageOrderFor(sched, &heartbeat))
+	if len(response.Body) > tuning.BodyLimit {
 		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
-	return a
+	return response
 }
 
 // stageOrderFor answers an agent as the leader.
-func (c *Controller) stageOrderFor(sched *scheduler.Scheduler, r *api.StageHeartbeat) (status int, body any) {
-	o, deposed, refused := sched.HandleStageHeartbeat(r)
+func (c *Controller) stageOrderFor(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
+	order, deposed, refused := sched.HandleStageHeartbeat(heartbeat)
 	switch {
 	case deposed:
 		c.elector.Resign("an agent has seen a higher term")
@@ -79,26 +79,26 @@
 	case refused:
 		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
 	}
-	return http.StatusOK, o
+	return http.StatusOK, order
 }
 
 // sendStageOrder delivers an order to an agent. One that is lost is sent again, and goes out with
 // the answer to the agent's next report in any case.
-func (c *Controller) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, o api.StageOrder) {
+func (c *Controller) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, c.agentClient, http.MethodPost, "http://"+addr+"/stage", o)
-	var r api.StageHeartbeat
+	status, body, err := rest.Do(ctx, c.agentClient, http.MethodPost, "http://"+addr+"/stage", order)
+	var heartbeat api.StageHeartbeat
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
-		if err = json.Unmarshal(body, &r); err == nil {
-			err = r.Check()
+		if err = json.Unmarshal(body, &heartbeat); err == nil {
+			err = heartbeat.Check()
 		}
 	}
-	if err != nil || r.Machine != name {
+	if err != nil || heartbeat.Machine != name {
 		slog.Debug("order not delivered", "machine", name, "status", status, "err", err)
 		return
 	}
-	if _, deposed, _ := sched.HandleStageHeartbeat(&r); deposed {
+	if _, deposed, _ := sched.HandleStageHeartbeat(&heartbeat); deposed {
 		c.elector.Resign("an agent has seen a higher term")
 	}
 }
@@ -115,9 +115,9 @@
 			c.sleep(ctx, tuning.ElectRetry)
 			continue
 		}
-		for _, e := range log {
-			it := store.Item{Key: e.Set, Value: e.Value, Revision: e.Revision}
-			if entry, err := scheduler.DecodeDataset(&it); e.Set != "" && err == nil {
+		for _, event := range log {
+			item := store.Item{Key: event.Set, Value: event.Value, Revision: event.Revision}
+			if entry, err := scheduler.DecodeDataset(&item); event.Set != "" && err == nil {
 				sched.AddDatasets(entry)
 				c.cacheDataset(entry)
 			}
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -13,14 +13,14 @@
 
 // answerStatus answers from the state service.
 func (c *Controller) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
-	st, found, err := c.lookUp(ctx, sched, id, waits)
+	job, found, err := c.lookUp(ctx, sched, id, waits)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
 	case !found:
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return peer.JSONResponse(http.StatusOK, st)
+	return peer.JSONResponse(http.StatusOK, job)
 }
 
 // lookUp reads a job's record: its own key first, since the final one is
@@ -45,45 +45,45 @@
 	}
 	if _, over := c.terminalState(id); x.Record != nil && !over && sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
-		if st, ok := sched.JobStatus(id); ok {
-			return st, true, nil
+		if job, ok := sched.JobStatus(id); ok {
+			return job, true, nil
 		}
 	}
-	st, err := c.records.Status(ctx, id, x, asked)
-	return st, err == nil, err
+	job, err := c.records.Status(ctx, id, x, asked)
+	return job, err == nil, err
 }
 
 func (c *Controller) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
 		return c.cancelWithoutLeader(ctx, id)
 	}
-	if a, ok := sched.Cancel(ctx, id); ok {
-		return a
+	if response, ok := sched.Cancel(ctx, id); ok {
+		return response
 	}
-	a := c.answerStatus(ctx, sched, id, true)
-	if a.Status == http.StatusOK {
-		if b, ok := sched.Cancel(ctx, id); ok {
-			return b
+	response := c.answerStatus(ctx, sched, id, true)
+	if response.Status == http.StatusOK {
+		if second, ok := sched.Cancel(ctx, id); ok {
+			return second
 		}
 	}
-	return a
+	return response
 }
 
-// noteAnswer has a cancellation known to the siblings before its user is told, and gives what may be told: a poll that was
+// publishAnswer has a cancellation known to the siblings before its user is told, and gives what may be told: a poll that was
 // read before its job ended, here or at the leader, may be answered after the end was told.
-func (c *Controller) noteAnswer(a peer.Response) peer.Response {
-	if a.Status != http.StatusOK && a.Status != http.StatusCreated || !bytes.Contains(a.Body, []byte(`"status"`)) {
-		return a
+func (c *Controller) publishAnswer(response peer.Response) peer.Response {
+	if response.Status != http.StatusOK && response.Status != http.StatusCreated || !bytes.Contains(response.Body, []byte(`"status"`)) {
+		return response
 	}
-	var st api.JobStatus
-	if json.Unmarshal(a.Body, &st) != nil || !api.ValidID(st.ID) {
-		return a
+	var job api.JobStatus
+	if json.Unmarshal(response.Body, &job) != nil || !api.ValidID(job.ID) {
+		return response
 	}
-	if st.State == api.Cancelled {
-		c.watermark.RecordCancellation(c.clock.Now(), st.ID)
+	if job.State == api.Cancelled {
+		c.watermark.RecordCancellation(c.clock.Now(), job.ID)
 	}
-	if newest, older := c.notifications.Newest(st); older {
+	if newest, older := c.notifications.Newest(job); older {
 		return peer.JSONResponse(http.StatusOK, newest)
 	}
-	return a
+	return response
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -15,29 +15,29 @@
 )
 
 // words is a node's side of what controllers tell each other of cancellations.
-type watermarks struct{ n *Controller }
+type watermarkPeers struct{ controller *Controller }
 
 // Position is what is known of a sibling's word; nothing is asked while an older process may be there.
-func (w watermarks) Position(member string) (life, have uint64, ok bool) {
-	if len(w.n.versions.Older()) > 0 {
+func (w watermarkPeers) Position(member string) (incarnation, position uint64, ok bool) {
+	if len(w.controller.versions.Older()) > 0 {
 		return 0, 0, false
 	}
-	life, have = w.n.watermark.Position(member)
-	return life, have, true
+	incarnation, position = w.controller.watermark.Position(member)
+	return incarnation, position, true
 }
 
 // Statement answers a sibling.
-func (w watermarks) Statement(life, have uint64) (watermark.Statement, bool) {
-	if len(w.n.versions.Older()) > 0 {
+func (w watermarkPeers) Statement(incarnation, position uint64) (watermark.Statement, bool) {
+	if len(w.controller.versions.Older()) > 0 {
 		return watermark.Statement{}, false
 	}
-	w.n.markCurrentIfLeading()
-	return w.n.watermark.Statement(w.n.clock.Now(), life, have), true
+	w.controller.markCurrentIfLeading()
+	return w.controller.watermark.Statement(w.controller.clock.Now(), incarnation, position), true
 }
 
 // ApplyStatement takes in a sibling's answer.
-func (w watermarks) ApplyStatement(member string, sent time.Time, s watermark.Statement) {
-	if err := w.n.watermark.ApplyStatement(w.n.clock.Now(), member, sent, s); err != nil {
+func (w watermarkPeers) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
+	if err := w.controller.watermark.ApplyStatement(w.controller.clock.Now(), member, sent, statement); err != nil {
 		slog.Info("a sibling's word is not believed", "member", member, "err", err)
 	}
 }
@@ -78,15 +78,15 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, e := range log {
-		all = append(all, store.Item{Key: e.Set, Value: e.Value})
+	for _, event := range log {
+		all = append(all, store.Item{Key: event.Set, Value: event.Value})
 	}
-	for _, it := range all {
+	for _, item := range all {
 		var rec struct {
 			Final string `json:"final"`
 		}
-		if bytes.Contains(it.Value, []byte(api.Cancelled)) && json.Unmarshal(it.Value, &rec) == nil && rec.Final == api.Cancelled {
-			c.watermark.RecordCancellation(c.clock.Now(), strings.TrimPrefix(it.Key, store.JobPrefix))
+		if bytes.Contains(item.Value, []byte(api.Cancelled)) && json.Unmarshal(item.Value, &rec) == nil && rec.Final == api.Cancelled {
+			c.watermark.RecordCancellation(c.clock.Now(), strings.TrimPrefix(item.Key, store.JobPrefix))
 		}
 	}
 	c.watermark.MarkCurrent(sent)
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -34,19 +34,19 @@
 
 // configurationLeader is a term's side of a change.
 type configurationLeader struct {
-	n    *Controller
-	core *scheduler.Scheduler
+	controller *Controller
+	scheduler  *scheduler.Scheduler
 }
 
 // Condition holds while the term lasts.
 func (l *configurationLeader) Condition() (store.Condition, bool) {
-	return recordSource{l.core, l.n}.Condition()
+	return recordSource{l.scheduler, l.controller}.Condition()
 }
 
 // Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
 // revision before had something else.
 func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
-	return l.core.ApplyConfiguration(l.n.withFileDefaults(active))
+	return l.scheduler.ApplyConfiguration(l.controller.withFileDefaults(active))
 }
 
 // withFileDefaults returns a configuration in which the files stand in for what the revision leaves out.
@@ -63,22 +63,22 @@
 
 // Peers are all other controllers.
 func (l *configurationLeader) Peers() (members []string) {
-	for _, s := range l.n.settings.Peers {
-		members = append(members, s.Member)
+	for _, other := range l.controller.settings.Peers {
+		members = append(members, other.Member)
 	}
 	return members
 }
 
 // RefreshPeer has a sibling look for the newest revision now.
 func (l *configurationLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
-	a, err := l.n.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.n.settings.Member}, tuning.PeerTimeout)
+	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
 		return 0, err
 	}
-	if a.Status != http.StatusOK {
-		return 0, fmt.Errorf("%s answers with status %d", member, a.Status)
+	if response.Status != http.StatusOK {
+		return 0, fmt.Errorf("%s answers with status %d", member, response.Status)
 	}
-	return revision, json.Unmarshal(a.Body, &revision)
+	return revision, json.Unmarshal(response.Body, &revision)
 }
 
 // reapplyConfiguration has the leader go by its present configuration once more, after the topology file has changed.
@@ -91,37 +91,37 @@
 }
 
 // handleConfiguration serves requests about the configuration.
-func (c *Controller) handleConfiguration(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
+func (c *Controller) handleConfiguration(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if c.revisions == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
-	if r.Verb == verbConfirm {
+	if request.Verb == verbConfirm {
 		number, err := c.revisions.Refresh(ctx)
 		if err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
 		return peer.JSONResponse(http.StatusOK, number)
 	}
-	if r.Verb == VerbConfiguration && r.Job != "" {
-		return encodeResponse(c.configurationHandler().Revision(ctx, r.Job))
+	if request.Verb == VerbConfiguration && request.Job != "" {
+		return encodeResponse(c.configurationHandler().Revision(ctx, request.Job))
 	}
 	applier := c.currentApplier()
 	switch {
-	case applier == nil && r.Verb == VerbConfigure:
-		return c.forwardToLeader(ctx, r, forwarded)
+	case applier == nil && request.Verb == VerbConfigure:
+		return c.forwardToLeader(ctx, request, forwarded)
 	case applier == nil && !forwarded:
-		if a := c.forwardToLeader(ctx, r, forwarded); a.Status == http.StatusOK {
-			return a
+		if response := c.forwardToLeader(ctx, request, forwarded); response.Status == http.StatusOK {
+			return response
 		}
 		// Nobody leads: the records tell.
 		if _, err := c.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
 		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(nil))
-	case r.Verb == VerbConfiguration:
+	case request.Verb == VerbConfiguration:
 		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(applier))
 	}
-	return encodeResponse(c.configurationHandler().Change(ctx, applier, r.Body))
+	return encodeResponse(c.configurationHandler().Change(ctx, applier, request.Body))
 }
 
 func (c *Controller) configurationHandler() *httpapi.Handler {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -125,40 +125,42 @@
 
 // New makes a controller. Transport carries its calls to other services.
 func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
-	n := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), renewingLeases: true, redirects: redirect.NewTracker(),
+	controller := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), renewingLeases: true, redirects: redirect.NewTracker(),
 		newestHeartbeats: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
 	all := []string{set.Member}
-	for _, s := range set.Peers {
-		all = append(all, s.Member)
+	for _, other := range set.Peers {
+		all = append(all, other.Member)
 	}
-	n.fileConfiguration = []*configuration.Active{configuration.FromFiles(set.Facts.Teams, pol)}
-	n.watermark = watermark.New(n.startedAt, all[1:], watermark.NewLimits(settings.Seconds(set.Facts.Workers.CancelS), settings.Seconds(set.Facts.Workers.LeaseS)))
-	n.client = store.NewClient(set.External.State, transport)
-	n.versions = upgrade.NewVersionRegistry(set.Member, all, n.client, clock)
-	n.client.OnResponse = n.recordStateResponse
-	n.cloud = cloud.New(set.External.Cloud, set.Facts.Cloud.RPS, transport)
-	n.worker = worker.New(transport)
-	n.peers = peer.New(set.Peers, clock, n.hello, func(ctx context.Context, r peer.Request) peer.Response { return n.Handle(ctx, r, true) })
-	n.peers.Watermarks = watermarks{n}
-	n.elector = election.New(set.Member, n.client, clock, n)
+	controller.fileConfiguration = []*configuration.Active{configuration.FromFiles(set.Facts.Teams, pol)}
+	controller.watermark = watermark.New(controller.startedAt, all[1:], watermark.NewLimits(settings.Seconds(set.Facts.Workers.CancelS), settings.Seconds(set.Facts.Workers.LeaseS)))
+	controller.client = store.NewClient(set.External.State, transport)
+	controller.versions = upgrade.NewVersionRegistry(set.Member, all, controller.client, clock)
+	controller.client.OnResponse = controller.recordStateResponse
+	controller.cloud = cloud.New(set.External.Cloud, set.Facts.Cloud.RPS, transport)
+	controller.worker = worker.New(transport)
+	controller.peers = peer.New(set.Peers, clock, controller.hello, func(ctx context.Context, request peer.Request) peer.Response {
+		return controller.Handle(ctx, request, true)
+	})
+	controller.peers.Watermarks = watermarkPeers{controller}
+	controller.elector = election.New(set.Member, controller.client, clock, controller)
 	share := tuning.ReadShare * set.Facts.State.RPS / float64(1+len(set.Peers))
-	n.readLimiter = rate.NewLimiter(rate.Limit(share), max(1, int(share)))
-	n.records = &lookup.Jobs{Client: n.client, Recall: n.terminalState, Remember: n.rememberTerminal, Queue: lookup.NewFairQueue(clock, n.readLimiter)}
-	n.terminalStates, n.notifications = lookup.NewTerminalStates(), lookup.NewNotifications()
-	n.relayLimiter = exchange.WriteRate(n.settings.Facts.State)
+	controller.readLimiter = rate.NewLimiter(rate.Limit(share), max(1, int(share)))
+	controller.records = &lookup.Jobs{Client: controller.client, Recall: controller.terminalState, Remember: controller.rememberTerminal, Queue: lookup.NewFairQueue(clock, controller.readLimiter)}
+	controller.terminalStates, controller.notifications = lookup.NewTerminalStates(), lookup.NewNotifications()
+	controller.relayLimiter = exchange.WriteRate(controller.settings.Facts.State)
 	writes := set.Facts.State.Least().WriteRPS
 	rest := writes * (1 - tuning.QuotaShare)
-	n.leaderlessWriter = store.NewHedgedClient(n.client, n.clock, rate.NewLimiter(rate.Limit(rest), max(1, int(rest))), writes)
+	controller.leaderlessWriter = store.NewHedgedClient(controller.client, controller.clock, rate.NewLimiter(rate.Limit(rest), max(1, int(rest))), writes)
 	var err error
-	n.retries, err = retry.New(tuning.QuotaShare*writes/float64(1+len(set.Peers)), tuning.RetryAfterS, tuning.RetryAfterMost,
+	controller.retries, err = retry.New(tuning.QuotaShare*writes/float64(1+len(set.Peers)), tuning.RetryAfterS, tuning.RetryAfterMost,
 		tuning.RefusedFor, tuning.RefusedKept)
 	if err != nil {
 		panic(err) // only for a limit below one
 	}
-	n.workerProxy = proxy.NewWorkers(n.proxyOptions())
-	n.cpuMonitor = cpupressure.NewMonitor(clock)
-	n.agentClient = &http.Client{Transport: transport}
-	return n
+	controller.workerProxy = proxy.NewWorkers(controller.proxyOptions())
+	controller.cpuMonitor = cpupressure.NewMonitor(clock)
+	controller.agentClient = &http.Client{Transport: transport}
+	return controller
 }
 
 // Transport is the transport for all calls to other services, within a budget of sockets.
@@ -178,9 +180,9 @@
 }
 
 // UseConnLimiter lets this node keep to a budget of sockets; it is called before Run.
-func (c *Controller) UseConnLimiter(b *connlimit.Limiter) {
-	c.peers.Dial = b.Dial(func(string) connlimit.Class { return connlimit.Peer })
-	go b.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
+func (c *Controller) UseConnLimiter(limiter *connlimit.Limiter) {
+	c.peers.Dial = limiter.Dial(func(string) connlimit.Class { return connlimit.Peer })
+	go limiter.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
 		slog.Info("sockets are scarce", "open", counts.Open, "limit", counts.Limit, "by", counts.ByClass, "idle_closed", counts.IdleClosed, "commands_not_sent", counts.Refused)
 	})
 }
@@ -191,15 +193,15 @@
 }
 
 // Enable switches features on; it is called before Run.
-func (c *Controller) Enable(f *features.Features) {
-	c.data = f.Data
+func (c *Controller) Enable(enabled *features.Features) {
+	c.data = enabled.Data
 	c.datasetCache = map[string]*dataset.Entry{}
 	c.agentRedirects = redirect.NewTracker()
 	c.agentProxy = proxy.NewAgents(c.proxyOptions())
-	if f.Membership.On {
+	if enabled.Membership.On {
 		c.newMembershipWatcher()
 	}
-	if f.Configuration.On {
+	if enabled.Configuration.On {
 		c.newRevisionStore()
 	}
 }
@@ -246,8 +248,8 @@
 	if c.stateServiceHealthy() {
 		return true
 	}
-	for _, h := range c.peers.LivePeers() {
-		if h.StateOK {
+	for _, hello := range c.peers.LivePeers() {
+		if hello.StateOK {
 			return false
 		}
 	}
@@ -261,11 +263,11 @@
 
 func (c *Controller) hello() peer.Hello {
 	term, _ := c.elector.Term()
-	h := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.stateServiceHealthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.receivesHeartbeats()}
+	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.stateServiceHealthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.receivesHeartbeats()}
 	if c.members != nil {
-		h.StartedMS, h.HeardPeers, h.Leaving = uint64(c.startedAt.UnixMilli()), c.members.HeardPeers(), c.isShuttingDown()
+		hello.StartedMS, hello.HeardPeers, hello.Leaving = uint64(c.startedAt.UnixMilli()), c.members.HeardPeers(), c.isShuttingDown()
 	}
-	return h
+	return hello
 }
 
 // receivesHeartbeats tells whether a worker reported to this node itself a moment ago.
@@ -317,9 +319,9 @@
 	}
 }
 
-func (c *Controller) sleep(ctx context.Context, d time.Duration) {
+func (c *Controller) sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-c.clock.After(d):
+	case <-c.clock.After(wait):
 	}
 }
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -34,12 +34,12 @@
 	if !c.readLimiter.AllowN(c.clock.Now(), 1) {
 		return nil, store.ErrBusy
 	}
-	it, err := c.client.Get(ctx, store.DatasetKey(name))
+	item, err := c.client.Get(ctx, store.DatasetKey(name))
 	if err != nil {
 		return nil, err
 	}
-	if entry, err = scheduler.DecodeDataset(&it); err != nil {
-		return nil, fmt.Errorf("record %s is damaged: %w", it.Key, err)
+	if entry, err = scheduler.DecodeDataset(&item); err != nil {
+		return nil, fmt.Errorf("record %s is damaged: %w", item.Key, err)
 	}
 	c.cacheDataset(entry)
 	return entry, nil
@@ -65,8 +65,8 @@
 func (c *Controller) evictDatasets(submission *api.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, in := range submission.Inputs {
-		delete(c.datasetCache, in.Dataset)
+	for _, input := range submission.Inputs {
+		delete(c.datasetCache, input.Dataset)
 	}
 }
 
@@ -79,28 +79,28 @@
 	}
 	bytes := int64(0)
 	var sets []*dataset.Entry
-	for i, in := range submission.Inputs {
+	for i, input := range submission.Inputs {
 		f := fmt.Sprintf("inputs[%d]", i)
-		set, err := c.lookUpDataset(ctx, in.Dataset)
+		set, err := c.lookUpDataset(ctx, input.Dataset)
 		if errors.Is(err, store.ErrNotFound) {
 			return http.StatusUnprocessableEntity, &api.FieldError{Field: f + ".dataset",
-				Want: fmt.Sprintf("no dataset %.80q is registered; `switchferry data add` registers one", in.Dataset)}, false
+				Want: fmt.Sprintf("no dataset %.80q is registered; `switchferry data add` registers one", input.Dataset)}, false
 		}
 		if err != nil {
 			return 0, nil, true
 		}
 		if set.State != dataset.Listed {
 			return http.StatusUnprocessableEntity, &api.FieldError{Field: f + ".dataset",
-				Want: fmt.Sprintf("dataset %q is %s; new jobs cannot use it", in.Dataset, set.State)}, false
+				Want: fmt.Sprintf("dataset %q is %s; new jobs cannot use it", input.Dataset, set.State)}, false
 		}
 		sets = append(sets, set)
-		if in.Use == api.UseAll {
+		if input.Use == api.UseAll {
 			bytes += set.Bytes
 			continue
 		}
 		if submission.Tasks > set.Parts {
 			return http.StatusUnprocessableEntity, &api.FieldError{Field: f + ".use",
-				Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", submission.Tasks, in.Dataset, set.Parts)}, false
+				Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", submission.Tasks, input.Dataset, set.Parts)}, false
 		}
 		most := int64(0)
 		for k := range submission.Tasks {
@@ -129,12 +129,12 @@
 
 // inputConditions are the conditions under which a job's inputs are as they were checked.
 func (c *Controller) inputConditions(ctx context.Context, submission *api.Submission) (out []store.Condition, err error) {
-	for _, in := range submission.Inputs {
-		x, err := c.lookUpDataset(ctx, in.Dataset)
+	for _, input := range submission.Inputs {
+		entry, err := c.lookUpDataset(ctx, input.Dataset)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, store.Condition{Key: store.DatasetKey(x.Name), Revision: x.Stamp})
+		out = append(out, store.Condition{Key: store.DatasetKey(entry.Name), Revision: entry.Stamp})
 	}
 	return out, nil
 }
@@ -142,35 +142,35 @@
 // registerDataset makes a dataset known: any controller can, since nothing but its key decides.
 // Its name stands for the same content for ever.
 func (c *Controller) registerDataset(ctx context.Context, body []byte) peer.Response {
-	var s dataset.Entry
-	if err := json.Unmarshal(body, &s.Summary); err != nil {
+	var entry dataset.Entry
+	if err := json.Unmarshal(body, &entry.Summary); err != nil {
 		return peer.Refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
 	}
-	if err := s.Check(); err != nil {
+	if err := entry.Check(); err != nil {
 		return peer.Refusal(http.StatusBadRequest, err)
 	}
-	epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(s.Name)}}, []store.Operation{{Set: store.DatasetKey(s.Name), Value: s}})
+	epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
 	switch {
 	case err == nil:
-		s.Stamp = epoch
-		c.cacheDataset(&s)
+		entry.Stamp = epoch
+		c.cacheDataset(&entry)
 		if sched := c.leadingScheduler(); sched != nil {
-			sched.AddDatasets(&s)
+			sched.AddDatasets(&entry)
 		}
-		return peer.JSONResponse(http.StatusCreated, s)
+		return peer.JSONResponse(http.StatusCreated, entry)
 	case errors.Is(err, store.ErrConflict):
-		it, err := c.client.Get(ctx, store.DatasetKey(s.Name))
+		item, err := c.client.Get(ctx, store.DatasetKey(entry.Name))
 		if err != nil {
 			break
 		}
-		old, err := scheduler.DecodeDataset(&it)
+		old, err := scheduler.DecodeDataset(&item)
 		if err == nil && old.State != dataset.Listed {
-			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
+			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
 		}
-		if err == nil && old.Equal(&s.Summary) {
-			return peer.JSONResponse(http.StatusOK, s)
+		if err == nil && old.Equal(&entry.Summary) {
+			return peer.JSONResponse(http.StatusOK, entry)
 		}
-		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + s.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
+		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
 	}
 	return peer.RetryLater("the state service is out of reach")
 }
@@ -190,21 +190,21 @@
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
 	for range tuning.RemoveTries {
-		it, err := c.client.Get(ctx, store.DatasetKey(name))
+		item, err := c.client.Get(ctx, store.DatasetKey(name))
 		if errors.Is(err, store.ErrNotFound) {
 			return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 		}
 		if err != nil {
 			break
 		}
-		x, err := scheduler.DecodeDataset(&it)
+		entry, err := scheduler.DecodeDataset(&item)
 		if err != nil {
 			return peer.JSONResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
-		if x.State == dataset.Listed {
-			next := *x
+		if entry.State == dataset.Listed {
+			next := *entry
 			next.State = dataset.Removing
-			epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}}, []store.Operation{{Set: it.Key, Value: next}})
+			epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
@@ -213,43 +213,43 @@
 			}
 			slog.Info("dataset no longer listed", "dataset", name)
 			next.Stamp = epoch
-			x = &next
+			entry = &next
 		}
-		c.cacheDataset(x)
-		v := RemovalView{Name: name, State: x.State, Jobs: -1}
+		c.cacheDataset(entry)
+		view := RemovalView{Name: name, State: entry.State, Jobs: -1}
 		if sched := c.leadingScheduler(); sched != nil {
-			sched.AddDatasets(x)
-			v.Jobs = sched.JobsUsing(name)
+			sched.AddDatasets(entry)
+			view.Jobs = sched.JobsUsing(name)
 		}
-		return peer.JSONResponse(http.StatusOK, v)
+		return peer.JSONResponse(http.StatusOK, view)
 	}
 	return peer.RetryLater("the state service is out of reach")
 }
 
 // handleDatasets serves requests about datasets; they know no job.
-func (c *Controller) handleDatasets(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
+func (c *Controller) handleDatasets(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if !c.data.On {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "datasets are off"})
 	}
-	switch r.Verb {
+	switch request.Verb {
 	case VerbRegister:
-		return c.registerDataset(ctx, r.Body)
+		return c.registerDataset(ctx, request.Body)
 	case VerbRemove:
 		// The leader can tell besides who still needs it.
 		if c.leadingScheduler() == nil && !forwarded {
 			leader, term := c.elector.Leader()
-			if leader, _, there := newestLeader(leader, term, c.peers.LivePeers()); there {
-				if a, err := c.peers.Ask(ctx, leader, r, tuning.PeerTimeout); err == nil {
-					return a
+			if leader, _, reachable := newestLeader(leader, term, c.peers.LivePeers()); reachable {
+				if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
+					return response
 				}
 			}
 		}
-		return c.removeDataset(ctx, r.Job)
+		return c.removeDataset(ctx, request.Job)
 	}
 	if sched := c.leadingScheduler(); sched != nil {
 		if v, on := sched.Datasets(); on {
 			return peer.JSONResponse(http.StatusOK, v)
 		}
 	}
-	return c.forwardToLeader(ctx, r, forwarded)
+	return c.forwardToLeader(ctx, request, forwarded)
 }
--- a/controller/dataset_requests_test.go
+++ b/controller/dataset_requests_test.go
@@ -13,57 +13,57 @@
 
 // A controller that accepts without the leader, and has read the dataset before, refuses a job once the dataset is being removed.
 func TestSubmissionWithoutLeaderRacesWithRemoval(t *testing.T) {
-	n, st := dataNode(true)
-	n.ask(VerbRegister, summary("inv", 8, 1e8))
-	body := submission("run-000001", 1, `,"inputs":[{"dataset":"inv","use":"own"}]`)
-	if a := n.ask(VerbSubmit, strings.Replace(body, "000001", "000002", 1)); a.Status != 201 {
-		t.Fatalf("%d %s", a.Status, a.Body)
+	controller, state := newDataController(true)
+	controller.ask(VerbRegister, datasetSummary("inv", 8, 1e8))
+	body := submissionBody("run-000001", 1, `,"inputs":[{"dataset":"inv","use":"own"}]`)
+	if response := controller.ask(VerbSubmit, strings.Replace(body, "000001", "000002", 1)); response.Status != 201 {
+		t.Fatalf("%d %s", response.Status, response.Body)
 	}
-	var x dataset.Entry
-	_ = json.Unmarshal(st.Get(store.DatasetKey("inv")), &x)
-	x.State = dataset.Removing
-	st.Put(store.DatasetKey("inv"), x)
-	if a := n.ask(VerbSubmit, body); a.Status != 422 || !strings.Contains(string(a.Body), "removing") || st.Get(store.JobKey("run-000001")) != nil {
-		t.Errorf("%d %s", a.Status, a.Body)
+	var entry dataset.Entry
+	_ = json.Unmarshal(state.Get(store.DatasetKey("inv")), &entry)
+	entry.State = dataset.Removing
+	state.Put(store.DatasetKey("inv"), entry)
+	if response := controller.ask(VerbSubmit, body); response.Status != 422 || !strings.Contains(string(response.Body), "removing") || state.Get(store.JobKey("run-000001")) != nil {
+		t.Errorf("%d %s", response.Status, response.Body)
 	}
-	if a := n.ask(VerbSubmit, strings.Replace(body, "000001", "000002", 1)); a.Status != 200 {
-		t.Errorf("a known job: %d %s", a.Status, a.Body)
+	if response := controller.ask(VerbSubmit, strings.Replace(body, "000001", "000002", 1)); response.Status != 200 {
+		t.Errorf("a known job: %d %s", response.Status, response.Body)
 	}
 }
 
 // Removing is asked for as often as one likes, by several at once; a name that was removed
 // is not used again.
-func TestRemoveAnswers(t *testing.T) {
-	n, st := dataNode(true)
+func TestDatasetRemovalIsIdempotent(t *testing.T) {
+	controller, state := newDataController(true)
 	remove := func(name string) peer.Response {
-		n.readLimiter.SetLimit(1e9)
-		n.readLimiter.SetBurst(1 << 30)
-		return n.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: name}, false)
+		controller.readLimiter.SetLimit(1e9)
+		controller.readLimiter.SetBurst(1 << 30)
+		return controller.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: name}, false)
 	}
-	n.ask(VerbRegister, summary("inv", 8, 1))
+	controller.ask(VerbRegister, datasetSummary("inv", 8, 1))
 	for i, c := range []struct {
 		name   string
 		status int
 		text   string
 	}{{"inv", 200, "removing"}, {"inv", 200, "removing"}, {"none", 404, "no such dataset"}, {"Bad Name", 404, "no such dataset"}} {
-		if a := remove(c.name); a.Status != c.status || !strings.Contains(string(a.Body), c.text) {
-			t.Errorf("%d: %d %s", i, a.Status, a.Body)
+		if response := remove(c.name); response.Status != c.status || !strings.Contains(string(response.Body), c.text) {
+			t.Errorf("%d: %d %s", i, response.Status, response.Body)
 		}
 	}
-	if a := n.ask(VerbRegister, summary("inv", 8, 1)); a.Status != 409 || !strings.Contains(string(a.Body), "not used again") {
-		t.Errorf("%d %s", a.Status, a.Body)
+	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1)); response.Status != 409 || !strings.Contains(string(response.Body), "not used again") {
+		t.Errorf("%d %s", response.Status, response.Body)
 	}
-	st.Down = true
-	if a := remove("inv"); a.Status != 503 || a.RetryAfterS == 0 {
-		t.Error(a.Status)
+	state.Down = true
+	if response := remove("inv"); response.Status != 503 || response.RetryAfterS == 0 {
+		t.Error(response.Status)
 	}
-	st.Down = false
-	st.Put(store.DatasetKey("odd"), map[string]any{"name": "odd", "parts": 1, "part_bytes": 1, "bytes": 1, "state": "paused"})
-	if a := remove("odd"); a.Status != 500 {
-		t.Errorf("a state of another version: %d %s", a.Status, a.Body)
+	state.Down = false
+	state.Put(store.DatasetKey("odd"), map[string]any{"name": "odd", "parts": 1, "part_bytes": 1, "bytes": 1, "state": "paused"})
+	if response := remove("odd"); response.Status != 500 {
+		t.Errorf("a state of another version: %d %s", response.Status, response.Body)
 	}
-	off, _ := dataNode(false)
-	if a := off.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: "inv"}, false); a.Status != 404 {
-		t.Errorf("off: %d", a.Status)
+	off, _ := newDataController(false)
+	if response := off.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: "inv"}, false); response.Status != 404 {
+		t.Errorf("off: %d", response.Status)
 	}
 }
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -13,25 +13,25 @@
 )
 
 // sendCommands delivers a direct command.
-func (c *Controller) sendCommands(ctx context.Context, sched *scheduler.Scheduler, name, addr string, o api.HeartbeatResponse) {
-	r, _, err := c.worker.Send(ctx, addr, o)
+func (c *Controller) sendCommands(ctx context.Context, sched *scheduler.Scheduler, name, addr string, response api.HeartbeatResponse) {
+	heartbeat, _, err := c.worker.Send(ctx, addr, response)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
 		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
 			sched.ConnectionRefused(name)
 		}
-		sched.CommandsAnswered(name, o, nil, errors.Is(err, worker.ErrNotSent))
+		sched.CommandsAnswered(name, response, nil, errors.Is(err, worker.ErrNotSent))
 		return
 	}
-	if r.Term > sched.Term() {
-		c.deposed(sched)
+	if heartbeat.Term > sched.Term() {
+		c.resignIfDeposed(sched)
 	}
-	sched.CommandsAnswered(name, o, r, true)
+	sched.CommandsAnswered(name, response, heartbeat, true)
 }
 
-// deposed ends the term if a worker's word of a higher one can be true: while our key certainly
+// resignIfDeposed ends the term if a worker's word of a higher one can be true: while our key certainly
 // stands nobody else can have won one, and a worker that claims it must not end every term.
-func (c *Controller) deposed(sched *scheduler.Scheduler) bool {
+func (c *Controller) resignIfDeposed(sched *scheduler.Scheduler) bool {
 	if sched.Leading() {
 		return false
 	}
@@ -66,16 +66,16 @@
 func (c *Controller) announceTerm(ctx context.Context, sched *scheduler.Scheduler, name, addr string) {
 	session := uint64(1)
 	for range 2 {
-		o := api.HeartbeatResponse{Term: sched.Term(), Incarnation: session, Commands: []api.Command{}}
-		r, done, err := c.worker.Send(ctx, addr, o)
+		response := api.HeartbeatResponse{Term: sched.Term(), Incarnation: session, Commands: []api.Command{}}
+		heartbeat, done, err := c.worker.Send(ctx, addr, response)
 		if err != nil {
 			return
 		}
-		if done || r.Incarnation == session {
-			sched.CommandsAnswered(name, o, r, true)
+		if done || heartbeat.Incarnation == session {
+			sched.CommandsAnswered(name, response, heartbeat, true)
 			return
 		}
-		session = r.Incarnation
+		session = heartbeat.Incarnation
 	}
 }
 
@@ -99,14 +99,14 @@
 	}
 }
 
-// errNoTerm: what was decided is not carried out, since the term may be over.
-var errNoTerm = errors.New("no longer certain to lead")
+// errNotLeading: what was decided is not carried out, since the term may be over.
+var errNotLeading = errors.New("no longer certain to lead")
 
 // releaseMachines returns machines to the cloud. Whether we lead is looked at once more: this
 // process may have stood still since that was decided, and the machines may work for
 // another leader by now.
 func (c *Controller) releaseMachines(ctx context.Context, sched *scheduler.Scheduler, names []string) {
-	err := errNoTerm
+	err := errNotLeading
 	if sched.Leading() {
 		err = c.cloud.Return(ctx, names)
 	}
--- a/controller/inbox.go
+++ b/controller/inbox.go
@@ -18,15 +18,15 @@
 	// on record, accepted, and ran only once its user had asked for it.
 	take := func(key string) bool {
 		id := strings.TrimPrefix(key, store.InboxPrefix)
-		it, err := c.client.Get(ctx, store.JobKey(id))
+		item, err := c.client.Get(ctx, store.JobKey(id))
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return false
 		}
 		if err == nil && !sched.HasJob(id) {
-			committer.SetRevision(it.Key, it.Revision)
-			sched.Conflict(store.JobKey(id), &it)
+			committer.SetRevision(item.Key, item.Revision)
+			sched.Conflict(store.JobKey(id), &item)
 		}
-		in, err := c.client.Get(ctx, key)
+		inboxItem, err := c.client.Get(ctx, key)
 		if errors.Is(err, store.ErrNotFound) {
 			return true
 		}
@@ -34,10 +34,10 @@
 			return false
 		}
 		var rec store.InboxRecord
-		if json.Unmarshal(in.Value, &rec) == nil && rec.Cancel {
+		if json.Unmarshal(inboxItem.Value, &rec) == nil && rec.Cancel {
 			sched.Cancel(ctx, id)
 		}
-		committer.SetRevision(key, in.Revision)
+		committer.SetRevision(key, inboxItem.Revision)
 		committer.MarkDirty(key, store.Lazy, nil)
 		return true
 	}
@@ -50,8 +50,8 @@
 		if all {
 			var old []store.Item
 			old, epoch, err = c.client.List(ctx, store.InboxPrefix)
-			for _, it := range old {
-				todo = append(todo, it.Key)
+			for _, item := range old {
+				todo = append(todo, item.Key)
 			}
 		} else {
 			block := tuning.InboxBlock
@@ -66,9 +66,9 @@
 			continue
 		}
 		all, after = false, max(after, epoch)
-		for _, e := range log {
-			if e.Set != "" {
-				todo = append(todo, e.Set)
+		for _, event := range log {
+			if event.Set != "" {
+				todo = append(todo, event.Set)
 			}
 		}
 		todo = slices.DeleteFunc(todo, take)
--- a/controller/leader_test.go
+++ b/controller/leader_helper_test.go
@@ -19,9 +19,9 @@
 // testTypes is the catalog of the tests' cloud.
 var testTypes = []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 0.5, BootS: 30, Zones: []string{"a", "b"}}}
 
-// leader is a scheduler on a fake clock with a scripted state service. Nothing of it runs by itself: the test plays the
+// testLeader is a scheduler on a fake clock with a scripted state service. Nothing of it runs by itself: the test plays the
 // workers and commits records.
-type leader struct {
+type testLeader struct {
 	*testing.T
 	*scheduler.Scheduler
 	clock     *clockwork.FakeClock
@@ -40,7 +40,7 @@
 // committedRecords lets the leader's committer write while it leads.
 type committedRecords struct {
 	*scheduler.Scheduler
-	leader *leader
+	leader *testLeader
 }
 
 func (r committedRecords) Condition() (store.Condition, bool) {
@@ -50,43 +50,43 @@
 func (r committedRecords) Deposed() { r.leader.leading = false }
 
 // newLeader returns the leader x of a new term with one team t.
-func newLeader(t *testing.T) *leader {
+func newLeader(t *testing.T) *testLeader {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	l := &leader{T: t, clock: clock, state: fake.NewState(clock), leading: true, commands: map[string][]api.Command{}, terminal: map[string]store.FinalRecord{}}
+	leader := &testLeader{T: t, clock: clock, state: fake.NewState(clock), leading: true, commands: map[string][]api.Command{}, terminal: map[string]store.FinalRecord{}}
 	set := &settings.Settings{Member: "x"}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
 	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
 	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}}
-	term := l.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	l.Scheduler = scheduler.New(term, clock, set, policy.Default(), testTypes, scheduler.Hooks{
-		MarkDirty: func(key string, urgency int, after func()) { l.committer.MarkDirty(key, urgency, after) },
+	term := leader.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
+	leader.Scheduler = scheduler.New(term, clock, set, policy.Default(), testTypes, scheduler.Hooks{
+		MarkDirty: func(key string, urgency int, after func()) { leader.committer.MarkDirty(key, urgency, after) },
 		MarkDirtyWithin: func(key string, urgency int, _ time.Duration, after func()) {
-			l.committer.MarkDirty(key, urgency, after)
+			leader.committer.MarkDirty(key, urgency, after)
 		},
-		SendCommands:    l.recordCommands,
-		Leading:         func() bool { return l.leading },
-		CommitDelay:     func() time.Duration { return l.committer.Delay() },
+		SendCommands:    leader.recordCommands,
+		Leading:         func() bool { return leader.leading },
+		CommitDelay:     func() time.Duration { return leader.committer.Delay() },
 		ZoneUnreachable: func(string) bool { return false },
-		JobTerminal:     func(id string, final store.FinalRecord) { l.terminal[id] = final },
+		JobTerminal:     func(id string, final store.FinalRecord) { leader.terminal[id] = final },
 		TerminalState: func(id string) (store.FinalRecord, bool) {
-			final, ok := l.terminal[id]
+			final, ok := leader.terminal[id]
 			return final, ok
 		},
 	})
-	l.committer = store.NewCommitter(store.NewClient("state:1", l.state), committedRecords{l.Scheduler, l}, clock, set.Facts.State, map[string]uint64{})
-	l.Load(nil, nil)
-	return l
+	leader.committer = store.NewCommitter(store.NewClient("state:1", leader.state), committedRecords{leader.Scheduler, leader}, clock, set.Facts.State, map[string]uint64{})
+	leader.Load(nil, nil)
+	return leader
 }
 
-func (l *leader) recordCommands(_, _ string, sent api.HeartbeatResponse) {
+func (l *testLeader) recordCommands(_, _ string, sent api.HeartbeatResponse) {
 	for _, command := range sent.Commands {
 		l.commands[command.Task] = append(l.commands[command.Task], command)
 	}
 }
 
 // commit writes all dirty records.
-func (l *leader) commit() {
+func (l *testLeader) commit() {
 	for i := 0; l.committer.Pending() > 0 && i < 2000; i++ {
 		l.committer.Step(context.Background())
 		l.clock.Advance(time.Millisecond)
@@ -94,7 +94,7 @@
 }
 
 // heartbeat plays a worker of zone a that has seen the present term.
-func (l *leader) heartbeat(machine string) {
+func (l *testLeader) heartbeat(machine string) {
 	l.seq++
 	l.HandleHeartbeat(&api.Heartbeat{Machine: machine, Address: machine + ":1", Type: "m8", Zone: "a", Incarnation: 1, Seq: l.seq, Term: l.Term()}, "")
 }
@@ -106,7 +106,7 @@
 }
 
 // submit stores a job.
-func (l *leader) submit(job *api.Submission) {
+func (l *testLeader) submit(job *api.Submission) {
 	l.Helper()
 	l.Submit(cancelledContext(), job, l.clock.Now())
 	l.commit()
@@ -116,7 +116,7 @@
 }
 
 // status returns the state of a job as the leader knows it, empty if it knows none.
-func (l *leader) status(id string) string {
+func (l *testLeader) status(id string) string {
 	if status, ok := l.JobStatus(id); ok {
 		return status.State
 	}
@@ -124,7 +124,7 @@
 }
 
 // starts returns how many run commands were sent directly for a task.
-func (l *leader) starts(task string) (n int) {
+func (l *testLeader) starts(task string) (n int) {
 	for _, command := range l.commands[task] {
 		if command.Verb == api.CommandRun {
 			n++
@@ -134,14 +134,14 @@
 }
 
 // beside returns another controller, which answers from the records alone. All members have this version.
-func (l *leader) beside() *Controller {
+func (l *testLeader) beside() *Controller {
 	set := &settings.Settings{Member: "y"}
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
-	c := New(context.Background(), set, policy.Default(), l.clock, l.state)
-	c.machineTypes = testTypes
-	c.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
-	return c
+	controller := New(context.Background(), set, policy.Default(), l.clock, l.state)
+	controller.machineTypes = testTypes
+	controller.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	return controller
 }
 
 // cancelledContext is that of a user who waits for nothing.
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -17,12 +17,12 @@
 // inbox, as long as further conditions hold.
 func (c *Controller) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
 	rec := store.JobRecord{Job: *submission, AcceptedAt: c.clock.Now().UnixMilli()}
-	conds := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
+	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
 	inputs, err := c.inputConditions(ctx, submission)
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	_, failed, err := c.leaderlessWriter.Transact(ctx, slices.Concat(conds, more, inputs),
+	_, failed, err := c.leaderlessWriter.Transact(ctx, slices.Concat(conditions, more, inputs),
 		[]store.Operation{{Set: store.JobKey(submission.ID), Value: rec}, {Set: store.InboxKey(submission.ID), Value: store.InboxRecord{}}})
 	switch {
 	case err == nil:
@@ -49,23 +49,23 @@
 	if !api.ValidID(id) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	it, err := c.client.Get(ctx, store.JobKey(id))
+	item, err := c.client.Get(ctx, store.JobKey(id))
 	if errors.Is(err, store.ErrNotFound) {
 		return c.answerStatus(ctx, nil, id, true)
 	}
 	var rec store.JobRecord
-	if err != nil || json.Unmarshal(it.Value, &rec) != nil {
+	if err != nil || json.Unmarshal(item.Value, &rec) != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
 	if rec.FinalState == "" {
 		rec.FinalState, rec.FinalAt = api.Cancelled, c.clock.Now().UnixMilli()
 		_, _, err = c.leaderlessWriter.Transact(ctx,
-			[]store.Condition{{Key: store.LeaderKey}, {Key: it.Key, Revision: it.Revision}},
-			[]store.Operation{{Set: it.Key, Value: rec}})
+			[]store.Condition{{Key: store.LeaderKey}, {Key: item.Key, Revision: item.Revision}},
+			[]store.Operation{{Set: item.Key, Value: rec}})
 		if errors.Is(err, store.ErrConflict) {
 			// The leader is asked through the state service; the user's next
 			// try finds its answer there.
-			_, _, _ = c.client.Transact(ctx, []store.Condition{{Key: it.Key, Revision: it.Revision}},
+			_, _, _ = c.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}},
 				[]store.Operation{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
 		}
 		if err != nil {
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -59,9 +59,9 @@
 // leaseRenewalProblems tells an operator why this controller renews no leases, if it does not.
 func (c *Controller) leaseRenewalProblems() []string {
 	c.mu.Lock()
-	kept := c.renewingLeases
+	renewed := c.renewingLeases
 	c.mu.Unlock()
-	if kept || c.markCurrentIfLeading() {
+	if renewed || c.markCurrentIfLeading() {
 		return nil
 	}
 	_, without := c.watermark.MayRenew(c.clock.Now())
@@ -70,13 +70,13 @@
 
 // enforceCancellations adds to an answer what ends the tasks of cancelled jobs that the worker reports, and takes out what would
 // start more. The token is the one that it has: a stop is safe under any.
-func (c *Controller) enforceCancellations(r *api.Heartbeat, o api.HeartbeatResponse) api.HeartbeatResponse {
-	o.Commands = c.watermark.WithoutCancelledStarts(o.Commands)
-	if more := c.watermark.KillCommands(r.Tasks, o.Commands); len(more) > 0 {
-		slog.Info("ending tasks of cancelled jobs for the leader", "machine", r.Machine, "tasks", len(more), "first", more[0].Task)
-		o.Commands = append(slices.Clone(o.Commands), more...)
+func (c *Controller) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
+	response.Commands = c.watermark.WithoutCancelledStarts(response.Commands)
+	if more := c.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
+		slog.Info("ending tasks of cancelled jobs for the leader", "machine", heartbeat.Machine, "tasks", len(more), "first", more[0].Task)
+		response.Commands = append(slices.Clone(response.Commands), more...)
 	}
-	return o
+	return response
 }
 
 // refuseRenewal is what a worker is told whose lease must not be renewed. One that was sent away
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -14,11 +14,11 @@
 // newMembershipWatcher lets this node keep a table of members; it is called before Run.
 func (c *Controller) newMembershipWatcher() {
 	var others []string
-	for _, s := range c.settings.Peers {
-		others = append(others, s.Member)
+	for _, other := range c.settings.Peers {
+		others = append(others, other.Member)
 	}
 	c.members = membership.NewWatcher(c.settings.Member, others, c.clock)
-	c.peers.OnObservation = func(o membership.Observation) { c.members.Observe(o) }
+	c.peers.OnObservation = func(observation membership.Observation) { c.members.Observe(observation) }
 }
 
 // MembersOn tells whether membership is on.
@@ -57,8 +57,8 @@
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
 		ready := false
-		for _, h := range c.peers.LivePeers() {
-			ready = ready || h.StateOK && !h.Leaving
+		for _, hello := range c.peers.LivePeers() {
+			ready = ready || hello.StateOK && !hello.Leaving
 		}
 		if ready {
 			c.elector.Resign("it leaves by plan")
--- a/controller/responses.go
+++ b/controller/responses.go
@@ -9,9 +9,9 @@
 
 // encodeResponse is a status and a body as an answer; whoever gets a 503 is told to come back.
 func encodeResponse(status int, body any) peer.Response {
-	a := peer.JSONResponse(status, body)
+	response := peer.JSONResponse(status, body)
 	if status == http.StatusServiceUnavailable {
-		a.RetryAfterS = tuning.RetryAfterS
+		response.RetryAfterS = tuning.RetryAfterS
 	}
-	return a
+	return response
 }
--- /dev/null
+++ b/controller/routing_bench_test.go
@@ -0,0 +1,26 @@
+package controller
+
+import (
+	"context"
+	"testing"
+
+	"switchferry/peer"
+	"switchferry/policy"
+)
+
+// BenchmarkQuestion is a user's question at the leader, for a job in memory.
+func BenchmarkQuestion(b *testing.B) {
+	leader := newLeader(&testing.T{})
+	job := smallJob("run-000001")
+	job.Tasks = 40
+	leader.submit(job)
+	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
+	controller.scheduler = leader.Scheduler
+	request := peer.Request{Verb: VerbStatus, Job: "run-000001"}
+	b.ReportAllocs()
+	for b.Loop() {
+		if response := controller.Handle(context.Background(), request, false); response.Status != 200 {
+			b.Fatal(response.Status)
+		}
+	}
+}
--- a/controller/term.go
+++ b/controller/term.go
@@ -17,11 +17,11 @@
 // recordSource ties a term's core to its committer.
 type recordSource struct {
 	*scheduler.Scheduler
-	n *Controller
+	controller *Controller
 }
 
 func (s recordSource) Condition() (store.Condition, bool) {
-	term, valid := s.n.elector.Term()
+	term, valid := s.controller.elector.Term()
 	return store.Condition{Key: store.LeaderKey, Revision: s.Term()}, valid && term == s.Term()
 }
 
@@ -29,7 +29,7 @@
 func (s recordSource) Record(key string) (value any, exists bool, more []store.Condition) {
 	value, exists, more = s.Scheduler.Record(key)
 	if rec, ok := value.(store.JobRecord); ok && rec.FinalState == api.Cancelled {
-		s.n.watermark.RecordCancellation(s.n.clock.Now(), rec.Job.ID)
+		s.controller.watermark.RecordCancellation(s.controller.clock.Now(), rec.Job.ID)
 	}
 	return value, exists, more
 }
@@ -37,14 +37,14 @@
 // Conflict lets this node forget what it believed of a dataset.
 func (s recordSource) Conflict(key string, found *store.Item) {
 	if strings.HasPrefix(key, store.DatasetPrefix) {
-		if x, err := scheduler.DecodeDataset(found); err == nil {
-			s.n.cacheDataset(x)
+		if entry, err := scheduler.DecodeDataset(found); err == nil {
+			s.controller.cacheDataset(entry)
 		}
 	}
 	s.Scheduler.Conflict(key, found)
 }
 
-func (s recordSource) Deposed() { s.n.elector.Resign("deposed") }
+func (s recordSource) Deposed() { s.controller.elector.Resign("deposed") }
 
 // Elected starts a term.
 func (c *Controller) Elected(term uint64) {
@@ -68,8 +68,10 @@
 	types := c.machineTypes
 	c.mu.Unlock()
 	var sched *scheduler.Scheduler
-	hooks.SendCommands = func(name, addr string, o api.HeartbeatResponse) { go c.sendCommands(ctx, sched, name, addr, o) }
-	hooks.SendStageOrder = func(name, addr string, o api.StageOrder) { go c.sendStageOrder(ctx, sched, name, addr, o) }
+	hooks.SendCommands = func(name, addr string, response api.HeartbeatResponse) {
+		go c.sendCommands(ctx, sched, name, addr, response)
+	}
+	hooks.SendStageOrder = func(name, addr string, order api.StageOrder) { go c.sendStageOrder(ctx, sched, name, addr, order) }
 	sched = scheduler.New(term, c.clock, c.settings, c.policy, types, hooks)
 	if c.data.On {
 		sched.UseData(c.data)
@@ -82,15 +84,15 @@
 		applier = revisions.NewApplier(ctx, c.revisions, &configurationLeader{c, sched})
 	}
 	committer = store.NewCommitter(c.client, recordSource{sched, c}, c.clock, c.settings.Facts.State, map[string]uint64{})
-	own := func() {
+	useCurrentFormat := func() {
 		sched.UseCurrentFormat()
 		committer.SetValueLimit(c.settings.Facts.State.Least().ValueBytes())
 	}
 	c.mu.Lock()
-	c.scheduler, c.endTerm, c.useCurrentFormat, c.applier = sched, end, own, applier
+	c.scheduler, c.endTerm, c.useCurrentFormat, c.applier = sched, end, useCurrentFormat, applier
 	c.mu.Unlock()
 	if len(c.versions.Older()) == 0 {
-		own()
+		useCurrentFormat()
 	}
 	go c.runTerm(ctx, sched, committer, applier)
 }
@@ -132,20 +134,20 @@
 		if err == nil {
 			if images, _, ierr := c.client.List(ctx, store.ImagesPrefix); ierr == nil {
 				sched.LoadImageHints(images)
-				for _, it := range images {
-					committer.SetRevision(it.Key, it.Revision)
+				for _, item := range images {
+					committer.SetRevision(item.Key, item.Revision)
 				}
 			}
 			if c.data.On {
 				if holds, _, herr := c.client.List(ctx, store.ReplicasPrefix); herr == nil {
 					sched.LoadReplicaHints(holds)
-					for _, it := range holds {
-						committer.SetRevision(it.Key, it.Revision)
+					for _, item := range holds {
+						committer.SetRevision(item.Key, item.Revision)
 					}
 				}
 			}
-			for _, it := range append(jobs, shards...) {
-				committer.SetRevision(it.Key, it.Revision)
+			for _, item := range append(jobs, shards...) {
+				committer.SetRevision(item.Key, item.Revision)
 			}
 			sched.Load(jobs, shards)
 		}
@@ -177,8 +179,8 @@
 		began := c.clock.Now()
 		sched.Place()
 		took := c.clock.Since(began)
-		if why := c.unfitReason(sched); why != "" {
-			c.elector.Resign(why)
+		if reason := c.unfitReason(sched); reason != "" {
+			c.elector.Resign(reason)
 		}
 		c.sleep(ctx, max(tuning.PlaceGap, tuning.PlaceRest*took))
 	}
@@ -186,8 +188,8 @@
 
 // unfitReason is why this node should no longer lead; empty: it should.
 func (c *Controller) unfitReason(sched *scheduler.Scheduler) string {
-	for _, h := range c.peers.LivePeers() {
-		if h.Term > sched.Term() {
+	for _, hello := range c.peers.LivePeers() {
+		if hello.Term > sched.Term() {
 			return "a sibling has a higher term"
 		}
 	}
@@ -220,23 +222,23 @@
 
 // zoneUnreachable tells whether no controller in another zone can be reached.
 func (c *Controller) zoneUnreachable(zone string) bool {
-	there := false
-	for _, s := range c.settings.Peers {
-		if s.Zone == zone {
-			there = true
-			if c.peers.Reachable(s.Member) {
+	reachable := false
+	for _, other := range c.settings.Peers {
+		if other.Zone == zone {
+			reachable = true
+			if c.peers.Reachable(other.Member) {
 				return false
 			}
 		}
 	}
-	return there && zone != c.settings.Zone
+	return reachable && zone != c.settings.Zone
 }
 
-func (c *Controller) rememberTerminal(id string, f store.FinalRecord) {
-	if f.State == api.Cancelled {
+func (c *Controller) rememberTerminal(id string, final store.FinalRecord) {
+	if final.State == api.Cancelled {
 		c.watermark.RecordCancellation(c.clock.Now(), id)
 	}
-	c.terminalStates.Remember(id, f)
+	c.terminalStates.Remember(id, final)
 }
 
 func (c *Controller) terminalState(id string) (store.FinalRecord, bool) {
@@ -248,10 +250,10 @@
 func (c *Controller) markVersion(ctx context.Context) {
 	if c.versions.Run(ctx) {
 		c.mu.Lock()
-		own := c.useCurrentFormat
+		useCurrentFormat := c.useCurrentFormat
 		c.mu.Unlock()
-		if own != nil {
-			own()
+		if useCurrentFormat != nil {
+			useCurrentFormat()
 		}
 	}
 }
--- a/controller/lone_test.go
+++ b/controller/term_test.go
@@ -13,8 +13,8 @@
 	"switchferry/settings"
 )
 
-// threeNodes is n1 of n0, n1 and n2, whose siblings are silent.
-func threeNodes(t *testing.T) (*Controller, *clockwork.FakeClock) {
+// newIsolatedController is n1 of n0, n1 and n2, whose siblings are silent.
+func newIsolatedController(t *testing.T) (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10}
@@ -23,14 +23,14 @@
 
 // With both siblings silent, workers come to the last controller one dead end after
 // the other. It resigned after 3.5 s without a report, and they found nobody.
-func TestLoneLeaderGivesWorkersTimeToCome(t *testing.T) {
-	n, clock := threeNodes(t)
-	sched := scheduler.New(7, clock, n.settings, n.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
-	step := func(d time.Duration) (deaf bool) {
-		for ; d > 0 && !deaf; d -= 500 * time.Millisecond {
+func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
+	controller, clock := newIsolatedController(t)
+	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
+	step := func(wait time.Duration) (deaf bool) {
+		for ; wait > 0 && !deaf; wait -= 500 * time.Millisecond {
 			clock.Advance(500 * time.Millisecond)
 			sched.Place()
-			deaf = n.isolatedFromWorkers(sched)
+			deaf = controller.isolatedFromWorkers(sched)
 		}
 		return deaf
 	}
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -12,17 +12,17 @@
 )
 
 // UseTopologyFile switches topology on, unless the file is nil; it is called before Run.
-func (c *Controller) UseTopologyFile(f *topology.File) { c.topology = f }
+func (c *Controller) UseTopologyFile(file *topology.File) { c.topology = file }
 
 // watchTopology takes new versions of the file while the node runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
 		c.sleep(c.ctx, tuning.TopologyEvery)
-		m, err := c.topology.Reload()
+		placements, err := c.topology.Reload()
 		if err != nil {
 			slog.Error("topology file not taken", "err", err)
 		}
-		if sched := c.leadingScheduler(); m != nil && sched != nil {
+		if sched := c.leadingScheduler(); placements != nil && sched != nil {
 			c.reapplyConfiguration(sched)
 		}
 	}
@@ -32,28 +32,28 @@
 func (c *Controller) TopologyOn() bool { return c.topology != nil }
 
 // handleTopology serves requests about where things stand: the leader knows.
-func (c *Controller) handleTopology(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if c.topology == nil && r.Verb == VerbTopology {
+func (c *Controller) handleTopology(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	if c.topology == nil && request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
 	sched := c.leadingScheduler()
 	if sched == nil {
-		return c.forwardToLeader(ctx, r, forwarded)
+		return c.forwardToLeader(ctx, request, forwarded)
 	}
-	if r.Verb == VerbTopology {
+	if request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
-	if x, ok := sched.Explain(r.Job); ok {
+	if x, ok := sched.Explain(request.Job); ok {
 		x.Why = append(x.Why, c.leaseRenewalProblems()...)
 		return peer.JSONResponse(http.StatusOK, x)
 	}
 	// Over, or not known: its record tells.
-	st, found, err := c.lookUp(ctx, sched, r.Job, true)
+	job, found, err := c.lookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
 	case !found:
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
+	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: job.ID, State: job.State, Why: []string{}, Locations: []api.TaskLocation{}})
 }
--- a/controller/topology_requests_test.go
+++ b/controller/topology_test.go
@@ -7,7 +7,7 @@
 	"switchferry/api"
 )
 
-func TestSiteThatCanNeverBeIsRefused(t *testing.T) {
+func TestInfeasibleTopologyConstraintIsRefused(t *testing.T) {
 	body := `{"near":{"level":"rack"},"survive":{"level":"rack","at_most":2}}`
 	for shape, want := range map[string]int{api.Service: http.StatusUnprocessableEntity, api.Gang: http.StatusUnprocessableEntity, api.JobArray: 0} {
 		if status, err := checkSite(&api.Submission{Shape: shape, Tasks: 3}, []byte(body)); status != want {
--- a/controller/golden_test.go
+++ b/controller/verbs_test.go
@@ -4,7 +4,7 @@
 
 // Verbs of requests that controllers alone send each other stay as the version in production has them; those of users
 // and operators are pinned by package internal/golden.
-func TestVerbsBetweenControllersStay(t *testing.T) {
+func TestVerbsBetweenControllersAreStable(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{verbReport, "report"},
 		{verbStage, "stage"},
