--- a/controller/admission.go
+++ b/controller/admission.go
@@ -7,19 +7,60 @@
 	"math"
 	"net/http"
 	"slices"
-	"strings"
+	"sync"
+
+	"github.com/jonboulle/clockwork"
+	"golang.org/x/time/rate"
 
 	"switchferry/api"
 	"switchferry/configuration"
 	"switchferry/feasibility"
-	"switchferry/lookup"
 	"switchferry/peer"
+	"switchferry/retry"
 	"switchferry/scheduler"
+	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/topology"
 	"switchferry/tuning"
+	"switchferry/upgrade"
 )
 
+// submissionService accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing
+// their records itself.
+type submissionService struct {
+	settings      *settings.Settings
+	clock         clockwork.Clock
+	client        *store.Client
+	features      *optionalFeatures
+	versions      *upgrade.VersionRegistry
+	catalog       *machineCatalog
+	term          *currentTerm
+	configuration *liveConfiguration
+	datasets      *datasetService
+	jobs          *jobReader
+	// leaderlessWriter writes what is accepted without the leader.
+	leaderlessWriter *store.HedgedClient
+
+	// mu guards retries, which spreads the users that were refused over the time that it takes to accept them.
+	mu      sync.Mutex
+	retries *retry.Spread
+}
+
+// newSubmissionService returns the part of c that accepts jobs.
+func newSubmissionService(c *Controller) *submissionService {
+	writes := c.settings.Facts.State.Least().WriteRPS
+	rest := writes * (1 - tuning.QuotaShare)
+	limiter := rate.NewLimiter(rate.Limit(rest), max(1, int(rest)))
+	accepted := tuning.QuotaShare * writes / float64(1+len(c.settings.Peers))
+	retries, err := retry.New(accepted, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
+	if err != nil {
+		panic(err) // Only for a limit below one, and the limits are constants.
+	}
+	return &submissionService{settings: c.settings, clock: c.clock, client: c.client, features: c.features, versions: c.versions,
+		catalog: c.catalog, term: c.term, configuration: c.configuration, datasets: c.datasets, jobs: c.jobs,
+		leaderlessWriter: store.NewHedgedClient(c.client, c.clock, limiter, writes), retries: retries}
+}
+
 // submissionVerdict is what is thought of a submission. With neither an error nor a reason to ask again it can be accepted.
 type submissionVerdict struct {
 	// status goes with err, which refuses it for good.
@@ -32,100 +73,120 @@
 	admission   admission
 }
 
-func (c *Controller) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
+// serveSubmission accepts or refuses a job. Sched is nil without a leader that is certain to lead here. A job that is known
+// already is answered with its state.
+func (s *submissionService) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
-	if id != "" {
-		if final, ok := c.terminalState(id); ok {
-			return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
-		}
-		if sched != nil {
-			if job, ok := sched.JobStatus(id); ok {
-				return peer.JSONResponse(http.StatusOK, job)
-			}
-		}
+	if job, ok := s.recallJob(sched, id); ok {
+		return peer.JSONResponse(http.StatusOK, job)
 	}
 	verdict := submissionVerdict{status: http.StatusBadRequest, err: err}
 	if err == nil {
-		verdict = c.evaluateSubmission(ctx, sched, submission, body)
+		verdict = s.evaluateSubmission(ctx, sched, submission, body)
 	}
 	switch {
 	case verdict.retryReason != "":
 		return peer.RetryLater(verdict.retryReason)
 	case verdict.err != nil || verdict.undecided:
-		return c.refuseSubmission(ctx, sched, id, verdict)
+		return s.refuseSubmission(ctx, sched, id, verdict)
 	case sched == nil:
-		return c.submitWithoutLeader(ctx, submission, body, verdict.admission.conditions...)
+		return s.submitWithoutLeader(ctx, submission, body, verdict.admission.conditions...)
 	}
-	if response, ok := sched.Submit(ctx, submission, c.clock.Now()); ok {
+	if response, ok := sched.Submit(ctx, submission, s.clock.Now()); ok {
 		return response
 	}
-	response := c.answerStatus(ctx, sched, id, false)
+	response := s.jobs.answerStatus(ctx, sched, id, false)
 	if response.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
-		// One of its datasets was taken off the list meanwhile.
-		if status, err, _ := c.checkInputs(ctx, sched, submission, body); err != nil {
-			return peer.Refusal(status, err)
-		}
-		return peer.RetryLater("a dataset of the job has just changed")
+		return s.answerChangedDataset(ctx, sched, submission, body)
 	}
 	return response
 }
 
+// recallJob returns the status of a job that this process knows; ok is false if it knows none, or the id is empty.
+func (s *submissionService) recallJob(sched *scheduler.Scheduler, id string) (job api.JobStatus, ok bool) {
+	if id == "" {
+		return job, false
+	}
+	if final, ok := s.jobs.terminalState(id); ok {
+		return final.JobStatus(id), true
+	}
+	if sched == nil {
+		return job, false
+	}
+	return sched.JobStatus(id)
+}
+
+// answerChangedDataset answers a submission one of whose datasets was taken off the list while it was being accepted.
+func (s *submissionService) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
+	if status, _, err := s.checkInputs(ctx, sched, submission, body); err != nil {
+		return peer.Refusal(status, err)
+	}
+	return peer.RetryLater("a dataset of the job has just changed")
+}
+
 // evaluateSubmission checks what can be wrong with a submission, one thing after the other.
-func (c *Controller) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
+func (s *submissionService) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
-	verdict.admission, verdict.err, verdict.undecided = c.canRun(sched, submission)
-	if verdict.err == nil {
-		if verdict.err = c.fitsSomeMachineType(submission); verdict.err != nil {
-			verdict.status = http.StatusBadRequest
+	if verdict.admission, verdict.undecided, verdict.err = s.canRun(sched, submission); verdict.err != nil {
+		return verdict
+	}
+	if verdict.err = s.fitsSomeMachineType(submission); verdict.err != nil {
+		verdict.status = http.StatusBadRequest
+		return verdict
+	}
+	if s.features.topology != nil {
+		if verdict.status, verdict.err = checkSite(submission, body); verdict.err != nil {
+			return verdict
 		}
 	}
-	if verdict.err == nil && c.topology != nil {
-		verdict.status, verdict.err = checkSite(submission, body)
+	if verdict.undecided {
+		return verdict
 	}
-	if verdict.err == nil && !verdict.undecided && len(submission.Awaits) > 0 {
-		if verdict.retryReason, verdict.err = c.checkDependencies(ctx, sched, submission); verdict.retryReason != "" {
+	if len(submission.Awaits) > 0 {
+		verdict.retryReason, verdict.err = s.checkDependencies(ctx, sched, submission)
+		if verdict.retryReason != "" || verdict.err != nil {
+			verdict.status = http.StatusUnprocessableEntity
 			return verdict
 		}
-		verdict.status = http.StatusUnprocessableEntity
 	}
-	if verdict.err == nil && !verdict.undecided && c.data.On {
-		verdict.status, verdict.err, verdict.undecided = c.checkInputs(ctx, sched, submission, body)
+	if s.features.data.On {
+		verdict.status, verdict.undecided, verdict.err = s.checkInputs(ctx, sched, submission, body)
 	}
 	return verdict
 }
 
 // refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is never refused, whatever the
 // body, nor sent away while nothing can be judged.
-func (c *Controller) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
+func (s *submissionService) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
 			if here, _, _ := sched.DependencyState(id); here {
 				return peer.RetryLater("the job is just being accepted")
 			}
 		}
-		if job, found, err := c.lookUp(ctx, sched, id, false); err != nil {
+		if job, found, err := s.jobs.lookUp(ctx, sched, id, false); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		} else if found {
 			return peer.JSONResponse(http.StatusOK, job)
 		}
 	}
 	switch {
-	case verdict.err != nil && !verdict.admission.stillValid(c, sched):
+	case verdict.err != nil && !s.stillValid(verdict.admission, sched):
 		return peer.RetryLater("the configuration has just changed")
 	case verdict.err != nil:
 		return peer.Refusal(verdict.status, verdict.err)
 	case verdict.admission.unknownReason != "":
 		return peer.RetryLater(verdict.admission.unknownReason)
-	case c.data.On:
+	case s.features.data.On:
 		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
 	return peer.RetryLater("the machine types are not known yet")
 }
 
 // fitsSomeMachineType finds a job whose record is too large for the state service.
-func (c *Controller) fitsSomeMachineType(submission *api.Submission) error {
+func (s *submissionService) fitsSomeMachineType(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
-	if most := c.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
+	if most := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
 	}
 	return err
@@ -142,18 +203,18 @@
 }
 
 // admissionRules gives what a submission is judged by now.
-func (c *Controller) admissionRules(sched *scheduler.Scheduler) admission {
-	if c.revisions == nil {
-		return admission{configurations: c.fileConfiguration}
+func (s *submissionService) admissionRules(sched *scheduler.Scheduler) admission {
+	if s.configuration.revisions == nil {
+		return admission{configurations: s.configuration.fileConfiguration}
 	}
-	if applier := c.currentApplier(); sched != nil && applier != nil {
+	if applier := s.term.currentApplier(); sched != nil && applier != nil {
 		by := applier.Candidates()
 		if len(by) == 0 || !sched.Leading() {
 			return admission{unknownReason: "the configuration is not known yet"}
 		}
 		return admission{configurations: by}
 	}
-	right, ok := c.revisions.Lease()
+	right, ok := s.configuration.revisions.Lease()
 	if !ok {
 		return admission{unknownReason: "the configuration cannot be confirmed now"}
 	}
@@ -162,32 +223,30 @@
 
 // canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
 // active is not, or it is just changing and the answers differ.
-func (c *Controller) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admission, err error, undecided bool) {
-	c.mu.Lock()
-	types := c.machineTypes
-	c.mu.Unlock()
-	rules = c.admissionRules(sched)
+func (s *submissionService) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admission, undecided bool, err error) {
+	types := s.catalog.machineTypes()
+	rules = s.admissionRules(sched)
 	if rules.unknownReason != "" {
-		return rules, nil, true
+		return rules, true, nil
 	}
 	for i, active := range rules.configurations {
 		found, open := feasibility.CanRun(submission, active.Limit, types)
 		if i > 0 && (found == nil) != (err == nil) {
 			rules.unknownReason = "the configuration is just changing"
-			return rules, nil, true
+			return rules, true, nil
 		}
 		err, undecided = found, undecided || open
 	}
-	return rules, err, undecided
+	return rules, undecided, err
 }
 
 // stillValid tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
 // stood still.
-func (j admission) stillValid(controller *Controller, sched *scheduler.Scheduler) bool {
-	if controller.revisions == nil || j.configurations == nil {
+func (s *submissionService) stillValid(rules admission, sched *scheduler.Scheduler) bool {
+	if s.configuration.revisions == nil || rules.configurations == nil {
 		return true
 	}
-	return slices.Equal(j.configurations, controller.admissionRules(sched).configurations)
+	return slices.Equal(rules.configurations, s.admissionRules(sched).configurations)
 }
 
 // checkSite reads what a submission asks of where its tasks stand, and whether that can be.
@@ -205,55 +264,22 @@
 	return 0, nil
 }
 
-// checkDependencies looks at the jobs that a submission awaits. Not decided: why it cannot be told
-// yet whether all of them were accepted.
-func (c *Controller) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
-	if len(submission.Awaits) > tuning.MaxDependencies {
-		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
+// setRetryAfter tells the user of a job that cannot be taken now when to come back: each another
+// time, spread over as long as it takes to take all that wait.
+func (s *submissionService) setRetryAfter(response *peer.Response, body []byte) {
+	refused := response.Status == http.StatusServiceUnavailable
+	s.mu.Lock()
+	none := s.retries.Waiting() == 0
+	s.mu.Unlock()
+	if !refused && none {
+		return
 	}
-	if old := c.versions.Older(); len(old) > 0 {
-		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(old, ", "), nil
-	}
-	refused := make([]error, len(submission.Awaits))
-	late := make([]string, len(submission.Awaits))
-	lookup.ForEach(submission.Awaits, func(i int, id string) { late[i], refused[i] = c.checkDependency(ctx, sched, submission.ID, id) })
-	for i := range submission.Awaits {
-		if refused[i] != nil {
-			return "", refused[i]
-		}
-		undecided = max(undecided, late[i])
-	}
-	return undecided, nil
-}
-
-// checkDependency tells whether a job may await another.
-func (c *Controller) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
-	bad := func(reason string) error { return &api.FieldError{Field: "awaits", Want: id + " " + reason} }
-	if id == job {
-		return "", bad("is the job itself")
-	}
-	for again := false; ; again = true {
-		if sched != nil {
-			switch here, accepted, service := sched.DependencyState(id); {
-			case service:
-				return "", bad("is a service, which is never done")
-			case accepted:
-				return "", nil
-			case here:
-				return id + " is just being accepted", nil
-			}
-		}
-		x, err := c.records.ReadInTurn(ctx, id, "")
-		switch {
-		case err != nil:
-			return "the state service is out of reach", nil
-		case x.Service:
-			return "", bad("is a service, which is never done")
-		case x.Found:
-			return "", nil
-		case again:
-			return "", bad("was never accepted")
-		}
-		c.sleep(ctx, tuning.DependencyRetryDelay)
+	_, id, _ := api.ParseSubmission(body)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if refused {
+		response.RetryAfterS = max(response.RetryAfterS, s.retries.Refused(s.clock.Now(), id))
+	} else {
+		s.retries.Taken(id)
 	}
 }
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -27,7 +27,7 @@
 			submission.Awaits = []string{"run-000001"}
 			accept := func() {
 				if alone {
-					leader.beside().submitWithoutLeader(context.Background(), &submission, nil)
+					leader.beside().submissions.submitWithoutLeader(context.Background(), &submission, nil)
 				} else {
 					leader.Submit(cancelledContext(), &submission, leader.clock.Now())
 				}
@@ -54,7 +54,7 @@
 			if st := leader.status("run-000002"); st != api.Cancelled {
 				t.Errorf("%s first, alone %v: %q", first, alone, st)
 			}
-			job, _, err := leader.beside().lookUp(context.Background(), nil, "run-000002", true)
+			job, _, err := leader.beside().jobs.lookUp(context.Background(), nil, "run-000002", true)
 			if err != nil || job.State != api.Cancelled {
 				t.Errorf("%s first, alone %v, from the records: %v %v", first, alone, job, err)
 			}
@@ -134,8 +134,8 @@
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
 	controller := leader.beside()
-	controller.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
-	controller.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	controller.submissions.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
+	controller.submissions.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
 	ask := func() peer.Response {
 		return controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
@@ -143,11 +143,11 @@
 	if response := ask(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
-	controller.versions.Observe("z", upgrade.VersionMark{Data: 1})
+	controller.submissions.versions.Observe("z", upgrade.VersionMark{Data: 1})
 	if response := ask(); response.Status != 503 {
 		t.Errorf("beside data of version 1: %d", response.Status)
 	}
-	controller.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	controller.submissions.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	if response := ask(); response.Status != 201 {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -3,50 +3,83 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"log/slog"
 	"net/http"
+	"sync"
+
+	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/dataset"
+	"switchferry/election"
 	"switchferry/internal/rest"
 	"switchferry/peer"
+	"switchferry/redirect"
+	"switchferry/relay/proxy"
 	"switchferry/scheduler"
-	"switchferry/store"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
-// HandleStageHeartbeat answers an agent's report, which came as raw. Agents report to the leader; one
+// agentGateway answers the data agents beside the workers, and sends them the leader's orders.
+type agentGateway struct {
+	settings *settings.Settings
+	clock    clockwork.Clock
+	elector  *election.Elector
+	peers    *peer.Network
+	health   *stateHealth
+	term     *currentTerm
+	leader   *leaderLocator
+	// agentClient sends orders to agents.
+	agentClient *http.Client
+	// agentProxy relays heartbeats of agents while the leader is unreachable. It is set before Run, and nil with datasets
+	// off.
+	agentProxy *proxy.Agents
+
+	// mu guards agentRedirects, which remembers the agents that were redirected to the leader.
+	mu             sync.Mutex
+	agentRedirects redirect.Tracker
+}
+
+// newAgentGateway returns the part of c that serves agents.
+func newAgentGateway(c *Controller, transport http.RoundTripper) *agentGateway {
+	return &agentGateway{settings: c.settings, clock: c.clock, elector: c.elector, peers: c.peers, health: c.health, term: c.term,
+		leader: c.leader, agentClient: &http.Client{Transport: transport}, agentRedirects: redirect.NewTracker()}
+}
+
+// mayRedirect reports whether an agent may be redirected to the leader.
+func (a *agentGateway) mayRedirect(machine, leader string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.agentRedirects.Allow(a.clock.Now(), machine, leader, true)
+}
+
+// handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader; one
 // that comes back from it is cut off, and its reports are passed on: over the back port
 // while that leads there, else through the state service.
-func (c *Controller) HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
-	if sched := c.leadingScheduler(); sched != nil {
-		return c.stageOrderFor(sched, heartbeat)
+func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
+	if sched := a.term.leadingScheduler(); sched != nil {
+		return a.stageOrderFor(sched, heartbeat)
 	}
-	leader, term := c.elector.Leader()
-	leader, term, reachable := newestLeader(leader, term, c.peers.LivePeers())
-	if leader == "" || leader == c.settings.Member {
+	leader, term, reachable := a.leader.locate()
+	if leader == "" || leader == a.settings.Member {
 		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
 	if reachable {
-		c.mu.Lock()
-		may := c.agentRedirects.Allow(c.clock.Now(), heartbeat.Machine, leader, true)
-		c.mu.Unlock()
-		if may {
+		if a.mayRedirect(heartbeat.Machine, leader) {
 			return http.StatusMisdirectedRequest, api.Redirect{Controller: leader}
 		}
 		if len(raw) <= tuning.BodyLimit {
-			response, err := c.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: c.settings.Member}, tuning.PeerTimeout)
+			response, err := a.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: a.settings.Member}, tuning.PeerTimeout)
 			if err == nil && response.Status == http.StatusOK {
 				return response.Status, json.RawMessage(response.Body)
 			}
 		}
 	}
-	if heartbeat.Term > term || !c.stateServiceHealthy() {
+	if heartbeat.Term > term || !a.health.stateServiceHealthy() {
 		// Nobody's word comes through here: another controller may do better.
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	order, err := c.agentProxy.HandleHeartbeat(heartbeat, term)
+	order, err := a.agentProxy.HandleHeartbeat(heartbeat, term)
 	if err != nil {
 		slog.Error("an agent's order in the mail is damaged", "machine", heartbeat.Machine, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
@@ -56,13 +89,13 @@
 
 // handleForwardedStageHeartbeat serves an agent's report that a sibling passes on. An order that no frame
 // holds goes through the state service.
-func (c *Controller) handleForwardedStageHeartbeat(raw []byte) peer.Response {
-	sched := c.leadingScheduler()
+func (a *agentGateway) handleForwardedStageHeartbeat(raw []byte) peer.Response {
+	sched := a.term.leadingScheduler()
 	var heartbeat api.StageHeartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	response := peer.JSONResponse(c.stageOrderFor(sched, &heartbeat))
+	response := peer.JSONResponse(a.stageOrderFor(sched, &heartbeat))
 	if len(response.Body) > tuning.BodyLimit {
 		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
@@ -70,11 +103,11 @@
 }
 
 // stageOrderFor answers an agent as the leader.
-func (c *Controller) stageOrderFor(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
+func (a *agentGateway) stageOrderFor(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
 	order, deposed, refused := sched.HandleStageHeartbeat(heartbeat)
 	switch {
 	case deposed:
-		c.elector.Resign("an agent has seen a higher term")
+		a.elector.Resign("an agent has seen a higher term")
 		return http.StatusMisdirectedRequest, api.Redirect{}
 	case refused:
 		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
@@ -84,10 +117,10 @@
 
 // sendStageOrder delivers an order to an agent. One that is lost is sent again, and goes out with
 // the answer to the agent's next report in any case.
-func (c *Controller) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
+func (a *agentGateway) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, c.agentClient, http.MethodPost, "http://"+addr+"/stage", order)
+	status, body, err := rest.Do(ctx, a.agentClient, http.MethodPost, "http://"+addr+"/stage", order)
 	var heartbeat api.StageHeartbeat
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if err = json.Unmarshal(body, &heartbeat); err == nil {
@@ -99,48 +132,11 @@
 		return
 	}
 	if _, deposed, _ := sched.HandleStageHeartbeat(&heartbeat); deposed {
-		c.elector.Resign("an agent has seen a higher term")
+		a.elector.Resign("an agent has seen a higher term")
 	}
 }
 
-// followDatasets keeps a leader up to date with what is registered, by any controller.
-func (c *Controller) followDatasets(ctx context.Context, sched *scheduler.Scheduler, after uint64) {
-	for ctx.Err() == nil {
-		log, epoch, err := c.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
-		if errors.Is(err, store.ErrCompacted) {
-			epoch, err = c.loadDatasets(ctx, sched)
-			log = nil
-		}
-		if err != nil {
-			c.sleep(ctx, tuning.ElectRetry)
-			continue
-		}
-		for _, event := range log {
-			item := store.Item{Key: event.Set, Value: event.Value, Revision: event.Revision}
-			if entry, err := scheduler.DecodeDataset(&item); event.Set != "" && err == nil {
-				sched.AddDatasets(entry)
-				c.cacheDataset(entry)
-			}
-		}
-		after = max(after, epoch)
-	}
-}
-
-// loadDatasets reads all datasets.
-func (c *Controller) loadDatasets(ctx context.Context, sched *scheduler.Scheduler) (uint64, error) {
-	items, epoch, err := c.client.List(ctx, store.DatasetPrefix)
-	if err != nil {
-		return 0, err
-	}
-	var sets []*dataset.Entry
-	for i := range items {
-		entry, err := scheduler.DecodeDataset(&items[i])
-		if err != nil {
-			slog.Error("a dataset's record is damaged; jobs that need it wait", "key", items[i].Key, "err", err)
-			continue
-		}
-		sets = append(sets, entry)
-	}
-	sched.AddDatasets(sets...)
-	return epoch, nil
+// HandleStageHeartbeat answers an agent's heartbeat, which came as raw.
+func (c *Controller) HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
+	return c.agents.handleHeartbeat(ctx, heartbeat, raw)
 }
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -6,14 +6,49 @@
 	"encoding/json"
 	"net/http"
 
+	"github.com/jonboulle/clockwork"
+	"golang.org/x/time/rate"
+
 	"switchferry/api"
+	"switchferry/lookup"
 	"switchferry/peer"
 	"switchferry/scheduler"
+	"switchferry/store"
 )
 
+// jobReader answers what became of a job, from the state service and from what this controller remembers.
+type jobReader struct {
+	clock  clockwork.Clock
+	leases *leaseRenewal
+	// records reads records of jobs, within this controller's share of reads.
+	records *lookup.Jobs
+	// terminalStates are the jobs that this controller knows to be in a terminal state.
+	terminalStates *lookup.TerminalStates
+	// notifications are the states that it has sent to users.
+	notifications *lookup.Notifications
+}
+
+// newJobReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service.
+func newJobReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, leases *leaseRenewal) *jobReader {
+	j := &jobReader{clock: clock, leases: leases, terminalStates: lookup.NewTerminalStates(), notifications: lookup.NewNotifications()}
+	j.records = &lookup.Jobs{Client: client, Recall: j.terminalState, Remember: j.rememberTerminal, Queue: lookup.NewFairQueue(clock, limiter)}
+	return j
+}
+
+func (j *jobReader) rememberTerminal(id string, final store.FinalRecord) {
+	if final.State == api.Cancelled {
+		j.leases.watermark.RecordCancellation(j.clock.Now(), id)
+	}
+	j.terminalStates.Remember(id, final)
+}
+
+func (j *jobReader) terminalState(id string) (store.FinalRecord, bool) {
+	return j.terminalStates.Get(id)
+}
+
 // answerStatus answers from the state service.
-func (c *Controller) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
-	job, found, err := c.lookUp(ctx, sched, id, waits)
+func (j *jobReader) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
+	job, found, err := j.lookUp(ctx, sched, id, waits)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
@@ -25,7 +60,7 @@
 
 // lookUp reads a job's record: its own key first, since the final one is
 // written before that goes. Waits: a question's user waits for its turn; a submission is refused at once.
-func (c *Controller) lookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
+func (j *jobReader) lookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
@@ -34,44 +69,28 @@
 		asked = id
 		defer func() {
 			if err == nil {
-				c.records.Queue.Answered(id)
+				j.records.Queue.Answered(id)
 			}
 		}()
 	}
 	// Questions must not take the requests that leading needs.
-	x, err := c.records.ReadInTurn(ctx, id, asked)
+	x, err := j.records.ReadInTurn(ctx, id, asked)
 	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
 	}
-	if _, over := c.terminalState(id); x.Record != nil && !over && sched != nil {
+	if _, over := j.terminalState(id); x.Record != nil && !over && sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
 		if job, ok := sched.JobStatus(id); ok {
 			return job, true, nil
 		}
 	}
-	job, err := c.records.Status(ctx, id, x, asked)
+	job, err := j.records.Status(ctx, id, x, asked)
 	return job, err == nil, err
 }
 
-func (c *Controller) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
-	if sched == nil {
-		return c.cancelWithoutLeader(ctx, id)
-	}
-	if response, ok := sched.Cancel(ctx, id); ok {
-		return response
-	}
-	response := c.answerStatus(ctx, sched, id, true)
-	if response.Status == http.StatusOK {
-		if second, ok := sched.Cancel(ctx, id); ok {
-			return second
-		}
-	}
-	return response
-}
-
 // publishAnswer has a cancellation known to the siblings before its user is told, and gives what may be told: a poll that was
 // read before its job ended, here or at the leader, may be answered after the end was told.
-func (c *Controller) publishAnswer(response peer.Response) peer.Response {
+func (j *jobReader) publishAnswer(response peer.Response) peer.Response {
 	if response.Status != http.StatusOK && response.Status != http.StatusCreated || !bytes.Contains(response.Body, []byte(`"status"`)) {
 		return response
 	}
@@ -80,9 +99,9 @@
 		return response
 	}
 	if job.State == api.Cancelled {
-		c.watermark.RecordCancellation(c.clock.Now(), job.ID)
+		j.leases.watermark.RecordCancellation(j.clock.Now(), job.ID)
 	}
-	if newest, older := c.notifications.Newest(job); older {
+	if newest, older := j.notifications.Newest(job); older {
 		return peer.JSONResponse(http.StatusOK, newest)
 	}
 	return response
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -23,7 +23,7 @@
 	state := fake.NewState(clock)
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
 	ask := func() int {
-		return controller.answerStatus(context.Background(), nil, "run-000404", true).Status
+		return controller.jobs.answerStatus(context.Background(), nil, "run-000404", true).Status
 	}
 	state.Down = true
 	if got := ask(); got != 503 {
@@ -53,10 +53,10 @@
 		t.Fatal("two leaders")
 	}
 	_, term := controller.elector.Leader()
-	controller.watermark.MarkCurrent(clock.Now())
+	controller.leases.watermark.MarkCurrent(clock.Now())
 	state.Down = true
 	clock.Advance(time.Second)
-	controller.answerStatus(context.Background(), nil, "run-1", true)
+	controller.jobs.answerStatus(context.Background(), nil, "run-1", true)
 	heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
 	status, body := controller.HandleHeartbeat(context.Background(), heartbeat, nil)
 	if status != 421 || body.(api.Redirect).Controller != "n0" {
@@ -96,7 +96,7 @@
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
-	controller.machineTypes = testTypes
+	controller.catalog.types = testTypes
 	ask := func(body string) int {
 		return controller.serveAsLeader(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
 	}
@@ -125,15 +125,15 @@
 	state := fake.NewState(clock)
 	controller := New(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, state)
 	submission := &api.Submission{ID: "run-000001", Tasks: 1}
-	if got := controller.submitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
+	if got := controller.submissions.submitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
 		t.Fatalf("first: %d", got)
 	}
-	if got := controller.submitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
+	if got := controller.submissions.submitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("again: %d", got)
 	}
 	// With a leader's key standing, only the leader cancels; it is told.
 	state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	if got := controller.cancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
+	if got := controller.submissions.cancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
 		t.Errorf("cancelled beside a leader: %d", got)
 	}
 	if string(state.Get(store.InboxKey("run-000001"))) != `{"cancel":true}` {
@@ -155,7 +155,7 @@
 	set := testSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	controller := New(context.Background(), set, policy.Default(), clock, state)
-	controller.machineTypes = testTypes
+	controller.catalog.types = testTypes
 	body := submissionBody("run-000001", 4, `,"x":1`)
 	long := strings.Replace(body, `"bundle":"img"`, `"bundle":"`+strings.Repeat("i", 17<<10)+`"`, 1)
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(long)}, false); response.Status != 400 || !strings.Contains(string(response.Body), "at most 16384") {
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -15,65 +15,65 @@
 )
 
 // words is a node's side of what controllers tell each other of cancellations.
-type watermarkPeers struct{ controller *Controller }
+type watermarkPeers struct{ leases *leaseRenewal }
 
 // Position is what is known of a sibling's word; nothing is asked while an older process may be there.
 func (w watermarkPeers) Position(member string) (incarnation, position uint64, ok bool) {
-	if len(w.controller.versions.Older()) > 0 {
+	if len(w.leases.versions.Older()) > 0 {
 		return 0, 0, false
 	}
-	incarnation, position = w.controller.watermark.Position(member)
+	incarnation, position = w.leases.watermark.Position(member)
 	return incarnation, position, true
 }
 
 // Statement answers a sibling.
 func (w watermarkPeers) Statement(incarnation, position uint64) (watermark.Statement, bool) {
-	if len(w.controller.versions.Older()) > 0 {
+	if len(w.leases.versions.Older()) > 0 {
 		return watermark.Statement{}, false
 	}
-	w.controller.markCurrentIfLeading()
-	return w.controller.watermark.Statement(w.controller.clock.Now(), incarnation, position), true
+	w.leases.markCurrentIfLeading()
+	return w.leases.watermark.Statement(w.leases.clock.Now(), incarnation, position), true
 }
 
 // ApplyStatement takes in a sibling's answer.
 func (w watermarkPeers) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
-	if err := w.controller.watermark.ApplyStatement(w.controller.clock.Now(), member, sent, statement); err != nil {
+	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, sent, statement); err != nil {
 		slog.Info("a sibling's word is not believed", "member", member, "err", err)
 	}
 }
 
 // followCancellations reads the records of jobs while this controller answers workers by itself and reaches the
 // state service: what it has read was told to nobody before without being here.
-func (c *Controller) followCancellations(ctx context.Context) {
+func (l *leaseRenewal) followCancellations(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
-		c.mu.Lock()
-		needed := !c.answeredAloneAt.IsZero() && c.clock.Since(c.answeredAloneAt) < tuning.WatermarkNeeded
-		c.mu.Unlock()
-		if needed && c.leadingScheduler() == nil {
-			if next, err := c.readCancelledJobs(ctx, after); err == nil {
+		l.mu.Lock()
+		needed := !l.answeredAloneAt.IsZero() && l.clock.Since(l.answeredAloneAt) < tuning.WatermarkNeeded
+		l.mu.Unlock()
+		if needed && l.term.leadingScheduler() == nil {
+			if next, err := l.readCancelledJobs(ctx, after); err == nil {
 				after = next
-				c.sleep(ctx, tuning.RelayEvery)
+				sleep(ctx, l.clock, tuning.RelayEvery)
 				continue
 			}
 		}
 		after = 0
-		c.sleep(ctx, tuning.RelayEvery)
+		sleep(ctx, l.clock, tuning.RelayEvery)
 	}
 }
 
 // readCancelledJobs notes the cancellations on record, or, after a revision, those since. It gives the revision to go on
 // from. What is known then is known from when that was asked for.
-func (c *Controller) readCancelledJobs(ctx context.Context, after uint64) (uint64, error) {
-	sent := c.clock.Now()
+func (l *leaseRenewal) readCancelledJobs(ctx context.Context, after uint64) (uint64, error) {
+	sent := l.clock.Now()
 	var all []store.Item
 	var log []store.Event
 	var epoch uint64
 	var err error
 	if after == 0 {
-		all, epoch, err = c.client.List(ctx, store.JobPrefix)
+		all, epoch, err = l.client.List(ctx, store.JobPrefix)
 	} else {
-		log, epoch, err = c.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkBlock)
+		log, epoch, err = l.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkBlock)
 	}
 	if err != nil {
 		return 0, err
@@ -86,9 +86,9 @@
 			Final string `json:"final"`
 		}
 		if bytes.Contains(item.Value, []byte(api.Cancelled)) && json.Unmarshal(item.Value, &rec) == nil && rec.Final == api.Cancelled {
-			c.watermark.RecordCancellation(c.clock.Now(), strings.TrimPrefix(item.Key, store.JobPrefix))
+			l.watermark.RecordCancellation(l.clock.Now(), strings.TrimPrefix(item.Key, store.JobPrefix))
 		}
 	}
-	c.watermark.MarkCurrent(sent)
+	l.watermark.MarkCurrent(sent)
 	return max(after, epoch), nil
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -6,32 +6,51 @@
 	"fmt"
 	"net/http"
 
+	"github.com/jonboulle/clockwork"
+
 	"switchferry/api"
 	"switchferry/configuration"
 	"switchferry/configuration/httpapi"
 	"switchferry/configuration/revisions"
 	"switchferry/peer"
 	"switchferry/scheduler"
+	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
+	"switchferry/upgrade"
 )
 
-// newRevisionStore switches live configuration on; it is called before Run.
-func (c *Controller) newRevisionStore() {
-	c.revisions = revisions.New(c.client, c.clock, c.fileConfiguration[0], c.settings.Facts.State)
-	c.versions.Configuration = true
+// liveConfiguration serves requests about the configuration, and says by which configuration this process decides.
+type liveConfiguration struct {
+	settings *settings.Settings
+	clock    clockwork.Clock
+	client   *store.Client
+	features *optionalFeatures
+	versions *upgrade.VersionRegistry
+	term     *currentTerm
+	leader   *leaderLocator
+	// fileConfiguration is the configuration of the files and settings, alone in its list.
+	fileConfiguration []*configuration.Active
+	// revisions keeps the configuration that operators change while this process runs. It is nil unless that feature is
+	// on, and set before Run.
+	revisions *revisions.Store
 }
 
-// ConfigurationOn tells whether the configuration can change while this controller runs.
-func (c *Controller) ConfigurationOn() bool { return c.revisions != nil }
+// newLiveConfiguration returns the part of c that keeps the configuration, with live changes off.
+func newLiveConfiguration(c *Controller) *liveConfiguration {
+	return &liveConfiguration{settings: c.settings, clock: c.clock, client: c.client, features: c.features, versions: c.versions,
+		term: c.term, leader: c.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(c.settings.Facts.Teams, c.policy)}}
+}
 
-// currentApplier is what changes the configuration in the present term; nil: this controller does not lead.
-func (c *Controller) currentApplier() *revisions.Applier {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.applier
+// newRevisionStore switches live configuration on; it is called before Run.
+func (l *liveConfiguration) newRevisionStore() {
+	l.revisions = revisions.New(l.client, l.clock, l.fileConfiguration[0], l.settings.Facts.State)
+	l.versions.Configuration = true
 }
 
+// ConfigurationOn tells whether the configuration can change while this controller runs.
+func (c *Controller) ConfigurationOn() bool { return c.configuration.revisions != nil }
+
 // configurationLeader is a term's side of a change.
 type configurationLeader struct {
 	controller *Controller
@@ -40,23 +59,23 @@
 
 // Condition holds while the term lasts.
 func (l *configurationLeader) Condition() (store.Condition, bool) {
-	return recordSource{l.scheduler, l.controller}.Condition()
+	return termCondition(l.controller.elector, l.scheduler)
 }
 
 // Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
 // revision before had something else.
 func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
-	return l.scheduler.ApplyConfiguration(l.controller.withFileDefaults(active))
+	return l.scheduler.ApplyConfiguration(l.controller.configuration.withFileDefaults(active))
 }
 
 // withFileDefaults returns a configuration in which the files stand in for what the revision leaves out.
-func (c *Controller) withFileDefaults(active *configuration.Active) *configuration.Active {
+func (l *liveConfiguration) withFileDefaults(active *configuration.Active) *configuration.Active {
 	complete := *active
-	if complete.Topology == nil && c.topology != nil {
-		complete.Topology = c.topology.Map()
+	if complete.Topology == nil && l.features.topology != nil {
+		complete.Topology = l.features.topology.Map()
 	}
 	if complete.AheadTasks == nil {
-		complete.AheadTasks = &c.data.Ahead
+		complete.AheadTasks = &l.features.data.Ahead
 	}
 	return &complete
 }
@@ -82,48 +101,48 @@
 }
 
 // reapplyConfiguration has the leader go by its present configuration once more, after the topology file has changed.
-func (c *Controller) reapplyConfiguration(sched *scheduler.Scheduler) {
-	if applier := c.currentApplier(); applier != nil {
+func (l *liveConfiguration) reapplyConfiguration(sched *scheduler.Scheduler) {
+	if applier := l.term.currentApplier(); applier != nil {
 		applier.Reapply()
 		return
 	}
-	sched.ReplaceTopology(c.topology.Map())
+	sched.ReplaceTopology(l.features.topology.Map())
 }
 
 // handleConfiguration serves requests about the configuration.
-func (c *Controller) handleConfiguration(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
-	if c.revisions == nil {
+func (l *liveConfiguration) handleConfiguration(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	if l.revisions == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
 	if request.Verb == verbConfirm {
-		number, err := c.revisions.Refresh(ctx)
+		number, err := l.revisions.Refresh(ctx)
 		if err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
 		return peer.JSONResponse(http.StatusOK, number)
 	}
 	if request.Verb == VerbConfiguration && request.Job != "" {
-		return encodeResponse(c.configurationHandler().Revision(ctx, request.Job))
+		return encodeResponse(l.configurationHandler().Revision(ctx, request.Job))
 	}
-	applier := c.currentApplier()
+	applier := l.term.currentApplier()
 	switch {
 	case applier == nil && request.Verb == VerbConfigure:
-		return c.forwardToLeader(ctx, request, forwarded)
+		return l.leader.forwardToLeader(ctx, request, forwarded)
 	case applier == nil && !forwarded:
-		if response := c.forwardToLeader(ctx, request, forwarded); response.Status == http.StatusOK {
+		if response := l.leader.forwardToLeader(ctx, request, forwarded); response.Status == http.StatusOK {
 			return response
 		}
 		// Nobody leads: the records tell.
-		if _, err := c.revisions.Refresh(ctx); err != nil {
+		if _, err := l.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
-		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(nil))
+		return peer.JSONResponse(http.StatusOK, l.configurationHandler().Present(nil))
 	case request.Verb == VerbConfiguration:
-		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(applier))
+		return peer.JSONResponse(http.StatusOK, l.configurationHandler().Present(applier))
 	}
-	return encodeResponse(c.configurationHandler().Change(ctx, applier, request.Body))
+	return encodeResponse(l.configurationHandler().Change(ctx, applier, request.Body))
 }
 
-func (c *Controller) configurationHandler() *httpapi.Handler {
-	return &httpapi.Handler{Store: c.revisions, Versions: c.versions, TopologyOn: c.topology != nil, DataOn: c.data.On}
+func (l *liveConfiguration) configurationHandler() *httpapi.Handler {
+	return &httpapi.Handler{Store: l.revisions, Versions: l.versions, TopologyOn: l.features.topology != nil, DataOn: l.features.data.On}
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -34,7 +34,7 @@
 	defer stop()
 	var unresponsive atomic.Bool
 	controller, clock, state := newFollower(t, ctx, &unresponsive, func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
-	controller.newRevisionStore()
+	controller.configuration.newRevisionStore()
 	submit := func(id string) peer.Response {
 		return controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(strings.Replace(sampleJob, "run-000001", id, 1))}, false)
 	}
@@ -42,7 +42,7 @@
 		t.Fatalf("before anything was read: %d %s", response.Status, response.Body)
 	}
 	confirm := func() {
-		if _, err := controller.revisions.Refresh(ctx); err != nil {
+		if _, err := controller.configuration.revisions.Refresh(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -85,8 +85,8 @@
 	defer stop()
 	var unresponsive atomic.Bool
 	controller, clock, _ := newFollower(t, ctx, &unresponsive, neverAnswer)
-	controller.newRevisionStore()
-	if _, err := controller.revisions.Refresh(ctx); err != nil {
+	controller.configuration.newRevisionStore()
+	if _, err := controller.configuration.revisions.Refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
 	var s api.Submission
@@ -94,18 +94,18 @@
 		t.Fatal(err)
 	}
 	s.Team = "unknown"
-	rules, err, _ := controller.canRun(nil, &s)
-	if err == nil || !rules.stillValid(controller, nil) {
+	rules, _, err := controller.submissions.canRun(nil, &s)
+	if err == nil || !controller.submissions.stillValid(rules, nil) {
 		t.Fatalf("judged %v", err)
 	}
 	clock.Advance(tuning.ConfigurationLease)
-	if rules.stillValid(controller, nil) {
+	if controller.submissions.stillValid(rules, nil) {
 		t.Error("it stands after the right is over")
 	}
 }
 
 func changeConfiguration(controller *Controller, body []byte) peer.Response {
-	return encodeResponse(controller.configurationHandler().Change(context.Background(), nil, body))
+	return encodeResponse(controller.configuration.configurationHandler().Change(context.Background(), nil, body))
 }
 
 // Only once all controllers know of it, and have it on, can anything be changed; a document with a mistake, or with
@@ -113,7 +113,7 @@
 func TestChangesNeedAllControllers(t *testing.T) {
 	controller := newLeader(t).beside()
 	controller.settings.Peers = []settings.Peer{{Member: "z"}}
-	controller.newRevisionStore()
+	controller.configuration.newRevisionStore()
 	response := controller.Handle(context.Background(), peer.Request{Verb: VerbConfigure, Body: []byte(`{}`)}, true)
 	if response.Status != http.StatusServiceUnavailable {
 		t.Errorf("without a leader: %d %s", response.Status, response.Body)
@@ -135,11 +135,11 @@
 // A setting that a later revision leaves out is as the files have it again.
 func TestSettingLeftOutIsAsInTheFiles(t *testing.T) {
 	controller := newLeader(t).beside()
-	controller.data.Ahead = 5
-	if ahead := *controller.withFileDefaults(overEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
+	controller.features.data.Ahead = 5
+	if ahead := *controller.configuration.withFileDefaults(overEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
 		t.Fatalf("ahead %d with 9 configured", ahead)
 	}
-	if ahead := *controller.withFileDefaults(overEmptyFiles(t, "")).AheadTasks; ahead != 5 {
+	if ahead := *controller.configuration.withFileDefaults(overEmptyFiles(t, "")).AheadTasks; ahead != 5 {
 		t.Errorf("ahead %d once it is left out, the features file has 5", ahead)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -8,43 +8,33 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/jonboulle/clockwork"
 	"golang.org/x/time/rate"
 
-	"switchferry/api"
 	"switchferry/cloud"
-	"switchferry/configuration"
-	"switchferry/configuration/revisions"
 	"switchferry/connlimit"
 	"switchferry/cpupressure"
-	"switchferry/dataset"
 	"switchferry/election"
 	"switchferry/features"
-	"switchferry/lookup"
 	"switchferry/membership"
 	"switchferry/peer"
 	"switchferry/policy"
-	"switchferry/reachability"
-	"switchferry/redirect"
 	"switchferry/relay/exchange"
 	"switchferry/relay/proxy"
-	"switchferry/retry"
-	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
-	"switchferry/topology"
 	"switchferry/traffic"
 	"switchferry/tuning"
 	"switchferry/upgrade"
-	"switchferry/watermark"
 	"switchferry/worker"
 )
 
-// Controller is one controller process.
+// Controller is one controller process. It composes the parts of the process, each of which guards its own state; what a
+// part needs of another one it is given when it is made. All methods may be called concurrently, except for those that
+// are to be called before Run.
 type Controller struct {
 	settings  *settings.Settings
 	policy    *policy.Policy
@@ -56,111 +46,86 @@
 	worker    *worker.Client
 	startedAt time.Time
 	ctx       context.Context
-
-	mu             sync.Mutex
-	scheduler      *scheduler.Scheduler
-	endTerm        context.CancelFunc
-	machineTypes   []api.MachineType
-	stateServedAt  time.Time
-	stateRefusedAt time.Time
-	// lastHeartbeat is when a worker last reported to this node itself; newest are the reports that did.
-	lastHeartbeat    time.Time
-	newestHeartbeats *reachability.Deduplicator
-	// watermark is what it knows of cancellations; loaded is the term whose records it has read, lone when it
-	// last answered a worker by itself. keeping: leases were renewed at the last report.
-	watermark       *watermark.Tracker
-	loadedTerm      atomic.Uint64
-	answeredAloneAt time.Time
-	renewingLeases  bool
-	redirects       redirect.Tracker
-	requestCounts   traffic.Counter
-
-	// readLimiter limits what questions of users take of the state service, records reads jobs' records
-	// within that.
-	readLimiter *rate.Limiter
-	records     *lookup.Jobs
-	// terminalStates are what it knows to be over, ends what it told users of that.
-	terminalStates *lookup.TerminalStates
-	notifications  *lookup.Notifications
-
-	// topology is nil unless that feature is on.
-	topology *topology.File
-	// leaderlessWriter writes what is accepted without a leader.
-	leaderlessWriter *store.HedgedClient
-	// relayLimiter is what this node writes of letters, of all kinds together.
-	relayLimiter *rate.Limiter
-	// retries spreads the users that were refused over the time that it takes to take them.
-	retries *retry.Spread
-
+	// features are what operators have switched on; nothing of it changes once Run is called.
+	features *optionalFeatures
 	// versions tells whose processes may be of an older version.
 	versions *upgrade.VersionRegistry
-	// useCurrentFormat has the records of the term written as this version has them; nil without a term.
-	useCurrentFormat func()
-	// members watches the siblings; nil unless that feature is on. leaving: this process ends
-	// by plan.
-	members      *membership.Watcher
-	shuttingDown bool
-	// fileConfiguration is what files and settings say, alone in its list.
-	fileConfiguration []*configuration.Active
-	// revisions keeps the configuration, which can change while this process runs, and applier changes it in the present
-	// term; both are nil unless that feature is on.
-	revisions *revisions.Store
-	applier   *revisions.Applier
 
+	health        *stateHealth
+	catalog       *machineCatalog
+	term          *currentTerm
+	leader        *leaderLocator
+	leases        *leaseRenewal
+	workers       *workerRouter
+	heartbeats    *heartbeatMonitor
+	agents        *agentGateway
+	jobs          *jobReader
+	datasets      *datasetService
+	configuration *liveConfiguration
+	submissions   *submissionService
+
+	// workerProxy relays heartbeats of workers while the leader is unreachable.
 	workerProxy *proxy.Workers
 	cpuMonitor  *cpupressure.Monitor
-	// transfer is used by the loop of a term alone.
-	transfer cpupressure.LeadershipTransfer
-
-	// datasets says whether datasets are on; sets are those read lately, agents the client
-	// for orders to their agents.
-	data         features.Data
-	datasetCache map[string]*dataset.Entry
-	agentClient  *http.Client
-	// agentRedirects remembers agents that were sent to the leader; agentRelay answers
-	// those that do not reach it.
-	agentRedirects redirect.Tracker
-	agentProxy     *proxy.Agents
+	// transfer is used by the placement loop of a term alone.
+	transfer      cpupressure.LeadershipTransfer
+	requestCounts traffic.Counter
+	// readLimiter is this controller's share of the reads that requests of users take of the state service.
+	readLimiter *rate.Limiter
+	// relayLimiter bounds what this controller writes of relayed messages, of all kinds together.
+	relayLimiter *rate.Limiter
+	// members is nil unless membership is on.
+	members *membership.Watcher
+	// shuttingDown is set once, when a graceful shutdown begins.
+	shuttingDown atomic.Bool
 }
 
-// New makes a controller. Transport carries its calls to other services.
+// New returns a controller that does nothing before Run is called. All that it starts ends with the context. The
+// transport carries its calls to the state service, the cloud, workers and agents.
 func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
-	controller := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), renewingLeases: true, redirects: redirect.NewTracker(),
-		newestHeartbeats: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
-	all := []string{set.Member}
-	for _, other := range set.Peers {
-		all = append(all, other.Member)
-	}
-	controller.fileConfiguration = []*configuration.Active{configuration.FromFiles(set.Facts.Teams, pol)}
-	controller.watermark = watermark.New(controller.startedAt, all[1:], watermark.NewLimits(settings.Seconds(set.Facts.Workers.CancelS), settings.Seconds(set.Facts.Workers.LeaseS)))
-	controller.client = store.NewClient(set.External.State, transport)
-	controller.versions = upgrade.NewVersionRegistry(set.Member, all, controller.client, clock)
-	controller.client.OnResponse = controller.recordStateResponse
-	controller.cloud = cloud.New(set.External.Cloud, set.Facts.Cloud.RPS, transport)
-	controller.worker = worker.New(transport)
-	controller.peers = peer.New(set.Peers, clock, controller.hello, func(ctx context.Context, request peer.Request) peer.Response {
-		return controller.Handle(ctx, request, true)
+	c := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), features: &optionalFeatures{}}
+	c.connect(transport)
+	c.readLimiter = newReadLimiter(set)
+	c.relayLimiter = exchange.WriteRate(set.Facts.State)
+	c.health = &stateHealth{clock: clock}
+	c.client.OnResponse = c.health.recordStateResponse
+	c.catalog = &machineCatalog{clock: clock, cloud: c.cloud}
+	c.term = &currentTerm{}
+	c.leader = &leaderLocator{elector: c.elector, peers: c.peers}
+	c.leases = newLeaseRenewal(c)
+	c.peers.Watermarks = watermarkPeers{c.leases}
+	c.workers = newWorkerRouter(set, clock, c.peers)
+	c.heartbeats = newHeartbeatMonitor(clock, set.Facts.Workers)
+	c.agents = newAgentGateway(c, transport)
+	c.jobs = newJobReader(clock, c.client, c.readLimiter, c.leases)
+	c.datasets = newDatasetService(c)
+	c.configuration = newLiveConfiguration(c)
+	c.submissions = newSubmissionService(c)
+	c.workerProxy = proxy.NewWorkers(c.proxyOptions())
+	c.cpuMonitor = cpupressure.NewMonitor(clock)
+	return c
+}
+
+// connect makes the clients of other services and of the peers, and the elector.
+func (c *Controller) connect(transport http.RoundTripper) {
+	members := []string{c.settings.Member}
+	for _, other := range c.settings.Peers {
+		members = append(members, other.Member)
+	}
+	c.client = store.NewClient(c.settings.External.State, transport)
+	c.versions = upgrade.NewVersionRegistry(c.settings.Member, members, c.client, c.clock)
+	c.cloud = cloud.New(c.settings.External.Cloud, c.settings.Facts.Cloud.RPS, transport)
+	c.worker = worker.New(transport)
+	c.peers = peer.New(c.settings.Peers, c.clock, c.hello, func(ctx context.Context, request peer.Request) peer.Response {
+		return c.Handle(ctx, request, true)
 	})
-	controller.peers.Watermarks = watermarkPeers{controller}
-	controller.elector = election.New(set.Member, controller.client, clock, controller)
+	c.elector = election.New(c.settings.Member, c.client, c.clock, c)
+}
+
+// newReadLimiter returns a controller's share of the reads that requests of users may take of the state service.
+func newReadLimiter(set *settings.Settings) *rate.Limiter {
 	share := tuning.ReadShare * set.Facts.State.RPS / float64(1+len(set.Peers))
-	controller.readLimiter = rate.NewLimiter(rate.Limit(share), max(1, int(share)))
-	controller.records = &lookup.Jobs{Client: controller.client, Recall: controller.terminalState, Remember: controller.rememberTerminal, Queue: lookup.NewFairQueue(clock, controller.readLimiter)}
-	controller.terminalStates, controller.notifications = lookup.NewTerminalStates(), lookup.NewNotifications()
-	controller.relayLimiter = exchange.WriteRate(controller.settings.Facts.State)
-	writes := set.Facts.State.Least().WriteRPS
-	rest := writes * (1 - tuning.QuotaShare)
-	controller.leaderlessWriter = store.NewHedgedClient(controller.client, controller.clock, rate.NewLimiter(rate.Limit(rest), max(1, int(rest))), writes)
-	var err error
-	controller.retries, err = retry.New(tuning.QuotaShare*writes/float64(1+len(set.Peers)), tuning.RetryAfterS, tuning.RetryAfterMost,
-		tuning.RefusedFor, tuning.RefusedKept)
-	if err != nil {
-		panic(err) // only for a limit below one
-	}
-	controller.workerProxy = proxy.NewWorkers(controller.proxyOptions())
-	controller.cpuMonitor = cpupressure.NewMonitor(clock)
-	controller.agentClient = &http.Client{Transport: transport}
-	return controller
+	return rate.NewLimiter(rate.Limit(share), max(1, int(share)))
 }
 
 // Transport is the transport for all calls to other services, within a budget of sockets.
@@ -194,15 +159,13 @@
 
 // Enable switches features on; it is called before Run.
 func (c *Controller) Enable(enabled *features.Features) {
-	c.data = enabled.Data
-	c.datasetCache = map[string]*dataset.Entry{}
-	c.agentRedirects = redirect.NewTracker()
-	c.agentProxy = proxy.NewAgents(c.proxyOptions())
+	c.features.data = enabled.Data
+	c.agents.agentProxy = proxy.NewAgents(c.proxyOptions())
 	if enabled.Membership.On {
 		c.newMembershipWatcher()
 	}
 	if enabled.Configuration.On {
-		c.newRevisionStore()
+		c.configuration.newRevisionStore()
 	}
 }
 
@@ -214,24 +177,24 @@
 		}
 	}()
 	c.peers.Run(c.ctx)
-	go c.refreshCatalog()
+	go c.catalog.refreshCatalog(c.ctx, c.term)
 	go c.markVersion(c.ctx)
 	go c.requestCounts.Log(c.ctx, c.clock, tuning.FleetLogEvery)
 	go c.workerProxy.Exchange.Run(c.ctx)
-	if c.data.On {
-		go c.agentProxy.Exchange.Run(c.ctx)
+	if c.features.data.On {
+		go c.agents.agentProxy.Exchange.Run(c.ctx)
 	}
-	if c.topology != nil {
+	if c.features.topology != nil {
 		go c.watchTopology()
 	}
 	go c.cpuMonitor.Run(c.ctx)
-	go c.followCancellations(c.ctx)
-	if c.revisions != nil {
-		go c.revisions.Run(c.ctx, func() bool { return c.leadingScheduler() != nil })
+	go c.leases.followCancellations(c.ctx)
+	if c.configuration.revisions != nil {
+		go c.configuration.revisions.Run(c.ctx, func() bool { return c.term.leadingScheduler() != nil })
 	}
 	if c.members != nil {
 		go c.members.Run(c.ctx, func() membership.LocalState {
-			return membership.LocalState{Leads: c.leadingScheduler() != nil, StateOK: c.stateServiceHealthy(), ReceivesHeartbeats: c.receivesHeartbeats()}
+			return membership.LocalState{Leads: c.term.leadingScheduler() != nil, StateOK: c.health.stateServiceHealthy(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
 		})
 	}
 	c.elector.Run(c.ctx)
@@ -245,7 +208,7 @@
 	if c.isShuttingDown() {
 		return false
 	}
-	if c.stateServiceHealthy() {
+	if c.health.stateServiceHealthy() {
 		return true
 	}
 	for _, hello := range c.peers.LivePeers() {
@@ -263,65 +226,19 @@
 
 func (c *Controller) hello() peer.Hello {
 	term, _ := c.elector.Term()
-	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.stateServiceHealthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.receivesHeartbeats()}
+	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.health.stateServiceHealthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
 	if c.members != nil {
 		hello.StartedMS, hello.HeardPeers, hello.Leaving = uint64(c.startedAt.UnixMilli()), c.members.HeardPeers(), c.isShuttingDown()
 	}
 	return hello
 }
 
-// receivesHeartbeats tells whether a worker reported to this node itself a moment ago.
-func (c *Controller) receivesHeartbeats() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.lastHeartbeat.IsZero() && c.clock.Since(c.lastHeartbeat) < settings.Seconds(tuning.RecentHeartbeats*c.settings.Facts.Workers.ReportS)
-}
-
-func (c *Controller) recordStateResponse(served bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if served {
-		c.stateServedAt = c.clock.Now()
-	} else {
-		c.stateRefusedAt = c.clock.Now()
-	}
-}
-
-func (c *Controller) stateServiceHealthy() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.stateServedAt.IsZero() && !c.stateRefusedAt.After(c.stateServedAt)
-}
-
-func (c *Controller) leadingScheduler() *scheduler.Scheduler {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.scheduler
-}
-
-func (c *Controller) refreshCatalog() {
-	for c.ctx.Err() == nil {
-		types, err := c.cloud.Catalog(c.ctx)
-		wait := tuning.CatalogEvery
-		if err != nil {
-			slog.Info("catalog not read", "err", err)
-			wait = tuning.BackoffBase
-		} else {
-			c.mu.Lock()
-			c.machineTypes = types
-			sched := c.scheduler
-			c.mu.Unlock()
-			if sched != nil {
-				sched.SetTypes(types)
-			}
+// markVersion puts this controller's version on record. Once all members have this version, records are written as it has
+// them.
+func (c *Controller) markVersion(ctx context.Context) {
+	if c.versions.Run(ctx) {
+		if term := c.term.get(); term != nil {
+			term.useCurrentFormat()
 		}
-		c.sleep(c.ctx, wait)
-	}
-}
-
-func (c *Controller) sleep(ctx context.Context, wait time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-c.clock.After(wait):
 	}
 }
--- a/controller/dataset_admission_test.go
+++ b/controller/dataset_admission_test.go
@@ -26,7 +26,7 @@
 	set := testSettings()
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	controller := New(context.Background(), set, policy.Default(), clock, state)
-	controller.machineTypes = testTypes
+	controller.catalog.types = testTypes
 	controller.Enable(&features.Features{Data: features.Data{On: on, Placement: features.Staged, CacheGB: 5, LinkMBs: 100, StoreMBs: 100, PerLink: 1, AtStore: 8}})
 	return controller, state
 }
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net/http"
 
@@ -17,131 +16,27 @@
 )
 
 // DataOn tells whether datasets are on.
-func (c *Controller) DataOn() bool { return c.data.On }
+func (c *Controller) DataOn() bool { return c.features.data.On }
 
-// lookUpDataset finds a registered dataset, in memory or in the state service. The error is
-// store.ErrNotFound where there is none.
-func (c *Controller) lookUpDataset(ctx context.Context, name string) (*dataset.Entry, error) {
-	c.mu.Lock()
-	entry := c.datasetCache[name]
-	c.mu.Unlock()
-	if entry != nil {
-		return entry, nil
-	}
-	if !dataset.ValidName(name) {
-		return nil, store.ErrNotFound
-	}
-	if !c.readLimiter.AllowN(c.clock.Now(), 1) {
-		return nil, store.ErrBusy
-	}
-	item, err := c.client.Get(ctx, store.DatasetKey(name))
-	if err != nil {
-		return nil, err
-	}
-	if entry, err = scheduler.DecodeDataset(&item); err != nil {
-		return nil, fmt.Errorf("record %s is damaged: %w", item.Key, err)
-	}
-	c.cacheDataset(entry)
-	return entry, nil
-}
-
-func (c *Controller) cacheDataset(entry *dataset.Entry) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if old := c.datasetCache[entry.Name]; old != nil && old.Stamp > entry.Stamp {
-		return
-	}
-	if len(c.datasetCache) >= tuning.DatasetsLimit {
-		// Any may go: what is asked for again is read again.
-		for name := range c.datasetCache {
-			delete(c.datasetCache, name)
-			break
-		}
-	}
-	c.datasetCache[entry.Name] = entry
-}
-
-// evictDatasets lets a job's datasets be read anew.
-func (c *Controller) evictDatasets(submission *api.Submission) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, input := range submission.Inputs {
-		delete(c.datasetCache, input.Dataset)
-	}
-}
-
-// checkInputs reads a submission's inputs and finds out whether it can ever run with
-// them. Undecided: that cannot be told now. The error says which field is wrong; it is
-// a *api.FieldError, malformed or impossible as told by the status.
-func (c *Controller) checkInputs(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (status int, err error, undecided bool) {
-	if submission.Inputs, err = api.ParseInputs(body, submission.Tasks); err != nil {
-		return http.StatusBadRequest, err, false
-	}
-	bytes := int64(0)
-	var sets []*dataset.Entry
-	for i, input := range submission.Inputs {
-		f := fmt.Sprintf("inputs[%d]", i)
-		set, err := c.lookUpDataset(ctx, input.Dataset)
-		if errors.Is(err, store.ErrNotFound) {
-			return http.StatusUnprocessableEntity, &api.FieldError{Field: f + ".dataset",
-				Want: fmt.Sprintf("no dataset %.80q is registered; `switchferry data add` registers one", input.Dataset)}, false
-		}
-		if err != nil {
-			return 0, nil, true
-		}
-		if set.State != dataset.Listed {
-			return http.StatusUnprocessableEntity, &api.FieldError{Field: f + ".dataset",
-				Want: fmt.Sprintf("dataset %q is %s; new jobs cannot use it", input.Dataset, set.State)}, false
-		}
-		sets = append(sets, set)
-		if input.Use == api.UseAll {
-			bytes += set.Bytes
-			continue
-		}
-		if submission.Tasks > set.Parts {
-			return http.StatusUnprocessableEntity, &api.FieldError{Field: f + ".use",
-				Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", submission.Tasks, input.Dataset, set.Parts)}, false
-		}
-		most := int64(0)
-		for k := range submission.Tasks {
-			most = max(most, set.PartBytes(k))
-		}
-		bytes += most
-	}
-	c.mu.Lock()
-	types := c.machineTypes
-	c.mu.Unlock()
-	largest := 0.0
-	for i := range types {
-		if types[i].Fits(submission) {
-			largest = max(largest, c.data.Cache(types[i].Name))
-		}
-	}
-	if len(types) > 0 && float64(bytes) > largest {
-		return http.StatusUnprocessableEntity, &api.FieldError{Field: "inputs",
-			Want: fmt.Sprintf("a task needs %.3f GB of data; the largest cache of an allowed machine type holds %.3f GB", float64(bytes)/1e9, largest/1e9)}, false
-	}
-	if sched != nil {
-		sched.AddDatasets(sets...)
-	}
-	return 0, nil, false
+// datasetService registers, removes and lists datasets.
+type datasetService struct {
+	client   *store.Client
+	peers    *peer.Network
+	features *optionalFeatures
+	term     *currentTerm
+	leader   *leaderLocator
+	cache    *datasetCache
 }
 
-// inputConditions are the conditions under which a job's inputs are as they were checked.
-func (c *Controller) inputConditions(ctx context.Context, submission *api.Submission) (out []store.Condition, err error) {
-	for _, input := range submission.Inputs {
-		entry, err := c.lookUpDataset(ctx, input.Dataset)
-		if err != nil {
-			return nil, err
-		}
-		out = append(out, store.Condition{Key: store.DatasetKey(entry.Name), Revision: entry.Stamp})
-	}
-	return out, nil
+// newDatasetService returns the part of c that serves requests about datasets.
+func newDatasetService(c *Controller) *datasetService {
+	return &datasetService{client: c.client, peers: c.peers, features: c.features, term: c.term, leader: c.leader,
+		cache: newDatasetCache(c.clock, c.client, c.readLimiter)}
 }
 
 // registerDataset makes a dataset known: any controller can, since nothing but its key decides.
 // Its name stands for the same content for ever.
-func (c *Controller) registerDataset(ctx context.Context, body []byte) peer.Response {
+func (d *datasetService) registerDataset(ctx context.Context, body []byte) peer.Response {
 	var entry dataset.Entry
 	if err := json.Unmarshal(body, &entry.Summary); err != nil {
 		return peer.Refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
@@ -149,17 +44,17 @@
 	if err := entry.Check(); err != nil {
 		return peer.Refusal(http.StatusBadRequest, err)
 	}
-	epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
+	epoch, _, err := d.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
 	switch {
 	case err == nil:
 		entry.Stamp = epoch
-		c.cacheDataset(&entry)
-		if sched := c.leadingScheduler(); sched != nil {
+		d.cache.add(&entry)
+		if sched := d.term.leadingScheduler(); sched != nil {
 			sched.AddDatasets(&entry)
 		}
 		return peer.JSONResponse(http.StatusCreated, entry)
 	case errors.Is(err, store.ErrConflict):
-		item, err := c.client.Get(ctx, store.DatasetKey(entry.Name))
+		item, err := d.client.Get(ctx, store.DatasetKey(entry.Name))
 		if err != nil {
 			break
 		}
@@ -185,12 +80,12 @@
 
 // removeDataset takes a dataset off the list: any controller can, since nothing but its
 // record decides. Asking again tells how far it is.
-func (c *Controller) removeDataset(ctx context.Context, name string) peer.Response {
+func (d *datasetService) removeDataset(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
 	for range tuning.RemoveTries {
-		item, err := c.client.Get(ctx, store.DatasetKey(name))
+		item, err := d.client.Get(ctx, store.DatasetKey(name))
 		if errors.Is(err, store.ErrNotFound) {
 			return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 		}
@@ -204,7 +99,7 @@
 		if entry.State == dataset.Listed {
 			next := *entry
 			next.State = dataset.Removing
-			epoch, _, err := c.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
+			epoch, _, err := d.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
@@ -215,9 +110,9 @@
 			next.Stamp = epoch
 			entry = &next
 		}
-		c.cacheDataset(entry)
+		d.cache.add(entry)
 		view := RemovalView{Name: name, State: entry.State, Jobs: -1}
-		if sched := c.leadingScheduler(); sched != nil {
+		if sched := d.term.leadingScheduler(); sched != nil {
 			sched.AddDatasets(entry)
 			view.Jobs = sched.JobsUsing(name)
 		}
@@ -227,29 +122,28 @@
 }
 
 // handleDatasets serves requests about datasets; they know no job.
-func (c *Controller) handleDatasets(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
-	if !c.data.On {
+func (d *datasetService) handleDatasets(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	if !d.features.data.On {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "datasets are off"})
 	}
 	switch request.Verb {
 	case VerbRegister:
-		return c.registerDataset(ctx, request.Body)
+		return d.registerDataset(ctx, request.Body)
 	case VerbRemove:
 		// The leader can tell besides who still needs it.
-		if c.leadingScheduler() == nil && !forwarded {
-			leader, term := c.elector.Leader()
-			if leader, _, reachable := newestLeader(leader, term, c.peers.LivePeers()); reachable {
-				if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
+		if d.term.leadingScheduler() == nil && !forwarded {
+			if leader, _, reachable := d.leader.locate(); reachable {
+				if response, err := d.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
 					return response
 				}
 			}
 		}
-		return c.removeDataset(ctx, request.Job)
+		return d.removeDataset(ctx, request.Job)
 	}
-	if sched := c.leadingScheduler(); sched != nil {
+	if sched := d.term.leadingScheduler(); sched != nil {
 		if v, on := sched.Datasets(); on {
 			return peer.JSONResponse(http.StatusOK, v)
 		}
 	}
-	return c.forwardToLeader(ctx, request, forwarded)
+	return d.leader.forwardToLeader(ctx, request, forwarded)
 }
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -13,20 +13,20 @@
 )
 
 // sendCommands delivers a direct command.
-func (c *Controller) sendCommands(ctx context.Context, sched *scheduler.Scheduler, name, addr string, response api.HeartbeatResponse) {
-	heartbeat, _, err := c.worker.Send(ctx, addr, response)
+func (t *leaderTerm) sendCommands(ctx context.Context, name, addr string, response api.HeartbeatResponse) {
+	heartbeat, _, err := t.controller.worker.Send(ctx, addr, response)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
 		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
-			sched.ConnectionRefused(name)
+			t.scheduler.ConnectionRefused(name)
 		}
-		sched.CommandsAnswered(name, response, nil, errors.Is(err, worker.ErrNotSent))
+		t.scheduler.CommandsAnswered(name, response, nil, errors.Is(err, worker.ErrNotSent))
 		return
 	}
-	if heartbeat.Term > sched.Term() {
-		c.resignIfDeposed(sched)
+	if heartbeat.Term > t.scheduler.Term() {
+		t.controller.resignIfDeposed(t.scheduler)
 	}
-	sched.CommandsAnswered(name, response, heartbeat, true)
+	t.scheduler.CommandsAnswered(name, response, heartbeat, true)
 }
 
 // resignIfDeposed ends the term if a worker's word of a higher one can be true: while our key certainly
@@ -41,38 +41,38 @@
 
 // refreshMachines reads the cloud's list. The first one tells a new leader whom to
 // show its term, so that workers turn to it at once.
-func (c *Controller) refreshMachines(ctx context.Context, sched *scheduler.Scheduler) {
+func (t *leaderTerm) refreshMachines(ctx context.Context) {
 	first := true
 	for ctx.Err() == nil {
-		list, err := c.cloud.List(ctx)
+		list, err := t.controller.cloud.List(ctx)
 		if err != nil {
 			slog.Info("machine list not read", "err", err)
-			c.sleep(ctx, tuning.BackoffBase)
+			sleep(ctx, t.controller.clock, tuning.BackoffBase)
 			continue
 		}
-		sched.ApplyInstanceList(list)
+		t.scheduler.ApplyInstanceList(list)
 		if first {
 			first = false
-			for name, addr := range sched.Addresses() {
-				go c.announceTerm(ctx, sched, name, addr)
+			for name, addr := range t.scheduler.Addresses() {
+				go t.announceTerm(ctx, name, addr)
 			}
 		}
-		c.sleep(ctx, tuning.ListEvery)
+		sleep(ctx, t.controller.clock, tuning.ListEvery)
 	}
 }
 
 // announceTerm lets a worker see our term. Its session is not known: a wrong guess is
 // encodeResponse with the right one.
-func (c *Controller) announceTerm(ctx context.Context, sched *scheduler.Scheduler, name, addr string) {
+func (t *leaderTerm) announceTerm(ctx context.Context, name, addr string) {
 	session := uint64(1)
 	for range 2 {
-		response := api.HeartbeatResponse{Term: sched.Term(), Incarnation: session, Commands: []api.Command{}}
-		heartbeat, done, err := c.worker.Send(ctx, addr, response)
+		response := api.HeartbeatResponse{Term: t.scheduler.Term(), Incarnation: session, Commands: []api.Command{}}
+		heartbeat, done, err := t.controller.worker.Send(ctx, addr, response)
 		if err != nil {
 			return
 		}
 		if done || heartbeat.Incarnation == session {
-			sched.CommandsAnswered(name, response, heartbeat, true)
+			t.scheduler.CommandsAnswered(name, response, heartbeat, true)
 			return
 		}
 		session = heartbeat.Incarnation
@@ -80,22 +80,22 @@
 }
 
 // maintainFleet rents and returns machines.
-func (c *Controller) maintainFleet(ctx context.Context, sched *scheduler.Scheduler) {
+func (t *leaderTerm) maintainFleet(ctx context.Context) {
 	for ctx.Err() == nil {
-		if names := sched.MaintainFleet(); len(names) > 0 {
+		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
 				some := names[:min(len(names), tuning.ReleaseBatch)]
 				names = names[len(some):]
-				go c.releaseMachines(ctx, sched, some)
+				go t.releaseMachines(ctx, some)
 			}
 		}
-		for _, r := range sched.InstanceRequests() {
+		for _, r := range t.scheduler.InstanceRequests() {
 			go func() {
-				names, err := c.cloud.Rent(ctx, r)
-				sched.InstancesGranted(r, names, err)
+				names, err := t.controller.cloud.Rent(ctx, r)
+				t.scheduler.InstancesGranted(r, names, err)
 			}()
 		}
-		c.sleep(ctx, tuning.MaintainEvery)
+		sleep(ctx, t.controller.clock, tuning.MaintainEvery)
 	}
 }
 
@@ -105,13 +105,13 @@
 // releaseMachines returns machines to the cloud. Whether we lead is looked at once more: this
 // process may have stood still since that was decided, and the machines may work for
 // another leader by now.
-func (c *Controller) releaseMachines(ctx context.Context, sched *scheduler.Scheduler, names []string) {
+func (t *leaderTerm) releaseMachines(ctx context.Context, names []string) {
 	err := errNotLeading
-	if sched.Leading() {
-		err = c.cloud.Return(ctx, names)
+	if t.scheduler.Leading() {
+		err = t.controller.cloud.Return(ctx, names)
 	}
 	if err != nil {
 		slog.Info("machines not returned", "machines", names, "err", err)
 	}
-	sched.InstancesReleased(names, err)
+	t.scheduler.InstancesReleased(names, err)
 }
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -7,75 +7,83 @@
 
 	"switchferry/api"
 	"switchferry/peer"
-	"switchferry/redirect"
 	"switchferry/scheduler"
-	"switchferry/settings"
 	"switchferry/tuning"
 )
 
-// HandleHeartbeat answers a worker. Its zone's own controller is its home, so that a cut
-// between zones does not take its answers away: that one passes reports on to
-// the leader, and relays them once it cannot.
+// HandleHeartbeat answers a worker's heartbeat, which came as raw. Workers report to the controller of their own zone, so
+// that a partition between zones does not leave them without answers: it forwards heartbeats to the leader, and relays them
+// through the state service while it does not reach the leader.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any) {
-	c.mu.Lock()
-	fresh := c.newestHeartbeats.Accept(heartbeat)
-	if fresh {
-		c.lastHeartbeat = c.clock.Now()
-	}
-	c.mu.Unlock()
-	if !fresh {
-		// A copy that came late shows neither that workers reach this node nor where one is; an
-		// JSONResponse without a token renews nothing.
+	if !c.heartbeats.accept(heartbeat) {
+		// A late copy shows neither that workers reach this controller nor where one is; a response without a token
+		// renews nothing.
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
-	if sched := c.leadingScheduler(); sched != nil {
-		if to := c.controllerFor(heartbeat.Zone, c.settings.Member); to != c.settings.Member && c.mayRedirect(heartbeat.Machine, to) {
+	if sched := c.term.leadingScheduler(); sched != nil {
+		if to, ok := c.redirectWorker(heartbeat, c.settings.Member); ok {
 			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
 		}
 		return c.answerAsLeader(sched, heartbeat, "")
 	}
-	leader, term := c.elector.Leader()
-	leader, term, reachable := newestLeader(leader, term, c.peers.LivePeers())
-	if prev := c.previousController(); !c.stateServiceHealthy() && c.peers.Isolated() && c.mayRedirect(heartbeat.Machine, prev) {
-		// Reaching neither the state service nor any sibling, we are the one
-		// that is cut off, or all of our zone is. A worker that comes back
-		// reaches nobody else either, and stays.
-		return http.StatusMisdirectedRequest, api.Redirect{Controller: prev}
+	leader, term, reachable := c.leader.locate()
+	if previous := c.workers.previousController(); !c.health.stateServiceHealthy() && c.peers.Isolated() && c.workers.mayRedirect(heartbeat.Machine, previous) {
+		// This controller reaches neither the state service nor a peer: it is isolated itself, or all of its zone is. A
+		// worker that comes back reaches nobody else either, and stays.
+		return http.StatusMisdirectedRequest, api.Redirect{Controller: previous}
 	}
 	if leader == "" || leader == c.settings.Member {
-		last, since := c.elector.LeaderlessFor()
-		if last == 0 || heartbeat.Term > last || since > tuning.LeaderlessGrace && c.stateServiceHealthy() {
-			return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
-		}
-		if !c.mayRenewLeases() {
-			return c.refuseRenewal()
-		}
-		// Between two leaders the last one's token still keeps leases. Sent
-		// away, a worker might try nodes beyond a cut until its lease ends.
-		return http.StatusOK, c.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: last, Commands: []api.Command{}})
+		return c.answerWithoutLeader(heartbeat)
 	}
 	if reachable {
-		if to := c.controllerFor(heartbeat.Zone, leader); to != c.settings.Member && c.mayRedirect(heartbeat.Machine, to) {
+		if to, ok := c.redirectWorker(heartbeat, leader); ok {
 			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
 		}
-		if response, err := c.peers.Ask(ctx, leader, peer.Request{Verb: verbReport, Body: raw, From: c.settings.Member}, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
+		request := peer.Request{Verb: verbReport, Body: raw, From: c.settings.Member}
+		if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
 			return response.Status, json.RawMessage(response.Body)
 		}
-		// Whatever the leader answered, this report's answer is ours now: it
-		// keeps the lease and carries nothing that was not in the mail.
+		// Whatever the leader has answered, the response to this heartbeat is up to this controller now: it renews the
+		// lease and carries only commands that were relayed before.
+	}
+	return c.answerForUnreachableLeader(heartbeat, term)
+}
+
+// redirectWorker returns the controller to which the sender of a heartbeat should turn while that leader leads; ok is
+// false if it stays here.
+func (c *Controller) redirectWorker(heartbeat *api.Heartbeat, leader string) (to string, ok bool) {
+	to = c.workers.controllerFor(heartbeat.Zone, leader)
+	return to, to != c.settings.Member && c.workers.mayRedirect(heartbeat.Machine, to)
+}
+
+// answerWithoutLeader answers a heartbeat between two leaders. The last one's token still renews leases: redirected, a
+// worker might try controllers beyond a partition until its lease expires.
+func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) (status int, body any) {
+	last, since := c.elector.LeaderlessFor()
+	if last == 0 || heartbeat.Term > last || since > tuning.LeaderlessGrace && c.health.stateServiceHealthy() {
+		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
+	if !c.leases.mayRenewLeases() {
+		return c.leases.refuseRenewal()
+	}
+	return http.StatusOK, c.leases.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: last, Commands: []api.Command{}})
+}
+
+// answerForUnreachableLeader answers a heartbeat with commands that the leader of the term has relayed, and relays the
+// heartbeat to it.
+func (c *Controller) answerForUnreachableLeader(heartbeat *api.Heartbeat, term uint64) (status int, body any) {
 	if heartbeat.Term > term {
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	if !c.mayRenewLeases() {
-		return c.refuseRenewal()
+	if !c.leases.mayRenewLeases() {
+		return c.leases.refuseRenewal()
 	}
-	return http.StatusOK, c.enforceCancellations(heartbeat, c.workerProxy.HandleHeartbeat(heartbeat, term))
+	return http.StatusOK, c.leases.enforceCancellations(heartbeat, c.workerProxy.HandleHeartbeat(heartbeat, term))
 }
 
-// handleForwardedHeartbeat serves a report that a sibling passes on.
+// handleForwardedHeartbeat serves a heartbeat that a peer forwards.
 func (c *Controller) handleForwardedHeartbeat(from string, raw []byte) peer.Response {
-	sched := c.leadingScheduler()
+	sched := c.term.leadingScheduler()
 	var heartbeat api.Heartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
@@ -83,11 +91,11 @@
 	return peer.JSONResponse(c.answerAsLeader(sched, &heartbeat, from))
 }
 
-// answerAsLeader answers a report as the leader. Via is the sibling that passes it on.
+// answerAsLeader answers a heartbeat as the leader. Via is the peer that forwards it, or empty.
 func (c *Controller) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.Heartbeat, via string) (status int, body any) {
-	// A leader that has not read the records knows of cancellations what its siblings say, or nothing.
-	current := c.markCurrentIfLeading()
-	renewed := current || c.mayRenewLeases()
+	// A leader that has not read the records knows of cancellations what its peers state, or nothing.
+	current := c.leases.markCurrentIfLeading()
+	renewed := current || c.leases.mayRenewLeases()
 	if !renewed && !sched.Leading() {
 		return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
 	}
@@ -100,92 +108,10 @@
 	case refused:
 		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
 	case !renewed:
-		// The worker waits here, unanswered as far as its lease goes, until the records are read.
+		// The worker stays here, and its lease is not renewed until the records are read.
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	case !current:
-		response = c.enforceCancellations(heartbeat, response)
+		response = c.leases.enforceCancellations(heartbeat, response)
 	}
 	return http.StatusOK, response
 }
-
-// previousController is the sibling that comes before us in the order in which workers try
-// nodes: one that finds nobody there comes straight back.
-func (c *Controller) previousController() string {
-	prev, last := "", ""
-	for _, other := range c.settings.Peers {
-		last = max(last, other.Member)
-		if other.Member < c.settings.Member {
-			prev = max(prev, other.Member)
-		}
-	}
-	if prev == "" {
-		return last
-	}
-	return prev
-}
-
-// newestLeader is the leader by the siblings' own word, or else as last read; there:
-// a sibling within reach says that it leads. A former leader that came back
-// without its term leads nothing, even while its key still stands because the
-// state service is out.
-func newestLeader(leader string, term uint64, alive []peer.Hello) (string, uint64, bool) {
-	reachable := false
-	for _, hello := range alive {
-		if hello.Term > 0 && hello.Term >= term {
-			leader, term, reachable = hello.Member, hello.Term, true
-		}
-	}
-	return leader, term, reachable
-}
-
-// mayRedirect tells whether a worker may be sent to another node.
-func (c *Controller) mayRedirect(worker, to string) bool {
-	// One that greets nobody is judged by nothing but whether workers come back.
-	receives := true
-	for _, hello := range c.peers.LivePeers() {
-		if hello.Member == to {
-			receives = hello.ReceivesHeartbeats
-		}
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.redirects.Allow(c.clock.Now(), worker, to, receives)
-}
-
-// controllerFor is the controller that a zone's workers should report to: the leader if it
-// is there, else their home, or, next to a silent controller, the one behind it.
-func (c *Controller) controllerFor(zone, leader string) string {
-	to := leader
-	if c.zoneOf(leader) != zone {
-		if home := c.homeController(zone); home != "" {
-			to = home
-		}
-	}
-	ring := append([]settings.Peer{{Member: c.settings.Member, Zone: c.settings.Zone}}, c.settings.Peers...)
-	return redirect.Target(ring, to, zone, func(m string) bool {
-		return m != c.settings.Member && c.clock.Since(c.startedAt) > tuning.PeerDead+tuning.PeerHello && c.peers.Unresponsive(m)
-	})
-}
-
-// homeController is the controller that a zone's workers report to: this one if it is
-// there, else the first within reach that is; none if no one is.
-func (c *Controller) homeController(zone string) string {
-	if zone == c.settings.Zone {
-		return c.settings.Member
-	}
-	for _, other := range c.settings.Peers {
-		if other.Zone == zone && c.peers.Reachable(other.Member) {
-			return other.Member
-		}
-	}
-	return ""
-}
-
-func (c *Controller) zoneOf(member string) string {
-	for _, other := range c.settings.Peers {
-		if other.Member == member {
-			return other.Zone
-		}
-	}
-	return c.settings.Zone
-}
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -26,7 +26,7 @@
 	if response, ok := body.(api.HeartbeatResponse); !ok || status != http.StatusOK || response.Term != 0 {
 		t.Errorf("a copy was answered %d %+v", status, body)
 	}
-	if controller.receivesHeartbeats() {
+	if controller.heartbeats.receivesHeartbeats() {
 		t.Error("a copy counts as a worker that reaches this node")
 	}
 }
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -139,7 +139,7 @@
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
 	controller := New(context.Background(), set, policy.Default(), l.clock, l.state)
-	controller.machineTypes = testTypes
+	controller.catalog.types = testTypes
 	controller.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	return controller
 }
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -10,19 +10,20 @@
 	"switchferry/api"
 	"switchferry/configuration"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/store"
 )
 
 // submitWithoutLeader accepts a job without the leader, which learns of it by the
 // inbox, as long as further conditions hold.
-func (c *Controller) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
-	rec := store.JobRecord{Job: *submission, AcceptedAt: c.clock.Now().UnixMilli()}
+func (s *submissionService) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
+	rec := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
 	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
-	inputs, err := c.inputConditions(ctx, submission)
+	inputs, err := s.inputConditions(ctx, submission)
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	_, failed, err := c.leaderlessWriter.Transact(ctx, slices.Concat(conditions, more, inputs),
+	_, failed, err := s.leaderlessWriter.Transact(ctx, slices.Concat(conditions, more, inputs),
 		[]store.Operation{{Set: store.JobKey(submission.ID), Value: rec}, {Set: store.InboxKey(submission.ID), Value: store.InboxRecord{}}})
 	switch {
 	case err == nil:
@@ -32,40 +33,37 @@
 			return peer.RetryLater("the configuration has just changed")
 		}
 		// A dataset is not as it was.
-		c.evictDatasets(submission)
-		if status, err, _ := c.checkInputs(ctx, nil, submission, body); err != nil {
-			return peer.Refusal(status, err)
-		}
-		return peer.RetryLater("a dataset of the job has just changed")
+		s.datasets.cache.evict(submission)
+		return s.answerChangedDataset(ctx, nil, submission, body)
 	case errors.Is(err, store.ErrConflict):
-		return c.answerStatus(ctx, nil, submission.ID, false)
+		return s.jobs.answerStatus(ctx, nil, submission.ID, false)
 	}
 	return peer.RetryLater("the state service is out of reach")
 }
 
 // cancelWithoutLeader cancels while there is no leader; with one, only it may, since it
 // answers polls from memory.
-func (c *Controller) cancelWithoutLeader(ctx context.Context, id string) peer.Response {
+func (s *submissionService) cancelWithoutLeader(ctx context.Context, id string) peer.Response {
 	if !api.ValidID(id) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	item, err := c.client.Get(ctx, store.JobKey(id))
+	item, err := s.client.Get(ctx, store.JobKey(id))
 	if errors.Is(err, store.ErrNotFound) {
-		return c.answerStatus(ctx, nil, id, true)
+		return s.jobs.answerStatus(ctx, nil, id, true)
 	}
 	var rec store.JobRecord
 	if err != nil || json.Unmarshal(item.Value, &rec) != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
 	if rec.FinalState == "" {
-		rec.FinalState, rec.FinalAt = api.Cancelled, c.clock.Now().UnixMilli()
-		_, _, err = c.leaderlessWriter.Transact(ctx,
+		rec.FinalState, rec.FinalAt = api.Cancelled, s.clock.Now().UnixMilli()
+		_, _, err = s.leaderlessWriter.Transact(ctx,
 			[]store.Condition{{Key: store.LeaderKey}, {Key: item.Key, Revision: item.Revision}},
 			[]store.Operation{{Set: item.Key, Value: rec}})
 		if errors.Is(err, store.ErrConflict) {
 			// The leader is asked through the state service; the user's next
 			// try finds its answer there.
-			_, _, _ = c.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}},
+			_, _, _ = s.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}},
 				[]store.Operation{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
 		}
 		if err != nil {
@@ -74,3 +72,19 @@
 	}
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: rec.FinalState})
 }
+
+func (s *submissionService) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
+	if sched == nil {
+		return s.cancelWithoutLeader(ctx, id)
+	}
+	if response, ok := sched.Cancel(ctx, id); ok {
+		return response
+	}
+	response := s.jobs.answerStatus(ctx, sched, id, true)
+	if response.Status == http.StatusOK {
+		if second, ok := sched.Cancel(ctx, id); ok {
+			return second
+		}
+	}
+	return response
+}
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -6,44 +6,87 @@
 	"net/http"
 	"slices"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"time"
 
+	"github.com/jonboulle/clockwork"
+
 	"switchferry/api"
+	"switchferry/election"
+	"switchferry/peer"
+	"switchferry/settings"
+	"switchferry/store"
+	"switchferry/upgrade"
+	"switchferry/watermark"
 )
 
-// Whoever answers a worker renews its lease, and so keeps its tasks alive. A controller
-// that is cut off may do so for its zone's workers ("inside, a cut-off zone keeps
-// working"), but not for as long as it likes: on the other side a user may be told that a
-// job is cancelled, and within cancel_s its tasks must be gone, which nobody can order
-// here. So leases are renewed only while the last one ends in time, counted from the moment
-// up to which this controller knows of all that was told (package watermark): that all
-// siblings were alive was once taken for that, and cancelled tasks ran on through an outage
-// (docs/incidents/hunt-told-before-an-outage.md). What it knows of it ends itself.
+// leaseRenewal decides whether this controller may renew leases of workers, and knows the cancellations that were
+// acknowledged anywhere.
+//
+// Whoever answers a worker renews its lease, and so keeps its tasks alive. An isolated controller may do so for the workers
+// of its zone, but only for so long: elsewhere a user may be told that a job is cancelled, and its tasks must end within
+// cancel_s, which nobody can command here. So leases are renewed only while the last one expires in time, counted from the
+// moment up to which this controller knows of all acknowledged cancellations (package watermark). That all peers were alive
+// was once taken for that, and cancelled tasks ran on through an outage (docs/incidents/hunt-told-before-an-outage.md).
+// Tasks whose cancellation it knows of it ends itself.
+type leaseRenewal struct {
+	clock    clockwork.Clock
+	client   *store.Client
+	elector  *election.Elector
+	peers    *peer.Network
+	health   *stateHealth
+	term     *currentTerm
+	versions *upgrade.VersionRegistry
+	// watermark holds what this controller knows of cancellations, and up to when.
+	watermark *watermark.Tracker
+	// loadedTerm is the last term of this controller whose records it has read.
+	loadedTerm atomic.Uint64
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// answeredAloneAt is when it last decided about a lease without certainly leading; zero before that.
+	answeredAloneAt time.Time
+	// renewing reports whether leases were renewed at that time.
+	renewing bool
+}
+
+// newLeaseRenewal returns the part of c that renews leases; it knows of no cancellation yet.
+func newLeaseRenewal(c *Controller) *leaseRenewal {
+	var members []string
+	for _, other := range c.settings.Peers {
+		members = append(members, other.Member)
+	}
+	facts := c.settings.Facts.Workers
+	limits := watermark.NewLimits(settings.Seconds(facts.CancelS), settings.Seconds(facts.LeaseS))
+	return &leaseRenewal{clock: c.clock, client: c.client, elector: c.elector, peers: c.peers, health: c.health, term: c.term,
+		versions: c.versions, watermark: watermark.New(c.startedAt, members, limits), renewing: true}
+}
 
 // markCurrentIfLeading tells whether this controller leads for certain, and has read the records: then all that anyone told
 // until now is known here, since only a leader cancels while its key stands.
-func (c *Controller) markCurrentIfLeading() bool {
-	now := c.clock.Now()
-	term, valid := c.elector.Term()
-	if !valid || term != c.loadedTerm.Load() {
+func (l *leaseRenewal) markCurrentIfLeading() bool {
+	now := l.clock.Now()
+	term, valid := l.elector.Term()
+	if !valid || term != l.loadedTerm.Load() {
 		return false
 	}
-	c.watermark.MarkCurrent(now)
+	l.watermark.MarkCurrent(now)
 	return true
 }
 
 // mayRenewLeases tells whether a worker's lease may be renewed now by a controller that does not lead for certain.
-func (c *Controller) mayRenewLeases() bool {
-	c.markCurrentIfLeading()
-	now := c.clock.Now()
-	ok, without := c.watermark.MayRenew(now)
-	c.mu.Lock()
-	c.answeredAloneAt = now
-	changed := ok != c.renewingLeases
-	c.renewingLeases = ok
-	c.mu.Unlock()
+func (l *leaseRenewal) mayRenewLeases() bool {
+	l.markCurrentIfLeading()
+	now := l.clock.Now()
+	ok, without := l.watermark.MayRenew(now)
+	l.mu.Lock()
+	l.answeredAloneAt = now
+	changed := ok != l.renewing
+	l.renewing = ok
+	l.mu.Unlock()
 	if changed {
-		slog.Info("leases of workers", "kept", ok, "without_word", formatAge(without), "why", c.watermark.UnconfirmedPeers())
+		slog.Info("leases of workers", "kept", ok, "without_word", formatAge(without), "why", l.watermark.UnconfirmedPeers())
 	}
 	return ok
 }
@@ -57,22 +100,22 @@
 }
 
 // leaseRenewalProblems tells an operator why this controller renews no leases, if it does not.
-func (c *Controller) leaseRenewalProblems() []string {
-	c.mu.Lock()
-	renewed := c.renewingLeases
-	c.mu.Unlock()
-	if renewed || c.markCurrentIfLeading() {
+func (l *leaseRenewal) leaseRenewalProblems() []string {
+	l.mu.Lock()
+	renewed := l.renewing
+	l.mu.Unlock()
+	if renewed || l.markCurrentIfLeading() {
 		return nil
 	}
-	_, without := c.watermark.MayRenew(c.clock.Now())
-	return []string{fmt.Sprintf("leases of workers are not renewed here: last word of cancellations %s ago; %s", formatAge(without), strings.Join(c.watermark.UnconfirmedPeers(), ", "))}
+	_, without := l.watermark.MayRenew(l.clock.Now())
+	return []string{fmt.Sprintf("leases of workers are not renewed here: last word of cancellations %s ago; %s", formatAge(without), strings.Join(l.watermark.UnconfirmedPeers(), ", "))}
 }
 
 // enforceCancellations adds to an answer what ends the tasks of cancelled jobs that the worker reports, and takes out what would
 // start more. The token is the one that it has: a stop is safe under any.
-func (c *Controller) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
-	response.Commands = c.watermark.WithoutCancelledStarts(response.Commands)
-	if more := c.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
+func (l *leaseRenewal) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
+	response.Commands = l.watermark.WithoutCancelledStarts(response.Commands)
+	if more := l.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
 		slog.Info("ending tasks of cancelled jobs for the leader", "machine", heartbeat.Machine, "tasks", len(more), "first", more[0].Task)
 		response.Commands = append(slices.Clone(response.Commands), more...)
 	}
@@ -83,8 +126,8 @@
 // and came back finds nobody else: an answer without a token, which renews nothing, keeps
 // it here, so that it is heard as soon as the cut ends. Sent on, it would try one dead end
 // after the other, 5 s each, and come when its lease has ended. Others are sent on.
-func (c *Controller) refuseRenewal() (status int, body any) {
-	if !c.stateServiceHealthy() && c.peers.Isolated() {
+func (l *leaseRenewal) refuseRenewal() (status int, body any) {
+	if !l.health.stateServiceHealthy() && l.peers.Isolated() {
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
 	return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -38,11 +38,11 @@
 		}
 		sched := scheduler.New(term, clock, set, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return false }})
 		state.Down = true
-		if controller.mayRenewLeases() {
+		if controller.leases.mayRenewLeases() {
 			t.Error("kept by a process that knows nothing")
 		}
 		word := clock.Now()
-		controller.watermark.MarkCurrent(word)
+		controller.leases.watermark.MarkCurrent(word)
 		clock.Advance(time.Millisecond)
 		_, _ = controller.client.Get(context.Background(), "k")
 		last := time.Duration(0)
@@ -61,7 +61,7 @@
 		if last > most || last < most-tuning.LeaseRenewalMargin-time.Second {
 			t.Errorf("led %v: the last lease was renewed %v after the cut began; a cancelled task has %v", led, last, most)
 		}
-		if reason := strings.Join(controller.leaseRenewalProblems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
+		if reason := strings.Join(controller.leases.leaseRenewalProblems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
 			t.Errorf("led %v: an operator is told %q", led, reason)
 		}
 		// Meanwhile a worker that finds nobody else is held, without a lease.
@@ -74,11 +74,11 @@
 		// Word comes again, and leases are kept again.
 		state.Down = false
 		_, _ = controller.client.Get(context.Background(), "k")
-		if controller.mayRenewLeases() {
+		if controller.leases.mayRenewLeases() {
 			t.Error("kept because the state service answers, though nothing of jobs was read")
 		}
 		state.Put(store.JobKey("run-7"), store.JobRecord{Job: api.Submission{ID: "run-7"}, FinalState: api.Cancelled})
-		if _, err := controller.readCancelledJobs(context.Background(), 0); err != nil || !controller.mayRenewLeases() {
+		if _, err := controller.leases.readCancelledJobs(context.Background(), 0); err != nil || !controller.leases.mayRenewLeases() {
 			t.Errorf("not kept though the records of jobs were read, %v", err)
 		}
 		status, body := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{{Task: "run-7/0", Attempt: 9, State: api.TaskRunning}}}, "")
@@ -93,9 +93,9 @@
 func TestCancellationsAreReplicatedBeforeTheyAreAcknowledged(t *testing.T) {
 	controller, clock := newIsolatedController(t)
 	knows := func(job string) bool {
-		return len(controller.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
+		return len(controller.leases.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
 	}
-	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{MarkDirty: func(string, int, func()) {}, Leading: func() bool { return true }, JobTerminal: controller.rememberTerminal})
+	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{MarkDirty: func(string, int, func()) {}, Leading: func() bool { return true }, JobTerminal: controller.jobs.rememberTerminal})
 	sched.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
 		{Key: store.JobKey("run-2"), Value: []byte(`{"job":{"name_id":"run-2","parts":1},"at":1,"final":"withdrawn"}`)}}, nil)
 	if knows("run-1") || !knows("run-2") {
@@ -118,10 +118,10 @@
 		t.Errorf("a user who cancels without a leader is told %d %s, and siblings nothing", response.Status, response.Body)
 	}
 	// Nothing that they did not always hear goes to processes that may be older.
-	if _, _, ok := (watermarkPeers{controller}).Position("n0"); ok {
+	if _, _, ok := (watermarkPeers{controller.leases}).Position("n0"); ok {
 		t.Error("asks a sibling without a mark")
 	}
-	if _, ok := (watermarkPeers{controller}).Statement(0, 0); ok {
+	if _, ok := (watermarkPeers{controller.leases}).Statement(0, 0); ok {
 		t.Error("answers a sibling without a mark")
 	}
 }
@@ -131,7 +131,7 @@
 func TestNewLeaderRenewsNoLeaseBeforeRecordsAreLoaded(t *testing.T) {
 	controller, clock := newIsolatedController(t)
 	controller.settings.Facts.Workers.CancelS = 40
-	controller.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
+	controller.leases.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
 	ask := func(seq uint64) api.HeartbeatResponse {
 		status, body := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
@@ -144,7 +144,7 @@
 	if response := ask(1); response.Term != 0 {
 		t.Errorf("a lease is renewed under token %d by a leader that knows nothing", response.Term)
 	}
-	controller.watermark.MarkCurrent(clock.Now())
+	controller.leases.watermark.MarkCurrent(clock.Now())
 	if response := ask(2); response.Term != 7 {
 		t.Errorf("token %d from a leader that knows", response.Term)
 	}
--- /dev/null
+++ b/controller/machine_catalog.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/api"
+	"switchferry/cloud"
+	"switchferry/tuning"
+)
+
+// machineCatalog keeps the machine types that the cloud offers.
+type machineCatalog struct {
+	clock clockwork.Clock
+	cloud *cloud.Client
+
+	// mu guards types.
+	mu    sync.Mutex
+	types []api.MachineType
+}
+
+// machineTypes returns the types as last read; none before that. The caller must not change the list.
+func (m *machineCatalog) machineTypes() []api.MachineType {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.types
+}
+
+// set replaces the types.
+func (m *machineCatalog) set(types []api.MachineType) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.types = types
+}
+
+// refreshCatalog reads the types now and then, for this process and the scheduler of its term, until the context ends.
+func (m *machineCatalog) refreshCatalog(ctx context.Context, term *currentTerm) {
+	for ctx.Err() == nil {
+		types, err := m.cloud.Catalog(ctx)
+		wait := tuning.CatalogEvery
+		if err != nil {
+			slog.Info("catalog not read", "err", err)
+			wait = tuning.BackoffBase
+		} else {
+			m.set(types)
+			if sched := term.leadingScheduler(); sched != nil {
+				sched.SetTypes(types)
+			}
+		}
+		sleep(ctx, m.clock, wait)
+	}
+}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -33,11 +33,7 @@
 }
 
 // isShuttingDown tells whether this process ends by plan.
-func (c *Controller) isShuttingDown() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.shuttingDown
-}
+func (c *Controller) isShuttingDown() bool { return c.shuttingDown.Load() }
 
 // Shutdown hands over by plan, before this process ends: users are sent elsewhere, a leader gives up
 // its post while a sibling can take it, and requests under way, and those of users who have not
@@ -46,14 +42,12 @@
 	if c.members == nil {
 		return
 	}
-	c.mu.Lock()
-	c.shuttingDown = true
-	c.mu.Unlock()
+	c.shuttingDown.Store(true)
 	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
-	slog.Info("leaving by plan", "leads", c.leadingScheduler() != nil)
+	slog.Info("leaving by plan", "leads", c.term.leadingScheduler() != nil)
 	// Peers are told with the next greeting, and the load balancer probes once a second.
-	c.sleep(ctx, tuning.ShutdownNoticeTime)
+	sleep(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
 		ready := false
@@ -64,14 +58,14 @@
 			c.elector.Resign("it leaves by plan")
 			break
 		}
-		c.sleep(ctx, tuning.ElectRetry)
+		sleep(ctx, c.clock, tuning.ElectRetry)
 	}
 	for ctx.Err() == nil {
 		leader, led := c.elector.Leader()
 		if now, _ := c.elector.Term(); now == 0 && leader != "" && leader != c.settings.Member && led > term {
 			break
 		}
-		c.sleep(ctx, tuning.ElectRetry/5)
+		sleep(ctx, c.clock, tuning.ElectRetry/5)
 	}
-	c.sleep(ctx, tuning.ShutdownLinger)
+	sleep(ctx, c.clock, tuning.ShutdownLinger)
 }
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -5,7 +5,6 @@
 
 	"switchferry/relay/exchange"
 	"switchferry/relay/proxy"
-	"switchferry/scheduler"
 	"switchferry/store"
 )
 
@@ -15,13 +14,13 @@
 }
 
 // followWorkerRelay takes in, as the leader, the workers' heartbeats that peers relay through the state service.
-func (c *Controller) followWorkerRelay(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, after uint64) {
-	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.RelayResponsePrefix)
-	exchange.Follow(ctx, c.client, c.clock, store.RelayPrefix, after, sched.Term(), sched.AcceptWorkerMessage)
+func (t *leaderTerm) followWorkerRelay(ctx context.Context, after uint64) {
+	exchange.ClaimPackets(ctx, t.controller.client, t.controller.clock, t.committer, store.RelayResponsePrefix)
+	exchange.Follow(ctx, t.controller.client, t.controller.clock, store.RelayPrefix, after, t.scheduler.Term(), t.scheduler.AcceptWorkerMessage)
 }
 
 // followAgentRelay takes in, as the leader, the agents' heartbeats that peers relay through the state service.
-func (c *Controller) followAgentRelay(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, after uint64) {
-	exchange.ClaimPackets(ctx, c.client, c.clock, committer, store.AgentResponsePrefix)
-	exchange.Follow(ctx, c.client, c.clock, store.AgentRelayPrefix, after, sched.Term(), sched.AcceptAgentMessage)
+func (t *leaderTerm) followAgentRelay(ctx context.Context, after uint64) {
+	exchange.ClaimPackets(ctx, t.controller.client, t.controller.clock, t.committer, store.AgentResponsePrefix)
+	exchange.Follow(ctx, t.controller.client, t.controller.clock, store.AgentRelayPrefix, after, t.scheduler.Term(), t.scheduler.AcceptAgentMessage)
 }
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -24,15 +24,15 @@
 		return c.handleForwardedHeartbeat(request.From, request.Body)
 	}
 	if forwarded && request.Verb == verbStage {
-		return c.handleForwardedStageHeartbeat(request.Body)
+		return c.agents.handleForwardedStageHeartbeat(request.Body)
 	}
 	from := c.clock.Now()
-	response := c.publishAnswer(c.route(ctx, request, forwarded))
+	response := c.jobs.publishAnswer(c.route(ctx, request, forwarded))
 	if took := c.clock.Since(from); request.Verb == VerbSubmit && took > tuning.AcceptPatience {
-		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.leadingScheduler() != nil)
+		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.leadingScheduler() != nil)
 	}
 	if !forwarded && request.Verb == VerbSubmit {
-		c.setRetryAfter(&response, request.Body)
+		c.submissions.setRetryAfter(&response, request.Body)
 	}
 	if !forwarded {
 		c.requestCounts.Add(request.Verb == VerbStatus, response.Status == http.StatusServiceUnavailable)
@@ -40,81 +40,72 @@
 	return response
 }
 
+// route serves a request, by its verb and by who leads.
 func (c *Controller) route(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
-	if request.Verb == VerbMembers {
+	switch request.Verb {
+	case VerbMembers:
 		return c.handleMembers()
-	}
-	if request.Verb == VerbTopology || request.Verb == VerbExplain {
+	case VerbTopology, VerbExplain:
 		return c.handleTopology(ctx, request, forwarded)
+	case VerbConfiguration, VerbConfigure, verbConfirm:
+		return c.configuration.handleConfiguration(ctx, request, forwarded)
+	case VerbRegister, VerbRemove, VerbData:
+		return c.datasets.handleDatasets(ctx, request, forwarded)
 	}
-	if request.Verb == VerbConfiguration || request.Verb == VerbConfigure || request.Verb == verbConfirm {
-		return c.handleConfiguration(ctx, request, forwarded)
-	}
-	if request.Verb == VerbRegister || request.Verb == VerbRemove || request.Verb == VerbData {
-		return c.handleDatasets(ctx, request, forwarded)
-	}
-	if final, ok := c.terminalState(request.Job); ok && request.Verb != VerbSubmit {
+	if final, ok := c.jobs.terminalState(request.Job); ok && request.Verb != VerbSubmit {
 		return peer.JSONResponse(http.StatusOK, final.JobStatus(request.Job))
 	}
-	if sched := c.leadingScheduler(); sched != nil {
-		switch {
-		case sched.Leading() && sched.Loaded():
-			return c.serveAsLeader(ctx, sched, request)
-		case !c.stateServiceHealthy():
-			if request.Verb == VerbSubmit {
-				_, id, _ := api.ParseSubmission(request.Body)
-				if final, ok := c.terminalState(id); ok {
-					return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
-				}
-			}
-			return peer.RetryLater("the state service is out of reach")
-		}
-		// Not the leader yet, or no more, and the state service answers: whatever
-		// is read and written there is as good from us as from any node.
-		return c.serveAsLeader(ctx, nil, request)
+	if sched := c.term.leadingScheduler(); sched != nil {
+		return c.routeInTerm(ctx, sched, request)
 	}
 	if forwarded {
 		return peer.RetryLater(notLeading)
 	}
-	leader, term := c.elector.Leader()
-	leader, _, reachable := newestLeader(leader, term, c.peers.LivePeers())
-	if reachable {
-		response, err := c.peers.Ask(ctx, leader, request, forwardPatience(request.Verb))
-		switch {
-		case err == nil && answeredByLeader(response):
-			return response
-		case err == nil:
-			// It leads no more, and has not greeted since: whoever follows it need not be waited
-			// for. Users were told to come back by the one that had just handed over.
-		case errors.Is(err, peer.ErrBusy):
-			// To do its work beside it would only take more of what it lacks.
-			return peer.RetryLater("the leader is busy")
-		}
-		// It may have fallen silent: what it was asked is stored or read without
-		// it, as conditions on the keys allow whether it goes on or not.
-		c.requestCounts.LeaderBypassed()
+	if response, ok := c.askLeader(ctx, request); ok {
+		return response
 	}
 	return c.serveAsLeader(ctx, nil, request)
 }
 
-// setRetryAfter tells the user of a job that cannot be taken now when to come back: each another
-// time, spread over as long as it takes to take all that wait.
-func (c *Controller) setRetryAfter(response *peer.Response, body []byte) {
-	refused := response.Status == http.StatusServiceUnavailable
-	c.mu.Lock()
-	none := c.retries.Waiting() == 0
-	c.mu.Unlock()
-	if !refused && none {
-		return
-	}
-	_, id, _ := api.ParseSubmission(body)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if refused {
-		response.RetryAfterS = max(response.RetryAfterS, c.retries.Refused(c.clock.Now(), id))
-	} else {
-		c.retries.Taken(id)
+// routeInTerm serves a request about a job during a term of this controller, be it that it certainly leads or not.
+func (c *Controller) routeInTerm(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
+	if sched.Leading() && sched.Loaded() {
+		return c.serveAsLeader(ctx, sched, request)
+	}
+	if c.health.stateServiceHealthy() {
+		// It does not lead yet, or no more, and the state service answers: what is read and written there is as good from
+		// this controller as from any other.
+		return c.serveAsLeader(ctx, nil, request)
 	}
+	if request.Verb == VerbSubmit {
+		_, id, _ := api.ParseSubmission(request.Body)
+		if final, ok := c.jobs.terminalState(id); ok {
+			return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
+		}
+	}
+	return peer.RetryLater("the state service is out of reach")
+}
+
+// askLeader has the leader answer a request about a job. Ok is false if the request is to be served without the leader: it
+// is out of reach, has lost its term or does not answer in time. What it was asked can be stored or read without it all the
+// same, since conditions on the keys hold whether it goes on or not.
+func (c *Controller) askLeader(ctx context.Context, request peer.Request) (response peer.Response, ok bool) {
+	leader, _, reachable := c.leader.locate()
+	if !reachable {
+		return response, false
+	}
+	response, err := c.peers.Ask(ctx, leader, request, forwardPatience(request.Verb))
+	switch {
+	case err == nil && answeredByLeader(response):
+		return response, true
+	case errors.Is(err, peer.ErrBusy):
+		// To do its work beside it would only take more of what it lacks.
+		return peer.RetryLater("the leader is busy"), true
+	}
+	// A former leader that has not greeted since is not waited for either: users were told once to come back by one that
+	// had just handed over.
+	c.requestCounts.LeaderBypassed()
+	return response, false
 }
 
 // answeredByLeader tells whether an answer is a leader's.
@@ -134,35 +125,21 @@
 	return tuning.PeerTimeout
 }
 
-// forwardToLeader asks the leader.
-func (c *Controller) forwardToLeader(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
-	leader, _ := c.elector.Leader()
-	leader, _, reachable := newestLeader(leader, 0, c.peers.LivePeers())
-	if forwarded || !reachable {
-		return peer.RetryLater("no leader answers")
-	}
-	response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout)
-	if err != nil {
-		return peer.RetryLater("the leader does not answer")
-	}
-	return response
-}
-
 // serveAsLeader answers as the leader (core) or, while the leader is out of reach,
 // from the state service itself.
 func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
 	switch request.Verb {
 	case VerbSubmit:
-		return c.serveSubmission(ctx, sched, request.Body)
+		return c.submissions.serveSubmission(ctx, sched, request.Body)
 	case VerbStatus:
 		if sched != nil {
 			if job, ok := sched.JobStatus(request.Job); ok {
 				return peer.JSONResponse(http.StatusOK, job)
 			}
 		}
-		return c.answerStatus(ctx, sched, request.Job, true)
+		return c.jobs.answerStatus(ctx, sched, request.Job, true)
 	case VerbCancel:
-		return c.serveCancellation(ctx, sched, request.Job)
+		return c.submissions.serveCancellation(ctx, sched, request.Job)
 	}
 	return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such request"})
 }
--- a/controller/routing_bench_test.go
+++ b/controller/routing_bench_test.go
@@ -15,7 +15,7 @@
 	job.Tasks = 40
 	leader.submit(job)
 	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
-	controller.scheduler = leader.Scheduler
+	controller.term.begin(&leaderTerm{controller: controller, scheduler: leader.Scheduler})
 	request := peer.Request{Verb: VerbStatus, Job: "run-000001"}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -45,7 +45,7 @@
 	set.Peers = []settings.Peer{{Member: "n0", Address: l.Addr().String()}}
 	state := fake.NewState(clock)
 	controller := New(ctx, set, policy.Default(), clock, state)
-	controller.machineTypes = testTypes
+	controller.catalog.types = testTypes
 	controller.peers.Run(ctx)
 	for !controller.peers.Reachable("n0") {
 		// The greeting is on its way.
@@ -146,7 +146,7 @@
 	job := smallJob("run-000001")
 	leader.submit(job)
 	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
-	controller.scheduler = leader.Scheduler
+	controller.term.begin(&leaderTerm{controller: controller, scheduler: leader.Scheduler})
 	ask := func() peer.Response {
 		return controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-000001"}, false)
 	}
@@ -224,7 +224,7 @@
 	}
 	leader.leading = false
 	before := leader.state.Requests
-	controller.releaseMachines(context.Background(), leader.Scheduler, release)
+	(&leaderTerm{controller: controller, scheduler: leader.Scheduler}).releaseMachines(context.Background(), release)
 	if leader.state.Requests != before {
 		t.Error("the cloud was asked to take the machine back")
 	}
--- a/controller/term.go
+++ b/controller/term.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
-	"strings"
 	"time"
 
 	"switchferry/api"
@@ -14,198 +12,136 @@
 	"switchferry/tuning"
 )
 
-// recordSource ties a term's core to its committer.
-type recordSource struct {
-	*scheduler.Scheduler
+// leaderTerm is one term in which this controller leads: its scheduler, and the loops that feed the scheduler and carry out
+// what it decides. The loops end with the context that run was given. Its fields do not change once run is called.
+type leaderTerm struct {
 	controller *Controller
+	scheduler  *scheduler.Scheduler
+	// committer writes the scheduler's records.
+	committer *store.Committer
+	// applier changes the configuration in this term; it is nil unless live configuration is on.
+	applier *revisions.Applier
+	// stop ends the context of the term.
+	stop context.CancelFunc
 }
 
-func (s recordSource) Condition() (store.Condition, bool) {
-	term, valid := s.controller.elector.Term()
-	return store.Condition{Key: store.LeaderKey, Revision: s.Term()}, valid && term == s.Term()
-}
-
-// Record has a cancellation known to the siblings before it can be read by anyone.
-func (s recordSource) Record(key string) (value any, exists bool, more []store.Condition) {
-	value, exists, more = s.Scheduler.Record(key)
-	if rec, ok := value.(store.JobRecord); ok && rec.FinalState == api.Cancelled {
-		s.controller.watermark.RecordCancellation(s.controller.clock.Now(), rec.Job.ID)
+// Elected starts a term; the elector calls it.
+func (c *Controller) Elected(number uint64) {
+	ctx, stop := context.WithCancel(c.ctx)
+	term := c.newLeaderTerm(ctx, number)
+	term.stop = stop
+	c.term.begin(term)
+	if len(c.versions.Older()) == 0 {
+		term.useCurrentFormat()
 	}
-	return value, exists, more
+	go term.run(ctx)
 }
 
-// Conflict lets this node forget what it believed of a dataset.
-func (s recordSource) Conflict(key string, found *store.Item) {
-	if strings.HasPrefix(key, store.DatasetPrefix) {
-		if entry, err := scheduler.DecodeDataset(found); err == nil {
-			s.controller.cacheDataset(entry)
-		}
+// Lost ends the term; the elector calls it.
+func (c *Controller) Lost(uint64, string) { c.term.end() }
+
+// newLeaderTerm returns a term whose loops have not begun. The context is that of the term.
+func (c *Controller) newLeaderTerm(ctx context.Context, number uint64) *leaderTerm {
+	term := &leaderTerm{controller: c}
+	term.scheduler = scheduler.New(number, c.clock, c.settings, c.policy, c.catalog.machineTypes(), term.hooks(ctx, number))
+	if c.features.data.On {
+		term.scheduler.UseData(c.features.data)
+	}
+	if c.features.topology != nil {
+		term.scheduler.UseTopology(c.features.topology.Map())
 	}
-	s.Scheduler.Conflict(key, found)
+	if c.configuration.revisions != nil {
+		term.applier = revisions.NewApplier(ctx, c.configuration.revisions, &configurationLeader{c, term.scheduler})
+	}
+	term.committer = store.NewCommitter(c.client, recordSource{term.scheduler, c}, c.clock, c.settings.Facts.State, map[string]uint64{})
+	return term
 }
 
-func (s recordSource) Deposed() { s.controller.elector.Resign("deposed") }
-
-// Elected starts a term.
-func (c *Controller) Elected(term uint64) {
-	ctx, end := context.WithCancel(c.ctx)
-	var committer *store.Committer
-	hooks := scheduler.Hooks{
-		MarkDirty: func(key string, urgency int, after func()) { committer.MarkDirty(key, urgency, after) },
+// hooks returns what the scheduler asks of this process in the term of that number.
+func (t *leaderTerm) hooks(ctx context.Context, number uint64) scheduler.Hooks {
+	c := t.controller
+	return scheduler.Hooks{
+		MarkDirty: func(key string, urgency int, after func()) { t.committer.MarkDirty(key, urgency, after) },
 		MarkDirtyWithin: func(key string, urgency int, wait time.Duration, after func()) {
-			committer.MarkDirtyWithin(key, urgency, wait, after)
+			t.committer.MarkDirtyWithin(key, urgency, wait, after)
+		},
+		SendCommands: func(name, addr string, response api.HeartbeatResponse) {
+			go t.sendCommands(ctx, name, addr, response)
+		},
+		SendStageOrder: func(name, addr string, order api.StageOrder) {
+			go c.agents.sendStageOrder(ctx, t.scheduler, name, addr, order)
 		},
 		Leading: func() bool {
-			t, valid := c.elector.Term()
-			return valid && t == term
+			current, valid := c.elector.Term()
+			return valid && current == number
 		},
-		CommitDelay:     func() time.Duration { return committer.Delay() },
-		ZoneUnreachable: c.zoneUnreachable,
-		JobTerminal:     c.rememberTerminal,
-		TerminalState:   c.terminalState,
-	}
-	c.mu.Lock()
-	types := c.machineTypes
-	c.mu.Unlock()
-	var sched *scheduler.Scheduler
-	hooks.SendCommands = func(name, addr string, response api.HeartbeatResponse) {
-		go c.sendCommands(ctx, sched, name, addr, response)
+		CommitDelay:     func() time.Duration { return t.committer.Delay() },
+		ZoneUnreachable: c.workers.zoneUnreachable,
+		JobTerminal:     c.jobs.rememberTerminal,
+		TerminalState:   c.jobs.terminalState,
 	}
-	hooks.SendStageOrder = func(name, addr string, order api.StageOrder) { go c.sendStageOrder(ctx, sched, name, addr, order) }
-	sched = scheduler.New(term, c.clock, c.settings, c.policy, types, hooks)
-	if c.data.On {
-		sched.UseData(c.data)
-	}
-	if c.topology != nil {
-		sched.UseTopology(c.topology.Map())
-	}
-	var applier *revisions.Applier
-	if c.revisions != nil {
-		applier = revisions.NewApplier(ctx, c.revisions, &configurationLeader{c, sched})
-	}
-	committer = store.NewCommitter(c.client, recordSource{sched, c}, c.clock, c.settings.Facts.State, map[string]uint64{})
-	useCurrentFormat := func() {
-		sched.UseCurrentFormat()
-		committer.SetValueLimit(c.settings.Facts.State.Least().ValueBytes())
-	}
-	c.mu.Lock()
-	c.scheduler, c.endTerm, c.useCurrentFormat, c.applier = sched, end, useCurrentFormat, applier
-	c.mu.Unlock()
-	if len(c.versions.Older()) == 0 {
-		useCurrentFormat()
-	}
-	go c.runTerm(ctx, sched, committer, applier)
 }
 
-// Lost ends a term.
-func (c *Controller) Lost(uint64, string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.endTerm != nil {
-		c.endTerm()
-	}
-	c.scheduler, c.endTerm, c.useCurrentFormat, c.applier = nil, nil, nil, nil
+// useCurrentFormat has the records of the term written as this version has them, once no older version may read them.
+func (t *leaderTerm) useCurrentFormat() {
+	t.scheduler.UseCurrentFormat()
+	t.committer.SetValueLimit(t.controller.settings.Facts.State.Least().ValueBytes())
 }
 
-func (c *Controller) runTerm(ctx context.Context, sched *scheduler.Scheduler, committer *store.Committer, applier *revisions.Applier) {
-	var inbox, known uint64
-	for ctx.Err() == nil {
-		if applier != nil {
-			// What was read before this term may be older than what the last leader put in force.
-			if err := applier.Load(ctx); err != nil {
-				slog.Error("configuration not read", "err", err)
-				c.sleep(ctx, tuning.ElectRetry)
-				continue
-			}
-		}
-		if c.data.On {
-			var err error
-			if known, err = c.loadDatasets(ctx, sched); err != nil {
-				slog.Error("datasets not read", "err", err)
-				c.sleep(ctx, tuning.ElectRetry)
-				continue
-			}
-		}
-		jobs, epoch, err := c.client.List(ctx, store.JobPrefix)
-		var shards []store.Item
-		if err == nil {
-			shards, _, err = c.client.List(ctx, store.ShardPrefix)
-		}
-		if err == nil {
-			if images, _, ierr := c.client.List(ctx, store.ImagesPrefix); ierr == nil {
-				sched.LoadImageHints(images)
-				for _, item := range images {
-					committer.SetRevision(item.Key, item.Revision)
-				}
-			}
-			if c.data.On {
-				if holds, _, herr := c.client.List(ctx, store.ReplicasPrefix); herr == nil {
-					sched.LoadReplicaHints(holds)
-					for _, item := range holds {
-						committer.SetRevision(item.Key, item.Revision)
-					}
-				}
-			}
-			for _, item := range append(jobs, shards...) {
-				committer.SetRevision(item.Key, item.Revision)
-			}
-			sched.Load(jobs, shards)
-		}
-		if err == nil {
-			c.loadedTerm.Store(sched.Term())
-			inbox = epoch
-			break
-		}
-		slog.Error("records not read", "err", err)
-		c.sleep(ctx, tuning.ElectRetry)
-	}
-	go committer.Run(ctx)
-	go c.followInbox(ctx, sched, committer, inbox)
-	go c.lookUpDependencies(ctx, sched, committer)
-	go c.followWorkerRelay(ctx, sched, committer, inbox)
-	go c.refreshMachines(ctx, sched)
-	if c.data.On {
-		go c.followDatasets(ctx, sched, known)
-		go c.followAgentRelay(ctx, sched, committer, inbox)
-	}
-	go c.maintainFleet(ctx, sched)
+// run reads the records, starts the loops of the term and places tasks until the context ends.
+func (t *leaderTerm) run(ctx context.Context) {
+	t.startLoops(ctx, t.loadRetrying(ctx))
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-sched.Wake():
-		case <-c.clock.After(tuning.Tick):
+		case <-t.scheduler.Wake():
+		case <-t.controller.clock.After(tuning.Tick):
 		}
-		began := c.clock.Now()
-		sched.Place()
-		took := c.clock.Since(began)
-		if reason := c.unfitReason(sched); reason != "" {
-			c.elector.Resign(reason)
+		began := t.controller.clock.Now()
+		t.scheduler.Place()
+		took := t.controller.clock.Since(began)
+		if reason := t.unfitReason(); reason != "" {
+			t.controller.elector.Resign(reason)
 		}
-		c.sleep(ctx, max(tuning.PlaceGap, tuning.PlaceRest*took))
+		sleep(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*took))
 	}
 }
 
+// startLoops starts everything that runs during the term beside placement, from the revisions that were read.
+func (t *leaderTerm) startLoops(ctx context.Context, read loadedRevisions) {
+	go t.committer.Run(ctx)
+	go t.followInbox(ctx, read.jobs)
+	go t.lookUpDependencies(ctx)
+	go t.followWorkerRelay(ctx, read.jobs)
+	go t.refreshMachines(ctx)
+	if t.controller.features.data.On {
+		go t.followDatasets(ctx, read.datasets)
+		go t.followAgentRelay(ctx, read.jobs)
+	}
+	go t.maintainFleet(ctx)
+}
+
 // unfitReason is why this node should no longer lead; empty: it should.
-func (c *Controller) unfitReason(sched *scheduler.Scheduler) string {
-	for _, hello := range c.peers.LivePeers() {
-		if hello.Term > sched.Term() {
+func (t *leaderTerm) unfitReason() string {
+	for _, hello := range t.controller.peers.LivePeers() {
+		if hello.Term > t.scheduler.Term() {
 			return "a sibling has a higher term"
 		}
 	}
-	if sched.Leading() && c.transfer.Due(c.clock.Now(), sched.TermStarted(), c.cpuMonitor.ComparisonUS(), c.peers.LivePeers()) {
+	if t.scheduler.Leading() && t.controller.transfer.Due(t.controller.clock.Now(), t.scheduler.TermStarted(), t.controller.cpuMonitor.ComparisonUS(), t.controller.peers.LivePeers()) {
 		return "computes slower than a sibling"
 	}
-	if sched.Leading() && sched.OutboundLost(c.peers.LivePeers()) {
+	if t.scheduler.Leading() && t.scheduler.OutboundLost(t.controller.peers.LivePeers()) {
 		return "reaches no worker, a sibling does"
 	}
-	if !c.peers.Isolated() {
+	if !t.controller.peers.Isolated() {
 		return ""
 	}
 	switch {
-	case c.isolatedFromWorkers(sched):
+	case t.isolatedFromWorkers():
 		return "hears neither workers nor siblings"
-	case c.elector.ExpiredFor() > tuning.IsolatedAfter:
+	case t.controller.elector.ExpiredFor() > tuning.IsolatedAfter:
 		// With the siblings answering this would be an outage, in which
 		// workers must go on being answered.
 		return "reaches neither the state service nor siblings"
@@ -216,44 +152,6 @@
 // isolatedFromWorkers tells whether nobody is heard for long. The workers of silent siblings try one
 // dead end after the other: whoever leads alone must give them a lease's time, or
 // they find nobody when they come.
-func (c *Controller) isolatedFromWorkers(sched *scheduler.Scheduler) bool {
-	return c.clock.Since(sched.TermStarted()) > settings.Seconds(c.settings.Facts.Workers.LeaseS) && c.clock.Since(sched.LastContact()) > tuning.IsolatedAfter
-}
-
-// zoneUnreachable tells whether no controller in another zone can be reached.
-func (c *Controller) zoneUnreachable(zone string) bool {
-	reachable := false
-	for _, other := range c.settings.Peers {
-		if other.Zone == zone {
-			reachable = true
-			if c.peers.Reachable(other.Member) {
-				return false
-			}
-		}
-	}
-	return reachable && zone != c.settings.Zone
-}
-
-func (c *Controller) rememberTerminal(id string, final store.FinalRecord) {
-	if final.State == api.Cancelled {
-		c.watermark.RecordCancellation(c.clock.Now(), id)
-	}
-	c.terminalStates.Remember(id, final)
-}
-
-func (c *Controller) terminalState(id string) (store.FinalRecord, bool) {
-	return c.terminalStates.Get(id)
-}
-
-// markVersion puts this controller's version on record; once all have this one, records are
-// written as it has them.
-func (c *Controller) markVersion(ctx context.Context) {
-	if c.versions.Run(ctx) {
-		c.mu.Lock()
-		useCurrentFormat := c.useCurrentFormat
-		c.mu.Unlock()
-		if useCurrentFormat != nil {
-			useCurrentFormat()
-		}
-	}
+func (t *leaderTerm) isolatedFromWorkers() bool {
+	return t.controller.clock.Since(t.scheduler.TermStarted()) > settings.Seconds(t.controller.settings.Facts.Workers.LeaseS) && t.controller.clock.Since(t.scheduler.LastContact()) > tuning.IsolatedAfter
 }
--- /dev/null
+++ b/controller/term_records.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+// loadedRevisions are the revisions of the state service up to which a new leader has read it.
+type loadedRevisions struct {
+	// jobs is where to go on with what peers accept and relay.
+	jobs uint64
+	// datasets is where to go on with datasets.
+	datasets uint64
+}
+
+// loadRetrying reads all that a new leader has to know, again until that succeeds or the context ends.
+func (t *leaderTerm) loadRetrying(ctx context.Context) loadedRevisions {
+	for ctx.Err() == nil {
+		if read, ok := t.load(ctx); ok {
+			return read
+		}
+		sleep(ctx, t.controller.clock, tuning.ElectRetry)
+	}
+	return loadedRevisions{}
+}
+
+// load reads the configuration, the datasets and the records of jobs, in this order. It logs what could not be read.
+func (t *leaderTerm) load(ctx context.Context) (read loadedRevisions, ok bool) {
+	if t.applier != nil {
+		// What was read before this term may be older than what the last leader put in force.
+		if err := t.applier.Load(ctx); err != nil {
+			slog.Error("configuration not read", "err", err)
+			return read, false
+		}
+	}
+	var err error
+	if t.controller.features.data.On {
+		if read.datasets, err = t.loadDatasets(ctx); err != nil {
+			slog.Error("datasets not read", "err", err)
+			return read, false
+		}
+	}
+	if read.jobs, err = t.loadJobs(ctx); err != nil {
+		slog.Error("records not read", "err", err)
+		return read, false
+	}
+	return read, true
+}
+
+// loadJobs has the scheduler take in the records of jobs, and what the last leader knew of images and replicas, which may be
+// missing. It returns the revision of the list of jobs.
+func (t *leaderTerm) loadJobs(ctx context.Context) (revision uint64, err error) {
+	client := t.controller.client
+	jobs, revision, err := client.List(ctx, store.JobPrefix)
+	if err != nil {
+		return 0, err
+	}
+	shards, _, err := client.List(ctx, store.ShardPrefix)
+	if err != nil {
+		return 0, err
+	}
+	if images, ok := t.listHints(ctx, store.ImagesPrefix); ok {
+		t.scheduler.LoadImageHints(images)
+	}
+	if t.controller.features.data.On {
+		if replicas, ok := t.listHints(ctx, store.ReplicasPrefix); ok {
+			t.scheduler.LoadReplicaHints(replicas)
+		}
+	}
+	t.setRevisions(jobs)
+	t.setRevisions(shards)
+	t.scheduler.Load(jobs, shards)
+	t.controller.leases.loadedTerm.Store(t.scheduler.Term())
+	return revision, nil
+}
+
+// listHints reads records that the term can do without; ok is false if they could not be read.
+func (t *leaderTerm) listHints(ctx context.Context, prefix string) (items []store.Item, ok bool) {
+	items, _, err := t.controller.client.List(ctx, prefix)
+	if err != nil {
+		return nil, false
+	}
+	t.setRevisions(items)
+	return items, true
+}
+
+// setRevisions tells the committer at which revisions records were read.
+func (t *leaderTerm) setRevisions(items []store.Item) {
+	for _, item := range items {
+		t.committer.SetRevision(item.Key, item.Revision)
+	}
+}
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -26,11 +26,12 @@
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
 	controller, clock := newIsolatedController(t)
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
+	term := &leaderTerm{controller: controller, scheduler: sched}
 	step := func(wait time.Duration) (deaf bool) {
 		for ; wait > 0 && !deaf; wait -= 500 * time.Millisecond {
 			clock.Advance(500 * time.Millisecond)
 			sched.Place()
-			deaf = controller.isolatedFromWorkers(sched)
+			deaf = term.isolatedFromWorkers()
 		}
 		return deaf
 	}
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -12,43 +12,43 @@
 )
 
 // UseTopologyFile switches topology on, unless the file is nil; it is called before Run.
-func (c *Controller) UseTopologyFile(file *topology.File) { c.topology = file }
+func (c *Controller) UseTopologyFile(file *topology.File) { c.features.topology = file }
 
 // watchTopology takes new versions of the file while the node runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
-		c.sleep(c.ctx, tuning.TopologyEvery)
-		placements, err := c.topology.Reload()
+		sleep(c.ctx, c.clock, tuning.TopologyEvery)
+		placements, err := c.features.topology.Reload()
 		if err != nil {
 			slog.Error("topology file not taken", "err", err)
 		}
-		if sched := c.leadingScheduler(); placements != nil && sched != nil {
-			c.reapplyConfiguration(sched)
+		if sched := c.term.leadingScheduler(); placements != nil && sched != nil {
+			c.configuration.reapplyConfiguration(sched)
 		}
 	}
 }
 
 // TopologyOn tells whether a topology is on.
-func (c *Controller) TopologyOn() bool { return c.topology != nil }
+func (c *Controller) TopologyOn() bool { return c.features.topology != nil }
 
 // handleTopology serves requests about where things stand: the leader knows.
 func (c *Controller) handleTopology(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
-	if c.topology == nil && request.Verb == VerbTopology {
+	if c.features.topology == nil && request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
-	sched := c.leadingScheduler()
+	sched := c.term.leadingScheduler()
 	if sched == nil {
-		return c.forwardToLeader(ctx, request, forwarded)
+		return c.leader.forwardToLeader(ctx, request, forwarded)
 	}
 	if request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
 	if x, ok := sched.Explain(request.Job); ok {
-		x.Why = append(x.Why, c.leaseRenewalProblems()...)
+		x.Why = append(x.Why, c.leases.leaseRenewalProblems()...)
 		return peer.JSONResponse(http.StatusOK, x)
 	}
 	// Over, or not known: its record tells.
-	job, found, err := c.lookUp(ctx, sched, request.Job, true)
+	job, found, err := c.jobs.lookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
