--- a/controller/admission.go
+++ b/controller/admission.go
@@ -70,7 +70,7 @@
 	// again whatever is known.
 	undecided   bool
 	retryReason string
-	admission   admission
+	rules       admissionRules
 }
 
 // serveSubmission accepts or refuses a job. Sched is nil without a leader that is certain to lead here. A job that is known
@@ -90,7 +90,7 @@
 	case verdict.err != nil || verdict.undecided:
 		return s.refuseSubmission(ctx, sched, id, verdict)
 	case sched == nil:
-		return s.submitWithoutLeader(ctx, submission, body, verdict.admission.conditions...)
+		return s.submitWithoutLeader(ctx, submission, body, verdict.rules.conditions...)
 	}
 	if response, ok := sched.Submit(ctx, submission, s.clock.Now()); ok {
 		return response
@@ -127,10 +127,10 @@
 // evaluateSubmission checks what can be wrong with a submission, one thing after the other.
 func (s *submissionService) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
-	if verdict.admission, verdict.undecided, verdict.err = s.canRun(sched, submission); verdict.err != nil {
+	if verdict.rules, verdict.undecided, verdict.err = s.canRun(sched, submission); verdict.err != nil {
 		return verdict
 	}
-	if verdict.err = s.fitsSomeMachineType(submission); verdict.err != nil {
+	if verdict.err = s.checkRecordSize(submission); verdict.err != nil {
 		verdict.status = http.StatusBadRequest
 		return verdict
 	}
@@ -171,20 +171,20 @@
 		}
 	}
 	switch {
-	case verdict.err != nil && !s.stillValid(verdict.admission, sched):
+	case verdict.err != nil && !s.stillValid(verdict.rules, sched):
 		return peer.RetryLater("the configuration has just changed")
 	case verdict.err != nil:
 		return peer.Refusal(verdict.status, verdict.err)
-	case verdict.admission.unknownReason != "":
-		return peer.RetryLater(verdict.admission.unknownReason)
+	case verdict.rules.unknownReason != "":
+		return peer.RetryLater(verdict.rules.unknownReason)
 	case s.features.data.On:
 		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
 	return peer.RetryLater("the machine types are not known yet")
 }
 
-// fitsSomeMachineType finds a job whose record is too large for the state service.
-func (s *submissionService) fitsSomeMachineType(submission *api.Submission) error {
+// checkRecordSize finds a job whose record is too large for the state service.
+func (s *submissionService) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
 	if most := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
@@ -192,8 +192,8 @@
 	return err
 }
 
-// admission is what a submission was judged by.
-type admission struct {
+// admissionRules are what a submission is judged by.
+type admissionRules struct {
 	// configurations are those under which the answer must come out the same; conds hold while a follower's is the
 	// newest.
 	configurations []*configuration.Active
@@ -202,30 +202,30 @@
 	unknownReason string
 }
 
-// admissionRules gives what a submission is judged by now.
-func (s *submissionService) admissionRules(sched *scheduler.Scheduler) admission {
+// currentRules gives what a submission is judged by now.
+func (s *submissionService) currentRules(sched *scheduler.Scheduler) admissionRules {
 	if s.configuration.revisions == nil {
-		return admission{configurations: s.configuration.fileConfiguration}
+		return admissionRules{configurations: s.configuration.fileConfiguration}
 	}
-	if applier := s.term.currentApplier(); sched != nil && applier != nil {
+	if applier := s.term.applier(); sched != nil && applier != nil {
 		by := applier.Candidates()
 		if len(by) == 0 || !sched.Leading() {
-			return admission{unknownReason: "the configuration is not known yet"}
+			return admissionRules{unknownReason: "the configuration is not known yet"}
 		}
-		return admission{configurations: by}
+		return admissionRules{configurations: by}
 	}
 	right, ok := s.configuration.revisions.Lease()
 	if !ok {
-		return admission{unknownReason: "the configuration cannot be confirmed now"}
+		return admissionRules{unknownReason: "the configuration cannot be confirmed now"}
 	}
-	return admission{configurations: []*configuration.Active{right.Active}, conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
+	return admissionRules{configurations: []*configuration.Active{right.Active}, conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
 }
 
 // canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
 // active is not, or it is just changing and the answers differ.
-func (s *submissionService) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admission, undecided bool, err error) {
+func (s *submissionService) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admissionRules, undecided bool, err error) {
 	types := s.catalog.machineTypes()
-	rules = s.admissionRules(sched)
+	rules = s.currentRules(sched)
 	if rules.unknownReason != "" {
 		return rules, true, nil
 	}
@@ -242,11 +242,11 @@
 
 // stillValid tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
 // stood still.
-func (s *submissionService) stillValid(rules admission, sched *scheduler.Scheduler) bool {
+func (s *submissionService) stillValid(rules admissionRules, sched *scheduler.Scheduler) bool {
 	if s.configuration.revisions == nil || rules.configurations == nil {
 		return true
 	}
-	return slices.Equal(rules.configurations, s.admissionRules(sched).configurations)
+	return slices.Equal(rules.configurations, s.currentRules(sched).configurations)
 }
 
 // checkSite reads what a submission asks of where its tasks stand, and whether that can be.
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -29,36 +29,36 @@
 	health   *stateHealth
 	term     *currentTerm
 	leader   *leaderLocator
-	// agentClient sends orders to agents.
-	agentClient *http.Client
-	// agentProxy relays heartbeats of agents while the leader is unreachable. It is set before Run, and nil with datasets
+	// client sends orders to agents.
+	client *http.Client
+	// proxy relays heartbeats of agents while the leader is unreachable. It is set before Run, and nil with datasets
 	// off.
-	agentProxy *proxy.Agents
+	proxy *proxy.Agents
 
-	// mu guards agentRedirects, which remembers the agents that were redirected to the leader.
-	mu             sync.Mutex
-	agentRedirects redirect.Tracker
+	// mu guards redirects, which remembers the agents that were redirected to the leader.
+	mu        sync.Mutex
+	redirects redirect.Tracker
 }
 
 // newAgentGateway returns the part of c that serves agents.
 func newAgentGateway(c *Controller, transport http.RoundTripper) *agentGateway {
 	return &agentGateway{settings: c.settings, clock: c.clock, elector: c.elector, peers: c.peers, health: c.health, term: c.term,
-		leader: c.leader, agentClient: &http.Client{Transport: transport}, agentRedirects: redirect.NewTracker()}
+		leader: c.leader, client: &http.Client{Transport: transport}, redirects: redirect.NewTracker()}
 }
 
 // mayRedirect reports whether an agent may be redirected to the leader.
 func (a *agentGateway) mayRedirect(machine, leader string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.agentRedirects.Allow(a.clock.Now(), machine, leader, true)
+	return a.redirects.Allow(a.clock.Now(), machine, leader, true)
 }
 
 // handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader; one
 // that comes back from it is cut off, and its reports are passed on: over the back port
 // while that leads there, else through the state service.
 func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
-	if sched := a.term.leadingScheduler(); sched != nil {
-		return a.stageOrderFor(sched, heartbeat)
+	if sched := a.term.scheduler(); sched != nil {
+		return a.answerAsLeader(sched, heartbeat)
 	}
 	leader, term, reachable := a.leader.locate()
 	if leader == "" || leader == a.settings.Member {
@@ -75,11 +75,11 @@
 			}
 		}
 	}
-	if heartbeat.Term > term || !a.health.stateServiceHealthy() {
+	if heartbeat.Term > term || !a.health.healthy() {
 		// Nobody's word comes through here: another controller may do better.
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	order, err := a.agentProxy.HandleHeartbeat(heartbeat, term)
+	order, err := a.proxy.HandleHeartbeat(heartbeat, term)
 	if err != nil {
 		slog.Error("an agent's order in the mail is damaged", "machine", heartbeat.Machine, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
@@ -87,23 +87,23 @@
 	return http.StatusOK, order
 }
 
-// handleForwardedStageHeartbeat serves an agent's report that a sibling passes on. An order that no frame
+// handleForwardedHeartbeat serves an agent's report that a sibling passes on. An order that no frame
 // holds goes through the state service.
-func (a *agentGateway) handleForwardedStageHeartbeat(raw []byte) peer.Response {
-	sched := a.term.leadingScheduler()
+func (a *agentGateway) handleForwardedHeartbeat(raw []byte) peer.Response {
+	sched := a.term.scheduler()
 	var heartbeat api.StageHeartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	response := peer.JSONResponse(a.stageOrderFor(sched, &heartbeat))
+	response := peer.JSONResponse(a.answerAsLeader(sched, &heartbeat))
 	if len(response.Body) > tuning.BodyLimit {
 		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
 	return response
 }
 
-// stageOrderFor answers an agent as the leader.
-func (a *agentGateway) stageOrderFor(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
+// answerAsLeader answers an agent as the leader.
+func (a *agentGateway) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
 	order, deposed, refused := sched.HandleStageHeartbeat(heartbeat)
 	switch {
 	case deposed:
@@ -115,12 +115,12 @@
 	return http.StatusOK, order
 }
 
-// sendStageOrder delivers an order to an agent. One that is lost is sent again, and goes out with
+// sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with
 // the answer to the agent's next report in any case.
-func (a *agentGateway) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
+func (a *agentGateway) sendOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, a.agentClient, http.MethodPost, "http://"+addr+"/stage", order)
+	status, body, err := rest.Do(ctx, a.client, http.MethodPost, "http://"+addr+"/stage", order)
 	var heartbeat api.StageHeartbeat
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if err = json.Unmarshal(body, &heartbeat); err == nil {
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -15,10 +15,10 @@
 )
 
 // words is a node's side of what controllers tell each other of cancellations.
-type watermarkPeers struct{ leases *leaseRenewal }
+type cancellationExchange struct{ leases *leaseRenewal }
 
 // Position is what is known of a sibling's word; nothing is asked while an older process may be there.
-func (w watermarkPeers) Position(member string) (incarnation, position uint64, ok bool) {
+func (w cancellationExchange) Position(member string) (incarnation, position uint64, ok bool) {
 	if len(w.leases.versions.Older()) > 0 {
 		return 0, 0, false
 	}
@@ -27,7 +27,7 @@
 }
 
 // Statement answers a sibling.
-func (w watermarkPeers) Statement(incarnation, position uint64) (watermark.Statement, bool) {
+func (w cancellationExchange) Statement(incarnation, position uint64) (watermark.Statement, bool) {
 	if len(w.leases.versions.Older()) > 0 {
 		return watermark.Statement{}, false
 	}
@@ -36,7 +36,7 @@
 }
 
 // ApplyStatement takes in a sibling's answer.
-func (w watermarkPeers) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
+func (w cancellationExchange) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
 	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, sent, statement); err != nil {
 		slog.Info("a sibling's word is not believed", "member", member, "err", err)
 	}
@@ -50,7 +50,7 @@
 		l.mu.Lock()
 		needed := !l.answeredAloneAt.IsZero() && l.clock.Since(l.answeredAloneAt) < tuning.WatermarkNeeded
 		l.mu.Unlock()
-		if needed && l.term.leadingScheduler() == nil {
+		if needed && l.term.scheduler() == nil {
 			if next, err := l.readCancelledJobs(ctx, after); err == nil {
 				after = next
 				sleep(ctx, l.clock, tuning.RelayEvery)
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -51,20 +51,20 @@
 // ConfigurationOn tells whether the configuration can change while this controller runs.
 func (c *Controller) ConfigurationOn() bool { return c.configuration.revisions != nil }
 
-// configurationLeader is a term's side of a change.
-type configurationLeader struct {
+// configurationTerm is a term's side of a change.
+type configurationTerm struct {
 	controller *Controller
 	scheduler  *scheduler.Scheduler
 }
 
 // Condition holds while the term lasts.
-func (l *configurationLeader) Condition() (store.Condition, bool) {
+func (l *configurationTerm) Condition() (store.Condition, bool) {
 	return termCondition(l.controller.elector, l.scheduler)
 }
 
 // Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
 // revision before had something else.
-func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
+func (l *configurationTerm) Adopt(active *configuration.Active) (undecided func() int) {
 	return l.scheduler.ApplyConfiguration(l.controller.configuration.withFileDefaults(active))
 }
 
@@ -81,7 +81,7 @@
 }
 
 // Peers are all other controllers.
-func (l *configurationLeader) Peers() (members []string) {
+func (l *configurationTerm) Peers() (members []string) {
 	for _, other := range l.controller.settings.Peers {
 		members = append(members, other.Member)
 	}
@@ -89,7 +89,7 @@
 }
 
 // RefreshPeer has a sibling look for the newest revision now.
-func (l *configurationLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
+func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
 	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
 		return 0, err
@@ -100,17 +100,17 @@
 	return revision, json.Unmarshal(response.Body, &revision)
 }
 
-// reapplyConfiguration has the leader go by its present configuration once more, after the topology file has changed.
-func (l *liveConfiguration) reapplyConfiguration(sched *scheduler.Scheduler) {
-	if applier := l.term.currentApplier(); applier != nil {
+// reapply has the leader go by its present configuration once more, after the topology file has changed.
+func (l *liveConfiguration) reapply(sched *scheduler.Scheduler) {
+	if applier := l.term.applier(); applier != nil {
 		applier.Reapply()
 		return
 	}
 	sched.ReplaceTopology(l.features.topology.Map())
 }
 
-// handleConfiguration serves requests about the configuration.
-func (l *liveConfiguration) handleConfiguration(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+// handle serves requests about the configuration.
+func (l *liveConfiguration) handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if l.revisions == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
@@ -122,27 +122,27 @@
 		return peer.JSONResponse(http.StatusOK, number)
 	}
 	if request.Verb == VerbConfiguration && request.Job != "" {
-		return encodeResponse(l.configurationHandler().Revision(ctx, request.Job))
+		return encodeResponse(l.handler().Revision(ctx, request.Job))
 	}
-	applier := l.term.currentApplier()
+	applier := l.term.applier()
 	switch {
 	case applier == nil && request.Verb == VerbConfigure:
-		return l.leader.forwardToLeader(ctx, request, forwarded)
+		return l.leader.forward(ctx, request, forwarded)
 	case applier == nil && !forwarded:
-		if response := l.leader.forwardToLeader(ctx, request, forwarded); response.Status == http.StatusOK {
+		if response := l.leader.forward(ctx, request, forwarded); response.Status == http.StatusOK {
 			return response
 		}
 		// Nobody leads: the records tell.
 		if _, err := l.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
-		return peer.JSONResponse(http.StatusOK, l.configurationHandler().Present(nil))
+		return peer.JSONResponse(http.StatusOK, l.handler().Present(nil))
 	case request.Verb == VerbConfiguration:
-		return peer.JSONResponse(http.StatusOK, l.configurationHandler().Present(applier))
+		return peer.JSONResponse(http.StatusOK, l.handler().Present(applier))
 	}
-	return encodeResponse(l.configurationHandler().Change(ctx, applier, request.Body))
+	return encodeResponse(l.handler().Change(ctx, applier, request.Body))
 }
 
-func (l *liveConfiguration) configurationHandler() *httpapi.Handler {
+func (l *liveConfiguration) handler() *httpapi.Handler {
 	return &httpapi.Handler{Store: l.revisions, Versions: l.versions, TopologyOn: l.features.topology != nil, DataOn: l.features.data.On}
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -105,7 +105,7 @@
 }
 
 func changeConfiguration(controller *Controller, body []byte) peer.Response {
-	return encodeResponse(controller.configuration.configurationHandler().Change(context.Background(), nil, body))
+	return encodeResponse(controller.configuration.handler().Change(context.Background(), nil, body))
 }
 
 // Only once all controllers know of it, and have it on, can anything be changed; a document with a mistake, or with
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -88,12 +88,12 @@
 	c.readLimiter = newReadLimiter(set)
 	c.relayLimiter = exchange.WriteRate(set.Facts.State)
 	c.health = &stateHealth{clock: clock}
-	c.client.OnResponse = c.health.recordStateResponse
+	c.client.OnResponse = c.health.recordResponse
 	c.catalog = &machineCatalog{clock: clock, cloud: c.cloud}
 	c.term = &currentTerm{}
 	c.leader = &leaderLocator{elector: c.elector, peers: c.peers}
 	c.leases = newLeaseRenewal(c)
-	c.peers.Watermarks = watermarkPeers{c.leases}
+	c.peers.Watermarks = cancellationExchange{c.leases}
 	c.workers = newWorkerRouter(set, clock, c.peers)
 	c.heartbeats = newHeartbeatMonitor(clock, set.Facts.Workers)
 	c.agents = newAgentGateway(c, transport)
@@ -160,7 +160,7 @@
 // Enable switches features on; it is called before Run.
 func (c *Controller) Enable(enabled *features.Features) {
 	c.features.data = enabled.Data
-	c.agents.agentProxy = proxy.NewAgents(c.proxyOptions())
+	c.agents.proxy = proxy.NewAgents(c.proxyOptions())
 	if enabled.Membership.On {
 		c.newMembershipWatcher()
 	}
@@ -177,12 +177,12 @@
 		}
 	}()
 	c.peers.Run(c.ctx)
-	go c.catalog.refreshCatalog(c.ctx, c.term)
+	go c.catalog.refresh(c.ctx, c.term)
 	go c.markVersion(c.ctx)
 	go c.requestCounts.Log(c.ctx, c.clock, tuning.FleetLogEvery)
 	go c.workerProxy.Exchange.Run(c.ctx)
 	if c.features.data.On {
-		go c.agents.agentProxy.Exchange.Run(c.ctx)
+		go c.agents.proxy.Exchange.Run(c.ctx)
 	}
 	if c.features.topology != nil {
 		go c.watchTopology()
@@ -190,11 +190,11 @@
 	go c.cpuMonitor.Run(c.ctx)
 	go c.leases.followCancellations(c.ctx)
 	if c.configuration.revisions != nil {
-		go c.configuration.revisions.Run(c.ctx, func() bool { return c.term.leadingScheduler() != nil })
+		go c.configuration.revisions.Run(c.ctx, func() bool { return c.term.scheduler() != nil })
 	}
 	if c.members != nil {
 		go c.members.Run(c.ctx, func() membership.LocalState {
-			return membership.LocalState{Leads: c.term.leadingScheduler() != nil, StateOK: c.health.stateServiceHealthy(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
+			return membership.LocalState{Leads: c.term.scheduler() != nil, StateOK: c.health.healthy(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
 		})
 	}
 	c.elector.Run(c.ctx)
@@ -208,7 +208,7 @@
 	if c.isShuttingDown() {
 		return false
 	}
-	if c.health.stateServiceHealthy() {
+	if c.health.healthy() {
 		return true
 	}
 	for _, hello := range c.peers.LivePeers() {
@@ -226,7 +226,7 @@
 
 func (c *Controller) hello() peer.Hello {
 	term, _ := c.elector.Term()
-	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.health.stateServiceHealthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
+	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.health.healthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
 	if c.members != nil {
 		hello.StartedMS, hello.HeardPeers, hello.Leaving = uint64(c.startedAt.UnixMilli()), c.members.HeardPeers(), c.isShuttingDown()
 	}
--- a/controller/current_term.go
+++ b/controller/current_term.go
@@ -39,17 +39,17 @@
 	return t.term
 }
 
-// leadingScheduler returns the scheduler of the current term, or nil.
-func (t *currentTerm) leadingScheduler() *scheduler.Scheduler {
+// scheduler returns the scheduler of the current term, or nil.
+func (t *currentTerm) scheduler() *scheduler.Scheduler {
 	if term := t.get(); term != nil {
 		return term.scheduler
 	}
 	return nil
 }
 
-// currentApplier returns what changes the configuration in the current term, or nil: without a term, or without live
+// applier returns what changes the configuration in the current term, or nil: without a term, or without live
 // configuration.
-func (t *currentTerm) currentApplier() *revisions.Applier {
+func (t *currentTerm) applier() *revisions.Applier {
 	if term := t.get(); term != nil {
 		return term.applier
 	}
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -34,9 +34,9 @@
 		cache: newDatasetCache(c.clock, c.client, c.readLimiter)}
 }
 
-// registerDataset makes a dataset known: any controller can, since nothing but its key decides.
+// register makes a dataset known: any controller can, since nothing but its key decides.
 // Its name stands for the same content for ever.
-func (d *datasetService) registerDataset(ctx context.Context, body []byte) peer.Response {
+func (d *datasetService) register(ctx context.Context, body []byte) peer.Response {
 	var entry dataset.Entry
 	if err := json.Unmarshal(body, &entry.Summary); err != nil {
 		return peer.Refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
@@ -49,7 +49,7 @@
 	case err == nil:
 		entry.Stamp = epoch
 		d.cache.add(&entry)
-		if sched := d.term.leadingScheduler(); sched != nil {
+		if sched := d.term.scheduler(); sched != nil {
 			sched.AddDatasets(&entry)
 		}
 		return peer.JSONResponse(http.StatusCreated, entry)
@@ -78,9 +78,9 @@
 	Jobs  int    `json:"jobs"`
 }
 
-// removeDataset takes a dataset off the list: any controller can, since nothing but its
+// remove takes a dataset off the list: any controller can, since nothing but its
 // record decides. Asking again tells how far it is.
-func (d *datasetService) removeDataset(ctx context.Context, name string) peer.Response {
+func (d *datasetService) remove(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
@@ -112,7 +112,7 @@
 		}
 		d.cache.add(entry)
 		view := RemovalView{Name: name, State: entry.State, Jobs: -1}
-		if sched := d.term.leadingScheduler(); sched != nil {
+		if sched := d.term.scheduler(); sched != nil {
 			sched.AddDatasets(entry)
 			view.Jobs = sched.JobsUsing(name)
 		}
@@ -121,29 +121,29 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// handleDatasets serves requests about datasets; they know no job.
-func (d *datasetService) handleDatasets(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+// handle serves requests about datasets; they know no job.
+func (d *datasetService) handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if !d.features.data.On {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "datasets are off"})
 	}
 	switch request.Verb {
 	case VerbRegister:
-		return d.registerDataset(ctx, request.Body)
+		return d.register(ctx, request.Body)
 	case VerbRemove:
 		// The leader can tell besides who still needs it.
-		if d.term.leadingScheduler() == nil && !forwarded {
+		if d.term.scheduler() == nil && !forwarded {
 			if leader, _, reachable := d.leader.locate(); reachable {
 				if response, err := d.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
 					return response
 				}
 			}
 		}
-		return d.removeDataset(ctx, request.Job)
+		return d.remove(ctx, request.Job)
 	}
-	if sched := d.term.leadingScheduler(); sched != nil {
+	if sched := d.term.scheduler(); sched != nil {
 		if v, on := sched.Datasets(); on {
 			return peer.JSONResponse(http.StatusOK, v)
 		}
 	}
-	return d.leader.forwardToLeader(ctx, request, forwarded)
+	return d.leader.forward(ctx, request, forwarded)
 }
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -20,14 +20,14 @@
 		// renews nothing.
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
-	if sched := c.term.leadingScheduler(); sched != nil {
+	if sched := c.term.scheduler(); sched != nil {
 		if to, ok := c.redirectWorker(heartbeat, c.settings.Member); ok {
 			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
 		}
 		return c.answerAsLeader(sched, heartbeat, "")
 	}
 	leader, term, reachable := c.leader.locate()
-	if previous := c.workers.previousController(); !c.health.stateServiceHealthy() && c.peers.Isolated() && c.workers.mayRedirect(heartbeat.Machine, previous) {
+	if previous := c.workers.previousController(); !c.health.healthy() && c.peers.Isolated() && c.workers.mayRedirect(heartbeat.Machine, previous) {
 		// This controller reaches neither the state service nor a peer: it is isolated itself, or all of its zone is. A
 		// worker that comes back reaches nobody else either, and stays.
 		return http.StatusMisdirectedRequest, api.Redirect{Controller: previous}
@@ -60,11 +60,11 @@
 // worker might try controllers beyond a partition until its lease expires.
 func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) (status int, body any) {
 	last, since := c.elector.LeaderlessFor()
-	if last == 0 || heartbeat.Term > last || since > tuning.LeaderlessGrace && c.health.stateServiceHealthy() {
+	if last == 0 || heartbeat.Term > last || since > tuning.LeaderlessGrace && c.health.healthy() {
 		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
-	if !c.leases.mayRenewLeases() {
-		return c.leases.refuseRenewal()
+	if !c.leases.mayRenew() {
+		return c.leases.refuse()
 	}
 	return http.StatusOK, c.leases.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: last, Commands: []api.Command{}})
 }
@@ -75,15 +75,15 @@
 	if heartbeat.Term > term {
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	if !c.leases.mayRenewLeases() {
-		return c.leases.refuseRenewal()
+	if !c.leases.mayRenew() {
+		return c.leases.refuse()
 	}
 	return http.StatusOK, c.leases.enforceCancellations(heartbeat, c.workerProxy.HandleHeartbeat(heartbeat, term))
 }
 
 // handleForwardedHeartbeat serves a heartbeat that a peer forwards.
 func (c *Controller) handleForwardedHeartbeat(from string, raw []byte) peer.Response {
-	sched := c.term.leadingScheduler()
+	sched := c.term.scheduler()
 	var heartbeat api.Heartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
@@ -95,7 +95,7 @@
 func (c *Controller) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.Heartbeat, via string) (status int, body any) {
 	// A leader that has not read the records knows of cancellations what its peers state, or nothing.
 	current := c.leases.markCurrentIfLeading()
-	renewed := current || c.leases.mayRenewLeases()
+	renewed := current || c.leases.mayRenew()
 	if !renewed && !sched.Leading() {
 		return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
 	}
--- a/controller/leader_locator.go
+++ b/controller/leader_locator.go
@@ -22,8 +22,8 @@
 	return newestLeader(leader, term, l.peers.LivePeers())
 }
 
-// forwardToLeader asks the leader.
-func (l *leaderLocator) forwardToLeader(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+// forward asks the leader.
+func (l *leaderLocator) forward(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	leader, _ := l.elector.Leader()
 	leader, _, reachable := newestLeader(leader, 0, l.peers.LivePeers())
 	if forwarded || !reachable {
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -75,8 +75,8 @@
 	return true
 }
 
-// mayRenewLeases tells whether a worker's lease may be renewed now by a controller that does not lead for certain.
-func (l *leaseRenewal) mayRenewLeases() bool {
+// mayRenew tells whether a worker's lease may be renewed now by a controller that does not lead for certain.
+func (l *leaseRenewal) mayRenew() bool {
 	l.markCurrentIfLeading()
 	now := l.clock.Now()
 	ok, without := l.watermark.MayRenew(now)
@@ -99,8 +99,8 @@
 	return without.Round(time.Millisecond).String()
 }
 
-// leaseRenewalProblems tells an operator why this controller renews no leases, if it does not.
-func (l *leaseRenewal) leaseRenewalProblems() []string {
+// problems tells an operator why this controller renews no leases, if it does not.
+func (l *leaseRenewal) problems() []string {
 	l.mu.Lock()
 	renewed := l.renewing
 	l.mu.Unlock()
@@ -122,12 +122,12 @@
 	return response
 }
 
-// refuseRenewal is what a worker is told whose lease must not be renewed. One that was sent away
+// refuse is what a worker is told whose lease must not be renewed. One that was sent away
 // and came back finds nobody else: an answer without a token, which renews nothing, keeps
 // it here, so that it is heard as soon as the cut ends. Sent on, it would try one dead end
 // after the other, 5 s each, and come when its lease has ended. Others are sent on.
-func (l *leaseRenewal) refuseRenewal() (status int, body any) {
-	if !l.health.stateServiceHealthy() && l.peers.Isolated() {
+func (l *leaseRenewal) refuse() (status int, body any) {
+	if !l.health.healthy() && l.peers.Isolated() {
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
 	}
 	return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -38,7 +38,7 @@
 		}
 		sched := scheduler.New(term, clock, set, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return false }})
 		state.Down = true
-		if controller.leases.mayRenewLeases() {
+		if controller.leases.mayRenew() {
 			t.Error("kept by a process that knows nothing")
 		}
 		word := clock.Now()
@@ -61,7 +61,7 @@
 		if last > most || last < most-tuning.LeaseRenewalMargin-time.Second {
 			t.Errorf("led %v: the last lease was renewed %v after the cut began; a cancelled task has %v", led, last, most)
 		}
-		if reason := strings.Join(controller.leases.leaseRenewalProblems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
+		if reason := strings.Join(controller.leases.problems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
 			t.Errorf("led %v: an operator is told %q", led, reason)
 		}
 		// Meanwhile a worker that finds nobody else is held, without a lease.
@@ -74,11 +74,11 @@
 		// Word comes again, and leases are kept again.
 		state.Down = false
 		_, _ = controller.client.Get(context.Background(), "k")
-		if controller.leases.mayRenewLeases() {
+		if controller.leases.mayRenew() {
 			t.Error("kept because the state service answers, though nothing of jobs was read")
 		}
 		state.Put(store.JobKey("run-7"), store.JobRecord{Job: api.Submission{ID: "run-7"}, FinalState: api.Cancelled})
-		if _, err := controller.leases.readCancelledJobs(context.Background(), 0); err != nil || !controller.leases.mayRenewLeases() {
+		if _, err := controller.leases.readCancelledJobs(context.Background(), 0); err != nil || !controller.leases.mayRenew() {
 			t.Errorf("not kept though the records of jobs were read, %v", err)
 		}
 		status, body := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{{Task: "run-7/0", Attempt: 9, State: api.TaskRunning}}}, "")
@@ -118,10 +118,10 @@
 		t.Errorf("a user who cancels without a leader is told %d %s, and siblings nothing", response.Status, response.Body)
 	}
 	// Nothing that they did not always hear goes to processes that may be older.
-	if _, _, ok := (watermarkPeers{controller.leases}).Position("n0"); ok {
+	if _, _, ok := (cancellationExchange{controller.leases}).Position("n0"); ok {
 		t.Error("asks a sibling without a mark")
 	}
-	if _, ok := (watermarkPeers{controller.leases}).Statement(0, 0); ok {
+	if _, ok := (cancellationExchange{controller.leases}).Statement(0, 0); ok {
 		t.Error("answers a sibling without a mark")
 	}
 }
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -36,8 +36,8 @@
 	m.types = types
 }
 
-// refreshCatalog reads the types now and then, for this process and the scheduler of its term, until the context ends.
-func (m *machineCatalog) refreshCatalog(ctx context.Context, term *currentTerm) {
+// refresh reads the types now and then, for this process and the scheduler of its term, until the context ends.
+func (m *machineCatalog) refresh(ctx context.Context, term *currentTerm) {
 	for ctx.Err() == nil {
 		types, err := m.cloud.Catalog(ctx)
 		wait := tuning.CatalogEvery
@@ -46,7 +46,7 @@
 			wait = tuning.BackoffBase
 		} else {
 			m.set(types)
-			if sched := term.leadingScheduler(); sched != nil {
+			if sched := term.scheduler(); sched != nil {
 				sched.SetTypes(types)
 			}
 		}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -45,7 +45,7 @@
 	c.shuttingDown.Store(true)
 	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
-	slog.Info("leaving by plan", "leads", c.term.leadingScheduler() != nil)
+	slog.Info("leaving by plan", "leads", c.term.scheduler() != nil)
 	// Peers are told with the next greeting, and the load balancer probes once a second.
 	sleep(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
--- a/controller/relays_test.go
+++ b/controller/relays_test.go
@@ -37,7 +37,7 @@
 	if leader.state.Under(store.AgentRelayPrefix) != 0 {
 		t.Fatal("relayed before it was written")
 	}
-	for y.agents.agentProxy.Exchange.Write(context.Background()) {
+	for y.agents.proxy.Exchange.Write(context.Background()) {
 	}
 	if leader.state.Under(store.AgentRelayPrefix) == 0 {
 		t.Error("the heartbeat is not relayed")
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -24,12 +24,12 @@
 		return c.handleForwardedHeartbeat(request.From, request.Body)
 	}
 	if forwarded && request.Verb == verbStage {
-		return c.agents.handleForwardedStageHeartbeat(request.Body)
+		return c.agents.handleForwardedHeartbeat(request.Body)
 	}
 	from := c.clock.Now()
 	response := c.jobs.publishAnswer(c.route(ctx, request, forwarded))
 	if took := c.clock.Since(from); request.Verb == VerbSubmit && took > tuning.AcceptPatience {
-		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.leadingScheduler() != nil)
+		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.scheduler() != nil)
 	}
 	if !forwarded && request.Verb == VerbSubmit {
 		c.submissions.setRetryAfter(&response, request.Body)
@@ -48,14 +48,14 @@
 	case VerbTopology, VerbExplain:
 		return c.handleTopology(ctx, request, forwarded)
 	case VerbConfiguration, VerbConfigure, verbConfirm:
-		return c.configuration.handleConfiguration(ctx, request, forwarded)
+		return c.configuration.handle(ctx, request, forwarded)
 	case VerbRegister, VerbRemove, VerbData:
-		return c.datasets.handleDatasets(ctx, request, forwarded)
+		return c.datasets.handle(ctx, request, forwarded)
 	}
 	if final, ok := c.jobs.terminalState(request.Job); ok && request.Verb != VerbSubmit {
 		return peer.JSONResponse(http.StatusOK, final.JobStatus(request.Job))
 	}
-	if sched := c.term.leadingScheduler(); sched != nil {
+	if sched := c.term.scheduler(); sched != nil {
 		return c.routeInTerm(ctx, sched, request)
 	}
 	if forwarded {
@@ -72,7 +72,7 @@
 	if sched.Leading() && sched.Loaded() {
 		return c.serveAsLeader(ctx, sched, request)
 	}
-	if c.health.stateServiceHealthy() {
+	if c.health.healthy() {
 		// It does not lead yet, or no more, and the state service answers: what is read and written there is as good from
 		// this controller as from any other.
 		return c.serveAsLeader(ctx, nil, request)
--- a/controller/state_health.go
+++ b/controller/state_health.go
@@ -17,8 +17,8 @@
 	refusedAt time.Time
 }
 
-// recordStateResponse notes that a request was just served, or was refused or got no answer.
-func (h *stateHealth) recordStateResponse(served bool) {
+// recordResponse notes that a request was just served, or was refused or got no answer.
+func (h *stateHealth) recordResponse(served bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if served {
@@ -28,8 +28,8 @@
 	}
 }
 
-// stateServiceHealthy reports whether the last request was served; it is false before the first one.
-func (h *stateHealth) stateServiceHealthy() bool {
+// healthy reports whether the last request was served; it is false before the first one.
+func (h *stateHealth) healthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.servedAt.IsZero() && !h.refusedAt.After(h.servedAt)
--- a/controller/term.go
+++ b/controller/term.go
@@ -51,7 +51,7 @@
 		term.scheduler.UseTopology(c.features.topology.Map())
 	}
 	if c.configuration.revisions != nil {
-		term.applier = revisions.NewApplier(ctx, c.configuration.revisions, &configurationLeader{c, term.scheduler})
+		term.applier = revisions.NewApplier(ctx, c.configuration.revisions, &configurationTerm{c, term.scheduler})
 	}
 	term.committer = store.NewCommitter(c.client, recordSource{term.scheduler, c}, c.clock, c.settings.Facts.State, map[string]uint64{})
 	return term
@@ -69,7 +69,7 @@
 			go t.sendCommands(ctx, name, addr, response)
 		},
 		SendStageOrder: func(name, addr string, order api.StageOrder) {
-			go c.agents.sendStageOrder(ctx, t.scheduler, name, addr, order)
+			go c.agents.sendOrder(ctx, t.scheduler, name, addr, order)
 		},
 		Leading: func() bool {
 			current, valid := c.elector.Term()
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -22,8 +22,8 @@
 		if err != nil {
 			slog.Error("topology file not taken", "err", err)
 		}
-		if sched := c.term.leadingScheduler(); placements != nil && sched != nil {
-			c.configuration.reapplyConfiguration(sched)
+		if sched := c.term.scheduler(); placements != nil && sched != nil {
+			c.configuration.reapply(sched)
 		}
 	}
 }
@@ -36,15 +36,15 @@
 	if c.features.topology == nil && request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
-	sched := c.term.leadingScheduler()
+	sched := c.term.scheduler()
 	if sched == nil {
-		return c.leader.forwardToLeader(ctx, request, forwarded)
+		return c.leader.forward(ctx, request, forwarded)
 	}
 	if request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
 	if x, ok := sched.Explain(request.Job); ok {
-		x.Why = append(x.Why, c.leases.leaseRenewalProblems()...)
+		x.Why = append(x.Why, c.leases.problems()...)
 		return peer.JSONResponse(http.StatusOK, x)
 	}
 	// Over, or not known: its record tells.
