--- a/controller/admission.go
+++ b/controller/admission.go
@@ -61,13 +61,14 @@
 		leaderlessWriter: store.NewHedgedClient(c.client, c.clock, limiter, writes), retries: retries}
 }
 
-// submissionVerdict is what is thought of a submission. With neither an error nor a reason to ask again it can be accepted.
+// submissionVerdict is the outcome of checking a submission, which can be accepted if it is neither refused nor
+// undecided and has no retryReason.
 type submissionVerdict struct {
-	// status goes with err, which refuses it for good.
+	// status is the HTTP status of err, which refuses the submission for good.
 	status int
 	err    error
-	// undecided: what it hangs on is not known, which leaves a known job its answer; again is why its user has to ask
-	// again whatever is known.
+	// undecided is set if it cannot be told now whether the submission is feasible; a known job is answered all the same.
+	// retryReason is why the user has to retry whether the job is known or not.
 	undecided   bool
 	retryReason string
 	rules       admissionRules
@@ -155,8 +156,8 @@
 	return verdict
 }
 
-// refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is never refused, whatever the
-// body, nor sent away while nothing can be judged.
+// refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is answered with the
+// state of its job, whatever the body says.
 func (s *submissionService) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
@@ -183,7 +184,7 @@
 	return peer.RetryLater("the machine types are not known yet")
 }
 
-// checkRecordSize finds a job whose record is too large for the state service.
+// checkRecordSize returns a *api.FieldError if the record of a job is too large for the state service.
 func (s *submissionService) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
 	if most := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
@@ -192,17 +193,17 @@
 	return err
 }
 
-// admissionRules are what a submission is judged by.
+// admissionRules are the configurations that a submission is checked against.
 type admissionRules struct {
-	// configurations are those under which the answer must come out the same; conds hold while a follower's is the
-	// newest.
+	// configurations are all that may be in force; they must agree on the answer. conditions hold while the one that a
+	// follower decided by is the newest.
 	configurations []*configuration.Active
 	conditions     []store.Condition
-	// unknownReason says why nothing could be judged, where that is a matter of the configuration.
+	// unknownReason is why no rules are known, or empty.
 	unknownReason string
 }
 
-// currentRules gives what a submission is judged by now.
+// currentRules returns the rules by which a submission is checked now.
 func (s *submissionService) currentRules(sched *scheduler.Scheduler) admissionRules {
 	if s.configuration.revisions == nil {
 		return admissionRules{configurations: s.configuration.fileConfiguration}
@@ -221,8 +222,8 @@
 	return admissionRules{configurations: []*configuration.Active{right.Active}, conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
 }
 
-// canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
-// active is not, or it is just changing and the answers differ.
+// canRun checks a submission against teams, limits and machine types. Undecided is set if these are not known, if the
+// configuration is not, or if it is just changing and the old and the new one disagree. An error is a *api.FieldError.
 func (s *submissionService) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admissionRules, undecided bool, err error) {
 	types := s.catalog.machineTypes()
 	rules = s.currentRules(sched)
@@ -240,8 +241,8 @@
 	return rules, undecided, err
 }
 
-// stillValid tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
-// stood still.
+// stillValid reports whether a refusal by these rules still holds. It is asked last, since the process can have been
+// paused after the check.
 func (s *submissionService) stillValid(rules admissionRules, sched *scheduler.Scheduler) bool {
 	if s.configuration.revisions == nil || rules.configurations == nil {
 		return true
@@ -249,13 +250,14 @@
 	return slices.Equal(rules.configurations, s.currentRules(sched).configurations)
 }
 
-// checkSite reads what a submission asks of where its tasks stand, and whether that can be.
+// checkSite reads the topology constraints of a submission and checks whether they can be met. An error is a
+// *api.FieldError, which goes with the status.
 func checkSite(submission *api.Submission, body []byte) (status int, err error) {
 	if submission.Near, submission.Survive, err = api.ParseSite(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err
 	}
 	if submission.Shape == api.JobArray {
-		// Its tasks can run a few at a time.
+		// Tasks of a job array need not all run at once.
 		return 0, nil
 	}
 	if reason := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); reason != "" {
@@ -264,8 +266,8 @@
 	return 0, nil
 }
 
-// setRetryAfter tells the user of a job that cannot be taken now when to come back: each another
-// time, spread over as long as it takes to take all that wait.
+// setRetryAfter sets when the user of a refused submission should retry. Each gets another time, spread over as long as
+// it takes to accept all that wait.
 func (s *submissionService) setRetryAfter(response *peer.Response, body []byte) {
 	refused := response.Status == http.StatusServiceUnavailable
 	s.mu.Lock()
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -53,9 +53,9 @@
 	return a.redirects.Allow(a.clock.Now(), machine, leader, true)
 }
 
-// handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader; one
-// that comes back from it is cut off, and its reports are passed on: over the back port
-// while that leads there, else through the state service.
+// handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader. Heartbeats of an agent
+// that was redirected there and came back are forwarded to it while it is reachable, and else relayed through the state
+// service.
 func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
 	if sched := a.term.scheduler(); sched != nil {
 		return a.answerAsLeader(sched, heartbeat)
@@ -76,7 +76,7 @@
 		}
 	}
 	if heartbeat.Term > term || !a.health.healthy() {
-		// Nobody's word comes through here: another controller may do better.
+		// Nothing can be relayed from here; another controller may reach the state service or the leader.
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
 	order, err := a.proxy.HandleHeartbeat(heartbeat, term)
@@ -87,8 +87,8 @@
 	return http.StatusOK, order
 }
 
-// handleForwardedHeartbeat serves an agent's report that a sibling passes on. An order that no frame
-// holds goes through the state service.
+// handleForwardedHeartbeat serves an agent's heartbeat that a peer forwards. An order that is too large for a message
+// between controllers is refused, and then goes through the state service.
 func (a *agentGateway) handleForwardedHeartbeat(raw []byte) peer.Response {
 	sched := a.term.scheduler()
 	var heartbeat api.StageHeartbeat
@@ -102,7 +102,7 @@
 	return response
 }
 
-// answerAsLeader answers an agent as the leader.
+// answerAsLeader answers an agent's heartbeat as the leader.
 func (a *agentGateway) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
 	order, deposed, refused := sched.HandleStageHeartbeat(heartbeat)
 	switch {
@@ -115,8 +115,8 @@
 	return http.StatusOK, order
 }
 
-// sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with
-// the answer to the agent's next report in any case.
+// sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with the response to the agent's
+// next heartbeat in any case.
 func (a *agentGateway) sendOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -35,6 +35,7 @@
 	return j
 }
 
+// rememberTerminal notes that a job is in a terminal state; a cancellation is stated to the peers from then on.
 func (j *jobReader) rememberTerminal(id string, final store.FinalRecord) {
 	if final.State == api.Cancelled {
 		j.leases.watermark.RecordCancellation(j.clock.Now(), id)
@@ -42,11 +43,12 @@
 	j.terminalStates.Remember(id, final)
 }
 
+// terminalState returns the terminal state of a job, if this controller knows that it is in one.
 func (j *jobReader) terminalState(id string) (store.FinalRecord, bool) {
 	return j.terminalStates.Get(id)
 }
 
-// answerStatus answers from the state service.
+// answerStatus answers a request for a job's status from the state service. Waits is as for lookUp.
 func (j *jobReader) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
 	job, found, err := j.lookUp(ctx, sched, id, waits)
 	switch {
@@ -58,8 +60,9 @@
 	return peer.JSONResponse(http.StatusOK, job)
 }
 
-// lookUp reads a job's record: its own key first, since the final one is
-// written before that goes. Waits: a question's user waits for its turn; a submission is refused at once.
+// lookUp returns the status of a job by its record, which is read before the record of its terminal state, since that is
+// written before the first one is removed. With waits the reader waits for its turn, as users who ask for a status do;
+// otherwise it is refused at once with an error, as submissions are.
 func (j *jobReader) lookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
@@ -73,7 +76,7 @@
 			}
 		}()
 	}
-	// Questions must not take the requests that leading needs.
+	// Requests of users must not take the share of reads that leading needs.
 	x, err := j.records.ReadInTurn(ctx, id, asked)
 	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
@@ -88,8 +91,8 @@
 	return job, err == nil, err
 }
 
-// publishAnswer has a cancellation known to the siblings before its user is told, and gives what may be told: a poll that was
-// read before its job ended, here or at the leader, may be answered after the end was told.
+// publishAnswer states a cancellation to the peers before its user is told, and returns the answer that may be sent: a
+// status that was read before its job ended may be due only after the user was told of the end.
 func (j *jobReader) publishAnswer(response peer.Response) peer.Response {
 	if response.Status != http.StatusOK && response.Status != http.StatusCreated || !bytes.Contains(response.Body, []byte(`"status"`)) {
 		return response
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -14,10 +14,11 @@
 	"switchferry/watermark"
 )
 
-// words is a node's side of what controllers tell each other of cancellations.
+// cancellationExchange exchanges statements about cancellations with the peers (package watermark).
 type cancellationExchange struct{ leases *leaseRenewal }
 
-// Position is what is known of a sibling's word; nothing is asked while an older process may be there.
+// Position returns up to where the statements of a peer are known; ok is false while a process of an older version may
+// run, since none is asked for then.
 func (w cancellationExchange) Position(member string) (incarnation, position uint64, ok bool) {
 	if len(w.leases.versions.Older()) > 0 {
 		return 0, 0, false
@@ -26,7 +27,8 @@
 	return incarnation, position, true
 }
 
-// Statement answers a sibling.
+// Statement answers a peer that knows the statements of this incarnation up to a position; ok is false while a process
+// of an older version may run.
 func (w cancellationExchange) Statement(incarnation, position uint64) (watermark.Statement, bool) {
 	if len(w.leases.versions.Older()) > 0 {
 		return watermark.Statement{}, false
@@ -35,15 +37,15 @@
 	return w.leases.watermark.Statement(w.leases.clock.Now(), incarnation, position), true
 }
 
-// ApplyStatement takes in a sibling's answer.
+// ApplyStatement takes in the answer of a peer to a request of that time.
 func (w cancellationExchange) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
 	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, sent, statement); err != nil {
 		slog.Info("a sibling's word is not believed", "member", member, "err", err)
 	}
 }
 
-// followCancellations reads the records of jobs while this controller answers workers by itself and reaches the
-// state service: what it has read was told to nobody before without being here.
+// followCancellations reads the records of jobs while this controller renews leases without leading and reaches the
+// state service, so that it knows of all cancellations that users were told of.
 func (l *leaseRenewal) followCancellations(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
@@ -62,8 +64,8 @@
 	}
 }
 
-// readCancelledJobs notes the cancellations on record, or, after a revision, those since. It gives the revision to go on
-// from. What is known then is known from when that was asked for.
+// readCancelledJobs notes the cancellations on record, or those since a revision that is not zero. It returns the
+// revision to go on from. What is known then counts from when it was asked for.
 func (l *leaseRenewal) readCancelledJobs(ctx context.Context, after uint64) (uint64, error) {
 	sent := l.clock.Now()
 	var all []store.Item
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -42,28 +42,28 @@
 		term: c.term, leader: c.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(c.settings.Facts.Teams, c.policy)}}
 }
 
-// newRevisionStore switches live configuration on; it is called before Run.
+// newRevisionStore switches live configuration on. It is called before Run.
 func (l *liveConfiguration) newRevisionStore() {
 	l.revisions = revisions.New(l.client, l.clock, l.fileConfiguration[0], l.settings.Facts.State)
 	l.versions.Configuration = true
 }
 
-// ConfigurationOn tells whether the configuration can change while this controller runs.
+// ConfigurationOn reports whether the configuration can change while this controller runs.
 func (c *Controller) ConfigurationOn() bool { return c.configuration.revisions != nil }
 
-// configurationTerm is a term's side of a change.
+// configurationTerm is what a change of the configuration asks of a term.
 type configurationTerm struct {
 	controller *Controller
 	scheduler  *scheduler.Scheduler
 }
 
-// Condition holds while the term lasts.
+// Condition holds while the term lasts; ok is false once it is not certain that it does.
 func (l *configurationTerm) Condition() (store.Condition, bool) {
 	return termCondition(l.controller.elector, l.scheduler)
 }
 
-// Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
-// revision before had something else.
+// Adopt has the scheduler decide by a configuration. What that leaves out is as the files have it, also where the
+// revision before set it.
 func (l *configurationTerm) Adopt(active *configuration.Active) (undecided func() int) {
 	return l.scheduler.ApplyConfiguration(l.controller.configuration.withFileDefaults(active))
 }
@@ -80,7 +80,7 @@
 	return &complete
 }
 
-// Peers are all other controllers.
+// Peers returns all other members.
 func (l *configurationTerm) Peers() (members []string) {
 	for _, other := range l.controller.settings.Peers {
 		members = append(members, other.Member)
@@ -88,7 +88,7 @@
 	return members
 }
 
-// RefreshPeer has a sibling look for the newest revision now.
+// RefreshPeer has a peer look for the newest revision now, and returns the one that it found.
 func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
 	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return revision, json.Unmarshal(response.Body, &revision)
 }
 
-// reapply has the leader go by its present configuration once more, after the topology file has changed.
+// reapply has the leader apply its present configuration again, after the topology file has changed.
 func (l *liveConfiguration) reapply(sched *scheduler.Scheduler) {
 	if applier := l.term.applier(); applier != nil {
 		applier.Reapply()
@@ -132,7 +132,7 @@
 		if response := l.leader.forward(ctx, request, forwarded); response.Status == http.StatusOK {
 			return response
 		}
-		// Nobody leads: the records tell.
+		// Without a leader the records tell what is in force.
 		if _, err := l.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
@@ -143,6 +143,7 @@
 	return encodeResponse(l.handler().Change(ctx, applier, request.Body))
 }
 
+// handler returns what answers users about the configuration.
 func (l *liveConfiguration) handler() *httpapi.Handler {
 	return &httpapi.Handler{Store: l.revisions, Versions: l.versions, TopologyOn: l.features.topology != nil, DataOn: l.features.data.On}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -128,7 +128,7 @@
 	return rate.NewLimiter(rate.Limit(share), max(1, int(share)))
 }
 
-// Transport is the transport for all calls to other services, within a budget of sockets.
+// Transport returns the transport for all calls to other services, which keeps to a budget of connections.
 func Transport(set *settings.Settings, budget *connlimit.Limiter) *http.Transport {
 	return &http.Transport{
 		DialContext: budget.Dial(func(addr string) connlimit.Class {
@@ -144,7 +144,7 @@
 	}
 }
 
-// UseConnLimiter lets this node keep to a budget of sockets; it is called before Run.
+// UseConnLimiter has this controller keep to a budget of connections. It is called before Run.
 func (c *Controller) UseConnLimiter(limiter *connlimit.Limiter) {
 	c.peers.Dial = limiter.Dial(func(string) connlimit.Class { return connlimit.Peer })
 	go limiter.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
@@ -152,7 +152,7 @@
 	})
 }
 
-// DialPeers has connections to siblings opened so; it is called before Run.
+// DialPeers sets how connections to peers are opened. It is called before Run.
 func (c *Controller) DialPeers(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	c.peers.Dial = dial
 }
@@ -169,7 +169,7 @@
 	}
 }
 
-// Run starts everything and runs until the context ends.
+// Run starts everything, serves peers on the listener, and returns once the context of New ends.
 func (c *Controller) Run(back net.Listener) {
 	go func() {
 		if err := c.peers.Serve(c.ctx, back); err != nil {
@@ -200,10 +200,9 @@
 	c.elector.Run(c.ctx)
 }
 
-// Ready tells whether users should come here: not to a node without the state
-// service while a sibling has it, and not to one that is cut off. In an outage
-// every node is as good, and the load balancer would take seconds to come back
-// to nodes that it had given up.
+// Ready reports whether users should be sent here: not to a controller that does not reach the state service while a
+// peer does, and not to an isolated one. In an outage of the state service all controllers are as good, and the load
+// balancer would take seconds to come back to those that it had given up.
 func (c *Controller) Ready() bool {
 	if c.isShuttingDown() {
 		return false
@@ -219,11 +218,12 @@
 	return !c.peers.Isolated()
 }
 
-// Isolated is for the elector: we reach no sibling in any way.
+// Isolated reports whether this controller reaches no peer; the elector asks it.
 func (c *Controller) Isolated() bool {
 	return c.clock.Since(c.startedAt) > tuning.PeerDead && c.peers.Isolated()
 }
 
+// hello returns what this controller says of itself to its peers.
 func (c *Controller) hello() peer.Hello {
 	term, _ := c.elector.Term()
 	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.health.healthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -32,8 +32,8 @@
 	return &datasetCache{clock: clock, client: client, readLimiter: readLimiter, entries: map[string]*dataset.Entry{}}
 }
 
-// lookUp finds a registered dataset, in memory or in the state service. The error is
-// store.ErrNotFound where there is none.
+// lookUp returns a registered dataset, from memory or the state service. The error is store.ErrNotFound if there is
+// none, and store.ErrBusy if this controller's share of reads is used up.
 func (c *datasetCache) lookUp(ctx context.Context, name string) (*dataset.Entry, error) {
 	c.mu.Lock()
 	entry := c.entries[name]
@@ -58,6 +58,7 @@
 	return entry, nil
 }
 
+// add keeps a dataset, unless a newer record of it is there already.
 func (c *datasetCache) add(entry *dataset.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +66,7 @@
 		return
 	}
 	if len(c.entries) >= tuning.DatasetsLimit {
-		// Any may go: what is asked for again is read again.
+		// Any entry can be dropped: it is read again when it is needed.
 		for name := range c.entries {
 			delete(c.entries, name)
 			break
@@ -74,7 +75,7 @@
 	c.entries[entry.Name] = entry
 }
 
-// evict lets a job's datasets be read anew.
+// evict has the datasets of a job read again when they are next looked up.
 func (c *datasetCache) evict(submission *api.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -11,7 +11,8 @@
 	"switchferry/tuning"
 )
 
-// followDatasets keeps a leader up to date with what is registered, by any controller.
+// followDatasets has the scheduler know of datasets that any controller registers after a revision, until the context
+// ends.
 func (t *leaderTerm) followDatasets(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
 		log, epoch, err := t.controller.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
@@ -34,7 +35,7 @@
 	}
 }
 
-// loadDatasets reads all datasets.
+// loadDatasets has the scheduler know of all datasets, and returns the revision up to which they were read.
 func (t *leaderTerm) loadDatasets(ctx context.Context) (uint64, error) {
 	items, epoch, err := t.controller.client.List(ctx, store.DatasetPrefix)
 	if err != nil {
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// DataOn tells whether datasets are on.
+// DataOn reports whether datasets are on.
 func (c *Controller) DataOn() bool { return c.features.data.On }
 
 // datasetService registers, removes and lists datasets.
@@ -34,8 +34,8 @@
 		cache: newDatasetCache(c.clock, c.client, c.readLimiter)}
 }
 
-// register makes a dataset known: any controller can, since nothing but its key decides.
-// Its name stands for the same content for ever.
+// register registers a dataset. Any controller can, since only the key of the record decides. A name stands for the same
+// content for ever.
 func (d *datasetService) register(ctx context.Context, body []byte) peer.Response {
 	var entry dataset.Entry
 	if err := json.Unmarshal(body, &entry.Summary); err != nil {
@@ -70,16 +70,15 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// RemovalView is how far a dataset's removal is. Jobs still need it; -1: this controller
-// cannot tell.
+// RemovalView is the progress of a dataset's removal, as users read it.
 type RemovalView struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 	Jobs  int    `json:"jobs"`
 }
 
-// remove takes a dataset off the list: any controller can, since nothing but its
-// record decides. Asking again tells how far it is.
+// remove takes a dataset off the list, and tells how far its removal is. Any controller can, since only the record
+// decides, and it can be repeated.
 func (d *datasetService) remove(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
@@ -121,7 +120,7 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// handle serves requests about datasets; they know no job.
+// handle serves requests about datasets.
 func (d *datasetService) handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if !d.features.data.On {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "datasets are off"})
@@ -130,7 +129,7 @@
 	case VerbRegister:
 		return d.register(ctx, request.Body)
 	case VerbRemove:
-		// The leader can tell besides who still needs it.
+		// Only the leader knows how many jobs still need the dataset.
 		if d.term.scheduler() == nil && !forwarded {
 			if leader, _, reachable := d.leader.locate(); reachable {
 				if response, err := d.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
--- a/controller/dependency_checks.go
+++ b/controller/dependency_checks.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// checkDependencies looks at the jobs that a submission awaits. Not decided: why it cannot be told
-// yet whether all of them were accepted.
+// checkDependencies checks the jobs that a submission depends on. Undecided is why it cannot be told yet whether all of
+// them were accepted, or empty. An error is a *api.FieldError.
 func (s *submissionService) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
 	if len(submission.Awaits) > tuning.MaxDependencies {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
@@ -32,7 +32,7 @@
 	return undecided, nil
 }
 
-// checkDependency tells whether a job may await another.
+// checkDependency checks whether a job may depend on another. Its results are those of checkDependencies.
 func (s *submissionService) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
 	bad := func(reason string) error { return &api.FieldError{Field: "awaits", Want: id + " " + reason} }
 	if id == job {
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -6,8 +6,8 @@
 	"switchferry/tuning"
 )
 
-// lookUpDependencies has the scheduler look up the jobs that others await and that it does not know, until the context
-// ends. Jobs that do not await one of them start meanwhile.
+// lookUpDependencies looks up the jobs that others depend on and that the scheduler does not know, until the context
+// ends. Jobs that do not depend on them start meanwhile.
 func (t *leaderTerm) lookUpDependencies(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -12,7 +12,7 @@
 	"switchferry/worker"
 )
 
-// sendCommands delivers a direct command.
+// sendCommands sends commands to a worker, and hands its answer to the scheduler.
 func (t *leaderTerm) sendCommands(ctx context.Context, name, addr string, response api.HeartbeatResponse) {
 	heartbeat, _, err := t.controller.worker.Send(ctx, addr, response)
 	if err != nil {
@@ -29,8 +29,9 @@
 	t.scheduler.CommandsAnswered(name, response, heartbeat, true)
 }
 
-// resignIfDeposed ends the term if a worker's word of a higher one can be true: while our key certainly
-// stands nobody else can have won one, and a worker that claims it must not end every term.
+// resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the leader's
+// key certainly stands nobody else can have been elected, and a worker that claims a higher term must not end every
+// term.
 func (c *Controller) resignIfDeposed(sched *scheduler.Scheduler) bool {
 	if sched.Leading() {
 		return false
@@ -39,8 +40,8 @@
 	return true
 }
 
-// refreshMachines reads the cloud's list. The first one tells a new leader whom to
-// show its term, so that workers turn to it at once.
+// refreshMachines has the scheduler know which machines the cloud lists. After the first list, all workers are told of
+// the term, so that they turn to the new leader at once.
 func (t *leaderTerm) refreshMachines(ctx context.Context) {
 	first := true
 	for ctx.Err() == nil {
@@ -61,8 +62,8 @@
 	}
 }
 
-// announceTerm lets a worker see our term. Its session is not known: a wrong guess is
-// encodeResponse with the right one.
+// announceTerm tells a worker of the term. Its incarnation is not known: a worker answers a wrong one with the right
+// one, which is then tried.
 func (t *leaderTerm) announceTerm(ctx context.Context, name, addr string) {
 	session := uint64(1)
 	for range 2 {
@@ -79,7 +80,7 @@
 	}
 }
 
-// maintainFleet rents and returns machines.
+// maintainFleet requests and releases machines as the scheduler decides, until the context ends.
 func (t *leaderTerm) maintainFleet(ctx context.Context) {
 	for ctx.Err() == nil {
 		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
@@ -99,12 +100,11 @@
 	}
 }
 
-// errNotLeading: what was decided is not carried out, since the term may be over.
+// errNotLeading is the outcome of a release that was not carried out, since the term may be over.
 var errNotLeading = errors.New("no longer certain to lead")
 
-// releaseMachines returns machines to the cloud. Whether we lead is looked at once more: this
-// process may have stood still since that was decided, and the machines may work for
-// another leader by now.
+// releaseMachines returns machines to the cloud. It checks again whether this controller leads: the process may have
+// been paused since that was decided, and the machines may work for another leader by now.
 func (t *leaderTerm) releaseMachines(ctx context.Context, names []string) {
 	err := errNotLeading
 	if t.scheduler.Leading() {
--- a/controller/leader_locator.go
+++ b/controller/leader_locator.go
@@ -22,7 +22,7 @@
 	return newestLeader(leader, term, l.peers.LivePeers())
 }
 
-// forward asks the leader.
+// forward has the leader answer a request. One that a peer has forwarded already is not forwarded again.
 func (l *leaderLocator) forward(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	leader, _ := l.elector.Leader()
 	leader, _, reachable := newestLeader(leader, 0, l.peers.LivePeers())
@@ -36,10 +36,9 @@
 	return response
 }
 
-// newestLeader is the leader by the siblings' own word, or else as last read; there:
-// a sibling within reach says that it leads. A former leader that came back
-// without its term leads nothing, even while its key still stands because the
-// state service is out.
+// newestLeader returns the leader by what the live peers say of themselves, or else as last read; reachable reports
+// whether a live peer says that it leads. A former leader that restarted without its term does not lead, even while its
+// key still stands because the state service is out.
 func newestLeader(leader string, term uint64, alive []peer.Hello) (string, uint64, bool) {
 	reachable := false
 	for _, hello := range alive {
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -32,7 +32,7 @@
 		if slices.Contains(failed, configuration.HeadKey) {
 			return peer.RetryLater("the configuration has just changed")
 		}
-		// A dataset is not as it was.
+		// A dataset has changed since it was checked.
 		s.datasets.cache.evict(submission)
 		return s.answerChangedDataset(ctx, nil, submission, body)
 	case errors.Is(err, store.ErrConflict):
@@ -61,8 +61,7 @@
 			[]store.Condition{{Key: store.LeaderKey}, {Key: item.Key, Revision: item.Revision}},
 			[]store.Operation{{Set: item.Key, Value: rec}})
 		if errors.Is(err, store.ErrConflict) {
-			// The leader is asked through the state service; the user's next
-			// try finds its answer there.
+			// The leader is asked by way of the inbox; a retry finds its answer on record.
 			_, _, _ = s.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}},
 				[]store.Operation{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
 		}
@@ -73,6 +72,8 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: rec.FinalState})
 }
 
+// serveCancellation cancels a job as the leader or, if sched is nil, without one. A job that has ended is answered with its
+// state.
 func (s *submissionService) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
 		return s.cancelWithoutLeader(ctx, id)
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -63,8 +63,8 @@
 		versions: c.versions, watermark: watermark.New(c.startedAt, members, limits), renewing: true}
 }
 
-// markCurrentIfLeading tells whether this controller leads for certain, and has read the records: then all that anyone told
-// until now is known here, since only a leader cancels while its key stands.
+// markCurrentIfLeading reports whether this controller leads for certain and has read the records. Then all
+// cancellations that were acknowledged until now are known here, since only a leader cancels while its key stands.
 func (l *leaseRenewal) markCurrentIfLeading() bool {
 	now := l.clock.Now()
 	term, valid := l.elector.Term()
@@ -75,7 +75,7 @@
 	return true
 }
 
-// mayRenew tells whether a worker's lease may be renewed now by a controller that does not lead for certain.
+// mayRenew reports whether a worker's lease may be renewed now by a controller that does not lead for certain.
 func (l *leaseRenewal) mayRenew() bool {
 	l.markCurrentIfLeading()
 	now := l.clock.Now()
@@ -91,7 +91,7 @@
 	return ok
 }
 
-// formatAge is how long ago there was word, for operators.
+// formatAge returns for operators how long ago something was confirmed; a negative duration is never.
 func formatAge(without time.Duration) string {
 	if without < 0 {
 		return "never"
@@ -99,7 +99,7 @@
 	return without.Round(time.Millisecond).String()
 }
 
-// problems tells an operator why this controller renews no leases, if it does not.
+// problems tells an operator why this controller renews no leases; it returns none while it does.
 func (l *leaseRenewal) problems() []string {
 	l.mu.Lock()
 	renewed := l.renewing
@@ -111,8 +111,8 @@
 	return []string{fmt.Sprintf("leases of workers are not renewed here: last word of cancellations %s ago; %s", formatAge(without), strings.Join(l.watermark.UnconfirmedPeers(), ", "))}
 }
 
-// enforceCancellations adds to an answer what ends the tasks of cancelled jobs that the worker reports, and takes out what would
-// start more. The token is the one that it has: a stop is safe under any.
+// enforceCancellations returns a response with commands that end the tasks of cancelled jobs which the worker reports,
+// and without those that would start more. The token stays as it is: to end a cancelled task is safe under any.
 func (l *leaseRenewal) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
 	response.Commands = l.watermark.WithoutCancelledStarts(response.Commands)
 	if more := l.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
@@ -122,10 +122,10 @@
 	return response
 }
 
-// refuse is what a worker is told whose lease must not be renewed. One that was sent away
-// and came back finds nobody else: an answer without a token, which renews nothing, keeps
-// it here, so that it is heard as soon as the cut ends. Sent on, it would try one dead end
-// after the other, 5 s each, and come when its lease has ended. Others are sent on.
+// refuse returns the answer to a worker whose lease must not be renewed. One that was redirected and came back finds no
+// other controller: a response without a token, which renews nothing, keeps it here, so that its heartbeats arrive as
+// soon as the partition ends. Sent on, it would try one unreachable controller after the other, 5 s each, and return
+// only after its lease has expired. Other workers are sent on.
 func (l *leaseRenewal) refuse() (status int, body any) {
 	if !l.health.healthy() && l.peers.Isolated() {
 		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -11,7 +11,7 @@
 	"switchferry/tuning"
 )
 
-// newMembershipWatcher lets this node keep a table of members; it is called before Run.
+// newMembershipWatcher has this controller keep a table of members. It is called before Run.
 func (c *Controller) newMembershipWatcher() {
 	var others []string
 	for _, other := range c.settings.Peers {
@@ -21,10 +21,10 @@
 	c.peers.OnObservation = func(observation membership.Observation) { c.members.Observe(observation) }
 }
 
-// MembersOn tells whether membership is on.
+// MembersOn reports whether membership is on.
 func (c *Controller) MembersOn() bool { return c.members != nil }
 
-// handleMembers answers with this controller's own view: another's may differ, and that is shown.
+// handleMembers answers with this controller's own view of the members, from which another's may differ.
 func (c *Controller) handleMembers() peer.Response {
 	if c.members == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "membership is off"})
@@ -32,12 +32,11 @@
 	return peer.JSONResponse(http.StatusOK, c.members.Views())
 }
 
-// isShuttingDown tells whether this process ends by plan.
+// isShuttingDown reports whether a graceful shutdown has begun.
 func (c *Controller) isShuttingDown() bool { return c.shuttingDown.Load() }
 
-// Shutdown hands over by plan, before this process ends: users are sent elsewhere, a leader gives up
-// its post while a sibling can take it, and requests under way, and those of users who have not
-// been told yet, are served meanwhile. With membership off it does nothing.
+// Shutdown prepares the end of this process: users are sent to other controllers, a leader resigns once a peer can
+// follow it, and requests under way are served meanwhile. With membership off it does nothing.
 func (c *Controller) Shutdown(ctx context.Context) {
 	if c.members == nil {
 		return
@@ -46,7 +45,7 @@
 	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
 	slog.Info("leaving by plan", "leads", c.term.scheduler() != nil)
-	// Peers are told with the next greeting, and the load balancer probes once a second.
+	// Peers learn of it with the next hello, and the load balancer probes once a second.
 	sleep(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
--- a/controller/responses.go
+++ b/controller/responses.go
@@ -7,7 +7,7 @@
 	"switchferry/tuning"
 )
 
-// encodeResponse is a status and a body as an answer; whoever gets a 503 is told to come back.
+// encodeResponse returns a status and a body as a response; one with status 503 says when to retry.
 func encodeResponse(status int, body any) peer.Response {
 	response := peer.JSONResponse(status, body)
 	if status == http.StatusServiceUnavailable {
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -17,8 +17,8 @@
 // notLeading is what a controller answers to what only a leader may be asked.
 const notLeading = "not the leader"
 
-// Handle serves a user's request, here or at the leader. Forwarded: it comes
-// from a sibling and is not passed on.
+// Handle serves a user's request, here or at the leader. Forwarded is set if it comes from a peer, and then it is not
+// forwarded again.
 func (c *Controller) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if forwarded && request.Verb == verbReport {
 		return c.handleForwardedHeartbeat(request.From, request.Body)
@@ -99,22 +99,21 @@
 	case err == nil && answeredByLeader(response):
 		return response, true
 	case errors.Is(err, peer.ErrBusy):
-		// To do its work beside it would only take more of what it lacks.
+		// The state service is what the leader waits for: to serve the request here would load it further.
 		return peer.RetryLater("the leader is busy"), true
 	}
-	// A former leader that has not greeted since is not waited for either: users were told once to come back by one that
-	// had just handed over.
+	// A former leader whose next hello is still due is not waited for either: its users were told to retry once.
 	c.requestCounts.LeaderBypassed()
 	return response, false
 }
 
-// answeredByLeader tells whether an answer is a leader's.
+// answeredByLeader reports whether a response is a leader's.
 func answeredByLeader(response peer.Response) bool {
 	var e api.Error
 	return response.Status != http.StatusServiceUnavailable || json.Unmarshal(response.Body, &e) != nil || e.Error != notLeading
 }
 
-// forwardPatience is how long the leader is waited for.
+// forwardPatience returns how long the leader is waited for.
 func forwardPatience(verb string) time.Duration {
 	switch verb {
 	case VerbSubmit:
@@ -125,8 +124,7 @@
 	return tuning.PeerTimeout
 }
 
-// serveAsLeader answers as the leader (core) or, while the leader is out of reach,
-// from the state service itself.
+// serveAsLeader serves a request about a job as the leader or, if sched is nil, from the state service.
 func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
 	switch request.Verb {
 	case VerbSubmit:
--- a/controller/term.go
+++ b/controller/term.go
@@ -122,7 +122,7 @@
 	go t.maintainFleet(ctx)
 }
 
-// unfitReason is why this node should no longer lead; empty: it should.
+// unfitReason returns why this controller should no longer lead, or empty if it should.
 func (t *leaderTerm) unfitReason() string {
 	for _, hello := range t.controller.peers.LivePeers() {
 		if hello.Term > t.scheduler.Term() {
@@ -142,16 +142,15 @@
 	case t.isolatedFromWorkers():
 		return "hears neither workers nor siblings"
 	case t.controller.elector.ExpiredFor() > tuning.IsolatedAfter:
-		// With the siblings answering this would be an outage, in which
-		// workers must go on being answered.
+		// If peers answered, this would be an outage of the state service, during which workers must still be answered.
 		return "reaches neither the state service nor siblings"
 	}
 	return ""
 }
 
-// isolatedFromWorkers tells whether nobody is heard for long. The workers of silent siblings try one
-// dead end after the other: whoever leads alone must give them a lease's time, or
-// they find nobody when they come.
+// isolatedFromWorkers reports whether no worker was heard from for long. Workers of unresponsive peers try one
+// unreachable controller after the other: a leader that is isolated waits for them as long as a lease lasts, or they
+// would find no controller at all.
 func (t *leaderTerm) isolatedFromWorkers() bool {
 	return t.controller.clock.Since(t.scheduler.TermStarted()) > settings.Seconds(t.controller.settings.Facts.Workers.LeaseS) && t.controller.clock.Since(t.scheduler.LastContact()) > tuning.IsolatedAfter
 }
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -10,9 +10,9 @@
 
 // loadedRevisions are the revisions of the state service up to which a new leader has read it.
 type loadedRevisions struct {
-	// jobs is where to go on with what peers accept and relay.
+	// jobs is where to continue with the jobs and heartbeats that peers accept and relay.
 	jobs uint64
-	// datasets is where to go on with datasets.
+	// datasets is where to continue with datasets.
 	datasets uint64
 }
 
@@ -30,7 +30,7 @@
 // load reads the configuration, the datasets and the records of jobs, in this order. It logs what could not be read.
 func (t *leaderTerm) load(ctx context.Context) (read loadedRevisions, ok bool) {
 	if t.applier != nil {
-		// What was read before this term may be older than what the last leader put in force.
+		// A configuration that was read before this term may be older than the one that the last leader put in force.
 		if err := t.applier.Load(ctx); err != nil {
 			slog.Error("configuration not read", "err", err)
 			return read, false
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -11,10 +11,10 @@
 	"switchferry/tuning"
 )
 
-// UseTopologyFile switches topology on, unless the file is nil; it is called before Run.
+// UseTopologyFile switches topology on, unless the file is nil. It is called before Run.
 func (c *Controller) UseTopologyFile(file *topology.File) { c.features.topology = file }
 
-// watchTopology takes new versions of the file while the node runs.
+// watchTopology applies new versions of the topology file while the process runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
 		sleep(c.ctx, c.clock, tuning.TopologyEvery)
@@ -28,10 +28,10 @@
 	}
 }
 
-// TopologyOn tells whether a topology is on.
+// TopologyOn reports whether a topology is declared.
 func (c *Controller) TopologyOn() bool { return c.features.topology != nil }
 
-// handleTopology serves requests about where things stand: the leader knows.
+// handleTopology serves requests about the topology and about why a job waits, which the leader knows.
 func (c *Controller) handleTopology(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if c.features.topology == nil && request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
@@ -47,7 +47,7 @@
 		x.Why = append(x.Why, c.leases.problems()...)
 		return peer.JSONResponse(http.StatusOK, x)
 	}
-	// Over, or not known: its record tells.
+	// The job has ended or is not known: its record tells which.
 	job, found, err := c.jobs.lookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
--- a/controller/verbs.go
+++ b/controller/verbs.go
@@ -5,7 +5,7 @@
 	VerbSubmit = "submit"
 	VerbStatus = "status"
 	VerbCancel = "cancel"
-	// verbReport is a worker's report that a sibling passes on.
+	// verbReport is a worker's heartbeat that a peer forwards.
 	verbReport = "report"
 )
 
@@ -17,7 +17,7 @@
 	VerbData = "data"
 	// VerbRemove removes a dataset, or tells how far that is; Request.Job names it.
 	VerbRemove = "remove"
-	// verbStage is an agent's report that a sibling passes on.
+	// verbStage is an agent's heartbeat that a peer forwards.
 	verbStage = "stage"
 )
 
@@ -34,10 +34,11 @@
 
 // Verbs of requests about the configuration.
 const (
-	// VerbConfiguration shows the configuration; Request.Job is empty for the present one, a revision's number, or
-	// port.History. VerbConfigure changes it.
+	// VerbConfiguration shows the configuration. Request.Job is empty for the present one, a revision's number, or
+	// httpapi.History.
 	VerbConfiguration = "configuration"
-	VerbConfigure     = "configure"
-	// verbConfirm has a sibling look for the newest revision now.
+	// VerbConfigure changes the configuration.
+	VerbConfigure = "configure"
+	// verbConfirm has a peer look for the newest revision now.
 	verbConfirm = "confirm-configuration"
 )
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -29,8 +29,8 @@
 	return &workerRouter{settings: set, clock: clock, peers: peers, startedAt: clock.Now(), redirects: redirect.NewTracker()}
 }
 
-// previousController is the sibling that comes before us in the order in which workers try
-// nodes: one that finds nobody there comes straight back.
+// previousController returns the peer before this controller in the order in which workers try them: a worker that gets
+// no answer there comes straight back.
 func (w *workerRouter) previousController() string {
 	prev, last := "", ""
 	for _, other := range w.settings.Peers {
@@ -45,9 +45,9 @@
 	return prev
 }
 
-// mayRedirect tells whether a worker may be sent to another node.
+// mayRedirect reports whether a worker may be redirected to another controller.
 func (w *workerRouter) mayRedirect(worker, to string) bool {
-	// One that greets nobody is judged by nothing but whether workers come back.
+	// For a controller that sends no hello, only the redirects that came back count.
 	receives := true
 	for _, hello := range w.peers.LivePeers() {
 		if hello.Member == to {
@@ -59,8 +59,8 @@
 	return w.redirects.Allow(w.clock.Now(), worker, to, receives)
 }
 
-// controllerFor is the controller that a zone's workers should report to: the leader if it
-// is there, else their home, or, next to a silent controller, the one behind it.
+// controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, else
+// their home controller, or, next to an unresponsive controller, the one after it.
 func (w *workerRouter) controllerFor(zone, leader string) string {
 	to := leader
 	if w.zoneOf(leader) != zone {
@@ -74,8 +74,8 @@
 	})
 }
 
-// homeController is the controller that a zone's workers report to: this one if it is
-// there, else the first within reach that is; none if no one is.
+// homeController returns the controller that a zone's workers report to: this one in its own zone, else the first one of
+// the zone within reach, or empty.
 func (w *workerRouter) homeController(zone string) string {
 	if zone == w.settings.Zone {
 		return w.settings.Member
@@ -88,6 +88,7 @@
 	return ""
 }
 
+// zoneOf returns the zone of a member.
 func (w *workerRouter) zoneOf(member string) string {
 	for _, other := range w.settings.Peers {
 		if other.Member == member {
@@ -97,7 +98,7 @@
 	return w.settings.Zone
 }
 
-// zoneUnreachable tells whether no controller in another zone can be reached.
+// zoneUnreachable reports whether no controller of another zone can be reached.
 func (w *workerRouter) zoneUnreachable(zone string) bool {
 	reachable := false
 	for _, other := range w.settings.Peers {
