--- a/controller/agents.go
+++ b/controller/agents.go
@@ -81,7 +81,7 @@
 	}
 	order, err := a.proxy.HandleHeartbeat(heartbeat, term)
 	if err != nil {
-		slog.Error("an agent's order in the mail is damaged", "machine", heartbeat.Machine, "err", err)
+		slog.Error("corrupt relayed stage order", "machine", heartbeat.Machine, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
 	return http.StatusOK, order
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -40,7 +40,7 @@
 // ApplyStatement takes in the answer of a peer to a request of that time.
 func (w cancellationExchange) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
 	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, sent, statement); err != nil {
-		slog.Info("a sibling's word is not believed", "member", member, "err", err)
+		slog.Info("rejecting peer statement", "member", member, "err", err)
 	}
 }
 
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -148,7 +148,7 @@
 func (c *Controller) UseConnLimiter(limiter *connlimit.Limiter) {
 	c.peers.Dial = limiter.Dial(func(string) connlimit.Class { return connlimit.Peer })
 	go limiter.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
-		slog.Info("sockets are scarce", "open", counts.Open, "limit", counts.Limit, "by", counts.ByClass, "idle_closed", counts.IdleClosed, "commands_not_sent", counts.Refused)
+		slog.Info("connection limit nearly reached", "open", counts.Open, "limit", counts.Limit, "by", counts.ByClass, "idle_closed", counts.IdleClosed, "commands_not_sent", counts.Refused)
 	})
 }
 
@@ -173,7 +173,7 @@
 func (c *Controller) Run(back net.Listener) {
 	go func() {
 		if err := c.peers.Serve(c.ctx, back); err != nil {
-			slog.Error("back port", "err", err)
+			slog.Error("peer listener failed", "err", err)
 		}
 	}()
 	c.peers.Run(c.ctx)
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -45,7 +45,7 @@
 	for i := range items {
 		entry, err := scheduler.DecodeDataset(&items[i])
 		if err != nil {
-			slog.Error("a dataset's record is damaged; jobs that need it wait", "key", items[i].Key, "err", err)
+			slog.Error("corrupt dataset record", "key", items[i].Key, "err", err)
 			continue
 		}
 		sets = append(sets, entry)
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -86,7 +86,7 @@
 	l.renewing = ok
 	l.mu.Unlock()
 	if changed {
-		slog.Info("leases of workers", "kept", ok, "without_word", formatAge(without), "why", l.watermark.UnconfirmedPeers())
+		slog.Info("lease renewal changed", "kept", ok, "without_word", formatAge(without), "why", l.watermark.UnconfirmedPeers())
 	}
 	return ok
 }
@@ -116,7 +116,7 @@
 func (l *leaseRenewal) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
 	response.Commands = l.watermark.WithoutCancelledStarts(response.Commands)
 	if more := l.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
-		slog.Info("ending tasks of cancelled jobs for the leader", "machine", heartbeat.Machine, "tasks", len(more), "first", more[0].Task)
+		slog.Info("killing tasks of cancelled jobs", "machine", heartbeat.Machine, "tasks", len(more), "first", more[0].Task)
 		response.Commands = append(slices.Clone(response.Commands), more...)
 	}
 	return response
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -44,7 +44,7 @@
 	c.shuttingDown.Store(true)
 	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
-	slog.Info("leaving by plan", "leads", c.term.scheduler() != nil)
+	slog.Info("graceful shutdown", "leads", c.term.scheduler() != nil)
 	// Peers learn of it with the next hello, and the load balancer probes once a second.
 	sleep(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
@@ -54,7 +54,7 @@
 			ready = ready || hello.StateOK && !hello.Leaving
 		}
 		if ready {
-			c.elector.Resign("it leaves by plan")
+			c.elector.Resign("graceful shutdown")
 			break
 		}
 		sleep(ctx, c.clock, tuning.ElectRetry)
--- a/controller/term.go
+++ b/controller/term.go
@@ -126,24 +126,24 @@
 func (t *leaderTerm) unfitReason() string {
 	for _, hello := range t.controller.peers.LivePeers() {
 		if hello.Term > t.scheduler.Term() {
-			return "a sibling has a higher term"
+			return "a peer has a higher term"
 		}
 	}
 	if t.scheduler.Leading() && t.controller.transfer.Due(t.controller.clock.Now(), t.scheduler.TermStarted(), t.controller.cpuMonitor.ComparisonUS(), t.controller.peers.LivePeers()) {
-		return "computes slower than a sibling"
+		return "computes slower than a peer"
 	}
 	if t.scheduler.Leading() && t.scheduler.OutboundLost(t.controller.peers.LivePeers()) {
-		return "reaches no worker, a sibling does"
+		return "reaches no worker, a peer does"
 	}
 	if !t.controller.peers.Isolated() {
 		return ""
 	}
 	switch {
 	case t.isolatedFromWorkers():
-		return "hears neither workers nor siblings"
+		return "receives from neither workers nor peers"
 	case t.controller.elector.ExpiredFor() > tuning.IsolatedAfter:
 		// If peers answered, this would be an outage of the state service, during which workers must still be answered.
-		return "reaches neither the state service nor siblings"
+		return "reaches neither the state service nor peers"
 	}
 	return ""
 }
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -20,7 +20,7 @@
 		sleep(c.ctx, c.clock, tuning.TopologyEvery)
 		placements, err := c.features.topology.Reload()
 		if err != nil {
-			slog.Error("topology file not taken", "err", err)
+			slog.Error("topology file rejected", "err", err)
 		}
 		if sched := c.term.scheduler(); placements != nil && sched != nil {
 			c.configuration.reapply(sched)
