--- /dev/null
+++ b/lint/main.go
@@ -0,0 +1,133 @@
+// Command lint runs golangci-lint on the whole tree and compares its findings with the baseline in
+// lint/baseline.txt, whose counts may only fall. It is started at the root, by lint/run.
+package main
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"io/fs"
+	"os"
+	"os/exec"
+	"strings"
+
+	"github.com/google/renameio/v2"
+)
+
+const (
+	baselinePath   = "lint/baseline.txt"
+	baselineMode   = 0o644
+	toolsModuleArg = "-modfile=tools/go.mod"
+)
+
+var (
+	errRisen       = errors.New("more findings than the baseline allows")
+	errRisenTotals = errors.New("baseline not written: a linter has more findings in the whole tree")
+)
+
+func main() {
+	update := flag.Bool("update", false, "lower the baseline to the counts that fell")
+	regenerate := flag.Bool("regenerate", false, "write the baseline anew; no linter's total may rise")
+	flag.Parse()
+	if flag.NArg() > 0 || (*update && *regenerate) {
+		flag.Usage()
+		os.Exit(2)
+	}
+	if err := run(context.Background(), *update, *regenerate); err != nil {
+		fmt.Fprintln(os.Stderr, "lint:", err)
+		os.Exit(1)
+	}
+}
+
+func run(ctx context.Context, update, regenerate bool) error {
+	baseline, err := readBaseline(baselinePath)
+	missing := errors.Is(err, fs.ErrNotExist)
+	firstTime := missing && regenerate
+	if err != nil && !firstTime {
+		return err
+	}
+	findings, err := runLinter(ctx)
+	if err != nil {
+		return err
+	}
+	if firstTime {
+		return writeBaseline(Count(findings))
+	}
+	var text string
+	if regenerate {
+		text, err = writeAnew(baseline, findings)
+	} else {
+		text, err = check(baseline, findings, update)
+	}
+	fmt.Print(text)
+	return err
+}
+
+func readBaseline(name string) (Counts, error) {
+	content, err := os.ReadFile(name)
+	if err != nil {
+		return nil, err
+	}
+	return ParseBaseline(bytes.NewReader(content))
+}
+
+// runLinter builds golangci-lint if the build cache does not have it, and runs it on all packages.
+func runLinter(ctx context.Context) ([]Finding, error) {
+	command := exec.CommandContext(ctx, "go", "tool", toolsModuleArg, "golangci-lint", "run",
+		"--issues-exit-code=0", "--show-stats=false",
+		"--output.text.path=", "--output.json.path=stdout", "./...")
+	command.Stderr = os.Stderr
+	output, err := command.Output()
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", strings.Join(command.Args, " "), err)
+	}
+	return ParseFindings(output)
+}
+
+// check compares the findings with the baseline. The text lists the differences, also beside an
+// error. With update it lowers the baseline file, also when something else rose.
+func check(baseline Counts, findings []Finding, update bool) (text string, err error) {
+	found := Count(findings)
+	risen, fallen := Compare(baseline, found)
+	var out strings.Builder
+	for _, change := range fallen {
+		fmt.Fprintln(&out, "fewer:", change)
+	}
+	for _, change := range risen {
+		fmt.Fprintln(&out, "more:", change)
+		listFindings(&out, findings, change.Pair)
+	}
+	if update && len(fallen) > 0 {
+		if err := writeBaseline(Lowered(baseline, found)); err != nil {
+			return out.String(), err
+		}
+	}
+	if len(risen) > 0 {
+		return out.String(), errRisen
+	}
+	return out.String(), nil
+}
+
+func listFindings(out *strings.Builder, findings []Finding, pair Pair) {
+	for _, finding := range findings {
+		if finding.Pair() == pair {
+			fmt.Fprintln(out, "  "+finding.String())
+		}
+	}
+}
+
+// writeAnew replaces the baseline file by the counts found. It refuses when a linter's total over
+// all directories rose; the text then lists those linters.
+func writeAnew(baseline Counts, findings []Finding) (text string, err error) {
+	found := Count(findings)
+	if risen := RisenTotals(baseline, found); len(risen) > 0 {
+		return "more in the whole tree:\n  " + strings.Join(risen, "\n  ") + "\n", errRisenTotals
+	}
+	return "", writeBaseline(found)
+}
+
+func writeBaseline(counts Counts) error {
+	return renameio.WriteFile(baselinePath, []byte(counts.Format()), baselineMode)
+}
