--- a/watermark/statement_test.go
+++ b/watermark/statement_test.go
@@ -92,3 +92,25 @@
 		t.Errorf("confirmed %v ago, was %v", age, before)
 	}
 }
+
+// A peer that was heard and has confirmed nothing yet, since its first statement is only a part, holds the watermark
+// where it is, whatever the other peers confirm. The order in which a map is walked decides at present, so several
+// trackers are tried.
+func TestPeerWithoutConfirmationHoldsTheWatermark(t *testing.T) {
+	for range 64 {
+		tracker := New(start, []string{"b", "c"}, NewLimits(47*time.Second, 17*time.Second))
+		apply := func(after time.Duration, member string, statement Statement) {
+			t.Helper()
+			if err := tracker.ApplyStatement(start.Add(after), member, start.Add(after), statement); err != nil {
+				t.Fatal(err)
+			}
+		}
+		apply(time.Second, "b", Statement{Incarnation: 1, To: 1, Latest: 2, Cancellations: []Cancellation{{Job: "run-1"}}})
+		apply(time.Second, "c", Statement{Incarnation: 2})
+		tracker.MarkCurrent(start.Add(2 * time.Second))
+		apply(20*time.Second, "c", Statement{Incarnation: 2})
+		if _, age := tracker.MayRenew(start.Add(20 * time.Second)); age != 18*time.Second {
+			t.Fatalf("confirmed %v ago, want 18s: the watermark has passed a peer that confirmed nothing", age)
+		}
+	}
+}
