--- a/scheduler/data_bench_test.go
+++ b/scheduler/data_bench_test.go
@@ -12,16 +12,16 @@
 	"switchferry/features"
 )
 
-// scattered is a leader with so many machines, ten times as many parts of one dataset with
+// scatteredReplicas is a leader with so many machines, ten times as many parts of one dataset with
 // three holders each, and a job of 1,000 tasks. In kind "groups" the tasks' parts lie on 64
 // triples of machines, in kind "scattered" each on its own.
-func scattered(t *testing.T, machines int, kind string) (*dataStage, *jobState) {
+func scatteredReplicas(t *testing.T, machines int, kind string) (*dataHarness, *jobState) {
 	rng := rand.New(rand.NewPCG(11, uint64(machines)))
 	parts := 10 * machines
 	set := &dataset.Summary{Name: "chunks", Bytes: int64(parts) * 64e6, Parts: parts, Usual: 64e6}
-	s := &dataStage{stage: newStage(t), place: features.Staged, agents: map[string]*played{}}
-	s.on()
-	s.AddDatasets(&dataset.Entry{Summary: *set})
+	h := &dataHarness{harness: newHarness(t), place: features.Staged, agents: map[string]*fakeAgent{}}
+	h.enable()
+	h.AddDatasets(&dataset.Entry{Summary: *set})
 	on := make([]*roaring.Bitmap, machines)
 	for i := range on {
 		on[i] = roaring.New()
@@ -41,19 +41,19 @@
 	}
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
-		s.report(name, 1)
-		s.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
+		h.heartbeat(name, 1)
+		h.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
 			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: on[i]}}}})
 	}
-	s.Submit(gaveUp(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
-		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, s.clock.Now())
-	s.commit()
-	job := s.jobs["run-000001"]
+	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
+		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, h.clock.Now())
+	h.commit()
+	job := h.jobs["run-000001"]
 	if job == nil || len(job.pending) != 1000 {
 		t.Fatal("no job")
 	}
-	s.datasets.snapshot = s.datasets.index.Snapshot()
-	return s, job
+	h.datasets.snapshot = h.datasets.index.Snapshot()
+	return h, job
 }
 
 // BenchmarkDataFill is the whole decision for a job of 1,000 tasks with inputs: busy
@@ -64,15 +64,15 @@
 	for _, kind := range []string{"groups", "scattered"} {
 		for _, machines := range []int{250, 500, 1000, 2000} {
 			b.Run(fmt.Sprintf("%s/machines=%d", kind, machines), func(b *testing.B) {
-				s, job := scattered(&testing.T{}, machines, kind)
+				h, job := scatteredReplicas(&testing.T{}, machines, kind)
 				for b.Loop() {
-					s.roundTime = s.clock.Now()
-					s.placeByLocality(job)
+					h.roundTime = h.clock.Now()
+					h.placeByLocality(job)
 					b.StopTimer()
 					if len(job.pending) > 0 {
 						b.Fatalf("%d tasks left", len(job.pending))
 					}
-					for _, machine := range s.machines {
+					for _, machine := range h.machines {
 						machine.queues = nil
 					}
 					job.queued = 0
@@ -91,13 +91,13 @@
 func BenchmarkStage(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			s, job := scattered(&testing.T{}, machines, "scattered")
-			s.hooks.SendStageOrder = func(string, string, api.StageOrder) {}
-			s.roundTime = s.clock.Now()
-			s.placeByLocality(job)
-			s.Scheduler.planStaging()
+			h, job := scatteredReplicas(&testing.T{}, machines, "scattered")
+			h.hooks.SendStageOrder = func(string, string, api.StageOrder) {}
+			h.roundTime = h.clock.Now()
+			h.placeByLocality(job)
+			h.Scheduler.planStaging()
 			for b.Loop() {
-				s.Scheduler.planStaging()
+				h.Scheduler.planStaging()
 			}
 		})
 	}
--- a/scheduler/datarelay_test.go
+++ b/scheduler/datarelay_test.go
@@ -21,59 +21,59 @@
 	"switchferry/tuning"
 )
 
-// cutStage is a leader, and a peer y that does not reach it: agents report to y's proxy, and
+// partitionHarness is a leader, and a peer y that does not reach it: agents report to y's proxy, and
 // all goes through the state service, whose limits are kept.
-type cutStage struct {
-	*dataStage
+type partitionHarness struct {
+	*dataHarness
 	client  *store.Client
 	proxy   *proxy.Agents
 	packets relay.Reassembler
 	after   uint64
 }
 
-func newCutStage(t *testing.T) *cutStage {
-	s := &cutStage{dataStage: newDataStage(t, features.Staged)}
-	s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+func newPartitionHarness(t *testing.T) *partitionHarness {
+	h := &partitionHarness{dataHarness: newDataHarness(t, features.Staged)}
+	h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 	limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-	s.client = store.NewClient("state:1", s.state)
-	s.proxy = proxy.NewAgents(proxy.Options{Member: "y", Client: s.client, Clock: s.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
-	s.follow()
-	return s
+	h.client = store.NewClient("state:1", h.state)
+	h.proxy = proxy.NewAgents(proxy.Options{Member: "y", Client: h.client, Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+	h.follow()
+	return h
 }
 
 // follow has the relayed packets read from the beginning of the present term.
-func (s *cutStage) follow() { s.after = s.term }
+func (h *partitionHarness) follow() { h.after = h.term }
 
-// say lets an agent report to y and take the answer.
-func (s *cutStage) say(p *played) api.StageOrder {
-	s.Helper()
-	p.seq++
-	r := p.stageReport()
-	o, err := s.proxy.HandleHeartbeat(r, s.term)
+// agentHeartbeatThroughPeer lets an agent report to y and take the answer.
+func (h *partitionHarness) agentHeartbeatThroughPeer(agent *fakeAgent) api.StageOrder {
+	h.Helper()
+	agent.seq++
+	r := agent.stageReport()
+	o, err := h.proxy.HandleHeartbeat(r, h.term)
 	if err != nil {
-		s.Fatalf("%s is answered %v", p.name, err)
+		h.Fatalf("%s is answered %v", agent.name, err)
 	}
-	p.apply(o)
+	agent.apply(o)
 	return o
 }
 
-// carry takes letters both ways once.
-func (s *cutStage) carry() {
-	s.Helper()
+// exchangePackets takes letters both ways once.
+func (h *partitionHarness) exchangePackets() {
+	h.Helper()
 	ctx := context.Background()
-	s.clock.Advance(tuning.RelayEvery)
-	for s.proxy.Exchange.Write(ctx) {
+	h.clock.Advance(tuning.RelayEvery)
+	for h.proxy.Exchange.Write(ctx) {
 	}
-	log, epoch, err := s.client.Watch(ctx, store.AgentRelayPrefix, s.after, 0)
+	log, epoch, err := h.client.Watch(ctx, store.AgentRelayPrefix, h.after, 0)
 	if err != nil {
-		s.Fatal(err)
+		h.Fatal(err)
 	}
-	s.after = max(s.after, epoch)
-	exchange.UnpackEvents(log, store.AgentRelayPrefix, s.term, &s.packets, s.AcceptAgentMessage)
-	s.Place()
-	s.commit()
-	if _, err = s.proxy.Exchange.Fetch(ctx, 0); err != nil {
-		s.Fatal(err)
+	h.after = max(h.after, epoch)
+	exchange.UnpackEvents(log, store.AgentRelayPrefix, h.term, &h.packets, h.AcceptAgentMessage)
+	h.Place()
+	h.commit()
+	if _, err = h.proxy.Exchange.Fetch(ctx, 0); err != nil {
+		h.Fatal(err)
 	}
 }
 
@@ -81,38 +81,38 @@
 // the leader, and its orders come back, through the state service. Agents reported to the
 // leader alone before, and no task with inputs started until the cut ended.
 func TestInputsBehindACut(t *testing.T) {
-	s := newCutStage(t)
-	s.alive("a1")
-	a := &played{name: "a1", has: roaring.New()}
-	s.say(a)
-	s.carry()
-	s.submit("run-000001", 2, withInputs(api.UseOwn))
-	s.carry()
-	s.say(a)
+	h := newPartitionHarness(t)
+	h.workerHeartbeat("a1")
+	a := &fakeAgent{name: "a1", held: roaring.New()}
+	h.agentHeartbeatThroughPeer(a)
+	h.exchangePackets()
+	h.submit("run-000001", 2, withInputs(api.UseOwn))
+	h.exchangePackets()
+	h.agentHeartbeatThroughPeer(a)
 	if got := a.copies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
 	}
-	a.copied()
-	if s.carry(); len(s.starts("run-000001/0")) != 0 {
+	a.finishCopies()
+	if h.exchangePackets(); len(h.starts("run-000001/0")) != 0 {
 		t.Fatal("started before its inputs were proved there")
 	}
-	s.alive("a1")
-	s.say(a)
-	s.carry()
-	if len(s.starts("run-000001/0")) != 1 || len(s.starts("run-000001/1")) != 1 {
+	h.workerHeartbeat("a1")
+	h.agentHeartbeatThroughPeer(a)
+	h.exchangePackets()
+	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 1 {
 		t.Fatal("not started though its inputs are there")
 	}
 	// A report that was overtaken proves nothing.
 	late := a.stageReport()
 	late.Seq, late.Pinned = 1, nil
-	s.HandleRelayedStageHeartbeat("y", late)
-	if !s.datasets.planner.Confirmed("a1", inv, 0) {
+	h.HandleRelayedStageHeartbeat("y", late)
+	if !h.datasets.planner.Confirmed("a1", inventory, 0) {
 		t.Error("an old report took a proof back")
 	}
 	// Once the agent reaches the leader itself, the mail ends.
-	s.tell(a)
-	s.commit()
-	if s.datasets.relayedOrders["a1"] != nil || len(s.datasets.orderMailboxes.Machines("y", 0)) != 0 {
+	h.agentHeartbeat(a)
+	h.commit()
+	if h.datasets.relayedOrders["a1"] != nil || len(h.datasets.orderMailboxes.Machines("y", 0)) != 0 {
 		t.Error("mail for an agent that is within reach")
 	}
 }
@@ -120,36 +120,36 @@
 // The leader changes behind the cut. The old one's order is not told any more, what the
 // agent holds is told to the new one, and what may run there stays pinned.
 func TestLeaderChangesBehindACut(t *testing.T) {
-	s := newCutStage(t)
-	s.alive("a1")
-	a := &played{name: "a1", has: roaring.BitmapOf(0), version: 3}
-	s.say(a)
-	s.submit("run-000001", 1, withInputs(api.UseOwn))
+	h := newPartitionHarness(t)
+	h.workerHeartbeat("a1")
+	a := &fakeAgent{name: "a1", held: roaring.BitmapOf(0), version: 3}
+	h.agentHeartbeatThroughPeer(a)
+	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	for range 3 {
-		s.carry()
-		s.say(a)
+		h.exchangePackets()
+		h.agentHeartbeatThroughPeer(a)
 	}
-	s.carry()
-	st := s.starts("run-000001/0")
+	h.exchangePackets()
+	st := h.starts("run-000001/0")
 	if len(st) != 1 || !a.wants(0) || a.known != 3 {
 		t.Fatalf("%d starts, order %+v, known %d", len(st), a.sets, a.known)
 	}
-	old := s.term
-	s.reelect()
-	s.follow()
-	s.AddDatasets(&dataset.Entry{Summary: *inv})
-	if o := s.say(a); o.Order != 0 || !a.wants(0) {
+	old := h.term
+	h.reelect()
+	h.follow()
+	h.AddDatasets(&dataset.Entry{Summary: *inventory})
+	if o := h.agentHeartbeatThroughPeer(a); o.Order != 0 || !a.wants(0) {
 		t.Fatalf("told %+v", o)
 	}
-	s.carry()
-	s.alive("a1", task("run-000001/0", st[0].o.Commands[0].Attempt, api.TaskRunning, ""))
-	s.carry()
-	s.say(a)
-	if a.term != s.term || a.term == old || !a.wants(0) {
-		t.Fatalf("the new leader's order: term %d of %d, %+v", a.term, s.term, a.sets)
+	h.exchangePackets()
+	h.workerHeartbeat("a1", taskReport("run-000001/0", st[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	h.exchangePackets()
+	h.agentHeartbeatThroughPeer(a)
+	if a.term != h.term || a.term == old || !a.wants(0) {
+		t.Fatalf("the new leader's order: term %d of %d, %+v", a.term, h.term, a.sets)
 	}
-	id, _ := s.datasets.planner.ID("a1")
-	if !s.datasets.index.Snapshot().Has(id, "inv", 0) {
+	id, _ := h.datasets.planner.ID("a1")
+	if !h.datasets.index.Snapshot().Has(id, "inv", 0) {
 		t.Error("the new leader was not told what the agent holds")
 	}
 }
@@ -157,20 +157,20 @@
 // An agent that holds very much, and a thousand agents at once, go through the limits of
 // the state service; so do their orders.
 func TestManyAgentsBehindACut(t *testing.T) {
-	s := newCutStage(t)
+	h := newPartitionHarness(t)
 	var sets []*dataset.Entry
 	for i := range 2000 {
-		d := dataset.Entry{Summary: *inv}
+		d := dataset.Entry{Summary: *inventory}
 		d.Name, d.Manifest = fmt.Sprintf("set-%04d", i), dataset.Sum([]byte{byte(i), byte(i >> 8)})
 		sets = append(sets, &d)
 	}
-	s.AddDatasets(sets...)
-	var all []*played
+	h.AddDatasets(sets...)
+	var all []*fakeAgent
 	for i := range 1000 {
-		p := &played{name: fmt.Sprintf("b%04d", i), has: roaring.BitmapOf(uint32(i % 8)), version: 1}
-		all = append(all, p)
-		s.alive(p.name)
-		s.say(p)
+		agent := &fakeAgent{name: fmt.Sprintf("b%04d", i), held: roaring.BitmapOf(uint32(i % 8)), version: 1}
+		all = append(all, agent)
+		h.workerHeartbeat(agent.name)
+		h.agentHeartbeatThroughPeer(agent)
 	}
 	full := all[0].stageReport()
 	for _, d := range sets {
@@ -178,24 +178,24 @@
 	}
 	all[0].seq++
 	full.Seq = all[0].seq
-	if _, err := s.proxy.HandleHeartbeat(full, s.term); err != nil {
+	if _, err := h.proxy.HandleHeartbeat(full, h.term); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
-		s.carry()
+		h.exchangePackets()
 	}
-	for _, p := range all {
-		s.say(p)
-		if p.term != s.term {
-			t.Fatalf("%s has no order after four rounds", p.name)
+	for _, agent := range all {
+		h.agentHeartbeatThroughPeer(agent)
+		if agent.term != h.term {
+			t.Fatalf("%s has no order after four rounds", agent.name)
 		}
 	}
-	id, _ := s.datasets.planner.ID("b0000")
-	if !s.datasets.index.Snapshot().Has(id, "set-1999", 2) {
+	id, _ := h.datasets.planner.ID("b0000")
+	if !h.datasets.index.Snapshot().Has(id, "set-1999", 2) {
 		t.Error("the long report did not arrive")
 	}
-	if len(s.state.Refused) != 0 {
-		raw, _ := json.Marshal(s.state.Refused)
+	if len(h.state.Refused) != 0 {
+		raw, _ := json.Marshal(h.state.Refused)
 		t.Errorf("the state service refused: %s", raw)
 	}
 }
--- a/scheduler/images_test.go
+++ b/scheduler/images_test.go
@@ -14,54 +14,54 @@
 // order of use; without it, it saw no holders and every placement waited for
 // fetches that were none.
 func TestNextLeaderKnowsImages(t *testing.T) {
-	s := newStage(t)
+	h := newHarness(t)
 	for i := range tuning.ImagesMachines + 1 {
-		s.report(fmt.Sprintf("a%03d", i), 1)
+		h.heartbeat(fmt.Sprintf("a%03d", i), 1)
 	}
-	last := s.machines[fmt.Sprintf("a%03d", tuning.ImagesMachines)]
-	s.submit("run-000001", 1, nil)
-	job := s.jobs["run-000001"]
+	last := h.machines[fmt.Sprintf("a%03d", tuning.ImagesMachines)]
+	h.submit("run-000001", 1, nil)
+	job := h.jobs["run-000001"]
 	job.Job.ImageGB = 9
 	for _, image := range []string{"one", "two", "three"} {
 		job.Job.Image = image
-		s.recordImageUse(last, job)
+		h.recordImageUse(last, job)
 	}
-	s.MaintainFleet()
-	s.commit()
-	if s.state.Get(store.ImagesKey(1)) == nil {
+	h.MaintainFleet()
+	h.commit()
+	if h.state.Get(store.ImagesKey(1)) == nil {
 		t.Fatal("nothing on record")
 	}
-	s.elect()
-	s.report(last.Name, 1)
-	machine := s.machines[last.Name]
+	h.elect()
+	h.heartbeat(last.Name, 1)
+	machine := h.machines[last.Name]
 	if !machine.HasImage("three") || !machine.HasImage("two") || machine.HasImage("one") {
 		t.Errorf("known images: %+v", machine.Images())
 	}
 	// Nothing new is nothing to write.
-	s.clock.Advance(2 * tuning.ImagesEvery)
-	before := s.com.Pending()
-	s.storeImageHints(s.clock.Now())
-	if s.com.Pending() != before {
+	h.clock.Advance(2 * tuning.ImagesEvery)
+	before := h.committer.Pending()
+	h.storeImageHints(h.clock.Now())
+	if h.committer.Pending() != before {
 		t.Error("written again without a change")
 	}
-	s.LoadImageHints([]store.Item{{Key: store.ImagesKey(0), Value: json.RawMessage(`{"i":["x"],"g":[1],"m":{"a000":[7,-1,0]}}`)}, {Key: store.ImagesKey(1), Value: json.RawMessage(`[`)}})
-	s.report("a000", 1)
-	if !s.machines["a000"].HasImage("x") {
+	h.LoadImageHints([]store.Item{{Key: store.ImagesKey(0), Value: json.RawMessage(`{"i":["x"],"g":[1],"m":{"a000":[7,-1,0]}}`)}, {Key: store.ImagesKey(1), Value: json.RawMessage(`[`)}})
+	h.heartbeat("a000", 1)
+	if !h.machines["a000"].HasImage("x") {
 		t.Error("a record with indices out of range was dropped whole")
 	}
 }
 
 // The largest record stays within a value of the state service.
 func TestImagesRecordFitsAValue(t *testing.T) {
-	s := newStage(t)
+	h := newHarness(t)
 	for i := range tuning.ImagesMachines {
-		machine := s.machineNamed(fmt.Sprintf("n-%06d", i))
+		machine := h.machineNamed(fmt.Sprintf("n-%06d", i))
 		for k := range 40 {
 			machine.RecordImage(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
 		}
 		machine.RecordImage(strings.Repeat("<", 5000), 1)
 	}
-	rec, ok := s.imagesRecord(store.ImagesKey(0))
+	rec, ok := h.imagesRecord(store.ImagesKey(0))
 	raw, err := json.Marshal(rec)
 	if !ok || err != nil || len(raw) > 16<<10 || len(rec.Names) != tuning.ImagesNames {
 		t.Errorf("%d bytes, %d names, %v", len(raw), len(rec.Names), err)
--- a/scheduler/live_configuration_test.go
+++ b/scheduler/live_configuration_test.go
@@ -8,13 +8,13 @@
 
 // A setting that a later revision leaves out is as the files have it again.
 func TestAheadTasksOfAConfigurationCount(t *testing.T) {
-	s := newDataStage(t, features.Staged)
+	h := newDataHarness(t, features.Staged)
 	for _, ahead := range []int{9, 5} {
 		active := configured(t, "")
 		active.AheadTasks = &ahead
-		s.ApplyConfiguration(active)
-		if s.datasets.settings.Ahead != ahead {
-			t.Errorf("ahead %d with %d configured", s.datasets.settings.Ahead, ahead)
+		h.ApplyConfiguration(active)
+		if h.datasets.settings.Ahead != ahead {
+			t.Errorf("ahead %d with %d configured", h.datasets.settings.Ahead, ahead)
 		}
 	}
 }
--- a/scheduler/mistake_test.go
+++ b/scheduler/mistake_test.go
@@ -9,9 +9,9 @@
 	"switchferry/tuning"
 )
 
-// play lets all machines report; what was started runs, or fails if bad says so.
-func (s *stage) play(bad func(machine, job string) bool) {
-	for _, m := range s.sortedMachines() {
+// runTasks lets all machines report; what was started runs, or fails if bad says so.
+func (h *harness) runTasks(bad func(machine, job string) bool) {
+	for _, m := range h.sortedMachines() {
 		var tasks []api.TaskReport
 		for key, alloc := range m.allocations {
 			if !alloc.runSent {
@@ -21,64 +21,64 @@
 			if bad(m.Name, alloc.job.id) {
 				state, cause = api.TaskExited, api.CauseError
 			}
-			tasks = append(tasks, task(key, alloc.attempt, state, cause))
+			tasks = append(tasks, taskReport(key, alloc.attempt, state, cause))
 		}
-		s.report(m.Name, 1, tasks...)
+		h.heartbeat(m.Name, 1, tasks...)
 	}
-	s.commit()
+	h.commit()
 }
 
-// work plays a while of the leader's rounds.
-func (s *stage) work(d time.Duration, bad func(machine, job string) bool) (returned []string) {
+// runTasksFor plays a while of the leader's rounds.
+func (h *harness) runTasksFor(d time.Duration, bad func(machine, job string) bool) (returned []string) {
 	for ; d > 0; d -= tuning.MaintainEvery {
-		s.clock.Advance(tuning.MaintainEvery)
-		s.play(bad)
-		s.Place()
-		s.commit()
-		returned = append(returned, s.MaintainFleet()...)
+		h.clock.Advance(tuning.MaintainEvery)
+		h.runTasks(bad)
+		h.Place()
+		h.commit()
+		returned = append(returned, h.MaintainFleet()...)
 	}
 	return returned
 }
 
 // Two jobs with a mistake failed on the same machines, which were returned for it with
-// all that worked on them.
+// workers that worked on them.
 func TestMistakenJobsDoNotCondemnMachines(t *testing.T) {
-	s := newStage(t)
+	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4"} {
-		s.report(n, 1)
+		h.heartbeat(n, 1)
 	}
 	bad := func(_, job string) bool { return job != "run-000009" }
-	s.submit("run-000001", 6, nil)
-	s.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
-	if gone := s.work(20*time.Second, bad); len(gone) > 0 {
+	h.submit("run-000001", 6, nil)
+	h.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
+	if gone := h.runTasksFor(20*time.Second, bad); len(gone) > 0 {
 		t.Fatalf("healthy machines %v returned", gone)
 	}
-	one, two := s.jobs["run-000001"], s.jobs["run-000002"]
-	if !s.failsEverywhere(one) || !s.failsEverywhere(two) {
+	one, two := h.jobs["run-000001"], h.jobs["run-000002"]
+	if !h.failsEverywhere(one) || !h.failsEverywhere(two) {
 		t.Fatal("jobs that fail everywhere are not told from others")
 	}
-	if all, _ := s.demand(); all != 8 {
+	if all, _ := h.demand(); all != 8 {
 		t.Errorf("12 tasks that fail everywhere ask for %v processors, want those of one task each", all)
 	}
 	// Others have the fleet, and a retry is one task.
-	s.submit("run-000009", 8, nil)
+	h.submit("run-000009", 8, nil)
 	started := map[string]int{}
 	for range 200 {
-		s.work(tuning.MaintainEvery, bad)
+		h.runTasksFor(tuning.MaintainEvery, bad)
 		for _, j := range []*jobState{one, two} {
 			started[j.id] = max(started[j.id], len(j.allocations)+j.queued)
 		}
 	}
-	if n := len(s.jobs["run-000009"].allocations); n != 8 {
+	if n := len(h.jobs["run-000009"].allocations); n != 8 {
 		t.Errorf("%d of 8 tasks of another job run", n)
 	}
 	if started[one.id] > 1 || started[two.id] > 1 {
 		t.Errorf("retries of %v tasks at once, want one", started)
 	}
 	// Once they are cancelled, what they did on machines is forgotten too.
-	s.Cancel(gaveUp(), one.id)
-	s.Cancel(gaveUp(), two.id)
-	if gone := s.work(5*time.Second, bad); len(gone) > 0 {
+	h.Cancel(cancelledContext(), one.id)
+	h.Cancel(cancelledContext(), two.id)
+	if gone := h.runTasksFor(5*time.Second, bad); len(gone) > 0 {
 		t.Errorf("%v returned after the mistaken jobs were cancelled", gone)
 	}
 }
@@ -86,23 +86,23 @@
 // A faulty machine is still found: what fails there works elsewhere. And a job that met
 // it is not held back for that.
 func TestFaultyMachineIsFoundAmongMistakenJobs(t *testing.T) {
-	s := newStage(t)
+	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
-		s.report(n, 1)
+		h.heartbeat(n, 1)
 	}
 	bad := func(machine, job string) bool { return machine == "a2" || job == "run-000005" }
 	small := func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 }
-	s.submit("run-000005", 5, nil)
-	gone := s.work(5*time.Second, bad)
+	h.submit("run-000005", 5, nil)
+	gone := h.runTasksFor(5*time.Second, bad)
 	// The first fills the fleet; only the faulty machine is left for the second.
-	s.submit("run-000001", 40, small)
-	gone = append(gone, s.work(5*time.Second, bad)...)
-	s.submit("run-000002", 8, small)
-	gone = append(gone, s.work(10*time.Second, bad)...)
+	h.submit("run-000001", 40, small)
+	gone = append(gone, h.runTasksFor(5*time.Second, bad)...)
+	h.submit("run-000002", 8, small)
+	gone = append(gone, h.runTasksFor(10*time.Second, bad)...)
 	if !slices.Equal(gone, []string{"a2"}) {
 		t.Errorf("returned %v, want the faulty a2", gone)
 	}
-	if n := len(s.jobs["run-000001"].allocations); n != 32 {
+	if n := len(h.jobs["run-000001"].allocations); n != 32 {
 		t.Errorf("%d tasks of a good job run, want 32 on four good machines", n)
 	}
 }
--- a/scheduler/relayed_workers_test.go
+++ b/scheduler/relayed_workers_test.go
@@ -19,27 +19,27 @@
 // and each command its worker, within the limits of the state service.
 func TestManyWorkersBehindACut(t *testing.T) {
 	for _, many := range []int{50, 500, 2500} {
-		s := newStage(t)
-		s.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+		h := newHarness(t)
+		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 		limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-		client := store.NewClient("state:1", s.state)
-		y := proxy.NewWorkers(proxy.Options{Member: "y", Client: client, Clock: s.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+		client := store.NewClient("state:1", h.state)
+		y := proxy.NewWorkers(proxy.Options{Member: "y", Client: client, Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
 		name := func(i int) string { return fmt.Sprintf("b%04d", i) }
 		told := map[string]string{}
 		seq := uint64(0)
 		say := func() {
 			seq++
 			for i := range many {
-				r := &api.Heartbeat{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: s.term}
-				if o := y.HandleHeartbeat(r, s.term); len(o.Commands) > 0 {
+				r := &api.Heartbeat{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: h.term}
+				if o := y.HandleHeartbeat(r, h.term); len(o.Commands) > 0 {
 					told[o.Commands[0].Task] = name(i)
 				}
 			}
 		}
 		var joiner relay.Reassembler
-		after := s.term
+		after := h.term
 		carry := func() {
-			s.clock.Advance(tuning.RelayEvery)
+			h.clock.Advance(tuning.RelayEvery)
 			for y.Exchange.Write(context.Background()) {
 			}
 			log, epoch, err := client.Watch(context.Background(), store.RelayPrefix, after, 0)
@@ -47,9 +47,9 @@
 				t.Fatal(err)
 			}
 			after = max(after, epoch)
-			exchange.UnpackEvents(log, store.RelayPrefix, s.term, &joiner, s.AcceptWorkerMessage)
-			s.Place()
-			s.commit()
+			exchange.UnpackEvents(log, store.RelayPrefix, h.term, &joiner, h.AcceptWorkerMessage)
+			h.Place()
+			h.commit()
 			if _, err := y.Exchange.Fetch(context.Background(), 0); err != nil {
 				t.Fatal(err)
 			}
@@ -58,10 +58,10 @@
 		for range 2 + many/500 {
 			carry()
 		}
-		if len(s.machines) != many {
-			t.Fatalf("%d of %d workers reached the leader", len(s.machines), many)
+		if len(h.machines) != many {
+			t.Fatalf("%d of %d workers reached the leader", len(h.machines), many)
 		}
-		s.submit("run-000001", min(many, 100), func(x *api.Submission) { x.Team, x.CPUs, x.MemoryGB = "left", 8, 8 })
+		h.submit("run-000001", min(many, 100), func(x *api.Submission) { x.Team, x.CPUs, x.MemoryGB = "left", 8, 8 })
 		for range 4 {
 			say()
 			carry()
@@ -71,17 +71,17 @@
 			t.Errorf("%d workers: %d starts arrived", many, len(told))
 		}
 		for key, n := range told {
-			if alloc := s.jobs["run-000001"].allocations[keyTask(key)]; alloc == nil || alloc.machine.Name != n {
+			if alloc := h.jobs["run-000001"].allocations[taskNumber(key)]; alloc == nil || alloc.machine.Name != n {
 				t.Fatalf("%s was told to %s", key, n)
 			}
 		}
-		if len(s.state.Refused) != 0 {
-			t.Errorf("%d workers: the state service refused %v", many, s.state.Refused)
+		if len(h.state.Refused) != 0 {
+			t.Errorf("%d workers: the state service refused %v", many, h.state.Refused)
 		}
 	}
 }
 
-func keyTask(key string) int {
+func taskNumber(key string) int {
 	_, n, _ := parseTaskKey(key)
 	return n
 }
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -17,11 +17,11 @@
 // and then at those that it uses. Looking at all of them for each task took most
 // of the leader's processor, and submissions and reports waited.
 func TestPreemptionSearchesTheFleetOnceForAJob(t *testing.T) {
-	s := fullFleet(t, 280)
-	s.victimSearches = 0
-	s.Place()
+	h := fullFleet(t, 280)
+	h.victimSearches = 0
+	h.Place()
 	started := 0
-	for _, job := range s.jobOrder {
+	for _, job := range h.jobOrder {
 		if job.rank == 2 {
 			started += len(job.allocations)
 		}
@@ -29,8 +29,8 @@
 	if started < 150 {
 		t.Fatalf("%d urgent tasks started, want nearly all of 200", started)
 	}
-	if most := 4*280 + 3*started; s.victimSearches > most {
-		t.Errorf("%d machines searched for 4 jobs, want %d at most", s.victimSearches, most)
+	if most := 4*280 + 3*started; h.victimSearches > most {
+		t.Errorf("%d machines searched for 4 jobs, want %d at most", h.victimSearches, most)
 	}
 }
 
@@ -39,33 +39,33 @@
 func TestOptionsAgreeWithPlainSearch(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
-		s := newStage(t)
+		h := newHarness(t)
 		for i := range 25 {
-			s.report(fmt.Sprintf("a%03d", i), 1)
+			h.heartbeat(fmt.Sprintf("a%03d", i), 1)
 		}
 		for i := range 12 {
-			s.submit(fmt.Sprintf("run-%06d", i), 1+rnd.IntN(12), func(x *api.Submission) {
+			h.submit(fmt.Sprintf("run-%06d", i), 1+rnd.IntN(12), func(x *api.Submission) {
 				x.Team, x.Rank = "left", []string{"low", "normal"}[rnd.IntN(2)]
 				x.CPUs = float64(1 + rnd.IntN(4))
 				x.MemoryGB = float64(1 + rnd.IntN(8))
 			})
-			s.settleStarts()
-			s.clock.Advance(time.Duration(rnd.IntN(1900)) * time.Millisecond)
+			h.settleStarts()
+			h.clock.Advance(time.Duration(rnd.IntN(1900)) * time.Millisecond)
 			for k := range 25 {
-				s.again(fmt.Sprintf("a%03d", k))
+				h.again(fmt.Sprintf("a%03d", k))
 			}
 		}
-		s.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
-		job := s.jobs["run-900000"]
-		opts := s.candidates(job, s.sortedMachines())
+		h.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
+		job := h.jobs["run-900000"]
+		opts := h.candidates(job, h.sortedMachines())
 		for {
 			plain := math.Inf(1)
-			for _, machine := range s.sortedMachines() {
-				if x, ok := s.candidateOn(job, machine); ok {
+			for _, machine := range h.sortedMachines() {
+				if x, ok := h.candidateOn(job, machine); ok {
 					plain = math.Min(plain, x.score)
 				}
 			}
-			x, ok := s.bestCandidate(job, opts)
+			x, ok := h.bestCandidate(job, opts)
 			if !ok || len(job.pending) == 0 {
 				if !math.IsInf(plain, 1) && len(job.pending) > 0 {
 					t.Fatalf("seed %d: nothing found, a plain search finds %v", seed, plain)
@@ -77,14 +77,14 @@
 			}
 			task := int(job.pending[0])
 			job.pending = job.pending[1:]
-			s.preemptVictims(x.victim, job)
-			s.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
-			s.pushCandidate(job, x.m, opts)
+			h.preemptVictims(x.victim, job)
+			h.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
+			h.pushCandidate(job, x.m, opts)
 		}
 		if len(job.allocations) == 0 {
 			t.Fatalf("seed %d: nothing was started", seed)
 		}
-		for _, machine := range s.machines {
+		for _, machine := range h.machines {
 			if free, _ := machine.freeSoon(); !free.Fits(fleet.Resources{}) {
 				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
 			}
@@ -93,10 +93,10 @@
 }
 
 // again repeats a worker's last report.
-func (s *stage) again(name string) {
+func (h *harness) again(name string) {
 	var tasks []api.TaskReport
-	for _, t := range s.machines[name].Tasks {
+	for _, t := range h.machines[name].Tasks {
 		tasks = append(tasks, t)
 	}
-	s.report(name, 1, tasks...)
+	h.heartbeat(name, 1, tasks...)
 }
--- a/scheduler/teams_bench_test.go
+++ b/scheduler/teams_bench_test.go
@@ -19,7 +19,7 @@
 		everyTenth float64
 	}{{"1 team", 1, 1e6}, {"110 teams", 110, 1e6}, {"110 teams, 11 at their limit", 110, 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			s := newStage(&testing.T{})
+			h := newHarness(&testing.T{})
 			var teams []settings.Team
 			for i := range c.teams {
 				t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUs: 20, CPUsMax: 1e6}
@@ -28,25 +28,25 @@
 				}
 				teams = append(teams, t)
 			}
-			s.configuration = configuration.FromFiles(teams, policy.Default())
+			h.configuration = configuration.FromFiles(teams, policy.Default())
 			for i := range 280 {
-				s.report(fmt.Sprintf("a%03d", i), 1)
+				h.heartbeat(fmt.Sprintf("a%03d", i), 1)
 			}
 			team := func(i int) func(*api.Submission) {
 				return func(x *api.Submission) { x.Team, x.Image = teams[i%len(teams)].Name, fmt.Sprintf("img-%d", i%8) }
 			}
 			for i := range 40 {
-				s.submit(fmt.Sprintf("run-%06d", i), 16, team(i))
+				h.submit(fmt.Sprintf("run-%06d", i), 16, team(i))
 			}
-			s.settleStarts()
+			h.settleStarts()
 			for i := range 220 {
-				s.submit(fmt.Sprintf("run-1%05d", i), 12, team(i))
+				h.submit(fmt.Sprintf("run-1%05d", i), 12, team(i))
 			}
-			s.Place()
-			s.commit()
+			h.Place()
+			h.commit()
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Place()
+				h.Place()
 			}
 		})
 	}
--- a/scheduler/topology_test.go
+++ b/scheduler/topology_test.go
@@ -26,18 +26,18 @@
 	return m
 }
 
-// yard is a fleet in racks whose workers do what they are told.
-type yard struct {
-	*stage
+// rackHarness is a fleet in racks whose workers do what they are told.
+type rackHarness struct {
+	*harness
 	names []string
 	runs  map[string]map[string]uint64
 	quiet map[string]int
 	read  int
 }
 
-func newYard(t *testing.T, inRacks, each int) *yard {
-	y := &yard{stage: newStage(t), runs: map[string]map[string]uint64{}, quiet: map[string]int{}}
-	y.topo = racks(t, 1, inRacks)
+func newRackHarness(t *testing.T, inRacks, each int) *rackHarness {
+	y := &rackHarness{harness: newHarness(t), runs: map[string]map[string]uint64{}, quiet: map[string]int{}}
+	y.topologyMap = racks(t, 1, inRacks)
 	y.elect()
 	for r := range inRacks {
 		for k := range each {
@@ -46,11 +46,11 @@
 			y.runs[name] = map[string]uint64{}
 		}
 	}
-	y.turn()
+	y.round()
 	return y
 }
 
-func (y *yard) obey(name string, o api.HeartbeatResponse) {
+func (y *rackHarness) obey(name string, o api.HeartbeatResponse) {
 	for _, c := range o.Commands {
 		switch c.Verb {
 		case api.CommandRun:
@@ -61,36 +61,36 @@
 	}
 }
 
-// said are the tasks that a worker reports.
-func (y *yard) said(name string) (tasks []api.TaskReport) {
+// heartbeatTasks are the tasks that a worker reports.
+func (y *rackHarness) heartbeatTasks(name string) (tasks []api.TaskReport) {
 	for key, attempt := range y.runs[name] {
-		tasks = append(tasks, task(key, attempt, api.TaskRunning, ""))
+		tasks = append(tasks, taskReport(key, attempt, api.TaskRunning, ""))
 	}
 	slices.SortFunc(tasks, func(a, b api.TaskReport) int { return strings.Compare(a.Task, b.Task) })
 	return tasks
 }
 
-// turn lets every machine report that is not silent, a round be placed, and it be stored.
-func (y *yard) turn() {
+// round lets every machine report that is not silent, a round be placed, and it be stored.
+func (y *rackHarness) round() {
 	for _, name := range y.names {
 		if y.quiet[name] > 0 {
 			y.quiet[name]--
 			continue
 		}
-		y.obey(name, y.report(name, 1, y.said(name)...))
+		y.obey(name, y.heartbeat(name, 1, y.heartbeatTasks(name)...))
 	}
 	y.Place()
 	y.commit()
 	for ; y.read < len(y.sent); y.read++ {
-		if o := y.sent[y.read]; y.runs[o.name] != nil {
-			y.obey(o.name, o.o)
+		if o := y.sent[y.read]; y.runs[o.machine] != nil {
+			y.obey(o.machine, o.response)
 		}
 	}
 	y.clock.Advance(time.Second)
 }
 
-// standing counts a job's tasks by rack, as the workers run them.
-func (y *yard) standing(id string) (all int, by map[string]int) {
+// tasksByRack counts a job's tasks by rack, as the workers run them.
+func (y *rackHarness) tasksByRack(id string) (all int, by map[string]int) {
 	by = map[string]int{}
 	for name, tasks := range y.runs {
 		for key := range tasks {
@@ -113,33 +113,33 @@
 // silent machine may still run one, and under the next leader, which knows that one from its
 // record alone. Once the machine is proved gone it is replaced, and not before.
 func TestSurviveIsKeptThroughSilenceAndTakeover(t *testing.T) {
-	y := newYard(t, 2, 3)
-	y.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
-	y.turn()
-	y.turn()
-	if n, by := y.standing("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
+	racks := newRackHarness(t, 2, 3)
+	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.round()
+	racks.round()
+	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
 		t.Fatalf("stand %v", by)
 	}
 	var silent string
-	for _, name := range y.names {
-		if strings.HasPrefix(name, "a1") && len(y.runs[name]) > 0 {
+	for _, name := range racks.names {
+		if strings.HasPrefix(name, "a1") && len(racks.runs[name]) > 0 {
 			silent = name
 		}
 	}
-	y.quiet[silent] = 1000
-	y.elect()
-	y.read = 0
+	racks.quiet[silent] = 1000
+	racks.elect()
+	racks.read = 0
 	for range 8 {
-		y.turn()
-		if n, by := y.standing("run-000001"); n != 2 {
+		racks.round()
+		if n, by := racks.tasksByRack("run-000001"); n != 2 {
 			t.Fatalf("stand %v while %s may still run one", by, silent)
 		}
 	}
-	y.InstancesReleased([]string{silent}, nil)
-	y.runs[silent] = map[string]uint64{}
-	y.turn()
-	y.turn()
-	if n, by := y.standing("run-000001"); n != 2 || by["a1"] != 1 {
+	racks.InstancesReleased([]string{silent}, nil)
+	racks.runs[silent] = map[string]uint64{}
+	racks.round()
+	racks.round()
+	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 {
 		t.Errorf("not replaced: %v", by)
 	}
 }
@@ -148,46 +148,46 @@
 // room for all of it nowhere it waits and others go on; two gangs that fit alone and not
 // together run one after the other.
 func TestNearWaitsForARackThatHoldsAll(t *testing.T) {
-	y := newYard(t, 2, 2)
+	racks := newRackHarness(t, 2, 2)
 	near := &api.Near{Level: "rack", Must: true}
-	y.submit("run-000001", 1, service(nil, nil))
-	y.turn()
-	y.turn()
-	_, by := y.standing("run-000001")
+	racks.submit("run-000001", 1, service(nil, nil))
+	racks.round()
+	racks.round()
+	_, by := racks.tasksByRack("run-000001")
 	gang := func(submission *api.Submission) {
 		submission.Shape, submission.Near, submission.CPUs = api.Gang, near, 4
 	}
-	y.submit("run-000002", 3, gang)
-	y.turn()
-	y.turn()
-	n, at := y.standing("run-000002")
+	racks.submit("run-000002", 3, gang)
+	racks.round()
+	racks.round()
+	n, at := racks.tasksByRack("run-000002")
 	if n != 3 || at["a1"] != 3 && at["a2"] != 3 {
 		t.Fatalf("a gang of three stands %v", at)
 	}
 	if at["a1"] > 0 != (by["a1"] > 0) {
 		t.Errorf("it broke up the empty rack: %v beside %v", at, by)
 	}
-	y.submit("run-000003", 4, gang)
-	y.submit("run-000004", 4, gang)
-	y.submit("run-000005", 2, service(nil, nil))
+	racks.submit("run-000003", 4, gang)
+	racks.submit("run-000004", 4, gang)
+	racks.submit("run-000005", 2, service(nil, nil))
 	for range 5 {
-		y.turn()
+		racks.round()
 	}
 	for _, id := range []string{"run-000003", "run-000004"} {
-		x, ok := y.Explain(id)
+		x, ok := racks.Explain(id)
 		if text := strings.Join(x.Why, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is kept for it until it drains") {
 			t.Errorf("%s: %+v", id, x)
 		}
 	}
-	if v := y.Topology(); len(v.Domains) != 3 || v.Domains[1].In != "s1" || len(v.Waiting) != 1 {
+	if v := racks.Topology(); len(v.Domains) != 3 || v.Domains[1].In != "s1" || len(v.Waiting) != 1 {
 		t.Errorf("%+v", v)
 	}
-	three, _ := y.standing("run-000003")
-	four, _ := y.standing("run-000004")
+	three, _ := racks.tasksByRack("run-000003")
+	four, _ := racks.tasksByRack("run-000004")
 	if three+four != 4 || three*four != 0 {
 		t.Fatalf("of two gangs of four stand %d and %d", three, four)
 	}
-	if y.jobs["run-000004"].waitReason == "" && y.jobs["run-000003"].waitReason == "" {
+	if racks.jobs["run-000004"].waitReason == "" && racks.jobs["run-000003"].waitReason == "" {
 		t.Error("the one that waits does not say why")
 	}
 }
@@ -196,42 +196,42 @@
 // away, as a whole or not at all.
 func TestRoomIsMadeInTheCheapestRack(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
-		y := newYard(t, 2, 2)
+		racks := newRackHarness(t, 2, 2)
 		// Both racks are full; what lies in one of them began a minute later.
-		y.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
-		y.turn()
-		y.turn()
+		racks.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
+		racks.round()
+		racks.round()
 		for range 60 {
-			y.turn()
+			racks.round()
 		}
-		y.submit("run-000002", 4, nil)
-		y.turn()
-		y.turn()
-		_, old := y.standing("run-000001")
-		_, young := y.standing("run-000002")
+		racks.submit("run-000002", 4, nil)
+		racks.round()
+		racks.round()
+		_, old := racks.tasksByRack("run-000001")
+		_, young := racks.tasksByRack("run-000002")
 		if len(old) != 1 || len(young) != 1 {
 			t.Fatalf("%v, %v", old, young)
 		}
 		// No rack holds nine.
-		y.submit("run-000003", 9, func(submission *api.Submission) {
+		racks.submit("run-000003", 9, func(submission *api.Submission) {
 			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
-		y.turn()
-		y.turn()
-		if n, _ := y.standing("run-000003"); n != 0 || y.jobs["run-000003"].waitReason == "" {
-			t.Errorf("%s: %d of nine run, %q", shape, n, y.jobs["run-000003"].waitReason)
+		racks.round()
+		racks.round()
+		if n, _ := racks.tasksByRack("run-000003"); n != 0 || racks.jobs["run-000003"].waitReason == "" {
+			t.Errorf("%s: %d of nine run, %q", shape, n, racks.jobs["run-000003"].waitReason)
 		}
-		if n, _ := y.standing("run-000001"); n != 4 {
+		if n, _ := racks.tasksByRack("run-000001"); n != 4 {
 			t.Errorf("%s: tasks were stopped in vain", shape)
 		}
-		y.submit("run-000004", 4, func(submission *api.Submission) {
+		racks.submit("run-000004", 4, func(submission *api.Submission) {
 			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
 		for range 4 {
-			y.turn()
+			racks.round()
 		}
-		n, at := y.standing("run-000004")
-		kept, _ := y.standing("run-000001")
+		n, at := racks.tasksByRack("run-000004")
+		kept, _ := racks.tasksByRack("run-000001")
 		if n != 4 || len(at) != 1 || kept != 4 {
 			t.Errorf("%s: %d of four run, %v; of the older job's four tasks %d", shape, n, at, kept)
 		}
@@ -241,36 +241,36 @@
 // A replica that may stand in none of the racks that there are gets one machine rented, which
 // may come up in a rack of use, and not one after the other.
 func TestMachineIsRentedForAPlace(t *testing.T) {
-	y := newYard(t, 2, 3)
-	y.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks := newRackHarness(t, 2, 3)
+	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	for range 5 {
-		y.turn()
+		racks.round()
 	}
 	rented := 0
 	for i := range 60 {
-		for _, r := range y.InstanceRequests() {
+		for _, r := range racks.InstanceRequests() {
 			var names []string
 			for range r.Count {
 				rented++
 				names = append(names, fmt.Sprintf("n-%d", rented))
 			}
-			y.InstancesGranted(r, names, nil)
+			racks.InstancesGranted(r, names, nil)
 			if i > 40 {
 				t.Errorf("rented again: %+v", r)
 			}
 		}
-		y.turn()
+		racks.round()
 	}
 	if rented != 1 {
 		t.Fatalf("rented %d machines for one replica", rented)
 	}
 	// It comes up where no pattern names it: a place of its own.
-	y.names = append(y.names, "n-1")
-	y.runs["n-1"] = map[string]uint64{}
+	racks.names = append(racks.names, "n-1")
+	racks.runs["n-1"] = map[string]uint64{}
 	for range 4 {
-		y.turn()
+		racks.round()
 	}
-	if n, _ := y.standing("run-000001"); n != 3 {
+	if n, _ := racks.tasksByRack("run-000001"); n != 3 {
 		t.Errorf("%d of three run", n)
 	}
 }
@@ -279,94 +279,94 @@
 // before goes in, what does not stays out, and the job starts when the rack is empty. Without
 // that small jobs would fill every hole, and it would wait for ever.
 func TestDrainingRackIsKept(t *testing.T) {
-	y := newYard(t, 2, 2)
+	racks := newRackHarness(t, 2, 2)
 	long := func(submission *api.Submission) { submission.EstimateS = 500 }
 	short := func(submission *api.Submission) {
 		submission.EstimateS, submission.Near = 20, &api.Near{Level: "rack", Must: true}
 	}
-	y.submit("run-000001", 4, short)
-	y.turn()
-	y.turn()
-	_, at := y.standing("run-000001")
-	y.submit("run-000002", 4, long)
-	y.turn()
-	y.turn()
-	y.submit("run-000003", 4, func(submission *api.Submission) {
+	racks.submit("run-000001", 4, short)
+	racks.round()
+	racks.round()
+	_, at := racks.tasksByRack("run-000001")
+	racks.submit("run-000002", 4, long)
+	racks.round()
+	racks.round()
+	racks.submit("run-000003", 4, func(submission *api.Submission) {
 		submission.Shape, submission.Near = api.Gang, &api.Near{Level: "rack", Must: true}
 	})
-	y.turn()
-	y.turn()
-	if why := y.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
+	racks.round()
+	racks.round()
+	if why := racks.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
 		t.Fatalf("why: %q", why)
 	}
 	// Half of the rack ends; long work waits for room.
-	y.submit("run-000004", 2, long)
+	racks.submit("run-000004", 2, long)
 	ended := 0
-	for _, name := range y.names {
-		for key := range y.runs[name] {
+	for _, name := range racks.names {
+		for key := range racks.runs[name] {
 			if strings.HasPrefix(key, "run-000001/") && ended < 2 {
-				y.finish(name, key)
+				racks.finish(name, key)
 				ended++
 			}
 		}
 	}
 	for range 4 {
-		y.turn()
+		racks.round()
 	}
-	if n, by := y.standing("run-000004"); n != 0 {
+	if n, by := racks.tasksByRack("run-000004"); n != 0 {
 		t.Fatalf("work that does not end in time stands %v", by)
 	}
-	for _, name := range y.names {
-		for key := range y.runs[name] {
+	for _, name := range racks.names {
+		for key := range racks.runs[name] {
 			if strings.HasPrefix(key, "run-000001/") {
-				y.finish(name, key)
+				racks.finish(name, key)
 			}
 		}
 	}
 	for range 4 {
-		y.turn()
+		racks.round()
 	}
-	if n, by := y.standing("run-000003"); n != 4 || len(by) != 1 || by["a1"] != at["a1"] {
+	if n, by := racks.tasksByRack("run-000003"); n != 4 || len(by) != 1 || by["a1"] != at["a1"] {
 		t.Errorf("%d of four run, %v, where the rack drained %v", n, by, at)
 	}
 }
 
 // finish lets a task end.
-func (y *yard) finish(name, key string) {
+func (y *rackHarness) finish(name, key string) {
 	attempt := y.runs[name][key]
 	delete(y.runs[name], key)
-	y.obey(name, y.report(name, 1, append(y.said(name), task(key, attempt, api.TaskExited, api.CauseDone))...))
+	y.obey(name, y.heartbeat(name, 1, append(y.heartbeatTasks(name), taskReport(key, attempt, api.TaskExited, api.CauseDone))...))
 	y.commit()
 }
 
 // Where a bound can no longer be kept for all replicas, as a rack has left, what runs goes on, the
 // rest waits and says why, and it heals once there is a rack again.
 func TestSurviveHealsWhenARackReturns(t *testing.T) {
-	y := newYard(t, 3, 2)
-	y.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
-	y.turn()
-	y.turn()
-	left := slices.Clone(y.names[:2])
-	y.names = y.names[2:]
+	racks := newRackHarness(t, 3, 2)
+	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.round()
+	racks.round()
+	left := slices.Clone(racks.names[:2])
+	racks.names = racks.names[2:]
 	for _, name := range left {
-		y.runs[name] = map[string]uint64{}
+		racks.runs[name] = map[string]uint64{}
 	}
 	for range 16 {
-		y.turn()
-		y.InstancesReleased(y.MaintainFleet(), nil)
+		racks.round()
+		racks.InstancesReleased(racks.MaintainFleet(), nil)
 	}
-	if n, by := y.standing("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
+	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
 		t.Fatalf("stand %v", by)
 	}
-	if x, _ := y.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
+	if x, _ := racks.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
 		t.Errorf("%+v", x)
 	}
-	y.names = append(y.names, "a1-9")
-	y.runs["a1-9"] = map[string]uint64{}
+	racks.names = append(racks.names, "a1-9")
+	racks.runs["a1-9"] = map[string]uint64{}
 	for range 3 {
-		y.turn()
+		racks.round()
 	}
-	if n, by := y.standing("run-000001"); n != 3 || by["a1"] != 1 {
+	if n, by := racks.tasksByRack("run-000001"); n != 3 || by["a1"] != 1 {
 		t.Errorf("not healed: %v", by)
 	}
 }
@@ -375,18 +375,18 @@
 // one that stays away is given up after it, and what ran there starts elsewhere, once.
 func TestSilentRackIsOneFailure(t *testing.T) {
 	for _, returns := range []bool{true, false} {
-		y := newYard(t, 3, 3)
-		y.submit("run-000001", 9, service(nil, &api.Survive{Level: "rack", AtMost: 3, Must: true}))
-		y.turn()
-		y.turn()
-		for _, name := range y.names[:3] {
-			y.quiet[name] = 8
+		racks := newRackHarness(t, 3, 3)
+		racks.submit("run-000001", 9, service(nil, &api.Survive{Level: "rack", AtMost: 3, Must: true}))
+		racks.round()
+		racks.round()
+		for _, name := range racks.names[:3] {
+			racks.quiet[name] = 8
 			if !returns {
-				y.quiet[name] = 1000
+				racks.quiet[name] = 1000
 			}
 		}
 		began := map[string]uint64{}
-		for _, tasks := range y.runs {
+		for _, tasks := range racks.runs {
 			for key, attempt := range tasks {
 				began[key] = attempt
 			}
@@ -394,16 +394,16 @@
 		var returned []string
 		for i := range 20 {
 			if i == 5 {
-				y.submit("run-000002", 6, nil)
+				racks.submit("run-000002", 6, nil)
 			}
-			y.turn()
-			gone := y.MaintainFleet()
+			racks.round()
+			gone := racks.MaintainFleet()
 			for _, name := range gone {
-				y.runs[name] = map[string]uint64{}
+				racks.runs[name] = map[string]uint64{}
 			}
-			y.InstancesReleased(gone, nil)
+			racks.InstancesReleased(gone, nil)
 			returned = append(returned, gone...)
-			if n, by := y.standing("run-000002"); i < 8 && by["a1"] > 0 {
+			if n, by := racks.tasksByRack("run-000002"); i < 8 && by["a1"] > 0 {
 				t.Fatalf("%d of %d tasks were placed in a silent rack", by["a1"], n)
 			}
 			if i < 8 && len(returned) > 0 {
@@ -411,14 +411,14 @@
 			}
 		}
 		again := 0
-		for _, tasks := range y.runs {
+		for _, tasks := range racks.runs {
 			for key, attempt := range tasks {
 				if was := began[key]; was != 0 && was != attempt {
 					again++
 				}
 			}
 		}
-		_, by := y.standing("run-000001")
+		_, by := racks.tasksByRack("run-000001")
 		switch {
 		case returns && (again > 0 || len(returned) > 0 || by["a1"] != 3):
 			t.Errorf("a switch that came back cost %d restarts and %d machines; stand %v", again, len(returned), by)
@@ -431,28 +431,28 @@
 // A new version that moves a running replica into a rack that is full by it stops nothing, and
 // lets no more in.
 func TestTopologyMovesUnderARunningReplica(t *testing.T) {
-	y := newYard(t, 2, 2)
-	y.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
-	y.turn()
-	y.turn()
+	racks := newRackHarness(t, 2, 2)
+	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.round()
+	racks.round()
 	m, err := topology.Parse([]byte("version = 2\n[[domain]]\nname = \"r1\"\nlevel = \"rack\"\nmachines = [\"a*\"]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	y.topo = m
-	y.ReplaceTopology(m)
+	racks.topologyMap = m
+	racks.ReplaceTopology(m)
 	for range 4 {
-		y.turn()
+		racks.round()
 	}
-	if n, by := y.standing("run-000001"); n != 2 {
+	if n, by := racks.tasksByRack("run-000001"); n != 2 {
 		t.Errorf("stand %v", by)
 	}
-	y.elect()
-	y.read = 0
+	racks.elect()
+	racks.read = 0
 	for range 4 {
-		y.turn()
+		racks.round()
 	}
-	if n, by := y.standing("run-000001"); n != 2 {
+	if n, by := racks.tasksByRack("run-000001"); n != 2 {
 		t.Errorf("under the next leader: %v", by)
 	}
 }
@@ -462,7 +462,7 @@
 func TestBoundsHoldWhateverHappens(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 14))
-		y := newYard(t, 2+rng.IntN(3), 2+rng.IntN(3))
+		racks := newRackHarness(t, 2+rng.IntN(3), 2+rng.IntN(3))
 		type asked struct {
 			id         string
 			tasks      int
@@ -490,31 +490,31 @@
 						submission.Survive = &api.Survive{Level: "rack", AtMost: x.most, Must: true}
 					}
 				}
-				y.submit(x.id, x.tasks, change)
+				racks.submit(x.id, x.tasks, change)
 				jobs = append(jobs, x)
 			case 2:
-				y.quiet[y.names[rng.IntN(len(y.names))]] = 1 + rng.IntN(8)
+				racks.quiet[racks.names[rng.IntN(len(racks.names))]] = 1 + rng.IntN(8)
 			case 3:
 				// A rack falls silent.
-				r := strings.SplitN(y.names[rng.IntN(len(y.names))], "-", 2)[0]
-				for _, name := range y.names {
+				r := strings.SplitN(racks.names[rng.IntN(len(racks.names))], "-", 2)[0]
+				for _, name := range racks.names {
 					if strings.HasPrefix(name, r+"-") {
-						y.quiet[name] = 2 + rng.IntN(6)
+						racks.quiet[name] = 2 + rng.IntN(6)
 					}
 				}
 			case 4:
-				y.elect()
-				y.read = 0
+				racks.elect()
+				racks.read = 0
 			case 5:
 				if len(jobs) > 0 {
 					id := jobs[rng.IntN(len(jobs))].id
-					y.Cancel(gaveUp(), id)
-					y.commit()
+					racks.Cancel(cancelledContext(), id)
+					racks.commit()
 				}
 			}
-			y.turn()
+			racks.round()
 			for _, x := range jobs {
-				_, by := y.standing(x.id)
+				_, by := racks.tasksByRack(x.id)
 				for r, k := range by {
 					if x.most > 0 && k > x.most {
 						t.Fatalf("seed %d step %d: %s has %d in %s, at most %d may be", seed, step, x.id, k, r, x.most)
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -21,45 +21,45 @@
 // version1 plays a scripted term: jobs of all shapes that run, are done, cancelled, and accepted
 // by a sibling. testdata/version1.json is what the first version's controllers had written after
 // it, before any of them knew another version.
-func version1(t *testing.T) *stage {
+func version1(t *testing.T) *harness {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC))
-	s := (&stage{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
+	h := (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
 	for _, m := range []string{"a1", "a2", "b1"} {
-		s.report(m, 1)
+		h.heartbeat(m, 1)
 	}
-	s.submit("run-000001", 450, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Rank = 0.5, 1, "low" })
-	s.submit("run-000002", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 1; x.Spread = true })
-	s.submit("run-000003", 1, func(x *api.Submission) { x.CPUs, x.DeadlineS, x.Types = 0.1, 90, []string{"m8"} })
-	s.submit("run-000004", 1, nil)
+	h.submit("run-000001", 450, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Rank = 0.5, 1, "low" })
+	h.submit("run-000002", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 1; x.Spread = true })
+	h.submit("run-000003", 1, func(x *api.Submission) { x.CPUs, x.DeadlineS, x.Types = 0.1, 90, []string{"m8"} })
+	h.submit("run-000004", 1, nil)
 	for range 2 {
-		s.Place()
-		s.commit()
+		h.Place()
+		h.commit()
 	}
 	for _, m := range []string{"a1", "a2", "b1"} {
 		var now []api.TaskReport
-		for key, alloc := range s.machines[m].allocations {
+		for key, alloc := range h.machines[m].allocations {
 			if strings.HasPrefix(key, "run-000003/") || key == "run-000001/0" {
-				now = append(now, task(key, alloc.attempt, api.TaskExited, api.CauseDone))
+				now = append(now, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
 			} else {
-				now = append(now, task(key, alloc.attempt, api.TaskRunning, ""))
+				now = append(now, taskReport(key, alloc.attempt, api.TaskRunning, ""))
 			}
 		}
-		s.report(m, 1, now...)
+		h.heartbeat(m, 1, now...)
 	}
-	s.commit()
-	s.Cancel(gaveUp(), "run-000004")
-	s.commit()
-	s.imagesChanged = true
-	s.storeImageHints(s.clock.Now().Add(time.Hour))
-	s.commit()
-	s.state.Put(store.InboxKey("run-000009"), store.InboxRecord{})
-	s.state.Put(store.InboxKey("run-000008"), store.InboxRecord{Cancel: true})
-	return s
+	h.commit()
+	h.Cancel(cancelledContext(), "run-000004")
+	h.commit()
+	h.imagesChanged = true
+	h.storeImageHints(h.clock.Now().Add(time.Hour))
+	h.commit()
+	h.state.Put(store.InboxKey("run-000009"), store.InboxRecord{})
+	h.state.Put(store.InboxKey("run-000008"), store.InboxRecord{Cancel: true})
+	return h
 }
 
 func TestRecordsOfVersionOne(t *testing.T) {
-	s := version1(t)
-	items, _, err := store.NewClient("state:1", s.state).List(context.Background(), "sf/")
+	h := version1(t)
+	items, _, err := store.NewClient("state:1", h.state).List(context.Background(), "sf/")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,35 +94,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newStage(t)
+	h := newHarness(t)
 	for _, it := range items {
-		s.state.Put(it.Key, it.Value)
+		h.state.Put(it.Key, it.Value)
 	}
-	s.elect()
+	h.elect()
 	where := func() map[string]string {
 		m := map[string]string{}
-		for _, job := range s.jobs {
+		for _, job := range h.jobs {
 			for _, alloc := range job.allocations {
 				m[alloc.key] = alloc.machine.Name
 			}
 		}
 		return m
 	}
-	before, done := where(), s.jobs["run-000001"].completedCount
-	if len(before) != 37 || done != 1 || len(s.jobs) != 3 {
-		t.Fatalf("%d tasks on machines, %d done, %d jobs", len(before), done, len(s.jobs))
+	before, done := where(), h.jobs["run-000001"].completedCount
+	if len(before) != 37 || done != 1 || len(h.jobs) != 3 {
+		t.Fatalf("%d tasks on machines, %d done, %d jobs", len(before), done, len(h.jobs))
 	}
-	s.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
-	s.elect()
-	s.UseCurrentFormat()
-	s.commit()
+	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
+	h.elect()
+	h.UseCurrentFormat()
+	h.commit()
 	for _, key := range []string{"sf/t/run-000001/0", "sf/t/run-000001/1", "sf/t/run-000002/0"} {
-		if s.state.Get(key) != nil {
+		if h.state.Get(key) != nil {
 			t.Error("a record of the first version still stands:", key)
 		}
 	}
-	s.elect()
-	if got := where(); !maps.Equal(got, before) || s.jobs["run-000001"].completedCount != done {
+	h.elect()
+	if got := where(); !maps.Equal(got, before) || h.jobs["run-000001"].completedCount != done {
 		t.Errorf("%d tasks on machines, want %d", len(got), len(before))
 	}
 }
