--- /dev/null
+++ b/scheduler/allocation_test.go
@@ -0,0 +1,167 @@
+package scheduler
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/peer"
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+func TestStartIsStoredBeforeItIsSent(t *testing.T) {
+	h := newHarness(t)
+	st := h.submitAndStart("run-000001")
+	if h.state.Get(store.ShardOf("run-000001", 0, tuning.ShardTasks).Key()) == nil || st.machine != "a1" {
+		t.Error("no record, or the wrong machine")
+	}
+}
+
+// A direct start without an answer may be executed at any later time: the same
+// attempt is repeated on the same machine, and nowhere else.
+func TestUnansweredStartStaysOnItsMachine(t *testing.T) {
+	h := newHarness(t)
+	st := h.submitAndStart("run-000001")
+	h.CommandsAnswered("a1", st.response, nil, false)
+	h.heartbeat("b1", 1)
+	for range 5 {
+		h.clock.Advance(time.Second)
+		o := h.heartbeat("a1", 1)
+		if !hasCommand(o, api.CommandRun, "run-000001/0") || o.Commands[0].Attempt != st.response.Commands[0].Attempt {
+			t.Fatalf("want the same attempt again, got %+v", o.Commands)
+		}
+		h.heartbeat("b1", 1)
+		h.Place()
+		h.commit()
+	}
+	for _, x := range h.starts("run-000001/0") {
+		if x.machine != "a1" {
+			t.Errorf("started on %s as well", x.machine)
+		}
+	}
+}
+
+// A clear makes the worker forget the attempt; a start of it that is still
+// under way would run it again.
+func TestClearWaitsForOpenStart(t *testing.T) {
+	h := newHarness(t)
+	st := h.submitAndStart("run-000001")
+	a := st.response.Commands[0].Attempt
+	o := h.heartbeat("a1", 1, taskReport("run-000001/0", a, api.TaskExited, api.CauseStopped))
+	if hasCommand(o, api.CommandClear, "run-000001/0") {
+		t.Fatal("cleared while its start was unanswered")
+	}
+	h.CommandsAnswered("a1", st.response, nil, true)
+	if o = h.heartbeat("a1", 1, taskReport("run-000001/0", a, api.TaskExited, api.CauseStopped)); !hasCommand(o, api.CommandClear, "run-000001/0") {
+		t.Error("not cleared after the answer")
+	}
+}
+
+// A cancel that overtakes a start: what was never sent never goes out, and what
+// was sent is killed when it shows, however late.
+func TestCancelRacingStart(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 1, nil)
+	h.Place()
+	h.Cancel(cancelledContext(), "run-000001")
+	h.commit()
+	if n := len(h.starts("run-000001/0")); n != 0 {
+		t.Errorf("%d starts after the cancel", n)
+	}
+
+	h = newHarness(t)
+	st := h.submitAndStart("run-000002")
+	h.CommandsAnswered("a1", st.response, nil, false)
+	h.Cancel(cancelledContext(), "run-000002")
+	h.commit()
+	if o := h.heartbeat("a1", 1); hasCommand(o, api.CommandRun, "run-000002/0") {
+		t.Error("a cancelled task was started again")
+	}
+	if o := h.heartbeat("a1", 1, taskReport("run-000002/0", st.response.Commands[0].Attempt, api.TaskFetching, "")); !hasCommand(o, api.CommandKill, "run-000002/0") {
+		t.Error("a late start was not killed")
+	}
+	if h.terminalStates["run-000002"].State != api.Cancelled {
+		t.Error("not on record as cancelled")
+	}
+}
+
+// A task that was done just before the leader crashed: the new one hears of it,
+// stores it before it clears it, and does not run it again.
+func TestDoneJustBeforeCrash(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 2, nil)
+	h.Place()
+	h.commit()
+	at := h.starts("run-000001/0")[0].response.Commands[0].Attempt
+	at1 := h.starts("run-000001/1")[0].response.Commands[0].Attempt
+	h.elect()
+	done := taskReport("run-000001/0", at, api.TaskExited, api.CauseDone)
+	other := taskReport("run-000001/1", at1, api.TaskRunning, "")
+	if o := h.heartbeat("a1", 1, done, other); hasCommand(o, api.CommandClear, "run-000001/0") || hasCommand(o, api.CommandKill, "run-000001/1") {
+		t.Fatal("cleared before it was stored, or a running task was killed")
+	}
+	h.commit()
+	if o := h.heartbeat("a1", 1, done, other); !hasCommand(o, api.CommandClear, "run-000001/0") {
+		t.Error("not cleared once stored")
+	}
+	h.Place()
+	h.commit()
+	if len(h.starts("run-000001/0"))+len(h.starts("run-000001/1")) != 0 {
+		t.Error("run again")
+	}
+	if st, _ := h.JobStatus("run-000001"); st.State != api.Running || st.Done != 1 {
+		t.Errorf("status %+v", st)
+	}
+	h.heartbeat("a1", 1, taskReport("run-000001/1", at1, api.TaskExited, api.CauseDone))
+	if len(h.terminalStates) != 0 {
+		t.Error("done before that was stored")
+	}
+	h.commit()
+	if h.terminalStates["run-000001"].State != api.Done || h.state.Get(store.FinalKey("run-000001")) == nil || h.state.Get(store.JobKey("run-000001")) != nil || h.state.Get(store.ShardOf("run-000001", 0, tuning.ShardTasks).Key()) != nil {
+		t.Error("the job was not filed")
+	}
+	// A late repeat must not bring it back to life.
+	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Tasks: 1, Shape: api.JobArray, Team: "t"}, h.clock.Now())
+	h.commit()
+	if h.state.Get(store.JobKey("run-000001")) != nil {
+		t.Error("a job that is over was accepted again")
+	}
+}
+
+// A cancellation is confirmed once no start is under way any more that its worker may still execute, or after a
+// second: it is stopped then all the same.
+func TestCancellationWaitsForStartsUnderWay(t *testing.T) {
+	for _, answered := range []bool{true, false} {
+		h := newHarness(t)
+		start := h.submitAndStart("run-000001")
+		alloc := h.jobs["run-000001"].allocations[0]
+		h.Cancel(cancelledContext(), "run-000001")
+		h.commit()
+		// Nobody waits for these any more.
+		h.clock.Advance(tuning.AcceptWait)
+		got := make(chan peer.Response, 1)
+		waiting, confirmed := context.WithCancel(context.Background())
+		go func() {
+			a, _ := h.Cancel(context.Background(), "run-000001")
+			got <- a
+			confirmed()
+		}()
+		if err := h.clock.BlockUntilContext(waiting, 1); err != nil {
+			t.Fatal("confirmed while a start is under way")
+		}
+		if answered {
+			r := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: h.nextSeq("a1"), Term: h.term, Tasks: []api.TaskReport{taskReport(alloc.key, alloc.attempt, api.TaskRunning, "")}}
+			h.CommandsAnswered("a1", start.response, r, true)
+		} else {
+			h.clock.Advance(tuning.CancelStartWait)
+		}
+		if a := <-got; a.Status != 200 || !strings.Contains(string(a.Body), api.Cancelled) {
+			t.Errorf("answered %v: %d %s", answered, a.Status, a.Body)
+		}
+	}
+}
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -10,7 +10,7 @@
 
 // Whatever a cut-off controller does, a cancelled task's machine is returned in time: the
 // cloud's answer proves that it is gone. Machines of the same silent zone without such a
-// all are left alone, and so is one that says itself that it is gone.
+// task are left alone, and so is one that says itself that it is gone.
 func TestCancelledTaskBehindACutIsGoneInTime(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		h := newHarness(t)
--- a/scheduler/relayed_workers_test.go
+++ b/scheduler/command_relay_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"testing"
 
@@ -15,6 +16,40 @@
 	"switchferry/tuning"
 )
 
+// A start that went into a relay's mail may be delivered after any report that
+// the relay passes on; only a report that comes directly proves its absence.
+func TestMailedStartIsNotProvedAbsentByRelay(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("b1", 1)
+	h.heartbeatsThrough("sib", "b1")
+	h.submit("run-000001", 1, nil)
+	h.Place()
+	h.commit()
+	m := h.relayedCommandsFor("sib", "b1")
+	if len(m.Commands) != 1 || m.Commands[0].Verb != api.CommandRun || len(h.starts("run-000001/0")) != 0 {
+		t.Fatalf("mail %+v, direct starts %d", m, len(h.starts("run-000001/0")))
+	}
+	h.Cancel(cancelledContext(), "run-000001")
+	h.commit()
+	h.heartbeatsThrough("sib", "b1")
+	if len(h.jobs["run-000001"].allocations) != 1 {
+		t.Fatal("a relayed report was taken for a proof")
+	}
+	h.heartbeat("b1", 1)
+	h.commit()
+	if h.jobs["run-000001"] != nil {
+		t.Error("a direct report was not taken for a proof")
+	}
+	if m := h.relayedCommandsFor("sib", "b1"); len(m.Commands) != 0 {
+		t.Errorf("still in the mail: %+v", m)
+	}
+	// Reports for another term's leader are not ours to use.
+	raw, _ := json.Marshal(relay.Packet{Term: h.term - 1, Packed: "x"})
+	exchange.UnpackEvents([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, h.term, &relay.Reassembler{}, func(string, relay.Message) {
+		t.Error("took reports of another term")
+	})
+}
+
 // Workers behind a cut are carried whatever their number: each report reaches the leader,
 // and each command its worker, within the limits of the state service.
 func TestManyWorkersBehindACut(t *testing.T) {
--- a/scheduler/dataremove_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -131,8 +131,6 @@
 	}
 }
 
-func (h *harness) client() *store.Client { return store.NewClient("state:1", h.state) }
-
 // Jobs with many inputs are stored in transactions that keep the limit of conditions.
 func TestManyInputsKeepTheLimitOfConditions(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
--- a/scheduler/data_test.go
+++ b/scheduler/datasets_test.go
@@ -24,21 +24,6 @@
 	agents map[string]*fakeAgent
 }
 
-// fakeAgent is an agent: it refuses old orders, and copies what it is ordered to when the
-// test lets it.
-type fakeAgent struct {
-	name        string
-	seq         uint64
-	term, order uint64
-	sets        []api.StageSet
-	held        *roaring.Bitmap
-	full        bool
-	refused     int
-	// version is that of what it holds, known the one that it was told is known.
-	version, known uint64
-	drop           []string
-}
-
 func newDataHarness(t *testing.T, place string) *dataHarness {
 	h := &dataHarness{harness: newHarness(t), place: place, agents: map[string]*fakeAgent{}}
 	h.enable()
@@ -62,6 +47,55 @@
 	h.enable()
 }
 
+// addAgent brings up a machine and its agent, which holds some parts.
+func (h *dataHarness) addAgent(name string, parts ...uint32) *fakeAgent {
+	h.heartbeat(name, 1)
+	agent := &fakeAgent{name: name, held: roaring.BitmapOf(parts...)}
+	h.agents[name] = agent
+	h.agentHeartbeat(agent)
+	return agent
+}
+
+func (h *dataHarness) agentHeartbeat(agent *fakeAgent) {
+	h.Helper()
+	agent.seq++
+	if o, _, refused := h.HandleStageHeartbeat(agent.stageReport()); !refused {
+		agent.apply(o)
+	}
+}
+
+// round lets everybody report, and places.
+func (h *dataHarness) round() {
+	h.clock.Advance(300 * time.Millisecond)
+	for _, name := range []string{"a1", "a2", "b1"} {
+		if agent := h.agents[name]; agent != nil {
+			h.agentHeartbeat(agent)
+		}
+	}
+	h.Place()
+	h.commit()
+}
+
+// workerHeartbeat keeps a machine heard, with what it runs.
+func (h *dataHarness) workerHeartbeat(name string, tasks ...api.TaskReport) {
+	h.heartbeat(name, 1, tasks...)
+}
+
+// fakeAgent is an agent: it refuses old orders, and copies what it is ordered to when the
+// test lets it.
+type fakeAgent struct {
+	name        string
+	seq         uint64
+	term, order uint64
+	sets        []api.StageSet
+	held        *roaring.Bitmap
+	full        bool
+	refused     int
+	// version is that of what it holds, known the one that it was told is known.
+	version, known uint64
+	drop           []string
+}
+
 func (a *fakeAgent) apply(o api.StageOrder) {
 	if o.Term < a.term || o.Term == a.term && o.Order < a.order {
 		a.refused++
@@ -90,23 +124,6 @@
 	}
 }
 
-// addAgent brings up a machine and its agent, which holds some parts.
-func (h *dataHarness) addAgent(name string, parts ...uint32) *fakeAgent {
-	h.heartbeat(name, 1)
-	agent := &fakeAgent{name: name, held: roaring.BitmapOf(parts...)}
-	h.agents[name] = agent
-	h.agentHeartbeat(agent)
-	return agent
-}
-
-func (h *dataHarness) agentHeartbeat(agent *fakeAgent) {
-	h.Helper()
-	agent.seq++
-	if o, _, refused := h.HandleStageHeartbeat(agent.stageReport()); !refused {
-		agent.apply(o)
-	}
-}
-
 // stageReport is what the agent says now.
 func (a *fakeAgent) stageReport() *api.StageHeartbeat {
 	r := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Order: a.order, Quota: 50e9, All: true, Version: a.version,
@@ -120,23 +137,6 @@
 	return r
 }
 
-// round lets everybody report, and places.
-func (h *dataHarness) round() {
-	h.clock.Advance(300 * time.Millisecond)
-	for _, name := range []string{"a1", "a2", "b1"} {
-		if agent := h.agents[name]; agent != nil {
-			h.agentHeartbeat(agent)
-		}
-	}
-	h.Place()
-	h.commit()
-}
-
-// workerHeartbeat keeps a machine heard, with what it runs.
-func (h *dataHarness) workerHeartbeat(name string, tasks ...api.TaskReport) {
-	h.heartbeat(name, 1, tasks...)
-}
-
 func withInputs(use string) func(*api.Submission) {
 	return func(x *api.Submission) { x.Inputs = []api.Input{{Dataset: "inv", Use: use}} }
 }
@@ -479,3 +479,16 @@
 		t.Fatalf("not taken by the holder: %+v", alloc)
 	}
 }
+
+// A setting that a later revision leaves out is as the files have it again.
+func TestAheadTasksOfAConfigurationCount(t *testing.T) {
+	h := newDataHarness(t, features.Staged)
+	for _, ahead := range []int{9, 5} {
+		active := configured(t, "")
+		active.AheadTasks = &ahead
+		h.ApplyConfiguration(active)
+		if h.datasets.settings.Ahead != ahead {
+			t.Errorf("ahead %d with %d configured", h.datasets.settings.Ahead, ahead)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/dependencies_random_test.go
@@ -0,0 +1,169 @@
+package scheduler
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"switchferry/api"
+	"switchferry/lookup"
+)
+
+// Random graphs with random ends, cancellations and crashes of the leader between any two
+// writes, against a reference that recomputes everything from the records.
+func TestRandomPipelinesAgainstTheRecords(t *testing.T) {
+	graphs := 1000
+	if testing.Short() {
+		graphs = 100
+	}
+	for seed := range graphs {
+		h := newHarness(t)
+		rng := rand.New(rand.NewPCG(uint64(seed), 7))
+		run := &randomRun{harness: h, needs: map[string][]string{}, cancelled: map[string]bool{}, asked: map[string]bool{}, answered: map[string]string{}}
+		for range 30 {
+			run.step(rng)
+			run.check(seed)
+		}
+		for i := 0; i < 60 && len(run.jobs) > 0; i++ {
+			run.advance()
+		}
+		run.check(seed)
+		// A cancellation that was asked for and not answered may have come through or not.
+		gone := map[string]bool{}
+		for _, id := range run.ids {
+			want := api.Done
+			st := run.answer(id)
+			gone[id] = run.cancelled[id] || run.asked[id] && st == api.Cancelled || slices.ContainsFunc(run.needs[id], func(n string) bool { return gone[n] })
+			if gone[id] {
+				want = api.Cancelled
+			}
+			if st != want {
+				t.Fatalf("seed %d: %s is %q in the end, want %s", seed, id, st, want)
+			}
+		}
+	}
+}
+
+// randomRun is a random run: what users asked for, and what they were told.
+type randomRun struct {
+	*harness
+	ids       []string
+	needs     map[string][]string
+	cancelled map[string]bool
+	asked     map[string]bool
+	answered  map[string]string
+	checked   int
+	// recordReader answers from the records; a new one for each check, as it remembers what is over.
+	recordReader *lookup.Jobs
+	running      []api.TaskReport
+}
+
+// mustBeCancelled tells from what users were told whether a job must be withdrawn.
+func (r *randomRun) mustBeCancelled(id string) bool {
+	return r.cancelled[id] || slices.ContainsFunc(r.needs[id], r.mustBeCancelled)
+}
+
+// answer is what a user is told of a job: by the leader, or from the records.
+func (r *randomRun) answer(id string) string {
+	if st, ok := r.JobStatus(id); ok {
+		return st.State
+	}
+	if r.recordReader == nil {
+		r.recordReader = r.records()
+	}
+	st, found, err := statusOnRecord(r.recordReader, id)
+	if err != nil || !found {
+		r.Fatalf("%s: %v %v", id, found, err)
+	}
+	return st.State
+}
+
+func (r *randomRun) step(rng *rand.Rand) {
+	switch rng.IntN(9) {
+	case 0, 1, 2:
+		id := fmt.Sprintf("run-%06d", len(r.ids))
+		var on []string
+		for _, o := range r.ids {
+			if rng.IntN(3) == 0 {
+				on = append(on, o)
+			}
+		}
+		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
+		awaiting(on...)(&sub)
+		r.Submit(cancelledContext(), &sub, r.clock.Now())
+		r.commit()
+		r.ids, r.needs[id] = append(r.ids, id), on
+	case 3:
+		if len(r.ids) == 0 {
+			return
+		}
+		id := r.ids[rng.IntN(len(r.ids))]
+		r.Cancel(cancelledContext(), id)
+		r.asked[id] = true
+		if rng.IntN(2) == 0 {
+			r.committer.Step(context.Background())
+		} else {
+			r.commit()
+		}
+		if a, ok := r.Cancel(cancelledContext(), id); ok && a.Status == 200 && strings.Contains(string(a.Body), api.Cancelled) && !r.mustBeCancelled(id) {
+			r.cancelled[id] = true
+		}
+	case 4:
+		// The leader dies; what was on its way to the state service is lost.
+		r.elect()
+		r.running = nil
+	default:
+		r.advance()
+	}
+}
+
+// exchangePackets lets a machine report, and writes some of what waits.
+func (r *randomRun) advance() {
+	if len(r.UnresolvedDependencies()) > 0 {
+		r.lookUpDependencies()
+	}
+	r.heartbeat("a1", 1, r.running...)
+	r.Place()
+	r.committer.Step(context.Background())
+	r.committer.Step(context.Background())
+	r.running = nil
+	for key, alloc := range r.machineNamed("a1").allocations {
+		if alloc.committed {
+			// It completes at once.
+			r.running = append(r.running, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
+		}
+	}
+}
+
+// check finds what must never happen.
+func (r *randomRun) check(seed int) {
+	r.Helper()
+	r.recordReader = nil
+	for _, o := range r.sent[min(r.checked, len(r.sent)):] {
+		for _, c := range o.response.Commands {
+			id, _, _ := parseTaskKey(c.Task)
+			if c.Verb != api.CommandRun {
+				continue
+			}
+			for _, n := range r.needs[id] {
+				if st, _, err := statusOnRecord(r.records(), n); err != nil || st.State != api.Done {
+					r.Fatalf("seed %d: %s starts, though %s is %q on record", seed, c.Task, n, st.State)
+				}
+			}
+		}
+	}
+	r.checked = len(r.sent)
+	for _, id := range r.ids {
+		st := r.answer(id)
+		if r.mustBeCancelled(id) && st != api.Cancelled {
+			r.Fatalf("seed %d: %s is %q, though one before it was told to be cancelled", seed, id, st)
+		}
+		if was := r.answered[id]; (was == api.Done || was == api.Cancelled) && st != was {
+			r.Fatalf("seed %d: %s was %s and is %s", seed, id, was, st)
+		}
+		r.answered[id] = st
+	}
+}
--- a/scheduler/silence_test.go
+++ b/scheduler/failure_detection_test.go
@@ -11,20 +11,84 @@
 	"switchferry/tuning"
 )
 
-// heartbeatThrough plays a report that comes through a sibling.
-func (h *harness) heartbeatThrough(via, name string) {
-	h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term}, via)
+// The cloud's answer to a return proves that a silent machine's tasks are gone.
+func TestReturnOfSilentMachineFreesItsTasks(t *testing.T) {
+	h := newHarness(t)
+	h.submitAndStart("run-000001")
+	h.heartbeat("a2", 1)
+	for range 16 {
+		h.clock.Advance(time.Second)
+		h.heartbeat("a2", 1)
+		h.Place()
+	}
+	names := h.MaintainFleet()
+	if len(names) != 1 || names[0] != "a1" {
+		t.Fatalf("to be returned: %v", names)
+	}
+	h.commit()
+	if len(h.starts("run-000001/0")) != 1 {
+		t.Fatal("started elsewhere before the proof")
+	}
+	h.InstancesReleased(names, nil)
+	h.Place()
+	h.commit()
+	if got := h.starts("run-000001/0"); len(got) != 2 || got[1].machine != "a2" {
+		t.Errorf("starts %+v", got)
+	}
+	// What the machine said before, held up on the way, brings nothing back.
+	if _, _, refused := h.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 900, Term: h.term}, ""); !refused {
+		t.Error("a returned machine was taken back")
+	}
 }
 
-// maintainFor lets time pass with the leader at work: each step the named machines
-// heartbeat, then it looks after machines.
-func (h *harness) maintainFor(d time.Duration, reports func()) (returned []string) {
-	for ; d > 0; d -= tuning.MaintainEvery {
-		h.clock.Advance(tuning.MaintainEvery)
-		reports()
-		returned = append(returned, h.MaintainFleet()...)
-	}
-	return returned
+// A whole zone that is silent is more likely cut off than gone.
+func TestCutZoneIsNotReturned(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("b1", 1)
+	h.heartbeat("b2", 1)
+	if names := h.maintainFor(15*time.Second, func() { h.heartbeat("a1", 1); h.heartbeat("a2", 1) }); len(names) != 0 {
+		t.Errorf("returned %v", names)
+	}
+	// The same with most of the zone already relayed, while its controllers
+	// are out of reach: the rest is still looking for a relay.
+	h = newHarness(t)
+	for _, m := range []string{"b1", "b2", "b3"} {
+		h.heartbeat(m, 1)
+	}
+	h.unreachableZone = "b"
+	rest := func() {
+		h.heartbeat("a1", 1)
+		h.heartbeatsThrough("sib", "b2", "b3")
+	}
+	if names := h.maintainFor(15*time.Second, rest); len(names) != 0 {
+		t.Errorf("returned %v", names)
+	}
+	h.unreachableZone = ""
+	if names := h.maintainFor(5*time.Second, rest); len(names) != 1 || names[0] != "b1" {
+		t.Errorf("returned %v, want b1", names)
+	}
+}
+
+// With nothing to do, machines go back, also of teams that have a guarantee.
+func TestIdleMachinesAreReturned(t *testing.T) {
+	h := newHarness(t)
+	left := map[string]bool{}
+	for i := range 4 {
+		left[fmt.Sprintf("a%d", i)] = true
+	}
+	for range 8 * 30 * 2 {
+		h.clock.Advance(time.Second)
+		for m := range left {
+			h.heartbeat(m, 1)
+		}
+		for _, n := range h.MaintainFleet() {
+			delete(left, n)
+			h.InstancesReleased([]string{n}, nil)
+		}
+	}
+	if len(left) > 0 || len(h.InstanceRequests()) > 0 {
+		t.Errorf("%d machines kept with nothing to do", len(left))
+	}
 }
 
 // A leader that stood still heard nobody meanwhile: it gave machines up for that, the
--- /dev/null
+++ b/scheduler/harness_test.go
@@ -0,0 +1,353 @@
+package scheduler
+
+import (
+	"context"
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/api"
+	"switchferry/configuration"
+	"switchferry/internal/fake"
+	"switchferry/policy"
+	"switchferry/relay"
+	"switchferry/settings"
+	"switchferry/store"
+	"switchferry/topology"
+	"switchferry/tuning"
+)
+
+// harness is a leader on a fake clock with a scripted state service; the test
+// plays the workers and the cloud.
+type harness struct {
+	*testing.T
+	*Scheduler
+	clock          *clockwork.FakeClock
+	state          *fake.State
+	committer      *store.Committer
+	leading        bool
+	sent           []sentCommands
+	terminalStates map[string]store.FinalRecord
+	// seq is each machine's newest tally.
+	seq             map[string]uint64
+	unreachableZone string
+	answered        int
+	// topologyMap is where machines stand; nil: nothing is declared.
+	topologyMap *topology.Map
+	// limits are the state service's as the settings have them.
+	limits settings.State
+}
+
+type sentCommands struct {
+	machine  string
+	response api.HeartbeatResponse
+}
+
+var testTypes = []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 0.5, BootS: 30, Zones: []string{"a", "b"}}}
+
+func newHarness(t *testing.T) *harness {
+	clock := clockwork.NewFakeClock()
+	return (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
+}
+
+// elect begins a new term over the same state service, as after a crash.
+func (h *harness) elect() *harness {
+	h.Helper()
+	set := &settings.Settings{Member: "x"}
+	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: h.limits.Next}
+	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
+		{Name: "left", CPUs: 900, CPUsMax: 3000}, {Name: "right", CPUs: 1200, CPUsMax: 3000}}
+	term := h.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
+	client := store.NewClient("state:1", h.state)
+	h.leading, h.sent, h.answered, h.terminalStates = true, nil, 0, map[string]store.FinalRecord{}
+	hooks := Hooks{
+		MarkDirty:       func(k string, u int, f func()) { h.committer.MarkDirty(k, u, f) },
+		MarkDirtyWithin: func(k string, u int, _ time.Duration, f func()) { h.committer.MarkDirty(k, u, f) },
+		SendCommands:    func(n, _ string, o api.HeartbeatResponse) { h.sent = append(h.sent, sentCommands{n, o}) },
+		Leading:         func() bool { return h.leading },
+		CommitDelay:     func() time.Duration { return h.committer.Delay() },
+		ZoneUnreachable: func(zone string) bool { return zone == h.unreachableZone },
+		JobTerminal:     func(id string, f store.FinalRecord) { h.terminalStates[id] = f },
+		TerminalState:   func(id string) (store.FinalRecord, bool) { f, ok := h.terminalStates[id]; return f, ok },
+	}
+	h.Scheduler = New(term, h.clock, set, policy.Default(), testTypes, hooks)
+	if h.topologyMap != nil {
+		h.UseTopology(h.topologyMap)
+	}
+	h.committer = store.NewCommitter(client, harnessSource{h.Scheduler, h}, h.clock, set.Facts.State, map[string]uint64{})
+	ctx := context.Background()
+	jobs, _, err := client.List(ctx, store.JobPrefix)
+	if err != nil {
+		h.Fatal(err)
+	}
+	shards, _, err := client.List(ctx, store.ShardPrefix)
+	if err != nil {
+		h.Fatal(err)
+	}
+	images, _, err := client.List(ctx, store.ImagesPrefix)
+	if err != nil {
+		h.Fatal(err)
+	}
+	h.LoadImageHints(images)
+	for _, it := range append(append(jobs, shards...), images...) {
+		h.committer.SetRevision(it.Key, it.Revision)
+	}
+	h.Load(jobs, shards)
+	return h
+}
+
+type harnessSource struct {
+	*Scheduler
+	harness *harness
+}
+
+func (x harnessSource) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: x.term}, x.harness.leading
+}
+
+func (x harnessSource) Deposed() { x.harness.leading = false }
+
+// commit writes all that waits.
+func (h *harness) commit() {
+	for i := 0; h.committer.Pending() > 0 && i < 2000; i++ {
+		h.committer.Step(context.Background())
+		h.clock.Advance(time.Millisecond)
+	}
+}
+
+// submit stores a job.
+func (h *harness) submit(id string, tasks int, change func(*api.Submission)) {
+	h.Helper()
+	sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: tasks,
+		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30}
+	if change != nil {
+		change(&sub)
+	}
+	h.Submit(cancelledContext(), &sub, h.clock.Now())
+	h.commit()
+	if _, ok := h.JobStatus(id); !ok {
+		h.Fatalf("%s not accepted", id)
+	}
+}
+
+// nextSeq is a machine's next tally.
+func (h *harness) nextSeq(name string) uint64 {
+	h.seq[name]++
+	return h.seq[name]
+}
+
+// heartbeat plays a worker that has seen the current term.
+func (h *harness) heartbeat(name string, session uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	return h.heartbeatAt(name, session, h.nextSeq(name), h.term, tasks...)
+}
+
+func (h *harness) heartbeatAt(name string, session, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	o, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: term, Tasks: tasks}, "")
+	return o
+}
+
+// zoneOf puts machines whose name begins with b into zone b.
+func zoneOf(name string) string {
+	if name[0] == 'b' {
+		return "b"
+	}
+	return "a"
+}
+
+func taskReport(key string, attempt uint64, state, cause string) api.TaskReport {
+	return api.TaskReport{Task: key, Attempt: attempt, State: state, Cause: cause}
+}
+
+// starts are the run commands sent directly so far, newest last.
+func (h *harness) starts(key string) (out []sentCommands) {
+	for _, o := range h.sent {
+		for _, c := range o.response.Commands {
+			if c.Verb == api.CommandRun && c.Task == key {
+				out = append(out, sentCommands{o.machine, api.HeartbeatResponse{Term: o.response.Term, Incarnation: o.response.Incarnation, Commands: []api.Command{c}}})
+			}
+		}
+	}
+	return out
+}
+
+func hasCommand(o api.HeartbeatResponse, verb, key string) bool {
+	for _, c := range o.Commands {
+		if c.Verb == verb && c.Task == key {
+			return true
+		}
+	}
+	return false
+}
+
+// submitAndStart places a job of one task on a lone machine and returns its start.
+func (h *harness) submitAndStart(id string) sentCommands {
+	h.Helper()
+	h.heartbeat("a1", 1)
+	h.submit(id, 1, nil)
+	h.Place()
+	if len(h.sent) > 0 {
+		h.Fatal("a start was sent before it was stored")
+	}
+	h.commit()
+	st := h.starts(id + "/0")
+	if len(st) != 1 {
+		h.Fatalf("%d starts", len(st))
+	}
+	return st[0]
+}
+
+// cancelledContext is the context of a user who does not wait for the answer.
+func cancelledContext() context.Context {
+	ctx, stop := context.WithCancel(context.Background())
+	stop()
+	return ctx
+}
+
+// answerCommands lets the workers answer every direct command.
+func (h *harness) answerCommands() {
+	for ; h.answered < len(h.sent); h.answered++ {
+		h.CommandsAnswered(h.sent[h.answered].machine, h.sent[h.answered].response, nil, true)
+	}
+}
+
+// maintainFor lets time pass with the leader at work: each step the named machines
+// heartbeat, then it looks after machines.
+func (h *harness) maintainFor(d time.Duration, reports func()) (returned []string) {
+	for ; d > 0; d -= tuning.MaintainEvery {
+		h.clock.Advance(tuning.MaintainEvery)
+		reports()
+		returned = append(returned, h.MaintainFleet()...)
+	}
+	return returned
+}
+
+// instancesGranted plays a rental's answer.
+func (h *harness) instancesGranted(names ...string) {
+	h.instancesRequested++
+	h.InstancesGranted(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
+}
+
+// heartbeatsThrough plays reports that a sibling passes on through the state service.
+func (h *harness) heartbeatsThrough(member string, names ...string) {
+	for _, n := range names {
+		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: h.nextSeq(n), Term: h.term})
+	}
+}
+
+// heartbeatThrough plays a report that comes through a sibling.
+func (h *harness) heartbeatThrough(via, name string) {
+	h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term}, via)
+}
+
+// relayedCommandsFor is what stands in the state service for a machine behind a sibling.
+func (h *harness) relayedCommandsFor(member, name string) (m store.RelayedCommands) {
+	h.Helper()
+	var r relay.Reader
+	items, _, err := store.NewClient("state:1", h.state).List(context.Background(), store.RelayResponsePrefix+member+"/")
+	for _, it := range items {
+		var l relay.Packet
+		if err == nil {
+			err = json.Unmarshal(it.Value, &l)
+		}
+		if err == nil {
+			err = r.Apply(it.Key, it.Revision, &l)
+		}
+	}
+	if raw := r.MessageFor(h.term, name); err == nil && raw != nil {
+		err = json.Unmarshal(raw, &m)
+	}
+	if err != nil {
+		h.Fatal(err)
+	}
+	return m
+}
+
+func (h *harness) client() *store.Client { return store.NewClient("state:1", h.state) }
+
+// settleStarts places what waits, and the workers report it as running.
+func (h *harness) settleStarts() {
+	h.Place()
+	h.commit()
+	on := map[string][]api.TaskReport{}
+	for _, o := range h.sent {
+		for _, c := range o.response.Commands {
+			if c.Verb == api.CommandRun {
+				on[o.machine] = append(on[o.machine], taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
+			}
+		}
+	}
+	sent := h.sent
+	h.sent = nil
+	for _, o := range sent {
+		h.CommandsAnswered(o.machine, o.response, nil, true)
+	}
+	for name, tasks := range on {
+		h.heartbeat(name, 1, tasks...)
+	}
+}
+
+// again repeats a worker's last report.
+func (h *harness) again(name string) {
+	var tasks []api.TaskReport
+	for _, t := range h.machines[name].Tasks {
+		tasks = append(tasks, t)
+	}
+	h.heartbeat(name, 1, tasks...)
+}
+
+// state is what the leader says of a job.
+func (h *harness) status(id string) string {
+	st, ok := h.JobStatus(id)
+	if !ok {
+		if f, over := h.terminalStates[id]; over {
+			return f.State
+		}
+		return ""
+	}
+	return st.State
+}
+
+// complete runs all tasks of a job to their end on a machine.
+func (h *harness) complete(id, machine string) {
+	h.Helper()
+	h.heartbeat(machine, 1)
+	h.Place()
+	h.commit()
+	var ran, done []api.TaskReport
+	for key, alloc := range h.machines[machine].allocations {
+		if alloc.committed && alloc.job.id == id {
+			ran = append(ran, taskReport(key, alloc.attempt, api.TaskRunning, ""))
+			done = append(done, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
+		}
+	}
+	if len(done) == 0 {
+		h.Fatalf("%s did not start", id)
+	}
+	h.heartbeat(machine, 1, ran...)
+	h.heartbeat(machine, 1, done...)
+	h.commit()
+	h.heartbeat(machine, 1)
+}
+
+// awaiting makes a small job that awaits others.
+func awaiting(ids ...string) func(*api.Submission) {
+	return func(x *api.Submission) { x.Awaits, x.CPUs, x.MemoryGB = ids, 0.1, 0.1 }
+}
+
+// smallJob is a job that awaits nothing.
+var smallJob = awaiting()
+
+// configured is a configuration of one team.
+func configured(t *testing.T, text string) *configuration.Active {
+	t.Helper()
+	d, err := configuration.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d.Over(configuration.FromFiles(nil, policy.Default()), 3)
+}
+
+func oneTeam(limit string) string { return "[[teams]]\nname = \"t\"\ncpus_max = " + limit + "\n" }
--- a/scheduler/mute_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"strings"
@@ -141,34 +140,3 @@
 		t.Errorf("%d tasks count 13 s after the last report, though their leases have ended; returned %v", n, w.released)
 	}
 }
-
-// Reports that make no sense move nothing: of tasks that nobody has, with a tally that falls, of a machine that nobody
-// instancesGranted, and of an earlier session, minutes late.
-func TestReportsThatMakeNoSense(t *testing.T) {
-	h := newHarness(t)
-	w := newInboundLostWorkers(h, "a1", "a2")
-	w.run(time.Second)
-	h.submit("run-000001", 2, nil)
-	w.run(2 * time.Second)
-	where := func() (out []string) {
-		for _, i := range slices.Sorted(maps.Keys(h.jobs["run-000001"].allocations)) {
-			alloc := h.jobs["run-000001"].allocations[i]
-			out = append(out, fmt.Sprint(alloc.machine.Name, alloc.attempt, alloc.state))
-		}
-		return out
-	}
-	before, begun := where(), len(w.begun)
-	odd := func(name string, session, seq uint64, tasks ...api.TaskReport) {
-		h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: h.term, Tasks: tasks}, "")
-	}
-	for range 20 {
-		odd("a9", 1, 1, taskReport("run-000001/0", 7, api.TaskRunning, ""), taskReport("run-000001/99", 7, api.TaskRunning, ""))
-		odd("a1", 1, 1)
-		odd("a1", 0, 1<<40, taskReport("run-000001/0", 1, api.TaskExited, api.CauseStopped))
-		odd("a2", 1, 2, taskReport("none", 0, "", ""), taskReport("run-000001/-1", 1, api.TaskRunning, ""), taskReport("run-999999/0", 1, api.TaskRunning, ""), taskReport("run-000001/1/2", 1, "asleep", "?"))
-		w.run(5 * time.Second)
-	}
-	if len(before) != 2 || !slices.Equal(where(), before) || len(w.begun) != begun || slices.Contains(w.released, "a1") || slices.Contains(w.released, "a2") {
-		t.Errorf("tasks stood at %v, now at %v; returned %v", before, where(), w.released)
-	}
-}
--- a/scheduler/bench_test.go
+++ b/scheduler/placement_bench_test.go
@@ -5,27 +5,11 @@
 	"testing"
 
 	"switchferry/api"
+	"switchferry/configuration"
+	"switchferry/policy"
+	"switchferry/settings"
 )
 
-// BenchmarkPlace is one run of the placer on a full fleet with a backlog: 40
-// machines, 60 small jobs and a guest's array of 100,000 tasks.
-func BenchmarkPlace(b *testing.B) {
-	h := newHarness(&testing.T{})
-	for i := range 40 {
-		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
-	}
-	h.submit("run-900000", api.MaxTasks, nil)
-	for i := range 60 {
-		h.submit(fmt.Sprintf("run-%06d", i), 5, nil)
-	}
-	h.Place()
-	h.commit()
-	b.ReportAllocs()
-	for b.Loop() {
-		h.Place()
-	}
-}
-
 // fullFleet is a leader with many machines, all busy, and a backlog of two teams
 // with guarantees: normal arrays, and urgent ones of many small tasks.
 func fullFleet(t *testing.T, machines int) *harness {
@@ -55,25 +39,43 @@
 	return h
 }
 
-// settleStarts places what waits, and the workers report it as running.
-func (h *harness) settleStarts() {
-	h.Place()
-	h.commit()
-	on := map[string][]api.TaskReport{}
-	for _, o := range h.sent {
-		for _, c := range o.response.Commands {
-			if c.Verb == api.CommandRun {
-				on[o.machine] = append(on[o.machine], taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
-			}
-		}
+// lowRankFleet is a fleet that a guest has filled with tiny tasks of one array and of
+// many jobs, with more of them waiting, and owners' jobs beside.
+func lowRankFleet(t *testing.T, machines int) *harness {
+	h := newHarness(t)
+	for i := range machines {
+		h.heartbeat(fmt.Sprintf("a%03d", i), 1)
+	}
+	tiny := func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB, x.EstimateS = "lent", "low", 0.25, 0.9, 4 }
+	for i := range machines / 7 {
+		h.submit(fmt.Sprintf("run-%06d", i), 4, func(x *api.Submission) { x.Team, x.Image = "left", fmt.Sprintf("img-%d", i%8) })
 	}
-	sent := h.sent
-	h.sent = nil
-	for _, o := range sent {
-		h.CommandsAnswered(o.machine, o.response, nil, true)
+	h.submit("run-900000", 25000, tiny)
+	for i := range 400 {
+		h.submit(fmt.Sprintf("run-8%05d", i), 1, tiny)
 	}
-	for name, tasks := range on {
-		h.heartbeat(name, 1, tasks...)
+	for range 3 {
+		h.settleStarts()
+	}
+	return h
+}
+
+// BenchmarkPlace is one run of the placer on a full fleet with a backlog: 40
+// machines, 60 small jobs and a guest's array of 100,000 tasks.
+func BenchmarkPlace(b *testing.B) {
+	h := newHarness(&testing.T{})
+	for i := range 40 {
+		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
+	}
+	h.submit("run-900000", api.MaxTasks, nil)
+	for i := range 60 {
+		h.submit(fmt.Sprintf("run-%06d", i), 5, nil)
+	}
+	h.Place()
+	h.commit()
+	b.ReportAllocs()
+	for b.Loop() {
+		h.Place()
 	}
 }
 
@@ -102,27 +104,6 @@
 	}
 }
 
-// lowRankFleet is a fleet that a guest has filled with tiny tasks of one array and of
-// many jobs, with more of them waiting, and owners' jobs beside.
-func lowRankFleet(t *testing.T, machines int) *harness {
-	h := newHarness(t)
-	for i := range machines {
-		h.heartbeat(fmt.Sprintf("a%03d", i), 1)
-	}
-	tiny := func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB, x.EstimateS = "lent", "low", 0.25, 0.9, 4 }
-	for i := range machines / 7 {
-		h.submit(fmt.Sprintf("run-%06d", i), 4, func(x *api.Submission) { x.Team, x.Image = "left", fmt.Sprintf("img-%d", i%8) })
-	}
-	h.submit("run-900000", 25000, tiny)
-	for i := range 400 {
-		h.submit(fmt.Sprintf("run-8%05d", i), 1, tiny)
-	}
-	for range 3 {
-		h.settleStarts()
-	}
-	return h
-}
-
 // BenchmarkPlaceGuests is one run of the placer on such a fleet.
 func BenchmarkPlaceGuests(b *testing.B) {
 	h := lowRankFleet(&testing.T{}, 280)
@@ -131,3 +112,64 @@
 		h.Place()
 	}
 }
+
+// BenchmarkPlaceTeams is one run of the placer on 280 busy machines with a backlog, the same jobs owned by one team, by
+// 110 with limits and guarantees, and by 110 of which a tenth are at their limit.
+func BenchmarkPlaceTeams(b *testing.B) {
+	for _, c := range []struct {
+		name       string
+		teams      int
+		everyTenth float64
+	}{{"1 team", 1, 1e6}, {"110 teams", 110, 1e6}, {"110 teams, 11 at their limit", 110, 1}} {
+		b.Run(c.name, func(b *testing.B) {
+			h := newHarness(&testing.T{})
+			var teams []settings.Team
+			for i := range c.teams {
+				t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUs: 20, CPUsMax: 1e6}
+				if i%10 == 0 {
+					t.CPUsMax = c.everyTenth
+				}
+				teams = append(teams, t)
+			}
+			h.configuration = configuration.FromFiles(teams, policy.Default())
+			for i := range 280 {
+				h.heartbeat(fmt.Sprintf("a%03d", i), 1)
+			}
+			team := func(i int) func(*api.Submission) {
+				return func(x *api.Submission) { x.Team, x.Image = teams[i%len(teams)].Name, fmt.Sprintf("img-%d", i%8) }
+			}
+			for i := range 40 {
+				h.submit(fmt.Sprintf("run-%06d", i), 16, team(i))
+			}
+			h.settleStarts()
+			for i := range 220 {
+				h.submit(fmt.Sprintf("run-1%05d", i), 12, team(i))
+			}
+			h.Place()
+			h.commit()
+			b.ReportAllocs()
+			for b.Loop() {
+				h.Place()
+			}
+		})
+	}
+}
+
+// BenchmarkAdmit is what one submission's team, limit and machine types take to check.
+func BenchmarkAdmit(b *testing.B) {
+	for _, n := range []int{1, 110} {
+		b.Run(fmt.Sprint(n, " teams"), func(b *testing.B) {
+			var teams []settings.Team
+			for i := range n {
+				teams = append(teams, settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 1e6})
+			}
+			active := configuration.FromFiles(teams, nil)
+			submission := &api.Submission{Team: teams[n-1].Name, Shape: api.JobArray, Tasks: 1, CPUs: 1}
+			for b.Loop() {
+				if !admits(active, submission) {
+					b.Fatal("not admitted")
+				}
+			}
+		})
+	}
+}
--- a/scheduler/topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -103,6 +103,14 @@
 	return all, by
 }
 
+// finish lets a task end.
+func (y *rackHarness) finish(name, key string) {
+	attempt := y.runs[name][key]
+	delete(y.runs[name], key)
+	y.obey(name, y.heartbeat(name, 1, append(y.heartbeatTasks(name), taskReport(key, attempt, api.TaskExited, api.CauseDone))...))
+	y.commit()
+}
+
 func service(near *api.Near, survive *api.Survive) func(*api.Submission) {
 	return func(submission *api.Submission) {
 		submission.Shape, submission.EstimateS, submission.Near, submission.Survive = api.Service, 0, near, survive
@@ -331,14 +339,6 @@
 	}
 }
 
-// finish lets a task end.
-func (y *rackHarness) finish(name, key string) {
-	attempt := y.runs[name][key]
-	delete(y.runs[name], key)
-	y.obey(name, y.heartbeat(name, 1, append(y.heartbeatTasks(name), taskReport(key, attempt, api.TaskExited, api.CauseDone))...))
-	y.commit()
-}
-
 // Where a bound can no longer be kept for all replicas, as a rack has left, what runs goes on, the
 // rest waits and says why, and it heals once there is a rack again.
 func TestSurviveHealsWhenARackReturns(t *testing.T) {
--- a/scheduler/scale_test.go
+++ b/scheduler/preemption_test.go
@@ -11,6 +11,79 @@
 	"switchferry/fleet"
 )
 
+// Production takes room from lower work, in one command, and never from its
+// own rank.
+func TestPreemption(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 2, nil)
+	h.Place()
+	h.commit()
+	h.CommandsAnswered("a1", h.sent[0].response, nil, true)
+	var run []api.TaskReport
+	for i := range 2 {
+		run = append(run, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	}
+	h.heartbeat("a1", 1, run...)
+	h.sent = nil
+	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
+	h.Place()
+	h.commit()
+	var cmds []api.Command
+	for _, o := range h.sent {
+		cmds = append(cmds, o.response.Commands...)
+	}
+	o := h.heartbeat("a1", 1, run...)
+	cmds = append(cmds, o.Commands...)
+	kill, start := -1, -1
+	for i, c := range cmds {
+		if c.Verb == api.CommandKill && kill < 0 {
+			kill = i
+		}
+		if c.Verb == api.CommandRun && c.Task == "run-000002/0" {
+			start = i
+		}
+	}
+	if kill < 0 || start < kill {
+		t.Errorf("want a kill, then the start: %+v", cmds)
+	}
+	h.submit("run-000003", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 8 })
+	h.Place()
+	if h.jobs["run-000002"].allocations[0].stopping {
+		t.Error("stopped work of its own rank")
+	}
+}
+
+// A task that made room once is not stopped again while others would do, though
+// it has run the shortest each time.
+func TestSameTaskDoesNotMakeRoomAgain(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 2, nil)
+	h.Place()
+	h.commit()
+	h.answerCommands()
+	var run []api.TaskReport
+	for i := range 2 {
+		k := taskKey("run-000001", i)
+		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	}
+	h.heartbeat("a1", 1, run[0])
+	h.clock.Advance(5 * time.Second)
+	h.heartbeat("a1", 1, run...)
+	job := h.jobs["run-000001"]
+	older, younger := job.allocations[0], job.allocations[1]
+	if h.preemptionLoss(older) <= h.preemptionLoss(younger) {
+		t.Fatal("task 1 is not the younger one")
+	}
+	job.preemptions[1] = 1
+	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
+	h.Place()
+	if !older.stopping || younger.stopping {
+		t.Errorf("stopped: older %v, younger %v", older.stopping, younger.stopping)
+	}
+}
+
 // Tests of scale count work, never time. fullFleet is in bench_test.go.
 
 // On a full fleet, an array that may stop other work looks at each machine once
@@ -91,12 +164,3 @@
 		}
 	}
 }
-
-// again repeats a worker's last report.
-func (h *harness) again(name string) {
-	var tasks []api.TaskReport
-	for _, t := range h.machines[name].Tasks {
-		tasks = append(tasks, t)
-	}
-	h.heartbeat(name, 1, tasks...)
-}
--- a/scheduler/configuration_test.go
+++ b/scheduler/quotas_test.go
@@ -1,25 +1,121 @@
 package scheduler
 
 import (
+	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"switchferry/api"
-	"switchferry/configuration"
-	"switchferry/policy"
 )
 
-// configured is a configuration of one team.
-func configured(t *testing.T, text string) *configuration.Active {
-	t.Helper()
-	d, err := configuration.Parse(text)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return d.Over(configuration.FromFiles(nil, policy.Default()), 3)
+func TestTeamLimit(t *testing.T) {
+	h := newHarness(t)
+	for i := range 4 {
+		h.heartbeat(fmt.Sprintf("a%d", i), 1)
+	}
+	h.submit("run-000001", 6, func(x *api.Submission) { x.Team = "small" })
+	h.Place()
+	h.commit()
+	n := 0
+	for i := range 6 {
+		n += len(h.starts(taskKey("run-000001", i)))
+	}
+	if n != 2 {
+		t.Errorf("%d tasks of 4 processors within a limit of 8", n)
+	}
+}
+
+// For a job that waits within its team's guarantee, work of the same rank that
+// another team runs beyond its own is stopped, but not at once and never
+// production.
+func TestGuaranteeStopsBorrowedWork(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 1, nil)
+	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
+	h.Place()
+	h.commit()
+	h.answerCommands()
+	var run []api.TaskReport
+	for _, k := range []string{"run-000001/0", "run-000002/0"} {
+		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	}
+	h.heartbeat("a1", 1, run...)
+	h.submit("run-000003", 2, func(x *api.Submission) { x.Team = "sure" })
+	h.Place()
+	if h.jobs["run-000001"].allocations[0].stopping {
+		t.Fatal("stopped at once")
+	}
+	for range 7 {
+		h.clock.Advance(time.Second)
+		h.heartbeat("a1", 1, run...)
+	}
+	h.Place()
+	if !h.jobs["run-000001"].allocations[0].stopping || len(h.jobs["run-000003"].allocations) != 1 {
+		t.Error("no room for guaranteed work")
+	}
+	if h.jobs["run-000002"].allocations[0].stopping {
+		t.Error("production was stopped")
+	}
+}
+
+// Guaranteed work takes from another team no more than that one borrowed, also
+// when many tasks wait at once and none of those being stopped is gone yet.
+func TestGuaranteeTakesNoMoreThanWasBorrowed(t *testing.T) {
+	h := newHarness(t)
+	for i := range 3 {
+		h.heartbeat(fmt.Sprintf("a%d", i), 1)
+	}
+	// "lent" runs 24 processors; 16 of them are its own.
+	h.submit("run-000001", 6, func(x *api.Submission) { x.Team = "lent" })
+	h.settleStarts()
+	h.submit("run-000002", 4, func(x *api.Submission) { x.Team = "sure" })
+	for range 8 {
+		h.clock.Advance(time.Second)
+		for i := range 3 {
+			h.again(fmt.Sprintf("a%d", i))
+		}
+		h.Place()
+	}
+	stopped := 0
+	for _, alloc := range h.jobs["run-000001"].allocations {
+		if alloc.stopping {
+			stopped++
+		}
+	}
+	if stopped != 2 {
+		t.Errorf("%d tasks stopped, want the 2 that were borrowed", stopped)
+	}
 }
 
-func oneTeam(limit string) string { return "[[teams]]\nname = \"t\"\ncpus_max = " + limit + "\n" }
+// A guaranteed job must not stop work of a higher rank, which would stop its
+// tasks in turn: on a drawn day the two did so over a thousand times.
+func TestGuaranteeAndRankDoNotStopEachOther(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 2, func(x *api.Submission) { x.Rank = "high" })
+	h.Place()
+	h.commit()
+	h.answerCommands()
+	var run []api.TaskReport
+	for i := range 2 {
+		k := taskKey("run-000001", i)
+		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	}
+	h.submit("run-000002", 2, func(x *api.Submission) { x.Team = "sure" })
+	for range 12 {
+		h.clock.Advance(time.Second)
+		h.heartbeat("a1", 1, run...)
+		h.Place()
+		h.commit()
+	}
+	for _, alloc := range h.jobs["run-000001"].allocations {
+		if alloc.stopping {
+			t.Errorf("%s was stopped by work of lower rank", alloc.key)
+		}
+	}
+}
 
 // A limit that sinks below what runs: nothing new starts, and what runs is left, or stopped if the document says so,
 // the lowest rank first. explain says why others wait; a job that the limit can never serve stays known.
--- a/scheduler/boot_test.go
+++ b/scheduler/scaling_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -10,10 +11,64 @@
 	"switchferry/tuning"
 )
 
-// instancesGranted plays a rental's answer.
-func (h *harness) instancesGranted(names ...string) {
-	h.instancesRequested++
-	h.InstancesGranted(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
+// TestRentsInOutage that are gone are replaced at once, also while the state service is
+// out: they take long to boot.
+func TestRentsInOutage(t *testing.T) {
+	h := newHarness(t)
+	for i := range 12 {
+		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
+	}
+	h.submit("run-000001", 14, nil)
+	h.clock.Advance(5 * time.Second)
+	for i := range 12 {
+		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
+	}
+	if r := h.InstanceRequests(); len(r) != 0 {
+		t.Fatalf("rented %+v with enough machines", r)
+	}
+	h.leading = false
+	for range 8 {
+		h.clock.Advance(time.Second)
+		for i := range 6 {
+			h.heartbeat(fmt.Sprintf("a%02d", i), 1)
+		}
+	}
+	if r := h.InstanceRequests(); len(r) == 0 {
+		t.Error("nothing rented for machines that are gone")
+	}
+}
+
+// What jobs ask for is counted in processors, also before the catalog is read.
+func TestDemandWithoutCatalog(t *testing.T) {
+	h := newHarness(t)
+	h.submit("run-000001", 3, func(x *api.Submission) { x.CPUs, x.MemoryGB = 4, 8 })
+	h.Scheduler.machineTypes = map[string]*api.MachineType{}
+	if all, _ := h.demand(); all != 12 {
+		t.Errorf("%v processors for 3 tasks of 4", all)
+	}
+}
+
+// A fleet with room to spare had no machine on which a job may run, and none was rented: rentals looked
+// at processors in all. One is, once, and not again while it boots.
+func TestMachineIsRentedForAJobThatNoneCanServe(t *testing.T) {
+	h := newHarness(t)
+	for i := range 5 {
+		h.heartbeat(fmt.Sprintf("a%d", i), 1)
+	}
+	h.submit("run-000001", 1, func(x *api.Submission) { x.Zone = "b" })
+	h.maintainFor(4*time.Second, func() {
+		for i := range 5 {
+			h.heartbeat(fmt.Sprintf("a%d", i), 1)
+		}
+	})
+	rs := h.InstanceRequests()
+	if len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 1 {
+		t.Fatalf("rented %+v", rs)
+	}
+	h.InstancesGranted(rs[0], []string{"b1"}, nil)
+	if again := h.InstanceRequests(); len(again) != 0 {
+		t.Errorf("rented again: %+v", again)
+	}
 }
 
 // Fleet-wide lateness: a whole batch was returned after three boot times, just before
--- /dev/null
+++ b/scheduler/starvation_test.go
@@ -0,0 +1,100 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"switchferry/api"
+)
+
+// flood lets time pass with machines full of a stream of small tasks of 20 s each that never ends: each
+// that is done is followed by another job. It gives when a task of the job was first given a machine.
+func (h *harness) flood(machines int, id string, most time.Duration, small func(*api.Submission), stop func() bool) (began time.Duration) {
+	from := h.clock.Now()
+	type run struct {
+		key     string
+		attempt uint64
+		ends    time.Time
+	}
+	on := map[string][]run{}
+	for began = -1; h.clock.Since(from) < most && !stop(); {
+		for h.waiting("s") < 20*machines {
+			h.submit(fmt.Sprintf("run-%06d", 1000+h.nextSeq("jobs")), 3, func(x *api.Submission) {
+				x.Class, x.CPUs, x.MemoryGB, x.EstimateS, x.DeadlineS = "s", 1, 1, 20, 120
+				small(x)
+			})
+		}
+		h.Place()
+		h.commit()
+		h.Scheduler.Committed()
+		for ; h.answered < len(h.sent); h.answered++ {
+			o := h.sent[h.answered]
+			for _, c := range o.response.Commands {
+				if c.Verb == api.CommandRun {
+					on[o.machine] = append(on[o.machine], run{c.Task, c.Attempt, h.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
+				}
+			}
+			h.CommandsAnswered(o.machine, o.response, nil, true)
+		}
+		h.clock.Advance(500 * time.Millisecond)
+		for i := range machines {
+			m, keep := fmt.Sprintf("a%d", i), []run(nil)
+			var all []api.TaskReport
+			for _, r := range on[m] {
+				if h.clock.Now().After(r.ends) {
+					all = append(all, taskReport(r.key, r.attempt, api.TaskExited, api.CauseDone))
+				} else {
+					keep = append(keep, r)
+					all = append(all, taskReport(r.key, r.attempt, api.TaskRunning, ""))
+				}
+			}
+			on[m] = keep
+			h.heartbeat(m, 1, all...)
+		}
+		if job := h.jobs[id]; began < 0 && (job == nil || len(job.allocations) > 0 && (job.Job.Shape != api.Gang || len(job.allocations) == job.taskCount)) {
+			began = h.clock.Since(from)
+		}
+	}
+	return began
+}
+
+func (h *harness) waiting(class string) (n int) {
+	for _, job := range h.jobOrder {
+		if job.Job.Class == class {
+			n += len(job.pending) + job.queued
+		}
+	}
+	return n
+}
+
+// While small jobs never stop coming, jobs that need a whole machine, many of them at once, or much
+// work, and those of rank low never began: what ended made room for a smaller task at once, and those
+// that can still be in time went first. Each begins within the four minutes that users bear, and what is
+// kept for it does not stop the others.
+func TestNobodyStarves(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		job  func(*api.Submission)
+		// small changes what comes all the time.
+		small func(*api.Submission)
+		tasks int
+	}{
+		{"a task as large as a machine", func(x *api.Submission) { x.CPUs = 8 }, func(*api.Submission) {}, 2},
+		{"rank low", func(x *api.Submission) { x.CPUs, x.Rank = 1, "low" }, func(*api.Submission) {}, 3},
+		{"rank low among high, as large as a machine", func(x *api.Submission) { x.CPUs, x.Rank = 8, "low" }, func(x *api.Submission) { x.Rank = "high" }, 1},
+		{"a huge array that is late", func(x *api.Submission) { x.CPUs, x.EstimateS, x.DeadlineS = 4, 100, 50 }, func(x *api.Submission) { x.DeadlineS = 300 }, 3000},
+		{"a gang of most of the fleet", func(x *api.Submission) { x.Shape, x.CPUs = api.Gang, 8 }, func(*api.Submission) {}, 5},
+	} {
+		h := newHarness(t)
+		for i := range 6 {
+			h.heartbeat(fmt.Sprintf("a%d", i), 1)
+		}
+		h.flood(6, "", 40*time.Second, c.small, func() bool { return false })
+		h.submit("run-000001", c.tasks, func(x *api.Submission) { x.Class, x.EstimateS, x.MemoryGB = "l", 60, 1; c.job(x) })
+		at := h.flood(6, "run-000001", 300*time.Second, c.small, func() bool { j := h.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
+		if at < 0 || at > 240*time.Second {
+			t.Errorf("%s: began after %v", c.name, at)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/takeover_test.go
@@ -0,0 +1,145 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/internal/fake"
+	"switchferry/settings"
+)
+
+// A new leader starts nothing that a machine which it has not heard may run.
+func TestNewLeaderWaitsForUnheardMachine(t *testing.T) {
+	h := newHarness(t)
+	st := h.submitAndStart("run-000001")
+	h.elect()
+	h.heartbeat("b1", 1)
+	h.Place()
+	h.commit()
+	if len(h.starts("run-000001/0")) != 0 {
+		t.Fatal("started twice")
+	}
+	// A report from before our term proves nothing: an old command may follow.
+	h.heartbeatAt("a1", 1, 500, st.response.Term)
+	h.Place()
+	h.commit()
+	if len(h.starts("run-000001/0")) != 0 {
+		t.Fatal("an old report was taken for a proof")
+	}
+	h.heartbeatAt("a1", 1, 501, h.term)
+	h.Place()
+	h.commit()
+	got := h.starts("run-000001/0")
+	if len(got) != 1 || got[0].response.Commands[0].Attempt == st.response.Commands[0].Attempt {
+		t.Errorf("want one start of a new attempt, got %+v", got)
+	}
+}
+
+// After a takeover urgent work does not wait until the fleet has reported: it goes where a
+// machine was heard, by stopping what lies there if need be, and what is recorded on the others
+// stays theirs.
+func TestUrgentWorkIsPlacedBeforeAllHaveReported(t *testing.T) {
+	h := newHarness(t)
+	names := []string{"a1", "a2", "a3", "b1", "b2", "b3"}
+	for _, name := range names {
+		h.heartbeat(name, 1)
+	}
+	h.submit("run-000001", 12, nil)
+	h.Place()
+	h.commit()
+	first := h.sent
+	h.elect()
+	h.submit("run-000002", 1, func(j *api.Submission) { j.Rank, j.Shape, j.EstimateS = "prod", api.Service, 0 })
+	// One machine of six comes back, with both its tasks.
+	var tasks []api.TaskReport
+	for _, o := range first {
+		for _, c := range o.response.Commands {
+			if o.machine == "b2" {
+				tasks = append(tasks, taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
+			}
+		}
+	}
+	if len(tasks) != 2 {
+		t.Fatalf("b2 has %d tasks", len(tasks))
+	}
+	h.heartbeat("b2", 1, tasks...)
+	h.Place()
+	h.commit()
+	stopped := h.heartbeat("b2", 1, tasks...)
+	i := slices.IndexFunc(tasks, func(x api.TaskReport) bool { return hasCommand(stopped, api.CommandKill, x.Task) })
+	if i < 0 {
+		t.Fatalf("nothing is stopped for it: %+v", stopped)
+	}
+	tasks[i].State, tasks[i].Cause = api.TaskExited, api.CauseStopped
+	h.heartbeat("b2", 1, tasks...)
+	h.Place()
+	h.commit()
+	if o := h.heartbeat("b2", 1, tasks[1-i]); len(h.starts("run-000002/0")) != 1 && !hasCommand(o, api.CommandRun, "run-000002/0") {
+		t.Errorf("not started on the machine that was heard: %+v, %+v", o, h.sent)
+	}
+	for _, o := range h.sent {
+		for _, c := range o.response.Commands {
+			if c.Verb == api.CommandRun && c.Task != "run-000002/0" {
+				t.Errorf("%s is started on %s, and may run on a machine that was not heard", c.Task, o.machine)
+			}
+		}
+	}
+}
+
+// After a takeover all that does not wait for a job over since before is placed at once; what
+// does starts when that is looked up.
+func TestTakeoverPlacesBeforeAllIsLookedUp(t *testing.T) {
+	h := newHarness(t)
+	h.submit("run-000001", 1, smallJob)
+	h.submit("run-000002", 1, awaiting("run-000001"))
+	h.complete("run-000001", "a1")
+	h.submit("run-000003", 1, func(x *api.Submission) { smallJob(x); x.Rank = "high" })
+	h.elect()
+	h.heartbeat("a1", 1)
+	h.Place()
+	if len(h.jobs["run-000003"].allocations) != 1 || len(h.jobs["run-000002"].allocations) != 0 || !slices.Equal(h.UnresolvedDependencies(), []string{"run-000001"}) {
+		t.Fatalf("before the look-up: %d of the urgent one, %d of the one that waits, missing %v",
+			len(h.jobs["run-000003"].allocations), len(h.jobs["run-000002"].allocations), h.UnresolvedDependencies())
+	}
+	h.lookUpDependencies()
+	h.Place()
+	if len(h.jobs["run-000002"].allocations) != 1 || len(h.UnresolvedDependencies()) > 0 {
+		t.Error("after it the other does not start")
+	}
+	if f := h.terminalStates["run-000001"]; f.Tasks != 1 {
+		t.Errorf("of the job that was looked up %+v is remembered", f)
+	}
+}
+
+// The limits sink while a new leader takes over: what it writes from the first is within them.
+func TestLimitsSinkDuringTakeover(t *testing.T) {
+	h := newHarness(t)
+	for i := range 20 {
+		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
+	}
+	h.submit("run-000001", 120, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
+	h.submit("run-000002", 1, awaiting("run-000001"))
+	h.Place()
+	h.commit()
+	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
+	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
+	h.elect()
+	h.UseCurrentFormat()
+	for i := range 20 {
+		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
+	}
+	h.imagesChanged = true
+	h.storeImageHints(h.clock.Now().Add(time.Hour))
+	h.Place()
+	h.Cancel(cancelledContext(), "run-000001")
+	h.commit()
+	if r := h.state.Refusals(); len(r) > 0 || h.state.Largest.Ops > 12 {
+		t.Errorf("refused %v", r)
+	}
+	if st := h.status("run-000002"); st != api.Cancelled {
+		t.Errorf("the job behind it is %q", st)
+	}
+}
--- a/scheduler/mistake_test.go
+++ b/scheduler/task_failures_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -9,6 +10,45 @@
 	"switchferry/tuning"
 )
 
+// A machine on which tasks of several jobs fail gets no more work; a job that
+// fails on every machine is paced.
+func TestSickMachineAndBadJob(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	for i := 1; i <= 3; i++ {
+		id := fmt.Sprintf("run-%06d", i)
+		h.submit(id, 1, nil)
+		h.Place()
+		h.commit()
+		h.answerCommands()
+		if st := h.starts(id + "/0"); len(st) > 0 {
+			h.heartbeat("a1", 1, taskReport(id+"/0", st[0].response.Commands[0].Attempt, api.TaskExited, api.CauseError))
+			h.answerCommands()
+		}
+	}
+	if names := h.MaintainFleet(); len(names) != 1 {
+		t.Errorf("suspect machines: %v", names)
+	}
+
+	h = newHarness(t)
+	h.submit("run-000009", 1, nil)
+	for i := range 10 {
+		h.heartbeat(fmt.Sprintf("a%d", i), 1)
+		before := len(h.starts("run-000009/0"))
+		h.Place()
+		h.commit()
+		h.answerCommands()
+		if st := h.starts("run-000009/0"); len(st) > before {
+			last := st[len(st)-1]
+			h.heartbeat(last.machine, 1, taskReport("run-000009/0", last.response.Commands[0].Attempt, api.TaskExited, api.CauseError))
+			h.answerCommands()
+		}
+	}
+	if n := len(h.starts("run-000009/0")); n > 4 || len(h.MaintainFleet()) != 0 {
+		t.Errorf("a job that always fails was started %d times at once", n)
+	}
+}
+
 // runTasks lets all machines report; what was started runs, or fails if bad says so.
 func (h *harness) runTasks(bad func(machine, job string) bool) {
 	for _, m := range h.sortedMachines() {
@@ -41,7 +81,7 @@
 }
 
 // Two jobs with a mistake failed on the same machines, which were returned for it with
-// workers that worked on them.
+// all that worked on them.
 func TestMistakenJobsDoNotCondemnMachines(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4"} {
