--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -65,7 +65,7 @@
 
 func newWireEnd(t *testing.T, conn net.Conn) *wireEnd {
 	t.Helper()
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() }) // it may be closed already
 	if err := conn.SetDeadline(time.Now().Add(frameWait)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/golden/http_test.go
+++ b/internal/golden/http_test.go
@@ -135,7 +135,7 @@
 func exchange(handler http.Handler, seen *recorder, method, path, body string) string {
 	seen.last = ""
 	w := httptest.NewRecorder()
-	handler.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	handler.ServeHTTP(w, httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body)))
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %s %s\n", method, path, body)
 	if seen.last != "" {
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -192,7 +192,7 @@
 		{"POST", "/stage", "", `{"helm":1873,"session":1,"order":6,"known":1,"sets":[]}`},
 		{"POST", "/stage", "", `{"helm":1873,"session":2,"order":6,"known":1,"sets":[]}`},
 	} {
-		request := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
+		request := httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body))
 		if c.bytes != "" {
 			request.Header.Set("Range", c.bytes)
 		}
--- a/scheduler/dataset_removal_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -12,22 +12,21 @@
 	"switchferry/store"
 )
 
-// state is that of a dataset on record.
-func (h *dataHarness) recorded(name string) string {
+// recordedState is the state of the dataset inv on record.
+func (h *dataHarness) recordedState() string {
 	h.Helper()
 	var x dataset.Entry
-	if err := json.Unmarshal(h.state.Get(store.DatasetKey(name)), &x); err != nil {
+	if err := json.Unmarshal(h.state.Get(store.DatasetKey("inv")), &x); err != nil {
 		h.Fatal(err)
 	}
 	return x.State
 }
 
-// listed puts inv on record, as registered.
-func (h *dataHarness) listed() *dataset.Entry {
+// register puts inv on record, as registered.
+func (h *dataHarness) register() {
 	x := &dataset.Entry{Summary: *inventory}
 	x.Stamp = h.state.Put(store.DatasetKey("inv"), x)
 	h.AddDatasets(x)
-	return x
 }
 
 // unlist takes inv off the list, as any controller does; the leader hears of it by its
@@ -45,7 +44,7 @@
 // as ever, and then the machines let its bytes go, those that come back later as well.
 func TestRemovedWithoutHarm(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
-	h.listed()
+	h.register()
 	a := h.addAgent("a1", 0, 5)
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.round()
@@ -55,8 +54,8 @@
 	h.InboxSeen(1 << 40)
 	h.MaintainFleet()
 	h.commit()
-	if got := a.copies(); h.recorded("inv") != dataset.Removing || len(got) != 1 || got[0] != 1 {
-		t.Fatalf("state %q, copies %v: the job that needs it must go on", h.recorded("inv"), got)
+	if got := a.copies(); h.recordedState() != dataset.Removing || len(got) != 1 || got[0] != 1 {
+		t.Fatalf("state %q, copies %v: the job that needs it must go on", h.recordedState(), got)
 	}
 	a.finishCopies()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", st.Attempt, api.TaskRunning, ""))
@@ -79,8 +78,8 @@
 		h.commit()
 		h.round()
 	}
-	if h.recorded("inv") != dataset.Removed || len(a.drop) != 1 || a.drop[0] != inventory.Manifest.String() {
-		t.Fatalf("state %q, agents let go %v", h.recorded("inv"), a.drop)
+	if h.recordedState() != dataset.Removed || len(a.drop) != 1 || a.drop[0] != inventory.Manifest.String() {
+		t.Fatalf("state %q, agents let go %v", h.recordedState(), a.drop)
 	}
 	a.held.Clear()
 	h.round()
@@ -96,7 +95,7 @@
 // list: such a job stands on record, though the leader has not seen it.
 func TestRemovalWaitsForWhatSiblingsAccepted(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
-	h.listed()
+	h.register()
 	rec := store.JobRecord{Job: api.Submission{ID: "run-000007", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
 		Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}, AcceptedAt: h.clock.Now().UnixMilli()}
 	at := h.state.Put(store.JobKey("run-000007"), rec)
@@ -106,7 +105,7 @@
 		h.MaintainFleet()
 		h.commit()
 	}
-	if h.recorded("inv") != dataset.Removing {
+	if h.recordedState() != dataset.Removing {
 		t.Fatal("removed under a job that is on record")
 	}
 	it, err := h.client().Get(context.Background(), store.JobKey("run-000007"))
@@ -117,7 +116,7 @@
 	h.InboxSeen(x.Stamp)
 	h.MaintainFleet()
 	h.commit()
-	if h.recorded("inv") != dataset.Removing || h.JobsUsing("inv") != 1 {
+	if h.recordedState() != dataset.Removing || h.JobsUsing("inv") != 1 {
 		t.Fatal("removed under a job that a sibling accepted")
 	}
 	h.Cancel(cancelledContext(), "run-000007")
@@ -126,7 +125,7 @@
 		h.MaintainFleet()
 		h.commit()
 	}
-	if h.recorded("inv") != dataset.Removed {
+	if h.recordedState() != dataset.Removed {
 		t.Error("not removed though nothing needs it")
 	}
 }
@@ -163,7 +162,7 @@
 func TestSubmissionRacesWithRemoval(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		h := newDataHarness(t, features.Staged)
-		h.listed()
+		h.register()
 		sub := api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
 			Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}
 		h.Submit(cancelledContext(), &sub, h.clock.Now())
@@ -177,8 +176,8 @@
 			h.MaintainFleet()
 			h.commit()
 		}
-		if h.recorded("inv") != dataset.Removed {
-			t.Errorf("told %v: %q", told, h.recorded("inv"))
+		if h.recordedState() != dataset.Removed {
+			t.Errorf("told %v: %q", told, h.recordedState())
 		}
 	}
 }
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -95,9 +95,9 @@
 			h.hooks.SendStageOrder = func(string, string, api.StageOrder) {}
 			h.roundTime = h.clock.Now()
 			h.placeByLocality(job)
-			h.Scheduler.planStaging()
+			h.planStaging()
 			for b.Loop() {
-				h.Scheduler.planStaging()
+				h.planStaging()
 			}
 		})
 	}
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -36,7 +36,7 @@
 		}
 		h.Place()
 		h.commit()
-		h.Scheduler.Committed()
+		h.Committed()
 		for ; h.answered < len(h.sent); h.answered++ {
 			o := h.sent[h.answered]
 			deaf := false
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -111,9 +112,10 @@
 	y.commit()
 }
 
-func service(near *api.Near, survive *api.Survive) func(*api.Submission) {
+// service makes a service, which survives the loss of domains as asked; nil: it need not.
+func service(survive *api.Survive) func(*api.Submission) {
 	return func(submission *api.Submission) {
-		submission.Shape, submission.EstimateS, submission.Near, submission.Survive = api.Service, 0, near, survive
+		submission.Shape, submission.EstimateS, submission.Survive = api.Service, 0, survive
 	}
 }
 
@@ -122,7 +124,7 @@
 // record alone. Once the machine is proved gone it is replaced, and not before.
 func TestSurviveIsKeptThroughSilenceAndTakeover(t *testing.T) {
 	racks := newRackHarness(t, 2, 3)
-	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	racks.round()
 	racks.round()
 	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
@@ -158,7 +160,7 @@
 func TestNearWaitsForARackThatHoldsAll(t *testing.T) {
 	racks := newRackHarness(t, 2, 2)
 	near := &api.Near{Level: "rack", Must: true}
-	racks.submit("run-000001", 1, service(nil, nil))
+	racks.submit("run-000001", 1, service(nil))
 	racks.round()
 	racks.round()
 	_, by := racks.tasksByRack("run-000001")
@@ -177,7 +179,7 @@
 	}
 	racks.submit("run-000003", 4, gang)
 	racks.submit("run-000004", 4, gang)
-	racks.submit("run-000005", 2, service(nil, nil))
+	racks.submit("run-000005", 2, service(nil))
 	for range 5 {
 		racks.round()
 	}
@@ -250,7 +252,7 @@
 // may come up in a rack of use, and not one after the other.
 func TestMachineIsRentedForAPlace(t *testing.T) {
 	racks := newRackHarness(t, 2, 3)
-	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	for range 5 {
 		racks.round()
 	}
@@ -343,7 +345,7 @@
 // rest waits and says why, and it heals once there is a rack again.
 func TestSurviveHealsWhenARackReturns(t *testing.T) {
 	racks := newRackHarness(t, 3, 2)
-	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	racks.round()
 	racks.round()
 	left := slices.Clone(racks.names[:2])
@@ -376,7 +378,7 @@
 func TestSilentRackIsOneFailure(t *testing.T) {
 	for _, returns := range []bool{true, false} {
 		racks := newRackHarness(t, 3, 3)
-		racks.submit("run-000001", 9, service(nil, &api.Survive{Level: "rack", AtMost: 3, Must: true}))
+		racks.submit("run-000001", 9, service(&api.Survive{Level: "rack", AtMost: 3, Must: true}))
 		racks.round()
 		racks.round()
 		for _, name := range racks.names[:3] {
@@ -387,9 +389,7 @@
 		}
 		began := map[string]uint64{}
 		for _, tasks := range racks.runs {
-			for key, attempt := range tasks {
-				began[key] = attempt
-			}
+			maps.Copy(began, tasks)
 		}
 		var returned []string
 		for i := range 20 {
@@ -432,7 +432,7 @@
 // lets no more in.
 func TestTopologyMovesUnderARunningReplica(t *testing.T) {
 	racks := newRackHarness(t, 2, 2)
-	racks.submit("run-000001", 3, service(nil, &api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	racks.round()
 	racks.round()
 	m, err := topology.Parse([]byte("version = 2\n[[domain]]\nname = \"r1\"\nlevel = \"rack\"\nmachines = [\"a*\"]\n"))
@@ -496,9 +496,9 @@
 				racks.quiet[racks.names[rng.IntN(len(racks.names))]] = 1 + rng.IntN(8)
 			case 3:
 				// A rack falls silent.
-				r := strings.SplitN(racks.names[rng.IntN(len(racks.names))], "-", 2)[0]
+				rack, _, _ := strings.Cut(racks.names[rng.IntN(len(racks.names))], "-")
 				for _, name := range racks.names {
-					if strings.HasPrefix(name, r+"-") {
+					if strings.HasPrefix(name, rack+"-") {
 						racks.quiet[name] = 2 + rng.IntN(6)
 					}
 				}
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -42,7 +42,7 @@
 func TestDemandWithoutCatalog(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 3, func(x *api.Submission) { x.CPUs, x.MemoryGB = 4, 8 })
-	h.Scheduler.machineTypes = map[string]*api.MachineType{}
+	h.machineTypes = map[string]*api.MachineType{}
 	if all, _ := h.demand(); all != 12 {
 		t.Errorf("%v processors for 3 tasks of 4", all)
 	}
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -27,7 +27,7 @@
 		}
 		h.Place()
 		h.commit()
-		h.Scheduler.Committed()
+		h.Committed()
 		for ; h.answered < len(h.sent); h.answered++ {
 			o := h.sent[h.answered]
 			for _, c := range o.response.Commands {
