--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,6 +1,6 @@
 // Package docs_test checks that architecture.md names what the code has: its packages with the direction of their
-// imports, its functions, types, fields and constants with the files that declare them, its keys and its log lines. After
-// code has moved between files, "go test ./docs -update" mends the links.
+// imports, its functions, types, fields and constants with the files that declare them, its keys and its log lines; and
+// that the README lists all packages. After code has moved between files, "go test ./docs -update" mends the links.
 package docs_test
 
 import (
@@ -245,3 +245,29 @@
 		}
 	}
 }
+
+func TestReadmeListsAllPackages(t *testing.T) {
+	tree := readSourceTree(t)
+	raw, err := os.ReadFile(path.Join(repositoryRoot, "README.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	listed := map[string]bool{}
+	for row := range strings.Lines(string(raw)) {
+		if cells := strings.Split(row, "|"); len(cells) > 2 {
+			for _, span := range codeSpan.FindAllStringSubmatch(cells[1], -1) {
+				listed[span[1]] = true
+			}
+		}
+	}
+	for _, directory := range slices.Sorted(maps.Keys(tree.packages)) {
+		if !listed[directory] {
+			t.Errorf("README.md: package %s is not in the first column of the table under Layout; add it", directory)
+		}
+	}
+	for _, directory := range slices.Sorted(maps.Keys(listed)) {
+		if tree.packages[directory] == nil {
+			t.Errorf("README.md: the table under Layout lists package %s, which does not exist; remove it, or write its new name", directory)
+		}
+	}
+}
