--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,6 +1,7 @@
 // Package docs_test checks that architecture.md names what the code has: its packages with the direction of their
 // imports, its functions, types, fields and constants with the files that declare them, its keys and its log lines; and
-// that the README lists all packages. After code has moved between files, "go test ./docs -update" mends the links.
+// that the README lists all packages, and that all pages but those of incidents name tests and packages' members that exist.
+// After code has moved between files, "go test ./docs -update" mends the links.
 package docs_test
 
 import (
@@ -8,6 +9,7 @@
 	"maps"
 	"os"
 	"path"
+	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -28,6 +30,7 @@
 	unqualified = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
 	repository  = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
 	fileName    = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
+	testName    = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
 	// layerRow is a row of the drawing: a layer's name, two spaces or more, and its packages.
 	layerRow = regexp.MustCompile(`^(\S+(?: \S+)*)\s{2,}(\S.*)$`)
 	// layerContinuation has more packages of the layer above it.
@@ -271,3 +274,40 @@
 		}
 	}
 }
+
+// pages are all pages but those of incidents, which keep the names of their day.
+func pages(t *testing.T) []string {
+	t.Helper()
+	found, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(found, path.Join(repositoryRoot, "README.md"), path.Join(repositoryRoot, "CONTRIBUTING.md"))
+}
+
+func TestPagesNameTestsAndSymbolsThatExist(t *testing.T) {
+	tree := readSourceTree(t)
+	tests := readTestNames(t)
+	for _, page := range pages(t) {
+		raw, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for i, line := range strings.Split(string(raw), "\n") {
+			for _, name := range testName.FindAllString(line, -1) {
+				if !tests[name] {
+					t.Errorf("%s:%d: no test or benchmark is named %s; write the name of the one that shows this now", path.Join("docs", page), i+1, name)
+				}
+			}
+			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
+				found := symbol.FindStringSubmatch(span[1])
+				if found == nil || fileName.MatchString(span[1]) || tree.packages[found[1]] == nil {
+					continue
+				}
+				if complaint := tree.checkSymbol(found[1], found[2]); complaint != "" {
+					t.Errorf("%s:%d: %s", path.Join("docs", page), i+1, complaint)
+				}
+			}
+		}
+	}
+}
--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -59,6 +59,31 @@
 	return tree
 }
 
+// readTestNames returns the names of all tests and benchmarks.
+func readTestNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(repositoryRoot, func(file string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(file, "_test.go") {
+			return err
+		}
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return fmt.Errorf("parse %s: %w", file, err)
+		}
+		for _, declaration := range parsed.Decls {
+			for _, name := range declaredNames(declaration) {
+				names[name] = true
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
 // addFile adds what one file declares, imports and logs.
 func (s *sourceTree) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
