--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -11,7 +11,7 @@
 // Whatever a cut-off controller does, a cancelled task's machine is returned in time: the
 // cloud's answer proves that it is gone. Machines of the same silent zone without such a
 // task are left alone, and so is one that says itself that it is gone.
-func TestCancelledTaskBehindACutIsGoneInTime(t *testing.T) {
+func TestCancelledTaskBehindPartitionIsGoneInTime(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		h := newHarness(t)
 		h.settings.Facts.Workers.CancelS = 47.5
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -18,7 +18,7 @@
 
 // A start that went into a relay's mail may be delivered after any report that
 // the relay passes on; only a report that comes directly proves its absence.
-func TestMailedStartIsNotProvedAbsentByRelay(t *testing.T) {
+func TestRelayedHeartbeatDoesNotDisproveRelayedStart(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("b1", 1)
 	h.heartbeatsThrough("sib", "b1")
@@ -52,7 +52,7 @@
 
 // Workers behind a cut are carried whatever their number: each report reaches the leader,
 // and each command its worker, within the limits of the state service.
-func TestManyWorkersBehindACut(t *testing.T) {
+func TestManyWorkersRelayWithinStateLimits(t *testing.T) {
 	for _, many := range []int{50, 500, 2500} {
 		h := newHarness(t)
 		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -417,7 +417,7 @@
 
 // A new leader that has heard only one agent yet gives tasks to the machines that hold
 // their inputs, as the last leader knew them; but nothing starts there on that word.
-func TestHoldingsOutliveTheLeader(t *testing.T) {
+func TestReplicaHintsOutliveTheLeader(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1")
 	h.addAgent("a2", 0, 1)
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -14,7 +14,7 @@
 
 // Random graphs with random ends, cancellations and crashes of the leader between any two
 // writes, against a reference that recomputes everything from the records.
-func TestRandomPipelinesAgainstTheRecords(t *testing.T) {
+func TestRandomDependenciesMatchRecords(t *testing.T) {
 	graphs := 1000
 	if testing.Short() {
 		graphs = 100
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -17,7 +17,7 @@
 // What a pipeline's last job must keep reaches those before it: the rank below production's, and a
 // latest start that leaves time for what lies between, in waves where the fleet is small. It does
 // so again whenever something of that changes.
-func TestLastJobPressesThoseBeforeIt(t *testing.T) {
+func TestDependenciesInheritUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 1, func(x *api.Submission) { smallJob(x); x.Rank = "low" })
@@ -72,7 +72,7 @@
 
 // A job waits until the done of all that it awaits is on record: not when the last task ends,
 // and not when the leader has decided it.
-func TestAwaitingJobStartsAfterTheRecord(t *testing.T) {
+func TestDependentStartsAfterCompletionIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, awaiting("run-000001"))
@@ -162,7 +162,7 @@
 }
 
 // A thousand jobs behind one are withdrawn as one, and written within the limits.
-func TestThousandBehindOne(t *testing.T) {
+func TestThousandDependentsOfOneJob(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000000", 1, smallJob)
 	for i := 1; i <= 1000; i++ {
--- a/scheduler/failure_detection_test.go
+++ b/scheduler/failure_detection_test.go
@@ -12,7 +12,7 @@
 )
 
 // The cloud's answer to a return proves that a silent machine's tasks are gone.
-func TestReturnOfSilentMachineFreesItsTasks(t *testing.T) {
+func TestReleaseOfSilentMachineFreesItsTasks(t *testing.T) {
 	h := newHarness(t)
 	h.submitAndStart("run-000001")
 	h.heartbeat("a2", 1)
@@ -42,7 +42,7 @@
 }
 
 // A whole zone that is silent is more likely cut off than gone.
-func TestCutZoneIsNotReturned(t *testing.T) {
+func TestPartitionedZoneIsNotReleased(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("b1", 1)
 	h.heartbeat("b2", 1)
@@ -70,7 +70,7 @@
 }
 
 // With nothing to do, machines go back, also of teams that have a guarantee.
-func TestIdleMachinesAreReturned(t *testing.T) {
+func TestIdleMachinesAreReleased(t *testing.T) {
 	h := newHarness(t)
 	left := map[string]bool{}
 	for i := range 4 {
@@ -93,7 +93,7 @@
 
 // A leader that stood still heard nobody meanwhile: it gave machines up for that, the
 // half of them that had not reported yet when the others had.
-func TestStandstillIsNoEvidenceAgainstMachines(t *testing.T) {
+func TestProcessPauseIsNotHeldAgainstMachines(t *testing.T) {
 	h := newHarness(t)
 	all := []string{"a1", "a2", "a3", "a4", "a5", "a6"}
 	for _, n := range all {
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -75,7 +75,7 @@
 // A machine that reaches no controller obeys commands: it gets nothing new, what runs there goes on elsewhere before
 // its lease ends it, and it is told from a silent one, so that it is not returned and is useful again at once. It was
 // returned after 3.2 report intervals, and its replacement took a boot.
-func TestMuteMachineGetsNoMoreWork(t *testing.T) {
+func TestMachineWithLostHeartbeatsGetsNoMoreWork(t *testing.T) {
 	h := newHarness(t)
 	w := newInboundLostWorkers(h, "a1", "a2", "a3", "a4")
 	for n := range w.reachable {
@@ -122,7 +122,7 @@
 
 // Most of a zone is mute: something stands between it and the controllers. What runs there is left alone as long as
 // its leases live, and no machine is returned; what its lease has ended is known at once by its newer session.
-func TestMuteZoneIsLeftAlone(t *testing.T) {
+func TestZoneWithLostHeartbeatsIsKept(t *testing.T) {
 	h := newHarness(t)
 	w := newInboundLostWorkers(h, "a1", "b1", "b2", "b3", "b4")
 	w.run(time.Second)
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -111,7 +111,7 @@
 // A job that comes within its team's guarantee only as earlier ones end goes
 // first in the queues, but nothing is stopped for it: two teams above their
 // guarantees stopped each other's arrays over and over.
-func TestNothingIsStoppedForJobsThatCameBeyond(t *testing.T) {
+func TestNothingIsPreemptedForJobsBeyondGuarantee(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -67,7 +67,7 @@
 // work for ever. It gets one batch, which its newer session proves lost; then nothing until it shows
 // that it hears again; and it is returned if it does not. Reports every 4 s, leases of 10 s: between
 // two of its reports it is not silent.
-func TestHalfDeafMachineIsGivenNoMoreWork(t *testing.T) {
+func TestMachineWithLostCommandsGetsNoMoreWork(t *testing.T) {
 	for _, back := range []bool{false, true} {
 		h := newHarness(t)
 		h.settings.Facts.Workers.ReportS = 4
@@ -101,7 +101,7 @@
 
 // A whole zone whose machines hear nothing is one failure: none of 40 is returned for six leases, then
 // they go a few at a time. The other zone's work goes on.
-func TestHalfDeafZoneIsOneFailure(t *testing.T) {
+func TestZoneWithLostCommandsIsOneFailure(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Facts.Workers.ReportS = 4
 	w := &outboundLostWorkers{harness: h, began: h.clock.Now(), starts: map[uint64]bool{}}
--- a/scheduler/placement_round_test.go
+++ b/scheduler/placement_round_test.go
@@ -9,9 +9,9 @@
 	"switchferry/tuning"
 )
 
-// TestSpread: at most half of the replicas, rounded up, in one zone, also while
+// TestSpreadServiceKeepsToHalfOfItsReplicasInAZone: at most half of the replicas, rounded up, in one zone, also while
 // one zone has no machine.
-func TestSpread(t *testing.T) {
+func TestSpreadServiceKeepsToHalfOfItsReplicasInAZone(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
@@ -98,7 +98,7 @@
 
 // What a machine reports must fit a record, however small the tasks are and however
 // long their ends wait to be stored and cleared.
-func TestSmallTasksDoNotOverfillAReport(t *testing.T) {
+func TestSmallTasksDoNotOverfillAHeartbeat(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 5000, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB, x.EstimateS = "low", 0.1, 0.1, 1 })
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -204,7 +204,7 @@
 
 // Where no rack has room, one of a higher rank makes it in the rack where that throws the least
 // away, as a whole or not at all.
-func TestRoomIsMadeInTheCheapestRack(t *testing.T) {
+func TestPreemptionChoosesCheapestRack(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
 		racks := newRackHarness(t, 2, 2)
 		// Both racks are full; what lies in one of them began a minute later.
@@ -250,7 +250,7 @@
 
 // A replica that may stand in none of the racks that there are gets one machine rented, which
 // may come up in a rack of use, and not one after the other.
-func TestMachineIsRentedForAPlace(t *testing.T) {
+func TestInstanceIsRequestedForADomain(t *testing.T) {
 	racks := newRackHarness(t, 2, 3)
 	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	for range 5 {
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -13,7 +13,7 @@
 
 // Production takes room from lower work, in one command, and never from its
 // own rank.
-func TestPreemption(t *testing.T) {
+func TestHigherRankPreemptsLowerRank(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, nil)
@@ -56,7 +56,7 @@
 
 // A task that made room once is not stopped again while others would do, though
 // it has run the shortest each time.
-func TestSameTaskDoesNotMakeRoomAgain(t *testing.T) {
+func TestTaskIsNotPreemptedAgain(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, nil)
@@ -109,7 +109,7 @@
 
 // The options kept in order give what a plain search of the whole fleet for
 // each task gives.
-func TestOptionsAgreeWithPlainSearch(t *testing.T) {
+func TestCandidatesAgreeWithPlainSearch(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
 		h := newHarness(t)
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -9,7 +9,7 @@
 	"switchferry/api"
 )
 
-func TestTeamLimit(t *testing.T) {
+func TestTeamStaysWithinItsLimit(t *testing.T) {
 	h := newHarness(t)
 	for i := range 4 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
@@ -29,7 +29,7 @@
 // For a job that waits within its team's guarantee, work of the same rank that
 // another team runs beyond its own is stopped, but not at once and never
 // production.
-func TestGuaranteeStopsBorrowedWork(t *testing.T) {
+func TestGuaranteePreemptsBorrowedWork(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 1, nil)
@@ -62,7 +62,7 @@
 
 // Guaranteed work takes from another team no more than that one borrowed, also
 // when many tasks wait at once and none of those being stopped is gone yet.
-func TestGuaranteeTakesNoMoreThanWasBorrowed(t *testing.T) {
+func TestGuaranteePreemptsNoMoreThanWasBorrowed(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
@@ -91,7 +91,7 @@
 
 // A guaranteed job must not stop work of a higher rank, which would stop its
 // tasks in turn: on a drawn day the two did so over a thousand times.
-func TestGuaranteeAndRankDoNotStopEachOther(t *testing.T) {
+func TestGuaranteeAndRankDoNotPreemptEachOther(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, func(x *api.Submission) { x.Rank = "high" })
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -11,7 +11,7 @@
 	"switchferry/api"
 )
 
-func TestHigherSessionProvesLoss(t *testing.T) {
+func TestNewIncarnationProvesTasksLost(t *testing.T) {
 	h := newHarness(t)
 	st := h.submitAndStart("run-000001")
 	h.CommandsAnswered("a1", st.response, nil, false)
@@ -30,7 +30,7 @@
 }
 
 // A report that was held up on the way must not undo a newer one.
-func TestLateReport(t *testing.T) {
+func TestLateHeartbeatChangesNothing(t *testing.T) {
 	h := newHarness(t)
 	st := h.submitAndStart("run-000001")
 	h.CommandsAnswered("a1", st.response, nil, true)
@@ -114,7 +114,7 @@
 
 // Reports that make no sense move nothing: of tasks that nobody has, with a tally that falls, of a machine that nobody
 // instancesGranted, and of an earlier session, minutes late.
-func TestReportsThatMakeNoSense(t *testing.T) {
+func TestInvalidHeartbeatsChangeNothing(t *testing.T) {
 	h := newHarness(t)
 	w := newInboundLostWorkers(h, "a1", "a2")
 	w.run(time.Second)
@@ -185,7 +185,7 @@
 // To a new leader a copy of what a machine said before it died is its first report. It made a machine
 // that was offered room, and that was counted as supply; a copy that the cloud's list and no record
 // bears out is forgotten, and returned is nothing.
-func TestFirstReportMayBeACopy(t *testing.T) {
+func TestFirstHeartbeatMayBeACopy(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 30, nil)
@@ -214,7 +214,7 @@
 }
 
 // What a first report of an old term lacks is no proof, whoever sends it: the task counts as there.
-func TestAbsenceIsNotBelievedFromAFirstReport(t *testing.T) {
+func TestFirstHeartbeatDoesNotProveTasksMissing(t *testing.T) {
 	h := newHarness(t)
 	st := h.submitAndStart("run-000001")
 	h.heartbeat("a1", 1, taskReport("run-000001/0", st.response.Commands[0].Attempt, api.TaskRunning, ""))
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -11,9 +11,9 @@
 	"switchferry/tuning"
 )
 
-// TestRentsInOutage that are gone are replaced at once, also while the state service is
+// TestInstancesAreRequestedDuringOutage that are gone are replaced at once, also while the state service is
 // out: they take long to boot.
-func TestRentsInOutage(t *testing.T) {
+func TestInstancesAreRequestedDuringOutage(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
 		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
@@ -50,7 +50,7 @@
 
 // A fleet with room to spare had no machine on which a job may run, and none was rented: rentals looked
 // at processors in all. One is, once, and not again while it boots.
-func TestMachineIsRentedForAJobThatNoneCanServe(t *testing.T) {
+func TestInstanceIsRequestedForUnplaceableJob(t *testing.T) {
 	h := newHarness(t)
 	for i := range 5 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
@@ -73,7 +73,7 @@
 
 // Fleet-wide lateness: a whole batch was returned after three boot times, just before
 // it came up, and another as late one was paid for.
-func TestLateBatchIsNotReturnedAsAWhole(t *testing.T) {
+func TestLateInstancesAreNotReleasedTogether(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
 	h.instancesGranted("a1", "a2", "a3")
@@ -94,7 +94,7 @@
 
 // One machine never comes up while those rented with it do: others are rented in its
 // place long before it is given up.
-func TestOvertakenMachineIsReplaced(t *testing.T) {
+func TestOvertakenInstanceIsReplaced(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
 	h.instancesGranted("a1", "a2")
--- a/scheduler/services_gangs_test.go
+++ b/scheduler/services_gangs_test.go
@@ -7,7 +7,7 @@
 )
 
 // A gang starts as a whole or not at all.
-func TestGang(t *testing.T) {
+func TestGangStartsTogether(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 3, func(x *api.Submission) { x.Shape, x.OneZone = api.Gang, true })
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -80,7 +80,7 @@
 // Behind a cut a job's inputs are copied and its tasks start: the agent's reports go to
 // the leader, and its orders come back, through the state service. Agents reported to the
 // leader alone before, and no task with inputs started until the cut ended.
-func TestInputsBehindACut(t *testing.T) {
+func TestInputsAreStagedAcrossPartition(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
 	a := &fakeAgent{name: "a1", held: roaring.New()}
@@ -119,7 +119,7 @@
 
 // The leader changes behind the cut. The old one's order is not told any more, what the
 // agent holds is told to the new one, and what may run there stays pinned.
-func TestLeaderChangesBehindACut(t *testing.T) {
+func TestFailoverDuringRelayedStaging(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
 	a := &fakeAgent{name: "a1", held: roaring.BitmapOf(0), version: 3}
@@ -156,7 +156,7 @@
 
 // An agent that holds very much, and a thousand agents at once, go through the limits of
 // the state service; so do their orders.
-func TestManyAgentsBehindACut(t *testing.T) {
+func TestManyAgentsRelayWithinStateLimits(t *testing.T) {
 	h := newPartitionHarness(t)
 	var sets []*dataset.Entry
 	for i := range 2000 {
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -12,7 +12,7 @@
 )
 
 // A new leader starts nothing that a machine which it has not heard may run.
-func TestNewLeaderWaitsForUnheardMachine(t *testing.T) {
+func TestNewLeaderWaitsForSilentMachine(t *testing.T) {
 	h := newHarness(t)
 	st := h.submitAndStart("run-000001")
 	h.elect()
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -12,7 +12,7 @@
 
 // A machine on which tasks of several jobs fail gets no more work; a job that
 // fails on every machine is paced.
-func TestSickMachineAndBadJob(t *testing.T) {
+func TestFaultyMachineAndBrokenJobAreToldApart(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	for i := 1; i <= 3; i++ {
@@ -82,7 +82,7 @@
 
 // Two jobs with a mistake failed on the same machines, which were returned for it with
 // all that worked on them.
-func TestMistakenJobsDoNotCondemnMachines(t *testing.T) {
+func TestBrokenJobsDoNotMarkMachinesFaulty(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4"} {
 		h.heartbeat(n, 1)
@@ -125,7 +125,7 @@
 
 // A faulty machine is still found: what fails there works elsewhere. And a job that met
 // it is not held back for that.
-func TestFaultyMachineIsFoundAmongMistakenJobs(t *testing.T) {
+func TestFaultyMachineIsFoundAmongBrokenJobs(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
 		h.heartbeat(n, 1)
