--- a/controller/admission.go
+++ b/controller/admission.go
@@ -108,7 +108,7 @@
 	if id == "" {
 		return job, false
 	}
-	if final, ok := s.jobs.terminalState(id); ok {
+	if final, ok := s.jobs.terminalStates.Get(id); ok {
 		return final.JobStatus(id), true
 	}
 	if sched == nil {
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -23,31 +23,18 @@
 	// records reads records of jobs, within this controller's share of reads.
 	records *lookup.Jobs
 	// terminalStates are the jobs that this controller knows to be in a terminal state.
-	terminalStates *lookup.TerminalStates
+	terminalStates terminalStates
 	// notifications are the states that it has sent to users.
 	notifications *lookup.Notifications
 }
 
 // newJobReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service.
 func newJobReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, leases *leaseRenewal) *jobReader {
-	j := &jobReader{clock: clock, leases: leases, terminalStates: lookup.NewTerminalStates(), notifications: lookup.NewNotifications()}
-	j.records = &lookup.Jobs{Client: client, Recall: j.terminalState, Remember: j.rememberTerminal, Queue: lookup.NewFairQueue(clock, limiter)}
+	j := &jobReader{clock: clock, leases: leases, terminalStates: terminalStates{lookup.NewTerminalStates(), leases}, notifications: lookup.NewNotifications()}
+	j.records = &lookup.Jobs{Client: client, Recall: j.terminalStates.Get, Remember: j.terminalStates.Remember, Queue: lookup.NewFairQueue(clock, limiter)}
 	return j
 }
 
-// rememberTerminal notes that a job is in a terminal state; a cancellation is stated to the peers from then on.
-func (j *jobReader) rememberTerminal(id string, final store.FinalRecord) {
-	if final.State == api.Cancelled {
-		j.leases.watermark.RecordCancellation(j.clock.Now(), id)
-	}
-	j.terminalStates.Remember(id, final)
-}
-
-// terminalState returns the terminal state of a job, if this controller knows that it is in one.
-func (j *jobReader) terminalState(id string) (store.FinalRecord, bool) {
-	return j.terminalStates.Get(id)
-}
-
 // answerStatus answers a request for a job's status from the state service. Waits is as for lookUp.
 func (j *jobReader) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
 	job, found, err := j.lookUp(ctx, sched, id, waits)
@@ -81,7 +68,7 @@
 	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
 	}
-	if _, over := j.terminalState(id); x.Record != nil && !over && sched != nil {
+	if _, over := j.terminalStates.Get(id); x.Record != nil && !over && sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
 		if job, ok := sched.JobStatus(id); ok {
 			return job, true, nil
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -36,7 +36,7 @@
 func TestUnissuedFencingTokenDoesNotEndTerm(t *testing.T) {
 	controller, _ := newIsolatedController(t)
 	valid := true
-	sched := scheduler.New(7, controller.clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return valid }})
+	sched := scheduler.New(7, controller.clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return valid }))
 	heartbeat := &api.Heartbeat{Machine: "a1", Zone: "a", Incarnation: 1, Seq: 1, Term: 1<<64 - 1}
 	if status, _ := controller.answerAsLeader(sched, heartbeat, ""); status != http.StatusBadRequest {
 		t.Errorf("answered %d", status)
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -9,6 +9,7 @@
 
 	"switchferry/api"
 	"switchferry/internal/fake"
+	"switchferry/lookup"
 	"switchferry/policy"
 	"switchferry/scheduler"
 	"switchferry/settings"
@@ -34,7 +35,7 @@
 	// commands are those sent directly, by task.
 	commands map[string][]api.Command
 	// terminal has the jobs that are over for good.
-	terminal map[string]store.FinalRecord
+	terminal *lookup.TerminalStates
 }
 
 // committedRecords lets the leader's committer write while it leads.
@@ -53,38 +54,21 @@
 func newLeader(t *testing.T) *testLeader {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	leader := &testLeader{T: t, clock: clock, state: fake.NewState(clock), leading: true, commands: map[string][]api.Command{}, terminal: map[string]store.FinalRecord{}}
+	leader := &testLeader{T: t, clock: clock, state: fake.NewState(clock), leading: true, commands: map[string][]api.Command{}, terminal: lookup.NewTerminalStates()}
 	set := &settings.Settings{Member: "x"}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
 	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
 	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}}
 	term := leader.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	leader.Scheduler = scheduler.New(term, clock, set, policy.Default(), testTypes, scheduler.Hooks{
-		MarkDirty: func(key string, urgency int, after func()) { leader.committer.MarkDirty(key, urgency, after) },
-		MarkDirtyWithin: func(key string, urgency int, _ time.Duration, after func()) {
-			leader.committer.MarkDirty(key, urgency, after)
-		},
-		SendCommands:    leader.recordCommands,
-		Leading:         func() bool { return leader.leading },
-		CommitDelay:     func() time.Duration { return leader.committer.Delay() },
-		ZoneUnreachable: func(string) bool { return false },
-		JobTerminal:     func(id string, final store.FinalRecord) { leader.terminal[id] = final },
-		TerminalState: func(id string) (store.FinalRecord, bool) {
-			final, ok := leader.terminal[id]
-			return final, ok
-		},
-	})
+	collaborators := testCollaborators(func() bool { return leader.leading })
+	collaborators.Records, collaborators.Sender = leaderRecords{leader}, leaderCommands{leader: leader}
+	collaborators.TerminalStates = leader.terminal
+	leader.Scheduler = scheduler.New(term, clock, set, policy.Default(), testTypes, collaborators)
 	leader.committer = store.NewCommitter(store.NewClient("state:1", leader.state), committedRecords{leader.Scheduler, leader}, clock, set.Facts.State, map[string]uint64{})
 	leader.Load(nil, nil)
 	return leader
 }
 
-func (l *testLeader) recordCommands(_, _ string, sent api.HeartbeatResponse) {
-	for _, command := range sent.Commands {
-		l.commands[command.Task] = append(l.commands[command.Task], command)
-	}
-}
-
 // commit writes all dirty records.
 func (l *testLeader) commit() {
 	for i := 0; l.committer.Pending() > 0 && i < 2000; i++ {
@@ -120,7 +104,8 @@
 	if status, ok := l.JobStatus(id); ok {
 		return status.State
 	}
-	return l.terminal[id].State
+	final, _ := l.terminal.Get(id)
+	return final.State
 }
 
 // starts returns how many run commands were sent directly for a task.
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -36,7 +36,7 @@
 		if controller.elector.Campaign(context.Background()) {
 			t.Fatal("two leaders")
 		}
-		sched := scheduler.New(term, clock, set, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return false }})
+		sched := scheduler.New(term, clock, set, controller.policy, testTypes, testCollaborators(func() bool { return false }))
 		state.Down = true
 		if controller.leases.mayRenew() {
 			t.Error("kept by a process that knows nothing")
@@ -95,7 +95,9 @@
 	knows := func(job string) bool {
 		return len(controller.leases.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
 	}
-	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{MarkDirty: func(string, int, func()) {}, Leading: func() bool { return true }, JobTerminal: controller.jobs.rememberTerminal})
+	collaborators := testCollaborators(func() bool { return true })
+	collaborators.TerminalStates = controller.jobs.terminalStates
+	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, collaborators)
 	sched.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
 		{Key: store.JobKey("run-2"), Value: []byte(`{"job":{"name_id":"run-2","parts":1},"at":1,"final":"withdrawn"}`)}}, nil)
 	if knows("run-1") || !knows("run-2") {
@@ -132,7 +134,7 @@
 	controller, clock := newIsolatedController(t)
 	controller.settings.Facts.Workers.CancelS = 40
 	controller.leases.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
-	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
+	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
 	ask := func(seq uint64) api.HeartbeatResponse {
 		status, body := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
 		response, ok := body.(api.HeartbeatResponse)
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -52,7 +52,7 @@
 	case VerbRegister, VerbRemove, VerbData:
 		return c.datasets.handle(ctx, request, forwarded)
 	}
-	if final, ok := c.jobs.terminalState(request.Job); ok && request.Verb != VerbSubmit {
+	if final, ok := c.jobs.terminalStates.Get(request.Job); ok && request.Verb != VerbSubmit {
 		return peer.JSONResponse(http.StatusOK, final.JobStatus(request.Job))
 	}
 	if sched := c.term.scheduler(); sched != nil {
@@ -79,7 +79,7 @@
 	}
 	if request.Verb == VerbSubmit {
 		_, id, _ := api.ParseSubmission(request.Body)
-		if final, ok := c.jobs.terminalState(id); ok {
+		if final, ok := c.jobs.terminalStates.Get(id); ok {
 			return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
 		}
 	}
--- a/controller/term.go
+++ b/controller/term.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"time"
 
-	"switchferry/api"
 	"switchferry/configuration/revisions"
 	"switchferry/scheduler"
 	"switchferry/settings"
@@ -43,7 +41,7 @@
 // newLeaderTerm returns a term whose loops have not begun. The context is that of the term.
 func (c *Controller) newLeaderTerm(ctx context.Context, number uint64) *leaderTerm {
 	term := &leaderTerm{controller: c}
-	term.scheduler = scheduler.New(number, c.clock, c.settings, c.policy, c.catalog.machineTypes(), term.hooks(ctx, number))
+	term.scheduler = scheduler.New(number, c.clock, c.settings, c.policy, c.catalog.machineTypes(), termCollaborators(ctx, term, number))
 	if c.features.data.On {
 		term.scheduler.UseData(c.features.data)
 	}
@@ -57,31 +55,6 @@
 	return term
 }
 
-// hooks returns what the scheduler asks of this process in the term of that number.
-func (t *leaderTerm) hooks(ctx context.Context, number uint64) scheduler.Hooks {
-	c := t.controller
-	return scheduler.Hooks{
-		MarkDirty: func(key string, urgency int, after func()) { t.committer.MarkDirty(key, urgency, after) },
-		MarkDirtyWithin: func(key string, urgency int, wait time.Duration, after func()) {
-			t.committer.MarkDirtyWithin(key, urgency, wait, after)
-		},
-		SendCommands: func(name, addr string, response api.HeartbeatResponse) {
-			go t.sendCommands(ctx, name, addr, response)
-		},
-		SendStageOrder: func(name, addr string, order api.StageOrder) {
-			go c.agents.sendOrder(ctx, t.scheduler, name, addr, order)
-		},
-		Leading: func() bool {
-			current, valid := c.elector.Term()
-			return valid && current == number
-		},
-		CommitDelay:     func() time.Duration { return t.committer.Delay() },
-		ZoneUnreachable: c.workers.zoneUnreachable,
-		JobTerminal:     c.jobs.rememberTerminal,
-		TerminalState:   c.jobs.terminalState,
-	}
-}
-
 // useCurrentFormat has the records of the term written as this version has them, once no older version may read them.
 func (t *leaderTerm) useCurrentFormat() {
 	t.scheduler.UseCurrentFormat()
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -25,7 +25,7 @@
 // the other. It resigned after 3.5 s without a report, and they found nobody.
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
 	controller, clock := newIsolatedController(t)
-	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, scheduler.Hooks{Leading: func() bool { return true }})
+	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
 	term := &leaderTerm{controller: controller, scheduler: sched}
 	step := func(wait time.Duration) (deaf bool) {
 		for ; wait > 0 && !deaf; wait -= 500 * time.Millisecond {
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -98,8 +98,8 @@
 	return w.settings.Zone
 }
 
-// zoneUnreachable reports whether no controller of another zone can be reached.
-func (w *workerRouter) zoneUnreachable(zone string) bool {
+// ZoneUnreachable reports whether no controller of another zone can be reached.
+func (w *workerRouter) ZoneUnreachable(zone string) bool {
 	reachable := false
 	for _, other := range w.settings.Peers {
 		if other.Zone == zone {
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -34,7 +34,6 @@
 	"switchferry/policy"
 	"switchferry/scheduler"
 	"switchferry/settings"
-	"switchferry/store"
 	"switchferry/tuning"
 )
 
@@ -206,26 +205,8 @@
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	types := []api.MachineType{{Name: "m", CPUs: float64(l.Slots), MemoryGB: 64, CacheGB: 3, PullGBs: 1, BootS: 1, Zones: []string{"z"}}}
-	touch := func(after func()) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.stored = append(p.stored, after)
-	}
-	p.core = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Hooks{
-		MarkDirty:       func(_ string, _ int, after func()) { touch(after) },
-		MarkDirtyWithin: func(_ string, _ int, _ time.Duration, after func()) { touch(after) },
-		SendCommands:    func(name, _ string, o api.HeartbeatResponse) { go p.send(name, o) },
-		SendStageOrder: func(name, _ string, o api.StageOrder) {
-			if m := p.machines[name]; m != nil {
-				go m.order(p.core, o)
-			}
-		},
-		Leading:         func() bool { return true },
-		CommitDelay:     func() time.Duration { return 0 },
-		ZoneUnreachable: func(string) bool { return false },
-		JobTerminal:     func(string, store.FinalRecord) {},
-		TerminalState:   func(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false },
-	})
+	p.core = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Collaborators{Records: localityRecords{p},
+		Sender: localityCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
 	p.core.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
 		PerLink: tuning.StagePerLink, AtStore: max(tuning.StageAtStore, l.Machines/2), Ahead: tuning.StageAhead})
 	p.core.Load(nil, nil)
@@ -526,3 +507,36 @@
 	}
 	return n, nil
 }
+
+// localityRecords count as stored when the experiment says so.
+type localityRecords struct{ playing *playing }
+
+// MarkDirty notes what is to be called once the record is stored.
+func (r localityRecords) MarkDirty(_ string, _ int, stored func()) {
+	r.playing.mu.Lock()
+	defer r.playing.mu.Unlock()
+	r.playing.stored = append(r.playing.stored, stored)
+}
+
+// MarkDirtyWithin is MarkDirty.
+func (r localityRecords) MarkDirtyWithin(key string, urgency int, _ time.Duration, stored func()) {
+	r.MarkDirty(key, urgency, stored)
+}
+
+// Delay returns zero: there is no limit of writes.
+func (r localityRecords) Delay() time.Duration { return 0 }
+
+// localityCommands go to the machines of the experiment.
+type localityCommands struct{ playing *playing }
+
+// SendCommands delivers commands to a worker.
+func (c localityCommands) SendCommands(machine, _ string, response api.HeartbeatResponse) {
+	go c.playing.send(machine, response)
+}
+
+// SendStageOrder delivers an order to an agent.
+func (c localityCommands) SendStageOrder(machine, _ string, order api.StageOrder) {
+	if m := c.playing.machines[machine]; m != nil {
+		go m.order(c.playing.core, order)
+	}
+}
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -19,7 +19,6 @@
 	"switchferry/policy"
 	"switchferry/scheduler"
 	"switchferry/settings"
-	"switchferry/store"
 	"switchferry/topology"
 )
 
@@ -490,16 +489,8 @@
 	for _, c := range []float64{8, 16, 32} {
 		types = append(types, api.MachineType{Name: fmt.Sprintf("m%g", c), CPUs: c, MemoryGB: 1000, CacheGB: 100, PullGBs: 1, BootS: 30, Zones: []string{"z"}})
 	}
-	p.core = scheduler.New(1, w.clock, set, policy.Default(), types, scheduler.Hooks{
-		MarkDirty:       func(_ string, _ int, after func()) { p.stored = append(p.stored, after) },
-		MarkDirtyWithin: func(_ string, _ int, _ time.Duration, after func()) { p.stored = append(p.stored, after) },
-		SendCommands:    func(name, _ string, o api.HeartbeatResponse) { p.sent = append(p.sent, order{name, o}) },
-		Leading:         func() bool { return true },
-		CommitDelay:     func() time.Duration { return 0 },
-		ZoneUnreachable: func(string) bool { return false },
-		JobTerminal:     func(string, store.FinalRecord) {},
-		TerminalState:   func(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false },
-	})
+	p.core = scheduler.New(1, w.clock, set, policy.Default(), types, scheduler.Collaborators{Records: placerRecords{p},
+		Sender: placerCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
 	if name == "topology" {
 		m, err := w.declared()
 		if err != nil {
@@ -721,3 +712,30 @@
 	}
 	return true
 }
+
+// placerRecords count as stored when the experiment says so.
+type placerRecords struct{ placer *corePlacer }
+
+// MarkDirty notes what is to be called once the record is stored.
+func (r placerRecords) MarkDirty(_ string, _ int, stored func()) {
+	r.placer.stored = append(r.placer.stored, stored)
+}
+
+// MarkDirtyWithin is MarkDirty.
+func (r placerRecords) MarkDirtyWithin(key string, urgency int, _ time.Duration, stored func()) {
+	r.MarkDirty(key, urgency, stored)
+}
+
+// Delay returns zero: there is no limit of writes.
+func (r placerRecords) Delay() time.Duration { return 0 }
+
+// placerCommands are kept until the experiment delivers them.
+type placerCommands struct{ placer *corePlacer }
+
+// SendCommands keeps commands.
+func (c placerCommands) SendCommands(machine, _ string, response api.HeartbeatResponse) {
+	c.placer.sent = append(c.placer.sent, order{machine, response})
+}
+
+// SendStageOrder is never called: there are no datasets.
+func (c placerCommands) SendStageOrder(string, string, api.StageOrder) {}
--- a/scheduler/command_relay.go
+++ b/scheduler/command_relay.go
@@ -22,7 +22,7 @@
 		Key:    key,
 		Body:   body,
 		MarkDirty: func(key string, urgency int, after func()) {
-			sched.hooks.MarkDirty(key, urgency, after)
+			sched.records.MarkDirty(key, urgency, after)
 		},
 	}
 }
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -53,7 +53,7 @@
 			commands = append(commands, killCommand(key, report.Attempt, 0))
 		}
 	}
-	if !s.hooks.Leading() || machine.releasing {
+	if !s.leadership.Leading() || machine.releasing {
 		return commands
 	}
 	for _, alloc := range machine.allocations {
@@ -136,7 +136,7 @@
 // the worker. s.mu must be held.
 func (s *Scheduler) sendDirectly(machine *machineState, commands []api.Command) {
 	machine.commandInFlight = true
-	s.hooks.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: commands})
+	s.sender.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: commands})
 }
 
 // ConnectionRefused notes that a machine refused the connection for a command.
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		if o, addr, ok := d.planner.Order(name); ok {
-			s.hooks.SendStageOrder(name, addr, o)
+			s.sender.SendStageOrder(name, addr, o)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 		s.wakePlacer()
 	}
 	o, _, ok := s.datasets.planner.Order(r.Machine)
-	if !ok || !s.loaded || !s.hooks.Leading() {
+	if !ok || !s.loaded || !s.leadership.Leading() {
 		// What runs there is not known yet, or we may not lead: nothing may be let go. An
 		// order of number 0 changes nothing.
 		o = api.StageOrder{Term: r.Term, Sets: []api.StageSet{}}
--- a/scheduler/dataset_removal.go
+++ b/scheduler/dataset_removal.go
@@ -92,7 +92,7 @@
 	for _, entry := range s.datasets.unlisted {
 		if s.removable(entry) {
 			s.datasets.removing[entry.Name] = dataset.Removing
-			s.hooks.MarkDirty(store.DatasetKey(entry.Name), store.Lazy, s.withLock(func() { s.removalStored(entry) }))
+			s.records.MarkDirty(store.DatasetKey(entry.Name), store.Lazy, s.withLock(func() { s.removalStored(entry) }))
 		}
 	}
 }
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -92,7 +92,7 @@
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			h, job := scatteredReplicas(&testing.T{}, machines, "scattered")
-			h.hooks.SendStageOrder = func(string, string, api.StageOrder) {}
+			h.sendStageOrder = func(string, api.StageOrder) {}
 			h.roundTime = h.clock.Now()
 			h.placeByLocality(job)
 			h.planStaging()
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -33,7 +33,7 @@
 // enable switches datasets on in the present term.
 func (h *dataHarness) enable() {
 	h.UseData(features.Data{On: true, Placement: h.place, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
-	h.hooks.SendStageOrder = func(name, _ string, o api.StageOrder) {
+	h.sendStageOrder = func(name string, o api.StageOrder) {
 		if agent := h.agents[name]; agent != nil {
 			agent.apply(o)
 		}
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -38,7 +38,7 @@
 		}
 		return "", true
 	}
-	f, ok := p.scheduler.hooks.TerminalState(id)
+	f, ok := p.scheduler.terminalStates.Get(id)
 	return f.State, ok
 }
 
@@ -251,7 +251,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.jobs[id] == nil {
-		s.hooks.JobTerminal(id, f)
+		s.terminalStates.Remember(id, f)
 		s.dependencies.onTerminal(id, f.State)
 	}
 }
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	for _, partition := range s.detector.Observe(now, observations, s.hooks.ZoneUnreachable) {
+	for _, partition := range s.detector.Observe(now, observations, s.zones.ZoneUnreachable) {
 		switch {
 		case partition.Domain != "":
 			slog.Info("most machines of a domain silent", "domain", partition.Domain, "machines", partition.Machines, "heard", partition.Responding)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -20,7 +20,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	s.tick(now)
-	if !s.loaded || !s.hooks.Leading() {
+	if !s.loaded || !s.leadership.Leading() {
 		return nil
 	}
 	var out []string
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -30,6 +30,8 @@
 	leading        bool
 	sent           []sentCommands
 	terminalStates map[string]store.FinalRecord
+	// sendStageOrder plays the agents; it is set with datasets on.
+	sendStageOrder func(machine string, order api.StageOrder)
 	// seq is each machine's newest tally.
 	seq             map[string]uint64
 	unreachableZone string
@@ -63,17 +65,9 @@
 	term := h.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	client := store.NewClient("state:1", h.state)
 	h.leading, h.sent, h.answered, h.terminalStates = true, nil, 0, map[string]store.FinalRecord{}
-	hooks := Hooks{
-		MarkDirty:       func(k string, u int, f func()) { h.committer.MarkDirty(k, u, f) },
-		MarkDirtyWithin: func(k string, u int, _ time.Duration, f func()) { h.committer.MarkDirty(k, u, f) },
-		SendCommands:    func(n, _ string, o api.HeartbeatResponse) { h.sent = append(h.sent, sentCommands{n, o}) },
-		Leading:         func() bool { return h.leading },
-		CommitDelay:     func() time.Duration { return h.committer.Delay() },
-		ZoneUnreachable: func(zone string) bool { return zone == h.unreachableZone },
-		JobTerminal:     func(id string, f store.FinalRecord) { h.terminalStates[id] = f },
-		TerminalState:   func(id string) (store.FinalRecord, bool) { f, ok := h.terminalStates[id]; return f, ok },
-	}
-	h.Scheduler = New(term, h.clock, set, policy.Default(), testTypes, hooks)
+	played := harnessCollaborators{h}
+	collaborators := Collaborators{Records: played, Sender: played, Leadership: played, Zones: played, TerminalStates: played}
+	h.Scheduler = New(term, h.clock, set, policy.Default(), testTypes, collaborators)
 	if h.topologyMap != nil {
 		h.UseTopology(h.topologyMap)
 	}
@@ -99,6 +93,43 @@
 	return h
 }
 
+// harnessCollaborators is what the harness plays for its scheduler.
+type harnessCollaborators struct{ harness *harness }
+
+func (c harnessCollaborators) MarkDirty(key string, urgency int, stored func()) {
+	c.harness.committer.MarkDirty(key, urgency, stored)
+}
+
+// MarkDirtyWithin writes at once, so that a test need not wait.
+func (c harnessCollaborators) MarkDirtyWithin(key string, urgency int, _ time.Duration, stored func()) {
+	c.harness.committer.MarkDirty(key, urgency, stored)
+}
+
+func (c harnessCollaborators) Delay() time.Duration { return c.harness.committer.Delay() }
+
+func (c harnessCollaborators) SendCommands(machine, _ string, response api.HeartbeatResponse) {
+	c.harness.sent = append(c.harness.sent, sentCommands{machine, response})
+}
+
+func (c harnessCollaborators) SendStageOrder(machine, _ string, order api.StageOrder) {
+	c.harness.sendStageOrder(machine, order)
+}
+
+func (c harnessCollaborators) Leading() bool { return c.harness.leading }
+
+func (c harnessCollaborators) ZoneUnreachable(zone string) bool {
+	return zone == c.harness.unreachableZone
+}
+
+func (c harnessCollaborators) Remember(id string, final store.FinalRecord) {
+	c.harness.terminalStates[id] = final
+}
+
+func (c harnessCollaborators) Get(id string) (store.FinalRecord, bool) {
+	final, ok := c.harness.terminalStates[id]
+	return final, ok
+}
+
 type harnessSource struct {
 	*Scheduler
 	harness *harness
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -63,7 +63,7 @@
 	perPart := s.machinesPerHint()
 	parts := (len(s.machines) + perPart - 1) / perPart
 	for part := range parts {
-		s.hooks.MarkDirty(key(part), store.Lazy, nil)
+		s.records.MarkDirty(key(part), store.Lazy, nil)
 	}
 }
 
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -25,7 +25,7 @@
 	default:
 		// The worker reports the exit until it is on record, so nothing is lost with this leader. Exits are written
 		// together because writing each by itself took a third of the state service's write limit.
-		s.hooks.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.CompletionBatchDelay, s.withLock(stored))
+		s.records.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.CompletionBatchDelay, s.withLock(stored))
 	}
 }
 
@@ -59,7 +59,7 @@
 	if state == api.Done && job.rank == api.RankLow {
 		urgency = job.urgency()
 	}
-	s.hooks.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() { s.onTerminalStored(job) }))
+	s.records.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() { s.onTerminalStored(job) }))
 }
 
 // setTerminal sets a job's terminal state in memory. No user may be told before it is stored. Scheduler.mu must be
@@ -77,7 +77,7 @@
 // users, dependants and waiting callbacks know. s.mu must be held.
 func (s *Scheduler) onTerminalStored(job *jobState) {
 	job.terminalStored = true
-	s.hooks.JobTerminal(job.id, job.terminalRecord(s.currentFormat))
+	s.terminalStates.Remember(job.id, job.terminalRecord(s.currentFormat))
 	job.notify()
 	for _, stored := range job.onTerminal {
 		stored()
@@ -101,11 +101,11 @@
 		return
 	}
 	job.archived = true
-	s.hooks.MarkDirty(store.FinalKey(job.id), store.Lazy, s.withLock(func() {
+	s.records.MarkDirty(store.FinalKey(job.id), store.Lazy, s.withLock(func() {
 		s.removeJob(job)
-		s.hooks.MarkDirty(store.JobKey(job.id), store.Lazy, func() {
+		s.records.MarkDirty(store.JobKey(job.id), store.Lazy, func() {
 			for shard := range job.shards {
-				s.hooks.MarkDirty(shard.Key(), store.Lazy, nil)
+				s.records.MarkDirty(shard.Key(), store.Lazy, nil)
 			}
 		})
 	}))
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -19,7 +19,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tick(s.now())
-	if !s.loaded || !s.hooks.Leading() {
+	if !s.loaded || !s.leadership.Leading() {
 		return
 	}
 	s.roundTime = s.clock.Now()
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -209,7 +209,7 @@
 	}
 	for _, key := range orphans {
 		if shard, ok := store.ParseShard(key); !ok || !s.damagedJobs[shard.Job] {
-			s.hooks.MarkDirty(key, store.Lazy, nil)
+			s.records.MarkDirty(key, store.Lazy, nil)
 		}
 	}
 	for id, placed := range placedTasks {
@@ -243,7 +243,7 @@
 // s.mu must be held.
 func (s *Scheduler) markTerminalOnRecord(job *jobState) {
 	job.terminalStored = true
-	s.hooks.JobTerminal(job.id, job.terminalRecord(s.currentFormat))
+	s.terminalStates.Remember(job.id, job.terminalRecord(s.currentFormat))
 }
 
 // resumeEnding carries on where an earlier leader was ending a job: it stops what is left of a job that is over, and
@@ -287,7 +287,7 @@
 		return
 	}
 	s.removeJob(job)
-	s.hooks.JobTerminal(id, final)
+	s.terminalStates.Remember(id, final)
 	job.notify()
 	s.dependencies.onTerminal(id, final.State)
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -39,7 +39,7 @@
 		return api.JobStatus{}, false
 	}
 	status := s.status(job)
-	return status, job.terminalStored || s.hooks.Leading()
+	return status, job.terminalStored || s.leadership.Leading()
 }
 
 // HasJob reports whether an accepted job is in memory, whether or not this controller still leads.
@@ -63,13 +63,13 @@
 	}
 	if isNew {
 		job = s.addJob(store.JobRecord{Job: *submission, AcceptedAt: now.UnixMilli()}, false)
-		s.hooks.MarkDirty(store.JobKey(submission.ID), store.Urgent, s.withLock(func() { s.markAccepted(submission.ID) }))
+		s.records.MarkDirty(store.JobKey(submission.ID), store.Urgent, s.withLock(func() { s.markAccepted(submission.ID) }))
 	}
 	accepted, changed := job.accepted, job.changed
 	s.mu.Unlock()
 
 	if !accepted && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
-		return peer.RetryLaterAfter("the record is not stored yet", s.hooks.CommitDelay()), true
+		return peer.RetryLaterAfter("the record is not stored yet", s.records.Delay()), true
 	}
 	status, ok := s.JobStatus(submission.ID)
 	if !ok {
@@ -84,7 +84,7 @@
 // refuseSubmission returns the response to a submission that cannot be taken now, or false if it can. IsNew says that
 // the job is not in memory. s.mu must be held.
 func (s *Scheduler) refuseSubmission(submission *api.Submission, isNew bool) (peer.Response, bool) {
-	delay := s.hooks.CommitDelay()
+	delay := s.records.Delay()
 	switch {
 	case isNew && delay > tuning.AcceptWait:
 		// Its user would be asked to retry before it is stored: better at once, and for when the backlog is written.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -24,31 +24,17 @@
 	"switchferry/tuning"
 )
 
-// Hooks are the core's ways out. They are called with the core's lock held and
-// must not block.
-type Hooks struct {
-	MarkDirty func(key string, urgency int, after func())
-	// MarkDirtyWithin is MarkDirty for what may wait that long to be written with other changes of its key.
-	MarkDirtyWithin func(key string, urgency int, wait time.Duration, after func())
-	SendCommands    func(name, addr string, o api.HeartbeatResponse)
-	// HandleStageHeartbeat sends an agent its order; it is used only with datasets on.
-	SendStageOrder func(name, addr string, o api.StageOrder)
-	Leading        func() bool
-	// CommitDelay is how long a new accept would wait for the state service's limit.
-	CommitDelay func() time.Duration
-	// ZoneUnreachable tells whether no controller in a zone can be reached.
-	ZoneUnreachable func(zone string) bool
-	// JobTerminal tells that a job is over for good; TerminalState is what is remembered of that.
-	JobTerminal   func(id string, f store.FinalRecord)
-	TerminalState func(id string) (store.FinalRecord, bool)
-}
-
 // Scheduler is the leader's state in one term.
 type Scheduler struct {
 	term     uint64
 	clock    clockwork.Clock
 	settings *settings.Settings
-	hooks    Hooks
+
+	records        RecordWriter
+	sender         CommandSender
+	leadership     Leadership
+	zones          ZoneMonitor
+	terminalStates TerminalStates
 
 	mu sync.Mutex
 	// configuration is what operators have configured, as it counts now; configured: it may change.
@@ -122,9 +108,10 @@
 	damagedJobs map[string]bool
 }
 
-// New makes the state of a term.
-func New(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
-	sched := &Scheduler{term: term, clock: clock, settings: set, configuration: configuration.FromFiles(set.Facts.Teams, pol), hooks: hooks,
+// New returns the state of a term, which has no records yet.
+func New(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, with Collaborators) *Scheduler {
+	sched := &Scheduler{term: term, clock: clock, settings: set, configuration: configuration.FromFiles(set.Facts.Teams, pol),
+		records: with.Records, sender: with.Sender, leadership: with.Leadership, zones: with.Zones, terminalStates: with.TerminalStates,
 		machineTypes: map[string]*api.MachineType{}, jobs: map[string]*jobState{}, machines: map[string]*machineState{},
 		releasedAt: map[string]time.Time{}, commandsReady: map[*machineState]bool{}, usage: map[string]fleet.Resources{}, stoppingUsage: map[string]fleet.Resources{}, imageHints: map[string][]fleet.Image{}, instanceRefusals: map[capacityPool]time.Time{},
 		wake: make(chan struct{}, 1), termStarted: clock.Now(), tasksPerShard: tuning.ShardTasks}
@@ -155,7 +142,7 @@
 func (s *Scheduler) TermStarted() time.Time { return s.termStarted }
 
 // Leading reports whether this controller certainly still leads in this term.
-func (s *Scheduler) Leading() bool { return s.hooks.Leading() }
+func (s *Scheduler) Leading() bool { return s.leadership.Leading() }
 
 // Wake returns a channel that receives when there is something to place before the next tick.
 func (s *Scheduler) Wake() <-chan struct{} { return s.wake }
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -6,7 +6,7 @@
 
 // markShardDirty has the shard record of a task written and calls after once it is stored. s.mu must be held.
 func (s *Scheduler) markShardDirty(job *jobState, task int, after func()) {
-	s.hooks.MarkDirty(s.shardKey(job, task), job.urgency(), after)
+	s.records.MarkDirty(s.shardKey(job, task), job.urgency(), after)
 }
 
 // shardKey returns the key of the shard record that holds a task, and notes that the record is to be written.
@@ -35,12 +35,12 @@
 		job.resharding = false
 		for _, shard := range oldShards {
 			delete(job.shards, shard)
-			s.hooks.MarkDirty(shard.Key(), store.Lazy, nil)
+			s.records.MarkDirty(shard.Key(), store.Lazy, nil)
 		}
 	}
 	for shard := range newShards {
 		job.shards[shard] = true
-		s.hooks.MarkDirty(shard.Key(), job.urgency(), s.withLock(stored))
+		s.records.MarkDirty(shard.Key(), job.urgency(), s.withLock(stored))
 	}
 	stored()
 }
--- a/scheduler/stage_relay.go
+++ b/scheduler/stage_relay.go
@@ -55,7 +55,7 @@
 // already. s.mu must be held.
 func (s *Scheduler) relayStageOrder(machine string) {
 	order, _, ok := s.datasets.planner.Order(machine)
-	if !ok || !s.loaded || !s.hooks.Leading() {
+	if !ok || !s.loaded || !s.leadership.Leading() {
 		return
 	}
 	relayed := s.datasets.relayedOrders[machine]
