--- a/controller/admission.go
+++ b/controller/admission.go
@@ -161,7 +161,7 @@
 func (s *submissionService) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
-			if here, _, _ := sched.DependencyState(id); here {
+			if pending, _, _ := sched.DependencyState(id); pending {
 				return peer.RetryLater("the job is just being accepted")
 			}
 		}
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -170,13 +170,13 @@
 	if !controller.versions.RecordOwn(context.Background()) || leader.state.Put("sf/test", 1) != stamp+1 {
 		t.Error("its mark was written again")
 	}
-	if old := controller.versions.Older(); !slices.Equal(old, []string{"z"}) {
-		t.Errorf("older %v", old)
+	if existing := controller.versions.Older(); !slices.Equal(existing, []string{"z"}) {
+		t.Errorf("older %v", existing)
 	}
 	leader.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	again := begin()
 	again.markVersion(context.Background()) // returns once it has seen all
-	if old := again.versions.Older(); len(old) > 0 {
-		t.Errorf("older %v", old)
+	if existing := again.versions.Older(); len(existing) > 0 {
+		t.Errorf("older %v", existing)
 	}
 }
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -117,10 +117,10 @@
 
 // sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with the response to the agent's
 // next heartbeat in any case.
-func (a *agentGateway) sendOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
+func (a *agentGateway) sendOrder(ctx context.Context, sched *scheduler.Scheduler, name, address string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, a.client, http.MethodPost, "http://"+addr+"/stage", order)
+	status, body, err := rest.Do(ctx, a.client, http.MethodPost, "http://"+address+"/stage", order)
 	var heartbeat api.StageHeartbeat
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
 		if err = json.Unmarshal(body, &heartbeat); err == nil {
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -54,9 +54,9 @@
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
-	asked := ""
+	waitingUser := ""
 	if waits {
-		asked = id
+		waitingUser = id
 		defer func() {
 			if err == nil {
 				j.records.Queue.Answered(id)
@@ -64,7 +64,7 @@
 		}()
 	}
 	// Requests of users must not take the share of reads that leading needs.
-	x, err := j.records.ReadInTurn(ctx, id, asked)
+	x, err := j.records.ReadInTurn(ctx, id, waitingUser)
 	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
 	}
@@ -74,7 +74,7 @@
 			return job, true, nil
 		}
 	}
-	job, err := j.records.Status(ctx, id, x, asked)
+	job, err := j.records.Status(ctx, id, x, waitingUser)
 	return job, err == nil, err
 }
 
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -100,12 +100,12 @@
 	ask := func(body string) int {
 		return controller.serveAsLeader(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
 	}
-	bad := `{"name_id":"run-000001","parts":-4}`
-	if got := ask(bad); got != 400 {
+	refusal := `{"name_id":"run-000001","parts":-4}`
+	if got := ask(refusal); got != 400 {
 		t.Errorf("unknown id: %d", got)
 	}
 	state.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001", Tasks: 1}})
-	if got := ask(bad); got != 200 {
+	if got := ask(refusal); got != 200 {
 		t.Errorf("known id: %d", got)
 	}
 	state.Put(store.FinalKey("run-000002"), store.FinalRecord{State: api.Done, Tasks: 3})
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -38,8 +38,8 @@
 }
 
 // ApplyStatement takes in the answer of a peer to a request of that time.
-func (w cancellationExchange) ApplyStatement(member string, sent time.Time, statement watermark.Statement) {
-	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, sent, statement); err != nil {
+func (w cancellationExchange) ApplyStatement(member string, askedAt time.Time, statement watermark.Statement) {
+	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, askedAt, statement); err != nil {
 		slog.Info("rejecting peer statement", "member", member, "err", err)
 	}
 }
@@ -67,23 +67,23 @@
 // readCancelledJobs notes the cancellations on record, or those since a revision that is not zero. It returns the
 // revision to go on from. What is known then counts from when it was asked for.
 func (l *leaseRenewal) readCancelledJobs(ctx context.Context, after uint64) (uint64, error) {
-	sent := l.clock.Now()
-	var all []store.Item
-	var log []store.Event
-	var epoch uint64
+	askedAt := l.clock.Now()
+	var items []store.Item
+	var events []store.Event
+	var revision uint64
 	var err error
 	if after == 0 {
-		all, epoch, err = l.client.List(ctx, store.JobPrefix)
+		items, revision, err = l.client.List(ctx, store.JobPrefix)
 	} else {
-		log, epoch, err = l.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkBlock)
+		events, revision, err = l.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkBlock)
 	}
 	if err != nil {
 		return 0, err
 	}
-	for _, event := range log {
-		all = append(all, store.Item{Key: event.Set, Value: event.Value})
+	for _, event := range events {
+		items = append(items, store.Item{Key: event.Set, Value: event.Value})
 	}
-	for _, item := range all {
+	for _, item := range items {
 		var rec struct {
 			Final string `json:"final"`
 		}
@@ -91,6 +91,6 @@
 			l.watermark.RecordCancellation(l.clock.Now(), strings.TrimPrefix(item.Key, store.JobPrefix))
 		}
 	}
-	l.watermark.MarkCurrent(sent)
-	return max(after, epoch), nil
+	l.watermark.MarkCurrent(askedAt)
+	return max(after, revision), nil
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -131,8 +131,8 @@
 // Transport returns the transport for all calls to other services, which keeps to a budget of connections.
 func Transport(set *settings.Settings, budget *connlimit.Limiter) *http.Transport {
 	return &http.Transport{
-		DialContext: budget.Dial(func(addr string) connlimit.Class {
-			if addr == set.External.State || addr == set.External.Cloud {
+		DialContext: budget.Dial(func(address string) connlimit.Class {
+			if address == set.External.State || address == set.External.Cloud {
 				return connlimit.Service
 			}
 			return connlimit.Command
@@ -153,7 +153,7 @@
 }
 
 // DialPeers sets how connections to peers are opened. It is called before Run.
-func (c *Controller) DialPeers(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
+func (c *Controller) DialPeers(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.peers.Dial = dial
 }
 
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -62,7 +62,7 @@
 func (c *datasetCache) add(entry *dataset.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old := c.entries[entry.Name]; old != nil && old.Stamp > entry.Stamp {
+	if existing := c.entries[entry.Name]; existing != nil && existing.Stamp > entry.Stamp {
 		return
 	}
 	if len(c.entries) >= tuning.DatasetsLimit {
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -15,41 +15,41 @@
 // ends.
 func (t *leaderTerm) followDatasets(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
-		log, epoch, err := t.controller.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
+		events, revision, err := t.controller.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
 		if errors.Is(err, store.ErrCompacted) {
-			epoch, err = t.loadDatasets(ctx)
-			log = nil
+			revision, err = t.loadDatasets(ctx)
+			events = nil
 		}
 		if err != nil {
 			sleep(ctx, t.controller.clock, tuning.ElectRetry)
 			continue
 		}
-		for _, event := range log {
+		for _, event := range events {
 			item := store.Item{Key: event.Set, Value: event.Value, Revision: event.Revision}
 			if entry, err := scheduler.DecodeDataset(&item); event.Set != "" && err == nil {
 				t.scheduler.AddDatasets(entry)
 				t.controller.datasets.cache.add(entry)
 			}
 		}
-		after = max(after, epoch)
+		after = max(after, revision)
 	}
 }
 
 // loadDatasets has the scheduler know of all datasets, and returns the revision up to which they were read.
 func (t *leaderTerm) loadDatasets(ctx context.Context) (uint64, error) {
-	items, epoch, err := t.controller.client.List(ctx, store.DatasetPrefix)
+	items, revision, err := t.controller.client.List(ctx, store.DatasetPrefix)
 	if err != nil {
 		return 0, err
 	}
-	var sets []*dataset.Entry
+	var datasets []*dataset.Entry
 	for i := range items {
 		entry, err := scheduler.DecodeDataset(&items[i])
 		if err != nil {
 			slog.Error("corrupt dataset record", "key", items[i].Key, "err", err)
 			continue
 		}
-		sets = append(sets, entry)
+		datasets = append(datasets, entry)
 	}
-	t.scheduler.AddDatasets(sets...)
-	return epoch, nil
+	t.scheduler.AddDatasets(datasets...)
+	return revision, nil
 }
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -44,10 +44,10 @@
 	if err := entry.Check(); err != nil {
 		return peer.Refusal(http.StatusBadRequest, err)
 	}
-	epoch, _, err := d.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
+	revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
 	switch {
 	case err == nil:
-		entry.Stamp = epoch
+		entry.Stamp = revision
 		d.cache.add(&entry)
 		if sched := d.term.scheduler(); sched != nil {
 			sched.AddDatasets(&entry)
@@ -58,11 +58,11 @@
 		if err != nil {
 			break
 		}
-		old, err := scheduler.DecodeDataset(&item)
-		if err == nil && old.State != dataset.Listed {
-			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + old.State + "; its name is not used again, take a new one", Field: "name"})
+		existing, err := scheduler.DecodeDataset(&item)
+		if err == nil && existing.State != dataset.Listed {
+			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + existing.State + "; its name is not used again, take a new one", Field: "name"})
 		}
-		if err == nil && old.Equal(&entry.Summary) {
+		if err == nil && existing.Equal(&entry.Summary) {
 			return peer.JSONResponse(http.StatusOK, entry)
 		}
 		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
@@ -98,7 +98,7 @@
 		if entry.State == dataset.Listed {
 			next := *entry
 			next.State = dataset.Removing
-			epoch, _, err := d.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
+			revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
@@ -106,7 +106,7 @@
 				break
 			}
 			slog.Info("dataset no longer listed", "dataset", name)
-			next.Stamp = epoch
+			next.Stamp = revision
 			entry = &next
 		}
 		d.cache.add(entry)
@@ -140,8 +140,8 @@
 		return d.remove(ctx, request.Job)
 	}
 	if sched := d.term.scheduler(); sched != nil {
-		if v, on := sched.Datasets(); on {
-			return peer.JSONResponse(http.StatusOK, v)
+		if view, on := sched.Datasets(); on {
+			return peer.JSONResponse(http.StatusOK, view)
 		}
 	}
 	return d.leader.forward(ctx, request, forwarded)
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -13,8 +13,8 @@
 )
 
 // sendCommands sends commands to a worker, and hands its answer to the scheduler.
-func (t *leaderTerm) sendCommands(ctx context.Context, name, addr string, response api.HeartbeatResponse) {
-	heartbeat, _, err := t.controller.worker.Send(ctx, addr, response)
+func (t *leaderTerm) sendCommands(ctx context.Context, name, address string, response api.HeartbeatResponse) {
+	heartbeat, _, err := t.controller.worker.Send(ctx, address, response)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
 		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
@@ -54,8 +54,8 @@
 		t.scheduler.ApplyInstanceList(list)
 		if first {
 			first = false
-			for name, addr := range t.scheduler.Addresses() {
-				go t.announceTerm(ctx, name, addr)
+			for name, address := range t.scheduler.Addresses() {
+				go t.announceTerm(ctx, name, address)
 			}
 		}
 		sleep(ctx, t.controller.clock, tuning.ListEvery)
@@ -64,19 +64,19 @@
 
 // announceTerm tells a worker of the term. Its incarnation is not known: a worker answers a wrong one with the right
 // one, which is then tried.
-func (t *leaderTerm) announceTerm(ctx context.Context, name, addr string) {
-	session := uint64(1)
+func (t *leaderTerm) announceTerm(ctx context.Context, name, address string) {
+	incarnation := uint64(1)
 	for range 2 {
-		response := api.HeartbeatResponse{Term: t.scheduler.Term(), Incarnation: session, Commands: []api.Command{}}
-		heartbeat, done, err := t.controller.worker.Send(ctx, addr, response)
+		response := api.HeartbeatResponse{Term: t.scheduler.Term(), Incarnation: incarnation, Commands: []api.Command{}}
+		heartbeat, done, err := t.controller.worker.Send(ctx, address, response)
 		if err != nil {
 			return
 		}
-		if done || heartbeat.Incarnation == session {
+		if done || heartbeat.Incarnation == incarnation {
 			t.scheduler.CommandsAnswered(name, response, heartbeat, true)
 			return
 		}
-		session = heartbeat.Incarnation
+		incarnation = heartbeat.Incarnation
 	}
 }
 
@@ -85,15 +85,15 @@
 	for ctx.Err() == nil {
 		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
-				some := names[:min(len(names), tuning.ReleaseBatch)]
-				names = names[len(some):]
-				go t.releaseMachines(ctx, some)
+				batch := names[:min(len(names), tuning.ReleaseBatch)]
+				names = names[len(batch):]
+				go t.releaseMachines(ctx, batch)
 			}
 		}
-		for _, r := range t.scheduler.InstanceRequests() {
+		for _, request := range t.scheduler.InstanceRequests() {
 			go func() {
-				names, err := t.controller.cloud.Rent(ctx, r)
-				t.scheduler.InstancesGranted(r, names, err)
+				names, err := t.controller.cloud.Rent(ctx, request)
+				t.scheduler.InstancesGranted(request, names, err)
 			}()
 		}
 		sleep(ctx, t.controller.clock, tuning.MaintainEvery)
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -59,14 +59,14 @@
 // answerWithoutLeader answers a heartbeat between two leaders. The last one's token still renews leases: redirected, a
 // worker might try controllers beyond a partition until its lease expires.
 func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) (status int, body any) {
-	last, since := c.elector.LeaderlessFor()
-	if last == 0 || heartbeat.Term > last || since > tuning.LeaderlessGrace && c.health.healthy() {
+	lastTerm, since := c.elector.LeaderlessFor()
+	if lastTerm == 0 || heartbeat.Term > lastTerm || since > tuning.LeaderlessGrace && c.health.healthy() {
 		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
 	if !c.leases.mayRenew() {
 		return c.leases.refuse()
 	}
-	return http.StatusOK, c.leases.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: last, Commands: []api.Command{}})
+	return http.StatusOK, c.leases.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: lastTerm, Commands: []api.Command{}})
 }
 
 // answerForUnreachableLeader answers a heartbeat with commands that the leader of the term has relayed, and relays the
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -20,9 +20,9 @@
 	controller.HandleHeartbeat(context.Background(), &heartbeat, nil)
 	heartbeat.Seq = 11
 	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeats * controller.settings.Facts.Workers.ReportS))
-	old := heartbeat
-	old.Seq = 10
-	status, body := controller.HandleHeartbeat(context.Background(), &old, nil)
+	existing := heartbeat
+	existing.Seq = 10
+	status, body := controller.HandleHeartbeat(context.Background(), &existing, nil)
 	if response, ok := body.(api.HeartbeatResponse); !ok || status != http.StatusOK || response.Term != 0 {
 		t.Errorf("a copy was answered %d %+v", status, body)
 	}
--- a/controller/input_checks.go
+++ b/controller/input_checks.go
@@ -19,52 +19,52 @@
 		return http.StatusBadRequest, false, err
 	}
 	bytes := int64(0)
-	var sets []*dataset.Entry
+	var datasets []*dataset.Entry
 	for i, input := range submission.Inputs {
-		set, err := s.datasets.cache.lookUp(ctx, input.Dataset)
+		entry, err := s.datasets.cache.lookUp(ctx, input.Dataset)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return 0, true, nil
 		}
-		if err := checkInput(fmt.Sprintf("inputs[%d]", i), input, set, submission.Tasks); err != nil {
+		if err := checkInput(fmt.Sprintf("inputs[%d]", i), input, entry, submission.Tasks); err != nil {
 			return http.StatusUnprocessableEntity, false, err
 		}
-		sets = append(sets, set)
-		bytes += bytesPerTask(input, set, submission.Tasks)
+		datasets = append(datasets, entry)
+		bytes += bytesPerTask(input, entry, submission.Tasks)
 	}
 	if err := s.checkCacheSize(submission, bytes); err != nil {
 		return http.StatusUnprocessableEntity, false, err
 	}
 	if sched != nil {
-		sched.AddDatasets(sets...)
+		sched.AddDatasets(datasets...)
 	}
 	return 0, false, nil
 }
 
 // checkInput returns a *api.FieldError if a job of so many tasks can never run with an input, which stands at a field. The
 // set is nil if no such dataset is registered.
-func checkInput(field string, input api.Input, set *dataset.Entry, tasks int) error {
+func checkInput(field string, input api.Input, entry *dataset.Entry, tasks int) error {
 	switch {
-	case set == nil:
+	case entry == nil:
 		return &api.FieldError{Field: field + ".dataset",
 			Want: fmt.Sprintf("no dataset %.80q is registered; `switchferry data add` registers one", input.Dataset)}
-	case set.State != dataset.Listed:
+	case entry.State != dataset.Listed:
 		return &api.FieldError{Field: field + ".dataset",
-			Want: fmt.Sprintf("dataset %q is %s; new jobs cannot use it", input.Dataset, set.State)}
-	case input.Use != api.UseAll && tasks > set.Parts:
+			Want: fmt.Sprintf("dataset %q is %s; new jobs cannot use it", input.Dataset, entry.State)}
+	case input.Use != api.UseAll && tasks > entry.Parts:
 		return &api.FieldError{Field: field + ".use",
-			Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", tasks, input.Dataset, set.Parts)}
+			Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", tasks, input.Dataset, entry.Parts)}
 	}
 	return nil
 }
 
 // bytesPerTask returns how many bytes of an input a task needs at most.
-func bytesPerTask(input api.Input, set *dataset.Entry, tasks int) int64 {
+func bytesPerTask(input api.Input, entry *dataset.Entry, tasks int) int64 {
 	if input.Use == api.UseAll {
-		return set.Bytes
+		return entry.Bytes
 	}
 	most := int64(0)
 	for task := range tasks {
-		most = max(most, set.PartBytes(task))
+		most = max(most, entry.PartBytes(task))
 	}
 	return most
 }
@@ -87,13 +87,13 @@
 }
 
 // inputConditions are the conditions under which a job's inputs are as they were checked.
-func (s *submissionService) inputConditions(ctx context.Context, submission *api.Submission) (out []store.Condition, err error) {
+func (s *submissionService) inputConditions(ctx context.Context, submission *api.Submission) (conditions []store.Condition, err error) {
 	for _, input := range submission.Inputs {
 		entry, err := s.datasets.cache.lookUp(ctx, input.Dataset)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, store.Condition{Key: store.DatasetKey(entry.Name), Revision: entry.Stamp})
+		conditions = append(conditions, store.Condition{Key: store.DatasetKey(entry.Name), Revision: entry.Stamp})
 	}
-	return out, nil
+	return conditions, nil
 }
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -17,14 +17,14 @@
 // submitWithoutLeader accepts a job without the leader, which learns of it by the
 // inbox, as long as further conditions hold.
 func (s *submissionService) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
-	rec := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
+	record := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
 	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
 	inputs, err := s.inputConditions(ctx, submission)
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
 	_, failed, err := s.leaderlessWriter.Transact(ctx, slices.Concat(conditions, more, inputs),
-		[]store.Operation{{Set: store.JobKey(submission.ID), Value: rec}, {Set: store.InboxKey(submission.ID), Value: store.InboxRecord{}}})
+		[]store.Operation{{Set: store.JobKey(submission.ID), Value: record}, {Set: store.InboxKey(submission.ID), Value: store.InboxRecord{}}})
 	switch {
 	case err == nil:
 		return peer.JSONResponse(http.StatusCreated, api.JobStatus{ID: submission.ID, State: api.Pending})
@@ -51,15 +51,15 @@
 	if errors.Is(err, store.ErrNotFound) {
 		return s.jobs.answerStatus(ctx, nil, id, true)
 	}
-	var rec store.JobRecord
-	if err != nil || json.Unmarshal(item.Value, &rec) != nil {
+	var record store.JobRecord
+	if err != nil || json.Unmarshal(item.Value, &record) != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	if rec.FinalState == "" {
-		rec.FinalState, rec.FinalAt = api.Cancelled, s.clock.Now().UnixMilli()
+	if record.FinalState == "" {
+		record.FinalState, record.FinalAt = api.Cancelled, s.clock.Now().UnixMilli()
 		_, _, err = s.leaderlessWriter.Transact(ctx,
 			[]store.Condition{{Key: store.LeaderKey}, {Key: item.Key, Revision: item.Revision}},
-			[]store.Operation{{Set: item.Key, Value: rec}})
+			[]store.Operation{{Set: item.Key, Value: record}})
 		if errors.Is(err, store.ErrConflict) {
 			// The leader is asked by way of the inbox; a retry finds its answer on record.
 			_, _, _ = s.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}},
@@ -69,7 +69,7 @@
 			return peer.RetryLater("the leader is out of reach")
 		}
 	}
-	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: rec.FinalState})
+	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: record.FinalState})
 }
 
 // serveCancellation cancels a job as the leader or, if sched is nil, without one. A job that has ended is answered with its
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -26,10 +26,10 @@
 	if forwarded && request.Verb == verbStage {
 		return c.agents.handleForwardedHeartbeat(request.Body)
 	}
-	from := c.clock.Now()
+	began := c.clock.Now()
 	response := c.jobs.publishAnswer(c.route(ctx, request, forwarded))
-	if took := c.clock.Since(from); request.Verb == VerbSubmit && took > tuning.AcceptPatience {
-		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.scheduler() != nil)
+	if duration := c.clock.Since(began); request.Verb == VerbSubmit && duration > tuning.AcceptPatience {
+		slog.Debug("submission answered late", "ms", duration.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.scheduler() != nil)
 	}
 	if !forwarded && request.Verb == VerbSubmit {
 		c.submissions.setRetryAfter(&response, request.Body)
@@ -109,8 +109,8 @@
 
 // answeredByLeader reports whether a response is a leader's.
 func answeredByLeader(response peer.Response) bool {
-	var e api.Error
-	return response.Status != http.StatusServiceUnavailable || json.Unmarshal(response.Body, &e) != nil || e.Error != notLeading
+	var failure api.Error
+	return response.Status != http.StatusServiceUnavailable || json.Unmarshal(response.Body, &failure) != nil || failure.Error != notLeading
 }
 
 // forwardPatience returns how long the leader is waited for.
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -29,7 +29,7 @@
 // mute is set: connections stand, and nothing is answered.
 func newFollower(t *testing.T, ctx context.Context, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	clock := clockwork.NewFakeClock()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,10 +39,10 @@
 		}
 		return peer.Hello{Member: "n0", Term: 5, StateOK: true}
 	}, handle)
-	go func() { _ = leader.Serve(ctx, l) }()
+	go func() { _ = leader.Serve(ctx, listener) }()
 	set := testSettings()
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
-	set.Peers = []settings.Peer{{Member: "n0", Address: l.Addr().String()}}
+	set.Peers = []settings.Peer{{Member: "n0", Address: listener.Addr().String()}}
 	state := fake.NewState(clock)
 	controller := New(ctx, set, policy.Default(), clock, state)
 	controller.catalog.types = testTypes
@@ -254,12 +254,12 @@
 			stateService := fake.NewState(clock)
 			controller := New(ctx, testSettings(), policy.Default(), clock, stateService)
 			stateService.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001"}})
-			l, release := stateService.LateRead(true), make(chan struct{})
+			held, release := stateService.LateRead(true), make(chan struct{})
 			go func() {
 				<-release
-				l.Answer()
+				held.Answer()
 			}()
-			return controller, l.Asked, release
+			return controller, held.Asked, release
 		},
 		"asked of the leader": func(t *testing.T, ctx context.Context) (*Controller, chan struct{}, chan struct{}) {
 			asked, release := make(chan struct{}), make(chan struct{})
--- a/controller/term.go
+++ b/controller/term.go
@@ -73,11 +73,11 @@
 		}
 		began := t.controller.clock.Now()
 		t.scheduler.Place()
-		took := t.controller.clock.Since(began)
+		duration := t.controller.clock.Since(began)
 		if reason := t.unfitReason(); reason != "" {
 			t.controller.elector.Resign(reason)
 		}
-		sleep(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*took))
+		sleep(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*duration))
 	}
 }
 
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -43,9 +43,9 @@
 	if request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
-	if x, ok := sched.Explain(request.Job); ok {
-		x.Why = append(x.Why, c.leases.problems()...)
-		return peer.JSONResponse(http.StatusOK, x)
+	if explanation, ok := sched.Explain(request.Job); ok {
+		explanation.Why = append(explanation.Why, c.leases.problems()...)
+		return peer.JSONResponse(http.StatusOK, explanation)
 	}
 	// The job has ended or is not known: its record tells which.
 	job, found, err := c.jobs.lookUp(ctx, sched, request.Job, true)
