--- a/controller/agents.go
+++ b/controller/agents.go
@@ -56,35 +56,35 @@
 // handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader. Heartbeats of an agent
 // that was redirected there and came back are forwarded to it while it is reachable, and else relayed through the state
 // service.
-func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
+func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) answer {
 	if sched := a.term.scheduler(); sched != nil {
 		return a.answerAsLeader(sched, heartbeat)
 	}
 	leader, term, reachable := a.leader.locate()
 	if leader == "" || leader == a.settings.Member {
-		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}}
 	}
 	if reachable {
 		if a.mayRedirect(heartbeat.Machine, leader) {
-			return http.StatusMisdirectedRequest, api.Redirect{Controller: leader}
+			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: leader}}
 		}
 		if len(raw) <= tuning.BodyLimit {
 			response, err := a.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: a.settings.Member}, tuning.PeerTimeout)
 			if err == nil && response.Status == http.StatusOK {
-				return response.Status, json.RawMessage(response.Body)
+				return answer{response.Status, json.RawMessage(response.Body)}
 			}
 		}
 	}
 	if heartbeat.Term > term || !a.health.healthy() {
 		// Nothing can be relayed from here; another controller may reach the state service or the leader.
-		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}}
 	}
 	order, err := a.proxy.HandleHeartbeat(heartbeat, term)
 	if err != nil {
 		slog.Error("corrupt relayed stage order", "machine", heartbeat.Machine, "err", err)
-		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}}
 	}
-	return http.StatusOK, order
+	return answer{http.StatusOK, order}
 }
 
 // handleForwardedHeartbeat serves an agent's heartbeat that a peer forwards. An order that is too large for a message
@@ -95,7 +95,7 @@
 	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	response := peer.JSONResponse(a.answerAsLeader(sched, &heartbeat))
+	response := a.answerAsLeader(sched, &heartbeat).response()
 	if len(response.Body) > tuning.BodyLimit {
 		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
@@ -103,16 +103,16 @@
 }
 
 // answerAsLeader answers an agent's heartbeat as the leader.
-func (a *agentGateway) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
+func (a *agentGateway) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) answer {
 	order, deposed, refused := sched.HandleStageHeartbeat(heartbeat)
 	switch {
 	case deposed:
 		a.elector.Resign("an agent has seen a higher term")
-		return http.StatusMisdirectedRequest, api.Redirect{}
+		return answer{http.StatusMisdirectedRequest, api.Redirect{}}
 	case refused:
-		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}}
 	}
-	return http.StatusOK, order
+	return answer{http.StatusOK, order}
 }
 
 // sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with the response to the agent's
@@ -138,5 +138,6 @@
 
 // HandleStageHeartbeat answers an agent's heartbeat, which came as raw.
 func (c *Controller) HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
-	return c.agents.handleHeartbeat(ctx, heartbeat, raw)
+	answer := c.agents.handleHeartbeat(ctx, heartbeat, raw)
+	return answer.status, answer.body
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"strings"
 	"time"
@@ -78,7 +79,7 @@
 		events, revision, err = l.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkBlock)
 	}
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("read jobs from revision %d: %w", after, err)
 	}
 	for _, event := range events {
 		items = append(items, store.Item{Key: event.Set, Value: event.Value})
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -92,7 +92,7 @@
 func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
 	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("ask %s for its revision: %w", member, err)
 	}
 	if response.Status != http.StatusOK {
 		return 0, fmt.Errorf("%s answers with status %d", member, response.Status)
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -30,10 +30,9 @@
 // Without the leader a submission is judged, and stored, only by a configuration that was confirmed lately, and on
 // condition that it is still the newest.
 func TestSubmissionsWithoutTheLeaderNeedAConfirmedConfiguration(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx := t.Context()
 	var unresponsive atomic.Bool
-	controller, clock, state := newFollower(t, ctx, &unresponsive, func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
+	controller, clock, state := newFollower(t, &unresponsive, func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
 	controller.configuration.newRevisionStore()
 	submit := func(id string) peer.Response {
 		return controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(strings.Replace(sampleJob, "run-000001", id, 1))}, false)
@@ -81,10 +80,9 @@
 
 // A refusal is looked at last: what it was judged by may have been replaced while the process stood still.
 func TestRefusalByAnExpiredConfigurationIsNotSent(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx := t.Context()
 	var unresponsive atomic.Bool
-	controller, clock, _ := newFollower(t, ctx, &unresponsive, neverAnswer)
+	controller, clock, _ := newFollower(t, &unresponsive, neverAnswer)
 	controller.configuration.newRevisionStore()
 	if _, err := controller.configuration.revisions.Refresh(ctx); err != nil {
 		t.Fatal(err)
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 
 	"switchferry/dataset"
@@ -39,7 +40,7 @@
 func (t *leaderTerm) loadDatasets(ctx context.Context) (uint64, error) {
 	items, revision, err := t.controller.client.List(ctx, store.DatasetPrefix)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("list datasets: %w", err)
 	}
 	var datasets []*dataset.Entry
 	for i := range items {
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -4,8 +4,10 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"net/http"
+	"strings"
 
 	"switchferry/api"
 	"switchferry/dataset"
@@ -45,36 +47,42 @@
 		return peer.Refusal(http.StatusBadRequest, err)
 	}
 	revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
-	switch {
-	case err == nil:
-		entry.Stamp = revision
-		d.cache.add(&entry)
-		if sched := d.term.scheduler(); sched != nil {
-			sched.AddDatasets(&entry)
-		}
-		return peer.JSONResponse(http.StatusCreated, entry)
-	case errors.Is(err, store.ErrConflict):
-		item, err := d.client.Get(ctx, store.DatasetKey(entry.Name))
-		if err != nil {
-			break
-		}
-		existing, err := scheduler.DecodeDataset(&item)
-		if err == nil && existing.State != dataset.Listed {
-			return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + existing.State + "; its name is not used again, take a new one", Field: "name"})
-		}
-		if err == nil && existing.Equal(&entry.Summary) {
-			return peer.JSONResponse(http.StatusOK, entry)
-		}
-		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
+	if errors.Is(err, store.ErrConflict) {
+		return d.answerRegistered(ctx, &entry)
 	}
-	return peer.RetryLater("the state service is out of reach")
+	if err != nil {
+		return peer.RetryLater("the state service is out of reach")
+	}
+	entry.Stamp = revision
+	d.cache.add(&entry)
+	if sched := d.term.scheduler(); sched != nil {
+		sched.AddDatasets(&entry)
+	}
+	return peer.JSONResponse(http.StatusCreated, entry)
+}
+
+// answerRegistered answers the registration of a dataset whose name is taken. The same content may be registered again.
+func (d *datasetService) answerRegistered(ctx context.Context, entry *dataset.Entry) peer.Response {
+	item, err := d.client.Get(ctx, store.DatasetKey(entry.Name))
+	if err != nil {
+		return peer.RetryLater("the state service is out of reach")
+	}
+	existing, err := scheduler.DecodeDataset(&item)
+	if err == nil && existing.State != dataset.Listed {
+		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + existing.State + "; its name is not used again, take a new one", Field: "name"})
+	}
+	if err == nil && existing.Equal(&entry.Summary) {
+		return peer.JSONResponse(http.StatusOK, entry)
+	}
+	return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
 }
 
 // RemovalView is the progress of a dataset's removal, as users read it.
 type RemovalView struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
-	Jobs  int    `json:"jobs"`
+	// Jobs is how many jobs still need the dataset; -1 if this controller cannot tell.
+	Jobs int `json:"jobs"`
 }
 
 // remove takes a dataset off the list, and tells how far its removal is. Any controller can, since only the record
@@ -96,30 +104,44 @@
 			return peer.JSONResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
 		if entry.State == dataset.Listed {
-			next := *entry
-			next.State = dataset.Removing
-			revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
+			entry, err = d.unlist(ctx, item, entry)
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
 			if err != nil {
 				break
 			}
-			slog.Info("dataset no longer listed", "dataset", name)
-			next.Stamp = revision
-			entry = &next
 		}
-		d.cache.add(entry)
-		view := RemovalView{Name: name, State: entry.State, Jobs: -1}
-		if sched := d.term.scheduler(); sched != nil {
-			sched.AddDatasets(entry)
-			view.Jobs = sched.JobsUsing(name)
-		}
-		return peer.JSONResponse(http.StatusOK, view)
+		return d.answerRemoval(name, entry)
 	}
 	return peer.RetryLater("the state service is out of reach")
 }
 
+// unlist stores that a dataset is being removed, and returns its new state; item is its record as read. The error is
+// store.ErrConflict if the record has changed since.
+func (d *datasetService) unlist(ctx context.Context, item store.Item, entry *dataset.Entry) (*dataset.Entry, error) {
+	next := *entry
+	next.State = dataset.Removing
+	revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
+	if err != nil {
+		return nil, fmt.Errorf("store %s as being removed: %w", item.Key, err)
+	}
+	slog.Info("dataset no longer listed", "dataset", strings.TrimPrefix(item.Key, store.DatasetPrefix))
+	next.Stamp = revision
+	return &next, nil
+}
+
+// answerRemoval tells how far the removal of a dataset of that name is.
+func (d *datasetService) answerRemoval(name string, entry *dataset.Entry) peer.Response {
+	d.cache.add(entry)
+	view := RemovalView{Name: name, State: entry.State, Jobs: -1}
+	if sched := d.term.scheduler(); sched != nil {
+		sched.AddDatasets(entry)
+		view.Jobs = sched.JobsUsing(name)
+	}
+	return peer.JSONResponse(http.StatusOK, view)
+}
+
 // handle serves requests about datasets.
 func (d *datasetService) handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if !d.features.data.On {
--- a/controller/dependency_checks.go
+++ b/controller/dependency_checks.go
@@ -54,7 +54,7 @@
 		x, err := s.jobs.records.ReadInTurn(ctx, id, "")
 		switch {
 		case err != nil:
-			return "the state service is out of reach", nil
+			return "the state service is out of reach", nil //nolint:nilerr // The reason says it, and the user retries.
 		case x.Service:
 			return "", refusal("is a service, which is never done")
 		case x.Found:
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -15,14 +15,21 @@
 // that a partition between zones does not leave them without answers: it forwards heartbeats to the leader, and relays them
 // through the state service while it does not reach the leader.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any) {
+	answer := c.answerHeartbeat(ctx, heartbeat, raw)
+	return answer.status, answer.body
+}
+
+// answerHeartbeat decides who answers a heartbeat: this controller, the leader through it, or another controller to which
+// the worker is redirected.
+func (c *Controller) answerHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) answer {
 	if !c.heartbeats.accept(heartbeat) {
 		// A late copy shows neither that workers reach this controller nor where one is; a response without a token
 		// renews nothing.
-		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
+		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	}
 	if sched := c.term.scheduler(); sched != nil {
 		if to, ok := c.redirectWorker(heartbeat, c.settings.Member); ok {
-			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
+			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: to}}
 		}
 		return c.answerAsLeader(sched, heartbeat, "")
 	}
@@ -30,18 +37,18 @@
 	if previous := c.workers.previousController(); !c.health.healthy() && c.peers.Isolated() && c.workers.mayRedirect(heartbeat.Machine, previous) {
 		// This controller reaches neither the state service nor a peer: it is isolated itself, or all of its zone is. A
 		// worker that comes back reaches nobody else either, and stays.
-		return http.StatusMisdirectedRequest, api.Redirect{Controller: previous}
+		return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: previous}}
 	}
 	if leader == "" || leader == c.settings.Member {
 		return c.answerWithoutLeader(heartbeat)
 	}
 	if reachable {
 		if to, ok := c.redirectWorker(heartbeat, leader); ok {
-			return http.StatusMisdirectedRequest, api.Redirect{Controller: to}
+			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: to}}
 		}
 		request := peer.Request{Verb: verbReport, Body: raw, From: c.settings.Member}
 		if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
-			return response.Status, json.RawMessage(response.Body)
+			return answer{response.Status, json.RawMessage(response.Body)}
 		}
 		// Whatever the leader has answered, the response to this heartbeat is up to this controller now: it renews the
 		// lease and carries only commands that were relayed before.
@@ -58,27 +65,27 @@
 
 // answerWithoutLeader answers a heartbeat between two leaders. The last one's token still renews leases: redirected, a
 // worker might try controllers beyond a partition until its lease expires.
-func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) (status int, body any) {
+func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) answer {
 	lastTerm, since := c.elector.LeaderlessFor()
 	if lastTerm == 0 || heartbeat.Term > lastTerm || since > tuning.LeaderlessGrace && c.health.healthy() {
-		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}}
 	}
 	if !c.leases.mayRenew() {
 		return c.leases.refuse()
 	}
-	return http.StatusOK, c.leases.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: lastTerm, Commands: []api.Command{}})
+	return answer{http.StatusOK, c.leases.enforceCancellations(heartbeat, api.HeartbeatResponse{Term: lastTerm, Commands: []api.Command{}})}
 }
 
 // answerForUnreachableLeader answers a heartbeat with commands that the leader of the term has relayed, and relays the
 // heartbeat to it.
-func (c *Controller) answerForUnreachableLeader(heartbeat *api.Heartbeat, term uint64) (status int, body any) {
+func (c *Controller) answerForUnreachableLeader(heartbeat *api.Heartbeat, term uint64) answer {
 	if heartbeat.Term > term {
-		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}}
 	}
 	if !c.leases.mayRenew() {
 		return c.leases.refuse()
 	}
-	return http.StatusOK, c.leases.enforceCancellations(heartbeat, c.workerProxy.HandleHeartbeat(heartbeat, term))
+	return answer{http.StatusOK, c.leases.enforceCancellations(heartbeat, c.workerProxy.HandleHeartbeat(heartbeat, term))}
 }
 
 // handleForwardedHeartbeat serves a heartbeat that a peer forwards.
@@ -88,30 +95,30 @@
 	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	return peer.JSONResponse(c.answerAsLeader(sched, &heartbeat, from))
+	return c.answerAsLeader(sched, &heartbeat, from).response()
 }
 
 // answerAsLeader answers a heartbeat as the leader. Via is the peer that forwards it, or empty.
-func (c *Controller) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.Heartbeat, via string) (status int, body any) {
+func (c *Controller) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.Heartbeat, via string) answer {
 	// A leader that has not read the records knows of cancellations what its peers state, or nothing.
 	current := c.leases.markCurrentIfLeading()
 	renewed := current || c.leases.mayRenew()
 	if !renewed && !sched.Leading() {
-		return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}}
 	}
 	response, deposed, refused := sched.HandleHeartbeat(heartbeat, via)
 	switch {
 	case deposed && c.resignIfDeposed(sched):
-		return http.StatusMisdirectedRequest, api.Redirect{}
+		return answer{http.StatusMisdirectedRequest, api.Redirect{}}
 	case deposed:
-		return http.StatusBadRequest, api.Error{Error: "helm: is higher than any token that was given", Field: "helm"}
+		return answer{http.StatusBadRequest, api.Error{Error: "helm: is higher than any token that was given", Field: "helm"}}
 	case refused:
-		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}}
 	case !renewed:
 		// The worker stays here, and its lease is not renewed until the records are read.
-		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
+		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	case !current:
 		response = c.leases.enforceCancellations(heartbeat, response)
 	}
-	return http.StatusOK, response
+	return answer{http.StatusOK, response}
 }
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -14,7 +14,7 @@
 // A follower's own ear: copies neither show that workers reach it, nor move one from node to node, nor
 // disturb what it relays.
 func TestDuplicateHeartbeatsAreIgnoredByFollower(t *testing.T) {
-	controller, clock := newIsolatedController(t)
+	controller, clock := newIsolatedController()
 	term := uint64(9)
 	heartbeat := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
 	controller.HandleHeartbeat(context.Background(), &heartbeat, nil)
@@ -34,12 +34,12 @@
 // A worker that claims a token nobody gave ended every leader's term; while the key certainly stands it
 // is told that its report is wrong.
 func TestUnissuedFencingTokenDoesNotEndTerm(t *testing.T) {
-	controller, _ := newIsolatedController(t)
+	controller, _ := newIsolatedController()
 	valid := true
 	sched := scheduler.New(7, controller.clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return valid }))
 	heartbeat := &api.Heartbeat{Machine: "a1", Zone: "a", Incarnation: 1, Seq: 1, Term: 1<<64 - 1}
-	if status, _ := controller.answerAsLeader(sched, heartbeat, ""); status != http.StatusBadRequest {
-		t.Errorf("answered %d", status)
+	if answer := controller.answerAsLeader(sched, heartbeat, ""); answer.status != http.StatusBadRequest {
+		t.Errorf("answered %d", answer.status)
 	}
 	valid = false
 	if !controller.resignIfDeposed(sched) {
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -77,10 +77,10 @@
 	}
 }
 
-// heartbeat plays a worker of zone a that has seen the present term.
-func (l *testLeader) heartbeat(machine string) {
+// heartbeat plays worker a1 of zone a, which has seen the present term.
+func (l *testLeader) heartbeat() {
 	l.seq++
-	l.HandleHeartbeat(&api.Heartbeat{Machine: machine, Address: machine + ":1", Type: "m8", Zone: "a", Incarnation: 1, Seq: l.seq, Term: l.Term()}, "")
+	l.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: l.seq, Term: l.Term()}, "")
 }
 
 // smallJob returns a job of one task of team t.
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -126,9 +126,9 @@
 // other controller: a response without a token, which renews nothing, keeps it here, so that its heartbeats arrive as
 // soon as the partition ends. Sent on, it would try one unreachable controller after the other, 5 s each, and return
 // only after its lease has expired. Other workers are sent on.
-func (l *leaseRenewal) refuse() (status int, body any) {
+func (l *leaseRenewal) refuse() answer {
 	if !l.health.healthy() && l.peers.Isolated() {
-		return http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}
+		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	}
-	return http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}
+	return answer{http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}}
 }
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -49,7 +49,8 @@
 		for seq := uint64(1); clock.Since(word) < 100*time.Second; seq++ {
 			clock.Advance(time.Second)
 			heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq, Term: term}
-			status, body := controller.answerAsLeader(sched, heartbeat, "")
+			answer := controller.answerAsLeader(sched, heartbeat, "")
+			status, body := answer.status, answer.body
 			if !led {
 				status, body = controller.HandleHeartbeat(context.Background(), heartbeat, nil)
 			}
@@ -81,7 +82,8 @@
 		if _, err := controller.leases.readCancelledJobs(context.Background(), 0); err != nil || !controller.leases.mayRenew() {
 			t.Errorf("not kept though the records of jobs were read, %v", err)
 		}
-		status, body := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{{Task: "run-7/0", Attempt: 9, State: api.TaskRunning}}}, "")
+		answer := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{{Task: "run-7/0", Attempt: 9, State: api.TaskRunning}}}, "")
+		status, body := answer.status, answer.body
 		if response, ok := body.(api.HeartbeatResponse); !ok || status != 200 || len(response.Commands) != 1 || response.Commands[0].Verb != api.CommandKill || response.Commands[0].Task != "run-7/0" || response.Commands[0].Attempt != 9 {
 			t.Errorf("what was cancelled meanwhile is answered %d %+v", status, body)
 		}
@@ -91,7 +93,7 @@
 // A cancellation is known to the siblings before anyone can be told: before its record is sent, since whoever
 // reads that may tell; and before an answer leaves, whoever it came from.
 func TestCancellationsAreReplicatedBeforeTheyAreAcknowledged(t *testing.T) {
-	controller, clock := newIsolatedController(t)
+	controller, clock := newIsolatedController()
 	knows := func(job string) bool {
 		return len(controller.leases.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
 	}
@@ -131,12 +133,13 @@
 // A leader that has just begun, and has not read the records, knows of no cancellation that was told before: it
 // renews no lease, and keeps the worker there until it knows. It used to renew as long as its key stood.
 func TestNewLeaderRenewsNoLeaseBeforeRecordsAreLoaded(t *testing.T) {
-	controller, clock := newIsolatedController(t)
+	controller, clock := newIsolatedController()
 	controller.settings.Facts.Workers.CancelS = 40
 	controller.leases.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
 	ask := func(seq uint64) api.HeartbeatResponse {
-		status, body := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
+		answer := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
+		status, body := answer.status, answer.body
 		response, ok := body.(api.HeartbeatResponse)
 		if status != 200 || !ok {
 			t.Errorf("%d %+v", status, body)
--- a/controller/responses.go
+++ b/controller/responses.go
@@ -15,3 +15,12 @@
 	}
 	return response
 }
+
+// answer is an HTTP status, and a body that is to be encoded as JSON.
+type answer struct {
+	status int
+	body   any
+}
+
+// response returns the answer as it is sent between controllers.
+func (a answer) response() peer.Response { return peer.JSONResponse(a.status, a.body) }
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -27,9 +27,11 @@
 
 // newFollower is a controller that has greeted its leader n0. The leader falls silent once
 // mute is set: connections stand, and nothing is answered.
-func newFollower(t *testing.T, ctx context.Context, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
+func newFollower(t *testing.T, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
+	t.Helper()
+	ctx := t.Context()
 	clock := clockwork.NewFakeClock()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +64,9 @@
 // A leader that fell silent held submissions and questions back until their users had
 // given up: they are served without it, in time.
 func TestUnresponsiveLeaderDoesNotDelayUsers(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx := t.Context()
 	var unresponsive atomic.Bool
-	controller, clock, state := newFollower(t, ctx, &unresponsive, neverAnswer)
+	controller, clock, state := newFollower(t, &unresponsive, neverAnswer)
 	unresponsive.Store(true)
 	for i, c := range []struct {
 		r       peer.Request
@@ -99,9 +100,8 @@
 // A leader that has just handed over says so, before its next greeting does: what it was asked
 // is served without it, and its users are not sent away.
 func TestFormerLeaderIsBypassed(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	controller, _, state := newFollower(t, ctx, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
+	ctx := t.Context()
+	controller, _, state := newFollower(t, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
 	if response := controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, false); response.Status != 201 || state.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
@@ -113,11 +113,10 @@
 // A leader that is only busy, with more submissions than the limit of writes allows, had
 // each of them stored beside it as well, which took twice the writes that it lacked.
 func TestBusyLeaderIsNotBypassed(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx := t.Context()
 	var unresponsive atomic.Bool
 	asked := make(chan struct{})
-	controller, clock, state := newFollower(t, ctx, &unresponsive, func(ctx context.Context, request peer.Request) peer.Response {
+	controller, clock, state := newFollower(t, &unresponsive, func(ctx context.Context, request peer.Request) peer.Response {
 		close(asked)
 		return neverAnswer(ctx, request)
 	})
@@ -203,20 +202,20 @@
 // longer lead, and the machine may be at work for another: nothing is returned.
 func TestNoMachineIsReleasedAfterTheTerm(t *testing.T) {
 	leader := newLeader(t)
-	leader.heartbeat("a1")
+	leader.heartbeat()
 	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
 	// The leader decides to return the machine, which has had nothing to do for an hour.
 	var release []string
 	for i := 0; i < 3600 && len(release) == 0; i++ {
 		leader.clock.Advance(time.Second)
-		leader.heartbeat("a1")
+		leader.heartbeat()
 		release = leader.MaintainFleet()
 	}
 	if !slices.Equal(release, []string{"a1"}) {
 		t.Fatalf("to be returned: %v", release)
 	}
 	leader.submit(smallJob("run-000001"))
-	leader.heartbeat("a1")
+	leader.heartbeat()
 	leader.Place()
 	leader.commit()
 	if leader.starts("run-000001/0") != 0 {
@@ -229,7 +228,7 @@
 		t.Error("the cloud was asked to take the machine back")
 	}
 	leader.leading = true
-	leader.heartbeat("a1")
+	leader.heartbeat()
 	leader.Place()
 	leader.commit()
 	if leader.starts("run-000001/0") != 1 {
@@ -248,11 +247,11 @@
 		}
 		return job.State
 	}
-	for name, begin := range map[string]func(t *testing.T, ctx context.Context) (controller *Controller, asked, release chan struct{}){
-		"read in the state service": func(t *testing.T, ctx context.Context) (*Controller, chan struct{}, chan struct{}) {
+	for name, begin := range map[string]func(t *testing.T) (controller *Controller, asked, release chan struct{}){
+		"read in the state service": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
 			clock := clockwork.NewFakeClock()
 			stateService := fake.NewState(clock)
-			controller := New(ctx, testSettings(), policy.Default(), clock, stateService)
+			controller := New(t.Context(), testSettings(), policy.Default(), clock, stateService)
 			stateService.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001"}})
 			held, release := stateService.LateRead(true), make(chan struct{})
 			go func() {
@@ -261,9 +260,9 @@
 			}()
 			return controller, held.Asked, release
 		},
-		"asked of the leader": func(t *testing.T, ctx context.Context) (*Controller, chan struct{}, chan struct{}) {
+		"asked of the leader": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
 			asked, release := make(chan struct{}), make(chan struct{})
-			controller, _, _ := newFollower(t, ctx, new(atomic.Bool), func(_ context.Context, request peer.Request) peer.Response {
+			controller, _, _ := newFollower(t, new(atomic.Bool), func(_ context.Context, request peer.Request) peer.Response {
 				if request.Verb == VerbCancel {
 					return peer.JSONResponse(200, api.JobStatus{ID: request.Job, State: api.Cancelled})
 				}
@@ -276,9 +275,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ctx, stop := context.WithCancel(context.Background())
-			defer stop()
-			controller, asked, release := begin(t, ctx)
+			ctx := t.Context()
+			controller, asked, release := begin(t)
 			got := make(chan peer.Response, 1)
 			go func() { got <- controller.Handle(ctx, poll, false) }()
 			<-asked
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 
 	"switchferry/store"
@@ -56,11 +57,11 @@
 	client := t.controller.client
 	jobs, revision, err := client.List(ctx, store.JobPrefix)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("list jobs: %w", err)
 	}
 	shards, _, err := client.List(ctx, store.ShardPrefix)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("list shards: %w", err)
 	}
 	if images, ok := t.listHints(ctx, store.ImagesPrefix); ok {
 		t.scheduler.LoadImageHints(images)
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -14,7 +14,7 @@
 )
 
 // newIsolatedController is n1 of n0, n1 and n2, whose siblings are silent.
-func newIsolatedController(t *testing.T) (*Controller, *clockwork.FakeClock) {
+func newIsolatedController() (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10}
@@ -24,7 +24,7 @@
 // With both siblings silent, workers come to the last controller one dead end after
 // the other. It resigned after 3.5 s without a report, and they found nobody.
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
-	controller, clock := newIsolatedController(t)
+	controller, clock := newIsolatedController()
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
 	term := &leaderTerm{controller: controller, scheduler: sched}
 	step := func(wait time.Duration) (deaf bool) {
