--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -16,8 +16,8 @@
 	"switchferry/upgrade"
 )
 
-// An accept and a cancellation of what it awaits that cross, in both orders of their records,
-// decided by the leader or by a controller alone.
+// A job is cancelled if it is accepted while a job that it depends on is being cancelled, whichever record is written
+// first, and whether the leader or another controller accepts it.
 func TestConcurrentAcceptAndDependencyCancellationCancelsJob(t *testing.T) {
 	for _, first := range []string{"accept", "cancel"} {
 		for _, alone := range []bool{false, true} {
@@ -67,8 +67,8 @@
 	}
 }
 
-// What a submission may await, and that anything else is refused with the field and changes
-// nothing. A repetition of an accepted job is answered with its state whatever it names.
+// A submission with invalid dependencies is refused with the field and stores nothing. A retry of an accepted job is
+// answered with its state, whatever dependencies it names.
 func TestInvalidDependenciesAreRefused(t *testing.T) {
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
@@ -128,8 +128,8 @@
 	}
 }
 
-// While a process of the first version may come back, no job that awaits others is accepted:
-// it would start them at once.
+// While a process of the first version may run, no job with dependencies is accepted, since it would start the job at
+// once.
 func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
@@ -153,8 +153,8 @@
 	}
 }
 
-// A controller marks its version once, and knows that no older process can come back only when
-// every member's mark stands; one that begins anew learns it from the records.
+// A controller records its version once, and knows that no older process can return only when every member's record
+// exists. A controller that starts anew learns that from the records.
 func TestVersionMarksShowWhenNoOlderProcessCanReturn(t *testing.T) {
 	leader := newLeader(t)
 	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "z", Address: "127.0.0.1:1"}}}
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -16,8 +16,7 @@
 	"switchferry/store"
 )
 
-// While it does not know the state of things, a node does not say 404; and an
-// id that nobody submitted is 404 once the state service says so.
+// A controller answers 404 only if the state service says that a job does not exist, and not in an outage.
 func TestUnknownJobIsNotFoundOnlyWithStateService(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -39,9 +38,9 @@
 	}
 }
 
-// A node that reaches neither the state service nor a sibling sends a worker to
-// the node before it. A worker that comes back found nobody there: it is kept,
-// or it would lose its lease while it tries one dead way after the other.
+// A controller that reaches neither the state service nor a peer redirects a worker to the controller before it. A
+// worker that returns found no controller there and stays, or it would lose its lease while it tries one unreachable
+// controller after the other.
 func TestIsolatedControllerKeepsReturningWorkers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -70,9 +69,8 @@
 	}
 }
 
-// A leader that crashed in an outage of the state service and came back leads
-// nothing, though its key still stands: workers sent there would be refused by
-// all nodes in turn until their leases end.
+// A leader that crashed in an outage of the state service and restarted does not lead, though its key still stands.
+// Workers that are redirected to it would be refused by all controllers in turn until their leases expire.
 func TestRestartedLeaderWithoutTermDoesNotLead(t *testing.T) {
 	for _, c := range []struct {
 		alive  []peer.Hello
@@ -90,8 +88,7 @@
 	}
 }
 
-// A known id is never answered 400, 404 or 422, whatever the retry's body; an
-// unknown one is told what is wrong, at once.
+// A known id is never answered 400, 404 or 422, whatever the body of the retry; an unknown one is refused at once.
 func TestKnownJobIsNeverRefused(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -118,8 +115,7 @@
 	}
 }
 
-// A job that a node accepts without the leader is there once, and stays over
-// once it is over.
+// A job that a controller accepts without the leader exists once, however often it is submitted.
 func TestSubmissionWithoutLeaderIsIdempotent(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -147,8 +143,8 @@
 	return set
 }
 
-// A job that no value of the state service holds is refused at once, with the reason; its
-// record would be set aside for ever, and its user told to come back.
+// A job whose record is larger than a value of the state service may be is refused at once with the reason. Its record
+// could never be written, and its user would retry for ever.
 func TestJobTooLargeToStoreIsRefused(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -27,7 +27,7 @@
 	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
-// Without the leader a submission is judged, and stored, only by a configuration that was confirmed lately, and on
+// Without the leader a submission is checked, and stored, only by a configuration that was confirmed lately, and on
 // condition that it is still the newest.
 func TestSubmissionsWithoutTheLeaderNeedAConfirmedConfiguration(t *testing.T) {
 	ctx := t.Context()
@@ -78,7 +78,7 @@
 	}
 }
 
-// A refusal is looked at last: what it was judged by may have been replaced while the process stood still.
+// A refusal is checked again before it is sent: the configuration may have been replaced while the process was paused.
 func TestRefusalByAnExpiredConfigurationIsNotSent(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -106,8 +106,8 @@
 	return encodeResponse(controller.configuration.handler().Change(context.Background(), nil, body))
 }
 
-// Only once all controllers know of it, and have it on, can anything be changed; a document with a mistake, or with
-// what is off here, changes nothing.
+// The configuration can be changed only once all controllers have recorded that they can take changes. A document with a
+// mistake, or with what is off here, changes nothing.
 func TestChangesNeedAllControllers(t *testing.T) {
 	controller := newLeader(t).beside()
 	controller.settings.Peers = []settings.Peer{{Member: "z"}}
@@ -130,7 +130,7 @@
 	}
 }
 
-// A setting that a later revision leaves out is as the files have it again.
+// A setting that a later revision leaves out is as in the files again.
 func TestSettingLeftOutIsAsInTheFiles(t *testing.T) {
 	controller := newLeader(t).beside()
 	controller.features.data.Ahead = 5
--- a/controller/dataset_admission_test.go
+++ b/controller/dataset_admission_test.go
@@ -49,8 +49,8 @@
 		"expect_s":10,"snapshot_s":0,"stow_s":0,"due_s":null%s}`, id, "team", tasks, more)
 }
 
-// What can never run is refused at once, with the field and the remedy; whatever can, is
-// stored with its inputs.
+// Inputs with which a job can never run are refused at once, with the field and the remedy; a feasible job is stored
+// with its inputs.
 func TestInfeasibleInputsAreRefused(t *testing.T) {
 	controller, state := newDataController(true)
 	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1e9)); response.Status != 201 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// A name stands for the same content for ever; to register it again is no mistake.
+// A name stands for the same content for ever; to register it again with that content is no error.
 func TestRegisteredDatasetsAreImmutable(t *testing.T) {
 	controller, _ := newDataController(true)
 	for _, c := range []struct {
@@ -101,8 +101,7 @@
 	}
 }
 
-// Off, a submission with inputs is the one that it was before there were any: unknown
-// fields are ignored, as the protocol says, whatever is in them.
+// With datasets off, inputs are an unknown field, which is ignored whatever it contains, as the protocol says.
 func TestInputsAreIgnoredWithDatasetsOff(t *testing.T) {
 	controller, state := newDataController(false)
 	response := controller.ask(VerbSubmit, submissionBody("run-000001", 4, `,"inputs":[{"nonsense":true}]`))
@@ -123,7 +122,7 @@
 	}
 }
 
-// Without a leader an agent is told so at once, and reads nothing into it.
+// Without a leader an agent's heartbeat is refused at once.
 func TestAgentHeartbeatIsRefusedWithoutLeader(t *testing.T) {
 	controller, _ := newDataController(true)
 	if status, _ := controller.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1}, nil); status != 503 {
--- a/controller/dataset_requests_test.go
+++ b/controller/dataset_requests_test.go
@@ -11,7 +11,8 @@
 	"switchferry/store"
 )
 
-// A controller that accepts without the leader, and has read the dataset before, refuses a job once the dataset is being removed.
+// A controller that accepts jobs without the leader, and has read the dataset before, refuses a job once the dataset is
+// being removed.
 func TestSubmissionWithoutLeaderRacesWithRemoval(t *testing.T) {
 	controller, state := newDataController(true)
 	controller.ask(VerbRegister, datasetSummary("inv", 8, 1e8))
@@ -31,8 +32,7 @@
 	}
 }
 
-// Removing is asked for as often as one likes, by several at once; a name that was removed
-// is not used again.
+// A removal can be requested again, also by several users at once; the name of a removed dataset is not used again.
 func TestDatasetRemovalIsIdempotent(t *testing.T) {
 	controller, state := newDataController(true)
 	remove := func(name string) peer.Response {
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// A follower's own ear: copies neither show that workers reach it, nor move one from node to node, nor
-// disturb what it relays.
+// Late copies of heartbeats neither show that workers reach a follower, nor redirect a worker, nor change what is
+// relayed.
 func TestDuplicateHeartbeatsAreIgnoredByFollower(t *testing.T) {
 	controller, clock := newIsolatedController()
 	term := uint64(9)
@@ -27,12 +27,12 @@
 		t.Errorf("a copy was answered %d %+v", status, body)
 	}
 	if controller.heartbeats.receivesHeartbeats() {
-		t.Error("a copy counts as a worker that reaches this node")
+		t.Error("a copy counts as a worker that reaches this controller")
 	}
 }
 
-// A worker that claims a token nobody gave ended every leader's term; while the key certainly stands it
-// is told that its report is wrong.
+// A worker that claims a token which no leader was given does not end the term: while the leader's key certainly stands
+// its heartbeat is refused. It once ended every term.
 func TestUnissuedFencingTokenDoesNotEndTerm(t *testing.T) {
 	controller, _ := newIsolatedController()
 	valid := true
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -28,7 +28,7 @@
 	clock     *clockwork.FakeClock
 	state     *fake.State
 	committer *store.Committer
-	// leading is what the scheduler is told of whether it still leads.
+	// leading is whether the scheduler still leads.
 	leading bool
 	// seq numbers the heartbeats of all machines.
 	seq uint64
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -19,12 +19,11 @@
 	"switchferry/watermark"
 )
 
-// A controller that is cut off with its zone keeps its workers' leases only as long as the
-// last one ends before a job could be due to be gone whose user was told on the other side
-// that it is cancelled. It kept them to the end of the cut, and cancelled tasks ran on
-// (docs/incidents/fleet-cancelled-behind-a-cut.md). A leader whose term may be over does the
-// same. An answer of the state service is no word by itself: only what was read of the jobs is, from when it
-// was asked for; and a process that never had any renews nothing.
+// A controller that is isolated with its zone renews leases of workers only so long that the last one expires before the
+// tasks of a job must have ended whose cancellation was acknowledged elsewhere. It once renewed them until the partition
+// ended, and cancelled tasks ran on (docs/incidents/fleet-cancelled-behind-a-cut.md). A leader whose term may be over
+// does the same. An answer of the state service confirms nothing by itself: only what was read of the jobs does, from
+// when it was asked for. A process that never read them renews nothing.
 func TestLeasesInIsolatedZoneExpireInTime(t *testing.T) {
 	for _, led := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
@@ -72,7 +71,7 @@
 				t.Errorf("a worker that came back is told %d %+v", status, body)
 			}
 		}
-		// Word comes again, and leases are kept again.
+		// Once the records are read again, leases are renewed again.
 		state.Down = false
 		_, _ = controller.client.Get(context.Background(), "k")
 		if controller.leases.mayRenew() {
@@ -90,8 +89,8 @@
 	}
 }
 
-// A cancellation is known to the siblings before anyone can be told: before its record is sent, since whoever
-// reads that may tell; and before an answer leaves, whoever it came from.
+// A cancellation is stated to the peers before anyone can learn of it: before its record is written, since whoever reads
+// that may answer a user, and before an answer is sent, wherever it comes from.
 func TestCancellationsAreReplicatedBeforeTheyAreAcknowledged(t *testing.T) {
 	controller, clock := newIsolatedController()
 	knows := func(job string) bool {
@@ -107,7 +106,7 @@
 	}
 	sched.Cancel(cancelledContext(), "run-1")
 	if _, ok, _ := (recordSource{sched, controller}).Record(store.JobKey("run-1")); !ok || !knows("run-1") {
-		t.Error("the record of a cancellation leaves, and siblings are told nothing")
+		t.Error("the record of a cancellation leaves, and peers are told nothing")
 	}
 	client := controller.client
 	for _, job := range []string{"run-3", "run-4"} {
@@ -116,22 +115,22 @@
 		}
 	}
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-3"}, false); response.Status != 200 || !knows("run-3") {
-		t.Errorf("a user is told %d %s, and siblings nothing", response.Status, response.Body)
+		t.Errorf("a user is told %d %s, and peers nothing", response.Status, response.Body)
 	}
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbCancel, Job: "run-4"}, false); response.Status != 200 || !knows("run-4") {
-		t.Errorf("a user who cancels without a leader is told %d %s, and siblings nothing", response.Status, response.Body)
+		t.Errorf("a user who cancels without a leader is told %d %s, and peers nothing", response.Status, response.Body)
 	}
-	// Nothing that they did not always hear goes to processes that may be older.
+	// Processes that may be of an older version are sent nothing that they do not know.
 	if _, _, ok := (cancellationExchange{controller.leases}).Position("n0"); ok {
-		t.Error("asks a sibling without a mark")
+		t.Error("asks a peer without a mark")
 	}
 	if _, ok := (cancellationExchange{controller.leases}).Statement(0, 0); ok {
-		t.Error("answers a sibling without a mark")
+		t.Error("answers a peer without a mark")
 	}
 }
 
-// A leader that has just begun, and has not read the records, knows of no cancellation that was told before: it
-// renews no lease, and keeps the worker there until it knows. It used to renew as long as its key stood.
+// A new leader that has not read the records may not know of an acknowledged cancellation: it renews no lease, and keeps
+// the worker until it knows. It once renewed leases as long as its key stood.
 func TestNewLeaderRenewsNoLeaseBeforeRecordsAreLoaded(t *testing.T) {
 	controller, clock := newIsolatedController()
 	controller.settings.Facts.Workers.CancelS = 40
--- a/controller/relays_test.go
+++ b/controller/relays_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A controller that reaches neither leader nor state service keeps no agent waiting.
+// A controller that reaches neither the leader nor the state service refuses heartbeats of agents at once.
 func TestAgentHeartbeatIsRefusedWithoutStateService(t *testing.T) {
 	y, leader := newAgentFollower(t)
 	leader.state.Down = true
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -25,8 +25,8 @@
 const sampleJob = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":1,"cores":1,"cards":0,"ram_gb":1,
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
-// newFollower is a controller that has greeted its leader n0. The leader falls silent once
-// mute is set: connections stand, and nothing is answered.
+// newFollower returns a controller that has received a hello of its leader n0. Once unresponsive is set, connections to
+// the leader stand and nothing is answered.
 func newFollower(t *testing.T, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	t.Helper()
 	ctx := t.Context()
@@ -50,7 +50,7 @@
 	controller.catalog.types = testTypes
 	controller.peers.Run(ctx)
 	for !controller.peers.Reachable("n0") {
-		// The greeting is on its way.
+		// The hello is on its way.
 	}
 	return controller, clock, state
 }
@@ -61,8 +61,7 @@
 	return peer.Response{}
 }
 
-// A leader that fell silent held submissions and questions back until their users had
-// given up: they are served without it, in time.
+// Submissions and status requests are served without a leader that does not answer, before their users give up.
 func TestUnresponsiveLeaderDoesNotDelayUsers(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -82,7 +81,7 @@
 		}
 		got := make(chan peer.Response, 1)
 		go func() { got <- controller.Handle(ctx, c.r, false) }()
-		// Waiting: the greetings' pace, the two ends of patience, what is left of
+		// Waiting: the timer of hellos, the two ends of patience, what is left of
 		// the question before.
 		if err := clock.BlockUntilContext(ctx, 3+i); err != nil {
 			t.Fatal(err)
@@ -97,8 +96,8 @@
 	}
 }
 
-// A leader that has just handed over says so, before its next greeting does: what it was asked
-// is served without it, and its users are not sent away.
+// A leader that has just handed over says so before its next hello does. Requests that were forwarded to it are served
+// without it, and their users need not retry.
 func TestFormerLeaderIsBypassed(t *testing.T) {
 	ctx := t.Context()
 	controller, _, state := newFollower(t, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
@@ -110,8 +109,8 @@
 	}
 }
 
-// A leader that is only busy, with more submissions than the limit of writes allows, had
-// each of them stored beside it as well, which took twice the writes that it lacked.
+// A submission that waits in a busy leader for the limit of writes is not stored beside it as well: that once took twice
+// the writes that the leader lacked.
 func TestBusyLeaderIsNotBypassed(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -123,7 +122,7 @@
 	got := make(chan peer.Response, 1)
 	before := state.Requests
 	go func() { got <- controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, false) }()
-	// The greeting went before the question, and is answered in its place.
+	// The hello was sent before the request, and is answered before it.
 	<-asked
 	if err := clock.BlockUntilContext(ctx, 3); err != nil {
 		t.Fatal(err)
@@ -138,8 +137,8 @@
 	}
 }
 
-// A leader that stood still past its term answers from the state service, where its
-// successor has cancelled the job, and not from its memory.
+// A leader that was paused past its term answers from the state service, where its successor has cancelled the job, and
+// not from memory.
 func TestDeposedLeaderDoesNotAnswerFromMemory(t *testing.T) {
 	leader := newLeader(t)
 	job := smallJob("run-000001")
@@ -165,8 +164,8 @@
 	}
 }
 
-// Users who ask for jobs that nobody knows, again and again, do not take the requests
-// that renewals and records need; what cannot be read is refused at once.
+// Users who ask for unknown jobs again and again do not take the requests that the leader's key and the records need;
+// what cannot be read is refused at once.
 func TestStatusRequestsLeaveStateServiceCapacity(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -198,8 +197,8 @@
 	}
 }
 
-// A leader that stood still between deciding to return a machine and doing so may no
-// longer lead, and the machine may be at work for another: nothing is returned.
+// A leader that was paused between deciding to return a machine and doing so may no longer lead, and the machine may
+// work for another: it is not returned.
 func TestNoMachineIsReleasedAfterTheTerm(t *testing.T) {
 	leader := newLeader(t)
 	leader.heartbeat()
@@ -236,8 +235,8 @@
 	}
 }
 
-// A poll was read before its job was cancelled, and is answered after its user was told that: by whichever way it
-// came, the cancellation stands. The job was called pending again.
+// A status that was read before the job was cancelled is not answered after the cancellation was acknowledged, whether
+// it was read from the state service or by the leader. The job was once called pending again.
 func TestStatusReadBeforeCancellationIsNotAnsweredAfterIt(t *testing.T) {
 	poll, cancel := peer.Request{Verb: VerbStatus, Job: "run-000001"}, peer.Request{Verb: VerbCancel, Job: "run-000001"}
 	state := func(response peer.Response) string {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -13,7 +13,7 @@
 	"switchferry/settings"
 )
 
-// newIsolatedController is n1 of n0, n1 and n2, whose siblings are silent.
+// newIsolatedController returns n1 of n0, n1 and n2, whose peers do not answer.
 func newIsolatedController() (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
@@ -21,8 +21,8 @@
 	return New(context.Background(), set, policy.Default(), clock, fake.NewState(clock)), clock
 }
 
-// With both siblings silent, workers come to the last controller one dead end after
-// the other. It resigned after 3.5 s without a report, and they found nobody.
+// With both peers unresponsive, workers reach the last controller after one unreachable controller after the other. It
+// once resigned after 3.5 s without a heartbeat, and they found no controller.
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
 	controller, clock := newIsolatedController()
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
