--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -2,18 +2,18 @@
 
 import (
 	"context"
-	"fmt"
-	"slices"
+	"net/http"
 	"strings"
 	"testing"
 
+	"github.com/jonboulle/clockwork"
+
 	"switchferry/api"
+	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
 	"switchferry/settings"
 	"switchferry/store"
-	"switchferry/tuning"
-	"switchferry/upgrade"
 )
 
 // A job is cancelled if it is accepted while a job that it depends on is being cancelled, whichever record is written
@@ -67,116 +67,57 @@
 	}
 }
 
-// A submission with invalid dependencies is refused with the field and stores nothing. A retry of an accepted job is
-// answered with its state, whatever dependencies it names.
-func TestInvalidDependenciesAreRefused(t *testing.T) {
-	leader := newLeader(t)
-	leader.submit(smallJob("run-000001"))
-	service := smallJob("run-000002")
-	service.Shape, service.Rank = api.Service, "prod"
-	leader.submit(service)
-	controller := leader.beside()
-	leader.leading = false // all is told from the records
-	var long []string
-	for i := range tuning.MaxDependencies + 1 {
-		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+i))
-	}
-	ask := func(awaits string) peer.Response {
-		body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
-		got := make(chan peer.Response, 1)
-		go func() {
-			got <- controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
-		}()
-		for {
-			select {
-			case response := <-got:
-				return response
-			default:
-				leader.clock.Advance(tuning.DependencyRetryDelay)
-			}
-		}
-	}
-	before := leader.state.Requests
-	for awaits, want := range map[string]struct {
-		status int
-		says   string
-	}{
-		`["run-000404"]`:                         {422, "run-000404 was never accepted"},
-		`["run-000002"]`:                         {422, "is a service"},
-		`["run-000009"]`:                         {422, "is the job itself"},
-		`[` + strings.Join(long, ",") + `]`:      {422, "at most 64"},
-		`["run-000001","run-000001"]`:            {400, "stands twice"},
-		`[]`:                                     {400, "one or more job ids"},
-		`null`:                                   {400, "one or more job ids"},
-		`"run-000001"`:                           {400, "one or more job ids"},
-		`[1]`:                                    {400, "one or more job ids"},
-		`{"a":1}`:                                {400, "one or more job ids"},
-		`["` + strings.Repeat("9", 1<<10) + `"]`: {400, "is no job id"},
-	} {
-		if response := ask(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.says) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
-			t.Errorf("%.60s: %d %.200s", awaits, response.Status, response.Body)
-		}
-	}
-	if leader.state.Get(store.JobKey("run-000009")) != nil || leader.state.Requests-before > 100 {
-		t.Errorf("something was stored, or asked %d times", leader.state.Requests-before)
-	}
-	if response := ask(`["run-000001"]`); response.Status != 201 {
-		t.Errorf("%d %s", response.Status, response.Body)
-	}
-	if response := ask(`["run-000404"]`); response.Status != 200 {
-		t.Errorf("a repetition that names another job: %d %s", response.Status, response.Body)
+// A known id is never answered 400, 404 or 422, whatever the body of the retry; an unknown one is refused at once.
+func TestKnownJobIsNeverRefused(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	state := fake.NewState(clock)
+	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
+	controller.catalog.types = testTypes
+	ask := func(body string) int {
+		return controller.serveAsLeader(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
+	}
+	refusal := `{"name_id":"run-000001","parts":-4}`
+	if got := ask(refusal); got != 400 {
+		t.Errorf("unknown id: %d", got)
+	}
+	state.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001", Tasks: 1}})
+	if got := ask(refusal); got != 200 {
+		t.Errorf("known id: %d", got)
+	}
+	state.Put(store.FinalKey("run-000002"), store.FinalRecord{State: api.Done, Tasks: 3})
+	if got := ask(`{"name_id":"run-000002"}`); got != 200 {
+		t.Errorf("id of a job that is over: %d", got)
+	}
+	state.Down = true
+	if got := ask(`{"name_id":"run-000003"}`); got != 503 {
+		t.Errorf("while nobody can tell: %d", got)
 	}
 }
 
-// While a process of the first version may run, no job with dependencies is accepted, since it would start the job at
-// once.
-func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
-	leader := newLeader(t)
-	leader.submit(smallJob("run-000001"))
-	controller := leader.beside()
-	controller.submissions.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
-	controller.submissions.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
-	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
-	ask := func() peer.Response {
-		return controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
-	}
-	if response := ask(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
-		t.Errorf("%d %s", response.Status, response.Body)
-	}
-	controller.submissions.versions.Observe("z", upgrade.VersionMark{Data: 1})
-	if response := ask(); response.Status != 503 {
-		t.Errorf("beside data of version 1: %d", response.Status)
-	}
-	controller.submissions.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
-	if response := ask(); response.Status != 201 {
+// A job whose record is larger than a value of the state service may be is refused at once with the reason. Its record
+// could never be written, and its user would retry for ever.
+func TestJobTooLargeToStoreIsRefused(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	state := fake.NewState(clock)
+	set := testSettings()
+	set.Facts.Teams = []settings.Team{{Name: "team"}}
+	controller := New(context.Background(), set, policy.Default(), clock, state)
+	controller.catalog.types = testTypes
+	body := submissionBody("run-000001", 4, `,"x":1`)
+	long := strings.Replace(body, `"bundle":"img"`, `"bundle":"`+strings.Repeat("i", 17<<10)+`"`, 1)
+	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(long)}, false); response.Status != 400 || !strings.Contains(string(response.Body), "at most 16384") {
+		t.Errorf("%d %.200s", response.Status, response.Body)
+	}
+	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false); response.Status != 201 {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
 }
 
-// A controller records its version once, and knows that no older process can return only when every member's record
-// exists. A controller that starts anew learns that from the records.
-func TestVersionMarksShowWhenNoOlderProcessCanReturn(t *testing.T) {
-	leader := newLeader(t)
-	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "z", Address: "127.0.0.1:1"}}}
-	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24, Next: settings.NextState{ValueKB: 2}}
-	begin := func() *Controller {
-		return New(context.Background(), set, policy.Default(), leader.clock, leader.state)
-	}
-	controller := begin()
-	if controller.versions.RecordOwn(context.Background()) || string(leader.state.Get("sf/version/y")) != `{"data":2}` {
-		t.Fatalf("marked %s", leader.state.Get("sf/version/y"))
-	}
-	stamp := leader.state.Put("sf/test", 1)
-	if !controller.versions.RecordOwn(context.Background()) || leader.state.Put("sf/test", 1) != stamp+1 {
-		t.Error("its mark was written again")
-	}
-	if existing := controller.versions.Older(); !slices.Equal(existing, []string{"z"}) {
-		t.Errorf("older %v", existing)
-	}
-	leader.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
-	again := begin()
-	again.markVersion(context.Background()) // returns once it has seen all
-	if existing := again.versions.Older(); len(existing) > 0 {
-		t.Errorf("older %v", existing)
+func TestInfeasibleTopologyConstraintIsRefused(t *testing.T) {
+	body := `{"near":{"level":"rack"},"survive":{"level":"rack","at_most":2}}`
+	for shape, want := range map[string]int{api.Service: http.StatusUnprocessableEntity, api.Gang: http.StatusUnprocessableEntity, api.JobArray: 0} {
+		if status, err := checkSite(&api.Submission{Shape: shape, Tasks: 3}, []byte(body)); status != want {
+			t.Errorf("%s: %d %v, want %d", shape, status, err, want)
+		}
 	}
 }
--- a/controller/relays_test.go
+++ b/controller/agents_test.go
@@ -12,6 +12,17 @@
 	"switchferry/store"
 )
 
+// Without a leader an agent's heartbeat is refused at once.
+func TestAgentHeartbeatIsRefusedWithoutLeader(t *testing.T) {
+	controller, _ := newDataController(true)
+	if status, _ := controller.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1}, nil); status != 503 {
+		t.Error(status)
+	}
+	if response := controller.ask(VerbData, ""); response.Status != 503 || response.RetryAfterS == 0 {
+		t.Error(response.Status)
+	}
+}
+
 // newAgentFollower returns a controller with datasets on that does not reach the leader x, which has the term that is returned.
 func newAgentFollower(t *testing.T) (y *Controller, leader *testLeader) {
 	t.Helper()
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -2,17 +2,13 @@
 
 import (
 	"context"
-	"strings"
 	"testing"
-	"time"
 
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
 	"switchferry/internal/fake"
-	"switchferry/peer"
 	"switchferry/policy"
-	"switchferry/settings"
 	"switchferry/store"
 )
 
@@ -37,127 +33,3 @@
 		t.Errorf("accepted: %d", got)
 	}
 }
-
-// A controller that reaches neither the state service nor a peer redirects a worker to the controller before it. A
-// worker that returns found no controller there and stays, or it would lose its lease while it tries one unreachable
-// controller after the other.
-func TestIsolatedControllerKeepsReturningWorkers(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	state := fake.NewState(clock)
-	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	controller := New(context.Background(), set, policy.Default(), clock, state)
-	state.Put(store.LeaderKey, store.LeaderRecord{Member: "n2"})
-	if controller.elector.Campaign(context.Background()) {
-		t.Fatal("two leaders")
-	}
-	_, term := controller.elector.Leader()
-	controller.leases.watermark.MarkCurrent(clock.Now())
-	state.Down = true
-	clock.Advance(time.Second)
-	controller.jobs.answerStatus(context.Background(), nil, "run-1", true)
-	heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
-	status, body := controller.HandleHeartbeat(context.Background(), heartbeat, nil)
-	if status != 421 || body.(api.Redirect).Controller != "n0" {
-		t.Fatalf("first report: %d %+v", status, body)
-	}
-	clock.Advance(6 * time.Second)
-	heartbeat.Seq++
-	status, body = controller.HandleHeartbeat(context.Background(), heartbeat, nil)
-	if response, ok := body.(api.HeartbeatResponse); status != 200 || !ok || response.Term != term || len(response.Commands) != 0 {
-		t.Errorf("report of a worker that came back: %d %+v", status, body)
-	}
-}
-
-// A leader that crashed in an outage of the state service and restarted does not lead, though its key still stands.
-// Workers that are redirected to it would be refused by all controllers in turn until their leases expire.
-func TestRestartedLeaderWithoutTermDoesNotLead(t *testing.T) {
-	for _, c := range []struct {
-		alive  []peer.Hello
-		leader string
-		there  bool
-	}{
-		{[]peer.Hello{{Member: "n2"}, {Member: "n1"}}, "n2", false},
-		{[]peer.Hello{{Member: "n2", Term: 7}, {Member: "n1"}}, "n2", true},
-		{[]peer.Hello{{Member: "n2", Term: 7}, {Member: "n1", Term: 9}}, "n1", true},
-		{[]peer.Hello{{Member: "n1", Term: 5}}, "n2", false},
-	} {
-		if leader, _, reachable := newestLeader("n2", 7, c.alive); leader != c.leader || reachable != c.there {
-			t.Errorf("%+v: %s %v", c.alive, leader, reachable)
-		}
-	}
-}
-
-// A known id is never answered 400, 404 or 422, whatever the body of the retry; an unknown one is refused at once.
-func TestKnownJobIsNeverRefused(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	state := fake.NewState(clock)
-	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
-	controller.catalog.types = testTypes
-	ask := func(body string) int {
-		return controller.serveAsLeader(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
-	}
-	refusal := `{"name_id":"run-000001","parts":-4}`
-	if got := ask(refusal); got != 400 {
-		t.Errorf("unknown id: %d", got)
-	}
-	state.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001", Tasks: 1}})
-	if got := ask(refusal); got != 200 {
-		t.Errorf("known id: %d", got)
-	}
-	state.Put(store.FinalKey("run-000002"), store.FinalRecord{State: api.Done, Tasks: 3})
-	if got := ask(`{"name_id":"run-000002"}`); got != 200 {
-		t.Errorf("id of a job that is over: %d", got)
-	}
-	state.Down = true
-	if got := ask(`{"name_id":"run-000003"}`); got != 503 {
-		t.Errorf("while nobody can tell: %d", got)
-	}
-}
-
-// A job that a controller accepts without the leader exists once, however often it is submitted.
-func TestSubmissionWithoutLeaderIsIdempotent(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	state := fake.NewState(clock)
-	controller := New(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, state)
-	submission := &api.Submission{ID: "run-000001", Tasks: 1}
-	if got := controller.submissions.submitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
-		t.Fatalf("first: %d", got)
-	}
-	if got := controller.submissions.submitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
-		t.Errorf("again: %d", got)
-	}
-	// With a leader's key standing, only the leader cancels; it is told.
-	state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	if got := controller.submissions.cancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
-		t.Errorf("cancelled beside a leader: %d", got)
-	}
-	if string(state.Get(store.InboxKey("run-000001"))) != `{"cancel":true}` {
-		t.Errorf("inbox %s", state.Get(store.InboxKey("run-000001")))
-	}
-}
-
-func testSettings() *settings.Settings {
-	set := &settings.Settings{Member: "y"}
-	set.Facts.State = settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
-	return set
-}
-
-// A job whose record is larger than a value of the state service may be is refused at once with the reason. Its record
-// could never be written, and its user would retry for ever.
-func TestJobTooLargeToStoreIsRefused(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	state := fake.NewState(clock)
-	set := testSettings()
-	set.Facts.Teams = []settings.Team{{Name: "team"}}
-	controller := New(context.Background(), set, policy.Default(), clock, state)
-	controller.catalog.types = testTypes
-	body := submissionBody("run-000001", 4, `,"x":1`)
-	long := strings.Replace(body, `"bundle":"img"`, `"bundle":"`+strings.Repeat("i", 17<<10)+`"`, 1)
-	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(long)}, false); response.Status != 400 || !strings.Contains(string(response.Body), "at most 16384") {
-		t.Errorf("%d %.200s", response.Status, response.Body)
-	}
-	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false); response.Status != 201 {
-		t.Errorf("%d %s", response.Status, response.Body)
-	}
-}
--- a/controller/dataset_requests_test.go
+++ b/controller/dataset_requests_test.go
@@ -67,3 +67,19 @@
 		t.Errorf("off: %d", response.Status)
 	}
 }
+
+// A name stands for the same content for ever; to register it again with that content is no error.
+func TestRegisteredDatasetsAreImmutable(t *testing.T) {
+	controller, _ := newDataController(true)
+	for _, c := range []struct {
+		body   string
+		status int
+	}{
+		{datasetSummary("inv", 8, 1e9), 201}, {datasetSummary("inv", 8, 1e9), 200}, {datasetSummary("inv", 9, 1e9), 409},
+		{datasetSummary("Bad Name", 9, 1e9), 400}, {`{`, 400}, {`{"name":"a","parts":3,"part_bytes":5,"bytes":16}`, 400},
+	} {
+		if response := controller.ask(VerbRegister, c.body); response.Status != c.status {
+			t.Errorf("%s: %d %s", c.body, response.Status, response.Body)
+		}
+	}
+}
--- /dev/null
+++ b/controller/dependency_checks_test.go
@@ -0,0 +1,100 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+
+	"switchferry/api"
+	"switchferry/peer"
+	"switchferry/store"
+	"switchferry/tuning"
+	"switchferry/upgrade"
+)
+
+// A submission with invalid dependencies is refused with the field and stores nothing. A retry of an accepted job is
+// answered with its state, whatever dependencies it names.
+func TestInvalidDependenciesAreRefused(t *testing.T) {
+	leader := newLeader(t)
+	leader.submit(smallJob("run-000001"))
+	service := smallJob("run-000002")
+	service.Shape, service.Rank = api.Service, "prod"
+	leader.submit(service)
+	controller := leader.beside()
+	leader.leading = false // all is told from the records
+	var long []string
+	for i := range tuning.MaxDependencies + 1 {
+		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+i))
+	}
+	ask := func(awaits string) peer.Response {
+		body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
+		got := make(chan peer.Response, 1)
+		go func() {
+			got <- controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
+		}()
+		for {
+			select {
+			case response := <-got:
+				return response
+			default:
+				leader.clock.Advance(tuning.DependencyRetryDelay)
+			}
+		}
+	}
+	before := leader.state.Requests
+	for awaits, want := range map[string]struct {
+		status int
+		says   string
+	}{
+		`["run-000404"]`:                         {422, "run-000404 was never accepted"},
+		`["run-000002"]`:                         {422, "is a service"},
+		`["run-000009"]`:                         {422, "is the job itself"},
+		`[` + strings.Join(long, ",") + `]`:      {422, "at most 64"},
+		`["run-000001","run-000001"]`:            {400, "stands twice"},
+		`[]`:                                     {400, "one or more job ids"},
+		`null`:                                   {400, "one or more job ids"},
+		`"run-000001"`:                           {400, "one or more job ids"},
+		`[1]`:                                    {400, "one or more job ids"},
+		`{"a":1}`:                                {400, "one or more job ids"},
+		`["` + strings.Repeat("9", 1<<10) + `"]`: {400, "is no job id"},
+	} {
+		if response := ask(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.says) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
+			t.Errorf("%.60s: %d %.200s", awaits, response.Status, response.Body)
+		}
+	}
+	if leader.state.Get(store.JobKey("run-000009")) != nil || leader.state.Requests-before > 100 {
+		t.Errorf("something was stored, or asked %d times", leader.state.Requests-before)
+	}
+	if response := ask(`["run-000001"]`); response.Status != 201 {
+		t.Errorf("%d %s", response.Status, response.Body)
+	}
+	if response := ask(`["run-000404"]`); response.Status != 200 {
+		t.Errorf("a repetition that names another job: %d %s", response.Status, response.Body)
+	}
+}
+
+// While a process of the first version may run, no job with dependencies is accepted, since it would start the job at
+// once.
+func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
+	leader := newLeader(t)
+	leader.submit(smallJob("run-000001"))
+	controller := leader.beside()
+	controller.submissions.versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
+	controller.submissions.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
+	ask := func() peer.Response {
+		return controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
+	}
+	if response := ask(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
+		t.Errorf("%d %s", response.Status, response.Body)
+	}
+	controller.submissions.versions.Observe("z", upgrade.VersionMark{Data: 1})
+	if response := ask(); response.Status != 503 {
+		t.Errorf("beside data of version 1: %d", response.Status)
+	}
+	controller.submissions.versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	if response := ask(); response.Status != 201 {
+		t.Errorf("%d %s", response.Status, response.Body)
+	}
+}
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -4,10 +4,16 @@
 	"context"
 	"net/http"
 	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
+	"switchferry/internal/fake"
+	"switchferry/policy"
 	"switchferry/scheduler"
 	"switchferry/settings"
+	"switchferry/store"
 	"switchferry/tuning"
 )
 
@@ -46,3 +52,34 @@
 		t.Error("a leader whose key may be gone does not believe it")
 	}
 }
+
+// A controller that reaches neither the state service nor a peer redirects a worker to the controller before it. A
+// worker that returns found no controller there and stays, or it would lose its lease while it tries one unreachable
+// controller after the other.
+func TestIsolatedControllerKeepsReturningWorkers(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	state := fake.NewState(clock)
+	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
+	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	controller := New(context.Background(), set, policy.Default(), clock, state)
+	state.Put(store.LeaderKey, store.LeaderRecord{Member: "n2"})
+	if controller.elector.Campaign(context.Background()) {
+		t.Fatal("two leaders")
+	}
+	_, term := controller.elector.Leader()
+	controller.leases.watermark.MarkCurrent(clock.Now())
+	state.Down = true
+	clock.Advance(time.Second)
+	controller.jobs.answerStatus(context.Background(), nil, "run-1", true)
+	heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
+	status, body := controller.HandleHeartbeat(context.Background(), heartbeat, nil)
+	if status != 421 || body.(api.Redirect).Controller != "n0" {
+		t.Fatalf("first report: %d %+v", status, body)
+	}
+	clock.Advance(6 * time.Second)
+	heartbeat.Seq++
+	status, body = controller.HandleHeartbeat(context.Background(), heartbeat, nil)
+	if response, ok := body.(api.HeartbeatResponse); status != 200 || !ok || response.Term != term || len(response.Commands) != 0 {
+		t.Errorf("report of a worker that came back: %d %+v", status, body)
+	}
+}
--- a/controller/dataset_admission_test.go
+++ b/controller/input_checks_test.go
@@ -1,54 +1,15 @@
 package controller
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
 
-	"github.com/jonboulle/clockwork"
-
 	"switchferry/api"
-	"switchferry/dataset"
-	"switchferry/features"
-	"switchferry/internal/fake"
-	"switchferry/peer"
-	"switchferry/policy"
-	"switchferry/settings"
 	"switchferry/store"
 )
 
-// newDataController is a controller without a leader, with datasets on or off.
-func newDataController(on bool) (*Controller, *fake.State) {
-	clock := clockwork.NewFakeClock()
-	state := fake.NewState(clock)
-	set := testSettings()
-	set.Facts.Teams = []settings.Team{{Name: "team"}}
-	controller := New(context.Background(), set, policy.Default(), clock, state)
-	controller.catalog.types = testTypes
-	controller.Enable(&features.Features{Data: features.Data{On: on, Placement: features.Staged, CacheGB: 5, LinkMBs: 100, StoreMBs: 100, PerLink: 1, AtStore: 8}})
-	return controller, state
-}
-
-func (c *Controller) ask(verb, body string) peer.Response {
-	// The share of reads that questions may take is another test's matter.
-	c.readLimiter.SetLimit(1e9)
-	c.readLimiter.SetBurst(1 << 30)
-	return c.Handle(context.Background(), peer.Request{Verb: verb, Body: []byte(body)}, false)
-}
-
-func datasetSummary(name string, parts int, each int64) string {
-	raw, _ := json.Marshal(dataset.Summary{Name: name, Parts: parts, Usual: each, Bytes: each * int64(parts)})
-	return string(raw)
-}
-
-func submissionBody(id string, tasks int, more string) string {
-	return fmt.Sprintf(`{"name_id":%q,"jobclass":"c","owner":%q,"shape":"sweep","rank":"normal","parts":%d,"cores":1,"cards":0,"ram_gb":1,
-		"bundle":"img","size_gb":1,"hulls":null,"berth":null,"together":false,"apart":false,"standby":true,
-		"expect_s":10,"snapshot_s":0,"stow_s":0,"due_s":null%s}`, id, "team", tasks, more)
-}
-
 // Inputs with which a job can never run are refused at once, with the field and the remedy; a feasible job is stored
 // with its inputs.
 func TestInfeasibleInputsAreRefused(t *testing.T) {
@@ -85,22 +46,6 @@
 	}
 }
 
-// A name stands for the same content for ever; to register it again with that content is no error.
-func TestRegisteredDatasetsAreImmutable(t *testing.T) {
-	controller, _ := newDataController(true)
-	for _, c := range []struct {
-		body   string
-		status int
-	}{
-		{datasetSummary("inv", 8, 1e9), 201}, {datasetSummary("inv", 8, 1e9), 200}, {datasetSummary("inv", 9, 1e9), 409},
-		{datasetSummary("Bad Name", 9, 1e9), 400}, {`{`, 400}, {`{"name":"a","parts":3,"part_bytes":5,"bytes":16}`, 400},
-	} {
-		if response := controller.ask(VerbRegister, c.body); response.Status != c.status {
-			t.Errorf("%s: %d %s", c.body, response.Status, response.Body)
-		}
-	}
-}
-
 // With datasets off, inputs are an unknown field, which is ignored whatever it contains, as the protocol says.
 func TestInputsAreIgnoredWithDatasetsOff(t *testing.T) {
 	controller, state := newDataController(false)
@@ -121,14 +66,3 @@
 		t.Errorf("%s", raw)
 	}
 }
-
-// Without a leader an agent's heartbeat is refused at once.
-func TestAgentHeartbeatIsRefusedWithoutLeader(t *testing.T) {
-	controller, _ := newDataController(true)
-	if status, _ := controller.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1}, nil); status != 503 {
-		t.Error(status)
-	}
-	if response := controller.ask(VerbData, ""); response.Status != 503 || response.RetryAfterS == 0 {
-		t.Error(response.Status)
-	}
-}
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -17,7 +15,6 @@
 	"switchferry/internal/fake"
 	"switchferry/peer"
 	"switchferry/policy"
-	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -25,42 +22,6 @@
 const sampleJob = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":1,"cores":1,"cards":0,"ram_gb":1,
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
-// newFollower returns a controller that has received a hello of its leader n0. Once unresponsive is set, connections to
-// the leader stand and nothing is answered.
-func newFollower(t *testing.T, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
-	t.Helper()
-	ctx := t.Context()
-	clock := clockwork.NewFakeClock()
-	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	leader := peer.New(nil, clock, func() peer.Hello {
-		if unresponsive.Load() {
-			<-ctx.Done()
-		}
-		return peer.Hello{Member: "n0", Term: 5, StateOK: true}
-	}, handle)
-	go func() { _ = leader.Serve(ctx, listener) }()
-	set := testSettings()
-	set.Facts.Teams = []settings.Team{{Name: "t"}}
-	set.Peers = []settings.Peer{{Member: "n0", Address: listener.Addr().String()}}
-	state := fake.NewState(clock)
-	controller := New(ctx, set, policy.Default(), clock, state)
-	controller.catalog.types = testTypes
-	controller.peers.Run(ctx)
-	for !controller.peers.Reachable("n0") {
-		// The hello is on its way.
-	}
-	return controller, clock, state
-}
-
-// neverAnswer does not answer a request before its context ends.
-func neverAnswer(ctx context.Context, _ peer.Request) peer.Response {
-	<-ctx.Done()
-	return peer.Response{}
-}
-
 // Submissions and status requests are served without a leader that does not answer, before their users give up.
 func TestUnresponsiveLeaderDoesNotDelayUsers(t *testing.T) {
 	ctx := t.Context()
@@ -197,44 +158,6 @@
 	}
 }
 
-// A leader that was paused between deciding to return a machine and doing so may no longer lead, and the machine may
-// work for another: it is not returned.
-func TestNoMachineIsReleasedAfterTheTerm(t *testing.T) {
-	leader := newLeader(t)
-	leader.heartbeat()
-	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
-	// The leader decides to return the machine, which has had nothing to do for an hour.
-	var release []string
-	for i := 0; i < 3600 && len(release) == 0; i++ {
-		leader.clock.Advance(time.Second)
-		leader.heartbeat()
-		release = leader.MaintainFleet()
-	}
-	if !slices.Equal(release, []string{"a1"}) {
-		t.Fatalf("to be returned: %v", release)
-	}
-	leader.submit(smallJob("run-000001"))
-	leader.heartbeat()
-	leader.Place()
-	leader.commit()
-	if leader.starts("run-000001/0") != 0 {
-		t.Fatal("a task starts on a machine that is being returned")
-	}
-	leader.leading = false
-	before := leader.state.Requests
-	(&leaderTerm{controller: controller, scheduler: leader.Scheduler}).releaseMachines(context.Background(), release)
-	if leader.state.Requests != before {
-		t.Error("the cloud was asked to take the machine back")
-	}
-	leader.leading = true
-	leader.heartbeat()
-	leader.Place()
-	leader.commit()
-	if leader.starts("run-000001/0") != 1 {
-		t.Error("the machine counts as returned")
-	}
-}
-
 // A status that was read before the job was cancelled is not answered after the cancellation was acknowledged, whether
 // it was read from the state service or by the leader. The job was once called pending again.
 func TestStatusReadBeforeCancellationIsNotAnsweredAfterIt(t *testing.T) {
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -1,26 +1,12 @@
 package controller
 
 import (
-	"context"
 	"testing"
 	"time"
 
-	"github.com/jonboulle/clockwork"
-
-	"switchferry/internal/fake"
-	"switchferry/policy"
 	"switchferry/scheduler"
-	"switchferry/settings"
 )
 
-// newIsolatedController returns n1 of n0, n1 and n2, whose peers do not answer.
-func newIsolatedController() (*Controller, *clockwork.FakeClock) {
-	clock := clockwork.NewFakeClock()
-	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10}
-	return New(context.Background(), set, policy.Default(), clock, fake.NewState(clock)), clock
-}
-
 // With both peers unresponsive, workers reach the last controller after one unreachable controller after the other. It
 // once resigned after 3.5 s without a heartbeat, and they found no controller.
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
