--- a/controller/admission.go
+++ b/controller/admission.go
@@ -25,19 +25,19 @@
 	"switchferry/upgrade"
 )
 
-// submissionService accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing
+// Service accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing
 // their records itself.
-type submissionService struct {
+type Service struct {
 	settings      *settings.Settings
 	clock         clockwork.Clock
 	client        *store.Client
 	features      *optionalFeatures
-	versions      *upgrade.VersionRegistry
+	Versions      *upgrade.VersionRegistry
 	catalog       *machineCatalog
 	term          *currentTerm
 	configuration *liveConfiguration
 	datasets      *datasetService
-	jobs          *jobReader
+	jobs          *Reader
 	// leaderlessWriter writes what is accepted without the leader.
 	leaderlessWriter *store.HedgedClient
 
@@ -47,7 +47,7 @@
 }
 
 // newSubmissionService returns the part of c that accepts jobs.
-func newSubmissionService(c *Controller) *submissionService {
+func newSubmissionService(c *Controller) *Service {
 	writes := c.settings.Facts.State.Least().WriteRPS
 	rest := writes * (1 - tuning.QuotaShare)
 	limiter := rate.NewLimiter(rate.Limit(rest), max(1, int(rest)))
@@ -56,7 +56,7 @@
 	if err != nil {
 		panic(err) // Only for a limit below one, and the limits are constants.
 	}
-	return &submissionService{settings: c.settings, clock: c.clock, client: c.client, features: c.features, versions: c.versions,
+	return &Service{settings: c.settings, clock: c.clock, client: c.client, features: c.features, Versions: c.versions,
 		catalog: c.catalog, term: c.term, configuration: c.configuration, datasets: c.datasets, jobs: c.jobs,
 		leaderlessWriter: store.NewHedgedClient(c.client, c.clock, limiter, writes), retries: retries}
 }
@@ -71,12 +71,12 @@
 	// retryReason is why the user has to retry whether the job is known or not.
 	undecided   bool
 	retryReason string
-	rules       admissionRules
+	rules       Rules
 }
 
-// serveSubmission accepts or refuses a job. Sched is nil without a leader that is certain to lead here. A job that is known
+// Submit accepts or refuses a job. Sched is nil without a leader that is certain to lead here. A job that is known
 // already is answered with its state.
-func (s *submissionService) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
+func (s *Service) Submit(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
 	if job, ok := s.recallJob(sched, id); ok {
 		return peer.JSONResponse(http.StatusOK, job)
@@ -91,12 +91,12 @@
 	case verdict.err != nil || verdict.undecided:
 		return s.refuseSubmission(ctx, sched, id, verdict)
 	case sched == nil:
-		return s.submitWithoutLeader(ctx, submission, body, verdict.rules.conditions...)
+		return s.SubmitWithoutLeader(ctx, submission, body, verdict.rules.Conditions...)
 	}
 	if response, ok := sched.Submit(ctx, submission, s.clock.Now()); ok {
 		return response
 	}
-	response := s.jobs.answerStatus(ctx, sched, id, false)
+	response := s.jobs.AnswerStatus(ctx, sched, id, false)
 	if response.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
 		return s.answerChangedDataset(ctx, sched, submission, body)
 	}
@@ -104,11 +104,11 @@
 }
 
 // recallJob returns the status of a job that this process knows; ok is false if it knows none, or the id is empty.
-func (s *submissionService) recallJob(sched *scheduler.Scheduler, id string) (job api.JobStatus, ok bool) {
+func (s *Service) recallJob(sched *scheduler.Scheduler, id string) (job api.JobStatus, ok bool) {
 	if id == "" {
 		return job, false
 	}
-	if final, ok := s.jobs.terminalStates.Get(id); ok {
+	if final, ok := s.jobs.TerminalStates.Get(id); ok {
 		return final.JobStatus(id), true
 	}
 	if sched == nil {
@@ -118,7 +118,7 @@
 }
 
 // answerChangedDataset answers a submission one of whose datasets was taken off the list while it was being accepted.
-func (s *submissionService) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
+func (s *Service) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
 	if status, _, err := s.checkInputs(ctx, sched, submission, body); err != nil {
 		return peer.Refusal(status, err)
 	}
@@ -126,9 +126,9 @@
 }
 
 // evaluateSubmission checks what can be wrong with a submission, one thing after the other.
-func (s *submissionService) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
+func (s *Service) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
-	if verdict.rules, verdict.undecided, verdict.err = s.canRun(sched, submission); verdict.err != nil {
+	if verdict.rules, verdict.undecided, verdict.err = s.CanRun(sched, submission); verdict.err != nil {
 		return verdict
 	}
 	if verdict.err = s.checkRecordSize(submission); verdict.err != nil {
@@ -158,26 +158,26 @@
 
 // refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is answered with the
 // state of its job, whatever the body says.
-func (s *submissionService) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
+func (s *Service) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
 			if pending, _, _ := sched.DependencyState(id); pending {
 				return peer.RetryLater("the job is just being accepted")
 			}
 		}
-		if job, found, err := s.jobs.lookUp(ctx, sched, id, false); err != nil {
+		if job, found, err := s.jobs.LookUp(ctx, sched, id, false); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		} else if found {
 			return peer.JSONResponse(http.StatusOK, job)
 		}
 	}
 	switch {
-	case verdict.err != nil && !s.stillValid(verdict.rules, sched):
+	case verdict.err != nil && !s.StillValid(verdict.rules, sched):
 		return peer.RetryLater("the configuration has just changed")
 	case verdict.err != nil:
 		return peer.Refusal(verdict.status, verdict.err)
-	case verdict.rules.unknownReason != "":
-		return peer.RetryLater(verdict.rules.unknownReason)
+	case verdict.rules.UnknownReason != "":
+		return peer.RetryLater(verdict.rules.UnknownReason)
 	case s.features.data.On:
 		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
@@ -185,7 +185,7 @@
 }
 
 // checkRecordSize returns a *api.FieldError if the record of a job is too large for the state service.
-func (s *submissionService) checkRecordSize(submission *api.Submission) error {
+func (s *Service) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
 	if most := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
@@ -193,47 +193,47 @@
 	return err
 }
 
-// admissionRules are the configurations that a submission is checked against.
-type admissionRules struct {
-	// configurations are all that may be in force; they must agree on the answer. conditions hold while the one that a
+// Rules are the configurations that a submission is checked against.
+type Rules struct {
+	// Configurations are all that may be in force; they must agree on the answer. conditions hold while the one that a
 	// follower decided by is the newest.
-	configurations []*configuration.Active
-	conditions     []store.Condition
-	// unknownReason is why no rules are known, or empty.
-	unknownReason string
+	Configurations []*configuration.Active
+	Conditions     []store.Condition
+	// UnknownReason is why no rules are known, or empty.
+	UnknownReason string
 }
 
 // currentRules returns the rules by which a submission is checked now.
-func (s *submissionService) currentRules(sched *scheduler.Scheduler) admissionRules {
+func (s *Service) currentRules(sched *scheduler.Scheduler) Rules {
 	if s.configuration.revisions == nil {
-		return admissionRules{configurations: s.configuration.fileConfiguration}
+		return Rules{Configurations: s.configuration.fileConfiguration}
 	}
 	if applier := s.term.applier(); sched != nil && applier != nil {
 		by := applier.Candidates()
 		if len(by) == 0 || !sched.Leading() {
-			return admissionRules{unknownReason: "the configuration is not known yet"}
+			return Rules{UnknownReason: "the configuration is not known yet"}
 		}
-		return admissionRules{configurations: by}
+		return Rules{Configurations: by}
 	}
 	right, ok := s.configuration.revisions.Lease()
 	if !ok {
-		return admissionRules{unknownReason: "the configuration cannot be confirmed now"}
+		return Rules{UnknownReason: "the configuration cannot be confirmed now"}
 	}
-	return admissionRules{configurations: []*configuration.Active{right.Active}, conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
+	return Rules{Configurations: []*configuration.Active{right.Active}, Conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
 }
 
-// canRun checks a submission against teams, limits and machine types. Undecided is set if these are not known, if the
+// CanRun checks a submission against teams, limits and machine types. Undecided is set if these are not known, if the
 // configuration is not, or if it is just changing and the old and the new one disagree. An error is a *api.FieldError.
-func (s *submissionService) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admissionRules, undecided bool, err error) {
-	types := s.catalog.machineTypes()
+func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
+	types := s.catalog.MachineTypes()
 	rules = s.currentRules(sched)
-	if rules.unknownReason != "" {
+	if rules.UnknownReason != "" {
 		return rules, true, nil
 	}
-	for i, active := range rules.configurations {
+	for i, active := range rules.Configurations {
 		found, open := feasibility.CanRun(submission, active.Limit, types)
 		if i > 0 && (found == nil) != (err == nil) {
-			rules.unknownReason = "the configuration is just changing"
+			rules.UnknownReason = "the configuration is just changing"
 			return rules, true, nil
 		}
 		err, undecided = found, undecided || open
@@ -241,13 +241,13 @@
 	return rules, undecided, err
 }
 
-// stillValid reports whether a refusal by these rules still holds. It is asked last, since the process can have been
+// StillValid reports whether a refusal by these rules still holds. It is asked last, since the process can have been
 // paused after the check.
-func (s *submissionService) stillValid(rules admissionRules, sched *scheduler.Scheduler) bool {
-	if s.configuration.revisions == nil || rules.configurations == nil {
+func (s *Service) StillValid(rules Rules, sched *scheduler.Scheduler) bool {
+	if s.configuration.revisions == nil || rules.Configurations == nil {
 		return true
 	}
-	return slices.Equal(rules.configurations, s.currentRules(sched).configurations)
+	return slices.Equal(rules.Configurations, s.currentRules(sched).Configurations)
 }
 
 // checkSite reads the topology constraints of a submission and checks whether they can be met. An error is a
@@ -266,9 +266,9 @@
 	return 0, nil
 }
 
-// setRetryAfter sets when the user of a refused submission should retry. Each gets another time, spread over as long as
+// SetRetryAfter sets when the user of a refused submission should retry. Each gets another time, spread over as long as
 // it takes to accept all that wait.
-func (s *submissionService) setRetryAfter(response *peer.Response, body []byte) {
+func (s *Service) SetRetryAfter(response *peer.Response, body []byte) {
 	refused := response.Status == http.StatusServiceUnavailable
 	s.mu.Lock()
 	none := s.retries.Waiting() == 0
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -27,7 +27,7 @@
 			submission.Awaits = []string{"run-000001"}
 			accept := func() {
 				if alone {
-					leader.beside().submissions.submitWithoutLeader(context.Background(), &submission, nil)
+					leader.beside().submissions.SubmitWithoutLeader(context.Background(), &submission, nil)
 				} else {
 					leader.Submit(cancelledContext(), &submission, leader.clock.Now())
 				}
@@ -54,7 +54,7 @@
 			if st := leader.status("run-000002"); st != api.Cancelled {
 				t.Errorf("%s first, alone %v: %q", first, alone, st)
 			}
-			job, _, err := leader.beside().jobs.lookUp(context.Background(), nil, "run-000002", true)
+			job, _, err := leader.beside().jobs.LookUp(context.Background(), nil, "run-000002", true)
 			if err != nil || job.State != api.Cancelled {
 				t.Errorf("%s first, alone %v, from the records: %v %v", first, alone, job, err)
 			}
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -16,28 +16,28 @@
 	"switchferry/store"
 )
 
-// jobReader answers what became of a job, from the state service and from what this controller remembers.
-type jobReader struct {
+// Reader answers what became of a job, from the state service and from what this controller remembers.
+type Reader struct {
 	clock  clockwork.Clock
 	leases *leaseRenewal
-	// records reads records of jobs, within this controller's share of reads.
-	records *lookup.Jobs
-	// terminalStates are the jobs that this controller knows to be in a terminal state.
-	terminalStates terminalStates
+	// Records reads records of jobs, within this controller's share of reads.
+	Records *lookup.Jobs
+	// TerminalStates are the jobs that this controller knows to be in a terminal state.
+	TerminalStates TerminalStates
 	// notifications are the states that it has sent to users.
 	notifications *lookup.Notifications
 }
 
-// newJobReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service.
-func newJobReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, leases *leaseRenewal) *jobReader {
-	j := &jobReader{clock: clock, leases: leases, terminalStates: terminalStates{lookup.NewTerminalStates(), leases}, notifications: lookup.NewNotifications()}
-	j.records = &lookup.Jobs{Client: client, Recall: j.terminalStates.Get, Remember: j.terminalStates.Remember, Queue: lookup.NewFairQueue(clock, limiter)}
+// NewReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service.
+func NewReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, leases *leaseRenewal) *Reader {
+	j := &Reader{clock: clock, leases: leases, TerminalStates: TerminalStates{lookup.NewTerminalStates(), leases}, notifications: lookup.NewNotifications()}
+	j.Records = &lookup.Jobs{Client: client, Recall: j.TerminalStates.Get, Remember: j.TerminalStates.Remember, Queue: lookup.NewFairQueue(clock, limiter)}
 	return j
 }
 
-// answerStatus answers a request for a job's status from the state service. Waits is as for lookUp.
-func (j *jobReader) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
-	job, found, err := j.lookUp(ctx, sched, id, waits)
+// AnswerStatus answers a request for a job's status from the state service. Waits is as for LookUp.
+func (j *Reader) AnswerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
+	job, found, err := j.LookUp(ctx, sched, id, waits)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
@@ -47,10 +47,10 @@
 	return peer.JSONResponse(http.StatusOK, job)
 }
 
-// lookUp returns the status of a job by its record, which is read before the record of its terminal state, since that is
+// LookUp returns the status of a job by its record, which is read before the record of its terminal state, since that is
 // written before the first one is removed. With waits the reader waits for its turn, as users who ask for a status do;
 // otherwise it is refused at once with an error, as submissions are.
-func (j *jobReader) lookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
+func (j *Reader) LookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
@@ -59,28 +59,28 @@
 		waitingUser = id
 		defer func() {
 			if err == nil {
-				j.records.Queue.Answered(id)
+				j.Records.Queue.Answered(id)
 			}
 		}()
 	}
 	// Requests of users must not take the share of reads that leading needs.
-	x, err := j.records.ReadInTurn(ctx, id, waitingUser)
+	x, err := j.Records.ReadInTurn(ctx, id, waitingUser)
 	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
 	}
-	if _, over := j.terminalStates.Get(id); x.Record != nil && !over && sched != nil {
+	if _, over := j.TerminalStates.Get(id); x.Record != nil && !over && sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
 		if job, ok := sched.JobStatus(id); ok {
 			return job, true, nil
 		}
 	}
-	job, err := j.records.Status(ctx, id, x, waitingUser)
+	job, err := j.Records.Status(ctx, id, x, waitingUser)
 	return job, err == nil, err
 }
 
-// publishAnswer states a cancellation to the peers before its user is told, and returns the answer that may be sent: a
+// PublishAnswer states a cancellation to the peers before its user is told, and returns the answer that may be sent: a
 // status that was read before its job ended may be due only after the user was told of the end.
-func (j *jobReader) publishAnswer(response peer.Response) peer.Response {
+func (j *Reader) PublishAnswer(response peer.Response) peer.Response {
 	if response.Status != http.StatusOK && response.Status != http.StatusCreated || !bytes.Contains(response.Body, []byte(`"status"`)) {
 		return response
 	}
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -18,7 +18,7 @@
 	state := fake.NewState(clock)
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
 	ask := func() int {
-		return controller.jobs.answerStatus(context.Background(), nil, "run-000404", true).Status
+		return controller.jobs.AnswerStatus(context.Background(), nil, "run-000404", true).Status
 	}
 	state.Down = true
 	if got := ask(); got != 503 {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -92,12 +92,12 @@
 		t.Fatal(err)
 	}
 	s.Team = "unknown"
-	rules, _, err := controller.submissions.canRun(nil, &s)
-	if err == nil || !controller.submissions.stillValid(rules, nil) {
+	rules, _, err := controller.submissions.CanRun(nil, &s)
+	if err == nil || !controller.submissions.StillValid(rules, nil) {
 		t.Fatalf("judged %v", err)
 	}
 	clock.Advance(tuning.ConfigurationLease)
-	if controller.submissions.stillValid(rules, nil) {
+	if controller.submissions.StillValid(rules, nil) {
 		t.Error("it stands after the right is over")
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -48,7 +48,7 @@
 	ctx       context.Context
 	// features are what operators have switched on; nothing of it changes once Run is called.
 	features *optionalFeatures
-	// versions tells whose processes may be of an older version.
+	// Versions tells whose processes may be of an older version.
 	versions *upgrade.VersionRegistry
 
 	health        *stateHealth
@@ -59,10 +59,10 @@
 	workers       *workerRouter
 	heartbeats    *heartbeatMonitor
 	agents        *agentGateway
-	jobs          *jobReader
+	jobs          *Reader
 	datasets      *datasetService
 	configuration *liveConfiguration
-	submissions   *submissionService
+	submissions   *Service
 
 	// workerProxy relays heartbeats of workers while the leader is unreachable.
 	workerProxy *proxy.Workers
@@ -97,7 +97,7 @@
 	c.workers = newWorkerRouter(set, clock, c.peers)
 	c.heartbeats = newHeartbeatMonitor(clock, set.Facts.Workers)
 	c.agents = newAgentGateway(c, transport)
-	c.jobs = newJobReader(clock, c.client, c.readLimiter, c.leases)
+	c.jobs = NewReader(clock, c.client, c.readLimiter, c.leases)
 	c.datasets = newDatasetService(c)
 	c.configuration = newLiveConfiguration(c)
 	c.submissions = newSubmissionService(c)
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -32,9 +32,9 @@
 	return &datasetCache{clock: clock, client: client, readLimiter: readLimiter, entries: map[string]*dataset.Entry{}}
 }
 
-// lookUp returns a registered dataset, from memory or the state service. The error is store.ErrNotFound if there is
+// LookUp returns a registered dataset, from memory or the state service. The error is store.ErrNotFound if there is
 // none, and store.ErrBusy if this controller's share of reads is used up.
-func (c *datasetCache) lookUp(ctx context.Context, name string) (*dataset.Entry, error) {
+func (c *datasetCache) LookUp(ctx context.Context, name string) (*dataset.Entry, error) {
 	c.mu.Lock()
 	entry := c.entries[name]
 	c.mu.Unlock()
@@ -75,8 +75,8 @@
 	c.entries[entry.Name] = entry
 }
 
-// evict has the datasets of a job read again when they are next looked up.
-func (c *datasetCache) evict(submission *api.Submission) {
+// Evict has the datasets of a job read again when they are next looked up.
+func (c *datasetCache) Evict(submission *api.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, input := range submission.Inputs {
--- a/controller/dependency_checks.go
+++ b/controller/dependency_checks.go
@@ -13,11 +13,11 @@
 
 // checkDependencies checks the jobs that a submission depends on. Undecided is why it cannot be told yet whether all of
 // them were accepted, or empty. An error is a *api.FieldError.
-func (s *submissionService) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
+func (s *Service) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
 	if len(submission.Awaits) > tuning.MaxDependencies {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
 	}
-	if existing := s.versions.Older(); len(existing) > 0 {
+	if existing := s.Versions.Older(); len(existing) > 0 {
 		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(existing, ", "), nil
 	}
 	refusals := make([]error, len(submission.Awaits))
@@ -35,7 +35,7 @@
 }
 
 // checkDependency checks whether a job may depend on another. Its results are those of checkDependencies.
-func (s *submissionService) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
+func (s *Service) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
 	refusal := func(reason string) error { return &api.FieldError{Field: "awaits", Want: id + " " + reason} }
 	if id == job {
 		return "", refusal("is the job itself")
@@ -51,7 +51,7 @@
 				return id + " is just being accepted", nil
 			}
 		}
-		x, err := s.jobs.records.ReadInTurn(ctx, id, "")
+		x, err := s.jobs.Records.ReadInTurn(ctx, id, "")
 		switch {
 		case err != nil:
 			return "the state service is out of reach", nil //nolint:nilerr // The reason says it, and the user retries.
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -17,7 +17,7 @@
 		}
 		ids := t.scheduler.UnresolvedDependencies()
 		for len(ids) > 0 && ctx.Err() == nil {
-			t.scheduler.LookUpDependencies(ctx, t.controller.jobs.records, t.committer, ids)
+			t.scheduler.LookUpDependencies(ctx, t.controller.jobs.Records, t.committer, ids)
 			if ids = t.scheduler.UnresolvedDependencies(); len(ids) > 0 {
 				sleep(ctx, t.controller.clock, tuning.DependencyRetryEvery)
 			}
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -70,7 +70,7 @@
 	controller.leases.watermark.MarkCurrent(clock.Now())
 	state.Down = true
 	clock.Advance(time.Second)
-	controller.jobs.answerStatus(context.Background(), nil, "run-1", true)
+	controller.jobs.AnswerStatus(context.Background(), nil, "run-1", true)
 	heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
 	status, body := controller.HandleHeartbeat(context.Background(), heartbeat, nil)
 	if status != 421 || body.(api.Redirect).Controller != "n0" {
--- a/controller/input_checks.go
+++ b/controller/input_checks.go
@@ -14,14 +14,14 @@
 
 // checkInputs reads a submission's inputs and finds out whether it can ever run with them. Undecided is set if that cannot be
 // told now. An error is a *api.FieldError, which goes with the status.
-func (s *submissionService) checkInputs(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (status int, undecided bool, err error) {
+func (s *Service) checkInputs(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (status int, undecided bool, err error) {
 	if submission.Inputs, err = api.ParseInputs(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, false, err
 	}
 	bytes := int64(0)
 	var datasets []*dataset.Entry
 	for i, input := range submission.Inputs {
-		entry, err := s.datasets.cache.lookUp(ctx, input.Dataset)
+		entry, err := s.datasets.cache.LookUp(ctx, input.Dataset)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return 0, true, nil
 		}
@@ -71,8 +71,8 @@
 
 // checkCacheSize returns a *api.FieldError if no machine type on which a job may run has a cache for so many bytes. While no
 // types are known it returns none.
-func (s *submissionService) checkCacheSize(submission *api.Submission, bytes int64) error {
-	types := s.catalog.machineTypes()
+func (s *Service) checkCacheSize(submission *api.Submission, bytes int64) error {
+	types := s.catalog.MachineTypes()
 	largest := 0.0
 	for i := range types {
 		if types[i].Fits(submission) {
@@ -87,9 +87,9 @@
 }
 
 // inputConditions are the conditions under which a job's inputs are as they were checked.
-func (s *submissionService) inputConditions(ctx context.Context, submission *api.Submission) (conditions []store.Condition, err error) {
+func (s *Service) inputConditions(ctx context.Context, submission *api.Submission) (conditions []store.Condition, err error) {
 	for _, input := range submission.Inputs {
-		entry, err := s.datasets.cache.lookUp(ctx, input.Dataset)
+		entry, err := s.datasets.cache.LookUp(ctx, input.Dataset)
 		if err != nil {
 			return nil, err
 		}
--- a/controller/leaderless.go
+++ b/controller/leaderless.go
@@ -14,9 +14,9 @@
 	"switchferry/store"
 )
 
-// submitWithoutLeader accepts a job without the leader, which learns of it by the
+// SubmitWithoutLeader accepts a job without the leader, which learns of it by the
 // inbox, as long as further conditions hold.
-func (s *submissionService) submitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
+func (s *Service) SubmitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
 	record := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
 	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
 	inputs, err := s.inputConditions(ctx, submission)
@@ -33,23 +33,23 @@
 			return peer.RetryLater("the configuration has just changed")
 		}
 		// A dataset has changed since it was checked.
-		s.datasets.cache.evict(submission)
+		s.datasets.cache.Evict(submission)
 		return s.answerChangedDataset(ctx, nil, submission, body)
 	case errors.Is(err, store.ErrConflict):
-		return s.jobs.answerStatus(ctx, nil, submission.ID, false)
+		return s.jobs.AnswerStatus(ctx, nil, submission.ID, false)
 	}
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// cancelWithoutLeader cancels while there is no leader; with one, only it may, since it
+// CancelWithoutLeader cancels while there is no leader; with one, only it may, since it
 // answers polls from memory.
-func (s *submissionService) cancelWithoutLeader(ctx context.Context, id string) peer.Response {
+func (s *Service) CancelWithoutLeader(ctx context.Context, id string) peer.Response {
 	if !api.ValidID(id) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
 	item, err := s.client.Get(ctx, store.JobKey(id))
 	if errors.Is(err, store.ErrNotFound) {
-		return s.jobs.answerStatus(ctx, nil, id, true)
+		return s.jobs.AnswerStatus(ctx, nil, id, true)
 	}
 	var record store.JobRecord
 	if err != nil || json.Unmarshal(item.Value, &record) != nil {
@@ -72,16 +72,16 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: record.FinalState})
 }
 
-// serveCancellation cancels a job as the leader or, if sched is nil, without one. A job that has ended is answered with its
+// Cancel cancels a job as the leader or, if sched is nil, without one. A job that has ended is answered with its
 // state.
-func (s *submissionService) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
+func (s *Service) Cancel(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
-		return s.cancelWithoutLeader(ctx, id)
+		return s.CancelWithoutLeader(ctx, id)
 	}
 	if response, ok := sched.Cancel(ctx, id); ok {
 		return response
 	}
-	response := s.jobs.answerStatus(ctx, sched, id, true)
+	response := s.jobs.AnswerStatus(ctx, sched, id, true)
 	if response.Status == http.StatusOK {
 		if second, ok := sched.Cancel(ctx, id); ok {
 			return second
--- a/controller/leaderless_test.go
+++ b/controller/leaderless_test.go
@@ -19,15 +19,15 @@
 	state := fake.NewState(clock)
 	controller := New(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, state)
 	submission := &api.Submission{ID: "run-000001", Tasks: 1}
-	if got := controller.submissions.submitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
+	if got := controller.submissions.SubmitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
 		t.Fatalf("first: %d", got)
 	}
-	if got := controller.submissions.submitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
+	if got := controller.submissions.SubmitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("again: %d", got)
 	}
 	// With a leader's key standing, only the leader cancels; it is told.
 	state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
-	if got := controller.submissions.cancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
+	if got := controller.submissions.CancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
 		t.Errorf("cancelled beside a leader: %d", got)
 	}
 	if string(state.Get(store.InboxKey("run-000001"))) != `{"cancel":true}` {
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -97,7 +97,7 @@
 		return len(controller.leases.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
 	}
 	collaborators := testCollaborators(func() bool { return true })
-	collaborators.TerminalStates = controller.jobs.terminalStates
+	collaborators.TerminalStates = controller.jobs.TerminalStates
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, collaborators)
 	sched.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
 		{Key: store.JobKey("run-2"), Value: []byte(`{"job":{"name_id":"run-2","parts":1},"at":1,"final":"withdrawn"}`)}}, nil)
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -22,8 +22,8 @@
 	types []api.MachineType
 }
 
-// machineTypes returns the types as last read; none before that. The caller must not change the list.
-func (m *machineCatalog) machineTypes() []api.MachineType {
+// MachineTypes returns the types as last read; none before that. The caller must not change the list.
+func (m *machineCatalog) MachineTypes() []api.MachineType {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.types
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -27,12 +27,12 @@
 		return c.agents.handleForwardedHeartbeat(request.Body)
 	}
 	began := c.clock.Now()
-	response := c.jobs.publishAnswer(c.route(ctx, request, forwarded))
+	response := c.jobs.PublishAnswer(c.route(ctx, request, forwarded))
 	if duration := c.clock.Since(began); request.Verb == VerbSubmit && duration > tuning.AcceptPatience {
 		slog.Debug("submission answered late", "ms", duration.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.scheduler() != nil)
 	}
 	if !forwarded && request.Verb == VerbSubmit {
-		c.submissions.setRetryAfter(&response, request.Body)
+		c.submissions.SetRetryAfter(&response, request.Body)
 	}
 	if !forwarded {
 		c.requestCounts.Add(request.Verb == VerbStatus, response.Status == http.StatusServiceUnavailable)
@@ -52,7 +52,7 @@
 	case VerbRegister, VerbRemove, VerbData:
 		return c.datasets.handle(ctx, request, forwarded)
 	}
-	if final, ok := c.jobs.terminalStates.Get(request.Job); ok && request.Verb != VerbSubmit {
+	if final, ok := c.jobs.TerminalStates.Get(request.Job); ok && request.Verb != VerbSubmit {
 		return peer.JSONResponse(http.StatusOK, final.JobStatus(request.Job))
 	}
 	if sched := c.term.scheduler(); sched != nil {
@@ -79,7 +79,7 @@
 	}
 	if request.Verb == VerbSubmit {
 		_, id, _ := api.ParseSubmission(request.Body)
-		if final, ok := c.jobs.terminalStates.Get(id); ok {
+		if final, ok := c.jobs.TerminalStates.Get(id); ok {
 			return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
 		}
 	}
@@ -128,16 +128,16 @@
 func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
 	switch request.Verb {
 	case VerbSubmit:
-		return c.submissions.serveSubmission(ctx, sched, request.Body)
+		return c.submissions.Submit(ctx, sched, request.Body)
 	case VerbStatus:
 		if sched != nil {
 			if job, ok := sched.JobStatus(request.Job); ok {
 				return peer.JSONResponse(http.StatusOK, job)
 			}
 		}
-		return c.jobs.answerStatus(ctx, sched, request.Job, true)
+		return c.jobs.AnswerStatus(ctx, sched, request.Job, true)
 	case VerbCancel:
-		return c.submissions.serveCancellation(ctx, sched, request.Job)
+		return c.submissions.Cancel(ctx, sched, request.Job)
 	}
 	return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such request"})
 }
--- a/controller/term.go
+++ b/controller/term.go
@@ -41,7 +41,7 @@
 // newLeaderTerm returns a term whose loops have not begun. The context is that of the term.
 func (c *Controller) newLeaderTerm(ctx context.Context, number uint64) *leaderTerm {
 	term := &leaderTerm{controller: c}
-	term.scheduler = scheduler.New(number, c.clock, c.settings, c.policy, c.catalog.machineTypes(), termCollaborators(ctx, term, number))
+	term.scheduler = scheduler.New(number, c.clock, c.settings, c.policy, c.catalog.MachineTypes(), termCollaborators(ctx, term, number))
 	if c.features.data.On {
 		term.scheduler.UseData(c.features.data)
 	}
--- a/controller/term_collaborators.go
+++ b/controller/term_collaborators.go
@@ -18,7 +18,7 @@
 		Sender:         termSender{ctx, term},
 		Leadership:     termLeadership{term.controller.elector, number},
 		Zones:          term.controller.workers,
-		TerminalStates: term.controller.jobs.terminalStates,
+		TerminalStates: term.controller.jobs.TerminalStates,
 	}
 }
 
@@ -66,14 +66,14 @@
 	return valid && current == l.number
 }
 
-// terminalStates remembers jobs that have ended, and states cancellations to the peers.
-type terminalStates struct {
+// TerminalStates remembers jobs that have ended, and states cancellations to the peers.
+type TerminalStates struct {
 	*lookup.TerminalStates
 	leases *leaseRenewal
 }
 
 // Remember notes that a job is in a terminal state; a cancellation is stated to the peers from then on.
-func (s terminalStates) Remember(id string, final store.FinalRecord) {
+func (s TerminalStates) Remember(id string, final store.FinalRecord) {
 	if final.State == api.Cancelled {
 		s.leases.watermark.RecordCancellation(s.leases.clock.Now(), id)
 	}
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -48,7 +48,7 @@
 		return peer.JSONResponse(http.StatusOK, explanation)
 	}
 	// The job has ended or is not known: its record tells which.
-	job, found, err := c.jobs.lookUp(ctx, sched, request.Job, true)
+	job, found, err := c.jobs.LookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
