--- a/controller/dependency_checks.go
+++ b/controller/admission/dependencies.go
@@ -1,9 +1,12 @@
-package controller
+package admission
 
 import (
 	"context"
 	"fmt"
 	"strings"
+	"time"
+
+	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
 	"switchferry/lookup"
@@ -65,3 +68,11 @@
 		sleep(ctx, s.clock, tuning.DependencyRetryDelay)
 	}
 }
+
+// sleep waits until a time has passed on a clock, or the context ends.
+func sleep(ctx context.Context, clock clockwork.Clock, wait time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-clock.After(wait):
+	}
+}
--- a/controller/input_checks.go
+++ b/controller/admission/inputs.go
@@ -1,4 +1,4 @@
-package controller
+package admission
 
 import (
 	"context"
@@ -21,7 +21,7 @@
 	bytes := int64(0)
 	var datasets []*dataset.Entry
 	for i, input := range submission.Inputs {
-		entry, err := s.datasets.cache.LookUp(ctx, input.Dataset)
+		entry, err := s.datasets.LookUp(ctx, input.Dataset)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return 0, true, nil
 		}
@@ -76,7 +76,7 @@
 	largest := 0.0
 	for i := range types {
 		if types[i].Fits(submission) {
-			largest = max(largest, s.features.data.Cache(types[i].Name))
+			largest = max(largest, s.Data.Cache(types[i].Name))
 		}
 	}
 	if len(types) > 0 && float64(bytes) > largest {
@@ -89,7 +89,7 @@
 // inputConditions are the conditions under which a job's inputs are as they were checked.
 func (s *Service) inputConditions(ctx context.Context, submission *api.Submission) (conditions []store.Condition, err error) {
 	for _, input := range submission.Inputs {
-		entry, err := s.datasets.cache.LookUp(ctx, input.Dataset)
+		entry, err := s.datasets.LookUp(ctx, input.Dataset)
 		if err != nil {
 			return nil, err
 		}
--- a/controller/leaderless.go
+++ b/controller/admission/leaderless.go
@@ -1,4 +1,4 @@
-package controller
+package admission
 
 import (
 	"context"
@@ -33,7 +33,7 @@
 			return peer.RetryLater("the configuration has just changed")
 		}
 		// A dataset has changed since it was checked.
-		s.datasets.cache.Evict(submission)
+		s.datasets.Evict(submission)
 		return s.answerChangedDataset(ctx, nil, submission, body)
 	case errors.Is(err, store.ErrConflict):
 		return s.jobs.AnswerStatus(ctx, nil, submission.ID, false)
--- a/controller/admission.go
+++ b/controller/admission/service.go
@@ -1,4 +1,6 @@
-package controller
+// Package admission accepts, refuses and cancels jobs: what can never run is refused at once with the reason, what can
+// be is stored, by the scheduler of a term or, without the leader, by writing the records itself.
+package admission
 
 import (
 	"context"
@@ -14,7 +16,10 @@
 
 	"switchferry/api"
 	"switchferry/configuration"
+	"switchferry/controller/jobstatus"
+	"switchferry/dataset"
 	"switchferry/feasibility"
+	"switchferry/features"
 	"switchferry/peer"
 	"switchferry/retry"
 	"switchferry/scheduler"
@@ -25,19 +30,54 @@
 	"switchferry/upgrade"
 )
 
-// Service accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing
-// their records itself.
+// Catalog tells the machine types of the cloud.
+type Catalog interface {
+	// MachineTypes returns the types as last read; none before that.
+	MachineTypes() []api.MachineType
+}
+
+// Configuration tells by which rules submissions are checked.
+type Configuration interface {
+	// CurrentRules returns the rules that count now. Sched is nil without a leader that is certain to lead here.
+	CurrentRules(sched *scheduler.Scheduler) Rules
+}
+
+// Datasets are the registered datasets.
+type Datasets interface {
+	// LookUp returns a dataset; the error is store.ErrNotFound if there is none of that name.
+	LookUp(ctx context.Context, name string) (*dataset.Entry, error)
+	// Evict has the datasets of a job read again when they are next looked up.
+	Evict(submission *api.Submission)
+}
+
+// Options are what a Service is made of.
+type Options struct {
+	Settings      *settings.Settings
+	Clock         clockwork.Clock
+	Client        *store.Client
+	Versions      *upgrade.VersionRegistry
+	Catalog       Catalog
+	Configuration Configuration
+	Datasets      Datasets
+	Jobs          *jobstatus.Reader
+}
+
+// Service accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing their
+// records itself.
 type Service struct {
 	settings      *settings.Settings
 	clock         clockwork.Clock
 	client        *store.Client
-	features      *optionalFeatures
-	Versions      *upgrade.VersionRegistry
-	catalog       *machineCatalog
-	term          *currentTerm
-	configuration *liveConfiguration
-	datasets      *datasetService
-	jobs          *Reader
+	catalog       Catalog
+	configuration Configuration
+	datasets      Datasets
+	jobs          *jobstatus.Reader
+	// Versions tells whose processes may be of an older version.
+	Versions *upgrade.VersionRegistry
+	// Data says whether jobs may have inputs, and TopologyOn whether they may have topology constraints. Both are set
+	// before the first request.
+	Data       features.Data
+	TopologyOn bool
 	// leaderlessWriter writes what is accepted without the leader.
 	leaderlessWriter *store.HedgedClient
 
@@ -46,19 +86,19 @@
 	retries *retry.Spread
 }
 
-// newSubmissionService returns the part of c that accepts jobs.
-func newSubmissionService(c *Controller) *Service {
-	writes := c.settings.Facts.State.Least().WriteRPS
+// New returns a service with datasets and topology off.
+func New(options Options) *Service {
+	writes := options.Settings.Facts.State.Least().WriteRPS
 	rest := writes * (1 - tuning.QuotaShare)
 	limiter := rate.NewLimiter(rate.Limit(rest), max(1, int(rest)))
-	accepted := tuning.QuotaShare * writes / float64(1+len(c.settings.Peers))
+	accepted := tuning.QuotaShare * writes / float64(1+len(options.Settings.Peers))
 	retries, err := retry.New(accepted, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
 	if err != nil {
 		panic(err) // Only for a limit below one, and the limits are constants.
 	}
-	return &Service{settings: c.settings, clock: c.clock, client: c.client, features: c.features, Versions: c.versions,
-		catalog: c.catalog, term: c.term, configuration: c.configuration, datasets: c.datasets, jobs: c.jobs,
-		leaderlessWriter: store.NewHedgedClient(c.client, c.clock, limiter, writes), retries: retries}
+	return &Service{settings: options.Settings, clock: options.Clock, client: options.Client, catalog: options.Catalog,
+		configuration: options.Configuration, datasets: options.Datasets, jobs: options.Jobs, Versions: options.Versions,
+		leaderlessWriter: store.NewHedgedClient(options.Client, options.Clock, limiter, writes), retries: retries}
 }
 
 // submissionVerdict is the outcome of checking a submission, which can be accepted if it is neither refused nor
@@ -135,7 +175,7 @@
 		verdict.status = http.StatusBadRequest
 		return verdict
 	}
-	if s.features.topology != nil {
+	if s.TopologyOn {
 		if verdict.status, verdict.err = checkSite(submission, body); verdict.err != nil {
 			return verdict
 		}
@@ -150,7 +190,7 @@
 			return verdict
 		}
 	}
-	if s.features.data.On {
+	if s.Data.On {
 		verdict.status, verdict.undecided, verdict.err = s.checkInputs(ctx, sched, submission, body)
 	}
 	return verdict
@@ -178,7 +218,7 @@
 		return peer.Refusal(verdict.status, verdict.err)
 	case verdict.rules.UnknownReason != "":
 		return peer.RetryLater(verdict.rules.UnknownReason)
-	case s.features.data.On:
+	case s.Data.On:
 		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
 	return peer.RetryLater("the machine types are not known yet")
@@ -203,30 +243,11 @@
 	UnknownReason string
 }
 
-// currentRules returns the rules by which a submission is checked now.
-func (s *Service) currentRules(sched *scheduler.Scheduler) Rules {
-	if s.configuration.revisions == nil {
-		return Rules{Configurations: s.configuration.fileConfiguration}
-	}
-	if applier := s.term.applier(); sched != nil && applier != nil {
-		by := applier.Candidates()
-		if len(by) == 0 || !sched.Leading() {
-			return Rules{UnknownReason: "the configuration is not known yet"}
-		}
-		return Rules{Configurations: by}
-	}
-	right, ok := s.configuration.revisions.Lease()
-	if !ok {
-		return Rules{UnknownReason: "the configuration cannot be confirmed now"}
-	}
-	return Rules{Configurations: []*configuration.Active{right.Active}, Conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
-}
-
 // CanRun checks a submission against teams, limits and machine types. Undecided is set if these are not known, if the
 // configuration is not, or if it is just changing and the old and the new one disagree. An error is a *api.FieldError.
 func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
 	types := s.catalog.MachineTypes()
-	rules = s.currentRules(sched)
+	rules = s.configuration.CurrentRules(sched)
 	if rules.UnknownReason != "" {
 		return rules, true, nil
 	}
@@ -244,10 +265,10 @@
 // StillValid reports whether a refusal by these rules still holds. It is asked last, since the process can have been
 // paused after the check.
 func (s *Service) StillValid(rules Rules, sched *scheduler.Scheduler) bool {
-	if s.configuration.revisions == nil || rules.Configurations == nil {
+	if rules.Configurations == nil {
 		return true
 	}
-	return slices.Equal(rules.Configurations, s.currentRules(sched).Configurations)
+	return slices.Equal(rules.Configurations, s.configuration.CurrentRules(sched).Configurations)
 }
 
 // checkSite reads the topology constraints of a submission and checks whether they can be met. An error is a
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -12,6 +12,7 @@
 	"switchferry/configuration"
 	"switchferry/configuration/httpapi"
 	"switchferry/configuration/revisions"
+	"switchferry/controller/admission"
 	"switchferry/peer"
 	"switchferry/scheduler"
 	"switchferry/settings"
@@ -147,3 +148,22 @@
 func (l *liveConfiguration) handler() *httpapi.Handler {
 	return &httpapi.Handler{Store: l.revisions, Versions: l.versions, TopologyOn: l.features.topology != nil, DataOn: l.features.data.On}
 }
+
+// CurrentRules returns the rules by which a submission is checked now.
+func (l *liveConfiguration) CurrentRules(sched *scheduler.Scheduler) admission.Rules {
+	if l.revisions == nil {
+		return admission.Rules{Configurations: l.fileConfiguration}
+	}
+	if applier := l.term.applier(); sched != nil && applier != nil {
+		by := applier.Candidates()
+		if len(by) == 0 || !sched.Leading() {
+			return admission.Rules{UnknownReason: "the configuration is not known yet"}
+		}
+		return admission.Rules{Configurations: by}
+	}
+	right, ok := l.revisions.Lease()
+	if !ok {
+		return admission.Rules{UnknownReason: "the configuration cannot be confirmed now"}
+	}
+	return admission.Rules{Configurations: []*configuration.Active{right.Active}, Conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
+}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -16,6 +16,8 @@
 
 	"switchferry/cloud"
 	"switchferry/connlimit"
+	"switchferry/controller/admission"
+	"switchferry/controller/jobstatus"
 	"switchferry/cpupressure"
 	"switchferry/election"
 	"switchferry/features"
@@ -59,10 +61,10 @@
 	workers       *workerRouter
 	heartbeats    *heartbeatMonitor
 	agents        *agentGateway
-	jobs          *Reader
+	jobs          *jobstatus.Reader
 	datasets      *datasetService
 	configuration *liveConfiguration
-	submissions   *Service
+	submissions   *admission.Service
 
 	// workerProxy relays heartbeats of workers while the leader is unreachable.
 	workerProxy *proxy.Workers
@@ -97,10 +99,11 @@
 	c.workers = newWorkerRouter(set, clock, c.peers)
 	c.heartbeats = newHeartbeatMonitor(clock, set.Facts.Workers)
 	c.agents = newAgentGateway(c, transport)
-	c.jobs = NewReader(clock, c.client, c.readLimiter, c.leases)
+	c.jobs = jobstatus.NewReader(clock, c.client, c.readLimiter, c.leases.watermark)
 	c.datasets = newDatasetService(c)
 	c.configuration = newLiveConfiguration(c)
-	c.submissions = newSubmissionService(c)
+	c.submissions = admission.New(admission.Options{Settings: set, Clock: clock, Client: c.client, Versions: c.versions,
+		Catalog: c.catalog, Configuration: c.configuration, Datasets: c.datasets.cache, Jobs: c.jobs})
 	c.workerProxy = proxy.NewWorkers(c.proxyOptions())
 	c.cpuMonitor = cpupressure.NewMonitor(clock)
 	return c
@@ -159,7 +162,7 @@
 
 // Enable switches features on; it is called before Run.
 func (c *Controller) Enable(enabled *features.Features) {
-	c.features.data = enabled.Data
+	c.features.data, c.submissions.Data = enabled.Data, enabled.Data
 	c.agents.proxy = proxy.NewAgents(c.proxyOptions())
 	if enabled.Membership.On {
 		c.newMembershipWatcher()
--- a/controller/answers.go
+++ b/controller/jobstatus/reader.go
@@ -1,4 +1,6 @@
-package controller
+// Package jobstatus answers what became of a job, from its records and from what a controller remembers, and states
+// cancellations to the peers before users learn of them.
+package jobstatus
 
 import (
 	"bytes"
@@ -14,12 +16,13 @@
 	"switchferry/peer"
 	"switchferry/scheduler"
 	"switchferry/store"
+	"switchferry/watermark"
 )
 
 // Reader answers what became of a job, from the state service and from what this controller remembers.
 type Reader struct {
-	clock  clockwork.Clock
-	leases *leaseRenewal
+	clock     clockwork.Clock
+	watermark *watermark.Tracker
 	// Records reads records of jobs, within this controller's share of reads.
 	Records *lookup.Jobs
 	// TerminalStates are the jobs that this controller knows to be in a terminal state.
@@ -28,9 +31,11 @@
 	notifications *lookup.Notifications
 }
 
-// NewReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service.
-func NewReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, leases *leaseRenewal) *Reader {
-	j := &Reader{clock: clock, leases: leases, TerminalStates: TerminalStates{lookup.NewTerminalStates(), leases}, notifications: lookup.NewNotifications()}
+// NewReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service; cancellations are what
+// is stated to the peers.
+func NewReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, cancellations *watermark.Tracker) *Reader {
+	j := &Reader{clock: clock, watermark: cancellations, TerminalStates: TerminalStates{lookup.NewTerminalStates(), clock, cancellations},
+		notifications: lookup.NewNotifications()}
 	j.Records = &lookup.Jobs{Client: client, Recall: j.TerminalStates.Get, Remember: j.TerminalStates.Remember, Queue: lookup.NewFairQueue(clock, limiter)}
 	return j
 }
@@ -89,10 +94,25 @@
 		return response
 	}
 	if job.State == api.Cancelled {
-		j.leases.watermark.RecordCancellation(j.clock.Now(), job.ID)
+		j.watermark.RecordCancellation(j.clock.Now(), job.ID)
 	}
 	if newest, older := j.notifications.Newest(job); older {
 		return peer.JSONResponse(http.StatusOK, newest)
 	}
 	return response
 }
+
+// TerminalStates remembers jobs that have ended, and states cancellations to the peers.
+type TerminalStates struct {
+	*lookup.TerminalStates
+	clock     clockwork.Clock
+	watermark *watermark.Tracker
+}
+
+// Remember notes that a job is in a terminal state; a cancellation is stated to the peers from then on.
+func (s TerminalStates) Remember(id string, final store.FinalRecord) {
+	if final.State == api.Cancelled {
+		s.watermark.RecordCancellation(s.clock.Now(), id)
+	}
+	s.TerminalStates.Remember(id, final)
+}
--- a/controller/term_collaborators.go
+++ b/controller/term_collaborators.go
@@ -6,9 +6,7 @@
 
 	"switchferry/api"
 	"switchferry/election"
-	"switchferry/lookup"
 	"switchferry/scheduler"
-	"switchferry/store"
 )
 
 // termCollaborators returns what the scheduler of a term asks of this process. The context is that of the term.
@@ -65,17 +63,3 @@
 	current, valid := l.elector.Term()
 	return valid && current == l.number
 }
-
-// TerminalStates remembers jobs that have ended, and states cancellations to the peers.
-type TerminalStates struct {
-	*lookup.TerminalStates
-	leases *leaseRenewal
-}
-
-// Remember notes that a job is in a terminal state; a cancellation is stated to the peers from then on.
-func (s TerminalStates) Remember(id string, final store.FinalRecord) {
-	if final.State == api.Cancelled {
-		s.leases.watermark.RecordCancellation(s.leases.clock.Now(), id)
-	}
-	s.TerminalStates.Remember(id, final)
-}
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -12,7 +12,9 @@
 )
 
 // UseTopologyFile switches topology on, unless the file is nil. It is called before Run.
-func (c *Controller) UseTopologyFile(file *topology.File) { c.features.topology = file }
+func (c *Controller) UseTopologyFile(file *topology.File) {
+	c.features.topology, c.submissions.TopologyOn = file, file != nil
+}
 
 // watchTopology applies new versions of the topology file while the process runs.
 func (c *Controller) watchTopology() {
