--- a/controller/inbox.go
+++ b/controller/inbox/inbox.go
@@ -1,4 +1,6 @@
-package controller
+// Package inbox takes in what controllers have stored for the leader while they did not reach it: jobs that they accepted
+// and requests to cancel jobs.
+package inbox
 
 import (
 	"context"
@@ -7,14 +9,16 @@
 	"slices"
 	"strings"
 
+	"github.com/jonboulle/clockwork"
+
 	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
 
-// inboxFollower takes in the jobs and cancellations that other controllers have stored while they did not reach the
-// leader. It is used by one goroutine.
-type inboxFollower struct {
+// Follower takes in the inbox during one term. It is used by one goroutine.
+type Follower struct {
+	clock     clockwork.Clock
 	client    *store.Client
 	scheduler *scheduler.Scheduler
 	committer *store.Committer
@@ -26,22 +30,29 @@
 	pending []string
 }
 
-// followInbox takes in the inbox during a term, from a revision on, until the context ends.
-func (t *leaderTerm) followInbox(ctx context.Context, after uint64) {
-	follower := &inboxFollower{client: t.controller.client, scheduler: t.scheduler, committer: t.committer, after: after, listAll: true}
+// NewFollower returns a follower for the scheduler of a term, whose records were read up to a revision.
+func NewFollower(clock clockwork.Clock, client *store.Client, sched *scheduler.Scheduler, committer *store.Committer, after uint64) *Follower {
+	return &Follower{clock: clock, client: client, scheduler: sched, committer: committer, after: after, listAll: true}
+}
+
+// Run takes in the inbox until the context ends.
+func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := follower.read(ctx); err != nil {
-			follower.listAll = follower.listAll || errors.Is(err, store.ErrCompacted)
-			sleep(ctx, t.controller.clock, tuning.ElectRetry)
+		if err := f.read(ctx); err != nil {
+			f.listAll = f.listAll || errors.Is(err, store.ErrCompacted)
+			select {
+			case <-ctx.Done():
+			case <-f.clock.After(tuning.ElectRetry):
+			}
 			continue
 		}
-		follower.takePending(ctx)
+		f.takePending(ctx)
 	}
 }
 
 // read adds to the pending keys all of the inbox, or, after the first time, what is new in it; it waits for that, but not for
 // long while keys are pending. The error is store.ErrCompacted if what is new can no longer be told.
-func (f *inboxFollower) read(ctx context.Context) error {
+func (f *Follower) read(ctx context.Context) error {
 	if f.listAll {
 		items, revision, err := f.client.List(ctx, store.InboxPrefix)
 		for _, item := range items {
@@ -71,7 +82,7 @@
 }
 
 // takePending takes in the pending keys; those that could not be read stay pending.
-func (f *inboxFollower) takePending(ctx context.Context) {
+func (f *Follower) takePending(ctx context.Context) {
 	f.pending = slices.DeleteFunc(f.pending, func(key string) bool { return f.take(ctx, key) })
 	if len(f.pending) == 0 {
 		f.scheduler.InboxSeen(f.after)
@@ -80,7 +91,7 @@
 
 // take takes in one key of the inbox and has it removed. It reports whether the key is done with, or has to be looked at
 // again: a job that was passed over here once was accepted, and ran only after its user had asked for it.
-func (f *inboxFollower) take(ctx context.Context, key string) (done bool) {
+func (f *Follower) take(ctx context.Context, key string) (done bool) {
 	id := strings.TrimPrefix(key, store.InboxPrefix)
 	job, err := f.client.Get(ctx, store.JobKey(id))
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/controller/term.go
+++ b/controller/term.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"switchferry/configuration/revisions"
+	"switchferry/controller/inbox"
 	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
@@ -84,7 +85,7 @@
 // startLoops starts everything that runs during the term beside placement, from the revisions that were read.
 func (t *leaderTerm) startLoops(ctx context.Context, read loadedRevisions) {
 	go t.committer.Run(ctx)
-	go t.followInbox(ctx, read.jobs)
+	go inbox.NewFollower(t.controller.clock, t.controller.client, t.scheduler, t.committer, read.jobs).Run(ctx)
 	go t.lookUpDependencies(ctx)
 	go t.followWorkerRelay(ctx, read.jobs)
 	go t.refreshMachines(ctx)
