--- a/controller/candidates.go
+++ b/controller/candidates.go
@@ -8,9 +8,9 @@
 
 // candidate is a machine where room can be made, and what that costs.
 type candidate struct {
-	m               *machineState
-	leaving, victim []*allocation
-	score           float64
+	machine          *machineState
+	leaving, victims []*allocation
+	score            float64
 }
 
 // candidateHeap are the machines where room can be made for a job, cheapest first.
@@ -23,7 +23,7 @@
 func (o candidateHeap) Len() int { return len(o) }
 
 func (o candidateHeap) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(o[a].score, o[b].score), strings.Compare(o[a].m.Name, o[b].m.Name)) < 0
+	return cmp.Or(cmp.Compare(o[a].score, o[b].score), strings.Compare(o[a].machine.Name, o[b].machine.Name)) < 0
 }
 
 func (o candidateHeap) Swap(a, b int) { o[a], o[b] = o[b], o[a] }
@@ -70,7 +70,7 @@
 func (s *Scheduler) bestCandidate(job *jobState, o *candidateHeap) (candidate, bool) {
 	for o.Len() > 0 {
 		x := heap.Pop(o).(candidate)
-		now, ok := s.candidateOn(job, x.m)
+		now, ok := s.candidateOn(job, x.machine)
 		if !ok {
 			continue
 		}
--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -150,15 +150,15 @@
 // takeStaged takes a task of the job that could start on a machine out of that machine's
 // queue; -1: none. Nothing is stopped to make room for a task that would only wait there.
 func (s *Scheduler) takeStaged(job *jobState, machine *machineState) int {
-	if queue, i := s.stagedOn(job, machine); i >= 0 {
+	if queue, i := s.firstStaged(job, machine); i >= 0 {
 		return queue.removeAt(i)
 	}
 	return -1
 }
 
-// stagedOn is where in a machine's queue the first task of the job stands that could start
+// firstStaged is where in a machine's queue the first task of the job stands that could start
 // there; -1: nowhere.
-func (s *Scheduler) stagedOn(job *jobState, machine *machineState) (*runQueue, int) {
+func (s *Scheduler) firstStaged(job *jobState, machine *machineState) (*runQueue, int) {
 	for _, queue := range machine.queues {
 		if queue.job == job {
 			return queue, s.nextTask(queue, machine)
@@ -168,7 +168,7 @@
 }
 
 func (s *Scheduler) hasStaged(job *jobState, machine *machineState) bool {
-	_, i := s.stagedOn(job, machine)
+	_, i := s.firstStaged(job, machine)
 	return i >= 0
 }
 
--- a/controller/domain_reservation.go
+++ b/controller/domain_reservation.go
@@ -27,7 +27,7 @@
 			boot = t.BootS
 		}
 	}
-	d, ms := job.site.SoonestDomain(job.request, len(job.pending), may, func(name string) []int64 { return s.freeTimes(job, s.machines[name], len(job.pending)) })
+	d, ms := job.site.SoonestDomain(job.request, len(job.pending), may, func(name string) []int64 { return s.startDelays(job, s.machines[name], len(job.pending)) })
 	if d == nil || float64(ms) > boot*1000 {
 		return ""
 	}
@@ -38,9 +38,9 @@
 	return job.reservedDomain
 }
 
-// freeTimes is in how many ms each of so many further tasks of a job could start on a machine, as what
+// startDelays is in how many ms each of so many further tasks of a job could start on a machine, as what
 // runs there ends by its estimate.
-func (s *Scheduler) freeTimes(job *jobState, machine *machineState, tasks int) (at []int64) {
+func (s *Scheduler) startDelays(job *jobState, machine *machineState, tasks int) (at []int64) {
 	free := machine.free()
 	type ending struct {
 		ms   int64
@@ -94,7 +94,7 @@
 // preemptionCosts is what each further task of a job costs on a machine, in work that is thrown away,
 // until no more room can be made.
 func (s *Scheduler) preemptionCosts(job *jobState, machine *machineState) (costs []int64) {
-	free, _ := machine.freeSoon()
+	free, _ := machine.freeAfterStops()
 	can := s.preemptible(job, machine)
 	s.sortByLoss(can)
 	cost := int64(0)
--- a/controller/locality.go
+++ b/controller/locality.go
@@ -16,54 +16,54 @@
 // missingInputs prices what a group lacks on a machine. A fleet of thousands asks for the same
 // few waits over and over, so each is worked out once.
 type missingInputs struct {
-	scheduler *Scheduler
-	job       *jobState
-	groups    []placement.Group
-	ids       []replicas.MachineID
-	names     []string
+	scheduler    *Scheduler
+	job          *jobState
+	groups       []placement.Group
+	machineIDs   []replicas.MachineID
+	machineNames []string
 	// backlog is what each machine's link has to bring already, in bytes; idle the least.
 	backlog        []float64
-	idle           float64
+	leastBacklog   float64
 	slot           float64
 	slotsBySeconds map[float64]int
-	// lastS is what was asked for last, lastN the answer.
-	lastS float64
-	lastN int
+	// lastSeconds is what was asked for last, lastSecondsSlots the answer.
+	lastSeconds      float64
+	lastSecondsSlots int
 	// on: inputs are weighed at all; single: there is one, of which each task needs its
 	// own part.
-	localityAware, single bool
-	// lastBehind and lastSlots are what a machine of the group had to bring already, and
+	localityAware, singlePartPerTask bool
+	// lastBacklog and lastSlots are what a machine of the group had to bring already, and
 	// what that came to.
-	lastBehind float64
-	lastSlots  int
-	// group is the one that was looked at last; of a single input, bytes is its size and
+	lastBacklog float64
+	lastSlots   int
+	// lastGroup is the one that was looked at last; of a single input, bytes is its size and
 	// fromStore tells that nobody has it.
-	group     int
-	bytes     float64
+	lastGroup int
+	partBytes float64
 	fromStore bool
-	// spread is how long its sources take to give its parts to one more machine.
-	spread float64
-	// coming are the machines that its part is on its way to.
-	coming map[replicas.MachineID]float64
+	// spreadSeconds is how long its sources take to give its parts to one more machine.
+	spreadSeconds float64
+	// inFlight are the machines that its part is on its way to.
+	inFlight map[replicas.MachineID]float64
 }
 
-func (x *missingInputs) slots(seconds float64) int {
-	if seconds == x.lastS {
-		return x.lastN
+func (x *missingInputs) slotsOf(seconds float64) int {
+	if seconds == x.lastSeconds {
+		return x.lastSecondsSlots
 	}
 	n, ok := x.slotsBySeconds[seconds]
 	if !ok {
 		n = fetchPenalty(x.scheduler.configuration.Policy, seconds, x.slot)
 		x.slotsBySeconds[seconds] = n
 	}
-	x.lastS, x.lastN = seconds, n
+	x.lastSeconds, x.lastSecondsSlots = seconds, n
 	return n
 }
 
 // Slots is for machines that are no holders of the group. Most machines have the same to
 // bring already, which is nothing, so the last answer mostly is the next one's.
 func (x *missingInputs) Slots(group, server int) int {
-	if group == x.group && x.coming == nil && x.single && x.backlog[server] == x.lastBehind {
+	if group == x.lastGroup && x.inFlight == nil && x.singlePartPerTask && x.backlog[server] == x.lastBacklog {
 		return x.lastSlots
 	}
 	if !x.localityAware {
@@ -71,22 +71,22 @@
 	}
 	d := x.scheduler.datasets
 	task := int(x.groups[group].Tasks[0])
-	if group != x.group {
-		x.group, x.spread, x.coming = group, d.spread(x.job, task), d.inFlightCopies(x.job, task)
-		if x.single {
+	if group != x.lastGroup {
+		x.lastGroup, x.spreadSeconds, x.inFlight = group, d.spreadSeconds(x.job, task), d.inFlightCopies(x.job, task)
+		if x.singlePartPerTask {
 			// What is no holder lacks it.
 			in := x.job.inputs[0]
-			x.bytes, x.fromStore = float64(in.summary.PartBytes(task)), len(d.snapshot.Holders(in.name, task)) == 0
+			x.partBytes, x.fromStore = float64(in.summary.PartBytes(task)), len(d.snapshot.Holders(in.name, task)) == 0
 		}
 	}
-	if !x.single {
-		x.bytes, x.fromStore = d.missingBytes(x.job, task, x.ids[server])
+	if !x.singlePartPerTask {
+		x.partBytes, x.fromStore = d.missingBytes(x.job, task, x.machineIDs[server])
 	}
 	n := 0
-	if x.bytes > 0 {
-		n = x.slots(d.delay(x.backlog[server], x.bytes, x.fromStore, x.spread, x.coming, x.ids[server]))
+	if x.partBytes > 0 {
+		n = x.slotsOf(d.transferSeconds(x.backlog[server], x.partBytes, x.fromStore, x.spreadSeconds, x.inFlight, x.machineIDs[server]))
 	}
-	x.lastBehind, x.lastSlots = x.backlog[server], n
+	x.lastBacklog, x.lastSlots = x.backlog[server], n
 	return n
 }
 
@@ -110,7 +110,7 @@
 	if len(x.scheduler.datasets.inFlightCopies(x.job, task)) > 0 {
 		return 0
 	}
-	return x.slots(x.scheduler.datasets.planner.TransferDelay(x.idle, least, false))
+	return x.slotsOf(x.scheduler.datasets.planner.TransferDelay(x.leastBacklog, least, false))
 }
 
 // Rate is what an idle link brings of one task's inputs in a slot.
@@ -136,10 +136,10 @@
 		return
 	}
 	d := x.scheduler.datasets
-	bytes, _ := d.missingBytes(x.job, int(x.groups[group].Tasks[0]), x.ids[server])
+	bytes, _ := d.missingBytes(x.job, int(x.groups[group].Tasks[0]), x.machineIDs[server])
 	x.backlog[server] += bytes * float64(tasks)
-	x.lastBehind = -1
-	d.planner.ReserveBytes(x.names[server], bytes*float64(tasks))
+	x.lastBacklog = -1
+	d.planner.ReserveBytes(x.machineNames[server], bytes*float64(tasks))
 }
 
 // startCost is what a task would wait for on a machine: the one place that says so. Joins: an
@@ -167,15 +167,15 @@
 	}
 	bytes, fromStore := d.missingBytes(job, task, id)
 	if bytes > 0 {
-		w.Data = d.delay(d.planner.QueuedBytes(machine.Name), bytes, fromStore, d.spread(job, task), d.inFlightCopies(job, task), id)
+		w.Data = d.transferSeconds(d.planner.QueuedBytes(machine.Name), bytes, fromStore, d.spreadSeconds(job, task), d.inFlightCopies(job, task), id)
 	}
 	return w
 }
 
-// delay is how long a task's inputs take to a machine: behind what its link has to bring
+// transferSeconds is how long a task's inputs take to a machine: behind what its link has to bring
 // already, and behind the machines that wait for the same parts, unless they are on their
 // way there as well. Like an image, a part that comes anyway costs the next task little.
-func (d *datasetState) delay(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.MachineID]float64, id replicas.MachineID) float64 {
+func (d *datasetState) transferSeconds(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.MachineID]float64, id replicas.MachineID) float64 {
 	if left, ok := coming[id]; ok {
 		return d.planner.TransferDelay(max(0, behind-left), left, false)
 	}
@@ -191,9 +191,9 @@
 	return nil
 }
 
-// spread is how long a task's own parts take until one more machine has them, as many as
+// spreadSeconds is how long a task's own parts take until one more machine has them, as many as
 // wait for them already, in seconds.
-func (d *datasetState) spread(job *jobState, task int) (within float64) {
+func (d *datasetState) spreadSeconds(job *jobState, task int) (within float64) {
 	for _, in := range job.inputs {
 		if in.partPerTask && in.summary != nil {
 			within = max(within, d.planner.Spread(in.summary, task, len(d.snapshot.Holders(in.name, task))))
@@ -259,8 +259,8 @@
 	var ms []*machineState
 	var servers []placement.Server
 	index := map[replicas.MachineID]int32{}
-	x := &missingInputs{scheduler: c, job: job, slot: slot, idle: math.Inf(1), slotsBySeconds: map[float64]int{}, group: -1,
-		localityAware: d.localityAware(), single: len(job.inputs) == 1 && job.inputs[0].partPerTask}
+	x := &missingInputs{scheduler: c, job: job, slot: slot, leastBacklog: math.Inf(1), slotsBySeconds: map[float64]int{}, lastGroup: -1,
+		localityAware: d.localityAware(), singlePartPerTask: len(job.inputs) == 1 && job.inputs[0].partPerTask}
 	for _, machine := range c.sortedMachines() {
 		if !c.eligible(job, machine) || !c.mayStage(job, machine) {
 			continue
@@ -270,13 +270,13 @@
 			continue
 		}
 		if d.settings.Placement != features.Blind {
-			server.Busy += x.slots(machine.fetchSeconds(job))
+			server.Busy += x.slotsOf(machine.fetchSeconds(job))
 		}
 		id, _ := d.planner.ID(machine.Name)
 		index[id] = int32(len(ms))
 		behind := d.planner.QueuedBytes(machine.Name)
-		x.ids, x.names = append(x.ids, id), append(x.names, machine.Name)
-		x.backlog, x.idle = append(x.backlog, behind), min(x.idle, behind)
+		x.machineIDs, x.machineNames = append(x.machineIDs, id), append(x.machineNames, machine.Name)
+		x.backlog, x.leastBacklog = append(x.backlog, behind), min(x.leastBacklog, behind)
 		ms, servers = append(ms, machine), append(servers, server)
 	}
 	if len(ms) == 0 {
@@ -328,7 +328,7 @@
 // once where their inputs are held, and after the same patience as with images where they
 // must be copied. Tasks that wait for bytes on a machine with room go where the bytes are,
 // and nowhere else. They start there once that is proved. Queues are those of the job.
-func (s *Scheduler) rebalance(job *jobState, roomy []*machineState, queues []queuedOn) {
+func (s *Scheduler) rebalance(job *jobState, roomy []*machineState, queues []machineQueue) {
 	for _, machine := range roomy {
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
 			continue
@@ -338,7 +338,7 @@
 			room -= len(queue.tasks)
 		}
 		for _, p := range queues {
-			from, queue := p.m, p.q
+			from, queue := p.machine, p.queue
 			if room <= 0 {
 				break
 			}
--- a/controller/placement_round.go
+++ b/controller/placement_round.go
@@ -179,13 +179,13 @@
 // it could serve an earlier one that waits elsewhere: one task left behind a long
 // one, on one machine, keeps its whole job from being done.
 func (s *Scheduler) serveQueues(ms []*machineState) {
-	where := map[*jobState][]queuedOn{}
+	where := map[*jobState][]machineQueue{}
 	length := map[*machineState]int{}
 	least := math.Inf(1)
 	low := false
 	for _, machine := range ms {
 		for _, queue := range machine.queues {
-			where[queue.job] = append(where[queue.job], queuedOn{machine, queue})
+			where[queue.job] = append(where[queue.job], machineQueue{machine, queue})
 			length[machine] += len(queue.tasks)
 			least = math.Min(least, queue.job.request.CPUs)
 			low = low || queue.job.rank == api.RankLow
@@ -219,13 +219,13 @@
 			return job.rank > api.RankLow || room-job.request.CPUs >= reserve
 		}
 		for _, p := range at {
-			for len(p.q.tasks) > 0 && spare() && s.canStart(job, p.m) {
-				i := s.nextTask(p.q, p.m)
+			for len(p.queue.tasks) > 0 && spare() && s.canStart(job, p.machine) {
+				i := s.nextTask(p.queue, p.machine)
 				if i < 0 {
 					break
 				}
-				s.startTask(job, p.q.removeAt(i), p.m, nil, "queued here")
-				length[p.m]--
+				s.startTask(job, p.queue.removeAt(i), p.machine, nil, "queued here")
+				length[p.machine]--
 				room -= job.request.CPUs
 			}
 		}
@@ -236,12 +236,12 @@
 				for job.queued > 0 && spare() && s.canStart(job, machine) {
 					from := -1
 					for i, p := range at {
-						if len(p.q.tasks) > 0 && (from < 0 || length[p.m] > length[at[from].m]) {
+						if len(p.queue.tasks) > 0 && (from < 0 || length[p.machine] > length[at[from].machine]) {
 							from = i
 						}
 					}
-					s.startTask(job, at[from].q.pop(), machine, nil, "pulled")
-					length[at[from].m]--
+					s.startTask(job, at[from].queue.pop(), machine, nil, "pulled")
+					length[at[from].machine]--
 					room -= job.request.CPUs
 				}
 			}
--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -123,9 +123,9 @@
 	return ok
 }
 
-// strandedCPUs are the CPUs of tasks that must stand where no machine with room does, of each job
+// unplaceableCPUs are the CPUs of tasks that must stand where no machine with room does, of each job
 // those of as many tasks as could stand on a machine more.
-func (s *Scheduler) strandedCPUs() (cpus float64) {
+func (s *Scheduler) unplaceableCPUs() (cpus float64) {
 	for _, job := range s.jobOrder {
 		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
 			continue
@@ -163,5 +163,5 @@
 		boot = max(boot, t.BootS)
 	}
 	supply, _ := s.supply()
-	return s.topology.search.TargetCPUs(now, s.strandedCPUs(), supply, settings.Seconds(boot))
+	return s.topology.search.TargetCPUs(now, s.unplaceableCPUs(), supply, settings.Seconds(boot))
 }
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// freeSoon is what a machine has free once the tasks being stopped are gone.
-func (m *machineState) freeSoon() (fleet.Resources, []*allocation) {
+// freeAfterStops is what a machine has free once the tasks being stopped are gone.
+func (m *machineState) freeAfterStops() (fleet.Resources, []*allocation) {
 	free := m.free()
 	var leaving []*allocation
 	for _, alloc := range m.allocations {
@@ -64,7 +64,7 @@
 // least. False: it cannot be done.
 func (s *Scheduler) findVictims(job *jobState, machine *machineState) (leaving, victims []*allocation, ok bool) {
 	s.victimSearches++
-	free, leaving := machine.freeSoon()
+	free, leaving := machine.freeAfterStops()
 	if free.Fits(job.request) {
 		return leaving, nil, true
 	}
@@ -118,7 +118,7 @@
 
 // preempt makes room for an array of higher rank that found none.
 func (s *Scheduler) preempt(job *jobState, all []*machineState) {
-	if !s.startableNow(job) || s.failsEverywhere(job) || !s.withinQuota(job) || !s.preemptsAny(job) {
+	if !s.startableNow(job) || s.failsEverywhere(job) || !s.withinQuota(job) || !s.mayPreemptAny(job) {
 		return
 	}
 	opts := s.candidates(job, all)
@@ -137,7 +137,7 @@
 		}
 		task := -1
 		if len(job.inputs) > 0 {
-			if task = s.takeStaged(job, x.m); task < 0 {
+			if task = s.takeStaged(job, x.machine); task < 0 {
 				break
 			}
 		} else if len(job.pending) > 0 {
@@ -152,18 +152,18 @@
 			}
 			task = queues[0].pop()
 		}
-		s.preemptVictims(x.victim, job)
-		s.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
-		s.pushCandidate(job, x.m, opts)
+		s.preemptVictims(x.victims, job)
+		s.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
+		s.pushCandidate(job, x.machine, opts)
 	}
 	for _, machine := range all {
 		machine.dropEmptyQueues()
 	}
 }
 
-// preemptsAny tells whether anything may be stopped for a job at all. Most jobs
+// mayPreemptAny tells whether anything may be stopped for a job at all. Most jobs
 // that wait are of the lowest rank, and need not search the fleet.
-func (s *Scheduler) preemptsAny(job *jobState) bool {
+func (s *Scheduler) mayPreemptAny(job *jobState) bool {
 	for _, o := range s.jobOrder {
 		for _, alloc := range o.allocations {
 			if s.mayPreempt(alloc, job) {
--- a/controller/quotas.go
+++ b/controller/quotas.go
@@ -59,17 +59,17 @@
 		if limit.Allows(use) {
 			continue
 		}
-		tasks, held := usageOf(sched, team.Name)
+		tasks, held := stoppableUsage(sched, team.Name)
 		for _, i := range quota.Excess(limit, use, held) {
 			sched.stopTask(tasks[i], min(sched.configuration.OverLimit.StopWithinS, tasks[i].job.Job.SaveS), "its team's limit has sunk")
 		}
 	}
 }
 
-// usageOf are the tasks of a team that can be stopped. A start whose answer is lost may be executed at any later time of
+// stoppableUsage are the tasks of a team that can be stopped. A start whose answer is lost may be executed at any later time of
 // this term. Stopped before it is seen, its task counted for the limit for ever; stopped after that, its exit is not
 // cleared, and a new attempt that came to the same machine was never begun. Such a task runs to its end.
-func usageOf(sched *Scheduler, team string) (tasks []*allocation, held []quota.Usage) {
+func stoppableUsage(sched *Scheduler, team string) (tasks []*allocation, held []quota.Usage) {
 	for _, job := range sched.jobOrder {
 		if job.Job.Team != team {
 			continue
--- a/controller/run_queue.go
+++ b/controller/run_queue.go
@@ -10,10 +10,10 @@
 	tasks []int32
 }
 
-// queuedOn is a queue and the machine that it is on.
-type queuedOn struct {
-	m *machineState
-	q *runQueue
+// machineQueue is a queue and the machine that it is on.
+type machineQueue struct {
+	machine *machineState
+	queue   *runQueue
 }
 
 // enqueue puts tasks into a machine's queue in the order of the jobs.
--- a/controller/scale_test.go
+++ b/controller/scale_test.go
@@ -77,15 +77,15 @@
 			}
 			task := int(job.pending[0])
 			job.pending = job.pending[1:]
-			s.preemptVictims(x.victim, job)
-			s.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
-			s.pushCandidate(job, x.m, opts)
+			s.preemptVictims(x.victims, job)
+			s.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
+			s.pushCandidate(job, x.machine, opts)
 		}
 		if len(job.allocations) == 0 {
 			t.Fatalf("seed %d: nothing was started", seed)
 		}
 		for _, machine := range s.machines {
-			if free, _ := machine.freeSoon(); !free.Fits(fleet.Resources{}) {
+			if free, _ := machine.freeAfterStops(); !free.Fits(fleet.Resources{}) {
 				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
 			}
 		}
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -17,8 +17,8 @@
 
 // capacityPool is one kind of machine that the cloud rents.
 type capacityPool struct {
-	typ, zone string
-	spot      bool
+	machineType, zone string
+	spot              bool
 }
 
 // demand is what unfinished jobs ask for, in processors, and how much of that
@@ -156,10 +156,10 @@
 		if d := inZone[a.zone] - inZone[b.zone]; d != 0 {
 			return int(math.Copysign(1, d))
 		}
-		if d := c.machineTypes[a.typ].BootS - c.machineTypes[b.typ].BootS; d != 0 {
+		if d := c.machineTypes[a.machineType].BootS - c.machineTypes[b.machineType].BootS; d != 0 {
 			return int(math.Copysign(1, d))
 		}
-		if a.typ+a.zone < b.typ+b.zone {
+		if a.machineType+a.zone < b.machineType+b.zone {
 			return -1
 		}
 		return 1
@@ -167,7 +167,7 @@
 	spotShare := c.configuration.Policy.Value(policy.SpotShare, policy.Vars{"demand_cpus": want})
 	out := c.requestForUnplaceable(pools)
 	for _, p := range pools {
-		t := c.machineTypes[p.typ]
+		t := c.machineTypes[p.machineType]
 		missing := want - all
 		if !p.spot {
 			missing = math.Max(missing, ordWant-(all-spot))
@@ -216,7 +216,7 @@
 	}
 	var kinds []feasibility.Pool
 	for _, p := range pools {
-		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[p.typ], Zone: p.zone, Spot: p.spot})
+		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[p.machineType], Zone: p.zone, Spot: p.spot})
 	}
 	for _, submission := range feasibility.Unplaceable(jobs, ms) {
 		if p, ok := feasibility.PoolFor(submission, kinds); ok {
@@ -230,7 +230,7 @@
 // instanceRequest asks for so many machines under a name that is never used again.
 func (s *Scheduler) instanceRequest(p capacityPool, count int) api.InstanceRequest {
 	s.lastInstanceRequest++
-	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest), Type: p.typ, Zone: p.zone, Spot: p.spot, Count: count}
+	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest), Type: p.machineType, Zone: p.zone, Spot: p.spot, Count: count}
 }
 
 // InstancesGranted takes in the outcome of a rental.
--- a/controller/services_gangs.go
+++ b/controller/services_gangs.go
@@ -192,25 +192,25 @@
 			if !ok {
 				continue
 			}
-			x := candidate{m: machine, leaving: out, victim: victims}
+			x := candidate{machine: machine, leaving: out, victims: victims}
 			for _, v := range victims {
 				x.score += float64(s.preemptionLoss(v))
 			}
-			if best.m == nil || x.score < best.score {
+			if best.machine == nil || x.score < best.score {
 				best = x
 			}
 		}
-		if best.m == nil {
+		if best.machine == nil {
 			undo()
 			for _, alloc := range held {
 				s.removeAllocation(alloc)
 			}
 			return false
 		}
-		alloc := s.allocate(job, int(t), best.m, attempt)
-		alloc.victims = append(best.leaving, best.victim...)
-		victims[alloc] = best.victim
-		for _, v := range best.victim {
+		alloc := s.allocate(job, int(t), best.machine, attempt)
+		alloc.victims = append(best.leaving, best.victims...)
+		victims[alloc] = best.victims
+		for _, v := range best.victims {
 			meant(v, true)
 		}
 		held = append(held, alloc)
--- a/controller/starvation.go
+++ b/controller/starvation.go
@@ -40,7 +40,7 @@
 				continue
 			}
 			x := ageing.Machine{Name: machine.Name, Zone: machine.Zone}
-			for _, ms := range s.freeTimes(job, machine, tasks) {
+			for _, ms := range s.startDelays(job, machine, tasks) {
 				x.At = append(x.At, time.Duration(ms)*time.Millisecond)
 			}
 			ms = append(ms, x)
