--- a/controller/placement_round.go
+++ b/controller/placement_round.go
@@ -14,7 +14,9 @@
 	"switchferry/tuning"
 )
 
-// Place gives work to machines. It is the only place where tasks get one.
+// Place runs one placement round: it gives pending tasks to machines, starts queued tasks where there are free
+// resources, preempts for arrays, and plans what inputs are copied. Nothing else allocates tasks.
+// It does nothing before the records are loaded or while this controller may not lead.
 func (s *Scheduler) Place() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,6 +26,17 @@
 	}
 	s.roundTime = s.clock.Now()
 	defer func() { s.roundTime = time.Time{} }()
+	s.prepareRound()
+	s.placePendingTasks()
+	machines := s.sortedMachines()
+	s.serveQueues(machines)
+	s.preemptForArrays(machines)
+	s.planStaging()
+}
+
+// prepareRound brings the order of jobs, reservations, queues and snapshots up to date for a placement round.
+// s.mu must be held.
+func (s *Scheduler) prepareRound() {
 	s.sortQueues()
 	s.quotas.Reserve(s.roundTime, quotaDemands(s.jobOrder, s.configuration.Limit, s.usage, s.startableNow))
 	for _, machine := range s.machines {
@@ -37,10 +50,14 @@
 	if s.datasets != nil {
 		s.datasets.snapshot = s.datasets.index.Snapshot()
 		s.retryStuckStaging()
-		defer s.planStaging()
 	}
 	s.refreshTopology()
 	s.reserveForStarved()
+}
+
+// placePendingTasks starts the pending tasks of services and gangs, and puts those of arrays into queues of
+// machines, in the order of the jobs. s.mu must be held.
+func (s *Scheduler) placePendingTasks() {
 	for _, job := range s.jobOrder {
 		if len(job.pending) == 0 || !s.startableNow(job) || !s.chooseDomain(job) {
 			continue
@@ -56,16 +73,18 @@
 			s.waterFill(job)
 		}
 	}
-	ms := s.sortedMachines()
-	s.serveQueues(ms)
+}
+
+// preemptForArrays preempts for arrays that still have tasks to start. s.mu must be held.
+func (s *Scheduler) preemptForArrays(machines []*machineState) {
 	lowest := lowestRank(s.jobOrder)
 	for _, job := range s.jobOrder {
 		if job.rank <= lowest && (!job.guaranteed || s.since(job.learnedAt) < tuning.GuaranteePatience) {
-			// Nothing may be stopped for it.
+			// No allocation can be preempted for it.
 			continue
 		}
 		if job.Job.Shape == api.JobArray && len(job.pending)+job.queued > 0 {
-			s.preempt(job, ms)
+			s.preempt(job, machines)
 		}
 	}
 }
@@ -107,62 +126,70 @@
 	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Multiple(job.request), slot, estimate(job)), Free: machine.free().Multiple(job.request)}
 }
 
-// waterFill queues a job's waiting tasks by the paper's Algorithm 2. All tasks
-// of a job need one image, so they form one group; the machines that lack the
-// image take part with the fetch added to their busy time.
-func (c *Scheduler) waterFill(job *jobState) {
-	open := c.placeableTasks(job)
-	if open <= 0 {
+// waterFillServer is a machine that takes part in the water-filling of one job.
+type waterFillServer struct {
+	machine *machineState
+	server  placement.Server
+	// freeCPUs orders machines that are equally busy.
+	freeCPUs float64
+}
+
+// waterFill queues a job's pending tasks by the paper's Algorithm 2. All tasks of a job need one image, so they
+// form one group; the machines that lack the image take part with the fetch added to their busy time.
+// s.mu must be held.
+func (s *Scheduler) waterFill(job *jobState) {
+	placeable := s.placeableTasks(job)
+	if placeable <= 0 {
 		return
 	}
-	slot := c.configuration.Policy.Value(policy.SlotS, nil)
-	// Most machines wait for one of a few fetches: the policy's expression is asked once for
-	// each.
-	penalty := map[float64]int{}
-	type candidate struct {
-		m    *machineState
-		s    placement.Server
-		free float64
+	candidates := s.waterFillServers(job)
+	servers := make([]placement.Server, len(candidates))
+	for i, candidate := range candidates {
+		servers[i] = candidate.server
 	}
-	var all []candidate
-	for _, machine := range c.sortedMachines() {
-		if !c.eligible(job, machine) || job.site != nil && !job.site.Allows(machine.Name) {
+	shares := placement.Fill(servers, placeable)
+	if shares == nil {
+		return
+	}
+	slices.Sort(job.pending)
+	for i, count := range shares {
+		if count > 0 {
+			candidates[i].machine.enqueue(job, job.pending[:count])
+			job.pending = job.pending[count:]
+			job.queued += count
+		}
+	}
+	slog.Debug("job queued", "job", job.id, "machines", len(candidates), "shares", shares)
+}
+
+// waterFillServers returns the machines that may serve a job, least busy first; of those that are equally busy,
+// the ones with the fewest free CPUs come first. s.mu must be held.
+func (s *Scheduler) waterFillServers(job *jobState) []waterFillServer {
+	slotS := s.configuration.Policy.Value(policy.SlotS, nil)
+	// Most machines wait for one of a few fetches, so the policy's expression is evaluated once for each.
+	penalties := map[float64]int{}
+	var candidates []waterFillServer
+	for _, machine := range s.sortedMachines() {
+		if !s.eligible(job, machine) || job.site != nil && !job.site.Allows(machine.Name) {
 			continue
 		}
-		server := c.server(machine, job, slot)
+		server := s.server(machine, job, slotS)
 		if server.Mu <= 0 {
 			continue
 		}
-		wait := c.startCost(job, 0, machine, true).Seconds()
-		slots, known := penalty[wait]
+		wait := s.startCost(job, 0, machine, true).Seconds()
+		slots, known := penalties[wait]
 		if !known {
-			slots = fetchPenalty(c.configuration.Policy, wait, slot)
-			penalty[wait] = slots
+			slots = fetchPenalty(s.configuration.Policy, wait, slotS)
+			penalties[wait] = slots
 		}
 		server.Busy += slots
-		all = append(all, candidate{machine, server, machine.free().CPUs})
+		candidates = append(candidates, waterFillServer{machine, server, machine.free().CPUs})
 	}
-	// Of machines that are as busy, those with the least room left come first.
-	slices.SortStableFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.s.Busy, b.s.Busy), cmp.Compare(a.free, b.free))
+	slices.SortStableFunc(candidates, func(a, b waterFillServer) int {
+		return cmp.Or(cmp.Compare(a.server.Busy, b.server.Busy), cmp.Compare(a.freeCPUs, b.freeCPUs))
 	})
-	ms, servers := make([]*machineState, len(all)), make([]placement.Server, len(all))
-	for i, x := range all {
-		ms[i], servers[i] = x.m, x.s
-	}
-	share := placement.Fill(servers, open)
-	if share == nil {
-		return
-	}
-	slices.Sort(job.pending)
-	for i, n := range share {
-		if n > 0 {
-			ms[i].enqueue(job, job.pending[:n])
-			job.pending = job.pending[n:]
-			job.queued += n
-		}
-	}
-	slog.Debug("job queued", "job", job.id, "machines", len(ms), "shares", share)
+	return candidates
 }
 
 // fetchPenalty is a wait in slots, as the operators' policy has it.
@@ -173,84 +200,131 @@
 	return int(pol.Value(policy.FetchPenalty, policy.Vars{"fetch_s": seconds, "slot_s": slot}))
 }
 
-// serveQueues starts queued tasks, job by job in the order of the queues: first where
-// they are queued, then on other machines with room, out of the longest queue
-// that holds the job. A machine does not start a later job of its own queue while
-// it could serve an earlier one that waits elsewhere: one task left behind a long
-// one, on one machine, keeps its whole job from being done.
-func (s *Scheduler) serveQueues(ms []*machineState) {
-	where := map[*jobState][]machineQueue{}
-	length := map[*machineState]int{}
-	least := math.Inf(1)
-	low := false
-	for _, machine := range ms {
-		for _, queue := range machine.queues {
-			where[queue.job] = append(where[queue.job], machineQueue{machine, queue})
-			length[machine] += len(queue.tasks)
-			least = math.Min(least, queue.job.request.CPUs)
-			low = low || queue.job.rank == api.RankLow
-		}
-	}
-	if len(where) == 0 {
+// queueRound is the state of one run of serveQueues.
+type queueRound struct {
+	scheduler *Scheduler
+	// queues lists the queues of each job, in the order of the machines' names.
+	queues map[*jobState][]machineQueue
+	// queuedTasks counts the tasks in all queues of a machine.
+	queuedTasks map[*machineState]int
+	// smallestCPUs is the least that a queued task requests. Machines with less free are passed over: most
+	// machines are full most of the time.
+	smallestCPUs float64
+	available    []*machineState
+	// freeCPUs and reservedCPUs limit the starts of jobs of rank low; they are zero if none is queued.
+	freeCPUs, reservedCPUs float64
+}
+
+// serveQueues starts queued tasks, job by job in the order of the jobs: first where they are queued, then on
+// other machines with free resources, out of the longest queue that holds the job. A machine does not start a
+// later job of its own queue while it could serve an earlier one that waits elsewhere: one task left behind a
+// long one, on one machine, keeps its whole job from being done. s.mu must be held.
+func (s *Scheduler) serveQueues(machines []*machineState) {
+	round := s.newQueueRound(machines)
+	if len(round.queues) == 0 {
 		return
 	}
-	// Most machines are full most of the time: those without room for the
-	// smallest queued task are passed over.
-	var roomy []*machineState
-	for _, machine := range ms {
-		if machine.free().CPUs+tuning.RoomSlack >= least && s.schedulable(machine) {
-			roomy = append(roomy, machine)
+	for _, job := range s.jobOrder {
+		if job.queued == 0 || len(round.available) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
+			continue
 		}
+		round.startWhereQueued(job)
+		if job.queued > 0 && len(job.inputs) > 0 {
+			s.rebalance(job, round.available, round.queues[job])
+		} else if job.queued > 0 && round.mayStart(job) {
+			round.pull(job)
+		}
+		round.available = slices.DeleteFunc(round.available, func(machine *machineState) bool { return !round.fitsSmallest(machine) })
 	}
-	room, reserve := 0.0, 0.0
-	if low {
-		room, reserve = s.lowRankReserve(ms)
+	for machine := range round.queuedTasks {
+		machine.dropEmptyQueues()
 	}
-	for _, job := range s.jobOrder {
-		if job.queued == 0 || len(roomy) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
-			continue
+}
+
+// newQueueRound collects the queues of all machines and the machines that have free resources.
+// s.mu must be held.
+func (s *Scheduler) newQueueRound(machines []*machineState) *queueRound {
+	round := &queueRound{scheduler: s, queues: map[*jobState][]machineQueue{}, queuedTasks: map[*machineState]int{}, smallestCPUs: math.Inf(1)}
+	lowRankQueued := false
+	for _, machine := range machines {
+		for _, queue := range machine.queues {
+			round.queues[queue.job] = append(round.queues[queue.job], machineQueue{machine, queue})
+			round.queuedTasks[machine] += len(queue.tasks)
+			round.smallestCPUs = min(round.smallestCPUs, queue.job.request.CPUs)
+			lowRankQueued = lowRankQueued || queue.job.rank == api.RankLow
 		}
-		at := where[job]
-		spare := func() bool {
-			if job.starved {
-				// One task's turn.
-				return !job.lastStart.Equal(s.now())
-			}
-			return job.rank > api.RankLow || room-job.request.CPUs >= reserve
+	}
+	if len(round.queues) == 0 {
+		return round
+	}
+	for _, machine := range machines {
+		if round.fitsSmallest(machine) && s.schedulable(machine) {
+			round.available = append(round.available, machine)
 		}
-		for _, p := range at {
-			for len(p.queue.tasks) > 0 && spare() && s.canStart(job, p.machine) {
-				i := s.nextTask(p.queue, p.machine)
-				if i < 0 {
-					break
-				}
-				s.startTask(job, p.queue.removeAt(i), p.machine, nil, "queued here")
-				length[p.machine]--
-				room -= job.request.CPUs
+	}
+	if lowRankQueued {
+		round.freeCPUs, round.reservedCPUs = s.lowRankReserve(machines)
+	}
+	return round
+}
+
+// fitsSmallest reports whether a machine has free CPUs for the smallest queued task.
+func (r *queueRound) fitsSmallest(machine *machineState) bool {
+	return machine.free().CPUs+tuning.RoomSlack >= r.smallestCPUs
+}
+
+// mayStart reports whether one more task of a job may start in this round: a starved job starts one task a
+// round, and one of rank low leaves a reserve to the others.
+func (r *queueRound) mayStart(job *jobState) bool {
+	if job.starved {
+		return !job.lastStart.Equal(r.scheduler.now())
+	}
+	return job.rank > api.RankLow || r.freeCPUs-job.request.CPUs >= r.reservedCPUs
+}
+
+// startWhereQueued starts tasks of a job on the machines in whose queues they are.
+func (r *queueRound) startWhereQueued(job *jobState) {
+	s := r.scheduler
+	for _, queued := range r.queues[job] {
+		for len(queued.queue.tasks) > 0 && r.mayStart(job) && s.canStart(job, queued.machine) {
+			i := s.nextTask(queued.queue, queued.machine)
+			if i < 0 {
+				break
 			}
+			s.startTask(job, queued.queue.removeAt(i), queued.machine, nil, "queued here")
+			r.countStart(job, queued.machine)
 		}
-		if job.queued > 0 && len(job.inputs) > 0 {
-			s.rebalance(job, roomy, at)
-		} else if job.queued > 0 && spare() {
-			for _, machine := range s.pullCandidates(job, roomy) {
-				for job.queued > 0 && spare() && s.canStart(job, machine) {
-					from := -1
-					for i, p := range at {
-						if len(p.queue.tasks) > 0 && (from < 0 || length[p.machine] > length[at[from].machine]) {
-							from = i
-						}
-					}
-					s.startTask(job, at[from].queue.pop(), machine, nil, "pulled")
-					length[at[from].machine]--
-					room -= job.request.CPUs
-				}
-			}
+	}
+}
+
+// pull starts tasks of a job on machines with free resources, out of the queues of others.
+func (r *queueRound) pull(job *jobState) {
+	s := r.scheduler
+	for _, machine := range s.pullCandidates(job, r.available) {
+		for job.queued > 0 && r.mayStart(job) && s.canStart(job, machine) {
+			source := r.longestQueue(job)
+			s.startTask(job, source.queue.pop(), machine, nil, "pulled")
+			r.countStart(job, source.machine)
 		}
-		roomy = slices.DeleteFunc(roomy, func(machine *machineState) bool { return machine.free().CPUs+tuning.RoomSlack < least })
 	}
-	for machine := range length {
-		machine.dropEmptyQueues()
+}
+
+// longestQueue returns the queue of a job on the machine that has the most queued tasks. The job must have queued
+// tasks.
+func (r *queueRound) longestQueue(job *jobState) machineQueue {
+	var longest machineQueue
+	for _, queued := range r.queues[job] {
+		if len(queued.queue.tasks) > 0 && (longest.queue == nil || r.queuedTasks[queued.machine] > r.queuedTasks[longest.machine]) {
+			longest = queued
+		}
 	}
+	return longest
+}
+
+// countStart notes that a task of a job was started out of a queue of a machine.
+func (r *queueRound) countStart(job *jobState, queuedOn *machineState) {
+	r.queuedTasks[queuedOn]--
+	r.freeCPUs -= job.request.CPUs
 }
 
 // lowRankReserve is the room there is, and how much of it jobs of rank low leave to others.
--- a/controller/run_queue.go
+++ b/controller/run_queue.go
@@ -67,18 +67,6 @@
 	}
 }
 
-// reclaimQueuedTasks takes what a job has queued on machines back.
-func (s *Scheduler) reclaimQueuedTasks(job *jobState) {
-	for _, machine := range s.machines {
-		for _, queue := range machine.queues {
-			if queue.job == job {
-				queue.returnTasks()
-			}
-		}
-		machine.dropEmptyQueues()
-	}
-}
-
 // removeFromQueues takes a job out of all queues.
 func (s *Scheduler) removeFromQueues(job *jobState) {
 	s.reclaimQueued(job)
--- a/controller/task_failures.go
+++ b/controller/task_failures.go
@@ -58,7 +58,7 @@
 	}
 	if !was && s.failsEverywhere(job) {
 		slog.Info("job fails on every machine", "job", job.id, "class", job.Job.Class, "team", job.Job.Team, "machines", len(job.failedOn))
-		s.reclaimQueuedTasks(job)
+		s.reclaimQueued(job)
 	}
 }
 
