--- a/controller/locality.go
+++ b/controller/locality.go
@@ -253,66 +253,94 @@
 // placeByLocality is the water-filling of a job with inputs: its tasks in groups by the machines
 // that hold what they need, the others with their busy time raised by what copying the
 // rest takes as links are loaded now.
-func (c *Scheduler) placeByLocality(job *jobState) {
-	d := c.datasets
-	slot := c.configuration.Policy.Value(policy.SlotS, nil)
-	var ms []*machineState
+func (s *Scheduler) placeByLocality(job *jobState) {
+	missing := s.newMissingInputs(job)
+	machines, servers, indexByID := s.localityServers(job, missing)
+	if len(machines) == 0 {
+		return
+	}
+	slices.Sort(job.pending)
+	missing.groups = s.groupByHolders(job, job.pending[:s.placeableTasks(job)], indexByID, len(machines))
+	assigned := map[int32]bool{}
+	for _, share := range placement.FillGroups(servers, missing.groups, missing, tuning.GroupsFilled) {
+		machines[share.Server].enqueue(job, share.Tasks)
+		job.queued += len(share.Tasks)
+		for _, task := range share.Tasks {
+			assigned[task] = true
+		}
+	}
+	job.pending = slices.DeleteFunc(job.pending, func(task int32) bool { return assigned[task] })
+	slog.Debug("job queued", "job", job.id, "machines", len(machines), "groups", len(missing.groups), "tasks", len(assigned))
+}
+
+// newMissingInputs returns what prices the inputs of a job, with no machines in it. s.mu must be held.
+func (s *Scheduler) newMissingInputs(job *jobState) *missingInputs {
+	return &missingInputs{
+		scheduler:         s,
+		job:               job,
+		slot:              s.configuration.Policy.Value(policy.SlotS, nil),
+		leastBacklog:      math.Inf(1),
+		slotsBySeconds:    map[float64]int{},
+		lastGroup:         -1,
+		localityAware:     s.datasets.localityAware(),
+		singlePartPerTask: len(job.inputs) == 1 && job.inputs[0].partPerTask,
+	}
+}
+
+// localityServers returns the machines that may serve a job with inputs, by name, the same as servers of the
+// water-filling, and their positions by machine ID; it adds them to what prices the inputs. s.mu must be held.
+func (s *Scheduler) localityServers(job *jobState, missing *missingInputs) ([]*machineState, []placement.Server, map[replicas.MachineID]int32) {
+	datasets := s.datasets
+	var machines []*machineState
 	var servers []placement.Server
-	index := map[replicas.MachineID]int32{}
-	x := &missingInputs{scheduler: c, job: job, slot: slot, leastBacklog: math.Inf(1), slotsBySeconds: map[float64]int{}, lastGroup: -1,
-		localityAware: d.localityAware(), singlePartPerTask: len(job.inputs) == 1 && job.inputs[0].partPerTask}
-	for _, machine := range c.sortedMachines() {
-		if !c.eligible(job, machine) || !c.mayStage(job, machine) {
+	indexByID := map[replicas.MachineID]int32{}
+	for _, machine := range s.sortedMachines() {
+		if !s.eligible(job, machine) || !s.mayStage(job, machine) {
 			continue
 		}
-		server := c.server(machine, job, slot)
+		server := s.server(machine, job, missing.slot)
 		if server.Mu <= 0 {
 			continue
 		}
-		if d.settings.Placement != features.Blind {
-			server.Busy += x.slotsOf(machine.fetchSeconds(job))
+		if datasets.settings.Placement != features.Blind {
+			server.Busy += missing.slotsOf(machine.fetchSeconds(job))
 		}
-		id, _ := d.planner.ID(machine.Name)
-		index[id] = int32(len(ms))
-		behind := d.planner.QueuedBytes(machine.Name)
-		x.machineIDs, x.machineNames = append(x.machineIDs, id), append(x.machineNames, machine.Name)
-		x.backlog, x.leastBacklog = append(x.backlog, behind), min(x.leastBacklog, behind)
-		ms, servers = append(ms, machine), append(servers, server)
-	}
-	if len(ms) == 0 {
-		return
+		id, _ := datasets.planner.ID(machine.Name)
+		indexByID[id] = int32(len(machines))
+		missing.addMachine(id, machine.Name, datasets.planner.QueuedBytes(machine.Name))
+		machines, servers = append(machines, machine), append(servers, server)
 	}
-	slices.Sort(job.pending)
-	open := c.placeableTasks(job)
-	// Whoever does not look at inputs sees one group that all machines hold.
-	everyone := make([]int32, len(ms))
-	for i := range ms {
-		everyone[i] = int32(i)
-	}
-	groups := []placement.Group{{Tasks: job.pending[:open], Holders: everyone}}
-	if d.localityAware() {
-		groups = placement.Groups(job.pending[:open], func(t int32) []int32 {
-			var out []int32
-			for _, id := range d.holders(job, int(t)) {
-				if i, ok := index[id]; ok {
-					out = append(out, i)
-				}
-			}
-			slices.Sort(out)
-			return out
-		})
-	}
-	x.groups = groups
-	given := map[int32]bool{}
-	for _, s := range placement.FillGroups(servers, groups, x, tuning.GroupsFilled) {
-		ms[s.Server].enqueue(job, s.Tasks)
-		job.queued += len(s.Tasks)
-		for _, t := range s.Tasks {
-			given[t] = true
+	return machines, servers, indexByID
+}
+
+// addMachine adds the next server, with the bytes that its link has to bring already.
+func (x *missingInputs) addMachine(id replicas.MachineID, name string, backlog float64) {
+	x.machineIDs = append(x.machineIDs, id)
+	x.machineNames = append(x.machineNames, name)
+	x.backlog = append(x.backlog, backlog)
+	x.leastBacklog = min(x.leastBacklog, backlog)
+}
+
+// groupByHolders groups tasks by the servers that hold all their inputs. Without locality awareness all tasks are
+// one group that every server holds. s.mu must be held.
+func (s *Scheduler) groupByHolders(job *jobState, tasks []int32, indexByID map[replicas.MachineID]int32, servers int) []placement.Group {
+	if !s.datasets.localityAware() {
+		everyServer := make([]int32, servers)
+		for i := range everyServer {
+			everyServer[i] = int32(i)
 		}
+		return []placement.Group{{Tasks: tasks, Holders: everyServer}}
 	}
-	job.pending = slices.DeleteFunc(job.pending, func(t int32) bool { return given[t] })
-	slog.Debug("job queued", "job", job.id, "machines", len(ms), "groups", len(groups), "tasks", len(given))
+	return placement.Groups(tasks, func(task int32) []int32 {
+		var holders []int32
+		for _, id := range s.datasets.holders(job, int(task)) {
+			if i, ok := indexByID[id]; ok {
+				holders = append(holders, i)
+			}
+		}
+		slices.Sort(holders)
+		return holders
+	})
 }
 
 // nextTask is the first task of a queue that may start on a machine: the first one whose
@@ -324,40 +352,55 @@
 	return slices.IndexFunc(queue.tasks, func(t int32) bool { return s.inputsStaged(queue.job, int(t), machine) })
 }
 
-// rebalance gives tasks that wait on machines without room to machines that have some: at
-// once where their inputs are held, and after the same patience as with images where they
-// must be copied. Tasks that wait for bytes on a machine with room go where the bytes are,
-// and nowhere else. They start there once that is proved. Queues are those of the job.
-func (s *Scheduler) rebalance(job *jobState, roomy []*machineState, queues []machineQueue) {
-	for _, machine := range roomy {
+// rebalance moves tasks that are queued on machines without free resources to machines that have some: at
+// once where their inputs are held, and after the same patience as with images where they must be copied. A task
+// that waits for bytes on a machine with free resources moves only to where the bytes are. It starts there once
+// that is proved. The queues are those of the job. s.mu must be held.
+func (s *Scheduler) rebalance(job *jobState, available []*machineState, queues []machineQueue) {
+	for _, machine := range available {
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
 			continue
 		}
-		room := machine.free().Multiple(job.request)
+		capacity := machine.free().Multiple(job.request)
 		for _, queue := range machine.queues {
-			room -= len(queue.tasks)
+			capacity -= len(queue.tasks)
 		}
-		for _, p := range queues {
-			from, queue := p.machine, p.queue
-			if room <= 0 {
+		for _, source := range queues {
+			if capacity <= 0 {
 				break
 			}
-			if from == machine {
-				continue
-			}
-			couldStart := from.free().Fits(job.request) && s.schedulable(from) && s.mayStage(job, from)
-			for i := 0; i < len(queue.tasks) && room > 0; {
-				here := s.startCost(job, int(queue.tasks[i]), machine, true)
-				w := here.Seconds()
-				if couldStart && (here.Data > 0 || s.startCost(job, int(queue.tasks[i]), from, true).Data == 0) || w > tuning.FreeFetch && s.since(job.learnedAt).Seconds() < tuning.PullPatience*w {
-					i++
-					continue
-				}
-				t := queue.removeAt(i)
-				machine.enqueue(job, []int32{int32(t)})
-				job.queued++
-				room--
+			if source.machine != machine {
+				capacity -= s.moveQueued(job, source, machine, capacity)
 			}
 		}
 	}
 }
+
+// moveQueued moves up to limit tasks out of a queue to another machine, those that gain by it, and returns how many.
+// s.mu must be held.
+func (s *Scheduler) moveQueued(job *jobState, source machineQueue, target *machineState, limit int) (moved int) {
+	couldStart := source.machine.free().Fits(job.request) && s.schedulable(source.machine) && s.mayStage(job, source.machine)
+	for i := 0; i < len(source.queue.tasks) && moved < limit; {
+		if !s.gainsByMove(job, int(source.queue.tasks[i]), source.machine, target, couldStart) {
+			i++
+			continue
+		}
+		task := source.queue.removeAt(i)
+		target.enqueue(job, []int32{int32(task)})
+		job.queued++
+		moved++
+	}
+	return moved
+}
+
+// gainsByMove reports whether a queued task should move to a machine with free resources. One that could start
+// where it is, but for its inputs, moves only to where it needs none copied; and one that must wait for a copy or
+// its image there moves only after its job has waited in proportion. s.mu must be held.
+func (s *Scheduler) gainsByMove(job *jobState, task int, source, target *machineState, couldStart bool) bool {
+	wait := s.startCost(job, task, target, true)
+	seconds := wait.Seconds()
+	if couldStart && (wait.Data > 0 || s.startCost(job, task, source, true).Data == 0) {
+		return false
+	}
+	return seconds <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*seconds
+}
