--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -12,103 +12,128 @@
 	"switchferry/tuning"
 )
 
-// planStaging decides what is to be copied, after a round of the placer, and sends out the
-// orders that changed. First stands what runs, which must stay where it is; then, job by
-// job in the order of the queues, tasks that a machine has room for, and some more.
+// stagingDemand is a task whose inputs a machine shall have.
+type stagingDemand struct {
+	// position is that of the job in the order of the jobs; allocatedPosition for an allocated task.
+	position int
+	job      *jobState
+	machine  *machineState
+	task     int
+}
+
+// allocatedPosition is before every job: inputs of an allocated task must stay where they are.
+const allocatedPosition = -1
+
+// planStaging decides what is to be copied, after a placement round, and sends out the orders that changed. First
+// come allocated tasks, whose inputs must stay where they are; then, job by job in the order of the jobs, tasks that
+// a machine has free resources for, and some more. s.mu must be held.
 func (s *Scheduler) planStaging() {
-	d := s.datasets
-	if d == nil {
+	datasets := s.datasets
+	if datasets == nil {
 		return
 	}
-	if !s.demandsData() && d.planner.Idle() {
+	clear(datasets.waiting)
+	if !s.demandsData() && datasets.planner.Idle() {
 		// Most rounds of a fleet whose jobs have no inputs end here.
-		clear(d.waiting)
 		return
 	}
 	now := s.now()
-	position := map[*jobState]int{}
+	positions := make(map[*jobState]int, len(s.jobOrder))
 	for i, job := range s.jobOrder {
-		position[job] = i
+		positions[job] = i
 	}
-	type wanted struct {
-		at   int
-		j    *jobState
-		m    *machineState
-		task int
+	demands := slices.Concat(s.queuedStagingDemands(positions), s.heldStagingDemands(positions))
+	slices.SortStableFunc(demands, func(a, b stagingDemand) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), strings.Compare(a.machine.Name, b.machine.Name), cmp.Compare(a.task, b.task))
+	})
+	for _, name := range datasets.planner.Plan(partDemands(demands), now) {
+		if datasets.relayedReports[name] != nil {
+			s.relayStageOrder(name)
+			continue
+		}
+		if order, addr, ok := datasets.planner.Order(name); ok {
+			s.hooks.SendStageOrder(name, addr, order)
+		}
+	}
+}
+
+// queuedStagingDemands returns the queued tasks that machines have free resources for, and as many more on each as
+// the settings let be staged ahead. It counts the queued tasks that wait for inputs. s.mu must be held.
+func (s *Scheduler) queuedStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
+	ahead := s.datasets.settings.Ahead
+	if s.datasets.settings.Placement != features.Staged {
+		ahead = 0
 	}
-	var list []wanted
-	clear(d.waiting)
 	for _, machine := range s.sortedMachines() {
-		free, ahead := machine.free(), d.settings.Ahead
-		if d.settings.Placement != features.Staged {
-			ahead = 0
-		}
+		free, aheadLeft := machine.free(), ahead
 		for _, queue := range machine.queues {
 			if len(queue.job.inputs) == 0 {
 				free = free.Sub(queue.job.request.Scale(len(queue.tasks)))
 				continue
 			}
-			for _, t := range queue.tasks {
-				if !s.inputsStaged(queue.job, int(t), machine) {
-					d.waiting[queue.job.id]++
+			for _, task := range queue.tasks {
+				if !s.inputsStaged(queue.job, int(task), machine) {
+					s.datasets.waiting[queue.job.id]++
 				}
 				if free.Fits(queue.job.request) {
 					free = free.Sub(queue.job.request)
-				} else if ahead--; ahead < 0 {
+				} else if aheadLeft--; aheadLeft < 0 {
 					continue
 				}
-				list = append(list, wanted{position[queue.job], queue.job, machine, int(t)})
+				demands = append(demands, stagingDemand{positions[queue.job], queue.job, machine, int(task)})
 			}
 		}
 	}
+	return demands
+}
+
+// heldStagingDemands returns the allocated tasks of jobs with inputs, and the tasks of services and gangs for which
+// inputs are copied to an intended machine. It forgets the intended machines of tasks that need none any more, and
+// counts the others as waiting. s.mu must be held.
+func (s *Scheduler) heldStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
 	for _, job := range s.jobOrder {
 		if len(job.inputs) == 0 {
 			continue
 		}
 		for _, alloc := range job.allocations {
-			list = append(list, wanted{-1, job, alloc.machine, alloc.task})
+			demands = append(demands, stagingDemand{allocatedPosition, job, alloc.machine, alloc.task})
 		}
 		for task, machine := range job.intendedMachines {
 			if job.FinalState != "" || job.allocations[task] != nil || job.completed.Has(task) {
 				delete(job.intendedMachines, task)
 				continue
 			}
-			d.waiting[job.id]++
-			list = append(list, wanted{position[job], job, machine, task})
+			s.datasets.waiting[job.id]++
+			demands = append(demands, stagingDemand{positions[job], job, machine, task})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b wanted) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.m.Name, b.m.Name), cmp.Compare(a.task, b.task))
-	})
-	var wants []staging.Demand
-	type whole struct {
-		m   *machineState
-		set string
-	}
-	seen := map[whole]bool{}
-	for _, x := range list {
-		for _, in := range x.j.inputs {
+	return demands
+}
+
+// partDemands returns the parts of datasets that tasks need, in the order of the tasks: each task's own part of
+// partitioned inputs, and, once a machine, all parts of the others.
+func partDemands(demands []stagingDemand) (parts []staging.Demand) {
+	type wholeDataset struct {
+		machine *machineState
+		name    string
+	}
+	seen := map[wholeDataset]bool{}
+	for _, demand := range demands {
+		for _, in := range demand.job.inputs {
+			whole := wholeDataset{demand.machine, in.name}
 			switch {
 			case in.summary == nil:
 			case in.partPerTask:
-				wants = append(wants, staging.Demand{Machine: x.m.Name, Set: in.summary, Part: x.task})
-			case !seen[whole{x.m, in.name}]:
-				seen[whole{x.m, in.name}] = true
-				for k := range in.summary.Parts {
-					wants = append(wants, staging.Demand{Machine: x.m.Name, Set: in.summary, Part: k})
+				parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: in.summary, Part: demand.task})
+			case !seen[whole]:
+				seen[whole] = true
+				for part := range in.summary.Parts {
+					parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: in.summary, Part: part})
 				}
 			}
 		}
 	}
-	for _, name := range d.planner.Plan(wants, now) {
-		if d.relayedReports[name] != nil {
-			s.relayStageOrder(name)
-			continue
-		}
-		if o, addr, ok := d.planner.Order(name); ok {
-			s.hooks.SendStageOrder(name, addr, o)
-		}
-	}
+	return parts
 }
 
 // demandsData tells whether any job here has inputs.
@@ -116,21 +141,14 @@
 	return slices.ContainsFunc(s.jobOrder, func(job *jobState) bool { return len(job.inputs) > 0 })
 }
 
-// retryStuckStaging takes tasks back from machines that cannot get their inputs: the agent is
-// silent, or the cache has been full for long of what must be kept.
+// retryStuckStaging takes tasks back from machines that cannot get their inputs: the agent is silent, or the cache
+// has long been full of what must be kept. s.mu must be held.
 func (s *Scheduler) retryStuckStaging() {
-	d := s.datasets
 	if !s.demandsData() {
 		return
 	}
 	for _, machine := range s.sortedMachines() {
-		if !d.planner.Full(machine.Name) {
-			delete(d.stuckSince, machine.Name)
-		} else if d.stuckSince[machine.Name].IsZero() {
-			d.stuckSince[machine.Name] = s.now()
-		}
-		silent := !d.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
-		full := !d.stuckSince[machine.Name].IsZero() && s.since(d.stuckSince[machine.Name]) > tuning.StageMove
+		silent, full := s.stagingStuck(machine)
 		if !silent && !full {
 			continue
 		}
@@ -143,10 +161,25 @@
 			queue.job.avoidUntil[machine.Name] = s.now().Add(tuning.BackoffMax)
 		}
 		machine.dropEmptyQueues()
-		delete(d.stuckSince, machine.Name)
+		delete(s.datasets.stuckSince, machine.Name)
 	}
 }
 
+// stagingStuck reports whether a machine's agent is silent, and whether its cache has been full for longer than
+// tuning.StageMove; it keeps since when a cache is full. s.mu must be held.
+func (s *Scheduler) stagingStuck(machine *machineState) (silent, full bool) {
+	datasets := s.datasets
+	if !datasets.planner.Full(machine.Name) {
+		delete(datasets.stuckSince, machine.Name)
+	} else if datasets.stuckSince[machine.Name].IsZero() {
+		datasets.stuckSince[machine.Name] = s.now()
+	}
+	since := datasets.stuckSince[machine.Name]
+	silent = !datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
+	full = !since.IsZero() && s.since(since) > tuning.StageMove
+	return silent, full
+}
+
 // takeStaged takes a task of the job that could start on a machine out of that machine's
 // queue; -1: none. Nothing is stopped to make room for a task that would only wait there.
 func (s *Scheduler) takeStaged(job *jobState, machine *machineState) int {
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"log/slog"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -14,7 +15,13 @@
 	"switchferry/tuning"
 )
 
-// MaintainFleet looks after machines: it returns the names to give back.
+// releasedMachineMemory is for how long the name of a released machine is remembered, so that late reports and lists
+// do not bring it back.
+const releasedMachineMemory = 10 * time.Minute
+
+// MaintainFleet looks after the machines: it drains, forgets and gives up machines, and stops what runs over a
+// lowered limit. It returns the names of the machines that the cloud should release. It does nothing before the
+// records are loaded or while this controller may not lead.
 func (s *Scheduler) MaintainFleet() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,26 +30,50 @@
 	if !s.loaded || !s.hooks.Leading() {
 		return nil
 	}
-	var out []string
-	giveUp := func(machine *machineState, why string) {
-		slog.Info("returning machine", "machine", machine.Name, "why", why, "tasks", len(machine.allocations))
-		machine.releasing = true
-		out = append(out, machine.Name)
-	}
 	s.detectPartitions(now)
-	why := map[string]string{}
-	var due []failuredetector.Candidate
+	released := s.releaseFailedMachines(now)
+	s.stopOverLimit()
+	for _, machine := range s.overdueCancellations(now) {
+		if !machine.releasing {
+			released = append(released, machine.markReleasing("holds a cancelled task"))
+		}
+	}
+	released = append(released, s.idleMachines(now)...)
+	s.storeImageHints(now)
+	s.storeReplicaHints(now)
+	s.finishRemovals()
+	if now.Sub(s.fleetLoggedAt) >= tuning.FleetLogEvery {
+		s.fleetLoggedAt = now
+		s.logDatasets()
+		s.logFleet()
+	}
+	maps.DeleteFunc(s.releasedAt, func(_ string, at time.Time) bool { return now.Sub(at) > releasedMachineMemory })
+	return released
+}
+
+// markReleasing marks a machine as one that the cloud should release, and returns its name. That it is released
+// proves that its tasks are gone.
+func (m *machineState) markReleasing(reason string) string {
+	slog.Info("returning machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
+	m.releasing = true
+	return m.Name
+}
+
+// releaseFailedMachines acts on each machine by the failure detector's verdict, and returns the names of those to
+// release; how many silent machines these may be is bounded by the eviction budget. s.mu must be held.
+func (s *Scheduler) releaseFailedMachines(now time.Time) (released []string) {
+	reasons := map[string]string{}
+	var overdue []failuredetector.Candidate
 	for _, machine := range s.sortedMachines() {
 		if machine.releasing {
 			continue
 		}
-		// A return proves that the machine's tasks are gone.
-		switch act, reason := s.decideMachine(machine, now); act {
+		switch action, reason := s.decideMachine(machine, now); action {
 		case failuredetector.Release:
-			giveUp(machine, reason)
+			released = append(released, machine.markReleasing(reason))
 		case failuredetector.ReleaseWithinBudget:
-			why[machine.Name] = reason
-			due = append(due, failuredetector.Candidate{Name: machine.Name, Zone: machine.Zone, Tasks: len(machine.allocations)})
+			reasons[machine.Name] = reason
+			overdue = append(overdue, failuredetector.Candidate{Name: machine.Name, Zone: machine.Zone, Tasks: len(machine.allocations)})
 		case failuredetector.Drain:
 			until := machine.PreemptedAt
 			if until.IsZero() {
@@ -55,51 +86,30 @@
 		}
 	}
 	s.probeUnconfirmed(now)
-	for _, v := range s.evictionBudget.Spend(now, due, s.detector.SilentShare) {
-		for _, name := range v.Release {
-			giveUp(s.machines[name], why[name])
+	for _, eviction := range s.evictionBudget.Spend(now, overdue, s.detector.SilentShare) {
+		for _, name := range eviction.Release {
+			released = append(released, s.machines[name].markReleasing(reasons[name]))
 		}
-		if v.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.ReturnTold {
+		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.ReturnTold {
 			s.deferralLoggedAt = now
-			slog.Info("many machines of a zone are silent; most are left for now", "zone", v.Zone, "silent_share", math.Round(100*v.Share)/100,
-				"machines", v.Machines, "left", v.Deferred, "tasks_that_wait_for_them", v.DeferredTasks, "returned", len(v.Release))
-		}
-	}
-	stopExcess(s)
-	for _, machine := range s.overdueCancellations(now) {
-		if !machine.releasing {
-			giveUp(machine, "holds a cancelled task")
-		}
-	}
-	out = append(out, s.idleMachines(now)...)
-	s.storeImageHints(now)
-	s.storeReplicaHints(now)
-	s.finishRemovals()
-	if now.Sub(s.fleetLoggedAt) >= tuning.FleetLogEvery {
-		s.fleetLoggedAt = now
-		s.logDatasets()
-		s.logFleet()
-	}
-	for name, at := range s.releasedAt {
-		if now.Sub(at) > 10*time.Minute {
-			delete(s.releasedAt, name)
+			slog.Info("many machines of a zone are silent; most are left for now", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.Share)/100,
+				"machines", eviction.Machines, "left", eviction.Deferred, "tasks_that_wait_for_them", eviction.DeferredTasks, "returned", len(eviction.Release))
 		}
 	}
-	return out
+	return released
 }
 
-// logFleet writes how full the fleet is: processors that are up, taken by tasks
-// that run, that fetch or are about to start, and that are being stopped; and
-// what waits.
+// logFleet logs how the CPUs of the machines that are up are used, by tasks that run, that fetch or are about to
+// start, and that are being stopped; and what waits. s.mu must be held.
 func (s *Scheduler) logFleet() {
-	var up, running, starting, stopping float64
+	var cpus, running, starting, stopping float64
 	machines := 0
 	for _, machine := range s.machines {
 		if !machine.Up || machine.Spec == nil || machine.releasing {
 			continue
 		}
 		machines++
-		up += machine.Spec.CPUs
+		cpus += machine.Spec.CPUs
 		for _, alloc := range machine.allocations {
 			switch {
 			case alloc.stopping:
@@ -116,16 +126,27 @@
 		if n := len(job.pending) + job.queued; n > 0 && job.FinalState == "" {
 			jobs++
 			waiting += float64(n) * job.request.CPUs
-			if since := latest(latest(job.waitingSince, job.lastStart), s.termStarted); !job.passedOverLogged && s.since(since) > tuning.PassedBy && s.withinQuota(job) && slices.ContainsFunc(s.sortedMachines(), func(machine *machineState) bool {
-				return machine.Up && !machine.releasing && machine.Spec != nil && satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
-			}) {
-				// Users expect that nobody waits 90 s so. Said once.
-				job.passedOverLogged = true
-				slog.Warn("job waits though a machine has room for it", "job", job.id, "class", job.Job.Class, "waited", s.since(since).Round(time.Second), "why", s.waitReasons(job))
-			}
+			s.logPassedOver(job)
 		}
 	}
-	slog.Info("fleet", "machines", machines, "cpus", up, "running", running, "starting", starting, "stopping", stopping, "waiting_jobs", jobs, "waiting_cpus", waiting)
+	slog.Info("fleet", "machines", machines, "cpus", cpus, "running", running, "starting", starting, "stopping", stopping, "waiting_jobs", jobs, "waiting_cpus", waiting)
+}
+
+// logPassedOver logs, once a job, that one has waited for tuning.PassedBy beside a machine with the resources for one
+// of its tasks: users expect that nobody waits 90 s so. s.mu must be held.
+func (s *Scheduler) logPassedOver(job *jobState) {
+	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
+	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedBy || !s.withinQuota(job) {
+		return
+	}
+	fits := func(machine *machineState) bool {
+		return machine.Up && !machine.releasing && machine.Spec != nil && satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
+	}
+	if !slices.ContainsFunc(s.sortedMachines(), fits) {
+		return
+	}
+	job.passedOverLogged = true
+	slog.Warn("job waits though a machine has room for it", "job", job.id, "class", job.Job.Class, "waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
 }
 
 // drain saves what can be saved of a machine that is about to be taken, or whose lease is about to end.
--- a/controller/live_configuration.go
+++ b/controller/live_configuration.go
@@ -18,7 +18,7 @@
 		s.datasets.settings.Ahead = *active.AheadTasks
 	}
 	if active.Topology != nil {
-		replaceTopology(s, active.Topology)
+		s.replaceTopology(active.Topology)
 	}
 	var starts []*allocation
 	var accepts []*jobState
--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -29,23 +29,23 @@
 func (s *Scheduler) ReplaceTopology(m *topology.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	replaceTopology(s, m)
+	s.replaceTopology(m)
 }
 
-// replaceTopology is ReplaceTopology with the lock held; it does nothing without a topology, or with the one that is used.
-func replaceTopology(sched *Scheduler, m *topology.Map) {
-	if sched.topology == nil || sched.topology.tree.Map() == m {
+// replaceTopology is ReplaceTopology with s.mu held. It does nothing without a topology, or with the one in use.
+func (s *Scheduler) replaceTopology(topologyMap *topology.Map) {
+	if s.topology == nil || s.topology.tree.Map() == topologyMap {
 		return
 	}
-	sched.topology.tree = sched.topology.tree.Rebased(m)
-	sched.topology.unlisted, sched.topology.ambiguous = 0, 0
-	for _, job := range sched.jobs {
+	s.topology.tree = s.topology.tree.Rebased(topologyMap)
+	s.topology.unlisted, s.topology.ambiguous = 0, 0
+	for _, job := range s.jobs {
 		if job.site != nil {
-			job.site = job.site.Rebased(sched.topology.tree)
+			job.site = job.site.Rebased(s.topology.tree)
 		}
 	}
-	slog.Info("topology changed", "version", m.Version())
-	sched.wakePlacer()
+	slog.Info("topology changed", "version", topologyMap.Version())
+	s.wakePlacer()
 }
 
 // initSite gives a job that asks where its tasks stand the count of where they do.
--- a/controller/quotas.go
+++ b/controller/quotas.go
@@ -48,40 +48,44 @@
 	return out
 }
 
-// stopExcess stops what runs above a limit that has sunk, if the configuration says so; the lock is held.
-func stopExcess(sched *Scheduler) {
-	if sched.configuration.OverLimit.Running != configuration.Stop {
+// stopOverLimit stops tasks of teams that use more than their lowered limit, if the configuration says so.
+// s.mu must be held.
+func (s *Scheduler) stopOverLimit() {
+	overLimit := s.configuration.OverLimit
+	if overLimit.Running != configuration.Stop {
 		return
 	}
-	for _, team := range sched.configuration.Teams() {
-		limit, _ := sched.configuration.Limit(team.Name)
-		use := sched.usage[team.Name].Sub(sched.stoppingUsage[team.Name])
+	for _, team := range s.configuration.Teams() {
+		limit, _ := s.configuration.Limit(team.Name)
+		use := s.usage[team.Name].Sub(s.stoppingUsage[team.Name])
 		if limit.Allows(use) {
 			continue
 		}
-		tasks, held := stoppableUsage(sched, team.Name)
-		for _, i := range quota.Excess(limit, use, held) {
-			sched.stopTask(tasks[i], min(sched.configuration.OverLimit.StopWithinS, tasks[i].job.Job.SaveS), "its team's limit has sunk")
+		allocations, usage := s.stoppableUsage(team.Name)
+		for _, i := range quota.Excess(limit, use, usage) {
+			alloc := allocations[i]
+			s.stopTask(alloc, min(overLimit.StopWithinS, alloc.job.Job.SaveS), "its team's limit has sunk")
 		}
 	}
 }
 
-// stoppableUsage are the tasks of a team that can be stopped. A start whose answer is lost may be executed at any later time of
-// this term. Stopped before it is seen, its task counted for the limit for ever; stopped after that, its exit is not
-// cleared, and a new attempt that came to the same machine was never begun. Such a task runs to its end.
-func stoppableUsage(sched *Scheduler, team string) (tasks []*allocation, held []quota.Usage) {
-	for _, job := range sched.jobOrder {
+// stoppableUsage returns the allocations of a team that can be stopped, and the usage of each. One whose start was
+// sent and not answered cannot: the start may be executed at any later time of this term. Stopped before it is seen,
+// the task counted for the limit for ever; stopped after that, its exit was not cleared, and a new attempt on the
+// same machine never began. Such a task runs to its end. s.mu must be held.
+func (s *Scheduler) stoppableUsage(team string) (allocations []*allocation, usage []quota.Usage) {
+	for _, job := range s.jobOrder {
 		if job.Job.Team != team {
 			continue
 		}
 		for _, alloc := range job.allocations {
 			if !alloc.stopping && (alloc.reported && alloc.unansweredRuns == 0 || !alloc.runSent) {
-				tasks = append(tasks, alloc)
-				held = append(held, quota.Usage{Rank: job.rank, Loss: sched.preemptionLoss(alloc), Resources: fleet.RequestOf(&job.Job)})
+				allocations = append(allocations, alloc)
+				usage = append(usage, quota.Usage{Rank: job.rank, Loss: s.preemptionLoss(alloc), Resources: fleet.RequestOf(&job.Job)})
 			}
 		}
 	}
-	return tasks, held
+	return allocations, usage
 }
 
 // limitReason is why a job waits for its team's limit, for operators and users.
