--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -93,66 +93,71 @@
 	}
 }
 
-// chooseDomain chooses where a job's waiting tasks go, and tells whether they go anywhere now.
+// chooseDomain chooses the domain for a job's pending tasks, and reports whether they may be placed now. If not, and
+// the job is a service or a gang, it looks for a domain where allocations may be preempted, and then for one to
+// reserve. s.mu must be held.
 func (s *Scheduler) chooseDomain(job *jobState) bool {
 	if job.site == nil {
 		return true
 	}
-	may := func(name string) bool {
+	allowed := func(name string) bool {
 		machine := s.machines[name]
 		return machine != nil && s.eligible(job, machine) && s.mayStage(job, machine)
 	}
-	ok := job.site.ChooseDomain(job.request, len(job.pending), job.Job.Shape != api.JobArray, may)
-	why := job.site.Reason()
-	if !ok && job.Job.Shape != api.JobArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
-		// Arrays stop others one task at a time, like all arrays.
+	// Arrays preempt one task at a time, like arrays without a topology.
+	isArray := job.Job.Shape == api.JobArray
+	found := job.site.ChooseDomain(job.request, len(job.pending), !isArray, allowed)
+	reason := job.site.Reason()
+	if !found && !isArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
 		job.nextDomainSearch = s.now().Add(tuning.AimAgain)
-		ok = job.site.ChooseDomainByPreemption(job.request, len(job.pending), may, func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) })
+		found = job.site.ChooseDomainByPreemption(job.request, len(job.pending), allowed, func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) })
 	}
-	if !ok && job.Job.Shape != api.JobArray {
-		if kept := s.reserveDomain(job, may); kept != "" {
-			why = kept
+	if !found && !isArray {
+		if reservation := s.reserveDomain(job, allowed); reservation != "" {
+			reason = reservation
 		}
 	}
-	if why != job.waitReason {
-		job.waitReason = why
-		if why != "" {
-			slog.Info("job waits for a place", "job", job.id, "why", why)
+	if reason != job.waitReason {
+		job.waitReason = reason
+		if reason != "" {
+			slog.Info("job waits for a place", "job", job.id, "why", reason)
 		}
 	}
-	return ok
+	return found
 }
 
-// unplaceableCPUs are the CPUs of tasks that must stand where no machine with room does, of each job
-// those of as many tasks as could stand on a machine more.
+// unplaceableCPUs returns the CPUs of pending tasks that no machine with free resources may take because of where it
+// is. Of each job as many tasks count as could be placed if one more machine were up. s.mu must be held.
 func (s *Scheduler) unplaceableCPUs() (cpus float64) {
 	for _, job := range s.jobOrder {
-		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
+		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) || !s.onlyTopologyForbids(job) {
 			continue
 		}
-		bound := false
-		room := false
-		for _, machine := range s.machines {
-			if !s.eligible(job, machine) || !machine.free().Fits(job.request) {
-				continue
-			}
-			if satisfiesSpread(job, machine) && job.waitReason == "" {
-				room = true
-				break
-			}
-			bound = true
-		}
-		if bound && !room {
-			n := len(job.pending)
-			if x := job.Job.Survive; x != nil && x.Must {
-				n = min(n, x.AtMost)
-			}
-			cpus += float64(n) * job.request.CPUs
+		count := len(job.pending)
+		if survive := job.Job.Survive; survive != nil && survive.Must {
+			count = min(count, survive.AtMost)
 		}
+		cpus += float64(count) * job.request.CPUs
 	}
 	return cpus
 }
 
+// onlyTopologyForbids reports whether machines have free resources for a task of a job, but none is where the task
+// may be. s.mu must be held.
+func (s *Scheduler) onlyTopologyForbids(job *jobState) bool {
+	forbidden := false
+	for _, machine := range s.machines {
+		if !s.eligible(job, machine) || !machine.free().Fits(job.request) {
+			continue
+		}
+		if satisfiesSpread(job, machine) && job.waitReason == "" {
+			return false
+		}
+		forbidden = true
+	}
+	return forbidden
+}
+
 // topologySearchCPUs is what the fleet should have at least for tasks without a place, in CPUs.
 func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
 	if s.topology == nil {
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -111,56 +111,71 @@
 	}
 	run := s.since(alloc.runningSince)
 	if cp := settings.Seconds(alloc.job.Job.Checkpoint); cp > 0 {
-		run = run % cp
+		run %= cp
 	}
 	return before + run.Milliseconds()
 }
 
-// preempt makes room for an array of higher rank that found none.
-func (s *Scheduler) preempt(job *jobState, all []*machineState) {
+// preempt frees resources for an array of higher rank that found none, and starts as many of its tasks as it can.
+// s.mu must be held.
+func (s *Scheduler) preempt(job *jobState, machines []*machineState) {
 	if !s.startableNow(job) || s.failsEverywhere(job) || !s.withinQuota(job) || !s.mayPreemptAny(job) {
 		return
 	}
-	opts := s.candidates(job, all)
-	var queues []*runQueue
-	for _, machine := range all {
-		for _, queue := range machine.queues {
-			if queue.job == job {
-				queues = append(queues, queue)
-			}
-		}
-	}
+	candidates := s.candidates(job, machines)
+	queues := queuesOf(job, machines)
 	for len(job.pending)+job.queued > 0 && s.withinQuota(job) {
-		x, ok := s.bestCandidate(job, opts)
+		best, ok := s.bestCandidate(job, candidates)
 		if !ok {
 			break
 		}
-		task := -1
-		if len(job.inputs) > 0 {
-			if task = s.takeStaged(job, x.machine); task < 0 {
-				break
-			}
-		} else if len(job.pending) > 0 {
-			task = int(job.pending[0])
-			job.pending = job.pending[1:]
-		} else {
-			for len(queues) > 0 && len(queues[0].tasks) == 0 {
-				queues = queues[1:]
-			}
-			if len(queues) == 0 {
-				break
-			}
-			task = queues[0].pop()
+		task, ok := s.takeTask(job, best.machine, &queues)
+		if !ok {
+			break
 		}
-		s.preemptVictims(x.victims, job)
-		s.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
-		s.pushCandidate(job, x.machine, opts)
+		s.preemptVictims(best.victims, job)
+		s.startTask(job, task, best.machine, append(best.leaving, best.victims...), "preempting")
+		s.pushCandidate(job, best.machine, candidates)
 	}
-	for _, machine := range all {
+	for _, machine := range machines {
 		machine.dropEmptyQueues()
 	}
 }
 
+// takeTask takes a task of an array that is to start on a machine: of a job with inputs one that is staged there,
+// else a pending one, else the first in the queues, of which it drops empty ones. False: there is none.
+// s.mu must be held.
+func (s *Scheduler) takeTask(job *jobState, machine *machineState, queues *[]*runQueue) (task int, ok bool) {
+	if len(job.inputs) > 0 {
+		task = s.takeStaged(job, machine)
+		return task, task >= 0
+	}
+	if len(job.pending) > 0 {
+		task = int(job.pending[0])
+		job.pending = job.pending[1:]
+		return task, true
+	}
+	for len(*queues) > 0 && len((*queues)[0].tasks) == 0 {
+		*queues = (*queues)[1:]
+	}
+	if len(*queues) == 0 {
+		return 0, false
+	}
+	return (*queues)[0].pop(), true
+}
+
+// queuesOf returns the queues of a job, in the order of the machines.
+func queuesOf(job *jobState, machines []*machineState) (queues []*runQueue) {
+	for _, machine := range machines {
+		for _, queue := range machine.queues {
+			if queue.job == job {
+				queues = append(queues, queue)
+			}
+		}
+	}
+	return queues
+}
+
 // mayPreemptAny tells whether anything may be stopped for a job at all. Most jobs
 // that wait are of the lowest rank, and need not search the fleet.
 func (s *Scheduler) mayPreemptAny(job *jobState) bool {
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"cmp"
 	"fmt"
 	"log/slog"
 	"math"
@@ -114,83 +115,93 @@
 	return all + head, tuning.ServiceSpare * ord
 }
 
-// InstanceRequests says what to rent now.
-func (c *Scheduler) InstanceRequests() []api.InstanceRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.now()
-	// This goes on while the state service is out: the names of rentals are
-	// this term's own, and the machines will be needed whoever leads.
-	if !c.loaded || c.instancesRequested > 0 || now.Sub(c.termStarted) < settings.Seconds(2*c.settings.Facts.Workers.ReportS) {
+// maxInstanceRequests is how many requests to the cloud are made at once.
+const maxInstanceRequests = 2
+
+// InstanceRequests returns what the cloud should be asked for now; nothing while an earlier request is open, or in
+// the first two report intervals of a term. It goes on while the state service is out: the requests' idempotency
+// keys are this term's own, and the machines will be needed whoever leads.
+func (s *Scheduler) InstanceRequests() []api.InstanceRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	if !s.loaded || s.instancesRequested > 0 || now.Sub(s.termStarted) < settings.Seconds(2*s.settings.Facts.Workers.ReportS) {
 		return nil
 	}
-	want, ordWant := c.desiredCapacity()
-	want = math.Max(want, c.topologySearchCPUs(now))
-	all, spot := c.supply()
-	inZone := map[string]float64{}
-	for _, machine := range c.machines {
-		if machine.Spec != nil && !machine.releasing {
-			inZone[machine.Zone] += machine.Spec.CPUs
+	desired, desiredOrdinary := s.desiredCapacity()
+	desired = math.Max(desired, s.topologySearchCPUs(now))
+	supply, spotSupply := s.supply()
+	pools := s.availablePools(now)
+	spotShare := s.configuration.Policy.Value(policy.SpotShare, policy.Vars{"demand_cpus": desired})
+	requests := s.requestForUnplaceable(pools)
+	for _, pool := range pools {
+		if len(requests) >= maxInstanceRequests {
+			break
 		}
+		missing := desired - supply
+		if !pool.spot {
+			missing = math.Max(missing, desiredOrdinary-(supply-spotSupply))
+		} else {
+			missing = math.Min(missing, spotShare*desired-spotSupply)
+		}
+		if missing <= 0 {
+			continue
+		}
+		cpus := s.machineTypes[pool.machineType].CPUs
+		count := min(tuning.RentBatch, int(math.Ceil(missing/cpus)))
+		requests = append(requests, s.instanceRequest(pool, count))
+		// How many of them will come is not known; the next round sees it.
+		supply += float64(count) * cpus
 	}
+	s.instancesRequested = len(requests)
+	return requests
+}
+
+// availablePools returns the pools that the cloud has not refused lately, in the order in which they are asked.
+// s.mu must be held.
+func (s *Scheduler) availablePools(now time.Time) []capacityPool {
 	var pools []capacityPool
-	for _, t := range c.machineTypes {
-		for _, z := range t.Zones {
-			for _, s := range []bool{false, true} {
-				p := capacityPool{t.Name, z, s}
-				if now.After(c.instanceRefusals[p]) {
-					pools = append(pools, p)
+	for _, machineType := range s.machineTypes {
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{false, true} {
+				pool := capacityPool{machineType.Name, zone, spot}
+				if now.After(s.instanceRefusals[pool]) {
+					pools = append(pools, pool)
 				}
 			}
 		}
 	}
-	slices.SortFunc(pools, func(a, b capacityPool) int {
-		// Ordinary machines first: nobody takes them back, and services need
-		// them. Then the zone that has less, then the sooner one up.
-		if a.spot != b.spot {
-			if a.spot {
-				return 1
-			}
-			return -1
-		}
-		if d := inZone[a.zone] - inZone[b.zone]; d != 0 {
-			return int(math.Copysign(1, d))
-		}
-		if d := c.machineTypes[a.machineType].BootS - c.machineTypes[b.machineType].BootS; d != 0 {
-			return int(math.Copysign(1, d))
-		}
-		if a.machineType+a.zone < b.machineType+b.zone {
-			return -1
+	cpusInZone := map[string]float64{}
+	for _, machine := range s.machines {
+		if machine.Spec != nil && !machine.releasing {
+			cpusInZone[machine.Zone] += machine.Spec.CPUs
 		}
-		return 1
+	}
+	slices.SortFunc(pools, func(a, b capacityPool) int {
+		return cmp.Or(
+			// Ordinary machines first: nobody takes them back, and services need them.
+			compareBools(a.spot, b.spot),
+			cmp.Compare(cpusInZone[a.zone], cpusInZone[b.zone]),
+			cmp.Compare(s.machineTypes[a.machineType].BootS, s.machineTypes[b.machineType].BootS),
+			cmp.Compare(a.machineType+a.zone, b.machineType+b.zone))
 	})
-	spotShare := c.configuration.Policy.Value(policy.SpotShare, policy.Vars{"demand_cpus": want})
-	out := c.requestForUnplaceable(pools)
-	for _, p := range pools {
-		t := c.machineTypes[p.machineType]
-		missing := want - all
-		if !p.spot {
-			missing = math.Max(missing, ordWant-(all-spot))
-		} else {
-			missing = math.Min(missing, spotShare*want-spot)
-		}
-		if missing <= 0 || len(out) >= 2 {
-			continue
-		}
-		n := min(tuning.RentBatch, int(math.Ceil(missing/t.CPUs)))
-		out = append(out, c.instanceRequest(p, n))
-		if len(out) == 2 {
-			break
-		}
-		// What will come is unknown; the next round sees it.
-		all += float64(n) * t.CPUs
+	return pools
+}
+
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
 	}
-	c.instancesRequested = len(out)
-	return out
+	return 1
 }
 
-// requestForUnplaceable rents a machine for a job that none that is there or coming can ever serve: with as many
-// processors as are asked for in all, nothing of its type or zone was ever rented.
+// requestForUnplaceable returns a request for one machine for a job that no machine that is up or coming can ever
+// serve, if there is such a job: with enough CPUs in all, none of its type or zone was ever requested.
+// s.mu must be held.
 func (s *Scheduler) requestForUnplaceable(pools []capacityPool) []api.InstanceRequest {
 	var jobs []*api.Submission
 	for _, job := range s.jobOrder {
@@ -201,30 +212,35 @@
 	if len(jobs) == 0 {
 		return nil
 	}
-	var ms []feasibility.Machine
+	kinds := make([]feasibility.Pool, 0, len(pools))
+	for _, pool := range pools {
+		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[pool.machineType], Zone: pool.zone, Spot: pool.spot})
+	}
+	for _, submission := range feasibility.Unplaceable(jobs, s.machinesInUseOrComing()) {
+		if kind, ok := feasibility.PoolFor(submission, kinds); ok {
+			slog.Info("renting for a job that no machine can serve", "job", submission.ID, "type", kind.Type.Name, "zone", kind.Zone, "spot", kind.Spot)
+			return []api.InstanceRequest{s.instanceRequest(capacityPool{kind.Type.Name, kind.Zone, kind.Spot}, 1)}
+		}
+	}
+	return nil
+}
+
+// machinesInUseOrComing returns the machines that count as supply, each with what services use of it.
+// s.mu must be held.
+func (s *Scheduler) machinesInUseOrComing() (machines []feasibility.Machine) {
 	for _, machine := range s.machines {
 		if machine.releasing || !machine.PreemptedAt.IsZero() || s.mayNeverStart(machine) || s.startupOverdue(machine) {
 			continue
 		}
-		x := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
+		known := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
 		for _, alloc := range machine.allocations {
 			if alloc.job.Job.Shape == api.Service {
-				x.Used = x.Used.Add(alloc.job.request)
+				known.Used = known.Used.Add(alloc.job.request)
 			}
 		}
-		ms = append(ms, x)
+		machines = append(machines, known)
 	}
-	var kinds []feasibility.Pool
-	for _, p := range pools {
-		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[p.machineType], Zone: p.zone, Spot: p.spot})
-	}
-	for _, submission := range feasibility.Unplaceable(jobs, ms) {
-		if p, ok := feasibility.PoolFor(submission, kinds); ok {
-			slog.Info("renting for a job that no machine can serve", "job", submission.ID, "type", p.Type.Name, "zone", p.Zone, "spot", p.Spot)
-			return []api.InstanceRequest{s.instanceRequest(capacityPool{p.Type.Name, p.Zone, p.Spot}, 1)}
-		}
-	}
-	return nil
+	return machines
 }
 
 // instanceRequest asks for so many machines under a name that is never used again.
--- a/controller/starvation.go
+++ b/controller/starvation.go
@@ -10,63 +10,82 @@
 	"switchferry/tuning"
 )
 
-// reserveForStarved lets machines drain for jobs whose turn has come and that find no room: else what ends there
-// makes room for a smaller task at once, and a task that needs a whole machine, or a gang, never starts
-// while these keep coming.
+// reserveForStarved reserves machines for starved jobs that find no free resources, so that they drain: else what
+// ends there makes way for a smaller task at once, and a task that needs a whole machine, or a gang, never starts
+// while these keep coming. s.mu must be held.
 func (s *Scheduler) reserveForStarved() {
-	now, kept, machines := s.now(), map[*jobState]bool{}, 0
-	for _, machine := range s.machines {
-		if job := machine.reservedFor; job != nil && (!job.starved || s.jobs[job.id] != job) {
-			machine.reservedFor = nil
-		} else if job != nil {
-			kept[job] = true
-			machines++
-		}
-	}
-	// One job may always have them, however many it needs.
-	most := max(1, int(tuning.KeptShare*float64(len(s.machines))))
+	now := s.now()
+	reserving, reserved := s.currentReservations()
+	// One job may always have reservations, however many machines it needs.
+	limit := max(1, int(tuning.KeptShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
-		if !job.starved || now.Before(job.nextMachineReservation) || machines >= most && !kept[job] || !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
+		if !job.starved || now.Before(job.nextMachineReservation) || reserved >= limit && !reserving[job] || !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
 			continue
 		}
 		job.nextMachineReservation = now.Add(tuning.KeepRoomEvery)
-		tasks := 1
-		if job.Job.Shape == api.Gang {
-			tasks = len(job.pending)
-		}
-		var ms []ageing.Machine
-		for _, machine := range s.sortedMachines() {
-			if machine.reservedFor != nil && machine.reservedFor != job || !s.eligible(job, machine) || !satisfiesSpread(job, machine) {
-				continue
-			}
-			x := ageing.Machine{Name: machine.Name, Zone: machine.Zone}
-			for _, ms := range s.startDelays(job, machine, tasks) {
-				x.At = append(x.At, time.Duration(ms)*time.Millisecond)
-			}
-			ms = append(ms, x)
-		}
-		names, at := ageing.Keep(ms, tasks, job.Job.OneZone)
+		names, drained := s.soonestMachines(job)
 		for _, machine := range s.machines {
 			if machine.reservedFor == job {
 				machine.reservedFor = nil
-				machines--
+				reserved--
 			}
 		}
-		if len(names) == 0 || at <= 0 {
-			// There is none ever, or now.
+		if len(names) == 0 || drained <= 0 {
+			// It can start nowhere, or at once.
 			continue
 		}
-		if !kept[job] {
-			slog.Info("machines drain for a job that has waited long", "job", job.id, "machines", len(names), "in", at.Round(time.Second),
+		if !reserving[job] {
+			slog.Info("machines drain for a job that has waited long", "job", job.id, "machines", len(names), "in", drained.Round(time.Second),
 				"waited", now.Sub(job.waitingSince).Round(time.Second))
-			kept[job] = true
+			reserving[job] = true
+		}
+		for _, name := range names {
+			machine := s.machines[name]
+			machine.reservedFor, machine.reservedUntil = job, now.Add(drained)
+		}
+		reserved += len(names)
+	}
+}
+
+// currentReservations drops the reservations of jobs that are not starved any more, and returns the jobs that have
+// any and how many machines are reserved. s.mu must be held.
+func (s *Scheduler) currentReservations() (reserving map[*jobState]bool, reserved int) {
+	reserving = map[*jobState]bool{}
+	for _, machine := range s.machines {
+		job := machine.reservedFor
+		if job == nil {
+			continue
+		}
+		if !job.starved || s.jobs[job.id] != job {
+			machine.reservedFor = nil
+			continue
+		}
+		reserving[job] = true
+		reserved++
+	}
+	return reserving, reserved
+}
+
+// soonestMachines returns the machines on which a task of an array or service, or a whole gang, can start soonest by
+// the estimates of what runs there, and in how long they have drained; none if it can start nowhere.
+// s.mu must be held.
+func (s *Scheduler) soonestMachines(job *jobState) (names []string, drained time.Duration) {
+	tasks := 1
+	if job.Job.Shape == api.Gang {
+		tasks = len(job.pending)
+	}
+	var machines []ageing.Machine
+	for _, machine := range s.sortedMachines() {
+		if machine.reservedFor != nil && machine.reservedFor != job || !s.eligible(job, machine) || !satisfiesSpread(job, machine) {
+			continue
 		}
-		for _, n := range names {
-			machine := s.machines[n]
-			machine.reservedFor, machine.reservedUntil = job, now.Add(at)
+		available := ageing.Machine{Name: machine.Name, Zone: machine.Zone}
+		for _, delayMS := range s.startDelays(job, machine, tasks) {
+			available.At = append(available.At, time.Duration(delayMS)*time.Millisecond)
 		}
-		machines += len(names)
+		machines = append(machines, available)
 	}
+	return ageing.Keep(machines, tasks, job.Job.OneZone)
 }
 
 // reservedForStarved tells whether a machine drains for another job, in whose way this one would be:
