--- a/controller/explain.go
+++ b/controller/explain.go
@@ -7,127 +7,162 @@
 
 	"switchferry/api"
 	"switchferry/reachability"
+	"switchferry/topology"
 )
 
-// Topology is the tree, domains in the order of the file.
+// Topology returns the state of the topology for operators: its domains in the order of the file, reservations, and
+// jobs that wait because of where their tasks may be. It is empty without a topology.
 func (s *Scheduler) Topology() api.TopologyView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := api.TopologyView{Domains: []api.DomainView{}, Waiting: []api.WaitingView{}, Reserved: []api.ReservedView{}}
+	view := api.TopologyView{Domains: []api.DomainView{}, Waiting: []api.WaitingView{}, Reserved: []api.ReservedView{}}
 	if s.topology == nil {
-		return v
+		return view
 	}
-	t := s.topology.tree
-	v.Version, v.Unlisted, v.Ambiguous = t.Map().Version(), t.Unlisted(), t.Ambiguous()
-	for _, d := range t.Map().Domains() {
-		free := t.Free(d)
-		x := api.DomainView{Name: d.Name, Level: d.Level, Machines: t.Machines(d), Usable: t.Usable(d), CPUs: free.CPUs, Cards: free.Cards, MemoryGB: free.MemoryGB}
-		x.Silent = x.Machines > 0 && x.Usable == 0
-		if d.Parent != nil {
-			x.In = d.Parent.Name
-		}
-		v.Domains = append(v.Domains, x)
+	tree := s.topology.tree
+	view.Version, view.Unlisted, view.Ambiguous = tree.Map().Version(), tree.Unlisted(), tree.Ambiguous()
+	for _, domain := range tree.Map().Domains() {
+		view.Domains = append(view.Domains, domainView(tree, domain))
 	}
-	for _, r := range s.topology.reservations.All(s.now()) {
-		v.Reserved = append(v.Reserved, api.ReservedView{Domain: r.Domain.Name, Job: r.Job, InS: r.At.Sub(s.now()).Seconds()})
+	for _, reservation := range s.topology.reservations.All(s.now()) {
+		view.Reserved = append(view.Reserved, api.ReservedView{Domain: reservation.Domain.Name, Job: reservation.Job, InS: reservation.At.Sub(s.now()).Seconds()})
 	}
 	for _, job := range s.jobOrder {
 		if job.waitReason != "" && len(job.pending) > 0 {
-			v.Waiting = append(v.Waiting, api.WaitingView{Job: job.id, Tasks: len(job.pending), Why: job.waitReason})
+			view.Waiting = append(view.Waiting, api.WaitingView{Job: job.id, Tasks: len(job.pending), Why: job.waitReason})
 		}
 	}
-	return v
+	return view
+}
+
+// domainView returns a domain with its machines and free resources.
+func domainView(tree *topology.Tree, domain *topology.Domain) api.DomainView {
+	free := tree.Free(domain)
+	view := api.DomainView{Name: domain.Name, Level: domain.Level, Machines: tree.Machines(domain), Usable: tree.Usable(domain), CPUs: free.CPUs, Cards: free.Cards, MemoryGB: free.MemoryGB}
+	view.Silent = view.Machines > 0 && view.Usable == 0
+	if domain.Parent != nil {
+		view.In = domain.Parent.Name
+	}
+	return view
 }
 
-// Explain tells about a job that this leader knows.
-func (s *Scheduler) Explain(id string) (x api.Explanation, ok bool) {
-	st, known := s.JobStatus(id)
+// Explain returns where a job's tasks are and why the others wait; false if this leader does not know the job.
+func (s *Scheduler) Explain(id string) (explanation api.Explanation, ok bool) {
+	status, known := s.JobStatus(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	job := s.jobs[id]
 	if job == nil || !known {
-		return x, false
+		return explanation, false
 	}
-	x = api.Explanation{Job: id, State: st.State, Tasks: job.taskCount, Done: job.completedCount, Waiting: len(job.pending) + job.queued, Why: []string{}, Locations: s.taskLocations(job)}
+	explanation = api.Explanation{Job: id, State: status.State, Tasks: job.taskCount, Done: job.completedCount, Waiting: len(job.pending) + job.queued, Why: []string{}, Locations: s.taskLocations(job)}
 	if job.waitsForDependencies {
-		x.Waiting = job.taskCount - job.completedCount - len(job.allocations)
+		explanation.Waiting = job.taskCount - job.completedCount - len(job.allocations)
 	}
-	if job.FinalState == "" && x.Waiting > 0 {
-		x.Why = s.waitReasons(job)
+	if job.FinalState == "" && explanation.Waiting > 0 {
+		explanation.Why = s.waitReasons(job)
 	}
-	return x, true
+	return explanation, true
 }
 
-func (c *Scheduler) taskLocations(job *jobState) []api.TaskLocation {
-	by := map[string]*api.TaskLocation{}
+// taskLocations counts a job's allocated tasks by domain, or by machine where the topology names none; those whose
+// machine is silent or does not get our commands count as unconfirmed too. Most tasks come first.
+// s.mu must be held.
+func (s *Scheduler) taskLocations(job *jobState) []api.TaskLocation {
+	locations := map[string]*api.TaskLocation{}
 	for _, alloc := range job.allocations {
-		location := api.TaskLocation{Domain: alloc.machine.Name, Level: "machine"}
-		if c.topology != nil {
-			if d := c.topology.tree.Of(alloc.machine.Name); d != nil {
-				location.Domain, location.Level = d.Name, d.Level
+		machine := alloc.machine
+		location := api.TaskLocation{Domain: machine.Name, Level: "machine"}
+		if s.topology != nil {
+			if domain := s.topology.tree.Of(machine.Name); domain != nil {
+				location.Domain, location.Level = domain.Name, domain.Level
 			}
 		}
 		key := location.Level + " " + location.Domain
-		if by[key] == nil {
-			by[key] = &location
+		if locations[key] == nil {
+			locations[key] = &location
 		}
-		by[key].Tasks++
-		if c.since(alloc.machine.LastHeartbeat) >= c.heartbeatTimeout(alloc.machine) || alloc.machine.link.State(c.now(), c.lease()) == reachability.OutboundLost {
-			by[key].Unconfirmed++
+		locations[key].Tasks++
+		if s.since(machine.LastHeartbeat) >= s.heartbeatTimeout(machine) || machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
+			locations[key].Unconfirmed++
 		}
 	}
-	out := []api.TaskLocation{}
-	for _, s := range by {
-		out = append(out, *s)
+	sorted := make([]api.TaskLocation, 0, len(locations))
+	for _, location := range locations {
+		sorted = append(sorted, *location)
 	}
-	slices.SortFunc(out, func(a, b api.TaskLocation) int { return cmp.Or(b.Tasks-a.Tasks, cmp.Compare(a.Domain, b.Domain)) })
-	return out
+	slices.SortFunc(sorted, func(a, b api.TaskLocation) int { return cmp.Or(b.Tasks-a.Tasks, cmp.Compare(a.Domain, b.Domain)) })
+	return sorted
 }
 
-// waitReasons lists what keeps a job's waiting tasks, from the job's own reasons to the
-// machines'.
-func (s *Scheduler) waitReasons(job *jobState) (why []string) {
+// waitReasons returns why a job's tasks wait, for operators and users, from the job's own reasons to the machines'.
+// s.mu must be held.
+func (s *Scheduler) waitReasons(job *jobState) (reasons []string) {
 	switch {
 	case !job.accepted:
 		return []string{"it is not on record yet"}
 	case job.waitsForDependencies:
 		return s.dependencies.waitReasons(job)
 	case s.now().Before(job.pausedUntil):
-		why = append(why, fmt.Sprintf("its tasks failed on %d machines in a row; it is tried again in %.0f s", job.failures, job.pausedUntil.Sub(s.now()).Seconds()))
+		reasons = append(reasons, fmt.Sprintf("its tasks failed on %d machines in a row; it is tried again in %.0f s", job.failures, job.pausedUntil.Sub(s.now()).Seconds()))
 	case !s.withinQuota(job):
-		why = append(why, limitReason(s.configuration, job))
+		reasons = append(reasons, limitReason(s.configuration, job))
 	case !s.inputsReady(job):
-		why = append(why, "its datasets are not known yet")
+		reasons = append(reasons, "its datasets are not known yet")
 	}
 	if job.waitReason != "" {
-		why = append(why, job.waitReason)
+		reasons = append(reasons, job.waitReason)
 	}
-	var may, silent, mute, deaf, bounded, full int
+	counts := s.countMachines(job)
+	switch {
+	case counts.allowed == 0:
+		reasons = append(reasons, "no machine that it may run on is up; one must be rented first")
+	case counts.available() == 0:
+		reasons = append(reasons, fmt.Sprintf("of %d machines that it may run on %d get no work now (silent, failing or leaving), %d have not shown lately that they hear us (half-deaf), %d answer commands and reach no controller (mute), %d stand where it must not, %d are full",
+			counts.allowed, counts.unschedulable, counts.outboundUnconfirmed, counts.inboundLost, counts.forbiddenBySpread, counts.full))
+	case len(reasons) == 0:
+		reasons = append(reasons, fmt.Sprintf("it is about to start: %d of %d machines have room", counts.available(), counts.allowed))
+	}
+	return reasons
+}
+
+// machineCounts counts the machines that satisfy a job's constraints; each that cannot start a task of it now counts
+// under one reason too.
+type machineCounts struct {
+	allowed int
+	// outboundUnconfirmed have not confirmed lately that they get our commands.
+	outboundUnconfirmed int
+	// inboundLost answer commands, but their heartbeats reach no controller.
+	inboundLost       int
+	unschedulable     int
+	forbiddenBySpread int
+	full              int
+}
+
+// available returns how many machines can start a task.
+func (c machineCounts) available() int {
+	return c.allowed - c.outboundUnconfirmed - c.inboundLost - c.unschedulable - c.forbiddenBySpread - c.full
+}
+
+// countMachines counts the machines that a job's tasks may run on, by why they can start none now.
+// s.mu must be held.
+func (s *Scheduler) countMachines(job *jobState) (counts machineCounts) {
 	for _, machine := range s.machines {
 		switch {
 		case machine.Spec == nil || !satisfiesConstraints(job, machine):
 			continue
 		case machine.Up && !machine.releasing && machine.link.State(s.now(), s.lease()) != reachability.Reachable:
-			deaf++
+			counts.outboundUnconfirmed++
 		case s.inboundLost(machine):
-			mute++
+			counts.inboundLost++
 		case !s.eligible(job, machine):
-			silent++
+			counts.unschedulable++
 		case !satisfiesSpread(job, machine):
-			bounded++
+			counts.forbiddenBySpread++
 		case !machine.free().Fits(job.request):
-			full++
+			counts.full++
 		}
-		may++
-	}
-	if may == 0 {
-		return append(why, "no machine that it may run on is up; one must be rented first")
-	}
-	if may == silent+mute+deaf+bounded+full {
-		why = append(why, fmt.Sprintf("of %d machines that it may run on %d get no work now (silent, failing or leaving), %d have not shown lately that they hear us (half-deaf), %d answer commands and reach no controller (mute), %d stand where it must not, %d are full",
-			may, silent, deaf, mute, bounded, full))
-	} else if len(why) == 0 {
-		why = append(why, fmt.Sprintf("it is about to start: %d of %d machines have room", may-silent-mute-deaf-bounded-full, may))
+		counts.allowed++
 	}
-	return why
+	return counts
 }
