--- a/controller/constraints.go
+++ b/controller/constraints.go
@@ -34,19 +34,32 @@
 	return !job.Job.Spread || here < (job.taskCount+1)/2
 }
 
+// eligible reports whether a machine may get tasks of a job now, free resources, zones, inputs and quota apart.
+// s.mu must be held.
 func (s *Scheduler) eligible(job *jobState, machine *machineState) bool {
 	if !s.schedulable(machine) || !satisfiesConstraints(job, machine) {
 		return false
 	}
-	until, ok := job.avoidUntil[machine.Name]
-	return (!ok || s.now().After(until)) && !s.reservedForStarved(job, machine) && !s.reservedForOthers(job, machine)
+	until, avoided := job.avoidUntil[machine.Name]
+	return (!avoided || s.now().After(until)) && !s.reservedForStarved(job, machine) && !s.reservedForOthers(job, machine)
 }
 
+// startableNow reports whether tasks of a job may start now, wherever: its record is stored, it is not over or
+// paused, its inputs are known, and it has no task yet if it fails everywhere. s.mu must be held.
 func (s *Scheduler) startableNow(job *jobState) bool {
-	return job.accepted && job.FinalState == "" && !s.now().Before(job.pausedUntil) && s.inputsReady(job) && (len(job.allocations) == 0 || job.Job.Shape == api.Gang || !s.failsEverywhere(job))
+	if !job.accepted || job.FinalState != "" || s.now().Before(job.pausedUntil) || !s.inputsReady(job) {
+		return false
+	}
+	return len(job.allocations) == 0 || job.Job.Shape == api.Gang || !s.failsEverywhere(job)
 }
 
-// canStart tells whether a task of the job can start on the machine now.
+// canStart reports whether a task of a job can start on a machine now. s.mu must be held.
 func (s *Scheduler) canStart(job *jobState, machine *machineState) bool {
-	return s.startableNow(job) && machine.free().Fits(job.request) && len(machine.allocations)+len(machine.exited) < tuning.ReportTasks && s.eligible(job, machine) && satisfiesSpread(job, machine) && s.withinQuota(job)
+	return s.startableNow(job) && machine.free().Fits(job.request) && !machine.heartbeatFull() &&
+		s.eligible(job, machine) && satisfiesSpread(job, machine) && s.withinQuota(job)
+}
+
+// heartbeatFull reports whether one more task might not fit into the machine's heartbeats.
+func (m *machineState) heartbeatFull() bool {
+	return len(m.allocations)+len(m.exited) >= tuning.ReportTasks
 }
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -185,23 +185,27 @@
 	return tuning.StageGapMS + int64(1000*(fetch+waves*estimate(job)))
 }
 
-// startsSoon tells whether machines for a job that waits are worth renting: all that it awaits runs,
-// and by the estimates ends within the boot of a machine.
+// startsSoon reports whether machines for a job that waits should be requested already: all its dependencies run, and
+// by the estimates end within the boot of a machine. s.mu must be held.
 func (p *dependencies) startsSoon(job *jobState) bool {
-	sched := p.scheduler
-	boot := 0.0
-	for _, t := range sched.machineTypes {
-		boot = max(boot, t.BootS)
-	}
+	bootS := p.scheduler.longestBootS()
 	for _, id := range p.graph.Dependencies(job.id) {
-		o := sched.jobs[id]
-		if o == nil || o.waitsForDependencies || o.FinalState == "" && (len(o.pending)+o.queued > 0 || len(o.allocations) == 0) {
+		if dependency := p.scheduler.jobs[id]; dependency == nil || !p.endsWithin(dependency, bootS) {
 			return false
 		}
-		for _, alloc := range o.allocations {
-			if alloc.runningSince.IsZero() || estimate(o)-sched.since(alloc.runningSince).Seconds() > boot {
-				return false
-			}
+	}
+	return true
+}
+
+// endsWithin reports whether all tasks of a job are done or run and, by its estimate, end within the given seconds.
+// s.mu must be held.
+func (p *dependencies) endsWithin(job *jobState, seconds float64) bool {
+	if job.waitsForDependencies || job.FinalState == "" && (len(job.pending)+job.queued > 0 || len(job.allocations) == 0) {
+		return false
+	}
+	for _, alloc := range job.allocations {
+		if alloc.runningSince.IsZero() || estimate(job)-p.scheduler.since(alloc.runningSince).Seconds() > seconds {
+			return false
 		}
 	}
 	return true
--- a/controller/ordering.go
+++ b/controller/ordering.go
@@ -50,32 +50,22 @@
 	return 0
 }
 
-// sortQueues brings jobs and queues into order as of now.
+// sortQueues brings the jobs and the queues of all machines into the order of compareJobs, as of now.
+// s.mu must be held.
 func (s *Scheduler) sortQueues() {
 	s.markGuaranteed()
-	now := s.now().UnixMilli()
-	fleet := 0.0
-	for _, machine := range s.machines {
-		if machine.Up && machine.Spec != nil {
-			fleet += machine.Spec.CPUs
-		}
-	}
-	waiting := 0.0
-	s.dependencies.inheritUrgency(fleet)
-	for _, job := range s.jobOrder {
-		if job.FinalState == "" && len(job.pending)+job.queued > 0 {
-			waiting++
-		}
-	}
-	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*waiting)
-	by := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
+	nowMS := s.now().UnixMilli()
+	fleetCPUs := s.fleetCPUs()
+	s.dependencies.inheritUrgency(fleetCPUs)
+	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*s.waitingJobs())
+	startWithin := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
 	for _, job := range s.jobOrder {
-		job.starved = len(job.pending)+job.queued > 0 && job.rank != api.RankProduction && ageing.Due(s.now(), job.waitingSince, job.lastStart, by) && s.startableNow(job)
-		job.latestStart = s.latestStart(job, now)
-		if job.latestStart < math.MaxInt64 && fleet > 0 {
-			// Of two jobs that are as urgent, the one that takes less of the
-			// fleet goes first: when not all can be in time, more are.
-			work := float64(job.taskCount-job.completedCount) * estimate(job) * job.request.CPUs / fleet
+		job.starved = len(job.pending)+job.queued > 0 && job.rank != api.RankProduction && ageing.Due(s.now(), job.waitingSince, job.lastStart, startWithin) && s.startableNow(job)
+		job.latestStart = s.latestStart(job, nowMS)
+		if job.latestStart < math.MaxInt64 && fleetCPUs > 0 {
+			// Of two jobs that are equally urgent, the one that takes less of the fleet comes first: when not all
+			// can meet their deadlines, more of them do.
+			work := float64(job.taskCount-job.completedCount) * estimate(job) * job.request.CPUs / fleetCPUs
 			job.latestStart += int64(weight * math.Min(work, tuning.WorkMost) * 1000)
 		}
 	}
@@ -85,6 +75,26 @@
 	}
 }
 
+// fleetCPUs returns the CPUs of the machines that are up. s.mu must be held.
+func (s *Scheduler) fleetCPUs() (cpus float64) {
+	for _, machine := range s.machines {
+		if machine.Up && machine.Spec != nil {
+			cpus += machine.Spec.CPUs
+		}
+	}
+	return cpus
+}
+
+// waitingJobs counts the jobs that have tasks to start. s.mu must be held.
+func (s *Scheduler) waitingJobs() (jobs float64) {
+	for _, job := range s.jobOrder {
+		if job.FinalState == "" && len(job.pending)+job.queued > 0 {
+			jobs++
+		}
+	}
+	return jobs
+}
+
 // markGuaranteed tells the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished ones: these need not wait for other teams.
 func (s *Scheduler) markGuaranteed() {
--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -69,27 +69,28 @@
 	}
 }
 
-// refreshTopology takes in which machines may get work now: that ends by time as well, with no
-// event of their own.
+// refreshTopology updates which machines are schedulable, which changes with time as well, and forgets what is out of
+// date: queues of jobs that chose a domain and started nothing, and reservations. s.mu must be held.
 func (s *Scheduler) refreshTopology() {
-	if s.topology == nil {
+	view := s.topology
+	if view == nil {
 		return
 	}
-	w := s.topology
 	for _, machine := range s.machines {
 		s.updateFreeResources(machine)
 	}
 	for _, job := range s.jobOrder {
 		if job.Job.Near != nil && job.queued > 0 && len(job.allocations) == 0 {
-			// Where it goes is chosen anew: a domain may have filled up since.
+			// Its domain is chosen anew: the one before may be full by now.
 			s.reclaimQueued(job)
 		}
 	}
 	// Else each start would be weighed against reservations that nobody asks for any more.
-	w.reservations.Expire(s.now())
-	if l, a := w.tree.Unlisted(), w.tree.Ambiguous(); l > w.unlisted || a > w.ambiguous {
-		w.unlisted, w.ambiguous = l, a
-		slog.Warn("machines that the topology does not name stand alone; of those that two domains name the first counts", "not_named", l, "named_twice", a)
+	view.reservations.Expire(s.now())
+	unlisted, ambiguous := view.tree.Unlisted(), view.tree.Ambiguous()
+	if unlisted > view.unlisted || ambiguous > view.ambiguous {
+		view.unlisted, view.ambiguous = unlisted, ambiguous
+		slog.Warn("machines that the topology does not name stand alone; of those that two domains name the first counts", "not_named", unlisted, "named_twice", ambiguous)
 	}
 }
 
@@ -158,15 +159,12 @@
 	return forbidden
 }
 
-// topologySearchCPUs is what the fleet should have at least for tasks without a place, in CPUs.
+// topologySearchCPUs returns how many CPUs the fleet should have at least so that tasks which no domain can take now
+// find one that can; zero without a topology. s.mu must be held.
 func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
 	if s.topology == nil {
 		return 0
 	}
-	boot := 0.0
-	for _, t := range s.machineTypes {
-		boot = max(boot, t.BootS)
-	}
 	supply, _ := s.supply()
-	return s.topology.search.TargetCPUs(now, s.unplaceableCPUs(), supply, settings.Seconds(boot))
+	return s.topology.search.TargetCPUs(now, s.unplaceableCPUs(), supply, settings.Seconds(s.longestBootS()))
 }
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -96,23 +96,33 @@
 	return machine.listedRunning && s.since(s.termStarted) > 2*s.heartbeatTimeout(machine)
 }
 
-func (s *Scheduler) desiredCapacity() (want, ordinary float64) {
-	all, ord := s.demand()
-	// A team without work is not kept room for: its machines would be idle.
-	busy := map[string]bool{}
+// longestBootS returns the longest boot time of the catalog's machine types, in seconds. s.mu must be held.
+func (s *Scheduler) longestBootS() (bootS float64) {
+	for _, machineType := range s.machineTypes {
+		bootS = max(bootS, machineType.BootS)
+	}
+	return bootS
+}
+
+// desiredCapacity returns how many CPUs the fleet should have in all, and how many of them on ordinary machines.
+// s.mu must be held.
+func (s *Scheduler) desiredCapacity() (all, ordinary float64) {
+	allDemand, ordinaryDemand := s.demand()
+	// No headroom is kept for the guarantee of a team without work: its machines would be idle.
+	busyTeams := map[string]bool{}
 	for _, job := range s.jobOrder {
 		if job.FinalState == "" && !job.waitsForDependencies {
-			busy[job.Job.Team] = true
+			busyTeams[job.Job.Team] = true
 		}
 	}
 	guaranteed := 0.0
-	for _, t := range s.configuration.Teams() {
-		if busy[t.Name] {
-			guaranteed += t.CPUs
+	for _, team := range s.configuration.Teams() {
+		if busyTeams[team.Name] {
+			guaranteed += team.CPUs
 		}
 	}
-	head := s.configuration.Policy.Value(policy.HeadroomCPUs, policy.Vars{"demand_cpus": all, "guaranteed_cpus": guaranteed})
-	return all + head, tuning.ServiceSpare * ord
+	headroom := s.configuration.Policy.Value(policy.HeadroomCPUs, policy.Vars{"demand_cpus": allDemand, "guaranteed_cpus": guaranteed})
+	return allDemand + headroom, tuning.ServiceSpare * ordinaryDemand
 }
 
 // maxInstanceRequests is how many requests to the cloud are made at once.
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -118,30 +118,56 @@
 	damagedJobs map[string]bool
 }
 
-// NewScheduler makes the state of a term.
+// NewScheduler returns the state of a new term. No record is read yet.
 func NewScheduler(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
-	sched := &Scheduler{term: term, clock: clock, settings: set, configuration: configuration.FromFiles(set.Facts.Teams, pol), hooks: hooks,
-		machineTypes: map[string]*api.MachineType{}, jobs: map[string]*jobState{}, machines: map[string]*machineState{},
-		releasedAt: map[string]time.Time{}, commandsReady: map[*machineState]bool{}, usage: map[string]fleet.Resources{}, stoppingUsage: map[string]fleet.Resources{}, imageHints: map[string][]fleet.Image{}, instanceRefusals: map[capacityPool]time.Time{},
-		wake: make(chan struct{}, 1), termStarted: clock.Now(), tasksPerShard: tuning.ShardTasks}
-	sched.dependencies = newDependencies(sched)
-	sched.lastHeartbeat = sched.termStarted
-	sched.detector = failuredetector.New(sched.termStarted, settings.Seconds(set.Facts.Workers.LeaseS))
-	sched.lastDirectContact = sched.termStarted
-	sched.commandMailboxes = newMailboxes(sched, store.MailPrefix, store.MailKey, sched.relayedCommandBody)
-	sched.objectives, sched.deadlineMultiples = map[string][]float64{}, map[string][]float64{}
-	for _, o := range set.Facts.Objectives {
-		if o.Kind == "finished" && o.WithinS > 0 {
-			sched.objectives[o.Class] = append(sched.objectives[o.Class], o.WithinS)
-			slices.Sort(sched.objectives[o.Class])
+	started := clock.Now()
+	s := &Scheduler{
+		term:              term,
+		clock:             clock,
+		settings:          set,
+		hooks:             hooks,
+		configuration:     configuration.FromFiles(set.Facts.Teams, pol),
+		termStarted:       started,
+		lastHeartbeat:     started,
+		lastDirectContact: started,
+		machineTypes:      map[string]*api.MachineType{},
+		jobs:              map[string]*jobState{},
+		machines:          map[string]*machineState{},
+		releasedAt:        map[string]time.Time{},
+		commandsReady:     map[*machineState]bool{},
+		usage:             map[string]fleet.Resources{},
+		stoppingUsage:     map[string]fleet.Resources{},
+		imageHints:        map[string][]fleet.Image{},
+		instanceRefusals:  map[capacityPool]time.Time{},
+		wake:              make(chan struct{}, 1),
+		detector:          failuredetector.New(started, settings.Seconds(set.Facts.Workers.LeaseS)),
+		tasksPerShard:     tuning.ShardTasks,
+	}
+	s.dependencies = newDependencies(s)
+	s.commandMailboxes = newMailboxes(s, store.MailPrefix, store.MailKey, s.relayedCommandBody)
+	s.objectives, s.deadlineMultiples = objectivesByClass(set.Facts.Objectives)
+	s.SetTypes(types)
+	return s
+}
+
+// objectivesByClass returns, for each class of jobs, the times within which its jobs should be complete, in seconds,
+// and the multiples of their deadlines, above one; both ascending.
+func objectivesByClass(objectives []settings.Objective) (withinS, deadlineMultiples map[string][]float64) {
+	withinS, deadlineMultiples = map[string][]float64{}, map[string][]float64{}
+	for _, objective := range objectives {
+		switch {
+		case objective.Kind == "finished" && objective.WithinS > 0:
+			withinS[objective.Class] = append(withinS[objective.Class], objective.WithinS)
+		case objective.Kind == "deadline" && objective.Times > 1:
+			deadlineMultiples[objective.Class] = append(deadlineMultiples[objective.Class], objective.Times)
 		}
-		if o.Kind == "deadline" && o.Times > 1 {
-			sched.deadlineMultiples[o.Class] = append(sched.deadlineMultiples[o.Class], o.Times)
-			slices.Sort(sched.deadlineMultiples[o.Class])
+	}
+	for _, byClass := range []map[string][]float64{withinS, deadlineMultiples} {
+		for _, values := range byClass {
+			slices.Sort(values)
 		}
 	}
-	sched.SetTypes(types)
-	return sched
+	return withinS, deadlineMultiples
 }
 
 // Term returns the number of this term of the leader, the fencing token of its commands.
--- a/controller/services_gangs.go
+++ b/controller/services_gangs.go
@@ -261,7 +261,7 @@
 // false if there is none. s.mu must be held.
 func (s *Scheduler) cheapestPreemption(job *jobState, machines []*machineState) (best candidate, ok bool) {
 	for _, machine := range machines {
-		if !s.mayPlace(job, machine) || !s.withinQuota(job) || len(machine.allocations)+len(machine.exited) >= tuning.ReportTasks {
+		if !s.mayPlace(job, machine) || !s.withinQuota(job) || machine.heartbeatFull() {
 			continue
 		}
 		leaving, victims, ok := s.findVictims(job, machine)
