--- a/controller/candidates.go
+++ b/controller/candidates.go
@@ -47,7 +47,7 @@
 		return candidate{}, false
 	}
 	// Only machines that have a task's inputs are looked at.
-	score := s.startCost(job, 0, machine, true).Image
+	score := s.sharedStartCost(job, 0, machine).Image
 	for _, alloc := range victims {
 		score += float64(s.preemptionLoss(alloc)) / 1000
 	}
--- a/controller/domain_reservation.go
+++ b/controller/domain_reservation.go
@@ -86,7 +86,7 @@
 	}
 	var ends time.Time
 	if job.Job.Shape != api.Service {
-		ends = s.now().Add(settings.Seconds(estimate(job) + s.startCost(job, 0, machine, false).Seconds()))
+		ends = s.now().Add(settings.Seconds(estimate(job) + s.startCost(job, 0, machine).Seconds()))
 	}
 	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, ends)
 }
--- a/controller/locality.go
+++ b/controller/locality.go
@@ -13,177 +13,204 @@
 	"switchferry/tuning"
 )
 
-// missingInputs prices what a group lacks on a machine. A fleet of thousands asks for the same
-// few waits over and over, so each is worked out once.
+// missingInputs is the placement.InputCost of one job: what the inputs cost that a group of its tasks lacks on a
+// machine. A fleet of thousands asks for the same few waits over and over, so each is worked out once. s.mu must be
+// held.
 type missingInputs struct {
-	scheduler    *Scheduler
-	job          *jobState
-	groups       []placement.Group
+	scheduler *Scheduler
+	job       *jobState
+	groups    []placement.Group
+	// slot is the length of a slot in seconds.
+	slot float64
+	// localityAware is false if inputs are not weighed at all.
+	localityAware bool
+	// singlePartPerTask is true if the job has one input, of which each task needs its own part.
+	singlePartPerTask bool
+
+	// machineIDs, machineNames and backlog are by server; backlog is what a machine's link has to bring already, in
+	// bytes, and leastBacklog the least of these.
 	machineIDs   []replicas.MachineID
 	machineNames []string
-	// backlog is what each machine's link has to bring already, in bytes; idle the least.
-	backlog        []float64
-	leastBacklog   float64
-	slot           float64
-	slotsBySeconds map[float64]int
-	// lastSeconds is what was asked for last, lastSecondsSlots the answer.
+	backlog      []float64
+	leastBacklog float64
+
+	// slotsBySeconds caches slotsOf; lastSeconds and lastSecondsSlots are its last argument and result.
+	slotsBySeconds   map[float64]int
 	lastSeconds      float64
 	lastSecondsSlots int
-	// on: inputs are weighed at all; single: there is one, of which each task needs its
-	// own part.
-	localityAware, singlePartPerTask bool
-	// lastBacklog and lastSlots are what a machine of the group had to bring already, and
-	// what that came to.
+
+	// lastGroup is the group that Slots was last asked for, and transfer what a task of it needs; transfer.bytes and
+	// transfer.fromStore hold for all its servers if singlePartPerTask is set, else for the last one.
+	lastGroup int
+	transfer  inputTransfer
+	// lastBacklog and lastSlots are the backlog of the server that Slots was last asked for, and its result.
 	lastBacklog float64
 	lastSlots   int
-	// lastGroup is the one that was looked at last; of a single input, bytes is its size and
-	// fromStore tells that nobody has it.
-	lastGroup int
-	partBytes float64
+}
+
+// inputTransfer is what must be copied to a machine before a task can start there.
+type inputTransfer struct {
+	bytes float64
+	// fromStore is true if no machine holds some of it.
 	fromStore bool
-	// spreadSeconds is how long its sources take to give its parts to one more machine.
+	// spreadSeconds is how long its sources take to give the task's own parts to one more machine.
 	spreadSeconds float64
-	// inFlight are the machines that its part is on its way to.
+	// inFlight is how many bytes have yet to reach each machine that the task's part is being copied to; nil if
+	// nothing is known of that.
 	inFlight map[replicas.MachineID]float64
 }
 
+// slotsOf returns the slots that the operators' policy counts for a wait in seconds.
 func (x *missingInputs) slotsOf(seconds float64) int {
 	if seconds == x.lastSeconds {
 		return x.lastSecondsSlots
 	}
-	n, ok := x.slotsBySeconds[seconds]
+	slots, ok := x.slotsBySeconds[seconds]
 	if !ok {
-		n = fetchPenalty(x.scheduler.configuration.Policy, seconds, x.slot)
-		x.slotsBySeconds[seconds] = n
+		slots = fetchPenalty(x.scheduler.configuration.Policy, seconds, x.slot)
+		x.slotsBySeconds[seconds] = slots
 	}
-	x.lastSeconds, x.lastSecondsSlots = seconds, n
-	return n
+	x.lastSeconds, x.lastSecondsSlots = seconds, slots
+	return slots
 }
 
-// Slots is for machines that are no holders of the group. Most machines have the same to
-// bring already, which is nothing, so the last answer mostly is the next one's.
+// Slots returns the wait for the inputs of a group's task on a server that does not hold all of them, in slots. Most
+// servers have the same backlog, none, so the last result mostly is the next one.
 func (x *missingInputs) Slots(group, server int) int {
-	if group == x.lastGroup && x.inFlight == nil && x.singlePartPerTask && x.backlog[server] == x.lastBacklog {
+	if group == x.lastGroup && x.transfer.inFlight == nil && x.singlePartPerTask && x.backlog[server] == x.lastBacklog {
 		return x.lastSlots
 	}
 	if !x.localityAware {
 		return 0
 	}
-	d := x.scheduler.datasets
+	datasets := x.scheduler.datasets
 	task := int(x.groups[group].Tasks[0])
 	if group != x.lastGroup {
-		x.lastGroup, x.spreadSeconds, x.inFlight = group, d.spreadSeconds(x.job, task), d.inFlightCopies(x.job, task)
+		x.lastGroup = group
+		x.transfer.spreadSeconds, x.transfer.inFlight = datasets.spreadSeconds(x.job, task), datasets.inFlightCopies(x.job, task)
 		if x.singlePartPerTask {
-			// What is no holder lacks it.
+			// A server that is no holder lacks all of it.
 			in := x.job.inputs[0]
-			x.partBytes, x.fromStore = float64(in.summary.PartBytes(task)), len(d.snapshot.Holders(in.name, task)) == 0
+			x.transfer.bytes, x.transfer.fromStore = float64(in.summary.PartBytes(task)), len(datasets.snapshot.Holders(in.name, task)) == 0
 		}
 	}
 	if !x.singlePartPerTask {
-		x.partBytes, x.fromStore = d.missingBytes(x.job, task, x.machineIDs[server])
+		x.transfer.bytes, x.transfer.fromStore = datasets.missingBytes(x.job, task, x.machineIDs[server])
 	}
-	n := 0
-	if x.partBytes > 0 {
-		n = x.slotsOf(d.transferSeconds(x.backlog[server], x.partBytes, x.fromStore, x.spreadSeconds, x.inFlight, x.machineIDs[server]))
+	slots := 0
+	if x.transfer.bytes > 0 {
+		slots = x.slotsOf(datasets.transferSeconds(x.machineIDs[server], x.backlog[server], x.transfer))
 	}
-	x.lastBacklog, x.lastSlots = x.backlog[server], n
-	return n
+	x.lastBacklog, x.lastSlots = x.backlog[server], slots
+	return slots
 }
 
-// Least is what the smallest input takes on the idlest link: a machine that is no holder
-// lacks one at least.
+// Least returns a lower bound of Slots for all servers that are no holders of a group: each lacks one input at least,
+// so the bound is the wait for the smallest on the link with the least backlog.
 func (x *missingInputs) Least(group int) int {
 	if !x.localityAware {
 		return 0
 	}
-	task, least := int(x.groups[group].Tasks[0]), math.Inf(1)
+	task := int(x.groups[group].Tasks[0])
+	leastBytes := math.Inf(1)
 	for _, in := range x.job.inputs {
 		if in.partPerTask {
-			least = min(least, float64(in.summary.PartBytes(task)))
-		} else {
-			least = min(least, float64(in.summary.Usual))
-			for _, b := range in.summary.Odd {
-				least = min(least, float64(b))
-			}
+			leastBytes = min(leastBytes, float64(in.summary.PartBytes(task)))
+			continue
+		}
+		leastBytes = min(leastBytes, float64(in.summary.Usual))
+		for _, partBytes := range in.summary.Odd {
+			leastBytes = min(leastBytes, float64(partBytes))
 		}
 	}
 	if len(x.scheduler.datasets.inFlightCopies(x.job, task)) > 0 {
 		return 0
 	}
-	return x.slotsOf(x.scheduler.datasets.planner.TransferDelay(x.leastBacklog, least, false))
+	return x.slotsOf(x.scheduler.datasets.planner.TransferDelay(x.leastBacklog, leastBytes, false))
 }
 
-// Rate is what an idle link brings of one task's inputs in a slot.
+// Rate returns for how many tasks of a group an idle link brings the inputs in a slot.
 func (x *missingInputs) Rate(group int) float64 {
 	if !x.localityAware {
 		return math.Inf(1)
 	}
-	d, bytes := x.scheduler.datasets, 0.0
+	bytes := 0.0
 	for _, in := range x.job.inputs {
 		if in.partPerTask {
 			bytes += float64(in.summary.PartBytes(int(x.groups[group].Tasks[0])))
 		}
 	}
-	if within := d.planner.TransferDelay(0, bytes, false); within > 0 {
-		return x.slot / within
+	if seconds := x.scheduler.datasets.planner.TransferDelay(0, bytes, false); seconds > 0 {
+		return x.slot / seconds
 	}
 	return math.Inf(1)
 }
 
-// Took counts what is to come to a machine now, for the jobs that follow in this round.
+// Took adds what tasks of a group lack on a server to its backlog, for the jobs that follow in this round.
 func (x *missingInputs) Took(group, server, tasks int) {
 	if !x.localityAware {
 		return
 	}
-	d := x.scheduler.datasets
-	bytes, _ := d.missingBytes(x.job, int(x.groups[group].Tasks[0]), x.machineIDs[server])
+	datasets := x.scheduler.datasets
+	bytes, _ := datasets.missingBytes(x.job, int(x.groups[group].Tasks[0]), x.machineIDs[server])
 	x.backlog[server] += bytes * float64(tasks)
 	x.lastBacklog = -1
-	d.planner.ReserveBytes(x.machineNames[server], bytes*float64(tasks))
+	datasets.planner.ReserveBytes(x.machineNames[server], bytes*float64(tasks))
 }
 
-// startCost is what a task would wait for on a machine: the one place that says so. Joins: an
-// image that is on its way there counts as held.
-func (s *Scheduler) startCost(job *jobState, task int, machine *machineState, joins bool) cost.Wait {
-	var w cost.Wait
-	if joins {
-		w.Image = machine.fetchSeconds(job)
-	} else {
-		w.Image = machine.FetchSeconds(job.Job.Image, job.Job.ImageGB)
-	}
-	d := s.datasets
-	if d == nil {
-		return w
-	}
-	if d.settings.Placement == features.Blind {
-		w.Image = 0
-	}
-	if len(job.inputs) == 0 || !d.localityAware() {
-		return w
-	}
-	id, ok := d.planner.ID(machine.Name)
+// startCost returns what a task would wait for on a machine, where an image that is on its way there costs as much as
+// any other. s.mu must be held.
+func (s *Scheduler) startCost(job *jobState, task int, machine *machineState) cost.Wait {
+	return s.waitWith(machine.FetchSeconds(job.Job.Image, job.Job.ImageGB), job, task, machine)
+}
+
+// sharedStartCost is startCost where an image that is on its way to the machine counts as held. s.mu must be held.
+func (s *Scheduler) sharedStartCost(job *jobState, task int, machine *machineState) cost.Wait {
+	return s.waitWith(machine.fetchSeconds(job), job, task, machine)
+}
+
+// waitWith returns what a task would wait for on a machine if its image took so many seconds to fetch there.
+// s.mu must be held.
+func (s *Scheduler) waitWith(imageSeconds float64, job *jobState, task int, machine *machineState) cost.Wait {
+	wait := cost.Wait{Image: imageSeconds}
+	datasets := s.datasets
+	if datasets == nil {
+		return wait
+	}
+	if datasets.settings.Placement == features.Blind {
+		wait.Image = 0
+	}
+	if len(job.inputs) == 0 || !datasets.localityAware() {
+		return wait
+	}
+	id, ok := datasets.planner.ID(machine.Name)
 	if !ok {
-		return w
+		return wait
 	}
-	bytes, fromStore := d.missingBytes(job, task, id)
+	bytes, fromStore := datasets.missingBytes(job, task, id)
 	if bytes > 0 {
-		w.Data = d.transferSeconds(d.planner.QueuedBytes(machine.Name), bytes, fromStore, d.spreadSeconds(job, task), d.inFlightCopies(job, task), id)
-	}
-	return w
+		wait.Data = datasets.transferSeconds(id, datasets.planner.QueuedBytes(machine.Name), inputTransfer{
+			bytes:         bytes,
+			fromStore:     fromStore,
+			spreadSeconds: datasets.spreadSeconds(job, task),
+			inFlight:      datasets.inFlightCopies(job, task),
+		})
+	}
+	return wait
 }
 
-// transferSeconds is how long a task's inputs take to a machine: behind what its link has to bring
-// already, and behind the machines that wait for the same parts, unless they are on their
-// way there as well. Like an image, a part that comes anyway costs the next task little.
-func (d *datasetState) transferSeconds(behind, bytes float64, fromStore bool, spread float64, coming map[replicas.MachineID]float64, id replicas.MachineID) float64 {
-	if left, ok := coming[id]; ok {
-		return d.planner.TransferDelay(max(0, behind-left), left, false)
-	}
-	return max(spread, d.planner.TransferDelay(behind, bytes, fromStore))
+// transferSeconds returns how long a task's inputs take to a machine: after the bytes of its link's backlog, and
+// after the machines that wait for the same parts, unless the parts are on their way there already. Like an image,
+// a part that is copied anyway costs the next task little.
+func (d *datasetState) transferSeconds(id replicas.MachineID, backlog float64, transfer inputTransfer) float64 {
+	if left, ok := transfer.inFlight[id]; ok {
+		return d.planner.TransferDelay(max(0, backlog-left), left, false)
+	}
+	return max(transfer.spreadSeconds, d.planner.TransferDelay(backlog, transfer.bytes, transfer.fromStore))
 }
 
-// inFlightCopies are the machines that a task's part is on its way to, for a job that needs
-// nothing else.
+// inFlightCopies returns the machines that a task's part is being copied to, with the bytes that they still lack;
+// nil unless the part is all that the task needs. The map must not be changed.
 func (d *datasetState) inFlightCopies(job *jobState, task int) map[replicas.MachineID]float64 {
 	if len(job.inputs) == 1 && job.inputs[0].partPerTask && job.inputs[0].summary != nil {
 		return d.planner.InFlight(job.inputs[0].name, task)
@@ -191,19 +218,17 @@
 	return nil
 }
 
-// spreadSeconds is how long a task's own parts take until one more machine has them, as many as
-// wait for them already, in seconds.
-func (d *datasetState) spreadSeconds(job *jobState, task int) (within float64) {
+// spreadSeconds returns how long the sources of a task's own parts take until one more machine has them, in seconds.
+func (d *datasetState) spreadSeconds(job *jobState, task int) (seconds float64) {
 	for _, in := range job.inputs {
 		if in.partPerTask && in.summary != nil {
-			within = max(within, d.planner.Spread(in.summary, task, len(d.snapshot.Holders(in.name, task))))
+			seconds = max(seconds, d.planner.Spread(in.summary, task, len(d.snapshot.Holders(in.name, task))))
 		}
 	}
-	return within
+	return seconds
 }
 
-// missingBytes is how many bytes of a task's inputs a machine lacks, and whether some of them
-// are on no machine.
+// missingBytes returns how many bytes of a task's inputs a machine lacks, and whether no machine holds some of them.
 func (d *datasetState) missingBytes(job *jobState, task int, id replicas.MachineID) (bytes float64, fromStore bool) {
 	for _, in := range job.inputs {
 		switch {
@@ -214,8 +239,8 @@
 				fromStore = fromStore || len(d.snapshot.Holders(in.name, task)) == 0
 			}
 		default:
-			if lacks := in.summary.Parts - d.snapshot.Count(id, in.name); lacks > 0 {
-				bytes += float64(in.summary.Bytes) * float64(lacks) / float64(in.summary.Parts)
+			if missingParts := in.summary.Parts - d.snapshot.Count(id, in.name); missingParts > 0 {
+				bytes += float64(in.summary.Bytes) * float64(missingParts) / float64(in.summary.Parts)
 				fromStore = fromStore || len(d.snapshot.Complete(in.name)) == 0
 			}
 		}
@@ -223,36 +248,38 @@
 	return bytes, fromStore
 }
 
-// holders are the machines, by their numbers and in order, that hold all inputs of a task.
-func (d *datasetState) holders(job *jobState, task int) (out []replicas.MachineID) {
+// holders returns the machines that hold all inputs of a task, ascending.
+func (d *datasetState) holders(job *jobState, task int) (common []replicas.MachineID) {
 	for i, in := range job.inputs {
-		on := d.snapshot.Complete(in.name)
+		holders := d.snapshot.Complete(in.name)
 		if in.partPerTask {
-			on = d.snapshot.Holders(in.name, task)
+			holders = d.snapshot.Holders(in.name, task)
 		}
 		if i == 0 {
-			out = on
+			common = holders
 			continue
 		}
-		both := []replicas.MachineID{}
-		for _, m := range out {
-			if _, ok := slices.BinarySearch(on, m); ok {
-				both = append(both, m)
+		// The lists belong to the snapshot, so the intersection is a new one.
+		intersection := []replicas.MachineID{}
+		for _, id := range common {
+			if _, ok := slices.BinarySearch(holders, id); ok {
+				intersection = append(intersection, id)
 			}
 		}
-		out = both
+		common = intersection
 	}
-	return out
+	return common
 }
 
-// mayStage tells whether a machine can be given tasks of a job as far as its inputs go.
+// mayStage reports whether a machine may get tasks of a job as far as its inputs go: they can be copied there.
+// s.mu must be held.
 func (s *Scheduler) mayStage(job *jobState, machine *machineState) bool {
 	return len(job.inputs) == 0 || s.datasets != nil && s.datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
 }
 
-// placeByLocality is the water-filling of a job with inputs: its tasks in groups by the machines
-// that hold what they need, the others with their busy time raised by what copying the
-// rest takes as links are loaded now.
+// placeByLocality is waterFill for a job with inputs: its tasks in groups by the machines that hold what they need,
+// the busy time of the others raised by what copying the rest takes over the links as they are loaded now.
+// s.mu must be held.
 func (s *Scheduler) placeByLocality(job *jobState) {
 	missing := s.newMissingInputs(job)
 	machines, servers, indexByID := s.localityServers(job, missing)
@@ -343,8 +370,8 @@
 	})
 }
 
-// nextTask is the first task of a queue that may start on a machine: the first one whose
-// inputs are there; -1: none.
+// nextTask returns the index of the first task in a queue whose inputs are staged on a machine; -1 if there is none.
+// The queue must not be empty. s.mu must be held.
 func (s *Scheduler) nextTask(queue *runQueue, machine *machineState) int {
 	if len(queue.job.inputs) == 0 {
 		return 0
@@ -397,9 +424,9 @@
 // where it is, but for its inputs, moves only to where it needs none copied; and one that must wait for a copy or
 // its image there moves only after its job has waited in proportion. s.mu must be held.
 func (s *Scheduler) gainsByMove(job *jobState, task int, source, target *machineState, couldStart bool) bool {
-	wait := s.startCost(job, task, target, true)
+	wait := s.sharedStartCost(job, task, target)
 	seconds := wait.Seconds()
-	if couldStart && (wait.Data > 0 || s.startCost(job, task, source, true).Data == 0) {
+	if couldStart && (wait.Data > 0 || s.sharedStartCost(job, task, source).Data == 0) {
 		return false
 	}
 	return seconds <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*seconds
--- a/controller/placement_round.go
+++ b/controller/placement_round.go
@@ -38,7 +38,7 @@
 // s.mu must be held.
 func (s *Scheduler) prepareRound() {
 	s.sortQueues()
-	s.quotas.Reserve(s.roundTime, quotaDemands(s.jobOrder, s.configuration.Limit, s.usage, s.startableNow))
+	s.quotas.Reserve(s.roundTime, s.quotaDemands())
 	for _, machine := range s.machines {
 		if len(machine.queues) > 0 && !s.schedulable(machine) {
 			for _, queue := range machine.queues {
@@ -177,7 +177,7 @@
 		if server.Mu <= 0 {
 			continue
 		}
-		wait := s.startCost(job, 0, machine, true).Seconds()
+		wait := s.sharedStartCost(job, 0, machine).Seconds()
 		slots, known := penalties[wait]
 		if !known {
 			slots = fetchPenalty(s.configuration.Policy, wait, slotS)
@@ -356,7 +356,7 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b *machineState) int {
-		return cmp.Or(cmp.Compare(s.startCost(job, 0, a, true).Seconds(), s.startCost(job, 0, b, true).Seconds()),
+		return cmp.Or(cmp.Compare(s.sharedStartCost(job, 0, a).Seconds(), s.sharedStartCost(job, 0, b).Seconds()),
 			cmp.Compare(a.free().CPUs, b.free().CPUs))
 	})
 	return out
@@ -366,7 +366,7 @@
 // task off a holder's queue: once the job has waited as long as the fetch takes,
 // so that at worst it waits twice what was best.
 func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
-	f := s.startCost(job, 0, machine, true).Seconds()
+	f := s.sharedStartCost(job, 0, machine).Seconds()
 	return f <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*f
 }
 
--- a/controller/quotas.go
+++ b/controller/quotas.go
@@ -10,42 +10,46 @@
 	"switchferry/quota"
 )
 
-// withinQuota tells whether a job's team may use one more task's worth, beside what is reserved for another job that
-// goes before it (package quota).
+// withinQuota reports whether a job's team may use one more task's resources, beside what is reserved for another
+// job that comes before it (package quota). s.mu must be held.
 func (s *Scheduler) withinQuota(job *jobState) bool {
-	limit, ok := s.configuration.Limit(job.Job.Team)
+	team := job.Job.Team
+	limit, ok := s.configuration.Limit(team)
 	if !ok {
 		return false
 	}
-	use := s.usage[job.Job.Team].Add(job.request)
-	if r, ok := s.quotas.Reservation(job.Job.Team); ok && r.ID != job.id {
-		if o := s.jobs[r.ID]; o != nil && compareJobs(o, job) < 0 {
-			use = use.Add(r.Resources)
+	use := s.usage[team].Add(job.request)
+	if reservation, ok := s.quotas.Reservation(team); ok && reservation.ID != job.id {
+		if holder := s.jobs[reservation.ID]; holder != nil && compareJobs(holder, job) < 0 {
+			use = use.Add(reservation.Resources)
 		}
 	}
 	return limit.Allows(use)
 }
 
-// quotaDemands are those of the jobs that go before others in their teams, by rank or age, and wait.
-func quotaDemands(jobs []*jobState, limitOf func(string) (quota.Limit, bool), use map[string]fleet.Resources, ready func(*jobState) bool) (out []quota.Demand) {
-	stays := map[string]fleet.Resources{}
-	for _, job := range jobs {
+// quotaDemands returns the demands of waiting jobs that come before others of their teams, by rank or because they
+// are starved. s.mu must be held.
+func (s *Scheduler) quotaDemands() (demands []quota.Demand) {
+	// services is what replicas use: it is not released for other jobs.
+	services := map[string]fleet.Resources{}
+	for _, job := range s.jobOrder {
 		if job.Job.Shape == api.Service {
-			stays[job.Job.Team] = stays[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
+			services[job.Job.Team] = services[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
 		}
 	}
-	for _, job := range jobs {
-		limit, ok := limitOf(job.Job.Team)
-		if !ok || job.precedence() == 0 || len(job.pending)+job.queued == 0 || !ready(job) {
+	for _, job := range s.jobOrder {
+		team := job.Job.Team
+		limit, ok := s.configuration.Limit(team)
+		if !ok || job.precedence() == 0 || len(job.pending)+job.queued == 0 || !s.startableNow(job) {
 			continue
 		}
-		need := job.request
+		request := job.request
 		if job.Job.Shape == api.Gang {
-			need = need.Scale(len(job.pending))
+			request = request.Scale(len(job.pending))
 		}
-		out = append(out, quota.Demand{Team: job.Job.Team, ID: job.id, Limit: limit, Request: need, Use: use[job.Job.Team], Permanent: stays[job.Job.Team]})
+		demands = append(demands, quota.Demand{Team: team, ID: job.id, Limit: limit, Request: request, Use: s.usage[team], Permanent: services[team]})
 	}
-	return out
+	return demands
 }
 
 // stopOverLimit stops tasks of teams that use more than their lowered limit, if the configuration says so.
--- a/controller/services_gangs.go
+++ b/controller/services_gangs.go
@@ -83,7 +83,7 @@
 // replicaScore returns what a replica of a service costs on a machine with free resources, in seconds.
 // s.mu must be held.
 func (s *Scheduler) replicaScore(job *jobState, task int, machine *machineState) float64 {
-	score := s.startCost(job, task, machine, false).Seconds()
+	score := s.startCost(job, task, machine).Seconds()
 	if job.site != nil {
 		score += tuning.SitePrice * job.site.Cost(machine.Name)
 	}
@@ -117,7 +117,7 @@
 		keepsMachines = keepsMachines && s.intendedMachine(job, int(task)) != nil
 	}
 	slices.SortStableFunc(machines, func(a, b *machineState) int {
-		return int(s.startCost(job, 0, a, false).Seconds() - s.startCost(job, 0, b, false).Seconds())
+		return int(s.startCost(job, 0, a).Seconds() - s.startCost(job, 0, b).Seconds())
 	})
 	allocations, abandoned := s.allocateGang(job, machines, keepsMachines)
 	if abandoned {
