--- a/controller/candidates.go
+++ b/controller/candidates.go
@@ -6,85 +6,93 @@
 	"strings"
 )
 
-// candidate is a machine where room can be made, and what that costs.
+// candidate is a machine on which one task of a job can start, by preemption if need be.
 type candidate struct {
-	machine          *machineState
+	machine *machineState
+	// leaving are allocations that are being stopped already, victims those that would be.
 	leaving, victims []*allocation
-	score            float64
+	// score is what the start costs, in seconds unless the caller says otherwise.
+	score float64
 }
 
-// candidateHeap are the machines where room can be made for a job, cheapest first.
-// They are looked at once for the job, not once for each of its tasks: a fleet
-// of hundreds of machines and an array of hundreds of tasks would otherwise take
-// the leader's whole processor. That is exact, since what is done on one machine
-// makes no other one cheaper.
+// candidateHeap is a heap (container/heap) of the machines on which tasks of one job can start, cheapest first. The
+// fleet is searched once for the job, not once for each of its tasks: a fleet of hundreds of machines and an array of
+// hundreds of tasks would otherwise take the leader's whole processor. That is exact, since what is done on one
+// machine makes no other one cheaper.
 type candidateHeap []candidate
 
-func (o candidateHeap) Len() int { return len(o) }
+// Len implements heap.Interface.
+func (h candidateHeap) Len() int { return len(h) }
 
-func (o candidateHeap) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(o[a].score, o[b].score), strings.Compare(o[a].machine.Name, o[b].machine.Name)) < 0
+// Less implements heap.Interface.
+func (h candidateHeap) Less(a, b int) bool {
+	return cmp.Or(cmp.Compare(h[a].score, h[b].score), strings.Compare(h[a].machine.Name, h[b].machine.Name)) < 0
 }
 
-func (o candidateHeap) Swap(a, b int) { o[a], o[b] = o[b], o[a] }
+// Swap implements heap.Interface.
+func (h candidateHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (o *candidateHeap) Push(x any) { *o = append(*o, x.(candidate)) }
+// Push implements heap.Interface.
+func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
-func (o *candidateHeap) Pop() any {
-	last := len(*o) - 1
-	x := (*o)[last]
-	*o = (*o)[:last]
-	return x
+// Pop implements heap.Interface.
+func (h *candidateHeap) Pop() any {
+	last := len(*h) - 1
+	popped := (*h)[last]
+	*h = (*h)[:last]
+	return popped
 }
 
-// candidateOn is what room for one task of a job costs on a machine.
+// candidateOn returns what the start of one task of a job costs on a machine; false if none can start there, or, for a
+// job with inputs, if none is staged there. s.mu must be held.
 func (s *Scheduler) candidateOn(job *jobState, machine *machineState) (candidate, bool) {
 	if !s.eligible(job, machine) || !satisfiesSpread(job, machine) || len(job.inputs) > 0 && !s.hasStaged(job, machine) {
 		return candidate{}, false
 	}
-	out, victims, ok := s.findVictims(job, machine)
+	leaving, victims, ok := s.findVictims(job, machine)
 	if !ok {
 		return candidate{}, false
 	}
-	// Only machines that have a task's inputs are looked at.
+	// Inputs cost nothing here: they are staged.
 	score := s.sharedStartCost(job, 0, machine).Image
 	for _, alloc := range victims {
 		score += float64(s.preemptionLoss(alloc)) / 1000
 	}
-	return candidate{machine, out, victims, score}, true
+	return candidate{machine, leaving, victims, score}, true
 }
 
-func (s *Scheduler) candidates(job *jobState, all []*machineState) *candidateHeap {
-	o := &candidateHeap{}
-	for _, machine := range all {
-		if x, ok := s.candidateOn(job, machine); ok {
-			*o = append(*o, x)
+// candidates returns the machines on which a task of a job can start. s.mu must be held.
+func (s *Scheduler) candidates(job *jobState, machines []*machineState) *candidateHeap {
+	candidates := &candidateHeap{}
+	for _, machine := range machines {
+		if found, ok := s.candidateOn(job, machine); ok {
+			*candidates = append(*candidates, found)
 		}
 	}
-	heap.Init(o)
-	return o
+	heap.Init(candidates)
+	return candidates
 }
 
-// bestCandidate takes the cheapest option that still stands. The caller puts the machine
-// back once it has used it.
-func (s *Scheduler) bestCandidate(job *jobState, o *candidateHeap) (candidate, bool) {
-	for o.Len() > 0 {
-		x := heap.Pop(o).(candidate)
-		now, ok := s.candidateOn(job, x.machine)
+// bestCandidate removes and returns the cheapest machine as things are now; false if none is left. The caller puts it
+// back by pushCandidate once it has used it. s.mu must be held.
+func (s *Scheduler) bestCandidate(job *jobState, candidates *candidateHeap) (candidate, bool) {
+	for candidates.Len() > 0 {
+		stale := heap.Pop(candidates).(candidate)
+		current, ok := s.candidateOn(job, stale.machine)
 		if !ok {
 			continue
 		}
-		if now.score <= x.score || o.Len() == 0 || now.score <= (*o)[0].score {
-			return now, true
+		if current.score <= stale.score || candidates.Len() == 0 || current.score <= (*candidates)[0].score {
+			return current, true
 		}
-		heap.Push(o, now)
+		heap.Push(candidates, current)
 	}
 	return candidate{}, false
 }
 
-// pushCandidate puts a machine back after its use.
-func (s *Scheduler) pushCandidate(job *jobState, machine *machineState, o *candidateHeap) {
-	if x, ok := s.candidateOn(job, machine); ok {
-		heap.Push(o, x)
+// pushCandidate puts a machine back after its use, if one more task can start there. s.mu must be held.
+func (s *Scheduler) pushCandidate(job *jobState, machine *machineState, candidates *candidateHeap) {
+	if found, ok := s.candidateOn(job, machine); ok {
+		heap.Push(candidates, found)
 	}
 }
--- a/controller/constraints.go
+++ b/controller/constraints.go
@@ -5,13 +5,14 @@
 	"switchferry/tuning"
 )
 
-// satisfiesConstraints tells whether a job's tasks may ever run on a machine.
+// satisfiesConstraints reports whether a job's tasks may ever run on a machine: its type, zone and kind are allowed.
+// The machine's type must be known.
 func satisfiesConstraints(job *jobState, machine *machineState) bool {
 	return machine.Spec.Fits(&job.Job) && (job.Job.Zone == "" || job.Job.Zone == machine.Zone) && (!machine.Spot || job.Job.Spot)
 }
 
-// satisfiesSpread tells whether one more task may start in a machine's zone, given
-// where the others are or may be.
+// satisfiesSpread reports whether one more task of a job may start on a machine, given where its other tasks are or
+// may be: a job may have to be in one zone, or spread over zones or domains. s.mu must be held.
 func satisfiesSpread(job *jobState, machine *machineState) bool {
 	if job.site != nil && !job.site.Allows(machine.Name) {
 		return false
@@ -19,19 +20,19 @@
 	if !job.Job.OneZone && !job.Job.Spread {
 		return true
 	}
-	here := 0
+	inZone := 0
 	for _, alloc := range job.allocations {
 		switch {
 		case alloc.machine.Zone == machine.Zone:
-			here++
+			inZone++
 		case job.Job.OneZone:
 			return false
 		case alloc.machine.Zone == "":
-			// JobStatus from a record only, it may be in this zone.
-			here++
+			// The machine is known from a record only, and may be in this zone.
+			inZone++
 		}
 	}
-	return !job.Job.Spread || here < (job.taskCount+1)/2
+	return !job.Job.Spread || inZone < (job.taskCount+1)/2
 }
 
 // eligible reports whether a machine may get tasks of a job now, free resources, zones, inputs and quota apart.
--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -136,7 +136,7 @@
 	return parts
 }
 
-// demandsData tells whether any job here has inputs.
+// demandsData reports whether any job has inputs. s.mu must be held.
 func (s *Scheduler) demandsData() bool {
 	return slices.ContainsFunc(s.jobOrder, func(job *jobState) bool { return len(job.inputs) > 0 })
 }
@@ -180,8 +180,8 @@
 	return silent, full
 }
 
-// takeStaged takes a task of the job that could start on a machine out of that machine's
-// queue; -1: none. Nothing is stopped to make room for a task that would only wait there.
+// takeStaged removes from a machine's queue the first task of a job whose inputs are staged there, and returns it; -1
+// if there is none. Nothing is preempted for a task that would only wait there. s.mu must be held.
 func (s *Scheduler) takeStaged(job *jobState, machine *machineState) int {
 	if queue, i := s.firstStaged(job, machine); i >= 0 {
 		return queue.removeAt(i)
@@ -189,8 +189,8 @@
 	return -1
 }
 
-// firstStaged is where in a machine's queue the first task of the job stands that could start
-// there; -1: nowhere.
+// firstStaged returns a job's queue on a machine and the index of the first task whose inputs are staged there; -1 if
+// there is none. s.mu must be held.
 func (s *Scheduler) firstStaged(job *jobState, machine *machineState) (*runQueue, int) {
 	for _, queue := range machine.queues {
 		if queue.job == job {
@@ -200,13 +200,14 @@
 	return nil, -1
 }
 
+// hasStaged reports whether a task of a job is queued on a machine with its inputs staged. s.mu must be held.
 func (s *Scheduler) hasStaged(job *jobState, machine *machineState) bool {
 	_, i := s.firstStaged(job, machine)
 	return i >= 0
 }
 
-// intendedMachine is the machine that a replica or a gang's task waits for, while its inputs are
-// copied there.
+// intendedMachine returns the machine that inputs of a service's or a gang's task are being copied to; nil if there is
+// none, or if it may not take the task any more, in which case it is forgotten. s.mu must be held.
 func (s *Scheduler) intendedMachine(job *jobState, task int) *machineState {
 	machine := job.intendedMachines[task]
 	if machine == nil || s.machines[machine.Name] != machine || !s.eligible(job, machine) || !s.mayStage(job, machine) || !satisfiesSpread(job, machine) {
@@ -216,6 +217,7 @@
 	return machine
 }
 
+// setIntendedMachine notes the machine that inputs of a task are to be copied to. s.mu must be held.
 func (j *jobState) setIntendedMachine(task int, machine *machineState) {
 	if j.intendedMachines == nil {
 		j.intendedMachines = map[int]*machineState{}
@@ -223,26 +225,26 @@
 	j.intendedMachines[task] = machine
 }
 
-// HandleStageHeartbeat takes in an agent's report and gives its order. Deposed: the agent has seen a
-// higher term. ConnectionRefused: its machine was returned.
-func (s *Scheduler) HandleStageHeartbeat(r *api.StageHeartbeat) (o api.StageOrder, deposed, refused bool) {
+// HandleStageHeartbeat applies a data agent's heartbeat and returns the agent's order. Deposed is true if the agent has
+// seen a higher term, refused if its machine was released or datasets are off; the order is empty then.
+func (s *Scheduler) HandleStageHeartbeat(heartbeat *api.StageHeartbeat) (order api.StageOrder, deposed, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Term > s.term {
-		return o, true, false
+	if heartbeat.Term > s.term {
+		return order, true, false
 	}
-	if _, gone := s.releasedAt[r.Machine]; gone || s.datasets == nil {
-		return o, false, true
+	if _, gone := s.releasedAt[heartbeat.Machine]; gone || s.datasets == nil {
+		return order, false, true
 	}
-	if s.datasets.planner.ApplyHeartbeat(r, s.now()) {
-		s.agentReachedDirectly(r.Machine)
+	if s.datasets.planner.ApplyHeartbeat(heartbeat, s.now()) {
+		s.agentReachedDirectly(heartbeat.Machine)
 		s.wakePlacer()
 	}
-	o, _, ok := s.datasets.planner.Order(r.Machine)
+	order, _, ok := s.datasets.planner.Order(heartbeat.Machine)
 	if !ok || !s.loaded || !s.hooks.Leading() {
-		// What runs there is not known yet, or we may not lead: nothing may be let go. An
-		// order of number 0 changes nothing.
-		o = api.StageOrder{Term: r.Term, Sets: []api.StageSet{}}
+		// What runs there is not known yet, or we may not lead: nothing may be evicted. An order of number 0 changes
+		// nothing.
+		order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
 	}
-	return o, false, false
+	return order, false, false
 }
--- a/controller/dependencies.go
+++ b/controller/dependencies.go
@@ -12,25 +12,25 @@
 	"switchferry/tuning"
 )
 
-// dependencies ties the jobs of a term to the graph of those that wait. Everything in it follows from
-// records: who awaits whom stands in the job's own, that one is done or cancelled in that one's.
-// So a cancellation needs no record but its own: the jobs after it are cancelled from then on,
-// whoever is asked, and what is written of them is for the readers' convenience. The core's lock
-// is held.
+// dependencies connects the jobs of a term to the graph of those that wait for others. Everything in it follows from
+// records: a job's dependencies from its own, that one of them is done or cancelled from that one's. So a cancellation
+// needs no record but that of the cancelled job: its dependants are cancelled from then on, whichever controller is
+// asked, and their own final records only make that cheaper to read. Scheduler.mu must be held for all methods.
 type dependencies struct {
 	scheduler *Scheduler
 	graph     *dag.Graph
-	// missing are awaited jobs that this leader does not know; ask tells that there are more.
+	// missing are dependencies that this leader does not know; lookupNeeded receives when there are more.
 	missing      map[string]bool
 	lookupNeeded chan struct{}
 }
 
+// newDependencies returns an empty graph for the jobs of a scheduler.
 func newDependencies(sched *Scheduler) *dependencies {
 	return &dependencies{scheduler: sched, graph: dag.New(), missing: map[string]bool{}, lookupNeeded: make(chan struct{}, 1)}
 }
 
-// terminalState is the final state of a job that is on record; known: the job is. A final state that is
-// only decided does not count.
+// terminalState returns the final state of a job that is on record, empty if there is none; known reports whether this
+// leader knows the job. A final state that is decided and not on record yet does not count.
 func (p *dependencies) terminalState(id string) (state string, known bool) {
 	if job := p.scheduler.jobs[id]; job != nil {
 		if job.terminalStored {
@@ -38,60 +38,61 @@
 		}
 		return "", true
 	}
-	f, ok := p.scheduler.hooks.TerminalState(id)
-	return f.State, ok
+	final, ok := p.scheduler.hooks.TerminalState(id)
+	return final.State, ok
 }
 
-// add looks what an accepted job awaits. True: it waits, or is over with a cancelled one.
+// add adds an accepted job with the dependencies that are not done. It reports whether the job's tasks may not start:
+// the job waits, or it was cancelled with one of its dependencies.
 func (p *dependencies) add(job *jobState) bool {
 	if job.completedCount > 0 || len(job.allocations) > 0 {
-		// That one of its tasks was given to a machine proves that all it awaits was done.
+		// That one of its tasks was allocated proves that all its dependencies were done.
 		return false
 	}
-	var open []string
-	for _, id := range job.Job.Awaits {
-		state, known := p.terminalState(id)
+	var unfinished []string
+	for _, dependency := range job.Job.Awaits {
+		state, known := p.terminalState(dependency)
 		switch {
 		case state == api.Cancelled:
-			p.cancel(job, id)
+			p.cancel(job, dependency)
 			return true
 		case state == api.Done:
 			continue
 		case !known:
-			p.requestLookup(id)
+			p.requestLookup(dependency)
 		}
-		open = append(open, id)
+		unfinished = append(unfinished, dependency)
 	}
-	if len(open) == 0 {
+	if len(unfinished) == 0 {
 		return false
 	}
-	p.graph.Add(job.id, open)
+	p.graph.Add(job.id, unfinished)
 	job.waitsForDependencies = true
 	return true
 }
 
-// hasUnknown tells whether a job before one has yet to be looked up: it may be cancelled, and the
-// one's user may have been told so by an earlier leader, so the records answer for it meanwhile.
+// hasUnknown reports whether a dependency of a job, direct or not, has yet to be looked up: it may be cancelled, and an
+// earlier leader may have told the job's user so. Until then the records answer for the job.
 func (p *dependencies) hasUnknown(job *jobState) bool {
 	if !job.waitsForDependencies || len(p.missing) == 0 {
 		return false
 	}
 	seen := map[string]bool{}
-	for todo := []string{job.id}; len(todo) > 0; todo = todo[1:] {
-		for _, id := range p.graph.Dependencies(todo[0]) {
-			if p.missing[id] {
+	for unvisited := []string{job.id}; len(unvisited) > 0; unvisited = unvisited[1:] {
+		for _, dependency := range p.graph.Dependencies(unvisited[0]) {
+			if p.missing[dependency] {
 				return true
 			}
-			if !seen[id] {
-				seen[id] = true
-				todo = append(todo, id)
+			if !seen[dependency] {
+				seen[dependency] = true
+				unvisited = append(unvisited, dependency)
 			}
 		}
 	}
 	return false
 }
 
-// requestLookup has an unknown awaited job looked up.
+// requestLookup asks for the final state of a dependency that this leader does not know.
 func (p *dependencies) requestLookup(id string) {
 	p.missing[id] = true
 	select {
@@ -100,32 +101,33 @@
 	}
 }
 
-// onTerminal: a job's final state is on record, so those that await it start, or end with it.
+// onTerminal handles a job's final state that is on record now: its dependants may start if it was their last
+// dependency, or are cancelled with it.
 func (p *dependencies) onTerminal(id, state string) {
-	sought := p.missing[id]
+	lookedUp := p.missing[id]
 	delete(p.missing, id)
 	if state == api.Done {
-		for _, next := range p.graph.Complete(id) {
-			p.release(next, sought)
+		for _, dependant := range p.graph.Complete(id) {
+			p.release(dependant, lookedUp)
 		}
 		return
 	}
-	for _, next := range p.graph.Cancel(id) {
-		if job := p.scheduler.jobs[next]; job != nil && job.FinalState == "" {
+	for _, dependant := range p.graph.Cancel(id) {
+		if job := p.scheduler.jobs[dependant]; job != nil && job.FinalState == "" {
 			p.cancel(job, id)
 		}
 	}
 }
 
-// release lets a job start. Sought: what it awaited was looked up, so it may have been over long ago,
-// under an earlier leader, and the job may have waited since.
-func (p *dependencies) release(id string, sought bool) {
+// release lets a job start whose dependencies are all done. LookedUp tells that the last one was looked up: it may have
+// been done long ago, under an earlier leader, so the job counts as waiting since its submission.
+func (p *dependencies) release(id string, lookedUp bool) {
 	job := p.scheduler.jobs[id]
 	if job == nil || job.FinalState != "" {
 		return
 	}
 	job.waitsForDependencies, job.learnedAt, job.eligibleAt = false, p.scheduler.now(), p.scheduler.now().UnixMilli()
-	if !sought {
+	if !lookedUp {
 		job.waitingSince = job.learnedAt
 	}
 	slog.Debug("job may start", "job", id, "waited", time.Duration(job.eligibleAt-job.At)*time.Millisecond)
@@ -133,56 +135,55 @@
 	p.scheduler.wakePlacer()
 }
 
-// cancel ends a job with a cancelled one that it awaits, directly or through others. Nothing
-// of it has started, so its final record is all that there is to write.
-func (p *dependencies) cancel(job *jobState, with string) {
+// cancel cancels a job whose dependency, direct or not, is cancelled. Nothing of it has started, so that its final record
+// is all that there is to write.
+func (p *dependencies) cancel(job *jobState, dependency string) {
 	sched := p.scheduler
 	job.waitsForDependencies = false
 	job.setTerminal(sched, api.Cancelled)
-	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", job.FinalState, "with", with)
+	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", job.FinalState, "with", dependency)
 	for _, alloc := range job.allocations {
-		// Only a damaged record says so.
+		// Only with a damaged record can there be any.
 		sched.stopTask(alloc, tuning.CancelKill, "cancelled")
 	}
 	sched.terminalStored(job)
 }
 
-// inheritUrgency brings down to each job the rank and the due times of those behind it. A rank is
-// not raised to that of production, which no pipeline may starve. Cpus are those of the fleet
-// that is up.
-func (p *dependencies) inheritUrgency(cpus float64) {
+// inheritUrgency gives each job the rank and the deadlines of its dependants, where they are more urgent than its own. A
+// rank is not raised to that of production, which no pipeline may starve. FleetCPUs are those of machines that are up.
+func (p *dependencies) inheritUrgency(fleetCPUs float64) {
 	sched := p.scheduler
-	got := p.graph.Inherit(func(id string) (dag.Stage, bool) {
+	stages := p.graph.Inherit(func(id string) (dag.Stage, bool) {
 		job := sched.jobs[id]
 		if job == nil || job.FinalState != "" {
 			return dag.Stage{}, false
 		}
-		return dag.Stage{Rank: job.Job.RankLevel(), TakesMS: p.durationMS(job, cpus), DuesMS: sched.deadlines(job)}, true
+		return dag.Stage{Rank: job.Job.RankLevel(), TakesMS: p.durationMS(job, fleetCPUs), DuesMS: sched.deadlines(job)}, true
 	})
 	for _, job := range sched.jobOrder {
-		job.inherited = got[job.id]
+		job.inherited = stages[job.id]
 		job.rank = max(job.Job.RankLevel(), min(job.inherited.Rank, api.RankProduction-1))
 	}
 }
 
-// durationMS is how long a job that waits needs once it may start, in ms: a fetch, and its tasks in as
-// many waves as the fleet, all of it, lets them have.
-func (p *dependencies) durationMS(job *jobState, cpus float64) int64 {
+// durationMS returns how long a job that waits needs once it may start, in ms: a fetch of its image, and its tasks in as
+// many waves as they need if they have the whole fleet.
+func (p *dependencies) durationMS(job *jobState, fleetCPUs float64) int64 {
 	waves := 1.0
-	if cpus > 0 {
-		waves = max(1, float64(job.taskCount-job.completedCount)*job.request.CPUs/cpus)
+	if fleetCPUs > 0 {
+		waves = max(1, float64(job.taskCount-job.completedCount)*job.request.CPUs/fleetCPUs)
 	}
-	pull, n := 0.0, 0.0
-	for _, t := range p.scheduler.machineTypes {
-		if t.Fits(&job.Job) && t.PullGBs > 0 {
-			pull, n = pull+t.PullGBs, n+1
+	totalPullGBs, types := 0.0, 0.0
+	for _, machineType := range p.scheduler.machineTypes {
+		if machineType.Fits(&job.Job) && machineType.PullGBs > 0 {
+			totalPullGBs, types = totalPullGBs+machineType.PullGBs, types+1
 		}
 	}
-	fetch := 0.0
-	if n > 0 {
-		fetch = job.Job.ImageGB / (pull / n)
+	fetchSeconds := 0.0
+	if types > 0 {
+		fetchSeconds = job.Job.ImageGB / (totalPullGBs / types)
 	}
-	return tuning.StageGapMS + int64(1000*(fetch+waves*estimate(job)))
+	return tuning.StageGapMS + int64(1000*(fetchSeconds+waves*estimate(job)))
 }
 
 // startsSoon reports whether machines for a job that waits should be requested already: all its dependencies run, and
@@ -211,36 +212,37 @@
 	return true
 }
 
-// waitReasons says what a job waits for.
-func (p *dependencies) waitReasons(job *jobState) (why []string) {
+// waitReasons returns what a job waits for, one dependency each, for operators and users.
+func (p *dependencies) waitReasons(job *jobState) (reasons []string) {
 	for _, id := range p.graph.Dependencies(job.id) {
 		state := "is not over"
-		switch o := p.scheduler.jobs[id]; {
-		case o == nil:
+		switch dependency := p.scheduler.jobs[id]; {
+		case dependency == nil:
 			state = "is being looked up"
-		case o.waitsForDependencies:
+		case dependency.waitsForDependencies:
 			state = fmt.Sprintf("waits itself for %s", strings.Join(p.graph.Dependencies(id), ", "))
-		case o.FinalState != "":
+		case dependency.FinalState != "":
 			state = "is over; its record is being stored"
 		default:
-			state = fmt.Sprintf("has %d of %d tasks done", o.completedCount, o.taskCount)
+			state = fmt.Sprintf("has %d of %d tasks done", dependency.completedCount, dependency.taskCount)
 		}
-		why = append(why, fmt.Sprintf("it awaits %s, which %s", id, state))
+		reasons = append(reasons, fmt.Sprintf("it awaits %s, which %s", id, state))
 	}
-	return why
+	return reasons
 }
 
-// makeEligible makes all tasks of a job wait for machines that are neither done nor on one.
+// makeEligible makes all tasks of a job pending that are neither done nor allocated. No task may be queued.
+// Scheduler.mu must be held.
 func (j *jobState) makeEligible() {
 	j.pending = j.pending[:0]
-	for t := range j.taskCount {
-		if !j.completed.Has(t) && j.allocations[t] == nil {
-			j.pending = append(j.pending, int32(t))
+	for task := range j.taskCount {
+		if !j.completed.Has(task) && j.allocations[task] == nil {
+			j.pending = append(j.pending, int32(task))
 		}
 	}
 }
 
-// UnresolvedDependencies are jobs that others await and this leader does not know.
+// UnresolvedDependencies returns the dependencies whose final state this leader has yet to look up.
 func (s *Scheduler) UnresolvedDependencies() (ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,19 +252,19 @@
 	return ids
 }
 
-// ResolveDependency takes in the final state of a job that is over since before this term.
-func (s *Scheduler) ResolveDependency(id string, f store.FinalRecord) {
+// ResolveDependency handles the final state, as looked up, of a job that was over before this term.
+func (s *Scheduler) ResolveDependency(id string, final store.FinalRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.jobs[id] == nil {
-		s.hooks.JobTerminal(id, f)
-		s.dependencies.onTerminal(id, f.State)
+		s.hooks.JobTerminal(id, final)
+		s.dependencies.onTerminal(id, final.State)
 	}
 }
 
-// DependencyState tells what this leader knows of a job that another names: whether it is here,
-// accepted, and runs until it is cancelled.
-func (s *Scheduler) DependencyState(id string) (here, accepted, service bool) {
+// DependencyState reports of a job that another names as dependency whether this leader knows it, whether it is
+// accepted, and whether it is a service.
+func (s *Scheduler) DependencyState(id string) (known, accepted, service bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	job := s.jobs[id]
--- a/controller/domain_reservation.go
+++ b/controller/domain_reservation.go
@@ -13,73 +13,74 @@
 	"switchferry/tuning"
 )
 
-// reserveDomain reserves a domain that drains before a machine boots for a job that has none, and
-// says so.
-func (s *Scheduler) reserveDomain(job *jobState, may func(string) bool) string {
+// reserveDomain reserves for a job without a domain the one that drains soonest, if that is before a new machine boots.
+// It returns the reservation for operators and users to read; empty if there is none. Allowed reports whether the
+// job's tasks may run on a machine. s.mu must be held.
+func (s *Scheduler) reserveDomain(job *jobState, allowed func(string) bool) string {
 	if s.now().Before(job.nextDomainReservation) {
 		return job.reservedDomain
 	}
 	job.reservedDomain = ""
 	job.nextDomainReservation = s.now().Add(tuning.AimAgain)
-	boot := 0.0
-	for _, t := range s.machineTypes {
-		if t.Fits(&job.Job) && (boot == 0 || t.BootS < boot) {
-			boot = t.BootS
+	shortestBootS := 0.0
+	for _, machineType := range s.machineTypes {
+		if machineType.Fits(&job.Job) && (shortestBootS == 0 || machineType.BootS < shortestBootS) {
+			shortestBootS = machineType.BootS
 		}
 	}
-	d, ms := job.site.SoonestDomain(job.request, len(job.pending), may, func(name string) []int64 { return s.startDelays(job, s.machines[name], len(job.pending)) })
-	if d == nil || float64(ms) > boot*1000 {
+	domain, delayMS := job.site.SoonestDomain(job.request, len(job.pending), allowed, func(name string) []int64 { return s.startDelays(job, s.machines[name], len(job.pending)) })
+	if domain == nil || float64(delayMS) > shortestBootS*1000 {
 		return ""
 	}
-	at := s.now().Add(time.Duration(ms) * time.Millisecond)
-	if s.topology.reservations.Reserve(s.now(), topology.Reservation{Job: job.id, Rank: job.rank, Domain: d, At: at}) {
-		job.reservedDomain = fmt.Sprintf("%s %q is kept for it until it drains", d.Level, d.Name)
+	drainedAt := s.now().Add(time.Duration(delayMS) * time.Millisecond)
+	if s.topology.reservations.Reserve(s.now(), topology.Reservation{Job: job.id, Rank: job.rank, Domain: domain, At: drainedAt}) {
+		job.reservedDomain = fmt.Sprintf("%s %q is kept for it until it drains", domain.Level, domain.Name)
 	}
 	return job.reservedDomain
 }
 
-// startDelays is in how many ms each of so many further tasks of a job could start on a machine, as what
-// runs there ends by its estimate.
-func (s *Scheduler) startDelays(job *jobState, machine *machineState, tasks int) (at []int64) {
+// startDelays returns in how many ms each of a number of further tasks of a job could start on a machine, ascending, if
+// what runs there ends by its estimate; fewer delays if not all of them ever can. s.mu must be held.
+func (s *Scheduler) startDelays(job *jobState, machine *machineState, tasks int) (delays []int64) {
 	free := machine.free()
-	type ending struct {
-		ms   int64
-		room fleet.Resources
+	type release struct {
+		delay     int64
+		resources fleet.Resources
 	}
-	var ends []ending
+	var releases []release
 	for _, alloc := range machine.allocations {
 		switch {
 		case alloc.stopping:
-			ends = append(ends, ending{0, alloc.job.request})
+			releases = append(releases, release{0, alloc.job.request})
 		case alloc.job.Job.Shape == api.Service:
-			// It ends only by its user.
+			// A replica ends only when its job is cancelled.
 		default:
-			left := estimate(alloc.job)
+			secondsLeft := estimate(alloc.job)
 			if !alloc.runningSince.IsZero() {
-				left = max(tuning.MinRun, left-s.since(alloc.runningSince).Seconds())
+				secondsLeft = max(tuning.MinRun, secondsLeft-s.since(alloc.runningSince).Seconds())
 			}
-			ends = append(ends, ending{int64(left * 1000), alloc.job.request})
+			releases = append(releases, release{int64(secondsLeft * 1000), alloc.job.request})
 		}
 	}
-	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.ms, b.ms) })
-	now := int64(0)
-	for len(at) < tasks {
+	slices.SortFunc(releases, func(a, b release) int { return cmp.Compare(a.delay, b.delay) })
+	delay := int64(0)
+	for len(delays) < tasks {
 		switch {
 		case free.Fits(job.request):
 			free = free.Sub(job.request)
-			at = append(at, now)
-		case len(ends) > 0:
-			now, free = ends[0].ms, free.Add(ends[0].room)
-			ends = ends[1:]
+			delays = append(delays, delay)
+		case len(releases) > 0:
+			delay, free = releases[0].delay, free.Add(releases[0].resources)
+			releases = releases[1:]
 		default:
-			return at
+			return delays
 		}
 	}
-	return at
+	return delays
 }
 
-// reservedForOthers tells whether a machine stands in a domain that is kept for another job, in
-// whose way this one would be.
+// reservedForOthers reports whether a job may not use a machine because its domain is reserved for another one, and the
+// job's tasks would not end in time. s.mu must be held.
 func (s *Scheduler) reservedForOthers(job *jobState, machine *machineState) bool {
 	if s.topology == nil || !s.topology.reservations.Any() {
 		return false
@@ -91,12 +92,12 @@
 	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, ends)
 }
 
-// preemptionCosts is what each further task of a job costs on a machine, in work that is thrown away,
-// until no more room can be made.
+// preemptionCosts returns the work that is lost, in ms, for each further task of a job on a machine, in the order of
+// starts, as many as preemption lets start there. s.mu must be held.
 func (s *Scheduler) preemptionCosts(job *jobState, machine *machineState) (costs []int64) {
 	free, _ := machine.freeAfterStops()
-	can := s.preemptible(job, machine)
-	s.sortByLoss(can)
+	preemptible := s.preemptible(job, machine)
+	s.sortByLoss(preemptible)
 	cost := int64(0)
 	for len(costs) < len(job.pending) {
 		switch {
@@ -104,9 +105,9 @@
 			free = free.Sub(job.request)
 			costs = append(costs, cost)
 			cost = 0
-		case len(can) > 0:
-			free, cost = free.Add(can[0].job.request), cost+s.preemptionLoss(can[0])
-			can = can[1:]
+		case len(preemptible) > 0:
+			free, cost = free.Add(preemptible[0].job.request), cost+s.preemptionLoss(preemptible[0])
+			preemptible = preemptible[1:]
 		default:
 			return costs
 		}
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -149,38 +149,40 @@
 	slog.Warn("job waits though a machine has room for it", "job", job.id, "class", job.Job.Class, "waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
 }
 
-// drain saves what can be saved of a machine that is about to be taken, or whose lease is about to end.
-func (s *Scheduler) drain(machine *machineState, until time.Time, why string) {
-	left := until.Sub(s.now()).Seconds()
+// drain stops the tasks of a machine that is about to be taken, or whose lease is about to end: those with checkpoints
+// in time to save, the others at once unless they are expected to complete. s.mu must be held.
+func (s *Scheduler) drain(machine *machineState, until time.Time, reason string) {
+	secondsLeft := until.Sub(s.now()).Seconds()
 	for _, alloc := range machine.allocations {
 		if alloc.stopping || !alloc.reported {
 			continue
 		}
-		j := &alloc.job.Job
-		ran := 0.0
+		submission := &alloc.job.Job
+		ranSeconds := 0.0
 		if !alloc.runningSince.IsZero() {
-			ran = s.since(alloc.runningSince).Seconds()
+			ranSeconds = s.since(alloc.runningSince).Seconds()
 		}
-		finishes := j.Shape == api.JobArray && estimate(alloc.job)-ran < left
+		completes := submission.Shape == api.JobArray && estimate(alloc.job)-ranSeconds < secondsLeft
 		switch {
-		case j.Checkpoint > 0 && left < j.SaveS+2*tuning.SpotNoticeSlack+s.settings.Facts.Workers.ReportS:
-			s.stopTask(alloc, j.SaveS, why)
-		case j.Checkpoint == 0 && !finishes:
-			s.stopTask(alloc, 0, why)
+		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.SpotNoticeSlack+s.settings.Facts.Workers.ReportS:
+			s.stopTask(alloc, submission.SaveS, reason)
+		case submission.Checkpoint == 0 && !completes:
+			s.stopTask(alloc, 0, reason)
 		}
 	}
 }
 
-// idleMachines finds a machine that is plainly idle.
+// idleMachines marks a machine for release that has been idle for the policy's time and that the desired capacity does
+// not need, and returns its name; at most one. s.mu must be held.
 func (s *Scheduler) idleMachines(now time.Time) []string {
-	want, ordWant := s.desiredCapacity()
-	all, spot := s.supply()
+	desired, desiredOrdinary := s.desiredCapacity()
+	supply, spotSupply := s.supply()
 	for _, machine := range s.sortedMachines() {
 		if !s.schedulable(machine) || len(machine.allocations) > 0 || len(machine.queues) > 0 {
 			continue
 		}
 		keep := settings.Seconds(s.configuration.Policy.Value(policy.IdleKeepS, policy.Vars{"boot_s": machine.Spec.BootS}))
-		if now.Sub(machine.idleSince) < keep || all-machine.Spec.CPUs < want || !machine.Spot && all-spot-machine.Spec.CPUs < ordWant {
+		if now.Sub(machine.idleSince) < keep || supply-machine.Spec.CPUs < desired || !machine.Spot && supply-spotSupply-machine.Spec.CPUs < desiredOrdinary {
 			continue
 		}
 		slog.Info("returning machine", "machine", machine.Name, "why", "idle")
@@ -190,7 +192,8 @@
 	return nil
 }
 
-// forgetMachine takes a machine that is gone, with all on it, off the lists.
+// forgetMachine removes a machine that is gone, and makes its queued tasks pending again. It must have no allocations.
+// s.mu must be held.
 func (s *Scheduler) forgetMachine(machine *machineState) {
 	for _, queue := range machine.queues {
 		queue.returnTasks()
@@ -205,25 +208,26 @@
 	s.machinesByName = nil
 }
 
-// Addresses are the machines that have not reported yet in this term.
+// Addresses returns the addresses, by name, of machines that have not sent a heartbeat yet in this term.
 func (s *Scheduler) Addresses() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]string{}
+	addresses := map[string]string{}
 	for _, machine := range s.machines {
 		if !machine.Up && machine.Address != "" && !machine.releasing {
-			out[machine.Name] = machine.Address
+			addresses[machine.Name] = machine.Address
 		}
 	}
-	return out
+	return addresses
 }
 
-// InstancesReleased means: the cloud has answered, so these machines and all on them are gone.
+// InstancesReleased handles the cloud's answer to a release: without an error the machines and all on them are gone, so
+// that their tasks may run elsewhere; with one the machines may be released again.
 func (s *Scheduler) InstancesReleased(names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range names {
-		machine := s.machines[n]
+	for _, name := range names {
+		machine := s.machines[name]
 		if machine == nil {
 			continue
 		}
@@ -231,7 +235,7 @@
 			machine.releasing = false
 			continue
 		}
-		s.releasedAt[n] = s.now()
+		s.releasedAt[name] = s.now()
 		for _, alloc := range machine.allocations {
 			s.loseTask(alloc, "its machine is gone")
 		}
@@ -240,30 +244,31 @@
 	s.wakePlacer()
 }
 
-// ApplyInstanceList takes in the cloud's list. It lags: absence from it proves nothing.
+// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags, so that a machine is missing
+// proves nothing.
 func (s *Scheduler) ApplyInstanceList(list []api.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for _, l := range list {
-		if _, gone := s.releasedAt[l.Name]; gone {
+	for _, instance := range list {
+		if _, gone := s.releasedAt[instance.Name]; gone {
 			continue
 		}
-		_, known := s.machines[l.Name]
-		machine := s.machineNamed(l.Name)
+		_, known := s.machines[instance.Name]
+		machine := s.machineNamed(instance.Name)
 		if !known {
-			machine.RequestedAt = now.Add(-settings.Seconds(l.AgeS))
-			slog.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "state", l.State)
+			machine.RequestedAt = now.Add(-settings.Seconds(instance.AgeS))
+			slog.Info("machine listed", "machine", instance.Name, "type", instance.Type, "zone", instance.Zone, "state", instance.State)
 		}
 		machine.listed = true
 		if !machine.Up {
-			if l.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
+			if instance.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
 				machine.link.MarkStarted()
 			}
-			machine.listedRunning = l.State == "running"
-			machine.Address, machine.Type, machine.Zone, machine.Spot, machine.Spec = l.Address, l.Type, l.Zone, l.Spot, s.machineTypes[l.Type]
+			machine.listedRunning = instance.State == "running"
+			machine.Address, machine.Type, machine.Zone, machine.Spot, machine.Spec = instance.Address, instance.Type, instance.Zone, instance.Spot, s.machineTypes[instance.Type]
 		}
-		if l.State == "failed" && !machine.releasing {
+		if instance.State == "failed" && !machine.releasing {
 			machine.Up, machine.listedFailed = false, true
 		}
 	}
--- a/controller/live_configuration.go
+++ b/controller/live_configuration.go
@@ -8,8 +8,8 @@
 	"switchferry/feasibility"
 )
 
-// ApplyConfiguration has decisions go by this from now on. The result counts the starts and accepts of before that are not on
-// record yet.
+// ApplyConfiguration makes all decisions from now on follow a configuration. The returned function counts the starts and
+// accepted jobs that were decided before and are not on record yet.
 func (s *Scheduler) ApplyConfiguration(active *configuration.Active) (undecided func() int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// admits tells whether a job may be accepted under a configuration: its team is there, and its limit has room for the
+// admits reports whether a job may be accepted under a configuration: its team exists, and the team's limit allows the
 // least that the job needs at once.
 func admits(active *configuration.Active, submission *api.Submission) bool {
 	limit, ok := active.Limit(submission.Team)
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -12,53 +12,66 @@
 	"switchferry/tuning"
 )
 
-// machineState is a fleet.Machine with what we want of it.
+// machineState is a fleet.Machine with what this term's leader has decided and knows of it. Scheduler.mu guards it.
 type machineState struct {
 	*fleet.Machine
+
+	// allocations are by task key; used is the sum of what they request.
 	allocations map[string]*allocation
 	used        fleet.Resources
-	// imagesInUse counts its tasks by their image: one that a task is waiting for
-	// is on its way, and costs the next task less than a fetch.
+	// imagesInUse counts the allocations by image: one that a task waits for is on its way, and costs the next task
+	// less than a fetch.
 	imagesInUse map[string]int
-	queues      []*runQueue
-	// exited holds exited tasks still reported; true: they can be cleared.
+	// queues are in the order of compareJobs as of the last placement round.
+	queues []*runQueue
+	// exited are the tasks, by key, that have ended and that the worker still reports.
 	exited map[string]*exitedTask
-	// commandInFlight: a direct command is under way; again: another is wanted.
+
+	// commandInFlight is true while a direct command awaits its answer; resendCommands, if another must follow it.
 	commandInFlight, resendCommands bool
-	// relay is the sibling that its reports come through; empty: directly.
+	// relayPeer is the peer that relays its heartbeats; empty if they come directly.
 	relayPeer string
-	// relayedCommands is what stands for it in the letters to that sibling; nil: nothing.
+	// relayedCommands are its commands in the mailbox for that peer; nil if there are none.
 	relayedCommands json.RawMessage
-	// lastPeer is the sibling that its last report came through in any way.
+	// lastPeer is the peer that its last heartbeat came through in any way.
 	lastPeer string
-	// link is whether it hears us; outboundLossLogged: that it does not was logged. listed: the cloud's list
-	// had it in this term.
+
+	// link is whether our commands reach it; outboundLossLogged is true once it was logged that they do not.
 	link               reachability.Link
 	outboundLossLogged bool
-	listed             bool
-	// reservedFor is the job that it drains for, until about reservedUntil.
+	// probedAt is when it was last probed to confirm that.
+	probedAt time.Time
+
+	// reservedFor is the starved job that it drains for, until about reservedUntil.
 	reservedFor   *jobState
 	reservedUntil time.Time
-	// probedAt is when it was last asked whether it hears.
-	probedAt  time.Time
+
+	// listed, listedRunning and listedFailed are what the cloud's list of this term says: that it exists, that it is
+	// up though its worker has sent no heartbeat, that it has stopped.
+	listed                      bool
+	listedRunning, listedFailed bool
+	// releasing is true while the cloud is asked to release it.
 	releasing bool
-	// requestedHere: this leader rented it, so it knows when.
+	// requestedHere is true if this leader requested it, and so knows when.
 	requestedHere bool
-	// faultLogged: that it is suspect was logged.
+	// faultLogged is true once it was logged that it is faulty or overdue.
 	faultLogged bool
-	// running: the cloud lists it as up, though it has not reported yet; failed: it
-	// lists it as stopped.
-	listedRunning, listedFailed bool
-	idleSince                   time.Time
-	refusedUntil                time.Time
+	// idleSince is when its last allocation ended.
+	idleSince time.Time
+	// refusedUntil is until when it gets no work because it refused a start.
+	refusedUntil time.Time
 }
 
+// exitedTask is a task that ended on a machine and is not cleared yet.
 type exitedTask struct {
-	attempt        uint64
+	attempt uint64
+	// unansweredRuns counts direct starts of it whose outcome is unknown: they may yet be executed.
 	unansweredRuns int
-	stored         bool
+	// stored is true once its end is on record, so that it can be cleared.
+	stored bool
 }
 
+// machineNamed returns a machine by its name, and adds it if it is not known. s.mu must be held.
 func (s *Scheduler) machineNamed(name string) *machineState {
 	machine := s.machines[name]
 	if machine == nil {
@@ -75,7 +88,7 @@
 	return machine
 }
 
-// sortedMachines lists the machines by name. The list is shared and must not be changed.
+// sortedMachines returns the machines by name. The list is shared and must not be changed. s.mu must be held.
 func (s *Scheduler) sortedMachines() []*machineState {
 	if s.machinesByName == nil {
 		s.machinesByName = make([]*machineState, 0, len(s.machines))
@@ -87,7 +100,7 @@
 	return s.machinesByName
 }
 
-// capacity is a machine's whole room.
+// capacity returns all resources of a machine; none if its type is unknown.
 func (m *machineState) capacity() fleet.Resources {
 	if m.Spec == nil {
 		return fleet.Resources{}
@@ -95,10 +108,10 @@
 	return fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
 }
 
+// free returns the resources that no allocation takes.
 func (m *machineState) free() fleet.Resources { return m.capacity().Sub(m.used) }
 
-// fetchSeconds is the time to get a job's image: none where it is held or, as far as
-// the choice of a machine goes, already on its way.
+// fetchSeconds returns the time to fetch a job's image, in seconds: none where it is held or on its way already.
 func (m *machineState) fetchSeconds(job *jobState) float64 {
 	if m.imagesInUse[job.Job.Image] > 0 {
 		return 0
@@ -106,17 +119,18 @@
 	return m.FetchSeconds(job.Job.Image, job.Job.ImageGB)
 }
 
-// schedulable tells whether a machine may get new work.
+// schedulable reports whether a machine may get new work. s.mu must be held.
 func (s *Scheduler) schedulable(machine *machineState) bool {
 	return machine.Up && machine.Spec != nil && !machine.releasing && machine.PreemptedAt.IsZero() && !s.faulty(machine) &&
 		s.now().After(machine.refusedUntil) && s.since(machine.LastHeartbeat) < s.heartbeatTimeout(machine) && machine.link.State(s.now(), s.lease()) == reachability.Reachable
 }
 
-// heartbeatTimeout is how long a machine may be unheard and still get work.
+// heartbeatTimeout returns how long a machine may be silent and still get work; longer for one whose heartbeats are
+// relayed.
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
-	d := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
+	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
 	if machine.relayPeer != "" {
-		d += tuning.RelayKeep
+		timeout += tuning.RelayKeep
 	}
-	return d
+	return timeout
 }
--- a/controller/ordering.go
+++ b/controller/ordering.go
@@ -14,10 +14,8 @@
 	"switchferry/tuning"
 )
 
-// compareJobs is the order of the queues: production, then jobs whose turn has come by their age, then
-// rank, then jobs that came within their team's
-// guarantee, then the jobs that can still be in time by their latest start, then
-// arrival.
+// compareJobs is the order of the queues: production first, then starved jobs, then by rank, then jobs that came
+// within their team's guarantee, then by latest start, of jobs that can still be in time, then by arrival.
 func compareJobs(a, b *jobState) int {
 	return cmp.Or(
 		cmp.Compare(b.precedence(), a.precedence()),
@@ -28,7 +26,7 @@
 		strings.Compare(a.id, b.id))
 }
 
-// precedence is 2 for production, 1 for a job whose turn has come by its age, else 0.
+// precedence is 2 for production, 1 for a starved job, else 0.
 func (j *jobState) precedence() int {
 	switch {
 	case j.rank == api.RankProduction:
@@ -39,9 +37,8 @@
 	return 0
 }
 
-// guaranteeRank is 1 for a job that came within its team's guarantee, and lies in it: it need not
-// wait. One that comes within it as earlier ones end does not count: under a backlog these are
-// the jobs that have waited longest, so the queues went by arrival, whatever the deadlines
+// guaranteeRank is 1 for a job that came within its team's guarantee and still is within it: it need not wait for
+// other teams. One that comes within it only as earlier ones end has 0
 // (docs/incidents/fleet-guarantee-by-arrival.md).
 func (j *jobState) guaranteeRank() int {
 	if j.guaranteed && j.overQuota == 0 {
@@ -95,21 +92,21 @@
 	return jobs
 }
 
-// markGuaranteed tells the jobs that fit into their team's guarantee together
-// with the team's earlier unfinished ones: these need not wait for other teams.
+// markGuaranteed determines which jobs fit into their team's guarantee together with the team's earlier unfinished
+// ones. It leaves the jobs in the order of their arrival. s.mu must be held.
 func (s *Scheduler) markGuaranteed() {
 	slices.SortFunc(s.jobOrder, func(a, b *jobState) int { return cmp.Compare(a.eligibleAt, b.eligibleAt) })
-	sum := map[string]fleet.Resources{}
+	requested := map[string]fleet.Resources{}
 	for _, job := range s.jobOrder {
 		if job.FinalState != "" || job.waitsForDependencies {
 			continue
 		}
-		n := float64(job.taskCount - job.completedCount)
-		u := sum[job.Job.Team].Add(fleet.Resources{CPUs: n * job.request.CPUs, Cards: n * job.request.Cards})
-		sum[job.Job.Team] = u
-		t, _ := s.configuration.Team(job.Job.Team)
+		tasks := float64(job.taskCount - job.completedCount)
+		use := requested[job.Job.Team].Add(fleet.Resources{CPUs: tasks * job.request.CPUs, Cards: tasks * job.request.Cards})
+		requested[job.Job.Team] = use
+		team, _ := s.configuration.Team(job.Job.Team)
 		job.overQuota = 1
-		if t.CPUs > 0 && u.CPUs <= t.CPUs+tuning.RoomSlack && u.Cards <= t.Cards+tuning.RoomSlack {
+		if team.CPUs > 0 && use.CPUs <= team.CPUs+tuning.RoomSlack && use.Cards <= team.Cards+tuning.RoomSlack {
 			job.overQuota = 0
 		}
 		if !job.guaranteeChecked {
@@ -118,41 +115,41 @@
 	}
 }
 
-// latestStart is when the rest of a job must start to be in time, in ms. A job
-// that can no longer be in time yields to those that can.
-func (s *Scheduler) latestStart(job *jobState, now int64) int64 {
-	run := int64(estimate(job) * 1000)
-	dues := job.inherited.DuesMS
-	if dues == nil {
-		dues = s.deadlines(job)
+// latestStart returns when the rest of a job must start to meet the next of its deadlines, in Unix ms; MaxInt64 if it
+// can meet none any more, so that it yields to those that can. s.mu must be held.
+func (s *Scheduler) latestStart(job *jobState, nowMS int64) int64 {
+	runMS := int64(estimate(job) * 1000)
+	deadlines := job.inherited.DuesMS
+	if deadlines == nil {
+		deadlines = s.deadlines(job)
 	}
-	for _, due := range dues {
-		if t := due - run; t >= now {
-			return t
+	for _, deadline := range deadlines {
+		if start := deadline - runMS; start >= nowMS {
+			return start
 		}
 	}
 	return math.MaxInt64
 }
 
-// deadlines are the times by which a job should be complete, in ms, sooner first: its own
-// deadline, and the multiples of it that its class has aims for, or, without a deadline, the
-// aims of its class. A job that missed the first one still has the next to meet. A deadline
-// counts from the submission, aims from when the job could start.
-func (s *Scheduler) deadlines(job *jobState) (out []int64) {
+// deadlines returns the times by which a job should be complete, in Unix ms, ascending: its own deadline, and the
+// multiples of it that its class has objectives for, or, without a deadline, the objectives of its class. A job that
+// missed the first one still has the next to meet. A deadline counts from the submission, objectives from when the
+// job could start.
+func (s *Scheduler) deadlines(job *jobState) (deadlines []int64) {
 	if job.Job.DeadlineS <= 0 {
 		for _, within := range s.objectives[job.Job.Class] {
-			out = append(out, job.eligibleAt+int64(within*1000))
+			deadlines = append(deadlines, job.eligibleAt+int64(within*1000))
 		}
-		return out
+		return deadlines
 	}
-	out = append(out, job.At+int64(job.Job.DeadlineS*1000))
-	for _, times := range s.deadlineMultiples[job.Job.Class] {
-		out = append(out, job.At+int64(times*job.Job.DeadlineS*1000))
+	deadlines = append(deadlines, job.At+int64(job.Job.DeadlineS*1000))
+	for _, multiple := range s.deadlineMultiples[job.Job.Class] {
+		deadlines = append(deadlines, job.At+int64(multiple*job.Job.DeadlineS*1000))
 	}
-	return out
+	return deadlines
 }
 
-// lowestRank is the least rank of those of the jobs that are on machines.
+// lowestRank returns the lowest rank of the jobs that have allocations; that of production if none has.
 func lowestRank(jobs []*jobState) int {
 	lowest := api.RankProduction
 	for _, job := range jobs {
@@ -163,5 +160,5 @@
 	return lowest
 }
 
-// estimate is how long a task of the job runs, in seconds.
+// estimate returns how long a task of a job is expected to run, in seconds.
 func estimate(job *jobState) float64 { return math.Max(tuning.MinRun, job.Job.EstimateS) }
--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -10,26 +10,26 @@
 	"switchferry/tuning"
 )
 
-// topologyView is what the leader knows of where machines stand.
+// topologyView is the state of the domains that machines are in. Scheduler.mu guards it.
 type topologyView struct {
 	tree *topology.Tree
-	// unlisted and ambiguous are how many machines were last complained about.
+	// unlisted and ambiguous are how many machines in no domain, or in several, were last logged.
 	unlisted, ambiguous int
 	search              topology.Search
 	reservations        topology.Reservations
 }
 
-// UseTopology switches near and survive on, before anything is loaded.
-func (s *Scheduler) UseTopology(m *topology.Map) {
-	s.topology = &topologyView{tree: topology.NewTree(m)}
+// UseTopology has near and survive of jobs count. It must be called before the records are loaded.
+func (s *Scheduler) UseTopology(topologyMap *topology.Map) {
+	s.topology = &topologyView{tree: topology.NewTree(topologyMap)}
 }
 
-// ReplaceTopology goes over to another version of the topology. What runs stays where it is and
-// counts where it stands now; only what is placed from here on goes by the new one.
-func (s *Scheduler) ReplaceTopology(m *topology.Map) {
+// ReplaceTopology goes over to another version of the topology. Running tasks stay where they are and count for the
+// domains that the new one has them in; only what is placed from here on follows it.
+func (s *Scheduler) ReplaceTopology(topologyMap *topology.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replaceTopology(m)
+	s.replaceTopology(topologyMap)
 }
 
 // replaceTopology is ReplaceTopology with s.mu held. It does nothing without a topology, or with the one in use.
@@ -48,7 +48,7 @@
 	s.wakePlacer()
 }
 
-// initSite gives a job that asks where its tasks stand the count of where they do.
+// initSite makes a job that asks where its tasks are count them by domain. s.mu must be held.
 func (s *Scheduler) initSite(job *jobState) {
 	if s.topology == nil {
 		return
@@ -56,13 +56,14 @@
 	job.site = s.topology.tree.NewSite(job.Job.Near, job.Job.Survive)
 }
 
-// updateFreeResources keeps the summed room of domains.
+// updateFreeResources updates the free resources of a machine's domains. s.mu must be held.
 func (s *Scheduler) updateFreeResources(machine *machineState) {
 	if s.topology != nil && machine.Spec != nil {
 		s.topology.tree.Set(machine.Name, machine.free(), s.schedulable(machine))
 	}
 }
 
+// removeFromTopology removes a machine from its domains. s.mu must be held.
 func (s *Scheduler) removeFromTopology(name string) {
 	if s.topology != nil {
 		s.topology.tree.Remove(name)
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -11,7 +11,8 @@
 	"switchferry/tuning"
 )
 
-// freeAfterStops is what a machine has free once the tasks being stopped are gone.
+// freeAfterStops returns the resources that a machine has free once the allocations being stopped are gone, and these.
+// s.mu must be held.
 func (m *machineState) freeAfterStops() (fleet.Resources, []*allocation) {
 	free := m.free()
 	var leaving []*allocation
@@ -24,60 +25,57 @@
 	return free, leaving
 }
 
-// mayPreempt tells whether a task may be stopped for a job: work of lower rank, or,
-// for a job that waits within its team's guarantee, work of the same rank that
-// another team runs beyond its own. Were higher ranks stopped as well, which is
-// allowed, they would stop the job's tasks in turn, and so on without end.
-// Production is left alone.
+// mayPreempt reports whether an allocation may be preempted for a job: one of lower rank, or, for a job that waits
+// within its team's guarantee, one of the same rank that another team runs beyond its own guarantee. The operators
+// would allow higher ranks as well, but these would preempt the job's tasks in turn, without end. Production is
+// never preempted. s.mu must be held.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
-	o := alloc.job
+	victim := alloc.job
 	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.TurnKept {
-		// Stopped at once, its turn would have come in vain.
+		// A starved job's task that is preempted at once was started in vain.
 		return false
 	}
-	if o.rank < job.rank {
+	if victim.rank < job.rank {
 		return true
 	}
-	if o.rank > job.rank || !job.guaranteed || o.overQuota == 0 || o.Job.Team == job.Job.Team || o.rank == api.RankProduction ||
+	if victim.rank > job.rank || !job.guaranteed || victim.overQuota == 0 || victim.Job.Team == job.Job.Team || victim.rank == api.RankProduction ||
 		s.since(job.learnedAt) < tuning.GuaranteePatience {
 		return false
 	}
-	// What is being stopped already is not there to be stopped again: counted as
-	// use, it made the other team lose far more than it had borrowed, and that
-	// one then took as much back, all over again.
-	t, _ := s.configuration.Team(o.Job.Team)
-	stays := s.usage[t.Name].Sub(s.stoppingUsage[t.Name]).Sub(o.request)
-	return stays.CPUs+tuning.RoomSlack >= t.CPUs && stays.Cards+tuning.RoomSlack >= t.Cards
+	// What is being stopped does not count as use, or the other team would lose far more than it had borrowed.
+	team, _ := s.configuration.Team(victim.Job.Team)
+	remaining := s.usage[team.Name].Sub(s.stoppingUsage[team.Name]).Sub(victim.request)
+	return remaining.CPUs+tuning.RoomSlack >= team.CPUs && remaining.Cards+tuning.RoomSlack >= team.Cards
 }
 
-// preemptible is what may be stopped on a machine for a job, in no order.
-func (s *Scheduler) preemptible(job *jobState, machine *machineState) (can []*allocation) {
+// preemptible returns the allocations on a machine that may be preempted for a job, in no order. s.mu must be held.
+func (s *Scheduler) preemptible(job *jobState, machine *machineState) (allocations []*allocation) {
 	for _, alloc := range machine.allocations {
 		if !alloc.stopping && alloc.reported && s.mayPreempt(alloc, job) {
-			can = append(can, alloc)
+			allocations = append(allocations, alloc)
 		}
 	}
-	return can
+	return allocations
 }
 
-// findVictims finds what to stop so that one task fits, and of that what loses the
-// least. False: it cannot be done.
+// findVictims returns the allocations to preempt on a machine so that one task of a job fits there, those that lose the
+// least work, and the ones that are being stopped already; false if it cannot be done. s.mu must be held.
 func (s *Scheduler) findVictims(job *jobState, machine *machineState) (leaving, victims []*allocation, ok bool) {
 	s.victimSearches++
 	free, leaving := machine.freeAfterStops()
 	if free.Fits(job.request) {
 		return leaving, nil, true
 	}
-	can := s.preemptible(job, machine)
-	most := free
-	for _, alloc := range can {
-		most = most.Add(alloc.job.request)
+	preemptible := s.preemptible(job, machine)
+	freeAfterAll := free
+	for _, alloc := range preemptible {
+		freeAfterAll = freeAfterAll.Add(alloc.job.request)
 	}
-	if !most.Fits(job.request) {
+	if !freeAfterAll.Fits(job.request) {
 		return nil, nil, false
 	}
-	s.sortByLoss(can)
-	for _, alloc := range can {
+	s.sortByLoss(preemptible)
+	for _, alloc := range preemptible {
 		free = free.Add(alloc.job.request)
 		victims = append(victims, alloc)
 		if free.Fits(job.request) {
@@ -87,33 +85,34 @@
 	return nil, nil, false
 }
 
-// sortByLoss puts tasks in the order in which they are stopped.
-func (s *Scheduler) sortByLoss(can []*allocation) {
-	slices.SortFunc(can, func(alloc, b *allocation) int {
-		return cmp.Or(cmp.Compare(alloc.job.rank, b.job.rank), cmp.Compare(s.preemptionLoss(alloc), s.preemptionLoss(b)), strings.Compare(alloc.key, b.key))
+// sortByLoss sorts allocations into the order in which they are preempted: by rank, then by the work that is lost.
+// s.mu must be held.
+func (s *Scheduler) sortByLoss(allocations []*allocation) {
+	slices.SortFunc(allocations, func(a, b *allocation) int {
+		return cmp.Or(cmp.Compare(a.job.rank, b.job.rank), cmp.Compare(s.preemptionLoss(a), s.preemptionLoss(b)), strings.Compare(a.key, b.key))
 	})
 }
 
-// preemptVictims stops tasks to make room for a job.
+// preemptVictims stops allocations for a job. s.mu must be held.
 func (s *Scheduler) preemptVictims(victims []*allocation, job *jobState) {
-	for _, v := range victims {
-		v.job.preemptions[v.task]++
-		s.stopTask(v, 0, "room for "+job.id)
+	for _, victim := range victims {
+		victim.job.preemptions[victim.task]++
+		s.stopTask(victim, 0, "room for "+job.id)
 	}
 }
 
-// preemptionLoss is the work, in ms, that stopping a task at once throws away. A task that
-// made room before counts for more: it is the youngest again each time.
+// preemptionLoss returns the work, in ms, that is lost if a task is stopped at once. Each earlier preemption of the task
+// counts as more of it: else it would be the youngest, and preempted, again each time. s.mu must be held.
 func (s *Scheduler) preemptionLoss(alloc *allocation) int64 {
-	before := int64(alloc.job.preemptions[alloc.task]) * tuning.MovedLoss.Milliseconds()
+	earlierLoss := int64(alloc.job.preemptions[alloc.task]) * tuning.MovedLoss.Milliseconds()
 	if alloc.runningSince.IsZero() {
-		return before
+		return earlierLoss
 	}
-	run := s.since(alloc.runningSince)
-	if cp := settings.Seconds(alloc.job.Job.Checkpoint); cp > 0 {
-		run %= cp
+	unsaved := s.since(alloc.runningSince)
+	if interval := settings.Seconds(alloc.job.Job.Checkpoint); interval > 0 {
+		unsaved %= interval
 	}
-	return before + run.Milliseconds()
+	return earlierLoss + unsaved.Milliseconds()
 }
 
 // preempt frees resources for an array of higher rank that found none, and starts as many of its tasks as it can.
@@ -176,16 +175,16 @@
 	return queues
 }
 
-// mayPreemptAny tells whether anything may be stopped for a job at all. Most jobs
-// that wait are of the lowest rank, and need not search the fleet.
+// mayPreemptAny reports whether any allocation may be preempted for a job. Most jobs that wait are of the lowest rank,
+// and need not search the fleet. s.mu must be held.
 func (s *Scheduler) mayPreemptAny(job *jobState) bool {
-	for _, o := range s.jobOrder {
-		for _, alloc := range o.allocations {
+	for _, other := range s.jobOrder {
+		for _, alloc := range other.allocations {
 			if s.mayPreempt(alloc, job) {
 				return true
 			}
 			if !alloc.startedByAgeing {
-				break // what a job's tasks may be stopped for is the same for all others
+				break // The result is the same for all allocations of a job that are not started by ageing.
 			}
 		}
 	}
--- a/controller/quotas.go
+++ b/controller/quotas.go
@@ -92,7 +92,7 @@
 	return allocations, usage
 }
 
-// limitReason is why a job waits for its team's limit, for operators and users.
+// limitReason returns why a job waits for its team's limit, for operators and users.
 func limitReason(active *configuration.Active, job *jobState) string {
 	limit, ok := active.Limit(job.Job.Team)
 	switch {
--- a/controller/run_queue.go
+++ b/controller/run_queue.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// runQueue is what one job has queued on one machine.
+// runQueue holds the tasks of one job that are queued on one machine. jobState.queued counts them.
 type runQueue struct {
 	job   *jobState
 	tasks []int32
@@ -16,46 +16,48 @@
 	queue   *runQueue
 }
 
-// enqueue puts tasks into a machine's queue in the order of the jobs.
+// enqueue adds tasks to a job's queue on a machine. The queues stay in the order of compareJobs; jobState.queued is left
+// to the caller. s.mu must be held.
 func (m *machineState) enqueue(job *jobState, tasks []int32) {
-	at, ok := slices.BinarySearchFunc(m.queues, job, func(queue *runQueue, job *jobState) int { return compareJobs(queue.job, job) })
-	if !ok {
-		m.queues = slices.Insert(m.queues, at, &runQueue{job: job})
+	i, found := slices.BinarySearchFunc(m.queues, job, func(queue *runQueue, job *jobState) int { return compareJobs(queue.job, job) })
+	if !found {
+		m.queues = slices.Insert(m.queues, i, &runQueue{job: job})
 	}
-	m.queues[at].tasks = append(m.queues[at].tasks, tasks...)
+	m.queues[i].tasks = append(m.queues[i].tasks, tasks...)
 }
 
-// pop takes the first task of a queue.
+// pop removes and returns the first task of a queue, which must not be empty. s.mu must be held.
 func (q *runQueue) pop() int {
-	t := q.tasks[0]
+	task := q.tasks[0]
 	q.tasks = q.tasks[1:]
 	q.job.queued--
-	return int(t)
+	return int(task)
 }
 
-// removeAt takes one task out of a queue.
+// removeAt removes and returns the task at index i of a queue. s.mu must be held.
 func (q *runQueue) removeAt(i int) int {
-	t := q.tasks[i]
+	task := q.tasks[i]
 	if i == 0 {
 		return q.pop()
 	}
 	q.tasks = slices.Delete(q.tasks, i, i+1)
 	q.job.queued--
-	return int(t)
+	return int(task)
 }
 
-// returnTasks returns a queue's tasks to their job, to be placed again.
+// returnTasks makes a queue's tasks pending again, and empties it. s.mu must be held.
 func (q *runQueue) returnTasks() {
 	q.job.pending = append(q.job.pending, q.tasks...)
 	q.job.queued -= len(q.tasks)
 	q.tasks = nil
 }
 
+// dropEmptyQueues removes a machine's empty queues. s.mu must be held.
 func (m *machineState) dropEmptyQueues() {
 	m.queues = slices.DeleteFunc(m.queues, func(queue *runQueue) bool { return len(queue.tasks) == 0 })
 }
 
-// reclaimQueued gives a job the tasks back that are in queues.
+// reclaimQueued makes all queued tasks of a job pending again. s.mu must be held.
 func (s *Scheduler) reclaimQueued(job *jobState) {
 	for _, machine := range s.machines {
 		for _, queue := range machine.queues {
@@ -67,25 +69,25 @@
 	}
 }
 
-// removeFromQueues takes a job out of all queues.
+// removeFromQueues removes all queued and pending tasks of a job, which is over. s.mu must be held.
 func (s *Scheduler) removeFromQueues(job *jobState) {
 	s.reclaimQueued(job)
 	job.pending = nil
 }
 
-// removeQueuedTask removes a task from where it waits.
+// removeQueuedTask removes a task of a job from the pending ones and from the queues. s.mu must be held.
 func (s *Scheduler) removeQueuedTask(job *jobState, task int) {
-	is := func(t int32) bool { return int(t) == task }
-	job.pending = slices.DeleteFunc(job.pending, is)
+	isTask := func(other int32) bool { return int(other) == task }
+	job.pending = slices.DeleteFunc(job.pending, isTask)
 	if job.queued == 0 {
 		return
 	}
 	for _, machine := range s.machines {
 		for _, queue := range machine.queues {
 			if queue.job == job {
-				n := len(queue.tasks)
-				queue.tasks = slices.DeleteFunc(queue.tasks, is)
-				job.queued -= n - len(queue.tasks)
+				before := len(queue.tasks)
+				queue.tasks = slices.DeleteFunc(queue.tasks, isTask)
+				job.queued -= before - len(queue.tasks)
 			}
 		}
 	}
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -16,42 +16,42 @@
 	"switchferry/tuning"
 )
 
-// capacityPool is one kind of machine that the cloud rents.
+// capacityPool is one kind of machine that the cloud has.
 type capacityPool struct {
 	machineType, zone string
 	spot              bool
 }
 
-// demand is what unfinished jobs ask for, in processors, and how much of that
-// may not run on spot machines.
+// demand returns the CPUs that unfinished jobs need, and how many of these may not be on spot machines. A task that
+// requests much memory counts as the CPUs that such memory comes with. s.mu must be held.
 func (s *Scheduler) demand() (all, ordinary float64) {
-	perCPU := 0.0
-	for _, t := range s.machineTypes {
-		perCPU = math.Max(perCPU, t.MemoryGB/t.CPUs)
+	memoryPerCPU := 0.0
+	for _, machineType := range s.machineTypes {
+		memoryPerCPU = math.Max(memoryPerCPU, machineType.MemoryGB/machineType.CPUs)
 	}
 	for _, job := range s.jobOrder {
 		if !job.accepted || job.FinalState != "" || job.waitsForDependencies && !s.dependencies.startsSoon(job) {
 			continue
 		}
-		one := job.request.CPUs
-		if perCPU > 0 {
-			// Until the catalog is read, memory says nothing of processors: a
-			// new leader took it for a thousandfold demand.
-			one = math.Max(one, job.request.MemoryGB/perCPU)
+		taskCPUs := job.request.CPUs
+		if memoryPerCPU > 0 {
+			// Until the catalog is read, memory cannot be converted to CPUs.
+			taskCPUs = math.Max(taskCPUs, job.request.MemoryGB/memoryPerCPU)
 		}
-		n := float64(s.demandedTasks(job))
-		if t, ok := s.configuration.Team(job.Job.Team); ok && t.CPUsMax > 0 && job.request.CPUs > 0 {
-			n = math.Min(n, t.CPUsMax/job.request.CPUs)
+		tasks := float64(s.demandedTasks(job))
+		if team, ok := s.configuration.Team(job.Job.Team); ok && team.CPUsMax > 0 && job.request.CPUs > 0 {
+			tasks = math.Min(tasks, team.CPUsMax/job.request.CPUs)
 		}
-		all += n * one
+		all += tasks * taskCPUs
 		if !job.Job.Spot {
-			ordinary += n * one
+			ordinary += tasks * taskCPUs
 		}
 	}
 	return all, ordinary
 }
 
-// supply is the processors that are up or coming.
+// supply returns the CPUs of machines that are up or expected to come up, and how many of these are on spot machines.
+// s.mu must be held.
 func (s *Scheduler) supply() (all, spot float64) {
 	for _, machine := range s.machines {
 		if machine.releasing || !machine.PreemptedAt.IsZero() || machine.Spec == nil || s.mayNeverStart(machine) || s.startupOverdue(machine) {
@@ -65,33 +65,33 @@
 	return all, spot
 }
 
-// startupOverdue tells whether a machine that is not up yet more likely never will be: others are rented instead, while it
-// still has its time.
+// startupOverdue reports whether a machine that is not up yet is unlikely to come up, by how long others took. Others
+// are requested in its place while it still has time. s.mu must be held.
 func (s *Scheduler) startupOverdue(machine *machineState) bool {
 	if machine.Up || !machine.requestedHere || machine.Spec == nil {
 		return false
 	}
 	age := s.since(machine.RequestedAt)
-	late, others := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
-	if late && !machine.faultLogged {
+	overdue, othersTook := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
+	if overdue && !machine.faultLogged {
 		machine.faultLogged = true
-		slog.Info("machine overdue", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", others.Round(time.Second))
+		slog.Info("machine overdue", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", othersTook.Round(time.Second))
 	}
-	return late
+	return overdue
 }
 
-// mayNeverStart tells whether a machine should have reported by now. It may yet come
-// back, but others are rented in the meantime: they take long to boot.
+// mayNeverStart reports whether a machine's heartbeats are overdue, or it does not get our commands. It may yet come
+// back, but others are requested in the meantime, since they take long to boot. s.mu must be held.
 func (s *Scheduler) mayNeverStart(machine *machineState) bool {
 	if machine.Up {
 		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost || !machine.link.AliveThisTerm() && !machine.listed && len(machine.allocations) == 0 {
 			return true
 		}
-		heard := latest(machine.LastHeartbeat, s.detector.ResumedAt())
+		silentSince := latest(machine.LastHeartbeat, s.detector.ResumedAt())
 		if s.since(machine.LastHeartbeat) <= settings.Seconds(s.settings.Facts.Workers.LeaseS) {
-			heard = latest(heard, s.detector.PathLostAt(machine.lastPeer))
+			silentSince = latest(silentSince, s.detector.PathLostAt(machine.lastPeer))
 		}
-		return s.since(heard) > 2*s.heartbeatTimeout(machine)
+		return s.since(silentSince) > 2*s.heartbeatTimeout(machine)
 	}
 	return machine.listedRunning && s.since(s.termStarted) > 2*s.heartbeatTimeout(machine)
 }
@@ -253,32 +253,34 @@
 	return machines
 }
 
-// instanceRequest asks for so many machines under a name that is never used again.
-func (s *Scheduler) instanceRequest(p capacityPool, count int) api.InstanceRequest {
+// instanceRequest returns a request for machines of a pool, with an idempotency key that is never used again.
+// s.mu must be held.
+func (s *Scheduler) instanceRequest(pool capacityPool, count int) api.InstanceRequest {
 	s.lastInstanceRequest++
-	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest), Type: p.machineType, Zone: p.zone, Spot: p.spot, Count: count}
+	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest), Type: pool.machineType, Zone: pool.zone, Spot: pool.spot, Count: count}
 }
 
-// InstancesGranted takes in the outcome of a rental.
-func (s *Scheduler) InstancesGranted(r api.InstanceRequest, names []string, err error) {
+// InstancesGranted handles the cloud's answer to a request of InstanceRequests: the names of the machines that it
+// granted, or an error. A pool that granted fewer than were asked for is not asked again for a while.
+func (s *Scheduler) InstancesGranted(request api.InstanceRequest, names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instancesRequested--
-	if err != nil || len(names) < r.Count {
-		s.instanceRefusals[capacityPool{r.Type, r.Zone, r.Spot}] = s.now().Add(tuning.RefusedPause)
+	if err != nil || len(names) < request.Count {
+		s.instanceRefusals[capacityPool{request.Type, request.Zone, request.Spot}] = s.now().Add(tuning.RefusedPause)
 	}
 	if err != nil {
-		slog.Info("rental refused", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "err", err)
+		slog.Info("rental refused", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "err", err)
 		return
 	}
-	slog.Info("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(names))
-	for _, n := range names {
-		if _, gone := s.releasedAt[n]; gone {
+	slog.Info("rented", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "asked", request.Count, "got", len(names))
+	for _, name := range names {
+		if _, gone := s.releasedAt[name]; gone {
 			continue
 		}
-		machine := s.machineNamed(n)
+		machine := s.machineNamed(name)
 		if !machine.Up {
-			machine.Type, machine.Zone, machine.Spot, machine.Spec = r.Type, r.Zone, r.Spot, s.machineTypes[r.Type]
+			machine.Type, machine.Zone, machine.Spot, machine.Spec = request.Type, request.Zone, request.Spot, s.machineTypes[request.Type]
 			machine.requestedHere = true
 			machine.link.MarkStarted()
 		}
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -20,102 +20,142 @@
 	"switchferry/tuning"
 )
 
-// Hooks are the core's ways out. They are called with the core's lock held and
-// must not block.
+// Hooks are what a Scheduler calls of the process that it belongs to. They are called with Scheduler.mu held and must
+// not block.
 type Hooks struct {
+	// MarkDirty asks for a key of the state service to be written, the most urgent first; after is called once a value
+	// at least as new as now is stored.
 	MarkDirty func(key string, urgency int, after func())
-	// MarkDirtyWithin is MarkDirty for what may wait that long to be written with other changes of its key.
+	// MarkDirtyWithin is MarkDirty for what may wait that long, to be written with other changes of its key.
 	MarkDirtyWithin func(key string, urgency int, wait time.Duration, after func())
-	SendCommands    func(name, addr string, o api.HeartbeatResponse)
-	// HandleStageHeartbeat sends an agent its order; it is used only with datasets on.
+	// SendCommands sends commands to a worker directly.
+	SendCommands func(name, addr string, o api.HeartbeatResponse)
+	// SendStageOrder sends an order to a data agent; it is used only with datasets on.
 	SendStageOrder func(name, addr string, o api.StageOrder)
-	Leading        func() bool
-	// CommitDelay is how long a new accept would wait for the state service's limit.
+	// Leading reports whether this controller certainly still leads in this term.
+	Leading func() bool
+	// CommitDelay returns how long the write of a new job would wait for the state service's rate limit.
 	CommitDelay func() time.Duration
-	// ZoneUnreachable tells whether no controller in a zone can be reached.
+	// ZoneUnreachable reports whether no controller in a zone can be reached.
 	ZoneUnreachable func(zone string) bool
-	// JobTerminal tells that a job is over for good; TerminalState is what is remembered of that.
-	JobTerminal   func(id string, f store.FinalRecord)
+	// JobTerminal is called once a job's final state is on record.
+	JobTerminal func(id string, f store.FinalRecord)
+	// TerminalState returns the final state of a job that this controller remembers.
 	TerminalState func(id string) (store.FinalRecord, bool)
 }
 
-// Scheduler is the leader's state in one term.
+// Scheduler is the state of one leadership term. Its exported methods may be called from any goroutine.
 type Scheduler struct {
 	term     uint64
 	clock    clockwork.Clock
 	settings *settings.Settings
 	hooks    Hooks
+	// termStarted is when the Scheduler was made.
+	termStarted time.Time
+	// wake receives when there is something to place before the next tick.
+	wake chan struct{}
 
+	// mu guards all fields below and all that they point to. It is held for short, and never during I/O.
 	mu sync.Mutex
-	// configuration is what operators have configured, as it counts now; configured: it may change.
-	configuration     *configuration.Active
+
+	// Configuration.
+
+	configuration *configuration.Active
+	// liveConfiguration is true once a configuration was applied that may change within the term.
 	liveConfiguration bool
-	loaded            bool
-	termStarted       time.Time
-	machineTypes      map[string]*api.MachineType
-	// topology is nil without a topology.
-	topology *topologyView
-	jobs     map[string]*jobState
-	jobOrder []*jobState
-	machines map[string]*machineState
-	// machinesByName is the list of sortedMachines; nil once machines came or went.
-	machinesByName []*machineState
-	releasedAt     map[string]time.Time
-	// usage is what each team's tasks take; leaving is the part of it that tasks
-	// take which are being stopped.
-	usage               map[string]fleet.Resources
-	stoppingUsage       map[string]fleet.Resources
-	quotas              quota.Ledger
-	lastAttempt         uint64
-	lastInstanceRequest uint64
-	// objectives are the classes' times of completion, sooner first.
+	// machineTypes is the cloud's catalog by name.
+	machineTypes map[string]*api.MachineType
+	// objectives are the times within which jobs of each class should be complete, in seconds, ascending.
 	objectives map[string][]float64
-	// grace are the multiples of their deadlines, above one, by which most
-	// jobs of a class should be complete; smaller first.
+	// deadlineMultiples are the multiples of their deadlines, above one, by which most jobs of a class should be
+	// complete, ascending.
 	deadlineMultiples map[string][]float64
-	// commandsReady are machines with commands that a commit has set free.
-	commandsReady      map[*machineState]bool
-	instanceRefusals   map[capacityPool]time.Time
+
+	// Records.
+
+	// loaded is true once the records have been read.
+	loaded bool
+	// damagedJobs are jobs of which a record could not be read.
+	damagedJobs map[string]bool
+	// currentFormat is true once every member runs a version that reads this version's records.
+	currentFormat bool
+	// tasksPerShard is how many tasks share a record that is written now; it keeps records within the state service's
+	// limit for machine names of up to longestName bytes.
+	tasksPerShard int
+	longestName   int
+
+	// Jobs.
+
+	jobs map[string]*jobState
+	// jobOrder lists the jobs in the order of compareJobs as of the last placement round; new ones are at the end.
+	jobOrder     []*jobState
+	dependencies *dependencies
+	// lastAttempt and lastInstanceRequest make attempts and idempotency keys unique within the term.
+	lastAttempt         uint64
+	lastInstanceRequest uint64
+
+	// Quotas, by team.
+
+	// usage is what allocated tasks request; stoppingUsage is the part of it that is being stopped.
+	usage         map[string]fleet.Resources
+	stoppingUsage map[string]fleet.Resources
+	quotas        quota.Ledger
+
+	// Machines.
+
+	machines map[string]*machineState
+	// machinesByName is the result of sortedMachines; nil once machines came or went.
+	machinesByName []*machineState
+	// releasedAt is when machines were released lately.
+	releasedAt    map[string]time.Time
+	fleetLoggedAt time.Time
+	// topology is nil without a topology.
+	topology *topologyView
+	// datasets is nil unless datasets are on.
+	datasets *datasetState
+	// imageHints are the images of machines that have not reported yet, as the last leader knew them;
+	// imagesChanged is true if there are changes since they were stored at imagesStoredAt.
+	imageHints     map[string][]fleet.Image
+	imagesChanged  bool
+	imagesStoredAt time.Time
+
+	// Requests to the cloud.
+
+	// instanceRefusals is until when a pool that refused a request is not asked again.
+	instanceRefusals map[capacityPool]time.Time
+	// instancesRequested counts open requests.
 	instancesRequested int
-	wake               chan struct{}
-	lastHeartbeat      time.Time
-	detector           *failuredetector.Detector
-	// evictionBudget bounds how many machines are given up for their silence; spared is when it was
-	// last logged that some are left alone.
+	startupTimes       failuredetector.StartupTimes
+
+	// Commands.
+
+	// commandsReady are machines with commands whose records have been stored.
+	commandsReady map[*machineState]bool
+	// commandMailboxes holds the commands that are relayed through each peer.
+	commandMailboxes *exchange.Mailboxes
+
+	// Failure detection.
+
+	lastHeartbeat time.Time
+	detector      *failuredetector.Detector
+	// evictionBudget bounds how many machines are released for their silence; deferralLoggedAt is when it was last
+	// logged that some are not.
 	evictionBudget   failuredetector.EvictionBudget
 	deferralLoggedAt time.Time
-	// lastDirectContact is when a worker last reported to us itself or answered a command;
-	// failed counts commands since that none answered.
+	// lastDirectContact is when a worker last sent us a heartbeat itself or answered a command; unansweredCommands
+	// counts the commands since then that none answered.
 	lastDirectContact  time.Time
 	unansweredCommands int
-	startupTimes       failuredetector.StartupTimes
-	// imageHints are the images of machines that have not reported yet, as the last
-	// leader knew them; imagesChanged: there is more to put on record since
-	// imagesStoredAt.
-	imageHints     map[string][]fleet.Image
-	imagesChanged  bool
-	imagesStoredAt time.Time
-	// told is when the fleet was last logged.
-	fleetLoggedAt time.Time
-	// victimSearches counts the machines that were searched for something to stop.
+
+	// Placement round.
+
+	// roundTime is the time of the current placement round; zero outside of one.
+	roundTime time.Time
+	// victimSearches counts how often a machine was searched for allocations to preempt.
 	victimSearches int
-	// scratchCounts and queued are what ahead counts in.
+	// scratchCounts and scratchQueued are reused by queuedAhead.
 	scratchCounts map[*jobState]int
 	scratchQueued []placement.Queued
-	// roundTime is the time during a run of the placer; zero outside of it.
-	roundTime time.Time
-	// commandMailboxes holds what stands in the mail for the machines behind each sibling.
-	commandMailboxes *exchange.Mailboxes
-	// datasets is nil unless datasets are on.
-	datasets *datasetState
-	// tasksPerShard is how many tasks share a record that is written now; own: it is this version's
-	// number, which keeps to the least limit, for machines with names of longestName.
-	tasksPerShard int
-	currentFormat bool
-	longestName   int
-	dependencies  *dependencies
-	// damagedJobs are jobs of which a record could not be read.
-	damagedJobs map[string]bool
 }
 
 // NewScheduler returns the state of a new term. No record is read yet.
@@ -185,27 +225,27 @@
 // LookupNeeded returns a channel that receives when UnresolvedDependencies has grown.
 func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
 
-// SetTypes takes in the cloud's catalog.
+// SetTypes updates the machine types by the cloud's catalog. Types that it does not name stay.
 func (s *Scheduler) SetTypes(types []api.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range types {
-		t := types[i]
-		s.machineTypes[t.Name] = &t
+		machineType := types[i]
+		s.machineTypes[machineType.Name] = &machineType
 	}
 	for _, machine := range s.machines {
 		machine.Spec = s.machineTypes[machine.Type]
 	}
 }
 
-// Loaded tells whether the records have been read.
+// Loaded reports whether the records have been read.
 func (s *Scheduler) Loaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loaded
 }
 
-// Committed sends what a commit has set free, in one command a machine.
+// Committed sends the commands whose records have been stored, in one message a machine.
 func (s *Scheduler) Committed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,7 +255,7 @@
 	clear(s.commandsReady)
 }
 
-// withLock makes a callback of the committer take the lock.
+// withLock returns f as a callback of the committer that holds s.mu while f runs.
 func (s *Scheduler) withLock(f func()) func() {
 	return func() {
 		s.mu.Lock()
@@ -224,6 +264,7 @@
 	}
 }
 
+// wakePlacer asks for a placement round before the next tick.
 func (s *Scheduler) wakePlacer() {
 	select {
 	case s.wake <- struct{}{}:
@@ -231,8 +272,8 @@
 	}
 }
 
-// now is the time, which stands still during one run of the placer: it asks for
-// every machine and task.
+// now returns the time; during a placement round that is the time at which the round began, since it asks for every
+// machine and task. s.mu must be held.
 func (s *Scheduler) now() time.Time {
 	if !s.roundTime.IsZero() {
 		return s.roundTime
@@ -240,11 +281,13 @@
 	return s.clock.Now()
 }
 
+// since returns the time since t by now. s.mu must be held.
 func (s *Scheduler) since(t time.Time) time.Duration { return s.now().Sub(t) }
 
-// lease is the workers' lease.
+// lease returns the duration of the workers' leases.
 func (s *Scheduler) lease() time.Duration { return settings.Seconds(s.settings.Facts.Workers.LeaseS) }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/controller/starvation.go
+++ b/controller/starvation.go
@@ -88,8 +88,8 @@
 	return ageing.Keep(machines, tasks, job.Job.OneZone)
 }
 
-// reservedForStarved tells whether a machine drains for another job, in whose way this one would be:
-// production is not held up, and what ends by then may run there meanwhile.
+// reservedForStarved reports whether a job may not use a machine because it drains for another one. Production is not
+// held up, and tasks of arrays that end by then may run there meanwhile. s.mu must be held.
 func (s *Scheduler) reservedForStarved(job *jobState, machine *machineState) bool {
 	if machine.reservedFor == nil || machine.reservedFor == job || job.rank == api.RankProduction {
 		return false
--- a/controller/task_failures.go
+++ b/controller/task_failures.go
@@ -8,13 +8,12 @@
 	"switchferry/tuning"
 )
 
-// A job that was submitted with a mistake fails on every machine, at once, until its
-// user cancels it. Its errors say nothing of the machines; and it fails again and
-// again, so it gets one machine at a time, now and then, until a task of it works.
+// A job that was submitted with a mistake fails on every machine, at once, until its user cancels it. Its failures are
+// no evidence against machines, and it gets one machine at a time, with a growing backoff, until a task of it works.
 
-// failsEverywhere tells whether a job fails wherever it goes: on several machines, with
-// nothing done and nothing that has been running for a while. A job whose first tasks
-// met faulty machines is so only until another of its tasks has run that long.
+// failsEverywhere reports whether a job failed on tuning.MistakeMachines machines, with no task complete and none that
+// has run for tuning.MistakeRun. A job whose first tasks were on faulty machines is so only until another of its tasks
+// has run that long. s.mu must be held.
 func (s *Scheduler) failsEverywhere(job *jobState) bool {
 	if len(job.failedOn) < tuning.MistakeMachines || job.completedCount > 0 {
 		return false
@@ -27,7 +26,7 @@
 	return true
 }
 
-// faulty tells whether a machine fails what works elsewhere.
+// faulty reports whether a machine fails tasks of jobs that work elsewhere. s.mu must be held.
 func (s *Scheduler) faulty(machine *machineState) bool {
 	return machine.Faulty(func(id string) bool {
 		job := s.jobs[id]
@@ -35,42 +34,42 @@
 	})
 }
 
-// recordTaskFailure notes an error of a job's task on a machine. Several tasks that fail on one
-// machine are one sign.
+// recordTaskFailure counts a failure of a job's task on a machine, and makes the job avoid the machine for a while. Only
+// the first of several failures on one machine counts against the job. s.mu must be held.
 func (s *Scheduler) recordTaskFailure(job *jobState, machine *machineState, now time.Time) {
 	machine.RecordFailure(job.id)
 	if !machine.faultLogged && s.faulty(machine) {
 		machine.faultLogged = true
 		slog.Info("machine suspect", "machine", machine.Name, "errors", machine.Failures)
 	}
-	again := now.Before(job.avoidUntil[machine.Name])
+	repeated := now.Before(job.avoidUntil[machine.Name])
 	job.avoidUntil[machine.Name] = now.Add(tuning.BackoffMax)
-	if again {
+	if repeated {
 		return
 	}
-	was := s.failsEverywhere(job)
+	failedEverywhere := s.failsEverywhere(job)
 	job.failedOn[machine.Name] = true
 	job.failures++
 	if job.failures >= tuning.BackoffErrors {
-		d := min(tuning.BackoffMax, tuning.BackoffBase<<min(job.failures-tuning.BackoffErrors, 6))
-		job.pausedUntil = now.Add(d)
-		slog.Debug("job paused", "job", job.id, "errors", job.failures, "for", d)
+		pause := min(tuning.BackoffMax, tuning.BackoffBase<<min(job.failures-tuning.BackoffErrors, 6))
+		job.pausedUntil = now.Add(pause)
+		slog.Debug("job paused", "job", job.id, "errors", job.failures, "for", pause)
 	}
-	if !was && s.failsEverywhere(job) {
+	if !failedEverywhere && s.failsEverywhere(job) {
 		slog.Info("job fails on every machine", "job", job.id, "class", job.Job.Class, "team", job.Job.Team, "machines", len(job.failedOn))
 		s.reclaimQueued(job)
 	}
 }
 
-// clearFailures: a task of the job completed, so whatever failed was not the job.
+// clearFailures ends a job's backoff: a task of it completed, so the failures were not the job's. s.mu must be held.
 func (j *jobState) clearFailures() {
 	if j.failures > 0 {
 		j.failures, j.pausedUntil = 0, time.Time{}
 	}
 }
 
-// clearMachineFailures takes a mistaken job's errors off the machines when it is over: they would
-// count against these once nobody remembers the job.
+// clearMachineFailures removes the failures of a job that fails everywhere from the machines when it is over: they would
+// count against these once the job is forgotten. s.mu must be held.
 func (s *Scheduler) clearMachineFailures(job *jobState) {
 	if !s.failsEverywhere(job) {
 		return
@@ -82,7 +81,7 @@
 	}
 }
 
-// placeableTasks is how many of a job's tasks may be given to machines now.
+// placeableTasks returns how many of a job's pending tasks may be placed now. s.mu must be held.
 func (s *Scheduler) placeableTasks(job *jobState) int {
 	if s.failsEverywhere(job) {
 		return max(0, 1-len(job.allocations)-job.queued)
@@ -90,7 +89,7 @@
 	return len(job.pending)
 }
 
-// demandedTasks is how many tasks a job needs machines for.
+// demandedTasks returns how many tasks a job needs machines for. s.mu must be held.
 func (s *Scheduler) demandedTasks(job *jobState) int {
 	if s.failsEverywhere(job) && job.Job.Shape != api.Gang {
 		return max(1, len(job.allocations))
