--- a/controller/data_staging.go
+++ b/controller/data_staging.go
@@ -156,7 +156,7 @@
 			if len(queue.job.inputs) == 0 || len(queue.tasks) == 0 {
 				continue
 			}
-			slog.Info("inputs do not come", "machine", machine.Name, "job", queue.job.id, "tasks", len(queue.tasks), "agent_silent", silent, "cache_full", full)
+			slog.Info("staging stuck, requeueing tasks", "machine", machine.Name, "job", queue.job.id, "tasks", len(queue.tasks), "agent_silent", silent, "cache_full", full)
 			queue.returnTasks()
 			queue.job.avoidUntil[machine.Name] = s.now().Add(tuning.BackoffMax)
 		}
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -54,7 +54,7 @@
 // markReleasing marks a machine as one that the cloud should release, and returns its name. That it is released
 // proves that its tasks are gone.
 func (m *machineState) markReleasing(reason string) string {
-	slog.Info("returning machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
+	slog.Info("releasing machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
 	m.releasing = true
 	return m.Name
 }
@@ -79,7 +79,7 @@
 			if until.IsZero() {
 				until, reason = machine.LastHeartbeat.Add(s.lease()), "machine reaches no controller"
 			}
-			s.drain(machine, until, cmp.Or(reason, "machine is taken back"))
+			s.drain(machine, until, cmp.Or(reason, "preemption notice"))
 		case failuredetector.Forget:
 			slog.Info("machine forgotten", "machine", machine.Name, "why", reason)
 			s.forgetMachine(machine)
@@ -92,7 +92,7 @@
 		}
 		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.ReturnTold {
 			s.deferralLoggedAt = now
-			slog.Info("many machines of a zone are silent; most are left for now", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.Share)/100,
+			slog.Info("deferring release of silent machines", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.Share)/100,
 				"machines", eviction.Machines, "left", eviction.Deferred, "tasks_that_wait_for_them", eviction.DeferredTasks, "returned", len(eviction.Release))
 		}
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	job.passedOverLogged = true
-	slog.Warn("job waits though a machine has room for it", "job", job.id, "class", job.Job.Class, "waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
+	slog.Warn("job waits despite free resources", "job", job.id, "class", job.Job.Class, "waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
 }
 
 // drain stops the tasks of a machine that is about to be taken, or whose lease is about to end: those with checkpoints
@@ -185,7 +185,7 @@
 		if now.Sub(machine.idleSince) < keep || supply-machine.Spec.CPUs < desired || !machine.Spot && supply-spotSupply-machine.Spec.CPUs < desiredOrdinary {
 			continue
 		}
-		slog.Info("returning machine", "machine", machine.Name, "why", "idle")
+		slog.Info("releasing machine", "machine", machine.Name, "why", "idle")
 		machine.releasing = true
 		return []string{machine.Name}
 	}
--- a/controller/placement_topology.go
+++ b/controller/placement_topology.go
@@ -91,7 +91,7 @@
 	unlisted, ambiguous := view.tree.Unlisted(), view.tree.Ambiguous()
 	if unlisted > view.unlisted || ambiguous > view.ambiguous {
 		view.unlisted, view.ambiguous = unlisted, ambiguous
-		slog.Warn("machines that the topology does not name stand alone; of those that two domains name the first counts", "not_named", unlisted, "named_twice", ambiguous)
+		slog.Warn("machines not in exactly one topology domain", "not_named", unlisted, "named_twice", ambiguous)
 	}
 }
 
@@ -122,7 +122,7 @@
 	if reason != job.waitReason {
 		job.waitReason = reason
 		if reason != "" {
-			slog.Info("job waits for a place", "job", job.id, "why", reason)
+			slog.Info("job waits for a domain", "job", job.id, "why", reason)
 		}
 	}
 	return found
--- a/controller/preemption.go
+++ b/controller/preemption.go
@@ -97,7 +97,7 @@
 func (s *Scheduler) preemptVictims(victims []*allocation, job *jobState) {
 	for _, victim := range victims {
 		victim.job.preemptions[victim.task]++
-		s.stopTask(victim, 0, "room for "+job.id)
+		s.stopTask(victim, 0, "preempted for "+job.id)
 	}
 }
 
--- a/controller/quotas.go
+++ b/controller/quotas.go
@@ -68,7 +68,7 @@
 		allocations, usage := s.stoppableUsage(team.Name)
 		for _, i := range quota.Excess(limit, use, usage) {
 			alloc := allocations[i]
-			s.stopTask(alloc, min(overLimit.StopWithinS, alloc.job.Job.SaveS), "its team's limit has sunk")
+			s.stopTask(alloc, min(overLimit.StopWithinS, alloc.job.Job.SaveS), "team limit lowered")
 		}
 	}
 }
--- a/controller/scaling.go
+++ b/controller/scaling.go
@@ -75,7 +75,7 @@
 	overdue, othersTook := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
 	if overdue && !machine.faultLogged {
 		machine.faultLogged = true
-		slog.Info("machine overdue", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", othersTook.Round(time.Second))
+		slog.Info("startup deadline exceeded", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", othersTook.Round(time.Second))
 	}
 	return overdue
 }
@@ -228,7 +228,7 @@
 	}
 	for _, submission := range feasibility.Unplaceable(jobs, s.machinesInUseOrComing()) {
 		if kind, ok := feasibility.PoolFor(submission, kinds); ok {
-			slog.Info("renting for a job that no machine can serve", "job", submission.ID, "type", kind.Type.Name, "zone", kind.Zone, "spot", kind.Spot)
+			slog.Info("requesting instance for unplaceable job", "job", submission.ID, "type", kind.Type.Name, "zone", kind.Zone, "spot", kind.Spot)
 			return []api.InstanceRequest{s.instanceRequest(capacityPool{kind.Type.Name, kind.Zone, kind.Spot}, 1)}
 		}
 	}
@@ -270,10 +270,10 @@
 		s.instanceRefusals[capacityPool{request.Type, request.Zone, request.Spot}] = s.now().Add(tuning.RefusedPause)
 	}
 	if err != nil {
-		slog.Info("rental refused", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "err", err)
+		slog.Info("instance request refused", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "err", err)
 		return
 	}
-	slog.Info("rented", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "asked", request.Count, "got", len(names))
+	slog.Info("instances granted", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "asked", request.Count, "got", len(names))
 	for _, name := range names {
 		if _, gone := s.releasedAt[name]; gone {
 			continue
--- a/controller/starvation.go
+++ b/controller/starvation.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		if !reserving[job] {
-			slog.Info("machines drain for a job that has waited long", "job", job.id, "machines", len(names), "in", drained.Round(time.Second),
+			slog.Info("machines reserved for starved job", "job", job.id, "machines", len(names), "in", drained.Round(time.Second),
 				"waited", now.Sub(job.waitingSince).Round(time.Second))
 			reserving[job] = true
 		}
--- a/controller/task_failures.go
+++ b/controller/task_failures.go
@@ -40,7 +40,7 @@
 	machine.RecordFailure(job.id)
 	if !machine.faultLogged && s.faulty(machine) {
 		machine.faultLogged = true
-		slog.Info("machine suspect", "machine", machine.Name, "errors", machine.Failures)
+		slog.Info("machine faulty", "machine", machine.Name, "errors", machine.Failures)
 	}
 	repeated := now.Before(job.avoidUntil[machine.Name])
 	job.avoidUntil[machine.Name] = now.Add(tuning.BackoffMax)
