--- a/controller/answers.go
+++ b/controller/answers.go
@@ -8,10 +8,11 @@
 
 	"switchferry/api"
 	"switchferry/peer"
+	"switchferry/scheduler"
 )
 
 // answerStatus answers from the state service.
-func (c *Controller) answerStatus(ctx context.Context, sched *Scheduler, id string, waits bool) peer.Response {
+func (c *Controller) answerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
 	st, found, err := c.lookUp(ctx, sched, id, waits)
 	switch {
 	case err != nil:
@@ -24,7 +25,7 @@
 
 // lookUp reads a job's record: its own key first, since the final one is
 // written before that goes. Waits: a question's user waits for its turn; a submission is refused at once.
-func (c *Controller) lookUp(ctx context.Context, sched *Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
+func (c *Controller) lookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
@@ -39,34 +40,20 @@
 	}
 	// Questions must not take the requests that leading needs.
 	x, err := c.records.ReadInTurn(ctx, id, asked)
-	switch {
-	case err != nil || !x.Found:
+	if err != nil || !x.Found {
 		return api.JobStatus{}, false, err
-	case x.Record == nil:
-		return x.Final.JobStatus(id), true, nil
-	}
-	if f, ok := c.terminalState(id); ok {
-		// It ended while we read: the record is old by now.
-		return f.JobStatus(id), true, nil
 	}
-	if sched != nil {
+	if _, over := c.terminalState(id); x.Record != nil && !over && sched != nil {
 		sched.Conflict(x.Record.Key, x.Record)
 		if st, ok := sched.JobStatus(id); ok {
 			return st, true, nil
 		}
 	}
-	st := api.JobStatus{ID: id, State: api.Pending}
-	if x.Final.State != "" {
-		st.State = x.Final.State
-	} else if gone, err := c.records.DependsOnCancelled(ctx, x.Awaits, asked); err != nil {
-		return st, false, err
-	} else if gone {
-		st.State = api.Cancelled
-	}
-	return st, true, nil
+	st, err := c.records.Status(ctx, id, x, asked)
+	return st, err == nil, err
 }
 
-func (c *Controller) serveCancellation(ctx context.Context, sched *Scheduler, id string) peer.Response {
+func (c *Controller) serveCancellation(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
 		return c.cancelWithoutLeader(ctx, id)
 	}
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -11,6 +11,7 @@
 	"switchferry/configuration/httpapi"
 	"switchferry/configuration/revisions"
 	"switchferry/peer"
+	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -34,7 +35,7 @@
 // configurationLeader is a term's side of a change.
 type configurationLeader struct {
 	n    *Controller
-	core *Scheduler
+	core *scheduler.Scheduler
 }
 
 // Condition holds while the term lasts.
@@ -45,14 +46,19 @@
 // Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
 // revision before had something else.
 func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
-	withFiles := *active
-	if withFiles.Topology == nil && l.n.topology != nil {
-		withFiles.Topology = l.n.topology.Map()
+	return l.core.ApplyConfiguration(l.n.withFileDefaults(active))
+}
+
+// withFileDefaults returns a configuration in which the files stand in for what the revision leaves out.
+func (c *Controller) withFileDefaults(active *configuration.Active) *configuration.Active {
+	complete := *active
+	if complete.Topology == nil && c.topology != nil {
+		complete.Topology = c.topology.Map()
 	}
-	if withFiles.AheadTasks == nil {
-		withFiles.AheadTasks = &l.n.data.Ahead
+	if complete.AheadTasks == nil {
+		complete.AheadTasks = &c.data.Ahead
 	}
-	return l.core.ApplyConfiguration(&withFiles)
+	return &complete
 }
 
 // Peers are all other controllers.
@@ -76,7 +82,7 @@
 }
 
 // reapplyConfiguration has the leader go by its present configuration once more, after the topology file has changed.
-func (c *Controller) reapplyConfiguration(sched *Scheduler) {
+func (c *Controller) reapplyConfiguration(sched *scheduler.Scheduler) {
 	if applier := c.currentApplier(); applier != nil {
 		applier.Reapply()
 		return
--- a/election/election.go
+++ b/election/election.go
@@ -1,12 +1,12 @@
-// Package election makes one controller the leader, by a key on a lease of the
-// state service. A term's number is the revision of the write that won it, so
-// it only grows; workers know it as their token.
+// Package election elects the leader among the controllers: the one whose record is in the key
+// store.LeaderKey, which is attached to a lease of the state service.
+//
+// The revision of the write that won an election is the number of the term. Terms therefore only grow,
+// and workers use them as fencing tokens.
 package election
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"log/slog"
 	"sync"
 	"time"
@@ -14,262 +14,127 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/store"
-	"switchferry/tuning"
 )
 
-// Callbacks are told what happens. They must not block for long.
+// Callbacks are called by an Elector, from the goroutine of Run. They must not block for long.
 type Callbacks interface {
+	// Elected is called when this member has won the term.
 	Elected(term uint64)
+	// Lost is called when this member no longer leads in the term, with the reason for the log.
 	Lost(term uint64, why string)
-	// Isolated tells whether no sibling can be reached.
+	// Isolated returns whether no peer can be reached.
 	Isolated() bool
 }
 
-// Elector stands for election and keeps the term.
+// Elector campaigns for one member and renews its lease while it leads. All methods but Run and
+// Campaign are safe for concurrent use.
 type Elector struct {
-	member string
-	client *store.Client
-	clock  clockwork.Clock
-	events Callbacks
-
-	mu     sync.Mutex
-	leader string // as last read
-	reign  uint64 // its term, or the last one's while there is no leader
-	vacant time.Time
-	// following is the revision of another's key, for the loop of Run alone.
-	following uint64
-	term      uint64 // ours; 0: none
-	lease     uint64
-	valid     time.Time
-	// standAfter keeps a leader that resigned from standing at once.
-	standAfter time.Time
-	quit       chan string
+	member    string
+	client    *store.Client
+	clock     clockwork.Clock
+	callbacks Callbacks
+
+	// resignations, of capacity one, holds the reason for which the term is to end.
+	resignations chan string
+
+	// observedRevision is the revision of the key of another leader that Campaign found, 0 without one. It
+	// belongs to the goroutine of Run.
+	observedRevision uint64
+
+	mu sync.Mutex
+	// leader is the member that leads, as last read; empty: none.
+	leader string
+	// leaderTerm is the term of leader, or the last known term while there is none.
+	leaderTerm uint64
+	// leaderlessSince is when the last leader was found to be gone.
+	leaderlessSince time.Time
+	// term is the term of this member; 0: it does not lead.
+	term    uint64
+	leaseID uint64
+	// validUntil is until when the lease certainly has not expired.
+	validUntil time.Time
+	// campaignAfter is until when a member that resigned leaves the leadership to others.
+	campaignAfter time.Time
 }
 
-// New makes an elector.
-func New(member string, client *store.Client, clock clockwork.Clock, events Callbacks) *Elector {
-	return &Elector{member: member, client: client, clock: clock, events: events, quit: make(chan string, 1)}
+// New returns an elector for a member. It does nothing until Run is called.
+func New(member string, client *store.Client, clock clockwork.Clock, callbacks Callbacks) *Elector {
+	return &Elector{member: member, client: client, clock: clock, callbacks: callbacks, resignations: make(chan string, 1)}
 }
 
-// Leader is the member that leads and its term, as far as known.
+// Leader returns the member that leads and its term, as far as known. Without a leader, member is empty
+// and term is the last known one.
 func (e *Elector) Leader() (member string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leader, e.reign
+	return e.leader, e.leaderTerm
 }
 
-// LeaderlessFor is the last term and how long nobody has led since.
+// LeaderlessFor returns the last known term and for how long there has been no leader since.
 func (e *Elector) LeaderlessFor() (term uint64, since time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.reign, e.clock.Since(e.vacant)
+	return e.leaderTerm, e.clock.Since(e.leaderlessSince)
 }
 
-// Term is our term and whether our key certainly still stands.
+// Term returns the term of this member, 0 if it does not lead, and whether its lease certainly has not
+// expired.
 func (e *Elector) Term() (term uint64, valid bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.term, e.term != 0 && e.clock.Now().Before(e.valid)
+	return e.term, e.term != 0 && e.clock.Now().Before(e.validUntil)
 }
 
-// ExpiredFor is how long ago our key's life ended; negative while it lasts.
+// ExpiredFor returns for how long the lease of this member may have expired. It is negative while the
+// lease is valid.
 func (e *Elector) ExpiredFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.clock.Since(e.valid)
+	return e.clock.Since(e.validUntil)
 }
 
-// Resign gives the term up.
+// Resign ends the term of this member soon, for a reason that is logged. It does not block. Of several
+// calls, the first counts.
 func (e *Elector) Resign(why string) {
 	select {
-	case e.quit <- why:
+	case e.resignations <- why:
 	default:
 	}
 }
 
-// Run stands and leads until the context ends.
+// Run campaigns and leads until the context ends.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		e.following = 0
+		e.observedRevision = 0
 		if e.Campaign(ctx) {
-			e.lead(ctx)
-		} else if e.following > 0 {
-			e.follow(ctx, e.following)
+			e.holdTerm(ctx)
+		} else if e.observedRevision > 0 {
+			e.awaitLeaderChange(ctx, e.observedRevision)
 		}
 	}
 }
 
-func (e *Elector) sleep(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until the context ends.
+func (e *Elector) sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-e.clock.After(d):
+	case <-e.clock.After(duration):
 	}
 }
 
-func (e *Elector) setLeader(m string, term uint64) {
+// observeLeader records who leads in which term (0: as before); an empty member means that nobody leads.
+func (e *Elector) observeLeader(member string, term uint64) {
 	e.mu.Lock()
-	changed := e.leader != m
-	if e.leader != "" && m == "" {
-		e.vacant = e.clock.Now()
+	changed := e.leader != member
+	if e.leader != "" && member == "" {
+		e.leaderlessSince = e.clock.Now()
 	}
-	e.leader = m
+	e.leader = member
 	if term != 0 {
-		e.reign = term
+		e.leaderTerm = term
 	}
 	e.mu.Unlock()
-	if changed && m != "" {
-		slog.Info("leader known", "leader", m)
-	}
-}
-
-// Campaign looks who leads and, if nobody does, tries to become the leader.
-func (e *Elector) Campaign(ctx context.Context) bool {
-	it, err := e.client.Get(ctx, store.LeaderKey)
-	switch {
-	case err == nil:
-		var l store.LeaderRecord
-		if json.Unmarshal(it.Value, &l) != nil {
-			slog.Error("the leader's key holds something else", "value", string(it.Value))
-		}
-		if l.Member == e.member {
-			// Left by our own process before it ended: no one else bears
-			// this name, so the lease can go at once.
-			slog.Info("ending the lease of our earlier process")
-			_ = e.client.RevokeLease(ctx, it.Lease)
-			e.sleep(ctx, tuning.ElectRetry/5)
-			return false
-		}
-		e.setLeader(l.Member, it.Revision)
-		e.following = it.Revision
-		return false
-	case !errors.Is(err, store.ErrNotFound):
-		e.sleep(ctx, tuning.ElectRetry)
-		return false
-	}
-	e.setLeader("", 0)
-	e.mu.Lock()
-	wait := e.standAfter.Sub(e.clock.Now())
-	e.mu.Unlock()
-	if wait > 0 {
-		e.sleep(ctx, min(wait, tuning.ElectRetry))
-		return false
-	}
-	if e.events.Isolated() {
-		// A node that reaches nobody leaves the first chance to the others.
-		e.sleep(ctx, tuning.LoneDelay)
-		if _, err := e.client.Get(ctx, store.LeaderKey); !errors.Is(err, store.ErrNotFound) {
-			return false
-		}
+	if changed && member != "" {
+		slog.Info("leader changed", "leader", member)
 	}
-	sent := e.clock.Now()
-	lease, err := e.client.GrantLease(ctx, tuning.TermTTL)
-	if err != nil {
-		e.sleep(ctx, tuning.ElectRetry)
-		return false
-	}
-	term, _, err := e.client.Transact(ctx,
-		[]store.Condition{{Key: store.LeaderKey, Revision: 0}},
-		[]store.Operation{{Set: store.LeaderKey, Value: store.LeaderRecord{Member: e.member}, Lease: lease}})
-	if errors.Is(err, store.ErrOutcomeUnknown) {
-		// It may have won: read before anything else.
-		it, rerr := e.client.Get(ctx, store.LeaderKey)
-		if rerr == nil && it.Lease == lease {
-			term, err = it.Revision, nil
-		}
-	}
-	if err != nil {
-		_ = e.client.RevokeLease(ctx, lease)
-		e.sleep(ctx, tuning.ElectRetry/5)
-		return false
-	}
-	e.mu.Lock()
-	e.term, e.lease, e.leader = term, lease, e.member
-	e.valid = sent.Add(tuning.TermTTL - tuning.TermMargin)
-	select {
-	case <-e.quit:
-	default:
-	}
-	e.mu.Unlock()
-	slog.Info("elected", "term", term)
-	e.events.Elected(term)
-	return true
-}
-
-// follow waits until the leader's key changes.
-func (e *Elector) follow(ctx context.Context, after uint64) {
-	for ctx.Err() == nil {
-		log, epoch, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchBlock)
-		if err != nil {
-			e.sleep(ctx, tuning.ElectRetry)
-			return
-		}
-		if len(log) > 0 {
-			return
-		}
-		after = max(after, epoch)
-	}
-}
-
-// renew renews the lease once. True: it has ended. The lease is timed from the moment a
-// renewal was sent, since its answer may be late, and may be overtaken by a later one's.
-func (e *Elector) renew(ctx context.Context) (ended bool) {
-	e.mu.Lock()
-	lease := e.lease
-	e.mu.Unlock()
-	sent := e.clock.Now()
-	err := e.client.RenewLease(ctx, lease)
-	if err != nil {
-		return errors.Is(err, store.ErrNoLease)
-	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if until := sent.Add(tuning.TermTTL - tuning.TermMargin); e.lease == lease && e.term != 0 && until.After(e.valid) {
-		e.valid = until
-	}
-	return false
-}
-
-// lead renews until the term is over; a renewal that is not answered does not hold up the
-// next.
-func (e *Elector) lead(ctx context.Context) {
-	why := ""
-	ended := make(chan struct{}, tuning.RenewAtOnce)
-	slots := make(chan struct{}, tuning.RenewAtOnce)
-	calls, stop := context.WithCancel(ctx)
-	defer stop()
-	for why == "" {
-		select {
-		case slots <- struct{}{}:
-			go func() {
-				defer func() { <-slots }()
-				if e.renew(calls) {
-					ended <- struct{}{}
-				}
-			}()
-		default:
-		}
-		if e.ExpiredFor() > tuning.Holdover {
-			why = "the state service is out of reach"
-			continue
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case why = <-e.quit:
-		case <-ended:
-			why = "the lease ended"
-		case <-e.clock.After(tuning.RenewEvery):
-		}
-	}
-	e.mu.Lock()
-	term, lease := e.term, e.lease
-	e.term, e.leader, e.reign, e.vacant, e.valid = 0, "", term, e.clock.Now(), time.Time{}
-	e.standAfter = e.clock.Now().Add(tuning.StandAgain)
-	if why == "the lease ended" {
-		e.standAfter = time.Time{}
-	}
-	e.mu.Unlock()
-	slog.Info("term over", "term", term, "why", why)
-	e.events.Lost(term, why)
-	_ = e.client.RevokeLease(ctx, lease)
 }
--- a/controller/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,8 @@
-package controller
+// Package scheduler is the leader's state and decisions during one term: which jobs there are, where their tasks run, which
+// machines are rented and returned, and what is written of it. A Scheduler does no I/O of its own: the process (package
+// controller) hands heartbeats, records and answers in, and carries out what the scheduler asks of its collaborators.
+// One lock, held briefly, guards all of a term's state.
+package scheduler
 
 import (
 	"slices"
@@ -158,8 +162,8 @@
 	scratchQueued []placement.Queued
 }
 
-// NewScheduler returns the state of a new term. No record is read yet.
-func NewScheduler(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
+// New returns the state of a new term. No record is read yet.
+func New(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
 	started := clock.Now()
 	s := &Scheduler{
 		term:              term,
