--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -119,16 +119,16 @@
 	}
 	seen := map[wholeDataset]bool{}
 	for _, demand := range demands {
-		for _, in := range demand.job.inputs {
-			whole := wholeDataset{demand.machine, in.name}
+		for _, jobInput := range demand.job.inputs {
+			whole := wholeDataset{demand.machine, jobInput.name}
 			switch {
-			case in.summary == nil:
-			case in.partPerTask:
-				parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: in.summary, Part: demand.task})
+			case jobInput.summary == nil:
+			case jobInput.partPerTask:
+				parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: jobInput.summary, Part: demand.task})
 			case !seen[whole]:
 				seen[whole] = true
-				for part := range in.summary.Parts {
-					parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: in.summary, Part: part})
+				for part := range jobInput.summary.Parts {
+					parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: jobInput.summary, Part: part})
 				}
 			}
 		}
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -121,8 +121,8 @@
 
 // release lets a job start whose dependencies are all done. LookedUp tells that the last one was looked up: it may have
 // been done long ago, under an earlier leader, so the job counts as waiting since its submission.
-func (p *dependencies) release(id string, lookedUp bool) {
-	job := p.scheduler.jobs[id]
+func (p *dependencies) release(jobID string, lookedUp bool) {
+	job := p.scheduler.jobs[jobID]
 	if job == nil || job.FinalState != "" {
 		return
 	}
@@ -130,7 +130,7 @@
 	if !lookedUp {
 		job.waitingSince = job.learnedAt
 	}
-	slog.Debug("job may start", "job", id, "waited", time.Duration(job.eligibleAt-job.At)*time.Millisecond)
+	slog.Debug("job may start", "job", jobID, "waited", time.Duration(job.eligibleAt-job.At)*time.Millisecond)
 	job.makeEligible()
 	p.scheduler.wakePlacer()
 }
@@ -214,19 +214,19 @@
 
 // waitReasons returns what a job waits for, one dependency each, for operators and users.
 func (p *dependencies) waitReasons(job *jobState) (reasons []string) {
-	for _, id := range p.graph.Dependencies(job.id) {
+	for _, dependencyID := range p.graph.Dependencies(job.id) {
 		state := "is not over"
-		switch dependency := p.scheduler.jobs[id]; {
+		switch dependency := p.scheduler.jobs[dependencyID]; {
 		case dependency == nil:
 			state = "is being looked up"
 		case dependency.waitsForDependencies:
-			state = fmt.Sprintf("waits itself for %s", strings.Join(p.graph.Dependencies(id), ", "))
+			state = fmt.Sprintf("waits itself for %s", strings.Join(p.graph.Dependencies(dependencyID), ", "))
 		case dependency.FinalState != "":
 			state = "is over; its record is being stored"
 		default:
 			state = fmt.Sprintf("has %d of %d tasks done", dependency.completedCount, dependency.taskCount)
 		}
-		reasons = append(reasons, fmt.Sprintf("it awaits %s, which %s", id, state))
+		reasons = append(reasons, fmt.Sprintf("it awaits %s, which %s", dependencyID, state))
 	}
 	return reasons
 }
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -90,8 +90,8 @@
 		x.transfer.spreadSeconds, x.transfer.inFlight = datasets.spreadSeconds(x.job, task), datasets.inFlightCopies(x.job, task)
 		if x.singlePartPerTask {
 			// A server that is no holder lacks all of it.
-			in := x.job.inputs[0]
-			x.transfer.bytes, x.transfer.fromStore = float64(in.summary.PartBytes(task)), len(datasets.snapshot.Holders(in.name, task)) == 0
+			jobInput := x.job.inputs[0]
+			x.transfer.bytes, x.transfer.fromStore = float64(jobInput.summary.PartBytes(task)), len(datasets.snapshot.Holders(jobInput.name, task)) == 0
 		}
 	}
 	if !x.singlePartPerTask {
@@ -113,13 +113,13 @@
 	}
 	task := int(x.groups[group].Tasks[0])
 	leastBytes := math.Inf(1)
-	for _, in := range x.job.inputs {
-		if in.partPerTask {
-			leastBytes = min(leastBytes, float64(in.summary.PartBytes(task)))
+	for _, jobInput := range x.job.inputs {
+		if jobInput.partPerTask {
+			leastBytes = min(leastBytes, float64(jobInput.summary.PartBytes(task)))
 			continue
 		}
-		leastBytes = min(leastBytes, float64(in.summary.Usual))
-		for _, partBytes := range in.summary.Odd {
+		leastBytes = min(leastBytes, float64(jobInput.summary.Usual))
+		for _, partBytes := range jobInput.summary.Odd {
 			leastBytes = min(leastBytes, float64(partBytes))
 		}
 	}
@@ -135,9 +135,9 @@
 		return math.Inf(1)
 	}
 	bytes := 0.0
-	for _, in := range x.job.inputs {
-		if in.partPerTask {
-			bytes += float64(in.summary.PartBytes(int(x.groups[group].Tasks[0])))
+	for _, jobInput := range x.job.inputs {
+		if jobInput.partPerTask {
+			bytes += float64(jobInput.summary.PartBytes(int(x.groups[group].Tasks[0])))
 		}
 	}
 	if seconds := x.scheduler.datasets.planner.TransferDelay(0, bytes, false); seconds > 0 {
@@ -220,9 +220,9 @@
 
 // spreadSeconds returns how long the sources of a task's own parts take until one more machine has them, in seconds.
 func (d *datasetState) spreadSeconds(job *jobState, task int) (seconds float64) {
-	for _, in := range job.inputs {
-		if in.partPerTask && in.summary != nil {
-			seconds = max(seconds, d.planner.Spread(in.summary, task, len(d.snapshot.Holders(in.name, task))))
+	for _, jobInput := range job.inputs {
+		if jobInput.partPerTask && jobInput.summary != nil {
+			seconds = max(seconds, d.planner.Spread(jobInput.summary, task, len(d.snapshot.Holders(jobInput.name, task))))
 		}
 	}
 	return seconds
@@ -230,18 +230,18 @@
 
 // missingBytes returns how many bytes of a task's inputs a machine lacks, and whether no machine holds some of them.
 func (d *datasetState) missingBytes(job *jobState, task int, id replicas.MachineID) (bytes float64, fromStore bool) {
-	for _, in := range job.inputs {
+	for _, jobInput := range job.inputs {
 		switch {
-		case in.summary == nil:
-		case in.partPerTask:
-			if !d.snapshot.Has(id, in.name, task) {
-				bytes += float64(in.summary.PartBytes(task))
-				fromStore = fromStore || len(d.snapshot.Holders(in.name, task)) == 0
+		case jobInput.summary == nil:
+		case jobInput.partPerTask:
+			if !d.snapshot.Has(id, jobInput.name, task) {
+				bytes += float64(jobInput.summary.PartBytes(task))
+				fromStore = fromStore || len(d.snapshot.Holders(jobInput.name, task)) == 0
 			}
 		default:
-			if missingParts := in.summary.Parts - d.snapshot.Count(id, in.name); missingParts > 0 {
-				bytes += float64(in.summary.Bytes) * float64(missingParts) / float64(in.summary.Parts)
-				fromStore = fromStore || len(d.snapshot.Complete(in.name)) == 0
+			if missingParts := jobInput.summary.Parts - d.snapshot.Count(id, jobInput.name); missingParts > 0 {
+				bytes += float64(jobInput.summary.Bytes) * float64(missingParts) / float64(jobInput.summary.Parts)
+				fromStore = fromStore || len(d.snapshot.Complete(jobInput.name)) == 0
 			}
 		}
 	}
@@ -250,10 +250,10 @@
 
 // holders returns the machines that hold all inputs of a task, ascending.
 func (d *datasetState) holders(job *jobState, task int) (common []replicas.MachineID) {
-	for i, in := range job.inputs {
-		holders := d.snapshot.Complete(in.name)
-		if in.partPerTask {
-			holders = d.snapshot.Holders(in.name, task)
+	for i, jobInput := range job.inputs {
+		holders := d.snapshot.Complete(jobInput.name)
+		if jobInput.partPerTask {
+			holders = d.snapshot.Holders(jobInput.name, task)
 		}
 		if i == 0 {
 			common = holders
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -89,41 +89,42 @@
 	}
 }
 
-// queuedAhead is what a machine has outstanding for jobs up to and with j in the
-// order of the queues, as equation (2) needs it, and the room that services
-// leave.
-func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slot float64) (_ []placement.Queued, room fleet.Resources) {
-	room = machine.capacity()
-	// It is asked for each job and machine: what it counts in is used again.
+// queuedAhead returns the tasks that a machine has outstanding for the jobs up to and including one in the order of the
+// queues, as equation (2) of the paper needs them, and the resources that services leave of it. The result is valid
+// until the next call. SlotS is the length of a slot in seconds. s.mu must be held.
+func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slotS float64) (_ []placement.Queued, resources fleet.Resources) {
+	resources = machine.capacity()
+	// It is called for each job and machine, so the map and the slice are reused.
 	if s.scratchCounts == nil {
 		s.scratchCounts = map[*jobState]int{}
 	}
 	clear(s.scratchCounts)
-	count, queued := s.scratchCounts, s.scratchQueued[:0]
+	counts, queued := s.scratchCounts, s.scratchQueued[:0]
 	for _, alloc := range machine.allocations {
 		if alloc.job.Job.Shape == api.Service {
-			room = room.Sub(alloc.job.request)
+			resources = resources.Sub(alloc.job.request)
 		} else if !alloc.stopping && compareJobs(alloc.job, job) <= 0 {
-			count[alloc.job]++
+			counts[alloc.job]++
 		}
 	}
 	for _, queue := range machine.queues {
 		if compareJobs(queue.job, job) <= 0 {
-			count[queue.job] += len(queue.tasks)
+			counts[queue.job] += len(queue.tasks)
 		}
 	}
-	for o, n := range count {
-		mu := placement.Mu(max(1, room.Multiple(o.request)), slot, estimate(o))
-		queued = append(queued, placement.Queued{Tasks: n, Mu: mu})
+	for ahead, tasks := range counts {
+		mu := placement.Mu(max(1, resources.Multiple(ahead.request)), slotS, estimate(ahead))
+		queued = append(queued, placement.Queued{Tasks: tasks, Mu: mu})
 	}
 	s.scratchQueued = queued
-	return queued, room
+	return queued, resources
 }
 
-// server is a machine as the water-filling sees it for a job, without what it must fetch.
-func (s *Scheduler) server(machine *machineState, job *jobState, slot float64) placement.Server {
-	queued, room := s.queuedAhead(machine, job, slot)
-	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(room.Multiple(job.request), slot, estimate(job)), Free: machine.free().Multiple(job.request)}
+// server returns a machine as a server of the water-filling for a job, without the wait for the image and inputs that it
+// lacks. SlotS is the length of a slot in seconds. s.mu must be held.
+func (s *Scheduler) server(machine *machineState, job *jobState, slotS float64) placement.Server {
+	queued, resources := s.queuedAhead(machine, job, slotS)
+	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(resources.Multiple(job.request), slotS, estimate(job)), Free: machine.free().Multiple(job.request)}
 }
 
 // waterFillServer is a machine that takes part in the water-filling of one job.
@@ -192,15 +193,15 @@
 	return candidates
 }
 
-// fetchPenalty is a wait in slots, as the operators' policy has it.
-func fetchPenalty(pol *policy.Policy, seconds, slot float64) int {
+// fetchPenalty returns the slots that the operators' policy counts for a wait in seconds; slotS is the length of a slot.
+func fetchPenalty(pol *policy.Policy, seconds, slotS float64) int {
 	if seconds <= 0 {
 		return 0
 	}
-	return int(pol.Value(policy.FetchPenalty, policy.Vars{"fetch_s": seconds, "slot_s": slot}))
+	return int(pol.Value(policy.FetchPenalty, policy.Vars{"fetch_s": seconds, "slot_s": slotS}))
 }
 
-// queueRound is the state of one run of serveQueues.
+// queueRound is the state of one run of serveQueues. Scheduler.mu must be held for all methods.
 type queueRound struct {
 	scheduler *Scheduler
 	// queues lists the queues of each job, in the order of the machines' names.
@@ -327,59 +328,61 @@
 	r.freeCPUs -= job.request.CPUs
 }
 
-// lowRankReserve is the room there is, and how much of it jobs of rank low leave to others.
-// Tiny tasks that filled every gap at once had to be stopped by the dozen for each of
-// the owners' tasks, and started again elsewhere.
-func (s *Scheduler) lowRankReserve(ms []*machineState) (room, reserve float64) {
-	owned := 0.0
-	for _, machine := range ms {
+// lowRankReserve returns the free CPUs of all machines, and how many of these jobs of rank low leave to others. Without
+// that tiny tasks fill every gap at once, and are preempted by the dozen for each task of higher rank.
+// s.mu must be held.
+func (s *Scheduler) lowRankReserve(machines []*machineState) (freeCPUs, reservedCPUs float64) {
+	ownedCPUs := 0.0
+	for _, machine := range machines {
 		if !s.schedulable(machine) {
 			continue
 		}
-		room += machine.free().CPUs
+		freeCPUs += machine.free().CPUs
 		for _, alloc := range machine.allocations {
 			if alloc.job.rank > api.RankLow {
-				owned += alloc.job.request.CPUs
+				ownedCPUs += alloc.job.request.CPUs
 			}
 		}
 	}
-	return room, s.configuration.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": owned})
+	return freeCPUs, s.configuration.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": ownedCPUs})
 }
 
-// pullCandidates are the machines that may take a job's task off another's queue, those
-// that hold the image first, and of those the ones with the least room left.
-func (s *Scheduler) pullCandidates(job *jobState, roomy []*machineState) []*machineState {
-	var out []*machineState
-	for _, machine := range roomy {
+// pullCandidates returns those of the available machines that may take a job's task out of another machine's queue: the
+// ones that wait least for the image first, and of those the ones with the fewest free CPUs. s.mu must be held.
+func (s *Scheduler) pullCandidates(job *jobState, available []*machineState) []*machineState {
+	var candidates []*machineState
+	for _, machine := range available {
 		if s.canStart(job, machine) && s.worthPulling(job, machine) {
-			out = append(out, machine)
+			candidates = append(candidates, machine)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *machineState) int {
+	slices.SortStableFunc(candidates, func(a, b *machineState) int {
 		return cmp.Or(cmp.Compare(s.sharedStartCost(job, 0, a).Seconds(), s.sharedStartCost(job, 0, b).Seconds()),
 			cmp.Compare(a.free().CPUs, b.free().CPUs))
 	})
-	return out
+	return candidates
 }
 
-// worthPulling tells whether a machine without the image should take a job's
-// task off a holder's queue: once the job has waited as long as the fetch takes,
-// so that at worst it waits twice what was best.
+// worthPulling reports whether a machine without the image should take a job's task out of the queue of one that has it:
+// once the job has waited in proportion to the fetch, so that the wait at worst is a multiple of the shortest.
+// s.mu must be held.
 func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
-	f := s.sharedStartCost(job, 0, machine).Seconds()
-	return f <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*f
+	seconds := s.sharedStartCost(job, 0, machine).Seconds()
+	return seconds <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*seconds
 }
 
-// startTask records a task's machine; the command goes out once that is stored.
-func (s *Scheduler) startTask(job *jobState, task int, machine *machineState, victims []*allocation, why string) {
+// startTask allocates a task to a machine and commits its start. Victims are the allocations that make way for it; they
+// must be stopping. Reason is logged. s.mu must be held.
+func (s *Scheduler) startTask(job *jobState, task int, machine *machineState, victims []*allocation, reason string) {
 	alloc := s.allocate(job, task, machine, s.nextAttempt())
 	alloc.victims = victims
-	s.commitStart(alloc, why)
+	s.commitStart(alloc, reason)
 }
 
-func (s *Scheduler) commitStart(alloc *allocation, why string) {
+// commitStart has an allocation put on record; the start command is sent once it is stored. s.mu must be held.
+func (s *Scheduler) commitStart(alloc *allocation, reason string) {
 	alloc.startedByAgeing, alloc.job.lastStart = alloc.job.starved, s.now()
-	slog.Debug("task placed", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", why, "image", alloc.machine.HasImage(alloc.job.Job.Image))
+	slog.Debug("task placed", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", reason, "image", alloc.machine.HasImage(alloc.job.Job.Image))
 	s.markShardDirty(alloc.job, alloc.task, s.withLock(func() {
 		alloc.committed = true
 		if alloc.job.allocations[alloc.task] == alloc {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler is the leader's state and decisions during one term: which jobs there are, where their tasks run, which
-// machines are rented and returned, and what is written of it. A Scheduler does no I/O of its own: the process (package
-// controller) hands heartbeats, records and answers in, and carries out what the scheduler asks of its collaborators.
+// Package scheduler is the leader's state and decisions during one term: which jobs there are, where their tasks run, how
+// the fleet scales out and in, and what is put on record. A Scheduler does no I/O of its own: the process (package
+// controller) passes heartbeats, records and answers in, and carries out what the scheduler asks of its collaborators.
 // One lock, held briefly, guards all of a term's state.
 package scheduler
 
@@ -165,7 +165,7 @@
 // New returns the state of a new term. No record is read yet.
 func New(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, hooks Hooks) *Scheduler {
 	started := clock.Now()
-	s := &Scheduler{
+	scheduler := &Scheduler{
 		term:              term,
 		clock:             clock,
 		settings:          set,
@@ -187,11 +187,11 @@
 		detector:          failuredetector.New(started, settings.Seconds(set.Facts.Workers.LeaseS)),
 		tasksPerShard:     tuning.ShardTasks,
 	}
-	s.dependencies = newDependencies(s)
-	s.commandMailboxes = newMailboxes(s, store.MailPrefix, store.MailKey, s.relayedCommandBody)
-	s.objectives, s.deadlineMultiples = objectivesByClass(set.Facts.Objectives)
-	s.SetTypes(types)
-	return s
+	scheduler.dependencies = newDependencies(scheduler)
+	scheduler.commandMailboxes = newMailboxes(scheduler, store.MailPrefix, store.MailKey, scheduler.relayedCommandBody)
+	scheduler.objectives, scheduler.deadlineMultiples = objectivesByClass(set.Facts.Objectives)
+	scheduler.SetTypes(types)
+	return scheduler
 }
 
 // objectivesByClass returns, for each class of jobs, the times within which its jobs should be complete, in seconds,
