--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -33,7 +33,9 @@
 func (h candidateHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push implements heap.Interface.
-func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
+func (h *candidateHeap) Push(x any) {
+	*h = append(*h, x.(candidate)) //nolint:forcetypeassert // container/heap passes what was pushed
+}
 
 // Pop implements heap.Interface.
 func (h *candidateHeap) Pop() any {
@@ -77,7 +79,7 @@
 // back by pushCandidate once it has used it. s.mu must be held.
 func (s *Scheduler) bestCandidate(job *jobState, candidates *candidateHeap) (candidate, bool) {
 	for candidates.Len() > 0 {
-		stale := heap.Pop(candidates).(candidate)
+		stale := heap.Pop(candidates).(candidate) //nolint:forcetypeassert // the heap holds nothing else
 		current, ok := s.candidateOn(job, stale.machine)
 		if !ok {
 			continue
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -156,7 +156,8 @@
 			if len(queue.job.inputs) == 0 || len(queue.tasks) == 0 {
 				continue
 			}
-			slog.Info("staging stuck, requeueing tasks", "machine", machine.Name, "job", queue.job.id, "tasks", len(queue.tasks), "agent_silent", silent, "cache_full", full)
+			slog.Info("staging stuck, requeueing tasks", "machine", machine.Name, "job", queue.job.id, "tasks", len(queue.tasks),
+				"agent_silent", silent, "cache_full", full)
 			queue.returnTasks()
 			queue.job.avoidUntil[machine.Name] = s.now().Add(tuning.BackoffMax)
 		}
@@ -210,7 +211,7 @@
 // none, or if it may not take the task any more, in which case it is forgotten. s.mu must be held.
 func (s *Scheduler) intendedMachine(job *jobState, task int) *machineState {
 	machine := job.intendedMachines[task]
-	if machine == nil || s.machines[machine.Name] != machine || !s.eligible(job, machine) || !s.mayStage(job, machine) || !satisfiesSpread(job, machine) {
+	if machine == nil || s.machines[machine.Name] != machine || !s.mayPlace(job, machine) {
 		delete(job.intendedMachines, task)
 		return nil
 	}
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -201,7 +201,7 @@
 // endsWithin reports whether all tasks of a job are done or run and, by its estimate, end within the given seconds.
 // s.mu must be held.
 func (p *dependencies) endsWithin(job *jobState, seconds float64) bool {
-	if job.waitsForDependencies || job.FinalState == "" && (len(job.pending)+job.queued > 0 || len(job.allocations) == 0) {
+	if job.waitsForDependencies || job.FinalState == "" && (job.unplaced() > 0 || len(job.allocations) == 0) {
 		return false
 	}
 	for _, alloc := range job.allocations {
@@ -215,7 +215,7 @@
 // waitReasons returns what a job waits for, one dependency each, for operators and users.
 func (p *dependencies) waitReasons(job *jobState) (reasons []string) {
 	for _, dependencyID := range p.graph.Dependencies(job.id) {
-		state := "is not over"
+		var state string
 		switch dependency := p.scheduler.jobs[dependencyID]; {
 		case dependency == nil:
 			state = "is being looked up"
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -28,7 +28,8 @@
 			shortestBootS = machineType.BootS
 		}
 	}
-	domain, delayMS := job.site.SoonestDomain(job.request, len(job.pending), allowed, func(name string) []int64 { return s.startDelays(job, s.machines[name], len(job.pending)) })
+	delays := func(name string) []int64 { return s.startDelays(job, s.machines[name], len(job.pending)) }
+	domain, delayMS := job.site.SoonestDomain(job.request, len(job.pending), allowed, delays)
 	if domain == nil || float64(delayMS) > shortestBootS*1000 {
 		return ""
 	}
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -25,7 +25,11 @@
 		view.Domains = append(view.Domains, domainView(tree, domain))
 	}
 	for _, reservation := range s.topology.reservations.All(s.now()) {
-		view.Reserved = append(view.Reserved, api.ReservedView{Domain: reservation.Domain.Name, Job: reservation.Job, InS: reservation.At.Sub(s.now()).Seconds()})
+		view.Reserved = append(view.Reserved, api.ReservedView{
+			Domain: reservation.Domain.Name,
+			Job:    reservation.Job,
+			InS:    reservation.At.Sub(s.now()).Seconds(),
+		})
 	}
 	for _, job := range s.jobOrder {
 		if job.waitReason != "" && len(job.pending) > 0 {
@@ -38,7 +42,15 @@
 // domainView returns a domain with its machines and free resources.
 func domainView(tree *topology.Tree, domain *topology.Domain) api.DomainView {
 	free := tree.Free(domain)
-	view := api.DomainView{Name: domain.Name, Level: domain.Level, Machines: tree.Machines(domain), Usable: tree.Usable(domain), CPUs: free.CPUs, Cards: free.Cards, MemoryGB: free.MemoryGB}
+	view := api.DomainView{
+		Name:     domain.Name,
+		Level:    domain.Level,
+		Machines: tree.Machines(domain),
+		Usable:   tree.Usable(domain),
+		CPUs:     free.CPUs,
+		Cards:    free.Cards,
+		MemoryGB: free.MemoryGB,
+	}
 	view.Silent = view.Machines > 0 && view.Usable == 0
 	if domain.Parent != nil {
 		view.In = domain.Parent.Name
@@ -55,7 +67,15 @@
 	if job == nil || !known {
 		return explanation, false
 	}
-	explanation = api.Explanation{Job: id, State: status.State, Tasks: job.taskCount, Done: job.completedCount, Waiting: len(job.pending) + job.queued, Why: []string{}, Locations: s.taskLocations(job)}
+	explanation = api.Explanation{
+		Job:       id,
+		State:     status.State,
+		Tasks:     job.taskCount,
+		Done:      job.completedCount,
+		Waiting:   job.unplaced(),
+		Why:       []string{},
+		Locations: s.taskLocations(job),
+	}
 	if job.waitsForDependencies {
 		explanation.Waiting = job.taskCount - job.completedCount - len(job.allocations)
 	}
@@ -83,7 +103,8 @@
 			locations[key] = &location
 		}
 		locations[key].Tasks++
-		if s.since(machine.LastHeartbeat) >= s.heartbeatTimeout(machine) || machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
+		silent := s.since(machine.LastHeartbeat) >= s.heartbeatTimeout(machine)
+		if silent || machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
 			locations[key].Unconfirmed++
 		}
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -123,13 +123,14 @@
 	}
 	jobs, waiting := 0, 0.0
 	for _, job := range s.jobOrder {
-		if n := len(job.pending) + job.queued; n > 0 && job.FinalState == "" {
+		if n := job.unplaced(); n > 0 && job.FinalState == "" {
 			jobs++
 			waiting += float64(n) * job.request.CPUs
 			s.logPassedOver(job)
 		}
 	}
-	slog.Info("fleet", "machines", machines, "cpus", cpus, "running", running, "starting", starting, "stopping", stopping, "waiting_jobs", jobs, "waiting_cpus", waiting)
+	slog.Info("fleet", "machines", machines, "cpus", cpus, "running", running, "starting", starting, "stopping", stopping,
+		"waiting_jobs", jobs, "waiting_cpus", waiting)
 }
 
 // logPassedOver logs, once a job, that one has waited for tuning.PassedBy beside a machine with the resources for one
@@ -140,13 +141,15 @@
 		return
 	}
 	fits := func(machine *machineState) bool {
-		return machine.Up && !machine.releasing && machine.Spec != nil && satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
+		return machine.Up && !machine.releasing && machine.Spec != nil &&
+			satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
 	}
 	if !slices.ContainsFunc(s.sortedMachines(), fits) {
 		return
 	}
 	job.passedOverLogged = true
-	slog.Warn("job waits despite free resources", "job", job.id, "class", job.Job.Class, "waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
+	slog.Warn("job waits despite free resources", "job", job.id, "class", job.Job.Class,
+		"waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
 }
 
 // drain stops the tasks of a machine that is about to be taken, or whose lease is about to end: those with checkpoints
@@ -182,7 +185,10 @@
 			continue
 		}
 		keep := settings.Seconds(s.configuration.Policy.Value(policy.IdleKeepS, policy.Vars{"boot_s": machine.Spec.BootS}))
-		if now.Sub(machine.idleSince) < keep || supply-machine.Spec.CPUs < desired || !machine.Spot && supply-spotSupply-machine.Spec.CPUs < desiredOrdinary {
+		if now.Sub(machine.idleSince) < keep || supply-machine.Spec.CPUs < desired {
+			continue
+		}
+		if !machine.Spot && supply-spotSupply-machine.Spec.CPUs < desiredOrdinary {
 			continue
 		}
 		slog.Info("releasing machine", "machine", machine.Name, "why", "idle")
@@ -266,7 +272,9 @@
 				machine.link.MarkStarted()
 			}
 			machine.listedRunning = instance.State == "running"
-			machine.Address, machine.Type, machine.Zone, machine.Spot, machine.Spec = instance.Address, instance.Type, instance.Zone, instance.Spot, s.machineTypes[instance.Type]
+			machine.Address = instance.Address
+			machine.Type, machine.Spec = instance.Type, s.machineTypes[instance.Type]
+			machine.Zone, machine.Spot = instance.Zone, instance.Spot
 		}
 		if instance.State == "failed" && !machine.releasing {
 			machine.Up, machine.listedFailed = false, true
--- a/scheduler/live_configuration.go
+++ b/scheduler/live_configuration.go
@@ -36,8 +36,12 @@
 	return func() int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		starts = slices.DeleteFunc(starts, func(alloc *allocation) bool { return alloc.committed || alloc.job.allocations[alloc.task] != alloc })
-		accepts = slices.DeleteFunc(accepts, func(job *jobState) bool { return job.accepted || s.jobs[job.id] != job })
+		starts = slices.DeleteFunc(starts, func(alloc *allocation) bool {
+			return alloc.committed || alloc.job.allocations[alloc.task] != alloc
+		})
+		accepts = slices.DeleteFunc(accepts, func(job *jobState) bool {
+			return job.accepted || s.jobs[job.id] != job
+		})
 		return len(starts) + len(accepts)
 	}
 }
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -87,11 +87,13 @@
 	task := int(x.groups[group].Tasks[0])
 	if group != x.lastGroup {
 		x.lastGroup = group
-		x.transfer.spreadSeconds, x.transfer.inFlight = datasets.spreadSeconds(x.job, task), datasets.inFlightCopies(x.job, task)
+		x.transfer.spreadSeconds = datasets.spreadSeconds(x.job, task)
+		x.transfer.inFlight = datasets.inFlightCopies(x.job, task)
 		if x.singlePartPerTask {
 			// A server that is no holder lacks all of it.
 			jobInput := x.job.inputs[0]
-			x.transfer.bytes, x.transfer.fromStore = float64(jobInput.summary.PartBytes(task)), len(datasets.snapshot.Holders(jobInput.name, task)) == 0
+			x.transfer.bytes = float64(jobInput.summary.PartBytes(task))
+			x.transfer.fromStore = len(datasets.snapshot.Holders(jobInput.name, task)) == 0
 		}
 	}
 	if !x.singlePartPerTask {
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -75,8 +75,13 @@
 func (s *Scheduler) machineNamed(name string) *machineState {
 	machine := s.machines[name]
 	if machine == nil {
-		machine = &machineState{Machine: &fleet.Machine{Name: name, LastHeartbeat: s.now(), RequestedAt: s.now()},
-			allocations: map[string]*allocation{}, imagesInUse: map[string]int{}, exited: map[string]*exitedTask{}, idleSince: s.now()}
+		machine = &machineState{
+			Machine:     &fleet.Machine{Name: name, LastHeartbeat: s.now(), RequestedAt: s.now()},
+			allocations: map[string]*allocation{},
+			imagesInUse: map[string]int{},
+			exited:      map[string]*exitedTask{},
+			idleSince:   s.now(),
+		}
 		s.machines[name] = machine
 		s.machinesByName = nil
 		if len(name) > s.longestName {
@@ -122,7 +127,8 @@
 // schedulable reports whether a machine may get new work. s.mu must be held.
 func (s *Scheduler) schedulable(machine *machineState) bool {
 	return machine.Up && machine.Spec != nil && !machine.releasing && machine.PreemptedAt.IsZero() && !s.faulty(machine) &&
-		s.now().After(machine.refusedUntil) && s.since(machine.LastHeartbeat) < s.heartbeatTimeout(machine) && machine.link.State(s.now(), s.lease()) == reachability.Reachable
+		s.now().After(machine.refusedUntil) && s.since(machine.LastHeartbeat) < s.heartbeatTimeout(machine) &&
+		machine.link.State(s.now(), s.lease()) == reachability.Reachable
 }
 
 // heartbeatTimeout returns how long a machine may be silent and still get work; longer for one whose heartbeats are
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -57,7 +57,10 @@
 	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*s.waitingJobs())
 	startWithin := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
 	for _, job := range s.jobOrder {
-		job.starved = len(job.pending)+job.queued > 0 && job.rank != api.RankProduction && ageing.Due(s.now(), job.waitingSince, job.lastStart, startWithin) && s.startableNow(job)
+		job.starved = job.unplaced() > 0 &&
+			job.rank != api.RankProduction &&
+			ageing.Due(s.now(), job.waitingSince, job.lastStart, startWithin) &&
+			s.startableNow(job)
 		job.latestStart = s.latestStart(job, nowMS)
 		if job.latestStart < math.MaxInt64 && fleetCPUs > 0 {
 			// Of two jobs that are equally urgent, the one that takes less of the fleet comes first: when not all
@@ -85,7 +88,7 @@
 // waitingJobs counts the jobs that have tasks to start. s.mu must be held.
 func (s *Scheduler) waitingJobs() (jobs float64) {
 	for _, job := range s.jobOrder {
-		if job.FinalState == "" && len(job.pending)+job.queued > 0 {
+		if job.FinalState == "" && job.unplaced() > 0 {
 			jobs++
 		}
 	}
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -83,7 +83,7 @@
 			// No allocation can be preempted for it.
 			continue
 		}
-		if job.Job.Shape == api.JobArray && len(job.pending)+job.queued > 0 {
+		if job.Job.Shape == api.JobArray && job.unplaced() > 0 {
 			s.preempt(job, machines)
 		}
 	}
@@ -124,7 +124,11 @@
 // lacks. SlotS is the length of a slot in seconds. s.mu must be held.
 func (s *Scheduler) server(machine *machineState, job *jobState, slotS float64) placement.Server {
 	queued, resources := s.queuedAhead(machine, job, slotS)
-	return placement.Server{Busy: placement.Busy(queued), Mu: placement.Mu(resources.Multiple(job.request), slotS, estimate(job)), Free: machine.free().Multiple(job.request)}
+	return placement.Server{
+		Busy: placement.Busy(queued),
+		Mu:   placement.Mu(resources.Multiple(job.request), slotS, estimate(job)),
+		Free: machine.free().Multiple(job.request),
+	}
 }
 
 // waterFillServer is a machine that takes part in the water-filling of one job.
@@ -245,7 +249,12 @@
 // newQueueRound collects the queues of all machines and the machines that have free resources.
 // s.mu must be held.
 func (s *Scheduler) newQueueRound(machines []*machineState) *queueRound {
-	round := &queueRound{scheduler: s, queues: map[*jobState][]machineQueue{}, queuedTasks: map[*machineState]int{}, smallestCPUs: math.Inf(1)}
+	round := &queueRound{
+		scheduler:    s,
+		queues:       map[*jobState][]machineQueue{},
+		queuedTasks:  map[*machineState]int{},
+		smallestCPUs: math.Inf(1),
+	}
 	lowRankQueued := false
 	for _, machine := range machines {
 		for _, queue := range machine.queues {
@@ -382,7 +391,8 @@
 // commitStart has an allocation put on record; the start command is sent once it is stored. s.mu must be held.
 func (s *Scheduler) commitStart(alloc *allocation, reason string) {
 	alloc.startedByAgeing, alloc.job.lastStart = alloc.job.starved, s.now()
-	slog.Debug("task placed", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", reason, "image", alloc.machine.HasImage(alloc.job.Job.Image))
+	slog.Debug("task placed", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt,
+		"why", reason, "image", alloc.machine.HasImage(alloc.job.Job.Image))
 	s.markShardDirty(alloc.job, alloc.task, s.withLock(func() {
 		alloc.committed = true
 		if alloc.job.allocations[alloc.task] == alloc {
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -112,7 +112,8 @@
 	reason := job.site.Reason()
 	if !found && !isArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
 		job.nextDomainSearch = s.now().Add(tuning.AimAgain)
-		found = job.site.ChooseDomainByPreemption(job.request, len(job.pending), allowed, func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) })
+		costs := func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) }
+		found = job.site.ChooseDomainByPreemption(job.request, len(job.pending), allowed, costs)
 	}
 	if !found && !isArray {
 		if reservation := s.reserveDomain(job, allowed); reservation != "" {
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -38,8 +38,9 @@
 	if victim.rank < job.rank {
 		return true
 	}
-	if victim.rank > job.rank || !job.guaranteed || victim.overQuota == 0 || victim.Job.Team == job.Job.Team || victim.rank == api.RankProduction ||
-		s.since(job.learnedAt) < tuning.GuaranteePatience {
+	ownsGuarantee := job.guaranteed && s.since(job.learnedAt) >= tuning.GuaranteePatience
+	borrows := victim.overQuota != 0 && victim.Job.Team != job.Job.Team
+	if victim.rank > job.rank || victim.rank == api.RankProduction || !ownsGuarantee || !borrows {
 		return false
 	}
 	// What is being stopped does not count as use, or the other team would lose far more than it had borrowed.
@@ -89,7 +90,10 @@
 // s.mu must be held.
 func (s *Scheduler) sortByLoss(allocations []*allocation) {
 	slices.SortFunc(allocations, func(a, b *allocation) int {
-		return cmp.Or(cmp.Compare(a.job.rank, b.job.rank), cmp.Compare(s.preemptionLoss(a), s.preemptionLoss(b)), strings.Compare(a.key, b.key))
+		return cmp.Or(
+			cmp.Compare(a.job.rank, b.job.rank),
+			cmp.Compare(s.preemptionLoss(a), s.preemptionLoss(b)),
+			strings.Compare(a.key, b.key))
 	})
 }
 
@@ -123,7 +127,7 @@
 	}
 	candidates := s.candidates(job, machines)
 	queues := queuesOf(job, machines)
-	for len(job.pending)+job.queued > 0 && s.withinQuota(job) {
+	for job.unplaced() > 0 && s.withinQuota(job) {
 		best, ok := s.bestCandidate(job, candidates)
 		if !ok {
 			break
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -40,14 +40,21 @@
 	for _, job := range s.jobOrder {
 		team := job.Job.Team
 		limit, ok := s.configuration.Limit(team)
-		if !ok || job.precedence() == 0 || len(job.pending)+job.queued == 0 || !s.startableNow(job) {
+		if !ok || job.precedence() == 0 || job.unplaced() == 0 || !s.startableNow(job) {
 			continue
 		}
 		request := job.request
 		if job.Job.Shape == api.Gang {
 			request = request.Scale(len(job.pending))
 		}
-		demands = append(demands, quota.Demand{Team: team, ID: job.id, Limit: limit, Request: request, Use: s.usage[team], Permanent: services[team]})
+		demands = append(demands, quota.Demand{
+			Team:      team,
+			ID:        job.id,
+			Limit:     limit,
+			Request:   request,
+			Use:       s.usage[team],
+			Permanent: services[team],
+		})
 	}
 	return demands
 }
--- a/scheduler/run_queue.go
+++ b/scheduler/run_queue.go
@@ -10,6 +10,9 @@
 	tasks []int32
 }
 
+// unplaced counts a job's tasks that are pending or queued, and so not allocated. s.mu must be held.
+func (j *jobState) unplaced() int { return len(j.pending) + j.queued }
+
 // machineQueue is a queue and the machine that it is on.
 type machineQueue struct {
 	machine *machineState
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -54,7 +54,7 @@
 // s.mu must be held.
 func (s *Scheduler) supply() (all, spot float64) {
 	for _, machine := range s.machines {
-		if machine.releasing || !machine.PreemptedAt.IsZero() || machine.Spec == nil || s.mayNeverStart(machine) || s.startupOverdue(machine) {
+		if machine.Spec == nil || !s.countsAsSupply(machine) {
 			continue
 		}
 		all += machine.Spec.CPUs
@@ -65,6 +65,11 @@
 	return all, spot
 }
 
+// countsAsSupply reports whether a machine is up or expected to come up, and stays. s.mu must be held.
+func (s *Scheduler) countsAsSupply(machine *machineState) bool {
+	return !machine.releasing && machine.PreemptedAt.IsZero() && !s.mayNeverStart(machine) && !s.startupOverdue(machine)
+}
+
 // startupOverdue reports whether a machine that is not up yet is unlikely to come up, by how long others took. Others
 // are requested in its place while it still has time. s.mu must be held.
 func (s *Scheduler) startupOverdue(machine *machineState) bool {
@@ -75,7 +80,8 @@
 	overdue, othersTook := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
 	if overdue && !machine.faultLogged {
 		machine.faultLogged = true
-		slog.Info("startup deadline exceeded", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", othersTook.Round(time.Second))
+		slog.Info("startup deadline exceeded", "machine", machine.Name, "type", machine.Type,
+			"age", age.Round(time.Second), "others_took", othersTook.Round(time.Second))
 	}
 	return overdue
 }
@@ -84,7 +90,10 @@
 // back, but others are requested in the meantime, since they take long to boot. s.mu must be held.
 func (s *Scheduler) mayNeverStart(machine *machineState) bool {
 	if machine.Up {
-		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost || !machine.link.AliveThisTerm() && !machine.listed && len(machine.allocations) == 0 {
+		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
+			return true
+		}
+		if !machine.link.AliveThisTerm() && !machine.listed && len(machine.allocations) == 0 {
 			return true
 		}
 		silentSince := latest(machine.LastHeartbeat, s.detector.ResumedAt())
@@ -215,7 +224,7 @@
 func (s *Scheduler) requestForUnplaceable(pools []capacityPool) []api.InstanceRequest {
 	var jobs []*api.Submission
 	for _, job := range s.jobOrder {
-		if len(job.pending)+job.queued > 0 && s.startableNow(job) && s.withinQuota(job) {
+		if job.unplaced() > 0 && s.startableNow(job) && s.withinQuota(job) {
 			jobs = append(jobs, &job.Job)
 		}
 	}
@@ -239,7 +248,7 @@
 // s.mu must be held.
 func (s *Scheduler) machinesInUseOrComing() (machines []feasibility.Machine) {
 	for _, machine := range s.machines {
-		if machine.releasing || !machine.PreemptedAt.IsZero() || s.mayNeverStart(machine) || s.startupOverdue(machine) {
+		if !s.countsAsSupply(machine) {
 			continue
 		}
 		known := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
@@ -257,7 +266,13 @@
 // s.mu must be held.
 func (s *Scheduler) instanceRequest(pool capacityPool, count int) api.InstanceRequest {
 	s.lastInstanceRequest++
-	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest), Type: pool.machineType, Zone: pool.zone, Spot: pool.spot, Count: count}
+	return api.InstanceRequest{
+		IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest),
+		Type:           pool.machineType,
+		Zone:           pool.zone,
+		Spot:           pool.spot,
+		Count:          count,
+	}
 }
 
 // InstancesGranted handles the cloud's answer to a request of InstanceRequests: the names of the machines that it
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -170,7 +170,10 @@
 // must be in one zone, only on those of that zone. s.mu must be held.
 func (s *Scheduler) allocateInZone(job *jobState, machines []*machineState, zone string, attempt uint64) (allocations []*allocation) {
 	for _, machine := range machines {
-		for len(allocations) < len(job.pending) && s.canStart(job, machine) && s.mayStage(job, machine) && (!job.Job.OneZone || machine.Zone == zone) {
+		if job.Job.OneZone && machine.Zone != zone {
+			continue
+		}
+		for len(allocations) < len(job.pending) && s.canStart(job, machine) && s.mayStage(job, machine) {
 			allocations = append(allocations, s.allocate(job, int(job.pending[len(allocations)]), machine, attempt))
 		}
 	}
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -19,7 +19,10 @@
 	// One job may always have reservations, however many machines it needs.
 	limit := max(1, int(tuning.KeptShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
-		if !job.starved || now.Before(job.nextMachineReservation) || reserved >= limit && !reserving[job] || !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
+		if !job.starved || now.Before(job.nextMachineReservation) || reserved >= limit && !reserving[job] {
+			continue
+		}
+		if !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
 			continue
 		}
 		job.nextMachineReservation = now.Add(tuning.KeepRoomEvery)
@@ -94,5 +97,9 @@
 	if machine.reservedFor == nil || machine.reservedFor == job || job.rank == api.RankProduction {
 		return false
 	}
-	return job.Job.Shape != api.JobArray || s.now().Add(settings.Seconds(estimate(job)+machine.fetchSeconds(job))).After(machine.reservedUntil)
+	if job.Job.Shape != api.JobArray {
+		return true
+	}
+	ends := s.now().Add(settings.Seconds(estimate(job) + machine.fetchSeconds(job)))
+	return ends.After(machine.reservedUntil)
 }
