--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -40,32 +40,32 @@
 
 func parse(t *testing.T, text string) *Document {
 	t.Helper()
-	d, err := Parse(text)
+	document, err := Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return document
 }
 
-func TestDocumentOverFiles(t *testing.T) {
+func TestDocumentOverridesFiles(t *testing.T) {
 	files := FromFiles([]settings.Team{{Name: "other", CPUsMax: 5}}, policy.Default())
-	a := parse(t, whole).Over(files, 4)
-	if limit, ok := a.Limit("vision"); !ok || limit.CPUs != 40 || a.Revision != 4 || *a.AheadTasks != 7 || a.Topology.Version() != 2 || a.Policy.Value(policy.SlotS, nil) != 3 || a.OverLimit.StopWithinS != 30 {
-		t.Errorf("%+v", a)
+	active := parse(t, whole).Over(files, 4)
+	if limit, ok := active.Limit("vision"); !ok || limit.CPUs != 40 || active.Revision != 4 || *active.AheadTasks != 7 || active.Topology.Version() != 2 || active.Policy.Value(policy.SlotS, nil) != 3 || active.OverLimit.StopWithinS != 30 {
+		t.Errorf("%+v", active)
 	}
-	if _, ok := a.Limit("other"); ok {
+	if _, ok := active.Limit("other"); ok {
 		t.Error("a team that the document lacks is still there")
 	}
-	// A section that is missing stays as the files have it.
+	// For a section that is missing, the files apply.
 	b := parse(t, "").Over(files, 5)
 	if limit, ok := b.Limit("other"); !ok || limit.CPUs != 5 || b.AheadTasks != nil || b.Topology != nil || b.Policy != files.Policy {
 		t.Errorf("%+v", b)
 	}
 }
 
-// Every mistake is told, with its line, its field and what it must be; a document with any is not taken.
-func TestMistakesAreToldAllAtOnce(t *testing.T) {
-	for _, c := range []struct {
+// Each error has its line, its field and what the field must be; a document with any error is refused.
+func TestParseReportsAllErrors(t *testing.T) {
+	for _, test := range []struct {
 		text string
 		want []string
 	}{
@@ -78,17 +78,22 @@
 		{"[teams]\n", []string{"line 1: teams"}},
 		{"team = 1\n[what]\n", []string{"line 1: team: no such setting", "line 2: what: no such setting"}},
 		{"[policy\n", []string{"line 1"}},
+		{`teams = "vision"`, []string{"line 1: teams: must be a list of tables, [[teams]], not a string"}},
+		{"[[teams]]\ncpus = \"many\"\n", []string{"line 2: teams.cpus: must be a number, not a string"}},
+		{"[policy]\nslot_s = 3\n", []string{"line 2: policy.slot_s: must be a string in quotes, not an integer"}},
+		{"[features]\nahead_tasks = 1.5\n", []string{"line 2: features.ahead_tasks: must be a whole number, not a fraction"}},
+		{"[[topology.domain]]\nmachines = \"n-1\"\n", []string{"line 2: topology.domain.machines: must be a list of strings in quotes, not a string"}},
 		{strings.Repeat("# a comment\n", 5000), []string{"document: takes 60000 bytes, at most 40960"}},
 	} {
-		d, err := Parse(c.text)
-		var all FieldErrors
-		if d != nil || !errors.As(err, &all) || len(all) < len(c.want) {
-			t.Errorf("%.40q: %v, %v", c.text, d, err)
+		document, err := Parse(test.text)
+		var fieldErrors FieldErrors
+		if document != nil || !errors.As(err, &fieldErrors) || len(fieldErrors) < len(test.want) {
+			t.Errorf("%.40q: %v, %v", test.text, document, err)
 			continue
 		}
-		for _, want := range c.want {
+		for _, want := range test.want {
 			if !strings.Contains(err.Error(), want) {
-				t.Errorf("%.40q: no %q in\n%v", c.text, want, err)
+				t.Errorf("%.40q: no %q in\n%v", test.text, want, err)
 			}
 		}
 	}
@@ -110,8 +115,8 @@
 	}
 }
 
-// While a change is on its way, whatever is started is within both revisions' limits.
-func TestLowerLimitsCountBetweenTwoRevisions(t *testing.T) {
+// During a rollout, whatever is started is within the limits of both revisions.
+func TestStricterTakesLowerLimitsOfBothRevisions(t *testing.T) {
 	team := func(name string, guaranteed, limit float64) settings.Team {
 		return settings.Team{Name: name, CPUs: guaranteed, CPUsMax: limit, Cards: guaranteed, CardsMax: limit}
 	}
--- /dev/null
+++ b/configuration/httpapi/handler.go
@@ -0,0 +1,175 @@
+// Package httpapi answers operators' requests about the configuration. It turns what package
+// revisions knows and does into the statuses and bodies of docs/configuration-operators.md. A status
+// of 503 asks the client to try again.
+package httpapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"switchferry/api"
+	"switchferry/configuration"
+	"switchferry/configuration/revisions"
+	"switchferry/tuning"
+	"switchferry/upgrade"
+)
+
+// History asks, in place of a revision's number, for the last revisions.
+const History = "history"
+
+// stateUnreachable is the error of an answer that needs the state service.
+const stateUnreachable = "the state service is out of reach"
+
+// Handler answers for one controller. Its methods are safe for concurrent use.
+type Handler struct {
+	Store    *revisions.Store
+	Versions *upgrade.VersionRegistry
+	// TopologyOn and DataOn tell whether these features are on. Settings that need a feature can be
+	// configured only then.
+	TopologyOn, DataOn bool
+}
+
+// Present returns the present configuration and, on the leader, how far the last change has come.
+// Applier is nil on other controllers.
+func (h *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
+	revision, newest, rejection := h.Store.Current()
+	var view api.ConfigurationView
+	if revision != nil {
+		view = viewOf(revision)
+	}
+	view.Newest, view.NotTaken, view.Leader = newest, rejection, applier != nil
+	if applier != nil {
+		view.InForce = true
+		if progress, ok := applier.Progress(); ok && progress.Revision == view.Revision {
+			view.InForce, view.WaitsFor = progress.InForce, progress.WaitsFor
+		}
+	}
+	return view
+}
+
+// viewOf shows a revision.
+func viewOf(revision *configuration.Revision) api.ConfigurationView {
+	return api.ConfigurationView{
+		Revision: revision.Number,
+		By:       revision.By,
+		Why:      revision.Why,
+		AtMS:     revision.AtMS,
+		Document: revision.Document,
+	}
+}
+
+// Revision returns the status and body for a stored revision, named by its number, or for History.
+func (h *Handler) Revision(ctx context.Context, which string) (status int, body any) {
+	if which == History {
+		return h.history(ctx)
+	}
+	number, err := strconv.ParseUint(which, 10, 64)
+	if err != nil || number == 0 {
+		return http.StatusBadRequest, api.Error{Error: fmt.Sprintf("%q is no revision; revisions are numbered from 1", which), Field: "revision"}
+	}
+	revision, err := h.Store.Revision(ctx, number)
+	switch {
+	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewer):
+		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationKept)}
+	case err != nil:
+		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
+	}
+	return http.StatusOK, viewOf(revision)
+}
+
+// history returns the status and body for the last revisions, without their documents.
+func (h *Handler) history(ctx context.Context) (status int, body any) {
+	history, err := h.Store.History(ctx)
+	if err != nil {
+		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
+	}
+	views := []api.ConfigurationView{}
+	for _, revision := range history {
+		views = append(views, viewOf(revision))
+	}
+	return http.StatusOK, views
+}
+
+// Change makes the change that a body asks for, on the leader, and returns the status and body of the
+// answer.
+func (h *Handler) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
+	var request api.ConfigurationRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		return http.StatusBadRequest, api.Error{Error: "the body must be a JSON object with a document", Field: "body"}
+	}
+	document, err := configuration.Parse(request.Document)
+	if err == nil {
+		err = h.checkFeatures(document)
+	}
+	if err != nil {
+		return http.StatusBadRequest, api.ConfigurationMistakes{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
+	}
+	without, err := h.Versions.WithoutConfiguration(ctx)
+	if err != nil {
+		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrUnavailable.Error()}
+	}
+	if len(without) > 0 {
+		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can only change once all controllers run a version that knows of it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
+	}
+	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
+	switch {
+	case errors.Is(err, revisions.ErrConflict):
+		return http.StatusConflict, h.conflictAnswer(document, err)
+	case err != nil:
+		slog.Info("configuration not changed", "by", request.By, "err", err)
+		return http.StatusServiceUnavailable, api.Error{Error: err.Error()}
+	case progress.InForce:
+		return http.StatusOK, progress
+	}
+	return http.StatusAccepted, progress
+}
+
+// checkFeatures returns configuration.FieldErrors for the sections that need a feature which is off.
+func (h *Handler) checkFeatures(document *configuration.Document) error {
+	var fieldErrors configuration.FieldErrors
+	if document.Topology != nil && !h.TopologyOn {
+		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
+	}
+	if document.Switches.AheadTasks != nil && !h.DataOn {
+		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
+	}
+	if len(fieldErrors) == 0 {
+		return nil
+	}
+	return fieldErrors
+}
+
+// fieldErrorViews shows the errors in a document.
+func fieldErrorViews(err error) (views []api.ConfigurationMistake) {
+	fieldErrors, ok := errors.AsType[configuration.FieldErrors](err)
+	if !ok {
+		fieldErrors = configuration.FieldErrors{{Field: "document", Remedy: err.Error()}}
+	}
+	for _, fieldError := range fieldErrors {
+		views = append(views, api.ConfigurationMistake{Line: fieldError.Line, Field: fieldError.Field, Remedy: fieldError.Remedy})
+	}
+	return views
+}
+
+// conflictAnswer shows the present revision to the operator whose change was refused because of it,
+// and how the wanted document differs from it.
+func (h *Handler) conflictAnswer(wanted *configuration.Document, err error) api.ConfigurationConflict {
+	conflict := api.ConfigurationConflict{Error: err.Error()}
+	revision, _, _ := h.Store.Current()
+	if revision == nil {
+		return conflict
+	}
+	conflict.Revision, conflict.By, conflict.Why = revision.Number, revision.By, revision.Why
+	if present, parseErr := configuration.Parse(revision.Document); parseErr == nil {
+		for _, difference := range configuration.Differences(present, wanted) {
+			conflict.Differences = append(conflict.Differences, difference.String())
+		}
+	}
+	return conflict
+}
--- /dev/null
+++ b/configuration/lease_test.go
@@ -0,0 +1,16 @@
+package configuration
+
+import (
+	"testing"
+	"time"
+
+	"switchferry/tuning"
+)
+
+func TestValidityLeaseExpires(t *testing.T) {
+	start := time.Unix(1000, 0)
+	r := ValidityLease{Active: FromFiles(nil, nil), RequestedAt: start}
+	if !r.ValidAt(start.Add(tuning.ConfigurationRight-1)) || r.ValidAt(start.Add(tuning.ConfigurationRight)) || (ValidityLease{RequestedAt: start}).ValidAt(start) {
+		t.Error("the lease does not expire at its bound")
+	}
+}
--- /dev/null
+++ b/failuredetector/decision.go
@@ -0,0 +1,102 @@
+package failuredetector
+
+import (
+	"time"
+
+	"switchferry/reachability"
+	"switchferry/tuning"
+)
+
+// MachineState is what the leader knows of a machine when it decides what becomes of it.
+type MachineState struct {
+	// Failed means that the cloud lists the machine as failed, Listed that the cloud listed it in this term,
+	// Up that it sent a heartbeat in this term.
+	Failed, Listed, Up bool
+	// Link is whether answers and commands reach the machine.
+	Link reachability.State
+	// Tasks is how many tasks the machine has, or may have.
+	Tasks int
+	// SilentFor is for how long the machine's silence counts against it, UnconfirmedFor for how long it
+	// counts that the machine has not shown that answers and commands reach it.
+	SilentFor, UnconfirmedFor time.Duration
+	// PreemptionNotice means that the cloud takes the machine back, NoticeExpired that the time that it gave
+	// has passed.
+	PreemptionNotice, NoticeExpired bool
+	// Faulty means that tasks fail on the machine that succeed elsewhere.
+	Faulty bool
+	// InboundLost means that the machine answers commands while its heartbeats reach no controller, so its
+	// lease expires although it is healthy.
+	InboundLost bool
+	// SilentShare is the share of its zone's machines that are silent, from 0 to 1.
+	SilentShare float64
+	// StartupExpired means that the machine is not up and its startup deadline has passed.
+	StartupExpired bool
+}
+
+// Limits are for how long a machine may be silent.
+type Limits struct {
+	// SuspectAfter is the time after which it gets no more work.
+	SuspectAfter time.Duration
+	// ReleaseAfter is the time after which it is released.
+	ReleaseAfter time.Duration
+	// ElectionGrace replaces ReleaseAfter for a machine that has to find a new leader, or that does not
+	// receive the leader's answers.
+	ElectionGrace time.Duration
+	// InboundLost replaces ReleaseAfter for a machine that answers commands.
+	InboundLost time.Duration
+}
+
+// Action is what becomes of a machine.
+type Action int
+
+const (
+	// Keep changes nothing.
+	Keep Action = iota
+	// Release returns the machine to the cloud now.
+	Release
+	// ReleaseWithinBudget returns it as the eviction budget allows.
+	ReleaseWithinBudget
+	// Drain saves its tasks and gives it no more work.
+	Drain
+	// Forget drops a machine that is known only from a heartbeat that may have been a delayed copy of one
+	// from before its failure.
+	Forget
+)
+
+// Decide returns what becomes of a machine, and for operators the reason, which is empty for Keep and may be
+// empty for Drain.
+func Decide(machine MachineState, limits Limits) (action Action, reason string) {
+	switch {
+	case machine.Failed:
+		return Release, "failed"
+	case !machine.Up:
+		if machine.StartupExpired && machine.SilentFor > limits.ElectionGrace {
+			return ReleaseWithinBudget, "never reported"
+		}
+		return Keep, ""
+	case machine.Link == reachability.Unconfirmed && machine.SilentFor > limits.ElectionGrace && !machine.Listed && machine.Tasks == 0:
+		return Forget, "one unconfirmed heartbeat, and the cloud does not list it"
+	case machine.Link == reachability.Unconfirmed && machine.SilentFor <= limits.ElectionGrace:
+		// Neither its preemption notice nor its silence counts before it is certain to have lived in this term.
+		return Keep, ""
+	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
+		return Release, "preempted by the cloud"
+	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
+		if machine.SilentShare > tuning.ReturnFreely {
+			// The cause lies between most of the zone and the controllers, not in the machine. There may be no
+			// capacity elsewhere, and its tasks live until its lease expires, or longer.
+			return Keep, ""
+		}
+		return Drain, "heartbeats lost"
+	case machine.SilentFor > limits.ReleaseAfter:
+		return ReleaseWithinBudget, "heartbeat timeout"
+	case machine.Link == reachability.OutboundLost && machine.UnconfirmedFor > limits.ElectionGrace:
+		// Its lease has expired since: it has no tasks, and cannot be given any.
+		return ReleaseWithinBudget, "commands lost"
+	case machine.Faulty:
+		return Release, "faulty"
+	case machine.PreemptionNotice:
+		return Drain, ""
+	}
+	return Keep, ""
+}
--- /dev/null
+++ b/feasibility/feasibility.go
@@ -0,0 +1,100 @@
+// Package feasibility checks whether a job can ever run: on the machines that there are or that the cloud rents, and
+// within its team's limit. Scale-out follows the total of CPUs that are requested, so a fleet with enough free CPUs may
+// still have no machine of the type, zone or size that one job needs.
+//
+// The package has no clock and no lock.
+package feasibility
+
+import (
+	"fmt"
+	"slices"
+
+	"switchferry/api"
+	"switchferry/fleet"
+	"switchferry/quota"
+)
+
+// Machine is a machine that runs or is being started.
+type Machine struct {
+	// Spec is the machine's type; nil: not known, and then no job can run on it.
+	Spec *api.MachineType
+	Zone string
+	// Spot is whether it is a preemptible instance.
+	Spot bool
+	// Used is what services take, which only their users end.
+	Used fleet.Resources
+}
+
+// Pool is one kind of machine that the cloud rents.
+type Pool struct {
+	Type *api.MachineType
+	Zone string
+	Spot bool
+}
+
+// canRun reports whether the machine can run a task of a job at some time, once all but services has ended there.
+func (m *Machine) canRun(job *api.Submission) bool {
+	if m.Spec == nil || m.Spot && !job.Spot || job.Zone != "" && job.Zone != m.Zone || !m.Spec.Fits(job) {
+		return false
+	}
+	total := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
+	return total.Sub(m.Used).Fits(fleet.RequestOf(job))
+}
+
+// Unplaceable returns the jobs of which no machine can ever run a task, in the given order; of jobs with equal
+// requirements only the first.
+func Unplaceable(jobs []*api.Submission, machines []Machine) (unplaceable []*api.Submission) {
+	checked := map[string]bool{}
+	for _, job := range jobs {
+		requirements := fmt.Sprint(job.Types, job.Zone, job.Spot, job.CPUs, job.Cards, job.MemoryGB, job.ImageGB)
+		if checked[requirements] {
+			continue
+		}
+		checked[requirements] = true
+		if !slices.ContainsFunc(machines, func(m Machine) bool { return m.canRun(job) }) {
+			unplaceable = append(unplaceable, job)
+		}
+	}
+	return unplaceable
+}
+
+// PoolFor returns the first pool whose machines can run a job's tasks, and false if there is none.
+func PoolFor(job *api.Submission, pools []Pool) (Pool, bool) {
+	i := slices.IndexFunc(pools, func(pool Pool) bool {
+		machine := Machine{Spec: pool.Type, Zone: pool.Zone, Spot: pool.Spot}
+		return machine.canRun(job)
+	})
+	if i < 0 {
+		return Pool{}, false
+	}
+	return pools[i], true
+}
+
+// ConcurrentRequest returns the least that a job must have at once to run at all: one task of a job array, and all tasks
+// of a gang or a service.
+func ConcurrentRequest(job *api.Submission) fleet.Resources {
+	if job.Shape == api.JobArray {
+		return fleet.RequestOf(job)
+	}
+	return fleet.RequestOf(job).Scale(job.Tasks)
+}
+
+// CanRun checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
+// there is no such team. An error is an *api.FieldError that names the submission's field. If undecided, the machine
+// types are not known yet, and the rest is in order.
+func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (err error, undecided bool) {
+	limit, ok := limitOf(job.Team)
+	if !ok {
+		return &api.FieldError{Field: "owner", Want: "no such team"}, false
+	}
+	if !limit.Allows(ConcurrentRequest(job)) {
+		return &api.FieldError{Field: "parts", Want: "the job needs more than its team's limit"}, false
+	}
+	if len(types) == 0 {
+		return nil, true
+	}
+	if !slices.ContainsFunc(types, func(machineType api.MachineType) bool { return machineType.Fits(job) }) {
+		return &api.FieldError{Field: "cores", Want: "a task fits no allowed machine type"}, false
+	}
+	return nil, false
+}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -6,82 +6,79 @@
 	"testing"
 )
 
-// Worked by hand: b = 0, 2, 5 and mu = 2, 1, 4; ten tasks. At level 3 the
-// servers cover 6+1+0 = 7, at level 4 8+2 = 10.
-func TestFillByHand(t *testing.T) {
-	s := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
-	if l, ok := Level(s, 10); !ok || l != 4 {
+// With b = 0, 2, 5, mu = 2, 1, 4 and ten tasks, the servers cover 6+1+0 = 7 at level 3, and 8+2 = 10 at level 4.
+func TestFillMatchesWorkedExample(t *testing.T) {
+	servers := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
+	if l, ok := Level(servers, 10); !ok || l != 4 {
 		t.Fatalf("level %d, want 4", l)
 	}
-	if got := Fill(s, 10); !slices.Equal(got, []int{8, 2, 0}) {
-		t.Errorf("shares %v", got)
+	if got := Fill(servers, 10); !slices.Equal(got, []int{8, 2, 0}) {
+		t.Errorf("shares %v, want 8, 2, 0", got)
 	}
-	// b becomes max(b, level).
-	if s[0].Busy != 4 || s[1].Busy != 4 || s[2].Busy != 5 {
-		t.Errorf("busy times %v", s)
+	// Busy becomes max(b, level).
+	if servers[0].Busy != 4 || servers[1].Busy != 4 || servers[2].Busy != 5 {
+		t.Errorf("busy until %+v, want 4, 4, 5", servers)
 	}
-	// The last taking part gets the rest only: 9 tasks need level 4 as well.
+	// Nine tasks need level 4 as well; the last server below it gets only the rest.
 	if got := Fill([]Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}, 9); !slices.Equal(got, []int{8, 1, 0}) {
-		t.Errorf("shares %v", got)
+		t.Errorf("shares %v, want 8, 1, 0", got)
 	}
 }
 
-// Ten tasks that last 12 slots go to three idle machines with room for four at
-// once, not one each to ten: a machine with one small task has no room for a
-// large one. A machine above the level gets none all the same.
-func TestFillUsesRoomAtOnce(t *testing.T) {
-	var s []Server
+// Ten tasks that last 12 slots are assigned to three idle machines that run four at once, not one each to ten machines: a
+// machine with one small task cannot take a large one. A machine above the level still gets none.
+func TestFillUsesFreeSlotsOfOneMachineFirst(t *testing.T) {
+	var servers []Server
 	for range 12 {
-		s = append(s, Server{Mu: 4.0 / 12, Free: 4})
+		servers = append(servers, Server{Mu: 4.0 / 12, Free: 4})
 	}
-	s[0] = Server{Busy: 9, Mu: 4.0 / 12, Free: 4}
-	if got := Fill(s, 10); !slices.Equal(got[:4], []int{0, 4, 4, 2}) {
-		t.Errorf("shares %v", got)
+	servers[0] = Server{Busy: 9, Mu: 4.0 / 12, Free: 4}
+	if got := Fill(servers, 10); !slices.Equal(got[:4], []int{0, 4, 4, 2}) {
+		t.Errorf("shares %v, want 0, 4, 4, 2 and no more", got)
 	}
 }
 
 func TestBusyRoundsUpPerJob(t *testing.T) {
 	if b := Busy([]Queued{{3, 2}, {1, 4}, {0, 1}, {4, 0.5}}); b != 2+1+8 {
-		t.Errorf("busy %d", b)
+		t.Errorf("busy for %d slots, want 11", b)
 	}
 }
 
-func TestNobodyCanServe(t *testing.T) {
+func TestFillWithoutCapacityPlacesNothing(t *testing.T) {
 	if Fill([]Server{{}}, 3) != nil || Fill(nil, 1) != nil {
-		t.Error("a share without a server")
+		t.Error("shares without a server that takes tasks")
 	}
 }
 
-// The binary search finds what trying every level in turn finds, and the
-// shares add up with none above the level.
-func TestLevelAgainstBruteForce(t *testing.T) {
+// The binary search finds what trying every level in turn finds, and the shares add up, with none above the level.
+func TestLevelAndFillAgainstBruteForce(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
-		var s []Server
+		var servers []Server
 		for range 1 + rnd.IntN(8) {
-			s = append(s, Server{Busy: rnd.IntN(20), Mu: float64(rnd.IntN(9)) / 4})
+			servers = append(servers, Server{Busy: rnd.IntN(20), Mu: float64(rnd.IntN(9)) / 4})
 		}
 		tasks := 1 + rnd.IntN(60)
 		want := -1
-		for l := 0; l < 2000 && want < 0; l++ {
+		for level := 0; level < 2000 && want < 0; level++ {
 			sum := 0.0
-			for _, x := range s {
-				sum += float64(max(l-x.Busy, 0)) * x.Mu
+			for _, x := range servers {
+				sum += float64(max(level-x.Busy, 0)) * x.Mu
 			}
 			if sum >= float64(tasks) {
-				want = l
+				want = level
 			}
 		}
-		got, ok := Level(s, tasks)
+		got, ok := Level(servers, tasks)
 		if ok != (want >= 0) || ok && got != want {
-			t.Fatalf("%v, %d tasks: level %d, want %d", s, tasks, got, want)
+			t.Fatalf("%v, %d tasks: level %d, want %d", servers, tasks, got, want)
 		}
 		if !ok {
 			continue
 		}
-		before := slices.Clone(s)
+		before := slices.Clone(servers)
 		sum := 0
-		for i, n := range Fill(s, tasks) {
+		for i, n := range Fill(servers, tasks) {
 			sum += n
 			if n > 0 && before[i].Busy >= got {
 				t.Fatalf("%v: server %d above the level got %d", before, i, n)
@@ -97,7 +94,7 @@
 }
 
 // The search begins between two bounds; the level is the least one all the same.
-func TestLevelIsTheLeast(t *testing.T) {
+func TestLevelIsTheLeastThatCovers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 3000 {
 		servers := make([]Server, 1+rng.IntN(20))
@@ -110,13 +107,13 @@
 		n := 1 + rng.IntN(200)
 		level, ok := Level(servers, n)
 		if !ok {
-			if covers(servers, 1<<20) > 0 {
-				t.Fatalf("none for %v", servers)
+			if coveredTasks(servers, 1<<20) > 0 {
+				t.Fatalf("no level for %v", servers)
 			}
 			continue
 		}
-		if covers(servers, level) < float64(n)-1e-6 || covers(servers, level-1) >= float64(n)-epsilon {
-			t.Fatalf("%d for %d tasks on %v", level, n, servers)
+		if coveredTasks(servers, level) < float64(n)-1e-6 || coveredTasks(servers, level-1) >= float64(n)-epsilon {
+			t.Fatalf("level %d for %d tasks on %v", level, n, servers)
 		}
 	}
 }
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -47,7 +47,7 @@
 		return cmp.Or(cmp.Compare(a.position, b.position), strings.Compare(a.machine.Name, b.machine.Name), cmp.Compare(a.task, b.task))
 	})
 	for _, name := range datasets.planner.Plan(partDemands(demands), now) {
-		if datasets.relayedReports[name] != nil {
+		if datasets.relayedOrders[name] != nil {
 			s.relayStageOrder(name)
 			continue
 		}
@@ -238,7 +238,7 @@
 		return order, false, true
 	}
 	if s.datasets.planner.ApplyHeartbeat(heartbeat, s.now()) {
-		s.agentReachedDirectly(heartbeat.Machine)
+		s.stopRelayingOrders(heartbeat.Machine)
 		s.wakePlacer()
 	}
 	order, _, ok := s.datasets.planner.Order(heartbeat.Machine)
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -146,7 +146,7 @@
 		// Only with a damaged record can there be any.
 		sched.stopTask(alloc, tuning.CancelKill, "cancelled")
 	}
-	sched.terminalStored(job)
+	sched.onTerminalStored(job)
 }
 
 // inheritUrgency gives each job the rank and the deadlines of its dependants, where they are more urgent than its own. A
--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A mistake in a file that is changed while it is in use must leave what is in use.
+// A file that is changed while it is in use and has a mistake leaves the current version in use, and is reported once.
 func TestChangedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "topology.toml")
 	write := func(text string) {
@@ -17,40 +17,43 @@
 	}
 	rack := "[[domain]]\nname = \"r1\"\nlevel = \"rack\"\nmachines = [\"n-1*\"]\n"
 	write("version = 3\n" + rack)
-	f, err := Open(path)
+	file, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := f.Reload(); m != nil || err != nil {
-		t.Fatal(m, err)
+	if topology, err := file.Reload(); topology != nil || err != nil {
+		t.Fatalf("unchanged file: topology %v and error %v, want neither", topology, err)
 	}
-	for text, want := range map[string]string{"version = 4\n[[domain]]\nname = \"r1\"\nlevel = \"row\"\n": "level", "version = 3\n" + rack + "\n": "must grow"} {
-		write(text)
-		if m, err := f.Reload(); m != nil || err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v %v", text, m, err)
+	for _, testCase := range []struct{ name, text, want string }{
+		{"unknown level", "version = 4\n[[domain]]\nname = \"r1\"\nlevel = \"row\"\n", "level"},
+		{"same version", "version = 3\n" + rack + "\n", "must grow"},
+	} {
+		write(testCase.text)
+		if topology, err := file.Reload(); topology != nil || err == nil || !strings.Contains(err.Error(), testCase.want) {
+			t.Errorf("%s: topology %v and error %v, want none and one with %q", testCase.name, topology, err, testCase.want)
 		}
-		if m, err := f.Reload(); m != nil || err != nil || f.Map().Version() != 3 {
-			t.Errorf("%q is told of twice, or taken: %v", text, err)
+		if topology, err := file.Reload(); topology != nil || err != nil || file.Map().Version() != 3 {
+			t.Errorf("%s: reported twice, or in use: %v", testCase.name, err)
 		}
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Reload(); err == nil || f.Map().Version() != 3 {
-		t.Error("a file that is gone is not told of, or taken")
+	if _, err := file.Reload(); err == nil || file.Map().Version() != 3 {
+		t.Error("a file that is gone is not reported, or its version is no longer in use")
 	}
 	write("version = 4\n" + rack)
-	if m, err := f.Reload(); err != nil || m == nil || f.Map().Version() != 4 {
-		t.Error(m, err)
+	if topology, err := file.Reload(); err != nil || topology == nil || file.Map().Version() != 4 {
+		t.Errorf("raised version: topology %v and error %v, want version 4", topology, err)
 	}
 }
 
-func TestTheFileThatIsShippedIsValid(t *testing.T) {
-	f, err := Open("../deploy/topology.toml")
+func TestShippedTopologyIsValid(t *testing.T) {
+	file, err := Open("../deploy/topology.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, twice := f.Map().Of("n-000123"); d == nil || d.Name != "rack-2" || twice {
-		t.Errorf("%+v %v", d, twice)
+	if domain, ambiguous := file.Map().Of("n-000123"); domain == nil || domain.Name != "rack-2" || ambiguous {
+		t.Errorf("domain %+v, ambiguous: %v; want rack-2", domain, ambiguous)
 	}
 }
