--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -103,18 +103,18 @@
 
 // onTerminal handles a job's final state that is on record now: its dependants may start if it was their last
 // dependency, or are cancelled with it.
-func (p *dependencies) onTerminal(id, state string) {
-	lookedUp := p.missing[id]
-	delete(p.missing, id)
+func (p *dependencies) onTerminal(jobID, state string) {
+	lookedUp := p.missing[jobID]
+	delete(p.missing, jobID)
 	if state == api.Done {
-		for _, dependant := range p.graph.Complete(id) {
+		for _, dependant := range p.graph.Complete(jobID) {
 			p.release(dependant, lookedUp)
 		}
 		return
 	}
-	for _, dependant := range p.graph.Cancel(id) {
+	for _, dependant := range p.graph.Cancel(jobID) {
 		if job := p.scheduler.jobs[dependant]; job != nil && job.FinalState == "" {
-			p.cancel(job, id)
+			p.cancel(job, jobID)
 		}
 	}
 }
