--- /dev/null
+++ b/scheduler/command_relay_test.go
@@ -0,0 +1,122 @@
+package scheduler
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"switchferry/api"
+	"switchferry/internal/fake"
+	"switchferry/relay"
+	"switchferry/relay/exchange"
+	"switchferry/relay/proxy"
+	"switchferry/settings"
+	"switchferry/store"
+	"switchferry/tuning"
+)
+
+// A start that went into a relay's mail may be delivered after any report that
+// the relay passes on; only a report that comes directly proves its absence.
+func TestMailedStartIsNotProvedAbsentByRelay(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("b1", 1)
+	h.heartbeatsThrough("sib", "b1")
+	h.submit("run-000001", 1, nil)
+	h.Place()
+	h.commit()
+	m := h.relayedCommandsFor("sib", "b1")
+	if len(m.Commands) != 1 || m.Commands[0].Verb != api.CommandRun || len(h.starts("run-000001/0")) != 0 {
+		t.Fatalf("mail %+v, direct starts %d", m, len(h.starts("run-000001/0")))
+	}
+	h.Cancel(cancelledContext(), "run-000001")
+	h.commit()
+	h.heartbeatsThrough("sib", "b1")
+	if len(h.jobs["run-000001"].allocations) != 1 {
+		t.Fatal("a relayed report was taken for a proof")
+	}
+	h.heartbeat("b1", 1)
+	h.commit()
+	if h.jobs["run-000001"] != nil {
+		t.Error("a direct report was not taken for a proof")
+	}
+	if m := h.relayedCommandsFor("sib", "b1"); len(m.Commands) != 0 {
+		t.Errorf("still in the mail: %+v", m)
+	}
+	// Reports for another term's leader are not ours to use.
+	raw, _ := json.Marshal(relay.Packet{Term: h.term - 1, Packed: "x"})
+	exchange.UnpackEvents([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, h.term, &relay.Reassembler{}, func(string, relay.Message) {
+		t.Error("took reports of another term")
+	})
+}
+
+// Workers behind a cut are carried whatever their number: each report reaches the leader,
+// and each command its worker, within the limits of the state service.
+func TestManyWorkersBehindACut(t *testing.T) {
+	for _, many := range []int{50, 500, 2500} {
+		h := newHarness(t)
+		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+		limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
+		client := store.NewClient("state:1", h.state)
+		y := proxy.NewWorkers(proxy.Options{Member: "y", Client: client, Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+		name := func(i int) string { return fmt.Sprintf("b%04d", i) }
+		told := map[string]string{}
+		seq := uint64(0)
+		say := func() {
+			seq++
+			for i := range many {
+				r := &api.Heartbeat{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: h.term}
+				if o := y.HandleHeartbeat(r, h.term); len(o.Commands) > 0 {
+					told[o.Commands[0].Task] = name(i)
+				}
+			}
+		}
+		var joiner relay.Reassembler
+		after := h.term
+		carry := func() {
+			h.clock.Advance(tuning.RelayEvery)
+			for y.Exchange.Write(context.Background()) {
+			}
+			log, epoch, err := client.Watch(context.Background(), store.RelayPrefix, after, 0)
+			if err != nil {
+				t.Fatal(err)
+			}
+			after = max(after, epoch)
+			exchange.UnpackEvents(log, store.RelayPrefix, h.term, &joiner, h.AcceptWorkerMessage)
+			h.Place()
+			h.commit()
+			if _, err := y.Exchange.Fetch(context.Background(), 0); err != nil {
+				t.Fatal(err)
+			}
+		}
+		say()
+		for range 2 + many/500 {
+			carry()
+		}
+		if len(h.machines) != many {
+			t.Fatalf("%d of %d workers reached the leader", len(h.machines), many)
+		}
+		h.submit("run-000001", min(many, 100), func(x *api.Submission) { x.Team, x.CPUs, x.MemoryGB = "left", 8, 8 })
+		for range 4 {
+			say()
+			carry()
+		}
+		say()
+		if len(told) != min(many, 100) {
+			t.Errorf("%d workers: %d starts arrived", many, len(told))
+		}
+		for key, n := range told {
+			if alloc := h.jobs["run-000001"].allocations[taskNumber(key)]; alloc == nil || alloc.machine.Name != n {
+				t.Fatalf("%s was told to %s", key, n)
+			}
+		}
+		if len(h.state.Refused) != 0 {
+			t.Errorf("%d workers: the state service refused %v", many, h.state.Refused)
+		}
+	}
+}
+
+func taskNumber(key string) int {
+	_, n, _ := parseTaskKey(key)
+	return n
+}
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -130,7 +130,7 @@
 	if !lookedUp {
 		job.waitingSince = job.learnedAt
 	}
-	slog.Debug("job may start", "job", jobID, "waited", time.Duration(job.eligibleAt-job.At)*time.Millisecond)
+	slog.Debug("job may start", "job", jobID, "waited", time.Duration(job.eligibleAt-job.AcceptedAt)*time.Millisecond)
 	job.makeEligible()
 	p.scheduler.wakePlacer()
 }
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -21,7 +21,7 @@
 		return job.reservedDomain
 	}
 	job.reservedDomain = ""
-	job.nextDomainReservation = s.now().Add(tuning.AimAgain)
+	job.nextDomainReservation = s.now().Add(tuning.DomainSearchEvery)
 	shortestBootS := 0.0
 	for _, machineType := range s.machineTypes {
 		if machineType.Fits(&job.Job) && (shortestBootS == 0 || machineType.BootS < shortestBootS) {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -90,9 +90,9 @@
 		for _, name := range eviction.Release {
 			released = append(released, s.machines[name].markReleasing(reasons[name]))
 		}
-		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.ReturnTold {
+		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.EvictionLogEvery {
 			s.deferralLoggedAt = now
-			slog.Info("deferring release of silent machines", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.Share)/100,
+			slog.Info("deferring release of silent machines", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.SilentShare)/100,
 				"machines", eviction.Machines, "left", eviction.Deferred, "tasks_that_wait_for_them", eviction.DeferredTasks, "returned", len(eviction.Release))
 		}
 	}
@@ -133,11 +133,11 @@
 		"waiting_jobs", jobs, "waiting_cpus", waiting)
 }
 
-// logPassedOver logs, once a job, that one has waited for tuning.PassedBy beside a machine with the resources for one
+// logPassedOver logs, once a job, that one has waited for tuning.PassedOverAfter beside a machine with the resources for one
 // of its tasks: users expect that nobody waits 90 s so. s.mu must be held.
 func (s *Scheduler) logPassedOver(job *jobState) {
 	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
-	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedBy || !s.withinQuota(job) {
+	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverAfter || !s.withinQuota(job) {
 		return
 	}
 	fits := func(machine *machineState) bool {
@@ -167,7 +167,7 @@
 		}
 		completes := submission.Shape == api.JobArray && estimate(alloc.job)-ranSeconds < secondsLeft
 		switch {
-		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.SpotNoticeSlack+s.settings.Facts.Workers.ReportS:
+		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.PreemptionNoticeSlack+s.settings.Facts.Workers.ReportS:
 			s.stopTask(alloc, submission.SaveS, reason)
 		case submission.Checkpoint == 0 && !completes:
 			s.stopTask(alloc, 0, reason)
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -390,7 +390,7 @@
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
 			continue
 		}
-		capacity := machine.free().Multiple(job.request)
+		capacity := machine.free().Count(job.request)
 		for _, queue := range machine.queues {
 			capacity -= len(queue.tasks)
 		}
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -136,7 +136,7 @@
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
 	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
 	if machine.relayPeer != "" {
-		timeout += tuning.RelayKeep
+		timeout += tuning.RelayRefresh
 	}
 	return timeout
 }
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -109,7 +109,7 @@
 		requested[job.Job.Team] = use
 		team, _ := s.configuration.Team(job.Job.Team)
 		job.overQuota = 1
-		if team.CPUs > 0 && use.CPUs <= team.CPUs+tuning.RoomSlack && use.Cards <= team.Cards+tuning.RoomSlack {
+		if team.CPUs > 0 && use.CPUs <= team.CPUs+tuning.ResourceSlack && use.Cards <= team.Cards+tuning.ResourceSlack {
 			job.overQuota = 0
 		}
 		if !job.guaranteeChecked {
@@ -145,9 +145,9 @@
 		}
 		return deadlines
 	}
-	deadlines = append(deadlines, job.At+int64(job.Job.DeadlineS*1000))
+	deadlines = append(deadlines, job.AcceptedAt+int64(job.Job.DeadlineS*1000))
 	for _, multiple := range s.deadlineMultiples[job.Job.Class] {
-		deadlines = append(deadlines, job.At+int64(multiple*job.Job.DeadlineS*1000))
+		deadlines = append(deadlines, job.AcceptedAt+int64(multiple*job.Job.DeadlineS*1000))
 	}
 	return deadlines
 }
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -113,7 +113,7 @@
 		}
 	}
 	for ahead, tasks := range counts {
-		mu := placement.Mu(max(1, resources.Multiple(ahead.request)), slotS, estimate(ahead))
+		mu := placement.Mu(max(1, resources.Count(ahead.request)), slotS, estimate(ahead))
 		queued = append(queued, placement.Queued{Tasks: tasks, Mu: mu})
 	}
 	s.scratchQueued = queued
@@ -126,8 +126,8 @@
 	queued, resources := s.queuedAhead(machine, job, slotS)
 	return placement.Server{
 		Busy: placement.Busy(queued),
-		Mu:   placement.Mu(resources.Multiple(job.request), slotS, estimate(job)),
-		Free: machine.free().Multiple(job.request),
+		Mu:   placement.Mu(resources.Count(job.request), slotS, estimate(job)),
+		Free: machine.free().Count(job.request),
 	}
 }
 
@@ -280,7 +280,7 @@
 
 // fitsSmallest reports whether a machine has free CPUs for the smallest queued task.
 func (r *queueRound) fitsSmallest(machine *machineState) bool {
-	return machine.free().CPUs+tuning.RoomSlack >= r.smallestCPUs
+	return machine.free().CPUs+tuning.ResourceSlack >= r.smallestCPUs
 }
 
 // mayStart reports whether one more task of a job may start in this round: a starved job starts one task a
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -31,7 +31,7 @@
 // never preempted. s.mu must be held.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
 	victim := alloc.job
-	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.TurnKept {
+	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.StarvedStartProtected {
 		// A starved job's task that is preempted at once was started in vain.
 		return false
 	}
@@ -46,7 +46,7 @@
 	// What is being stopped does not count as use, or the other team would lose far more than it had borrowed.
 	team, _ := s.configuration.Team(victim.Job.Team)
 	remaining := s.usage[team.Name].Sub(s.stoppingUsage[team.Name]).Sub(victim.request)
-	return remaining.CPUs+tuning.RoomSlack >= team.CPUs && remaining.Cards+tuning.RoomSlack >= team.Cards
+	return remaining.CPUs+tuning.ResourceSlack >= team.CPUs && remaining.Cards+tuning.ResourceSlack >= team.Cards
 }
 
 // preemptible returns the allocations on a machine that may be preempted for a job, in no order. s.mu must be held.
@@ -108,7 +108,7 @@
 // preemptionLoss returns the work, in ms, that is lost if a task is stopped at once. Each earlier preemption of the task
 // counts as more of it: else it would be the youngest, and preempted, again each time. s.mu must be held.
 func (s *Scheduler) preemptionLoss(alloc *allocation) int64 {
-	earlierLoss := int64(alloc.job.preemptions[alloc.task]) * tuning.MovedLoss.Milliseconds()
+	earlierLoss := int64(alloc.job.preemptions[alloc.task]) * tuning.PreemptionLoss.Milliseconds()
 	if alloc.runningSince.IsZero() {
 		return earlierLoss
 	}
--- /dev/null
+++ b/scheduler/preemption_test.go
@@ -0,0 +1,166 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/fleet"
+)
+
+// Production takes room from lower work, in one command, and never from its
+// own rank.
+func TestPreemption(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 2, nil)
+	h.Place()
+	h.commit()
+	h.CommandsAnswered("a1", h.sent[0].response, nil, true)
+	var run []api.TaskReport
+	for i := range 2 {
+		run = append(run, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	}
+	h.heartbeat("a1", 1, run...)
+	h.sent = nil
+	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
+	h.Place()
+	h.commit()
+	var cmds []api.Command
+	for _, o := range h.sent {
+		cmds = append(cmds, o.response.Commands...)
+	}
+	o := h.heartbeat("a1", 1, run...)
+	cmds = append(cmds, o.Commands...)
+	kill, start := -1, -1
+	for i, c := range cmds {
+		if c.Verb == api.CommandKill && kill < 0 {
+			kill = i
+		}
+		if c.Verb == api.CommandRun && c.Task == "run-000002/0" {
+			start = i
+		}
+	}
+	if kill < 0 || start < kill {
+		t.Errorf("want a kill, then the start: %+v", cmds)
+	}
+	h.submit("run-000003", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 8 })
+	h.Place()
+	if h.jobs["run-000002"].allocations[0].stopping {
+		t.Error("stopped work of its own rank")
+	}
+}
+
+// A task that made room once is not stopped again while others would do, though
+// it has run the shortest each time.
+func TestSameTaskDoesNotMakeRoomAgain(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	h.submit("run-000001", 2, nil)
+	h.Place()
+	h.commit()
+	h.answerCommands()
+	var run []api.TaskReport
+	for i := range 2 {
+		k := taskKey("run-000001", i)
+		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	}
+	h.heartbeat("a1", 1, run[0])
+	h.clock.Advance(5 * time.Second)
+	h.heartbeat("a1", 1, run...)
+	job := h.jobs["run-000001"]
+	older, younger := job.allocations[0], job.allocations[1]
+	if h.preemptionLoss(older) <= h.preemptionLoss(younger) {
+		t.Fatal("task 1 is not the younger one")
+	}
+	job.preemptions[1] = 1
+	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
+	h.Place()
+	if !older.stopping || younger.stopping {
+		t.Errorf("stopped: older %v, younger %v", older.stopping, younger.stopping)
+	}
+}
+
+// Tests of scale count work, never time. fullFleet is in bench_test.go.
+
+// On a full fleet, an array that may stop other work looks at each machine once
+// and then at those that it uses. Looking at all of them for each task took most
+// of the leader's processor, and submissions and reports waited.
+func TestPreemptionSearchesTheFleetOnceForAJob(t *testing.T) {
+	h := fullFleet(t, 280)
+	h.victimSearches = 0
+	h.Place()
+	started := 0
+	for _, job := range h.jobOrder {
+		if job.rank == 2 {
+			started += len(job.allocations)
+		}
+	}
+	if started < 150 {
+		t.Fatalf("%d urgent tasks started, want nearly all of 200", started)
+	}
+	if most := 4*280 + 3*started; h.victimSearches > most {
+		t.Errorf("%d machines searched for 4 jobs, want %d at most", h.victimSearches, most)
+	}
+}
+
+// The options kept in order give what a plain search of the whole fleet for
+// each task gives.
+func TestOptionsAgreeWithPlainSearch(t *testing.T) {
+	for seed := range uint64(20) {
+		rnd := rand.New(rand.NewPCG(seed, 7))
+		h := newHarness(t)
+		for i := range 25 {
+			h.heartbeat(fmt.Sprintf("a%03d", i), 1)
+		}
+		for i := range 12 {
+			h.submit(fmt.Sprintf("run-%06d", i), 1+rnd.IntN(12), func(x *api.Submission) {
+				x.Team, x.Rank = "left", []string{"low", "normal"}[rnd.IntN(2)]
+				x.CPUs = float64(1 + rnd.IntN(4))
+				x.MemoryGB = float64(1 + rnd.IntN(8))
+			})
+			h.settleStarts()
+			h.clock.Advance(time.Duration(rnd.IntN(1900)) * time.Millisecond)
+			for k := range 25 {
+				h.again(fmt.Sprintf("a%03d", k))
+			}
+		}
+		h.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
+		job := h.jobs["run-900000"]
+		opts := h.candidates(job, h.sortedMachines())
+		for {
+			plain := math.Inf(1)
+			for _, machine := range h.sortedMachines() {
+				if x, ok := h.candidateOn(job, machine); ok {
+					plain = math.Min(plain, x.score)
+				}
+			}
+			x, ok := h.bestCandidate(job, opts)
+			if !ok || len(job.pending) == 0 {
+				if !math.IsInf(plain, 1) && len(job.pending) > 0 {
+					t.Fatalf("seed %d: nothing found, a plain search finds %v", seed, plain)
+				}
+				break
+			}
+			if x.score != plain {
+				t.Fatalf("seed %d: found %v, a plain search %v", seed, x.score, plain)
+			}
+			task := int(job.pending[0])
+			job.pending = job.pending[1:]
+			h.preemptVictims(x.victims, job)
+			h.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
+			h.pushCandidate(job, x.machine, opts)
+		}
+		if len(job.allocations) == 0 {
+			t.Fatalf("seed %d: nothing was started", seed)
+		}
+		for _, machine := range h.machines {
+			if free, _ := machine.freeAfterStops(); !free.Fits(fleet.Resources{}) {
+				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
+			}
+		}
+	}
+}
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -52,7 +52,7 @@
 			ID:        job.id,
 			Limit:     limit,
 			Request:   request,
-			Use:       s.usage[team],
+			Usage:     s.usage[team],
 			Permanent: services[team],
 		})
 	}
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -131,7 +131,7 @@
 		}
 	}
 	headroom := s.configuration.Policy.Value(policy.HeadroomCPUs, policy.Vars{"demand_cpus": allDemand, "guaranteed_cpus": guaranteed})
-	return allDemand + headroom, tuning.ServiceSpare * ordinaryDemand
+	return allDemand + headroom, tuning.ServiceHeadroom * ordinaryDemand
 }
 
 // maxInstanceRequests is how many requests to the cloud are made at once.
@@ -167,7 +167,7 @@
 			continue
 		}
 		cpus := s.machineTypes[pool.machineType].CPUs
-		count := min(tuning.RentBatch, int(math.Ceil(missing/cpus)))
+		count := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/cpus)))
 		requests = append(requests, s.instanceRequest(pool, count))
 		// How many of them will come is not known; the next round sees it.
 		supply += float64(count) * cpus
@@ -282,7 +282,7 @@
 	defer s.mu.Unlock()
 	s.instancesRequested--
 	if err != nil || len(names) < request.Count {
-		s.instanceRefusals[capacityPool{request.Type, request.Zone, request.Spot}] = s.now().Add(tuning.RefusedPause)
+		s.instanceRefusals[capacityPool{request.Type, request.Zone, request.Spot}] = s.now().Add(tuning.InstanceRefusalPause)
 	}
 	if err != nil {
 		slog.Info("instance request refused", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "err", err)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -188,7 +188,7 @@
 		tasksPerShard:     tuning.ShardTasks,
 	}
 	scheduler.dependencies = newDependencies(scheduler)
-	scheduler.commandMailboxes = newMailboxes(scheduler, store.MailPrefix, store.MailKey, scheduler.relayedCommandBody)
+	scheduler.commandMailboxes = newMailboxes(scheduler, store.RelayResponsePrefix, store.RelayResponseKey, scheduler.relayedCommandBody)
 	scheduler.objectives, scheduler.deadlineMultiples = objectivesByClass(set.Facts.Objectives)
 	scheduler.SetTypes(types)
 	return scheduler
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -85,7 +85,7 @@
 func (s *Scheduler) replicaScore(job *jobState, task int, machine *machineState) float64 {
 	score := s.startCost(job, task, machine).Seconds()
 	if job.site != nil {
-		score += tuning.SitePrice * job.site.Cost(machine.Name)
+		score += tuning.SiteCost * job.site.Cost(machine.Name)
 	}
 	for _, alloc := range machine.allocations {
 		if alloc.job == job {
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -17,7 +17,7 @@
 	now := s.now()
 	reserving, reserved := s.currentReservations()
 	// One job may always have reservations, however many machines it needs.
-	limit := max(1, int(tuning.KeptShare*float64(len(s.machines))))
+	limit := max(1, int(tuning.ReservedShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
 		if !job.starved || now.Before(job.nextMachineReservation) || reserved >= limit && !reserving[job] {
 			continue
@@ -25,7 +25,7 @@
 		if !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
 			continue
 		}
-		job.nextMachineReservation = now.Add(tuning.KeepRoomEvery)
+		job.nextMachineReservation = now.Add(tuning.StarvationReserveEvery)
 		names, drained := s.soonestMachines(job)
 		for _, machine := range s.machines {
 			if machine.reservedFor == job {
@@ -88,7 +88,7 @@
 		}
 		machines = append(machines, available)
 	}
-	return ageing.Keep(machines, tasks, job.Job.OneZone)
+	return ageing.EarliestMachines(machines, tasks, job.Job.OneZone)
 }
 
 // reservedForStarved reports whether a job may not use a machine because it drains for another one. Production is not
--- /dev/null
+++ b/scheduler/task_failures_test.go
@@ -0,0 +1,148 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/tuning"
+)
+
+// A machine on which tasks of several jobs fail gets no more work; a job that
+// fails on every machine is paced.
+func TestSickMachineAndBadJob(t *testing.T) {
+	h := newHarness(t)
+	h.heartbeat("a1", 1)
+	for i := 1; i <= 3; i++ {
+		id := fmt.Sprintf("run-%06d", i)
+		h.submit(id, 1, nil)
+		h.Place()
+		h.commit()
+		h.answerCommands()
+		if st := h.starts(id + "/0"); len(st) > 0 {
+			h.heartbeat("a1", 1, taskReport(id+"/0", st[0].response.Commands[0].Attempt, api.TaskExited, api.CauseError))
+			h.answerCommands()
+		}
+	}
+	if names := h.MaintainFleet(); len(names) != 1 {
+		t.Errorf("suspect machines: %v", names)
+	}
+
+	h = newHarness(t)
+	h.submit("run-000009", 1, nil)
+	for i := range 10 {
+		h.heartbeat(fmt.Sprintf("a%d", i), 1)
+		before := len(h.starts("run-000009/0"))
+		h.Place()
+		h.commit()
+		h.answerCommands()
+		if st := h.starts("run-000009/0"); len(st) > before {
+			last := st[len(st)-1]
+			h.heartbeat(last.machine, 1, taskReport("run-000009/0", last.response.Commands[0].Attempt, api.TaskExited, api.CauseError))
+			h.answerCommands()
+		}
+	}
+	if n := len(h.starts("run-000009/0")); n > 4 || len(h.MaintainFleet()) != 0 {
+		t.Errorf("a job that always fails was started %d times at once", n)
+	}
+}
+
+// runTasks lets all machines report; what was started runs, or fails if bad says so.
+func (h *harness) runTasks(bad func(machine, job string) bool) {
+	for _, m := range h.sortedMachines() {
+		var tasks []api.TaskReport
+		for key, alloc := range m.allocations {
+			if !alloc.runSent {
+				continue
+			}
+			state, cause := api.TaskRunning, ""
+			if bad(m.Name, alloc.job.id) {
+				state, cause = api.TaskExited, api.CauseError
+			}
+			tasks = append(tasks, taskReport(key, alloc.attempt, state, cause))
+		}
+		h.heartbeat(m.Name, 1, tasks...)
+	}
+	h.commit()
+}
+
+// runTasksFor plays a while of the leader's rounds.
+func (h *harness) runTasksFor(d time.Duration, bad func(machine, job string) bool) (returned []string) {
+	for ; d > 0; d -= tuning.MaintainEvery {
+		h.clock.Advance(tuning.MaintainEvery)
+		h.runTasks(bad)
+		h.Place()
+		h.commit()
+		returned = append(returned, h.MaintainFleet()...)
+	}
+	return returned
+}
+
+// Two jobs with a mistake failed on the same machines, which were returned for it with
+// all that worked on them.
+func TestMistakenJobsDoNotCondemnMachines(t *testing.T) {
+	h := newHarness(t)
+	for _, n := range []string{"a1", "a2", "a3", "a4"} {
+		h.heartbeat(n, 1)
+	}
+	bad := func(_, job string) bool { return job != "run-000009" }
+	h.submit("run-000001", 6, nil)
+	h.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
+	if gone := h.runTasksFor(20*time.Second, bad); len(gone) > 0 {
+		t.Fatalf("healthy machines %v returned", gone)
+	}
+	one, two := h.jobs["run-000001"], h.jobs["run-000002"]
+	if !h.failsEverywhere(one) || !h.failsEverywhere(two) {
+		t.Fatal("jobs that fail everywhere are not told from others")
+	}
+	if all, _ := h.demand(); all != 8 {
+		t.Errorf("12 tasks that fail everywhere ask for %v processors, want those of one task each", all)
+	}
+	// Others have the fleet, and a retry is one task.
+	h.submit("run-000009", 8, nil)
+	started := map[string]int{}
+	for range 200 {
+		h.runTasksFor(tuning.MaintainEvery, bad)
+		for _, j := range []*jobState{one, two} {
+			started[j.id] = max(started[j.id], len(j.allocations)+j.queued)
+		}
+	}
+	if n := len(h.jobs["run-000009"].allocations); n != 8 {
+		t.Errorf("%d of 8 tasks of another job run", n)
+	}
+	if started[one.id] > 1 || started[two.id] > 1 {
+		t.Errorf("retries of %v tasks at once, want one", started)
+	}
+	// Once they are cancelled, what they did on machines is forgotten too.
+	h.Cancel(cancelledContext(), one.id)
+	h.Cancel(cancelledContext(), two.id)
+	if gone := h.runTasksFor(5*time.Second, bad); len(gone) > 0 {
+		t.Errorf("%v returned after the mistaken jobs were cancelled", gone)
+	}
+}
+
+// A faulty machine is still found: what fails there works elsewhere. And a job that met
+// it is not held back for that.
+func TestFaultyMachineIsFoundAmongMistakenJobs(t *testing.T) {
+	h := newHarness(t)
+	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
+		h.heartbeat(n, 1)
+	}
+	bad := func(machine, job string) bool { return machine == "a2" || job == "run-000005" }
+	small := func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 }
+	h.submit("run-000005", 5, nil)
+	gone := h.runTasksFor(5*time.Second, bad)
+	// The first fills the fleet; only the faulty machine is left for the second.
+	h.submit("run-000001", 40, small)
+	gone = append(gone, h.runTasksFor(5*time.Second, bad)...)
+	h.submit("run-000002", 8, small)
+	gone = append(gone, h.runTasksFor(10*time.Second, bad)...)
+	if !slices.Equal(gone, []string{"a2"}) {
+		t.Errorf("returned %v, want the faulty a2", gone)
+	}
+	if n := len(h.jobs["run-000001"].allocations); n != 32 {
+		t.Errorf("%d tasks of a good job run, want 32 on four good machines", n)
+	}
+}
