--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -11,7 +11,7 @@
 	machine *machineState
 	// leaving are allocations that are being stopped already, victims those that would be.
 	leaving, victims []*allocation
-	// score is what the start costs, in seconds unless the caller says otherwise.
+	// score is what the start costs; the candidates of one search have it in one unit.
 	score float64
 }
 
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// bestReplicaCandidate returns the machine on which a replica of a service costs least; false if there is none.
+// bestReplicaCandidate returns the machine on which a replica of a service costs least, in seconds; false if there is none.
 // If intended is set, only that machine is considered. s.mu must be held.
 func (s *Scheduler) bestReplicaCandidate(job *jobState, task int, intended *machineState) (candidate, bool) {
 	best := candidate{score: math.Inf(1)}
@@ -260,8 +260,8 @@
 	}
 }
 
-// cheapestPreemption returns the machine on which freeing the resources for one task of a job loses the least work;
-// false if there is none. s.mu must be held.
+// cheapestPreemption returns the machine on which freeing the resources for one task of a job loses the least work, in
+// ms; false if there is none. s.mu must be held.
 func (s *Scheduler) cheapestPreemption(job *jobState, machines []*machineState) (best candidate, ok bool) {
 	for _, machine := range machines {
 		if !s.mayPlace(job, machine) || !s.withinQuota(job) || machine.heartbeatFull() {
