--- a/controller/admission.go
+++ b/controller/admission.go
@@ -7,253 +7,281 @@
 	"math"
 	"net/http"
 	"slices"
-	"strings"
+	"sync"
+
+	"github.com/jonboulle/clockwork"
+	"golang.org/x/time/rate"
 
 	"switchferry/api"
 	"switchferry/configuration"
 	"switchferry/feasibility"
-	"switchferry/lookup"
 	"switchferry/peer"
+	"switchferry/retry"
 	"switchferry/scheduler"
+	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/topology"
 	"switchferry/tuning"
+	"switchferry/upgrade"
 )
 
-// submissionVerdict is what is thought of a submission. With neither an error nor a reason to ask again it can be accepted.
+// submissionService accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing
+// their records itself.
+type submissionService struct {
+	settings      *settings.Settings
+	clock         clockwork.Clock
+	client        *store.Client
+	features      *optionalFeatures
+	versions      *upgrade.VersionRegistry
+	catalog       *machineCatalog
+	term          *currentTerm
+	configuration *liveConfiguration
+	datasets      *datasetService
+	jobs          *jobReader
+	// leaderlessWriter writes what is accepted without the leader.
+	leaderlessWriter *store.HedgedClient
+
+	// mu guards retries, which spreads the users that were refused over the time that it takes to accept them.
+	mu      sync.Mutex
+	retries *retry.Spread
+}
+
+// newSubmissionService returns the part of c that accepts jobs.
+func newSubmissionService(c *Controller) *submissionService {
+	writes := c.settings.Facts.State.Least().WriteRPS
+	rest := writes * (1 - tuning.QuotaShare)
+	limiter := rate.NewLimiter(rate.Limit(rest), max(1, int(rest)))
+	accepted := tuning.QuotaShare * writes / float64(1+len(c.settings.Peers))
+	retries, err := retry.New(accepted, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
+	if err != nil {
+		panic(err) // Only for a limit below one, and the limits are constants.
+	}
+	return &submissionService{settings: c.settings, clock: c.clock, client: c.client, features: c.features, versions: c.versions,
+		catalog: c.catalog, term: c.term, configuration: c.configuration, datasets: c.datasets, jobs: c.jobs,
+		leaderlessWriter: store.NewHedgedClient(c.client, c.clock, limiter, writes), retries: retries}
+}
+
+// submissionVerdict is the outcome of checking a submission, which can be accepted if it is neither refused nor
+// undecided and has no retryReason.
 type submissionVerdict struct {
-	// status goes with err, which refuses it for good.
+	// status is the HTTP status of err, which refuses the submission for good.
 	status int
 	err    error
-	// undecided: what it hangs on is not known, which leaves a known job its answer; again is why its user has to ask
-	// again whatever is known.
-	undecided bool
-	again     string
-	judged    admission
+	// undecided is set if it cannot be told now whether the submission is feasible; a known job is answered all the same.
+	// retryReason is why the user has to retry whether the job is known or not.
+	undecided   bool
+	retryReason string
+	rules       admissionRules
 }
 
-func (c *Controller) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
+// serveSubmission accepts or refuses a job. Sched is nil without a leader that is certain to lead here. A job that is known
+// already is answered with its state.
+func (s *submissionService) serveSubmission(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
-	if id != "" {
-		if f, ok := c.terminalState(id); ok {
-			return peer.JSONResponse(http.StatusOK, f.JobStatus(id))
-		}
-		if sched != nil {
-			if st, ok := sched.JobStatus(id); ok {
-				return peer.JSONResponse(http.StatusOK, st)
-			}
-		}
+	if job, ok := s.recallJob(sched, id); ok {
+		return peer.JSONResponse(http.StatusOK, job)
 	}
-	v := submissionVerdict{status: http.StatusBadRequest, err: err}
+	verdict := submissionVerdict{status: http.StatusBadRequest, err: err}
 	if err == nil {
-		v = c.evaluateSubmission(ctx, sched, submission, body)
+		verdict = s.evaluateSubmission(ctx, sched, submission, body)
 	}
 	switch {
-	case v.again != "":
-		return peer.RetryLater(v.again)
-	case v.err != nil || v.undecided:
-		return c.refuseSubmission(ctx, sched, id, v)
+	case verdict.retryReason != "":
+		return peer.RetryLater(verdict.retryReason)
+	case verdict.err != nil || verdict.undecided:
+		return s.refuseSubmission(ctx, sched, id, verdict)
 	case sched == nil:
-		return c.submitWithoutLeader(ctx, submission, body, v.judged.conds...)
+		return s.submitWithoutLeader(ctx, submission, body, verdict.rules.conditions...)
 	}
-	if a, ok := sched.Submit(ctx, submission, c.clock.Now()); ok {
-		return a
+	if response, ok := sched.Submit(ctx, submission, s.clock.Now()); ok {
+		return response
 	}
-	a := c.answerStatus(ctx, sched, id, false)
-	if a.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
-		// One of its datasets was taken off the list meanwhile.
-		if status, err, _ := c.checkInputs(ctx, sched, submission, body); err != nil {
-			return peer.Refusal(status, err)
-		}
-		return peer.RetryLater("a dataset of the job has just changed")
+	response := s.jobs.answerStatus(ctx, sched, id, false)
+	if response.Status == http.StatusNotFound && len(submission.Inputs) > 0 {
+		return s.answerChangedDataset(ctx, sched, submission, body)
 	}
-	return a
+	return response
+}
+
+// recallJob returns the status of a job that this process knows; ok is false if it knows none, or the id is empty.
+func (s *submissionService) recallJob(sched *scheduler.Scheduler, id string) (job api.JobStatus, ok bool) {
+	if id == "" {
+		return job, false
+	}
+	if final, ok := s.jobs.terminalState(id); ok {
+		return final.JobStatus(id), true
+	}
+	if sched == nil {
+		return job, false
+	}
+	return sched.JobStatus(id)
+}
+
+// answerChangedDataset answers a submission one of whose datasets was taken off the list while it was being accepted.
+func (s *submissionService) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
+	if status, _, err := s.checkInputs(ctx, sched, submission, body); err != nil {
+		return peer.Refusal(status, err)
+	}
+	return peer.RetryLater("a dataset of the job has just changed")
 }
 
 // evaluateSubmission checks what can be wrong with a submission, one thing after the other.
-func (c *Controller) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (v submissionVerdict) {
-	v.status = http.StatusUnprocessableEntity
-	v.judged, v.err, v.undecided = c.canRun(sched, submission)
-	if v.err == nil {
-		if v.err = c.fitsSomeMachineType(submission); v.err != nil {
-			v.status = http.StatusBadRequest
+func (s *submissionService) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
+	verdict.status = http.StatusUnprocessableEntity
+	if verdict.rules, verdict.undecided, verdict.err = s.canRun(sched, submission); verdict.err != nil {
+		return verdict
+	}
+	if verdict.err = s.checkRecordSize(submission); verdict.err != nil {
+		verdict.status = http.StatusBadRequest
+		return verdict
+	}
+	if s.features.topology != nil {
+		if verdict.status, verdict.err = checkSite(submission, body); verdict.err != nil {
+			return verdict
 		}
 	}
-	if v.err == nil && c.topology != nil {
-		v.status, v.err = checkSite(submission, body)
+	if verdict.undecided {
+		return verdict
 	}
-	if v.err == nil && !v.undecided && len(submission.Awaits) > 0 {
-		if v.again, v.err = c.checkDependencies(ctx, sched, submission); v.again != "" {
-			return v
+	if len(submission.Awaits) > 0 {
+		verdict.retryReason, verdict.err = s.checkDependencies(ctx, sched, submission)
+		if verdict.retryReason != "" || verdict.err != nil {
+			verdict.status = http.StatusUnprocessableEntity
+			return verdict
 		}
-		v.status = http.StatusUnprocessableEntity
 	}
-	if v.err == nil && !v.undecided && c.data.On {
-		v.status, v.err, v.undecided = c.checkInputs(ctx, sched, submission, body)
+	if s.features.data.On {
+		verdict.status, verdict.undecided, verdict.err = s.checkInputs(ctx, sched, submission, body)
 	}
-	return v
+	return verdict
 }
 
-// refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is never refused, whatever the
-// body, nor sent away while nothing can be judged.
-func (c *Controller) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, v submissionVerdict) peer.Response {
+// refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is answered with the
+// state of its job, whatever the body says.
+func (s *submissionService) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
 			if here, _, _ := sched.DependencyState(id); here {
 				return peer.RetryLater("the job is just being accepted")
 			}
 		}
-		if st, found, err := c.lookUp(ctx, sched, id, false); err != nil {
+		if job, found, err := s.jobs.lookUp(ctx, sched, id, false); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		} else if found {
-			return peer.JSONResponse(http.StatusOK, st)
+			return peer.JSONResponse(http.StatusOK, job)
 		}
 	}
 	switch {
-	case v.err != nil && !v.judged.stillValid(c, sched):
+	case verdict.err != nil && !s.stillValid(verdict.rules, sched):
 		return peer.RetryLater("the configuration has just changed")
-	case v.err != nil:
-		return peer.Refusal(v.status, v.err)
-	case v.judged.why != "":
-		return peer.RetryLater(v.judged.why)
-	case c.data.On:
+	case verdict.err != nil:
+		return peer.Refusal(verdict.status, verdict.err)
+	case verdict.rules.unknownReason != "":
+		return peer.RetryLater(verdict.rules.unknownReason)
+	case s.features.data.On:
 		return peer.RetryLater("the machine types, or the job's datasets, are not known yet")
 	}
 	return peer.RetryLater("the machine types are not known yet")
 }
 
-// fitsSomeMachineType finds a job whose record is too large for the state service.
-func (c *Controller) fitsSomeMachineType(submission *api.Submission) error {
+// checkRecordSize returns a *api.FieldError if the record of a job is too large for the state service.
+func (s *submissionService) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
-	if most := c.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
+	if most := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
 	}
 	return err
 }
 
-// admission is what a submission was judged by.
-type admission struct {
-	// by are the configurations under which the answer must come out the same; conds hold while a follower's is the
-	// newest.
-	by    []*configuration.Active
-	conds []store.Condition
-	// why nothing could be judged, where it is the configuration's matter.
-	why string
+// admissionRules are the configurations that a submission is checked against.
+type admissionRules struct {
+	// configurations are all that may be in force; they must agree on the answer. conditions hold while the one that a
+	// follower decided by is the newest.
+	configurations []*configuration.Active
+	conditions     []store.Condition
+	// unknownReason is why no rules are known, or empty.
+	unknownReason string
 }
 
-// admissionRules gives what a submission is judged by now.
-func (c *Controller) admissionRules(sched *scheduler.Scheduler) admission {
-	if c.revisions == nil {
-		return admission{by: c.fileConfiguration}
+// currentRules returns the rules by which a submission is checked now.
+func (s *submissionService) currentRules(sched *scheduler.Scheduler) admissionRules {
+	if s.configuration.revisions == nil {
+		return admissionRules{configurations: s.configuration.fileConfiguration}
 	}
-	if applier := c.currentApplier(); sched != nil && applier != nil {
+	if applier := s.term.applier(); sched != nil && applier != nil {
 		by := applier.Candidates()
 		if len(by) == 0 || !sched.Leading() {
-			return admission{why: "the configuration is not known yet"}
+			return admissionRules{unknownReason: "the configuration is not known yet"}
 		}
-		return admission{by: by}
+		return admissionRules{configurations: by}
 	}
-	right, ok := c.revisions.Lease()
+	right, ok := s.configuration.revisions.Lease()
 	if !ok {
-		return admission{why: "the configuration cannot be confirmed now"}
+		return admissionRules{unknownReason: "the configuration cannot be confirmed now"}
 	}
-	return admission{by: []*configuration.Active{right.Active}, conds: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
+	return admissionRules{configurations: []*configuration.Active{right.Active}, conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
 }
 
-// canRun checks a submission against teams, limits and machine types. Undecided: these are not known, the
-// active is not, or it is just changing and the answers differ.
-func (c *Controller) canRun(sched *scheduler.Scheduler, submission *api.Submission) (judged admission, err error, undecided bool) {
-	c.mu.Lock()
-	types := c.machineTypes
-	c.mu.Unlock()
-	judged = c.admissionRules(sched)
-	if judged.why != "" {
-		return judged, nil, true
+// canRun checks a submission against teams, limits and machine types. Undecided is set if these are not known, if the
+// configuration is not, or if it is just changing and the old and the new one disagree. An error is a *api.FieldError.
+func (s *submissionService) canRun(sched *scheduler.Scheduler, submission *api.Submission) (rules admissionRules, undecided bool, err error) {
+	types := s.catalog.machineTypes()
+	rules = s.currentRules(sched)
+	if rules.unknownReason != "" {
+		return rules, true, nil
 	}
-	for i, active := range judged.by {
+	for i, active := range rules.configurations {
 		found, open := feasibility.CanRun(submission, active.Limit, types)
 		if i > 0 && (found == nil) != (err == nil) {
-			judged.why = "the configuration is just changing"
-			return judged, nil, true
+			rules.unknownReason = "the configuration is just changing"
+			return rules, true, nil
 		}
 		err, undecided = found, undecided || open
 	}
-	return judged, err, undecided
+	return rules, undecided, err
 }
 
-// stillValid tells whether what a refusal was judged by still counts: it is looked at last, since the process can have
-// stood still.
-func (j admission) stillValid(n *Controller, sched *scheduler.Scheduler) bool {
-	if n.revisions == nil || j.by == nil {
+// stillValid reports whether a refusal by these rules still holds. It is asked last, since the process can have been
+// paused after the check.
+func (s *submissionService) stillValid(rules admissionRules, sched *scheduler.Scheduler) bool {
+	if s.configuration.revisions == nil || rules.configurations == nil {
 		return true
 	}
-	return slices.Equal(j.by, n.admissionRules(sched).by)
+	return slices.Equal(rules.configurations, s.currentRules(sched).configurations)
 }
 
-// checkSite reads what a submission asks of where its tasks stand, and whether that can be.
+// checkSite reads the topology constraints of a submission and checks whether they can be met. An error is a
+// *api.FieldError, which goes with the status.
 func checkSite(submission *api.Submission, body []byte) (status int, err error) {
 	if submission.Near, submission.Survive, err = api.ParseSite(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err
 	}
 	if submission.Shape == api.JobArray {
-		// Its tasks can run a few at a time.
+		// Tasks of a job array need not all run at once.
 		return 0, nil
 	}
-	if why := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); why != "" {
-		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: why}
+	if reason := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); reason != "" {
+		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: reason}
 	}
 	return 0, nil
 }
 
-// checkDependencies looks at the jobs that a submission awaits. Not decided: why it cannot be told
-// yet whether all of them were accepted.
-func (c *Controller) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
-	if len(submission.Awaits) > tuning.MaxDependencies {
-		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
-	}
-	if old := c.versions.Older(); len(old) > 0 {
-		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(old, ", "), nil
-	}
-	refused := make([]error, len(submission.Awaits))
-	late := make([]string, len(submission.Awaits))
-	lookup.ForEach(submission.Awaits, func(i int, id string) { late[i], refused[i] = c.checkDependency(ctx, sched, submission.ID, id) })
-	for i := range submission.Awaits {
-		if refused[i] != nil {
-			return "", refused[i]
-		}
-		undecided = max(undecided, late[i])
-	}
-	return undecided, nil
-}
-
-// checkDependency tells whether a job may await another.
-func (c *Controller) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
-	bad := func(why string) error { return &api.FieldError{Field: "awaits", Want: id + " " + why} }
-	if id == job {
-		return "", bad("is the job itself")
+// setRetryAfter sets when the user of a refused submission should retry. Each gets another time, spread over as long as
+// it takes to accept all that wait.
+func (s *submissionService) setRetryAfter(response *peer.Response, body []byte) {
+	refused := response.Status == http.StatusServiceUnavailable
+	s.mu.Lock()
+	none := s.retries.Waiting() == 0
+	s.mu.Unlock()
+	if !refused && none {
+		return
 	}
-	for again := false; ; again = true {
-		if sched != nil {
-			switch here, accepted, service := sched.DependencyState(id); {
-			case service:
-				return "", bad("is a service, which is never done")
-			case accepted:
-				return "", nil
-			case here:
-				return id + " is just being accepted", nil
-			}
-		}
-		x, err := c.records.ReadInTurn(ctx, id, "")
-		switch {
-		case err != nil:
-			return "the state service is out of reach", nil
-		case x.Service:
-			return "", bad("is a service, which is never done")
-		case x.Found:
-			return "", nil
-		case again:
-			return "", bad("was never accepted")
-		}
-		c.sleep(ctx, tuning.DependencyRetryDelay)
+	_, id, _ := api.ParseSubmission(body)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if refused {
+		response.RetryAfterS = max(response.RetryAfterS, s.retries.Refused(s.clock.Now(), id))
+	} else {
+		s.retries.Taken(id)
 	}
 }
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -3,144 +3,140 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"log/slog"
 	"net/http"
+	"sync"
+
+	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
-	"switchferry/dataset"
+	"switchferry/election"
 	"switchferry/internal/rest"
 	"switchferry/peer"
+	"switchferry/redirect"
+	"switchferry/relay/proxy"
 	"switchferry/scheduler"
-	"switchferry/store"
+	"switchferry/settings"
 	"switchferry/tuning"
 )
 
-// HandleStageHeartbeat answers an agent's report, which came as raw. Agents report to the leader; one
-// that comes back from it is cut off, and its reports are passed on: over the back port
-// while that leads there, else through the state service.
-func (c *Controller) HandleStageHeartbeat(ctx context.Context, r *api.StageHeartbeat, raw []byte) (status int, body any) {
-	if sched := c.leadingScheduler(); sched != nil {
-		return c.stageOrderFor(sched, r)
+// agentGateway answers the data agents beside the workers, and sends them the leader's orders.
+type agentGateway struct {
+	settings *settings.Settings
+	clock    clockwork.Clock
+	elector  *election.Elector
+	peers    *peer.Network
+	health   *stateHealth
+	term     *currentTerm
+	leader   *leaderLocator
+	// client sends orders to agents.
+	client *http.Client
+	// proxy relays heartbeats of agents while the leader is unreachable. It is set before Run, and nil with datasets
+	// off.
+	proxy *proxy.Agents
+
+	// mu guards redirects, which remembers the agents that were redirected to the leader.
+	mu        sync.Mutex
+	redirects redirect.Tracker
+}
+
+// newAgentGateway returns the part of c that serves agents.
+func newAgentGateway(c *Controller, transport http.RoundTripper) *agentGateway {
+	return &agentGateway{settings: c.settings, clock: c.clock, elector: c.elector, peers: c.peers, health: c.health, term: c.term,
+		leader: c.leader, client: &http.Client{Transport: transport}, redirects: redirect.NewTracker()}
+}
+
+// mayRedirect reports whether an agent may be redirected to the leader.
+func (a *agentGateway) mayRedirect(machine, leader string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.redirects.Allow(a.clock.Now(), machine, leader, true)
+}
+
+// handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader. Heartbeats of an agent
+// that was redirected there and came back are forwarded to it while it is reachable, and else relayed through the state
+// service.
+func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
+	if sched := a.term.scheduler(); sched != nil {
+		return a.answerAsLeader(sched, heartbeat)
 	}
-	leader, term := c.elector.Leader()
-	leader, term, there := newestLeader(leader, term, c.peers.LivePeers())
-	if leader == "" || leader == c.settings.Member {
+	leader, term, reachable := a.leader.locate()
+	if leader == "" || leader == a.settings.Member {
 		return http.StatusServiceUnavailable, api.Error{Error: "no leader yet"}
 	}
-	if there {
-		c.mu.Lock()
-		may := c.agentRedirects.Allow(c.clock.Now(), r.Machine, leader, true)
-		c.mu.Unlock()
-		if may {
+	if reachable {
+		if a.mayRedirect(heartbeat.Machine, leader) {
 			return http.StatusMisdirectedRequest, api.Redirect{Controller: leader}
 		}
 		if len(raw) <= tuning.BodyLimit {
-			a, err := c.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: c.settings.Member}, tuning.PeerTimeout)
-			if err == nil && a.Status == http.StatusOK {
-				return a.Status, json.RawMessage(a.Body)
+			response, err := a.peers.Ask(ctx, leader, peer.Request{Verb: verbStage, Body: raw, From: a.settings.Member}, tuning.PeerTimeout)
+			if err == nil && response.Status == http.StatusOK {
+				return response.Status, json.RawMessage(response.Body)
 			}
 		}
 	}
-	if r.Term > term || !c.stateServiceHealthy() {
-		// Nobody's word comes through here: another controller may do better.
+	if heartbeat.Term > term || !a.health.healthy() {
+		// Nothing can be relayed from here; another controller may reach the state service or the leader.
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	o, err := c.agentProxy.HandleHeartbeat(r, term)
+	order, err := a.proxy.HandleHeartbeat(heartbeat, term)
 	if err != nil {
-		slog.Error("an agent's order in the mail is damaged", "machine", r.Machine, "err", err)
+		slog.Error("corrupt relayed stage order", "machine", heartbeat.Machine, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}
 	}
-	return http.StatusOK, o
+	return http.StatusOK, order
 }
 
-// handleForwardedStageHeartbeat serves an agent's report that a sibling passes on. An order that no frame
-// holds goes through the state service.
-func (c *Controller) handleForwardedStageHeartbeat(raw []byte) peer.Response {
-	sched := c.leadingScheduler()
-	var r api.StageHeartbeat
-	if err := json.Unmarshal(raw, &r); err != nil || r.Check() != nil || sched == nil {
+// handleForwardedHeartbeat serves an agent's heartbeat that a peer forwards. An order that is too large for a message
+// between controllers is refused, and then goes through the state service.
+func (a *agentGateway) handleForwardedHeartbeat(raw []byte) peer.Response {
+	sched := a.term.scheduler()
+	var heartbeat api.StageHeartbeat
+	if err := json.Unmarshal(raw, &heartbeat); err != nil || heartbeat.Check() != nil || sched == nil {
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
-	a := peer.JSONResponse(c.stageOrderFor(sched, &r))
-	if len(a.Body) > tuning.BodyLimit {
+	response := peer.JSONResponse(a.answerAsLeader(sched, &heartbeat))
+	if len(response.Body) > tuning.BodyLimit {
 		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
-	return a
+	return response
 }
 
-// stageOrderFor answers an agent as the leader.
-func (c *Controller) stageOrderFor(sched *scheduler.Scheduler, r *api.StageHeartbeat) (status int, body any) {
-	o, deposed, refused := sched.HandleStageHeartbeat(r)
+// answerAsLeader answers an agent's heartbeat as the leader.
+func (a *agentGateway) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.StageHeartbeat) (status int, body any) {
+	order, deposed, refused := sched.HandleStageHeartbeat(heartbeat)
 	switch {
 	case deposed:
-		c.elector.Resign("an agent has seen a higher term")
+		a.elector.Resign("an agent has seen a higher term")
 		return http.StatusMisdirectedRequest, api.Redirect{}
 	case refused:
 		return http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}
 	}
-	return http.StatusOK, o
+	return http.StatusOK, order
 }
 
-// sendStageOrder delivers an order to an agent. One that is lost is sent again, and goes out with
-// the answer to the agent's next report in any case.
-func (c *Controller) sendStageOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, o api.StageOrder) {
+// sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with the response to the agent's
+// next heartbeat in any case.
+func (a *agentGateway) sendOrder(ctx context.Context, sched *scheduler.Scheduler, name, addr string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, c.agentClient, http.MethodPost, "http://"+addr+"/stage", o)
-	var r api.StageHeartbeat
+	status, body, err := rest.Do(ctx, a.client, http.MethodPost, "http://"+addr+"/stage", order)
+	var heartbeat api.StageHeartbeat
 	if err == nil && (status == http.StatusOK || status == http.StatusConflict) {
-		if err = json.Unmarshal(body, &r); err == nil {
-			err = r.Check()
+		if err = json.Unmarshal(body, &heartbeat); err == nil {
+			err = heartbeat.Check()
 		}
 	}
-	if err != nil || r.Machine != name {
+	if err != nil || heartbeat.Machine != name {
 		slog.Debug("order not delivered", "machine", name, "status", status, "err", err)
 		return
 	}
-	if _, deposed, _ := sched.HandleStageHeartbeat(&r); deposed {
-		c.elector.Resign("an agent has seen a higher term")
+	if _, deposed, _ := sched.HandleStageHeartbeat(&heartbeat); deposed {
+		a.elector.Resign("an agent has seen a higher term")
 	}
 }
 
-// followDatasets keeps a leader up to date with what is registered, by any controller.
-func (c *Controller) followDatasets(ctx context.Context, sched *scheduler.Scheduler, after uint64) {
-	for ctx.Err() == nil {
-		log, epoch, err := c.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
-		if errors.Is(err, store.ErrCompacted) {
-			epoch, err = c.loadDatasets(ctx, sched)
-			log = nil
-		}
-		if err != nil {
-			c.sleep(ctx, tuning.ElectRetry)
-			continue
-		}
-		for _, e := range log {
-			it := store.Item{Key: e.Set, Value: e.Value, Revision: e.Revision}
-			if entry, err := scheduler.DecodeDataset(&it); e.Set != "" && err == nil {
-				sched.AddDatasets(entry)
-				c.cacheDataset(entry)
-			}
-		}
-		after = max(after, epoch)
-	}
-}
-
-// loadDatasets reads all datasets.
-func (c *Controller) loadDatasets(ctx context.Context, sched *scheduler.Scheduler) (uint64, error) {
-	items, epoch, err := c.client.List(ctx, store.DatasetPrefix)
-	if err != nil {
-		return 0, err
-	}
-	var sets []*dataset.Entry
-	for i := range items {
-		entry, err := scheduler.DecodeDataset(&items[i])
-		if err != nil {
-			slog.Error("a dataset's record is damaged; jobs that need it wait", "key", items[i].Key, "err", err)
-			continue
-		}
-		sets = append(sets, entry)
-	}
-	sched.AddDatasets(sets...)
-	return epoch, nil
+// HandleStageHeartbeat answers an agent's heartbeat, which came as raw.
+func (c *Controller) HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
+	return c.agents.handleHeartbeat(ctx, heartbeat, raw)
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -6,124 +6,144 @@
 	"fmt"
 	"net/http"
 
+	"github.com/jonboulle/clockwork"
+
 	"switchferry/api"
 	"switchferry/configuration"
 	"switchferry/configuration/httpapi"
 	"switchferry/configuration/revisions"
 	"switchferry/peer"
 	"switchferry/scheduler"
+	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
+	"switchferry/upgrade"
 )
 
-// newRevisionStore switches live configuration on; it is called before Run.
-func (c *Controller) newRevisionStore() {
-	c.revisions = revisions.New(c.client, c.clock, c.fileConfiguration[0], c.settings.Facts.State)
-	c.versions.Configuration = true
+// liveConfiguration serves requests about the configuration, and says by which configuration this process decides.
+type liveConfiguration struct {
+	settings *settings.Settings
+	clock    clockwork.Clock
+	client   *store.Client
+	features *optionalFeatures
+	versions *upgrade.VersionRegistry
+	term     *currentTerm
+	leader   *leaderLocator
+	// fileConfiguration is the configuration of the files and settings, alone in its list.
+	fileConfiguration []*configuration.Active
+	// revisions keeps the configuration that operators change while this process runs. It is nil unless that feature is
+	// on, and set before Run.
+	revisions *revisions.Store
 }
 
-// ConfigurationOn tells whether the configuration can change while this controller runs.
-func (c *Controller) ConfigurationOn() bool { return c.revisions != nil }
+// newLiveConfiguration returns the part of c that keeps the configuration, with live changes off.
+func newLiveConfiguration(c *Controller) *liveConfiguration {
+	return &liveConfiguration{settings: c.settings, clock: c.clock, client: c.client, features: c.features, versions: c.versions,
+		term: c.term, leader: c.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(c.settings.Facts.Teams, c.policy)}}
+}
 
-// currentApplier is what changes the configuration in the present term; nil: this controller does not lead.
-func (c *Controller) currentApplier() *revisions.Applier {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.applier
+// newRevisionStore switches live configuration on. It is called before Run.
+func (l *liveConfiguration) newRevisionStore() {
+	l.revisions = revisions.New(l.client, l.clock, l.fileConfiguration[0], l.settings.Facts.State)
+	l.versions.Configuration = true
 }
 
-// configurationLeader is a term's side of a change.
-type configurationLeader struct {
-	n    *Controller
-	core *scheduler.Scheduler
+// ConfigurationOn reports whether the configuration can change while this controller runs.
+func (c *Controller) ConfigurationOn() bool { return c.configuration.revisions != nil }
+
+// configurationTerm is what a change of the configuration asks of a term.
+type configurationTerm struct {
+	controller *Controller
+	scheduler  *scheduler.Scheduler
 }
 
-// Condition holds while the term lasts.
-func (l *configurationLeader) Condition() (store.Condition, bool) {
-	return recordSource{l.core, l.n}.Condition()
+// Condition holds while the term lasts; ok is false once it is not certain that it does.
+func (l *configurationTerm) Condition() (store.Condition, bool) {
+	return termCondition(l.controller.elector, l.scheduler)
 }
 
-// Adopt has the term's decisions go by a configuration. What it lacks is as this controller's files have it, also where the
-// revision before had something else.
-func (l *configurationLeader) Adopt(active *configuration.Active) (undecided func() int) {
-	return l.core.ApplyConfiguration(l.n.withFileDefaults(active))
+// Adopt has the scheduler decide by a configuration. What that leaves out is as the files have it, also where the
+// revision before set it.
+func (l *configurationTerm) Adopt(active *configuration.Active) (undecided func() int) {
+	return l.scheduler.ApplyConfiguration(l.controller.configuration.withFileDefaults(active))
 }
 
 // withFileDefaults returns a configuration in which the files stand in for what the revision leaves out.
-func (c *Controller) withFileDefaults(active *configuration.Active) *configuration.Active {
+func (l *liveConfiguration) withFileDefaults(active *configuration.Active) *configuration.Active {
 	complete := *active
-	if complete.Topology == nil && c.topology != nil {
-		complete.Topology = c.topology.Map()
+	if complete.Topology == nil && l.features.topology != nil {
+		complete.Topology = l.features.topology.Map()
 	}
 	if complete.AheadTasks == nil {
-		complete.AheadTasks = &c.data.Ahead
+		complete.AheadTasks = &l.features.data.Ahead
 	}
 	return &complete
 }
 
-// Peers are all other controllers.
-func (l *configurationLeader) Peers() (members []string) {
-	for _, s := range l.n.settings.Peers {
-		members = append(members, s.Member)
+// Peers returns all other members.
+func (l *configurationTerm) Peers() (members []string) {
+	for _, other := range l.controller.settings.Peers {
+		members = append(members, other.Member)
 	}
 	return members
 }
 
-// RefreshPeer has a sibling look for the newest revision now.
-func (l *configurationLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
-	a, err := l.n.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.n.settings.Member}, tuning.PeerTimeout)
+// RefreshPeer has a peer look for the newest revision now, and returns the one that it found.
+func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
+	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
 		return 0, err
 	}
-	if a.Status != http.StatusOK {
-		return 0, fmt.Errorf("%s answers with status %d", member, a.Status)
+	if response.Status != http.StatusOK {
+		return 0, fmt.Errorf("%s answers with status %d", member, response.Status)
 	}
-	return revision, json.Unmarshal(a.Body, &revision)
+	return revision, json.Unmarshal(response.Body, &revision)
 }
 
-// reapplyConfiguration has the leader go by its present configuration once more, after the topology file has changed.
-func (c *Controller) reapplyConfiguration(sched *scheduler.Scheduler) {
-	if applier := c.currentApplier(); applier != nil {
+// reapply has the leader apply its present configuration again, after the topology file has changed.
+func (l *liveConfiguration) reapply(sched *scheduler.Scheduler) {
+	if applier := l.term.applier(); applier != nil {
 		applier.Reapply()
 		return
 	}
-	sched.ReplaceTopology(c.topology.Map())
+	sched.ReplaceTopology(l.features.topology.Map())
 }
 
-// handleConfiguration serves requests about the configuration.
-func (c *Controller) handleConfiguration(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if c.revisions == nil {
+// handle serves requests about the configuration.
+func (l *liveConfiguration) handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	if l.revisions == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
-	if r.Verb == verbConfirm {
-		number, err := c.revisions.Refresh(ctx)
+	if request.Verb == verbConfirm {
+		number, err := l.revisions.Refresh(ctx)
 		if err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
 		return peer.JSONResponse(http.StatusOK, number)
 	}
-	if r.Verb == VerbConfiguration && r.Job != "" {
-		return encodeResponse(c.configurationHandler().Revision(ctx, r.Job))
+	if request.Verb == VerbConfiguration && request.Job != "" {
+		return encodeResponse(l.handler().Revision(ctx, request.Job))
 	}
-	applier := c.currentApplier()
+	applier := l.term.applier()
 	switch {
-	case applier == nil && r.Verb == VerbConfigure:
-		return c.forwardToLeader(ctx, r, forwarded)
+	case applier == nil && request.Verb == VerbConfigure:
+		return l.leader.forward(ctx, request, forwarded)
 	case applier == nil && !forwarded:
-		if a := c.forwardToLeader(ctx, r, forwarded); a.Status == http.StatusOK {
-			return a
+		if response := l.leader.forward(ctx, request, forwarded); response.Status == http.StatusOK {
+			return response
 		}
-		// Nobody leads: the records tell.
-		if _, err := c.revisions.Refresh(ctx); err != nil {
+		// Without a leader the records tell what is in force.
+		if _, err := l.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
-		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(nil))
-	case r.Verb == VerbConfiguration:
-		return peer.JSONResponse(http.StatusOK, c.configurationHandler().Present(applier))
+		return peer.JSONResponse(http.StatusOK, l.handler().Present(nil))
+	case request.Verb == VerbConfiguration:
+		return peer.JSONResponse(http.StatusOK, l.handler().Present(applier))
 	}
-	return encodeResponse(c.configurationHandler().Change(ctx, applier, r.Body))
+	return encodeResponse(l.handler().Change(ctx, applier, request.Body))
 }
 
-func (c *Controller) configurationHandler() *httpapi.Handler {
-	return &httpapi.Handler{Store: c.revisions, Versions: c.versions, TopologyOn: c.topology != nil, DataOn: c.data.On}
+// handler returns what answers users about the configuration.
+func (l *liveConfiguration) handler() *httpapi.Handler {
+	return &httpapi.Handler{Store: l.revisions, Versions: l.versions, TopologyOn: l.features.topology != nil, DataOn: l.features.data.On}
 }
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -12,26 +12,27 @@
 	"switchferry/worker"
 )
 
-// sendCommands delivers a direct command.
-func (c *Controller) sendCommands(ctx context.Context, sched *scheduler.Scheduler, name, addr string, o api.HeartbeatResponse) {
-	r, _, err := c.worker.Send(ctx, addr, o)
+// sendCommands sends commands to a worker, and hands its answer to the scheduler.
+func (t *leaderTerm) sendCommands(ctx context.Context, name, addr string, response api.HeartbeatResponse) {
+	heartbeat, _, err := t.controller.worker.Send(ctx, addr, response)
 	if err != nil {
 		slog.Debug("direct command failed", "machine", name, "err", err)
 		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
-			sched.ConnectionRefused(name)
+			t.scheduler.ConnectionRefused(name)
 		}
-		sched.CommandsAnswered(name, o, nil, errors.Is(err, worker.ErrNotSent))
+		t.scheduler.CommandsAnswered(name, response, nil, errors.Is(err, worker.ErrNotSent))
 		return
 	}
-	if r.Term > sched.Term() {
-		c.deposed(sched)
+	if heartbeat.Term > t.scheduler.Term() {
+		t.controller.resignIfDeposed(t.scheduler)
 	}
-	sched.CommandsAnswered(name, o, r, true)
+	t.scheduler.CommandsAnswered(name, response, heartbeat, true)
 }
 
-// deposed ends the term if a worker's word of a higher one can be true: while our key certainly
-// stands nobody else can have won one, and a worker that claims it must not end every term.
-func (c *Controller) deposed(sched *scheduler.Scheduler) bool {
+// resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the leader's
+// key certainly stands nobody else can have been elected, and a worker that claims a higher term must not end every
+// term.
+func (c *Controller) resignIfDeposed(sched *scheduler.Scheduler) bool {
 	if sched.Leading() {
 		return false
 	}
@@ -39,79 +40,78 @@
 	return true
 }
 
-// refreshMachines reads the cloud's list. The first one tells a new leader whom to
-// show its term, so that workers turn to it at once.
-func (c *Controller) refreshMachines(ctx context.Context, sched *scheduler.Scheduler) {
+// refreshMachines has the scheduler know which machines the cloud lists. After the first list, all workers are told of
+// the term, so that they turn to the new leader at once.
+func (t *leaderTerm) refreshMachines(ctx context.Context) {
 	first := true
 	for ctx.Err() == nil {
-		list, err := c.cloud.List(ctx)
+		list, err := t.controller.cloud.List(ctx)
 		if err != nil {
 			slog.Info("machine list not read", "err", err)
-			c.sleep(ctx, tuning.BackoffBase)
+			sleep(ctx, t.controller.clock, tuning.BackoffBase)
 			continue
 		}
-		sched.ApplyInstanceList(list)
+		t.scheduler.ApplyInstanceList(list)
 		if first {
 			first = false
-			for name, addr := range sched.Addresses() {
-				go c.announceTerm(ctx, sched, name, addr)
+			for name, addr := range t.scheduler.Addresses() {
+				go t.announceTerm(ctx, name, addr)
 			}
 		}
-		c.sleep(ctx, tuning.ListEvery)
+		sleep(ctx, t.controller.clock, tuning.ListEvery)
 	}
 }
 
-// announceTerm lets a worker see our term. Its session is not known: a wrong guess is
-// encodeResponse with the right one.
-func (c *Controller) announceTerm(ctx context.Context, sched *scheduler.Scheduler, name, addr string) {
+// announceTerm tells a worker of the term. Its incarnation is not known: a worker answers a wrong one with the right
+// one, which is then tried.
+func (t *leaderTerm) announceTerm(ctx context.Context, name, addr string) {
 	session := uint64(1)
 	for range 2 {
-		o := api.HeartbeatResponse{Term: sched.Term(), Incarnation: session, Commands: []api.Command{}}
-		r, done, err := c.worker.Send(ctx, addr, o)
+		response := api.HeartbeatResponse{Term: t.scheduler.Term(), Incarnation: session, Commands: []api.Command{}}
+		heartbeat, done, err := t.controller.worker.Send(ctx, addr, response)
 		if err != nil {
 			return
 		}
-		if done || r.Incarnation == session {
-			sched.CommandsAnswered(name, o, r, true)
+		if done || heartbeat.Incarnation == session {
+			t.scheduler.CommandsAnswered(name, response, heartbeat, true)
 			return
 		}
-		session = r.Incarnation
+		session = heartbeat.Incarnation
 	}
 }
 
-// maintainFleet rents and returns machines.
-func (c *Controller) maintainFleet(ctx context.Context, sched *scheduler.Scheduler) {
+// maintainFleet requests and releases machines as the scheduler decides, until the context ends.
+func (t *leaderTerm) maintainFleet(ctx context.Context) {
 	for ctx.Err() == nil {
-		if names := sched.MaintainFleet(); len(names) > 0 {
+		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
 				some := names[:min(len(names), tuning.ReleaseBatch)]
 				names = names[len(some):]
-				go c.releaseMachines(ctx, sched, some)
+				go t.releaseMachines(ctx, some)
 			}
 		}
-		for _, r := range sched.InstanceRequests() {
+		for _, r := range t.scheduler.InstanceRequests() {
 			go func() {
-				names, err := c.cloud.Rent(ctx, r)
-				sched.InstancesGranted(r, names, err)
+				names, err := t.controller.cloud.Rent(ctx, r)
+				t.scheduler.InstancesGranted(r, names, err)
 			}()
 		}
-		c.sleep(ctx, tuning.MaintainEvery)
+		sleep(ctx, t.controller.clock, tuning.MaintainEvery)
 	}
 }
 
-// errNoTerm: what was decided is not carried out, since the term may be over.
-var errNoTerm = errors.New("no longer certain to lead")
+// errNotLeading is the outcome of a release that was not carried out, since the term may be over.
+var errNotLeading = errors.New("no longer certain to lead")
 
-// releaseMachines returns machines to the cloud. Whether we lead is looked at once more: this
-// process may have stood still since that was decided, and the machines may work for
-// another leader by now.
-func (c *Controller) releaseMachines(ctx context.Context, sched *scheduler.Scheduler, names []string) {
-	err := errNoTerm
-	if sched.Leading() {
-		err = c.cloud.Return(ctx, names)
+// releaseMachines returns machines to the cloud. It checks again whether this controller leads: the process may have
+// been paused since that was decided, and the machines may work for another leader by now.
+func (t *leaderTerm) releaseMachines(ctx context.Context, names []string) {
+	err := errNotLeading
+	if t.scheduler.Leading() {
+		err = t.controller.cloud.Return(ctx, names)
 	}
 	if err != nil {
 		slog.Info("machines not returned", "machines", names, "err", err)
 	}
-	sched.InstancesReleased(names, err)
+	t.scheduler.InstancesReleased(names, err)
 }
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -11,20 +11,20 @@
 	"switchferry/tuning"
 )
 
-// newMembershipWatcher lets this node keep a table of members; it is called before Run.
+// newMembershipWatcher has this controller keep a table of members. It is called before Run.
 func (c *Controller) newMembershipWatcher() {
 	var others []string
-	for _, s := range c.settings.Peers {
-		others = append(others, s.Member)
+	for _, other := range c.settings.Peers {
+		others = append(others, other.Member)
 	}
 	c.members = membership.NewWatcher(c.settings.Member, others, c.clock)
-	c.peers.OnObservation = func(o membership.Observation) { c.members.Observe(o) }
+	c.peers.OnObservation = func(observation membership.Observation) { c.members.Observe(observation) }
 }
 
-// MembersOn tells whether membership is on.
+// MembersOn reports whether membership is on.
 func (c *Controller) MembersOn() bool { return c.members != nil }
 
-// handleMembers answers with this controller's own view: another's may differ, and that is shown.
+// handleMembers answers with this controller's own view of the members, from which another's may differ.
 func (c *Controller) handleMembers() peer.Response {
 	if c.members == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "membership is off"})
@@ -32,46 +32,39 @@
 	return peer.JSONResponse(http.StatusOK, c.members.Views())
 }
 
-// isShuttingDown tells whether this process ends by plan.
-func (c *Controller) isShuttingDown() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.shuttingDown
-}
+// isShuttingDown reports whether a graceful shutdown has begun.
+func (c *Controller) isShuttingDown() bool { return c.shuttingDown.Load() }
 
-// Shutdown hands over by plan, before this process ends: users are sent elsewhere, a leader gives up
-// its post while a sibling can take it, and requests under way, and those of users who have not
-// been told yet, are served meanwhile. With membership off it does nothing.
+// Shutdown prepares the end of this process: users are sent to other controllers, a leader resigns once a peer can
+// follow it, and requests under way are served meanwhile. With membership off it does nothing.
 func (c *Controller) Shutdown(ctx context.Context) {
 	if c.members == nil {
 		return
 	}
-	c.mu.Lock()
-	c.shuttingDown = true
-	c.mu.Unlock()
+	c.shuttingDown.Store(true)
 	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
-	slog.Info("leaving by plan", "leads", c.leadingScheduler() != nil)
-	// Peers are told with the next greeting, and the load balancer probes once a second.
-	c.sleep(ctx, tuning.ShutdownNoticeTime)
+	slog.Info("graceful shutdown", "leads", c.term.scheduler() != nil)
+	// Peers learn of it with the next hello, and the load balancer probes once a second.
+	sleep(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
 		ready := false
-		for _, h := range c.peers.LivePeers() {
-			ready = ready || h.StateOK && !h.Leaving
+		for _, hello := range c.peers.LivePeers() {
+			ready = ready || hello.StateOK && !hello.Leaving
 		}
 		if ready {
-			c.elector.Resign("it leaves by plan")
+			c.elector.Resign("graceful shutdown")
 			break
 		}
-		c.sleep(ctx, tuning.ElectRetry)
+		sleep(ctx, c.clock, tuning.ElectRetry)
 	}
 	for ctx.Err() == nil {
 		leader, led := c.elector.Leader()
 		if now, _ := c.elector.Term(); now == 0 && leader != "" && leader != c.settings.Member && led > term {
 			break
 		}
-		c.sleep(ctx, tuning.ElectRetry/5)
+		sleep(ctx, c.clock, tuning.ElectRetry/5)
 	}
-	c.sleep(ctx, tuning.ShutdownLinger)
+	sleep(ctx, c.clock, tuning.ShutdownLinger)
 }
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -17,113 +17,103 @@
 // notLeading is what a controller answers to what only a leader may be asked.
 const notLeading = "not the leader"
 
-// Handle serves a user's request, here or at the leader. Forwarded: it comes
-// from a sibling and is not passed on.
-func (c *Controller) Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if forwarded && r.Verb == verbReport {
-		return c.handleForwardedHeartbeat(r.From, r.Body)
+// Handle serves a user's request, here or at the leader. Forwarded is set if it comes from a peer, and then it is not
+// forwarded again.
+func (c *Controller) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	if forwarded && request.Verb == verbReport {
+		return c.handleForwardedHeartbeat(request.From, request.Body)
 	}
-	if forwarded && r.Verb == verbStage {
-		return c.handleForwardedStageHeartbeat(r.Body)
+	if forwarded && request.Verb == verbStage {
+		return c.agents.handleForwardedHeartbeat(request.Body)
 	}
 	from := c.clock.Now()
-	a := c.noteAnswer(c.route(ctx, r, forwarded))
-	if took := c.clock.Since(from); r.Verb == VerbSubmit && took > tuning.AcceptPatience {
-		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", a.Status, "forwarded", forwarded, "leading", c.leadingScheduler() != nil)
+	response := c.jobs.publishAnswer(c.route(ctx, request, forwarded))
+	if took := c.clock.Since(from); request.Verb == VerbSubmit && took > tuning.AcceptPatience {
+		slog.Debug("submission answered late", "ms", took.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.scheduler() != nil)
 	}
-	if !forwarded && r.Verb == VerbSubmit {
-		c.setRetryAfter(&a, r.Body)
+	if !forwarded && request.Verb == VerbSubmit {
+		c.submissions.setRetryAfter(&response, request.Body)
 	}
 	if !forwarded {
-		c.requestCounts.Add(r.Verb == VerbStatus, a.Status == http.StatusServiceUnavailable)
+		c.requestCounts.Add(request.Verb == VerbStatus, response.Status == http.StatusServiceUnavailable)
 	}
-	return a
+	return response
 }
 
-func (c *Controller) route(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if r.Verb == VerbMembers {
+// route serves a request, by its verb and by who leads.
+func (c *Controller) route(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	switch request.Verb {
+	case VerbMembers:
 		return c.handleMembers()
+	case VerbTopology, VerbExplain:
+		return c.handleTopology(ctx, request, forwarded)
+	case VerbConfiguration, VerbConfigure, verbConfirm:
+		return c.configuration.handle(ctx, request, forwarded)
+	case VerbRegister, VerbRemove, VerbData:
+		return c.datasets.handle(ctx, request, forwarded)
 	}
-	if r.Verb == VerbTopology || r.Verb == VerbExplain {
-		return c.handleTopology(ctx, r, forwarded)
+	if final, ok := c.jobs.terminalState(request.Job); ok && request.Verb != VerbSubmit {
+		return peer.JSONResponse(http.StatusOK, final.JobStatus(request.Job))
 	}
-	if r.Verb == VerbConfiguration || r.Verb == VerbConfigure || r.Verb == verbConfirm {
-		return c.handleConfiguration(ctx, r, forwarded)
-	}
-	if r.Verb == VerbRegister || r.Verb == VerbRemove || r.Verb == VerbData {
-		return c.handleDatasets(ctx, r, forwarded)
-	}
-	if f, ok := c.terminalState(r.Job); ok && r.Verb != VerbSubmit {
-		return peer.JSONResponse(http.StatusOK, f.JobStatus(r.Job))
-	}
-	if sched := c.leadingScheduler(); sched != nil {
-		switch {
-		case sched.Leading() && sched.Loaded():
-			return c.serveAsLeader(ctx, sched, r)
-		case !c.stateServiceHealthy():
-			if r.Verb == VerbSubmit {
-				_, id, _ := api.ParseSubmission(r.Body)
-				if f, ok := c.terminalState(id); ok {
-					return peer.JSONResponse(http.StatusOK, f.JobStatus(id))
-				}
-			}
-			return peer.RetryLater("the state service is out of reach")
-		}
-		// Not the leader yet, or no more, and the state service answers: whatever
-		// is read and written there is as good from us as from any node.
-		return c.serveAsLeader(ctx, nil, r)
+	if sched := c.term.scheduler(); sched != nil {
+		return c.routeInTerm(ctx, sched, request)
 	}
 	if forwarded {
 		return peer.RetryLater(notLeading)
 	}
-	leader, term := c.elector.Leader()
-	leader, _, there := newestLeader(leader, term, c.peers.LivePeers())
-	if there {
-		a, err := c.peers.Ask(ctx, leader, r, forwardPatience(r.Verb))
-		switch {
-		case err == nil && answeredByLeader(a):
-			return a
-		case err == nil:
-			// It leads no more, and has not greeted since: whoever follows it need not be waited
-			// for. Users were told to come back by the one that had just handed over.
-		case errors.Is(err, peer.ErrBusy):
-			// To do its work beside it would only take more of what it lacks.
-			return peer.RetryLater("the leader is busy")
-		}
-		// It may have fallen silent: what it was asked is stored or read without
-		// it, as conditions on the keys allow whether it goes on or not.
-		c.requestCounts.LeaderBypassed()
+	if response, ok := c.askLeader(ctx, request); ok {
+		return response
 	}
-	return c.serveAsLeader(ctx, nil, r)
+	return c.serveAsLeader(ctx, nil, request)
 }
 
-// setRetryAfter tells the user of a job that cannot be taken now when to come back: each another
-// time, spread over as long as it takes to take all that wait.
-func (c *Controller) setRetryAfter(a *peer.Response, body []byte) {
-	refused := a.Status == http.StatusServiceUnavailable
-	c.mu.Lock()
-	none := c.retries.Waiting() == 0
-	c.mu.Unlock()
-	if !refused && none {
-		return
-	}
-	_, id, _ := api.ParseSubmission(body)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if refused {
-		a.RetryAfterS = max(a.RetryAfterS, c.retries.Refused(c.clock.Now(), id))
-	} else {
-		c.retries.Taken(id)
+// routeInTerm serves a request about a job during a term of this controller, be it that it certainly leads or not.
+func (c *Controller) routeInTerm(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
+	if sched.Leading() && sched.Loaded() {
+		return c.serveAsLeader(ctx, sched, request)
+	}
+	if c.health.healthy() {
+		// It does not lead yet, or no more, and the state service answers: what is read and written there is as good from
+		// this controller as from any other.
+		return c.serveAsLeader(ctx, nil, request)
+	}
+	if request.Verb == VerbSubmit {
+		_, id, _ := api.ParseSubmission(request.Body)
+		if final, ok := c.jobs.terminalState(id); ok {
+			return peer.JSONResponse(http.StatusOK, final.JobStatus(id))
+		}
 	}
+	return peer.RetryLater("the state service is out of reach")
+}
+
+// askLeader has the leader answer a request about a job. Ok is false if the request is to be served without the leader: it
+// is out of reach, has lost its term or does not answer in time. What it was asked can be stored or read without it all the
+// same, since conditions on the keys hold whether it goes on or not.
+func (c *Controller) askLeader(ctx context.Context, request peer.Request) (response peer.Response, ok bool) {
+	leader, _, reachable := c.leader.locate()
+	if !reachable {
+		return response, false
+	}
+	response, err := c.peers.Ask(ctx, leader, request, forwardPatience(request.Verb))
+	switch {
+	case err == nil && answeredByLeader(response):
+		return response, true
+	case errors.Is(err, peer.ErrBusy):
+		// The state service is what the leader waits for: to serve the request here would load it further.
+		return peer.RetryLater("the leader is busy"), true
+	}
+	// A former leader whose next hello is still due is not waited for either: its users were told to retry once.
+	c.requestCounts.LeaderBypassed()
+	return response, false
 }
 
-// answeredByLeader tells whether an answer is a leader's.
-func answeredByLeader(a peer.Response) bool {
+// answeredByLeader reports whether a response is a leader's.
+func answeredByLeader(response peer.Response) bool {
 	var e api.Error
-	return a.Status != http.StatusServiceUnavailable || json.Unmarshal(a.Body, &e) != nil || e.Error != notLeading
+	return response.Status != http.StatusServiceUnavailable || json.Unmarshal(response.Body, &e) != nil || e.Error != notLeading
 }
 
-// forwardPatience is how long the leader is waited for.
+// forwardPatience returns how long the leader is waited for.
 func forwardPatience(verb string) time.Duration {
 	switch verb {
 	case VerbSubmit:
@@ -134,35 +124,20 @@
 	return tuning.PeerTimeout
 }
 
-// forwardToLeader asks the leader.
-func (c *Controller) forwardToLeader(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	leader, _ := c.elector.Leader()
-	leader, _, there := newestLeader(leader, 0, c.peers.LivePeers())
-	if forwarded || !there {
-		return peer.RetryLater("no leader answers")
-	}
-	a, err := c.peers.Ask(ctx, leader, r, tuning.PeerTimeout)
-	if err != nil {
-		return peer.RetryLater("the leader does not answer")
-	}
-	return a
-}
-
-// serveAsLeader answers as the leader (core) or, while the leader is out of reach,
-// from the state service itself.
-func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, r peer.Request) peer.Response {
-	switch r.Verb {
+// serveAsLeader serves a request about a job as the leader or, if sched is nil, from the state service.
+func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
+	switch request.Verb {
 	case VerbSubmit:
-		return c.serveSubmission(ctx, sched, r.Body)
+		return c.submissions.serveSubmission(ctx, sched, request.Body)
 	case VerbStatus:
 		if sched != nil {
-			if st, ok := sched.JobStatus(r.Job); ok {
-				return peer.JSONResponse(http.StatusOK, st)
+			if job, ok := sched.JobStatus(request.Job); ok {
+				return peer.JSONResponse(http.StatusOK, job)
 			}
 		}
-		return c.answerStatus(ctx, sched, r.Job, true)
+		return c.jobs.answerStatus(ctx, sched, request.Job, true)
 	case VerbCancel:
-		return c.serveCancellation(ctx, sched, r.Job)
+		return c.submissions.serveCancellation(ctx, sched, request.Job)
 	}
 	return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such request"})
 }
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -11,49 +11,49 @@
 	"switchferry/tuning"
 )
 
-// UseTopologyFile switches topology on, unless the file is nil; it is called before Run.
-func (c *Controller) UseTopologyFile(f *topology.File) { c.topology = f }
+// UseTopologyFile switches topology on, unless the file is nil. It is called before Run.
+func (c *Controller) UseTopologyFile(file *topology.File) { c.features.topology = file }
 
-// watchTopology takes new versions of the file while the node runs.
+// watchTopology applies new versions of the topology file while the process runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
-		c.sleep(c.ctx, tuning.TopologyEvery)
-		m, err := c.topology.Reload()
+		sleep(c.ctx, c.clock, tuning.TopologyEvery)
+		placements, err := c.features.topology.Reload()
 		if err != nil {
-			slog.Error("topology file not taken", "err", err)
+			slog.Error("topology file rejected", "err", err)
 		}
-		if sched := c.leadingScheduler(); m != nil && sched != nil {
-			c.reapplyConfiguration(sched)
+		if sched := c.term.scheduler(); placements != nil && sched != nil {
+			c.configuration.reapply(sched)
 		}
 	}
 }
 
-// TopologyOn tells whether a topology is on.
-func (c *Controller) TopologyOn() bool { return c.topology != nil }
+// TopologyOn reports whether a topology is declared.
+func (c *Controller) TopologyOn() bool { return c.features.topology != nil }
 
-// handleTopology serves requests about where things stand: the leader knows.
-func (c *Controller) handleTopology(ctx context.Context, r peer.Request, forwarded bool) peer.Response {
-	if c.topology == nil && r.Verb == VerbTopology {
+// handleTopology serves requests about the topology and about why a job waits, which the leader knows.
+func (c *Controller) handleTopology(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+	if c.features.topology == nil && request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
 	}
-	sched := c.leadingScheduler()
+	sched := c.term.scheduler()
 	if sched == nil {
-		return c.forwardToLeader(ctx, r, forwarded)
+		return c.leader.forward(ctx, request, forwarded)
 	}
-	if r.Verb == VerbTopology {
+	if request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
-	if x, ok := sched.Explain(r.Job); ok {
-		x.Why = append(x.Why, c.leaseRenewalProblems()...)
+	if x, ok := sched.Explain(request.Job); ok {
+		x.Why = append(x.Why, c.leases.problems()...)
 		return peer.JSONResponse(http.StatusOK, x)
 	}
-	// Over, or not known: its record tells.
-	st, found, err := c.lookUp(ctx, sched, r.Job, true)
+	// The job has ended or is not known: its record tells which.
+	job, found, err := c.jobs.lookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
 		return peer.RetryLater("the state service is out of reach")
 	case !found:
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: st.ID, State: st.State, Why: []string{}, Locations: []api.TaskLocation{}})
+	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: job.ID, State: job.State, Why: []string{}, Locations: []api.TaskLocation{}})
 }
