--- a/peer/peer.go
+++ b/peer/peer.go
@@ -79,23 +79,23 @@
 	ApplyStatement(member string, sent time.Time, s watermark.Statement)
 }
 
-type sibling struct {
+type remotePeer struct {
 	settings.Peer
-	// asked is when each question of this connection was sent that has no answer yet.
-	asked map[uint64]time.Time
-	conn  net.Conn
-	wmu   sync.Mutex
-	heard time.Time
-	// sign is when it last gave any sign of life, as of Unresponsive; signs counts what
+	// questionTimes is when each question of this connection was sent that has no answer yet.
+	questionTimes map[uint64]time.Time
+	conn          net.Conn
+	writeMutex    sync.Mutex
+	lastFrame     time.Time
+	// lastActivity is when it last gave any sign of life, as of Unresponsive; receivedFrames counts what
 	// it said.
-	sign  time.Time
-	signs uint64
-	// refused is when it last refused a connection: it is down or full, but
+	lastActivity   time.Time
+	receivedFrames uint64
+	// lastRefusal is when it last refused a connection: it is down or full, but
 	// the way to it is open.
-	refused time.Time
-	hello   Hello
-	seq     uint64
-	waits   map[uint64]chan Response
+	lastRefusal     time.Time
+	hello           Hello
+	lastSeq         uint64
+	pendingRequests map[uint64]chan Response
 }
 
 // Network is this controller's end of the back network.
@@ -111,28 +111,28 @@
 	// Watermarks is nil, or set before Run.
 	Watermarks Watermarks
 
-	mu       sync.Mutex
-	siblings map[string]*sibling
+	mu    sync.Mutex
+	peers map[string]*remotePeer
 }
 
 // New makes the back network's end.
-func New(sibs []settings.Peer, clock clockwork.Clock, self func() Hello, handle Handler) *Network {
-	n := &Network{clock: clock, self: self, handle: handle, Dial: (&net.Dialer{Timeout: tuning.PeerDead}).DialContext, siblings: map[string]*sibling{},
+func New(peers []settings.Peer, clock clockwork.Clock, self func() Hello, handle Handler) *Network {
+	n := &Network{clock: clock, self: self, handle: handle, Dial: (&net.Dialer{Timeout: tuning.PeerDead}).DialContext, peers: map[string]*remotePeer{},
 		OnObservation: func(membership.Observation) {}}
-	for _, s := range sibs {
-		n.siblings[s.Member] = &sibling{Peer: s, waits: map[uint64]chan Response{}}
+	for _, s := range peers {
+		n.peers[s.Member] = &remotePeer{Peer: s, pendingRequests: map[uint64]chan Response{}}
 	}
 	return n
 }
 
 // LivePeers is what each sibling within reach last said of itself.
-func (n *Network) LivePeers() []Hello {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (network *Network) LivePeers() []Hello {
+	network.mu.Lock()
+	defer network.mu.Unlock()
 	var out []Hello
-	for _, s := range n.siblings {
-		if !s.heard.IsZero() && n.clock.Since(s.heard) < tuning.PeerDead {
-			out = append(out, s.hello)
+	for _, remote := range network.peers {
+		if !remote.lastFrame.IsZero() && network.clock.Since(remote.lastFrame) < tuning.PeerDead {
+			out = append(out, remote.hello)
 		}
 	}
 	return out
@@ -140,44 +140,44 @@
 
 // Isolated tells whether no sibling answers in any way, not even by refusing:
 // then more likely our own network is at fault.
-func (n *Network) Isolated() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, s := range n.siblings {
-		last := s.heard
-		if s.refused.After(last) {
-			last = s.refused
+func (network *Network) Isolated() bool {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	for _, remote := range network.peers {
+		last := remote.lastFrame
+		if remote.lastRefusal.After(last) {
+			last = remote.lastRefusal
 		}
-		if !last.IsZero() && n.clock.Since(last) < tuning.PeerDead+tuning.PeerHello {
+		if !last.IsZero() && network.clock.Since(last) < tuning.PeerDead+tuning.PeerHello {
 			return false
 		}
 	}
-	return len(n.siblings) > 0
+	return len(network.peers) > 0
 }
 
 // Unresponsive tells whether a sibling gives no sign of life at all: it answers nothing and
 // refuses nothing, so that whoever tries it waits in vain.
-func (n *Network) Unresponsive(member string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	s := n.siblings[member]
-	return s != nil && n.clock.Since(s.sign) > tuning.PeerDead+tuning.PeerHello
+func (network *Network) Unresponsive(member string) bool {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	remote := network.peers[member]
+	return remote != nil && network.clock.Since(remote.lastActivity) > tuning.PeerDead+tuning.PeerHello
 }
 
 // ReceivedCount is how often a sibling said anything.
-func (n *Network) ReceivedCount(member string) uint64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if s := n.siblings[member]; s != nil {
-		return s.signs
+func (network *Network) ReceivedCount(member string) uint64 {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if remote := network.peers[member]; remote != nil {
+		return remote.receivedFrames
 	}
 	return 0
 }
 
 // Reachable tells whether a sibling answered lately.
-func (n *Network) Reachable(member string) bool {
-	for _, h := range n.LivePeers() {
-		if h.Member == member {
+func (network *Network) Reachable(member string) bool {
+	for _, hello := range network.LivePeers() {
+		if hello.Member == member {
 			return true
 		}
 	}
@@ -185,198 +185,198 @@
 }
 
 // Serve accepts siblings.
-func (n *Network) Serve(ctx context.Context, l net.Listener) error {
-	go func() { <-ctx.Done(); l.Close() }()
+func (network *Network) Serve(ctx context.Context, listener net.Listener) error {
+	go func() { <-ctx.Done(); listener.Close() }()
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
 			slog.Error("back port", "err", err)
-			n.clock.Sleep(tuning.ElectRetry)
+			network.clock.Sleep(tuning.ElectRetry)
 			continue
 		}
-		go n.serveConn(ctx, c)
+		go network.serveConn(ctx, conn)
 	}
 }
 
 // serveConn answers one sibling. Whatever is not a frame closes this
 // connection and nothing else.
-func (n *Network) serveConn(ctx context.Context, c net.Conn) {
-	defer c.Close()
-	var wmu sync.Mutex
-	rd := bufio.NewReader(c)
+func (network *Network) serveConn(ctx context.Context, conn net.Conn) {
+	defer conn.Close()
+	var writeMutex sync.Mutex
+	reader := bufio.NewReader(conn)
 	for {
-		f, err := readFrame(rd)
+		message, err := readFrame(reader)
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				slog.Debug("back port: closing a connection", "from", c.RemoteAddr(), "err", err)
+				slog.Debug("back port: closing a connection", "from", conn.RemoteAddr(), "err", err)
 			}
 			return
 		}
-		switch f.kind {
+		switch message.kind {
 		case wire.KindHello:
-			if write(c, &wmu, n.answer(f)) != nil {
+			if writeFrame(conn, &writeMutex, network.newHelloReply(message)) != nil {
 				return
 			}
 		case wire.KindRequest:
 			go func() {
-				a := n.handle(ctx, Request{f.verb, f.job, f.body, f.member})
-				_ = write(c, &wmu, frame{kind: wire.KindReply, seq: f.seq, status: a.Status, body: a.Body, retry: a.RetryAfterS})
+				response := network.handle(ctx, Request{message.verb, message.job, message.body, message.member})
+				_ = writeFrame(conn, &writeMutex, frame{kind: wire.KindReply, seq: message.seq, status: response.Status, body: response.Body, retryAfterS: response.RetryAfterS})
 			}()
 		}
 	}
 }
 
-func (n *Network) helloFrame() frame {
-	h := n.self()
-	return frame{kind: wire.KindHello, member: h.Member, term: h.Term, stateOK: h.StateOK, pace: h.BenchmarkUS, hears: h.ReceivesHeartbeats,
-		born: h.StartedMS, whom: h.HeardPeers, leaving: h.Leaving}
+func (network *Network) newHello() frame {
+	hello := network.self()
+	return frame{kind: wire.KindHello, member: hello.Member, term: hello.Term, stateOK: hello.StateOK, benchmarkUS: hello.BenchmarkUS, receivesHeartbeats: hello.ReceivesHeartbeats,
+		startedMS: hello.StartedMS, heardPeers: hello.HeardPeers, leaving: hello.Leaving}
 }
 
-// answer greets back, and answers what a greeting asks.
-func (n *Network) answer(f frame) frame {
-	h := n.helloFrame()
-	if f.seq == 0 || n.Watermarks == nil {
-		return h
+// newHelloReply greets back, and answers what a greeting asks.
+func (network *Network) newHelloReply(message frame) frame {
+	hello := network.newHello()
+	if message.seq == 0 || network.Watermarks == nil {
+		return hello
 	}
-	if s, ok := n.Watermarks.Statement(f.life, f.toldFrom); ok {
-		h.seq, h.life, h.toldFrom, h.toldTo, h.toldLatest, h.told, h.knows, h.watermarkAge = f.seq, s.Incarnation, s.From, s.To, s.Latest, s.Cancellations, s.Current, s.Age
+	if s, ok := network.Watermarks.Statement(message.incarnation, message.watermarkFrom); ok {
+		hello.seq, hello.incarnation, hello.watermarkFrom, hello.watermarkTo, hello.watermarkLatest, hello.cancellations, hello.watermarkCurrent, hello.watermarkAge = message.seq, s.Incarnation, s.From, s.To, s.Latest, s.Cancellations, s.Current, s.Age
 	}
-	return h
+	return hello
 }
 
-// question greets a sibling, and asks it for word.
-func (n *Network) question(s *sibling) frame {
-	h := n.helloFrame()
-	if n.Watermarks == nil {
-		return h
+// newHelloQuestion greets a sibling, and asks it for word.
+func (network *Network) newHelloQuestion(remote *remotePeer) frame {
+	hello := network.newHello()
+	if network.Watermarks == nil {
+		return hello
 	}
-	life, have, ok := n.Watermarks.Position(s.Member)
+	incarnation, have, ok := network.Watermarks.Position(remote.Member)
 	if !ok {
-		return h
+		return hello
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(s.asked) == tuning.WatermarksAsked {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if len(remote.questionTimes) == tuning.WatermarksAsked {
 		// An older process answers none.
-		clear(s.asked)
+		clear(remote.questionTimes)
 	}
-	s.seq++
-	h.seq, h.life, h.toldFrom = s.seq, life, have
-	s.asked[s.seq] = n.clock.Now()
-	return h
+	remote.lastSeq++
+	hello.seq, hello.incarnation, hello.watermarkFrom = remote.lastSeq, incarnation, have
+	remote.questionTimes[remote.lastSeq] = network.clock.Now()
+	return hello
 }
 
 // Run keeps a connection to every sibling.
-func (n *Network) Run(ctx context.Context) {
-	for _, s := range n.siblings {
-		go n.keep(ctx, s)
+func (network *Network) Run(ctx context.Context) {
+	for _, remote := range network.peers {
+		go network.maintainConnection(ctx, remote)
 	}
 }
 
-func (n *Network) keep(ctx context.Context, s *sibling) {
+func (network *Network) maintainConnection(ctx context.Context, remote *remotePeer) {
 	for ctx.Err() == nil {
-		c, err := n.Dial(ctx, "tcp", s.Address)
+		conn, err := network.Dial(ctx, "tcp", remote.Address)
 		switch {
 		case err == nil:
-			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.Established})
-			n.OnObservation(membership.Connection{To: s.Member, Outcome: n.talk(ctx, s, c)})
+			network.OnObservation(membership.Connection{To: remote.Member, Outcome: membership.Established})
+			network.OnObservation(membership.Connection{To: remote.Member, Outcome: network.runConnection(ctx, remote, conn)})
 		case errors.Is(err, syscall.ECONNREFUSED):
-			n.mu.Lock()
-			s.refused = n.clock.Now()
-			s.sign = s.refused
-			n.mu.Unlock()
-			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.Refused})
+			network.mu.Lock()
+			remote.lastRefusal = network.clock.Now()
+			remote.lastActivity = remote.lastRefusal
+			network.mu.Unlock()
+			network.OnObservation(membership.Connection{To: remote.Member, Outcome: membership.Refused})
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, connlimit.ErrLimit):
-			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.NoSocket})
+			network.OnObservation(membership.Connection{To: remote.Member, Outcome: membership.NoSocket})
 		default:
-			n.OnObservation(membership.Connection{To: s.Member, Outcome: membership.Hanging})
+			network.OnObservation(membership.Connection{To: remote.Member, Outcome: membership.Hanging})
 		}
 		select {
 		case <-ctx.Done():
-		case <-n.clock.After(tuning.PeerHello):
+		case <-network.clock.After(tuning.PeerHello):
 		}
 	}
 }
 
-// talk greets a sibling until the connection ends, and gives how it did.
-func (n *Network) talk(ctx context.Context, s *sibling, c net.Conn) membership.Outcome {
+// runConnection greets a sibling until the connection ends, and gives how it did.
+func (network *Network) runConnection(ctx context.Context, remote *remotePeer, conn net.Conn) membership.Outcome {
 	var silent atomic.Bool
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	n.mu.Lock()
-	s.conn = c
-	s.asked = map[uint64]time.Time{}
-	n.mu.Unlock()
+	network.mu.Lock()
+	remote.conn = conn
+	remote.questionTimes = map[uint64]time.Time{}
+	network.mu.Unlock()
 	go func() {
-		defer c.Close()
-		started := n.clock.Now()
+		defer conn.Close()
+		started := network.clock.Now()
 		for {
-			if write(c, &s.wmu, n.question(s)) != nil {
+			if writeFrame(conn, &remote.writeMutex, network.newHelloQuestion(remote)) != nil {
 				return
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-n.clock.After(tuning.PeerHello):
+			case <-network.clock.After(tuning.PeerHello):
 			}
-			n.mu.Lock()
-			last := s.heard
-			n.mu.Unlock()
+			network.mu.Lock()
+			last := remote.lastFrame
+			network.mu.Unlock()
 			if last.Before(started) {
 				last = started
 			}
 			// A peer behind a cut says nothing and raises no error.
-			if n.clock.Since(last) > tuning.PeerDead {
+			if network.clock.Since(last) > tuning.PeerDead {
 				silent.Store(true)
 				return
 			}
 		}
 	}()
-	rd := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		f, err := readFrame(rd)
+		message, err := readFrame(reader)
 		if err != nil {
 			break
 		}
-		n.mu.Lock()
-		s.heard = n.clock.Now()
-		s.sign = s.heard
-		s.signs++
-		sent, asked := s.asked[f.seq]
-		switch f.kind {
+		network.mu.Lock()
+		remote.lastFrame = network.clock.Now()
+		remote.lastActivity = remote.lastFrame
+		remote.receivedFrames++
+		sent, asked := remote.questionTimes[message.seq]
+		switch message.kind {
 		case wire.KindHello:
-			s.hello = Hello{s.Member, f.term, f.stateOK, f.pace, f.hears, f.born, f.whom, f.leaving}
-			delete(s.asked, f.seq)
+			remote.hello = Hello{remote.Member, message.term, message.stateOK, message.benchmarkUS, message.receivesHeartbeats, message.startedMS, message.heardPeers, message.leaving}
+			delete(remote.questionTimes, message.seq)
 		case wire.KindReply:
-			if w := s.waits[f.seq]; w != nil {
-				w <- Response{f.status, f.body, f.retry}
-				delete(s.waits, f.seq)
+			if waiter := remote.pendingRequests[message.seq]; waiter != nil {
+				waiter <- Response{message.status, message.body, message.retryAfterS}
+				delete(remote.pendingRequests, message.seq)
 			}
 		}
-		n.mu.Unlock()
-		if f.kind == wire.KindHello && f.seq != 0 {
+		network.mu.Unlock()
+		if message.kind == wire.KindHello && message.seq != 0 {
 			if asked {
-				n.Watermarks.ApplyStatement(s.Member, sent, watermark.Statement{Incarnation: f.life, From: f.toldFrom, To: f.toldTo, Latest: f.toldLatest, Cancellations: f.told, Current: f.knows, Age: f.watermarkAge})
+				network.Watermarks.ApplyStatement(remote.Member, sent, watermark.Statement{Incarnation: message.incarnation, From: message.watermarkFrom, To: message.watermarkTo, Latest: message.watermarkLatest, Cancellations: message.cancellations, Current: message.watermarkCurrent, Age: message.watermarkAge})
 			} else {
-				slog.Info("a sibling answers what it was not asked", "member", s.Member, "seq", f.seq)
+				slog.Info("a sibling answers what it was not asked", "member", remote.Member, "seq", message.seq)
 			}
 		}
-		if f.kind == wire.KindHello {
-			n.OnObservation(membership.Hello{From: s.Member, StartedMS: f.born, HeardPeers: f.whom, Leads: f.term > 0, StateOK: f.stateOK, ReceivesHeartbeats: f.hears, BenchmarkUS: f.pace, Leaving: f.leaving})
+		if message.kind == wire.KindHello {
+			network.OnObservation(membership.Hello{From: remote.Member, StartedMS: message.startedMS, HeardPeers: message.heardPeers, Leads: message.term > 0, StateOK: message.stateOK, ReceivesHeartbeats: message.receivesHeartbeats, BenchmarkUS: message.benchmarkUS, Leaving: message.leaving})
 		}
 	}
-	c.Close()
-	n.mu.Lock()
-	s.conn = nil
-	s.heard = time.Time{}
-	for seq, w := range s.waits {
-		close(w)
-		delete(s.waits, seq)
+	conn.Close()
+	network.mu.Lock()
+	remote.conn = nil
+	remote.lastFrame = time.Time{}
+	for seq, waiter := range remote.pendingRequests {
+		close(waiter)
+		delete(remote.pendingRequests, seq)
 	}
-	n.mu.Unlock()
+	network.mu.Unlock()
 	if silent.Load() || ctx.Err() != nil {
 		return membership.Hanging
 	}
@@ -386,41 +386,41 @@
 // Ask passes a request to a sibling, and a greeting with it, which is answered at once.
 // One that gives no sign within patience is silent; one that does is only busy, and is
 // waited for.
-func (n *Network) Ask(ctx context.Context, member string, r Request, patience time.Duration) (Response, error) {
-	n.mu.Lock()
-	s := n.siblings[member]
-	if s == nil || s.conn == nil || n.clock.Since(s.heard) > tuning.PeerDead {
-		n.mu.Unlock()
+func (network *Network) Ask(ctx context.Context, member string, request Request, patience time.Duration) (Response, error) {
+	network.mu.Lock()
+	remote := network.peers[member]
+	if remote == nil || remote.conn == nil || network.clock.Since(remote.lastFrame) > tuning.PeerDead {
+		network.mu.Unlock()
 		return Response{}, ErrUnreachable
 	}
-	s.seq++
-	seq, c, signs := s.seq, s.conn, s.signs
+	remote.lastSeq++
+	seq, conn, signs := remote.lastSeq, remote.conn, remote.receivedFrames
 	wait := make(chan Response, 1)
-	s.waits[seq] = wait
-	n.mu.Unlock()
+	remote.pendingRequests[seq] = wait
+	network.mu.Unlock()
 	defer func() {
-		n.mu.Lock()
-		delete(s.waits, seq)
-		n.mu.Unlock()
+		network.mu.Lock()
+		delete(remote.pendingRequests, seq)
+		network.mu.Unlock()
 	}()
-	if err := write(c, &s.wmu, n.helloFrame()); err != nil {
+	if err := writeFrame(conn, &remote.writeMutex, network.newHello()); err != nil {
 		return Response{}, ErrUnreachable
 	}
-	if err := write(c, &s.wmu, frame{kind: wire.KindRequest, seq: seq, member: r.From, verb: r.Verb, job: r.Job, body: r.Body}); err != nil {
+	if err := writeFrame(conn, &remote.writeMutex, frame{kind: wire.KindRequest, seq: seq, member: request.From, verb: request.Verb, job: request.Job, body: request.Body}); err != nil {
 		return Response{}, ErrUnreachable
 	}
-	silent, over := n.clock.After(min(patience, tuning.PeerTimeout)), n.clock.After(tuning.PeerTimeout)
+	silent, over := network.clock.After(min(patience, tuning.PeerTimeout)), network.clock.After(tuning.PeerTimeout)
 	for {
 		select {
-		case a, ok := <-wait:
+		case response, ok := <-wait:
 			if !ok {
 				return Response{}, ErrUnreachable
 			}
-			return a, nil
+			return response, nil
 		case <-silent:
-			n.mu.Lock()
-			alive := s.signs > signs
-			n.mu.Unlock()
+			network.mu.Lock()
+			alive := remote.receivedFrames > signs
+			network.mu.Unlock()
 			if !alive {
 				return Response{}, ErrUnreachable
 			}
@@ -435,143 +435,143 @@
 
 // frame is a decoded wire.Frame.
 type frame struct {
-	kind      wire.Kind
-	seq, term uint64
-	member    string
-	stateOK   bool
-	verb, job string
-	body      []byte
-	status    int
-	retry     int
-	pace      uint32
-	hears     bool
-	born      uint64
-	whom      []string
-	leaving   bool
-
-	life, toldFrom, toldTo, toldLatest uint64
-	told                               []watermark.Cancellation
-	knows                              bool
-	watermarkAge                       time.Duration
+	kind               wire.Kind
+	seq, term          uint64
+	member             string
+	stateOK            bool
+	verb, job          string
+	body               []byte
+	status             int
+	retryAfterS        int
+	benchmarkUS        uint32
+	receivesHeartbeats bool
+	startedMS          uint64
+	heardPeers         []string
+	leaving            bool
+
+	incarnation, watermarkFrom, watermarkTo, watermarkLatest uint64
+	cancellations                                            []watermark.Cancellation
+	watermarkCurrent                                         bool
+	watermarkAge                                             time.Duration
 }
 
-// ms is a duration in whole milliseconds; what does not fit is the most that does.
-func ms(d time.Duration) uint32 {
+// clampedMilliseconds is a duration in whole milliseconds; what does not fit is the most that does.
+func clampedMilliseconds(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
 
-func encode(f frame) []byte {
-	b := flatbuffers.NewBuilder(256 + len(f.body))
+func encodeFrame(message frame) []byte {
+	builder := flatbuffers.NewBuilder(256 + len(message.body))
 	text := func(s string) flatbuffers.UOffsetT {
 		if s == "" {
 			return 0
 		}
-		return b.CreateString(s)
+		return builder.CreateString(s)
 	}
-	member, verb, job := text(f.member), text(f.verb), text(f.job)
+	member, verb, job := text(message.member), text(message.verb), text(message.job)
 	var body flatbuffers.UOffsetT
-	if len(f.body) > 0 {
-		body = b.CreateByteVector(f.body)
+	if len(message.body) > 0 {
+		body = builder.CreateByteVector(message.body)
 	}
 	var whom flatbuffers.UOffsetT
-	if len(f.whom) > 0 {
+	if len(message.heardPeers) > 0 {
 		var names []flatbuffers.UOffsetT
-		for _, m := range f.whom {
-			names = append(names, b.CreateString(m))
+		for _, m := range message.heardPeers {
+			names = append(names, builder.CreateString(m))
 		}
-		whom = b.CreateVectorOfTables(names)
+		whom = builder.CreateVectorOfTables(names)
 	}
 	var told flatbuffers.UOffsetT
-	if len(f.told) > 0 {
+	if len(message.cancellations) > 0 {
 		var all []flatbuffers.UOffsetT
-		for _, t := range f.told {
-			job := b.CreateString(t.Job)
-			wire.ToldStart(b)
-			wire.ToldAddJob(b, job)
-			wire.ToldAddAgeMs(b, ms(t.Age))
-			all = append(all, wire.ToldEnd(b))
+		for _, cancellation := range message.cancellations {
+			job := builder.CreateString(cancellation.Job)
+			wire.ToldStart(builder)
+			wire.ToldAddJob(builder, job)
+			wire.ToldAddAgeMs(builder, clampedMilliseconds(cancellation.Age))
+			all = append(all, wire.ToldEnd(builder))
 		}
-		told = b.CreateVectorOfTables(all)
-	}
-	wire.FrameStart(b)
-	wire.FrameAddKind(b, f.kind)
-	wire.FrameAddSeq(b, f.seq)
-	wire.FrameAddMember(b, member)
-	wire.FrameAddTerm(b, f.term)
-	wire.FrameAddStateOk(b, f.stateOK)
-	wire.FrameAddVerb(b, verb)
-	wire.FrameAddJob(b, job)
-	wire.FrameAddBody(b, body)
-	wire.FrameAddStatus(b, uint16(f.status))
-	wire.FrameAddRetryAfterS(b, uint16(f.retry))
-	wire.FrameAddPaceUs(b, f.pace)
-	wire.FrameAddHearsWorkers(b, f.hears)
-	wire.FrameAddBornMs(b, f.born)
-	wire.FrameAddHears(b, whom)
-	wire.FrameAddLeaving(b, f.leaving)
-	wire.FrameAddLife(b, f.life)
-	wire.FrameAddToldFrom(b, f.toldFrom)
-	wire.FrameAddToldTo(b, f.toldTo)
-	wire.FrameAddToldLatest(b, f.toldLatest)
-	wire.FrameAddTold(b, told)
-	wire.FrameAddKnows(b, f.knows)
+		told = builder.CreateVectorOfTables(all)
+	}
+	wire.FrameStart(builder)
+	wire.FrameAddKind(builder, message.kind)
+	wire.FrameAddSeq(builder, message.seq)
+	wire.FrameAddMember(builder, member)
+	wire.FrameAddTerm(builder, message.term)
+	wire.FrameAddStateOk(builder, message.stateOK)
+	wire.FrameAddVerb(builder, verb)
+	wire.FrameAddJob(builder, job)
+	wire.FrameAddBody(builder, body)
+	wire.FrameAddStatus(builder, uint16(message.status))
+	wire.FrameAddRetryAfterS(builder, uint16(message.retryAfterS))
+	wire.FrameAddPaceUs(builder, message.benchmarkUS)
+	wire.FrameAddHearsWorkers(builder, message.receivesHeartbeats)
+	wire.FrameAddBornMs(builder, message.startedMS)
+	wire.FrameAddHears(builder, whom)
+	wire.FrameAddLeaving(builder, message.leaving)
+	wire.FrameAddLife(builder, message.incarnation)
+	wire.FrameAddToldFrom(builder, message.watermarkFrom)
+	wire.FrameAddToldTo(builder, message.watermarkTo)
+	wire.FrameAddToldLatest(builder, message.watermarkLatest)
+	wire.FrameAddTold(builder, told)
+	wire.FrameAddKnows(builder, message.watermarkCurrent)
 	// Rounded up: what is said is known is never more than what is.
-	wire.FrameAddWordAgeMs(b, ms(f.watermarkAge+time.Millisecond-1))
-	b.FinishSizePrefixed(wire.FrameEnd(b))
-	return b.FinishedBytes()
+	wire.FrameAddWordAgeMs(builder, clampedMilliseconds(message.watermarkAge+time.Millisecond-1))
+	builder.FinishSizePrefixed(wire.FrameEnd(builder))
+	return builder.FinishedBytes()
 }
 
-func write(c net.Conn, mu *sync.Mutex, f frame) error {
-	raw := encode(f)
+func writeFrame(conn net.Conn, mu *sync.Mutex, message frame) error {
+	raw := encodeFrame(message)
 	mu.Lock()
 	defer mu.Unlock()
-	if err := c.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout)); err != nil {
 		return err
 	}
-	_, err := c.Write(raw)
+	_, err := conn.Write(raw)
 	return err
 }
 
 // readFrame reads one frame. FlatBuffers for Go has no verifier: a damaged
 // frame shows as a panic of its accessors, which ends up as an error here.
-func readFrame(rd io.Reader) (f frame, err error) {
+func readFrame(reader io.Reader) (message frame, err error) {
 	var head [4]byte
-	if _, err := io.ReadFull(rd, head[:]); err != nil {
-		return f, err
+	if _, err := io.ReadFull(reader, head[:]); err != nil {
+		return message, err
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size < 8 || size > tuning.FrameLimit {
-		return f, fmt.Errorf("frame of %d bytes", size)
+		return message, fmt.Errorf("frame of %d bytes", size)
 	}
 	raw := make([]byte, size)
-	if _, err := io.ReadFull(rd, raw); err != nil {
-		return f, err
+	if _, err := io.ReadFull(reader, raw); err != nil {
+		return message, err
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("damaged frame: %v", p)
 		}
 	}()
-	w := wire.GetRootAsFrame(raw, 0)
-	f = frame{kind: w.Kind(), seq: w.Seq(), term: w.Term(), member: string(w.Member()), stateOK: w.StateOk(),
-		verb: string(w.Verb()), job: string(w.Job()), body: w.BodyBytes(), status: int(w.Status()), retry: int(w.RetryAfterS()), pace: w.PaceUs(), hears: w.HearsWorkers(),
-		born: w.BornMs(), leaving: w.Leaving()}
-	for i := range min(w.HearsLength(), tuning.FrameMembers) {
-		f.whom = append(f.whom, string(w.Hears(i)))
-	}
-	f.life, f.toldFrom, f.toldTo, f.toldLatest, f.knows = w.Life(), w.ToldFrom(), w.ToldTo(), w.ToldLatest(), w.Knows()
-	f.watermarkAge = time.Duration(w.WordAgeMs()) * time.Millisecond
-	if w.ToldLength() > tuning.CancellationsAtOnce {
-		return f, fmt.Errorf("%d cancellations", w.ToldLength())
-	}
-	for i := range w.ToldLength() {
-		var t wire.Told
-		if w.Told(&t, i) {
-			f.told = append(f.told, watermark.Cancellation{Job: string(t.Job()), Age: time.Duration(t.AgeMs()) * time.Millisecond})
+	encoded := wire.GetRootAsFrame(raw, 0)
+	message = frame{kind: encoded.Kind(), seq: encoded.Seq(), term: encoded.Term(), member: string(encoded.Member()), stateOK: encoded.StateOk(),
+		verb: string(encoded.Verb()), job: string(encoded.Job()), body: encoded.BodyBytes(), status: int(encoded.Status()), retryAfterS: int(encoded.RetryAfterS()), benchmarkUS: encoded.PaceUs(), receivesHeartbeats: encoded.HearsWorkers(),
+		startedMS: encoded.BornMs(), leaving: encoded.Leaving()}
+	for i := range min(encoded.HearsLength(), tuning.FrameMembers) {
+		message.heardPeers = append(message.heardPeers, string(encoded.Hears(i)))
+	}
+	message.incarnation, message.watermarkFrom, message.watermarkTo, message.watermarkLatest, message.watermarkCurrent = encoded.Life(), encoded.ToldFrom(), encoded.ToldTo(), encoded.ToldLatest(), encoded.Knows()
+	message.watermarkAge = time.Duration(encoded.WordAgeMs()) * time.Millisecond
+	if encoded.ToldLength() > tuning.CancellationsAtOnce {
+		return message, fmt.Errorf("%d cancellations", encoded.ToldLength())
+	}
+	for i := range encoded.ToldLength() {
+		var told wire.Told
+		if encoded.Told(&told, i) {
+			message.cancellations = append(message.cancellations, watermark.Cancellation{Job: string(told.Job()), Age: time.Duration(told.AgeMs()) * time.Millisecond})
 		}
 	}
-	if f.kind > wire.KindReply {
-		return f, fmt.Errorf("unknown kind %d", f.kind)
+	if message.kind > wire.KindReply {
+		return message, fmt.Errorf("unknown kind %d", message.kind)
 	}
-	return f, nil
+	return message, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -20,18 +20,18 @@
 	"switchferry/watermark"
 )
 
-func TestFrameRoundTrip(t *testing.T) {
-	f := frame{kind: wire.KindRequest, seq: 7, verb: "submit", job: "run-1", body: []byte(`{"a":1}`), member: "n0", term: 9, stateOK: true, status: 503, retry: 2, pace: 70, hears: true}
-	got, err := readFrame(bytes.NewReader(encode(f)))
-	if err != nil || got.seq != 7 || got.verb != "submit" || got.job != "run-1" || string(got.body) != `{"a":1}` || got.term != 9 || !got.stateOK || got.status != 503 || got.retry != 2 || got.pace != 70 || !got.hears || got.member != "n0" {
+func TestFrameRoundTripKeepsFields(t *testing.T) {
+	message := frame{kind: wire.KindRequest, seq: 7, verb: "submit", job: "run-1", body: []byte(`{"a":1}`), member: "n0", term: 9, stateOK: true, status: 503, retryAfterS: 2, benchmarkUS: 70, receivesHeartbeats: true}
+	got, err := readFrame(bytes.NewReader(encodeFrame(message)))
+	if err != nil || got.seq != 7 || got.verb != "submit" || got.job != "run-1" || string(got.body) != `{"a":1}` || got.term != 9 || !got.stateOK || got.status != 503 || got.retryAfterS != 2 || got.benchmarkUS != 70 || !got.receivesHeartbeats || got.member != "n0" {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
 // Damaged frames are errors, never panics: FlatBuffers checks nothing itself.
-func TestDamagedFrames(t *testing.T) {
+func TestDamagedFramesAreErrors(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	good := encode(frame{kind: wire.KindReply, seq: 1, body: make([]byte, 300), verb: "x"})
+	good := encodeFrame(frame{kind: wire.KindReply, seq: 1, body: make([]byte, 300), verb: "x"})
 	for range 5000 {
 		raw := bytes.Clone(good)
 		for range 1 + rnd.IntN(8) {
@@ -49,21 +49,21 @@
 
 // Garbage on the back port closes that connection and nothing else, and a
 // request gets its answer.
-func TestGarbageAndRequests(t *testing.T) {
+func TestGarbageClosesOnlyItsConnection(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := clockwork.NewFakeClock()
 	self := func() Hello { return Hello{Member: "n0", Term: 5, StateOK: true} }
-	server := New(nil, clock, self, func(_ context.Context, r Request) Response {
-		return Response{Status: 200, Body: append([]byte(r.Verb+" "), r.Body...), RetryAfterS: 3}
+	server := New(nil, clock, self, func(_ context.Context, request Request) Response {
+		return Response{Status: 200, Body: append([]byte(request.Verb+" "), request.Body...), RetryAfterS: 3}
 	})
-	go func() { _ = server.Serve(ctx, l) }()
+	go func() { _ = server.Serve(ctx, listener) }()
 
-	bad, err := net.Dial("tcp4", l.Addr().String())
+	bad, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,22 +72,22 @@
 		t.Error("garbage was answered")
 	}
 
-	one := New([]settings.Peer{{Member: "n0", Address: l.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	s := one.siblings["n0"]
-	c, err := net.Dial("tcp4", l.Addr().String())
+	one := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	remote := one.peers["n0"]
+	conn, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	go one.talk(ctx, s, c)
+	go one.runConnection(ctx, remote, conn)
 	for !one.Reachable("n0") {
 		// The first greeting is on its way.
 	}
 	if h := one.LivePeers(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || one.Isolated() {
 		t.Errorf("alive %+v", h)
 	}
-	a, err := one.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
-	if err != nil || a.Status != 200 || string(a.Body) != "status x" || a.RetryAfterS != 3 {
-		t.Errorf("%+v, %v", a, err)
+	response, err := one.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
+	if err != nil || response.Status != 200 || string(response.Body) != "status x" || response.RetryAfterS != 3 {
+		t.Errorf("%+v, %v", response, err)
 	}
 	if _, err := one.Ask(ctx, "n9", Request{}, time.Second); err == nil {
 		t.Error("an unknown sibling answered")
@@ -96,10 +96,10 @@
 
 // What is seen of a sibling is told as it is: connected, greeted with what it says of itself and
 // of others, reset when its process ends, refused after that.
-func TestSiblingsLifeIsTold(t *testing.T) {
+func TestConnectionOutcomesAreObserved(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,14 +111,14 @@
 	conns := make(chan net.Conn, 1)
 	server := New(nil, clock, self, nil)
 	go func() {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err == nil {
-			conns <- c
-			server.serveConn(life, c)
+			conns <- conn
+			server.serveConn(life, conn)
 		}
 	}()
 	seen := make(chan membership.Observation, 64)
-	n := New([]settings.Peer{{Member: "n0", Address: l.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	n := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
 	n.OnObservation = func(o membership.Observation) { seen <- o }
 	n.Run(ctx)
 	want := func(w membership.Observation) {
@@ -130,7 +130,7 @@
 	want(membership.Connection{To: "n0", Outcome: membership.Established})
 	want(membership.Hello{From: "n0", StartedMS: 17, HeardPeers: []string{"n1", "n2"}, StateOK: true, ReceivesHeartbeats: true, Leaving: true})
 	end()
-	l.Close()
+	listener.Close()
 	(<-conns).Close()
 	want(membership.Connection{To: "n0", Outcome: membership.Reset})
 	for {
@@ -146,67 +146,67 @@
 	}
 }
 
-// spoken is what a test says and hears of cancellations.
-type spoken struct {
-	say   watermark.Statement
-	heard chan time.Time
-	got   watermark.Statement
+// fakeWatermarks is what a test says and hears of cancellations.
+type fakeWatermarks struct {
+	reply       watermark.Statement
+	applied     chan time.Time
+	lastApplied watermark.Statement
 }
 
-func (s *spoken) Position(string) (uint64, uint64, bool) { return 3, 1, true }
-func (s *spoken) Statement(life, have uint64) (watermark.Statement, bool) {
-	s.say.Incarnation, s.say.From = life, have
-	return s.say, true
+func (s *fakeWatermarks) Position(string) (uint64, uint64, bool) { return 3, 1, true }
+func (s *fakeWatermarks) Statement(incarnation, have uint64) (watermark.Statement, bool) {
+	s.reply.Incarnation, s.reply.From = incarnation, have
+	return s.reply, true
 }
-func (s *spoken) ApplyStatement(_ string, sent time.Time, w watermark.Statement) {
-	s.got = w
-	s.heard <- sent
+func (s *fakeWatermarks) ApplyStatement(_ string, sent time.Time, w watermark.Statement) {
+	s.lastApplied = w
+	s.applied <- sent
 }
 
 // Word goes from question to answer, and counts from when the question was sent, however late the answer is. An
 // answer that nobody asked for is passed over, and too many cancellations end the connection.
-func TestWordCountsFromTheQuestion(t *testing.T) {
+func TestWatermarkCountsFromQuestion(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	here, there := net.Pipe()
 	defer there.Close()
 	n := New([]settings.Peer{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
-	mine := &spoken{heard: make(chan time.Time, 4)}
+	mine := &fakeWatermarks{applied: make(chan time.Time, 4)}
 	n.Watermarks = mine
 	other := New(nil, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	other.Watermarks = &spoken{say: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
+	other.Watermarks = &fakeWatermarks{reply: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
 	sent := clock.Now()
 	done := make(chan membership.Outcome)
-	go func() { done <- n.talk(context.Background(), n.siblings["n1"], here) }()
+	go func() { done <- n.runConnection(context.Background(), n.peers["n1"], here) }()
 	q, err := readFrame(there)
-	if err != nil || q.seq == 0 || q.life != 3 || q.toldFrom != 1 {
+	if err != nil || q.seq == 0 || q.incarnation != 3 || q.watermarkFrom != 1 {
 		t.Fatalf("question %+v, %v", q, err)
 	}
 	clock.Advance(time.Second)
-	a := other.answer(q)
+	a := other.newHelloReply(q)
 	stray := a
 	stray.seq += 7
 	var mu sync.Mutex
-	for _, f := range []frame{stray, a, a} {
-		if err := write(there, &mu, f); err != nil {
+	for _, message := range []frame{stray, a, a} {
+		if err := writeFrame(there, &mu, message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if at := <-mine.heard; !at.Equal(sent) {
+	if at := <-mine.applied; !at.Equal(sent) {
 		t.Errorf("counts from %v after the question", at.Sub(sent))
 	}
 	want := watermark.Statement{Incarnation: 3, From: 1, To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 21 * time.Millisecond}
-	if !reflect.DeepEqual(mine.got, want) {
-		t.Errorf("heard %+v, want %+v", mine.got, want)
+	if !reflect.DeepEqual(mine.lastApplied, want) {
+		t.Errorf("heard %+v, want %+v", mine.lastApplied, want)
 	}
 	for range tuning.CancellationsAtOnce {
-		a.told = append(a.told, watermark.Cancellation{Job: "run-1"})
+		a.cancellations = append(a.cancellations, watermark.Cancellation{Job: "run-1"})
 	}
-	a.told = append(a.told, a.told[0])
-	if err := write(there, &mu, a); err != nil {
+	a.cancellations = append(a.cancellations, a.cancellations[0])
+	if err := writeFrame(there, &mu, a); err != nil {
 		t.Fatal(err)
 	}
 	<-done
-	if len(mine.heard) > 0 {
+	if len(mine.applied) > 0 {
 		t.Error("an answer that nobody asked for, or one that came twice, was taken")
 	}
 }
--- a/peer/version1_test.go
+++ b/peer/version1_test.go
@@ -12,21 +12,21 @@
 	"switchferry/peer/wire"
 )
 
-// frames1 are frames of all kinds; testdata/frames1.hex holds them as the first version's
+// version1Frames are frames of all kinds; testdata/frames1.hex holds them as the first version's
 // controllers sent them, one a line.
-var frames1 = []frame{
-	{kind: wire.KindHello, member: "ferryhost-1", term: 1873, stateOK: true, pace: 81, hears: true},
+var version1Frames = []frame{
+	{kind: wire.KindHello, member: "ferryhost-1", term: 1873, stateOK: true, benchmarkUS: 81, receivesHeartbeats: true},
 	{kind: wire.KindHello, member: "ferryhost-2"},
 	{kind: wire.KindRequest, seq: 7, member: "ferryhost-1", verb: "submit", body: []byte(`{"name_id":"run-000412"}`)},
 	{kind: wire.KindRequest, seq: 8, verb: "cancel", job: "run-000412"},
-	{kind: wire.KindReply, seq: 8, status: 503, retry: 12, body: []byte(`{"error":"the leader is busy"}`)},
+	{kind: wire.KindReply, seq: 8, status: 503, retryAfterS: 12, body: []byte(`{"error":"the leader is busy"}`)},
 }
 
-func TestFramesOfVersionOne(t *testing.T) {
+func TestFramesMatchVersionOne(t *testing.T) {
 	file := filepath.Join("testdata", "frames1.hex")
 	var lines []string
-	for _, f := range frames1 {
-		lines = append(lines, hex.EncodeToString(encode(f)))
+	for _, message := range version1Frames {
+		lines = append(lines, hex.EncodeToString(encodeFrame(message)))
 	}
 	if os.Getenv("WRITE_VERSION1") != "" {
 		if err := os.WriteFile(file, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		got, err := readFrame(bytes.NewReader(old))
-		if want := frames1[i]; err != nil || !reflect.DeepEqual(got, want) {
+		if want := version1Frames[i]; err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("frame %d: %+v, %v; want %+v", i, got, err, want)
 		}
 	}
