--- a/peer/responses.go
+++ b/peer/responses.go
@@ -39,8 +39,7 @@
 // Refusal returns an error response that names the field of an api.FieldError.
 func Refusal(status int, err error) Response {
 	body := api.Error{Error: err.Error()}
-	var field *api.FieldError
-	if errors.As(err, &field) {
+	if field, ok := errors.AsType[*api.FieldError](err); ok {
 		body.Field = field.Field
 	}
 	return JSONResponse(status, body)
