--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/binary"
+	"io"
 	"math/rand/v2"
 	"net"
 	"reflect"
@@ -28,6 +29,38 @@
 	}
 }
 
+// listen opens a port on loopback, which is closed with the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // The test may have closed it.
+	return listener
+}
+
+// dial connects to a listener.
+func dial(t *testing.T, listener net.Listener) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // Its user may have closed it.
+	return conn
+}
+
+// closeOrFail closes an end of a connection as its process would by ending.
+func closeOrFail(t *testing.T, closer io.Closer) {
+	t.Helper()
+	if err := closer.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Damaged frames are errors, never panics: FlatBuffers checks nothing itself.
 func TestDamagedFramesAreErrors(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
@@ -47,15 +80,10 @@
 	}
 }
 
-// Garbage on the back port closes that connection and nothing else, and a
-// request gets its answer.
+// Bytes that are not a frame end that connection and nothing else, and a request gets its reply.
 func TestGarbageClosesOnlyItsConnection(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ctx := t.Context()
+	listener := listen(t)
 	clock := clockwork.NewFakeClock()
 	self := func() Hello { return Hello{Member: "n0", Term: 5, StateOK: true} }
 	server := New(nil, clock, self, func(_ context.Context, request Request) Response {
@@ -63,21 +91,15 @@
 	})
 	go func() { _ = server.Serve(ctx, listener) }()
 
-	bad, err := net.Dial("tcp4", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
+	bad := dial(t, listener)
 	_, _ = bad.Write(bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 20))
 	if _, err := bad.Read(make([]byte, 1)); err == nil {
-		t.Error("garbage was answered")
+		t.Error("garbage got an answer")
 	}
 
 	one := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
 	remote := one.peers["n0"]
-	conn, err := net.Dial("tcp4", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
+	conn := dial(t, listener)
 	go one.runConnection(ctx, remote, conn)
 	for !one.Reachable("n0") {
 		// The first greeting is on its way.
@@ -90,19 +112,15 @@
 		t.Errorf("%+v, %v", response, err)
 	}
 	if _, err := one.Ask(ctx, "n9", Request{}, time.Second); err == nil {
-		t.Error("an unknown sibling answered")
+		t.Error("an unknown peer answered")
 	}
 }
 
-// What is seen of a sibling is told as it is: connected, greeted with what it says of itself and
-// of others, reset when its process ends, refused after that.
+// The observations of a peer are: connected, its greeting, connection reset when its process ends, and
+// connection refused after that.
 func TestConnectionOutcomesAreObserved(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ctx := t.Context()
+	listener := listen(t)
 	clock := clockwork.NewFakeClock()
 	self := func() Hello {
 		return Hello{Member: "n0", StateOK: true, ReceivesHeartbeats: true, StartedMS: 17, HeardPeers: []string{"n1", "n2"}, Leaving: true}
@@ -124,21 +142,21 @@
 	want := func(w membership.Observation) {
 		t.Helper()
 		if got := <-seen; !reflect.DeepEqual(got, w) {
-			t.Fatalf("told %+v, want %+v", got, w)
+			t.Fatalf("observed %+v, want %+v", got, w)
 		}
 	}
 	want(membership.Connection{To: "n0", Outcome: membership.Established})
 	want(membership.Hello{From: "n0", StartedMS: 17, HeardPeers: []string{"n1", "n2"}, StateOK: true, ReceivesHeartbeats: true, Leaving: true})
 	end()
-	listener.Close()
-	(<-conns).Close()
+	closeOrFail(t, listener)
+	closeOrFail(t, <-conns)
 	want(membership.Connection{To: "n0", Outcome: membership.Reset})
 	for {
 		clock.Advance(tuning.PeerHello)
 		select {
 		case o := <-seen:
 			if o != (membership.Connection{To: "n0", Outcome: membership.Refused}) {
-				t.Fatalf("told %+v", o)
+				t.Fatalf("observed %+v", o)
 			}
 			return
 		default:
@@ -146,7 +164,7 @@
 	}
 }
 
-// fakeWatermarks is what a test says and hears of cancellations.
+// fakeWatermarks replies to every question with one statement, and records what is applied.
 type fakeWatermarks struct {
 	reply       watermark.Statement
 	applied     chan time.Time
@@ -163,12 +181,12 @@
 	s.applied <- sent
 }
 
-// Word goes from question to answer, and counts from when the question was sent, however late the answer is. An
-// answer that nobody asked for is passed over, and too many cancellations end the connection.
+// A statement counts from when its question was sent, however late the answer is. An answer that was not
+// asked for is ignored, and too many cancellations end the connection.
 func TestWatermarkCountsFromQuestion(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	here, there := net.Pipe()
-	defer there.Close()
+	t.Cleanup(func() { _ = there.Close() })
 	n := New([]settings.Peer{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
 	mine := &fakeWatermarks{applied: make(chan time.Time, 4)}
 	n.Watermarks = mine
@@ -176,7 +194,7 @@
 	other.Watermarks = &fakeWatermarks{reply: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
 	sent := clock.Now()
 	done := make(chan membership.Outcome)
-	go func() { done <- n.runConnection(context.Background(), n.peers["n1"], here) }()
+	go func() { done <- n.runConnection(t.Context(), n.peers["n1"], here) }()
 	q, err := readFrame(there)
 	if err != nil || q.seq == 0 || q.incarnation != 3 || q.watermarkFrom != 1 {
 		t.Fatalf("question %+v, %v", q, err)
@@ -196,7 +214,7 @@
 	}
 	want := watermark.Statement{Incarnation: 3, From: 1, To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 21 * time.Millisecond}
 	if !reflect.DeepEqual(mine.lastApplied, want) {
-		t.Errorf("heard %+v, want %+v", mine.lastApplied, want)
+		t.Errorf("applied %+v, want %+v", mine.lastApplied, want)
 	}
 	for range tuning.CancellationsAtOnce {
 		a.cancellations = append(a.cancellations, watermark.Cancellation{Job: "run-1"})
