--- a/api/api.go
+++ b/api/api.go
@@ -47,7 +47,7 @@
 	CommandClear = "clear"
 )
 
-var ranks = map[string]int{"low": 0, "normal": 1, "high": 2, "prod": 3}
+var rankLevels = map[string]int{"low": 0, "normal": 1, "high": 2, "prod": 3}
 
 // RankProduction is the highest rank, RankLow the lowest.
 const (
@@ -87,15 +87,15 @@
 }
 
 // RankLevel is the rank as a number; higher goes first.
-func (s *Submission) RankLevel() int { return ranks[s.Rank] }
+func (submission *Submission) RankLevel() int { return rankLevels[submission.Rank] }
 
 // MaxTasks is the protocol's limit of tasks in a job.
 const MaxTasks = 100_000
 
-var idForm = regexp.MustCompile(`^run-[0-9]{1,32}$`)
+var jobIDPattern = regexp.MustCompile(`^run-[0-9]{1,32}$`)
 
 // ValidID tells whether a job id has the protocol's form.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // FieldError says which field of a body is wrong.
 type FieldError struct{ Field, Want string }
@@ -161,7 +161,7 @@
 		fail("shape", fmt.Sprintf("must be %q, %q or %q", JobArray, Gang, Service))
 	}
 	str("rank", &s.Rank)
-	if _, ok := ranks[s.Rank]; !ok {
+	if _, ok := rankLevels[s.Rank]; !ok {
 		fail("rank", "must be prod, high, normal or low")
 	}
 	if get("parts", &s.Tasks, "must be an integer", false) && (s.Tasks < 1 || s.Tasks > MaxTasks) {
@@ -184,7 +184,7 @@
 	num("stow_s", &s.SaveS, false, false)
 	num("due_s", &s.DeadlineS, true, false)
 	if v, ok := raw["awaits"]; ok {
-		awaits(v, &s, fail)
+		parseAwaits(v, &s, fail)
 	}
 	id := s.ID
 	if !ValidID(id) {
@@ -196,8 +196,8 @@
 	return &s, id, nil
 }
 
-// awaits takes in the jobs that a submission waits for.
-func awaits(raw json.RawMessage, s *Submission, fail func(field, want string)) {
+// parseAwaits takes in the jobs that a submission waits for.
+func parseAwaits(raw json.RawMessage, s *Submission, fail func(field, want string)) {
 	const want = "must be a list of one or more job ids like run-000412, or be left out"
 	if json.Unmarshal(raw, &s.Awaits) != nil || len(s.Awaits) == 0 {
 		fail("awaits", want)
@@ -253,16 +253,16 @@
 }
 
 // NewerThan tells whether a report is newer than one with that session and tally.
-func (r *Heartbeat) NewerThan(session, seq uint64) bool {
-	return r.Incarnation > session || r.Incarnation == session && r.Seq > seq
+func (heartbeat *Heartbeat) NewerThan(incarnation, seq uint64) bool {
+	return heartbeat.Incarnation > incarnation || heartbeat.Incarnation == incarnation && heartbeat.Seq > seq
 }
 
 // Check finds a report that nothing can be done with.
-func (r *Heartbeat) Check() error {
+func (heartbeat *Heartbeat) Check() error {
 	switch {
-	case r.Machine == "":
+	case heartbeat.Machine == "":
 		return &FieldError{"host", "is missing"}
-	case r.Incarnation == 0:
+	case heartbeat.Incarnation == 0:
 		return &FieldError{"watch", "is missing"}
 	}
 	return nil
@@ -303,18 +303,18 @@
 }
 
 // Fits tells whether one task of a job fits an empty machine of this type.
-func (t *MachineType) Fits(s *Submission) bool {
+func (machineType *MachineType) Fits(s *Submission) bool {
 	const slack = 1e-9
-	if t.CPUs+slack < s.CPUs || t.Cards+slack < s.Cards || t.MemoryGB+slack < s.MemoryGB {
+	if machineType.CPUs+slack < s.CPUs || machineType.Cards+slack < s.Cards || machineType.MemoryGB+slack < s.MemoryGB {
 		return false
 	}
-	if s.Image != "" && t.CacheGB > 0 && s.ImageGB > t.CacheGB {
+	if s.Image != "" && machineType.CacheGB > 0 && s.ImageGB > machineType.CacheGB {
 		return false
 	}
-	if len(s.Types) > 0 && !contains(s.Types, t.Name) {
+	if len(s.Types) > 0 && !contains(s.Types, machineType.Name) {
 		return false
 	}
-	return s.Zone == "" || contains(t.Zones, s.Zone)
+	return s.Zone == "" || contains(machineType.Zones, s.Zone)
 }
 
 func contains(list []string, v string) bool {
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-func valid() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{"name_id": "run-000412", "jobclass": "train", "owner": "vision", "shape": "sweep", "rank": "high", "parts": 16,
 		"cores": 8.0, "cards": 1.0, "ram_gb": 64.0, "bundle": "img-07", "size_gb": 6.2, "hulls": []string{"g8"}, "berth": nil,
 		"together": true, "apart": false, "standby": true, "expect_s": 240.0, "snapshot_s": 30.0, "stow_s": 4.0, "due_s": 900.0}
 }
 
-func TestGoodSubmission(t *testing.T) {
-	v := valid()
+func TestParseSubmissionReadsValidJob(t *testing.T) {
+	v := validSubmission()
 	v["more"] = "ignored"
 	delete(v, "berth")
 	v["due_s"] = nil
@@ -31,14 +31,14 @@
 }
 
 // Every field that is missing, mistyped or out of range is named.
-func TestBadFieldsAreNamed(t *testing.T) {
-	for field := range valid() {
+func TestParseSubmissionNamesWrongField(t *testing.T) {
+	for field := range validSubmission() {
 		if field == "hulls" || field == "berth" || field == "due_s" {
 			continue
 		}
-		v := valid()
+		v := validSubmission()
 		delete(v, field)
-		check(t, v, field)
+		expectFieldError(t, v, field)
 	}
 	for _, c := range []struct {
 		field string
@@ -46,13 +46,13 @@
 	}{{"parts", 0}, {"parts", 100001}, {"parts", 1.5}, {"parts", "3"}, {"cores", -1}, {"cores", 0}, {"cores", "8"}, {"ram_gb", 1e300},
 		{"rank", "urgent"}, {"shape", "herd"}, {"name_id", "job-1"}, {"name_id", 7}, {"together", 1}, {"hulls", "g8"}, {"hulls", []any{}},
 		{"expect_s", -0.5}, {"berth", 4}, {"bundle", ""}} {
-		v := valid()
+		v := validSubmission()
 		v[c.field] = c.bad
-		check(t, v, c.field)
+		expectFieldError(t, v, c.field)
 	}
 }
 
-func check(t *testing.T, v map[string]any, field string) {
+func expectFieldError(t *testing.T, v map[string]any, field string) {
 	t.Helper()
 	raw, _ := json.Marshal(v)
 	_, id, err := ParseSubmission(raw)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestNotAnObject(t *testing.T) {
+func TestParseSubmissionRefusesOtherThanObjects(t *testing.T) {
 	for _, body := range []string{"", "{", "[]", "null", "3", `"x"`, `{"cores": 1e999}`} {
 		if _, _, err := ParseSubmission([]byte(body)); err == nil {
 			t.Errorf("%q was taken", body)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestFits(t *testing.T) {
+func TestMachineTypeFits(t *testing.T) {
 	m := MachineType{Name: "g8", CPUs: 8, MemoryGB: 32, CacheGB: 10, Zones: []string{"a"}}
 	for _, c := range []struct {
 		s    Submission
--- a/api/data.go
+++ b/api/data.go
@@ -65,11 +65,11 @@
 type PartSet struct{ *roaring.Bitmap }
 
 // MarshalJSON writes the base64 text.
-func (p PartSet) MarshalJSON() ([]byte, error) {
-	if p.Bitmap == nil {
+func (set PartSet) MarshalJSON() ([]byte, error) {
+	if set.Bitmap == nil {
 		return []byte(`""`), nil
 	}
-	raw, err := p.ToBytes()
+	raw, err := set.ToBytes()
 	if err != nil {
 		return nil, err
 	}
@@ -77,12 +77,12 @@
 }
 
 // UnmarshalJSON reads and checks the text: it comes from outside.
-func (p *PartSet) UnmarshalJSON(text []byte) error {
+func (set *PartSet) UnmarshalJSON(text []byte) error {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	p.Bitmap = roaring.New()
+	set.Bitmap = roaring.New()
 	if s == "" {
 		return nil
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return fmt.Errorf("set of parts: %w", err)
 	}
-	p.Bitmap = b
+	set.Bitmap = b
 	return nil
 }
 
@@ -203,28 +203,28 @@
 }
 
 // Check finds a report that nothing can be done with.
-func (r *StageHeartbeat) Check() error {
+func (heartbeat *StageHeartbeat) Check() error {
 	switch {
-	case r.Machine == "":
+	case heartbeat.Machine == "":
 		return &FieldError{"host", "is missing"}
-	case r.Address == "":
+	case heartbeat.Address == "":
 		return &FieldError{"address", "is missing"}
-	case r.Incarnation == 0:
+	case heartbeat.Incarnation == 0:
 		return &FieldError{"session", "is missing"}
-	case r.Quota < 0 || r.Used < 0 || r.Quota > math.MaxInt64/4 || r.Used > math.MaxInt64/4:
+	case heartbeat.Quota < 0 || heartbeat.Used < 0 || heartbeat.Quota > math.MaxInt64/4 || heartbeat.Used > math.MaxInt64/4:
 		return &FieldError{"quota", "quota and used must be numbers of bytes, 0 or more"}
 	}
-	for i, h := range r.Holds {
+	for i, h := range heartbeat.Holds {
 		if h.Dataset == "" || h.Of < 0 || h.Of > tuning.PartsLimit || h.Parts.Bitmap == nil {
 			return &FieldError{fmt.Sprintf("holds[%d]", i), "needs dataset, of and parts"}
 		}
 	}
-	for i, h := range r.Pinned {
+	for i, h := range heartbeat.Pinned {
 		if h.Dataset == "" || h.Parts.Bitmap == nil {
 			return &FieldError{fmt.Sprintf("pinned[%d]", i), "needs dataset and parts"}
 		}
 	}
-	for i, p := range r.Copies {
+	for i, p := range heartbeat.Copies {
 		if p.Part < 0 || p.Part >= tuning.PartsLimit || p.Got < 0 || p.Of < 0 {
 			return &FieldError{fmt.Sprintf("copies[%d]", i), "has impossible numbers"}
 		}
--- a/api/data_test.go
+++ b/api/data_test.go
@@ -8,7 +8,7 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-func TestInputsNameTheFieldThatIsWrong(t *testing.T) {
+func TestParseInputsNamesWrongField(t *testing.T) {
 	for body, want := range map[string]string{
 		`{}`: "", `{"inputs":null}`: "", `{"inputs":[]}`: "",
 		`{"inputs":[{"dataset":"a","use":"own"},{"dataset":"b","use":"all"}]}`: "",
@@ -27,7 +27,7 @@
 
 // An agent's report comes from outside; whatever passes the check must not break who
 // works with it.
-func FuzzStageReport(f *testing.F) {
+func FuzzStageHeartbeat(f *testing.F) {
 	r := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
 		Holds:  []StageHeld{{Dataset: "a", Of: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
 		Copies: []StageProgress{{Dataset: "a", Part: 3, Got: 5, Of: 9, Failed: []StageFailure{{Why: "503"}}}}}
--- a/api/topology.go
+++ b/api/topology.go
@@ -29,8 +29,8 @@
 	Must   bool   `json:"must"`
 }
 
-// wish is near or survive as a user writes it; must is true unless it says otherwise.
-type wish struct {
+// placementConstraint is near or survive as a user writes it; must is true unless it says otherwise.
+type placementConstraint struct {
 	Level  string   `json:"level"`
 	Must   *bool    `json:"must"`
 	AtMost *int     `json:"at_most"`
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal(body, &raw); err != nil {
 		return nil, nil, &FieldError{"body", "must be a JSON object"}
 	}
-	n, err := parseWish("near", raw.Near, `{"level":"rack","must":true}`)
+	n, err := parsePlacementConstraint("near", raw.Near, `{"level":"rack","must":true}`)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -58,7 +58,7 @@
 		}
 		near = &Near{n.Level, n.Must == nil || *n.Must}
 	}
-	x, err := parseWish("survive", raw.Survive, `{"level":"rack","at_most":2} or {"level":"rack","share":0.5}`)
+	x, err := parsePlacementConstraint("survive", raw.Survive, `{"level":"rack","at_most":2} or {"level":"rack","share":0.5}`)
 	if x == nil || err != nil {
 		return near, nil, err
 	}
@@ -79,14 +79,14 @@
 	return near, v, nil
 }
 
-func parseWish(field string, raw json.RawMessage, example string) (*wish, error) {
+func parsePlacementConstraint(field string, raw json.RawMessage, example string) (*placementConstraint, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	// A misspelt "must" would bind a job that only wished.
 	d.DisallowUnknownFields()
-	var w wish
+	var w placementConstraint
 	if d.Decode(&w) != nil {
 		return nil, &FieldError{field, "must be like " + example}
 	}
--- a/api/topology_test.go
+++ b/api/topology_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSiteNamesTheFieldThatIsWrong(t *testing.T) {
+func TestParseSiteNamesWrongField(t *testing.T) {
 	for body, want := range map[string]string{
 		`{}`: "", `{"near":null,"survive":null}`: "",
 		`{"near":{"level":"rack"}}`:                               "",
