--- /dev/null
+++ b/api/cloud.go
@@ -0,0 +1,58 @@
+package api
+
+import "slices"
+
+// MachineType is one kind of machine in the cloud's catalog.
+type MachineType struct {
+	Name     string  `json:"sku"`
+	CPUs     float64 `json:"cores"`
+	Cards    float64 `json:"cards"`
+	MemoryGB float64 `json:"ram_gb"`
+	// CacheGB is the size of the image cache, PullGBs the rate of image fetches in gigabytes a second.
+	CacheGB float64 `json:"cache_gb"`
+	PullGBs float64 `json:"pull_gb_per_s"`
+	// Price and SpotPrice are per hour; SpotPrice is the current one.
+	Price     float64 `json:"hourly"`
+	SpotPrice float64 `json:"low_price"`
+	// BootS is the nominal boot time in seconds.
+	BootS float64  `json:"ready_s"`
+	Zones []string `json:"berths"`
+}
+
+// Fits tells whether one task of a job fits an empty machine of this type, in an allowed zone.
+func (machineType *MachineType) Fits(submission *Submission) bool {
+	const rounding = 1e-9
+	switch {
+	case machineType.CPUs+rounding < submission.CPUs,
+		machineType.Cards+rounding < submission.Cards,
+		machineType.MemoryGB+rounding < submission.MemoryGB:
+		return false
+	case submission.Image != "" && machineType.CacheGB > 0 && submission.ImageGB > machineType.CacheGB:
+		return false
+	case len(submission.Types) > 0 && !slices.Contains(submission.Types, machineType.Name):
+		return false
+	}
+	return submission.Zone == "" || slices.Contains(machineType.Zones, submission.Zone)
+}
+
+// InstanceRequest asks the cloud for machines. A request that has succeeded gets the same answer again
+// when it is repeated, so an IdempotencyKey is never used for another one.
+type InstanceRequest struct {
+	IdempotencyKey string `json:"charter"`
+	Type           string `json:"hull"`
+	Zone           string `json:"berth"`
+	Spot           bool   `json:"standby"`
+	Count          int    `json:"how_many"`
+}
+
+// Instance is a machine as the cloud lists it.
+type Instance struct {
+	Name    string `json:"name_id"`
+	Address string `json:"address"`
+	Type    string `json:"hull"`
+	Zone    string `json:"berth"`
+	Spot    bool   `json:"standby"`
+	State   string `json:"status"`
+	// AgeS is the time in seconds since the machine was requested, at the moment that the list describes.
+	AgeS float64 `json:"held_s"`
+}
--- a/api/topology_test.go
+++ b/api/constraints_test.go
@@ -20,10 +20,9 @@
 		`{"survive":{"level":"rack","share":1.5}}`:                "survive.share",
 	} {
 		_, _, err := ParseSite([]byte(body), 9)
-		var f *FieldError
 		got := ""
-		if errors.As(err, &f) {
-			got = f.Field
+		if fieldError, ok := errors.AsType[*FieldError](err); ok {
+			got = fieldError.Field
 		} else if err != nil {
 			got = err.Error()
 		}
--- /dev/null
+++ b/api/inputs.go
@@ -0,0 +1,59 @@
+package api
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"switchferry/tuning"
+)
+
+// How tasks use an input.
+const (
+	// UseAll tells that every task needs the whole dataset.
+	UseAll = "all"
+	// UseOwn tells that task k needs part k.
+	UseOwn = "own"
+)
+
+// Input is a dataset that a job's tasks need on their machine before they start.
+type Input struct {
+	Dataset string `json:"dataset"`
+	// Use is UseAll or UseOwn.
+	Use string `json:"use"`
+}
+
+// ParseInputs reads the inputs of a submission. A body, which must be a JSON object, without the field
+// has none. The error is a *FieldError. The number of tasks is not looked at: whether a dataset has a
+// part for each is known only to its record.
+func ParseInputs(body []byte, _ int) ([]Input, error) {
+	var fields struct {
+		Inputs json.RawMessage `json:"inputs"`
+	}
+	if err := decodeObject(body, &fields); err != nil {
+		return nil, err
+	}
+	if isAbsent(fields.Inputs) {
+		return nil, nil
+	}
+	var inputs []Input
+	if json.Unmarshal(fields.Inputs, &inputs) != nil {
+		return nil, &FieldError{"inputs", `must be a list like [{"dataset":"inventory-7","use":"own"}]`}
+	}
+	if len(inputs) > tuning.InputsLimit {
+		return nil, &FieldError{"inputs", fmt.Sprintf("at most %d are possible", tuning.InputsLimit)}
+	}
+	seen := map[string]bool{}
+	for index, input := range inputs {
+		field := fmt.Sprintf("inputs[%d]", index)
+		switch {
+		case input.Dataset == "":
+			return nil, &FieldError{field + ".dataset", "is missing"}
+		case input.Use != UseAll && input.Use != UseOwn:
+			return nil, &FieldError{field + ".use", `must be "all" (every task needs the whole dataset) or "own" (task k needs part k)`}
+		case seen[input.Dataset]:
+			return nil, &FieldError{field + ".dataset", "stands twice"}
+		}
+		seen[input.Dataset] = true
+	}
+	return inputs, nil
+}
--- a/api/data_test.go
+++ b/api/staging_test.go
@@ -2,31 +2,13 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"testing"
 
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-func TestParseInputsNamesWrongField(t *testing.T) {
-	for body, want := range map[string]string{
-		`{}`: "", `{"inputs":null}`: "", `{"inputs":[]}`: "",
-		`{"inputs":[{"dataset":"a","use":"own"},{"dataset":"b","use":"all"}]}`: "",
-		`{"inputs":"a"}`:               "inputs",
-		`{"inputs":[{"use":"all"}]}`:   "inputs[0].dataset",
-		`{"inputs":[{"dataset":"a"}]}`: "inputs[0].use",
-		`{"inputs":[{"dataset":"a","use":"all"},{"dataset":"a","use":"own"}]}`: "inputs[1].dataset",
-	} {
-		_, err := ParseInputs([]byte(body), 4)
-		var fe *FieldError
-		if got := errors.As(err, &fe); got != (want != "") || got && fe.Field != want {
-			t.Errorf("%s: %v, want %q", body, err, want)
-		}
-	}
-}
-
-// An agent's report comes from outside; whatever passes the check must not break who
-// works with it.
+// A heartbeat comes from outside. Whatever passes the check must not break code that
+// handles it.
 func FuzzStageHeartbeat(f *testing.F) {
 	r := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
 		Holds:  []StageHeld{{Dataset: "a", Of: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
