--- /dev/null
+++ b/api/words_test.go
@@ -0,0 +1,159 @@
+package api
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"unicode"
+)
+
+// protocolWords are the words that the protocol has for things that the code calls by other names. They may
+// stand in struct tags and in the values of constants, never in an identifier.
+var protocolWords = map[string]string{
+	"helm":      "term",
+	"berth":     "zone, or slot of a topology",
+	"hull":      "machine type",
+	"tally":     "seq",
+	"harbor":    "controller",
+	"charter":   "idempotency key",
+	"withdrawn": "cancelled",
+	"standby":   "spot",
+	"stow":      "save",
+	"bundle":    "image",
+}
+
+// themedIdentifiers are identifiers that have such a word nevertheless, after their directory. The list may
+// only shrink: an entry without an identifier fails the test too. All words are absent elsewhere, also those
+// that are plain English (bundle, charter, standby, tally).
+var themedIdentifiers = map[string]bool{
+	"internal/fake charters":    true,
+	"internal/simulation Berth": true,
+}
+
+// wireDirectory holds generated code, whose names are those of the frames between controllers.
+const wireDirectory = "peer/wire"
+
+func TestProtocolWordsStandOnlyAtTheEdge(t *testing.T) {
+	found := map[string]bool{}
+	files := 0
+	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		relative, err := filepath.Rel("..", path)
+		if err != nil {
+			return err
+		}
+		relative = filepath.ToSlash(relative)
+		if entry.IsDir() && (relative == wireDirectory || skippedDirectory(entry.Name())) {
+			return fs.SkipDir
+		}
+		if entry.IsDir() || !strings.HasSuffix(path, ".go") {
+			return nil
+		}
+		files++
+		return inspectIdentifiers(path, func(name string, position token.Position) {
+			key := filepath.ToSlash(filepath.Dir(relative)) + " " + name
+			word, themed := themedWord(name)
+			if !themed {
+				return
+			}
+			found[key] = true
+			if !themedIdentifiers[key] {
+				t.Errorf("%s: %s has the protocol's word %q; call it %s", position, name, word, protocolWords[word])
+			}
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if files < 100 {
+		t.Errorf("only %d Go files were found; the test does not run in the tree", files)
+	}
+	for _, key := range slices.Sorted(maps.Keys(themedIdentifiers)) {
+		if !found[key] {
+			t.Errorf("themedIdentifiers lists %q, which is gone; remove it there", key)
+		}
+	}
+}
+
+func TestThemedWordSplitsIdentifiers(t *testing.T) {
+	for name, want := range map[string]string{
+		"helm": "helm", "newHelm": "helm", "HelmOf": "helm", "HELM": "helm", "berthID": "berth", "hulls": "hull",
+		"bundleGB": "bundle", "tallies": "tally", "StowS": "stow", "withdrawnJobs": "withdrawn", "stand_by": "",
+		"overwhelming": "", "shardsToWrite": "", "newGBHelm": "helm", "HelmID": "helm", "IDHelmGB": "helm", "a1Hull2": "hull", "totally": "", "IdempotencyKey": "", "TermIDSeq": "",
+	} {
+		if got, _ := themedWord(name); got != want {
+			t.Errorf("%s: found %q, want %q", name, got, want)
+		}
+	}
+}
+
+// skippedDirectory tells whether a directory has no source: hidden ones, data, and what builds leave.
+func skippedDirectory(name string) bool {
+	switch name {
+	case "testdata", "journal", "target", "vendor":
+		return true
+	}
+	return name != ".." && strings.HasPrefix(name, ".")
+}
+
+// themedWord returns the first word of the protocol that is a word of the identifier, in singular or plural.
+func themedWord(identifier string) (string, bool) {
+	for _, part := range splitIdentifier(identifier) {
+		lower := strings.ToLower(part)
+		singulars := []string{lower, strings.TrimSuffix(lower, "s"), strings.TrimSuffix(lower, "ies") + "y"}
+		for _, word := range singulars {
+			if _, ok := protocolWords[word]; ok {
+				return word, true
+			}
+		}
+	}
+	return "", false
+}
+
+// splitIdentifier returns the words of an identifier, such as Term, ID and Seq of TermIDSeq.
+func splitIdentifier(identifier string) []string {
+	var words []string
+	start := 0
+	letters := []rune(identifier)
+	for index, letter := range letters {
+		switch {
+		case !unicode.IsLetter(letter):
+			words = append(words, string(letters[start:index]))
+			start = index + 1
+		case index > start && unicode.IsUpper(letter) && beginsWord(letters, index):
+			words = append(words, string(letters[start:index]))
+			start = index
+		}
+	}
+	return append(words, string(letters[start:]))
+}
+
+// beginsWord tells whether the upper-case letter at an index is not one in the middle of an initialism.
+func beginsWord(letters []rune, index int) bool {
+	return unicode.IsLower(letters[index-1]) || index+1 < len(letters) && unicode.IsLower(letters[index+1])
+}
+
+// inspectIdentifiers calls visit with every identifier of a Go file.
+func inspectIdentifiers(path string, visit func(name string, position token.Position)) error {
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return fmt.Errorf("reading identifiers: %w", err)
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		if identifier, ok := node.(*ast.Ident); ok {
+			visit(identifier.Name, fileSet.Position(identifier.Pos()))
+		}
+		return true
+	})
+	return nil
+}
