--- a/settings/settings.go
+++ b/settings/settings.go
@@ -92,21 +92,21 @@
 
 // Least are the limits that hold whether or not the announced ones are in force. What is
 // stored has to be within them from the first, as it is written again later.
-func (s State) Least() State {
-	if n := s.Next.WriteRPS; n > 0 {
-		s.WriteRPS = math.Min(s.WriteRPS, n)
+func (state State) Least() State {
+	if n := state.Next.WriteRPS; n > 0 {
+		state.WriteRPS = math.Min(state.WriteRPS, n)
 	}
-	if n := s.Next.ValueKB; n > 0 {
-		s.ValueKB = math.Min(s.ValueKB, n)
+	if n := state.Next.ValueKB; n > 0 {
+		state.ValueKB = math.Min(state.ValueKB, n)
 	}
-	if n := s.Next.TxnOps; n > 0 {
-		s.TxnOps = min(s.TxnOps, n)
+	if n := state.Next.TxnOps; n > 0 {
+		state.TxnOps = min(state.TxnOps, n)
 	}
-	return s
+	return state
 }
 
 // ValueBytes is the most bytes of a value.
-func (s State) ValueBytes() int { return int(s.ValueKB * 1024) }
+func (state State) ValueBytes() int { return int(state.ValueKB * 1024) }
 
 // Cloud holds the limits of the cloud.
 type Cloud struct {
@@ -144,7 +144,7 @@
 	return &s, s.check()
 }
 
-func (s *Settings) check() error {
+func (settings *Settings) check() error {
 	var bad []error
 	fail := func(field, want string) { bad = append(bad, fmt.Errorf("%s: %s", field, want)) }
 	addr := func(field, v string) {
@@ -158,15 +158,15 @@
 			fail(field, "must be a number above 0")
 		}
 	}
-	if s.Member == "" {
+	if settings.Member == "" {
 		fail("member", "is missing")
 	}
-	addr("serve_on", s.Listen)
-	addr("back", s.PeerListen)
-	addr("external.cloud", s.External.Cloud)
-	addr("external.state", s.External.State)
-	seen := map[string]bool{s.Member: true}
-	for i, p := range s.Peers {
+	addr("serve_on", settings.Listen)
+	addr("back", settings.PeerListen)
+	addr("external.cloud", settings.External.Cloud)
+	addr("external.state", settings.External.State)
+	seen := map[string]bool{settings.Member: true}
+	for i, p := range settings.Peers {
 		f := fmt.Sprintf("siblings[%d]", i)
 		if p.Member == "" || seen[p.Member] {
 			fail(f+".member", "is missing or stands twice")
@@ -174,23 +174,23 @@
 		seen[p.Member] = true
 		addr(f+".address", p.Address)
 	}
-	CheckTeams(s.Facts.Teams, func(i int, field, want string) {
+	CheckTeams(settings.Facts.Teams, func(i int, field, want string) {
 		name := fmt.Sprintf("facts.teams[%d]", i)
 		if field != "" {
 			name += "." + field
 		}
 		fail(name, want)
 	})
-	positive("facts.workers.report_s", s.Facts.Workers.ReportS)
-	positive("facts.workers.lease_s", s.Facts.Workers.LeaseS)
-	positive("facts.workers.cancel_s", s.Facts.Workers.CancelS)
-	positive("facts.state.rps", s.Facts.State.RPS)
-	positive("facts.state.write_rps", s.Facts.State.WriteRPS)
-	positive("facts.state.value_kb", s.Facts.State.ValueKB)
-	if s.Facts.State.TxnOps < 3 {
+	positive("facts.workers.report_s", settings.Facts.Workers.ReportS)
+	positive("facts.workers.lease_s", settings.Facts.Workers.LeaseS)
+	positive("facts.workers.cancel_s", settings.Facts.Workers.CancelS)
+	positive("facts.state.rps", settings.Facts.State.RPS)
+	positive("facts.state.write_rps", settings.Facts.State.WriteRPS)
+	positive("facts.state.value_kb", settings.Facts.State.ValueKB)
+	if settings.Facts.State.TxnOps < 3 {
 		fail("facts.state.txn_ops", "must be 3 or more")
 	}
-	next := s.Facts.State.Next
+	next := settings.Facts.State.Next
 	if !(next.WriteRPS >= 0) || math.IsInf(next.WriteRPS, 0) || !(next.ValueKB >= 0) || math.IsInf(next.ValueKB, 0) {
 		fail("facts.state.next", "limits must be numbers of 0 or more; 0 or left out: as now")
 	} else if next.ValueKB > 0 && next.ValueKB < 1 {
@@ -199,11 +199,11 @@
 	if next.TxnOps != 0 && next.TxnOps < 3 {
 		fail("facts.state.next.txn_ops", "must be 3 or more, or left out: as now")
 	}
-	positive("facts.cloud.rps", s.Facts.Cloud.RPS)
-	if !(s.Facts.Cloud.ListLagS >= 0) {
+	positive("facts.cloud.rps", settings.Facts.Cloud.RPS)
+	if !(settings.Facts.Cloud.ListLagS >= 0) {
 		fail("facts.cloud.list_lag_s", "must be 0 or more")
 	}
-	positive("facts.resources.ram_mb", s.Facts.Resources.RAMMB)
+	positive("facts.resources.ram_mb", settings.Facts.Resources.RAMMB)
 	if len(bad) == 0 {
 		return nil
 	}
@@ -232,8 +232,8 @@
 }
 
 // Team finds a team by name.
-func (s *Settings) Team(name string) (Team, bool) {
-	for _, t := range s.Facts.Teams {
+func (settings *Settings) Team(name string) (Team, bool) {
+	for _, t := range settings.Facts.Teams {
 		if t.Name == name {
 			return t, true
 		}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 member = "n0"
 site = "a"
 serve_on = "10.0.0.1:8080"
@@ -36,14 +36,14 @@
 ram_mb = 70.0
 `
 
-func TestUnknownFieldsAreIgnored(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+func TestParseIgnoresUnknownFields(t *testing.T) {
+	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Error(err)
 	}
 }
 
 // A wrong setting ends the process with one line that names the field.
-func TestMistakesNameTheField(t *testing.T) {
+func TestParseNamesWrongField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`member = "n0"`, ``, "member"},
 		{`serve_on = "10.0.0.1:8080"`, `serve_on = "here"`, "serve_on"},
@@ -54,7 +54,7 @@
 		{`txn_ops = 24`, `txn_ops = 1`, "facts.state.txn_ops"},
 		{`rps = 4.0`, `rps = nan`, "facts.cloud.rps"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want one line naming %s", c.new, err, c.want)
 		}
