--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,25 +1,21 @@
-// Package settings reads and checks the platform's settings file.
+// Package settings reads and checks the platform's settings file, which every controller is started
+// with. The file's own names stand only in the struct tags and in the messages of errors.
 package settings
 
-import (
-	"errors"
-	"fmt"
-	"math"
-	"net"
-	"os"
+import "math"
 
-	"github.com/pelletier/go-toml/v2"
-)
-
-// Settings is what the platform hands a controller.
+// Settings is the content of the settings file.
 type Settings struct {
-	Member     string   `toml:"member"`
-	Zone       string   `toml:"site"`
-	Listen     string   `toml:"serve_on"`
-	PeerListen string   `toml:"back"`
-	Peers      []Peer   `toml:"siblings"`
-	External   External `toml:"external"`
-	Facts      Facts    `toml:"facts"`
+	// Member is this controller's name, Zone where it is.
+	Member string `toml:"member"`
+	Zone   string `toml:"site"`
+	// Listen is the address for users, workers and health checks, PeerListen that for other controllers.
+	Listen     string `toml:"serve_on"`
+	PeerListen string `toml:"back"`
+	// Peers are the other controllers.
+	Peers    []Peer   `toml:"siblings"`
+	External External `toml:"external"`
+	Facts    Facts    `toml:"facts"`
 }
 
 // Peer is another controller.
@@ -29,7 +25,7 @@
 	Address string `toml:"address"`
 }
 
-// External holds the addresses of the services around us.
+// External holds the addresses of the services that controllers depend on.
 type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -37,8 +33,10 @@
 
 // Facts describes the deployment.
 type Facts struct {
-	Nodes      int         `toml:"nodes"`
-	Zones      []string    `toml:"zones"`
+	// Nodes is the number of controllers.
+	Nodes int      `toml:"nodes"`
+	Zones []string `toml:"zones"`
+	// ClockOffMS bounds how far a time of day is from the true time, in milliseconds.
 	ClockOffMS float64     `toml:"clock_off_ms"`
 	Teams      []Team      `toml:"teams"`
 	Objectives []Objective `toml:"objectives"`
@@ -48,50 +46,61 @@
 	Resources  Resources   `toml:"resources"`
 }
 
-// Team has guaranteed amounts and limits; 0 means none.
+// Team has the guarantee and the limit of a team. An amount of 0 means none.
 type Team struct {
-	Name     string  `toml:"name"`
+	Name string `toml:"name"`
+	// CPUs and Cards are guaranteed processors and accelerators; the others limit what the team uses.
 	CPUs     float64 `toml:"cpus"`
 	CPUsMax  float64 `toml:"cpus_max"`
 	Cards    float64 `toml:"gpus"`
 	CardsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one aim of the users.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
+	// Kind is "wait", for the time until a start, or "deadline", for that until the end.
+	Kind  string `toml:"kind"`
+	Class string `toml:"class"`
+	// WithinS is the longest wait in seconds.
 	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
+	// Share is the share of the jobs that should meet the objective.
+	Share float64 `toml:"share"`
+	// Times multiplies the deadline of a job.
+	Times float64 `toml:"times"`
 }
 
-// Workers holds the times that workers go by.
+// Workers holds the times that workers go by, in seconds.
 type Workers struct {
+	// ReportS is the interval of heartbeats.
 	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
+	// LeaseS is how long a worker keeps its tasks without an answer to a heartbeat.
+	LeaseS float64 `toml:"lease_s"`
+	// CancelS is within what time the tasks of a cancelled job must be gone.
 	CancelS float64 `toml:"cancel_s"`
 }
 
 // State holds the limits of the state service.
 type State struct {
+	// RPS and WriteRPS are requests, and puts and deletes, per second.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
-	// Next are limits that it will have from some moment on, without notice; 0: as now.
+	// ValueKB is the size of a value in KiB.
+	ValueKB float64 `toml:"value_kb"`
+	// TxnOps is the number of puts and deletes of a transaction.
+	TxnOps int `toml:"txn_ops"`
+	// Next are the limits that will hold from some moment on, without notice.
 	Next NextState `toml:"next"`
 }
 
-// NextState holds the announced limits of the state service.
+// NextState holds the announced limits of the state service; a limit of 0 stays as it is.
 type NextState struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Least are the limits that hold whether or not the announced ones are in force. What is
-// stored has to be within them from the first, as it is written again later.
+// Least returns the limits that hold whether or not the announced ones are in force. Everything stored has
+// to be within them from the start, since it is written again later.
 func (state State) Least() State {
 	if n := state.Next.WriteRPS; n > 0 {
 		state.WriteRPS = math.Min(state.WriteRPS, n)
@@ -105,133 +114,27 @@
 	return state
 }
 
-// ValueBytes is the most bytes of a value.
+// ValueBytes returns the largest size of a value in bytes.
 func (state State) ValueBytes() int { return int(state.ValueKB * 1024) }
 
 // Cloud holds the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
+	// RPS is requests per second.
+	RPS float64 `toml:"rps"`
+	// ListLagS is by how many seconds the list of machines is delayed, at times by twice as much.
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
 // Resources is what this process may use.
 type Resources struct {
-	CPU     float64 `toml:"cpu"`
+	// CPU is the share of one core.
+	CPU float64 `toml:"cpu"`
+	// RAMMB is the memory in megabytes.
 	RAMMB   float64 `toml:"ram_mb"`
 	Sockets int     `toml:"sockets"`
 }
 
-// Load reads a settings file and checks it; the error names the field.
-func Load(path string) (*Settings, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	return Parse(raw)
-}
-
-// Parse decodes and checks settings. Unknown fields are ignored.
-func Parse(raw []byte) (*Settings, error) {
-	var s Settings
-	if err := toml.Unmarshal(raw, &s); err != nil {
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, _ := de.Position()
-			return nil, fmt.Errorf("settings: line %d: %v: %v", row, de.Key(), de)
-		}
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	return &s, s.check()
-}
-
-func (settings *Settings) check() error {
-	var bad []error
-	fail := func(field, want string) { bad = append(bad, fmt.Errorf("%s: %s", field, want)) }
-	addr := func(field, v string) {
-		host, port, err := net.SplitHostPort(v)
-		if err != nil || net.ParseIP(host) == nil || port == "" {
-			fail(field, "must be an IP address and a port")
-		}
-	}
-	positive := func(field string, v float64) {
-		if !(v > 0) || math.IsInf(v, 0) {
-			fail(field, "must be a number above 0")
-		}
-	}
-	if settings.Member == "" {
-		fail("member", "is missing")
-	}
-	addr("serve_on", settings.Listen)
-	addr("back", settings.PeerListen)
-	addr("external.cloud", settings.External.Cloud)
-	addr("external.state", settings.External.State)
-	seen := map[string]bool{settings.Member: true}
-	for i, p := range settings.Peers {
-		f := fmt.Sprintf("siblings[%d]", i)
-		if p.Member == "" || seen[p.Member] {
-			fail(f+".member", "is missing or stands twice")
-		}
-		seen[p.Member] = true
-		addr(f+".address", p.Address)
-	}
-	CheckTeams(settings.Facts.Teams, func(i int, field, want string) {
-		name := fmt.Sprintf("facts.teams[%d]", i)
-		if field != "" {
-			name += "." + field
-		}
-		fail(name, want)
-	})
-	positive("facts.workers.report_s", settings.Facts.Workers.ReportS)
-	positive("facts.workers.lease_s", settings.Facts.Workers.LeaseS)
-	positive("facts.workers.cancel_s", settings.Facts.Workers.CancelS)
-	positive("facts.state.rps", settings.Facts.State.RPS)
-	positive("facts.state.write_rps", settings.Facts.State.WriteRPS)
-	positive("facts.state.value_kb", settings.Facts.State.ValueKB)
-	if settings.Facts.State.TxnOps < 3 {
-		fail("facts.state.txn_ops", "must be 3 or more")
-	}
-	next := settings.Facts.State.Next
-	if !(next.WriteRPS >= 0) || math.IsInf(next.WriteRPS, 0) || !(next.ValueKB >= 0) || math.IsInf(next.ValueKB, 0) {
-		fail("facts.state.next", "limits must be numbers of 0 or more; 0 or left out: as now")
-	} else if next.ValueKB > 0 && next.ValueKB < 1 {
-		fail("facts.state.next.value_kb", "must be 1 or more: a job's record takes up to 1 KiB")
-	}
-	if next.TxnOps != 0 && next.TxnOps < 3 {
-		fail("facts.state.next.txn_ops", "must be 3 or more, or left out: as now")
-	}
-	positive("facts.cloud.rps", settings.Facts.Cloud.RPS)
-	if !(settings.Facts.Cloud.ListLagS >= 0) {
-		fail("facts.cloud.list_lag_s", "must be 0 or more")
-	}
-	positive("facts.resources.ram_mb", settings.Facts.Resources.RAMMB)
-	if len(bad) == 0 {
-		return nil
-	}
-	if len(bad) == 1 {
-		return fmt.Errorf("settings: %w", bad[0])
-	}
-	return fmt.Errorf("settings: %w (and %d more)", bad[0], len(bad)-1)
-}
-
-// CheckTeams tells fail of each mistake in a list of teams: which team, the field, if it is one alone, and what it must
-// be.
-func CheckTeams(teams []Team, fail func(i int, field, want string)) {
-	names := map[string]bool{}
-	for i, t := range teams {
-		if t.Name == "" || names[t.Name] {
-			fail(i, "name", "is missing or stands twice")
-		}
-		names[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.Cards, t.CardsMax} {
-			if !(v >= 0) || math.IsInf(v, 0) {
-				fail(i, "", "amounts must be numbers of 0 or more")
-				break
-			}
-		}
-	}
-}
-
-// Team finds a team by name.
+// Team returns the team of a name; false: there is none.
 func (settings *Settings) Team(name string) (Team, bool) {
 	for _, t := range settings.Facts.Teams {
 		if t.Name == name {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -36,9 +36,40 @@
 ram_mb = 70.0
 `
 
+// New fields may come at any time, also tables and lists of them.
 func TestParseIgnoresUnknownFields(t *testing.T) {
-	if _, err := Parse([]byte(validSettings)); err != nil {
-		t.Error(err)
+	const unknown = "[facts.added]\nvalue = 1\n[[added]]\nvalue = \"a\"\n"
+	for _, text := range []string{validSettings, validSettings + unknown} {
+		settings, err := Parse([]byte(text))
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		if settings.Member != "n0" || settings.Facts.Resources.RAMMB != 70 || len(settings.Peers) != 1 {
+			t.Errorf("not all was read beside unknown fields: %+v", settings)
+		}
+	}
+}
+
+// A value of a wrong type is described in TOML's terms, with its line, and without Go's names.
+func TestParseDescribesWrongTypes(t *testing.T) {
+	for _, test := range []struct{ old, new, want string }{
+		{`lease_s = 10.0`, `lease_s = "long"`, "settings: line 19: facts.workers.lease_s: must be a number, not a string"},
+		{`txn_ops = 24`, `txn_ops = 1.5`, "settings: line 25: facts.state.txn_ops: must be a whole number, not a fraction"},
+		{"[[facts.teams]]\nname = \"t\"", `teams = "t"`, "settings: line 15: facts.teams: must be a list of tables, [[facts.teams]], not a string"},
+		{`member = "n1"`, `member = 1`, "settings: line 8: siblings.member: must be a string in quotes, not an integer"},
+		{`cloud = "10.2.0.2:8443"`, `cloud = `, "settings: line 12: : toml: unexpected character"},
+	} {
+		_, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
+		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%q: %v\nwant %s", test.new, err, test.want)
+			continue
+		}
+		for _, goName := range []string{"struct", "float64", "[]settings", "settings."} {
+			if strings.Contains(err.Error(), goName) {
+				t.Errorf("%q: %v names %q, which is Go's", test.new, err, goName)
+			}
+		}
 	}
 }
 
