--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -23,8 +23,8 @@
 
 // Paths of workers and agents.
 const (
-	reportPath  = "/v1/report"
-	stagingPath = "/v1/staging"
+	heartbeatPath      = "/v1/report"
+	stageHeartbeatPath = "/v1/staging"
 )
 
 // Controller is what the port serves.
@@ -45,43 +45,43 @@
 }
 
 // New makes the port's handler, which keeps to a budget of sockets.
-func New(n Controller, budget *connlimit.Limiter) http.Handler {
-	e := echo.New()
-	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = answerError
-	e.Use(countSockets(budget))
-	addUserPaths(e, n)
-	e.GET("/ready", func(c echo.Context) error {
-		if n.Ready() {
+func New(backend Controller, budget *connlimit.Limiter) http.Handler {
+	router := echo.New()
+	router.HideBanner, router.HidePort = true, true
+	router.HTTPErrorHandler = writeError
+	router.Use(classifyConnections(budget))
+	registerUserPaths(router, backend)
+	router.GET("/ready", func(c echo.Context) error {
+		if backend.Ready() {
 			return c.NoContent(http.StatusOK)
 		}
 		return c.NoContent(http.StatusServiceUnavailable)
 	})
-	e.POST(reportPath, func(c echo.Context) error { return report(c, n) })
-	if n.DataOn() {
-		e.POST(stagingPath, func(c echo.Context) error { return stage(c, n) })
+	router.POST(heartbeatPath, func(c echo.Context) error { return serveHeartbeat(c, backend) })
+	if backend.DataOn() {
+		router.POST(stageHeartbeatPath, func(c echo.Context) error { return serveStageHeartbeat(c, backend) })
 	}
-	return e
+	return router
 }
 
-// answerError answers what no handler did.
-func answerError(err error, c echo.Context) {
+// writeError answers what no handler did.
+func writeError(err error, c echo.Context) {
 	status := http.StatusInternalServerError
-	var he *echo.HTTPError
-	if errors.As(err, &he) {
-		status = he.Code
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		status = httpError.Code
 	}
 	if !c.Response().Committed {
 		_ = c.JSON(status, api.Error{Error: http.StatusText(status)})
 	}
 }
 
-// countSockets tells the budget whose each connection is.
-func countSockets(budget *connlimit.Limiter) echo.MiddlewareFunc {
+// classifyConnections tells the budget whose each connection is.
+func classifyConnections(budget *connlimit.Limiter) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			class := connlimit.User
-			if p := c.Path(); p == reportPath || p == stagingPath {
+			if p := c.Path(); p == heartbeatPath || p == stageHeartbeatPath {
 				class = connlimit.Worker
 				if budget.NearLimit() {
 					// It can come anew with its next report; a user's socket cannot wait.
@@ -94,66 +94,66 @@
 	}
 }
 
-// addUserPaths adds what users and operators ask for, as far as it is on.
-func addUserPaths(e *echo.Echo, n Controller) {
+// registerUserPaths adds what users and operators ask for, as far as it is on.
+func registerUserPaths(router *echo.Echo, backend Controller) {
 	user := func(verb string) echo.HandlerFunc {
-		return func(c echo.Context) error { return ask(c, n, verb) }
+		return func(c echo.Context) error { return serveUser(c, backend, verb) }
 	}
-	e.POST("/submissions", user(controller.VerbSubmit))
-	e.GET("/submissions/:id", user(controller.VerbStatus))
-	e.POST("/submissions/:id/cancel", user(controller.VerbCancel))
-	e.GET("/submissions/:id/explanation", user(controller.VerbExplain))
-	if n.MembersOn() {
-		e.GET("/members", user(controller.VerbMembers))
+	router.POST("/submissions", user(controller.VerbSubmit))
+	router.GET("/submissions/:id", user(controller.VerbStatus))
+	router.POST("/submissions/:id/cancel", user(controller.VerbCancel))
+	router.GET("/submissions/:id/explanation", user(controller.VerbExplain))
+	if backend.MembersOn() {
+		router.GET("/members", user(controller.VerbMembers))
 	}
-	if n.ConfigurationOn() {
-		e.GET("/configuration", user(controller.VerbConfiguration))
-		e.GET("/configuration/:id", user(controller.VerbConfiguration))
-		e.POST("/configuration", user(controller.VerbConfigure))
+	if backend.ConfigurationOn() {
+		router.GET("/configuration", user(controller.VerbConfiguration))
+		router.GET("/configuration/:id", user(controller.VerbConfiguration))
+		router.POST("/configuration", user(controller.VerbConfigure))
 	}
-	if n.TopologyOn() {
-		e.GET("/topology", user(controller.VerbTopology))
+	if backend.TopologyOn() {
+		router.GET("/topology", user(controller.VerbTopology))
 	}
-	if n.DataOn() {
-		e.GET("/datasets", user(controller.VerbData))
-		e.POST("/datasets", user(controller.VerbRegister))
-		e.POST("/datasets/:id/remove", user(controller.VerbRemove))
+	if backend.DataOn() {
+		router.GET("/datasets", user(controller.VerbData))
+		router.POST("/datasets", user(controller.VerbRegister))
+		router.POST("/datasets/:id/remove", user(controller.VerbRemove))
 	}
 }
 
-// withBody are the verbs whose requests have a body.
-var withBody = map[string]bool{controller.VerbSubmit: true, controller.VerbRegister: true, controller.VerbConfigure: true}
+// verbsWithBody are the verbs whose requests have a body.
+var verbsWithBody = map[string]bool{controller.VerbSubmit: true, controller.VerbRegister: true, controller.VerbConfigure: true}
 
-// ask answers a user's request.
-func ask(c echo.Context, n Controller, verb string) error {
-	r := peer.Request{Verb: verb, Job: c.Param("id")}
-	if withBody[verb] {
-		body, err := read(c, tuning.BodyLimit, errTooLong)
+// serveUser answers a user's request.
+func serveUser(c echo.Context, backend Controller, verb string) error {
+	request := peer.Request{Verb: verb, Job: c.Param("id")}
+	if verbsWithBody[verb] {
+		body, err := readBody(c, tuning.BodyLimit, errBodyTooLong)
 		if err != nil {
 			return c.JSON(http.StatusBadRequest, api.Error{Error: err.Error(), Field: "body"})
 		}
-		r.Body = body
+		request.Body = body
 	}
 	began := time.Now()
-	a := n.Handle(c.Request().Context(), r, false)
-	if a.RetryAfterS > 0 {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(a.RetryAfterS))
+	response := backend.Handle(c.Request().Context(), request, false)
+	if response.RetryAfterS > 0 {
+		c.Response().Header().Set("Retry-After", strconv.Itoa(response.RetryAfterS))
 	}
-	slog.Debug("answered", "verb", verb, "job", r.Job, "status", a.Status, "took", time.Since(began).Round(time.Millisecond), "body", string(a.Body))
-	return c.JSONBlob(a.Status, a.Body)
+	slog.Debug("answered", "verb", verb, "job", request.Job, "status", response.Status, "took", time.Since(began).Round(time.Millisecond), "body", string(response.Body))
+	return c.JSONBlob(response.Status, response.Body)
 }
 
-// checked is a report that can tell whether anything can be done with it.
-type checked interface{ Check() error }
+// checkable is a report that can tell whether anything can be done with it.
+type checkable interface{ Check() error }
 
-// readReport takes in a report of at most so many bytes; false: it is malformed, which was answered.
-func readReport(c echo.Context, r checked, limit int, tooLong error, of string) (body []byte, ok bool, err error) {
-	body, err = read(c, limit, tooLong)
+// readHeartbeat takes in a report of at most so many bytes; false: it is malformed, which was answered.
+func readHeartbeat(c echo.Context, heartbeat checkable, limit int, tooLong error, of string) (body []byte, ok bool, err error) {
+	body, err = readBody(c, limit, tooLong)
 	if err == nil {
-		err = json.Unmarshal(body, r)
+		err = json.Unmarshal(body, heartbeat)
 	}
 	if err == nil {
-		err = r.Check()
+		err = heartbeat.Check()
 	}
 	if err != nil {
 		slog.Error("malformed report of "+of, "from", c.Request().RemoteAddr, "err", err)
@@ -162,35 +162,35 @@
 	return body, true, nil
 }
 
-// report answers a worker.
-func report(c echo.Context, n Controller) error {
-	var r api.Heartbeat
-	body, ok, err := readReport(c, &r, tuning.BodyLimit, errTooLong, "a worker")
+// serveHeartbeat answers a worker.
+func serveHeartbeat(c echo.Context, backend Controller) error {
+	var heartbeat api.Heartbeat
+	body, ok, err := readHeartbeat(c, &heartbeat, tuning.BodyLimit, errBodyTooLong, "a worker")
 	if !ok {
 		return err
 	}
-	status, ans := n.HandleHeartbeat(c.Request().Context(), &r, body)
-	return c.JSON(status, ans)
+	status, response := backend.HandleHeartbeat(c.Request().Context(), &heartbeat, body)
+	return c.JSON(status, response)
 }
 
-// stage answers an agent.
-func stage(c echo.Context, n Controller) error {
-	var r api.StageHeartbeat
-	body, ok, err := readReport(c, &r, tuning.OrderLimit, errReportTooLong, "an agent")
+// serveStageHeartbeat answers an agent.
+func serveStageHeartbeat(c echo.Context, backend Controller) error {
+	var heartbeat api.StageHeartbeat
+	body, ok, err := readHeartbeat(c, &heartbeat, tuning.OrderLimit, errHeartbeatTooLong, "an agent")
 	if !ok {
 		return err
 	}
-	status, ans := n.HandleStageHeartbeat(c.Request().Context(), &r, body)
-	return c.JSON(status, ans)
+	status, response := backend.HandleStageHeartbeat(c.Request().Context(), &heartbeat, body)
+	return c.JSON(status, response)
 }
 
 var (
-	errTooLong       = errors.New("the body is over 64 KiB")
-	errReportTooLong = errors.New("the report is over 1 MiB")
+	errBodyTooLong      = errors.New("the body is over 64 KiB")
+	errHeartbeatTooLong = errors.New("the report is over 1 MiB")
 )
 
-// read takes in a body of at most so many bytes.
-func read(c echo.Context, limit int, tooLong error) ([]byte, error) {
+// readBody takes in a body of at most so many bytes.
+func readBody(c echo.Context, limit int, tooLong error) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, int64(limit)+1))
 	if err == nil && len(body) > limit {
 		err = tooLong
@@ -199,13 +199,13 @@
 }
 
 // Serve runs the port until the context ends. Connections of l that a budget counts are told to it.
-func Serve(ctx context.Context, l net.Listener, h http.Handler, budget *connlimit.Limiter) error {
-	s := &http.Server{Handler: h, ConnContext: connlimit.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler, budget *connlimit.Limiter) error {
+	server := &http.Server{Handler: handler, ConnContext: connlimit.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
 	go func() {
 		<-ctx.Done()
-		_ = s.Close()
+		_ = server.Close()
 	}()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -12,30 +12,30 @@
 )
 
 type fakeController struct {
-	got  peer.Request
-	data bool
+	lastRequest peer.Request
+	dataOn      bool
 }
 
-func (f *fakeController) TopologyOn() bool      { return false }
-func (f *fakeController) MembersOn() bool       { return false }
-func (f *fakeController) ConfigurationOn() bool { return false }
-func (f *fakeController) DataOn() bool          { return f.data }
-func (f *fakeController) HandleStageHeartbeat(_ context.Context, r *api.StageHeartbeat, _ []byte) (int, any) {
+func (fake *fakeController) TopologyOn() bool      { return false }
+func (fake *fakeController) MembersOn() bool       { return false }
+func (fake *fakeController) ConfigurationOn() bool { return false }
+func (fake *fakeController) DataOn() bool          { return fake.dataOn }
+func (fake *fakeController) HandleStageHeartbeat(_ context.Context, r *api.StageHeartbeat, _ []byte) (int, any) {
 	return 200, api.StageOrder{Term: 4, Order: r.Order}
 }
 
-func (f *fakeController) Ready() bool { return false }
-func (f *fakeController) HandleHeartbeat(context.Context, *api.Heartbeat, []byte) (int, any) {
+func (fake *fakeController) Ready() bool { return false }
+func (fake *fakeController) HandleHeartbeat(context.Context, *api.Heartbeat, []byte) (int, any) {
 	return 421, api.Redirect{Controller: "n1"}
 }
-func (f *fakeController) Handle(_ context.Context, r peer.Request, _ bool) peer.Response {
-	f.got = r
+func (fake *fakeController) Handle(_ context.Context, request peer.Request, _ bool) peer.Response {
+	fake.lastRequest = request
 	return peer.Response{Status: 503, Body: []byte(`{"error":"later"}`), RetryAfterS: 1}
 }
 
-func TestAnswers(t *testing.T) {
+func TestHandlerAnswers(t *testing.T) {
 	n := &fakeController{}
-	h := New(n, connlimit.NewLimiter(0))
+	handler := New(n, connlimit.NewLimiter(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -55,7 +55,7 @@
 		{"DELETE", "/submissions/run-1", "", 405, "error"},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		if w.Code != c.status || !strings.Contains(w.Body.String(), c.text) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
 		}
@@ -65,14 +65,14 @@
 		}
 	}
 	w := httptest.NewRecorder()
-	h.ServeHTTP(w, httptest.NewRequest("POST", "/submissions/run-7/cancel", nil))
-	if n.got.Verb != "cancel" || n.got.Job != "run-7" {
-		t.Errorf("passed on %+v", n.got)
+	handler.ServeHTTP(w, httptest.NewRequest("POST", "/submissions/run-7/cancel", nil))
+	if n.lastRequest.Verb != "cancel" || n.lastRequest.Job != "run-7" {
+		t.Errorf("passed on %+v", n.lastRequest)
 	}
 }
 
-func TestPathsOfDatasets(t *testing.T) {
-	h := New(&fakeController{data: true}, connlimit.NewLimiter(0))
+func TestDatasetPathsExistWhenFeatureIsOn(t *testing.T) {
+	handler := New(&fakeController{dataOn: true}, connlimit.NewLimiter(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -85,7 +85,7 @@
 		{"POST", "/v1/staging", strings.Repeat("x", 2<<20), 400, "1 MiB"},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 		if w.Code != c.status || !strings.Contains(w.Body.String(), c.text) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
 		}
--- a/httpapi/odd_test.go
+++ b/httpapi/odd_test.go
@@ -26,43 +26,43 @@
 	"switchferry/store"
 )
 
-// services are the state service and the cloud, the latter out of reach until its catalog may be read.
-type services struct {
-	state   http.RoundTripper
-	cloud   http.RoundTripper
-	catalog atomic.Bool
+// externalServices are the state service and the cloud, the latter out of reach until its catalog may be read.
+type externalServices struct {
+	state          http.RoundTripper
+	cloud          http.RoundTripper
+	cloudReachable atomic.Bool
 }
 
 // RoundTrip carries a call.
-func (s *services) RoundTrip(q *http.Request) (*http.Response, error) {
+func (s *externalServices) RoundTrip(request *http.Request) (*http.Response, error) {
 	switch {
-	case strings.HasPrefix(q.URL.Host, "state"):
-		return s.state.RoundTrip(q)
-	case !s.catalog.Load():
+	case strings.HasPrefix(request.URL.Host, "state"):
+		return s.state.RoundTrip(request)
+	case !s.cloudReachable.Load():
 		return nil, errors.New("the cloud is out of reach")
 	}
-	return s.cloud.RoundTrip(q)
+	return s.cloud.RoundTrip(request)
 }
 
-// nobody is a back port on which nobody calls.
-type nobody chan struct{}
+// silentListener is a back port on which nobody calls.
+type silentListener chan struct{}
 
 // Accept waits for ever.
-func (n nobody) Accept() (net.Conn, error) { <-n; return nil, net.ErrClosed }
+func (n silentListener) Accept() (net.Conn, error) { <-n; return nil, net.ErrClosed }
 
 // Close ends the port.
-func (n nobody) Close() error { return nil }
+func (n silentListener) Close() error { return nil }
 
 // Addr is not looked at.
-func (n nobody) Addr() net.Addr { return &net.TCPAddr{} }
+func (n silentListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-const valid = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":2,"cores":1,"cards":0,"ram_gb":1,
+const validBody = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":2,"cores":1,"cards":0,"ram_gb":1,
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
-// with is the valid body with one field changed; nil: left out.
-func with(field string, value any) string {
+// bodyWith is the valid body with one field changed; nil: left out.
+func bodyWith(field string, value any) string {
 	m := map[string]any{}
-	if json.Unmarshal([]byte(valid), &m) != nil {
+	if json.Unmarshal([]byte(validBody), &m) != nil {
 		panic("the valid body is not")
 	}
 	m[field] = value
@@ -76,7 +76,7 @@
 // Odd requests, through the port that users reach and a controller that leads: what lacks a field or cannot run is
 // refused with the field and a remedy, a known job never is, whatever the body says by now, and what cannot be judged
 // yet is put off at once.
-func TestOddRequests(t *testing.T) {
+func TestSubmissionsAreRefusedOrPutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		clock := clockwork.NewRealClock()
@@ -86,15 +86,15 @@
 			State: settings.State{RPS: 400, WriteRPS: 400, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}}
 		types := []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 1, BootS: 10, Zones: []string{"a", "b"}}}
 		state := fake.NewState(clock)
-		out := &services{state: state, cloud: fake.NewCloud(clock, types, 20)}
+		out := &externalServices{state: state, cloud: fake.NewCloud(clock, types, 20)}
 		n := controller.New(ctx, set, policy.Default(), clock, out)
-		back := make(nobody)
+		back := make(silentListener)
 		done := make(chan struct{})
 		go func() { n.Run(back); close(done) }()
-		h := httpapi.New(n, connlimit.NewLimiter(0))
+		handler := httpapi.New(n, connlimit.NewLimiter(0))
 		ask := func(method, path, body string) (int, string, string) {
 			w := httptest.NewRecorder()
-			h.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
+			handler.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
 			return w.Code, w.Body.String(), w.Header().Get("Retry-After")
 		}
 		check := func(method, path, body string, status int, words ...string) {
@@ -111,20 +111,20 @@
 		}
 		time.Sleep(5 * time.Second)
 		// Its types are not known yet: a new job is put off, one that is known is not.
-		check("POST", "/submissions", valid, 503, "machine types are not known")
+		check("POST", "/submissions", validBody, 503, "machine types are not known")
 		var known api.Submission
-		if err := json.Unmarshal([]byte(strings.Replace(valid, "run-000001", "run-000009", 1)), &known); err != nil {
+		if err := json.Unmarshal([]byte(strings.Replace(validBody, "run-000001", "run-000009", 1)), &known); err != nil {
 			t.Fatal(err)
 		}
 		state.Put(store.JobKey(known.ID), store.JobRecord{Job: known})
-		check("POST", "/submissions", strings.Replace(valid, "run-000001", "run-000009", 1), 200, `"status":"pending"`)
-		out.catalog.Store(true)
+		check("POST", "/submissions", strings.Replace(validBody, "run-000001", "run-000009", 1), 200, `"status":"pending"`)
+		out.cloudReachable.Store(true)
 		time.Sleep(time.Minute)
 
 		for _, field := range []string{"name_id", "jobclass", "owner", "shape", "rank", "parts", "cores", "cards", "ram_gb", "bundle", "size_gb", "together", "apart", "standby", "expect_s", "snapshot_s", "stow_s"} {
-			check("POST", "/submissions", with(field, nil), 400, `"field":"`+field+`"`, "is missing")
-			check("POST", "/submissions", with(field, json.RawMessage("null")), 400, `"field":"`+field+`"`, "is missing")
-			check("POST", "/submissions", with(field, []int{1}), 400, `"field":"`+field+`"`, "must ")
+			check("POST", "/submissions", bodyWith(field, nil), 400, `"field":"`+field+`"`, "is missing")
+			check("POST", "/submissions", bodyWith(field, json.RawMessage("null")), 400, `"field":"`+field+`"`, "is missing")
+			check("POST", "/submissions", bodyWith(field, []int{1}), 400, `"field":"`+field+`"`, "must ")
 		}
 		for _, c := range []struct {
 			field string
@@ -134,7 +134,7 @@
 			{"parts", 0, "between 1 and 100000"}, {"parts", 100_001, "between 1 and 100000"}, {"parts", 1.5, "must be an integer"}, {"parts", -1, "between 1 and 100000"},
 			{"cores", 0, "above 0"}, {"cores", -1, "between 0 and 1e9"}, {"ram_gb", 1e300, "between 0 and 1e9"}, {"expect_s", "long", "must be a number"}, {"due_s", -1, "between 0 and 1e9"},
 			{"hulls", []string{}, "must not be an empty list"}, {"hulls", "m8", "must be a list"}, {"berth", 7, "must be a string or null"}, {"together", "no", "must be true or false"}} {
-			check("POST", "/submissions", with(c.field, c.value), 400, `"field":"`+c.field+`"`, c.want)
+			check("POST", "/submissions", bodyWith(c.field, c.value), 400, `"field":"`+c.field+`"`, c.want)
 		}
 		for _, body := range []string{"", "{", "[]", "null", `"run-000001"`} {
 			check("POST", "/submissions", body, 400, `"field":"body"`, "must be a JSON object")
@@ -144,16 +144,16 @@
 			value any
 			names string
 		}{{"owner", "nobody", "owner"}, {"cores", 9, "cores"}, {"ram_gb", 33, "cores"}, {"cards", 1, "cores"}, {"size_gb", 21, "cores"}, {"hulls", []string{"m9"}, "cores"}, {"berth", "c", "cores"}} {
-			check("POST", "/submissions", with(c.field, c.value), 422, `"field":"`+c.names+`"`)
+			check("POST", "/submissions", bodyWith(c.field, c.value), 422, `"field":"`+c.names+`"`)
 		}
-		check("POST", "/submissions", strings.Replace(with("shape", "standing"), `"parts":2`, `"parts":41`, 1), 422, `"field":"parts"`, "limit")
+		check("POST", "/submissions", strings.Replace(bodyWith("shape", "standing"), `"parts":2`, `"parts":41`, 1), 422, `"field":"parts"`, "limit")
 		check("GET", "/submissions/run-000001", "", 404)
 		check("POST", "/submissions/run-000001/cancel", "", 404)
 		check("POST", "/submissions/nothing/cancel", "", 404)
 
 		// Accepted, it is known in any words, before and after it is over.
-		check("POST", "/submissions", valid, 201, `"status":"pending"`)
-		repeats := []string{valid, with("owner", "nobody"), with("cores", nil), with("parts", 0), with("hulls", []string{"m9"}), with("cores", 1000)}
+		check("POST", "/submissions", validBody, 201, `"status":"pending"`)
+		repeats := []string{validBody, bodyWith("owner", "nobody"), bodyWith("cores", nil), bodyWith("parts", 0), bodyWith("hulls", []string{"m9"}), bodyWith("cores", 1000)}
 		for _, body := range repeats {
 			check("POST", "/submissions", body, 200, `"status":"pending"`)
 		}
@@ -167,9 +167,9 @@
 		// In an outage, what cannot be looked up is put off; what is known to be over is told.
 		state.Outage(true)
 		time.Sleep(3 * time.Second)
-		check("POST", "/submissions", with("name_id", "run-000002"), 503)
-		check("POST", "/submissions", strings.Replace(with("cores", 1000), "run-000001", "run-000002", 1), 503)
-		check("POST", "/submissions", with("cores", 1000), 200, `"status":"withdrawn"`)
+		check("POST", "/submissions", bodyWith("name_id", "run-000002"), 503)
+		check("POST", "/submissions", strings.Replace(bodyWith("cores", 1000), "run-000001", "run-000002", 1), 503)
+		check("POST", "/submissions", bodyWith("cores", 1000), 200, `"status":"withdrawn"`)
 		state.Outage(false)
 		stop()
 		close(back)
