--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -1,50 +1,60 @@
-// Package httpapi is the port for users, workers and health checks.
+// Package httpapi is the HTTP port of a controller for users, operators, workers, data agents and
+// health checks. It decodes and checks requests, hands them to the controller, and encodes the
+// answers. What is decided about a request is the controller's matter.
 package httpapi
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"time"
 
 	"github.com/labstack/echo/v4"
 
 	"switchferry/api"
 	"switchferry/connlimit"
-	"switchferry/controller"
 	"switchferry/peer"
 	"switchferry/tuning"
 )
 
-// Paths of workers and agents.
+// Paths of workers and data agents.
 const (
 	heartbeatPath      = "/v1/report"
 	stageHeartbeatPath = "/v1/staging"
 )
 
-// Controller is what the port serves.
+// Limits of a connection.
+const (
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 16 << 10
+)
+
+// Controller handles the requests of the port. Its methods are called concurrently. Those that tell
+// whether a feature is on are asked once, by New.
 type Controller interface {
+	// Ready tells whether the controller can take requests.
 	Ready() bool
-	HandleHeartbeat(ctx context.Context, r *api.Heartbeat, raw []byte) (status int, body any)
-	Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Response
-	// DataOn tells whether datasets are on; only then their paths exist. HandleStageHeartbeat answers
-	// an agent's report.
+	// Handle handles a request of a user or operator; forwarded is false for those of this port.
+	Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response
+	// HandleHeartbeat handles the heartbeat of a worker, which raw is the body of, and returns an HTTP
+	// status and what to answer as JSON.
+	HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any)
+	// HandleStageHeartbeat does the same for the heartbeat of a data agent.
+	HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any)
+	// DataOn tells whether the dataset feature is on. The paths of a feature exist only if it is.
 	DataOn() bool
-	// TopologyOn and MembersOn tell whether a topology is declared, and membership on; only then
-	// their paths exist.
+	// TopologyOn tells whether a topology is declared.
 	TopologyOn() bool
+	// MembersOn tells whether the membership feature is on.
 	MembersOn() bool
-	// ConfigurationOn tells whether the configuration can change while the node runs.
+	// ConfigurationOn tells whether the live configuration feature is on.
 	ConfigurationOn() bool
-	HandleStageHeartbeat(ctx context.Context, r *api.StageHeartbeat, raw []byte) (status int, body any)
 }
 
-// New makes the port's handler, which keeps to a budget of sockets.
+// New returns the handler of the port. Every connection is reported to the budget of sockets as a user's
+// or a worker's.
 func New(backend Controller, budget *connlimit.Limiter) http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -64,27 +74,27 @@
 	return router
 }
 
-// writeError answers what no handler did.
+// writeError answers a request that no handler has answered.
 func writeError(err error, c echo.Context) {
 	status := http.StatusInternalServerError
-	var httpError *echo.HTTPError
-	if errors.As(err, &httpError) {
+	if httpError, ok := errors.AsType[*echo.HTTPError](err); ok {
 		status = httpError.Code
 	}
 	if !c.Response().Committed {
+		// The client is gone if this fails, and asks again if it still wants an answer.
 		_ = c.JSON(status, api.Error{Error: http.StatusText(status)})
 	}
 }
 
-// classifyConnections tells the budget whose each connection is.
+// classifyConnections returns a middleware that tells the budget what kind of client a connection has.
 func classifyConnections(budget *connlimit.Limiter) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			class := connlimit.User
-			if p := c.Path(); p == heartbeatPath || p == stageHeartbeatPath {
+			if path := c.Path(); path == heartbeatPath || path == stageHeartbeatPath {
 				class = connlimit.Worker
 				if budget.NearLimit() {
-					// It can come anew with its next report; a user's socket cannot wait.
+					// A worker can connect anew for its next heartbeat; a user's connection cannot wait.
 					c.Response().Header().Set("Connection", "close")
 				}
 			}
@@ -94,102 +104,7 @@
 	}
 }
 
-// registerUserPaths adds what users and operators ask for, as far as it is on.
-func registerUserPaths(router *echo.Echo, backend Controller) {
-	user := func(verb string) echo.HandlerFunc {
-		return func(c echo.Context) error { return serveUser(c, backend, verb) }
-	}
-	router.POST("/submissions", user(controller.VerbSubmit))
-	router.GET("/submissions/:id", user(controller.VerbStatus))
-	router.POST("/submissions/:id/cancel", user(controller.VerbCancel))
-	router.GET("/submissions/:id/explanation", user(controller.VerbExplain))
-	if backend.MembersOn() {
-		router.GET("/members", user(controller.VerbMembers))
-	}
-	if backend.ConfigurationOn() {
-		router.GET("/configuration", user(controller.VerbConfiguration))
-		router.GET("/configuration/:id", user(controller.VerbConfiguration))
-		router.POST("/configuration", user(controller.VerbConfigure))
-	}
-	if backend.TopologyOn() {
-		router.GET("/topology", user(controller.VerbTopology))
-	}
-	if backend.DataOn() {
-		router.GET("/datasets", user(controller.VerbData))
-		router.POST("/datasets", user(controller.VerbRegister))
-		router.POST("/datasets/:id/remove", user(controller.VerbRemove))
-	}
-}
-
-// verbsWithBody are the verbs whose requests have a body.
-var verbsWithBody = map[string]bool{controller.VerbSubmit: true, controller.VerbRegister: true, controller.VerbConfigure: true}
-
-// serveUser answers a user's request.
-func serveUser(c echo.Context, backend Controller, verb string) error {
-	request := peer.Request{Verb: verb, Job: c.Param("id")}
-	if verbsWithBody[verb] {
-		body, err := readBody(c, tuning.BodyLimit, errBodyTooLong)
-		if err != nil {
-			return c.JSON(http.StatusBadRequest, api.Error{Error: err.Error(), Field: "body"})
-		}
-		request.Body = body
-	}
-	began := time.Now()
-	response := backend.Handle(c.Request().Context(), request, false)
-	if response.RetryAfterS > 0 {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(response.RetryAfterS))
-	}
-	slog.Debug("answered", "verb", verb, "job", request.Job, "status", response.Status, "took", time.Since(began).Round(time.Millisecond), "body", string(response.Body))
-	return c.JSONBlob(response.Status, response.Body)
-}
-
-// checkable is a report that can tell whether anything can be done with it.
-type checkable interface{ Check() error }
-
-// readHeartbeat takes in a report of at most so many bytes; false: it is malformed, which was answered.
-func readHeartbeat(c echo.Context, heartbeat checkable, limit int, tooLong error, of string) (body []byte, ok bool, err error) {
-	body, err = readBody(c, limit, tooLong)
-	if err == nil {
-		err = json.Unmarshal(body, heartbeat)
-	}
-	if err == nil {
-		err = heartbeat.Check()
-	}
-	if err != nil {
-		slog.Error("malformed report of "+of, "from", c.Request().RemoteAddr, "err", err)
-		return nil, false, c.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
-	}
-	return body, true, nil
-}
-
-// serveHeartbeat answers a worker.
-func serveHeartbeat(c echo.Context, backend Controller) error {
-	var heartbeat api.Heartbeat
-	body, ok, err := readHeartbeat(c, &heartbeat, tuning.BodyLimit, errBodyTooLong, "a worker")
-	if !ok {
-		return err
-	}
-	status, response := backend.HandleHeartbeat(c.Request().Context(), &heartbeat, body)
-	return c.JSON(status, response)
-}
-
-// serveStageHeartbeat answers an agent.
-func serveStageHeartbeat(c echo.Context, backend Controller) error {
-	var heartbeat api.StageHeartbeat
-	body, ok, err := readHeartbeat(c, &heartbeat, tuning.OrderLimit, errHeartbeatTooLong, "an agent")
-	if !ok {
-		return err
-	}
-	status, response := backend.HandleStageHeartbeat(c.Request().Context(), &heartbeat, body)
-	return c.JSON(status, response)
-}
-
-var (
-	errBodyTooLong      = errors.New("the body is over 64 KiB")
-	errHeartbeatTooLong = errors.New("the report is over 1 MiB")
-)
-
-// readBody takes in a body of at most so many bytes.
+// readBody reads a body of at most limit bytes; a longer one is the error tooLong.
 func readBody(c echo.Context, limit int, tooLong error) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, int64(limit)+1))
 	if err == nil && len(body) > limit {
@@ -198,12 +113,20 @@
 	return body, err
 }
 
-// Serve runs the port until the context ends. Connections of l that a budget counts are told to it.
+// Serve runs the port on a listener until ctx ends, and then returns nil. Connections that the budget counts, which are
+// those of its own listener, are reported to it.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, budget *connlimit.Limiter) error {
-	server := &http.Server{Handler: handler, ConnContext: connlimit.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
+	server := &http.Server{
+		Handler:           handler,
+		ConnContext:       connlimit.Context,
+		ConnState:         budget.State,
+		ReadHeaderTimeout: tuning.HeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close()
+		_ = server.Close() // Serve below reports whatever matters.
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -55,7 +55,7 @@
 		{"DELETE", "/submissions/run-1", "", 405, "error"},
 	} {
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body)))
 		if w.Code != c.status || !strings.Contains(w.Body.String(), c.text) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
 		}
@@ -65,7 +65,7 @@
 		}
 	}
 	w := httptest.NewRecorder()
-	handler.ServeHTTP(w, httptest.NewRequest("POST", "/submissions/run-7/cancel", nil))
+	handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "/submissions/run-7/cancel", nil))
 	if n.lastRequest.Verb != "cancel" || n.lastRequest.Job != "run-7" {
 		t.Errorf("passed on %+v", n.lastRequest)
 	}
@@ -85,7 +85,7 @@
 		{"POST", "/v1/staging", strings.Repeat("x", 2<<20), 400, "1 MiB"},
 	} {
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body)))
 		if w.Code != c.status || !strings.Contains(w.Body.String(), c.text) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
 		}
--- a/httpapi/odd_test.go
+++ b/httpapi/submissions_test.go
@@ -26,7 +26,7 @@
 	"switchferry/store"
 )
 
-// externalServices are the state service and the cloud, the latter out of reach until its catalog may be read.
+// externalServices carries calls to the state service and the cloud; the latter is unreachable at first.
 type externalServices struct {
 	state          http.RoundTripper
 	cloud          http.RoundTripper
@@ -44,22 +44,22 @@
 	return s.cloud.RoundTrip(request)
 }
 
-// silentListener is a back port on which nobody calls.
+// silentListener is a listener for peers to which none connects.
 type silentListener chan struct{}
 
-// Accept waits for ever.
-func (n silentListener) Accept() (net.Conn, error) { <-n; return nil, net.ErrClosed }
+// Accept blocks until the channel is closed.
+func (listener silentListener) Accept() (net.Conn, error) { <-listener; return nil, net.ErrClosed }
 
-// Close ends the port.
-func (n silentListener) Close() error { return nil }
+// Close does nothing.
+func (silentListener) Close() error { return nil }
 
-// Addr is not looked at.
-func (n silentListener) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns an address that nobody looks at.
+func (silentListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 const validBody = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":2,"cores":1,"cards":0,"ram_gb":1,
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
-// bodyWith is the valid body with one field changed; nil: left out.
+// bodyWith returns the valid body with one field changed; nil leaves the field out.
 func bodyWith(field string, value any) string {
 	m := map[string]any{}
 	if json.Unmarshal([]byte(validBody), &m) != nil {
@@ -73,12 +73,12 @@
 	return string(raw)
 }
 
-// Odd requests, through the port that users reach and a controller that leads: what lacks a field or cannot run is
-// refused with the field and a remedy, a known job never is, whatever the body says by now, and what cannot be judged
-// yet is put off at once.
+// Submissions go through the port to a controller that leads. One that lacks a field or can never run is refused with
+// the field and a remedy. A known job is never refused, whatever the body says by now. A job that cannot be decided yet
+// is put off with Retry-After.
 func TestSubmissionsAreRefusedOrPutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(context.Background())
+		ctx, stop := context.WithCancel(t.Context())
 		clock := clockwork.NewRealClock()
 		set := &settings.Settings{Member: "n0", Zone: "a"}
 		set.External = settings.External{State: "state:1", Cloud: "cloud:1"}
@@ -94,7 +94,7 @@
 		handler := httpapi.New(n, connlimit.NewLimiter(0))
 		ask := func(method, path, body string) (int, string, string) {
 			w := httptest.NewRecorder()
-			handler.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
+			handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader([]byte(body))))
 			return w.Code, w.Body.String(), w.Header().Get("Retry-After")
 		}
 		check := func(method, path, body string, status int, words ...string) {
@@ -110,7 +110,7 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		// Its types are not known yet: a new job is put off, one that is known is not.
+		// The machine types are not known yet: a new job is put off, a known one is answered.
 		check("POST", "/submissions", validBody, 503, "machine types are not known")
 		var known api.Submission
 		if err := json.Unmarshal([]byte(strings.Replace(validBody, "run-000001", "run-000009", 1)), &known); err != nil {
@@ -151,7 +151,7 @@
 		check("POST", "/submissions/run-000001/cancel", "", 404)
 		check("POST", "/submissions/nothing/cancel", "", 404)
 
-		// Accepted, it is known in any words, before and after it is over.
+		// A repeated submission is answered with the job's state whatever its body says, before and after the job ends.
 		check("POST", "/submissions", validBody, 201, `"status":"pending"`)
 		repeats := []string{validBody, bodyWith("owner", "nobody"), bodyWith("cores", nil), bodyWith("parts", 0), bodyWith("hulls", []string{"m9"}), bodyWith("cores", 1000)}
 		for _, body := range repeats {
@@ -164,7 +164,7 @@
 		check("POST", "/submissions/run-000001/cancel", "", 200, `"status":"withdrawn"`)
 		check("GET", "/submissions/run-000001", "", 200, `"status":"withdrawn"`)
 
-		// In an outage, what cannot be looked up is put off; what is known to be over is told.
+		// In an outage, a job that cannot be looked up is put off; the state of a job that is over is answered.
 		state.Outage(true)
 		time.Sleep(3 * time.Second)
 		check("POST", "/submissions", bodyWith("name_id", "run-000002"), 503)
