--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -35,13 +35,13 @@
 		limiter: rate.NewLimiter(rate.Limit(rps*tuning.QuotaShare), max(1, int(rps)))}
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
-	if err := c.limiter.Wait(ctx); err != nil {
+func (client *Client) call(ctx context.Context, method, path string, body, into any) error {
+	if err := client.limiter.Wait(ctx); err != nil {
 		return err
 	}
 	ctx, stop := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer stop()
-	status, raw, err := rest.Do(ctx, c.http, method, c.base+path, body)
+	status, raw, err := rest.Do(ctx, client.http, method, client.base+path, body)
 	if err != nil {
 		return err
 	}
@@ -65,11 +65,11 @@
 }
 
 // Catalog reads the types of machines.
-func (c *Client) Catalog(ctx context.Context) ([]api.MachineType, error) {
+func (client *Client) Catalog(ctx context.Context) ([]api.MachineType, error) {
 	var ans struct {
 		Types []api.MachineType `json:"hulls"`
 	}
-	err := c.call(ctx, http.MethodGet, "/catalog", nil, &ans)
+	err := client.call(ctx, http.MethodGet, "/catalog", nil, &ans)
 	if err == nil && len(ans.Types) == 0 {
 		err = errors.New("an empty catalog")
 	}
@@ -77,21 +77,21 @@
 }
 
 // Rent asks for machines.
-func (c *Client) Rent(ctx context.Context, r api.InstanceRequest) ([]string, error) {
+func (client *Client) Rent(ctx context.Context, r api.InstanceRequest) ([]string, error) {
 	var ans struct {
 		Machines []string `json:"hosts"`
 	}
-	err := c.call(ctx, http.MethodPost, "/machines", r, &ans)
+	err := client.call(ctx, http.MethodPost, "/machines", r, &ans)
 	return ans.Machines, err
 }
 
 // Return gives machines back: with nil, they and all on them are gone.
-func (c *Client) Return(ctx context.Context, names []string) error {
-	return c.call(ctx, http.MethodPost, "/machines/return", map[string][]string{"hosts": names}, nil)
+func (client *Client) Return(ctx context.Context, names []string) error {
+	return client.call(ctx, http.MethodPost, "/machines/return", map[string][]string{"hosts": names}, nil)
 }
 
 // List reads all machines, as the cloud saw them a while ago.
-func (c *Client) List(ctx context.Context) ([]api.Instance, error) {
+func (client *Client) List(ctx context.Context) ([]api.Instance, error) {
 	var out []api.Instance
 	after := ""
 	for {
@@ -103,7 +103,7 @@
 			Machines []api.Instance `json:"hosts"`
 			More     bool           `json:"more"`
 		}
-		if err := c.call(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &page); err != nil {
+		if err := client.call(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		out = append(out, page.Machines...)
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -11,15 +11,15 @@
 	"switchferry/api"
 )
 
-type scripted func(r *http.Request) (int, string)
+type scriptedTransport func(r *http.Request) (int, string)
 
-func (s scripted) RoundTrip(r *http.Request) (*http.Response, error) {
-	status, body := s(r)
+func (transport scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	status, body := transport(r)
 	return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body))}, nil
 }
 
 // Refusals, outages and malformed answers are told apart and survived.
-func TestAnswers(t *testing.T) {
+func TestRentTellsErrorsApart(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range []struct {
 		status int
@@ -34,20 +34,20 @@
 		{200, `{"hosts":`, errors.New("malformed"), 0},
 		{429, ``, errors.New("status"), 0},
 	} {
-		cl := New("x:1", 100, scripted(func(*http.Request) (int, string) { return c.status, c.body }))
+		cl := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return c.status, c.body }))
 		got, err := cl.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
 		if len(got) != c.n || (err == nil) != (c.want == nil) || c.want == ErrNoCapacity && !errors.Is(err, ErrNoCapacity) || c.want == ErrTrouble && !errors.Is(err, ErrTrouble) {
 			t.Errorf("%d %s: %v, %v", c.status, c.body, got, err)
 		}
 	}
-	empty := New("x:1", 100, scripted(func(*http.Request) (int, string) { return 200, `{}` }))
+	empty := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return 200, `{}` }))
 	if _, err := empty.Catalog(ctx); err == nil {
 		t.Error("an empty catalog was taken")
 	}
 }
 
-func TestListPages(t *testing.T) {
-	cl := New("x:1", 100, scripted(func(r *http.Request) (int, string) {
+func TestListReadsAllPages(t *testing.T) {
+	cl := New("x:1", 100, scriptedTransport(func(r *http.Request) (int, string) {
 		if r.URL.Query().Get("after") == "" {
 			return 200, `{"hosts":[{"name_id":"n-1"},{"name_id":"n-2"}],"more":true}`
 		}
--- a/features/features.go
+++ b/features/features.go
@@ -79,11 +79,11 @@
 }
 
 // Cache is the size of a type's cache in bytes.
-func (d *Data) Cache(machineType string) float64 {
-	if gb, ok := d.TypeCacheGB[machineType]; ok {
+func (data *Data) Cache(machineType string) float64 {
+	if gb, ok := data.TypeCacheGB[machineType]; ok {
 		return gb * 1e9
 	}
-	return d.CacheGB * 1e9
+	return data.CacheGB * 1e9
 }
 
 // Load reads and checks a features file; without a path everything is off.
@@ -119,34 +119,34 @@
 	return &f, nil
 }
 
-func (d *Data) check() (bad []error) {
+func (data *Data) check() (bad []error) {
 	fail := func(field, want string) { bad = append(bad, fmt.Errorf("data.%s: %s", field, want)) }
-	if u, err := url.Parse(d.Store); d.On && (err != nil || u.Scheme != "http" || u.Host == "") {
+	if u, err := url.Parse(data.Store); data.On && (err != nil || u.Scheme != "http" || u.Host == "") {
 		fail("store", "must be a URL like http://10.0.0.9:9000")
 	}
-	switch d.Placement {
+	switch data.Placement {
 	case Blind, Images, Local, Staged:
 	default:
-		fail("placement", fmt.Sprintf("must be staged, local, images or blind, not %q", d.Placement))
+		fail("placement", fmt.Sprintf("must be staged, local, images or blind, not %q", data.Placement))
 	}
 	amount := func(field string, v float64, zero bool) {
 		if !(v > 0 || zero && v == 0) || math.IsInf(v, 0) {
 			fail(field, "must be a number above 0")
 		}
 	}
-	amount("cache_gb", d.CacheGB, false)
-	for t, gb := range d.TypeCacheGB {
+	amount("cache_gb", data.CacheGB, false)
+	for t, gb := range data.TypeCacheGB {
 		amount("type_cache_gb."+t, gb, true)
 	}
-	amount("link_mb_per_s", d.LinkMBs, !d.On)
-	amount("store_mb_per_s", d.StoreMBs, !d.On)
-	for field, n := range map[string]int{"copies_per_link": d.PerLink, "copies_at_store": d.AtStore} {
+	amount("link_mb_per_s", data.LinkMBs, !data.On)
+	amount("store_mb_per_s", data.StoreMBs, !data.On)
+	for field, n := range map[string]int{"copies_per_link": data.PerLink, "copies_at_store": data.AtStore} {
 		if n < 1 || n > 64 {
 			fail(field, fmt.Sprintf("must be 1 to 64, not %d", n))
 		}
 	}
-	if d.Ahead < 0 || d.Ahead > tuning.AheadMost {
-		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, d.Ahead))
+	if data.Ahead < 0 || data.Ahead > tuning.AheadMost {
+		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, data.Ahead))
 	}
 	return bad
 }
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -7,7 +7,7 @@
 )
 
 // A file with many mistakes names all of them: one a try would take its writer all night.
-func TestEveryMistakeIsNamed(t *testing.T) {
+func TestParseNamesEveryWrongSetting(t *testing.T) {
 	_, err := Parse([]byte("[data]\non = true\nstore = \"ftp://x\"\nplacement = \"best\"\ncache_gb = -1\ncopies_per_link = 0\nahead = 3\n[other]\nx = 1\n"))
 	for _, want := range []string{"data.store", "data.placement", "data.cache_gb", "data.link_mb_per_s", "data.store_mb_per_s", "data.copies_per_link", "line 7: data.ahead", "other"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestOffWithoutAFile(t *testing.T) {
+func TestLoadWithoutFileHasEverythingOff(t *testing.T) {
 	f, err := Load("")
 	if err != nil || f.Data.On {
 		t.Fatal(f, err)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestTheFileThatIsShippedIsValid(t *testing.T) {
+func TestShippedFileIsValid(t *testing.T) {
 	raw, err := os.ReadFile("../deploy/features.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -34,8 +34,8 @@
 }
 
 func TestHandlerAnswers(t *testing.T) {
-	n := &fakeController{}
-	handler := New(n, connlimit.NewLimiter(0))
+	backend := &fakeController{}
+	handler := New(backend, connlimit.NewLimiter(0))
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -66,8 +66,8 @@
 	}
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "/submissions/run-7/cancel", nil))
-	if n.lastRequest.Verb != "cancel" || n.lastRequest.Job != "run-7" {
-		t.Errorf("passed on %+v", n.lastRequest)
+	if backend.lastRequest.Verb != "cancel" || backend.lastRequest.Job != "run-7" {
+		t.Errorf("passed on %+v", backend.lastRequest)
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -36,13 +36,13 @@
 type Vars map[string]float64
 
 type setting struct {
-	doc      string
-	fallback string
-	vars     []string
-	min, max float64
+	description string
+	fallback    string
+	variables   []string
+	min, max    float64
 }
 
-var known = map[string]setting{
+var settings = map[string]setting{
 	SlotS: {"length of a slot of the water-filling, in seconds", "2",
 		nil, 0.1, 600},
 	FetchPenalty: {"slots added to the busy time of a machine that lacks the image", "ceil(fetch_s / slot_s)",
@@ -68,9 +68,9 @@
 	warned map[string]bool
 }
 
-func compile(name, text string) (*vm.Program, error) {
+func compileExpression(name, text string) (*vm.Program, error) {
 	env := map[string]any{}
-	for _, v := range known[name].vars {
+	for _, v := range settings[name].variables {
 		env[v] = 0.0
 	}
 	return expr.Compile(text, expr.Env(env), expr.AsFloat64())
@@ -79,12 +79,12 @@
 // Default is the built-in policy.
 func Default() *Policy {
 	p := &Policy{programs: map[string]*vm.Program{}, defaults: map[string]*vm.Program{}, warned: map[string]bool{}}
-	for name, s := range known {
-		prog, err := compile(name, s.fallback)
+	for name, s := range settings {
+		program, err := compileExpression(name, s.fallback)
 		if err != nil {
 			panic(fmt.Sprintf("built-in policy %s: %v", name, err))
 		}
-		p.programs[name], p.defaults[name] = prog, prog
+		p.programs[name], p.defaults[name] = program, program
 	}
 	return p
 }
@@ -119,7 +119,7 @@
 			bad = append(bad, fmt.Errorf("policy: line %d: want name = expression", line))
 			continue
 		}
-		if _, ok := known[name]; !ok {
+		if _, ok := settings[name]; !ok {
 			bad = append(bad, fmt.Errorf("policy: line %d: %s: no such setting; there are %s", line, name, strings.Join(Names(), ", ")))
 			continue
 		}
@@ -128,7 +128,7 @@
 			continue
 		}
 		seen[name] = line
-		if err := p.set(name, strings.TrimSpace(body)); err != nil {
+		if err := p.setExpression(name, strings.TrimSpace(body)); err != nil {
 			bad = append(bad, fmt.Errorf("policy: line %d: %s: %w", line, name, err))
 		}
 	}
@@ -141,20 +141,20 @@
 	return p, nil
 }
 
-// set compiles one setting and puts it in place of its default.
-func (p *Policy) set(name, body string) error {
-	prog, err := compile(name, body)
+// setExpression compiles one setting and puts it in place of its default.
+func (policy *Policy) setExpression(name, body string) error {
+	program, err := compileExpression(name, body)
 	if err != nil {
 		first, _, _ := strings.Cut(err.Error(), "\n")
 		return fmt.Errorf("want a number: %s", first)
 	}
-	if s := known[name]; len(s.vars) == 0 {
+	if s := settings[name]; len(s.variables) == 0 {
 		// It does not hang on anything, so that it is out of range shows here.
-		if v, err := run(prog, nil); err == nil && !(v >= s.min && v <= s.max) {
+		if v, err := evaluate(program, nil); err == nil && !(v >= s.min && v <= s.max) {
 			return fmt.Errorf("is %g, want %g to %g", v, s.min, s.max)
 		}
 	}
-	p.programs[name] = prog
+	policy.programs[name] = program
 	return nil
 }
 
@@ -163,11 +163,11 @@
 func Of(expressions map[string]string, tell func(name, want string)) *Policy {
 	p := Default()
 	for _, name := range slices.Sorted(maps.Keys(expressions)) {
-		if _, ok := known[name]; !ok {
+		if _, ok := settings[name]; !ok {
 			tell(name, "no such setting; there are "+strings.Join(Names(), ", "))
 			continue
 		}
-		if err := p.set(name, strings.TrimSpace(expressions[name])); err != nil {
+		if err := p.setExpression(name, strings.TrimSpace(expressions[name])); err != nil {
 			tell(name, err.Error())
 		}
 	}
@@ -177,7 +177,7 @@
 // Names lists the settings.
 func Names() []string {
 	var out []string
-	for n := range known {
+	for n := range settings {
 		out = append(out, n)
 	}
 	sort.Strings(out)
@@ -186,39 +186,39 @@
 
 // Describe is a setting's meaning, its default and its variables.
 func Describe(name string) (doc, fallback string, vars []string) {
-	s := known[name]
-	return s.doc, s.fallback, s.vars
+	s := settings[name]
+	return s.description, s.fallback, s.variables
 }
 
 // Value evaluates a setting. An expression that fails or gives a value out of
 // range is replaced by the default, which is logged once.
-func (p *Policy) Value(name string, vars Vars) float64 {
-	s := known[name]
-	v, err := run(p.programs[name], vars)
+func (policy *Policy) Value(name string, vars Vars) float64 {
+	s := settings[name]
+	v, err := evaluate(policy.programs[name], vars)
 	if err == nil && v >= s.min && v <= s.max {
 		return v
 	}
-	d, derr := run(p.defaults[name], vars)
+	d, derr := evaluate(policy.defaults[name], vars)
 	if derr != nil {
 		d = s.min
 	}
 	d = math.Min(math.Max(d, s.min), s.max)
-	p.mu.Lock()
-	first := !p.warned[name]
-	p.warned[name] = true
-	p.mu.Unlock()
+	policy.mu.Lock()
+	first := !policy.warned[name]
+	policy.warned[name] = true
+	policy.mu.Unlock()
 	if first {
 		slog.Error("policy: using the default", "setting", name, "value", v, "err", err, "least", s.min, "most", s.max)
 	}
 	return d
 }
 
-func run(prog *vm.Program, vars Vars) (float64, error) {
+func evaluate(program *vm.Program, vars Vars) (float64, error) {
 	env := make(map[string]any, len(vars))
 	for k, v := range vars {
 		env[k] = v
 	}
-	out, err := expr.Run(prog, env)
+	out, err := expr.Run(program, env)
 	if err != nil {
 		return 0, err
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDefaultsAndOverride(t *testing.T) {
+func TestParseOverridesDefaults(t *testing.T) {
 	p, err := Parse("# nightly\nslot_s = 5 + 7\n\nfetch_penalty = fetch_s > 30 ? 9.0 : 1.0\n")
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 }
 
 // Every mistake is reported, with its line and the setting's name.
-func TestMistakes(t *testing.T) {
+func TestParseNamesEveryError(t *testing.T) {
 	_, err := Parse("slot_s = \"long\"\nslotz = 3\nheadroom_cpus = demand +\nno equals\nslot_s = 4\nbegin_by_s = 400\n")
 	if err == nil {
 		t.Fatal("taken")
@@ -37,7 +37,7 @@
 }
 
 // A value that makes no sense at run time falls back to the default.
-func TestNonsenseFallsBack(t *testing.T) {
+func TestValueFallsBackToDefault(t *testing.T) {
 	p, err := Parse("idle_keep_s = 0 - boot_s\nspot_share = 1 / demand_cpus")
 	if err != nil {
 		t.Fatal(err)
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -27,10 +27,10 @@
 }
 
 // Send delivers commands. The report is the worker's, after them if executed.
-func (c *Client) Send(ctx context.Context, addr string, o api.HeartbeatResponse) (*api.Heartbeat, bool, error) {
+func (client *Client) Send(ctx context.Context, addr string, o api.HeartbeatResponse) (*api.Heartbeat, bool, error) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, c.http, http.MethodPost, "http://"+addr+"/orders", o)
+	status, body, err := rest.Do(ctx, client.http, http.MethodPost, "http://"+addr+"/orders", o)
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -12,11 +12,11 @@
 	"switchferry/api"
 )
 
-type scripted func() (*http.Response, error)
+type scriptedTransport func() (*http.Response, error)
 
-func (s scripted) RoundTrip(*http.Request) (*http.Response, error) { return s() }
+func (s scriptedTransport) RoundTrip(*http.Request) (*http.Response, error) { return s() }
 
-func says(status int, body string) scripted {
+func answering(status int, body string) scriptedTransport {
 	return func() (*http.Response, error) {
 		return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
@@ -24,24 +24,24 @@
 
 // Only a connection that never came about proves that a command was not sent;
 // everything else may still be executed.
-func TestCertainty(t *testing.T) {
+func TestSendTellsWhetherCommandsMayHaveArrived(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		rt      scripted
+		rt      scriptedTransport
 		fails   bool
 		notSent bool
 		done    bool
 	}{
-		{"executed", says(200, `{"host":"m","watch":1}`), false, false, true},
-		{"refused", says(409, `{"host":"m","watch":2}`), false, false, false},
+		{"executed", answering(200, `{"host":"m","watch":1}`), false, false, true},
+		{"refused", answering(409, `{"host":"m","watch":2}`), false, false, false},
 		{"no connection", func() (*http.Response, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 		}, true, true, false},
 		{"reset", func() (*http.Response, error) {
 			return nil, &net.OpError{Op: "read", Err: errors.New("reset")}
 		}, true, false, false},
-		{"garbage", says(200, `{"host":`), true, false, false},
-		{"trouble", says(500, ``), true, false, false},
+		{"garbage", answering(200, `{"host":`), true, false, false},
+		{"trouble", answering(500, ``), true, false, false},
 	} {
 		_, done, err := New(c.rt).Send(context.Background(), "m:1", api.HeartbeatResponse{})
 		if (err != nil) != c.fails || errors.Is(err, ErrNotSent) != c.notSent || done != c.done {
