--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -1,7 +1,6 @@
 package cloud
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -20,7 +19,7 @@
 
 // Refusals, outages and malformed answers are told apart and survived.
 func TestRentTellsErrorsApart(t *testing.T) {
-	ctx := context.Background()
+	ctx := t.Context()
 	for _, c := range []struct {
 		status int
 		body   string
@@ -36,7 +35,7 @@
 	} {
 		cl := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return c.status, c.body }))
 		got, err := cl.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
-		if len(got) != c.n || (err == nil) != (c.want == nil) || c.want == ErrNoCapacity && !errors.Is(err, ErrNoCapacity) || c.want == ErrTrouble && !errors.Is(err, ErrTrouble) {
+		if len(got) != c.n || (err == nil) != (c.want == nil) || errors.Is(c.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(c.want, ErrTrouble) && !errors.Is(err, ErrTrouble) {
 			t.Errorf("%d %s: %v, %v", c.status, c.body, got, err)
 		}
 	}
@@ -53,7 +52,7 @@
 		}
 		return 200, `{"hosts":[{"name_id":"n-3"}],"more":false}`
 	}))
-	list, err := cl.List(context.Background())
+	list, err := cl.List(t.Context())
 	if err != nil || len(list) != 3 || list[2].Name != "n-3" {
 		t.Errorf("%+v %v", list, err)
 	}
--- a/features/features.go
+++ b/features/features.go
@@ -1,5 +1,5 @@
-// Package features reads and checks the features file: what is switched on beyond the
-// scheduler's core, and how. It does not know what the features do.
+// Package features reads and checks the features file: which optional features are on, and their
+// settings. What the features do is not this package's matter.
 package features
 
 import (
@@ -15,78 +15,85 @@
 	"switchferry/tuning"
 )
 
-// How tasks with inputs are placed.
+// How tasks with inputs are placed, and where their inputs are copied from.
 const (
-	// Blind weighs neither images nor inputs, and copies from the store alone.
+	// Blind takes neither cached images nor cached inputs into account, and copies from the store alone.
 	Blind = "blind"
-	// Images weighs images, and copies inputs from the store alone.
+	// Images takes cached images into account, and copies inputs from the store alone.
 	Images = "images"
-	// Local weighs both, copies from peers, and begins once a machine has room.
+	// Local takes both into account, and copies from other machines too, once the task has a machine.
 	Local = "local"
-	// Staged is Local and copies ahead for queued tasks.
+	// Staged is Local, and also copies ahead for queued tasks.
 	Staged = "staged"
 )
 
-// Features is the features file. The zero value has everything off.
+// Features is the content of the features file. In the zero value every feature is off.
 type Features struct {
-	Data     Data     `toml:"data"`
+	// Data lets jobs have datasets as inputs.
+	Data Data `toml:"data"`
+	// Topology lets jobs constrain the placement of their tasks by the declared topology.
 	Topology Topology `toml:"topology"`
-	// Membership has controllers tell each other whom they hear, watch each other, show how
-	// they stand, and hand over when told to end.
+	// Membership has controllers announce which peers they hear, watch each other, show the members'
+	// state to operators, and transfer leadership on a graceful shutdown.
 	Membership Membership `toml:"membership"`
 	// Configuration lets operators change teams, policy, some switches and the topology while the service runs.
 	Configuration Configuration `toml:"configuration"`
 }
 
-// Configuration says whether the configuration can change while the service runs.
+// Configuration switches live configuration.
 type Configuration struct {
 	On bool `toml:"on"`
 }
 
-// Membership says whether controllers watch each other.
+// Membership switches membership.
 type Membership struct {
 	On bool `toml:"on"`
 }
 
-// Topology says where the file is that tells what machines stand together, and so whether jobs
-// may ask to.
+// Topology switches placement constraints by topology.
 type Topology struct {
-	// File is its path, from the features file's directory unless absolute; "": off.
+	// File is the path of the topology file, relative to the features file's directory unless absolute.
+	// The feature is off if it is empty.
 	File string `toml:"file"`
 }
 
-// Data says whether and how jobs may have datasets as inputs.
+// Data switches datasets as inputs, and has their settings.
 type Data struct {
 	On bool `toml:"on"`
-	// Store is the base URL of the store of datasets.
+	// Store is the base URL of the store of datasets, without a slash at the end.
 	Store string `toml:"store"`
 	// Placement is Blind, Images, Local or Staged; the first three are for comparison.
 	Placement string `toml:"placement"`
-	// CacheGB is the size of an agent's cache in gigabytes of 1e9 bytes; TypeCacheGB
-	// that on machines of a type.
+	// CacheGB is the size of an agent's cache in gigabytes of 1e9 bytes, TypeCacheGB the size on machines
+	// of a type.
 	CacheGB     float64            `toml:"cache_gb"`
 	TypeCacheGB map[string]float64 `toml:"type_cache_gb"`
-	// LinkMBs is what a machine's link carries each way, StoreMBs what the store gives,
-	// in megabytes of 1e6 bytes a second.
+	// LinkMBs is the rate of a machine's link in each direction, StoreMBs that of the store, in megabytes
+	// of 1e6 bytes a second.
 	LinkMBs  float64 `toml:"link_mb_per_s"`
 	StoreMBs float64 `toml:"store_mb_per_s"`
-	// PerLink and AtStore are how many copies a link, and the store, carry at once.
+	// PerLink and AtStore limit the concurrent copies of a link and of the store.
 	PerLink int `toml:"copies_per_link"`
 	AtStore int `toml:"copies_at_store"`
-	// Ahead is how many queued tasks a machine, beyond those with room, get their
-	// inputs copied.
+	// Ahead is for how many queued tasks per machine, beyond those that have a machine, inputs are copied ahead.
 	Ahead int `toml:"ahead_tasks"`
 }
 
-// Cache is the size of a type's cache in bytes.
+// copiesMost is the largest limit of concurrent copies that may be set.
+const copiesMost = 64
+
+// bytesPerGB is the number of bytes in the gigabytes of the features file.
+const bytesPerGB = 1e9
+
+// Cache returns the size in bytes of an agent's cache on machines of a type.
 func (data *Data) Cache(machineType string) float64 {
-	if gb, ok := data.TypeCacheGB[machineType]; ok {
-		return gb * 1e9
+	if gigabytes, ok := data.TypeCacheGB[machineType]; ok {
+		return gigabytes * bytesPerGB
 	}
-	return data.CacheGB * 1e9
+	return data.CacheGB * bytesPerGB
 }
 
-// Load reads and checks a features file; without a path everything is off.
+// Load reads a features file and checks it as Parse does. With an empty path every feature is off.
 func Load(path string) (*Features, error) {
 	if path == "" {
 		return &Features{}, nil
@@ -95,33 +102,42 @@
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	f, err := Parse(raw)
-	if err == nil && f.Topology.File != "" && !filepath.IsAbs(f.Topology.File) {
-		f.Topology.File = filepath.Join(filepath.Dir(path), f.Topology.File)
+	features, err := Parse(raw)
+	if err != nil {
+		return nil, err
+	}
+	if file := features.Topology.File; file != "" && !filepath.IsAbs(file) {
+		features.Topology.File = filepath.Join(filepath.Dir(path), file)
 	}
-	return f, err
+	return features, nil
 }
 
-// Parse decodes and checks. The error lists every mistake, by field: a name that is not
-// known is one, since whoever wrote it expects it to do something.
+// Parse decodes and checks the text of a features file. The error lists every wrong setting by its name.
+// An unknown name is one, since who wrote it expects an effect.
 func Parse(raw []byte) (*Features, error) {
-	f := Features{Data: Data{Placement: Staged, CacheGB: tuning.StageCacheGB, PerLink: tuning.StagePerLink,
-		AtStore: tuning.StageAtStore, Ahead: tuning.StageAhead}}
-	bad, err := stricttoml.Decode(raw, &f)
+	features := Features{Data: Data{
+		Placement: Staged,
+		CacheGB:   tuning.StageCacheGB,
+		PerLink:   tuning.StagePerLink,
+		AtStore:   tuning.StageAtStore,
+		Ahead:     tuning.StageAhead,
+	}}
+	wrong, err := stricttoml.Decode(raw, &features)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	bad = append(bad, f.Data.check()...)
-	if len(bad) > 0 {
-		return nil, fmt.Errorf("features: %w", errors.Join(bad...))
+	wrong = append(wrong, features.Data.check()...)
+	if len(wrong) > 0 {
+		return nil, fmt.Errorf("features: %w", errors.Join(wrong...))
 	}
-	f.Data.Store = strings.TrimRight(f.Data.Store, "/")
-	return &f, nil
+	features.Data.Store = strings.TrimRight(features.Data.Store, "/")
+	return &features, nil
 }
 
-func (data *Data) check() (bad []error) {
-	fail := func(field, want string) { bad = append(bad, fmt.Errorf("data.%s: %s", field, want)) }
-	if u, err := url.Parse(data.Store); data.On && (err != nil || u.Scheme != "http" || u.Host == "") {
+// check returns an error for every wrong setting.
+func (data *Data) check() (wrong []error) {
+	fail := func(field, want string) { wrong = append(wrong, fmt.Errorf("data.%s: %s", field, want)) }
+	if store, err := url.Parse(data.Store); data.On && (err != nil || store.Scheme != "http" || store.Host == "") {
 		fail("store", "must be a URL like http://10.0.0.9:9000")
 	}
 	switch data.Placement {
@@ -129,24 +145,24 @@
 	default:
 		fail("placement", fmt.Sprintf("must be staged, local, images or blind, not %q", data.Placement))
 	}
-	amount := func(field string, v float64, zero bool) {
-		if !(v > 0 || zero && v == 0) || math.IsInf(v, 0) {
+	amount := func(field string, value float64, mayBeZero bool) {
+		if !(value > 0 || mayBeZero && value == 0) || math.IsInf(value, 0) {
 			fail(field, "must be a number above 0")
 		}
 	}
 	amount("cache_gb", data.CacheGB, false)
-	for t, gb := range data.TypeCacheGB {
-		amount("type_cache_gb."+t, gb, true)
+	for machineType, gigabytes := range data.TypeCacheGB {
+		amount("type_cache_gb."+machineType, gigabytes, true)
 	}
 	amount("link_mb_per_s", data.LinkMBs, !data.On)
 	amount("store_mb_per_s", data.StoreMBs, !data.On)
-	for field, n := range map[string]int{"copies_per_link": data.PerLink, "copies_at_store": data.AtStore} {
-		if n < 1 || n > 64 {
-			fail(field, fmt.Sprintf("must be 1 to 64, not %d", n))
+	for field, copies := range map[string]int{"copies_per_link": data.PerLink, "copies_at_store": data.AtStore} {
+		if copies < 1 || copies > copiesMost {
+			fail(field, fmt.Sprintf("must be 1 to %d, not %d", copiesMost, copies))
 		}
 	}
 	if data.Ahead < 0 || data.Ahead > tuning.AheadMost {
 		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, data.Ahead))
 	}
-	return bad
+	return wrong
 }
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A file with many mistakes names all of them: one a try would take its writer all night.
+// All errors of a file are reported at once.
 func TestParseNamesEveryWrongSetting(t *testing.T) {
 	_, err := Parse([]byte("[data]\non = true\nstore = \"ftp://x\"\nplacement = \"best\"\ncache_gb = -1\ncopies_per_link = 0\nahead = 3\n[other]\nx = 1\n"))
 	for _, want := range []string{"data.store", "data.placement", "data.cache_gb", "data.link_mb_per_s", "data.store_mb_per_s", "data.copies_per_link", "line 7: data.ahead", "other"} {
--- /dev/null
+++ b/policy/parse.go
@@ -0,0 +1,62 @@
+package policy
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// Parse reads the text of a policy file over the built-in policy. Each line has the form
+// `name = expression`; an empty line, or one that starts with #, is skipped. The error has one line for
+// each wrong line of the file.
+func Parse(text string) (*Policy, error) {
+	parser := parser{policy: Default(), lines: map[string]int{}}
+	var wrong []error
+	scanner := bufio.NewScanner(strings.NewReader(text))
+	for line := 1; scanner.Scan(); line++ {
+		if err := parser.parseLine(line, strings.TrimSpace(scanner.Text())); err != nil {
+			wrong = append(wrong, fmt.Errorf("policy: line %d: %w", line, err))
+		}
+	}
+	if err := scanner.Err(); err != nil {
+		wrong = append(wrong, fmt.Errorf("policy: %w", err))
+	}
+	if len(wrong) > 0 {
+		return nil, errors.Join(wrong...)
+	}
+	return parser.policy, nil
+}
+
+// errNoEquals refuses a line that sets nothing.
+var errNoEquals = errors.New("want name = expression")
+
+// parser puts the lines of a policy file into a policy.
+type parser struct {
+	policy *Policy
+	// lines has the line in which each setting was set.
+	lines map[string]int
+}
+
+// parseLine puts one line into the policy.
+func (parser *parser) parseLine(line int, text string) error {
+	if text == "" || strings.HasPrefix(text, "#") {
+		return nil
+	}
+	name, expression, ok := strings.Cut(text, "=")
+	if !ok {
+		return errNoEquals
+	}
+	name = strings.TrimSpace(name)
+	if _, ok := settings[name]; !ok {
+		return fmt.Errorf("%s: %w", name, errUnknownSetting())
+	}
+	if before := parser.lines[name]; before > 0 {
+		return fmt.Errorf("%s: already set in line %d", name, before)
+	}
+	parser.lines[name] = line
+	if err := parser.policy.setExpression(name, strings.TrimSpace(expression)); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	return nil
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,14 +21,14 @@
 	}
 }
 
-// Every mistake is reported, with its line and the setting's name.
+// Every error is reported, with its line and the setting's name.
 func TestParseNamesEveryError(t *testing.T) {
 	_, err := Parse("slot_s = \"long\"\nslotz = 3\nheadroom_cpus = demand +\nno equals\nslot_s = 4\nbegin_by_s = 400\n")
 	if err == nil {
 		t.Fatal("taken")
 	}
 	for _, want := range []string{"line 1: slot_s", "line 2: slotz", "line 3: headroom_cpus", "line 4:", "line 5: slot_s: already set in line 1",
-		// Whoever sets it so lets jobs wait longer than their users bear.
+		// With this value jobs would wait longer than their users accept.
 		"line 6: begin_by_s: is 400, want 10 to 200"} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("no %q in %v", want, err)
@@ -36,7 +36,7 @@
 	}
 }
 
-// A value that makes no sense at run time falls back to the default.
+// An expression whose value is invalid at run time is replaced by the built-in one.
 func TestValueFallsBackToDefault(t *testing.T) {
 	p, err := Parse("idle_keep_s = 0 - boot_s\nspot_share = 1 / demand_cpus")
 	if err != nil {
--- /dev/null
+++ b/policy/settings.go
@@ -0,0 +1,63 @@
+package policy
+
+import (
+	"maps"
+	"slices"
+
+	"switchferry/tuning"
+)
+
+// Names of the settings in the policy file. The table below describes them.
+const (
+	SlotS        = "slot_s"
+	FetchPenalty = "fetch_penalty"
+	HeadroomCPUs = "headroom_cpus"
+	IdleKeepS    = "idle_keep_s"
+	SpotShare    = "spot_share"
+	ReserveCPUs  = "reserve_cpus"
+	BeginByS     = "begin_by_s"
+)
+
+// setting is what is known of a setting.
+type setting struct {
+	// description says what the setting is, with its unit.
+	description string
+	// fallback is the built-in expression.
+	fallback string
+	// variables may be used in expressions.
+	variables []string
+	// min and max are the range of valid values.
+	min, max float64
+}
+
+// inRange tells whether a value is valid.
+func (setting setting) inRange(value float64) bool {
+	return value >= setting.min && value <= setting.max
+}
+
+// settings has all settings by name.
+var settings = map[string]setting{
+	SlotS: {"length of a slot of the water-filling, in seconds", "2",
+		nil, 0.1, 600},
+	FetchPenalty: {"slots added to the busy time of a machine that lacks the image", "ceil(fetch_s / slot_s)",
+		[]string{"fetch_s", "slot_s"}, 0, 1e6},
+	HeadroomCPUs: {"processors to keep beyond what unfinished jobs ask for", "0.4 * demand_cpus + 0.25 * guaranteed_cpus",
+		[]string{"demand_cpus", "guaranteed_cpus"}, 0, 1e6},
+	IdleKeepS: {"how long a machine stays without work before it is returned, in seconds", "max(20, 8 * boot_s)",
+		[]string{"boot_s"}, 0, 1e6},
+	ReserveCPUs: {"processors that jobs of rank low leave free while others have work", "0.1 * owned_cpus",
+		[]string{"owned_cpus"}, 0, 1e6},
+	BeginByS: {"how long a job may wait without a start before it has one task's turn ahead of all but production, in seconds", "150",
+		nil, 10, tuning.BeginMostS},
+	SpotShare: {"largest share of all processors that spot machines may be", "1",
+		[]string{"demand_cpus"}, 0, 1},
+}
+
+// Names returns the names of all settings in alphabetical order.
+func Names() []string { return slices.Sorted(maps.Keys(settings)) }
+
+// Describe returns the description of a setting, its built-in expression, and its variables.
+func Describe(name string) (description, fallback string, variables []string) {
+	setting := settings[name]
+	return setting.description, setting.fallback, setting.variables
+}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,4 +1,5 @@
-// Package worker sends commands directly to workers.
+// Package worker is the client for commands that controllers send directly to workers, beside those in the
+// answers to heartbeats.
 package worker
 
 import (
@@ -14,36 +15,38 @@
 	"switchferry/tuning"
 )
 
-// ErrNotSent means: the command certainly did not reach the worker. Any other error
-// leaves it open whether and when the command is executed.
+// ErrNotSent tells that the commands certainly did not reach the worker, and never will. Any other error
+// leaves open whether and when they are executed.
 var ErrNotSent = errors.New("not sent")
 
-// Client sends commands.
+// Client sends commands to workers. It may be used concurrently.
 type Client struct{ http *http.Client }
 
-// New makes a client.
+// New returns a client that uses the given transport.
 func New(transport http.RoundTripper) *Client {
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Send delivers commands. The report is the worker's, after them if executed.
-func (client *Client) Send(ctx context.Context, addr string, o api.HeartbeatResponse) (*api.Heartbeat, bool, error) {
+// Send sends commands to the worker at an address, for tuning.WorkerTimeout at most. The heartbeat that
+// it returns is the worker's answer. Executed tells that it describes the state after the commands; else
+// the worker refused them, because of a lower term or another incarnation, and executed none.
+func (client *Client) Send(ctx context.Context, addr string, commands api.HeartbeatResponse) (heartbeat *api.Heartbeat, executed bool, err error) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
-	status, body, err := rest.Do(ctx, client.http, http.MethodPost, "http://"+addr+"/orders", o)
-	var op *net.OpError
-	switch {
-	case errors.As(err, &op) && op.Op == "dial":
+	status, body, err := rest.Do(ctx, client.http, http.MethodPost, "http://"+addr+"/orders", commands)
+	if networkError, ok := errors.AsType[*net.OpError](err); ok && networkError.Op == "dial" {
 		// A connection attempt that was given up does not complete later.
 		return nil, false, fmt.Errorf("%w: %w", ErrNotSent, err)
-	case err != nil:
-		return nil, false, err
-	case status != http.StatusOK && status != http.StatusConflict:
-		return nil, false, fmt.Errorf("status %d", status)
 	}
-	var r api.Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, false, fmt.Errorf("malformed report: %w", err)
+	if err != nil {
+		return nil, false, fmt.Errorf("sending commands to %s: %w", addr, err)
 	}
-	return &r, status == http.StatusOK, r.Check()
+	if status != http.StatusOK && status != http.StatusConflict {
+		return nil, false, fmt.Errorf("sending commands to %s: status %d", addr, status)
+	}
+	heartbeat = &api.Heartbeat{}
+	if err := json.Unmarshal(body, heartbeat); err != nil {
+		return nil, false, fmt.Errorf("malformed heartbeat of %s: %w", addr, err)
+	}
+	return heartbeat, status == http.StatusOK, heartbeat.Check()
 }
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -1,7 +1,6 @@
 package worker
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net"
@@ -43,7 +42,7 @@
 		{"garbage", answering(200, `{"host":`), true, false, false},
 		{"trouble", answering(500, ``), true, false, false},
 	} {
-		_, done, err := New(c.rt).Send(context.Background(), "m:1", api.HeartbeatResponse{})
+		_, done, err := New(c.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
 		if (err != nil) != c.fails || errors.Is(err, ErrNotSent) != c.notSent || done != c.done {
 			t.Errorf("%s: done %v, %v", c.name, done, err)
 		}
