--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 member = "n0"
 site = "a"
 serve_on = "10.0.0.1:8080"
@@ -36,14 +36,45 @@
 ram_mb = 70.0
 `
 
-func TestUnknownFieldsAreIgnored(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
-		t.Error(err)
+// New fields may come at any time, also tables and lists of them.
+func TestParseIgnoresUnknownFields(t *testing.T) {
+	const unknown = "[facts.added]\nvalue = 1\n[[added]]\nvalue = \"a\"\n"
+	for _, text := range []string{validSettings, validSettings + unknown} {
+		settings, err := Parse([]byte(text))
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		if settings.Member != "n0" || settings.Facts.Resources.RAMMB != 70 || len(settings.Peers) != 1 {
+			t.Errorf("not all was read beside unknown fields: %+v", settings)
+		}
+	}
+}
+
+// A value of a wrong type is described in TOML's terms, with its line, and without Go's names.
+func TestParseDescribesWrongTypes(t *testing.T) {
+	for _, test := range []struct{ old, new, want string }{
+		{`lease_s = 10.0`, `lease_s = "long"`, "settings: line 19: facts.workers.lease_s: must be a number, not a string"},
+		{`txn_ops = 24`, `txn_ops = 1.5`, "settings: line 25: facts.state.txn_ops: must be a whole number, not a fraction"},
+		{"[[facts.teams]]\nname = \"t\"", `teams = "t"`, "settings: line 15: facts.teams: must be a list of tables, [[facts.teams]], not a string"},
+		{`member = "n1"`, `member = 1`, "settings: line 8: siblings.member: must be a string in quotes, not an integer"},
+		{`cloud = "10.2.0.2:8443"`, `cloud = `, "settings: line 12: : toml: unexpected character"},
+	} {
+		_, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
+		if err == nil || !strings.HasPrefix(err.Error(), test.want) {
+			t.Errorf("%q: %v\nwant %s", test.new, err, test.want)
+			continue
+		}
+		for _, goName := range []string{"struct", "float64", "[]settings", "settings."} {
+			if strings.Contains(err.Error(), goName) {
+				t.Errorf("%q: %v names %q, which is Go's", test.new, err, goName)
+			}
+		}
 	}
 }
 
 // A wrong setting ends the process with one line that names the field.
-func TestMistakesNameTheField(t *testing.T) {
+func TestParseNamesWrongField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`member = "n0"`, ``, "member"},
 		{`serve_on = "10.0.0.1:8080"`, `serve_on = "here"`, "serve_on"},
@@ -54,7 +85,7 @@
 		{`txn_ops = 24`, `txn_ops = 1`, "facts.state.txn_ops"},
 		{`rps = 4.0`, `rps = nan`, "facts.cloud.rps"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want one line naming %s", c.new, err, c.want)
 		}
