--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -11,84 +11,86 @@
 
 // Proxy answers agents in place of a leader that their controller does not reach. It
 // decides nothing: reports go into a box for the leader, and the order that the leader
-// sent last comes back. Agents refuse what is older than what they keep, so an order that
+// orderSentAt last comes back. Agents refuse what is older than what they keep, so an order that
 // comes late or twice does no harm, and proofs rest on what the leader reads in reports,
 // whichever way these came. It is not safe for use from several goroutines at once.
 type Proxy struct {
 	Outbox *relay.Outbox
 	Inbox  relay.Reader
-	// spoke is what each agent said last, without what changes all the time; holds are
+	// agents is what each agent said last, without what changes all the time; holds are
 	// what it said that it holds, as of a version.
-	spoke map[string]*spoke
+	agents map[string]*relayedAgent
 }
 
-type spoke struct {
-	session, version uint64
-	holds            []api.StageHeld
-	has              bool
-	said             []byte
+type relayedAgent struct {
+	incarnation, replicasVersion uint64
+	replicas                     []api.StageHeld
+	replicasKnown                bool
+	lastStatus                   []byte
 }
 
 // NewProxy makes a proxy whose reports go into a box.
-func NewProxy(box *relay.Outbox) *Proxy { return &Proxy{Outbox: box, spoke: map[string]*spoke{}} }
+func NewProxy(box *relay.Outbox) *Proxy {
+	return &Proxy{Outbox: box, agents: map[string]*relayedAgent{}}
+}
 
 // HandleHeartbeat takes in a report for the leader of a term, and gives what the agent is told.
-func (p *Proxy) HandleHeartbeat(r api.StageHeartbeat, term uint64, now time.Time) (o api.StageOrder, err error) {
-	if p.Outbox.Term() != term {
-		p.Outbox.Reset(term)
-		p.spoke = map[string]*spoke{}
+func (proxy *Proxy) HandleHeartbeat(heartbeat api.StageHeartbeat, term uint64, now time.Time) (order api.StageOrder, err error) {
+	if proxy.Outbox.Term() != term {
+		proxy.Outbox.Reset(term)
+		proxy.agents = map[string]*relayedAgent{}
 	}
-	s := p.spoke[r.Machine]
-	if s == nil || s.session != r.Incarnation {
-		s = &spoke{session: r.Incarnation}
-		p.spoke[r.Machine] = s
+	agent := proxy.agents[heartbeat.Machine]
+	if agent == nil || agent.incarnation != heartbeat.Incarnation {
+		agent = &relayedAgent{incarnation: heartbeat.Incarnation}
+		proxy.agents[heartbeat.Machine] = agent
 	}
 	told := api.StageOrder{}
-	if raw := p.Inbox.MessageFor(term, r.Machine); raw != nil {
+	if raw := proxy.Inbox.MessageFor(term, heartbeat.Machine); raw != nil {
 		if err := json.Unmarshal(raw, &told); err != nil {
-			return o, err
+			return order, err
 		}
 	}
-	there := told.Term == term && told.Incarnation == r.Incarnation
-	if r.All {
-		s.version, s.holds, s.has = r.Version, r.Holds, true
+	there := told.Term == term && told.Incarnation == heartbeat.Incarnation
+	if heartbeat.All {
+		agent.replicasVersion, agent.replicas, agent.replicasKnown = heartbeat.Version, heartbeat.Holds, true
 	}
-	has := s.has && s.version == r.Version
-	if has && !(there && told.Known == r.Version) {
+	has := agent.replicasKnown && agent.replicasVersion == heartbeat.Version
+	if has && !(there && told.Known == heartbeat.Version) {
 		// The leader may have missed what it holds, while it took our word for that.
-		r.All, r.Holds = true, s.holds
+		heartbeat.All, heartbeat.Holds = true, agent.replicas
 	}
-	still := r
+	still := heartbeat
 	still.Seq, still.Used, still.FromStore, still.FromPeers = 0, 0, 0, 0
 	still.Copies = nil
-	for _, c := range r.Copies {
+	for _, c := range heartbeat.Copies {
 		c.Got = 0
 		still.Copies = append(still.Copies, c)
 	}
 	said, err := json.Marshal(still)
 	if err != nil {
-		return o, err
+		return order, err
 	}
-	body, err := json.Marshal(r)
+	body, err := json.Marshal(heartbeat)
 	if err != nil {
-		return o, err
+		return order, err
 	}
-	p.Outbox.Put(r.Machine, body, !bytes.Equal(said, s.said), now)
-	s.said = said
+	proxy.Outbox.Put(heartbeat.Machine, body, !bytes.Equal(said, agent.lastStatus), now)
+	agent.lastStatus = said
 	// An order of number 0 changes nothing.
-	o = api.StageOrder{Term: r.Term, Sets: []api.StageSet{}}
+	order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
 	if there {
-		o = told
+		order = told
 	}
 	if has {
-		o.Known = r.Version
+		order.Known = heartbeat.Version
 	}
-	return o, nil
+	return order, nil
 }
 
 // Expire drops agents that have not reported for so long.
-func (p *Proxy) Expire(now time.Time, after time.Duration) {
-	for _, name := range p.Outbox.Expire(now, after) {
-		delete(p.spoke, name)
+func (proxy *Proxy) Expire(now time.Time, after time.Duration) {
+	for _, name := range proxy.Outbox.Expire(now, after) {
+		delete(proxy.agents, name)
 	}
 }
--- a/staging/staging.go
+++ b/staging/staging.go
@@ -1,5 +1,5 @@
 // Package staging plans which parts of datasets are copied where, from whom, and in which
-// order. It is a step function: agents' reports and what is wanted go in, orders come out;
+// orderNumber. It is a step function: agents' reports and what is wanted go in, orders come out;
 // it does no I/O, has no lock and no clock. It does not know jobs, or why a part is wanted.
 //
 // For each machine there is one order, which names all that the machine shall have. It
@@ -47,163 +47,163 @@
 
 // Planner is the state of one term.
 type Planner struct {
-	term   uint64
-	limits Limits
-	index  *replicas.Index
-	agents map[string]*agent
-	byAddr map[string]*agent
-	ids    map[replicas.MachineID]*agent
-	// atStore are copies under way from the store, toCome their bytes.
-	atStore int
-	storeTo float64
-	// lied are peers that gave wrong bytes; they are no source any more.
-	lied map[string]bool
-	// coming counts the machines that a part is being copied to, over any link.
-	coming map[piece]int
-	// lacking are the machines that are to have a part and lack it, with the bytes that
+	term            uint64
+	limits          Limits
+	index           *replicas.Index
+	agents          map[string]*agentState
+	agentsByAddress map[string]*agentState
+	agentsByID      map[replicas.MachineID]*agentState
+	// storeTransfers are copies under way from the store, queuedBytes their bytes.
+	storeTransfers   int
+	queuedStoreBytes float64
+	// corruptPeers are peers that gave wrong bytes; they are no source any more.
+	corruptPeers map[string]bool
+	// transfersByPart counts the machines that a part is being copied to, over any link.
+	transfersByPart map[partKey]int
+	// missingBytes are the machines that are to have a part and lack it, with the bytes that
 	// they lack, as of the last round.
-	lacking map[piece]map[replicas.MachineID]float64
-	// removed are datasets that are removed for good, with their manifests: agents let
+	missingBytes map[partKey]map[replicas.MachineID]float64
+	// removedManifests are datasets that are removed for good, with their manifests: agents let
 	// go of what they hold of them.
-	removed map[string]string
+	removedManifests map[string]string
 	// Counters since the term began.
 	Planned, Failed int
 }
 
-type piece struct {
-	set  string
-	part int
+type partKey struct {
+	dataset string
+	part    int
 }
 
-type agent struct {
-	name, addr   string
-	id           replicas.MachineID
-	session, seq uint64
-	heard        time.Time
-	version      uint64
-	quota, used  int64
-	// order is the number of its newest order, sent when that last went out; applied is
+type agentState struct {
+	name, address         string
+	id                    replicas.MachineID
+	incarnation, sequence uint64
+	lastHeartbeat         time.Time
+	replicasVersion       uint64
+	cacheQuota, used      int64
+	// orderNumber is the number of its newest order, sent when that last went out; applied is
 	// the newest that it keeps. The first one goes out even if it asks for nothing: an
 	// earlier leader's must not keep parts for ever.
-	order, applied uint64
-	sent           time.Time
+	orderNumber, appliedOrder uint64
+	orderSentAt               time.Time
 	// planned: a round has looked at it. Before that its order says nothing, and sent out
 	// would let go what an earlier leader's tasks run on.
-	planned  bool
-	wants    map[string]*want
-	down, up int
-	// toCome are the bytes of copies to it that are under way or wait.
-	toCome float64
-	total  float64
-	full   bool
-	// drop are the removed datasets of which it holds something; redrop: they changed
+	planned            bool
+	desired            map[string]*desiredDataset
+	incoming, outgoing int
+	// queuedBytes are the bytes of copies to it that are under way or wait.
+	queuedBytes  float64
+	desiredBytes float64
+	cacheFull    bool
+	// removedDatasets are the removed datasets of which it holds something; redrop: they changed
 	// since its last order.
-	drop   map[string]bool
-	redrop bool
+	removedDatasets map[string]bool
+	removalsChanged bool
 }
 
-// want is what an order says of one dataset.
-type want struct {
-	set   *dataset.Summary
-	parts *roaring.Bitmap
-	// added is the order that last added a part.
-	added  uint64
-	pinned *roaring.Bitmap
-	copies map[int]*transfer
+// desiredDataset is what an order says of one dataset.
+type desiredDataset struct {
+	summary *dataset.Summary
+	parts   *roaring.Bitmap
+	// addedInOrder is the order that last added a part.
+	addedInOrder uint64
+	pinned       *roaring.Bitmap
+	transfers    map[int]*partTransfer
 }
 
-// transfer is one copy in an order.
-type transfer struct {
-	from  []api.StageSource
-	got   int64
-	moved time.Time
-	// failed are sources that it failed with.
-	failed map[api.StageSource]string
+// partTransfer is one copy in an order.
+type partTransfer struct {
+	sources       []api.StageSource
+	receivedBytes int64
+	lastProgress  time.Time
+	// failures are sources that it failed with.
+	failures map[api.StageSource]string
 }
 
 // New makes the desk of a term.
 func New(term uint64, limits Limits, index *replicas.Index) *Planner {
-	return &Planner{term: term, limits: limits, index: index, agents: map[string]*agent{}, byAddr: map[string]*agent{},
-		ids: map[replicas.MachineID]*agent{}, lied: map[string]bool{}, coming: map[piece]int{}, lacking: map[piece]map[replicas.MachineID]float64{}, removed: map[string]string{}}
+	return &Planner{term: term, limits: limits, index: index, agents: map[string]*agentState{}, agentsByAddress: map[string]*agentState{},
+		agentsByID: map[replicas.MachineID]*agentState{}, corruptPeers: map[string]bool{}, transfersByPart: map[partKey]int{}, missingBytes: map[partKey]map[replicas.MachineID]float64{}, removedManifests: map[string]string{}}
 }
 
 // ApplyHeartbeat takes in a report. False: it is older than one that was, and tells nothing.
-func (d *Planner) ApplyHeartbeat(r *api.StageHeartbeat, now time.Time) bool {
-	a := d.agents[r.Machine]
-	if a == nil {
-		a = &agent{name: r.Machine, id: d.index.ID(r.Machine), order: 1, wants: map[string]*want{}}
-		d.agents[r.Machine], d.ids[a.id] = a, a
-	}
-	a.heard = now
-	if r.Incarnation < a.session || r.Incarnation == a.session && r.Seq <= a.seq {
+func (planner *Planner) ApplyHeartbeat(heartbeat *api.StageHeartbeat, now time.Time) bool {
+	agent := planner.agents[heartbeat.Machine]
+	if agent == nil {
+		agent = &agentState{name: heartbeat.Machine, id: planner.index.ID(heartbeat.Machine), orderNumber: 1, desired: map[string]*desiredDataset{}}
+		planner.agents[heartbeat.Machine], planner.agentsByID[agent.id] = agent, agent
+	}
+	agent.lastHeartbeat = now
+	if heartbeat.Incarnation < agent.incarnation || heartbeat.Incarnation == agent.incarnation && heartbeat.Seq <= agent.sequence {
 		return false
 	}
-	if r.Incarnation != a.session {
+	if heartbeat.Incarnation != agent.incarnation {
 		// The agent began anew: it copies nothing now, and its order comes again.
-		for _, w := range a.wants {
-			for k := range w.copies {
-				d.drop(a, w, k)
+		for _, desired := range agent.desired {
+			for part := range desired.transfers {
+				planner.cancelTransfer(agent, desired, part)
 			}
 		}
-		a.sent, a.version = time.Time{}, 0
+		agent.orderSentAt, agent.replicasVersion = time.Time{}, 0
 	}
-	if a.addr != r.Address {
-		delete(d.byAddr, a.addr)
-		a.addr = r.Address
-		d.byAddr[a.addr] = a
+	if agent.address != heartbeat.Address {
+		delete(planner.agentsByAddress, agent.address)
+		agent.address = heartbeat.Address
+		planner.agentsByAddress[agent.address] = agent
 	}
-	a.session, a.seq, a.quota, a.used = r.Incarnation, r.Seq, r.Quota, r.Used
-	a.applied = 0
-	if r.Term == d.term {
-		a.applied = r.Order
+	agent.incarnation, agent.sequence, agent.cacheQuota, agent.used = heartbeat.Incarnation, heartbeat.Seq, heartbeat.Quota, heartbeat.Used
+	agent.appliedOrder = 0
+	if heartbeat.Term == planner.term {
+		agent.appliedOrder = heartbeat.Order
 	}
-	if r.All {
+	if heartbeat.All {
 		all := map[string]replicas.Replica{}
-		for _, h := range r.Holds {
-			all[h.Dataset] = replicas.Replica{Of: h.Of, Parts: h.Parts.Bitmap}
+		for _, replica := range heartbeat.Holds {
+			all[replica.Dataset] = replicas.Replica{Of: replica.Of, Parts: replica.Parts.Bitmap}
 		}
-		d.index.Set(r.Machine, all)
-		a.version = r.Version
+		planner.index.Set(heartbeat.Machine, all)
+		agent.replicasVersion = heartbeat.Version
 		drop := map[string]bool{}
-		for _, h := range r.Holds {
-			if d.removed[h.Dataset] != "" && !h.Parts.IsEmpty() {
-				drop[h.Dataset] = true
+		for _, replica := range heartbeat.Holds {
+			if planner.removedManifests[replica.Dataset] != "" && !replica.Parts.IsEmpty() {
+				drop[replica.Dataset] = true
 			}
 		}
-		a.redrop = a.redrop || !maps.Equal(drop, a.drop)
-		a.drop = drop
+		agent.removalsChanged = agent.removalsChanged || !maps.Equal(drop, agent.removedDatasets)
+		agent.removedDatasets = drop
 	}
-	for _, w := range a.wants {
-		w.pinned = roaring.New()
+	for _, desired := range agent.desired {
+		desired.pinned = roaring.New()
 	}
-	for _, h := range r.Pinned {
-		if w := a.wants[h.Dataset]; w != nil && w.set.Manifest.String() == h.Manifest {
-			w.pinned = h.Parts.Bitmap
-			for k := range w.copies {
-				if w.pinned.Contains(uint32(k)) {
-					d.drop(a, w, k)
+	for _, replica := range heartbeat.Pinned {
+		if desired := agent.desired[replica.Dataset]; desired != nil && desired.summary.Manifest.String() == replica.Manifest {
+			desired.pinned = replica.Parts.Bitmap
+			for part := range desired.transfers {
+				if desired.pinned.Contains(uint32(part)) {
+					planner.cancelTransfer(agent, desired, part)
 				}
 			}
 		}
 	}
-	a.full = false
-	for _, p := range r.Copies {
-		a.full = a.full || p.Full
-		w := a.wants[p.Dataset]
-		if w == nil || w.copies[p.Part] == nil {
+	agent.cacheFull = false
+	for _, copied := range heartbeat.Copies {
+		agent.cacheFull = agent.cacheFull || copied.Full
+		desired := agent.desired[copied.Dataset]
+		if desired == nil || desired.transfers[copied.Part] == nil {
 			continue
 		}
-		t := w.copies[p.Part]
-		if p.Got != t.got {
-			t.got, t.moved = p.Got, now
+		transfer := desired.transfers[copied.Part]
+		if copied.Got != transfer.receivedBytes {
+			transfer.receivedBytes, transfer.lastProgress = copied.Got, now
 		}
-		for _, f := range p.Failed {
-			if _, ok := t.failed[f.From]; !ok {
-				d.Failed++
-				t.failed[f.From] = f.Why
+		for _, failure := range copied.Failed {
+			if _, ok := transfer.failures[failure.From]; !ok {
+				planner.Failed++
+				transfer.failures[failure.From] = failure.Why
 			}
-			if f.Corrupt && f.From.Peer != "" {
-				d.lied[f.From.Peer] = true
+			if failure.Corrupt && failure.From.Peer != "" {
+				planner.corruptPeers[failure.From.Peer] = true
 			}
 		}
 	}
@@ -211,103 +211,103 @@
 }
 
 // ApplyHint takes in what a machine held as an earlier leader knew it. Until its agent is
-// heard it gets no order, is no source, and nothing is proved of it.
-func (d *Planner) ApplyHint(machine string, holds map[string]replicas.Replica, now time.Time) {
-	if d.agents[machine] != nil {
+// lastHeartbeat it gets no order, is no source, and nothing is proved of it.
+func (planner *Planner) ApplyHint(machine string, holds map[string]replicas.Replica, now time.Time) {
+	if planner.agents[machine] != nil {
 		return
 	}
-	a := &agent{name: machine, id: d.index.ID(machine), order: 1, wants: map[string]*want{}, heard: now}
-	d.agents[machine], d.ids[a.id] = a, a
-	d.index.Set(machine, holds)
+	agent := &agentState{name: machine, id: planner.index.ID(machine), orderNumber: 1, desired: map[string]*desiredDataset{}, lastHeartbeat: now}
+	planner.agents[machine], planner.agentsByID[agent.id] = agent, agent
+	planner.index.Set(machine, holds)
 }
 
 // RemoveDataset notes that a dataset, known by its manifest's digest, was removed for good:
 // nothing wants it, and agents that hold something of it, now or when they come back, are
 // ordered to let it go.
-func (d *Planner) RemoveDataset(name, manifest string) {
-	if d.removed[name] != "" {
+func (planner *Planner) RemoveDataset(name, manifest string) {
+	if planner.removedManifests[name] != "" {
 		return
 	}
-	d.removed[name] = manifest
-	snap := d.index.Snapshot()
-	if !snap.Known(name) {
+	planner.removedManifests[name] = manifest
+	snapshot := planner.index.Snapshot()
+	if !snapshot.Known(name) {
 		return
 	}
-	for _, a := range d.agents {
-		if snap.Count(a.id, name) > 0 {
-			if a.drop == nil {
-				a.drop = map[string]bool{}
+	for _, agent := range planner.agents {
+		if snapshot.Count(agent.id, name) > 0 {
+			if agent.removedDatasets == nil {
+				agent.removedDatasets = map[string]bool{}
 			}
-			a.drop[name], a.redrop = true, true
+			agent.removedDatasets[name], agent.removalsChanged = true, true
 		}
 	}
 }
 
 // RemoveMachine forgets a machine that no longer exists.
-func (d *Planner) RemoveMachine(machine string) {
-	a := d.agents[machine]
-	if a == nil {
+func (planner *Planner) RemoveMachine(machine string) {
+	agent := planner.agents[machine]
+	if agent == nil {
 		return
 	}
-	for _, w := range a.wants {
-		for k := range w.copies {
-			d.drop(a, w, k)
+	for _, desired := range agent.desired {
+		for part := range desired.transfers {
+			planner.cancelTransfer(agent, desired, part)
 		}
 	}
-	delete(d.agents, machine)
-	delete(d.ids, a.id)
-	delete(d.byAddr, a.addr)
-	d.index.Remove(machine)
+	delete(planner.agents, machine)
+	delete(planner.agentsByID, agent.id)
+	delete(planner.agentsByAddress, agent.address)
+	planner.index.Remove(machine)
 }
 
 // Alive tells whether a machine's agent was heard within so long: only such machines are
 // chosen for tasks with inputs. It is a choice, and no proof of anything.
-func (d *Planner) Alive(machine string, now time.Time, within time.Duration) bool {
-	a := d.agents[machine]
-	return a != nil && now.Sub(a.heard) < within
+func (planner *Planner) Alive(machine string, now time.Time, within time.Duration) bool {
+	agent := planner.agents[machine]
+	return agent != nil && now.Sub(agent.lastHeartbeat) < within
 }
 
 // ID is a machine's number in the index of holdings; false: its agent was never heard.
-func (d *Planner) ID(machine string) (replicas.MachineID, bool) {
-	a := d.agents[machine]
-	if a == nil {
+func (planner *Planner) ID(machine string) (replicas.MachineID, bool) {
+	agent := planner.agents[machine]
+	if agent == nil {
 		return 0, false
 	}
-	return a.id, true
+	return agent.id, true
 }
 
 // Full tells whether a machine's cache has no room for what it was to copy.
-func (d *Planner) Full(machine string) bool {
-	a := d.agents[machine]
-	return a != nil && a.full
+func (planner *Planner) Full(machine string) bool {
+	agent := planner.agents[machine]
+	return agent != nil && agent.cacheFull
 }
 
 // Confirmed tells whether a part is proved whole, checked and pinned on a machine.
-func (d *Planner) Confirmed(machine string, set *dataset.Summary, part int) bool {
-	a := d.agents[machine]
-	if a == nil {
+func (planner *Planner) Confirmed(machine string, set *dataset.Summary, part int) bool {
+	agent := planner.agents[machine]
+	if agent == nil {
 		return false
 	}
-	w := a.wants[set.Name]
-	return w != nil && a.applied >= w.added && a.applied > 0 && w.pinned.Contains(uint32(part)) && w.parts.Contains(uint32(part))
+	desired := agent.desired[set.Name]
+	return desired != nil && agent.appliedOrder >= desired.addedInOrder && agent.appliedOrder > 0 && desired.pinned.Contains(uint32(part)) && desired.parts.Contains(uint32(part))
 }
 
 // ConfirmedAll is the same for all parts of a dataset.
-func (d *Planner) ConfirmedAll(machine string, set *dataset.Summary) bool {
-	a := d.agents[machine]
-	if a == nil {
+func (planner *Planner) ConfirmedAll(machine string, set *dataset.Summary) bool {
+	agent := planner.agents[machine]
+	if agent == nil {
 		return false
 	}
-	w := a.wants[set.Name]
-	return w != nil && a.applied >= w.added && a.applied > 0 && int(w.parts.GetCardinality()) == set.Parts &&
-		int(w.pinned.AndCardinality(w.parts)) == set.Parts
+	desired := agent.desired[set.Name]
+	return desired != nil && agent.appliedOrder >= desired.addedInOrder && agent.appliedOrder > 0 && int(desired.parts.GetCardinality()) == set.Parts &&
+		int(desired.pinned.AndCardinality(desired.parts)) == set.Parts
 }
 
 // Idle tells whether every agent that was heard keeps an order of this term, and none is
 // to have anything: a round without wants would change nothing.
-func (d *Planner) Idle() bool {
-	for _, a := range d.agents {
-		if len(a.wants) > 0 || a.redrop || a.addr != "" && (!a.planned || a.applied != a.order) {
+func (planner *Planner) Idle() bool {
+	for _, agent := range planner.agents {
+		if len(agent.desired) > 0 || agent.removalsChanged || agent.address != "" && (!agent.planned || agent.appliedOrder != agent.orderNumber) {
 			return false
 		}
 	}
@@ -315,120 +315,120 @@
 }
 
 // QueuedBytes is what a machine's link has to bring already, in bytes.
-func (d *Planner) QueuedBytes(machine string) float64 {
-	if a := d.agents[machine]; a != nil {
-		return a.toCome
+func (planner *Planner) QueuedBytes(machine string) float64 {
+	if agent := planner.agents[machine]; agent != nil {
+		return agent.queuedBytes
 	}
 	return 0
 }
 
 // ReserveBytes counts bytes that are to come to a machine, until the next round counts anew.
-func (d *Planner) ReserveBytes(machine string, bytes float64) {
-	if a := d.agents[machine]; a != nil {
-		a.toCome += bytes
+func (planner *Planner) ReserveBytes(machine string, bytes float64) {
+	if agent := planner.agents[machine]; agent != nil {
+		agent.queuedBytes += bytes
 	}
 }
 
 // TransferDelay is how long it takes to bring so many bytes over a link that has so many to
 // bring already, and from the store as that is loaded now, in seconds. StoreOnly: no
 // machine holds them.
-func (d *Planner) TransferDelay(behind, bytes float64, storeOnly bool) float64 {
-	return cost.Copy(bytes, behind, d.limits.LinkRate, d.storeTo, d.limits.StoreRate, storeOnly || !d.limits.Peers)
+func (planner *Planner) TransferDelay(behind, bytes float64, storeOnly bool) float64 {
+	return cost.Copy(bytes, behind, planner.limits.LinkRate, planner.queuedStoreBytes, planner.limits.StoreRate, storeOnly || !planner.limits.Peers)
 }
 
 // InFlight are the machines that a part is on its way to, with the bytes that they still
 // lack; the map must not be changed.
-func (d *Planner) InFlight(set string, part int) map[replicas.MachineID]float64 {
-	return d.lacking[piece{set, part}]
+func (planner *Planner) InFlight(datasetName string, part int) map[replicas.MachineID]float64 {
+	return planner.missingBytes[partKey{datasetName, part}]
 }
 
 // Spread is how long it takes until one more machine has a part, as far as its sources go,
 // in seconds: they give it to as many machines as they can at once, which then give it on,
 // so the number of machines that have it doubles with each copy's time or so.
-func (d *Planner) Spread(set *dataset.Summary, part, holders int) float64 {
-	if d.limits.LinkRate <= 0 || !d.limits.Peers {
+func (planner *Planner) Spread(set *dataset.Summary, part, holders int) float64 {
+	if planner.limits.LinkRate <= 0 || !planner.limits.Peers {
 		return 0
 	}
-	ahead := len(d.lacking[piece{set.Name, part}])
-	return float64(set.PartBytes(part)) / d.limits.LinkRate * math.Ceil(math.Log2(1+float64(ahead+1)/float64(max(1, holders))))
+	ahead := len(planner.missingBytes[partKey{set.Name, part}])
+	return float64(set.PartBytes(part)) / planner.limits.LinkRate * math.Ceil(math.Log2(1+float64(ahead+1)/float64(max(1, holders))))
 }
 
-func (d *Planner) drop(a *agent, w *want, part int) {
-	t := w.copies[part]
-	if t == nil {
+func (planner *Planner) cancelTransfer(agent *agentState, desired *desiredDataset, part int) {
+	transfer := desired.transfers[part]
+	if transfer == nil {
 		return
 	}
-	delete(w.copies, part)
-	a.down--
-	if d.coming[piece{w.set.Name, part}]--; d.coming[piece{w.set.Name, part}] <= 0 {
-		delete(d.coming, piece{w.set.Name, part})
+	delete(desired.transfers, part)
+	agent.incoming--
+	if planner.transfersByPart[partKey{desired.summary.Name, part}]--; planner.transfersByPart[partKey{desired.summary.Name, part}] <= 0 {
+		delete(planner.transfersByPart, partKey{desired.summary.Name, part})
 	}
-	if src := t.from[0]; src.Store {
-		d.atStore--
-	} else if p := d.byAddr[src.Peer]; p != nil {
-		p.up--
+	if source := transfer.sources[0]; source.Store {
+		planner.storeTransfers--
+	} else if peer := planner.agentsByAddress[source.Peer]; peer != nil {
+		peer.outgoing--
 	}
 }
 
 // Plan takes in all that is wanted, the most urgent first, and decides what is copied.
 // What no longer stands in it may be evicted. It gives the machines whose order must go
 // out now, in the order of their names.
-func (d *Planner) Plan(wants []Demand, now time.Time) []string {
-	d.setWants(wants)
-	d.recount()
-	snap := d.index.Snapshot()
-	d.storeTo = 0
-	clear(d.lacking)
-	for _, a := range d.agents {
-		a.toCome = 0
-	}
-	changed := map[*agent]bool{}
-	for _, x := range wants {
-		a := d.agents[x.Machine]
-		if a == nil {
+func (planner *Planner) Plan(demands []Demand, now time.Time) []string {
+	planner.updateDesired(demands)
+	planner.recount()
+	snapshot := planner.index.Snapshot()
+	planner.queuedStoreBytes = 0
+	clear(planner.missingBytes)
+	for _, agent := range planner.agents {
+		agent.queuedBytes = 0
+	}
+	changed := map[*agentState]bool{}
+	for _, demand := range demands {
+		agent := planner.agents[demand.Machine]
+		if agent == nil {
 			continue
 		}
-		w := a.wants[x.Set.Name]
-		if w == nil || !w.parts.Contains(uint32(x.Part)) || w.pinned.Contains(uint32(x.Part)) || snap.Has(a.id, x.Set.Name, x.Part) {
+		desired := agent.desired[demand.Set.Name]
+		if desired == nil || !desired.parts.Contains(uint32(demand.Part)) || desired.pinned.Contains(uint32(demand.Part)) || snapshot.Has(agent.id, demand.Set.Name, demand.Part) {
 			continue
 		}
-		size := float64(x.Set.PartBytes(x.Part))
-		if t := w.copies[x.Part]; t != nil {
-			size -= float64(t.got)
-			if d.better(a, w, x.Part, t, snap, now) {
-				changed[a] = true
+		size := float64(demand.Set.PartBytes(demand.Part))
+		if transfer := desired.transfers[demand.Part]; transfer != nil {
+			size -= float64(transfer.receivedBytes)
+			if planner.replaceFailedSources(agent, desired, demand.Part, transfer, snapshot, now) {
+				changed[agent] = true
 			}
-		} else if from := d.sources(a, x, snap, now, nil); from != nil {
-			w.copies[x.Part] = &transfer{from: from, moved: now, failed: map[api.StageSource]string{}}
-			d.take(a, x.Set.Name, x.Part, from[0])
-			changed[a] = true
+		} else if from := planner.chooseSources(agent, demand, snapshot, now, nil); from != nil {
+			desired.transfers[demand.Part] = &partTransfer{sources: from, lastProgress: now, failures: map[api.StageSource]string{}}
+			planner.countTransfer(agent, demand.Set.Name, demand.Part, from[0])
+			changed[agent] = true
 		}
-		on := d.lacking[piece{x.Set.Name, x.Part}]
-		if on == nil {
-			on = map[replicas.MachineID]float64{}
-			d.lacking[piece{x.Set.Name, x.Part}] = on
+		missing := planner.missingBytes[partKey{demand.Set.Name, demand.Part}]
+		if missing == nil {
+			missing = map[replicas.MachineID]float64{}
+			planner.missingBytes[partKey{demand.Set.Name, demand.Part}] = missing
 		}
-		on[a.id] = size
-		a.toCome += size
-		if !d.limits.Peers || len(snap.Holders(x.Set.Name, x.Part)) == 0 {
-			d.storeTo += size
+		missing[agent.id] = size
+		agent.queuedBytes += size
+		if !planner.limits.Peers || len(snapshot.Holders(demand.Set.Name, demand.Part)) == 0 {
+			planner.queuedStoreBytes += size
 		}
 	}
 	var out []string
-	for _, a := range d.agents {
-		if a.addr == "" {
+	for _, agent := range planner.agents {
+		if agent.address == "" {
 			continue
 		}
-		a.planned = true
-		if a.redrop {
-			changed[a], a.redrop = true, false
+		agent.planned = true
+		if agent.removalsChanged {
+			changed[agent], agent.removalsChanged = true, false
 		}
-		if changed[a] {
-			a.order++
+		if changed[agent] {
+			agent.orderNumber++
 		}
-		if changed[a] || a.applied != a.order && now.Sub(a.sent) >= tuning.StageResend {
-			a.sent = now
-			out = append(out, a.name)
+		if changed[agent] || agent.appliedOrder != agent.orderNumber && now.Sub(agent.orderSentAt) >= tuning.StageResend {
+			agent.orderSentAt = now
+			out = append(out, agent.name)
 		}
 	}
 	slices.Sort(out)
@@ -437,151 +437,153 @@
 
 // recount counts what is on each link anew: agents that went and came in between may have
 // been counted under an address that another has now.
-func (d *Planner) recount() {
-	clear(d.coming)
-	d.atStore = 0
-	for _, a := range d.agents {
-		a.down, a.up = 0, 0
-	}
-	planned := d.Planned
-	for _, a := range d.agents {
-		for name, w := range a.wants {
-			for k, t := range w.copies {
-				d.take(a, name, k, t.from[0])
+func (planner *Planner) recount() {
+	clear(planner.transfersByPart)
+	planner.storeTransfers = 0
+	for _, agent := range planner.agents {
+		agent.incoming, agent.outgoing = 0, 0
+	}
+	planned := planner.Planned
+	for _, agent := range planner.agents {
+		for name, desired := range agent.desired {
+			for part, transfer := range desired.transfers {
+				planner.countTransfer(agent, name, part, transfer.sources[0])
 			}
 		}
 	}
-	d.Planned = planned
+	planner.Planned = planned
 }
 
-func (d *Planner) take(a *agent, set string, part int, from api.StageSource) {
-	d.Planned++
-	a.down++
-	d.coming[piece{set, part}]++
+func (planner *Planner) countTransfer(agent *agentState, datasetName string, part int, from api.StageSource) {
+	planner.Planned++
+	agent.incoming++
+	planner.transfersByPart[partKey{datasetName, part}]++
 	if from.Store {
-		d.atStore++
-	} else if p := d.byAddr[from.Peer]; p != nil {
-		p.up++
+		planner.storeTransfers++
+	} else if peer := planner.agentsByAddress[from.Peer]; peer != nil {
+		peer.outgoing++
 	}
 }
 
-// setWants brings the orders in line with what is wanted, as far as each cache can hold
+// updateDesired brings the orders in line with what is wanted, as far as each cache can hold
 // it; what is more urgent comes first.
-func (d *Planner) setWants(wants []Demand) {
-	next := map[*agent]map[string]*roaring.Bitmap{}
+func (planner *Planner) updateDesired(demands []Demand) {
+	next := map[*agentState]map[string]*roaring.Bitmap{}
 	sets := map[string]*dataset.Summary{}
-	for _, a := range d.agents {
-		a.total = 0
+	for _, agent := range planner.agents {
+		agent.desiredBytes = 0
 	}
-	for _, x := range wants {
-		a := d.agents[x.Machine]
-		if a == nil {
+	for _, demand := range demands {
+		agent := planner.agents[demand.Machine]
+		if agent == nil {
 			continue
 		}
-		sets[x.Set.Name] = x.Set
-		if next[a] == nil {
-			next[a] = map[string]*roaring.Bitmap{}
+		sets[demand.Set.Name] = demand.Set
+		if next[agent] == nil {
+			next[agent] = map[string]*roaring.Bitmap{}
 		}
-		b := next[a][x.Set.Name]
-		if b == nil {
-			b = roaring.New()
-			next[a][x.Set.Name] = b
+		parts := next[agent][demand.Set.Name]
+		if parts == nil {
+			parts = roaring.New()
+			next[agent][demand.Set.Name] = parts
 		}
-		size := float64(x.Set.PartBytes(x.Part))
-		if b.Contains(uint32(x.Part)) || a.quota > 0 && a.total > 0 && a.total+size > float64(a.quota) {
+		size := float64(demand.Set.PartBytes(demand.Part))
+		if parts.Contains(uint32(demand.Part)) || agent.cacheQuota > 0 && agent.desiredBytes > 0 && agent.desiredBytes+size > float64(agent.cacheQuota) {
 			continue
 		}
-		a.total += size
-		b.Add(uint32(x.Part))
+		agent.desiredBytes += size
+		parts.Add(uint32(demand.Part))
 	}
-	for _, a := range d.agents {
+	for _, agent := range planner.agents {
 		different := false
-		for name, w := range a.wants {
-			if b := next[a][name]; b == nil || b.IsEmpty() {
-				for k := range w.copies {
-					d.drop(a, w, k)
+		for name, desired := range agent.desired {
+			if parts := next[agent][name]; parts == nil || parts.IsEmpty() {
+				for part := range desired.transfers {
+					planner.cancelTransfer(agent, desired, part)
 				}
-				delete(a.wants, name)
+				delete(agent.desired, name)
 				different = true
 			}
 		}
-		for name, b := range next[a] {
-			if b.IsEmpty() {
+		for name, parts := range next[agent] {
+			if parts.IsEmpty() {
 				continue
 			}
-			w := a.wants[name]
-			if w == nil {
-				w = &want{set: sets[name], parts: roaring.New(), pinned: roaring.New(), copies: map[int]*transfer{}}
-				a.wants[name] = w
+			desired := agent.desired[name]
+			if desired == nil {
+				desired = &desiredDataset{summary: sets[name], parts: roaring.New(), pinned: roaring.New(), transfers: map[int]*partTransfer{}}
+				agent.desired[name] = desired
 			}
-			if b.Equals(w.parts) {
+			if parts.Equals(desired.parts) {
 				continue
 			}
 			different = true
-			if !roaring.AndNot(b, w.parts).IsEmpty() {
-				w.added = a.order + 1
+			if !roaring.AndNot(parts, desired.parts).IsEmpty() {
+				desired.addedInOrder = agent.orderNumber + 1
 			}
-			for k := range w.copies {
-				if !b.Contains(uint32(k)) {
-					d.drop(a, w, k)
+			for part := range desired.transfers {
+				if !parts.Contains(uint32(part)) {
+					planner.cancelTransfer(agent, desired, part)
 				}
 			}
-			w.parts = b
+			desired.parts = parts
 		}
 		if different {
-			a.order++
-			a.sent = time.Time{}
+			agent.orderNumber++
+			agent.orderSentAt = time.Time{}
 		}
 	}
 }
 
-// sources are where a part comes from, best first; nil: it has to wait. Peers that hold
+// chooseSources are where a part comes from, best first; nil: it has to wait. Peers that hold
 // it come first, those that give out least, then the store. While another machine gets it
-// from the store, it is waited for: each part shall leave the store once.
-func (d *Planner) sources(a *agent, x Demand, snap *replicas.Snapshot, now time.Time, not map[api.StageSource]string) []api.StageSource {
-	if a.addr == "" || a.down >= d.limits.PerLink {
+// sources the store, it is waited for: each part shall leave the store once.
+func (planner *Planner) chooseSources(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, not map[api.StageSource]string) []api.StageSource {
+	if agent.address == "" || agent.incoming >= planner.limits.PerLink {
 		return nil
 	}
-	var peers []*agent
+	var peers []*agentState
 	busy := false
-	if d.limits.Peers {
-		for _, m := range snap.Holders(x.Set.Name, x.Part) {
-			p := d.byID(m)
-			if p == nil || p == a || p.addr == "" || d.lied[p.addr] || now.Sub(p.heard) > tuning.StageSilent {
+	if planner.limits.Peers {
+		for _, machineID := range snapshot.Holders(demand.Set.Name, demand.Part) {
+			peer := planner.byID(machineID)
+			if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilent {
 				continue
 			}
-			if _, failed := not[api.StageSource{Peer: p.addr}]; failed {
+			if _, failed := not[api.StageSource{Peer: peer.address}]; failed {
 				continue
 			}
-			if p.up >= d.limits.PerLink {
+			if peer.outgoing >= planner.limits.PerLink {
 				busy = true
 				continue
 			}
-			peers = append(peers, p)
+			peers = append(peers, peer)
 		}
 	}
-	slices.SortFunc(peers, func(p, q *agent) int { return cmp.Or(cmp.Compare(p.up, q.up), cmp.Compare(p.name, q.name)) })
+	slices.SortFunc(peers, func(peer, other *agentState) int {
+		return cmp.Or(cmp.Compare(peer.outgoing, other.outgoing), cmp.Compare(peer.name, other.name))
+	})
 	var out []api.StageSource
-	for _, p := range peers[:min(len(peers), tuning.StageSources)] {
-		out = append(out, api.StageSource{Peer: p.addr})
+	for _, peer := range peers[:min(len(peers), tuning.StageSources)] {
+		out = append(out, api.StageSource{Peer: peer.address})
 	}
 	if len(out) > 0 {
 		return out
 	}
-	if busy || d.atStore >= d.limits.AtStore || d.limits.Peers && d.onItsWay(x.Set.Name, x.Part, now) {
+	if busy || planner.storeTransfers >= planner.limits.AtStore || planner.limits.Peers && planner.isProgressing(demand.Set.Name, demand.Part, now) {
 		return nil
 	}
 	return []api.StageSource{{Store: true}}
 }
 
-// onItsWay tells whether a part comes to some machine, and gets on.
-func (d *Planner) onItsWay(set string, part int, now time.Time) bool {
-	if d.coming[piece{set, part}] == 0 {
+// isProgressing tells whether a part comes to some machine, and gets on.
+func (planner *Planner) isProgressing(datasetName string, part int, now time.Time) bool {
+	if planner.transfersByPart[partKey{datasetName, part}] == 0 {
 		return false
 	}
-	for _, a := range d.agents {
-		if w := a.wants[set]; w != nil {
-			if t := w.copies[part]; t != nil && len(t.failed) < len(t.from) && now.Sub(t.moved) < tuning.StageGiveUp {
+	for _, agent := range planner.agents {
+		if desired := agent.desired[datasetName]; desired != nil {
+			if transfer := desired.transfers[part]; transfer != nil && len(transfer.failures) < len(transfer.sources) && now.Sub(transfer.lastProgress) < tuning.StageGiveUp {
 				return true
 			}
 		}
@@ -589,54 +591,56 @@
 	return false
 }
 
-// better gives a copy whose sources all failed others, if there are any.
-func (d *Planner) better(a *agent, w *want, part int, t *transfer, snap *replicas.Snapshot, now time.Time) bool {
-	for _, s := range t.from {
-		if _, failed := t.failed[s]; !failed && !(s.Peer != "" && d.lied[s.Peer]) {
+// replaceFailedSources gives a copy whose sources all failed others, if there are any.
+func (planner *Planner) replaceFailedSources(agent *agentState, desired *desiredDataset, part int, transfer *partTransfer, snapshot *replicas.Snapshot, now time.Time) bool {
+	for _, source := range transfer.sources {
+		if _, failed := transfer.failures[source]; !failed && !(source.Peer != "" && planner.corruptPeers[source.Peer]) {
 			return false
 		}
 	}
-	failed := maps.Clone(t.failed)
-	d.drop(a, w, part)
-	from := d.sources(a, Demand{a.name, w.set, part}, snap, now, failed)
-	if from == nil || slices.Equal(from, t.from) {
+	failed := maps.Clone(transfer.failures)
+	planner.cancelTransfer(agent, desired, part)
+	from := planner.chooseSources(agent, Demand{agent.name, desired.summary, part}, snapshot, now, failed)
+	if from == nil || slices.Equal(from, transfer.sources) {
 		// Nothing better: it stays, and the agent tries again with growing pauses.
-		from = t.from
+		from = transfer.sources
 	}
-	same := slices.Equal(from, t.from)
-	w.copies[part] = &transfer{from: from, got: t.got, moved: t.moved, failed: map[api.StageSource]string{}}
+	same := slices.Equal(from, transfer.sources)
+	desired.transfers[part] = &partTransfer{sources: from, receivedBytes: transfer.receivedBytes, lastProgress: transfer.lastProgress, failures: map[api.StageSource]string{}}
 	if same {
-		w.copies[part].failed = failed
+		desired.transfers[part].failures = failed
 	}
-	d.take(a, w.set.Name, part, from[0])
-	d.Planned--
+	planner.countTransfer(agent, desired.summary.Name, part, from[0])
+	planner.Planned--
 	return !same
 }
 
-func (d *Planner) byID(m replicas.MachineID) *agent { return d.ids[m] }
+func (planner *Planner) byID(machineID replicas.MachineID) *agentState {
+	return planner.agentsByID[machineID]
+}
 
 // Order is a machine's order as it stands; false: its agent is not known, or no round has
 // looked at it yet.
-func (d *Planner) Order(machine string) (o api.StageOrder, addr string, ok bool) {
-	a := d.agents[machine]
-	if a == nil || !a.planned {
-		return o, "", false
+func (planner *Planner) Order(machine string) (order api.StageOrder, addr string, ok bool) {
+	agent := planner.agents[machine]
+	if agent == nil || !agent.planned {
+		return order, "", false
 	}
-	o = api.StageOrder{Term: d.term, Incarnation: a.session, Order: a.order, Known: a.version, Sets: []api.StageSet{}}
-	for _, name := range slices.Sorted(maps.Keys(a.wants)) {
-		w := a.wants[name]
-		set := api.StageSet{Dataset: name, Manifest: w.set.Manifest.String(), Parts: api.PartSet{Bitmap: w.parts}}
-		for _, k := range slices.Sorted(maps.Keys(w.copies)) {
-			set.Copies = append(set.Copies, api.StageCopy{Part: k, From: w.copies[k].from})
+	order = api.StageOrder{Term: planner.term, Incarnation: agent.incarnation, Order: agent.orderNumber, Known: agent.replicasVersion, Sets: []api.StageSet{}}
+	for _, name := range slices.Sorted(maps.Keys(agent.desired)) {
+		desired := agent.desired[name]
+		set := api.StageSet{Dataset: name, Manifest: desired.summary.Manifest.String(), Parts: api.PartSet{Bitmap: desired.parts}}
+		for _, part := range slices.Sorted(maps.Keys(desired.transfers)) {
+			set.Copies = append(set.Copies, api.StageCopy{Part: part, From: desired.transfers[part].sources})
 		}
-		o.Sets = append(o.Sets, set)
+		order.Sets = append(order.Sets, set)
 	}
-	for _, name := range slices.Sorted(maps.Keys(a.drop)) {
-		if a.wants[name] == nil {
-			o.Drop = append(o.Drop, d.removed[name])
+	for _, name := range slices.Sorted(maps.Keys(agent.removedDatasets)) {
+		if agent.desired[name] == nil {
+			order.Drop = append(order.Drop, planner.removedManifests[name])
 		}
 	}
-	return o, a.addr, true
+	return order, agent.address, true
 }
 
 // CopyStatus is one copy as operators see it.
@@ -650,17 +654,17 @@
 }
 
 // Copies are all copies under way, by machine, dataset and part.
-func (d *Planner) Copies() []CopyStatus {
+func (planner *Planner) Copies() []CopyStatus {
 	var out []CopyStatus
-	for _, name := range slices.Sorted(maps.Keys(d.agents)) {
-		a := d.agents[name]
-		for _, set := range slices.Sorted(maps.Keys(a.wants)) {
-			w := a.wants[set]
-			for _, k := range slices.Sorted(maps.Keys(w.copies)) {
-				t := w.copies[k]
-				c := CopyStatus{Machine: name, Dataset: set, Part: k, Got: t.got, Of: w.set.PartBytes(k), From: t.from, Full: a.full, Failed: map[string]string{}}
-				for s, why := range t.failed {
-					c.Failed[s.String()] = why
+	for _, name := range slices.Sorted(maps.Keys(planner.agents)) {
+		agent := planner.agents[name]
+		for _, datasetName := range slices.Sorted(maps.Keys(agent.desired)) {
+			desired := agent.desired[datasetName]
+			for _, part := range slices.Sorted(maps.Keys(desired.transfers)) {
+				transfer := desired.transfers[part]
+				c := CopyStatus{Machine: name, Dataset: datasetName, Part: part, Got: transfer.receivedBytes, Of: desired.summary.PartBytes(part), From: transfer.sources, Full: agent.cacheFull, Failed: map[string]string{}}
+				for source, why := range transfer.failures {
+					c.Failed[source.String()] = why
 				}
 				out = append(out, c)
 			}
@@ -670,10 +674,10 @@
 }
 
 // Backlog is how many bytes are still to come to all machines.
-func (d *Planner) Backlog() float64 {
+func (planner *Planner) Backlog() float64 {
 	sum := 0.0
-	for _, a := range d.agents {
-		sum += a.toCome
+	for _, agent := range planner.agents {
+		sum += agent.queuedBytes
 	}
 	return math.Max(0, sum)
 }
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -13,125 +13,125 @@
 	"switchferry/replicas"
 )
 
-var inv = &dataset.Summary{Name: "inv", Bytes: 80, Parts: 8, Usual: 10}
+var inventory = &dataset.Summary{Name: "inv", Bytes: 80, Parts: 8, Usual: 10}
 
-// played is an agent as the protocol has it: it takes newer orders, copies a part a step
-// from its first source that works, and keeps what stands in its order.
-type played struct {
-	name         string
-	session, seq uint64
-	term, order  uint64
-	sets         []api.StageSet
-	has          map[uint32]bool
-	lies, down   bool
-	failed       map[int][]api.StageFailure
-	store, peers int
-	quota        int64
+// fakeAgent is an agent as the protocol has it: it takes newer orders, copies a part a step
+// sources its first source that works, and keeps what stands in its order.
+type fakeAgent struct {
+	name                             string
+	incarnation, sequence            uint64
+	term, orderNumber                uint64
+	orderedSets                      []api.StageSet
+	holds                            map[uint32]bool
+	corrupt, down                    bool
+	failures                         map[int][]api.StageFailure
+	copiesFromStore, copiesFromPeers int
+	quota                            int64
 }
 
-func (p *played) addr() string { return p.name + ":1" }
+func (agent *fakeAgent) address() string { return agent.name + ":1" }
 
-func (p *played) apply(o api.StageOrder) bool {
-	if o.Term < p.term || o.Term == p.term && o.Order < p.order || o.Incarnation != p.session {
+func (agent *fakeAgent) apply(order api.StageOrder) bool {
+	if order.Term < agent.term || order.Term == agent.term && order.Order < agent.orderNumber || order.Incarnation != agent.incarnation {
 		return false
 	}
-	p.term, p.order, p.sets = o.Term, o.Order, o.Sets
+	agent.term, agent.orderNumber, agent.orderedSets = order.Term, order.Order, order.Sets
 	return true
 }
 
-func (p *played) report() *api.StageHeartbeat {
-	p.seq++
-	r := &api.StageHeartbeat{Machine: p.name, Address: p.addr(), Incarnation: p.session, Seq: p.seq, Term: p.term, Order: p.order, Quota: p.quota, All: true}
+func (agent *fakeAgent) heartbeat() *api.StageHeartbeat {
+	agent.sequence++
+	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Order: agent.orderNumber, Quota: agent.quota, All: true}
 	held := roaring.New()
-	for k := range p.has {
+	for k := range agent.holds {
 		held.Add(k)
 	}
-	r.Holds = []api.StageHeld{{Dataset: "inv", Manifest: inv.Manifest.String(), Of: 8, Parts: api.PartSet{Bitmap: held}}}
-	for _, s := range p.sets {
-		r.Pinned = append(r.Pinned, api.StageHeld{Dataset: s.Dataset, Manifest: s.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, s.Parts.Bitmap)}})
-		for _, c := range s.Copies {
-			if !p.has[uint32(c.Part)] {
-				r.Copies = append(r.Copies, api.StageProgress{Dataset: s.Dataset, Part: c.Part, Of: 10, From: c.From[0], Failed: p.failed[c.Part]})
+	heartbeat.Holds = []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: 8, Parts: api.PartSet{Bitmap: held}}}
+	for _, s := range agent.orderedSets {
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: s.Dataset, Manifest: s.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, s.Parts.Bitmap)}})
+		for _, transfer := range s.Copies {
+			if !agent.holds[uint32(transfer.Part)] {
+				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: s.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
 			}
 		}
 	}
-	return r
+	return heartbeat
 }
 
-// world moves parts between played agents as the orders say.
-type world struct {
-	agents    map[string]*played
-	order     []string
+// fakeCluster moves parts between played agents as the orders say.
+type fakeCluster struct {
+	agents    map[string]*fakeAgent
+	names     []string
 	storeDown bool
 	now       time.Time
 }
 
-func newWorld(n int) *world {
-	w := &world{agents: map[string]*played{}, now: time.Unix(1000, 0)}
-	for i := range n {
+func newFakeCluster(size int) *fakeCluster {
+	cluster := &fakeCluster{agents: map[string]*fakeAgent{}, now: time.Unix(1000, 0)}
+	for i := range size {
 		name := fmt.Sprintf("n-%d", i)
-		w.agents[name] = &played{name: name, session: 1, has: map[uint32]bool{}, failed: map[int][]api.StageFailure{}, quota: 1 << 30}
-		w.order = append(w.order, name)
+		cluster.agents[name] = &fakeAgent{name: name, incarnation: 1, holds: map[uint32]bool{}, failures: map[int][]api.StageFailure{}, quota: 1 << 30}
+		cluster.names = append(cluster.names, name)
 	}
-	return w
+	return cluster
 }
 
-func (w *world) step(d *Planner, wants []Demand) {
-	w.now = w.now.Add(time.Second)
-	for _, n := range w.order {
-		if !w.agents[n].down {
-			d.ApplyHeartbeat(w.agents[n].report(), w.now)
+func (cluster *fakeCluster) step(planner *Planner, demands []Demand) {
+	cluster.now = cluster.now.Add(time.Second)
+	for _, name := range cluster.names {
+		if !cluster.agents[name].down {
+			planner.ApplyHeartbeat(cluster.agents[name].heartbeat(), cluster.now)
 		}
 	}
-	for _, n := range d.Plan(wants, w.now) {
-		if o, _, ok := d.Order(n); ok && !w.agents[n].down {
-			w.agents[n].apply(o)
+	for _, name := range planner.Plan(demands, cluster.now) {
+		if order, _, ok := planner.Order(name); ok && !cluster.agents[name].down {
+			cluster.agents[name].apply(order)
 		}
 	}
 	type got struct {
-		p *played
+		p *fakeAgent
 		k uint32
 	}
 	var done []got
-	for _, n := range w.order {
-		p := w.agents[n]
-		for _, s := range p.sets {
-			for _, c := range s.Copies {
-				if p.down || p.has[uint32(c.Part)] {
+	for _, name := range cluster.names {
+		agent := cluster.agents[name]
+		for _, s := range agent.orderedSets {
+			for _, transfer := range s.Copies {
+				if agent.down || agent.holds[uint32(transfer.Part)] {
 					continue
 				}
-				for _, f := range c.From {
-					q := w.agents[trim(f.Peer)]
-					why, lied := "", false
+				for _, source := range transfer.From {
+					peer := cluster.agents[machineOfAddress(source.Peer)]
+					why, corrupt := "", false
 					switch {
-					case f.Store && w.storeDown, q != nil && q.down:
+					case source.Store && cluster.storeDown, peer != nil && peer.down:
 						why = "reset"
-					case q != nil && q.lies:
-						why, lied = "wrong bytes", true
-					case q != nil && !q.has[uint32(c.Part)]:
+					case peer != nil && peer.corrupt:
+						why, corrupt = "wrong bytes", true
+					case peer != nil && !peer.holds[uint32(transfer.Part)]:
 						why = "missing"
 					}
 					if why == "" {
-						done = append(done, got{p, uint32(c.Part)})
-						if f.Store {
-							p.store++
+						done = append(done, got{agent, uint32(transfer.Part)})
+						if source.Store {
+							agent.copiesFromStore++
 						} else {
-							p.peers++
+							agent.copiesFromPeers++
 						}
 						break
 					}
-					p.failed[c.Part] = append(p.failed[c.Part], api.StageFailure{From: f, Why: why, Corrupt: lied})
+					agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: why, Corrupt: corrupt})
 				}
 			}
 		}
 	}
 	for _, g := range done {
-		g.p.has[g.k] = true
-		delete(g.p.failed, int(g.k))
+		g.p.holds[g.k] = true
+		delete(g.p.failures, int(g.k))
 	}
 }
 
-func trim(addr string) string {
+func machineOfAddress(addr string) string {
 	if len(addr) < 2 {
 		return ""
 	}
@@ -140,18 +140,18 @@
 
 var limits = Limits{LinkRate: 100, StoreRate: 100, PerLink: 2, AtStore: 2, Peers: true}
 
-func all(w *world, parts ...int) (out []Demand) {
-	for _, k := range parts {
-		for _, n := range w.order {
-			out = append(out, Demand{n, inv, k})
+func demandAll(cluster *fakeCluster, parts ...int) (out []Demand) {
+	for _, part := range parts {
+		for _, name := range cluster.names {
+			out = append(out, Demand{name, inventory, part})
 		}
 	}
 	return out
 }
 
-func (w *world) proved(d *Planner, wants []Demand) bool {
-	for _, x := range wants {
-		if !d.Confirmed(x.Machine, x.Set, x.Part) {
+func (cluster *fakeCluster) confirmed(planner *Planner, demands []Demand) bool {
+	for _, demand := range demands {
+		if !planner.Confirmed(demand.Machine, demand.Set, demand.Part) {
 			return false
 		}
 	}
@@ -161,23 +161,23 @@
 // Whoever wants a part, it leaves the store once; the rest comes from machine to machine,
 // within the limits of each link.
 func TestEachPartLeavesTheStoreOnce(t *testing.T) {
-	w := newWorld(9)
-	d := New(5, limits, replicas.New())
-	wants := all(w, 0, 1, 2)
+	cluster := newFakeCluster(9)
+	planner := New(5, limits, replicas.New())
+	demands := demandAll(cluster, 0, 1, 2)
 	for range 40 {
-		w.step(d, wants)
-		for _, a := range d.agents {
-			if a.down > 2 || a.up > 2 || d.atStore > 2 || a.down < 0 || a.up < 0 {
-				t.Fatalf("%s: %d in, %d out, %d from the store", a.name, a.down, a.up, d.atStore)
+		cluster.step(planner, demands)
+		for _, agent := range planner.agents {
+			if agent.incoming > 2 || agent.outgoing > 2 || planner.storeTransfers > 2 || agent.incoming < 0 || agent.outgoing < 0 {
+				t.Fatalf("%s: %d in, %d out, %d from the store", agent.name, agent.incoming, agent.outgoing, planner.storeTransfers)
 			}
 		}
 	}
-	store := 0
-	for _, p := range w.agents {
-		store += p.store
+	fromStore := 0
+	for _, agent := range cluster.agents {
+		fromStore += agent.copiesFromStore
 	}
-	if !w.proved(d, wants) || store != 3 {
-		t.Fatalf("proved %v, %d parts from the store", w.proved(d, wants), store)
+	if !cluster.confirmed(planner, demands) || fromStore != 3 {
+		t.Fatalf("proved %v, %d parts from the store", cluster.confirmed(planner, demands), fromStore)
 	}
 }
 
@@ -185,28 +185,28 @@
 // and in the end everything is there.
 func TestTroubledSourcesAreLeft(t *testing.T) {
 	for _, kind := range []string{"store", "lies", "silent"} {
-		w := newWorld(5)
-		d := New(5, limits, replicas.New())
-		w.agents["n-0"].has[0] = true
+		cluster := newFakeCluster(5)
+		planner := New(5, limits, replicas.New())
+		cluster.agents["n-0"].holds[0] = true
 		if kind == "store" {
-			w.storeDown = true
+			cluster.storeDown = true
 		}
-		w.agents["n-0"].lies = kind == "lies"
+		cluster.agents["n-0"].corrupt = kind == "lies"
 		for i := range 60 {
 			if kind == "silent" && i == 3 {
-				w.agents["n-0"].down = true
+				cluster.agents["n-0"].down = true
 			}
 			if i == 20 {
-				w.storeDown = false
+				cluster.storeDown = false
 			}
-			w.step(d, all(w, 0, 1)[1:])
+			cluster.step(planner, demandAll(cluster, 0, 1)[1:])
 		}
-		for _, n := range w.order[1:] {
-			if !d.Confirmed(n, inv, 0) || !d.Confirmed(n, inv, 1) {
-				t.Errorf("%s: %s lacks a part", kind, n)
+		for _, name := range cluster.names[1:] {
+			if !planner.Confirmed(name, inventory, 0) || !planner.Confirmed(name, inventory, 1) {
+				t.Errorf("%s: %s lacks a part", kind, name)
 			}
 		}
-		if kind == "lies" && w.agents["n-1"].peers+w.agents["n-2"].peers == 0 && w.agents["n-3"].peers+w.agents["n-4"].peers == 0 {
+		if kind == "lies" && cluster.agents["n-1"].copiesFromPeers+cluster.agents["n-2"].copiesFromPeers == 0 && cluster.agents["n-3"].copiesFromPeers+cluster.agents["n-4"].copiesFromPeers == 0 {
 			t.Error("lies: nobody copied from an honest peer")
 		}
 	}
@@ -214,120 +214,120 @@
 
 // Proofs hold only for an order that asked without a break, and for this term. A part that
 // was out of the order in between may have been evicted, whatever an earlier report said.
-func TestProofNeedsAnOrderSince(t *testing.T) {
-	w := newWorld(1)
-	d := New(5, limits, replicas.New())
-	one := []Demand{{"n-0", inv, 1}}
+func TestConfirmationNeedsUninterruptedOrderOfThisTerm(t *testing.T) {
+	cluster := newFakeCluster(1)
+	planner := New(5, limits, replicas.New())
+	one := []Demand{{"n-0", inventory, 1}}
 	for range 5 {
-		w.step(d, one)
+		cluster.step(planner, one)
 	}
-	if !d.Confirmed("n-0", inv, 1) {
+	if !planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("not proved")
 	}
-	old := w.agents["n-0"].report()
-	d.Plan(nil, w.now)
-	if d.Confirmed("n-0", inv, 1) {
+	old := cluster.agents["n-0"].heartbeat()
+	planner.Plan(nil, cluster.now)
+	if planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("proved though it may go")
 	}
-	d.Plan(one, w.now)
+	planner.Plan(one, cluster.now)
 	old.Seq += 5
-	d.ApplyHeartbeat(old, w.now)
-	if d.Confirmed("n-0", inv, 1) {
+	planner.ApplyHeartbeat(old, cluster.now)
+	if planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("proved by a report that keeps an order from before the break")
 	}
-	w.agents["n-0"].seq += 9
+	cluster.agents["n-0"].sequence += 9
 	for range 3 {
-		w.step(d, one)
+		cluster.step(planner, one)
 	}
-	if !d.Confirmed("n-0", inv, 1) {
+	if !planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("not proved again")
 	}
 	// The next leader believes nothing that its own order did not ask for.
 	next := New(6, limits, replicas.New())
-	next.ApplyHeartbeat(w.agents["n-0"].report(), w.now)
-	next.Plan(one, w.now)
-	next.ApplyHeartbeat(w.agents["n-0"].report(), w.now)
-	if next.Confirmed("n-0", inv, 1) {
+	next.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
+	next.Plan(one, cluster.now)
+	next.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
+	if next.Confirmed("n-0", inventory, 1) {
 		t.Fatal("proved under an earlier leader's order")
 	}
 	for range 3 {
-		w.step(next, one)
+		cluster.step(next, one)
 	}
-	late, _, _ := d.Order("n-0")
-	if !next.Confirmed("n-0", inv, 1) || w.agents["n-0"].apply(late) {
+	late, _, _ := planner.Order("n-0")
+	if !next.Confirmed("n-0", inventory, 1) || cluster.agents["n-0"].apply(late) {
 		t.Fatal("the new leader's order does not hold, or an old one was taken")
 	}
 }
 
 // The most urgent wants get a cache that cannot hold them all.
-func TestCacheIsNotAskedForMoreThanItHolds(t *testing.T) {
-	w := newWorld(1)
-	w.agents["n-0"].quota = 35
-	d := New(5, limits, replicas.New())
+func TestMostUrgentDemandsGetTheCache(t *testing.T) {
+	cluster := newFakeCluster(1)
+	cluster.agents["n-0"].quota = 35
+	planner := New(5, limits, replicas.New())
 	for range 20 {
-		w.step(d, all(w, 4, 5, 6, 7))
+		cluster.step(planner, demandAll(cluster, 4, 5, 6, 7))
 	}
-	if got := len(w.agents["n-0"].has); got != 3 || w.agents["n-0"].has[7] {
-		t.Fatalf("it holds %v", w.agents["n-0"].has)
+	if got := len(cluster.agents["n-0"].holds); got != 3 || cluster.agents["n-0"].holds[7] {
+		t.Fatalf("it holds %v", cluster.agents["n-0"].holds)
 	}
 }
 
 // However agents come, go and begin anew, the counts of links stay right and in the end
 // everything wanted is there.
-func TestCountsSurviveChaos(t *testing.T) {
+func TestTransferCountsStayRightThroughRandomFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := newWorld(6)
-		d := New(5, limits, replicas.New())
-		var wants []Demand
+		cluster := newFakeCluster(6)
+		planner := New(5, limits, replicas.New())
+		var demands []Demand
 		for i := range 200 {
 			if i < 150 {
-				p := w.agents[w.order[rng.IntN(6)]]
+				agent := cluster.agents[cluster.names[rng.IntN(6)]]
 				switch rng.IntN(8) {
 				case 0:
-					p.down = !p.down
+					agent.down = !agent.down
 				case 1:
-					p.session, p.seq = p.session+1, 0
+					agent.incarnation, agent.sequence = agent.incarnation+1, 0
 				case 2:
-					d.RemoveMachine(p.name)
-					p.has, p.session, p.seq, p.sets, p.term, p.order = map[uint32]bool{}, p.session+1, 0, nil, 0, 0
+					planner.RemoveMachine(agent.name)
+					agent.holds, agent.incarnation, agent.sequence, agent.orderedSets, agent.term, agent.orderNumber = map[uint32]bool{}, agent.incarnation+1, 0, nil, 0, 0
 				case 3:
-					w.storeDown = !w.storeDown
+					cluster.storeDown = !cluster.storeDown
 				case 4:
-					wants = nil
+					demands = nil
 					for range rng.IntN(12) {
-						wants = append(wants, Demand{w.order[rng.IntN(6)], inv, rng.IntN(8)})
+						demands = append(demands, Demand{cluster.names[rng.IntN(6)], inventory, rng.IntN(8)})
 					}
 				}
 			} else {
-				w.storeDown = false
-				for _, p := range w.agents {
-					p.down = false
+				cluster.storeDown = false
+				for _, agent := range cluster.agents {
+					agent.down = false
 				}
 			}
-			w.step(d, wants)
-			up, down, store := 0, 0, 0
-			for _, a := range d.agents {
-				n := 0
-				for _, x := range a.wants {
-					n += len(x.copies)
-					for _, c := range x.copies {
-						if c.from[0].Store {
-							store++
+			cluster.step(planner, demands)
+			outgoing, incoming, fromStore := 0, 0, 0
+			for _, agent := range planner.agents {
+				size := 0
+				for _, desired := range agent.desired {
+					size += len(desired.transfers)
+					for _, transfer := range desired.transfers {
+						if transfer.sources[0].Store {
+							fromStore++
 						}
 					}
 				}
-				if a.down != n || a.up < 0 || a.down > 2 {
-					t.Fatalf("seed %d: %s counts %d in for %d, %d out", seed, a.name, a.down, n, a.up)
+				if agent.incoming != size || agent.outgoing < 0 || agent.incoming > 2 {
+					t.Fatalf("seed %d: %s counts %d in for %d, %d out", seed, agent.name, agent.incoming, size, agent.outgoing)
 				}
-				up, down = up+a.up, down+a.down
+				outgoing, incoming = outgoing+agent.outgoing, incoming+agent.incoming
 			}
-			if store != d.atStore || up > down {
-				t.Fatalf("seed %d: %d from the store, counted %d", seed, store, d.atStore)
+			if fromStore != planner.storeTransfers || outgoing > incoming {
+				t.Fatalf("seed %d: %d from the store, counted %d", seed, fromStore, planner.storeTransfers)
 			}
 		}
-		if !w.proved(d, wants) {
-			t.Fatalf("seed %d: not all of %v is there", seed, wants)
+		if !cluster.confirmed(planner, demands) {
+			t.Fatalf("seed %d: not all of %v is there", seed, demands)
 		}
 	}
 }
