--- /dev/null
+++ b/staging/desired.go
@@ -0,0 +1,109 @@
+package staging
+
+import (
+	"time"
+
+	"github.com/RoaringBitmap/roaring/v2"
+
+	"switchferry/dataset"
+)
+
+// demandedParts are the parts that a machine shall hold, by dataset name.
+type demandedParts map[string]*roaring.Bitmap
+
+// updateDesired brings the desired state of every agent in line with the demands, as far as its
+// cache can hold them. Earlier demands take precedence.
+func (planner *Planner) updateDesired(demands []Demand) {
+	demanded, summaries := planner.fitDemands(demands)
+	for _, agent := range planner.agents {
+		removed := planner.removeUndemanded(agent, demanded[agent])
+		changed := planner.updateDemanded(agent, demanded[agent], summaries)
+		if removed || changed {
+			agent.orderNumber++
+			agent.orderSentAt = time.Time{}
+		}
+	}
+}
+
+// fitDemands returns the demanded parts that fit each agent's cache, and the summaries of their
+// datasets by name. The first demand is kept even if it is larger than the cache.
+func (planner *Planner) fitDemands(demands []Demand) (map[*agentState]demandedParts, map[string]*dataset.Summary) {
+	demanded := map[*agentState]demandedParts{}
+	summaries := map[string]*dataset.Summary{}
+	for _, agent := range planner.agents {
+		agent.desiredBytes = 0
+	}
+	for _, demand := range demands {
+		agent := planner.agents[demand.Machine]
+		if agent == nil {
+			continue
+		}
+		summaries[demand.Set.Name] = demand.Set
+		if demanded[agent] == nil {
+			demanded[agent] = demandedParts{}
+		}
+		parts := demanded[agent][demand.Set.Name]
+		if parts == nil {
+			parts = roaring.New()
+			demanded[agent][demand.Set.Name] = parts
+		}
+		size := float64(demand.Set.PartBytes(demand.Part))
+		overQuota := agent.cacheQuota > 0 && agent.desiredBytes > 0 && agent.desiredBytes+size > float64(agent.cacheQuota)
+		if overQuota || parts.Contains(uint32(demand.Part)) {
+			continue
+		}
+		agent.desiredBytes += size
+		parts.Add(uint32(demand.Part))
+	}
+	return demanded, summaries
+}
+
+// removeUndemanded removes the datasets of which nothing is demanded any more. It returns
+// whether there were any.
+func (planner *Planner) removeUndemanded(agent *agentState, demanded demandedParts) (removed bool) {
+	for name, desired := range agent.desired {
+		if parts := demanded[name]; parts != nil && !parts.IsEmpty() {
+			continue
+		}
+		for part := range desired.transfers {
+			planner.cancelTransfer(agent, desired, part)
+		}
+		delete(agent.desired, name)
+		removed = true
+	}
+	return removed
+}
+
+// updateDemanded sets the desired parts of each demanded dataset, and cancels the transfers of
+// parts that are no longer among them. It returns whether anything changed.
+func (planner *Planner) updateDemanded(agent *agentState, demanded demandedParts, summaries map[string]*dataset.Summary) (changed bool) {
+	for name, parts := range demanded {
+		if parts.IsEmpty() {
+			continue
+		}
+		desired := agent.desired[name]
+		if desired == nil {
+			desired = &desiredDataset{
+				summary:   summaries[name],
+				parts:     roaring.New(),
+				pinned:    roaring.New(),
+				transfers: map[int]*partTransfer{},
+			}
+			agent.desired[name] = desired
+		}
+		if parts.Equals(desired.parts) {
+			continue
+		}
+		changed = true
+		if !roaring.AndNot(parts, desired.parts).IsEmpty() {
+			desired.addedInOrder = agent.orderNumber + 1
+		}
+		for part := range desired.transfers {
+			if !parts.Contains(uint32(part)) {
+				planner.cancelTransfer(agent, desired, part)
+			}
+		}
+		desired.parts = parts
+	}
+	return changed
+}
--- /dev/null
+++ b/staging/fake_test.go
@@ -0,0 +1,172 @@
+package staging
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/RoaringBitmap/roaring/v2"
+
+	"switchferry/api"
+)
+
+// fakeAgent follows the agents' protocol: it applies newer orders, copies each ordered part within
+// one step from the first source that works, and keeps what its order names.
+type fakeAgent struct {
+	name                             string
+	incarnation, sequence            uint64
+	term, orderNumber                uint64
+	orderedSets                      []api.StageSet
+	holds                            map[uint32]bool
+	corrupt, down                    bool
+	failures                         map[int][]api.StageFailure
+	copiesFromStore, copiesFromPeers int
+	quota                            int64
+}
+
+func (agent *fakeAgent) address() string { return agent.name + ":1" }
+
+// apply takes an order over, and returns false if it is older than the present one.
+func (agent *fakeAgent) apply(order api.StageOrder) bool {
+	if order.Term < agent.term || order.Term == agent.term && order.Order < agent.orderNumber || order.Incarnation != agent.incarnation {
+		return false
+	}
+	agent.term, agent.orderNumber, agent.orderedSets = order.Term, order.Order, order.Sets
+	return true
+}
+
+// heartbeat returns the next heartbeat, with everything that the agent holds.
+func (agent *fakeAgent) heartbeat() *api.StageHeartbeat {
+	agent.sequence++
+	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Order: agent.orderNumber, Quota: agent.quota, All: true}
+	held := roaring.New()
+	for k := range agent.holds {
+		held.Add(k)
+	}
+	heartbeat.Holds = []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: 8, Parts: api.PartSet{Bitmap: held}}}
+	for _, s := range agent.orderedSets {
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: s.Dataset, Manifest: s.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, s.Parts.Bitmap)}})
+		for _, transfer := range s.Copies {
+			if !agent.holds[uint32(transfer.Part)] {
+				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: s.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
+			}
+		}
+	}
+	return heartbeat
+}
+
+// fakeCluster moves parts between fake agents as their orders say.
+type fakeCluster struct {
+	agents    map[string]*fakeAgent
+	names     []string
+	storeDown bool
+	now       time.Time
+}
+
+// newFakeCluster returns a cluster of machines n-0, n-1 and so on, which hold nothing.
+func newFakeCluster(size int) *fakeCluster {
+	cluster := &fakeCluster{agents: map[string]*fakeAgent{}, now: time.Unix(1000, 0)}
+	for i := range size {
+		name := fmt.Sprintf("n-%d", i)
+		cluster.agents[name] = &fakeAgent{name: name, incarnation: 1, holds: map[uint32]bool{}, failures: map[int][]api.StageFailure{}, quota: 1 << 30}
+		cluster.names = append(cluster.names, name)
+	}
+	return cluster
+}
+
+// step lets one second pass: every agent that is up sends a heartbeat and applies its order, and
+// then every ordered part is copied from its first source that works.
+func (cluster *fakeCluster) step(planner *Planner, demands []Demand) {
+	cluster.now = cluster.now.Add(time.Second)
+	for _, name := range cluster.names {
+		if !cluster.agents[name].down {
+			planner.ApplyHeartbeat(cluster.agents[name].heartbeat(), cluster.now)
+		}
+	}
+	for _, name := range planner.Plan(demands, cluster.now) {
+		if order, _, ok := planner.Order(name); ok && !cluster.agents[name].down {
+			cluster.agents[name].apply(order)
+		}
+	}
+	// What arrives in this step is no source before the next.
+	received := map[*fakeAgent][]int{}
+	for _, name := range cluster.names {
+		agent := cluster.agents[name]
+		if agent.down {
+			continue
+		}
+		for _, set := range agent.orderedSets {
+			for _, transfer := range set.Copies {
+				if !agent.holds[uint32(transfer.Part)] && cluster.copyPart(agent, transfer) {
+					received[agent] = append(received[agent], transfer.Part)
+				}
+			}
+		}
+	}
+	for agent, parts := range received {
+		for _, part := range parts {
+			agent.holds[uint32(part)] = true
+			delete(agent.failures, part)
+		}
+	}
+}
+
+// copyPart tries the sources of a transfer in order. It returns whether one of them worked, and
+// records the failures of those before it.
+func (cluster *fakeCluster) copyPart(agent *fakeAgent, transfer api.StageCopy) bool {
+	for _, source := range transfer.From {
+		why, corrupt := cluster.failure(source, transfer.Part)
+		if why != "" {
+			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: why, Corrupt: corrupt})
+			continue
+		}
+		if source.Store {
+			agent.copiesFromStore++
+		} else {
+			agent.copiesFromPeers++
+		}
+		return true
+	}
+	return false
+}
+
+// failure returns why a source cannot deliver a part now, or "" if it can.
+func (cluster *fakeCluster) failure(source api.StageSource, part int) (why string, corrupt bool) {
+	peer := cluster.agents[machineOfAddress(source.Peer)]
+	switch {
+	case source.Store && cluster.storeDown, peer != nil && peer.down:
+		return "reset", false
+	case peer != nil && peer.corrupt:
+		return "wrong bytes", true
+	case peer != nil && !peer.holds[uint32(part)]:
+		return "missing", false
+	}
+	return "", false
+}
+
+// machineOfAddress reverts fakeAgent.address. An empty address has no machine.
+func machineOfAddress(addr string) string {
+	if len(addr) < 2 {
+		return ""
+	}
+	return addr[:len(addr)-2]
+}
+
+// demandAll demands each part on every machine.
+func demandAll(cluster *fakeCluster, parts ...int) (out []Demand) {
+	for _, part := range parts {
+		for _, name := range cluster.names {
+			out = append(out, Demand{name, inventory, part})
+		}
+	}
+	return out
+}
+
+// confirmed returns whether every demand is confirmed.
+func (cluster *fakeCluster) confirmed(planner *Planner, demands []Demand) bool {
+	for _, demand := range demands {
+		if !planner.Confirmed(demand.Machine, demand.Set, demand.Part) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/staging/heartbeat.go
@@ -0,0 +1,131 @@
+package staging
+
+import (
+	"maps"
+	"time"
+
+	"github.com/RoaringBitmap/roaring/v2"
+
+	"switchferry/api"
+	"switchferry/replicas"
+)
+
+// ApplyHeartbeat updates the state of the machine's agent. It returns false, and changes nothing
+// but the time of the last heartbeat, if a newer heartbeat was applied before.
+func (planner *Planner) ApplyHeartbeat(heartbeat *api.StageHeartbeat, now time.Time) bool {
+	agent := planner.agents[heartbeat.Machine]
+	if agent == nil {
+		agent = planner.addAgent(heartbeat.Machine)
+	}
+	agent.lastHeartbeat = now
+	if heartbeat.Incarnation < agent.incarnation || heartbeat.Incarnation == agent.incarnation && heartbeat.Seq <= agent.sequence {
+		return false
+	}
+	planner.identify(agent, heartbeat)
+	agent.appliedOrder = 0
+	if heartbeat.Term == planner.term {
+		agent.appliedOrder = heartbeat.Order
+	}
+	if heartbeat.All {
+		planner.applyReplicas(agent, heartbeat)
+	}
+	planner.applyPinned(agent, heartbeat.Pinned)
+	agent.cacheFull = false
+	for i := range heartbeat.Copies {
+		planner.applyProgress(agent, &heartbeat.Copies[i], now)
+	}
+	return true
+}
+
+// identify stores the agent's incarnation, address and cache size. An agent that restarted
+// copies nothing, so its transfers are cancelled and its order is sent again.
+func (planner *Planner) identify(agent *agentState, heartbeat *api.StageHeartbeat) {
+	if heartbeat.Incarnation != agent.incarnation {
+		planner.cancelAllTransfers(agent)
+		agent.orderSentAt = time.Time{}
+		agent.replicasVersion = 0
+	}
+	if agent.address != heartbeat.Address {
+		delete(planner.agentsByAddress, agent.address)
+		agent.address = heartbeat.Address
+		planner.agentsByAddress[agent.address] = agent
+	}
+	agent.incarnation = heartbeat.Incarnation
+	agent.sequence = heartbeat.Seq
+	agent.cacheQuota = heartbeat.Quota
+}
+
+// applyReplicas stores everything that the agent holds, and notes which removed datasets are
+// among it.
+func (planner *Planner) applyReplicas(agent *agentState, heartbeat *api.StageHeartbeat) {
+	held := map[string]replicas.Replica{}
+	removed := map[string]bool{}
+	for _, replica := range heartbeat.Holds {
+		held[replica.Dataset] = replicas.Replica{Of: replica.Of, Parts: replica.Parts.Bitmap}
+		if planner.removedManifests[replica.Dataset] != "" && !replica.Parts.IsEmpty() {
+			removed[replica.Dataset] = true
+		}
+	}
+	planner.index.Set(heartbeat.Machine, held)
+	agent.replicasVersion = heartbeat.Version
+	agent.removalsChanged = agent.removalsChanged || !maps.Equal(removed, agent.removedDatasets)
+	agent.removedDatasets = removed
+}
+
+// applyPinned stores which desired parts the agent pinned, and ends their transfers.
+func (planner *Planner) applyPinned(agent *agentState, pinned []api.StageHeld) {
+	for _, desired := range agent.desired {
+		desired.pinned = roaring.New()
+	}
+	for _, replica := range pinned {
+		desired := agent.desired[replica.Dataset]
+		if desired == nil || desired.summary.Manifest.String() != replica.Manifest {
+			continue
+		}
+		desired.pinned = replica.Parts.Bitmap
+		for part := range desired.transfers {
+			if desired.pinned.Contains(uint32(part)) {
+				planner.cancelTransfer(agent, desired, part)
+			}
+		}
+	}
+}
+
+// applyProgress stores the progress and the failures of one transfer. A peer that served wrong
+// bytes is not used as a source any more.
+func (planner *Planner) applyProgress(agent *agentState, progress *api.StageProgress, now time.Time) {
+	agent.cacheFull = agent.cacheFull || progress.Full
+	desired := agent.desired[progress.Dataset]
+	if desired == nil {
+		return
+	}
+	transfer := desired.transfers[progress.Part]
+	if transfer == nil {
+		return
+	}
+	if progress.Got != transfer.receivedBytes {
+		transfer.receivedBytes = progress.Got
+		transfer.lastProgress = now
+	}
+	for _, failure := range progress.Failed {
+		if _, known := transfer.failures[failure.From]; !known {
+			planner.Failed++
+			transfer.failures[failure.From] = failure.Why
+		}
+		if failure.Corrupt && failure.From.Peer != "" {
+			planner.corruptPeers[failure.From.Peer] = true
+		}
+	}
+}
+
+// ApplyHint stores what a machine held according to an earlier leader, unless the planner knows
+// the machine already. Until its agent reports, the machine gets no order, is no source, and
+// nothing is confirmed of it.
+func (planner *Planner) ApplyHint(machine string, holds map[string]replicas.Replica, now time.Time) {
+	if planner.agents[machine] != nil {
+		return
+	}
+	agent := planner.addAgent(machine)
+	agent.lastHeartbeat = now
+	planner.index.Set(machine, holds)
+}
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -3,39 +3,46 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"switchferry/api"
 	"switchferry/relay"
 )
 
-// Proxy answers agents in place of a leader that their controller does not reach. It
-// decides nothing: reports go into a box for the leader, and the order that the leader
-// orderSentAt last comes back. Agents refuse what is older than what they keep, so an order that
-// comes late or twice does no harm, and proofs rest on what the leader reads in reports,
-// whichever way these came. It is not safe for use from several goroutines at once.
+// Proxy answers agents in place of a leader that their controller cannot reach. It decides
+// nothing: it relays heartbeats to the leader and returns the newest order that the leader sent.
+// Agents refuse orders older than the one they have, so an order that comes late or twice does
+// no harm, and the leader's proofs rest on the heartbeats that it reads, whichever way they came.
+// A Proxy is not safe for concurrent use.
 type Proxy struct {
+	// Outbox takes the heartbeats for the leader, Inbox has its orders.
 	Outbox *relay.Outbox
 	Inbox  relay.Reader
-	// agents is what each agent said last, without what changes all the time; holds are
-	// what it said that it holds, as of a version.
+
 	agents map[string]*relayedAgent
 }
 
+// relayedAgent is what a machine's agent reported in its heartbeats.
 type relayedAgent struct {
-	incarnation, replicasVersion uint64
-	replicas                     []api.StageHeld
-	replicasKnown                bool
-	lastStatus                   []byte
+	incarnation uint64
+	// replicas are what the agent holds as of replicasVersion, if replicasKnown is set.
+	replicasKnown   bool
+	replicasVersion uint64
+	replicas        []api.StageHeld
+	// lastStatus is the encoded status of the last heartbeat, see encodeStatus.
+	lastStatus []byte
 }
 
-// NewProxy makes a proxy whose reports go into a box.
-func NewProxy(box *relay.Outbox) *Proxy {
-	return &Proxy{Outbox: box, agents: map[string]*relayedAgent{}}
+// NewProxy returns a proxy that puts heartbeats into an outbox.
+func NewProxy(outbox *relay.Outbox) *Proxy {
+	return &Proxy{Outbox: outbox, agents: map[string]*relayedAgent{}}
 }
 
-// HandleHeartbeat takes in a report for the leader of a term, and gives what the agent is told.
-func (proxy *Proxy) HandleHeartbeat(heartbeat api.StageHeartbeat, term uint64, now time.Time) (order api.StageOrder, err error) {
+// HandleHeartbeat relays a heartbeat to the leader of a term and returns the order for the agent.
+// If the leader sent none to this incarnation, that is an order of number 0, which changes
+// nothing. The error is that of a malformed order of the leader.
+func (proxy *Proxy) HandleHeartbeat(heartbeat api.StageHeartbeat, term uint64, now time.Time) (api.StageOrder, error) {
 	if proxy.Outbox.Term() != term {
 		proxy.Outbox.Reset(term)
 		proxy.agents = map[string]*relayedAgent{}
@@ -45,52 +52,77 @@
 		agent = &relayedAgent{incarnation: heartbeat.Incarnation}
 		proxy.agents[heartbeat.Machine] = agent
 	}
-	told := api.StageOrder{}
-	if raw := proxy.Inbox.MessageFor(term, heartbeat.Machine); raw != nil {
-		if err := json.Unmarshal(raw, &told); err != nil {
-			return order, err
-		}
+	order, ordered, err := proxy.leaderOrder(&heartbeat, term)
+	if err != nil {
+		return api.StageOrder{}, err
 	}
-	there := told.Term == term && told.Incarnation == heartbeat.Incarnation
 	if heartbeat.All {
-		agent.replicasVersion, agent.replicas, agent.replicasKnown = heartbeat.Version, heartbeat.Holds, true
+		agent.replicasKnown = true
+		agent.replicasVersion = heartbeat.Version
+		agent.replicas = heartbeat.Holds
+	}
+	replicasCurrent := agent.replicasKnown && agent.replicasVersion == heartbeat.Version
+	leaderCurrent := ordered && order.Known == heartbeat.Version
+	if replicasCurrent && !leaderCurrent {
+		// The agent sends its replicas until the proxy knows them; the leader may not have them yet.
+		heartbeat.All = true
+		heartbeat.Holds = agent.replicas
 	}
-	has := agent.replicasKnown && agent.replicasVersion == heartbeat.Version
-	if has && !(there && told.Known == heartbeat.Version) {
-		// The leader may have missed what it holds, while it took our word for that.
-		heartbeat.All, heartbeat.Holds = true, agent.replicas
+	if err := proxy.relayHeartbeat(agent, &heartbeat, now); err != nil {
+		return api.StageOrder{}, err
 	}
-	still := heartbeat
-	still.Seq, still.Used, still.FromStore, still.FromPeers = 0, 0, 0, 0
-	still.Copies = nil
-	for _, c := range heartbeat.Copies {
-		c.Got = 0
-		still.Copies = append(still.Copies, c)
+	if !ordered {
+		order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
+	}
+	if replicasCurrent {
+		order.Known = heartbeat.Version
+	}
+	return order, nil
+}
+
+// leaderOrder returns the newest order of the leader for the machine of a heartbeat. It returns
+// false if there is none of this term and for this incarnation of the agent.
+func (proxy *Proxy) leaderOrder(heartbeat *api.StageHeartbeat, term uint64) (order api.StageOrder, ok bool, err error) {
+	raw := proxy.Inbox.MessageFor(term, heartbeat.Machine)
+	if raw == nil {
+		return order, false, nil
 	}
-	said, err := json.Marshal(still)
+	if err := json.Unmarshal(raw, &order); err != nil {
+		return order, false, fmt.Errorf("decode relayed order for %s: %w", heartbeat.Machine, err)
+	}
+	return order, order.Term == term && order.Incarnation == heartbeat.Incarnation, nil
+}
+
+// relayHeartbeat puts a heartbeat into the outbox, as urgent if the agent's status changed.
+func (proxy *Proxy) relayHeartbeat(agent *relayedAgent, heartbeat *api.StageHeartbeat, now time.Time) error {
+	status, err := encodeStatus(*heartbeat)
 	if err != nil {
-		return order, err
+		return fmt.Errorf("encode status of %s: %w", heartbeat.Machine, err)
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
-		return order, err
-	}
-	proxy.Outbox.Put(heartbeat.Machine, body, !bytes.Equal(said, agent.lastStatus), now)
-	agent.lastStatus = said
-	// An order of number 0 changes nothing.
-	order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
-	if there {
-		order = told
+		return fmt.Errorf("encode heartbeat of %s: %w", heartbeat.Machine, err)
 	}
-	if has {
-		order.Known = heartbeat.Version
+	proxy.Outbox.Put(heartbeat.Machine, body, !bytes.Equal(status, agent.lastStatus), now)
+	agent.lastStatus = status
+	return nil
+}
+
+// encodeStatus encodes a heartbeat without the fields that change all the time.
+func encodeStatus(heartbeat api.StageHeartbeat) ([]byte, error) {
+	heartbeat.Seq, heartbeat.Used, heartbeat.FromStore, heartbeat.FromPeers = 0, 0, 0, 0
+	copies := heartbeat.Copies
+	heartbeat.Copies = nil
+	for _, progress := range copies {
+		progress.Got = 0
+		heartbeat.Copies = append(heartbeat.Copies, progress)
 	}
-	return order, nil
+	return json.Marshal(heartbeat)
 }
 
-// Expire drops agents that have not reported for so long.
+// Expire forgets the agents that have not sent a heartbeat for the given time.
 func (proxy *Proxy) Expire(now time.Time, after time.Duration) {
-	for _, name := range proxy.Outbox.Expire(now, after) {
-		delete(proxy.agents, name)
+	for _, machine := range proxy.Outbox.Expire(now, after) {
+		delete(proxy.agents, machine)
 	}
 }
--- /dev/null
+++ b/staging/sources.go
@@ -0,0 +1,118 @@
+package staging
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"switchferry/api"
+	"switchferry/replicas"
+	"switchferry/tuning"
+)
+
+// chooseSources returns the sources for a part, the best first, or nil if the transfer has to
+// wait. Peers that hold the part are preferred, those with the fewest outgoing transfers first;
+// peers in failed are left out. The store is used only if no peer has the part and no other
+// machine is receiving it, since each part shall leave the store once.
+func (planner *Planner) chooseSources(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) []api.StageSource {
+	if agent.address == "" || agent.incoming >= planner.limits.PerLink {
+		return nil
+	}
+	peers, busy := planner.availablePeers(agent, demand, snapshot, now, failed)
+	if len(peers) > 0 {
+		var sources []api.StageSource
+		for _, peer := range peers[:min(len(peers), tuning.StageSources)] {
+			sources = append(sources, api.StageSource{Peer: peer.address})
+		}
+		return sources
+	}
+	if busy || planner.storeTransfers >= planner.limits.AtStore || planner.limits.Peers && planner.isProgressing(demand.Set.Name, demand.Part, now) {
+		return nil
+	}
+	return []api.StageSource{{Store: true}}
+}
+
+// availablePeers returns the other agents that can serve a part now, those with the fewest
+// outgoing transfers first. Busy says that there is a peer which only has no link free.
+func (planner *Planner) availablePeers(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) (peers []*agentState, busy bool) {
+	if !planner.limits.Peers {
+		return nil, false
+	}
+	for _, machineID := range snapshot.Holders(demand.Set.Name, demand.Part) {
+		peer := planner.agentsByID[machineID]
+		if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilent {
+			continue
+		}
+		if _, hasFailed := failed[api.StageSource{Peer: peer.address}]; hasFailed {
+			continue
+		}
+		if peer.outgoing >= planner.limits.PerLink {
+			busy = true
+			continue
+		}
+		peers = append(peers, peer)
+	}
+	slices.SortFunc(peers, func(peer, other *agentState) int {
+		return cmp.Or(cmp.Compare(peer.outgoing, other.outgoing), cmp.Compare(peer.name, other.name))
+	})
+	return peers, busy
+}
+
+// isProgressing returns whether some machine is receiving the part, and its transfer has neither
+// failed nor stalled.
+func (planner *Planner) isProgressing(datasetName string, part int, now time.Time) bool {
+	if planner.transfersByPart[partKey{datasetName, part}] == 0 {
+		return false
+	}
+	for _, agent := range planner.agents {
+		desired := agent.desired[datasetName]
+		if desired == nil {
+			continue
+		}
+		transfer := desired.transfers[part]
+		if transfer != nil && len(transfer.failures) < len(transfer.sources) && now.Sub(transfer.lastProgress) < tuning.StageGiveUp {
+			return true
+		}
+	}
+	return false
+}
+
+// replaceFailedSources gives a transfer whose sources all failed other sources. It returns
+// whether there are any. Otherwise the transfer stays as it is, and the agent tries its sources
+// again with growing pauses.
+func (planner *Planner) replaceFailedSources(agent *agentState, demand Demand, transfer *partTransfer, snapshot *replicas.Snapshot, now time.Time) bool {
+	if !planner.allSourcesFailed(transfer) {
+		return false
+	}
+	desired := agent.desired[demand.Set.Name]
+	// The transfer's own use of the links must not count against its new sources.
+	planner.cancelTransfer(agent, desired, demand.Part)
+	sources := planner.chooseSources(agent, Demand{agent.name, desired.summary, demand.Part}, snapshot, now, transfer.failures)
+	replaced := sources != nil && !slices.Equal(sources, transfer.sources)
+	next := &partTransfer{
+		sources:       transfer.sources,
+		receivedBytes: transfer.receivedBytes,
+		lastProgress:  transfer.lastProgress,
+		failures:      transfer.failures,
+	}
+	if replaced {
+		next.sources = sources
+		next.failures = map[api.StageSource]string{}
+	}
+	desired.transfers[demand.Part] = next
+	planner.countTransfer(agent, desired.summary.Name, demand.Part, next.sources[0])
+	return replaced
+}
+
+// allSourcesFailed returns whether every source of a transfer failed, or served wrong bytes to
+// some machine.
+func (planner *Planner) allSourcesFailed(transfer *partTransfer) bool {
+	for _, source := range transfer.sources {
+		_, failed := transfer.failures[source]
+		corrupt := source.Peer != "" && planner.corruptPeers[source.Peer]
+		if !failed && !corrupt {
+			return false
+		}
+	}
+	return true
+}
