--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -15,68 +15,68 @@
 	Packed string `json:"z"`
 }
 
-// packed is what is packed: for each dataset its number of parts and, by machine, which
-// of them it holds.
-type packed map[string]struct {
+// packedHint is what is packed: for each dataset its number of parts and, by machine, which
+// replicaOf them it holds.
+type packedHint map[string]struct {
 	Of int               `json:"n"`
 	On map[string][]byte `json:"m"`
 }
 
 // EncodeHint packs what machines hold into at most so many bytes of text. Machines that do
 // not fit are left out, the last ones first; told is how many are in it.
-func EncodeHint(s *Snapshot, machines []string, number func(string) (MachineID, bool), most int) (h Hint, told int, err error) {
+func EncodeHint(snapshot *Snapshot, machines []string, machineID func(string) (MachineID, bool), maxBytes int) (hint Hint, included int, err error) {
 	for n := len(machines); n > 0; n /= 2 {
-		p := packed{}
+		packed := packedHint{}
 		for _, name := range machines[:n] {
-			id, ok := number(name)
+			machineID, ok := machineID(name)
 			if !ok {
 				continue
 			}
-			mine, ok := s.machines.Get(id)
+			mine, ok := snapshot.machines.Get(machineID)
 			if !ok {
 				continue
 			}
-			for itr := mine.Iterator(); !itr.Done(); {
-				d, held, _ := itr.Next()
-				x, ok := p[d]
+			for iterator := mine.Iterator(); !iterator.Done(); {
+				datasetName, held, _ := iterator.Next()
+				x, ok := packed[datasetName]
 				if !ok {
-					set, _ := s.sets.Get(d)
-					x.Of, x.On = set.parts, map[string][]byte{}
+					set, _ := snapshot.datasets.Get(datasetName)
+					x.Of, x.On = set.partCount, map[string][]byte{}
 				}
 				if x.On[name], err = held.parts.ToBytes(); err != nil {
-					return h, 0, err
+					return hint, 0, err
 				}
-				p[d] = x
+				packed[datasetName] = x
 			}
 		}
-		text, err := compress.EncodeSmall(p)
+		text, err := compress.EncodeSmall(packed)
 		if err != nil {
-			return h, 0, err
+			return hint, 0, err
 		}
-		if len(text) <= most {
+		if len(text) <= maxBytes {
 			return Hint{text}, n, nil
 		}
 	}
-	return h, 0, nil
+	return hint, 0, nil
 }
 
 // Decode gives what each machine held.
-func (h Hint) Decode() (map[string]map[string]Replica, error) {
-	var p packed
-	if err := compress.Decode(h.Packed, &p); err != nil {
+func (hint Hint) Decode() (map[string]map[string]Replica, error) {
+	var packed packedHint
+	if err := compress.Decode(hint.Packed, &packed); err != nil {
 		return nil, fmt.Errorf("hint of holdings: %w", err)
 	}
 	out := map[string]map[string]Replica{}
-	for d, x := range p {
-		for name, raw := range x.On {
-			b := roaring.New()
-			if err := b.UnmarshalBinary(raw); err != nil || b.Validate() != nil && !b.IsEmpty() || x.Of < 0 || x.Of > tuning.PartsLimit {
-				return nil, fmt.Errorf("hint of holdings: parts of %s on %s: %v", d, name, err)
+	for datasetName, x := range packed {
+		for name, encoded := range x.On {
+			parts := roaring.New()
+			if err := parts.UnmarshalBinary(encoded); err != nil || parts.Validate() != nil && !parts.IsEmpty() || x.Of < 0 || x.Of > tuning.PartsLimit {
+				return nil, fmt.Errorf("hint of holdings: parts of %s on %s: %v", datasetName, name, err)
 			}
 			if out[name] == nil {
 				out[name] = map[string]Replica{}
 			}
-			out[name][d] = Replica{x.Of, b}
+			out[name][datasetName] = Replica{x.Of, parts}
 		}
 	}
 	return out, nil
--- a/replicas/holdings.go
+++ b/replicas/holdings.go
@@ -20,118 +20,118 @@
 // again after a machine is dropped.
 type MachineID uint32
 
-// held is what a machine holds of a dataset. Its bitmap is never changed.
-type held struct {
+// heldParts is what a machine holds of a dataset. Its bitmap is never changed.
+type heldParts struct {
 	parts *roaring.Bitmap
 	count int
 }
 
-// set is who holds a dataset.
-type set struct {
-	parts int
+// datasetReplicas is who holds a dataset.
+type datasetReplicas struct {
+	partCount int
 	// holders are those of each part, in the order of their numbers; the slices are
 	// never changed.
 	holders *immutable.List[[]MachineID]
-	// whole hold every part, in the same order.
-	whole []MachineID
-	// all counts the parts on all machines.
-	all int
+	// complete hold every part, in the same order.
+	complete []MachineID
+	// replicaCount counts the parts on all machines.
+	replicaCount int
 }
 
 // Snapshot is who holds what at one moment. The zero value is of no use; Index.Snapshot
 // gives one.
 type Snapshot struct {
-	sets     *immutable.Map[string, *set]
-	machines *immutable.Map[MachineID, *immutable.Map[string, held]]
+	datasets *immutable.Map[string, *datasetReplicas]
+	machines *immutable.Map[MachineID, *immutable.Map[string, heldParts]]
 	version  uint64
 }
 
 // Index takes in what agents say. Its methods may be called from anywhere.
 type Index struct {
-	mu   sync.Mutex
-	ids  map[string]MachineID
-	free []MachineID
-	snap atomic.Pointer[Snapshot]
+	mu      sync.Mutex
+	ids     map[string]MachineID
+	freeIDs []MachineID
+	current atomic.Pointer[Snapshot]
 }
 
-type hashMachine struct{}
+type machineHasher struct{}
 
-func (hashMachine) Hash(m MachineID) uint32   { return uint32(m) * 2654435761 }
-func (hashMachine) Equal(a, b MachineID) bool { return a == b }
+func (machineHasher) Hash(m MachineID) uint32   { return uint32(m) * 2654435761 }
+func (machineHasher) Equal(a, b MachineID) bool { return a == b }
 
 // New makes an empty index.
 func New() *Index {
-	x := &Index{ids: map[string]MachineID{}}
-	x.snap.Store(&Snapshot{sets: immutable.NewMap[string, *set](nil),
-		machines: immutable.NewMap[MachineID, *immutable.Map[string, held]](hashMachine{})})
-	return x
+	index := &Index{ids: map[string]MachineID{}}
+	index.current.Store(&Snapshot{datasets: immutable.NewMap[string, *datasetReplicas](nil),
+		machines: immutable.NewMap[MachineID, *immutable.Map[string, heldParts]](machineHasher{})})
+	return index
 }
 
 // Snapshot is the present state.
-func (x *Index) Snapshot() *Snapshot { return x.snap.Load() }
+func (index *Index) Snapshot() *Snapshot { return index.current.Load() }
 
 // ID is the number of a machine; it gets one if it has none.
-func (x *Index) ID(name string) MachineID {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.number(name)
+func (index *Index) ID(name string) MachineID {
+	index.mu.Lock()
+	defer index.mu.Unlock()
+	return index.assignID(name)
 }
 
-func (x *Index) number(name string) MachineID {
-	id, ok := x.ids[name]
+func (index *Index) assignID(name string) MachineID {
+	machineID, ok := index.ids[name]
 	if !ok {
-		id = MachineID(len(x.ids) + len(x.free))
-		if n := len(x.free); n > 0 {
-			id, x.free = x.free[n-1], x.free[:n-1]
+		machineID = MachineID(len(index.ids) + len(index.freeIDs))
+		if n := len(index.freeIDs); n > 0 {
+			machineID, index.freeIDs = index.freeIDs[n-1], index.freeIDs[:n-1]
 		}
-		x.ids[name] = id
+		index.ids[name] = machineID
 	}
-	return id
+	return machineID
 }
 
 // Remove forgets a machine and all that it held.
-func (x *Index) Remove(name string) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	id, ok := x.ids[name]
+func (index *Index) Remove(name string) {
+	index.mu.Lock()
+	defer index.mu.Unlock()
+	machineID, ok := index.ids[name]
 	if !ok {
 		return
 	}
-	delete(x.ids, name)
-	x.free = append(x.free, id)
-	s := x.snap.Load()
-	if sets, ok := s.machines.Get(id); ok {
-		next := *s
-		for itr := sets.Iterator(); !itr.Done(); {
-			d, _, _ := itr.Next()
-			next.take(id, d, 0, nil)
+	delete(index.ids, name)
+	index.freeIDs = append(index.freeIDs, machineID)
+	snapshot := index.current.Load()
+	if sets, ok := snapshot.machines.Get(machineID); ok {
+		next := *snapshot
+		for iterator := sets.Iterator(); !iterator.Done(); {
+			datasetName, _, _ := iterator.Next()
+			next.update(machineID, datasetName, 0, nil)
 		}
 		next.version++
-		x.snap.Store(&next)
+		index.current.Store(&next)
 	}
 }
 
 // Set notes all that a machine holds: of each dataset its number of parts and which of
 // them. Parts beyond that number are left out. The bitmaps are not changed, and the
 // caller must not change them any more.
-func (x *Index) Set(name string, all map[string]Replica) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	id := x.number(name)
-	s := x.snap.Load()
-	next := *s
-	if old, ok := s.machines.Get(id); ok {
-		for itr := old.Iterator(); !itr.Done(); {
-			if d, _, _ := itr.Next(); all[d].Parts == nil {
-				next.take(id, d, 0, nil)
+func (index *Index) Set(name string, replicas map[string]Replica) {
+	index.mu.Lock()
+	defer index.mu.Unlock()
+	machineID := index.assignID(name)
+	snapshot := index.current.Load()
+	next := *snapshot
+	if old, ok := snapshot.machines.Get(machineID); ok {
+		for iterator := old.Iterator(); !iterator.Done(); {
+			if datasetName, _, _ := iterator.Next(); replicas[datasetName].Parts == nil {
+				next.update(machineID, datasetName, 0, nil)
 			}
 		}
 	}
-	for d, h := range all {
-		next.take(id, d, h.Of, h.Parts)
+	for datasetName, replica := range replicas {
+		next.update(machineID, datasetName, replica.Of, replica.Parts)
 	}
 	next.version++
-	x.snap.Store(&next)
+	index.current.Store(&next)
 }
 
 // Replica is what a machine says that it holds of a dataset: which parts, of how many.
@@ -140,86 +140,86 @@
 	Parts *roaring.Bitmap
 }
 
-// take sets what a machine holds of one dataset. It works on a copy of the last snapshot.
-func (s *Snapshot) take(id MachineID, d string, of int, parts *roaring.Bitmap) {
-	mine, ok := s.machines.Get(id)
+// update sets what a machine holds of one dataset. It works on a copy of the last snapshot.
+func (snapshot *Snapshot) update(machineID MachineID, datasetName string, partCount int, parts *roaring.Bitmap) {
+	held, ok := snapshot.machines.Get(machineID)
 	if !ok {
-		mine = immutable.NewMap[string, held](nil)
+		held = immutable.NewMap[string, heldParts](nil)
 	}
-	was, _ := mine.Get(d)
-	if was.parts == nil {
-		was.parts = roaring.New()
+	before, _ := held.Get(datasetName)
+	if before.parts == nil {
+		before.parts = roaring.New()
 	}
 	if parts == nil {
 		parts = roaring.New()
 	}
-	if of > 0 && !parts.IsEmpty() && parts.Maximum() >= uint32(of) {
+	if partCount > 0 && !parts.IsEmpty() && parts.Maximum() >= uint32(partCount) {
 		parts = parts.Clone()
-		parts.RemoveRange(uint64(of), 1<<32)
+		parts.RemoveRange(uint64(partCount), 1<<32)
 	}
-	if parts.Equals(was.parts) {
+	if parts.Equals(before.parts) {
 		return
 	}
-	ds, ok := s.sets.Get(d)
+	set, ok := snapshot.datasets.Get(datasetName)
 	if !ok {
-		ds = &set{holders: immutable.NewList[[]MachineID]()}
+		set = &datasetReplicas{holders: immutable.NewList[[]MachineID]()}
 	}
-	next := *ds
-	if of > next.parts {
+	next := *set
+	if partCount > next.partCount {
 		b := immutable.NewListBuilder[[]MachineID]()
-		for i := range of {
+		for i := range partCount {
 			if i < next.holders.Len() {
 				b.Append(next.holders.Get(i))
 			} else {
 				b.Append(nil)
 			}
 		}
-		next.parts, next.holders = of, b.List()
+		next.partCount, next.holders = partCount, b.List()
 	}
-	for itr := roaring.AndNot(parts, was.parts).Iterator(); itr.HasNext(); {
-		k := int(itr.Next())
-		next.holders = next.holders.Set(k, with(next.holders.Get(k), id))
+	for iterator := roaring.AndNot(parts, before.parts).Iterator(); iterator.HasNext(); {
+		k := int(iterator.Next())
+		next.holders = next.holders.Set(k, insertID(next.holders.Get(k), machineID))
 	}
-	for itr := roaring.AndNot(was.parts, parts).Iterator(); itr.HasNext(); {
-		k := int(itr.Next())
-		next.holders = next.holders.Set(k, without(next.holders.Get(k), id))
+	for iterator := roaring.AndNot(before.parts, parts).Iterator(); iterator.HasNext(); {
+		k := int(iterator.Next())
+		next.holders = next.holders.Set(k, removeID(next.holders.Get(k), machineID))
 	}
 	n := int(parts.GetCardinality())
-	if n == next.parts {
-		next.whole = with(next.whole, id)
+	if n == next.partCount {
+		next.complete = insertID(next.complete, machineID)
 	} else {
-		next.whole = without(next.whole, id)
+		next.complete = removeID(next.complete, machineID)
 	}
-	if next.all += n - int(was.parts.GetCardinality()); next.all == 0 {
+	if next.replicaCount += n - int(before.parts.GetCardinality()); next.replicaCount == 0 {
 		// Names are not used again: what nobody holds would be kept for ever.
-		s.sets = s.sets.Delete(d)
+		snapshot.datasets = snapshot.datasets.Delete(datasetName)
 	} else {
-		s.sets = s.sets.Set(d, &next)
+		snapshot.datasets = snapshot.datasets.Set(datasetName, &next)
 	}
 	if n == 0 {
-		mine = mine.Delete(d)
+		held = held.Delete(datasetName)
 	} else {
-		mine = mine.Set(d, held{parts, n})
+		held = held.Set(datasetName, heldParts{parts, n})
 	}
-	if mine.Len() == 0 {
-		s.machines = s.machines.Delete(id)
+	if held.Len() == 0 {
+		snapshot.machines = snapshot.machines.Delete(machineID)
 	} else {
-		s.machines = s.machines.Set(id, mine)
+		snapshot.machines = snapshot.machines.Set(machineID, held)
 	}
 }
 
-func with(list []MachineID, id MachineID) []MachineID {
-	at, ok := slices.BinarySearch(list, id)
+func insertID(list []MachineID, machineID MachineID) []MachineID {
+	at, ok := slices.BinarySearch(list, machineID)
 	if ok {
 		return list
 	}
 	out := make([]MachineID, 0, len(list)+1)
-	out = append(append(out, list[:at]...), id)
+	out = append(append(out, list[:at]...), machineID)
 	return append(out, list[at:]...)
 }
 
-func without(list []MachineID, id MachineID) []MachineID {
-	at, ok := slices.BinarySearch(list, id)
+func removeID(list []MachineID, machineID MachineID) []MachineID {
+	at, ok := slices.BinarySearch(list, machineID)
 	if !ok {
 		return list
 	}
@@ -227,64 +227,64 @@
 }
 
 // Version grows with every change.
-func (s *Snapshot) Version() uint64 { return s.version }
+func (snapshot *Snapshot) Version() uint64 { return snapshot.version }
 
 // Holders are the machines that hold a part, in the order of their numbers. The list is
 // shared and must not be changed.
-func (s *Snapshot) Holders(dataset string, part int) []MachineID {
-	ds, ok := s.sets.Get(dataset)
-	if !ok || part < 0 || part >= ds.parts {
+func (snapshot *Snapshot) Holders(dataset string, part int) []MachineID {
+	set, ok := snapshot.datasets.Get(dataset)
+	if !ok || part < 0 || part >= set.partCount {
 		return nil
 	}
-	return ds.holders.Get(part)
+	return set.holders.Get(part)
 }
 
 // Complete are the machines that hold a dataset whole; the same applies.
-func (s *Snapshot) Complete(dataset string) []MachineID {
-	if ds, ok := s.sets.Get(dataset); ok {
-		return ds.whole
+func (snapshot *Snapshot) Complete(dataset string) []MachineID {
+	if set, ok := snapshot.datasets.Get(dataset); ok {
+		return set.complete
 	}
 	return nil
 }
 
 // Has tells whether a machine holds a part.
-func (s *Snapshot) Has(m MachineID, dataset string, part int) bool {
-	_, ok := slices.BinarySearch(s.Holders(dataset, part), m)
+func (snapshot *Snapshot) Has(m MachineID, dataset string, part int) bool {
+	_, ok := slices.BinarySearch(snapshot.Holders(dataset, part), m)
 	return ok
 }
 
 // Parts are what a machine holds of a dataset; nil: nothing. The bitmap must not be
 // changed.
-func (s *Snapshot) Parts(m MachineID, dataset string) *roaring.Bitmap {
-	if mine, ok := s.machines.Get(m); ok {
-		if h, ok := mine.Get(dataset); ok {
-			return h.parts
+func (snapshot *Snapshot) Parts(m MachineID, dataset string) *roaring.Bitmap {
+	if held, ok := snapshot.machines.Get(m); ok {
+		if held, ok := held.Get(dataset); ok {
+			return held.parts
 		}
 	}
 	return nil
 }
 
 // Count is the number of a dataset's parts that a machine holds.
-func (s *Snapshot) Count(m MachineID, dataset string) int {
-	if mine, ok := s.machines.Get(m); ok {
-		h, _ := mine.Get(dataset)
-		return h.count
+func (snapshot *Snapshot) Count(m MachineID, dataset string) int {
+	if held, ok := snapshot.machines.Get(m); ok {
+		held, _ := held.Get(dataset)
+		return held.count
 	}
 	return 0
 }
 
 // Known tells whether any machine holds something of a dataset.
-func (s *Snapshot) Known(dataset string) bool {
-	_, ok := s.sets.Get(dataset)
+func (snapshot *Snapshot) Known(dataset string) bool {
+	_, ok := snapshot.datasets.Get(dataset)
 	return ok
 }
 
 // Datasets are those that any machine holds something of, in no order.
-func (s *Snapshot) Datasets() []string {
+func (snapshot *Snapshot) Datasets() []string {
 	var out []string
-	for itr := s.sets.Iterator(); !itr.Done(); {
-		d, _, _ := itr.Next()
-		out = append(out, d)
+	for iterator := snapshot.datasets.Iterator(); !iterator.Done(); {
+		datasetName, _, _ := iterator.Next()
+		out = append(out, datasetName)
 	}
 	return out
 }
