--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -9,75 +9,108 @@
 	"switchferry/tuning"
 )
 
-// Hint is what some machines hold, packed for a record: a new leader starts from it until
-// agents report. It is only a hint: nothing breaks when it is old, cut short or missing.
+// Hint is what some machines hold, packed for a record of the state service. A new leader starts
+// from it until the agents report. Nothing breaks if a hint is old, incomplete or missing.
 type Hint struct {
 	Packed string `json:"z"`
 }
 
-// packedHint is what is packed: for each dataset its number of parts and, by machine, which
-// replicaOf them it holds.
-type packedHint map[string]struct {
-	Of int               `json:"n"`
-	On map[string][]byte `json:"m"`
+// packedHint is the content of a hint, by dataset name.
+type packedHint map[string]packedDataset
+
+// packedDataset is the number of a dataset's parts and, by machine name, the encoded bitmap of the
+// parts that each machine holds.
+type packedDataset struct {
+	PartCount int               `json:"n"`
+	Machines  map[string][]byte `json:"m"`
 }
 
-// EncodeHint packs what machines hold into at most so many bytes of text. Machines that do
-// not fit are left out, the last ones first; told is how many are in it.
+// EncodeHint packs what the given machines hold into at most maxBytes of text. As long as they do
+// not fit, the last half of the machines is left out; included is the number of the first machines
+// that were considered for the hint, 0 if the hint is empty. machineID returns the number of a
+// machine; machines for which it returns false are skipped.
 func EncodeHint(snapshot *Snapshot, machines []string, machineID func(string) (MachineID, bool), maxBytes int) (hint Hint, included int, err error) {
-	for n := len(machines); n > 0; n /= 2 {
-		packed := packedHint{}
-		for _, name := range machines[:n] {
-			machineID, ok := machineID(name)
-			if !ok {
-				continue
-			}
-			mine, ok := snapshot.machines.Get(machineID)
-			if !ok {
-				continue
-			}
-			for iterator := mine.Iterator(); !iterator.Done(); {
-				datasetName, held, _ := iterator.Next()
-				x, ok := packed[datasetName]
-				if !ok {
-					set, _ := snapshot.datasets.Get(datasetName)
-					x.Of, x.On = set.partCount, map[string][]byte{}
-				}
-				if x.On[name], err = held.parts.ToBytes(); err != nil {
-					return hint, 0, err
-				}
-				packed[datasetName] = x
-			}
+	for included := len(machines); included > 0; included /= 2 {
+		packed, err := snapshot.pack(machines[:included], machineID)
+		if err != nil {
+			return Hint{}, 0, err
 		}
 		text, err := compress.EncodeSmall(packed)
 		if err != nil {
-			return hint, 0, err
+			return Hint{}, 0, fmt.Errorf("hint of replicas on %d machines: %w", included, err)
 		}
 		if len(text) <= maxBytes {
-			return Hint{text}, n, nil
+			return Hint{text}, included, nil
 		}
 	}
-	return hint, 0, nil
+	return Hint{}, 0, nil
 }
 
-// Decode gives what each machine held.
+// pack returns what the given machines hold.
+func (snapshot *Snapshot) pack(machines []string, machineID func(string) (MachineID, bool)) (packedHint, error) {
+	packed := packedHint{}
+	for _, name := range machines {
+		number, ok := machineID(name)
+		if !ok {
+			continue
+		}
+		datasets, ok := snapshot.machines.Get(number)
+		if !ok {
+			continue
+		}
+		for iterator := datasets.Iterator(); !iterator.Done(); {
+			datasetName, held, _ := iterator.Next()
+			entry, ok := packed[datasetName]
+			if !ok {
+				replicas, _ := snapshot.datasets.Get(datasetName)
+				entry = packedDataset{PartCount: replicas.partCount, Machines: map[string][]byte{}}
+				packed[datasetName] = entry
+			}
+			encoded, err := held.parts.ToBytes()
+			if err != nil {
+				return nil, fmt.Errorf("hint of replicas: parts of %s on %s: %w", datasetName, name, err)
+			}
+			entry.Machines[name] = encoded
+		}
+	}
+	return packed, nil
+}
+
+// Decode returns what each machine held, by machine and dataset name. The error is that of a
+// malformed hint, which comes from a record and is checked in full.
 func (hint Hint) Decode() (map[string]map[string]Replica, error) {
 	var packed packedHint
 	if err := compress.Decode(hint.Packed, &packed); err != nil {
-		return nil, fmt.Errorf("hint of holdings: %w", err)
+		return nil, fmt.Errorf("hint of replicas: %w", err)
 	}
-	out := map[string]map[string]Replica{}
-	for datasetName, x := range packed {
-		for name, encoded := range x.On {
-			parts := roaring.New()
-			if err := parts.UnmarshalBinary(encoded); err != nil || parts.Validate() != nil && !parts.IsEmpty() || x.Of < 0 || x.Of > tuning.PartsLimit {
-				return nil, fmt.Errorf("hint of holdings: parts of %s on %s: %v", datasetName, name, err)
+	machines := map[string]map[string]Replica{}
+	for datasetName, entry := range packed {
+		for name, encoded := range entry.Machines {
+			if entry.PartCount < 0 || entry.PartCount > tuning.PartsLimit {
+				return nil, fmt.Errorf("hint of replicas: %s on %s cannot have %d parts", datasetName, name, entry.PartCount)
 			}
-			if out[name] == nil {
-				out[name] = map[string]Replica{}
+			parts, err := decodeParts(encoded)
+			if err != nil {
+				return nil, fmt.Errorf("hint of replicas: parts of %s on %s: %w", datasetName, name, err)
 			}
-			out[name][datasetName] = Replica{x.Of, parts}
+			if machines[name] == nil {
+				machines[name] = map[string]Replica{}
+			}
+			machines[name][datasetName] = Replica{entry.PartCount, parts}
 		}
 	}
-	return out, nil
+	return machines, nil
+}
+
+// decodeParts decodes and validates a bitmap.
+func decodeParts(encoded []byte) (*roaring.Bitmap, error) {
+	parts := roaring.New()
+	if err := parts.UnmarshalBinary(encoded); err != nil {
+		return nil, err
+	}
+	// Validate refuses an empty bitmap, which is fine here.
+	if err := parts.Validate(); err != nil && !parts.IsEmpty() {
+		return nil, err
+	}
+	return parts, nil
 }
--- /dev/null
+++ b/replicas/hint_test.go
@@ -0,0 +1,38 @@
+package replicas
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A hint of 64 machines with 30 scattered parts each fits one value of the state service and decodes
+// to what was encoded. Machines that do not fit are left out, and a malformed hint is refused.
+func TestHintKeepsTheMachinesThatFit(t *testing.T) {
+	index := filledIndex(2000, 20000)
+	snapshot := index.Snapshot()
+	var names []string
+	for i := range 64 {
+		names = append(names, fmt.Sprintf("n-%06d", i))
+	}
+	machineID := func(name string) (MachineID, bool) { return index.ID(name), true }
+	hint, included, err := EncodeHint(snapshot, names, machineID, 15<<10)
+	if err != nil || included != 64 {
+		t.Fatalf("%d included, %d bytes: %v", included, len(hint.Packed), err)
+	}
+	t.Logf("%d bytes for %d machines", len(hint.Packed), included)
+	decoded, err := hint.Decode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if got := decoded[name]["chunks"]; got.Of != 20000 || !got.Parts.Equals(snapshot.Parts(index.ID(name), "chunks")) {
+			t.Fatalf("%s: %v", name, got)
+		}
+	}
+	if hint, included, _ = EncodeHint(snapshot, names, machineID, 2000); included == 0 || included == 64 || len(hint.Packed) > 2000 {
+		t.Fatalf("%d included in %d bytes", included, len(hint.Packed))
+	}
+	if _, err := (Hint{"AAAA"}).Decode(); err == nil {
+		t.Fatal("a malformed hint was accepted")
+	}
+}
--- /dev/null
+++ b/replicas/index_test.go
@@ -0,0 +1,128 @@
+package replicas
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"testing"
+
+	"github.com/RoaringBitmap/roaring/v2"
+)
+
+// replicaOf returns a replica with the given parts out of n.
+func replicaOf(n int, parts ...uint32) Replica { return Replica{n, roaring.BitmapOf(parts...)} }
+
+// Whatever agents report in whatever order, the holders of parts and the parts of machines agree,
+// and a snapshot that was taken before does not change.
+func TestBothDirectionsAgree(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	index := New()
+	truth := map[string]map[int]bool{}
+	before := index.Snapshot()
+	for range 400 {
+		name := fmt.Sprintf("n-%d", rng.IntN(12))
+		if rng.IntN(10) == 0 {
+			index.Remove(name)
+			delete(truth, name)
+			continue
+		}
+		var parts []uint32
+		truth[name] = map[int]bool{}
+		for k := range 20 {
+			if rng.IntN(3) == 0 || rng.IntN(4) == 0 && k < 15 {
+				parts = append(parts, uint32(k))
+				truth[name][k] = true
+			}
+		}
+		index.Set(name, map[string]Replica{"a": replicaOf(20, parts...)})
+		snapshot := index.Snapshot()
+		for part := range 20 {
+			holders := 0
+			for machine, holds := range truth {
+				machineID := index.ID(machine)
+				if snapshot.Has(machineID, "a", part) != holds[part] {
+					t.Fatalf("part %d on %s", part, machine)
+				}
+				if holds[part] {
+					holders++
+				}
+				if snapshot.Count(machineID, "a") != len(holds) {
+					t.Fatalf("%s holds %d, not %d", machine, snapshot.Count(machineID, "a"), len(holds))
+				}
+			}
+			if len(snapshot.Holders("a", part)) != holders || !slices.IsSorted(snapshot.Holders("a", part)) {
+				t.Fatalf("holders of %d: %v, not %d", part, snapshot.Holders("a", part), holders)
+			}
+		}
+	}
+	if len(before.Datasets()) != 0 {
+		t.Fatal("an old snapshot changed")
+	}
+}
+
+// Only machines with every part hold a dataset completely, parts beyond its end are ignored, and a
+// machine that reports nothing holds nothing.
+func TestCompleteHoldersAndPartsBeyondTheEnd(t *testing.T) {
+	index := New()
+	index.Set("n-1", map[string]Replica{"a": replicaOf(3, 0, 1, 2, 9)})
+	index.Set("n-2", map[string]Replica{"a": replicaOf(3, 0, 2)})
+	snapshot := index.Snapshot()
+	if !slices.Equal(snapshot.Complete("a"), []MachineID{index.ID("n-1")}) || snapshot.Holders("a", 9) != nil {
+		t.Fatalf("complete: %v", snapshot.Complete("a"))
+	}
+	index.Set("n-1", map[string]Replica{})
+	if snapshot := index.Snapshot(); len(snapshot.Complete("a")) != 0 || len(snapshot.Holders("a", 0)) != 1 {
+		t.Fatal("a replica that was evicted is still there")
+	}
+}
+
+// filledIndex returns an index of machines named n-000000 and so on, with three random holders of each
+// part. docs/data.md measures such indexes.
+func filledIndex(machines, parts int) *Index {
+	rng := rand.New(rand.NewPCG(3, uint64(machines)))
+	held := make([]*roaring.Bitmap, machines)
+	for i := range held {
+		held[i] = roaring.New()
+	}
+	for part := range parts {
+		for range 3 {
+			held[rng.IntN(machines)].Add(uint32(part))
+		}
+	}
+	index := New()
+	for i, bitmap := range held {
+		index.Set(fmt.Sprintf("n-%06d", i), map[string]Replica{"chunks": {parts, bitmap}})
+	}
+	return index
+}
+
+// The leader has 70 MB in all; 60,000 replicas of parts must stay far below.
+func TestMemoryAHolding(t *testing.T) {
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	index := filledIndex(2000, 20000)
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	count := 0
+	for part := range 20000 {
+		count += len(index.Snapshot().Holders("chunks", part))
+	}
+	each := float64(after.HeapAlloc-before.HeapAlloc) / float64(count)
+	t.Logf("%d replicas, %.0f bytes each", count, each)
+	if each > 250 {
+		t.Fatalf("%.0f bytes per replica", each)
+	}
+	runtime.KeepAlive(index)
+}
+
+func BenchmarkSet(b *testing.B) {
+	index := filledIndex(2000, 20000)
+	parts := index.Snapshot().Parts(index.ID("n-000007"), "chunks").Clone()
+	for b.Loop() {
+		parts = parts.Clone()
+		parts.Flip(7, 8)
+		index.Set("n-000007", map[string]Replica{"chunks": {20000, parts}})
+	}
+}
--- /dev/null
+++ b/replicas/snapshot.go
@@ -0,0 +1,237 @@
+package replicas
+
+import (
+	"slices"
+
+	"github.com/RoaringBitmap/roaring/v2"
+	"github.com/benbjohnson/immutable"
+)
+
+// Snapshot is the state of an Index at one moment. It never changes and is safe for concurrent
+// use. The zero value is not usable; Index.Snapshot returns one.
+type Snapshot struct {
+	datasets *immutable.Map[string, *datasetReplicas]
+	machines *immutable.Map[MachineID, *immutable.Map[string, heldParts]]
+	version  uint64
+}
+
+// heldParts is what a machine holds of a dataset: a bitmap, which is never changed, and the number
+// of parts in it.
+type heldParts struct {
+	parts *roaring.Bitmap
+	count int
+}
+
+// datasetReplicas are the replicas of one dataset on all machines. A value in a snapshot is never
+// changed.
+type datasetReplicas struct {
+	partCount int
+	// holders are the machines that hold each part, sorted. The slices are never changed.
+	holders *immutable.List[[]MachineID]
+	// complete are the machines that hold every part, sorted. The slice is never changed.
+	complete []MachineID
+	// replicaCount is the number of parts on all machines together.
+	replicaCount int
+}
+
+// machineHasher is the hasher of a MachineID for immutable.Map.
+type machineHasher struct{}
+
+// hashMultiplier is 2^32 divided by the golden ratio, for multiplicative hashing.
+const hashMultiplier = 2654435761
+
+// Hash spreads the small numbers over 32 bits.
+func (machineHasher) Hash(machineID MachineID) uint32 { return uint32(machineID) * hashMultiplier }
+
+// Equal compares two numbers.
+func (machineHasher) Equal(machineID, other MachineID) bool { return machineID == other }
+
+// newSnapshot returns a snapshot without replicas.
+func newSnapshot() *Snapshot {
+	return &Snapshot{
+		datasets: immutable.NewMap[string, *datasetReplicas](nil),
+		machines: immutable.NewMap[MachineID, *immutable.Map[string, heldParts]](machineHasher{}),
+	}
+}
+
+// update sets what a machine holds of a dataset of partCount parts, 0 if that is unknown. Nil parts
+// mean nothing. It must be called only on a copy that no reader has yet.
+func (snapshot *Snapshot) update(machineID MachineID, datasetName string, partCount int, parts *roaring.Bitmap) {
+	parts = clip(parts, partCount)
+	before := snapshot.Parts(machineID, datasetName)
+	if before == nil {
+		before = roaring.New()
+	}
+	if parts.Equals(before) {
+		return
+	}
+	replicas, ok := snapshot.datasets.Get(datasetName)
+	if !ok {
+		replicas = &datasetReplicas{holders: immutable.NewList[[]MachineID]()}
+	}
+	next := replicas.replaced(machineID, partCount, before, parts)
+	if next.replicaCount == 0 {
+		// Names of datasets are not reused, so an empty entry would be kept for ever.
+		snapshot.datasets = snapshot.datasets.Delete(datasetName)
+	} else {
+		snapshot.datasets = snapshot.datasets.Set(datasetName, next)
+	}
+	snapshot.setHeld(machineID, datasetName, parts)
+}
+
+// setHeld sets the entry of a dataset on a machine, and removes entries without parts.
+func (snapshot *Snapshot) setHeld(machineID MachineID, datasetName string, parts *roaring.Bitmap) {
+	held, ok := snapshot.machines.Get(machineID)
+	if !ok {
+		held = immutable.NewMap[string, heldParts](nil)
+	}
+	if count := int(parts.GetCardinality()); count > 0 {
+		held = held.Set(datasetName, heldParts{parts, count})
+	} else {
+		held = held.Delete(datasetName)
+	}
+	if held.Len() > 0 {
+		snapshot.machines = snapshot.machines.Set(machineID, held)
+	} else {
+		snapshot.machines = snapshot.machines.Delete(machineID)
+	}
+}
+
+// clip returns the parts below partCount, or all of them if partCount is 0. It does not change the
+// bitmap.
+func clip(parts *roaring.Bitmap, partCount int) *roaring.Bitmap {
+	if parts == nil {
+		return roaring.New()
+	}
+	if partCount > 0 && !parts.IsEmpty() && parts.Maximum() >= uint32(partCount) {
+		parts = parts.Clone()
+		parts.RemoveRange(uint64(partCount), 1<<32)
+	}
+	return parts
+}
+
+// replaced returns the replicas after a machine's parts changed from before to after. The dataset
+// has at least partCount parts from then on.
+func (replicas *datasetReplicas) replaced(machineID MachineID, partCount int, before, after *roaring.Bitmap) *datasetReplicas {
+	next := *replicas
+	next.grow(partCount)
+	for iterator := roaring.AndNot(after, before).Iterator(); iterator.HasNext(); {
+		part := int(iterator.Next())
+		next.holders = next.holders.Set(part, insertID(next.holders.Get(part), machineID))
+	}
+	for iterator := roaring.AndNot(before, after).Iterator(); iterator.HasNext(); {
+		part := int(iterator.Next())
+		next.holders = next.holders.Set(part, removeID(next.holders.Get(part), machineID))
+	}
+	count := int(after.GetCardinality())
+	if count == next.partCount {
+		next.complete = insertID(next.complete, machineID)
+	} else {
+		next.complete = removeID(next.complete, machineID)
+	}
+	next.replicaCount += count - int(before.GetCardinality())
+	return &next
+}
+
+// grow extends the dataset to partCount parts; the new ones have no holders.
+func (replicas *datasetReplicas) grow(partCount int) {
+	if partCount <= replicas.partCount {
+		return
+	}
+	builder := immutable.NewListBuilder[[]MachineID]()
+	for part := range partCount {
+		if part < replicas.holders.Len() {
+			builder.Append(replicas.holders.Get(part))
+		} else {
+			builder.Append(nil)
+		}
+	}
+	replicas.partCount = partCount
+	replicas.holders = builder.List()
+}
+
+// insertID returns a sorted list with a number added. It does not change the list.
+func insertID(list []MachineID, machineID MachineID) []MachineID {
+	at, ok := slices.BinarySearch(list, machineID)
+	if ok {
+		return list
+	}
+	longer := make([]MachineID, 0, len(list)+1)
+	longer = append(longer, list[:at]...)
+	longer = append(longer, machineID)
+	return append(longer, list[at:]...)
+}
+
+// removeID returns a sorted list with a number removed. It does not change the list.
+func removeID(list []MachineID, machineID MachineID) []MachineID {
+	at, ok := slices.BinarySearch(list, machineID)
+	if !ok {
+		return list
+	}
+	return append(slices.Clone(list[:at]), list[at+1:]...)
+}
+
+// Version grows with every change of the index.
+func (snapshot *Snapshot) Version() uint64 { return snapshot.version }
+
+// Holders returns the machines that hold a part, sorted. The list is shared, and the caller must
+// not change it.
+func (snapshot *Snapshot) Holders(dataset string, part int) []MachineID {
+	replicas, ok := snapshot.datasets.Get(dataset)
+	if !ok || part < 0 || part >= replicas.partCount {
+		return nil
+	}
+	return replicas.holders.Get(part)
+}
+
+// Complete returns the machines that hold every part of a dataset, sorted. The list is shared, and
+// the caller must not change it.
+func (snapshot *Snapshot) Complete(dataset string) []MachineID {
+	if replicas, ok := snapshot.datasets.Get(dataset); ok {
+		return replicas.complete
+	}
+	return nil
+}
+
+// Has returns whether a machine holds a part.
+func (snapshot *Snapshot) Has(machineID MachineID, dataset string, part int) bool {
+	_, ok := slices.BinarySearch(snapshot.Holders(dataset, part), machineID)
+	return ok
+}
+
+// Parts returns the parts of a dataset that a machine holds, or nil if it holds none. The caller
+// must not change the bitmap.
+func (snapshot *Snapshot) Parts(machineID MachineID, dataset string) *roaring.Bitmap {
+	return snapshot.held(machineID, dataset).parts
+}
+
+// Count returns the number of a dataset's parts that a machine holds.
+func (snapshot *Snapshot) Count(machineID MachineID, dataset string) int {
+	return snapshot.held(machineID, dataset).count
+}
+
+// held returns what a machine holds of a dataset, the zero value if nothing.
+func (snapshot *Snapshot) held(machineID MachineID, dataset string) heldParts {
+	datasets, ok := snapshot.machines.Get(machineID)
+	if !ok {
+		return heldParts{}
+	}
+	held, _ := datasets.Get(dataset)
+	return held
+}
+
+// Known returns whether any machine holds a part of a dataset.
+func (snapshot *Snapshot) Known(dataset string) bool {
+	_, ok := snapshot.datasets.Get(dataset)
+	return ok
+}
+
+// Datasets returns the names of the datasets of which any machine holds a part, in no order.
+func (snapshot *Snapshot) Datasets() []string {
+	var names []string
+	for iterator := snapshot.datasets.Iterator(); !iterator.Done(); {
+		name, _, _ := iterator.Next()
+		names = append(names, name)
+	}
+	return names
+}
