--- /dev/null
+++ b/dataset/build.go
@@ -0,0 +1,56 @@
+package dataset
+
+import (
+	"fmt"
+	"io"
+
+	"switchferry/tuning"
+)
+
+// Build cuts a reader's content into chunks of chunkBytes, the last of which may be smaller, and
+// groups partChunks chunks into a part, the last of which may have fewer. Each chunk is passed to
+// keep, unless that is nil; keep must not retain the bytes. An error of the reader or of keep ends
+// Build and is wrapped.
+func Build(name string, reader io.Reader, chunkBytes, partChunks int, keep func(Chunk, []byte) error) (*Manifest, error) {
+	if chunkBytes < 1 || chunkBytes > tuning.ChunkLimit {
+		return nil, fmt.Errorf("chunk size: must be 1 to %d bytes, not %d", tuning.ChunkLimit, chunkBytes)
+	}
+	if partChunks < 1 {
+		return nil, fmt.Errorf("chunks a part: must be 1 or more, not %d", partChunks)
+	}
+	chunks, err := cutChunks(reader, chunkBytes, keep)
+	if err != nil {
+		return nil, err
+	}
+	manifest := &Manifest{Format: Format, Name: name, Chunks: chunks}
+	if partChunks > 1 {
+		for left := len(chunks); left > 0; left -= partChunks {
+			manifest.Parts = append(manifest.Parts, min(left, partChunks))
+		}
+	}
+	return manifest, manifest.validate()
+}
+
+// cutChunks reads everything and returns its chunks.
+func cutChunks(reader io.Reader, chunkBytes int, keep func(Chunk, []byte) error) ([]Chunk, error) {
+	var chunks []Chunk
+	buffer := make([]byte, chunkBytes)
+	for {
+		size, readErr := io.ReadFull(reader, buffer)
+		if size > 0 {
+			chunk := Chunk{Digest: Sum(buffer[:size]), Bytes: int64(size)}
+			if keep != nil {
+				if err := keep(chunk, buffer[:size]); err != nil {
+					return nil, fmt.Errorf("keep chunk %d: %w", len(chunks), err)
+				}
+			}
+			chunks = append(chunks, chunk)
+		}
+		if readErr == io.EOF || readErr == io.ErrUnexpectedEOF {
+			return chunks, nil
+		}
+		if readErr != nil {
+			return nil, fmt.Errorf("read chunk %d: %w", len(chunks), readErr)
+		}
+	}
+}
--- a/dataset/dataset_test.go
+++ b/dataset/dataset_test.go
@@ -2,14 +2,14 @@
 
 import (
 	"bytes"
-	"fmt"
 	"strings"
 	"testing"
 )
 
-func buildManifest(t *testing.T, bytesN, chunk, part int) (*Manifest, []byte) {
+// buildManifest returns the manifest of size bytes, and its encoded form.
+func buildManifest(t *testing.T, size, chunkBytes, partChunks int) (*Manifest, []byte) {
 	t.Helper()
-	manifest, err := Build("inventory-1", bytes.NewReader(bytes.Repeat([]byte("abcdefg"), bytesN)[:bytesN]), chunk, part, nil)
+	manifest, err := Build("inventory-1", bytes.NewReader(bytes.Repeat([]byte("abcdefg"), size)[:size]), chunkBytes, partChunks, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,6 +20,7 @@
 	return manifest, raw
 }
 
+// The parts of a manifest that was encoded and parsed, and those of its summary, cover all bytes.
 func TestPartsCoverAllBytes(t *testing.T) {
 	manifest, raw := buildManifest(t, 1000, 64, 3)
 	back, err := Parse(raw)
@@ -39,7 +40,7 @@
 	}
 }
 
-// A wrong manifest must name each field, or its writer mends one mistake a try.
+// The error of an invalid manifest names each wrong field, so that all can be corrected at once.
 func TestEveryMistakeIsNamed(t *testing.T) {
 	_, err := Parse([]byte(`{"format":2,"name":"Bad Name","chunks":[{"digest":"` + strings.Repeat("0", 64) + `","bytes":0}],"parts":[1,5]}`))
 	for _, want := range []string{"format", "name", "chunks[0].bytes", "parts[1]"} {
@@ -53,6 +54,7 @@
 	}
 }
 
+// FuzzManifest checks that any manifest that is accepted is consistent.
 func FuzzManifest(f *testing.F) {
 	f.Add([]byte(`{"format":1,"name":"a","chunks":[{"digest":"` + strings.Repeat("ab", 32) + `","bytes":5}]}`))
 	f.Add([]byte(`{"format":1,"name":"a","chunks":[{"digest":"` + strings.Repeat("ab", 32) + `","bytes":5}],"parts":[1]}`))
@@ -62,7 +64,7 @@
 		if err != nil {
 			return
 		}
-		// Whatever is accepted is consistent: parts cover all bytes once.
+		// The parts must cover all bytes once.
 		sum, assigned := int64(0), 0
 		for part := range manifest.PartCount() {
 			from, to := manifest.Part(part)
@@ -82,14 +84,3 @@
 		}
 	})
 }
-
-func ExampleBuild() {
-	manifest, _ := Build("snapshot-7", strings.NewReader("abcdefghij"), 4, 1, nil)
-	for part := range manifest.PartCount() {
-		fmt.Println(part, manifest.PartBytes(part))
-	}
-	// Output:
-	// 0 4
-	// 1 4
-	// 2 2
-}
--- a/dataset/entry.go
+++ b/dataset/entry.go
@@ -1,22 +1,23 @@
 package dataset
 
-// States of a dataset on record.
+// States of a registered dataset.
 const (
-	// Listed: jobs may name it. It is the empty text, so that records from before there
-	// were others read the same.
+	// Listed means that jobs may use the dataset. It is the empty string, as in records that were
+	// written before there were other states.
 	Listed = ""
-	// Removing: no new job may; those accepted before still need it.
+	// Removing means that new jobs may not use it; those that were accepted before still need it.
 	Removing = "removing"
-	// Removed: nothing needs it any more, for good. The record stays, since a name is
-	// never used for other content.
+	// Removed means that nothing needs it any more, for good. The record stays, since a name is
+	// never reused for other content.
 	Removed = "removed"
 )
 
-// Entry is a dataset on record.
+// Entry is a registered dataset as it stands in its record.
 type Entry struct {
 	Summary
+	// State is Listed, Removing or Removed.
 	State string `json:"state,omitempty"`
-	// Stamp is the revision of the record: a job is accepted only if its datasets stand
-	// as they were read.
+	// Stamp is the revision of the record. A job is accepted only if the records of its datasets
+	// are still those that were read.
 	Stamp uint64 `json:"-"`
 }
--- /dev/null
+++ b/dataset/summary.go
@@ -0,0 +1,103 @@
+package dataset
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+
+	"switchferry/tuning"
+)
+
+// partBytesLimit keeps the sum of all parts' sizes within an int64.
+const partBytesLimit = math.MaxInt64 / tuning.PartsLimit
+
+// Summary is what a scheduler keeps of a dataset: enough to know the size of a part, and small
+// enough for one record whatever the number of chunks.
+type Summary struct {
+	Name     string `json:"name"`
+	Manifest Digest `json:"manifest"`
+	Bytes    int64  `json:"bytes"`
+	Parts    int    `json:"parts"`
+	// Usual is the size in bytes of each part except those in Odd.
+	Usual int64         `json:"part_bytes"`
+	Odd   map[int]int64 `json:"odd,omitempty"`
+}
+
+// Summarize returns the summary of a manifest that was published as raw. The error is that of
+// Check, for instance if too many parts differ in size.
+func Summarize(manifest *Manifest, raw []byte) (Summary, error) {
+	summary := Summary{
+		Name:     manifest.Name,
+		Manifest: Sum(raw),
+		Bytes:    manifest.Bytes(),
+		Parts:    manifest.PartCount(),
+		Odd:      map[int]int64{},
+	}
+	// The usual size is the most frequent one, and of those the smallest.
+	count := map[int64]int{}
+	for part := range summary.Parts {
+		size := manifest.PartBytes(part)
+		count[size]++
+		if count[size] > count[summary.Usual] || count[size] == count[summary.Usual] && size < summary.Usual {
+			summary.Usual = size
+		}
+	}
+	for part := range summary.Parts {
+		if size := manifest.PartBytes(part); size != summary.Usual {
+			summary.Odd[part] = size
+		}
+	}
+	return summary, summary.Check()
+}
+
+// Check validates a summary that comes from outside. The error lists every mistake.
+func (summary *Summary) Check() error {
+	var problems []error
+	fail := func(format string, arguments ...any) { problems = append(problems, fmt.Errorf(format, arguments...)) }
+	if !ValidName(summary.Name) {
+		fail("name: %.80q %s", summary.Name, nameRule)
+	}
+	if summary.Parts < 1 || summary.Parts > tuning.PartsLimit {
+		fail("parts: must be 1 to %d, not %d; put more chunks in a part", tuning.PartsLimit, summary.Parts)
+	}
+	if summary.Usual < 1 || summary.Usual > partBytesLimit {
+		fail("part_bytes: must be 1 or more, not %d", summary.Usual)
+	}
+	if len(summary.Odd) > tuning.OddParts {
+		fail("odd: %d parts are not of the usual size, at most %d may be; make the parts even", len(summary.Odd), tuning.OddParts)
+	}
+	for part, size := range summary.Odd {
+		if part < 0 || part >= summary.Parts || size < 1 || size > partBytesLimit {
+			fail("odd: part %d of %d bytes is not possible", part, size)
+			break
+		}
+	}
+	// The sum means nothing, and may overflow, unless its terms are valid.
+	if len(problems) == 0 {
+		sum := summary.Usual * int64(summary.Parts-len(summary.Odd))
+		for _, size := range summary.Odd {
+			sum += size
+		}
+		if sum != summary.Bytes {
+			fail("bytes: the parts add up to %d, not %d", sum, summary.Bytes)
+		}
+	}
+	return errors.Join(problems...)
+}
+
+// PartBytes returns the size of a part in bytes.
+func (summary *Summary) PartBytes(part int) int64 {
+	if size, ok := summary.Odd[part]; ok {
+		return size
+	}
+	return summary.Usual
+}
+
+// Equal returns whether two summaries describe the same content.
+func (summary *Summary) Equal(other *Summary) bool {
+	encoded, err := json.Marshal(summary)
+	otherEncoded, otherErr := json.Marshal(other)
+	return err == nil && otherErr == nil && bytes.Equal(encoded, otherEncoded)
+}
