--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -55,174 +55,174 @@
 	Step func(string)
 }
 
-// state is what an agent must know after a crash: it may have told the controllers.
-type state struct {
-	Session uint64         `json:"session"`
-	Term    uint64         `json:"helm"`
-	Order   uint64         `json:"order"`
-	Sets    []api.StageSet `json:"sets"`
+// storedState is what an agent must know after a crash: it may have told the controllers.
+type storedState struct {
+	Incarnation uint64         `json:"session"`
+	Term        uint64         `json:"helm"`
+	Order       uint64         `json:"order"`
+	Sets        []api.StageSet `json:"sets"`
 }
 
 // Agent copies, keeps and serves. Make one with New, then Run it and serve Handler.
 type Agent struct {
-	opt   Options
-	clock clockwork.Clock
-	http  *http.Client
-	cache *Cache
-	ctx   context.Context
-	down  *rate.Limiter
-	up    *rate.Limiter
-	wake  chan struct{}
-	tell  chan struct{}
+	options      Options
+	clock        clockwork.Clock
+	http         *http.Client
+	cache        *Cache
+	ctx          context.Context
+	downLimiter  *rate.Limiter
+	upLimiter    *rate.Limiter
+	wake         chan struct{}
+	heartbeatDue chan struct{}
 
 	fromStore, fromPeers atomic.Int64
-	serving              chan struct{}
+	servingSlots         chan struct{}
 
-	// applying is held while an order is stored and taken over, so that orders
+	// orderMu is held while an order is stored and taken over, so that orders
 	// follow one another; mu guards what follows, shortly.
-	applying sync.Mutex
-	mu       sync.Mutex
-	state    state
-	seq      uint64
-	wants    map[string]*want
-	flights  map[dataset.Digest]*flight
-	// version counts changes of what is held; known is what the controllers have.
-	version, known uint64
-	// lost is how many chunks the cache had lost when held was last put right.
-	lost    uint64
-	held    map[string]*heldSet
-	running map[string]*transfer
-}
-
-// want is what the order asks of one dataset.
-type want struct {
-	set      api.StageSet
-	digest   dataset.Digest
-	manifest *dataset.Manifest
-	// kept are the parts whose chunks this want pins; whole are those of them that are
+	orderMu   sync.Mutex
+	mu        sync.Mutex
+	state     storedState
+	sequence  uint64
+	desired   map[string]*desiredDataset
+	downloads map[dataset.Digest]*chunkDownload
+	// replicasVersion counts changes of what is held; known is what the controllers have.
+	replicasVersion, knownVersion uint64
+	// lostChunks is how many chunks the cache had lost when held was last put right.
+	lostChunks uint64
+	replicas   map[string]*replica
+	transfers  map[string]*partTransfer
+}
+
+// desiredDataset is what the order asks of one dataset.
+type desiredDataset struct {
+	set            api.StageSet
+	manifestDigest dataset.Digest
+	manifest       *dataset.Manifest
+	// pinned are the parts whose chunks this want pins; whole are those of them that are
 	// there and checked.
-	kept, whole *roaring.Bitmap
+	pinned, verified *roaring.Bitmap
 }
 
-// heldSet is what there is whole of a dataset.
-type heldSet struct {
-	manifest *dataset.Manifest
-	digest   dataset.Digest
-	parts    *roaring.Bitmap
+// replica is what there is whole of a dataset.
+type replica struct {
+	manifest       *dataset.Manifest
+	manifestDigest dataset.Digest
+	parts          *roaring.Bitmap
 }
 
 // New opens the cache and takes up where an earlier process of this agent stopped: what
 // the controllers were told is pinned stays so.
-func New(ctx context.Context, opt Options) (*Agent, error) {
-	if opt.Clock == nil {
-		opt.Clock = clockwork.NewRealClock()
+func New(ctx context.Context, options Options) (*Agent, error) {
+	if options.Clock == nil {
+		options.Clock = clockwork.NewRealClock()
 	}
-	if opt.Transport == nil {
-		opt.Transport = &http.Transport{DialContext: (&net.Dialer{Timeout: tuning.DialTimeout}).DialContext,
+	if options.Transport == nil {
+		options.Transport = &http.Transport{DialContext: (&net.Dialer{Timeout: tuning.DialTimeout}).DialContext,
 			MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	}
-	if opt.AtOnce == 0 {
-		opt.AtOnce = tuning.StageAtOnce
+	if options.AtOnce == 0 {
+		options.AtOnce = tuning.StageAtOnce
 	}
-	c, err := OpenCache(opt.Dir, opt.CacheBytes, opt.Step)
+	cache, err := OpenCache(options.Dir, options.CacheBytes, options.Step)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, clock: opt.Clock, http: &http.Client{Transport: opt.Transport}, cache: c, ctx: ctx,
-		down: limiter(opt.DownRate), up: limiter(opt.UpRate), wake: make(chan struct{}, 1), tell: make(chan struct{}, 1),
-		serving: make(chan struct{}, opt.AtOnce), wants: map[string]*want{}, flights: map[dataset.Digest]*flight{},
-		held: map[string]*heldSet{}, running: map[string]*transfer{}}
-	raw, err := os.ReadFile(filepath.Join(opt.Dir, "state.json"))
+	agent := &Agent{options: options, clock: options.Clock, http: &http.Client{Transport: options.Transport}, cache: cache, ctx: ctx,
+		downLimiter: newLimiter(options.DownRate), upLimiter: newLimiter(options.UpRate), wake: make(chan struct{}, 1), heartbeatDue: make(chan struct{}, 1),
+		servingSlots: make(chan struct{}, options.AtOnce), desired: map[string]*desiredDataset{}, downloads: map[dataset.Digest]*chunkDownload{},
+		replicas: map[string]*replica{}, transfers: map[string]*partTransfer{}}
+	raw, err := os.ReadFile(filepath.Join(options.Dir, "state.json"))
 	if err == nil {
-		err = json.Unmarshal(raw, &a.state)
+		err = json.Unmarshal(raw, &agent.state)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("state.json: %w; with no task on this machine the folder can be emptied", err)
 	}
-	a.state.Session++
-	if err := a.save(a.state); err != nil {
+	agent.state.Incarnation++
+	if err := agent.saveState(agent.state); err != nil {
 		return nil, err
 	}
-	for _, d := range c.Manifests() {
-		if m, _, err := c.Manifest(d); err == nil {
-			a.note(m, d)
+	for _, digest := range cache.Manifests() {
+		if manifest, _, err := cache.Manifest(digest); err == nil {
+			agent.updateReplica(manifest, digest)
 		}
 	}
-	a.install(a.state)
-	for name, parts := range c.Shown() {
-		for _, k := range parts {
-			if w := a.wants[name]; w == nil || !w.set.Parts.Contains(uint32(k)) {
-				c.Hide(name, k)
+	agent.adoptOrder(agent.state)
+	for name, parts := range cache.LinkedInputs() {
+		for _, part := range parts {
+			if desired := agent.desired[name]; desired == nil || !desired.set.Parts.Contains(uint32(part)) {
+				cache.UnlinkInputs(name, part)
 			}
 		}
 	}
-	return a, nil
+	return agent, nil
 }
 
-func limiter(bytesPerS float64) *rate.Limiter {
+func newLimiter(bytesPerS float64) *rate.Limiter {
 	if bytesPerS <= 0 {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(bytesPerS), max(16<<10, min(tuning.StageBlock, int(bytesPerS/20))))
 }
 
-func (a *Agent) save(s state) error {
-	raw, err := json.Marshal(s)
+func (agent *Agent) saveState(state storedState) error {
+	raw, err := json.Marshal(state)
 	if err == nil {
-		a.cache.step("state")
-		err = renameio.WriteFile(filepath.Join(a.opt.Dir, "state.json"), raw, 0o644)
+		agent.cache.step("state")
+		err = renameio.WriteFile(filepath.Join(agent.options.Dir, "state.json"), raw, 0o644)
 	}
 	return err
 }
 
-// note counts which parts of a dataset are there whole.
-func (a *Agent) note(m *dataset.Manifest, d dataset.Digest) {
+// updateReplica counts which parts of a dataset are there whole.
+func (agent *Agent) updateReplica(manifest *dataset.Manifest, digest dataset.Digest) {
 	parts := roaring.New()
-	for k := range m.PartCount() {
-		if a.has(m, k) {
-			parts.Add(uint32(k))
+	for part := range manifest.PartCount() {
+		if agent.hasPart(manifest, part) {
+			parts.Add(uint32(part))
 		}
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	h := a.held[d.String()]
-	if h != nil && h.parts.Equals(parts) || h == nil && parts.IsEmpty() {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	held := agent.replicas[digest.String()]
+	if held != nil && held.parts.Equals(parts) || held == nil && parts.IsEmpty() {
 		return
 	}
-	a.held[d.String()] = &heldSet{m, d, parts}
-	a.version++
+	agent.replicas[digest.String()] = &replica{manifest, digest, parts}
+	agent.replicasVersion++
 }
 
-// refresh puts what is held right after chunks went: a part that lost one is not told to
+// refreshReplicas puts what is held right after chunks went: a part that lost one is not told to
 // anybody any more. Manifests of which nothing is left go as well.
-func (a *Agent) refresh() {
-	lost := a.cache.Lost()
-	a.mu.Lock()
-	if lost == a.lost {
-		a.mu.Unlock()
+func (agent *Agent) refreshReplicas() {
+	lost := agent.cache.LostChunks()
+	agent.mu.Lock()
+	if lost == agent.lostChunks {
+		agent.mu.Unlock()
 		return
 	}
-	a.lost = lost
-	sets := slices.Collect(maps.Values(a.held))
-	a.mu.Unlock()
-	for _, h := range sets {
-		a.note(h.manifest, h.digest)
-		a.mu.Lock()
-		empty := a.held[h.digest.String()].parts.IsEmpty() && a.wants[h.manifest.Name] == nil
+	agent.lostChunks = lost
+	sets := slices.Collect(maps.Values(agent.replicas))
+	agent.mu.Unlock()
+	for _, held := range sets {
+		agent.updateReplica(held.manifest, held.manifestDigest)
+		agent.mu.Lock()
+		empty := agent.replicas[held.manifestDigest.String()].parts.IsEmpty() && agent.desired[held.manifest.Name] == nil
 		if empty {
-			delete(a.held, h.digest.String())
+			delete(agent.replicas, held.manifestDigest.String())
 		}
-		a.mu.Unlock()
+		agent.mu.Unlock()
 		if empty {
-			a.cache.Forget(h.digest)
+			agent.cache.RemoveManifest(held.manifestDigest)
 		}
 	}
 }
 
-func (a *Agent) has(m *dataset.Manifest, k int) bool {
-	from, to := m.Part(k)
+func (agent *Agent) hasPart(manifest *dataset.Manifest, part int) bool {
+	from, to := manifest.Part(part)
 	for i := from; i < to; i++ {
-		if !a.cache.Has(m.Chunks[i]) {
+		if !agent.cache.Has(manifest.Chunks[i]) {
 			return false
 		}
 	}
@@ -232,167 +232,167 @@
 // Apply takes an order in. False: it is from an older leader, an older order of the same
 // one, or for an earlier session, and nothing changed. The order is on disk before it
 // counts, so that what this agent says is pinned stays so through its crash.
-func (a *Agent) Apply(o *api.StageOrder) (bool, error) {
-	a.applying.Lock()
-	defer a.applying.Unlock()
-	a.mu.Lock()
-	s := a.state
-	a.mu.Unlock()
-	if o.Term < s.Term || o.Term == s.Term && o.Order < s.Order || o.Incarnation != 0 && o.Incarnation != s.Session {
+func (agent *Agent) Apply(order *api.StageOrder) (bool, error) {
+	agent.orderMu.Lock()
+	defer agent.orderMu.Unlock()
+	agent.mu.Lock()
+	state := agent.state
+	agent.mu.Unlock()
+	if order.Term < state.Term || order.Term == state.Term && order.Order < state.Order || order.Incarnation != 0 && order.Incarnation != state.Incarnation {
 		return false, nil
 	}
-	if o.Term != s.Term || o.Order != s.Order {
-		s.Term, s.Order, s.Sets = o.Term, o.Order, o.Sets
-		if err := a.save(s); err != nil {
+	if order.Term != state.Term || order.Order != state.Order {
+		state.Term, state.Order, state.Sets = order.Term, order.Order, order.Sets
+		if err := agent.saveState(state); err != nil {
 			return false, err
 		}
-		a.install(s)
+		agent.adoptOrder(state)
 	}
-	for _, m := range o.Drop {
-		a.drop(m)
+	for _, m := range order.Drop {
+		agent.removeDataset(m)
 	}
-	a.mu.Lock()
-	a.known = o.Known
-	tell := a.known != a.version
-	a.mu.Unlock()
+	agent.mu.Lock()
+	agent.knownVersion = order.Known
+	tell := agent.knownVersion != agent.replicasVersion
+	agent.mu.Unlock()
 	if tell {
-		a.changed()
+		agent.requestHeartbeat()
 	}
 	return true, nil
 }
 
-// drop lets go of a dataset that was removed, but for chunks that another one on this
+// removeDataset lets go of a dataset that was removed, but for chunks that another one on this
 // machine has as well. One that the order still asks for stays.
-func (a *Agent) drop(manifest string) {
-	a.mu.Lock()
-	h := a.held[manifest]
+func (agent *Agent) removeDataset(manifest string) {
+	agent.mu.Lock()
+	held := agent.replicas[manifest]
 	wanted := false
 	others := map[dataset.Digest]bool{}
-	for _, w := range a.wants {
-		wanted = wanted || w.digest.String() == manifest
+	for _, desired := range agent.desired {
+		wanted = wanted || desired.manifestDigest.String() == manifest
 	}
-	for d, o := range a.held {
-		if d != manifest {
-			for _, c := range o.manifest.Chunks {
+	for name, order := range agent.replicas {
+		if name != manifest {
+			for _, c := range order.manifest.Chunks {
 				others[c.Digest] = true
 			}
 		}
 	}
-	a.mu.Unlock()
-	if h == nil || wanted {
+	agent.mu.Unlock()
+	if held == nil || wanted {
 		return
 	}
-	slog.Info("dataset removed", "dataset", h.manifest.Name)
-	for _, c := range h.manifest.Chunks {
+	slog.Info("dataset removed", "dataset", held.manifest.Name)
+	for _, c := range held.manifest.Chunks {
 		if !others[c.Digest] {
-			a.cache.Remove(c.Digest)
+			agent.cache.RemoveChunk(c.Digest)
 		}
 	}
 	// What it shares with another is that one's: it is no longer told as this one's.
-	a.mu.Lock()
-	delete(a.held, manifest)
-	a.version++
-	a.mu.Unlock()
-	a.cache.Forget(h.digest)
-	a.refresh()
-}
-
-// install makes an order the one that counts.
-func (a *Agent) install(s state) {
-	next := map[string]*want{}
-	for _, set := range s.Sets {
-		d, err := dataset.ParseDigest(set.Manifest)
+	agent.mu.Lock()
+	delete(agent.replicas, manifest)
+	agent.replicasVersion++
+	agent.mu.Unlock()
+	agent.cache.RemoveManifest(held.manifestDigest)
+	agent.refreshReplicas()
+}
+
+// adoptOrder makes an order the one that counts.
+func (agent *Agent) adoptOrder(state storedState) {
+	next := map[string]*desiredDataset{}
+	for _, set := range state.Sets {
+		digest, err := dataset.ParseDigest(set.Manifest)
 		if err != nil || set.Parts.Bitmap == nil {
 			slog.Error("order makes no sense", "dataset", set.Dataset, "err", err)
 			continue
 		}
-		next[set.Dataset] = &want{set: set, digest: d, kept: roaring.New(), whole: roaring.New()}
+		next[set.Dataset] = &desiredDataset{set: set, manifestDigest: digest, pinned: roaring.New(), verified: roaring.New()}
 	}
-	a.mu.Lock()
-	old := a.wants
-	for n, w := range next {
-		if o := old[n]; o != nil && o.digest == w.digest {
-			w.manifest, w.kept, w.whole = o.manifest, o.kept, o.whole
+	agent.mu.Lock()
+	old := agent.desired
+	for n, desired := range next {
+		if order := old[n]; order != nil && order.manifestDigest == desired.manifestDigest {
+			desired.manifest, desired.pinned, desired.verified = order.manifest, order.pinned, order.verified
 			delete(old, n)
 		}
 	}
-	a.state, a.wants = s, next
+	agent.state, agent.desired = state, next
 	// What is no longer wanted may go from here on. It is found before the lock is let go: what
 	// keeps the new wants is at work on them from then on.
-	gone := map[*want]*roaring.Bitmap{}
-	for _, w := range old {
-		gone[w] = w.kept.Clone()
+	gone := map[*desiredDataset]*roaring.Bitmap{}
+	for _, desired := range old {
+		gone[desired] = desired.pinned.Clone()
 	}
-	for _, w := range next {
-		if w.manifest != nil {
-			gone[w] = roaring.AndNot(w.kept, w.set.Parts.Bitmap)
+	for _, desired := range next {
+		if desired.manifest != nil {
+			gone[desired] = roaring.AndNot(desired.pinned, desired.set.Parts.Bitmap)
 		}
 	}
-	a.mu.Unlock()
-	for w, parts := range gone {
-		a.unpin(w, parts)
+	agent.mu.Unlock()
+	for desired, parts := range gone {
+		agent.unpinParts(desired, parts)
 	}
-	for _, t := range a.stale() {
-		t.cancel()
+	for _, transfer := range agent.removeStaleTransfers() {
+		transfer.cancel()
 	}
-	a.kick()
+	agent.wakeReconciler()
 }
 
-// unpin lets parts go that a want has kept so far. Pins change under the agent's lock,
+// unpinParts lets parts go that a want has kept so far. Pins change under the agent's lock,
 // together with what they stand for.
-func (a *Agent) unpin(w *want, parts *roaring.Bitmap) {
+func (agent *Agent) unpinParts(desired *desiredDataset, parts *roaring.Bitmap) {
 	for itr := parts.Iterator(); itr.HasNext(); {
-		a.cache.Hide(w.set.Dataset, int(itr.Next()))
+		agent.cache.UnlinkInputs(desired.set.Dataset, int(itr.Next()))
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for itr := roaring.And(w.kept, parts).Iterator(); itr.HasNext(); {
-		from, to := w.manifest.Part(int(itr.Next()))
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	for itr := roaring.And(desired.pinned, parts).Iterator(); itr.HasNext(); {
+		from, to := desired.manifest.Part(int(itr.Next()))
 		for i := from; i < to; i++ {
-			a.cache.Unpin(w.manifest.Chunks[i].Digest)
+			agent.cache.Unpin(desired.manifest.Chunks[i].Digest)
 		}
 	}
-	w.kept = roaring.AndNot(w.kept, parts)
-	w.whole = roaring.AndNot(w.whole, parts)
+	desired.pinned = roaring.AndNot(desired.pinned, parts)
+	desired.verified = roaring.AndNot(desired.verified, parts)
 }
 
-func (a *Agent) kick() {
+func (agent *Agent) wakeReconciler() {
 	select {
-	case a.wake <- struct{}{}:
+	case agent.wake <- struct{}{}:
 	default:
 	}
 }
 
-// changed asks for a report soon.
-func (a *Agent) changed() {
+// requestHeartbeat asks for a report soon.
+func (agent *Agent) requestHeartbeat() {
 	select {
-	case a.tell <- struct{}{}:
+	case agent.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
-func key(name string, part int) string { return fmt.Sprintf("%s/%d", name, part) }
+func transferKey(name string, part int) string { return fmt.Sprintf("%s/%d", name, part) }
 
-// stale are the transfers that the order no longer asks for.
-func (a *Agent) stale() (out []*transfer) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for k, t := range a.running {
-		if len(a.sourcesOf(t.name, t.part)) == 0 {
-			delete(a.running, k)
-			out = append(out, t)
+// removeStaleTransfers are the transfers that the order no longer asks for.
+func (agent *Agent) removeStaleTransfers() (out []*partTransfer) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	for k, transfer := range agent.transfers {
+		if len(agent.orderedSources(transfer.datasetName, transfer.part)) == 0 {
+			delete(agent.transfers, k)
+			out = append(out, transfer)
 		}
 	}
 	return out
 }
 
-// sourcesOf are the sources that the order names for a part; the lock is held.
-func (a *Agent) sourcesOf(name string, part int) []api.StageSource {
-	w := a.wants[name]
-	if w == nil {
+// orderedSources are the sources that the order names for a part; the lock is held.
+func (agent *Agent) orderedSources(name string, part int) []api.StageSource {
+	desired := agent.desired[name]
+	if desired == nil {
 		return nil
 	}
-	for _, c := range w.set.Copies {
+	for _, c := range desired.set.Copies {
 		if c.Part == part {
 			return c.From
 		}
@@ -400,246 +400,246 @@
 	return nil
 }
 
-func (a *Agent) sources(t *transfer) []api.StageSource {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.sourcesOf(t.name, t.part)
+func (agent *Agent) currentSources(transfer *partTransfer) []api.StageSource {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	return agent.orderedSources(transfer.datasetName, transfer.part)
 }
 
 // Run copies and reports until the context ends.
-func (a *Agent) Run(ctx context.Context) {
-	if len(a.opt.Controllers) > 0 {
-		go a.report(ctx)
+func (agent *Agent) Run(ctx context.Context) {
+	if len(agent.options.Controllers) > 0 {
+		go agent.sendHeartbeats(ctx)
 	}
 	for {
-		again := a.tend(ctx)
+		again := agent.reconcile(ctx)
 		var retry <-chan time.Time
 		if again {
-			retry = a.clock.After(tuning.StageBackoff)
+			retry = agent.clock.After(tuning.StageBackoff)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.wake:
+		case <-agent.wake:
 		case <-retry:
 		}
 	}
 }
 
-// tend brings what is there in line with the order: manifests, pins, transfers. True:
+// reconcile brings what is there in line with the order: manifests, pins, transfers. True:
 // something failed and is worth another try soon.
-func (a *Agent) tend(ctx context.Context) (again bool) {
-	a.mu.Lock()
-	wants := slices.Collect(maps.Values(a.wants))
-	a.mu.Unlock()
-	slices.SortFunc(wants, func(x, y *want) int { return strings.Compare(x.set.Dataset, y.set.Dataset) })
-	for _, w := range wants {
-		if w.manifest == nil {
+func (agent *Agent) reconcile(ctx context.Context) (again bool) {
+	agent.mu.Lock()
+	wants := slices.Collect(maps.Values(agent.desired))
+	agent.mu.Unlock()
+	slices.SortFunc(wants, func(first, second *desiredDataset) int { return strings.Compare(first.set.Dataset, second.set.Dataset) })
+	for _, desired := range wants {
+		if desired.manifest == nil {
 			var from []api.StageSource
-			for _, c := range w.set.Copies {
+			for _, c := range desired.set.Copies {
 				for _, s := range c.From {
 					if !slices.Contains(from, s) {
 						from = append(from, s)
 					}
 				}
 			}
-			m, err := a.manifestOf(ctx, w.set.Dataset, w.digest, from)
+			manifest, err := agent.loadManifest(ctx, desired.set.Dataset, desired.manifestDigest, from)
 			if err != nil {
 				if len(from) > 0 {
-					slog.Info("no manifest", "dataset", w.set.Dataset, "err", err)
+					slog.Info("no manifest", "dataset", desired.set.Dataset, "err", err)
 					again = true
 				}
 				continue
 			}
-			a.mu.Lock()
-			w.manifest = m
-			a.mu.Unlock()
-			a.note(m, w.digest)
+			agent.mu.Lock()
+			desired.manifest = manifest
+			agent.mu.Unlock()
+			agent.updateReplica(manifest, desired.manifestDigest)
 		}
-		again = a.keep(w) || again
-		a.copies(ctx, w)
+		again = agent.pinParts(desired) || again
+		agent.startTransfers(ctx, desired)
 	}
 	return again
 }
 
-// keep pins what is wanted, and checks what is there.
-func (a *Agent) keep(w *want) (again bool) {
-	m := w.manifest
-	a.mu.Lock()
-	fresh := roaring.AndNot(w.set.Parts.Bitmap, w.kept)
-	fresh.RemoveRange(uint64(m.PartCount()), 1<<32)
-	if a.wants[w.set.Dataset] != w {
+// pinParts pins what is wanted, and checks what is there.
+func (agent *Agent) pinParts(desired *desiredDataset) (again bool) {
+	manifest := desired.manifest
+	agent.mu.Lock()
+	fresh := roaring.AndNot(desired.set.Parts.Bitmap, desired.pinned)
+	fresh.RemoveRange(uint64(manifest.PartCount()), 1<<32)
+	if agent.desired[desired.set.Dataset] != desired {
 		fresh = roaring.New()
 	}
-	w.kept = roaring.Or(w.kept, fresh)
-	open := roaring.AndNot(w.kept, w.whole)
+	desired.pinned = roaring.Or(desired.pinned, fresh)
+	open := roaring.AndNot(desired.pinned, desired.verified)
 	for itr := fresh.Iterator(); itr.HasNext(); {
-		from, to := m.Part(int(itr.Next()))
+		from, to := manifest.Part(int(itr.Next()))
 		for i := from; i < to; i++ {
-			a.cache.Pin(m.Chunks[i].Digest)
+			agent.cache.Pin(manifest.Chunks[i].Digest)
 		}
 	}
-	a.mu.Unlock()
+	agent.mu.Unlock()
 	whole := roaring.New()
 	for itr := open.Iterator(); itr.HasNext(); {
-		k := itr.Next()
-		if !a.has(m, int(k)) {
+		part := itr.Next()
+		if !agent.hasPart(manifest, int(part)) {
 			continue
 		}
 		ok := true
-		from, to := m.Part(int(k))
+		from, to := manifest.Part(int(part))
 		for i := from; i < to && ok; i++ {
-			if err := a.cache.Check(m.Chunks[i]); err != nil {
-				slog.Error("chunk lost", "dataset", w.set.Dataset, "part", k, "err", err)
+			if err := agent.cache.Verify(manifest.Chunks[i]); err != nil {
+				slog.Error("chunk lost", "dataset", desired.set.Dataset, "part", part, "err", err)
 				ok, again = false, true
 			}
 		}
-		if err := a.cache.Show(m, int(k)); ok && err != nil {
-			slog.Error("inputs not shown", "dataset", w.set.Dataset, "part", k, "err", err)
+		if err := agent.cache.LinkInputs(manifest, int(part)); ok && err != nil {
+			slog.Error("inputs not shown", "dataset", desired.set.Dataset, "part", part, "err", err)
 			ok, again = false, true
 		}
 		if ok {
-			whole.Add(k)
+			whole.Add(part)
 		}
 	}
 	if !whole.IsEmpty() {
-		a.mu.Lock()
-		whole.And(w.kept)
-		w.whole = roaring.Or(w.whole, whole)
-		a.mu.Unlock()
-		a.changed()
+		agent.mu.Lock()
+		whole.And(desired.pinned)
+		desired.verified = roaring.Or(desired.verified, whole)
+		agent.mu.Unlock()
+		agent.requestHeartbeat()
 	}
 	if again {
-		a.note(m, w.digest)
+		agent.updateReplica(manifest, desired.manifestDigest)
 	}
 	return again
 }
 
-// copies starts the transfers that the order asks for.
-func (a *Agent) copies(ctx context.Context, w *want) {
-	for _, c := range w.set.Copies {
-		if c.Part < 0 || c.Part >= w.manifest.PartCount() || a.has(w.manifest, c.Part) {
+// startTransfers starts the transfers that the order asks for.
+func (agent *Agent) startTransfers(ctx context.Context, desired *desiredDataset) {
+	for _, c := range desired.set.Copies {
+		if c.Part < 0 || c.Part >= desired.manifest.PartCount() || agent.hasPart(desired.manifest, c.Part) {
 			continue
 		}
-		a.mu.Lock()
-		k := key(w.set.Dataset, c.Part)
-		if a.running[k] != nil || a.wants[w.set.Dataset] != w {
-			a.mu.Unlock()
+		agent.mu.Lock()
+		k := transferKey(desired.set.Dataset, c.Part)
+		if agent.transfers[k] != nil || agent.desired[desired.set.Dataset] != desired {
+			agent.mu.Unlock()
 			continue
 		}
-		tctx, cancel := context.WithCancel(ctx)
-		t := &transfer{name: w.set.Dataset, part: c.Part, manifest: w.manifest, cancel: cancel, ended: make(chan struct{})}
-		t.p.of = w.manifest.PartBytes(c.Part)
-		a.running[k] = t
-		a.mu.Unlock()
+		transferCtx, cancel := context.WithCancel(ctx)
+		transfer := &partTransfer{datasetName: desired.set.Dataset, part: c.Part, manifest: desired.manifest, cancel: cancel, ended: make(chan struct{})}
+		transfer.progress.totalBytes = desired.manifest.PartBytes(c.Part)
+		agent.transfers[k] = transfer
+		agent.mu.Unlock()
 		go func() {
-			a.run(tctx, t)
+			agent.copyPart(transferCtx, transfer)
 			cancel()
-			a.mu.Lock()
-			if a.running[k] == t {
-				delete(a.running, k)
+			agent.mu.Lock()
+			if agent.transfers[k] == transfer {
+				delete(agent.transfers, k)
 			}
-			a.mu.Unlock()
-			a.note(w.manifest, w.digest)
-			a.changed()
-			a.kick()
+			agent.mu.Unlock()
+			agent.updateReplica(desired.manifest, desired.manifestDigest)
+			agent.requestHeartbeat()
+			agent.wakeReconciler()
 		}()
 	}
 }
 
 // Report is what the agent says of itself now. All: with all that it holds.
-func (a *Agent) Report(all bool) api.StageHeartbeat {
-	a.refresh()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.seq++
-	r := api.StageHeartbeat{Machine: a.opt.Machine, Address: a.opt.Address, Incarnation: a.state.Session, Seq: a.seq, Term: a.state.Term,
-		Order: a.state.Order, Quota: a.opt.CacheBytes, Used: a.cache.Used(), Version: a.version, All: all,
-		FromStore: a.fromStore.Load(), FromPeers: a.fromPeers.Load()}
+func (agent *Agent) Report(all bool) api.StageHeartbeat {
+	agent.refreshReplicas()
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	agent.sequence++
+	r := api.StageHeartbeat{Machine: agent.options.Machine, Address: agent.options.Address, Incarnation: agent.state.Incarnation, Seq: agent.sequence, Term: agent.state.Term,
+		Order: agent.state.Order, Quota: agent.options.CacheBytes, Used: agent.cache.Used(), Version: agent.replicasVersion, All: all,
+		FromStore: agent.fromStore.Load(), FromPeers: agent.fromPeers.Load()}
 	if all {
-		for _, h := range a.held {
-			if !h.parts.IsEmpty() {
-				r.Holds = append(r.Holds, api.StageHeld{Dataset: h.manifest.Name, Manifest: h.digest.String(), Of: h.manifest.PartCount(), Parts: api.PartSet{Bitmap: h.parts}})
+		for _, held := range agent.replicas {
+			if !held.parts.IsEmpty() {
+				r.Holds = append(r.Holds, api.StageHeld{Dataset: held.manifest.Name, Manifest: held.manifestDigest.String(), Of: held.manifest.PartCount(), Parts: api.PartSet{Bitmap: held.parts}})
 			}
 		}
 	}
-	for _, w := range a.wants {
-		if !w.whole.IsEmpty() {
-			r.Pinned = append(r.Pinned, api.StageHeld{Dataset: w.set.Dataset, Manifest: w.set.Manifest, Parts: api.PartSet{Bitmap: w.whole}})
+	for _, desired := range agent.desired {
+		if !desired.verified.IsEmpty() {
+			r.Pinned = append(r.Pinned, api.StageHeld{Dataset: desired.set.Dataset, Manifest: desired.set.Manifest, Parts: api.PartSet{Bitmap: desired.verified}})
 		}
 	}
-	for _, t := range a.running {
-		r.Copies = append(r.Copies, t.p.report(t.name, t.part))
+	for _, transfer := range agent.transfers {
+		r.Copies = append(r.Copies, transfer.progress.status(transfer.datasetName, transfer.part))
 	}
-	slices.SortFunc(r.Holds, func(x, y api.StageHeld) int { return strings.Compare(x.Dataset, y.Dataset) })
-	slices.SortFunc(r.Pinned, func(x, y api.StageHeld) int { return strings.Compare(x.Dataset, y.Dataset) })
-	slices.SortFunc(r.Copies, func(x, y api.StageProgress) int {
-		if x.Dataset != y.Dataset {
-			return strings.Compare(x.Dataset, y.Dataset)
+	slices.SortFunc(r.Holds, func(first, second api.StageHeld) int { return strings.Compare(first.Dataset, second.Dataset) })
+	slices.SortFunc(r.Pinned, func(first, second api.StageHeld) int { return strings.Compare(first.Dataset, second.Dataset) })
+	slices.SortFunc(r.Copies, func(first, second api.StageProgress) int {
+		if first.Dataset != second.Dataset {
+			return strings.Compare(first.Dataset, second.Dataset)
 		}
-		return x.Part - y.Part
+		return first.Part - second.Part
 	})
 	return r
 }
 
-// report tells the controllers, one after the other until one takes it, as a worker does.
-func (a *Agent) report(ctx context.Context) {
-	names := slices.Sorted(maps.Keys(a.opt.Controllers))
+// status tells the controllers, one after the other until one takes it, as a worker does.
+func (agent *Agent) sendHeartbeats(ctx context.Context) {
+	names := slices.Sorted(maps.Keys(agent.options.Controllers))
 	at := 0
 	for ctx.Err() == nil {
-		next, err := a.call(ctx, a.opt.Controllers[names[at]])
+		next, err := agent.sendHeartbeat(ctx, agent.options.Controllers[names[at]])
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err == nil && next == "":
-			timer := a.clock.After(tuning.StageReportEvery)
-			a.sleep(ctx, tuning.StageReportMin)
+			timer := agent.clock.After(tuning.StageReportEvery)
+			agent.sleep(ctx, tuning.StageReportMin)
 			select {
 			case <-ctx.Done():
 			case <-timer:
-			case <-a.tell:
+			case <-agent.heartbeatDue:
 			}
 			continue
 		case err == nil && next != names[at] && slices.Contains(names, next):
 			at = slices.Index(names, next)
-			a.sleep(ctx, tuning.StageReportMin)
+			agent.sleep(ctx, tuning.StageReportMin)
 			continue
 		case err != nil:
 			slog.Debug("report not taken", "by", names[at], "err", err)
 		}
 		at = (at + 1) % len(names)
-		a.sleep(ctx, time.Second)
+		agent.sleep(ctx, time.Second)
 	}
 }
 
-// call sends one report. Next names the controller to go to instead.
-func (a *Agent) call(ctx context.Context, addr string) (next string, err error) {
+// sendHeartbeat sends one report. Next names the controller to go to instead.
+func (agent *Agent) sendHeartbeat(ctx context.Context, addr string) (next string, err error) {
 	ctx, stop := context.WithTimeout(ctx, tuning.StageCallTimeout)
 	defer stop()
-	raw, err := json.Marshal(a.Next())
+	raw, err := json.Marshal(agent.Next())
 	if err != nil {
 		return "", err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/staging", bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/staging", bytes.NewReader(raw))
 	if err != nil {
 		return "", err
 	}
-	resp, err := a.http.Do(req)
+	response, err := agent.http.Do(request)
 	if err != nil {
 		return "", err
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, tuning.OrderLimit))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, tuning.OrderLimit))
 	if err != nil {
 		return "", err
 	}
-	switch resp.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
-		var o api.StageOrder
-		if err := json.Unmarshal(body, &o); err != nil {
+		var order api.StageOrder
+		if err := json.Unmarshal(body, &order); err != nil {
 			return "", fmt.Errorf("malformed order: %w", err)
 		}
-		_, err = a.Apply(&o)
+		_, err = agent.Apply(&order)
 		return "", err
 	case http.StatusMisdirectedRequest:
 		var r api.Redirect
@@ -647,56 +647,56 @@
 			return r.Controller, nil
 		}
 	}
-	return "", fmt.Errorf("status %d", resp.StatusCode)
+	return "", fmt.Errorf("status %d", response.StatusCode)
 }
 
-// progress is how far a copy is.
-type progress struct {
-	mu     sync.Mutex
-	got    int64
-	of     int64
-	from   api.StageSource
-	failed []api.StageFailure
-	full   bool
+// transferProgress is how far a copy is.
+type transferProgress struct {
+	mu            sync.Mutex
+	receivedBytes int64
+	totalBytes    int64
+	source        api.StageSource
+	failures      []api.StageFailure
+	full          bool
 }
 
-func (p *progress) add(n int64) {
+func (p *transferProgress) add(n int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.got += n
+	p.receivedBytes += n
 }
 
-func (p *progress) now(src api.StageSource) {
+func (p *transferProgress) setSource(source api.StageSource) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.from = src
+	p.source = source
 }
 
-func (p *progress) clear() {
+func (p *transferProgress) clearFull() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.full = false
 }
 
-func (p *progress) fail(f api.StageFailure, full bool) {
+func (p *transferProgress) addFailure(failure api.StageFailure, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.full = full
-	p.failed = slices.DeleteFunc(p.failed, func(o api.StageFailure) bool { return o.From == f.From })
-	p.failed = append(p.failed, f)
+	p.failures = slices.DeleteFunc(p.failures, func(order api.StageFailure) bool { return order.From == failure.From })
+	p.failures = append(p.failures, failure)
 }
 
-func (p *progress) report(name string, part int) api.StageProgress {
+func (p *transferProgress) status(name string, part int) api.StageProgress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return api.StageProgress{Dataset: name, Part: part, Got: max(0, min(p.got, p.of)), Of: p.of, From: p.from, Failed: slices.Clone(p.failed), Full: p.full}
+	return api.StageProgress{Dataset: name, Part: part, Got: max(0, min(p.receivedBytes, p.totalBytes)), Of: p.totalBytes, From: p.source, Failed: slices.Clone(p.failures), Full: p.full}
 }
 
 // Next is the report that is due: with all that is held if the controllers do not know
 // the present state yet.
-func (a *Agent) Next() api.StageHeartbeat {
-	a.mu.Lock()
-	all := a.known != a.version
-	a.mu.Unlock()
-	return a.Report(all)
+func (agent *Agent) Next() api.StageHeartbeat {
+	agent.mu.Lock()
+	all := agent.knownVersion != agent.replicasVersion
+	agent.mu.Unlock()
+	return agent.Report(all)
 }
--- a/dataagent/cache.go
+++ b/dataagent/cache.go
@@ -24,11 +24,11 @@
 // ErrFull means: the quota or the disk has no room, and nothing that might go.
 var ErrFull = errors.New("the cache is full of what must be kept")
 
-// ErrWrong means: bytes that do not have their digest.
-var ErrWrong = errors.New("wrong bytes")
+// ErrCorrupt means: bytes that do not have their digest.
+var ErrCorrupt = errors.New("wrong bytes")
 
 // Cache keeps chunks on disk under their digests. A file in chunks/ is whole: it gets its
-// name only after its digest was checked and its bytes were on disk. What a transfer has
+// datasetName only after its digest was checked and its bytes were on disk. What a transfer has
 // so far stands in partial/. Whatever is neither pinned nor being written may go, the
 // least recently used first, to stay within the quota.
 //
@@ -40,22 +40,22 @@
 	step func(string)
 
 	mu      sync.Mutex
-	chunks  map[dataset.Digest]*chunk
-	used    int64 // whole chunks, partial ones, and room promised to writers
+	chunks  map[dataset.Digest]*cachedChunk
+	used    int64 // verified chunks, partial ones, and room promised to writers
 	pins    map[dataset.Digest]int
 	writing map[dataset.Digest]bool
-	// loose are chunks that may go, the least recently used first; partial ones are
+	// evictable are chunks that may go, the least recently used first; partial ones are
 	// in parts.
-	loose *simplelru.LRU[dataset.Digest, struct{}]
-	parts map[dataset.Digest]int64
-	// lost counts chunks that were whole and are no longer there.
-	lost uint64
+	evictable *simplelru.LRU[dataset.Digest, struct{}]
+	partials  map[dataset.Digest]int64
+	// lostChunks counts chunks that were whole and are no longer there.
+	lostChunks uint64
 }
 
-type chunk struct {
+type cachedChunk struct {
 	bytes int64
-	// checked: its digest was taken in this process's life.
-	checked bool
+	// verified: its digest was taken in this process's life.
+	verified bool
 }
 
 // OpenCache opens or makes a cache of at most quota bytes. What an earlier process left
@@ -68,10 +68,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Cache{dir: dir, quota: quota, step: step, chunks: map[dataset.Digest]*chunk{}, pins: map[dataset.Digest]int{},
-		writing: map[dataset.Digest]bool{}, loose: loose, parts: map[dataset.Digest]int64{}}
-	for _, d := range []string{"chunks", "partial", "manifests", "inputs"} {
-		if err := os.MkdirAll(filepath.Join(dir, d), 0o755); err != nil {
+	cache := &Cache{dir: dir, quota: quota, step: step, chunks: map[dataset.Digest]*cachedChunk{}, pins: map[dataset.Digest]int{},
+		writing: map[dataset.Digest]bool{}, evictable: loose, partials: map[dataset.Digest]int64{}}
+	for _, name := range []string{"chunks", "partial", "manifests", "inputs"} {
+		if err := os.MkdirAll(filepath.Join(dir, name), 0o755); err != nil {
 			return nil, fmt.Errorf("cache: %w", err)
 		}
 	}
@@ -81,341 +81,341 @@
 			return fmt.Errorf("cache: %w", err)
 		}
 		for _, e := range entries {
-			d, err := dataset.ParseDigest(e.Name())
+			digest, err := dataset.ParseDigest(e.Name())
 			info, ierr := e.Info()
 			if err != nil || ierr != nil || !info.Mode().IsRegular() {
 				continue
 			}
-			each(d, info.Size())
+			each(digest, info.Size())
 		}
 		return nil
 	}
-	err = scan("chunks", func(d dataset.Digest, n int64) {
-		c.chunks[d] = &chunk{bytes: n}
-		c.used += n
-		c.loose.Add(d, struct{}{})
+	err = scan("chunks", func(digest dataset.Digest, n int64) {
+		cache.chunks[digest] = &cachedChunk{bytes: n}
+		cache.used += n
+		cache.evictable.Add(digest, struct{}{})
 	})
 	if err == nil {
-		err = scan("partial", func(d dataset.Digest, n int64) {
-			if c.chunks[d] != nil {
-				_ = os.Remove(c.path("partial", d))
+		err = scan("partial", func(digest dataset.Digest, n int64) {
+			if cache.chunks[digest] != nil {
+				_ = os.Remove(cache.path("partial", digest))
 				return
 			}
-			c.parts[d] = n
-			c.used += n
+			cache.partials[digest] = n
+			cache.used += n
 		})
 	}
-	return c, err
+	return cache, err
 }
 
-func (c *Cache) path(sub string, d dataset.Digest) string {
-	return filepath.Join(c.dir, sub, d.String())
+func (cache *Cache) path(sub string, digest dataset.Digest) string {
+	return filepath.Join(cache.dir, sub, digest.String())
 }
 
 // Used is what the cache takes, in bytes.
-func (c *Cache) Used() int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.used
+func (cache *Cache) Used() int64 {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	return cache.used
 }
 
-// Lost counts chunks that were whole and went, since the cache was opened.
-func (c *Cache) Lost() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lost
+// LostChunks counts chunks that were whole and went, since the cache was opened.
+func (cache *Cache) LostChunks() uint64 {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	return cache.lostChunks
 }
 
 // Has tells whether a chunk of this size is there, whole.
-func (c *Cache) Has(ch dataset.Chunk) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	x := c.chunks[ch.Digest]
-	return x != nil && x.bytes == ch.Bytes
+func (cache *Cache) Has(chunk dataset.Chunk) bool {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	cached := cache.chunks[chunk.Digest]
+	return cached != nil && cached.bytes == chunk.Bytes
 }
 
 // Pin keeps a chunk, there or yet to come, from being evicted; each Pin needs an Unpin.
-func (c *Cache) Pin(d dataset.Digest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.pins[d]++
-	c.loose.Remove(d)
+func (cache *Cache) Pin(digest dataset.Digest) {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	cache.pins[digest]++
+	cache.evictable.Remove(digest)
 }
 
 // Unpin takes one Pin back.
-func (c *Cache) Unpin(d dataset.Digest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.pins[d]--; c.pins[d] <= 0 {
-		delete(c.pins, d)
-		if c.chunks[d] != nil {
-			c.loose.Add(d, struct{}{})
+func (cache *Cache) Unpin(digest dataset.Digest) {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	if cache.pins[digest]--; cache.pins[digest] <= 0 {
+		delete(cache.pins, digest)
+		if cache.chunks[digest] != nil {
+			cache.evictable.Add(digest, struct{}{})
 		}
 	}
 }
 
 // evict removes what may go until so many bytes more fit; the lock is held. The files
 // are removed by the caller, without it.
-func (c *Cache) evict(need int64) (gone []string, ok bool) {
-	for d, n := range c.parts {
-		if c.used+need <= c.quota {
+func (cache *Cache) evict(need int64) (gone []string, ok bool) {
+	for digest, n := range cache.partials {
+		if cache.used+need <= cache.quota {
 			break
 		}
-		if !c.writing[d] && c.pins[d] == 0 {
-			delete(c.parts, d)
-			c.used -= n
-			gone = append(gone, c.path("partial", d))
+		if !cache.writing[digest] && cache.pins[digest] == 0 {
+			delete(cache.partials, digest)
+			cache.used -= n
+			gone = append(gone, cache.path("partial", digest))
 		}
 	}
-	for c.used+need > c.quota {
-		d, _, some := c.loose.RemoveOldest()
+	for cache.used+need > cache.quota {
+		digest, _, some := cache.evictable.RemoveOldest()
 		if !some {
 			return gone, false
 		}
-		c.used -= c.chunks[d].bytes
-		delete(c.chunks, d)
-		c.lost++
-		gone = append(gone, c.path("chunks", d))
+		cache.used -= cache.chunks[digest].bytes
+		delete(cache.chunks, digest)
+		cache.lostChunks++
+		gone = append(gone, cache.path("chunks", digest))
 	}
 	return gone, true
 }
 
-// Remove removes a chunk, and what a transfer left of it, unless it is pinned or being
+// RemoveChunk removes a chunk, and what a transfer left of it, unless it is pinned or being
 // written. An open file stays readable.
-func (c *Cache) Remove(d dataset.Digest) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.pins[d] > 0 || c.writing[d] {
+func (cache *Cache) RemoveChunk(digest dataset.Digest) {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	if cache.pins[digest] > 0 || cache.writing[digest] {
 		return
 	}
-	if x := c.chunks[d]; x != nil {
-		c.used -= x.bytes
-		delete(c.chunks, d)
-		c.lost++
-		c.loose.Remove(d)
-		_ = os.Remove(c.path("chunks", d))
+	if cached := cache.chunks[digest]; cached != nil {
+		cache.used -= cached.bytes
+		delete(cache.chunks, digest)
+		cache.lostChunks++
+		cache.evictable.Remove(digest)
+		_ = os.Remove(cache.path("chunks", digest))
 	}
-	if n, ok := c.parts[d]; ok {
-		c.used -= n
-		delete(c.parts, d)
-		_ = os.Remove(c.path("partial", d))
+	if n, ok := cache.partials[digest]; ok {
+		cache.used -= n
+		delete(cache.partials, digest)
+		_ = os.Remove(cache.path("partial", digest))
 	}
 }
 
-// Check reads a chunk and compares its digest, once in a process's life. A chunk that is
+// Verify reads a chunk and compares its digest, once in a process's life. A chunk that is
 // damaged is removed. The error is fs.ErrNotExist where there is none.
-func (c *Cache) Check(ch dataset.Chunk) error {
-	c.mu.Lock()
-	x := c.chunks[ch.Digest]
-	if x != nil && x.checked && x.bytes == ch.Bytes {
-		c.mu.Unlock()
+func (cache *Cache) Verify(chunk dataset.Chunk) error {
+	cache.mu.Lock()
+	cached := cache.chunks[chunk.Digest]
+	if cached != nil && cached.verified && cached.bytes == chunk.Bytes {
+		cache.mu.Unlock()
 		return nil
 	}
-	c.mu.Unlock()
-	if x == nil {
-		return fmt.Errorf("chunk %v: %w", ch.Digest, os.ErrNotExist)
+	cache.mu.Unlock()
+	if cached == nil {
+		return fmt.Errorf("chunk %v: %w", chunk.Digest, os.ErrNotExist)
 	}
-	f, err := os.Open(c.path("chunks", ch.Digest))
+	file, err := os.Open(cache.path("chunks", chunk.Digest))
 	if err == nil {
-		h := dataset.NewHasher()
+		hasher := dataset.NewHasher()
 		var n int64
-		n, err = io.Copy(h, f)
-		_ = f.Close()
-		if err == nil && (n != ch.Bytes || h.Digest() != ch.Digest) {
-			err = fmt.Errorf("chunk %v on disk: %w", ch.Digest, ErrWrong)
+		n, err = io.Copy(hasher, file)
+		_ = file.Close()
+		if err == nil && (n != chunk.Bytes || hasher.Digest() != chunk.Digest) {
+			err = fmt.Errorf("chunk %v on disk: %w", chunk.Digest, ErrCorrupt)
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now := c.chunks[ch.Digest]; now != x {
-		return fmt.Errorf("chunk %v: %w", ch.Digest, os.ErrNotExist)
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	if now := cache.chunks[chunk.Digest]; now != cached {
+		return fmt.Errorf("chunk %v: %w", chunk.Digest, os.ErrNotExist)
 	}
 	if err != nil {
-		c.used -= x.bytes
-		delete(c.chunks, ch.Digest)
-		c.lost++
-		c.loose.Remove(ch.Digest)
-		_ = os.Remove(c.path("chunks", ch.Digest))
+		cache.used -= cached.bytes
+		delete(cache.chunks, chunk.Digest)
+		cache.lostChunks++
+		cache.evictable.Remove(chunk.Digest)
+		_ = os.Remove(cache.path("chunks", chunk.Digest))
 		return err
 	}
-	x.checked = true
+	cached.verified = true
 	return nil
 }
 
 // Open opens a whole chunk for reading, and counts that as a use. An open file stays
 // readable when the chunk is evicted.
-func (c *Cache) Open(d dataset.Digest) (*os.File, int64, error) {
-	c.mu.Lock()
-	x := c.chunks[d]
-	if x != nil {
-		c.loose.Get(d)
-	}
-	c.mu.Unlock()
-	if x == nil {
+func (cache *Cache) Open(digest dataset.Digest) (*os.File, int64, error) {
+	cache.mu.Lock()
+	cached := cache.chunks[digest]
+	if cached != nil {
+		cache.evictable.Get(digest)
+	}
+	cache.mu.Unlock()
+	if cached == nil {
 		return nil, 0, os.ErrNotExist
 	}
-	f, err := os.Open(c.path("chunks", d))
-	return f, x.bytes, err
+	file, err := os.Open(cache.path("chunks", digest))
+	return file, cached.bytes, err
 }
 
 // Writer brings one chunk into the cache.
 type Writer struct {
-	c    *Cache
-	want dataset.Chunk
-	f    *os.File
-	h    dataset.Hasher
-	at   int64
+	cache  *Cache
+	chunk  dataset.Chunk
+	file   *os.File
+	hasher dataset.Hasher
+	offset int64
 }
 
 // Begin starts or goes on with a chunk: At says how many bytes are there already, a whole
 // number of blocks. Only one writer a chunk may be open. ErrFull: no room.
-func (c *Cache) Begin(want dataset.Chunk) (*Writer, error) {
-	c.mu.Lock()
-	if c.writing[want.Digest] {
-		c.mu.Unlock()
+func (cache *Cache) Begin(want dataset.Chunk) (*Writer, error) {
+	cache.mu.Lock()
+	if cache.writing[want.Digest] {
+		cache.mu.Unlock()
 		return nil, fmt.Errorf("chunk %v is being written already", want.Digest)
 	}
-	c.writing[want.Digest] = true
-	has := c.parts[want.Digest]
-	gone, ok := c.evict(want.Bytes - has)
+	cache.writing[want.Digest] = true
+	has := cache.partials[want.Digest]
+	gone, ok := cache.evict(want.Bytes - has)
 	if ok {
-		c.used += want.Bytes - has
-		c.parts[want.Digest] = want.Bytes
+		cache.used += want.Bytes - has
+		cache.partials[want.Digest] = want.Bytes
 	}
-	c.mu.Unlock()
+	cache.mu.Unlock()
 	for _, p := range gone {
 		_ = os.Remove(p)
 	}
 	if !ok {
-		c.mu.Lock()
-		delete(c.writing, want.Digest)
-		c.mu.Unlock()
+		cache.mu.Lock()
+		delete(cache.writing, want.Digest)
+		cache.mu.Unlock()
 		return nil, ErrFull
 	}
-	w := &Writer{c: c, want: want, h: dataset.NewHasher()}
-	c.step("open")
-	f, err := os.OpenFile(c.path("partial", want.Digest), os.O_RDWR|os.O_CREATE, 0o644)
+	writer := &Writer{cache: cache, chunk: want, hasher: dataset.NewHasher()}
+	cache.step("open")
+	file, err := os.OpenFile(cache.path("partial", want.Digest), os.O_RDWR|os.O_CREATE, 0o644)
 	if err == nil {
-		w.f = f
-		err = w.resume()
+		writer.file = file
+		err = writer.resume()
 	}
 	if err != nil {
-		w.Leave()
-		return nil, disk(err)
+		writer.Leave()
+		return nil, diskError(err)
 	}
-	return w, nil
+	return writer, nil
 }
 
 // resume takes over the blocks that are there.
-func (w *Writer) resume() error {
-	info, err := w.f.Stat()
+func (writer *Writer) resume() error {
+	info, err := writer.file.Stat()
 	if err != nil {
 		return err
 	}
-	whole := min(info.Size(), w.want.Bytes) / tuning.StageBlock * tuning.StageBlock
+	whole := min(info.Size(), writer.chunk.Bytes) / tuning.StageBlock * tuning.StageBlock
 	if info.Size() != whole {
-		w.c.step("truncate")
-		if err := w.f.Truncate(whole); err != nil {
+		writer.cache.step("truncate")
+		if err := writer.file.Truncate(whole); err != nil {
 			return err
 		}
 	}
-	w.at, err = io.CopyN(w.h, w.f, whole)
+	writer.offset, err = io.CopyN(writer.hasher, writer.file, whole)
 	return err
 }
 
 // At is how many bytes are there.
-func (w *Writer) At() int64 { return w.at }
+func (writer *Writer) At() int64 { return writer.offset }
 
 // Write adds bytes, a block or the rest of the chunk at a time.
-func (w *Writer) Write(p []byte) (int, error) {
-	if w.at+int64(len(p)) > w.want.Bytes {
-		return 0, fmt.Errorf("more than the chunk's %d bytes: %w", w.want.Bytes, ErrWrong)
-	}
-	w.c.step("write")
-	n, err := w.f.Write(p)
-	_, _ = w.h.Write(p[:n])
-	w.at += int64(n)
-	return n, disk(err)
+func (writer *Writer) Write(p []byte) (int, error) {
+	if writer.offset+int64(len(p)) > writer.chunk.Bytes {
+		return 0, fmt.Errorf("more than the chunk's %d bytes: %w", writer.chunk.Bytes, ErrCorrupt)
+	}
+	writer.cache.step("write")
+	size, err := writer.file.Write(p)
+	_, _ = writer.hasher.Write(p[:size])
+	writer.offset += int64(size)
+	return size, diskError(err)
 }
 
-// Commit checks the digest and makes the chunk whole. ErrWrong: what was written is
+// Commit checks the digest and makes the chunk whole. ErrCorrupt: what was written is
 // thrown away. Either way the writer is closed.
-func (w *Writer) Commit() error {
-	if w.at != w.want.Bytes {
-		w.Leave()
-		return fmt.Errorf("%d of %d bytes: %w", w.at, w.want.Bytes, io.ErrUnexpectedEOF)
-	}
-	if w.h.Digest() != w.want.Digest {
-		w.Drop()
-		return ErrWrong
-	}
-	w.c.step("sync")
-	err := w.f.Sync()
-	if cerr := w.f.Close(); err == nil {
+func (writer *Writer) Commit() error {
+	if writer.offset != writer.chunk.Bytes {
+		writer.Leave()
+		return fmt.Errorf("%d of %d bytes: %w", writer.offset, writer.chunk.Bytes, io.ErrUnexpectedEOF)
+	}
+	if writer.hasher.Digest() != writer.chunk.Digest {
+		writer.Drop()
+		return ErrCorrupt
+	}
+	writer.cache.step("sync")
+	err := writer.file.Sync()
+	if cerr := writer.file.Close(); err == nil {
 		err = cerr
 	}
-	w.f = nil
+	writer.file = nil
 	if err == nil {
-		w.c.step("rename")
-		err = os.Rename(w.c.path("partial", w.want.Digest), w.c.path("chunks", w.want.Digest))
+		writer.cache.step("rename")
+		err = os.Rename(writer.cache.path("partial", writer.chunk.Digest), writer.cache.path("chunks", writer.chunk.Digest))
 	}
 	if err != nil {
-		w.Leave()
-		return disk(err)
+		writer.Leave()
+		return diskError(err)
 	}
-	w.c.step("dirsync")
-	if d, err := os.Open(filepath.Join(w.c.dir, "chunks")); err == nil {
+	writer.cache.step("dirsync")
+	if d, err := os.Open(filepath.Join(writer.cache.dir, "chunks")); err == nil {
 		_ = d.Sync()
 		_ = d.Close()
 	}
-	c := w.c
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.parts, w.want.Digest)
-	delete(c.writing, w.want.Digest)
-	c.chunks[w.want.Digest] = &chunk{bytes: w.want.Bytes, checked: true}
-	if c.pins[w.want.Digest] == 0 {
-		c.loose.Add(w.want.Digest, struct{}{})
+	cache := writer.cache
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	delete(cache.partials, writer.chunk.Digest)
+	delete(cache.writing, writer.chunk.Digest)
+	cache.chunks[writer.chunk.Digest] = &cachedChunk{bytes: writer.chunk.Bytes, verified: true}
+	if cache.pins[writer.chunk.Digest] == 0 {
+		cache.evictable.Add(writer.chunk.Digest, struct{}{})
 	}
 	return nil
 }
 
 // Leave closes the writer and keeps what is there for a later one.
-func (w *Writer) Leave() {
+func (writer *Writer) Leave() {
 	size := int64(0)
-	if w.f != nil {
-		if info, err := w.f.Stat(); err == nil {
+	if writer.file != nil {
+		if info, err := writer.file.Stat(); err == nil {
 			size = info.Size()
 		}
-		_ = w.f.Close()
+		_ = writer.file.Close()
 	}
-	w.settle(size)
+	writer.release(size)
 }
 
 // Drop closes the writer and throws away what is there.
-func (w *Writer) Drop() {
-	if w.f != nil {
-		_ = w.f.Close()
+func (writer *Writer) Drop() {
+	if writer.file != nil {
+		_ = writer.file.Close()
 	}
-	_ = os.Remove(w.c.path("partial", w.want.Digest))
-	w.settle(0)
+	_ = os.Remove(writer.cache.path("partial", writer.chunk.Digest))
+	writer.release(0)
 }
 
-func (w *Writer) settle(size int64) {
-	c := w.c
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.used += size - c.parts[w.want.Digest]
+func (writer *Writer) release(size int64) {
+	cache := writer.cache
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	cache.used += size - cache.partials[writer.chunk.Digest]
 	if size == 0 {
-		delete(c.parts, w.want.Digest)
+		delete(cache.partials, writer.chunk.Digest)
 	} else {
-		c.parts[w.want.Digest] = size
+		cache.partials[writer.chunk.Digest] = size
 	}
-	delete(c.writing, w.want.Digest)
+	delete(cache.writing, writer.chunk.Digest)
 }
 
-// disk turns the disk's own "full" into ours.
-func disk(err error) error {
+// diskError turns the disk's own "full" into ours.
+func diskError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
 	}
@@ -423,56 +423,58 @@
 }
 
 // SaveManifest keeps a manifest, under its digest.
-func (c *Cache) SaveManifest(d dataset.Digest, raw []byte) error {
-	c.step("manifest")
-	return renameio.WriteFile(c.path("manifests", d), raw, 0o644)
+func (cache *Cache) SaveManifest(digest dataset.Digest, raw []byte) error {
+	cache.step("manifest")
+	return renameio.WriteFile(cache.path("manifests", digest), raw, 0o644)
 }
 
 // Manifest reads one that was kept; its digest is checked. The error is fs.ErrNotExist
 // where there is none.
-func (c *Cache) Manifest(d dataset.Digest) (*dataset.Manifest, []byte, error) {
-	raw, err := os.ReadFile(c.path("manifests", d))
+func (cache *Cache) Manifest(digest dataset.Digest) (*dataset.Manifest, []byte, error) {
+	raw, err := os.ReadFile(cache.path("manifests", digest))
 	if err != nil {
 		return nil, nil, err
 	}
-	if dataset.Sum(raw) != d {
-		_ = os.Remove(c.path("manifests", d))
-		return nil, nil, fmt.Errorf("manifest %v on disk: %w", d, os.ErrNotExist)
+	if dataset.Sum(raw) != digest {
+		_ = os.Remove(cache.path("manifests", digest))
+		return nil, nil, fmt.Errorf("manifest %v on disk: %w", digest, os.ErrNotExist)
 	}
-	m, err := dataset.Parse(raw)
-	return m, raw, err
+	manifest, err := dataset.Parse(raw)
+	return manifest, raw, err
 }
 
 // Manifests are the digests of those that were kept.
-func (c *Cache) Manifests() (out []dataset.Digest) {
-	entries, _ := os.ReadDir(filepath.Join(c.dir, "manifests"))
+func (cache *Cache) Manifests() (out []dataset.Digest) {
+	entries, _ := os.ReadDir(filepath.Join(cache.dir, "manifests"))
 	for _, e := range entries {
-		if d, err := dataset.ParseDigest(e.Name()); err == nil {
-			out = append(out, d)
+		if digest, err := dataset.ParseDigest(e.Name()); err == nil {
+			out = append(out, digest)
 		}
 	}
 	return out
 }
 
-// Forget removes a manifest.
-func (c *Cache) Forget(d dataset.Digest) { _ = os.Remove(c.path("manifests", d)) }
+// RemoveManifest removes a manifest.
+func (cache *Cache) RemoveManifest(digest dataset.Digest) {
+	_ = os.Remove(cache.path("manifests", digest))
+}
 
-// inputs is the folder in which a task finds the chunks of a part, in order.
-func (c *Cache) inputs(name string, part int) string {
-	return filepath.Join(c.dir, "inputs", name, fmt.Sprintf("part-%06d", part))
+// inputsDir is the folder in which a task finds the chunks of a part, in order.
+func (cache *Cache) inputsDir(name string, part int) string {
+	return filepath.Join(cache.dir, "inputs", name, fmt.Sprintf("part-%06d", part))
 }
 
-// Show makes a part's chunks readable under a path of their own, as hard links: a task
+// LinkInputs makes a part's chunks readable under a path of their own, as hard links: a task
 // that reads them keeps its bytes whatever is evicted.
-func (c *Cache) Show(m *dataset.Manifest, part int) error {
-	dir := c.inputs(m.Name, part)
+func (cache *Cache) LinkInputs(manifest *dataset.Manifest, part int) error {
+	dir := cache.inputsDir(manifest.Name, part)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	from, to := m.Part(part)
+	from, to := manifest.Part(part)
 	for i := from; i < to; i++ {
-		c.step("link")
-		err := os.Link(c.path("chunks", m.Chunks[i].Digest), filepath.Join(dir, fmt.Sprintf("%06d", i-from)))
+		cache.step("link")
+		err := os.Link(cache.path("chunks", manifest.Chunks[i].Digest), filepath.Join(dir, fmt.Sprintf("%06d", i-from)))
 		if err != nil && !errors.Is(err, os.ErrExist) {
 			return err
 		}
@@ -480,20 +482,20 @@
 	return nil
 }
 
-// Hide takes that path away.
-func (c *Cache) Hide(name string, part int) {
-	_ = os.RemoveAll(c.inputs(name, part))
-	_ = os.Remove(filepath.Join(c.dir, "inputs", name))
+// UnlinkInputs takes that path away.
+func (cache *Cache) UnlinkInputs(name string, part int) {
+	_ = os.RemoveAll(cache.inputsDir(name, part))
+	_ = os.Remove(filepath.Join(cache.dir, "inputs", name))
 }
 
-// Shown are the parts that have such a path, by dataset.
-func (c *Cache) Shown() map[string][]int {
+// LinkedInputs are the parts that have such a path, by dataset.
+func (cache *Cache) LinkedInputs() map[string][]int {
 	out := map[string][]int{}
-	dirs, _ := filepath.Glob(filepath.Join(c.dir, "inputs", "*", "part-*"))
-	for _, d := range dirs {
-		if k, err := strconv.Atoi(strings.TrimPrefix(filepath.Base(d), "part-")); err == nil {
-			n := filepath.Base(filepath.Dir(d))
-			out[n] = append(out[n], k)
+	dirs, _ := filepath.Glob(filepath.Join(cache.dir, "inputs", "*", "part-*"))
+	for _, name := range dirs {
+		if part, err := strconv.Atoi(strings.TrimPrefix(filepath.Base(name), "part-")); err == nil {
+			n := filepath.Base(filepath.Dir(name))
+			out[n] = append(out[n], part)
 		}
 	}
 	return out
--- a/dataagent/fetch.go
+++ b/dataagent/fetch.go
@@ -23,60 +23,60 @@
 // errMissing: a peer lacks what it is said to hold.
 var errMissing = errors.New("the source does not have it")
 
-// request asks a source for bytes, from one on, up to and without another. The whole of
-// a peer's chunk may come packed.
-func (a *Agent) request(ctx context.Context, src api.StageSource, name string, m *dataset.Manifest, i int, from int64) (*http.Response, error) {
-	ch := m.Chunks[i]
-	url := "http://" + src.Peer + "/chunk/" + ch.Digest.String()
+// requestChunk asks a source for bytes, from one on, up to and without another. The whole of
+// agent peer's chunk may come packed.
+func (agent *Agent) requestChunk(ctx context.Context, source api.StageSource, name string, manifest *dataset.Manifest, i int, from int64) (*http.Response, error) {
+	chunk := manifest.Chunks[i]
+	url := "http://" + source.Peer + "/chunk/" + chunk.Digest.String()
 	first := from
-	if src.Store {
-		url = a.opt.Store + "/" + name + "/data"
-		first = m.Offset(i) + from
+	if source.Store {
+		url = agent.options.Store + "/" + name + "/data"
+		first = manifest.Offset(i) + from
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	ranged := src.Store || from > 0
+	ranged := source.Store || from > 0
 	if ranged {
-		req.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", first, first+ch.Bytes-from-1))
-	} else if a.opt.Pack {
-		req.Header.Set("Accept-Encoding", "zstd")
+		request.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", first, first+chunk.Bytes-from-1))
+	} else if agent.options.Pack {
+		request.Header.Set("Accept-Encoding", "zstd")
 	}
-	resp, err := a.http.Do(req)
+	response, err := agent.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case resp.StatusCode == http.StatusPartialContent && ranged:
+	case response.StatusCode == http.StatusPartialContent && ranged:
 		var lo int64
-		if _, err := fmt.Sscanf(resp.Header.Get("Content-Range"), "bytes %d-", &lo); err != nil || lo != first {
-			err = fmt.Errorf("%w: answered the range %q", ErrWrong, resp.Header.Get("Content-Range"))
-			_ = resp.Body.Close()
+		if _, err := fmt.Sscanf(response.Header.Get("Content-Range"), "bytes %d-", &lo); err != nil || lo != first {
+			err = fmt.Errorf("%w: answered the range %q", ErrCorrupt, response.Header.Get("Content-Range"))
+			_ = response.Body.Close()
 			return nil, err
 		}
-		return resp, nil
-	case resp.StatusCode == http.StatusOK && !ranged:
-		return resp, nil
+		return response, nil
+	case response.StatusCode == http.StatusOK && !ranged:
+		return response, nil
 	}
-	_ = resp.Body.Close()
+	_ = response.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotFound:
+	case response.StatusCode == http.StatusNotFound:
 		err = errMissing
-	case resp.StatusCode == http.StatusServiceUnavailable && src.Peer != "":
+	case response.StatusCode == http.StatusServiceUnavailable && source.Peer != "":
 		err = errBusy
 	default:
-		err = fmt.Errorf("status %d", resp.StatusCode)
+		err = fmt.Errorf("status %d", response.StatusCode)
 	}
 	return nil, err
 }
 
-// read brings the rest of a chunk into w. Each block must come within StageStall, or the
+// readChunk brings the rest of a chunk into w. Each block must come within StageStall, or the
 // source counts as stalled. What came is kept whatever happens.
-func (a *Agent) read(ctx context.Context, src api.StageSource, name string, m *dataset.Manifest, i int, w *Writer, p *progress) error {
+func (agent *Agent) readChunk(ctx context.Context, source api.StageSource, name string, manifest *dataset.Manifest, i int, writer *Writer, p *transferProgress) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	stall := a.clock.AfterFunc(tuning.StageStall, func() {
+	stall := agent.clock.AfterFunc(tuning.StageStall, func() {
 		stop(fmt.Errorf("no block within %v", tuning.StageStall))
 	})
 	defer stall.Stop()
@@ -86,186 +86,186 @@
 		}
 		return err
 	}
-	resp, err := a.request(ctx, src, name, m, i, w.At())
+	response, err := agent.requestChunk(ctx, source, name, manifest, i, writer.At())
 	if err != nil {
 		return why(err)
 	}
-	defer resp.Body.Close()
-	wire := io.Reader(&metered{resp.Body, a, ctx, src})
-	if resp.Header.Get("Content-Encoding") == "zstd" {
-		z, err := zstd.NewReader(wire, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.PackMemory))
+	defer response.Body.Close()
+	wire := io.Reader(&meteredReader{response.Body, agent, ctx, source})
+	if response.Header.Get("Content-Encoding") == "zstd" {
+		decoder, err := zstd.NewReader(wire, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.PackMemory))
 		if err != nil {
 			return err
 		}
-		defer z.Close()
-		wire = z
+		defer decoder.Close()
+		wire = decoder
 	}
-	block := make([]byte, min(tuning.StageBlock, m.Chunks[i].Bytes))
-	for left := m.Chunks[i].Bytes - w.At(); left > 0; left = m.Chunks[i].Bytes - w.At() {
-		n, err := io.ReadFull(wire, block[:min(int64(len(block)), left)])
-		if n > 0 {
+	block := make([]byte, min(tuning.StageBlock, manifest.Chunks[i].Bytes))
+	for left := manifest.Chunks[i].Bytes - writer.At(); left > 0; left = manifest.Chunks[i].Bytes - writer.At() {
+		size, err := io.ReadFull(wire, block[:min(int64(len(block)), left)])
+		if size > 0 {
 			stall.Reset(tuning.StageStall)
-			if _, werr := w.Write(block[:n]); werr != nil {
+			if _, werr := writer.Write(block[:size]); werr != nil {
 				return werr
 			}
-			p.add(int64(n))
+			p.add(int64(size))
 		}
 		if err != nil {
-			return why(fmt.Errorf("after %d of %d bytes: %w", w.At(), m.Chunks[i].Bytes, err))
+			return why(fmt.Errorf("after %d of %d bytes: %w", writer.At(), manifest.Chunks[i].Bytes, err))
 		}
 	}
 	return nil
 }
 
-// metered counts what comes over the link, and keeps to its rate.
-type metered struct {
-	r   io.Reader
-	a   *Agent
-	ctx context.Context
-	src api.StageSource
+// meteredReader counts what comes over the link, and keeps to its rate.
+type meteredReader struct {
+	reader io.Reader
+	agent  *Agent
+	ctx    context.Context
+	source api.StageSource
 }
 
-func (r *metered) Read(p []byte) (int, error) {
-	if r.a.down != nil {
-		p = p[:min(len(p), r.a.down.Burst())]
+func (reader *meteredReader) Read(p []byte) (int, error) {
+	if reader.agent.downLimiter != nil {
+		p = p[:min(len(p), reader.agent.downLimiter.Burst())]
 	}
-	n, err := r.r.Read(p)
-	if n > 0 {
-		if r.src.Store {
-			r.a.fromStore.Add(int64(n))
+	size, err := reader.reader.Read(p)
+	if size > 0 {
+		if reader.source.Store {
+			reader.agent.fromStore.Add(int64(size))
 		} else {
-			r.a.fromPeers.Add(int64(n))
+			reader.agent.fromPeers.Add(int64(size))
 		}
-		if r.a.down != nil {
-			if werr := r.a.down.WaitN(r.ctx, n); werr != nil && err == nil {
+		if reader.agent.downLimiter != nil {
+			if werr := reader.agent.downLimiter.WaitN(reader.ctx, size); werr != nil && err == nil {
 				err = werr
 			}
 		}
 	}
-	return n, err
+	return size, err
 }
 
-// flight is one chunk on its way. Whoever needs it waits for the same one; it ends
+// chunkDownload is one chunk on its way. Whoever needs it waits for the same one; it ends
 // early only when nobody does.
-type flight struct {
-	done chan struct{}
-	err  error
-	refs int
-	stop context.CancelFunc
+type chunkDownload struct {
+	done    chan struct{}
+	err     error
+	waiters int
+	cancel  context.CancelFunc
 }
 
-// chunk brings one chunk in, or waits for the transfer that does. Each chunk crosses the
+// fetchChunk brings one chunk in, or waits for the transfer that does. Each chunk crosses the
 // link once, however many parts and jobs want it.
-func (a *Agent) chunk(ctx context.Context, src api.StageSource, t *transfer, i int) error {
-	ch := t.manifest.Chunks[i]
+func (agent *Agent) fetchChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, i int) error {
+	chunk := transfer.manifest.Chunks[i]
 	for {
-		if a.cache.Has(ch) {
+		if agent.cache.Has(chunk) {
 			return nil
 		}
-		a.mu.Lock()
-		f := a.flights[ch.Digest]
-		mine := f == nil
-		if mine {
-			fctx, stop := context.WithCancel(a.ctx)
-			f = &flight{done: make(chan struct{}), stop: stop}
-			a.flights[ch.Digest] = f
+		agent.mu.Lock()
+		download := agent.downloads[chunk.Digest]
+		owner := download == nil
+		if owner {
+			downloadCtx, stop := context.WithCancel(agent.ctx)
+			download = &chunkDownload{done: make(chan struct{}), cancel: stop}
+			agent.downloads[chunk.Digest] = download
 			go func() {
-				f.err = a.carry(fctx, src, t, i)
-				a.mu.Lock()
-				delete(a.flights, ch.Digest)
-				a.mu.Unlock()
+				download.err = agent.downloadChunk(downloadCtx, source, transfer, i)
+				agent.mu.Lock()
+				delete(agent.downloads, chunk.Digest)
+				agent.mu.Unlock()
 				stop()
-				close(f.done)
+				close(download.done)
 			}()
 		}
-		f.refs++
-		a.mu.Unlock()
+		download.waiters++
+		agent.mu.Unlock()
 		var err error
 		select {
-		case <-f.done:
-			err = f.err
+		case <-download.done:
+			err = download.err
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
-		a.mu.Lock()
-		if f.refs--; f.refs == 0 {
-			f.stop()
+		agent.mu.Lock()
+		if download.waiters--; download.waiters == 0 {
+			download.cancel()
 		}
-		a.mu.Unlock()
-		if err == nil || mine || ctx.Err() != nil {
+		agent.mu.Unlock()
+		if err == nil || owner || ctx.Err() != nil {
 			return err
 		}
 		// Another transfer's source failed it; ours may not.
 	}
 }
 
-// carry moves one chunk from a source to the cache. Bytes of an earlier source are gone
+// downloadChunk moves one chunk from a source to the cache. Bytes of an earlier source are gone
 // on with; if the digest is wrong in the end, who gave wrong bytes is not known, and the
-// chunk is got again, from this source alone.
-func (a *Agent) carry(ctx context.Context, src api.StageSource, t *transfer, i int) error {
+// fetchChunk is got again, from this source alone.
+func (agent *Agent) downloadChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, i int) error {
 	for {
-		w, err := a.cache.Begin(t.manifest.Chunks[i])
+		writer, err := agent.cache.Begin(transfer.manifest.Chunks[i])
 		if err != nil {
 			return err
 		}
-		alone := w.At() == 0
-		t.p.add(w.At())
-		if err := a.read(ctx, src, t.name, t.manifest, i, w, &t.p); err != nil {
-			t.p.add(-w.At())
-			if errors.Is(err, ErrWrong) {
-				w.Drop()
+		alone := writer.At() == 0
+		transfer.progress.add(writer.At())
+		if err := agent.readChunk(ctx, source, transfer.datasetName, transfer.manifest, i, writer, &transfer.progress); err != nil {
+			transfer.progress.add(-writer.At())
+			if errors.Is(err, ErrCorrupt) {
+				writer.Drop()
 			} else {
-				w.Leave()
+				writer.Leave()
 			}
 			return err
 		}
-		err = w.Commit()
+		err = writer.Commit()
 		if err == nil {
 			return nil
 		}
-		t.p.add(-t.manifest.Chunks[i].Bytes)
-		if !errors.Is(err, ErrWrong) || alone {
+		transfer.progress.add(-transfer.manifest.Chunks[i].Bytes)
+		if !errors.Is(err, ErrCorrupt) || alone {
 			return err
 		}
 	}
 }
 
-// transfer is one part on its way.
-type transfer struct {
-	name     string
-	part     int
-	manifest *dataset.Manifest
-	p        progress
-	cancel   context.CancelFunc
-	ended    chan struct{}
+// partTransfer is one part on its way.
+type partTransfer struct {
+	datasetName string
+	part        int
+	manifest    *dataset.Manifest
+	progress    transferProgress
+	cancel      context.CancelFunc
+	ended       chan struct{}
 }
 
-// run copies a part from the sources that stand in the order, until it is whole or the
+// copyPart copies a part from the sources that stand in the order, until it is whole or the
 // context ends. Sources that fail are tried again with growing pauses; the order may
 // bring others meanwhile.
-func (a *Agent) run(ctx context.Context, t *transfer) {
-	defer close(t.ended)
-	from, to := t.manifest.Part(t.part)
+func (agent *Agent) copyPart(ctx context.Context, transfer *partTransfer) {
+	defer close(transfer.ended)
+	from, to := transfer.manifest.Part(transfer.part)
 	for i := from; i < to; i++ {
-		if a.cache.Has(t.manifest.Chunks[i]) {
-			t.p.add(t.manifest.Chunks[i].Bytes)
+		if agent.cache.Has(transfer.manifest.Chunks[i]) {
+			transfer.progress.add(transfer.manifest.Chunks[i].Bytes)
 		}
 	}
 	for try, i := 0, from; i < to; {
-		if a.cache.Has(t.manifest.Chunks[i]) {
+		if agent.cache.Has(transfer.manifest.Chunks[i]) {
 			i++
 			continue
 		}
-		srcs := a.sources(t)
-		if len(srcs) == 0 {
+		sources := agent.currentSources(transfer)
+		if len(sources) == 0 {
 			return
 		}
-		src := srcs[try%len(srcs)]
-		t.p.now(src)
-		err := a.chunk(ctx, src, t, i)
+		source := sources[try%len(sources)]
+		transfer.progress.setSource(source)
+		err := agent.fetchChunk(ctx, source, transfer, i)
 		switch {
 		case err == nil:
-			t.p.clear()
+			transfer.progress.clearFull()
 			try = 0
 			i++
 			continue
@@ -274,70 +274,70 @@
 		}
 		// A peer that lacks it may have evicted it since it was asked what it holds;
 		// one that gives wrong bytes is not asked again.
-		t.p.fail(api.StageFailure{From: src, Why: err.Error(), Corrupt: errors.Is(err, ErrWrong)}, errors.Is(err, ErrFull))
-		slog.Info("copy failed", "dataset", t.name, "part", t.part, "from", src, "try", try+1, "why", err)
-		a.changed()
+		transfer.progress.addFailure(api.StageFailure{From: source, Why: err.Error(), Corrupt: errors.Is(err, ErrCorrupt)}, errors.Is(err, ErrFull))
+		slog.Info("copy failed", "dataset", transfer.datasetName, "part", transfer.part, "from", source, "try", try+1, "why", err)
+		agent.requestHeartbeat()
 		try++
-		if round := try / len(srcs); try%len(srcs) == 0 {
-			a.sleep(ctx, min(tuning.StageBackoffMax, tuning.StageBackoff<<min(round-1, 10)))
+		if round := try / len(sources); try%len(sources) == 0 {
+			agent.sleep(ctx, min(tuning.StageBackoffMax, tuning.StageBackoff<<min(round-1, 10)))
 		}
 	}
-	slog.Info("part whole", "dataset", t.name, "part", t.part, "bytes", t.manifest.PartBytes(t.part))
+	slog.Info("part whole", "dataset", transfer.datasetName, "part", transfer.part, "bytes", transfer.manifest.PartBytes(transfer.part))
 }
 
-// manifestOf gets a manifest from the cache or from any source, and checks its digest.
-func (a *Agent) manifestOf(ctx context.Context, dset string, d dataset.Digest, from []api.StageSource) (*dataset.Manifest, error) {
-	if m, _, err := a.cache.Manifest(d); err == nil {
-		return m, nil
+// loadManifest gets a manifest from the cache or from any source, and checks its digest.
+func (agent *Agent) loadManifest(ctx context.Context, dset string, digest dataset.Digest, from []api.StageSource) (*dataset.Manifest, error) {
+	if manifest, _, err := agent.cache.Manifest(digest); err == nil {
+		return manifest, nil
 	}
 	err := errors.New("no source is known for it")
-	for _, src := range from {
+	for _, source := range from {
 		var raw []byte
-		if raw, err = a.manifestFrom(ctx, src, dset, d); err == nil && dataset.Sum(raw) != d {
-			err = ErrWrong
+		if raw, err = agent.fetchManifest(ctx, source, dset, digest); err == nil && dataset.Sum(raw) != digest {
+			err = ErrCorrupt
 		}
-		var m *dataset.Manifest
+		var manifest *dataset.Manifest
 		if err == nil {
-			m, err = dataset.Parse(raw)
+			manifest, err = dataset.Parse(raw)
 		}
-		if err == nil && m.Name != dset {
-			err = fmt.Errorf("it is the manifest of %q", m.Name)
+		if err == nil && manifest.Name != dset {
+			err = fmt.Errorf("it is the manifest of %q", manifest.Name)
 		}
 		if err == nil {
-			return m, a.cache.SaveManifest(d, raw)
+			return manifest, agent.cache.SaveManifest(digest, raw)
 		}
-		err = fmt.Errorf("manifest of %s from %s: %w", dset, src, err)
+		err = fmt.Errorf("manifest of %s from %s: %w", dset, source, err)
 	}
 	return nil, err
 }
 
-func (a *Agent) manifestFrom(ctx context.Context, src api.StageSource, dset string, d dataset.Digest) ([]byte, error) {
+func (agent *Agent) fetchManifest(ctx context.Context, source api.StageSource, dset string, digest dataset.Digest) ([]byte, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	defer a.clock.AfterFunc(tuning.StageStall, stop).Stop()
-	url := "http://" + src.Peer + "/manifest/" + d.String()
-	if src.Store {
-		url = a.opt.Store + "/" + dset + "/manifest.json"
+	defer agent.clock.AfterFunc(tuning.StageStall, stop).Stop()
+	url := "http://" + source.Peer + "/manifest/" + digest.String()
+	if source.Store {
+		url = agent.options.Store + "/" + dset + "/manifest.json"
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := a.http.Do(req)
+	response, err := agent.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("status %d", resp.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("status %d", response.StatusCode)
 	}
-	return io.ReadAll(io.LimitReader(&metered{resp.Body, a, ctx, src}, tuning.ManifestLimit+1))
+	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, agent, ctx, source}, tuning.ManifestLimit+1))
 }
 
-func (a *Agent) sleep(ctx context.Context, d time.Duration) {
+func (agent *Agent) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-a.clock.After(d):
+	case <-agent.clock.After(d):
 	}
 }
 
