--- /dev/null
+++ b/dataagent/heartbeat.go
@@ -0,0 +1,172 @@
+package dataagent
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	"switchferry/api"
+	"switchferry/tuning"
+)
+
+// nextControllerDelay is the pause before the next controller is tried.
+const nextControllerDelay = time.Second
+
+// Next returns the heartbeat that is due. It contains everything that the agent holds if the
+// controllers do not know the present version of that.
+func (agent *Agent) Next() api.StageHeartbeat {
+	agent.mu.Lock()
+	all := agent.knownVersion != agent.replicasVersion
+	agent.mu.Unlock()
+	return agent.Report(all)
+}
+
+// Report returns a new heartbeat, with everything that the agent holds if all is set. Its lists are
+// sorted by dataset and part.
+func (agent *Agent) Report(all bool) api.StageHeartbeat {
+	agent.refreshReplicas()
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	agent.sequence++
+	heartbeat := api.StageHeartbeat{
+		Machine:     agent.options.Machine,
+		Address:     agent.options.Address,
+		Incarnation: agent.state.Incarnation,
+		Seq:         agent.sequence,
+		Term:        agent.state.Term,
+		Order:       agent.state.Order,
+		Quota:       agent.options.CacheBytes,
+		Used:        agent.cache.Used(),
+		Version:     agent.replicasVersion,
+		All:         all,
+		FromStore:   agent.fromStore.Load(),
+		FromPeers:   agent.fromPeers.Load(),
+	}
+	if all {
+		heartbeat.Holds = agent.heldParts()
+	}
+	for _, desired := range agent.desired {
+		if !desired.verified.IsEmpty() {
+			heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{
+				Dataset:  desired.set.Dataset,
+				Manifest: desired.set.Manifest,
+				Parts:    api.PartSet{Bitmap: desired.verified},
+			})
+		}
+	}
+	for _, transfer := range agent.transfers {
+		heartbeat.Copies = append(heartbeat.Copies, transfer.status())
+	}
+	slices.SortFunc(heartbeat.Holds, compareDatasets)
+	slices.SortFunc(heartbeat.Pinned, compareDatasets)
+	slices.SortFunc(heartbeat.Copies, func(first, second api.StageProgress) int {
+		return cmp.Or(cmp.Compare(first.Dataset, second.Dataset), cmp.Compare(first.Part, second.Part))
+	})
+	return heartbeat
+}
+
+// heldParts returns everything that the agent holds, in no order. mu must be held.
+func (agent *Agent) heldParts() []api.StageHeld {
+	var held []api.StageHeld
+	for _, replica := range agent.replicas {
+		if !replica.parts.IsEmpty() {
+			held = append(held, api.StageHeld{
+				Dataset:  replica.manifest.Name,
+				Manifest: replica.manifestDigest.String(),
+				Of:       replica.manifest.PartCount(),
+				Parts:    api.PartSet{Bitmap: replica.parts},
+			})
+		}
+	}
+	return held
+}
+
+// compareDatasets orders by dataset name.
+func compareDatasets(first, second api.StageHeld) int {
+	return cmp.Compare(first.Dataset, second.Dataset)
+}
+
+// sendHeartbeats sends heartbeats until ctx ends. It tries the controllers in turn until one accepts
+// them, and follows redirects to the leader.
+func (agent *Agent) sendHeartbeats(ctx context.Context) {
+	names := slices.Sorted(maps.Keys(agent.options.Controllers))
+	current := 0
+	for ctx.Err() == nil {
+		redirect, err := agent.sendHeartbeat(ctx, agent.options.Controllers[names[current]])
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err == nil && redirect == "":
+			agent.awaitNextHeartbeat(ctx)
+			continue
+		case err == nil && redirect != names[current] && slices.Contains(names, redirect):
+			current = slices.Index(names, redirect)
+			agent.sleep(ctx, tuning.StageReportMin)
+			continue
+		case err != nil:
+			slog.Debug("heartbeat not accepted", "by", names[current], "err", err)
+		}
+		current = (current + 1) % len(names)
+		agent.sleep(ctx, nextControllerDelay)
+	}
+}
+
+// awaitNextHeartbeat waits for the least time between two heartbeats, and then until the usual
+// interval has passed or a heartbeat was requested.
+func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
+	interval := agent.clock.After(tuning.StageReportEvery)
+	agent.sleep(ctx, tuning.StageReportMin)
+	select {
+	case <-ctx.Done():
+	case <-interval:
+	case <-agent.heartbeatDue:
+	}
+}
+
+// sendHeartbeat sends one heartbeat to the controller at an address and applies the order that it
+// answers with. If the controller is not the leader, redirect is the member name of the one to turn
+// to.
+func (agent *Agent) sendHeartbeat(ctx context.Context, address string) (redirect string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, tuning.StageCallTimeout)
+	defer cancel()
+	raw, err := json.Marshal(agent.Next())
+	if err != nil {
+		return "", fmt.Errorf("encode heartbeat: %w", err)
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/staging", bytes.NewReader(raw))
+	if err != nil {
+		return "", fmt.Errorf("send heartbeat: %w", err)
+	}
+	response, err := agent.http.Do(request)
+	if err != nil {
+		return "", fmt.Errorf("send heartbeat: %w", err)
+	}
+	defer closeBody(response)
+	body, err := io.ReadAll(io.LimitReader(response.Body, tuning.OrderLimit))
+	if err != nil {
+		return "", fmt.Errorf("read answer to heartbeat: %w", err)
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+		var order api.StageOrder
+		if err := json.Unmarshal(body, &order); err != nil {
+			return "", fmt.Errorf("malformed order: %w", err)
+		}
+		_, err = agent.Apply(&order)
+		return "", err
+	case http.StatusMisdirectedRequest:
+		var target api.Redirect
+		if json.Unmarshal(body, &target) == nil && target.Controller != "" {
+			return target.Controller, nil
+		}
+	}
+	return "", fmt.Errorf("status %d", response.StatusCode)
+}
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"net/http"
 	"os"
+	"strconv"
 	"sync"
 	"time"
 
@@ -17,58 +18,68 @@
 	"switchferry/tuning"
 )
 
-// Handler is the agent's port: chunks and manifests for peers, orders from the leader.
+// retryAfter is after how many seconds a busy agent asks a peer to try again.
+var retryAfter = strconv.Itoa(tuning.RetryAfterS)
+
+// packWindow is the window of the compression, in bytes.
+const packWindow = 512 << 10
+
+// Handler returns the agent's HTTP interface: chunks and manifests for peers, orders from the
+// leader, and the agent's heartbeat for operators.
 func (agent *Agent) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
 	router.GET("/chunk/:digest", agent.serveChunk)
-	router.GET("/manifest/:digest", func(request echo.Context) error {
-		digest, err := dataset.ParseDigest(request.Param("digest"))
-		if err != nil {
-			return request.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
-		}
-		_, raw, err := agent.cache.Manifest(digest)
-		if err != nil {
-			return request.JSON(http.StatusNotFound, api.Error{Error: "no such manifest here"})
-		}
-		return request.JSONBlob(http.StatusOK, raw)
+	router.GET("/manifest/:digest", agent.serveManifest)
+	router.POST("/stage", agent.serveOrder)
+	router.GET("/show", func(request echo.Context) error {
+		return request.JSON(http.StatusOK, agent.Report(true))
 	})
-	router.POST("/stage", func(request echo.Context) error {
-		var order api.StageOrder
-		raw, err := io.ReadAll(io.LimitReader(request.Request().Body, tuning.OrderLimit+1))
-		if err == nil && len(raw) > tuning.OrderLimit {
-			return request.JSON(http.StatusBadRequest, api.Error{Error: "the order is over 1 MiB"})
-		}
-		if err == nil {
-			err = json.Unmarshal(raw, &order)
-		}
-		if err != nil || order.Term == 0 {
-			return request.JSON(http.StatusBadRequest, api.Error{Error: "helm is missing, or the order is malformed"})
-		}
-		ok, err := agent.Apply(&order)
-		if err != nil {
-			slog.Error("order not kept", "err", err)
-			return request.JSON(http.StatusInternalServerError, api.Error{Error: err.Error()})
-		}
-		status := http.StatusOK
-		if !ok {
-			status = http.StatusConflict
-		}
-		return request.JSON(status, agent.Report(order.Known != agent.Version()))
-	})
-	router.GET("/show", func(request echo.Context) error { return request.JSON(http.StatusOK, agent.Report(true)) })
 	return router
 }
 
-// Version counts the changes of what is held.
-func (agent *Agent) Version() uint64 {
-	agent.mu.Lock()
-	defer agent.mu.Unlock()
-	return agent.replicasVersion
+// serveManifest sends a manifest that the cache has.
+func (agent *Agent) serveManifest(request echo.Context) error {
+	digest, err := dataset.ParseDigest(request.Param("digest"))
+	if err != nil {
+		return request.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
+	}
+	_, raw, err := agent.cache.Manifest(digest)
+	if err != nil {
+		return request.JSON(http.StatusNotFound, api.Error{Error: "no such manifest here"})
+	}
+	return request.JSONBlob(http.StatusOK, raw)
+}
+
+// serveOrder applies an order and answers with a heartbeat: status 200 if the order was adopted, and
+// 409 if it is outdated.
+func (agent *Agent) serveOrder(request echo.Context) error {
+	raw, err := io.ReadAll(io.LimitReader(request.Request().Body, tuning.OrderLimit+1))
+	if err == nil && len(raw) > tuning.OrderLimit {
+		return request.JSON(http.StatusBadRequest, api.Error{Error: "the order is over 1 MiB"})
+	}
+	var order api.StageOrder
+	if err == nil {
+		err = json.Unmarshal(raw, &order)
+	}
+	if err != nil || order.Term == 0 {
+		return request.JSON(http.StatusBadRequest, api.Error{Error: "helm is missing, or the order is malformed"})
+	}
+	adopted, err := agent.Apply(&order)
+	if err != nil {
+		slog.Error("storing order failed", "err", err)
+		return request.JSON(http.StatusInternalServerError, api.Error{Error: err.Error()})
+	}
+	status := http.StatusOK
+	if !adopted {
+		status = http.StatusConflict
+	}
+	return request.JSON(status, agent.Report(order.Known != agent.Version()))
 }
 
-// serveChunk gives a peer a whole chunk, or a range of it. A file that is there is whole;
-// that its bytes are still right, the peer checks.
+// serveChunk sends a chunk, or a range of it, to a peer. The file of a chunk is complete; whether its
+// bytes are still right is checked by the peer. If as many peers are served as may be, the answer is
+// status 503 at once, so that the peer can turn to another source.
 func (agent *Agent) serveChunk(request echo.Context) error {
 	digest, err := dataset.ParseDigest(request.Param("digest"))
 	if err != nil {
@@ -78,7 +89,6 @@
 	case agent.servingSlots <- struct{}{}:
 		defer func() { <-agent.servingSlots }()
 	default:
-		// Told at once, the peer can turn to another source.
 		request.Response().Header().Set("Retry-After", retryAfter)
 		return request.JSON(http.StatusServiceUnavailable, api.Error{Error: "enough peers are being served"})
 	}
@@ -86,57 +96,69 @@
 	if err != nil {
 		return request.JSON(http.StatusNotFound, api.Error{Error: "no such chunk here"})
 	}
-	defer file.Close()
-	limited := &limitedWriter{ResponseWriter: request.Response().Writer, agent: agent, request: request.Request()}
-	if request.Request().Header.Get("Range") == "" && request.Request().Header.Get("Accept-Encoding") == "zstd" && worthPacking(file) {
-		limited.Header().Set("Content-Type", "application/octet-stream")
-		limited.Header().Set("Content-Encoding", "zstd")
-		encoder, err := zstd.NewWriter(limited, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(512<<10))
-		if err != nil {
-			return err
-		}
-		if _, err = io.Copy(encoder, file); err == nil {
-			err = encoder.Close()
-		}
-		return err
+	defer func() { _ = file.Close() }() // It was only read.
+	writer := &limitedWriter{ResponseWriter: request.Response().Writer, agent: agent, request: request.Request()}
+	writer.Header().Set("Content-Type", "application/octet-stream")
+	header := request.Request().Header
+	if header.Get("Range") == "" && header.Get("Accept-Encoding") == "zstd" && worthPacking(file) {
+		writer.Header().Set("Content-Encoding", "zstd")
+		return packChunk(writer, file)
 	}
-	limited.Header().Set("Content-Type", "application/octet-stream")
-	http.ServeContent(limited, request.Request(), "", time.Time{}, file)
+	http.ServeContent(writer, request.Request(), "", time.Time{}, file)
 	return nil
 }
 
+// packChunk writes a chunk compressed.
+func packChunk(writer io.Writer, chunk io.Reader) error {
+	encoder, err := zstd.NewWriter(writer, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindow))
+	if err != nil {
+		return err
+	}
+	if _, err := io.Copy(encoder, chunk); err != nil {
+		return err
+	}
+	return encoder.Close()
+}
+
+// sampleEncoder returns the encoder that compresses samples.
 var sampleEncoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 })
 
-// worthPacking tells, by a sample of its beginning, whether it pays to pack a chunk.
+// worthPacking returns whether a sample from a chunk's beginning shrinks enough when compressed.
 func worthPacking(file *os.File) bool {
 	sample := make([]byte, tuning.PackSample)
+	// The error is io.EOF for a chunk smaller than the sample, and any other one leaves less to
+	// sample.
 	size, _ := file.ReadAt(sample, 0)
 	encoder, err := sampleEncoder()
 	return err == nil && size > 0 && float64(len(encoder.EncodeAll(sample[:size], nil))) < tuning.PackPays*float64(size)
 }
 
-// limitedWriter keeps to the rate of the link. It has no ReadFrom, so all goes through Write.
+// limitedWriter keeps a response to the agent's serving rate. It has no ReadFrom method, so that
+// everything goes through Write.
 type limitedWriter struct {
 	http.ResponseWriter
-	agent   *Agent
+	agent *Agent
+	// request's context bounds the waits for the rate.
 	request *http.Request
 }
 
-func (writer *limitedWriter) Write(p []byte) (size int, err error) {
-	for len(p) > 0 && err == nil {
-		some := p
-		if writer.agent.upLimiter != nil {
-			some = p[:min(len(p), writer.agent.upLimiter.Burst())]
-			if err := writer.agent.upLimiter.WaitN(writer.request.Context(), len(some)); err != nil {
-				return size, err
+// Write implements io.Writer.
+func (limited *limitedWriter) Write(content []byte) (written int, err error) {
+	limiter := limited.agent.upLimiter
+	for len(content) > 0 && err == nil {
+		burst := content
+		if limiter != nil {
+			burst = content[:min(len(content), limiter.Burst())]
+			if err := limiter.WaitN(limited.request.Context(), len(burst)); err != nil {
+				return written, err
 			}
 		}
-		var part int
-		part, err = writer.ResponseWriter.Write(some)
-		size += part
-		p = p[part:]
+		var size int
+		size, err = limited.ResponseWriter.Write(burst)
+		written += size
+		content = content[size:]
 	}
-	return size, err
+	return written, err
 }
--- /dev/null
+++ b/dataagent/source.go
@@ -0,0 +1,224 @@
+package dataagent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"github.com/klauspost/compress/zstd"
+
+	"switchferry/api"
+	"switchferry/dataset"
+	"switchferry/tuning"
+)
+
+var (
+	// errBusy means that a peer serves as many others as it can.
+	errBusy = errors.New("the source is busy")
+	// errMissing means that a source does not have what it was asked for.
+	errMissing = errors.New("the source does not have it")
+	// errNoSource means that the order names no source for a dataset.
+	errNoSource = errors.New("no source is known for it")
+)
+
+// requestChunk asks a source for the bytes of a chunk from the given one on. A whole chunk of a peer
+// may come compressed. The caller must close the response's body. The error is ErrCorrupt if the
+// source answers with another range.
+func (agent *Agent) requestChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, from int64) (*http.Response, error) {
+	chunk := transfer.manifest.Chunks[index]
+	url := "http://" + source.Peer + "/chunk/" + chunk.Digest.String()
+	first := from
+	if source.Store {
+		url = agent.options.Store + "/" + transfer.datasetName + "/data"
+		first = transfer.manifest.Offset(index) + from
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	ranged := source.Store || from > 0
+	if ranged {
+		request.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", first, first+chunk.Bytes-from-1))
+	} else if agent.options.Pack {
+		request.Header.Set("Accept-Encoding", "zstd")
+	}
+	response, err := agent.http.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkChunkResponse(response, source, ranged, first); err != nil {
+		closeBody(response)
+		return nil, err
+	}
+	return response, nil
+}
+
+// checkChunkResponse returns an error unless a response carries the bytes that were asked for: a
+// range that begins at first, or else the whole chunk.
+func checkChunkResponse(response *http.Response, source api.StageSource, ranged bool, first int64) error {
+	switch {
+	case response.StatusCode == http.StatusPartialContent && ranged:
+		contentRange := response.Header.Get("Content-Range")
+		var begin int64
+		if _, err := fmt.Sscanf(contentRange, "bytes %d-", &begin); err != nil || begin != first {
+			return fmt.Errorf("%w: answered the range %q", ErrCorrupt, contentRange)
+		}
+		return nil
+	case response.StatusCode == http.StatusOK && !ranged:
+		return nil
+	case response.StatusCode == http.StatusNotFound:
+		return errMissing
+	case response.StatusCode == http.StatusServiceUnavailable && source.Peer != "":
+		return errBusy
+	default:
+		return fmt.Errorf("status %d", response.StatusCode)
+	}
+}
+
+// readChunk writes the rest of a chunk to a writer. Each block must come within tuning.StageStall,
+// or the source counts as stalled. Blocks that came stay in the writer whatever happens.
+func (agent *Agent) readChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, writer *Writer) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	stall := agent.clock.AfterFunc(tuning.StageStall, func() {
+		cancel(fmt.Errorf("no block within %v", tuning.StageStall))
+	})
+	defer stall.Stop()
+	// An error of a cancelled request only says so; the cause says why it was cancelled.
+	cause := func(err error) error {
+		if ctx.Err() != nil {
+			return context.Cause(ctx)
+		}
+		return err
+	}
+	response, err := agent.requestChunk(ctx, source, transfer, index, writer.At())
+	if err != nil {
+		return cause(err)
+	}
+	defer closeBody(response)
+	body := io.Reader(&meteredReader{response.Body, agent, ctx, source})
+	if response.Header.Get("Content-Encoding") == "zstd" {
+		decoder, err := zstd.NewReader(body, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.PackMemory))
+		if err != nil {
+			return err
+		}
+		defer decoder.Close()
+		body = decoder
+	}
+	total := transfer.manifest.Chunks[index].Bytes
+	block := make([]byte, min(tuning.StageBlock, total))
+	for left := total - writer.At(); left > 0; left = total - writer.At() {
+		size, err := io.ReadFull(body, block[:min(int64(len(block)), left)])
+		if size > 0 {
+			stall.Reset(tuning.StageStall)
+			if _, writeErr := writer.Write(block[:size]); writeErr != nil {
+				return writeErr
+			}
+			transfer.progress.add(int64(size))
+		}
+		if err != nil {
+			return cause(fmt.Errorf("after %d of %d bytes: %w", writer.At(), total, err))
+		}
+	}
+	return nil
+}
+
+// loadManifest returns a manifest from the cache, or else from the first source that has it, and
+// then keeps it in the cache. The error is that of the last source.
+func (agent *Agent) loadManifest(ctx context.Context, datasetName string, digest dataset.Digest, sources []api.StageSource) (*dataset.Manifest, error) {
+	if manifest, _, err := agent.cache.Manifest(digest); err == nil {
+		return manifest, nil
+	}
+	err := errNoSource
+	for _, source := range sources {
+		var manifest *dataset.Manifest
+		var raw []byte
+		manifest, raw, err = agent.fetchManifest(ctx, source, datasetName, digest)
+		if err == nil {
+			return manifest, agent.cache.SaveManifest(digest, raw)
+		}
+		err = fmt.Errorf("manifest of %s from %s: %w", datasetName, source, err)
+	}
+	return nil, err
+}
+
+// fetchManifest receives a manifest from a source, and checks its digest and its name.
+func (agent *Agent) fetchManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) (*dataset.Manifest, []byte, error) {
+	raw, err := agent.readManifest(ctx, source, datasetName, digest)
+	if err != nil {
+		return nil, nil, err
+	}
+	if dataset.Sum(raw) != digest {
+		return nil, nil, ErrCorrupt
+	}
+	manifest, err := dataset.Parse(raw)
+	if err != nil {
+		return nil, nil, err
+	}
+	if manifest.Name != datasetName {
+		return nil, nil, fmt.Errorf("it is the manifest of %q", manifest.Name)
+	}
+	return manifest, raw, nil
+}
+
+// readManifest receives the bytes of a manifest from a source within tuning.StageStall.
+func (agent *Agent) readManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) ([]byte, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer agent.clock.AfterFunc(tuning.StageStall, cancel).Stop()
+	url := "http://" + source.Peer + "/manifest/" + digest.String()
+	if source.Store {
+		url = agent.options.Store + "/" + datasetName + "/manifest.json"
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := agent.http.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer closeBody(response)
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("status %d", response.StatusCode)
+	}
+	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, agent, ctx, source}, tuning.ManifestLimit+1))
+}
+
+// closeBody closes a response's body. Its error is of no consequence: what was read was checked, or
+// an earlier error was returned.
+func closeBody(response *http.Response) { _ = response.Body.Close() }
+
+// meteredReader counts the bytes that come from a source, and keeps to the agent's receiving rate.
+type meteredReader struct {
+	reader io.Reader
+	agent  *Agent
+	// ctx bounds the waits for the rate.
+	ctx    context.Context
+	source api.StageSource
+}
+
+// Read implements io.Reader.
+func (metered *meteredReader) Read(buffer []byte) (int, error) {
+	limiter := metered.agent.downLimiter
+	if limiter != nil {
+		buffer = buffer[:min(len(buffer), limiter.Burst())]
+	}
+	size, err := metered.reader.Read(buffer)
+	if size == 0 {
+		return size, err
+	}
+	if metered.source.Store {
+		metered.agent.fromStore.Add(int64(size))
+	} else {
+		metered.agent.fromPeers.Add(int64(size))
+	}
+	if limiter != nil {
+		if waitErr := limiter.WaitN(metered.ctx, size); waitErr != nil && err == nil {
+			err = waitErr
+		}
+	}
+	return size, err
+}
