--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -3,92 +3,126 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"switchferry/api"
 	"switchferry/relay"
 )
 
-// Proxy answers agents in place of a leader that their controller does not reach. It
-// decides nothing: reports go into a box for the leader, and the order that the leader
-// sent last comes back. Agents refuse what is older than what they keep, so an order that
-// comes late or twice does no harm, and proofs rest on what the leader reads in reports,
-// whichever way these came. It is not safe for use from several goroutines at once.
+// Proxy answers agents in place of a leader that their controller cannot reach. It decides
+// nothing: it relays heartbeats to the leader and returns the newest order that the leader sent.
+// Agents refuse orders older than the one they have, so an order that comes late or twice does
+// no harm, and the leader's proofs rest on the heartbeats that it reads, whichever way they came.
+// A Proxy is not safe for concurrent use.
 type Proxy struct {
+	// Outbox takes the heartbeats for the leader, Inbox has its orders.
 	Outbox *relay.Outbox
 	Inbox  relay.Reader
-	// spoke is what each agent said last, without what changes all the time; holds are
-	// what it said that it holds, as of a version.
-	spoke map[string]*spoke
+
+	agents map[string]*relayedAgent
 }
 
-type spoke struct {
-	session, version uint64
-	holds            []api.StageHeld
-	has              bool
-	said             []byte
+// relayedAgent is what a machine's agent reported in its heartbeats.
+type relayedAgent struct {
+	incarnation uint64
+	// replicas are what the agent holds as of replicasVersion, if replicasKnown is set.
+	replicasKnown   bool
+	replicasVersion uint64
+	replicas        []api.StageHeld
+	// lastStatus is the encoded status of the last heartbeat, see encodeStatus.
+	lastStatus []byte
 }
 
-// NewProxy makes a proxy whose reports go into a box.
-func NewProxy(box *relay.Outbox) *Proxy { return &Proxy{Outbox: box, spoke: map[string]*spoke{}} }
+// NewProxy returns a proxy that puts heartbeats into an outbox.
+func NewProxy(outbox *relay.Outbox) *Proxy {
+	return &Proxy{Outbox: outbox, agents: map[string]*relayedAgent{}}
+}
 
-// HandleHeartbeat takes in a report for the leader of a term, and gives what the agent is told.
-func (p *Proxy) HandleHeartbeat(r api.StageHeartbeat, term uint64, now time.Time) (o api.StageOrder, err error) {
-	if p.Outbox.Term() != term {
-		p.Outbox.Reset(term)
-		p.spoke = map[string]*spoke{}
+// HandleHeartbeat relays a heartbeat to the leader of a term and returns the order for the agent.
+// If the leader sent none to this incarnation, that is an order of number 0, which changes
+// nothing. The error is that of a malformed order of the leader.
+func (proxy *Proxy) HandleHeartbeat(heartbeat api.StageHeartbeat, term uint64, now time.Time) (api.StageOrder, error) {
+	if proxy.Outbox.Term() != term {
+		proxy.Outbox.Reset(term)
+		proxy.agents = map[string]*relayedAgent{}
 	}
-	s := p.spoke[r.Machine]
-	if s == nil || s.session != r.Incarnation {
-		s = &spoke{session: r.Incarnation}
-		p.spoke[r.Machine] = s
+	agent := proxy.agents[heartbeat.Machine]
+	if agent == nil || agent.incarnation != heartbeat.Incarnation {
+		agent = &relayedAgent{incarnation: heartbeat.Incarnation}
+		proxy.agents[heartbeat.Machine] = agent
 	}
-	told := api.StageOrder{}
-	if raw := p.Inbox.MessageFor(term, r.Machine); raw != nil {
-		if err := json.Unmarshal(raw, &told); err != nil {
-			return o, err
-		}
+	order, ordered, err := proxy.leaderOrder(&heartbeat, term)
+	if err != nil {
+		return api.StageOrder{}, err
 	}
-	there := told.Term == term && told.Incarnation == r.Incarnation
-	if r.All {
-		s.version, s.holds, s.has = r.Version, r.Holds, true
+	if heartbeat.All {
+		agent.replicasKnown = true
+		agent.replicasVersion = heartbeat.Version
+		agent.replicas = heartbeat.Holds
 	}
-	has := s.has && s.version == r.Version
-	if has && !(there && told.Known == r.Version) {
-		// The leader may have missed what it holds, while it took our word for that.
-		r.All, r.Holds = true, s.holds
+	replicasCurrent := agent.replicasKnown && agent.replicasVersion == heartbeat.Version
+	leaderCurrent := ordered && order.Known == heartbeat.Version
+	if replicasCurrent && !leaderCurrent {
+		// The agent sends its replicas until the proxy knows them; the leader may not have them yet.
+		heartbeat.All = true
+		heartbeat.Holds = agent.replicas
 	}
-	still := r
-	still.Seq, still.Used, still.FromStore, still.FromPeers = 0, 0, 0, 0
-	still.Copies = nil
-	for _, c := range r.Copies {
-		c.Got = 0
-		still.Copies = append(still.Copies, c)
+	if err := proxy.relayHeartbeat(agent, &heartbeat, now); err != nil {
+		return api.StageOrder{}, err
 	}
-	said, err := json.Marshal(still)
-	if err != nil {
-		return o, err
+	if !ordered {
+		order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
+	}
+	if replicasCurrent {
+		order.Known = heartbeat.Version
+	}
+	return order, nil
+}
+
+// leaderOrder returns the newest order of the leader for the machine of a heartbeat. It returns
+// false if there is none of this term and for this incarnation of the agent.
+func (proxy *Proxy) leaderOrder(heartbeat *api.StageHeartbeat, term uint64) (order api.StageOrder, ok bool, err error) {
+	raw := proxy.Inbox.MessageFor(term, heartbeat.Machine)
+	if raw == nil {
+		return order, false, nil
+	}
+	if err := json.Unmarshal(raw, &order); err != nil {
+		return order, false, fmt.Errorf("decode relayed order for %s: %w", heartbeat.Machine, err)
 	}
-	body, err := json.Marshal(r)
+	return order, order.Term == term && order.Incarnation == heartbeat.Incarnation, nil
+}
+
+// relayHeartbeat puts a heartbeat into the outbox, as urgent if the agent's status changed.
+func (proxy *Proxy) relayHeartbeat(agent *relayedAgent, heartbeat *api.StageHeartbeat, now time.Time) error {
+	status, err := encodeStatus(*heartbeat)
 	if err != nil {
-		return o, err
+		return fmt.Errorf("encode status of %s: %w", heartbeat.Machine, err)
 	}
-	p.Outbox.Put(r.Machine, body, !bytes.Equal(said, s.said), now)
-	s.said = said
-	// An order of number 0 changes nothing.
-	o = api.StageOrder{Term: r.Term, Sets: []api.StageSet{}}
-	if there {
-		o = told
+	body, err := json.Marshal(heartbeat)
+	if err != nil {
+		return fmt.Errorf("encode heartbeat of %s: %w", heartbeat.Machine, err)
 	}
-	if has {
-		o.Known = r.Version
+	proxy.Outbox.Put(heartbeat.Machine, body, !bytes.Equal(status, agent.lastStatus), now)
+	agent.lastStatus = status
+	return nil
+}
+
+// encodeStatus encodes a heartbeat without the fields that change all the time.
+func encodeStatus(heartbeat api.StageHeartbeat) ([]byte, error) {
+	heartbeat.Seq, heartbeat.Used, heartbeat.FromStore, heartbeat.FromPeers = 0, 0, 0, 0
+	copies := heartbeat.Copies
+	heartbeat.Copies = nil
+	for _, progress := range copies {
+		progress.Got = 0
+		heartbeat.Copies = append(heartbeat.Copies, progress)
 	}
-	return o, nil
+	return json.Marshal(heartbeat)
 }
 
-// Expire drops agents that have not reported for so long.
-func (p *Proxy) Expire(now time.Time, after time.Duration) {
-	for _, name := range p.Outbox.Expire(now, after) {
-		delete(p.spoke, name)
+// Expire forgets the agents that have not sent a heartbeat for the given time.
+func (proxy *Proxy) Expire(now time.Time, after time.Duration) {
+	for _, machine := range proxy.Outbox.Expire(now, after) {
+		delete(proxy.agents, machine)
 	}
 }
