--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -74,7 +74,7 @@
 			crowd.Go(func() {
 				defer func() { <-slots }()
 				d := simulation.NewScenario(x.Seed, size)
-				d.Lasts, d.After, d.Faults = span(x.LastsS), span(x.AfterS), all[name]
+				d.SubmitFor, d.WaitAfter, d.Faults = span(x.LastsS), span(x.AfterS), all[name]
 				began := time.Now()
 				r := d.Run(ctx)
 				res.Cases[i*len(names)+j] = DayEndCase{name, size, *r}
--- a/internal/simulation/book.go
+++ b/internal/simulation/book.go
@@ -20,23 +20,23 @@
 
 // What users bear, as the protocol and operators say.
 const (
-	pollEvery    = 5 * time.Second
-	pollPatience = 2 * time.Second
-	forgottenIn  = 75 * time.Second
-	doneLag      = 3 * time.Second
-	beginIn      = 240 * time.Second
-	waitsInVain  = 90 * time.Second
+	pollInterval      = 5 * time.Second
+	pollTimeout       = 2 * time.Second
+	forgottenAfter    = 75 * time.Second
+	doneReportLag     = 3 * time.Second
+	largestStartLimit = 240 * time.Second
+	starvationLimit   = 90 * time.Second
 )
 
 // Result is what is found of a day.
 type Result struct {
 	Jobs  int `json:"jobs"`
 	Tasks int `json:"tasks_started"`
-	// Again are those of them that had begun before.
-	Again int `json:"tasks_started_again"`
+	// TasksRestarted are those of them that had begun before.
+	TasksRestarted int `json:"tasks_started_again"`
 	// Rules are the broken ones and how often; Why are the first few.
-	Rules map[string]int `json:"rules_broken"`
-	Why   []string       `json:"why,omitempty"`
+	Rules        map[string]int `json:"rules_broken"`
+	Explanations []string       `json:"why,omitempty"`
 	// LongestUnansweredS is the longest that no question about a job was answered, once all troubles
 	// were over; Forgotten are jobs with over 75 s of that.
 	LongestUnansweredS float64 `json:"longest_unanswered_s"`
@@ -52,431 +52,431 @@
 	// met in the last minute.
 	StartsInVain   float64 `json:"starts_in_vain"`
 	ReturnedInVain int     `json:"returned_in_vain"`
-	// StartedCancelled are tasks that began after their users were told of the cancellation; WaitedInVain are jobs
+	// StartedAfterCancel are tasks that began after their users were told of the cancellation; StarvedJobs are jobs
 	// that waited 90 s once troubles were over while a machine that fits had room and their team was under its
-	// limit; WrongAnswers are odd requests that were answered otherwise than the protocol says.
-	StartedCancelled int `json:"started_cancelled"`
-	WaitedInVain     int `json:"waited_in_vain"`
-	WrongAnswers     int `json:"wrong_answers"`
-	// Changes are those of the configuration that came into force.
-	Changes int `json:"changes_in_force,omitempty"`
-}
-
-// book is what users and an all-seeing observer know.
-type book struct {
-	w *World
-
-	mu     sync.Mutex
-	jobs   map[string]*entry
-	order  []*entry
-	on     map[string]*machine
-	calmAt time.Time
-	// vain are starts for half-deaf machines, deaf how long machines were so, in leases.
-	vain map[string]bool
-	deaf float64
-	// late are tasks of cancelled jobs that were found on machines too late.
-	late map[string]bool
-	// seen are the tasks that began.
-	seen map[string]bool
-	res  Result
-}
-
-// entry is one job as its user knows it.
-type entry struct {
+	// teamLimit; WrongAnswers are odd requests that were answered otherwise than the protocol says.
+	StartedAfterCancel int `json:"started_cancelled"`
+	StarvedJobs        int `json:"waited_in_vain"`
+	WrongAnswers       int `json:"wrong_answers"`
+	// ConfigurationChanges are those of the configuration that came into force.
+	ConfigurationChanges int `json:"changes_in_force,omitempty"`
+}
+
+// invariantChecker is what users and an all-seeing observer know.
+type invariantChecker struct {
+	sim *simulation
+
+	mu            sync.Mutex
+	jobs          map[string]*trackedJob
+	jobsInOrder   []*trackedJob
+	machineByTask map[string]*simulatedMachine
+	faultsOverAt  time.Time
+	// starved are starts for half-deaf machines, deaf how long machines were so, in leases.
+	wastedStarts map[string]bool
+	lostLeases   float64
+	// overdueTasks are tasks of cancelled jobs that were found on machines too late.
+	overdueTasks map[string]bool
+	// startedTasks are the tasks that began.
+	startedTasks map[string]bool
+	result       Result
+}
+
+// trackedJob is one job as its user knows it.
+type trackedJob struct {
 	api.Submission
-	accepted, cancelled, over time.Time
-	// told is the last state that a user was told for good; answered is when a question was.
-	told     string
-	toldAt   time.Time
-	answered time.Time
-	began    time.Time
-	// ready is when the last job that it awaits was done.
-	ready time.Time
-	done  map[int]bool
-	// asked: its user has asked to cancel it, whether that was answered or not.
-	asked bool
-	// orphan is when a job before it was told to be cancelled.
-	orphan time.Time
-	// room is since when it waits in vain, with no break; vain: that was noted.
-	room time.Time
-	vain bool
+	acceptedAt, cancelledAt, doneAt time.Time
+	// finalState is the last state that a user was told for good; answered is when a question was.
+	finalState string
+	finalAt    time.Time
+	answeredAt time.Time
+	startedAt  time.Time
+	// readyAt is when the last job that it awaits was done.
+	readyAt   time.Time
+	doneTasks map[int]bool
+	// cancelRequested: its user has asked to cancel it, whether that was answered or not.
+	cancelRequested bool
+	// orphanedAt is when a job before it was told to be cancelled.
+	orphanedAt time.Time
+	// starvedSince is since when it waits in vain, with no break; vain: that was noted.
+	starvedSince time.Time
+	starved      bool
 }
 
-func newBook(w *World) *book {
-	return &book{w: w, jobs: map[string]*entry{}, on: map[string]*machine{}, vain: map[string]bool{}, late: map[string]bool{}, seen: map[string]bool{}, res: Result{Rules: map[string]int{}}}
+func newInvariantChecker(sim *simulation) *invariantChecker {
+	return &invariantChecker{sim: sim, jobs: map[string]*trackedJob{}, machineByTask: map[string]*simulatedMachine{}, wastedStarts: map[string]bool{}, overdueTasks: map[string]bool{}, startedTasks: map[string]bool{}, result: Result{Rules: map[string]int{}}}
 }
 
-// broken notes a broken rule; the lock is held.
-func (b *book) broken(rule, format string, a ...any) {
-	b.res.Rules[rule]++
-	if len(b.res.Why) < 20 {
-		b.res.Why = append(b.res.Why, time.Now().Format("15:04:05.000 ")+rule+": "+fmt.Sprintf(format, a...))
+// recordViolation notes a broken rule; the lock is held.
+func (checker *invariantChecker) recordViolation(rule, format string, a ...any) {
+	checker.result.Rules[rule]++
+	if len(checker.result.Explanations) < 20 {
+		checker.result.Explanations = append(checker.result.Explanations, time.Now().Format("15:04:05.000 ")+rule+": "+fmt.Sprintf(format, a...))
 	}
 }
 
-// runs is how long a task runs, which its name fixes.
-func (b *book) runs(task string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.lasts(task)
+// taskRunTime is how long a task runs, which its name fixes.
+func (checker *invariantChecker) taskRunTime(task string) time.Duration {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	return checker.taskRunTimeLocked(task)
 }
 
-// lasts is runs with the lock held.
-func (b *book) lasts(task string) time.Duration {
+// taskRunTimeLocked is runs with the lock held.
+func (checker *invariantChecker) taskRunTimeLocked(task string) time.Duration {
 	id, _, _ := strings.Cut(task, "/")
-	e := b.jobs[id]
-	if e == nil || e.Shape == api.Service {
+	job := checker.jobs[id]
+	if job == nil || job.Shape == api.Service {
 		return time.Hour
 	}
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(task))
-	return time.Duration((0.5 + float64(h.Sum32()%1000)/1000) * e.EstimateS * float64(time.Second))
+	return time.Duration((0.5 + float64(h.Sum32()%1000)/1000) * job.EstimateS * float64(time.Second))
 }
 
-// started checks a start.
-func (b *book) started(task string, m *machine) {
+// checkStart checks a start.
+func (checker *invariantChecker) taskStarted(task string, machine *simulatedMachine) {
 	id, num, _ := strings.Cut(task, "/")
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.res.Tasks++
-	if b.seen[task] {
-		b.res.Again++
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.result.Tasks++
+	if checker.startedTasks[task] {
+		checker.result.TasksRestarted++
 	}
-	b.seen[task] = true
+	checker.startedTasks[task] = true
 	now := time.Now()
-	if on := b.on[task]; on != nil && on != m {
-		b.broken("ran_twice", "%s on %s and %s", task, on.Name, m.Name)
+	if on := checker.machineByTask[task]; on != nil && on != machine {
+		checker.recordViolation("ran_twice", "%s on %s and %s", task, on.Name, machine.Name)
 	}
-	b.on[task] = m
-	e := b.jobs[id]
-	if e == nil {
-		b.broken("invented", "%s was started", task)
+	checker.machineByTask[task] = machine
+	job := checker.jobs[id]
+	if job == nil {
+		checker.recordViolation("invented", "%s was started", task)
 		return
 	}
-	e.room = time.Time{}
-	if !e.cancelled.IsZero() {
-		b.res.StartedCancelled++
-		b.note("%s began on %s %v after its cancellation was told", task, m.Name, now.Sub(e.cancelled))
+	job.starvedSince = time.Time{}
+	if !job.cancelledAt.IsZero() {
+		checker.result.StartedAfterCancel++
+		checker.explain("%s began on %s %v after its cancellation was told", task, machine.Name, now.Sub(job.cancelledAt))
 	}
-	if e.Zone != "" && e.Zone != m.Zone {
-		b.broken("wrong_place", "%s of zone %s in %s", task, e.Zone, m.Zone)
+	if job.Zone != "" && job.Zone != machine.Zone {
+		checker.recordViolation("wrong_place", "%s of zone %s in %s", task, job.Zone, machine.Zone)
 	}
-	if b.w.ends(e) && len(e.done) == e.Tasks-1 {
-		b.w.crowd.Go(func() { b.w.atLastEnd(e, b.runs(task)) })
+	if checker.sim.cancelsAtEnd(job) && len(job.doneTasks) == job.Tasks-1 {
+		checker.sim.actors.Go(func() { checker.sim.requestAroundEnd(job, checker.taskRunTime(task)) })
 	}
-	if e.began.IsZero() {
-		e.began = now
+	if job.startedAt.IsZero() {
+		job.startedAt = now
 	}
-	if !e.cancelled.IsZero() && now.Sub(e.cancelled) > seconds(b.w.Workers.CancelS) {
-		b.broken("ran_cancelled", "%s was started %v after its cancellation was told", task, now.Sub(e.cancelled))
+	if !job.cancelledAt.IsZero() && now.Sub(job.cancelledAt) > seconds(checker.sim.Workers.CancelS) {
+		checker.recordViolation("ran_cancelled", "%s was started %v after its cancellation was told", task, now.Sub(job.cancelledAt))
 	}
-	for _, a := range e.Awaits {
-		if x := b.jobs[a]; x != nil && len(x.done) < x.Tasks {
-			b.broken("too_early", "%s before %s, of which %d of %d tasks are done", task, a, len(x.done), x.Tasks)
+	for _, a := range job.Awaits {
+		if other := checker.jobs[a]; other != nil && len(other.doneTasks) < other.Tasks {
+			checker.recordViolation("too_early", "%s before %s, of which %d of %d tasks are done", task, a, len(other.doneTasks), other.Tasks)
 		}
 	}
 	use, here := 0.0, 0
-	for t := range b.on {
+	for t := range checker.machineByTask {
 		id, _, _ := strings.Cut(t, "/")
-		if x := b.jobs[id]; x != nil && x.Team == e.Team {
-			use += x.CPUs
+		if other := checker.jobs[id]; other != nil && other.Team == job.Team {
+			use += other.CPUs
 		}
-		if id == e.ID && b.on[t].Zone == m.Zone {
+		if id == job.ID && checker.machineByTask[t].Zone == machine.Zone {
 			here++
 		}
 	}
-	if use > b.w.limit()+1e-6 {
-		b.broken("quota", "%s uses %.0f", e.Team, use)
+	if use > checker.sim.teamLimit()+1e-6 {
+		checker.recordViolation("quota", "%s uses %.0f", job.Team, use)
 	}
-	if b.w.operators != nil {
-		if why := b.w.operators.started(task, e.Team, use); why != "" {
-			b.broken("older_revision", "%s", why)
+	if checker.sim.operators != nil {
+		if why := checker.sim.operators.checkStart(task, job.Team, use); why != "" {
+			checker.recordViolation("older_revision", "%s", why)
 		}
 	}
-	if e.Spread && here > (e.Tasks+1)/2 {
-		b.broken("wrong_place", "%d of %d of %s in %s, with %s", here, e.Tasks, e.ID, m.Zone, num)
+	if job.Spread && here > (job.Tasks+1)/2 {
+		checker.recordViolation("wrong_place", "%d of %d of %s in %s, with %s", here, job.Tasks, job.ID, machine.Zone, num)
 	}
 }
 
-// ended notes that a task is no longer on a machine.
-func (b *book) ended(task string, m *machine, done bool) {
+// taskEnded notes that a task is no longer on a machine.
+func (checker *invariantChecker) taskEnded(task string, machine *simulatedMachine, done bool) {
 	id, num, _ := strings.Cut(task, "/")
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.on[task] == m {
-		delete(b.on, task)
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if checker.machineByTask[task] == machine {
+		delete(checker.machineByTask, task)
 	}
-	e := b.jobs[id]
-	if e == nil {
+	job := checker.jobs[id]
+	if job == nil {
 		return
 	}
-	if now := time.Now(); !e.cancelled.IsZero() && now.Sub(e.cancelled) > seconds(b.w.Workers.CancelS)+time.Second {
-		b.broken("ran_cancelled", "%s on %s until %v after it was told", task, m.Name, now.Sub(e.cancelled))
+	if now := time.Now(); !job.cancelledAt.IsZero() && now.Sub(job.cancelledAt) > seconds(checker.sim.Workers.CancelS)+time.Second {
+		checker.recordViolation("ran_cancelled", "%s on %s until %v after it was told", task, machine.Name, now.Sub(job.cancelledAt))
 	}
 	var n int
 	if _, err := fmt.Sscan(num, &n); err == nil && done {
-		e.done[n] = true
-		if len(e.done) == e.Tasks && e.over.IsZero() {
-			e.over = time.Now()
-			for _, x := range b.order {
-				if slices.Contains(x.Awaits, id) {
-					x.ready = e.over
+		job.doneTasks[n] = true
+		if len(job.doneTasks) == job.Tasks && job.doneAt.IsZero() {
+			job.doneAt = time.Now()
+			for _, other := range checker.jobsInOrder {
+				if slices.Contains(other.Awaits, id) {
+					other.readyAt = job.doneAt
 				}
 			}
 		}
 	}
 }
 
-// note adds to what is said of the day; the lock is held.
-func (b *book) note(format string, a ...any) {
-	if len(b.res.Why) < 20 {
-		b.res.Why = append(b.res.Why, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, a...))
+// explain adds to what is said of the day; the lock is held.
+func (checker *invariantChecker) explain(format string, a ...any) {
+	if len(checker.result.Explanations) < 20 {
+		checker.result.Explanations = append(checker.result.Explanations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, a...))
 	}
 }
 
-// image is the image that a task needs.
-func (b *book) image(task string) string {
+// taskImage is the image that a task needs.
+func (checker *invariantChecker) taskImage(task string) string {
 	id, _, _ := strings.Cut(task, "/")
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.jobs[id]; e != nil {
-		return e.Image
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if job := checker.jobs[id]; job != nil {
+		return job.Image
 	}
 	return ""
 }
 
 // machineOf is a machine that runs a task of a job, the first by name; nil: none does.
-func (b *book) machineOf(id string) (found *machine) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for task, m := range b.on {
-		if job, _, _ := strings.Cut(task, "/"); job == id && (found == nil || m.Name < found.Name) {
-			found = m
+func (checker *invariantChecker) machineOf(id string) (found *simulatedMachine) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	for task, machine := range checker.machineByTask {
+		if job, _, _ := strings.Cut(task, "/"); job == id && (found == nil || machine.Name < found.Name) {
+			found = machine
 		}
 	}
 	return found
 }
 
-// inVainWaits looks for jobs that wait although a machine has room for them. One moment without room, or a start,
+// checkStarvation looks for jobs that wait although a machine has room for them. One moment without room, or a start,
 // and the time counts anew. A service has to have room for all its tasks at once.
-func (b *book) inVainWaits() {
-	b.w.mu.Lock()
-	sound := map[string]*machine{}
-	for _, m := range b.w.machines {
-		if !m.dead && m.deaf.IsZero() && m.mute+m.hung == 0 {
-			sound[m.Name] = m
+func (checker *invariantChecker) checkStarvation() {
+	checker.sim.mu.Lock()
+	sound := map[string]*simulatedMachine{}
+	for _, machine := range checker.sim.machines {
+		if !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount == 0 {
+			sound[machine.Name] = machine
 		}
 	}
-	b.w.mu.Unlock()
+	checker.sim.mu.Unlock()
 	taken := map[string]float64{}
-	for _, m := range sound {
-		taken[m.Name] = m.worker.Taken(b.cpus)
+	for _, machine := range sound {
+		taken[machine.Name] = machine.worker.Taken(checker.taskCPUs)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	now := time.Now()
-	if b.calmAt.IsZero() {
+	if checker.faultsOverAt.IsZero() {
 		return
 	}
 	use, placed := map[string]float64{}, map[string]int{}
-	for task := range b.on {
+	for task := range checker.machineByTask {
 		id, _, _ := strings.Cut(task, "/")
-		e := b.jobs[id]
-		use[e.Team] += e.CPUs
+		job := checker.jobs[id]
+		use[job.Team] += job.CPUs
 		placed[id]++
 	}
-	for _, e := range b.order {
-		left := e.Tasks - len(e.done) - placed[e.ID]
+	for _, job := range checker.jobsInOrder {
+		left := job.Tasks - len(job.doneTasks) - placed[job.ID]
 		fits := 0
-		for _, m := range sound {
-			if e.Zone == "" || e.Zone == m.Zone {
-				fits += int((machineType.CPUs - taken[m.Name] + 1e-9) / e.CPUs)
+		for _, machine := range sound {
+			if job.Zone == "" || job.Zone == machine.Zone {
+				fits += int((machineType.CPUs - taken[machine.Name] + 1e-9) / job.CPUs)
 			}
 		}
 		need := 1
-		if e.Shape == api.Service {
+		if job.Shape == api.Service {
 			need = left
 		}
-		if e.accepted.IsZero() || e.told != "" || e.asked || !e.orphan.IsZero() || left <= 0 || b.waits(e) || fits < need ||
-			use[e.Team]+float64(need)*e.CPUs > b.w.limit()+1e-9 {
-			e.room = time.Time{}
+		if job.acceptedAt.IsZero() || job.finalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || left <= 0 || checker.awaitsDependency(job) || fits < need ||
+			use[job.Team]+float64(need)*job.CPUs > checker.sim.teamLimit()+1e-9 {
+			job.starvedSince = time.Time{}
 			continue
 		}
-		if e.room.IsZero() {
-			e.room = now
+		if job.starvedSince.IsZero() {
+			job.starvedSince = now
 		}
-		if now.Sub(e.room) > waitsInVain && !e.vain {
-			e.vain = true
-			b.res.WaitedInVain++
-			b.note("waits in vain: %s %s, %d of %d tasks, %g processors each", e.ID, e.Class, left, e.Tasks, e.CPUs)
+		if now.Sub(job.starvedSince) > starvationLimit && !job.starved {
+			job.starved = true
+			checker.result.StarvedJobs++
+			checker.explain("waits in vain: %s %s, %d of %d tasks, %g processors each", job.ID, job.Class, left, job.Tasks, job.CPUs)
 		}
 	}
 }
 
-// cpus is what a task takes.
-func (b *book) cpus(task string) float64 {
+// taskCPUs is what a task takes.
+func (checker *invariantChecker) taskCPUs(task string) float64 {
 	id, _, _ := strings.Cut(task, "/")
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.jobs[id]; e != nil {
-		return e.CPUs
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if job := checker.jobs[id]; job != nil {
+		return job.CPUs
 	}
 	return 0
 }
 
-// overdue looks for tasks of cancelled jobs that are on machines later than they may, also on silent ones.
-func (b *book) overdue() {
-	b.inVainWaits()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for task, m := range b.on {
+// checkOverdueTasks looks for tasks of cancelled jobs that are on machines later than they may, also on silent ones.
+func (checker *invariantChecker) checkOverdueTasks() {
+	checker.checkStarvation()
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	for task, machine := range checker.machineByTask {
 		id, _, _ := strings.Cut(task, "/")
-		e := b.jobs[id]
-		if e == nil || e.cancelled.IsZero() || m.dead {
+		job := checker.jobs[id]
+		if job == nil || job.cancelledAt.IsZero() || machine.dead {
 			continue
 		}
-		if over := time.Since(e.cancelled); over > seconds(b.w.Workers.CancelS) && !b.late[task] {
-			b.late[task] = true
-			b.broken("ran_cancelled", "%s is on %s %v after it was told", task, m.Name, over)
+		if over := time.Since(job.cancelledAt); over > seconds(checker.sim.Workers.CancelS) && !checker.overdueTasks[task] {
+			checker.overdueTasks[task] = true
+			checker.recordViolation("ran_cancelled", "%s is on %s %v after it was told", task, machine.Name, over)
 		}
 	}
 }
 
-// inVain notes starts that were told a machine which hears nobody.
-func (b *book) inVain(m *machine, cs []api.Command) {
-	b.w.mu.Lock()
-	since := m.deaf
-	b.w.mu.Unlock()
-	if since.IsZero() || time.Since(since) < seconds(b.w.Workers.LeaseS) {
+// recordLostCommands notes starts that were told a machine which hears nobody.
+func (checker *invariantChecker) recordLostCommands(machine *simulatedMachine, cs []api.Command) {
+	checker.sim.mu.Lock()
+	since := machine.outboundLostSince
+	checker.sim.mu.Unlock()
+	if since.IsZero() || time.Since(since) < seconds(checker.sim.Workers.LeaseS) {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	for _, c := range cs {
 		if c.Verb == api.CommandRun {
-			b.vain[fmt.Sprint(m.Name, c.Task, c.Attempt)] = true
+			checker.wastedStarts[fmt.Sprint(machine.Name, c.Task, c.Attempt)] = true
 		}
 	}
 }
 
-// returned notes a machine that was given back.
-func (b *book) returned(m *machine) {
-	_, _, _, running := m.worker.Seen()
-	b.w.mu.Lock()
-	sound := !m.dead && m.deaf.IsZero() && m.mute+m.hung == 0 && (m.touched.IsZero() || time.Since(m.touched) > time.Minute)
-	since := m.deaf
-	b.w.mu.Unlock()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// machineReturned notes a machine that was given back.
+func (checker *invariantChecker) machineReturned(machine *simulatedMachine) {
+	_, _, _, running := machine.worker.Seen()
+	checker.sim.mu.Lock()
+	sound := !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount == 0 && (machine.lastFaultAt.IsZero() || time.Since(machine.lastFaultAt) > time.Minute)
+	since := machine.outboundLostSince
+	checker.sim.mu.Unlock()
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	if sound && running > 0 {
-		b.res.ReturnedInVain++
+		checker.result.ReturnedInVain++
 	}
 	if !since.IsZero() {
-		b.deaf += time.Since(since).Seconds() / b.w.Workers.LeaseS
+		checker.lostLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
 	}
 }
 
-// heals notes that a machine which was half-deaf hears again.
-func (b *book) heals(since time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.deaf += time.Since(since).Seconds() / b.w.Workers.LeaseS
+// machineReachable notes that a machine which was half-deaf hears again.
+func (checker *invariantChecker) machineReachable(since time.Time) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.lostLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
 }
 
-// calm: all troubles are over; from here on no question may go unanswered for long.
-func (b *book) calm() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.calmAt = time.Now()
-	for _, e := range b.order {
-		if e.answered.Before(b.calmAt) {
-			e.answered = b.calmAt
+// faultsOver: all troubles are over; from here on no question may go unanswered for long.
+func (checker *invariantChecker) faultsOver() {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.faultsOverAt = time.Now()
+	for _, job := range checker.jobsInOrder {
+		if job.answeredAt.Before(checker.faultsOverAt) {
+			job.answeredAt = checker.faultsOverAt
 		}
 	}
 }
 
-// users submit jobs as long as the day lasts, and ask and cancel.
-func (w *World) users(ctx context.Context, began time.Time) {
-	rng := w.random("users")
-	for i := 0; time.Since(began) < w.Lasts; i++ {
-		if !w.sleep(ctx, time.Duration(rng.ExpFloat64()/w.PerSecond*float64(time.Second))) {
+// submitJobs submit jobs as long as the day lasts, and ask and cancel.
+func (sim *simulation) submitJobs(ctx context.Context, began time.Time) {
+	rng := sim.actorRNG("users")
+	for i := 0; time.Since(began) < sim.SubmitFor; i++ {
+		if !sim.sleep(ctx, time.Duration(rng.ExpFloat64()/sim.JobsPerSecond*float64(time.Second))) {
 			return
 		}
-		e := &entry{done: map[int]bool{}}
-		e.Submission = api.Submission{ID: fmt.Sprintf("run-%06d", rng.IntN(1_000_000)), Team: []string{"one", "two"}[rng.IntN(2)], Shape: api.JobArray, Rank: "normal",
+		job := &trackedJob{doneTasks: map[int]bool{}}
+		job.Submission = api.Submission{ID: fmt.Sprintf("run-%06d", rng.IntN(1_000_000)), Team: []string{"one", "two"}[rng.IntN(2)], Shape: api.JobArray, Rank: "normal",
 			CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 0.1, Spot: true, Class: "small", Tasks: 1 + rng.IntN(4), EstimateS: 5 + 10*rng.Float64()}
 		switch k := rng.IntN(20); {
 		case k < 2:
-			e.Class, e.Tasks, e.CPUs = "large", w.Machines/4+rng.IntN(w.Machines), 2
+			job.Class, job.Tasks, job.CPUs = "large", sim.Machines/4+rng.IntN(sim.Machines), 2
 		case k < 4:
-			e.Class, e.Tasks, e.CPUs, e.MemoryGB = "whole", 1+rng.IntN(2), 8, 16
+			job.Class, job.Tasks, job.CPUs, job.MemoryGB = "whole", 1+rng.IntN(2), 8, 16
 		case k < 7:
-			e.Class, e.Rank = "guest", "low"
+			job.Class, job.Rank = "guest", "low"
 		case k < 8:
-			e.Class, e.Shape, e.Rank, e.Tasks, e.Spread, e.EstimateS = "service", api.Service, "prod", 2, true, 0
+			job.Class, job.Shape, job.Rank, job.Tasks, job.Spread, job.EstimateS = "service", api.Service, "prod", 2, true, 0
 		case k < 11:
-			w.book.mu.Lock()
-			for _, x := range w.book.order {
-				if !x.accepted.IsZero() && x.Shape == api.JobArray && len(e.Awaits) < 2 && rng.IntN(4) == 0 {
-					e.Awaits = append(e.Awaits, x.ID)
+			sim.checker.mu.Lock()
+			for _, other := range sim.checker.jobsInOrder {
+				if !other.acceptedAt.IsZero() && other.Shape == api.JobArray && len(job.Awaits) < 2 && rng.IntN(4) == 0 {
+					job.Awaits = append(job.Awaits, other.ID)
 				}
 			}
-			w.book.mu.Unlock()
-			e.Class = "piped"
+			sim.checker.mu.Unlock()
+			job.Class = "piped"
 		}
-		if w.ImageS > 0 {
-			e.Image = fmt.Sprint("img", rng.IntN(4))
+		if sim.ImagePullS > 0 {
+			job.Image = fmt.Sprint("img", rng.IntN(4))
 		}
-		if w.Berth && e.Shape == api.JobArray && e.Class != "large" && rng.IntN(3) == 0 {
-			e.Zone = []string{"east", "west"}[rng.IntN(2)]
+		if sim.ZoneBoundJobs && job.Shape == api.JobArray && job.Class != "large" && rng.IntN(3) == 0 {
+			job.Zone = []string{"east", "west"}[rng.IntN(2)]
 		}
-		if w.RunS > 0 && e.Shape == api.JobArray && e.Class != "large" && e.Class != "whole" {
-			e.EstimateS = w.RunS
+		if sim.TaskRunS > 0 && job.Shape == api.JobArray && job.Class != "large" && job.Class != "whole" {
+			job.EstimateS = sim.TaskRunS
 		}
-		cancels := w.Cancels
+		cancels := sim.CancelShare
 		if cancels == 0 {
 			cancels = 1.0 / 15
 		}
 		cancel := time.Duration(-1)
-		if e.Shape == api.Service || rng.Float64() < cancels {
+		if job.Shape == api.Service || rng.Float64() < cancels {
 			cancel = time.Duration(rng.IntN(60)) * time.Second
 		}
-		w.book.mu.Lock()
-		known := w.book.jobs[e.ID] != nil
+		sim.checker.mu.Lock()
+		known := sim.checker.jobs[job.ID] != nil
 		if !known {
-			w.book.jobs[e.ID] = e
-			w.book.order = append(w.book.order, e)
+			sim.checker.jobs[job.ID] = job
+			sim.checker.jobsInOrder = append(sim.checker.jobsInOrder, job)
 		}
-		w.book.mu.Unlock()
+		sim.checker.mu.Unlock()
 		if !known {
-			w.crowd.Go(func() { w.user(ctx, e, cancel) })
+			sim.actors.Go(func() { sim.followJob(ctx, job, cancel) })
 		}
 	}
 }
 
-// ask sends a request to a controller that takes requests; 0: nobody answered in time.
-func (w *World) ask(ctx context.Context, rng *rand.Rand, patience time.Duration, r peer.Request) (int, api.JobStatus) {
+// request sends a request to a controller that takes requests; 0: nobody answered in time.
+func (sim *simulation) request(ctx context.Context, rng *rand.Rand, patience time.Duration, request peer.Request) (int, api.JobStatus) {
 	call, stop := context.WithTimeout(ctx, patience)
 	defer stop()
 	at := rng.IntN(3)
 	for i := range 3 {
-		name := members[(at+i)%3]
-		n := w.node(name)
-		if n == nil || !n.Ready() {
+		name := controllerNames[(at+i)%3]
+		instance := sim.runningController(name)
+		if instance == nil || !instance.Ready() {
 			continue
 		}
 		got := make(chan peer.Response, 1)
 		go func() {
-			w.thawed(name)
-			a := n.Handle(call, r, false)
-			w.thawed(name)
-			got <- a
+			sim.waitWhilePaused(name)
+			response := instance.Handle(call, request, false)
+			sim.waitWhilePaused(name)
+			got <- response
 		}()
 		select {
-		case a := <-got:
-			var st api.JobStatus
-			_ = json.Unmarshal(a.Body, &st)
-			return a.Status, st
+		case response := <-got:
+			var status api.JobStatus
+			_ = json.Unmarshal(response.Body, &status)
+			return response.Status, status
 		case <-call.Done():
 			return 0, api.JobStatus{}
 		}
@@ -484,49 +484,49 @@
 	return 0, api.JobStatus{}
 }
 
-// ends tells whether a job is called off as it ends.
-func (w *World) ends(e *entry) bool {
+// cancelsAtEnd tells whether a job is called off as it ends.
+func (sim *simulation) cancelsAtEnd(job *trackedJob) bool {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(e.ID))
-	return w.atEnd.Load() > 0 && e.Shape == api.JobArray && h.Sum32()%2 == 0
+	_, _ = h.Write([]byte(job.ID))
+	return sim.cancelAtEndFaults.Load() > 0 && job.Shape == api.JobArray && h.Sum32()%2 == 0
 }
 
-// atLastEnd calls a job off around the moment at which its last task ends, so long from now, and asks about it and
+// requestAroundEnd calls a job off around the moment at which its last task ends, so long from now, and asks about it and
 // repeats its submission beside that.
-func (w *World) atLastEnd(e *entry, in time.Duration) {
-	body, err := json.Marshal(e.Submission)
+func (sim *simulation) requestAroundEnd(job *trackedJob, in time.Duration) {
+	body, err := json.Marshal(job.Submission)
 	if err != nil {
 		panic(err)
 	}
-	for i, r := range []peer.Request{{Verb: controller.VerbCancel, Job: e.ID}, {Verb: controller.VerbStatus, Job: e.ID}, {Verb: controller.VerbSubmit, Body: body},
-		{Verb: controller.VerbStatus, Job: e.ID}, {Verb: controller.VerbCancel, Job: e.ID}} {
-		w.crowd.Go(func() {
-			rng := w.random(fmt.Sprint("at the end of ", e.ID, i))
+	for i, request := range []peer.Request{{Verb: controller.VerbCancel, Job: job.ID}, {Verb: controller.VerbStatus, Job: job.ID}, {Verb: controller.VerbSubmit, Body: body},
+		{Verb: controller.VerbStatus, Job: job.ID}, {Verb: controller.VerbCancel, Job: job.ID}} {
+		sim.actors.Go(func() {
+			rng := sim.actorRNG(fmt.Sprint("at the end of ", job.ID, i))
 			at := time.Duration(rng.Int64N(int64(100*time.Millisecond))) - 50*time.Millisecond
 			if rng.IntN(2) == 0 {
 				at = time.Duration(rng.Int64N(int64(3*time.Second))) - 100*time.Millisecond
 			}
-			if !w.sleep(w.ctx, in+at) {
+			if !sim.sleep(sim.ctx, in+at) {
 				return
 			}
 			sent := time.Now()
-			w.book.mu.Lock()
-			e.asked = e.asked || r.Verb == controller.VerbCancel
-			if e.told != "" {
+			sim.checker.mu.Lock()
+			job.cancelRequested = job.cancelRequested || request.Verb == controller.VerbCancel
+			if job.finalState != "" {
 				// Its user may have asked no more.
-				e.answered = sent
+				job.answeredAt = sent
 			}
-			w.book.mu.Unlock()
-			status, st := w.ask(w.ctx, rng, 5*time.Second, r)
-			w.book.answered(e, sent, status, st, r.Verb)
+			sim.checker.mu.Unlock()
+			code, status := sim.request(sim.ctx, rng, 5*time.Second, request)
+			sim.checker.checkAnswer(job, sent, code, status, request.Verb)
 		})
 	}
 }
 
-// oddly sends what a user with a mistake would: about a job in any state, and jobs that cannot run.
-func (w *World) oddly(ctx context.Context, e *entry, rng *rand.Rand) {
+// sendInvalidRequests sends what a user with a mistake would: about a job in any state, and jobs that cannot run.
+func (sim *simulation) sendInvalidRequests(ctx context.Context, job *trackedJob, rng *rand.Rand) {
 	body := func(change func(m map[string]any)) []byte {
-		raw, err := json.Marshal(e.Submission)
+		raw, err := json.Marshal(job.Submission)
 		m := map[string]any{}
 		if err == nil {
 			err = json.Unmarshal(raw, &m)
@@ -556,307 +556,312 @@
 	odd := changes[rng.IntN(len(changes))]
 	// Known in other words, it has its state; unknown, it is refused.
 	sent := time.Now()
-	status, st := w.ask(ctx, rng, 5*time.Second, peer.Request{Verb: controller.VerbSubmit, Body: body(odd.change)})
-	w.book.answered(e, sent, status, st, controller.VerbSubmit)
-	id := fmt.Sprintf("run-7%s7", e.ID[4:])
-	status, _ = w.ask(ctx, rng, 5*time.Second, peer.Request{Verb: controller.VerbSubmit, Body: body(func(m map[string]any) { odd.change(m); m["name_id"] = id })})
-	if status != 0 && status != odd.refused && status < 500 {
-		w.book.wrong("a job that %s: %d for %d", body(odd.change), status, odd.refused)
+	code, status := sim.request(ctx, rng, 5*time.Second, peer.Request{Verb: controller.VerbSubmit, Body: body(odd.change)})
+	sim.checker.checkAnswer(job, sent, code, status, controller.VerbSubmit)
+	id := fmt.Sprintf("run-7%s7", job.ID[4:])
+	code, _ = sim.request(ctx, rng, 5*time.Second, peer.Request{Verb: controller.VerbSubmit, Body: body(func(m map[string]any) { odd.change(m); m["name_id"] = id })})
+	if code != 0 && code != odd.refused && code < 500 {
+		sim.checker.recordWrongAnswer("a job that %s: %d for %d", body(odd.change), code, odd.refused)
 	}
 	for _, verb := range []string{controller.VerbStatus, controller.VerbCancel} {
-		if status, _ = w.ask(ctx, rng, 5*time.Second, peer.Request{Verb: verb, Job: id}); status != 0 && status != http.StatusNotFound && status < 500 {
-			w.book.wrong("%s of a job that was refused: %d", verb, status)
+		if code, _ = sim.request(ctx, rng, 5*time.Second, peer.Request{Verb: verb, Job: id}); code != 0 && code != http.StatusNotFound && code < 500 {
+			sim.checker.recordWrongAnswer("%s of a job that was refused: %d", verb, code)
 		}
 	}
-	if w.book.over(e) {
+	if sim.checker.jobOver(job) {
 		sent = time.Now()
-		status, st = w.ask(ctx, rng, 5*time.Second, peer.Request{Verb: controller.VerbCancel, Job: e.ID})
-		w.book.answered(e, sent, status, st, controller.VerbCancel)
+		code, status = sim.request(ctx, rng, 5*time.Second, peer.Request{Verb: controller.VerbCancel, Job: job.ID})
+		sim.checker.checkAnswer(job, sent, code, status, controller.VerbCancel)
 	}
 }
 
-// user submits one job and asks about it until it is over.
-func (w *World) user(ctx context.Context, e *entry, cancel time.Duration) {
-	rng := w.random(e.ID)
-	body, err := json.Marshal(e.Submission)
+// followJob submits one job and asks about it until it is over.
+func (sim *simulation) followJob(ctx context.Context, job *trackedJob, cancel time.Duration) {
+	rng := sim.actorRNG(job.ID)
+	body, err := json.Marshal(job.Submission)
 	if err != nil {
 		panic(err)
 	}
-	ask := func(patience time.Duration, r peer.Request) (int, api.JobStatus) { return w.ask(ctx, rng, patience, r) }
+	ask := func(patience time.Duration, request peer.Request) (int, api.JobStatus) {
+		return sim.request(ctx, rng, patience, request)
+	}
 	for from := time.Now(); ; {
-		status, st := ask(5*time.Second, peer.Request{Verb: controller.VerbSubmit, Body: body})
-		if status == http.StatusOK || status == http.StatusCreated {
-			w.book.accept(e, st)
+		code, status := ask(5*time.Second, peer.Request{Verb: controller.VerbSubmit, Body: body})
+		if code == http.StatusOK || code == http.StatusCreated {
+			sim.checker.jobAccepted(job, status)
 			break
 		}
-		if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity {
-			w.book.refused(e, status)
+		if code == http.StatusBadRequest || code == http.StatusUnprocessableEntity {
+			sim.checker.recordRefusal(job, code)
 			return
 		}
-		if time.Since(from) > time.Minute || !w.sleep(ctx, time.Second+time.Duration(rng.IntN(2000))*time.Millisecond) {
+		if time.Since(from) > time.Minute || !sim.sleep(ctx, time.Second+time.Duration(rng.IntN(2000))*time.Millisecond) {
 			return
 		}
 	}
 	for {
-		wait := time.NewTimer(pollEvery - time.Duration(rng.IntN(1000))*time.Millisecond)
+		wait := time.NewTimer(pollInterval - time.Duration(rng.IntN(1000))*time.Millisecond)
 		select {
 		case <-ctx.Done():
 			return
 		case <-wait.C:
-		case t := <-w.wave:
-			if rng.IntN(10) >= t.Count || e.Shape == api.Service {
+		case fault := <-sim.cancellations:
+			if rng.IntN(10) >= fault.Count || job.Shape == api.Service {
 				break
 			}
-			w.book.mu.Lock()
-			e.asked = true
-			w.book.mu.Unlock()
+			sim.checker.mu.Lock()
+			job.cancelRequested = true
+			sim.checker.mu.Unlock()
 			cancel = 0
-			if t.HangFor > 0 {
-				w.hangOf(ctx, e, t.HangFor)
+			if fault.HangMachinesFor > 0 {
+				sim.hangMachineOf(ctx, job, fault.HangMachinesFor)
 			}
-			for from := time.Now(); time.Since(from) < t.For && e.told == ""; w.sleep(ctx, 50*time.Millisecond) {
-				if status, st := ask(time.Second, peer.Request{Verb: controller.VerbCancel, Job: e.ID}); status == http.StatusOK {
-					w.book.tell(e, status, st)
+			for from := time.Now(); time.Since(from) < fault.For && job.finalState == ""; sim.sleep(ctx, 50*time.Millisecond) {
+				if code, status := ask(time.Second, peer.Request{Verb: controller.VerbCancel, Job: job.ID}); code == http.StatusOK {
+					sim.checker.recordAnswer(job, code, status)
 				}
 			}
-			if e.told != "" {
+			if job.finalState != "" {
 				cancel = -1
 			}
 		}
-		if cancel >= 0 && time.Since(e.accepted) > cancel {
-			w.book.mu.Lock()
-			e.asked = true
-			w.book.mu.Unlock()
-			if status, st := ask(5*time.Second, peer.Request{Verb: controller.VerbCancel, Job: e.ID}); status == http.StatusOK {
-				w.book.tell(e, status, st)
+		if cancel >= 0 && time.Since(job.acceptedAt) > cancel {
+			sim.checker.mu.Lock()
+			job.cancelRequested = true
+			sim.checker.mu.Unlock()
+			if code, status := ask(5*time.Second, peer.Request{Verb: controller.VerbCancel, Job: job.ID}); code == http.StatusOK {
+				sim.checker.recordAnswer(job, code, status)
 				cancel = -1
 			}
 		}
 		sent := time.Now()
-		status, st := ask(pollPatience, peer.Request{Verb: controller.VerbStatus, Job: e.ID})
-		w.book.answered(e, sent, status, st, controller.VerbStatus)
-		if w.odd.Load() > 0 && rng.IntN(3) == 0 {
-			w.oddly(ctx, e, rng)
+		code, status := ask(pollTimeout, peer.Request{Verb: controller.VerbStatus, Job: job.ID})
+		sim.checker.checkAnswer(job, sent, code, status, controller.VerbStatus)
+		if sim.invalidRequestFaults.Load() > 0 && rng.IntN(3) == 0 {
+			sim.sendInvalidRequests(ctx, job, rng)
 		}
-		if w.book.over(e) && rng.IntN(3) > 0 {
+		if sim.checker.jobOver(job) && rng.IntN(3) > 0 {
 			// Most ask no more; some later once again.
 			return
 		}
 		if rng.IntN(10) == 0 {
-			if status, _ := ask(pollPatience, peer.Request{Verb: controller.VerbStatus, Job: "run-9" + e.ID[4:] + "9"}); status == http.StatusOK {
-				w.book.mu.Lock()
-				w.book.broken("invented", "a job that nobody submitted")
-				w.book.mu.Unlock()
+			if code, _ := ask(pollTimeout, peer.Request{Verb: controller.VerbStatus, Job: "run-9" + job.ID[4:] + "9"}); code == http.StatusOK {
+				sim.checker.mu.Lock()
+				sim.checker.recordViolation("invented", "a job that nobody submitted")
+				sim.checker.mu.Unlock()
 			}
 		}
 	}
 }
 
-func (b *book) accept(e *entry, st api.JobStatus) {
-	b.mu.Lock()
-	e.accepted = time.Now()
-	e.answered = e.accepted
-	if e.ready.IsZero() {
-		e.ready = e.accepted
+func (checker *invariantChecker) jobAccepted(job *trackedJob, status api.JobStatus) {
+	checker.mu.Lock()
+	job.acceptedAt = time.Now()
+	job.answeredAt = job.acceptedAt
+	if job.readyAt.IsZero() {
+		job.readyAt = job.acceptedAt
 	}
-	b.mu.Unlock()
-	b.tell(e, http.StatusOK, st)
+	checker.mu.Unlock()
+	checker.recordAnswer(job, http.StatusOK, status)
 }
 
-// over tells whether a job is over for its user.
-func (b *book) over(e *entry) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return e.told != ""
+// jobOver tells whether a job is over for its user.
+func (checker *invariantChecker) jobOver(job *trackedJob) bool {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	return job.finalState != ""
 }
 
-// wrong notes an answer that the protocol does not have.
-func (b *book) wrong(format string, a ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.res.WrongAnswers++
-	b.note("wrong answer: "+format, a...)
+// recordWrongAnswer notes an answer that the protocol does not have.
+func (checker *invariantChecker) recordWrongAnswer(format string, a ...any) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.result.WrongAnswers++
+	checker.explain("wrong answer: "+format, a...)
 }
 
-// answered takes in the answer to a request that was sent then, beside others: what the user was told meanwhile
+// answeredAt takes in the answer to a request that was sent then, beside others: what the user was told meanwhile
 // may be newer, since the two crossed.
-func (b *book) answered(e *entry, sent time.Time, status int, st api.JobStatus, verb string) {
-	b.mu.Lock()
-	crossed := e.toldAt.After(sent) && st.State != api.Done && st.State != api.Cancelled
-	known := !e.accepted.IsZero() && e.accepted.Before(sent)
-	b.mu.Unlock()
+func (checker *invariantChecker) checkAnswer(job *trackedJob, sent time.Time, code int, status api.JobStatus, verb string) {
+	checker.mu.Lock()
+	crossed := job.finalAt.After(sent) && status.State != api.Done && status.State != api.Cancelled
+	known := !job.acceptedAt.IsZero() && job.acceptedAt.Before(sent)
+	checker.mu.Unlock()
 	switch {
 	case crossed:
-	case verb == controller.VerbSubmit && known && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
-		b.refused(e, status)
-	case verb == controller.VerbCancel && status == http.StatusOK && st.State != api.Done && st.State != api.Cancelled:
-		b.wrong("a cancellation of %s: %q", e.ID, st.State)
+	case verb == controller.VerbSubmit && known && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
+		checker.recordRefusal(job, code)
+	case verb == controller.VerbCancel && code == http.StatusOK && status.State != api.Done && status.State != api.Cancelled:
+		checker.recordWrongAnswer("a cancellation of %s: %q", job.ID, status.State)
 	default:
-		b.tell(e, status, st)
+		checker.recordAnswer(job, code, status)
 	}
 }
 
-func (b *book) refused(e *entry, status int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !e.accepted.IsZero() {
-		b.broken("forgotten", "%s accepted, then %d", e.ID, status)
+func (checker *invariantChecker) recordRefusal(job *trackedJob, code int) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if !job.acceptedAt.IsZero() {
+		checker.recordViolation("forgotten", "%s accepted, then %d", job.ID, code)
 	} else {
-		b.broken("refused", "%s: %d", e.ID, status)
+		checker.recordViolation("refused", "%s: %d", job.ID, code)
 	}
 }
 
-// tell takes in an answer, and tells whether the job is over for its user.
-func (b *book) tell(e *entry, status int, st api.JobStatus) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// recordAnswer takes in an answer, and tells whether the job is over for its user.
+func (checker *invariantChecker) recordAnswer(job *trackedJob, code int, status api.JobStatus) bool {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	now := time.Now()
-	if status == http.StatusNotFound {
-		b.broken("forgotten", "%s: 404", e.ID)
+	if code == http.StatusNotFound {
+		checker.recordViolation("forgotten", "%s: 404", job.ID)
 		return false
 	}
-	if status != http.StatusOK && status != http.StatusCreated {
+	if code != http.StatusOK && code != http.StatusCreated {
 		return false
 	}
-	if !b.calmAt.IsZero() {
-		b.res.LongestUnansweredS = max(b.res.LongestUnansweredS, now.Sub(e.answered).Seconds())
+	if !checker.faultsOverAt.IsZero() {
+		checker.result.LongestUnansweredS = max(checker.result.LongestUnansweredS, now.Sub(job.answeredAt).Seconds())
 	}
-	e.answered = now
-	if e.told != "" && st.State != e.told {
-		b.broken("went_back", "%s was %s, now %s", e.ID, e.told, st.State)
+	job.answeredAt = now
+	if job.finalState != "" && status.State != job.finalState {
+		checker.recordViolation("went_back", "%s was %s, now %s", job.ID, job.finalState, status.State)
 	}
-	switch st.State {
+	switch status.State {
 	case api.Done:
-		if len(e.done) < e.Tasks {
-			b.broken("not_done", "%s with %d of %d tasks done", e.ID, len(e.done), e.Tasks)
+		if len(job.doneTasks) < job.Tasks {
+			checker.recordViolation("not_done", "%s with %d of %d tasks done", job.ID, len(job.doneTasks), job.Tasks)
 		}
-		b.final(e, st.State)
+		checker.recordFinalState(job, status.State)
 	case api.Cancelled:
-		if e.cancelled.IsZero() {
-			e.cancelled = now
+		if job.cancelledAt.IsZero() {
+			job.cancelledAt = now
 		}
-		if !e.asked && !b.behind(e) {
-			b.broken("went_back", "%s is called cancelled, and was not", e.ID)
+		if !job.cancelRequested && !checker.dependencyCancelled(job) {
+			checker.recordViolation("went_back", "%s is called cancelled, and was not", job.ID)
 		}
-		b.final(e, st.State)
-		for _, x := range b.order {
-			if slices.Contains(x.Awaits, e.ID) && x.orphan.IsZero() {
-				x.orphan = now
+		checker.recordFinalState(job, status.State)
+		for _, other := range checker.jobsInOrder {
+			if slices.Contains(other.Awaits, job.ID) && other.orphanedAt.IsZero() {
+				other.orphanedAt = now
 			}
 		}
 	default:
-		if !e.orphan.IsZero() && !e.accepted.IsZero() && now.Sub(later(e.orphan, e.accepted)) > seconds(b.w.Workers.CancelS) {
-			b.broken("orphaned", "%s is %s", e.ID, st.State)
+		if !job.orphanedAt.IsZero() && !job.acceptedAt.IsZero() && now.Sub(laterOf(job.orphanedAt, job.acceptedAt)) > seconds(checker.sim.Workers.CancelS) {
+			checker.recordViolation("orphaned", "%s is %s", job.ID, status.State)
 		}
 	}
-	return e.told != ""
+	return job.finalState != ""
 }
 
-// final notes the state that a user was told for good; the lock is held.
-func (b *book) final(e *entry, state string) {
-	if e.told == "" {
-		e.toldAt = time.Now()
+// recordFinalState notes the state that a user was told for good; the lock is held.
+func (checker *invariantChecker) recordFinalState(job *trackedJob, state string) {
+	if job.finalState == "" {
+		job.finalAt = time.Now()
 	}
-	e.told = state
+	job.finalState = state
 }
 
-// behind tells whether the user of a job before one has asked to cancel it: the one's may hear first that
+// dependencyCancelled tells whether the user of a job before one has asked to cancel it: the one's may hear first that
 // it counts.
-func (b *book) behind(e *entry) bool {
-	return slices.ContainsFunc(e.Awaits, func(id string) bool { x := b.jobs[id]; return x != nil && (x.asked || b.behind(x)) })
+func (checker *invariantChecker) dependencyCancelled(job *trackedJob) bool {
+	return slices.ContainsFunc(job.Awaits, func(id string) bool {
+		other := checker.jobs[id]
+		return other != nil && (other.cancelRequested || checker.dependencyCancelled(other))
+	})
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// result is what is found in the end.
-func (b *book) result() *Result {
-	b.w.mu.Lock()
-	for _, m := range b.w.machines {
-		if !m.deaf.IsZero() {
-			b.deaf += time.Since(m.deaf).Seconds() / b.w.Workers.LeaseS
+// evaluate is what is found in the end.
+func (checker *invariantChecker) evaluate() *Result {
+	checker.sim.mu.Lock()
+	for _, machine := range checker.sim.machines {
+		if !machine.outboundLostSince.IsZero() {
+			checker.lostLeases += time.Since(machine.outboundLostSince).Seconds() / checker.sim.Workers.LeaseS
 		}
 	}
-	b.w.mu.Unlock()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	checker.sim.mu.Unlock()
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	now := time.Now()
 	var largest []float64
-	classes := map[string][]*entry{}
-	for _, e := range b.order {
-		if e.accepted.IsZero() {
+	classes := map[string][]*trackedJob{}
+	for _, job := range checker.jobsInOrder {
+		if job.acceptedAt.IsZero() {
 			continue
 		}
-		b.res.Jobs++
-		if e.told == "" {
-			gap := now.Sub(e.answered)
-			b.res.LongestUnansweredS = max(b.res.LongestUnansweredS, gap.Seconds())
-			if gap > forgottenIn {
-				b.res.Forgotten++
+		checker.result.Jobs++
+		if job.finalState == "" {
+			gap := now.Sub(job.answeredAt)
+			checker.result.LongestUnansweredS = max(checker.result.LongestUnansweredS, gap.Seconds())
+			if gap > forgottenAfter {
+				checker.result.Forgotten++
 			}
-			if e.began.IsZero() && e.orphan.IsZero() && e.cancelled.IsZero() && !b.waits(e) {
-				b.res.PendingForGood++
-				b.res.Why = append(b.res.Why, fmt.Sprintf("pending for good: %s %s, %d tasks, accepted %v ago", e.ID, e.Class, e.Tasks, now.Sub(e.accepted).Round(time.Second)))
+			if job.startedAt.IsZero() && job.orphanedAt.IsZero() && job.cancelledAt.IsZero() && !checker.awaitsDependency(job) {
+				checker.result.PendingForGood++
+				checker.result.Explanations = append(checker.result.Explanations, fmt.Sprintf("pending for good: %s %s, %d tasks, accepted %v ago", job.ID, job.Class, job.Tasks, now.Sub(job.acceptedAt).Round(time.Second)))
 			}
-			if over := e.over; !over.IsZero() && now.Sub(over) > doneLag+2*pollEvery && e.answered.Sub(over) > doneLag {
-				b.res.Why = append(b.res.Why, fmt.Sprintf("done late: %s", e.ID))
+			if over := job.doneAt; !over.IsZero() && now.Sub(over) > doneReportLag+2*pollInterval && job.answeredAt.Sub(over) > doneReportLag {
+				checker.result.Explanations = append(checker.result.Explanations, fmt.Sprintf("done late: %s", job.ID))
 			}
 		}
-		if e.cancelled.IsZero() && e.orphan.IsZero() && !b.waits(e) {
-			classes[e.Class] = append(classes[e.Class], e)
-			classes["team "+e.Team] = append(classes["team "+e.Team], e)
+		if job.cancelledAt.IsZero() && job.orphanedAt.IsZero() && !checker.awaitsDependency(job) {
+			classes[job.Class] = append(classes[job.Class], job)
+			classes["team "+job.Team] = append(classes["team "+job.Team], job)
 		}
 	}
-	b.res.ClassesMinShare = 1
-	share := func(es []*entry, within time.Duration) {
+	checker.result.ClassesMinShare = 1
+	share := func(jobs []*trackedJob, within time.Duration) {
 		n := 0
-		for _, e := range es {
-			if !e.began.IsZero() && (within == 0 || e.began.Sub(later(e.accepted, e.ready)) <= within) {
+		for _, job := range jobs {
+			if !job.startedAt.IsZero() && (within == 0 || job.startedAt.Sub(laterOf(job.acceptedAt, job.readyAt)) <= within) {
 				n++
 			}
 		}
-		if len(es) > 0 {
-			b.res.ClassesMinShare = min(b.res.ClassesMinShare, float64(n)/float64(len(es)))
+		if len(jobs) > 0 {
+			checker.result.ClassesMinShare = min(checker.result.ClassesMinShare, float64(n)/float64(len(jobs)))
 		}
 	}
-	for name, es := range classes {
-		share(es, 0)
+	for name, jobs := range classes {
+		share(jobs, 0)
 		if strings.HasPrefix(name, "team ") {
 			continue
 		}
-		sort.SliceStable(es, func(i, j int) bool { return float64(es[i].Tasks)*es[i].CPUs > float64(es[j].Tasks)*es[j].CPUs })
-		top := es[:min(len(es), max(1, len(es)/10))]
-		share(top, beginIn)
-		for _, e := range top {
-			if e.began.IsZero() {
-				largest = append(largest, now.Sub(later(e.accepted, e.ready)).Seconds())
+		sort.SliceStable(jobs, func(i, j int) bool { return float64(jobs[i].Tasks)*jobs[i].CPUs > float64(jobs[j].Tasks)*jobs[j].CPUs })
+		top := jobs[:min(len(jobs), max(1, len(jobs)/10))]
+		share(top, largestStartLimit)
+		for _, job := range top {
+			if job.startedAt.IsZero() {
+				largest = append(largest, now.Sub(laterOf(job.acceptedAt, job.readyAt)).Seconds())
 			} else {
-				largest = append(largest, max(0, e.began.Sub(later(e.accepted, e.ready)).Seconds()))
+				largest = append(largest, max(0, job.startedAt.Sub(laterOf(job.acceptedAt, job.readyAt)).Seconds()))
 			}
 		}
 	}
 	if len(largest) > 0 {
 		sort.Float64s(largest)
-		b.res.LargestBeginP99S = largest[(len(largest)*99-1)/100]
+		checker.result.LargestBeginP99S = largest[(len(largest)*99-1)/100]
 	}
-	if b.deaf > 0 {
-		b.res.StartsInVain = float64(len(b.vain)) / max(1, b.deaf)
+	if checker.lostLeases > 0 {
+		checker.result.StartsInVain = float64(len(checker.wastedStarts)) / max(1, checker.lostLeases)
 	}
-	if b.res.Tasks == 0 {
-		b.broken("nothing_ran", "no task was started")
+	if checker.result.Tasks == 0 {
+		checker.recordViolation("nothing_ran", "no task was started")
 	}
-	r := b.res
+	r := checker.result
 	return &r
 }
 
-// waits tells whether a job that one awaits is not done.
-func (b *book) waits(e *entry) bool {
-	for _, id := range e.Awaits {
-		if x := b.jobs[id]; x == nil || len(x.done) < x.Tasks {
+// awaitsDependency tells whether a job that one awaits is not done.
+func (checker *invariantChecker) awaitsDependency(job *trackedJob) bool {
+	for _, id := range job.Awaits {
+		if other := checker.jobs[id]; other == nil || len(other.doneTasks) < other.Tasks {
 			return true
 		}
 	}
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -11,126 +11,128 @@
 	"time"
 )
 
-// links is the network: each direction of each pair of hosts is cut or not by itself.
-type links struct {
+// linkTable is the network: each direction of each pair of hosts is cut or not by itself.
+type linkTable struct {
 	mu      sync.Mutex
 	cuts    map[[2]string]int
 	changed chan struct{}
 }
 
-func newLinks() *links { return &links{cuts: map[[2]string]int{}, changed: make(chan struct{})} }
+func newLinkTable() *linkTable {
+	return &linkTable{cuts: map[[2]string]int{}, changed: make(chan struct{})}
+}
 
-// cut cuts, or joins again, what goes from one host to another. Cuts count: two of them end with both.
-func (l *links) cut(from, to string, on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// setCut cuts, or joins again, what goes from one host to another. Cuts count: two of them end with both.
+func (links *linkTable) setCut(from, to string, on bool) {
+	links.mu.Lock()
+	defer links.mu.Unlock()
 	if on {
-		l.cuts[[2]string{from, to}]++
+		links.cuts[[2]string{from, to}]++
 	} else {
-		l.cuts[[2]string{from, to}]--
+		links.cuts[[2]string{from, to}]--
 	}
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(links.changed)
+	links.changed = make(chan struct{})
 }
 
-func (l *links) off(from, to string) (bool, chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cuts[[2]string{from, to}] > 0, l.changed
+func (links *linkTable) isCut(from, to string) (bool, chan struct{}) {
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	return links.cuts[[2]string{from, to}] > 0, links.changed
 }
 
-// back is the network between the controllers.
-type back struct {
-	links *links
+// controllerNetwork is the network between the controllers.
+type controllerNetwork struct {
+	partitions *linkTable
 
-	mu    sync.Mutex
-	ports map[string]*port
-	conns map[*half]string // by the host at the other end
+	mu        sync.Mutex
+	listeners map[string]*simulatedListener
+	conns     map[*simulatedConn]string // by the host at the other end
 }
 
-// port is a controller's listener in one of its lives.
-type port struct {
-	host string
-	in   chan net.Conn
-	done chan struct{}
-	once sync.Once
+// simulatedListener is a controller's listener in one of its lives.
+type simulatedListener struct {
+	host     string
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 // Accept waits for a connection.
-func (p *port) Accept() (net.Conn, error) {
+func (listener *simulatedListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.in:
+	case c := <-listener.incoming:
 		return c, nil
-	case <-p.done:
+	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends the port.
-func (p *port) Close() error {
-	p.once.Do(func() { close(p.done) })
+func (listener *simulatedListener) Close() error {
+	listener.once.Do(func() { close(listener.closed) })
 	return nil
 }
 
 // Addr is the port's address.
-func (p *port) Addr() net.Addr { return addr(p.host) }
+func (listener *simulatedListener) Addr() net.Addr { return simulatedAddr(listener.host) }
 
-type addr string
+type simulatedAddr string
 
 // Network is the address's network.
-func (addr) Network() string { return "tcp" }
+func (simulatedAddr) Network() string { return "tcp" }
 
 // String is the address.
-func (a addr) String() string { return string(a) }
+func (address simulatedAddr) String() string { return string(address) }
 
 // listen begins a life of a host.
-func (b *back) listen(host string) *port {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &port{host: host, in: make(chan net.Conn), done: make(chan struct{})}
-	b.ports[host] = p
-	return p
+func (network *controllerNetwork) listen(host string) *simulatedListener {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	listener := &simulatedListener{host: host, incoming: make(chan net.Conn), closed: make(chan struct{})}
+	network.listeners[host] = listener
+	return listener
 }
 
-// crash ends a host's life: its connections are reset, and new ones refused.
-func (b *back) crash(host string) {
-	b.mu.Lock()
-	if p := b.ports[host]; p != nil {
-		_ = p.Close()
-		delete(b.ports, host)
+// reset ends a host's life: its connections are reset, and new ones refused.
+func (network *controllerNetwork) reset(host string) {
+	network.mu.Lock()
+	if listener := network.listeners[host]; listener != nil {
+		_ = listener.Close()
+		delete(network.listeners, host)
 	}
-	var all []*half
-	for h, from := range b.conns {
-		if from == host || h.to == host {
-			all = append(all, h)
+	var all []*simulatedConn
+	for conn, from := range network.conns {
+		if from == host || conn.to == host {
+			all = append(all, conn)
 		}
 	}
-	b.mu.Unlock()
-	for _, h := range all {
-		_ = h.Close()
+	network.mu.Unlock()
+	for _, conn := range all {
+		_ = conn.Close()
 	}
 }
 
-// dial connects one host to another.
-func (b *back) dial(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
+// dialer connects one host to another.
+func (b *controllerNetwork) dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		fail := func(err error) (net.Conn, error) {
-			return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: addr(to), Err: err}
+			return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: simulatedAddr(to), Err: err}
 		}
-		if off, _ := b.links.off(from, to); !off {
-			off, _ = b.links.off(to, from)
-			if !off {
+		if cut, _ := b.partitions.isCut(from, to); !cut {
+			cut, _ = b.partitions.isCut(to, from)
+			if !cut {
 				b.mu.Lock()
-				p := b.ports[to]
+				listener := b.listeners[to]
 				b.mu.Unlock()
-				if p == nil {
+				if listener == nil {
 					return fail(syscall.ECONNREFUSED)
 				}
 				here, there := b.pair(from, to)
 				select {
-				case p.in <- there:
+				case listener.incoming <- there:
 					return here, nil
-				case <-p.done:
+				case <-listener.closed:
 					_ = here.Close()
 					return fail(syscall.ECONNREFUSED)
 				case <-ctx.Done():
@@ -151,35 +153,35 @@
 const dialTimeout = time.Second
 
 // pair is a connection's two ends.
-func (b *back) pair(from, to string) (*half, *half) {
-	x, y := newPipe(), newPipe()
-	here := &half{b: b, from: from, to: to, in: y, out: x}
-	there := &half{b: b, from: to, to: from, in: x, out: y}
+func (network *controllerNetwork) pair(from, to string) (*simulatedConn, *simulatedConn) {
+	x, y := newByteStream(), newByteStream()
+	here := &simulatedConn{network: network, from: from, to: to, inbound: y, outbound: x}
+	there := &simulatedConn{network: network, from: to, to: from, inbound: x, outbound: y}
 	here.peer, there.peer = there, here
-	b.mu.Lock()
-	b.conns[here], b.conns[there] = from, to
-	b.mu.Unlock()
+	network.mu.Lock()
+	network.conns[here], network.conns[there] = from, to
+	network.mu.Unlock()
 	return here, there
 }
 
-// half is one end of a connection. What is written while the direction is cut arrives afterwards.
-type half struct {
-	b        *back
-	from, to string
-	in, out  *pipe
-	peer     *half
+// simulatedConn is one end of a connection. What is written while the direction is cut arrives afterwards.
+type simulatedConn struct {
+	network           *controllerNetwork
+	from, to          string
+	inbound, outbound *byteStream
+	peer              *simulatedConn
 }
 
 // Read waits for what the other end wrote.
-func (h *half) Read(p []byte) (int, error) {
+func (conn *simulatedConn) Read(p []byte) (int, error) {
 	for {
-		n, more, err := h.in.read(p)
+		n, more, err := conn.inbound.read(p)
 		if n > 0 {
-			if off, changed := h.b.links.off(h.to, h.from); off {
-				h.in.unread(p[:n])
+			if cut, changed := conn.network.partitions.isCut(conn.to, conn.from); cut {
+				conn.inbound.unread(p[:n])
 				select {
 				case <-changed:
-				case <-h.in.gone:
+				case <-conn.inbound.closed:
 					return 0, io.EOF
 				}
 				continue
@@ -191,84 +193,86 @@
 		}
 		select {
 		case <-more:
-		case <-h.in.gone:
+		case <-conn.inbound.closed:
 			return 0, io.EOF
 		}
 	}
 }
 
 // Write hands bytes on; it never waits.
-func (h *half) Write(p []byte) (int, error) { return h.out.write(p) }
+func (conn *simulatedConn) Write(p []byte) (int, error) { return conn.outbound.write(p) }
 
 // Close resets the connection.
-func (h *half) Close() error {
-	h.in.close()
-	h.out.close()
-	h.b.mu.Lock()
-	defer h.b.mu.Unlock()
-	delete(h.b.conns, h)
+func (conn *simulatedConn) Close() error {
+	conn.inbound.close()
+	conn.outbound.close()
+	conn.network.mu.Lock()
+	defer conn.network.mu.Unlock()
+	delete(conn.network.conns, conn)
 	return nil
 }
 
 // LocalAddr is this end's address, RemoteAddr the other's.
-func (h *half) LocalAddr() net.Addr { return addr(h.from) }
+func (conn *simulatedConn) LocalAddr() net.Addr { return simulatedAddr(conn.from) }
 
 // RemoteAddr is the other end's address.
-func (h *half) RemoteAddr() net.Addr { return addr(h.to) }
+func (conn *simulatedConn) RemoteAddr() net.Addr { return simulatedAddr(conn.to) }
 
 // SetDeadline is not needed here, nor are the other two.
-func (h *half) SetDeadline(time.Time) error { return nil }
+func (conn *simulatedConn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing.
-func (h *half) SetReadDeadline(time.Time) error { return nil }
+func (conn *simulatedConn) SetReadDeadline(time.Time) error { return nil }
 
 // SetWriteDeadline does nothing.
-func (h *half) SetWriteDeadline(time.Time) error { return nil }
-
-// pipe is one direction's bytes.
-type pipe struct {
-	mu   sync.Mutex
-	buf  []byte
-	more chan struct{}
-	gone chan struct{}
-	once sync.Once
+func (conn *simulatedConn) SetWriteDeadline(time.Time) error { return nil }
+
+// byteStream is one direction's bytes.
+type byteStream struct {
+	mu      sync.Mutex
+	buffer  []byte
+	written chan struct{}
+	closed  chan struct{}
+	once    sync.Once
 }
 
-func newPipe() *pipe { return &pipe{more: make(chan struct{}), gone: make(chan struct{})} }
+func newByteStream() *byteStream {
+	return &byteStream{written: make(chan struct{}), closed: make(chan struct{})}
+}
 
-var errReset = errors.New("connection reset")
+var errConnectionReset = errors.New("connection reset")
 
-func (p *pipe) read(to []byte) (int, chan struct{}, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (stream *byteStream) read(to []byte) (int, chan struct{}, error) {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
 	select {
-	case <-p.gone:
+	case <-stream.closed:
 		return 0, nil, io.EOF
 	default:
 	}
-	n := copy(to, p.buf)
-	p.buf = p.buf[n:]
-	return n, p.more, nil
+	n := copy(to, stream.buffer)
+	stream.buffer = stream.buffer[n:]
+	return n, stream.written, nil
 }
 
-func (p *pipe) unread(b []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.buf = append(append([]byte{}, b...), p.buf...)
+func (stream *byteStream) unread(b []byte) {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	stream.buffer = append(append([]byte{}, b...), stream.buffer...)
 }
 
-func (p *pipe) write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (stream *byteStream) write(b []byte) (int, error) {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
 	select {
-	case <-p.gone:
-		return 0, errReset
+	case <-stream.closed:
+		return 0, errConnectionReset
 	default:
 	}
-	p.buf = append(p.buf, b...)
-	close(p.more)
-	p.more = make(chan struct{})
+	stream.buffer = append(stream.buffer, b...)
+	close(stream.written)
+	stream.written = make(chan struct{})
 	return len(b), nil
 }
 
-func (p *pipe) close() { p.once.Do(func() { close(p.gone) }) }
+func (stream *byteStream) close() { stream.once.Do(func() { close(stream.closed) }) }
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = false
+const raceDetector = false
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package world
+package simulation
 
-// raced: the race detector makes a day take ten times as long.
-const raced = true
+// raceDetector: the race detector makes a day take ten times as long.
+const raceDetector = true
