--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -38,6 +38,12 @@
 	declared map[string]string
 }
 
+// notSource reports whether a directory of this name holds no sources of the tree: hidden ones, test data and what builds
+// leave behind.
+func notSource(name string) bool {
+	return strings.HasPrefix(name, ".") || name == "testdata" || name == "target"
+}
+
 // readSourceTree parses all Go files that are not tests.
 func readSourceTree(t *testing.T) *sourceTree {
 	t.Helper()
@@ -46,7 +52,7 @@
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && file != repositoryRoot && (strings.HasPrefix(entry.Name(), ".") || entry.Name() == "testdata"):
+		case entry.IsDir() && file != repositoryRoot && notSource(entry.Name()):
 			return filepath.SkipDir
 		case entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go"):
 			return nil
