--- a/api/topology_test.go
+++ b/api/constraints_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSiteNamesTheFieldThatIsWrong(t *testing.T) {
+func TestParseSiteNamesWrongField(t *testing.T) {
 	for body, want := range map[string]string{
 		`{}`: "", `{"near":null,"survive":null}`: "",
 		`{"near":{"level":"rack"}}`:                               "",
@@ -20,10 +20,9 @@
 		`{"survive":{"level":"rack","share":1.5}}`:                "survive.share",
 	} {
 		_, _, err := ParseSite([]byte(body), 9)
-		var f *FieldError
 		got := ""
-		if errors.As(err, &f) {
-			got = f.Field
+		if fieldError, ok := errors.AsType[*FieldError](err); ok {
+			got = fieldError.Field
 		} else if err != nil {
 			got = err.Error()
 		}
--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -1,90 +1,100 @@
-// Package httpapi is the port for users, workers and health checks.
+// Package httpapi is the HTTP port of a controller for users, operators, workers, data agents and
+// health checks. It decodes and checks requests, hands them to the controller, and encodes the
+// answers. What is decided about a request is the controller's matter.
 package httpapi
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"time"
 
 	"github.com/labstack/echo/v4"
 
 	"switchferry/api"
 	"switchferry/connlimit"
-	"switchferry/controller"
 	"switchferry/peer"
 	"switchferry/tuning"
 )
 
-// Paths of workers and agents.
+// Paths of workers and data agents.
 const (
-	reportPath  = "/v1/report"
-	stagingPath = "/v1/staging"
+	heartbeatPath      = "/v1/report"
+	stageHeartbeatPath = "/v1/staging"
 )
 
-// Controller is what the port serves.
+// Limits of a connection.
+const (
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 16 << 10
+)
+
+// Controller handles the requests of the port. Its methods are called concurrently. Those that tell
+// whether a feature is on are asked once, by New.
 type Controller interface {
+	// Ready tells whether the controller can take requests.
 	Ready() bool
-	HandleHeartbeat(ctx context.Context, r *api.Heartbeat, raw []byte) (status int, body any)
-	Handle(ctx context.Context, r peer.Request, forwarded bool) peer.Response
-	// DataOn tells whether datasets are on; only then their paths exist. HandleStageHeartbeat answers
-	// an agent's report.
+	// Handle handles a request of a user or operator; forwarded is false for those of this port.
+	Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response
+	// HandleHeartbeat handles the heartbeat of a worker, which raw is the body of, and returns an HTTP
+	// status and what to answer as JSON.
+	HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any)
+	// HandleStageHeartbeat does the same for the heartbeat of a data agent.
+	HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any)
+	// DataOn tells whether the dataset feature is on. The paths of a feature exist only if it is.
 	DataOn() bool
-	// TopologyOn and MembersOn tell whether a topology is declared, and membership on; only then
-	// their paths exist.
+	// TopologyOn tells whether a topology is declared.
 	TopologyOn() bool
+	// MembersOn tells whether the membership feature is on.
 	MembersOn() bool
-	// ConfigurationOn tells whether the configuration can change while the node runs.
+	// ConfigurationOn tells whether the live configuration feature is on.
 	ConfigurationOn() bool
-	HandleStageHeartbeat(ctx context.Context, r *api.StageHeartbeat, raw []byte) (status int, body any)
 }
 
-// New makes the port's handler, which keeps to a budget of sockets.
-func New(n Controller, budget *connlimit.Limiter) http.Handler {
-	e := echo.New()
-	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = answerError
-	e.Use(countSockets(budget))
-	addUserPaths(e, n)
-	e.GET("/ready", func(c echo.Context) error {
-		if n.Ready() {
+// New returns the handler of the port. Every connection is reported to the budget of sockets as a user's
+// or a worker's.
+func New(backend Controller, budget *connlimit.Limiter) http.Handler {
+	router := echo.New()
+	router.HideBanner, router.HidePort = true, true
+	router.HTTPErrorHandler = writeError
+	router.Use(classifyConnections(budget))
+	registerUserPaths(router, backend)
+	router.GET("/ready", func(c echo.Context) error {
+		if backend.Ready() {
 			return c.NoContent(http.StatusOK)
 		}
 		return c.NoContent(http.StatusServiceUnavailable)
 	})
-	e.POST(reportPath, func(c echo.Context) error { return report(c, n) })
-	if n.DataOn() {
-		e.POST(stagingPath, func(c echo.Context) error { return stage(c, n) })
+	router.POST(heartbeatPath, func(c echo.Context) error { return serveHeartbeat(c, backend) })
+	if backend.DataOn() {
+		router.POST(stageHeartbeatPath, func(c echo.Context) error { return serveStageHeartbeat(c, backend) })
 	}
-	return e
+	return router
 }
 
-// answerError answers what no handler did.
-func answerError(err error, c echo.Context) {
+// writeError answers a request that no handler has answered.
+func writeError(err error, c echo.Context) {
 	status := http.StatusInternalServerError
-	var he *echo.HTTPError
-	if errors.As(err, &he) {
-		status = he.Code
+	if httpError, ok := errors.AsType[*echo.HTTPError](err); ok {
+		status = httpError.Code
 	}
 	if !c.Response().Committed {
+		// The client is gone if this fails, and asks again if it still wants an answer.
 		_ = c.JSON(status, api.Error{Error: http.StatusText(status)})
 	}
 }
 
-// countSockets tells the budget whose each connection is.
-func countSockets(budget *connlimit.Limiter) echo.MiddlewareFunc {
+// classifyConnections returns a middleware that tells the budget what kind of client a connection has.
+func classifyConnections(budget *connlimit.Limiter) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			class := connlimit.User
-			if p := c.Path(); p == reportPath || p == stagingPath {
+			if path := c.Path(); path == heartbeatPath || path == stageHeartbeatPath {
 				class = connlimit.Worker
 				if budget.NearLimit() {
-					// It can come anew with its next report; a user's socket cannot wait.
+					// A worker can connect anew for its next heartbeat; a user's connection cannot wait.
 					c.Response().Header().Set("Connection", "close")
 				}
 			}
@@ -94,103 +104,8 @@
 	}
 }
 
-// addUserPaths adds what users and operators ask for, as far as it is on.
-func addUserPaths(e *echo.Echo, n Controller) {
-	user := func(verb string) echo.HandlerFunc {
-		return func(c echo.Context) error { return ask(c, n, verb) }
-	}
-	e.POST("/submissions", user(controller.VerbSubmit))
-	e.GET("/submissions/:id", user(controller.VerbStatus))
-	e.POST("/submissions/:id/cancel", user(controller.VerbCancel))
-	e.GET("/submissions/:id/explanation", user(controller.VerbExplain))
-	if n.MembersOn() {
-		e.GET("/members", user(controller.VerbMembers))
-	}
-	if n.ConfigurationOn() {
-		e.GET("/configuration", user(controller.VerbConfiguration))
-		e.GET("/configuration/:id", user(controller.VerbConfiguration))
-		e.POST("/configuration", user(controller.VerbConfigure))
-	}
-	if n.TopologyOn() {
-		e.GET("/topology", user(controller.VerbTopology))
-	}
-	if n.DataOn() {
-		e.GET("/datasets", user(controller.VerbData))
-		e.POST("/datasets", user(controller.VerbRegister))
-		e.POST("/datasets/:id/remove", user(controller.VerbRemove))
-	}
-}
-
-// withBody are the verbs whose requests have a body.
-var withBody = map[string]bool{controller.VerbSubmit: true, controller.VerbRegister: true, controller.VerbConfigure: true}
-
-// ask answers a user's request.
-func ask(c echo.Context, n Controller, verb string) error {
-	r := peer.Request{Verb: verb, Job: c.Param("id")}
-	if withBody[verb] {
-		body, err := read(c, tuning.BodyLimit, errTooLong)
-		if err != nil {
-			return c.JSON(http.StatusBadRequest, api.Error{Error: err.Error(), Field: "body"})
-		}
-		r.Body = body
-	}
-	began := time.Now()
-	a := n.Handle(c.Request().Context(), r, false)
-	if a.RetryAfterS > 0 {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(a.RetryAfterS))
-	}
-	slog.Debug("answered", "verb", verb, "job", r.Job, "status", a.Status, "took", time.Since(began).Round(time.Millisecond), "body", string(a.Body))
-	return c.JSONBlob(a.Status, a.Body)
-}
-
-// checked is a report that can tell whether anything can be done with it.
-type checked interface{ Check() error }
-
-// readReport takes in a report of at most so many bytes; false: it is malformed, which was answered.
-func readReport(c echo.Context, r checked, limit int, tooLong error, of string) (body []byte, ok bool, err error) {
-	body, err = read(c, limit, tooLong)
-	if err == nil {
-		err = json.Unmarshal(body, r)
-	}
-	if err == nil {
-		err = r.Check()
-	}
-	if err != nil {
-		slog.Error("malformed report of "+of, "from", c.Request().RemoteAddr, "err", err)
-		return nil, false, c.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
-	}
-	return body, true, nil
-}
-
-// report answers a worker.
-func report(c echo.Context, n Controller) error {
-	var r api.Heartbeat
-	body, ok, err := readReport(c, &r, tuning.BodyLimit, errTooLong, "a worker")
-	if !ok {
-		return err
-	}
-	status, ans := n.HandleHeartbeat(c.Request().Context(), &r, body)
-	return c.JSON(status, ans)
-}
-
-// stage answers an agent.
-func stage(c echo.Context, n Controller) error {
-	var r api.StageHeartbeat
-	body, ok, err := readReport(c, &r, tuning.OrderLimit, errReportTooLong, "an agent")
-	if !ok {
-		return err
-	}
-	status, ans := n.HandleStageHeartbeat(c.Request().Context(), &r, body)
-	return c.JSON(status, ans)
-}
-
-var (
-	errTooLong       = errors.New("the body is over 64 KiB")
-	errReportTooLong = errors.New("the report is over 1 MiB")
-)
-
-// read takes in a body of at most so many bytes.
-func read(c echo.Context, limit int, tooLong error) ([]byte, error) {
+// readBody reads a body of at most limit bytes; a longer one is the error tooLong.
+func readBody(c echo.Context, limit int, tooLong error) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, int64(limit)+1))
 	if err == nil && len(body) > limit {
 		err = tooLong
@@ -198,14 +113,22 @@
 	return body, err
 }
 
-// Serve runs the port until the context ends. Connections of l that a budget counts are told to it.
-func Serve(ctx context.Context, l net.Listener, h http.Handler, budget *connlimit.Limiter) error {
-	s := &http.Server{Handler: h, ConnContext: connlimit.Context, ConnState: budget.State, ReadHeaderTimeout: tuning.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
+// Serve runs the port on a listener until ctx ends, and then returns nil. Connections that the budget counts, which are
+// those of its own listener, are reported to it.
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler, budget *connlimit.Limiter) error {
+	server := &http.Server{
+		Handler:           handler,
+		ConnContext:       connlimit.Context,
+		ConnState:         budget.State,
+		ReadHeaderTimeout: tuning.HeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
 	go func() {
 		<-ctx.Done()
-		_ = s.Close()
+		_ = server.Close() // Serve below reports whatever matters.
 	}()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/scheduler/collaborators.go
+++ b/scheduler/collaborators.go
@@ -20,7 +20,8 @@
 // RecordWriter writes records to the state service, later; store.Committer is one. What it writes of a key it asks of the
 // scheduler (Record) at that time.
 type RecordWriter interface {
-	// MarkDirty has the record of a key written; then stored is called, without the scheduler's lock. It may be nil.
+	// MarkDirty has the record of a key written, the most urgent first. Stored is called once a value at least as new as
+	// now is stored, without the scheduler's lock held; it may be nil.
 	MarkDirty(key string, urgency int, stored func())
 	// MarkDirtyWithin is MarkDirty for a change that may wait that long to be written with others of its key.
 	MarkDirtyWithin(key string, urgency int, wait time.Duration, stored func())
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"log/slog"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -14,7 +15,13 @@
 	"switchferry/tuning"
 )
 
-// MaintainFleet looks after machines: it returns the names to give back.
+// releasedMachineMemory is for how long the name of a released machine is remembered, so that late reports and lists
+// do not bring it back.
+const releasedMachineMemory = 10 * time.Minute
+
+// MaintainFleet looks after the machines: it drains, forgets and gives up machines, and stops what runs over a
+// lowered limit. It returns the names of the machines that the cloud should release. It does nothing before the
+// records are loaded or while this controller may not lead.
 func (s *Scheduler) MaintainFleet() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,83 +30,86 @@
 	if !s.loaded || !s.leadership.Leading() {
 		return nil
 	}
-	var out []string
-	giveUp := func(machine *machineState, why string) {
-		slog.Info("returning machine", "machine", machine.Name, "why", why, "tasks", len(machine.allocations))
-		machine.releasing = true
-		out = append(out, machine.Name)
-	}
 	s.detectPartitions(now)
-	why := map[string]string{}
-	var due []failuredetector.Candidate
+	released := s.releaseFailedMachines(now)
+	s.stopOverLimit()
+	for _, machine := range s.overdueCancellations(now) {
+		if !machine.releasing {
+			released = append(released, machine.markReleasing("holds a cancelled task"))
+		}
+	}
+	released = append(released, s.idleMachines(now)...)
+	s.storeImageHints(now)
+	s.storeReplicaHints(now)
+	s.finishRemovals()
+	if now.Sub(s.fleetLoggedAt) >= tuning.FleetLogEvery {
+		s.fleetLoggedAt = now
+		s.logDatasets()
+		s.logFleet()
+	}
+	maps.DeleteFunc(s.releasedAt, func(_ string, at time.Time) bool { return now.Sub(at) > releasedMachineMemory })
+	return released
+}
+
+// markReleasing marks a machine as one that the cloud should release, and returns its name. That it is released
+// proves that its tasks are gone.
+func (m *machineState) markReleasing(reason string) string {
+	slog.Info("releasing machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
+	m.releasing = true
+	return m.Name
+}
+
+// releaseFailedMachines acts on each machine by the failure detector's verdict, and returns the names of those to
+// release; how many silent machines these may be is bounded by the eviction budget. s.mu must be held.
+func (s *Scheduler) releaseFailedMachines(now time.Time) (released []string) {
+	reasons := map[string]string{}
+	var overdue []failuredetector.Candidate
 	for _, machine := range s.sortedMachines() {
 		if machine.releasing {
 			continue
 		}
-		// A return proves that the machine's tasks are gone.
-		switch act, reason := s.decideMachine(machine, now); act {
+		switch action, reason := s.decideMachine(machine, now); action {
 		case failuredetector.Release:
-			giveUp(machine, reason)
+			released = append(released, machine.markReleasing(reason))
 		case failuredetector.ReleaseWithinBudget:
-			why[machine.Name] = reason
-			due = append(due, failuredetector.Candidate{Name: machine.Name, Zone: machine.Zone, Tasks: len(machine.allocations)})
+			reasons[machine.Name] = reason
+			overdue = append(overdue, failuredetector.Candidate{Name: machine.Name, Zone: machine.Zone, Tasks: len(machine.allocations)})
 		case failuredetector.Drain:
 			until := machine.PreemptedAt
 			if until.IsZero() {
 				until, reason = machine.LastHeartbeat.Add(s.lease()), "machine reaches no controller"
 			}
-			s.drain(machine, until, cmp.Or(reason, "machine is taken back"))
+			s.drain(machine, until, cmp.Or(reason, "preemption notice"))
 		case failuredetector.Forget:
 			slog.Info("machine forgotten", "machine", machine.Name, "why", reason)
 			s.forgetMachine(machine)
 		}
 	}
 	s.probeUnconfirmed(now)
-	for _, v := range s.evictionBudget.Spend(now, due, s.detector.SilentShare) {
-		for _, name := range v.Release {
-			giveUp(s.machines[name], why[name])
+	for _, eviction := range s.evictionBudget.Spend(now, overdue, s.detector.SilentShare) {
+		for _, name := range eviction.Release {
+			released = append(released, s.machines[name].markReleasing(reasons[name]))
 		}
-		if v.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.EvictionLogEvery {
+		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.EvictionLogEvery {
 			s.deferralLoggedAt = now
-			slog.Info("many machines of a zone are silent; most are left for now", "zone", v.Zone, "silent_share", math.Round(100*v.SilentShare)/100,
-				"machines", v.Machines, "left", v.Deferred, "tasks_that_wait_for_them", v.DeferredTasks, "returned", len(v.Release))
+			slog.Info("deferring release of silent machines", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.SilentShare)/100,
+				"machines", eviction.Machines, "left", eviction.Deferred, "tasks_that_wait_for_them", eviction.DeferredTasks, "returned", len(eviction.Release))
 		}
 	}
-	stopExcess(s)
-	for _, machine := range s.overdueCancellations(now) {
-		if !machine.releasing {
-			giveUp(machine, "holds a cancelled task")
-		}
-	}
-	out = append(out, s.idleMachines(now)...)
-	s.storeImageHints(now)
-	s.storeReplicaHints(now)
-	s.finishRemovals()
-	if now.Sub(s.fleetLoggedAt) >= tuning.FleetLogEvery {
-		s.fleetLoggedAt = now
-		s.logDatasets()
-		s.logFleet()
-	}
-	for name, at := range s.releasedAt {
-		if now.Sub(at) > 10*time.Minute {
-			delete(s.releasedAt, name)
-		}
-	}
-	return out
+	return released
 }
 
-// logFleet writes how full the fleet is: processors that are up, taken by tasks
-// that run, that fetch or are about to start, and that are being stopped; and
-// what waits.
+// logFleet logs how the CPUs of the machines that are up are used, by tasks that run, that fetch or are about to
+// start, and that are being stopped; and what waits. s.mu must be held.
 func (s *Scheduler) logFleet() {
-	var up, running, starting, stopping float64
+	var cpus, running, starting, stopping float64
 	machines := 0
 	for _, machine := range s.machines {
 		if !machine.Up || machine.Spec == nil || machine.releasing {
 			continue
 		}
 		machines++
-		up += machine.Spec.CPUs
+		cpus += machine.Spec.CPUs
 		for _, alloc := range machine.allocations {
 			switch {
 			case alloc.stopping:
@@ -113,63 +123,83 @@
 	}
 	jobs, waiting := 0, 0.0
 	for _, job := range s.jobOrder {
-		if n := len(job.pending) + job.queued; n > 0 && job.FinalState == "" {
+		if n := job.unplaced(); n > 0 && job.FinalState == "" {
 			jobs++
 			waiting += float64(n) * job.request.CPUs
-			if since := latest(latest(job.waitingSince, job.lastStart), s.termStarted); !job.passedOverLogged && s.since(since) > tuning.PassedOverAfter && s.withinQuota(job) && slices.ContainsFunc(s.sortedMachines(), func(machine *machineState) bool {
-				return machine.Up && !machine.releasing && machine.Spec != nil && satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
-			}) {
-				// Users expect that nobody waits 90 s so. Said once.
-				job.passedOverLogged = true
-				slog.Warn("job waits though a machine has room for it", "job", job.id, "class", job.Job.Class, "waited", s.since(since).Round(time.Second), "why", s.waitReasons(job))
-			}
+			s.logPassedOver(job)
 		}
 	}
-	slog.Info("fleet", "machines", machines, "cpus", up, "running", running, "starting", starting, "stopping", stopping, "waiting_jobs", jobs, "waiting_cpus", waiting)
+	slog.Info("fleet", "machines", machines, "cpus", cpus, "running", running, "starting", starting, "stopping", stopping,
+		"waiting_jobs", jobs, "waiting_cpus", waiting)
+}
+
+// logPassedOver logs, once a job, that one has waited for tuning.PassedOverAfter beside a machine with the resources for one
+// of its tasks: users expect that nobody waits 90 s so. s.mu must be held.
+func (s *Scheduler) logPassedOver(job *jobState) {
+	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
+	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverAfter || !s.withinQuota(job) {
+		return
+	}
+	fits := func(machine *machineState) bool {
+		return machine.Up && !machine.releasing && machine.Spec != nil &&
+			satisfiesConstraints(job, machine) && machine.free().Fits(job.request)
+	}
+	if !slices.ContainsFunc(s.sortedMachines(), fits) {
+		return
+	}
+	job.passedOverLogged = true
+	slog.Warn("job waits despite free resources", "job", job.id, "class", job.Job.Class,
+		"waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
 }
 
-// drain saves what can be saved of a machine that is about to be taken, or whose lease is about to end.
-func (s *Scheduler) drain(machine *machineState, until time.Time, why string) {
-	left := until.Sub(s.now()).Seconds()
+// drain stops the tasks of a machine that is about to be taken, or whose lease is about to end: those with checkpoints
+// in time to save, the others at once unless they are expected to complete. s.mu must be held.
+func (s *Scheduler) drain(machine *machineState, until time.Time, reason string) {
+	secondsLeft := until.Sub(s.now()).Seconds()
 	for _, alloc := range machine.allocations {
 		if alloc.stopping || !alloc.reported {
 			continue
 		}
-		j := &alloc.job.Job
-		ran := 0.0
+		submission := &alloc.job.Job
+		ranSeconds := 0.0
 		if !alloc.runningSince.IsZero() {
-			ran = s.since(alloc.runningSince).Seconds()
+			ranSeconds = s.since(alloc.runningSince).Seconds()
 		}
-		finishes := j.Shape == api.JobArray && estimate(alloc.job)-ran < left
+		completes := submission.Shape == api.JobArray && estimate(alloc.job)-ranSeconds < secondsLeft
 		switch {
-		case j.Checkpoint > 0 && left < j.SaveS+2*tuning.PreemptionNoticeSlack+s.settings.Facts.Workers.ReportS:
-			s.stopTask(alloc, j.SaveS, why)
-		case j.Checkpoint == 0 && !finishes:
-			s.stopTask(alloc, 0, why)
+		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.PreemptionNoticeSlack+s.settings.Facts.Workers.ReportS:
+			s.stopTask(alloc, submission.SaveS, reason)
+		case submission.Checkpoint == 0 && !completes:
+			s.stopTask(alloc, 0, reason)
 		}
 	}
 }
 
-// idleMachines finds a machine that is plainly idle.
+// idleMachines marks a machine for release that has been idle for the policy's time and that the desired capacity does
+// not need, and returns its name; at most one. s.mu must be held.
 func (s *Scheduler) idleMachines(now time.Time) []string {
-	want, ordWant := s.desiredCapacity()
-	all, spot := s.supply()
+	desired, desiredOrdinary := s.desiredCapacity()
+	supply, spotSupply := s.supply()
 	for _, machine := range s.sortedMachines() {
 		if !s.schedulable(machine) || len(machine.allocations) > 0 || len(machine.queues) > 0 {
 			continue
 		}
 		keep := settings.Seconds(s.configuration.Policy.Value(policy.IdleKeepS, policy.Vars{"boot_s": machine.Spec.BootS}))
-		if now.Sub(machine.idleSince) < keep || all-machine.Spec.CPUs < want || !machine.Spot && all-spot-machine.Spec.CPUs < ordWant {
+		if now.Sub(machine.idleSince) < keep || supply-machine.Spec.CPUs < desired {
+			continue
+		}
+		if !machine.Spot && supply-spotSupply-machine.Spec.CPUs < desiredOrdinary {
 			continue
 		}
-		slog.Info("returning machine", "machine", machine.Name, "why", "idle")
+		slog.Info("releasing machine", "machine", machine.Name, "why", "idle")
 		machine.releasing = true
 		return []string{machine.Name}
 	}
 	return nil
 }
 
-// forgetMachine takes a machine that is gone, with all on it, off the lists.
+// forgetMachine removes a machine that is gone, and makes its queued tasks pending again. It must have no allocations.
+// s.mu must be held.
 func (s *Scheduler) forgetMachine(machine *machineState) {
 	for _, queue := range machine.queues {
 		queue.returnTasks()
@@ -184,25 +214,26 @@
 	s.machinesByName = nil
 }
 
-// Addresses are the machines that have not reported yet in this term.
+// Addresses returns the addresses, by name, of machines that have not sent a heartbeat yet in this term.
 func (s *Scheduler) Addresses() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]string{}
+	addresses := map[string]string{}
 	for _, machine := range s.machines {
 		if !machine.Up && machine.Address != "" && !machine.releasing {
-			out[machine.Name] = machine.Address
+			addresses[machine.Name] = machine.Address
 		}
 	}
-	return out
+	return addresses
 }
 
-// InstancesReleased means: the cloud has answered, so these machines and all on them are gone.
+// InstancesReleased handles the cloud's answer to a release: without an error the machines and all on them are gone, so
+// that their tasks may run elsewhere; with one the machines may be released again.
 func (s *Scheduler) InstancesReleased(names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range names {
-		machine := s.machines[n]
+	for _, name := range names {
+		machine := s.machines[name]
 		if machine == nil {
 			continue
 		}
@@ -210,7 +241,7 @@
 			machine.releasing = false
 			continue
 		}
-		s.releasedAt[n] = s.now()
+		s.releasedAt[name] = s.now()
 		for _, alloc := range machine.allocations {
 			s.loseTask(alloc, "its machine is gone")
 		}
@@ -219,30 +250,33 @@
 	s.wakePlacer()
 }
 
-// ApplyInstanceList takes in the cloud's list. It lags: absence from it proves nothing.
+// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags, so that a machine is missing
+// proves nothing.
 func (s *Scheduler) ApplyInstanceList(list []api.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for _, l := range list {
-		if _, gone := s.releasedAt[l.Name]; gone {
+	for _, instance := range list {
+		if _, gone := s.releasedAt[instance.Name]; gone {
 			continue
 		}
-		_, known := s.machines[l.Name]
-		machine := s.machineNamed(l.Name)
+		_, known := s.machines[instance.Name]
+		machine := s.machineNamed(instance.Name)
 		if !known {
-			machine.RequestedAt = now.Add(-settings.Seconds(l.AgeS))
-			slog.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "state", l.State)
+			machine.RequestedAt = now.Add(-settings.Seconds(instance.AgeS))
+			slog.Info("machine listed", "machine", instance.Name, "type", instance.Type, "zone", instance.Zone, "state", instance.State)
 		}
 		machine.listed = true
 		if !machine.Up {
-			if l.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
+			if instance.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
 				machine.link.MarkStarted()
 			}
-			machine.listedRunning = l.State == "running"
-			machine.Address, machine.Type, machine.Zone, machine.Spot, machine.Spec = l.Address, l.Type, l.Zone, l.Spot, s.machineTypes[l.Type]
+			machine.listedRunning = instance.State == "running"
+			machine.Address = instance.Address
+			machine.Type, machine.Spec = instance.Type, s.machineTypes[instance.Type]
+			machine.Zone, machine.Spot = instance.Zone, instance.Spot
 		}
-		if l.State == "failed" && !machine.releasing {
+		if instance.State == "failed" && !machine.releasing {
 			machine.Up, machine.listedFailed = false, true
 		}
 	}
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -10,45 +10,45 @@
 	"switchferry/tuning"
 )
 
-// topologyView is what the leader knows of where machines stand.
+// topologyView is the state of the domains that machines are in. Scheduler.mu guards it.
 type topologyView struct {
 	tree *topology.Tree
-	// unlisted and ambiguous are how many machines were last complained about.
+	// unlisted and ambiguous are how many machines in no domain, or in several, were last logged.
 	unlisted, ambiguous int
 	search              topology.Search
 	reservations        topology.Reservations
 }
 
-// UseTopology switches near and survive on, before anything is loaded.
-func (s *Scheduler) UseTopology(m *topology.Map) {
-	s.topology = &topologyView{tree: topology.NewTree(m)}
+// UseTopology has near and survive of jobs count. It must be called before the records are loaded.
+func (s *Scheduler) UseTopology(topologyMap *topology.Map) {
+	s.topology = &topologyView{tree: topology.NewTree(topologyMap)}
 }
 
-// ReplaceTopology goes over to another version of the topology. What runs stays where it is and
-// counts where it stands now; only what is placed from here on goes by the new one.
-func (s *Scheduler) ReplaceTopology(m *topology.Map) {
+// ReplaceTopology goes over to another version of the topology. Running tasks stay where they are and count for the
+// domains that the new one has them in; only what is placed from here on follows it.
+func (s *Scheduler) ReplaceTopology(topologyMap *topology.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	replaceTopology(s, m)
+	s.replaceTopology(topologyMap)
 }
 
-// replaceTopology is ReplaceTopology with the lock held; it does nothing without a topology, or with the one that is used.
-func replaceTopology(sched *Scheduler, m *topology.Map) {
-	if sched.topology == nil || sched.topology.tree.Map() == m {
+// replaceTopology is ReplaceTopology with s.mu held. It does nothing without a topology, or with the one in use.
+func (s *Scheduler) replaceTopology(topologyMap *topology.Map) {
+	if s.topology == nil || s.topology.tree.Map() == topologyMap {
 		return
 	}
-	sched.topology.tree = sched.topology.tree.Rebased(m)
-	sched.topology.unlisted, sched.topology.ambiguous = 0, 0
-	for _, job := range sched.jobs {
+	s.topology.tree = s.topology.tree.Rebased(topologyMap)
+	s.topology.unlisted, s.topology.ambiguous = 0, 0
+	for _, job := range s.jobs {
 		if job.site != nil {
-			job.site = job.site.Rebased(sched.topology.tree)
+			job.site = job.site.Rebased(s.topology.tree)
 		}
 	}
-	slog.Info("topology changed", "version", m.Version())
-	sched.wakePlacer()
+	slog.Info("topology changed", "version", topologyMap.Version())
+	s.wakePlacer()
 }
 
-// initSite gives a job that asks where its tasks stand the count of where they do.
+// initSite makes a job that asks where its tasks are count them by domain. s.mu must be held.
 func (s *Scheduler) initSite(job *jobState) {
 	if s.topology == nil {
 		return
@@ -56,112 +56,117 @@
 	job.site = s.topology.tree.NewSite(job.Job.Near, job.Job.Survive)
 }
 
-// updateFreeResources keeps the summed room of domains.
+// updateFreeResources updates the free resources of a machine's domains. s.mu must be held.
 func (s *Scheduler) updateFreeResources(machine *machineState) {
 	if s.topology != nil && machine.Spec != nil {
 		s.topology.tree.Set(machine.Name, machine.free(), s.schedulable(machine))
 	}
 }
 
+// removeFromTopology removes a machine from its domains. s.mu must be held.
 func (s *Scheduler) removeFromTopology(name string) {
 	if s.topology != nil {
 		s.topology.tree.Remove(name)
 	}
 }
 
-// refreshTopology takes in which machines may get work now: that ends by time as well, with no
-// event of their own.
+// refreshTopology updates which machines are schedulable, which changes with time as well, and forgets what is out of
+// date: queues of jobs that chose a domain and started nothing, and reservations. s.mu must be held.
 func (s *Scheduler) refreshTopology() {
-	if s.topology == nil {
+	view := s.topology
+	if view == nil {
 		return
 	}
-	w := s.topology
 	for _, machine := range s.machines {
 		s.updateFreeResources(machine)
 	}
 	for _, job := range s.jobOrder {
 		if job.Job.Near != nil && job.queued > 0 && len(job.allocations) == 0 {
-			// Where it goes is chosen anew: a domain may have filled up since.
+			// Its domain is chosen anew: the one before may be full by now.
 			s.reclaimQueued(job)
 		}
 	}
 	// Else each start would be weighed against reservations that nobody asks for any more.
-	w.reservations.Expire(s.now())
-	if l, a := w.tree.Unlisted(), w.tree.Ambiguous(); l > w.unlisted || a > w.ambiguous {
-		w.unlisted, w.ambiguous = l, a
-		slog.Warn("machines that the topology does not name stand alone; of those that two domains name the first counts", "not_named", l, "named_twice", a)
+	view.reservations.Expire(s.now())
+	unlisted, ambiguous := view.tree.Unlisted(), view.tree.Ambiguous()
+	if unlisted > view.unlisted || ambiguous > view.ambiguous {
+		view.unlisted, view.ambiguous = unlisted, ambiguous
+		slog.Warn("machines not in exactly one topology domain", "not_named", unlisted, "named_twice", ambiguous)
 	}
 }
 
-// chooseDomain chooses where a job's waiting tasks go, and tells whether they go anywhere now.
+// chooseDomain chooses the domain for a job's pending tasks, and reports whether they may be placed now. If not, and
+// the job is a service or a gang, it looks for a domain where allocations may be preempted, and then for one to
+// reserve. s.mu must be held.
 func (s *Scheduler) chooseDomain(job *jobState) bool {
 	if job.site == nil {
 		return true
 	}
-	may := func(name string) bool {
+	allowed := func(name string) bool {
 		machine := s.machines[name]
 		return machine != nil && s.eligible(job, machine) && s.mayStage(job, machine)
 	}
-	ok := job.site.ChooseDomain(job.request, len(job.pending), job.Job.Shape != api.JobArray, may)
-	why := job.site.Reason()
-	if !ok && job.Job.Shape != api.JobArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
-		// Arrays stop others one task at a time, like all arrays.
+	// Arrays preempt one task at a time, like arrays without a topology.
+	isArray := job.Job.Shape == api.JobArray
+	found := job.site.ChooseDomain(job.request, len(job.pending), !isArray, allowed)
+	reason := job.site.Reason()
+	if !found && !isArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
 		job.nextDomainSearch = s.now().Add(tuning.DomainSearchEvery)
-		ok = job.site.ChooseDomainByPreemption(job.request, len(job.pending), may, func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) })
+		costs := func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) }
+		found = job.site.ChooseDomainByPreemption(job.request, len(job.pending), allowed, costs)
 	}
-	if !ok && job.Job.Shape != api.JobArray {
-		if kept := s.reserveDomain(job, may); kept != "" {
-			why = kept
+	if !found && !isArray {
+		if reservation := s.reserveDomain(job, allowed); reservation != "" {
+			reason = reservation
 		}
 	}
-	if why != job.waitReason {
-		job.waitReason = why
-		if why != "" {
-			slog.Info("job waits for a place", "job", job.id, "why", why)
+	if reason != job.waitReason {
+		job.waitReason = reason
+		if reason != "" {
+			slog.Info("job waits for a domain", "job", job.id, "why", reason)
 		}
 	}
-	return ok
+	return found
 }
 
-// strandedCPUs are the CPUs of tasks that must stand where no machine with room does, of each job
-// those of as many tasks as could stand on a machine more.
-func (s *Scheduler) strandedCPUs() (cpus float64) {
+// unplaceableCPUs returns the CPUs of pending tasks that no machine with free resources may take because of where it
+// is. Of each job as many tasks count as could be placed if one more machine were up. s.mu must be held.
+func (s *Scheduler) unplaceableCPUs() (cpus float64) {
 	for _, job := range s.jobOrder {
-		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) {
+		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) || !s.onlyTopologyForbids(job) {
 			continue
 		}
-		bound := false
-		room := false
-		for _, machine := range s.machines {
-			if !s.eligible(job, machine) || !machine.free().Fits(job.request) {
-				continue
-			}
-			if satisfiesSpread(job, machine) && job.waitReason == "" {
-				room = true
-				break
-			}
-			bound = true
-		}
-		if bound && !room {
-			n := len(job.pending)
-			if x := job.Job.Survive; x != nil && x.Must {
-				n = min(n, x.AtMost)
-			}
-			cpus += float64(n) * job.request.CPUs
+		count := len(job.pending)
+		if survive := job.Job.Survive; survive != nil && survive.Must {
+			count = min(count, survive.AtMost)
 		}
+		cpus += float64(count) * job.request.CPUs
 	}
 	return cpus
 }
 
-// topologySearchCPUs is what the fleet should have at least for tasks without a place, in CPUs.
+// onlyTopologyForbids reports whether machines have free resources for a task of a job, but none is where the task
+// may be. s.mu must be held.
+func (s *Scheduler) onlyTopologyForbids(job *jobState) bool {
+	forbidden := false
+	for _, machine := range s.machines {
+		if !s.eligible(job, machine) || !machine.free().Fits(job.request) {
+			continue
+		}
+		if satisfiesSpread(job, machine) && job.waitReason == "" {
+			return false
+		}
+		forbidden = true
+	}
+	return forbidden
+}
+
+// topologySearchCPUs returns how many CPUs the fleet should have at least so that tasks which no domain can take now
+// find one that can; zero without a topology. s.mu must be held.
 func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
 	if s.topology == nil {
 		return 0
 	}
-	boot := 0.0
-	for _, t := range s.machineTypes {
-		boot = max(boot, t.BootS)
-	}
 	supply, _ := s.supply()
-	return s.topology.search.TargetCPUs(now, s.strandedCPUs(), supply, settings.Seconds(boot))
+	return s.topology.search.TargetCPUs(now, s.unplaceableCPUs(), supply, settings.Seconds(s.longestBootS()))
 }
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -150,15 +150,15 @@
 			}
 			task := int(job.pending[0])
 			job.pending = job.pending[1:]
-			h.preemptVictims(x.victim, job)
-			h.startTask(job, task, x.m, append(x.leaving, x.victim...), "preempting")
-			h.pushCandidate(job, x.m, opts)
+			h.preemptVictims(x.victims, job)
+			h.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
+			h.pushCandidate(job, x.machine, opts)
 		}
 		if len(job.allocations) == 0 {
 			t.Fatalf("seed %d: nothing was started", seed)
 		}
 		for _, machine := range h.machines {
-			if free, _ := machine.freeSoon(); !free.Fits(fleet.Resources{}) {
+			if free, _ := machine.freeAfterStops(); !free.Fits(fleet.Resources{}) {
 				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
 			}
 		}
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -10,81 +10,96 @@
 	"switchferry/quota"
 )
 
-// withinQuota tells whether a job's team may use one more task's worth, beside what is reserved for another job that
-// goes before it (package quota).
+// withinQuota reports whether a job's team may use one more task's resources, beside what is reserved for another
+// job that comes before it (package quota). s.mu must be held.
 func (s *Scheduler) withinQuota(job *jobState) bool {
-	limit, ok := s.configuration.Limit(job.Job.Team)
+	team := job.Job.Team
+	limit, ok := s.configuration.Limit(team)
 	if !ok {
 		return false
 	}
-	use := s.usage[job.Job.Team].Add(job.request)
-	if r, ok := s.quotas.Reservation(job.Job.Team); ok && r.ID != job.id {
-		if o := s.jobs[r.ID]; o != nil && compareJobs(o, job) < 0 {
-			use = use.Add(r.Resources)
+	use := s.usage[team].Add(job.request)
+	if reservation, ok := s.quotas.Reservation(team); ok && reservation.ID != job.id {
+		if holder := s.jobs[reservation.ID]; holder != nil && compareJobs(holder, job) < 0 {
+			use = use.Add(reservation.Resources)
 		}
 	}
 	return limit.Allows(use)
 }
 
-// quotaDemands are those of the jobs that go before others in their teams, by rank or age, and wait.
-func quotaDemands(jobs []*jobState, limitOf func(string) (quota.Limit, bool), use map[string]fleet.Resources, ready func(*jobState) bool) (out []quota.Demand) {
-	stays := map[string]fleet.Resources{}
-	for _, job := range jobs {
+// quotaDemands returns the demands of waiting jobs that come before others of their teams, by rank or because they
+// are starved. s.mu must be held.
+func (s *Scheduler) quotaDemands() (demands []quota.Demand) {
+	// services is what replicas use: it is not released for other jobs.
+	services := map[string]fleet.Resources{}
+	for _, job := range s.jobOrder {
 		if job.Job.Shape == api.Service {
-			stays[job.Job.Team] = stays[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
+			services[job.Job.Team] = services[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
 		}
 	}
-	for _, job := range jobs {
-		limit, ok := limitOf(job.Job.Team)
-		if !ok || job.precedence() == 0 || len(job.pending)+job.queued == 0 || !ready(job) {
+	for _, job := range s.jobOrder {
+		team := job.Job.Team
+		limit, ok := s.configuration.Limit(team)
+		if !ok || job.precedence() == 0 || job.unplaced() == 0 || !s.startableNow(job) {
 			continue
 		}
-		need := job.request
+		request := job.request
 		if job.Job.Shape == api.Gang {
-			need = need.Scale(len(job.pending))
+			request = request.Scale(len(job.pending))
 		}
-		out = append(out, quota.Demand{Team: job.Job.Team, ID: job.id, Limit: limit, Request: need, Usage: use[job.Job.Team], Permanent: stays[job.Job.Team]})
+		demands = append(demands, quota.Demand{
+			Team:      team,
+			ID:        job.id,
+			Limit:     limit,
+			Request:   request,
+			Usage:     s.usage[team],
+			Permanent: services[team],
+		})
 	}
-	return out
+	return demands
 }
 
-// stopExcess stops what runs above a limit that has sunk, if the configuration says so; the lock is held.
-func stopExcess(sched *Scheduler) {
-	if sched.configuration.OverLimit.Running != configuration.Stop {
+// stopOverLimit stops tasks of teams that use more than their lowered limit, if the configuration says so.
+// s.mu must be held.
+func (s *Scheduler) stopOverLimit() {
+	overLimit := s.configuration.OverLimit
+	if overLimit.Running != configuration.Stop {
 		return
 	}
-	for _, team := range sched.configuration.Teams() {
-		limit, _ := sched.configuration.Limit(team.Name)
-		use := sched.usage[team.Name].Sub(sched.stoppingUsage[team.Name])
+	for _, team := range s.configuration.Teams() {
+		limit, _ := s.configuration.Limit(team.Name)
+		use := s.usage[team.Name].Sub(s.stoppingUsage[team.Name])
 		if limit.Allows(use) {
 			continue
 		}
-		tasks, held := usageOf(sched, team.Name)
-		for _, i := range quota.Excess(limit, use, held) {
-			sched.stopTask(tasks[i], min(sched.configuration.OverLimit.StopWithinS, tasks[i].job.Job.SaveS), "its team's limit has sunk")
+		allocations, usage := s.stoppableUsage(team.Name)
+		for _, i := range quota.Excess(limit, use, usage) {
+			alloc := allocations[i]
+			s.stopTask(alloc, min(overLimit.StopWithinS, alloc.job.Job.SaveS), "team limit lowered")
 		}
 	}
 }
 
-// usageOf are the tasks of a team that can be stopped. A start whose answer is lost may be executed at any later time of
-// this term. Stopped before it is seen, its task counted for the limit for ever; stopped after that, its exit is not
-// cleared, and a new attempt that came to the same machine was never begun. Such a task runs to its end.
-func usageOf(sched *Scheduler, team string) (tasks []*allocation, held []quota.Usage) {
-	for _, job := range sched.jobOrder {
+// stoppableUsage returns the allocations of a team that can be stopped, and the usage of each. One whose start was
+// sent and not answered cannot: the start may be executed at any later time of this term. Stopped before it is seen,
+// the task counted for the limit for ever; stopped after that, its exit was not cleared, and a new attempt on the
+// same machine never began. Such a task runs to its end. s.mu must be held.
+func (s *Scheduler) stoppableUsage(team string) (allocations []*allocation, usage []quota.Usage) {
+	for _, job := range s.jobOrder {
 		if job.Job.Team != team {
 			continue
 		}
 		for _, alloc := range job.allocations {
 			if !alloc.stopping && (alloc.reported && alloc.unansweredRuns == 0 || !alloc.runSent) {
-				tasks = append(tasks, alloc)
-				held = append(held, quota.Usage{Rank: job.rank, Loss: sched.preemptionLoss(alloc), Resources: fleet.RequestOf(&job.Job)})
+				allocations = append(allocations, alloc)
+				usage = append(usage, quota.Usage{Rank: job.rank, Loss: s.preemptionLoss(alloc), Resources: fleet.RequestOf(&job.Job)})
 			}
 		}
 	}
-	return tasks, held
+	return allocations, usage
 }
 
-// limitReason is why a job waits for its team's limit, for operators and users.
+// limitReason returns why a job waits for its team's limit, for operators and users.
 func limitReason(active *configuration.Active, job *jobState) string {
 	limit, ok := active.Limit(job.Job.Team)
 	switch {
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"cmp"
 	"fmt"
 	"log/slog"
 	"math"
@@ -15,45 +16,45 @@
 	"switchferry/tuning"
 )
 
-// capacityPool is one kind of machine that the cloud rents.
+// capacityPool is one kind of machine that the cloud has.
 type capacityPool struct {
-	typ, zone string
-	spot      bool
+	machineType, zone string
+	spot              bool
 }
 
-// demand is what unfinished jobs ask for, in processors, and how much of that
-// may not run on spot machines.
+// demand returns the CPUs that unfinished jobs need, and how many of these may not be on spot machines. A task that
+// requests much memory counts as the CPUs that such memory comes with. s.mu must be held.
 func (s *Scheduler) demand() (all, ordinary float64) {
-	perCPU := 0.0
-	for _, t := range s.machineTypes {
-		perCPU = math.Max(perCPU, t.MemoryGB/t.CPUs)
+	memoryPerCPU := 0.0
+	for _, machineType := range s.machineTypes {
+		memoryPerCPU = math.Max(memoryPerCPU, machineType.MemoryGB/machineType.CPUs)
 	}
 	for _, job := range s.jobOrder {
 		if !job.accepted || job.FinalState != "" || job.waitsForDependencies && !s.dependencies.startsSoon(job) {
 			continue
 		}
-		one := job.request.CPUs
-		if perCPU > 0 {
-			// Until the catalog is read, memory says nothing of processors: a
-			// new leader took it for a thousandfold demand.
-			one = math.Max(one, job.request.MemoryGB/perCPU)
+		taskCPUs := job.request.CPUs
+		if memoryPerCPU > 0 {
+			// Until the catalog is read, memory cannot be converted to CPUs.
+			taskCPUs = math.Max(taskCPUs, job.request.MemoryGB/memoryPerCPU)
 		}
-		n := float64(s.demandedTasks(job))
-		if t, ok := s.configuration.Team(job.Job.Team); ok && t.CPUsMax > 0 && job.request.CPUs > 0 {
-			n = math.Min(n, t.CPUsMax/job.request.CPUs)
+		tasks := float64(s.demandedTasks(job))
+		if team, ok := s.configuration.Team(job.Job.Team); ok && team.CPUsMax > 0 && job.request.CPUs > 0 {
+			tasks = math.Min(tasks, team.CPUsMax/job.request.CPUs)
 		}
-		all += n * one
+		all += tasks * taskCPUs
 		if !job.Job.Spot {
-			ordinary += n * one
+			ordinary += tasks * taskCPUs
 		}
 	}
 	return all, ordinary
 }
 
-// supply is the processors that are up or coming.
+// supply returns the CPUs of machines that are up or expected to come up, and how many of these are on spot machines.
+// s.mu must be held.
 func (s *Scheduler) supply() (all, spot float64) {
 	for _, machine := range s.machines {
-		if machine.releasing || !machine.PreemptedAt.IsZero() || machine.Spec == nil || s.mayNeverStart(machine) || s.startupOverdue(machine) {
+		if machine.Spec == nil || !s.countsAsSupply(machine) {
 			continue
 		}
 		all += machine.Spec.CPUs
@@ -64,195 +65,237 @@
 	return all, spot
 }
 
-// startupOverdue tells whether a machine that is not up yet more likely never will be: others are rented instead, while it
-// still has its time.
+// countsAsSupply reports whether a machine is up or expected to come up, and stays. s.mu must be held.
+func (s *Scheduler) countsAsSupply(machine *machineState) bool {
+	return !machine.releasing && machine.PreemptedAt.IsZero() && !s.mayNeverStart(machine) && !s.startupOverdue(machine)
+}
+
+// startupOverdue reports whether a machine that is not up yet is unlikely to come up, by how long others took. Others
+// are requested in its place while it still has time. s.mu must be held.
 func (s *Scheduler) startupOverdue(machine *machineState) bool {
 	if machine.Up || !machine.requestedHere || machine.Spec == nil {
 		return false
 	}
 	age := s.since(machine.RequestedAt)
-	late, others := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
-	if late && !machine.faultLogged {
+	overdue, othersTook := s.startupTimes.Overdue(machine.Type, machine.RequestedAt, age, settings.Seconds(machine.Spec.BootS))
+	if overdue && !machine.faultLogged {
 		machine.faultLogged = true
-		slog.Info("machine overdue", "machine", machine.Name, "type", machine.Type, "age", age.Round(time.Second), "others_took", others.Round(time.Second))
+		slog.Info("startup deadline exceeded", "machine", machine.Name, "type", machine.Type,
+			"age", age.Round(time.Second), "others_took", othersTook.Round(time.Second))
 	}
-	return late
+	return overdue
 }
 
-// mayNeverStart tells whether a machine should have reported by now. It may yet come
-// back, but others are rented in the meantime: they take long to boot.
+// mayNeverStart reports whether a machine's heartbeats are overdue, or it does not get our commands. It may yet come
+// back, but others are requested in the meantime, since they take long to boot. s.mu must be held.
 func (s *Scheduler) mayNeverStart(machine *machineState) bool {
 	if machine.Up {
-		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost || !machine.link.AliveThisTerm() && !machine.listed && len(machine.allocations) == 0 {
+		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
+			return true
+		}
+		if !machine.link.AliveThisTerm() && !machine.listed && len(machine.allocations) == 0 {
 			return true
 		}
-		heard := latest(machine.LastHeartbeat, s.detector.ResumedAt())
+		silentSince := latest(machine.LastHeartbeat, s.detector.ResumedAt())
 		if s.since(machine.LastHeartbeat) <= settings.Seconds(s.settings.Facts.Workers.LeaseS) {
-			heard = latest(heard, s.detector.PathLostAt(machine.lastPeer))
+			silentSince = latest(silentSince, s.detector.PathLostAt(machine.lastPeer))
 		}
-		return s.since(heard) > 2*s.heartbeatTimeout(machine)
+		return s.since(silentSince) > 2*s.heartbeatTimeout(machine)
 	}
 	return machine.listedRunning && s.since(s.termStarted) > 2*s.heartbeatTimeout(machine)
 }
 
-func (s *Scheduler) desiredCapacity() (want, ordinary float64) {
-	all, ord := s.demand()
-	// A team without work is not kept room for: its machines would be idle.
-	busy := map[string]bool{}
+// longestBootS returns the longest boot time of the catalog's machine types, in seconds. s.mu must be held.
+func (s *Scheduler) longestBootS() (bootS float64) {
+	for _, machineType := range s.machineTypes {
+		bootS = max(bootS, machineType.BootS)
+	}
+	return bootS
+}
+
+// desiredCapacity returns how many CPUs the fleet should have in all, and how many of them on ordinary machines.
+// s.mu must be held.
+func (s *Scheduler) desiredCapacity() (all, ordinary float64) {
+	allDemand, ordinaryDemand := s.demand()
+	// No headroom is kept for the guarantee of a team without work: its machines would be idle.
+	busyTeams := map[string]bool{}
 	for _, job := range s.jobOrder {
 		if job.FinalState == "" && !job.waitsForDependencies {
-			busy[job.Job.Team] = true
+			busyTeams[job.Job.Team] = true
 		}
 	}
 	guaranteed := 0.0
-	for _, t := range s.configuration.Teams() {
-		if busy[t.Name] {
-			guaranteed += t.CPUs
+	for _, team := range s.configuration.Teams() {
+		if busyTeams[team.Name] {
+			guaranteed += team.CPUs
 		}
 	}
-	head := s.configuration.Policy.Value(policy.HeadroomCPUs, policy.Vars{"demand_cpus": all, "guaranteed_cpus": guaranteed})
-	return all + head, tuning.ServiceHeadroom * ord
+	headroom := s.configuration.Policy.Value(policy.HeadroomCPUs, policy.Vars{"demand_cpus": allDemand, "guaranteed_cpus": guaranteed})
+	return allDemand + headroom, tuning.ServiceHeadroom * ordinaryDemand
 }
 
-// InstanceRequests says what to rent now.
-func (c *Scheduler) InstanceRequests() []api.InstanceRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.now()
-	// This goes on while the state service is out: the names of rentals are
-	// this term's own, and the machines will be needed whoever leads.
-	if !c.loaded || c.instancesRequested > 0 || now.Sub(c.termStarted) < settings.Seconds(2*c.settings.Facts.Workers.ReportS) {
+// maxInstanceRequests is how many requests to the cloud are made at once.
+const maxInstanceRequests = 2
+
+// InstanceRequests returns what the cloud should be asked for now; nothing while an earlier request is open, or in
+// the first two report intervals of a term. It goes on while the state service is out: the requests' idempotency
+// keys are this term's own, and the machines will be needed whoever leads.
+func (s *Scheduler) InstanceRequests() []api.InstanceRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	if !s.loaded || s.instancesRequested > 0 || now.Sub(s.termStarted) < settings.Seconds(2*s.settings.Facts.Workers.ReportS) {
 		return nil
 	}
-	want, ordWant := c.desiredCapacity()
-	want = math.Max(want, c.topologySearchCPUs(now))
-	all, spot := c.supply()
-	inZone := map[string]float64{}
-	for _, machine := range c.machines {
-		if machine.Spec != nil && !machine.releasing {
-			inZone[machine.Zone] += machine.Spec.CPUs
+	desired, desiredOrdinary := s.desiredCapacity()
+	desired = math.Max(desired, s.topologySearchCPUs(now))
+	supply, spotSupply := s.supply()
+	pools := s.availablePools(now)
+	spotShare := s.configuration.Policy.Value(policy.SpotShare, policy.Vars{"demand_cpus": desired})
+	requests := s.requestForUnplaceable(pools)
+	for _, pool := range pools {
+		if len(requests) >= maxInstanceRequests {
+			break
 		}
+		missing := desired - supply
+		if !pool.spot {
+			missing = math.Max(missing, desiredOrdinary-(supply-spotSupply))
+		} else {
+			missing = math.Min(missing, spotShare*desired-spotSupply)
+		}
+		if missing <= 0 {
+			continue
+		}
+		cpus := s.machineTypes[pool.machineType].CPUs
+		count := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/cpus)))
+		requests = append(requests, s.instanceRequest(pool, count))
+		// How many of them will come is not known; the next round sees it.
+		supply += float64(count) * cpus
 	}
+	s.instancesRequested = len(requests)
+	return requests
+}
+
+// availablePools returns the pools that the cloud has not refused lately, in the order in which they are asked.
+// s.mu must be held.
+func (s *Scheduler) availablePools(now time.Time) []capacityPool {
 	var pools []capacityPool
-	for _, t := range c.machineTypes {
-		for _, z := range t.Zones {
-			for _, s := range []bool{false, true} {
-				p := capacityPool{t.Name, z, s}
-				if now.After(c.instanceRefusals[p]) {
-					pools = append(pools, p)
+	for _, machineType := range s.machineTypes {
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{false, true} {
+				pool := capacityPool{machineType.Name, zone, spot}
+				if now.After(s.instanceRefusals[pool]) {
+					pools = append(pools, pool)
 				}
 			}
 		}
 	}
-	slices.SortFunc(pools, func(a, b capacityPool) int {
-		// Ordinary machines first: nobody takes them back, and services need
-		// them. Then the zone that has less, then the sooner one up.
-		if a.spot != b.spot {
-			if a.spot {
-				return 1
-			}
-			return -1
-		}
-		if d := inZone[a.zone] - inZone[b.zone]; d != 0 {
-			return int(math.Copysign(1, d))
-		}
-		if d := c.machineTypes[a.typ].BootS - c.machineTypes[b.typ].BootS; d != 0 {
-			return int(math.Copysign(1, d))
-		}
-		if a.typ+a.zone < b.typ+b.zone {
-			return -1
+	cpusInZone := map[string]float64{}
+	for _, machine := range s.machines {
+		if machine.Spec != nil && !machine.releasing {
+			cpusInZone[machine.Zone] += machine.Spec.CPUs
 		}
-		return 1
+	}
+	slices.SortFunc(pools, func(a, b capacityPool) int {
+		return cmp.Or(
+			// Ordinary machines first: nobody takes them back, and services need them.
+			compareBools(a.spot, b.spot),
+			cmp.Compare(cpusInZone[a.zone], cpusInZone[b.zone]),
+			cmp.Compare(s.machineTypes[a.machineType].BootS, s.machineTypes[b.machineType].BootS),
+			cmp.Compare(a.machineType+a.zone, b.machineType+b.zone))
 	})
-	spotShare := c.configuration.Policy.Value(policy.SpotShare, policy.Vars{"demand_cpus": want})
-	out := c.requestForUnplaceable(pools)
-	for _, p := range pools {
-		t := c.machineTypes[p.typ]
-		missing := want - all
-		if !p.spot {
-			missing = math.Max(missing, ordWant-(all-spot))
-		} else {
-			missing = math.Min(missing, spotShare*want-spot)
-		}
-		if missing <= 0 || len(out) >= 2 {
-			continue
-		}
-		n := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/t.CPUs)))
-		out = append(out, c.instanceRequest(p, n))
-		if len(out) == 2 {
-			break
-		}
-		// What will come is unknown; the next round sees it.
-		all += float64(n) * t.CPUs
+	return pools
+}
+
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
 	}
-	c.instancesRequested = len(out)
-	return out
+	return 1
 }
 
-// requestForUnplaceable rents a machine for a job that none that is there or coming can ever serve: with as many
-// processors as are asked for in all, nothing of its type or zone was ever rented.
+// requestForUnplaceable returns a request for one machine for a job that no machine that is up or coming can ever
+// serve, if there is such a job: with enough CPUs in all, none of its type or zone was ever requested.
+// s.mu must be held.
 func (s *Scheduler) requestForUnplaceable(pools []capacityPool) []api.InstanceRequest {
 	var jobs []*api.Submission
 	for _, job := range s.jobOrder {
-		if len(job.pending)+job.queued > 0 && s.startableNow(job) && s.withinQuota(job) {
+		if job.unplaced() > 0 && s.startableNow(job) && s.withinQuota(job) {
 			jobs = append(jobs, &job.Job)
 		}
 	}
 	if len(jobs) == 0 {
 		return nil
 	}
-	var ms []feasibility.Machine
+	kinds := make([]feasibility.Pool, 0, len(pools))
+	for _, pool := range pools {
+		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[pool.machineType], Zone: pool.zone, Spot: pool.spot})
+	}
+	for _, submission := range feasibility.Unplaceable(jobs, s.machinesInUseOrComing()) {
+		if kind, ok := feasibility.PoolFor(submission, kinds); ok {
+			slog.Info("requesting instance for unplaceable job", "job", submission.ID, "type", kind.Type.Name, "zone", kind.Zone, "spot", kind.Spot)
+			return []api.InstanceRequest{s.instanceRequest(capacityPool{kind.Type.Name, kind.Zone, kind.Spot}, 1)}
+		}
+	}
+	return nil
+}
+
+// machinesInUseOrComing returns the machines that count as supply, each with what services use of it.
+// s.mu must be held.
+func (s *Scheduler) machinesInUseOrComing() (machines []feasibility.Machine) {
 	for _, machine := range s.machines {
-		if machine.releasing || !machine.PreemptedAt.IsZero() || s.mayNeverStart(machine) || s.startupOverdue(machine) {
+		if !s.countsAsSupply(machine) {
 			continue
 		}
-		x := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
+		known := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
 		for _, alloc := range machine.allocations {
 			if alloc.job.Job.Shape == api.Service {
-				x.Used = x.Used.Add(alloc.job.request)
+				known.Used = known.Used.Add(alloc.job.request)
 			}
 		}
-		ms = append(ms, x)
+		machines = append(machines, known)
 	}
-	var kinds []feasibility.Pool
-	for _, p := range pools {
-		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[p.typ], Zone: p.zone, Spot: p.spot})
-	}
-	for _, submission := range feasibility.Unplaceable(jobs, ms) {
-		if p, ok := feasibility.PoolFor(submission, kinds); ok {
-			slog.Info("renting for a job that no machine can serve", "job", submission.ID, "type", p.Type.Name, "zone", p.Zone, "spot", p.Spot)
-			return []api.InstanceRequest{s.instanceRequest(capacityPool{p.Type.Name, p.Zone, p.Spot}, 1)}
-		}
-	}
-	return nil
+	return machines
 }
 
-// instanceRequest asks for so many machines under a name that is never used again.
-func (s *Scheduler) instanceRequest(p capacityPool, count int) api.InstanceRequest {
+// instanceRequest returns a request for machines of a pool, with an idempotency key that is never used again.
+// s.mu must be held.
+func (s *Scheduler) instanceRequest(pool capacityPool, count int) api.InstanceRequest {
 	s.lastInstanceRequest++
-	return api.InstanceRequest{IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest), Type: p.typ, Zone: p.zone, Spot: p.spot, Count: count}
+	return api.InstanceRequest{
+		IdempotencyKey: fmt.Sprintf("t%d-%d", s.term, s.lastInstanceRequest),
+		Type:           pool.machineType,
+		Zone:           pool.zone,
+		Spot:           pool.spot,
+		Count:          count,
+	}
 }
 
-// InstancesGranted takes in the outcome of a rental.
-func (s *Scheduler) InstancesGranted(r api.InstanceRequest, names []string, err error) {
+// InstancesGranted handles the cloud's answer to a request of InstanceRequests: the names of the machines that it
+// granted, or an error. A pool that granted fewer than were asked for is not asked again for a while.
+func (s *Scheduler) InstancesGranted(request api.InstanceRequest, names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instancesRequested--
-	if err != nil || len(names) < r.Count {
-		s.instanceRefusals[capacityPool{r.Type, r.Zone, r.Spot}] = s.now().Add(tuning.InstanceRefusalPause)
+	if err != nil || len(names) < request.Count {
+		s.instanceRefusals[capacityPool{request.Type, request.Zone, request.Spot}] = s.now().Add(tuning.InstanceRefusalPause)
 	}
 	if err != nil {
-		slog.Info("rental refused", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "err", err)
+		slog.Info("instance request refused", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "err", err)
 		return
 	}
-	slog.Info("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(names))
-	for _, n := range names {
-		if _, gone := s.releasedAt[n]; gone {
+	slog.Info("instances granted", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "asked", request.Count, "got", len(names))
+	for _, name := range names {
+		if _, gone := s.releasedAt[name]; gone {
 			continue
 		}
-		machine := s.machineNamed(n)
+		machine := s.machineNamed(name)
 		if !machine.Up {
-			machine.Type, machine.Zone, machine.Spot, machine.Spec = r.Type, r.Zone, r.Spot, s.machineTypes[r.Type]
+			machine.Type, machine.Zone, machine.Spot, machine.Spec = request.Type, request.Zone, request.Spot, s.machineTypes[request.Type]
 			machine.requestedHere = true
 			machine.link.MarkStarted()
 		}
