--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"context"
 	"net"
 	"os"
 	"path/filepath"
@@ -20,19 +19,22 @@
 	"switchferry/settings"
 )
 
-// controllerPort runs a controller on its real port, beside a state service of its own.
-func controllerPort(t *testing.T, on bool) string {
+// listen opens a port on loopback, which its user closes.
+func listen(t *testing.T) net.Listener {
 	t.Helper()
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	front, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	back, err := net.Listen("tcp4", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
+	return listener
+}
+
+// controllerPort runs a controller on its real port, beside a state service of its own.
+func controllerPort(t *testing.T, on bool) string {
+	t.Helper()
+	ctx := t.Context()
+	front, back := listen(t), listen(t)
 	platform := &settings.Settings{Member: "n0", Zone: "east", External: settings.External{State: "state:1", Cloud: "cloud:1"}}
 	platform.Facts = settings.Facts{Zones: []string{"east"}, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40},
 		State: settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 10}}
@@ -41,7 +43,8 @@
 	node.Enable(&features.Features{Configuration: features.Configuration{On: on}})
 	budget := connlimit.NewLimiter(0)
 	go node.Run(back)
-	go func() { _ = httpapi.Serve(ctx, front, httpapi.New(node, budget), budget) }()
+	handler := httpapi.New(node, budget)
+	go func() { _ = httpapi.Serve(ctx, front, handler, budget) }()
 	return front.Addr().String()
 }
 
--- a/cli/members.go
+++ b/cli/members.go
@@ -12,6 +12,7 @@
 	"switchferry/membership"
 )
 
+// membersCommand returns the command that shows how a controller sees the members.
 func membersCommand() *cobra.Command {
 	var client controllerClient
 	cmd := &cobra.Command{Use: "members", Short: "Show how a controller sees the others and itself: alive, slow, suspected of what, failed or left", Args: cobra.NoArgs,
--- a/cli/topology.go
+++ b/cli/topology.go
@@ -13,6 +13,7 @@
 	"switchferry/api"
 )
 
+// topologyCommand returns the command that shows the topology as the leader sees it.
 func topologyCommand() *cobra.Command {
 	var client controllerClient
 	cmd := &cobra.Command{Use: "topology", Short: "Show domains, their free room, which are silent, and jobs that wait for a place", Args: cobra.NoArgs,
@@ -22,47 +23,54 @@
 			if printed, err := client.requestInto(cmd, http.MethodGet, "/topology", nil, &view, errTopologyOff); err != nil || printed {
 				return err
 			}
-			printTopology(cmd.OutOrStdout(), &view)
-			return nil
+			return printTopology(cmd.OutOrStdout(), &view)
 		}}
 	client.addFlags(cmd)
 	return cmd
 }
 
-// errTopologyOff is the error of a path that exists only with a topology.
+// errTopologyOff returns the error for paths that exist only if a topology is declared.
 func errTopologyOff(string) error {
 	return withExitCode(ExitRefused, errors.New("no topology is declared: name its file under [topology] in the features file, and start the controllers with --features"))
 }
 
-func printTopology(out io.Writer, view *api.TopologyView) {
+// printTopology prints the domains as a tree, and what waits or is reserved.
+func printTopology(out io.Writer, view *api.TopologyView) error {
 	writer := newTable(out)
 	writer.AppendHeader(table.Row{"domain", "level", "machines", "that get work", "free CPUs", "cards", "memory GB", ""})
 	inner := map[string][]api.DomainView{}
-	for _, d := range view.Domains {
-		inner[d.In] = append(inner[d.In], d)
+	for _, domain := range view.Domains {
+		inner[domain.In] = append(inner[domain.In], domain)
 	}
-	var add func(in string, deep int)
-	add = func(in string, deep int) {
-		for _, d := range inner[in] {
-			note := ""
-			if d.Silent {
-				note = "silent"
-			}
-			writer.AppendRow(table.Row{strings.Repeat("  ", deep) + d.Name, d.Level, d.Machines, d.Usable, d.CPUs, d.Cards, fmt.Sprintf("%.1f", d.MemoryGB), note})
-			add(d.Name, deep+1)
-		}
-	}
-	add("", 0)
+	appendDomains(writer, inner, "", 0)
 	writer.Render()
-	fmt.Fprintf(out, "version %d; %d machines in no domain, %d in two\n", view.Version, view.Unlisted, view.Ambiguous)
-	for _, x := range view.Reserved {
-		fmt.Fprintf(out, "%s is kept for %s, for about %.0f s\n", x.Domain, x.Job, x.InS)
+	printer := printer{out: out}
+	printer.printf("version %d; %d machines in no domain, %d in two\n", view.Version, view.Unlisted, view.Ambiguous)
+	for _, reserved := range view.Reserved {
+		printer.printf("%s is kept for %s, for about %.0f s\n", reserved.Domain, reserved.Job, reserved.InS)
+	}
+	for _, waiting := range view.Waiting {
+		printer.printf("%s: %d tasks wait: %s\n", waiting.Job, waiting.Tasks, waiting.Why)
 	}
-	for _, x := range view.Waiting {
-		fmt.Fprintf(out, "%s: %d tasks wait: %s\n", x.Job, x.Tasks, x.Why)
+	return printer.err
+}
+
+// appendDomains adds the domains inside one, and all inside these, indented by their depth.
+func appendDomains(writer table.Writer, inner map[string][]api.DomainView, outer string, depth int) {
+	for _, domain := range inner[outer] {
+		note := ""
+		if domain.Silent {
+			note = "silent"
+		}
+		writer.AppendRow(table.Row{
+			strings.Repeat("  ", depth) + domain.Name, domain.Level, domain.Machines, domain.Usable,
+			domain.CPUs, domain.Cards, fmt.Sprintf("%.1f", domain.MemoryGB), note,
+		})
+		appendDomains(writer, inner, domain.Name, depth+1)
 	}
 }
 
+// explainCommand returns the command that tells where a job's tasks are and why others wait.
 func explainCommand() *cobra.Command {
 	var client controllerClient
 	cmd := &cobra.Command{Use: "explain JOB", Short: "Tell where a job's tasks stand, and why others wait", Args: cobra.ExactArgs(1),
@@ -72,31 +80,33 @@
 				return err
 			}
 			var explanation api.Explanation
-			printed, err := client.requestInto(cmd, http.MethodGet, "/submissions/"+args[0]+"/explanation", nil, &explanation, func(why string) error { return withExitCode(ExitNotFound, errors.New(why)) })
+			printed, err := client.requestInto(cmd, http.MethodGet, "/submissions/"+args[0]+"/explanation", nil, &explanation, errNotFound)
 			if err != nil || printed {
 				return err
 			}
-			printExplanation(cmd.OutOrStdout(), &explanation)
-			return nil
+			return printExplanation(cmd.OutOrStdout(), &explanation)
 		}}
 	client.addFlags(cmd)
 	return cmd
 }
 
-func printExplanation(out io.Writer, explanation *api.Explanation) {
+// printExplanation prints where a job's tasks are and why others wait.
+func printExplanation(out io.Writer, explanation *api.Explanation) error {
+	printer := printer{out: out}
 	if explanation.Tasks == 0 {
-		fmt.Fprintf(out, "%s %s\n", explanation.Job, explanation.State)
-		return
+		printer.printf("%s %s\n", explanation.Job, explanation.State)
+		return printer.err
 	}
-	fmt.Fprintf(out, "%s %s: %d tasks, %d done, %d wait\n", explanation.Job, explanation.State, explanation.Tasks, explanation.Done, explanation.Waiting)
-	for _, s := range explanation.Locations {
-		unsure := ""
-		if s.Unconfirmed > 0 {
-			unsure = fmt.Sprintf(", %d of them on silent machines", s.Unconfirmed)
+	printer.printf("%s %s: %d tasks, %d done, %d wait\n", explanation.Job, explanation.State, explanation.Tasks, explanation.Done, explanation.Waiting)
+	for _, location := range explanation.Locations {
+		unconfirmed := ""
+		if location.Unconfirmed > 0 {
+			unconfirmed = fmt.Sprintf(", %d of them on silent machines", location.Unconfirmed)
 		}
-		fmt.Fprintf(out, "  %d in %s %s%s\n", s.Tasks, s.Level, s.Domain, unsure)
+		printer.printf("  %d in %s %s%s\n", location.Tasks, location.Level, location.Domain, unconfirmed)
 	}
 	for _, why := range explanation.Why {
-		fmt.Fprintf(out, "  waits: %s\n", why)
+		printer.printf("  waits: %s\n", why)
 	}
+	return printer.err
 }
