--- a/api/inputs_test.go
+++ b/api/inputs_test.go
@@ -15,8 +15,8 @@
 		`{"inputs":[{"dataset":"a","use":"all"},{"dataset":"a","use":"own"}]}`: "inputs[1].dataset",
 	} {
 		_, err := ParseInputs([]byte(body), 4)
-		var fe *FieldError
-		if got := errors.As(err, &fe); got != (want != "") || got && fe.Field != want {
+		var fieldError *FieldError
+		if got := errors.As(err, &fieldError); got != (want != "") || got && fieldError.Field != want {
 			t.Errorf("%s: %v, want %q", body, err, want)
 		}
 	}
--- a/api/staging_test.go
+++ b/api/staging_test.go
@@ -10,30 +10,30 @@
 // A heartbeat comes from outside. Whatever passes the check must not break code that
 // handles it.
 func FuzzStageHeartbeat(f *testing.F) {
-	r := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
+	heartbeat := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
 		Holds:  []StageHeld{{Dataset: "a", Of: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
 		Copies: []StageProgress{{Dataset: "a", Part: 3, Got: 5, Of: 9, Failed: []StageFailure{{Why: "503"}}}}}
-	raw, err := json.Marshal(r)
+	raw, err := json.Marshal(heartbeat)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Add([]byte(`{"host":"a","address":"b","session":1,"holds":[{"dataset":"a","of":3,"parts":"OzAAAA"}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var r StageHeartbeat
-		if json.Unmarshal(raw, &r) != nil || r.Check() != nil {
+		var heartbeat StageHeartbeat
+		if json.Unmarshal(raw, &heartbeat) != nil || heartbeat.Check() != nil {
 			return
 		}
-		for _, h := range append(r.Holds, r.Pinned...) {
+		for _, h := range append(heartbeat.Holds, heartbeat.Pinned...) {
 			n := 0
 			for itr := h.Parts.Iterator(); itr.HasNext() && n < 1000; n++ {
 				itr.Next()
 			}
-			c := h.Parts.Clone()
-			c.RemoveRange(uint64(max(0, h.Of)), 1<<32)
-			_ = roaring.AndNot(c, h.Parts.Bitmap).GetCardinality()
+			test := h.Parts.Clone()
+			test.RemoveRange(uint64(max(0, h.Of)), 1<<32)
+			_ = roaring.AndNot(test, h.Parts.Bitmap).GetCardinality()
 		}
-		again, err := json.Marshal(r)
+		again, err := json.Marshal(heartbeat)
 		var back StageHeartbeat
 		if err != nil || json.Unmarshal(again, &back) != nil {
 			t.Fatalf("%v: %s", err, again)
--- a/api/submission_test.go
+++ b/api/submission_test.go
@@ -13,17 +13,17 @@
 }
 
 func TestParseSubmissionReadsValidJob(t *testing.T) {
-	v := validSubmission()
-	v["more"] = "ignored"
-	delete(v, "berth")
-	v["due_s"] = nil
-	raw, _ := json.Marshal(v)
-	s, id, err := ParseSubmission(raw)
-	if err != nil || id != "run-000412" || s.Tasks != 16 || s.Types[0] != "g8" {
-		t.Errorf("%+v %q %v", s, id, err)
+	fields := validSubmission()
+	fields["more"] = "ignored"
+	delete(fields, "berth")
+	fields["due_s"] = nil
+	raw, _ := json.Marshal(fields)
+	submission, id, err := ParseSubmission(raw)
+	if err != nil || id != "run-000412" || submission.Tasks != 16 || submission.Types[0] != "g8" {
+		t.Errorf("%+v %q %v", submission, id, err)
 	}
 	// What is stored must say the same again.
-	again, _ := json.Marshal(s)
+	again, _ := json.Marshal(submission)
 	var back Submission
 	if json.Unmarshal(again, &back) != nil || back.Team != "vision" || back.DeadlineS != 0 {
 		t.Errorf("%+v", back)
@@ -36,28 +36,28 @@
 		if field == "hulls" || field == "berth" || field == "due_s" {
 			continue
 		}
-		v := validSubmission()
-		delete(v, field)
-		expectFieldError(t, v, field)
+		fields := validSubmission()
+		delete(fields, field)
+		expectFieldError(t, fields, field)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		field string
 		bad   any
 	}{{"parts", 0}, {"parts", 100001}, {"parts", 1.5}, {"parts", "3"}, {"cores", -1}, {"cores", 0}, {"cores", "8"}, {"ram_gb", 1e300},
 		{"rank", "urgent"}, {"shape", "herd"}, {"name_id", "job-1"}, {"name_id", 7}, {"together", 1}, {"hulls", "g8"}, {"hulls", []any{}},
 		{"expect_s", -0.5}, {"berth", 4}, {"bundle", ""}} {
-		v := validSubmission()
-		v[c.field] = c.bad
-		expectFieldError(t, v, c.field)
+		fields := validSubmission()
+		fields[test.field] = test.bad
+		expectFieldError(t, fields, test.field)
 	}
 }
 
-func expectFieldError(t *testing.T, v map[string]any, field string) {
+func expectFieldError(t *testing.T, fields map[string]any, field string) {
 	t.Helper()
-	raw, _ := json.Marshal(v)
+	raw, _ := json.Marshal(fields)
 	_, id, err := ParseSubmission(raw)
-	var fe *FieldError
-	if !errors.As(err, &fe) || fe.Field != field {
+	var fieldError *FieldError
+	if !errors.As(err, &fieldError) || fieldError.Field != field {
 		t.Errorf("%s: error %v", field, err)
 	}
 	if field != "name_id" && id != "run-000412" {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	ok := fakeController(t, 201, `{"name_id":"run-000001","status":"pending"}`)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		want int
 		text string
 		args []string
@@ -62,9 +62,9 @@
 		{ExitFailed, "no answer within", []string{"cancel", "run-000009", "--wait", "50ms", "--node", "127.0.0.1:1"}},
 		{0, "switchferry", []string{"version"}},
 	} {
-		code, out := runProgram(c.args...)
-		if code != c.want || !strings.Contains(out, c.text) {
-			t.Errorf("%v: exit %d, %q; want %d with %q", c.args, code, out, c.want, c.text)
+		code, out := runProgram(test.args...)
+		if code != test.want || !strings.Contains(out, test.text) {
+			t.Errorf("%v: exit %d, %q; want %d with %q", test.args, code, out, test.want, test.text)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 func TestMembersAndMoreExitCodes(t *testing.T) {
 	on := fakeController(t, 200, `[{"member":"n0","self":true,"level":"alive","parts":[],"why":"this controller","hears":["n1"]},
 		{"member":"n1","level":"suspected","parts":["link"],"why":"silent for 1.4 s, but heard by 1 other","phi":7.5}]`)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		want int
 		text string
 		args []string
@@ -108,8 +108,8 @@
 		{0, "run-000002 pending", []string{"submit", "--id", "run-000002", "--class", "c", "--team", "t", "--image", "i", "--await", "run-000001", "--node", fakeController(t, 201, `{"name_id":"run-000002","status":"pending"}`)}},
 		{ExitUsage, "awaits", []string{"submit", "--id", "run-000002", "--class", "c", "--team", "t", "--image", "i", "--await", "job-1"}},
 	} {
-		if code, out := runProgram(c.args...); code != c.want || !strings.Contains(out, c.text) {
-			t.Errorf("%v: exit code %d, %s", c.args, code, out)
+		if code, out := runProgram(test.args...); code != test.want || !strings.Contains(out, test.text) {
+			t.Errorf("%v: exit code %d, %s", test.args, code, out)
 		}
 	}
 }
--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -72,7 +72,7 @@
 			t.Fatal("no controller leads")
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		code int
 		want string
 		args []string
@@ -97,12 +97,12 @@
 		{0, "cpus_max = 40", []string{"show"}},
 		{0, "from revision 3: 2 differences", []string{"diff", second}},
 	} {
-		args := append([]string{"config"}, c.args...)
-		if c.args[0] != "check" {
+		args := append([]string{"config"}, test.args...)
+		if test.args[0] != "check" {
 			args = append(args, "--node", address)
 		}
-		if code, out := runProgram(args...); code != c.code || !strings.Contains(out, c.want) {
-			t.Errorf("%v: exit %d, %s; want %d with %q", c.args, code, out, c.code, c.want)
+		if code, out := runProgram(args...); code != test.code || !strings.Contains(out, test.want) {
+			t.Errorf("%v: exit %d, %s; want %d with %q", test.args, code, out, test.code, test.want)
 		}
 	}
 	off := controllerPort(t, false)
--- a/cli/topology_test.go
+++ b/cli/topology_test.go
@@ -11,7 +11,7 @@
 		"reserved":[{"domain":"rack-2","job":"run-000007","in_s":12}],
 		"waiting":[{"job":"run-000007","tasks":9,"why":"no rack has room for all of it: rack \"rack-2\" has none for 3"}]}`
 	why := `{"job":"run-000007","state":"pending","tasks":9,"done":1,"waiting":6,"why":["2 stand where it must not"],"stands":[{"domain":"rack-2","level":"rack","tasks":2,"unsure":1}]}`
-	for _, c := range []struct {
+	for _, test := range []struct {
 		want  int
 		texts []string
 		args  []string
@@ -24,10 +24,10 @@
 		{ExitUsage, []string{"run-000412"}, []string{"explain", "7"}},
 		{0, []string{"run-000009 done"}, []string{"explain", "run-000009", "--node", fakeController(t, 200, `{"job":"run-000009","state":"done"}`)}},
 	} {
-		code, out := runProgram(c.args...)
-		for _, text := range c.texts {
-			if code != c.want || !strings.Contains(out, text) {
-				t.Errorf("%v: exit %d, %q; want %d with %q", c.args, code, out, c.want, text)
+		code, out := runProgram(test.args...)
+		for _, text := range test.texts {
+			if code != test.want || !strings.Contains(out, text) {
+				t.Errorf("%v: exit %d, %q; want %d with %q", test.args, code, out, test.want, text)
 			}
 		}
 	}
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -20,7 +20,7 @@
 // Refusals, outages and malformed answers are told apart and survived.
 func TestRentTellsErrorsApart(t *testing.T) {
 	ctx := t.Context()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		status int
 		body   string
 		want   error
@@ -33,10 +33,10 @@
 		{200, `{"hosts":`, errors.New("malformed"), 0},
 		{429, ``, errors.New("status"), 0},
 	} {
-		cl := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return c.status, c.body }))
-		got, err := cl.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
-		if len(got) != c.n || (err == nil) != (c.want == nil) || errors.Is(c.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(c.want, ErrTrouble) && !errors.Is(err, ErrTrouble) {
-			t.Errorf("%d %s: %v, %v", c.status, c.body, got, err)
+		client := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return test.status, test.body }))
+		got, err := client.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
+		if len(got) != test.n || (err == nil) != (test.want == nil) || errors.Is(test.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(test.want, ErrTrouble) && !errors.Is(err, ErrTrouble) {
+			t.Errorf("%d %s: %v, %v", test.status, test.body, got, err)
 		}
 	}
 	empty := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return 200, `{}` }))
@@ -46,13 +46,13 @@
 }
 
 func TestListReadsAllPages(t *testing.T) {
-	cl := New("x:1", 100, scriptedTransport(func(r *http.Request) (int, string) {
+	client := New("x:1", 100, scriptedTransport(func(r *http.Request) (int, string) {
 		if r.URL.Query().Get("after") == "" {
 			return 200, `{"hosts":[{"name_id":"n-1"},{"name_id":"n-2"}],"more":true}`
 		}
 		return 200, `{"hosts":[{"name_id":"n-3"}],"more":false}`
 	}))
-	list, err := cl.List(t.Context())
+	list, err := client.List(t.Context())
 	if err != nil || len(list) != 3 || list[2].Name != "n-3" {
 		t.Errorf("%+v %v", list, err)
 	}
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -17,13 +17,13 @@
 }
 
 func TestLoadWithoutFileHasEverythingOff(t *testing.T) {
-	f, err := Load("")
-	if err != nil || f.Data.On {
-		t.Fatal(f, err)
+	features, err := Load("")
+	if err != nil || features.Data.On {
+		t.Fatal(features, err)
 	}
-	f, err = Parse([]byte("[data]\non = true\nstore = \"http://10.0.0.9:9000/\"\nlink_mb_per_s = 100\nstore_mb_per_s = 500\ntype_cache_gb = {big = 900}\n"))
-	if err != nil || f.Data.Store != "http://10.0.0.9:9000" || f.Data.Cache("big") != 900e9 || f.Data.Cache("other") != 50e9 {
-		t.Fatalf("%+v %v", f, err)
+	features, err = Parse([]byte("[data]\non = true\nstore = \"http://10.0.0.9:9000/\"\nlink_mb_per_s = 100\nstore_mb_per_s = 500\ntype_cache_gb = {big = 900}\n"))
+	if err != nil || features.Data.Store != "http://10.0.0.9:9000" || features.Data.Cache("big") != 900e9 || features.Data.Cache("other") != 50e9 {
+		t.Fatalf("%+v %v", features, err)
 	}
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, err := Parse(raw); err != nil || !f.Data.On {
-		t.Fatal(f, err)
+	if features, err := Parse(raw); err != nil || !features.Data.On {
+		t.Fatal(features, err)
 	}
 }
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -36,7 +36,7 @@
 func TestHandlerAnswers(t *testing.T) {
 	backend := &fakeController{}
 	handler := New(backend, connlimit.NewLimiter(0))
-	for _, c := range []struct {
+	for _, test := range []struct {
 		method, path, body string
 		status             int
 		text               string
@@ -55,13 +55,13 @@
 		{"DELETE", "/submissions/run-1", "", 405, "error"},
 	} {
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body)))
-		if w.Code != c.status || !strings.Contains(w.Body.String(), c.text) {
-			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), test.method, test.path, strings.NewReader(test.body)))
+		if w.Code != test.status || !strings.Contains(w.Body.String(), test.text) {
+			t.Errorf("%s %s: %d %s", test.method, test.path, w.Code, w.Body)
 		}
 		// Who is told to come back is told when.
-		if retry := w.Header().Get("Retry-After"); (c.text == "later") != (retry == "1") {
-			t.Errorf("%s %s: Retry-After %q", c.method, c.path, retry)
+		if retry := w.Header().Get("Retry-After"); (test.text == "later") != (retry == "1") {
+			t.Errorf("%s %s: Retry-After %q", test.method, test.path, retry)
 		}
 	}
 	w := httptest.NewRecorder()
@@ -73,7 +73,7 @@
 
 func TestDatasetPathsExistWhenFeatureIsOn(t *testing.T) {
 	handler := New(&fakeController{dataOn: true}, connlimit.NewLimiter(0))
-	for _, c := range []struct {
+	for _, test := range []struct {
 		method, path, body string
 		status             int
 		text               string
@@ -85,9 +85,9 @@
 		{"POST", "/v1/staging", strings.Repeat("x", 2<<20), 400, "1 MiB"},
 	} {
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body)))
-		if w.Code != c.status || !strings.Contains(w.Body.String(), c.text) {
-			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
+		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), test.method, test.path, strings.NewReader(test.body)))
+		if w.Code != test.status || !strings.Contains(w.Body.String(), test.text) {
+			t.Errorf("%s %s: %d %s", test.method, test.path, w.Code, w.Body)
 		}
 	}
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -136,9 +136,9 @@
 		}
 	}()
 	seen := make(chan membership.Observation, 64)
-	n := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	n.OnObservation = func(o membership.Observation) { seen <- o }
-	n.Run(ctx)
+	network := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	network.OnObservation = func(o membership.Observation) { seen <- o }
+	network.Run(ctx)
 	want := func(w membership.Observation) {
 		t.Helper()
 		if got := <-seen; !reflect.DeepEqual(got, w) {
@@ -187,24 +187,24 @@
 	clock := clockwork.NewFakeClock()
 	here, there := net.Pipe()
 	t.Cleanup(func() { _ = there.Close() })
-	n := New([]settings.Peer{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
+	network := New([]settings.Peer{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
 	mine := &fakeWatermarks{applied: make(chan time.Time, 4)}
-	n.Watermarks = mine
+	network.Watermarks = mine
 	other := New(nil, clock, func() Hello { return Hello{Member: "n1"} }, nil)
 	other.Watermarks = &fakeWatermarks{reply: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
 	sent := clock.Now()
 	done := make(chan membership.Outcome)
-	go func() { done <- n.runConnection(t.Context(), n.peers["n1"], here) }()
-	q, err := readFrame(there)
-	if err != nil || q.seq == 0 || q.incarnation != 3 || q.watermarkFrom != 1 {
-		t.Fatalf("question %+v, %v", q, err)
+	go func() { done <- network.runConnection(t.Context(), network.peers["n1"], here) }()
+	question, err := readFrame(there)
+	if err != nil || question.seq == 0 || question.incarnation != 3 || question.watermarkFrom != 1 {
+		t.Fatalf("question %+v, %v", question, err)
 	}
 	clock.Advance(time.Second)
-	a := other.newHelloReply(q)
-	stray := a
+	reply := other.newHelloReply(question)
+	stray := reply
 	stray.seq += 7
 	var mu sync.Mutex
-	for _, message := range []frame{stray, a, a} {
+	for _, message := range []frame{stray, reply, reply} {
 		if err := writeFrame(there, &mu, message); err != nil {
 			t.Fatal(err)
 		}
@@ -217,10 +217,10 @@
 		t.Errorf("applied %+v, want %+v", mine.lastApplied, want)
 	}
 	for range tuning.CancellationsAtOnce {
-		a.cancellations = append(a.cancellations, watermark.Cancellation{Job: "run-1"})
+		reply.cancellations = append(reply.cancellations, watermark.Cancellation{Job: "run-1"})
 	}
-	a.cancellations = append(a.cancellations, a.cancellations[0])
-	if err := writeFrame(there, &mu, a); err != nil {
+	reply.cancellations = append(reply.cancellations, reply.cancellations[0])
+	if err := writeFrame(there, &mu, reply); err != nil {
 		t.Fatal(err)
 	}
 	<-done
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestParseOverridesDefaults(t *testing.T) {
-	p, err := Parse("# nightly\nslot_s = 5 + 7\n\nfetch_penalty = fetch_s > 30 ? 9.0 : 1.0\n")
+	policy, err := Parse("# nightly\nslot_s = 5 + 7\n\nfetch_penalty = fetch_s > 30 ? 9.0 : 1.0\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := p.Value(SlotS, nil); v != 12 {
+	if v := policy.Value(SlotS, nil); v != 12 {
 		t.Errorf("slot_s %v", v)
 	}
-	if v := p.Value(FetchPenalty, Vars{"fetch_s": 31, "slot_s": 10}); v != 9 {
+	if v := policy.Value(FetchPenalty, Vars{"fetch_s": 31, "slot_s": 10}); v != 9 {
 		t.Errorf("fetch_penalty %v", v)
 	}
 	if v := Default().Value(FetchPenalty, Vars{"fetch_s": 31, "slot_s": 10}); v != 4 {
@@ -38,14 +38,14 @@
 
 // An expression whose value is invalid at run time is replaced by the built-in one.
 func TestValueFallsBackToDefault(t *testing.T) {
-	p, err := Parse("idle_keep_s = 0 - boot_s\nspot_share = 1 / demand_cpus")
+	policy, err := Parse("idle_keep_s = 0 - boot_s\nspot_share = 1 / demand_cpus")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := p.Value(IdleKeepS, Vars{"boot_s": 30}); v != 240 {
+	if v := policy.Value(IdleKeepS, Vars{"boot_s": 30}); v != 240 {
 		t.Errorf("idle_keep_s %v", v)
 	}
-	if v := p.Value(SpotShare, Vars{"demand_cpus": 0}); v != 1 {
+	if v := policy.Value(SpotShare, Vars{"demand_cpus": 0}); v != 1 {
 		t.Errorf("spot_share %v", v)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -75,7 +75,7 @@
 
 // A wrong setting ends the process with one line that names the field.
 func TestParseNamesWrongField(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`member = "n0"`, ``, "member"},
 		{`serve_on = "10.0.0.1:8080"`, `serve_on = "here"`, "serve_on"},
 		{`state = "10.2.0.1:2379"`, ``, "external.state"},
@@ -85,9 +85,9 @@
 		{`txn_ops = 24`, `txn_ops = 1`, "facts.state.txn_ops"},
 		{`rps = 4.0`, `rps = nan`, "facts.cloud.rps"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want one line naming %s", c.new, err, c.want)
+		_, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: %v, want one line naming %s", test.new, err, test.want)
 		}
 	}
 }
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -24,7 +24,7 @@
 // Only a connection that never came about proves that a command was not sent;
 // everything else may still be executed.
 func TestSendTellsWhetherCommandsMayHaveArrived(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		rt      scriptedTransport
 		fails   bool
@@ -42,9 +42,9 @@
 		{"garbage", answering(200, `{"host":`), true, false, false},
 		{"trouble", answering(500, ``), true, false, false},
 	} {
-		_, done, err := New(c.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
-		if (err != nil) != c.fails || errors.Is(err, ErrNotSent) != c.notSent || done != c.done {
-			t.Errorf("%s: done %v, %v", c.name, done, err)
+		_, done, err := New(test.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
+		if (err != nil) != test.fails || errors.Is(err, ErrNotSent) != test.notSent || done != test.done {
+			t.Errorf("%s: done %v, %v", test.name, done, err)
 		}
 	}
 }
