--- a/api/staging_test.go
+++ b/api/staging_test.go
@@ -29,9 +29,9 @@
 			for itr := h.Parts.Iterator(); itr.HasNext() && n < 1000; n++ {
 				itr.Next()
 			}
-			test := h.Parts.Clone()
-			test.RemoveRange(uint64(max(0, h.Of)), 1<<32)
-			_ = roaring.AndNot(test, h.Parts.Bitmap).GetCardinality()
+			clone := h.Parts.Clone()
+			clone.RemoveRange(uint64(max(0, h.Of)), 1<<32)
+			_ = roaring.AndNot(clone, h.Parts.Bitmap).GetCardinality()
 		}
 		again, err := json.Marshal(heartbeat)
 		var back StageHeartbeat
