--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -36,6 +36,24 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
+// programCall is a call of the program, with the exit code and a text of the output that it must have.
+type programCall struct {
+	code int
+	text string
+	args []string
+}
+
+// checkCalls makes calls and checks each.
+func checkCalls(t *testing.T, calls []programCall) {
+	t.Helper()
+	for _, call := range calls {
+		code, out := runProgram(call.args...)
+		if code != call.code || !strings.Contains(out, call.text) {
+			t.Errorf("%v: exit %d, %q; want %d with %q", call.args, code, out, call.code, call.text)
+		}
+	}
+}
+
 func TestCommandsExitWithCodes(t *testing.T) {
 	good := filepath.Join(t.TempDir(), "job.json")
 	job := `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"low","parts":2,"cores":1,"cards":0,"ram_gb":1,"bundle":"i","size_gb":1,"together":false,"apart":false,"standby":true,"expect_s":3,"snapshot_s":0,"stow_s":0}`
@@ -43,11 +61,7 @@
 		t.Fatal(err)
 	}
 	ok := fakeController(t, 201, `{"name_id":"run-000001","status":"pending"}`)
-	for _, test := range []struct {
-		want int
-		text string
-		args []string
-	}{
+	checkCalls(t, []programCall{
 		{0, "run-000001 pending", []string{"submit", "--file", good, "--node", ok}},
 		{0, `"status":"pending"`, []string{"submit", "--file", good, "--json", "--node", ok}},
 		{0, "pending", []string{"submit", "--id", "run-000001", "--class", "c", "--team", "t", "--image", "i", "--node", ok}},
@@ -61,12 +75,12 @@
 		{ExitRefused, "no such team", []string{"submit", "--file", good, "--node", fakeController(t, 422, `{"error":"no such team"}`)}},
 		{ExitFailed, "no answer within", []string{"cancel", "run-000009", "--wait", "50ms", "--node", "127.0.0.1:1"}},
 		{0, "switchferry", []string{"version"}},
-	} {
-		code, out := runProgram(test.args...)
-		if code != test.want || !strings.Contains(out, test.text) {
-			t.Errorf("%v: exit %d, %q; want %d with %q", test.args, code, out, test.want, test.text)
-		}
-	}
+		{0, `"data":2`, []string{"version", "--json"}},
+		{ExitUsage, "--from is missing", []string{"experiment", "upgrade"}},
+		{ExitFailed, "is no program", []string{"experiment", "upgrade", "--from", "/no/such/file"}},
+		{0, "run-000002 pending", []string{"submit", "--id", "run-000002", "--class", "c", "--team", "t", "--image", "i", "--await", "run-000001", "--node", fakeController(t, 201, `{"name_id":"run-000002","status":"pending"}`)}},
+		{ExitUsage, "awaits", []string{"submit", "--id", "run-000002", "--class", "c", "--team", "t", "--image", "i", "--await", "job-1"}},
+	})
 }
 
 // What the program prints as the default policy is a valid policy file.
@@ -90,26 +104,13 @@
 }
 
 // Members are shown with what each is suspected of; with the feature off the remedy is named.
-func TestMembersAndMoreExitCodes(t *testing.T) {
+func TestMembersAreShownWithSuspicions(t *testing.T) {
 	on := fakeController(t, 200, `[{"member":"n0","self":true,"level":"alive","parts":[],"why":"this controller","hears":["n1"]},
 		{"member":"n1","level":"suspected","parts":["link"],"why":"silent for 1.4 s, but heard by 1 other","phi":7.5}]`)
-	for _, test := range []struct {
-		want int
-		text string
-		args []string
-	}{
+	checkCalls(t, []programCall{
 		{0, "n0 (itself)", []string{"members", "--node", on}},
 		{0, "heard by 1 other", []string{"members", "--node", on}},
 		{0, `"phi":7.5`, []string{"members", "--json", "--node", on}},
 		{ExitRefused, "[membership]", []string{"members", "--node", fakeController(t, 404, `{"message":"Not Found"}`)}},
-		{0, `"data":2`, []string{"version", "--json"}},
-		{ExitUsage, "--from is missing", []string{"experiment", "upgrade"}},
-		{ExitFailed, "is no program", []string{"experiment", "upgrade", "--from", "/no/such/file"}},
-		{0, "run-000002 pending", []string{"submit", "--id", "run-000002", "--class", "c", "--team", "t", "--image", "i", "--await", "run-000001", "--node", fakeController(t, 201, `{"name_id":"run-000002","status":"pending"}`)}},
-		{ExitUsage, "awaits", []string{"submit", "--id", "run-000002", "--class", "c", "--team", "t", "--image", "i", "--await", "job-1"}},
-	} {
-		if code, out := runProgram(test.args...); code != test.want || !strings.Contains(out, test.text) {
-			t.Errorf("%v: exit code %d, %s", test.args, code, out)
-		}
-	}
+	})
 }
--- a/cli/data_test.go
+++ b/cli/data_test.go
@@ -32,11 +32,7 @@
 	view, _ := json.Marshal(map[string]any{"datasets": []any{map[string]any{"name": "inv", "bytes": 2500, "parts": 3, "machines_whole": 2}},
 		"copies":  []any{map[string]any{"machine": "n-1", "dataset": "inv", "part": 1, "bytes_got": 500, "bytes": 1000, "from": "store", "failed": map[string]string{"store": "status 503"}}},
 		"waiting": []any{map[string]any{"job": "run-1", "tasks": 4, "why": "inputs are not on their machines yet"}}})
-	for _, test := range []struct {
-		code int
-		want string
-		args []string
-	}{
+	checkCalls(t, []programCall{
 		{0, "3 parts", []string{"data", "add", man, "--node", fakeController(t, 201, "{}")}},
 		{ExitRefused, "--features", []string{"data", "add", man, "--node", off}},
 		{ExitRefused, "--features", []string{"data", "--node", off}},
@@ -57,9 +53,5 @@
 		{0, "status 503", []string{"data", "--node", fakeController(t, 200, string(view))}},
 		{0, "run-1", []string{"data", "--node", fakeController(t, 200, string(view))}},
 		{0, `"machines_whole":2`, []string{"data", "--json", "--node", fakeController(t, 200, string(view))}},
-	} {
-		if code, out := runProgram(test.args...); code != test.code || !strings.Contains(out, test.want) {
-			t.Errorf("%v: exit %d, %s", test.args, code, out)
-		}
-	}
+	})
 }
