--- a/cli/capacity.go
+++ b/cli/capacity.go
@@ -106,7 +106,7 @@
 		})
 	}
 	writer.Render()
-	printer := printer{out: out}
+	printer := linePrinter{out: out}
 	printer.printf("* beyond what was measured\n")
 	var jobs, limits []table.Row
 	for _, job := range report.Jobs {
--- a/cli/config.go
+++ b/cli/config.go
@@ -126,7 +126,7 @@
 	if client.asJSON {
 		return printJSON(cmd, differences)
 	}
-	printer := printer{out: cmd.OutOrStdout()}
+	printer := linePrinter{out: cmd.OutOrStdout()}
 	printer.printf("from revision %d: %d differences\n", view.Revision, len(differences))
 	for _, difference := range differences {
 		printer.printf("%s\n", difference)
--- a/cli/data.go
+++ b/cli/data.go
@@ -40,7 +40,7 @@
 
 // printData prints datasets, copies under way, and jobs that wait for them.
 func printData(out io.Writer, view *scheduler.DataView) error {
-	printer := printer{out: out}
+	printer := linePrinter{out: out}
 	if len(view.Datasets) == 0 {
 		printer.printf("no datasets are registered; `switchferry data add` registers one\n")
 	}
--- a/cli/output.go
+++ b/cli/output.go
@@ -13,15 +13,15 @@
 // Modes of files that commands write.
 const outputFileMode = 0o644
 
-// printer prints lines. After an error it prints nothing more, so that a command need not check each line.
-type printer struct {
+// linePrinter prints lines. After an error it prints nothing more, so that a command need not check each line.
+type linePrinter struct {
 	out io.Writer
 	// err is the first error.
 	err error
 }
 
 // printf prints formatted text.
-func (printer *printer) printf(format string, args ...any) {
+func (printer *linePrinter) printf(format string, args ...any) {
 	if printer.err == nil {
 		_, printer.err = fmt.Fprintf(printer.out, format, args...)
 	}
--- a/cli/output_test.go
+++ b/cli/output_test.go
@@ -20,7 +20,7 @@
 
 func TestPrinterKeepsFirstErrorAndStops(t *testing.T) {
 	writer := &failingWriter{}
-	printer := printer{out: writer}
+	printer := linePrinter{out: writer}
 	for range 4 {
 		printer.printf("line %d\n", writer.writes)
 	}
--- a/cli/root.go
+++ b/cli/root.go
@@ -63,7 +63,7 @@
 	return &cobra.Command{Use: "policy", Short: "Print the policy settings with their defaults, as a policy file", Args: cobra.NoArgs,
 		Example: "  switchferry policy > night.policy",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			printer := printer{out: cmd.OutOrStdout()}
+			printer := linePrinter{out: cmd.OutOrStdout()}
 			for _, name := range policy.Names() {
 				description, fallback, variables := policy.Describe(name)
 				if len(variables) > 0 {
--- a/cli/topology.go
+++ b/cli/topology.go
@@ -44,7 +44,7 @@
 	}
 	appendDomains(writer, inner, "", 0)
 	writer.Render()
-	printer := printer{out: out}
+	printer := linePrinter{out: out}
 	printer.printf("version %d; %d machines in no domain, %d in two\n", view.Version, view.Unlisted, view.Ambiguous)
 	for _, reserved := range view.Reserved {
 		printer.printf("%s is kept for %s, for about %.0f s\n", reserved.Domain, reserved.Job, reserved.InS)
@@ -92,7 +92,7 @@
 
 // printExplanation prints where a job's tasks are and why others wait.
 func printExplanation(out io.Writer, explanation *api.Explanation) error {
-	printer := printer{out: out}
+	printer := linePrinter{out: out}
 	if explanation.Tasks == 0 {
 		printer.printf("%s %s\n", explanation.Job, explanation.State)
 		return printer.err
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -11,7 +11,7 @@
 // `name = expression`; an empty line, or one that starts with #, is skipped. The error has one line for
 // each wrong line of the file.
 func Parse(text string) (*Policy, error) {
-	parser := parser{policy: Default(), lines: map[string]int{}}
+	parser := fileParser{policy: Default(), lines: map[string]int{}}
 	var wrong []error
 	scanner := bufio.NewScanner(strings.NewReader(text))
 	for line := 1; scanner.Scan(); line++ {
@@ -31,15 +31,15 @@
 // errNoEquals refuses a line that sets nothing.
 var errNoEquals = errors.New("want name = expression")
 
-// parser puts the lines of a policy file into a policy.
-type parser struct {
+// fileParser puts the lines of a policy file into a policy.
+type fileParser struct {
 	policy *Policy
 	// lines has the line in which each setting was set.
 	lines map[string]int
 }
 
 // parseLine puts one line into the policy.
-func (parser *parser) parseLine(line int, text string) error {
+func (parser *fileParser) parseLine(line int, text string) error {
 	if text == "" || strings.HasPrefix(text, "#") {
 		return nil
 	}
@@ -48,7 +48,7 @@
 		return errNoEquals
 	}
 	name = strings.TrimSpace(name)
-	if _, ok := settings[name]; !ok {
+	if _, ok := definitions[name]; !ok {
 		return fmt.Errorf("%s: %w", name, errUnknownSetting())
 	}
 	if before := parser.lines[name]; before > 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -36,7 +36,7 @@
 // Default returns the built-in policy.
 func Default() *Policy {
 	policy := &Policy{programs: map[string]*vm.Program{}, defaults: map[string]*vm.Program{}, warned: map[string]bool{}}
-	for name, setting := range settings {
+	for name, setting := range definitions {
 		program, err := compileExpression(name, setting.fallback)
 		if err != nil {
 			panic(fmt.Sprintf("built-in policy %s: %v", name, err))
@@ -63,7 +63,7 @@
 func Of(expressions map[string]string, fail func(name, want string)) *Policy {
 	policy := Default()
 	for _, name := range slices.Sorted(maps.Keys(expressions)) {
-		if _, ok := settings[name]; !ok {
+		if _, ok := definitions[name]; !ok {
 			fail(name, errUnknownSetting().Error())
 			continue
 		}
@@ -87,7 +87,7 @@
 		summary, _, _ := strings.Cut(err.Error(), "\n")
 		return fmt.Errorf("want a number: %s", summary)
 	}
-	if setting := settings[name]; len(setting.variables) == 0 {
+	if setting := definitions[name]; len(setting.variables) == 0 {
 		// The value is the same every time, so it can be checked now.
 		if value, err := evaluate(program, nil); err == nil && !setting.inRange(value) {
 			return fmt.Errorf("is %g, want %g to %g", value, setting.min, setting.max)
@@ -101,7 +101,7 @@
 // is used, and its value is moved into the range if necessary. The first time that this happens to a
 // setting is logged.
 func (policy *Policy) Value(name string, vars Vars) float64 {
-	setting := settings[name]
+	setting := definitions[name]
 	value, err := evaluate(policy.programs[name], vars)
 	if err == nil && setting.inRange(value) {
 		return value
@@ -130,7 +130,7 @@
 // compileExpression compiles an expression that may use the variables of a setting and gives a number.
 func compileExpression(name, text string) (*vm.Program, error) {
 	environment := map[string]any{}
-	for _, variable := range settings[name].variables {
+	for _, variable := range definitions[name].variables {
 		environment[variable] = 0.0
 	}
 	return expr.Compile(text, expr.Env(environment), expr.AsFloat64())
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -18,8 +18,8 @@
 	BeginByS     = "begin_by_s"
 )
 
-// setting is what is known of a setting.
-type setting struct {
+// definition is what is known of a setting.
+type definition struct {
 	// description says what the setting is, with its unit.
 	description string
 	// fallback is the built-in expression.
@@ -31,12 +31,12 @@
 }
 
 // inRange tells whether a value is valid.
-func (setting setting) inRange(value float64) bool {
+func (setting definition) inRange(value float64) bool {
 	return value >= setting.min && value <= setting.max
 }
 
-// settings has all settings by name.
-var settings = map[string]setting{
+// definitions has all settings by name.
+var definitions = map[string]definition{
 	SlotS: {"length of a slot of the water-filling, in seconds", "2",
 		nil, 0.1, 600},
 	FetchPenalty: {"slots added to the busy time of a machine that lacks the image", "ceil(fetch_s / slot_s)",
@@ -54,10 +54,10 @@
 }
 
 // Names returns the names of all settings in alphabetical order.
-func Names() []string { return slices.Sorted(maps.Keys(settings)) }
+func Names() []string { return slices.Sorted(maps.Keys(definitions)) }
 
 // Describe returns the description of a setting, its built-in expression, and its variables.
 func Describe(name string) (description, fallback string, variables []string) {
-	setting := settings[name]
+	setting := definitions[name]
 	return setting.description, setting.fallback, setting.variables
 }
--- a/settings/check.go
+++ b/settings/check.go
@@ -16,7 +16,7 @@
 
 // check returns an error for the first wrong field, with the number of the others.
 func (settings *Settings) check() error {
-	var checker checker
+	var checker fieldChecker
 	checker.checkMembers(settings)
 	CheckTeams(settings.Facts.Teams, func(index int, field, want string) {
 		name := fmt.Sprintf("facts.teams[%d]", index)
@@ -38,16 +38,16 @@
 	return joined(checker.fieldErrors)
 }
 
-// checker collects the errors of fields.
-type checker struct{ fieldErrors []error }
+// fieldChecker collects the errors of fields.
+type fieldChecker struct{ fieldErrors []error }
 
 // fail records that a field is wrong.
-func (checker *checker) fail(field, want string) {
+func (checker *fieldChecker) fail(field, want string) {
 	checker.fieldErrors = append(checker.fieldErrors, fmt.Errorf("%s: %s", field, want))
 }
 
 // address checks that a field is an IP address with a port.
-func (checker *checker) address(field, value string) {
+func (checker *fieldChecker) address(field, value string) {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
 		checker.fail(field, "must be an IP address and a port")
@@ -55,14 +55,14 @@
 }
 
 // positive checks that a field is a finite number above 0.
-func (checker *checker) positive(field string, value float64) {
+func (checker *fieldChecker) positive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
 		checker.fail(field, "must be a number above 0")
 	}
 }
 
 // checkMembers checks who the controllers are and what addresses they and the services have.
-func (checker *checker) checkMembers(settings *Settings) {
+func (checker *fieldChecker) checkMembers(settings *Settings) {
 	if settings.Member == "" {
 		checker.fail("member", "is missing")
 	}
@@ -82,7 +82,7 @@
 }
 
 // checkState checks the limits of the state service, and those that are announced.
-func (checker *checker) checkState(state State) {
+func (checker *fieldChecker) checkState(state State) {
 	checker.positive("facts.state.rps", state.RPS)
 	checker.positive("facts.state.write_rps", state.WriteRPS)
 	checker.positive("facts.state.value_kb", state.ValueKB)
