--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -74,6 +74,8 @@
 	wake, heartbeatDue chan struct{}
 	// servingSlots holds one value for each peer that is being served.
 	servingSlots chan struct{}
+	// goroutines are those that Run waits for.
+	goroutines sync.WaitGroup
 	// fromStore and fromPeers count the bytes received.
 	fromStore, fromPeers atomic.Int64
 
@@ -150,10 +152,12 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), max(minBurst, burst))
 }
 
-// Run carries out the orders, and sends heartbeats if there are controllers, until ctx ends.
+// Run carries out the orders, and sends heartbeats if there are controllers, until ctx ends. It
+// returns once all transfers and downloads have ended.
 func (agent *Agent) Run(ctx context.Context) {
+	defer agent.goroutines.Wait()
 	if len(agent.options.Controllers) > 0 {
-		go agent.sendHeartbeats(ctx)
+		agent.goroutines.Go(func() { agent.sendHeartbeats(ctx) })
 	}
 	for {
 		var retry <-chan time.Time
--- a/dataagent/reconcile.go
+++ b/dataagent/reconcile.go
@@ -150,7 +150,7 @@
 	transfer := &partTransfer{datasetName: desired.set.Dataset, part: part, manifest: desired.manifest, cancel: cancel}
 	transfer.progress.totalBytes = desired.manifest.PartBytes(part)
 	agent.transfers[key] = transfer
-	go func() {
+	agent.goroutines.Go(func() {
 		agent.copyPart(transferCtx, transfer)
 		cancel()
 		agent.mu.Lock()
@@ -162,7 +162,7 @@
 		agent.updateReplica(desired.manifest, desired.manifestDigest)
 		agent.requestHeartbeat()
 		agent.wakeReconciler()
-	}()
+	})
 }
 
 // cancelStaleTransfers cancels the transfers that the order does not name.
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -134,14 +134,14 @@
 		download = &chunkDownload{done: make(chan struct{}), cancel: cancel}
 		agent.downloads[digest] = download
 		started = true
-		go func() {
+		agent.goroutines.Go(func() {
 			download.err = agent.downloadChunk(ctx, source, transfer, index)
 			agent.mu.Lock()
 			delete(agent.downloads, digest)
 			agent.mu.Unlock()
 			cancel()
 			close(download.done)
-		}()
+		})
 	}
 	download.waiters++
 	return download, started
