--- /dev/null
+++ b/dataagent/agent_test.go
@@ -0,0 +1,135 @@
+package dataagent
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+
+	"switchferry/api"
+	"switchferry/dataset"
+	"switchferry/tuning"
+)
+
+// An order of an earlier leader, an older order of the same one, or one for another incarnation
+// changes nothing, also after a restart of the agent.
+func TestOldOrdersAreRefused(t *testing.T) {
+	fixture := newFixture(t)
+	_, digest := fixture.store.Add("inv", randomBytes(4, 100), 10, 1)
+	dir := t.TempDir()
+	agent, source := fixture.startAgent(dir, 1<<20)
+	fixture.apply(agent, newOrder(7, 3, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+	for _, restarted := range []bool{false, true} {
+		if restarted {
+			agent, source = fixture.startAgent(dir, 1<<20)
+			eventually(t, "what was pinned is pinned after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+		}
+		for _, order := range []*api.StageOrder{newOrder(6, 9, "inv", digest, nil), newOrder(7, 2, "inv", digest, nil), {Term: 7, Order: 4, Incarnation: 99}} {
+			raw, err := json.Marshal(order)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if status, answer := fixture.request(http.MethodPost, "http://"+source.Peer+"/stage", raw); status != http.StatusConflict {
+				t.Fatalf("order %d/%d: status %d %s", order.Term, order.Order, status, answer)
+			}
+		}
+		if pinnedParts(agent, "inv").GetCardinality() != 2 {
+			t.Fatal("an old order unpinned parts")
+		}
+	}
+}
+
+// A removed dataset is deleted from the disk, except the chunks that another one has as well. A
+// dataset that the order asks for stays, whatever else the order says. An order that comes again
+// after a restart has the same effect.
+func TestRemovedDatasetsGo(t *testing.T) {
+	fixture := newFixture(t)
+	data := randomBytes(11, 3000)
+	manifest, old := fixture.store.Add("old", data, 1000, 1)
+	_, next := fixture.store.Add("next", append(data[1000:2000:2000], randomBytes(12, 1000)...), 1000, 1)
+	dir := t.TempDir()
+	agent, _ := fixture.startAgent(dir, 1<<20)
+	from := []api.StageSource{fromStore}
+	both := newOrder(1, 1, "old", old, from, 0, 1, 2)
+	both.Sets = append(both.Sets, newOrder(1, 1, "next", next, from, 0, 1).Sets...)
+	fixture.apply(agent, both)
+	eventually(t, "pinned", func() bool {
+		return pinnedParts(agent, "old").GetCardinality() == 3 && pinnedParts(agent, "next").GetCardinality() == 2
+	})
+	wanted := *both
+	wanted.Order, wanted.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
+	fixture.apply(agent, &wanted)
+	if pinnedParts(agent, "old").GetCardinality() != 3 {
+		t.Fatal("what the order asks for was removed")
+	}
+	order := newOrder(1, 3, "next", next, nil, 0, 1)
+	fixture.apply(agent, order)
+	agent, _ = fixture.startAgent(dir, 1<<20)
+	order.Drop = wanted.Drop
+	fixture.apply(agent, order)
+	for _, h := range agent.Report(true).Holds {
+		if h.Dataset != "next" || h.Parts.GetCardinality() != 2 {
+			t.Errorf("holds %v of %s", h.Parts, h.Dataset)
+		}
+	}
+	if err := agent.cache.Verify(manifest.Chunks[1]); err != nil || agent.cache.Used() != 2000 {
+		t.Errorf("%d bytes left; the shared chunk: %v", agent.cache.Used(), err)
+	}
+	left, err := os.ReadDir(filepath.Join(dir, "chunks"))
+	if err != nil || len(left) != 2 {
+		t.Errorf("%d chunks on disk: %v", len(left), err)
+	}
+}
+
+// An agent finds the leader if one controller is down and another one redirects it, and reports
+// everything that it holds until the leader knows it.
+func TestAgentFindsTheLeader(t *testing.T) {
+	fixture := newFixture(t)
+	_, digest := fixture.store.Add("inv", randomBytes(11, 300), 100, 1)
+	var mu sync.Mutex
+	var last api.StageHeartbeat
+	fulls, known := 0, uint64(0)
+	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		mu.Lock()
+		defer mu.Unlock()
+		last = api.StageHeartbeat{}
+		if err := json.NewDecoder(request.Body).Decode(&last); err != nil || last.Check() != nil || request.URL.Path != "/v1/staging" {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		order := newOrder(4, 1, "inv", digest, []api.StageSource{fromStore}, 0, 2)
+		if last.All {
+			fulls++
+			known = last.Version
+		}
+		order.Known = known
+		_ = json.NewEncoder(w).Encode(order)
+	}))
+	t.Cleanup(leader.Close)
+	follower := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		_, _ = w.Write([]byte(`{"harbor":"c"}`))
+	}))
+	t.Cleanup(follower.Close)
+	down := httptest.NewServer(nil)
+	down.Close()
+	agent, err := New(t.Context(), Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: t.TempDir(), CacheBytes: 1 << 20, Store: fixture.url, Clock: fixture.clock,
+		Controllers: map[string]string{"a": address(down), "b": address(follower), "c": address(leader)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.run(agent)
+	eventually(t, "the leader knows what is pinned, and all that is held", func() bool {
+		fixture.clock.Advance(tuning.StageReportMin)
+		mu.Lock()
+		defer mu.Unlock()
+		return len(last.Pinned) == 1 && last.Pinned[0].Parts.GetCardinality() == 2 && last.Term == 4 && last.Order == 1 && fulls > 0
+	})
+	if agent.Version() == 0 {
+		t.Fatal("nothing was counted as held")
+	}
+}
--- /dev/null
+++ b/dataagent/cache_test.go
@@ -0,0 +1,206 @@
+package dataagent
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/dataset"
+	"switchferry/internal/fake"
+)
+
+// The cache stays within its quota: pinned parts stay, the least recently used of the others are
+// evicted, and no heartbeat names a part that is not there.
+func TestQuotaEvictsOnlyWhatIsFree(t *testing.T) {
+	fixture := newFixture(t)
+	manifest, digest := fixture.store.Add("inv", randomBytes(5, 8000), 1000, 1)
+	agent, _ := fixture.startAgent(t.TempDir(), 3500)
+	from := []api.StageSource{fromStore}
+	get := func(n uint64, parts ...uint32) {
+		fixture.apply(agent, newOrder(1, n, "inv", digest, from, parts...))
+		eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == uint64(len(parts)) })
+	}
+	get(1, 0, 1, 2)
+	get(2, 1, 2)
+	get(3, 1, 2, 3) // Part 0 is evicted.
+	for _, h := range agent.Report(true).Holds {
+		if h.Parts.Contains(0) || !h.Parts.Contains(3) {
+			t.Fatalf("holds %v", h.Parts)
+		}
+	}
+	// A part that does not fit is not copied, and the heartbeat says so.
+	fixture.apply(agent, newOrder(1, 4, "inv", digest, from, 1, 2, 3, 4))
+	eventually(t, "the full cache is reported", func() bool {
+		copies := agent.Report(false).Copies
+		return len(copies) == 1 && copies[0].Full
+	})
+	for part := 1; part <= 3; part++ {
+		if err := agent.cache.Verify(manifest.Chunks[part]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if agent.cache.Used() > 3500 {
+		t.Fatalf("%d bytes used", agent.cache.Used())
+	}
+	// Once other parts may be evicted, it is copied.
+	fixture.apply(agent, newOrder(1, 5, "inv", digest, from, 4))
+	fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(4) })
+}
+
+// A part whose bytes changed on disk is neither pinned nor reported as held.
+func TestDamageOnDiskIsFound(t *testing.T) {
+	fixture := newFixture(t)
+	manifest, digest := fixture.store.Add("inv", randomBytes(6, 3000), 1000, 1)
+	dir := t.TempDir()
+	agent, _ := fixture.startAgent(dir, 1<<20)
+	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+	path := filepath.Join(dir, "chunks", manifest.Chunks[0].Digest.String())
+	if err := os.WriteFile(path, randomBytes(7, 1000), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	fixture.store.Break(fake.Fault{Kind: "503"})
+	restarted, _ := fixture.startAgent(dir, 1<<20)
+	eventually(t, "the intact part is pinned", func() bool { return pinnedParts(restarted, "inv").Contains(1) })
+	eventually(t, "the damaged chunk is removed", func() bool { return !restarted.cache.Has(manifest.Chunks[0]) })
+	if heartbeat := restarted.Report(true); pinnedParts(restarted, "inv").Contains(0) || len(heartbeat.Holds) != 1 || heartbeat.Holds[0].Parts.Contains(0) {
+		t.Fatal("a damaged part is reported as held")
+	}
+}
+
+// A full disk is reported as a full cache, and what the agent holds stays right.
+func TestFullDiskIsReportedAsFullCache(t *testing.T) {
+	if _, err := os.Stat("/dev/full"); err != nil {
+		t.Skip("no /dev/full here")
+	}
+	fixture := newFixture(t)
+	manifest, digest := fixture.store.Add("inv", randomBytes(10, 2000), 1000, 1)
+	dir := t.TempDir()
+	agent, _ := fixture.startAgent(dir, 1<<20)
+	// Writes to the second chunk meet a full disk.
+	if err := os.Symlink("/dev/full", filepath.Join(dir, "partial", manifest.Chunks[1].Digest.String())); err != nil {
+		t.Fatal(err)
+	}
+	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	eventually(t, "the full cache is reported", func() bool {
+		copies := agent.Report(false).Copies
+		return len(copies) == 1 && copies[0].Part == 1 && copies[0].Full
+	})
+	eventually(t, "the other part is there", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+	if pinnedParts(agent, "inv").Contains(1) || agent.cache.Has(manifest.Chunks[1]) {
+		t.Fatal("a chunk without its bytes is held")
+	}
+	if err := os.Remove(filepath.Join(dir, "partial", manifest.Chunks[1].Digest.String())); err != nil {
+		t.Fatal(err)
+	}
+	fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
+}
+
+// killAtStep runs an agent that kills its own process at the step of its writes that the environment
+// names. It returns an error if the agent could not run, and nil if it ended before that step.
+func killAtStep() error {
+	steps, err := strconv.ParseInt(os.Getenv("DATAAGENT_KILL_AT_STEP"), 10, 64)
+	if err != nil {
+		return err
+	}
+	digest, err := dataset.ParseDigest(os.Getenv("DATAAGENT_MANIFEST"))
+	if err != nil {
+		return err
+	}
+	var left atomic.Int64
+	left.Store(steps)
+	step := func(what string) {
+		fmt.Println(what)
+		if left.Add(-1) < 0 {
+			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
+			select {}
+		}
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	agent, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("DATAAGENT_DIR"), CacheBytes: 1 << 30, Store: os.Getenv("DATAAGENT_STORE"), Step: step})
+	if err != nil {
+		return err
+	}
+	go agent.Run(ctx)
+	if _, err := agent.Apply(newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0, 1)); err != nil {
+		return err
+	}
+	for pinnedParts(agent, "inv").GetCardinality() < 2 && ctx.Err() == nil {
+		runtime.Gosched()
+	}
+	return nil
+}
+
+// bytesOnDisk returns the size of all chunks in a cache, complete or not. A directory or a file that
+// is not there has none.
+func bytesOnDisk(dir string) (size int64) {
+	for _, sub := range []string{"chunks", "partial"} {
+		files, _ := os.ReadDir(filepath.Join(dir, sub))
+		for _, file := range files {
+			if info, err := file.Info(); err == nil {
+				size += info.Size()
+			}
+		}
+	}
+	return size
+}
+
+// An agent is killed at each step of its writes, as a real process. What it reports as held
+// afterwards is complete, it serves no incomplete chunk, and it receives at most one block of each
+// transfer again.
+func TestKilledAtEachStep(t *testing.T) {
+	fixture := newFixture(t)
+	data := randomBytes(9, 2*(2*block+500))
+	manifest, digest := fixture.store.Add("inv", data, len(data)/2, 1)
+	last := false
+	for step := 0; !last && step < 60; step++ {
+		dir := t.TempDir()
+		cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^$")
+		cmd.Env = append(os.Environ(), "DATAAGENT_KILL_AT_STEP="+strconv.Itoa(step), "DATAAGENT_DIR="+dir, "DATAAGENT_STORE="+fixture.url, "DATAAGENT_MANIFEST="+digest.String())
+		out, err := cmd.CombinedOutput()
+		last = err == nil
+		if err != nil && !strings.Contains(err.Error(), "killed") {
+			t.Fatalf("step %d: %v %s", step, err, out)
+		}
+		// The store may have sent more than the process received: what it wrote counts.
+		had, blocks := bytesOnDisk(dir), strings.Count(string(out), "write\n")
+		// Two of a chunk's three blocks are full ones. Each transfer may lose its last block.
+		if had < int64(max(0, blocks-2))*500 || blocks >= 5 && had < 2*block {
+			t.Errorf("step %d: %d blocks were written, %d bytes are there", step, blocks, had)
+		}
+		agent, source := fixture.startAgent(dir, 1<<30)
+		for _, held := range agent.Report(true).Holds {
+			for _, part := range held.Parts.ToArray() {
+				if err := agent.cache.Verify(manifest.Chunks[part]); err != nil {
+					t.Fatalf("step %d: reported as held: %v", step, err)
+				}
+			}
+		}
+		for i, chunk := range manifest.Chunks {
+			status, got := fixture.request(http.MethodGet, "http://"+source.Peer+"/chunk/"+chunk.Digest.String(), nil)
+			if status == http.StatusOK && dataset.Sum(got) != chunk.Digest {
+				t.Fatalf("step %d: chunk %d is served incomplete", step, i)
+			}
+		}
+		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+		eventually(t, "complete after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+		if again := agent.Report(false).FromStore - (int64(len(data)) - had); again > 2*block+8192 {
+			t.Errorf("step %d: %d bytes copied again by two transfers, a block is %d", step, again, block)
+		}
+	}
+	if !last {
+		t.Error("the steps never ended")
+	}
+}
--- /dev/null
+++ b/dataagent/fixture_test.go
@@ -0,0 +1,173 @@
+package dataagent
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/RoaringBitmap/roaring/v2"
+	"github.com/jonboulle/clockwork"
+
+	"switchferry/api"
+	"switchferry/dataset"
+	"switchferry/internal/fake"
+	"switchferry/tuning"
+)
+
+// TestMain silences the log. In a process of TestKilledAtEachStep it runs an agent instead of tests.
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError + 1})))
+	if os.Getenv("DATAAGENT_KILL_AT_STEP") != "" {
+		if err := killAtStep(); err != nil {
+			fmt.Println(err)
+			os.Exit(1)
+		}
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// block is the number of bytes that a transfer writes at once.
+const block = tuning.StageBlock
+
+// fromStore is the source that the store is.
+var fromStore = api.StageSource{Store: true}
+
+// randomBytes returns the same bytes for the same seed.
+func randomBytes(seed uint64, size int) []byte {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	out := make([]byte, size)
+	for i := range out {
+		out[i] = byte(rng.Uint32())
+	}
+	return out
+}
+
+// eventually waits until a condition holds, and fails the test after 20 seconds.
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !ok(); runtime.Gosched() {
+		if time.Now().After(end) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// fixture is a store, and a clock that stands still, for agents.
+type fixture struct {
+	t     *testing.T
+	clock *clockwork.FakeClock
+	store *fake.Objects
+	url   string
+}
+
+// newFixture starts a store that ends with the test.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	store := fake.NewObjects()
+	server := httptest.NewServer(store)
+	server.Config.ErrorLog = nil
+	t.Cleanup(server.Close)
+	return &fixture{t: t, clock: clockwork.NewFakeClock(), store: store, url: server.URL}
+}
+
+// startAgent runs an agent over a directory until the test ends, and returns it as a source for peers.
+func (fixture *fixture) startAgent(dir string, quota int64) (*Agent, api.StageSource) {
+	fixture.t.Helper()
+	agent, err := New(fixture.t.Context(), Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: dir, CacheBytes: quota, Store: fixture.url, Clock: fixture.clock, Pack: true})
+	if err != nil {
+		fixture.t.Fatal(err)
+	}
+	server := httptest.NewServer(agent.Handler())
+	fixture.t.Cleanup(server.Close)
+	fixture.run(agent)
+	return agent, api.StageSource{Peer: address(server)}
+}
+
+// run runs an agent until the test ends, and waits for its end then.
+func (fixture *fixture) run(agent *Agent) {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		agent.Run(fixture.t.Context())
+	}()
+	fixture.t.Cleanup(func() { <-ended })
+}
+
+// address returns the host and port of a server.
+func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
+
+// request sends a request and returns the status and the body of the answer.
+func (fixture *fixture) request(method, url string, body []byte) (status int, answer []byte) {
+	fixture.t.Helper()
+	request, err := http.NewRequestWithContext(fixture.t.Context(), method, url, bytes.NewReader(body))
+	if err != nil {
+		fixture.t.Fatal(err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		fixture.t.Fatal(err)
+	}
+	defer closeBody(response)
+	answer, err = io.ReadAll(response.Body)
+	if err != nil {
+		fixture.t.Fatal(err)
+	}
+	return response.StatusCode, answer
+}
+
+// newOrder returns an order for parts of one dataset, with a transfer of each if there are sources.
+func newOrder(term, number uint64, name string, digest dataset.Digest, sources []api.StageSource, parts ...uint32) *api.StageOrder {
+	set := api.StageSet{Dataset: name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
+	for _, part := range parts {
+		if sources != nil {
+			set.Copies = append(set.Copies, api.StageCopy{Part: int(part), From: sources})
+		}
+	}
+	return &api.StageOrder{Term: term, Order: number, Sets: []api.StageSet{set}}
+}
+
+// apply applies an order that the agent must adopt.
+func (fixture *fixture) apply(agent *Agent, order *api.StageOrder) {
+	fixture.t.Helper()
+	if ok, err := agent.Apply(order); !ok || err != nil {
+		fixture.t.Fatalf("order %d/%d: %v %v", order.Term, order.Order, ok, err)
+	}
+}
+
+// pump advances the clock while no chunk is being received, so that pauses end and no transfer
+// stalls, until a condition holds.
+func (fixture *fixture) pump(agent *Agent, ok func() bool) {
+	fixture.t.Helper()
+	eventually(fixture.t, "what the pauses lead to", func() bool {
+		if ok() {
+			return true
+		}
+		agent.mu.Lock()
+		idle := len(agent.downloads) == 0
+		agent.mu.Unlock()
+		if idle {
+			fixture.clock.Advance(tuning.StageBackoff)
+		}
+		return false
+	})
+}
+
+// pinnedParts returns the parts of a dataset that an agent reports as pinned.
+func pinnedParts(agent *Agent, name string) *roaring.Bitmap {
+	for _, held := range agent.Report(false).Pinned {
+		if held.Dataset == name {
+			return held.Parts.Bitmap
+		}
+	}
+	return roaring.New()
+}
--- /dev/null
+++ b/dataagent/source_test.go
@@ -0,0 +1,203 @@
+package dataagent
+
+import (
+	"bytes"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"switchferry/api"
+	"switchferry/internal/fake"
+	"switchferry/tuning"
+)
+
+// If the store fails in the middle of a transfer, in whatever way, the agent turns to a peer, keeps
+// the blocks that came, and pins nothing with wrong bytes.
+func TestStoreVanishesAndAPeerHasIt(t *testing.T) {
+	for _, kind := range []string{"reset", "short", "hang", "drip", "503", "wrong"} {
+		t.Run(kind, func(t *testing.T) {
+			fixture := newFixture(t)
+			data := randomBytes(1, 5*block+100)
+			manifest, digest := fixture.store.Add("inv", data, len(data), 1)
+			peer, peerSource := fixture.startAgent(t.TempDir(), 1<<30)
+			fixture.apply(peer, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
+			eventually(t, "the peer has it", func() bool { return pinnedParts(peer, "inv").Contains(0) })
+
+			fixture.store.Break(fake.Fault{Kind: kind, After: 2*block + 17})
+			dir := t.TempDir()
+			agent, _ := fixture.startAgent(dir, 1<<30)
+			order := newOrder(1, 1, "inv", digest, []api.StageSource{fromStore, peerSource}, 0)
+			if kind == "503" {
+				// The manifest must come from the peer, too.
+				order.Sets[0].Copies[0].From = []api.StageSource{peerSource, fromStore}
+				order.Sets[0].Copies = append(order.Sets[0].Copies[:0], api.StageCopy{Part: 0, From: []api.StageSource{fromStore, peerSource}})
+			}
+			fixture.apply(agent, order)
+			if kind == "hang" || kind == "drip" {
+				<-fixture.store.Hanging
+				// The third block never comes completely.
+				eventually(t, "two blocks are there", func() bool {
+					copies := agent.Report(false).Copies
+					return len(copies) == 1 && copies[0].Got == 2*block
+				})
+				fixture.clock.Advance(tuning.StageStall + time.Second)
+			}
+			eventually(t, "it is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+			if err := agent.cache.Verify(manifest.Chunks[0]); err != nil {
+				t.Fatal(err)
+			}
+			fromPeer := agent.Report(false).FromPeers
+			if kept := int64(len(data)) - fromPeer; kind != "503" && kind != "wrong" && kept < 2*block {
+				t.Errorf("the peer gave %d of %d bytes, so verified blocks were thrown away", fromPeer, len(data))
+			}
+			got, err := os.ReadFile(filepath.Join(dir, "inputs", "inv", "part-000000", "000000"))
+			if err != nil || !bytes.Equal(got, data) {
+				t.Fatalf("what the task reads differs: %v", err)
+			}
+		})
+	}
+}
+
+// Without a peer, the agent waits until the store works again, and then continues where it stopped.
+func TestStoreComesBack(t *testing.T) {
+	for _, kind := range []string{"reset", "503", "wrong"} {
+		t.Run(kind, func(t *testing.T) {
+			fixture := newFixture(t)
+			data := randomBytes(2, 6*block)
+			manifest, digest := fixture.store.Add("inv", data, 3*block, 1)
+			agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
+			// The manifest comes before the store fails.
+			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
+			eventually(t, "the first part is there", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+			fixture.store.Break(fake.Fault{Kind: kind, After: block})
+			fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+			eventually(t, "the failure is reported", func() bool {
+				c := agent.Report(false).Copies
+				return len(c) == 1 && len(c[0].Failed) == 1 && c[0].Failed[0].Corrupt == (kind == "wrong")
+			})
+			if pinnedParts(agent, "inv").Contains(1) {
+				t.Fatal("pinned without its bytes")
+			}
+			before, _ := fixture.store.Served()
+			fixture.store.Break(fake.Fault{})
+			fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
+			after, _ := fixture.store.Served()
+			if want := int64(2 * block); kind == "reset" && after-before > want {
+				t.Errorf("%d bytes were copied again, want at most %d", after-before, want)
+			}
+			if err := agent.cache.Verify(manifest.Chunks[1]); err != nil {
+				t.Fatal(err)
+			}
+		})
+	}
+}
+
+// Two transfers of datasets that share their bytes receive each chunk once. If one of them is
+// cancelled, the other one continues.
+func TestTwoRaceForTheSameChunk(t *testing.T) {
+	fixture := newFixture(t)
+	data := randomBytes(3, 3*block)
+	_, first := fixture.store.Add("one", data, len(data), 1)
+	_, second := fixture.store.Add("two", data, len(data), 1)
+	agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
+	fixture.store.Break(fake.Fault{Kind: "hang", After: block})
+	order := newOrder(1, 1, "one", first, []api.StageSource{fromStore}, 0)
+	both := *order
+	both.Sets = append(both.Sets, newOrder(1, 1, "two", second, []api.StageSource{fromStore}, 0).Sets...)
+	fixture.apply(agent, &both)
+	<-fixture.store.Hanging
+	eventually(t, "both wait for one download", func() bool {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		for _, download := range agent.downloads {
+			return download.waiters == 2
+		}
+		return false
+	})
+	// One job is cancelled; its order lacks one of the two.
+	one := newOrder(1, 2, "two", second, []api.StageSource{fromStore}, 0)
+	fixture.apply(agent, one)
+	eventually(t, "one waits for it", func() bool {
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		for _, download := range agent.downloads {
+			return download.waiters == 1
+		}
+		return false
+	})
+	if _, most := fixture.store.Served(); most != 1 {
+		t.Fatalf("the chunk was asked for %d times", most)
+	}
+	fixture.store.Break(fake.Fault{})
+	fixture.clock.Advance(tuning.StageStall + time.Second)
+	fixture.pump(agent, func() bool { return pinnedParts(agent, "two").Contains(0) })
+	if got := agent.Report(false).FromStore; got > 4*block+4096 {
+		t.Errorf("%d bytes for a chunk of %d", got, 3*block)
+	}
+}
+
+// Peers compress text and not noise. Either way the same bytes arrive.
+func TestPeersCompressWhereItPays(t *testing.T) {
+	for kind, data := range map[string][]byte{"text": bytes.Repeat([]byte("item,player,purchase\n"), 40000), "noise": randomBytes(8, 800000)} {
+		t.Run(kind, func(t *testing.T) {
+			fixture := newFixture(t)
+			_, digest := fixture.store.Add("inv", data, len(data), 1)
+			holder, source := fixture.startAgent(t.TempDir(), 1<<30)
+			fixture.apply(holder, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
+			eventually(t, "the part comes from the store", func() bool { return pinnedParts(holder, "inv").Contains(0) })
+			agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
+			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{source}, 0))
+			eventually(t, "the part comes from the peer", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+			if got := agent.Report(false).FromPeers; (got < int64(len(data))/2) != (kind == "text") {
+				t.Errorf("%d bytes over the link for %d", got, len(data))
+			}
+		})
+	}
+}
+
+// If a peer serves other bytes than it reported, or has none, the next source is used. Only wrong
+// bytes are reported as corrupt.
+func TestCorruptPeerIsReportedAndReplaced(t *testing.T) {
+	for _, kind := range []string{"other bytes", "nothing", "packed nonsense"} {
+		t.Run(kind, func(t *testing.T) {
+			fixture := newFixture(t)
+			_, digest := fixture.store.Add("inv", randomBytes(12, 5000), 5000, 1)
+			asked := make(chan struct{}, 8)
+			corruptPeer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+				asked <- struct{}{}
+				switch {
+				case kind == "nothing" || strings.HasPrefix(request.URL.Path, "/manifest/"):
+					w.WriteHeader(http.StatusNotFound)
+				case kind == "packed nonsense":
+					w.Header().Set("Content-Encoding", "zstd")
+					_, _ = w.Write(randomBytes(13, 900))
+				default:
+					_, _ = w.Write(randomBytes(13, 5000))
+				}
+			}))
+			t.Cleanup(corruptPeer.Close)
+			agent, _ := fixture.startAgent(t.TempDir(), 1<<20)
+			peer := api.StageSource{Peer: address(corruptPeer)}
+			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{peer, fromStore}, 0))
+			reported := false
+			eventually(t, "the part comes from the store", func() bool {
+				for _, progress := range agent.Report(false).Copies {
+					for _, failure := range progress.Failed {
+						reported = reported || failure.Corrupt && failure.From == peer
+					}
+				}
+				return pinnedParts(agent, "inv").Contains(0)
+			})
+			if kind == "nothing" && reported {
+				t.Error("a peer that evicted a part is reported as corrupt")
+			}
+			if len(asked) < 2 {
+				t.Errorf("the peer was asked %d times, so this shows nothing", len(asked))
+			}
+		})
+	}
+}
