--- /dev/null
+++ b/staging/links.go
@@ -0,0 +1,106 @@
+package staging
+
+import (
+	"switchferry/api"
+	"switchferry/replicas"
+)
+
+// transferCounts counts the transfers at the store, and on the links of the agents in their fields
+// incoming and outgoing. A transfer counts as if it came from its first source.
+type transferCounts struct {
+	fromStore int
+	// byPart counts the transfers of each part from any source.
+	byPart map[partKey]int
+}
+
+// recount counts all transfers from scratch. Agents that were removed and added meanwhile may have
+// been counted under an address that another agent has now.
+func (counts *transferCounts) recount(agents, agentsByAddress map[string]*agentState) {
+	clear(counts.byPart)
+	counts.fromStore = 0
+	for _, agent := range agents {
+		agent.incoming, agent.outgoing = 0, 0
+	}
+	for _, agent := range agents {
+		for name, desired := range agent.desired {
+			for part, transfer := range desired.transfers {
+				counts.add(agent, partKey{name, part}, transfer.sources[0], agentsByAddress)
+			}
+		}
+	}
+}
+
+// add counts a transfer to an agent's machine.
+func (counts *transferCounts) add(agent *agentState, key partKey, source api.StageSource, agentsByAddress map[string]*agentState) {
+	agent.incoming++
+	counts.byPart[key]++
+	if source.Store {
+		counts.fromStore++
+	} else if peer := agentsByAddress[source.Peer]; peer != nil {
+		peer.outgoing++
+	}
+}
+
+// remove reverts add.
+func (counts *transferCounts) remove(agent *agentState, key partKey, source api.StageSource, agentsByAddress map[string]*agentState) {
+	agent.incoming--
+	counts.byPart[key]--
+	if counts.byPart[key] <= 0 {
+		delete(counts.byPart, key)
+	}
+	if source.Store {
+		counts.fromStore--
+	} else if peer := agentsByAddress[source.Peer]; peer != nil {
+		peer.outgoing--
+	}
+}
+
+// cancelAllTransfers removes all transfers to an agent's machine.
+func (planner *Planner) cancelAllTransfers(agent *agentState) {
+	for _, desired := range agent.desired {
+		for part := range desired.transfers {
+			planner.cancelTransfer(agent, desired, part)
+		}
+	}
+}
+
+// cancelTransfer removes the transfer of a part, if there is one.
+func (planner *Planner) cancelTransfer(agent *agentState, desired *desiredDataset, part int) {
+	transfer := desired.transfers[part]
+	if transfer == nil {
+		return
+	}
+	delete(desired.transfers, part)
+	planner.counts.remove(agent, partKey{desired.summary.Name, part}, transfer.sources[0], planner.agentsByAddress)
+}
+
+// byteQueues are the bytes that were still to be delivered at the last call of Plan; those to each
+// machine are in agentState.queuedBytes.
+type byteQueues struct {
+	// fromStore are the bytes that only the store has.
+	fromStore float64
+	// missing are the bytes of each part that each machine lacks.
+	missing map[partKey]map[replicas.MachineID]float64
+}
+
+// reset empties the queues, those of the agents included.
+func (queues *byteQueues) reset(agents map[string]*agentState) {
+	queues.fromStore = 0
+	clear(queues.missing)
+	for _, agent := range agents {
+		agent.queuedBytes = 0
+	}
+}
+
+// add adds the missing bytes of a demanded part. StoreOnly means that they come from the store.
+func (queues *byteQueues) add(agent *agentState, demand Demand, missing float64, storeOnly bool) {
+	key := partKey{demand.Set.Name, demand.Part}
+	if queues.missing[key] == nil {
+		queues.missing[key] = map[replicas.MachineID]float64{}
+	}
+	queues.missing[key][agent.id] = missing
+	agent.queuedBytes += missing
+	if storeOnly {
+		queues.fromStore += missing
+	}
+}
--- a/staging/plan.go
+++ b/staging/plan.go
@@ -14,8 +14,8 @@
 // returns the names of the machines whose order must be sent now, sorted.
 func (planner *Planner) Plan(demands []Demand, now time.Time) []string {
 	planner.updateDesired(demands)
-	planner.recountTransfers()
-	planner.resetQueues()
+	planner.counts.recount(planner.agents, planner.agentsByAddress)
+	planner.queues.reset(planner.agents)
 	snapshot := planner.index.Snapshot()
 	changed := map[*agentState]bool{}
 	for _, demand := range demands {
@@ -27,7 +27,8 @@
 		if updated {
 			changed[agent] = true
 		}
-		planner.queueBytes(agent, demand, missing, snapshot)
+		storeOnly := !planner.limits.Peers || len(snapshot.Holders(demand.Set.Name, demand.Part)) == 0
+		planner.queues.add(agent, demand, missing, storeOnly)
 	}
 	return planner.dueOrders(changed, now)
 }
@@ -54,34 +55,11 @@
 		return missing, false
 	}
 	desired.transfers[demand.Part] = &partTransfer{sources: sources, lastProgress: now, failures: map[api.StageSource]string{}}
-	planner.countTransfer(agent, demand.Set.Name, demand.Part, sources[0])
+	planner.counts.add(agent, partKey{demand.Set.Name, demand.Part}, sources[0], planner.agentsByAddress)
 	planner.Planned++
 	return missing, true
 }
 
-// resetQueues clears what is queued on the links and at the store.
-func (planner *Planner) resetQueues() {
-	planner.queuedStoreBytes = 0
-	clear(planner.missingBytes)
-	for _, agent := range planner.agents {
-		agent.queuedBytes = 0
-	}
-}
-
-// queueBytes adds the missing bytes of a part to the queue of the machine's link, and to the
-// store's if no machine holds the part.
-func (planner *Planner) queueBytes(agent *agentState, demand Demand, missing float64, snapshot *replicas.Snapshot) {
-	key := partKey{demand.Set.Name, demand.Part}
-	if planner.missingBytes[key] == nil {
-		planner.missingBytes[key] = map[replicas.MachineID]float64{}
-	}
-	planner.missingBytes[key][agent.id] = missing
-	agent.queuedBytes += missing
-	if !planner.limits.Peers || len(snapshot.Holders(demand.Set.Name, demand.Part)) == 0 {
-		planner.queuedStoreBytes += missing
-	}
-}
-
 // dueOrders numbers the orders of the changed agents. It returns the machines whose order must
 // be sent: those that changed, and those that did not acknowledge their order in time.
 func (planner *Planner) dueOrders(changed map[*agentState]bool, now time.Time) []string {
@@ -106,60 +84,3 @@
 	slices.Sort(due)
 	return due
 }
-
-// recountTransfers counts the transfers on each link from scratch. Agents that were removed and
-// added meanwhile may have been counted under an address that another agent has now.
-func (planner *Planner) recountTransfers() {
-	clear(planner.transfersByPart)
-	planner.storeTransfers = 0
-	for _, agent := range planner.agents {
-		agent.incoming, agent.outgoing = 0, 0
-	}
-	for _, agent := range planner.agents {
-		for name, desired := range agent.desired {
-			for part, transfer := range desired.transfers {
-				planner.countTransfer(agent, name, part, transfer.sources[0])
-			}
-		}
-	}
-}
-
-// countTransfer counts a transfer on the links that it uses, as if it came from its first source.
-func (planner *Planner) countTransfer(agent *agentState, datasetName string, part int, source api.StageSource) {
-	agent.incoming++
-	planner.transfersByPart[partKey{datasetName, part}]++
-	if source.Store {
-		planner.storeTransfers++
-	} else if peer := planner.agentsByAddress[source.Peer]; peer != nil {
-		peer.outgoing++
-	}
-}
-
-// cancelAllTransfers removes all transfers to an agent's machine.
-func (planner *Planner) cancelAllTransfers(agent *agentState) {
-	for _, desired := range agent.desired {
-		for part := range desired.transfers {
-			planner.cancelTransfer(agent, desired, part)
-		}
-	}
-}
-
-// cancelTransfer removes the transfer of a part, if there is one, and reverts countTransfer.
-func (planner *Planner) cancelTransfer(agent *agentState, desired *desiredDataset, part int) {
-	transfer := desired.transfers[part]
-	if transfer == nil {
-		return
-	}
-	delete(desired.transfers, part)
-	agent.incoming--
-	key := partKey{desired.summary.Name, part}
-	planner.transfersByPart[key]--
-	if planner.transfersByPart[key] <= 0 {
-		delete(planner.transfersByPart, key)
-	}
-	if source := transfer.sources[0]; source.Store {
-		planner.storeTransfers--
-	} else if peer := planner.agentsByAddress[source.Peer]; peer != nil {
-		peer.outgoing--
-	}
-}
--- a/staging/planner.go
+++ b/staging/planner.go
@@ -56,14 +56,8 @@
 	agentsByAddress map[string]*agentState
 	agentsByID      map[replicas.MachineID]*agentState
 
-	// storeTransfers counts the transfers from the store, transfersByPart the transfers of
-	// each part from any source.
-	storeTransfers  int
-	transfersByPart map[partKey]int
-	// queuedStoreBytes are the bytes that the store has still to deliver, and missingBytes the
-	// bytes of each part that each machine lacks, both as of the last call of Plan.
-	queuedStoreBytes float64
-	missingBytes     map[partKey]map[replicas.MachineID]float64
+	counts transferCounts
+	queues byteQueues
 
 	// corruptPeers are the addresses of agents that served wrong bytes. They are not used as
 	// sources any more in this term.
@@ -150,8 +144,8 @@
 		agents:           map[string]*agentState{},
 		agentsByAddress:  map[string]*agentState{},
 		agentsByID:       map[replicas.MachineID]*agentState{},
-		transfersByPart:  map[partKey]int{},
-		missingBytes:     map[partKey]map[replicas.MachineID]float64{},
+		counts:           transferCounts{byPart: map[partKey]int{}},
+		queues:           byteQueues{missing: map[partKey]map[replicas.MachineID]float64{}},
 		corruptPeers:     map[string]bool{},
 		removedManifests: map[string]string{},
 	}
--- a/staging/queries.go
+++ b/staging/queries.go
@@ -94,13 +94,13 @@
 // that has queued bytes to deliver before them, or from the store under its present load.
 // StoreOnly says that no machine holds the bytes.
 func (planner *Planner) TransferDelay(queued, bytes float64, storeOnly bool) float64 {
-	return cost.Copy(bytes, queued, planner.limits.LinkRate, planner.queuedStoreBytes, planner.limits.StoreRate, storeOnly || !planner.limits.Peers)
+	return cost.Copy(bytes, queued, planner.limits.LinkRate, planner.queues.fromStore, planner.limits.StoreRate, storeOnly || !planner.limits.Peers)
 }
 
 // InFlight returns the machines that shall receive a part and do not have it yet, with the bytes
 // that they lack, as of the last call of Plan. The caller must not change the map.
 func (planner *Planner) InFlight(set string, part int) map[replicas.MachineID]float64 {
-	return planner.missingBytes[partKey{set, part}]
+	return planner.queues.missing[partKey{set, part}]
 }
 
 // Spread returns how long, in seconds, the sources of a part need until one more machine has it.
@@ -109,7 +109,7 @@
 	if planner.limits.LinkRate <= 0 || !planner.limits.Peers {
 		return 0
 	}
-	ahead := len(planner.missingBytes[partKey{set.Name, part}])
+	ahead := len(planner.queues.missing[partKey{set.Name, part}])
 	doublings := math.Ceil(math.Log2(1 + float64(ahead+1)/float64(max(1, holders))))
 	return float64(set.PartBytes(part)) / planner.limits.LinkRate * doublings
 }
--- a/staging/sources.go
+++ b/staging/sources.go
@@ -26,7 +26,7 @@
 		}
 		return sources
 	}
-	if busy || planner.storeTransfers >= planner.limits.AtStore || planner.limits.Peers && planner.isProgressing(demand.Set.Name, demand.Part, now) {
+	if busy || planner.counts.fromStore >= planner.limits.AtStore || planner.limits.Peers && planner.isProgressing(demand.Set.Name, demand.Part, now) {
 		return nil
 	}
 	return []api.StageSource{{Store: true}}
@@ -61,7 +61,7 @@
 // isProgressing returns whether some machine is receiving the part, and its transfer has neither
 // failed nor stalled.
 func (planner *Planner) isProgressing(datasetName string, part int, now time.Time) bool {
-	if planner.transfersByPart[partKey{datasetName, part}] == 0 {
+	if planner.counts.byPart[partKey{datasetName, part}] == 0 {
 		return false
 	}
 	for _, agent := range planner.agents {
@@ -100,7 +100,7 @@
 		next.failures = map[api.StageSource]string{}
 	}
 	desired.transfers[demand.Part] = next
-	planner.countTransfer(agent, desired.summary.Name, demand.Part, next.sources[0])
+	planner.counts.add(agent, partKey{desired.summary.Name, demand.Part}, next.sources[0], planner.agentsByAddress)
 	return replaced
 }
 
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -21,8 +21,8 @@
 	for range 40 {
 		cluster.step(planner, demands)
 		for _, agent := range planner.agents {
-			if agent.incoming > 2 || agent.outgoing > 2 || planner.storeTransfers > 2 || agent.incoming < 0 || agent.outgoing < 0 {
-				t.Fatalf("%s: %d in, %d out, %d from the store", agent.name, agent.incoming, agent.outgoing, planner.storeTransfers)
+			if agent.incoming > 2 || agent.outgoing > 2 || planner.counts.fromStore > 2 || agent.incoming < 0 || agent.outgoing < 0 {
+				t.Fatalf("%s: %d in, %d out, %d from the store", agent.name, agent.incoming, agent.outgoing, planner.counts.fromStore)
 			}
 		}
 	}
@@ -177,8 +177,8 @@
 				}
 				outgoing, incoming = outgoing+agent.outgoing, incoming+agent.incoming
 			}
-			if fromStore != planner.storeTransfers || outgoing > incoming {
-				t.Fatalf("seed %d: %d from the store, counted %d", seed, fromStore, planner.storeTransfers)
+			if fromStore != planner.counts.fromStore || outgoing > incoming {
+				t.Fatalf("seed %d: %d from the store, counted %d", seed, fromStore, planner.counts.fromStore)
 			}
 		}
 		if !cluster.confirmed(planner, demands) {
