--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -10,7 +10,6 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/jonboulle/clockwork"
@@ -66,18 +65,14 @@
 	clock   clockwork.Clock
 	http    *http.Client
 	cache   *Cache
+	sources *sourceClient
+	chunks  *chunkServer
 	// ctx bounds downloads of chunks, which may outlive the transfer that started them.
 	ctx context.Context
-	// downLimiter and upLimiter are nil without a limit.
-	downLimiter, upLimiter *rate.Limiter
 	// wake starts the next reconciliation, heartbeatDue sends the next heartbeat early.
 	wake, heartbeatDue chan struct{}
-	// servingSlots holds one value for each peer that is being served.
-	servingSlots chan struct{}
 	// goroutines are those that Run waits for.
 	goroutines sync.WaitGroup
-	// fromStore and fromPeers count the bytes received.
-	fromStore, fromPeers atomic.Int64
 
 	// orderMu is held while an order is stored and adopted, so that orders are applied one after
 	// the other. It is locked before mu.
@@ -121,17 +116,17 @@
 	if err != nil {
 		return nil, err
 	}
+	client := &http.Client{Transport: options.Transport}
 	agent := &Agent{
 		options:      options,
 		clock:        options.Clock,
-		http:         &http.Client{Transport: options.Transport},
+		http:         client,
 		cache:        cache,
+		sources:      &sourceClient{http: client, clock: options.Clock, store: options.Store, pack: options.Pack, limiter: newLimiter(options.DownRate)},
+		chunks:       &chunkServer{cache: cache, limiter: newLimiter(options.UpRate), slots: make(chan struct{}, options.AtOnce)},
 		ctx:          ctx,
-		downLimiter:  newLimiter(options.DownRate),
-		upLimiter:    newLimiter(options.UpRate),
 		wake:         make(chan struct{}, 1),
 		heartbeatDue: make(chan struct{}, 1),
-		servingSlots: make(chan struct{}, options.AtOnce),
 		desired:      map[string]*desiredDataset{},
 		transfers:    map[partKey]*partTransfer{},
 		downloads:    map[dataset.Digest]*chunkDownload{},
@@ -188,9 +183,9 @@
 }
 
 // sleep waits for a duration, or until ctx ends.
-func (agent *Agent) sleep(ctx context.Context, duration time.Duration) {
+func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-agent.clock.After(duration):
+	case <-clock.After(duration):
 	}
 }
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -47,8 +47,8 @@
 		Used:        agent.cache.Used(),
 		Version:     agent.replicasVersion,
 		All:         all,
-		FromStore:   agent.fromStore.Load(),
-		FromPeers:   agent.fromPeers.Load(),
+		FromStore:   agent.sources.fromStore.Load(),
+		FromPeers:   agent.sources.fromPeers.Load(),
 	}
 	if all {
 		heartbeat.Holds = agent.heldParts()
@@ -109,13 +109,13 @@
 			continue
 		case err == nil && redirect != names[current] && slices.Contains(names, redirect):
 			current = slices.Index(names, redirect)
-			agent.sleep(ctx, tuning.StageReportMin)
+			sleep(ctx, agent.clock, tuning.StageReportMin)
 			continue
 		case err != nil:
 			slog.Debug("heartbeat not accepted", "by", names[current], "err", err)
 		}
 		current = (current + 1) % len(names)
-		agent.sleep(ctx, nextControllerDelay)
+		sleep(ctx, agent.clock, nextControllerDelay)
 	}
 }
 
@@ -123,7 +123,7 @@
 // interval has passed or a heartbeat was requested.
 func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
 	interval := agent.clock.After(tuning.StageReportEvery)
-	agent.sleep(ctx, tuning.StageReportMin)
+	sleep(ctx, agent.clock, tuning.StageReportMin)
 	select {
 	case <-ctx.Done():
 	case <-interval:
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -1,6 +1,7 @@
 package dataagent
 
 import (
+	"context"
 	"encoding/json"
 	"io"
 	"log/slog"
@@ -12,6 +13,7 @@
 
 	"github.com/klauspost/compress/zstd"
 	"github.com/labstack/echo/v4"
+	"golang.org/x/time/rate"
 
 	"switchferry/api"
 	"switchferry/dataset"
@@ -29,8 +31,8 @@
 func (agent *Agent) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
-	router.GET("/chunk/:digest", agent.serveChunk)
-	router.GET("/manifest/:digest", agent.serveManifest)
+	router.GET("/chunk/:digest", agent.chunks.serveChunk)
+	router.GET("/manifest/:digest", agent.chunks.serveManifest)
 	router.POST("/stage", agent.serveOrder)
 	router.GET("/show", func(request echo.Context) error {
 		return request.JSON(http.StatusOK, agent.Report(true))
@@ -38,13 +40,22 @@
 	return router
 }
 
+// chunkServer serves the chunks and manifests of a cache to peers.
+type chunkServer struct {
+	cache *Cache
+	// limiter keeps to the serving rate; it is nil without a limit.
+	limiter *rate.Limiter
+	// slots holds one value for each peer that is being served.
+	slots chan struct{}
+}
+
 // serveManifest sends a manifest that the cache has.
-func (agent *Agent) serveManifest(request echo.Context) error {
+func (server *chunkServer) serveManifest(request echo.Context) error {
 	digest, err := dataset.ParseDigest(request.Param("digest"))
 	if err != nil {
 		return request.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
 	}
-	_, raw, err := agent.cache.Manifest(digest)
+	_, raw, err := server.cache.Manifest(digest)
 	if err != nil {
 		return request.JSON(http.StatusNotFound, api.Error{Error: "no such manifest here"})
 	}
@@ -80,24 +91,24 @@
 // serveChunk sends a chunk, or a range of it, to a peer. The file of a chunk is complete; whether its
 // bytes are still right is checked by the peer. If as many peers are served as may be, the answer is
 // status 503 at once, so that the peer can turn to another source.
-func (agent *Agent) serveChunk(request echo.Context) error {
+func (server *chunkServer) serveChunk(request echo.Context) error {
 	digest, err := dataset.ParseDigest(request.Param("digest"))
 	if err != nil {
 		return request.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
 	}
 	select {
-	case agent.servingSlots <- struct{}{}:
-		defer func() { <-agent.servingSlots }()
+	case server.slots <- struct{}{}:
+		defer func() { <-server.slots }()
 	default:
 		request.Response().Header().Set("Retry-After", retryAfter)
 		return request.JSON(http.StatusServiceUnavailable, api.Error{Error: "enough peers are being served"})
 	}
-	file, _, err := agent.cache.Open(digest)
+	file, _, err := server.cache.Open(digest)
 	if err != nil {
 		return request.JSON(http.StatusNotFound, api.Error{Error: "no such chunk here"})
 	}
 	defer func() { _ = file.Close() }() // It was only read.
-	writer := &limitedWriter{ResponseWriter: request.Response().Writer, agent: agent, request: request.Request()}
+	writer := &limitedWriter{ResponseWriter: request.Response().Writer, limiter: server.limiter, ctx: request.Request().Context()}
 	writer.Header().Set("Content-Type", "application/octet-stream")
 	header := request.Request().Header
 	if header.Get("Range") == "" && header.Get("Accept-Encoding") == "zstd" && worthPacking(file) {
@@ -135,23 +146,23 @@
 	return err == nil && size > 0 && float64(len(encoder.EncodeAll(sample[:size], nil))) < tuning.PackPays*float64(size)
 }
 
-// limitedWriter keeps a response to the agent's serving rate. It has no ReadFrom method, so that
+// limitedWriter keeps a response to the serving rate. It has no ReadFrom method, so that
 // everything goes through Write.
 type limitedWriter struct {
 	http.ResponseWriter
-	agent *Agent
-	// request's context bounds the waits for the rate.
-	request *http.Request
+	// limiter is nil without a limit.
+	limiter *rate.Limiter
+	// ctx bounds the waits for the rate.
+	ctx context.Context
 }
 
 // Write implements io.Writer.
 func (limited *limitedWriter) Write(content []byte) (written int, err error) {
-	limiter := limited.agent.upLimiter
 	for len(content) > 0 && err == nil {
 		burst := content
-		if limiter != nil {
-			burst = content[:min(len(content), limiter.Burst())]
-			if err := limiter.WaitN(limited.request.Context(), len(burst)); err != nil {
+		if limited.limiter != nil {
+			burst = content[:min(len(content), limited.limiter.Burst())]
+			if err := limited.limiter.WaitN(limited.ctx, len(burst)); err != nil {
 				return written, err
 			}
 		}
--- a/dataagent/source.go
+++ b/dataagent/source.go
@@ -6,8 +6,11 @@
 	"fmt"
 	"io"
 	"net/http"
+	"sync/atomic"
 
+	"github.com/jonboulle/clockwork"
 	"github.com/klauspost/compress/zstd"
+	"golang.org/x/time/rate"
 
 	"switchferry/api"
 	"switchferry/dataset"
@@ -23,15 +26,29 @@
 	errNoSource = errors.New("no source is known for it")
 )
 
+// sourceClient receives chunks and manifests from the store and from peers. It is safe for concurrent
+// use.
+type sourceClient struct {
+	http  *http.Client
+	clock clockwork.Clock
+	// store is the base URL of the store. Pack asks peers to compress where that pays.
+	store string
+	pack  bool
+	// limiter keeps to the receiving rate; it is nil without a limit.
+	limiter *rate.Limiter
+	// fromStore and fromPeers count the bytes received.
+	fromStore, fromPeers atomic.Int64
+}
+
 // requestChunk asks a source for the bytes of a chunk from the given one on. A whole chunk of a peer
 // may come compressed. The caller must close the response's body. The error is ErrCorrupt if the
 // source answers with another range.
-func (agent *Agent) requestChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, from int64) (*http.Response, error) {
+func (client *sourceClient) requestChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, from int64) (*http.Response, error) {
 	chunk := transfer.manifest.Chunks[index]
 	url := "http://" + source.Peer + "/chunk/" + chunk.Digest.String()
 	first := from
 	if source.Store {
-		url = agent.options.Store + "/" + transfer.datasetName + "/data"
+		url = client.store + "/" + transfer.datasetName + "/data"
 		first = transfer.manifest.Offset(index) + from
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -41,10 +58,10 @@
 	ranged := source.Store || from > 0
 	if ranged {
 		request.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", first, first+chunk.Bytes-from-1))
-	} else if agent.options.Pack {
+	} else if client.pack {
 		request.Header.Set("Accept-Encoding", "zstd")
 	}
-	response, err := agent.http.Do(request)
+	response, err := client.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +96,10 @@
 
 // readChunk writes the rest of a chunk to a writer. Each block must come within tuning.StageStall,
 // or the source counts as stalled. Blocks that came stay in the writer whatever happens.
-func (agent *Agent) readChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, writer *Writer) error {
+func (client *sourceClient) readChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, writer *Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := agent.clock.AfterFunc(tuning.StageStall, func() {
+	stall := client.clock.AfterFunc(tuning.StageStall, func() {
 		cancel(fmt.Errorf("no block within %v", tuning.StageStall))
 	})
 	defer stall.Stop()
@@ -93,12 +110,12 @@
 		}
 		return err
 	}
-	response, err := agent.requestChunk(ctx, source, transfer, index, writer.At())
+	response, err := client.requestChunk(ctx, source, transfer, index, writer.At())
 	if err != nil {
 		return cause(err)
 	}
 	defer closeBody(response)
-	body := io.Reader(&meteredReader{response.Body, agent, ctx, source})
+	body := io.Reader(&meteredReader{response.Body, client, ctx, source})
 	if response.Header.Get("Content-Encoding") == "zstd" {
 		decoder, err := zstd.NewReader(body, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.PackMemory))
 		if err != nil {
@@ -135,7 +152,7 @@
 	for _, source := range sources {
 		var manifest *dataset.Manifest
 		var raw []byte
-		manifest, raw, err = agent.fetchManifest(ctx, source, datasetName, digest)
+		manifest, raw, err = agent.sources.fetchManifest(ctx, source, datasetName, digest)
 		if err == nil {
 			return manifest, agent.cache.SaveManifest(digest, raw)
 		}
@@ -145,8 +162,8 @@
 }
 
 // fetchManifest receives a manifest from a source, and checks its digest and its name.
-func (agent *Agent) fetchManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) (*dataset.Manifest, []byte, error) {
-	raw, err := agent.readManifest(ctx, source, datasetName, digest)
+func (client *sourceClient) fetchManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) (*dataset.Manifest, []byte, error) {
+	raw, err := client.readManifest(ctx, source, datasetName, digest)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -164,19 +181,19 @@
 }
 
 // readManifest receives the bytes of a manifest from a source within tuning.StageStall.
-func (agent *Agent) readManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) ([]byte, error) {
+func (client *sourceClient) readManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) ([]byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer agent.clock.AfterFunc(tuning.StageStall, cancel).Stop()
+	defer client.clock.AfterFunc(tuning.StageStall, cancel).Stop()
 	url := "http://" + source.Peer + "/manifest/" + digest.String()
 	if source.Store {
-		url = agent.options.Store + "/" + datasetName + "/manifest.json"
+		url = client.store + "/" + datasetName + "/manifest.json"
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := agent.http.Do(request)
+	response, err := client.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -184,17 +201,17 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %d", response.StatusCode)
 	}
-	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, agent, ctx, source}, tuning.ManifestLimit+1))
+	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, client, ctx, source}, tuning.ManifestLimit+1))
 }
 
 // closeBody closes a response's body. Its error is of no consequence: what was read was checked, or
 // an earlier error was returned.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// meteredReader counts the bytes that come from a source, and keeps to the agent's receiving rate.
+// meteredReader counts the bytes that come from a source, and keeps to the receiving rate.
 type meteredReader struct {
 	reader io.Reader
-	agent  *Agent
+	client *sourceClient
 	// ctx bounds the waits for the rate.
 	ctx    context.Context
 	source api.StageSource
@@ -202,7 +219,7 @@
 
 // Read implements io.Reader.
 func (metered *meteredReader) Read(buffer []byte) (int, error) {
-	limiter := metered.agent.downLimiter
+	limiter := metered.client.limiter
 	if limiter != nil {
 		buffer = buffer[:min(len(buffer), limiter.Burst())]
 	}
@@ -211,9 +228,9 @@
 		return size, err
 	}
 	if metered.source.Store {
-		metered.agent.fromStore.Add(int64(size))
+		metered.client.fromStore.Add(int64(size))
 	} else {
-		metered.agent.fromPeers.Add(int64(size))
+		metered.client.fromPeers.Add(int64(size))
 	}
 	if limiter != nil {
 		if waitErr := limiter.WaitN(metered.ctx, size); waitErr != nil && err == nil {
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -72,7 +72,7 @@
 		agent.recordFailure(transfer, source, failures, err)
 		if failures%len(sources) == 0 {
 			doublings := min(failures/len(sources)-1, maxBackoffDoublings)
-			agent.sleep(ctx, min(tuning.StageBackoffMax, tuning.StageBackoff<<doublings))
+			sleep(ctx, agent.clock, min(tuning.StageBackoffMax, tuning.StageBackoff<<doublings))
 		}
 	}
 	slog.Info("part complete", "dataset", transfer.datasetName, "part", transfer.part, "bytes", transfer.manifest.PartBytes(transfer.part))
@@ -170,7 +170,7 @@
 		}
 		fromThisSourceAlone := writer.At() == 0
 		transfer.progress.add(writer.At())
-		if err := agent.readChunk(ctx, source, transfer, index, writer); err != nil {
+		if err := agent.sources.readChunk(ctx, source, transfer, index, writer); err != nil {
 			transfer.progress.add(-writer.At())
 			if errors.Is(err, ErrCorrupt) {
 				writer.Drop()
