--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -9,6 +9,7 @@
 	"switchferry/controller"
 )
 
+// jobAccepted records that a controller accepted a job, with the status that it answered.
 func (checker *invariantChecker) jobAccepted(job *trackedJob, status api.JobStatus) {
 	checker.mu.Lock()
 	job.acceptedAt = time.Now()
@@ -20,14 +21,14 @@
 	checker.recordAnswer(job, http.StatusOK, status)
 }
 
-// jobOver tells whether a job is over for its user.
+// jobOver reports whether the user of a job was told of a terminal state.
 func (checker *invariantChecker) jobOver(job *trackedJob) bool {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	return job.finalState != ""
 }
 
-// recordWrongAnswer notes an answer that the protocol does not have.
+// recordWrongAnswer counts an answer that the protocol does not have, and explains it.
 func (checker *invariantChecker) recordWrongAnswer(format string, a ...any) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -35,8 +36,8 @@
 	checker.explain("wrong answer: "+format, a...)
 }
 
-// answeredAt takes in the answer to a request that was sent then, beside others: what the user was told meanwhile
-// may be newer, since the two crossed.
+// checkAnswer checks the answer to a request that was sent at a time. The same user may have other requests under way:
+// an answer that crossed with a newer one, which reported a terminal state, is passed over.
 func (checker *invariantChecker) checkAnswer(job *trackedJob, sent time.Time, code int, status api.JobStatus, verb string) {
 	checker.mu.Lock()
 	crossed := job.finalAt.After(sent) && status.State != api.Done && status.State != api.Cancelled
@@ -53,6 +54,7 @@
 	}
 }
 
+// recordRefusal records that a valid submission was refused: if the job had been accepted, it is forgotten.
 func (checker *invariantChecker) recordRefusal(job *trackedJob, code int) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -63,17 +65,17 @@
 	}
 }
 
-// recordAnswer takes in an answer, and tells whether the job is over for its user.
-func (checker *invariantChecker) recordAnswer(job *trackedJob, code int, status api.JobStatus) bool {
+// recordAnswer compares an answer about a job with what its user was told before and with what runs.
+func (checker *invariantChecker) recordAnswer(job *trackedJob, code int, status api.JobStatus) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	now := time.Now()
 	if code == http.StatusNotFound {
 		checker.recordViolation("forgotten", "%s: 404", job.ID)
-		return false
+		return
 	}
 	if code != http.StatusOK && code != http.StatusCreated {
-		return false
+		return
 	}
 	if !checker.faultsOverAt.IsZero() {
 		checker.result.LongestUnansweredS = max(checker.result.LongestUnansweredS, now.Sub(job.answeredAt).Seconds())
@@ -89,27 +91,32 @@
 		}
 		checker.recordFinalState(job, status.State)
 	case api.Cancelled:
-		if job.cancelledAt.IsZero() {
-			job.cancelledAt = now
-		}
-		if !job.cancelRequested && !checker.dependencyCancelled(job) {
-			checker.recordViolation("went_back", "%s is called cancelled, and was not", job.ID)
-		}
-		checker.recordFinalState(job, status.State)
-		for _, other := range checker.jobsInOrder {
-			if slices.Contains(other.Awaits, job.ID) && other.orphanedAt.IsZero() {
-				other.orphanedAt = now
-			}
-		}
+		checker.recordCancelled(job, now)
 	default:
 		if !job.orphanedAt.IsZero() && !job.acceptedAt.IsZero() && now.Sub(laterOf(job.orphanedAt, job.acceptedAt)) > seconds(checker.sim.Workers.CancelS) {
 			checker.recordViolation("orphaned", "%s is %s", job.ID, status.State)
 		}
 	}
-	return job.finalState != ""
 }
 
-// recordFinalState notes the state that a user was told for good; the lock is held.
+// recordCancelled records that a job was reported as cancelled, which somebody must have asked for, and that the jobs
+// that await it are orphaned; checker.mu is held.
+func (checker *invariantChecker) recordCancelled(job *trackedJob, now time.Time) {
+	if job.cancelledAt.IsZero() {
+		job.cancelledAt = now
+	}
+	if !job.cancelRequested && !checker.dependencyCancelled(job) {
+		checker.recordViolation("went_back", "%s is called cancelled, and was not", job.ID)
+	}
+	checker.recordFinalState(job, api.Cancelled)
+	for _, other := range checker.jobsInOrder {
+		if slices.Contains(other.Awaits, job.ID) && other.orphanedAt.IsZero() {
+			other.orphanedAt = now
+		}
+	}
+}
+
+// recordFinalState records the terminal state that a user was told; checker.mu is held.
 func (checker *invariantChecker) recordFinalState(job *trackedJob, state string) {
 	if job.finalState == "" {
 		job.finalAt = time.Now()
@@ -117,8 +124,8 @@
 	job.finalState = state
 }
 
-// dependencyCancelled tells whether the user of a job before one has asked to cancel it: the one's may hear first that
-// it counts.
+// dependencyCancelled reports whether the user of a job that a job awaits, directly or not, has asked to cancel it. Its
+// dependant may be reported as cancelled before it is itself.
 func (checker *invariantChecker) dependencyCancelled(job *trackedJob) bool {
 	return slices.ContainsFunc(job.Awaits, func(id string) bool {
 		other := checker.jobs[id]
@@ -126,7 +133,7 @@
 	})
 }
 
-// awaitsDependency tells whether a job that one awaits is not done.
+// awaitsDependency reports whether a job that a job awaits is not done; checker.mu is held.
 func (checker *invariantChecker) awaitsDependency(job *trackedJob) bool {
 	for _, id := range job.Awaits {
 		if other := checker.jobs[id]; other == nil || len(other.doneTasks) < other.Tasks {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// inject plays one trouble to its end.
+// inject begins a fault and returns once it is over.
 func (sim *simulation) inject(ctx context.Context, fault Fault) {
 	lead := sim.leader()
 	who := lead
@@ -16,12 +16,13 @@
 	}
 	play, ok := faultHandlers[fault.Kind]
 	if !ok {
-		panic(fmt.Sprintf("no trouble %q", fault.Kind))
+		panic(fmt.Sprintf("no fault of kind %q", fault.Kind))
 	}
 	play(&activeFault{sim, ctx, fault, lead, who})
 }
 
-// activeFault is a trouble under way: who is the controller that it strikes.
+// activeFault is a fault that is being injected. leaderName is who led when it began, targetName the controller that it
+// affects.
 type activeFault struct {
 	*simulation
 	ctx context.Context
@@ -29,7 +30,7 @@
 	leaderName, targetName string
 }
 
-// faultHandlers plays each kind to its end.
+// faultHandlers begin a fault of each kind and return once it is over.
 var faultHandlers = map[string]func(s *activeFault){
 	RollingRestart: (*activeFault).rollingRestart, ControllerCrash: (*activeFault).crashControllers,
 	ControllerIsolated: (*activeFault).partitionController, ControllerPartition: (*activeFault).partitionController, ControllerPairPartition: (*activeFault).partitionController,
@@ -43,14 +44,14 @@
 	InvalidRequests:     func(s *activeFault) { s.during(func(by int) { s.invalidRequestFaults.Add(int32(by)) }) },
 }
 
-// during changes something by one for as long as the trouble lasts.
+// during calls change with 1 as the fault begins, and with -1 as it ends.
 func (active *activeFault) during(change func(by int)) {
 	change(1)
 	active.sleep(active.ctx, active.For)
 	change(-1)
 }
 
-// cutLinks cuts ways, each from one to another, for as long as the trouble lasts.
+// cutLinks cuts links, each from one host to another, for as long as the fault lasts.
 func (active *activeFault) cutLinks(links [][2]string) {
 	active.during(func(by int) {
 		for _, link := range links {
@@ -59,7 +60,7 @@
 	})
 }
 
-// bothDirections are the ways between one and others.
+// bothDirections are the links between one host and others, in both directions.
 func bothDirections(one string, others []string) (links [][2]string) {
 	for _, other := range others {
 		if other != one {
@@ -69,7 +70,7 @@
 	return links
 }
 
-// crashController ends a controller, which is back after the trouble's time.
+// crashController ends a controller's process, which starts again after the fault's duration.
 func (active *activeFault) crashController(name string) {
 	active.stopController(name)
 	active.actors.Go(func() {
@@ -79,6 +80,7 @@
 	})
 }
 
+// rollingRestart restarts the controllers one after the other.
 func (active *activeFault) rollingRestart() {
 	for _, name := range controllerNames {
 		active.crashController(name)
@@ -88,13 +90,14 @@
 	}
 }
 
+// crashControllers ends Count controllers, beginning with the target.
 func (active *activeFault) crashControllers() {
 	for i := range min(active.Count, 3) {
 		active.crashController(controllerNames[(slices.Index(controllerNames, active.targetName)+i)%3])
 	}
 }
 
-// partitionController cuts a controller off from others: from the state service and the other controllers, from everything, or from
+// partitionController cuts a controller off from the state service and the other controllers, from everything, or from
 // one other controller.
 func (active *activeFault) partitionController() {
 	others := append([]string{"state"}, controllerNames...)
@@ -107,7 +110,7 @@
 	active.cutLinks(bothDirections(active.targetName, others))
 }
 
-// markFaulted notes that a trouble meets some machines, and gives their names.
+// markFaulted marks all machines as met by a fault and returns the names of those selected.
 func (active *activeFault) markFaulted(which func(machine *simulatedMachine) bool) (names []string) {
 	active.withLock(func() {
 		for _, machine := range active.machines {
@@ -120,6 +123,7 @@
 	return names
 }
 
+// loseOutbound cuts the links from all controllers to some machines, and records for how long these heard nobody.
 func (active *activeFault) loseOutbound() {
 	deaf := active.pickMachines(active.Count)
 	var links [][2]string
@@ -142,6 +146,7 @@
 	})
 }
 
+// loseControllerOutbound cuts the links from one controller to all machines.
 func (active *activeFault) loseControllerOutbound() {
 	var links [][2]string
 	for _, name := range active.markFaulted(func(*simulatedMachine) bool { return true }) {
@@ -150,10 +155,12 @@
 	active.cutLinks(links)
 }
 
+// duplicateHeartbeats has some heartbeats delivered twice.
 func (active *activeFault) duplicateHeartbeats() {
 	active.during(func(by int) { active.withLock(func() { active.duplicatingHeartbeats = by > 0 }) })
 }
 
+// crashMachines ends machines for good, with their tasks.
 func (active *activeFault) crashMachines() {
 	for _, machine := range active.pickMachines(active.Count) {
 		active.withLock(func() { machine.dead = true })
@@ -162,15 +169,17 @@
 	}
 }
 
+// restartWorkers ends all tasks of some machines, whose workers are back at once.
 func (active *activeFault) restartWorkers() {
 	for _, machine := range active.pickMachines(active.Count) {
 		machine.worker.Restart()
 	}
 }
 
+// stateOutage makes the state service unavailable to all.
 func (active *activeFault) stateOutage() { active.during(func(by int) { active.state.Outage(by > 0) }) }
 
-// pauseProcess freezes a controller; what comes for it waits at its door.
+// pauseProcess pauses a controller's process. Messages for it are delivered afterwards.
 func (active *activeFault) pauseProcess() {
 	var links [][2]string
 	for _, other := range controllerNames {
@@ -183,6 +192,7 @@
 	active.setPaused(active.targetName, false)
 }
 
+// slowState slows the state service for the target, or for all unless Count is 1.
 func (active *activeFault) slowState() {
 	who := active.targetName
 	if active.Count != 1 {
@@ -191,10 +201,12 @@
 	active.during(func(by int) { active.withLock(func() { active.slowStateFaults[who] += by }) })
 }
 
+// hangPicked suspends some machines.
 func (active *activeFault) hangPicked() {
 	active.hangMachines(active.ctx, active.pickMachines(active.Count), active.For)
 }
 
+// loseInbound keeps the heartbeats of some machines, or of all in the leader's zone, from the controllers.
 func (active *activeFault) loseInbound() {
 	mute := active.pickMachines(active.Count)
 	if active.Follower {
@@ -212,7 +224,7 @@
 	})
 }
 
-// cancellationWave has the users who wait at this moment cancel.
+// cancellationWave hands the fault to all users who wait at this moment.
 func (active *activeFault) cancellationWave() {
 	active.withLock(func() { active.hungByWave = 0 })
 	for {
@@ -224,6 +236,7 @@
 	}
 }
 
+// refuseState has the state service refuse the target.
 func (active *activeFault) refuseState() {
 	how := refusalUnavailable
 	if active.Unanswered {
@@ -239,6 +252,7 @@
 	})
 }
 
+// partitionZone cuts the target's zone off from the other one and from the services, in both directions.
 func (active *activeFault) partitionZone() {
 	zone := active.controllers[active.targetName].zone
 	inside := active.markFaulted(func(machine *simulatedMachine) bool { return machine.Zone == zone })
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -6,13 +6,16 @@
 	"io"
 	"net"
 	"os"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// linkTable is the network: each direction of each pair of hosts is cut or not by itself.
+// linkTable says which links are cut. A link is one direction between two hosts.
 type linkTable struct {
+	// mu guards cuts, which counts the cuts of a link from one host to another, and changed, which is closed
+	// and replaced with each change.
 	mu      sync.Mutex
 	cuts    map[[2]string]int
 	changed chan struct{}
@@ -22,7 +25,8 @@
 	return &linkTable{cuts: map[[2]string]int{}, changed: make(chan struct{})}
 }
 
-// setCut cuts, or joins again, what goes from one host to another. Cuts count: two of them end with both.
+// setCut adds or removes a cut of the link from one host to another. A link with two cuts works again once both are
+// removed.
 func (links *linkTable) setCut(from, to string, on bool) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
@@ -35,22 +39,29 @@
 	links.changed = make(chan struct{})
 }
 
+// isCut reports whether a link is cut, and returns a channel that is closed when any link changes.
 func (links *linkTable) isCut(from, to string) (bool, chan struct{}) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
 	return links.cuts[[2]string{from, to}] > 0, links.changed
 }
 
-// controllerNetwork is the network between the controllers.
+// newControllerNetwork makes a network without listeners.
+func newControllerNetwork(partitions *linkTable) *controllerNetwork {
+	return &controllerNetwork{partitions: partitions, listeners: map[string]*simulatedListener{}, conns: map[*simulatedConn]string{}}
+}
+
+// controllerNetwork connects the controllers with each other by simulated TCP connections.
 type controllerNetwork struct {
 	partitions *linkTable
 
 	mu        sync.Mutex
 	listeners map[string]*simulatedListener
-	conns     map[*simulatedConn]string // by the host at the other end
+	// conns holds each open end of a connection with the host that it belongs to.
+	conns map[*simulatedConn]string
 }
 
-// simulatedListener is a controller's listener in one of its lives.
+// simulatedListener is the listener of a controller's process.
 type simulatedListener struct {
 	host     string
 	incoming chan net.Conn
@@ -61,8 +72,8 @@
 // Accept waits for a connection.
 func (listener *simulatedListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-listener.incoming:
-		return c, nil
+	case testCase := <-listener.incoming:
+		return testCase, nil
 	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
@@ -85,7 +96,7 @@
 // String is the address.
 func (address simulatedAddr) String() string { return string(address) }
 
-// listen begins a life of a host.
+// listen makes the listener of a host's new process.
 func (network *controllerNetwork) listen(host string) *simulatedListener {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -94,7 +105,7 @@
 	return listener
 }
 
-// reset ends a host's life: its connections are reset, and new ones refused.
+// reset ends a host's process: its connections are reset, and new ones are refused.
 func (network *controllerNetwork) reset(host string) {
 	network.mu.Lock()
 	if listener := network.listeners[host]; listener != nil {
@@ -113,46 +124,51 @@
 	}
 }
 
-// dialer connects one host to another.
-func (b *controllerNetwork) dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
-	return func(ctx context.Context, _, to string) (net.Conn, error) {
-		fail := func(err error) (net.Conn, error) {
-			return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: simulatedAddr(to), Err: err}
-		}
-		if cut, _ := b.partitions.isCut(from, to); !cut {
-			cut, _ = b.partitions.isCut(to, from)
-			if !cut {
-				b.mu.Lock()
-				listener := b.listeners[to]
-				b.mu.Unlock()
-				if listener == nil {
-					return fail(syscall.ECONNREFUSED)
-				}
-				here, there := b.pair(from, to)
-				select {
-				case listener.incoming <- there:
-					return here, nil
-				case <-listener.closed:
-					_ = here.Close()
-					return fail(syscall.ECONNREFUSED)
-				case <-ctx.Done():
-					_ = here.Close()
-					return fail(ctx.Err())
-				}
-			}
+// dialer is how a host connects to others. An attempt over a cut link fails after dialTimeout.
+func (network *controllerNetwork) dialer(from string) func(ctx context.Context, networkName, address string) (net.Conn, error) {
+	return func(ctx context.Context, _, address string) (net.Conn, error) {
+		conn, err := network.dial(ctx, from, address)
+		if err != nil {
+			return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: simulatedAddr(address), Err: err}
 		}
+		return conn, nil
+	}
+}
+
+// dial connects two hosts if both links between them work and the other one listens.
+func (network *controllerNetwork) dial(ctx context.Context, from, address string) (net.Conn, error) {
+	outboundCut, _ := network.partitions.isCut(from, address)
+	inboundCut, _ := network.partitions.isCut(address, from)
+	if outboundCut || inboundCut {
 		select {
 		case <-ctx.Done():
 		case <-time.After(dialTimeout):
 		}
-		return fail(os.ErrDeadlineExceeded)
+		return nil, os.ErrDeadlineExceeded
+	}
+	network.mu.Lock()
+	listener := network.listeners[address]
+	network.mu.Unlock()
+	if listener == nil {
+		return nil, syscall.ECONNREFUSED
+	}
+	here, there := network.pair(from, address)
+	select {
+	case listener.incoming <- there:
+		return here, nil
+	case <-listener.closed:
+		_ = here.Close()
+		return nil, syscall.ECONNREFUSED
+	case <-ctx.Done():
+		_ = here.Close()
+		return nil, ctx.Err()
 	}
 }
 
-// dialTimeout is how long a connection attempt into a cut takes to fail.
+// dialTimeout is how long a connection attempt over a cut link takes to fail.
 const dialTimeout = time.Second
 
-// pair is a connection's two ends.
+// pair makes the two ends of a connection.
 func (network *controllerNetwork) pair(from, to string) (*simulatedConn, *simulatedConn) {
 	x, y := newByteStream(), newByteStream()
 	here := &simulatedConn{network: network, from: from, to: to, inbound: y, outbound: x}
@@ -164,7 +180,7 @@
 	return here, there
 }
 
-// simulatedConn is one end of a connection. What is written while the direction is cut arrives afterwards.
+// simulatedConn is one end of a connection. What is written while its link is cut arrives afterwards.
 type simulatedConn struct {
 	network           *controllerNetwork
 	from, to          string
@@ -173,33 +189,31 @@
 }
 
 // Read waits for what the other end wrote.
-func (conn *simulatedConn) Read(p []byte) (int, error) {
+func (conn *simulatedConn) Read(buffer []byte) (int, error) {
 	for {
-		n, more, err := conn.inbound.read(p)
-		if n > 0 {
-			if cut, changed := conn.network.partitions.isCut(conn.to, conn.from); cut {
-				conn.inbound.unread(p[:n])
-				select {
-				case <-changed:
-				case <-conn.inbound.closed:
-					return 0, io.EOF
-				}
-				continue
-			}
-			return n, nil
-		}
+		count, written, err := conn.inbound.read(buffer)
 		if err != nil {
 			return 0, err
 		}
+		// changed is what may make a further attempt succeed.
+		changed := written
+		if count > 0 {
+			cut, linkChanged := conn.network.partitions.isCut(conn.to, conn.from)
+			if !cut {
+				return count, nil
+			}
+			conn.inbound.unread(buffer[:count])
+			changed = linkChanged
+		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-conn.inbound.closed:
 			return 0, io.EOF
 		}
 	}
 }
 
-// Write hands bytes on; it never waits.
+// Write appends to the stream; it never waits.
 func (conn *simulatedConn) Write(p []byte) (int, error) { return conn.outbound.write(p) }
 
 // Close resets the connection.
@@ -218,7 +232,7 @@
 // RemoteAddr is the other end's address.
 func (conn *simulatedConn) RemoteAddr() net.Addr { return simulatedAddr(conn.to) }
 
-// SetDeadline is not needed here, nor are the other two.
+// SetDeadline does nothing, nor do the other two: controllers close connections that hang.
 func (conn *simulatedConn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing.
@@ -227,7 +241,7 @@
 // SetWriteDeadline does nothing.
 func (conn *simulatedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// byteStream is one direction's bytes.
+// byteStream is the unbounded buffer of one direction of a connection.
 type byteStream struct {
 	mu      sync.Mutex
 	buffer  []byte
@@ -242,6 +256,8 @@
 
 var errConnectionReset = errors.New("connection reset")
 
+// read takes bytes from the stream. It returns io.EOF once the stream is closed, and a channel that is closed with the
+// next write.
 func (stream *byteStream) read(to []byte) (int, chan struct{}, error) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
@@ -255,13 +271,15 @@
 	return n, stream.written, nil
 }
 
-func (stream *byteStream) unread(b []byte) {
+// unread puts bytes back in front.
+func (stream *byteStream) unread(data []byte) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
-	stream.buffer = append(append([]byte{}, b...), stream.buffer...)
+	stream.buffer = append(slices.Clone(data), stream.buffer...)
 }
 
-func (stream *byteStream) write(b []byte) (int, error) {
+// write appends bytes; it fails once the stream is closed.
+func (stream *byteStream) write(data []byte) (int, error) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
 	select {
@@ -269,10 +287,11 @@
 		return 0, errConnectionReset
 	default:
 	}
-	stream.buffer = append(stream.buffer, b...)
+	stream.buffer = append(stream.buffer, data...)
 	close(stream.written)
 	stream.written = make(chan struct{})
-	return len(b), nil
+	return len(data), nil
 }
 
+// close ends the stream; what is in it is lost.
 func (stream *byteStream) close() { stream.once.Do(func() { close(stream.closed) }) }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -7,6 +7,7 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -17,8 +18,8 @@
 	"switchferry/store"
 )
 
-// The team whose limit tells by which revision a submission was judged: it is one of two, and what is submitted for it
-// fits into the larger one alone.
+// The probe is a job of probeCPUs processors for a team whose limit is one of two, of which it fits the larger only. The
+// answer to it tells by which revision it was judged.
 const (
 	probeTeam       = "probe"
 	probeLimitSmall = 4.0
@@ -26,29 +27,34 @@
 	probeCPUs       = 8.0
 )
 
-// operators change the configuration while the day goes on, one change after the other, and submit jobs that tell by
-// which revision they are judged. They check that nobody decides or answers by a revision older than one that they were
-// finalState is in force.
+// inForceTimeout is how long the operators wait for a change to be in force.
+const inForceTimeout = 8 * time.Second
+
+// operators change the configuration while the simulation runs, one change after the other, and submit probes. They check
+// that no controller decides or answers by a revision older than one that was confirmed to be in force.
 type operators struct {
 	sim *simulation
 
+	// mu guards the fields below.
 	mu       sync.Mutex
 	attempts []configurationAttempt
-	// inForce is the last attempt that they were told is in force, at finalAt; -1: none.
+	// inForce is the index of the last attempt that was confirmed to be in force, at confirmedAt; -1: none.
 	inForce     int
 	confirmedAt time.Time
-	// recordedStarts is when the newest attempt of each task came on record.
+	// recordedStarts is when the newest start of each task was written to the state service.
 	recordedStarts map[string]recordedStart
-	changes        int
+	// changes counts the confirmed changes.
+	changes int
 }
 
-// configurationAttempt is a document that was sent, whatever became of it.
+// configurationAttempt is a configuration that was sent, whether it came into force or not.
 type configurationAttempt struct {
 	probeLimit float64
-	// teamLimits are of the teams that do the day's work.
+	// teamLimits are the limits of the teams that submit jobs.
 	teamLimits map[string]float64
 }
 
+// recordedStart is a start of a task in the state service's records.
 type recordedStart struct {
 	attempt uint64
 	at      time.Time
@@ -58,34 +64,36 @@
 	return &operators{sim: sim, inForce: -1, recordedStarts: map[string]recordedStart{}}
 }
 
-// randomAttempt makes the next document. Every job of the day fits into its limits; with all, they are as in the settings.
-func (ops *operators) randomAttempt(rng *rand.Rand, all bool) configurationAttempt {
+// randomAttempt draws the next configuration. Every job fits its limits; with initialLimits they are as in the settings.
+func (ops *operators) randomAttempt(rng *rand.Rand, initialLimits bool) configurationAttempt {
 	attempt := configurationAttempt{probeLimit: probeLimitSmall, teamLimits: map[string]float64{}}
 	if rng.IntN(2) == 0 {
 		attempt.probeLimit = probeLimitLarge
 	}
-	for _, team := range []string{"one", "two"} {
+	for _, team := range teamNames {
 		attempt.teamLimits[team] = ops.sim.teamLimit()
-		if !all {
+		if !initialLimits {
 			attempt.teamLimits[team] = max(3*machineType.CPUs, ops.sim.teamLimit()*rng.Float64())
 		}
 	}
 	return attempt
 }
 
+// document is the configuration's text; a random comment makes each one different.
 func (attempt *configurationAttempt) document(rng *rand.Rand) string {
 	var text strings.Builder
 	if rng.IntN(3) == 0 {
 		text.WriteString("[over_limit]\nrunning = \"stop\"\nstop_within_s = 5\n")
 	}
 	fmt.Fprintf(&text, "# %d\n[[teams]]\nname = %q\ncpus_max = %g\n", rng.Int64(), probeTeam, attempt.probeLimit)
-	for _, team := range []string{"one", "two"} {
+	for _, team := range teamNames {
 		fmt.Fprintf(&text, "[[teams]]\nname = %q\ncpus_max = %g\n", team, attempt.teamLimits[team])
 	}
 	return text.String()
 }
 
-// changeRepeatedly changes the configuration again and again, and in the end has all limits as in the settings.
+// changeRepeatedly changes the configuration for as long as users submit jobs, and then back to the limits in the
+// settings.
 func (ops *operators) changeRepeatedly(ctx context.Context, began time.Time) {
 	rng := ops.sim.actorRNG("operators")
 	for ops.sim.sleep(ctx, ops.sim.ChangeInterval) && time.Since(began) < ops.sim.SubmitFor {
@@ -96,12 +104,12 @@
 	}
 }
 
-// change makes one change and waits a while for it to be in force; true: it is.
-func (ops *operators) change(ctx context.Context, rng *rand.Rand, all bool) bool {
-	attempt := ops.randomAttempt(rng, all)
+// change makes one change and waits for it to be in force; it reports false if that is not confirmed in time.
+func (ops *operators) change(ctx context.Context, rng *rand.Rand, initialLimits bool) bool {
+	attempt := ops.randomAttempt(rng, initialLimits)
 	body, err := json.Marshal(api.ConfigurationRequest{Document: attempt.document(rng), By: "operators", Why: "the day"})
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("encoding a change of the configuration: %v", err))
 	}
 	ops.mu.Lock()
 	ops.attempts = append(ops.attempts, attempt)
@@ -114,19 +122,8 @@
 	if code != http.StatusOK && code != http.StatusAccepted || json.Unmarshal(raw, &made) != nil {
 		return false
 	}
-	for end := time.Now().Add(8 * time.Second); code != http.StatusOK; {
-		if time.Now().After(end) || !ops.sim.sleep(ctx, 100*time.Millisecond) {
-			return false
-		}
-		var v api.ConfigurationView
-		if shown, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbConfiguration}); shown == http.StatusOK && json.Unmarshal(raw, &v) == nil && v.Leader && v.InForce {
-			switch {
-			case v.Revision == made.Revision:
-				code = http.StatusOK
-			case v.Revision > made.Revision:
-				return false
-			}
-		}
+	if code != http.StatusOK && !ops.awaitInForce(ctx, rng, made.Revision) {
+		return false
 	}
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
@@ -135,92 +132,104 @@
 	return true
 }
 
-// request sends a request to any controller that runs, and gives its answer as it is.
+// awaitInForce asks controllers until the leader answers that a revision is in force; it reports false if a later one
+// is, or if inForceTimeout has passed.
+func (ops *operators) awaitInForce(ctx context.Context, rng *rand.Rand, revision uint64) bool {
+	for end := time.Now().Add(inForceTimeout); ; {
+		if time.Now().After(end) || !ops.sim.sleep(ctx, 100*time.Millisecond) {
+			return false
+		}
+		code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbConfiguration})
+		var view api.ConfigurationView
+		if code != http.StatusOK || json.Unmarshal(raw, &view) != nil || !view.Leader || !view.InForce {
+			continue
+		}
+		if view.Revision >= revision {
+			return view.Revision == revision
+		}
+	}
+}
+
+// request sends a request to a random controller and returns its answer, or 0 if it does not run or answer in time.
 func (ops *operators) request(ctx context.Context, rng *rand.Rand, request peer.Request) (code int, body []byte) {
 	name := controllerNames[rng.IntN(len(controllerNames))]
 	instance := ops.sim.runningController(name)
 	if instance == nil {
 		return 0, nil
 	}
-	call, stop := context.WithTimeout(ctx, 5*time.Second)
+	call, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
-	got := make(chan peer.Response, 1)
-	go func() {
-		ops.sim.waitWhilePaused(name)
-		response := instance.Handle(call, request, false)
-		ops.sim.waitWhilePaused(name)
-		got <- response
-	}()
-	select {
-	case response := <-got:
-		return response.Status, response.Body
-	case <-call.Done():
+	response, ok := ops.sim.call(call, name, instance, request)
+	if !ok {
 		return 0, nil
 	}
+	return response.Status, response.Body
 }
 
-// submitProbes submits, again and again, a job that can never be accepted: where its team's limit lets it pass, it is refused
-// for a job that it awaits and that was never submitted.
+// submitProbes submits again and again a job that can never be accepted. Where its team's limit admits it, it is refused
+// for awaiting a job that was never submitted; the reason of the refusal tells which limit applied.
 func (ops *operators) submitProbes(ctx context.Context) {
 	rng := ops.sim.actorRNG("probes")
-	submission := api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: probeCPUs, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}}
-	body, err := json.Marshal(&submission)
-	if err != nil {
-		panic(err)
-	}
+	body := encodeSubmission(&api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: probeCPUs, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}})
 	for ops.sim.sleep(ctx, 200*time.Millisecond) {
 		ops.mu.Lock()
 		oldest := ops.inForce
 		ops.mu.Unlock()
 		code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbSubmit, Body: body})
-		var refused api.Error
-		if code != http.StatusUnprocessableEntity || json.Unmarshal(raw, &refused) != nil || oldest < 0 {
+		var refusal api.Error
+		if code != http.StatusUnprocessableEntity || json.Unmarshal(raw, &refusal) != nil || oldest < 0 {
 			continue
 		}
-		passed := refused.Field == "awaits"
-		ops.mu.Lock()
-		possible := false
-		for _, attempt := range ops.attempts[oldest:] {
-			possible = possible || passed == (attempt.probeLimit >= probeCPUs)
-		}
-		ops.mu.Unlock()
-		if !possible {
-			ops.sim.checker.mu.Lock()
-			ops.sim.checker.recordViolation("older_revision", "a submission is judged by another limit than the one in force and all later ones: passed %v", passed)
-			ops.sim.checker.mu.Unlock()
+		admitted := refusal.Field == "awaits"
+		if !ops.probeAnswerPossible(admitted, oldest) {
+			checker := ops.sim.checker
+			checker.mu.Lock()
+			checker.recordViolation("older_revision", "a submission is judged by another limit than the one in force and all later ones: passed %v", admitted)
+			checker.mu.Unlock()
 		}
 	}
 }
 
-// checkStart checks a start against the limits in force when it came on record; use is the team's with it.
-func (ops *operators) checkStart(task, team string, use float64) (broken string) {
+// probeAnswerPossible reports whether any attempt from the oldest on explains that a probe was admitted or not.
+func (ops *operators) probeAnswerPossible(admitted bool, oldest int) bool {
+	ops.mu.Lock()
+	defer ops.mu.Unlock()
+	return slices.ContainsFunc(ops.attempts[oldest:], func(attempt configurationAttempt) bool {
+		return admitted == (attempt.probeLimit >= probeCPUs)
+	})
+}
+
+// checkStart checks a start against the limits in force when it was recorded; usage is the team's with it. It returns a
+// description of the violation, empty if there is none.
+func (ops *operators) checkStart(task, team string, usage float64) (violation string) {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
 	if ops.inForce < 0 {
 		return ""
 	}
-	// What was recorded before they were told may have been decided by an older one.
+	// A start that was recorded before the confirmation may have been decided by an older revision.
 	limit := ops.attempts[ops.inForce].teamLimits[team]
 	for _, attempt := range ops.attempts[ops.inForce+1:] {
 		limit = max(limit, attempt.teamLimits[team])
 	}
-	if r, ok := ops.recordedStarts[task]; !ok || !r.at.After(ops.confirmedAt) || use <= limit+1e-6 {
+	if start, ok := ops.recordedStarts[task]; !ok || !start.at.After(ops.confirmedAt) || usage <= limit+cpuTolerance {
 		return ""
 	}
-	return fmt.Sprintf("%s was recorded after a limit of %g came into force, and %s uses %g", task, limit, team, use)
+	return fmt.Sprintf("%s was recorded after a limit of %g came into force, and %s uses %g", task, limit, team, usage)
 }
 
-// startRecorder is the state service as seen by the operators: they note when starts come on record.
+// startRecorder passes requests on to the state service and records, for the operators, when starts of tasks were
+// written.
 type startRecorder struct{ operators *operators }
 
-// RoundTrip executes one request.
+// RoundTrip passes one request on.
 func (recorder startRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
-	if request.URL.Path != "/multi" || request.Body == nil {
+	if request.URL.Path != transactionPath || request.Body == nil {
 		return recorder.operators.sim.state.RoundTrip(request)
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading a transaction: %w", err)
 	}
 	request.Body = io.NopCloser(strings.NewReader(string(body)))
 	resp, err := recorder.operators.sim.state.RoundTrip(request)
@@ -230,6 +239,7 @@
 	return resp, err
 }
 
+// recordStarts records the starts that an executed transaction wrote.
 func (ops *operators) recordStarts(body []byte) {
 	var transaction struct {
 		Then []struct {
@@ -248,10 +258,10 @@
 		if !strings.HasPrefix(op.Set, store.ShardPrefix) || !ok || json.Unmarshal(op.Value, &record) != nil {
 			continue
 		}
-		for _, p := range record.On {
-			task := fmt.Sprintf("%s/%d", shard.Job, p.Task)
-			if p.Attempt > ops.recordedStarts[task].attempt {
-				ops.recordedStarts[task] = recordedStart{p.Attempt, time.Now()}
+		for _, placed := range record.On {
+			task := fmt.Sprintf("%s/%d", shard.Job, placed.Task)
+			if placed.Attempt > ops.recordedStarts[task].attempt {
+				ops.recordedStarts[task] = recordedStart{placed.Attempt, time.Now()}
 			}
 		}
 	}
--- a/internal/simulation/processes.go
+++ b/internal/simulation/processes.go
@@ -15,14 +15,14 @@
 	"switchferry/store"
 )
 
-// controllerProcess is a controller's life; node is nil while it has none.
+// controllerProcess is a controller that is started and ended again; instance and stop are nil while it does not run.
 type controllerProcess struct {
 	name, zone string
 	instance   *controller.Controller
 	stop       context.CancelFunc
 }
 
-// startController begins a life of a controller.
+// startController starts a controller's process unless it runs.
 func (sim *simulation) startController(ctx context.Context, name string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -30,27 +30,33 @@
 	if process.instance != nil || ctx.Err() != nil {
 		return
 	}
-	set := &settings.Settings{Member: name, Zone: process.zone}
-	set.External = settings.External{State: "state:1", Cloud: "cloud:1"}
-	set.Facts = settings.Facts{Nodes: 3, Zones: []string{"east", "west"}, Workers: sim.Workers,
-		Teams: []settings.Team{{Name: "one", CPUsMax: sim.teamLimit()}, {Name: "two", CPUs: min(sim.teamLimit(), float64(sim.Machines)), CPUsMax: sim.teamLimit()}},
-		State: settings.State{RPS: 400, WriteRPS: 120, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}}
-	for _, m := range controllerNames {
-		if m != name {
-			set.Peers = append(set.Peers, settings.Peer{Member: m, Zone: sim.controllers[m].zone, Address: m})
-		}
-	}
 	ctx, process.stop = context.WithCancel(ctx)
-	process.instance = controller.New(ctx, set, policy.Default(), &pausableClock{sim.clock, sim, name}, &controllerTransport{sim: sim, from: name, rng: sim.actorRNG("calls of " + name), name: name})
+	process.instance = controller.New(ctx, sim.controllerSettings(process), policy.Default(), &pausableClock{sim.clock, sim, name}, &controllerTransport{sim: sim, from: name, rng: sim.actorRNG("calls of " + name)})
 	if sim.operators != nil {
 		process.instance.Enable(&features.Features{Configuration: features.Configuration{On: true}})
 	}
 	process.instance.DialPeers(sim.network.dialer(name))
-	instance, l := process.instance, sim.network.listen(name)
-	sim.actors.Go(func() { instance.Run(l) })
+	instance, listener := process.instance, sim.network.listen(name)
+	sim.actors.Go(func() { instance.Run(listener) })
+}
+
+// controllerSettings are a controller's settings, as its settings file and the deploy file would give them; sim.mu is
+// held.
+func (sim *simulation) controllerSettings(process *controllerProcess) *settings.Settings {
+	set := &settings.Settings{Member: process.name, Zone: process.zone}
+	set.External = settings.External{State: "state:1", Cloud: "cloud:1"}
+	set.Facts = settings.Facts{Nodes: len(controllerNames), Zones: slices.Clone(zoneNames), Workers: sim.Workers,
+		Teams: []settings.Team{{Name: teamNames[0], CPUsMax: sim.teamLimit()}, {Name: teamNames[1], CPUs: min(sim.teamLimit(), float64(sim.Machines)), CPUsMax: sim.teamLimit()}},
+		State: settings.State{RPS: stateRPS, WriteRPS: stateWriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps}, Cloud: settings.Cloud{RPS: cloudRPS, ListLagS: 1}}
+	for _, member := range controllerNames {
+		if member != process.name {
+			set.Peers = append(set.Peers, settings.Peer{Member: member, Zone: sim.controllers[member].zone, Address: member})
+		}
+	}
+	return set
 }
 
-// stopController ends a controller's life.
+// stopController ends a controller's process and resets its connections.
 func (sim *simulation) stopController(name string) {
 	sim.mu.Lock()
 	process := sim.controllers[name]
@@ -63,66 +69,67 @@
 	sim.network.reset(name)
 }
 
+// runningController is the instance of a controller, nil while it does not run.
 func (sim *simulation) runningController(name string) *controller.Controller {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.controllers[name].instance
 }
 
-// leader is who leads, by the state service; else any.
+// leader is the controller that leads according to the state service, or the first one if there is none.
 func (sim *simulation) leader() string {
-	var l store.LeaderRecord
-	if json.Unmarshal(sim.state.Get(store.LeaderKey), &l) != nil || l.Member == "" {
+	var record store.LeaderRecord
+	if json.Unmarshal(sim.state.Get(store.LeaderKey), &record) != nil || record.Member == "" {
 		return controllerNames[0]
 	}
-	return l.Member
+	return record.Member
 }
 
-// setPaused has a controller stand still, or go on.
+// setPaused pauses a controller's process or lets it continue.
 func (sim *simulation) setPaused(name string, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	switch c := sim.pausedProcesses[name]; {
-	case on && c == nil:
+	switch testCase := sim.pausedProcesses[name]; {
+	case on && testCase == nil:
 		sim.pausedProcesses[name] = make(chan struct{})
-	case !on && c != nil:
-		close(c)
+	case !on && testCase != nil:
+		close(testCase)
 		delete(sim.pausedProcesses, name)
 	}
 }
 
-// waitWhilePaused waits until a controller does not stand still.
+// waitWhilePaused waits until a controller's process is not paused.
 func (sim *simulation) waitWhilePaused(name string) {
 	for {
 		sim.mu.Lock()
-		c := sim.pausedProcesses[name]
+		testCase := sim.pausedProcesses[name]
 		sim.mu.Unlock()
-		if c == nil {
+		if testCase == nil {
 			return
 		}
-		<-c
+		<-testCase
 	}
 }
 
-// pausableClock is a controller's clock: while the controller stands still, time goes on and nothing that waits for it does.
+// pausableClock is a controller's clock. While the process is paused, time goes on, but timers do not fire.
 type pausableClock struct {
 	clockwork.Clock
 	sim  *simulation
 	name string
 }
 
-// WaitAfter fires when the time has come and the controller does not stand still.
+// After fires once the duration has passed and the process is not paused.
 func (clock *pausableClock) After(duration time.Duration) <-chan time.Time {
 	if !slices.ContainsFunc(clock.sim.Faults, func(fault Fault) bool { return fault.Kind == ProcessPause }) {
 		return clock.Clock.After(duration)
 	}
 	out := make(chan time.Time, 1)
-	clock.Clock.AfterFunc(duration, func() {
+	clock.AfterFunc(duration, func() {
 		clock.sim.waitWhilePaused(clock.name)
-		out <- clock.Clock.Now()
+		out <- clock.Now()
 	})
 	return out
 }
 
-// Sleep is the same.
+// Sleep waits like After.
 func (clock *pausableClock) Sleep(duration time.Duration) { <-clock.After(duration) }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,11 +1,14 @@
-// Package simulation plays a region in one process: three controllers as `serve` runs them, the project's
-// stand-ins of state service, cloud and workers, users, and the network between them, each direction of
-// each pair of which can be cut by itself. It checks the protocol's rules as things happen, and what
-// operators look at when a day is over. It runs on the time package's clock: in tests within
-// testing/synctest, where a day takes a second, else in real time.
+// Package simulation runs a whole region in one process and checks the scheduler's invariants while faults are
+// injected.
 //
-// The same seed makes the same machines, jobs and troubles; the order of what happens in one moment is
-// the Go scheduler's.
+// The controllers are the production ones, as `serve` runs them. Simulated are the state service, the cloud and the
+// workers (package fake), the users, the operators who change the configuration, and the network, of which each
+// direction of each pair of hosts can be cut by itself. Not simulated are disks, the controllers' HTTP listeners,
+// data transfer between machines and the load on processors.
+//
+// A simulation runs on the time package's clock: in tests within testing/synctest, where a scenario of minutes
+// takes a second, else in real time. The same seed makes the same machines, jobs and faults; the order of what
+// happens at one moment is the Go scheduler's, so results of one seed may differ slightly.
 package simulation
 
 import (
@@ -22,7 +25,7 @@
 	"switchferry/internal/fake"
 )
 
-// simulation is a day being played.
+// simulation is one run of a scenario.
 type simulation struct {
 	*Scenario
 	ctx        context.Context
@@ -31,70 +34,139 @@
 	network    *controllerNetwork
 	state      *fake.State
 	cloud      *fake.Cloud
-	rng        *rand.Rand
-	checker    *invariantChecker
-	// operators is nil on days without changes of the configuration.
+	// rng chooses the machines that faults meet; mu guards it.
+	rng     *rand.Rand
+	checker *invariantChecker
+	// operators is nil in scenarios without changes of the configuration.
 	operators *operators
+	// actors are the goroutines that Run waits for.
+	actors sync.WaitGroup
+	// cancellations hands a cancellation wave to the users who wait at that moment.
+	cancellations chan Fault
+	// cancelAtEndFaults and invalidRequestFaults count the active faults of these kinds.
+	cancelAtEndFaults, invalidRequestFaults atomic.Int32
 
-	mu                    sync.Mutex
-	controllers           map[string]*controllerProcess
-	machines              map[string]*simulatedMachine // by address
+	// mu guards the fields below and the mutable fields of processes and machines.
+	mu          sync.Mutex
+	controllers map[string]*controllerProcess
+	// machines are the rented ones by address.
+	machines              map[string]*simulatedMachine
 	duplicatingHeartbeats bool
-	// lateWriteFaults and held count such troubles under way.
+	// lateWriteFaults and delayedCommandFaults count the active faults of these kinds.
 	lateWriteFaults, delayedCommandFaults int
-	// cancelAtEndFaults and odd count such troubles, too; slow does so by controller, and for all under the empty name.
-	cancelAtEndFaults, invalidRequestFaults atomic.Int32
-	slowStateFaults                         map[string]int
-	pausedProcesses                         map[string]chan struct{}
-	stateRefusals                           map[string]string
-	cancellations                           chan Fault
-	// hungByWave are the machines that the last wave has left to hang.
+	// slowStateFaults counts those by controller; the empty name stands for all controllers.
+	slowStateFaults map[string]int
+	// pausedProcesses holds, for each paused controller, a channel that is closed when it continues.
+	pausedProcesses map[string]chan struct{}
+	// stateRefusals says how the state service refuses a controller: refusalUnavailable, refusalUnanswered or not.
+	stateRefusals map[string]string
+	// hungByWave counts the machines that hang because of the last cancellation wave.
 	hungByWave int
-	actors     sync.WaitGroup
 }
 
-var controllerNames = []string{"n0", "n1", "n2"}
+// The simulated region.
+var (
+	controllerNames = []string{"n0", "n1", "n2"}
+	controllerZones = []string{"east", "west", "east"}
+	zoneNames       = []string{"east", "west"}
+	teamNames       = []string{"one", "two"}
+	machineType     = api.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 10, Price: 1, SpotPrice: 0.5, Zones: zoneNames}
+)
+
+// Limits of the simulated services, which controllers know from their settings.
+const (
+	stateRPS      = 400
+	stateWriteRPS = 120
+	stateValueKB  = 16
+	stateTxnOps   = 12
+	cloudRPS      = 20
+)
 
-var machineType = api.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 10, Price: 1, SpotPrice: 0.5, Zones: []string{"east", "west"}}
+// startupTime is how long controllers have before users and faults begin.
+const startupTime = 5 * time.Second
 
-// Run plays the day to its end.
+// Run plays the scenario to its end and returns what was found. It returns early if ctx ends.
 func (scenario *Scenario) Run(ctx context.Context) *Result {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
+	sim := newSimulation(ctx, scenario)
+	sim.startRegion(ctx)
+	sim.sleep(ctx, startupTime)
+	began := time.Now()
+	faultsEnd := sim.scheduleFaults(ctx, began)
+	sim.startActors(ctx, began)
+	sim.sleep(ctx, faultsEnd)
+	sim.checker.faultsOver()
+	sim.sleep(ctx, max(scenario.SubmitFor, faultsEnd)+scenario.WaitAfter-time.Since(began))
+	result := sim.checker.evaluate()
+	if sim.operators != nil {
+		result.ConfigurationChanges = sim.operators.changes
+	}
+	stop()
+	for _, name := range controllerNames {
+		sim.stopController(name)
+	}
+	sim.actors.Wait()
+	// Delayed requests are executed even if their sender has ended; they must not outlive the run.
+	time.Sleep(maxWriteDelay)
+	return result
+}
+
+// newSimulation makes the parts of a simulation; nothing runs yet.
+func newSimulation(ctx context.Context, scenario *Scenario) *simulation {
 	clock := clockwork.NewRealClock()
-	sim := &simulation{Scenario: scenario, ctx: ctx, clock: clock, partitions: newLinkTable(), state: fake.NewState(clock), cloud: fake.NewCloud(clock, []api.MachineType{machineType}, 20),
-		rng: rand.New(rand.NewPCG(scenario.Seed, 0)), controllers: map[string]*controllerProcess{}, machines: map[string]*simulatedMachine{}, stateRefusals: map[string]string{}, slowStateFaults: map[string]int{}, pausedProcesses: map[string]chan struct{}{}, cancellations: make(chan Fault)}
+	sim := &simulation{
+		Scenario:        scenario,
+		ctx:             ctx,
+		clock:           clock,
+		partitions:      newLinkTable(),
+		state:           fake.NewState(clock),
+		cloud:           fake.NewCloud(clock, []api.MachineType{machineType}, cloudRPS),
+		rng:             rand.New(rand.NewPCG(scenario.Seed, 0)),
+		controllers:     map[string]*controllerProcess{},
+		machines:        map[string]*simulatedMachine{},
+		stateRefusals:   map[string]string{},
+		slowStateFaults: map[string]int{},
+		pausedProcesses: map[string]chan struct{}{},
+		cancellations:   make(chan Fault),
+	}
 	sim.checker = newInvariantChecker(sim)
 	if scenario.ChangeInterval > 0 {
 		sim.operators = newOperators(sim)
 	}
-	sim.network = &controllerNetwork{partitions: sim.partitions, listeners: map[string]*simulatedListener{}, conns: map[*simulatedConn]string{}}
-	sim.state.Limit(fake.Limits{RPS: 400, WriteRPS: 120, ValueKB: 16, TxnOps: 12})
+	sim.network = newControllerNetwork(sim.partitions)
+	sim.state.Limit(fake.Limits{RPS: stateRPS, WriteRPS: stateWriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps})
 	sim.cloud.Room = scenario.Machines
 	sim.cloud.Up = func(host fake.Host) {
 		sim.actors.Go(func() {
-			if sim.sleep(ctx, time.Duration(machineType.BootS*float64(time.Second))) {
+			if sim.sleep(ctx, seconds(machineType.BootS)) {
 				sim.startWorker(ctx, host)
 			}
 		})
 	}
 	sim.cloud.Gone = sim.machineReturned
+	return sim
+}
+
+// startRegion starts the controllers and the machines that are rented from the beginning.
+func (sim *simulation) startRegion(ctx context.Context) {
 	for i, name := range controllerNames {
-		sim.controllers[name] = &controllerProcess{name: name, zone: []string{"east", "west", "east"}[i]}
+		sim.controllers[name] = &controllerProcess{name: name, zone: controllerZones[i]}
 	}
 	for _, name := range controllerNames {
 		sim.startController(ctx, name)
 	}
-	for i := range scenario.Machines {
-		sim.startWorker(ctx, sim.cloud.Add(machineType.Name, []string{"east", "west"}[i%2], false))
+	for i := range sim.Machines {
+		sim.startWorker(ctx, sim.cloud.Add(machineType.Name, zoneNames[i%len(zoneNames)], false))
 	}
-	sim.sleep(ctx, 5*time.Second)
-	began := time.Now()
-	last := time.Duration(0)
-	for _, fault := range scenario.Faults {
-		last = max(last, fault.At+fault.For)
+}
+
+// scheduleFaults has each fault injected at its time, counted from began; it returns when the last one ends.
+func (sim *simulation) scheduleFaults(ctx context.Context, began time.Time) (end time.Duration) {
+	for _, fault := range sim.Faults {
+		end = max(end, fault.At+fault.For)
 		if fault.Kind == RollingRestart {
-			last = max(last, fault.At+fault.For+2*rollInterval)
+			end = max(end, fault.At+fault.For+2*rollInterval)
 		}
 		sim.actors.Go(func() {
 			if sim.sleep(ctx, fault.At-time.Since(began)) {
@@ -102,6 +174,11 @@
 			}
 		})
 	}
+	return end
+}
+
+// startActors starts the users, the operators and the checks that are made every second.
+func (sim *simulation) startActors(ctx context.Context, began time.Time) {
 	sim.actors.Go(func() { sim.submitJobs(ctx, began) })
 	if sim.operators != nil {
 		sim.actors.Go(func() { sim.operators.changeRepeatedly(ctx, began) })
@@ -109,27 +186,13 @@
 	}
 	sim.actors.Go(func() {
 		for sim.sleep(ctx, time.Second) {
+			sim.checker.checkStarvation()
 			sim.checker.checkOverdueTasks()
 		}
 	})
-	sim.sleep(ctx, last)
-	sim.checker.faultsOver()
-	sim.sleep(ctx, max(scenario.SubmitFor, last)+scenario.WaitAfter-time.Since(began))
-	result := sim.checker.evaluate()
-	if sim.operators != nil {
-		result.ConfigurationChanges = sim.operators.changes
-	}
-	stop()
-	for _, name := range controllerNames {
-		sim.stopController(name)
-	}
-	sim.actors.Wait()
-	// What is executed late is executed, also when nobody is there any more.
-	time.Sleep(maxWriteDelay)
-	return result
 }
 
-// sleep is false once the day is over.
+// sleep waits for a duration; it reports false if ctx ended before.
 func (sim *simulation) sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -142,16 +205,18 @@
 	}
 }
 
-// actorRNG is a stream of its own for each actor, so that what one does does not hang on the others.
+// actorRNG makes the random numbers of one actor from the seed and the actor's name, so that no actor's numbers
+// depend on what the others do.
 func (sim *simulation) actorRNG(actor string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(actor))
 	return rand.New(rand.NewPCG(sim.Seed, h.Sum64()))
 }
 
+// seconds converts seconds into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// withLock changes what counts troubles.
+// withLock runs change with sim.mu held.
 func (sim *simulation) withLock(change func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"context"
 	"flag"
 	"fmt"
 	"log/slog"
@@ -42,7 +41,7 @@
 // playOverloaded is play for a day with more work than can begin in it, of which so many jobs may not.
 func playOverloaded(t *testing.T, scenario *Scenario, pending int) (result *Result) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { result = scenario.Run(context.Background()) })
+	synctest.Test(t, func(t *testing.T) { result = scenario.Run(t.Context()) })
 	for rule, n := range result.Rules {
 		t.Errorf("seed %d: %s %d times", scenario.Seed, rule, n)
 	}
@@ -123,9 +122,9 @@
 // ran_cancelled while a controller took it for certain that it had missed nothing because all others were
 // alive (docs/incidents/hunt-told-before-an-outage.md).
 func TestCancelledTasksStopWhenStateServiceFails(t *testing.T) {
-	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+	milliseconds := func(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 	// Times count from the refusal.
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name string
 		// cancellations is when users cancel, out when the outage begins.
 		wave, out int
@@ -138,43 +137,43 @@
 		{name: "told by the new leader, machines hang", wave: 1000, out: 1400, machines: 30_000},
 		{name: "told before the refusal, machines hang past all", wave: -200, out: 500, machines: 90_000},
 		{name: "told while nobody leads, machines hang, no answer", wave: 700, out: 950, hang: true, machines: 20_000},
-		{name: "told, machines mute", wave: 1000, out: 1400, more: []Fault{{At: ms(-2000), For: ms(40_000), Kind: InboundLost, Count: 4}}},
-		{name: "told, a zone mute", wave: 1000, out: 1400, more: []Fault{{At: ms(-2000), For: ms(40_000), Kind: InboundLost, Follower: true}}},
-		{name: "told, answers slow", wave: 1500, out: 3000, more: []Fault{{At: ms(-5000), For: ms(30_000), Kind: SlowState}}},
-		{name: "told, answers slow for the leader alone", wave: 1000, out: 1400, more: []Fault{{At: ms(-5000), For: ms(30_000), Kind: SlowState, Count: 1}}},
-		{name: "told, the former leader stands still", wave: 2500, out: 3000, more: []Fault{{At: ms(200), For: ms(2900), Kind: ProcessPause}}},
-		{name: "told, back in 0.2 s, machines hang", wave: 900, out: 1150, machines: 15_000, more: []Fault{{At: ms(1050), For: ms(200), Kind: ControllerCrash, Count: 1}}},
+		{name: "told, machines mute", wave: 1000, out: 1400, more: []Fault{{At: milliseconds(-2000), For: milliseconds(40_000), Kind: InboundLost, Count: 4}}},
+		{name: "told, a zone mute", wave: 1000, out: 1400, more: []Fault{{At: milliseconds(-2000), For: milliseconds(40_000), Kind: InboundLost, Follower: true}}},
+		{name: "told, answers slow", wave: 1500, out: 3000, more: []Fault{{At: milliseconds(-5000), For: milliseconds(30_000), Kind: SlowState}}},
+		{name: "told, answers slow for the leader alone", wave: 1000, out: 1400, more: []Fault{{At: milliseconds(-5000), For: milliseconds(30_000), Kind: SlowState, Count: 1}}},
+		{name: "told, the former leader stands still", wave: 2500, out: 3000, more: []Fault{{At: milliseconds(200), For: milliseconds(2900), Kind: ProcessPause}}},
+		{name: "told, back in 0.2 s, machines hang", wave: 900, out: 1150, machines: 15_000, more: []Fault{{At: milliseconds(1050), For: milliseconds(200), Kind: ControllerCrash, Count: 1}}},
 		{name: "told by the new leader", wave: 1000, out: 1400},
 		{name: "the same, refused without an answer", wave: 1000, out: 1400, hang: true},
 		{name: "told while nobody leads", wave: 700, out: 950},
 		{name: "told before the refusal", wave: -200, out: 500},
 		{name: "told until the outage, long after", wave: 4500, out: 5000},
-		{name: "told, and back in 0.2 s", wave: 900, out: 1150, more: []Fault{{At: ms(1050), For: ms(200), Kind: ControllerCrash, Count: 1}}},
-		{name: "told, and back in 0.1 s", wave: 750, out: 1000, more: []Fault{{At: ms(950), For: ms(100), Kind: ControllerCrash, Count: 1}}},
-		{name: "told, and back in 0.2 s, no answer", wave: 1200, out: 1450, hang: true, more: []Fault{{At: ms(1350), For: ms(200), Kind: ControllerCrash, Count: 1}}},
-		{name: "told, and back in 3 s", wave: 900, out: 1150, more: []Fault{{At: ms(1100), For: ms(3000), Kind: ControllerCrash, Count: 1}}},
-		{name: "told, and two back at once", wave: 900, out: 1200, more: []Fault{{At: ms(1100), For: ms(200), Kind: ControllerCrash, Count: 2}}},
-		{name: "told, and all back at once", wave: 900, out: 1200, more: []Fault{{At: ms(1100), For: ms(300), Kind: ControllerCrash, Count: 3}}},
-		{name: "told, and silent for 20 s", wave: 900, out: 1150, more: []Fault{{At: ms(1100), For: ms(20_000), Kind: ControllerPartition}}},
-		{name: "told, and cut off from one", wave: 900, out: 1300, more: []Fault{{At: ms(1000), For: ms(50_000), Kind: ControllerPairPartition}}},
-		{name: "told, back, and cut off from one", wave: 900, out: 1300, more: []Fault{{At: ms(1100), For: ms(200), Kind: ControllerCrash, Count: 1}, {At: ms(9000), For: ms(30_000), Kind: ControllerPairPartition, Follower: true}}},
-		{name: "the follower that passed it on is back at once", wave: 900, out: 1200, more: []Fault{{At: ms(1150), For: ms(200), Kind: ControllerCrash, Count: 1, Follower: true}}},
-		{name: "told, back, some half-deaf", wave: 900, out: 1150, more: []Fault{{At: ms(1050), For: ms(200), Kind: ControllerCrash, Count: 1}, {At: ms(-3000), For: ms(70_000), Kind: OutboundLost, Count: 3}}},
-		{name: "told, back, one zone cut", wave: 900, out: 1150, more: []Fault{{At: ms(1050), For: ms(200), Kind: ControllerCrash, Count: 1}, {At: ms(-1000), For: ms(60_000), Kind: ZonePartition}}},
-		{name: "told, back, late copies", wave: 900, out: 1150, more: []Fault{{At: ms(1050), For: ms(200), Kind: ControllerCrash, Count: 1}, {At: ms(-5000), For: ms(70_000), Kind: DuplicateHeartbeats}}},
+		{name: "told, and back in 0.2 s", wave: 900, out: 1150, more: []Fault{{At: milliseconds(1050), For: milliseconds(200), Kind: ControllerCrash, Count: 1}}},
+		{name: "told, and back in 0.1 s", wave: 750, out: 1000, more: []Fault{{At: milliseconds(950), For: milliseconds(100), Kind: ControllerCrash, Count: 1}}},
+		{name: "told, and back in 0.2 s, no answer", wave: 1200, out: 1450, hang: true, more: []Fault{{At: milliseconds(1350), For: milliseconds(200), Kind: ControllerCrash, Count: 1}}},
+		{name: "told, and back in 3 s", wave: 900, out: 1150, more: []Fault{{At: milliseconds(1100), For: milliseconds(3000), Kind: ControllerCrash, Count: 1}}},
+		{name: "told, and two back at once", wave: 900, out: 1200, more: []Fault{{At: milliseconds(1100), For: milliseconds(200), Kind: ControllerCrash, Count: 2}}},
+		{name: "told, and all back at once", wave: 900, out: 1200, more: []Fault{{At: milliseconds(1100), For: milliseconds(300), Kind: ControllerCrash, Count: 3}}},
+		{name: "told, and silent for 20 s", wave: 900, out: 1150, more: []Fault{{At: milliseconds(1100), For: milliseconds(20_000), Kind: ControllerPartition}}},
+		{name: "told, and cut off from one", wave: 900, out: 1300, more: []Fault{{At: milliseconds(1000), For: milliseconds(50_000), Kind: ControllerPairPartition}}},
+		{name: "told, back, and cut off from one", wave: 900, out: 1300, more: []Fault{{At: milliseconds(1100), For: milliseconds(200), Kind: ControllerCrash, Count: 1}, {At: milliseconds(9000), For: milliseconds(30_000), Kind: ControllerPairPartition, Follower: true}}},
+		{name: "the follower that passed it on is back at once", wave: 900, out: 1200, more: []Fault{{At: milliseconds(1150), For: milliseconds(200), Kind: ControllerCrash, Count: 1, Follower: true}}},
+		{name: "told, back, some half-deaf", wave: 900, out: 1150, more: []Fault{{At: milliseconds(1050), For: milliseconds(200), Kind: ControllerCrash, Count: 1}, {At: milliseconds(-3000), For: milliseconds(70_000), Kind: OutboundLost, Count: 3}}},
+		{name: "told, back, one zone cut", wave: 900, out: 1150, more: []Fault{{At: milliseconds(1050), For: milliseconds(200), Kind: ControllerCrash, Count: 1}, {At: milliseconds(-1000), For: milliseconds(60_000), Kind: ZonePartition}}},
+		{name: "told, back, late copies", wave: 900, out: 1150, more: []Fault{{At: milliseconds(1050), For: milliseconds(200), Kind: ControllerCrash, Count: 1}, {At: milliseconds(-5000), For: milliseconds(70_000), Kind: DuplicateHeartbeats}}},
 	} {
 		for i, pace := range workerPaces {
-			if raceDetector && i != len(c.name)%2 {
+			if raceDetector && i != len(testCase.name)%2 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", c.name, pace.ReportS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reports every %g s", testCase.name, pace.ReportS), func(t *testing.T) {
 				t.Parallel()
-				scenario := NewScenario(uint64(len(c.name)), 12)
+				scenario := NewScenario(uint64(len(testCase.name)), 12)
 				scenario.Workers, scenario.CancelShare, scenario.TaskRunS, scenario.JobsPerSecond = pace, 0.3, 110, 1.5
 				scenario.SubmitFor, scenario.WaitAfter = 30*time.Second, 120*time.Second
 				at := 30 * time.Second
-				scenario.Faults = append([]Fault{{At: 0, For: ms(14_000), Kind: StateRefused, Unanswered: c.hang}, {At: ms(c.wave), For: ms(250), Kind: CancellationWave, Count: 9, HangMachinesFor: ms(c.machines)},
-					{At: ms(c.out), For: seconds(pace.CancelS + 20), Kind: StateOutage}}, c.more...)
+				scenario.Faults = append([]Fault{{At: 0, For: milliseconds(14_000), Kind: StateRefused, Unanswered: testCase.hang}, {At: milliseconds(testCase.wave), For: milliseconds(250), Kind: CancellationWave, Count: 9, HangMachinesFor: milliseconds(testCase.machines)},
+					{At: milliseconds(testCase.out), For: seconds(pace.CancelS + 20), Kind: StateOutage}}, testCase.more...)
 				for i := range scenario.Faults {
 					scenario.Faults[i].At += at
 				}
@@ -249,18 +248,17 @@
 // The operators' meetings of two troubles (docs/meetings.md), in their order, each alone and with an end of the
 // leader in the middle, which is back within a second.
 func TestPairsOfFaultsBreakNoRule(t *testing.T) {
-	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for name, troubles := range map[string][]Fault{
-		"slow and refused, then an outage, users cancel and ask": {{At: at(20), For: at(30), Kind: LateWrites}, {At: at(30), For: at(14), Kind: StateRefused}, {At: at(31), For: at(0.5), Kind: CancellationWave, Count: 5},
-			{At: at(33), For: at(62), Kind: StateOutage}, {At: at(100), For: at(0.5), Kind: CancellationWave, Count: 5}},
-		"commands and answers held": {{At: at(15), For: at(60), Kind: DelayedCommands}, {At: at(30), For: at(0.5), Kind: CancellationWave, Count: 5}, {At: at(35), Kind: WorkerRestart, Count: 3}, {At: at(45), Kind: MachineCrash, Count: 1}},
-		"over and back, all end, one returns at once": {{At: at(25), For: at(3), Kind: StateRefused}, {At: at(27), For: at(3), Kind: StateRefused}, {At: at(31), For: at(3), Kind: ControllerCrash, Count: 3}, {At: at(35), For: at(0.2), Kind: ControllerCrash, Count: 1},
-			{At: at(35.5), For: at(0.1), Kind: ControllerCrash, Count: 2}, {At: at(24), For: at(20), Kind: LateWrites}},
-		"leader cut from state and controllers, cancelled through the new one": {{At: at(25), For: at(60), Kind: ControllerIsolated}, {At: at(28), For: at(1), Kind: CancellationWave, Count: 6}, {At: at(60), For: at(1), Kind: CancellationWave, Count: 6}},
-		"old reports after newer ones":                                         {{At: at(15), For: at(90), Kind: DuplicateHeartbeats}, {At: at(25), Kind: WorkerRestart, Count: 3}, {At: at(40), Kind: WorkerRestart, Count: 3}, {At: at(50), Kind: MachineCrash, Count: 2}},
-		"transactions late, after newer ones":                                  {{At: at(15), For: at(60), Kind: LateWrites}, {At: at(30), For: at(0.5), Kind: CancellationWave, Count: 4}, {At: at(50), For: at(0.5), Kind: CancellationWave, Count: 4}},
-		"ends far apart across a change of leader":                             {{At: at(20), For: at(0.3), Kind: ControllerCrash, Count: 1}, {At: at(32), For: at(3), Kind: ControllerCrash, Count: 1}, {At: at(44), For: at(3), Kind: ControllerCrash, Count: 3}, {At: at(18), For: at(40), Kind: LateWrites}},
-		"leader ends while machines are out of reach, or deaf":                 {{At: at(22), For: at(50), Kind: ZonePartition}, {At: at(24), For: at(3), Kind: ControllerCrash, Count: 1}, {At: at(30), For: at(50), Kind: OutboundLost, Count: 3}, {At: at(34), For: at(0.5), Kind: CancellationWave, Count: 4}},
+		"slow and refused, then an outage, users cancel and ask": {{At: seconds(20), For: seconds(30), Kind: LateWrites}, {At: seconds(30), For: seconds(14), Kind: StateRefused}, {At: seconds(31), For: seconds(0.5), Kind: CancellationWave, Count: 5},
+			{At: seconds(33), For: seconds(62), Kind: StateOutage}, {At: seconds(100), For: seconds(0.5), Kind: CancellationWave, Count: 5}},
+		"commands and answers held": {{At: seconds(15), For: seconds(60), Kind: DelayedCommands}, {At: seconds(30), For: seconds(0.5), Kind: CancellationWave, Count: 5}, {At: seconds(35), Kind: WorkerRestart, Count: 3}, {At: seconds(45), Kind: MachineCrash, Count: 1}},
+		"over and back, all end, one returns at once": {{At: seconds(25), For: seconds(3), Kind: StateRefused}, {At: seconds(27), For: seconds(3), Kind: StateRefused}, {At: seconds(31), For: seconds(3), Kind: ControllerCrash, Count: 3}, {At: seconds(35), For: seconds(0.2), Kind: ControllerCrash, Count: 1},
+			{At: seconds(35.5), For: seconds(0.1), Kind: ControllerCrash, Count: 2}, {At: seconds(24), For: seconds(20), Kind: LateWrites}},
+		"leader cut from state and controllers, cancelled through the new one": {{At: seconds(25), For: seconds(60), Kind: ControllerIsolated}, {At: seconds(28), For: seconds(1), Kind: CancellationWave, Count: 6}, {At: seconds(60), For: seconds(1), Kind: CancellationWave, Count: 6}},
+		"old reports after newer ones":                                         {{At: seconds(15), For: seconds(90), Kind: DuplicateHeartbeats}, {At: seconds(25), Kind: WorkerRestart, Count: 3}, {At: seconds(40), Kind: WorkerRestart, Count: 3}, {At: seconds(50), Kind: MachineCrash, Count: 2}},
+		"transactions late, after newer ones":                                  {{At: seconds(15), For: seconds(60), Kind: LateWrites}, {At: seconds(30), For: seconds(0.5), Kind: CancellationWave, Count: 4}, {At: seconds(50), For: seconds(0.5), Kind: CancellationWave, Count: 4}},
+		"ends far apart across a change of leader":                             {{At: seconds(20), For: seconds(0.3), Kind: ControllerCrash, Count: 1}, {At: seconds(32), For: seconds(3), Kind: ControllerCrash, Count: 1}, {At: seconds(44), For: seconds(3), Kind: ControllerCrash, Count: 3}, {At: seconds(18), For: seconds(40), Kind: LateWrites}},
+		"leader ends while machines are out of reach, or deaf":                 {{At: seconds(22), For: seconds(50), Kind: ZonePartition}, {At: seconds(24), For: seconds(3), Kind: ControllerCrash, Count: 1}, {At: seconds(30), For: seconds(50), Kind: OutboundLost, Count: 3}, {At: seconds(34), For: seconds(0.5), Kind: CancellationWave, Count: 4}},
 	} {
 		playWithAndWithoutCrash(t, name, nil, troubles)
 	}
@@ -269,46 +267,47 @@
 // The meetings that the operators' letter added (docs/meetings.md), each alone and with an end of the leader in the
 // middle, which is back within a second.
 func TestFurtherPairsOfFaultsBreakNoRule(t *testing.T) {
-	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	changes := func(from, every float64) (out []Fault) {
 		for i := range 10 {
-			out = append(out, Fault{At: at(from + every*float64(i)), For: at([]float64{0.3, 3, 8}[i%3]), Kind: ControllerCrash, Count: 1})
+			out = append(out, Fault{At: seconds(from + every*float64(i)), For: seconds([]float64{0.3, 3, 8}[i%3]), Kind: ControllerCrash, Count: 1})
 		}
 		return out
 	}
-	wave := func(s float64) Fault { return Fault{At: at(s), For: at(0.3), Kind: CancellationWave, Count: 5} }
-	for name, c := range map[string]struct {
+	wave := func(s float64) Fault {
+		return Fault{At: seconds(s), For: seconds(0.3), Kind: CancellationWave, Count: 5}
+	}
+	for name, testCase := range map[string]struct {
 		day      func(scenario *Scenario)
 		troubles []Fault
 	}{
-		"all controllers away for longer than a lease":            {nil, []Fault{wave(29), {At: at(30), For: at(35), Kind: ControllerCrash, Count: 3}}},
-		"the same, machines hang":                                 {nil, []Fault{{At: at(28), For: at(50), Kind: MachineHang, Count: 3}, {At: at(30), For: at(35), Kind: ControllerCrash, Count: 3}, wave(66)}},
-		"zone-bound jobs lose machines":                           {func(scenario *Scenario) { scenario.ZoneBoundJobs = true }, []Fault{{At: at(30), Kind: MachineCrash, Count: 3}, {At: at(40), For: at(30), Kind: MachineHang, Count: 3}, {At: at(50), Kind: MachineCrash, Count: 2}}},
-		"a report held until new leaders have acted":              {nil, []Fault{{At: at(15), For: at(80), Kind: DuplicateHeartbeats}, {At: at(30), For: at(1), Kind: ControllerCrash, Count: 1}, {At: at(31), Kind: WorkerRestart, Count: 4}, {At: at(42), For: at(1), Kind: ControllerCrash, Count: 1}, wave(43)}},
-		"leader ends, machines hang":                              {nil, []Fault{{At: at(25), For: at(9), Kind: MachineHang, Count: 4}, {At: at(27), For: at(3), Kind: ControllerCrash, Count: 1}, wave(28), {At: at(50), For: at(40), Kind: MachineHang, Count: 3}, {At: at(55), For: at(3), Kind: ControllerCrash, Count: 1}}},
-		"the leader stands still, and goes on as the next begins": {nil, []Fault{{At: at(25), For: at(1.9), Kind: ProcessPause}, wave(26.8), {At: at(40), For: at(2.4), Kind: ProcessPause}, wave(42.3), {At: at(55), For: at(12), Kind: ProcessPause}, wave(60)}},
+		"all controllers away for longer than a lease":            {nil, []Fault{wave(29), {At: seconds(30), For: seconds(35), Kind: ControllerCrash, Count: 3}}},
+		"the same, machines hang":                                 {nil, []Fault{{At: seconds(28), For: seconds(50), Kind: MachineHang, Count: 3}, {At: seconds(30), For: seconds(35), Kind: ControllerCrash, Count: 3}, wave(66)}},
+		"zone-bound jobs lose machines":                           {func(scenario *Scenario) { scenario.ZoneBoundJobs = true }, []Fault{{At: seconds(30), Kind: MachineCrash, Count: 3}, {At: seconds(40), For: seconds(30), Kind: MachineHang, Count: 3}, {At: seconds(50), Kind: MachineCrash, Count: 2}}},
+		"a report held until new leaders have acted":              {nil, []Fault{{At: seconds(15), For: seconds(80), Kind: DuplicateHeartbeats}, {At: seconds(30), For: seconds(1), Kind: ControllerCrash, Count: 1}, {At: seconds(31), Kind: WorkerRestart, Count: 4}, {At: seconds(42), For: seconds(1), Kind: ControllerCrash, Count: 1}, wave(43)}},
+		"leader ends, machines hang":                              {nil, []Fault{{At: seconds(25), For: seconds(9), Kind: MachineHang, Count: 4}, {At: seconds(27), For: seconds(3), Kind: ControllerCrash, Count: 1}, wave(28), {At: seconds(50), For: seconds(40), Kind: MachineHang, Count: 3}, {At: seconds(55), For: seconds(3), Kind: ControllerCrash, Count: 1}}},
+		"the leader stands still, and goes on as the next begins": {nil, []Fault{{At: seconds(25), For: seconds(1.9), Kind: ProcessPause}, wave(26.8), {At: seconds(40), For: seconds(2.4), Kind: ProcessPause}, wave(42.3), {At: seconds(55), For: seconds(12), Kind: ProcessPause}, wave(60)}},
 		"a team at its limit, a new leader, machines out of reach": {func(scenario *Scenario) {
 			scenario.CPUsPerMachine, scenario.TaskRunS, scenario.JobsPerSecond = 2, 20, 0.8
-		}, []Fault{{At: at(25), For: at(40), Kind: InboundLost, Count: 4}, {At: at(26), For: at(30), Kind: OutboundLost, Count: 2}, {At: at(28), For: at(3), Kind: ControllerCrash, Count: 1}, wave(30), {At: at(50), For: at(1), Kind: ControllerCrash, Count: 1}}},
+		}, []Fault{{At: seconds(25), For: seconds(40), Kind: InboundLost, Count: 4}, {At: seconds(26), For: seconds(30), Kind: OutboundLost, Count: 2}, {At: seconds(28), For: seconds(3), Kind: ControllerCrash, Count: 1}, wave(30), {At: seconds(50), For: seconds(1), Kind: ControllerCrash, Count: 1}}},
 		"the same, a zone cut": {func(scenario *Scenario) {
 			scenario.CPUsPerMachine, scenario.TaskRunS, scenario.JobsPerSecond = 2, 20, 0.8
-		}, []Fault{{At: at(25), For: at(50), Kind: ZonePartition}, {At: at(28), For: at(3), Kind: ControllerCrash, Count: 1}, wave(30), wave(34)}},
-		"mute machines":                          {nil, []Fault{{At: at(25), For: at(60), Kind: InboundLost, Count: 4}, wave(30), wave(45)}},
-		"a mute zone":                            {nil, []Fault{{At: at(25), For: at(40), Kind: InboundLost, Follower: true, Count: 1}, wave(30)}},
+		}, []Fault{{At: seconds(25), For: seconds(50), Kind: ZonePartition}, {At: seconds(28), For: seconds(3), Kind: ControllerCrash, Count: 1}, wave(30), wave(34)}},
+		"mute machines":                          {nil, []Fault{{At: seconds(25), For: seconds(60), Kind: InboundLost, Count: 4}, wave(30), wave(45)}},
+		"a mute zone":                            {nil, []Fault{{At: seconds(25), For: seconds(40), Kind: InboundLost, Follower: true, Count: 1}, wave(30)}},
 		"ten leaders":                            {nil, append(changes(20, 10), wave(45), wave(71))},
-		"ten leaders, an outage":                 {nil, append(changes(20, 10), Fault{At: at(40), For: at(45), Kind: StateOutage}, wave(39))},
-		"ends far apart, cancelled between them": {func(scenario *Scenario) { scenario.CancelShare = 0.6 }, []Fault{{At: at(20), For: at(0.3), Kind: ControllerCrash, Count: 1}, wave(26), {At: at(32), For: at(3), Kind: ControllerCrash, Count: 1}, wave(38), {At: at(18), For: at(40), Kind: LateWrites}}},
-		"leader cut off, users go on asking it":  {nil, []Fault{{At: at(25), For: at(60), Kind: ControllerIsolated}, {At: at(20), For: at(80), Kind: InvalidRequests}, wave(28), wave(60)}},
-		"called off as it ends":                  {nil, []Fault{{At: at(10), For: at(80), Kind: CancelAtEnd}}},
-		"called off as it ends, late writes":     {nil, []Fault{{At: at(10), For: at(80), Kind: CancelAtEnd}, {At: at(10), For: at(80), Kind: LateWrites}, {At: at(40), For: at(20), Kind: SlowState}}},
-		"called off as it ends, leaders change":  {nil, append(changes(15, 7), Fault{At: at(10), For: at(80), Kind: CancelAtEnd})},
-		"more work than room, slow links":        {func(scenario *Scenario) { scenario.ImagePullS, scenario.JobsPerSecond, scenario.TaskRunS = 6, 3, 20 }, []Fault{{At: at(30), Kind: MachineCrash, Count: 2}, wave(50)}},
-		"slow, refused, then out":                {nil, []Fault{{At: at(20), For: at(80), Kind: SlowState}, {At: at(28), For: at(14), Kind: StateRefused}, wave(28.9), wave(29.9), {At: at(30), For: at(60), Kind: StateOutage}}},
-		"a zone cut for longer than a lease":     {nil, []Fault{{At: at(25), For: at(45), Kind: ZonePartition}, wave(27), wave(40), {At: at(20), For: at(60), Kind: DuplicateHeartbeats}}},
-		"late writes across two changes":         {nil, []Fault{{At: at(15), For: at(60), Kind: LateWrites}, {At: at(30), For: at(1), Kind: ControllerCrash, Count: 1}, wave(33), {At: at(36), For: at(1), Kind: ControllerCrash, Count: 1}, wave(50), {At: at(52), For: at(1), Kind: ControllerCrash, Count: 2}}},
-		"odd requests, leaders change":           {nil, append(changes(20, 9), Fault{At: at(15), For: at(100), Kind: InvalidRequests}, Fault{At: at(60), For: at(10), Kind: StateOutage})},
+		"ten leaders, an outage":                 {nil, append(changes(20, 10), Fault{At: seconds(40), For: seconds(45), Kind: StateOutage}, wave(39))},
+		"ends far apart, cancelled between them": {func(scenario *Scenario) { scenario.CancelShare = 0.6 }, []Fault{{At: seconds(20), For: seconds(0.3), Kind: ControllerCrash, Count: 1}, wave(26), {At: seconds(32), For: seconds(3), Kind: ControllerCrash, Count: 1}, wave(38), {At: seconds(18), For: seconds(40), Kind: LateWrites}}},
+		"leader cut off, users go on asking it":  {nil, []Fault{{At: seconds(25), For: seconds(60), Kind: ControllerIsolated}, {At: seconds(20), For: seconds(80), Kind: InvalidRequests}, wave(28), wave(60)}},
+		"called off as it ends":                  {nil, []Fault{{At: seconds(10), For: seconds(80), Kind: CancelAtEnd}}},
+		"called off as it ends, late writes":     {nil, []Fault{{At: seconds(10), For: seconds(80), Kind: CancelAtEnd}, {At: seconds(10), For: seconds(80), Kind: LateWrites}, {At: seconds(40), For: seconds(20), Kind: SlowState}}},
+		"called off as it ends, leaders change":  {nil, append(changes(15, 7), Fault{At: seconds(10), For: seconds(80), Kind: CancelAtEnd})},
+		"more work than room, slow links":        {func(scenario *Scenario) { scenario.ImagePullS, scenario.JobsPerSecond, scenario.TaskRunS = 6, 3, 20 }, []Fault{{At: seconds(30), Kind: MachineCrash, Count: 2}, wave(50)}},
+		"slow, refused, then out":                {nil, []Fault{{At: seconds(20), For: seconds(80), Kind: SlowState}, {At: seconds(28), For: seconds(14), Kind: StateRefused}, wave(28.9), wave(29.9), {At: seconds(30), For: seconds(60), Kind: StateOutage}}},
+		"a zone cut for longer than a lease":     {nil, []Fault{{At: seconds(25), For: seconds(45), Kind: ZonePartition}, wave(27), wave(40), {At: seconds(20), For: seconds(60), Kind: DuplicateHeartbeats}}},
+		"late writes across two changes":         {nil, []Fault{{At: seconds(15), For: seconds(60), Kind: LateWrites}, {At: seconds(30), For: seconds(1), Kind: ControllerCrash, Count: 1}, wave(33), {At: seconds(36), For: seconds(1), Kind: ControllerCrash, Count: 1}, wave(50), {At: seconds(52), For: seconds(1), Kind: ControllerCrash, Count: 2}}},
+		"odd requests, leaders change":           {nil, append(changes(20, 9), Fault{At: seconds(15), For: seconds(100), Kind: InvalidRequests}, Fault{At: seconds(60), For: seconds(10), Kind: StateOutage})},
 	} {
-		playWithAndWithoutCrash(t, name, c.day, c.troubles)
+		playWithAndWithoutCrash(t, name, testCase.day, testCase.troubles)
 	}
 }
 
@@ -328,7 +327,7 @@
 			scenario.Faults = []Fault{{At: 20 * time.Second, For: time.Second, Kind: ControllerCrash, Count: 1}}
 			// Three times what the machines can do: not all begin.
 			var result *Result
-			synctest.Test(t, func(t *testing.T) { result = scenario.Run(context.Background()) })
+			synctest.Test(t, func(t *testing.T) { result = scenario.Run(t.Context()) })
 			if len(result.Rules) > 0 || result.StarvedJobs > 0 || result.Forgotten > 0 || result.Tasks < 400 {
 				t.Errorf("%d jobs waited 90 s beside room for them, %d forgotten, %d tasks began, rules broken: %v", result.StarvedJobs, result.Forgotten, result.Tasks, result.Rules)
 			}
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -1,54 +1,28 @@
 package simulation
 
 import (
-	"strings"
 	"time"
 
 	"switchferry/api"
 )
 
-// checkStarvation looks for jobs that wait although a machine has room for them. One moment without room, or a start,
-// and the time counts anew. A service has to have room for all its tasks at once.
+// freeCPUs is what healthy machines have left, by machine.
+type freeCPUs map[*simulatedMachine]float64
+
+// checkStarvation looks for jobs that wait beside free resources that fit them, once all faults are over. A moment
+// without such resources, or a start, begins the time anew.
 func (checker *invariantChecker) checkStarvation() {
-	checker.sim.mu.Lock()
-	sound := map[string]*simulatedMachine{}
-	for _, machine := range checker.sim.machines {
-		if !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount == 0 {
-			sound[machine.Name] = machine
-		}
-	}
-	checker.sim.mu.Unlock()
-	taken := map[string]float64{}
-	for _, machine := range sound {
-		taken[machine.Name] = machine.worker.Taken(checker.taskCPUs)
-	}
+	free := checker.healthyMachines()
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	now := time.Now()
 	if checker.faultsOverAt.IsZero() {
 		return
 	}
-	use, placed := map[string]float64{}, map[string]int{}
-	for task := range checker.machineByTask {
-		id, _, _ := strings.Cut(task, "/")
-		job := checker.jobs[id]
-		use[job.Team] += job.CPUs
-		placed[id]++
-	}
+	now := time.Now()
+	usage, running := checker.usageByTeam()
 	for _, job := range checker.jobsInOrder {
-		left := job.Tasks - len(job.doneTasks) - placed[job.ID]
-		fits := 0
-		for _, machine := range sound {
-			if job.Zone == "" || job.Zone == machine.Zone {
-				fits += int((machineType.CPUs - taken[machine.Name] + 1e-9) / job.CPUs)
-			}
-		}
-		need := 1
-		if job.Shape == api.Service {
-			need = left
-		}
-		if job.acceptedAt.IsZero() || job.finalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || left <= 0 || checker.awaitsDependency(job) || fits < need ||
-			use[job.Team]+float64(need)*job.CPUs > checker.sim.teamLimit()+1e-9 {
+		waiting := job.Tasks - len(job.doneTasks) - running[job.ID]
+		if !checker.couldStart(job, waiting, free, usage[job.Team]) {
 			job.starvedSince = time.Time{}
 			continue
 		}
@@ -58,7 +32,54 @@
 		if now.Sub(job.starvedSince) > starvationLimit && !job.starved {
 			job.starved = true
 			checker.result.StarvedJobs++
-			checker.explain("waits in vain: %s %s, %d of %d tasks, %g processors each", job.ID, job.Class, left, job.Tasks, job.CPUs)
+			checker.explain("waits in vain: %s %s, %d of %d tasks, %g processors each", job.ID, job.Class, waiting, job.Tasks, job.CPUs)
 		}
 	}
 }
+
+// healthyMachines are the machines that no fault affects, with their free processors.
+func (checker *invariantChecker) healthyMachines() freeCPUs {
+	checker.sim.mu.Lock()
+	var healthy []*simulatedMachine
+	for _, machine := range checker.sim.machines {
+		if machine.healthy() {
+			healthy = append(healthy, machine)
+		}
+	}
+	checker.sim.mu.Unlock()
+	free := freeCPUs{}
+	for _, machine := range healthy {
+		free[machine] = machineType.CPUs - machine.worker.Taken(checker.taskCPUs)
+	}
+	return free
+}
+
+// usageByTeam counts the processors in use by each team, and each job's running tasks; checker.mu is held.
+func (checker *invariantChecker) usageByTeam() (usage map[string]float64, running map[string]int) {
+	usage, running = map[string]float64{}, map[string]int{}
+	for task := range checker.machineByTask {
+		job := checker.jobOf(task)
+		usage[job.Team] += job.CPUs
+		running[job.ID]++
+	}
+	return usage, running
+}
+
+// couldStart reports whether a job is due and free machines and its team's limit have room for one of its waiting
+// tasks, or for all of them if it is a service; checker.mu is held.
+func (checker *invariantChecker) couldStart(job *trackedJob, waiting int, free freeCPUs, usage float64) bool {
+	if job.acceptedAt.IsZero() || job.finalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || waiting <= 0 || checker.awaitsDependency(job) {
+		return false
+	}
+	fits := 0
+	for machine, cpus := range free {
+		if job.Zone == "" || job.Zone == machine.Zone {
+			fits += int((cpus + 1e-9) / job.CPUs)
+		}
+	}
+	needed := 1
+	if job.Shape == api.Service {
+		needed = waiting
+	}
+	return fits >= needed && usage+float64(needed)*job.CPUs <= checker.sim.teamLimit()+1e-9
+}
--- a/internal/simulation/workers.go
+++ b/internal/simulation/workers.go
@@ -13,21 +13,32 @@
 	"switchferry/internal/fake"
 )
 
-// simulatedMachine is a rented one.
+// maxHungByWave is how many machines a cancellation wave suspends at most.
+const maxHungByWave = 8
+
+// simulatedMachine is a rented machine with its worker. The simulation's mu guards the fields below stop.
 type simulatedMachine struct {
 	fake.Host
 	worker *fake.Worker
 	stop   context.CancelFunc
-	// outboundLostSince is since when it hears nobody; dead: it ended by a trouble; touched is when a trouble last
-	// met it.
+
+	// outboundLostSince is since when it hears no controller; zero while it does.
 	outboundLostSince time.Time
-	dead              bool
-	lastFaultAt       time.Time
-	// loseInbound counts the troubles in which it reaches no controller, hung those in which it stands still.
+	// dead is set once a fault ended it for good.
+	dead bool
+	// lastFaultAt is when a fault last began or ceased to affect it.
+	lastFaultAt time.Time
+	// inboundLossCount and hangCount count the active faults in which it reaches no controller and in which
+	// it is suspended.
 	inboundLossCount, hangCount int
 }
 
-// startWorker runs a machine's worker.
+// healthy reports whether no fault affects the machine; the simulation's mu is held.
+func (machine *simulatedMachine) healthy() bool {
+	return !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount == 0
+}
+
+// startWorker adds a machine and runs its worker until ctx ends or the machine is given back.
 func (sim *simulation) startWorker(ctx context.Context, host fake.Host) {
 	ctx, stop := context.WithCancel(ctx)
 	machine := &simulatedMachine{Host: host, stop: stop}
@@ -42,7 +53,7 @@
 	sim.actors.Go(func() { machine.worker.Run(ctx) })
 }
 
-// imagePull is how machines get images; nil: they need none.
+// imagePull tells a worker which image a task needs and how long its pull takes; it is nil if no images are needed.
 func (sim *simulation) imagePull() func(task string) (string, time.Duration) {
 	if sim.ImagePullS <= 0 {
 		return nil
@@ -50,61 +61,35 @@
 	return func(task string) (string, time.Duration) { return sim.checker.taskImage(task), seconds(sim.ImagePullS) }
 }
 
-// heartbeatSender carries a machine's reports.
-func (sim *simulation) heartbeatSender(machine *simulatedMachine, rng *rand.Rand) func(ctx context.Context, node string, heartbeat *api.Heartbeat) (int, any) {
-	return func(ctx context.Context, node string, heartbeat *api.Heartbeat) (int, any) {
+// heartbeatSender is how a machine's worker sends a heartbeat to a controller: over links that may be cut, and
+// sometimes twice. It returns 0 if there is no answer.
+func (sim *simulation) heartbeatSender(machine *simulatedMachine, rng *rand.Rand) func(ctx context.Context, member string, heartbeat *api.Heartbeat) (int, any) {
+	return func(ctx context.Context, member string, heartbeat *api.Heartbeat) (int, any) {
 		raw, err := json.Marshal(heartbeat)
 		if err != nil {
 			return 0, nil
 		}
-		sim.mu.Lock()
-		copying := sim.duplicatingHeartbeats
-		sim.mu.Unlock()
-		if copying && rng.IntN(5) == 0 {
-			after := 2*time.Second + time.Duration(rng.Int64N(int64(3*seconds(sim.Workers.LeaseS))))
-			to := controllerNames[rng.IntN(3)]
-			sim.actors.Go(func() {
-				time.Sleep(after)
-				if instance := sim.runningController(to); instance != nil {
-					var again api.Heartbeat
-					if json.Unmarshal(raw, &again) == nil {
-						instance.HandleHeartbeat(context.Background(), &again, raw)
-					}
-				}
-			})
-		}
-		sim.mu.Lock()
-		mute := machine.inboundLossCount > 0
-		sim.mu.Unlock()
-		if mute {
+		sim.duplicateHeartbeat(ctx, raw, rng)
+		if sim.inboundLost(machine) {
 			sim.sleep(ctx, dialTimeout)
 			return 0, nil
 		}
-		if cut, _ := sim.partitions.isCut(machine.Name, node); cut {
+		if cut, _ := sim.partitions.isCut(machine.Name, member); cut {
 			<-ctx.Done()
 			return 0, nil
 		}
-		instance := sim.runningController(node)
+		instance := sim.runningController(member)
 		if instance == nil {
 			return 0, nil
 		}
-		sim.waitWhilePaused(node)
+		sim.waitWhilePaused(member)
 		code, body := instance.HandleHeartbeat(ctx, heartbeat, raw)
-		sim.waitWhilePaused(node)
+		sim.waitWhilePaused(member)
 		if ctx.Err() != nil {
 			return 0, nil
 		}
-		if passed, ok := body.(json.RawMessage); ok {
-			var response api.HeartbeatResponse
-			var to api.Redirect
-			switch {
-			case code == http.StatusOK && json.Unmarshal(passed, &response) == nil:
-				body = response
-			case json.Unmarshal(passed, &to) == nil:
-				body = to
-			}
-		}
-		if cut, _ := sim.partitions.isCut(node, machine.Name); cut {
+		body = decodeForwarded(code, body)
+		if cut, _ := sim.partitions.isCut(member, machine.Name); cut {
 			if response, ok := body.(api.HeartbeatResponse); ok {
 				sim.checker.recordLostCommands(machine, response.Commands)
 			}
@@ -115,7 +100,53 @@
 	}
 }
 
-// machineReturned is told of a machine that was given back.
+// duplicateHeartbeat delivers one heartbeat in five again, two seconds to three leases later and to any controller,
+// while a DuplicateHeartbeats fault is active.
+func (sim *simulation) duplicateHeartbeat(ctx context.Context, raw []byte, rng *rand.Rand) {
+	sim.mu.Lock()
+	duplicating := sim.duplicatingHeartbeats
+	sim.mu.Unlock()
+	if !duplicating || rng.IntN(5) != 0 {
+		return
+	}
+	delay := 2*time.Second + time.Duration(rng.Int64N(int64(3*seconds(sim.Workers.LeaseS))))
+	member := controllerNames[rng.IntN(3)]
+	sim.actors.Go(func() {
+		time.Sleep(delay)
+		instance := sim.runningController(member)
+		var heartbeat api.Heartbeat
+		if instance != nil && json.Unmarshal(raw, &heartbeat) == nil {
+			instance.HandleHeartbeat(context.WithoutCancel(ctx), &heartbeat, raw)
+		}
+	})
+}
+
+// inboundLost reports whether the machine's heartbeats reach no controller.
+func (sim *simulation) inboundLost(machine *simulatedMachine) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return machine.inboundLossCount > 0
+}
+
+// decodeForwarded decodes an answer that one controller passed on from another, which is still encoded; other answers
+// are returned as they are.
+func decodeForwarded(code int, body any) any {
+	raw, ok := body.(json.RawMessage)
+	if !ok {
+		return body
+	}
+	var response api.HeartbeatResponse
+	if code == http.StatusOK && json.Unmarshal(raw, &response) == nil {
+		return response
+	}
+	var redirect api.Redirect
+	if json.Unmarshal(raw, &redirect) == nil {
+		return redirect
+	}
+	return body
+}
+
+// machineReturned stops the worker of a machine that was given back to the cloud.
 func (sim *simulation) machineReturned(host fake.Host) {
 	sim.mu.Lock()
 	machine := sim.machines[host.Address]
@@ -129,25 +160,25 @@
 	machine.worker.Restart()
 }
 
-// pickMachines are that many machines, chosen by the seed, by name.
-func (sim *simulation) pickMachines(n int) (out []*simulatedMachine) {
+// pickMachines chooses up to count healthy machines by the seed and marks them as met by a fault.
+func (sim *simulation) pickMachines(count int) (out []*simulatedMachine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, machine := range sim.machines {
-		if !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount == 0 {
+		if machine.healthy() {
 			out = append(out, machine)
 		}
 	}
 	slices.SortFunc(out, func(a, b *simulatedMachine) int { return strings.Compare(a.Name, b.Name) })
 	sim.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	out = out[:min(n, len(out))]
+	out = out[:min(count, len(out))]
 	for _, machine := range out {
 		machine.lastFaultAt = time.Now()
 	}
 	return out
 }
 
-// hangMachines has machines stand still for a while.
+// hangMachines suspends machines for a while: commands that reach them are carried out afterwards.
 func (sim *simulation) hangMachines(ctx context.Context, machines []*simulatedMachine, duration time.Duration) {
 	set := func(by int) {
 		sim.withLock(func() {
@@ -165,19 +196,20 @@
 	set(-1)
 }
 
-// hangMachineOf has a machine that runs a task of a job hang, if fewer than eight do since the last wave.
+// hangMachineOf suspends a machine that runs a task of a job unless maxHungByWave machines were suspended since the
+// last cancellation wave.
 func (sim *simulation) hangMachineOf(ctx context.Context, job *trackedJob, duration time.Duration) {
 	machine := sim.checker.machineOf(job.ID)
 	if machine == nil {
 		return
 	}
 	sim.mu.Lock()
-	some := sim.hungByWave < 8 && machine.hangCount == 0
-	if some {
+	suspend := sim.hungByWave < maxHungByWave && machine.hangCount == 0
+	if suspend {
 		sim.hungByWave++
 	}
 	sim.mu.Unlock()
-	if some {
+	if suspend {
 		sim.actors.Go(func() { sim.hangMachines(ctx, []*simulatedMachine{machine}, duration) })
 	}
 }
