--- a/internal/fake/objects.go
+++ b/internal/fake/objects.go
@@ -13,14 +13,14 @@
 // Objects is the store of datasets: NAME/manifest.json and NAME/data, with ranges. Fault
 // makes it fail in one of the ways that stores do.
 type Objects struct {
-	mu   sync.Mutex
-	data map[string][]byte
-	man  map[string][]byte
+	mu        sync.Mutex
+	objects   map[string][]byte
+	manifests map[string][]byte
 	// Served counts the bytes of data given out, Ranges how often each first byte was
 	// asked for.
-	served  int64
-	ranges  map[string]int
-	trouble Fault
+	served      int64
+	rangeCounts map[string]int
+	fault       Fault
 	// Hanging gets a message whenever a request hangs, or drips.
 	Hanging chan struct{}
 }
@@ -33,11 +33,11 @@
 
 // NewObjects makes an empty store.
 func NewObjects() *Objects {
-	return &Objects{data: map[string][]byte{}, man: map[string][]byte{}, ranges: map[string]int{}, Hanging: make(chan struct{}, 64)}
+	return &Objects{objects: map[string][]byte{}, manifests: map[string][]byte{}, rangeCounts: map[string]int{}, Hanging: make(chan struct{}, 64)}
 }
 
 // Add publishes a dataset and gives its manifest.
-func (o *Objects) Add(name string, data []byte, chunk, part int) (*dataset.Manifest, dataset.Digest) {
+func (objects *Objects) Add(name string, data []byte, chunk, part int) (*dataset.Manifest, dataset.Digest) {
 	m, err := dataset.Build(name, strings.NewReader(string(data)), chunk, part, nil)
 	if err != nil {
 		panic(err)
@@ -46,37 +46,37 @@
 	if err != nil {
 		panic(err)
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.data[name], o.man[name] = data, raw
+	objects.mu.Lock()
+	defer objects.mu.Unlock()
+	objects.objects[name], objects.manifests[name] = data, raw
 	return m, d
 }
 
 // Break sets how the store fails from now on; Kind "": it works.
-func (o *Objects) Break(t Fault) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.trouble = t
+func (objects *Objects) Break(fault Fault) {
+	objects.mu.Lock()
+	defer objects.mu.Unlock()
+	objects.fault = fault
 }
 
 // Served is the number of bytes of data given out, and how often the range that begins
 // most often asked for began.
-func (o *Objects) Served() (bytes int64, most int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, n := range o.ranges {
+func (objects *Objects) Served() (bytes int64, most int) {
+	objects.mu.Lock()
+	defer objects.mu.Unlock()
+	for _, n := range objects.rangeCounts {
 		most = max(most, n)
 	}
-	return o.served, most
+	return objects.served, most
 }
 
 // ServeHTTP answers.
-func (o *Objects) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	name, what, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	o.mu.Lock()
-	data, man, t := o.data[name], o.man[name], o.trouble
-	o.mu.Unlock()
-	if t.Kind == "503" {
+func (objects *Objects) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	name, what, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
+	objects.mu.Lock()
+	data, man, fault := objects.objects[name], objects.manifests[name], objects.fault
+	objects.mu.Unlock()
+	if fault.Kind == "503" {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	var lo, hi int
-	if _, err := fmt.Sscanf(r.Header.Get("Range"), "bytes=%d-%d", &lo, &hi); err != nil || what != "data" || lo > hi || hi >= len(data) {
+	if _, err := fmt.Sscanf(request.Header.Get("Range"), "bytes=%d-%d", &lo, &hi); err != nil || what != "data" || lo > hi || hi >= len(data) {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -95,15 +95,15 @@
 	w.WriteHeader(http.StatusPartialContent)
 	give := func(b []byte) {
 		n, _ := w.Write(b)
-		o.mu.Lock()
-		o.served += int64(n)
-		o.mu.Unlock()
+		objects.mu.Lock()
+		objects.served += int64(n)
+		objects.mu.Unlock()
 	}
-	o.mu.Lock()
-	o.ranges[fmt.Sprint(name, lo)]++
-	o.mu.Unlock()
-	good := min(t.After, len(body))
-	switch t.Kind {
+	objects.mu.Lock()
+	objects.rangeCounts[fmt.Sprint(name, lo)]++
+	objects.mu.Unlock()
+	good := min(fault.After, len(body))
+	switch fault.Kind {
 	case "":
 		give(body)
 	case "wrong":
@@ -121,18 +121,18 @@
 		panic(http.ErrAbortHandler)
 	case "hang", "drip":
 		give(body[:good])
-		if t.Kind == "drip" && good < len(body) {
+		if fault.Kind == "drip" && good < len(body) {
 			give(body[good : good+1])
 		}
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
 		}
 		select {
-		case o.Hanging <- struct{}{}:
+		case objects.Hanging <- struct{}{}:
 		default:
 		}
 		select {
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 		case <-time.After(time.Minute):
 		}
 	}
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -33,23 +33,23 @@
 
 // The protocol's own limits.
 const (
-	bodyBytes   = 64 << 10
-	listItems   = 1000
-	listBytes   = 512 << 10
-	historyKept = 10_000
-	keyBytes    = 200
-	blockMost   = 60 * time.Second
-	lifeLeast   = 100 * time.Millisecond
-	lifeMost    = 600 * time.Second
+	maxBodyBytes  = 64 << 10
+	maxListItems  = 1000
+	maxListBytes  = 512 << 10
+	maxHistory    = 10_000
+	maxKeyBytes   = 200
+	maxWatchBlock = 60 * time.Second
+	minLeaseLife  = 100 * time.Millisecond
+	maxLeaseLife  = 600 * time.Second
 )
 
-type row struct {
-	value  json.RawMessage
-	stamp  uint64
-	ticket uint64
+type record struct {
+	value    json.RawMessage
+	revision uint64
+	leaseID  uint64
 }
 
-type txn struct {
+type transactionRequest struct {
 	If []struct {
 		K     string `json:"k"`
 		Stamp uint64 `json:"stamp"`
@@ -66,35 +66,35 @@
 type State struct {
 	clock clockwork.Clock
 
-	mu     sync.Mutex
-	rows   map[string]row
-	leases map[uint64]time.Time
-	life   map[uint64]time.Duration
-	epoch  uint64
+	mu        sync.Mutex
+	records   map[string]record
+	leases    map[uint64]time.Time
+	leaseLife map[uint64]time.Duration
+	revision  uint64
 	// Down answers 503 to everything.
 	Down bool
 	// LoseAnswer executes the next transaction and loses its answer; HoldNext
 	// holds it back until Deliver.
 	LoseAnswer, HoldNext bool
-	held                 []txn
-	late                 *Late
-	lateRead             *Late
+	heldTransactions     []transactionRequest
+	delayedWrite         *Late
+	delayedRead          *Late
 	// Largest is the largest transaction so far: its changes, its bytes, and
 	// the bytes of its largest value.
 	Largest struct{ Ops, Bytes, Value int }
 	// Requests counts all requests; Refused those over a limit, by what was wrong; changes what was put and deleted, by
 	// the first two parts of the keys.
-	Requests int
-	Refused  map[string]int
-	changes  map[string]int
+	Requests      int
+	Refused       map[string]int
+	changesByKind map[string]int
 
 	limits   Limits
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	// log holds the newest changes; every one up to gone is no longer kept.
-	log  []change
-	gone uint64
-	// changed is closed at each change, and made anew.
+	// history holds the newest changes; every one up to gone is no longer kept.
+	history       []change
+	oldestDropped uint64
+	// notifyChange is closed at each change, and made anew.
 	changed chan struct{}
 }
 
@@ -107,59 +107,59 @@
 
 // NewState makes an empty service.
 func NewState(clock clockwork.Clock) *State {
-	s := &State{clock: clock, rows: map[string]row{}, leases: map[uint64]time.Time{}, life: map[uint64]time.Duration{}, epoch: 10, gone: 10,
-		Refused: map[string]int{}, changes: map[string]int{}, changed: make(chan struct{})}
+	s := &State{clock: clock, records: map[string]record{}, leases: map[uint64]time.Time{}, leaseLife: map[uint64]time.Duration{}, revision: 10, oldestDropped: 10,
+		Refused: map[string]int{}, changesByKind: map[string]int{}, changed: make(chan struct{})}
 	s.Limit(Limits{ValueKB: 16, TxnOps: 24})
 	return s
 }
 
 // Limit sets the deployment's limits.
-func (s *State) Limit(l Limits) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (state *State) Limit(limits Limits) {
+	state.mu.Lock()
+	defer state.mu.Unlock()
 	per := func(n float64) *rate.Limiter {
 		if n <= 0 {
 			return rate.NewLimiter(rate.Inf, 0)
 		}
 		return rate.NewLimiter(rate.Limit(n), max(1, int(n)))
 	}
-	s.limits, s.requests, s.writes = l, per(l.RPS), per(l.WriteRPS)
+	state.limits, state.requests, state.writes = limits, per(limits.RPS), per(limits.WriteRPS)
 }
 
 // Outage sets Down while others are at work.
-func (s *State) Outage(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.Down = down
+func (state *State) Outage(down bool) {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.Down = down
 }
 
 // Refusals are the requests over a limit so far, by what was wrong.
-func (s *State) Refusals() map[string]int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.Refused)
+func (state *State) Refusals() map[string]int {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	return maps.Clone(state.Refused)
 }
 
 // Changes are how many keys were put or deleted so far, by the first two parts of the keys.
-func (s *State) Changes() map[string]int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.changes)
+func (state *State) Changes() map[string]int {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	return maps.Clone(state.changesByKind)
 }
 
-// kindOf is the first two parts of a key.
-func kindOf(key string) string {
+// keyKind is the first two parts of a key.
+func keyKind(key string) string {
 	parts := strings.SplitN(key, "/", 3)
 	return strings.Join(parts[:min(2, len(parts))], "/")
 }
 
 // refuse answers a request that breaks a limit.
-func (s *State) refuse(status int, why string) (*http.Response, error) {
-	s.Refused[why]++
+func (state *State) refuse(status int, why string) (*http.Response, error) {
+	state.Refused[why]++
 	return reply(status, map[string]any{"error": why})
 }
 
-var errLost = errors.New("no answer")
+var errAnswerLost = errors.New("no answer")
 
 func reply(status int, body any) (*http.Response, error) {
 	raw, err := json.Marshal(body)
@@ -170,76 +170,76 @@
 }
 
 // RoundTrip answers one request.
-func (s *State) RoundTrip(r *http.Request) (*http.Response, error) {
+func (state *State) RoundTrip(request *http.Request) (*http.Response, error) {
 	var body []byte
-	if r.Body != nil {
-		body, _ = io.ReadAll(r.Body)
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.expire()
-	s.Requests++
-	if s.Down {
+	if request.Body != nil {
+		body, _ = io.ReadAll(request.Body)
+	}
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.expireLeases()
+	state.Requests++
+	if state.Down {
 		return reply(503, map[string]any{})
 	}
-	if !s.requests.AllowN(s.clock.Now(), 1) {
-		return s.refuse(429, "too many requests")
+	if !state.requests.AllowN(state.clock.Now(), 1) {
+		return state.refuse(429, "too many requests")
 	}
-	if len(body) > bodyBytes {
-		return s.refuse(413, "body too large")
+	if len(body) > maxBodyBytes {
+		return state.refuse(413, "body too large")
 	}
-	switch p := r.URL.Path; {
+	switch p := request.URL.Path; {
 	case p == "/multi":
-		return s.multi(body)
+		return state.serveTransaction(body)
 	case p == "/leases":
-		return s.grant(body)
+		return state.grantLease(body)
 	case strings.HasPrefix(p, "/leases/"):
-		return s.renewOrEnd(r)
+		return state.renewOrRevokeLease(request)
 	case p == "/watch":
-		return s.watch(r)
+		return state.serveWatch(request)
 	case p == "/store":
-		return s.list(r.URL.Query())
+		return state.serveList(request.URL.Query())
 	case strings.HasPrefix(p, "/store/"):
-		return s.get(strings.TrimPrefix(p, "/store/"))
+		return state.serveGet(strings.TrimPrefix(p, "/store/"))
 	}
 	return reply(400, map[string]any{"error": "malformed"})
 }
 
-// multi runs a transaction; the lock is held, as in all that answers.
-func (s *State) multi(body []byte) (*http.Response, error) {
-	var t txn
-	if json.Unmarshal(body, &t) != nil {
+// serveTransaction runs a transaction; the lock is held, as in all that answers.
+func (state *State) serveTransaction(body []byte) (*http.Response, error) {
+	var transaction transactionRequest
+	if json.Unmarshal(body, &transaction) != nil {
 		return reply(400, map[string]any{"error": "malformed"})
 	}
-	if why := s.tooMuch(&t); why != "" {
-		return s.refuse(400, why)
+	if why := state.violatedLimit(&transaction); why != "" {
+		return state.refuse(400, why)
 	}
-	if !s.writes.AllowN(s.clock.Now(), len(t.Then)) {
-		return s.refuse(429, "too many changes")
+	if !state.writes.AllowN(state.clock.Now(), len(transaction.Then)) {
+		return state.refuse(429, "too many changes")
 	}
-	s.Largest.Ops = max(s.Largest.Ops, len(t.Then))
-	s.Largest.Bytes = max(s.Largest.Bytes, len(body))
-	for _, o := range t.Then {
-		s.Largest.Value = max(s.Largest.Value, len(o.Value))
+	state.Largest.Ops = max(state.Largest.Ops, len(transaction.Then))
+	state.Largest.Bytes = max(state.Largest.Bytes, len(body))
+	for _, o := range transaction.Then {
+		state.Largest.Value = max(state.Largest.Value, len(o.Value))
 	}
-	if l := s.late; l != nil {
-		s.late = nil
-		return s.answerLate(l, t)
+	if late := state.delayedWrite; late != nil {
+		state.delayedWrite = nil
+		return state.serveDelayed(late, transaction)
 	}
-	if s.HoldNext {
-		s.HoldNext = false
-		s.held = append(s.held, t)
-		return nil, errLost
+	if state.HoldNext {
+		state.HoldNext = false
+		state.heldTransactions = append(state.heldTransactions, transaction)
+		return nil, errAnswerLost
 	}
-	resp, err := s.apply(t)
-	if s.LoseAnswer {
-		s.LoseAnswer = false
-		return nil, errLost
+	resp, err := state.apply(transaction)
+	if state.LoseAnswer {
+		state.LoseAnswer = false
+		return nil, errAnswerLost
 	}
 	return resp, err
 }
 
-func (s *State) grant(body []byte) (*http.Response, error) {
+func (state *State) grantLease(body []byte) (*http.Response, error) {
 	var q struct {
 		Life int64 `json:"life_ms"`
 	}
@@ -247,74 +247,74 @@
 	if json.Unmarshal(body, &q) == nil {
 		life = time.Duration(q.Life) * time.Millisecond
 	}
-	if life < lifeLeast || life > lifeMost {
-		return s.refuse(400, "life_ms out of range")
+	if life < minLeaseLife || life > maxLeaseLife {
+		return state.refuse(400, "life_ms out of range")
 	}
-	s.epoch++
-	id := s.epoch
-	s.life[id] = life
-	s.leases[id] = s.clock.Now().Add(s.life[id])
+	state.revision++
+	id := state.revision
+	state.leaseLife[id] = life
+	state.leases[id] = state.clock.Now().Add(state.leaseLife[id])
 	return reply(200, map[string]any{"ticket": id})
 }
 
-func (s *State) renewOrEnd(r *http.Request) (*http.Response, error) {
-	id, _ := strconv.ParseUint(strings.Split(r.URL.Path, "/")[2], 10, 64)
-	if _, ok := s.leases[id]; !ok {
+func (state *State) renewOrRevokeLease(request *http.Request) (*http.Response, error) {
+	id, _ := strconv.ParseUint(strings.Split(request.URL.Path, "/")[2], 10, 64)
+	if _, ok := state.leases[id]; !ok {
 		return reply(404, map[string]any{})
 	}
-	if r.Method == http.MethodDelete {
-		s.leases[id] = time.Time{}
-		s.expire()
+	if request.Method == http.MethodDelete {
+		state.leases[id] = time.Time{}
+		state.expireLeases()
 	} else {
-		s.leases[id] = s.clock.Now().Add(s.life[id])
+		state.leases[id] = state.clock.Now().Add(state.leaseLife[id])
 	}
 	return reply(200, map[string]any{})
 }
 
-func (s *State) get(k string) (*http.Response, error) {
-	v, ok := s.rows[k]
-	if l := s.lateRead; l != nil {
-		s.lateRead = nil
-		s.hold(l)
-		if !l.executed {
-			v, ok = s.rows[k]
+func (state *State) serveGet(key string) (*http.Response, error) {
+	v, ok := state.records[key]
+	if late := state.delayedRead; late != nil {
+		state.delayedRead = nil
+		state.awaitRelease(late)
+		if !late.executed {
+			v, ok = state.records[key]
 		}
 	}
 	if !ok {
-		return reply(404, map[string]any{"epoch": s.epoch})
+		return reply(404, map[string]any{"epoch": state.revision})
 	}
-	return reply(200, map[string]any{"k": k, "value": v.value, "stamp": v.stamp, "ticket": v.ticket})
+	return reply(200, map[string]any{"k": key, "value": v.value, "stamp": v.revision, "ticket": v.leaseID})
 }
 
-func (s *State) list(q url.Values) (*http.Response, error) {
-	limit, err := strconv.Atoi(q.Get("limit"))
-	if err != nil || limit < 1 || limit > listItems {
-		return s.refuse(400, "limit out of range")
+func (state *State) serveList(query url.Values) (*http.Response, error) {
+	limit, err := strconv.Atoi(query.Get("limit"))
+	if err != nil || limit < 1 || limit > maxListItems {
+		return state.refuse(400, "limit out of range")
 	}
 	var keys []string
-	for k := range s.rows {
-		if strings.HasPrefix(k, q.Get("under")) && k > q.Get("after") {
-			keys = append(keys, k)
+	for key := range state.records {
+		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("after") {
+			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
 	rows, bytes := []any{}, 0
-	for _, k := range keys {
-		if bytes += len(k) + len(s.rows[k].value); len(rows) == limit || len(rows) > 0 && bytes > listBytes {
+	for _, key := range keys {
+		if bytes += len(key) + len(state.records[key].value); len(rows) == limit || len(rows) > 0 && bytes > maxListBytes {
 			break
 		}
-		rows = append(rows, map[string]any{"k": k, "value": s.rows[k].value, "stamp": s.rows[k].stamp})
+		rows = append(rows, map[string]any{"k": key, "value": state.records[key].value, "stamp": state.records[key].revision})
 	}
-	return reply(200, map[string]any{"rows": rows, "more": len(rows) < len(keys), "epoch": s.epoch})
+	return reply(200, map[string]any{"rows": rows, "more": len(rows) < len(keys), "epoch": state.revision})
 }
 
-// tooMuch is which limit a transaction breaks; empty: none.
-func (s *State) tooMuch(t *txn) string {
-	bad := func(k string) bool { return k == "" || len(k) > keyBytes || strings.ContainsAny(k, " \t\n") }
+// violatedLimit is which limit a transaction breaks; empty: none.
+func (state *State) violatedLimit(t *transactionRequest) string {
+	bad := func(key string) bool { return key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\n") }
 	switch {
-	case len(t.Then) > s.limits.TxnOps:
+	case len(t.Then) > state.limits.TxnOps:
 		return "too many changes in a transaction"
-	case len(t.If) > 4*s.limits.TxnOps:
+	case len(t.If) > 4*state.limits.TxnOps:
 		return "too many conditions"
 	}
 	for _, c := range t.If {
@@ -326,201 +326,201 @@
 		if bad(o.Set + o.Delete) {
 			return "malformed key"
 		}
-		if float64(len(o.Value)) > s.limits.ValueKB*1024 {
+		if float64(len(o.Value)) > state.limits.ValueKB*1024 {
 			return "value too large"
 		}
 	}
 	return ""
 }
 
-// watch waits for changes under a prefix; the lock is held but while it waits.
-func (s *State) watch(r *http.Request) (*http.Response, error) {
-	q := r.URL.Query()
-	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
-	block, berr := strconv.ParseInt(q.Get("block_ms"), 10, 64)
+// serveWatch waits for changes under a prefix; the lock is held but while it waits.
+func (state *State) serveWatch(request *http.Request) (*http.Response, error) {
+	query := request.URL.Query()
+	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
+	block, berr := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 	wait := time.Duration(block) * time.Millisecond
-	if err != nil || q.Get("block_ms") != "" && berr != nil || wait < 0 || wait > blockMost {
-		return s.refuse(400, "malformed watch")
+	if err != nil || query.Get("block_ms") != "" && berr != nil || wait < 0 || wait > maxWatchBlock {
+		return state.refuse(400, "malformed watch")
 	}
-	over := s.clock.After(wait)
+	over := state.clock.After(wait)
 	for late := wait == 0; ; {
-		if after < s.gone {
-			return reply(410, map[string]any{"epoch": s.epoch})
+		if after < state.oldestDropped {
+			return reply(410, map[string]any{"epoch": state.revision})
 		}
 		log := []change{}
-		for _, c := range s.log {
-			if c.Stamp > after && strings.HasPrefix(c.Set+c.Delete, q.Get("under")) {
+		for _, c := range state.history {
+			if c.Stamp > after && strings.HasPrefix(c.Set+c.Delete, query.Get("under")) {
 				log = append(log, c)
 			}
 		}
 		if len(log) > 0 || late {
-			return reply(200, map[string]any{"epoch": s.epoch, "log": log})
+			return reply(200, map[string]any{"epoch": state.revision, "log": log})
 		}
-		changed := s.changed
+		changed := state.changed
 		// A lease that ends is a change as well.
 		var ends <-chan time.Time
-		for _, end := range s.leases {
-			if left := end.Sub(s.clock.Now()); ends == nil || left < wait {
-				wait, ends = left, s.clock.After(left+time.Millisecond)
+		for _, end := range state.leases {
+			if left := end.Sub(state.clock.Now()); ends == nil || left < wait {
+				wait, ends = left, state.clock.After(left+time.Millisecond)
 			}
 		}
-		s.mu.Unlock()
+		state.mu.Unlock()
 		select {
 		case <-changed:
 		case <-ends:
 		case <-over:
 			late = true
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 		}
-		s.mu.Lock()
-		s.expire()
-		if err := r.Context().Err(); err != nil {
+		state.mu.Lock()
+		state.expireLeases()
+		if err := request.Context().Err(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// note keeps changes for watches.
-func (s *State) note(cs ...change) {
-	s.log = append(s.log, cs...)
-	if n := len(s.log) - historyKept; n > 0 {
-		s.gone = s.log[n-1].Stamp
-		s.log = slices.Clone(s.log[n:])
+// recordChanges keeps changes for watches.
+func (state *State) recordChanges(cs ...change) {
+	state.history = append(state.history, cs...)
+	if n := len(state.history) - maxHistory; n > 0 {
+		state.oldestDropped = state.history[n-1].Stamp
+		state.history = slices.Clone(state.history[n:])
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(state.changed)
+	state.changed = make(chan struct{})
 }
 
-func (s *State) expire() {
-	for id, end := range s.leases {
-		if s.clock.Now().After(end) {
-			delete(s.leases, id)
-			for k, v := range s.rows {
-				if v.ticket == id {
-					s.epoch++
-					delete(s.rows, k)
-					s.note(change{Delete: k, Stamp: s.epoch})
+func (state *State) expireLeases() {
+	for id, end := range state.leases {
+		if state.clock.Now().After(end) {
+			delete(state.leases, id)
+			for key, v := range state.records {
+				if v.leaseID == id {
+					state.revision++
+					delete(state.records, key)
+					state.recordChanges(change{Delete: key, Stamp: state.revision})
 				}
 			}
 		}
 	}
 }
 
-func (s *State) apply(t txn) (*http.Response, error) {
+func (state *State) apply(transaction transactionRequest) (*http.Response, error) {
 	var failed []string
-	for _, c := range t.If {
-		if s.rows[c.K].stamp != c.Stamp {
+	for _, c := range transaction.If {
+		if state.records[c.K].revision != c.Stamp {
 			failed = append(failed, c.K)
 		}
 	}
 	if len(failed) > 0 {
-		return reply(409, map[string]any{"failed": failed, "epoch": s.epoch})
+		return reply(409, map[string]any{"failed": failed, "epoch": state.revision})
 	}
-	for _, o := range t.Then {
-		if _, ok := s.leases[o.Ticket]; o.Ticket != 0 && !ok {
+	for _, o := range transaction.Then {
+		if _, ok := state.leases[o.Ticket]; o.Ticket != 0 && !ok {
 			return reply(400, map[string]any{"error": "no such lease"})
 		}
 	}
-	if len(t.Then) > 0 {
-		s.epoch++
+	if len(transaction.Then) > 0 {
+		state.revision++
 	}
-	for _, o := range t.Then {
-		s.changes[kindOf(o.Set+o.Delete)]++
+	for _, o := range transaction.Then {
+		state.changesByKind[keyKind(o.Set+o.Delete)]++
 		if o.Delete != "" {
-			delete(s.rows, o.Delete)
-			s.note(change{Delete: o.Delete, Stamp: s.epoch})
+			delete(state.records, o.Delete)
+			state.recordChanges(change{Delete: o.Delete, Stamp: state.revision})
 		} else {
-			s.rows[o.Set] = row{o.Value, s.epoch, o.Ticket}
-			s.note(change{Set: o.Set, Value: o.Value, Stamp: s.epoch})
+			state.records[o.Set] = record{o.Value, state.revision, o.Ticket}
+			state.recordChanges(change{Set: o.Set, Value: o.Value, Stamp: state.revision})
 		}
 	}
-	return reply(200, map[string]any{"epoch": s.epoch})
+	return reply(200, map[string]any{"epoch": state.revision})
 }
 
 // Late is a transaction whose answer is held back.
 type Late struct {
 	// Asked is closed once it came in.
 	Asked    chan struct{}
-	answer   chan struct{}
+	released chan struct{}
 	executed bool
 }
 
 // Answer lets the answer go.
-func (l *Late) Answer() { close(l.answer) }
+func (l *Late) Answer() { close(l.released) }
 
 // LateNext holds back the answer of the next transaction until Answer; it is executed
 // before that, or only then.
-func (s *State) LateNext(executed bool) *Late {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.late = &Late{Asked: make(chan struct{}), answer: make(chan struct{}), executed: executed}
-	return s.late
+func (state *State) LateNext(executed bool) *Late {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.delayedWrite = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executed: executed}
+	return state.delayedWrite
 }
 
 // LateRead holds back the answer of the next reading of a key until Answer; it is executed before that, or only
 // then.
-func (s *State) LateRead(executed bool) *Late {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lateRead = &Late{Asked: make(chan struct{}), answer: make(chan struct{}), executed: executed}
-	return s.lateRead
+func (state *State) LateRead(executed bool) *Late {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.delayedRead = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executed: executed}
+	return state.delayedRead
 }
 
-// hold waits until the answer may go; it is called, and returns, with the lock held.
-func (s *State) hold(l *Late) {
-	close(l.Asked)
-	s.mu.Unlock()
-	<-l.answer
-	s.mu.Lock()
+// awaitRelease waits until the answer may go; it is called, and returns, with the lock held.
+func (state *State) awaitRelease(late *Late) {
+	close(late.Asked)
+	state.mu.Unlock()
+	<-late.released
+	state.mu.Lock()
 }
 
-// answerLate is called, and returns, with the lock held.
-func (s *State) answerLate(l *Late, t txn) (resp *http.Response, err error) {
-	if l.executed {
-		resp, err = s.apply(t)
+// serveDelayed is called, and returns, with the lock held.
+func (state *State) serveDelayed(late *Late, transaction transactionRequest) (resp *http.Response, err error) {
+	if late.executed {
+		resp, err = state.apply(transaction)
 	}
-	s.hold(l)
-	if !l.executed {
-		resp, err = s.apply(t)
+	state.awaitRelease(late)
+	if !late.executed {
+		resp, err = state.apply(transaction)
 	}
 	return resp, err
 }
 
 // Deliver applies the transactions that were held back, late.
-func (s *State) Deliver() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, t := range s.held {
-		_, _ = s.apply(t)
+func (state *State) Deliver() {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	for _, transaction := range state.heldTransactions {
+		_, _ = state.apply(transaction)
 	}
-	s.held = nil
+	state.heldTransactions = nil
 }
 
 // Put sets a key as if another node had.
-func (s *State) Put(key string, value any) uint64 {
+func (state *State) Put(key string, value any) uint64 {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.epoch++
-	s.rows[key] = row{value: raw, stamp: s.epoch}
-	s.note(change{Set: key, Value: raw, Stamp: s.epoch})
-	return s.epoch
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.revision++
+	state.records[key] = record{value: raw, revision: state.revision}
+	state.recordChanges(change{Set: key, Value: raw, Stamp: state.revision})
+	return state.revision
 }
 
 // Get reads a key; nil: it does not exist.
-func (s *State) Get(key string) json.RawMessage {
-	value, _ := s.Read(key)
+func (state *State) Get(key string) json.RawMessage {
+	value, _ := state.Read(key)
 	return value
 }
 
 // Under is how many keys begin with a prefix.
-func (s *State) Under(prefix string) (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for key := range s.rows {
+func (state *State) Under(prefix string) (n int) {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	for key := range state.records {
 		if strings.HasPrefix(key, prefix) {
 			n++
 		}
@@ -529,8 +529,8 @@
 }
 
 // Read reads a key and the revision of its last change; nil and 0: it does not exist.
-func (s *State) Read(key string) (value json.RawMessage, stamp uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rows[key].value, s.rows[key].stamp
+func (state *State) Read(key string) (value json.RawMessage, stamp uint64) {
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	return state.records[key].value, state.records[key].revision
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -12,137 +12,143 @@
 	"switchferry/api"
 )
 
-// Worker plays a worker to the letter of the protocol: session, tally, token, lease, its turns
-// from node to node, commands. Its tasks run as long as Runs says and need no image.
+// Worker is a fake worker that keeps the protocol exactly: incarnation, sequence numbers, fencing token, lease, the
+// order in which it tries controllers, and commands. Its tasks run nothing; they last as long as WorkerOptions.Runs
+// says.
 type Worker struct {
 	Host
 	clock clockwork.Clock
-	// Nodes are the controllers in order; Post sends a report to one. A status of 0: no
-	// answer within the time of the context.
-	nodes []string
-	post  func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
-	every time.Duration
-	lease time.Duration
-	runs  func(task string) time.Duration
+	// controllers are tried in this order; post sends a heartbeat to one and returns status 0 if there is no
+	// answer until the context ends.
+	controllers []string
+	post        func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
+	interval    time.Duration
+	lease       time.Duration
+	runTime     func(task string) time.Duration
 
-	mu      sync.Mutex
-	at      int
-	session uint64
-	seq     uint64
-	term    uint64
-	renewed time.Time
-	tasks   map[string]*workerTask
-	change  chan struct{}
-	// Killed counts tasks that its lease ended; Started all that it started.
+	// mu guards the fields below and the tasks.
+	mu              sync.Mutex
+	controllerIndex int
+	incarnation     uint64
+	sequence        uint64
+	term            uint64
+	renewedAt       time.Time
+	tasks           map[string]*workerTask
+	changes         chan struct{}
+	// killed counts tasks that ended with the lease or the worker, started all that were started.
 	killed, started int
-	answered        time.Time
-	// hung is closed when the machine goes on, nil while it does; hungAt is since when it hangs.
+	answeredAt      time.Time
+	// hung is closed when the machine continues, and nil while it is not suspended; hungAt is when it was.
 	hung   chan struct{}
 	hungAt time.Time
-	// fetch is how long a task waits for its image; busy until when the machine's link is taken.
-	fetch func(task string) (image string, d time.Duration)
-	has   map[string]time.Time
-	busy  time.Time
-	// Starts is told of each start, without the lock.
-	starts func(task string, term uint64, at time.Time)
-	ends   func(task string, done bool)
+	// imagePull is WorkerOptions.Fetch; pullingUntil is when the machine's link is free for the next image.
+	imagePull    func(task string) (image string, d time.Duration)
+	cachedImages map[string]time.Time
+	pullingUntil time.Time
+	// onStart and onEnd are WorkerOptions.Starts and Ends.
+	onStart func(task string, term uint64, at time.Time)
+	onEnd   func(task string, done bool)
 }
 
-// workerTask is a task on the machine: it has its image at ready, and completes at ends.
+// workerTask is a task on the machine: its image is there at readyAt, and it completes at endsAt.
 type workerTask struct {
 	api.TaskReport
-	term        uint64
-	ready, ends time.Time
+	term            uint64
+	readyAt, endsAt time.Time
 }
 
-// answerPatience is how long a worker waits for the answer to a report.
-const answerPatience = 4 * time.Second
+// responseTimeout is how long a worker waits for the answer to a heartbeat.
+const responseTimeout = 4 * time.Second
 
-// WorkerOptions are what a worker is made of.
+// WorkerOptions configure a worker. Nodes, Post, Every, Lease and Runs are required.
 type WorkerOptions struct {
-	Host         Host
-	Clock        clockwork.Clock
-	Nodes        []string
-	Post         func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
+	Host  Host
+	Clock clockwork.Clock
+	// Nodes are the controllers in the order in which the worker tries them.
+	Nodes []string
+	// Post sends a heartbeat to a controller; status 0 stands for no answer until the context ends.
+	Post func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
+	// Every is the time between heartbeats, Lease how long tasks outlive the last answered one.
 	Every, Lease time.Duration
-	Runs         func(task string) time.Duration
-	Starts       func(task string, term uint64, at time.Time)
-	// Ends is told of each end, in order with the starts and with the lock; nil: not told.
+	// Runs is how long a task runs.
+	Runs func(task string) time.Duration
+	// Starts, if not nil, is called for each start: with the worker's lock if Ends is set, else without.
+	Starts func(task string, term uint64, at time.Time)
+	// Ends, if not nil, is called for each end of a running task, in order with the starts and with the lock.
 	Ends func(task string, done bool)
-	// Fetch is the image that a task needs and how long it takes to fetch alone: images come one after the other
-	// over the machine's link, and stay. Nil: tasks need none.
+	// Fetch is the image that a task needs and how long its pull takes. Images are pulled one after the other
+	// and stay. Nil: tasks need none.
 	Fetch func(task string) (image string, d time.Duration)
 }
 
-// NewWorker makes a worker that has just begun.
-func NewWorker(o WorkerOptions) *Worker {
-	return &Worker{Host: o.Host, clock: o.Clock, nodes: o.Nodes, post: o.Post, every: o.Every, lease: o.Lease, runs: o.Runs, starts: o.Starts, ends: o.Ends, fetch: o.Fetch, has: map[string]time.Time{},
-		session: 1, renewed: o.Clock.Now(), tasks: map[string]*workerTask{}, change: make(chan struct{}, 1)}
+// NewWorker makes a worker without tasks, whose lease begins now.
+func NewWorker(options WorkerOptions) *Worker {
+	return &Worker{Host: options.Host, clock: options.Clock, controllers: options.Nodes, post: options.Post, interval: options.Every, lease: options.Lease, runTime: options.Runs, onStart: options.Starts, onEnd: options.Ends, imagePull: options.Fetch, cachedImages: map[string]time.Time{},
+		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[string]*workerTask{}, changes: make(chan struct{}, 1)}
 }
 
-// Seen is the highest token it has seen, when it was last answered, and how many of its
-// tasks its lease ended.
-func (w *Worker) Seen() (term uint64, answered time.Time, killed, running int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pass()
-	for _, t := range w.tasks {
+// Seen is the highest fencing token that the worker has seen, when it was last answered, how many tasks ended with its
+// lease, and how many run.
+func (worker *Worker) Seen() (term uint64, answered time.Time, killed, running int) {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.completeDueTasks()
+	for _, t := range worker.tasks {
 		if t.State == api.TaskRunning {
 			running++
 		}
 	}
-	return w.term, w.answered, w.killed, running
+	return worker.term, worker.answeredAt, worker.killed, running
 }
 
-// Hang has the machine stand still, or go on: meanwhile it executes nothing, reports nothing and answers nobody,
-// while its clock runs on. What it was sent meanwhile it executes when it goes on, if it still may.
-func (w *Worker) Hang(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// Hang suspends the machine or lets it continue. While suspended it executes, reports and answers nothing, but its clock
+// runs on. Commands that arrive meanwhile are executed afterwards if their term and incarnation are still current.
+func (worker *Worker) Hang(on bool) {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
 	switch {
-	case on && w.hung == nil:
-		w.pass()
-		w.hung, w.hungAt = make(chan struct{}), w.clock.Now()
-		hung := w.hung
-		w.clock.AfterFunc(w.lease-w.clock.Since(w.renewed), func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if w.hung == hung {
-				// It may go on at any time within its lease, and no later: its tasks are over, though it finds that
-				// out only when it does.
-				w.forget()
+	case on && worker.hung == nil:
+		worker.completeDueTasks()
+		worker.hung, worker.hungAt = make(chan struct{}), worker.clock.Now()
+		hung := worker.hung
+		worker.clock.AfterFunc(worker.lease-worker.clock.Since(worker.renewedAt), func() {
+			worker.mu.Lock()
+			defer worker.mu.Unlock()
+			if worker.hung == hung {
+				// Tasks end with the lease, although the worker notices that only when it continues.
+				worker.loseTasks()
 			}
 		})
-	case !on && w.hung != nil:
-		stood := w.clock.Since(w.hungAt)
-		for _, t := range w.tasks {
-			t.ready, t.ends = t.ready.Add(stood), t.ends.Add(stood)
-			w.passAt(t)
+	case !on && worker.hung != nil:
+		stood := worker.clock.Since(worker.hungAt)
+		for _, current := range worker.tasks {
+			current.readyAt, current.endsAt = current.readyAt.Add(stood), current.endsAt.Add(stood)
+			worker.scheduleTransitions(current)
 		}
-		w.busy = w.busy.Add(stood)
-		close(w.hung)
-		w.hung = nil
-		w.pass()
+		worker.pullingUntil = worker.pullingUntil.Add(stood)
+		close(worker.hung)
+		worker.hung = nil
+		worker.completeDueTasks()
 	}
 }
 
-// forget kills and forgets all tasks.
-func (w *Worker) forget() {
-	for _, t := range w.tasks {
-		if t.State == api.TaskRunning {
-			w.killed++
-			w.over(t.Task, false)
+// loseTasks ends and removes all tasks; mu is held.
+func (worker *Worker) loseTasks() {
+	for _, current := range worker.tasks {
+		if current.State == api.TaskRunning {
+			worker.killed++
+			worker.endTask(current.Task, false)
 		}
 	}
-	w.tasks = map[string]*workerTask{}
+	worker.tasks = map[string]*workerTask{}
 }
 
-// awake waits, without the lock, until the machine does not hang.
-func (w *Worker) awake() {
+// waitWhileHung waits until the machine is not suspended; mu is not held.
+func (worker *Worker) waitWhileHung() {
 	for {
-		w.mu.Lock()
-		hung := w.hung
-		w.mu.Unlock()
+		worker.mu.Lock()
+		hung := worker.hung
+		worker.mu.Unlock()
 		if hung == nil {
 			return
 		}
@@ -150,70 +156,71 @@
 	}
 }
 
-// pass lets time pass: tasks get their images and end, and so may the lease.
-func (w *Worker) pass() {
-	if w.hung != nil {
+// completeDueTasks ends the lease if it has expired, starts the tasks whose image is there and completes those whose time
+// has come; mu is held.
+func (worker *Worker) completeDueTasks() {
+	if worker.hung != nil {
 		return
 	}
-	now := w.clock.Now()
-	if now.Sub(w.renewed) > w.lease {
-		w.forget()
-		w.session++
-		w.renewed = now
+	now := worker.clock.Now()
+	if now.Sub(worker.renewedAt) > worker.lease {
+		worker.loseTasks()
+		worker.incarnation++
+		worker.renewedAt = now
 	}
-	for _, t := range w.tasks {
-		if t.State == api.TaskFetching && !now.Before(t.ready) {
-			w.begin(t)
+	for _, current := range worker.tasks {
+		if current.State == api.TaskFetching && !now.Before(current.readyAt) {
+			worker.startTask(current)
 		}
-		if t.State == api.TaskRunning && !now.Before(t.ends) {
-			t.State, t.Cause = api.TaskExited, api.CauseDone
-			w.over(t.Task, true)
-			w.changed()
+		if current.State == api.TaskRunning && !now.Before(current.endsAt) {
+			current.State, current.Cause = api.TaskExited, api.CauseDone
+			worker.endTask(current.Task, true)
+			worker.notifyChange()
 		}
 	}
 }
 
-// begin has a task run that has its image.
-func (w *Worker) begin(t *workerTask) {
-	t.State = api.TaskRunning
-	w.started++
-	w.changed()
+// startTask starts a task whose image is there; mu is held.
+func (worker *Worker) startTask(current *workerTask) {
+	current.State = api.TaskRunning
+	worker.started++
+	worker.notifyChange()
 	switch {
-	case w.starts == nil:
-	case w.ends != nil:
-		w.starts(t.Task, t.term, w.clock.Now())
+	case worker.onStart == nil:
+	case worker.onEnd != nil:
+		worker.onStart(current.Task, current.term, worker.clock.Now())
 	default:
-		go w.starts(t.Task, t.term, w.clock.Now())
+		go worker.onStart(current.Task, current.term, worker.clock.Now())
 	}
 }
 
-// passAt lets time pass at the very moments at which a task has its image and completes.
-func (w *Worker) passAt(t *workerTask) {
-	for _, at := range []time.Time{t.ready, t.ends} {
-		if d := at.Sub(w.clock.Now()); d > 0 {
-			w.clock.AfterFunc(d, func() {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				w.pass()
+// scheduleTransitions has a task start and complete at the right moments; mu is held.
+func (worker *Worker) scheduleTransitions(current *workerTask) {
+	for _, at := range []time.Time{current.readyAt, current.endsAt} {
+		if duration := at.Sub(worker.clock.Now()); duration > 0 {
+			worker.clock.AfterFunc(duration, func() {
+				worker.mu.Lock()
+				defer worker.mu.Unlock()
+				worker.completeDueTasks()
 			})
 		}
 	}
 }
 
-// fetches is until when a task that is started now waits for its image.
-func (w *Worker) fetches(task string, now time.Time) time.Time {
-	if w.fetch == nil {
+// imageReadyAt is when the image of a task that was assigned now is there; it begins the pull if need be. mu is held.
+func (worker *Worker) imageReadyAt(task string, now time.Time) time.Time {
+	if worker.imagePull == nil {
 		return now
 	}
-	image, d := w.fetch(task)
-	at, ok := w.has[image]
+	image, duration := worker.imagePull(task)
+	at, ok := worker.cachedImages[image]
 	if !ok {
-		if w.busy.Before(now) {
-			w.busy = now
+		if worker.pullingUntil.Before(now) {
+			worker.pullingUntil = now
 		}
-		w.busy = w.busy.Add(d)
-		at = w.busy
-		w.has[image] = at
+		worker.pullingUntil = worker.pullingUntil.Add(duration)
+		at = worker.pullingUntil
+		worker.cachedImages[image] = at
 	}
 	if at.Before(now) {
 		return now
@@ -221,175 +228,179 @@
 	return at
 }
 
-func (w *Worker) over(task string, done bool) {
-	if w.ends != nil {
-		w.ends(task, done)
+// endTask reports the end of a task that was running; mu is held.
+func (worker *Worker) endTask(task string, done bool) {
+	if worker.onEnd != nil {
+		worker.onEnd(task, done)
 	}
 }
 
-// Taken is the sum of what its tasks take that have not ended.
-func (w *Worker) Taken(of func(task string) float64) (sum float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, t := range w.tasks {
-		if t.State != api.TaskExited {
-			sum += of(t.Task)
+// Taken sums up what the tasks that have not ended take, by the given function of a task's name.
+func (worker *Worker) Taken(of func(task string) float64) (sum float64) {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	for _, current := range worker.tasks {
+		if current.State != api.TaskExited {
+			sum += of(current.Task)
 		}
 	}
 	return sum
 }
 
-func (w *Worker) changed() {
+// notifyChange has Run send the next heartbeat without waiting for the interval's end.
+func (worker *Worker) notifyChange() {
 	select {
-	case w.change <- struct{}{}:
+	case worker.changes <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Worker) report() *api.Heartbeat {
-	w.seq++
-	r := &api.Heartbeat{Machine: w.Name, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Incarnation: w.session, Seq: w.seq, Term: w.term, Tasks: []api.TaskReport{}}
-	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+// heartbeat makes the next heartbeat, its tasks in the order of their names; mu is held.
+func (worker *Worker) heartbeat() *api.Heartbeat {
+	worker.sequence++
+	heartbeat := &api.Heartbeat{Machine: worker.Name, Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Spot: worker.Spot, Incarnation: worker.incarnation, Seq: worker.sequence, Term: worker.term, Tasks: []api.TaskReport{}}
+	for _, current := range worker.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, current.TaskReport)
 	}
-	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int {
+	slices.SortFunc(heartbeat.Tasks, func(a, b api.TaskReport) int {
 		if a.Task < b.Task {
 			return -1
 		}
 		return 1
 	})
-	return r
+	return heartbeat
 }
 
-// Restart ends all tasks at once, as when the machine's worker dies and is back: in a new session, with
-// no token seen.
-func (w *Worker) Restart() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.forget()
-	w.term = 0
-	w.session++
-	w.renewed = w.clock.Now()
-	if w.hung != nil {
-		close(w.hung)
-		w.hung = nil
+// Restart ends all tasks at once, as if the worker's process had died and started again: with a new incarnation and
+// without a fencing token.
+func (worker *Worker) Restart() {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.loseTasks()
+	worker.term = 0
+	worker.incarnation++
+	worker.renewedAt = worker.clock.Now()
+	if worker.hung != nil {
+		close(worker.hung)
+		worker.hung = nil
 	}
-	w.changed()
+	worker.notifyChange()
 }
 
-// Run reports until the context ends.
-func (w *Worker) Run(ctx context.Context) {
+// Run sends heartbeats until ctx ends.
+func (worker *Worker) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.awake()
-		w.mu.Lock()
-		w.pass()
-		r, node, sent := w.report(), w.nodes[w.at], w.clock.Now()
-		w.mu.Unlock()
-		call, stop := context.WithTimeout(ctx, answerPatience)
-		status, body := w.post(call, node, r)
+		worker.waitWhileHung()
+		worker.mu.Lock()
+		worker.completeDueTasks()
+		heartbeat, node, sent := worker.heartbeat(), worker.controllers[worker.controllerIndex], worker.clock.Now()
+		worker.mu.Unlock()
+		call, stop := context.WithTimeout(ctx, responseTimeout)
+		status, body := worker.post(call, node, heartbeat)
 		stop()
-		w.awake()
-		if w.clock.Since(sent) > answerPatience {
+		worker.waitWhileHung()
+		if worker.clock.Since(sent) > responseTimeout {
 			status, body = 0, nil
 		}
-		wait := w.take(r, sent, status, body)
+		wait := worker.acceptResponse(heartbeat, sent, status, body)
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.clock.After(wait):
+		case <-worker.clock.After(wait):
 		}
 		if wait >= time.Second {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-w.change:
-		case <-w.clock.After(w.every - wait):
+		case <-worker.changes:
+		case <-worker.clock.After(worker.interval - wait):
 		}
 	}
 }
 
-// take works an answer in, and gives how long to wait at least.
-func (w *Worker) take(r *api.Heartbeat, sent time.Time, status int, body any) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pass()
+// acceptResponse applies the answer to a heartbeat that was sent at a time. It returns how long to wait at least until the
+// next one.
+func (worker *Worker) acceptResponse(heartbeat *api.Heartbeat, sent time.Time, status int, body any) time.Duration {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.completeDueTasks()
 	if status == http.StatusOK {
-		o, ok := body.(api.HeartbeatResponse)
-		if !ok || r.Incarnation != w.session || o.Term < w.term || o.Term == 0 {
-			return w.every / 2
+		response, ok := body.(api.HeartbeatResponse)
+		if !ok || heartbeat.Incarnation != worker.incarnation || response.Term < worker.term || response.Term == 0 {
+			return worker.interval / 2
 		}
-		w.renewed, w.answered = sent, w.clock.Now()
-		w.obey(o)
+		worker.renewedAt, worker.answeredAt = sent, worker.clock.Now()
+		worker.executeCommands(response)
 		return 500 * time.Millisecond
 	}
 	if to, ok := body.(api.Redirect); ok && status == http.StatusMisdirectedRequest {
-		if i := slices.Index(w.nodes, to.Controller); i >= 0 && i != w.at {
-			w.at = i
-			w.changed()
+		if i := slices.Index(worker.controllers, to.Controller); i >= 0 && i != worker.controllerIndex {
+			worker.controllerIndex = i
+			worker.notifyChange()
 			return 100 * time.Millisecond
 		}
 	}
-	w.at = (w.at + 1) % len(w.nodes)
+	worker.controllerIndex = (worker.controllerIndex + 1) % len(worker.controllers)
 	return time.Second
 }
 
-// obey executes commands in order.
-func (w *Worker) obey(o api.HeartbeatResponse) {
-	if o.Term > w.term {
-		w.term = o.Term
-		w.changed()
+// executeCommands executes the commands of an answer in order; mu is held.
+func (worker *Worker) executeCommands(response api.HeartbeatResponse) {
+	if response.Term > worker.term {
+		worker.term = response.Term
+		worker.notifyChange()
 	}
-	now := w.clock.Now()
-	for _, c := range o.Commands {
-		t := w.tasks[c.Task]
+	now := worker.clock.Now()
+	for _, command := range response.Commands {
+		current := worker.tasks[command.Task]
 		switch {
-		case c.Verb == api.CommandRun && t == nil:
-			ready := w.fetches(c.Task, now)
-			t = &workerTask{TaskReport: api.TaskReport{Task: c.Task, Attempt: c.Attempt, State: api.TaskFetching}, term: o.Term, ready: ready, ends: ready.Add(w.runs(c.Task))}
-			w.tasks[c.Task] = t
-			w.passAt(t)
+		case command.Verb == api.CommandRun && current == nil:
+			ready := worker.imageReadyAt(command.Task, now)
+			current = &workerTask{TaskReport: api.TaskReport{Task: command.Task, Attempt: command.Attempt, State: api.TaskFetching}, term: response.Term, readyAt: ready, endsAt: ready.Add(worker.runTime(command.Task))}
+			worker.tasks[command.Task] = current
+			worker.scheduleTransitions(current)
 			if !ready.After(now) {
-				w.begin(t)
+				worker.startTask(current)
 			} else {
-				w.changed()
+				worker.notifyChange()
 			}
-		case t == nil || t.Attempt != c.Attempt:
-		case c.Verb == api.CommandKill && t.State != api.TaskExited:
-			ran := t.State == api.TaskRunning
-			t.State, t.Cause = api.TaskExited, api.CauseStopped
+		case current == nil || current.Attempt != command.Attempt:
+		case command.Verb == api.CommandKill && current.State != api.TaskExited:
+			ran := current.State == api.TaskRunning
+			current.State, current.Cause = api.TaskExited, api.CauseStopped
 			if ran {
-				w.over(t.Task, false)
+				worker.endTask(current.Task, false)
 			}
-			w.changed()
-		case c.Verb == api.CommandClear && t.State == api.TaskExited:
-			delete(w.tasks, c.Task)
+			worker.notifyChange()
+		case command.Verb == api.CommandClear && current.State == api.TaskExited:
+			delete(worker.tasks, command.Task)
 		}
 	}
 }
 
-// Report is what it would report now; Answer has it take an answer to that, as Run does.
-func (w *Worker) Report() *api.Heartbeat {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pass()
-	return w.report()
+// Report is the heartbeat that the worker would send now. Answer applies an answer to it, as Run does.
+func (worker *Worker) Report() *api.Heartbeat {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.completeDueTasks()
+	return worker.heartbeat()
 }
 
-// Answer takes in the answer to a report that was sent then.
-func (w *Worker) Answer(r *api.Heartbeat, sent time.Time, o api.HeartbeatResponse) {
-	w.take(r, sent, http.StatusOK, o)
+// Answer applies the answer to a heartbeat that was sent at a time.
+func (worker *Worker) Answer(heartbeat *api.Heartbeat, sent time.Time, response api.HeartbeatResponse) {
+	worker.acceptResponse(heartbeat, sent, http.StatusOK, response)
 }
 
-// Direct serves POST /orders: the report after them, and whether they were executed.
-func (w *Worker) Direct(o api.HeartbeatResponse) (*api.Heartbeat, bool) {
-	w.awake()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.pass()
-	if o.Term < w.term || o.Incarnation != w.session {
-		return w.report(), false
+// Direct serves POST /orders: it returns the worker's state after the commands, and whether they were executed.
+func (worker *Worker) Direct(response api.HeartbeatResponse) (*api.Heartbeat, bool) {
+	worker.waitWhileHung()
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.completeDueTasks()
+	if response.Term < worker.term || response.Incarnation != worker.incarnation {
+		return worker.heartbeat(), false
 	}
-	w.obey(o)
-	return w.report(), true
+	worker.executeCommands(response)
+	return worker.heartbeat(), true
 }
