--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -17,15 +17,15 @@
 	"switchferry/api"
 )
 
-// The cloud's own limits.
+// Limits of the cloud's interface.
 const (
 	maxRentCount   = 50
 	maxReturnCount = 100
 	maxPageSize    = 500
 )
 
-// Cloud is the stand-in of the cloud: an http.RoundTripper that rents machines, keeps the
-// protocol's limits, and lists what it has without delay.
+// Cloud is a fake of the cloud: an http.RoundTripper that rents machines, keeps the protocol's limits, and lists its
+// machines without delay.
 type Cloud struct {
 	clock    clockwork.Clock
 	types    []api.MachineType
@@ -37,10 +37,10 @@
 	nextHost         int
 	// Room is how many more machines can be rented.
 	Room int
-	// Up is called for a machine that was rented, Gone for one that was returned; without
-	// the lock.
+	// Up is called for each machine that was rented, Gone for each that was returned, without the lock. Set both
+	// before the first request.
 	Up, Gone func(Host)
-	// Refused counts requests over a limit, by what was wrong.
+	// Refused counts requests that broke a limit, by its name.
 	Refused map[string]int
 }
 
@@ -51,13 +51,13 @@
 	rentedAt                  time.Time
 }
 
-// NewCloud makes a cloud of some machine types that answers so many requests a second.
+// NewCloud makes a cloud of some machine types without room, which answers rps requests a second.
 func NewCloud(clock clockwork.Clock, types []api.MachineType, rps float64) *Cloud {
 	return &Cloud{clock: clock, types: types, requests: rate.NewLimiter(rate.Limit(rps), max(1, int(2*rps))), hosts: map[string]*Host{},
 		rentalsByRequest: map[string][]string{}, Up: func(Host) {}, Gone: func(Host) {}, Refused: map[string]int{}}
 }
 
-// Add makes a machine that is there from the start.
+// Add makes a machine that was not requested, as if rented before.
 func (cloud *Cloud) Add(typ, zone string, spot bool) Host {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -73,7 +73,7 @@
 	return *host
 }
 
-// Move gives a machine another address, as when it comes up; false: it was returned before.
+// Move gives a machine another address; it reports false if the machine was returned.
 func (cloud *Cloud) Move(name, addr string) (Host, bool) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -85,6 +85,7 @@
 	return *host, true
 }
 
+// addHost makes a machine with the next name; mu is held.
 func (cloud *Cloud) addHost(typ, zone string, spot bool) *Host {
 	host := &Host{Name: fmt.Sprintf("n-%06d", cloud.nextHost), Address: fmt.Sprintf("worker-%d:9000", cloud.nextHost), Type: typ, Zone: zone, Spot: spot, rentedAt: cloud.clock.Now()}
 	cloud.nextHost++
@@ -108,70 +109,86 @@
 	return resp, err
 }
 
-func (cloud *Cloud) serve(request *http.Request, body []byte) (resp *http.Response, up, gone []Host, err error) {
+// serve answers a request and returns the machines that it rented and returned.
+func (cloud *Cloud) serve(request *http.Request, body []byte) (resp *http.Response, rented, returned []Host, err error) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
-	refuse := func(status int, why string) {
-		cloud.Refused[why]++
-		resp, err = reply(status, map[string]any{"error": why})
-	}
 	if !cloud.requests.AllowN(cloud.clock.Now(), 1) {
-		refuse(429, "too many requests")
-		return
+		resp, err = cloud.refuse(http.StatusTooManyRequests, "too many requests")
+		return resp, nil, nil, err
 	}
 	switch {
 	case request.URL.Path == "/catalog":
-		resp, err = reply(200, map[string]any{"hulls": cloud.types})
+		resp, err = reply(http.StatusOK, map[string]any{"hulls": cloud.types})
 	case request.URL.Path == "/machines" && request.Method == http.MethodGet:
 		resp, err = cloud.serveList(request)
 	case request.URL.Path == "/machines":
-		var q api.InstanceRequest
-		if json.Unmarshal(body, &q) != nil || q.IdempotencyKey == "" || q.Count < 1 || q.Count > maxRentCount {
-			refuse(400, "malformed rental")
-			return
-		}
-		names, known := cloud.rentalsByRequest[q.IdempotencyKey]
-		if !known {
-			if cloud.Room <= 0 {
-				resp, err = reply(503, map[string]any{"error": "no capacity"})
-				return
-			}
-			for range min(q.Count, cloud.Room) {
-				host := cloud.addHost(q.Type, q.Zone, q.Spot)
-				names, up = append(names, host.Name), append(up, *host)
-			}
-			cloud.Room -= len(names)
-			cloud.rentalsByRequest[q.IdempotencyKey] = names
-		}
-		resp, err = reply(200, map[string]any{"hosts": names})
+		resp, rented, err = cloud.serveRent(body)
 	case request.URL.Path == "/machines/return":
-		var q struct {
-			Hosts []string `json:"hosts"`
+		resp, returned, err = cloud.serveReturn(body)
+	default:
+		resp, err = cloud.refuse(http.StatusBadRequest, "malformed")
+	}
+	return resp, rented, returned, err
+}
+
+// refuse counts and answers a request that breaks a limit; mu is held.
+func (cloud *Cloud) refuse(status int, why string) (*http.Response, error) {
+	cloud.Refused[why]++
+	return reply(status, map[string]any{"error": why})
+}
+
+// serveRent rents as many of the requested machines as there is room for. A request with a known idempotency key is
+// answered as before. mu is held.
+func (cloud *Cloud) serveRent(body []byte) (resp *http.Response, rented []Host, err error) {
+	var request api.InstanceRequest
+	if json.Unmarshal(body, &request) != nil || request.IdempotencyKey == "" || request.Count < 1 || request.Count > maxRentCount {
+		resp, err = cloud.refuse(http.StatusBadRequest, "malformed rental")
+		return resp, nil, err
+	}
+	names, known := cloud.rentalsByRequest[request.IdempotencyKey]
+	if !known {
+		if cloud.Room <= 0 {
+			resp, err = reply(http.StatusServiceUnavailable, map[string]any{"error": "no capacity"})
+			return resp, nil, err
 		}
-		if json.Unmarshal(body, &q) != nil || len(q.Hosts) > maxReturnCount {
-			refuse(400, "malformed return")
-			return
+		for range min(request.Count, cloud.Room) {
+			host := cloud.addHost(request.Type, request.Zone, request.Spot)
+			names, rented = append(names, host.Name), append(rented, *host)
 		}
-		for _, name := range q.Hosts {
-			if host := cloud.hosts[name]; host != nil {
-				gone = append(gone, *host)
-				delete(cloud.hosts, name)
-				cloud.Room++
-			}
+		cloud.Room -= len(names)
+		cloud.rentalsByRequest[request.IdempotencyKey] = names
+	}
+	resp, err = reply(http.StatusOK, map[string]any{"hosts": names})
+	return resp, rented, err
+}
+
+// serveReturn gives machines back; unknown ones are passed over. mu is held.
+func (cloud *Cloud) serveReturn(body []byte) (resp *http.Response, returned []Host, err error) {
+	var request struct {
+		Hosts []string `json:"hosts"`
+	}
+	if json.Unmarshal(body, &request) != nil || len(request.Hosts) > maxReturnCount {
+		resp, err = cloud.refuse(http.StatusBadRequest, "malformed return")
+		return resp, nil, err
+	}
+	for _, name := range request.Hosts {
+		if host := cloud.hosts[name]; host != nil {
+			returned = append(returned, *host)
+			delete(cloud.hosts, name)
+			cloud.Room++
 		}
-		resp, err = reply(200, map[string]any{})
-	default:
-		refuse(400, "malformed")
 	}
-	return
+	resp, err = reply(http.StatusOK, map[string]any{})
+	return resp, returned, err
 }
 
+// serveList answers with a page of the machines, in the order of their names; mu is held.
 func (cloud *Cloud) serveList(request *http.Request) (*http.Response, error) {
 	query := request.URL.Query()
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 || limit > maxPageSize {
-		cloud.Refused["limit out of range"]++
-		return reply(400, map[string]any{"error": "limit out of range"})
+		return cloud.refuse(http.StatusBadRequest, "limit out of range")
 	}
 	var names []string
 	for name := range cloud.hosts {
@@ -185,5 +202,5 @@
 		host := cloud.hosts[name]
 		out = append(out, api.Instance{Name: host.Name, Address: host.Address, Type: host.Type, Zone: host.Zone, Spot: host.Spot, State: "running", AgeS: cloud.clock.Since(host.rentedAt).Seconds()})
 	}
-	return reply(200, map[string]any{"hosts": out, "more": len(names) > limit})
+	return reply(http.StatusOK, map[string]any{"hosts": out, "more": len(names) > limit})
 }
--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -2,19 +2,19 @@
 
 import "net/http"
 
-// Late is a transaction whose answer is held back.
+// Late is a request whose answer is held back until Answer is called.
 type Late struct {
-	// Asked is closed once it came in.
+	// Asked is closed once the request arrived.
 	Asked    chan struct{}
 	released chan struct{}
 	executed bool
 }
 
-// Answer lets the answer go.
+// Answer releases the answer. It must be called once.
 func (l *Late) Answer() { close(l.released) }
 
-// LateNext holds back the answer of the next transaction until Answer; it is executed
-// before that, or only then.
+// LateNext holds back the answer to the next transaction, which is executed at once or, if executed is false, when the
+// answer is released.
 func (state *State) LateNext(executed bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -22,8 +22,8 @@
 	return state.delayedWrite
 }
 
-// LateRead holds back the answer of the next reading of a key until Answer; it is executed before that, or only
-// then.
+// LateRead holds back the answer to the next read of a key, which is executed at once or, if executed is false, when the
+// answer is released.
 func (state *State) LateRead(executed bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -31,7 +31,8 @@
 	return state.delayedRead
 }
 
-// awaitRelease waits until the answer may go; it is called, and returns, with the lock held.
+// awaitRelease waits until the answer is released. It is called, and returns, with mu held, which it releases while it
+// waits.
 func (state *State) awaitRelease(late *Late) {
 	close(late.Asked)
 	state.mu.Unlock()
@@ -39,7 +40,7 @@
 	state.mu.Lock()
 }
 
-// serveDelayed is called, and returns, with the lock held.
+// serveDelayed executes a transaction whose answer is held back. It is called, and returns, with mu held.
 func (state *State) serveDelayed(late *Late, transaction transactionRequest) (resp *http.Response, err error) {
 	if late.executed {
 		resp, err = state.apply(transaction)
@@ -51,12 +52,12 @@
 	return resp, err
 }
 
-// Deliver applies the transactions that were held back, late.
+// Deliver executes the transactions that HoldNext held back; nobody gets their answers.
 func (state *State) Deliver() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for _, transaction := range state.heldTransactions {
-		_, _ = state.apply(transaction)
+		_, _ = state.apply(transaction) //nolint:bodyclose // The answer holds no resources, and nobody gets it.
 	}
 	state.heldTransactions = nil
 }
--- a/internal/fake/leases.go
+++ b/internal/fake/leases.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// grantLease grants a lease for the life in the request.
 func (state *State) grantLease(body []byte) (*http.Response, error) {
 	var q struct {
 		Life int64 `json:"life_ms"`
@@ -17,19 +18,20 @@
 		life = time.Duration(q.Life) * time.Millisecond
 	}
 	if life < minLeaseLife || life > maxLeaseLife {
-		return state.refuse(400, "life_ms out of range")
+		return state.refuse(http.StatusBadRequest, "life_ms out of range")
 	}
 	state.revision++
 	id := state.revision
 	state.leaseLife[id] = life
 	state.leases[id] = state.clock.Now().Add(state.leaseLife[id])
-	return reply(200, map[string]any{"ticket": id})
+	return reply(http.StatusOK, map[string]any{"ticket": id})
 }
 
+// renewOrRevokeLease renews the lease in the request's path, or revokes it if the method is DELETE.
 func (state *State) renewOrRevokeLease(request *http.Request) (*http.Response, error) {
 	id, _ := strconv.ParseUint(strings.Split(request.URL.Path, "/")[2], 10, 64)
 	if _, ok := state.leases[id]; !ok {
-		return reply(404, map[string]any{})
+		return reply(http.StatusNotFound, map[string]any{})
 	}
 	if request.Method == http.MethodDelete {
 		state.leases[id] = time.Time{}
@@ -37,9 +39,10 @@
 	} else {
 		state.leases[id] = state.clock.Now().Add(state.leaseLife[id])
 	}
-	return reply(200, map[string]any{})
+	return reply(http.StatusOK, map[string]any{})
 }
 
+// expireLeases ends the leases whose time has passed and deletes the records that hang on them; mu is held.
 func (state *State) expireLeases() {
 	for id, end := range state.leases {
 		if state.clock.Now().After(end) {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -1,11 +1,13 @@
-// Package fake holds scripted stand-ins of the services around the
-// controllers, for tests. They run in process and on a fake clock.
+// Package fake holds working fakes of what surrounds the controllers, for tests, the simulation and experiments: the
+// state service, the cloud, a store of datasets and the workers. They keep the protocol and its limits, can be made to
+// fail, and run in process on a clock that the caller gives. Nothing is stored on disk, and tasks run nothing.
 package fake
 
 import (
 	"bytes"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"maps"
 	"net/http"
@@ -20,18 +22,17 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits are those of the protocol that each deployment sets; the others are the same
-// everywhere and always kept.
+// Limits are the state service's limits that each deployment sets. The others are the same everywhere and always kept.
 type Limits struct {
-	// RPS are requests, WriteRPS changes a second, each with bursts of one second's
-	// worth; 0: not limited, for tests whose clock stands still.
+	// RPS limits requests a second, WriteRPS changes a second, each with bursts of one second's worth; 0 is no
+	// limit, for tests whose clock does not advance.
 	RPS, WriteRPS float64
-	// ValueKB are KiB a value, TxnOps changes a transaction.
+	// ValueKB limits a value in KiB, TxnOps the changes of a transaction.
 	ValueKB float64
 	TxnOps  int
 }
 
-// The protocol's own limits.
+// Limits that the protocol sets.
 const (
 	maxBodyBytes  = 64 << 10
 	maxListItems  = 1000
@@ -43,25 +44,28 @@
 	maxLeaseLife  = 600 * time.Second
 )
 
+// record is a key's value, the revision of its last change, and the lease that it hangs on, 0 if on none.
 type record struct {
 	value    json.RawMessage
 	revision uint64
 	leaseID  uint64
 }
 
-// State is the state service: an http.RoundTripper that answers by itself.
+// State is a fake of the state service, a key-value store with leases, watches and transactions on conditions. It is an
+// http.RoundTripper that answers requests itself.
 type State struct {
 	clock clockwork.Clock
 
+	// mu guards the fields below, also the exported ones while requests are served.
 	mu        sync.Mutex
 	records   map[string]record
 	leases    map[uint64]time.Time
 	leaseLife map[uint64]time.Duration
 	revision  uint64
-	// Down answers 503 to everything.
+	// Down has every request answered with 503.
 	Down bool
-	// LoseAnswer executes the next transaction and loses its answer; HoldNext
-	// holds it back until Deliver.
+	// LoseAnswer has the next transaction executed and its answer lost; HoldNext has it held back until
+	// Deliver.
 	LoseAnswer, HoldNext bool
 	heldTransactions     []transactionRequest
 	delayedWrite         *Late
@@ -69,8 +73,8 @@
 	// Largest is the largest transaction so far: its changes, its bytes, and
 	// the bytes of its largest value.
 	Largest struct{ Ops, Bytes, Value int }
-	// Requests counts all requests; Refused those over a limit, by what was wrong; changes what was put and deleted, by
-	// the first two parts of the keys.
+	// Requests counts all requests, Refused those that break a limit, by its name. changesByKind counts puts and
+	// deletes by the first two parts of the keys.
 	Requests      int
 	Refused       map[string]int
 	changesByKind map[string]int
@@ -85,7 +89,7 @@
 	changed chan struct{}
 }
 
-// NewState makes an empty service.
+// NewState makes an empty service with the default limits.
 func NewState(clock clockwork.Clock) *State {
 	s := &State{clock: clock, records: map[string]record{}, leases: map[uint64]time.Time{}, leaseLife: map[uint64]time.Duration{}, revision: 10, oldestDropped: 10,
 		Refused: map[string]int{}, changesByKind: map[string]int{}, changed: make(chan struct{})}
@@ -106,21 +110,21 @@
 	state.limits, state.requests, state.writes = limits, per(limits.RPS), per(limits.WriteRPS)
 }
 
-// Outage sets Down while others are at work.
+// Outage sets Down while requests may be served.
 func (state *State) Outage(down bool) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.Down = down
 }
 
-// Refusals are the requests over a limit so far, by what was wrong.
+// Refusals counts the requests that broke a limit so far, by its name.
 func (state *State) Refusals() map[string]int {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	return maps.Clone(state.Refused)
 }
 
-// Changes are how many keys were put or deleted so far, by the first two parts of the keys.
+// Changes counts the puts and deletes so far, by the first two parts of the keys.
 func (state *State) Changes() map[string]int {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -133,18 +137,20 @@
 	return strings.Join(parts[:min(2, len(parts))], "/")
 }
 
-// refuse answers a request that breaks a limit.
+// refuse counts and answers a request that breaks a limit; mu is held.
 func (state *State) refuse(status int, why string) (*http.Response, error) {
 	state.Refused[why]++
 	return reply(status, map[string]any{"error": why})
 }
 
+// errAnswerLost is what a client gets whose request is executed, or held back, without an answer.
 var errAnswerLost = errors.New("no answer")
 
+// reply makes an answer with a JSON body.
 func reply(status int, body any) (*http.Response, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("encoding an answer: %w", err)
 	}
 	return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(raw))}, nil
 }
@@ -160,50 +166,52 @@
 	state.expireLeases()
 	state.Requests++
 	if state.Down {
-		return reply(503, map[string]any{})
+		return reply(http.StatusServiceUnavailable, map[string]any{})
 	}
 	if !state.requests.AllowN(state.clock.Now(), 1) {
-		return state.refuse(429, "too many requests")
+		return state.refuse(http.StatusTooManyRequests, "too many requests")
 	}
 	if len(body) > maxBodyBytes {
-		return state.refuse(413, "body too large")
+		return state.refuse(http.StatusRequestEntityTooLarge, "body too large")
 	}
-	switch p := request.URL.Path; {
-	case p == "/multi":
+	switch path := request.URL.Path; {
+	case path == "/multi":
 		return state.serveTransaction(body)
-	case p == "/leases":
+	case path == "/leases":
 		return state.grantLease(body)
-	case strings.HasPrefix(p, "/leases/"):
+	case strings.HasPrefix(path, "/leases/"):
 		return state.renewOrRevokeLease(request)
-	case p == "/watch":
+	case path == "/watch":
 		return state.serveWatch(request)
-	case p == "/store":
+	case path == "/store":
 		return state.serveList(request.URL.Query())
-	case strings.HasPrefix(p, "/store/"):
-		return state.serveGet(strings.TrimPrefix(p, "/store/"))
+	case strings.HasPrefix(path, "/store/"):
+		return state.serveGet(strings.TrimPrefix(path, "/store/"))
 	}
-	return reply(400, map[string]any{"error": "malformed"})
+	return reply(http.StatusBadRequest, map[string]any{"error": "malformed"})
 }
 
+// serveGet answers with a key's record.
 func (state *State) serveGet(key string) (*http.Response, error) {
-	v, ok := state.records[key]
+	found, ok := state.records[key]
 	if late := state.delayedRead; late != nil {
 		state.delayedRead = nil
 		state.awaitRelease(late)
 		if !late.executed {
-			v, ok = state.records[key]
+			found, ok = state.records[key]
 		}
 	}
 	if !ok {
-		return reply(404, map[string]any{"epoch": state.revision})
+		return reply(http.StatusNotFound, map[string]any{"epoch": state.revision})
 	}
-	return reply(200, map[string]any{"k": key, "value": v.value, "stamp": v.revision, "ticket": v.leaseID})
+	return reply(http.StatusOK, map[string]any{"k": key, "value": found.value, "stamp": found.revision, "ticket": found.leaseID})
 }
 
+// serveList answers with a page of the records under a prefix, in the order of their keys.
 func (state *State) serveList(query url.Values) (*http.Response, error) {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 || limit > maxListItems {
-		return state.refuse(400, "limit out of range")
+		return state.refuse(http.StatusBadRequest, "limit out of range")
 	}
 	var keys []string
 	for key := range state.records {
@@ -219,10 +227,10 @@
 		}
 		rows = append(rows, map[string]any{"k": key, "value": state.records[key].value, "stamp": state.records[key].revision})
 	}
-	return reply(200, map[string]any{"rows": rows, "more": len(rows) < len(keys), "epoch": state.revision})
+	return reply(http.StatusOK, map[string]any{"rows": rows, "more": len(rows) < len(keys), "epoch": state.revision})
 }
 
-// Put sets a key as if another node had.
+// Put sets a key as another client of the service would; it returns the new revision.
 func (state *State) Put(key string, value any) uint64 {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -236,13 +244,13 @@
 	return state.revision
 }
 
-// Get reads a key; nil: it does not exist.
+// Get is a key's value, nil if it does not exist.
 func (state *State) Get(key string) json.RawMessage {
 	value, _ := state.Read(key)
 	return value
 }
 
-// Under is how many keys begin with a prefix.
+// Under counts the keys that begin with a prefix.
 func (state *State) Under(prefix string) (n int) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -254,7 +262,7 @@
 	return n
 }
 
-// Read reads a key and the revision of its last change; nil and 0: it does not exist.
+// Read is a key's value and the revision of its last change, nil and 0 if it does not exist.
 func (state *State) Read(key string) (value json.RawMessage, stamp uint64) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
--- a/internal/fake/transactions.go
+++ b/internal/fake/transactions.go
@@ -6,6 +6,8 @@
 	"strings"
 )
 
+// transactionRequest is a transaction in the protocol's names: conditions on revisions, and puts and deletes that are
+// executed if all hold.
 type transactionRequest struct {
 	If []struct {
 		K     string `json:"k"`
@@ -19,17 +21,17 @@
 	} `json:"then"`
 }
 
-// serveTransaction runs a transaction; the lock is held, as in all that answers.
+// serveTransaction executes a transaction unless it breaks a limit; mu is held, as in all methods that answer.
 func (state *State) serveTransaction(body []byte) (*http.Response, error) {
 	var transaction transactionRequest
 	if json.Unmarshal(body, &transaction) != nil {
-		return reply(400, map[string]any{"error": "malformed"})
+		return reply(http.StatusBadRequest, map[string]any{"error": "malformed"})
 	}
 	if why := state.violatedLimit(&transaction); why != "" {
-		return state.refuse(400, why)
+		return state.refuse(http.StatusBadRequest, why)
 	}
 	if !state.writes.AllowN(state.clock.Now(), len(transaction.Then)) {
-		return state.refuse(429, "too many changes")
+		return state.refuse(http.StatusTooManyRequests, "too many changes")
 	}
 	state.Largest.Ops = max(state.Largest.Ops, len(transaction.Then))
 	state.Largest.Bytes = max(state.Largest.Bytes, len(body))
@@ -53,31 +55,32 @@
 	return resp, err
 }
 
-// violatedLimit is which limit a transaction breaks; empty: none.
-func (state *State) violatedLimit(t *transactionRequest) string {
-	bad := func(key string) bool { return key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\n") }
+// violatedLimit names the limit that a transaction breaks; it is empty if there is none.
+func (state *State) violatedLimit(transaction *transactionRequest) string {
+	malformed := func(key string) bool { return key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\n") }
 	switch {
-	case len(t.Then) > state.limits.TxnOps:
+	case len(transaction.Then) > state.limits.TxnOps:
 		return "too many changes in a transaction"
-	case len(t.If) > 4*state.limits.TxnOps:
+	case len(transaction.If) > 4*state.limits.TxnOps:
 		return "too many conditions"
 	}
-	for _, c := range t.If {
-		if bad(c.K) {
+	for _, condition := range transaction.If {
+		if malformed(condition.K) {
 			return "malformed key"
 		}
 	}
-	for _, o := range t.Then {
-		if bad(o.Set + o.Delete) {
+	for _, op := range transaction.Then {
+		if malformed(op.Set + op.Delete) {
 			return "malformed key"
 		}
-		if float64(len(o.Value)) > state.limits.ValueKB*1024 {
+		if float64(len(op.Value)) > state.limits.ValueKB*1024 {
 			return "value too large"
 		}
 	}
 	return ""
 }
 
+// apply executes a transaction, or answers which conditions failed; mu is held.
 func (state *State) apply(transaction transactionRequest) (*http.Response, error) {
 	var failed []string
 	for _, c := range transaction.If {
@@ -86,11 +89,11 @@
 		}
 	}
 	if len(failed) > 0 {
-		return reply(409, map[string]any{"failed": failed, "epoch": state.revision})
+		return reply(http.StatusConflict, map[string]any{"failed": failed, "epoch": state.revision})
 	}
 	for _, o := range transaction.Then {
 		if _, ok := state.leases[o.Ticket]; o.Ticket != 0 && !ok {
-			return reply(400, map[string]any{"error": "no such lease"})
+			return reply(http.StatusBadRequest, map[string]any{"error": "no such lease"})
 		}
 	}
 	if len(transaction.Then) > 0 {
@@ -106,5 +109,5 @@
 			state.recordChanges(change{Set: o.Set, Value: o.Value, Stamp: state.revision})
 		}
 	}
-	return reply(200, map[string]any{"epoch": state.revision})
+	return reply(http.StatusOK, map[string]any{"epoch": state.revision})
 }
--- a/internal/fake/watch.go
+++ b/internal/fake/watch.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// change is one put or deleted key as watches report it, in the protocol's names.
 type change struct {
 	Set    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -16,43 +17,32 @@
 	Stamp  uint64          `json:"stamp"`
 }
 
-// serveWatch waits for changes under a prefix; the lock is held but while it waits.
+// serveWatch answers with the changes under a prefix after a revision, and waits for one up to the time in the request.
+// It is called, and returns, with mu held, which it releases while it waits.
 func (state *State) serveWatch(request *http.Request) (*http.Response, error) {
 	query := request.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
-	block, berr := strconv.ParseInt(query.Get("block_ms"), 10, 64)
+	block, blockErr := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 	wait := time.Duration(block) * time.Millisecond
-	if err != nil || query.Get("block_ms") != "" && berr != nil || wait < 0 || wait > maxWatchBlock {
-		return state.refuse(400, "malformed watch")
+	if err != nil || query.Get("block_ms") != "" && blockErr != nil || wait < 0 || wait > maxWatchBlock {
+		return state.refuse(http.StatusBadRequest, "malformed watch")
 	}
-	over := state.clock.After(wait)
-	for late := wait == 0; ; {
+	timeout := state.clock.After(wait)
+	for timedOut := wait == 0; ; {
 		if after < state.oldestDropped {
-			return reply(410, map[string]any{"epoch": state.revision})
+			return reply(http.StatusGone, map[string]any{"epoch": state.revision})
 		}
-		log := []change{}
-		for _, c := range state.history {
-			if c.Stamp > after && strings.HasPrefix(c.Set+c.Delete, query.Get("under")) {
-				log = append(log, c)
-			}
-		}
-		if len(log) > 0 || late {
-			return reply(200, map[string]any{"epoch": state.revision, "log": log})
-		}
-		changed := state.changed
-		// A lease that ends is a change as well.
-		var ends <-chan time.Time
-		for _, end := range state.leases {
-			if left := end.Sub(state.clock.Now()); ends == nil || left < wait {
-				wait, ends = left, state.clock.After(left+time.Millisecond)
-			}
+		changes := state.changesAfter(after, query.Get("under"))
+		if len(changes) > 0 || timedOut {
+			return reply(http.StatusOK, map[string]any{"epoch": state.revision, "log": changes})
 		}
+		changed, leaseEnds := state.changed, state.nextLeaseEnd()
 		state.mu.Unlock()
 		select {
 		case <-changed:
-		case <-ends:
-		case <-over:
-			late = true
+		case <-leaseEnds:
+		case <-timeout:
+			timedOut = true
 		case <-request.Context().Done():
 		}
 		state.mu.Lock()
@@ -63,9 +53,32 @@
 	}
 }
 
-// recordChanges keeps changes for watches.
-func (state *State) recordChanges(cs ...change) {
-	state.history = append(state.history, cs...)
+// changesAfter are the kept changes after a revision of keys with a prefix; mu is held.
+func (state *State) changesAfter(revision uint64, prefix string) []change {
+	changes := []change{}
+	for _, kept := range state.history {
+		if kept.Stamp > revision && strings.HasPrefix(kept.Set+kept.Delete, prefix) {
+			changes = append(changes, kept)
+		}
+	}
+	return changes
+}
+
+// nextLeaseEnd fires when the first lease expires, which changes the records that hang on it; nil if there is no lease.
+// mu is held.
+func (state *State) nextLeaseEnd() (ends <-chan time.Time) {
+	var earliest time.Duration
+	for _, end := range state.leases {
+		if left := end.Sub(state.clock.Now()); ends == nil || left < earliest {
+			earliest, ends = left, state.clock.After(left+time.Millisecond)
+		}
+	}
+	return ends
+}
+
+// recordChanges keeps changes for watches, drops the oldest beyond maxHistory and wakes those that wait; mu is held.
+func (state *State) recordChanges(changes ...change) {
+	state.history = append(state.history, changes...)
 	if n := len(state.history) - maxHistory; n > 0 {
 		state.oldestDropped = state.history[n-1].Stamp
 		state.history = slices.Clone(state.history[n:])
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -35,9 +35,9 @@
 	renewedAt       time.Time
 	tasks           map[string]*workerTask
 	changes         chan struct{}
-	// killed counts tasks that ended with the lease or the worker, started all that were started.
-	killed, started int
-	answeredAt      time.Time
+	// killed counts tasks that ended with the lease or the worker.
+	killed     int
+	answeredAt time.Time
 	// hung is closed when the machine continues, and nil while it is not suspended; hungAt is when it was.
 	hung   chan struct{}
 	hungAt time.Time
@@ -103,11 +103,11 @@
 
 // Hang suspends the machine or lets it continue. While suspended it executes, reports and answers nothing, but its clock
 // runs on. Commands that arrive meanwhile are executed afterwards if their term and incarnation are still current.
-func (worker *Worker) Hang(on bool) {
+func (worker *Worker) Hang(suspend bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	switch {
-	case on && worker.hung == nil:
+	case suspend && worker.hung == nil:
 		worker.completeDueTasks()
 		worker.hung, worker.hungAt = make(chan struct{}), worker.clock.Now()
 		hung := worker.hung
@@ -119,7 +119,7 @@
 				worker.loseTasks()
 			}
 		})
-	case !on && worker.hung != nil:
+	case !suspend && worker.hung != nil:
 		stood := worker.clock.Since(worker.hungAt)
 		for _, current := range worker.tasks {
 			current.readyAt, current.endsAt = current.readyAt.Add(stood), current.endsAt.Add(stood)
@@ -183,7 +183,6 @@
 // startTask starts a task whose image is there; mu is held.
 func (worker *Worker) startTask(current *workerTask) {
 	current.State = api.TaskRunning
-	worker.started++
 	worker.notifyChange()
 	switch {
 	case worker.onStart == nil:
@@ -213,19 +212,19 @@
 		return now
 	}
 	image, duration := worker.imagePull(task)
-	at, ok := worker.cachedImages[image]
+	readyAt, ok := worker.cachedImages[image]
 	if !ok {
 		if worker.pullingUntil.Before(now) {
 			worker.pullingUntil = now
 		}
 		worker.pullingUntil = worker.pullingUntil.Add(duration)
-		at = worker.pullingUntil
-		worker.cachedImages[image] = at
+		readyAt = worker.pullingUntil
+		worker.cachedImages[image] = readyAt
 	}
-	if at.Before(now) {
+	if readyAt.Before(now) {
 		return now
 	}
-	return at
+	return readyAt
 }
 
 // endTask reports the end of a task that was running; mu is held.
