--- a/api/words_test.go
+++ b/api/words_test.go
@@ -32,9 +32,7 @@
 // themedIdentifiers are identifiers that have such a word nevertheless, after their directory. The list may
 // only shrink: an entry without an identifier fails the test too. All words are absent elsewhere, also those
 // that are plain English (bundle, charter, standby, tally).
-var themedIdentifiers = map[string]bool{
-	"internal/fake charters": true,
-}
+var themedIdentifiers = map[string]bool{}
 
 // wireDirectory holds generated code, whose names are those of the frames between controllers.
 const wireDirectory = "peer/wire"
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -252,7 +252,7 @@
 		return rules, true, nil
 	}
 	for i, active := range rules.Configurations {
-		found, open := feasibility.CanRun(submission, active.Limit, types)
+		open, found := feasibility.CanRun(submission, active.Limit, types)
 		if i > 0 && (found == nil) != (err == nil) {
 			rules.UnknownReason = "the configuration is just changing"
 			return rules, true, nil
--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -124,7 +124,7 @@
 	}
 	fixture.run(agent)
 	eventually(t, "the leader knows what is pinned, and all that is held", func() bool {
-		fixture.clock.Advance(tuning.StageReportMin)
+		fixture.clock.Advance(tuning.MinStageReportInterval)
 		mu.Lock()
 		defer mu.Unlock()
 		return len(last.Pinned) == 1 && last.Pinned[0].Parts.GetCardinality() == 2 && last.Term == 4 && last.Order == 1 && fulls > 0
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -109,7 +109,7 @@
 			continue
 		case err == nil && redirect != names[current] && slices.Contains(names, redirect):
 			current = slices.Index(names, redirect)
-			sleep(ctx, agent.clock, tuning.StageReportMin)
+			sleep(ctx, agent.clock, tuning.MinStageReportInterval)
 			continue
 		case err != nil:
 			slog.Debug("heartbeat not accepted", "by", names[current], "err", err)
@@ -123,7 +123,7 @@
 // interval has passed or a heartbeat was requested.
 func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
 	interval := agent.clock.After(tuning.StageReportEvery)
-	sleep(ctx, agent.clock, tuning.StageReportMin)
+	sleep(ctx, agent.clock, tuning.MinStageReportInterval)
 	select {
 	case <-ctx.Done():
 	case <-interval:
--- a/feasibility/feasibility.go
+++ b/feasibility/feasibility.go
@@ -80,21 +80,21 @@
 }
 
 // CanRun checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
-// there is no such team. An error is an *api.FieldError that names the submission's field. If undecided, the machine
-// types are not known yet, and the rest is in order.
-func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (err error, undecided bool) {
+// there is no such team. If undecided, the machine types are not known yet, and the rest is in order. An error is an
+// *api.FieldError that names the submission's field.
+func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (undecided bool, err error) {
 	limit, ok := limitOf(job.Team)
 	if !ok {
-		return &api.FieldError{Field: "owner", Want: "no such team"}, false
+		return false, &api.FieldError{Field: "owner", Want: "no such team"}
 	}
 	if !limit.Allows(ConcurrentRequest(job)) {
-		return &api.FieldError{Field: "parts", Want: "the job needs more than its team's limit"}, false
+		return false, &api.FieldError{Field: "parts", Want: "the job needs more than its team's limit"}
 	}
 	if len(types) == 0 {
-		return nil, true
+		return true, nil
 	}
 	if !slices.ContainsFunc(types, func(machineType api.MachineType) bool { return machineType.Fits(job) }) {
-		return &api.FieldError{Field: "cores", Want: "a task fits no allowed machine type"}, false
+		return false, &api.FieldError{Field: "cores", Want: "a task fits no allowed machine type"}
 	}
-	return nil, false
+	return false, nil
 }
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -116,7 +116,7 @@
 func (s *Scheduler) detectionLimits(machine *machineState) failuredetector.Limits {
 	limits := failuredetector.Limits{
 		SuspectAfter:  s.heartbeatTimeout(machine),
-		ReleaseAfter:  max(tuning.SilentMin, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
+		ReleaseAfter:  max(tuning.MinSilence, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace,
 		InboundLost:   tuning.InboundLostLeases * s.lease(),
 	}
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -283,8 +283,8 @@
 	// SilentReports is the number of report intervals after which a silent machine is given up and returned, which proves
 	// that its tasks are gone.
 	SilentReports = 3.2
-	// SilentMin is the least such time, since a lost packet is resent after up to a second.
-	SilentMin = 3500 * time.Millisecond
+	// MinSilence is the least such time, since a lost packet is resent after up to a second.
+	MinSilence = 3500 * time.Millisecond
 	// MinProcessPause is the least gap between a leader's rounds, of which there are two a second or more, that counts as
 	// a pause of the process and not as load.
 	MinProcessPause = 1500 * time.Millisecond
@@ -490,8 +490,8 @@
 	StageBackoffMax = 15 * time.Second
 	// StageAtOnce is how many parts an agent copies at once, and how many it serves.
 	StageAtOnce = 4
-	// StageReportMin is the least interval of an agent's heartbeats.
-	StageReportMin = 100 * time.Millisecond
+	// MinStageReportInterval is the least interval of an agent's heartbeats.
+	MinStageReportInterval = 100 * time.Millisecond
 	// StageReportEvery is the usual interval of an agent's heartbeats.
 	StageReportEvery = 2 * time.Second
 	// StageCallTimeout limits a heartbeat's call, as a worker's.
