--- a/controller/agents.go
+++ b/controller/agents.go
@@ -41,9 +41,9 @@
 }
 
 // newAgentGateway returns the part of c that serves agents.
-func newAgentGateway(c *Controller, transport http.RoundTripper) *agentGateway {
-	return &agentGateway{settings: c.settings, clock: c.clock, elector: c.elector, peers: c.peers, health: c.health, term: c.term,
-		leader: c.leader, client: &http.Client{Transport: transport}, redirects: redirect.NewTracker()}
+func newAgentGateway(controller *Controller, transport http.RoundTripper) *agentGateway {
+	return &agentGateway{settings: controller.settings, clock: controller.clock, elector: controller.elector, peers: controller.peers, health: controller.health, term: controller.term,
+		leader: controller.leader, client: &http.Client{Transport: transport}, redirects: redirect.NewTracker()}
 }
 
 // mayRedirect reports whether an agent may be redirected to the leader.
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -38,9 +38,9 @@
 }
 
 // newLiveConfiguration returns the part of c that keeps the configuration, with live changes off.
-func newLiveConfiguration(c *Controller) *liveConfiguration {
-	return &liveConfiguration{settings: c.settings, clock: c.clock, client: c.client, features: c.features, versions: c.versions,
-		term: c.term, leader: c.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(c.settings.Facts.Teams, c.policy)}}
+func newLiveConfiguration(controller *Controller) *liveConfiguration {
+	return &liveConfiguration{settings: controller.settings, clock: controller.clock, client: controller.client, features: controller.features, versions: controller.versions,
+		term: controller.term, leader: controller.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(controller.settings.Facts.Teams, controller.policy)}}
 }
 
 // newRevisionStore switches live configuration on. It is called before Run.
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -85,28 +85,28 @@
 // New returns a controller that does nothing before Run is called. All that it starts ends with the context. The
 // transport carries its calls to the state service, the cloud, workers and agents.
 func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
-	c := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), features: &optionalFeatures{}}
-	c.connect(transport)
-	c.readLimiter = newReadLimiter(set)
-	c.relayLimiter = exchange.WriteRate(set.Facts.State)
-	c.health = &stateHealth{clock: clock}
-	c.client.OnResponse = c.health.recordResponse
-	c.catalog = &machineCatalog{clock: clock, cloud: c.cloud}
-	c.term = &currentTerm{}
-	c.leader = &leaderLocator{elector: c.elector, peers: c.peers}
-	c.leases = newLeaseRenewal(c)
-	c.peers.Watermarks = cancellationExchange{c.leases}
-	c.workers = newWorkerRouter(set, clock, c.peers)
-	c.heartbeats = newHeartbeatMonitor(clock, set.Facts.Workers)
-	c.agents = newAgentGateway(c, transport)
-	c.jobs = jobstatus.NewReader(clock, c.client, c.readLimiter, c.leases.watermark)
-	c.datasets = newDatasetService(c)
-	c.configuration = newLiveConfiguration(c)
-	c.submissions = admission.New(admission.Options{Settings: set, Clock: clock, Client: c.client, Versions: c.versions,
-		Catalog: c.catalog, Configuration: c.configuration, Datasets: c.datasets.cache, Jobs: c.jobs})
-	c.workerProxy = proxy.NewWorkers(c.proxyOptions())
-	c.cpuMonitor = cpupressure.NewMonitor(clock)
-	return c
+	controller := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), features: &optionalFeatures{}}
+	controller.connect(transport)
+	controller.readLimiter = newReadLimiter(set)
+	controller.relayLimiter = exchange.WriteRate(set.Facts.State)
+	controller.health = &stateHealth{clock: clock}
+	controller.client.OnResponse = controller.health.recordResponse
+	controller.catalog = &machineCatalog{clock: clock, cloud: controller.cloud}
+	controller.term = &currentTerm{}
+	controller.leader = &leaderLocator{elector: controller.elector, peers: controller.peers}
+	controller.leases = newLeaseRenewal(controller)
+	controller.peers.Watermarks = cancellationExchange{controller.leases}
+	controller.workers = newWorkerRouter(set, clock, controller.peers)
+	controller.heartbeats = newHeartbeatMonitor(clock, set.Facts.Workers)
+	controller.agents = newAgentGateway(controller, transport)
+	controller.jobs = jobstatus.NewReader(clock, controller.client, controller.readLimiter, controller.leases.watermark)
+	controller.datasets = newDatasetService(controller)
+	controller.configuration = newLiveConfiguration(controller)
+	controller.submissions = admission.New(admission.Options{Settings: set, Clock: clock, Client: controller.client, Versions: controller.versions,
+		Catalog: controller.catalog, Configuration: controller.configuration, Datasets: controller.datasets.cache, Jobs: controller.jobs})
+	controller.workerProxy = proxy.NewWorkers(controller.proxyOptions())
+	controller.cpuMonitor = cpupressure.NewMonitor(clock)
+	return controller
 }
 
 // connect makes the clients of other services and of the peers, and the elector.
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -43,10 +43,10 @@
 		return 0, fmt.Errorf("list datasets: %w", err)
 	}
 	var datasets []*dataset.Entry
-	for i := range items {
-		entry, err := scheduler.DecodeDataset(&items[i])
+	for index := range items {
+		entry, err := scheduler.DecodeDataset(&items[index])
 		if err != nil {
-			slog.Error("corrupt dataset record", "key", items[i].Key, "err", err)
+			slog.Error("corrupt dataset record", "key", items[index].Key, "err", err)
 			continue
 		}
 		datasets = append(datasets, entry)
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -31,9 +31,9 @@
 }
 
 // newDatasetService returns the part of c that serves requests about datasets.
-func newDatasetService(c *Controller) *datasetService {
-	return &datasetService{client: c.client, peers: c.peers, features: c.features, term: c.term, leader: c.leader,
-		cache: newDatasetCache(c.clock, c.client, c.readLimiter)}
+func newDatasetService(controller *Controller) *datasetService {
+	return &datasetService{client: controller.client, peers: controller.peers, features: controller.features, term: controller.term, leader: controller.leader,
+		cache: newDatasetCache(controller.clock, controller.client, controller.readLimiter)}
 }
 
 // register registers a dataset. Any controller can, since only the key of the record decides. A name stands for the same
--- a/controller/dataset_requests_test.go
+++ b/controller/dataset_requests_test.go
@@ -41,13 +41,13 @@
 		return controller.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: name}, false)
 	}
 	controller.ask(VerbRegister, datasetSummary("inv", 8, 1))
-	for i, c := range []struct {
+	for index, testCase := range []struct {
 		name   string
 		status int
 		text   string
 	}{{"inv", 200, "removing"}, {"inv", 200, "removing"}, {"none", 404, "no such dataset"}, {"Bad Name", 404, "no such dataset"}} {
-		if response := remove(c.name); response.Status != c.status || !strings.Contains(string(response.Body), c.text) {
-			t.Errorf("%d: %d %s", i, response.Status, response.Body)
+		if response := remove(testCase.name); response.Status != testCase.status || !strings.Contains(string(response.Body), testCase.text) {
+			t.Errorf("%d: %d %s", index, response.Status, response.Body)
 		}
 	}
 	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1)); response.Status != 409 || !strings.Contains(string(response.Body), "not used again") {
@@ -71,15 +71,15 @@
 // A name stands for the same content for ever; to register it again with that content is no error.
 func TestRegisteredDatasetsAreImmutable(t *testing.T) {
 	controller, _ := newDataController(true)
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		body   string
 		status int
 	}{
 		{datasetSummary("inv", 8, 1e9), 201}, {datasetSummary("inv", 8, 1e9), 200}, {datasetSummary("inv", 9, 1e9), 409},
 		{datasetSummary("Bad Name", 9, 1e9), 400}, {`{`, 400}, {`{"name":"a","parts":3,"part_bytes":5,"bytes":16}`, 400},
 	} {
-		if response := controller.ask(VerbRegister, c.body); response.Status != c.status {
-			t.Errorf("%s: %d %s", c.body, response.Status, response.Body)
+		if response := controller.ask(VerbRegister, testCase.body); response.Status != testCase.status {
+			t.Errorf("%s: %d %s", testCase.body, response.Status, response.Body)
 		}
 	}
 }
--- a/controller/dependency_checks_test.go
+++ b/controller/dependency_checks_test.go
@@ -24,8 +24,8 @@
 	controller := leader.beside()
 	leader.leading = false // all is told from the records
 	var long []string
-	for i := range tuning.MaxDependencies + 1 {
-		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+i))
+	for index := range tuning.MaxDependencies + 1 {
+		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+index))
 	}
 	ask := func(awaits string) peer.Response {
 		body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
--- a/controller/fleet_loops_test.go
+++ b/controller/fleet_loops_test.go
@@ -17,7 +17,7 @@
 	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
 	// The leader decides to return the machine, which has had nothing to do for an hour.
 	var release []string
-	for i := 0; i < 3600 && len(release) == 0; i++ {
+	for index := 0; index < 3600 && len(release) == 0; index++ {
 		leader.clock.Advance(time.Second)
 		leader.heartbeat()
 		release = leader.MaintainFleet()
--- a/controller/input_checks_test.go
+++ b/controller/input_checks_test.go
@@ -17,7 +17,7 @@
 	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1e9)); response.Status != 201 {
 		t.Fatalf("%d %s", response.Status, response.Body)
 	}
-	for i, c := range []struct {
+	for index, testCase := range []struct {
 		tasks  int
 		inputs string
 		status int
@@ -31,9 +31,9 @@
 		{9, `[{"dataset":"inv","use":"own"}]`, 422, "9 tasks"},
 		{4, `[{"dataset":"inv","use":"all"}]`, 422, "8.000 GB of data; the largest cache of an allowed machine type holds 5.000 GB"},
 	} {
-		response := controller.ask(VerbSubmit, submissionBody(fmt.Sprintf("run-00000%d", i), c.tasks, `,"inputs":`+c.inputs))
-		if response.Status != c.status || !strings.Contains(string(response.Body), c.text) {
-			t.Errorf("%s: %d %s", c.inputs, response.Status, response.Body)
+		response := controller.ask(VerbSubmit, submissionBody(fmt.Sprintf("run-00000%d", index), testCase.tasks, `,"inputs":`+testCase.inputs))
+		if response.Status != testCase.status || !strings.Contains(string(response.Body), testCase.text) {
+			t.Errorf("%s: %d %s", testCase.inputs, response.Status, response.Body)
 		}
 	}
 	if rec := string(state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, `"inputs":[{"dataset":"inv","use":"own"}]`) {
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -71,7 +71,7 @@
 
 // commit writes all dirty records.
 func (l *testLeader) commit() {
-	for i := 0; l.committer.Pending() > 0 && i < 2000; i++ {
+	for index := 0; l.committer.Pending() > 0 && index < 2000; index++ {
 		l.committer.Step(context.Background())
 		l.clock.Advance(time.Millisecond)
 	}
--- a/controller/leader_locator_test.go
+++ b/controller/leader_locator_test.go
@@ -9,7 +9,7 @@
 // A leader that crashed in an outage of the state service and restarted does not lead, though its key still stands.
 // Workers that are redirected to it would be refused by all controllers in turn until their leases expire.
 func TestRestartedLeaderWithoutTermDoesNotLead(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		alive  []peer.Hello
 		leader string
 		there  bool
@@ -19,8 +19,8 @@
 		{[]peer.Hello{{Member: "n2", Term: 7}, {Member: "n1", Term: 9}}, "n1", true},
 		{[]peer.Hello{{Member: "n1", Term: 5}}, "n2", false},
 	} {
-		if leader, _, reachable := newestLeader("n2", 7, c.alive); leader != c.leader || reachable != c.there {
-			t.Errorf("%+v: %s %v", c.alive, leader, reachable)
+		if leader, _, reachable := newestLeader("n2", 7, testCase.alive); leader != testCase.leader || reachable != testCase.there {
+			t.Errorf("%+v: %s %v", testCase.alive, leader, reachable)
 		}
 	}
 }
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -52,15 +52,15 @@
 }
 
 // newLeaseRenewal returns the part of c that renews leases; it knows of no cancellation yet.
-func newLeaseRenewal(c *Controller) *leaseRenewal {
+func newLeaseRenewal(controller *Controller) *leaseRenewal {
 	var members []string
-	for _, other := range c.settings.Peers {
+	for _, other := range controller.settings.Peers {
 		members = append(members, other.Member)
 	}
-	facts := c.settings.Facts.Workers
+	facts := controller.settings.Facts.Workers
 	limits := watermark.NewLimits(settings.Seconds(facts.CancelS), settings.Seconds(facts.LeaseS))
-	return &leaseRenewal{clock: c.clock, client: c.client, elector: c.elector, peers: c.peers, health: c.health, term: c.term,
-		versions: c.versions, watermark: watermark.New(c.startedAt, members, limits), renewing: true}
+	return &leaseRenewal{clock: controller.clock, client: controller.client, elector: controller.elector, peers: controller.peers, health: controller.health, term: controller.term,
+		versions: controller.versions, watermark: watermark.New(controller.startedAt, members, limits), renewing: true}
 }
 
 // markCurrentIfLeading reports whether this controller leads for certain and has read the records. Then all
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -28,7 +28,7 @@
 	var unresponsive atomic.Bool
 	controller, clock, state := newFollower(t, &unresponsive, neverAnswer)
 	unresponsive.Store(true)
-	for i, c := range []struct {
+	for index, testCase := range []struct {
 		r       peer.Request
 		within  time.Duration
 		status  int
@@ -37,19 +37,19 @@
 		{peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, 200 * time.Millisecond, 201, tuning.AcceptPatience},
 		{peer.Request{Verb: VerbStatus, Job: "run-000001"}, 2*time.Second - tuning.StateTimeout, 200, tuning.PollPatience},
 	} {
-		if c.patient > c.within {
-			t.Errorf("%s waits %v for the leader, its user %v", c.r.Verb, c.patient, c.within)
+		if testCase.patient > testCase.within {
+			t.Errorf("%s waits %v for the leader, its user %v", testCase.r.Verb, testCase.patient, testCase.within)
 		}
 		got := make(chan peer.Response, 1)
-		go func() { got <- controller.Handle(ctx, c.r, false) }()
+		go func() { got <- controller.Handle(ctx, testCase.r, false) }()
 		// Waiting: the timer of hellos, the two ends of patience, what is left of
 		// the question before.
-		if err := clock.BlockUntilContext(ctx, 3+i); err != nil {
+		if err := clock.BlockUntilContext(ctx, 3+index); err != nil {
 			t.Fatal(err)
 		}
-		clock.Advance(c.patient)
-		if response := <-got; response.Status != c.status {
-			t.Errorf("%s: %d %s, want %d", c.r.Verb, response.Status, response.Body, c.status)
+		clock.Advance(testCase.patient)
+		if response := <-got; response.Status != testCase.status {
+			t.Errorf("%s: %d %s, want %d", testCase.r.Verb, response.Status, response.Body, testCase.status)
 		}
 	}
 	if state.Get(store.InboxKey("run-000001")) == nil {
@@ -134,9 +134,9 @@
 	controller := New(context.Background(), set, policy.Default(), clock, state)
 	count := map[int]int{}
 	answers := make(chan peer.Response)
-	for i := range 1000 {
+	for index := range 1000 {
 		go func() {
-			answers <- controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: fmt.Sprintf("run-%06d", i%20)}, false)
+			answers <- controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: fmt.Sprintf("run-%06d", index%20)}, false)
 		}()
 	}
 	for got := 0; got < 1000; {
--- a/controller/verbs_test.go
+++ b/controller/verbs_test.go
@@ -5,13 +5,13 @@
 // Verbs of requests that controllers alone send each other stay as the version in production has them; those of users
 // and operators are pinned by package internal/golden.
 func TestVerbsBetweenControllersAreStable(t *testing.T) {
-	for _, c := range []struct{ got, want string }{
+	for _, testCase := range []struct{ got, want string }{
 		{verbReport, "report"},
 		{verbStage, "stage"},
 		{verbConfirm, "confirm-configuration"},
 	} {
-		if c.got != c.want {
-			t.Errorf("verb %q, want %q", c.got, c.want)
+		if testCase.got != testCase.want {
+			t.Errorf("verb %q, want %q", testCase.got, testCase.want)
 		}
 	}
 }
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -51,12 +51,12 @@
 		t.Fatal(err)
 	}
 	fences := 0
-	for i, text := range strings.Split(string(raw), "\n") {
+	for index, text := range strings.Split(string(raw), "\n") {
 		switch {
 		case strings.HasPrefix(text, "```"):
 			fences++
 		case fences%2 == 0:
-			prose = append(prose, pageLine{i + 1, text})
+			prose = append(prose, pageLine{index + 1, text})
 		case fences == 1:
 			drawing = append(drawing, text)
 		}
@@ -293,10 +293,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, line := range strings.Split(string(raw), "\n") {
+		for index, line := range strings.Split(string(raw), "\n") {
 			for _, name := range testName.FindAllString(line, -1) {
 				if !tests[name] {
-					t.Errorf("%s:%d: no test or benchmark is named %s; write the name of the one that shows this now", path.Join("docs", page), i+1, name)
+					t.Errorf("%s:%d: no test or benchmark is named %s; write the name of the one that shows this now", path.Join("docs", page), index+1, name)
 				}
 			}
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
@@ -305,7 +305,7 @@
 					continue
 				}
 				if complaint := tree.checkSymbol(found[1], found[2]); complaint != "" {
-					t.Errorf("%s:%d: %s", path.Join("docs", page), i+1, complaint)
+					t.Errorf("%s:%d: %s", path.Join("docs", page), index+1, complaint)
 				}
 			}
 		}
--- a/httpapi/heartbeats.go
+++ b/httpapi/heartbeats.go
@@ -16,33 +16,33 @@
 var errHeartbeatTooLong = errors.New("the report is over 1 MiB")
 
 // serveHeartbeat answers a worker.
-func serveHeartbeat(c echo.Context, backend Controller) error {
+func serveHeartbeat(call echo.Context, backend Controller) error {
 	var heartbeat api.Heartbeat
-	raw, err := readHeartbeat(c, &heartbeat, tuning.BodyLimit, errBodyTooLong)
+	raw, err := readHeartbeat(call, &heartbeat, tuning.BodyLimit, errBodyTooLong)
 	if err != nil {
-		return refuseHeartbeat(c, "worker", err)
+		return refuseHeartbeat(call, "worker", err)
 	}
-	status, body := backend.HandleHeartbeat(c.Request().Context(), &heartbeat, raw)
-	return c.JSON(status, body)
+	status, body := backend.HandleHeartbeat(call.Request().Context(), &heartbeat, raw)
+	return call.JSON(status, body)
 }
 
 // serveStageHeartbeat answers a data agent.
-func serveStageHeartbeat(c echo.Context, backend Controller) error {
+func serveStageHeartbeat(call echo.Context, backend Controller) error {
 	var heartbeat api.StageHeartbeat
-	raw, err := readHeartbeat(c, &heartbeat, tuning.OrderLimit, errHeartbeatTooLong)
+	raw, err := readHeartbeat(call, &heartbeat, tuning.OrderLimit, errHeartbeatTooLong)
 	if err != nil {
-		return refuseHeartbeat(c, "agent", err)
+		return refuseHeartbeat(call, "agent", err)
 	}
-	status, body := backend.HandleStageHeartbeat(c.Request().Context(), &heartbeat, raw)
-	return c.JSON(status, body)
+	status, body := backend.HandleStageHeartbeat(call.Request().Context(), &heartbeat, raw)
+	return call.JSON(status, body)
 }
 
 // checkable is a message that can tell whether it can be handled.
 type checkable interface{ Check() error }
 
 // readHeartbeat reads, decodes and checks a heartbeat of at most limit bytes, and returns its body.
-func readHeartbeat(c echo.Context, heartbeat checkable, limit int, tooLong error) ([]byte, error) {
-	raw, err := readBody(c, limit, tooLong)
+func readHeartbeat(call echo.Context, heartbeat checkable, limit int, tooLong error) ([]byte, error) {
+	raw, err := readBody(call, limit, tooLong)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // refuseHeartbeat answers a heartbeat that cannot be handled.
-func refuseHeartbeat(c echo.Context, sender string, err error) error {
-	slog.Error("malformed heartbeat", "sender", sender, "from", c.Request().RemoteAddr, "err", err)
-	return c.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
+func refuseHeartbeat(call echo.Context, sender string, err error) error {
+	slog.Error("malformed heartbeat", "sender", sender, "from", call.Request().RemoteAddr, "err", err)
+	return call.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
 }
--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -61,52 +61,52 @@
 	router.HTTPErrorHandler = writeError
 	router.Use(classifyConnections(budget))
 	registerUserPaths(router, backend)
-	router.GET("/ready", func(c echo.Context) error {
+	router.GET("/ready", func(call echo.Context) error {
 		if backend.Ready() {
-			return c.NoContent(http.StatusOK)
+			return call.NoContent(http.StatusOK)
 		}
-		return c.NoContent(http.StatusServiceUnavailable)
+		return call.NoContent(http.StatusServiceUnavailable)
 	})
-	router.POST(heartbeatPath, func(c echo.Context) error { return serveHeartbeat(c, backend) })
+	router.POST(heartbeatPath, func(call echo.Context) error { return serveHeartbeat(call, backend) })
 	if backend.DataOn() {
-		router.POST(stageHeartbeatPath, func(c echo.Context) error { return serveStageHeartbeat(c, backend) })
+		router.POST(stageHeartbeatPath, func(call echo.Context) error { return serveStageHeartbeat(call, backend) })
 	}
 	return router
 }
 
 // writeError answers a request that no handler has answered.
-func writeError(err error, c echo.Context) {
+func writeError(err error, call echo.Context) {
 	status := http.StatusInternalServerError
 	if httpError, ok := errors.AsType[*echo.HTTPError](err); ok {
 		status = httpError.Code
 	}
-	if !c.Response().Committed {
+	if !call.Response().Committed {
 		// The client is gone if this fails, and asks again if it still wants an answer.
-		_ = c.JSON(status, api.Error{Error: http.StatusText(status)})
+		_ = call.JSON(status, api.Error{Error: http.StatusText(status)})
 	}
 }
 
 // classifyConnections returns a middleware that tells the budget what kind of client a connection has.
 func classifyConnections(budget *connlimit.Limiter) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
-		return func(c echo.Context) error {
+		return func(call echo.Context) error {
 			class := connlimit.User
-			if path := c.Path(); path == heartbeatPath || path == stageHeartbeatPath {
+			if path := call.Path(); path == heartbeatPath || path == stageHeartbeatPath {
 				class = connlimit.Worker
 				if budget.NearLimit() {
 					// A worker can connect anew for its next heartbeat; a user's connection cannot wait.
-					c.Response().Header().Set("Connection", "close")
+					call.Response().Header().Set("Connection", "close")
 				}
 			}
-			budget.Classify(connlimit.FromContext(c.Request().Context()), class)
-			return next(c)
+			budget.Classify(connlimit.FromContext(call.Request().Context()), class)
+			return next(call)
 		}
 	}
 }
 
 // readBody reads a body of at most limit bytes; a longer one is the error tooLong.
-func readBody(c echo.Context, limit int, tooLong error) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(c.Request().Body, int64(limit)+1))
+func readBody(call echo.Context, limit int, tooLong error) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(call.Request().Body, int64(limit)+1))
 	if err == nil && len(body) > limit {
 		err = tooLong
 	}
--- a/httpapi/users.go
+++ b/httpapi/users.go
@@ -28,7 +28,7 @@
 // registerUserPaths adds the paths of users and operators. Those of a feature are added if it is on.
 func registerUserPaths(router *echo.Echo, backend Controller) {
 	verb := func(verb string) echo.HandlerFunc {
-		return func(c echo.Context) error { return serveUser(c, backend, verb) }
+		return func(call echo.Context) error { return serveUser(call, backend, verb) }
 	}
 	router.POST("/submissions", verb(controller.VerbSubmit))
 	router.GET("/submissions/:id", verb(controller.VerbStatus))
@@ -53,21 +53,21 @@
 }
 
 // serveUser answers a request of a user or operator.
-func serveUser(c echo.Context, backend Controller, verb string) error {
-	request := peer.Request{Verb: verb, Job: c.Param("id")}
+func serveUser(call echo.Context, backend Controller, verb string) error {
+	request := peer.Request{Verb: verb, Job: call.Param("id")}
 	if verbsWithBody[verb] {
-		body, err := readBody(c, tuning.BodyLimit, errBodyTooLong)
+		body, err := readBody(call, tuning.BodyLimit, errBodyTooLong)
 		if err != nil {
-			return c.JSON(http.StatusBadRequest, api.Error{Error: err.Error(), Field: "body"})
+			return call.JSON(http.StatusBadRequest, api.Error{Error: err.Error(), Field: "body"})
 		}
 		request.Body = body
 	}
 	began := time.Now()
-	response := backend.Handle(c.Request().Context(), request, false)
+	response := backend.Handle(call.Request().Context(), request, false)
 	if response.RetryAfterS > 0 {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(response.RetryAfterS))
+		call.Response().Header().Set("Retry-After", strconv.Itoa(response.RetryAfterS))
 	}
 	slog.Debug("answered", "verb", verb, "job", request.Job, "status", response.Status,
 		"took", time.Since(began).Round(time.Millisecond), "body", string(response.Body))
-	return c.JSONBlob(response.Status, response.Body)
+	return call.JSONBlob(response.Status, response.Body)
 }
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -25,10 +25,10 @@
 // Mail is delivered only while the worker speaks to this relay alone: in a gap
 // another node may have cleared the attempt that the mail would start.
 func TestStaleMailIsNotDelivered(t *testing.T) {
-	n := newWorkers()
+	workers := newWorkers()
 	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
 	say := func(seq uint64) api.HeartbeatResponse {
-		return n.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
+		return workers.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
 	}
 	say(10)
 	mail := func(part int, stamp, seq uint64, verb string) {
@@ -38,7 +38,7 @@
 		raw, _ := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: seq, Commands: []api.Command{{Verb: verb, Task: "run-1/0", Attempt: 3}}})
 		l, _, _, err := s.BuildPacket(7, 0, func(string) json.RawMessage { return raw })
 		if err == nil {
-			err = n.inbox.Apply(store.RelayResponseKey("y", part), stamp, &l)
+			err = workers.inbox.Apply(store.RelayResponseKey("y", part), stamp, &l)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -63,7 +63,7 @@
 	if o := say(16); len(o.Commands) != 0 {
 		t.Errorf("mail from before the one that was told: %+v", o)
 	}
-	if o := n.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
+	if o := workers.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(o.Commands) != 0 || o.Term != 9 {
 		t.Errorf("mail of another term: %+v", o)
 	}
 }
--- a/scheduler/allocation_test.go
+++ b/scheduler/allocation_test.go
@@ -14,8 +14,8 @@
 
 func TestStartIsStoredBeforeItIsSent(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	if h.state.Get(store.ShardOf("run-000001", 0, tuning.ShardTasks).Key()) == nil || st.machine != "a1" {
+	start := h.submitAndStart("run-000001")
+	if h.state.Get(store.ShardOf("run-000001", 0, tuning.ShardTasks).Key()) == nil || start.machine != "a1" {
 		t.Error("no record, or the wrong machine")
 	}
 }
@@ -24,13 +24,13 @@
 // attempt is repeated on the same machine, and nowhere else.
 func TestUnansweredStartStaysOnItsMachine(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", st.response, nil, false)
+	start := h.submitAndStart("run-000001")
+	h.CommandsAnswered("a1", start.response, nil, false)
 	h.heartbeat("b1", 1)
 	for range 5 {
 		h.clock.Advance(time.Second)
 		o := h.heartbeat("a1", 1)
-		if !hasCommand(o, api.CommandRun, "run-000001/0") || o.Commands[0].Attempt != st.response.Commands[0].Attempt {
+		if !hasCommand(o, api.CommandRun, "run-000001/0") || o.Commands[0].Attempt != start.response.Commands[0].Attempt {
 			t.Fatalf("want the same attempt again, got %+v", o.Commands)
 		}
 		h.heartbeat("b1", 1)
@@ -48,13 +48,13 @@
 // under way would run it again.
 func TestClearWaitsForOpenStart(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	a := st.response.Commands[0].Attempt
+	start := h.submitAndStart("run-000001")
+	a := start.response.Commands[0].Attempt
 	o := h.heartbeat("a1", 1, taskReport("run-000001/0", a, api.TaskExited, api.CauseStopped))
 	if hasCommand(o, api.CommandClear, "run-000001/0") {
 		t.Fatal("cleared while its start was unanswered")
 	}
-	h.CommandsAnswered("a1", st.response, nil, true)
+	h.CommandsAnswered("a1", start.response, nil, true)
 	if o = h.heartbeat("a1", 1, taskReport("run-000001/0", a, api.TaskExited, api.CauseStopped)); !hasCommand(o, api.CommandClear, "run-000001/0") {
 		t.Error("not cleared after the answer")
 	}
@@ -74,14 +74,14 @@
 	}
 
 	h = newHarness(t)
-	st := h.submitAndStart("run-000002")
-	h.CommandsAnswered("a1", st.response, nil, false)
+	start := h.submitAndStart("run-000002")
+	h.CommandsAnswered("a1", start.response, nil, false)
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
 	if o := h.heartbeat("a1", 1); hasCommand(o, api.CommandRun, "run-000002/0") {
 		t.Error("a cancelled task was started again")
 	}
-	if o := h.heartbeat("a1", 1, taskReport("run-000002/0", st.response.Commands[0].Attempt, api.TaskFetching, "")); !hasCommand(o, api.CommandKill, "run-000002/0") {
+	if o := h.heartbeat("a1", 1, taskReport("run-000002/0", start.response.Commands[0].Attempt, api.TaskFetching, "")); !hasCommand(o, api.CommandKill, "run-000002/0") {
 		t.Error("a late start was not killed")
 	}
 	if h.terminalStates["run-000002"].State != api.Cancelled {
@@ -114,8 +114,8 @@
 	if len(h.starts("run-000001/0"))+len(h.starts("run-000001/1")) != 0 {
 		t.Error("run again")
 	}
-	if st, _ := h.JobStatus("run-000001"); st.State != api.Running || st.Done != 1 {
-		t.Errorf("status %+v", st)
+	if starts, _ := h.JobStatus("run-000001"); starts.State != api.Running || starts.Done != 1 {
+		t.Errorf("status %+v", starts)
 	}
 	h.heartbeat("a1", 1, taskReport("run-000001/1", at1, api.TaskExited, api.CauseDone))
 	if len(h.terminalStates) != 0 {
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -33,12 +33,12 @@
 		h.Place()
 		h.commit()
 		h.maintainFor(25*time.Second, both)
-		on := map[string]bool{}
+		runningOn := map[string]bool{}
 		for _, alloc := range h.jobs["run-000001"].allocations {
-			on[alloc.machine.Name] = true
+			runningOn[alloc.machine.Name] = true
 		}
-		if len(on) < 2 || len(on) == len(far) {
-			t.Fatalf("on %v", on)
+		if len(runningOn) < 2 || len(runningOn) == len(far) {
+			t.Fatalf("on %v", runningOn)
 		}
 		h.maintainFor(6*time.Second, near)
 		h.Cancel(cancelledContext(), "run-000001")
@@ -62,12 +62,12 @@
 				gone[n] = h.clock.Since(told)
 			}
 		}
-		for n := range on {
+		for n := range runningOn {
 			if at, ok := gone[n]; !ok || at > 42*time.Second || at < 40*time.Second {
 				t.Errorf("leader changed %v: %s, with a cancelled task, returned after %v, %v", again, n, at, ok)
 			}
 		}
-		if !again && len(gone) != len(on) {
+		if !again && len(gone) != len(runningOn) {
 			t.Errorf("returned %v, want those with a cancelled task alone", gone)
 		}
 	}
--- a/scheduler/dataset_removal_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -45,20 +45,20 @@
 func TestRemovedWithoutHarm(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.register()
-	a := h.addAgent("a1", 0, 5)
+	agent := h.addAgent("a1", 0, 5)
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.round()
 	h.round()
-	st := h.starts("run-000001/0")[0].response.Commands[0]
+	starts := h.starts("run-000001/0")[0].response.Commands[0]
 	h.unlist(true)
 	h.InboxSeen(1 << 40)
 	h.MaintainFleet()
 	h.commit()
-	if got := a.copies(); h.recordedState() != dataset.Removing || len(got) != 1 || got[0] != 1 {
+	if got := agent.copies(); h.recordedState() != dataset.Removing || len(got) != 1 || got[0] != 1 {
 		t.Fatalf("state %q, copies %v: the job that needs it must go on", h.recordedState(), got)
 	}
-	a.finishCopies()
-	h.workerHeartbeat("a1", taskReport("run-000001/0", st.Attempt, api.TaskRunning, ""))
+	agent.finishCopies()
+	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.round()
 	h.round()
 	second := h.jobs["run-000001"].allocations[1]
@@ -68,9 +68,9 @@
 	end := func(k int, at uint64) api.TaskReport {
 		return taskReport(taskKey("run-000001", k), at, api.TaskExited, api.CauseDone)
 	}
-	h.workerHeartbeat("a1", end(0, st.Attempt), end(1, second.attempt))
+	h.workerHeartbeat("a1", end(0, starts.Attempt), end(1, second.attempt))
 	h.round()
-	if len(a.drop) != 0 {
+	if len(agent.drop) != 0 {
 		t.Fatal("let go before it is on record as removed")
 	}
 	for range 3 {
@@ -78,16 +78,16 @@
 		h.commit()
 		h.round()
 	}
-	if h.recordedState() != dataset.Removed || len(a.drop) != 1 || a.drop[0] != inventory.Manifest.String() {
-		t.Fatalf("state %q, agents let go %v", h.recordedState(), a.drop)
+	if h.recordedState() != dataset.Removed || len(agent.drop) != 1 || agent.drop[0] != inventory.Manifest.String() {
+		t.Fatalf("state %q, agents let go %v", h.recordedState(), agent.drop)
 	}
-	a.held.Clear()
+	agent.held.Clear()
 	h.round()
 	h.round()
 	b := h.addAgent("b1", 3)
 	h.round()
-	if len(a.drop) != 0 || len(b.drop) != 1 {
-		t.Errorf("a1 is to let go %v, b1 that came back %v", a.drop, b.drop)
+	if len(agent.drop) != 0 || len(b.drop) != 1 {
+		t.Errorf("a1 is to let go %v, b1 that came back %v", agent.drop, b.drop)
 	}
 }
 
--- a/scheduler/dataset_views.go
+++ b/scheduler/dataset_views.go
@@ -51,9 +51,9 @@
 
 // Datasets returns the view of datasets, of the machines that hold them, and of what is copied. It returns false if
 // datasets are off. Which machines hold what is read from a snapshot after s.mu is released, as it takes long.
-func (s *Scheduler) Datasets() (view DataView, on bool) {
-	view, snapshot, on := s.datasetsWithoutHolders()
-	if !on {
+func (s *Scheduler) Datasets() (view DataView, runningOn bool) {
+	view, snapshot, runningOn := s.datasetsWithoutHolders()
+	if !runningOn {
 		return DataView{}, false
 	}
 	slices.SortFunc(view.Datasets, func(a, b DatasetView) int { return strings.Compare(a.Name, b.Name) })
@@ -65,7 +65,7 @@
 
 // datasetsWithoutHolders returns the view of datasets but for what depends on the machines that hold them, and the
 // snapshot that says which do. It returns false if datasets are off.
-func (s *Scheduler) datasetsWithoutHolders() (view DataView, snapshot *replicas.Snapshot, on bool) {
+func (s *Scheduler) datasetsWithoutHolders() (view DataView, snapshot *replicas.Snapshot, runningOn bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.datasets == nil {
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -22,9 +22,9 @@
 	h := &dataHarness{harness: newHarness(t), place: features.Staged, agents: map[string]*fakeAgent{}}
 	h.enable()
 	h.AddDatasets(&dataset.Entry{Summary: *set})
-	on := make([]*roaring.Bitmap, machines)
-	for i := range on {
-		on[i] = roaring.New()
+	runningOn := make([]*roaring.Bitmap, machines)
+	for i := range runningOn {
+		runningOn[i] = roaring.New()
 	}
 	triples := make([][3]int, 64)
 	for i := range triples {
@@ -36,14 +36,14 @@
 			tr = triples[k%64]
 		}
 		for _, m := range tr {
-			on[m].Add(uint32(k))
+			runningOn[m].Add(uint32(k))
 		}
 	}
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
 		h.heartbeat(name, 1)
 		h.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
-			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: on[i]}}}})
+			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: runningOn[i]}}}})
 	}
 	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, h.clock.Now())
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -145,7 +145,7 @@
 // task holds no room: others take it.
 func TestNothingStartsBeforeItsInputs(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
-	a := h.addAgent("a1")
+	agent := h.addAgent("a1")
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	for range 3 {
 		h.round()
@@ -153,7 +153,7 @@
 	if len(h.starts("run-000001/0")) != 0 || len(h.machines["a1"].allocations) != 0 {
 		t.Fatal("started, or room held, without inputs")
 	}
-	if got := a.copies(); !slices.Equal(got, []int{0, 1}) {
+	if got := agent.copies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
 	}
 	h.submit("run-000002", 2, nil)
@@ -161,7 +161,7 @@
 	if len(h.starts("run-000002/0")) != 1 || len(h.starts("run-000002/1")) != 1 {
 		t.Fatal("a task that waits for bytes keeps others out")
 	}
-	a.finishCopies()
+	agent.finishCopies()
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 0 {
@@ -174,19 +174,19 @@
 	}
 	h.workerHeartbeat("a1", ended...)
 	h.round()
-	st := h.jobs["run-000001"].allocations[0]
-	if st == nil || h.jobs["run-000001"].allocations[1] == nil {
+	starts := h.jobs["run-000001"].allocations[0]
+	if starts == nil || h.jobs["run-000001"].allocations[1] == nil {
 		t.Fatal("not started though its inputs are there")
 	}
 	// What a task runs on stays pinned, and may go when it is over.
-	h.workerHeartbeat("a1", taskReport("run-000001/0", st.attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskRunning, ""))
 	h.round()
-	if !a.wants(0) {
+	if !agent.wants(0) {
 		t.Fatal("a running task's input may be evicted")
 	}
-	h.workerHeartbeat("a1", taskReport("run-000001/0", st.attempt, api.TaskExited, api.CauseDone))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskExited, api.CauseDone))
 	h.round()
-	if a.wants(0) {
+	if agent.wants(0) {
 		t.Fatal("pinned for ever")
 	}
 }
@@ -201,8 +201,8 @@
 	h.round()
 	h.round()
 	for part, want := range map[string]string{"0": "a1", "3": "a1", "1": "a2", "2": "a2"} {
-		if st := h.starts("run-000001/" + part); len(st) != 1 || st[0].machine != want {
-			t.Errorf("task %s: %+v, want %s", part, st, want)
+		if starts := h.starts("run-000001/" + part); len(starts) != 1 || starts[0].machine != want {
+			t.Errorf("task %s: %+v, want %s", part, starts, want)
 		}
 	}
 }
@@ -211,33 +211,33 @@
 // word, keeps what runs pinned from its first order on, and the old one's orders are void.
 func TestLeaderChangesDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
-	a := h.addAgent("a1", 0)
+	agent := h.addAgent("a1", 0)
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 0 {
 		t.Fatal("want task 0 running, task 1 waiting")
 	}
-	st := h.starts("run-000001/0")[0].response.Commands[0]
+	starts := h.starts("run-000001/0")[0].response.Commands[0]
 	old, _, _ := h.datasets.planner.Order("a1")
 	h.reelect()
 	// The agent reports before anything else is known; nothing may be let go.
-	h.agentHeartbeat(a)
-	if !a.wants(0) {
+	h.agentHeartbeat(agent)
+	if !agent.wants(0) {
 		t.Fatal("the pin of a task that may run was lost")
 	}
-	h.workerHeartbeat("a1", taskReport("run-000001/0", st.Attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.round()
-	if !a.wants(0) || !a.wants(1) || a.term != h.term {
-		t.Fatalf("the new leader's order: %+v", a.sets)
+	if !agent.wants(0) || !agent.wants(1) || agent.term != h.term {
+		t.Fatalf("the new leader's order: %+v", agent.sets)
 	}
-	before := a.refused
-	a.apply(old)
-	if a.refused != before+1 {
+	before := agent.refused
+	agent.apply(old)
+	if agent.refused != before+1 {
 		t.Fatal("an old leader's order was taken")
 	}
-	a.finishCopies()
-	h.workerHeartbeat("a1", taskReport("run-000001/0", st.Attempt, api.TaskRunning, ""))
+	agent.finishCopies()
+	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/1")) != 1 || len(h.starts("run-000001/0")) != 0 {
@@ -248,7 +248,7 @@
 // A job that is cancelled while its inputs are copied never starts, and its copies end.
 func TestCancelledDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
-	a := h.addAgent("a1")
+	agent := h.addAgent("a1")
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.submit("run-000002", 1, withInputs(api.UseOwn))
 	h.round()
@@ -256,10 +256,10 @@
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
 	h.round()
-	if got := a.copies(); !slices.Equal(got, []int{0}) {
+	if got := agent.copies(); !slices.Equal(got, []int{0}) {
 		t.Fatalf("copies: %v; the other job's must go on, this one's not", got)
 	}
-	a.finishCopies()
+	agent.finishCopies()
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 0 || len(h.starts("run-000002/0")) != 1 {
@@ -282,8 +282,8 @@
 	h.workerHeartbeat("a2")
 	h.round()
 	h.round()
-	if st := h.starts("run-000001/0"); len(st) != 1 || st[0].machine != "a2" {
-		t.Fatalf("%+v", st)
+	if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
+		t.Fatalf("%+v", starts)
 	}
 }
 
@@ -291,11 +291,11 @@
 func TestStuckInputsMoveOn(t *testing.T) {
 	for _, kind := range []string{"full", "silent"} {
 		h := newDataHarness(t, features.Staged)
-		a := h.addAgent("a1")
+		agent := h.addAgent("a1")
 		h.submit("run-000001", 1, withInputs(api.UseOwn))
 		h.round()
 		b := h.addAgent("a2")
-		a.full = kind == "full"
+		agent.full = kind == "full"
 		if kind == "silent" {
 			delete(h.agents, "a1")
 		}
@@ -305,8 +305,8 @@
 			h.round()
 			b.finishCopies()
 		}
-		if st := h.starts("run-000001/0"); len(st) != 1 || st[0].machine != "a2" {
-			t.Errorf("%s: %+v", kind, st)
+		if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
+			t.Errorf("%s: %+v", kind, starts)
 		}
 	}
 }
@@ -316,7 +316,7 @@
 func TestServicesAndGangsWaitForTheirInputs(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
 		h := newDataHarness(t, features.Staged)
-		a := h.addAgent("a1")
+		agent := h.addAgent("a1")
 		var low []api.TaskReport
 		if shape == api.Service {
 			h.submit("run-000009", 2, func(x *api.Submission) { x.Rank = "low" })
@@ -344,11 +344,11 @@
 				}
 			}
 			if i < 3 {
-				a.finishCopies() // two parts a round, of eight
+				agent.finishCopies() // two parts a round, of eight
 			}
 		}
 		for range 8 {
-			a.finishCopies()
+			agent.finishCopies()
 			h.workerHeartbeat("a1", low...)
 			h.round()
 		}
@@ -443,8 +443,8 @@
 	}
 	h.round()
 	h.round()
-	if st := h.starts("run-000001/0"); len(st) != 1 || st[0].machine != "a2" {
-		t.Fatalf("%+v", st)
+	if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
+		t.Fatalf("%+v", starts)
 	}
 }
 
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -35,13 +35,13 @@
 		gone := map[string]bool{}
 		for _, id := range run.ids {
 			want := api.Done
-			st := run.answer(id)
-			gone[id] = run.cancelled[id] || run.asked[id] && st == api.Cancelled || slices.ContainsFunc(run.needs[id], func(n string) bool { return gone[n] })
+			starts := run.answer(id)
+			gone[id] = run.cancelled[id] || run.asked[id] && starts == api.Cancelled || slices.ContainsFunc(run.needs[id], func(n string) bool { return gone[n] })
 			if gone[id] {
 				want = api.Cancelled
 			}
-			if st != want {
-				t.Fatalf("seed %d: %s is %q in the end, want %s", seed, id, st, want)
+			if starts != want {
+				t.Fatalf("seed %d: %s is %q in the end, want %s", seed, id, starts, want)
 			}
 		}
 	}
@@ -68,34 +68,34 @@
 
 // answer is what a user is told of a job: by the leader, or from the records.
 func (r *randomRun) answer(id string) string {
-	if st, ok := r.JobStatus(id); ok {
-		return st.State
+	if starts, ok := r.JobStatus(id); ok {
+		return starts.State
 	}
 	if r.recordReader == nil {
 		r.recordReader = r.records()
 	}
-	st, found, err := statusOnRecord(r.recordReader, id)
+	starts, found, err := statusOnRecord(r.recordReader, id)
 	if err != nil || !found {
 		r.Fatalf("%s: %v %v", id, found, err)
 	}
-	return st.State
+	return starts.State
 }
 
 func (r *randomRun) step(rng *rand.Rand) {
 	switch rng.IntN(9) {
 	case 0, 1, 2:
 		id := fmt.Sprintf("run-%06d", len(r.ids))
-		var on []string
+		var runningOn []string
 		for _, o := range r.ids {
 			if rng.IntN(3) == 0 {
-				on = append(on, o)
+				runningOn = append(runningOn, o)
 			}
 		}
 		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
-		awaiting(on...)(&sub)
+		awaiting(runningOn...)(&sub)
 		r.Submit(cancelledContext(), &sub, r.clock.Now())
 		r.commit()
-		r.ids, r.needs[id] = append(r.ids, id), on
+		r.ids, r.needs[id] = append(r.ids, id), runningOn
 	case 3:
 		if len(r.ids) == 0 {
 			return
@@ -149,21 +149,21 @@
 				continue
 			}
 			for _, n := range r.needs[id] {
-				if st, _, err := statusOnRecord(r.records(), n); err != nil || st.State != api.Done {
-					r.Fatalf("seed %d: %s starts, though %s is %q on record", seed, c.Task, n, st.State)
+				if starts, _, err := statusOnRecord(r.records(), n); err != nil || starts.State != api.Done {
+					r.Fatalf("seed %d: %s starts, though %s is %q on record", seed, c.Task, n, starts.State)
 				}
 			}
 		}
 	}
 	r.checked = len(r.sent)
 	for _, id := range r.ids {
-		st := r.answer(id)
-		if r.mustBeCancelled(id) && st != api.Cancelled {
-			r.Fatalf("seed %d: %s is %q, though one before it was told to be cancelled", seed, id, st)
+		starts := r.answer(id)
+		if r.mustBeCancelled(id) && starts != api.Cancelled {
+			r.Fatalf("seed %d: %s is %q, though one before it was told to be cancelled", seed, id, starts)
 		}
-		if was := r.answered[id]; (was == api.Done || was == api.Cancelled) && st != was {
-			r.Fatalf("seed %d: %s was %s and is %s", seed, id, was, st)
+		if was := r.answered[id]; (was == api.Done || was == api.Cancelled) && starts != was {
+			r.Fatalf("seed %d: %s was %s and is %s", seed, id, was, starts)
 		}
-		r.answered[id] = st
+		r.answered[id] = starts
 	}
 }
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -56,13 +56,13 @@
 }
 
 // statusOnRecord is what the records say of a job.
-func statusOnRecord(records *lookup.Jobs, id string) (st api.JobStatus, found bool, err error) {
+func statusOnRecord(records *lookup.Jobs, id string) (starts api.JobStatus, found bool, err error) {
 	x, err := records.Read(context.Background(), id)
 	if err != nil || !x.Found {
-		return st, false, err
+		return starts, false, err
 	}
-	st, err = records.Status(context.Background(), id, x, id)
-	return st, err == nil, err
+	starts, err = records.Status(context.Background(), id, x, id)
+	return starts, err == nil, err
 }
 
 // lookUpDependencies looks up what the leader does not know of awaited jobs.
@@ -85,9 +85,9 @@
 	h.heartbeat("a1", 1)
 	h.Place()
 	h.commit()
-	st := h.starts("run-000001/0")[0].response.Commands[0]
-	h.heartbeat("a1", 1, taskReport("run-000001/0", st.Attempt, api.TaskRunning, ""))
-	h.heartbeat("a1", 1, taskReport("run-000001/0", st.Attempt, api.TaskExited, api.CauseDone))
+	starts := h.starts("run-000001/0")[0].response.Commands[0]
+	h.heartbeat("a1", 1, taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
+	h.heartbeat("a1", 1, taskReport("run-000001/0", starts.Attempt, api.TaskExited, api.CauseDone))
 	if h.jobs["run-000001"].FinalState != api.Done {
 		t.Fatal("not decided")
 	}
@@ -113,11 +113,11 @@
 		h.submit("run-000000", 1, smallJob)
 		for i := 1; i < 30; i++ {
 			// A chain of ten, and twenty that await its first and its last.
-			on := []string{fmt.Sprintf("run-%06d", i-1)}
+			runningOn := []string{fmt.Sprintf("run-%06d", i-1)}
 			if i > 10 {
-				on = []string{"run-000001", "run-000010"}
+				runningOn = []string{"run-000001", "run-000010"}
 			}
-			h.submit(fmt.Sprintf("run-%06d", i), 1, awaiting(on...))
+			h.submit(fmt.Sprintf("run-%06d", i), 1, awaiting(runningOn...))
 		}
 		h.Cancel(cancelledContext(), "run-000000")
 		h.committer.Step(context.Background())
@@ -137,22 +137,22 @@
 		check("the leader", h.status)
 		records := h.records()
 		check("a node alone", func(id string) string {
-			st, _, err := statusOnRecord(records, id)
+			starts, _, err := statusOnRecord(records, id)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return st.State
+			return starts.State
 		})
 		h.elect()
 		for range 5 {
 			h.lookUpDependencies()
 		}
 		check("the next leader", func(id string) string {
-			if st := h.status(id); st != "" {
-				return st
+			if starts := h.status(id); starts != "" {
+				return starts
 			}
-			st, _, _ := statusOnRecord(h.records(), id)
-			return st.State
+			starts, _, _ := statusOnRecord(h.records(), id)
+			return starts.State
 		})
 		h.commit()
 		if left := h.jobs; len(left) > 0 {
@@ -171,8 +171,8 @@
 	h.Cancel(cancelledContext(), "run-000000")
 	h.committer.Step(context.Background())
 	for i := 1; i <= 1000; i++ {
-		if st := h.status(fmt.Sprintf("run-%06d", i)); st != api.Cancelled {
-			t.Fatalf("run-%06d is %q", i, st)
+		if starts := h.status(fmt.Sprintf("run-%06d", i)); starts != api.Cancelled {
+			t.Fatalf("run-%06d is %q", i, starts)
 		}
 	}
 	h.commit()
@@ -191,7 +191,7 @@
 		t.Fatalf("%d %s: it is still in memory", a.Status, a.Body)
 	}
 	h.complete("run-000002", "a1")
-	if st := h.status("run-000002"); st != api.Done {
-		t.Errorf("%q", st)
+	if starts := h.status("run-000002"); starts != api.Done {
+		t.Errorf("%q", starts)
 	}
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -223,11 +223,11 @@
 		h.Fatal("a start was sent before it was stored")
 	}
 	h.commit()
-	st := h.starts(id + "/0")
-	if len(st) != 1 {
-		h.Fatalf("%d starts", len(st))
+	starts := h.starts(id + "/0")
+	if len(starts) != 1 {
+		h.Fatalf("%d starts", len(starts))
 	}
-	return st[0]
+	return starts[0]
 }
 
 // cancelledContext is the context of a user who does not wait for the answer.
@@ -302,11 +302,11 @@
 func (h *harness) settleStarts() {
 	h.Place()
 	h.commit()
-	on := map[string][]api.TaskReport{}
+	runningOn := map[string][]api.TaskReport{}
 	for _, o := range h.sent {
 		for _, c := range o.response.Commands {
 			if c.Verb == api.CommandRun {
-				on[o.machine] = append(on[o.machine], taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
+				runningOn[o.machine] = append(runningOn[o.machine], taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
 			}
 		}
 	}
@@ -315,7 +315,7 @@
 	for _, o := range sent {
 		h.CommandsAnswered(o.machine, o.response, nil, true)
 	}
-	for name, tasks := range on {
+	for name, tasks := range runningOn {
 		h.heartbeat(name, 1, tasks...)
 	}
 }
@@ -331,14 +331,14 @@
 
 // state is what the leader says of a job.
 func (h *harness) status(id string) string {
-	st, ok := h.JobStatus(id)
+	starts, ok := h.JobStatus(id)
 	if !ok {
 		if f, over := h.terminalStates[id]; over {
 			return f.State
 		}
 		return ""
 	}
-	return st.State
+	return starts.State
 }
 
 // complete runs all tasks of a job to their end on a machine.
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -22,13 +22,13 @@
 }
 
 func newInboundLostWorkers(h *harness, names ...string) *inboundLostWorkers {
-	w := &inboundLostWorkers{harness: h, reachable: map[string]bool{}, workers: map[string]*fake.Worker{}, begun: map[string]int{}}
+	workers := &inboundLostWorkers{harness: h, reachable: map[string]bool{}, workers: map[string]*fake.Worker{}, begun: map[string]int{}}
 	for _, n := range names {
-		w.reachable[n] = true
-		w.workers[n] = fake.NewWorker(fake.WorkerOptions{Host: fake.Host{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n)}, Clock: h.clock,
+		workers.reachable[n] = true
+		workers.workers[n] = fake.NewWorker(fake.WorkerOptions{Host: fake.Host{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n)}, Clock: h.clock,
 			Every: time.Second, Lease: 10 * time.Second, Runs: func(string) time.Duration { return time.Hour }})
 	}
-	return w
+	return workers
 }
 
 // run lets time pass: machines that are heard report once a second, all answer what they are sent.
@@ -77,46 +77,46 @@
 // returned after 3.2 report intervals, and its replacement took a boot.
 func TestMachineWithLostHeartbeatsGetsNoMoreWork(t *testing.T) {
 	h := newHarness(t)
-	w := newInboundLostWorkers(h, "a1", "a2", "a3", "a4")
-	for n := range w.reachable {
-		w.reachable[n] = n == "a1"
+	workers := newInboundLostWorkers(h, "a1", "a2", "a3", "a4")
+	for n := range workers.reachable {
+		workers.reachable[n] = n == "a1"
 	}
-	w.run(time.Second)
+	workers.run(time.Second)
 	h.submit("run-000001", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	h.submit("run-000002", 1, nil)
-	w.run(time.Second)
+	workers.run(time.Second)
 	if len(h.machines["a1"].allocations) != 2 {
 		t.Fatalf("%d tasks on a1", len(h.machines["a1"].allocations))
 	}
-	for n := range w.reachable {
-		w.reachable[n] = n != "a1"
+	for n := range workers.reachable {
+		workers.reachable[n] = n != "a1"
 	}
-	before := w.begun["a1"]
-	w.run(6 * time.Second)
+	before := workers.begun["a1"]
+	workers.run(6 * time.Second)
 	for _, id := range []string{"run-000001", "run-000002"} {
 		if alloc := h.jobs[id].allocations[0]; alloc == nil || alloc.machine.Name == "a1" || alloc.state != api.TaskRunning {
 			t.Errorf("%s does not run elsewhere 6 s after its machine fell mute: %+v", id, alloc)
 		}
 	}
 	h.submit("run-000003", 20, nil)
-	w.run(2 * time.Second)
+	workers.run(2 * time.Second)
 	if why := strings.Join(h.waitReasons(h.jobs["run-000003"]), ""); !strings.Contains(why, "1 answer commands and reach no controller (mute)") {
 		t.Errorf("an operator is told %q", why)
 	}
-	w.run(6 * time.Second)
-	if w.begun["a1"] != before || len(w.released) > 0 {
-		t.Errorf("%d starts on the mute machine, returned %v", w.begun["a1"]-before, w.released)
+	workers.run(6 * time.Second)
+	if workers.begun["a1"] != before || len(workers.released) > 0 {
+		t.Errorf("%d starts on the mute machine, returned %v", workers.begun["a1"]-before, workers.released)
 	}
-	w.reachable["a1"] = true
-	w.run(2 * time.Second)
-	if w.begun["a1"] == before {
+	workers.reachable["a1"] = true
+	workers.run(2 * time.Second)
+	if workers.begun["a1"] == before {
 		t.Error("no work 2 s after it was heard again")
 	}
 	// One that stays mute is given up in the end.
-	w.reachable["a1"] = false
-	w.run(22 * time.Second)
-	if len(w.released) != 1 || w.released[0] != "a1" {
-		t.Errorf("returned %v", w.released)
+	workers.reachable["a1"] = false
+	workers.run(22 * time.Second)
+	if len(workers.released) != 1 || workers.released[0] != "a1" {
+		t.Errorf("returned %v", workers.released)
 	}
 }
 
@@ -124,19 +124,19 @@
 // its leases live, and no machine is returned; what its lease has ended is known at once by its newer session.
 func TestZoneWithLostHeartbeatsIsKept(t *testing.T) {
 	h := newHarness(t)
-	w := newInboundLostWorkers(h, "a1", "b1", "b2", "b3", "b4")
-	w.run(time.Second)
+	workers := newInboundLostWorkers(h, "a1", "b1", "b2", "b3", "b4")
+	workers.run(time.Second)
 	h.submit("run-000001", 8, func(x *api.Submission) { x.Zone = "b" })
-	w.run(2 * time.Second)
-	for n := range w.reachable {
-		w.reachable[n] = n == "a1"
+	workers.run(2 * time.Second)
+	for n := range workers.reachable {
+		workers.reachable[n] = n == "a1"
 	}
-	w.run(9 * time.Second)
-	if n := len(h.jobs["run-000001"].allocations); n != 8 || len(w.released) > 0 {
-		t.Errorf("%d of 8 tasks are left, returned %v", n, w.released)
+	workers.run(9 * time.Second)
+	if n := len(h.jobs["run-000001"].allocations); n != 8 || len(workers.released) > 0 {
+		t.Errorf("%d of 8 tasks are left, returned %v", n, workers.released)
 	}
-	w.run(4 * time.Second)
-	if n := len(h.jobs["run-000001"].allocations); n != 0 || len(w.released) > 0 {
-		t.Errorf("%d tasks count 13 s after the last report, though their leases have ended; returned %v", n, w.released)
+	workers.run(4 * time.Second)
+	if n := len(h.jobs["run-000001"].allocations); n != 0 || len(workers.released) > 0 {
+		t.Errorf("%d tasks count 13 s after the last report, though their leases have ended; returned %v", n, workers.released)
 	}
 }
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -72,11 +72,11 @@
 		h := newHarness(t)
 		h.settings.Facts.Workers.ReportS = 4
 		h.heartbeat("a1", 1)
-		w := &outboundLostWorkers{harness: h, names: []string{"a1"}, began: h.clock.Now(), starts: map[uint64]bool{}}
+		workers := &outboundLostWorkers{harness: h, names: []string{"a1"}, began: h.clock.Now(), starts: map[uint64]bool{}}
 		h.submit("run-000001", 30, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Types = 4, 4, []string{"m8"} })
-		gone := w.run(14*time.Second, func() {})
-		if len(w.starts) != 2 {
-			t.Errorf("%d starts for a machine of two places that hears nothing, want one for each", len(w.starts))
+		gone := workers.run(14*time.Second, func() {})
+		if len(workers.starts) != 2 {
+			t.Errorf("%d starts for a machine of two places that hears nothing, want one for each", len(workers.starts))
 		}
 		if len(h.jobs["run-000001"].allocations) != 0 {
 			t.Error("its newer session did not prove that its tasks are gone")
@@ -91,10 +91,10 @@
 			}
 			continue
 		}
-		clear(w.starts)
-		gone = append(gone, w.run(20*time.Second, func() {})...)
-		if len(w.starts) != 0 || len(gone) != 1 {
-			t.Errorf("%d starts, returned %v", len(w.starts), gone)
+		clear(workers.starts)
+		gone = append(gone, workers.run(20*time.Second, func() {})...)
+		if len(workers.starts) != 0 || len(gone) != 1 {
+			t.Errorf("%d starts, returned %v", len(workers.starts), gone)
 		}
 	}
 }
@@ -104,20 +104,20 @@
 func TestZoneWithLostCommandsIsOneFailure(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Facts.Workers.ReportS = 4
-	w := &outboundLostWorkers{harness: h, began: h.clock.Now(), starts: map[uint64]bool{}}
+	workers := &outboundLostWorkers{harness: h, began: h.clock.Now(), starts: map[uint64]bool{}}
 	for i := range 40 {
-		w.names = append(w.names, fmt.Sprintf("b%d", i))
-		h.heartbeat(w.names[i], 1)
+		workers.names = append(workers.names, fmt.Sprintf("b%d", i))
+		h.heartbeat(workers.names[i], 1)
 	}
 	near := func() {
 		for i := range 40 {
 			h.heartbeat(fmt.Sprintf("a%d", i), 1)
 		}
 	}
-	if gone := w.run(60*time.Second, near); len(gone) > 0 {
+	if gone := workers.run(60*time.Second, near); len(gone) > 0 {
 		t.Errorf("%d machines returned within six leases", len(gone))
 	}
-	if n := len(w.run(20*time.Second, near)); n == 0 || n > 20 {
+	if n := len(workers.run(20*time.Second, near)); n == 0 || n > 20 {
 		t.Errorf("%d of 40 machines returned in the next 20 s", n)
 	}
 }
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -13,8 +13,8 @@
 
 func TestNewIncarnationProvesTasksLost(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", st.response, nil, false)
+	start := h.submitAndStart("run-000001")
+	h.CommandsAnswered("a1", start.response, nil, false)
 	h.heartbeat("a1", 2)
 	h.Place()
 	h.commit()
@@ -32,9 +32,9 @@
 // A report that was held up on the way must not undo a newer one.
 func TestLateHeartbeatChangesNothing(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", st.response, nil, true)
-	h.heartbeatAt("a1", 1, 50, h.term, taskReport("run-000001/0", st.response.Commands[0].Attempt, api.TaskRunning, ""))
+	start := h.submitAndStart("run-000001")
+	h.CommandsAnswered("a1", start.response, nil, true)
+	h.heartbeatAt("a1", 1, 50, h.term, taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, ""))
 	if o := h.heartbeatAt("a1", 1, 40, h.term); len(o.Commands) != 0 {
 		t.Errorf("commands on a late report: %+v", o.Commands)
 	}
@@ -85,13 +85,13 @@
 // kill its tasks; nothing is started.
 func TestOutageLongerThanLease(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", st.response, nil, true)
+	start := h.submitAndStart("run-000001")
+	h.CommandsAnswered("a1", start.response, nil, true)
 	h.submit("run-000002", 1, nil)
 	h.Place()
 	h.leading = false
 	h.state.Down = true
-	run := taskReport("run-000001/0", st.response.Commands[0].Attempt, api.TaskRunning, "")
+	run := taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, "")
 	for range 25 {
 		h.clock.Advance(time.Second)
 		h.committer.Step(context.Background())
@@ -116,10 +116,10 @@
 // instancesGranted, and of an earlier session, minutes late.
 func TestInvalidHeartbeatsChangeNothing(t *testing.T) {
 	h := newHarness(t)
-	w := newInboundLostWorkers(h, "a1", "a2")
-	w.run(time.Second)
+	workers := newInboundLostWorkers(h, "a1", "a2")
+	workers.run(time.Second)
 	h.submit("run-000001", 2, nil)
-	w.run(2 * time.Second)
+	workers.run(2 * time.Second)
 	where := func() (out []string) {
 		for _, i := range slices.Sorted(maps.Keys(h.jobs["run-000001"].allocations)) {
 			alloc := h.jobs["run-000001"].allocations[i]
@@ -127,7 +127,7 @@
 		}
 		return out
 	}
-	before, begun := where(), len(w.begun)
+	before, begun := where(), len(workers.begun)
 	odd := func(name string, session, seq uint64, tasks ...api.TaskReport) {
 		h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: h.term, Tasks: tasks}, "")
 	}
@@ -136,10 +136,10 @@
 		odd("a1", 1, 1)
 		odd("a1", 0, 1<<40, taskReport("run-000001/0", 1, api.TaskExited, api.CauseStopped))
 		odd("a2", 1, 2, taskReport("none", 0, "", ""), taskReport("run-000001/-1", 1, api.TaskRunning, ""), taskReport("run-999999/0", 1, api.TaskRunning, ""), taskReport("run-000001/1/2", 1, "asleep", "?"))
-		w.run(5 * time.Second)
+		workers.run(5 * time.Second)
 	}
-	if len(before) != 2 || !slices.Equal(where(), before) || len(w.begun) != begun || slices.Contains(w.released, "a1") || slices.Contains(w.released, "a2") {
-		t.Errorf("tasks stood at %v, now at %v; returned %v", before, where(), w.released)
+	if len(before) != 2 || !slices.Equal(where(), before) || len(workers.begun) != begun || slices.Contains(workers.released, "a1") || slices.Contains(workers.released, "a2") {
+		t.Errorf("tasks stood at %v, now at %v; returned %v", before, where(), workers.released)
 	}
 }
 
@@ -216,8 +216,8 @@
 // What a first report of an old term lacks is no proof, whoever sends it: the task counts as there.
 func TestFirstHeartbeatDoesNotProveTasksMissing(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
-	h.heartbeat("a1", 1, taskReport("run-000001/0", st.response.Commands[0].Attempt, api.TaskRunning, ""))
+	start := h.submitAndStart("run-000001")
+	h.heartbeat("a1", 1, taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, ""))
 	h.elect()
 	h.heartbeatAt("a1", 1, 1, h.term-1)
 	if len(h.jobs["run-000001"].allocations) != 1 {
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -165,13 +165,13 @@
 	for _, late := range []bool{false, true} {
 		h := newHarness(t)
 		h.submit("run-000001", 100, smallJob)
-		put := func(size, index int, done []int, on ...store.PlacedTask) {
+		put := func(size, index int, done []int, runningOn ...store.PlacedTask) {
 			b := store.NewTaskBitmap(100)
 			for _, i := range done {
 				b.Set(i)
 			}
 			sh := store.Shard{Job: "run-000001", Index: index, Size: size}
-			h.state.Put(sh.Key(), store.ShardRecord{Done: b.Pack(sh), On: on})
+			h.state.Put(sh.Key(), store.ShardRecord{Done: b.Pack(sh), On: runningOn})
 		}
 		first := func() {
 			put(400, 0, []int{3}, store.PlacedTask{Task: 1, Machine: "a1", Attempt: 5}, store.PlacedTask{Task: 50, Machine: "a1", Attempt: 6}, store.PlacedTask{Task: 2, Machine: "a1", Attempt: 7})
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -83,34 +83,34 @@
 func TestInputsAreStagedAcrossPartition(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
-	a := &fakeAgent{name: "a1", held: roaring.New()}
-	h.agentHeartbeatThroughPeer(a)
+	agent := &fakeAgent{name: "a1", held: roaring.New()}
+	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.exchangePackets()
-	h.agentHeartbeatThroughPeer(a)
-	if got := a.copies(); !slices.Equal(got, []int{0, 1}) {
+	h.agentHeartbeatThroughPeer(agent)
+	if got := agent.copies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
 	}
-	a.finishCopies()
+	agent.finishCopies()
 	if h.exchangePackets(); len(h.starts("run-000001/0")) != 0 {
 		t.Fatal("started before its inputs were proved there")
 	}
 	h.workerHeartbeat("a1")
-	h.agentHeartbeatThroughPeer(a)
+	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 1 {
 		t.Fatal("not started though its inputs are there")
 	}
 	// A report that was overtaken proves nothing.
-	late := a.stageReport()
+	late := agent.stageReport()
 	late.Seq, late.Pinned = 1, nil
 	h.HandleRelayedStageHeartbeat("y", late)
 	if !h.datasets.planner.Confirmed("a1", inventory, 0) {
 		t.Error("an old report took a proof back")
 	}
 	// Once the agent reaches the leader itself, the mail ends.
-	h.agentHeartbeat(a)
+	h.agentHeartbeat(agent)
 	h.commit()
 	if h.datasets.relayedOrders["a1"] != nil || len(h.datasets.orderMailboxes.Machines("y", 0)) != 0 {
 		t.Error("mail for an agent that is within reach")
@@ -122,31 +122,31 @@
 func TestFailoverDuringRelayedStaging(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
-	a := &fakeAgent{name: "a1", held: roaring.BitmapOf(0), version: 3}
-	h.agentHeartbeatThroughPeer(a)
+	agent := &fakeAgent{name: "a1", held: roaring.BitmapOf(0), version: 3}
+	h.agentHeartbeatThroughPeer(agent)
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	for range 3 {
 		h.exchangePackets()
-		h.agentHeartbeatThroughPeer(a)
+		h.agentHeartbeatThroughPeer(agent)
 	}
 	h.exchangePackets()
-	st := h.starts("run-000001/0")
-	if len(st) != 1 || !a.wants(0) || a.known != 3 {
-		t.Fatalf("%d starts, order %+v, known %d", len(st), a.sets, a.known)
+	starts := h.starts("run-000001/0")
+	if len(starts) != 1 || !agent.wants(0) || agent.known != 3 {
+		t.Fatalf("%d starts, order %+v, known %d", len(starts), agent.sets, agent.known)
 	}
 	old := h.term
 	h.reelect()
 	h.follow()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
-	if o := h.agentHeartbeatThroughPeer(a); o.Order != 0 || !a.wants(0) {
+	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.wants(0) {
 		t.Fatalf("told %+v", o)
 	}
 	h.exchangePackets()
-	h.workerHeartbeat("a1", taskReport("run-000001/0", st[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", starts[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	h.exchangePackets()
-	h.agentHeartbeatThroughPeer(a)
-	if a.term != h.term || a.term == old || !a.wants(0) {
-		t.Fatalf("the new leader's order: term %d of %d, %+v", a.term, h.term, a.sets)
+	h.agentHeartbeatThroughPeer(agent)
+	if agent.term != h.term || agent.term == old || !agent.wants(0) {
+		t.Fatalf("the new leader's order: term %d of %d, %+v", agent.term, h.term, agent.sets)
 	}
 	id, _ := h.datasets.planner.ID("a1")
 	if !h.datasets.index.Snapshot().Has(id, "inv", 0) {
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -17,7 +17,7 @@
 		attempt uint64
 		ends    time.Time
 	}
-	on := map[string][]run{}
+	runningOn := map[string][]run{}
 	for began = -1; h.clock.Since(from) < most && !stop(); {
 		for h.waiting("s") < 20*machines {
 			h.submit(fmt.Sprintf("run-%06d", 1000+h.nextSeq("jobs")), 3, func(x *api.Submission) {
@@ -32,7 +32,7 @@
 			o := h.sent[h.answered]
 			for _, c := range o.response.Commands {
 				if c.Verb == api.CommandRun {
-					on[o.machine] = append(on[o.machine], run{c.Task, c.Attempt, h.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
+					runningOn[o.machine] = append(runningOn[o.machine], run{c.Task, c.Attempt, h.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
 				}
 			}
 			h.CommandsAnswered(o.machine, o.response, nil, true)
@@ -41,7 +41,7 @@
 		for i := range machines {
 			m, keep := fmt.Sprintf("a%d", i), []run(nil)
 			var all []api.TaskReport
-			for _, r := range on[m] {
+			for _, r := range runningOn[m] {
 				if h.clock.Now().After(r.ends) {
 					all = append(all, taskReport(r.key, r.attempt, api.TaskExited, api.CauseDone))
 				} else {
@@ -49,7 +49,7 @@
 					all = append(all, taskReport(r.key, r.attempt, api.TaskRunning, ""))
 				}
 			}
-			on[m] = keep
+			runningOn[m] = keep
 			h.heartbeat(m, 1, all...)
 		}
 		if job := h.jobs[id]; began < 0 && (job == nil || len(job.allocations) > 0 && (job.Job.Shape != api.Gang || len(job.allocations) == job.taskCount)) {
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -14,7 +14,7 @@
 // A new leader starts nothing that a machine which it has not heard may run.
 func TestNewLeaderWaitsForSilentMachine(t *testing.T) {
 	h := newHarness(t)
-	st := h.submitAndStart("run-000001")
+	start := h.submitAndStart("run-000001")
 	h.elect()
 	h.heartbeat("b1", 1)
 	h.Place()
@@ -23,7 +23,7 @@
 		t.Fatal("started twice")
 	}
 	// A report from before our term proves nothing: an old command may follow.
-	h.heartbeatAt("a1", 1, 500, st.response.Term)
+	h.heartbeatAt("a1", 1, 500, start.response.Term)
 	h.Place()
 	h.commit()
 	if len(h.starts("run-000001/0")) != 0 {
@@ -33,7 +33,7 @@
 	h.Place()
 	h.commit()
 	got := h.starts("run-000001/0")
-	if len(got) != 1 || got[0].response.Commands[0].Attempt == st.response.Commands[0].Attempt {
+	if len(got) != 1 || got[0].response.Commands[0].Attempt == start.response.Commands[0].Attempt {
 		t.Errorf("want one start of a new attempt, got %+v", got)
 	}
 }
@@ -139,7 +139,7 @@
 	if r := h.state.Refusals(); len(r) > 0 || h.state.Largest.Ops > 12 {
 		t.Errorf("refused %v", r)
 	}
-	if st := h.status("run-000002"); st != api.Cancelled {
-		t.Errorf("the job behind it is %q", st)
+	if starts := h.status("run-000002"); starts != api.Cancelled {
+		t.Errorf("the job behind it is %q", starts)
 	}
 }
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -21,8 +21,8 @@
 		h.Place()
 		h.commit()
 		h.answerCommands()
-		if st := h.starts(id + "/0"); len(st) > 0 {
-			h.heartbeat("a1", 1, taskReport(id+"/0", st[0].response.Commands[0].Attempt, api.TaskExited, api.CauseError))
+		if starts := h.starts(id + "/0"); len(starts) > 0 {
+			h.heartbeat("a1", 1, taskReport(id+"/0", starts[0].response.Commands[0].Attempt, api.TaskExited, api.CauseError))
 			h.answerCommands()
 		}
 	}
@@ -38,8 +38,8 @@
 		h.Place()
 		h.commit()
 		h.answerCommands()
-		if st := h.starts("run-000009/0"); len(st) > before {
-			last := st[len(st)-1]
+		if starts := h.starts("run-000009/0"); len(starts) > before {
+			last := starts[len(starts)-1]
 			h.heartbeat(last.machine, 1, taskReport("run-000009/0", last.response.Commands[0].Attempt, api.TaskExited, api.CauseError))
 			h.answerCommands()
 		}
