--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is the process of one controller: election, forwarding of requests to the leader, admission of
-// jobs, renewal of workers' leases, relays past broken links, and the loops of a term. What a term of the leader
-// decides is up to its Scheduler.
+// Package controller is the process of one controller: election, forwarding of requests to the leader, renewal of
+// workers' leases, relays past broken links, and the loops of a term. What a term of the leader decides is up to its
+// scheduler (package scheduler), what becomes of a submission to package admission.
 package controller
 
 import (
