--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"context"
 	"net"
 	"os"
 	"path/filepath"
@@ -20,28 +19,32 @@
 	"switchferry/settings"
 )
 
-// controllerPort runs a controller on its real port, beside a state service of its own.
-func controllerPort(t *testing.T, on bool) string {
+// listen opens a port on loopback, which its user closes.
+func listen(t *testing.T) net.Listener {
 	t.Helper()
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	front, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	back, err := net.Listen("tcp4", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := &settings.Settings{Member: "n0", Zone: "east", External: settings.External{State: "state:1", Cloud: "cloud:1"}}
-	set.Facts = settings.Facts{Zones: []string{"east"}, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40},
+	return listener
+}
+
+// controllerPort runs a controller on its real port, beside a state service of its own.
+func controllerPort(t *testing.T, on bool) string {
+	t.Helper()
+	ctx := t.Context()
+	front, back := listen(t), listen(t)
+	platform := &settings.Settings{Member: "n0", Zone: "east", External: settings.External{State: "state:1", Cloud: "cloud:1"}}
+	platform.Facts = settings.Facts{Zones: []string{"east"}, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40},
 		State: settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 10}}
 	clock := clockwork.NewRealClock()
-	n := controller.New(ctx, set, policy.Default(), clock, fake.NewState(clock))
-	n.Enable(&features.Features{Configuration: features.Configuration{On: on}})
+	node := controller.New(ctx, platform, policy.Default(), clock, fake.NewState(clock))
+	node.Enable(&features.Features{Configuration: features.Configuration{On: on}})
 	budget := connlimit.NewLimiter(0)
-	go n.Run(back)
-	go func() { _ = httpapi.Serve(ctx, front, httpapi.New(n, budget), budget) }()
+	go node.Run(back)
+	handler := httpapi.New(node, budget)
+	go func() { _ = httpapi.Serve(ctx, front, handler, budget) }()
 	return front.Addr().String()
 }
 
@@ -62,14 +65,14 @@
 	unusable := file("unusable.toml", "[topology]\nversion = 1\n")
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		// Until it leads, and has read that there is no revision.
-		if code, out := call("config", "show", "--node", address); code == 0 && strings.Contains(out, "in force") {
+		if code, out := runProgram("config", "show", "--node", address); code == 0 && strings.Contains(out, "in force") {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatal("no controller leads")
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		code int
 		want string
 		args []string
@@ -94,17 +97,17 @@
 		{0, "cpus_max = 40", []string{"show"}},
 		{0, "from revision 3: 2 differences", []string{"diff", second}},
 	} {
-		args := append([]string{"config"}, c.args...)
-		if c.args[0] != "check" {
+		args := append([]string{"config"}, test.args...)
+		if test.args[0] != "check" {
 			args = append(args, "--node", address)
 		}
-		if code, out := call(args...); code != c.code || !strings.Contains(out, c.want) {
-			t.Errorf("%v: exit %d, %s; want %d with %q", c.args, code, out, c.code, c.want)
+		if code, out := runProgram(args...); code != test.code || !strings.Contains(out, test.want) {
+			t.Errorf("%v: exit %d, %s; want %d with %q", test.args, code, out, test.code, test.want)
 		}
 	}
 	off := controllerPort(t, false)
 	for _, args := range [][]string{{"apply", first}, {"show"}, {"history"}, {"diff", first}} {
-		if code, out := call(append(append([]string{"config"}, args...), "--node", off)...); code != ExitRefused || !strings.Contains(out, "[configuration] in the features file") {
+		if code, out := runProgram(append(append([]string{"config"}, args...), "--node", off)...); code != ExitRefused || !strings.Contains(out, "[configuration] in the features file") {
 			t.Errorf("%v with it off: exit %d, %s", args, code, out)
 		}
 	}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -17,30 +17,30 @@
 	"switchferry/api"
 )
 
-// The cloud's own limits.
+// Limits of the cloud's interface.
 const (
-	rentMost   = 50
-	returnMost = 100
-	pageMost   = 500
+	maxRentCount   = 50
+	maxReturnCount = 100
+	maxPageSize    = 500
 )
 
-// Cloud is the stand-in of the cloud: an http.RoundTripper that rents machines, keeps the
-// protocol's limits, and lists what it has without delay.
+// Cloud is a fake of the cloud: an http.RoundTripper that rents machines, keeps the protocol's limits, and lists its
+// machines without delay.
 type Cloud struct {
 	clock    clockwork.Clock
 	types    []api.MachineType
 	requests *rate.Limiter
 
-	mu       sync.Mutex
-	hosts    map[string]*Host
-	charters map[string][]string
-	next     int
+	mu               sync.Mutex
+	hosts            map[string]*Host
+	rentalsByRequest map[string][]string
+	nextHost         int
 	// Room is how many more machines can be rented.
 	Room int
-	// Up is called for a machine that was rented, Gone for one that was returned; without
-	// the lock.
+	// Up is called for each machine that was rented, Gone for each that was returned, without the lock. Set both
+	// before the first request.
 	Up, Gone func(Host)
-	// Refused counts requests over a limit, by what was wrong.
+	// Refused counts requests that broke a limit, by its name.
 	Refused map[string]int
 }
 
@@ -48,142 +48,159 @@
 type Host struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
-	rented                    time.Time
+	rentedAt                  time.Time
 }
 
-// NewCloud makes a cloud of some machine types that answers so many requests a second.
+// NewCloud makes a cloud of some machine types without room, which answers rps requests a second.
 func NewCloud(clock clockwork.Clock, types []api.MachineType, rps float64) *Cloud {
 	return &Cloud{clock: clock, types: types, requests: rate.NewLimiter(rate.Limit(rps), max(1, int(2*rps))), hosts: map[string]*Host{},
-		charters: map[string][]string{}, Up: func(Host) {}, Gone: func(Host) {}, Refused: map[string]int{}}
+		rentalsByRequest: map[string][]string{}, Up: func(Host) {}, Gone: func(Host) {}, Refused: map[string]int{}}
 }
 
-// Add makes a machine that is there from the start.
-func (c *Cloud) Add(typ, zone string, spot bool) Host {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return *c.add(typ, zone, spot)
+// Add makes a machine that was not requested, as if rented before.
+func (cloud *Cloud) Add(typ, zone string, spot bool) Host {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	return *cloud.addHost(typ, zone, spot)
 }
 
 // AddAt is Add for a machine whose worker listens at an address of its own.
-func (c *Cloud) AddAt(typ, zone, addr string) Host {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	h := c.add(typ, zone, false)
-	h.Address = addr
-	return *h
+func (cloud *Cloud) AddAt(typ, zone, addr string) Host {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	host := cloud.addHost(typ, zone, false)
+	host.Address = addr
+	return *host
 }
 
-// Move gives a machine another address, as when it comes up; false: it was returned before.
-func (c *Cloud) Move(name, addr string) (Host, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	h := c.hosts[name]
-	if h == nil {
+// Move gives a machine another address; it reports false if the machine was returned.
+func (cloud *Cloud) Move(name, addr string) (Host, bool) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	host := cloud.hosts[name]
+	if host == nil {
 		return Host{}, false
 	}
-	h.Address = addr
-	return *h, true
+	host.Address = addr
+	return *host, true
 }
 
-func (c *Cloud) add(typ, zone string, spot bool) *Host {
-	h := &Host{Name: fmt.Sprintf("n-%06d", c.next), Address: fmt.Sprintf("worker-%d:9000", c.next), Type: typ, Zone: zone, Spot: spot, rented: c.clock.Now()}
-	c.next++
-	c.hosts[h.Name] = h
-	return h
+// addHost makes a machine with the next name; mu is held.
+func (cloud *Cloud) addHost(typ, zone string, spot bool) *Host {
+	host := &Host{Name: fmt.Sprintf("n-%06d", cloud.nextHost), Address: fmt.Sprintf("worker-%d:9000", cloud.nextHost), Type: typ, Zone: zone, Spot: spot, rentedAt: cloud.clock.Now()}
+	cloud.nextHost++
+	cloud.hosts[host.Name] = host
+	return host
 }
 
 // RoundTrip answers one request.
-func (c *Cloud) RoundTrip(r *http.Request) (*http.Response, error) {
+func (cloud *Cloud) RoundTrip(request *http.Request) (*http.Response, error) {
 	var body []byte
-	if r.Body != nil {
-		body, _ = io.ReadAll(r.Body)
+	if request.Body != nil {
+		body, _ = io.ReadAll(request.Body)
 	}
-	resp, up, gone, err := c.answer(r, body)
-	for _, h := range up {
-		c.Up(h)
+	resp, up, gone, err := cloud.serve(request, body)
+	for _, host := range up {
+		cloud.Up(host)
 	}
-	for _, h := range gone {
-		c.Gone(h)
+	for _, host := range gone {
+		cloud.Gone(host)
 	}
 	return resp, err
 }
 
-func (c *Cloud) answer(r *http.Request, body []byte) (resp *http.Response, up, gone []Host, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	refuse := func(status int, why string) {
-		c.Refused[why]++
-		resp, err = reply(status, map[string]any{"error": why})
-	}
-	if !c.requests.AllowN(c.clock.Now(), 1) {
-		refuse(429, "too many requests")
-		return
+// serve answers a request and returns the machines that it rented and returned.
+func (cloud *Cloud) serve(request *http.Request, body []byte) (resp *http.Response, rented, returned []Host, err error) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	if !cloud.requests.AllowN(cloud.clock.Now(), 1) {
+		resp, err = cloud.refuse(http.StatusTooManyRequests, "too many requests")
+		return resp, nil, nil, err
 	}
 	switch {
-	case r.URL.Path == "/catalog":
-		resp, err = reply(200, map[string]any{"hulls": c.types})
-	case r.URL.Path == "/machines" && r.Method == http.MethodGet:
-		resp, err = c.list(r)
-	case r.URL.Path == "/machines":
-		var q api.InstanceRequest
-		if json.Unmarshal(body, &q) != nil || q.IdempotencyKey == "" || q.Count < 1 || q.Count > rentMost {
-			refuse(400, "malformed rental")
-			return
-		}
-		names, known := c.charters[q.IdempotencyKey]
-		if !known {
-			if c.Room <= 0 {
-				resp, err = reply(503, map[string]any{"error": "no capacity"})
-				return
-			}
-			for range min(q.Count, c.Room) {
-				h := c.add(q.Type, q.Zone, q.Spot)
-				names, up = append(names, h.Name), append(up, *h)
-			}
-			c.Room -= len(names)
-			c.charters[q.IdempotencyKey] = names
-		}
-		resp, err = reply(200, map[string]any{"hosts": names})
-	case r.URL.Path == "/machines/return":
-		var q struct {
-			Hosts []string `json:"hosts"`
+	case request.URL.Path == "/catalog":
+		resp, err = reply(http.StatusOK, map[string]any{"hulls": cloud.types})
+	case request.URL.Path == "/machines" && request.Method == http.MethodGet:
+		resp, err = cloud.serveList(request)
+	case request.URL.Path == "/machines":
+		resp, rented, err = cloud.serveRent(body)
+	case request.URL.Path == "/machines/return":
+		resp, returned, err = cloud.serveReturn(body)
+	default:
+		resp, err = cloud.refuse(http.StatusBadRequest, "malformed")
+	}
+	return resp, rented, returned, err
+}
+
+// refuse counts and answers a request that breaks a limit; mu is held.
+func (cloud *Cloud) refuse(status int, why string) (*http.Response, error) {
+	cloud.Refused[why]++
+	return reply(status, map[string]any{"error": why})
+}
+
+// serveRent rents as many of the requested machines as there is room for. A request with a known idempotency key is
+// answered as before. mu is held.
+func (cloud *Cloud) serveRent(body []byte) (resp *http.Response, rented []Host, err error) {
+	var request api.InstanceRequest
+	if json.Unmarshal(body, &request) != nil || request.IdempotencyKey == "" || request.Count < 1 || request.Count > maxRentCount {
+		resp, err = cloud.refuse(http.StatusBadRequest, "malformed rental")
+		return resp, nil, err
+	}
+	names, known := cloud.rentalsByRequest[request.IdempotencyKey]
+	if !known {
+		if cloud.Room <= 0 {
+			resp, err = reply(http.StatusServiceUnavailable, map[string]any{"error": "no capacity"})
+			return resp, nil, err
 		}
-		if json.Unmarshal(body, &q) != nil || len(q.Hosts) > returnMost {
-			refuse(400, "malformed return")
-			return
+		for range min(request.Count, cloud.Room) {
+			host := cloud.addHost(request.Type, request.Zone, request.Spot)
+			names, rented = append(names, host.Name), append(rented, *host)
 		}
-		for _, name := range q.Hosts {
-			if h := c.hosts[name]; h != nil {
-				gone = append(gone, *h)
-				delete(c.hosts, name)
-				c.Room++
-			}
+		cloud.Room -= len(names)
+		cloud.rentalsByRequest[request.IdempotencyKey] = names
+	}
+	resp, err = reply(http.StatusOK, map[string]any{"hosts": names})
+	return resp, rented, err
+}
+
+// serveReturn gives machines back; unknown ones are passed over. mu is held.
+func (cloud *Cloud) serveReturn(body []byte) (resp *http.Response, returned []Host, err error) {
+	var request struct {
+		Hosts []string `json:"hosts"`
+	}
+	if json.Unmarshal(body, &request) != nil || len(request.Hosts) > maxReturnCount {
+		resp, err = cloud.refuse(http.StatusBadRequest, "malformed return")
+		return resp, nil, err
+	}
+	for _, name := range request.Hosts {
+		if host := cloud.hosts[name]; host != nil {
+			returned = append(returned, *host)
+			delete(cloud.hosts, name)
+			cloud.Room++
 		}
-		resp, err = reply(200, map[string]any{})
-	default:
-		refuse(400, "malformed")
 	}
-	return
+	resp, err = reply(http.StatusOK, map[string]any{})
+	return resp, returned, err
 }
 
-func (c *Cloud) list(r *http.Request) (*http.Response, error) {
-	q := r.URL.Query()
-	limit, err := strconv.Atoi(q.Get("limit"))
-	if err != nil || limit < 1 || limit > pageMost {
-		c.Refused["limit out of range"]++
-		return reply(400, map[string]any{"error": "limit out of range"})
+// serveList answers with a page of the machines, in the order of their names; mu is held.
+func (cloud *Cloud) serveList(request *http.Request) (*http.Response, error) {
+	query := request.URL.Query()
+	limit, err := strconv.Atoi(query.Get("limit"))
+	if err != nil || limit < 1 || limit > maxPageSize {
+		return cloud.refuse(http.StatusBadRequest, "limit out of range")
 	}
 	var names []string
-	for name := range c.hosts {
-		if strings.Compare(name, q.Get("after")) > 0 {
+	for name := range cloud.hosts {
+		if strings.Compare(name, query.Get("after")) > 0 {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	out := []api.Instance{}
 	for _, name := range names[:min(limit, len(names))] {
-		h := c.hosts[name]
-		out = append(out, api.Instance{Name: h.Name, Address: h.Address, Type: h.Type, Zone: h.Zone, Spot: h.Spot, State: "running", AgeS: c.clock.Since(h.rented).Seconds()})
+		host := cloud.hosts[name]
+		out = append(out, api.Instance{Name: host.Name, Address: host.Address, Type: host.Type, Zone: host.Zone, Spot: host.Spot, State: "running", AgeS: cloud.clock.Since(host.rentedAt).Seconds()})
 	}
-	return reply(200, map[string]any{"hosts": out, "more": len(names) > limit})
+	return reply(http.StatusOK, map[string]any{"hosts": out, "more": len(names) > limit})
 }
--- /dev/null
+++ b/internal/fake/transactions.go
@@ -0,0 +1,113 @@
+package fake
+
+import (
+	"encoding/json"
+	"net/http"
+	"strings"
+)
+
+// transactionRequest is a transaction in the protocol's names: conditions on revisions, and puts and deletes that are
+// executed if all hold.
+type transactionRequest struct {
+	If []struct {
+		K     string `json:"k"`
+		Stamp uint64 `json:"stamp"`
+	} `json:"if"`
+	Then []struct {
+		Set    string          `json:"set"`
+		Value  json.RawMessage `json:"value"`
+		Ticket uint64          `json:"ticket"`
+		Delete string          `json:"delete"`
+	} `json:"then"`
+}
+
+// serveTransaction executes a transaction unless it breaks a limit; mu is held, as in all methods that answer.
+func (state *State) serveTransaction(body []byte) (*http.Response, error) {
+	var transaction transactionRequest
+	if json.Unmarshal(body, &transaction) != nil {
+		return reply(http.StatusBadRequest, map[string]any{"error": "malformed"})
+	}
+	if why := state.violatedLimit(&transaction); why != "" {
+		return state.refuse(http.StatusBadRequest, why)
+	}
+	if !state.writes.AllowN(state.clock.Now(), len(transaction.Then)) {
+		return state.refuse(http.StatusTooManyRequests, "too many changes")
+	}
+	state.Largest.Ops = max(state.Largest.Ops, len(transaction.Then))
+	state.Largest.Bytes = max(state.Largest.Bytes, len(body))
+	for _, o := range transaction.Then {
+		state.Largest.Value = max(state.Largest.Value, len(o.Value))
+	}
+	if late := state.delayedWrite; late != nil {
+		state.delayedWrite = nil
+		return state.serveDelayed(late, transaction)
+	}
+	if state.HoldNext {
+		state.HoldNext = false
+		state.heldTransactions = append(state.heldTransactions, transaction)
+		return nil, errAnswerLost
+	}
+	resp, err := state.apply(transaction)
+	if state.LoseAnswer {
+		state.LoseAnswer = false
+		return nil, errAnswerLost
+	}
+	return resp, err
+}
+
+// violatedLimit names the limit that a transaction breaks; it is empty if there is none.
+func (state *State) violatedLimit(transaction *transactionRequest) string {
+	malformed := func(key string) bool { return key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\n") }
+	switch {
+	case len(transaction.Then) > state.limits.TxnOps:
+		return "too many changes in a transaction"
+	case len(transaction.If) > 4*state.limits.TxnOps:
+		return "too many conditions"
+	}
+	for _, condition := range transaction.If {
+		if malformed(condition.K) {
+			return "malformed key"
+		}
+	}
+	for _, op := range transaction.Then {
+		if malformed(op.Set + op.Delete) {
+			return "malformed key"
+		}
+		if float64(len(op.Value)) > state.limits.ValueKB*1024 {
+			return "value too large"
+		}
+	}
+	return ""
+}
+
+// apply executes a transaction, or answers which conditions failed; mu is held.
+func (state *State) apply(transaction transactionRequest) (*http.Response, error) {
+	var failed []string
+	for _, c := range transaction.If {
+		if state.records[c.K].revision != c.Stamp {
+			failed = append(failed, c.K)
+		}
+	}
+	if len(failed) > 0 {
+		return reply(http.StatusConflict, map[string]any{"failed": failed, "epoch": state.revision})
+	}
+	for _, o := range transaction.Then {
+		if _, ok := state.leases[o.Ticket]; o.Ticket != 0 && !ok {
+			return reply(http.StatusBadRequest, map[string]any{"error": "no such lease"})
+		}
+	}
+	if len(transaction.Then) > 0 {
+		state.revision++
+	}
+	for _, o := range transaction.Then {
+		state.changesByKind[keyKind(o.Set+o.Delete)]++
+		if o.Delete != "" {
+			delete(state.records, o.Delete)
+			state.recordChanges(change{Delete: o.Delete, Stamp: state.revision})
+		} else {
+			state.records[o.Set] = record{o.Value, state.revision, o.Ticket}
+			state.recordChanges(change{Set: o.Set, Value: o.Value, Stamp: state.revision})
+		}
+	}
+	return reply(http.StatusOK, map[string]any{"epoch": state.revision})
+}
