--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -25,17 +25,17 @@
 type Audit struct {
 	cancelWithin time.Duration
 
-	mu     sync.Mutex
-	limits map[string]float64
-	used   map[string]float64
-	jobs   map[string]*AuditedJob
-	on     map[string]string // task -> machine
-	// started is when each task last started; terms when a leader's first start came, by its term.
-	started map[string]time.Time
-	terms   map[uint64]time.Time
-	starts  int
-	broken  map[string]int
-	why     []string
+	mu            sync.Mutex
+	limits        map[string]float64
+	usage         map[string]float64
+	jobs          map[string]*AuditedJob
+	machineByTask map[string]string // task -> machine
+	// startedAt is when each task last started; terms when a leader's first start came, by its term.
+	startedAt    map[string]time.Time
+	firstStarts  map[uint64]time.Time
+	starts       int
+	violations   map[string]int
+	explanations []string
 }
 
 // AuditedJob is a job as its user knows it.
@@ -50,149 +50,149 @@
 	Told   string
 	ToldAt time.Time
 
-	begun, done map[string]bool
-	finished    time.Time
+	startedTasks, doneTasks map[string]bool
+	finished                time.Time
 }
 
 // Finished is when the last task completed; zero: not yet.
-func (j *AuditedJob) Finished() time.Time { return j.finished }
+func (job *AuditedJob) Finished() time.Time { return job.finished }
 
 // NewAudit makes the record of a deployment. A team without a limit is not bounded.
 func NewAudit(teams []settings.Team, workers settings.Workers) *Audit {
-	a := &Audit{cancelWithin: seconds(workers.CancelS), limits: map[string]float64{}, used: map[string]float64{}, jobs: map[string]*AuditedJob{}, on: map[string]string{}, started: map[string]time.Time{}, terms: map[uint64]time.Time{}, broken: map[string]int{}}
-	for _, t := range teams {
-		if t.CPUsMax > 0 {
-			a.limits[t.Name] = t.CPUsMax
+	audit := &Audit{cancelWithin: seconds(workers.CancelS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, machineByTask: map[string]string{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
+	for _, team := range teams {
+		if team.CPUsMax > 0 {
+			audit.limits[team.Name] = team.CPUsMax
 		}
 	}
-	return a
+	return audit
 }
 
 // Submit notes a job before it is submitted; it must be done once.
-func (a *Audit) Submit(s api.Submission) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.jobs[s.ID] = &AuditedJob{Submission: s, Submitted: time.Now(), begun: map[string]bool{}, done: map[string]bool{}}
+func (audit *Audit) Submit(submission api.Submission) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	audit.jobs[submission.ID] = &AuditedJob{Submission: submission, Submitted: time.Now(), startedTasks: map[string]bool{}, doneTasks: map[string]bool{}}
 }
 
 // Accept notes that a job's user was told that it is accepted.
-func (a *Audit) Accept(id string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.jobs[id].Accepted = time.Now()
+func (audit *Audit) Accept(id string) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	audit.jobs[id].Accepted = time.Now()
 }
 
 // Answered takes in a job's state as its user was told, or that there is no such job. A true result: it is over.
-func (a *Audit) Answered(id string, found bool, state string) (over bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	j := a.jobs[id]
+func (audit *Audit) Answered(id string, found bool, state string) (over bool) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	job := audit.jobs[id]
 	switch {
 	case !found:
-		a.breaks(Forgotten, "%s: no such job", id)
+		audit.recordViolation(Forgotten, "%s: no such job", id)
 		return false
-	case j.Told != "" && state != j.Told:
-		a.breaks(WentBack, "%s was %s, now %s", id, j.Told, state)
-	case state == api.Done && j.Done < j.Tasks:
-		a.breaks(NotDone, "%s with %d of %d tasks done", id, j.Done, j.Tasks)
+	case job.Told != "" && state != job.Told:
+		audit.recordViolation(WentBack, "%s was %s, now %s", id, job.Told, state)
+	case state == api.Done && job.Done < job.Tasks:
+		audit.recordViolation(NotDone, "%s with %d of %d tasks done", id, job.Done, job.Tasks)
 	}
 	if state != api.Done && state != api.Cancelled {
 		return false
 	}
-	if j.Told == "" {
-		j.Told, j.ToldAt = state, time.Now()
+	if job.Told == "" {
+		job.Told, job.ToldAt = state, time.Now()
 	}
 	return true
 }
 
 // Started takes in that a task runs on a machine.
-func (a *Audit) Started(task, machine string, term uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (audit *Audit) Started(task, machine string, term uint64) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
 	now := time.Now()
-	a.starts++
-	a.started[task] = now
-	if a.terms[term].IsZero() {
-		a.terms[term] = now
+	audit.starts++
+	audit.startedAt[task] = now
+	if audit.firstStarts[term].IsZero() {
+		audit.firstStarts[term] = now
 	}
-	if on, ok := a.on[task]; ok && on != machine {
-		a.breaks(RanTwice, "%s on %s and %s", task, on, machine)
+	if on, ok := audit.machineByTask[task]; ok && on != machine {
+		audit.recordViolation(RanTwice, "%s on %s and %s", task, on, machine)
 	}
-	a.on[task] = machine
-	j := a.jobOf(task)
-	if j == nil {
+	audit.machineByTask[task] = machine
+	job := audit.jobOf(task)
+	if job == nil {
 		return
 	}
-	a.used[j.Team] += j.CPUs
-	if limit, ok := a.limits[j.Team]; ok && a.used[j.Team] > limit+1e-6 {
-		a.breaks(OverQuota, "%s: %s uses %g of %g", task, j.Team, a.used[j.Team], limit)
+	audit.usage[job.Team] += job.CPUs
+	if limit, ok := audit.limits[job.Team]; ok && audit.usage[job.Team] > limit+1e-6 {
+		audit.recordViolation(OverQuota, "%s: %s uses %g of %g", task, job.Team, audit.usage[job.Team], limit)
 	}
-	if !j.begun[task] {
-		j.begun[task] = true
-		j.Begun++
-		j.LastBegun = time.Now()
+	if !job.startedTasks[task] {
+		job.startedTasks[task] = true
+		job.Begun++
+		job.LastBegun = time.Now()
 	}
-	if j.Told == api.Cancelled && time.Since(j.ToldAt) > a.cancelWithin {
-		a.breaks(RanCancelled, "%s started %v after its cancellation was told", task, time.Since(j.ToldAt).Round(time.Millisecond))
+	if job.Told == api.Cancelled && time.Since(job.ToldAt) > audit.cancelWithin {
+		audit.recordViolation(RanCancelled, "%s started %v after its cancellation was told", task, time.Since(job.ToldAt).Round(time.Millisecond))
 	}
 }
 
 // Ended takes in that a task is no longer on a machine.
-func (a *Audit) Ended(task, machine string, done bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	j := a.jobOf(task)
-	if a.on[task] == machine {
-		delete(a.on, task)
-		if j != nil {
-			a.used[j.Team] -= j.CPUs
+func (audit *Audit) Ended(task, machine string, done bool) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	job := audit.jobOf(task)
+	if audit.machineByTask[task] == machine {
+		delete(audit.machineByTask, task)
+		if job != nil {
+			audit.usage[job.Team] -= job.CPUs
 		}
 	}
-	if j == nil || !done || j.done[task] {
+	if job == nil || !done || job.doneTasks[task] {
 		return
 	}
-	j.done[task] = true
-	if j.Done++; j.Done == j.Tasks {
-		j.finished = time.Now()
+	job.doneTasks[task] = true
+	if job.Done++; job.Done == job.Tasks {
+		job.finished = time.Now()
 	}
 }
 
 // Sweep looks for tasks of cancelled jobs that are still on a machine.
-func (a *Audit) Sweep() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for task, machine := range a.on {
-		if j := a.jobOf(task); j != nil && j.Told == api.Cancelled && time.Since(j.ToldAt) > a.cancelWithin {
-			a.breaks(RanCancelled, "%s is on %s %v after its cancellation was told", task, machine, time.Since(j.ToldAt).Round(time.Millisecond))
+func (audit *Audit) Sweep() {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	for task, machine := range audit.machineByTask {
+		if job := audit.jobOf(task); job != nil && job.Told == api.Cancelled && time.Since(job.ToldAt) > audit.cancelWithin {
+			audit.recordViolation(RanCancelled, "%s is on %s %v after its cancellation was told", task, machine, time.Since(job.ToldAt).Round(time.Millisecond))
 		}
 	}
 }
 
 // Broken are the rules found broken, how often each, and the first few cases.
-func (a *Audit) Broken() (counts map[string]int, why []string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (audit *Audit) Broken() (counts map[string]int, why []string) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
 	counts = map[string]int{}
-	for rule, n := range a.broken {
+	for rule, n := range audit.violations {
 		counts[rule] = n
 	}
-	return counts, append([]string(nil), a.why...)
+	return counts, append([]string(nil), audit.explanations...)
 }
 
 // Jobs calls f for each job, with the record locked.
-func (a *Audit) Jobs(f func(j *AuditedJob)) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, j := range a.jobs {
-		f(j)
+func (audit *Audit) Jobs(f func(job *AuditedJob)) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	for _, job := range audit.jobs {
+		f(job)
 	}
 }
 
 // RunningOn are the tasks that run on some machines.
-func (a *Audit) RunningOn(machines map[string]bool) (tasks []string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for task, machine := range a.on {
+func (audit *Audit) RunningOn(machines map[string]bool) (tasks []string) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	for task, machine := range audit.machineByTask {
 		if machines[machine] {
 			tasks = append(tasks, task)
 		}
@@ -201,11 +201,11 @@
 }
 
 // StartedSince tells how long after a moment each of some tasks that started since then last did.
-func (a *Audit) StartedSince(at time.Time, tasks []string) (after []time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (audit *Audit) StartedSince(at time.Time, tasks []string) (after []time.Duration) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
 	for _, task := range tasks {
-		if started := a.started[task]; started.After(at) {
+		if started := audit.startedAt[task]; started.After(at) {
 			after = append(after, started.Sub(at))
 		}
 	}
@@ -213,10 +213,10 @@
 }
 
 // FirstStart is when the first task started under a term higher than one; zero: none did.
-func (a *Audit) FirstStart(above uint64) (first time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for term, at := range a.terms {
+func (audit *Audit) FirstStart(above uint64) (first time.Time) {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	for term, at := range audit.firstStarts {
 		if term > above && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
@@ -225,33 +225,33 @@
 }
 
 // Estimate is how long a task's job says that it runs.
-func (a *Audit) Estimate(task string) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if j := a.jobOf(task); j != nil {
-		return seconds(j.EstimateS)
+func (audit *Audit) Estimate(task string) time.Duration {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	if job := audit.jobOf(task); job != nil {
+		return seconds(job.EstimateS)
 	}
 	return 0
 }
 
 // Starts is how many tasks were started so far, each start counted.
-func (a *Audit) Starts() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.starts
+func (audit *Audit) Starts() int {
+	audit.mu.Lock()
+	defer audit.mu.Unlock()
+	return audit.starts
 }
 
-// whyKept is how many cases are kept word for word.
-const whyKept = 20
+// maxExplanations is how many cases are kept word for word.
+const maxExplanations = 20
 
-func (a *Audit) breaks(rule, format string, args ...any) {
-	a.broken[rule]++
-	if len(a.why) < whyKept {
-		a.why = append(a.why, rule+": "+fmt.Sprintf(format, args...))
+func (audit *Audit) recordViolation(rule, format string, args ...any) {
+	audit.violations[rule]++
+	if len(audit.explanations) < maxExplanations {
+		audit.explanations = append(audit.explanations, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (a *Audit) jobOf(task string) *AuditedJob {
+func (audit *Audit) jobOf(task string) *AuditedJob {
 	id, _, _ := strings.Cut(task, "/")
-	return a.jobs[id]
+	return audit.jobs[id]
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -67,15 +67,15 @@
 	Cloud       *fake.Cloud
 	Controllers []*Controller
 	Traffic     *Traffic
-	network     *network
+	network     *zoneNetwork
 	http        *http.Client
 	cleanup     []func()
-	// store is the base URL of the store of datasets, and features the text of the features file; both may be empty.
-	store, features string
+	// datasetStore is the base URL of the store of datasets, and features the text of the features file; both may be empty.
+	datasetStore, features string
 
-	mu      sync.Mutex
-	workers map[string]*Worker // by machine
-	terms   map[uint64]string  // the zone of the leader of each term
+	mu          sync.Mutex
+	workers     map[string]*Worker // by machine
+	zonesByTerm map[uint64]string  // the zone of the leader of each term
 	// Returned is told, without locks, of machines that controllers gave back to the cloud; it may be set before
 	// the first worker is added.
 	Returned func(w *Worker, running int)
@@ -98,70 +98,70 @@
 	clock := clockwork.NewRealClock()
 	ctx, stop := context.WithCancel(ctx)
 	facts := options.Facts
-	c := &Cluster{options: options, dir: dir, clock: clock, ctx: ctx, stop: stop, State: fake.NewState(clock),
+	cluster := &Cluster{options: options, dir: dir, clock: clock, ctx: ctx, stop: stop, State: fake.NewState(clock),
 		Cloud: fake.NewCloud(clock, []api.MachineType{options.Type}, facts.Cloud.RPS), Traffic: newTraffic(), network: newNetwork(),
-		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, workers: map[string]*Worker{}, terms: map[uint64]string{},
+		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, workers: map[string]*Worker{}, zonesByTerm: map[uint64]string{},
 		Returned: func(*Worker, int) {}}
-	c.cleanup = append(c.cleanup, func() { _ = os.RemoveAll(dir) })
-	c.State.Limit(fake.Limits{RPS: facts.State.RPS, WriteRPS: facts.State.WriteRPS, ValueKB: facts.State.ValueKB, TxnOps: facts.State.TxnOps})
-	c.Cloud.Room = options.Room
-	c.Cloud.Up, c.Cloud.Gone = c.rented, c.returned
-	if err := c.configure(); err != nil {
-		c.Close()
+	cluster.cleanup = append(cluster.cleanup, func() { _ = os.RemoveAll(dir) })
+	cluster.State.Limit(fake.Limits{RPS: facts.State.RPS, WriteRPS: facts.State.WriteRPS, ValueKB: facts.State.ValueKB, TxnOps: facts.State.TxnOps})
+	cluster.Cloud.Room = options.Room
+	cluster.Cloud.Up, cluster.Cloud.Gone = cluster.machineRented, cluster.machineReturned
+	if err := cluster.configure(); err != nil {
+		cluster.Close()
 		return nil, err
 	}
-	go c.watchLeader()
-	return c, nil
+	go cluster.watchLeader()
+	return cluster, nil
 }
 
 // Close ends all that the cluster started.
-func (c *Cluster) Close() {
-	c.stop()
-	for _, x := range c.Controllers {
-		x.Kill()
+func (cluster *Cluster) Close() {
+	cluster.stop()
+	for _, controller := range cluster.Controllers {
+		controller.Kill()
 	}
-	for i := len(c.cleanup) - 1; i >= 0; i-- {
-		c.cleanup[i]()
+	for i := len(cluster.cleanup) - 1; i >= 0; i-- {
+		cluster.cleanup[i]()
 	}
 }
 
 // AddArguments adds to the arguments of `serve` of the controllers that are started afterwards.
-func (c *Cluster) AddArguments(more ...string) {
-	c.options.Arguments = append(c.options.Arguments, more...)
+func (cluster *Cluster) AddArguments(more ...string) {
+	cluster.options.Arguments = append(cluster.options.Arguments, more...)
 }
 
 // Dir is a directory of the cluster's own, removed by Close.
-func (c *Cluster) Dir() string { return c.dir }
+func (cluster *Cluster) Dir() string { return cluster.dir }
 
 // configure opens the ports around the controllers and writes their settings.
-func (c *Cluster) configure() error {
-	free, err := freeAddresses(2 * len(c.options.Zones))
+func (cluster *Cluster) configure() error {
+	free, err := freeAddresses(2 * len(cluster.options.Zones))
 	if err != nil {
 		return err
 	}
 	name := func(i int) string { return fmt.Sprintf("n%d", i) }
-	for i, zone := range c.options.Zones {
-		set := &settings.Settings{Member: name(i), Zone: zone, Listen: free[2*i], PeerListen: free[2*i+1], Facts: c.options.Facts}
-		for j, other := range c.options.Zones {
+	for i, zone := range cluster.options.Zones {
+		set := &settings.Settings{Member: name(i), Zone: zone, Listen: free[2*i], PeerListen: free[2*i+1], Facts: cluster.options.Facts}
+		for j, other := range cluster.options.Zones {
 			if j == i {
 				continue
 			}
-			link, err := c.newLink(free[2*j+1], fmt.Sprintf("siblings of %s", name(i)), zone, other)
+			link, err := cluster.newLink(free[2*j+1], fmt.Sprintf("siblings of %s", name(i)), zone, other)
 			if err != nil {
 				return err
 			}
 			set.Peers = append(set.Peers, settings.Peer{Member: name(j), Zone: other, Address: link})
 		}
-		if set.External.State, err = c.serveService(c.State, "state", name(i), zone); err != nil {
+		if set.External.State, err = cluster.serveRegional(cluster.State, "state", name(i), zone); err != nil {
 			return err
 		}
-		if set.External.Cloud, err = c.serveService(c.Cloud, "cloud", name(i), zone); err != nil {
+		if set.External.Cloud, err = cluster.serveRegional(cluster.Cloud, "cloud", name(i), zone); err != nil {
 			return err
 		}
-		c.Controllers = append(c.Controllers, &Controller{Settings: set, cluster: c})
+		cluster.Controllers = append(cluster.Controllers, &Controller{Settings: set, cluster: cluster})
 		raw, err := toml.Marshal(set)
 		if err == nil {
-			err = os.WriteFile(c.settingsFile(name(i)), raw, 0o600)
+			err = os.WriteFile(cluster.settingsFile(name(i)), raw, 0o600)
 		}
 		if err != nil {
 			return err
@@ -170,7 +170,9 @@
 	return nil
 }
 
-func (c *Cluster) settingsFile(member string) string { return filepath.Join(c.dir, member+".toml") }
+func (cluster *Cluster) settingsFile(member string) string {
+	return filepath.Join(cluster.dir, member+".toml")
+}
 
 // freeAddresses are loopback addresses on which nothing listens at the moment.
 func freeAddresses(n int) ([]string, error) {
@@ -187,20 +189,20 @@
 }
 
 // Start begins a process of the controller.
-func (x *Controller) Start(program string) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command != nil {
-		return fmt.Errorf("%s runs already", x.Settings.Member)
+func (controller *Controller) Start(program string) error {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	if controller.command != nil {
+		return fmt.Errorf("%s runs already", controller.Settings.Member)
 	}
-	command := exec.Command(program, append([]string{"serve", "--config", x.cluster.settingsFile(x.Settings.Member)}, x.cluster.options.Arguments...)...)
-	level := x.cluster.options.LogLevel
+	command := exec.Command(program, append([]string{"serve", "--config", controller.cluster.settingsFile(controller.Settings.Member)}, controller.cluster.options.Arguments...)...)
+	level := controller.cluster.options.LogLevel
 	if level == "" {
 		level = "error"
 	}
 	command.Env = append(os.Environ(), "LOG_LEVEL="+level)
-	if dir := x.cluster.options.LogDir; dir != "" {
-		log, err := os.OpenFile(filepath.Join(dir, x.Settings.Member+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if dir := controller.cluster.options.LogDir; dir != "" {
+		log, err := os.OpenFile(filepath.Join(dir, controller.Settings.Member+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -212,72 +214,74 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	x.command = command
+	controller.command = command
 	return nil
 }
 
 // Kill ends the process at once and waits until it is gone; without one it does nothing.
-func (x *Controller) Kill() { x.end(func(p *os.Process) { _ = p.Kill() }) }
+func (controller *Controller) Kill() { controller.endProcess(func(p *os.Process) { _ = p.Kill() }) }
 
 // Terminate tells the process to end, and waits until it has.
-func (x *Controller) Terminate() { x.end(func(p *os.Process) { _ = p.Signal(syscall.SIGTERM) }) }
+func (controller *Controller) Terminate() {
+	controller.endProcess(func(p *os.Process) { _ = p.Signal(syscall.SIGTERM) })
+}
 
-func (x *Controller) end(how func(*os.Process)) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command != nil {
-		how(x.command.Process)
-		_ = x.command.Wait()
+func (controller *Controller) endProcess(how func(*os.Process)) {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	if controller.command != nil {
+		how(controller.command.Process)
+		_ = controller.command.Wait()
 	}
-	x.command = nil
+	controller.command = nil
 }
 
 // PID is the process's number; 0: none runs.
-func (x *Controller) PID() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command == nil {
+func (controller *Controller) PID() int {
+	controller.mu.Lock()
+	defer controller.mu.Unlock()
+	if controller.command == nil {
 		return 0
 	}
-	return x.command.Process.Pid
+	return controller.command.Process.Pid
 }
 
 // Leader is the controller whose key stands in the state service; nil: none's.
-func (c *Cluster) Leader() *Controller {
-	member, _ := c.leading()
-	for _, x := range c.Controllers {
-		if x.Settings.Member == member {
-			return x
+func (cluster *Cluster) Leader() *Controller {
+	member, _ := cluster.currentLeader()
+	for _, controller := range cluster.Controllers {
+		if controller.Settings.Member == member {
+			return controller
 		}
 	}
 	return nil
 }
 
 // WaitForLeader waits until a controller leads.
-func (c *Cluster) WaitForLeader(most time.Duration) error {
-	return c.Until(most, func() bool { return c.Leader() != nil })
+func (cluster *Cluster) WaitForLeader(timeout time.Duration) error {
+	return cluster.Until(timeout, func() bool { return cluster.Leader() != nil })
 }
 
 // ErrTimeout means: what was waited for did not happen in time.
 var ErrTimeout = errors.New("not in time")
 
 // Until waits until f holds, looking five times a second.
-func (c *Cluster) Until(most time.Duration, f func() bool) error {
-	for end := time.Now().Add(most); !f(); {
+func (cluster *Cluster) Until(timeout time.Duration, f func() bool) error {
+	for end := time.Now().Add(timeout); !f(); {
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: %v", ErrTimeout, most)
+			return fmt.Errorf("%w: %v", ErrTimeout, timeout)
 		}
-		if !c.Sleep(200 * time.Millisecond) {
-			return c.ctx.Err()
+		if !cluster.Sleep(200 * time.Millisecond) {
+			return cluster.ctx.Err()
 		}
 	}
 	return nil
 }
 
 // Sleep is false once the cluster is being closed.
-func (c *Cluster) Sleep(d time.Duration) bool {
+func (cluster *Cluster) Sleep(d time.Duration) bool {
 	select {
-	case <-c.ctx.Done():
+	case <-cluster.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
@@ -285,12 +289,12 @@
 }
 
 // Call sends a user's request to a controller.
-func (c *Cluster) Call(ctx context.Context, x *Controller, method, path string, body []byte) (status int, answer []byte, err error) {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+x.Settings.Listen+path, bytes.NewReader(body))
+func (cluster *Cluster) Call(ctx context.Context, controller *Controller, method, path string, body []byte) (status int, answer []byte, err error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+controller.Settings.Listen+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	response, err := c.http.Do(request)
+	response, err := cluster.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/cluster/measure.go
+++ b/internal/cluster/measure.go
@@ -68,18 +68,18 @@
 func newTraffic() *Traffic { return &Traffic{counts: map[string]Count{}} }
 
 // Add notes one message of so many bytes.
-func (t *Traffic) Add(kind string, bytes int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	count := t.counts[kind]
-	t.counts[kind] = Count{count.Messages + 1, count.Bytes + bytes}
+func (traffic *Traffic) Add(kind string, bytes int) {
+	traffic.mu.Lock()
+	defer traffic.mu.Unlock()
+	count := traffic.counts[kind]
+	traffic.counts[kind] = Count{count.Messages + 1, count.Bytes + bytes}
 }
 
 // Snapshot is what was counted so far.
-func (t *Traffic) Snapshot() map[string]Count {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return maps.Clone(t.counts)
+func (traffic *Traffic) Snapshot() map[string]Count {
+	traffic.mu.Lock()
+	defer traffic.mu.Unlock()
+	return maps.Clone(traffic.counts)
 }
 
 // Since is what was counted from an earlier snapshot to a later one.
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -13,37 +13,37 @@
 // RegionalServices is the place of the state service and the cloud, which belong to no zone.
 const RegionalServices = ""
 
-// network knows which zones do not reach each other.
-type network struct {
+// zoneNetwork knows which zones do not reach each other.
+type zoneNetwork struct {
 	mu sync.Mutex
-	// island is empty, or the zones that are cut off from all others together.
-	island []string
+	// isolatedZones is empty, or the zones that are cut off from all others together.
+	isolatedZones []string
 	// changed is closed at each change, and made anew.
 	changed chan struct{}
 }
 
-func newNetwork() *network { return &network{changed: make(chan struct{})} }
+func newNetwork() *zoneNetwork { return &zoneNetwork{changed: make(chan struct{})} }
 
 // Isolate cuts some zones, which go on reaching each other, off from everything else; without any it ends that.
-func (c *Cluster) Isolate(zones ...string) {
-	c.network.mu.Lock()
-	defer c.network.mu.Unlock()
-	c.network.island = zones
-	close(c.network.changed)
-	c.network.changed = make(chan struct{})
+func (cluster *Cluster) Isolate(zones ...string) {
+	cluster.network.mu.Lock()
+	defer cluster.network.mu.Unlock()
+	cluster.network.isolatedZones = zones
+	close(cluster.network.changed)
+	cluster.network.changed = make(chan struct{})
 }
 
 // blocked tells whether two places do not reach each other, and gives a channel that is closed when that changes.
-func (n *network) blocked(a, b string) (bool, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Contains(n.island, a) != slices.Contains(n.island, b), n.changed
+func (network *zoneNetwork) blocked(a, b string) (bool, <-chan struct{}) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return slices.Contains(network.isolatedZones, a) != slices.Contains(network.isolatedZones, b), network.changed
 }
 
 // wait waits until two places reach each other; false: the context ended before.
-func (n *network) wait(ctx context.Context, a, b string) bool {
+func (network *zoneNetwork) wait(ctx context.Context, a, b string) bool {
 	for {
-		blocked, changed := n.blocked(a, b)
+		blocked, changed := network.blocked(a, b)
 		if !blocked {
 			return ctx.Err() == nil
 		}
@@ -57,35 +57,35 @@
 
 // newLink opens a port through which a controller in zone from reaches one in zone to; what a cut holds up is
 // delivered after it.
-func (c *Cluster) newLink(target, kind, from, to string) (address string, err error) {
+func (cluster *Cluster) newLink(target, kind, from, to string) (address string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	c.cleanup = append(c.cleanup, func() { _ = listener.Close() })
+	cluster.cleanup = append(cluster.cleanup, func() { _ = listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go c.carry(conn, target, kind, from, to)
+			go cluster.forward(conn, target, kind, from, to)
 		}
 	}()
 	return listener.Addr().String(), nil
 }
 
-func (c *Cluster) carry(near net.Conn, target, kind, from, to string) {
-	defer near.Close()
-	if !c.network.wait(c.ctx, from, to) {
+func (cluster *Cluster) forward(inbound net.Conn, target, kind, from, to string) {
+	defer inbound.Close()
+	if !cluster.network.wait(cluster.ctx, from, to) {
 		return
 	}
-	far, err := net.DialTimeout("tcp4", target, time.Second)
+	outbound, err := net.DialTimeout("tcp4", target, time.Second)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	defer context.AfterFunc(c.ctx, func() { near.Close(); far.Close() })()
+	defer outbound.Close()
+	defer context.AfterFunc(cluster.ctx, func() { inbound.Close(); outbound.Close() })()
 	pump := func(into, out net.Conn, direction string) {
 		defer into.Close()
 		defer out.Close()
@@ -93,8 +93,8 @@
 		for {
 			n, err := out.Read(buffer)
 			if n > 0 {
-				c.Traffic.Add(kind+direction, n)
-				if !c.network.wait(c.ctx, from, to) {
+				cluster.Traffic.Add(kind+direction, n)
+				if !cluster.network.wait(cluster.ctx, from, to) {
 					return
 				}
 				if _, err := into.Write(buffer[:n]); err != nil {
@@ -106,25 +106,25 @@
 			}
 		}
 	}
-	go pump(near, far, " in")
-	pump(far, near, " out")
+	go pump(inbound, outbound, " in")
+	pump(outbound, inbound, " out")
 }
 
-// serveService opens a port at which one controller reaches a stand-in.
-func (c *Cluster) serveService(service http.RoundTripper, kind, member, zone string) (address string, err error) {
-	return c.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !c.network.wait(r.Context(), zone, RegionalServices) {
+// serveRegional opens a port at which one controller reaches a stand-in.
+func (cluster *Cluster) serveRegional(service http.RoundTripper, kind, member, zone string) (address string, err error) {
+	return cluster.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		if !cluster.network.wait(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
-		requested := int(max(0, r.ContentLength)) + len(r.URL.RequestURI())
-		response, err := service.RoundTrip(r)
-		if err != nil || !c.network.wait(r.Context(), zone, RegionalServices) {
+		requested := int(max(0, request.ContentLength)) + len(request.URL.RequestURI())
+		response, err := service.RoundTrip(request)
+		if err != nil || !cluster.network.wait(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
 		defer response.Body.Close()
 		w.WriteHeader(response.StatusCode)
 		n, _ := io.Copy(w, response.Body)
-		c.Traffic.Add(kind+" "+r.Method+" "+firstSegment(r.URL.Path)+" of "+member, requested+int(n))
+		cluster.Traffic.Add(kind+" "+request.Method+" "+firstSegment(request.URL.Path)+" of "+member, requested+int(n))
 	}))
 }
 
@@ -139,15 +139,15 @@
 }
 
 // serve answers on a loopback port of its own.
-func (c *Cluster) serve(h http.Handler) (address string, err error) {
+func (cluster *Cluster) serve(h http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	c.mu.Lock()
-	c.cleanup = append(c.cleanup, func() { _ = server.Close() })
-	c.mu.Unlock()
+	cluster.mu.Lock()
+	cluster.cleanup = append(cluster.cleanup, func() { _ = server.Close() })
+	cluster.mu.Unlock()
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -28,13 +28,13 @@
 }
 
 // AddWorkers starts so many machines, spread evenly over the zones.
-func (c *Cluster) AddWorkers(n int, zones []string) error {
-	c.mu.Lock()
-	have := len(c.workers)
-	c.mu.Unlock()
+func (cluster *Cluster) AddWorkers(n int, zones []string) error {
+	cluster.mu.Lock()
+	have := len(cluster.workers)
+	cluster.mu.Unlock()
 	for i := range n {
-		if err := c.addWorker(func(address string) (fake.Host, bool) {
-			return c.Cloud.AddAt(c.options.Type.Name, zones[(have+i)%len(zones)], address), true
+		if err := cluster.addWorker(func(address string) (fake.Host, bool) {
+			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(have+i)%len(zones)], address), true
 		}); err != nil {
 			return err
 		}
@@ -43,13 +43,13 @@
 }
 
 // addWorker opens a worker's port and runs the worker; host gives its machine, given that port, unless there is none.
-func (c *Cluster) addWorker(host func(address string) (fake.Host, bool)) error {
-	ctx, stop := context.WithCancel(c.ctx)
-	w := &Worker{cluster: c, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
+func (cluster *Cluster) addWorker(host func(address string) (fake.Host, bool)) error {
+	ctx, stop := context.WithCancel(cluster.ctx)
+	worker := &Worker{cluster: cluster, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
 	ready := make(chan struct{})
-	address, err := c.serve(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	address, err := cluster.serve(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		<-ready
-		w.serveCommand(rw, r)
+		worker.serveCommand(writer, request)
 	}))
 	if err != nil {
 		stop()
@@ -61,86 +61,86 @@
 		return nil
 	}
 	var members []string
-	for _, x := range c.Controllers {
-		members = append(members, x.Settings.Member)
-	}
-	o := fake.WorkerOptions{Host: h, Clock: c.clock, Nodes: members, Post: w.post, Every: seconds(c.options.Facts.Workers.ReportS), Lease: seconds(c.options.Facts.Workers.LeaseS),
-		Runs: c.options.Runs}
-	if audit := c.options.Audit; audit != nil {
-		o.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, h.Name, term) }
-		o.Ends = func(task string, done bool) { audit.Ended(task, h.Name, done) }
-	}
-	w.Worker = fake.NewWorker(o)
-	c.mu.Lock()
-	c.workers[h.Name] = w
-	c.mu.Unlock()
+	for _, controller := range cluster.Controllers {
+		members = append(members, controller.Settings.Member)
+	}
+	options := fake.WorkerOptions{Host: h, Clock: cluster.clock, Nodes: members, Post: worker.post, Every: seconds(cluster.options.Facts.Workers.ReportS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
+		Runs: cluster.options.Runs}
+	if audit := cluster.options.Audit; audit != nil {
+		options.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, h.Name, term) }
+		options.Ends = func(task string, done bool) { audit.Ended(task, h.Name, done) }
+	}
+	worker.Worker = fake.NewWorker(options)
+	cluster.mu.Lock()
+	cluster.workers[h.Name] = worker
+	cluster.mu.Unlock()
 	close(ready)
-	go w.Run(ctx)
+	go worker.Run(ctx)
 	return nil
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Workers are all that run now.
-func (c *Cluster) Workers() []*Worker {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out := make([]*Worker, 0, len(c.workers))
-	for _, w := range c.workers {
-		out = append(out, w)
+func (cluster *Cluster) Workers() []*Worker {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	out := make([]*Worker, 0, len(cluster.workers))
+	for _, worker := range cluster.workers {
+		out = append(out, worker)
 	}
 	return out
 }
 
 // Running is how many tasks run on all workers.
-func (c *Cluster) Running() (n int) {
-	for _, w := range c.Workers() {
-		_, _, _, running := w.Seen()
+func (cluster *Cluster) Running() (n int) {
+	for _, worker := range cluster.Workers() {
+		_, _, _, running := worker.Seen()
 		n += running
 	}
 	return n
 }
 
-// rented boots a machine that a controller rented.
-func (c *Cluster) rented(h fake.Host) {
-	time.AfterFunc(seconds(c.options.Type.BootS), func() {
-		if c.ctx.Err() != nil {
+// machineRented boots a machine that a controller rented.
+func (cluster *Cluster) machineRented(host fake.Host) {
+	time.AfterFunc(seconds(cluster.options.Type.BootS), func() {
+		if cluster.ctx.Err() != nil {
 			return
 		}
-		_ = c.addWorker(func(address string) (fake.Host, bool) { return c.Cloud.Move(h.Name, address) })
+		_ = cluster.addWorker(func(address string) (fake.Host, bool) { return cluster.Cloud.Move(host.Name, address) })
 	})
 }
 
-// returned ends a machine that a controller gave back.
-func (c *Cluster) returned(h fake.Host) {
-	c.mu.Lock()
-	w := c.workers[h.Name]
-	delete(c.workers, h.Name)
-	c.mu.Unlock()
-	if w == nil {
+// machineReturned ends a machine that a controller gave back.
+func (cluster *Cluster) machineReturned(host fake.Host) {
+	cluster.mu.Lock()
+	worker := cluster.workers[host.Name]
+	delete(cluster.workers, host.Name)
+	cluster.mu.Unlock()
+	if worker == nil {
 		return
 	}
-	w.stop()
-	_, _, _, running := w.Seen()
-	w.Restart()
-	c.Returned(w, running)
+	worker.stop()
+	_, _, _, running := worker.Seen()
+	worker.Restart()
+	cluster.Returned(worker, running)
 }
 
 // Lose lets nothing through to the worker or from it, or ends that.
-func (w *Worker) Lose(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lost = on
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (worker *Worker) Lose(on bool) {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.lost = on
+	close(worker.changed)
+	worker.changed = make(chan struct{})
 }
 
 // reachable waits until the worker and a place reach each other; false: the context ended before.
-func (w *Worker) reachable(ctx context.Context, place string) bool {
-	for w.cluster.network.wait(ctx, w.Zone, place) {
-		w.mu.Lock()
-		lost, changed := w.lost, w.changed
-		w.mu.Unlock()
+func (worker *Worker) reachable(ctx context.Context, place string) bool {
+	for worker.cluster.network.wait(ctx, worker.Zone, place) {
+		worker.mu.Lock()
+		lost, changed := worker.lost, worker.changed
+		worker.mu.Unlock()
 		if !lost {
 			return true
 		}
@@ -154,31 +154,31 @@
 }
 
 // post sends a report to a controller.
-func (w *Worker) post(ctx context.Context, member string, report *api.Heartbeat) (status int, body any) {
-	var to *Controller
-	for _, x := range w.cluster.Controllers {
-		if x.Settings.Member == member {
-			to = x
+func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
+	var recipient *Controller
+	for _, controller := range worker.cluster.Controllers {
+		if controller.Settings.Member == member {
+			recipient = controller
 		}
 	}
-	raw, err := json.Marshal(report)
-	if err != nil || !w.reachable(ctx, to.Settings.Zone) {
+	raw, err := json.Marshal(heartbeat)
+	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone) {
 		return 0, nil
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Settings.Listen+"/v1/report", bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+recipient.Settings.Listen+"/v1/report", bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
-	response, err := w.client.Do(request)
+	response, err := worker.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	if err != nil || !w.reachable(ctx, to.Settings.Zone) {
+	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone) {
 		return 0, nil
 	}
-	w.cluster.Traffic.Add("reports to "+member, len(raw)+len(answer))
+	worker.cluster.Traffic.Add("reports to "+member, len(raw)+len(answer))
 	return response.StatusCode, decodeAnswer(response.StatusCode, answer)
 }
 
@@ -197,58 +197,58 @@
 }
 
 // serveCommand answers a direct command, as far as the leader that sent it reaches this worker.
-func (w *Worker) serveCommand(rw http.ResponseWriter, r *http.Request) {
+func (worker *Worker) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	var orders api.HeartbeatResponse
-	if err := json.NewDecoder(r.Body).Decode(&orders); err != nil {
-		rw.WriteHeader(http.StatusBadRequest)
+	if err := json.NewDecoder(request.Body).Decode(&orders); err != nil {
+		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	from := w.cluster.zoneOfTerm(orders.Term)
-	if !w.reachable(r.Context(), from) {
+	from := worker.cluster.zoneOfTerm(orders.Term)
+	if !worker.reachable(request.Context(), from) {
 		panic(http.ErrAbortHandler)
 	}
-	report, executed := w.Direct(orders)
-	raw, err := json.Marshal(report)
-	if err != nil || !w.reachable(r.Context(), from) {
+	heartbeat, executed := worker.Direct(orders)
+	raw, err := json.Marshal(heartbeat)
+	if err != nil || !worker.reachable(request.Context(), from) {
 		panic(http.ErrAbortHandler)
 	}
-	w.cluster.Traffic.Add("commands", int(max(0, r.ContentLength))+len(raw))
+	worker.cluster.Traffic.Add("commands", int(max(0, request.ContentLength))+len(raw))
 	if !executed {
-		rw.WriteHeader(http.StatusConflict)
+		writer.WriteHeader(http.StatusConflict)
 	}
-	_, _ = rw.Write(raw)
+	_, _ = writer.Write(raw)
 }
 
-// leading is who leads by the state service, and the term.
-func (c *Cluster) leading() (member string, term uint64) {
-	raw, stamp := c.State.Read(store.LeaderKey)
-	var l store.LeaderRecord
-	if json.Unmarshal(raw, &l) != nil {
+// currentLeader is who leads by the state service, and the term.
+func (cluster *Cluster) currentLeader() (member string, term uint64) {
+	raw, stamp := cluster.State.Read(store.LeaderKey)
+	var record store.LeaderRecord
+	if json.Unmarshal(raw, &record) != nil {
 		return "", 0
 	}
-	return l.Member, stamp
+	return record.Member, stamp
 }
 
 // watchLeader notes where the leader of each term is: commands carry a term, and no sender.
-func (c *Cluster) watchLeader() {
-	for c.Sleep(20 * time.Millisecond) {
-		member, term := c.leading()
+func (cluster *Cluster) watchLeader() {
+	for cluster.Sleep(20 * time.Millisecond) {
+		member, term := cluster.currentLeader()
 		if term == 0 {
 			continue
 		}
-		for _, x := range c.Controllers {
-			if x.Settings.Member == member {
-				c.mu.Lock()
-				c.terms[term] = x.Settings.Zone
-				c.mu.Unlock()
+		for _, controller := range cluster.Controllers {
+			if controller.Settings.Member == member {
+				cluster.mu.Lock()
+				cluster.zonesByTerm[term] = controller.Settings.Zone
+				cluster.mu.Unlock()
 			}
 		}
 	}
 }
 
 // zoneOfTerm is where the leader of a term is; RegionalServices where that is not known.
-func (c *Cluster) zoneOfTerm(term uint64) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.terms[term]
+func (cluster *Cluster) zoneOfTerm(term uint64) string {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.zonesByTerm[term]
 }
