--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -11,7 +11,7 @@
 	"switchferry/internal/fake"
 )
 
-// Agent is the process of a real agent beside a hollow worker.
+// Agent is the process of a data agent beside a fake worker.
 type Agent struct{ command *exec.Cmd }
 
 // PID is the process's number.
@@ -39,8 +39,8 @@
 	return os.WriteFile(name, []byte(cluster.features), 0o600)
 }
 
-// StartAgents runs agents beside so many workers, once datasets are served. What they say to each controller goes
-// through a port that counts it.
+// StartAgents runs data agents beside n workers; ServeDatasets comes first. What they send to each controller goes through
+// a port that counts it.
 func (cluster *Cluster) StartAgents(program string, n int) ([]*Agent, error) {
 	arguments := []string{"stager", "--store", cluster.datasetStore, "--cache", "1GB"}
 	for _, controller := range cluster.Controllers {
@@ -51,13 +51,14 @@
 		arguments = append(arguments, "--controller", controller.Settings.Member+"="+link)
 	}
 	var agents []*Agent
-	for i := range n {
-		address, err := freeAddresses(1)
+	for index := range n {
+		address, err := freeAddresses(cluster.ctx, 1)
 		if err != nil {
 			return nil, err
 		}
-		machine := fmt.Sprintf("n-%06d", i)
-		command := exec.Command(program, append(arguments, "--machine", machine, "--address", address[0], "--dir", filepath.Join(cluster.dir, "cache-"+machine))...)
+		machine := fmt.Sprintf("n-%06d", index)
+		command := exec.Command(program, //nolint:noctx // Close ends it and waits for it.
+			append(arguments, "--machine", machine, "--address", address[0], "--dir", filepath.Join(cluster.dir, "cache-"+machine))...)
 		command.Env = append(os.Environ(), "LOG_LEVEL=error")
 		command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := command.Start(); err != nil {
--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -10,7 +12,7 @@
 	"switchferry/settings"
 )
 
-// Rules that an Audit finds broken, by the protocol's names.
+// Rules that an Audit checks, by the protocol's names.
 const (
 	RanTwice     = "ran_twice"
 	OverQuota    = "quota"
@@ -20,8 +22,8 @@
 	Forgotten    = "forgotten"
 )
 
-// Audit records what runs where and what users were told, and finds what the protocol's rules forbid. It is safe for
-// use from several goroutines at once.
+// Audit records what runs where and what users were told, and checks it against the protocol's rules. It is safe for
+// concurrent use.
 type Audit struct {
 	cancelWithin time.Duration
 
@@ -54,10 +56,10 @@
 	finished                time.Time
 }
 
-// Finished is when the last task completed; zero: not yet.
+// Finished is when the last task completed, zero before.
 func (job *AuditedJob) Finished() time.Time { return job.finished }
 
-// NewAudit makes the record of a deployment. A team without a limit is not bounded.
+// NewAudit makes an audit of a deployment that knows no jobs yet. A team without a limit is not bounded.
 func NewAudit(teams []settings.Team, workers settings.Workers) *Audit {
 	audit := &Audit{cancelWithin: seconds(workers.CancelS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, machineByTask: map[string]string{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
 	for _, team := range teams {
@@ -68,33 +70,33 @@
 	return audit
 }
 
-// Submit notes a job before it is submitted; it must be done once.
+// Submit records a job. It must be called once for each job, before the job is submitted.
 func (audit *Audit) Submit(submission api.Submission) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	audit.jobs[submission.ID] = &AuditedJob{Submission: submission, Submitted: time.Now(), startedTasks: map[string]bool{}, doneTasks: map[string]bool{}}
 }
 
-// Accept notes that a job's user was told that it is accepted.
-func (audit *Audit) Accept(id string) {
+// Accept records that a job's acceptance was reported to its user.
+func (audit *Audit) Accept(jobID string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	audit.jobs[id].Accepted = time.Now()
+	audit.jobs[jobID].Accepted = time.Now()
 }
 
-// Answered takes in a job's state as its user was told, or that there is no such job. A true result: it is over.
-func (audit *Audit) Answered(id string, found bool, state string) (over bool) {
+// Answered records the state of a job that its user was told, or that it is unknown. It reports whether the job is over.
+func (audit *Audit) Answered(jobID string, found bool, state string) (over bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	job := audit.jobs[id]
+	job := audit.jobs[jobID]
 	switch {
 	case !found:
-		audit.recordViolation(Forgotten, "%s: no such job", id)
+		audit.recordViolation(Forgotten, "%s: no such job", jobID)
 		return false
 	case job.Told != "" && state != job.Told:
-		audit.recordViolation(WentBack, "%s was %s, now %s", id, job.Told, state)
+		audit.recordViolation(WentBack, "%s was %s, now %s", jobID, job.Told, state)
 	case state == api.Done && job.Done < job.Tasks:
-		audit.recordViolation(NotDone, "%s with %d of %d tasks done", id, job.Done, job.Tasks)
+		audit.recordViolation(NotDone, "%s with %d of %d tasks done", jobID, job.Done, job.Tasks)
 	}
 	if state != api.Done && state != api.Cancelled {
 		return false
@@ -105,7 +107,7 @@
 	return true
 }
 
-// Started takes in that a task runs on a machine.
+// Started records that a machine started a task under a leader's term, and checks that it may.
 func (audit *Audit) Started(task, machine string, term uint64) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -137,7 +139,7 @@
 	}
 }
 
-// Ended takes in that a task is no longer on a machine.
+// Ended records that a task is no longer on a machine, and whether it completed.
 func (audit *Audit) Ended(task, machine string, done bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -157,7 +159,7 @@
 	}
 }
 
-// Sweep looks for tasks of cancelled jobs that are still on a machine.
+// Sweep looks for tasks of cancelled jobs that still run after the time that the protocol allows.
 func (audit *Audit) Sweep() {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -168,15 +170,11 @@
 	}
 }
 
-// Broken are the rules found broken, how often each, and the first few cases.
+// Broken counts the violations by rule and explains the first few.
 func (audit *Audit) Broken() (counts map[string]int, why []string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	counts = map[string]int{}
-	for rule, n := range audit.violations {
-		counts[rule] = n
-	}
-	return counts, append([]string(nil), audit.explanations...)
+	return maps.Clone(audit.violations), slices.Clone(audit.explanations)
 }
 
 // Jobs calls f for each job, with the record locked.
@@ -241,9 +239,10 @@
 	return audit.starts
 }
 
-// maxExplanations is how many cases are kept word for word.
+// maxExplanations is how many violations are explained.
 const maxExplanations = 20
 
+// recordViolation counts a violation of a rule and explains it unless many were; mu is held.
 func (audit *Audit) recordViolation(rule, format string, args ...any) {
 	audit.violations[rule]++
 	if len(audit.explanations) < maxExplanations {
@@ -251,7 +250,8 @@
 	}
 }
 
+// jobOf is the job of a task, nil if it is unknown; mu is held.
 func (audit *Audit) jobOf(task string) *AuditedJob {
-	id, _, _ := strings.Cut(task, "/")
-	return audit.jobs[id]
+	jobID, _, _ := strings.Cut(task, "/")
+	return audit.jobs[jobID]
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,10 +1,10 @@
 // Package cluster runs a deployment on this machine for experiments: three controllers as processes of their own,
-// the project's stand-ins of the state service and the cloud with every limit enforced, and hollow workers, which
-// speak the workers' protocol over real loopback connections and have nothing to run. Zones can be cut off from each
-// other. Everything that it starts it ends, also when its context is cancelled.
+// the fakes of the state service and the cloud with every limit enforced, and fake workers, which speak the workers'
+// protocol over real loopback connections and run nothing. Zones can be cut off from each other. Close ends everything
+// that the cluster started.
 //
-// It measures nothing of the controllers by itself: Sample reads what the kernel counts of their processes, and
-// Traffic what went over the connections, all of which end at this process.
+// The resources that controllers use are measured from outside: Sample reads what the kernel counts of a process, and
+// Traffic counts what goes over the connections, all of which end at or pass through this process.
 package cluster
 
 import (
@@ -13,11 +13,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -30,7 +30,7 @@
 	"switchferry/settings"
 )
 
-// Options say what a cluster is made of.
+// Options configure a cluster.
 type Options struct {
 	// Zones has the zone of each controller; Facts is what the platform tells them. Its limits of the state service
 	// and the cloud are enforced by the stand-ins.
@@ -48,8 +48,8 @@
 	Audit Observer
 }
 
-// Observer is told of what hollow workers do with tasks, in order for each worker, with that worker's lock held: it
-// must not call back.
+// Observer learns of what workers do with tasks, in order for each worker. It is called with that worker's lock held and
+// must not call the worker.
 type Observer interface {
 	Started(task, machine string, term uint64)
 	Ended(task, machine string, done bool)
@@ -89,7 +89,7 @@
 	command  *exec.Cmd
 }
 
-// New makes the stand-ins and the controllers' settings; no controller runs yet. The caller must Close it.
+// New starts the fakes and writes the controllers' settings; no controller runs yet. The caller must Close the cluster.
 func New(ctx context.Context, options Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
@@ -120,8 +120,8 @@
 	for _, controller := range cluster.Controllers {
 		controller.Kill()
 	}
-	for i := len(cluster.cleanup) - 1; i >= 0; i-- {
-		cluster.cleanup[i]()
+	for _, cleanup := range slices.Backward(cluster.cleanup) {
+		cleanup()
 	}
 }
 
@@ -135,33 +135,33 @@
 
 // configure opens the ports around the controllers and writes their settings.
 func (cluster *Cluster) configure() error {
-	free, err := freeAddresses(2 * len(cluster.options.Zones))
+	free, err := freeAddresses(cluster.ctx, 2*len(cluster.options.Zones))
 	if err != nil {
 		return err
 	}
-	name := func(i int) string { return fmt.Sprintf("n%d", i) }
-	for i, zone := range cluster.options.Zones {
-		set := &settings.Settings{Member: name(i), Zone: zone, Listen: free[2*i], PeerListen: free[2*i+1], Facts: cluster.options.Facts}
+	name := func(index int) string { return fmt.Sprintf("n%d", index) }
+	for index, zone := range cluster.options.Zones {
+		set := &settings.Settings{Member: name(index), Zone: zone, Listen: free[2*index], PeerListen: free[2*index+1], Facts: cluster.options.Facts}
 		for j, other := range cluster.options.Zones {
-			if j == i {
+			if j == index {
 				continue
 			}
-			link, err := cluster.newLink(free[2*j+1], fmt.Sprintf("siblings of %s", name(i)), zone, other)
+			link, err := cluster.newLink(free[2*j+1], fmt.Sprintf("siblings of %s", name(index)), zone, other)
 			if err != nil {
 				return err
 			}
 			set.Peers = append(set.Peers, settings.Peer{Member: name(j), Zone: other, Address: link})
 		}
-		if set.External.State, err = cluster.serveRegional(cluster.State, "state", name(i), zone); err != nil {
+		if set.External.State, err = cluster.serveRegional(cluster.State, "state", name(index), zone); err != nil {
 			return err
 		}
-		if set.External.Cloud, err = cluster.serveRegional(cluster.Cloud, "cloud", name(i), zone); err != nil {
+		if set.External.Cloud, err = cluster.serveRegional(cluster.Cloud, "cloud", name(index), zone); err != nil {
 			return err
 		}
 		cluster.Controllers = append(cluster.Controllers, &Controller{Settings: set, cluster: cluster})
 		raw, err := toml.Marshal(set)
 		if err == nil {
-			err = os.WriteFile(cluster.settingsFile(name(i)), raw, 0o600)
+			err = os.WriteFile(cluster.settingsFile(name(index)), raw, 0o600)
 		}
 		if err != nil {
 			return err
@@ -175,14 +175,14 @@
 }
 
 // freeAddresses are loopback addresses on which nothing listens at the moment.
-func freeAddresses(n int) ([]string, error) {
+func freeAddresses(ctx context.Context, n int) ([]string, error) {
 	var out []string
 	for range n {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+		l, err := listenLoopback(ctx)
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
+		defer closeQuietly(l)
 		out = append(out, l.Addr().String())
 	}
 	return out, nil
@@ -195,7 +195,8 @@
 	if controller.command != nil {
 		return fmt.Errorf("%s runs already", controller.Settings.Member)
 	}
-	command := exec.Command(program, append([]string{"serve", "--config", controller.cluster.settingsFile(controller.Settings.Member)}, controller.cluster.options.Arguments...)...)
+	command := exec.Command(program, //nolint:noctx // Kill, Terminate and Close end it and wait for it.
+		append([]string{"serve", "--config", controller.cluster.settingsFile(controller.Settings.Member)}, controller.cluster.options.Arguments...)...)
 	level := controller.cluster.options.LogLevel
 	if level == "" {
 		level = "error"
@@ -206,7 +207,7 @@
 		if err != nil {
 			return err
 		}
-		defer log.Close()
+		defer closeQuietly(log)
 		command.Stderr = log
 	}
 	// It must not outlive this process, however that ends.
@@ -226,6 +227,7 @@
 	controller.endProcess(func(p *os.Process) { _ = p.Signal(syscall.SIGTERM) })
 }
 
+// endProcess ends the process, if there is one, and waits until it is gone.
 func (controller *Controller) endProcess(how func(*os.Process)) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -236,7 +238,7 @@
 	controller.command = nil
 }
 
-// PID is the process's number; 0: none runs.
+// PID is the process's number, 0 if none runs.
 func (controller *Controller) PID() int {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -246,7 +248,7 @@
 	return controller.command.Process.Pid
 }
 
-// Leader is the controller whose key stands in the state service; nil: none's.
+// Leader is the leader according to the state service, nil if there is none.
 func (cluster *Cluster) Leader() *Controller {
 	member, _ := cluster.currentLeader()
 	for _, controller := range cluster.Controllers {
@@ -262,7 +264,7 @@
 	return cluster.Until(timeout, func() bool { return cluster.Leader() != nil })
 }
 
-// ErrTimeout means: what was waited for did not happen in time.
+// ErrTimeout is returned when a condition did not hold in time.
 var ErrTimeout = errors.New("not in time")
 
 // Until waits until f holds, looking five times a second.
@@ -278,7 +280,7 @@
 	return nil
 }
 
-// Sleep is false once the cluster is being closed.
+// Sleep waits for a duration; it reports false if the cluster was closed before.
 func (cluster *Cluster) Sleep(d time.Duration) bool {
 	select {
 	case <-cluster.ctx.Done():
@@ -298,7 +300,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	answer, err = io.ReadAll(response.Body)
 	return response.StatusCode, answer, err
 }
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,12 +14,13 @@
 // RegionalServices is the place of the state service and the cloud, which belong to no zone.
 const RegionalServices = ""
 
-// zoneNetwork knows which zones do not reach each other.
+// zoneNetwork says which zones are cut off from each other.
 type zoneNetwork struct {
+	// mu guards the fields below.
 	mu sync.Mutex
-	// isolatedZones is empty, or the zones that are cut off from all others together.
+	// isolatedZones reach each other, but no other zone and no service; empty if nothing is cut off.
 	isolatedZones []string
-	// changed is closed at each change, and made anew.
+	// changed is closed and replaced with each change.
 	changed chan struct{}
 }
 
@@ -33,14 +35,15 @@
 	cluster.network.changed = make(chan struct{})
 }
 
-// blocked tells whether two places do not reach each other, and gives a channel that is closed when that changes.
+// blocked reports whether two places are cut off from each other, and returns a channel that is closed when that may have
+// changed.
 func (network *zoneNetwork) blocked(a, b string) (bool, <-chan struct{}) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return slices.Contains(network.isolatedZones, a) != slices.Contains(network.isolatedZones, b), network.changed
 }
 
-// wait waits until two places reach each other; false: the context ended before.
+// wait waits until two places reach each other. It reports false if ctx ended before.
 func (network *zoneNetwork) wait(ctx context.Context, a, b string) bool {
 	for {
 		blocked, changed := network.blocked(a, b)
@@ -57,8 +60,8 @@
 
 // newLink opens a port through which a controller in zone from reaches one in zone to; what a cut holds up is
 // delivered after it.
-func (cluster *Cluster) newLink(target, kind, from, to string) (address string, err error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+func (cluster *Cluster) newLink(target, kind, fromZone, toZone string) (address string, err error) {
+	listener, err := listenLoopback(cluster.ctx)
 	if err != nil {
 		return "", err
 	}
@@ -69,32 +72,35 @@
 			if err != nil {
 				return
 			}
-			go cluster.forward(conn, target, kind, from, to)
+			go cluster.forward(conn, target, kind, fromZone, toZone)
 		}
 	}()
 	return listener.Addr().String(), nil
 }
 
-func (cluster *Cluster) forward(inbound net.Conn, target, kind, from, to string) {
-	defer inbound.Close()
-	if !cluster.network.wait(cluster.ctx, from, to) {
+// forward connects a connection with a target, delays what is sent while the zones are cut off from each other, and counts
+// the bytes of each direction.
+func (cluster *Cluster) forward(inbound net.Conn, target, kind, fromZone, toZone string) {
+	defer closeQuietly(inbound)
+	if !cluster.network.wait(cluster.ctx, fromZone, toZone) {
 		return
 	}
-	outbound, err := net.DialTimeout("tcp4", target, time.Second)
+	dialer := net.Dialer{Timeout: time.Second}
+	outbound, err := dialer.DialContext(cluster.ctx, "tcp4", target)
 	if err != nil {
 		return
 	}
-	defer outbound.Close()
-	defer context.AfterFunc(cluster.ctx, func() { inbound.Close(); outbound.Close() })()
+	defer closeQuietly(outbound)
+	defer context.AfterFunc(cluster.ctx, func() { closeQuietly(inbound); closeQuietly(outbound) })()
 	pump := func(into, out net.Conn, direction string) {
-		defer into.Close()
-		defer out.Close()
+		defer closeQuietly(into)
+		defer closeQuietly(out)
 		buffer := make([]byte, 32<<10)
 		for {
 			n, err := out.Read(buffer)
 			if n > 0 {
 				cluster.Traffic.Add(kind+direction, n)
-				if !cluster.network.wait(cluster.ctx, from, to) {
+				if !cluster.network.wait(cluster.ctx, fromZone, toZone) {
 					return
 				}
 				if _, err := into.Write(buffer[:n]); err != nil {
@@ -121,26 +127,39 @@
 		if err != nil || !cluster.network.wait(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
-		defer response.Body.Close()
+		defer func() { _ = response.Body.Close() }()
 		w.WriteHeader(response.StatusCode)
 		n, _ := io.Copy(w, response.Body)
 		cluster.Traffic.Add(kind+" "+request.Method+" "+firstSegment(request.URL.Path)+" of "+member, requested+int(n))
 	}))
 }
 
+// listenLoopback listens on a free port of the loopback address.
+func listenLoopback(ctx context.Context) (net.Listener, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp4", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("listening on a loopback port: %w", err)
+	}
+	return listener, nil
+}
+
+// closeQuietly closes what holds nothing that a failing close could lose.
+func closeQuietly(closer io.Closer) { _ = closer.Close() }
+
 // firstSegment is the first part of a path, which tells what is asked.
 func firstSegment(path string) string {
-	for i := 1; i < len(path); i++ {
-		if path[i] == '/' {
-			return path[:i]
+	for index := 1; index < len(path); index++ {
+		if path[index] == '/' {
+			return path[:index]
 		}
 	}
 	return path
 }
 
-// serve answers on a loopback port of its own.
+// serve runs an HTTP server on a loopback port of its own until the cluster is closed.
 func (cluster *Cluster) serve(h http.Handler) (address string, err error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := listenLoopback(cluster.ctx)
 	if err != nil {
 		return "", err
 	}
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -14,27 +14,27 @@
 	"switchferry/store"
 )
 
-// Worker is one hollow worker: a stand-in worker with a port of its own and connections of its own.
+// Worker is a fake worker that runs no tasks, but has a port and connections of its own.
 type Worker struct {
 	*fake.Worker
 	cluster *Cluster
 	stop    context.CancelFunc
 	client  *http.Client
 
-	mu sync.Mutex
-	// lost: neither its reports nor answers and commands get through.
+	// mu guards lost, whether the worker is cut off, and changed, which is closed and replaced with each change.
+	mu      sync.Mutex
 	lost    bool
 	changed chan struct{}
 }
 
-// AddWorkers starts so many machines, spread evenly over the zones.
+// AddWorkers starts n machines, spread evenly over the zones.
 func (cluster *Cluster) AddWorkers(n int, zones []string) error {
 	cluster.mu.Lock()
 	have := len(cluster.workers)
 	cluster.mu.Unlock()
-	for i := range n {
+	for index := range n {
 		if err := cluster.addWorker(func(address string) (fake.Host, bool) {
-			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(have+i)%len(zones)], address), true
+			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(have+index)%len(zones)], address), true
 		}); err != nil {
 			return err
 		}
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// addWorker opens a worker's port and runs the worker; host gives its machine, given that port, unless there is none.
-func (cluster *Cluster) addWorker(host func(address string) (fake.Host, bool)) error {
+// addWorker opens a worker's port and runs the worker. obtainHost is the machine of a worker with that address; it
+// reports false if there is none any more.
+func (cluster *Cluster) addWorker(obtainHost func(address string) (fake.Host, bool)) error {
 	ctx, stop := context.WithCancel(cluster.ctx)
 	worker := &Worker{cluster: cluster, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
 	ready := make(chan struct{})
@@ -55,8 +56,8 @@
 		stop()
 		return err
 	}
-	h, there := host(address)
-	if !there {
+	host, ok := obtainHost(address)
+	if !ok {
 		stop()
 		return nil
 	}
@@ -64,24 +65,25 @@
 	for _, controller := range cluster.Controllers {
 		members = append(members, controller.Settings.Member)
 	}
-	options := fake.WorkerOptions{Host: h, Clock: cluster.clock, Nodes: members, Post: worker.post, Every: seconds(cluster.options.Facts.Workers.ReportS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
+	options := fake.WorkerOptions{Host: host, Clock: cluster.clock, Nodes: members, Post: worker.post, Every: seconds(cluster.options.Facts.Workers.ReportS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
 		Runs: cluster.options.Runs}
 	if audit := cluster.options.Audit; audit != nil {
-		options.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, h.Name, term) }
-		options.Ends = func(task string, done bool) { audit.Ended(task, h.Name, done) }
+		options.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, host.Name, term) }
+		options.Ends = func(task string, done bool) { audit.Ended(task, host.Name, done) }
 	}
 	worker.Worker = fake.NewWorker(options)
 	cluster.mu.Lock()
-	cluster.workers[h.Name] = worker
+	cluster.workers[host.Name] = worker
 	cluster.mu.Unlock()
 	close(ready)
 	go worker.Run(ctx)
 	return nil
 }
 
+// seconds converts seconds into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Workers are all that run now.
+// Workers are the workers that run now, in no order.
 func (cluster *Cluster) Workers() []*Worker {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -92,7 +94,7 @@
 	return out
 }
 
-// Running is how many tasks run on all workers.
+// Running counts the tasks that run on all workers.
 func (cluster *Cluster) Running() (n int) {
 	for _, worker := range cluster.Workers() {
 		_, _, _, running := worker.Seen()
@@ -101,7 +103,7 @@
 	return n
 }
 
-// machineRented boots a machine that a controller rented.
+// machineRented starts the worker of a machine that a controller rented, once the machine has booted.
 func (cluster *Cluster) machineRented(host fake.Host) {
 	time.AfterFunc(seconds(cluster.options.Type.BootS), func() {
 		if cluster.ctx.Err() != nil {
@@ -111,7 +113,7 @@
 	})
 }
 
-// machineReturned ends a machine that a controller gave back.
+// machineReturned ends the worker of a machine that a controller gave back.
 func (cluster *Cluster) machineReturned(host fake.Host) {
 	cluster.mu.Lock()
 	worker := cluster.workers[host.Name]
@@ -126,7 +128,7 @@
 	cluster.Returned(worker, running)
 }
 
-// Lose lets nothing through to the worker or from it, or ends that.
+// Lose cuts the worker off in both directions, or ends that.
 func (worker *Worker) Lose(on bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -135,7 +137,8 @@
 	worker.changed = make(chan struct{})
 }
 
-// reachable waits until the worker and a place reach each other; false: the context ended before.
+// reachable waits until the worker and a place, a zone or RegionalServices, reach each other. It reports false if ctx ended
+// before.
 func (worker *Worker) reachable(ctx context.Context, place string) bool {
 	for worker.cluster.network.wait(ctx, worker.Zone, place) {
 		worker.mu.Lock()
@@ -153,7 +156,7 @@
 	return false
 }
 
-// post sends a report to a controller.
+// post sends a heartbeat to a controller; status 0 stands for no answer.
 func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
 	var recipient *Controller
 	for _, controller := range worker.cluster.Controllers {
@@ -173,7 +176,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
 	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone) {
 		return 0, nil
@@ -182,7 +185,7 @@
 	return response.StatusCode, decodeAnswer(response.StatusCode, answer)
 }
 
-// decodeAnswer is an answer to a report as a worker understands it; nil: it does not.
+// decodeAnswer decodes an answer to a heartbeat, to nil if it is malformed.
 func decodeAnswer(status int, raw []byte) any {
 	if status == http.StatusOK {
 		var orders api.HeartbeatResponse
@@ -196,20 +199,20 @@
 	return redirect
 }
 
-// serveCommand answers a direct command, as far as the leader that sent it reaches this worker.
+// serveCommand executes commands that a leader sends directly, unless its zone and the worker are cut off from each other.
 func (worker *Worker) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	var orders api.HeartbeatResponse
 	if err := json.NewDecoder(request.Body).Decode(&orders); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	from := worker.cluster.zoneOfTerm(orders.Term)
-	if !worker.reachable(request.Context(), from) {
+	fromZone := worker.cluster.zoneOfTerm(orders.Term)
+	if !worker.reachable(request.Context(), fromZone) {
 		panic(http.ErrAbortHandler)
 	}
 	heartbeat, executed := worker.Direct(orders)
 	raw, err := json.Marshal(heartbeat)
-	if err != nil || !worker.reachable(request.Context(), from) {
+	if err != nil || !worker.reachable(request.Context(), fromZone) {
 		panic(http.ErrAbortHandler)
 	}
 	worker.cluster.Traffic.Add("commands", int(max(0, request.ContentLength))+len(raw))
@@ -219,7 +222,7 @@
 	_, _ = writer.Write(raw)
 }
 
-// currentLeader is who leads by the state service, and the term.
+// currentLeader is the leader according to the state service, with its term; empty and 0 if there is none.
 func (cluster *Cluster) currentLeader() (member string, term uint64) {
 	raw, stamp := cluster.State.Read(store.LeaderKey)
 	var record store.LeaderRecord
@@ -229,7 +232,7 @@
 	return record.Member, stamp
 }
 
-// watchLeader notes where the leader of each term is: commands carry a term, and no sender.
+// watchLeader records the zone of each term's leader until the cluster is closed: commands carry a term, not a sender.
 func (cluster *Cluster) watchLeader() {
 	for cluster.Sleep(20 * time.Millisecond) {
 		member, term := cluster.currentLeader()
@@ -246,7 +249,7 @@
 	}
 }
 
-// zoneOfTerm is where the leader of a term is; RegionalServices where that is not known.
+// zoneOfTerm is the zone of a term's leader, RegionalServices if that is not known.
 func (cluster *Cluster) zoneOfTerm(term uint64) string {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
