--- a/internal/simulation/configuration_test.go
+++ b/internal/simulation/configuration_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Operators change teams' limits every two seconds while something goes wrong: nobody starts work or answers by a
-// revision older than one that they were told is in force, and changes go on coming into force.
+// Operators change teams' limits every two seconds while faults are injected: no controller starts work or answers by a
+// revision older than one that was confirmed to be in force, and further changes come into force.
 func TestOlderConfigurationRevisionIsNeverUsed(t *testing.T) {
 	for name, troubles := range map[string][]Fault{
 		"quiet":                                  nil,
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -2,4 +2,5 @@
 
 package simulation
 
+// raceDetector is true if the race detector is on.
 const raceDetector = false
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -26,7 +26,7 @@
 	if !*writeLogs {
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 	}
-	// The packers are made once; what is made within one day's bubble cannot be used in another's.
+	// Encoders are made once; what is made within one synctest bubble cannot be used in another.
 	for _, f := range []func(any) (string, error){compress.EncodeFast, compress.EncodeSmall} {
 		if _, err := f(0); err != nil {
 			panic(err)
@@ -35,10 +35,10 @@
 	os.Exit(m.Run())
 }
 
-// playScenario plays a day on the bubble's clock and reports what no day may have.
+// playScenario runs a scenario on a synctest clock and fails the test for what no run may have.
 func playScenario(t *testing.T, scenario *Scenario) *Result { return playOverloaded(t, scenario, 0) }
 
-// playOverloaded is play for a day with more work than can begin in it, of which so many jobs may not.
+// playOverloaded is playScenario for a scenario with more work than can start, of which up to pending jobs may not.
 func playOverloaded(t *testing.T, scenario *Scenario, pending int) (result *Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { result = scenario.Run(t.Context()) })
@@ -63,10 +63,10 @@
 	return result
 }
 
-// workerPaces are settings of workers: those of small fleets and of large ones.
+// workerPaces are the workers' settings of small fleets and of large ones.
 var workerPaces = []settings.Workers{{ReportS: 1, LeaseS: 10, CancelS: 40}, {ReportS: 4, LeaseS: 22, CancelS: 47}}
 
-// actorRNG is a day of some troubles, alone and together.
+// randomScenario draws a scenario of two to six faults.
 func randomScenario(seed uint64) *Scenario {
 	scenario := NewScenario(seed, 12)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -103,7 +103,7 @@
 	return scenario
 }
 
-// On random days no rule is broken, and nothing is forgotten or waits for good.
+// In random scenarios no rule is broken, and no job is forgotten or waits forever.
 func TestRandomScenariosBreakNoRule(t *testing.T) {
 	n := *seedCount
 	if n == 0 {
@@ -117,20 +117,20 @@
 	}
 }
 
-// The state service refuses the leader alone, others tell users of cancellations, then it is down for all
-// while workers report to the old leader: the tasks are gone in time all the same. Most of these broke
-// ran_cancelled while a controller took it for certain that it had missed nothing because all others were
-// alive (docs/incidents/hunt-told-before-an-outage.md).
+// The state service refuses the leader alone, other controllers acknowledge cancellations, and then the service is down
+// for all while workers report to the old leader: tasks of cancelled jobs end in time all the same. Most of these cases
+// broke the rule ran_cancelled as long as a controller that reached all others took it for certain that it had missed
+// nothing (docs/incidents/hunt-told-before-an-outage.md).
 func TestCancelledTasksStopWhenStateServiceFails(t *testing.T) {
 	milliseconds := func(count int) time.Duration { return time.Duration(count) * time.Millisecond }
-	// Times count from the refusal.
+	// Times are in milliseconds, counted from the refusal.
 	for _, testCase := range []struct {
 		name string
-		// cancellations is when users cancel, out when the outage begins.
+		// wave is when users cancel, out when the outage begins.
 		wave, out int
 		hang      bool
 		more      []Fault
-		// machines is how long machines of cancelled jobs hang.
+		// machines is for how long machines that run cancelled jobs are suspended.
 		machines int
 	}{
 		{name: "told by the new leader, machines hang within a lease", wave: 1000, out: 1400, machines: 9000},
@@ -183,7 +183,7 @@
 	}
 }
 
-// The same with waves, outages and further troubles at random moments around the refusal.
+// The same with cancellation waves, outages and further faults at random moments around the refusal.
 func TestCancelledTasksStopAroundRandomOutages(t *testing.T) {
 	n := *seedCount
 	if n == 0 {
@@ -219,8 +219,8 @@
 	}
 }
 
-// playWithAndWithoutCrash plays a meeting at both paces of workers, alone and with an end of the leader in the middle, which is back within
-// a second. Change, if there is one, makes the day another.
+// playWithAndWithoutCrash runs faults with both settings of workers, alone and with a crash of the leader in the middle,
+// which is back within a second. A change that is not nil is applied to the scenario.
 func playWithAndWithoutCrash(t *testing.T, name string, change func(scenario *Scenario), troubles []Fault) {
 	for i, pace := range workerPaces {
 		for _, crash := range []bool{false, true} {
@@ -245,8 +245,8 @@
 	}
 }
 
-// The operators' meetings of two troubles (docs/meetings.md), in their order, each alone and with an end of the
-// leader in the middle, which is back within a second.
+// The operators' pairs of faults (docs/meetings.md), in their order, each alone and with a crash of the leader in the
+// middle, which is back within a second.
 func TestPairsOfFaultsBreakNoRule(t *testing.T) {
 	for name, troubles := range map[string][]Fault{
 		"slow and refused, then an outage, users cancel and ask": {{At: seconds(20), For: seconds(30), Kind: LateWrites}, {At: seconds(30), For: seconds(14), Kind: StateRefused}, {At: seconds(31), For: seconds(0.5), Kind: CancellationWave, Count: 5},
@@ -264,7 +264,7 @@
 	}
 }
 
-// The meetings that the operators' letter added (docs/meetings.md), each alone and with an end of the leader in the
+// The pairs of faults that operators added later (docs/meetings.md), each alone and with a crash of the leader in the
 // middle, which is back within a second.
 func TestFurtherPairsOfFaultsBreakNoRule(t *testing.T) {
 	changes := func(from, every float64) (out []Fault) {
@@ -311,8 +311,8 @@
 	}
 }
 
-// More long work than room, all the time: machines drain for jobs that need a whole one, and nobody waits 90 s beside
-// their empty room.
+// With more long tasks than machines can run, machines are drained for jobs that need a whole one; no job waits 90 s
+// beside their free resources.
 func TestDrainingMachinesStarveNoJob(t *testing.T) {
 	for seed := range uint64(4) {
 		if raceDetector && seed > 0 {
@@ -335,9 +335,9 @@
 	}
 }
 
-// Small jobs of a team never let its use sink below its limit, while the leader changes and machines are out of reach.
-// Its jobs that need more than ends at once are served all the same, and the largest begin in time; without room of
-// the limit reserved for them 13 to 19 never began on four of these days, of one class 0 to 35% were served
+// Small jobs keep a team at its limit, while the leader changes and machines are out of reach. Its jobs that need more
+// than becomes free at once start all the same, and the largest in time. Before a part of the limit was reserved for
+// them, 13 to 19 jobs never started in four of these scenarios, and 0 to 35% of one class did
 // (docs/incidents/hunt-limit-never-free.md).
 func TestTeamAtItsLimitStartsItsLargestJobs(t *testing.T) {
 	for i, pace := range workerPaces {
@@ -360,7 +360,8 @@
 	}
 }
 
-// An outage in which nobody cancels anything, all controllers well, or apart for a while, costs no task.
+// An outage of the state service in which nobody cancels anything restarts no task, whether controllers reach each other
+// all the time or not.
 func TestStateOutageRestartsNoTask(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		t.Run(fmt.Sprint("apart for a while ", apart), func(t *testing.T) {
@@ -379,7 +380,7 @@
 	}
 }
 
-// Each of the cases that operators look at, by itself.
+// Each of the named scenarios by itself.
 func TestNamedScenariosBreakNoRule(t *testing.T) {
 	for name, troubles := range Scenarios() {
 		for i, pace := range workerPaces {
