--- a/internal/simulation/configuration_test.go
+++ b/internal/simulation/configuration_test.go
@@ -9,7 +9,7 @@
 // Operators change teams' limits every two seconds while faults are injected: no controller starts work or answers by a
 // revision older than one that was confirmed to be in force, and further changes come into force.
 func TestOlderConfigurationRevisionIsNeverUsed(t *testing.T) {
-	for name, troubles := range map[string][]Fault{
+	for name, faults := range map[string][]Fault{
 		"quiet":                                  nil,
 		"the leader ends":                        {{At: seconds(20), For: seconds(3), Kind: ControllerCrash, Count: 1}, {At: seconds(40), For: seconds(0.3), Kind: ControllerCrash, Count: 1}},
 		"all end":                                {{At: seconds(25), For: seconds(2), Kind: ControllerCrash, Count: 3}},
@@ -37,7 +37,7 @@
 				t.Parallel()
 				scenario := NewScenario(uint64(len(name)), 12)
 				scenario.Workers, scenario.SubmitFor, scenario.ChangeInterval = pace, 80*time.Second, 2*time.Second
-				scenario.Faults = troubles
+				scenario.Faults = faults
 				if result := playScenario(t, scenario); result.ConfigurationChanges < 8 {
 					t.Errorf("only %d changes came into force", result.ConfigurationChanges)
 				}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -221,7 +221,7 @@
 
 // playWithAndWithoutCrash runs faults with both settings of workers, alone and with a crash of the leader in the middle,
 // which is back within a second. A change that is not nil is applied to the scenario.
-func playWithAndWithoutCrash(t *testing.T, name string, change func(scenario *Scenario), troubles []Fault) {
+func playWithAndWithoutCrash(t *testing.T, name string, change func(scenario *Scenario), faults []Fault) {
 	for i, pace := range workerPaces {
 		for _, crash := range []bool{false, true} {
 			if raceDetector && (i > 0 || crash == (len(name)%2 == 0)) {
@@ -235,9 +235,9 @@
 				if change != nil {
 					change(scenario)
 				}
-				scenario.Faults = troubles
+				scenario.Faults = faults
 				if crash {
-					scenario.Faults = append(slices.Clone(troubles), Fault{At: 33 * time.Second, For: 700 * time.Millisecond, Kind: ControllerCrash, Count: 1})
+					scenario.Faults = append(slices.Clone(faults), Fault{At: 33 * time.Second, For: 700 * time.Millisecond, Kind: ControllerCrash, Count: 1})
 				}
 				playScenario(t, scenario)
 			})
@@ -248,7 +248,7 @@
 // The operators' pairs of faults (docs/meetings.md), in their order, each alone and with a crash of the leader in the
 // middle, which is back within a second.
 func TestPairsOfFaultsBreakNoRule(t *testing.T) {
-	for name, troubles := range map[string][]Fault{
+	for name, faults := range map[string][]Fault{
 		"slow and refused, then an outage, users cancel and ask": {{At: seconds(20), For: seconds(30), Kind: LateWrites}, {At: seconds(30), For: seconds(14), Kind: StateRefused}, {At: seconds(31), For: seconds(0.5), Kind: CancellationWave, Count: 5},
 			{At: seconds(33), For: seconds(62), Kind: StateOutage}, {At: seconds(100), For: seconds(0.5), Kind: CancellationWave, Count: 5}},
 		"commands and answers held": {{At: seconds(15), For: seconds(60), Kind: DelayedCommands}, {At: seconds(30), For: seconds(0.5), Kind: CancellationWave, Count: 5}, {At: seconds(35), Kind: WorkerRestart, Count: 3}, {At: seconds(45), Kind: MachineCrash, Count: 1}},
@@ -260,7 +260,7 @@
 		"ends far apart across a change of leader":                             {{At: seconds(20), For: seconds(0.3), Kind: ControllerCrash, Count: 1}, {At: seconds(32), For: seconds(3), Kind: ControllerCrash, Count: 1}, {At: seconds(44), For: seconds(3), Kind: ControllerCrash, Count: 3}, {At: seconds(18), For: seconds(40), Kind: LateWrites}},
 		"leader ends while machines are out of reach, or deaf":                 {{At: seconds(22), For: seconds(50), Kind: ZonePartition}, {At: seconds(24), For: seconds(3), Kind: ControllerCrash, Count: 1}, {At: seconds(30), For: seconds(50), Kind: OutboundLost, Count: 3}, {At: seconds(34), For: seconds(0.5), Kind: CancellationWave, Count: 4}},
 	} {
-		playWithAndWithoutCrash(t, name, nil, troubles)
+		playWithAndWithoutCrash(t, name, nil, faults)
 	}
 }
 
@@ -382,7 +382,7 @@
 
 // Each of the named scenarios by itself.
 func TestNamedScenariosBreakNoRule(t *testing.T) {
-	for name, troubles := range Scenarios() {
+	for name, faults := range Scenarios() {
 		for i, pace := range workerPaces {
 			if raceDetector && i > 0 {
 				continue
@@ -390,7 +390,7 @@
 			t.Run(fmt.Sprintf("%s, reports every %g s", name, pace.ReportS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(1, 12)
-				scenario.Faults, scenario.Workers = troubles, pace
+				scenario.Faults, scenario.Workers = faults, pace
 				result := playScenario(t, scenario)
 				// Exactly how many is TestHalfDeafMachineIsGivenNoMoreWork's matter: here it hangs on
 				// which task a term's last moment gives to which machine.
