--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity tells what a deployment of some size needs, from figures that were measured at smaller and larger
-// ones. A figure is fitted as a constant and a slope each for workers, running tasks and starts a second; what the fit
-// says is given with its residual, and marked where it lies beyond what was measured. The package is pure: it measures
-// nothing and reads no clock.
+// Package capacity estimates what a deployment of some size needs, from figures that were measured at smaller and larger
+// ones. A figure is fitted as a constant and a slope each for workers, running tasks and starts a second. An estimate
+// comes with the residual of its fit, and is marked where the size lies outside of what was measured. The package
+// measures nothing and reads no clock.
 package capacity
 
 import (
@@ -32,22 +32,22 @@
 	CommandMessages   = "command_messages"   // direct commands a second of all workers
 	SiblingBytes      = "sibling_bytes"      // bytes a second between all controllers
 	CloudRequests     = "cloud_requests"     // requests a second of all controllers
-	HollowCPU         = "worker_cpu_at_most" // share of one core of all hollow workers, the stand-ins and users included
+	HollowCPU         = "worker_cpu_at_most" // share of one core of all fake workers, the fake services and users included
 	TakeoverFirst     = "takeover_first"     // seconds from a crash of the leader to the first start
 	TakeoverAll       = "takeover_all_heard" // seconds until every worker was answered by the new leader
 )
 
-// Measurement is what was measured of a deployment at one size.
+// Measurement is what was measured of a deployment of one size.
 type Measurement struct {
 	Name    string  `json:"name"`
 	Workers float64 `json:"workers"`
 	Tasks   float64 `json:"tasks"`
 	Starts  float64 `json:"starts_per_s"`
-	// Figures may lack some.
+	// Figures holds the measured ones by name; some may be missing.
 	Figures map[string]float64 `json:"figures"`
 }
 
-// Size is a deployment that is asked about.
+// Size is the size of a deployment whose needs are estimated.
 type Size struct {
 	Workers       float64 `json:"workers"`
 	Tasks         float64 `json:"tasks"`
@@ -57,17 +57,17 @@
 	ChangesPerDay float64 `json:"configuration_changes_per_day"`
 }
 
-// Planned is the size that operators have named.
+// Planned is the size that operators plan for.
 func Planned() Size {
 	return Size{Workers: 1600, Tasks: 38_000, JobsPerDay: 8900, Starts: 97, Teams: 110, ChangesPerDay: 610}
 }
 
-// Times is the size in which all is so many times as much.
+// Times multiplies a size by a factor.
 func (s Size) Times(factor float64) Size {
 	return Size{s.Workers * factor, s.Tasks * factor, s.JobsPerDay * factor, s.Starts * factor, s.Teams * factor, s.ChangesPerDay * factor}
 }
 
-// Slopes are what one figure grows with.
+// Slopes are the fit of one figure: a constant and what it grows with.
 type Slopes struct {
 	Constant  float64 `json:"constant"`
 	PerWorker float64 `json:"per_worker"`
@@ -85,7 +85,7 @@
 	return f.Constant + f.PerWorker*s.Workers + f.PerTask*s.Tasks + f.PerStart*s.Starts
 }
 
-// Beyond tells whether a size lies outside of what was measured.
+// Beyond reports whether a size lies outside of what was measured.
 func (f Slopes) Beyond(s Size) bool {
 	out := func(v, least, most float64) bool { return v < least || v > most }
 	return out(s.Workers, f.Least.Workers, f.Most.Workers) || out(s.Tasks, f.Least.Tasks, f.Most.Tasks) || out(s.Starts, f.Least.Starts, f.Most.Starts)
@@ -94,13 +94,13 @@
 // Model has the slopes of every figure.
 type Model map[string]Slopes
 
-// leastPoints is how many sizes a fit needs.
+// leastPoints is at how many sizes a figure must have been measured to be fitted.
 const leastPoints = 4
 
-// ErrTooFew means: there are not enough measurements of a figure.
+// ErrTooFew is returned if there are not enough measurements of a figure.
 var ErrTooFew = errors.New("too few measurements")
 
-// Fit fits every figure that was measured at four sizes or more; of others there are no slopes.
+// Fit fits every figure that was measured at leastPoints sizes or more; others are left out of the model.
 func Fit(all []Measurement) (Model, error) {
 	names := map[string]bool{}
 	for _, m := range all {
@@ -125,7 +125,7 @@
 	return model, nil
 }
 
-// predictors are what a figure may grow with.
+// predictors are the constant and what a figure may grow with, in the order of the fields of Slopes.
 var predictors = []func(m Measurement) float64{
 	func(Measurement) float64 { return 1 },
 	func(m Measurement) float64 { return m.Workers },
@@ -133,55 +133,67 @@
 	func(m Measurement) float64 { return m.Starts },
 }
 
-// fitFigure finds the slopes with the least squares of relative errors, so that small sizes count as much as large
-// ones. Nothing costs less the more there is of it: a slope that comes out negative is left out, the most negative
-// first, and the rest is fitted anew.
+// fitFigure fits one figure. It returns ErrTooFew if the figure was measured at fewer than leastPoints sizes.
 func fitFigure(name string, all []Measurement) (Slopes, error) {
 	var points []Measurement
-	for _, m := range all {
-		if v, ok := m.Figures[name]; ok && v > 0 {
-			points = append(points, m)
+	for _, measurement := range all {
+		if value, ok := measurement.Figures[name]; ok && value > 0 {
+			points = append(points, measurement)
 		}
 	}
 	if len(points) < leastPoints {
 		return Slopes{}, fmt.Errorf("%s: %w: %d, at least %d", name, ErrTooFew, len(points), leastPoints)
 	}
-	used := []int{0, 1, 2, 3}
-	var coefficients []float64
+	used, coefficients, err := nonNegativeLeastSquares(name, points)
+	if err != nil {
+		return Slopes{}, err
+	}
+	out := Slopes{Points: len(points), Least: sizeOf(points[0]), Most: sizeOf(points[0])}
+	for i, predictor := range used {
+		*[]*float64{&out.Constant, &out.PerWorker, &out.PerTask, &out.PerStart}[predictor] = coefficients[i]
+	}
+	for _, point := range points {
+		size := sizeOf(point)
+		out.Residual = math.Max(out.Residual, math.Abs(out.At(size)-point.Figures[name])/point.Figures[name])
+		out.Least, out.Most = smaller(out.Least, size), larger(out.Most, size)
+	}
+	return out, nil
+}
+
+// nonNegativeLeastSquares finds the coefficients with the least squares of relative errors, so that small sizes count as
+// much as large ones. No figure sinks as a deployment grows: a negative coefficient is left out, the most negative first,
+// and the rest is fitted anew. It returns the predictors that are left, by index, with their coefficients.
+func nonNegativeLeastSquares(name string, points []Measurement) (used []int, coefficients []float64, err error) {
+	used = []int{0, 1, 2, 3}
 	for {
-		var err error
 		if coefficients, err = leastSquares(name, points, used); err != nil {
-			// Some grew together, so they cannot be told apart: the one with the least to say goes.
+			// Some predictors grew together and cannot be told apart: the last one is left out.
 			if len(used) == 1 {
-				return Slopes{}, fmt.Errorf("%s: %w", name, err)
+				return nil, nil, fmt.Errorf("%s: %w", name, err)
 			}
 			used = used[:len(used)-1]
 			continue
 		}
-		worst := -1
-		for i, c := range coefficients {
-			if c < 0 && (worst < 0 || relative(points, used[i], c) < relative(points, used[worst], coefficients[worst])) {
-				worst = i
-			}
-		}
+		worst := mostNegative(points, used, coefficients)
 		if worst < 0 {
-			break
+			return used, coefficients, nil
 		}
 		used = slices.Delete(slices.Clone(used), worst, worst+1)
 		if len(used) == 0 {
-			return Slopes{}, fmt.Errorf("%s: no slope fits", name)
+			return nil, nil, fmt.Errorf("%s: no slope fits", name)
 		}
 	}
-	out := Slopes{Points: len(points), Least: sizeOf(points[0]), Most: sizeOf(points[0])}
-	for i, predictor := range used {
-		*[]*float64{&out.Constant, &out.PerWorker, &out.PerTask, &out.PerStart}[predictor] = coefficients[i]
-	}
-	for _, p := range points {
-		size := sizeOf(p)
-		out.Residual = math.Max(out.Residual, math.Abs(out.At(size)-p.Figures[name])/p.Figures[name])
-		out.Least, out.Most = smaller(out.Least, size), larger(out.Most, size)
+}
+
+// mostNegative is the index of the negative coefficient that weighs most, -1 if none is negative.
+func mostNegative(points []Measurement, used []int, coefficients []float64) int {
+	worst := -1
+	for i, coefficient := range coefficients {
+		if coefficient < 0 && (worst < 0 || relative(points, used[i], coefficient) < relative(points, used[worst], coefficients[worst])) {
+			worst = i
+		}
 	}
-	return out, nil
+	return worst
 }
 
 // relative is how much a coefficient weighs at the largest point.
@@ -193,6 +205,7 @@
 	return most * coefficient
 }
 
+// leastSquares fits a figure to some of the predictors, by index. It fails if these cannot be told apart.
 func leastSquares(name string, points []Measurement, used []int) ([]float64, error) {
 	if len(points) < len(used) {
 		return nil, fmt.Errorf("%w: %d points for %d slopes", ErrTooFew, len(points), len(used))
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -12,7 +12,7 @@
 	"switchferry/settings"
 )
 
-// Record is what the scale run wrote down: the steps, and what a job writes by its shape.
+// Record is the result of a scale run: the measurements, and what a job costs by its shape.
 type Record struct {
 	// Measured says how and where.
 	Measured     string        `json:"measured"`
@@ -26,14 +26,14 @@
 	Shape   string `json:"shape"`
 	Tasks   int    `json:"tasks"`
 	Changes int    `json:"changes"`
-	// By is how many of the changes were of which records.
+	// By counts the changes by the kind of record.
 	By map[string]int `json:"by"`
 }
 
 //go:embed measured.json
 var embedded []byte
 
-// Embedded is the record of the scale run that docs/CAPACITY.md tells of.
+// Embedded is the record of the scale run that docs/CAPACITY.md describes.
 func Embedded() (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(embedded, &r); err != nil {
@@ -57,7 +57,7 @@
 	LargerBeyond bool    `json:"beyond_measured_at_1_5"`
 }
 
-// workerRole is that of which the figures are measured of all together and told of one.
+// workerRole is the role whose figures are measured for all together and reported for one.
 const workerRole = "worker"
 
 // columns are the figures of the table in its order.
@@ -85,7 +85,7 @@
 	{"controllers", CommandMessages, "direct commands", "1/s"},
 }
 
-// Table has a row for each figure that was measured.
+// Table has a row for each figure of the model, in the order of columns.
 func (m Model) Table(size Size) (rows []Row) {
 	larger := size.Times(1.5)
 	for _, c := range columns {
@@ -118,10 +118,10 @@
 // usedShare is how much of a limit the controllers' own throttles leave themselves.
 const usedShare = 0.8
 
-// Limits are the bounds that a settings file sets, the one that is met first coming first.
+// Limits are the bounds that a settings file sets, in the order in which a growing deployment meets them.
 func (m Model) Limits(size Size, set *settings.Settings) (limits []Limit) {
 	least := set.Facts.State.Least()
-	for _, l := range []struct {
+	for _, limit := range []struct {
 		name, figure string
 		bound        float64
 	}{
@@ -135,18 +135,18 @@
 		{"facts.state.write_rps", StateChanges, usedShare * least.WriteRPS},
 		{"facts.cloud.rps", CloudRequests, set.Facts.Cloud.RPS},
 	} {
-		slopes, ok := m[l.figure]
-		if !ok || l.bound <= 0 {
+		slopes, ok := m[limit.figure]
+		if !ok || limit.bound <= 0 {
 			continue
 		}
-		factor := slopes.fits(size, l.bound)
-		limits = append(limits, Limit{Name: l.name, Bound: l.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Beyond(size.Times(factor))})
+		factor := slopes.fits(size, limit.bound)
+		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Beyond(size.Times(factor))})
 	}
 	sortLimits(limits)
 	return limits
 }
 
-// fits is how many times a size stays within a bound; all fits are linear, so is this.
+// fits is the factor by which a size may grow within a bound, given that the fit is linear.
 func (f Slopes) fits(size Size, bound float64) float64 {
 	grows := f.At(size) - f.Constant
 	if grows <= 0 {
@@ -155,11 +155,12 @@
 	return math.Max(0, (bound-f.Constant)/grows)
 }
 
+// sortLimits puts the limit that is met first in front.
 func sortLimits(limits []Limit) {
 	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Factor, b.Factor) })
 }
 
-// Read reads a record that a scale run wrote.
+// Read reads the record of a scale run from a file.
 func Read(file string) (*Record, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
