--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -10,27 +10,16 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"net"
-	"net/http"
 	"os"
-	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/hashicorp/golang-lru/v2/simplelru"
 	"github.com/jonboulle/clockwork"
-	"golang.org/x/time/rate"
 
 	"switchferry/api"
-	"switchferry/connlimit"
-	"switchferry/dataagent"
 	"switchferry/dataset"
 	"switchferry/features"
-	"switchferry/httpapi"
 	"switchferry/policy"
 	"switchferry/scheduler"
 	"switchferry/settings"
@@ -309,205 +298,6 @@
 	p.core.CommandsAnswered(name, o, r, true)
 }
 
-// machine is a simulated worker with a real agent beside it.
-type machine struct {
-	name, addr string
-	agent      *dataagent.Agent
-
-	mu     sync.Mutex
-	seq    uint64
-	term   uint64
-	tasks  map[string]*api.TaskReport
-	images *simplelru.LRU[string, struct{}]
-	kick   chan struct{}
-}
-
-func (p *playing) machine(ctx context.Context, dir string, i int) (*machine, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	images, err := simplelru.NewLRU[string, struct{}](6, nil)
-	if err != nil {
-		return nil, err
-	}
-	m := &machine{name: fmt.Sprintf("n-%06d", i), addr: l.Addr().String(), tasks: map[string]*api.TaskReport{}, images: images, kick: make(chan struct{}, 1)}
-	m.agent, err = dataagent.New(ctx, dataagent.Options{Machine: m.name, Address: m.addr, Dir: filepath.Join(dir, m.name), CacheBytes: int64(p.CachedParts * p.PartBytes),
-		Store: p.store.url, DownRate: p.LinkRate, UpRate: p.LinkRate})
-	if err != nil {
-		return nil, err
-	}
-	go m.agent.Run(ctx)
-	go httpapi.Serve(ctx, l, m.agent.Handler(), connlimit.NewLimiter(0))
-	return m, nil
-}
-
-// live reports for worker and agent until the context ends.
-func (m *machine) live(ctx context.Context, p *playing) {
-	for ctx.Err() == nil {
-		o, _, _ := p.core.HandleHeartbeat(m.report(), "")
-		m.do(p, o)
-		r := m.agent.Next()
-		if so, _, refused := p.core.HandleStageHeartbeat(&r); !refused {
-			_, _ = m.agent.Apply(&so)
-		}
-		select {
-		case <-ctx.Done():
-		case <-m.kick:
-		case <-time.After(100 * time.Millisecond):
-		}
-	}
-}
-
-func (m *machine) order(core *scheduler.Scheduler, o api.StageOrder) {
-	_, _ = m.agent.Apply(&o)
-	r := m.agent.Next()
-	core.HandleStageHeartbeat(&r)
-}
-
-func (m *machine) report() *api.Heartbeat {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.seq++
-	r := &api.Heartbeat{Machine: m.name, Address: m.addr, Type: "m", Zone: "z", Incarnation: 1, Seq: m.seq, Term: m.term}
-	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, *t)
-	}
-	return r
-}
-
-// do carries out commands as a worker does.
-func (m *machine) do(p *playing, o api.HeartbeatResponse) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.term = max(m.term, o.Term)
-	for _, c := range o.Commands {
-		t := m.tasks[c.Task]
-		switch {
-		case c.Verb == api.CommandRun && t == nil:
-			t = &api.TaskReport{Task: c.Task, Attempt: c.Attempt, State: api.TaskFetching}
-			m.tasks[c.Task] = t
-			go m.run(p, t)
-		case c.Verb == api.CommandClear && t != nil && t.State == api.TaskExited:
-			delete(m.tasks, c.Task)
-		}
-	}
-}
-
-func (m *machine) run(p *playing, t *api.TaskReport) {
-	id, _, _ := strings.Cut(t.Task, "/")
-	p.mu.Lock()
-	came, image := p.arrived[id], p.images[id]
-	p.mu.Unlock()
-	m.mu.Lock()
-	has := m.images.Contains(image)
-	m.images.Add(image, struct{}{})
-	m.mu.Unlock()
-	if !has {
-		time.Sleep(500 * time.Millisecond)
-	}
-	p.mu.Lock()
-	_ = p.delays.RecordValue(time.Since(came).Milliseconds())
-	p.mu.Unlock()
-	m.become(t, api.TaskRunning, "")
-	time.Sleep(time.Duration(p.RunS * float64(time.Second)))
-	p.mu.Lock()
-	p.last = time.Now()
-	p.mu.Unlock()
-	m.become(t, api.TaskExited, api.CauseDone)
-}
-
-func (m *machine) become(t *api.TaskReport, state, cause string) {
-	m.mu.Lock()
-	t.State, t.Cause = state, cause
-	m.mu.Unlock()
-	select {
-	case m.kick <- struct{}{}:
-	default:
-	}
-}
-
-func setName(i int) string { return fmt.Sprintf("set-%03d", i) }
-
-// storeServer is a store of datasets with a limited rate.
-type storeServer struct {
-	url       string
-	sets      []*dataset.Summary
-	limit     *rate.Limiter
-	data      map[string][]byte
-	manifest  map[string][]byte
-	manifests atomic.Int64
-}
-
-func (l *Locality) openStore(ctx context.Context) (*storeServer, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	s := &storeServer{url: "http://" + ln.Addr().String(), limit: rate.NewLimiter(rate.Limit(l.StoreRate), 64<<10),
-		data: map[string][]byte{}, manifest: map[string][]byte{}}
-	rng := rand.New(rand.NewPCG(l.Seed, 99))
-	for i := range l.Datasets {
-		raw := make([]byte, l.Parts*l.PartBytes)
-		for k := 0; k+8 <= len(raw); k += 8 {
-			v := rng.Uint64()
-			for b := range 8 {
-				raw[k+b] = byte(v >> (8 * b))
-			}
-		}
-		m, err := dataset.Build(setName(i), strings.NewReader(string(raw)), l.PartBytes, 1, nil)
-		if err != nil {
-			return nil, err
-		}
-		mr, _, err := m.Encode()
-		if err != nil {
-			return nil, err
-		}
-		sum, err := dataset.Summarize(m, mr)
-		if err != nil {
-			return nil, err
-		}
-		s.sets = append(s.sets, &sum)
-		s.data[setName(i)], s.manifest[setName(i)] = raw, mr
-	}
-	go httpapi.Serve(ctx, ln, s, connlimit.NewLimiter(0))
-	return s, nil
-}
-
-func (s *storeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	name, what, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if what == "manifest.json" {
-		n, _ := w.Write(s.manifest[name])
-		s.manifests.Add(int64(n))
-		return
-	}
-	if s.data[name] == nil {
-		w.WriteHeader(http.StatusNotFound)
-		return
-	}
-	http.ServeContent(&slow{w, s, r}, r, "", time.Time{}, strings.NewReader(string(s.data[name])))
-}
-
-type slow struct {
-	http.ResponseWriter
-	s *storeServer
-	r *http.Request
-}
-
-func (w *slow) Write(p []byte) (n int, err error) {
-	for some := range slices.Chunk(p, 32<<10) {
-		if err := w.s.limit.WaitN(w.r.Context(), len(some)); err != nil {
-			return n, err
-		}
-		k, err := w.ResponseWriter.Write(some)
-		n += k
-		if err != nil {
-			return n, err
-		}
-	}
-	return n, nil
-}
-
 // localityRecords count as stored when the experiment says so.
 type localityRecords struct{ playing *playing }
 
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,37 +14,39 @@
 // RegionalServices is the place of the state service and the cloud, which belong to no zone.
 const RegionalServices = ""
 
-// network knows which zones do not reach each other.
-type network struct {
+// zoneNetwork says which zones are cut off from each other.
+type zoneNetwork struct {
+	// mu guards the fields below.
 	mu sync.Mutex
-	// island is empty, or the zones that are cut off from all others together.
-	island []string
-	// changed is closed at each change, and made anew.
+	// isolatedZones reach each other, but no other zone and no service; empty if nothing is cut off.
+	isolatedZones []string
+	// changed is closed and replaced with each change.
 	changed chan struct{}
 }
 
-func newNetwork() *network { return &network{changed: make(chan struct{})} }
+func newNetwork() *zoneNetwork { return &zoneNetwork{changed: make(chan struct{})} }
 
 // Isolate cuts some zones, which go on reaching each other, off from everything else; without any it ends that.
-func (c *Cluster) Isolate(zones ...string) {
-	c.network.mu.Lock()
-	defer c.network.mu.Unlock()
-	c.network.island = zones
-	close(c.network.changed)
-	c.network.changed = make(chan struct{})
+func (cluster *Cluster) Isolate(zones ...string) {
+	cluster.network.mu.Lock()
+	defer cluster.network.mu.Unlock()
+	cluster.network.isolatedZones = zones
+	close(cluster.network.changed)
+	cluster.network.changed = make(chan struct{})
 }
 
-// blocked tells whether two places do not reach each other, and gives a channel that is closed when that changes.
-func (n *network) blocked(a, b string) (bool, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Contains(n.island, a) != slices.Contains(n.island, b), n.changed
+// blocked reports whether two places are cut off from each other, and returns a channel that is closed when that may have
+// changed.
+func (network *zoneNetwork) blocked(a, b string) (bool, <-chan struct{}) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return slices.Contains(network.isolatedZones, a) != slices.Contains(network.isolatedZones, b), network.changed
 }
 
-// wait waits until two places reach each other; false: the context ended before.
-func (n *network) wait(ctx context.Context, a, b string) bool {
+// wait waits until two places reach each other. It reports false if ctx ended before.
+func (network *zoneNetwork) wait(ctx context.Context, a, b string) bool {
 	for {
-		blocked, changed := n.blocked(a, b)
+		blocked, changed := network.blocked(a, b)
 		if !blocked {
 			return ctx.Err() == nil
 		}
@@ -57,44 +60,47 @@
 
 // newLink opens a port through which a controller in zone from reaches one in zone to; what a cut holds up is
 // delivered after it.
-func (c *Cluster) newLink(target, kind, from, to string) (address string, err error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+func (cluster *Cluster) newLink(target, kind, fromZone, toZone string) (address string, err error) {
+	listener, err := listenLoopback(cluster.ctx)
 	if err != nil {
 		return "", err
 	}
-	c.cleanup = append(c.cleanup, func() { _ = listener.Close() })
+	cluster.cleanup = append(cluster.cleanup, func() { _ = listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go c.carry(conn, target, kind, from, to)
+			go cluster.forward(conn, target, kind, fromZone, toZone)
 		}
 	}()
 	return listener.Addr().String(), nil
 }
 
-func (c *Cluster) carry(near net.Conn, target, kind, from, to string) {
-	defer near.Close()
-	if !c.network.wait(c.ctx, from, to) {
+// forward connects a connection with a target, delays what is sent while the zones are cut off from each other, and counts
+// the bytes of each direction.
+func (cluster *Cluster) forward(inbound net.Conn, target, kind, fromZone, toZone string) {
+	defer closeQuietly(inbound)
+	if !cluster.network.wait(cluster.ctx, fromZone, toZone) {
 		return
 	}
-	far, err := net.DialTimeout("tcp4", target, time.Second)
+	dialer := net.Dialer{Timeout: time.Second}
+	outbound, err := dialer.DialContext(cluster.ctx, "tcp4", target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	defer context.AfterFunc(c.ctx, func() { near.Close(); far.Close() })()
+	defer closeQuietly(outbound)
+	defer context.AfterFunc(cluster.ctx, func() { closeQuietly(inbound); closeQuietly(outbound) })()
 	pump := func(into, out net.Conn, direction string) {
-		defer into.Close()
-		defer out.Close()
+		defer closeQuietly(into)
+		defer closeQuietly(out)
 		buffer := make([]byte, 32<<10)
 		for {
 			n, err := out.Read(buffer)
 			if n > 0 {
-				c.Traffic.Add(kind+direction, n)
-				if !c.network.wait(c.ctx, from, to) {
+				cluster.Traffic.Add(kind+direction, n)
+				if !cluster.network.wait(cluster.ctx, fromZone, toZone) {
 					return
 				}
 				if _, err := into.Write(buffer[:n]); err != nil {
@@ -106,48 +112,61 @@
 			}
 		}
 	}
-	go pump(near, far, " in")
-	pump(far, near, " out")
+	go pump(inbound, outbound, " in")
+	pump(outbound, inbound, " out")
 }
 
-// serveService opens a port at which one controller reaches a stand-in.
-func (c *Cluster) serveService(service http.RoundTripper, kind, member, zone string) (address string, err error) {
-	return c.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !c.network.wait(r.Context(), zone, RegionalServices) {
+// serveRegional opens a port at which one controller reaches a stand-in.
+func (cluster *Cluster) serveRegional(service http.RoundTripper, kind, member, zone string) (address string, err error) {
+	return cluster.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		if !cluster.network.wait(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
-		requested := int(max(0, r.ContentLength)) + len(r.URL.RequestURI())
-		response, err := service.RoundTrip(r)
-		if err != nil || !c.network.wait(r.Context(), zone, RegionalServices) {
+		requested := int(max(0, request.ContentLength)) + len(request.URL.RequestURI())
+		response, err := service.RoundTrip(request)
+		if err != nil || !cluster.network.wait(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
-		defer response.Body.Close()
+		defer func() { _ = response.Body.Close() }()
 		w.WriteHeader(response.StatusCode)
 		n, _ := io.Copy(w, response.Body)
-		c.Traffic.Add(kind+" "+r.Method+" "+firstSegment(r.URL.Path)+" of "+member, requested+int(n))
+		cluster.Traffic.Add(kind+" "+request.Method+" "+firstSegment(request.URL.Path)+" of "+member, requested+int(n))
 	}))
 }
 
+// listenLoopback listens on a free port of the loopback address.
+func listenLoopback(ctx context.Context) (net.Listener, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp4", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("listening on a loopback port: %w", err)
+	}
+	return listener, nil
+}
+
+// closeQuietly closes what holds nothing that a failing close could lose.
+func closeQuietly(closer io.Closer) { _ = closer.Close() }
+
 // firstSegment is the first part of a path, which tells what is asked.
 func firstSegment(path string) string {
-	for i := 1; i < len(path); i++ {
-		if path[i] == '/' {
-			return path[:i]
+	for index := 1; index < len(path); index++ {
+		if path[index] == '/' {
+			return path[:index]
 		}
 	}
 	return path
 }
 
-// serve answers on a loopback port of its own.
-func (c *Cluster) serve(h http.Handler) (address string, err error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+// serve runs an HTTP server on a loopback port of its own until the cluster is closed.
+func (cluster *Cluster) serve(h http.Handler) (address string, err error) {
+	listener, err := listenLoopback(cluster.ctx)
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	c.mu.Lock()
-	c.cleanup = append(c.cleanup, func() { _ = server.Close() })
-	c.mu.Unlock()
+	cluster.mu.Lock()
+	cluster.cleanup = append(cluster.cleanup, func() { _ = server.Close() })
+	cluster.mu.Unlock()
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -14,27 +14,27 @@
 	"switchferry/store"
 )
 
-// Worker is one hollow worker: a stand-in worker with a port of its own and connections of its own.
+// Worker is a fake worker that runs no tasks, but has a port and connections of its own.
 type Worker struct {
 	*fake.Worker
 	cluster *Cluster
 	stop    context.CancelFunc
 	client  *http.Client
 
-	mu sync.Mutex
-	// lost: neither its reports nor answers and commands get through.
+	// mu guards lost, whether the worker is cut off, and changed, which is closed and replaced with each change.
+	mu      sync.Mutex
 	lost    bool
 	changed chan struct{}
 }
 
-// AddWorkers starts so many machines, spread evenly over the zones.
-func (c *Cluster) AddWorkers(n int, zones []string) error {
-	c.mu.Lock()
-	have := len(c.workers)
-	c.mu.Unlock()
-	for i := range n {
-		if err := c.addWorker(func(address string) (fake.Host, bool) {
-			return c.Cloud.AddAt(c.options.Type.Name, zones[(have+i)%len(zones)], address), true
+// AddWorkers starts n machines, spread evenly over the zones.
+func (cluster *Cluster) AddWorkers(n int, zones []string) error {
+	cluster.mu.Lock()
+	have := len(cluster.workers)
+	cluster.mu.Unlock()
+	for index := range n {
+		if err := cluster.addWorker(func(address string) (fake.Host, bool) {
+			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(have+index)%len(zones)], address), true
 		}); err != nil {
 			return err
 		}
@@ -42,105 +42,108 @@
 	return nil
 }
 
-// addWorker opens a worker's port and runs the worker; host gives its machine, given that port, unless there is none.
-func (c *Cluster) addWorker(host func(address string) (fake.Host, bool)) error {
-	ctx, stop := context.WithCancel(c.ctx)
-	w := &Worker{cluster: c, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
+// addWorker opens a worker's port and runs the worker. obtainHost is the machine of a worker with that address; it
+// reports false if there is none any more.
+func (cluster *Cluster) addWorker(obtainHost func(address string) (fake.Host, bool)) error {
+	ctx, stop := context.WithCancel(cluster.ctx)
+	worker := &Worker{cluster: cluster, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
 	ready := make(chan struct{})
-	address, err := c.serve(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	address, err := cluster.serve(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		<-ready
-		w.serveCommand(rw, r)
+		worker.serveCommand(writer, request)
 	}))
 	if err != nil {
 		stop()
 		return err
 	}
-	h, there := host(address)
-	if !there {
+	host, ok := obtainHost(address)
+	if !ok {
 		stop()
 		return nil
 	}
 	var members []string
-	for _, x := range c.Controllers {
-		members = append(members, x.Settings.Member)
-	}
-	o := fake.WorkerOptions{Host: h, Clock: c.clock, Nodes: members, Post: w.post, Every: seconds(c.options.Facts.Workers.ReportS), Lease: seconds(c.options.Facts.Workers.LeaseS),
-		Runs: c.options.Runs}
-	if audit := c.options.Audit; audit != nil {
-		o.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, h.Name, term) }
-		o.Ends = func(task string, done bool) { audit.Ended(task, h.Name, done) }
-	}
-	w.Worker = fake.NewWorker(o)
-	c.mu.Lock()
-	c.workers[h.Name] = w
-	c.mu.Unlock()
+	for _, controller := range cluster.Controllers {
+		members = append(members, controller.Settings.Member)
+	}
+	options := fake.WorkerOptions{Host: host, Clock: cluster.clock, Nodes: members, Post: worker.post, Every: seconds(cluster.options.Facts.Workers.ReportS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
+		Runs: cluster.options.Runs}
+	if audit := cluster.options.Audit; audit != nil {
+		options.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, host.Name, term) }
+		options.Ends = func(task string, done bool) { audit.Ended(task, host.Name, done) }
+	}
+	worker.Worker = fake.NewWorker(options)
+	cluster.mu.Lock()
+	cluster.workers[host.Name] = worker
+	cluster.mu.Unlock()
 	close(ready)
-	go w.Run(ctx)
+	go worker.Run(ctx)
 	return nil
 }
 
+// seconds converts seconds into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Workers are all that run now.
-func (c *Cluster) Workers() []*Worker {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out := make([]*Worker, 0, len(c.workers))
-	for _, w := range c.workers {
-		out = append(out, w)
+// Workers are the workers that run now, in no order.
+func (cluster *Cluster) Workers() []*Worker {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	out := make([]*Worker, 0, len(cluster.workers))
+	for _, worker := range cluster.workers {
+		out = append(out, worker)
 	}
 	return out
 }
 
-// Running is how many tasks run on all workers.
-func (c *Cluster) Running() (n int) {
-	for _, w := range c.Workers() {
-		_, _, _, running := w.Seen()
+// Running counts the tasks that run on all workers.
+func (cluster *Cluster) Running() (n int) {
+	for _, worker := range cluster.Workers() {
+		_, _, _, running := worker.Seen()
 		n += running
 	}
 	return n
 }
 
-// rented boots a machine that a controller rented.
-func (c *Cluster) rented(h fake.Host) {
-	time.AfterFunc(seconds(c.options.Type.BootS), func() {
-		if c.ctx.Err() != nil {
+// machineRented starts the worker of a machine that a controller rented, once the machine has booted.
+func (cluster *Cluster) machineRented(host fake.Host) {
+	time.AfterFunc(seconds(cluster.options.Type.BootS), func() {
+		if cluster.ctx.Err() != nil {
 			return
 		}
-		_ = c.addWorker(func(address string) (fake.Host, bool) { return c.Cloud.Move(h.Name, address) })
+		_ = cluster.addWorker(func(address string) (fake.Host, bool) { return cluster.Cloud.Move(host.Name, address) })
 	})
 }
 
-// returned ends a machine that a controller gave back.
-func (c *Cluster) returned(h fake.Host) {
-	c.mu.Lock()
-	w := c.workers[h.Name]
-	delete(c.workers, h.Name)
-	c.mu.Unlock()
-	if w == nil {
+// machineReturned ends the worker of a machine that a controller gave back.
+func (cluster *Cluster) machineReturned(host fake.Host) {
+	cluster.mu.Lock()
+	worker := cluster.workers[host.Name]
+	delete(cluster.workers, host.Name)
+	cluster.mu.Unlock()
+	if worker == nil {
 		return
 	}
-	w.stop()
-	_, _, _, running := w.Seen()
-	w.Restart()
-	c.Returned(w, running)
+	worker.stop()
+	_, _, _, running := worker.Seen()
+	worker.Restart()
+	cluster.Returned(worker, running)
 }
 
-// Lose lets nothing through to the worker or from it, or ends that.
-func (w *Worker) Lose(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lost = on
-	close(w.changed)
-	w.changed = make(chan struct{})
+// Lose cuts the worker off in both directions, or ends that.
+func (worker *Worker) Lose(on bool) {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.lost = on
+	close(worker.changed)
+	worker.changed = make(chan struct{})
 }
 
-// reachable waits until the worker and a place reach each other; false: the context ended before.
-func (w *Worker) reachable(ctx context.Context, place string) bool {
-	for w.cluster.network.wait(ctx, w.Zone, place) {
-		w.mu.Lock()
-		lost, changed := w.lost, w.changed
-		w.mu.Unlock()
+// reachable waits until the worker and a place, a zone or RegionalServices, reach each other. It reports false if ctx ended
+// before.
+func (worker *Worker) reachable(ctx context.Context, place string) bool {
+	for worker.cluster.network.wait(ctx, worker.Zone, place) {
+		worker.mu.Lock()
+		lost, changed := worker.lost, worker.changed
+		worker.mu.Unlock()
 		if !lost {
 			return true
 		}
@@ -153,36 +156,36 @@
 	return false
 }
 
-// post sends a report to a controller.
-func (w *Worker) post(ctx context.Context, member string, report *api.Heartbeat) (status int, body any) {
-	var to *Controller
-	for _, x := range w.cluster.Controllers {
-		if x.Settings.Member == member {
-			to = x
+// post sends a heartbeat to a controller; status 0 stands for no answer.
+func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
+	var recipient *Controller
+	for _, controller := range worker.cluster.Controllers {
+		if controller.Settings.Member == member {
+			recipient = controller
 		}
 	}
-	raw, err := json.Marshal(report)
-	if err != nil || !w.reachable(ctx, to.Settings.Zone) {
+	raw, err := json.Marshal(heartbeat)
+	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone) {
 		return 0, nil
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Settings.Listen+"/v1/report", bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+recipient.Settings.Listen+"/v1/report", bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
-	response, err := w.client.Do(request)
+	response, err := worker.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
-	if err != nil || !w.reachable(ctx, to.Settings.Zone) {
+	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone) {
 		return 0, nil
 	}
-	w.cluster.Traffic.Add("reports to "+member, len(raw)+len(answer))
+	worker.cluster.Traffic.Add("reports to "+member, len(raw)+len(answer))
 	return response.StatusCode, decodeAnswer(response.StatusCode, answer)
 }
 
-// decodeAnswer is an answer to a report as a worker understands it; nil: it does not.
+// decodeAnswer decodes an answer to a heartbeat, to nil if it is malformed.
 func decodeAnswer(status int, raw []byte) any {
 	if status == http.StatusOK {
 		var orders api.HeartbeatResponse
@@ -196,59 +199,59 @@
 	return redirect
 }
 
-// serveCommand answers a direct command, as far as the leader that sent it reaches this worker.
-func (w *Worker) serveCommand(rw http.ResponseWriter, r *http.Request) {
+// serveCommand executes commands that a leader sends directly, unless its zone and the worker are cut off from each other.
+func (worker *Worker) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	var orders api.HeartbeatResponse
-	if err := json.NewDecoder(r.Body).Decode(&orders); err != nil {
-		rw.WriteHeader(http.StatusBadRequest)
+	if err := json.NewDecoder(request.Body).Decode(&orders); err != nil {
+		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	from := w.cluster.zoneOfTerm(orders.Term)
-	if !w.reachable(r.Context(), from) {
+	fromZone := worker.cluster.zoneOfTerm(orders.Term)
+	if !worker.reachable(request.Context(), fromZone) {
 		panic(http.ErrAbortHandler)
 	}
-	report, executed := w.Direct(orders)
-	raw, err := json.Marshal(report)
-	if err != nil || !w.reachable(r.Context(), from) {
+	heartbeat, executed := worker.Direct(orders)
+	raw, err := json.Marshal(heartbeat)
+	if err != nil || !worker.reachable(request.Context(), fromZone) {
 		panic(http.ErrAbortHandler)
 	}
-	w.cluster.Traffic.Add("commands", int(max(0, r.ContentLength))+len(raw))
+	worker.cluster.Traffic.Add("commands", int(max(0, request.ContentLength))+len(raw))
 	if !executed {
-		rw.WriteHeader(http.StatusConflict)
+		writer.WriteHeader(http.StatusConflict)
 	}
-	_, _ = rw.Write(raw)
+	_, _ = writer.Write(raw)
 }
 
-// leading is who leads by the state service, and the term.
-func (c *Cluster) leading() (member string, term uint64) {
-	raw, stamp := c.State.Read(store.LeaderKey)
-	var l store.LeaderRecord
-	if json.Unmarshal(raw, &l) != nil {
+// currentLeader is the leader according to the state service, with its term; empty and 0 if there is none.
+func (cluster *Cluster) currentLeader() (member string, term uint64) {
+	raw, stamp := cluster.State.Read(store.LeaderKey)
+	var record store.LeaderRecord
+	if json.Unmarshal(raw, &record) != nil {
 		return "", 0
 	}
-	return l.Member, stamp
+	return record.Member, stamp
 }
 
-// watchLeader notes where the leader of each term is: commands carry a term, and no sender.
-func (c *Cluster) watchLeader() {
-	for c.Sleep(20 * time.Millisecond) {
-		member, term := c.leading()
+// watchLeader records the zone of each term's leader until the cluster is closed: commands carry a term, not a sender.
+func (cluster *Cluster) watchLeader() {
+	for cluster.Sleep(20 * time.Millisecond) {
+		member, term := cluster.currentLeader()
 		if term == 0 {
 			continue
 		}
-		for _, x := range c.Controllers {
-			if x.Settings.Member == member {
-				c.mu.Lock()
-				c.terms[term] = x.Settings.Zone
-				c.mu.Unlock()
+		for _, controller := range cluster.Controllers {
+			if controller.Settings.Member == member {
+				cluster.mu.Lock()
+				cluster.zonesByTerm[term] = controller.Settings.Zone
+				cluster.mu.Unlock()
 			}
 		}
 	}
 }
 
-// zoneOfTerm is where the leader of a term is; RegionalServices where that is not known.
-func (c *Cluster) zoneOfTerm(term uint64) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.terms[term]
+// zoneOfTerm is the zone of a term's leader, RegionalServices if that is not known.
+func (cluster *Cluster) zoneOfTerm(term uint64) string {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.zonesByTerm[term]
 }
