--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -60,13 +60,13 @@
 
 // Explain returns where a job's tasks are and why the others wait; false if this leader does not know the job.
 func (s *Scheduler) Explain(id string) (explanation api.Explanation, ok bool) {
-	status, known := s.JobStatus(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	job := s.jobs[id]
-	if job == nil || !known {
+	if !s.knowsStatus(job) || !job.terminalStored && !s.leadership.Leading() {
 		return explanation, false
 	}
+	status := s.status(job)
 	explanation = api.Explanation{
 		Job:       id,
 		State:     status.State,
