--- a/configuration/revisions/rollout.go
+++ b/configuration/revisions/rollout.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"switchferry/configuration"
+	"switchferry/internal/sleep"
 	"switchferry/tuning"
 )
 
@@ -114,4 +115,4 @@
 }
 
 // sleep waits for a duration, or until the term ends.
-func (a *Applier) sleep(duration time.Duration) { sleep(a.termCtx, a.clock, duration) }
+func (a *Applier) sleep(duration time.Duration) { sleep.For(a.termCtx, a.clock, duration) }
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -16,6 +16,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"switchferry/configuration"
+	"switchferry/internal/sleep"
 	"switchferry/settings"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -54,15 +55,7 @@
 				slog.Debug("configuration not confirmed", "err", err)
 			}
 		}
-		sleep(ctx, s.clock, tuning.ConfigurationEvery)
-	}
-}
-
-// sleep waits for a duration, or until the context ends.
-func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-clock.After(duration):
+		sleep.For(ctx, s.clock, tuning.ConfigurationEvery)
 	}
 }
 
--- a/controller/admission/dependencies.go
+++ b/controller/admission/dependencies.go
@@ -4,11 +4,9 @@
 	"context"
 	"fmt"
 	"strings"
-	"time"
-
-	"github.com/jonboulle/clockwork"
 
 	"switchferry/api"
+	"switchferry/internal/sleep"
 	"switchferry/lookup"
 	"switchferry/scheduler"
 	"switchferry/tuning"
@@ -65,14 +63,6 @@
 		case again:
 			return "", refusal("was never accepted")
 		}
-		sleep(ctx, s.clock, tuning.DependencyRetryDelay)
-	}
-}
-
-// sleep waits until a time has passed on a clock, or the context ends.
-func sleep(ctx context.Context, clock clockwork.Clock, wait time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-clock.After(wait):
+		sleep.For(ctx, s.clock, tuning.DependencyRetryDelay)
 	}
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"switchferry/api"
+	"switchferry/internal/sleep"
 	"switchferry/store"
 	"switchferry/tuning"
 	"switchferry/watermark"
@@ -56,12 +57,12 @@
 		if needed && l.term.scheduler() == nil {
 			if next, err := l.readCancelledJobs(ctx, after); err == nil {
 				after = next
-				sleep(ctx, l.clock, tuning.RelayEvery)
+				sleep.For(ctx, l.clock, tuning.RelayEvery)
 				continue
 			}
 		}
 		after = 0
-		sleep(ctx, l.clock, tuning.RelayEvery)
+		sleep.For(ctx, l.clock, tuning.RelayEvery)
 	}
 }
 
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -7,6 +7,7 @@
 	"log/slog"
 
 	"switchferry/dataset"
+	"switchferry/internal/sleep"
 	"switchferry/scheduler"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -22,7 +23,7 @@
 			events = nil
 		}
 		if err != nil {
-			sleep(ctx, t.controller.clock, tuning.ElectRetry)
+			sleep.For(ctx, t.controller.clock, tuning.ElectRetry)
 			continue
 		}
 		for _, event := range events {
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"switchferry/internal/sleep"
 	"switchferry/tuning"
 )
 
@@ -19,7 +20,7 @@
 		for len(ids) > 0 && ctx.Err() == nil {
 			t.scheduler.LookUpDependencies(ctx, t.controller.jobs.Records, t.committer, ids)
 			if ids = t.scheduler.UnresolvedDependencies(); len(ids) > 0 {
-				sleep(ctx, t.controller.clock, tuning.DependencyRetryEvery)
+				sleep.For(ctx, t.controller.clock, tuning.DependencyRetryEvery)
 			}
 		}
 	}
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -7,6 +7,7 @@
 
 	"switchferry/api"
 	"switchferry/connlimit"
+	"switchferry/internal/sleep"
 	"switchferry/scheduler"
 	"switchferry/tuning"
 	"switchferry/worker"
@@ -48,7 +49,7 @@
 		list, err := t.controller.cloud.List(ctx)
 		if err != nil {
 			slog.Info("machine list not read", "err", err)
-			sleep(ctx, t.controller.clock, tuning.BackoffBase)
+			sleep.For(ctx, t.controller.clock, tuning.BackoffBase)
 			continue
 		}
 		t.scheduler.ApplyInstanceList(list)
@@ -58,7 +59,7 @@
 				go t.announceTerm(ctx, name, address)
 			}
 		}
-		sleep(ctx, t.controller.clock, tuning.ListEvery)
+		sleep.For(ctx, t.controller.clock, tuning.ListEvery)
 	}
 }
 
@@ -96,7 +97,7 @@
 				t.scheduler.InstancesGranted(request, names, err)
 			}()
 		}
-		sleep(ctx, t.controller.clock, tuning.MaintainEvery)
+		sleep.For(ctx, t.controller.clock, tuning.MaintainEvery)
 	}
 }
 
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -9,6 +9,7 @@
 
 	"switchferry/api"
 	"switchferry/cloud"
+	"switchferry/internal/sleep"
 	"switchferry/tuning"
 )
 
@@ -50,6 +51,6 @@
 				sched.SetTypes(types)
 			}
 		}
-		sleep(ctx, m.clock, wait)
+		sleep.For(ctx, m.clock, wait)
 	}
 }
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -6,6 +6,7 @@
 	"net/http"
 
 	"switchferry/api"
+	"switchferry/internal/sleep"
 	"switchferry/membership"
 	"switchferry/peer"
 	"switchferry/tuning"
@@ -46,7 +47,7 @@
 	defer stop()
 	slog.Info("graceful shutdown", "leads", c.term.scheduler() != nil)
 	// Peers learn of it with the next hello, and the load balancer probes once a second.
-	sleep(ctx, c.clock, tuning.ShutdownNoticeTime)
+	sleep.For(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
 		ready := false
@@ -57,14 +58,14 @@
 			c.elector.Resign("graceful shutdown")
 			break
 		}
-		sleep(ctx, c.clock, tuning.ElectRetry)
+		sleep.For(ctx, c.clock, tuning.ElectRetry)
 	}
 	for ctx.Err() == nil {
 		leader, led := c.elector.Leader()
 		if now, _ := c.elector.Term(); now == 0 && leader != "" && leader != c.settings.Member && led > term {
 			break
 		}
-		sleep(ctx, c.clock, tuning.ElectRetry/5)
+		sleep.For(ctx, c.clock, tuning.ElectRetry/5)
 	}
-	sleep(ctx, c.clock, tuning.ShutdownLinger)
+	sleep.For(ctx, c.clock, tuning.ShutdownLinger)
 }
--- a/controller/term.go
+++ b/controller/term.go
@@ -5,6 +5,7 @@
 
 	"switchferry/configuration/revisions"
 	"switchferry/controller/inbox"
+	"switchferry/internal/sleep"
 	"switchferry/scheduler"
 	"switchferry/settings"
 	"switchferry/store"
@@ -78,7 +79,7 @@
 		if reason := t.unfitReason(); reason != "" {
 			t.controller.elector.Resign(reason)
 		}
-		sleep(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*duration))
+		sleep.For(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*duration))
 	}
 }
 
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 
+	"switchferry/internal/sleep"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -23,7 +24,7 @@
 		if read, ok := t.load(ctx); ok {
 			return read
 		}
-		sleep(ctx, t.controller.clock, tuning.ElectRetry)
+		sleep.For(ctx, t.controller.clock, tuning.ElectRetry)
 	}
 	return loadedRevisions{}
 }
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -6,6 +6,7 @@
 	"net/http"
 
 	"switchferry/api"
+	"switchferry/internal/sleep"
 	"switchferry/peer"
 	"switchferry/topology"
 	"switchferry/tuning"
@@ -19,7 +20,7 @@
 // watchTopology applies new versions of the topology file while the process runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
-		sleep(c.ctx, c.clock, tuning.TopologyEvery)
+		sleep.For(c.ctx, c.clock, tuning.TopologyEvery)
 		placements, err := c.features.topology.Reload()
 		if err != nil {
 			slog.Error("topology file rejected", "err", err)
--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -181,11 +181,3 @@
 	default:
 	}
 }
-
-// sleep waits for a duration, or until ctx ends.
-func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-clock.After(duration):
-	}
-}
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"switchferry/api"
+	"switchferry/internal/sleep"
 	"switchferry/tuning"
 )
 
@@ -109,13 +110,13 @@
 			continue
 		case err == nil && redirect != names[current] && slices.Contains(names, redirect):
 			current = slices.Index(names, redirect)
-			sleep(ctx, agent.clock, tuning.MinStageReportInterval)
+			sleep.For(ctx, agent.clock, tuning.MinStageReportInterval)
 			continue
 		case err != nil:
 			slog.Debug("heartbeat not accepted", "by", names[current], "err", err)
 		}
 		current = (current + 1) % len(names)
-		sleep(ctx, agent.clock, nextControllerDelay)
+		sleep.For(ctx, agent.clock, nextControllerDelay)
 	}
 }
 
@@ -123,7 +124,7 @@
 // interval has passed or a heartbeat was requested.
 func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
 	interval := agent.clock.After(tuning.StageReportEvery)
-	sleep(ctx, agent.clock, tuning.MinStageReportInterval)
+	sleep.For(ctx, agent.clock, tuning.MinStageReportInterval)
 	select {
 	case <-ctx.Done():
 	case <-interval:
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -9,6 +9,7 @@
 
 	"switchferry/api"
 	"switchferry/dataset"
+	"switchferry/internal/sleep"
 	"switchferry/tuning"
 )
 
@@ -72,7 +73,7 @@
 		agent.recordFailure(transfer, source, failures, err)
 		if failures%len(sources) == 0 {
 			doublings := min(failures/len(sources)-1, maxBackoffDoublings)
-			sleep(ctx, agent.clock, min(tuning.StageBackoffMax, tuning.StageBackoff<<doublings))
+			sleep.For(ctx, agent.clock, min(tuning.StageBackoffMax, tuning.StageBackoff<<doublings))
 		}
 	}
 	slog.Info("part complete", "dataset", transfer.datasetName, "part", transfer.part, "bytes", transfer.manifest.PartBytes(transfer.part))
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"time"
 
+	"switchferry/internal/sleep"
 	"switchferry/store"
 	"switchferry/tuning"
 )
@@ -25,13 +26,13 @@
 	requested := e.clock.Now()
 	leaseID, err := e.client.GrantLease(ctx, tuning.TermTTL)
 	if err != nil {
-		e.sleep(ctx, tuning.ElectRetry)
+		sleep.For(ctx, e.clock, tuning.ElectRetry)
 		return false
 	}
 	term, err := e.claimLeadership(ctx, leaseID)
 	if err != nil {
 		_ = e.client.RevokeLease(ctx, leaseID) // it expires by itself if this fails
-		e.sleep(ctx, shortRetry)
+		sleep.For(ctx, e.clock, shortRetry)
 		return false
 	}
 	e.beginTerm(term, leaseID, requested)
@@ -48,7 +49,7 @@
 		e.observeLeader("", 0)
 		return true
 	case err != nil:
-		e.sleep(ctx, tuning.ElectRetry)
+		sleep.For(ctx, e.clock, tuning.ElectRetry)
 		return false
 	}
 	var record store.LeaderRecord
@@ -60,7 +61,7 @@
 		// the lease can be revoked at once.
 		slog.Info("revoking lease of previous incarnation")
 		_ = e.client.RevokeLease(ctx, item.Lease) // it expires by itself if this fails
-		e.sleep(ctx, shortRetry)
+		sleep.For(ctx, e.clock, shortRetry)
 		return false
 	}
 	e.observeLeader(record.Member, item.Revision)
@@ -75,11 +76,11 @@
 	wait := e.campaignAfter.Sub(e.clock.Now())
 	e.mu.Unlock()
 	if wait > 0 {
-		e.sleep(ctx, min(wait, tuning.ElectRetry))
+		sleep.For(ctx, e.clock, min(wait, tuning.ElectRetry))
 		return false
 	}
 	if e.callbacks.Isolated() {
-		e.sleep(ctx, tuning.IsolatedDelay)
+		sleep.For(ctx, e.clock, tuning.IsolatedDelay)
 		if _, err := e.client.Get(ctx, store.LeaderKey); !errors.Is(err, store.ErrNotFound) {
 			return false
 		}
@@ -120,7 +121,7 @@
 	for ctx.Err() == nil {
 		changes, revision, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchBlock)
 		if err != nil {
-			e.sleep(ctx, tuning.ElectRetry)
+			sleep.For(ctx, e.clock, tuning.ElectRetry)
 			return
 		}
 		if len(changes) > 0 {
--- a/election/election.go
+++ b/election/election.go
@@ -114,14 +114,6 @@
 	}
 }
 
-// sleep waits for a duration or until the context ends.
-func (e *Elector) sleep(ctx context.Context, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-e.clock.After(duration):
-	}
-}
-
 // observeLeader records who leads in which term (0: as before); an empty member means that nobody leads.
 func (e *Elector) observeLeader(member string, term uint64) {
 	e.mu.Lock()
--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -18,6 +18,7 @@
 	"github.com/jonboulle/clockwork"
 	"golang.org/x/time/rate"
 
+	"switchferry/internal/sleep"
 	"switchferry/relay"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -55,7 +56,7 @@
 	reader.Go(func() { e.read(ctx) })
 	defer reader.Wait()
 	for ctx.Err() == nil {
-		sleep(ctx, e.Clock, tuning.RelayEvery)
+		sleep.For(ctx, e.Clock, tuning.RelayEvery)
 		for e.Write(ctx) {
 		}
 	}
@@ -125,7 +126,7 @@
 			}
 		}
 		after = 0
-		sleep(ctx, e.Clock, tuning.RelayEvery)
+		sleep.For(ctx, e.Clock, tuning.RelayEvery)
 	}
 }
 
@@ -179,11 +180,3 @@
 func logCorruptPacket(key string, err error) {
 	slog.Error("corrupt relayed message", "key", key, "err", err)
 }
-
-// sleep waits for a duration, or until the context ends.
-func sleep(ctx context.Context, clock clockwork.Clock, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-clock.After(duration):
-	}
-}
--- a/relay/exchange/follow.go
+++ b/relay/exchange/follow.go
@@ -6,6 +6,7 @@
 
 	"github.com/jonboulle/clockwork"
 
+	"switchferry/internal/sleep"
 	"switchferry/relay"
 	"switchferry/store"
 	"switchferry/tuning"
@@ -23,7 +24,7 @@
 			_, revision, err = client.List(ctx, prefix)
 		}
 		if err != nil {
-			sleep(ctx, clock, tuning.ElectRetry)
+			sleep.For(ctx, clock, tuning.ElectRetry)
 			continue
 		}
 		UnpackEvents(events, prefix, term, &reassembler, deliver)
@@ -70,6 +71,6 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		sleep(ctx, clock, tuning.ElectRetry)
+		sleep.For(ctx, clock, tuning.ElectRetry)
 	}
 }
