--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -8,21 +8,23 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// For lasts until the clock has passed the duration, or until the context ends.
-func TestForEndsWithTheDurationOrTheContext(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	ctx, cancel := context.WithCancel(t.Context())
+// startSleep sleeps for a minute in a goroutine and returns, once it has begun, a channel that is closed at its end.
+func startSleep(ctx context.Context, t *testing.T, clock *clockwork.FakeClock) <-chan struct{} {
+	t.Helper()
 	woken := make(chan struct{})
-	start := func(ctx context.Context) {
-		go func() {
-			For(ctx, clock, time.Minute)
-			woken <- struct{}{}
-		}()
-		if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
-			t.Fatal(err)
-		}
+	go func() {
+		For(ctx, clock, time.Minute)
+		close(woken)
+	}()
+	if err := clock.BlockUntilContext(ctx, 1); err != nil {
+		t.Fatal(err)
 	}
-	start(ctx)
+	return woken
+}
+
+func TestForEndsWithTheDuration(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	woken := startSleep(t.Context(), t, clock)
 	clock.Advance(time.Minute - time.Millisecond)
 	select {
 	case <-woken:
@@ -31,7 +33,11 @@
 	}
 	clock.Advance(time.Millisecond)
 	<-woken
-	start(ctx)
+}
+
+func TestForEndsWithTheContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	woken := startSleep(ctx, t, clockwork.NewFakeClock())
 	cancel()
 	<-woken
 }
