--- a/experiment/collaborators.go
+++ b/experiment/collaborators.go
@@ -2,7 +2,7 @@
 
 import "switchferry/store"
 
-// alwaysLeading is the leadership of a scheduler that runs alone, with all zones within reach.
+// alwaysLeading is the leadership of a scheduler that has no peers: it always leads and reaches all zones.
 type alwaysLeading struct{}
 
 // Leading returns true.
@@ -11,11 +11,11 @@
 // ZoneUnreachable returns false.
 func (alwaysLeading) ZoneUnreachable(string) bool { return false }
 
-// noTerminalStates remembers no job.
+// noTerminalStates is a store of terminal states that keeps nothing.
 type noTerminalStates struct{}
 
 // Remember does nothing.
 func (noTerminalStates) Remember(string, store.FinalRecord) {}
 
-// Get knows of no job.
+// Get finds no job.
 func (noTerminalStates) Get(string) (store.FinalRecord, bool) { return store.FinalRecord{}, false }
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -12,44 +12,46 @@
 	"switchferry/internal/simulation"
 )
 
-// DayEnd plays the troubles that operators look at when a day is over, each alone and some together, and
-// finds what they look for: jobs forgotten or waiting for good, classes that starved, work and returns in
-// vain, broken rules.
+// DayEnd runs the fault scenarios that operators review at the end of a day, some faults alone and some
+// combined, and reports what they check for: jobs that were lost or wait forever, starved job classes, wasted
+// work, needless returns of machines, and violated rules.
 type DayEnd struct {
 	Seed uint64
-	// Sizes are how many machines, Cases the names of those played (none: all), AtOnce how many days
-	// are played beside each other.
-	Sizes  []int
-	Cases  []string
+	// Sizes are the fleet sizes in machines; every case runs at every size.
+	Sizes []int
+	// Cases are the names of the scenarios to run; empty means all.
+	Cases []string
+	// AtOnce is the maximum number of scenarios that run concurrently.
 	AtOnce int
-	// LastsS and AfterS are how long users submit jobs, and how long is waited for the rest.
+	// LastsS is how long users submit jobs; AfterS is how long the run then waits for unfinished jobs. Both in seconds.
 	LastsS, AfterS float64
-	Progress       func(format string, a ...any)
+	// Progress receives a line when a scenario ends. It must not be nil.
+	Progress func(format string, a ...any)
 }
 
-// DayEndDefaults are small and large fleets on all cases.
+// DayEndDefaults returns all cases at a small and a large fleet size.
 func DayEndDefaults() *DayEnd {
 	return &DayEnd{Seed: 1, Sizes: []int{30, 300}, AtOnce: 3, LastsS: 100, AfterS: 80, Progress: func(string, ...any) {}}
 }
 
-// DayEndCase is what was found of one case.
+// DayEndCase is the outcome of one case at one fleet size.
 type DayEndCase struct {
 	Name     string `json:"name"`
 	Machines int    `json:"machines"`
 	simulation.Result
 }
 
-// DayEndResult is what the experiment prints.
+// DayEndResult is the result that the experiment prints.
 type DayEndResult struct {
 	Seed     uint64       `json:"seed"`
 	Measured string       `json:"measured"`
 	Cases    []DayEndCase `json:"cases"`
 }
 
-// DayEndCases are the names of all cases.
+// DayEndCases returns the names of all cases, sorted.
 func DayEndCases() []string { return slices.Sorted(maps.Keys(simulation.Scenarios())) }
 
-// Run plays the cases.
+// Run runs every case at every size. It returns an error for invalid options or if ctx ends.
 func (x *DayEnd) Run(ctx context.Context) (*DayEndResult, error) {
 	all := simulation.Scenarios()
 	names := x.Cases
--- a/experiment/gaps.go
+++ b/experiment/gaps.go
@@ -8,7 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Gap is one part of the time between the end of a stage and the first start of the next, in ms.
+// Gap is the distribution of one part of the delay between the end of a pipeline stage and the first task start of the
+// next stage, in milliseconds.
 type Gap struct {
 	Part string `json:"part"`
 	Jobs int64  `json:"jobs"`
@@ -18,7 +19,8 @@
 	Most int64  `json:"most_ms"`
 }
 
-// Gaps reads a day's logs and measures the jobs that awaited others until these were done.
+// Gaps reads the controllers' debug logs of a day and measures the delays of the jobs that awaited other jobs. It
+// returns an error if the logs hold no such job.
 func Gaps(r io.Reader) ([]Gap, error) {
 	day, err := readDay(r)
 	if err != nil {
@@ -37,7 +39,7 @@
 			}
 		}
 		if end == 0 || j.ready <= j.at || j.placed == 0 || j.running == 0 {
-			continue // it waited for nothing, or did not start
+			continue // did not have to wait for another job, or never started
 		}
 		for i, s := range []float64{j.ready - end, j.placed - j.ready, j.running - j.placed, j.running - end} {
 			if err := h[i].RecordValue(int64(math.Max(0, s) * 1000)); err != nil {
@@ -46,7 +48,7 @@
 		}
 	}
 	if h[0].TotalCount() == 0 {
-		return nil, errors.New("no job in these logs waited for others and started; are they of LOG_LEVEL=debug?")
+		return nil, errors.New("no job in these logs awaited another job and started; were they written with LOG_LEVEL=debug?")
 	}
 	var out []Gap
 	for i, part := range parts {
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -15,21 +15,24 @@
 	"switchferry/settings"
 )
 
-// Handover rolls three real processes on loopback, each told to end, or killed, and begun again,
-// while users submit jobs to those that a load balancer holds for ready.
+// Handover performs rolling restarts of three real controller processes on loopback, by SIGTERM or SIGKILL,
+// while users submit jobs to the controllers that a load balancer considers ready.
 type Handover struct {
-	Program  string
-	Rolls    int
-	Seed     uint64
+	// Program is the path of the switchferry program.
+	Program string
+	// Rolls is the number of rolling restarts of all controllers, for each kind of shutdown.
+	Rolls int
+	Seed  uint64
+	// Progress receives a line after each kind of shutdown. It must not be nil.
 	Progress func(format string, a ...any)
 }
 
-// HandoverDefaults are three rolls each way.
+// HandoverDefaults returns three rolling restarts for each kind of shutdown.
 func HandoverDefaults() *Handover { return &Handover{Rolls: 3, Seed: 1} }
 
-// HandedOver is what users met in some rolls of all controllers.
+// HandedOver is what users observed during the rolling restarts with one kind of shutdown.
 type HandedOver struct {
-	// Way is "told" or "killed".
+	// Way is "told" (SIGTERM) or "killed" (SIGKILL).
 	Way     string `json:"way"`
 	Ends    int    `json:"processes_ended"`
 	Asked   int64  `json:"submissions"`
@@ -38,12 +41,13 @@
 	P99MS   int64  `json:"p99_ms"`
 	MostMS  int64  `json:"longest_ms"`
 	GapMS   int64  `json:"longest_without_an_accept_ms"`
-	// IdleMS is the longest time in which no task was started, though some waited.
-	IdleMS   int64 `json:"longest_without_a_start_ms"`
+	// IdleMS is the longest interval between two task starts while jobs kept arriving.
+	IdleMS int64 `json:"longest_without_a_start_ms"`
+	// EndP50MS is the median time from the signal to the exit of a process.
 	EndP50MS int64 `json:"end_p50_ms"`
 }
 
-// Run plays both ways.
+// Run performs the rolling restarts, first with SIGTERM and then with SIGKILL.
 func (x *Handover) Run(ctx context.Context) ([]HandedOver, error) {
 	var out []HandedOver
 	for _, told := range []bool{true, false} {
@@ -116,12 +120,13 @@
 	return res, ctx.Err()
 }
 
-// users submit a job every 20 ms to a controller that answered its last probes.
+// users submit a job every 20 ms to a controller that the load balancer considers ready.
 type users struct {
 	r *upgraded
 
+	// mu guards the fields below.
 	mu      sync.Mutex
-	ready   map[int]bool
+	ready   map[int]bool // by index of the controller
 	took    *hdrhistogram.Histogram
 	refused int
 	last    time.Time
@@ -129,7 +134,8 @@
 	next    int
 }
 
-// balance probes as the protocol's load balancer does: once a second, out after two failures.
+// balance probes the controllers as the protocol's load balancer does: once a second; a controller is taken out after
+// two failed probes in a row.
 func (u *users) balance(ctx context.Context) {
 	failed := map[int]int{}
 	for ctx.Err() == nil {
@@ -159,7 +165,7 @@
 	}
 }
 
-// one submits one job, at another controller where a connection is refused.
+// one submits one job; if a controller does not answer, it tries the next one that is ready.
 func (u *users) one(ctx context.Context) {
 	u.mu.Lock()
 	u.next++
@@ -188,7 +194,7 @@
 	defer u.mu.Unlock()
 	_ = u.took.RecordValue(max(1, time.Since(began).Milliseconds()))
 	if status != http.StatusCreated && status != http.StatusOK {
-		slog.Info("a submission is refused", "status", status, "body", string(why))
+		slog.Info("submission refused", "status", status, "body", string(why))
 		u.refused++
 		return
 	}
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -1,7 +1,6 @@
-// Package experiment plays workloads against the scheduler and measures them. It knows
-// the scheduler from outside, as users, workers and agents do, and nothing of how it
-// decides. All that it measures is of this machine, over loopback; see each experiment
-// for what in it is simulated.
+// Package experiment runs workloads against the scheduler and measures them. It uses the scheduler through
+// the interfaces that users, workers and agents have, and does not depend on how it makes decisions. All
+// figures are from one machine, over loopback; each experiment documents which of its parts are simulated.
 package experiment
 
 import (
@@ -26,38 +25,40 @@
 	"switchferry/tuning"
 )
 
-// Locality is an experiment: the same jobs, each of whose tasks needs a part of a dataset,
-// under four placements. Agents, store and copies are real and go over loopback, with
-// their rates limited; the leader is the controllers' own Core on the real clock; workers
-// and their image fetches are simulated in this process, and records are stored at once.
+// Locality is an experiment that runs the same jobs, each of whose tasks needs one part of a dataset, under four
+// placement modes. Agents, the store and the transfers are real and go over loopback with limited rates. The leader is
+// a real Scheduler on the real clock. Workers and their image fetches are simulated in this process, and records
+// count as stored immediately.
 type Locality struct {
 	Seed uint64
-	// Machines run Slots tasks each at once. Datasets have Parts parts of PartBytes.
+	// Machines is the fleet size and Slots the number of concurrent tasks per machine. There are Datasets datasets of
+	// Parts parts each; a part has PartBytes bytes.
 	Machines, Slots, Datasets, Parts, PartBytes int
-	// Jobs of Parts tasks, which run RunS seconds each, come so that they fill Load of
-	// the machines on average.
+	// Jobs is the number of jobs. Each has Parts tasks that run for RunS seconds. The arrival rate is such that the
+	// tasks occupy the share Load of all slots on average.
 	Jobs       int
 	RunS, Load float64
-	// LinkRate and StoreRate are in bytes a second, CachedParts what a cache holds.
+	// LinkRate (each machine's link) and StoreRate (the store) are in bytes per second. CachedParts is the capacity of
+	// a machine's cache in parts.
 	LinkRate, StoreRate float64
 	CachedParts         int
-	// Skews are the workloads: Zipf exponents over the datasets.
+	// Skews are the Zipf exponents of dataset popularity, one for each workload.
 	Skews []float64
-	// AtOnce is how many runs go at the same time.
+	// AtOnce is the maximum number of concurrent runs.
 	AtOnce int
-	// Dir is where the caches stand while it runs.
+	// Dir is the parent directory of the temporary caches.
 	Dir string
-	// Progress is told what is done; may be nil.
+	// Progress receives a line after each run; it may be nil.
 	Progress func(format string, a ...any)
 }
 
-// Defaults is the experiment whose table stands in docs/data.md.
+// Defaults returns the experiment whose table is in docs/data.md.
 func Defaults() Locality {
 	return Locality{Seed: 1, Machines: 24, Slots: 2, Datasets: 16, Parts: 4, PartBytes: 1 << 20, Jobs: 144, RunS: 4, Load: 0.6,
 		LinkRate: 512 << 10, StoreRate: 6 << 20, CachedParts: 16, Skews: []float64{0, 1, 2}, AtOnce: 12, Dir: os.TempDir()}
 }
 
-// LocalityResult is what it found.
+// LocalityResult is the result of a Locality experiment.
 type LocalityResult struct {
 	Experiment string     `json:"experiment"`
 	Measured   string     `json:"measured"`
@@ -67,19 +68,19 @@
 	Workloads  []Workload `json:"workloads"`
 }
 
-// Workload is one set of jobs.
+// Workload holds the figures of all placement modes for one set of jobs.
 type Workload struct {
 	Zipf       float64  `json:"zipf"`
 	Placements []Figure `json:"placements"`
 }
 
-// Figure is what one placement did with a workload.
+// Figure holds the measurements of one placement mode on one workload.
 type Figure struct {
 	Name       string `json:"name"`
 	StoreBytes int64  `json:"store_bytes"`
 	PeerBytes  int64  `json:"peer_bytes"`
-	// LeastBytes is what must leave the store whatever the placement: each part that any
-	// task needs, once.
+	// LeastBytes is the lower bound of StoreBytes for any placement: each part that some task needs is read from the
+	// store once.
 	LeastBytes int64   `json:"least_bytes"`
 	StartP50   float64 `json:"start_p50_ms"`
 	StartP95   float64 `json:"start_p95_ms"`
@@ -87,7 +88,7 @@
 	MakespanS  float64 `json:"makespan_s"`
 }
 
-// placements are the four, by the name that the result uses.
+// placements are the placement modes with their names in the result.
 var placements = []struct{ name, mode string }{{"blind", features.Blind}, {"images", features.Images},
 	{"locality", features.Local}, {"locality+staging", features.Staged}}
 
@@ -98,7 +99,7 @@
 	image   int
 }
 
-// workload draws jobs: when they come, and whose data they need.
+// workload draws the arrival times of the jobs and the datasets that they need.
 func (l *Locality) workload(skew float64) []arrival {
 	rng := rand.New(rand.NewPCG(l.Seed, math.Float64bits(skew)))
 	weights := make([]float64, l.Datasets)
@@ -122,7 +123,8 @@
 	return out
 }
 
-// Run plays all workloads under all placements.
+// Run runs all workloads under all placement modes. It returns an error for invalid options; errors of single runs are
+// joined.
 func (l *Locality) Run(ctx context.Context) (*LocalityResult, error) {
 	if l.Machines < 1 || l.Slots < 1 || l.Datasets < 1 || l.Parts < 1 || l.PartBytes < 1 || l.Jobs < 1 || l.AtOnce < 1 || l.CachedParts < l.Slots {
 		return nil, errors.New("machines, slots, datasets, parts, part bytes, jobs and runs at once must be 1 or more, and a cache must hold a part for each slot")
@@ -163,14 +165,16 @@
 	return res, errors.Join(failed...)
 }
 
-// playing is one run.
+// playing is one run of a workload under one placement mode.
 type playing struct {
 	*Locality
 	core     *scheduler.Scheduler
 	machines map[string]*machine
 	store    *storeServer
 
-	mu      sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// stored are the callbacks of records that are to count as stored.
 	stored  []func()
 	arrived map[string]time.Time
 	images  map[string]string
@@ -219,7 +223,7 @@
 	return p.follow(ctx, jobs, name)
 }
 
-// follow submits the jobs as they come and waits for all to be done.
+// follow submits the jobs at their arrival times and waits until all have ended.
 func (p *playing) follow(ctx context.Context, jobs []arrival, name string) (Figure, error) {
 	begin := time.Now()
 	touched := map[int]bool{}
@@ -249,7 +253,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Figure{}, fmt.Errorf("%d jobs are not done: %w", left, ctx.Err())
+			return Figure{}, fmt.Errorf("%d jobs did not end: %w", left, ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -259,7 +263,7 @@
 		f.StoreBytes += r.FromStore
 		f.PeerBytes += r.FromPeers
 	}
-	// The manifests, which each machine gets once, are not data.
+	// Manifests, which each machine fetches once, do not count as data.
 	f.StoreBytes -= p.store.manifests.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,7 +274,7 @@
 	return f, nil
 }
 
-// lead is the leader's loop: what is to be stored is stored at once.
+// lead is the leader's loop. Records count as stored immediately after each round of placement.
 func (p *playing) lead(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.core.Place()
@@ -298,17 +302,17 @@
 	p.core.CommandsAnswered(name, o, r, true)
 }
 
-// localityRecords count as stored when the experiment says so.
+// localityRecords is a record writer whose records count as stored after the next round of placement.
 type localityRecords struct{ playing *playing }
 
-// MarkDirty notes what is to be called once the record is stored.
+// MarkDirty queues the callback to be called once the record counts as stored.
 func (r localityRecords) MarkDirty(_ string, _ int, stored func()) {
 	r.playing.mu.Lock()
 	defer r.playing.mu.Unlock()
 	r.playing.stored = append(r.playing.stored, stored)
 }
 
-// MarkDirtyWithin is MarkDirty.
+// MarkDirtyWithin is MarkDirty; the time limit is ignored.
 func (r localityRecords) MarkDirtyWithin(key string, urgency int, _ time.Duration, stored func()) {
 	r.MarkDirty(key, urgency, stored)
 }
@@ -316,18 +320,18 @@
 // SetRevision does nothing.
 func (localityRecords) SetRevision(string, uint64) {}
 
-// Delay returns zero: there is no limit of writes.
+// Delay returns zero: the write rate is not limited.
 func (r localityRecords) Delay() time.Duration { return 0 }
 
-// localityCommands go to the machines of the experiment.
+// localityCommands delivers commands to the simulated machines.
 type localityCommands struct{ playing *playing }
 
-// SendCommands delivers commands to a worker.
+// SendCommands delivers commands to a worker asynchronously.
 func (c localityCommands) SendCommands(machine, _ string, response api.HeartbeatResponse) {
 	go c.playing.send(machine, response)
 }
 
-// SendStageOrder delivers an order to an agent.
+// SendStageOrder delivers a staging order to an agent asynchronously.
 func (c localityCommands) SendStageOrder(machine, _ string, order api.StageOrder) {
 	if m := c.playing.machines[machine]; m != nil {
 		go m.order(c.playing.core, order)
--- a/experiment/locality_machines.go
+++ b/experiment/locality_machines.go
@@ -18,11 +18,12 @@
 	"switchferry/scheduler"
 )
 
-// machine is a simulated worker with a real agent beside it.
+// machine is a simulated worker with a real data agent.
 type machine struct {
 	name, addr string
 	agent      *dataagent.Agent
 
+	// mu guards the fields below.
 	mu     sync.Mutex
 	seq    uint64
 	term   uint64
@@ -51,7 +52,7 @@
 	return m, nil
 }
 
-// live reports for worker and agent until the context ends.
+// live sends the heartbeats of the worker and of the agent until ctx ends.
 func (m *machine) live(ctx context.Context, p *playing) {
 	for ctx.Err() == nil {
 		o, _, _ := p.core.HandleHeartbeat(m.report(), "")
@@ -85,7 +86,7 @@
 	return r
 }
 
-// do carries out commands as a worker does.
+// do executes commands as a worker does.
 func (m *machine) do(p *playing, o api.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/experiment/locality_store.go
+++ b/experiment/locality_store.go
@@ -20,7 +20,7 @@
 
 func setName(i int) string { return fmt.Sprintf("set-%03d", i) }
 
-// storeServer is a store of datasets with a limited rate.
+// storeServer serves datasets over HTTP at a limited total rate.
 type storeServer struct {
 	url       string
 	sets      []*dataset.Summary
--- a/experiment/locality_test.go
+++ b/experiment/locality_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A small experiment, real agents and copies over loopback: all jobs end, nothing leaves
-// the store more often with locality than it must, and blind placement moves more.
+// A small experiment with real agents and transfers over loopback: all jobs end, the store serves at least the lower
+// bound in every mode, and placement with locality and staging reads less from the store than blind placement.
 func TestLocalityMovesLess(t *testing.T) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	l := Defaults()
@@ -24,7 +24,7 @@
 	for _, f := range r.Workloads[0].Placements {
 		by[f.Name] = f
 		if f.LeastBytes == 0 || f.StoreBytes < f.LeastBytes || f.StartP95 <= 0 || f.MakespanS <= 0 {
-			t.Errorf("%+v is not possible", f)
+			t.Errorf("inconsistent figures: %+v", f)
 		}
 	}
 	if s, b := by["locality+staging"], by["blind"]; s.StoreBytes >= b.StoreBytes || b.PeerBytes != 0 {
@@ -37,12 +37,12 @@
 		l := Defaults()
 		change(&l)
 		if _, err := l.Run(context.Background()); err == nil {
-			t.Errorf("%+v was taken", l)
+			t.Errorf("invalid options accepted: %+v", l)
 		}
 	}
 }
 
-// The same seed gives the same jobs; another one others.
+// The same seed gives the same workload, another seed a different one.
 func TestWorkloadsRepeat(t *testing.T) {
 	a, b, c := Defaults(), Defaults(), Defaults()
 	c.Seed = 9
@@ -50,11 +50,11 @@
 	same := true
 	for i := range x {
 		if x[i] != y[i] {
-			t.Fatal("one seed, two workloads")
+			t.Fatal("the same seed gave different workloads")
 		}
 		same = same && x[i] == z[i]
 	}
 	if same {
-		t.Fatal("two seeds, one workload")
+		t.Fatal("different seeds gave the same workload")
 	}
 }
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -19,26 +19,27 @@
 	"switchferry/upperbound"
 )
 
-// Order compares how many jobs of a class were in time on a day with how many could have been, by
-// the controllers' logs of that day at level debug, of one or of all.
+// Order compares how many jobs of a class met their deadline on a day with an upper bound of how many could
+// have. It reads the debug logs of that day, of one controller or of several.
 type Order struct {
 	Class string
-	// WithinS is the time that a job may take; 0: its own deadline, Times over.
+	// WithinS is the allowed time from when a job may start, in seconds; 0 means Times times the job's own deadline.
 	WithinS, Times float64
-	// FromS and ToS bound when the jobs came, in seconds of the day.
+	// FromS and ToS bound the jobs' submission times, in seconds since the first log line.
 	FromS, ToS float64
-	// SlotS is the length of the stretches of which capacity is counted.
-	SlotS  float64
+	// SlotS is the length of a time slot in which capacity is counted, in seconds.
+	SlotS float64
+	// Rounds is the number of iterations of upperbound.InTime.
 	Rounds int
 }
 
-// OrderDefaults are a whole day's.
+// OrderDefaults returns options that cover a whole day.
 func OrderDefaults() *Order { return &Order{Times: 1, ToS: math.MaxFloat32, SlotS: 5, Rounds: 600} }
 
-// OrderResult is what a day's logs say. Alone could not have been in time with the whole fleet
-// for themselves; Most is the bound of package bound for the others, given what jobs of other
-// classes and of the same or a higher rank took. Tasks that never completed are left out with
-// their jobs.
+// OrderResult compares the jobs of a class that met their deadline with those that could have. Alone counts
+// jobs that would have missed it with the whole fleet to themselves. Most is the upper bound that package
+// upperbound gives for the others, after subtracting the capacity that jobs of other classes with the same or
+// a higher rank used. A job of which any task never completed is left out.
 type OrderResult struct {
 	Class  string  `json:"class"`
 	Aim    string  `json:"aim"`
@@ -46,13 +47,13 @@
 	InTime int     `json:"in_time"`
 	Alone  int     `json:"impossible_alone"`
 	Most   float64 `json:"most"`
-	// Late are the jobs that were not, by what kept them.
+	// Late counts the jobs that missed their deadline, by cause.
 	Late LateJobs `json:"late"`
 }
 
-// LateJobs counts late jobs by cause, each once, in this order: a task of it alone ran longer
-// than the job may take; a task was lost with its machine or ended without success; one was
-// stopped; or they waited, for room, an image or a machine.
+// LateJobs counts late jobs by cause. Each job counts once, for the first cause that applies: a single task
+// ran longer than the job's allowed time; a task was lost with its machine or ended without success; a task was
+// stopped; or the job waited for capacity, an image or a machine.
 type LateJobs struct {
 	Long    int `json:"long_task"`
 	Lost    int `json:"task_lost"`
@@ -77,30 +78,33 @@
 	}
 }
 
+// loggedJob is a job as the logs show it. Times are in seconds since the first log line; 0: it did not happen.
 type loggedJob struct {
 	class      string
 	rank, size int
 	cpus       float64
 	due        float64
 	at, over   float64
-	// awaits are the jobs that it waits for, ready when the last of them was done: as it came
-	// if there are none.
+	// awaits are the jobs that this job awaits. ready is when the last of them was done, or the time of submission if
+	// there are none.
 	awaits []string
 	ready  float64
-	took   map[string]float64
-	// lastEnd is when the last of its tasks was done; placed and running are the first start of
-	// one; 0: there was none.
+	// took has the run time of each completed task, by task ID.
+	took map[string]float64
+	// lastEnd is when its last task completed; placed and running are when its first task was placed and
+	// started to run.
 	lastEnd, placed, running float64
-	// lost and stopped count tasks that ended without being done.
+	// lost and stopped count task attempts that ended without completing.
 	lost, stopped int
 }
 
+// loggedRun is one run of a task on a machine.
 type loggedRun struct {
 	job      string
 	from, to float64
 }
 
-// dayLog is what logs tell of a day.
+// dayLog is the content of a day's logs. Each element of cpus is a time and the fleet's CPUs at that time.
 type dayLog struct {
 	jobs map[string]*loggedJob
 	runs []loggedRun
@@ -108,7 +112,7 @@
 	last float64
 }
 
-// Compare reads the logs.
+// Compare reads logs and returns the comparison. It returns an error if no job of the class can be counted.
 func (o *Order) Compare(r io.Reader) (*OrderResult, error) {
 	day, err := readDay(r)
 	if err != nil {
@@ -121,7 +125,7 @@
 			at++
 		}
 		if len(day.cpus) > 0 {
-			// What is up between two lines is the larger of both, so that the bound holds.
+			// Between two log lines the larger capacity counts, so that the result remains an upper bound.
 			free.CPUs[i] = math.Max(day.cpus[at][1], day.cpus[min(at+1, len(day.cpus)-1)][1])
 		}
 	}
@@ -146,8 +150,8 @@
 	}
 	var jobs []upperbound.Job
 	for _, j := range day.jobs {
-		// A deadline counts from the submission, other times from when the job could start;
-		// whichever it is, nothing of it could run before.
+		// A deadline counts from the submission, WithinS from when the job could start. In both cases no task could
+		// run before the job was ready.
 		by := j.ready + o.WithinS
 		if o.WithinS == 0 {
 			by = j.at + o.Times*j.due
@@ -165,12 +169,12 @@
 		for _, run := range j.took {
 			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
 		}
-		// In one order, so that two runs give the same.
+		// A fixed order makes the result reproducible.
 		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.Run, b.Run) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
-		return nil, fmt.Errorf("no job of class %q that came and ended in time is in these logs; are they of LOG_LEVEL=debug?", o.Class)
+		return nil, fmt.Errorf("these logs hold no job of class %q that was submitted and completed in the given period; were they written with LOG_LEVEL=debug?", o.Class)
 	}
 	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
 		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
@@ -180,8 +184,8 @@
 	return res, nil
 }
 
-// scan reads log lines; what stands before time= on a line does not matter. At is the time of a
-// line in seconds since the first.
+// scan reads log lines and ignores what precedes time= on a line. It passes each line's attributes and its time in
+// seconds since the first line to take.
 func scan(r io.Reader, take func(kv map[string]string, at float64)) error {
 	var begin time.Time
 	lines := bufio.NewScanner(r)
@@ -200,7 +204,7 @@
 		}
 		when, err := time.Parse(time.RFC3339, kv["time"])
 		if d.Err() != nil || err != nil {
-			continue // a line that was cut short
+			continue // truncated line
 		}
 		if begin.IsZero() {
 			begin = when
@@ -208,12 +212,12 @@
 		take(kv, math.Max(0, when.Sub(begin).Seconds()))
 	}
 	if begin.IsZero() {
-		return errors.New("these are no logs of switchferry: no line has time=")
+		return errors.New("not a switchferry log: no line has time=")
 	}
 	return lines.Err()
 }
 
-// readDay takes in the logs of a day.
+// readDay parses the logs of a day.
 func readDay(r io.Reader) (*dayLog, error) {
 	day := &dayLog{jobs: map[string]*loggedJob{}}
 	on := map[string]float64{}
@@ -259,7 +263,7 @@
 		}
 	case "job may start":
 		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.at {
-			j.ready = at // a new leader says it again
+			j.ready = at // only the first line counts: a new leader logs it again
 		}
 	case "task placed":
 		if j := day.jobs[job]; j != nil && j.placed == 0 {
--- a/experiment/order_test.go
+++ b/experiment/order_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// Each late job is counted once, by what kept it; what a job of another class did does not
-// count, nor do jobs of which the log does not tell the end.
+// Each late job is counted once, by its cause. Jobs of other classes are not counted.
 func TestLateJobsByCause(t *testing.T) {
 	var log strings.Builder
 	say := func(at int, rest string) {
@@ -26,12 +25,12 @@
 	}
 	done := `"task ended" cause=done`
 	run(0, 2, 12, done) // in time
-	run(1, 2, 32, done) // longer than its deadline alone
+	run(1, 2, 32, done) // its task alone runs longer than the deadline
 	run(2, 2, 10, `"task lost" why="its machine is gone"`)
 	run(2, 12, 24, done)
 	run(3, 2, 10, `"task ended" cause=halted`)
 	run(3, 12, 24, done)
-	run(4, 15, 27, done) // waited
+	run(4, 15, 27, done) // waited to start
 	run(5, 2, 50, done)
 	o := OrderDefaults()
 	o.Class = "scan"
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -15,29 +15,37 @@
 	"switchferry/internal/cluster"
 )
 
-// What users do, as the protocol says.
+// Behavior of users, as the protocol specifies it.
 const (
-	pollEvery     = 5 * time.Second
-	pollPatience  = 2 * time.Second
-	callPatience  = 5 * time.Second
-	submitsFor    = time.Minute
-	retryAtLeast  = time.Second
-	histogramMost = 600_000 // milliseconds
+	// pollEvery is the maximum interval between polls of a job's status.
+	pollEvery = 5 * time.Second
+	// pollPatience is the timeout of a poll.
+	pollPatience = 2 * time.Second
+	// callPatience is the timeout of any other request.
+	callPatience = 5 * time.Second
+	// submitsFor is how long a user retries a submission.
+	submitsFor = time.Minute
+	// retryAtLeast is the minimum delay before a submission is retried.
+	retryAtLeast = time.Second
 )
 
-// population are the users of a cluster: each submits one job, asks about it until it is over, and may cancel it.
-// What they are told goes to the audit.
+// histogramMost is the largest value that histograms record, in milliseconds.
+const histogramMost = 600_000
+
+// population simulates the users of a cluster: each submits one job, polls it until it has ended, and may cancel it.
+// All answers are passed to the audit.
 type population struct {
 	cluster *cluster.Cluster
 	audit   *cluster.Audit
 	users   sync.WaitGroup
 
+	// mu guards the fields below.
 	mu     sync.Mutex
 	rng    *rand.Rand
 	nextID int
-	// submissions and dones are how long users waited for their accept, and from the end of the last task for the
-	// word that the job is done, in ms; refused counts submissions that were refused for now, failed polls without
-	// an answer.
+	// submissions has the times from the first attempt of a submission to its acceptance, and dones those from the end
+	// of the last task until the user learns that the job is done; both in milliseconds. refused counts submission
+	// attempts without an acceptance, failed the polls without a usable answer.
 	submissions, dones *hdrhistogram.Histogram
 	refused, failed    int
 	polls              int
@@ -49,7 +57,7 @@
 	return p
 }
 
-// reset begins the counts anew.
+// reset clears the counts and histograms.
 func (p *population) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,14 +65,14 @@
 	p.refused, p.failed, p.polls = 0, 0, 0
 }
 
-// random gives a number below n.
+// random returns a random number in [0, n).
 func (p *population) random(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.IntN(n)
 }
 
-// newID is an id that no job has yet.
+// newID returns an unused job ID.
 func (p *population) newID() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,10 +80,11 @@
 	return fmt.Sprintf("run-%06d", p.nextID)
 }
 
-// neverCancels is the cancelAfter of a user who does not cancel.
+// neverCancels is the value of cancelAfter for a user who does not cancel.
 const neverCancels = time.Duration(-1)
 
-// begin has a user submit a job and attend to it. It does not block.
+// begin starts a user who submits a job and polls it until it has ended. If cancelAfter is not negative, the user cancels
+// the job that long after its acceptance. begin does not block.
 func (p *population) begin(ctx context.Context, job api.Submission, cancelAfter time.Duration) (id string) {
 	job.ID = p.newID()
 	p.audit.Submit(job)
@@ -99,7 +108,7 @@
 	}
 }
 
-// pause is false once the context has ended.
+// pause sleeps for d; it returns false if ctx ended first.
 func (p *population) pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -109,14 +118,14 @@
 	}
 }
 
-// ask sends a request about a job to a controller that runs; 0: nobody answered in time.
+// ask sends a request about a job to a running controller. The status is 0 if no controller answered in time.
 func (p *population) ask(ctx context.Context, patience time.Duration, method, path string, body []byte) (status int, answer api.JobStatus) {
 	status, raw := p.askRaw(ctx, patience, method, path, body)
 	_ = json.Unmarshal(raw, &answer)
 	return status, answer
 }
 
-// askRaw is ask with the answer as it is.
+// askRaw is like ask but returns the undecoded body.
 func (p *population) askRaw(ctx context.Context, patience time.Duration, method, path string, body []byte) (status int, answer []byte) {
 	call, stop := context.WithTimeout(ctx, patience)
 	defer stop()
@@ -128,7 +137,7 @@
 		}
 		status, raw, err := p.cluster.Call(call, x, method, path, body)
 		if err != nil && call.Err() == nil {
-			continue // refused: the load balancer tries the next
+			continue // connection refused: the load balancer tries the next controller
 		}
 		if err != nil {
 			return 0, nil
@@ -138,7 +147,8 @@
 	return 0, nil
 }
 
-// submit is true once the job is accepted.
+// submit retries a submission until it is accepted. It returns false if it was not accepted within submitsFor or ctx
+// ended.
 func (p *population) submit(ctx context.Context, job api.Submission) bool {
 	body, err := json.Marshal(&job)
 	if err != nil {
@@ -171,12 +181,12 @@
 	return true
 }
 
-// judge has the audit check an answer; it reports whether the job is over.
+// judge passes an answer to the audit, which checks it, and reports whether the job has ended.
 func (p *population) judge(kind cluster.QuestionKind, id string, askedAt time.Time, status int, state string) (over bool) {
 	return p.audit.Judge(cluster.Question{Job: id, Kind: kind, AskedAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
 }
 
-// poll asks once; true: the job is over.
+// poll polls a job once and reports whether it has ended.
 func (p *population) poll(ctx context.Context, id string) bool {
 	askedAt := time.Now()
 	status, answer := p.ask(ctx, pollPatience, http.MethodGet, "/submissions/"+id, nil)
@@ -202,17 +212,18 @@
 	change()
 }
 
-// Waits are the start waits of jobs of one rank: from the first submission to the start of the last task, in ms.
+// Waits is the distribution of the start waits of the jobs of one rank: from the first submission to the start of the
+// last task, in milliseconds.
 type Waits struct {
 	Jobs int   `json:"jobs"`
 	P50  int64 `json:"p50_ms"`
 	P99  int64 `json:"p99_ms"`
 	Most int64 `json:"longest_ms"`
-	// Unstarted are jobs of which a task has not started yet.
+	// Unstarted counts jobs of which some task has not started.
 	Unstarted int `json:"unstarted"`
 }
 
-// waits are those of the jobs that were submitted within a span, by rank.
+// waits returns, by rank, the start waits of the jobs that were submitted between from and to and were not cancelled.
 func (p *population) waits(from, to time.Time) map[string]Waits {
 	all := map[string]*hdrhistogram.Histogram{}
 	unstarted := map[string]int{}
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -8,61 +8,63 @@
 	"switchferry/settings"
 )
 
-// Cases of Recovery: what happens to a fleet at work.
+// Cases of Recovery: the faults that a loaded fleet is subjected to.
 const (
-	// CrashLeader ends the leading controller, CrashAll all three; they come back after three seconds. CutZone cuts the
-	// leader's zone off from everything for CutS.
+	// CrashLeader kills the leading controller and restarts it after three seconds.
 	CrashLeader = "leader"
-	CrashAll    = "all"
-	CutZone     = "zone"
+	// CrashAll kills all three controllers and restarts them after three seconds.
+	CrashAll = "all"
+	// CutZone partitions the leader's zone from everything else for CutS.
+	CutZone = "zone"
 )
 
-// recoveryCases are the cases of Scale that they are.
+// recoveryCases maps the cases of Recovery to those of Scale.
 var recoveryCases = map[string]string{CrashLeader: ScaleLeader, CrashAll: ScaleAll, CutZone: ScaleLeaderZone}
 
-// Recovery is an experiment: how a fleet with little work comes through a crash of the leader, of all controllers, and
-// a cut of the leader's zone. It is Scale with a small load, one size and one case at a time.
+// Recovery is an experiment that measures how a lightly loaded fleet recovers from a crash of the leader, a crash of all
+// controllers, and a partition of the leader's zone. It runs Scale with a small load, one size and one case at a time.
 type Recovery struct {
 	Program string
 	Seed    uint64
 	Sizes   []int
 	Cases   []string
-	// Workers are the workers' settings, CutS how long a zone is cut off, WatchS how long it is watched afterwards.
-	Workers      settings.Workers
+	// Workers are the workers' settings.
+	Workers settings.Workers
+	// CutS is how long a zone is partitioned; WatchS is how long the fleet is observed afterwards. Both in seconds.
 	CutS, WatchS float64
 	Progress     func(format string, a ...any)
 }
 
-// RecoveryDefaults are the sizes and times of the tables in docs/fleet.md.
+// RecoveryDefaults returns the sizes and times of the tables in docs/fleet.md.
 func RecoveryDefaults() *Recovery {
 	return &Recovery{Seed: 1, Sizes: []int{300, 1000, 2500}, Cases: []string{CrashLeader, CrashAll, CutZone},
 		Workers: settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
 }
 
-// Recovered is how one fleet came through one case. Times count from the fault, in seconds; -1: it did not happen
-// while it was watched.
+// Recovered holds the measurements of one case at one fleet size. Times are in seconds since the fault; -1 means that the
+// event did not happen while the fleet was observed.
 type Recovered struct {
 	Machines int    `json:"machines"`
 	Case     string `json:"case"`
-	// FirstStart is the first start of a task by a new leader, HeardAll when every worker had been answered by it.
+	// FirstStart is when a new leader first started a task, HeardAll when every worker had received an answer from it.
 	FirstStart float64 `json:"first_start_s"`
 	HeardAll   float64 `json:"heard_all_s"`
-	// ReturnedInVain are machines that were returned though nothing was wrong with them, LostInVain tasks that ended
-	// with them or with a lease.
+	// ReturnedInVain counts healthy machines that were returned; LostInVain counts tasks that were lost with them or
+	// killed because a lease expired.
 	ReturnedInVain int `json:"returned_in_vain"`
 	LostInVain     int `json:"lost_in_vain"`
-	// PeakShare is the most of one processor core that the leader's process took in a second.
+	// PeakShare is the 99th percentile of the leader's CPU use in one second, as a share of one core.
 	PeakShare float64 `json:"peak_share"`
 }
 
-// RecoveryResult is what the experiment prints.
+// RecoveryResult is the result that the experiment prints.
 type RecoveryResult struct {
 	Seed     uint64      `json:"seed"`
 	Measured string      `json:"measured"`
 	Sizes    []Recovered `json:"sizes"`
 }
 
-// Run plays every case at every size, one after the other.
+// Run runs every case at every size, one after the other.
 func (x *Recovery) Run(ctx context.Context) (*RecoveryResult, error) {
 	res := &RecoveryResult{Seed: x.Seed, Measured: scaleMeasured}
 	for _, machines := range x.Sizes {
@@ -101,5 +103,5 @@
 		PeakShare: c.Step.Leader.CPUP99}, nil
 }
 
-// recoveryStepS is how long a fleet is at work before the fault.
+// recoveryStepS is how long the loaded fleet runs before the fault, in seconds.
 const recoveryStepS = 5.0
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -15,34 +15,38 @@
 	"switchferry/settings"
 )
 
-// Scale plays a whole deployment at the operators' future size on this machine: three real controllers, a few real
-// agents, and hollow workers in this process. It grows the fleet step by step, measures each, and at one size plays
-// failures one after the other. Every rule that the audit finds broken makes the run fail.
+// Scale runs a whole deployment at the operators' planned size on this machine: three real controllers, a few real
+// agents, and hollow workers in this process. It grows the fleet in steps, measures each step, and at one size injects
+// failures one after the other. The run fails if the audit finds a violated rule.
 type Scale struct {
+	// Program is the path of the switchferry program.
 	Program string
 	Seed    uint64
-	// Sizes are the steps, in workers, ascending; CasesAt is the one at which Cases are played.
+	// Sizes are the steps in workers, ascending. CasesAt is the size at which Cases, the names of failures, are run.
 	Sizes   []int
 	CasesAt int
 	Cases   []string
-	// TasksPerWorker of the base load run for good; StartsPerS is how many tasks of arrays that come and go start a
-	// second at CasesAt workers, and in proportion at others.
+	// TasksPerWorker is the base load: tasks that run until the end, per worker. StartsPerS is the rate at which tasks of
+	// short arrays start at CasesAt workers, in tasks per second; at other sizes it is proportional.
 	TasksPerWorker float64
 	StartsPerS     float64
 	Teams, Agents  int
-	// StepS is how long a step is measured, WatchS how long a case is watched after its cause is over, CutS how long
-	// a rack or zone is lost, ApartS how long regions are apart, and OutageS how long the state service is out.
+	// StepS is how long a step is measured, WatchS how long a case is observed after its fault has ended, CutS how long
+	// a rack or zone is partitioned, ApartS how long the regions are partitioned from each other, and OutageS how long the
+	// state service is unavailable. All in seconds.
 	StepS, WatchS, CutS, ApartS, OutageS float64
-	// ChangesEveryS is how often the configuration is changed, in seconds; 0: never, and live configuration is off.
+	// ChangesEveryS is the interval between configuration changes in seconds; 0 means none, and disables live
+	// configuration.
 	ChangesEveryS float64
 	// Workers are the workers' settings.
 	Workers settings.Workers
-	// LogDir is where the controllers' logs go, LogLevel their level; empty: dropped.
+	// LogDir is the directory of the controllers' logs; empty means that they are discarded. LogLevel is their level.
 	LogDir, LogLevel string
-	Progress         func(format string, a ...any)
+	// Progress receives a line after each measurement. It must not be nil.
+	Progress func(format string, a ...any)
 }
 
-// ScaleDefaults are the steps and cases of docs/CAPACITY.md.
+// ScaleDefaults returns the steps and cases of docs/CAPACITY.md.
 func ScaleDefaults() *Scale {
 	return &Scale{Seed: 1, Sizes: []int{200, 400, 800, 1600, 2400}, CasesAt: 1600, Cases: ScaleCases(), TasksPerWorker: 22.5, StartsPerS: 97, Teams: 110, Agents: 8,
 		StepS: 20, WatchS: 15, CutS: 60, ApartS: 180, OutageS: 20, Workers: settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}, Progress: func(string, ...any) {}}
@@ -50,36 +54,47 @@
 
 // Bounds that the operators set for a run.
 const (
-	memoryShare      = 0.5
-	processesMost    = 100
-	bytesPerWorker   = 600 << 10
-	bytesForTheRest  = 1 << 30
-	teamsAtLimit     = 0.1
-	slotsPerWorker   = 28.0
-	urgentEvery      = 2 * time.Second
-	cancelledShare   = 50 // one array in so many
-	arrivalRunS      = 20.0
-	longRunS         = 3600.0
-	settleMost       = 2 * time.Minute
+	// memoryShare is the maximum share of the machine's memory that all processes may use.
+	memoryShare = 0.5
+	// processesMost is the maximum number of processes.
+	processesMost = 100
+	// bytesPerWorker is the estimated memory per hollow worker, bytesForTheRest that of everything else.
+	bytesPerWorker  = 600 << 10
+	bytesForTheRest = 1 << 30
+	// teamsAtLimit is the share of teams that use up their CPU limit.
+	teamsAtLimit = 0.1
+	// slotsPerWorker is the number of CPUs of a worker; each task uses one.
+	slotsPerWorker = 28.0
+	// urgentEvery is the interval between urgent jobs.
+	urgentEvery = 2 * time.Second
+	// cancelledShare: one short array in this many is cancelled.
+	cancelledShare = 50
+	// arrivalRunS is the run time of the tasks of short arrays, in seconds.
+	arrivalRunS = 20.0
+	// longRunS is the run time of the tasks of the base load, in seconds.
+	longRunS = 3600.0
+	// settleMost is how long to wait until the expected number of tasks is running.
+	settleMost = 2 * time.Minute
+	// controllerBackIn is the delay before a killed controller is restarted.
 	controllerBackIn = 3 * time.Second
 )
 
-// SteadyStep names the steps at which the load is in proportion to the size.
+// SteadyStep is the name of the steps at which the load is proportional to the fleet size.
 const SteadyStep = "steady"
 
-// scaleMeasured says where the figures come from.
+// scaleMeasured describes the origin of the figures.
 const scaleMeasured = "real processes over loopback on this machine; hollow workers, stand-ins of state service and cloud"
 
-// scaleZones are two regions of two zones; the state service and the cloud stand in the first region, as do two of
-// the three controllers.
+// scaleZones are two regions of two zones each. The state service, the cloud and two of the three controllers are in the
+// first region.
 var (
 	scaleZones      = []string{"a1", "a2", "b1", "b2"}
 	controllerZones = []string{"a1", "a2", "b1"}
 	secondRegion    = []string{"b1", "b2"}
 )
 
-// ProcessFigures are one process's while it was measured: processor time as a share of one core, mean of the span and
-// 99th percentile of its seconds, and the most that it held.
+// ProcessFigures holds one process's resource use during a measurement: its CPU time as a share of one core, as the mean and
+// as the 99th percentile of one-second samples, and the maxima of its memory, descriptors and threads.
 type ProcessFigures struct {
 	CPUMean     float64 `json:"cpu_mean"`
 	CPUP99      float64 `json:"cpu_p99"`
@@ -88,7 +103,7 @@
 	Threads     int     `json:"threads"`
 }
 
-// ScaleStep is one measured span.
+// ScaleStep holds the measurements of one period.
 type ScaleStep struct {
 	Name    string  `json:"name"`
 	Workers int     `json:"workers"`
@@ -96,12 +111,13 @@
 	Starts  float64 `json:"starts_per_s"`
 	Jobs    int     `json:"jobs_unfinished"`
 	Seconds float64 `json:"seconds"`
-	// Follower is the busier one. Agents is the mean agent's. Hollow is this process: workers, stand-ins and users.
+	// Follower is the busier follower. Agents is the mean over the agents. Hollow is this process, which contains the
+	// hollow workers, the stand-ins of the services and the users.
 	Leader   ProcessFigures `json:"leader"`
 	Follower ProcessFigures `json:"follower"`
 	Agents   ProcessFigures `json:"agent"`
 	Hollow   ProcessFigures `json:"this_process"`
-	// Traffic is per second, by kind; Writes are puts and deletes in the state service a second, by kind of key.
+	// Traffic is by kind of message. Writes are puts and deletes in the state service per second, by kind of key.
 	Traffic     map[string]Flow    `json:"traffic"`
 	Writes      map[string]float64 `json:"state_changes_per_s"`
 	Waits       map[string]Waits   `json:"start_waits"`
@@ -113,13 +129,13 @@
 	Changes     Changes            `json:"configuration_changes"`
 }
 
-// Flow is what went by in a second on average.
+// Flow is a mean rate of messages.
 type Flow struct {
 	Messages float64 `json:"messages_per_s"`
 	Bytes    float64 `json:"bytes_per_s"`
 }
 
-// Latency is of requests, in ms.
+// Latency is the distribution of the latency of requests, in milliseconds.
 type Latency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_ms"`
@@ -127,22 +143,22 @@
 	Most  int64 `json:"longest_ms"`
 }
 
-// ScaleResult is what the experiment prints.
+// ScaleResult is the result that the experiment prints.
 type ScaleResult struct {
 	Measured string      `json:"measured"`
 	Seed     uint64      `json:"seed"`
 	Steps    []ScaleStep `json:"steps"`
 	Cases    []ScaleCase `json:"cases"`
-	// Jobs are what one job of each shape writes.
+	// Jobs has the number of writes that one job of each shape causes.
 	Jobs []capacity.JobCost `json:"jobs"`
-	// Broken are the rules that were broken; Why the first cases. StateRefused and CloudRefused are requests over a
-	// stand-in's limit, by what was wrong.
+	// Broken counts violations by rule; Why describes the first ones. StateRefused counts the requests that the state
+	// service refused, by reason.
 	Broken       map[string]int `json:"rules_broken"`
 	Why          []string       `json:"why,omitempty"`
 	StateRefused map[string]int `json:"state_refused"`
 }
 
-// Record is what package capacity makes its fits of.
+// Record returns the measurements that package capacity fits its models to. command is the command line that produced them.
 func (r *ScaleResult) Record(command string) *capacity.Record {
 	out := &capacity.Record{Measured: r.Measured, Command: command, Jobs: r.Jobs}
 	for _, step := range r.Steps {
@@ -158,7 +174,7 @@
 	return out
 }
 
-// measurement is the step as package capacity fits it.
+// measurement converts the step to the form that package capacity fits.
 func (s *ScaleStep) measurement() capacity.Measurement {
 	workers := float64(s.Workers)
 	figures := map[string]float64{
@@ -189,7 +205,8 @@
 	return capacity.Measurement{Name: s.Name, Workers: workers, Tasks: float64(s.Tasks), Starts: s.Starts, Figures: figures}
 }
 
-// Run plays all steps and cases.
+// Run runs all steps and cases. It returns an error for invalid options and if a rule was violated; in the latter case the
+// result is valid too.
 func (x *Scale) Run(ctx context.Context) (*ScaleResult, error) {
 	if err := x.check(); err != nil {
 		return nil, err
@@ -212,7 +229,7 @@
 	return res, nil
 }
 
-// check refuses what this machine, or the operators' bounds, do not carry.
+// check returns an error if the options are invalid or exceed this machine's memory or the operators' bounds.
 func (x *Scale) check() error {
 	if len(x.Sizes) == 0 || !slices.IsSorted(x.Sizes) || x.Sizes[0] < 4 {
 		return fmt.Errorf("--sizes: must be numbers of workers from 4 on, ascending")
@@ -242,7 +259,7 @@
 	return nil
 }
 
-// scaleRun is a run under way.
+// scaleRun is a run in progress.
 type scaleRun struct {
 	*Scale
 	ctx     context.Context
@@ -250,15 +267,16 @@
 	audit   *cluster.Audit
 	users   *population
 	agents  []*cluster.Agent
-	// arrivals is how many tasks of short arrays the users submit a second.
+	// arrivals is the rate at which users submit tasks of short arrays, in tasks per second.
 	arrivals rateSwitch
+	// longJobs are the IDs of the jobs of the base load.
 	longJobs []string
 	returned returns
 	changer  *changer
 }
 
-// teams are so many, of which a tenth have a limit that they use up, the others one that they never reach; all but the
-// last, which has what nobody else needs, are guaranteed a part of the fleet.
+// teams returns Teams teams. The share teamsAtLimit of them, but at least one, has a CPU limit that its jobs use up; the
+// others never reach theirs. Each team is guaranteed a part of the fleet.
 func (x *Scale) teams() []settings.Team {
 	most := float64(x.Sizes[len(x.Sizes)-1])
 	var out []settings.Team
@@ -272,10 +290,10 @@
 	return out
 }
 
-// limitedCPUs is what each team that is at its limit may use.
+// limitedCPUs is the limit, in CPUs, of each team that uses up its limit.
 const limitedCPUs = 40
 
-// limited tells whether a team is one that is at its limit.
+// limited reports whether a team uses up its limit.
 func (x *Scale) limited(team int) bool { return team < max(1, int(teamsAtLimit*float64(x.Teams))) }
 
 func (x *Scale) facts() settings.Facts {
@@ -321,7 +339,7 @@
 		}
 	}
 	policy := filepath.Join(run.cluster.Dir(), "scale.policy")
-	// Rank low may fill the fleet, so that urgent work meets a full one.
+	// Without a reserve, jobs of rank low can fill the fleet, so that urgent jobs arrive at a full fleet.
 	if err := os.WriteFile(policy, []byte("reserve_cpus = 0\n"), 0o600); err != nil {
 		return err
 	}
@@ -346,12 +364,12 @@
 
 func (run *scaleRun) close() { run.cluster.Close() }
 
-// runs is how long a task runs: the job's estimate tells.
+// runs returns how long a task runs, which is the estimate of its job.
 func (run *scaleRun) runs(task string) time.Duration {
 	return run.audit.Estimate(task)
 }
 
-// steps grows the fleet, measures each size, and plays the cases at theirs.
+// steps grows the fleet, measures each size, and runs the cases at CasesAt.
 func (run *scaleRun) steps(res *ScaleResult) error {
 	workers, tasks := run.Sizes[0], 0
 	if err := run.writes(res); err != nil {
@@ -362,7 +380,7 @@
 			return err
 		}
 		if i > 0 {
-			// More workers than the tasks need: what a worker costs by itself.
+			// The number of tasks has not grown yet, so this measures the cost of a worker by itself.
 			if err := run.measured(res, "workers without more tasks", size); err != nil {
 				return err
 			}
@@ -394,7 +412,7 @@
 				return err
 			}
 		} else if len(run.Cases) > 0 {
-			// What a change of leader takes grows with the fleet.
+			// The cost of a change of leader grows with the fleet.
 			if err := run.playCase(res, ScaleLeader, size); err != nil {
 				return err
 			}
@@ -403,16 +421,16 @@
 	return nil
 }
 
-// arrivalsShare is how much of the room that the base load leaves arrays that come and go may take.
+// arrivalsShare is the maximum share of the capacity left by the base load that short arrays may use.
 const arrivalsShare = 0.6
 
-// mostArrivals is how many tasks may start a second without a backlog.
+// mostArrivals returns the maximum rate of short tasks that causes no backlog, in tasks per second.
 func (run *scaleRun) mostArrivals(workers int) float64 {
 	free := (slotsPerWorker - run.TasksPerWorker) * float64(workers)
 	return min(run.StartsPerS, arrivalsShare*free/arrivalRunS)
 }
 
-// measured measures a span of StepS and adds it to the result.
+// measured measures a period of StepS and adds it to the result.
 func (run *scaleRun) measured(res *ScaleResult, name string, workers int) error {
 	step, err := run.measure(name, workers, run.StepS)
 	if err != nil {
@@ -424,11 +442,11 @@
 	return nil
 }
 
-// settle waits until so many tasks run.
+// settle waits until the given number of tasks is running.
 func (run *scaleRun) settle(tasks int) error {
 	err := run.cluster.Until(settleMost, func() bool { return run.cluster.Running() >= tasks })
 	if err != nil {
-		return fmt.Errorf("%d of %d tasks run: %w", run.cluster.Running(), tasks, err)
+		return fmt.Errorf("only %d of %d tasks are running: %w", run.cluster.Running(), tasks, err)
 	}
 	return nil
 }
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -8,7 +8,7 @@
 	"switchferry/internal/cluster"
 )
 
-// Cases of Scale, in the order in which they are played.
+// Cases of Scale.
 const (
 	ScaleLeader     = "leader"
 	ScaleAll        = "all"
@@ -23,36 +23,37 @@
 	ScaleLeaderZone = "leader-zone"
 )
 
-// ScaleCases are the names of all cases.
+// ScaleCases returns the names of all cases in the order in which they are run.
 func ScaleCases() []string {
 	return []string{ScaleLeader, ScaleAll, ScaleRack, ScaleZone, ScaleOutage, ScaleRestarts, ScaleRegions, ScaleLeaderZone, ScaleFull, ScaleFullLead, ScaleFullRack}
 }
 
-// ScaleCase is what a fleet went through. Times count from the cause, in seconds; -1: it did not happen while it was
-// watched.
+// ScaleCase holds the measurements of one case. Times are in seconds since the fault began; -1 means that the event did not
+// happen while the fleet was observed.
 type ScaleCase struct {
 	Case string `json:"case"`
-	// FirstStart is the first start of a task by a new leader, HeardAll when every worker had been answered by it; both
-	// only after a change of leader.
+	// FirstStart is when a new leader first started a task, HeardAll when every worker had received an answer from it.
+	// Both are set only for faults that change the leader.
 	FirstStart float64 `json:"first_start_s"`
 	HeardAll   float64 `json:"heard_all_s"`
-	// Killed are tasks that a lease ended, Returned machines that were given back, and LostOn the tasks on these.
+	// Killed counts tasks that were killed because a lease expired, Returned the machines that were returned to the cloud,
+	// and LostOn the tasks that ran on them.
 	Killed   int `json:"killed_by_lease"`
 	Returned int `json:"machines_returned"`
 	LostOn   int `json:"tasks_on_returned"`
-	// Hit are the tasks that ran where the cause struck; RestartedHalf and RestartedMost are when half, and 95%, of those
-	// that were started again had been.
+	// Hit counts the tasks that ran on the affected machines, Restarted those of them that were started again.
+	// RestartedHalf and RestartedMost are the 50th and the 95th percentile of the times of these starts.
 	Hit           int     `json:"tasks_hit"`
 	Restarted     int     `json:"restarted"`
 	RestartedHalf float64 `json:"restarted_half_s"`
 	RestartedMost float64 `json:"restarted_95_s"`
-	// Whole is when as many tasks ran again as before.
+	// Whole is when about as many tasks were running as before the fault.
 	Whole float64 `json:"whole_again_s"`
-	// Step has the processes, waits and traffic from the cause until it was no longer watched.
+	// Step has the measurements from the beginning of the fault to the end of the observation.
 	Step ScaleStep `json:"figures"`
 }
 
-// playCases plays all cases, each once the fleet is whole again after the one before.
+// playCases runs all cases one after the other. Before the first case that needs a full fleet it fills the fleet.
 func (run *scaleRun) playCases(res *ScaleResult) error {
 	var filler []string
 	for _, name := range run.Cases {
@@ -60,7 +61,7 @@
 		if full && filler == nil {
 			filler = run.fill(run.CasesAt)
 			if err := run.settle(int(0.98 * slotsPerWorker * float64(run.CasesAt))); err != nil {
-				return fmt.Errorf("a full fleet: %w", err)
+				return fmt.Errorf("filling the fleet: %w", err)
 			}
 		}
 		if err := run.playCase(res, name, run.CasesAt); err != nil {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// playCase plays one case and adds it to the result.
+// playCase runs one case and adds it to the result.
 func (run *scaleRun) playCase(res *ScaleResult, name string, workers int) error {
 	c, err := run.strike(name, workers)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// counted is what has been lost so far.
+// counted holds the numbers of killed tasks, returned machines and tasks on these so far.
 type counted struct{ killed, machines, tasks int }
 
 func (run *scaleRun) losses() (c counted) {
@@ -98,7 +99,7 @@
 	return counted{c.killed + killed, machines, tasks}
 }
 
-// highestTerm is the highest token that any worker has seen.
+// highestTerm returns the highest term that any worker has seen.
 func (run *scaleRun) highestTerm() (term uint64) {
 	for _, w := range run.cluster.Workers() {
 		seen, _, _, _ := w.Seen()
@@ -107,7 +108,7 @@
 	return term
 }
 
-// strike plays one case and watches until the fleet is whole again, or for WatchS after the cause is over.
+// strike injects the fault of a case and observes the fleet until WatchS after the fault has ended.
 func (run *scaleRun) strike(name string, workers int) (*ScaleCase, error) {
 	if run.cluster.Leader() == nil {
 		return nil, fmt.Errorf("nobody leads")
@@ -140,10 +141,11 @@
 	return c, nil
 }
 
-// wholeShare is the percentage of the former tasks from which on the fleet counts as whole: as many as vary by arrivals.
+// wholeShare is the percentage of the former number of running tasks at which the fleet counts as recovered; arrivals
+// make the number vary by the rest.
 const wholeShare = 97
 
-// watch looks at the fleet five times a second.
+// watch observes the fleet five times a second until WatchS after the fault has ended.
 func (run *scaleRun) watch(c *ScaleCase, began time.Time, before int, term uint64, changesLeader bool, over <-chan time.Time) {
 	var ended time.Time
 	for run.cluster.Sleep(200 * time.Millisecond) {
@@ -167,7 +169,7 @@
 	}
 }
 
-// allSaw tells whether every worker has seen a higher term.
+// allSaw reports whether every worker has seen a higher term than the given one.
 func (run *scaleRun) allSaw(above uint64) bool {
 	for _, w := range run.cluster.Workers() {
 		if term, _, _, _ := w.Seen(); term <= above {
@@ -177,7 +179,8 @@
 	return true
 }
 
-// cause gives what strikes, and the machines that it strikes; run, it lasts until the cause is over.
+// cause returns the machines that a case's fault affects, a function that injects the fault and returns when it has ended,
+// and whether the fault changes the leader.
 func (run *scaleRun) cause(name string) (machines map[string]bool, cause func(), changesLeader bool) {
 	cut := func(zones []string) (map[string]bool, func(), bool) {
 		length := run.CutS
@@ -227,7 +230,7 @@
 	return nil, func() { run.cluster.Sleep(span(run.CutS / 2)) }, false
 }
 
-// in are the machines of some zones.
+// in returns the names of the machines in the given zones.
 func (run *scaleRun) in(zones []string) map[string]bool {
 	out := map[string]bool{}
 	for _, w := range run.cluster.Workers() {
@@ -240,13 +243,14 @@
 	return out
 }
 
-// rackShare is a rack's part of the fleet, restartShare that of the machines restarted in a minute.
 const (
-	rackShare    = 1.0 / 40
+	// rackShare is the share of the fleet that is in one rack.
+	rackShare = 1.0 / 40
+	// restartShare is the share of the fleet that ScaleRestarts restarts.
 	restartShare = 1.0 / 100
 )
 
-// loseRack has a rack's workers lose the network.
+// loseRack returns the fault that cuts the workers of one rack off the network.
 func (run *scaleRun) loseRack() (map[string]bool, func(), bool) {
 	rack := run.cluster.Workers()[:max(1, int(rackShare*float64(run.CasesAt)))]
 	machines := map[string]bool{}
@@ -265,7 +269,7 @@
 	}, false
 }
 
-// restartSome restarts workers one after the other, over a minute.
+// restartSome restarts some workers one after the other, spread over CutS.
 func (run *scaleRun) restartSome() {
 	some := run.cluster.Workers()[:max(1, int(restartShare*float64(run.CasesAt)))]
 	for _, w := range some {
@@ -274,7 +278,7 @@
 	}
 }
 
-// quantile of some times, in seconds; -1: there are none.
+// quantile returns the quantile q of times in seconds, or -1 if there are none.
 func quantile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return -1
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -13,25 +13,30 @@
 	"switchferry/api"
 )
 
-// Changes are how changes of the configuration went, in ms from the request to the word that it is in force.
+// Changes holds the latencies of configuration changes, in milliseconds from the request to the confirmation that the
+// change is in force.
 type Changes struct {
 	Latency
-	// Refused were not stored, or it was not known; the next one came two seconds later.
+	// Refused counts changes that were not stored or not confirmed to be in force in time.
 	Refused int `json:"refused"`
-	// Late came into force more than 4 s after they were asked for.
+	// Late counts changes that came into force more than 4 s after the request.
 	Late int `json:"over_4_s"`
 }
 
 const (
-	inForceMost  = 4 * time.Second
+	// inForceMost is the time after which a change counts as late.
+	inForceMost = 4 * time.Second
+	// inForceWatch is how long to wait for a change to come into force.
 	inForceWatch = 20 * time.Second
-	inForceLook  = 20 * time.Millisecond
+	// inForceLook is the interval between polls of the configuration.
+	inForceLook = 20 * time.Millisecond
 )
 
-// changer changes the teams' limits again and again.
+// changer periodically changes a team's limit in the configuration.
 type changer struct {
 	run *scaleRun
 
+	// mu guards the fields below.
 	mu            sync.Mutex
 	took          *hdrhistogram.Histogram
 	refused, late int
@@ -55,7 +60,7 @@
 	return Changes{Latency: latencyOf(c.took), Refused: c.refused, Late: c.late}
 }
 
-// loop makes a change every ChangesEveryS until the run is over.
+// loop makes a change every ChangesEveryS until the run ends.
 func (c *changer) loop() {
 	for number := 0; c.run.cluster.Sleep(span(c.run.ChangesEveryS)); number++ {
 		if began := time.Now(); c.change(number) {
@@ -74,7 +79,7 @@
 	}
 }
 
-// document has all teams as in the settings, but one whose limit changes each time.
+// document returns a configuration with all teams as in the settings, except that the last team's limit varies with number.
 func (c *changer) document(number int) string {
 	var text strings.Builder
 	for i, t := range c.run.teams() {
@@ -86,7 +91,8 @@
 	return text.String()
 }
 
-// change makes one change and waits until it is in force.
+// change makes one change and waits until it is in force. It returns false if the change was refused or did not come into
+// force in time.
 func (c *changer) change(number int) bool {
 	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), By: "scale", Why: fmt.Sprint(number)})
 	if err != nil {
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -9,9 +9,9 @@
 	"switchferry/internal/cluster"
 )
 
-// rateSwitch is a rate a second that may be changed while it is used.
+// rateSwitch is a rate per second that can be read and changed concurrently.
 type rateSwitch struct {
-	mu  sync.Mutex
+	mu  sync.Mutex // guards now
 	now float64
 }
 
@@ -27,10 +27,11 @@
 	return r.now
 }
 
-// returns counts the machines that controllers gave back, and the tasks that ran on them.
+// returns counts the machines that controllers returned to the cloud and the tasks that ran on them.
 type returns struct {
+	// mu guards the fields below.
 	mu sync.Mutex
-	// killed are tasks that leases had ended on them before.
+	// killed counts tasks that had been killed on these machines before because a lease expired.
 	machines, tasks, killed int
 }
 
@@ -49,7 +50,7 @@
 	return r.machines, r.tasks, r.killed
 }
 
-// longJobTasks is how many tasks an array of the base load has.
+// longJobTasks is the number of tasks of an array of the base load.
 const longJobTasks = 200
 
 func (run *scaleRun) job(team, tasks int, rank string, estimateS float64) api.Submission {
@@ -57,8 +58,9 @@
 		Image: "image", ImageGB: 0.1, Spot: true, EstimateS: estimateS}
 }
 
-// submitLong submits so many more tasks of the base load: what the limited teams may use, and more of theirs than
-// that, comes first, the rest from the other teams in turn.
+// submitLong submits jobs of the base load so that the given number of further tasks can run. The first call submits, for
+// each team that uses up its limit, one and a half times as many tasks as the limit allows; only those within the limit
+// count. The other teams submit the rest in turn.
 func (run *scaleRun) submitLong(tasks int) {
 	if len(run.longJobs) == 0 {
 		for team := range run.Teams {
@@ -76,7 +78,7 @@
 	}
 }
 
-// free is a team below its limit, and not the last, chosen by a number.
+// free returns one of the teams that do not reach their limit, except the last one; n selects it.
 func (run *scaleRun) free(n int) int {
 	first := 0
 	for run.limited(first) {
@@ -85,7 +87,7 @@
 	return first + n%max(1, run.Teams-1-first)
 }
 
-// fill submits work of rank low until the fleet has no room left, and some more.
+// fill submits more jobs of rank low than the remaining capacity of the fleet, and returns their IDs.
 func (run *scaleRun) fill(workers int) (ids []string) {
 	for left := int((slotsPerWorker-run.TasksPerWorker)*float64(workers)) + 10*workers/8; left > 0; left -= longJobTasks {
 		ids = append(ids, run.users.begin(run.ctx, run.job(run.Teams-1, longJobTasks, "low", longRunS), neverCancels))
@@ -93,7 +95,7 @@
 	return ids
 }
 
-// arrayTasks is how many tasks an array that comes and goes has: most are small, a few have hundreds.
+// arrayTasks draws the number of tasks of a short array: most are small, a few have hundreds of tasks.
 func (run *scaleRun) arrayTasks() int {
 	switch n := run.users.random(20); {
 	case n < 14:
@@ -104,7 +106,7 @@
 	return 400
 }
 
-// arrive has users submit short arrays at the present rate, and an urgent one every two seconds.
+// arrive submits short arrays at the current rate, and an urgent job every urgentEvery.
 func (run *scaleRun) arrive() {
 	const step = 100 * time.Millisecond
 	owed := 0.0
--- a/experiment/scale_measure.go
+++ b/experiment/scale_measure.go
@@ -10,7 +10,7 @@
 	"switchferry/internal/cluster"
 )
 
-// usages are one process's samples, one a second.
+// usages are the samples of one process, one per second.
 type usages []cluster.Usage
 
 func (u usages) figures(seconds float64) ProcessFigures {
@@ -32,7 +32,7 @@
 	return f
 }
 
-// recording samples all processes once a second until it is stopped.
+// recording samples all processes once per second until it is stopped.
 type recording struct {
 	run   *scaleRun
 	began time.Time
@@ -40,14 +40,16 @@
 	done  chan struct{}
 
 	controllers []usages
-	// pids are the controllers' last processes, former what those before them took.
-	pids     []int
-	former   []float64
-	agents   []usages
-	self     usages
-	traffic  map[string]cluster.Count
-	changes  map[string]int
-	starts   int
+	// pids are the controllers' latest processes; former is the CPU time of the processes before them, in seconds.
+	pids   []int
+	former []float64
+	agents []usages
+	self   usages
+	// traffic, changes and starts are the counts at the beginning of the recording.
+	traffic map[string]cluster.Count
+	changes map[string]int
+	starts  int
+	// tasks is the sum of the numbers of running tasks over n samples.
 	tasks, n int
 	err      error
 }
@@ -85,10 +87,10 @@
 		}
 		usage, err := cluster.Sample(pid)
 		if err != nil {
-			continue // it ended just now
+			continue // the process has just ended
 		}
 		if last := len(r.controllers[i]) - 1; last >= 0 && r.pids[i] != pid {
-			// Another process of the same controller: its time counts on from the former one's.
+			// The controller was restarted: add the CPU time of its former processes.
 			r.former[i] = r.controllers[i][last].CPUSeconds
 		}
 		r.pids[i] = pid
@@ -110,7 +112,8 @@
 	r.n++
 }
 
-// stop ends the recording and gives what was measured.
+// stop ends the recording and returns the measurements. It returns an error if the processes use more than memoryShare of
+// the machine's memory.
 func (r *recording) stop(name string, workers int) (*ScaleStep, error) {
 	close(r.quit)
 	<-r.done
@@ -157,7 +160,7 @@
 	return step, nil
 }
 
-// reportDelays prints the delays of a span's heartbeats.
+// reportDelays prints the heartbeat latencies since the last call.
 func (run *scaleRun) reportDelays(name string) {
 	delays := run.cluster.TakeDelays()
 	responses, overtaken := latencyOf(delays.Heartbeats), latencyOf(delays.Overtaken)
@@ -165,10 +168,10 @@
 		name, responses.Count, responses.P50, responses.P99, responses.Most, overtaken.Count, overtaken.P99, overtaken.Most)
 }
 
-// waitsFor is the age from which on a job without a start counts as one that waits.
+// waitsFor is the minimum age of the jobs that count in the start waits; younger ones may not have started yet.
 const waitsFor = 4 * time.Second
 
-// memory is what all processes held in the end.
+// memory returns the memory of all processes at the last sample, in bytes.
 func (r *recording) memory() (bytes float64) {
 	for _, u := range append(append([]usages{r.self}, r.controllers...), r.agents...) {
 		if len(u) > 0 {
@@ -194,7 +197,7 @@
 	return Latency{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Most: h.Max()}
 }
 
-// measure measures a span of so many seconds.
+// measure measures a period of the given length.
 func (run *scaleRun) measure(name string, workers int, seconds float64) (*ScaleStep, error) {
 	r := run.record()
 	if !run.cluster.Sleep(span(seconds)) {
@@ -203,7 +206,7 @@
 	return r.stop(name, workers)
 }
 
-// unfinished is how many accepted jobs are not over for their users.
+// unfinished returns the number of accepted jobs whose users have not been told a final state.
 func (run *scaleRun) unfinished() (n int) {
 	run.audit.Jobs(func(j *cluster.AuditedJob) {
 		if !j.Accepted.IsZero() && j.Told == "" {
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -12,8 +12,8 @@
 	"switchferry/settings"
 )
 
-// A small fleet on real processes, with real agents and changes of the configuration, comes through a crash of the
-// leader and the loss of a rack: no rule is broken, everything that must be counted is, and no process is left.
+// A small fleet with real processes, real agents and configuration changes survives a crash of the leader and the loss
+// of a rack: no rule is violated, all figures are recorded, and no process is left running.
 func TestScaleSmall(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "switchferry")
 	if out, err := exec.Command("go", "build", "-o", program, "../cmd/switchferry").CombinedOutput(); err != nil {
@@ -38,7 +38,7 @@
 		t.Errorf("%+v", s)
 	}
 	if out, err := exec.Command("pgrep", "-f", program).Output(); err == nil && len(out) > 0 {
-		t.Errorf("processes are left: %s", out)
+		t.Errorf("processes still running: %s", out)
 	}
 	if _, err := json.Marshal(res.Record("test")); err != nil {
 		t.Error(err)
--- a/experiment/scale_writes.go
+++ b/experiment/scale_writes.go
@@ -9,14 +9,14 @@
 	"switchferry/internal/cluster"
 )
 
-// Keys of records that a job has, by the first two parts; others change by time, whatever the jobs.
+// jobRecords are the key prefixes of the records that belong to a job. Records under other keys also change without jobs.
 var jobRecords = []string{"sf/j", "sf/t", "sf/f", "sf/in"}
 
-// writesMost is how long one job may take until its records are removed.
+// writesMost is the timeout for one job, from its submission to the removal of its records.
 const writesMost = time.Minute
 
-// writes submits one job of each shape to a fleet that has nothing else to do, and counts what it changes in the state
-// service from accept until its records are removed.
+// writes submits one job of each shape to an idle fleet and counts the changes in the state service from its acceptance to
+// the removal of its records.
 func (run *scaleRun) writes(res *ScaleResult) error {
 	service := run.job(run.free(0), 3, "prod", 0)
 	service.Shape = api.Service
@@ -34,7 +34,7 @@
 		{fmt.Sprintf("array of %d in a team with room for %d at once", atLimit.Tasks, limitedCPUs), atLimit, neverCancels},
 	} {
 		if shape.job.Tasks > 100*run.Sizes[0] {
-			continue // a small fleet would be at it for minutes
+			continue // would take minutes on a small fleet
 		}
 		before := run.cluster.State.Changes()
 		id := run.users.begin(run.ctx, shape.job, shape.cancel)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// filed tells whether a job was accepted and its records are removed.
+// filed reports whether a job was accepted and its records have been removed.
 func (run *scaleRun) filed(id string) (accepted bool) {
 	run.audit.Jobs(func(j *cluster.AuditedJob) {
 		if j.ID == id {
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -13,32 +13,49 @@
 
 // Strengths of faults.
 const (
-	slowUpTo        = 1200 * time.Millisecond
+	// slowUpTo is the maximum delay that SlowState adds to a request.
+	slowUpTo = 1200 * time.Millisecond
+	// lateAnswerShare is the share of answers that LateAnswers delays.
 	lateAnswerShare = 0.15
+	// lostAnswerShare is the share of answers to transactions that LostAnswers drops.
 	lostAnswerShare = 0.3
-	lateWriteShare  = 0.2
-	messageShare    = 0.25
-	workersMet      = 5  // one in so many
-	workersEnded    = 10 // one in so many
-	slowShare       = 0.5
-	failingShare    = 0.3
-	slowPeersUpTo   = 900 * time.Millisecond
-	// Within flapReplies after a cut of flapCut and a way open for flapOpen, a leader still counts as reachable.
-	flapCut          = 2500 * time.Millisecond
-	flapOpen         = 700 * time.Millisecond
-	flapReplies      = 1800 * time.Millisecond
-	seriesInterval   = 1500 * time.Millisecond
-	seriesDowntime   = 300 * time.Millisecond
+	// lateWriteShare is the share of transactions that LateWrites delays.
+	lateWriteShare = 0.2
+	// messageShare is the share of messages affected by LostHeartbeats, RepeatedHeartbeats and LateCommands.
+	messageShare = 0.25
+	// workersMet: one worker in this many is affected by a fault of workers.
+	workersMet = 5
+	// workersEnded: one worker in this many is ended by DyingWorkers or NoticedWorkers.
+	workersEnded = 10
+	// slowShare is the strength of SlowHeartbeats and SlowCommands.
+	slowShare = 0.5
+	// failingShare is the share of task starts that FailingStarts makes fail.
+	failingShare = 0.3
+	// slowPeersUpTo is the maximum delay that SlowPeers adds to a message.
+	slowPeersUpTo = 900 * time.Millisecond
+	// flapCut is how long FlappingPeers cuts both directions.
+	flapCut = 2500 * time.Millisecond
+	// flapOpen is how long FlappingPeers restores the connection between two cuts.
+	flapOpen = 700 * time.Millisecond
+	// flapReplies is how long FlappingPeers cuts the replies: short enough that, after flapCut and flapOpen, a leader still
+	// counts as reachable.
+	flapReplies = 1800 * time.Millisecond
+	// seriesInterval is the time between a restart of KillSeries and the next kill.
+	seriesInterval = 1500 * time.Millisecond
+	// seriesDowntime is how long a controller killed by KillSeries stays down.
+	seriesDowntime = 300 * time.Millisecond
+	// jobsOfCancelWave is the maximum number of jobs that CancelWave cancels.
 	jobsOfCancelWave = 12
 )
 
-// injector brings the faults of a schedule about. Faults that overlap add up.
+// injector injects the faults of a schedule. Overlapping faults are combined.
 type injector struct {
 	cluster *cluster.Cluster
 	program string
 	users   *users
 
-	// mu guards active, the faults under way with the controller that each meets.
+	// mu guards active, which has the current connection and message faults with the index of the controller that each
+	// affects.
 	mu     sync.Mutex
 	active map[*Fault]int
 }
@@ -47,7 +64,8 @@
 	return &injector{cluster: run, program: program, users: users, active: map[*Fault]int{}}
 }
 
-// play plays a schedule until all its faults are over or ctx ends; then everything is in order again.
+// play injects the faults of a schedule and returns when all have ended or ctx ends. All faults are removed by then, except
+// workers that were ended for good.
 func (in *injector) play(ctx context.Context, faults []Fault) {
 	began := time.Now()
 	var playing sync.WaitGroup
@@ -61,7 +79,7 @@
 	in.restore()
 }
 
-// restore ends whatever is wrong and starts the controllers that do not run.
+// restore removes all faults and starts the controllers that are not running.
 func (in *injector) restore() {
 	in.mu.Lock()
 	clear(in.active)
@@ -69,7 +87,7 @@
 	in.apply()
 	for _, controller := range in.cluster.Controllers {
 		controller.Resume()
-		_ = controller.Start(in.program) // It may run.
+		_ = controller.Start(in.program) // Fails if it is running.
 	}
 	for _, worker := range in.cluster.Workers() {
 		worker.LoseOneWay(false, false)
@@ -77,7 +95,7 @@
 	}
 }
 
-// playOne brings one fault about and ends it.
+// playOne injects one fault and removes it at its end.
 func (in *injector) playOne(ctx context.Context, fault *Fault) {
 	target := in.target(fault)
 	switch fault.Kind {
@@ -110,7 +128,7 @@
 	}
 }
 
-// target returns the number of the controller that a fault meets.
+// target returns the index of the controller that a fault affects. It is random for TheLeader if no controller leads.
 func (in *injector) target(fault *Fault) int {
 	if fault.Target != TheLeader {
 		return int(fault.Target)
@@ -121,18 +139,18 @@
 	return rand.IntN(len(in.cluster.Controllers))
 }
 
-// kill ends controllers and starts them again after a time.
+// kill kills controllers and restarts them after downtime.
 func (in *injector) kill(ctx context.Context, controllers []*cluster.Controller, downtime time.Duration) {
 	for _, controller := range controllers {
 		controller.Kill()
 	}
 	sleep.Real(ctx, downtime)
 	for _, controller := range controllers {
-		_ = controller.Start(in.program) // Another fault may have started it.
+		_ = controller.Start(in.program) // Fails if another fault has started it.
 	}
 }
 
-// killSeries ends one leader after the other.
+// killSeries kills one leader after the other.
 func (in *injector) killSeries(ctx context.Context, fault *Fault) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		in.kill(ctx, []*cluster.Controller{in.cluster.Controllers[in.target(&Fault{Target: TheLeader})]}, seriesDowntime)
@@ -140,14 +158,14 @@
 	}
 }
 
-// pickWorkers picks one worker in so many, at least one.
+// pickWorkers returns a random selection of at least one worker, about one in oneIn.
 func (in *injector) pickWorkers(oneIn int) []*cluster.Worker {
 	workers := in.cluster.Workers()
 	rand.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
 	return workers[:1+len(workers)/oneIn]
 }
 
-// meetWorkers has some workers lose messages, begin anew or hang.
+// meetWorkers makes some workers lose messages, restart or hang.
 func (in *injector) meetWorkers(ctx context.Context, fault *Fault) {
 	met := in.pickWorkers(workersMet)
 	for _, worker := range met {
@@ -167,7 +185,7 @@
 	}
 }
 
-// endWorkers ends some workers for good, with a notice or without.
+// endWorkers ends some workers for good, with or without a notice.
 func (in *injector) endWorkers(ctx context.Context, fault *Fault) {
 	ended := in.pickWorkers(workersEnded)
 	if fault.Kind == NoticedWorkers {
@@ -181,7 +199,7 @@
 	}
 }
 
-// flap cuts a controller off from its peers again and again, in both directions and then in that of its replies.
+// flap repeatedly cuts a controller off from its peers, alternately in both directions and only for its replies.
 func (in *injector) flap(ctx context.Context, fault *Fault, target int) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapReplies}} {
@@ -191,7 +209,7 @@
 	}
 }
 
-// hold keeps a fault of the ways between processes up while it lasts.
+// hold keeps a connection or message fault active for its duration.
 func (in *injector) hold(ctx context.Context, fault *Fault, target int) {
 	in.mu.Lock()
 	in.active[fault] = target
@@ -204,7 +222,7 @@
 	in.apply()
 }
 
-// apply sets the ways between processes to the sum of the faults under way.
+// apply sets the faults of connections and messages to the combination of the active faults.
 func (in *injector) apply() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -258,7 +276,7 @@
 	}
 }
 
-// addStateFault adds a fault that meets the ways of all controllers to the state service.
+// addStateFault adds a fault that affects the connections of all controllers to the state service.
 func addStateFault(faults *cluster.StateFaults, kind Kind) {
 	switch kind {
 	case SlowState:
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -12,63 +12,74 @@
 // Kind is a kind of fault.
 type Kind string
 
-// Kinds of faults. Those of a controller meet the fault's target.
+// Kinds of faults. Faults of a single controller affect the fault's target.
 const (
-	// Kill ends a controller, which starts again when the fault ends.
+	// Kill kills a controller and restarts it when the fault ends.
 	Kill Kind = "kill"
-	// KillSeries ends the leader, and its successors, one after the other.
+	// KillSeries kills the leader and its successors one after the other.
 	KillSeries Kind = "kill-series"
-	// KillAll ends all controllers.
+	// KillAll kills all controllers and restarts them when the fault ends.
 	KillAll Kind = "kill-all"
-	// Pause suspends a controller while its clocks run on.
+	// Pause suspends a controller's process while the clocks advance.
 	Pause Kind = "pause"
-	// CutFromState, CutFromPeers and CutFromBoth hold up what a controller sends to the state service and to its peers.
+	// CutFromState blocks what a controller sends to the state service.
 	CutFromState Kind = "cut-from-state"
+	// CutFromPeers cuts the connections between a controller and its peers in both directions.
 	CutFromPeers Kind = "cut-from-peers"
-	CutFromBoth  Kind = "cut-from-both"
-	// Refused has the state service refuse a controller; RefusedThenOutage has it refuse all of them from half of the time on.
-	Refused           Kind = "refused"
+	// CutFromBoth combines CutFromState and CutFromPeers.
+	CutFromBoth Kind = "cut-from-both"
+	// Refused makes the state service refuse the requests of one controller.
+	Refused Kind = "refused"
+	// RefusedThenOutage is Refused for the first half of its duration and Outage for the second half.
 	RefusedThenOutage Kind = "refused-then-outage"
-	// Outage has the state service refuse all.
+	// Outage makes the state service refuse all requests.
 	Outage Kind = "outage"
-	// SlowState delays all that the state service is asked, and LateAnswers some answers; LostAnswers loses those to transactions, and LateWrites executes these
-	// later.
-	SlowState   Kind = "slow-state"
+	// SlowState delays all requests to the state service.
+	SlowState Kind = "slow-state"
+	// LateAnswers delays some answers of the state service.
 	LateAnswers Kind = "late-answers"
+	// LostAnswers drops some of the state service's answers to transactions.
 	LostAnswers Kind = "lost-answers"
-	LateWrites  Kind = "late-writes"
-	// LostHeartbeats, RepeatedHeartbeats and LateCommands meet a share of the messages of all workers.
-	LostHeartbeats     Kind = "lost-heartbeats"
+	// LateWrites makes the state service execute some transactions late.
+	LateWrites Kind = "late-writes"
+	// LostHeartbeats drops a share of the heartbeats of all workers.
+	LostHeartbeats Kind = "lost-heartbeats"
+	// RepeatedHeartbeats repeats a share of the heartbeats of all workers.
 	RepeatedHeartbeats Kind = "repeated-heartbeats"
-	LateCommands       Kind = "late-commands"
-	// DeafWorkers receive nothing, and of MuteWorkers nothing is received; RestartedWorkers lose their tasks, and HungWorkers
-	// do nothing until the fault ends. They meet a fifth of the workers.
-	DeafWorkers      Kind = "deaf-workers"
-	MuteWorkers      Kind = "mute-workers"
+	// LateCommands delays a share of the commands to all workers.
+	LateCommands Kind = "late-commands"
+	// DeafWorkers makes a fifth of the workers receive nothing.
+	DeafWorkers Kind = "deaf-workers"
+	// MuteWorkers drops all messages from a fifth of the workers.
+	MuteWorkers Kind = "mute-workers"
+	// RestartedWorkers restarts a fifth of the workers, which lose their tasks.
 	RestartedWorkers Kind = "restarted-workers"
-	HungWorkers      Kind = "hung-workers"
-	// DyingWorkers end for good, and NoticedWorkers once their notice is over; both meet one in ten.
-	DyingWorkers   Kind = "dying-workers"
+	// HungWorkers makes a fifth of the workers hang until the fault ends.
+	HungWorkers Kind = "hung-workers"
+	// DyingWorkers ends a tenth of the workers for good, without notice.
+	DyingWorkers Kind = "dying-workers"
+	// NoticedWorkers ends a tenth of the workers for good, with a notice as long as the fault.
 	NoticedWorkers Kind = "noticed-workers"
-	// SlowHeartbeats are slow in both directions while direct commands are quick, and SlowCommands the reverse.
+	// SlowHeartbeats slows heartbeats in both directions while direct commands stay fast.
 	SlowHeartbeats Kind = "slow-heartbeats"
-	SlowCommands   Kind = "slow-commands"
-	// FailingStarts has a share of all starts fail or be refused at once.
+	// SlowCommands slows direct commands while heartbeats stay fast.
+	SlowCommands Kind = "slow-commands"
+	// FailingStarts makes a share of all task starts fail or be refused at once.
 	FailingStarts Kind = "failing-starts"
-	// SlowPeers delays what controllers send each other. FlappingPeers cuts a controller off from its peers again and again, at
-	// first in both directions and then in that of its replies alone.
-	SlowPeers     Kind = "slow-peers"
+	// SlowPeers delays the messages between controllers.
+	SlowPeers Kind = "slow-peers"
+	// FlappingPeers repeatedly cuts a controller off from its peers, alternately in both directions and only for its replies.
 	FlappingPeers Kind = "flapping-peers"
-	// cutReplies, a phase of FlappingPeers, holds up what a controller sends to its peers. It is not played by itself.
+	// cutReplies, a phase of FlappingPeers, blocks what a controller sends to its peers. It never occurs by itself.
 	cutReplies Kind = "cut-replies"
-	// CancelWave has the users of many jobs cancel them at once.
+	// CancelWave makes the users of many jobs cancel them at once.
 	CancelWave Kind = "cancel-wave"
 )
 
-// span is the shortest and the longest time that a fault lasts.
+// span is the range of a fault's duration.
 type span struct{ shortest, longest time.Duration }
 
-// durations are how long faults of each kind last.
+// durations has the range of durations for each kind of fault.
 var durations = map[Kind]span{
 	Kill:               {50 * time.Millisecond, 3 * time.Second},
 	KillSeries:         {4 * time.Second, 8 * time.Second},
@@ -101,7 +112,7 @@
 	CancelWave:         {200 * time.Millisecond, 400 * time.Millisecond},
 }
 
-// Kinds returns all kinds of faults.
+// Kinds returns all kinds of faults that can be scheduled, sorted.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(durations))
 	for kind := range durations {
@@ -111,23 +122,23 @@
 	return kinds
 }
 
-// Target is the controller that a fault meets.
+// Target is the controller that a fault affects: TheLeader or an index in cluster.Controllers.
 type Target int
 
-// TheLeader is the controller that leads when the fault begins. Other targets are the controllers' numbers.
+// TheLeader is the controller that leads when the fault begins.
 const TheLeader Target = -1
 
-// Fault is one fault of a schedule. At is when it begins, counted from the beginning of the run.
+// Fault is one fault of a schedule. It begins at At, counted from the beginning of the run, and lasts For.
 type Fault struct {
 	Kind    Kind
 	At, For time.Duration
 	Target  Target
 }
 
-// End is when the fault ends.
+// End returns when the fault ends, counted from the beginning of the run.
 func (f Fault) End() time.Duration { return f.At + f.For }
 
-// String returns the fault as it is printed.
+// String returns the kind, target, start and duration of the fault.
 func (f Fault) String() string {
 	target := fmt.Sprintf("n%d", f.Target)
 	if f.Target == TheLeader {
@@ -137,22 +148,24 @@
 }
 
 const (
-	// faultInterval is the mean time between the beginnings of two faults. Faults last some four seconds, so that two or three
+	// faultInterval is the mean time between the beginnings of two faults. Faults last about four seconds, so two or three
 	// overlap.
 	faultInterval = 1500 * time.Millisecond
-	// quietStart is how long a run goes on before its first fault.
+	// quietStart is the time from the beginning of a run to its first fault.
 	quietStart = time.Second
-	// leaderShare is the share of faults of a controller that meet the leader.
+	// leaderShare is the probability that a fault targets the leader rather than a random controller.
 	leaderShare = 0.6
 )
 
-// opening are faults with which each run begins, if their kinds are played: starts cross with exits and stops then.
+// opening are the kinds of faults that every run begins with, if they are enabled. They make start commands cross with exit
+// reports and stop commands.
 var opening = []Kind{SlowHeartbeats, FailingStarts}
 
-// openingFor is how long the opening lasts.
+// openingFor is the duration of the opening faults.
 const openingFor = 6 * time.Second
 
-// Draw draws the schedule of a run from some kinds of faults, after the opening: all begin and end within the duration.
+// Draw returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given kinds. All begin
+// and end within the duration.
 func Draw(seed uint64, kinds []Kind, controllers int, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var faults []Fault
@@ -176,7 +189,7 @@
 	return faults
 }
 
-// describe lists faults in one line.
+// describe returns the faults as one line of text.
 func describe(faults []Fault) string {
 	texts := make([]string, len(faults))
 	for i, fault := range faults {
--- a/experiment/soak/schedule_test.go
+++ b/experiment/soak/schedule_test.go
@@ -9,10 +9,10 @@
 func TestScheduleFollowsFromTheSeed(t *testing.T) {
 	const duration = 30 * time.Second
 	if !slices.Equal(Draw(7, Kinds(), controllers, duration), Draw(7, Kinds(), controllers, duration)) {
-		t.Error("one seed draws two schedules")
+		t.Error("the same seed gave different schedules")
 	}
 	if slices.Equal(Draw(7, Kinds(), controllers, duration), Draw(8, Kinds(), controllers, duration)) {
-		t.Error("two seeds draw one schedule")
+		t.Error("different seeds gave the same schedule")
 	}
 }
 
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak plays random faults against real controllers over loopback, with the project's stand-ins of the state service,
-// the cloud and the workers, while users submit, ask, repeat and cancel at all controllers. Whether the protocol's rules hold
-// is checked from outside, by what users are answered and what workers do (cluster.Audit).
+// Package soak injects random faults into a cluster of real controllers over loopback, with stand-ins of the state service, the
+// cloud and the workers, while users submit, poll, resubmit and cancel jobs at all controllers. cluster.Audit checks the
+// protocol's rules from outside, by the answers that users receive and the actions of workers.
 //
-// One seed draws a run's whole schedule. Real processes do not repeat exactly, so a run that broke a rule keeps its logs.
+// A run's whole schedule is derived from one seed. Real processes are not deterministic, so the logs of a failed run are kept.
 package soak
 
 import (
@@ -24,56 +24,62 @@
 	"switchferry/settings"
 )
 
-// teamName is the only team.
+// teamName is the name of the only team.
 const teamName = "team"
 
 // Limits of a run.
 const (
-	// limitPerWorker is the team's limit in processors for each worker of eight: nearly all of them.
+	// limitPerWorker is the team's CPU limit per worker; a worker has eight CPUs.
 	limitPerWorker = 7
-	controllers    = 3
-	mostWorkers    = 1000
-	mostSeeds      = 1000
-	// settleLimit is how long a run goes on after its faults while jobs are not over. A job about which nothing was to be
-	// learnt for forgottenAfter counts as forgotten.
-	settleLimit    = 85 * time.Second
+	// controllers is the number of controllers.
+	controllers = 3
+	// mostWorkers and mostSeeds are the maxima of Options.Workers and Options.Seeds.
+	mostWorkers = 1000
+	mostSeeds   = 1000
+	// settleLimit is how long a run waits after its faults for unfinished jobs.
+	settleLimit = 85 * time.Second
+	// forgottenAfter is the time without an answer about a job after which it counts as forgotten.
 	forgottenAfter = 75 * time.Second
-	// A run in which fewer questions were answered for each second, fewer terms began or no start crossed with anything shows
-	// nothing.
+	// leastAnswersPerS is the minimum rate of answered questions, and leastTerms the minimum number of terms, of a conclusive
+	// run.
 	leastAnswersPerS = 5
 	leastTerms       = 2
-	settleLook       = 250 * time.Millisecond
-	sweepEvery       = time.Second
-	readyLimit       = 20 * time.Second
+	// settleLook is the interval at which a run checks for unfinished jobs.
+	settleLook = 250 * time.Millisecond
+	// sweepEvery is the interval between sweeps of the audit.
+	sweepEvery = time.Second
+	// readyLimit is how long to wait for the first leader.
+	readyLimit = 20 * time.Second
 )
 
-// Options say what is played.
+// Options are the parameters of a soak test.
 type Options struct {
-	// Program is the program whose `serve` is run.
+	// Program is the path of the switchferry program; its command `serve` runs the controllers.
 	Program string
-	// First is the first seed, and Seeds how many there are.
+	// First is the first seed, Seeds the number of consecutive seeds.
 	First uint64
 	Seeds int
-	// Workers is how many machines there are from the beginning, and ForS how long faults are played, in seconds.
+	// Workers is the initial number of workers. ForS is how long faults are injected, in seconds.
 	Workers int
 	ForS    float64
-	// Kinds are the kinds of faults that are played; none: all.
+	// Kinds are the kinds of faults to inject; empty means all.
 	Kinds []string
-	// AtOnce is how many runs are played at the same time.
+	// AtOnce is the maximum number of concurrent runs.
 	AtOnce int
-	// LogDir is where the logs of runs that broke something are kept; empty: a directory of its own.
+	// LogDir is the directory that keeps the logs of failed runs; empty means a new temporary directory.
 	LogDir string
-	// LogLevel is the controllers'.
+	// LogLevel is the controllers' log level.
 	LogLevel string
+	// Progress receives the schedule and the outcome of each run. It must not be nil.
 	Progress func(format string, args ...any)
 }
 
-// Defaults are ten short runs of a small fleet.
+// Defaults returns options for ten short runs of a small fleet.
 func Defaults() *Options {
 	return &Options{First: 1, Seeds: 10, Workers: 12, ForS: 30, AtOnce: 2, LogLevel: "info", Progress: func(string, ...any) {}}
 }
 
-// Errors of the options, which say what a user has to change.
+// Errors returned by Options.Check; each names the option to correct.
 var (
 	ErrSeeds   = fmt.Errorf("--seeds: from 1 to %d", mostSeeds)
 	ErrWorkers = fmt.Errorf("--workers: from 1 to %d", mostWorkers)
@@ -83,7 +89,7 @@
 	ErrProgram = errors.New("--program: no such program")
 )
 
-// Check returns what is wrong with the options.
+// Check returns an error that wraps one of the errors above if an option is invalid.
 func (o *Options) Check() error {
 	switch {
 	case o.Seeds < 1 || o.Seeds > mostSeeds:
@@ -113,44 +119,47 @@
 	Seconds  float64        `json:"seconds"`
 	Schedule []string       `json:"schedule"`
 	Faults   map[string]int `json:"faults"`
-	// Questions were asked, Answers came, and Crossed are those that a newer one overtook.
+	// Questions counts the requests of users and Answers the answers to them. Crossed counts the answers that were overtaken
+	// by a newer one.
 	Questions int `json:"questions"`
 	Answers   int `json:"answers"`
 	Crossed   int `json:"crossed"`
-	// Told are jobs of which a user was told the end, Starts tasks that were started, Terms those of leaders.
+	// Told counts the jobs whose final state a user was told, Starts the task starts, and Terms the leaders' terms.
 	Told   int `json:"told"`
 	Starts int `json:"starts"`
 	Terms  int `json:"terms"`
-	// Crossings are starts that reached a worker in vain. Releases are the proofs on which allocations were released, and how
-	// often messages about an attempt crossed, as far as the leaders' logs count them.
+	// Crossings counts start commands that had no effect because they crossed with another message. Releases counts, from the
+	// leaders' logs, the released allocations by the proof that allowed it, and the messages about an attempt that crossed.
 	Crossings cluster.CrossedStarts `json:"crossings"`
 	Releases  map[string]int        `json:"releases"`
-	// Unfinished are accepted jobs that were not over when the run ended.
+	// Unfinished counts the accepted jobs that had not ended when the run ended.
 	Unfinished int `json:"unfinished"`
-	// EndedByThemselves are controllers whose last process ended although nothing ended it.
+	// EndedByThemselves counts the controllers whose last process exited without being killed.
 	EndedByThemselves int `json:"ended_by_themselves"`
-	// Contradictions are those that the controllers reported of themselves.
-	Contradictions int            `json:"contradictions"`
-	Broken         map[string]int `json:"broken"`
-	Why            []string       `json:"why"`
-	// Vacuous is why the run shows nothing; empty if it does.
+	// Contradictions counts the invariant violations that the controllers logged.
+	Contradictions int `json:"contradictions"`
+	// Broken counts violations by rule; Why describes the first ones.
+	Broken map[string]int `json:"broken"`
+	Why    []string       `json:"why"`
+	// Vacuous is the reason why the run is inconclusive; empty if it is not.
 	Vacuous string `json:"vacuous,omitempty"`
-	// Logs is where the controllers' logs are, if they were kept.
+	// Logs is the directory of the controllers' logs, if they were kept.
 	Logs string `json:"logs,omitempty"`
 }
 
-// Failed reports whether a rule was broken, or a controller contradicted itself or ended by itself.
+// Failed reports whether a rule was violated, a controller logged an invariant violation, or a controller exited without being
+// killed.
 func (r *Run) Failed() bool {
 	return len(r.Broken) > 0 || r.Contradictions > 0 || r.EndedByThemselves > 0
 }
 
-// Result is what the experiment prints.
+// Result is the result that the experiment prints.
 type Result struct {
 	Measured string `json:"measured"`
 	Runs     []*Run `json:"runs"`
 }
 
-// Failed returns the runs that broke something.
+// Failed returns the failed runs.
 func (r *Result) Failed() (failed []*Run) {
 	for _, run := range r.Runs {
 		if run.Failed() {
@@ -160,13 +169,14 @@
 	return failed
 }
 
-// Play plays all seeds. Everything that it started is gone when it returns.
+// Play runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid options, if a
+// run cannot be set up, or if ctx ends; the result then has the runs that were completed.
 func (o *Options) Play(ctx context.Context) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
 	if err := o.makeLogDir(); err != nil {
-		return nil, fmt.Errorf("making a directory for logs: %w", err)
+		return nil, fmt.Errorf("creating log directory: %w", err)
 	}
 	runs := make([]*Run, o.Seeds)
 	errs := make([]error, o.Seeds)
@@ -186,7 +196,7 @@
 	return result, errors.Join(append(errs, ctx.Err())...)
 }
 
-// makeLogDir makes the directory for logs, a new one if none is named.
+// makeLogDir creates LogDir, or a temporary directory if it is empty.
 func (o *Options) makeLogDir() (err error) {
 	if o.LogDir == "" {
 		o.LogDir, err = os.MkdirTemp("", "soak")
@@ -195,12 +205,12 @@
 	return os.MkdirAll(o.LogDir, 0o750)
 }
 
-// play plays one seed.
+// play runs one seed.
 func (o *Options) play(ctx context.Context, seed uint64) (*Run, error) {
-	// Logs of an earlier run of the seed are another run's.
+	// A new directory keeps the logs apart from those of an earlier run of the same seed.
 	logs, err := os.MkdirTemp(o.LogDir, fmt.Sprintf("seed-%d-", seed))
 	if err != nil {
-		return nil, fmt.Errorf("making a directory for logs: %w", err)
+		return nil, fmt.Errorf("creating log directory: %w", err)
 	}
 	facts := o.facts()
 	audit := cluster.NewAudit(facts.Teams, facts.Workers)
@@ -234,7 +244,7 @@
 	return run, ctx.Err()
 }
 
-// kinds are the kinds of faults that are played.
+// kinds returns the kinds of faults to inject.
 func (o *Options) kinds() []Kind {
 	if len(o.Kinds) == 0 {
 		return Kinds()
@@ -246,7 +256,7 @@
 	return kinds
 }
 
-// facts are what the platform tells the controllers of a run. Limits grow with the fleet.
+// facts returns the platform facts for the controllers of a run. The limits of the state service grow with the fleet.
 func (o *Options) facts() settings.Facts {
 	const smallFleet = 50
 	scale := max(1, float64(o.Workers)/smallFleet)
@@ -260,7 +270,7 @@
 	}
 }
 
-// clusterOptions are those of the cluster of a run.
+// clusterOptions returns the options of the cluster of a run.
 func (o *Options) clusterOptions(facts settings.Facts, logs string, audit *cluster.Audit) cluster.Options {
 	machine := api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 2, Price: 1, SpotPrice: 0.5, Zones: facts.Zones}
 	return cluster.Options{
@@ -285,8 +295,8 @@
 	return nil
 }
 
-// playFaults has users at work while the faults are played, and afterwards until their jobs are over. It returns how many are
-// not.
+// playFaults runs the users while the faults are injected, and afterwards until all jobs have ended or settleLimit has passed.
+// It returns the number of unfinished jobs.
 func (o *Options) playFaults(ctx context.Context, running *cluster.Cluster, audit *cluster.Audit, faults []Fault, duration time.Duration) int {
 	users := newUsers(running, audit)
 	settled, stop := context.WithCancel(ctx)
@@ -306,7 +316,7 @@
 	newInjector(running, o.Program, users).play(ctx, faults)
 	<-coming.Done()
 	for end := time.Now().Add(settleLimit); users.unfinished() > 0 && time.Now().Before(end) && sleep.Real(ctx, settleLook); {
-		// Users go on asking.
+		// Users keep polling.
 	}
 	if ctx.Err() == nil {
 		reportUnanswered(audit)
@@ -318,7 +328,7 @@
 	return unfinished
 }
 
-// reportUnanswered has the audit count the jobs about which nothing was to be learnt for too long.
+// reportUnanswered reports to the audit the accepted jobs about which no controller has answered for forgottenAfter.
 func reportUnanswered(audit *cluster.Audit) {
 	silent := map[string]time.Duration{}
 	audit.Jobs(func(job *cluster.AuditedJob) {
@@ -331,7 +341,7 @@
 	}
 }
 
-// judge fills in what the audit and the logs say of a run, and removes the logs unless something broke.
+// judge fills in the findings of the audit and of the logs, and removes the logs unless the run failed.
 func (o *Options) judge(run *Run, audit *cluster.Audit, logs string) {
 	counts := audit.Counts()
 	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Questions, counts.Answers, counts.Crossed, counts.Told, audit.Starts()
@@ -349,7 +359,7 @@
 	if run.Failed() {
 		run.Logs = logs
 	} else {
-		_ = os.RemoveAll(logs) // Nothing in them is missed.
+		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
 	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d ends told, %d starts, %d terms, %d crossed starts, %d unfinished, %d ended by themselves, %d contradictions, broken %v %s", run.Seed, run.Seconds,
 		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.EndedByThemselves, run.Contradictions, run.Broken, run.Vacuous)
@@ -358,10 +368,10 @@
 	}
 }
 
-// releasesLine is what a term logs of the allocations that it has released.
+// releasesLine marks the log lines with a term's counts of released allocations so far.
 const releasesLine = `msg="attempts released"`
 
-// readLogs returns the texts of all logs in a directory. One that cannot be read is left out.
+// readLogs returns the contents of all logs in a directory, except those that cannot be read.
 func readLogs(directory string) (texts []string) {
 	files, _ := filepath.Glob(filepath.Join(directory, "*.log")) // The pattern is well-formed.
 	for _, file := range files {
@@ -372,7 +382,7 @@
 	return texts
 }
 
-// countReleases sums up what the terms in all logs have counted last.
+// countReleases returns the sum of the last counts of each term.
 func countReleases(logs []string) map[string]int {
 	newest := map[string]string{}
 	for _, text := range logs {
@@ -390,10 +400,10 @@
 	return counts
 }
 
-// attributePattern matches an attribute of a log line whose value is a number.
+// attributePattern matches a log attribute with a numeric value.
 var attributePattern = regexp.MustCompile(`("[^"]+"|[a-z_]+)=(\d+)`)
 
-// addCounts adds up the numbers among a log line's attributes, by name.
+// addCounts adds the numeric attributes of a log line to counts, by name.
 func addCounts(counts map[string]int, attributes string) {
 	for _, match := range attributePattern.FindAllStringSubmatch(attributes, -1) {
 		if count, err := strconv.Atoi(match[2]); err == nil {
@@ -402,7 +412,7 @@
 	}
 }
 
-// countContradictions counts the contradictions that controllers have logged.
+// countContradictions counts the invariant violations that the controllers logged.
 func countContradictions(logs []string) (count int) {
 	for _, text := range logs {
 		count += strings.Count(text, "invariant violated")
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// buildProgram builds the program of this repository.
+// buildProgram builds the switchferry program and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "switchferry")
@@ -22,10 +22,11 @@
 	return program
 }
 
-// Random faults with fixed seeds on real processes break no rule, no controller contradicts itself, and no process is left.
+// Random faults with fixed seeds on real processes violate no rule, no controller logs an invariant violation, and no process is
+// left running.
 func TestRandomFaultsBreakNoRule(t *testing.T) {
 	if raceDetector {
-		t.Skip("the processes are built without the race detector, so it would see the same run again")
+		t.Skip("the controllers are built without the race detector, so the run would be the same as without it")
 	}
 	options := Defaults()
 	options.Program, options.Seeds, options.ForS, options.AtOnce, options.LogDir = buildProgram(t), 6, 20, 3, t.TempDir()
@@ -43,11 +44,11 @@
 		}
 	}
 	if out, err := exec.CommandContext(t.Context(), "pgrep", "-f", options.Program).Output(); err == nil && len(out) > 0 {
-		t.Errorf("processes are left: %s", out)
+		t.Errorf("processes still running: %s", out)
 	}
 }
 
-// printLogs prints the end of each log of a run that broke something, as a test's directory does not outlive it.
+// printLogs prints the end of each log of a failed run, because a test's directory is removed with it.
 func printLogs(t *testing.T, directory string) {
 	t.Helper()
 	const mostBytes = 20_000
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -14,38 +14,54 @@
 	"switchferry/internal/sleep"
 )
 
-// What users do.
+// Behavior of users.
 const (
-	pollPatience   = 2 * time.Second
-	callPatience   = 5 * time.Second
-	retryPause     = 200 * time.Millisecond
-	longestPoll    = 900 * time.Millisecond
-	longestPause   = 1500 * time.Millisecond
-	revisitPause   = 60 * time.Millisecond
+	// pollPatience is the timeout of a poll, callPatience that of any other request.
+	pollPatience = 2 * time.Second
+	callPatience = 5 * time.Second
+	// retryPause is the delay before a request is retried, and the minimum interval between polls.
+	retryPause = 200 * time.Millisecond
+	// longestPoll is the maximum random addition to the interval between polls.
+	longestPoll = 900 * time.Millisecond
+	// longestPause is the maximum pause of a user between submissions.
+	longestPause = 1500 * time.Millisecond
+	// revisitPause is the interval between requests about jobs that have ended.
+	revisitPause = 60 * time.Millisecond
+	// invalidIDStart is the lowest number in the IDs of jobs that do not exist.
 	invalidIDStart = 900_000
-	// pipelineShare of the submissions are the first job of a pipeline, closeLookShare of the events in a job's life are
-	// followed by a question to each controller at once, and atOnceShare and laterShare of the jobs are cancelled.
-	pipelineShare   = 0.3
-	closeLookShare  = 0.4
-	atOnceShare     = 0.2
-	laterShare      = 0.2
-	serviceShare    = 0.1
-	unknownShare    = 0.05
+	// pipelineShare is the share of submissions that start a pipeline.
+	pipelineShare = 0.3
+	// closeLookShare is the share of events in a job's life after which all controllers are asked about it at once.
+	closeLookShare = 0.4
+	// atOnceShare is the share of jobs that are cancelled immediately, and the share whose tasks are very short.
+	atOnceShare = 0.2
+	// laterShare is the share of jobs that are cancelled after some time.
+	laterShare = 0.2
+	// serviceShare is the share of services among the jobs that await no other job.
+	serviceShare = 0.1
+	// unknownShare is the share of requests of revisit that are about jobs that do not exist.
+	unknownShare = 0.05
+	// longestPipeline is the maximum number of jobs in a pipeline.
 	longestPipeline = 3
-	mostTasks       = 5
-	mostCPUs        = 3
-	shortestTask    = 0.01
+	// mostTasks is the maximum number of tasks of a job.
+	mostTasks = 5
+	// mostCPUs is the maximum number of CPUs of a task.
+	mostCPUs = 3
+	// shortestTask is the run time of very short tasks, in seconds.
+	shortestTask = 0.01
 )
 
-// users submit jobs, ask about them at all controllers, repeat their submissions and cancel some. What they are answered goes
-// to the audit.
+// users simulates users, who submit jobs, ask about them at all controllers, resubmit them and cancel some. All answers are
+// passed to the audit.
 type users struct {
 	cluster *cluster.Cluster
 	audit   *cluster.Audit
 
-	// mu guards the fields below: how many jobs there were, those that go on, and those that are over.
-	mu      sync.Mutex
-	jobs    int
+	// mu guards the fields below.
+	mu sync.Mutex
+	// jobs is the number of jobs created so far.
+	jobs int
+	// open has the accepted jobs that have not ended, by ID; endedID has those that have ended.
 	open    map[string]*job
 	endedID []*job
 }
@@ -60,7 +76,7 @@
 	return &users{cluster: run, audit: audit, open: map[string]*job{}}
 }
 
-// newJob makes up a job that awaits others, and makes it known to the audit.
+// newJob creates a random job that awaits the given jobs, and registers it with the audit.
 func (u *users) newJob(awaits []string) *job {
 	u.mu.Lock()
 	u.jobs++
@@ -77,13 +93,14 @@
 	}
 	body, err := json.Marshal(&submission)
 	if err != nil {
-		panic(err) // Only for a type that cannot be encoded.
+		panic(err) // A Submission can always be encoded.
 	}
 	u.audit.Submit(submission)
 	return &job{submission, body}
 }
 
-// run has users come one after the other until ctx ends; those who are there go on until their jobs are over or settled ends.
+// run submits jobs and pipelines one after the other until ctx ends. Submitted jobs are followed until they have ended or
+// settled ends; following waits for that.
 func (u *users) run(ctx, settled context.Context, following *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		length := 1
@@ -103,7 +120,7 @@
 	}
 }
 
-// submit repeats a submission at any controllers until it is accepted; it reports false if ctx ended before.
+// submit retries a submission at random controllers until it is accepted. It returns false if ctx ended first.
 func (u *users) submit(ctx context.Context, job *job) bool {
 	for ctx.Err() == nil {
 		if status, _ := u.ask(ctx, cluster.AskSubmit, job, u.anyController()); status == http.StatusOK || status == http.StatusCreated {
@@ -117,7 +134,7 @@
 	return false
 }
 
-// follow asks about a job until it is over, and cancels some.
+// follow polls a job until it has ended, and cancels some jobs.
 func (u *users) follow(ctx context.Context, job *job) {
 	u.lookClosely(ctx, job)
 	fate := rand.Float64()
@@ -145,7 +162,7 @@
 	u.endedID = append(u.endedID, job)
 }
 
-// cancel repeats a cancellation until it is answered, and then looks closely.
+// cancel retries a cancellation until the job has ended, and then calls lookClosely.
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
@@ -157,7 +174,7 @@
 	}
 }
 
-// cancelMany cancels some of the jobs that go on, at once.
+// cancelMany cancels up to most of the jobs that have not ended, all at once. It does not wait for the answers.
 func (u *users) cancelMany(ctx context.Context, most int) {
 	u.mu.Lock()
 	var chosen []*job
@@ -172,7 +189,8 @@
 	}
 }
 
-// lookClosely asks all controllers at once, and repeats the submission there, after some of the events in a job's life.
+// lookClosely asks all controllers about a job and resubmits it to them, all at once. It does so in closeLookShare of the
+// calls.
 func (u *users) lookClosely(ctx context.Context, job *job) {
 	if rand.Float64() >= closeLookShare {
 		return
@@ -186,7 +204,7 @@
 	asking.Wait()
 }
 
-// revisit asks about jobs that are over, repeats their submissions, and asks about jobs of nobody, until ctx ends.
+// revisit polls, resubmits and cancels jobs that have ended, and polls jobs that do not exist, until ctx ends.
 func (u *users) revisit(ctx context.Context) {
 	for sleep.Real(ctx, revisitPause) {
 		if rand.Float64() < unknownShare {
@@ -206,19 +224,20 @@
 		kinds := []cluster.QuestionKind{cluster.AskStatus, cluster.AskSubmit, cluster.AskCancel}
 		kind := kinds[rand.IntN(len(kinds))]
 		if kind == cluster.AskCancel {
-			// It is over: the answer is its final state.
+			// The job has ended, so the answer must be its final state.
 			u.audit.CancelRequested(ended.ID)
 		}
 		u.ask(ctx, kind, ended, u.anyController())
 	}
 }
 
-// anyController is any controller.
+// anyController returns a random controller.
 func (u *users) anyController() *cluster.Controller {
 	return u.cluster.Controllers[rand.IntN(len(u.cluster.Controllers))]
 }
 
-// ask asks a controller, and has the audit judge the answer. Status is 0 if there is none.
+// ask sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer; over reports
+// whether the job has ended.
 func (u *users) ask(ctx context.Context, kind cluster.QuestionKind, job *job, controller *cluster.Controller) (status int, over bool) {
 	method, path, patience := http.MethodPost, "/submissions", callPatience
 	var body []byte
@@ -238,13 +257,13 @@
 	var answer api.JobStatus
 	if err == nil {
 		question.Status = status
-		_ = json.Unmarshal(raw, &answer) // A failure has no state.
+		_ = json.Unmarshal(raw, &answer) // An error response has no state.
 		question.State = answer.State
 	}
 	return question.Status, u.audit.Judge(question)
 }
 
-// unfinished returns how many accepted jobs are not over.
+// unfinished returns the number of accepted jobs that have not ended.
 func (u *users) unfinished() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -10,44 +10,45 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Topology is an experiment: jobs that must stand near each other, or survive a rack, come and
-// go on a simulated fleet whose switches fail, under three placements: the leader's Core with a
-// topology, the same without, and a random one that keeps the same bounds. Machines, tasks and
-// time are simulated; the leader's decisions are real and timed.
+// Topology is an experiment with jobs whose tasks must be placed close together, or must survive the loss of a rack, on
+// a simulated fleet whose switches fail. It compares three placers: the Scheduler with a topology, the Scheduler
+// without one, and random placement that keeps the same bounds. Machines, tasks and time are simulated; the Scheduler's
+// decisions are real and timed.
 type Topology struct {
 	Seed uint64
-	// Seeds are played one after the other, from Seed on.
+	// Seeds is the number of consecutive seeds, starting with Seed.
 	Seeds int
-	// Machines, in racks of 16 to 40 and switches of 8 racks; Seconds of each seed; Load is the
-	// part of the fleet that is asked for on average.
+	// Machines is the fleet size; racks have 16 to 40 machines and switches 8 racks. Seconds is the simulated time for
+	// each seed. Load is the share of the fleet's CPUs that jobs request on average.
 	Machines, Seconds int
 	Load              float64
-	// Only is the one placement that is played; "": all.
+	// Only is the single placer to run; empty means all.
 	Only string
-	// Progress is told after each seed.
+	// Progress receives a line after each seed. It must not be nil.
 	Progress func(format string, a ...any)
 }
 
-// TopologyPlacements are what is compared.
+// TopologyPlacements are the names of the compared placers; "today" is the Scheduler without a topology.
 var TopologyPlacements = []string{"topology", "today", "random"}
 
-// TopologyDefaults are a run of a minute or two.
+// TopologyDefaults returns an experiment that takes one or two minutes.
 func TopologyDefaults() *Topology {
 	return &Topology{Seed: 1, Seeds: 3, Machines: 300, Seconds: 300, Load: 1, Progress: func(string, ...any) {}}
 }
 
-// TopologyResult has a figure for each placement.
+// TopologyResult holds the figures of each placer.
 type TopologyResult struct {
 	Machines   int               `json:"machines"`
 	Seeds      int               `json:"seeds"`
 	Placements []TopologyFigures `json:"placements"`
 }
 
-// TopologyFigures are one placement's. A violation is a job that stands beyond a bound, or away
-// from itself, counted once for each second. ClosePossible are jobs that must stand near and did,
-// or could have by an exact search after two rounds in a row and still waited, CloseTogether those
-// that did. Fragmentation is the mean share of the free room in which no task of 8 CPUs fits.
-// A decision is a round, its time divided by the tasks that it placed; PlacedN are all tasks.
+// TopologyFigures holds the figures of one placer over all seeds. PlacedN is the number of placed tasks. Violations counts,
+// for each simulated second, the jobs that exceed a spread bound or whose tasks are spread over several domains although
+// they must be close together. CloseTogether counts the jobs with such a requirement that were placed within one domain;
+// ClosePossible counts these and the jobs that still waited although, after two rounds in a row, an exact search found a
+// domain with enough capacity. WaitP95 is the wait of the jobs in CloseTogether. Fragmentation is the mean share of the
+// free CPUs on which no task of 8 CPUs fits. A decision time is that of a round divided by the number of tasks placed.
 type TopologyFigures struct {
 	Name          string  `json:"name"`
 	PlacedN       int     `json:"placed"`
@@ -60,7 +61,7 @@
 	DecisionP99   float64 `json:"decision_us_p99"`
 }
 
-// Run plays all placements.
+// Run runs all placers on all seeds. It returns an error if ctx ends.
 func (x *Topology) Run(ctx context.Context) (*TopologyResult, error) {
 	res := &TopologyResult{Machines: x.Machines, Seeds: x.Seeds}
 	for _, name := range TopologyPlacements {
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -14,22 +14,22 @@
 	"switchferry/settings"
 )
 
-// placer is what is compared.
+// placer places the jobs of a rackWorld on its machines.
 type placer interface {
 	submit(s *api.Submission)
 	cancel(id string)
-	// report tells of a machine, and gives what it is told.
+	// report passes a machine's heartbeat to the placer and executes the commands in the response.
 	report(m *rackMachine)
-	// round places; how long the decision took.
+	// round runs one round of placement and returns how long the decision took.
 	round() time.Duration
-	// decided tells whether all of a job has a place, though machines may have fallen silent
-	// before they heard of it.
+	// decided reports whether all tasks of a job have been placed, even if a machine became unreachable before it
+	// received the command.
 	decided(job string) bool
-	// barred tells whether a domain is kept for another job than this.
+	// barred reports whether a domain is reserved for another job.
 	barred(domain, job string) bool
 }
 
-// placer makes what is compared.
+// placer returns the placer with a name from TopologyPlacements.
 func (w *rackWorld) placer(name string) (placer, error) {
 	if name == "random" {
 		return &randomPlacer{w: w, rng: rand.New(rand.NewPCG(w.Seed, 11))}, nil
@@ -56,12 +56,13 @@
 	return p, nil
 }
 
+// order is a set of commands that the scheduler sent to a machine directly.
 type order struct {
 	name string
 	o    api.HeartbeatResponse
 }
 
-// corePlacer is the leader's Core, whose records are stored at once.
+// corePlacer places jobs with a real Scheduler. Its records count as stored immediately.
 type corePlacer struct {
 	w      *rackWorld
 	core   *scheduler.Scheduler
@@ -71,7 +72,7 @@
 }
 
 func (p *corePlacer) submit(s *api.Submission) {
-	// Nobody waits for the record here: it is stored below.
+	// The context has ended, so that Submit does not wait for the record, which is stored below.
 	gone, stop := context.WithCancel(context.Background())
 	stop()
 	c := *s
@@ -152,7 +153,7 @@
 	return took
 }
 
-// replace puts another machine where one was returned.
+// replace replaces a returned machine with a new one in the same rack.
 func (w *rackWorld) replace(name string) {
 	m := w.byName[name]
 	if m == nil || m.dead {
@@ -177,7 +178,7 @@
 	return slices.ContainsFunc(p.view.Reserved, func(r api.ReservedView) bool { return r.Domain == domain && r.Job != job })
 }
 
-// randomPlacer takes machines at random and keeps the bounds.
+// randomPlacer chooses machines at random, subject to the jobs' bounds.
 type randomPlacer struct {
 	w       *rackWorld
 	rng     *rand.Rand
@@ -235,7 +236,8 @@
 	return time.Since(began)
 }
 
-// take puts a job's missing tasks on machines, all of them if it must stand near.
+// take places a job's missing tasks on some of the machines. If the tasks must be close together, it places all or none.
+// It returns false if it placed none for that reason.
 func (p *randomPlacer) take(j *rackJob, in []*rackMachine) bool {
 	p.rng.Shuffle(len(in), func(a, b int) { in[a], in[b] = in[b], in[a] })
 	here := map[string]int{}
@@ -268,15 +270,15 @@
 	return true
 }
 
-// placerRecords count as stored when the experiment says so.
+// placerRecords is a record writer whose records count as stored when corePlacer.store is called.
 type placerRecords struct{ placer *corePlacer }
 
-// MarkDirty notes what is to be called once the record is stored.
+// MarkDirty queues the callback to be called once the record counts as stored.
 func (r placerRecords) MarkDirty(_ string, _ int, stored func()) {
 	r.placer.stored = append(r.placer.stored, stored)
 }
 
-// MarkDirtyWithin is MarkDirty.
+// MarkDirtyWithin is MarkDirty; the time limit is ignored.
 func (r placerRecords) MarkDirtyWithin(key string, urgency int, _ time.Duration, stored func()) {
 	r.MarkDirty(key, urgency, stored)
 }
@@ -284,16 +286,16 @@
 // SetRevision does nothing.
 func (placerRecords) SetRevision(string, uint64) {}
 
-// Delay returns zero: there is no limit of writes.
+// Delay returns zero: the write rate is not limited.
 func (r placerRecords) Delay() time.Duration { return 0 }
 
-// placerCommands are kept until the experiment delivers them.
+// placerCommands queues commands until the end of the round.
 type placerCommands struct{ placer *corePlacer }
 
-// SendCommands keeps commands.
+// SendCommands queues commands.
 func (c placerCommands) SendCommands(machine, _ string, response api.HeartbeatResponse) {
 	c.placer.sent = append(c.placer.sent, order{machine, response})
 }
 
-// SendStageOrder is never called: there are no datasets.
+// SendStageOrder does nothing: there are no datasets.
 func (c placerCommands) SendStageOrder(string, string, api.StageOrder) {}
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -18,23 +18,29 @@
 	"switchferry/topology"
 )
 
+// rackTask is a task that runs on a rackMachine.
 type rackTask struct {
 	id, job string
 	attempt uint64
 	cpus    float64
-	ends    time.Time // zero: a service
+	ends    time.Time // zero for a task of a service
 }
 
+// rackMachine is a simulated machine.
 type rackMachine struct {
+	// at is the name of the machine's switch.
 	name, rack, at string
 	cpus           float64
 	tasks          map[string]*rackTask
-	ended          []api.TaskReport
-	quiet          int
-	session        uint64
-	seq            uint64
-	silent         int
-	dead           bool
+	// ended has the reports of tasks that have exited and that the scheduler has not cleared yet.
+	ended []api.TaskReport
+	// quiet is how many more seconds the machine is unreachable, silent for how many it has been so far.
+	quiet   int
+	session uint64
+	seq     uint64
+	silent  int
+	// dead is true once the machine was refused or returned.
+	dead bool
 }
 
 func (m *rackMachine) free() float64 {
@@ -45,7 +51,7 @@
 	return f
 }
 
-// rackWorld is one seed under one placer.
+// rackWorld is the simulation of one seed with one placer.
 type rackWorld struct {
 	*Topology
 	clock    *clockwork.FakeClock
@@ -55,24 +61,31 @@
 	racks    []string
 	switchOf map[string]string
 	jobs     map[string]*rackJob
-	order    []*rackJob
-	placed   int
-	next     int
+	// order has the unfinished jobs in the order of their submission.
+	order []*rackJob
+	// placed counts the tasks that were started.
+	placed int
+	// next numbers jobs and replaced machines.
+	next int
 }
 
+// rackJob is a job of the simulation.
 type rackJob struct {
-	s     api.Submission
-	run   time.Duration
-	at    time.Time
-	ends  time.Time // of a service
+	s    api.Submission
+	run  time.Duration
+	at   time.Time
+	ends time.Time // when a service is cancelled; zero for other jobs
+	// stood is true once the job is counted in ClosePossible.
 	stood bool
 	over  bool
-	live  int
-	done  int
-	// could counts rounds in a row after which all of it would have fit somewhere.
+	// live and done count its running and its completed tasks.
+	live int
+	done int
+	// could counts the consecutive rounds after which all its tasks would have fit into one domain.
 	could int
 }
 
+// taskMemory is the memory of a task in GB.
 const taskMemory = 1.0
 
 func (w *rackWorld) add(rack, name string, cpus float64) {
@@ -94,7 +107,7 @@
 	return topology.Parse([]byte(b.String()))
 }
 
-// arrive submits jobs while less is asked for than the load, and ends services.
+// arrive cancels the services whose time has come, and submits jobs until the requested CPUs reach Load.
 func (w *rackWorld) arrive(p placer) {
 	asked, all := 0.0, 0.0
 	for _, m := range w.machines {
@@ -145,7 +158,7 @@
 	return j
 }
 
-// fail lets a switch fall silent now and then, some for longer than a lease.
+// fail makes a random switch unreachable about once a minute, sometimes for longer than a lease.
 func (w *rackWorld) fail() {
 	if w.rng.IntN(60) > 0 {
 		return
@@ -158,10 +171,10 @@
 	}
 }
 
-// leaseSeconds is the workers' lease.
+// leaseSeconds is the duration of a worker's lease.
 const leaseSeconds = 12
 
-// live lets machines report that can, and tasks end.
+// live ends the tasks whose run time is over and sends the heartbeats of all reachable machines.
 func (w *rackWorld) live(p placer) {
 	now := w.clock.Now()
 	for _, m := range w.machines {
@@ -201,7 +214,8 @@
 	w.jobs[t.job].live--
 }
 
-// look counts what stands where it must not, and what could stand and does not.
+// look counts violations of bounds and jobs that wait although they would fit. It also advances the outages of machines and
+// ends the tasks of those whose lease has expired.
 func (w *rackWorld) look(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
 	racks, switches := map[string]map[string]int{}, map[string]map[string]int{}
 	count := func(in map[string]map[string]int, job, key string) {
@@ -253,10 +267,10 @@
 			f.CloseTogether++
 			_ = waits.RecordValue(w.clock.Now().Sub(j.at).Milliseconds())
 		case j.live == 0 && !p.decided(j.s.ID) && w.couldStand(p, j):
-			// What came free after the round is there for the next.
+			// Capacity that became free after a round can only be used in the next one.
 			if j.could++; j.could == 2 {
 				f.ClosePossible++
-				j.stood = true // counted once
+				j.stood = true
 			}
 		default:
 			j.could = 0
@@ -264,7 +278,7 @@
 	}
 }
 
-// couldStand tells by an exact search whether all of a job fits into one domain now.
+// couldStand reports, by an exact search, whether all tasks of a job currently fit into one domain.
 func (w *rackWorld) couldStand(p placer, j *rackJob) bool {
 	domains := map[string][]*rackMachine{}
 	for _, m := range w.machines {
@@ -288,9 +302,10 @@
 	return false
 }
 
-// fits asks a solver how many of a job's tasks fit on machines at once: a variable for the
-// machines of a rack with as much room each, bounded by that and, in sum over a rack, by what
-// may stand there. It is a flow, so that the linear program's greatest sum is a whole number.
+// fits reports whether all tasks of a job fit on the machines at once. It maximizes the number of tasks by a linear program
+// with one variable for each group of machines in a rack that have room for the same number of tasks. A variable is
+// bounded by the group's room, and the sum over a rack by the job's spread bound. The program is a network flow, so its
+// maximum is an integer.
 func fits(in []*rackMachine, s *api.Submission) bool {
 	type group struct {
 		rack string
@@ -314,7 +329,7 @@
 			}
 		}
 	}
-	// One slack for each bound, so that all are equations.
+	// A slack variable for each bound turns the inequalities into equations.
 	rows := len(groups) + len(racks)
 	a, b, c := mat.NewDense(rows, len(groups)+rows, nil), make([]float64, rows), make([]float64, len(groups)+rows)
 	for i, g := range groups {
@@ -332,7 +347,8 @@
 	return err == nil && -most >= float64(s.Tasks)-1e-6
 }
 
-// fragments is the share of the free room in which no task of 8 CPUs fits.
+// fragments returns the share of the free CPUs on which no task of 8 CPUs fits; the result is false if there are no free
+// CPUs.
 func (w *rackWorld) fragments() (float64, bool) {
 	free, whole := 0.0, 0.0
 	for _, m := range w.machines {
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -7,8 +7,8 @@
 	"switchferry/api"
 )
 
-// The leader with a topology passes no bound and misses no place that there is; without one the
-// same jobs stand anywhere, which the count must show.
+// With a topology the Scheduler exceeds no bound and places every job that fits. Without one the same jobs violate
+// bounds, which the count must show.
 func TestTopologyExperiment(t *testing.T) {
 	x := TopologyDefaults()
 	x.Machines, x.Seconds, x.Seeds = 120, 120, 2
@@ -24,7 +24,7 @@
 		t.Errorf("%+v", f)
 	}
 	if f := by["today"]; f.Violations == 0 {
-		t.Errorf("violations are not counted: %+v", f)
+		t.Errorf("no violations counted without a topology: %+v", f)
 	}
 	if f := by["random"]; f.Violations > 0 || f.CloseTogether == 0 {
 		t.Errorf("%+v", f)
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -20,50 +20,55 @@
 	"switchferry/settings"
 )
 
-// Upgrade plays real processes of two versions against the project's stand-ins on loopback: three
-// controllers of the older program serve, are killed at random moments, and come back one after
-// the other as the newer one, while users submit, ask and cancel.
+// Upgrade runs real processes of two versions against stand-ins of the external services on loopback. Three
+// controllers start with the older program, are killed at random times, and are upgraded one after the other to
+// the newer program, while users submit, poll and cancel jobs.
 type Upgrade struct {
-	// From and To are the programs.
+	// From and To are the paths of the older and the newer program.
 	From, To string
-	Runs     int
-	Workers  int
-	Seed     uint64
+	// Runs is the number of runs; each uses the next seed, starting with Seed.
+	Runs    int
+	Workers int
+	Seed    uint64
+	// Progress receives a line after each run. It must not be nil.
 	Progress func(format string, a ...any)
 }
 
-// UpgradeDefaults are three runs.
+// UpgradeDefaults returns an experiment of three runs with twelve workers.
 func UpgradeDefaults() *Upgrade { return &Upgrade{Runs: 3, Workers: 12, Seed: 1} }
 
-// Upgraded is one run. All counts below Tasks must be 0.
+// Upgraded is the outcome of one run. All counts below Tasks must be 0.
 type Upgraded struct {
 	Seed uint64 `json:"seed"`
-	// Kills are the processes that were ended, of which OldBack came back old.
+	// Kills counts the processes that were killed; OldBack counts those restarted with the older program.
 	Kills   int `json:"kills"`
 	OldBack int `json:"came_back_old"`
 	Jobs    int `json:"jobs"`
-	// Awaiting are those that await others; Tasks all tasks that were started.
-	Awaiting  int `json:"jobs_that_await"`
-	Tasks     int `json:"tasks_started"`
+	// Awaiting counts the jobs that await other jobs, Tasks all task starts.
+	Awaiting int `json:"jobs_that_await"`
+	Tasks    int `json:"tasks_started"`
+	// RanTwice counts starts of a task that still ran on another machine; TooEarly counts starts before an awaited job
+	// was done; Wrong counts impossible states and refused submissions; Unended counts jobs that did not end; Forgotten
+	// counts answers that an accepted job is unknown.
 	RanTwice  int `json:"ran_twice"`
 	TooEarly  int `json:"too_early"`
 	Wrong     int `json:"wrong_states"`
 	Unended   int `json:"not_over"`
 	Forgotten int `json:"forgotten"`
-	// TooLarge are requests that the state service refused for their size.
+	// TooLarge counts requests that the state service refused because of their size.
 	TooLarge int `json:"refused_for_size"`
-	// SwitchedS is the time from the start of the last newer process to the first accepted job
-	// that awaits another.
+	// SwitchedS is the time from the end of the rolling upgrade to the first accepted job that awaits another job, in
+	// seconds.
 	SwitchedS float64 `json:"switched_s"`
 }
 
-// UpgradeResult is what the experiment prints.
+// UpgradeResult is the result that the experiment prints.
 type UpgradeResult struct {
 	Measured string     `json:"measured"`
 	Runs     []Upgraded `json:"runs"`
 }
 
-// Run plays all runs.
+// Run performs all runs. It returns an error if a program does not exist or a run cannot be completed.
 func (x *Upgrade) Run(ctx context.Context) (*UpgradeResult, error) {
 	for _, p := range []string{x.From, x.To} {
 		if info, err := os.Stat(p); err != nil || info.IsDir() {
@@ -82,19 +87,20 @@
 	return res, nil
 }
 
-// upgraded is one run under way. It observes the workers.
+// upgraded is a run in progress. It receives the starts and ends of tasks from the workers.
 type upgraded struct {
 	*Upgrade
 	rng     *rand.Rand
 	cluster *cluster.Cluster
 	limits  settings.State
 
+	// mu guards the fields below.
 	mu    sync.Mutex
 	res   Upgraded
-	on    map[string]string // task -> machine that runs it
-	ended map[string]bool   // tasks that are done
-	jobs  map[string]*asked
-	// lastStart is when a task was last started, idle the longest time without.
+	on    map[string]string // machine that runs a task, by task ID
+	ended map[string]bool   // IDs of completed tasks
+	jobs  map[string]*asked // by job ID
+	// lastStart is when a task was last started, idle the longest interval between two starts.
 	lastStart time.Time
 	idle      time.Duration
 }
@@ -103,13 +109,13 @@
 type asked struct {
 	api.Submission
 	accepted, cancelled bool
-	told                string
+	told                string // final state that the user was told; empty before
 }
 
-// sunken are the limits of the state service from some moment on.
+// sunken are the lower limits that the state service applies from some time during a run.
 var sunken = settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
 
-// newUpgraded starts the stand-ins and workers of a run; no controller runs yet.
+// newUpgraded starts the stand-ins and workers of a run, but no controllers.
 func newUpgraded(ctx context.Context, x *Upgrade, seed uint64, limits settings.State) (*upgraded, error) {
 	limits.Next = sunken
 	r := &upgraded{Upgrade: x, rng: rand.New(rand.NewPCG(seed, 0)), limits: limits, res: Upgraded{Seed: seed}, on: map[string]string{}, ended: map[string]bool{}, jobs: map[string]*asked{}}
@@ -155,14 +161,14 @@
 	}
 	for why, n := range r.cluster.State.Refusals() {
 		if !strings.HasPrefix(why, "too many requests") && why != "too many changes" {
-			slog.Info("refused", "why", why, "times", n)
+			slog.Info("state service refused requests", "why", why, "times", n)
 			r.res.TooLarge += n
 		}
 	}
 	return &r.res, ctx.Err()
 }
 
-// any is a controller chosen at random.
+// any returns a random controller.
 func (r *upgraded) any() *cluster.Controller {
 	return r.cluster.Controllers[r.rng.IntN(len(r.cluster.Controllers))]
 }
@@ -172,7 +178,8 @@
 	return r.cluster.Call(ctx, to, method, path, body)
 }
 
-// Started checks a start against what is known of the jobs.
+// Started records the start of a task. It counts an error if the task still runs on another machine or if a job that it
+// awaits is not done.
 func (r *upgraded) Started(task, machine string, _ uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,7 +204,7 @@
 	}
 }
 
-// Ended notes that a task is no longer on a machine.
+// Ended records that a task is no longer on a machine; done reports whether it completed.
 func (r *upgraded) Ended(task, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,7 +214,8 @@
 	r.ended[task] = r.ended[task] || done
 }
 
-// users submit, ask and cancel while the processes are replaced, and look at all in the end.
+// users submits, polls and cancels jobs during the rolling upgrade and waits until all jobs have ended. It counts those that
+// have not.
 func (r *upgraded) users(ctx context.Context) error {
 	if err := r.until(ctx, 20*time.Second, func() bool { return r.submit(ctx, nil, 4) }); err != nil {
 		return fmt.Errorf("the older version takes no job: %w", err)
@@ -218,7 +226,8 @@
 			r.ask(ctx)
 			r.pause(ctx, 150)
 		}
-		// One dies before its turn, and comes back old; then one is replaced.
+		// First a random controller that is not upgraded yet is killed, then the next one in turn. Only the latter may come
+		// back with the newer program.
 		for _, i := range []int{next + r.rng.IntN(3-next), next} {
 			m, to := r.cluster.Controllers[i], r.From
 			m.Kill()
@@ -290,7 +299,7 @@
 	}
 }
 
-// some are the job that was accepted last, which still runs, and perhaps an earlier one.
+// some returns the last accepted job, which is still running, and at random one earlier job.
 func (r *upgraded) some() (ids []string) {
 	all := r.ids()
 	slices.Reverse(all)
@@ -312,7 +321,7 @@
 	return ids
 }
 
-// submit tries one job at two controllers; true: it was accepted.
+// submit tries to submit one job, up to four times, each at a random controller. It reports whether the job was accepted.
 func (r *upgraded) submit(ctx context.Context, awaits []string, tasks int) bool {
 	r.mu.Lock()
 	id := fmt.Sprintf("run-%06d", len(r.jobs))
@@ -331,7 +340,7 @@
 			return true
 		}
 		if cerr == nil && status < 500 {
-			slog.Error("a submission is refused", "status", status, "body", string(body))
+			slog.Error("submission refused", "status", status, "body", string(body))
 			r.res.Wrong++
 			break
 		}
@@ -349,12 +358,12 @@
 	}
 }
 
-// gone tells whether a job, or one before it, was told to be cancelled.
+// gone reports whether the cancellation of a job, or of one that it awaits directly or indirectly, was confirmed.
 func (r *upgraded) gone(id string) bool {
 	return r.jobs[id].cancelled || slices.ContainsFunc(r.jobs[id].Awaits, r.gone)
 }
 
-// ask polls all jobs that are not over, each once, at any controller.
+// ask polls each accepted job that has not ended once at a random controller, and a tenth of those that have ended.
 func (r *upgraded) ask(ctx context.Context) {
 	for _, id := range r.ids() {
 		a := r.jobs[id]
@@ -375,7 +384,7 @@
 		}
 		wrong := a.told != "" && st.State != a.told || st.State == api.Cancelled && !r.gone(id) || st.State == api.Done && r.gone(id)
 		if wrong {
-			slog.Error("a wrong state", "job", id, "state", st.State, "told", a.told)
+			slog.Error("wrong job state", "job", id, "state", st.State, "told", a.told)
 			r.res.Wrong++
 		}
 		if st.State == api.Done || st.State == api.Cancelled {
@@ -384,7 +393,7 @@
 	}
 }
 
-// open is how many accepted jobs are not over.
+// open returns the number of accepted jobs that have not ended.
 func (r *upgraded) open() (n int) {
 	for _, a := range r.jobs {
 		if a.accepted && a.told == "" {
