--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -69,14 +69,14 @@
 	res := &DayEndResult{Seed: x.Seed, Measured: "simulated machines, state service and cloud; three controllers in one process, on the real clock"}
 	res.Cases = make([]DayEndCase, len(names)*len(x.Sizes))
 	slots := make(chan struct{}, x.AtOnce)
-	var crowd sync.WaitGroup
+	var running sync.WaitGroup
 	for i, size := range x.Sizes {
 		for j, name := range names {
 			slots <- struct{}{}
-			crowd.Go(func() {
+			running.Go(func() {
 				defer func() { <-slots }()
 				d := simulation.NewScenario(x.Seed, size)
-				d.SubmitFor, d.WaitAfter, d.Faults = span(x.LastsS), span(x.AfterS), all[name]
+				d.SubmitFor, d.WaitAfter, d.Faults = secondsDuration(x.LastsS), secondsDuration(x.AfterS), all[name]
 				began := time.Now()
 				r := d.Run(ctx)
 				res.Cases[i*len(names)+j] = DayEndCase{name, size, *r}
@@ -84,6 +84,6 @@
 			})
 		}
 	}
-	crowd.Wait()
+	running.Wait()
 	return res, ctx.Err()
 }
--- a/experiment/gaps.go
+++ b/experiment/gaps.go
@@ -22,14 +22,14 @@
 // Gaps reads the controllers' debug logs of a day and measures the delays of the jobs that awaited other jobs. It
 // returns an error if the logs hold no such job.
 func Gaps(r io.Reader) ([]Gap, error) {
-	day, err := readDay(r)
+	day, err := readDayLog(r)
 	if err != nil {
 		return nil, err
 	}
 	parts := []string{"records", "placing", "command, fetch, report", "all"}
-	var h []*hdrhistogram.Histogram
+	var histograms []*hdrhistogram.Histogram
 	for range parts {
-		h = append(h, hdrhistogram.New(1, 3_600_000, 3))
+		histograms = append(histograms, hdrhistogram.New(1, 3_600_000, 3))
 	}
 	for _, j := range day.jobs {
 		end := 0.0
@@ -38,21 +38,21 @@
 				end = math.Max(end, o.lastEnd)
 			}
 		}
-		if end == 0 || j.ready <= j.at || j.placed == 0 || j.running == 0 {
+		if end == 0 || j.ready <= j.submitted || j.firstPlaced == 0 || j.firstStart == 0 {
 			continue // did not have to wait for another job, or never started
 		}
-		for i, s := range []float64{j.ready - end, j.placed - j.ready, j.running - j.placed, j.running - end} {
-			if err := h[i].RecordValue(int64(math.Max(0, s) * 1000)); err != nil {
+		for i, s := range []float64{j.ready - end, j.firstPlaced - j.ready, j.firstStart - j.firstPlaced, j.firstStart - end} {
+			if err := histograms[i].RecordValue(int64(math.Max(0, s) * 1000)); err != nil {
 				return nil, err
 			}
 		}
 	}
-	if h[0].TotalCount() == 0 {
+	if histograms[0].TotalCount() == 0 {
 		return nil, errors.New("no job in these logs awaited another job and started; were they written with LOG_LEVEL=debug?")
 	}
 	var out []Gap
 	for i, part := range parts {
-		out = append(out, Gap{part, h[i].TotalCount(), h[i].ValueAtQuantile(50), h[i].ValueAtQuantile(90), h[i].ValueAtQuantile(99), h[i].Max()})
+		out = append(out, Gap{part, histograms[i].TotalCount(), histograms[i].ValueAtQuantile(50), histograms[i].ValueAtQuantile(90), histograms[i].ValueAtQuantile(99), histograms[i].Max()})
 	}
 	return out, nil
 }
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -50,8 +50,8 @@
 // Run performs the rolling restarts, first with SIGTERM and then with SIGKILL.
 func (x *Handover) Run(ctx context.Context) ([]HandedOver, error) {
 	var out []HandedOver
-	for _, told := range []bool{true, false} {
-		h, err := x.play(ctx, told)
+	for _, graceful := range []bool{true, false} {
+		h, err := x.runRolls(ctx, graceful)
 		if err != nil {
 			return nil, err
 		}
@@ -61,8 +61,8 @@
 	return out, nil
 }
 
-func (x *Handover) play(ctx context.Context, told bool) (*HandedOver, error) {
-	r, err := newUpgraded(ctx, UpgradeDefaults(), x.Seed, settings.State{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
+func (x *Handover) runRolls(ctx context.Context, graceful bool) (*HandedOver, error) {
+	r, err := newUpgradeRun(ctx, UpgradeDefaults(), x.Seed, settings.State{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
 	}
@@ -73,70 +73,70 @@
 	if err := r.startAll(x.Program); err != nil {
 		return nil, err
 	}
-	if err := r.until(ctx, 20*time.Second, func() bool { return r.submit(ctx, nil, 1) }); err != nil {
+	if err := r.waitUntil(ctx, 20*time.Second, func() bool { return r.submit(ctx, nil, 1) }); err != nil {
 		return nil, err
 	}
 	r.pause(ctx, 3000)
-	u := &users{r: r, ready: map[int]bool{}, took: hdrhistogram.New(1, 60_000, 3), last: time.Now()}
+	u := &submitters{r: r, ready: map[int]bool{}, latency: hdrhistogram.New(1, 60_000, 3), lastAccept: time.Now()}
 	var done sync.WaitGroup
-	user, home := context.WithCancel(ctx)
-	done.Go(func() { u.balance(user) })
+	userCtx, stopUsers := context.WithCancel(ctx)
+	done.Go(func() { u.probeReady(userCtx) })
 	r.pause(ctx, 1000)
-	u.last = time.Now()
-	done.Go(func() { u.submit(user) })
+	u.lastAccept = time.Now()
+	done.Go(func() { u.submitAll(userCtx) })
 	r.pause(ctx, 3000)
 	r.mu.Lock()
-	r.idle = 0
+	r.longestStartGap = 0
 	r.mu.Unlock()
 	res := &HandedOver{Way: "killed"}
-	ends := hdrhistogram.New(1, 60_000, 3)
+	shutdownTimes := hdrhistogram.New(1, 60_000, 3)
 	for range x.Rolls {
 		for _, m := range r.cluster.Controllers {
 			began := time.Now()
-			if told {
+			if graceful {
 				res.Way = "told"
 				m.Terminate()
 			} else {
 				m.Kill()
 			}
-			_ = ends.RecordValue(time.Since(began).Milliseconds())
+			_ = shutdownTimes.RecordValue(time.Since(began).Milliseconds())
 			res.Ends++
 			if err := m.Start(x.Program); err != nil {
-				home()
+				stopUsers()
 				return nil, err
 			}
 			r.pause(ctx, 4000)
 		}
 	}
-	home()
+	stopUsers()
 	done.Wait()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	res.Asked, res.Refused, res.GapMS = u.took.TotalCount(), u.refused, u.gap.Milliseconds()
+	res.Asked, res.Refused, res.GapMS = u.latency.TotalCount(), u.refused, u.longestGap.Milliseconds()
 	r.mu.Lock()
-	res.IdleMS = r.idle.Milliseconds()
+	res.IdleMS = r.longestStartGap.Milliseconds()
 	r.mu.Unlock()
-	res.P50MS, res.P99MS, res.MostMS, res.EndP50MS = u.took.ValueAtQuantile(50), u.took.ValueAtQuantile(99), u.took.Max(), ends.ValueAtQuantile(50)
+	res.P50MS, res.P99MS, res.MostMS, res.EndP50MS = u.latency.ValueAtQuantile(50), u.latency.ValueAtQuantile(99), u.latency.Max(), shutdownTimes.ValueAtQuantile(50)
 	return res, ctx.Err()
 }
 
-// users submit a job every 20 ms to a controller that the load balancer considers ready.
-type users struct {
-	r *upgraded
+// submitters submits a job every 20 ms to a controller that the load balancer considers ready.
+type submitters struct {
+	r *upgradeRun
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	ready   map[int]bool // by index of the controller
-	took    *hdrhistogram.Histogram
-	refused int
-	last    time.Time
-	gap     time.Duration
-	next    int
+	mu         sync.Mutex
+	ready      map[int]bool // by index of the controller
+	latency    *hdrhistogram.Histogram
+	refused    int
+	lastAccept time.Time
+	longestGap time.Duration
+	nextID     int
 }
 
-// balance probes the controllers as the protocol's load balancer does: once a second; a controller is taken out after
+// probeReady probes the controllers as the protocol's load balancer does: once a second; a controller is taken out after
 // two failed probes in a row.
-func (u *users) balance(ctx context.Context) {
+func (u *submitters) probeReady(ctx context.Context) {
 	failed := map[int]int{}
 	for ctx.Err() == nil {
 		for i, m := range u.r.cluster.Controllers {
@@ -156,35 +156,35 @@
 	}
 }
 
-func (u *users) submit(ctx context.Context) {
+func (u *submitters) submitAll(ctx context.Context) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	for ctx.Err() == nil {
-		all.Go(func() { u.one(ctx) })
+		all.Go(func() { u.submitOne(ctx) })
 		u.r.pause(ctx, 20)
 	}
 }
 
-// one submits one job; if a controller does not answer, it tries the next one that is ready.
-func (u *users) one(ctx context.Context) {
+// submitOne submits one job; if a controller does not answer, it tries the next one that is ready.
+func (u *submitters) submitOne(ctx context.Context) {
 	u.mu.Lock()
-	u.next++
-	id, first := fmt.Sprintf("run-9%06d", u.next), u.next
+	u.nextID++
+	id, first := fmt.Sprintf("run-9%06d", u.nextID), u.nextID
 	u.mu.Unlock()
 	job := api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 0.1, MemoryGB: 0.1, Image: "img", EstimateS: 1}
 	u.r.mu.Lock()
-	u.r.jobs[id] = &asked{Submission: job}
+	u.r.jobs[id] = &userJob{Submission: job}
 	u.r.mu.Unlock()
 	raw, err := json.Marshal(&job)
 	began := time.Now()
-	status, why := 0, []byte(nil)
+	status, body := 0, []byte(nil)
 	for try := 0; try < 3 && err == nil && status == 0; try++ {
 		u.mu.Lock()
 		i := (first + try) % len(u.r.cluster.Controllers)
 		ready := u.ready[i]
 		u.mu.Unlock()
 		if ready {
-			status, why, _ = u.r.call(ctx, http.MethodPost, u.r.cluster.Controllers[i], "/submissions", raw)
+			status, body, _ = u.r.call(ctx, http.MethodPost, u.r.cluster.Controllers[i], "/submissions", raw)
 		}
 	}
 	if ctx.Err() != nil {
@@ -192,12 +192,12 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	_ = u.took.RecordValue(max(1, time.Since(began).Milliseconds()))
+	_ = u.latency.RecordValue(max(1, time.Since(began).Milliseconds()))
 	if status != http.StatusCreated && status != http.StatusOK {
-		slog.Info("submission refused", "status", status, "body", string(why))
+		slog.Info("submission refused", "status", status, "body", string(body))
 		u.refused++
 		return
 	}
 	now := time.Now()
-	u.gap, u.last = max(u.gap, now.Sub(u.last)), now
+	u.longestGap, u.lastAccept = max(u.longestGap, now.Sub(u.lastAccept)), now
 }
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -34,10 +34,10 @@
 	// Machines is the fleet size and Slots the number of concurrent tasks per machine. There are Datasets datasets of
 	// Parts parts each; a part has PartBytes bytes.
 	Machines, Slots, Datasets, Parts, PartBytes int
-	// Jobs is the number of jobs. Each has Parts tasks that run for RunS seconds. The arrival rate is such that the
+	// Jobs is the number of jobs. Each has Parts tasks that run for TaskRunS seconds. The arrival rate is such that the
 	// tasks occupy the share Load of all slots on average.
-	Jobs       int
-	RunS, Load float64
+	Jobs           int
+	TaskRunS, Load float64
 	// LinkRate (each machine's link) and StoreRate (the store) are in bytes per second. CachedParts is the capacity of
 	// a machine's cache in parts.
 	LinkRate, StoreRate float64
@@ -54,7 +54,7 @@
 
 // Defaults returns the experiment whose table is in docs/data.md.
 func Defaults() Locality {
-	return Locality{Seed: 1, Machines: 24, Slots: 2, Datasets: 16, Parts: 4, PartBytes: 1 << 20, Jobs: 144, RunS: 4, Load: 0.6,
+	return Locality{Seed: 1, Machines: 24, Slots: 2, Datasets: 16, Parts: 4, PartBytes: 1 << 20, Jobs: 144, TaskRunS: 4, Load: 0.6,
 		LinkRate: 512 << 10, StoreRate: 6 << 20, CachedParts: 16, Skews: []float64{0, 1, 2}, AtOnce: 12, Dir: os.TempDir()}
 }
 
@@ -70,12 +70,12 @@
 
 // Workload holds the figures of all placement modes for one set of jobs.
 type Workload struct {
-	Zipf       float64  `json:"zipf"`
-	Placements []Figure `json:"placements"`
+	Zipf       float64            `json:"zipf"`
+	Placements []PlacementFigures `json:"placements"`
 }
 
-// Figure holds the measurements of one placement mode on one workload.
-type Figure struct {
+// PlacementFigures holds the measurements of one placement mode on one workload.
+type PlacementFigures struct {
 	Name       string `json:"name"`
 	StoreBytes int64  `json:"store_bytes"`
 	PeerBytes  int64  `json:"peer_bytes"`
@@ -99,8 +99,8 @@
 	image   int
 }
 
-// workload draws the arrival times of the jobs and the datasets that they need.
-func (l *Locality) workload(skew float64) []arrival {
+// drawJobs draws the arrival times of the jobs and the datasets that they need.
+func (l *Locality) drawJobs(skew float64) []arrival {
 	rng := rand.New(rand.NewPCG(l.Seed, math.Float64bits(skew)))
 	weights := make([]float64, l.Datasets)
 	sum := 0.0
@@ -108,7 +108,7 @@
 		weights[i] = math.Pow(float64(i+1), -skew)
 		sum += weights[i]
 	}
-	perS := l.Load * float64(l.Machines*l.Slots) / l.RunS / float64(l.Parts)
+	perS := l.Load * float64(l.Machines*l.Slots) / l.TaskRunS / float64(l.Parts)
 	at := 0.0
 	out := make([]arrival, l.Jobs)
 	for i := range out {
@@ -129,7 +129,7 @@
 	if l.Machines < 1 || l.Slots < 1 || l.Datasets < 1 || l.Parts < 1 || l.PartBytes < 1 || l.Jobs < 1 || l.AtOnce < 1 || l.CachedParts < l.Slots {
 		return nil, errors.New("machines, slots, datasets, parts, part bytes, jobs and runs at once must be 1 or more, and a cache must hold a part for each slot")
 	}
-	if !(l.RunS > 0) || !(l.Load > 0) || !(l.LinkRate > 0) || !(l.StoreRate > 0) {
+	if !(l.TaskRunS > 0) || !(l.Load > 0) || !(l.LinkRate > 0) || !(l.StoreRate > 0) {
 		return nil, errors.New("run time, load and rates must be above 0")
 	}
 	if l.Progress == nil {
@@ -137,19 +137,19 @@
 	}
 	res := &LocalityResult{Experiment: "locality", Measured: "loopback; workers and image fetches simulated", Seed: l.Seed, Machines: l.Machines, Jobs: l.Jobs}
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, l.AtOnce)
+	slots := make(chan struct{}, l.AtOnce)
 	var mu sync.Mutex
 	var failed []error
 	for _, skew := range l.Skews {
-		res.Workloads = append(res.Workloads, Workload{Zipf: skew, Placements: make([]Figure, len(placements))})
+		res.Workloads = append(res.Workloads, Workload{Zipf: skew, Placements: make([]PlacementFigures, len(placements))})
 	}
 	for w, skew := range l.Skews {
-		jobs := l.workload(skew)
+		jobs := l.drawJobs(skew)
 		for p, place := range placements {
 			wg.Go(func() {
-				gate <- struct{}{}
-				defer func() { <-gate }()
-				f, err := l.play(ctx, jobs, place.name, place.mode)
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				f, err := l.runPlacement(ctx, jobs, place.name, place.mode)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -165,129 +165,129 @@
 	return res, errors.Join(failed...)
 }
 
-// playing is one run of a workload under one placement mode.
-type playing struct {
+// localityRun is one run of a workload under one placement mode.
+type localityRun struct {
 	*Locality
-	core     *scheduler.Scheduler
-	machines map[string]*machine
-	store    *storeServer
+	scheduler *scheduler.Scheduler
+	machines  map[string]*machine
+	store     *storeServer
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// stored are the callbacks of records that are to count as stored.
-	stored  []func()
-	arrived map[string]time.Time
-	images  map[string]string
-	delays  *hdrhistogram.Histogram
-	last    time.Time
+	// onStored are the callbacks of records that are to count as stored.
+	onStored    []func()
+	submittedAt map[string]time.Time
+	imageOf     map[string]string
+	startDelays *hdrhistogram.Histogram
+	lastEnd     time.Time
 }
 
-func (l *Locality) play(ctx context.Context, jobs []arrival, name, mode string) (Figure, error) {
+func (l *Locality) runPlacement(ctx context.Context, jobs []arrival, name, mode string) (PlacementFigures, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	dir, err := os.MkdirTemp(l.Dir, "switchferry-locality-")
 	if err != nil {
-		return Figure{}, err
+		return PlacementFigures{}, err
 	}
 	defer os.RemoveAll(dir)
-	p := &playing{Locality: l, machines: map[string]*machine{}, arrived: map[string]time.Time{}, images: map[string]string{}, delays: hdrhistogram.New(1, 3_600_000, 3)}
-	if p.store, err = l.openStore(ctx); err != nil {
-		return Figure{}, err
+	p := &localityRun{Locality: l, machines: map[string]*machine{}, submittedAt: map[string]time.Time{}, imageOf: map[string]string{}, startDelays: hdrhistogram.New(1, 3_600_000, 3)}
+	if p.store, err = l.startStore(ctx); err != nil {
+		return PlacementFigures{}, err
 	}
 	set := &settings.Settings{Member: "experiment"}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	types := []api.MachineType{{Name: "m", CPUs: float64(l.Slots), MemoryGB: 64, CacheGB: 3, PullGBs: 1, BootS: 1, Zones: []string{"z"}}}
-	p.core = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Collaborators{Records: localityRecords{p},
+	p.scheduler = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Collaborators{Records: localityRecords{p},
 		Sender: localityCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
-	p.core.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
+	p.scheduler.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
 		PerLink: tuning.StagePerLink, AtStore: max(tuning.StageAtStore, l.Machines/2), Ahead: tuning.StageAhead})
-	p.core.Load(nil, nil)
-	for _, s := range p.store.sets {
-		p.core.AddDatasets(&dataset.Entry{Summary: *s})
+	p.scheduler.Load(nil, nil)
+	for _, s := range p.store.summaries {
+		p.scheduler.AddDatasets(&dataset.Entry{Summary: *s})
 	}
 	for i := range l.Machines {
-		m, err := p.machine(ctx, dir, i)
+		m, err := p.startMachine(ctx, dir, i)
 		if err != nil {
-			return Figure{}, err
+			return PlacementFigures{}, err
 		}
 		p.machines[m.name] = m
 	}
 	var wg sync.WaitGroup
 	for _, m := range p.machines {
-		wg.Go(func() { m.live(ctx, p) })
+		wg.Go(func() { m.sendHeartbeats(ctx, p) })
 	}
-	wg.Go(func() { p.lead(ctx) })
+	wg.Go(func() { p.runLeader(ctx) })
 	defer wg.Wait()
 	defer stop()
-	return p.follow(ctx, jobs, name)
+	return p.submitAndWait(ctx, jobs, name)
 }
 
-// follow submits the jobs at their arrival times and waits until all have ended.
-func (p *playing) follow(ctx context.Context, jobs []arrival, name string) (Figure, error) {
+// submitAndWait submits the jobs at their arrival times and waits until all have ended.
+func (p *localityRun) submitAndWait(ctx context.Context, jobs []arrival, name string) (PlacementFigures, error) {
 	begin := time.Now()
 	touched := map[int]bool{}
 	var wg sync.WaitGroup
 	for i, j := range jobs {
 		select {
 		case <-ctx.Done():
-			return Figure{}, ctx.Err()
+			return PlacementFigures{}, ctx.Err()
 		case <-time.After(time.Until(begin.Add(j.at))):
 		}
 		touched[j.dataset] = true
 		s := api.Submission{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: p.Parts, CPUs: 1, MemoryGB: 1,
-			Image: fmt.Sprintf("image-%d", j.image), ImageGB: 0.5, Spot: true, EstimateS: p.RunS,
-			Inputs: []api.Input{{Dataset: setName(j.dataset), Use: api.UseOwn}}}
+			Image: fmt.Sprintf("image-%d", j.image), ImageGB: 0.5, Spot: true, EstimateS: p.TaskRunS,
+			Inputs: []api.Input{{Dataset: datasetName(j.dataset), Use: api.UseOwn}}}
 		p.mu.Lock()
-		p.arrived[s.ID], p.images[s.ID] = time.Now(), s.Image
+		p.submittedAt[s.ID], p.imageOf[s.ID] = time.Now(), s.Image
 		p.mu.Unlock()
-		wg.Go(func() { p.core.Submit(ctx, &s, time.Now()) })
+		wg.Go(func() { p.scheduler.Submit(ctx, &s, time.Now()) })
 	}
 	wg.Wait()
 	for left := len(jobs); left > 0; {
 		left = 0
 		for i := range jobs {
-			if st, _ := p.core.JobStatus(fmt.Sprintf("run-%06d", i)); st.State == api.Pending || st.State == api.Running {
+			if st, _ := p.scheduler.JobStatus(fmt.Sprintf("run-%06d", i)); st.State == api.Pending || st.State == api.Running {
 				left++
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return Figure{}, fmt.Errorf("%d jobs did not end: %w", left, ctx.Err())
+			return PlacementFigures{}, fmt.Errorf("%d jobs did not end: %w", left, ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	f := Figure{Name: name, LeastBytes: int64(len(touched)) * int64(p.Parts*p.PartBytes)}
+	f := PlacementFigures{Name: name, LeastBytes: int64(len(touched)) * int64(p.Parts*p.PartBytes)}
 	for _, m := range p.machines {
 		r := m.agent.Report(false)
 		f.StoreBytes += r.FromStore
 		f.PeerBytes += r.FromPeers
 	}
 	// Manifests, which each machine fetches once, do not count as data.
-	f.StoreBytes -= p.store.manifests.Load()
+	f.StoreBytes -= p.store.manifestBytes.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f.MakespanS = p.last.Sub(begin).Seconds()
-	f.StartP50 = float64(p.delays.ValueAtQuantile(50))
-	f.StartP95 = float64(p.delays.ValueAtQuantile(95))
-	f.StartP99 = float64(p.delays.ValueAtQuantile(99))
+	f.MakespanS = p.lastEnd.Sub(begin).Seconds()
+	f.StartP50 = float64(p.startDelays.ValueAtQuantile(50))
+	f.StartP95 = float64(p.startDelays.ValueAtQuantile(95))
+	f.StartP99 = float64(p.startDelays.ValueAtQuantile(99))
 	return f, nil
 }
 
-// lead is the leader's loop. Records count as stored immediately after each round of placement.
-func (p *playing) lead(ctx context.Context) {
+// runLeader is the leader's loop. Records count as stored immediately after each round of placement.
+func (p *localityRun) runLeader(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.core.Place()
+		p.scheduler.Place()
 		p.mu.Lock()
-		after := p.stored
-		p.stored = nil
+		callbacks := p.onStored
+		p.onStored = nil
 		p.mu.Unlock()
-		for _, f := range after {
+		for _, f := range callbacks {
 			if f != nil {
 				f()
 			}
 		}
-		p.core.Committed()
+		p.scheduler.Committed()
 		select {
 		case <-ctx.Done():
 		case <-time.After(20 * time.Millisecond):
@@ -295,21 +295,21 @@
 	}
 }
 
-func (p *playing) send(name string, o api.HeartbeatResponse) {
+func (p *localityRun) sendCommands(name string, o api.HeartbeatResponse) {
 	m := p.machines[name]
-	m.do(p, o)
-	r := m.report()
-	p.core.CommandsAnswered(name, o, r, true)
+	m.execute(p, o)
+	r := m.heartbeat()
+	p.scheduler.CommandsAnswered(name, o, r, true)
 }
 
 // localityRecords is a record writer whose records count as stored after the next round of placement.
-type localityRecords struct{ playing *playing }
+type localityRecords struct{ run *localityRun }
 
 // MarkDirty queues the callback to be called once the record counts as stored.
 func (r localityRecords) MarkDirty(_ string, _ int, stored func()) {
-	r.playing.mu.Lock()
-	defer r.playing.mu.Unlock()
-	r.playing.stored = append(r.playing.stored, stored)
+	r.run.mu.Lock()
+	defer r.run.mu.Unlock()
+	r.run.onStored = append(r.run.onStored, stored)
 }
 
 // MarkDirtyWithin is MarkDirty; the time limit is ignored.
@@ -324,16 +324,16 @@
 func (r localityRecords) Delay() time.Duration { return 0 }
 
 // localityCommands delivers commands to the simulated machines.
-type localityCommands struct{ playing *playing }
+type localityCommands struct{ run *localityRun }
 
 // SendCommands delivers commands to a worker asynchronously.
 func (c localityCommands) SendCommands(machine, _ string, response api.HeartbeatResponse) {
-	go c.playing.send(machine, response)
+	go c.run.sendCommands(machine, response)
 }
 
 // SendStageOrder delivers a staging order to an agent asynchronously.
 func (c localityCommands) SendStageOrder(machine, _ string, order api.StageOrder) {
-	if m := c.playing.machines[machine]; m != nil {
-		go m.order(c.playing.core, order)
+	if m := c.run.machines[machine]; m != nil {
+		go m.applyStageOrder(c.run.scheduler, order)
 	}
 }
--- a/experiment/locality_machines.go
+++ b/experiment/locality_machines.go
@@ -29,10 +29,10 @@
 	term   uint64
 	tasks  map[string]*api.TaskReport
 	images *simplelru.LRU[string, struct{}]
-	kick   chan struct{}
+	wake   chan struct{}
 }
 
-func (p *playing) machine(ctx context.Context, dir string, i int) (*machine, error) {
+func (p *localityRun) startMachine(ctx context.Context, dir string, i int) (*machine, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &machine{name: fmt.Sprintf("n-%06d", i), addr: l.Addr().String(), tasks: map[string]*api.TaskReport{}, images: images, kick: make(chan struct{}, 1)}
+	m := &machine{name: fmt.Sprintf("n-%06d", i), addr: l.Addr().String(), tasks: map[string]*api.TaskReport{}, images: images, wake: make(chan struct{}, 1)}
 	m.agent, err = dataagent.New(ctx, dataagent.Options{Machine: m.name, Address: m.addr, Dir: filepath.Join(dir, m.name), CacheBytes: int64(p.CachedParts * p.PartBytes),
 		Store: p.store.url, DownRate: p.LinkRate, UpRate: p.LinkRate})
 	if err != nil {
@@ -52,30 +52,30 @@
 	return m, nil
 }
 
-// live sends the heartbeats of the worker and of the agent until ctx ends.
-func (m *machine) live(ctx context.Context, p *playing) {
+// sendHeartbeats sends the heartbeats of the worker and of the agent until ctx ends.
+func (m *machine) sendHeartbeats(ctx context.Context, p *localityRun) {
 	for ctx.Err() == nil {
-		o, _, _ := p.core.HandleHeartbeat(m.report(), "")
-		m.do(p, o)
+		o, _, _ := p.scheduler.HandleHeartbeat(m.heartbeat(), "")
+		m.execute(p, o)
 		r := m.agent.Next()
-		if so, _, refused := p.core.HandleStageHeartbeat(&r); !refused {
+		if so, _, refused := p.scheduler.HandleStageHeartbeat(&r); !refused {
 			_, _ = m.agent.Apply(&so)
 		}
 		select {
 		case <-ctx.Done():
-		case <-m.kick:
+		case <-m.wake:
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 }
 
-func (m *machine) order(core *scheduler.Scheduler, o api.StageOrder) {
+func (m *machine) applyStageOrder(leader *scheduler.Scheduler, o api.StageOrder) {
 	_, _ = m.agent.Apply(&o)
 	r := m.agent.Next()
-	core.HandleStageHeartbeat(&r)
+	leader.HandleStageHeartbeat(&r)
 }
 
-func (m *machine) report() *api.Heartbeat {
+func (m *machine) heartbeat() *api.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
@@ -86,8 +86,8 @@
 	return r
 }
 
-// do executes commands as a worker does.
-func (m *machine) do(p *playing, o api.HeartbeatResponse) {
+// execute executes commands as a worker does.
+func (m *machine) execute(p *localityRun, o api.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.term = max(m.term, o.Term)
@@ -97,42 +97,42 @@
 		case c.Verb == api.CommandRun && t == nil:
 			t = &api.TaskReport{Task: c.Task, Attempt: c.Attempt, State: api.TaskFetching}
 			m.tasks[c.Task] = t
-			go m.run(p, t)
+			go m.runTask(p, t)
 		case c.Verb == api.CommandClear && t != nil && t.State == api.TaskExited:
 			delete(m.tasks, c.Task)
 		}
 	}
 }
 
-func (m *machine) run(p *playing, t *api.TaskReport) {
+func (m *machine) runTask(p *localityRun, t *api.TaskReport) {
 	id, _, _ := strings.Cut(t.Task, "/")
 	p.mu.Lock()
-	came, image := p.arrived[id], p.images[id]
+	submitted, image := p.submittedAt[id], p.imageOf[id]
 	p.mu.Unlock()
 	m.mu.Lock()
-	has := m.images.Contains(image)
+	cached := m.images.Contains(image)
 	m.images.Add(image, struct{}{})
 	m.mu.Unlock()
-	if !has {
+	if !cached {
 		time.Sleep(500 * time.Millisecond)
 	}
 	p.mu.Lock()
-	_ = p.delays.RecordValue(time.Since(came).Milliseconds())
+	_ = p.startDelays.RecordValue(time.Since(submitted).Milliseconds())
 	p.mu.Unlock()
-	m.become(t, api.TaskRunning, "")
-	time.Sleep(time.Duration(p.RunS * float64(time.Second)))
+	m.setState(t, api.TaskRunning, "")
+	time.Sleep(time.Duration(p.TaskRunS * float64(time.Second)))
 	p.mu.Lock()
-	p.last = time.Now()
+	p.lastEnd = time.Now()
 	p.mu.Unlock()
-	m.become(t, api.TaskExited, api.CauseDone)
+	m.setState(t, api.TaskExited, api.CauseDone)
 }
 
-func (m *machine) become(t *api.TaskReport, state, cause string) {
+func (m *machine) setState(t *api.TaskReport, state, cause string) {
 	m.mu.Lock()
 	t.State, t.Cause = state, cause
 	m.mu.Unlock()
 	select {
-	case m.kick <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
--- a/experiment/locality_store.go
+++ b/experiment/locality_store.go
@@ -18,25 +18,25 @@
 	"switchferry/httpapi"
 )
 
-func setName(i int) string { return fmt.Sprintf("set-%03d", i) }
+func datasetName(i int) string { return fmt.Sprintf("set-%03d", i) }
 
 // storeServer serves datasets over HTTP at a limited total rate.
 type storeServer struct {
-	url       string
-	sets      []*dataset.Summary
-	limit     *rate.Limiter
-	data      map[string][]byte
-	manifest  map[string][]byte
-	manifests atomic.Int64
+	url           string
+	summaries     []*dataset.Summary
+	limiter       *rate.Limiter
+	data          map[string][]byte
+	manifests     map[string][]byte
+	manifestBytes atomic.Int64
 }
 
-func (l *Locality) openStore(ctx context.Context) (*storeServer, error) {
+func (l *Locality) startStore(ctx context.Context) (*storeServer, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &storeServer{url: "http://" + ln.Addr().String(), limit: rate.NewLimiter(rate.Limit(l.StoreRate), 64<<10),
-		data: map[string][]byte{}, manifest: map[string][]byte{}}
+	s := &storeServer{url: "http://" + ln.Addr().String(), limiter: rate.NewLimiter(rate.Limit(l.StoreRate), 64<<10),
+		data: map[string][]byte{}, manifests: map[string][]byte{}}
 	rng := rand.New(rand.NewPCG(l.Seed, 99))
 	for i := range l.Datasets {
 		raw := make([]byte, l.Parts*l.PartBytes)
@@ -46,7 +46,7 @@
 				raw[k+b] = byte(v >> (8 * b))
 			}
 		}
-		m, err := dataset.Build(setName(i), strings.NewReader(string(raw)), l.PartBytes, 1, nil)
+		m, err := dataset.Build(datasetName(i), strings.NewReader(string(raw)), l.PartBytes, 1, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -58,8 +58,8 @@
 		if err != nil {
 			return nil, err
 		}
-		s.sets = append(s.sets, &sum)
-		s.data[setName(i)], s.manifest[setName(i)] = raw, mr
+		s.summaries = append(s.summaries, &sum)
+		s.data[datasetName(i)], s.manifests[datasetName(i)] = raw, mr
 	}
 	go httpapi.Serve(ctx, ln, s, connlimit.NewLimiter(0))
 	return s, nil
@@ -68,29 +68,29 @@
 func (s *storeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name, what, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if what == "manifest.json" {
-		n, _ := w.Write(s.manifest[name])
-		s.manifests.Add(int64(n))
+		n, _ := w.Write(s.manifests[name])
+		s.manifestBytes.Add(int64(n))
 		return
 	}
 	if s.data[name] == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	http.ServeContent(&slow{w, s, r}, r, "", time.Time{}, strings.NewReader(string(s.data[name])))
+	http.ServeContent(&throttledWriter{w, s, r}, r, "", time.Time{}, strings.NewReader(string(s.data[name])))
 }
 
-type slow struct {
+type throttledWriter struct {
 	http.ResponseWriter
-	s *storeServer
-	r *http.Request
+	store   *storeServer
+	request *http.Request
 }
 
-func (w *slow) Write(p []byte) (n int, err error) {
-	for some := range slices.Chunk(p, 32<<10) {
-		if err := w.s.limit.WaitN(w.r.Context(), len(some)); err != nil {
+func (w *throttledWriter) Write(p []byte) (n int, err error) {
+	for chunk := range slices.Chunk(p, 32<<10) {
+		if err := w.store.limiter.WaitN(w.request.Context(), len(chunk)); err != nil {
 			return n, err
 		}
-		k, err := w.ResponseWriter.Write(some)
+		k, err := w.ResponseWriter.Write(chunk)
 		n += k
 		if err != nil {
 			return n, err
--- a/experiment/locality_test.go
+++ b/experiment/locality_test.go
@@ -10,17 +10,17 @@
 
 // A small experiment with real agents and transfers over loopback: all jobs end, the store serves at least the lower
 // bound in every mode, and placement with locality and staging reads less from the store than blind placement.
-func TestLocalityMovesLess(t *testing.T) {
+func TestLocalityReadsLessFromStore(t *testing.T) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	l := Defaults()
-	l.Machines, l.Datasets, l.Jobs, l.RunS, l.PartBytes, l.LinkRate, l.Skews, l.Dir = 6, 4, 16, 0.2, 64<<10, 1<<20, []float64{1}, t.TempDir()
+	l.Machines, l.Datasets, l.Jobs, l.TaskRunS, l.PartBytes, l.LinkRate, l.Skews, l.Dir = 6, 4, 16, 0.2, 64<<10, 1<<20, []float64{1}, t.TempDir()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	r, err := l.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]Figure{}
+	by := map[string]PlacementFigures{}
 	for _, f := range r.Workloads[0].Placements {
 		by[f.Name] = f
 		if f.LeastBytes == 0 || f.StoreBytes < f.LeastBytes || f.StartP95 <= 0 || f.MakespanS <= 0 {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestLocalityRefusesNonsense(t *testing.T) {
+func TestLocalityRejectsInvalidOptions(t *testing.T) {
 	for _, change := range []func(*Locality){func(l *Locality) { l.Machines = 0 }, func(l *Locality) { l.Load = 0 }, func(l *Locality) { l.CachedParts = 1 }} {
 		l := Defaults()
 		change(&l)
@@ -43,10 +43,10 @@
 }
 
 // The same seed gives the same workload, another seed a different one.
-func TestWorkloadsRepeat(t *testing.T) {
+func TestWorkloadIsDeterminedBySeed(t *testing.T) {
 	a, b, c := Defaults(), Defaults(), Defaults()
 	c.Seed = 9
-	x, y, z := a.workload(1), b.workload(1), c.workload(1)
+	x, y, z := a.drawJobs(1), b.drawJobs(1), c.drawJobs(1)
 	same := true
 	for i := range x {
 		if x[i] != y[i] {
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -61,13 +61,13 @@
 	Waited  int `json:"waited"`
 }
 
-func (l *LateJobs) add(j *loggedJob, due float64) {
+func (l *LateJobs) add(j *loggedJob, allowed float64) {
 	longest := 0.0
-	for _, run := range j.took {
+	for _, run := range j.runTimes {
 		longest = math.Max(longest, run)
 	}
 	switch {
-	case longest >= due:
+	case longest >= allowed:
 		l.Long++
 	case j.lost > 0:
 		l.Lost++
@@ -80,20 +80,20 @@
 
 // loggedJob is a job as the logs show it. Times are in seconds since the first log line; 0: it did not happen.
 type loggedJob struct {
-	class      string
-	rank, size int
-	cpus       float64
-	due        float64
-	at, over   float64
+	class           string
+	rank, size      int
+	cpus            float64
+	deadlineS       float64
+	submitted, done float64
 	// awaits are the jobs that this job awaits. ready is when the last of them was done, or the time of submission if
 	// there are none.
 	awaits []string
 	ready  float64
-	// took has the run time of each completed task, by task ID.
-	took map[string]float64
+	// runTimes has the run time of each completed task, by task ID.
+	runTimes map[string]float64
 	// lastEnd is when its last task completed; placed and running are when its first task was placed and
 	// started to run.
-	lastEnd, placed, running float64
+	lastEnd, firstPlaced, firstStart float64
 	// lost and stopped count task attempts that ended without completing.
 	lost, stopped int
 }
@@ -106,27 +106,27 @@
 
 // dayLog is the content of a day's logs. Each element of cpus is a time and the fleet's CPUs at that time.
 type dayLog struct {
-	jobs map[string]*loggedJob
-	runs []loggedRun
-	cpus [][2]float64
-	last float64
+	jobs      map[string]*loggedJob
+	runs      []loggedRun
+	fleetCPUs [][2]float64
+	lastAt    float64
 }
 
 // Compare reads logs and returns the comparison. It returns an error if no job of the class can be counted.
 func (o *Order) Compare(r io.Reader) (*OrderResult, error) {
-	day, err := readDay(r)
+	day, err := readDayLog(r)
 	if err != nil {
 		return nil, err
 	}
-	free := upperbound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.last/o.SlotS)+1)}
+	free := upperbound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.lastAt/o.SlotS)+1)}
 	at := 0
 	for i := range free.CPUs {
-		for at+1 < len(day.cpus) && day.cpus[at+1][0] <= float64(i)*o.SlotS {
+		for at+1 < len(day.fleetCPUs) && day.fleetCPUs[at+1][0] <= float64(i)*o.SlotS {
 			at++
 		}
-		if len(day.cpus) > 0 {
+		if len(day.fleetCPUs) > 0 {
 			// Between two log lines the larger capacity counts, so that the result remains an upper bound.
-			free.CPUs[i] = math.Max(day.cpus[at][1], day.cpus[min(at+1, len(day.cpus)-1)][1])
+			free.CPUs[i] = math.Max(day.fleetCPUs[at][1], day.fleetCPUs[min(at+1, len(day.fleetCPUs)-1)][1])
 		}
 	}
 	rank := 0
@@ -152,21 +152,21 @@
 	for _, j := range day.jobs {
 		// A deadline counts from the submission, WithinS from when the job could start. In both cases no task could
 		// run before the job was ready.
-		by := j.ready + o.WithinS
+		due := j.ready + o.WithinS
 		if o.WithinS == 0 {
-			by = j.at + o.Times*j.due
+			due = j.submitted + o.Times*j.deadlineS
 		}
-		if j.class != o.Class || j.at < o.FromS || j.at > o.ToS || len(j.took) < j.size || o.WithinS == 0 && o.Times*j.due <= 0 || by > day.last {
+		if j.class != o.Class || j.submitted < o.FromS || j.submitted > o.ToS || len(j.runTimes) < j.size || o.WithinS == 0 && o.Times*j.deadlineS <= 0 || due > day.lastAt {
 			continue
 		}
 		res.Jobs++
-		if j.over > 0 && j.over <= by {
+		if j.done > 0 && j.done <= due {
 			res.InTime++
 		} else {
-			res.Late.add(j, by-j.ready)
+			res.Late.add(j, due-j.ready)
 		}
-		x := upperbound.Job{Arrive: j.ready, Due: by}
-		for _, run := range j.took {
+		x := upperbound.Job{Arrive: j.ready, Due: due}
+		for _, run := range j.runTimes {
 			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
 		}
 		// A fixed order makes the result reproducible.
@@ -184,9 +184,9 @@
 	return res, nil
 }
 
-// scan reads log lines and ignores what precedes time= on a line. It passes each line's attributes and its time in
+// scanLog reads log lines and ignores what precedes time= on a line. It passes each line's attributes and its time in
 // seconds since the first line to take.
-func scan(r io.Reader, take func(kv map[string]string, at float64)) error {
+func scanLog(r io.Reader, take func(kv map[string]string, at float64)) error {
 	var begin time.Time
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 4<<20)
@@ -217,33 +217,33 @@
 	return lines.Err()
 }
 
-// readDay parses the logs of a day.
-func readDay(r io.Reader) (*dayLog, error) {
+// readDayLog parses the logs of a day.
+func readDayLog(r io.Reader) (*dayLog, error) {
 	day := &dayLog{jobs: map[string]*loggedJob{}}
-	on := map[string]float64{}
-	if err := scan(r, func(kv map[string]string, at float64) { day.take(kv, at, on) }); err != nil {
+	startedAt := map[string]float64{}
+	if err := scanLog(r, func(kv map[string]string, at float64) { day.addLine(kv, at, startedAt) }); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(day.cpus, func(a, b [2]float64) int { return cmp.Compare(a[0], b[0]) })
+	slices.SortFunc(day.fleetCPUs, func(a, b [2]float64) int { return cmp.Compare(a[0], b[0]) })
 	return day, nil
 }
 
-func (day *dayLog) take(kv map[string]string, at float64, on map[string]float64) {
+func (day *dayLog) addLine(kv map[string]string, at float64, startedAt map[string]float64) {
 	number := func(key string) float64 {
 		v, _ := strconv.ParseFloat(kv[key], 64)
 		return v
 	}
-	day.last = math.Max(day.last, at)
+	day.lastAt = math.Max(day.lastAt, at)
 	task := kv["task"]
 	job, _, _ := strings.Cut(task, "/")
-	off := func() {
-		if from, ok := on[task]; ok {
-			delete(on, task)
+	taskEnded := func() {
+		if from, ok := startedAt[task]; ok {
+			delete(startedAt, task)
 			day.runs = append(day.runs, loggedRun{job, from, at})
 			switch j := day.jobs[job]; {
 			case j == nil:
 			case kv["cause"] == api.CauseDone:
-				j.took[task] = at - from
+				j.runTimes[task] = at - from
 				j.lastEnd = math.Max(j.lastEnd, at)
 			case kv["cause"] == api.CauseStopped:
 				j.stopped++
@@ -256,31 +256,31 @@
 	case "job accepted":
 		if day.jobs[kv["job"]] == nil {
 			s := api.Submission{Rank: kv["rank"]}
-			day.jobs[kv["job"]] = &loggedJob{class: kv["class"], rank: s.RankLevel(), size: int(number("tasks")), cpus: number("cpus"), due: number("due_s"), at: at, ready: at, took: map[string]float64{}}
+			day.jobs[kv["job"]] = &loggedJob{class: kv["class"], rank: s.RankLevel(), size: int(number("tasks")), cpus: number("cpus"), deadlineS: number("due_s"), submitted: at, ready: at, runTimes: map[string]float64{}}
 			if kv["awaits"] != "" {
 				day.jobs[kv["job"]].awaits = strings.Split(kv["awaits"], ",")
 			}
 		}
 	case "job may start":
-		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.at {
+		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.submitted {
 			j.ready = at // only the first line counts: a new leader logs it again
 		}
 	case "task placed":
-		if j := day.jobs[job]; j != nil && j.placed == 0 {
-			j.placed = at
+		if j := day.jobs[job]; j != nil && j.firstPlaced == 0 {
+			j.firstPlaced = at
 		}
 	case "job over":
-		if j := day.jobs[kv["job"]]; j != nil && j.over == 0 && kv["state"] == api.Done {
-			j.over = at
+		if j := day.jobs[kv["job"]]; j != nil && j.done == 0 && kv["state"] == api.Done {
+			j.done = at
 		}
 	case "task running":
-		on[task] = at
-		if j := day.jobs[job]; j != nil && j.running == 0 {
-			j.running = at
+		startedAt[task] = at
+		if j := day.jobs[job]; j != nil && j.firstStart == 0 {
+			j.firstStart = at
 		}
 	case "task ended", "task lost":
-		off()
+		taskEnded()
 	case "fleet":
-		day.cpus = append(day.cpus, [2]float64{at, number("cpus")})
+		day.fleetCPUs = append(day.fleetCPUs, [2]float64{at, number("cpus")})
 	}
 }
--- a/experiment/order_test.go
+++ b/experiment/order_test.go
@@ -7,7 +7,7 @@
 )
 
 // Each late job is counted once, by its cause. Jobs of other classes are not counted.
-func TestLateJobsByCause(t *testing.T) {
+func TestLateJobsAreCountedByCause(t *testing.T) {
 	var log strings.Builder
 	say := func(at int, rest string) {
 		fmt.Fprintf(&log, "node-0 time=2026-01-01T00:%02d:%02dZ level=DEBUG %s\n", at/60, at%60, rest)
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -17,20 +17,20 @@
 
 // Behavior of users, as the protocol specifies it.
 const (
-	// pollEvery is the maximum interval between polls of a job's status.
-	pollEvery = 5 * time.Second
-	// pollPatience is the timeout of a poll.
-	pollPatience = 2 * time.Second
-	// callPatience is the timeout of any other request.
-	callPatience = 5 * time.Second
-	// submitsFor is how long a user retries a submission.
-	submitsFor = time.Minute
-	// retryAtLeast is the minimum delay before a submission is retried.
-	retryAtLeast = time.Second
+	// pollInterval is the maximum interval between polls of a job's status.
+	pollInterval = 5 * time.Second
+	// pollTimeout is the timeout of a poll.
+	pollTimeout = 2 * time.Second
+	// callTimeout is the timeout of any other request.
+	callTimeout = 5 * time.Second
+	// submitTimeout is how long a user retries a submission.
+	submitTimeout = time.Minute
+	// minRetryDelay is the minimum delay before a submission is retried.
+	minRetryDelay = time.Second
 )
 
-// histogramMost is the largest value that histograms record, in milliseconds.
-const histogramMost = 600_000
+// histogramMaxMS is the largest value that histograms record, in milliseconds.
+const histogramMaxMS = 600_000
 
 // population simulates the users of a cluster: each submits one job, polls it until it has ended, and may cancel it.
 // All answers are passed to the audit.
@@ -43,12 +43,12 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	nextID int
-	// submissions has the times from the first attempt of a submission to its acceptance, and dones those from the end
-	// of the last task until the user learns that the job is done; both in milliseconds. refused counts submission
-	// attempts without an acceptance, failed the polls without a usable answer.
-	submissions, dones *hdrhistogram.Histogram
-	refused, failed    int
-	polls              int
+	// submissionLatency has the times from the first attempt of a submission to its acceptance, and doneDelay those from
+	// the end of the last task until the user learns that the job is done; both in milliseconds. refused counts
+	// submission attempts without an acceptance, failedPolls the polls without a usable answer.
+	submissionLatency, doneDelay *hdrhistogram.Histogram
+	refused, failedPolls         int
+	polls                        int
 }
 
 func newPopulation(c *cluster.Cluster, audit *cluster.Audit, seed uint64) *population {
@@ -61,12 +61,12 @@
 func (p *population) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.submissions, p.dones = hdrhistogram.New(1, histogramMost, 3), hdrhistogram.New(1, histogramMost, 3)
-	p.refused, p.failed, p.polls = 0, 0, 0
+	p.submissionLatency, p.doneDelay = hdrhistogram.New(1, histogramMaxMS, 3), hdrhistogram.New(1, histogramMaxMS, 3)
+	p.refused, p.failedPolls, p.polls = 0, 0, 0
 }
 
-// random returns a random number in [0, n).
-func (p *population) random(n int) int {
+// randomInt returns a random number in [0, n).
+func (p *population) randomInt(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.IntN(n)
@@ -83,22 +83,22 @@
 // neverCancels is the value of cancelAfter for a user who does not cancel.
 const neverCancels = time.Duration(-1)
 
-// begin starts a user who submits a job and polls it until it has ended. If cancelAfter is not negative, the user cancels
+// startUser starts a user who submits a job and polls it until it has ended. If cancelAfter is not negative, the user cancels
 // the job that long after its acceptance. begin does not block.
-func (p *population) begin(ctx context.Context, job api.Submission, cancelAfter time.Duration) (id string) {
+func (p *population) startUser(ctx context.Context, job api.Submission, cancelAfter time.Duration) (id string) {
 	job.ID = p.newID()
 	p.audit.Submit(job)
-	p.users.Go(func() { p.attend(ctx, job, cancelAfter) })
+	p.users.Go(func() { p.runUser(ctx, job, cancelAfter) })
 	return job.ID
 }
 
-func (p *population) attend(ctx context.Context, job api.Submission, cancelAfter time.Duration) {
+func (p *population) runUser(ctx context.Context, job api.Submission, cancelAfter time.Duration) {
 	if !p.submit(ctx, job) {
 		return
 	}
 	accepted := time.Now()
 	cancelled := false
-	for p.pause(ctx, pollEvery-time.Duration(p.random(1000))*time.Millisecond) {
+	for p.sleep(ctx, pollInterval-time.Duration(p.randomInt(1000))*time.Millisecond) {
 		if cancelAfter >= 0 && !cancelled && time.Since(accepted) >= cancelAfter {
 			cancelled = p.cancel(ctx, job.ID)
 		}
@@ -108,8 +108,8 @@
 	}
 }
 
-// pause sleeps for d; it returns false if ctx ended first.
-func (p *population) pause(ctx context.Context, d time.Duration) bool {
+// sleep sleeps for d; it returns false if ctx ended first.
+func (p *population) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -118,18 +118,18 @@
 	}
 }
 
-// ask sends a request about a job to a running controller. The status is 0 if no controller answered in time.
-func (p *population) ask(ctx context.Context, patience time.Duration, method, path string, body []byte) (status int, answer api.JobStatus) {
-	status, raw := p.askRaw(ctx, patience, method, path, body)
+// request sends a request about a job to a running controller. The status is 0 if no controller answered in time.
+func (p *population) request(ctx context.Context, timeout time.Duration, method, path string, body []byte) (status int, answer api.JobStatus) {
+	status, raw := p.requestRaw(ctx, timeout, method, path, body)
 	_ = json.Unmarshal(raw, &answer)
 	return status, answer
 }
 
-// askRaw is like ask but returns the undecoded body.
-func (p *population) askRaw(ctx context.Context, patience time.Duration, method, path string, body []byte) (status int, answer []byte) {
-	call, stop := context.WithTimeout(ctx, patience)
+// requestRaw is like request but returns the undecoded body.
+func (p *population) requestRaw(ctx context.Context, timeout time.Duration, method, path string, body []byte) (status int, answer []byte) {
+	call, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	first := p.random(len(p.cluster.Controllers))
+	first := p.randomInt(len(p.cluster.Controllers))
 	for i := range p.cluster.Controllers {
 		x := p.cluster.Controllers[(first+i)%len(p.cluster.Controllers)]
 		if x.PID() == 0 {
@@ -147,23 +147,23 @@
 	return 0, nil
 }
 
-// submit retries a submission until it is accepted. It returns false if it was not accepted within submitsFor or ctx
+// submit retries a submission until it is accepted. It returns false if it was not accepted within submitTimeout or ctx
 // ended.
 func (p *population) submit(ctx context.Context, job api.Submission) bool {
 	body, err := json.Marshal(&job)
 	if err != nil {
 		return false
 	}
-	for began := time.Now(); time.Since(began) < submitsFor; {
+	for began := time.Now(); time.Since(began) < submitTimeout; {
 		askedAt := time.Now()
-		status, answer := p.ask(ctx, callPatience, http.MethodPost, "/submissions", body)
+		status, answer := p.request(ctx, callTimeout, http.MethodPost, "/submissions", body)
 		if status == http.StatusCreated || status == http.StatusOK {
-			p.judge(cluster.AskSubmit, job.ID, askedAt, status, answer.State)
-			p.note(func() { _ = p.submissions.RecordValue(max(1, time.Since(began).Milliseconds())) })
+			p.checkAnswer(cluster.AskSubmit, job.ID, askedAt, status, answer.State)
+			p.locked(func() { _ = p.submissionLatency.RecordValue(max(1, time.Since(began).Milliseconds())) })
 			return true
 		}
-		p.note(func() { p.refused++ })
-		if !p.pause(ctx, retryAtLeast+time.Duration(p.random(1000))*time.Millisecond) {
+		p.locked(func() { p.refused++ })
+		if !p.sleep(ctx, minRetryDelay+time.Duration(p.randomInt(1000))*time.Millisecond) {
 			return false
 		}
 	}
@@ -173,58 +173,58 @@
 func (p *population) cancel(ctx context.Context, id string) bool {
 	p.audit.CancelRequested(id)
 	askedAt := time.Now()
-	status, answer := p.ask(ctx, callPatience, http.MethodPost, "/submissions/"+id+"/cancel", nil)
+	status, answer := p.request(ctx, callTimeout, http.MethodPost, "/submissions/"+id+"/cancel", nil)
 	if status != http.StatusOK {
 		return false
 	}
-	p.judge(cluster.AskCancel, id, askedAt, status, answer.State)
+	p.checkAnswer(cluster.AskCancel, id, askedAt, status, answer.State)
 	return true
 }
 
-// judge passes an answer to the audit, which checks it, and reports whether the job has ended.
-func (p *population) judge(kind cluster.QuestionKind, id string, askedAt time.Time, status int, state string) (over bool) {
+// checkAnswer passes an answer to the audit, which checks it, and reports whether the job has ended.
+func (p *population) checkAnswer(kind cluster.QuestionKind, id string, askedAt time.Time, status int, state string) (over bool) {
 	return p.audit.Judge(cluster.Question{Job: id, Kind: kind, AskedAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
 }
 
 // poll polls a job once and reports whether it has ended.
 func (p *population) poll(ctx context.Context, id string) bool {
 	askedAt := time.Now()
-	status, answer := p.ask(ctx, pollPatience, http.MethodGet, "/submissions/"+id, nil)
-	p.note(func() { p.polls++ })
+	status, answer := p.request(ctx, pollTimeout, http.MethodGet, "/submissions/"+id, nil)
+	p.locked(func() { p.polls++ })
 	if status != http.StatusOK && status != http.StatusNotFound {
-		p.note(func() { p.failed++ })
+		p.locked(func() { p.failedPolls++ })
 		return false
 	}
-	over := p.judge(cluster.AskStatus, id, askedAt, status, answer.State)
+	over := p.checkAnswer(cluster.AskStatus, id, askedAt, status, answer.State)
 	if over && answer.State == api.Done {
 		p.audit.Jobs(func(j *cluster.AuditedJob) {
 			if at := j.Finished(); j.ID == id && !at.IsZero() {
-				p.note(func() { _ = p.dones.RecordValue(max(1, time.Since(at).Milliseconds())) })
+				p.locked(func() { _ = p.doneDelay.RecordValue(max(1, time.Since(at).Milliseconds())) })
 			}
 		})
 	}
 	return over
 }
 
-func (p *population) note(change func()) {
+func (p *population) locked(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// Waits is the distribution of the start waits of the jobs of one rank: from the first submission to the start of the
+// StartWaits is the distribution of the start waits of the jobs of one rank: from the first submission to the start of the
 // last task, in milliseconds.
-type Waits struct {
+type StartWaits struct {
 	Jobs int   `json:"jobs"`
 	P50  int64 `json:"p50_ms"`
 	P99  int64 `json:"p99_ms"`
-	Most int64 `json:"longest_ms"`
+	Max  int64 `json:"longest_ms"`
 	// Unstarted counts jobs of which some task has not started.
 	Unstarted int `json:"unstarted"`
 }
 
-// waits returns, by rank, the start waits of the jobs that were submitted between from and to and were not cancelled.
-func (p *population) waits(from, to time.Time) map[string]Waits {
+// startWaits returns, by rank, the start waits of the jobs that were submitted between from and to and were not cancelled.
+func (p *population) startWaits(from, to time.Time) map[string]StartWaits {
 	all := map[string]*hdrhistogram.Histogram{}
 	unstarted := map[string]int{}
 	p.audit.Jobs(func(j *cluster.AuditedJob) {
@@ -232,7 +232,7 @@
 			return
 		}
 		if all[j.Rank] == nil {
-			all[j.Rank] = hdrhistogram.New(1, histogramMost, 3)
+			all[j.Rank] = hdrhistogram.New(1, histogramMaxMS, 3)
 		}
 		if j.Begun < j.Tasks {
 			unstarted[j.Rank]++
@@ -240,9 +240,9 @@
 		}
 		_ = all[j.Rank].RecordValue(max(1, j.LastBegun.Sub(j.Submitted).Milliseconds()))
 	})
-	out := map[string]Waits{}
+	out := map[string]StartWaits{}
 	for rank, h := range all {
-		out[rank] = Waits{Jobs: int(h.TotalCount()), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Most: h.Max(), Unstarted: unstarted[rank]}
+		out[rank] = StartWaits{Jobs: int(h.TotalCount()), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max(), Unstarted: unstarted[rank]}
 	}
 	return out
 }
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -41,12 +41,12 @@
 		Workers: settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
 }
 
-// Recovered holds the measurements of one case at one fleet size. Times are in seconds since the fault; -1 means that the
+// RecoveryFigures holds the measurements of one case at one fleet size. Times are in seconds since the fault; -1 means that the
 // event did not happen while the fleet was observed.
-type Recovered struct {
+type RecoveryFigures struct {
 	Machines int    `json:"machines"`
 	Case     string `json:"case"`
-	// FirstStart is when a new leader first started a task, HeardAll when every worker had received an answer from it.
+	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer from it.
 	FirstStart float64 `json:"first_start_s"`
 	HeardAll   float64 `json:"heard_all_s"`
 	// ReturnedInVain counts healthy machines that were returned; LostInVain counts tasks that were lost with them or
@@ -59,20 +59,20 @@
 
 // RecoveryResult is the result that the experiment prints.
 type RecoveryResult struct {
-	Seed     uint64      `json:"seed"`
-	Measured string      `json:"measured"`
-	Sizes    []Recovered `json:"sizes"`
+	Seed     uint64            `json:"seed"`
+	Measured string            `json:"measured"`
+	Sizes    []RecoveryFigures `json:"sizes"`
 }
 
 // Run runs every case at every size, one after the other.
 func (x *Recovery) Run(ctx context.Context) (*RecoveryResult, error) {
-	res := &RecoveryResult{Seed: x.Seed, Measured: scaleMeasured}
+	res := &RecoveryResult{Seed: x.Seed, Measured: measuredOn}
 	for _, machines := range x.Sizes {
 		for _, name := range x.Cases {
 			if _, ok := recoveryCases[name]; !ok {
 				return nil, fmt.Errorf("case %q: must be leader, all or zone", name)
 			}
-			r, err := x.play(ctx, machines, name)
+			r, err := x.runCase(ctx, machines, name)
 			if err != nil {
 				return nil, fmt.Errorf("%d machines, %s: %w", machines, name, err)
 			}
@@ -84,7 +84,7 @@
 	return res, nil
 }
 
-func (x *Recovery) play(ctx context.Context, machines int, name string) (Recovered, error) {
+func (x *Recovery) runCase(ctx context.Context, machines int, name string) (RecoveryFigures, error) {
 	scale := ScaleDefaults()
 	scale.Program, scale.Seed, scale.Workers, scale.Agents = x.Program, x.Seed, x.Workers, 0
 	scale.Sizes, scale.CasesAt, scale.Cases = []int{machines}, machines, []string{recoveryCases[name]}
@@ -92,14 +92,14 @@
 	scale.CutS, scale.WatchS, scale.StepS = x.CutS, x.WatchS, recoveryStepS
 	res, err := scale.Run(ctx)
 	if err != nil {
-		return Recovered{}, err
+		return RecoveryFigures{}, err
 	}
 	i := slices.IndexFunc(res.Cases, func(c ScaleCase) bool { return c.Case == recoveryCases[name] })
 	if i < 0 {
-		return Recovered{}, fmt.Errorf("the case was not played")
+		return RecoveryFigures{}, fmt.Errorf("the case was not run")
 	}
 	c := res.Cases[i]
-	return Recovered{Machines: machines, Case: name, FirstStart: c.FirstStart, HeardAll: c.HeardAll, ReturnedInVain: c.Returned, LostInVain: c.Killed + c.LostOn,
+	return RecoveryFigures{Machines: machines, Case: name, FirstStart: c.FirstStart, HeardAll: c.AllWorkersAnswered, ReturnedInVain: c.MachinesReturned, LostInVain: c.KilledByLease + c.TasksOnReturned,
 		PeakShare: c.Step.Leader.CPUP99}, nil
 }
 
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -54,36 +54,36 @@
 
 // Bounds that the operators set for a run.
 const (
-	// memoryShare is the maximum share of the machine's memory that all processes may use.
-	memoryShare = 0.5
-	// processesMost is the maximum number of processes.
-	processesMost = 100
-	// bytesPerWorker is the estimated memory per hollow worker, bytesForTheRest that of everything else.
-	bytesPerWorker  = 600 << 10
-	bytesForTheRest = 1 << 30
-	// teamsAtLimit is the share of teams that use up their CPU limit.
-	teamsAtLimit = 0.1
+	// maxMemoryShare is the maximum share of the machine's memory that all processes may use.
+	maxMemoryShare = 0.5
+	// maxProcesses is the maximum number of processes.
+	maxProcesses = 100
+	// bytesPerWorker is the estimated memory per hollow worker, fixedBytes that of everything else.
+	bytesPerWorker = 600 << 10
+	fixedBytes     = 1 << 30
+	// limitedTeamShare is the share of teams that use up their CPU limit.
+	limitedTeamShare = 0.1
 	// slotsPerWorker is the number of CPUs of a worker; each task uses one.
 	slotsPerWorker = 28.0
-	// urgentEvery is the interval between urgent jobs.
-	urgentEvery = 2 * time.Second
-	// cancelledShare: one short array in this many is cancelled.
-	cancelledShare = 50
+	// urgentInterval is the interval between urgent jobs.
+	urgentInterval = 2 * time.Second
+	// cancelOneIn: one short array in this many is cancelled.
+	cancelOneIn = 50
 	// arrivalRunS is the run time of the tasks of short arrays, in seconds.
 	arrivalRunS = 20.0
-	// longRunS is the run time of the tasks of the base load, in seconds.
-	longRunS = 3600.0
-	// settleMost is how long to wait until the expected number of tasks is running.
-	settleMost = 2 * time.Minute
-	// controllerBackIn is the delay before a killed controller is restarted.
-	controllerBackIn = 3 * time.Second
+	// baseRunS is the run time of the tasks of the base load, in seconds.
+	baseRunS = 3600.0
+	// settleTimeout is how long to wait until the expected number of tasks is running.
+	settleTimeout = 2 * time.Minute
+	// controllerRestartDelay is the delay before a killed controller is restarted.
+	controllerRestartDelay = 3 * time.Second
 )
 
 // SteadyStep is the name of the steps at which the load is proportional to the fleet size.
 const SteadyStep = "steady"
 
-// scaleMeasured describes the origin of the figures.
-const scaleMeasured = "real processes over loopback on this machine; hollow workers, stand-ins of state service and cloud"
+// measuredOn describes the origin of the figures.
+const measuredOn = "real processes over loopback on this machine; hollow workers, stand-ins of state service and cloud"
 
 // scaleZones are two regions of two zones each. The state service, the cloud and two of the three controllers are in the
 // first region.
@@ -111,22 +111,22 @@
 	Starts  float64 `json:"starts_per_s"`
 	Jobs    int     `json:"jobs_unfinished"`
 	Seconds float64 `json:"seconds"`
-	// Follower is the busier follower. Agents is the mean over the agents. Hollow is this process, which contains the
-	// hollow workers, the stand-ins of the services and the users.
-	Leader   ProcessFigures `json:"leader"`
-	Follower ProcessFigures `json:"follower"`
-	Agents   ProcessFigures `json:"agent"`
-	Hollow   ProcessFigures `json:"this_process"`
+	// Follower is the busier follower. Agents is the mean over the agents. ThisProcess contains the hollow workers, the
+	// stand-ins of the services and the users.
+	Leader      ProcessFigures `json:"leader"`
+	Follower    ProcessFigures `json:"follower"`
+	Agents      ProcessFigures `json:"agent"`
+	ThisProcess ProcessFigures `json:"this_process"`
 	// Traffic is by kind of message. Writes are puts and deletes in the state service per second, by kind of key.
-	Traffic     map[string]Flow    `json:"traffic"`
-	Writes      map[string]float64 `json:"state_changes_per_s"`
-	Waits       map[string]Waits   `json:"start_waits"`
-	Submissions Latency            `json:"submissions"`
-	Dones       Latency            `json:"time_to_done"`
-	Refused     int                `json:"submissions_refused"`
-	Polls       int                `json:"polls"`
-	PollsFailed int                `json:"polls_unanswered"`
-	Changes     Changes            `json:"configuration_changes"`
+	Traffic     map[string]Flow       `json:"traffic"`
+	Writes      map[string]float64    `json:"state_changes_per_s"`
+	Waits       map[string]StartWaits `json:"start_waits"`
+	Submissions Latency               `json:"submissions"`
+	TimeToDone  Latency               `json:"time_to_done"`
+	Refused     int                   `json:"submissions_refused"`
+	Polls       int                   `json:"polls"`
+	PollsFailed int                   `json:"polls_unanswered"`
+	Changes     Changes               `json:"configuration_changes"`
 }
 
 // Flow is a mean rate of messages.
@@ -140,7 +140,7 @@
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_ms"`
 	P99   int64 `json:"p99_ms"`
-	Most  int64 `json:"longest_ms"`
+	Max   int64 `json:"longest_ms"`
 }
 
 // ScaleResult is the result that the experiment prints.
@@ -165,10 +165,10 @@
 		out.Measurements = append(out.Measurements, step.measurement())
 	}
 	for _, c := range r.Cases {
-		if c.Case == ScaleLeader && c.FirstStart >= 0 && c.HeardAll >= 0 {
+		if c.Case == ScaleLeader && c.FirstStart >= 0 && c.AllWorkersAnswered >= 0 {
 			out.Measurements = append(out.Measurements, capacity.Measurement{Name: "takeover", Workers: float64(c.Step.Workers), Tasks: float64(c.Step.Tasks), Starts: c.Step.Starts,
 				Figures: map[string]float64{capacity.TakeoverPeak: c.Step.Leader.CPUP99, capacity.TakeoverMemory: c.Step.Leader.MemoryMB,
-					capacity.TakeoverFirst: c.FirstStart, capacity.TakeoverAll: c.HeardAll}})
+					capacity.TakeoverFirst: c.FirstStart, capacity.TakeoverAll: c.AllWorkersAnswered}})
 		}
 	}
 	return out
@@ -180,7 +180,7 @@
 	figures := map[string]float64{
 		capacity.LeaderCPU: s.Leader.CPUMean, capacity.LeaderPeak: s.Leader.CPUP99, capacity.LeaderMemory: s.Leader.MemoryMB, capacity.LeaderSockets: float64(s.Leader.Descriptors),
 		capacity.FollowerCPU: s.Follower.CPUMean, capacity.FollowerMemory: s.Follower.MemoryMB, capacity.FollowerSockets: float64(s.Follower.Descriptors),
-		capacity.HollowCPU: s.Hollow.CPUMean,
+		capacity.HollowCPU: s.ThisProcess.CPUMean,
 	}
 	for kind, f := range s.Traffic {
 		switch {
@@ -208,7 +208,7 @@
 // Run runs all steps and cases. It returns an error for invalid options and if a rule was violated; in the latter case the
 // result is valid too.
 func (x *Scale) Run(ctx context.Context) (*ScaleResult, error) {
-	if err := x.check(); err != nil {
+	if err := x.validate(); err != nil {
 		return nil, err
 	}
 	run, err := x.start(ctx)
@@ -216,8 +216,8 @@
 		return nil, err
 	}
 	defer run.close()
-	res := &ScaleResult{Seed: x.Seed, Measured: scaleMeasured}
-	if err := run.steps(res); err != nil {
+	res := &ScaleResult{Seed: x.Seed, Measured: measuredOn}
+	if err := run.runSteps(res); err != nil {
 		return nil, err
 	}
 	run.audit.Sweep()
@@ -229,8 +229,8 @@
 	return res, nil
 }
 
-// check returns an error if the options are invalid or exceed this machine's memory or the operators' bounds.
-func (x *Scale) check() error {
+// validate returns an error if the options are invalid or exceed this machine's memory or the operators' bounds.
+func (x *Scale) validate() error {
 	if len(x.Sizes) == 0 || !slices.IsSorted(x.Sizes) || x.Sizes[0] < 4 {
 		return fmt.Errorf("--sizes: must be numbers of workers from 4 on, ascending")
 	}
@@ -245,16 +245,16 @@
 	if x.Teams < 2 || x.StepS <= 0 || x.TasksPerWorker <= 0 || x.StartsPerS < 0 {
 		return fmt.Errorf("--teams must be 2 or more; --step and --tasks-per-worker above 0; --starts 0 or more")
 	}
-	if n := len(controllerZones) + x.Agents + 1; n > processesMost {
-		return fmt.Errorf("--agents: %d processes in all, at most %d are allowed", n, processesMost)
+	if n := len(controllerZones) + x.Agents + 1; n > maxProcesses {
+		return fmt.Errorf("--agents: %d processes in all, at most %d are allowed", n, maxProcesses)
 	}
 	total, err := cluster.MemoryBytes()
 	if err != nil {
 		return err
 	}
-	need := float64(x.Sizes[len(x.Sizes)-1])*bytesPerWorker + bytesForTheRest
-	if need > memoryShare*float64(total) {
-		return fmt.Errorf("--sizes: %d workers need some %.0f MB, over %.0f%% of this machine's %.0f MB", x.Sizes[len(x.Sizes)-1], need/(1<<20), 100*memoryShare, float64(total)/(1<<20))
+	need := float64(x.Sizes[len(x.Sizes)-1])*bytesPerWorker + fixedBytes
+	if need > maxMemoryShare*float64(total) {
+		return fmt.Errorf("--sizes: %d workers need some %.0f MB, over %.0f%% of this machine's %.0f MB", x.Sizes[len(x.Sizes)-1], need/(1<<20), 100*maxMemoryShare, float64(total)/(1<<20))
 	}
 	return nil
 }
@@ -268,21 +268,21 @@
 	users   *population
 	agents  []*cluster.Agent
 	// arrivals is the rate at which users submit tasks of short arrays, in tasks per second.
-	arrivals rateSwitch
-	// longJobs are the IDs of the jobs of the base load.
-	longJobs []string
-	returned returns
-	changer  *changer
+	arrivals adjustableRate
+	// baseJobs are the IDs of the jobs of the base load.
+	baseJobs []string
+	returned returnCounts
+	changer  *limitChanger
 }
 
-// teams returns Teams teams. The share teamsAtLimit of them, but at least one, has a CPU limit that its jobs use up; the
+// teams returns Teams teams. The share limitedTeamShare of them, but at least one, has a CPU limit that its jobs use up; the
 // others never reach theirs. Each team is guaranteed a part of the fleet.
 func (x *Scale) teams() []settings.Team {
-	most := float64(x.Sizes[len(x.Sizes)-1])
+	maxWorkers := float64(x.Sizes[len(x.Sizes)-1])
 	var out []settings.Team
 	for i := range x.Teams {
-		t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 4 * slotsPerWorker * most, CPUs: 10 * most / float64(x.Teams)}
-		if x.limited(i) {
+		t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 4 * slotsPerWorker * maxWorkers, CPUs: 10 * maxWorkers / float64(x.Teams)}
+		if x.usesUpLimit(i) {
 			t.CPUsMax, t.CPUs = limitedCPUs, limitedCPUs
 		}
 		out = append(out, t)
@@ -293,8 +293,10 @@
 // limitedCPUs is the limit, in CPUs, of each team that uses up its limit.
 const limitedCPUs = 40
 
-// limited reports whether a team uses up its limit.
-func (x *Scale) limited(team int) bool { return team < max(1, int(teamsAtLimit*float64(x.Teams))) }
+// usesUpLimit reports whether a team uses up its limit.
+func (x *Scale) usesUpLimit(team int) bool {
+	return team < max(1, int(limitedTeamShare*float64(x.Teams)))
+}
 
 func (x *Scale) facts() settings.Facts {
 	return settings.Facts{Nodes: len(controllerZones), Zones: scaleZones, Teams: x.teams(), Workers: x.Workers,
@@ -309,7 +311,7 @@
 	run := &scaleRun{Scale: x, ctx: ctx, audit: cluster.NewAudit(facts.Teams, facts.Workers)}
 	var err error
 	run.cluster, err = cluster.New(ctx, cluster.Options{Zones: controllerZones, Facts: facts, Type: hollowType, Room: x.Sizes[len(x.Sizes)-1] / 4,
-		LogDir: x.LogDir, LogLevel: x.LogLevel, Runs: run.runs, Audit: run.audit})
+		LogDir: x.LogDir, LogLevel: x.LogLevel, Runs: run.taskRunTime, Audit: run.audit})
 	if err != nil {
 		return nil, err
 	}
@@ -320,7 +322,7 @@
 		run.close()
 		return nil, err
 	}
-	go run.arrive()
+	go run.submitArrivals()
 	if x.ChangesEveryS > 0 {
 		go run.changer.loop()
 	}
@@ -364,15 +366,15 @@
 
 func (run *scaleRun) close() { run.cluster.Close() }
 
-// runs returns how long a task runs, which is the estimate of its job.
-func (run *scaleRun) runs(task string) time.Duration {
+// taskRunTime returns how long a task runs, which is the estimate of its job.
+func (run *scaleRun) taskRunTime(task string) time.Duration {
 	return run.audit.Estimate(task)
 }
 
-// steps grows the fleet, measures each size, and runs the cases at CasesAt.
-func (run *scaleRun) steps(res *ScaleResult) error {
+// runSteps grows the fleet, measures each size, and runs the cases at CasesAt.
+func (run *scaleRun) runSteps(res *ScaleResult) error {
 	workers, tasks := run.Sizes[0], 0
-	if err := run.writes(res); err != nil {
+	if err := run.measureWrites(res); err != nil {
 		return err
 	}
 	for i, size := range run.Sizes {
@@ -381,39 +383,39 @@
 		}
 		if i > 0 {
 			// The number of tasks has not grown yet, so this measures the cost of a worker by itself.
-			if err := run.measured(res, "workers without more tasks", size); err != nil {
+			if err := run.recordStep(res, "workers without more tasks", size); err != nil {
 				return err
 			}
 		}
 		workers = size
 		want := int(run.TasksPerWorker * float64(size))
-		run.submitLong(want - tasks)
+		run.submitBaseLoad(want - tasks)
 		tasks = want
 		run.arrivals.set(run.StartsPerS * float64(size) / float64(run.CasesAt))
-		if err := run.settle(want); err != nil {
+		if err := run.waitForTasks(want); err != nil {
 			return fmt.Errorf("%d workers: %w", size, err)
 		}
-		if err := run.measured(res, SteadyStep, size); err != nil {
+		if err := run.recordStep(res, SteadyStep, size); err != nil {
 			return err
 		}
 		if i == 0 {
 			run.arrivals.set(0)
-			if err := run.measured(res, "no arrivals", size); err != nil {
+			if err := run.recordStep(res, "no arrivals", size); err != nil {
 				return err
 			}
-			run.arrivals.set(run.mostArrivals(size))
-			if err := run.measured(res, "more arrivals", size); err != nil {
+			run.arrivals.set(run.maxArrivals(size))
+			if err := run.recordStep(res, "more arrivals", size); err != nil {
 				return err
 			}
 			run.arrivals.set(run.StartsPerS * float64(size) / float64(run.CasesAt))
 		}
 		if size == run.CasesAt {
-			if err := run.playCases(res); err != nil {
+			if err := run.runCases(res); err != nil {
 				return err
 			}
 		} else if len(run.Cases) > 0 {
 			// The cost of a change of leader grows with the fleet.
-			if err := run.playCase(res, ScaleLeader, size); err != nil {
+			if err := run.runCase(res, ScaleLeader, size); err != nil {
 				return err
 			}
 		}
@@ -421,17 +423,17 @@
 	return nil
 }
 
-// arrivalsShare is the maximum share of the capacity left by the base load that short arrays may use.
-const arrivalsShare = 0.6
+// maxArrivalShare is the maximum share of the capacity left by the base load that short arrays may use.
+const maxArrivalShare = 0.6
 
-// mostArrivals returns the maximum rate of short tasks that causes no backlog, in tasks per second.
-func (run *scaleRun) mostArrivals(workers int) float64 {
+// maxArrivals returns the maximum rate of short tasks that causes no backlog, in tasks per second.
+func (run *scaleRun) maxArrivals(workers int) float64 {
 	free := (slotsPerWorker - run.TasksPerWorker) * float64(workers)
-	return min(run.StartsPerS, arrivalsShare*free/arrivalRunS)
+	return min(run.StartsPerS, maxArrivalShare*free/arrivalRunS)
 }
 
-// measured measures a period of StepS and adds it to the result.
-func (run *scaleRun) measured(res *ScaleResult, name string, workers int) error {
+// recordStep measures a period of StepS and adds it to the result.
+func (run *scaleRun) recordStep(res *ScaleResult, name string, workers int) error {
 	step, err := run.measure(name, workers, run.StepS)
 	if err != nil {
 		return err
@@ -442,9 +444,9 @@
 	return nil
 }
 
-// settle waits until the given number of tasks is running.
-func (run *scaleRun) settle(tasks int) error {
-	err := run.cluster.Until(settleMost, func() bool { return run.cluster.Running() >= tasks })
+// waitForTasks waits until the given number of tasks is running.
+func (run *scaleRun) waitForTasks(tasks int) error {
+	err := run.cluster.Until(settleTimeout, func() bool { return run.cluster.Running() >= tasks })
 	if err != nil {
 		return fmt.Errorf("only %d of %d tasks are running: %w", run.cluster.Running(), tasks, err)
 	}
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -18,53 +18,53 @@
 	ScaleRestarts   = "restarts"
 	ScaleRegions    = "regions"
 	ScaleFull       = "full"
-	ScaleFullLead   = "full-leader"
+	ScaleFullLeader = "full-leader"
 	ScaleFullRack   = "full-rack"
 	ScaleLeaderZone = "leader-zone"
 )
 
 // ScaleCases returns the names of all cases in the order in which they are run.
 func ScaleCases() []string {
-	return []string{ScaleLeader, ScaleAll, ScaleRack, ScaleZone, ScaleOutage, ScaleRestarts, ScaleRegions, ScaleLeaderZone, ScaleFull, ScaleFullLead, ScaleFullRack}
+	return []string{ScaleLeader, ScaleAll, ScaleRack, ScaleZone, ScaleOutage, ScaleRestarts, ScaleRegions, ScaleLeaderZone, ScaleFull, ScaleFullLeader, ScaleFullRack}
 }
 
 // ScaleCase holds the measurements of one case. Times are in seconds since the fault began; -1 means that the event did not
 // happen while the fleet was observed.
 type ScaleCase struct {
 	Case string `json:"case"`
-	// FirstStart is when a new leader first started a task, HeardAll when every worker had received an answer from it.
+	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer from it.
 	// Both are set only for faults that change the leader.
-	FirstStart float64 `json:"first_start_s"`
-	HeardAll   float64 `json:"heard_all_s"`
-	// Killed counts tasks that were killed because a lease expired, Returned the machines that were returned to the cloud,
-	// and LostOn the tasks that ran on them.
-	Killed   int `json:"killed_by_lease"`
-	Returned int `json:"machines_returned"`
-	LostOn   int `json:"tasks_on_returned"`
-	// Hit counts the tasks that ran on the affected machines, Restarted those of them that were started again.
-	// RestartedHalf and RestartedMost are the 50th and the 95th percentile of the times of these starts.
-	Hit           int     `json:"tasks_hit"`
+	FirstStart         float64 `json:"first_start_s"`
+	AllWorkersAnswered float64 `json:"heard_all_s"`
+	// KilledByLease counts tasks that were killed because a lease expired, MachinesReturned the machines that were returned
+	// to the cloud, and TasksOnReturned the tasks that ran on them.
+	KilledByLease    int `json:"killed_by_lease"`
+	MachinesReturned int `json:"machines_returned"`
+	TasksOnReturned  int `json:"tasks_on_returned"`
+	// TasksAffected counts the tasks that ran on the affected machines, Restarted those of them that were started again.
+	// RestartedP50 and RestartedP95 are the 50th and the 95th percentile of the times of these starts.
+	TasksAffected int     `json:"tasks_hit"`
 	Restarted     int     `json:"restarted"`
-	RestartedHalf float64 `json:"restarted_half_s"`
-	RestartedMost float64 `json:"restarted_95_s"`
-	// Whole is when about as many tasks were running as before the fault.
-	Whole float64 `json:"whole_again_s"`
+	RestartedP50  float64 `json:"restarted_half_s"`
+	RestartedP95  float64 `json:"restarted_95_s"`
+	// RecoveredAfter is when about as many tasks were running as before the fault.
+	RecoveredAfter float64 `json:"whole_again_s"`
 	// Step has the measurements from the beginning of the fault to the end of the observation.
 	Step ScaleStep `json:"figures"`
 }
 
-// playCases runs all cases one after the other. Before the first case that needs a full fleet it fills the fleet.
-func (run *scaleRun) playCases(res *ScaleResult) error {
+// runCases runs all cases one after the other. Before the first case that needs a full fleet it fills the fleet.
+func (run *scaleRun) runCases(res *ScaleResult) error {
 	var filler []string
 	for _, name := range run.Cases {
-		full := name == ScaleFull || name == ScaleFullLead || name == ScaleFullRack
+		full := name == ScaleFull || name == ScaleFullLeader || name == ScaleFullRack
 		if full && filler == nil {
-			filler = run.fill(run.CasesAt)
-			if err := run.settle(int(0.98 * slotsPerWorker * float64(run.CasesAt))); err != nil {
+			filler = run.fillFleet(run.CasesAt)
+			if err := run.waitForTasks(int(0.98 * slotsPerWorker * float64(run.CasesAt))); err != nil {
 				return fmt.Errorf("filling the fleet: %w", err)
 			}
 		}
-		if err := run.playCase(res, name, run.CasesAt); err != nil {
+		if err := run.runCase(res, name, run.CasesAt); err != nil {
 			return err
 		}
 	}
@@ -74,29 +74,29 @@
 	return nil
 }
 
-// playCase runs one case and adds it to the result.
-func (run *scaleRun) playCase(res *ScaleResult, name string, workers int) error {
-	c, err := run.strike(name, workers)
+// runCase runs one case and adds it to the result.
+func (run *scaleRun) runCase(res *ScaleResult, name string, workers int) error {
+	c, err := run.injectFault(name, workers)
 	if err != nil {
 		return fmt.Errorf("case %s: %w", name, err)
 	}
 	urgent := c.Step.Waits["high"]
 	run.Progress("%d workers, case %s: first start %.2f s, all heard %.1f s; hit %d, restarted %d (half %.1f s, 95%% %.1f s); killed by lease %d, returned %d with %d tasks; whole after %.1f s; urgent p99 %d ms of %d jobs, %d unstarted; leader's busiest second %.2f",
-		workers, name, c.FirstStart, c.HeardAll, c.Hit, c.Restarted, c.RestartedHalf, c.RestartedMost, c.Killed, c.Returned, c.LostOn, c.Whole, urgent.P99, urgent.Jobs, urgent.Unstarted, c.Step.Leader.CPUP99)
+		workers, name, c.FirstStart, c.AllWorkersAnswered, c.TasksAffected, c.Restarted, c.RestartedP50, c.RestartedP95, c.KilledByLease, c.MachinesReturned, c.TasksOnReturned, c.RecoveredAfter, urgent.P99, urgent.Jobs, urgent.Unstarted, c.Step.Leader.CPUP99)
 	res.Cases = append(res.Cases, *c)
 	return nil
 }
 
-// counted holds the numbers of killed tasks, returned machines and tasks on these so far.
-type counted struct{ killed, machines, tasks int }
+// lossCounts holds the numbers of killed tasks, returned machines and tasks on these so far.
+type lossCounts struct{ killed, machines, tasks int }
 
-func (run *scaleRun) losses() (c counted) {
+func (run *scaleRun) countLosses() (c lossCounts) {
 	for _, w := range run.cluster.Workers() {
 		_, _, killed, _ := w.Seen()
 		c.killed += killed
 	}
-	machines, tasks, killed := run.returned.counts()
-	return counted{c.killed + killed, machines, tasks}
+	machines, tasks, killed := run.returned.get()
+	return lossCounts{c.killed + killed, machines, tasks}
 }
 
 // highestTerm returns the highest term that any worker has seen.
@@ -108,31 +108,31 @@
 	return term
 }
 
-// strike injects the fault of a case and observes the fleet until WatchS after the fault has ended.
-func (run *scaleRun) strike(name string, workers int) (*ScaleCase, error) {
+// injectFault injects the fault of a case and observes the fleet until WatchS after the fault has ended.
+func (run *scaleRun) injectFault(name string, workers int) (*ScaleCase, error) {
 	if run.cluster.Leader() == nil {
 		return nil, fmt.Errorf("nobody leads")
 	}
-	before, term, lost := run.cluster.Running(), run.highestTerm(), run.losses()
+	before, term, lost := run.cluster.Running(), run.highestTerm(), run.countLosses()
 	record := run.record()
 	began := time.Now()
-	machines, cause, changesLeader := run.cause(name)
+	machines, inject, changesLeader := run.fault(name)
 	hit := run.audit.RunningOn(machines)
-	c := &ScaleCase{Case: name, FirstStart: -1, HeardAll: -1, RestartedHalf: -1, RestartedMost: -1, Whole: -1, Hit: len(hit)}
-	over := make(chan time.Time, 1)
+	c := &ScaleCase{Case: name, FirstStart: -1, AllWorkersAnswered: -1, RestartedP50: -1, RestartedP95: -1, RecoveredAfter: -1, TasksAffected: len(hit)}
+	faultEnded := make(chan time.Time, 1)
 	go func() {
-		cause()
-		over <- time.Now()
+		inject()
+		faultEnded <- time.Now()
 	}()
-	run.watch(c, began, before, term, changesLeader, over)
-	after := run.losses()
-	c.Killed, c.Returned, c.LostOn = after.killed-lost.killed, after.machines-lost.machines, after.tasks-lost.tasks
+	run.observe(c, began, before, term, changesLeader, faultEnded)
+	after := run.countLosses()
+	c.KilledByLease, c.MachinesReturned, c.TasksOnReturned = after.killed-lost.killed, after.machines-lost.machines, after.tasks-lost.tasks
 	if first := run.audit.FirstStart(term); changesLeader && !first.IsZero() {
 		c.FirstStart = first.Sub(began).Seconds()
 	}
 	times := run.audit.StartedSince(began, hit)
 	c.Restarted = len(times)
-	c.RestartedHalf, c.RestartedMost = quantile(times, 0.5), quantile(times, 0.95)
+	c.RestartedP50, c.RestartedP95 = quantile(times, 0.5), quantile(times, 0.95)
 	step, err := record.stop(name, workers)
 	if err != nil {
 		return nil, err
@@ -141,55 +141,55 @@
 	return c, nil
 }
 
-// wholeShare is the percentage of the former number of running tasks at which the fleet counts as recovered; arrivals
+// recoveredPercent is the percentage of the former number of running tasks at which the fleet counts as recovered; arrivals
 // make the number vary by the rest.
-const wholeShare = 97
+const recoveredPercent = 97
 
-// watch observes the fleet five times a second until WatchS after the fault has ended.
-func (run *scaleRun) watch(c *ScaleCase, began time.Time, before int, term uint64, changesLeader bool, over <-chan time.Time) {
+// observe observes the fleet five times a second until WatchS after the fault has ended.
+func (run *scaleRun) observe(c *ScaleCase, began time.Time, before int, term uint64, changesLeader bool, faultEnded <-chan time.Time) {
 	var ended time.Time
 	for run.cluster.Sleep(200 * time.Millisecond) {
 		select {
-		case ended = <-over:
+		case ended = <-faultEnded:
 		default:
 		}
 		since := time.Since(began).Seconds()
-		if changesLeader && c.HeardAll < 0 && run.allSaw(term) {
-			c.HeardAll = since
+		if changesLeader && c.AllWorkersAnswered < 0 && run.allSawTermAbove(term) {
+			c.AllWorkersAnswered = since
 		}
 		switch running := run.cluster.Running(); {
-		case running < before*wholeShare/100:
-			c.Whole = -1
-		case c.Whole < 0:
-			c.Whole = since
+		case running < before*recoveredPercent/100:
+			c.RecoveredAfter = -1
+		case c.RecoveredAfter < 0:
+			c.RecoveredAfter = since
 		}
-		if !ended.IsZero() && time.Since(ended) > span(run.WatchS) {
+		if !ended.IsZero() && time.Since(ended) > secondsDuration(run.WatchS) {
 			return
 		}
 	}
 }
 
-// allSaw reports whether every worker has seen a higher term than the given one.
-func (run *scaleRun) allSaw(above uint64) bool {
+// allSawTermAbove reports whether every worker has seen a higher term than the given one.
+func (run *scaleRun) allSawTermAbove(than uint64) bool {
 	for _, w := range run.cluster.Workers() {
-		if term, _, _, _ := w.Seen(); term <= above {
+		if term, _, _, _ := w.Seen(); term <= than {
 			return false
 		}
 	}
 	return true
 }
 
-// cause returns the machines that a case's fault affects, a function that injects the fault and returns when it has ended,
+// fault returns the machines that a case's fault affects, a function that injects the fault and returns when it has ended,
 // and whether the fault changes the leader.
-func (run *scaleRun) cause(name string) (machines map[string]bool, cause func(), changesLeader bool) {
+func (run *scaleRun) fault(name string) (machines map[string]bool, inject func(), changesLeader bool) {
 	cut := func(zones []string) (map[string]bool, func(), bool) {
 		length := run.CutS
 		if name == ScaleRegions {
 			length = run.ApartS
 		}
-		return run.in(zones), func() {
+		return run.machinesIn(zones), func() {
 			run.cluster.Isolate(zones...)
-			run.cluster.Sleep(span(length))
+			run.cluster.Sleep(secondsDuration(length))
 			run.cluster.Isolate()
 		}, false
 	}
@@ -198,40 +198,40 @@
 			for _, x := range some {
 				x.Kill()
 			}
-			run.cluster.Sleep(controllerBackIn)
+			run.cluster.Sleep(controllerRestartDelay)
 			for _, x := range some {
 				_ = x.Start(run.Program)
 			}
 		}, true
 	}
 	switch name {
-	case ScaleLeader, ScaleFullLead:
+	case ScaleLeader, ScaleFullLeader:
 		return crash([]*cluster.Controller{run.cluster.Leader()})
 	case ScaleAll:
 		return crash(run.cluster.Controllers)
 	case ScaleZone:
 		return cut([]string{scaleZones[len(scaleZones)-1]})
 	case ScaleLeaderZone:
-		machines, cause, _ = cut([]string{run.cluster.Leader().Settings.Zone})
-		return machines, cause, true
+		machines, inject, _ = cut([]string{run.cluster.Leader().Settings.Zone})
+		return machines, inject, true
 	case ScaleRegions:
 		return cut(secondRegion)
 	case ScaleRack, ScaleFullRack:
-		return run.loseRack()
+		return run.cutRack()
 	case ScaleOutage:
 		return nil, func() {
 			run.cluster.State.Outage(true)
-			run.cluster.Sleep(span(run.OutageS))
+			run.cluster.Sleep(secondsDuration(run.OutageS))
 			run.cluster.State.Outage(false)
 		}, false
 	case ScaleRestarts:
-		return nil, run.restartSome, false
+		return nil, run.restartWorkers, false
 	}
-	return nil, func() { run.cluster.Sleep(span(run.CutS / 2)) }, false
+	return nil, func() { run.cluster.Sleep(secondsDuration(run.CutS / 2)) }, false
 }
 
-// in returns the names of the machines in the given zones.
-func (run *scaleRun) in(zones []string) map[string]bool {
+// machinesIn returns the names of the machines in the given zones.
+func (run *scaleRun) machinesIn(zones []string) map[string]bool {
 	out := map[string]bool{}
 	for _, w := range run.cluster.Workers() {
 		for _, zone := range zones {
@@ -250,8 +250,8 @@
 	restartShare = 1.0 / 100
 )
 
-// loseRack returns the fault that cuts the workers of one rack off the network.
-func (run *scaleRun) loseRack() (map[string]bool, func(), bool) {
+// cutRack returns the fault that cuts the workers of one rack off the network.
+func (run *scaleRun) cutRack() (map[string]bool, func(), bool) {
 	rack := run.cluster.Workers()[:max(1, int(rackShare*float64(run.CasesAt)))]
 	machines := map[string]bool{}
 	for _, w := range rack {
@@ -264,17 +264,17 @@
 	}
 	return machines, func() {
 		lose(true)
-		run.cluster.Sleep(span(run.CutS))
+		run.cluster.Sleep(secondsDuration(run.CutS))
 		lose(false)
 	}, false
 }
 
-// restartSome restarts some workers one after the other, spread over CutS.
-func (run *scaleRun) restartSome() {
-	some := run.cluster.Workers()[:max(1, int(restartShare*float64(run.CasesAt)))]
-	for _, w := range some {
+// restartWorkers restarts some workers one after the other, spread over CutS.
+func (run *scaleRun) restartWorkers() {
+	workers := run.cluster.Workers()[:max(1, int(restartShare*float64(run.CasesAt)))]
+	for _, w := range workers {
 		w.Restart()
-		run.cluster.Sleep(span(run.CutS / float64(len(some))))
+		run.cluster.Sleep(secondsDuration(run.CutS / float64(len(workers))))
 	}
 }
 
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -19,56 +19,56 @@
 	Latency
 	// Refused counts changes that were not stored or not confirmed to be in force in time.
 	Refused int `json:"refused"`
-	// Late counts changes that came into force more than 4 s after the request.
-	Late int `json:"over_4_s"`
+	// Slow counts changes that came into force more than 4 s after the request.
+	Slow int `json:"over_4_s"`
 }
 
 const (
-	// inForceMost is the time after which a change counts as late.
-	inForceMost = 4 * time.Second
-	// inForceWatch is how long to wait for a change to come into force.
-	inForceWatch = 20 * time.Second
-	// inForceLook is the interval between polls of the configuration.
-	inForceLook = 20 * time.Millisecond
+	// slowChangeAfter is the time after which a change counts as late.
+	slowChangeAfter = 4 * time.Second
+	// inForceTimeout is how long to wait for a change to come into force.
+	inForceTimeout = 20 * time.Second
+	// inForcePollInterval is the interval between polls of the configuration.
+	inForcePollInterval = 20 * time.Millisecond
 )
 
-// changer periodically changes a team's limit in the configuration.
-type changer struct {
+// limitChanger periodically changes a team's limit in the configuration.
+type limitChanger struct {
 	run *scaleRun
 
 	// mu guards the fields below.
 	mu            sync.Mutex
-	took          *hdrhistogram.Histogram
-	refused, late int
+	latency       *hdrhistogram.Histogram
+	refused, slow int
 }
 
-func newChanger(run *scaleRun) *changer {
-	c := &changer{run: run}
+func newChanger(run *scaleRun) *limitChanger {
+	c := &limitChanger{run: run}
 	c.reset()
 	return c
 }
 
-func (c *changer) reset() {
+func (c *limitChanger) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.took, c.refused, c.late = hdrhistogram.New(1, histogramMost, 3), 0, 0
+	c.latency, c.refused, c.slow = hdrhistogram.New(1, histogramMaxMS, 3), 0, 0
 }
 
-func (c *changer) figures() Changes {
+func (c *limitChanger) figures() Changes {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Changes{Latency: latencyOf(c.took), Refused: c.refused, Late: c.late}
+	return Changes{Latency: latencyOf(c.latency), Refused: c.refused, Slow: c.slow}
 }
 
 // loop makes a change every ChangesEveryS until the run ends.
-func (c *changer) loop() {
-	for number := 0; c.run.cluster.Sleep(span(c.run.ChangesEveryS)); number++ {
+func (c *limitChanger) loop() {
+	for number := 0; c.run.cluster.Sleep(secondsDuration(c.run.ChangesEveryS)); number++ {
 		if began := time.Now(); c.change(number) {
 			took := time.Since(began)
 			c.mu.Lock()
-			_ = c.took.RecordValue(max(1, took.Milliseconds()))
-			if took > inForceMost {
-				c.late++
+			_ = c.latency.RecordValue(max(1, took.Milliseconds()))
+			if took > slowChangeAfter {
+				c.slow++
 			}
 			c.mu.Unlock()
 		} else {
@@ -80,7 +80,7 @@
 }
 
 // document returns a configuration with all teams as in the settings, except that the last team's limit varies with number.
-func (c *changer) document(number int) string {
+func (c *limitChanger) document(number int) string {
 	var text strings.Builder
 	for i, t := range c.run.teams() {
 		if i == c.run.Teams-1 {
@@ -93,24 +93,24 @@
 
 // change makes one change and waits until it is in force. It returns false if the change was refused or did not come into
 // force in time.
-func (c *changer) change(number int) bool {
+func (c *limitChanger) change(number int) bool {
 	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), By: "scale", Why: fmt.Sprint(number)})
 	if err != nil {
 		return false
 	}
 	users := c.run.users
-	status, raw := users.askRaw(c.run.ctx, callPatience, http.MethodPost, "/configuration", body)
+	status, raw := users.requestRaw(c.run.ctx, callTimeout, http.MethodPost, "/configuration", body)
 	var stored struct {
 		Revision uint64 `json:"revision"`
 	}
 	if status != http.StatusOK && status != http.StatusAccepted || json.Unmarshal(raw, &stored) != nil {
 		return false
 	}
-	for end := time.Now().Add(inForceWatch); status != http.StatusOK; {
-		if time.Now().After(end) || !c.run.cluster.Sleep(inForceLook) {
+	for end := time.Now().Add(inForceTimeout); status != http.StatusOK; {
+		if time.Now().After(end) || !c.run.cluster.Sleep(inForcePollInterval) {
 			return false
 		}
-		shown, raw := users.askRaw(c.run.ctx, pollPatience, http.MethodGet, "/configuration", nil)
+		shown, raw := users.requestRaw(c.run.ctx, pollTimeout, http.MethodGet, "/configuration", nil)
 		var v api.ConfigurationView
 		if shown == http.StatusOK && json.Unmarshal(raw, &v) == nil && v.Leader && (v.Revision > stored.Revision || v.Revision == stored.Revision && v.InForce) {
 			status = shown
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -9,33 +9,33 @@
 	"switchferry/internal/cluster"
 )
 
-// rateSwitch is a rate per second that can be read and changed concurrently.
-type rateSwitch struct {
-	mu  sync.Mutex // guards now
-	now float64
+// adjustableRate is a rate per second that can be read and changed concurrently.
+type adjustableRate struct {
+	mu        sync.Mutex // guards now
+	perSecond float64
 }
 
-func (r *rateSwitch) set(perSecond float64) {
+func (r *adjustableRate) set(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.now = perSecond
+	r.perSecond = rate
 }
 
-func (r *rateSwitch) get() float64 {
+func (r *adjustableRate) get() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now
+	return r.perSecond
 }
 
-// returns counts the machines that controllers returned to the cloud and the tasks that ran on them.
-type returns struct {
+// returnCounts counts the machines that controllers returned to the cloud and the tasks that ran on them.
+type returnCounts struct {
 	// mu guards the fields below.
 	mu sync.Mutex
 	// killed counts tasks that had been killed on these machines before because a lease expired.
 	machines, tasks, killed int
 }
 
-func (r *returns) add(w *cluster.Worker, running int) {
+func (r *returnCounts) add(w *cluster.Worker, running int) {
 	_, _, killed, _ := w.Seen()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,60 +44,60 @@
 	r.killed += killed - running
 }
 
-func (r *returns) counts() (machines, tasks, killed int) {
+func (r *returnCounts) get() (machines, tasks, killed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machines, r.tasks, r.killed
 }
 
-// longJobTasks is the number of tasks of an array of the base load.
-const longJobTasks = 200
+// baseJobTasks is the number of tasks of an array of the base load.
+const baseJobTasks = 200
 
 func (run *scaleRun) job(team, tasks int, rank string, estimateS float64) api.Submission {
 	return api.Submission{Class: rank, Team: fmt.Sprintf("team-%03d", team), Shape: api.JobArray, Rank: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: "image", ImageGB: 0.1, Spot: true, EstimateS: estimateS}
 }
 
-// submitLong submits jobs of the base load so that the given number of further tasks can run. The first call submits, for
+// submitBaseLoad submits jobs of the base load so that the given number of further tasks can run. The first call submits, for
 // each team that uses up its limit, one and a half times as many tasks as the limit allows; only those within the limit
 // count. The other teams submit the rest in turn.
-func (run *scaleRun) submitLong(tasks int) {
-	if len(run.longJobs) == 0 {
+func (run *scaleRun) submitBaseLoad(tasks int) {
+	if len(run.baseJobs) == 0 {
 		for team := range run.Teams {
-			if run.limited(team) {
+			if run.usesUpLimit(team) {
 				tasks -= limitedCPUs
-				run.longJobs = append(run.longJobs, run.users.begin(run.ctx, run.job(team, limitedCPUs+limitedCPUs/2, "normal", longRunS), neverCancels))
+				run.baseJobs = append(run.baseJobs, run.users.startUser(run.ctx, run.job(team, limitedCPUs+limitedCPUs/2, "normal", baseRunS), neverCancels))
 			}
 		}
 	}
 	for i := 0; tasks > 0; i++ {
-		team := run.free(len(run.longJobs) + i)
-		n := min(longJobTasks, tasks)
+		team := run.unlimitedTeam(len(run.baseJobs) + i)
+		n := min(baseJobTasks, tasks)
 		tasks -= n
-		run.longJobs = append(run.longJobs, run.users.begin(run.ctx, run.job(team, n, "normal", longRunS), neverCancels))
+		run.baseJobs = append(run.baseJobs, run.users.startUser(run.ctx, run.job(team, n, "normal", baseRunS), neverCancels))
 	}
 }
 
-// free returns one of the teams that do not reach their limit, except the last one; n selects it.
-func (run *scaleRun) free(n int) int {
+// unlimitedTeam returns one of the teams that do not reach their limit, except the last one; n selects it.
+func (run *scaleRun) unlimitedTeam(n int) int {
 	first := 0
-	for run.limited(first) {
+	for run.usesUpLimit(first) {
 		first++
 	}
 	return first + n%max(1, run.Teams-1-first)
 }
 
-// fill submits more jobs of rank low than the remaining capacity of the fleet, and returns their IDs.
-func (run *scaleRun) fill(workers int) (ids []string) {
-	for left := int((slotsPerWorker-run.TasksPerWorker)*float64(workers)) + 10*workers/8; left > 0; left -= longJobTasks {
-		ids = append(ids, run.users.begin(run.ctx, run.job(run.Teams-1, longJobTasks, "low", longRunS), neverCancels))
+// fillFleet submits more jobs of rank low than the remaining capacity of the fleet, and returns their IDs.
+func (run *scaleRun) fillFleet(workers int) (ids []string) {
+	for left := int((slotsPerWorker-run.TasksPerWorker)*float64(workers)) + 10*workers/8; left > 0; left -= baseJobTasks {
+		ids = append(ids, run.users.startUser(run.ctx, run.job(run.Teams-1, baseJobTasks, "low", baseRunS), neverCancels))
 	}
 	return ids
 }
 
-// arrayTasks draws the number of tasks of a short array: most are small, a few have hundreds of tasks.
-func (run *scaleRun) arrayTasks() int {
-	switch n := run.users.random(20); {
+// drawArrayTasks draws the number of tasks of a short array: most are small, a few have hundreds of tasks.
+func (run *scaleRun) drawArrayTasks() int {
+	switch n := run.users.randomInt(20); {
 	case n < 14:
 		return 12
 	case n < 19:
@@ -106,26 +106,26 @@
 	return 400
 }
 
-// arrive submits short arrays at the current rate, and an urgent job every urgentEvery.
-func (run *scaleRun) arrive() {
+// submitArrivals submits short arrays at the current rate, and an urgent job every urgentInterval.
+func (run *scaleRun) submitArrivals() {
 	const step = 100 * time.Millisecond
-	owed := 0.0
-	next := time.Now()
+	dueTasks := 0.0
+	nextUrgent := time.Now()
 	for number := 0; run.cluster.Sleep(step); {
-		owed += run.arrivals.get() * step.Seconds()
-		for owed > 0 {
-			tasks := run.arrayTasks()
-			owed -= float64(tasks)
+		dueTasks += run.arrivals.get() * step.Seconds()
+		for dueTasks > 0 {
+			tasks := run.drawArrayTasks()
+			dueTasks -= float64(tasks)
 			cancelAfter := neverCancels
-			if run.users.random(cancelledShare) == 0 {
+			if run.users.randomInt(cancelOneIn) == 0 {
 				cancelAfter = 3 * time.Second
 			}
-			run.users.begin(run.ctx, run.job(run.free(number), tasks, "normal", arrivalRunS), cancelAfter)
+			run.users.startUser(run.ctx, run.job(run.unlimitedTeam(number), tasks, "normal", arrivalRunS), cancelAfter)
 			number++
 		}
-		if run.arrivals.get() > 0 && time.Now().After(next) {
-			next = time.Now().Add(urgentEvery)
-			run.users.begin(run.ctx, run.job(run.free(number), 4, "high", 5), neverCancels)
+		if run.arrivals.get() > 0 && time.Now().After(nextUrgent) {
+			nextUrgent = time.Now().Add(urgentInterval)
+			run.users.startUser(run.ctx, run.job(run.unlimitedTeam(number), 4, "high", 5), neverCancels)
 		}
 	}
 }
--- a/experiment/scale_measure.go
+++ b/experiment/scale_measure.go
@@ -10,25 +10,25 @@
 	"switchferry/internal/cluster"
 )
 
-// usages are the samples of one process, one per second.
-type usages []cluster.Usage
+// usageSamples are the samples of one process, one per second.
+type usageSamples []cluster.Usage
 
-func (u usages) figures(seconds float64) ProcessFigures {
+func (u usageSamples) figures(seconds float64) ProcessFigures {
 	if len(u) < 2 {
 		return ProcessFigures{}
 	}
 	f := ProcessFigures{CPUMean: (u[len(u)-1].CPUSeconds - u[0].CPUSeconds) / seconds}
-	var each []float64
+	var cpuPerSecond []float64
 	for i, sample := range u {
 		if i > 0 {
-			each = append(each, sample.CPUSeconds-u[i-1].CPUSeconds)
+			cpuPerSecond = append(cpuPerSecond, sample.CPUSeconds-u[i-1].CPUSeconds)
 		}
 		f.MemoryMB = max(f.MemoryMB, float64(sample.MemoryBytes)/(1<<20))
 		f.Descriptors = max(f.Descriptors, sample.Descriptors)
 		f.Threads = max(f.Threads, sample.Threads)
 	}
-	slices.Sort(each)
-	f.CPUP99 = each[min(len(each)-1, len(each)*99/100)]
+	slices.Sort(cpuPerSecond)
+	f.CPUP99 = cpuPerSecond[min(len(cpuPerSecond)-1, len(cpuPerSecond)*99/100)]
 	return f
 }
 
@@ -39,24 +39,24 @@
 	quit  chan struct{}
 	done  chan struct{}
 
-	controllers []usages
-	// pids are the controllers' latest processes; former is the CPU time of the processes before them, in seconds.
-	pids   []int
-	former []float64
-	agents []usages
-	self   usages
+	controllers []usageSamples
+	// pids are the controllers' latest processes; formerCPUSeconds is the CPU time of the processes before them.
+	pids             []int
+	formerCPUSeconds []float64
+	agents           []usageSamples
+	self             usageSamples
 	// traffic, changes and starts are the counts at the beginning of the recording.
 	traffic map[string]cluster.Count
 	changes map[string]int
 	starts  int
-	// tasks is the sum of the numbers of running tasks over n samples.
-	tasks, n int
-	err      error
+	// taskSum is the sum of the numbers of running tasks over all samples.
+	taskSum, samples int
+	err              error
 }
 
 func (run *scaleRun) record() *recording {
 	r := &recording{run: run, began: time.Now(), quit: make(chan struct{}), done: make(chan struct{}), traffic: run.cluster.Traffic.Snapshot(), changes: run.cluster.State.Changes(), starts: run.audit.Starts(),
-		controllers: make([]usages, len(run.cluster.Controllers)), pids: make([]int, len(run.cluster.Controllers)), former: make([]float64, len(run.cluster.Controllers)), agents: make([]usages, len(run.agents))}
+		controllers: make([]usageSamples, len(run.cluster.Controllers)), pids: make([]int, len(run.cluster.Controllers)), formerCPUSeconds: make([]float64, len(run.cluster.Controllers)), agents: make([]usageSamples, len(run.agents))}
 	run.users.reset()
 	run.changer.reset()
 	run.cluster.TakeDelays()
@@ -91,10 +91,10 @@
 		}
 		if last := len(r.controllers[i]) - 1; last >= 0 && r.pids[i] != pid {
 			// The controller was restarted: add the CPU time of its former processes.
-			r.former[i] = r.controllers[i][last].CPUSeconds
+			r.formerCPUSeconds[i] = r.controllers[i][last].CPUSeconds
 		}
 		r.pids[i] = pid
-		usage.CPUSeconds += r.former[i]
+		usage.CPUSeconds += r.formerCPUSeconds[i]
 		r.controllers[i] = append(r.controllers[i], usage)
 	}
 	for i, a := range r.run.agents {
@@ -108,11 +108,11 @@
 		return
 	}
 	r.self = append(r.self, usage)
-	r.tasks += r.run.cluster.Running()
-	r.n++
+	r.taskSum += r.run.cluster.Running()
+	r.samples++
 }
 
-// stop ends the recording and returns the measurements. It returns an error if the processes use more than memoryShare of
+// stop ends the recording and returns the measurements. It returns an error if the processes use more than maxMemoryShare of
 // the machine's memory.
 func (r *recording) stop(name string, workers int) (*ScaleStep, error) {
 	close(r.quit)
@@ -125,12 +125,12 @@
 	}
 	if total, err := cluster.MemoryBytes(); err != nil {
 		return nil, err
-	} else if held := r.memory(); held > memoryShare*float64(total) {
-		return nil, fmt.Errorf("all processes hold %.0f MB, over %.0f%% of this machine's memory; choose smaller --sizes", held/(1<<20), 100*memoryShare)
+	} else if held := r.memoryBytes(); held > maxMemoryShare*float64(total) {
+		return nil, fmt.Errorf("all processes hold %.0f MB, over %.0f%% of this machine's memory; choose smaller --sizes", held/(1<<20), 100*maxMemoryShare)
 	}
 	seconds := time.Since(r.began).Seconds()
-	step := &ScaleStep{Name: name, Workers: workers, Seconds: seconds, Tasks: r.tasks / max(1, r.n), Starts: float64(r.run.audit.Starts()-r.starts) / seconds,
-		Hollow: r.self.figures(seconds), Traffic: map[string]Flow{}, Writes: map[string]float64{}, Jobs: r.run.unfinished()}
+	step := &ScaleStep{Name: name, Workers: workers, Seconds: seconds, Tasks: r.taskSum / max(1, r.samples), Starts: float64(r.run.audit.Starts()-r.starts) / seconds,
+		ThisProcess: r.self.figures(seconds), Traffic: map[string]Flow{}, Writes: map[string]float64{}, Jobs: r.run.unfinished()}
 	leader := r.run.cluster.Leader()
 	for i, x := range r.run.cluster.Controllers {
 		f := r.controllers[i].figures(seconds)
@@ -152,10 +152,10 @@
 	step.Changes = r.run.changer.figures()
 	r.run.reportDelays(name)
 	users := r.run.users
-	step.Waits = users.waits(r.began, time.Now().Add(-waitsFor))
-	users.note(func() {
-		step.Submissions, step.Dones = latencyOf(users.submissions), latencyOf(users.dones)
-		step.Refused, step.Polls, step.PollsFailed = users.refused, users.polls, users.failed
+	step.Waits = users.startWaits(r.began, time.Now().Add(-minWaitAge))
+	users.locked(func() {
+		step.Submissions, step.TimeToDone = latencyOf(users.submissionLatency), latencyOf(users.doneDelay)
+		step.Refused, step.Polls, step.PollsFailed = users.refused, users.polls, users.failedPolls
 	})
 	return step, nil
 }
@@ -165,15 +165,15 @@
 	delays := run.cluster.TakeDelays()
 	responses, overtaken := latencyOf(delays.Heartbeats), latencyOf(delays.Overtaken)
 	run.Progress("%s: %d responses to heartbeats, p50 %d ms, p99 %d ms, longest %d ms; %d came after a direct command that overtook the heartbeat, p99 %d ms, longest %d ms later",
-		name, responses.Count, responses.P50, responses.P99, responses.Most, overtaken.Count, overtaken.P99, overtaken.Most)
+		name, responses.Count, responses.P50, responses.P99, responses.Max, overtaken.Count, overtaken.P99, overtaken.Max)
 }
 
-// waitsFor is the minimum age of the jobs that count in the start waits; younger ones may not have started yet.
-const waitsFor = 4 * time.Second
+// minWaitAge is the minimum age of the jobs that count in the start waits; younger ones may not have started yet.
+const minWaitAge = 4 * time.Second
 
-// memory returns the memory of all processes at the last sample, in bytes.
-func (r *recording) memory() (bytes float64) {
-	for _, u := range append(append([]usages{r.self}, r.controllers...), r.agents...) {
+// memoryBytes returns the memory of all processes at the last sample, in bytes.
+func (r *recording) memoryBytes() (bytes float64) {
+	for _, u := range append(append([]usageSamples{r.self}, r.controllers...), r.agents...) {
 		if len(u) > 0 {
 			bytes += float64(u[len(u)-1].MemoryBytes)
 		}
@@ -181,7 +181,7 @@
 	return bytes
 }
 
-func meanFigures(all []usages, seconds float64) (mean ProcessFigures) {
+func meanFigures(all []usageSamples, seconds float64) (mean ProcessFigures) {
 	for _, u := range all {
 		f := u.figures(seconds)
 		mean.CPUMean += f.CPUMean / float64(len(all))
@@ -194,13 +194,13 @@
 }
 
 func latencyOf(h *hdrhistogram.Histogram) Latency {
-	return Latency{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Most: h.Max()}
+	return Latency{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max()}
 }
 
 // measure measures a period of the given length.
 func (run *scaleRun) measure(name string, workers int, seconds float64) (*ScaleStep, error) {
 	r := run.record()
-	if !run.cluster.Sleep(span(seconds)) {
+	if !run.cluster.Sleep(secondsDuration(seconds)) {
 		return nil, run.ctx.Err()
 	}
 	return r.stop(name, workers)
@@ -216,4 +216,4 @@
 	return n
 }
 
-func span(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestScaleRefusesWhatThisMachineDoesNotCarry(t *testing.T) {
+func TestScaleRejectsInvalidOptions(t *testing.T) {
 	for want, change := range map[string]func(x *Scale){
 		"--sizes":    func(x *Scale) { x.Sizes, x.Cases = []int{10_000_000}, nil },
 		"ascending":  func(x *Scale) { x.Sizes = []int{400, 200} },
--- a/experiment/scale_writes.go
+++ b/experiment/scale_writes.go
@@ -9,16 +9,16 @@
 	"switchferry/internal/cluster"
 )
 
-// jobRecords are the key prefixes of the records that belong to a job. Records under other keys also change without jobs.
-var jobRecords = []string{"sf/j", "sf/t", "sf/f", "sf/in"}
+// jobKeyPrefixes are the key prefixes of the records that belong to a job. Records under other keys also change without jobs.
+var jobKeyPrefixes = []string{"sf/j", "sf/t", "sf/f", "sf/in"}
 
-// writesMost is the timeout for one job, from its submission to the removal of its records.
-const writesMost = time.Minute
+// writesTimeout is the timeout for one job, from its submission to the removal of its records.
+const writesTimeout = time.Minute
 
-// writes submits one job of each shape to an idle fleet and counts the changes in the state service from its acceptance to
+// measureWrites submits one job of each shape to an idle fleet and counts the changes in the state service from its acceptance to
 // the removal of its records.
-func (run *scaleRun) writes(res *ScaleResult) error {
-	service := run.job(run.free(0), 3, "prod", 0)
+func (run *scaleRun) measureWrites(res *ScaleResult) error {
+	service := run.job(run.unlimitedTeam(0), 3, "prod", 0)
 	service.Shape = api.Service
 	atLimit := run.job(0, 3*limitedCPUs, "normal", 1)
 	for _, shape := range []struct {
@@ -26,10 +26,10 @@
 		job    api.Submission
 		cancel time.Duration
 	}{
-		{"array of 1", run.job(run.free(0), 1, "normal", 1), neverCancels},
-		{"array of 12", run.job(run.free(0), 12, "normal", 1), neverCancels},
-		{"array of 200", run.job(run.free(0), 200, "normal", 1), neverCancels},
-		{"array of 10,000", run.job(run.free(0), 10_000, "normal", 1), neverCancels},
+		{"array of 1", run.job(run.unlimitedTeam(0), 1, "normal", 1), neverCancels},
+		{"array of 12", run.job(run.unlimitedTeam(0), 12, "normal", 1), neverCancels},
+		{"array of 200", run.job(run.unlimitedTeam(0), 200, "normal", 1), neverCancels},
+		{"array of 10,000", run.job(run.unlimitedTeam(0), 10_000, "normal", 1), neverCancels},
 		{"service of 3, cancelled", service, time.Second},
 		{fmt.Sprintf("array of %d in a team with room for %d at once", atLimit.Tasks, limitedCPUs), atLimit, neverCancels},
 	} {
@@ -37,13 +37,13 @@
 			continue // would take minutes on a small fleet
 		}
 		before := run.cluster.State.Changes()
-		id := run.users.begin(run.ctx, shape.job, shape.cancel)
-		if err := run.cluster.Until(writesMost, func() bool { return run.filed(id) }); err != nil {
+		id := run.users.startUser(run.ctx, shape.job, shape.cancel)
+		if err := run.cluster.Until(writesTimeout, func() bool { return run.recordsRemoved(id) }); err != nil {
 			return fmt.Errorf("%s: %w", shape.name, err)
 		}
 		cost := capacity.JobCost{Shape: shape.name, Tasks: shape.job.Tasks, By: map[string]int{}}
 		after := run.cluster.State.Changes()
-		for _, kind := range jobRecords {
+		for _, kind := range jobKeyPrefixes {
 			if n := after[kind] - before[kind]; n > 0 {
 				cost.By[kind] = n
 				cost.Changes += n
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// filed reports whether a job was accepted and its records have been removed.
-func (run *scaleRun) filed(id string) (accepted bool) {
+// recordsRemoved reports whether a job was accepted and its records have been removed.
+func (run *scaleRun) recordsRemoved(id string) (accepted bool) {
 	run.audit.Jobs(func(j *cluster.AuditedJob) {
 		if j.ID == id {
 			accepted = !j.Accepted.IsZero()
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -13,8 +13,8 @@
 
 // Strengths of faults.
 const (
-	// slowUpTo is the maximum delay that SlowState adds to a request.
-	slowUpTo = 1200 * time.Millisecond
+	// maxStateDelay is the maximum delay that SlowState adds to a request.
+	maxStateDelay = 1200 * time.Millisecond
 	// lateAnswerShare is the share of answers that LateAnswers delays.
 	lateAnswerShare = 0.15
 	// lostAnswerShare is the share of answers to transactions that LostAnswers drops.
@@ -23,29 +23,29 @@
 	lateWriteShare = 0.2
 	// messageShare is the share of messages affected by LostHeartbeats, RepeatedHeartbeats and LateCommands.
 	messageShare = 0.25
-	// workersMet: one worker in this many is affected by a fault of workers.
-	workersMet = 5
-	// workersEnded: one worker in this many is ended by DyingWorkers or NoticedWorkers.
-	workersEnded = 10
-	// slowShare is the strength of SlowHeartbeats and SlowCommands.
-	slowShare = 0.5
-	// failingShare is the share of task starts that FailingStarts makes fail.
-	failingShare = 0.3
-	// slowPeersUpTo is the maximum delay that SlowPeers adds to a message.
-	slowPeersUpTo = 900 * time.Millisecond
+	// affectedWorkersOneIn: one worker in this many is affected by a fault of workers.
+	affectedWorkersOneIn = 5
+	// endedWorkersOneIn: one worker in this many is ended by DyingWorkers or NoticedWorkers.
+	endedWorkersOneIn = 10
+	// slowMessageShare is the strength of SlowHeartbeats and SlowCommands.
+	slowMessageShare = 0.5
+	// failingStartShare is the share of task starts that FailingStarts makes fail.
+	failingStartShare = 0.3
+	// maxPeerDelay is the maximum delay that SlowPeers adds to a message.
+	maxPeerDelay = 900 * time.Millisecond
 	// flapCut is how long FlappingPeers cuts both directions.
 	flapCut = 2500 * time.Millisecond
 	// flapOpen is how long FlappingPeers restores the connection between two cuts.
 	flapOpen = 700 * time.Millisecond
-	// flapReplies is how long FlappingPeers cuts the replies: short enough that, after flapCut and flapOpen, a leader still
+	// flapRepliesCut is how long FlappingPeers cuts the replies: short enough that, after flapCut and flapOpen, a leader still
 	// counts as reachable.
-	flapReplies = 1800 * time.Millisecond
+	flapRepliesCut = 1800 * time.Millisecond
 	// seriesInterval is the time between a restart of KillSeries and the next kill.
 	seriesInterval = 1500 * time.Millisecond
 	// seriesDowntime is how long a controller killed by KillSeries stays down.
 	seriesDowntime = 300 * time.Millisecond
-	// jobsOfCancelWave is the maximum number of jobs that CancelWave cancels.
-	jobsOfCancelWave = 12
+	// maxCancelWaveJobs is the maximum number of jobs that CancelWave cancels.
+	maxCancelWaveJobs = 12
 )
 
 // injector injects the faults of a schedule. Overlapping faults are combined.
@@ -64,18 +64,18 @@
 	return &injector{cluster: run, program: program, users: users, active: map[*Fault]int{}}
 }
 
-// play injects the faults of a schedule and returns when all have ended or ctx ends. All faults are removed by then, except
+// run injects the faults of a schedule and returns when all have ended or ctx ends. All faults are removed by then, except
 // workers that were ended for good.
-func (in *injector) play(ctx context.Context, faults []Fault) {
+func (in *injector) run(ctx context.Context, faults []Fault) {
 	began := time.Now()
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range faults {
 		if !sleep.Real(ctx, time.Until(began.Add(faults[i].At))) {
 			break
 		}
-		playing.Go(func() { in.playOne(ctx, &faults[i]) })
+		running.Go(func() { in.runFault(ctx, &faults[i]) })
 	}
-	playing.Wait()
+	running.Wait()
 	in.restore()
 }
 
@@ -95,8 +95,8 @@
 	}
 }
 
-// playOne injects one fault and removes it at its end.
-func (in *injector) playOne(ctx context.Context, fault *Fault) {
+// runFault injects one fault and removes it at its end.
+func (in *injector) runFault(ctx context.Context, fault *Fault) {
 	target := in.target(fault)
 	switch fault.Kind {
 	case Kill:
@@ -110,21 +110,21 @@
 		sleep.Real(ctx, fault.For)
 		in.cluster.Controllers[target].Resume()
 	case DeafWorkers, MuteWorkers, RestartedWorkers, HungWorkers:
-		in.meetWorkers(ctx, fault)
+		in.disturbWorkers(ctx, fault)
 	case DyingWorkers, NoticedWorkers:
 		in.endWorkers(ctx, fault)
 	case FlappingPeers:
 		in.flap(ctx, fault, target)
 	case CancelWave:
-		in.users.cancelMany(ctx, jobsOfCancelWave)
+		in.users.cancelMany(ctx, maxCancelWaveJobs)
 	case RefusedThenOutage:
 		half := *fault
 		half.Kind, half.For = Refused, fault.For/2
-		in.hold(ctx, &half, target)
+		in.applyFor(ctx, &half, target)
 		half.Kind = Outage
-		in.hold(ctx, &half, target)
+		in.applyFor(ctx, &half, target)
 	default:
-		in.hold(ctx, fault, target)
+		in.applyFor(ctx, fault, target)
 	}
 }
 
@@ -165,10 +165,10 @@
 	return workers[:1+len(workers)/oneIn]
 }
 
-// meetWorkers makes some workers lose messages, restart or hang.
-func (in *injector) meetWorkers(ctx context.Context, fault *Fault) {
-	met := in.pickWorkers(workersMet)
-	for _, worker := range met {
+// disturbWorkers makes some workers lose messages, restart or hang.
+func (in *injector) disturbWorkers(ctx context.Context, fault *Fault) {
+	affected := in.pickWorkers(affectedWorkersOneIn)
+	for _, worker := range affected {
 		switch fault.Kind {
 		case RestartedWorkers:
 			worker.Restart()
@@ -179,7 +179,7 @@
 		}
 	}
 	sleep.Real(ctx, fault.For)
-	for _, worker := range met {
+	for _, worker := range affected {
 		worker.LoseOneWay(false, false)
 		worker.Hang(false)
 	}
@@ -187,7 +187,7 @@
 
 // endWorkers ends some workers for good, with or without a notice.
 func (in *injector) endWorkers(ctx context.Context, fault *Fault) {
-	ended := in.pickWorkers(workersEnded)
+	ended := in.pickWorkers(endedWorkersOneIn)
 	if fault.Kind == NoticedWorkers {
 		for _, worker := range ended {
 			worker.Notice(fault.For)
@@ -202,15 +202,15 @@
 // flap repeatedly cuts a controller off from its peers, alternately in both directions and only for its replies.
 func (in *injector) flap(ctx context.Context, fault *Fault, target int) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
-		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapReplies}} {
-			in.hold(ctx, &phase, target)
+		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapRepliesCut}} {
+			in.applyFor(ctx, &phase, target)
 			sleep.Real(ctx, flapOpen)
 		}
 	}
 }
 
-// hold keeps a connection or message fault active for its duration.
-func (in *injector) hold(ctx context.Context, fault *Fault, target int) {
+// applyFor keeps a connection or message fault active for its duration.
+func (in *injector) applyFor(ctx context.Context, fault *Fault, target int) {
 	in.mu.Lock()
 	in.active[fault] = target
 	in.mu.Unlock()
@@ -227,7 +227,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	state := make([]cluster.StateFaults, len(in.cluster.Controllers))
-	alone, unheard := make([]bool, len(in.cluster.Controllers)), make([]bool, len(in.cluster.Controllers))
+	cutOff, repliesCut := make([]bool, len(in.cluster.Controllers)), make([]bool, len(in.cluster.Controllers))
 	var messages cluster.MessageFaults
 	outage := false
 	peerDelay := time.Duration(0)
@@ -236,11 +236,11 @@
 		case CutFromState:
 			state[target].Silent = true
 		case CutFromPeers:
-			alone[target] = true
+			cutOff[target] = true
 		case cutReplies:
-			unheard[target] = true
+			repliesCut[target] = true
 		case CutFromBoth:
-			state[target].Silent, alone[target] = true, true
+			state[target].Silent, cutOff[target] = true, true
 		case Refused:
 			state[target].Refused = true
 		case Outage:
@@ -252,13 +252,13 @@
 		case LateCommands:
 			messages.LateCommands = messageShare
 		case SlowHeartbeats:
-			messages.SlowHeartbeats = slowShare
+			messages.SlowHeartbeats = slowMessageShare
 		case SlowCommands:
-			messages.SlowCommands = slowShare
+			messages.SlowCommands = slowMessageShare
 		case FailingStarts:
-			messages.FailingStarts = failingShare
+			messages.FailingStarts = failingStartShare
 		case SlowPeers:
-			peerDelay = slowPeersUpTo
+			peerDelay = maxPeerDelay
 		case SlowState, LateAnswers, LostAnswers, LateWrites:
 			for number := range state {
 				addStateFault(&state[number], fault.Kind)
@@ -271,7 +271,7 @@
 	for number, controller := range in.cluster.Controllers {
 		in.cluster.SetStateFaults(controller.Settings.Member, state[number])
 		for other, peer := range in.cluster.Controllers {
-			in.cluster.CutPeer(controller.Settings.Member, peer.Settings.Member, alone[number] || alone[other] || unheard[number])
+			in.cluster.CutPeer(controller.Settings.Member, peer.Settings.Member, cutOff[number] || cutOff[other] || repliesCut[number])
 		}
 	}
 }
@@ -280,7 +280,7 @@
 func addStateFault(faults *cluster.StateFaults, kind Kind) {
 	switch kind {
 	case SlowState:
-		faults.SlowUpTo = slowUpTo
+		faults.SlowUpTo = maxStateDelay
 	case LateAnswers:
 		faults.LateAnswers = lateAnswerShare
 	case LostAnswers:
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -76,11 +76,11 @@
 	CancelWave Kind = "cancel-wave"
 )
 
-// span is the range of a fault's duration.
-type span struct{ shortest, longest time.Duration }
+// durationRange is the range of a fault's duration.
+type durationRange struct{ shortest, longest time.Duration }
 
 // durations has the range of durations for each kind of fault.
-var durations = map[Kind]span{
+var durations = map[Kind]durationRange{
 	Kill:               {50 * time.Millisecond, 3 * time.Second},
 	KillSeries:         {4 * time.Second, 8 * time.Second},
 	KillAll:            {50 * time.Millisecond, 2 * time.Second},
@@ -157,31 +157,31 @@
 	leaderShare = 0.6
 )
 
-// opening are the kinds of faults that every run begins with, if they are enabled. They make start commands cross with exit
+// openingFaults are the kinds of faults that every run begins with, if they are enabled. They make start commands cross with exit
 // reports and stop commands.
-var opening = []Kind{SlowHeartbeats, FailingStarts}
+var openingFaults = []Kind{SlowHeartbeats, FailingStarts}
 
-// openingFor is the duration of the opening faults.
-const openingFor = 6 * time.Second
+// openingDuration is the duration of the opening faults.
+const openingDuration = 6 * time.Second
 
-// Draw returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given kinds. All begin
+// DrawSchedule returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given kinds. All begin
 // and end within the duration.
-func Draw(seed uint64, kinds []Kind, controllers int, duration time.Duration) []Fault {
+func DrawSchedule(seed uint64, kinds []Kind, controllers int, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var faults []Fault
-	for _, kind := range opening {
+	for _, kind := range openingFaults {
 		if slices.Contains(kinds, kind) {
-			faults = append(faults, Fault{Kind: kind, At: quietStart, For: min(openingFor, duration-quietStart), Target: TheLeader})
+			faults = append(faults, Fault{Kind: kind, At: quietStart, For: min(openingDuration, duration-quietStart), Target: TheLeader})
 		}
 	}
 	for at := quietStart; at < duration; at += time.Duration(rng.ExpFloat64() * float64(faultInterval)) {
 		fault := Fault{Kind: kinds[rng.IntN(len(kinds))], At: at, Target: Target(rng.IntN(controllers))}
-		lasts := durations[fault.Kind]
-		fault.For = lasts.shortest + time.Duration(rng.Int64N(int64(lasts.longest-lasts.shortest)))
+		lengths := durations[fault.Kind]
+		fault.For = lengths.shortest + time.Duration(rng.Int64N(int64(lengths.longest-lengths.shortest)))
 		if rng.Float64() < leaderShare {
 			fault.Target = TheLeader
 		}
-		if fault.For = min(fault.For, duration-at); fault.For >= lasts.shortest {
+		if fault.For = min(fault.For, duration-at); fault.For >= lengths.shortest {
 			faults = append(faults, fault)
 		}
 	}
--- a/experiment/soak/schedule_test.go
+++ b/experiment/soak/schedule_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-func TestScheduleFollowsFromTheSeed(t *testing.T) {
+func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	const duration = 30 * time.Second
-	if !slices.Equal(Draw(7, Kinds(), controllers, duration), Draw(7, Kinds(), controllers, duration)) {
+	if !slices.Equal(DrawSchedule(7, Kinds(), controllers, duration), DrawSchedule(7, Kinds(), controllers, duration)) {
 		t.Error("the same seed gave different schedules")
 	}
-	if slices.Equal(Draw(7, Kinds(), controllers, duration), Draw(8, Kinds(), controllers, duration)) {
+	if slices.Equal(DrawSchedule(7, Kinds(), controllers, duration), DrawSchedule(8, Kinds(), controllers, duration)) {
 		t.Error("different seeds gave the same schedule")
 	}
 }
 
-func TestFaultsOverlapAndEndInTime(t *testing.T) {
+func TestFaultsOverlapAndEndWithinDuration(t *testing.T) {
 	const duration = 30 * time.Second
 	overlaps, seen := 0, map[Kind]bool{}
 	for seed := range uint64(50) {
-		faults := Draw(seed, Kinds(), controllers, duration)
+		faults := DrawSchedule(seed, Kinds(), controllers, duration)
 		for i, fault := range faults {
 			seen[fault.Kind] = true
 			if fault.At < quietStart || fault.End() > duration || fault.For < durations[fault.Kind].shortest {
@@ -39,8 +39,8 @@
 	}
 }
 
-func TestScheduleHasOnlyTheKindsAskedFor(t *testing.T) {
-	for _, fault := range Draw(3, []Kind{SlowState, Kill}, controllers, time.Minute) {
+func TestScheduleContainsOnlyRequestedKinds(t *testing.T) {
+	for _, fault := range DrawSchedule(3, []Kind{SlowState, Kill}, controllers, time.Minute) {
 		if fault.Kind != SlowState && fault.Kind != Kill {
 			t.Errorf("%s", fault)
 		}
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -29,27 +29,27 @@
 
 // Limits of a run.
 const (
-	// limitPerWorker is the team's CPU limit per worker; a worker has eight CPUs.
-	limitPerWorker = 7
+	// teamCPUsPerWorker is the team's CPU limit per worker; a worker has eight CPUs.
+	teamCPUsPerWorker = 7
 	// controllers is the number of controllers.
 	controllers = 3
-	// mostWorkers and mostSeeds are the maxima of Options.Workers and Options.Seeds.
-	mostWorkers = 1000
-	mostSeeds   = 1000
-	// settleLimit is how long a run waits after its faults for unfinished jobs.
-	settleLimit = 85 * time.Second
+	// maxWorkers and maxSeeds are the maxima of Options.Workers and Options.Seeds.
+	maxWorkers = 1000
+	maxSeeds   = 1000
+	// settleTimeout is how long a run waits after its faults for unfinished jobs.
+	settleTimeout = 85 * time.Second
 	// forgottenAfter is the time without an answer about a job after which it counts as forgotten.
 	forgottenAfter = 75 * time.Second
-	// leastAnswersPerS is the minimum rate of answered questions, and leastTerms the minimum number of terms, of a conclusive
+	// minAnswersPerS is the minimum rate of answered questions, and minTerms the minimum number of terms, of a conclusive
 	// run.
-	leastAnswersPerS = 5
-	leastTerms       = 2
-	// settleLook is the interval at which a run checks for unfinished jobs.
-	settleLook = 250 * time.Millisecond
-	// sweepEvery is the interval between sweeps of the audit.
-	sweepEvery = time.Second
-	// readyLimit is how long to wait for the first leader.
-	readyLimit = 20 * time.Second
+	minAnswersPerS = 5
+	minTerms       = 2
+	// settlePollInterval is the interval at which a run checks for unfinished jobs.
+	settlePollInterval = 250 * time.Millisecond
+	// sweepInterval is the interval between sweeps of the audit.
+	sweepInterval = time.Second
+	// leaderTimeout is how long to wait for the first leader.
+	leaderTimeout = 20 * time.Second
 )
 
 // Options are the parameters of a soak test.
@@ -81,8 +81,8 @@
 
 // Errors returned by Options.Check; each names the option to correct.
 var (
-	ErrSeeds   = fmt.Errorf("--seeds: from 1 to %d", mostSeeds)
-	ErrWorkers = fmt.Errorf("--workers: from 1 to %d", mostWorkers)
+	ErrSeeds   = fmt.Errorf("--seeds: from 1 to %d", maxSeeds)
+	ErrWorkers = fmt.Errorf("--workers: from 1 to %d", maxWorkers)
 	ErrFor     = errors.New("--for: from 5 to 3600 seconds")
 	ErrAtOnce  = errors.New("--at-once: from 1 to 8 runs")
 	ErrKind    = errors.New("--kinds: no such kind of fault")
@@ -92,9 +92,9 @@
 // Check returns an error that wraps one of the errors above if an option is invalid.
 func (o *Options) Check() error {
 	switch {
-	case o.Seeds < 1 || o.Seeds > mostSeeds:
+	case o.Seeds < 1 || o.Seeds > maxSeeds:
 		return ErrSeeds
-	case o.Workers < 1 || o.Workers > mostWorkers:
+	case o.Workers < 1 || o.Workers > maxWorkers:
 		return ErrWorkers
 	case o.ForS < 5 || o.ForS > 3600:
 		return ErrFor
@@ -134,13 +134,13 @@
 	Releases  map[string]int        `json:"releases"`
 	// Unfinished counts the accepted jobs that had not ended when the run ended.
 	Unfinished int `json:"unfinished"`
-	// EndedByThemselves counts the controllers whose last process exited without being killed.
-	EndedByThemselves int `json:"ended_by_themselves"`
+	// UnexpectedExits counts the controllers whose last process exited without being killed.
+	UnexpectedExits int `json:"ended_by_themselves"`
 	// Contradictions counts the invariant violations that the controllers logged.
 	Contradictions int `json:"contradictions"`
-	// Broken counts violations by rule; Why describes the first ones.
-	Broken map[string]int `json:"broken"`
-	Why    []string       `json:"why"`
+	// Broken counts violations by rule; Details describes the first ones.
+	Broken  map[string]int `json:"broken"`
+	Details []string       `json:"why"`
 	// Vacuous is the reason why the run is inconclusive; empty if it is not.
 	Vacuous string `json:"vacuous,omitempty"`
 	// Logs is the directory of the controllers' logs, if they were kept.
@@ -150,7 +150,7 @@
 // Failed reports whether a rule was violated, a controller logged an invariant violation, or a controller exited without being
 // killed.
 func (r *Run) Failed() bool {
-	return len(r.Broken) > 0 || r.Contradictions > 0 || r.EndedByThemselves > 0
+	return len(r.Broken) > 0 || r.Contradictions > 0 || r.UnexpectedExits > 0
 }
 
 // Result is the result that the experiment prints.
@@ -181,17 +181,17 @@
 	runs := make([]*Run, o.Seeds)
 	errs := make([]error, o.Seeds)
 	slots := make(chan struct{}, o.AtOnce)
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for number := range o.Seeds {
 		slots <- struct{}{}
-		playing.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
 			if ctx.Err() == nil {
-				runs[number], errs[number] = o.play(ctx, o.First+uint64(number))
+				runs[number], errs[number] = o.runSeed(ctx, o.First+uint64(number))
 			}
 		})
 	}
-	playing.Wait()
+	running.Wait()
 	result := &Result{Measured: "real processes over loopback on this machine; simulated workers, state service and cloud", Runs: slices.DeleteFunc(runs, func(run *Run) bool { return run == nil })}
 	return result, errors.Join(append(errs, ctx.Err())...)
 }
@@ -205,8 +205,8 @@
 	return os.MkdirAll(o.LogDir, 0o750)
 }
 
-// play runs one seed.
-func (o *Options) play(ctx context.Context, seed uint64) (*Run, error) {
+// runSeed runs one seed.
+func (o *Options) runSeed(ctx context.Context, seed uint64) (*Run, error) {
 	// A new directory keeps the logs apart from those of an earlier run of the same seed.
 	logs, err := os.MkdirTemp(o.LogDir, fmt.Sprintf("seed-%d-", seed))
 	if err != nil {
@@ -223,7 +223,7 @@
 		return nil, fmt.Errorf("seed %d: %w", seed, err)
 	}
 	duration := time.Duration(o.ForS * float64(time.Second))
-	faults := Draw(seed, o.kinds(), controllers, duration)
+	faults := DrawSchedule(seed, o.kinds(), controllers, duration)
 	o.Progress("seed %d: %s", seed, describe(faults))
 	run := &Run{Seed: seed, Workers: o.Workers, Faults: map[string]int{}}
 	for _, fault := range faults {
@@ -231,16 +231,16 @@
 		run.Faults[string(fault.Kind)]++
 	}
 	began := time.Now()
-	run.Unfinished = o.playFaults(ctx, running, audit, faults, duration)
+	run.Unfinished = o.runFaults(ctx, running, audit, faults, duration)
 	run.Seconds = time.Since(began).Seconds()
 	run.Terms = running.Terms()
 	for _, controller := range running.Controllers {
 		if controller.EndedByItself() {
-			run.EndedByThemselves++
+			run.UnexpectedExits++
 		}
 	}
 	running.Close()
-	o.judge(run, audit, logs)
+	o.evaluate(run, audit, logs)
 	return run, ctx.Err()
 }
 
@@ -262,7 +262,7 @@
 	scale := max(1, float64(o.Workers)/smallFleet)
 	return settings.Facts{
 		Nodes: controllers, Zones: []string{"a"},
-		Teams:     []settings.Team{{Name: teamName, CPUsMax: float64(limitPerWorker * o.Workers)}},
+		Teams:     []settings.Team{{Name: teamName, CPUsMax: float64(teamCPUsPerWorker * o.Workers)}},
 		Workers:   settings.Workers{ReportS: 0.5, LeaseS: 5, CancelS: 20},
 		State:     settings.State{RPS: 400 * scale, WriteRPS: 80 * scale, ValueKB: 16, TxnOps: 12},
 		Cloud:     settings.Cloud{RPS: 20, ListLagS: 1},
@@ -289,33 +289,33 @@
 			return err
 		}
 	}
-	if err := running.WaitForLeader(readyLimit); err != nil {
+	if err := running.WaitForLeader(leaderTimeout); err != nil {
 		return fmt.Errorf("no controller leads: %w", err)
 	}
 	return nil
 }
 
-// playFaults runs the users while the faults are injected, and afterwards until all jobs have ended or settleLimit has passed.
+// runFaults runs the users while the faults are injected, and afterwards until all jobs have ended or settleTimeout has passed.
 // It returns the number of unfinished jobs.
-func (o *Options) playFaults(ctx context.Context, running *cluster.Cluster, audit *cluster.Audit, faults []Fault, duration time.Duration) int {
+func (o *Options) runFaults(ctx context.Context, running *cluster.Cluster, audit *cluster.Audit, faults []Fault, duration time.Duration) int {
 	users := newUsers(running, audit)
 	settled, stop := context.WithCancel(ctx)
 	defer stop()
-	coming, stopComing := context.WithTimeout(ctx, duration)
-	defer stopComing()
-	var following, rest sync.WaitGroup
+	submitting, stopSubmitting := context.WithTimeout(ctx, duration)
+	defer stopSubmitting()
+	var following, background sync.WaitGroup
 	for range 6 + o.Workers/8 {
-		following.Go(func() { users.run(coming, settled, &following) })
+		following.Go(func() { users.submitJobs(submitting, settled, &following) })
 	}
-	rest.Go(func() { users.revisit(settled) })
-	rest.Go(func() {
-		for sleep.Real(settled, sweepEvery) {
+	background.Go(func() { users.askAboutEndedJobs(settled) })
+	background.Go(func() {
+		for sleep.Real(settled, sweepInterval) {
 			audit.Sweep()
 		}
 	})
-	newInjector(running, o.Program, users).play(ctx, faults)
-	<-coming.Done()
-	for end := time.Now().Add(settleLimit); users.unfinished() > 0 && time.Now().Before(end) && sleep.Real(ctx, settleLook); {
+	newInjector(running, o.Program, users).run(ctx, faults)
+	<-submitting.Done()
+	for end := time.Now().Add(settleTimeout); users.unfinished() > 0 && time.Now().Before(end) && sleep.Real(ctx, settlePollInterval); {
 		// Users keep polling.
 	}
 	if ctx.Err() == nil {
@@ -324,34 +324,34 @@
 	unfinished := users.unfinished()
 	stop()
 	following.Wait()
-	rest.Wait()
+	background.Wait()
 	return unfinished
 }
 
 // reportUnanswered reports to the audit the accepted jobs about which no controller has answered for forgottenAfter.
 func reportUnanswered(audit *cluster.Audit) {
-	silent := map[string]time.Duration{}
+	unanswered := map[string]time.Duration{}
 	audit.Jobs(func(job *cluster.AuditedJob) {
 		if since := time.Since(job.AnsweredAt); job.Told == "" && !job.Accepted.IsZero() && since > forgottenAfter {
-			silent[job.ID] = since
+			unanswered[job.ID] = since
 		}
 	})
-	for id, since := range silent {
+	for id, since := range unanswered {
 		audit.Unanswered(id, since)
 	}
 }
 
-// judge fills in the findings of the audit and of the logs, and removes the logs unless the run failed.
-func (o *Options) judge(run *Run, audit *cluster.Audit, logs string) {
+// evaluate fills in the findings of the audit and of the logs, and removes the logs unless the run failed.
+func (o *Options) evaluate(run *Run, audit *cluster.Audit, logs string) {
 	counts := audit.Counts()
 	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Questions, counts.Answers, counts.Crossed, counts.Told, audit.Starts()
-	run.Broken, run.Why = audit.Broken()
+	run.Broken, run.Details = audit.Broken()
 	texts := readLogs(logs)
-	run.Contradictions, run.Releases, run.Crossings = countContradictions(texts), countReleases(texts), audit.Crossings()
+	run.Contradictions, run.Releases, run.Crossings = countInvariantViolations(texts), countReleases(texts), audit.Crossings()
 	switch {
-	case float64(run.Answers) < leastAnswersPerS*o.ForS:
+	case float64(run.Answers) < minAnswersPerS*o.ForS:
 		run.Vacuous = "too few questions were answered"
-	case run.Terms < leastTerms:
+	case run.Terms < minTerms:
 		run.Vacuous = "no leader changed"
 	case run.Crossings.Sum() == 0:
 		run.Vacuous = "no start crossed with anything"
@@ -362,14 +362,14 @@
 		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
 	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d ends told, %d starts, %d terms, %d crossed starts, %d unfinished, %d ended by themselves, %d contradictions, broken %v %s", run.Seed, run.Seconds,
-		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.EndedByThemselves, run.Contradictions, run.Broken, run.Vacuous)
-	for _, why := range run.Why {
+		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
+	for _, why := range run.Details {
 		o.Progress("seed %d: %s", run.Seed, why)
 	}
 }
 
-// releasesLine marks the log lines with a term's counts of released allocations so far.
-const releasesLine = `msg="attempts released"`
+// releasesMessage marks the log lines with a term's counts of released allocations so far.
+const releasesMessage = `msg="attempts released"`
 
 // readLogs returns the contents of all logs in a directory, except those that cannot be read.
 func readLogs(directory string) (texts []string) {
@@ -384,17 +384,17 @@
 
 // countReleases returns the sum of the last counts of each term.
 func countReleases(logs []string) map[string]int {
-	newest := map[string]string{}
+	latest := map[string]string{}
 	for _, text := range logs {
 		for line := range strings.Lines(text) {
-			if _, attributes, ok := strings.Cut(line, releasesLine); ok {
+			if _, attributes, ok := strings.Cut(line, releasesMessage); ok {
 				term, rest, _ := strings.Cut(strings.TrimSpace(attributes), " ")
-				newest[term] = rest
+				latest[term] = rest
 			}
 		}
 	}
 	counts := map[string]int{}
-	for _, attributes := range newest {
+	for _, attributes := range latest {
 		addCounts(counts, attributes)
 	}
 	return counts
@@ -412,8 +412,8 @@
 	}
 }
 
-// countContradictions counts the invariant violations that the controllers logged.
-func countContradictions(logs []string) (count int) {
+// countInvariantViolations counts the invariant violations that the controllers logged.
+func countInvariantViolations(logs []string) (count int) {
 	for _, text := range logs {
 		count += strings.Count(text, "invariant violated")
 	}
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -24,7 +24,7 @@
 
 // Random faults with fixed seeds on real processes violate no rule, no controller logs an invariant violation, and no process is
 // left running.
-func TestRandomFaultsBreakNoRule(t *testing.T) {
+func TestRandomFaultsViolateNoRule(t *testing.T) {
 	if raceDetector {
 		t.Skip("the controllers are built without the race detector, so the run would be the same as without it")
 	}
@@ -39,7 +39,7 @@
 	}
 	for _, run := range result.Runs {
 		if run.Failed() || run.Vacuous != "" {
-			t.Errorf("seed %d: broken %v, %d contradictions, %d ended by themselves, %q: %v", run.Seed, run.Broken, run.Contradictions, run.EndedByThemselves, run.Vacuous, run.Why)
+			t.Errorf("seed %d: broken %v, %d contradictions, %d unexpected exits, %q: %v", run.Seed, run.Broken, run.Contradictions, run.UnexpectedExits, run.Vacuous, run.Details)
 			printLogs(t, run.Logs)
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestOptionsNameWhatIsWrong(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	cases := []struct {
 		want   error
 		change func(o *Options)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestReleasesAreCountedOnceATerm(t *testing.T) {
+func TestReleasesAreCountedOncePerTerm(t *testing.T) {
 	directory := t.TempDir()
 	line := func(term, exits, crossed int) string {
 		return fmt.Sprintf("time=x level=INFO msg=\"attempts released\" term=%d exits_crossed=%d \"exit reported\"=%d\n", term, crossed, exits)
@@ -100,14 +100,14 @@
 	}
 }
 
-func TestContradictionsAreCountedInAllLogs(t *testing.T) {
+func TestInvariantViolationsAreCountedInAllLogs(t *testing.T) {
 	directory := t.TempDir()
 	for name, text := range map[string]string{"n0.log": "msg=\"invariant violated\" a\nmsg=\"invariant violated\" b\n", "n1.log": "msg=elected\n", "n2.log": "msg=\"invariant violated\" c\n"} {
 		if err := os.WriteFile(filepath.Join(directory, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := countContradictions(readLogs(directory)); got != 3 {
+	if got := countInvariantViolations(readLogs(directory)); got != 3 {
 		t.Errorf("%d contradictions, want 3", got)
 	}
 }
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -16,39 +16,39 @@
 
 // Behavior of users.
 const (
-	// pollPatience is the timeout of a poll, callPatience that of any other request.
-	pollPatience = 2 * time.Second
-	callPatience = 5 * time.Second
+	// pollTimeout is the timeout of a poll, callTimeout that of any other request.
+	pollTimeout = 2 * time.Second
+	callTimeout = 5 * time.Second
 	// retryPause is the delay before a request is retried, and the minimum interval between polls.
 	retryPause = 200 * time.Millisecond
-	// longestPoll is the maximum random addition to the interval between polls.
-	longestPoll = 900 * time.Millisecond
-	// longestPause is the maximum pause of a user between submissions.
-	longestPause = 1500 * time.Millisecond
-	// revisitPause is the interval between requests about jobs that have ended.
-	revisitPause = 60 * time.Millisecond
-	// invalidIDStart is the lowest number in the IDs of jobs that do not exist.
-	invalidIDStart = 900_000
+	// maxPollJitter is the maximum random addition to the interval between polls.
+	maxPollJitter = 900 * time.Millisecond
+	// maxSubmitPause is the maximum pause of a user between submissions.
+	maxSubmitPause = 1500 * time.Millisecond
+	// endedJobInterval is the interval between requests about jobs that have ended.
+	endedJobInterval = 60 * time.Millisecond
+	// unknownIDStart is the lowest number in the IDs of jobs that do not exist.
+	unknownIDStart = 900_000
 	// pipelineShare is the share of submissions that start a pipeline.
 	pipelineShare = 0.3
-	// closeLookShare is the share of events in a job's life after which all controllers are asked about it at once.
-	closeLookShare = 0.4
-	// atOnceShare is the share of jobs that are cancelled immediately, and the share whose tasks are very short.
-	atOnceShare = 0.2
-	// laterShare is the share of jobs that are cancelled after some time.
-	laterShare = 0.2
+	// askAllShare is the share of events in a job's life after which all controllers are asked about it at once.
+	askAllShare = 0.4
+	// cancelNowShare is the share of jobs that are cancelled immediately, and the share whose tasks are very short.
+	cancelNowShare = 0.2
+	// cancelLaterShare is the share of jobs that are cancelled after some time.
+	cancelLaterShare = 0.2
 	// serviceShare is the share of services among the jobs that await no other job.
 	serviceShare = 0.1
 	// unknownShare is the share of requests of revisit that are about jobs that do not exist.
 	unknownShare = 0.05
-	// longestPipeline is the maximum number of jobs in a pipeline.
-	longestPipeline = 3
-	// mostTasks is the maximum number of tasks of a job.
-	mostTasks = 5
-	// mostCPUs is the maximum number of CPUs of a task.
-	mostCPUs = 3
-	// shortestTask is the run time of very short tasks, in seconds.
-	shortestTask = 0.01
+	// maxPipelineJobs is the maximum number of jobs in a pipeline.
+	maxPipelineJobs = 3
+	// maxTasks is the maximum number of tasks of a job.
+	maxTasks = 5
+	// maxCPUs is the maximum number of CPUs of a task.
+	maxCPUs = 3
+	// shortTaskS is the run time of very short tasks, in seconds.
+	shortTaskS = 0.01
 )
 
 // users simulates users, who submit jobs, ask about them at all controllers, resubmit them and cancel some. All answers are
@@ -61,9 +61,9 @@
 	mu sync.Mutex
 	// jobs is the number of jobs created so far.
 	jobs int
-	// open has the accepted jobs that have not ended, by ID; endedID has those that have ended.
-	open    map[string]*job
-	endedID []*job
+	// open has the accepted jobs that have not ended, by ID; ended has those that have ended.
+	open  map[string]*job
+	ended []*job
 }
 
 // job is a job as its user knows it.
@@ -83,10 +83,10 @@
 	number := u.jobs
 	u.mu.Unlock()
 	ranks := []string{"low", "normal", "high"}
-	submission := api.Submission{ID: fmt.Sprintf("run-%06d", number), Class: "soak", Team: teamName, Shape: api.JobArray, Rank: ranks[rand.IntN(len(ranks))], Tasks: 1 + rand.IntN(mostTasks),
-		CPUs: float64(1 + rand.IntN(mostCPUs)), MemoryGB: 1, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: 0.3 + 3*rand.Float64(), Awaits: awaits}
-	if rand.Float64() < atOnceShare {
-		submission.EstimateS = shortestTask
+	submission := api.Submission{ID: fmt.Sprintf("run-%06d", number), Class: "soak", Team: teamName, Shape: api.JobArray, Rank: ranks[rand.IntN(len(ranks))], Tasks: 1 + rand.IntN(maxTasks),
+		CPUs: float64(1 + rand.IntN(maxCPUs)), MemoryGB: 1, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: 0.3 + 3*rand.Float64(), Awaits: awaits}
+	if rand.Float64() < cancelNowShare {
+		submission.EstimateS = shortTaskS
 	}
 	if len(awaits) == 0 && rand.Float64() < serviceShare {
 		submission.Shape, submission.Rank, submission.EstimateS = api.Service, "prod", 0
@@ -99,13 +99,13 @@
 	return &job{submission, body}
 }
 
-// run submits jobs and pipelines one after the other until ctx ends. Submitted jobs are followed until they have ended or
+// submitJobs submits jobs and pipelines one after the other until ctx ends. Submitted jobs are followed until they have ended or
 // settled ends; following waits for that.
-func (u *users) run(ctx, settled context.Context, following *sync.WaitGroup) {
+func (u *users) submitJobs(ctx, settled context.Context, following *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		length := 1
 		if rand.Float64() < pipelineShare {
-			length = 2 + rand.IntN(longestPipeline-1)
+			length = 2 + rand.IntN(maxPipelineJobs-1)
 		}
 		var awaits []string
 		for range length {
@@ -113,17 +113,17 @@
 			if !u.submit(settled, next) {
 				break
 			}
-			following.Go(func() { u.follow(settled, next) })
+			following.Go(func() { u.pollUntilEnded(settled, next) })
 			awaits = []string{next.ID}
 		}
-		sleep.Real(ctx, rand.N(longestPause))
+		sleep.Real(ctx, rand.N(maxSubmitPause))
 	}
 }
 
 // submit retries a submission at random controllers until it is accepted. It returns false if ctx ended first.
 func (u *users) submit(ctx context.Context, job *job) bool {
 	for ctx.Err() == nil {
-		if status, _ := u.ask(ctx, cluster.AskSubmit, job, u.anyController()); status == http.StatusOK || status == http.StatusCreated {
+		if status, _ := u.request(ctx, cluster.AskSubmit, job, u.randomController()); status == http.StatusOK || status == http.StatusCreated {
 			u.mu.Lock()
 			u.open[job.ID] = job
 			u.mu.Unlock()
@@ -134,40 +134,40 @@
 	return false
 }
 
-// follow polls a job until it has ended, and cancels some jobs.
-func (u *users) follow(ctx context.Context, job *job) {
-	u.lookClosely(ctx, job)
-	fate := rand.Float64()
+// pollUntilEnded polls a job until it has ended, and cancels some jobs.
+func (u *users) pollUntilEnded(ctx context.Context, job *job) {
+	u.askAllControllers(ctx, job)
+	choice := rand.Float64()
 	switch {
-	case fate < atOnceShare:
+	case choice < cancelNowShare:
 		u.cancel(ctx, job)
-	case fate < atOnceShare+laterShare || job.Shape == api.Service:
+	case choice < cancelNowShare+cancelLaterShare || job.Shape == api.Service:
 		go func() {
 			sleep.Real(ctx, rand.N(4*time.Second))
 			u.cancel(ctx, job)
 		}()
 	}
 	for {
-		if _, over := u.ask(ctx, cluster.AskStatus, job, u.anyController()); over {
+		if _, over := u.request(ctx, cluster.AskStatus, job, u.randomController()); over {
 			break
 		}
-		if !sleep.Real(ctx, retryPause+rand.N(longestPoll)) {
+		if !sleep.Real(ctx, retryPause+rand.N(maxPollJitter)) {
 			return
 		}
 	}
-	u.lookClosely(ctx, job)
+	u.askAllControllers(ctx, job)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.open, job.ID)
-	u.endedID = append(u.endedID, job)
+	u.ended = append(u.ended, job)
 }
 
-// cancel retries a cancellation until the job has ended, and then calls lookClosely.
+// cancel retries a cancellation until the job has ended, and then calls askAllControllers.
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
-		if _, over := u.ask(ctx, cluster.AskCancel, job, u.anyController()); over {
-			u.lookClosely(ctx, job)
+		if _, over := u.request(ctx, cluster.AskCancel, job, u.randomController()); over {
+			u.askAllControllers(ctx, job)
 			return
 		}
 		sleep.Real(ctx, retryPause)
@@ -175,11 +175,11 @@
 }
 
 // cancelMany cancels up to most of the jobs that have not ended, all at once. It does not wait for the answers.
-func (u *users) cancelMany(ctx context.Context, most int) {
+func (u *users) cancelMany(ctx context.Context, limit int) {
 	u.mu.Lock()
 	var chosen []*job
 	for _, open := range u.open {
-		if chosen = append(chosen, open); len(chosen) == most {
+		if chosen = append(chosen, open); len(chosen) == limit {
 			break
 		}
 	}
@@ -189,33 +189,33 @@
 	}
 }
 
-// lookClosely asks all controllers about a job and resubmits it to them, all at once. It does so in closeLookShare of the
+// askAllControllers asks all controllers about a job and resubmits it to them, all at once. It does so in askAllShare of the
 // calls.
-func (u *users) lookClosely(ctx context.Context, job *job) {
-	if rand.Float64() >= closeLookShare {
+func (u *users) askAllControllers(ctx context.Context, job *job) {
+	if rand.Float64() >= askAllShare {
 		return
 	}
 	var asking sync.WaitGroup
 	for _, controller := range u.cluster.Controllers {
 		for _, kind := range []cluster.QuestionKind{cluster.AskStatus, cluster.AskSubmit} {
-			asking.Go(func() { u.ask(ctx, kind, job, controller) })
+			asking.Go(func() { u.request(ctx, kind, job, controller) })
 		}
 	}
 	asking.Wait()
 }
 
-// revisit polls, resubmits and cancels jobs that have ended, and polls jobs that do not exist, until ctx ends.
-func (u *users) revisit(ctx context.Context) {
-	for sleep.Real(ctx, revisitPause) {
+// askAboutEndedJobs polls, resubmits and cancels jobs that have ended, and polls jobs that do not exist, until ctx ends.
+func (u *users) askAboutEndedJobs(ctx context.Context) {
+	for sleep.Real(ctx, endedJobInterval) {
 		if rand.Float64() < unknownShare {
-			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", invalidIDStart+rand.IntN(1000))}}
-			u.ask(ctx, cluster.AskStatus, unknown, u.anyController())
+			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", unknownIDStart+rand.IntN(1000))}}
+			u.request(ctx, cluster.AskStatus, unknown, u.randomController())
 			continue
 		}
 		u.mu.Lock()
 		var ended *job
-		if len(u.endedID) > 0 {
-			ended = u.endedID[rand.IntN(len(u.endedID))]
+		if len(u.ended) > 0 {
+			ended = u.ended[rand.IntN(len(u.ended))]
 		}
 		u.mu.Unlock()
 		if ended == nil {
@@ -227,19 +227,19 @@
 			// The job has ended, so the answer must be its final state.
 			u.audit.CancelRequested(ended.ID)
 		}
-		u.ask(ctx, kind, ended, u.anyController())
+		u.request(ctx, kind, ended, u.randomController())
 	}
 }
 
-// anyController returns a random controller.
-func (u *users) anyController() *cluster.Controller {
+// randomController returns a random controller.
+func (u *users) randomController() *cluster.Controller {
 	return u.cluster.Controllers[rand.IntN(len(u.cluster.Controllers))]
 }
 
-// ask sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer; over reports
+// request sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer; over reports
 // whether the job has ended.
-func (u *users) ask(ctx context.Context, kind cluster.QuestionKind, job *job, controller *cluster.Controller) (status int, over bool) {
-	method, path, patience := http.MethodPost, "/submissions", callPatience
+func (u *users) request(ctx context.Context, kind cluster.QuestionKind, job *job, controller *cluster.Controller) (status int, over bool) {
+	method, path, timeout := http.MethodPost, "/submissions", callTimeout
 	var body []byte
 	switch kind {
 	case cluster.AskSubmit:
@@ -247,9 +247,9 @@
 	case cluster.AskCancel:
 		path += "/" + job.ID + "/cancel"
 	case cluster.AskStatus:
-		method, path, patience = http.MethodGet, path+"/"+job.ID, pollPatience
+		method, path, timeout = http.MethodGet, path+"/"+job.ID, pollTimeout
 	}
-	call, stop := context.WithTimeout(ctx, patience)
+	call, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	question := cluster.Question{Job: job.ID, Kind: kind, Controller: controller.Settings.Member, AskedAt: time.Now()}
 	status, raw, err := u.cluster.Call(call, controller, method, path, body)
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -70,11 +70,11 @@
 		}
 		f := TopologyFigures{Name: name}
 		waits, decisions := hdrhistogram.New(1, 3_600_000, 3), hdrhistogram.New(1, 60_000_000_000, 3)
-		frag, fragN := 0.0, 0
+		fragmentationSum, fragmentationSamples := 0.0, 0
 		for i := range x.Seeds {
 			seed := x.Seed + uint64(i)
-			w := x.world(seed)
-			p, err := w.placer(name)
+			w := x.newWorld(seed)
+			p, err := w.newPlacer(name)
 			if err != nil {
 				return nil, err
 			}
@@ -82,18 +82,18 @@
 				if ctx.Err() != nil {
 					return nil, ctx.Err()
 				}
-				w.arrive(p)
-				w.fail()
+				w.submitJobs(p)
+				w.failSwitch()
 				before := w.placed
-				w.live(p)
+				w.endTasksAndHeartbeat(p)
 				took := p.round()
-				w.live(p)
+				w.endTasksAndHeartbeat(p)
 				if n := w.placed - before; n > 0 {
 					_ = decisions.RecordValue(max(1, took.Nanoseconds()/int64(n)))
 				}
-				w.look(p, &f, waits)
-				if share, any := w.fragments(); any {
-					frag, fragN = frag+share, fragN+1
+				w.countPlacements(p, &f, waits)
+				if share, any := w.fragmentation(); any {
+					fragmentationSum, fragmentationSamples = fragmentationSum+share, fragmentationSamples+1
 				}
 				w.clock.Advance(time.Second)
 			}
@@ -102,15 +102,15 @@
 		}
 		f.WaitP95 = float64(waits.ValueAtQuantile(95)) / 1000
 		f.DecisionP50, f.DecisionP99 = float64(decisions.ValueAtQuantile(50))/1000, float64(decisions.ValueAtQuantile(99))/1000
-		if fragN > 0 {
-			f.Fragmentation = frag / float64(fragN)
+		if fragmentationSamples > 0 {
+			f.Fragmentation = fragmentationSum / float64(fragmentationSamples)
 		}
 		res.Placements = append(res.Placements, f)
 	}
 	return res, nil
 }
 
-func (x *Topology) world(seed uint64) *rackWorld {
+func (x *Topology) newWorld(seed uint64) *rackWorld {
 	w := &rackWorld{Topology: x, clock: clockwork.NewFakeClock(), rng: rand.New(rand.NewPCG(seed, 7)), byName: map[string]*rackMachine{},
 		switchOf: map[string]string{}, jobs: map[string]*rackJob{}}
 	for len(w.machines) < x.Machines {
@@ -118,7 +118,7 @@
 		w.switchOf[rack] = fmt.Sprintf("s%02d", len(w.racks)/8)
 		w.racks = append(w.racks, rack)
 		for k := range min(16+w.rng.IntN(25), x.Machines-len(w.machines)) {
-			w.add(rack, fmt.Sprintf("%s-%02d", rack, k), []float64{8, 16, 32}[w.rng.IntN(3)])
+			w.addMachine(rack, fmt.Sprintf("%s-%02d", rack, k), []float64{8, 16, 32}[w.rng.IntN(3)])
 		}
 	}
 	return w
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -18,23 +18,23 @@
 type placer interface {
 	submit(s *api.Submission)
 	cancel(id string)
-	// report passes a machine's heartbeat to the placer and executes the commands in the response.
-	report(m *rackMachine)
+	// heartbeat passes a machine's heartbeat to the placer and executes the commands in the response.
+	heartbeat(m *rackMachine)
 	// round runs one round of placement and returns how long the decision took.
 	round() time.Duration
-	// decided reports whether all tasks of a job have been placed, even if a machine became unreachable before it
+	// allPlaced reports whether all tasks of a job have been placed, even if a machine became unreachable before it
 	// received the command.
-	decided(job string) bool
-	// barred reports whether a domain is reserved for another job.
-	barred(domain, job string) bool
+	allPlaced(job string) bool
+	// reservedForOther reports whether a domain is reserved for another job.
+	reservedForOther(domain, job string) bool
 }
 
-// placer returns the placer with a name from TopologyPlacements.
-func (w *rackWorld) placer(name string) (placer, error) {
+// newPlacer returns the placer with a name from TopologyPlacements.
+func (w *rackWorld) newPlacer(name string) (placer, error) {
 	if name == "random" {
 		return &randomPlacer{w: w, rng: rand.New(rand.NewPCG(w.Seed, 11))}, nil
 	}
-	p := &corePlacer{w: w}
+	p := &schedulerPlacer{w: w}
 	set := &settings.Settings{Member: "experiment"}
 	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: leaseSeconds, CancelS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
@@ -42,56 +42,56 @@
 	for _, c := range []float64{8, 16, 32} {
 		types = append(types, api.MachineType{Name: fmt.Sprintf("m%g", c), CPUs: c, MemoryGB: 1000, CacheGB: 100, PullGBs: 1, BootS: 30, Zones: []string{"z"}})
 	}
-	p.core = scheduler.New(1, w.clock, set, policy.Default(), types, scheduler.Collaborators{Records: placerRecords{p},
+	p.scheduler = scheduler.New(1, w.clock, set, policy.Default(), types, scheduler.Collaborators{Records: placerRecords{p},
 		Sender: placerCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
 	if name == "topology" {
-		m, err := w.declared()
+		m, err := w.topologyMap()
 		if err != nil {
 			return nil, err
 		}
-		p.core.UseTopology(m)
+		p.scheduler.UseTopology(m)
 	}
-	p.core.Load(nil, nil)
-	w.live(p)
+	p.scheduler.Load(nil, nil)
+	w.endTasksAndHeartbeat(p)
 	return p, nil
 }
 
-// order is a set of commands that the scheduler sent to a machine directly.
-type order struct {
-	name string
-	o    api.HeartbeatResponse
+// sentCommands is a set of commands that the scheduler sent to a machine directly.
+type sentCommands struct {
+	machine  string
+	response api.HeartbeatResponse
 }
 
-// corePlacer places jobs with a real Scheduler. Its records count as stored immediately.
-type corePlacer struct {
-	w      *rackWorld
-	core   *scheduler.Scheduler
-	stored []func()
-	sent   []order
-	view   api.TopologyView
+// schedulerPlacer places jobs with a real Scheduler. Its records count as stored immediately.
+type schedulerPlacer struct {
+	w         *rackWorld
+	scheduler *scheduler.Scheduler
+	onStored  []func()
+	sent      []sentCommands
+	view      api.TopologyView
 }
 
-func (p *corePlacer) submit(s *api.Submission) {
+func (p *schedulerPlacer) submit(s *api.Submission) {
 	// The context has ended, so that Submit does not wait for the record, which is stored below.
-	gone, stop := context.WithCancel(context.Background())
+	ended, stop := context.WithCancel(context.Background())
 	stop()
 	c := *s
-	p.core.Submit(gone, &c, p.w.clock.Now())
-	p.store()
+	p.scheduler.Submit(ended, &c, p.w.clock.Now())
+	p.runStoredCallbacks()
 }
 
-func (p *corePlacer) cancel(id string) {
-	gone, stop := context.WithCancel(context.Background())
+func (p *schedulerPlacer) cancel(id string) {
+	ended, stop := context.WithCancel(context.Background())
 	stop()
-	p.core.Cancel(gone, id)
-	p.store()
+	p.scheduler.Cancel(ended, id)
+	p.runStoredCallbacks()
 }
 
-func (p *corePlacer) store() {
-	for len(p.stored) > 0 {
-		now := p.stored
-		p.stored = nil
-		for _, f := range now {
+func (p *schedulerPlacer) runStoredCallbacks() {
+	for len(p.onStored) > 0 {
+		callbacks := p.onStored
+		p.onStored = nil
+		for _, f := range callbacks {
 			if f != nil {
 				f()
 			}
@@ -99,82 +99,82 @@
 	}
 }
 
-func (p *corePlacer) obey(m *rackMachine, o api.HeartbeatResponse) {
+func (p *schedulerPlacer) execute(m *rackMachine, o api.HeartbeatResponse) {
 	for _, c := range o.Commands {
 		switch c.Verb {
 		case api.CommandRun:
-			p.w.on(m, c.Task, c.Attempt)
+			p.w.startTask(m, c.Task, c.Attempt)
 		case api.CommandKill:
 			if t := m.tasks[c.Task]; t != nil {
-				m.ended = append(m.ended, api.TaskReport{Task: c.Task, Attempt: t.attempt, State: api.TaskExited, Cause: api.CauseStopped})
-				p.w.off(m, t)
+				m.exited = append(m.exited, api.TaskReport{Task: c.Task, Attempt: t.attempt, State: api.TaskExited, Cause: api.CauseStopped})
+				p.w.removeTask(m, t)
 			}
 		case api.CommandClear:
-			m.ended = slices.DeleteFunc(m.ended, func(t api.TaskReport) bool { return t.Task == c.Task })
+			m.exited = slices.DeleteFunc(m.exited, func(t api.TaskReport) bool { return t.Task == c.Task })
 		}
 	}
 }
 
-func (p *corePlacer) report(m *rackMachine) {
+func (p *schedulerPlacer) heartbeat(m *rackMachine) {
 	m.seq++
-	r := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.session, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.ended)}
+	r := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.session, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.exited)}
 	for id, t := range m.tasks {
 		r.Tasks = append(r.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
 	}
 	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int { return cmp.Compare(a.Task, b.Task) })
-	o, _, refused := p.core.HandleHeartbeat(&r, "")
+	o, _, refused := p.scheduler.HandleHeartbeat(&r, "")
 	if refused {
-		m.dead = true
+		m.removed = true
 		return
 	}
-	p.obey(m, o)
-	p.store()
+	p.execute(m, o)
+	p.runStoredCallbacks()
 }
 
-func (p *corePlacer) round() time.Duration {
+func (p *schedulerPlacer) round() time.Duration {
 	began := time.Now()
-	p.core.Place()
+	p.scheduler.Place()
 	took := time.Since(began)
-	p.store()
+	p.runStoredCallbacks()
 	for _, x := range p.sent {
-		if m := p.w.byName[x.name]; m != nil && m.quiet == 0 && !m.dead {
-			p.obey(m, x.o)
+		if m := p.w.byName[x.machine]; m != nil && m.outageLeft == 0 && !m.removed {
+			p.execute(m, x.response)
 		}
 	}
 	p.sent = nil
-	if gone := p.core.MaintainFleet(); len(gone) > 0 {
-		for _, name := range gone {
-			p.w.replace(name)
+	if returned := p.scheduler.MaintainFleet(); len(returned) > 0 {
+		for _, name := range returned {
+			p.w.replaceMachine(name)
 		}
-		p.core.InstancesReleased(gone, nil)
-		p.store()
+		p.scheduler.InstancesReleased(returned, nil)
+		p.runStoredCallbacks()
 	}
-	p.view = p.core.Topology()
+	p.view = p.scheduler.Topology()
 	return took
 }
 
-// replace replaces a returned machine with a new one in the same rack.
-func (w *rackWorld) replace(name string) {
+// replaceMachine replaces a returned machine with a new one in the same rack.
+func (w *rackWorld) replaceMachine(name string) {
 	m := w.byName[name]
-	if m == nil || m.dead {
+	if m == nil || m.removed {
 		return
 	}
-	m.dead = true
+	m.removed = true
 	for _, t := range m.tasks {
-		w.off(m, t)
+		w.removeTask(m, t)
 	}
-	w.next++
+	w.nextNumber++
 	w.machines = slices.DeleteFunc(w.machines, func(o *rackMachine) bool { return o == m })
-	w.add(m.rack, fmt.Sprintf("%s-x%d", m.rack, w.next), m.cpus)
-	w.machines[len(w.machines)-1].quiet = m.quiet
+	w.addMachine(m.rack, fmt.Sprintf("%s-x%d", m.rack, w.nextNumber), m.cpus)
+	w.machines[len(w.machines)-1].outageLeft = m.outageLeft
 }
 
-func (p *corePlacer) decided(job string) bool {
-	x, ok := p.core.Explain(job)
+func (p *schedulerPlacer) allPlaced(job string) bool {
+	x, ok := p.scheduler.Explain(job)
 	return ok && x.Waiting == 0
 }
 
-func (p *corePlacer) barred(domain, job string) bool {
+func (p *schedulerPlacer) reservedForOther(domain, job string) bool {
 	return slices.ContainsFunc(p.view.Reserved, func(r api.ReservedView) bool { return r.Domain == domain && r.Job != job })
 }
 
@@ -191,35 +191,35 @@
 	for _, m := range p.w.machines {
 		for _, t := range m.tasks {
 			if t.job == id {
-				p.w.off(m, t)
+				p.w.removeTask(m, t)
 			}
 		}
 	}
 }
 
-func (p *randomPlacer) decided(string) bool { return false }
+func (p *randomPlacer) allPlaced(string) bool { return false }
 
-func (p *randomPlacer) barred(string, string) bool { return false }
+func (p *randomPlacer) reservedForOther(string, string) bool { return false }
 
-func (p *randomPlacer) report(m *rackMachine) {
-	m.ended = nil
+func (p *randomPlacer) heartbeat(m *rackMachine) {
+	m.exited = nil
 }
 
 func (p *randomPlacer) round() time.Duration {
 	began := time.Now()
-	for _, j := range p.w.order {
-		if j.over || j.live+j.done >= j.s.Tasks || j.s.Near != nil && j.live > 0 {
+	for _, j := range p.w.jobOrder {
+		if j.ended || j.running+j.completed >= j.submission.Tasks || j.submission.Near != nil && j.running > 0 {
 			continue
 		}
 		domains := map[string][]*rackMachine{}
 		var names []string
 		for _, m := range p.w.machines {
-			if m.quiet > 0 || m.silent > 0 || m.free() < j.s.CPUs {
+			if m.outageLeft > 0 || m.outageSeconds > 0 || m.free() < j.submission.CPUs {
 				continue
 			}
 			key := ""
-			if j.s.Near != nil {
-				key = map[bool]string{true: m.rack, false: m.at}[j.s.Near.Level == "rack"]
+			if j.submission.Near != nil {
+				key = map[bool]string{true: m.rack, false: m.switchName}[j.submission.Near.Level == "rack"]
 			}
 			if domains[key] == nil {
 				names = append(names, key)
@@ -228,7 +228,7 @@
 		}
 		p.rng.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 		for _, key := range names {
-			if p.take(j, domains[key]) {
+			if p.placeJob(j, domains[key]) {
 				break
 			}
 		}
@@ -236,46 +236,46 @@
 	return time.Since(began)
 }
 
-// take places a job's missing tasks on some of the machines. If the tasks must be close together, it places all or none.
+// placeJob places a job's missing tasks on some of the machines. If the tasks must be close together, it places all or none.
 // It returns false if it placed none for that reason.
-func (p *randomPlacer) take(j *rackJob, in []*rackMachine) bool {
-	p.rng.Shuffle(len(in), func(a, b int) { in[a], in[b] = in[b], in[a] })
-	here := map[string]int{}
-	if j.s.Survive != nil {
+func (p *randomPlacer) placeJob(j *rackJob, machines []*rackMachine) bool {
+	p.rng.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
+	inRack := map[string]int{}
+	if j.submission.Survive != nil {
 		for _, m := range p.w.machines {
 			for _, t := range m.tasks {
-				if t.job == j.s.ID {
-					here[m.rack]++
+				if t.job == j.submission.ID {
+					inRack[m.rack]++
 				}
 			}
 		}
 	}
-	var on []*rackMachine
-	for _, m := range in {
-		for f := m.free(); f >= j.s.CPUs && j.live+j.done+len(on) < j.s.Tasks; f -= j.s.CPUs {
-			if j.s.Survive != nil && here[m.rack] >= j.s.Survive.AtMost {
+	var chosen []*rackMachine
+	for _, m := range machines {
+		for f := m.free(); f >= j.submission.CPUs && j.running+j.completed+len(chosen) < j.submission.Tasks; f -= j.submission.CPUs {
+			if j.submission.Survive != nil && inRack[m.rack] >= j.submission.Survive.AtMost {
 				break
 			}
-			here[m.rack]++
-			on = append(on, m)
+			inRack[m.rack]++
+			chosen = append(chosen, m)
 		}
 	}
-	if j.s.Near != nil && len(on) < j.s.Tasks-j.done {
+	if j.submission.Near != nil && len(chosen) < j.submission.Tasks-j.completed {
 		return false
 	}
-	for _, m := range on {
+	for _, m := range chosen {
 		p.attempt++
-		p.w.on(m, fmt.Sprintf("%s/%d", j.s.ID, p.attempt), p.attempt)
+		p.w.startTask(m, fmt.Sprintf("%s/%d", j.submission.ID, p.attempt), p.attempt)
 	}
 	return true
 }
 
-// placerRecords is a record writer whose records count as stored when corePlacer.store is called.
-type placerRecords struct{ placer *corePlacer }
+// placerRecords is a record writer whose records count as stored when schedulerPlacer.runStoredCallbacks is called.
+type placerRecords struct{ placer *schedulerPlacer }
 
 // MarkDirty queues the callback to be called once the record counts as stored.
 func (r placerRecords) MarkDirty(_ string, _ int, stored func()) {
-	r.placer.stored = append(r.placer.stored, stored)
+	r.placer.onStored = append(r.placer.onStored, stored)
 }
 
 // MarkDirtyWithin is MarkDirty; the time limit is ignored.
@@ -290,11 +290,11 @@
 func (r placerRecords) Delay() time.Duration { return 0 }
 
 // placerCommands queues commands until the end of the round.
-type placerCommands struct{ placer *corePlacer }
+type placerCommands struct{ placer *schedulerPlacer }
 
 // SendCommands queues commands.
 func (c placerCommands) SendCommands(machine, _ string, response api.HeartbeatResponse) {
-	c.placer.sent = append(c.placer.sent, order{machine, response})
+	c.placer.sent = append(c.placer.sent, sentCommands{machine, response})
 }
 
 // SendStageOrder does nothing: there are no datasets.
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -28,19 +28,19 @@
 
 // rackMachine is a simulated machine.
 type rackMachine struct {
-	// at is the name of the machine's switch.
-	name, rack, at string
-	cpus           float64
-	tasks          map[string]*rackTask
-	// ended has the reports of tasks that have exited and that the scheduler has not cleared yet.
-	ended []api.TaskReport
-	// quiet is how many more seconds the machine is unreachable, silent for how many it has been so far.
-	quiet   int
-	session uint64
-	seq     uint64
-	silent  int
-	// dead is true once the machine was refused or returned.
-	dead bool
+	// switchName is the name of the machine's switch.
+	name, rack, switchName string
+	cpus                   float64
+	tasks                  map[string]*rackTask
+	// exited has the reports of tasks that have exited and that the scheduler has not cleared yet.
+	exited []api.TaskReport
+	// outageLeft is how many more seconds the machine is unreachable, outageSeconds for how many it has been so far.
+	outageLeft    int
+	session       uint64
+	seq           uint64
+	outageSeconds int
+	// removed is true once the machine was refused or returned.
+	removed bool
 }
 
 func (m *rackMachine) free() float64 {
@@ -61,39 +61,39 @@
 	racks    []string
 	switchOf map[string]string
 	jobs     map[string]*rackJob
-	// order has the unfinished jobs in the order of their submission.
-	order []*rackJob
+	// jobOrder has the unfinished jobs in the order of their submission.
+	jobOrder []*rackJob
 	// placed counts the tasks that were started.
 	placed int
-	// next numbers jobs and replaced machines.
-	next int
+	// nextNumber numbers jobs and replaced machines.
+	nextNumber int
 }
 
 // rackJob is a job of the simulation.
 type rackJob struct {
-	s    api.Submission
-	run  time.Duration
-	at   time.Time
-	ends time.Time // when a service is cancelled; zero for other jobs
-	// stood is true once the job is counted in ClosePossible.
-	stood bool
-	over  bool
-	// live and done count its running and its completed tasks.
-	live int
-	done int
-	// could counts the consecutive rounds after which all its tasks would have fit into one domain.
-	could int
+	submission api.Submission
+	runTime    time.Duration
+	submitted  time.Time
+	cancelAt   time.Time // when a service is cancelled; zero for other jobs
+	// counted is true once the job is counted in ClosePossible.
+	counted bool
+	ended   bool
+	// running and completed count its tasks.
+	running   int
+	completed int
+	// fitRounds counts the consecutive rounds after which all its tasks would have fit into one domain.
+	fitRounds int
 }
 
 // taskMemory is the memory of a task in GB.
 const taskMemory = 1.0
 
-func (w *rackWorld) add(rack, name string, cpus float64) {
-	m := &rackMachine{name: name, rack: rack, at: w.switchOf[rack], cpus: cpus, tasks: map[string]*rackTask{}, session: 1}
+func (w *rackWorld) addMachine(rack, name string, cpus float64) {
+	m := &rackMachine{name: name, rack: rack, switchName: w.switchOf[rack], cpus: cpus, tasks: map[string]*rackTask{}, session: 1}
 	w.machines, w.byName[name] = append(w.machines, m), m
 }
 
-func (w *rackWorld) declared() (*topology.Map, error) {
+func (w *rackWorld) topologyMap() (*topology.Map, error) {
 	var b strings.Builder
 	b.WriteString("version = 1\n")
 	seen := map[string]bool{}
@@ -107,66 +107,66 @@
 	return topology.Parse([]byte(b.String()))
 }
 
-// arrive cancels the services whose time has come, and submits jobs until the requested CPUs reach Load.
-func (w *rackWorld) arrive(p placer) {
-	asked, all := 0.0, 0.0
+// submitJobs cancels the services whose time has come, and submits jobs until the requested CPUs reach Load.
+func (w *rackWorld) submitJobs(p placer) {
+	requested, total := 0.0, 0.0
 	for _, m := range w.machines {
-		all += m.cpus
+		total += m.cpus
 	}
 	now := w.clock.Now()
-	for _, j := range w.order {
-		if !j.over && !j.ends.IsZero() && now.After(j.ends) {
-			j.over = true
-			p.cancel(j.s.ID)
+	for _, j := range w.jobOrder {
+		if !j.ended && !j.cancelAt.IsZero() && now.After(j.cancelAt) {
+			j.ended = true
+			p.cancel(j.submission.ID)
 		}
-		if !j.over {
-			asked += float64(j.s.Tasks) * j.s.CPUs
+		if !j.ended {
+			requested += float64(j.submission.Tasks) * j.submission.CPUs
 		}
 	}
-	for asked < w.Load*all {
-		j := w.draw()
-		asked += float64(j.s.Tasks) * j.s.CPUs
-		w.jobs[j.s.ID], w.order = j, append(w.order, j)
-		p.submit(&j.s)
+	for requested < w.Load*total {
+		j := w.drawJob()
+		requested += float64(j.submission.Tasks) * j.submission.CPUs
+		w.jobs[j.submission.ID], w.jobOrder = j, append(w.jobOrder, j)
+		p.submit(&j.submission)
 		if w.rng.IntN(8) == 0 {
 			break
 		}
 	}
-	w.order = slices.DeleteFunc(w.order, func(j *rackJob) bool { return j.over && j.live == 0 })
+	w.jobOrder = slices.DeleteFunc(w.jobOrder, func(j *rackJob) bool { return j.ended && j.running == 0 })
 }
 
-func (w *rackWorld) draw() *rackJob {
-	w.next++
-	j := &rackJob{at: w.clock.Now(), run: time.Duration(10+w.rng.IntN(50)) * time.Second}
-	j.s = api.Submission{ID: fmt.Sprintf("run-%07d", w.next), Class: "c", Team: "team", Rank: "normal", MemoryGB: taskMemory, Image: "image", Spot: true,
-		EstimateS: j.run.Seconds(), CPUs: float64(1 + w.rng.IntN(4)), Shape: api.JobArray, Tasks: 8 + w.rng.IntN(40)}
+func (w *rackWorld) drawJob() *rackJob {
+	w.nextNumber++
+	j := &rackJob{submitted: w.clock.Now(), runTime: time.Duration(10+w.rng.IntN(50)) * time.Second}
+	j.submission = api.Submission{ID: fmt.Sprintf("run-%07d", w.nextNumber), Class: "c", Team: "team", Rank: "normal", MemoryGB: taskMemory, Image: "image", Spot: true,
+		EstimateS: j.runTime.Seconds(), CPUs: float64(1 + w.rng.IntN(4)), Shape: api.JobArray, Tasks: 8 + w.rng.IntN(40)}
 	switch k := w.rng.IntN(20); {
 	case k < 6:
-		j.s.Shape, j.s.Tasks, j.s.EstimateS = api.Service, 2+w.rng.IntN(11), 0
-		j.ends = j.at.Add(time.Duration(60+w.rng.IntN(240)) * time.Second)
-		j.s.Survive = &api.Survive{Level: "rack", AtMost: 1 + j.s.Tasks/3, Must: true}
+		j.submission.Shape, j.submission.Tasks, j.submission.EstimateS = api.Service, 2+w.rng.IntN(11), 0
+		j.cancelAt = j.submitted.Add(time.Duration(60+w.rng.IntN(240)) * time.Second)
+		j.submission.Survive = &api.Survive{Level: "rack", AtMost: 1 + j.submission.Tasks/3, Must: true}
 		if k == 0 {
-			j.s.Near = &api.Near{Level: "switch", Must: true}
+			j.submission.Near = &api.Near{Level: "switch", Must: true}
 		}
 	case k < 11:
-		j.s.Shape, j.s.Tasks, j.s.CPUs = api.Gang, 4+w.rng.IntN(20), 4
-		j.s.Near = &api.Near{Level: "rack", Must: true}
+		j.submission.Shape, j.submission.Tasks, j.submission.CPUs = api.Gang, 4+w.rng.IntN(20), 4
+		j.submission.Near = &api.Near{Level: "rack", Must: true}
 	case k < 12:
-		j.s.Shape, j.s.Tasks, j.s.CPUs = api.Gang, 30+w.rng.IntN(50), 4
-		j.s.Near = &api.Near{Level: "switch", Must: true}
+		j.submission.Shape, j.submission.Tasks, j.submission.CPUs = api.Gang, 30+w.rng.IntN(50), 4
+		j.submission.Near = &api.Near{Level: "switch", Must: true}
 	}
 	return j
 }
 
-// fail makes a random switch unreachable about once a minute, sometimes for longer than a lease.
-func (w *rackWorld) fail() {
+// failSwitch makes a random switch unreachable about once a minute, sometimes for longer than a lease.
+func (w *rackWorld) failSwitch() {
 	if w.rng.IntN(60) > 0 {
 		return
 	}
-	at, long := w.switchOf[w.racks[w.rng.IntN(len(w.racks))]], 3+w.rng.IntN(25)
+	at, seconds := w.switchOf[w.racks[w.rng.IntN(len(w.racks))]], 3+w.rng.IntN(25)
 	for _, m := range w.machines {
-		if m.at == at {
-			m.quiet = long
+		if m.switchName == at {
+			m.outageLeft = seconds
 		}
 	}
 }
@@ -174,49 +174,49 @@
 // leaseSeconds is the duration of a worker's lease.
 const leaseSeconds = 12
 
-// live ends the tasks whose run time is over and sends the heartbeats of all reachable machines.
-func (w *rackWorld) live(p placer) {
+// endTasksAndHeartbeat ends the tasks whose run time is over and sends the heartbeats of all reachable machines.
+func (w *rackWorld) endTasksAndHeartbeat(p placer) {
 	now := w.clock.Now()
 	for _, m := range w.machines {
 		for id, t := range m.tasks {
 			if !t.ends.IsZero() && !now.Before(t.ends) {
-				m.ended = append(m.ended, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskExited, Cause: api.CauseDone})
-				w.off(m, t)
+				m.exited = append(m.exited, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskExited, Cause: api.CauseDone})
+				w.removeTask(m, t)
 				j := w.jobs[t.job]
-				j.done++
-				j.over = j.over || j.done >= j.s.Tasks
+				j.completed++
+				j.ended = j.ended || j.completed >= j.submission.Tasks
 			}
 		}
-		if m.dead || m.quiet > 0 {
+		if m.removed || m.outageLeft > 0 {
 			continue
 		}
-		p.report(m)
+		p.heartbeat(m)
 	}
 }
 
-func (w *rackWorld) on(m *rackMachine, id string, attempt uint64) {
+func (w *rackWorld) startTask(m *rackMachine, id string, attempt uint64) {
 	name, _, _ := strings.Cut(id, "/")
 	j := w.jobs[name]
 	if j == nil || m.tasks[id] != nil {
 		return
 	}
-	t := &rackTask{id: id, job: name, attempt: attempt, cpus: j.s.CPUs}
-	if j.ends.IsZero() {
-		t.ends = w.clock.Now().Add(j.run)
+	t := &rackTask{id: id, job: name, attempt: attempt, cpus: j.submission.CPUs}
+	if j.cancelAt.IsZero() {
+		t.ends = w.clock.Now().Add(j.runTime)
 	}
 	m.tasks[id] = t
-	j.live++
+	j.running++
 	w.placed++
 }
 
-func (w *rackWorld) off(m *rackMachine, t *rackTask) {
+func (w *rackWorld) removeTask(m *rackMachine, t *rackTask) {
 	delete(m.tasks, t.id)
-	w.jobs[t.job].live--
+	w.jobs[t.job].running--
 }
 
-// look counts violations of bounds and jobs that wait although they would fit. It also advances the outages of machines and
+// countPlacements counts violations of bounds and jobs that wait although they would fit. It also advances the outages of machines and
 // ends the tasks of those whose lease has expired.
-func (w *rackWorld) look(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
+func (w *rackWorld) countPlacements(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
 	racks, switches := map[string]map[string]int{}, map[string]map[string]int{}
 	count := func(in map[string]map[string]int, job, key string) {
 		if in[job] == nil {
@@ -225,77 +225,77 @@
 		in[job][key]++
 	}
 	for _, m := range w.machines {
-		if m.quiet > 0 {
-			m.quiet--
-			if m.silent++; m.silent == leaseSeconds {
+		if m.outageLeft > 0 {
+			m.outageLeft--
+			if m.outageSeconds++; m.outageSeconds == leaseSeconds {
 				for _, t := range m.tasks {
-					w.off(m, t)
+					w.removeTask(m, t)
 				}
 			}
 		} else {
-			m.silent = 0
+			m.outageSeconds = 0
 		}
 		for _, t := range m.tasks {
 			count(racks, t.job, m.rack)
-			count(switches, t.job, m.at)
+			count(switches, t.job, m.switchName)
 		}
 	}
-	for _, j := range w.order {
-		if x := j.s.Survive; x != nil {
-			for _, n := range racks[j.s.ID] {
+	for _, j := range w.jobOrder {
+		if x := j.submission.Survive; x != nil {
+			for _, n := range racks[j.submission.ID] {
 				if n > x.AtMost {
 					f.Violations++
 					break
 				}
 			}
 		}
-		if j.s.Near == nil || j.over {
+		if j.submission.Near == nil || j.ended {
 			continue
 		}
 		in := racks
-		if j.s.Near.Level == "switch" {
+		if j.submission.Near.Level == "switch" {
 			in = switches
 		}
-		if len(in[j.s.ID]) > 1 {
+		if len(in[j.submission.ID]) > 1 {
 			f.Violations++
 		}
 		switch {
-		case j.stood:
-		case j.live == j.s.Tasks && len(in[j.s.ID]) == 1:
-			j.stood = true
+		case j.counted:
+		case j.running == j.submission.Tasks && len(in[j.submission.ID]) == 1:
+			j.counted = true
 			f.ClosePossible++
 			f.CloseTogether++
-			_ = waits.RecordValue(w.clock.Now().Sub(j.at).Milliseconds())
-		case j.live == 0 && !p.decided(j.s.ID) && w.couldStand(p, j):
+			_ = waits.RecordValue(w.clock.Now().Sub(j.submitted).Milliseconds())
+		case j.running == 0 && !p.allPlaced(j.submission.ID) && w.fitsInOneDomain(p, j):
 			// Capacity that became free after a round can only be used in the next one.
-			if j.could++; j.could == 2 {
+			if j.fitRounds++; j.fitRounds == 2 {
 				f.ClosePossible++
-				j.stood = true
+				j.counted = true
 			}
 		default:
-			j.could = 0
+			j.fitRounds = 0
 		}
 	}
 }
 
-// couldStand reports, by an exact search, whether all tasks of a job currently fit into one domain.
-func (w *rackWorld) couldStand(p placer, j *rackJob) bool {
+// fitsInOneDomain reports, by an exact search, whether all tasks of a job currently fit into one domain.
+func (w *rackWorld) fitsInOneDomain(p placer, j *rackJob) bool {
 	domains := map[string][]*rackMachine{}
 	for _, m := range w.machines {
-		if m.quiet > 0 || m.silent > 0 || m.dead || m.free() < j.s.CPUs {
+		if m.outageLeft > 0 || m.outageSeconds > 0 || m.removed || m.free() < j.submission.CPUs {
 			continue
 		}
 		key := m.rack
-		if j.s.Near.Level == "switch" {
-			key = m.at
+		if j.submission.Near.Level == "switch" {
+			key = m.switchName
 		}
-		if p.barred(m.rack, j.s.ID) || p.barred(m.at, j.s.ID) {
+		if p.reservedForOther(m.rack, j.submission.ID) || p.reservedForOther(m.switchName, j.submission.ID) {
 			continue
 		}
 		domains[key] = append(domains[key], m)
 	}
 	for _, in := range domains {
-		if fits(in, &j.s) {
+		if fits(in, &j.submission) {
 			return true
 		}
 	}
@@ -306,14 +306,14 @@
 // with one variable for each group of machines in a rack that have room for the same number of tasks. A variable is
 // bounded by the group's room, and the sum over a rack by the job's spread bound. The program is a network flow, so its
 // maximum is an integer.
-func fits(in []*rackMachine, s *api.Submission) bool {
+func fits(machines []*rackMachine, submission *api.Submission) bool {
 	type group struct {
 		rack string
 		k    int
 	}
 	room := map[group]int{}
-	for _, m := range in {
-		if k := int(m.free()/s.CPUs + 1e-9); k > 0 {
+	for _, m := range machines {
+		if k := int(m.free()/submission.CPUs + 1e-9); k > 0 {
 			room[group{m.rack, k}] += k
 		}
 	}
@@ -322,7 +322,7 @@
 		return false
 	}
 	racks := map[string]int{}
-	if s.Survive != nil {
+	if submission.Survive != nil {
 		for _, g := range groups {
 			if _, ok := racks[g.rack]; !ok {
 				racks[g.rack] = len(racks)
@@ -337,22 +337,22 @@
 		b[i], c[i] = float64(room[g]), -1
 		if r, ok := racks[g.rack]; ok {
 			a.Set(len(groups)+r, i, 1)
-			b[len(groups)+r] = float64(s.Survive.AtMost)
+			b[len(groups)+r] = float64(submission.Survive.AtMost)
 		}
 	}
 	for i := range rows {
 		a.Set(i, len(groups)+i, 1)
 	}
-	most, _, err := lp.Simplex(c, a, b, 1e-9, nil)
-	return err == nil && -most >= float64(s.Tasks)-1e-6
+	negatedMax, _, err := lp.Simplex(c, a, b, 1e-9, nil)
+	return err == nil && -negatedMax >= float64(submission.Tasks)-1e-6
 }
 
-// fragments returns the share of the free CPUs on which no task of 8 CPUs fits; the result is false if there are no free
+// fragmentation returns the share of the free CPUs on which no task of 8 CPUs fits; the result is false if there are no free
 // CPUs.
-func (w *rackWorld) fragments() (float64, bool) {
+func (w *rackWorld) fragmentation() (float64, bool) {
 	free, whole := 0.0, 0.0
 	for _, m := range w.machines {
-		if !m.dead && m.quiet == 0 {
+		if !m.removed && m.outageLeft == 0 {
 			f := m.free()
 			free, whole = free+f, whole+float64(int(f/8)*8)
 		}
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -9,7 +9,7 @@
 
 // With a topology the Scheduler exceeds no bound and places every job that fits. Without one the same jobs violate
 // bounds, which the count must show.
-func TestTopologyExperiment(t *testing.T) {
+func TestTopologyKeepsBoundsAndPlacesWhatFits(t *testing.T) {
 	x := TopologyDefaults()
 	x.Machines, x.Seconds, x.Seeds = 120, 120, 2
 	res, err := x.Run(context.Background())
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestExactSearch(t *testing.T) {
+func TestFitsFindsMaximumPlacement(t *testing.T) {
 	in := []*rackMachine{{rack: "a", cpus: 8}, {rack: "a", cpus: 8}, {rack: "b", cpus: 4}}
 	for _, c := range []struct {
 		tasks, most int
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -37,8 +37,8 @@
 // UpgradeDefaults returns an experiment of three runs with twelve workers.
 func UpgradeDefaults() *Upgrade { return &Upgrade{Runs: 3, Workers: 12, Seed: 1} }
 
-// Upgraded is the outcome of one run. All counts below Tasks must be 0.
-type Upgraded struct {
+// UpgradeFigures is the outcome of one run. All counts below Tasks must be 0.
+type UpgradeFigures struct {
 	Seed uint64 `json:"seed"`
 	// Kills counts the processes that were killed; OldBack counts those restarted with the older program.
 	Kills   int `json:"kills"`
@@ -64,8 +64,8 @@
 
 // UpgradeResult is the result that the experiment prints.
 type UpgradeResult struct {
-	Measured string     `json:"measured"`
-	Runs     []Upgraded `json:"runs"`
+	Measured string           `json:"measured"`
+	Runs     []UpgradeFigures `json:"runs"`
 }
 
 // Run performs all runs. It returns an error if a program does not exist or a run cannot be completed.
@@ -77,7 +77,7 @@
 	}
 	res := &UpgradeResult{Measured: "real processes over loopback on this machine; simulated workers, state service and cloud"}
 	for i := range x.Runs {
-		r, err := x.play(ctx, x.Seed+uint64(i))
+		r, err := x.runOnce(ctx, x.Seed+uint64(i))
 		if err != nil {
 			return nil, fmt.Errorf("seed %d: %w", x.Seed+uint64(i), err)
 		}
@@ -87,38 +87,38 @@
 	return res, nil
 }
 
-// upgraded is a run in progress. It receives the starts and ends of tasks from the workers.
-type upgraded struct {
+// upgradeRun is a run in progress. It receives the starts and ends of tasks from the workers.
+type upgradeRun struct {
 	*Upgrade
 	rng     *rand.Rand
 	cluster *cluster.Cluster
 	limits  settings.State
 
 	// mu guards the fields below.
-	mu    sync.Mutex
-	res   Upgraded
-	on    map[string]string // machine that runs a task, by task ID
-	ended map[string]bool   // IDs of completed tasks
-	jobs  map[string]*asked // by job ID
+	mu        sync.Mutex
+	res       UpgradeFigures
+	runningOn map[string]string   // machine that runs a task, by task ID
+	completed map[string]bool     // IDs of completed tasks
+	jobs      map[string]*userJob // by job ID
 	// lastStart is when a task was last started, idle the longest interval between two starts.
-	lastStart time.Time
-	idle      time.Duration
+	lastStart       time.Time
+	longestStartGap time.Duration
 }
 
-// asked is a job as its user knows it.
-type asked struct {
+// userJob is a job as its user knows it.
+type userJob struct {
 	api.Submission
 	accepted, cancelled bool
-	told                string // final state that the user was told; empty before
+	finalState          string // final state that the user was told; empty before
 }
 
-// sunken are the lower limits that the state service applies from some time during a run.
-var sunken = settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
+// reducedLimits are the lower limits that the state service applies from some time during a run.
+var reducedLimits = settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
 
-// newUpgraded starts the stand-ins and workers of a run, but no controllers.
-func newUpgraded(ctx context.Context, x *Upgrade, seed uint64, limits settings.State) (*upgraded, error) {
-	limits.Next = sunken
-	r := &upgraded{Upgrade: x, rng: rand.New(rand.NewPCG(seed, 0)), limits: limits, res: Upgraded{Seed: seed}, on: map[string]string{}, ended: map[string]bool{}, jobs: map[string]*asked{}}
+// newUpgradeRun starts the stand-ins and workers of a run, but no controllers.
+func newUpgradeRun(ctx context.Context, x *Upgrade, seed uint64, limits settings.State) (*upgradeRun, error) {
+	limits.Next = reducedLimits
+	r := &upgradeRun{Upgrade: x, rng: rand.New(rand.NewPCG(seed, 0)), limits: limits, res: UpgradeFigures{Seed: seed}, runningOn: map[string]string{}, completed: map[string]bool{}, jobs: map[string]*userJob{}}
 	zones := []string{"east"}
 	var err error
 	r.cluster, err = cluster.New(ctx, cluster.Options{Zones: []string{"east", "east", "east"}, Room: 0,
@@ -138,7 +138,7 @@
 }
 
 // startAll starts every controller with a program.
-func (r *upgraded) startAll(program string) error {
+func (r *upgradeRun) startAll(program string) error {
 	for _, c := range r.cluster.Controllers {
 		if err := c.Start(program); err != nil {
 			return err
@@ -147,8 +147,8 @@
 	return nil
 }
 
-func (x *Upgrade) play(ctx context.Context, seed uint64) (*Upgraded, error) {
-	r, err := newUpgraded(ctx, x, seed, settings.State{RPS: 400, WriteRPS: 60, ValueKB: 16, TxnOps: 12})
+func (x *Upgrade) runOnce(ctx context.Context, seed uint64) (*UpgradeFigures, error) {
+	r, err := newUpgradeRun(ctx, x, seed, settings.State{RPS: 400, WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 	if err := r.startAll(x.From); err != nil {
 		return nil, err
 	}
-	if err := r.users(ctx); err != nil {
+	if err := r.runUsers(ctx); err != nil {
 		return nil, err
 	}
 	for why, n := range r.cluster.State.Refusals() {
@@ -168,35 +168,35 @@
 	return &r.res, ctx.Err()
 }
 
-// any returns a random controller.
-func (r *upgraded) any() *cluster.Controller {
+// randomController returns a random controller.
+func (r *upgradeRun) randomController() *cluster.Controller {
 	return r.cluster.Controllers[r.rng.IntN(len(r.cluster.Controllers))]
 }
 
 // call sends a user's request.
-func (r *upgraded) call(ctx context.Context, method string, to *cluster.Controller, path string, body []byte) (int, []byte, error) {
+func (r *upgradeRun) call(ctx context.Context, method string, to *cluster.Controller, path string, body []byte) (int, []byte, error) {
 	return r.cluster.Call(ctx, to, method, path, body)
 }
 
 // Started records the start of a task. It counts an error if the task still runs on another machine or if a job that it
 // awaits is not done.
-func (r *upgraded) Started(task, machine string, _ uint64) {
+func (r *upgradeRun) Started(task, machine string, _ uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.res.Tasks++
 	now := time.Now()
 	if !r.lastStart.IsZero() {
-		r.idle = max(r.idle, now.Sub(r.lastStart))
+		r.longestStartGap = max(r.longestStartGap, now.Sub(r.lastStart))
 	}
 	r.lastStart = now
-	if on, ok := r.on[task]; ok && on != machine {
+	if on, ok := r.runningOn[task]; ok && on != machine {
 		r.res.RanTwice++
 	}
-	r.on[task] = machine
+	r.runningOn[task] = machine
 	id, _, _ := strings.Cut(task, "/")
 	for _, n := range r.jobs[id].Awaits {
 		for t := range r.jobs[n].Tasks {
-			if !r.ended[fmt.Sprintf("%s/%d", n, t)] {
+			if !r.completed[fmt.Sprintf("%s/%d", n, t)] {
 				r.res.TooEarly++
 				return
 			}
@@ -205,25 +205,25 @@
 }
 
 // Ended records that a task is no longer on a machine; done reports whether it completed.
-func (r *upgraded) Ended(task, machine string, done bool) {
+func (r *upgradeRun) Ended(task, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.on[task] == machine {
-		delete(r.on, task)
+	if r.runningOn[task] == machine {
+		delete(r.runningOn, task)
 	}
-	r.ended[task] = r.ended[task] || done
+	r.completed[task] = r.completed[task] || done
 }
 
-// users submits, polls and cancels jobs during the rolling upgrade and waits until all jobs have ended. It counts those that
+// runUsers submits, polls and cancels jobs during the rolling upgrade and waits until all jobs have ended. It counts those that
 // have not.
-func (r *upgraded) users(ctx context.Context) error {
-	if err := r.until(ctx, 20*time.Second, func() bool { return r.submit(ctx, nil, 4) }); err != nil {
+func (r *upgradeRun) runUsers(ctx context.Context) error {
+	if err := r.waitUntil(ctx, 20*time.Second, func() bool { return r.submit(ctx, nil, 4) }); err != nil {
 		return fmt.Errorf("the older version takes no job: %w", err)
 	}
 	for next := 0; next < 3; {
 		for range 4 + r.rng.IntN(6) {
 			r.submit(ctx, nil, 1+r.rng.IntN(12))
-			r.ask(ctx)
+			r.pollJobs(ctx)
 			r.pause(ctx, 150)
 		}
 		// First a random controller that is not upgraded yet is killed, then the next one in turn. Only the latter may come
@@ -246,61 +246,61 @@
 		}
 	}
 	began := time.Now()
-	if err := r.until(ctx, 30*time.Second, func() bool { return r.submit(ctx, r.some(), 3) }); err != nil {
+	if err := r.waitUntil(ctx, 30*time.Second, func() bool { return r.submit(ctx, r.jobsToAwait(), 3) }); err != nil {
 		return fmt.Errorf("no job that awaits another is taken after the roll: %w", err)
 	}
 	r.res.SwitchedS = time.Since(began).Seconds()
 	for i := range 40 {
-		r.submit(ctx, r.some(), 1+r.rng.IntN(12))
+		r.submit(ctx, r.jobsToAwait(), 1+r.rng.IntN(12))
 		switch {
 		case i == 10:
-			r.cluster.State.Limit(fake.Limits{RPS: r.limits.RPS, WriteRPS: sunken.WriteRPS, ValueKB: sunken.ValueKB, TxnOps: sunken.TxnOps})
+			r.cluster.State.Limit(fake.Limits{RPS: r.limits.RPS, WriteRPS: reducedLimits.WriteRPS, ValueKB: reducedLimits.ValueKB, TxnOps: reducedLimits.TxnOps})
 		case i%7 == 3:
 			r.cancel(ctx)
 		case i%13 == 5:
-			m := r.any()
+			m := r.randomController()
 			m.Kill()
 			r.res.Kills++
 			if err := m.Start(r.To); err != nil {
 				return err
 			}
 		}
-		r.ask(ctx)
+		r.pollJobs(ctx)
 		r.pause(ctx, 100)
 	}
 	over := func() bool {
-		r.ask(ctx)
-		return r.open() == 0
+		r.pollJobs(ctx)
+		return r.unfinished() == 0
 	}
-	if err := r.until(ctx, 60*time.Second, over); err != nil && ctx.Err() != nil {
+	if err := r.waitUntil(ctx, 60*time.Second, over); err != nil && ctx.Err() != nil {
 		return err
 	}
-	r.res.Unended = r.open()
+	r.res.Unended = r.unfinished()
 	return nil
 }
 
-func (r *upgraded) pause(ctx context.Context, ms int) {
+func (r *upgradeRun) pause(ctx context.Context, ms int) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(ms) * time.Millisecond):
 	}
 }
 
-func (r *upgraded) until(ctx context.Context, most time.Duration, f func() bool) error {
-	for end := time.Now().Add(most); ; r.pause(ctx, 200) {
+func (r *upgradeRun) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) error {
+	for end := time.Now().Add(timeout); ; r.pause(ctx, 200) {
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case f():
+		case condition():
 			return nil
 		case time.Now().After(end):
-			return errors.New("not within " + most.String())
+			return errors.New("not within " + timeout.String())
 		}
 	}
 }
 
-// some returns the last accepted job, which is still running, and at random one earlier job.
-func (r *upgraded) some() (ids []string) {
+// jobsToAwait returns the last accepted job, which is still running, and at random one earlier job.
+func (r *upgradeRun) jobsToAwait() (ids []string) {
 	all := r.ids()
 	slices.Reverse(all)
 	for _, id := range all {
@@ -311,7 +311,7 @@
 	return ids
 }
 
-func (r *upgraded) ids() (ids []string) {
+func (r *upgradeRun) ids() (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.jobs {
@@ -322,15 +322,15 @@
 }
 
 // submit tries to submit one job, up to four times, each at a random controller. It reports whether the job was accepted.
-func (r *upgraded) submit(ctx context.Context, awaits []string, tasks int) bool {
+func (r *upgradeRun) submit(ctx context.Context, awaits []string, tasks int) bool {
 	r.mu.Lock()
 	id := fmt.Sprintf("run-%06d", len(r.jobs))
-	a := &asked{Submission: api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 1, Awaits: awaits}}
+	a := &userJob{Submission: api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 1, Awaits: awaits}}
 	r.jobs[id] = a
 	r.mu.Unlock()
 	raw, err := json.Marshal(&a.Submission)
 	for try := 0; try < 4 && err == nil; try++ {
-		status, body, cerr := r.call(ctx, http.MethodPost, r.any(), "/submissions", raw)
+		status, body, cerr := r.call(ctx, http.MethodPost, r.randomController(), "/submissions", raw)
 		if cerr == nil && (status == http.StatusCreated || status == http.StatusOK) {
 			a.accepted = true
 			r.res.Jobs++
@@ -349,28 +349,28 @@
 	return false
 }
 
-func (r *upgraded) cancel(ctx context.Context) {
+func (r *upgradeRun) cancel(ctx context.Context) {
 	id := r.ids()[r.rng.IntN(len(r.jobs))]
 	var st api.JobStatus
-	status, body, err := r.call(ctx, http.MethodPost, r.any(), "/submissions/"+id+"/cancel", nil)
+	status, body, err := r.call(ctx, http.MethodPost, r.randomController(), "/submissions/"+id+"/cancel", nil)
 	if err == nil && status == http.StatusOK && json.Unmarshal(body, &st) == nil && st.State == api.Cancelled {
 		r.jobs[id].cancelled = true
 	}
 }
 
-// gone reports whether the cancellation of a job, or of one that it awaits directly or indirectly, was confirmed.
-func (r *upgraded) gone(id string) bool {
-	return r.jobs[id].cancelled || slices.ContainsFunc(r.jobs[id].Awaits, r.gone)
+// cancelConfirmed reports whether the cancellation of a job, or of one that it awaits directly or indirectly, was confirmed.
+func (r *upgradeRun) cancelConfirmed(id string) bool {
+	return r.jobs[id].cancelled || slices.ContainsFunc(r.jobs[id].Awaits, r.cancelConfirmed)
 }
 
-// ask polls each accepted job that has not ended once at a random controller, and a tenth of those that have ended.
-func (r *upgraded) ask(ctx context.Context) {
+// pollJobs polls each accepted job that has not ended once at a random controller, and a tenth of those that have ended.
+func (r *upgradeRun) pollJobs(ctx context.Context) {
 	for _, id := range r.ids() {
 		a := r.jobs[id]
-		if !a.accepted || a.told != "" && r.rng.IntN(10) > 0 {
+		if !a.accepted || a.finalState != "" && r.rng.IntN(10) > 0 {
 			continue
 		}
-		status, body, err := r.call(ctx, http.MethodGet, r.any(), "/submissions/"+id, nil)
+		status, body, err := r.call(ctx, http.MethodGet, r.randomController(), "/submissions/"+id, nil)
 		var st api.JobStatus
 		switch {
 		case err != nil || status >= 500:
@@ -382,21 +382,21 @@
 			r.res.Wrong++
 			continue
 		}
-		wrong := a.told != "" && st.State != a.told || st.State == api.Cancelled && !r.gone(id) || st.State == api.Done && r.gone(id)
+		wrong := a.finalState != "" && st.State != a.finalState || st.State == api.Cancelled && !r.cancelConfirmed(id) || st.State == api.Done && r.cancelConfirmed(id)
 		if wrong {
-			slog.Error("wrong job state", "job", id, "state", st.State, "told", a.told)
+			slog.Error("wrong job state", "job", id, "state", st.State, "told", a.finalState)
 			r.res.Wrong++
 		}
 		if st.State == api.Done || st.State == api.Cancelled {
-			a.told = st.State
+			a.finalState = st.State
 		}
 	}
 }
 
-// open returns the number of accepted jobs that have not ended.
-func (r *upgraded) open() (n int) {
+// unfinished returns the number of accepted jobs that have not ended.
+func (r *upgradeRun) unfinished() (n int) {
 	for _, a := range r.jobs {
-		if a.accepted && a.told == "" {
+		if a.accepted && a.finalState == "" {
 			n++
 		}
 	}
