--- a/experiment/gaps.go
+++ b/experiment/gaps.go
@@ -34,15 +34,15 @@
 	for _, j := range day.jobs {
 		end := 0.0
 		for _, id := range j.awaits {
-			if o := day.jobs[id]; o != nil {
-				end = math.Max(end, o.lastEnd)
+			if awaited := day.jobs[id]; awaited != nil {
+				end = math.Max(end, awaited.lastEnd)
 			}
 		}
 		if end == 0 || j.ready <= j.submitted || j.firstPlaced == 0 || j.firstStart == 0 {
 			continue // did not have to wait for another job, or never started
 		}
-		for i, s := range []float64{j.ready - end, j.firstPlaced - j.ready, j.firstStart - j.firstPlaced, j.firstStart - end} {
-			if err := histograms[i].RecordValue(int64(math.Max(0, s) * 1000)); err != nil {
+		for i, seconds := range []float64{j.ready - end, j.firstPlaced - j.ready, j.firstStart - j.firstPlaced, j.firstStart - end} {
+			if err := histograms[i].RecordValue(int64(math.Max(0, seconds) * 1000)); err != nil {
 				return nil, err
 			}
 		}
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, err
 		}
-		x.Progress("%s: %d ends, %d submissions, %d refused, longest without an accept %d ms, without a start %d ms", h.Way, h.Ends, h.Asked, h.Refused, h.GapMS, h.IdleMS)
+		x.Progress("%s: %d processes ended, %d submissions, %d refused, longest time without an acceptance %d ms, without a task start %d ms", h.Way, h.Ends, h.Asked, h.Refused, h.GapMS, h.IdleMS)
 		out = append(out, *h)
 	}
 	return out, nil
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	r.pause(ctx, 3000)
-	u := &submitters{r: r, ready: map[int]bool{}, latency: hdrhistogram.New(1, 60_000, 3), lastAccept: time.Now()}
+	u := &submitters{run: r, ready: map[int]bool{}, latency: hdrhistogram.New(1, 60_000, 3), lastAccept: time.Now()}
 	var done sync.WaitGroup
 	userCtx, stopUsers := context.WithCancel(ctx)
 	done.Go(func() { u.probeReady(userCtx) })
@@ -122,7 +122,7 @@
 
 // submitters submits a job every 20 ms to a controller that the load balancer considers ready.
 type submitters struct {
-	r *upgradeRun
+	run *upgradeRun
 
 	// mu guards the fields below.
 	mu         sync.Mutex
@@ -139,9 +139,9 @@
 func (u *submitters) probeReady(ctx context.Context) {
 	failed := map[int]int{}
 	for ctx.Err() == nil {
-		for i, m := range u.r.cluster.Controllers {
+		for i, m := range u.run.cluster.Controllers {
 			call, stop := context.WithTimeout(ctx, time.Second)
-			status, _, err := u.r.call(call, http.MethodGet, m, "/ready", nil)
+			status, _, err := u.run.call(call, http.MethodGet, m, "/ready", nil)
 			stop()
 			if err == nil && status == http.StatusOK {
 				failed[i] = 0
@@ -152,7 +152,7 @@
 			u.ready[i] = failed[i] < 2
 			u.mu.Unlock()
 		}
-		u.r.pause(ctx, 1000)
+		u.run.pause(ctx, 1000)
 	}
 }
 
@@ -161,7 +161,7 @@
 	defer all.Wait()
 	for ctx.Err() == nil {
 		all.Go(func() { u.submitOne(ctx) })
-		u.r.pause(ctx, 20)
+		u.run.pause(ctx, 20)
 	}
 }
 
@@ -172,19 +172,19 @@
 	id, first := fmt.Sprintf("run-9%06d", u.nextID), u.nextID
 	u.mu.Unlock()
 	job := api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 0.1, MemoryGB: 0.1, Image: "img", EstimateS: 1}
-	u.r.mu.Lock()
-	u.r.jobs[id] = &userJob{Submission: job}
-	u.r.mu.Unlock()
+	u.run.mu.Lock()
+	u.run.jobs[id] = &userJob{Submission: job}
+	u.run.mu.Unlock()
 	raw, err := json.Marshal(&job)
 	began := time.Now()
 	status, body := 0, []byte(nil)
 	for try := 0; try < 3 && err == nil && status == 0; try++ {
 		u.mu.Lock()
-		i := (first + try) % len(u.r.cluster.Controllers)
+		i := (first + try) % len(u.run.cluster.Controllers)
 		ready := u.ready[i]
 		u.mu.Unlock()
 		if ready {
-			status, body, _ = u.r.call(ctx, http.MethodPost, u.r.cluster.Controllers[i], "/submissions", raw)
+			status, body, _ = u.run.call(ctx, http.MethodPost, u.run.cluster.Controllers[i], "/submissions", raw)
 		}
 	}
 	if ctx.Err() != nil {
--- a/experiment/locality_machines.go
+++ b/experiment/locality_machines.go
@@ -107,7 +107,7 @@
 func (m *machine) runTask(p *localityRun, t *api.TaskReport) {
 	id, _, _ := strings.Cut(t.Task, "/")
 	p.mu.Lock()
-	submitted, image := p.submittedAt[id], p.imageOf[id]
+	submittedAt, image := p.submittedAt[id], p.imageOf[id]
 	p.mu.Unlock()
 	m.mu.Lock()
 	cached := m.images.Contains(image)
@@ -117,7 +117,7 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	p.mu.Lock()
-	_ = p.startDelays.RecordValue(time.Since(submitted).Milliseconds())
+	_ = p.startDelays.RecordValue(time.Since(submittedAt).Milliseconds())
 	p.mu.Unlock()
 	m.setState(t, api.TaskRunning, "")
 	time.Sleep(time.Duration(p.TaskRunS * float64(time.Second)))
--- a/experiment/locality_test.go
+++ b/experiment/locality_test.go
@@ -20,14 +20,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]PlacementFigures{}
+	byName := map[string]PlacementFigures{}
 	for _, f := range r.Workloads[0].Placements {
-		by[f.Name] = f
+		byName[f.Name] = f
 		if f.LeastBytes == 0 || f.StoreBytes < f.LeastBytes || f.StartP95 <= 0 || f.MakespanS <= 0 {
 			t.Errorf("inconsistent figures: %+v", f)
 		}
 	}
-	if s, b := by["locality+staging"], by["blind"]; s.StoreBytes >= b.StoreBytes || b.PeerBytes != 0 {
+	if s, b := byName["locality+staging"], byName["blind"]; s.StoreBytes >= b.StoreBytes || b.PeerBytes != 0 {
 		t.Errorf("staged %+v, blind %+v", s, b)
 	}
 }
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -119,14 +119,14 @@
 		return nil, err
 	}
 	free := upperbound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.lastAt/o.SlotS)+1)}
-	at := 0
+	sample := 0
 	for i := range free.CPUs {
-		for at+1 < len(day.fleetCPUs) && day.fleetCPUs[at+1][0] <= float64(i)*o.SlotS {
-			at++
+		for sample+1 < len(day.fleetCPUs) && day.fleetCPUs[sample+1][0] <= float64(i)*o.SlotS {
+			sample++
 		}
 		if len(day.fleetCPUs) > 0 {
 			// Between two log lines the larger capacity counts, so that the result remains an upper bound.
-			free.CPUs[i] = math.Max(day.fleetCPUs[at][1], day.fleetCPUs[min(at+1, len(day.fleetCPUs)-1)][1])
+			free.CPUs[i] = math.Max(day.fleetCPUs[sample][1], day.fleetCPUs[min(sample+1, len(day.fleetCPUs)-1)][1])
 		}
 	}
 	rank := 0
@@ -170,17 +170,17 @@
 			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
 		}
 		// A fixed order makes the result reproducible.
-		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.Run, b.Run) })
+		slices.SortFunc(x.Tasks, func(a, bound upperbound.Task) int { return cmp.Compare(a.Run, bound.Run) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
 		return nil, fmt.Errorf("these logs hold no job of class %q that was submitted and completed in the given period; were they written with LOG_LEVEL=debug?", o.Class)
 	}
-	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
-		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
+	slices.SortFunc(jobs, func(a, bound upperbound.Job) int {
+		return cmp.Or(cmp.Compare(a.Arrive, bound.Arrive), len(a.Tasks)-len(bound.Tasks))
 	})
-	b := upperbound.InTime(jobs, free, o.Rounds)
-	res.Alone, res.Most = b.Alone, b.Most
+	bound := upperbound.InTime(jobs, free, o.Rounds)
+	res.Alone, res.Most = bound.Alone, bound.Most
 	return res, nil
 }
 
@@ -228,23 +228,23 @@
 	return day, nil
 }
 
-func (day *dayLog) addLine(kv map[string]string, at float64, startedAt map[string]float64) {
+func (day *dayLog) addLine(kv map[string]string, seconds float64, startedAt map[string]float64) {
 	number := func(key string) float64 {
 		v, _ := strconv.ParseFloat(kv[key], 64)
 		return v
 	}
-	day.lastAt = math.Max(day.lastAt, at)
+	day.lastAt = math.Max(day.lastAt, seconds)
 	task := kv["task"]
 	job, _, _ := strings.Cut(task, "/")
 	taskEnded := func() {
 		if from, ok := startedAt[task]; ok {
 			delete(startedAt, task)
-			day.runs = append(day.runs, loggedRun{job, from, at})
+			day.runs = append(day.runs, loggedRun{job, from, seconds})
 			switch j := day.jobs[job]; {
 			case j == nil:
 			case kv["cause"] == api.CauseDone:
-				j.runTimes[task] = at - from
-				j.lastEnd = math.Max(j.lastEnd, at)
+				j.runTimes[task] = seconds - from
+				j.lastEnd = math.Max(j.lastEnd, seconds)
 			case kv["cause"] == api.CauseStopped:
 				j.stopped++
 			default:
@@ -256,31 +256,31 @@
 	case "job accepted":
 		if day.jobs[kv["job"]] == nil {
 			s := api.Submission{Rank: kv["rank"]}
-			day.jobs[kv["job"]] = &loggedJob{class: kv["class"], rank: s.RankLevel(), size: int(number("tasks")), cpus: number("cpus"), deadlineS: number("due_s"), submitted: at, ready: at, runTimes: map[string]float64{}}
+			day.jobs[kv["job"]] = &loggedJob{class: kv["class"], rank: s.RankLevel(), size: int(number("tasks")), cpus: number("cpus"), deadlineS: number("due_s"), submitted: seconds, ready: seconds, runTimes: map[string]float64{}}
 			if kv["awaits"] != "" {
 				day.jobs[kv["job"]].awaits = strings.Split(kv["awaits"], ",")
 			}
 		}
 	case "job may start":
 		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.submitted {
-			j.ready = at // only the first line counts: a new leader logs it again
+			j.ready = seconds // only the first line counts: a new leader logs it again
 		}
 	case "task placed":
 		if j := day.jobs[job]; j != nil && j.firstPlaced == 0 {
-			j.firstPlaced = at
+			j.firstPlaced = seconds
 		}
 	case "job over":
 		if j := day.jobs[kv["job"]]; j != nil && j.done == 0 && kv["state"] == api.Done {
-			j.done = at
+			j.done = seconds
 		}
 	case "task running":
-		startedAt[task] = at
+		startedAt[task] = seconds
 		if j := day.jobs[job]; j != nil && j.firstStart == 0 {
-			j.firstStart = at
+			j.firstStart = seconds
 		}
 	case "task ended", "task lost":
 		taskEnded()
 	case "fleet":
-		day.fleetCPUs = append(day.fleetCPUs, [2]float64{at, number("cpus")})
+		day.fleetCPUs = append(day.fleetCPUs, [2]float64{seconds, number("cpus")})
 	}
 }
--- a/experiment/order_test.go
+++ b/experiment/order_test.go
@@ -9,29 +9,29 @@
 // Each late job is counted once, by its cause. Jobs of other classes are not counted.
 func TestLateJobsAreCountedByCause(t *testing.T) {
 	var log strings.Builder
-	say := func(at int, rest string) {
+	writeLine := func(at int, rest string) {
 		fmt.Fprintf(&log, "node-0 time=2026-01-01T00:%02d:%02dZ level=DEBUG %s\n", at/60, at%60, rest)
 	}
-	say(0, "msg=fleet cpus=8")
+	writeLine(0, "msg=fleet cpus=8")
 	for i, class := range []string{"scan", "scan", "scan", "scan", "scan", "other"} {
-		say(1, fmt.Sprintf("msg=\"job accepted\" job=run-%d class=%s tasks=1 cpus=1 rank=normal due_s=20", i, class))
+		writeLine(1, fmt.Sprintf("msg=\"job accepted\" job=run-%d class=%s tasks=1 cpus=1 rank=normal due_s=20", i, class))
 	}
-	run := func(job, from, to int, end string) {
-		say(from, fmt.Sprintf("msg=\"task running\" task=run-%d/0", job))
-		say(to, fmt.Sprintf("msg=%s task=run-%d/0", end, job))
+	logTaskRun := func(job, from, to int, end string) {
+		writeLine(from, fmt.Sprintf("msg=\"task running\" task=run-%d/0", job))
+		writeLine(to, fmt.Sprintf("msg=%s task=run-%d/0", end, job))
 		if strings.HasSuffix(end, "cause=done") {
-			say(to, fmt.Sprintf("msg=\"job over\" job=run-%d state=done", job))
+			writeLine(to, fmt.Sprintf("msg=\"job over\" job=run-%d state=done", job))
 		}
 	}
 	done := `"task ended" cause=done`
-	run(0, 2, 12, done) // in time
-	run(1, 2, 32, done) // its task alone runs longer than the deadline
-	run(2, 2, 10, `"task lost" why="its machine is gone"`)
-	run(2, 12, 24, done)
-	run(3, 2, 10, `"task ended" cause=halted`)
-	run(3, 12, 24, done)
-	run(4, 15, 27, done) // waited to start
-	run(5, 2, 50, done)
+	logTaskRun(0, 2, 12, done) // in time
+	logTaskRun(1, 2, 32, done) // its task alone runs longer than the deadline
+	logTaskRun(2, 2, 10, `"task lost" why="its machine is gone"`)
+	logTaskRun(2, 12, 24, done)
+	logTaskRun(3, 2, 10, `"task ended" cause=halted`)
+	logTaskRun(3, 12, 24, done)
+	logTaskRun(4, 15, 27, done) // waited to start
+	logTaskRun(5, 2, 50, done)
 	o := OrderDefaults()
 	o.Class = "scan"
 	res, err := o.Compare(strings.NewReader(log.String()))
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -85,11 +85,11 @@
 
 // startUser starts a user who submits a job and polls it until it has ended. If cancelAfter is not negative, the user cancels
 // the job that long after its acceptance. begin does not block.
-func (p *population) startUser(ctx context.Context, job api.Submission, cancelAfter time.Duration) (id string) {
-	job.ID = p.newID()
-	p.audit.Submit(job)
-	p.users.Go(func() { p.runUser(ctx, job, cancelAfter) })
-	return job.ID
+func (p *population) startUser(ctx context.Context, submission api.Submission, cancelAfter time.Duration) (id string) {
+	submission.ID = p.newID()
+	p.audit.Submit(submission)
+	p.users.Go(func() { p.runUser(ctx, submission, cancelAfter) })
+	return submission.ID
 }
 
 func (p *population) runUser(ctx context.Context, job api.Submission, cancelAfter time.Duration) {
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -76,7 +76,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%d machines, %s: %w", machines, name, err)
 			}
-			x.Progress("%d machines, %s: first start %.1f s, all heard %.1f s, returned in vain %d, tasks lost in vain %d, peak %.2f of a core",
+			x.Progress("%d machines, %s: first start %.1f s, all workers answered %.1f s, %d healthy machines returned, %d tasks lost, leader's peak %.2f of a core",
 				machines, name, r.FirstStart, r.HeardAll, r.ReturnedInVain, r.LostInVain, r.PeakShare)
 			res.Sizes = append(res.Sizes, r)
 		}
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -317,7 +317,7 @@
 	}
 	run.cluster.Returned = run.returned.add
 	run.users = newPopulation(run.cluster, run.audit, x.Seed)
-	run.changer = newChanger(run)
+	run.changer = newLimitChanger(run)
 	if err = run.startProcesses(); err != nil {
 		run.close()
 		return nil, err
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -81,7 +81,7 @@
 		return fmt.Errorf("case %s: %w", name, err)
 	}
 	urgent := c.Step.Waits["high"]
-	run.Progress("%d workers, case %s: first start %.2f s, all heard %.1f s; hit %d, restarted %d (half %.1f s, 95%% %.1f s); killed by lease %d, returned %d with %d tasks; whole after %.1f s; urgent p99 %d ms of %d jobs, %d unstarted; leader's busiest second %.2f",
+	run.Progress("%d workers, case %s: first start %.2f s, all workers answered %.1f s; %d tasks affected, %d restarted (p50 %.1f s, p95 %.1f s); %d killed by lease, %d machines returned with %d tasks; recovered after %.1f s; urgent p99 %d ms of %d jobs, %d unstarted; leader's CPU p99 %.2f",
 		workers, name, c.FirstStart, c.AllWorkersAnswered, c.TasksAffected, c.Restarted, c.RestartedP50, c.RestartedP95, c.KilledByLease, c.MachinesReturned, c.TasksOnReturned, c.RecoveredAfter, urgent.P99, urgent.Jobs, urgent.Unstarted, c.Step.Leader.CPUP99)
 	res.Cases = append(res.Cases, *c)
 	return nil
@@ -117,8 +117,8 @@
 	record := run.record()
 	began := time.Now()
 	machines, inject, changesLeader := run.fault(name)
-	hit := run.audit.RunningOn(machines)
-	c := &ScaleCase{Case: name, FirstStart: -1, AllWorkersAnswered: -1, RestartedP50: -1, RestartedP95: -1, RecoveredAfter: -1, TasksAffected: len(hit)}
+	affected := run.audit.RunningOn(machines)
+	c := &ScaleCase{Case: name, FirstStart: -1, AllWorkersAnswered: -1, RestartedP50: -1, RestartedP95: -1, RecoveredAfter: -1, TasksAffected: len(affected)}
 	faultEnded := make(chan time.Time, 1)
 	go func() {
 		inject()
@@ -130,7 +130,7 @@
 	if first := run.audit.FirstStart(term); changesLeader && !first.IsZero() {
 		c.FirstStart = first.Sub(began).Seconds()
 	}
-	times := run.audit.StartedSince(began, hit)
+	times := run.audit.StartedSince(began, affected)
 	c.Restarted = len(times)
 	c.RestartedP50, c.RestartedP95 = quantile(times, 0.5), quantile(times, 0.95)
 	step, err := record.stop(name, workers)
@@ -193,13 +193,13 @@
 			run.cluster.Isolate()
 		}, false
 	}
-	crash := func(some []*cluster.Controller) (map[string]bool, func(), bool) {
+	crash := func(controllers []*cluster.Controller) (map[string]bool, func(), bool) {
 		return nil, func() {
-			for _, x := range some {
+			for _, x := range controllers {
 				x.Kill()
 			}
 			run.cluster.Sleep(controllerRestartDelay)
-			for _, x := range some {
+			for _, x := range controllers {
 				_ = x.Start(run.Program)
 			}
 		}, true
@@ -257,15 +257,15 @@
 	for _, w := range rack {
 		machines[w.Name] = true
 	}
-	lose := func(on bool) {
+	setLost := func(on bool) {
 		for _, w := range rack {
 			w.Lose(on)
 		}
 	}
 	return machines, func() {
-		lose(true)
+		setLost(true)
 		run.cluster.Sleep(secondsDuration(run.CutS))
-		lose(false)
+		setLost(false)
 	}, false
 }
 
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -42,7 +42,7 @@
 	refused, slow int
 }
 
-func newChanger(run *scaleRun) *limitChanger {
+func newLimitChanger(run *scaleRun) *limitChanger {
 	c := &limitChanger{run: run}
 	c.reset()
 	return c
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -53,7 +53,7 @@
 // baseJobTasks is the number of tasks of an array of the base load.
 const baseJobTasks = 200
 
-func (run *scaleRun) job(team, tasks int, rank string, estimateS float64) api.Submission {
+func (run *scaleRun) newJob(team, tasks int, rank string, estimateS float64) api.Submission {
 	return api.Submission{Class: rank, Team: fmt.Sprintf("team-%03d", team), Shape: api.JobArray, Rank: rank, Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: "image", ImageGB: 0.1, Spot: true, EstimateS: estimateS}
 }
@@ -66,7 +66,7 @@
 		for team := range run.Teams {
 			if run.usesUpLimit(team) {
 				tasks -= limitedCPUs
-				run.baseJobs = append(run.baseJobs, run.users.startUser(run.ctx, run.job(team, limitedCPUs+limitedCPUs/2, "normal", baseRunS), neverCancels))
+				run.baseJobs = append(run.baseJobs, run.users.startUser(run.ctx, run.newJob(team, limitedCPUs+limitedCPUs/2, "normal", baseRunS), neverCancels))
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 		team := run.unlimitedTeam(len(run.baseJobs) + i)
 		n := min(baseJobTasks, tasks)
 		tasks -= n
-		run.baseJobs = append(run.baseJobs, run.users.startUser(run.ctx, run.job(team, n, "normal", baseRunS), neverCancels))
+		run.baseJobs = append(run.baseJobs, run.users.startUser(run.ctx, run.newJob(team, n, "normal", baseRunS), neverCancels))
 	}
 }
 
@@ -90,7 +90,7 @@
 // fillFleet submits more jobs of rank low than the remaining capacity of the fleet, and returns their IDs.
 func (run *scaleRun) fillFleet(workers int) (ids []string) {
 	for left := int((slotsPerWorker-run.TasksPerWorker)*float64(workers)) + 10*workers/8; left > 0; left -= baseJobTasks {
-		ids = append(ids, run.users.startUser(run.ctx, run.job(run.Teams-1, baseJobTasks, "low", baseRunS), neverCancels))
+		ids = append(ids, run.users.startUser(run.ctx, run.newJob(run.Teams-1, baseJobTasks, "low", baseRunS), neverCancels))
 	}
 	return ids
 }
@@ -120,12 +120,12 @@
 			if run.users.randomInt(cancelOneIn) == 0 {
 				cancelAfter = 3 * time.Second
 			}
-			run.users.startUser(run.ctx, run.job(run.unlimitedTeam(number), tasks, "normal", arrivalRunS), cancelAfter)
+			run.users.startUser(run.ctx, run.newJob(run.unlimitedTeam(number), tasks, "normal", arrivalRunS), cancelAfter)
 			number++
 		}
 		if run.arrivals.get() > 0 && time.Now().After(nextUrgent) {
 			nextUrgent = time.Now().Add(urgentInterval)
-			run.users.startUser(run.ctx, run.job(run.unlimitedTeam(number), 4, "high", 5), neverCancels)
+			run.users.startUser(run.ctx, run.newJob(run.unlimitedTeam(number), 4, "high", 5), neverCancels)
 		}
 	}
 }
--- a/experiment/scale_writes.go
+++ b/experiment/scale_writes.go
@@ -18,18 +18,18 @@
 // measureWrites submits one job of each shape to an idle fleet and counts the changes in the state service from its acceptance to
 // the removal of its records.
 func (run *scaleRun) measureWrites(res *ScaleResult) error {
-	service := run.job(run.unlimitedTeam(0), 3, "prod", 0)
+	service := run.newJob(run.unlimitedTeam(0), 3, "prod", 0)
 	service.Shape = api.Service
-	atLimit := run.job(0, 3*limitedCPUs, "normal", 1)
+	atLimit := run.newJob(0, 3*limitedCPUs, "normal", 1)
 	for _, shape := range []struct {
 		name   string
 		job    api.Submission
 		cancel time.Duration
 	}{
-		{"array of 1", run.job(run.unlimitedTeam(0), 1, "normal", 1), neverCancels},
-		{"array of 12", run.job(run.unlimitedTeam(0), 12, "normal", 1), neverCancels},
-		{"array of 200", run.job(run.unlimitedTeam(0), 200, "normal", 1), neverCancels},
-		{"array of 10,000", run.job(run.unlimitedTeam(0), 10_000, "normal", 1), neverCancels},
+		{"array of 1", run.newJob(run.unlimitedTeam(0), 1, "normal", 1), neverCancels},
+		{"array of 12", run.newJob(run.unlimitedTeam(0), 12, "normal", 1), neverCancels},
+		{"array of 200", run.newJob(run.unlimitedTeam(0), 200, "normal", 1), neverCancels},
+		{"array of 10,000", run.newJob(run.unlimitedTeam(0), 10_000, "normal", 1), neverCancels},
 		{"service of 3, cancelled", service, time.Second},
 		{fmt.Sprintf("array of %d in a team with room for %d at once", atLimit.Tasks, limitedCPUs), atLimit, neverCancels},
 	} {
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -76,11 +76,11 @@
 		running.Go(func() { in.runFault(ctx, &faults[i]) })
 	}
 	running.Wait()
-	in.restore()
+	in.removeFaults()
 }
 
-// restore removes all faults and starts the controllers that are not running.
-func (in *injector) restore() {
+// removeFaults removes all faults and starts the controllers that are not running.
+func (in *injector) removeFaults() {
 	in.mu.Lock()
 	clear(in.active)
 	in.mu.Unlock()
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -189,8 +189,8 @@
 	return faults
 }
 
-// describe returns the faults as one line of text.
-func describe(faults []Fault) string {
+// formatFaults returns the faults as one line of text.
+func formatFaults(faults []Fault) string {
 	texts := make([]string, len(faults))
 	for i, fault := range faults {
 		texts[i] = fault.String()
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -224,7 +224,7 @@
 	}
 	duration := time.Duration(o.ForS * float64(time.Second))
 	faults := DrawSchedule(seed, o.kinds(), controllers, duration)
-	o.Progress("seed %d: %s", seed, describe(faults))
+	o.Progress("seed %d: %s", seed, formatFaults(faults))
 	run := &Run{Seed: seed, Workers: o.Workers, Faults: map[string]int{}}
 	for _, fault := range faults {
 		run.Schedule = append(run.Schedule, fault.String())
@@ -361,7 +361,7 @@
 	} else {
 		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
-	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d ends told, %d starts, %d terms, %d crossed starts, %d unfinished, %d ended by themselves, %d contradictions, broken %v %s", run.Seed, run.Seconds,
+	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d final states told, %d starts, %d terms, %d crossed starts, %d unfinished, %d unexpected exits, %d invariant violations, rules violated %v %s", run.Seed, run.Seconds,
 		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
 	for _, why := range run.Details {
 		o.Progress("seed %d: %s", run.Seed, why)
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -39,7 +39,7 @@
 	}
 	for _, run := range result.Runs {
 		if run.Failed() || run.Vacuous != "" {
-			t.Errorf("seed %d: broken %v, %d contradictions, %d unexpected exits, %q: %v", run.Seed, run.Broken, run.Contradictions, run.UnexpectedExits, run.Vacuous, run.Details)
+			t.Errorf("seed %d: rules violated %v, %d invariant violations, %d unexpected exits, %q: %v", run.Seed, run.Broken, run.Contradictions, run.UnexpectedExits, run.Vacuous, run.Details)
 			printLogs(t, run.Logs)
 		}
 	}
@@ -108,6 +108,6 @@
 		}
 	}
 	if got := countInvariantViolations(readLogs(directory)); got != 3 {
-		t.Errorf("%d contradictions, want 3", got)
+		t.Errorf("%d invariant violations, want 3", got)
 	}
 }
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -218,11 +218,11 @@
 // ends the tasks of those whose lease has expired.
 func (w *rackWorld) countPlacements(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
 	racks, switches := map[string]map[string]int{}, map[string]map[string]int{}
-	count := func(in map[string]map[string]int, job, key string) {
-		if in[job] == nil {
-			in[job] = map[string]int{}
+	count := func(tasksByDomain map[string]map[string]int, job, key string) {
+		if tasksByDomain[job] == nil {
+			tasksByDomain[job] = map[string]int{}
 		}
-		in[job][key]++
+		tasksByDomain[job][key]++
 	}
 	for _, m := range w.machines {
 		if m.outageLeft > 0 {
@@ -252,16 +252,16 @@
 		if j.submission.Near == nil || j.ended {
 			continue
 		}
-		in := racks
+		tasksByDomain := racks
 		if j.submission.Near.Level == "switch" {
-			in = switches
+			tasksByDomain = switches
 		}
-		if len(in[j.submission.ID]) > 1 {
+		if len(tasksByDomain[j.submission.ID]) > 1 {
 			f.Violations++
 		}
 		switch {
 		case j.counted:
-		case j.running == j.submission.Tasks && len(in[j.submission.ID]) == 1:
+		case j.running == j.submission.Tasks && len(tasksByDomain[j.submission.ID]) == 1:
 			j.counted = true
 			f.ClosePossible++
 			f.CloseTogether++
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -16,17 +16,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]TopologyFigures{}
+	byName := map[string]TopologyFigures{}
 	for _, f := range res.Placements {
-		by[f.Name] = f
+		byName[f.Name] = f
 	}
-	if f := by["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.PlacedN == 0 {
+	if f := byName["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.PlacedN == 0 {
 		t.Errorf("%+v", f)
 	}
-	if f := by["today"]; f.Violations == 0 {
+	if f := byName["today"]; f.Violations == 0 {
 		t.Errorf("no violations counted without a topology: %+v", f)
 	}
-	if f := by["random"]; f.Violations > 0 || f.CloseTogether == 0 {
+	if f := byName["random"]; f.Violations > 0 || f.CloseTogether == 0 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -82,7 +82,7 @@
 			return nil, fmt.Errorf("seed %d: %w", x.Seed+uint64(i), err)
 		}
 		res.Runs = append(res.Runs, *r)
-		x.Progress("seed %d: %d kills, %d jobs, %d tasks, switched after %.1f s", r.Seed, r.Kills, r.Jobs, r.Tasks, r.SwitchedS)
+		x.Progress("seed %d: %d kills, %d jobs, %d tasks, first job that awaits another accepted after %.1f s", r.Seed, r.Kills, r.Jobs, r.Tasks, r.SwitchedS)
 	}
 	return res, nil
 }
