--- a/experiment/order.go
+++ b/experiment/order.go
@@ -170,17 +170,17 @@
 			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
 		}
 		// A fixed order makes the result reproducible.
-		slices.SortFunc(x.Tasks, func(a, bound upperbound.Task) int { return cmp.Compare(a.Run, bound.Run) })
+		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.Run, b.Run) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
 		return nil, fmt.Errorf("these logs hold no job of class %q that was submitted and completed in the given period; were they written with LOG_LEVEL=debug?", o.Class)
 	}
-	slices.SortFunc(jobs, func(a, bound upperbound.Job) int {
-		return cmp.Or(cmp.Compare(a.Arrive, bound.Arrive), len(a.Tasks)-len(bound.Tasks))
+	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
+		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
 	})
-	bound := upperbound.InTime(jobs, free, o.Rounds)
-	res.Alone, res.Most = bound.Alone, bound.Most
+	b := upperbound.InTime(jobs, free, o.Rounds)
+	res.Alone, res.Most = b.Alone, b.Most
 	return res, nil
 }
 
--- a/experiment/order_test.go
+++ b/experiment/order_test.go
@@ -32,9 +32,9 @@
 	logTaskRun(3, 12, 24, done)
 	logTaskRun(4, 15, 27, done) // waited to start
 	logTaskRun(5, 2, 50, done)
-	o := OrderDefaults()
-	o.Class = "scan"
-	res, err := o.Compare(strings.NewReader(log.String()))
+	options := OrderDefaults()
+	options.Class = "scan"
+	res, err := options.Compare(strings.NewReader(log.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -15,7 +15,7 @@
 	"switchferry/internal/cluster"
 )
 
-// Behavior of users, as the protocol specifies it.
+// Behavior of users, as the protocol specifies it, and the range of histograms.
 const (
 	// pollInterval is the maximum interval between polls of a job's status.
 	pollInterval = 5 * time.Second
@@ -27,11 +27,10 @@
 	submitTimeout = time.Minute
 	// minRetryDelay is the minimum delay before a submission is retried.
 	minRetryDelay = time.Second
+	// histogramMaxMS is the largest value that histograms record, in milliseconds.
+	histogramMaxMS = 600_000
 )
 
-// histogramMaxMS is the largest value that histograms record, in milliseconds.
-const histogramMaxMS = 600_000
-
 // population simulates the users of a cluster: each submits one job, polls it until it has ended, and may cancel it.
 // All answers are passed to the audit.
 type population struct {
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -164,8 +164,8 @@
 // openingDuration is the duration of the opening faults.
 const openingDuration = 6 * time.Second
 
-// DrawSchedule returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given kinds. All begin
-// and end within the duration.
+// DrawSchedule returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given kinds. All
+// begin and end within the duration.
 func DrawSchedule(seed uint64, kinds []Kind, controllers int, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var faults []Fault
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -214,8 +214,8 @@
 	w.jobs[t.job].running--
 }
 
-// countPlacements counts violations of bounds and jobs that wait although they would fit. It also advances the outages of machines and
-// ends the tasks of those whose lease has expired.
+// countPlacements counts violations of bounds and jobs that wait although they would fit. It also advances the outages of
+// machines and ends the tasks of those whose lease has expired.
 func (w *rackWorld) countPlacements(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
 	racks, switches := map[string]map[string]int{}, map[string]map[string]int{}
 	count := func(tasksByDomain map[string]map[string]int, job, key string) {
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -100,7 +100,7 @@
 	runningOn map[string]string   // machine that runs a task, by task ID
 	completed map[string]bool     // IDs of completed tasks
 	jobs      map[string]*userJob // by job ID
-	// lastStart is when a task was last started, idle the longest interval between two starts.
+	// lastStart is when a task was last started, longestStartGap the longest interval between two starts.
 	lastStart       time.Time
 	longestStartGap time.Duration
 }
