--- a/controller/admission/dependencies.go
+++ b/controller/admission/dependencies.go
@@ -12,8 +12,8 @@
 	"switchferry/tuning"
 )
 
-// checkDependencies checks the jobs that a submission depends on. Undecided is why it cannot be told yet whether all of
-// them were accepted, or empty. An error is a *api.FieldError.
+// checkDependencies checks that a submission may depend on the jobs that it names. Undecided gives the reason if this
+// cannot be determined now, and is empty otherwise. An error is a *api.FieldError.
 func (s *Service) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
 	if len(submission.Awaits) > tuning.MaxDependencies {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
@@ -35,7 +35,8 @@
 	return undecided, nil
 }
 
-// checkDependency checks whether a job may depend on another. Its results are those of checkDependencies.
+// checkDependency checks whether a job may depend on the job with the given id. Its results are those of
+// checkDependencies.
 func (s *Service) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
 	refusal := func(reason string) error { return &api.FieldError{Field: "awaits", Want: id + " " + reason} }
 	if id == job {
@@ -55,7 +56,7 @@
 		x, err := s.jobs.Records.ReadInTurn(ctx, id, "")
 		switch {
 		case err != nil:
-			return "the state service is out of reach", nil //nolint:nilerr // The reason says it, and the user retries.
+			return "the state service is out of reach", nil //nolint:nilerr // The reason reports the failure, and the user retries.
 		case x.Service:
 			return "", refusal("is a service, which is never done")
 		case x.Found:
--- a/controller/admission/inputs.go
+++ b/controller/admission/inputs.go
@@ -12,8 +12,8 @@
 	"switchferry/store"
 )
 
-// checkInputs reads a submission's inputs and finds out whether it can ever run with them. Undecided is set if that cannot be
-// told now. An error is a *api.FieldError, which goes with the status.
+// checkInputs parses a submission's inputs and checks whether the job can ever run with them. Undecided is set if this
+// cannot be determined now. An error is a *api.FieldError, and status is its HTTP status.
 func (s *Service) checkInputs(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (status int, undecided bool, err error) {
 	if submission.Inputs, err = api.ParseInputs(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, false, err
@@ -40,8 +40,8 @@
 	return 0, false, nil
 }
 
-// checkInput returns a *api.FieldError if a job of so many tasks can never run with an input, which stands at a field. The
-// set is nil if no such dataset is registered.
+// checkInput returns a *api.FieldError if a job with that number of tasks can never run with an input. Field is the path
+// of the input in the submission. Entry is nil if the dataset is not registered.
 func checkInput(field string, input api.Input, entry *dataset.Entry, tasks int) error {
 	switch {
 	case entry == nil:
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// bytesPerTask returns how many bytes of an input a task needs at most.
+// bytesPerTask returns the largest number of bytes of an input that any one task needs.
 func bytesPerTask(input api.Input, entry *dataset.Entry, tasks int) int64 {
 	if input.Use == api.UseAll {
 		return entry.Bytes
@@ -69,8 +69,8 @@
 	return most
 }
 
-// checkCacheSize returns a *api.FieldError if no machine type on which a job may run has a cache for so many bytes. While no
-// types are known it returns none.
+// checkCacheSize returns a *api.FieldError if no machine type on which a job may run has a cache that holds that many
+// bytes. It returns nil while no machine types are known.
 func (s *Service) checkCacheSize(submission *api.Submission, bytes int64) error {
 	types := s.catalog.MachineTypes()
 	largest := 0.0
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// inputConditions are the conditions under which a job's inputs are as they were checked.
+// inputConditions returns the conditions that hold while the datasets of a job's inputs are unchanged since they were
+// checked.
 func (s *Service) inputConditions(ctx context.Context, submission *api.Submission) (conditions []store.Condition, err error) {
 	for _, input := range submission.Inputs {
 		entry, err := s.datasets.LookUp(ctx, input.Dataset)
--- a/controller/admission/leaderless.go
+++ b/controller/admission/leaderless.go
@@ -14,8 +14,8 @@
 	"switchferry/store"
 )
 
-// SubmitWithoutLeader accepts a job without the leader, which learns of it by the
-// inbox, as long as further conditions hold.
+// SubmitWithoutLeader accepts a job without the leader, provided that the given conditions hold too. It writes the job's
+// record together with an inbox entry, from which the leader learns of the job.
 func (s *Service) SubmitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
 	record := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
 	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
@@ -32,7 +32,7 @@
 		if slices.Contains(failed, configuration.HeadKey) {
 			return peer.RetryLater("the configuration has just changed")
 		}
-		// A dataset has changed since it was checked.
+		// The record of a dataset has changed since it was checked.
 		s.datasets.Evict(submission)
 		return s.answerChangedDataset(ctx, nil, submission, body)
 	case errors.Is(err, store.ErrConflict):
@@ -41,8 +41,8 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// CancelWithoutLeader cancels while there is no leader; with one, only it may, since it
-// answers polls from memory.
+// CancelWithoutLeader cancels a job while the state service holds no leader's key. If it holds one, only that leader may
+// cancel, since it answers status requests from memory; the cancellation is then requested through the inbox.
 func (s *Service) CancelWithoutLeader(ctx context.Context, id string) peer.Response {
 	if !api.ValidID(id) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
@@ -61,7 +61,7 @@
 			[]store.Condition{{Key: store.LeaderKey}, {Key: item.Key, Revision: item.Revision}},
 			[]store.Operation{{Set: item.Key, Value: record}})
 		if errors.Is(err, store.ErrConflict) {
-			// The leader is asked by way of the inbox; a retry finds its answer on record.
+			// Request the cancellation through the inbox; a retry finds the leader's answer in the job's record.
 			_, _, _ = s.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}},
 				[]store.Operation{{Set: store.InboxKey(id), Value: store.InboxRecord{Cancel: true}}})
 		}
@@ -72,8 +72,8 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: record.FinalState})
 }
 
-// Cancel cancels a job as the leader or, if sched is nil, without one. A job that has ended is answered with its
-// state.
+// Cancel cancels a job as the leader or, if sched is nil, without one. For a job that has already ended, it returns the
+// job's state.
 func (s *Service) Cancel(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
 		return s.CancelWithoutLeader(ctx, id)
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -1,5 +1,5 @@
-// Package admission accepts, refuses and cancels jobs: what can never run is refused at once with the reason, what can
-// be is stored, by the scheduler of a term or, without the leader, by writing the records itself.
+// Package admission accepts, refuses and cancels jobs. A job that can never run is refused at once with the reason. Other
+// jobs are stored by the scheduler of the current term or, without a leader, by writing their records directly.
 package admission
 
 import (
@@ -30,27 +30,27 @@
 	"switchferry/upgrade"
 )
 
-// Catalog tells the machine types of the cloud.
+// Catalog provides the machine types that the cloud offers.
 type Catalog interface {
-	// MachineTypes returns the types as last read; none before that.
+	// MachineTypes returns the types that were last read, or none before the first read.
 	MachineTypes() []api.MachineType
 }
 
-// Configuration tells by which rules submissions are checked.
+// Configuration provides the rules by which submissions are checked.
 type Configuration interface {
-	// CurrentRules returns the rules that count now. Sched is nil without a leader that is certain to lead here.
+	// CurrentRules returns the rules in force now. Sched is nil unless this controller certainly leads.
 	CurrentRules(sched *scheduler.Scheduler) Rules
 }
 
-// Datasets are the registered datasets.
+// Datasets provides the registered datasets.
 type Datasets interface {
 	// LookUp returns a dataset; the error is store.ErrNotFound if there is none of that name.
 	LookUp(ctx context.Context, name string) (*dataset.Entry, error)
-	// Evict has the datasets of a job read again when they are next looked up.
+	// Evict removes the datasets of a job from the cache, so that the next look-up reads them again.
 	Evict(submission *api.Submission)
 }
 
-// Options are what a Service is made of.
+// Options holds the dependencies of a Service.
 type Options struct {
 	Settings      *settings.Settings
 	Clock         clockwork.Clock
@@ -62,8 +62,8 @@
 	Jobs          *jobstatus.Reader
 }
 
-// Service accepts, refuses and cancels jobs: through the scheduler while this controller leads, else by writing their
-// records itself.
+// Service accepts, refuses and cancels jobs, through the scheduler while this controller leads and otherwise by writing
+// their records directly. Its methods may be called concurrently.
 type Service struct {
 	settings      *settings.Settings
 	clock         clockwork.Clock
@@ -72,21 +72,21 @@
 	configuration Configuration
 	datasets      Datasets
 	jobs          *jobstatus.Reader
-	// Versions tells whose processes may be of an older version.
+	// Versions tracks which members may still run a process of an older version.
 	Versions *upgrade.VersionRegistry
-	// Data says whether jobs may have inputs, and TopologyOn whether they may have topology constraints. Both are set
-	// before the first request.
-	Data       features.Data
+	// Data specifies whether jobs may have inputs. It is set before the first request.
+	Data features.Data
+	// TopologyOn reports whether jobs may have topology constraints. It is set before the first request.
 	TopologyOn bool
-	// leaderlessWriter writes what is accepted without the leader.
+	// leaderlessWriter writes the records of jobs that are accepted or cancelled without the leader.
 	leaderlessWriter *store.HedgedClient
 
-	// mu guards retries, which spreads the users that were refused over the time that it takes to accept them.
+	// mu guards retries, which spreads the retries of refused submissions over the time needed to accept them.
 	mu      sync.Mutex
 	retries *retry.Spread
 }
 
-// New returns a service with datasets and topology off.
+// New returns a Service with datasets and topology off.
 func New(options Options) *Service {
 	writes := options.Settings.Facts.State.Least().WriteRPS
 	rest := writes * (1 - tuning.QuotaShare)
@@ -94,7 +94,7 @@
 	accepted := tuning.QuotaShare * writes / float64(1+len(options.Settings.Peers))
 	retries, err := retry.New(accepted, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
 	if err != nil {
-		panic(err) // Only for a limit below one, and the limits are constants.
+		panic(err) // retry.New fails only for a limit below one, and these limits are constants.
 	}
 	return &Service{settings: options.Settings, clock: options.Clock, client: options.Client, catalog: options.Catalog,
 		configuration: options.Configuration, datasets: options.Datasets, jobs: options.Jobs, Versions: options.Versions,
@@ -107,15 +107,16 @@
 	// status is the HTTP status of err, which refuses the submission for good.
 	status int
 	err    error
-	// undecided is set if it cannot be told now whether the submission is feasible; a known job is answered all the same.
-	// retryReason is why the user has to retry whether the job is known or not.
-	undecided   bool
+	// undecided is set if it cannot be determined now whether the submission is feasible. A submission of a known job is
+	// still answered with the job's state.
+	undecided bool
+	// retryReason is why the user has to retry even if the job is known; it is empty otherwise.
 	retryReason string
 	rules       Rules
 }
 
-// Submit accepts or refuses a job. Sched is nil without a leader that is certain to lead here. A job that is known
-// already is answered with its state.
+// Submit accepts or refuses a job. Sched is nil unless this controller certainly leads. For a job that is already known,
+// it returns the job's state.
 func (s *Service) Submit(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
 	if id != "" {
@@ -145,7 +146,7 @@
 	return response
 }
 
-// answerChangedDataset answers a submission one of whose datasets was taken off the list while it was being accepted.
+// answerChangedDataset answers a submission one of whose datasets changed while the submission was being accepted.
 func (s *Service) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
 	if status, _, err := s.checkInputs(ctx, sched, submission, body); err != nil {
 		return peer.Refusal(status, err)
@@ -153,7 +154,8 @@
 	return peer.RetryLater("a dataset of the job has just changed")
 }
 
-// evaluateSubmission checks what can be wrong with a submission, one thing after the other.
+// evaluateSubmission checks limits, record size, topology, dependencies and inputs of a submission, in this order, and
+// stops at the first check that fails.
 func (s *Service) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
 	if verdict.rules, verdict.undecided, verdict.err = s.CanRun(sched, submission); verdict.err != nil {
@@ -184,8 +186,8 @@
 	return verdict
 }
 
-// refuseSubmission answers a submission that cannot be accepted, for good or for now. A known id is answered with the
-// state of its job, whatever the body says.
+// refuseSubmission answers a submission that cannot be accepted, either permanently or for the time being. If the job id
+// is known, it returns the state of that job regardless of the rest of the body.
 func (s *Service) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
@@ -221,18 +223,19 @@
 	return err
 }
 
-// Rules are the configurations that a submission is checked against.
+// Rules holds the configurations that a submission is checked against.
 type Rules struct {
-	// Configurations are all that may be in force; they must agree on the answer. conditions hold while the one that a
-	// follower decided by is the newest.
+	// Configurations lists all configurations that may be in force. A decision requires that they agree.
 	Configurations []*configuration.Active
-	Conditions     []store.Condition
-	// UnknownReason is why no rules are known, or empty.
+	// Conditions hold while the configuration that a follower used is still the newest one.
+	Conditions []store.Condition
+	// UnknownReason is why no rules are known; it is empty if they are.
 	UnknownReason string
 }
 
-// CanRun checks a submission against teams, limits and machine types. Undecided is set if these are not known, if the
-// configuration is not, or if it is just changing and the old and the new one disagree. An error is a *api.FieldError.
+// CanRun checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
+// configuration are not known, or if the configuration is changing and the old and the new one disagree. An error is a
+// *api.FieldError.
 func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
 	types := s.catalog.MachineTypes()
 	rules = s.configuration.CurrentRules(sched)
@@ -250,8 +253,8 @@
 	return rules, undecided, err
 }
 
-// StillValid reports whether a refusal by these rules still holds. It is asked last, since the process can have been
-// paused after the check.
+// StillValid reports whether a refusal by these rules still holds. It is called immediately before the response is sent,
+// since the process may have been paused after the check.
 func (s *Service) StillValid(rules Rules, sched *scheduler.Scheduler) bool {
 	if rules.Configurations == nil {
 		return true
@@ -259,8 +262,8 @@
 	return slices.Equal(rules.Configurations, s.configuration.CurrentRules(sched).Configurations)
 }
 
-// checkSite reads the topology constraints of a submission and checks whether they can be met. An error is a
-// *api.FieldError, which goes with the status.
+// checkSite parses the topology constraints of a submission and checks whether they can be met. An error is a
+// *api.FieldError, and status is its HTTP status.
 func checkSite(submission *api.Submission, body []byte) (status int, err error) {
 	if submission.Near, submission.Survive, err = api.ParseSite(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err
@@ -275,8 +278,8 @@
 	return 0, nil
 }
 
-// SetRetryAfter sets when the user of a refused submission should retry. Each gets another time, spread over as long as
-// it takes to accept all that wait.
+// SetRetryAfter sets when the user of a refused submission should retry. The retry times of different submissions are
+// spread over the time needed to accept all that wait.
 func (s *Service) SetRetryAfter(response *peer.Response, body []byte) {
 	refused := response.Status == http.StatusServiceUnavailable
 	s.mu.Lock()
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -20,7 +20,7 @@
 	"switchferry/tuning"
 )
 
-// agentGateway answers the data agents beside the workers, and sends them the leader's orders.
+// agentGateway answers the heartbeats of the data agents that run next to the workers, and sends them the leader's orders.
 type agentGateway struct {
 	settings *settings.Settings
 	clock    clockwork.Clock
@@ -40,7 +40,7 @@
 	redirects redirect.Tracker
 }
 
-// newAgentGateway returns the part of c that serves agents.
+// newAgentGateway returns the agent gateway of a controller.
 func newAgentGateway(controller *Controller, transport http.RoundTripper) *agentGateway {
 	return &agentGateway{settings: controller.settings, clock: controller.clock, elector: controller.elector, peers: controller.peers, health: controller.health, term: controller.term,
 		leader: controller.leader, client: &http.Client{Transport: transport}, redirects: redirect.NewTracker()}
@@ -53,9 +53,9 @@
 	return a.redirects.Allow(a.clock.Now(), machine, leader, true)
 }
 
-// handleHeartbeat answers an agent's heartbeat, which came as raw. Agents report to the leader. Heartbeats of an agent
-// that was redirected there and came back are forwarded to it while it is reachable, and else relayed through the state
-// service.
+// handleHeartbeat answers an agent's heartbeat; raw is the heartbeat as received. Agents report to the leader and are
+// redirected to it. If an agent returns after a redirect, its heartbeats are forwarded to the leader while that is
+// reachable, and otherwise relayed through the state service.
 func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) answer {
 	if sched := a.term.scheduler(); sched != nil {
 		return a.answerAsLeader(sched, heartbeat)
@@ -76,7 +76,7 @@
 		}
 	}
 	if heartbeat.Term > term || !a.health.healthy() {
-		// Nothing can be relayed from here; another controller may reach the state service or the leader.
+		// This controller cannot relay; another one may reach the state service or the leader.
 		return answer{http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}}
 	}
 	order, err := a.proxy.HandleHeartbeat(heartbeat, term)
@@ -87,8 +87,8 @@
 	return answer{http.StatusOK, order}
 }
 
-// handleForwardedHeartbeat serves an agent's heartbeat that a peer forwards. An order that is too large for a message
-// between controllers is refused, and then goes through the state service.
+// handleForwardedHeartbeat serves an agent's heartbeat that a peer forwards. If the order is too large for a message
+// between controllers, the request is refused, and the peer relays through the state service instead.
 func (a *agentGateway) handleForwardedHeartbeat(raw []byte) peer.Response {
 	sched := a.term.scheduler()
 	var heartbeat api.StageHeartbeat
@@ -115,7 +115,7 @@
 	return answer{http.StatusOK, order}
 }
 
-// sendOrder delivers an order to an agent. One that is lost is sent again, and goes out with the response to the agent's
+// sendOrder delivers an order to an agent. A lost order is sent again, and is included in the response to the agent's
 // next heartbeat in any case.
 func (a *agentGateway) sendOrder(ctx context.Context, sched *scheduler.Scheduler, name, address string, order api.StageOrder) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
@@ -136,7 +136,7 @@
 	}
 }
 
-// HandleStageHeartbeat answers an agent's heartbeat, which came as raw.
+// HandleStageHeartbeat answers an agent's heartbeat with an HTTP status and a body; raw is the heartbeat as received.
 func (c *Controller) HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any) {
 	answer := c.agents.handleHeartbeat(ctx, heartbeat, raw)
 	return answer.status, answer.body
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -19,8 +19,8 @@
 // cancellationExchange exchanges statements about cancellations with the peers (package watermark).
 type cancellationExchange struct{ leases *leaseRenewal }
 
-// Position returns up to where the statements of a peer are known; ok is false while a process of an older version may
-// run, since none is asked for then.
+// Position returns the position up to which the statements of a peer are known. Ok is false while a process of an older
+// version may run, since peers are not asked for statements then.
 func (w cancellationExchange) Position(member string) (incarnation, position uint64, ok bool) {
 	if len(w.leases.versions.Older()) > 0 {
 		return 0, 0, false
@@ -29,8 +29,8 @@
 	return incarnation, position, true
 }
 
-// Statement answers a peer that knows the statements of this incarnation up to a position; ok is false while a process
-// of an older version may run.
+// Statement returns the statement for a peer that knows the statements of this incarnation up to a position. Ok is false
+// while a process of an older version may run.
 func (w cancellationExchange) Statement(incarnation, position uint64) (watermark.Statement, bool) {
 	if len(w.leases.versions.Older()) > 0 {
 		return watermark.Statement{}, false
@@ -39,15 +39,15 @@
 	return w.leases.watermark.Statement(w.leases.clock.Now(), incarnation, position), true
 }
 
-// ApplyStatement takes in the answer of a peer to a request of that time.
+// ApplyStatement applies the statement with which a peer answered a request sent at askedAt.
 func (w cancellationExchange) ApplyStatement(member string, askedAt time.Time, statement watermark.Statement) {
 	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, askedAt, statement); err != nil {
 		slog.Info("rejecting peer statement", "member", member, "err", err)
 	}
 }
 
-// followCancellations reads the records of jobs while this controller renews leases without leading and reaches the
-// state service, so that it knows of all cancellations that users were told of.
+// followCancellations reads the job records while this controller renews leases without leading and reaches the state
+// service, so that it knows all cancellations that were acknowledged to users.
 func (l *leaseRenewal) followCancellations(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
@@ -66,8 +66,9 @@
 	}
 }
 
-// readCancelledJobs notes the cancellations on record, or those since a revision that is not zero. It returns the
-// revision to go on from. What is known then counts from when it was asked for.
+// readCancelledJobs records all stored cancellations if after is zero, and otherwise those since the revision after. It
+// returns the revision from which to continue. The cancellations then count as known up to the time of the request, not
+// of its response.
 func (l *leaseRenewal) readCancelledJobs(ctx context.Context, after uint64) (uint64, error) {
 	askedAt := l.clock.Now()
 	var items []store.Item
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -21,7 +21,7 @@
 	"switchferry/upgrade"
 )
 
-// liveConfiguration serves requests about the configuration, and says by which configuration this process decides.
+// liveConfiguration serves requests about the configuration and provides the configuration that this process uses.
 type liveConfiguration struct {
 	settings *settings.Settings
 	clock    clockwork.Clock
@@ -30,20 +30,20 @@
 	versions *upgrade.VersionRegistry
 	term     *currentTerm
 	leader   *leaderLocator
-	// fileConfiguration is the configuration of the files and settings, alone in its list.
+	// fileConfiguration has one element, the configuration from the files and settings.
 	fileConfiguration []*configuration.Active
-	// revisions keeps the configuration that operators change while this process runs. It is nil unless that feature is
-	// on, and set before Run.
+	// revisions stores the configuration that operators change while this process runs. It is set before Run, and nil
+	// unless live configuration is on.
 	revisions *revisions.Store
 }
 
-// newLiveConfiguration returns the part of c that keeps the configuration, with live changes off.
+// newLiveConfiguration returns the configuration of a controller, with live changes off.
 func newLiveConfiguration(controller *Controller) *liveConfiguration {
 	return &liveConfiguration{settings: controller.settings, clock: controller.clock, client: controller.client, features: controller.features, versions: controller.versions,
 		term: controller.term, leader: controller.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(controller.settings.Facts.Teams, controller.policy)}}
 }
 
-// newRevisionStore switches live configuration on. It is called before Run.
+// newRevisionStore creates the store of revisions, which switches live configuration on. It is called before Run.
 func (l *liveConfiguration) newRevisionStore() {
 	l.revisions = revisions.New(l.client, l.clock, l.fileConfiguration[0], l.settings.Facts.State)
 	l.versions.Configuration = true
@@ -52,24 +52,24 @@
 // ConfigurationOn reports whether the configuration can change while this controller runs.
 func (c *Controller) ConfigurationOn() bool { return c.configuration.revisions != nil }
 
-// configurationTerm is what a change of the configuration asks of a term.
+// configurationTerm gives the applier of configuration changes access to a term.
 type configurationTerm struct {
 	controller *Controller
 	scheduler  *scheduler.Scheduler
 }
 
-// Condition holds while the term lasts; ok is false once it is not certain that it does.
+// Condition returns a condition that holds while the term lasts; ok is false once the term may have ended.
 func (l *configurationTerm) Condition() (store.Condition, bool) {
 	return termCondition(l.controller.elector, l.scheduler)
 }
 
-// Adopt has the scheduler decide by a configuration. What that leaves out is as the files have it, also where the
-// revision before set it.
+// Adopt makes the scheduler use a configuration. Settings that it omits take their values from the files, even if the
+// previous revision set them.
 func (l *configurationTerm) Adopt(active *configuration.Active) (undecided func() int) {
 	return l.scheduler.ApplyConfiguration(l.controller.configuration.withFileDefaults(active))
 }
 
-// withFileDefaults returns a configuration in which the files stand in for what the revision leaves out.
+// withFileDefaults returns a copy of a configuration in which settings that the revision omits are taken from the files.
 func (l *liveConfiguration) withFileDefaults(active *configuration.Active) *configuration.Active {
 	complete := *active
 	if complete.Topology == nil && l.features.topology != nil {
@@ -89,7 +89,7 @@
 	return members
 }
 
-// RefreshPeer has a peer look for the newest revision now, and returns the one that it found.
+// RefreshPeer makes a peer read the newest revision now, and returns the number of the revision that it found.
 func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
 	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return revision, json.Unmarshal(response.Body, &revision)
 }
 
-// reapply has the leader apply its present configuration again, after the topology file has changed.
+// reapply makes the leader apply its current configuration again after the topology file has changed.
 func (l *liveConfiguration) reapply(sched *scheduler.Scheduler) {
 	if applier := l.term.applier(); applier != nil {
 		applier.Reapply()
@@ -133,7 +133,7 @@
 		if response := l.leader.forward(ctx, request, forwarded); response.Status == http.StatusOK {
 			return response
 		}
-		// Without a leader the records tell what is in force.
+		// Without a leader, the stored revisions determine the configuration in force.
 		if _, err := l.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
@@ -144,12 +144,13 @@
 	return encodeResponse(l.handler().Change(ctx, applier, request.Body))
 }
 
-// handler returns what answers users about the configuration.
+// handler returns the handler of configuration requests.
 func (l *liveConfiguration) handler() *httpapi.Handler {
 	return &httpapi.Handler{Store: l.revisions, Versions: l.versions, TopologyOn: l.features.topology != nil, DataOn: l.features.data.On}
 }
 
-// CurrentRules returns the rules by which a submission is checked now.
+// CurrentRules returns the rules by which a submission is checked now. Sched is nil unless this controller certainly
+// leads.
 func (l *liveConfiguration) CurrentRules(sched *scheduler.Scheduler) admission.Rules {
 	if l.revisions == nil {
 		return admission.Rules{Configurations: l.fileConfiguration}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is the process of one controller: election, forwarding of requests to the leader, renewal of
-// workers' leases, relays past broken links, and the loops of a term. What a term of the leader decides is up to its
-// scheduler (package scheduler), what becomes of a submission to package admission.
+// Package controller implements the process of one controller: election, forwarding of requests to the leader, renewal of
+// workers' leases, relaying through the state service when links between controllers fail, and the loops of a leader's
+// term. Scheduling decisions are made by package scheduler, and package admission decides on submissions.
 package controller
 
 import (
@@ -34,9 +34,9 @@
 	"switchferry/worker"
 )
 
-// Controller is one controller process. It composes the parts of the process, each of which guards its own state; what a
-// part needs of another one it is given when it is made. All methods may be called concurrently, except for those that
-// are to be called before Run.
+// Controller is one controller process. It composes the components of the process. Each component guards its own state
+// and receives the components that it depends on when it is created. All methods may be called concurrently, except for
+// those documented to be called before Run.
 type Controller struct {
 	settings  *settings.Settings
 	policy    *policy.Policy
@@ -48,9 +48,9 @@
 	worker    *worker.Client
 	startedAt time.Time
 	ctx       context.Context
-	// features are what operators have switched on; nothing of it changes once Run is called.
+	// features holds the features that operators have switched on. It does not change after Run is called.
 	features *optionalFeatures
-	// Versions tells whose processes may be of an older version.
+	// versions tracks which members may still run a process of an older version.
 	versions *upgrade.VersionRegistry
 
 	health        *stateHealth
@@ -69,12 +69,12 @@
 	// workerProxy relays heartbeats of workers while the leader is unreachable.
 	workerProxy *proxy.Workers
 	cpuMonitor  *cpupressure.Monitor
-	// transfer is used by the placement loop of a term alone.
+	// transfer decides when leadership moves to a faster peer. Only the placement loop of a term uses it.
 	transfer      cpupressure.LeadershipTransfer
 	requestCounts traffic.Counter
-	// readLimiter is this controller's share of the reads that requests of users take of the state service.
+	// readLimiter limits reads from the state service for user requests to this controller's share.
 	readLimiter *rate.Limiter
-	// relayLimiter bounds what this controller writes of relayed messages, of all kinds together.
+	// relayLimiter limits this controller's writes of relayed messages of all kinds together.
 	relayLimiter *rate.Limiter
 	// members is nil unless membership is on.
 	members *membership.Watcher
@@ -82,8 +82,8 @@
 	shuttingDown atomic.Bool
 }
 
-// New returns a controller that does nothing before Run is called. All that it starts ends with the context. The
-// transport carries its calls to the state service, the cloud, workers and agents.
+// New returns a controller that does nothing before Run is called. All goroutines that it starts end with the context.
+// The transport carries its calls to the state service, the cloud, workers and agents.
 func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
 	controller := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), features: &optionalFeatures{}}
 	controller.connect(transport)
@@ -109,7 +109,7 @@
 	return controller
 }
 
-// connect makes the clients of other services and of the peers, and the elector.
+// connect creates the clients of other services, the network of peers and the elector.
 func (c *Controller) connect(transport http.RoundTripper) {
 	members := []string{c.settings.Member}
 	for _, other := range c.settings.Peers {
@@ -125,13 +125,13 @@
 	c.elector = election.New(c.settings.Member, c.client, c.clock, c)
 }
 
-// newReadLimiter returns a controller's share of the reads that requests of users may take of the state service.
+// newReadLimiter returns a limiter for a controller's share of the state service reads that user requests may take.
 func newReadLimiter(set *settings.Settings) *rate.Limiter {
 	share := tuning.ReadShare * set.Facts.State.RPS / float64(1+len(set.Peers))
 	return rate.NewLimiter(rate.Limit(share), max(1, int(share)))
 }
 
-// Transport returns the transport for all calls to other services, which keeps to a budget of connections.
+// Transport returns the transport for all calls to other services. Its connections count towards the budget.
 func Transport(set *settings.Settings, budget *connlimit.Limiter) *http.Transport {
 	return &http.Transport{
 		DialContext: budget.Dial(func(address string) connlimit.Class {
@@ -147,7 +147,8 @@
 	}
 }
 
-// UseConnLimiter has this controller keep to a budget of connections. It is called before Run.
+// UseConnLimiter limits this controller's connections to peers and logs when the limit is nearly reached. It is called
+// before Run.
 func (c *Controller) UseConnLimiter(limiter *connlimit.Limiter) {
 	c.peers.Dial = limiter.Dial(func(string) connlimit.Class { return connlimit.Peer })
 	go limiter.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
@@ -155,7 +156,7 @@
 	})
 }
 
-// DialPeers sets how connections to peers are opened. It is called before Run.
+// DialPeers sets the function that opens connections to peers. It is called before Run.
 func (c *Controller) DialPeers(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.peers.Dial = dial
 }
@@ -172,7 +173,7 @@
 	}
 }
 
-// Run starts everything, serves peers on the listener, and returns once the context of New ends.
+// Run starts all loops of the controller, serves peers on the listener, and returns once the context of New ends.
 func (c *Controller) Run(back net.Listener) {
 	go func() {
 		if err := c.peers.Serve(c.ctx, back); err != nil {
@@ -203,9 +204,10 @@
 	c.elector.Run(c.ctx)
 }
 
-// Ready reports whether users should be sent here: not to a controller that does not reach the state service while a
-// peer does, and not to an isolated one. In an outage of the state service all controllers are as good, and the load
-// balancer would take seconds to come back to those that it had given up.
+// Ready reports whether the load balancer should route users to this controller. It returns false during a shutdown, if
+// this controller does not reach the state service while a peer does, and if it reaches neither. In an outage of the state
+// service all connected controllers stay ready: none is better than another, and the load balancer takes seconds to return
+// to a controller that it has removed.
 func (c *Controller) Ready() bool {
 	if c.isShuttingDown() {
 		return false
@@ -221,12 +223,12 @@
 	return !c.peers.Isolated()
 }
 
-// Isolated reports whether this controller reaches no peer; the elector asks it.
+// Isolated reports whether this controller reaches no peer. The elector calls it.
 func (c *Controller) Isolated() bool {
 	return c.clock.Since(c.startedAt) > tuning.PeerDead && c.peers.Isolated()
 }
 
-// hello returns what this controller says of itself to its peers.
+// hello returns the hello message that this controller sends to its peers.
 func (c *Controller) hello() peer.Hello {
 	term, _ := c.elector.Term()
 	hello := peer.Hello{Member: c.settings.Member, Term: term, StateOK: c.health.healthy(), BenchmarkUS: c.cpuMonitor.PublishedUS(), ReceivesHeartbeats: c.heartbeats.receivesHeartbeats()}
@@ -236,8 +238,8 @@
 	return hello
 }
 
-// markVersion puts this controller's version on record. Once all members have this version, records are written as it has
-// them.
+// markVersion stores this controller's version. Once all members have recorded this version, records are written in its
+// format.
 func (c *Controller) markVersion(ctx context.Context) {
 	if c.versions.Run(ctx) {
 		if term := c.term.get(); term != nil {
--- a/controller/current_term.go
+++ b/controller/current_term.go
@@ -7,22 +7,22 @@
 	"switchferry/scheduler"
 )
 
-// currentTerm is the term in which this controller leads, if it does. Whether it certainly still leads is for the
-// scheduler of the term to tell.
+// currentTerm holds the term in which this controller leads, if any. The term may already be lost without this process
+// knowing; Leading of the term's scheduler reports whether the controller certainly still leads.
 type currentTerm struct {
 	// mu guards term, which is nil while this controller does not lead.
 	mu   sync.Mutex
 	term *leaderTerm
 }
 
-// begin makes a term the current one.
+// begin sets the current term.
 func (t *currentTerm) begin(term *leaderTerm) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.term = term
 }
 
-// end ends the current term, if there is one.
+// end stops the loops of the current term, if there is one, and clears it.
 func (t *currentTerm) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// applier returns what changes the configuration in the current term, or nil: without a term, or without live
+// applier returns the applier of configuration changes of the current term. It is nil without a term or without live
 // configuration.
 func (t *currentTerm) applier() *revisions.Applier {
 	if term := t.get(); term != nil {
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -15,14 +15,14 @@
 	"switchferry/tuning"
 )
 
-// datasetCache keeps the records of datasets that were read lately. At most tuning.DatasetsLimit are kept.
+// datasetCache caches the records of up to tuning.DatasetsLimit datasets.
 type datasetCache struct {
 	clock  clockwork.Clock
 	client *store.Client
-	// readLimiter is the controller's share of reads for requests of users.
+	// readLimiter limits reads for user requests to the controller's share.
 	readLimiter *rate.Limiter
 
-	// mu guards entries, by name.
+	// mu guards entries, which are keyed by the names of the datasets.
 	mu      sync.Mutex
 	entries map[string]*dataset.Entry
 }
@@ -32,8 +32,8 @@
 	return &datasetCache{clock: clock, client: client, readLimiter: readLimiter, entries: map[string]*dataset.Entry{}}
 }
 
-// LookUp returns a registered dataset, from memory or the state service. The error is store.ErrNotFound if there is
-// none, and store.ErrBusy if this controller's share of reads is used up.
+// LookUp returns a registered dataset from the cache or the state service. The error is store.ErrNotFound if there is
+// none of that name, and store.ErrBusy if this controller's share of reads is used up.
 func (c *datasetCache) LookUp(ctx context.Context, name string) (*dataset.Entry, error) {
 	c.mu.Lock()
 	entry := c.entries[name]
@@ -58,7 +58,7 @@
 	return entry, nil
 }
 
-// add keeps a dataset, unless a newer record of it is there already.
+// add caches a dataset unless a newer record of it is already cached.
 func (c *datasetCache) add(entry *dataset.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 		return
 	}
 	if len(c.entries) >= tuning.DatasetsLimit {
-		// Any entry can be dropped: it is read again when it is needed.
+		// Any entry can be evicted: it is read again when needed.
 		for name := range c.entries {
 			delete(c.entries, name)
 			break
@@ -75,7 +75,7 @@
 	c.entries[entry.Name] = entry
 }
 
-// Evict has the datasets of a job read again when they are next looked up.
+// Evict removes the datasets of a job from the cache, so that the next look-up reads them again.
 func (c *datasetCache) Evict(submission *api.Submission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -13,8 +13,8 @@
 	"switchferry/tuning"
 )
 
-// followDatasets has the scheduler know of datasets that any controller registers after a revision, until the context
-// ends.
+// followDatasets passes datasets that any controller registers or changes after a revision to the scheduler, until the
+// context ends.
 func (t *leaderTerm) followDatasets(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
 		events, revision, err := t.controller.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
@@ -37,7 +37,7 @@
 	}
 }
 
-// loadDatasets has the scheduler know of all datasets, and returns the revision up to which they were read.
+// loadDatasets reads all datasets, passes them to the scheduler, and returns the revision at which they were read.
 func (t *leaderTerm) loadDatasets(ctx context.Context) (uint64, error) {
 	items, revision, err := t.controller.client.List(ctx, store.DatasetPrefix)
 	if err != nil {
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -30,14 +30,14 @@
 	cache    *datasetCache
 }
 
-// newDatasetService returns the part of c that serves requests about datasets.
+// newDatasetService returns the dataset service of a controller.
 func newDatasetService(controller *Controller) *datasetService {
 	return &datasetService{client: controller.client, peers: controller.peers, features: controller.features, term: controller.term, leader: controller.leader,
 		cache: newDatasetCache(controller.clock, controller.client, controller.readLimiter)}
 }
 
-// register registers a dataset. Any controller can, since only the key of the record decides. A name stands for the same
-// content for ever.
+// register registers a dataset. Any controller can do so, since the record is written only if its key does not exist. A
+// name refers to the same content permanently.
 func (d *datasetService) register(ctx context.Context, body []byte) peer.Response {
 	var entry dataset.Entry
 	if err := json.Unmarshal(body, &entry.Summary); err != nil {
@@ -61,7 +61,7 @@
 	return peer.JSONResponse(http.StatusCreated, entry)
 }
 
-// answerRegistered answers the registration of a dataset whose name is taken. The same content may be registered again.
+// answerRegistered answers the registration of a dataset whose name is taken. Registering the same content again succeeds.
 func (d *datasetService) answerRegistered(ctx context.Context, entry *dataset.Entry) peer.Response {
 	item, err := d.client.Get(ctx, store.DatasetKey(entry.Name))
 	if err != nil {
@@ -77,16 +77,16 @@
 	return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
 }
 
-// RemovalView is the progress of a dataset's removal, as users read it.
+// RemovalView is the progress of a dataset's removal as shown to users.
 type RemovalView struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
-	// Jobs is how many jobs still need the dataset; -1 if this controller cannot tell.
+	// Jobs is how many jobs still need the dataset, or -1 if this controller does not know.
 	Jobs int `json:"jobs"`
 }
 
-// remove takes a dataset off the list, and tells how far its removal is. Any controller can, since only the record
-// decides, and it can be repeated.
+// remove starts the removal of a dataset and reports the progress. Any controller can do so, since the record alone
+// determines the state. The operation is idempotent.
 func (d *datasetService) remove(ctx context.Context, name string) peer.Response {
 	if !dataset.ValidName(name) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
@@ -117,8 +117,8 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// unlist stores that a dataset is being removed, and returns its new state; item is its record as read. The error is
-// store.ErrConflict if the record has changed since.
+// unlist stores that a dataset is being removed and returns its new entry; item is its record as read. The error is
+// store.ErrConflict if the record has changed since then.
 func (d *datasetService) unlist(ctx context.Context, item store.Item, entry *dataset.Entry) (*dataset.Entry, error) {
 	next := *entry
 	next.State = dataset.Removing
@@ -131,7 +131,7 @@
 	return &next, nil
 }
 
-// answerRemoval tells how far the removal of a dataset of that name is.
+// answerRemoval reports the progress of the removal of the named dataset.
 func (d *datasetService) answerRemoval(name string, entry *dataset.Entry) peer.Response {
 	d.cache.add(entry)
 	view := RemovalView{Name: name, State: entry.State, Jobs: -1}
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -7,8 +7,8 @@
 	"switchferry/tuning"
 )
 
-// lookUpDependencies looks up the jobs that others depend on and that the scheduler does not know, until the context
-// ends. Jobs that do not depend on them start meanwhile.
+// lookUpDependencies looks up jobs that other jobs depend on and that the scheduler does not know, until the context
+// ends. Jobs without such dependencies can start in the meantime.
 func (t *leaderTerm) lookUpDependencies(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
--- a/controller/features.go
+++ b/controller/features.go
@@ -5,11 +5,11 @@
 	"switchferry/topology"
 )
 
-// optionalFeatures are what the operators have switched on. They are set before Run and do not change after it; the parts
-// of a controller share them.
+// optionalFeatures holds the features that operators have switched on. It is shared by the components of a controller and
+// does not change after Run is called.
 type optionalFeatures struct {
-	// topology is nil without a topology file.
+	// topology is the topology file, or nil if there is none.
 	topology *topology.File
-	// data says whether datasets are on, and how their copies are placed.
+	// data specifies whether datasets are on and how their copies are placed.
 	data features.Data
 }
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -13,7 +13,7 @@
 	"switchferry/worker"
 )
 
-// sendCommands sends commands to a worker, and hands its answer to the scheduler.
+// sendCommands sends commands to a worker and passes its response to the scheduler.
 func (t *leaderTerm) sendCommands(ctx context.Context, name, address string, response api.HeartbeatResponse) {
 	heartbeat, _, err := t.controller.worker.Send(ctx, address, response)
 	if err != nil {
@@ -31,8 +31,8 @@
 }
 
 // resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the leader's
-// key certainly stands nobody else can have been elected, and a worker that claims a higher term must not end every
-// term.
+// key is certainly valid, no other controller can have been elected. A worker that reports a term that was never issued
+// must not end the leader's term.
 func (c *Controller) resignIfDeposed(sched *scheduler.Scheduler) bool {
 	if sched.Leading() {
 		return false
@@ -41,8 +41,8 @@
 	return true
 }
 
-// refreshMachines has the scheduler know which machines the cloud lists. After the first list, all workers are told of
-// the term, so that they turn to the new leader at once.
+// refreshMachines passes the cloud's list of machines to the scheduler at intervals, until the context ends. After the
+// first list it announces the term to all workers, so that they report to the new leader at once.
 func (t *leaderTerm) refreshMachines(ctx context.Context) {
 	first := true
 	for ctx.Err() == nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// announceTerm tells a worker of the term. Its incarnation is not known: a worker answers a wrong one with the right
-// one, which is then tried.
+// announceTerm announces the term to a worker. The worker's incarnation is not known yet: a worker answers a wrong
+// incarnation with the right one, with which the announcement is then repeated.
 func (t *leaderTerm) announceTerm(ctx context.Context, name, address string) {
 	incarnation := uint64(1)
 	for range 2 {
@@ -102,11 +102,11 @@
 	}
 }
 
-// errNotLeading is the outcome of a release that was not carried out, since the term may be over.
+// errNotLeading is the result of a release that was not carried out because the term may have ended.
 var errNotLeading = errors.New("no longer certain to lead")
 
-// releaseMachines returns machines to the cloud. It checks again whether this controller leads: the process may have
-// been paused since that was decided, and the machines may work for another leader by now.
+// releaseMachines returns machines to the cloud. It first checks again that this controller leads: the process may have
+// been paused after the decision, and the machines may be in use by another leader.
 func (t *leaderTerm) releaseMachines(ctx context.Context, names []string) {
 	err := errNotLeading
 	if t.scheduler.Leading() {
--- a/controller/heartbeat_monitor.go
+++ b/controller/heartbeat_monitor.go
@@ -12,28 +12,28 @@
 	"switchferry/tuning"
 )
 
-// heartbeatMonitor tells new heartbeats from late copies, and whether workers reach this controller itself.
+// heartbeatMonitor distinguishes new heartbeats from duplicates and tracks whether workers reach this controller directly.
 type heartbeatMonitor struct {
 	clock clockwork.Clock
-	// recent is how long ago a heartbeat may be for workers to count as reaching this controller.
+	// recent is the time after the last new heartbeat during which workers count as reaching this controller.
 	recent time.Duration
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// newest are the newest heartbeats that each worker has sent to this controller.
+	// newest holds the newest heartbeat that each worker has sent to this controller.
 	newest *reachability.Deduplicator
-	// lastReceivedAt is when a worker last sent a new one; zero before that.
+	// lastReceivedAt is when a worker last sent a new heartbeat; it is zero before the first one.
 	lastReceivedAt time.Time
 }
 
-// newHeartbeatMonitor returns a monitor that has received nothing.
+// newHeartbeatMonitor returns a monitor that has received no heartbeats.
 func newHeartbeatMonitor(clock clockwork.Clock, workers settings.Workers) *heartbeatMonitor {
 	return &heartbeatMonitor{clock: clock, recent: settings.Seconds(tuning.RecentHeartbeats * workers.ReportS),
 		newest: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
 }
 
-// accept notes a heartbeat that a worker sent to this controller, and reports whether it is new: a late copy shows
-// nothing of who reaches whom.
+// accept records a heartbeat that a worker sent to this controller and reports whether it is new. A duplicate is no
+// evidence that the worker reaches this controller now.
 func (h *heartbeatMonitor) accept(heartbeat *api.Heartbeat) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,7 +44,7 @@
 	return fresh
 }
 
-// receivesHeartbeats reports whether a worker reached this controller itself a moment ago.
+// receivesHeartbeats reports whether a worker has recently reached this controller directly.
 func (h *heartbeatMonitor) receivesHeartbeats() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -11,20 +11,19 @@
 	"switchferry/tuning"
 )
 
-// HandleHeartbeat answers a worker's heartbeat, which came as raw. Workers report to the controller of their own zone, so
-// that a partition between zones does not leave them without answers: it forwards heartbeats to the leader, and relays them
-// through the state service while it does not reach the leader.
+// HandleHeartbeat answers a worker's heartbeat with an HTTP status and a body; raw is the heartbeat as received. Workers
+// report to a controller of their own zone, so that they still get responses during a partition between zones. That
+// controller forwards heartbeats to the leader, or relays them through the state service while the leader is unreachable.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any) {
 	answer := c.answerHeartbeat(ctx, heartbeat, raw)
 	return answer.status, answer.body
 }
 
-// answerHeartbeat decides who answers a heartbeat: this controller, the leader through it, or another controller to which
-// the worker is redirected.
+// answerHeartbeat answers a heartbeat itself, forwards it to the leader, or redirects the worker to another controller.
 func (c *Controller) answerHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) answer {
 	if !c.heartbeats.accept(heartbeat) {
-		// A late copy shows neither that workers reach this controller nor where one is; a response without a token
-		// renews nothing.
+		// A duplicate shows neither that workers reach this controller nor where the worker reports now. A response
+		// without a fencing token renews no lease.
 		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	}
 	if sched := c.term.scheduler(); sched != nil {
@@ -35,8 +34,8 @@
 	}
 	leader, term, reachable := c.leader.locate()
 	if previous := c.workers.previousController(); !c.health.healthy() && c.peers.Isolated() && c.workers.mayRedirect(heartbeat.Machine, previous) {
-		// This controller reaches neither the state service nor a peer: it is isolated itself, or all of its zone is. A
-		// worker that comes back reaches nobody else either, and stays.
+		// This controller reaches neither the state service nor a peer: either it alone or its whole zone is isolated. A
+		// worker that returns after the redirect reached no other controller, and is not redirected again.
 		return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: previous}}
 	}
 	if leader == "" || leader == c.settings.Member {
@@ -50,21 +49,23 @@
 		if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
 			return answer{response.Status, json.RawMessage(response.Body)}
 		}
-		// Whatever the leader has answered, the response to this heartbeat is up to this controller now, and renews the lease.
+		// The leader may have handled the heartbeat, but its response did not arrive. This controller answers instead, and
+		// its response renews the lease.
 		return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleOfferedHeartbeat)
 	}
 	return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleHeartbeat)
 }
 
-// redirectWorker returns the controller to which the sender of a heartbeat should turn while that leader leads; ok is
-// false if it stays here.
+// redirectWorker returns the controller to which the sender of a heartbeat should report under the given leader. Ok is
+// false if it should stay with this controller.
 func (c *Controller) redirectWorker(heartbeat *api.Heartbeat, leader string) (to string, ok bool) {
 	to = c.workers.controllerFor(heartbeat.Zone, leader)
 	return to, to != c.settings.Member && c.workers.mayRedirect(heartbeat.Machine, to)
 }
 
-// answerWithoutLeader answers a heartbeat between two leaders. The last one's token still renews leases: redirected, a
-// worker might try controllers beyond a partition until its lease expires.
+// answerWithoutLeader answers a heartbeat while no leader is known. For a limited time, the last leader's fencing token
+// still renews leases. A worker that was redirected instead might try controllers on the other side of a partition until
+// its lease expires.
 func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) answer {
 	lastTerm, since := c.elector.LeaderlessFor()
 	if lastTerm == 0 || heartbeat.Term > lastTerm || since > tuning.LeaderlessGrace && c.health.healthy() {
@@ -77,7 +78,7 @@
 }
 
 // answerForUnreachableLeader answers a heartbeat with commands that the leader of the term has relayed, and relays the
-// heartbeat to it, by a method of workerProxy.
+// heartbeat to the leader. Relay is the method of workerProxy that does both.
 func (c *Controller) answerForUnreachableLeader(heartbeat *api.Heartbeat, term uint64, relay func(*api.Heartbeat, uint64) api.HeartbeatResponse) answer {
 	if heartbeat.Term > term {
 		return answer{http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}}
@@ -98,13 +99,13 @@
 	return c.answerAsLeader(sched, &heartbeat, from).response()
 }
 
-// answerAsLeader answers a heartbeat as the leader. Via is the peer that forwards it, or empty.
+// answerAsLeader answers a heartbeat as the leader. Via is the peer that forwarded it, or empty.
 func (c *Controller) answerAsLeader(sched *scheduler.Scheduler, heartbeat *api.Heartbeat, via string) answer {
-	// A leader that has not read the records knows of cancellations what its peers state, or nothing.
+	// A leader that has not read the records knows only those cancellations that its peers have stated.
 	current := c.leases.markCurrentIfLeading()
 	renewed := current || c.leases.mayRenew()
 	if !renewed && !sched.Leading() {
-		return answer{http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}}
+		return answer{http.StatusServiceUnavailable, api.Error{Error: "isolated for too long to renew leases"}}
 	}
 	response, deposed, refused := sched.HandleHeartbeat(heartbeat, via)
 	switch {
@@ -115,7 +116,7 @@
 	case refused:
 		return answer{http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}}
 	case !renewed:
-		// The worker stays here, and its lease is not renewed until the records are read.
+		// A response without a token keeps the worker here without renewing its lease until the records are read.
 		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	case !current:
 		response = c.leases.enforceCancellations(heartbeat, response)
--- a/controller/inbox/inbox.go
+++ b/controller/inbox/inbox.go
@@ -1,5 +1,5 @@
-// Package inbox takes in what controllers have stored for the leader while they did not reach it: jobs that they accepted
-// and requests to cancel jobs.
+// Package inbox processes the entries that controllers store for the leader while they cannot reach it: jobs that they
+// accepted and requests to cancel jobs.
 package inbox
 
 import (
@@ -16,26 +16,27 @@
 	"switchferry/tuning"
 )
 
-// Follower takes in the inbox during one term. It is used by one goroutine.
+// Follower processes the inbox during one term. It must be used by one goroutine only.
 type Follower struct {
 	clock     clockwork.Clock
 	client    *store.Client
 	scheduler *scheduler.Scheduler
 	committer *store.Committer
-	// after is the revision up to which the inbox was read.
+	// after is the revision up to which the inbox has been read.
 	after uint64
-	// listAll is set while the whole inbox is to be read, instead of what is new in it.
+	// listAll is set if the next read must list the whole inbox instead of watching for new entries.
 	listAll bool
-	// pending are the keys that were read and are still to be taken in.
+	// pending holds the keys that were read and are not processed yet.
 	pending []string
 }
 
-// NewFollower returns a follower for the scheduler of a term, whose records were read up to a revision.
+// NewFollower returns a Follower for the scheduler of a term. After is the revision up to which the scheduler's records
+// were read.
 func NewFollower(clock clockwork.Clock, client *store.Client, sched *scheduler.Scheduler, committer *store.Committer, after uint64) *Follower {
 	return &Follower{clock: clock, client: client, scheduler: sched, committer: committer, after: after, listAll: true}
 }
 
-// Run takes in the inbox until the context ends.
+// Run processes the inbox until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.read(ctx); err != nil {
@@ -50,8 +51,9 @@
 	}
 }
 
-// read adds to the pending keys all of the inbox, or, after the first time, what is new in it; it waits for that, but not for
-// long while keys are pending. The error is store.ErrCompacted if what is new can no longer be told.
+// read adds entries to the pending keys: the whole inbox if listAll is set, and otherwise new entries, for which it waits.
+// The wait is short while keys are pending. The error is store.ErrCompacted if the state service no longer has the events
+// since the last read.
 func (f *Follower) read(ctx context.Context) error {
 	if f.listAll {
 		items, revision, err := f.client.List(ctx, store.InboxPrefix)
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// takePending takes in the pending keys; those that could not be read stay pending.
+// takePending processes the pending keys. Keys that could not be read remain pending.
 func (f *Follower) takePending(ctx context.Context) {
 	f.pending = slices.DeleteFunc(f.pending, func(key string) bool { return f.take(ctx, key) })
 	if len(f.pending) == 0 {
@@ -89,8 +91,8 @@
 	}
 }
 
-// take takes in one key of the inbox and has it removed. It reports whether the key is done with, or has to be looked at
-// again: a job that was passed over here once was accepted, and ran only after its user had asked for it.
+// take processes one key of the inbox and marks the entry for deletion. It returns false if the key must be processed
+// again. A key must not be skipped: an accepted job whose key was skipped would start only once its user asked for it.
 func (f *Follower) take(ctx context.Context, key string) (done bool) {
 	id := strings.TrimPrefix(key, store.InboxPrefix)
 	sentAt := f.clock.Now()
--- a/controller/jobstatus/reader.go
+++ b/controller/jobstatus/reader.go
@@ -1,5 +1,5 @@
-// Package jobstatus answers what became of a job, from its records and from what a controller remembers, and states
-// cancellations to the peers before users learn of them.
+// Package jobstatus determines the status of a job from its records and from the memory of a controller, and announces
+// cancellations to the peers before they are acknowledged to users.
 package jobstatus
 
 import (
@@ -24,21 +24,22 @@
 	"switchferry/watermark"
 )
 
-// Reader answers what became of a job, from the state service and from what this controller remembers.
+// Reader determines the status of jobs from the state service and from the memory of this controller. Its methods may be
+// called concurrently.
 type Reader struct {
 	clock     clockwork.Clock
 	watermark *watermark.Tracker
-	// Records reads records of jobs, within this controller's share of reads.
+	// Records reads job records within this controller's share of reads.
 	Records *lookup.Jobs
-	// TerminalStates are the jobs that this controller knows to be in a terminal state.
+	// TerminalStates holds the jobs that this controller knows to be in a terminal state.
 	TerminalStates TerminalStates
-	// notifications are the states that it has sent to users.
+	// notifications holds the job states that this controller has sent to users.
 	notifications *lookup.Notifications
 	counts        *traffic.Counter
 }
 
-// NewReader returns a reader that remembers nothing yet. The limiter bounds its reads of the state service; cancellations are what
-// is stated to the peers, and counts takes the answers.
+// NewReader returns a Reader with empty memory. The limiter bounds its reads from the state service, cancellations
+// receives the cancellations to announce to the peers, and counts counts the answers.
 func NewReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, cancellations *watermark.Tracker, counts *traffic.Counter) *Reader {
 	j := &Reader{clock: clock, watermark: cancellations, counts: counts, TerminalStates: TerminalStates{lookup.NewTerminalStates(), clock, cancellations},
 		notifications: lookup.NewNotifications()}
@@ -46,8 +47,9 @@
 	return j
 }
 
-// Recall returns the status of a job as this process may answer it without reading a record: the terminal state that it
-// remembers, or what the scheduler of its term says. Sched is nil without one.
+// Recall returns the status of a job if this process can determine it without reading a record, from the remembered
+// terminal state or from the scheduler of the current term. Sched is nil without a term. The result is false if the status
+// is not known.
 func (j *Reader) Recall(sched *scheduler.Scheduler, id string) (api.JobStatus, bool) {
 	if final, ok := j.TerminalStates.Get(id); ok {
 		return final.JobStatus(id), true
@@ -60,7 +62,7 @@
 	return status, basis.Known()
 }
 
-// AnswerStatus answers a request for a job's status from the state service. Waits is as for LookUp.
+// AnswerStatus answers a request for a job's status from the state service. Waits has the same meaning as for LookUp.
 func (j *Reader) AnswerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
 	job, found, err := j.LookUp(ctx, sched, id, waits)
 	switch {
@@ -74,9 +76,9 @@
 	return peer.JSONResponse(http.StatusOK, job)
 }
 
-// LookUp returns the status of a job by its record, which is read before the record of its terminal state, since that is
-// written before the first one is removed. With waits the reader waits for its turn, as users who ask for a status do;
-// otherwise it is refused at once with an error, as submissions are.
+// LookUp returns the status of a job from its records. It reads the job's record before the record of its terminal state,
+// since the latter is written before the former is deleted. If waits is set, the read is queued until this controller's
+// share allows it, as for status requests; otherwise it fails at once with an error, as for submissions.
 func (j *Reader) LookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
@@ -90,7 +92,7 @@
 			}
 		}()
 	}
-	// Requests of users must not take the share of reads that leading needs.
+	// User requests must not use up the reads that the leader needs for its own work.
 	sentAt := j.clock.Now()
 	record, err := j.Records.ReadInTurn(ctx, id, waitingUser)
 	if err != nil || !record.Found {
@@ -110,7 +112,8 @@
 	return job, err == nil, err
 }
 
-// noteRecordAnswer counts and logs an answer from a record that was asked for at a time, unless there is none for the error.
+// noteRecordAnswer counts and logs an answer from a record that was requested at sentAt. It does nothing if err is set,
+// since there is no answer then.
 func (j *Reader) noteRecordAnswer(job api.JobStatus, record lookup.Job, sentAt time.Time, err error) {
 	if err != nil {
 		return
@@ -124,11 +127,12 @@
 	slog.Debug("answer from a record", "job", job.ID, "state", job.State, "revision", revision, "read_ago", age)
 }
 
-// ErrNotAnswerable is returned where a record says that a job goes on and the leader knows or suspects otherwise.
+// ErrNotAnswerable is returned if a job has not ended according to its record while the leader knows or suspects that it
+// has ended.
 var ErrNotAnswerable = errors.New("the record does not tell the job's present state")
 
-// readNewer returns what is to be answered from in place of a record that the leader did not adopt: the job's final record
-// if the record says that the job goes on and the leader knows that it is over, or cannot tell.
+// readNewer returns the record from which to answer when the leader did not adopt the given one. That is the job's final
+// record if the job has not ended according to the given record while the leader knows that it has, or cannot determine it.
 func (j *Reader) readNewer(ctx context.Context, id string, record lookup.Job, outcome scheduler.Adoption) (lookup.Job, error) {
 	if record.Final.State != "" {
 		return record, nil
@@ -146,8 +150,9 @@
 	return record, nil
 }
 
-// PublishAnswer states a cancellation to the peers before its user is told, and returns the answer that may be sent: a
-// status that was read before its job ended may be due only after the user was told of the end.
+// PublishAnswer announces a cancellation to the peers before it is acknowledged to the user, and returns the response that
+// may be sent. It replaces a status that is older than one that was already sent: a status that was read before its job
+// ended may become ready only after the user was told of the end.
 func (j *Reader) PublishAnswer(response peer.Response) peer.Response {
 	if response.Status != http.StatusOK && response.Status != http.StatusCreated || !bytes.Contains(response.Body, []byte(`"status"`)) {
 		return response
@@ -171,14 +176,14 @@
 	return response
 }
 
-// TerminalStates remembers jobs that have ended, and states cancellations to the peers.
+// TerminalStates remembers jobs that have ended, and announces their cancellations to the peers.
 type TerminalStates struct {
 	*lookup.TerminalStates
 	clock     clockwork.Clock
 	watermark *watermark.Tracker
 }
 
-// Remember notes that a job is in a terminal state; a cancellation is stated to the peers from then on.
+// Remember records that a job is in a terminal state. A cancellation is announced to the peers from then on.
 func (s TerminalStates) Remember(id string, final store.FinalRecord) {
 	if final.State == api.Cancelled {
 		s.watermark.RecordCancellation(s.clock.Now(), id)
--- a/controller/leader_locator.go
+++ b/controller/leader_locator.go
@@ -8,21 +8,22 @@
 	"switchferry/tuning"
 )
 
-// leaderLocator finds the leader, by what was last read of the state service and what reachable peers say, and forwards
-// requests to it. It has no state of its own.
+// leaderLocator finds the leader from the leader record that was last read and from the hellos of reachable peers, and
+// forwards requests to it. It is stateless.
 type leaderLocator struct {
 	elector *election.Elector
 	peers   *peer.Network
 }
 
 // locate returns the leader and its term; leader is empty if none is known. Reachable reports whether the leader is a
-// peer within reach that says itself that it leads.
+// live peer whose own hello says that it leads.
 func (l *leaderLocator) locate() (leader string, term uint64, reachable bool) {
 	leader, term = l.elector.Leader()
 	return newestLeader(leader, term, l.peers.LivePeers())
 }
 
-// forward has the leader answer a request. One that a peer has forwarded already is not forwarded again.
+// forward forwards a request to the leader and returns its response. A request that a peer has already forwarded is not
+// forwarded again.
 func (l *leaderLocator) forward(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	leader, _ := l.elector.Leader()
 	leader, _, reachable := newestLeader(leader, 0, l.peers.LivePeers())
@@ -36,9 +37,9 @@
 	return response
 }
 
-// newestLeader returns the leader by what the live peers say of themselves, or else as last read; reachable reports
-// whether a live peer says that it leads. A former leader that restarted without its term does not lead, even while its
-// key still stands because the state service is out.
+// newestLeader returns the live peer that claims the newest term, or else the leader and term passed in. Reachable reports
+// whether a live peer claims to lead in that term. A former leader that restarted does not claim its term, and so does not
+// count as the leader even if its key still exists because of an outage of the state service.
 func newestLeader(leader string, term uint64, alive []peer.Hello) (string, uint64, bool) {
 	reachable := false
 	for _, hello := range alive {
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -21,15 +21,16 @@
 	"switchferry/watermark"
 )
 
-// leaseRenewal decides whether this controller may renew leases of workers, and knows the cancellations that were
-// acknowledged anywhere.
+// leaseRenewal decides whether this controller may renew workers' leases, and enforces the cancellations that were
+// acknowledged by any controller.
 //
-// Whoever answers a worker renews its lease, and so keeps its tasks alive. An isolated controller may do so for the workers
-// of its zone, but only for so long: elsewhere a user may be told that a job is cancelled, and its tasks must end within
-// cancel_s, which nobody can command here. So leases are renewed only while the last one expires in time, counted from the
-// moment up to which this controller knows of all acknowledged cancellations (package watermark). That all peers were alive
-// was once taken for that, and cancelled tasks ran on through an outage (docs/incidents/hunt-told-before-an-outage.md).
-// Tasks whose cancellation it knows of it ends itself.
+// A response to a worker renews its lease and so keeps its tasks alive. An isolated controller may renew the leases of the
+// workers of its zone only for a limited time: another controller may have acknowledged a cancellation, after which the
+// job's tasks must end within cancel_s, and the command to end them may not reach this zone. Leases are therefore renewed
+// only if they expire before that deadline, counted from the time up to which this controller knows all acknowledged
+// cancellations (package watermark). That all peers are alive is not sufficient: with that rule, cancelled tasks kept
+// running through an outage (docs/incidents/hunt-told-before-an-outage.md). The controller itself ends tasks whose
+// cancellation it knows.
 type leaseRenewal struct {
 	clock    clockwork.Clock
 	client   *store.Client
@@ -38,20 +39,20 @@
 	health   *stateHealth
 	term     *currentTerm
 	versions *upgrade.VersionRegistry
-	// watermark holds what this controller knows of cancellations, and up to when.
+	// watermark holds the cancellations that this controller knows, and the time up to which it knows all of them.
 	watermark *watermark.Tracker
-	// loadedTerm is the last term of this controller whose records it has read.
+	// loadedTerm is the last term of this controller for which it has read the records.
 	loadedTerm atomic.Uint64
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// answeredAloneAt is when it last decided about a lease without certainly leading; zero before that.
+	// answeredAloneAt is when this controller last decided about a lease without certainly leading; zero before that.
 	answeredAloneAt time.Time
-	// renewing reports whether leases were renewed at that time.
+	// renewing reports whether that decision allowed the renewal.
 	renewing bool
 }
 
-// newLeaseRenewal returns the part of c that renews leases; it knows of no cancellation yet.
+// newLeaseRenewal returns the lease renewal of a controller. It knows no cancellations yet.
 func newLeaseRenewal(controller *Controller) *leaseRenewal {
 	var members []string
 	for _, other := range controller.settings.Peers {
@@ -63,8 +64,9 @@
 		versions: controller.versions, watermark: watermark.New(controller.startedAt, members, limits), renewing: true}
 }
 
-// markCurrentIfLeading reports whether this controller leads for certain and has read the records. Then all
-// cancellations that were acknowledged until now are known here, since only a leader cancels while its key stands.
+// markCurrentIfLeading reports whether this controller certainly leads and has read the records. If so, it advances the
+// watermark to now: this controller knows all acknowledged cancellations, since only the leader cancels while its key
+// exists.
 func (l *leaseRenewal) markCurrentIfLeading() bool {
 	now := l.clock.Now()
 	term, valid := l.elector.Term()
@@ -75,7 +77,7 @@
 	return true
 }
 
-// mayRenew reports whether a worker's lease may be renewed now by a controller that does not lead for certain.
+// mayRenew reports whether this controller may renew a worker's lease now although it does not certainly lead.
 func (l *leaseRenewal) mayRenew() bool {
 	l.markCurrentIfLeading()
 	now := l.clock.Now()
@@ -91,7 +93,7 @@
 	return ok
 }
 
-// formatAge returns for operators how long ago something was confirmed; a negative duration is never.
+// formatAge formats the time since a confirmation for operators. A negative duration means that there was none.
 func formatAge(without time.Duration) string {
 	if without < 0 {
 		return "never"
@@ -99,7 +101,7 @@
 	return without.Round(time.Millisecond).String()
 }
 
-// problems tells an operator why this controller renews no leases; it returns none while it does.
+// problems returns, for operators, the reasons why this controller renews no leases, or nil while it renews them.
 func (l *leaseRenewal) problems() []string {
 	l.mu.Lock()
 	renewed := l.renewing
@@ -108,11 +110,12 @@
 		return nil
 	}
 	_, without := l.watermark.MayRenew(l.clock.Now())
-	return []string{fmt.Sprintf("leases of workers are not renewed here: last word of cancellations %s ago; %s", formatAge(without), strings.Join(l.watermark.UnconfirmedPeers(), ", "))}
+	return []string{fmt.Sprintf("leases of workers are not renewed here: cancellations last confirmed %s ago; %s", formatAge(without), strings.Join(l.watermark.UnconfirmedPeers(), ", "))}
 }
 
-// enforceCancellations returns a response with commands that end the tasks of cancelled jobs which the worker reports,
-// and without those that would start more. The token stays as it is: to end a cancelled task is safe under any.
+// enforceCancellations returns a copy of a response without commands that would start tasks of cancelled jobs, and with
+// commands that kill the tasks of cancelled jobs that the worker reports. It keeps the fencing token, since killing a
+// cancelled task is safe under any token.
 func (l *leaseRenewal) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
 	response.Commands = l.watermark.WithoutCancelledStarts(response.Commands)
 	if more := l.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
@@ -122,13 +125,14 @@
 	return response
 }
 
-// refuse returns the answer to a worker whose lease must not be renewed. One that was redirected and came back finds no
-// other controller: a response without a token, which renews nothing, keeps it here, so that its heartbeats arrive as
-// soon as the partition ends. Sent on, it would try one unreachable controller after the other, 5 s each, and return
-// only after its lease has expired. Other workers are sent on.
+// refuse returns the answer to a worker whose lease must not be renewed. If this controller is isolated, the worker has
+// returned after a redirect because it reached no other controller. A response without a fencing token, which renews no
+// lease, keeps it here, so that its heartbeats arrive as soon as the partition ends. If it were sent away, it would try the
+// unreachable controllers in turn, 5 s each, and return only after its lease had expired. If this controller is not
+// isolated, the worker is refused and tries other controllers.
 func (l *leaseRenewal) refuse() answer {
 	if !l.health.healthy() && l.peers.Isolated() {
 		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	}
-	return answer{http.StatusServiceUnavailable, api.Error{Error: "cut off for too long to keep tasks alive"}}
+	return answer{http.StatusServiceUnavailable, api.Error{Error: "isolated for too long to renew leases"}}
 }
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -13,7 +13,7 @@
 	"switchferry/tuning"
 )
 
-// machineCatalog keeps the machine types that the cloud offers.
+// machineCatalog caches the machine types that the cloud offers.
 type machineCatalog struct {
 	clock clockwork.Clock
 	cloud *cloud.Client
@@ -23,7 +23,7 @@
 	types []api.MachineType
 }
 
-// MachineTypes returns the types as last read; none before that. The caller must not change the list.
+// MachineTypes returns the types that were last read, or none before the first read. The caller must not modify the slice.
 func (m *machineCatalog) MachineTypes() []api.MachineType {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,7 +37,8 @@
 	m.types = types
 }
 
-// refresh reads the types now and then, for this process and the scheduler of its term, until the context ends.
+// refresh reads the types every tuning.CatalogEvery and passes them to the scheduler of the current term, until the context
+// ends.
 func (m *machineCatalog) refresh(ctx context.Context, term *currentTerm) {
 	for ctx.Err() == nil {
 		types, err := m.cloud.Catalog(ctx)
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -12,7 +12,7 @@
 	"switchferry/tuning"
 )
 
-// newMembershipWatcher has this controller keep a table of members. It is called before Run.
+// newMembershipWatcher creates the watcher that keeps the table of members. It is called before Run.
 func (c *Controller) newMembershipWatcher() {
 	var others []string
 	for _, other := range c.settings.Peers {
@@ -25,7 +25,7 @@
 // MembersOn reports whether membership is on.
 func (c *Controller) MembersOn() bool { return c.members != nil }
 
-// handleMembers answers with this controller's own view of the members, from which another's may differ.
+// handleMembers answers with this controller's own view of the members, which may differ from that of another controller.
 func (c *Controller) handleMembers() peer.Response {
 	if c.members == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "membership is off"})
@@ -36,8 +36,9 @@
 // isShuttingDown reports whether a graceful shutdown has begun.
 func (c *Controller) isShuttingDown() bool { return c.shuttingDown.Load() }
 
-// Shutdown prepares the end of this process: users are sent to other controllers, a leader resigns once a peer can
-// follow it, and requests under way are served meanwhile. With membership off it does nothing.
+// Shutdown prepares this process for its end. Users are directed to other controllers, a leader resigns once a peer can
+// succeed it, and requests in progress are still served. It returns after at most tuning.ShutdownMax, or at once with
+// membership off.
 func (c *Controller) Shutdown(ctx context.Context) {
 	if c.members == nil {
 		return
@@ -46,7 +47,7 @@
 	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
 	defer stop()
 	slog.Info("graceful shutdown", "leads", c.term.scheduler() != nil)
-	// Peers learn of it with the next hello, and the load balancer probes once a second.
+	// Peers learn of the shutdown from the next hello, and the load balancer from its probe, once a second.
 	sleep.For(ctx, c.clock, tuning.ShutdownNoticeTime)
 	term, _ := c.elector.Term()
 	for term != 0 && ctx.Err() == nil {
--- a/controller/record_source.go
+++ b/controller/record_source.go
@@ -9,19 +9,20 @@
 	"switchferry/store"
 )
 
-// recordSource is what the committer of a term asks for records: the scheduler of the term, and this process where other
-// parts of it need to know what is written.
+// recordSource provides the committer of a term with records. It delegates to the scheduler of the term, and informs
+// other components of this process of what is written.
 type recordSource struct {
 	*scheduler.Scheduler
 	controller *Controller
 }
 
-// Condition holds while the term lasts; ok is false once it is not certain that it does.
+// Condition returns a condition that holds while the term lasts; ok is false once the term may have ended.
 func (s recordSource) Condition() (store.Condition, bool) {
 	return termCondition(s.controller.elector, s.Scheduler)
 }
 
-// Record returns what is to be written of a key. It has a cancellation stated to the peers before anyone can read its record.
+// Record returns the value to write under a key. It announces a cancellation to the peers before anyone can read its
+// record.
 func (s recordSource) Record(key string) (value any, exists bool, more []store.Condition) {
 	value, exists, more = s.Scheduler.Record(key)
 	if record, ok := value.(store.JobRecord); ok && record.FinalState == api.Cancelled {
@@ -30,7 +31,8 @@
 	return value, exists, more
 }
 
-// Conflict takes in what was found in place of what was to be written; nil: nothing.
+// Conflict handles a write that failed because the key holds another record. Found is that record, or nil if there is
+// none.
 func (s recordSource) Conflict(key string, found *store.Item) {
 	if strings.HasPrefix(key, store.DatasetPrefix) {
 		if entry, err := scheduler.DecodeDataset(found); err == nil {
@@ -40,11 +42,11 @@
 	s.Scheduler.Conflict(key, found)
 }
 
-// Deposed resigns: another leader's key was found.
+// Deposed resigns the leadership after another leader's key was found.
 func (s recordSource) Deposed() { s.controller.elector.Resign("deposed") }
 
-// termCondition returns the condition on which a record may be written in the term of a scheduler; ok is false once this
-// controller does not certainly lead in it.
+// termCondition returns the condition under which records may be written in the term of a scheduler. Ok is false unless
+// this controller certainly leads in that term.
 func termCondition(elector *election.Elector, sched *scheduler.Scheduler) (condition store.Condition, ok bool) {
 	term, valid := elector.Term()
 	return store.Condition{Key: store.LeaderKey, Revision: sched.Term()}, valid && term == sched.Term()
--- a/controller/responses.go
+++ b/controller/responses.go
@@ -7,7 +7,8 @@
 	"switchferry/tuning"
 )
 
-// encodeResponse returns a status and a body as a response; one with status 503 says when to retry.
+// encodeResponse returns a response with a status and a body encoded as JSON. A response with status 503 specifies when to
+// retry.
 func encodeResponse(status int, body any) peer.Response {
 	response := peer.JSONResponse(status, body)
 	if status == http.StatusServiceUnavailable {
@@ -16,11 +17,11 @@
 	return response
 }
 
-// answer is an HTTP status, and a body that is to be encoded as JSON.
+// answer is an HTTP status with a body that is not encoded as JSON yet.
 type answer struct {
 	status int
 	body   any
 }
 
-// response returns the answer as it is sent between controllers.
+// response returns the answer as a response between controllers.
 func (a answer) response() peer.Response { return peer.JSONResponse(a.status, a.body) }
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -14,11 +14,11 @@
 	"switchferry/tuning"
 )
 
-// notLeading is what a controller answers to what only a leader may be asked.
+// notLeading is the error with which a controller that does not lead answers a forwarded request.
 const notLeading = "not the leader"
 
-// Handle serves a user's request, here or at the leader. Forwarded is set if it comes from a peer, and then it is not
-// forwarded again.
+// Handle serves a request, either here or by forwarding it to the leader. Forwarded is set if the request comes from a
+// peer; it is then not forwarded again.
 func (c *Controller) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if forwarded && request.Verb == verbReport {
 		return c.handleForwardedHeartbeat(request.From, request.Body)
@@ -40,7 +40,7 @@
 	return response
 }
 
-// route serves a request, by its verb and by who leads.
+// route dispatches a request according to its verb and to which controller leads.
 func (c *Controller) route(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	switch request.Verb {
 	case VerbMembers:
@@ -67,14 +67,14 @@
 	return c.serveAsLeader(ctx, nil, request)
 }
 
-// routeInTerm serves a request about a job during a term of this controller, be it that it certainly leads or not.
+// routeInTerm serves a request about a job during a term of this controller, whether or not it certainly leads.
 func (c *Controller) routeInTerm(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
 	if sched.Leading() && sched.Loaded() {
 		return c.serveAsLeader(ctx, sched, request)
 	}
 	if c.health.healthy() {
-		// It does not lead yet, or no more, and the state service answers: what is read and written there is as good from
-		// this controller as from any other.
+		// This controller does not lead yet or no longer leads. Since it reaches the state service, it can serve the request
+		// from there like any follower.
 		return c.serveAsLeader(ctx, nil, request)
 	}
 	if request.Verb == VerbSubmit {
@@ -86,9 +86,9 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// askLeader has the leader answer a request about a job. Ok is false if the request is to be served without the leader: it
-// is out of reach, has lost its term or does not answer in time. What it was asked can be stored or read without it all the
-// same, since conditions on the keys hold whether it goes on or not.
+// askLeader forwards a request about a job to the leader. Ok is false if the request is to be served without the leader,
+// because it is unreachable, has lost its term or does not answer in time. Serving a request that the leader may still
+// carry out is safe, since conditions on the keys guard all writes.
 func (c *Controller) askLeader(ctx context.Context, request peer.Request) (response peer.Response, ok bool) {
 	leader, _, reachable := c.leader.locate()
 	if !reachable {
@@ -99,21 +99,22 @@
 	case err == nil && answeredByLeader(response):
 		return response, true
 	case errors.Is(err, peer.ErrBusy):
-		// The state service is what the leader waits for: to serve the request here would load it further.
+		// The leader is waiting for the state service, and serving the request here would add to the load of that service.
 		return peer.RetryLater("the leader is busy"), true
 	}
-	// A former leader whose next hello is still due is not waited for either: its users were told to retry once.
+	// A former leader whose next hello is still due refuses the request, which is then served here as well: its user need
+	// not retry.
 	c.requestCounts.LeaderBypassed()
 	return response, false
 }
 
-// answeredByLeader reports whether a response is a leader's.
+// answeredByLeader reports whether a response was given by a controller that leads.
 func answeredByLeader(response peer.Response) bool {
 	var failure api.Error
 	return response.Status != http.StatusServiceUnavailable || json.Unmarshal(response.Body, &failure) != nil || failure.Error != notLeading
 }
 
-// forwardPatience returns how long the leader is waited for.
+// forwardPatience returns how long to wait for the leader's response to a forwarded request.
 func forwardPatience(verb string) time.Duration {
 	switch verb {
 	case VerbSubmit:
--- a/controller/state_health.go
+++ b/controller/state_health.go
@@ -7,17 +7,19 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// stateHealth tells whether the state service answers this controller, by the last request that it served or refused.
+// stateHealth tracks whether the state service answers this controller, according to the last request to it.
 type stateHealth struct {
 	clock clockwork.Clock
 
 	// mu guards the fields below.
-	mu        sync.Mutex
-	servedAt  time.Time
+	mu sync.Mutex
+	// servedAt is when a request was last served.
+	servedAt time.Time
+	// refusedAt is when a request was last refused or got no response.
 	refusedAt time.Time
 }
 
-// recordResponse notes that a request was just served, or was refused or got no answer.
+// recordResponse records the outcome of a request. Served is false if the request was refused or got no response.
 func (h *stateHealth) recordResponse(served bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/controller/term.go
+++ b/controller/term.go
@@ -12,8 +12,9 @@
 	"switchferry/tuning"
 )
 
-// leaderTerm is one term in which this controller leads: its scheduler, and the loops that feed the scheduler and carry out
-// what it decides. The loops end with the context that run was given. Its fields do not change once run is called.
+// leaderTerm is one term in which this controller leads. It has the scheduler of the term, and the loops that pass input to
+// the scheduler and carry out its decisions. The loops end with the context passed to run. The fields do not change after
+// run is called.
 type leaderTerm struct {
 	controller *Controller
 	scheduler  *scheduler.Scheduler
@@ -25,7 +26,7 @@
 	stop context.CancelFunc
 }
 
-// Elected starts a term; the elector calls it.
+// Elected starts a term. The elector calls it.
 func (c *Controller) Elected(number uint64) {
 	ctx, stop := context.WithCancel(c.ctx)
 	term := c.newLeaderTerm(ctx, number)
@@ -37,10 +38,10 @@
 	go term.run(ctx)
 }
 
-// Lost ends the term; the elector calls it.
+// Lost ends the current term. The elector calls it.
 func (c *Controller) Lost(uint64, string) { c.term.end() }
 
-// newLeaderTerm returns a term whose loops have not begun. The context is that of the term.
+// newLeaderTerm returns a term whose loops have not been started. The context is that of the term.
 func (c *Controller) newLeaderTerm(ctx context.Context, number uint64) *leaderTerm {
 	term := &leaderTerm{controller: c}
 	term.scheduler = scheduler.New(number, c.clock, c.settings, c.policy, c.catalog.MachineTypes(), termCollaborators(ctx, term, number))
@@ -57,13 +58,14 @@
 	return term
 }
 
-// useCurrentFormat has the records of the term written as this version has them, once no older version may read them.
+// useCurrentFormat makes the term write records in the format of this version. It is called once no process of an older
+// version may read them.
 func (t *leaderTerm) useCurrentFormat() {
 	t.scheduler.UseCurrentFormat()
 	t.committer.SetValueLimit(t.controller.settings.Facts.State.Least().ValueBytes())
 }
 
-// run reads the records, starts the loops of the term and places tasks until the context ends.
+// run reads the records, starts the loops of the term, and then places tasks until the context ends.
 func (t *leaderTerm) run(ctx context.Context) {
 	t.startLoops(ctx, t.loadRetrying(ctx))
 	for ctx.Err() == nil {
@@ -83,7 +85,7 @@
 	}
 }
 
-// startLoops starts everything that runs during the term beside placement, from the revisions that were read.
+// startLoops starts the loops of the term other than placement. They continue from the revisions that were read.
 func (t *leaderTerm) startLoops(ctx context.Context, read loadedRevisions) {
 	go t.committer.Run(ctx)
 	go inbox.NewFollower(t.controller.clock, t.controller.client, t.scheduler, t.committer, read.jobs).Run(ctx)
@@ -97,7 +99,7 @@
 	go t.maintainFleet(ctx)
 }
 
-// unfitReason returns why this controller should no longer lead, or empty if it should.
+// unfitReason returns the reason why this controller should resign, or an empty string if it should not.
 func (t *leaderTerm) unfitReason() string {
 	for _, hello := range t.controller.peers.LivePeers() {
 		if hello.Term > t.scheduler.Term() {
@@ -117,15 +119,16 @@
 	case t.isolatedFromWorkers():
 		return "receives from neither workers nor peers"
 	case t.controller.elector.ExpiredFor() > tuning.IsolatedAfter:
-		// If peers answered, this would be an outage of the state service, during which workers must still be answered.
+		// If peers were reachable, this would be an outage of the state service alone, during which the leader must still
+		// answer workers.
 		return "reaches neither the state service nor peers"
 	}
 	return ""
 }
 
-// isolatedFromWorkers reports whether no worker was heard from for long. Workers of unresponsive peers try one
-// unreachable controller after the other: a leader that is isolated waits for them as long as a lease lasts, or they
-// would find no controller at all.
+// isolatedFromWorkers reports whether no heartbeat has been received for tuning.IsolatedAfter, and the term has lasted for
+// longer than a lease. Workers of unresponsive peers try unreachable controllers in turn. If a new leader resigned before
+// they reached it, they would find no controller at all.
 func (t *leaderTerm) isolatedFromWorkers() bool {
 	return t.controller.clock.Since(t.scheduler.TermStarted()) > settings.Seconds(t.controller.settings.Facts.Workers.LeaseS) && t.controller.clock.Since(t.scheduler.LastContact()) > tuning.IsolatedAfter
 }
--- a/controller/term_collaborators.go
+++ b/controller/term_collaborators.go
@@ -9,7 +9,8 @@
 	"switchferry/scheduler"
 )
 
-// termCollaborators returns what the scheduler of a term asks of this process. The context is that of the term.
+// termCollaborators returns the components of this process that the scheduler of a term uses. The context is that of the
+// term.
 func termCollaborators(ctx context.Context, term *leaderTerm, number uint64) scheduler.Collaborators {
 	return scheduler.Collaborators{
 		Records:        termRecords{term},
@@ -20,28 +21,29 @@
 	}
 }
 
-// termRecords is the committer of a term, which is made after the scheduler.
+// termRecords gives the scheduler of a term access to the term's committer, which is created after the scheduler.
 type termRecords struct{ term *leaderTerm }
 
-// MarkDirty has the record of a key written.
+// MarkDirty schedules the record of a key to be written.
 func (r termRecords) MarkDirty(key string, urgency int, stored func()) {
 	r.term.committer.MarkDirty(key, urgency, stored)
 }
 
-// MarkDirtyWithin is MarkDirty for a change that may wait.
+// MarkDirtyWithin is MarkDirty for a change whose write may be delayed by up to wait.
 func (r termRecords) MarkDirtyWithin(key string, urgency int, wait time.Duration, stored func()) {
 	r.term.committer.MarkDirtyWithin(key, urgency, wait, stored)
 }
 
-// SetRevision notes the revision of a record that was adopted.
+// SetRevision sets the stored revision of a record that was adopted.
 func (r termRecords) SetRevision(key string, revision uint64) {
 	r.term.committer.SetRevision(key, revision)
 }
 
-// Delay returns how long a record of a new job would wait.
+// Delay returns how long the record of a new job would wait to be written.
 func (r termRecords) Delay() time.Duration { return r.term.committer.Delay() }
 
-// termSender sends what the scheduler of a term orders, each in a goroutine that ends with the context of the term.
+// termSender sends the commands and orders of a term's scheduler, each in a goroutine that ends with the context of the
+// term.
 type termSender struct {
 	ctx  context.Context
 	term *leaderTerm
@@ -52,12 +54,12 @@
 	go s.term.sendCommands(s.ctx, machine, address, response)
 }
 
-// SendStageOrder sends an order to an agent.
+// SendStageOrder sends a stage order to an agent.
 func (s termSender) SendStageOrder(machine, address string, order api.StageOrder) {
 	go s.term.controller.agents.sendOrder(s.ctx, s.term.scheduler, machine, address, order)
 }
 
-// termLeadership tells whether a term lasts.
+// termLeadership reports whether this controller still leads in a term.
 type termLeadership struct {
 	elector *election.Elector
 	number  uint64
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -10,15 +10,15 @@
 	"switchferry/tuning"
 )
 
-// loadedRevisions are the revisions of the state service up to which a new leader has read it.
+// loadedRevisions holds the revisions of the state service up to which a new leader has read records.
 type loadedRevisions struct {
-	// jobs is where to continue with the jobs and heartbeats that peers accept and relay.
+	// jobs is the revision from which to continue reading the inbox and relayed heartbeats.
 	jobs uint64
-	// datasets is where to continue with datasets.
+	// datasets is the revision from which to continue reading datasets.
 	datasets uint64
 }
 
-// loadRetrying reads all that a new leader has to know, again until that succeeds or the context ends.
+// loadRetrying reads all records that a new leader needs, and retries until it succeeds or the context ends.
 func (t *leaderTerm) loadRetrying(ctx context.Context) loadedRevisions {
 	for ctx.Err() == nil {
 		if read, ok := t.load(ctx); ok {
@@ -29,10 +29,10 @@
 	return loadedRevisions{}
 }
 
-// load reads the configuration, the datasets and the records of jobs, in this order. It logs what could not be read.
+// load reads the configuration, the datasets and the job records, in this order. It logs the first error and returns false.
 func (t *leaderTerm) load(ctx context.Context) (read loadedRevisions, ok bool) {
 	if t.applier != nil {
-		// A configuration that was read before this term may be older than the one that the last leader put in force.
+		// A configuration that was read before this term may be older than the last one that the previous leader applied.
 		if err := t.applier.Load(ctx); err != nil {
 			slog.Error("configuration not read", "err", err)
 			return read, false
@@ -52,8 +52,8 @@
 	return read, true
 }
 
-// loadJobs has the scheduler take in the records of jobs, and what the last leader knew of images and replicas, which may be
-// missing. It returns the revision of the list of jobs.
+// loadJobs passes the job records to the scheduler, together with hints of the previous leader about the locations of
+// images and replicas, which may be missing. It returns the revision at which the jobs were listed.
 func (t *leaderTerm) loadJobs(ctx context.Context) (revision uint64, err error) {
 	client, askedAt := t.controller.client, t.controller.clock.Now()
 	jobs, revision, err := client.List(ctx, store.JobPrefix)
@@ -80,7 +80,7 @@
 	return revision, nil
 }
 
-// listHints reads records that the term can do without; ok is false if they could not be read.
+// listHints reads optional records; ok is false if they could not be read.
 func (t *leaderTerm) listHints(ctx context.Context, prefix string) (items []store.Item, ok bool) {
 	items, _, err := t.controller.client.List(ctx, prefix)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return items, true
 }
 
-// setRevisions tells the committer at which revisions records were read.
+// setRevisions passes the revisions at which records were read to the committer.
 func (t *leaderTerm) setRevisions(items []store.Item) {
 	for _, item := range items {
 		t.committer.SetRevision(item.Key, item.Revision)
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -17,7 +17,7 @@
 	c.features.topology, c.submissions.TopologyOn = file, file != nil
 }
 
-// watchTopology applies new versions of the topology file while the process runs.
+// watchTopology reloads the topology file at intervals and applies changes while the process runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
 		sleep.For(c.ctx, c.clock, tuning.TopologyEvery)
@@ -34,7 +34,8 @@
 // TopologyOn reports whether a topology is declared.
 func (c *Controller) TopologyOn() bool { return c.features.topology != nil }
 
-// handleTopology serves requests about the topology and about why a job waits, which the leader knows.
+// handleTopology serves requests about the topology and requests to explain why a job waits. Only the leader can answer
+// them.
 func (c *Controller) handleTopology(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	if c.features.topology == nil && request.Verb == VerbTopology {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no topology is declared"})
@@ -50,7 +51,7 @@
 		explanation.Why = append(explanation.Why, c.leases.problems()...)
 		return peer.JSONResponse(http.StatusOK, explanation)
 	}
-	// The job has ended or is not known: its record tells which.
+	// The scheduler does not have the job: its record shows whether it has ended or does not exist.
 	job, found, err := c.jobs.LookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
--- a/controller/verbs.go
+++ b/controller/verbs.go
@@ -11,34 +11,34 @@
 
 // Verbs of requests about datasets, which are served only with the feature on.
 const (
-	// VerbRegister makes a dataset known.
+	// VerbRegister registers a dataset.
 	VerbRegister = "register"
-	// VerbData shows datasets, holders and copies.
+	// VerbData lists datasets, the machines that hold them and the copies in progress.
 	VerbData = "data"
-	// VerbRemove removes a dataset, or tells how far that is; Request.Job names it.
+	// VerbRemove removes a dataset or reports the progress of its removal; Request.Job holds the dataset's name.
 	VerbRemove = "remove"
 	// verbStage is an agent's heartbeat that a peer forwards.
 	verbStage = "stage"
 )
 
-// Verbs of requests about where machines and jobs stand.
+// Verbs of requests about the locations of machines and jobs.
 const (
-	// VerbTopology shows the tree of domains; it is served only with a topology.
+	// VerbTopology returns the tree of topology domains; it is served only with a topology file.
 	VerbTopology = "topology"
-	// VerbExplain tells why a job waits, or where it stands; Request.Job names it.
+	// VerbExplain explains why a job waits or where its tasks run; Request.Job is the job's id.
 	VerbExplain = "explain"
 )
 
-// VerbMembers shows how this controller sees all members, served only with membership on.
+// VerbMembers returns this controller's view of all members; it is served only with membership on.
 const VerbMembers = "members"
 
 // Verbs of requests about the configuration.
 const (
-	// VerbConfiguration shows the configuration. Request.Job is empty for the present one, a revision's number, or
-	// httpapi.History.
+	// VerbConfiguration returns a configuration. Request.Job is empty for the current one, or a revision number, or
+	// httpapi.History for the list of revisions.
 	VerbConfiguration = "configuration"
 	// VerbConfigure changes the configuration.
 	VerbConfigure = "configure"
-	// verbConfirm has a peer look for the newest revision now.
+	// verbConfirm makes a peer read the newest configuration revision now.
 	verbConfirm = "confirm-configuration"
 )
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -19,18 +19,18 @@
 	peers     *peer.Network
 	startedAt time.Time
 
-	// mu guards redirects, which remembers who was redirected where.
+	// mu guards redirects, which remembers the controllers to which workers were redirected.
 	mu        sync.Mutex
 	redirects redirect.Tracker
 }
 
-// newWorkerRouter returns a router that has redirected nobody yet.
+// newWorkerRouter returns a router that has redirected no workers yet.
 func newWorkerRouter(set *settings.Settings, clock clockwork.Clock, peers *peer.Network) *workerRouter {
 	return &workerRouter{settings: set, clock: clock, peers: peers, startedAt: clock.Now(), redirects: redirect.NewTracker()}
 }
 
-// previousController returns the peer before this controller in the order in which workers try them: a worker that gets
-// no answer there comes straight back.
+// previousController returns the peer before this controller in the order in which workers try controllers. A worker that
+// gets no response there tries this controller next.
 func (w *workerRouter) previousController() string {
 	prev, last := "", ""
 	for _, other := range w.settings.Peers {
@@ -47,7 +47,8 @@
 
 // mayRedirect reports whether a worker may be redirected to another controller.
 func (w *workerRouter) mayRedirect(worker, to string) bool {
-	// For a controller that sends no hello, only the redirects that came back count.
+	// A controller that sends no hello is assumed to receive heartbeats; only workers that return from it are evidence
+	// against that.
 	receives := true
 	for _, hello := range w.peers.LivePeers() {
 		if hello.Member == to {
@@ -59,8 +60,8 @@
 	return w.redirects.Allow(w.clock.Now(), worker, to, receives)
 }
 
-// controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, else
-// their home controller, or, next to an unresponsive controller, the one after it.
+// controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, and
+// otherwise the zone's home controller. An unresponsive controller is replaced by its successor in the ring.
 func (w *workerRouter) controllerFor(zone, leader string) string {
 	to := leader
 	if w.zoneOf(leader) != zone {
@@ -74,8 +75,8 @@
 	})
 }
 
-// homeController returns the controller that a zone's workers report to: this one in its own zone, else the first one of
-// the zone within reach, or empty.
+// homeController returns the controller that a zone's workers report to: this controller in its own zone, and otherwise
+// the first reachable controller of the zone, or an empty string if there is none.
 func (w *workerRouter) homeController(zone string) string {
 	if zone == w.settings.Zone {
 		return w.settings.Member
@@ -98,7 +99,7 @@
 	return w.settings.Zone
 }
 
-// ZoneUnreachable reports whether no controller of another zone can be reached.
+// ZoneUnreachable reports whether a zone other than that of this controller has controllers, none of which is reachable.
 func (w *workerRouter) ZoneUnreachable(zone string) bool {
 	reachable := false
 	for _, other := range w.settings.Peers {
