--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -15,8 +15,8 @@
 	"switchferry/store"
 )
 
-// A job is cancelled if it is accepted while a job that it depends on is being cancelled, whichever record is written
-// first, and whether the leader or another controller accepts it.
+// A job that is accepted while one of its dependencies is being cancelled is cancelled too, regardless of which record is
+// written first and of whether the leader or another controller accepts the job.
 func TestConcurrentAcceptAndDependencyCancellationCancelsJob(t *testing.T) {
 	for _, first := range []string{"accept", "cancel"} {
 		for _, alone := range []bool{false, true} {
@@ -60,13 +60,14 @@
 			leader.Place()
 			leader.commit()
 			if leader.starts("run-000002/0") > 0 {
-				t.Error("it started")
+				t.Error("the dependent job started")
 			}
 		}
 	}
 }
 
-// A known id is never answered 400, 404 or 422, whatever the body of the retry; an unknown one is refused at once.
+// A submission with a known job id is never answered with 400, 404 or 422, whatever the body of the retry. An invalid
+// submission with an unknown id is refused at once.
 func TestKnownJobIsNeverRefused(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -85,16 +86,16 @@
 	}
 	state.Put(store.FinalKey("run-000002"), store.FinalRecord{State: api.Done, Tasks: 3})
 	if got := ask(`{"name_id":"run-000002"}`); got != 200 {
-		t.Errorf("id of a job that is over: %d", got)
+		t.Errorf("id of a job that has ended: %d", got)
 	}
 	state.Down = true
 	if got := ask(`{"name_id":"run-000003"}`); got != 503 {
-		t.Errorf("while nobody can tell: %d", got)
+		t.Errorf("unknown id in an outage of the state service: %d", got)
 	}
 }
 
-// A job whose record is larger than a value of the state service may be is refused at once with the reason. Its record
-// could never be written, and its user would retry for ever.
+// A job whose record exceeds the value size limit of the state service is refused at once with the reason. Its record
+// could never be written, and its user would retry forever.
 func TestJobTooLargeToStoreIsRefused(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
--- a/controller/agents_test.go
+++ b/controller/agents_test.go
@@ -12,7 +12,7 @@
 	"switchferry/store"
 )
 
-// Without a leader an agent's heartbeat is refused at once.
+// Without a leader, an agent's heartbeat is refused at once.
 func TestAgentHeartbeatIsRefusedWithoutLeader(t *testing.T) {
 	controller, _ := newDataController(true)
 	if status, _ := controller.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1}, nil); status != 503 {
@@ -23,7 +23,7 @@
 	}
 }
 
-// newAgentFollower returns a controller with datasets on that does not reach the leader x, which has the term that is returned.
+// newAgentFollower returns a controller y with datasets on, and the leader x, which y does not reach.
 func newAgentFollower(t *testing.T) (y *Controller, leader *testLeader) {
 	t.Helper()
 	leader = newLeader(t)
@@ -37,8 +37,8 @@
 	return y, leader
 }
 
-// An agent that reports to a controller which does not reach the leader is answered by the proxy, with the token of the
-// leader's term, and its heartbeat goes to the state service.
+// An agent that reports to a controller which does not reach the leader gets a response from the proxy, and its heartbeat
+// is relayed through the state service.
 func TestAgentHeartbeatsAreRelayedPastAnUnreachableLeader(t *testing.T) {
 	y, leader := newAgentFollower(t)
 	status, body := y.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil)
@@ -46,16 +46,16 @@
 		t.Fatalf("answered %d %+v", status, body)
 	}
 	if leader.state.Under(store.AgentRelayPrefix) != 0 {
-		t.Fatal("relayed before it was written")
+		t.Fatal("the heartbeat is stored before the exchange writes it")
 	}
 	for y.agents.proxy.Exchange.Write(context.Background()) {
 	}
 	if leader.state.Under(store.AgentRelayPrefix) == 0 {
-		t.Error("the heartbeat is not relayed")
+		t.Error("the heartbeat is not stored for the leader")
 	}
 }
 
-// A controller that reaches neither the leader nor the state service refuses heartbeats of agents at once.
+// A controller that reaches neither the leader nor the state service refuses agents' heartbeats at once.
 func TestAgentHeartbeatIsRefusedWithoutStateService(t *testing.T) {
 	y, leader := newAgentFollower(t)
 	leader.state.Down = true
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -12,7 +12,7 @@
 	"switchferry/store"
 )
 
-// A controller answers 404 only if the state service says that a job does not exist, and not in an outage.
+// A controller answers 404 only if the state service confirms that a job does not exist, and 503 during an outage.
 func TestUnknownJobIsNotFoundOnlyWithStateService(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
--- a/controller/collaborators_helper_test.go
+++ b/controller/collaborators_helper_test.go
@@ -14,17 +14,17 @@
 		Zones: reachableZones{}, TerminalStates: lookup.NewTerminalStates()}
 }
 
-// leadershipFunc reports whether the term lasts.
+// leadershipFunc implements the scheduler's leadership check with a function.
 type leadershipFunc func() bool
 
 func (f leadershipFunc) Leading() bool { return f() }
 
-// reachableZones has all zones within reach.
+// reachableZones reports all zones as reachable.
 type reachableZones struct{}
 
 func (reachableZones) ZoneUnreachable(string) bool { return false }
 
-// discardedRecords writes nothing.
+// discardedRecords writes no records.
 type discardedRecords struct{}
 
 func (discardedRecords) MarkDirty(string, int, func())                      {}
@@ -32,13 +32,13 @@
 func (discardedRecords) SetRevision(string, uint64)                         {}
 func (discardedRecords) Delay() time.Duration                               { return 0 }
 
-// discardedCommands sends nothing.
+// discardedCommands sends no commands or orders.
 type discardedCommands struct{}
 
 func (discardedCommands) SendCommands(string, string, api.HeartbeatResponse) {}
 func (discardedCommands) SendStageOrder(string, string, api.StageOrder)      {}
 
-// leaderRecords are written by the committer of a test's leader, all without delay.
+// leaderRecords passes records to the committer of a testLeader without delay.
 type leaderRecords struct{ leader *testLeader }
 
 func (r leaderRecords) MarkDirty(key string, urgency int, stored func()) {
@@ -55,7 +55,7 @@
 
 func (r leaderRecords) Delay() time.Duration { return r.leader.committer.Delay() }
 
-// leaderCommands are kept by a test's leader.
+// leaderCommands collects the commands that a testLeader sends.
 type leaderCommands struct {
 	discardedCommands
 	leader *testLeader
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -17,7 +17,7 @@
 	"switchferry/tuning"
 )
 
-// overEmptyFiles returns a configuration document over empty files.
+// overEmptyFiles parses a configuration document and applies it over empty configuration files.
 func overEmptyFiles(t *testing.T, text string) *configuration.Active {
 	t.Helper()
 	document, err := configuration.Parse(text)
@@ -27,8 +27,8 @@
 	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
-// Without the leader a submission is checked, and stored, only by a configuration that was confirmed lately, and on
-// condition that it is still the newest.
+// Without the leader, a submission is checked only against a recently confirmed configuration, and stored only on the
+// condition that this configuration is still the newest.
 func TestSubmissionsWithoutTheLeaderNeedAConfirmedConfiguration(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -49,8 +49,8 @@
 	if response := submit("run-000001"); response.Status != http.StatusCreated {
 		t.Fatalf("confirmed: %d %s", response.Status, response.Body)
 	}
-	// Another revision is stored, which this controller has not read: within its right it may judge by the old one, but
-	// nothing is stored by it.
+	// Another revision is stored that this controller has not read. While its lease is valid it may still check submissions
+	// against the old revision, but it must not store a job on that basis.
 	revision := &configuration.Revision{Number: 1, Document: "[[teams]]\nname = \"t\"\ncpus_max = 0.5\n"}
 	head, parts, err := configuration.Encode(revision, 16<<10)
 	if err != nil {
@@ -59,26 +59,27 @@
 	state.Put(configuration.PartKey(1, 0), parts[0])
 	state.Put(configuration.HeadKey, head)
 	if response := submit("run-000002"); response.Status != http.StatusServiceUnavailable || state.Get(store.JobKey("run-000002")) != nil {
-		t.Errorf("changed meanwhile: %d %s", response.Status, response.Body)
+		t.Errorf("after an unread configuration change: %d %s", response.Status, response.Body)
 	}
 	confirm()
 	if response := submit("run-000002"); response.Status != http.StatusUnprocessableEntity || !strings.Contains(string(response.Body), "team's limit") {
-		t.Errorf("by the new one: %d %s", response.Status, response.Body)
+		t.Errorf("under the new configuration: %d %s", response.Status, response.Body)
 	}
-	// JobStatus jobs keep their answers, whatever the limit is now.
+	// Known jobs are still answered with their state, whatever the current limit.
 	if response := submit("run-000001"); response.Status != http.StatusOK {
 		t.Errorf("a known job: %d %s", response.Status, response.Body)
 	}
 	clock.Advance(tuning.ConfigurationLease)
 	if response := submit("run-000003"); response.Status != http.StatusServiceUnavailable {
-		t.Errorf("once the right is over: %d %s", response.Status, response.Body)
+		t.Errorf("after the configuration lease has expired: %d %s", response.Status, response.Body)
 	}
 	if response := controller.Handle(ctx, peer.Request{Verb: VerbStatus, Job: "run-000001"}, false); response.Status != http.StatusOK {
-		t.Errorf("a question then: %d %s", response.Status, response.Body)
+		t.Errorf("a status request after the lease has expired: %d %s", response.Status, response.Body)
 	}
 }
 
-// A refusal is checked again before it is sent: the configuration may have been replaced while the process was paused.
+// A refusal is checked again before it is sent, since the configuration may have been replaced while the process was
+// paused.
 func TestRefusalByAnExpiredConfigurationIsNotSent(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -94,11 +95,11 @@
 	s.Team = "unknown"
 	rules, _, err := controller.submissions.CanRun(nil, &s)
 	if err == nil || !controller.submissions.StillValid(rules, nil) {
-		t.Fatalf("judged %v", err)
+		t.Fatalf("refused with %v, or the refusal is not valid", err)
 	}
 	clock.Advance(tuning.ConfigurationLease)
 	if controller.submissions.StillValid(rules, nil) {
-		t.Error("it stands after the right is over")
+		t.Error("the refusal is still valid after the lease has expired")
 	}
 }
 
@@ -106,8 +107,8 @@
 	return encodeResponse(controller.configuration.handler().Change(context.Background(), nil, body))
 }
 
-// The configuration can be changed only once all controllers have recorded that they can take changes. A document with a
-// mistake, or with what is off here, changes nothing.
+// The configuration can be changed only once all controllers have recorded that they support changes. A document that has
+// an error or configures a feature that is off is refused.
 func TestChangesNeedAllControllers(t *testing.T) {
 	controller := newLeader(t).beside()
 	controller.settings.Peers = []settings.Peer{{Member: "z"}}
@@ -126,11 +127,11 @@
 		}
 	}
 	if response := changeConfiguration(controller, []byte(`{"document":""}`)); response.Status != http.StatusServiceUnavailable || !strings.Contains(string(response.Body), "not seen yet of") {
-		t.Errorf("before all marks: %d %s", response.Status, response.Body)
+		t.Errorf("before all controllers have recorded support: %d %s", response.Status, response.Body)
 	}
 }
 
-// A setting that a later revision leaves out is as in the files again.
+// A setting that a later revision omits takes its value from the files again.
 func TestSettingLeftOutIsAsInTheFiles(t *testing.T) {
 	controller := newLeader(t).beside()
 	controller.features.data.Ahead = 5
@@ -138,6 +139,6 @@
 		t.Fatalf("ahead %d with 9 configured", ahead)
 	}
 	if ahead := *controller.configuration.withFileDefaults(overEmptyFiles(t, "")).AheadTasks; ahead != 5 {
-		t.Errorf("ahead %d once it is left out, the features file has 5", ahead)
+		t.Errorf("ahead %d after a revision omits it, the features file has 5", ahead)
 	}
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -10,8 +10,8 @@
 	"switchferry/upgrade"
 )
 
-// A controller records its version once, and knows that no older process can return only when every member's record
-// exists. A controller that starts anew learns that from the records.
+// A controller records its version once, and excludes processes of older versions only when the version records of all
+// members exist. A restarted controller determines this from the records.
 func TestVersionMarksShowWhenNoOlderProcessCanReturn(t *testing.T) {
 	leader := newLeader(t)
 	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "z", Address: "127.0.0.1:1"}}}
@@ -25,14 +25,14 @@
 	}
 	stamp := leader.state.Put("sf/test", 1)
 	if !controller.versions.RecordOwn(context.Background()) || leader.state.Put("sf/test", 1) != stamp+1 {
-		t.Error("its mark was written again")
+		t.Error("the version record was written again")
 	}
 	if existing := controller.versions.Older(); !slices.Equal(existing, []string{"z"}) {
 		t.Errorf("older %v", existing)
 	}
 	leader.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	again := begin()
-	again.markVersion(context.Background()) // returns once it has seen all
+	again.markVersion(context.Background()) // Returns once the records of all members exist.
 	if existing := again.versions.Older(); len(existing) > 0 {
 		t.Errorf("older %v", existing)
 	}
--- a/controller/dataset_requests_test.go
+++ b/controller/dataset_requests_test.go
@@ -11,8 +11,8 @@
 	"switchferry/store"
 )
 
-// A controller that accepts jobs without the leader, and has read the dataset before, refuses a job once the dataset is
-// being removed.
+// A controller that accepts jobs without the leader refuses a job whose dataset is being removed, even if it has cached the
+// dataset before the removal.
 func TestSubmissionWithoutLeaderRacesWithRemoval(t *testing.T) {
 	controller, state := newDataController(true)
 	controller.ask(VerbRegister, datasetSummary("inv", 8, 1e8))
@@ -32,7 +32,7 @@
 	}
 }
 
-// A removal can be requested again, also by several users at once; the name of a removed dataset is not used again.
+// The removal of a dataset can be requested repeatedly. The name of a removed dataset cannot be registered again.
 func TestDatasetRemovalIsIdempotent(t *testing.T) {
 	controller, state := newDataController(true)
 	remove := func(name string) peer.Response {
@@ -60,15 +60,15 @@
 	state.Down = false
 	state.Put(store.DatasetKey("odd"), map[string]any{"name": "odd", "parts": 1, "part_bytes": 1, "bytes": 1, "state": "paused"})
 	if response := remove("odd"); response.Status != 500 {
-		t.Errorf("a state of another version: %d %s", response.Status, response.Body)
+		t.Errorf("a record with an unknown state: %d %s", response.Status, response.Body)
 	}
 	off, _ := newDataController(false)
 	if response := off.Handle(context.Background(), peer.Request{Verb: VerbRemove, Job: "inv"}, false); response.Status != 404 {
-		t.Errorf("off: %d", response.Status)
+		t.Errorf("with datasets off: %d", response.Status)
 	}
 }
 
-// A name stands for the same content for ever; to register it again with that content is no error.
+// The content of a registered name never changes. Registering the same name and content again succeeds.
 func TestRegisteredDatasetsAreImmutable(t *testing.T) {
 	controller, _ := newDataController(true)
 	for _, testCase := range []struct {
--- a/controller/dependency_checks_test.go
+++ b/controller/dependency_checks_test.go
@@ -13,8 +13,8 @@
 	"switchferry/upgrade"
 )
 
-// A submission with invalid dependencies is refused with the field and stores nothing. A retry of an accepted job is
-// answered with its state, whatever dependencies it names.
+// A submission with invalid dependencies is refused with the name of the field, and nothing is stored. A retry of an
+// accepted job is answered with its state, whatever dependencies it names.
 func TestInvalidDependenciesAreRefused(t *testing.T) {
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
@@ -22,7 +22,7 @@
 	service.Shape, service.Rank = api.Service, "prod"
 	leader.submit(service)
 	controller := leader.beside()
-	leader.leading = false // all is told from the records
+	leader.leading = false // All answers come from the records.
 	var long []string
 	for index := range tuning.MaxDependencies + 1 {
 		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+index))
@@ -64,18 +64,18 @@
 		}
 	}
 	if leader.state.Get(store.JobKey("run-000009")) != nil || leader.state.Requests-before > 100 {
-		t.Errorf("something was stored, or asked %d times", leader.state.Requests-before)
+		t.Errorf("the job was stored, or the state service received %d requests", leader.state.Requests-before)
 	}
 	if response := ask(`["run-000001"]`); response.Status != 201 {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
 	if response := ask(`["run-000404"]`); response.Status != 200 {
-		t.Errorf("a repetition that names another job: %d %s", response.Status, response.Body)
+		t.Errorf("a retry that names another dependency: %d %s", response.Status, response.Body)
 	}
 }
 
-// While a process of the first version may run, no job with dependencies is accepted, since it would start the job at
-// once.
+// While a process of the first version may run, no job with dependencies is accepted, since that version would start the
+// job without waiting for them.
 func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
@@ -91,7 +91,7 @@
 	}
 	controller.submissions.Versions.Observe("z", upgrade.VersionMark{Data: 1})
 	if response := ask(); response.Status != 503 {
-		t.Errorf("beside data of version 1: %d", response.Status)
+		t.Errorf("while a member has data version 1: %d", response.Status)
 	}
 	controller.submissions.Versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
 	if response := ask(); response.Status != 201 {
--- a/controller/dependent_answers_test.go
+++ b/controller/dependent_answers_test.go
@@ -10,14 +10,11 @@
 	"switchferry/store"
 )
 
-// Seen: by reading, while a job's state that went back was looked into: a job that others call cancelled is pending to the
-// leader.
-// How: the transaction that stores a cancellation is carried out and its answer is lost. Whoever reads the record answers for
-// the jobs that depend on the cancelled one too: they are cancelled with it.
-// Cause: until the leader knew what became of the transaction, it looked at each job's own end alone. The end that is under
-// way belongs to another job, the dependency, direct or not.
-// Proof: here each of two dependants is answered as cancelled by another controller, and then as pending by the leader, to a
-// question and to a repeated submission.
+// Guards against a job that the leader reports as pending after another controller has reported it as cancelled. The
+// transaction that stores a cancellation is committed and its response is lost. Any controller that reads the record then
+// reports the job and its direct and indirect dependents as cancelled. Until the outcome of the transaction was known, the
+// leader considered only the cancellation of the job itself, and not that of its dependencies. The test checks two
+// dependents, with status requests and with repeated submissions.
 func TestDependentOfACancellationWithALostAnswerIsNotTakenBack(t *testing.T) {
 	leader, process := newLeaderProcess(t)
 	if _, err := process.client.Get(t.Context(), store.LeaderKey); err != nil {
@@ -42,27 +39,27 @@
 		{"repeated submission", func(id string) peer.Request {
 			return peer.Request{Verb: VerbSubmit, Body: []byte(strings.Replace(submissionBody(id, 1, ""), `"team"`, `"t"`, 1))}
 		}},
-		{"question", func(id string) peer.Request { return peer.Request{Verb: VerbStatus, Job: id} }},
+		{"status request", func(id string) peer.Request { return peer.Request{Verb: VerbStatus, Job: id} }},
 	}
 	for _, c := range []*Controller{process, beside} {
-		// The share of reads that questions may take is another test's matter.
+		// Another test covers the limit on reads for status requests.
 		c.readLimiter.SetLimit(1e9)
 		c.readLimiter.SetBurst(1 << 30)
 	}
 	check := func(when string) {
 		for _, id := range chain {
 			if got := stateAnswered(t, beside, peer.Request{Verb: VerbStatus, Job: id}); got != api.Cancelled {
-				t.Fatalf("%s, on record %s is %v", when, id, got)
+				t.Fatalf("%s, another controller answers for %s: %v", when, id, got)
 			}
 			for _, question := range questions {
 				if got := stateAnswered(t, process, question.request(id)); got != api.Cancelled {
-					t.Errorf("%s, another controller has answered %s for %s; the leader answers %v to a %s", when, api.Cancelled, id, got, question.name)
+					t.Errorf("%s, another controller has answered %s for %s; the leader answered %v to a %s", when, api.Cancelled, id, got, question.name)
 				}
 			}
 		}
 	}
-	check("before the leader knows")
+	check("before the leader knows the outcome")
 	leader.clock.Advance(time.Second)
 	leader.commit()
-	check("afterwards")
+	check("after the leader knows the outcome")
 }
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -17,8 +17,8 @@
 	"switchferry/tuning"
 )
 
-// Late copies of heartbeats neither show that workers reach a follower, nor redirect a worker, nor change what is
-// relayed.
+// A duplicate heartbeat does not count as evidence that workers reach a follower, and the response to it neither renews the
+// lease nor redirects the worker.
 func TestDuplicateHeartbeatsAreIgnoredByFollower(t *testing.T) {
 	controller, clock := newIsolatedController()
 	term := uint64(9)
@@ -30,15 +30,15 @@
 	existing.Seq = 10
 	status, body := controller.HandleHeartbeat(context.Background(), &existing, nil)
 	if response, ok := body.(api.HeartbeatResponse); !ok || status != http.StatusOK || response.Term != 0 {
-		t.Errorf("a copy was answered %d %+v", status, body)
+		t.Errorf("a duplicate was answered %d %+v", status, body)
 	}
 	if controller.heartbeats.receivesHeartbeats() {
-		t.Error("a copy counts as a worker that reaches this controller")
+		t.Error("a duplicate counts as evidence that workers reach this controller")
 	}
 }
 
-// A worker that claims a token which no leader was given does not end the term: while the leader's key certainly stands
-// its heartbeat is refused. It once ended every term.
+// A worker that reports a fencing token that was never issued does not end the term: while the leader's key is certainly
+// valid, the heartbeat is refused. Such a worker used to end every term.
 func TestUnissuedFencingTokenDoesNotEndTerm(t *testing.T) {
 	controller, _ := newIsolatedController()
 	valid := true
@@ -49,13 +49,13 @@
 	}
 	valid = false
 	if !controller.resignIfDeposed(sched) {
-		t.Error("a leader whose key may be gone does not believe it")
+		t.Error("a leader whose key may have expired does not resign on a higher token")
 	}
 }
 
-// A controller that reaches neither the state service nor a peer redirects a worker to the controller before it. A
-// worker that returns found no controller there and stays, or it would lose its lease while it tries one unreachable
-// controller after the other.
+// A controller that reaches neither the state service nor a peer redirects a worker to the previous controller. A worker
+// that returns got no response there and is kept; otherwise it would lose its lease while trying unreachable controllers
+// in turn.
 func TestIsolatedControllerKeepsReturningWorkers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -74,12 +74,12 @@
 	heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1, Term: term}
 	status, body := controller.HandleHeartbeat(context.Background(), heartbeat, nil)
 	if status != 421 || body.(api.Redirect).Controller != "n0" {
-		t.Fatalf("first report: %d %+v", status, body)
+		t.Fatalf("first heartbeat: %d %+v", status, body)
 	}
 	clock.Advance(6 * time.Second)
 	heartbeat.Seq++
 	status, body = controller.HandleHeartbeat(context.Background(), heartbeat, nil)
 	if response, ok := body.(api.HeartbeatResponse); status != 200 || !ok || response.Term != term || len(response.Commands) != 0 {
-		t.Errorf("report of a worker that came back: %d %+v", status, body)
+		t.Errorf("heartbeat of a worker that returned: %d %+v", status, body)
 	}
 }
--- a/controller/helper_test.go
+++ b/controller/helper_test.go
@@ -24,7 +24,7 @@
 	return set
 }
 
-// newDataController is a controller without a leader, with datasets on or off.
+// newDataController returns a controller without a leader, with datasets on or off, and its state service.
 func newDataController(on bool) (*Controller, *fake.State) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -37,7 +37,7 @@
 }
 
 func (c *Controller) ask(verb, body string) peer.Response {
-	// The share of reads that questions may take is another test's matter.
+	// Another test covers the limit on reads for status requests.
 	c.readLimiter.SetLimit(1e9)
 	c.readLimiter.SetBurst(1 << 30)
 	return c.Handle(context.Background(), peer.Request{Verb: verb, Body: []byte(body)}, false)
@@ -54,8 +54,8 @@
 		"expect_s":10,"snapshot_s":0,"stow_s":0,"due_s":null%s}`, id, "team", tasks, more)
 }
 
-// newFollower returns a controller that has received a hello of its leader n0. Once unresponsive is set, connections to
-// the leader stand and nothing is answered.
+// newFollower returns a controller that has received a hello from its leader n0. Once unresponsive is set, connections to
+// the leader stay open, but it sends no hellos.
 func newFollower(t *testing.T, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	t.Helper()
 	ctx := t.Context()
@@ -79,18 +79,18 @@
 	controller.catalog.types = testTypes
 	controller.peers.Run(ctx)
 	for !controller.peers.Reachable("n0") {
-		// The hello is on its way.
+		// Wait for the hello.
 	}
 	return controller, clock, state
 }
 
-// neverAnswer does not answer a request before its context ends.
+// neverAnswer is a handler that blocks until the context of the request ends.
 func neverAnswer(ctx context.Context, _ peer.Request) peer.Response {
 	<-ctx.Done()
 	return peer.Response{}
 }
 
-// newIsolatedController returns n1 of n0, n1 and n2, whose peers do not answer.
+// newIsolatedController returns the controller n1, whose peers n0 and n2 are unreachable.
 func newIsolatedController() (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
--- a/controller/input_checks_test.go
+++ b/controller/input_checks_test.go
@@ -10,8 +10,8 @@
 	"switchferry/store"
 )
 
-// Inputs with which a job can never run are refused at once, with the field and the remedy; a feasible job is stored
-// with its inputs.
+// A job that can never run with its inputs is refused at once, with the field and a remedy. A feasible job is stored with
+// its inputs.
 func TestInfeasibleInputsAreRefused(t *testing.T) {
 	controller, state := newDataController(true)
 	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1e9)); response.Status != 201 {
@@ -37,16 +37,16 @@
 		}
 	}
 	if rec := string(state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, `"inputs":[{"dataset":"inv","use":"own"}]`) {
-		t.Errorf("the record lost the inputs: %s", rec)
+		t.Errorf("the record does not contain the inputs: %s", rec)
 	}
-	// Without the state service nothing is decided, and that is said at once.
+	// Without the state service nothing can be decided, and the user is told at once to retry.
 	state.Down = true
 	if response := controller.ask(VerbSubmit, submissionBody("run-000009", 1, `,"inputs":[{"dataset":"new","use":"own"}]`)); response.Status != 503 || response.RetryAfterS == 0 {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
 }
 
-// With datasets off, inputs are an unknown field, which is ignored whatever it contains, as the protocol says.
+// With datasets off, inputs are an unknown field, which the protocol requires to be ignored whatever it contains.
 func TestInputsAreIgnoredWithDatasetsOff(t *testing.T) {
 	controller, state := newDataController(false)
 	response := controller.ask(VerbSubmit, submissionBody("run-000001", 4, `,"inputs":[{"nonsense":true}]`))
@@ -59,7 +59,7 @@
 		t.Errorf("records differ: %s %s", x, y)
 	}
 	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1)); response.Status != 404 || state.Get(store.DatasetKey("inv")) != nil {
-		t.Errorf("registered: %d", response.Status)
+		t.Errorf("a dataset was registered: %d", response.Status)
 	}
 	var decoded api.Submission
 	if raw, err := json.Marshal(decoded); err != nil || strings.Contains(string(raw), "inputs") {
--- a/controller/job_end_test.go
+++ b/controller/job_end_test.go
@@ -11,13 +11,13 @@
 	"switchferry/store"
 )
 
-// statusOf is the state that a controller answers about the job run-000001, or the status code of a failure.
+// statusOf returns the state that a controller answers for the job run-000001, or the status code of a failure.
 func statusOf(t *testing.T, controller *Controller) any {
 	t.Helper()
 	return stateAnswered(t, controller, peer.Request{Verb: VerbStatus, Job: "run-000001"})
 }
 
-// stateAnswered is the state that a controller answers to a request about a job, or the status code of a failure.
+// stateAnswered returns the job state that a controller answers to a request, or the status code of a failure.
 func stateAnswered(t *testing.T, controller *Controller, request peer.Request) any {
 	t.Helper()
 	response := controller.Handle(context.Background(), request, false)
@@ -31,15 +31,16 @@
 	return job.State
 }
 
-// The transaction that stores a job's end is carried out and its answer is lost. Whoever reads the record tells users of
-// the end, so the leader must not answer anything older until it knows what became of the transaction.
+// The transaction that stores a job's terminal state is committed and its response is lost. A controller that reads the
+// record reports the terminal state to users, so the leader must not answer with an older state while the outcome of the
+// transaction is unknown to it.
 func TestEndWithALostAnswerIsNotTakenBack(t *testing.T) {
 	for _, state := range []string{api.Done, api.Cancelled} {
 		t.Run(state, func(t *testing.T) {
 			leader := newLeader(t)
 			leading, beside := leader.beside(), leader.beside()
 			leading.term.begin(&leaderTerm{scheduler: leader.Scheduler})
-			// The state service answers it.
+			// Mark the state service as healthy for both controllers.
 			for _, c := range []*Controller{leading, beside} {
 				if _, err := c.client.Get(t.Context(), store.LeaderKey); err != nil {
 					t.Fatal(err)
@@ -58,11 +59,11 @@
 				leader.Cancel(cancelledContext(), "run-000001")
 			}
 			if got := statusOf(t, leading); got == state {
-				t.Fatalf("%v before it was written", got)
+				t.Fatalf("answered %v before it was written", got)
 			}
 			leader.committer.Step(t.Context())
 			if got := statusOf(t, beside); got != state {
-				t.Fatalf("on record it is %v, want %s", got, state)
+				t.Fatalf("another controller answers %v from the record, want %s", got, state)
 			}
 			if got := statusOf(t, leading); got != state {
 				t.Errorf("another controller has answered %s, the leader answers %v", state, got)
@@ -70,7 +71,7 @@
 			leader.clock.Advance(time.Second)
 			leader.commit()
 			if got := statusOf(t, leading); got != state {
-				t.Errorf("%v in the end, want %s", got, state)
+				t.Errorf("the leader answers %v after a retry, want %s", got, state)
 			}
 		})
 	}
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -17,36 +17,36 @@
 	"switchferry/upgrade"
 )
 
-// testTypes is the catalog of the tests' cloud.
+// testTypes is the catalog of machine types used by the tests.
 var testTypes = []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 0.5, BootS: 30, Zones: []string{"a", "b"}}}
 
-// testLeader is a scheduler on a fake clock with a scripted state service. Nothing of it runs by itself: the test plays the
-// workers and commits records.
+// testLeader is a scheduler on a fake clock with a fake state service. It starts no goroutines: the test sends the workers'
+// heartbeats and commits records.
 type testLeader struct {
 	*testing.T
 	*scheduler.Scheduler
 	clock     *clockwork.FakeClock
 	state     *fake.State
 	committer *store.Committer
-	// leading is whether the scheduler still leads.
+	// leading reports whether the scheduler still leads.
 	leading bool
 	// seq numbers the heartbeats of all machines.
 	seq uint64
-	// commands are those sent directly, by task.
+	// commands holds the commands that were sent directly, by task.
 	commands map[string][]api.Command
-	// sent are all direct commands that the test has not delivered.
+	// sent holds the direct commands that the test has not delivered yet.
 	sent []directCommands
-	// terminal has the jobs that are over for good.
+	// terminal holds the jobs in a terminal state.
 	terminal *lookup.TerminalStates
 }
 
-// directCommands are commands sent directly to a machine.
+// directCommands is a response with commands that is sent directly to a machine.
 type directCommands struct {
 	machine  string
 	response api.HeartbeatResponse
 }
 
-// committedRecords lets the leader's committer write while it leads.
+// committedRecords provides records to the leader's committer, which may write them while the leader leads.
 type committedRecords struct {
 	*scheduler.Scheduler
 	leader *testLeader
@@ -58,7 +58,7 @@
 
 func (r committedRecords) Deposed() { r.leader.leading = false }
 
-// newLeader returns the leader x of a new term with one team t.
+// newLeader returns the leader x of a new term. The only team is t.
 func newLeader(t *testing.T) *testLeader {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
@@ -67,7 +67,8 @@
 	return leader
 }
 
-// newLeaderProcess returns a leader together with the process that answers for it; both remember the same terminal states.
+// newLeaderProcess returns a leader and the controller process that serves requests for it. Both share the same terminal
+// states.
 func newLeaderProcess(t *testing.T) (*testLeader, *Controller) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
@@ -79,7 +80,7 @@
 	return leader, process
 }
 
-// elect begins a new term of the leader x, which has read no records.
+// elect begins a new term of the leader x, with empty records.
 func (l *testLeader) elect() {
 	l.leading, l.commands = true, map[string][]api.Command{}
 	set := &settings.Settings{Member: "x"}
@@ -103,19 +104,19 @@
 	}
 }
 
-// heartbeat plays worker a1 of zone a, which has seen the present term.
+// heartbeat sends a heartbeat of worker a1 in zone a, which knows the current term.
 func (l *testLeader) heartbeat() {
 	l.seq++
 	l.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: l.seq, Term: l.Term()}, "")
 }
 
-// smallJob returns a job of one task of team t.
+// smallJob returns a job of team t with one task.
 func smallJob(id string) *api.Submission {
 	return &api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1,
 		CPUs: 0.1, MemoryGB: 0.1, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30}
 }
 
-// submit stores a job.
+// submit submits a job to the leader, commits its record and checks that it was accepted.
 func (l *testLeader) submit(job *api.Submission) {
 	l.Helper()
 	l.Submit(cancelledContext(), job, l.clock.Now())
@@ -125,7 +126,7 @@
 	}
 }
 
-// status returns the state of a job as the leader knows it, empty if it knows none.
+// status returns the state of a job according to the leader, or an empty string if it does not know the job.
 func (l *testLeader) status(id string) string {
 	if status, ok := l.JobStatus(id); ok {
 		return status.State
@@ -134,7 +135,7 @@
 	return final.State
 }
 
-// starts returns how many run commands were sent directly for a task.
+// starts returns the number of run commands that were sent directly for a task.
 func (l *testLeader) starts(task string) (n int) {
 	for _, command := range l.commands[task] {
 		if command.Verb == api.CommandRun {
@@ -144,7 +145,7 @@
 	return n
 }
 
-// beside returns another controller, which answers from the records alone. All members have this version.
+// beside returns another controller, which answers from the records only. No member runs an older version.
 func (l *testLeader) beside() *Controller {
 	set := &settings.Settings{Member: "y"}
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
@@ -155,7 +156,7 @@
 	return controller
 }
 
-// cancelledContext is that of a user who waits for nothing.
+// cancelledContext returns a context that is already cancelled, so that calls return without waiting.
 func cancelledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/controller/leaderless_test.go
+++ b/controller/leaderless_test.go
@@ -13,7 +13,7 @@
 	"switchferry/store"
 )
 
-// A job that a controller accepts without the leader exists once, however often it is submitted.
+// A job that a controller accepts without the leader is stored once, however often it is submitted.
 func TestSubmissionWithoutLeaderIsIdempotent(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -25,10 +25,10 @@
 	if got := controller.submissions.SubmitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
 		t.Errorf("again: %d", got)
 	}
-	// With a leader's key standing, only the leader cancels; it is told.
+	// While a leader's key exists, only the leader may cancel; the request is passed to it through the inbox.
 	state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	if got := controller.submissions.CancelWithoutLeader(context.Background(), "run-000001").Status; got != 503 {
-		t.Errorf("cancelled beside a leader: %d", got)
+		t.Errorf("cancellation while a leader's key exists: %d", got)
 	}
 	if string(state.Get(store.InboxKey("run-000001"))) != `{"cancel":true}` {
 		t.Errorf("inbox %s", state.Get(store.InboxKey("run-000001")))
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -19,11 +19,11 @@
 	"switchferry/watermark"
 )
 
-// A controller that is isolated with its zone renews leases of workers only so long that the last one expires before the
-// tasks of a job must have ended whose cancellation was acknowledged elsewhere. It once renewed them until the partition
-// ended, and cancelled tasks ran on (docs/incidents/fleet-cancelled-behind-a-cut.md). A leader whose term may be over
-// does the same. An answer of the state service confirms nothing by itself: only what was read of the jobs does, from
-// when it was asked for. A process that never read them renews nothing.
+// A controller in an isolated zone stops renewing leases early enough that they expire before the deadline by which the
+// tasks of a job must end if its cancellation was acknowledged elsewhere. Renewing leases until the partition ended kept
+// cancelled tasks running (docs/incidents/fleet-cancelled-behind-a-cut.md). The same holds for a leader whose term may have
+// ended. A response of the state service is no confirmation by itself: only reading the job records is, as of the time of
+// the request. A process that has never read them renews no lease.
 func TestLeasesInIsolatedZoneExpireInTime(t *testing.T) {
 	for _, led := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
@@ -38,7 +38,7 @@
 		sched := scheduler.New(term, clock, set, controller.policy, testTypes, testCollaborators(func() bool { return false }))
 		state.Down = true
 		if controller.leases.mayRenew() {
-			t.Error("kept by a process that knows nothing")
+			t.Error("a process that has read no records renews leases")
 		}
 		word := clock.Now()
 		controller.leases.watermark.MarkCurrent(word)
@@ -59,38 +59,38 @@
 		}
 		most := settings.Seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
 		if last > most || last < most-tuning.LeaseRenewalMargin-time.Second {
-			t.Errorf("led %v: the last lease was renewed %v after the cut began; a cancelled task has %v", led, last, most)
+			t.Errorf("led %v: the last lease was renewed %v after the partition began, want at most %v", led, last, most)
 		}
 		if reason := strings.Join(controller.leases.problems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
-			t.Errorf("led %v: an operator is told %q", led, reason)
+			t.Errorf("led %v: the reasons for operators are %q", led, reason)
 		}
-		// Meanwhile a worker that finds nobody else is held, without a lease.
+		// A worker that reaches no other controller is kept, but its lease is not renewed.
 		if !led {
 			status, body := controller.HandleHeartbeat(context.Background(), &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 999, Term: term}, nil)
 			if response, ok := body.(api.HeartbeatResponse); !ok || status != 200 || response.Term != 0 || len(response.Commands) != 0 {
-				t.Errorf("a worker that came back is told %d %+v", status, body)
+				t.Errorf("a worker that returned is answered %d %+v", status, body)
 			}
 		}
-		// Once the records are read again, leases are renewed again.
+		// Leases are renewed again once the records have been read.
 		state.Down = false
 		_, _ = controller.client.Get(context.Background(), "k")
 		if controller.leases.mayRenew() {
-			t.Error("kept because the state service answers, though nothing of jobs was read")
+			t.Error("leases are renewed because the state service answers, though no job records were read")
 		}
 		state.Put(store.JobKey("run-7"), store.JobRecord{Job: api.Submission{ID: "run-7"}, FinalState: api.Cancelled})
 		if _, err := controller.leases.readCancelledJobs(context.Background(), 0); err != nil || !controller.leases.mayRenew() {
-			t.Errorf("not kept though the records of jobs were read, %v", err)
+			t.Errorf("leases are not renewed though the job records were read, %v", err)
 		}
 		answer := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 1000, Term: term, Tasks: []api.TaskReport{{Task: "run-7/0", Attempt: 9, State: api.TaskRunning}}}, "")
 		status, body := answer.status, answer.body
 		if response, ok := body.(api.HeartbeatResponse); !ok || status != 200 || len(response.Commands) != 1 || response.Commands[0].Verb != api.CommandKill || response.Commands[0].Task != "run-7/0" || response.Commands[0].Attempt != 9 {
-			t.Errorf("what was cancelled meanwhile is answered %d %+v", status, body)
+			t.Errorf("the heartbeat with a task of a cancelled job is answered %d %+v", status, body)
 		}
 	}
 }
 
-// A cancellation is stated to the peers before anyone can learn of it: before its record is written, since whoever reads
-// that may answer a user, and before an answer is sent, wherever it comes from.
+// A cancellation is announced to the peers before any user can learn of it: before its record is written, since any
+// controller that reads the record may answer a user, and before a response is sent, whatever its source.
 func TestCancellationsAreReplicatedBeforeTheyAreAcknowledged(t *testing.T) {
 	controller, clock := newIsolatedController()
 	knows := func(job string) bool {
@@ -106,7 +106,7 @@
 	}
 	sched.Cancel(cancelledContext(), "run-1")
 	if _, ok, _ := (recordSource{sched, controller}).Record(store.JobKey("run-1")); !ok || !knows("run-1") {
-		t.Error("the record of a cancellation leaves, and peers are told nothing")
+		t.Error("the record of a cancellation is provided for writing before it is announced to the peers")
 	}
 	client := controller.client
 	for _, job := range []string{"run-3", "run-4"} {
@@ -115,22 +115,22 @@
 		}
 	}
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-3"}, false); response.Status != 200 || !knows("run-3") {
-		t.Errorf("a user is told %d %s, and peers nothing", response.Status, response.Body)
+		t.Errorf("status request answered %d %s, and the cancellation is not announced to the peers", response.Status, response.Body)
 	}
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbCancel, Job: "run-4"}, false); response.Status != 200 || !knows("run-4") {
-		t.Errorf("a user who cancels without a leader is told %d %s, and peers nothing", response.Status, response.Body)
+		t.Errorf("cancellation without a leader answered %d %s, and it is not announced to the peers", response.Status, response.Body)
 	}
-	// Processes that may be of an older version are sent nothing that they do not know.
+	// Members that may run an older version are sent no messages that they do not know.
 	if _, _, ok := (cancellationExchange{controller.leases}).Position("n0"); ok {
-		t.Error("asks a peer without a mark")
+		t.Error("requests a statement from a peer without a version record")
 	}
 	if _, ok := (cancellationExchange{controller.leases}).Statement(0, 0); ok {
-		t.Error("answers a peer without a mark")
+		t.Error("sends a statement to a peer without a version record")
 	}
 }
 
-// A new leader that has not read the records may not know of an acknowledged cancellation: it renews no lease, and keeps
-// the worker until it knows. It once renewed leases as long as its key stood.
+// A new leader that has not read the records may not know all acknowledged cancellations. Until it does, it keeps the
+// worker but renews no lease. Leaders used to renew leases for as long as their key existed.
 func TestNewLeaderRenewsNoLeaseBeforeRecordsAreLoaded(t *testing.T) {
 	controller, clock := newIsolatedController()
 	controller.settings.Facts.Workers.CancelS = 40
@@ -146,10 +146,10 @@
 		return response
 	}
 	if response := ask(1); response.Term != 0 {
-		t.Errorf("a lease is renewed under token %d by a leader that knows nothing", response.Term)
+		t.Errorf("a leader that has not read the records renews a lease with token %d", response.Term)
 	}
 	controller.leases.watermark.MarkCurrent(clock.Now())
 	if response := ask(2); response.Term != 7 {
-		t.Errorf("token %d from a leader that knows", response.Term)
+		t.Errorf("token %d from a leader that knows all cancellations, want 7", response.Term)
 	}
 }
--- a/controller/relayed_start_test.go
+++ b/controller/relayed_start_test.go
@@ -19,29 +19,33 @@
 	"switchferry/store"
 )
 
-// relayedWorkers are a leader, a follower beside it and workers that keep the protocol. The test carries the packets
-// between leader and follower, and the direct commands.
+// relayedWorkers is a test fixture with a leader, a follower and workers that implement the protocol. The test transfers the
+// packets between leader and follower, and delivers the direct commands.
 type relayedWorkers struct {
 	*testing.T
 	leader   *testLeader
 	follower *Controller
 	workers  map[string]*fake.Worker
-	// failing are machines that fail every task.
+	// failing holds the machines on which every task fails.
 	failing map[string]bool
-	// carried is the revision up to which the leader has read the follower's packets.
+	// carried is the revision up to which the leader has read the follower's packets from the state service.
 	carried     uint64
 	reassembler relay.Reassembler
 
+	// mu guards silent.
 	mu sync.Mutex
-	// silent has the leader handle forwarded heartbeats without a reply in time; handled receives for each.
-	silent  bool
+	// silent makes the leader handle forwarded heartbeats without replying in time.
+	silent bool
+	// handled receives a value for each heartbeat that the leader has handled while silent.
 	handled chan struct{}
+	// running holds the machines on which each task runs.
 	running fake.Placements[string]
-	// twice are tasks that started on one machine while they ran on another.
+	// twice lists tasks that started on a machine while they ran on another.
 	twice []string
 }
 
-// newRelayedWorkers returns a leader x and a follower y, which knows the leader and is not connected with it yet.
+// newRelayedWorkers returns a fixture with a leader x and a follower y, which knows the leader but is not connected to it
+// yet.
 func newRelayedWorkers(t *testing.T, names ...string) *relayedWorkers {
 	t.Helper()
 	leader := newLeader(t)
@@ -88,7 +92,8 @@
 	}
 }
 
-// serveForwarded is the leader's end of the link: it handles a heartbeat, and while it is silent its reply is late.
+// serveForwarded is the leader's handler of forwarded heartbeats. While silent is set, it replies only after the request
+// has timed out.
 func (r *relayedWorkers) serveForwarded(ctx context.Context, request peer.Request) peer.Response {
 	var heartbeat api.Heartbeat
 	if err := json.Unmarshal(request.Body, &heartbeat); err != nil {
@@ -105,13 +110,13 @@
 	return peer.JSONResponse(http.StatusOK, response)
 }
 
-// heartbeat has a worker report to the follower and execute the answer.
+// heartbeat sends a worker's heartbeat to the follower and makes the worker execute the response.
 func (r *relayedWorkers) heartbeat(name string) {
 	report := r.workers[name].Report()
 	r.answer(name, report, r.ask(report))
 }
 
-// ask has the follower answer a report.
+// ask returns the follower's response to a heartbeat.
 func (r *relayedWorkers) ask(report *api.Heartbeat) any {
 	raw, err := json.Marshal(report)
 	if err != nil {
@@ -121,7 +126,7 @@
 	return body
 }
 
-// answer has a worker execute the answer to its report.
+// answer makes a worker execute the response to its heartbeat.
 func (r *relayedWorkers) answer(name string, report *api.Heartbeat, body any) {
 	r.Helper()
 	response, ok := body.(api.HeartbeatResponse)
@@ -131,7 +136,7 @@
 	r.workers[name].Answer(report, r.leader.clock.Now(), response)
 }
 
-// carryReports carries the follower's packets to the leader.
+// carryReports transfers the follower's packets to the leader.
 func (r *relayedWorkers) carryReports() {
 	r.Helper()
 	for r.follower.workerProxy.Exchange.Write(r.Context()) {
@@ -144,7 +149,7 @@
 	exchange.UnpackEvents(events, store.RelayPrefix, r.leader.Term(), &r.reassembler, r.leader.AcceptWorkerMessage)
 }
 
-// fetchCommands has the follower read the leader's packets.
+// fetchCommands makes the follower read the leader's packets.
 func (r *relayedWorkers) fetchCommands() {
 	r.Helper()
 	if _, err := r.follower.workerProxy.Exchange.Fetch(r.Context(), 0); err != nil {
@@ -152,7 +157,7 @@
 	}
 }
 
-// deliverCommands delivers the leader's direct commands, and their answers.
+// deliverCommands delivers the leader's direct commands to the workers, and their responses to the leader.
 func (r *relayedWorkers) deliverCommands() {
 	for len(r.leader.sent) > 0 {
 		sent := r.leader.sent[0]
@@ -162,7 +167,7 @@
 	}
 }
 
-// connect connects the follower with the leader.
+// connect connects the follower to the leader.
 func (r *relayedWorkers) connect() {
 	r.follower.peers.Run(r.Context())
 	for !r.follower.peers.Reachable("x") {
@@ -170,11 +175,11 @@
 	}
 }
 
-// A second way to a task on two machines, found after the first one: a follower that does not reach the leader answers
-// workers with commands from the leader's packets. When it reached the leader again, and the leader handled a heartbeat
-// without its reply arriving in time, the follower answered that heartbeat itself, as if the leader had never seen it. The
-// leader had taken the heartbeat for proof that the follower's packets were settled: it cleared the attempt, which had
-// failed, and started the task elsewhere, and then the follower delivered the old start once more.
+// Guards against a task that runs on two machines at once. A follower that does not reach the leader answers workers with
+// commands from the leader's packets. After it reached the leader again, the leader handled a forwarded heartbeat, but its
+// reply did not arrive in time, and the follower answered the heartbeat itself. The leader had taken the heartbeat as proof
+// that the follower's packets were no longer in use: it cleared the failed attempt and started the task on another machine.
+// The follower then delivered the old start command again.
 func TestForwardedHeartbeatWithoutReplyDeliversNoEarlierRelayedStart(t *testing.T) {
 	const task = "run-000001/0"
 	played := newRelayedWorkers(t, "a1", "a2")
@@ -189,7 +194,7 @@
 	played.heartbeat("a1")
 	report := played.workers["a1"].Report()
 	if len(report.Tasks) != 1 || report.Tasks[0].Cause != api.CauseError || len(played.leader.commands[task]) > 0 {
-		t.Fatalf("the relayed start did not arrive: %+v, sent directly %v", report.Tasks, played.leader.commands[task])
+		t.Fatalf("the relayed start command did not arrive: %+v, sent directly %v", report.Tasks, played.leader.commands[task])
 	}
 	delete(played.failing, "a1")
 
@@ -223,6 +228,6 @@
 		}
 	}
 	if len(played.twice) > 0 {
-		t.Errorf("ran twice: %v", played.twice)
+		t.Errorf("tasks that ran on two machines at once: %v", played.twice)
 	}
 }
--- a/controller/routing_bench_test.go
+++ b/controller/routing_bench_test.go
@@ -8,7 +8,7 @@
 	"switchferry/policy"
 )
 
-// BenchmarkQuestion is a user's question at the leader, for a job in memory.
+// BenchmarkQuestion measures a status request to the leader for a job in memory.
 func BenchmarkQuestion(b *testing.B) {
 	leader := newLeader(&testing.T{})
 	job := smallJob("run-000001")
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -22,7 +22,7 @@
 const sampleJob = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":1,"cores":1,"cards":0,"ram_gb":1,
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
-// Submissions and status requests are served without a leader that does not answer, before their users give up.
+// If the leader does not respond, submissions and status requests are served without it before their users time out.
 func TestUnresponsiveLeaderDoesNotDelayUsers(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -38,12 +38,12 @@
 		{peer.Request{Verb: VerbStatus, Job: "run-000001"}, 2*time.Second - tuning.StateTimeout, 200, tuning.PollPatience},
 	} {
 		if testCase.patient > testCase.within {
-			t.Errorf("%s waits %v for the leader, its user %v", testCase.r.Verb, testCase.patient, testCase.within)
+			t.Errorf("%s waits %v for the leader, which exceeds its user's timeout of %v", testCase.r.Verb, testCase.patient, testCase.within)
 		}
 		got := make(chan peer.Response, 1)
 		go func() { got <- controller.Handle(ctx, testCase.r, false) }()
-		// Waiting: the timer of hellos, the two ends of patience, what is left of
-		// the question before.
+		// The waiting timers are the hello timer, the two timeouts of the forwarded request and, in the second round, one
+		// that is left from the first request.
 		if err := clock.BlockUntilContext(ctx, 3+index); err != nil {
 			t.Fatal(err)
 		}
@@ -53,12 +53,12 @@
 		}
 	}
 	if state.Get(store.InboxKey("run-000001")) == nil {
-		t.Error("the leader is not told of the job when it goes on")
+		t.Error("there is no inbox entry from which the leader learns of the job")
 	}
 }
 
-// A leader that has just handed over says so before its next hello does. Requests that were forwarded to it are served
-// without it, and their users need not retry.
+// A leader that has just lost its term refuses forwarded requests before its next hello reports the loss. These requests
+// are served without it, and their users need not retry.
 func TestFormerLeaderIsBypassed(t *testing.T) {
 	ctx := t.Context()
 	controller, _, state := newFollower(t, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
@@ -70,8 +70,8 @@
 	}
 }
 
-// A submission that waits in a busy leader for the limit of writes is not stored beside it as well: that once took twice
-// the writes that the leader lacked.
+// A submission that waits in a busy leader because of the write limit is not also stored by the follower: that would take
+// twice the writes when the leader already lacks them.
 func TestBusyLeaderIsNotBypassed(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
@@ -83,23 +83,23 @@
 	got := make(chan peer.Response, 1)
 	before := state.Requests
 	go func() { got <- controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, false) }()
-	// The hello was sent before the request, and is answered before it.
+	// The hello was sent before the request and is answered before it.
 	<-asked
 	if err := clock.BlockUntilContext(ctx, 3); err != nil {
 		t.Fatal(err)
 	}
 	for controller.peers.ReceivedCount("n0") < 2 {
-		// Its answer is on its way.
+		// Wait for the response to the hello.
 	}
 	clock.Advance(tuning.AcceptPatience)
 	clock.Advance(tuning.PeerTimeout - tuning.AcceptPatience)
 	if response := <-got; response.Status != 503 || response.RetryAfterS == 0 || state.Requests != before {
-		t.Errorf("%d, again after %d s, %d requests to the state service", response.Status, response.RetryAfterS, state.Requests-before)
+		t.Errorf("status %d, retry after %d s, %d requests to the state service", response.Status, response.RetryAfterS, state.Requests-before)
 	}
 }
 
-// A leader that was paused past its term answers from the state service, where its successor has cancelled the job, and
-// not from memory.
+// A leader that was paused beyond the end of its term answers from the state service, where its successor has cancelled
+// the job, and not from memory.
 func TestDeposedLeaderDoesNotAnswerFromMemory(t *testing.T) {
 	leader := newLeader(t)
 	job := smallJob("run-000001")
@@ -118,15 +118,15 @@
 	leader.leading = false
 	leader.state.Put(store.JobKey("run-000001"), store.JobRecord{Job: *job, FinalState: api.Cancelled})
 	if _, ok := leader.JobStatus("run-000001"); ok {
-		t.Error("memory answers without a term")
+		t.Error("the scheduler answers from memory without leading")
 	}
 	if response := ask(); response.Status != 200 || !strings.Contains(string(response.Body), api.Cancelled) {
-		t.Errorf("%d %s, want what the state service holds", response.Status, response.Body)
+		t.Errorf("%d %s, want the state in the state service", response.Status, response.Body)
 	}
 }
 
-// Users who ask for unknown jobs again and again do not take the requests that the leader's key and the records need;
-// what cannot be read is refused at once.
+// Repeated status requests for unknown jobs do not use up the state service requests that are needed for the leader's key
+// and for records. Requests that exceed the read limit are refused with a retry time.
 func TestStatusRequestsLeaveStateServiceCapacity(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -145,21 +145,21 @@
 			got++
 			count[response.Status]++
 			if response.Status == 503 && response.RetryAfterS == 0 {
-				t.Fatal("refused without a word on when to come back")
+				t.Fatal("refused without a retry time")
 			}
 		case <-time.After(time.Millisecond):
 			clock.Advance(10 * time.Millisecond)
 		}
 	}
-	// One controller alone has half of the limit, for the burst and while questions wait; an
-	// unknown id takes two reads.
+	// A single controller has all of the read share, which is half of the request limit, for the burst and while requests
+	// wait. An unknown id takes two reads.
 	if most := int(2 * tuning.ReadShare * set.Facts.State.RPS * (1 + 3*tuning.QuestionWait.Seconds())); state.Requests > most || count[404] == 0 || count[404]+count[503] != 1000 {
 		t.Errorf("%d requests, want %d at most; answers %v", state.Requests, most, count)
 	}
 }
 
-// A status that was read before the job was cancelled is not answered after the cancellation was acknowledged, whether
-// it was read from the state service or by the leader. The job was once called pending again.
+// A status that was read before the job was cancelled is not sent after the cancellation was acknowledged, whether it was
+// read from the state service or answered by the leader. Such a job used to be reported as pending again.
 func TestStatusReadBeforeCancellationIsNotAnsweredAfterIt(t *testing.T) {
 	poll, cancel := peer.Request{Verb: VerbStatus, Job: "run-000001"}, peer.Request{Verb: VerbCancel, Job: "run-000001"}
 	state := func(response peer.Response) string {
@@ -203,11 +203,11 @@
 			go func() { got <- controller.Handle(ctx, poll, false) }()
 			<-asked
 			if response := controller.Handle(ctx, cancel, false); state(response) != api.Cancelled {
-				t.Fatalf("the cancellation is answered %d %s", response.Status, response.Body)
+				t.Fatalf("cancellation answered %d %s", response.Status, response.Body)
 			}
 			close(release)
 			if response := <-got; state(response) != api.Cancelled {
-				t.Errorf("then the poll is answered %d %s", response.Status, response.Body)
+				t.Errorf("status request that ends after the cancellation answered %d %s", response.Status, response.Body)
 			}
 		})
 	}
--- a/controller/stale_record_test.go
+++ b/controller/stale_record_test.go
@@ -13,13 +13,12 @@
 	"switchferry/tuning"
 )
 
-// Seen: at some 4,000 machines, under faults, a job that was over was called something else (went_back).
-// How: a read of the job's record is slow, as the state service's occasionally are. Meanwhile the job is cancelled, its user
-// is told, and its records are archived, so the leader has it in memory no more. Then the read ends.
-// Cause: the leader took for news what the read said, since it looked only at whether the job was in memory. The job was
-// pending again, its task was started, and its end replaced the cancellation that its user had been told.
-// Proof: here each path that reads a record for the leader gets such a read; the job is then started and answered as done. A
-// path that asks the memory of ended jobs first does so too once more jobs have ended since than that memory holds.
+// Guards against an ended job that becomes active again (the fault went_back, found with about 4,000 machines under injected
+// faults). A read of the job's record is slow. Meanwhile the job is cancelled, the cancellation is acknowledged, and the
+// job's records are archived, so that the leader no longer has the job in memory. Then the read returns. The leader used to
+// adopt any record of a job that was not in memory: the job was pending again, its task was started, and its end replaced
+// the acknowledged cancellation. The test delays a read on each path that reads a record for the leader. A path that checks
+// the cache of terminal states first is affected once the cache has evicted the job, so each is tested with and without it.
 func TestRecordReadBeforeTheEndDoesNotBringAJobBack(t *testing.T) {
 	const id = "run-000001"
 	paths := []struct {
@@ -32,13 +31,13 @@
 		{"dependency", func(ctx context.Context, leader *testLeader, process *Controller) {
 			leader.LookUpDependencies(ctx, process.jobs.Records, []string{id})
 		}},
-		{"question", func(ctx context.Context, _ *testLeader, process *Controller) {
+		{"status request", func(ctx context.Context, _ *testLeader, process *Controller) {
 			process.Handle(ctx, peer.Request{Verb: VerbStatus, Job: id}, true)
 		}},
 	}
 	for _, path := range paths {
 		for _, remembered := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, end remembered %v", path.name, remembered), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, terminal state cached %v", path.name, remembered), func(t *testing.T) {
 				leader, process := newLeaderProcess(t)
 				if _, err := process.client.Get(t.Context(), store.LeaderKey); err != nil {
 					t.Fatal(err)
@@ -62,7 +61,7 @@
 				}
 				late.Answer()
 				if path.name == "inbox" {
-					// The follower waits for more of the inbox; it is done with this entry once it has that deleted.
+					// The follower keeps watching the inbox; it has processed this entry once it has marked it for deletion.
 					waitFor(t, func() bool { return leader.committer.Pending() > 0 })
 					stop()
 				}
@@ -73,34 +72,34 @@
 					t.Errorf("a task of the cancelled job was started %d times", starts)
 				}
 				if got := statusOf(t, process); got != api.Cancelled {
-					t.Errorf("its user was told %s, the leader answers %v", api.Cancelled, got)
+					t.Errorf("acknowledged as %s, the leader answers %v", api.Cancelled, got)
 				}
 				if got := statusOf(t, leader.beside()); got != api.Cancelled {
-					t.Errorf("its user was told %s, another controller answers %v", api.Cancelled, got)
+					t.Errorf("acknowledged as %s, another controller answers %v", api.Cancelled, got)
 				}
 			})
 		}
 	}
 }
 
-// cancelAndArchive has the leader learn of a job by a question, and the job's user cancel it; then the job's records are
-// archived.
+// cancelAndArchive makes the leader adopt a job through a status request, cancels the job, and commits until the job's
+// records are archived.
 func cancelAndArchive(t *testing.T, leader *testLeader, process *Controller, id string) {
 	t.Helper()
 	if got := statusOf(t, process); got != api.Pending {
-		t.Fatalf("accepted, and answered as %v", got)
+		t.Fatalf("status after acceptance: %v", got)
 	}
 	leader.Cancel(cancelledContext(), id)
 	leader.commit()
 	if got := statusOf(t, process); got != api.Cancelled {
-		t.Fatalf("cancelled, and answered as %v", got)
+		t.Fatalf("status after cancellation: %v", got)
 	}
 	if leader.Presence(id).InMemory {
-		t.Fatal("not archived")
+		t.Fatal("the job's records are not archived")
 	}
 }
 
-// finishAnyTask has a machine report, run what it is told to run of a job's first task, and report that as done.
+// finishAnyTask sends heartbeats of a machine that runs the first task of a job, if it is told to, and reports it as done.
 func finishAnyTask(leader *testLeader, id string) {
 	leader.heartbeat()
 	leader.Place()
@@ -116,12 +115,12 @@
 	}
 }
 
-// waitFor waits until a condition holds that another goroutine brings about.
+// waitFor waits up to 10 s until a condition holds, which another goroutine establishes.
 func waitFor(t *testing.T, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("does not come about")
+			t.Fatal("the condition does not hold after 10 s")
 		}
 	}
 }
--- a/controller/term_collaborators.go
+++ b/controller/term_collaborators.go
@@ -29,7 +29,7 @@
 	r.term.committer.MarkDirty(key, urgency, stored)
 }
 
-// MarkDirtyWithin is MarkDirty for a change whose write may be delayed by up to wait.
+// MarkDirtyWithin is MarkDirty for a change that may be delayed by up to wait, to be written together with others.
 func (r termRecords) MarkDirtyWithin(key string, urgency int, wait time.Duration, stored func()) {
 	r.term.committer.MarkDirtyWithin(key, urgency, wait, stored)
 }
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -7,8 +7,8 @@
 	"switchferry/scheduler"
 )
 
-// With both peers unresponsive, workers reach the last controller after one unreachable controller after the other. It
-// once resigned after 3.5 s without a heartbeat, and they found no controller.
+// With both peers unresponsive, workers reach the remaining controller only after trying the unreachable ones. It must not
+// resign before: it used to resign after 3.5 s without a heartbeat, and workers found no controller.
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
 	controller, clock := newIsolatedController()
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
@@ -22,9 +22,9 @@
 		return deaf
 	}
 	if step(9 * time.Second) {
-		t.Fatal("resigns while workers are on their way")
+		t.Fatal("resigns before workers can have reached it")
 	}
 	if !step(3 * time.Second) {
-		t.Error("leads on though nobody came")
+		t.Error("does not resign although no worker has reported")
 	}
 }
--- a/controller/verbs_test.go
+++ b/controller/verbs_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Verbs of requests that controllers alone send each other stay as the version in production has them; those of users
-// and operators are pinned by package internal/golden.
+// Verbs of requests that only controllers send each other must not change, for compatibility with the version in
+// production. The verbs of users' and operators' requests are checked by package internal/golden.
 func TestVerbsBetweenControllersAreStable(t *testing.T) {
 	for _, testCase := range []struct{ got, want string }{
 		{verbReport, "report"},
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -61,7 +61,8 @@
 }
 
 // controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, and
-// otherwise the zone's home controller. An unresponsive controller is replaced by its successor in the ring.
+// otherwise the zone's home controller. If the successor of that controller in the order in which workers try controllers
+// is unresponsive, redirect.Target chooses another one.
 func (w *workerRouter) controllerFor(zone, leader string) string {
 	to := leader
 	if w.zoneOf(leader) != zone {
