--- a/controller/admission/dependencies.go
+++ b/controller/admission/dependencies.go
@@ -18,8 +18,8 @@
 	if len(submission.Awaits) > tuning.MaxDependencies {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
 	}
-	if existing := s.Versions.Older(); len(existing) > 0 {
-		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(existing, ", "), nil
+	if older := s.Versions.Older(); len(older) > 0 {
+		return "a job can only await others once all controllers have the new version; not seen yet of " + strings.Join(older, ", "), nil
 	}
 	refusals := make([]error, len(submission.Awaits))
 	undecidedReasons := make([]string, len(submission.Awaits))
@@ -37,12 +37,12 @@
 
 // checkDependency checks whether a job may depend on the job with the given id. Its results are those of
 // checkDependencies.
-func (s *Service) checkDependency(ctx context.Context, sched *scheduler.Scheduler, job, id string) (undecided string, err error) {
+func (s *Service) checkDependency(ctx context.Context, sched *scheduler.Scheduler, dependent, id string) (undecided string, err error) {
 	refusal := func(reason string) error { return &api.FieldError{Field: "awaits", Want: id + " " + reason} }
-	if id == job {
+	if id == dependent {
 		return "", refusal("is the job itself")
 	}
-	for again := false; ; again = true {
+	for retried := false; ; retried = true {
 		if sched != nil {
 			switch dependency := sched.Presence(id); {
 			case dependency.Service:
@@ -53,15 +53,15 @@
 				return id + " is just being accepted", nil
 			}
 		}
-		x, err := s.jobs.Records.ReadInTurn(ctx, id, "")
+		record, err := s.jobs.Records.ReadInTurn(ctx, id, "")
 		switch {
 		case err != nil:
 			return "the state service is out of reach", nil //nolint:nilerr // The reason reports the failure, and the user retries.
-		case x.Service:
+		case record.Service:
 			return "", refusal("is a service, which is never done")
-		case x.Found:
+		case record.Found:
 			return "", nil
-		case again:
+		case retried:
 			return "", refusal("was never accepted")
 		}
 		sleep.For(ctx, s.clock, tuning.DependencyRetryDelay)
--- a/controller/admission/inputs.go
+++ b/controller/admission/inputs.go
@@ -62,16 +62,16 @@
 	if input.Use == api.UseAll {
 		return entry.Bytes
 	}
-	most := int64(0)
+	largest := int64(0)
 	for task := range tasks {
-		most = max(most, entry.PartBytes(task))
+		largest = max(largest, entry.PartBytes(task))
 	}
-	return most
+	return largest
 }
 
 // checkCacheSize returns a *api.FieldError if no machine type on which a job may run has a cache that holds that many
 // bytes. It returns nil while no machine types are known.
-func (s *Service) checkCacheSize(submission *api.Submission, bytes int64) error {
+func (s *Service) checkCacheSize(submission *api.Submission, taskBytes int64) error {
 	types := s.catalog.MachineTypes()
 	largest := 0.0
 	for i := range types {
@@ -79,9 +79,9 @@
 			largest = max(largest, s.Data.Cache(types[i].Name))
 		}
 	}
-	if len(types) > 0 && float64(bytes) > largest {
+	if len(types) > 0 && float64(taskBytes) > largest {
 		return &api.FieldError{Field: "inputs",
-			Want: fmt.Sprintf("a task needs %.3f GB of data; the largest cache of an allowed machine type holds %.3f GB", float64(bytes)/1e9, largest/1e9)}
+			Want: fmt.Sprintf("a task needs %.3f GB of data; the largest cache of an allowed machine type holds %.3f GB", float64(taskBytes)/1e9, largest/1e9)}
 	}
 	return nil
 }
--- a/controller/admission/leaderless.go
+++ b/controller/admission/leaderless.go
@@ -16,14 +16,14 @@
 
 // SubmitWithoutLeader accepts a job without the leader, provided that the given conditions hold too. It writes the job's
 // record together with an inbox entry, from which the leader learns of the job.
-func (s *Service) SubmitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, more ...store.Condition) peer.Response {
+func (s *Service) SubmitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, extraConditions ...store.Condition) peer.Response {
 	record := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
 	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
 	inputs, err := s.inputConditions(ctx, submission)
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	_, failed, err := s.leaderlessWriter.Transact(ctx, slices.Concat(conditions, more, inputs),
+	_, failed, err := s.leaderlessWriter.Transact(ctx, slices.Concat(conditions, extraConditions, inputs),
 		[]store.Operation{{Set: store.JobKey(submission.ID), Value: record}, {Set: store.InboxKey(submission.ID), Value: store.InboxRecord{}}})
 	switch {
 	case err == nil:
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -88,17 +88,17 @@
 
 // New returns a Service with datasets and topology off.
 func New(options Options) *Service {
-	writes := options.Settings.Facts.State.Least().WriteRPS
-	rest := writes * (1 - tuning.QuotaShare)
-	limiter := rate.NewLimiter(rate.Limit(rest), max(1, int(rest)))
-	accepted := tuning.QuotaShare * writes / float64(1+len(options.Settings.Peers))
-	retries, err := retry.New(accepted, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
+	writeRate := options.Settings.Facts.State.Least().WriteRPS
+	leaderlessRate := writeRate * (1 - tuning.QuotaShare)
+	limiter := rate.NewLimiter(rate.Limit(leaderlessRate), max(1, int(leaderlessRate)))
+	acceptRate := tuning.QuotaShare * writeRate / float64(1+len(options.Settings.Peers))
+	retries, err := retry.New(acceptRate, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
 	if err != nil {
 		panic(err) // retry.New fails only for a limit below one, and these limits are constants.
 	}
 	return &Service{settings: options.Settings, clock: options.Clock, client: options.Client, catalog: options.Catalog,
 		configuration: options.Configuration, datasets: options.Datasets, jobs: options.Jobs, Versions: options.Versions,
-		leaderlessWriter: store.NewHedgedClient(options.Client, options.Clock, limiter, writes), retries: retries}
+		leaderlessWriter: store.NewHedgedClient(options.Client, options.Clock, limiter, writeRate), retries: retries}
 }
 
 // submissionVerdict is the outcome of checking a submission, which can be accepted if it is neither refused nor
@@ -217,8 +217,8 @@
 // checkRecordSize returns a *api.FieldError if the record of a job is too large for the state service.
 func (s *Service) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
-	if most := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > most {
-		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), most)}
+	if limit := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > limit {
+		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), limit)}
 	}
 	return err
 }
@@ -243,12 +243,12 @@
 		return rules, true, nil
 	}
 	for i, active := range rules.Configurations {
-		open, found := feasibility.CanRun(submission, active.Limit, types)
-		if i > 0 && (found == nil) != (err == nil) {
+		unknown, refusal := feasibility.CanRun(submission, active.Limit, types)
+		if i > 0 && (refusal == nil) != (err == nil) {
 			rules.UnknownReason = "the configuration is just changing"
 			return rules, true, nil
 		}
-		err, undecided = found, undecided || open
+		err, undecided = refusal, undecided || unknown
 	}
 	return rules, undecided, err
 }
@@ -283,9 +283,9 @@
 func (s *Service) SetRetryAfter(response *peer.Response, body []byte) {
 	refused := response.Status == http.StatusServiceUnavailable
 	s.mu.Lock()
-	none := s.retries.Waiting() == 0
+	noneWaiting := s.retries.Waiting() == 0
 	s.mu.Unlock()
-	if !refused && none {
+	if !refused && noneWaiting {
 		return
 	}
 	_, id, _ := api.ParseSubmission(body)
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -19,14 +19,14 @@
 // written first and of whether the leader or another controller accepts the job.
 func TestConcurrentAcceptAndDependencyCancellationCancelsJob(t *testing.T) {
 	for _, first := range []string{"accept", "cancel"} {
-		for _, alone := range []bool{false, true} {
+		for _, withoutLeader := range []bool{false, true} {
 			leader := newLeader(t)
 			leader.submit(smallJob("run-000001"))
 			submission := *smallJob("run-000002")
 			submission.Awaits = []string{"run-000001"}
 			accept := func() {
-				if alone {
-					leader.beside().submissions.SubmitWithoutLeader(context.Background(), &submission, nil)
+				if withoutLeader {
+					leader.otherController().submissions.SubmitWithoutLeader(context.Background(), &submission, nil)
 				} else {
 					leader.Submit(cancelledContext(), &submission, leader.clock.Now())
 				}
@@ -36,26 +36,26 @@
 			}
 			leader.Cancel(cancelledContext(), "run-000001")
 			if first == "cancel" {
-				if alone {
+				if withoutLeader {
 					leader.commit()
 				}
 				accept()
 			}
 			leader.commit()
-			if alone {
-				item, err := leader.beside().client.Get(context.Background(), store.JobKey("run-000002"))
+			if withoutLeader {
+				item, err := leader.otherController().client.Get(context.Background(), store.JobKey("run-000002"))
 				if err != nil {
 					t.Fatal(err)
 				}
 				leader.committer.SetRevision(item.Key, item.Revision)
 				leader.Conflict(item.Key, &item)
 			}
-			if st := leader.status("run-000002"); st != api.Cancelled {
-				t.Errorf("%s first, alone %v: %q", first, alone, st)
+			if state := leader.status("run-000002"); state != api.Cancelled {
+				t.Errorf("%s first, without leader %v: %q", first, withoutLeader, state)
 			}
-			job, _, err := leader.beside().jobs.LookUp(context.Background(), nil, "run-000002", true)
+			job, _, err := leader.otherController().jobs.LookUp(context.Background(), nil, "run-000002", true)
 			if err != nil || job.State != api.Cancelled {
-				t.Errorf("%s first, alone %v, from the records: %v %v", first, alone, job, err)
+				t.Errorf("%s first, without leader %v, from the records: %v %v", first, withoutLeader, job, err)
 			}
 			leader.Place()
 			leader.commit()
--- a/controller/agents_test.go
+++ b/controller/agents_test.go
@@ -24,31 +24,31 @@
 }
 
 // newAgentFollower returns a controller y with datasets on, and the leader x, which y does not reach.
-func newAgentFollower(t *testing.T) (y *Controller, leader *testLeader) {
+func newAgentFollower(t *testing.T) (follower *Controller, leader *testLeader) {
 	t.Helper()
 	leader = newLeader(t)
 	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "x", Address: "127.0.0.1:1"}}}
 	set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-	y = New(context.Background(), set, policy.Default(), leader.clock, leader.state)
-	y.Enable(&features.Features{Data: features.Data{On: true}})
-	if y.elector.Campaign(context.Background()) {
+	follower = New(context.Background(), set, policy.Default(), leader.clock, leader.state)
+	follower.Enable(&features.Features{Data: features.Data{On: true}})
+	if follower.elector.Campaign(context.Background()) {
 		t.Fatal("two leaders")
 	}
-	return y, leader
+	return follower, leader
 }
 
 // An agent that reports to a controller which does not reach the leader gets a response from the proxy, and its heartbeat
 // is relayed through the state service.
-func TestAgentHeartbeatsAreRelayedPastAnUnreachableLeader(t *testing.T) {
-	y, leader := newAgentFollower(t)
-	status, body := y.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil)
+func TestAgentHeartbeatsAreRelayedWhenLeaderIsUnreachable(t *testing.T) {
+	follower, leader := newAgentFollower(t)
+	status, body := follower.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil)
 	if _, ok := body.(api.StageOrder); status != 200 || !ok {
 		t.Fatalf("answered %d %+v", status, body)
 	}
 	if leader.state.Under(store.AgentRelayPrefix) != 0 {
 		t.Fatal("the heartbeat is stored before the exchange writes it")
 	}
-	for y.agents.proxy.Exchange.Write(context.Background()) {
+	for follower.agents.proxy.Exchange.Write(context.Background()) {
 	}
 	if leader.state.Under(store.AgentRelayPrefix) == 0 {
 		t.Error("the heartbeat is not stored for the leader")
@@ -57,11 +57,11 @@
 
 // A controller that reaches neither the leader nor the state service refuses agents' heartbeats at once.
 func TestAgentHeartbeatIsRefusedWithoutStateService(t *testing.T) {
-	y, leader := newAgentFollower(t)
+	follower, leader := newAgentFollower(t)
 	leader.state.Down = true
 	leader.clock.Advance(time.Second)
-	_, _ = y.client.Get(context.Background(), "k")
-	if status, _ := y.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil); status != 503 {
+	_, _ = follower.client.Get(context.Background(), "k")
+	if status, _ := follower.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil); status != 503 {
 		t.Error(status)
 	}
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -52,7 +52,7 @@
 	after := uint64(0)
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		needed := !l.answeredAloneAt.IsZero() && l.clock.Since(l.answeredAloneAt) < tuning.WatermarkNeeded
+		needed := !l.nonLeaderDecisionAt.IsZero() && l.clock.Since(l.nonLeaderDecisionAt) < tuning.WatermarkNeeded
 		l.mu.Unlock()
 		if needed && l.term.scheduler() == nil {
 			if next, err := l.readCancelledJobs(ctx, after); err == nil {
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -91,7 +91,7 @@
 
 // RefreshPeer makes a peer read the newest revision now, and returns the number of the revision that it found.
 func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
-	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbConfirm, From: l.controller.settings.Member}, tuning.PeerTimeout)
+	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbRefreshConfiguration, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
 		return 0, fmt.Errorf("ask %s for its revision: %w", member, err)
 	}
@@ -115,7 +115,7 @@
 	if l.revisions == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "live configuration is off"})
 	}
-	if request.Verb == verbConfirm {
+	if request.Verb == verbRefreshConfiguration {
 		number, err := l.revisions.Refresh(ctx)
 		if err != nil {
 			return peer.RetryLater("the state service is out of reach")
@@ -156,15 +156,15 @@
 		return admission.Rules{Configurations: l.fileConfiguration}
 	}
 	if applier := l.term.applier(); sched != nil && applier != nil {
-		by := applier.Candidates()
-		if len(by) == 0 || !sched.Leading() {
+		candidates := applier.Candidates()
+		if len(candidates) == 0 || !sched.Leading() {
 			return admission.Rules{UnknownReason: "the configuration is not known yet"}
 		}
-		return admission.Rules{Configurations: by}
+		return admission.Rules{Configurations: candidates}
 	}
-	right, ok := l.revisions.Lease()
+	lease, ok := l.revisions.Lease()
 	if !ok {
 		return admission.Rules{UnknownReason: "the configuration cannot be confirmed now"}
 	}
-	return admission.Rules{Configurations: []*configuration.Active{right.Active}, Conditions: []store.Condition{{Key: configuration.HeadKey, Revision: right.StoreRevision}}}
+	return admission.Rules{Configurations: []*configuration.Active{lease.Active}, Conditions: []store.Condition{{Key: configuration.HeadKey, Revision: lease.StoreRevision}}}
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -17,8 +17,8 @@
 	"switchferry/tuning"
 )
 
-// overEmptyFiles parses a configuration document and applies it over empty configuration files.
-func overEmptyFiles(t *testing.T, text string) *configuration.Active {
+// parseOverEmptyFiles parses a configuration document and applies it over empty configuration files.
+func parseOverEmptyFiles(t *testing.T, text string) *configuration.Active {
 	t.Helper()
 	document, err := configuration.Parse(text)
 	if err != nil {
@@ -29,7 +29,7 @@
 
 // Without the leader, a submission is checked only against a recently confirmed configuration, and stored only on the
 // condition that this configuration is still the newest.
-func TestSubmissionsWithoutTheLeaderNeedAConfirmedConfiguration(t *testing.T) {
+func TestSubmissionWithoutLeaderRequiresConfirmedConfiguration(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
 	controller, clock, state := newFollower(t, &unresponsive, func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
@@ -40,12 +40,12 @@
 	if response := submit("run-000001"); response.Status != http.StatusServiceUnavailable || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "cannot be confirmed") {
 		t.Fatalf("before anything was read: %d %s", response.Status, response.Body)
 	}
-	confirm := func() {
+	refresh := func() {
 		if _, err := controller.configuration.revisions.Refresh(ctx); err != nil {
 			t.Fatal(err)
 		}
 	}
-	confirm()
+	refresh()
 	if response := submit("run-000001"); response.Status != http.StatusCreated {
 		t.Fatalf("confirmed: %d %s", response.Status, response.Body)
 	}
@@ -61,7 +61,7 @@
 	if response := submit("run-000002"); response.Status != http.StatusServiceUnavailable || state.Get(store.JobKey("run-000002")) != nil {
 		t.Errorf("after an unread configuration change: %d %s", response.Status, response.Body)
 	}
-	confirm()
+	refresh()
 	if response := submit("run-000002"); response.Status != http.StatusUnprocessableEntity || !strings.Contains(string(response.Body), "team's limit") {
 		t.Errorf("under the new configuration: %d %s", response.Status, response.Body)
 	}
@@ -109,8 +109,8 @@
 
 // The configuration can be changed only once all controllers have recorded that they support changes. A document that has
 // an error or configures a feature that is off is refused.
-func TestChangesNeedAllControllers(t *testing.T) {
-	controller := newLeader(t).beside()
+func TestConfigurationChangeRequiresSupportByAllControllers(t *testing.T) {
+	controller := newLeader(t).otherController()
 	controller.settings.Peers = []settings.Peer{{Member: "z"}}
 	controller.configuration.newRevisionStore()
 	response := controller.Handle(context.Background(), peer.Request{Verb: VerbConfigure, Body: []byte(`{}`)}, true)
@@ -132,13 +132,13 @@
 }
 
 // A setting that a later revision omits takes its value from the files again.
-func TestSettingLeftOutIsAsInTheFiles(t *testing.T) {
-	controller := newLeader(t).beside()
+func TestOmittedSettingFallsBackToFiles(t *testing.T) {
+	controller := newLeader(t).otherController()
 	controller.features.data.Ahead = 5
-	if ahead := *controller.configuration.withFileDefaults(overEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
+	if ahead := *controller.configuration.withFileDefaults(parseOverEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
 		t.Fatalf("ahead %d with 9 configured", ahead)
 	}
-	if ahead := *controller.configuration.withFileDefaults(overEmptyFiles(t, "")).AheadTasks; ahead != 5 {
+	if ahead := *controller.configuration.withFileDefaults(parseOverEmptyFiles(t, "")).AheadTasks; ahead != 5 {
 		t.Errorf("ahead %d after a revision omits it, the features file has 5", ahead)
 	}
 }
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -104,7 +104,7 @@
 			return peer.JSONResponse(http.StatusInternalServerError, api.Error{Error: "its record is damaged: " + err.Error()})
 		}
 		if entry.State == dataset.Listed {
-			entry, err = d.unlist(ctx, item, entry)
+			entry, err = d.markRemoving(ctx, item, entry)
 			if errors.Is(err, store.ErrConflict) {
 				continue
 			}
@@ -117,9 +117,9 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// unlist stores that a dataset is being removed and returns its new entry; item is its record as read. The error is
+// markRemoving stores that a dataset is being removed and returns its new entry; item is its record as read. The error is
 // store.ErrConflict if the record has changed since then.
-func (d *datasetService) unlist(ctx context.Context, item store.Item, entry *dataset.Entry) (*dataset.Entry, error) {
+func (d *datasetService) markRemoving(ctx context.Context, item store.Item, entry *dataset.Entry) (*dataset.Entry, error) {
 	next := *entry
 	next.State = dataset.Removing
 	revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: item.Key, Revision: item.Revision}}, []store.Operation{{Set: item.Key, Value: next}})
--- a/controller/dependency_checks_test.go
+++ b/controller/dependency_checks_test.go
@@ -21,7 +21,7 @@
 	service := smallJob("run-000002")
 	service.Shape, service.Rank = api.Service, "prod"
 	leader.submit(service)
-	controller := leader.beside()
+	controller := leader.otherController()
 	leader.leading = false // All answers come from the records.
 	var long []string
 	for index := range tuning.MaxDependencies + 1 {
@@ -79,7 +79,7 @@
 func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
-	controller := leader.beside()
+	controller := leader.otherController()
 	controller.submissions.Versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
 	controller.submissions.Versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
 	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
--- a/controller/dependent_answers_test.go
+++ b/controller/dependent_answers_test.go
@@ -15,7 +15,7 @@
 // reports the job and its direct and indirect dependents as cancelled. Until the outcome of the transaction was known, the
 // leader considered only the cancellation of the job itself, and not that of its dependencies. The test checks two
 // dependents, with status requests and with repeated submissions.
-func TestDependentOfACancellationWithALostAnswerIsNotTakenBack(t *testing.T) {
+func TestDependentStaysCancelledWhenCancellationResponseIsLost(t *testing.T) {
 	leader, process := newLeaderProcess(t)
 	if _, err := process.client.Get(t.Context(), store.LeaderKey); err != nil {
 		t.Fatal(err)
@@ -31,8 +31,8 @@
 	leader.state.LoseAnswer = true
 	leader.Cancel(cancelledContext(), chain[0])
 	leader.committer.Step(t.Context())
-	beside := leader.beside()
-	questions := []struct {
+	other := leader.otherController()
+	requests := []struct {
 		name    string
 		request func(id string) peer.Request
 	}{
@@ -41,17 +41,17 @@
 		}},
 		{"status request", func(id string) peer.Request { return peer.Request{Verb: VerbStatus, Job: id} }},
 	}
-	for _, c := range []*Controller{process, beside} {
+	for _, c := range []*Controller{process, other} {
 		// Another test covers the limit on reads for status requests.
 		c.readLimiter.SetLimit(1e9)
 		c.readLimiter.SetBurst(1 << 30)
 	}
 	check := func(when string) {
 		for _, id := range chain {
-			if got := stateAnswered(t, beside, peer.Request{Verb: VerbStatus, Job: id}); got != api.Cancelled {
+			if got := stateAnswered(t, other, peer.Request{Verb: VerbStatus, Job: id}); got != api.Cancelled {
 				t.Fatalf("%s, another controller answers for %s: %v", when, id, got)
 			}
-			for _, question := range questions {
+			for _, question := range requests {
 				if got := stateAnswered(t, process, question.request(id)); got != api.Cancelled {
 					t.Errorf("%s, another controller has answered %s for %s; the leader answered %v to a %s", when, api.Cancelled, id, got, question.name)
 				}
--- a/controller/heartbeat_monitor.go
+++ b/controller/heartbeat_monitor.go
@@ -15,21 +15,21 @@
 // heartbeatMonitor distinguishes new heartbeats from duplicates and tracks whether workers reach this controller directly.
 type heartbeatMonitor struct {
 	clock clockwork.Clock
-	// recent is the time after the last new heartbeat during which workers count as reaching this controller.
-	recent time.Duration
+	// recentWindow is the time after the last new heartbeat during which workers count as reaching this controller.
+	recentWindow time.Duration
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// newest holds the newest heartbeat that each worker has sent to this controller.
-	newest *reachability.Deduplicator
+	// deduplicator holds the newest heartbeat that each worker has sent to this controller.
+	deduplicator *reachability.Deduplicator
 	// lastReceivedAt is when a worker last sent a new heartbeat; it is zero before the first one.
 	lastReceivedAt time.Time
 }
 
 // newHeartbeatMonitor returns a monitor that has received no heartbeats.
 func newHeartbeatMonitor(clock clockwork.Clock, workers settings.Workers) *heartbeatMonitor {
-	return &heartbeatMonitor{clock: clock, recent: settings.Seconds(tuning.RecentHeartbeats * workers.ReportS),
-		newest: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
+	return &heartbeatMonitor{clock: clock, recentWindow: settings.Seconds(tuning.RecentHeartbeats * workers.ReportS),
+		deduplicator: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
 }
 
 // accept records a heartbeat that a worker sent to this controller and reports whether it is new. A duplicate is no
@@ -37,7 +37,7 @@
 func (h *heartbeatMonitor) accept(heartbeat *api.Heartbeat) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	fresh := h.newest.Accept(heartbeat)
+	fresh := h.deduplicator.Accept(heartbeat)
 	if fresh {
 		h.lastReceivedAt = h.clock.Now()
 	}
@@ -48,5 +48,5 @@
 func (h *heartbeatMonitor) receivesHeartbeats() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.lastReceivedAt.IsZero() && h.clock.Since(h.lastReceivedAt) < h.recent
+	return !h.lastReceivedAt.IsZero() && h.clock.Since(h.lastReceivedAt) < h.recentWindow
 }
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -45,7 +45,7 @@
 		if to, ok := c.redirectWorker(heartbeat, leader); ok {
 			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: to}}
 		}
-		request := peer.Request{Verb: verbReport, Body: raw, From: c.settings.Member}
+		request := peer.Request{Verb: verbForwardHeartbeat, Body: raw, From: c.settings.Member}
 		if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
 			return answer{response.Status, json.RawMessage(response.Body)}
 		}
@@ -112,7 +112,7 @@
 	case deposed && c.resignIfDeposed(sched):
 		return answer{http.StatusMisdirectedRequest, api.Redirect{}}
 	case deposed:
-		return answer{http.StatusBadRequest, api.Error{Error: "helm: is higher than any token that was given", Field: "helm"}}
+		return answer{http.StatusBadRequest, api.Error{Error: "helm: is higher than any token that was issued", Field: "helm"}}
 	case refused:
 		return answer{http.StatusServiceUnavailable, api.Error{Error: "this machine was returned"}}
 	case !renewed:
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -26,9 +26,9 @@
 	controller.HandleHeartbeat(context.Background(), &heartbeat, nil)
 	heartbeat.Seq = 11
 	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeats * controller.settings.Facts.Workers.ReportS))
-	existing := heartbeat
-	existing.Seq = 10
-	status, body := controller.HandleHeartbeat(context.Background(), &existing, nil)
+	duplicate := heartbeat
+	duplicate.Seq = 10
+	status, body := controller.HandleHeartbeat(context.Background(), &duplicate, nil)
 	if response, ok := body.(api.HeartbeatResponse); !ok || status != http.StatusOK || response.Term != 0 {
 		t.Errorf("a duplicate was answered %d %+v", status, body)
 	}
--- a/controller/helper_test.go
+++ b/controller/helper_test.go
@@ -48,10 +48,10 @@
 	return string(raw)
 }
 
-func submissionBody(id string, tasks int, more string) string {
+func submissionBody(id string, tasks int, extraFields string) string {
 	return fmt.Sprintf(`{"name_id":%q,"jobclass":"c","owner":%q,"shape":"sweep","rank":"normal","parts":%d,"cores":1,"cards":0,"ram_gb":1,
 		"bundle":"img","size_gb":1,"hulls":null,"berth":null,"together":false,"apart":false,"standby":true,
-		"expect_s":10,"snapshot_s":0,"stow_s":0,"due_s":null%s}`, id, "team", tasks, more)
+		"expect_s":10,"snapshot_s":0,"stow_s":0,"due_s":null%s}`, id, "team", tasks, extraFields)
 }
 
 // newFollower returns a controller that has received a hello from its leader n0. Once unresponsive is set, connections to
--- a/controller/inbox/inbox.go
+++ b/controller/inbox/inbox.go
@@ -47,7 +47,7 @@
 			}
 			continue
 		}
-		f.takePending(ctx)
+		f.processPending(ctx)
 	}
 }
 
@@ -83,17 +83,17 @@
 	return nil
 }
 
-// takePending processes the pending keys. Keys that could not be read remain pending.
-func (f *Follower) takePending(ctx context.Context) {
-	f.pending = slices.DeleteFunc(f.pending, func(key string) bool { return f.take(ctx, key) })
+// processPending processes the pending keys. Keys that could not be read remain pending.
+func (f *Follower) processPending(ctx context.Context) {
+	f.pending = slices.DeleteFunc(f.pending, func(key string) bool { return f.process(ctx, key) })
 	if len(f.pending) == 0 {
 		f.scheduler.InboxSeen(f.after)
 	}
 }
 
-// take processes one key of the inbox and marks the entry for deletion. It returns false if the key must be processed
+// process processes one key of the inbox and marks the entry for deletion. It returns false if the key must be processed
 // again. A key must not be skipped: an accepted job whose key was skipped would start only once its user asked for it.
-func (f *Follower) take(ctx context.Context, key string) (done bool) {
+func (f *Follower) process(ctx context.Context, key string) (done bool) {
 	id := strings.TrimPrefix(key, store.InboxPrefix)
 	sentAt := f.clock.Now()
 	job, err := f.client.Get(ctx, store.JobKey(id))
--- a/controller/job_end_test.go
+++ b/controller/job_end_test.go
@@ -34,14 +34,14 @@
 // The transaction that stores a job's terminal state is committed and its response is lost. A controller that reads the
 // record reports the terminal state to users, so the leader must not answer with an older state while the outcome of the
 // transaction is unknown to it.
-func TestEndWithALostAnswerIsNotTakenBack(t *testing.T) {
+func TestTerminalStateWithLostResponseIsNotReverted(t *testing.T) {
 	for _, state := range []string{api.Done, api.Cancelled} {
 		t.Run(state, func(t *testing.T) {
 			leader := newLeader(t)
-			leading, beside := leader.beside(), leader.beside()
+			leading, other := leader.otherController(), leader.otherController()
 			leading.term.begin(&leaderTerm{scheduler: leader.Scheduler})
 			// Mark the state service as healthy for both controllers.
-			for _, c := range []*Controller{leading, beside} {
+			for _, c := range []*Controller{leading, other} {
 				if _, err := c.client.Get(t.Context(), store.LeaderKey); err != nil {
 					t.Fatal(err)
 				}
@@ -62,7 +62,7 @@
 				t.Fatalf("answered %v before it was written", got)
 			}
 			leader.committer.Step(t.Context())
-			if got := statusOf(t, beside); got != state {
+			if got := statusOf(t, other); got != state {
 				t.Fatalf("another controller answers %v from the record, want %s", got, state)
 			}
 			if got := statusOf(t, leading); got != state {
--- a/controller/jobstatus/reader.go
+++ b/controller/jobstatus/reader.go
@@ -62,9 +62,9 @@
 	return status, basis.Known()
 }
 
-// AnswerStatus answers a request for a job's status from the state service. Waits has the same meaning as for LookUp.
-func (j *Reader) AnswerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) peer.Response {
-	job, found, err := j.LookUp(ctx, sched, id, waits)
+// AnswerStatus answers a request for a job's status from the state service. Wait has the same meaning as for LookUp.
+func (j *Reader) AnswerStatus(ctx context.Context, sched *scheduler.Scheduler, id string, wait bool) peer.Response {
+	job, found, err := j.LookUp(ctx, sched, id, wait)
 	switch {
 	case errors.Is(err, ErrNotAnswerable):
 		return peer.RetryLater("the job's state is not known now")
@@ -77,14 +77,14 @@
 }
 
 // LookUp returns the status of a job from its records. It reads the job's record before the record of its terminal state,
-// since the latter is written before the former is deleted. If waits is set, the read is queued until this controller's
+// since the latter is written before the former is deleted. If wait is set, the read is queued until this controller's
 // share allows it, as for status requests; otherwise it fails at once with an error, as for submissions.
-func (j *Reader) LookUp(ctx context.Context, sched *scheduler.Scheduler, id string, waits bool) (_ api.JobStatus, found bool, err error) {
+func (j *Reader) LookUp(ctx context.Context, sched *scheduler.Scheduler, id string, wait bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
 	}
 	waitingUser := ""
-	if waits {
+	if wait {
 		waitingUser = id
 		defer func() {
 			if err == nil {
@@ -108,13 +108,13 @@
 		}
 	}
 	job, err := j.Records.Status(ctx, id, record, waitingUser)
-	j.noteRecordAnswer(job, record, sentAt, err)
+	j.recordAnswer(job, record, sentAt, err)
 	return job, err == nil, err
 }
 
-// noteRecordAnswer counts and logs an answer from a record that was requested at sentAt. It does nothing if err is set,
+// recordAnswer counts and logs an answer from a record that was requested at sentAt. It does nothing if err is set,
 // since there is no answer then.
-func (j *Reader) noteRecordAnswer(job api.JobStatus, record lookup.Job, sentAt time.Time, err error) {
+func (j *Reader) recordAnswer(job api.JobStatus, record lookup.Job, sentAt time.Time, err error) {
 	if err != nil {
 		return
 	}
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -46,17 +46,17 @@
 	response api.HeartbeatResponse
 }
 
-// committedRecords provides records to the leader's committer, which may write them while the leader leads.
-type committedRecords struct {
+// leaderRecordSource provides records to the leader's committer, which may write them while the leader leads.
+type leaderRecordSource struct {
 	*scheduler.Scheduler
 	leader *testLeader
 }
 
-func (r committedRecords) Condition() (store.Condition, bool) {
+func (r leaderRecordSource) Condition() (store.Condition, bool) {
 	return store.Condition{Key: store.LeaderKey, Revision: r.Term()}, r.leader.leading
 }
 
-func (r committedRecords) Deposed() { r.leader.leading = false }
+func (r leaderRecordSource) Deposed() { r.leader.leading = false }
 
 // newLeader returns the leader x of a new term. The only team is t.
 func newLeader(t *testing.T) *testLeader {
@@ -73,7 +73,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	leader := &testLeader{T: t, clock: clock, state: fake.NewState(clock)}
-	process := leader.beside()
+	process := leader.otherController()
 	leader.terminal = process.jobs.TerminalStates.TerminalStates
 	leader.elect()
 	process.term.begin(&leaderTerm{scheduler: leader.Scheduler, committer: leader.committer})
@@ -92,7 +92,7 @@
 	collaborators.Records, collaborators.Sender = leaderRecords{l}, leaderCommands{leader: l}
 	collaborators.TerminalStates = l.terminal
 	l.Scheduler = scheduler.New(term, l.clock, set, policy.Default(), testTypes, collaborators)
-	l.committer = store.NewCommitter(store.NewClient("state:1", l.state), committedRecords{l.Scheduler, l}, l.clock, set.Facts.State, map[string]uint64{})
+	l.committer = store.NewCommitter(store.NewClient("state:1", l.state), leaderRecordSource{l.Scheduler, l}, l.clock, set.Facts.State, map[string]uint64{})
 	l.Load(nil, nil)
 }
 
@@ -145,8 +145,8 @@
 	return n
 }
 
-// beside returns another controller, which answers from the records only. No member runs an older version.
-func (l *testLeader) beside() *Controller {
+// otherController returns another controller, which answers from the records only. No member runs an older version.
+func (l *testLeader) otherController() *Controller {
 	set := &settings.Settings{Member: "y"}
 	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -46,8 +46,8 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// answeredAloneAt is when this controller last decided about a lease without certainly leading; zero before that.
-	answeredAloneAt time.Time
+	// nonLeaderDecisionAt is when this controller last decided about a lease without certainly leading; zero before that.
+	nonLeaderDecisionAt time.Time
 	// renewing reports whether that decision allowed the renewal.
 	renewing bool
 }
@@ -81,24 +81,24 @@
 func (l *leaseRenewal) mayRenew() bool {
 	l.markCurrentIfLeading()
 	now := l.clock.Now()
-	ok, without := l.watermark.MayRenew(now)
+	ok, sinceConfirmed := l.watermark.MayRenew(now)
 	l.mu.Lock()
-	l.answeredAloneAt = now
+	l.nonLeaderDecisionAt = now
 	changed := ok != l.renewing
 	l.renewing = ok
 	l.mu.Unlock()
 	if changed {
-		slog.Info("lease renewal changed", "kept", ok, "without_word", formatAge(without), "why", l.watermark.UnconfirmedPeers())
+		slog.Info("lease renewal changed", "kept", ok, "without_word", formatAge(sinceConfirmed), "why", l.watermark.UnconfirmedPeers())
 	}
 	return ok
 }
 
 // formatAge formats the time since a confirmation for operators. A negative duration means that there was none.
-func formatAge(without time.Duration) string {
-	if without < 0 {
+func formatAge(age time.Duration) string {
+	if age < 0 {
 		return "never"
 	}
-	return without.Round(time.Millisecond).String()
+	return age.Round(time.Millisecond).String()
 }
 
 // problems returns, for operators, the reasons why this controller renews no leases, or nil while it renews them.
@@ -109,8 +109,8 @@
 	if renewed || l.markCurrentIfLeading() {
 		return nil
 	}
-	_, without := l.watermark.MayRenew(l.clock.Now())
-	return []string{fmt.Sprintf("leases of workers are not renewed here: cancellations last confirmed %s ago; %s", formatAge(without), strings.Join(l.watermark.UnconfirmedPeers(), ", "))}
+	_, sinceConfirmed := l.watermark.MayRenew(l.clock.Now())
+	return []string{fmt.Sprintf("leases of workers are not renewed here: cancellations last confirmed %s ago; %s", formatAge(sinceConfirmed), strings.Join(l.watermark.UnconfirmedPeers(), ", "))}
 }
 
 // enforceCancellations returns a copy of a response without commands that would start tasks of cancelled jobs, and with
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -25,7 +25,7 @@
 // ended. A response of the state service is no confirmation by itself: only reading the job records is, as of the time of
 // the request. A process that has never read them renews no lease.
 func TestLeasesInIsolatedZoneExpireInTime(t *testing.T) {
-	for _, led := range []bool{false, true} {
+	for _, formerLeader := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
 		state := fake.NewState(clock)
 		set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "b", Address: "127.0.0.1:1"}}}
@@ -40,32 +40,32 @@
 		if controller.leases.mayRenew() {
 			t.Error("a process that has read no records renews leases")
 		}
-		word := clock.Now()
-		controller.leases.watermark.MarkCurrent(word)
+		confirmedAt := clock.Now()
+		controller.leases.watermark.MarkCurrent(confirmedAt)
 		clock.Advance(time.Millisecond)
 		_, _ = controller.client.Get(context.Background(), "k")
-		last := time.Duration(0)
-		for seq := uint64(1); clock.Since(word) < 100*time.Second; seq++ {
+		lastRenewal := time.Duration(0)
+		for seq := uint64(1); clock.Since(confirmedAt) < 100*time.Second; seq++ {
 			clock.Advance(time.Second)
 			heartbeat := &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq, Term: term}
 			answer := controller.answerAsLeader(sched, heartbeat, "")
 			status, body := answer.status, answer.body
-			if !led {
+			if !formerLeader {
 				status, body = controller.HandleHeartbeat(context.Background(), heartbeat, nil)
 			}
 			if response, ok := body.(api.HeartbeatResponse); ok && status == 200 && response.Term == term {
-				last = clock.Since(word)
+				lastRenewal = clock.Since(confirmedAt)
 			}
 		}
-		most := settings.Seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
-		if last > most || last < most-tuning.LeaseRenewalMargin-time.Second {
-			t.Errorf("led %v: the last lease was renewed %v after the partition began, want at most %v", led, last, most)
+		maxRenewal := settings.Seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
+		if lastRenewal > maxRenewal || lastRenewal < maxRenewal-tuning.LeaseRenewalMargin-time.Second {
+			t.Errorf("led %v: the last lease was renewed %v after the partition began, want at most %v", formerLeader, lastRenewal, maxRenewal)
 		}
 		if reason := strings.Join(controller.leases.problems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
-			t.Errorf("led %v: the reasons for operators are %q", led, reason)
+			t.Errorf("led %v: the reasons for operators are %q", formerLeader, reason)
 		}
 		// A worker that reaches no other controller is kept, but its lease is not renewed.
-		if !led {
+		if !formerLeader {
 			status, body := controller.HandleHeartbeat(context.Background(), &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 999, Term: term}, nil)
 			if response, ok := body.(api.HeartbeatResponse); !ok || status != 200 || response.Term != 0 || len(response.Commands) != 0 {
 				t.Errorf("a worker that returned is answered %d %+v", status, body)
@@ -91,9 +91,9 @@
 
 // A cancellation is announced to the peers before any user can learn of it: before its record is written, since any
 // controller that reads the record may answer a user, and before a response is sent, whatever its source.
-func TestCancellationsAreReplicatedBeforeTheyAreAcknowledged(t *testing.T) {
+func TestCancellationsAreAnnouncedToPeersBeforeAcknowledgement(t *testing.T) {
 	controller, clock := newIsolatedController()
-	knows := func(job string) bool {
+	cancellationKnown := func(job string) bool {
 		return len(controller.leases.watermark.KillCommands([]api.TaskReport{{Task: job + "/0", Attempt: 1, State: api.TaskRunning}}, nil)) > 0
 	}
 	collaborators := testCollaborators(func() bool { return true })
@@ -101,11 +101,11 @@
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, collaborators)
 	sched.Load([]store.Item{{Key: store.JobKey("run-1"), Value: []byte(`{"job":{"name_id":"run-1","parts":1},"at":1}`)},
 		{Key: store.JobKey("run-2"), Value: []byte(`{"job":{"name_id":"run-2","parts":1},"at":1,"final":"withdrawn"}`)}}, nil)
-	if knows("run-1") || !knows("run-2") {
-		t.Errorf("after loading: knows run-1 %v, run-2 %v", knows("run-1"), knows("run-2"))
+	if cancellationKnown("run-1") || !cancellationKnown("run-2") {
+		t.Errorf("after loading: knows run-1 %v, run-2 %v", cancellationKnown("run-1"), cancellationKnown("run-2"))
 	}
 	sched.Cancel(cancelledContext(), "run-1")
-	if _, ok, _ := (recordSource{sched, controller}).Record(store.JobKey("run-1")); !ok || !knows("run-1") {
+	if _, ok, _ := (recordSource{sched, controller}).Record(store.JobKey("run-1")); !ok || !cancellationKnown("run-1") {
 		t.Error("the record of a cancellation is provided for writing before it is announced to the peers")
 	}
 	client := controller.client
@@ -114,10 +114,10 @@
 			t.Fatal(err)
 		}
 	}
-	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-3"}, false); response.Status != 200 || !knows("run-3") {
+	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-3"}, false); response.Status != 200 || !cancellationKnown("run-3") {
 		t.Errorf("status request answered %d %s, and the cancellation is not announced to the peers", response.Status, response.Body)
 	}
-	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbCancel, Job: "run-4"}, false); response.Status != 200 || !knows("run-4") {
+	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbCancel, Job: "run-4"}, false); response.Status != 200 || !cancellationKnown("run-4") {
 		t.Errorf("cancellation without a leader answered %d %s, and it is not announced to the peers", response.Status, response.Body)
 	}
 	// Members that may run an older version are sent no messages that they do not know.
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -20,10 +20,10 @@
 // Handle serves a request, either here or by forwarding it to the leader. Forwarded is set if the request comes from a
 // peer; it is then not forwarded again.
 func (c *Controller) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
-	if forwarded && request.Verb == verbReport {
+	if forwarded && request.Verb == verbForwardHeartbeat {
 		return c.handleForwardedHeartbeat(request.From, request.Body)
 	}
-	if forwarded && request.Verb == verbStage {
+	if forwarded && request.Verb == verbForwardStageHeartbeat {
 		return c.agents.handleForwardedHeartbeat(request.Body)
 	}
 	began := c.clock.Now()
@@ -47,7 +47,7 @@
 		return c.handleMembers()
 	case VerbTopology, VerbExplain:
 		return c.handleTopology(ctx, request, forwarded)
-	case VerbConfiguration, VerbConfigure, verbConfirm:
+	case VerbConfiguration, VerbConfigure, verbRefreshConfiguration:
 		return c.configuration.handle(ctx, request, forwarded)
 	case VerbRegister, VerbRemove, VerbData:
 		return c.datasets.handle(ctx, request, forwarded)
@@ -94,7 +94,7 @@
 	if !reachable {
 		return response, false
 	}
-	response, err := c.peers.Ask(ctx, leader, request, forwardPatience(request.Verb))
+	response, err := c.peers.Ask(ctx, leader, request, forwardTimeout(request.Verb))
 	switch {
 	case err == nil && answeredByLeader(response):
 		return response, true
@@ -114,8 +114,8 @@
 	return response.Status != http.StatusServiceUnavailable || json.Unmarshal(response.Body, &failure) != nil || failure.Error != notLeading
 }
 
-// forwardPatience returns how long to wait for the leader's response to a forwarded request.
-func forwardPatience(verb string) time.Duration {
+// forwardTimeout returns how long to wait for the leader's response to a forwarded request.
+func forwardTimeout(verb string) time.Duration {
 	switch verb {
 	case VerbSubmit:
 		return tuning.AcceptPatience
--- a/controller/routing_bench_test.go
+++ b/controller/routing_bench_test.go
@@ -8,8 +8,8 @@
 	"switchferry/policy"
 )
 
-// BenchmarkQuestion measures a status request to the leader for a job in memory.
-func BenchmarkQuestion(b *testing.B) {
+// BenchmarkStatusRequest measures a status request to the leader for a job in memory.
+func BenchmarkStatusRequest(b *testing.B) {
 	leader := newLeader(&testing.T{})
 	job := smallJob("run-000001")
 	job.Tasks = 40
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -139,10 +139,10 @@
 			answers <- controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: fmt.Sprintf("run-%06d", index%20)}, false)
 		}()
 	}
-	for got := 0; got < 1000; {
+	for received := 0; received < 1000; {
 		select {
 		case response := <-answers:
-			got++
+			received++
 			count[response.Status]++
 			if response.Status == 503 && response.RetryAfterS == 0 {
 				t.Fatal("refused without a retry time")
@@ -153,8 +153,8 @@
 	}
 	// A single controller has all of the read share, which is half of the request limit, for the burst and while requests
 	// wait. An unknown id takes two reads.
-	if most := int(2 * tuning.ReadShare * set.Facts.State.RPS * (1 + 3*tuning.QuestionWait.Seconds())); state.Requests > most || count[404] == 0 || count[404]+count[503] != 1000 {
-		t.Errorf("%d requests, want %d at most; answers %v", state.Requests, most, count)
+	if limit := int(2 * tuning.ReadShare * set.Facts.State.RPS * (1 + 3*tuning.QuestionWait.Seconds())); state.Requests > limit || count[404] == 0 || count[404]+count[503] != 1000 {
+		t.Errorf("%d requests, want %d at most; answers %v", state.Requests, limit, count)
 	}
 }
 
--- a/controller/stale_record_test.go
+++ b/controller/stale_record_test.go
@@ -19,7 +19,7 @@
 // adopt any record of a job that was not in memory: the job was pending again, its task was started, and its end replaced
 // the acknowledged cancellation. The test delays a read on each path that reads a record for the leader. A path that checks
 // the cache of terminal states first is affected once the cache has evicted the job, so each is tested with and without it.
-func TestRecordReadBeforeTheEndDoesNotBringAJobBack(t *testing.T) {
+func TestStaleRecordDoesNotReactivateEndedJob(t *testing.T) {
 	const id = "run-000001"
 	paths := []struct {
 		name string
@@ -36,33 +36,33 @@
 		}},
 	}
 	for _, path := range paths {
-		for _, remembered := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, terminal state cached %v", path.name, remembered), func(t *testing.T) {
+		for _, cached := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, terminal state cached %v", path.name, cached), func(t *testing.T) {
 				leader, process := newLeaderProcess(t)
 				if _, err := process.client.Get(t.Context(), store.LeaderKey); err != nil {
 					t.Fatal(err)
 				}
-				if got := leader.beside().submissions.SubmitWithoutLeader(t.Context(), smallJob(id), nil).Status; got != 201 {
+				if got := leader.otherController().submissions.SubmitWithoutLeader(t.Context(), smallJob(id), nil).Status; got != 201 {
 					t.Fatalf("accepted without the leader: %d", got)
 				}
-				late := leader.state.LateRead(true)
+				delayedRead := leader.state.LateRead(true)
 				ctx, stop := context.WithCancel(t.Context())
 				readEnded := make(chan struct{})
 				go func() {
 					defer close(readEnded)
 					path.read(ctx, leader, process)
 				}()
-				<-late.Asked
+				<-delayedRead.Asked
 				cancelAndArchive(t, leader, process, id)
-				if !remembered {
+				if !cached {
 					for number := range tuning.FinalCache {
 						leader.terminal.Remember(fmt.Sprintf("run-9%05d", number), store.FinalRecord{State: api.Done})
 					}
 				}
-				late.Answer()
+				delayedRead.Answer()
 				if path.name == "inbox" {
 					// The follower keeps watching the inbox; it has processed this entry once it has marked it for deletion.
-					waitFor(t, func() bool { return leader.committer.Pending() > 0 })
+					waitUntil(t, func() bool { return leader.committer.Pending() > 0 })
 					stop()
 				}
 				<-readEnded
@@ -74,7 +74,7 @@
 				if got := statusOf(t, process); got != api.Cancelled {
 					t.Errorf("acknowledged as %s, the leader answers %v", api.Cancelled, got)
 				}
-				if got := statusOf(t, leader.beside()); got != api.Cancelled {
+				if got := statusOf(t, leader.otherController()); got != api.Cancelled {
 					t.Errorf("acknowledged as %s, another controller answers %v", api.Cancelled, got)
 				}
 			})
@@ -115,10 +115,10 @@
 	}
 }
 
-// waitFor waits up to 10 s until a condition holds, which another goroutine establishes.
-func waitFor(t *testing.T, holds func() bool) {
+// waitUntil waits up to 10 s until a condition holds, which another goroutine establishes.
+func waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the condition does not hold after 10 s")
 		}
--- a/controller/state_health.go
+++ b/controller/state_health.go
@@ -15,8 +15,8 @@
 	mu sync.Mutex
 	// servedAt is when a request was last served.
 	servedAt time.Time
-	// refusedAt is when a request was last refused or got no response.
-	refusedAt time.Time
+	// failedAt is when a request was last refused or got no response.
+	failedAt time.Time
 }
 
 // recordResponse records the outcome of a request. Served is false if the request was refused or got no response.
@@ -26,7 +26,7 @@
 	if served {
 		h.servedAt = h.clock.Now()
 	} else {
-		h.refusedAt = h.clock.Now()
+		h.failedAt = h.clock.Now()
 	}
 }
 
@@ -34,5 +34,5 @@
 func (h *stateHealth) healthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.servedAt.IsZero() && !h.refusedAt.After(h.servedAt)
+	return !h.servedAt.IsZero() && !h.failedAt.After(h.servedAt)
 }
--- a/controller/term.go
+++ b/controller/term.go
@@ -67,7 +67,7 @@
 
 // run reads the records, starts the loops of the term, and then places tasks until the context ends.
 func (t *leaderTerm) run(ctx context.Context) {
-	t.startLoops(ctx, t.loadRetrying(ctx))
+	t.startLoops(ctx, t.loadWithRetry(ctx))
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -78,7 +78,7 @@
 		began := t.controller.clock.Now()
 		t.scheduler.Place()
 		duration := t.controller.clock.Since(began)
-		if reason := t.unfitReason(); reason != "" {
+		if reason := t.resignReason(); reason != "" {
 			t.controller.elector.Resign(reason)
 		}
 		sleep.For(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*duration))
@@ -99,8 +99,8 @@
 	go t.maintainFleet(ctx)
 }
 
-// unfitReason returns the reason why this controller should resign, or an empty string if it should not.
-func (t *leaderTerm) unfitReason() string {
+// resignReason returns the reason why this controller should resign, or an empty string if it should not.
+func (t *leaderTerm) resignReason() string {
 	for _, hello := range t.controller.peers.LivePeers() {
 		if hello.Term > t.scheduler.Term() {
 			return "a peer has a higher term"
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -18,8 +18,8 @@
 	datasets uint64
 }
 
-// loadRetrying reads all records that a new leader needs, and retries until it succeeds or the context ends.
-func (t *leaderTerm) loadRetrying(ctx context.Context) loadedRevisions {
+// loadWithRetry reads all records that a new leader needs, and retries until it succeeds or the context ends.
+func (t *leaderTerm) loadWithRetry(ctx context.Context) loadedRevisions {
 	for ctx.Err() == nil {
 		if read, ok := t.load(ctx); ok {
 			return read
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -13,18 +13,18 @@
 	controller, clock := newIsolatedController()
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
 	term := &leaderTerm{controller: controller, scheduler: sched}
-	step := func(wait time.Duration) (deaf bool) {
-		for ; wait > 0 && !deaf; wait -= 500 * time.Millisecond {
+	advance := func(wait time.Duration) (isolated bool) {
+		for ; wait > 0 && !isolated; wait -= 500 * time.Millisecond {
 			clock.Advance(500 * time.Millisecond)
 			sched.Place()
-			deaf = term.isolatedFromWorkers()
+			isolated = term.isolatedFromWorkers()
 		}
-		return deaf
+		return isolated
 	}
-	if step(9 * time.Second) {
+	if advance(9 * time.Second) {
 		t.Fatal("resigns before workers can have reached it")
 	}
-	if !step(3 * time.Second) {
+	if !advance(3 * time.Second) {
 		t.Error("does not resign although no worker has reported")
 	}
 }
--- a/controller/verbs.go
+++ b/controller/verbs.go
@@ -5,8 +5,8 @@
 	VerbSubmit = "submit"
 	VerbStatus = "status"
 	VerbCancel = "cancel"
-	// verbReport is a worker's heartbeat that a peer forwards.
-	verbReport = "report"
+	// verbForwardHeartbeat is a worker's heartbeat that a peer forwards.
+	verbForwardHeartbeat = "report"
 )
 
 // Verbs of requests about datasets, which are served only with the feature on.
@@ -17,8 +17,8 @@
 	VerbData = "data"
 	// VerbRemove removes a dataset or reports the progress of its removal; Request.Job holds the dataset's name.
 	VerbRemove = "remove"
-	// verbStage is an agent's heartbeat that a peer forwards.
-	verbStage = "stage"
+	// verbForwardStageHeartbeat is an agent's heartbeat that a peer forwards.
+	verbForwardStageHeartbeat = "stage"
 )
 
 // Verbs of requests about the locations of machines and jobs.
@@ -39,6 +39,6 @@
 	VerbConfiguration = "configuration"
 	// VerbConfigure changes the configuration.
 	VerbConfigure = "configure"
-	// verbConfirm makes a peer read the newest configuration revision now.
-	verbConfirm = "confirm-configuration"
+	// verbRefreshConfiguration makes a peer read the newest configuration revision now.
+	verbRefreshConfiguration = "confirm-configuration"
 )
--- a/controller/verbs_test.go
+++ b/controller/verbs_test.go
@@ -6,9 +6,9 @@
 // production. The verbs of users' and operators' requests are checked by package internal/golden.
 func TestVerbsBetweenControllersAreStable(t *testing.T) {
 	for _, testCase := range []struct{ got, want string }{
-		{verbReport, "report"},
-		{verbStage, "stage"},
-		{verbConfirm, "confirm-configuration"},
+		{verbForwardHeartbeat, "report"},
+		{verbForwardStageHeartbeat, "stage"},
+		{verbRefreshConfiguration, "confirm-configuration"},
 	} {
 		if testCase.got != testCase.want {
 			t.Errorf("verb %q, want %q", testCase.got, testCase.want)
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -32,17 +32,17 @@
 // previousController returns the peer before this controller in the order in which workers try controllers. A worker that
 // gets no response there tries this controller next.
 func (w *workerRouter) previousController() string {
-	prev, last := "", ""
+	previous, last := "", ""
 	for _, other := range w.settings.Peers {
 		last = max(last, other.Member)
 		if other.Member < w.settings.Member {
-			prev = max(prev, other.Member)
+			previous = max(previous, other.Member)
 		}
 	}
-	if prev == "" {
+	if previous == "" {
 		return last
 	}
-	return prev
+	return previous
 }
 
 // mayRedirect reports whether a worker may be redirected to another controller.
@@ -102,14 +102,14 @@
 
 // ZoneUnreachable reports whether a zone other than that of this controller has controllers, none of which is reachable.
 func (w *workerRouter) ZoneUnreachable(zone string) bool {
-	reachable := false
+	hasControllers := false
 	for _, other := range w.settings.Peers {
 		if other.Zone == zone {
-			reachable = true
+			hasControllers = true
 			if w.peers.Reachable(other.Member) {
 				return false
 			}
 		}
 	}
-	return reachable && zone != w.settings.Zone
+	return hasControllers && zone != w.settings.Zone
 }
