--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -166,7 +166,7 @@
 		return verdict
 	}
 	if s.TopologyOn {
-		if verdict.status, verdict.err = checkSite(submission, body); verdict.err != nil {
+		if verdict.status, verdict.err = checkTopologyConstraints(submission, body); verdict.err != nil {
 			return verdict
 		}
 	}
@@ -262,9 +262,9 @@
 	return slices.Equal(rules.Configurations, s.configuration.CurrentRules(sched).Configurations)
 }
 
-// checkSite parses the topology constraints of a submission and checks whether they can be met. An error is a
-// *api.FieldError, and status is its HTTP status.
-func checkSite(submission *api.Submission, body []byte) (status int, err error) {
+// checkTopologyConstraints parses the topology constraints of a submission and checks whether they can be met. An error
+// is a *api.FieldError, and status is its HTTP status.
+func checkTopologyConstraints(submission *api.Submission, body []byte) (status int, err error) {
 	if submission.Near, submission.Survive, err = api.ParseSite(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err
 	}
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -74,7 +74,7 @@
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
 	controller.catalog.types = testTypes
 	ask := func(body string) int {
-		return controller.serveAsLeader(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
+		return controller.serveJobRequest(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
 	}
 	refusal := `{"name_id":"run-000001","parts":-4}`
 	if got := ask(refusal); got != 400 {
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -13,7 +13,7 @@
 )
 
 // A controller answers 404 only if the state service confirms that a job does not exist, and 503 during an outage.
-func TestUnknownJobIsNotFoundOnlyWithStateService(t *testing.T) {
+func TestUnknownJobIsNotFoundOnlyIfStateServiceAnswers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -21,27 +21,27 @@
 
 // Position returns the position up to which the statements of a peer are known. Ok is false while a process of an older
 // version may run, since peers are not asked for statements then.
-func (w cancellationExchange) Position(member string) (incarnation, position uint64, ok bool) {
-	if len(w.leases.versions.Older()) > 0 {
+func (exchange cancellationExchange) Position(member string) (incarnation, position uint64, ok bool) {
+	if len(exchange.leases.versions.Older()) > 0 {
 		return 0, 0, false
 	}
-	incarnation, position = w.leases.watermark.Position(member)
+	incarnation, position = exchange.leases.watermark.Position(member)
 	return incarnation, position, true
 }
 
 // Statement returns the statement for a peer that knows the statements of this incarnation up to a position. Ok is false
 // while a process of an older version may run.
-func (w cancellationExchange) Statement(incarnation, position uint64) (watermark.Statement, bool) {
-	if len(w.leases.versions.Older()) > 0 {
+func (exchange cancellationExchange) Statement(incarnation, position uint64) (watermark.Statement, bool) {
+	if len(exchange.leases.versions.Older()) > 0 {
 		return watermark.Statement{}, false
 	}
-	w.leases.markCurrentIfLeading()
-	return w.leases.watermark.Statement(w.leases.clock.Now(), incarnation, position), true
+	exchange.leases.markCurrentIfLeading()
+	return exchange.leases.watermark.Statement(exchange.leases.clock.Now(), incarnation, position), true
 }
 
 // ApplyStatement applies the statement with which a peer answered a request sent at askedAt.
-func (w cancellationExchange) ApplyStatement(member string, askedAt time.Time, statement watermark.Statement) {
-	if err := w.leases.watermark.ApplyStatement(w.leases.clock.Now(), member, askedAt, statement); err != nil {
+func (exchange cancellationExchange) ApplyStatement(member string, askedAt time.Time, statement watermark.Statement) {
+	if err := exchange.leases.watermark.ApplyStatement(exchange.leases.clock.Now(), member, askedAt, statement); err != nil {
 		slog.Info("rejecting peer statement", "member", member, "err", err)
 	}
 }
@@ -87,10 +87,10 @@
 		items = append(items, store.Item{Key: event.Set, Value: event.Value})
 	}
 	for _, item := range items {
-		var rec struct {
+		var record struct {
 			Final string `json:"final"`
 		}
-		if bytes.Contains(item.Value, []byte(api.Cancelled)) && json.Unmarshal(item.Value, &rec) == nil && rec.Final == api.Cancelled {
+		if bytes.Contains(item.Value, []byte(api.Cancelled)) && json.Unmarshal(item.Value, &record) == nil && record.Final == api.Cancelled {
 			l.watermark.RecordCancellation(l.clock.Now(), strings.TrimPrefix(item.Key, store.JobPrefix))
 		}
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -69,9 +69,9 @@
 	// workerProxy relays heartbeats of workers while the leader is unreachable.
 	workerProxy *proxy.Workers
 	cpuMonitor  *cpupressure.Monitor
-	// transfer decides when leadership moves to a faster peer. Only the placement loop of a term uses it.
-	transfer      cpupressure.LeadershipTransfer
-	requestCounts traffic.Counter
+	// leadershipTransfer decides when leadership moves to a faster peer. Only the placement loop of a term uses it.
+	leadershipTransfer cpupressure.LeadershipTransfer
+	requestCounts      traffic.Counter
 	// readLimiter limits reads from the state service for user requests to this controller's share.
 	readLimiter *rate.Limiter
 	// relayLimiter limits this controller's writes of relayed messages of all kinds together.
@@ -174,9 +174,9 @@
 }
 
 // Run starts all loops of the controller, serves peers on the listener, and returns once the context of New ends.
-func (c *Controller) Run(back net.Listener) {
+func (c *Controller) Run(peerListener net.Listener) {
 	go func() {
-		if err := c.peers.Serve(c.ctx, back); err != nil {
+		if err := c.peers.Serve(c.ctx, peerListener); err != nil {
 			slog.Error("peer listener failed", "err", err)
 		}
 	}()
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -67,11 +67,11 @@
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	existing, err := scheduler.DecodeDataset(&item)
-	if err == nil && existing.State != dataset.Listed {
-		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + existing.State + "; its name is not used again, take a new one", Field: "name"})
+	registered, err := scheduler.DecodeDataset(&item)
+	if err == nil && registered.State != dataset.Listed {
+		return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is " + registered.State + "; its name is not used again, take a new one", Field: "name"})
 	}
-	if err == nil && existing.Equal(&entry.Summary) {
+	if err == nil && registered.Equal(&entry.Summary) {
 		return peer.JSONResponse(http.StatusOK, entry)
 	}
 	return peer.JSONResponse(http.StatusConflict, api.Error{Error: "dataset " + entry.Name + " is registered with other content; datasets do not change, use a new name", Field: "name"})
--- a/controller/dataset_requests_test.go
+++ b/controller/dataset_requests_test.go
@@ -13,7 +13,7 @@
 
 // A controller that accepts jobs without the leader refuses a job whose dataset is being removed, even if it has cached the
 // dataset before the removal.
-func TestSubmissionWithoutLeaderRacesWithRemoval(t *testing.T) {
+func TestSubmissionWithoutLeaderIsRefusedDuringDatasetRemoval(t *testing.T) {
 	controller, state := newDataController(true)
 	controller.ask(VerbRegister, datasetSummary("inv", 8, 1e8))
 	body := submissionBody("run-000001", 1, `,"inputs":[{"dataset":"inv","use":"own"}]`)
--- a/controller/dependency_checks_test.go
+++ b/controller/dependency_checks_test.go
@@ -45,7 +45,7 @@
 	before := leader.state.Requests
 	for awaits, want := range map[string]struct {
 		status int
-		says   string
+		text   string
 	}{
 		`["run-000404"]`:                         {422, "run-000404 was never accepted"},
 		`["run-000002"]`:                         {422, "is a service"},
@@ -59,7 +59,7 @@
 		`{"a":1}`:                                {400, "one or more job ids"},
 		`["` + strings.Repeat("9", 1<<10) + `"]`: {400, "is no job id"},
 	} {
-		if response := ask(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.says) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
+		if response := ask(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.text) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
 			t.Errorf("%.60s: %d %.200s", awaits, response.Status, response.Body)
 		}
 	}
--- a/controller/dependent_answers_test.go
+++ b/controller/dependent_answers_test.go
@@ -48,11 +48,11 @@
 	}
 	check := func(when string) {
 		for _, id := range chain {
-			if got := stateAnswered(t, other, peer.Request{Verb: VerbStatus, Job: id}); got != api.Cancelled {
+			if got := answeredState(t, other, peer.Request{Verb: VerbStatus, Job: id}); got != api.Cancelled {
 				t.Fatalf("%s, another controller answers for %s: %v", when, id, got)
 			}
 			for _, question := range requests {
-				if got := stateAnswered(t, process, question.request(id)); got != api.Cancelled {
+				if got := answeredState(t, process, question.request(id)); got != api.Cancelled {
 					t.Errorf("%s, another controller has answered %s for %s; the leader answered %v to a %s", when, api.Cancelled, id, got, question.name)
 				}
 			}
--- a/controller/helper_test.go
+++ b/controller/helper_test.go
@@ -43,8 +43,8 @@
 	return c.Handle(context.Background(), peer.Request{Verb: verb, Body: []byte(body)}, false)
 }
 
-func datasetSummary(name string, parts int, each int64) string {
-	raw, _ := json.Marshal(dataset.Summary{Name: name, Parts: parts, Usual: each, Bytes: each * int64(parts)})
+func datasetSummary(name string, parts int, partBytes int64) string {
+	raw, _ := json.Marshal(dataset.Summary{Name: name, Parts: parts, Usual: partBytes, Bytes: partBytes * int64(parts)})
 	return string(raw)
 }
 
--- a/controller/inbox/inbox.go
+++ b/controller/inbox/inbox.go
@@ -85,15 +85,16 @@
 
 // processPending processes the pending keys. Keys that could not be read remain pending.
 func (f *Follower) processPending(ctx context.Context) {
-	f.pending = slices.DeleteFunc(f.pending, func(key string) bool { return f.process(ctx, key) })
+	f.pending = slices.DeleteFunc(f.pending, func(key string) bool { return f.processKey(ctx, key) })
 	if len(f.pending) == 0 {
 		f.scheduler.InboxSeen(f.after)
 	}
 }
 
-// process processes one key of the inbox and marks the entry for deletion. It returns false if the key must be processed
-// again. A key must not be skipped: an accepted job whose key was skipped would start only once its user asked for it.
-func (f *Follower) process(ctx context.Context, key string) (done bool) {
+// processKey processes one key of the inbox and marks the entry for deletion. It returns false if the key must be
+// processed again. A key must not be skipped: an accepted job whose key was skipped used to start only after its user had
+// asked for it.
+func (f *Follower) processKey(ctx context.Context, key string) (done bool) {
 	id := strings.TrimPrefix(key, store.InboxPrefix)
 	sentAt := f.clock.Now()
 	job, err := f.client.Get(ctx, store.JobKey(id))
--- a/controller/job_end_test.go
+++ b/controller/job_end_test.go
@@ -11,14 +11,14 @@
 	"switchferry/store"
 )
 
-// statusOf returns the state that a controller answers for the job run-000001, or the status code of a failure.
-func statusOf(t *testing.T, controller *Controller) any {
+// stateOfFirstJob returns the state that a controller answers for the job run-000001, or the status code of a failure.
+func stateOfFirstJob(t *testing.T, controller *Controller) any {
 	t.Helper()
-	return stateAnswered(t, controller, peer.Request{Verb: VerbStatus, Job: "run-000001"})
+	return answeredState(t, controller, peer.Request{Verb: VerbStatus, Job: "run-000001"})
 }
 
-// stateAnswered returns the job state that a controller answers to a request, or the status code of a failure.
-func stateAnswered(t *testing.T, controller *Controller, request peer.Request) any {
+// answeredState returns the job state that a controller answers to a request, or the status code of a failure.
+func answeredState(t *testing.T, controller *Controller, request peer.Request) any {
 	t.Helper()
 	response := controller.Handle(context.Background(), request, false)
 	var job api.JobStatus
@@ -58,19 +58,19 @@
 			} else {
 				leader.Cancel(cancelledContext(), "run-000001")
 			}
-			if got := statusOf(t, leading); got == state {
+			if got := stateOfFirstJob(t, leading); got == state {
 				t.Fatalf("answered %v before it was written", got)
 			}
 			leader.committer.Step(t.Context())
-			if got := statusOf(t, other); got != state {
+			if got := stateOfFirstJob(t, other); got != state {
 				t.Fatalf("another controller answers %v from the record, want %s", got, state)
 			}
-			if got := statusOf(t, leading); got != state {
+			if got := stateOfFirstJob(t, leading); got != state {
 				t.Errorf("another controller has answered %s, the leader answers %v", state, got)
 			}
 			leader.clock.Advance(time.Second)
 			leader.commit()
-			if got := statusOf(t, leading); got != state {
+			if got := stateOfFirstJob(t, leading); got != state {
 				t.Errorf("the leader answers %v after a retry, want %s", got, state)
 			}
 		})
--- a/controller/jobstatus/reader.go
+++ b/controller/jobstatus/reader.go
@@ -164,12 +164,12 @@
 	if job.State == api.Cancelled {
 		j.watermark.RecordCancellation(j.clock.Now(), job.ID)
 	}
-	newest, notification := j.notifications.Newest(job)
+	newestStatus, notification := j.notifications.Newest(job)
 	switch notification {
 	case lookup.Older:
 		j.counts.OlderAnswerDropped()
-		slog.Debug("older answer dropped", "job", job.ID, "found", job.State, "told", newest.State)
-		return peer.JSONResponse(http.StatusOK, newest)
+		slog.Debug("older answer dropped", "job", job.ID, "found", job.State, "told", newestStatus.State)
+		return peer.JSONResponse(http.StatusOK, newestStatus)
 	case lookup.Contradiction:
 		return peer.RetryLater("what is known of the job contradicts itself")
 	}
--- a/controller/leader_locator.go
+++ b/controller/leader_locator.go
@@ -40,9 +40,9 @@
 // newestLeader returns the live peer that claims the newest term, or else the leader and term passed in. Reachable reports
 // whether a live peer claims to lead in that term. A former leader that restarted does not claim its term, and so does not
 // count as the leader even if its key still exists because of an outage of the state service.
-func newestLeader(leader string, term uint64, alive []peer.Hello) (string, uint64, bool) {
+func newestLeader(leader string, term uint64, livePeers []peer.Hello) (string, uint64, bool) {
 	reachable := false
-	for _, hello := range alive {
+	for _, hello := range livePeers {
 		if hello.Term > 0 && hello.Term >= term {
 			leader, term, reachable = hello.Member, hello.Term, true
 		}
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -81,16 +81,16 @@
 func (l *leaseRenewal) mayRenew() bool {
 	l.markCurrentIfLeading()
 	now := l.clock.Now()
-	ok, sinceConfirmed := l.watermark.MayRenew(now)
+	allowed, sinceConfirmed := l.watermark.MayRenew(now)
 	l.mu.Lock()
 	l.nonLeaderDecisionAt = now
-	changed := ok != l.renewing
-	l.renewing = ok
+	changed := allowed != l.renewing
+	l.renewing = allowed
 	l.mu.Unlock()
 	if changed {
-		slog.Info("lease renewal changed", "kept", ok, "without_word", formatAge(sinceConfirmed), "why", l.watermark.UnconfirmedPeers())
+		slog.Info("lease renewal changed", "kept", allowed, "without_word", formatAge(sinceConfirmed), "why", l.watermark.UnconfirmedPeers())
 	}
-	return ok
+	return allowed
 }
 
 // formatAge formats the time since a confirmation for operators. A negative duration means that there was none.
@@ -118,9 +118,9 @@
 // cancelled task is safe under any token.
 func (l *leaseRenewal) enforceCancellations(heartbeat *api.Heartbeat, response api.HeartbeatResponse) api.HeartbeatResponse {
 	response.Commands = l.watermark.WithoutCancelledStarts(response.Commands)
-	if more := l.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(more) > 0 {
-		slog.Info("killing tasks of cancelled jobs", "machine", heartbeat.Machine, "tasks", len(more), "first", more[0].Task)
-		response.Commands = append(slices.Clone(response.Commands), more...)
+	if killCommands := l.watermark.KillCommands(heartbeat.Tasks, response.Commands); len(killCommands) > 0 {
+		slog.Info("killing tasks of cancelled jobs", "machine", heartbeat.Machine, "tasks", len(killCommands), "first", killCommands[0].Task)
+		response.Commands = append(slices.Clone(response.Commands), killCommands...)
 	}
 	return response
 }
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -24,7 +24,7 @@
 // cancelled tasks running (docs/incidents/fleet-cancelled-behind-a-cut.md). The same holds for a leader whose term may have
 // ended. A response of the state service is no confirmation by itself: only reading the job records is, as of the time of
 // the request. A process that has never read them renews no lease.
-func TestLeasesInIsolatedZoneExpireInTime(t *testing.T) {
+func TestLeasesInIsolatedZoneExpireBeforeCancellationDeadline(t *testing.T) {
 	for _, formerLeader := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
 		state := fake.NewState(clock)
--- a/controller/record_source.go
+++ b/controller/record_source.go
@@ -23,12 +23,12 @@
 
 // Record returns the value to write under a key. It announces a cancellation to the peers before anyone can read its
 // record.
-func (s recordSource) Record(key string) (value any, exists bool, more []store.Condition) {
-	value, exists, more = s.Scheduler.Record(key)
+func (s recordSource) Record(key string) (value any, exists bool, conditions []store.Condition) {
+	value, exists, conditions = s.Scheduler.Record(key)
 	if record, ok := value.(store.JobRecord); ok && record.FinalState == api.Cancelled {
 		s.controller.leases.watermark.RecordCancellation(s.controller.clock.Now(), record.Job.ID)
 	}
-	return value, exists, more
+	return value, exists, conditions
 }
 
 // Conflict handles a write that failed because the key holds another record. Found is that record, or nil if there is
--- a/controller/relayed_start_test.go
+++ b/controller/relayed_start_test.go
@@ -29,8 +29,8 @@
 	// failingMachines holds the machines on which every task fails.
 	failingMachines map[string]bool
 	// packetRevision is the revision up to which the leader has read the follower's packets from the state service.
-	packetRevision     uint64
-	reassembler relay.Reassembler
+	packetRevision uint64
+	reassembler    relay.Reassembler
 
 	// mu guards withholdReplies.
 	mu sync.Mutex
@@ -38,8 +38,8 @@
 	withholdReplies bool
 	// handled receives a value for each heartbeat that the leader has handled without replying.
 	handled chan struct{}
-	// running holds the machines on which each task runs.
-	running fake.Placements[string]
+	// placements holds the machines on which each task runs.
+	placements fake.Placements[string]
 	// duplicateStarts lists tasks that started on a machine while they ran on another.
 	duplicateStarts []string
 }
@@ -49,7 +49,7 @@
 func newRelayFixture(t *testing.T, names ...string) *relayFixture {
 	t.Helper()
 	leader := newLeader(t)
-	fixture := &relayFixture{T: t, leader: leader, workers: map[string]*fake.Worker{}, failingMachines: map[string]bool{}, handled: make(chan struct{}, 1), running: fake.Placements[string]{}, packetRevision: leader.Term()}
+	fixture := &relayFixture{T: t, leader: leader, workers: map[string]*fake.Worker{}, failingMachines: map[string]bool{}, handled: make(chan struct{}, 1), placements: fake.Placements[string]{}, packetRevision: leader.Term()}
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,22 +68,22 @@
 		fixture.workers[name] = fake.NewWorker(fake.WorkerOptions{
 			Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: "a"}, Clock: leader.clock, Every: time.Second, Lease: 10 * time.Second,
 			Runs:   func(string) time.Duration { return time.Hour },
-			Starts: func(task string, _ uint64, _ time.Time) { fixture.started(task, name) },
-			Ends:   func(task string, _ bool) { fixture.running.End(task, name) },
-			Fails:  fixture.failure(name),
+			Starts: func(task string, _ uint64, _ time.Time) { fixture.recordStart(task, name) },
+			Ends:   func(task string, _ bool) { fixture.placements.End(task, name) },
+			Fails:  fixture.failureCause(name),
 		})
 	}
 	return fixture
 }
 
-func (r *relayFixture) started(task, name string) {
-	elsewhere, _ := r.running.Start(task, name)
+func (r *relayFixture) recordStart(task, name string) {
+	elsewhere, _ := r.placements.Start(task, name)
 	for _, other := range elsewhere {
 		r.duplicateStarts = append(r.duplicateStarts, task+" on "+other+" and "+name)
 	}
 }
 
-func (r *relayFixture) failure(name string) func(string) string {
+func (r *relayFixture) failureCause(name string) func(string) string {
 	return func(string) string {
 		if r.failingMachines[name] {
 			return api.CauseError
@@ -113,11 +113,11 @@
 // heartbeat sends a worker's heartbeat to the follower and makes the worker execute the response.
 func (r *relayFixture) heartbeat(name string) {
 	heartbeat := r.workers[name].Report()
-	r.answer(name, heartbeat, r.ask(heartbeat))
+	r.executeResponse(name, heartbeat, r.heartbeatResponse(heartbeat))
 }
 
-// ask returns the follower's response to a heartbeat.
-func (r *relayFixture) ask(heartbeat *api.Heartbeat) any {
+// heartbeatResponse returns the follower's response to a heartbeat.
+func (r *relayFixture) heartbeatResponse(heartbeat *api.Heartbeat) any {
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
 		r.Fatal(err)
@@ -126,8 +126,8 @@
 	return body
 }
 
-// answer makes a worker execute the response to its heartbeat.
-func (r *relayFixture) answer(name string, heartbeat *api.Heartbeat, body any) {
+// executeResponse makes a worker execute the response to its heartbeat.
+func (r *relayFixture) executeResponse(name string, heartbeat *api.Heartbeat, body any) {
 	r.Helper()
 	response, ok := body.(api.HeartbeatResponse)
 	if !ok {
@@ -203,24 +203,24 @@
 	fixture.withholdReplies = true
 	fixture.mu.Unlock()
 	answered := make(chan any, 1)
-	go func() { answered <- fixture.ask(report) }()
+	go func() { answered <- fixture.heartbeatResponse(report) }()
 	<-fixture.handled
 	fixture.deliverCommands()
 	for range 2 {
 		second := fixture.workers["a2"].Report()
 		response, _, _ := fixture.leader.HandleHeartbeat(second, "")
-		fixture.answer("a2", second, response)
+		fixture.executeResponse("a2", second, response)
 	}
 	fixture.leader.Place()
 	fixture.leader.commit()
 	fixture.deliverCommands()
-	if !fixture.running[task]["a2"] {
+	if !fixture.placements[task]["a2"] {
 		t.Fatal("the task does not run on the second machine")
 	}
 	for waiting := true; waiting; {
 		select {
 		case body := <-answered:
-			fixture.answer("a1", report, body)
+			fixture.executeResponse("a1", report, body)
 			waiting = false
 		default:
 			fixture.leader.clock.Advance(100 * time.Millisecond)
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -64,18 +64,18 @@
 	if response, ok := c.askLeader(ctx, request); ok {
 		return response
 	}
-	return c.serveAsLeader(ctx, nil, request)
+	return c.serveJobRequest(ctx, nil, request)
 }
 
 // routeInTerm serves a request about a job during a term of this controller, whether or not it certainly leads.
 func (c *Controller) routeInTerm(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
 	if sched.Leading() && sched.Loaded() {
-		return c.serveAsLeader(ctx, sched, request)
+		return c.serveJobRequest(ctx, sched, request)
 	}
 	if c.health.healthy() {
 		// This controller does not lead yet or no longer leads. Since it reaches the state service, it can serve the request
 		// from there like any follower.
-		return c.serveAsLeader(ctx, nil, request)
+		return c.serveJobRequest(ctx, nil, request)
 	}
 	if request.Verb == VerbSubmit {
 		_, id, _ := api.ParseSubmission(request.Body)
@@ -125,8 +125,8 @@
 	return tuning.PeerTimeout
 }
 
-// serveAsLeader serves a request about a job as the leader or, if sched is nil, from the state service.
-func (c *Controller) serveAsLeader(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
+// serveJobRequest serves a request about a job as the leader or, if sched is nil, from the state service.
+func (c *Controller) serveJobRequest(ctx context.Context, sched *scheduler.Scheduler, request peer.Request) peer.Response {
 	switch request.Verb {
 	case VerbSubmit:
 		return c.submissions.Submit(ctx, sched, request.Body)
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -29,27 +29,27 @@
 	controller, clock, state := newFollower(t, &unresponsive, neverAnswer)
 	unresponsive.Store(true)
 	for index, testCase := range []struct {
-		r       peer.Request
-		within  time.Duration
-		status  int
-		patient time.Duration
+		request     peer.Request
+		userTimeout time.Duration
+		status      int
+		timeout     time.Duration
 	}{
 		{peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, 200 * time.Millisecond, 201, tuning.AcceptPatience},
 		{peer.Request{Verb: VerbStatus, Job: "run-000001"}, 2*time.Second - tuning.StateTimeout, 200, tuning.PollPatience},
 	} {
-		if testCase.patient > testCase.within {
-			t.Errorf("%s waits %v for the leader, which exceeds its user's timeout of %v", testCase.r.Verb, testCase.patient, testCase.within)
+		if testCase.timeout > testCase.userTimeout {
+			t.Errorf("%s waits %v for the leader, which exceeds its user's timeout of %v", testCase.request.Verb, testCase.timeout, testCase.userTimeout)
 		}
 		got := make(chan peer.Response, 1)
-		go func() { got <- controller.Handle(ctx, testCase.r, false) }()
+		go func() { got <- controller.Handle(ctx, testCase.request, false) }()
 		// The waiting timers are the hello timer, the two timeouts of the forwarded request and, in the second round, one
 		// that is left from the first request.
 		if err := clock.BlockUntilContext(ctx, 3+index); err != nil {
 			t.Fatal(err)
 		}
-		clock.Advance(testCase.patient)
+		clock.Advance(testCase.timeout)
 		if response := <-got; response.Status != testCase.status {
-			t.Errorf("%s: %d %s, want %d", testCase.r.Verb, response.Status, response.Body, testCase.status)
+			t.Errorf("%s: %d %s, want %d", testCase.request.Verb, response.Status, response.Body, testCase.status)
 		}
 	}
 	if state.Get(store.InboxKey("run-000001")) == nil {
--- a/controller/stale_record_test.go
+++ b/controller/stale_record_test.go
@@ -67,14 +67,14 @@
 				}
 				<-readEnded
 				stop()
-				finishAnyTask(leader, id)
+				finishFirstTaskIfStarted(leader, id)
 				if starts := leader.starts(id + "/0"); starts > 0 {
 					t.Errorf("a task of the cancelled job was started %d times", starts)
 				}
-				if got := statusOf(t, process); got != api.Cancelled {
+				if got := stateOfFirstJob(t, process); got != api.Cancelled {
 					t.Errorf("acknowledged as %s, the leader answers %v", api.Cancelled, got)
 				}
-				if got := statusOf(t, leader.otherController()); got != api.Cancelled {
+				if got := stateOfFirstJob(t, leader.otherController()); got != api.Cancelled {
 					t.Errorf("acknowledged as %s, another controller answers %v", api.Cancelled, got)
 				}
 			})
@@ -86,12 +86,12 @@
 // records are archived.
 func cancelAndArchive(t *testing.T, leader *testLeader, process *Controller, id string) {
 	t.Helper()
-	if got := statusOf(t, process); got != api.Pending {
+	if got := stateOfFirstJob(t, process); got != api.Pending {
 		t.Fatalf("status after acceptance: %v", got)
 	}
 	leader.Cancel(cancelledContext(), id)
 	leader.commit()
-	if got := statusOf(t, process); got != api.Cancelled {
+	if got := stateOfFirstJob(t, process); got != api.Cancelled {
 		t.Fatalf("status after cancellation: %v", got)
 	}
 	if leader.Presence(id).InMemory {
@@ -99,8 +99,9 @@
 	}
 }
 
-// finishAnyTask sends heartbeats of a machine that runs the first task of a job, if it is told to, and reports it as done.
-func finishAnyTask(leader *testLeader, id string) {
+// finishFirstTaskIfStarted sends heartbeats of a machine that runs the first task of a job, if it is told to, and reports
+// it as done.
+func finishFirstTaskIfStarted(leader *testLeader, id string) {
 	leader.heartbeat()
 	leader.Place()
 	leader.commit()
--- a/controller/term.go
+++ b/controller/term.go
@@ -86,15 +86,15 @@
 }
 
 // startLoops starts the loops of the term other than placement. They continue from the revisions that were read.
-func (t *leaderTerm) startLoops(ctx context.Context, read loadedRevisions) {
+func (t *leaderTerm) startLoops(ctx context.Context, loaded loadedRevisions) {
 	go t.committer.Run(ctx)
-	go inbox.NewFollower(t.controller.clock, t.controller.client, t.scheduler, t.committer, read.jobs).Run(ctx)
+	go inbox.NewFollower(t.controller.clock, t.controller.client, t.scheduler, t.committer, loaded.jobs).Run(ctx)
 	go t.lookUpDependencies(ctx)
-	go t.followWorkerRelay(ctx, read.jobs)
+	go t.followWorkerRelay(ctx, loaded.jobs)
 	go t.refreshMachines(ctx)
 	if t.controller.features.data.On {
-		go t.followDatasets(ctx, read.datasets)
-		go t.followAgentRelay(ctx, read.jobs)
+		go t.followDatasets(ctx, loaded.datasets)
+		go t.followAgentRelay(ctx, loaded.jobs)
 	}
 	go t.maintainFleet(ctx)
 }
@@ -106,7 +106,7 @@
 			return "a peer has a higher term"
 		}
 	}
-	if t.scheduler.Leading() && t.controller.transfer.Due(t.controller.clock.Now(), t.scheduler.TermStarted(), t.controller.cpuMonitor.ComparisonUS(), t.controller.peers.LivePeers()) {
+	if t.scheduler.Leading() && t.controller.leadershipTransfer.Due(t.controller.clock.Now(), t.scheduler.TermStarted(), t.controller.cpuMonitor.ComparisonUS(), t.controller.peers.LivePeers()) {
 		return "computes slower than a peer"
 	}
 	if t.scheduler.Leading() && t.scheduler.OutboundLost(t.controller.peers.LivePeers()) {
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -21,8 +21,8 @@
 // loadWithRetry reads all records that a new leader needs, and retries until it succeeds or the context ends.
 func (t *leaderTerm) loadWithRetry(ctx context.Context) loadedRevisions {
 	for ctx.Err() == nil {
-		if read, ok := t.load(ctx); ok {
-			return read
+		if loaded, ok := t.load(ctx); ok {
+			return loaded
 		}
 		sleep.For(ctx, t.controller.clock, tuning.ElectRetry)
 	}
@@ -30,26 +30,26 @@
 }
 
 // load reads the configuration, the datasets and the job records, in this order. It logs the first error and returns false.
-func (t *leaderTerm) load(ctx context.Context) (read loadedRevisions, ok bool) {
+func (t *leaderTerm) load(ctx context.Context) (loaded loadedRevisions, ok bool) {
 	if t.applier != nil {
 		// A configuration that was read before this term may be older than the last one that the previous leader applied.
 		if err := t.applier.Load(ctx); err != nil {
 			slog.Error("configuration not read", "err", err)
-			return read, false
+			return loaded, false
 		}
 	}
 	var err error
 	if t.controller.features.data.On {
-		if read.datasets, err = t.loadDatasets(ctx); err != nil {
+		if loaded.datasets, err = t.loadDatasets(ctx); err != nil {
 			slog.Error("datasets not read", "err", err)
-			return read, false
+			return loaded, false
 		}
 	}
-	if read.jobs, err = t.loadJobs(ctx); err != nil {
+	if loaded.jobs, err = t.loadJobs(ctx); err != nil {
 		slog.Error("records not read", "err", err)
-		return read, false
+		return loaded, false
 	}
-	return read, true
+	return loaded, true
 }
 
 // loadJobs passes the job records to the scheduler, together with hints of the previous leader about the locations of
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -46,33 +46,33 @@
 }
 
 // mayRedirect reports whether a worker may be redirected to another controller.
-func (w *workerRouter) mayRedirect(worker, to string) bool {
+func (w *workerRouter) mayRedirect(worker, target string) bool {
 	// A controller that sends no hello is assumed to receive heartbeats; only workers that return from it are evidence
 	// against that.
 	receives := true
 	for _, hello := range w.peers.LivePeers() {
-		if hello.Member == to {
+		if hello.Member == target {
 			receives = hello.ReceivesHeartbeats
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.redirects.Allow(w.clock.Now(), worker, to, receives)
+	return w.redirects.Allow(w.clock.Now(), worker, target, receives)
 }
 
 // controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, and
 // otherwise the zone's home controller. If the successor of that controller in the order in which workers try controllers
 // is unresponsive, redirect.Target chooses another one.
 func (w *workerRouter) controllerFor(zone, leader string) string {
-	to := leader
+	target := leader
 	if w.zoneOf(leader) != zone {
 		if home := w.homeController(zone); home != "" {
-			to = home
+			target = home
 		}
 	}
 	ring := append([]settings.Peer{{Member: w.settings.Member, Zone: w.settings.Zone}}, w.settings.Peers...)
-	return redirect.Target(ring, to, zone, func(m string) bool {
-		return m != w.settings.Member && w.clock.Since(w.startedAt) > tuning.PeerDead+tuning.PeerHello && w.peers.Unresponsive(m)
+	return redirect.Target(ring, target, zone, func(member string) bool {
+		return member != w.settings.Member && w.clock.Since(w.startedAt) > tuning.PeerDead+tuning.PeerHello && w.peers.Unresponsive(member)
 	})
 }
 
