--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -49,8 +49,8 @@
 		if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
 			return answer{response.Status, json.RawMessage(response.Body)}
 		}
-		// The leader may have handled the heartbeat, but its response did not arrive. This controller answers instead, and
-		// its response renews the lease.
+		// The leader gave no usable response, although it may have handled the heartbeat. This controller answers instead,
+		// and its response renews the lease.
 		return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleOfferedHeartbeat)
 	}
 	return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleHeartbeat)
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -17,8 +17,8 @@
 	"switchferry/tuning"
 )
 
-// A duplicate heartbeat does not count as evidence that workers reach a follower, and the response to it neither renews the
-// lease nor redirects the worker.
+// A duplicate heartbeat does not count as evidence that workers reach a follower, and is not relayed. The response to it
+// neither renews the lease nor redirects the worker.
 func TestDuplicateHeartbeatsAreIgnoredByFollower(t *testing.T) {
 	controller, clock := newIsolatedController()
 	term := uint64(9)
