--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// candidate is a machine on which one task of a job can start, by preemption if need be.
+// candidate is a machine on which one task of a job can start, if necessary by preemption.
 type candidate struct {
 	machine *machineState
-	// leaving are allocations that are being stopped already, victims those that would be.
+	// leaving are the allocations that are already being stopped, victims those that would be preempted.
 	leaving, victims []*allocation
-	// score is what the start costs; the candidates of one search have it in one unit.
+	// score is the cost of the start. All candidates of one search use the same unit.
 	score float64
 }
 
 // candidateHeap is a heap (container/heap) of the machines on which tasks of one job can start, cheapest first. The
-// fleet is searched once for the job, not once for each of its tasks: a fleet of hundreds of machines and an array of
-// hundreds of tasks would otherwise take the leader's whole processor. That is exact, since what is done on one
-// machine makes no other one cheaper.
+// fleet is searched once per job instead of once per task: with hundreds of machines and an array of hundreds of tasks,
+// a search per task would saturate the leader's CPU. The result is still exact, because a start on one machine never
+// lowers the cost of another.
 type candidateHeap []candidate
 
 // Len implements heap.Interface.
@@ -45,8 +45,9 @@
 	return popped
 }
 
-// candidateOn returns what the start of one task of a job costs on a machine; false if none can start there, or, for a
-// job with inputs, if none is staged there. s.mu must be held.
+// candidateOn returns a machine as a candidate for one task of a job, with the cost of the start. It returns false if no
+// task of the job can start there or, for a job with inputs, if no queued task has its inputs staged there.
+// s.mu must be held.
 func (s *Scheduler) candidateOn(job *jobState, machine *machineState) (candidate, bool) {
 	if !s.eligible(job, machine) || !satisfiesSpread(job, machine) || len(job.inputs) > 0 && !s.hasStaged(job, machine) {
 		return candidate{}, false
@@ -55,7 +56,7 @@
 	if !ok {
 		return candidate{}, false
 	}
-	// Inputs cost nothing here: they are staged.
+	// Inputs add no cost, because they are already staged.
 	score := s.sharedStartCost(job, 0, machine).Image
 	for _, alloc := range victims {
 		score += float64(s.preemptionLoss(alloc)) / 1000
@@ -63,7 +64,7 @@
 	return candidate{machine, leaving, victims, score}, true
 }
 
-// candidates returns the machines on which a task of a job can start. s.mu must be held.
+// candidates returns a heap of the machines on which a task of a job can start. s.mu must be held.
 func (s *Scheduler) candidates(job *jobState, machines []*machineState) *candidateHeap {
 	candidates := &candidateHeap{}
 	for _, machine := range machines {
@@ -75,8 +76,9 @@
 	return candidates
 }
 
-// bestCandidate removes and returns the cheapest machine as things are now; false if none is left. The caller puts it
-// back by pushCandidate once it has used it. s.mu must be held.
+// bestCandidate removes the candidate with the lowest current score from the heap and returns it, or false if none is
+// left. Scores in the heap may be stale, so they are recomputed. After a start the caller must call pushCandidate to put
+// the machine back. s.mu must be held.
 func (s *Scheduler) bestCandidate(job *jobState, candidates *candidateHeap) (candidate, bool) {
 	for candidates.Len() > 0 {
 		stale := heap.Pop(candidates).(candidate) //nolint:forcetypeassert // the heap holds nothing else
@@ -92,7 +94,7 @@
 	return candidate{}, false
 }
 
-// pushCandidate puts a machine back after its use, if one more task can start there. s.mu must be held.
+// pushCandidate puts a machine back into the heap if one more task of the job can start there. s.mu must be held.
 func (s *Scheduler) pushCandidate(job *jobState, machine *machineState, candidates *candidateHeap) {
 	if found, ok := s.candidateOn(job, machine); ok {
 		heap.Push(candidates, found)
--- a/scheduler/constraints.go
+++ b/scheduler/constraints.go
@@ -5,14 +5,15 @@
 	"switchferry/tuning"
 )
 
-// satisfiesConstraints reports whether a job's tasks may ever run on a machine: its type, zone and kind are allowed.
-// The machine's type must be known.
+// satisfiesConstraints reports whether a machine meets the static constraints of a job: its type fits, it is in the
+// job's zone, and it is not a spot machine unless the job allows these. The machine's type must be known.
 func satisfiesConstraints(job *jobState, machine *machineState) bool {
 	return machine.Spec.Fits(&job.Job) && (job.Job.Zone == "" || job.Job.Zone == machine.Zone) && (!machine.Spot || job.Job.Spot)
 }
 
-// satisfiesSpread reports whether one more task of a job may start on a machine, given where its other tasks are or
-// may be: a job may have to be in one zone, or spread over zones or domains. s.mu must be held.
+// satisfiesSpread reports whether one more task of a job may start on a machine, given where the job's other tasks run
+// or may run. A job may require that all tasks are in one zone, or that they are spread over zones or domains.
+// s.mu must be held.
 func satisfiesSpread(job *jobState, machine *machineState) bool {
 	if job.site != nil && !job.site.Allows(machine.Name) {
 		return false
@@ -28,15 +29,15 @@
 		case job.Job.OneZone:
 			return false
 		case alloc.machine.Zone == "":
-			// The machine is known from a record only, and may be in this zone.
+			// The machine is known only from a stored record. Its zone is unknown and may be this one.
 			inZone++
 		}
 	}
 	return !job.Job.Spread || inZone < (job.taskCount+1)/2
 }
 
-// eligible reports whether a machine may get tasks of a job now, free resources, zones, inputs and quota apart.
-// s.mu must be held.
+// eligible reports whether tasks of a job may be assigned to a machine now. It does not consider free resources, the
+// spread over zones and domains, inputs or quota. s.mu must be held.
 func (s *Scheduler) eligible(job *jobState, machine *machineState) bool {
 	if !s.schedulable(machine) || !satisfiesConstraints(job, machine) {
 		return false
@@ -45,8 +46,9 @@
 	return (!avoided || s.now().After(until)) && !s.reservedForStarved(job, machine) && !s.reservedForOthers(job, machine)
 }
 
-// startableNow reports whether tasks of a job may start now, wherever: its record is stored, it is not over or
-// paused, its inputs are known, and it has no task yet if it fails everywhere. s.mu must be held.
+// startableNow reports whether tasks of a job may start now, irrespective of the machine: its record is stored, it is
+// not in a final state or paused, and its input datasets are known. A job that fails on every machine may run only one
+// task at a time, unless it is a gang. s.mu must be held.
 func (s *Scheduler) startableNow(job *jobState) bool {
 	if !job.accepted || job.FinalState != "" || s.now().Before(job.pausedUntil) || !s.inputsReady(job) {
 		return false
@@ -60,7 +62,8 @@
 		s.eligible(job, machine) && satisfiesSpread(job, machine) && s.withinQuota(job)
 }
 
-// heartbeatFull reports whether one more task might not fit into the machine's heartbeats.
+// heartbeatFull reports whether the machine has as many tasks as one heartbeat can report. Exited tasks count until they
+// are cleared.
 func (m *machineState) heartbeatFull() bool {
 	return len(m.allocations)+len(m.exited) >= tuning.ReportTasks
 }
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -12,21 +12,22 @@
 	"switchferry/tuning"
 )
 
-// stagingDemand is a task whose inputs a machine shall have.
+// stagingDemand is a task whose inputs should be staged on a machine.
 type stagingDemand struct {
-	// position is that of the job in the order of the jobs; allocatedPosition for an allocated task.
+	// position is the index of the job in Scheduler.jobOrder, or allocatedPosition for an allocated task.
 	position int
 	job      *jobState
 	machine  *machineState
 	task     int
 }
 
-// allocatedPosition is before every job: inputs of an allocated task must stay where they are.
+// allocatedPosition sorts before every job, because the inputs of an allocated task must not be evicted.
 const allocatedPosition = -1
 
-// planStaging decides what is to be copied, after a placement round, and sends out the orders that changed. First
-// come allocated tasks, whose inputs must stay where they are; then, job by job in the order of the jobs, tasks that
-// a machine has free resources for, and some more. s.mu must be held.
+// planStaging plans which dataset parts are copied to which machines after a placement round, and sends the staging
+// orders that changed. Inputs of allocated tasks come first, because they must not be evicted. Then follow, in the order
+// of the jobs, the inputs of queued tasks for which a machine has free resources, and of a limited number of queued tasks
+// beyond these. s.mu must be held.
 func (s *Scheduler) planStaging() {
 	datasets := s.datasets
 	if datasets == nil {
@@ -34,7 +35,7 @@
 	}
 	clear(datasets.waiting)
 	if !s.demandsData() && datasets.planner.Idle() {
-		// Most rounds of a fleet whose jobs have no inputs end here.
+		// No job has inputs and no copy is in progress.
 		return
 	}
 	now := s.now()
@@ -57,8 +58,9 @@
 	}
 }
 
-// queuedStagingDemands returns the queued tasks that machines have free resources for, and as many more on each as
-// the settings let be staged ahead. It counts the queued tasks that wait for inputs. s.mu must be held.
+// queuedStagingDemands returns the queued tasks for which their machines have free resources, and on each machine as
+// many further tasks as the setting Ahead allows. It also counts the queued tasks that wait for inputs, in
+// datasetState.waiting. s.mu must be held.
 func (s *Scheduler) queuedStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
 	ahead := s.datasets.settings.Ahead
 	if s.datasets.settings.Placement != features.Staged {
@@ -87,9 +89,9 @@
 	return demands
 }
 
-// heldStagingDemands returns the allocated tasks of jobs with inputs, and the tasks of services and gangs for which
-// inputs are copied to an intended machine. It forgets the intended machines of tasks that need none any more, and
-// counts the others as waiting. s.mu must be held.
+// heldStagingDemands returns the allocated tasks of jobs with inputs, and the tasks of services and gangs whose inputs
+// are being copied to an intended machine. It removes the intended machines of tasks that are allocated, completed or
+// part of a job in a final state, and counts the remaining tasks as waiting. s.mu must be held.
 func (s *Scheduler) heldStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
 	for _, job := range s.jobOrder {
 		if len(job.inputs) == 0 {
@@ -110,8 +112,8 @@
 	return demands
 }
 
-// partDemands returns the parts of datasets that tasks need, in the order of the tasks: each task's own part of
-// partitioned inputs, and, once a machine, all parts of the others.
+// partDemands returns the dataset parts that the tasks need, in the order of the tasks. For an input with one part per
+// task, that is the task's own part; for any other input it is every part, listed once per machine.
 func partDemands(demands []stagingDemand) (parts []staging.Demand) {
 	type wholeDataset struct {
 		machine *machineState
@@ -141,8 +143,9 @@
 	return slices.ContainsFunc(s.jobOrder, func(job *jobState) bool { return len(job.inputs) > 0 })
 }
 
-// retryStuckStaging takes tasks back from machines that cannot get their inputs: the agent is silent, or the cache
-// has long been full of what must be kept. s.mu must be held.
+// retryStuckStaging requeues the tasks of machines that cannot receive inputs, because the data agent is silent or the
+// cache has been full of pinned parts for too long. The jobs avoid such a machine for tuning.BackoffMax.
+// s.mu must be held.
 func (s *Scheduler) retryStuckStaging() {
 	if !s.demandsData() {
 		return
@@ -167,7 +170,7 @@
 }
 
 // stagingStuck reports whether a machine's agent is silent, and whether its cache has been full for longer than
-// tuning.StageMove; it keeps since when a cache is full. s.mu must be held.
+// tuning.StageMove. It records in datasetState.stuckSince when the cache became full. s.mu must be held.
 func (s *Scheduler) stagingStuck(machine *machineState) (silent, full bool) {
 	datasets := s.datasets
 	if !datasets.planner.Full(machine.Name) {
@@ -181,8 +184,9 @@
 	return silent, full
 }
 
-// takeStaged removes from a machine's queue the first task of a job whose inputs are staged there, and returns it; -1
-// if there is none. Nothing is preempted for a task that would only wait there. s.mu must be held.
+// takeStaged removes the first task of a job whose inputs are staged on a machine from the job's queue there and returns
+// it, or -1 if there is none. Preemption uses it, so that nothing is preempted for a task that would still wait for its
+// inputs. s.mu must be held.
 func (s *Scheduler) takeStaged(job *jobState, machine *machineState) int {
 	if queue, i := s.firstStaged(job, machine); i >= 0 {
 		return queue.removeAt(i)
@@ -190,8 +194,8 @@
 	return -1
 }
 
-// firstStaged returns a job's queue on a machine and the index of the first task whose inputs are staged there; -1 if
-// there is none. s.mu must be held.
+// firstStaged returns a job's queue on a machine and the index of the first task whose inputs are staged there. The index
+// is -1 if there is none. s.mu must be held.
 func (s *Scheduler) firstStaged(job *jobState, machine *machineState) (*runQueue, int) {
 	for _, queue := range machine.queues {
 		if queue.job == job {
@@ -207,8 +211,8 @@
 	return i >= 0
 }
 
-// intendedMachine returns the machine that inputs of a service's or a gang's task are being copied to; nil if there is
-// none, or if it may not take the task any more, in which case it is forgotten. s.mu must be held.
+// intendedMachine returns the machine to which the inputs of a task of a service or gang are being copied. It returns nil
+// if there is none, or if the task may no longer be placed there; it then removes the entry. s.mu must be held.
 func (s *Scheduler) intendedMachine(job *jobState, task int) *machineState {
 	machine := job.intendedMachines[task]
 	if machine == nil || s.machines[machine.Name] != machine || !s.mayPlace(job, machine) {
@@ -218,7 +222,7 @@
 	return machine
 }
 
-// setIntendedMachine notes the machine that inputs of a task are to be copied to. s.mu must be held.
+// setIntendedMachine records the machine to which the inputs of a task are to be copied. s.mu must be held.
 func (j *jobState) setIntendedMachine(task int, machine *machineState) {
 	if j.intendedMachines == nil {
 		j.intendedMachines = map[int]*machineState{}
@@ -226,8 +230,9 @@
 	j.intendedMachines[task] = machine
 }
 
-// HandleStageHeartbeat applies a data agent's heartbeat and returns the agent's order. Deposed is true if the agent has
-// seen a higher term, refused if its machine was released or datasets are off; the order is empty then.
+// HandleStageHeartbeat applies a data agent's heartbeat and returns the staging order for the agent. It returns deposed
+// if the agent has seen a higher term, and refused if the agent's machine was released or datasets are off. The order is
+// empty in both cases.
 func (s *Scheduler) HandleStageHeartbeat(heartbeat *api.StageHeartbeat) (order api.StageOrder, deposed, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,8 +248,8 @@
 	}
 	order, _, ok := s.datasets.planner.Order(heartbeat.Machine)
 	if !ok || !s.loaded || !s.leadership.Leading() {
-		// What runs there is not known yet, or we may not lead: nothing may be evicted. An order of number 0 changes
-		// nothing.
+		// There is no order, the records are not loaded or this controller does not lead, so nothing may be evicted. An
+		// order with number 0 changes nothing.
 		order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
 	}
 	return order, false, false
--- a/scheduler/dataset_removal.go
+++ b/scheduler/dataset_removal.go
@@ -8,13 +8,14 @@
 	"switchferry/store"
 )
 
-// A dataset is removed in two steps, each of which is a change of its record. First it is unlisted. As a job is accepted
-// only on condition that the records of its datasets are as they were read, no job comes to need the dataset from then
-// on. Jobs that were accepted before run as ever. Once none of them is left, the dataset is removed, and agents delete
-// its bytes. Only the leader can tell that none is left, once it knows all jobs that peers accepted until the first step.
+// A dataset is removed in two steps, each of which updates its record. First it is unlisted. A job is accepted only on
+// the condition that the records of its datasets have not changed since they were read, so no new job can use the dataset
+// from then on. Jobs that were accepted earlier run normally. Once none of them is left, the dataset is marked as removed
+// and agents delete its bytes. Only the leader can determine that none is left, and only when it knows every job that
+// peers accepted before the dataset was unlisted.
 
-// inputConditions returns the conditions under which a job with such inputs may be accepted. They cannot hold if a
-// dataset is not known or no longer listed. s.mu must be held.
+// inputConditions returns the store conditions under which a job with inputs may be accepted. They cannot hold if one of
+// its datasets is unknown or no longer listed. s.mu must be held.
 func (s *Scheduler) inputConditions(job *jobState) []store.Condition {
 	if s.datasets == nil {
 		return nil
@@ -30,9 +31,9 @@
 	return conditions
 }
 
-// adoptDatasetRecord adopts a dataset's record that differs from what the acceptance of a job was conditional on. Jobs
-// that are not accepted yet, and that must not name the dataset any more, are dropped: the requests that wait for them
-// check the inputs again and answer with the reason. s.mu must be held.
+// adoptDatasetRecord adopts a dataset's record that made a conditional write fail. If the dataset is no longer listed, it
+// removes the jobs that use it and are not accepted yet. The requests that wait for these jobs then check the inputs
+// again and return the reason. s.mu must be held.
 func (s *Scheduler) adoptDatasetRecord(found *store.Item) {
 	entry, err := DecodeDataset(found)
 	if err != nil {
@@ -51,12 +52,12 @@
 	}
 }
 
-// usesDataset reports whether the job needs a dataset. Scheduler.mu must be held.
+// usesDataset reports whether a dataset is among the job's inputs. Scheduler.mu must be held.
 func (j *jobState) usesDataset(name string) bool {
 	return slices.ContainsFunc(j.inputs, func(jobInput input) bool { return jobInput.name == name })
 }
 
-// InboxSeen notes that all jobs are known that peers accepted up to a revision of the state service.
+// InboxSeen records that every job that peers accepted up to a revision of the state service is known.
 func (s *Scheduler) InboxSeen(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,14 +66,14 @@
 	}
 }
 
-// JobsUsing counts the jobs that need a dataset.
+// JobsUsing returns the number of known jobs that have a dataset as an input.
 func (s *Scheduler) JobsUsing(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.jobsUsing(name)
 }
 
-// jobsUsing counts the jobs that need a dataset. s.mu must be held.
+// jobsUsing is JobsUsing with s.mu held.
 func (s *Scheduler) jobsUsing(name string) int {
 	count := 0
 	for _, job := range s.jobOrder {
@@ -83,8 +84,8 @@
 	return count
 }
 
-// finishRemovals has the unlisted datasets that nothing needs any more recorded as removed. A job whose acceptance is
-// not certain counts, as it may be on record. s.mu must be held.
+// finishRemovals schedules the records of unlisted datasets that no job uses to be written as removed. A job whose
+// acceptance is uncertain counts as a user, because its record may have been stored. s.mu must be held.
 func (s *Scheduler) finishRemovals() {
 	if s.datasets == nil {
 		return
@@ -97,14 +98,15 @@
 	}
 }
 
-// removable reports whether a dataset's removal is to be written now. s.mu must be held.
+// removable reports whether a dataset can now be recorded as removed: it is being removed, all jobs accepted before it
+// was unlisted are known, no write is in progress, and no job uses it. s.mu must be held.
 func (s *Scheduler) removable(entry *dataset.Entry) bool {
 	return entry.State == dataset.Removing && s.datasets.inboxRevision >= entry.Stamp &&
 		s.datasets.removing[entry.Name] == "" && s.jobsUsing(entry.Name) == 0
 }
 
-// removalStored is called once datasetRecord's record of a dataset is stored. It is that of a removal unless a job came
-// to need the dataset meanwhile. s.mu must be held.
+// removalStored is called once the record that datasetRecord built for a dataset is stored. The record does not state the
+// removal if a job that uses the dataset became known before the record was built. s.mu must be held.
 func (s *Scheduler) removalStored(entry *dataset.Entry) {
 	written := s.datasets.removing[entry.Name]
 	delete(s.datasets.removing, entry.Name)
@@ -117,8 +119,8 @@
 	s.wakePlacer()
 }
 
-// datasetRecord builds a dataset's record. The leader writes one only to remove a dataset, on condition that the record
-// is as it was when that was decided. s.mu must be held.
+// datasetRecord builds a dataset's record. The leader writes one only to remove a dataset, on the condition that the
+// stored record has not changed since the leader read it. s.mu must be held.
 func (s *Scheduler) datasetRecord(name string) recordContent {
 	if s.datasets == nil || s.datasets.unlisted[name] == nil {
 		return recordContent{}
--- a/scheduler/dataset_views.go
+++ b/scheduler/dataset_views.go
@@ -12,30 +12,31 @@
 	"switchferry/replicas"
 )
 
-// DataView is what operators see of datasets, as JSON.
+// DataView is the JSON view of all datasets, copies in progress and waiting jobs for operators.
 type DataView struct {
 	Datasets []DatasetView     `json:"datasets"`
 	Copies   []CopyView        `json:"copies"`
 	Waiting  []api.WaitingView `json:"waiting"`
 }
 
-// DatasetView is what operators see of one dataset.
+// DatasetView is the view of one dataset for operators.
 type DatasetView struct {
 	Name  string `json:"name"`
 	Bytes int64  `json:"bytes"`
 	Parts int    `json:"parts"`
-	// Whole counts the machines that hold all parts, Some those that hold any.
+	// Whole is the number of machines that hold all parts.
 	Whole int `json:"machines_whole"`
-	Some  int `json:"machines_some"`
-	// Nowhere counts the parts that no machine holds.
+	// Some is the number of machines that hold at least one part.
+	Some int `json:"machines_some"`
+	// Nowhere is the number of parts that no machine holds.
 	Nowhere int `json:"parts_nowhere"`
 	// State is empty, "removing" or "removed".
 	State string `json:"state,omitempty"`
-	// Jobs counts the jobs that need the dataset.
+	// Jobs is the number of known jobs that have the dataset as an input.
 	Jobs int `json:"jobs"`
 }
 
-// CopyView is what operators see of one copy that is under way.
+// CopyView is the view of one copy in progress for operators.
 type CopyView struct {
 	Machine string `json:"machine"`
 	Dataset string `json:"dataset"`
@@ -43,14 +44,14 @@
 	Got     int64  `json:"bytes_got"`
 	Of      int64  `json:"bytes"`
 	From    string `json:"from"`
-	// Failed holds, by source, why it did not give the part.
+	// Failed maps each source that did not deliver the part to the reason.
 	Failed map[string]string `json:"failed,omitempty"`
-	// Full says that the machine's cache has no space for the part.
+	// Full is true if the machine's cache has no space for the part.
 	Full bool `json:"cache_full,omitempty"`
 }
 
-// Datasets returns the view of datasets, of the machines that hold them, and of what is copied. It returns false if
-// datasets are off. Which machines hold what is read from a snapshot after s.mu is released, as it takes long.
+// Datasets returns the view of datasets, the machines that hold them, and the copies in progress. It returns false if
+// datasets are off. The holders are counted from a snapshot after s.mu is released, because counting takes long.
 func (s *Scheduler) Datasets() (view DataView, runningOn bool) {
 	view, snapshot, runningOn := s.datasetsWithoutHolders()
 	if !runningOn {
@@ -63,8 +64,8 @@
 	return view, true
 }
 
-// datasetsWithoutHolders returns the view of datasets but for what depends on the machines that hold them, and the
-// snapshot that says which do. It returns false if datasets are off.
+// datasetsWithoutHolders returns the view of datasets without the fields that depend on holders, and the index snapshot
+// from which these fields are computed. It returns false if datasets are off.
 func (s *Scheduler) datasetsWithoutHolders() (view DataView, snapshot *replicas.Snapshot, runningOn bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +89,8 @@
 	return view, snapshot, true
 }
 
-// datasetViews returns the datasets, in no order and without counts of holders. Removed ones are left out once no
-// machine holds any of them. Datasets must be on, and s.mu must be held.
+// datasetViews returns the views of the datasets, unsorted and without counts of holders. It leaves out removed datasets
+// of which no machine holds a part. Datasets must be on, and s.mu must be held.
 func (s *Scheduler) datasetViews(snapshot *replicas.Snapshot) []DatasetView {
 	jobs := map[string]int{}
 	for _, job := range s.jobOrder {
@@ -120,7 +121,7 @@
 	return views
 }
 
-// countHolders counts the machines that hold the dataset.
+// countHolders sets the fields of the view that depend on which machines hold the dataset.
 func (v *DatasetView) countHolders(snapshot *replicas.Snapshot) {
 	holdersOfAny := roaring.New()
 	for part := range v.Parts {
@@ -136,7 +137,7 @@
 	v.Some = int(holdersOfAny.GetCardinality())
 }
 
-// logDatasets logs the backlog and the progress of staging. s.mu must be held.
+// logDatasets logs the backlog and progress of staging. It does nothing if datasets are off. s.mu must be held.
 func (s *Scheduler) logDatasets() {
 	if s.datasets == nil {
 		return
--- a/scheduler/datasets.go
+++ b/scheduler/datasets.go
@@ -15,54 +15,55 @@
 	"switchferry/store"
 )
 
-// A task with inputs is queued like any other, but it starts only once its inputs are proved whole and pinned on its
-// machine. Until then it takes no resources, and other tasks use what is free. What is copied where follows from the
-// queues, anew in each round, so it needs no record: a new leader builds its queues as ever and learns from the agents
-// which machines hold what.
+// A task with inputs is queued like any other task, but it starts only once the agent of its machine has confirmed that
+// its inputs are complete and pinned there. Until then it is not allocated any resources, so other tasks can use them.
+// Which parts are copied to which machines is derived from the queues in each round and not stored: a new leader rebuilds
+// its queues and learns from the agents which machines hold which parts.
 
-// datasetState is what one term of the leader knows of datasets. It is guarded by Scheduler.mu.
+// datasetState is the leader's state of datasets during one term. Scheduler.mu guards it.
 type datasetState struct {
 	settings features.Data
 
 	// entries are the known datasets by name, removed ones included.
 	entries map[string]*dataset.Entry
-	// unlisted are those of the entries that are being removed or were removed.
+	// unlisted are the entries that are being removed or were removed, by name.
 	unlisted map[string]*dataset.Entry
-	// removing holds, by name of each dataset whose removal is being stored, the state in the record built last.
+	// removing maps the name of each dataset whose removal is being stored to the state in the record built last.
 	removing map[string]string
-	// inboxRevision is the revision of the state service up to which all jobs are known that peers accepted.
+	// inboxRevision is the revision of the state service up to which all jobs that peers accepted are known.
 	inboxRevision uint64
 
-	// index says which machines hold which parts.
+	// index records which machines hold which parts.
 	index *replicas.Index
-	// snapshot is that of the index that one round of the placer uses.
+	// snapshot is the snapshot of index that the current placement round uses.
 	snapshot *replicas.Snapshot
 	planner  *staging.Planner
-	// stuckSince is, by machine, since when its cache has had no space for what it was to copy.
+	// stuckSince maps a machine to the time since which its cache has had no space for the parts ordered.
 	stuckSince map[string]time.Time
-	// waiting counts the tasks that waited for their inputs in the last round, by job.
+	// waiting is the number of tasks of each job, by job ID, that waited for their inputs in the last round.
 	waiting map[string]int
 
-	// hintedVersion is the version of the index that was last stored as a hint, at hintStoredAt.
+	// hintedVersion is the version of the index that was last stored as a hint.
 	hintedVersion uint64
-	hintStoredAt  time.Time
+	// hintStoredAt is when that hint was stored.
+	hintStoredAt time.Time
 
-	// relayedOrders are the agents, by machine, whose last heartbeat was relayed by a peer.
+	// relayedOrders holds, by machine, the relayed order of each agent whose last heartbeat was relayed by a peer.
 	relayedOrders map[string]*relayedOrder
-	// orderMailboxes hold the orders for those agents, by peer.
+	// orderMailboxes hold the orders for these agents, by peer.
 	orderMailboxes *exchange.Mailboxes
 }
 
-// input is a dataset that a job needs.
+// input is a dataset that a job reads.
 type input struct {
 	name string
-	// partPerTask says that each task needs the part of its own number only, and not the whole dataset.
+	// partPerTask is true if each task needs only the part whose number is its own, not the whole dataset.
 	partPerTask bool
-	// summary is nil while the dataset is not known.
+	// summary is nil while the dataset is unknown.
 	summary *dataset.Summary
 }
 
-// UseData turns datasets on. It must be called before anything is loaded.
+// UseData turns datasets on. It must be called before any records are loaded.
 func (s *Scheduler) UseData(dataSettings features.Data) {
 	index := replicas.New()
 	datasets := &datasetState{
@@ -87,7 +88,7 @@
 	s.datasets = datasets
 }
 
-// bytesPerMB is the unit of rates and sizes in settings and logs.
+// bytesPerMB is the number of bytes in a megabyte, the unit of rates and sizes in settings and logs.
 const bytesPerMB = 1e6
 
 // localityAware reports whether placement considers which machines hold a job's inputs.
@@ -95,14 +96,14 @@
 	return d.settings.Placement == features.Local || d.settings.Placement == features.Staged
 }
 
-// AddDatasets adds or updates datasets as the state service holds them. It keeps none of the entries.
+// AddDatasets adds or updates datasets from their records in the state service. It copies the entries.
 func (s *Scheduler) AddDatasets(entries ...*dataset.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addDatasets(entries...)
 }
 
-// addDatasets is AddDatasets. s.mu must be held.
+// addDatasets is AddDatasets with s.mu held.
 func (s *Scheduler) addDatasets(entries ...*dataset.Entry) {
 	if s.datasets == nil {
 		return
@@ -122,8 +123,8 @@
 	s.wakePlacer()
 }
 
-// update adds a dataset, or takes over the state of a newer record of it. It returns whether the dataset is new.
-// Scheduler.mu must be held.
+// update adds a dataset, or copies the state of a newer record to the known entry. It reports whether the dataset is
+// new. Scheduler.mu must be held.
 func (d *datasetState) update(entry *dataset.Entry) (isNew bool) {
 	known := d.entries[entry.Name]
 	isNew = known == nil
@@ -131,7 +132,7 @@
 		added := *entry
 		d.entries[entry.Name] = &added
 	} else if entry.Stamp > known.Stamp {
-		// Jobs point to the summary, which never changes.
+		// The entry is kept because jobs point to its summary, which never changes.
 		known.State, known.Stamp = entry.State, entry.Stamp
 	}
 	if entry.State != dataset.Listed {
@@ -143,7 +144,7 @@
 	return isNew
 }
 
-// resolveInputs looks up those of a job's datasets that it has not found yet. s.mu must be held.
+// resolveInputs sets the summaries of those inputs of a job whose dataset was unknown until now. s.mu must be held.
 func (s *Scheduler) resolveInputs(job *jobState) {
 	if len(job.inputs) == 0 {
 		for _, named := range job.Job.Inputs {
@@ -161,14 +162,14 @@
 	}
 }
 
-// inputsReady reports whether all of a job's datasets are known. A job that was accepted while datasets were on must not
-// start without its inputs now that they are off. s.mu must be held.
+// inputsReady reports whether all datasets of a job are known. It is false for a job with inputs while datasets are off:
+// a job that was accepted while they were on must not start without its inputs. s.mu must be held.
 func (s *Scheduler) inputsReady(job *jobState) bool {
 	return !slices.ContainsFunc(job.inputs, func(jobInput input) bool { return s.datasets == nil || jobInput.summary == nil })
 }
 
-// inputsStaged reports whether a task's inputs are proved to be on a machine, as those of a job without inputs always
-// are. s.mu must be held.
+// inputsStaged reports whether the agent of a machine has confirmed that all inputs of a task are there. It is always
+// true for a job without inputs. s.mu must be held.
 func (s *Scheduler) inputsStaged(job *jobState, task int, machine *machineState) bool {
 	for _, jobInput := range job.inputs {
 		if s.datasets == nil || !s.datasets.staged(jobInput, task, machine.Name) {
@@ -178,7 +179,8 @@
 	return true
 }
 
-// staged reports whether what a task needs of a dataset is proved to be on a machine. Scheduler.mu must be held.
+// staged reports whether the agent of a machine has confirmed that the parts of one input that a task needs are there.
+// Scheduler.mu must be held.
 func (d *datasetState) staged(jobInput input, task int, machine string) bool {
 	switch {
 	case jobInput.summary == nil:
@@ -190,8 +192,8 @@
 	}
 }
 
-// DecodeDataset decodes and checks a dataset's record. The entry's Stamp is the record's revision. Errors do not name
-// the record; they are part of responses to users.
+// DecodeDataset decodes and checks a dataset's record. It sets the entry's Stamp to the record's revision. Its errors do
+// not name the record, because they become part of responses to users.
 func DecodeDataset(item *store.Item) (*dataset.Entry, error) {
 	var entry dataset.Entry
 	if err := json.Unmarshal(item.Value, &entry); err != nil {
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -13,9 +13,9 @@
 	"switchferry/tuning"
 )
 
-// reserveDomain reserves for a job without a domain the one that drains soonest, if that is before a new machine boots.
-// It returns the reservation for operators and users to read; empty if there is none. Allowed reports whether the
-// job's tasks may run on a machine. s.mu must be held.
+// reserveDomain reserves the domain that drains soonest for a job that has found none, provided that it drains before a
+// new machine could boot. It returns a description of the reservation for operators and users, or "" if there is none.
+// The function allowed reports whether the job's tasks may run on the named machine. s.mu must be held.
 func (s *Scheduler) reserveDomain(job *jobState, allowed func(string) bool) string {
 	if s.now().Before(job.nextDomainReservation) {
 		return job.reservedDomain
@@ -40,8 +40,9 @@
 	return job.reservedDomain
 }
 
-// startDelays returns in how many ms each of a number of further tasks of a job could start on a machine, ascending, if
-// what runs there ends by its estimate; fewer delays if not all of them ever can. s.mu must be held.
+// startDelays returns the times in ms after which each of the given number of further tasks of a job could start on a
+// machine, ascending, provided that the tasks running there end as estimated. It returns fewer delays if not all of the
+// tasks fit even then. s.mu must be held.
 func (s *Scheduler) startDelays(job *jobState, machine *machineState, tasks int) (delays []int64) {
 	free := machine.free()
 	type release struct {
@@ -54,7 +55,7 @@
 		case alloc.stopping:
 			releases = append(releases, release{0, alloc.job.request})
 		case alloc.job.Job.Shape == api.Service:
-			// A replica ends only when its job is cancelled.
+			// A replica of a service ends only when its job is cancelled.
 		default:
 			secondsLeft := estimate(alloc.job)
 			if !alloc.runningSince.IsZero() {
@@ -80,8 +81,8 @@
 	return delays
 }
 
-// reservedForOthers reports whether a job may not use a machine because its domain is reserved for another one, and the
-// job's tasks would not end in time. s.mu must be held.
+// reservedForOthers reports whether a job must not use a machine because the machine's domain is reserved for another
+// job and a task started now would not end before the reservation starts. s.mu must be held.
 func (s *Scheduler) reservedForOthers(job *jobState, machine *machineState) bool {
 	if s.topology == nil || !s.topology.reservations.Any() {
 		return false
@@ -93,8 +94,8 @@
 	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, ends)
 }
 
-// preemptionCosts returns the work that is lost, in ms, for each further task of a job on a machine, in the order of
-// starts, as many as preemption lets start there. s.mu must be held.
+// preemptionCosts returns the work in ms that preemption would lose for each pending task of a job that could start on a
+// machine, in the order of the starts. It returns fewer costs if not all pending tasks fit there. s.mu must be held.
 func (s *Scheduler) preemptionCosts(job *jobState, machine *machineState) (costs []int64) {
 	free, _ := machine.freeAfterStops()
 	preemptible := s.preemptible(job, machine)
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -13,54 +13,58 @@
 	"switchferry/tuning"
 )
 
-// missingInputs is the placement.InputCost of one job: what the inputs cost that a group of its tasks lacks on a
-// machine. A fleet of thousands asks for the same few waits over and over, so each is worked out once. s.mu must be
-// held.
+// missingInputs implements placement.InputCost for one job: the cost of the inputs that a group of its tasks lacks on a
+// machine. Results are cached, because in a fleet of thousands of machines the same few waits are computed over and over.
+// Scheduler.mu must be held for all methods.
 type missingInputs struct {
 	scheduler *Scheduler
 	job       *jobState
 	groups    []placement.Group
 	// slot is the length of a slot in seconds.
 	slot float64
-	// localityAware is false if inputs are not weighed at all.
+	// localityAware is false if placement ignores where inputs are held; all costs are then zero.
 	localityAware bool
 	// singlePartPerTask is true if the job has one input, of which each task needs its own part.
 	singlePartPerTask bool
 
-	// machineIDs, machineNames and backlog are by server; backlog is what a machine's link has to bring already, in
-	// bytes, and leastBacklog the least of these.
-	machineIDs   []replicas.MachineID
+	// machineIDs holds the ID of each server's machine.
+	machineIDs []replicas.MachineID
+	// machineNames holds the name of each server's machine.
 	machineNames []string
-	backlog      []float64
+	// backlog holds, for each server, the bytes that are already queued on the machine's link.
+	backlog []float64
+	// leastBacklog is the minimum of backlog.
 	leastBacklog float64
 
-	// slotsBySeconds caches slotsOf; lastSeconds and lastSecondsSlots are its last argument and result.
-	slotsBySeconds   map[float64]int
+	// slotsBySeconds caches the results of slotsOf by its argument.
+	slotsBySeconds map[float64]int
+	// lastSeconds and lastSecondsSlots are the last argument and result of slotsOf.
 	lastSeconds      float64
 	lastSecondsSlots int
 
-	// lastGroup is the group that Slots was last asked for, and transfer what a task of it needs; transfer.bytes and
-	// transfer.fromStore hold for all its servers if singlePartPerTask is set, else for the last one.
+	// lastGroup is the group in the last call of Slots.
 	lastGroup int
-	transfer  inputTransfer
-	// lastBacklog and lastSlots are the backlog of the server that Slots was last asked for, and its result.
+	// transfer describes what a task of lastGroup needs. Its bytes and fromStore apply to all servers of the group if
+	// singlePartPerTask is set, otherwise only to the server in the last call of Slots.
+	transfer inputTransfer
+	// lastBacklog and lastSlots are the backlog of the server in the last call of Slots and the result of that call.
 	lastBacklog float64
 	lastSlots   int
 }
 
-// inputTransfer is what must be copied to a machine before a task can start there.
+// inputTransfer describes what must be copied to a machine before a task can start there.
 type inputTransfer struct {
 	bytes float64
-	// fromStore is true if no machine holds some of it.
+	// fromStore is true if some of the data is held by no machine and must come from the store.
 	fromStore bool
-	// spreadSeconds is how long its sources take to give the task's own parts to one more machine.
+	// spreadSeconds is the time in seconds that the sources need to deliver the task's own parts to one more machine.
 	spreadSeconds float64
-	// inFlight is how many bytes have yet to reach each machine that the task's part is being copied to; nil if
-	// nothing is known of that.
+	// inFlight maps each machine to which the task's part is being copied to the bytes still to be transferred. It is
+	// nil if the task needs more than one part.
 	inFlight map[replicas.MachineID]float64
 }
 
-// slotsOf returns the slots that the operators' policy counts for a wait in seconds.
+// slotsOf returns the number of slots that the operators' policy charges for a wait in seconds.
 func (x *missingInputs) slotsOf(seconds float64) int {
 	if seconds == x.lastSeconds {
 		return x.lastSecondsSlots
@@ -74,8 +78,8 @@
 	return slots
 }
 
-// Slots returns the wait for the inputs of a group's task on a server that does not hold all of them, in slots. Most
-// servers have the same backlog, none, so the last result mostly is the next one.
+// Slots returns how many slots a task of a group waits for its inputs on a server that does not hold all of them. Most
+// servers have no backlog, so the last result is reused when the backlog is the same.
 func (x *missingInputs) Slots(group, server int) int {
 	if group == x.lastGroup && x.transfer.inFlight == nil && x.singlePartPerTask && x.backlog[server] == x.lastBacklog {
 		return x.lastSlots
@@ -90,7 +94,7 @@
 		x.transfer.spreadSeconds = datasets.spreadSeconds(x.job, task)
 		x.transfer.inFlight = datasets.inFlightCopies(x.job, task)
 		if x.singlePartPerTask {
-			// A server that is no holder lacks all of it.
+			// The task has a single part, so a server that is no holder lacks all of its input.
 			jobInput := x.job.inputs[0]
 			x.transfer.bytes = float64(jobInput.summary.PartBytes(task))
 			x.transfer.fromStore = len(datasets.snapshot.Holders(jobInput.name, task)) == 0
@@ -107,8 +111,8 @@
 	return slots
 }
 
-// Least returns a lower bound of Slots for all servers that are no holders of a group: each lacks one input at least,
-// so the bound is the wait for the smallest on the link with the least backlog.
+// Least returns a lower bound of Slots for all servers that do not hold the inputs of a group. Each of them lacks at
+// least one part, so the bound is the wait for the smallest part on the link with the smallest backlog.
 func (x *missingInputs) Least(group int) int {
 	if !x.localityAware {
 		return 0
@@ -131,7 +135,8 @@
 	return x.slotsOf(x.scheduler.datasets.planner.TransferDelay(x.leastBacklog, leastBytes, false))
 }
 
-// Rate returns for how many tasks of a group an idle link brings the inputs in a slot.
+// Rate returns the number of tasks of a group whose own parts an idle link can transfer per slot. It is +Inf if that
+// takes no time.
 func (x *missingInputs) Rate(group int) float64 {
 	if !x.localityAware {
 		return math.Inf(1)
@@ -148,7 +153,8 @@
 	return math.Inf(1)
 }
 
-// Took adds what tasks of a group lack on a server to its backlog, for the jobs that follow in this round.
+// Took adds the bytes that the given number of tasks of a group lack on a server to the backlog of that server, so that
+// the jobs that follow in this round take them into account.
 func (x *missingInputs) Took(group, server, tasks int) {
 	if !x.localityAware {
 		return
@@ -160,19 +166,20 @@
 	datasets.planner.ReserveBytes(x.machineNames[server], bytes*float64(tasks))
 }
 
-// startCost returns what a task would wait for on a machine, where an image that is on its way there costs as much as
-// any other. s.mu must be held.
+// startCost returns how long a task would wait for its image and inputs on a machine. An image that is already being
+// fetched there counts in full. s.mu must be held.
 func (s *Scheduler) startCost(job *jobState, task int, machine *machineState) cost.Wait {
 	return s.waitWith(machine.FetchSeconds(job.Job.Image, job.Job.ImageGB), job, task, machine)
 }
 
-// sharedStartCost is startCost where an image that is on its way to the machine counts as held. s.mu must be held.
+// sharedStartCost is like startCost, but an image that is already being fetched to the machine counts as held.
+// s.mu must be held.
 func (s *Scheduler) sharedStartCost(job *jobState, task int, machine *machineState) cost.Wait {
 	return s.waitWith(machine.fetchSeconds(job), job, task, machine)
 }
 
-// waitWith returns what a task would wait for on a machine if its image took so many seconds to fetch there.
-// s.mu must be held.
+// waitWith returns how long a task would wait for its image and inputs on a machine, given the time in seconds that it
+// takes to fetch the image. s.mu must be held.
 func (s *Scheduler) waitWith(imageSeconds float64, job *jobState, task int, machine *machineState) cost.Wait {
 	wait := cost.Wait{Image: imageSeconds}
 	datasets := s.datasets
@@ -201,9 +208,9 @@
 	return wait
 }
 
-// transferSeconds returns how long a task's inputs take to a machine: after the bytes of its link's backlog, and
-// after the machines that wait for the same parts, unless the parts are on their way there already. Like an image,
-// a part that is copied anyway costs the next task little.
+// transferSeconds returns the time in seconds until a task's inputs are on a machine. They are transferred after the
+// backlog of the machine's link, and after the machines that already wait for the same parts. If the task's part is
+// already being copied there, only the remaining bytes count, so a task that shares a copy costs little.
 func (d *datasetState) transferSeconds(id replicas.MachineID, backlog float64, transfer inputTransfer) float64 {
 	if left, ok := transfer.inFlight[id]; ok {
 		return d.planner.TransferDelay(max(0, backlog-left), left, false)
@@ -211,8 +218,8 @@
 	return max(transfer.spreadSeconds, d.planner.TransferDelay(backlog, transfer.bytes, transfer.fromStore))
 }
 
-// inFlightCopies returns the machines that a task's part is being copied to, with the bytes that they still lack;
-// nil unless the part is all that the task needs. The map must not be changed.
+// inFlightCopies returns the machines to which a task's part is being copied, with the bytes still to be transferred. It
+// returns nil unless that part is the only input of the task. The caller must not modify the map.
 func (d *datasetState) inFlightCopies(job *jobState, task int) map[replicas.MachineID]float64 {
 	if len(job.inputs) == 1 && job.inputs[0].partPerTask && job.inputs[0].summary != nil {
 		return d.planner.InFlight(job.inputs[0].name, task)
@@ -220,7 +227,8 @@
 	return nil
 }
 
-// spreadSeconds returns how long the sources of a task's own parts take until one more machine has them, in seconds.
+// spreadSeconds returns the time in seconds that the sources of a task's own parts need to deliver them to one more
+// machine.
 func (d *datasetState) spreadSeconds(job *jobState, task int) (seconds float64) {
 	for _, jobInput := range job.inputs {
 		if jobInput.partPerTask && jobInput.summary != nil {
@@ -230,7 +238,8 @@
 	return seconds
 }
 
-// missingBytes returns how many bytes of a task's inputs a machine lacks, and whether no machine holds some of them.
+// missingBytes returns the number of bytes of a task's inputs that a machine lacks. It returns fromStore if some of them
+// are held by no machine, or, for a whole dataset, if no machine holds all of it.
 func (d *datasetState) missingBytes(job *jobState, task int, id replicas.MachineID) (bytes float64, fromStore bool) {
 	for _, jobInput := range job.inputs {
 		switch {
@@ -250,7 +259,8 @@
 	return bytes, fromStore
 }
 
-// holders returns the machines that hold all inputs of a task, ascending.
+// holders returns the IDs of the machines that hold all inputs of a task, ascending. The caller must not modify the
+// slice.
 func (d *datasetState) holders(job *jobState, task int) (common []replicas.MachineID) {
 	for i, jobInput := range job.inputs {
 		holders := d.snapshot.Complete(jobInput.name)
@@ -261,7 +271,7 @@
 			common = holders
 			continue
 		}
-		// The lists belong to the snapshot, so the intersection is a new one.
+		// The slices belong to the snapshot and must not be modified.
 		intersection := []replicas.MachineID{}
 		for _, id := range common {
 			if _, ok := slices.BinarySearch(holders, id); ok {
@@ -273,15 +283,15 @@
 	return common
 }
 
-// mayStage reports whether a machine may get tasks of a job as far as its inputs go: they can be copied there.
-// s.mu must be held.
+// mayStage reports whether the inputs of a job can be copied to a machine, because its data agent is alive. It is always
+// true for a job without inputs. s.mu must be held.
 func (s *Scheduler) mayStage(job *jobState, machine *machineState) bool {
 	return len(job.inputs) == 0 || s.datasets != nil && s.datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
 }
 
-// placeByLocality is waterFill for a job with inputs: its tasks in groups by the machines that hold what they need,
-// the busy time of the others raised by what copying the rest takes over the links as they are loaded now.
-// s.mu must be held.
+// placeByLocality is waterFill for a job with inputs. It groups the tasks by the machines that hold their inputs. For all
+// other machines it adds the time to copy the missing inputs over their links, with the present backlog, to the busy
+// time. s.mu must be held.
 func (s *Scheduler) placeByLocality(job *jobState) {
 	missing := s.newMissingInputs(job)
 	machines, servers, indexByID := s.localityServers(job, missing)
@@ -302,7 +312,7 @@
 	slog.Debug("job queued", "job", job.id, "machines", len(machines), "groups", len(missing.groups), "tasks", len(assigned))
 }
 
-// newMissingInputs returns what prices the inputs of a job, with no machines in it. s.mu must be held.
+// newMissingInputs returns the input cost model of a job, without any machines. s.mu must be held.
 func (s *Scheduler) newMissingInputs(job *jobState) *missingInputs {
 	return &missingInputs{
 		scheduler:         s,
@@ -316,8 +326,9 @@
 	}
 }
 
-// localityServers returns the machines that may serve a job with inputs, by name, the same as servers of the
-// water-filling, and their positions by machine ID; it adds them to what prices the inputs. s.mu must be held.
+// localityServers returns the machines that may serve a job with inputs, sorted by name, the corresponding servers of the
+// water-filling, and their indexes by machine ID. It adds the machines to the job's input cost model.
+// s.mu must be held.
 func (s *Scheduler) localityServers(job *jobState, missing *missingInputs) ([]*machineState, []placement.Server, map[replicas.MachineID]int32) {
 	datasets := s.datasets
 	var machines []*machineState
@@ -342,7 +353,7 @@
 	return machines, servers, indexByID
 }
 
-// addMachine adds the next server, with the bytes that its link has to bring already.
+// addMachine adds the machine of the next server, with the bytes that are already queued on its link.
 func (x *missingInputs) addMachine(id replicas.MachineID, name string, backlog float64) {
 	x.machineIDs = append(x.machineIDs, id)
 	x.machineNames = append(x.machineNames, name)
@@ -350,8 +361,8 @@
 	x.leastBacklog = min(x.leastBacklog, backlog)
 }
 
-// groupByHolders groups tasks by the servers that hold all their inputs. Without locality awareness all tasks are
-// one group that every server holds. s.mu must be held.
+// groupByHolders groups tasks by the servers that hold all their inputs. If placement is not locality-aware, all tasks
+// form one group and every server counts as a holder. s.mu must be held.
 func (s *Scheduler) groupByHolders(job *jobState, tasks []int32, indexByID map[replicas.MachineID]int32, servers int) []placement.Group {
 	if !s.datasets.localityAware() {
 		everyServer := make([]int32, servers)
@@ -372,7 +383,7 @@
 	})
 }
 
-// nextTask returns the index of the first task in a queue whose inputs are staged on a machine; -1 if there is none.
+// nextTask returns the index of the first task in a queue whose inputs are staged on a machine, or -1 if there is none.
 // The queue must not be empty. s.mu must be held.
 func (s *Scheduler) nextTask(queue *runQueue, machine *machineState) int {
 	if len(queue.job.inputs) == 0 {
@@ -381,10 +392,11 @@
 	return slices.IndexFunc(queue.tasks, func(t int32) bool { return s.inputsStaged(queue.job, int(t), machine) })
 }
 
-// rebalance moves tasks that are queued on machines without free resources to machines that have some: at
-// once where their inputs are held, and after the same patience as with images where they must be copied. A task
-// that waits for bytes on a machine with free resources moves only to where the bytes are. It starts there once
-// that is proved. The queues are those of the job. s.mu must be held.
+// rebalance moves queued tasks of a job with inputs to machines with free resources. A task whose machine has no free
+// resources moves at once to a machine that holds its inputs. To a machine that must copy them it moves only after a
+// delay in proportion to the copy, as for images. A task that waits for its inputs on a machine with free resources moves
+// only to a machine that holds them. A moved task starts once its inputs are confirmed there. The queues must be those of
+// the job. s.mu must be held.
 func (s *Scheduler) rebalance(job *jobState, available []*machineState, queues []machineQueue) {
 	for _, machine := range available {
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
@@ -405,8 +417,8 @@
 	}
 }
 
-// moveQueued moves up to limit tasks out of a queue to another machine, those that gain by it, and returns how many.
-// s.mu must be held.
+// moveQueued moves up to limit tasks for which gainsByMove is true out of a queue to another machine, and returns how
+// many it moved. s.mu must be held.
 func (s *Scheduler) moveQueued(job *jobState, source machineQueue, target *machineState, limit int) (moved int) {
 	couldStart := source.machine.free().Fits(job.request) && s.schedulable(source.machine) && s.mayStage(job, source.machine)
 	for i := 0; i < len(source.queue.tasks) && moved < limit; {
@@ -422,9 +434,10 @@
 	return moved
 }
 
-// gainsByMove reports whether a queued task should move to a machine with free resources. One that could start
-// where it is, but for its inputs, moves only to where it needs none copied; and one that must wait for a copy or
-// its image there moves only after its job has waited in proportion. s.mu must be held.
+// gainsByMove reports whether a queued task should move to a machine with free resources. CouldStart states that the
+// source has free resources, so that the task waits only for its inputs; it then moves only from a source to which inputs
+// must still be copied to a target that holds them. If the task would have to wait for inputs or its image on the target,
+// it moves only after its job has waited in proportion to that time. s.mu must be held.
 func (s *Scheduler) gainsByMove(job *jobState, task int, source, target *machineState, couldStart bool) bool {
 	wait := s.sharedStartCost(job, task, target)
 	seconds := wait.Seconds()
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -14,8 +14,9 @@
 	"switchferry/tuning"
 )
 
-// compareJobs is the order of the queues: production first, then starved jobs, then by rank, then jobs that came
-// within their team's guarantee, then by latest start, of jobs that can still be in time, then by arrival.
+// compareJobs compares jobs by their order in the queues: production jobs first, then starved jobs, then by rank, then
+// jobs that were within their team's guarantee on arrival and still are, then by the latest start with which a deadline
+// can still be met, then by the time at which they became eligible.
 func compareJobs(a, b *jobState) int {
 	return cmp.Or(
 		cmp.Compare(b.precedence(), a.precedence()),
@@ -26,7 +27,7 @@
 		strings.Compare(a.id, b.id))
 }
 
-// precedence is 2 for production, 1 for a starved job, else 0.
+// precedence returns 2 for a production job, 1 for a starved job, and 0 otherwise.
 func (j *jobState) precedence() int {
 	switch {
 	case j.rank == api.RankProduction:
@@ -37,9 +38,9 @@
 	return 0
 }
 
-// guaranteeRank is 1 for a job that came within its team's guarantee and still is within it: it need not wait for
-// other teams. One that comes within it only as earlier ones end has 0
-// (docs/incidents/fleet-guarantee-by-arrival.md).
+// guaranteeRank returns 1 for a job that was within its team's guarantee on arrival and still is, so that it need not
+// wait for other teams. It returns 0 for all other jobs, including those that come within the guarantee only because
+// earlier jobs of the team ended (docs/incidents/fleet-guarantee-by-arrival.md).
 func (j *jobState) guaranteeRank() int {
 	if j.guaranteed && j.overQuota == 0 {
 		return 1
@@ -47,7 +48,7 @@
 	return 0
 }
 
-// sortQueues brings the jobs and the queues of all machines into the order of compareJobs, as of now.
+// sortQueues updates the values by which compareJobs orders jobs, and sorts the jobs and the queues of all machines.
 // s.mu must be held.
 func (s *Scheduler) sortQueues() {
 	s.markGuaranteed()
@@ -63,8 +64,8 @@
 			s.startableNow(job)
 		job.latestStart = s.latestStart(job, nowMS)
 		if job.latestStart < math.MaxInt64 && fleetCPUs > 0 {
-			// Of two jobs that are equally urgent, the one that takes less of the fleet comes first: when not all
-			// can meet their deadlines, more of them do.
+			// Of two equally urgent jobs, the one with less work relative to the fleet comes first. When not all jobs can
+			// meet their deadlines, more of them do that way.
 			work := float64(job.taskCount-job.completedCount) * estimate(job) * job.request.CPUs / fleetCPUs
 			job.latestStart += int64(weight * math.Min(work, tuning.WorkMost) * 1000)
 		}
@@ -75,7 +76,7 @@
 	}
 }
 
-// fleetCPUs returns the CPUs of the machines that are up. s.mu must be held.
+// fleetCPUs returns the total CPUs of the machines that are up. s.mu must be held.
 func (s *Scheduler) fleetCPUs() (cpus float64) {
 	for _, machine := range s.machines {
 		if machine.Up && machine.Spec != nil {
@@ -85,7 +86,7 @@
 	return cpus
 }
 
-// waitingJobs counts the jobs that have tasks to start. s.mu must be held.
+// waitingJobs returns the number of jobs that have tasks to start. s.mu must be held.
 func (s *Scheduler) waitingJobs() (jobs float64) {
 	for _, job := range s.jobOrder {
 		if job.FinalState == "" && job.unplaced() > 0 {
@@ -95,8 +96,8 @@
 	return jobs
 }
 
-// markGuaranteed determines which jobs fit into their team's guarantee together with the team's earlier unfinished
-// ones. It leaves the jobs in the order of their arrival. s.mu must be held.
+// markGuaranteed determines which jobs fit into their team's guarantee together with the team's earlier unfinished jobs.
+// It leaves s.jobOrder sorted by the time at which the jobs became eligible. s.mu must be held.
 func (s *Scheduler) markGuaranteed() {
 	slices.SortFunc(s.jobOrder, func(a, b *jobState) int { return cmp.Compare(a.eligibleAt, b.eligibleAt) })
 	requested := map[string]fleet.Resources{}
@@ -118,8 +119,9 @@
 	}
 }
 
-// latestStart returns when the rest of a job must start to meet the next of its deadlines, in Unix ms; MaxInt64 if it
-// can meet none any more, so that it yields to those that can. s.mu must be held.
+// latestStart returns the time, in Unix ms, by which the rest of a job must start to meet the first of its deadlines that
+// it still can meet. It returns math.MaxInt64 if the job can meet none, so that it is ordered after jobs that can.
+// s.mu must be held.
 func (s *Scheduler) latestStart(job *jobState, nowMS int64) int64 {
 	runMS := int64(estimate(job) * 1000)
 	deadlines := job.inherited.DuesMS
@@ -134,10 +136,10 @@
 	return math.MaxInt64
 }
 
-// deadlines returns the times by which a job should be complete, in Unix ms, ascending: its own deadline, and the
-// multiples of it that its class has objectives for, or, without a deadline, the objectives of its class. A job that
-// missed the first one still has the next to meet. A deadline counts from the submission, objectives from when the
-// job could start.
+// deadlines returns the times by which a job should be complete, in Unix ms, ascending. For a job with a deadline these
+// are the deadline and those multiples of it for which its class has objectives, counted from the submission. For any
+// other job these are the objectives of its class, counted from the time at which the job became eligible. A job that
+// misses one of them is still ordered by the next.
 func (s *Scheduler) deadlines(job *jobState) (deadlines []int64) {
 	if job.Job.DeadlineS <= 0 {
 		for _, within := range s.objectives[job.Job.Class] {
@@ -152,7 +154,7 @@
 	return deadlines
 }
 
-// lowestRank returns the lowest rank of the jobs that have allocations; that of production if none has.
+// lowestRank returns the lowest rank of the jobs that have allocations, or api.RankProduction if none has.
 func lowestRank(jobs []*jobState) int {
 	lowest := api.RankProduction
 	for _, job := range jobs {
@@ -163,5 +165,5 @@
 	return lowest
 }
 
-// estimate returns how long a task of a job is expected to run, in seconds.
+// estimate returns the expected run time of a task of a job in seconds, which is at least tuning.MinRun.
 func estimate(job *jobState) float64 { return math.Max(tuning.MinRun, job.Job.EstimateS) }
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -14,9 +14,9 @@
 	"switchferry/tuning"
 )
 
-// Place runs one placement round: it gives pending tasks to machines, starts queued tasks where there are free
-// resources, preempts for arrays, and plans what inputs are copied. Nothing else allocates tasks.
-// It does nothing before the records are loaded or while this controller may not lead.
+// Place runs one placement round: it assigns pending tasks to machines, starts queued tasks on machines with free
+// resources, preempts allocations for arrays, and plans the staging of inputs. Tasks are allocated nowhere else.
+// Place allocates nothing before the records are loaded or while this controller does not lead.
 func (s *Scheduler) Place() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,8 +34,8 @@
 	s.planStaging()
 }
 
-// prepareRound brings the order of jobs, reservations, queues and snapshots up to date for a placement round.
-// s.mu must be held.
+// prepareRound updates the order of the jobs, the reservations, the queues and the dataset snapshot before a placement
+// round. s.mu must be held.
 func (s *Scheduler) prepareRound() {
 	s.sortQueues()
 	s.quotas.Reserve(s.roundTime, s.quotaDemands())
@@ -55,8 +55,8 @@
 	s.reserveForStarved()
 }
 
-// placePendingTasks starts the pending tasks of services and gangs, and puts those of arrays into queues of
-// machines, in the order of the jobs. s.mu must be held.
+// placePendingTasks starts the pending tasks of services and gangs, and adds those of arrays to the queues of machines,
+// in the order of the jobs. s.mu must be held.
 func (s *Scheduler) placePendingTasks() {
 	for _, job := range s.jobOrder {
 		if len(job.pending) == 0 || !s.startableNow(job) || !s.chooseDomain(job) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// preemptForArrays preempts for arrays that still have tasks to start. s.mu must be held.
+// preemptForArrays preempts allocations for arrays that still have tasks to start. s.mu must be held.
 func (s *Scheduler) preemptForArrays(machines []*machineState) {
 	lowest := lowestRank(s.jobOrder)
 	for _, job := range s.jobOrder {
@@ -89,12 +89,12 @@
 	}
 }
 
-// queuedAhead returns the tasks that a machine has outstanding for the jobs up to and including one in the order of the
-// queues, as equation (2) of the paper needs them, and the resources that services leave of it. The result is valid
-// until the next call. SlotS is the length of a slot in seconds. s.mu must be held.
+// queuedAhead returns the outstanding tasks on a machine of the given job and of all jobs before it in the order of the
+// queues, in the form of equation (2) of the paper, and the machine's resources that are not used by services. The slice
+// is valid until the next call. SlotS is the length of a slot in seconds. s.mu must be held.
 func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slotS float64) (_ []placement.Queued, resources fleet.Resources) {
 	resources = machine.capacity()
-	// It is called for each job and machine, so the map and the slice are reused.
+	// This method is called for each pair of job and machine, so the map and the slice are reused.
 	if s.scratchCounts == nil {
 		s.scratchCounts = map[*jobState]int{}
 	}
@@ -120,8 +120,8 @@
 	return queued, resources
 }
 
-// server returns a machine as a server of the water-filling for a job, without the wait for the image and inputs that it
-// lacks. SlotS is the length of a slot in seconds. s.mu must be held.
+// server returns a machine as a server of the water-filling for a job. Its busy time does not include the wait for an
+// image or inputs. SlotS is the length of a slot in seconds. s.mu must be held.
 func (s *Scheduler) server(machine *machineState, job *jobState, slotS float64) placement.Server {
 	queued, resources := s.queuedAhead(machine, job, slotS)
 	return placement.Server{
@@ -135,13 +135,12 @@
 type waterFillServer struct {
 	machine *machineState
 	server  placement.Server
-	// freeCPUs orders machines that are equally busy.
+	// freeCPUs is the secondary sort key, after server.Busy.
 	freeCPUs float64
 }
 
-// waterFill queues a job's pending tasks by the paper's Algorithm 2. All tasks of a job need one image, so they
-// form one group; the machines that lack the image take part with the fetch added to their busy time.
-// s.mu must be held.
+// waterFill queues a job's pending tasks by the paper's Algorithm 2. All tasks of a job need the same image, so they form
+// one group. For machines that lack the image, the time to fetch it is added to the busy time. s.mu must be held.
 func (s *Scheduler) waterFill(job *jobState) {
 	placeable := s.placeableTasks(job)
 	if placeable <= 0 {
@@ -167,11 +166,11 @@
 	slog.Debug("job queued", "job", job.id, "machines", len(candidates), "shares", shares)
 }
 
-// waterFillServers returns the machines that may serve a job, least busy first; of those that are equally busy,
-// the ones with the fewest free CPUs come first. s.mu must be held.
+// waterFillServers returns the machines that may serve a job, sorted by busy time and then by free CPUs, both ascending.
+// s.mu must be held.
 func (s *Scheduler) waterFillServers(job *jobState) []waterFillServer {
 	slotS := s.configuration.Policy.Value(policy.SlotS, nil)
-	// Most machines wait for one of a few fetches, so the policy's expression is evaluated once for each.
+	// The machines have only a few distinct waits, so the policy's expression is evaluated once for each of them.
 	penalties := map[float64]int{}
 	var candidates []waterFillServer
 	for _, machine := range s.sortedMachines() {
@@ -197,7 +196,8 @@
 	return candidates
 }
 
-// fetchPenalty returns the slots that the operators' policy counts for a wait in seconds; slotS is the length of a slot.
+// fetchPenalty returns the number of slots that the operators' policy charges for a wait in seconds. SlotS is the length
+// of a slot in seconds.
 func fetchPenalty(pol *policy.Policy, seconds, slotS float64) int {
 	if seconds <= 0 {
 		return 0
@@ -208,22 +208,24 @@
 // queueRound is the state of one run of serveQueues. Scheduler.mu must be held for all methods.
 type queueRound struct {
 	scheduler *Scheduler
-	// queues lists the queues of each job, in the order of the machines' names.
+	// queues holds the queues of each job, sorted by machine name.
 	queues map[*jobState][]machineQueue
-	// queuedTasks counts the tasks in all queues of a machine.
+	// queuedTasks is the number of tasks in all queues of a machine.
 	queuedTasks map[*machineState]int
-	// smallestCPUs is the least that a queued task requests. Machines with less free are passed over: most
+	// smallestCPUs is the smallest CPU request of a queued task. Machines with fewer free CPUs are skipped, because most
 	// machines are full most of the time.
 	smallestCPUs float64
-	available    []*machineState
-	// freeCPUs and reservedCPUs limit the starts of jobs of rank low; they are zero if none is queued.
+	// available are the schedulable machines with at least smallestCPUs free.
+	available []*machineState
+	// freeCPUs and reservedCPUs limit the starts of jobs of rank low, see lowRankReserve. They are zero if no such job is
+	// queued.
 	freeCPUs, reservedCPUs float64
 }
 
-// serveQueues starts queued tasks, job by job in the order of the jobs: first where they are queued, then on
-// other machines with free resources, out of the longest queue that holds the job. A machine does not start a
-// later job of its own queue while it could serve an earlier one that waits elsewhere: one task left behind a
-// long one, on one machine, keeps its whole job from being done. s.mu must be held.
+// serveQueues starts queued tasks, job by job in the order of the jobs: first on the machines where they are queued, then
+// on other machines with free resources, taken from the job's queue on the machine with the most queued tasks. A machine
+// does not start a later job from its own queue while it could serve an earlier job that is queued elsewhere: otherwise a
+// single task queued behind a long one would delay the completion of its whole job. s.mu must be held.
 func (s *Scheduler) serveQueues(machines []*machineState) {
 	round := s.newQueueRound(machines)
 	if len(round.queues) == 0 {
@@ -246,7 +248,7 @@
 	}
 }
 
-// newQueueRound collects the queues of all machines and the machines that have free resources.
+// newQueueRound returns a queueRound with the queues of all machines and the machines that have free resources.
 // s.mu must be held.
 func (s *Scheduler) newQueueRound(machines []*machineState) *queueRound {
 	round := &queueRound{
@@ -278,13 +280,13 @@
 	return round
 }
 
-// fitsSmallest reports whether a machine has free CPUs for the smallest queued task.
+// fitsSmallest reports whether a machine has enough free CPUs for the queued task that requests the fewest.
 func (r *queueRound) fitsSmallest(machine *machineState) bool {
 	return machine.free().CPUs+tuning.ResourceSlack >= r.smallestCPUs
 }
 
-// mayStart reports whether one more task of a job may start in this round: a starved job starts one task a
-// round, and one of rank low leaves a reserve to the others.
+// mayStart reports whether one more task of a job may start in this round. A starved job starts one task per round, and a
+// job of rank low must leave a reserve of free CPUs to other jobs.
 func (r *queueRound) mayStart(job *jobState) bool {
 	if job.starved {
 		return !job.lastStart.Equal(r.scheduler.now())
@@ -292,7 +294,7 @@
 	return job.rank > api.RankLow || r.freeCPUs-job.request.CPUs >= r.reservedCPUs
 }
 
-// startWhereQueued starts tasks of a job on the machines in whose queues they are.
+// startWhereQueued starts queued tasks of a job on the machines where they are queued.
 func (r *queueRound) startWhereQueued(job *jobState) {
 	s := r.scheduler
 	for _, queued := range r.queues[job] {
@@ -307,7 +309,7 @@
 	}
 }
 
-// pull starts tasks of a job on machines with free resources, out of the queues of others.
+// pull starts tasks of a job on machines with free resources, taken from the queues of other machines.
 func (r *queueRound) pull(job *jobState) {
 	s := r.scheduler
 	for _, machine := range s.pullCandidates(job, r.available) {
@@ -319,7 +321,7 @@
 	}
 }
 
-// longestQueue returns the queue of a job on the machine that has the most queued tasks. The job must have queued
+// longestQueue returns the job's queue on the machine that has the most queued tasks in total. The job must have queued
 // tasks.
 func (r *queueRound) longestQueue(job *jobState) machineQueue {
 	var longest machineQueue
@@ -331,15 +333,15 @@
 	return longest
 }
 
-// countStart notes that a task of a job was started out of a queue of a machine.
+// countStart updates the counters after the start of a task that was queued on a machine.
 func (r *queueRound) countStart(job *jobState, queuedOn *machineState) {
 	r.queuedTasks[queuedOn]--
 	r.freeCPUs -= job.request.CPUs
 }
 
-// lowRankReserve returns the free CPUs of all machines, and how many of these jobs of rank low leave to others. Without
-// that tiny tasks fill every gap at once, and are preempted by the dozen for each task of higher rank.
-// s.mu must be held.
+// lowRankReserve returns the free CPUs of all machines, and how many of these jobs of rank low must leave free for other
+// jobs. Without the reserve, small tasks of rank low would fill all free resources, and dozens of them would be preempted
+// for each task of higher rank. s.mu must be held.
 func (s *Scheduler) lowRankReserve(machines []*machineState) (freeCPUs, reservedCPUs float64) {
 	ownedCPUs := 0.0
 	for _, machine := range machines {
@@ -356,8 +358,8 @@
 	return freeCPUs, s.configuration.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": ownedCPUs})
 }
 
-// pullCandidates returns those of the available machines that may take a job's task out of another machine's queue: the
-// ones that wait least for the image first, and of those the ones with the fewest free CPUs. s.mu must be held.
+// pullCandidates returns the available machines that may start a task of a job from another machine's queue, sorted by
+// the wait for the image and then by free CPUs, both ascending. s.mu must be held.
 func (s *Scheduler) pullCandidates(job *jobState, available []*machineState) []*machineState {
 	var candidates []*machineState
 	for _, machine := range available {
@@ -372,16 +374,16 @@
 	return candidates
 }
 
-// worthPulling reports whether a machine without the image should take a job's task out of the queue of one that has it:
-// once the job has waited in proportion to the fetch, so that the wait at worst is a multiple of the shortest.
-// s.mu must be held.
+// worthPulling reports whether a machine should start a task of a job from another machine's queue although it may have
+// to fetch the image. It may do so at once if the fetch is short, else only after the job has waited in proportion to the
+// fetch, so that the wait is at most a multiple of the shortest possible wait. s.mu must be held.
 func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
 	seconds := s.sharedStartCost(job, 0, machine).Seconds()
 	return seconds <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*seconds
 }
 
-// startTask allocates a task to a machine and commits its start. Victims are the allocations that make way for it; they
-// must be stopping. Reason is logged. s.mu must be held.
+// startTask allocates a task to a machine and commits its start. Victims are the allocations whose resources the task
+// will use; they must already be stopping. Reason is logged. s.mu must be held.
 func (s *Scheduler) startTask(job *jobState, task int, machine *machineState, victims []*allocation, reason string) {
 	if !s.mayAllocate(job, task) {
 		return
@@ -391,7 +393,7 @@
 	s.commitStart(alloc, reason)
 }
 
-// commitStart has an allocation put on record; the start command is sent once it is stored. s.mu must be held.
+// commitStart schedules an allocation to be stored. The start command is sent once it is stored. s.mu must be held.
 func (s *Scheduler) commitStart(alloc *allocation, reason string) {
 	alloc.startedByAgeing, alloc.job.lastStart = alloc.job.starved, s.now()
 	slog.Debug("task placed", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt,
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -10,29 +10,32 @@
 	"switchferry/tuning"
 )
 
-// topologyView is the state of the domains that machines are in. Scheduler.mu guards it.
+// topologyView is the scheduler's state of the topology domains. Scheduler.mu guards it.
 type topologyView struct {
 	tree *topology.Tree
-	// unlisted and ambiguous are how many machines in no domain, or in several, were last logged.
-	unlisted, ambiguous int
-	search              topology.Search
-	reservations        topology.Reservations
+	// unlisted is the last logged number of machines in no domain.
+	unlisted int
+	// ambiguous is the last logged number of machines in several domains.
+	ambiguous    int
+	search       topology.Search
+	reservations topology.Reservations
 }
 
-// UseTopology has near and survive of jobs count. It must be called before the records are loaded.
+// UseTopology sets the topology, so that the near and survive constraints of jobs are applied. It must be called before
+// the records are loaded.
 func (s *Scheduler) UseTopology(topologyMap *topology.Map) {
 	s.topology = &topologyView{tree: topology.NewTree(topologyMap)}
 }
 
-// ReplaceTopology goes over to another version of the topology. Running tasks stay where they are and count for the
-// domains that the new one has them in; only what is placed from here on follows it.
+// ReplaceTopology switches to another version of the topology. Running tasks are not moved; they count for the domains
+// that their machines have in the new version. Only later placements follow the new version.
 func (s *Scheduler) ReplaceTopology(topologyMap *topology.Map) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replaceTopology(topologyMap)
 }
 
-// replaceTopology is ReplaceTopology with s.mu held. It does nothing without a topology, or with the one in use.
+// replaceTopology is ReplaceTopology with s.mu held. It does nothing if no topology was set or the given one is in use.
 func (s *Scheduler) replaceTopology(topologyMap *topology.Map) {
 	if s.topology == nil || s.topology.tree.Map() == topologyMap {
 		return
@@ -48,7 +51,8 @@
 	s.wakePlacer()
 }
 
-// initSite makes a job that asks where its tasks are count them by domain. s.mu must be held.
+// initSite initializes the per-domain task counts of a job, which its near and survive constraints need.
+// s.mu must be held.
 func (s *Scheduler) initSite(job *jobState) {
 	if s.topology == nil {
 		return
@@ -56,7 +60,7 @@
 	job.site = s.topology.tree.NewSite(job.Job.Near, job.Job.Survive)
 }
 
-// updateFreeResources updates the free resources of a machine's domains. s.mu must be held.
+// updateFreeResources updates a machine's free resources in its domains. s.mu must be held.
 func (s *Scheduler) updateFreeResources(machine *machineState) {
 	if s.topology != nil && machine.Spec != nil {
 		s.topology.tree.Set(machine.Name, machine.free(), s.schedulable(machine))
@@ -70,8 +74,8 @@
 	}
 }
 
-// refreshTopology updates which machines are schedulable, which changes with time as well, and forgets what is out of
-// date: queues of jobs that chose a domain and started nothing, and reservations. s.mu must be held.
+// refreshTopology updates which machines are schedulable, since that also changes with time. It requeues the tasks of jobs
+// that chose a domain but started nothing there, and expires reservations. s.mu must be held.
 func (s *Scheduler) refreshTopology() {
 	view := s.topology
 	if view == nil {
@@ -82,11 +86,11 @@
 	}
 	for _, job := range s.jobOrder {
 		if job.Job.Near != nil && job.queued > 0 && len(job.allocations) == 0 {
-			// Its domain is chosen anew: the one before may be full by now.
+			// The job chooses a domain again, because the previous one may be full.
 			s.reclaimQueued(job)
 		}
 	}
-	// Else each start would be weighed against reservations that nobody asks for any more.
+	// Otherwise each start would be checked against reservations that no job needs any more.
 	view.reservations.Expire(s.now())
 	unlisted, ambiguous := view.tree.Unlisted(), view.tree.Ambiguous()
 	if unlisted > view.unlisted || ambiguous > view.ambiguous {
@@ -95,9 +99,9 @@
 	}
 }
 
-// chooseDomain chooses the domain for a job's pending tasks, and reports whether they may be placed now. If not, and
-// the job is a service or a gang, it looks for a domain where allocations may be preempted, and then for one to
-// reserve. s.mu must be held.
+// chooseDomain chooses the domain for a job's pending tasks, and reports whether they may be placed now. If no domain has
+// enough free resources and the job is a service or a gang, it searches for a domain where allocations may be preempted,
+// and then for a domain to reserve. s.mu must be held.
 func (s *Scheduler) chooseDomain(job *jobState) bool {
 	if job.site == nil {
 		return true
@@ -106,7 +110,7 @@
 		machine := s.machines[name]
 		return machine != nil && s.eligible(job, machine) && s.mayStage(job, machine)
 	}
-	// Arrays preempt one task at a time, like arrays without a topology.
+	// Arrays do not need a domain for all tasks at once. They preempt one task at a time, as without a topology.
 	isArray := job.Job.Shape == api.JobArray
 	found := job.site.ChooseDomain(job.request, len(job.pending), !isArray, allowed)
 	reason := job.site.Reason()
@@ -129,8 +133,9 @@
 	return found
 }
 
-// unplaceableCPUs returns the CPUs of pending tasks that no machine with free resources may take because of where it
-// is. Of each job as many tasks count as could be placed if one more machine were up. s.mu must be held.
+// unplaceableCPUs returns the CPUs of the pending tasks that fit on some machine but that topology constraints do not
+// allow on any of them. For a job with a survive constraint, only as many tasks count as one more domain could take.
+// s.mu must be held.
 func (s *Scheduler) unplaceableCPUs() (cpus float64) {
 	for _, job := range s.jobOrder {
 		if job.site == nil || len(job.pending) == 0 || !s.startableNow(job) || !s.withinQuota(job) || !s.onlyTopologyForbids(job) {
@@ -145,8 +150,8 @@
 	return cpus
 }
 
-// onlyTopologyForbids reports whether machines have free resources for a task of a job, but none is where the task
-// may be. s.mu must be held.
+// onlyTopologyForbids reports whether some machine has free resources for a task of a job, but topology constraints allow
+// the task on none of these machines. s.mu must be held.
 func (s *Scheduler) onlyTopologyForbids(job *jobState) bool {
 	forbidden := false
 	for _, machine := range s.machines {
@@ -161,8 +166,8 @@
 	return forbidden
 }
 
-// topologySearchCPUs returns how many CPUs the fleet should have at least so that tasks which no domain can take now
-// find one that can; zero without a topology. s.mu must be held.
+// topologySearchCPUs returns the minimum number of CPUs that the fleet should have so that tasks that no domain can take
+// now can be placed. It returns zero without a topology. s.mu must be held.
 func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
 	if s.topology == nil {
 		return 0
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// freeAfterStops returns the resources that a machine has free once the allocations being stopped are gone, and these.
-// s.mu must be held.
+// freeAfterStops returns the resources that will be free on a machine once all allocations being stopped have ended, and
+// these allocations. s.mu must be held.
 func (m *machineState) freeAfterStops() (fleet.Resources, []*allocation) {
 	free := m.free()
 	var leaving []*allocation
@@ -26,13 +26,13 @@
 }
 
 // mayPreempt reports whether an allocation may be preempted for a job: one of lower rank, or, for a job that waits
-// within its team's guarantee, one of the same rank that another team runs beyond its own guarantee. The operators
-// would allow higher ranks as well, but these would preempt the job's tasks in turn, without end. Production is
-// never preempted. s.mu must be held.
+// within its team's guarantee, one of the same rank that another team runs beyond its own guarantee. Operators would
+// permit this for higher ranks as well, but jobs of higher rank would then preempt the job's tasks in turn, without end.
+// Production is never preempted. s.mu must be held.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
 	victim := alloc.job
 	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.StarvedStartProtected {
-		// A starved job's task that is preempted at once was started in vain.
+		// Preempting a task of a starved job soon after its start would undo the ageing.
 		return false
 	}
 	if victim.rank < job.rank {
@@ -43,13 +43,13 @@
 	if victim.rank > job.rank || victim.rank == api.RankProduction || !ownsGuarantee || !borrows {
 		return false
 	}
-	// What is being stopped does not count as use, or the other team would lose far more than it had borrowed.
+	// Allocations being stopped do not count as usage. Otherwise the other team would lose far more than it had borrowed.
 	team, _ := s.configuration.Team(victim.Job.Team)
 	remaining := s.usage[team.Name].Sub(s.stoppingUsage[team.Name]).Sub(victim.request)
 	return remaining.CPUs+tuning.ResourceSlack >= team.CPUs && remaining.Cards+tuning.ResourceSlack >= team.Cards
 }
 
-// preemptible returns the allocations on a machine that may be preempted for a job, in no order. s.mu must be held.
+// preemptible returns the allocations on a machine that may be preempted for a job, unsorted. s.mu must be held.
 func (s *Scheduler) preemptible(job *jobState, machine *machineState) (allocations []*allocation) {
 	for _, alloc := range machine.allocations {
 		if !alloc.stopping && alloc.reported && s.mayPreempt(alloc, job) {
@@ -59,8 +59,9 @@
 	return allocations
 }
 
-// findVictims returns the allocations to preempt on a machine so that one task of a job fits there, those that lose the
-// least work, and the ones that are being stopped already; false if it cannot be done. s.mu must be held.
+// findVictims returns the allocations to preempt on a machine so that one task of a job fits there, chosen in the order
+// of sortByLoss, and the allocations that are already being stopped. It returns false if the task cannot fit.
+// s.mu must be held.
 func (s *Scheduler) findVictims(job *jobState, machine *machineState) (leaving, victims []*allocation, ok bool) {
 	s.victimSearches++
 	free, leaving := machine.freeAfterStops()
@@ -86,7 +87,7 @@
 	return nil, nil, false
 }
 
-// sortByLoss sorts allocations into the order in which they are preempted: by rank, then by the work that is lost.
+// sortByLoss sorts allocations into the order in which they are preempted: by rank, then by the work that would be lost.
 // s.mu must be held.
 func (s *Scheduler) sortByLoss(allocations []*allocation) {
 	slices.SortFunc(allocations, func(a, b *allocation) int {
@@ -97,7 +98,7 @@
 	})
 }
 
-// preemptVictims stops allocations for a job. s.mu must be held.
+// preemptVictims stops allocations at once to free resources for a job. s.mu must be held.
 func (s *Scheduler) preemptVictims(victims []*allocation, job *jobState) {
 	for _, victim := range victims {
 		victim.job.preemptions[victim.task]++
@@ -105,8 +106,9 @@
 	}
 }
 
-// preemptionLoss returns the work, in ms, that is lost if a task is stopped at once. Each earlier preemption of the task
-// counts as more of it: else it would be the youngest, and preempted, again each time. s.mu must be held.
+// preemptionLoss returns the work in ms that is lost if a task is stopped at once. Each earlier preemption of the task
+// adds to the loss. Otherwise a restarted task would always have lost the least work, and would be preempted each time.
+// s.mu must be held.
 func (s *Scheduler) preemptionLoss(alloc *allocation) int64 {
 	earlierLoss := int64(alloc.job.preemptions[alloc.task]) * tuning.PreemptionLoss.Milliseconds()
 	if alloc.runningSince.IsZero() {
@@ -119,8 +121,7 @@
 	return earlierLoss + unsaved.Milliseconds()
 }
 
-// preempt frees resources for an array of higher rank that found none, and starts as many of its tasks as it can.
-// s.mu must be held.
+// preempt frees resources for an array that found none, and starts as many of its tasks as possible. s.mu must be held.
 func (s *Scheduler) preempt(job *jobState, machines []*machineState) {
 	if !s.startableNow(job) || s.failsEverywhere(job) || !s.withinQuota(job) || !s.mayPreemptAny(job) {
 		return
@@ -145,8 +146,9 @@
 	}
 }
 
-// takeTask takes a task of an array that is to start on a machine: of a job with inputs one that is staged there,
-// else a pending one, else the first in the queues, of which it drops empty ones. False: there is none.
+// takeTask removes and returns the task of an array to start on a machine. For a job with inputs, that is a queued task
+// whose inputs are staged there. For any other job it is the first pending task or, without one, the first task in the
+// queues; leading empty queues are dropped from the slice. It returns false if there is no such task.
 // s.mu must be held.
 func (s *Scheduler) takeTask(job *jobState, machine *machineState, queues *[]*runQueue) (task int, ok bool) {
 	if len(job.inputs) > 0 {
@@ -167,7 +169,7 @@
 	return (*queues)[0].pop(), true
 }
 
-// queuesOf returns the queues of a job, in the order of the machines.
+// queuesOf returns the queues of a job, in the order of the given machines.
 func queuesOf(job *jobState, machines []*machineState) (queues []*runQueue) {
 	for _, machine := range machines {
 		for _, queue := range machine.queues {
@@ -179,8 +181,8 @@
 	return queues
 }
 
-// mayPreemptAny reports whether any allocation may be preempted for a job. Most jobs that wait are of the lowest rank,
-// and need not search the fleet. s.mu must be held.
+// mayPreemptAny reports whether any allocation may be preempted for a job. It avoids a search of the fleet for most
+// waiting jobs, which have the lowest rank. s.mu must be held.
 func (s *Scheduler) mayPreemptAny(job *jobState) bool {
 	for _, other := range s.jobOrder {
 		for _, alloc := range other.allocations {
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -10,8 +10,8 @@
 	"switchferry/quota"
 )
 
-// withinQuota reports whether a job's team may use one more task's resources, beside what is reserved for another
-// job that comes before it (package quota). s.mu must be held.
+// withinQuota reports whether the limit of a job's team allows one more task of the job, in addition to the resources
+// that are reserved for another job of the team that is earlier in the order (package quota). s.mu must be held.
 func (s *Scheduler) withinQuota(job *jobState) bool {
 	team := job.Job.Team
 	limit, ok := s.configuration.Limit(team)
@@ -27,10 +27,10 @@
 	return limit.Allows(use)
 }
 
-// quotaDemands returns the demands of waiting jobs that come before others of their teams, by rank or because they
-// are starved. s.mu must be held.
+// quotaDemands returns the quota demands of waiting jobs that take precedence over other jobs, because they are of rank
+// production or starved. s.mu must be held.
 func (s *Scheduler) quotaDemands() (demands []quota.Demand) {
-	// services is what replicas use: it is not released for other jobs.
+	// services is the usage of each team's service replicas, which is not released for other jobs.
 	services := map[string]fleet.Resources{}
 	for _, job := range s.jobOrder {
 		if job.Job.Shape == api.Service {
@@ -59,8 +59,8 @@
 	return demands
 }
 
-// stopOverLimit stops tasks of teams that use more than their lowered limit, if the configuration says so.
-// s.mu must be held.
+// stopOverLimit stops tasks of teams whose usage exceeds their limit after it was lowered. It does nothing unless the
+// configuration has over_limit.running set to stop. s.mu must be held.
 func (s *Scheduler) stopOverLimit() {
 	overLimit := s.configuration.OverLimit
 	if overLimit.Running != configuration.Stop {
@@ -80,10 +80,11 @@
 	}
 }
 
-// stoppableUsage returns the allocations of a team that can be stopped, and the usage of each. One whose start was
-// sent and not answered cannot: the start may be executed at any later time of this term. Stopped before it is seen,
-// the task counted for the limit for ever; stopped after that, its exit was not cleared, and a new attempt on the
-// same machine never began. Such a task runs to its end. s.mu must be held.
+// stoppableUsage returns the allocations of a team that can be stopped, and the usage of each. An allocation whose start
+// command was sent but not answered cannot be stopped, because the command may still be executed at any time in this
+// term. If such a task were stopped before it was reported, it would count towards the limit indefinitely. If it were
+// stopped after that, its exit would not be cleared, and a new attempt on the same machine would never start. Such a task
+// therefore runs to completion. s.mu must be held.
 func (s *Scheduler) stoppableUsage(team string) (allocations []*allocation, usage []quota.Usage) {
 	for _, job := range s.jobOrder {
 		if job.Job.Team != team {
@@ -99,7 +100,7 @@
 	return allocations, usage
 }
 
-// limitReason returns why a job waits for its team's limit, for operators and users.
+// limitReason returns a message for operators and users that states why a job waits for its team's limit.
 func limitReason(active *configuration.Active, job *jobState) string {
 	limit, ok := active.Limit(job.Job.Team)
 	switch {
--- a/scheduler/run_queue.go
+++ b/scheduler/run_queue.go
@@ -4,23 +4,23 @@
 	"slices"
 )
 
-// runQueue holds the tasks of one job that are queued on one machine. jobState.queued counts them.
+// runQueue holds the tasks of one job that are queued on one machine. They are included in jobState.queued.
 type runQueue struct {
 	job   *jobState
 	tasks []int32
 }
 
-// unplaced counts a job's tasks that are pending or queued, and so not allocated. s.mu must be held.
+// unplaced returns the number of a job's tasks that are pending or queued, that is, not allocated. s.mu must be held.
 func (j *jobState) unplaced() int { return len(j.pending) + j.queued }
 
-// machineQueue is a queue and the machine that it is on.
+// machineQueue is a queue together with its machine.
 type machineQueue struct {
 	machine *machineState
 	queue   *runQueue
 }
 
-// enqueue adds tasks to a job's queue on a machine. The queues stay in the order of compareJobs; jobState.queued is left
-// to the caller. s.mu must be held.
+// enqueue adds tasks to a job's queue on a machine and keeps the machine's queues in the order of compareJobs. The caller
+// must update jobState.queued. s.mu must be held.
 func (m *machineState) enqueue(job *jobState, tasks []int32) {
 	i, found := slices.BinarySearchFunc(m.queues, job, func(queue *runQueue, job *jobState) int { return compareJobs(queue.job, job) })
 	if !found {
@@ -29,7 +29,7 @@
 	m.queues[i].tasks = append(m.queues[i].tasks, tasks...)
 }
 
-// pop removes and returns the first task of a queue, which must not be empty. s.mu must be held.
+// pop removes and returns the first task of a queue. The queue must not be empty. s.mu must be held.
 func (q *runQueue) pop() int {
 	task := q.tasks[0]
 	q.tasks = q.tasks[1:]
@@ -48,7 +48,7 @@
 	return int(task)
 }
 
-// returnTasks makes a queue's tasks pending again, and empties it. s.mu must be held.
+// returnTasks moves all tasks of a queue back to the job's pending tasks. s.mu must be held.
 func (q *runQueue) returnTasks() {
 	q.job.pending = append(q.job.pending, q.tasks...)
 	q.job.queued -= len(q.tasks)
@@ -60,7 +60,7 @@
 	m.queues = slices.DeleteFunc(m.queues, func(queue *runQueue) bool { return len(queue.tasks) == 0 })
 }
 
-// reclaimQueued makes all queued tasks of a job pending again. s.mu must be held.
+// reclaimQueued moves all queued tasks of a job back to its pending tasks. s.mu must be held.
 func (s *Scheduler) reclaimQueued(job *jobState) {
 	for _, machine := range s.machines {
 		for _, queue := range machine.queues {
@@ -72,13 +72,13 @@
 	}
 }
 
-// removeFromQueues removes all queued and pending tasks of a job, which is over. s.mu must be held.
+// removeFromQueues removes all queued and pending tasks of a job that is in a final state. s.mu must be held.
 func (s *Scheduler) removeFromQueues(job *jobState) {
 	s.reclaimQueued(job)
 	job.pending = nil
 }
 
-// removeQueuedTask removes a task of a job from the pending ones and from the queues. s.mu must be held.
+// removeQueuedTask removes a task of a job from the job's pending tasks and from its queues. s.mu must be held.
 func (s *Scheduler) removeQueuedTask(job *jobState, task int) {
 	isTask := func(other int32) bool { return int(other) == task }
 	job.pending = slices.DeleteFunc(job.pending, isTask)
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -8,25 +8,26 @@
 	"switchferry/tuning"
 )
 
-// Weights of a replica's placement, in seconds of waiting for its image.
+// Penalties in the score of a machine for a replica, in seconds of waiting for the image.
 const (
-	// sameServicePenalty is for each other replica of the service on the machine: they would be lost together.
+	// sameServicePenalty is added for each other replica of the same service on the machine, since all of them would be
+	// lost together.
 	sameServicePenalty = 0.5
-	// otherServicePenalty is for each replica of another service there.
+	// otherServicePenalty is added for each replica of another service on the machine.
 	otherServicePenalty = 0.2
-	// usedSharePenalty is for a machine that is fully in use, less for one that is partly.
+	// usedSharePenalty is multiplied by the share of the machine's CPUs in use.
 	usedSharePenalty = 0.1
-	// preemptionPenalty is for a machine on which resources are not free yet, victimPenalty for each allocation
-	// that would be preempted there.
+	// preemptionPenalty is added for a machine without enough free resources.
 	preemptionPenalty = 1
-	victimPenalty     = 0.2
+	// victimPenalty is added for each allocation that would be preempted.
+	victimPenalty = 0.2
 )
 
-// placeService starts the pending replicas of a service at once. They skip the water-filling, since they run
-// until they are cancelled. A machine that holds the image is worth more than one that must fetch it, and worth
-// preempting work of lower rank for. s.mu must be held.
+// placeService starts the pending replicas of a service at once. They are not placed by water-filling, because they run
+// until they are cancelled. A machine that holds the image is preferred to one that must fetch it, even if allocations
+// of lower rank have to be preempted there. s.mu must be held.
 func (s *Scheduler) placeService(job *jobState) {
-	// unstaged are the tasks that stay pending while their inputs are copied.
+	// unstaged are the tasks that remain pending while their inputs are copied.
 	var unstaged []int32
 	defer func() { job.pending = append(job.pending, unstaged...) }()
 	for len(job.pending) > 0 && s.withinQuota(job) && s.startableNow(job) {
@@ -37,14 +38,14 @@
 			if intended == nil {
 				return
 			}
-			// The machine that it waited for has no free resources any more: another one is looked for.
+			// The intended machine has no free resources any more. The next round chooses another one.
 			delete(job.intendedMachines, task)
 			job.pending, unstaged = job.pending[1:], append(unstaged, int32(task))
 			continue
 		}
 		job.pending = job.pending[1:]
 		if !s.inputsStaged(job, task, best.machine) {
-			// Nothing is preempted, and no resources are held, while its inputs are copied there.
+			// Nothing is preempted and no resources are allocated while the task's inputs are being copied there.
 			job.setIntendedMachine(task, best.machine)
 			unstaged = append(unstaged, int32(task))
 			continue
@@ -54,8 +55,8 @@
 	}
 }
 
-// bestReplicaCandidate returns the machine on which a replica of a service costs least, in seconds; false if there is none.
-// If intended is set, only that machine is considered. s.mu must be held.
+// bestReplicaCandidate returns the machine with the lowest score in seconds for a replica of a service, or false if there
+// is none. If intended is not nil, only that machine is considered. s.mu must be held.
 func (s *Scheduler) bestReplicaCandidate(job *jobState, task int, intended *machineState) (candidate, bool) {
 	best := candidate{score: math.Inf(1)}
 	for _, machine := range s.sortedMachines() {
@@ -80,8 +81,8 @@
 	return best, best.machine != nil
 }
 
-// replicaScore returns what a replica of a service costs on a machine with free resources, in seconds.
-// s.mu must be held.
+// replicaScore returns the score in seconds of a machine for a replica of a service, without the penalties for
+// preemption. Lower is better. s.mu must be held.
 func (s *Scheduler) replicaScore(job *jobState, task int, machine *machineState) float64 {
 	score := s.startCost(job, task, machine).Seconds()
 	if job.site != nil {
@@ -97,21 +98,21 @@
 	return score + usedSharePenalty*machine.used.CPUs/machine.Spec.CPUs
 }
 
-// mayPlace reports whether a task of a job may be placed on a machine, free resources and quota apart.
+// mayPlace reports whether a task of a job may be placed on a machine. It does not consider free resources or quota.
 // s.mu must be held.
 func (s *Scheduler) mayPlace(job *jobState, machine *machineState) bool {
 	return s.eligible(job, machine) && satisfiesSpread(job, machine) && s.mayStage(job, machine)
 }
 
-// placeGang starts all pending tasks of a gang, or none: a few of them would only hold resources while they wait
+// placeGang starts all pending tasks of a gang or none, because a part of them would only occupy resources while waiting
 // for the others. s.mu must be held.
 func (s *Scheduler) placeGang(job *jobState) {
 	if len(job.allocations) > 0 {
-		// Those of an earlier attempt end by themselves, as the rest of the gang is missing.
+		// Tasks of an earlier attempt are still allocated. They end by themselves, because the rest of the gang is missing.
 		return
 	}
 	machines := slices.Clone(s.sortedMachines())
-	// A gang whose inputs are being copied keeps to its machines as long as they can take it.
+	// A gang whose inputs are being copied keeps its intended machines as long as its tasks may be placed there.
 	keepsMachines := len(job.intendedMachines) > 0
 	for _, task := range job.pending {
 		keepsMachines = keepsMachines && s.intendedMachine(job, int(task)) != nil
@@ -138,11 +139,11 @@
 	}
 }
 
-// allocateGang allocates all pending tasks of a gang, trying each machine as the first one; nil if they do not fit.
-// With keepsMachines the tasks are then moved to the machines that their inputs are copied to; abandoned tells that
-// these cannot take them, and that the gang forgets them. s.mu must be held.
+// allocateGang allocates all pending tasks of a gang and returns nil if they do not fit. It tries the zone of each machine
+// in turn if the gang must be in one zone. If keepsMachines is set, it allocates the tasks on their intended machines
+// instead. If they do not fit there, it clears the intended machines and returns abandoned. s.mu must be held.
 func (s *Scheduler) allocateGang(job *jobState, machines []*machineState, keepsMachines bool) (allocations []*allocation, abandoned bool) {
-	// Workers bring those tasks of a gang together that have the same attempt.
+	// Workers group the tasks of a gang by attempt, so all tasks get the same one.
 	attempt := s.nextAttempt()
 	zone := ""
 	for _, first := range machines {
@@ -166,8 +167,8 @@
 	return nil, false
 }
 
-// allocateInZone allocates as many pending tasks of a gang as fit on the machines, in their order; of a gang that
-// must be in one zone, only on those of that zone. s.mu must be held.
+// allocateInZone allocates as many pending tasks of a gang as fit on the machines, in the order of the machines. For a
+// gang that must be in one zone it uses only machines in the given zone. s.mu must be held.
 func (s *Scheduler) allocateInZone(job *jobState, machines []*machineState, zone string, attempt uint64) (allocations []*allocation) {
 	for _, machine := range machines {
 		if job.Job.OneZone && machine.Zone != zone {
@@ -184,8 +185,8 @@
 	return allocations
 }
 
-// allocateIntended allocates a gang's tasks on the machines that their inputs are copied to; nil if one of them
-// cannot take its task. s.mu must be held.
+// allocateIntended allocates the pending tasks of a gang on their intended machines. It allocates nothing and returns nil
+// if a task cannot start on its machine. s.mu must be held.
 func (s *Scheduler) allocateIntended(job *jobState, attempt uint64) (allocations []*allocation) {
 	for _, task := range job.pending {
 		machine := job.intendedMachines[int(task)]
@@ -198,15 +199,15 @@
 	return allocations
 }
 
-// removeAllocations takes back allocations of which no start was committed. s.mu must be held.
+// removeAllocations removes allocations whose starts were not committed. s.mu must be held.
 func (s *Scheduler) removeAllocations(allocations []*allocation) {
 	for _, alloc := range allocations {
 		s.removeAllocation(alloc)
 	}
 }
 
-// awaitGangInputs reports whether inputs of a gang have yet to be copied to the machines that it was allocated. If
-// so it takes all allocations back, since all of a gang starts or nothing, and notes the machines as intended.
+// awaitGangInputs reports whether inputs of a gang still have to be copied to the machines that it was allocated. If so,
+// it removes all allocations, since a gang starts only as a whole, and records the machines as intended machines.
 // s.mu must be held.
 func (s *Scheduler) awaitGangInputs(job *jobState, allocations []*allocation) bool {
 	unstaged := func(alloc *allocation) bool { return !s.inputsStaged(job, alloc.task, alloc.machine) }
@@ -220,16 +221,16 @@
 	return true
 }
 
-// mayPreemptForGang reports whether allocations may be preempted for a whole gang: it must be placed near its
-// tasks, has no inputs, and work of a lower rank runs. s.mu must be held.
+// mayPreemptForGang reports whether allocations may be preempted for a whole gang: it has a mandatory near constraint and
+// no inputs, and jobs of lower rank have allocations. s.mu must be held.
 func (s *Scheduler) mayPreemptForGang(job *jobState) bool {
 	return job.site != nil && job.Job.Near != nil && job.Job.Near.Must &&
 		job.rank > lowestRank(s.jobOrder) && len(job.inputs) == 0 && !s.failsEverywhere(job)
 }
 
-// placeGangByPreemption starts a gang that must be placed near where resources for all of it can be freed, or does
-// nothing. The victims of its first tasks count as stopping while those of the others are looked for, so that no
-// team loses more than it may. s.mu must be held.
+// placeGangByPreemption starts all pending tasks of a gang with a mandatory near constraint by preemption. It does nothing
+// if resources for all of them cannot be freed. The victims of one task count as stopping during the search for the
+// victims of the next, so that no team loses more than mayPreempt permits. s.mu must be held.
 func (s *Scheduler) placeGangByPreemption(job *jobState, machines []*machineState) {
 	attempt := s.nextAttempt()
 	var allocations []*allocation
@@ -264,8 +265,8 @@
 	}
 }
 
-// cheapestPreemption returns the machine on which freeing the resources for one task of a job loses the least work, in
-// ms; false if there is none. s.mu must be held.
+// cheapestPreemption returns the machine on which freeing resources for one task of a job loses the least work, or false
+// if there is none. The score of the candidate is the lost work in ms. s.mu must be held.
 func (s *Scheduler) cheapestPreemption(job *jobState, machines []*machineState) (best candidate, ok bool) {
 	for _, machine := range machines {
 		if !s.mayPlace(job, machine) || !s.withinQuota(job) || machine.heartbeatFull() {
@@ -286,7 +287,7 @@
 	return best, best.machine != nil
 }
 
-// setCountedAsStopping makes an allocation count as stopping, or no longer, without stopping its task.
+// setCountedAsStopping sets whether an allocation and its usage count as stopping, without stopping its task.
 // s.mu must be held.
 func (s *Scheduler) setCountedAsStopping(alloc *allocation, stopping bool) {
 	alloc.stopping = stopping
--- a/scheduler/stage_relay.go
+++ b/scheduler/stage_relay.go
@@ -9,16 +9,17 @@
 	"switchferry/relay"
 )
 
-// relayedOrder identifies the order that was last put into the packets for an agent whose heartbeats a peer relays.
+// relayedOrder identifies the staging order that was last written to the packets for an agent whose heartbeats are relayed
+// by a peer.
 type relayedOrder struct {
-	// member is the peer that relays.
+	// member is the name of the peer.
 	member string
-	// incarnation, order and version are those of the order; all are 0 before the first one.
+	// incarnation, order and version identify the order. All are 0 before the first order.
 	incarnation    uint64
 	order, version uint64
 }
 
-// HandleRelayedStageHeartbeat handles an agent's heartbeat that came in a packet of the peer called member. The orders
+// HandleRelayedStageHeartbeat handles a data agent's heartbeat that arrived in a packet of the peer named member. Orders
 // for the agent are relayed through the same peer.
 func (s *Scheduler) HandleRelayedStageHeartbeat(member string, heartbeat *api.StageHeartbeat) {
 	s.mu.Lock()
@@ -39,8 +40,8 @@
 	s.relayStageOrder(heartbeat.Machine)
 }
 
-// stopRelayingOrders stops relaying orders to an agent, because its heartbeats come directly or through another peer, or
-// because its machine is gone. Datasets must be on, and s.mu must be held.
+// stopRelayingOrders stops relaying orders to an agent whose heartbeats now arrive directly or through another peer, or
+// whose machine was released. Datasets must be on, and s.mu must be held.
 func (s *Scheduler) stopRelayingOrders(machine string) {
 	datasets := s.datasets
 	previous := datasets.relayedOrders[machine]
@@ -51,8 +52,8 @@
 	datasets.orderMailboxes.Remove(previous.member, machine, true)
 }
 
-// relayStageOrder has the current order of a relayed agent written into the packets of its peer, unless they hold it
-// already. s.mu must be held.
+// relayStageOrder schedules the current order of a relayed agent to be written to the packets for its peer, unless they
+// already contain it. s.mu must be held.
 func (s *Scheduler) relayStageOrder(machine string) {
 	order, _, ok := s.datasets.planner.Order(machine)
 	if !ok || !s.loaded || !s.leadership.Leading() {
@@ -67,8 +68,8 @@
 	s.datasets.orderMailboxes.Update(relayed.member, machine)
 }
 
-// stageOrderBody returns the current order of a machine's agent as a packet holds it, or nil without one. s.mu must be
-// held.
+// stageOrderBody returns the current order for a machine's agent as encoded in a packet, or nil if there is none.
+// s.mu must be held.
 func (s *Scheduler) stageOrderBody(_, machine string) json.RawMessage {
 	order, _, ok := s.datasets.planner.Order(machine)
 	if !ok {
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -10,13 +10,14 @@
 	"switchferry/tuning"
 )
 
-// reserveForStarved reserves machines for starved jobs that find no free resources, so that they drain: else what
-// ends there makes way for a smaller task at once, and a task that needs a whole machine, or a gang, never starts
-// while these keep coming. s.mu must be held.
+// reserveForStarved reserves machines for starved jobs that find no free resources, so that the machines drain. Otherwise
+// smaller tasks would use all resources as soon as they become free, and as long as such tasks keep arriving, a gang or a
+// task that needs a whole machine would never start. s.mu must be held.
 func (s *Scheduler) reserveForStarved() {
 	now := s.now()
 	reserving, reserved := s.currentReservations()
-	// One job may always have reservations, however many machines it needs.
+	// The limit is at least 1 and is checked before a job reserves machines, so one job can always reserve as many as it
+	// needs.
 	limit := max(1, int(tuning.ReservedShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
 		if !job.starved || now.Before(job.nextMachineReservation) || reserved >= limit && !reserving[job] {
@@ -34,7 +35,7 @@
 			}
 		}
 		if len(names) == 0 || drained <= 0 {
-			// It can start nowhere, or at once.
+			// The job cannot start on any machine, or it can start at once.
 			continue
 		}
 		if !reserving[job] {
@@ -50,8 +51,8 @@
 	}
 }
 
-// currentReservations drops the reservations of jobs that are not starved any more, and returns the jobs that have
-// any and how many machines are reserved. s.mu must be held.
+// currentReservations removes the reservations of jobs that are no longer starved. It returns the jobs that have
+// reservations and the number of reserved machines. s.mu must be held.
 func (s *Scheduler) currentReservations() (reserving map[*jobState]bool, reserved int) {
 	reserving = map[*jobState]bool{}
 	for _, machine := range s.machines {
@@ -69,9 +70,9 @@
 	return reserving, reserved
 }
 
-// soonestMachines returns the machines on which a task of an array or service, or a whole gang, can start soonest by
-// the estimates of what runs there, and in how long they have drained; none if it can start nowhere.
-// s.mu must be held.
+// soonestMachines returns the machines on which one task of an array or service, or a whole gang, can start soonest
+// according to the estimates of the running tasks, and the time until these machines have drained. It returns no machines
+// if the job cannot start on any. s.mu must be held.
 func (s *Scheduler) soonestMachines(job *jobState) (names []string, drained time.Duration) {
 	tasks := 1
 	if job.Job.Shape == api.Gang {
@@ -91,8 +92,9 @@
 	return ageing.EarliestMachines(machines, tasks, job.Job.OneZone)
 }
 
-// reservedForStarved reports whether a job may not use a machine because it drains for another one. Production is not
-// held up, and tasks of arrays that end by then may run there meanwhile. s.mu must be held.
+// reservedForStarved reports whether a job must not use a machine because the machine is reserved for another job that is
+// starved. Production jobs ignore the reservation, and tasks of arrays may run there if they end before the machine is
+// expected to have drained. s.mu must be held.
 func (s *Scheduler) reservedForStarved(job *jobState, machine *machineState) bool {
 	if machine.reservedFor == nil || machine.reservedFor == job || job.rank == api.RankProduction {
 		return false
