--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -9,8 +9,8 @@
 // candidate is a machine on which one task of a job can start, if necessary by preemption.
 type candidate struct {
 	machine *machineState
-	// leaving are the allocations that are already being stopped, victims those that would be preempted.
-	leaving, victims []*allocation
+	// stopping are the allocations that are already being stopped, victims those that would be preempted.
+	stopping, victims []*allocation
 	// score is the cost of the start. All candidates of one search use the same unit.
 	score float64
 }
@@ -52,7 +52,7 @@
 	if !s.eligible(job, machine) || !satisfiesSpread(job, machine) || len(job.inputs) > 0 && !s.hasStaged(job, machine) {
 		return candidate{}, false
 	}
-	leaving, victims, ok := s.findVictims(job, machine)
+	stopping, victims, ok := s.findVictims(job, machine)
 	if !ok {
 		return candidate{}, false
 	}
@@ -61,7 +61,7 @@
 	for _, alloc := range victims {
 		score += float64(s.preemptionLoss(alloc)) / 1000
 	}
-	return candidate{machine, leaving, victims, score}, true
+	return candidate{machine, stopping, victims, score}, true
 }
 
 // candidates returns a heap of the machines on which a task of a job can start. s.mu must be held.
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -14,11 +14,11 @@
 
 // stagingDemand is a task whose inputs should be staged on a machine.
 type stagingDemand struct {
-	// position is the index of the job in Scheduler.jobOrder, or allocatedPosition for an allocated task.
-	position int
-	job      *jobState
-	machine  *machineState
-	task     int
+	// jobPosition is the index of the job in Scheduler.jobOrder, or allocatedPosition for an allocated task.
+	jobPosition int
+	job         *jobState
+	machine     *machineState
+	task        int
 }
 
 // allocatedPosition sorts before every job, because the inputs of an allocated task must not be evicted.
@@ -45,7 +45,7 @@
 	}
 	demands := slices.Concat(s.queuedStagingDemands(positions), s.heldStagingDemands(positions))
 	slices.SortStableFunc(demands, func(a, b stagingDemand) int {
-		return cmp.Or(cmp.Compare(a.position, b.position), strings.Compare(a.machine.Name, b.machine.Name), cmp.Compare(a.task, b.task))
+		return cmp.Or(cmp.Compare(a.jobPosition, b.jobPosition), strings.Compare(a.machine.Name, b.machine.Name), cmp.Compare(a.task, b.task))
 	})
 	for _, name := range datasets.planner.Plan(partDemands(demands), now) {
 		if datasets.relayedOrders[name] != nil {
@@ -67,7 +67,7 @@
 		ahead = 0
 	}
 	for _, machine := range s.sortedMachines() {
-		free, aheadLeft := machine.free(), ahead
+		free, aheadRemaining := machine.free(), ahead
 		for _, queue := range machine.queues {
 			if len(queue.job.inputs) == 0 {
 				free = free.Sub(queue.job.request.Scale(len(queue.tasks)))
@@ -79,7 +79,7 @@
 				}
 				if free.Fits(queue.job.request) {
 					free = free.Sub(queue.job.request)
-				} else if aheadLeft--; aheadLeft < 0 {
+				} else if aheadRemaining--; aheadRemaining < 0 {
 					continue
 				}
 				demands = append(demands, stagingDemand{positions[queue.job], queue.job, machine, int(task)})
@@ -151,8 +151,8 @@
 		return
 	}
 	for _, machine := range s.sortedMachines() {
-		silent, full := s.stagingStuck(machine)
-		if !silent && !full {
+		agentSilent, cacheFull := s.stagingStuck(machine)
+		if !agentSilent && !cacheFull {
 			continue
 		}
 		for _, queue := range machine.queues {
@@ -160,7 +160,7 @@
 				continue
 			}
 			slog.Info("staging stuck, requeueing tasks", "machine", machine.Name, "job", queue.job.id, "tasks", len(queue.tasks),
-				"agent_silent", silent, "cache_full", full)
+				"agent_silent", agentSilent, "cache_full", cacheFull)
 			queue.returnTasks()
 			queue.job.avoidUntil[machine.Name] = s.now().Add(tuning.BackoffMax)
 		}
@@ -171,7 +171,7 @@
 
 // stagingStuck reports whether a machine's agent is silent, and whether its cache has been full for longer than
 // tuning.StageMove. It records in datasetState.stuckSince when the cache became full. s.mu must be held.
-func (s *Scheduler) stagingStuck(machine *machineState) (silent, full bool) {
+func (s *Scheduler) stagingStuck(machine *machineState) (agentSilent, cacheFull bool) {
 	datasets := s.datasets
 	if !datasets.planner.Full(machine.Name) {
 		delete(datasets.stuckSince, machine.Name)
@@ -179,9 +179,9 @@
 		datasets.stuckSince[machine.Name] = s.now()
 	}
 	since := datasets.stuckSince[machine.Name]
-	silent = !datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
-	full = !since.IsZero() && s.since(since) > tuning.StageMove
-	return silent, full
+	agentSilent = !datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
+	cacheFull = !since.IsZero() && s.since(since) > tuning.StageMove
+	return agentSilent, cacheFull
 }
 
 // takeStaged removes the first task of a job whose inputs are staged on a machine from the job's queue there and returns
@@ -239,7 +239,7 @@
 	if heartbeat.Term > s.term {
 		return order, true, false
 	}
-	if _, gone := s.releasedAt[heartbeat.Machine]; gone || s.datasets == nil {
+	if _, released := s.releasedAt[heartbeat.Machine]; released || s.datasets == nil {
 		return order, false, true
 	}
 	if s.datasets.planner.ApplyHeartbeat(heartbeat, s.now()) {
--- a/scheduler/dataset_removal.go
+++ b/scheduler/dataset_removal.go
@@ -34,10 +34,10 @@
 // adoptDatasetRecord adopts a dataset's record that made a conditional write fail. If the dataset is no longer listed, it
 // removes the jobs that use it and are not accepted yet. The requests that wait for these jobs then check the inputs
 // again and return the reason. s.mu must be held.
-func (s *Scheduler) adoptDatasetRecord(found *store.Item) {
-	entry, err := DecodeDataset(found)
+func (s *Scheduler) adoptDatasetRecord(item *store.Item) {
+	entry, err := DecodeDataset(item)
 	if err != nil {
-		slog.Error("corrupt dataset record", "key", found.Key, "err", err)
+		slog.Error("corrupt dataset record", "key", item.Key, "err", err)
 		return
 	}
 	s.addDatasets(entry)
@@ -108,9 +108,9 @@
 // removalStored is called once the record that datasetRecord built for a dataset is stored. The record does not state the
 // removal if a job that uses the dataset became known before the record was built. s.mu must be held.
 func (s *Scheduler) removalStored(entry *dataset.Entry) {
-	written := s.datasets.removing[entry.Name]
+	writtenState := s.datasets.removing[entry.Name]
 	delete(s.datasets.removing, entry.Name)
-	if written != dataset.Removed || entry.State == dataset.Removed {
+	if writtenState != dataset.Removed || entry.State == dataset.Removed {
 		return
 	}
 	slog.Info("dataset removed", "dataset", entry.Name)
--- a/scheduler/dataset_removal_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -12,7 +12,7 @@
 	"switchferry/store"
 )
 
-// recordedState is the state of the dataset inv on record.
+// recordedState returns the state in the stored record of the dataset inv.
 func (h *dataHarness) recordedState() string {
 	h.Helper()
 	var x dataset.Entry
@@ -22,15 +22,15 @@
 	return x.State
 }
 
-// register puts inv on record, as registered.
+// register stores the record of the dataset inv in state listed and adds it to the leader.
 func (h *dataHarness) register() {
 	x := &dataset.Entry{Summary: *inventory}
 	x.Stamp = h.state.Put(store.DatasetKey("inv"), x)
 	h.AddDatasets(x)
 }
 
-// unlist takes inv off the list, as any controller does; the leader hears of it by its
-// watch, now or later.
+// unlist stores the record of the dataset inv in state removing, as any controller can. If told is true, the leader
+// receives the change at once, as by its watch.
 func (h *dataHarness) unlist(told bool) *dataset.Entry {
 	x := &dataset.Entry{Summary: *inventory, State: dataset.Removing}
 	x.Stamp = h.state.Put(store.DatasetKey("inv"), x)
@@ -40,8 +40,8 @@
 	return x
 }
 
-// A dataset is removed only when nothing needs it: what waits, is copied or runs goes on
-// as ever, and then the machines let its bytes go, those that come back later as well.
+// Checks that a dataset is removed only once no job needs it. Tasks that wait, are being staged or run are not affected.
+// After the removal the machines delete the parts, including machines that join later.
 func TestRemovedWithoutHarm(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.register()
@@ -55,7 +55,7 @@
 	h.MaintainFleet()
 	h.commit()
 	if got := agent.copies(); h.recordedState() != dataset.Removing || len(got) != 1 || got[0] != 1 {
-		t.Fatalf("state %q, copies %v: the job that needs it must go on", h.recordedState(), got)
+		t.Fatalf("state %q, copies %v: staging for the job that needs the dataset must continue", h.recordedState(), got)
 	}
 	agent.finishCopies()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
@@ -63,7 +63,7 @@
 	h.round()
 	second := h.jobs["run-000001"].allocations[1]
 	if second == nil {
-		t.Fatal("not started though its inputs are there")
+		t.Fatal("task 1 did not start although its inputs are staged")
 	}
 	end := func(k int, at uint64) api.TaskReport {
 		return taskReport(taskKey("run-000001", k), at, api.TaskExited, api.CauseDone)
@@ -71,7 +71,7 @@
 	h.workerHeartbeat("a1", end(0, starts.Attempt), end(1, second.attempt))
 	h.round()
 	if len(agent.drop) != 0 {
-		t.Fatal("let go before it is on record as removed")
+		t.Fatal("the agent was told to delete the dataset before its record was stored as removed")
 	}
 	for range 3 {
 		h.MaintainFleet()
@@ -79,7 +79,7 @@
 		h.round()
 	}
 	if h.recordedState() != dataset.Removed || len(agent.drop) != 1 || agent.drop[0] != inventory.Manifest.String() {
-		t.Fatalf("state %q, agents let go %v", h.recordedState(), agent.drop)
+		t.Fatalf("state %q, the agent is to delete %v", h.recordedState(), agent.drop)
 	}
 	agent.held.Clear()
 	h.round()
@@ -87,12 +87,12 @@
 	b := h.addAgent("b1", 3)
 	h.round()
 	if len(agent.drop) != 0 || len(b.drop) != 1 {
-		t.Errorf("a1 is to let go %v, b1 that came back %v", agent.drop, b.drop)
+		t.Errorf("a1 is to delete %v, b1, which joined later, %v", agent.drop, b.drop)
 	}
 }
 
-// Nothing is removed before all is known that siblings accepted until it was taken off the
-// list: such a job stands on record, though the leader has not seen it.
+// Checks that a dataset is not removed before the leader knows every job that peers accepted until the dataset was
+// unlisted. The record of such a job may be stored before the leader has read it.
 func TestRemovalWaitsForWhatSiblingsAccepted(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.register()
@@ -106,7 +106,7 @@
 		h.commit()
 	}
 	if h.recordedState() != dataset.Removing {
-		t.Fatal("removed under a job that is on record")
+		t.Fatal("removed although a stored job needs the dataset")
 	}
 	it, err := h.client().Get(context.Background(), store.JobKey("run-000007"))
 	if err != nil {
@@ -117,7 +117,7 @@
 	h.MaintainFleet()
 	h.commit()
 	if h.recordedState() != dataset.Removing || h.JobsUsing("inv") != 1 {
-		t.Fatal("removed under a job that a sibling accepted")
+		t.Fatal("removed although a job that a peer accepted needs the dataset")
 	}
 	h.Cancel(cancelledContext(), "run-000007")
 	for range 3 {
@@ -126,11 +126,11 @@
 		h.commit()
 	}
 	if h.recordedState() != dataset.Removed {
-		t.Error("not removed though nothing needs it")
+		t.Error("not removed although no job needs the dataset")
 	}
 }
 
-// Jobs with many inputs are stored in transactions that keep the limit of conditions.
+// Checks that jobs with many inputs are stored in transactions that stay within the limit on conditions.
 func TestManyInputsKeepTheLimitOfConditions(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	var in []api.Input
@@ -156,9 +156,8 @@
 	}
 }
 
-// A job that races with the removal of its dataset is on one side of it: it is accepted
-// and the dataset stays, or it is refused with the reason. It does not matter whether the
-// controller that takes it has heard of the removal.
+// Checks that a job whose submission races with the removal of its dataset is either accepted, and the dataset is kept,
+// or refused with the reason. The result must not depend on whether the controller knows of the removal.
 func TestSubmissionRacesWithRemoval(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		h := newDataHarness(t, features.Staged)
@@ -169,7 +168,7 @@
 		h.unlist(told)
 		h.commit()
 		if h.state.Get(store.JobKey("run-000001")) != nil || h.Presence("run-000001").Accepted || h.jobs["run-000001"] != nil {
-			t.Errorf("told %v: accepted after its dataset was taken off the list", told)
+			t.Errorf("controller knew of the removal: %v: job accepted after its dataset was unlisted", told)
 		}
 		h.InboxSeen(1 << 40)
 		for range 2 {
@@ -177,7 +176,7 @@
 			h.commit()
 		}
 		if h.recordedState() != dataset.Removed {
-			t.Errorf("told %v: %q", told, h.recordedState())
+			t.Errorf("controller knew of the removal: %v: state %q", told, h.recordedState())
 		}
 	}
 }
--- a/scheduler/dataset_views.go
+++ b/scheduler/dataset_views.go
@@ -52,9 +52,9 @@
 
 // Datasets returns the view of datasets, the machines that hold them, and the copies in progress. It returns false if
 // datasets are off. The holders are counted from a snapshot after s.mu is released, because counting takes long.
-func (s *Scheduler) Datasets() (view DataView, runningOn bool) {
-	view, snapshot, runningOn := s.datasetsWithoutHolders()
-	if !runningOn {
+func (s *Scheduler) Datasets() (view DataView, enabled bool) {
+	view, snapshot, enabled := s.datasetsWithoutHolders()
+	if !enabled {
 		return DataView{}, false
 	}
 	slices.SortFunc(view.Datasets, func(a, b DatasetView) int { return strings.Compare(a.Name, b.Name) })
@@ -66,7 +66,7 @@
 
 // datasetsWithoutHolders returns the view of datasets without the fields that depend on holders, and the index snapshot
 // from which these fields are computed. It returns false if datasets are off.
-func (s *Scheduler) datasetsWithoutHolders() (view DataView, snapshot *replicas.Snapshot, runningOn bool) {
+func (s *Scheduler) datasetsWithoutHolders() (view DataView, snapshot *replicas.Snapshot, enabled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.datasets == nil {
--- a/scheduler/datasets.go
+++ b/scheduler/datasets.go
@@ -108,13 +108,13 @@
 	if s.datasets == nil {
 		return
 	}
-	anyNew := false
+	anyAdded := false
 	for _, entry := range entries {
 		if s.datasets.update(entry) {
-			anyNew = true
+			anyAdded = true
 		}
 	}
-	if !anyNew {
+	if !anyAdded {
 		return
 	}
 	for _, job := range s.jobOrder {
@@ -147,8 +147,8 @@
 // resolveInputs sets the summaries of those inputs of a job whose dataset was unknown until now. s.mu must be held.
 func (s *Scheduler) resolveInputs(job *jobState) {
 	if len(job.inputs) == 0 {
-		for _, named := range job.Job.Inputs {
-			job.inputs = append(job.inputs, input{name: named.Dataset, partPerTask: named.Use == api.UseOwn})
+		for _, jobInput := range job.Job.Inputs {
+			job.inputs = append(job.inputs, input{name: jobInput.Dataset, partPerTask: jobInput.Use == api.UseOwn})
 		}
 	}
 	if s.datasets == nil {
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -12,9 +12,9 @@
 	"switchferry/features"
 )
 
-// scatteredReplicas is a leader with so many machines, ten times as many parts of one dataset with
-// three holders each, and a job of 1,000 tasks. In kind "groups" the tasks' parts lie on 64
-// triples of machines, in kind "scattered" each on its own.
+// scatteredReplicas returns a leader with the given number of machines, a dataset with ten times as many parts and three
+// holders for each part, and a job of 1,000 tasks. With kind "groups" the parts of the tasks are held by 64 triples of
+// machines, with kind "scattered" each part is held by a random triple.
 func scatteredReplicas(t *testing.T, machines int, kind string) (*dataHarness, *jobState) {
 	rng := rand.New(rand.NewPCG(11, uint64(machines)))
 	parts := 10 * machines
@@ -50,14 +50,14 @@
 	h.commit()
 	job := h.jobs["run-000001"]
 	if job == nil || len(job.pending) != 1000 {
-		t.Fatal("no job")
+		t.Fatal("the job was not accepted with 1,000 pending tasks")
 	}
 	h.datasets.snapshot = h.datasets.index.Snapshot()
 	return h, job
 }
 
-// BenchmarkDataFill is the whole decision for a job of 1,000 tasks with inputs: busy
-// times, holders, groups, water-filling and queues. Table: docs/data.md; made with
+// BenchmarkDataFill measures the whole placement of a job of 1,000 tasks with inputs: busy times, holders, groups,
+// water-filling and queues. docs/data.md has a table of the results, which was produced with
 //
 //	go test -bench DataFill -run '^$' -cpu 1 ./controller
 func BenchmarkDataFill(b *testing.B) {
@@ -86,8 +86,7 @@
 	}
 }
 
-// BenchmarkStage is what a round adds to the placer once the job's copies are planned and
-// nothing changes.
+// BenchmarkStage measures planStaging when the copies of the job are already planned and nothing has changed.
 func BenchmarkStage(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -17,7 +17,7 @@
 
 var inventory = &dataset.Summary{Name: "inv", Bytes: 8e9, Parts: 8, Usual: 1e9}
 
-// dataHarness is a leader with datasets on; the test plays the agents as well.
+// dataHarness is a leader with datasets on and simulated data agents.
 type dataHarness struct {
 	*harness
 	place  string
@@ -30,7 +30,7 @@
 	return h
 }
 
-// enable switches datasets on in the present term.
+// enable turns datasets on in the current term.
 func (h *dataHarness) enable() {
 	h.UseData(features.Data{On: true, Placement: h.place, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
 	h.sendStageOrder = func(name string, o api.StageOrder) {
@@ -41,13 +41,13 @@
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
 }
 
-// reelect begins a new term, with agents and machines as they are.
+// reelect starts a new term and keeps the agents and machines.
 func (h *dataHarness) reelect() {
 	h.elect()
 	h.enable()
 }
 
-// addAgent brings up a machine and its agent, which holds some parts.
+// addAgent adds a machine and its agent, which holds the given parts.
 func (h *dataHarness) addAgent(name string, parts ...uint32) *fakeAgent {
 	h.heartbeat(name, 1)
 	agent := &fakeAgent{name: name, held: roaring.BitmapOf(parts...)}
@@ -64,7 +64,7 @@
 	}
 }
 
-// round lets everybody report, and places.
+// round sends the heartbeats of all agents, runs a placement round, commits, and answers the commands.
 func (h *dataHarness) round() {
 	h.clock.Advance(300 * time.Millisecond)
 	for _, name := range []string{"a1", "a2", "b1"} {
@@ -77,13 +77,13 @@
 	h.answerCommands()
 }
 
-// workerHeartbeat keeps a machine heard, with what it runs.
+// workerHeartbeat sends the heartbeat of a machine's worker with the tasks that it runs.
 func (h *dataHarness) workerHeartbeat(name string, tasks ...api.TaskReport) {
 	h.heartbeat(name, 1, tasks...)
 }
 
-// fakeAgent is an agent: it refuses old orders, and copies what it is ordered to when the
-// test lets it.
+// fakeAgent simulates a data agent. It refuses stale orders, and completes the ordered copies when the test calls
+// finishCopies.
 type fakeAgent struct {
 	name        string
 	seq         uint64
@@ -92,9 +92,11 @@
 	held        *roaring.Bitmap
 	full        bool
 	refused     int
-	// version is that of what it holds, known the one that it was told is known.
-	version, known uint64
-	drop           []string
+	// version is the version of the agent's holdings.
+	version uint64
+	// known is the version that the leader knows according to its last order.
+	known uint64
+	drop  []string
 }
 
 func (a *fakeAgent) apply(o api.StageOrder) {
@@ -118,14 +120,14 @@
 	return out
 }
 
-// finishCopies lets the agent finish what it is to copy.
+// finishCopies completes all copies that the agent was ordered to make.
 func (a *fakeAgent) finishCopies() {
 	for _, k := range a.copies() {
 		a.held.Add(uint32(k))
 	}
 }
 
-// stageReport is what the agent says now.
+// stageReport returns the agent's current heartbeat.
 func (a *fakeAgent) stageReport() *api.StageHeartbeat {
 	r := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Order: a.order, Quota: 50e9, All: true, Version: a.version,
 		Holds: []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: inventory.Parts, Parts: api.PartSet{Bitmap: a.held.Clone()}}}}
@@ -142,8 +144,8 @@
 	return func(x *api.Submission) { x.Inputs = []api.Input{{Dataset: "inv", Use: use}} }
 }
 
-// A start goes out only once the inputs are proved to be there. While it waits for bytes a
-// task holds no room: others take it.
+// Checks that a task is started only once its inputs are confirmed on its machine, and that it is allocated no resources
+// while it waits for them, so that other tasks can use these. The inputs stay pinned while the task runs.
 func TestNothingStartsBeforeItsInputs(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	agent := h.addAgent("a1")
@@ -152,7 +154,7 @@
 		h.round()
 	}
 	if len(h.starts("run-000001/0")) != 0 || len(h.machines["a1"].allocations) != 0 {
-		t.Fatal("started, or room held, without inputs")
+		t.Fatal("a task was started or allocated resources without its inputs")
 	}
 	if got := agent.copies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
@@ -160,13 +162,13 @@
 	h.submit("run-000002", 2, nil)
 	h.round()
 	if len(h.starts("run-000002/0")) != 1 || len(h.starts("run-000002/1")) != 1 {
-		t.Fatal("a task that waits for bytes keeps others out")
+		t.Fatal("a task that waits for its inputs prevents other tasks from starting")
 	}
 	agent.finishCopies()
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 0 {
-		t.Fatal("started on a machine that is full")
+		t.Fatal("a task was started on a machine without free resources")
 	}
 	var ended []api.TaskReport
 	for k := range 2 {
@@ -177,9 +179,9 @@
 	h.round()
 	starts := h.jobs["run-000001"].allocations[0]
 	if starts == nil || h.jobs["run-000001"].allocations[1] == nil {
-		t.Fatal("not started though its inputs are there")
+		t.Fatal("a task did not start although its inputs are staged")
 	}
-	// What a task runs on stays pinned, and may go when it is over.
+	// The inputs of a running task stay pinned, and may be evicted after it exits.
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskRunning, ""))
 	h.round()
 	if !agent.wants(0) {
@@ -188,12 +190,12 @@
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskExited, api.CauseDone))
 	h.round()
 	if agent.wants(0) {
-		t.Fatal("pinned for ever")
+		t.Fatal("the input of an exited task is still pinned")
 	}
 }
 
-// Tasks go where their parts are, each to its own holder, though another machine has as
-// much room.
+// Checks that each task is placed on the machine that holds its part, although another machine has as many free
+// resources.
 func TestTasksGoToTheirHolders(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1", 0, 3)
@@ -208,8 +210,9 @@
 	}
 }
 
-// The leader changes while inputs are copied. The new one starts nothing on the old one's
-// word, keeps what runs pinned from its first order on, and the old one's orders are void.
+// Checks a failover while inputs are being copied. The new leader must not start tasks on the basis of the old leader's
+// state, must keep the inputs of running tasks pinned from its first order on, and orders of the old leader must be
+// refused.
 func TestLeaderChangesDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	agent := h.addAgent("a1", 0)
@@ -217,15 +220,15 @@
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 0 {
-		t.Fatal("want task 0 running, task 1 waiting")
+		t.Fatal("want task 0 started and task 1 waiting")
 	}
 	starts := h.starts("run-000001/0")[0].response.Commands[0]
 	old, _, _ := h.datasets.planner.Order("a1")
 	h.reelect()
-	// The agent reports before anything else is known; nothing may be let go.
+	// The agent reports before the new leader knows which tasks run; nothing may be evicted.
 	h.agentHeartbeat(agent)
 	if !agent.wants(0) {
-		t.Fatal("the pin of a task that may run was lost")
+		t.Fatal("the input of a task that may be running was unpinned")
 	}
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.round()
@@ -235,18 +238,18 @@
 	before := agent.refused
 	agent.apply(old)
 	if agent.refused != before+1 {
-		t.Fatal("an old leader's order was taken")
+		t.Fatal("the agent accepted an order of the old leader")
 	}
 	agent.finishCopies()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/1")) != 1 || len(h.starts("run-000001/0")) != 0 {
-		t.Fatal("want task 1 started once, task 0 not again")
+		t.Fatal("want task 1 started once and task 0 not started again")
 	}
 }
 
-// A job that is cancelled while its inputs are copied never starts, and its copies end.
+// Checks that a job that is cancelled while its inputs are being copied never starts, and that its copies are stopped.
 func TestCancelledDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	agent := h.addAgent("a1")
@@ -258,17 +261,17 @@
 	h.commit()
 	h.round()
 	if got := agent.copies(); !slices.Equal(got, []int{0}) {
-		t.Fatalf("copies: %v; the other job's must go on, this one's not", got)
+		t.Fatalf("copies ordered: %v, want only that of the job that was not cancelled", got)
 	}
 	agent.finishCopies()
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 0 || len(h.starts("run-000002/0")) != 1 {
-		t.Fatal("want the other job alone started")
+		t.Fatal("want only the job that was not cancelled started")
 	}
 }
 
-// The machine is taken back while inputs are copied to it: the tasks go elsewhere.
+// Checks that tasks are placed on another machine if theirs is released while inputs are being copied to it.
 func TestMachineGoesDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1")
@@ -288,7 +291,7 @@
 	}
 }
 
-// A cache that stays full, or an agent that falls silent, does not keep a task for ever.
+// Checks that a task is requeued from a machine whose cache stays full or whose agent is silent, and starts on another.
 func TestStuckInputsMoveOn(t *testing.T) {
 	for _, kind := range []string{"full", "silent"} {
 		h := newDataHarness(t, features.Staged)
@@ -312,8 +315,8 @@
 	}
 }
 
-// Services and gangs hold no room and stop nobody while their inputs are copied, and a
-// gang starts whole.
+// Checks that services and gangs are allocated no resources and preempt nothing while their inputs are being copied, and
+// that a gang starts as a whole.
 func TestServicesAndGangsWaitForTheirInputs(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
 		h := newDataHarness(t, features.Staged)
@@ -337,15 +340,15 @@
 			h.workerHeartbeat("a1", low...)
 			h.round()
 			if len(h.starts("run-000001/0")) != 0 {
-				t.Fatalf("%s: started without its inputs", shape)
+				t.Fatalf("%s: task started without its inputs", shape)
 			}
 			for _, x := range h.machines["a1"].allocations {
 				if x.job.id == "run-000001" || x.stopping {
-					t.Fatalf("%s: %s holds room, or others are stopped, for bytes", shape, x.key)
+					t.Fatalf("%s: %s is allocated or being stopped while inputs are still being copied", shape, x.key)
 				}
 			}
 			if i < 3 {
-				agent.finishCopies() // two parts a round, of eight
+				agent.finishCopies() // two of the eight parts per round
 			}
 		}
 		for range 8 {
@@ -360,13 +363,13 @@
 			}
 		}
 		if placed != 2 {
-			t.Errorf("%s: %d placed once the inputs were there", shape, placed)
+			t.Errorf("%s: %d of 2 tasks placed after the inputs were staged", shape, placed)
 		}
 	}
 }
 
-// A job that was accepted with inputs must not start without them on a controller that
-// has the feature off, or does not know the dataset.
+// Checks that a job that was accepted with inputs does not start without them on a controller that has datasets off or
+// does not know the dataset.
 func TestOffNothingWithInputsStarts(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1", 0)
@@ -378,15 +381,16 @@
 		h.commit()
 	}
 	if len(h.starts("run-000001/0")) != 0 {
-		t.Fatal("started without inputs")
+		t.Fatal("a task was started without its inputs")
 	}
 	var rec store.JobRecord
 	if raw, err := json.Marshal(h.jobs["run-000001"].JobRecord); err != nil || json.Unmarshal(raw, &rec) != nil || len(rec.Job.Inputs) != 1 {
-		t.Fatal("the record lost the inputs")
+		t.Fatal("the job's record does not contain its inputs")
 	}
 }
 
-// Blind placement, for comparison, copies from the store alone; none starts early.
+// Checks the other placement modes: without locality awareness parts are copied only from the store, and all tasks start
+// in every mode.
 func TestPlacementsForComparison(t *testing.T) {
 	for _, place := range []string{features.Blind, features.Images, features.Local} {
 		h := newDataHarness(t, place)
@@ -416,8 +420,8 @@
 	}
 }
 
-// A new leader that has heard only one agent yet gives tasks to the machines that hold
-// their inputs, as the last leader knew them; but nothing starts there on that word.
+// Checks that a new leader that has received the heartbeat of only one agent queues tasks on the machines that hold their
+// inputs according to the hints of the previous leader, but starts none there before the agent confirms the inputs.
 func TestReplicaHintsOutliveTheLeader(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1")
@@ -426,7 +430,7 @@
 	h.commit()
 	it := h.state.Get(store.ReplicasKey(0))
 	if it == nil {
-		t.Fatal("not on record")
+		t.Fatal("the replica hints were not stored")
 	}
 	h.reelect()
 	h.LoadReplicaHints([]store.Item{{Key: store.ReplicasKey(0), Value: it}})
@@ -437,10 +441,10 @@
 	h.Place()
 	h.commit()
 	if n := len(h.machines["a2"].queues); n != 1 || len(h.machines["a1"].queues) != 0 {
-		t.Fatalf("queued on a2: %d, on a1: %d", n, len(h.machines["a1"].queues))
+		t.Fatalf("%d queues on a2 and %d on a1, want 1 and 0", n, len(h.machines["a1"].queues))
 	}
 	if len(h.starts("run-000001/0")) != 0 {
-		t.Fatal("started on a hint")
+		t.Fatal("a task was started on the basis of a hint")
 	}
 	h.round()
 	h.round()
@@ -449,9 +453,8 @@
 	}
 }
 
-// A task that waits for its copy goes to a holder that became free meanwhile, instead of
-// waiting on: found in the experiment, where tasks waited 10 s for a copy of what idle
-// machines held.
+// Checks that a task that waits for a copy moves to a machine that holds its inputs once that has free resources. Without
+// this, tasks waited 10 s for copies of parts that idle machines already held.
 func TestFreedHoldersTakeTasksThatWaitForBytes(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1", 0, 1)
@@ -466,7 +469,7 @@
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	h.round()
 	if len(h.machines["a2"].queues) != 1 {
-		t.Fatal("want it to wait for a copy on the idle machine")
+		t.Fatal("want the task queued on the idle machine while its input is copied there")
 	}
 	for i := range busy {
 		busy[i].State, busy[i].Cause = api.TaskExited, api.CauseDone
@@ -477,11 +480,11 @@
 		h.round()
 	}
 	if alloc := h.jobs["run-000001"].allocations[0]; alloc == nil || alloc.machine.Name != "a1" {
-		t.Fatalf("not taken by the holder: %+v", alloc)
+		t.Fatalf("the task did not move to the machine that holds its input: %+v", alloc)
 	}
 }
 
-// A setting that a later revision leaves out is as the files have it again.
+// Checks that the number of tasks staged ahead follows the applied configuration.
 func TestAheadTasksOfAConfigurationCount(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	for _, ahead := range []int{9, 5} {
@@ -489,7 +492,7 @@
 		active.AheadTasks = &ahead
 		h.ApplyConfiguration(active)
 		if h.datasets.settings.Ahead != ahead {
-			t.Errorf("ahead %d with %d configured", h.datasets.settings.Ahead, ahead)
+			t.Errorf("ahead is %d, want the configured %d", h.datasets.settings.Ahead, ahead)
 		}
 	}
 }
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -87,11 +87,11 @@
 	if s.topology == nil || !s.topology.reservations.Any() {
 		return false
 	}
-	var ends time.Time
+	var end time.Time
 	if job.Job.Shape != api.Service {
-		ends = s.now().Add(settings.Seconds(estimate(job) + s.startCost(job, 0, machine).Seconds()))
+		end = s.now().Add(settings.Seconds(estimate(job) + s.startCost(job, 0, machine).Seconds()))
 	}
-	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, ends)
+	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, end)
 }
 
 // preemptionCosts returns the work in ms that preemption would lose for each pending task of a job that could start on a
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -13,15 +13,15 @@
 	"switchferry/tuning"
 )
 
-// missingInputs implements placement.InputCost for one job: the cost of the inputs that a group of its tasks lacks on a
+// inputCostModel implements placement.InputCost for one job: the cost of the inputs that a group of its tasks lacks on a
 // machine. Results are cached, because in a fleet of thousands of machines the same few waits are computed over and over.
 // Scheduler.mu must be held for all methods.
-type missingInputs struct {
+type inputCostModel struct {
 	scheduler *Scheduler
 	job       *jobState
 	groups    []placement.Group
-	// slot is the length of a slot in seconds.
-	slot float64
+	// slotSeconds is the length of a slot in seconds.
+	slotSeconds float64
 	// localityAware is false if placement ignores where inputs are held; all costs are then zero.
 	localityAware bool
 	// singlePartPerTask is true if the job has one input, of which each task needs its own part.
@@ -33,12 +33,12 @@
 	machineNames []string
 	// backlog holds, for each server, the bytes that are already queued on the machine's link.
 	backlog []float64
-	// leastBacklog is the minimum of backlog.
-	leastBacklog float64
+	// minBacklog is the minimum of backlog.
+	minBacklog float64
 
-	// slotsBySeconds caches the results of slotsOf by its argument.
+	// slotsBySeconds caches the results of penaltySlots by its argument.
 	slotsBySeconds map[float64]int
-	// lastSeconds and lastSecondsSlots are the last argument and result of slotsOf.
+	// lastSeconds and lastSecondsSlots are the last argument and result of penaltySlots.
 	lastSeconds      float64
 	lastSecondsSlots int
 
@@ -64,62 +64,62 @@
 	inFlight map[replicas.MachineID]float64
 }
 
-// slotsOf returns the number of slots that the operators' policy charges for a wait in seconds.
-func (x *missingInputs) slotsOf(seconds float64) int {
-	if seconds == x.lastSeconds {
-		return x.lastSecondsSlots
+// penaltySlots returns the number of slots that the operators' policy charges for a wait in seconds.
+func (m *inputCostModel) penaltySlots(seconds float64) int {
+	if seconds == m.lastSeconds {
+		return m.lastSecondsSlots
 	}
-	slots, ok := x.slotsBySeconds[seconds]
+	slots, ok := m.slotsBySeconds[seconds]
 	if !ok {
-		slots = fetchPenalty(x.scheduler.configuration.Policy, seconds, x.slot)
-		x.slotsBySeconds[seconds] = slots
+		slots = fetchPenalty(m.scheduler.configuration.Policy, seconds, m.slotSeconds)
+		m.slotsBySeconds[seconds] = slots
 	}
-	x.lastSeconds, x.lastSecondsSlots = seconds, slots
+	m.lastSeconds, m.lastSecondsSlots = seconds, slots
 	return slots
 }
 
 // Slots returns how many slots a task of a group waits for its inputs on a server that does not hold all of them. Most
 // servers have no backlog, so the last result is reused when the backlog is the same.
-func (x *missingInputs) Slots(group, server int) int {
-	if group == x.lastGroup && x.transfer.inFlight == nil && x.singlePartPerTask && x.backlog[server] == x.lastBacklog {
-		return x.lastSlots
+func (m *inputCostModel) Slots(group, server int) int {
+	if group == m.lastGroup && m.transfer.inFlight == nil && m.singlePartPerTask && m.backlog[server] == m.lastBacklog {
+		return m.lastSlots
 	}
-	if !x.localityAware {
+	if !m.localityAware {
 		return 0
 	}
-	datasets := x.scheduler.datasets
-	task := int(x.groups[group].Tasks[0])
-	if group != x.lastGroup {
-		x.lastGroup = group
-		x.transfer.spreadSeconds = datasets.spreadSeconds(x.job, task)
-		x.transfer.inFlight = datasets.inFlightCopies(x.job, task)
-		if x.singlePartPerTask {
+	datasets := m.scheduler.datasets
+	task := int(m.groups[group].Tasks[0])
+	if group != m.lastGroup {
+		m.lastGroup = group
+		m.transfer.spreadSeconds = datasets.spreadSeconds(m.job, task)
+		m.transfer.inFlight = datasets.inFlightCopies(m.job, task)
+		if m.singlePartPerTask {
 			// The task has a single part, so a server that is no holder lacks all of its input.
-			jobInput := x.job.inputs[0]
-			x.transfer.bytes = float64(jobInput.summary.PartBytes(task))
-			x.transfer.fromStore = len(datasets.snapshot.Holders(jobInput.name, task)) == 0
+			jobInput := m.job.inputs[0]
+			m.transfer.bytes = float64(jobInput.summary.PartBytes(task))
+			m.transfer.fromStore = len(datasets.snapshot.Holders(jobInput.name, task)) == 0
 		}
 	}
-	if !x.singlePartPerTask {
-		x.transfer.bytes, x.transfer.fromStore = datasets.missingBytes(x.job, task, x.machineIDs[server])
+	if !m.singlePartPerTask {
+		m.transfer.bytes, m.transfer.fromStore = datasets.missingBytes(m.job, task, m.machineIDs[server])
 	}
 	slots := 0
-	if x.transfer.bytes > 0 {
-		slots = x.slotsOf(datasets.transferSeconds(x.machineIDs[server], x.backlog[server], x.transfer))
+	if m.transfer.bytes > 0 {
+		slots = m.penaltySlots(datasets.transferSeconds(m.machineIDs[server], m.backlog[server], m.transfer))
 	}
-	x.lastBacklog, x.lastSlots = x.backlog[server], slots
+	m.lastBacklog, m.lastSlots = m.backlog[server], slots
 	return slots
 }
 
 // Least returns a lower bound of Slots for all servers that do not hold the inputs of a group. Each of them lacks at
 // least one part, so the bound is the wait for the smallest part on the link with the smallest backlog.
-func (x *missingInputs) Least(group int) int {
-	if !x.localityAware {
+func (m *inputCostModel) Least(group int) int {
+	if !m.localityAware {
 		return 0
 	}
-	task := int(x.groups[group].Tasks[0])
+	task := int(m.groups[group].Tasks[0])
 	leastBytes := math.Inf(1)
-	for _, jobInput := range x.job.inputs {
+	for _, jobInput := range m.job.inputs {
 		if jobInput.partPerTask {
 			leastBytes = min(leastBytes, float64(jobInput.summary.PartBytes(task)))
 			continue
@@ -129,58 +129,58 @@
 			leastBytes = min(leastBytes, float64(partBytes))
 		}
 	}
-	if len(x.scheduler.datasets.inFlightCopies(x.job, task)) > 0 {
+	if len(m.scheduler.datasets.inFlightCopies(m.job, task)) > 0 {
 		return 0
 	}
-	return x.slotsOf(x.scheduler.datasets.planner.TransferDelay(x.leastBacklog, leastBytes, false))
+	return m.penaltySlots(m.scheduler.datasets.planner.TransferDelay(m.minBacklog, leastBytes, false))
 }
 
 // Rate returns the number of tasks of a group whose own parts an idle link can transfer per slot. It is +Inf if that
 // takes no time.
-func (x *missingInputs) Rate(group int) float64 {
-	if !x.localityAware {
+func (m *inputCostModel) Rate(group int) float64 {
+	if !m.localityAware {
 		return math.Inf(1)
 	}
 	bytes := 0.0
-	for _, jobInput := range x.job.inputs {
+	for _, jobInput := range m.job.inputs {
 		if jobInput.partPerTask {
-			bytes += float64(jobInput.summary.PartBytes(int(x.groups[group].Tasks[0])))
+			bytes += float64(jobInput.summary.PartBytes(int(m.groups[group].Tasks[0])))
 		}
 	}
-	if seconds := x.scheduler.datasets.planner.TransferDelay(0, bytes, false); seconds > 0 {
-		return x.slot / seconds
+	if seconds := m.scheduler.datasets.planner.TransferDelay(0, bytes, false); seconds > 0 {
+		return m.slotSeconds / seconds
 	}
 	return math.Inf(1)
 }
 
 // Took adds the bytes that the given number of tasks of a group lack on a server to the backlog of that server, so that
 // the jobs that follow in this round take them into account.
-func (x *missingInputs) Took(group, server, tasks int) {
-	if !x.localityAware {
+func (m *inputCostModel) Took(group, server, tasks int) {
+	if !m.localityAware {
 		return
 	}
-	datasets := x.scheduler.datasets
-	bytes, _ := datasets.missingBytes(x.job, int(x.groups[group].Tasks[0]), x.machineIDs[server])
-	x.backlog[server] += bytes * float64(tasks)
-	x.lastBacklog = -1
-	datasets.planner.ReserveBytes(x.machineNames[server], bytes*float64(tasks))
+	datasets := m.scheduler.datasets
+	bytes, _ := datasets.missingBytes(m.job, int(m.groups[group].Tasks[0]), m.machineIDs[server])
+	m.backlog[server] += bytes * float64(tasks)
+	m.lastBacklog = -1
+	datasets.planner.ReserveBytes(m.machineNames[server], bytes*float64(tasks))
 }
 
 // startCost returns how long a task would wait for its image and inputs on a machine. An image that is already being
 // fetched there counts in full. s.mu must be held.
 func (s *Scheduler) startCost(job *jobState, task int, machine *machineState) cost.Wait {
-	return s.waitWith(machine.FetchSeconds(job.Job.Image, job.Job.ImageGB), job, task, machine)
+	return s.startCostWithImage(machine.FetchSeconds(job.Job.Image, job.Job.ImageGB), job, task, machine)
 }
 
 // sharedStartCost is like startCost, but an image that is already being fetched to the machine counts as held.
 // s.mu must be held.
 func (s *Scheduler) sharedStartCost(job *jobState, task int, machine *machineState) cost.Wait {
-	return s.waitWith(machine.fetchSeconds(job), job, task, machine)
+	return s.startCostWithImage(machine.fetchSeconds(job), job, task, machine)
 }
 
-// waitWith returns how long a task would wait for its image and inputs on a machine, given the time in seconds that it
-// takes to fetch the image. s.mu must be held.
-func (s *Scheduler) waitWith(imageSeconds float64, job *jobState, task int, machine *machineState) cost.Wait {
+// startCostWithImage returns how long a task would wait for its image and inputs on a machine, given the time in seconds
+// that it takes to fetch the image. s.mu must be held.
+func (s *Scheduler) startCostWithImage(imageSeconds float64, job *jobState, task int, machine *machineState) cost.Wait {
 	wait := cost.Wait{Image: imageSeconds}
 	datasets := s.datasets
 	if datasets == nil {
@@ -212,8 +212,8 @@
 // backlog of the machine's link, and after the machines that already wait for the same parts. If the task's part is
 // already being copied there, only the remaining bytes count, so a task that shares a copy costs little.
 func (d *datasetState) transferSeconds(id replicas.MachineID, backlog float64, transfer inputTransfer) float64 {
-	if left, ok := transfer.inFlight[id]; ok {
-		return d.planner.TransferDelay(max(0, backlog-left), left, false)
+	if remainingBytes, ok := transfer.inFlight[id]; ok {
+		return d.planner.TransferDelay(max(0, backlog-remainingBytes), remainingBytes, false)
 	}
 	return max(transfer.spreadSeconds, d.planner.TransferDelay(backlog, transfer.bytes, transfer.fromStore))
 }
@@ -293,15 +293,15 @@
 // other machines it adds the time to copy the missing inputs over their links, with the present backlog, to the busy
 // time. s.mu must be held.
 func (s *Scheduler) placeByLocality(job *jobState) {
-	missing := s.newMissingInputs(job)
-	machines, servers, indexByID := s.localityServers(job, missing)
+	costModel := s.newInputCostModel(job)
+	machines, servers, indexByID := s.localityServers(job, costModel)
 	if len(machines) == 0 {
 		return
 	}
 	slices.Sort(job.pending)
-	missing.groups = s.groupByHolders(job, job.pending[:s.placeableTasks(job)], indexByID, len(machines))
+	costModel.groups = s.groupByHolders(job, job.pending[:s.placeableTasks(job)], indexByID, len(machines))
 	assigned := map[int32]bool{}
-	for _, share := range placement.FillGroups(servers, missing.groups, missing, tuning.GroupsFilled) {
+	for _, share := range placement.FillGroups(servers, costModel.groups, costModel, tuning.GroupsFilled) {
 		machines[share.Server].enqueue(job, share.Tasks)
 		job.queued += len(share.Tasks)
 		for _, task := range share.Tasks {
@@ -309,16 +309,16 @@
 		}
 	}
 	job.pending = slices.DeleteFunc(job.pending, func(task int32) bool { return assigned[task] })
-	slog.Debug("job queued", "job", job.id, "machines", len(machines), "groups", len(missing.groups), "tasks", len(assigned))
+	slog.Debug("job queued", "job", job.id, "machines", len(machines), "groups", len(costModel.groups), "tasks", len(assigned))
 }
 
-// newMissingInputs returns the input cost model of a job, without any machines. s.mu must be held.
-func (s *Scheduler) newMissingInputs(job *jobState) *missingInputs {
-	return &missingInputs{
+// newInputCostModel returns the input cost model of a job, without any machines. s.mu must be held.
+func (s *Scheduler) newInputCostModel(job *jobState) *inputCostModel {
+	return &inputCostModel{
 		scheduler:         s,
 		job:               job,
-		slot:              s.configuration.Policy.Value(policy.SlotS, nil),
-		leastBacklog:      math.Inf(1),
+		slotSeconds:       s.configuration.Policy.Value(policy.SlotS, nil),
+		minBacklog:        math.Inf(1),
 		slotsBySeconds:    map[float64]int{},
 		lastGroup:         -1,
 		localityAware:     s.datasets.localityAware(),
@@ -329,7 +329,7 @@
 // localityServers returns the machines that may serve a job with inputs, sorted by name, the corresponding servers of the
 // water-filling, and their indexes by machine ID. It adds the machines to the job's input cost model.
 // s.mu must be held.
-func (s *Scheduler) localityServers(job *jobState, missing *missingInputs) ([]*machineState, []placement.Server, map[replicas.MachineID]int32) {
+func (s *Scheduler) localityServers(job *jobState, costModel *inputCostModel) ([]*machineState, []placement.Server, map[replicas.MachineID]int32) {
 	datasets := s.datasets
 	var machines []*machineState
 	var servers []placement.Server
@@ -338,27 +338,27 @@
 		if !s.eligible(job, machine) || !s.mayStage(job, machine) {
 			continue
 		}
-		server := s.server(machine, job, missing.slot)
+		server := s.server(machine, job, costModel.slotSeconds)
 		if server.Mu <= 0 {
 			continue
 		}
 		if datasets.settings.Placement != features.Blind {
-			server.Busy += missing.slotsOf(machine.fetchSeconds(job))
+			server.Busy += costModel.penaltySlots(machine.fetchSeconds(job))
 		}
 		id, _ := datasets.planner.ID(machine.Name)
 		indexByID[id] = int32(len(machines))
-		missing.addMachine(id, machine.Name, datasets.planner.QueuedBytes(machine.Name))
+		costModel.addMachine(id, machine.Name, datasets.planner.QueuedBytes(machine.Name))
 		machines, servers = append(machines, machine), append(servers, server)
 	}
 	return machines, servers, indexByID
 }
 
 // addMachine adds the machine of the next server, with the bytes that are already queued on its link.
-func (x *missingInputs) addMachine(id replicas.MachineID, name string, backlog float64) {
-	x.machineIDs = append(x.machineIDs, id)
-	x.machineNames = append(x.machineNames, name)
-	x.backlog = append(x.backlog, backlog)
-	x.leastBacklog = min(x.leastBacklog, backlog)
+func (m *inputCostModel) addMachine(id replicas.MachineID, name string, backlog float64) {
+	m.machineIDs = append(m.machineIDs, id)
+	m.machineNames = append(m.machineNames, name)
+	m.backlog = append(m.backlog, backlog)
+	m.minBacklog = min(m.minBacklog, backlog)
 }
 
 // groupByHolders groups tasks by the servers that hold all their inputs. If placement is not locality-aware, all tasks
@@ -397,8 +397,8 @@
 // delay in proportion to the copy, as for images. A task that waits for its inputs on a machine with free resources moves
 // only to a machine that holds them. A moved task starts once its inputs are confirmed there. The queues must be those of
 // the job. s.mu must be held.
-func (s *Scheduler) rebalance(job *jobState, available []*machineState, queues []machineQueue) {
-	for _, machine := range available {
+func (s *Scheduler) rebalance(job *jobState, targets []*machineState, queues []machineQueue) {
+	for _, machine := range targets {
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
 			continue
 		}
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -10,7 +10,7 @@
 	"switchferry/api"
 )
 
-// A job within its team's guarantee goes before another team's that came first.
+// Checks that a job within its team's guarantee is ordered before a job of another team that arrived earlier.
 func TestGuaranteedJobsGoFirst(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 4, nil)
@@ -24,13 +24,12 @@
 	}
 	// The third does not fit into the guarantee with the second.
 	if h.jobs["run-000003"].overQuota != 1 || h.jobs["run-000001"].overQuota != 1 {
-		t.Error("counted as guaranteed")
+		t.Error("a job beyond its team's guarantee counts as guaranteed")
 	}
 }
 
-// A machine with work of its own queue first serves an earlier job that waits
-// elsewhere: on the grown deployments a job's last task waited up to 160 s in the
-// queue of one machine while later jobs started on others.
+// Checks that a machine serves an earlier job that is queued elsewhere before a later job in its own queue. Without this,
+// the last task of a job waited up to 160 s in the queue of one machine while later jobs started on other machines.
 func TestEarlierJobIsServedBeforeOwnQueue(t *testing.T) {
 	h := newHarness(t)
 	for _, m := range []string{"a1", "a2"} {
@@ -42,7 +41,7 @@
 	h.submit("run-000002", 1, nil)
 	h.clock.Advance(time.Second)
 	h.submit("run-000003", 1, nil)
-	// The earlier job's task waits at one machine, the later one's at the other.
+	// The earlier job's task is queued on a1, the later job's task on a2.
 	for i, id := range []string{"run-000002", "run-000003"} {
 		job := h.jobs[id]
 		h.machines[[]string{"a1", "a2"}[i]].enqueue(job, job.pending)
@@ -62,16 +61,15 @@
 	h.heartbeat("a2", 1, ended...)
 	h.Place()
 	if alloc := h.jobs["run-000002"].allocations[0]; alloc == nil || alloc.machine.Name != "a2" {
-		t.Errorf("the earlier job did not start on the machine with room: %+v", alloc)
+		t.Errorf("the earlier job did not start on the machine with free resources: %+v", alloc)
 	}
 	if len(h.jobs["run-000003"].allocations) != 0 {
-		t.Error("the later job went first")
+		t.Error("the later job started first")
 	}
 }
 
-// Of two jobs as urgent the one that takes less of the fleet goes first, but one
-// that is much more urgent goes before it: on overloaded days one job of 70 tasks
-// made several small ones late.
+// Checks that of two equally urgent jobs the one with less work is ordered first, and that a much more urgent job is
+// ordered before a smaller one. Without this, under overload one job of 70 tasks made several small jobs late.
 func TestSmallJobsGoFirstWhenAsUrgent(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -88,12 +86,12 @@
 		got = append(got, job.id)
 	}
 	if want := []string{"run-000002", "run-000003", "run-000001", "run-000004"}; !slices.Equal(got, want) {
-		t.Errorf("order %v", got)
+		t.Errorf("order %v, want %v", got, want)
 	}
 }
 
-// A job that missed its deadline does not wait behind all others while it can
-// still meet the multiple of it that its class has an aim for.
+// Checks that a job that missed its deadline is not ordered after all others while it can still meet a multiple of the
+// deadline for which its class has an objective.
 func TestLateJobHasItsNextAim(t *testing.T) {
 	h := newHarness(t)
 	h.deadlineMultiples["c"] = []float64{2}
@@ -108,9 +106,8 @@
 	}
 }
 
-// A job that comes within its team's guarantee only as earlier ones end goes
-// first in the queues, but nothing is stopped for it: two teams above their
-// guarantees stopped each other's arrays over and over.
+// Checks that nothing is preempted for a job that comes within its team's guarantee only because earlier jobs end. Without
+// this, two teams above their guarantees preempted each other's arrays over and over.
 func TestNothingIsPreemptedForJobsBeyondGuarantee(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
@@ -121,7 +118,7 @@
 	h.submit("run-000002", 4, func(x *api.Submission) { x.Team = "sure" })
 	h.submit("run-000003", 4, func(x *api.Submission) { x.Team = "sure" })
 	h.sortQueues()
-	// The first one ends somewhere else: the second now fits.
+	// Once the team's first job has ended, the second one fits into the guarantee.
 	h.finish(h.jobs["run-000002"], api.Cancelled)
 	h.commit()
 	for range 8 {
@@ -133,7 +130,7 @@
 	}
 	job := h.jobs["run-000003"]
 	if job.overQuota != 0 || job.guaranteed {
-		t.Fatalf("beyond %d, entitled %v", job.overQuota, job.guaranteed)
+		t.Fatalf("overQuota %d, guaranteed %v, want 0 and false", job.overQuota, job.guaranteed)
 	}
 	for _, alloc := range h.jobs["run-000001"].allocations {
 		if alloc.stopping {
@@ -142,16 +139,17 @@
 	}
 }
 
-// Under a backlog many times a team's guarantee, its oldest jobs come to lie within it. They must
-// not go before younger ones that can still be in time: queues went by arrival then. One that came
-// within the guarantee does (docs/incidents/fleet-guarantee-by-arrival.md).
+// Checks the order within a backlog that exceeds a team's guarantee many times. The oldest jobs come within the guarantee
+// as earlier ones end. They must not be ordered before younger jobs that can still meet their deadlines, or the queues
+// would be ordered by arrival. Only a job that was within the guarantee on arrival is ordered first
+// (docs/incidents/fleet-guarantee-by-arrival.md).
 func TestGuaranteeIsNotByArrival(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	sure := func(x *api.Submission) { x.Team, x.DeadlineS, x.EstimateS = "sure", 60, 30 }
 	h.submit("run-000001", 4, sure)
 	h.Place()
-	h.submit("run-000002", 2, sure) // overQuota the 16 processors, as the first takes them all
+	h.submit("run-000002", 2, sure) // beyond the guarantee of 16 CPUs, which the first job uses completely
 	h.Place()
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
@@ -168,12 +166,12 @@
 		return out
 	}
 	if got := order(); !slices.Equal(got, []string{"run-000003", "run-000002"}) {
-		t.Errorf("order %v: the one that is late has come within the guarantee, the other can be in time", got)
+		t.Errorf("order %v: want the job that can meet its deadline before the late one that has come within the guarantee", got)
 	}
 	h.Cancel(cancelledContext(), "run-000002")
 	h.submit("run-000004", 1, func(x *api.Submission) { x.Team, x.Rank = "left", "normal" })
 	h.Place()
 	if got := order(); len(got) != 2 || got[0] != "run-000004" {
-		t.Errorf("order %v: one that came within its team's guarantee goes first", got)
+		t.Errorf("order %v: want the job that was within its team's guarantee on arrival first", got)
 	}
 }
--- a/scheduler/placement_bench_test.go
+++ b/scheduler/placement_bench_test.go
@@ -10,8 +10,8 @@
 	"switchferry/settings"
 )
 
-// fullFleet is a leader with many machines, all busy, and a backlog of two teams
-// with guarantees: normal arrays, and urgent ones of many small tasks.
+// fullFleet returns a leader with the given number of machines, all busy, and a backlog of two teams with guarantees:
+// arrays of rank normal, and arrays of rank high with many small tasks.
 func fullFleet(t *testing.T, machines int) *harness {
 	h := newHarness(t)
 	for i := range machines {
@@ -39,8 +39,8 @@
 	return h
 }
 
-// lowRankFleet is a fleet that a guest has filled with tiny tasks of one array and of
-// many jobs, with more of them waiting, and owners' jobs beside.
+// lowRankFleet returns a leader whose machines are filled with small tasks of rank low, of one array and of many jobs,
+// with more of them waiting, next to jobs of rank normal of another team.
 func lowRankFleet(t *testing.T, machines int) *harness {
 	h := newHarness(t)
 	for i := range machines {
@@ -60,8 +60,8 @@
 	return h
 }
 
-// BenchmarkPlace is one run of the placer on a full fleet with a backlog: 40
-// machines, 60 small jobs and a guest's array of 100,000 tasks.
+// BenchmarkPlace measures one placement round on a full fleet with a backlog: 40 machines, 60 small jobs and an array of
+// api.MaxTasks tasks.
 func BenchmarkPlace(b *testing.B) {
 	h := newHarness(&testing.T{})
 	for i := range 40 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkPlaceFull is one run of the placer on a fleet of 280 busy machines.
+// BenchmarkPlaceFull measures one placement round on a fleet of 280 busy machines.
 func BenchmarkPlaceFull(b *testing.B) {
 	h := fullFleet(&testing.T{}, 280)
 	h.Place()
@@ -90,7 +90,7 @@
 	}
 }
 
-// BenchmarkReport is one worker's report with ten tasks.
+// BenchmarkReport measures the handling of one worker heartbeat with ten tasks.
 func BenchmarkReport(b *testing.B) {
 	h := newHarness(&testing.T{})
 	var tasks []api.TaskReport
@@ -104,7 +104,7 @@
 	}
 }
 
-// BenchmarkPlaceGuests is one run of the placer on such a fleet.
+// BenchmarkPlaceGuests measures one placement round on a fleet filled with tasks of rank low.
 func BenchmarkPlaceGuests(b *testing.B) {
 	h := lowRankFleet(&testing.T{}, 280)
 	b.ReportAllocs()
@@ -113,8 +113,8 @@
 	}
 }
 
-// BenchmarkPlaceTeams is one run of the placer on 280 busy machines with a backlog, the same jobs owned by one team, by
-// 110 with limits and guarantees, and by 110 of which a tenth are at their limit.
+// BenchmarkPlaceTeams measures one placement round on 280 busy machines with a backlog. The same jobs are owned by one
+// team, by 110 teams with limits and guarantees, or by 110 teams of which a tenth are at their limit.
 func BenchmarkPlaceTeams(b *testing.B) {
 	for _, c := range []struct {
 		name       string
@@ -155,7 +155,7 @@
 	}
 }
 
-// BenchmarkAdmit is what one submission's team, limit and machine types take to check.
+// BenchmarkAdmit measures the admission check of one submission against its team, the team's limit and the machine types.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{1, 110} {
 		b.Run(fmt.Sprint(n, " teams"), func(b *testing.B) {
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -99,21 +99,21 @@
 		s.scratchCounts = map[*jobState]int{}
 	}
 	clear(s.scratchCounts)
-	counts, queued := s.scratchCounts, s.scratchQueued[:0]
+	taskCounts, queued := s.scratchCounts, s.scratchQueued[:0]
 	for _, alloc := range machine.allocations {
 		if alloc.job.Job.Shape == api.Service {
 			resources = resources.Sub(alloc.job.request)
 		} else if !alloc.stopping && compareJobs(alloc.job, job) <= 0 {
-			counts[alloc.job]++
+			taskCounts[alloc.job]++
 		}
 	}
 	for _, queue := range machine.queues {
 		if compareJobs(queue.job, job) <= 0 {
-			counts[queue.job] += len(queue.tasks)
+			taskCounts[queue.job] += len(queue.tasks)
 		}
 	}
-	for ahead, tasks := range counts {
-		mu := placement.Mu(max(1, resources.Count(ahead.request)), slotS, estimate(ahead))
+	for aheadJob, tasks := range taskCounts {
+		mu := placement.Mu(max(1, resources.Count(aheadJob.request)), slotS, estimate(aheadJob))
 		queued = append(queued, placement.Queued{Tasks: tasks, Mu: mu})
 	}
 	s.scratchQueued = queued
@@ -198,11 +198,11 @@
 
 // fetchPenalty returns the number of slots that the operators' policy charges for a wait in seconds. SlotS is the length
 // of a slot in seconds.
-func fetchPenalty(pol *policy.Policy, seconds, slotS float64) int {
+func fetchPenalty(operatorPolicy *policy.Policy, seconds, slotS float64) int {
 	if seconds <= 0 {
 		return 0
 	}
-	return int(pol.Value(policy.FetchPenalty, policy.Vars{"fetch_s": seconds, "slot_s": slotS}))
+	return int(operatorPolicy.Value(policy.FetchPenalty, policy.Vars{"fetch_s": seconds, "slot_s": slotS}))
 }
 
 // queueRound is the state of one run of serveQueues. Scheduler.mu must be held for all methods.
@@ -343,7 +343,7 @@
 // jobs. Without the reserve, small tasks of rank low would fill all free resources, and dozens of them would be preempted
 // for each task of higher rank. s.mu must be held.
 func (s *Scheduler) lowRankReserve(machines []*machineState) (freeCPUs, reservedCPUs float64) {
-	ownedCPUs := 0.0
+	higherRankCPUs := 0.0
 	for _, machine := range machines {
 		if !s.schedulable(machine) {
 			continue
@@ -351,11 +351,11 @@
 		freeCPUs += machine.free().CPUs
 		for _, alloc := range machine.allocations {
 			if alloc.job.rank > api.RankLow {
-				ownedCPUs += alloc.job.request.CPUs
+				higherRankCPUs += alloc.job.request.CPUs
 			}
 		}
 	}
-	return freeCPUs, s.configuration.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": ownedCPUs})
+	return freeCPUs, s.configuration.Policy.Value(policy.ReserveCPUs, policy.Vars{"owned_cpus": higherRankCPUs})
 }
 
 // pullCandidates returns the available machines that may start a task of a job from another machine's queue, sorted by
--- a/scheduler/placement_round_test.go
+++ b/scheduler/placement_round_test.go
@@ -9,8 +9,8 @@
 	"switchferry/tuning"
 )
 
-// TestSpreadServiceKeepsToHalfOfItsReplicasInAZone: at most half of the replicas, rounded up, in one zone, also while
-// one zone has no machine.
+// Checks that at most half of the replicas of a spread service, rounded up, are in one zone, even while another zone has
+// no machine.
 func TestSpreadServiceKeepsToHalfOfItsReplicasInAZone(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
@@ -20,7 +20,7 @@
 	h.Place()
 	h.commit()
 	if len(h.jobs["run-000001"].allocations) != 2 {
-		t.Fatalf("%d replicas in one zone", len(h.jobs["run-000001"].allocations))
+		t.Fatalf("%d replicas in one zone, want 2", len(h.jobs["run-000001"].allocations))
 	}
 	h.heartbeat("b1", 1)
 	h.Place()
@@ -29,8 +29,8 @@
 	}
 }
 
-// After a change of leaders a replica may be known from its record alone. Until
-// its machine's zone is known, it counts in every zone.
+// Checks that a replica that a new leader knows only from its record counts in every zone until the zone of its machine
+// is known.
 func TestSpreadCountsMachinesOfUnknownZone(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -42,7 +42,7 @@
 	at := h.starts("run-000001/0")[0]
 	other := map[string]string{"a1": "b", "b1": "a"}[at.machine]
 	h.elect()
-	// One machine reports without its replica, the other is not heard.
+	// The machine of the second replica reports without it, and the machine of the first replica sends no heartbeat.
 	if other == "b" {
 		h.heartbeat("b1", 1)
 	} else {
@@ -60,12 +60,12 @@
 	h.ApplyInstanceList([]api.Instance{{Name: at.machine, Type: "m8", Zone: same, State: "running"}})
 	h.Place()
 	if alloc := h.jobs["run-000001"].allocations[1]; alloc == nil || alloc.machine.Zone != other {
-		t.Errorf("not placed in the other zone: %+v", alloc)
+		t.Errorf("the second replica was not placed in the other zone: %+v", alloc)
 	}
 }
 
-// Where a task waits for an image already, the next task of that image does not
-// fetch it again: the machine takes it from another's queue at once.
+// Checks that an image that a machine is already fetching for one task counts as held for the next task, so that the
+// machine starts the next task from another machine's queue at once.
 func TestImageOnItsWayCountsAsHeld(t *testing.T) {
 	h := newHarness(t)
 	for _, m := range []string{"a1", "a2"} {
@@ -82,22 +82,22 @@
 	h.allocate(job, 1, h.machines["a2"], 2)
 	job.queued, h.machines["a1"].queues[0].tasks = 1, []int32{0}
 	if !h.worthPulling(job, h.machines["a2"]) {
-		t.Fatal("a machine that gets the image anyway must not wait")
+		t.Fatal("a machine that is already fetching the image must not delay the start of another task with that image")
 	}
 	h.machines["a1"].used.CPUs = 8
 	h.Place()
 	if alloc := job.allocations[0]; alloc == nil || alloc.machine.Name != "a2" {
-		t.Errorf("not taken by the machine that fetches the image: %+v", alloc)
+		t.Errorf("the task did not start on the machine that is fetching the image: %+v", alloc)
 	}
 	h.removeAllocation(job.allocations[0])
 	h.removeAllocation(job.allocations[1])
 	if len(h.machines["a2"].imagesInUse) != 0 || h.machines["a2"].fetchSeconds(job) == 0 {
-		t.Error("counted as held after its tasks are gone")
+		t.Error("the image counts as held after its tasks were removed")
 	}
 }
 
-// What a machine reports must fit a record, however small the tasks are and however
-// long their ends wait to be stored and cleared.
+// Checks that the tasks in a machine's heartbeat stay within tuning.ReportTasks, however small the tasks are and however
+// long exited tasks wait to be stored and cleared.
 func TestSmallTasksDoNotOverfillAHeartbeat(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -119,17 +119,18 @@
 			tasks = append(tasks, taskReport(attempt.Task, attempt.Number, api.TaskExited, api.CauseDone))
 		}
 		most = max(most, len(tasks))
-		// The worker does not hear what to clear; the ends stay in its reports.
+		// The worker does not receive what to clear, so the exited tasks stay in its heartbeats.
 		h.clock.Advance(time.Second)
 		h.heartbeat("a1", 1, tasks...)
 	}
 	if most == 0 || most > tuning.ReportTasks {
-		t.Errorf("a report of %d tasks, want some and %d at most", most, tuning.ReportTasks)
+		t.Errorf("the largest heartbeat has %d tasks, want at least 1 and at most %d", most, tuning.ReportTasks)
 	}
 }
 
-// Jobs of rank low filled every gap, and each task of the owners had dozens of theirs
-// stopped first: they leave a tenth of what the others use, and nothing when alone.
+// Checks that jobs of rank low leave free a tenth of the CPUs that other jobs use, and nothing if there are no other jobs.
+// Without the reserve they filled all free resources, and dozens of their tasks were preempted for each task of other
+// jobs.
 func TestLowRankLeavesAReserve(t *testing.T) {
 	fill := func(owned int) (free float64) {
 		h := newHarness(t)
@@ -148,9 +149,9 @@
 		return free
 	}
 	if free := fill(10); free < 4 || free > 8 {
-		t.Errorf("%v of 80 processors left free beside 40 that others use, want a tenth of these", free)
+		t.Errorf("%v of 80 CPUs left free while other jobs use 40, want a tenth of these", free)
 	}
 	if free := fill(0); free > 0 {
-		t.Errorf("%v processors left free though nobody else has work", free)
+		t.Errorf("%v CPUs left free although there are no other jobs", free)
 	}
 }
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -13,12 +13,12 @@
 // topologyView is the scheduler's state of the topology domains. Scheduler.mu guards it.
 type topologyView struct {
 	tree *topology.Tree
-	// unlisted is the last logged number of machines in no domain.
-	unlisted int
-	// ambiguous is the last logged number of machines in several domains.
-	ambiguous    int
-	search       topology.Search
-	reservations topology.Reservations
+	// loggedUnlisted is the last logged number of machines in no domain.
+	loggedUnlisted int
+	// loggedAmbiguous is the last logged number of machines in several domains.
+	loggedAmbiguous int
+	search          topology.Search
+	reservations    topology.Reservations
 }
 
 // UseTopology sets the topology, so that the near and survive constraints of jobs are applied. It must be called before
@@ -41,7 +41,7 @@
 		return
 	}
 	s.topology.tree = s.topology.tree.Rebased(topologyMap)
-	s.topology.unlisted, s.topology.ambiguous = 0, 0
+	s.topology.loggedUnlisted, s.topology.loggedAmbiguous = 0, 0
 	for _, job := range s.jobs {
 		if job.site != nil {
 			job.site = job.site.Rebased(s.topology.tree)
@@ -77,8 +77,8 @@
 // refreshTopology updates which machines are schedulable, since that also changes with time. It requeues the tasks of jobs
 // that chose a domain but started nothing there, and expires reservations. s.mu must be held.
 func (s *Scheduler) refreshTopology() {
-	view := s.topology
-	if view == nil {
+	state := s.topology
+	if state == nil {
 		return
 	}
 	for _, machine := range s.machines {
@@ -91,10 +91,10 @@
 		}
 	}
 	// Otherwise each start would be checked against reservations that no job needs any more.
-	view.reservations.Expire(s.now())
-	unlisted, ambiguous := view.tree.Unlisted(), view.tree.Ambiguous()
-	if unlisted > view.unlisted || ambiguous > view.ambiguous {
-		view.unlisted, view.ambiguous = unlisted, ambiguous
+	state.reservations.Expire(s.now())
+	unlisted, ambiguous := state.tree.Unlisted(), state.tree.Ambiguous()
+	if unlisted > state.loggedUnlisted || ambiguous > state.loggedAmbiguous {
+		state.loggedUnlisted, state.loggedAmbiguous = unlisted, ambiguous
 		slog.Warn("machines not in exactly one topology domain", "not_named", unlisted, "named_twice", ambiguous)
 	}
 }
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -13,7 +13,7 @@
 	"switchferry/topology"
 )
 
-// racks is a topology of racks r1, r2... whose machines are named a1-1, a1-2, a2-1...
+// racks returns a topology with n racks r1, r2 and so on. Rack r1 contains the machines named a1-1, a1-2 and so on.
 func racks(t *testing.T, version, n int) *topology.Map {
 	t.Helper()
 	text := fmt.Sprintf("version = %d\n[[domain]]\nname = \"s1\"\nlevel = \"switch\"\n", version)
@@ -27,13 +27,17 @@
 	return m
 }
 
-// rackHarness is a fleet in racks whose workers do what they are told.
+// rackHarness is a leader with machines in racks and simulated workers that execute all commands.
 type rackHarness struct {
 	*harness
+	// names are the names of the machines.
 	names []string
-	runs  map[string]map[string]uint64
+	// runs maps each machine to its running tasks and their attempts.
+	runs map[string]map[string]uint64
+	// quiet is the number of further rounds in which a machine sends no heartbeat.
 	quiet map[string]int
-	read  int
+	// read is the number of sent responses that the workers have executed.
+	read int
 }
 
 func newRackHarness(t *testing.T, inRacks, each int) *rackHarness {
@@ -62,7 +66,7 @@
 	}
 }
 
-// heartbeatTasks are the tasks that a worker reports.
+// heartbeatTasks returns the tasks that a worker reports.
 func (y *rackHarness) heartbeatTasks(name string) (tasks []api.TaskReport) {
 	for key, attempt := range y.runs[name] {
 		tasks = append(tasks, taskReport(key, attempt, api.TaskRunning, ""))
@@ -71,7 +75,8 @@
 	return tasks
 }
 
-// round lets every machine report that is not silent, a round be placed, and it be stored.
+// round sends the heartbeats of all machines that are not silent, runs a placement round, commits it, and executes and
+// answers the commands. It advances the clock by one second.
 func (y *rackHarness) round() {
 	for _, name := range y.names {
 		if y.quiet[name] > 0 {
@@ -91,7 +96,7 @@
 	y.clock.Advance(time.Second)
 }
 
-// tasksByRack counts a job's tasks by rack, as the workers run them.
+// tasksByRack returns the number of a job's tasks that workers run, in total and by rack.
 func (y *rackHarness) tasksByRack(id string) (all int, by map[string]int) {
 	by = map[string]int{}
 	for name, tasks := range y.runs {
@@ -105,7 +110,7 @@
 	return all, by
 }
 
-// finish lets a task end.
+// finish makes a task exit successfully.
 func (y *rackHarness) finish(name, key string) {
 	attempt := y.runs[name][key]
 	delete(y.runs[name], key)
@@ -113,23 +118,24 @@
 	y.commit()
 }
 
-// service makes a service, which survives the loss of domains as asked; nil: it need not.
+// service returns a function that makes a submission a service with a survive constraint, or without one if survive is
+// nil.
 func service(survive *api.Survive) func(*api.Submission) {
 	return func(submission *api.Submission) {
 		submission.Shape, submission.EstimateS, submission.Survive = api.Service, 0, survive
 	}
 }
 
-// A replica that would be one too many in a rack waits, whatever room is there; also while a
-// silent machine may still run one, and under the next leader, which knows that one from its
-// record alone. Once the machine is proved gone it is replaced, and not before.
+// Checks that a replica that would exceed the survive constraint of a rack waits despite free resources there. This must
+// also hold while a silent machine may still run a replica, and under a new leader that knows this replica only from its
+// record. The replica is replaced only once its machine is known to be gone.
 func TestSurviveIsKeptThroughSilenceAndTakeover(t *testing.T) {
 	racks := newRackHarness(t, 2, 3)
 	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	racks.round()
 	racks.round()
 	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
-		t.Fatalf("stand %v", by)
+		t.Fatalf("running replicas by rack: %v, want one in each", by)
 	}
 	var silent string
 	for _, name := range racks.names {
@@ -143,7 +149,7 @@
 	for range 8 {
 		racks.round()
 		if n, by := racks.tasksByRack("run-000001"); n != 2 {
-			t.Fatalf("stand %v while %s may still run one", by, silent)
+			t.Fatalf("running replicas by rack: %v while %s may still run one, want 2 in all", by, silent)
 		}
 	}
 	racks.InstancesReleased([]string{silent}, nil)
@@ -151,13 +157,13 @@
 	racks.round()
 	racks.round()
 	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 {
-		t.Errorf("not replaced: %v", by)
+		t.Errorf("the replica was not replaced, running replicas by rack: %v", by)
 	}
 }
 
-// A job that must stand near goes where all of it fits, and leaves the larger hole whole; with
-// room for all of it nowhere it waits and others go on; two gangs that fit alone and not
-// together run one after the other.
+// Checks that a gang with a mandatory near constraint is placed in a rack where all of it fits, and preferably not in an
+// empty rack. If it fits in no rack it waits while other jobs start. Of two gangs that fit only one at a time, one runs
+// and the other waits.
 func TestNearWaitsForARackThatHoldsAll(t *testing.T) {
 	racks := newRackHarness(t, 2, 2)
 	near := &api.Near{Level: "rack", Must: true}
@@ -173,10 +179,10 @@
 	racks.round()
 	n, at := racks.tasksByRack("run-000002")
 	if n != 3 || at["a1"] != 3 && at["a2"] != 3 {
-		t.Fatalf("a gang of three stands %v", at)
+		t.Fatalf("running tasks of a gang of three by rack: %v, want all in one rack", at)
 	}
 	if at["a1"] > 0 != (by["a1"] > 0) {
-		t.Errorf("it broke up the empty rack: %v beside %v", at, by)
+		t.Errorf("the gang was placed in the empty rack: %v, other tasks %v", at, by)
 	}
 	racks.submit("run-000003", 4, gang)
 	racks.submit("run-000004", 4, gang)
@@ -196,19 +202,19 @@
 	three, _ := racks.tasksByRack("run-000003")
 	four, _ := racks.tasksByRack("run-000004")
 	if three+four != 4 || three*four != 0 {
-		t.Fatalf("of two gangs of four stand %d and %d", three, four)
+		t.Fatalf("%d and %d tasks of two gangs of four run, want exactly one gang complete", three, four)
 	}
 	if racks.jobs["run-000004"].waitReason == "" && racks.jobs["run-000003"].waitReason == "" {
-		t.Error("the one that waits does not say why")
+		t.Error("the waiting gang has no wait reason")
 	}
 }
 
-// Where no rack has room, one of a higher rank makes it in the rack where that throws the least
-// away, as a whole or not at all.
+// Checks that a job of higher rank with a near constraint preempts in the rack where that loses the least work if no rack
+// has enough free resources, and that it preempts nothing unless all of its tasks can then start.
 func TestPreemptionChoosesCheapestRack(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
 		racks := newRackHarness(t, 2, 2)
-		// Both racks are full; what lies in one of them began a minute later.
+		// Both racks are full. The tasks in one of them start a minute later than those in the other.
 		racks.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
 		racks.round()
 		racks.round()
@@ -223,17 +229,17 @@
 		if len(old) != 1 || len(young) != 1 {
 			t.Fatalf("%v, %v", old, young)
 		}
-		// No rack holds nine.
+		// No rack has the resources for nine tasks.
 		racks.submit("run-000003", 9, func(submission *api.Submission) {
 			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
 		racks.round()
 		racks.round()
 		if n, _ := racks.tasksByRack("run-000003"); n != 0 || racks.jobs["run-000003"].waitReason == "" {
-			t.Errorf("%s: %d of nine run, %q", shape, n, racks.jobs["run-000003"].waitReason)
+			t.Errorf("%s: %d of 9 tasks run, want 0 and a wait reason, got %q", shape, n, racks.jobs["run-000003"].waitReason)
 		}
 		if n, _ := racks.tasksByRack("run-000001"); n != 4 {
-			t.Errorf("%s: tasks were stopped in vain", shape)
+			t.Errorf("%s: tasks were preempted although the job cannot start", shape)
 		}
 		racks.submit("run-000004", 4, func(submission *api.Submission) {
 			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
@@ -244,13 +250,13 @@
 		n, at := racks.tasksByRack("run-000004")
 		kept, _ := racks.tasksByRack("run-000001")
 		if n != 4 || len(at) != 1 || kept != 4 {
-			t.Errorf("%s: %d of four run, %v; of the older job's four tasks %d", shape, n, at, kept)
+			t.Errorf("%s: %d of 4 tasks run, by rack %v; %d of 4 tasks of the older job run", shape, n, at, kept)
 		}
 	}
 }
 
-// A replica that may stand in none of the racks that there are gets one machine rented, which
-// may come up in a rack of use, and not one after the other.
+// Checks that exactly one instance is requested for a replica that the topology allows in none of the present racks, since
+// the new machine may come up in a rack where the replica is allowed.
 func TestInstanceIsRequestedForADomain(t *testing.T) {
 	racks := newRackHarness(t, 2, 3)
 	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
@@ -267,28 +273,28 @@
 			}
 			racks.InstancesGranted(r, names, nil)
 			if i > 40 {
-				t.Errorf("rented again: %+v", r)
+				t.Errorf("another instance was requested in round %d: %+v", i, r)
 			}
 		}
 		racks.round()
 	}
 	if rented != 1 {
-		t.Fatalf("rented %d machines for one replica", rented)
+		t.Fatalf("%d instances requested for one replica, want 1", rented)
 	}
-	// It comes up where no pattern names it: a place of its own.
+	// The machine matches no pattern of the topology, so it is a domain of its own.
 	racks.names = append(racks.names, "n-1")
 	racks.runs["n-1"] = map[string]uint64{}
 	for range 4 {
 		racks.round()
 	}
 	if n, _ := racks.tasksByRack("run-000001"); n != 3 {
-		t.Errorf("%d of three run", n)
+		t.Errorf("%d of 3 replicas run", n)
 	}
 }
 
-// A rack that drains before a machine boots is kept for a job that waits for all of it: what ends
-// before goes in, what does not stays out, and the job starts when the rack is empty. Without
-// that small jobs would fill every hole, and it would wait for ever.
+// Checks that a rack that drains before a new machine could boot is reserved for a gang that needs all of it. Tasks that
+// would not end in time are kept out, and the gang starts once the rack is empty. Without the reservation small jobs would
+// use all resources as they become free, and the gang would never start.
 func TestDrainingRackIsKept(t *testing.T) {
 	racks := newRackHarness(t, 2, 2)
 	long := func(submission *api.Submission) { submission.EstimateS = 500 }
@@ -308,9 +314,9 @@
 	racks.round()
 	racks.round()
 	if why := racks.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
-		t.Fatalf("why: %q", why)
+		t.Fatalf("wait reason %q", why)
 	}
-	// Half of the rack ends; long work waits for room.
+	// Half of the tasks in the rack exit while a job with a long estimate waits for resources.
 	racks.submit("run-000004", 2, long)
 	ended := 0
 	for _, name := range racks.names {
@@ -325,7 +331,7 @@
 		racks.round()
 	}
 	if n, by := racks.tasksByRack("run-000004"); n != 0 {
-		t.Fatalf("work that does not end in time stands %v", by)
+		t.Fatalf("tasks that do not end before the reservation run in the racks %v", by)
 	}
 	for _, name := range racks.names {
 		for key := range racks.runs[name] {
@@ -338,12 +344,12 @@
 		racks.round()
 	}
 	if n, by := racks.tasksByRack("run-000003"); n != 4 || len(by) != 1 || by["a1"] != at["a1"] {
-		t.Errorf("%d of four run, %v, where the rack drained %v", n, by, at)
+		t.Errorf("%d of 4 tasks run, by rack %v, want all in the drained rack of %v", n, by, at)
 	}
 }
 
-// Where a bound can no longer be kept for all replicas, as a rack has left, what runs goes on, the
-// rest waits and says why, and it heals once there is a rack again.
+// Checks that after the loss of a rack, when the survive constraint no longer allows all replicas, the running replicas
+// continue and the other one waits with a reason, and that it starts once the rack has a machine again.
 func TestSurviveHealsWhenARackReturns(t *testing.T) {
 	racks := newRackHarness(t, 3, 2)
 	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
@@ -359,7 +365,7 @@
 		racks.InstancesReleased(racks.MaintainFleet(), nil)
 	}
 	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
-		t.Fatalf("stand %v", by)
+		t.Fatalf("running replicas by rack: %v, want one each in a2 and a3", by)
 	}
 	if x, _ := racks.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
 		t.Errorf("%+v", x)
@@ -370,12 +376,12 @@
 		racks.round()
 	}
 	if n, by := racks.tasksByRack("run-000001"); n != 3 || by["a1"] != 1 {
-		t.Errorf("not healed: %v", by)
+		t.Errorf("the waiting replica did not start, running replicas by rack: %v", by)
 	}
 }
 
-// A switch that fails and returns within a lease costs no restart, and gets no work meanwhile;
-// one that stays away is given up after it, and what ran there starts elsewhere, once.
+// Checks that a rack that is silent for less than a lease causes no restarts and is assigned no tasks meanwhile. If the
+// rack stays silent, its machines are released after the lease and its tasks start once in other racks.
 func TestSilentRackIsOneFailure(t *testing.T) {
 	for _, returns := range []bool{true, false} {
 		racks := newRackHarness(t, 3, 3)
@@ -408,7 +414,7 @@
 				t.Fatalf("%d of %d tasks were placed in a silent rack", by["a1"], n)
 			}
 			if i < 8 && len(returned) > 0 {
-				t.Fatalf("%v were given up within a lease", returned)
+				t.Fatalf("%v were released within a lease", returned)
 			}
 		}
 		again := 0
@@ -422,15 +428,15 @@
 		_, by := racks.tasksByRack("run-000001")
 		switch {
 		case returns && (again > 0 || len(returned) > 0 || by["a1"] != 3):
-			t.Errorf("a switch that came back cost %d restarts and %d machines; stand %v", again, len(returned), by)
+			t.Errorf("a rack that returned caused %d restarts and %d releases; running replicas by rack: %v", again, len(returned), by)
 		case !returns && (len(returned) != 3 || by["a2"] != 3 || by["a3"] != 3):
-			t.Errorf("%v were given up, stand %v", returned, by)
+			t.Errorf("released %v, running replicas by rack: %v", returned, by)
 		}
 	}
 }
 
-// A new version that moves a running replica into a rack that is full by it stops nothing, and
-// lets no more in.
+// Checks that a new topology version in which running replicas exceed the survive constraint of a rack stops none of them
+// and allows no further replica there.
 func TestTopologyMovesUnderARunningReplica(t *testing.T) {
 	racks := newRackHarness(t, 2, 2)
 	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
@@ -446,7 +452,7 @@
 		racks.round()
 	}
 	if n, by := racks.tasksByRack("run-000001"); n != 2 {
-		t.Errorf("stand %v", by)
+		t.Errorf("running replicas by machine prefix: %v, want 2 in all", by)
 	}
 	racks.elect()
 	racks.read = 0
@@ -454,12 +460,12 @@
 		racks.round()
 	}
 	if n, by := racks.tasksByRack("run-000001"); n != 2 {
-		t.Errorf("under the next leader: %v", by)
+		t.Errorf("running replicas by machine prefix under the next leader: %v, want 2 in all", by)
 	}
 }
 
-// Whatever comes and goes, falls silent, is returned or takes over: no bound is passed, what
-// must stand near does. 200 seeds, checked by what the workers run.
+// Checks that the survive and near constraints of all jobs hold during random submissions, cancellations, silent machines
+// and racks, and failovers. It uses 200 seeds and checks the tasks that the workers run.
 func TestBoundsHoldWhateverHappens(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 14))
@@ -496,7 +502,7 @@
 			case 2:
 				racks.quiet[racks.names[rng.IntN(len(racks.names))]] = 1 + rng.IntN(8)
 			case 3:
-				// A rack falls silent.
+				// All machines of a rack become silent.
 				rack, _, _ := strings.Cut(racks.names[rng.IntN(len(racks.names))], "-")
 				for _, name := range racks.names {
 					if strings.HasPrefix(name, rack+"-") {
@@ -518,11 +524,11 @@
 				_, by := racks.tasksByRack(x.id)
 				for r, k := range by {
 					if x.most > 0 && k > x.most {
-						t.Fatalf("seed %d step %d: %s has %d in %s, at most %d may be", seed, step, x.id, k, r, x.most)
+						t.Fatalf("seed %d step %d: %s has %d replicas in %s, want at most %d", seed, step, x.id, k, r, x.most)
 					}
 				}
 				if x.near && len(by) > 1 {
-					t.Fatalf("seed %d step %d: %s stands %v", seed, step, x.id, by)
+					t.Fatalf("seed %d step %d: %s runs in several racks: %v", seed, step, x.id, by)
 				}
 			}
 		}
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -15,14 +15,14 @@
 // these allocations. s.mu must be held.
 func (m *machineState) freeAfterStops() (fleet.Resources, []*allocation) {
 	free := m.free()
-	var leaving []*allocation
+	var stopping []*allocation
 	for _, alloc := range m.allocations {
 		if alloc.stopping {
 			free = free.Add(alloc.job.request)
-			leaving = append(leaving, alloc)
+			stopping = append(stopping, alloc)
 		}
 	}
-	return free, leaving
+	return free, stopping
 }
 
 // mayPreempt reports whether an allocation may be preempted for a job: one of lower rank, or, for a job that waits
@@ -38,9 +38,9 @@
 	if victim.rank < job.rank {
 		return true
 	}
-	ownsGuarantee := job.guaranteed && s.since(job.learnedAt) >= tuning.GuaranteePatience
-	borrows := victim.overQuota != 0 && victim.Job.Team != job.Job.Team
-	if victim.rank > job.rank || victim.rank == api.RankProduction || !ownsGuarantee || !borrows {
+	guaranteeApplies := job.guaranteed && s.since(job.learnedAt) >= tuning.GuaranteePatience
+	exceedsGuarantee := victim.overQuota != 0 && victim.Job.Team != job.Job.Team
+	if victim.rank > job.rank || victim.rank == api.RankProduction || !guaranteeApplies || !exceedsGuarantee {
 		return false
 	}
 	// Allocations being stopped do not count as usage. Otherwise the other team would lose far more than it had borrowed.
@@ -62,11 +62,11 @@
 // findVictims returns the allocations to preempt on a machine so that one task of a job fits there, chosen in the order
 // of sortByLoss, and the allocations that are already being stopped. It returns false if the task cannot fit.
 // s.mu must be held.
-func (s *Scheduler) findVictims(job *jobState, machine *machineState) (leaving, victims []*allocation, ok bool) {
+func (s *Scheduler) findVictims(job *jobState, machine *machineState) (stopping, victims []*allocation, ok bool) {
 	s.victimSearches++
-	free, leaving := machine.freeAfterStops()
+	free, stopping := machine.freeAfterStops()
 	if free.Fits(job.request) {
-		return leaving, nil, true
+		return stopping, nil, true
 	}
 	preemptible := s.preemptible(job, machine)
 	freeAfterAll := free
@@ -81,7 +81,7 @@
 		free = free.Add(alloc.job.request)
 		victims = append(victims, alloc)
 		if free.Fits(job.request) {
-			return leaving, victims, true
+			return stopping, victims, true
 		}
 	}
 	return nil, nil, false
@@ -114,11 +114,11 @@
 	if alloc.runningSince.IsZero() {
 		return earlierLoss
 	}
-	unsaved := s.since(alloc.runningSince)
+	unsavedWork := s.since(alloc.runningSince)
 	if interval := settings.Seconds(alloc.job.Job.Checkpoint); interval > 0 {
-		unsaved %= interval
+		unsavedWork %= interval
 	}
-	return earlierLoss + unsaved.Milliseconds()
+	return earlierLoss + unsavedWork.Milliseconds()
 }
 
 // preempt frees resources for an array that found none, and starts as many of its tasks as possible. s.mu must be held.
@@ -138,7 +138,7 @@
 			break
 		}
 		s.preemptVictims(best.victims, job)
-		s.startTask(job, task, best.machine, append(best.leaving, best.victims...), "preempting")
+		s.startTask(job, task, best.machine, append(best.stopping, best.victims...), "preempting")
 		s.pushCandidate(job, best.machine, candidates)
 	}
 	for _, machine := range machines {
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -11,8 +11,8 @@
 	"switchferry/fleet"
 )
 
-// Production takes room from lower work, in one command, and never from its
-// own rank.
+// Checks that a production job preempts allocations of lower rank, that the kill is sent before the start, and that
+// allocations of the same rank are not preempted.
 func TestHigherRankPreemptsLowerRank(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -45,17 +45,17 @@
 		}
 	}
 	if kill < 0 || start < kill {
-		t.Errorf("want a kill, then the start: %+v", cmds)
+		t.Errorf("want a kill and then the start: %+v", cmds)
 	}
 	h.submit("run-000003", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 8 })
 	h.Place()
 	if h.jobs["run-000002"].allocations[0].stopping {
-		t.Error("stopped work of its own rank")
+		t.Error("an allocation of the same rank was preempted")
 	}
 }
 
-// A task that made room once is not stopped again while others would do, though
-// it has run the shortest each time.
+// Checks that a task that was preempted before is not preempted again while another task can be preempted instead,
+// although it has run for the shortest time.
 func TestTaskIsNotPreemptedAgain(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -74,21 +74,20 @@
 	job := h.jobs["run-000001"]
 	older, younger := job.allocations[0], job.allocations[1]
 	if h.preemptionLoss(older) <= h.preemptionLoss(younger) {
-		t.Fatal("task 1 is not the younger one")
+		t.Fatal("preempting the older task must lose more work")
 	}
 	job.preemptions[1] = 1
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	h.Place()
 	if !older.stopping || younger.stopping {
-		t.Errorf("stopped: older %v, younger %v", older.stopping, younger.stopping)
+		t.Errorf("stopping: older task %v, younger task %v, want only the older one", older.stopping, younger.stopping)
 	}
 }
 
-// Tests of scale count work, never time. fullFleet is in bench_test.go.
+// Tests of scale count operations and never measure time. fullFleet is in placement_bench_test.go.
 
-// On a full fleet, an array that may stop other work looks at each machine once
-// and then at those that it uses. Looking at all of them for each task took most
-// of the leader's processor, and submissions and reports waited.
+// Checks that on a full fleet an array that may preempt searches each machine once, and afterwards only the machines that
+// it uses. A search of all machines for each task used most of the leader's CPU and delayed submissions and heartbeats.
 func TestPreemptionSearchesTheFleetOnceForAJob(t *testing.T) {
 	h := fullFleet(t, 280)
 	h.victimSearches = 0
@@ -100,15 +99,15 @@
 		}
 	}
 	if started < 150 {
-		t.Fatalf("%d urgent tasks started, want nearly all of 200", started)
+		t.Fatalf("%d tasks of rank high started, want at least 150 of 200", started)
 	}
 	if most := 4*280 + 3*started; h.victimSearches > most {
-		t.Errorf("%d machines searched for 4 jobs, want %d at most", h.victimSearches, most)
+		t.Errorf("%d searches of machines for 4 jobs, want at most %d", h.victimSearches, most)
 	}
 }
 
-// The options kept in order give what a plain search of the whole fleet for
-// each task gives.
+// Checks that the candidate heap returns candidates with the same scores as an exhaustive search of the fleet for each
+// task.
 func TestCandidatesAgreeWithPlainSearch(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
@@ -141,25 +140,25 @@
 			x, ok := h.bestCandidate(job, opts)
 			if !ok || len(job.pending) == 0 {
 				if !math.IsInf(plain, 1) && len(job.pending) > 0 {
-					t.Fatalf("seed %d: nothing found, a plain search finds %v", seed, plain)
+					t.Fatalf("seed %d: no candidate found, an exhaustive search finds score %v", seed, plain)
 				}
 				break
 			}
 			if x.score != plain {
-				t.Fatalf("seed %d: found %v, a plain search %v", seed, x.score, plain)
+				t.Fatalf("seed %d: found score %v, an exhaustive search finds %v", seed, x.score, plain)
 			}
 			task := int(job.pending[0])
 			job.pending = job.pending[1:]
 			h.preemptVictims(x.victims, job)
-			h.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
+			h.startTask(job, task, x.machine, append(x.stopping, x.victims...), "preempting")
 			h.pushCandidate(job, x.machine, opts)
 		}
 		if len(job.allocations) == 0 {
-			t.Fatalf("seed %d: nothing was started", seed)
+			t.Fatalf("seed %d: no task was started", seed)
 		}
 		for _, machine := range h.machines {
 			if free, _ := machine.freeAfterStops(); !free.Fits(fleet.Resources{}) {
-				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
+				t.Fatalf("seed %d: the allocations on %s exceed its resources", seed, machine.Name)
 			}
 		}
 	}
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -31,10 +31,10 @@
 // production or starved. s.mu must be held.
 func (s *Scheduler) quotaDemands() (demands []quota.Demand) {
 	// services is the usage of each team's service replicas, which is not released for other jobs.
-	services := map[string]fleet.Resources{}
+	serviceUsage := map[string]fleet.Resources{}
 	for _, job := range s.jobOrder {
 		if job.Job.Shape == api.Service {
-			services[job.Job.Team] = services[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
+			serviceUsage[job.Job.Team] = serviceUsage[job.Job.Team].Add(job.request.Scale(len(job.allocations)))
 		}
 	}
 	for _, job := range s.jobOrder {
@@ -53,7 +53,7 @@
 			Limit:     limit,
 			Request:   request,
 			Usage:     s.usage[team],
-			Permanent: services[team],
+			Permanent: serviceUsage[team],
 		})
 	}
 	return demands
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -22,13 +22,12 @@
 		n += len(h.starts(taskKey("run-000001", i)))
 	}
 	if n != 2 {
-		t.Errorf("%d tasks of 4 processors within a limit of 8", n)
+		t.Errorf("%d tasks of 4 CPUs started within a limit of 8 CPUs, want 2", n)
 	}
 }
 
-// For a job that waits within its team's guarantee, work of the same rank that
-// another team runs beyond its own is stopped, but not at once and never
-// production.
+// Checks that for a job that waits within its team's guarantee, allocations of the same rank that another team runs beyond
+// its own guarantee are preempted, but not at once, and that production is never preempted.
 func TestGuaranteePreemptsBorrowedWork(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -45,7 +44,7 @@
 	h.submit("run-000003", 2, func(x *api.Submission) { x.Team = "sure" })
 	h.Place()
 	if h.jobs["run-000001"].allocations[0].stopping {
-		t.Fatal("stopped at once")
+		t.Fatal("an allocation was preempted at once")
 	}
 	for range 7 {
 		h.clock.Advance(time.Second)
@@ -53,21 +52,21 @@
 	}
 	h.Place()
 	if !h.jobs["run-000001"].allocations[0].stopping || len(h.jobs["run-000003"].allocations) != 1 {
-		t.Error("no room for guaranteed work")
+		t.Error("the borrowed resources were not freed for the guaranteed job")
 	}
 	if h.jobs["run-000002"].allocations[0].stopping {
-		t.Error("production was stopped")
+		t.Error("a production task was preempted")
 	}
 }
 
-// Guaranteed work takes from another team no more than that one borrowed, also
-// when many tasks wait at once and none of those being stopped is gone yet.
+// Checks that a guaranteed job preempts no more of another team's allocations than that team borrowed, even when many
+// tasks wait at once and none of the preempted tasks has exited yet.
 func TestGuaranteePreemptsNoMoreThanWasBorrowed(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
 	}
-	// "lent" runs 24 processors; 16 of them are its own.
+	// Team "lent" uses 24 CPUs and has a guarantee of 16.
 	h.submit("run-000001", 6, func(x *api.Submission) { x.Team = "lent" })
 	h.settleStarts()
 	h.submit("run-000002", 4, func(x *api.Submission) { x.Team = "sure" })
@@ -85,12 +84,12 @@
 		}
 	}
 	if stopped != 2 {
-		t.Errorf("%d tasks stopped, want the 2 that were borrowed", stopped)
+		t.Errorf("%d tasks preempted, want the 2 beyond the guarantee", stopped)
 	}
 }
 
-// A guaranteed job must not stop work of a higher rank, which would stop its
-// tasks in turn: on a drawn day the two did so over a thousand times.
+// Checks that a guaranteed job does not preempt allocations of a higher rank. Otherwise these would preempt its tasks in
+// turn; in a simulated day two jobs preempted each other more than a thousand times.
 func TestGuaranteeAndRankDoNotPreemptEachOther(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -112,13 +111,14 @@
 	}
 	for _, alloc := range h.jobs["run-000001"].allocations {
 		if alloc.stopping {
-			t.Errorf("%s was stopped by work of lower rank", alloc.key)
+			t.Errorf("%s was preempted for a job of lower rank", alloc.key)
 		}
 	}
 }
 
-// A limit that sinks below what runs: nothing new starts, and what runs is left, or stopped if the document says so,
-// the lowest rank first. explain says why others wait; a job that the limit can never serve stays known.
+// Checks what happens when a team's limit is lowered below its usage: no new tasks start, and running tasks continue or,
+// if the configuration says so, are stopped, the lowest rank first. Explain returns why other jobs wait, and a job that
+// can never start within the limit is kept.
 func TestLimitSinksBelowWhatRuns(t *testing.T) {
 	for _, stop := range []bool{false, true} {
 		h := newHarness(t)
@@ -152,10 +152,10 @@
 			}
 		}
 		if running != 4 || len(h.jobs["run-000003"].allocations) != 0 {
-			t.Fatalf("%d ran, %d of the new job do", running, len(h.jobs["run-000003"].allocations))
+			t.Fatalf("%d tasks ran before and %d of the new job run, want 4 and 0", running, len(h.jobs["run-000003"].allocations))
 		}
 		if want := map[bool]int{false: 0, true: 2}[stop]; stopped["run-000001"] != want || stopped["run-000002"] != 0 {
-			t.Errorf("stop %v: stopped %v", stop, stopped)
+			t.Errorf("stop %v: stopped tasks by job %v", stop, stopped)
 		}
 		if x, _ := h.Explain("run-000003"); !strings.Contains(strings.Join(x.Why, " "), "as much as its limit allows") {
 			t.Errorf("explained by %v", x.Why)
@@ -169,8 +169,8 @@
 	}
 }
 
-// A start whose answer is lost is not stopped for a limit before its task is seen: nothing would ever prove that it is
-// gone, and it would hold the limit's room for as long as this leader leads.
+// Checks that a task whose start command was not answered is not stopped for a limit before a worker reports it.
+// Otherwise nothing could confirm that it is gone, and it would count towards the limit for the rest of the term.
 func TestStartsUnderWayAreNotStoppedForALimit(t *testing.T) {
 	h := newHarness(t)
 	h.configuration = configured(t, oneTeam("40"))
@@ -183,7 +183,7 @@
 	stopped := func(then func(alloc *allocation)) (n int) {
 		for _, alloc := range h.jobs["run-000001"].allocations {
 			if !alloc.runSent {
-				t.Fatal("a start was not sent")
+				t.Fatal("a start command was not sent")
 			}
 			if alloc.stopping {
 				n++
@@ -193,19 +193,20 @@
 		return n
 	}
 	if n := stopped(func(alloc *allocation) { alloc.reported = true }); n != 0 {
-		t.Fatalf("%d tasks are stopped before they are seen", n)
+		t.Fatalf("%d tasks are stopped before they are reported", n)
 	}
 	h.MaintainFleet()
 	if n := stopped(func(alloc *allocation) { alloc.starts.direct = 0 }); n != 0 {
-		t.Fatalf("%d tasks are stopped while their start may be executed once more", n)
+		t.Fatalf("%d tasks are stopped while their start command may still be executed", n)
 	}
 	h.MaintainFleet()
 	if n := stopped(func(*allocation) {}); n != 1 {
-		t.Errorf("%d of two tasks are stopped once nothing is open, one is over the limit", n)
+		t.Errorf("%d of 2 tasks are stopped after all start commands were answered, want the one beyond the limit", n)
 	}
 }
 
-// What was decided before a change and is not on record is counted until it is.
+// Checks that the function returned by ApplyConfiguration counts the starts that were decided before the change until
+// they are stored.
 func TestUndecidedStartsAreCounted(t *testing.T) {
 	h := newHarness(t)
 	h.configuration = configured(t, oneTeam("40"))
@@ -214,10 +215,10 @@
 	h.Place()
 	undecided := h.ApplyConfiguration(configured(t, oneTeam("2")))
 	if n := undecided(); n != 2 {
-		t.Fatalf("%d starts are not on record, want 2", n)
+		t.Fatalf("%d starts are not stored, want 2", n)
 	}
 	h.commit()
 	if n := undecided(); n != 0 {
-		t.Errorf("%d after the commit", n)
+		t.Errorf("%d starts are not stored after the commit, want 0", n)
 	}
 }
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		s.preemptVictims(best.victims, job)
-		s.startTask(job, task, best.machine, append(best.leaving, best.victims...), "service")
+		s.startTask(job, task, best.machine, append(best.stopping, best.victims...), "service")
 	}
 }
 
@@ -67,7 +67,7 @@
 		if !machine.free().Fits(job.request) {
 			ok := false
 			if !s.failsEverywhere(job) {
-				current.leaving, current.victims, ok = s.findVictims(job, machine)
+				current.stopping, current.victims, ok = s.findVictims(job, machine)
 			}
 			if !ok {
 				continue
@@ -250,7 +250,7 @@
 			return
 		}
 		alloc := s.allocate(job, int(task), best.machine, attempt)
-		alloc.victims = slices.Concat(best.leaving, best.victims)
+		alloc.victims = slices.Concat(best.stopping, best.victims)
 		victims[alloc] = best.victims
 		for _, victim := range best.victims {
 			s.setCountedAsStopping(victim, true)
@@ -272,11 +272,11 @@
 		if !s.mayPlace(job, machine) || !s.withinQuota(job) || machine.heartbeatFull() {
 			continue
 		}
-		leaving, victims, ok := s.findVictims(job, machine)
+		stopping, victims, ok := s.findVictims(job, machine)
 		if !ok {
 			continue
 		}
-		current := candidate{machine: machine, leaving: leaving, victims: victims}
+		current := candidate{machine: machine, stopping: stopping, victims: victims}
 		for _, victim := range victims {
 			current.score += float64(s.preemptionLoss(victim))
 		}
--- a/scheduler/services_gangs_test.go
+++ b/scheduler/services_gangs_test.go
@@ -6,7 +6,7 @@
 	"switchferry/api"
 )
 
-// A gang starts as a whole or not at all.
+// Checks that a gang starts as a whole or not at all.
 func TestGangStartsTogether(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -14,7 +14,7 @@
 	h.heartbeat("b1", 1)
 	h.Place()
 	if n := len(h.jobs["run-000001"].allocations); n != 0 || h.machines["a1"].used.CPUs != 0 {
-		t.Fatalf("%d of 3 tasks placed in zones with room for 2", n)
+		t.Fatalf("%d of 3 tasks placed although each zone has resources for only 2", n)
 	}
 	h.heartbeat("b2", 1)
 	h.Place()
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -19,8 +19,8 @@
 	"switchferry/tuning"
 )
 
-// partitionHarness is a leader, and a peer y that does not reach it: agents report to y's proxy, and
-// all goes through the state service, whose limits are kept.
+// partitionHarness is a leader and a peer y that cannot reach each other. Agents report to y's proxy, and all messages are
+// relayed through the state service, whose limits are enforced.
 type partitionHarness struct {
 	*dataHarness
 	proxy   *proxy.Agents
@@ -37,23 +37,23 @@
 	return h
 }
 
-// follow has the relayed packets read from the beginning of the present term.
+// follow makes the harness read relayed packets from the start of the current term.
 func (h *partitionHarness) follow() { h.packets.after = h.term }
 
-// agentHeartbeatThroughPeer lets an agent report to y and take the answer.
+// agentHeartbeatThroughPeer sends an agent's heartbeat to y and applies the order in the response.
 func (h *partitionHarness) agentHeartbeatThroughPeer(agent *fakeAgent) api.StageOrder {
 	h.Helper()
 	agent.seq++
 	r := agent.stageReport()
 	o, err := h.proxy.HandleHeartbeat(r, h.term)
 	if err != nil {
-		h.Fatalf("%s is answered %v", agent.name, err)
+		h.Fatalf("heartbeat of %s failed: %v", agent.name, err)
 	}
 	agent.apply(o)
 	return o
 }
 
-// exchangePackets takes letters both ways once.
+// exchangePackets carries packets once to the leader and once back, with a placement round in between.
 func (h *partitionHarness) exchangePackets() {
 	h.Helper()
 	h.clock.Advance(tuning.RelayEvery)
@@ -63,9 +63,9 @@
 	h.packets.toFollower()
 }
 
-// Behind a cut a job's inputs are copied and its tasks start: the agent's reports go to
-// the leader, and its orders come back, through the state service. Agents reported to the
-// leader alone before, and no task with inputs started until the cut ended.
+// Checks that inputs are staged and tasks start during a network partition, with agent heartbeats and orders relayed
+// through the state service. When agents reported only to the leader, no task with inputs started until the partition
+// ended.
 func TestInputsAreStagedAcrossPartition(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
@@ -80,31 +80,31 @@
 	}
 	agent.finishCopies()
 	if h.exchangePackets(); len(h.starts("run-000001/0")) != 0 {
-		t.Fatal("started before its inputs were proved there")
+		t.Fatal("a task was started before its inputs were confirmed")
 	}
 	h.workerHeartbeat("a1")
 	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 1 {
-		t.Fatal("not started though its inputs are there")
+		t.Fatal("a task did not start although its inputs are staged")
 	}
-	// A report that was overtaken proves nothing.
+	// An outdated heartbeat must be ignored.
 	late := agent.stageReport()
 	late.Seq, late.Pinned = 1, nil
 	h.HandleRelayedStageHeartbeat("y", late)
 	if !h.datasets.planner.Confirmed("a1", inventory, 0) {
-		t.Error("an old report took a proof back")
+		t.Error("an outdated heartbeat revoked the confirmation of an input")
 	}
-	// Once the agent reaches the leader itself, the mail ends.
+	// Once the agent reaches the leader directly, its orders are no longer relayed.
 	h.agentHeartbeat(agent)
 	h.commit()
 	if h.datasets.relayedOrders["a1"] != nil || len(h.datasets.orderMailboxes.Machines("y", 0)) != 0 {
-		t.Error("mail for an agent that is within reach")
+		t.Error("orders are still relayed to an agent that reaches the leader directly")
 	}
 }
 
-// The leader changes behind the cut. The old one's order is not told any more, what the
-// agent holds is told to the new one, and what may run there stays pinned.
+// Checks a failover during a network partition: the peer no longer returns the old leader's order, the new leader learns
+// what the agent holds, and the inputs of tasks that may be running stay pinned.
 func TestFailoverDuringRelayedStaging(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
@@ -125,7 +125,7 @@
 	h.follow()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
 	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.wants(0) {
-		t.Fatalf("told %+v", o)
+		t.Fatalf("the peer returned the order %+v, want one with number 0", o)
 	}
 	h.exchangePackets()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts[0].response.Commands[0].Attempt, api.TaskRunning, ""))
@@ -136,12 +136,12 @@
 	}
 	id, _ := h.datasets.planner.ID("a1")
 	if !h.datasets.index.Snapshot().Has(id, "inv", 0) {
-		t.Error("the new leader was not told what the agent holds")
+		t.Error("the new leader did not learn what the agent holds")
 	}
 }
 
-// An agent that holds very much, and a thousand agents at once, go through the limits of
-// the state service; so do their orders.
+// Checks that the relayed heartbeats and orders of a thousand agents, one of which holds parts of 2,000 datasets, stay
+// within the limits of the state service.
 func TestManyAgentsRelayWithinStateLimits(t *testing.T) {
 	h := newPartitionHarness(t)
 	var sets []*dataset.Entry
@@ -173,15 +173,15 @@
 	for _, agent := range all {
 		h.agentHeartbeatThroughPeer(agent)
 		if agent.term != h.term {
-			t.Fatalf("%s has no order after four rounds", agent.name)
+			t.Fatalf("%s has no order of the current term after four exchanges", agent.name)
 		}
 	}
 	id, _ := h.datasets.planner.ID("b0000")
 	if !h.datasets.index.Snapshot().Has(id, "set-1999", 2) {
-		t.Error("the long report did not arrive")
+		t.Error("the large heartbeat did not arrive completely")
 	}
 	if len(h.state.Refused) != 0 {
 		raw, _ := json.Marshal(h.state.Refused)
-		t.Errorf("the state service refused: %s", raw)
+		t.Errorf("the state service refused requests: %s", raw)
 	}
 }
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -15,46 +15,46 @@
 // task that needs a whole machine would never start. s.mu must be held.
 func (s *Scheduler) reserveForStarved() {
 	now := s.now()
-	reserving, reserved := s.currentReservations()
+	jobsWithReservations, reservedMachines := s.currentReservations()
 	// The limit is at least 1 and is checked before a job reserves machines, so one job can always reserve as many as it
 	// needs.
 	limit := max(1, int(tuning.ReservedShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
-		if !job.starved || now.Before(job.nextMachineReservation) || reserved >= limit && !reserving[job] {
+		if !job.starved || now.Before(job.nextMachineReservation) || reservedMachines >= limit && !jobsWithReservations[job] {
 			continue
 		}
 		if !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
 			continue
 		}
 		job.nextMachineReservation = now.Add(tuning.StarvationReserveEvery)
-		names, drained := s.soonestMachines(job)
+		names, drainTime := s.soonestMachines(job)
 		for _, machine := range s.machines {
 			if machine.reservedFor == job {
 				machine.reservedFor = nil
-				reserved--
+				reservedMachines--
 			}
 		}
-		if len(names) == 0 || drained <= 0 {
+		if len(names) == 0 || drainTime <= 0 {
 			// The job cannot start on any machine, or it can start at once.
 			continue
 		}
-		if !reserving[job] {
-			slog.Info("machines reserved for starved job", "job", job.id, "machines", len(names), "in", drained.Round(time.Second),
+		if !jobsWithReservations[job] {
+			slog.Info("machines reserved for starved job", "job", job.id, "machines", len(names), "in", drainTime.Round(time.Second),
 				"waited", now.Sub(job.waitingSince).Round(time.Second))
-			reserving[job] = true
+			jobsWithReservations[job] = true
 		}
 		for _, name := range names {
 			machine := s.machines[name]
-			machine.reservedFor, machine.reservedUntil = job, now.Add(drained)
+			machine.reservedFor, machine.reservedUntil = job, now.Add(drainTime)
 		}
-		reserved += len(names)
+		reservedMachines += len(names)
 	}
 }
 
 // currentReservations removes the reservations of jobs that are no longer starved. It returns the jobs that have
 // reservations and the number of reserved machines. s.mu must be held.
-func (s *Scheduler) currentReservations() (reserving map[*jobState]bool, reserved int) {
-	reserving = map[*jobState]bool{}
+func (s *Scheduler) currentReservations() (jobsWithReservations map[*jobState]bool, reservedMachines int) {
+	jobsWithReservations = map[*jobState]bool{}
 	for _, machine := range s.machines {
 		job := machine.reservedFor
 		if job == nil {
@@ -64,16 +64,16 @@
 			machine.reservedFor = nil
 			continue
 		}
-		reserving[job] = true
-		reserved++
+		jobsWithReservations[job] = true
+		reservedMachines++
 	}
-	return reserving, reserved
+	return jobsWithReservations, reservedMachines
 }
 
 // soonestMachines returns the machines on which one task of an array or service, or a whole gang, can start soonest
 // according to the estimates of the running tasks, and the time until these machines have drained. It returns no machines
 // if the job cannot start on any. s.mu must be held.
-func (s *Scheduler) soonestMachines(job *jobState) (names []string, drained time.Duration) {
+func (s *Scheduler) soonestMachines(job *jobState) (names []string, drainTime time.Duration) {
 	tasks := 1
 	if job.Job.Shape == api.Gang {
 		tasks = len(job.pending)
@@ -102,6 +102,6 @@
 	if job.Job.Shape != api.JobArray {
 		return true
 	}
-	ends := s.now().Add(settings.Seconds(estimate(job) + machine.fetchSeconds(job)))
-	return ends.After(machine.reservedUntil)
+	end := s.now().Add(settings.Seconds(estimate(job) + machine.fetchSeconds(job)))
+	return end.After(machine.reservedUntil)
 }
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -8,8 +8,9 @@
 	"switchferry/api"
 )
 
-// flood lets time pass with machines full of a stream of small tasks of 20 s each that never ends: each
-// that is done is followed by another job. It gives when a task of the job was first given a machine.
+// flood runs the scheduler under a continuous backlog of small jobs, whose tasks have an estimate of 20 s, until the time
+// most has passed or stop returns true. It returns the time after which the job with the given ID first had an allocation
+// (for a gang, allocations of all tasks) or was no longer known; negative if neither happened.
 func (h *harness) flood(machines int, id string, most time.Duration, small func(*api.Submission), stop func() bool) (began time.Duration) {
 	from := h.clock.Now()
 	type run struct {
@@ -59,6 +60,7 @@
 	return began
 }
 
+// waiting returns the number of pending and queued tasks of a class.
 func (h *harness) waiting(class string) (n int) {
 	for _, job := range h.jobOrder {
 		if job.Job.Class == class {
@@ -68,15 +70,15 @@
 	return n
 }
 
-// While small jobs never stop coming, jobs that need a whole machine, many of them at once, or much
-// work, and those of rank low never began: what ended made room for a smaller task at once, and those
-// that can still be in time went first. Each begins within the four minutes that users bear, and what is
-// kept for it does not stop the others.
+// Checks that under a continuous stream of small jobs, other jobs start within four minutes, the longest wait that is
+// acceptable to users: jobs that need a whole machine or many machines at once, large late jobs, and jobs of rank low.
+// Without reservations and ageing they never started, because smaller tasks used all resources as soon as they became
+// free, and jobs that could still meet their deadlines were ordered first.
 func TestNobodyStarves(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		job  func(*api.Submission)
-		// small changes what comes all the time.
+		// small modifies the jobs of the continuous stream.
 		small func(*api.Submission)
 		tasks int
 	}{
@@ -94,7 +96,7 @@
 		h.submit("run-000001", c.tasks, func(x *api.Submission) { x.Class, x.EstimateS, x.MemoryGB = "l", 60, 1; c.job(x) })
 		at := h.flood(6, "run-000001", 300*time.Second, c.small, func() bool { j := h.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
 		if at < 0 || at > 240*time.Second {
-			t.Errorf("%s: began after %v", c.name, at)
+			t.Errorf("%s: started after %v, want at most 4m0s", c.name, at)
 		}
 	}
 }
