--- a/scheduler/datasets.go
+++ b/scheduler/datasets.go
@@ -108,13 +108,13 @@
 	if s.datasets == nil {
 		return
 	}
-	anyAdded := false
+	anyNew := false
 	for _, entry := range entries {
 		if s.datasets.update(entry) {
-			anyAdded = true
+			anyNew = true
 		}
 	}
-	if !anyAdded {
+	if !anyNew {
 		return
 	}
 	for _, job := range s.jobOrder {
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -22,28 +22,28 @@
 	h := &dataHarness{harness: newHarness(t), place: features.Staged, agents: map[string]*fakeAgent{}}
 	h.enable()
 	h.AddDatasets(&dataset.Entry{Summary: *set})
-	runningOn := make([]*roaring.Bitmap, machines)
-	for i := range runningOn {
-		runningOn[i] = roaring.New()
+	heldParts := make([]*roaring.Bitmap, machines)
+	for i := range heldParts {
+		heldParts[i] = roaring.New()
 	}
 	triples := make([][3]int, 64)
 	for i := range triples {
 		triples[i] = [3]int{rng.IntN(machines), rng.IntN(machines), rng.IntN(machines)}
 	}
-	for k := range parts {
-		tr := [3]int{rng.IntN(machines), rng.IntN(machines), rng.IntN(machines)}
-		if kind == "groups" && k < 1000 {
-			tr = triples[k%64]
+	for part := range parts {
+		triple := [3]int{rng.IntN(machines), rng.IntN(machines), rng.IntN(machines)}
+		if kind == "groups" && part < 1000 {
+			triple = triples[part%64]
 		}
-		for _, m := range tr {
-			runningOn[m].Add(uint32(k))
+		for _, m := range triple {
+			heldParts[m].Add(uint32(part))
 		}
 	}
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
 		h.heartbeat(name, 1)
 		h.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
-			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: runningOn[i]}}}})
+			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: heldParts[i]}}}})
 	}
 	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, h.clock.Now())
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -24,8 +24,8 @@
 	agents map[string]*fakeAgent
 }
 
-func newDataHarness(t *testing.T, place string) *dataHarness {
-	h := &dataHarness{harness: newHarness(t), place: place, agents: map[string]*fakeAgent{}}
+func newDataHarness(t *testing.T, placement string) *dataHarness {
+	h := &dataHarness{harness: newHarness(t), place: placement, agents: map[string]*fakeAgent{}}
 	h.enable()
 	return h
 }
@@ -50,7 +50,7 @@
 // addAgent adds a machine and its agent, which holds the given parts.
 func (h *dataHarness) addAgent(name string, parts ...uint32) *fakeAgent {
 	h.heartbeat(name, 1)
-	agent := &fakeAgent{name: name, held: roaring.BitmapOf(parts...)}
+	agent := &fakeAgent{name: name, heldParts: roaring.BitmapOf(parts...)}
 	h.agents[name] = agent
 	h.agentHeartbeat(agent)
 	return agent
@@ -59,8 +59,8 @@
 func (h *dataHarness) agentHeartbeat(agent *fakeAgent) {
 	h.Helper()
 	agent.seq++
-	if o, _, refused := h.HandleStageHeartbeat(agent.stageReport()); !refused {
-		agent.apply(o)
+	if order, _, refused := h.HandleStageHeartbeat(agent.heartbeat()); !refused {
+		agent.apply(order)
 	}
 }
 
@@ -85,33 +85,33 @@
 // fakeAgent simulates a data agent. It refuses stale orders, and completes the ordered copies when the test calls
 // finishCopies.
 type fakeAgent struct {
-	name        string
-	seq         uint64
-	term, order uint64
-	sets        []api.StageSet
-	held        *roaring.Bitmap
-	full        bool
-	refused     int
+	name          string
+	seq           uint64
+	term, order   uint64
+	sets          []api.StageSet
+	heldParts     *roaring.Bitmap
+	cacheFull     bool
+	refusedOrders int
 	// version is the version of the agent's holdings.
 	version uint64
 	// known is the version that the leader knows according to its last order.
-	known uint64
-	drop  []string
+	known             uint64
+	manifestsToDelete []string
 }
 
-func (a *fakeAgent) apply(o api.StageOrder) {
-	if o.Term < a.term || o.Term == a.term && o.Order < a.order {
-		a.refused++
+func (a *fakeAgent) apply(order api.StageOrder) {
+	if order.Term < a.term || order.Term == a.term && order.Order < a.order {
+		a.refusedOrders++
 		return
 	}
-	a.term, a.order, a.sets, a.known, a.drop = o.Term, o.Order, o.Sets, o.Known, o.Drop
+	a.term, a.order, a.sets, a.known, a.manifestsToDelete = order.Term, order.Order, order.Sets, order.Known, order.Drop
 }
 
-func (a *fakeAgent) wants(part uint32) bool {
+func (a *fakeAgent) mustKeep(part uint32) bool {
 	return slices.ContainsFunc(a.sets, func(x api.StageSet) bool { return x.Parts.Contains(part) })
 }
 
-func (a *fakeAgent) copies() (out []int) {
+func (a *fakeAgent) orderedCopies() (out []int) {
 	for _, x := range a.sets {
 		for _, c := range x.Copies {
 			out = append(out, c.Part)
@@ -122,22 +122,22 @@
 
 // finishCopies completes all copies that the agent was ordered to make.
 func (a *fakeAgent) finishCopies() {
-	for _, k := range a.copies() {
-		a.held.Add(uint32(k))
+	for _, k := range a.orderedCopies() {
+		a.heldParts.Add(uint32(k))
 	}
 }
 
-// stageReport returns the agent's current heartbeat.
-func (a *fakeAgent) stageReport() *api.StageHeartbeat {
-	r := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Order: a.order, Quota: 50e9, All: true, Version: a.version,
-		Holds: []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: inventory.Parts, Parts: api.PartSet{Bitmap: a.held.Clone()}}}}
+// heartbeat returns the agent's current heartbeat.
+func (a *fakeAgent) heartbeat() *api.StageHeartbeat {
+	heartbeat := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Order: a.order, Quota: 50e9, All: true, Version: a.version,
+		Holds: []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: inventory.Parts, Parts: api.PartSet{Bitmap: a.heldParts.Clone()}}}}
 	for _, x := range a.sets {
-		r.Pinned = append(r.Pinned, api.StageHeld{Dataset: x.Dataset, Manifest: x.Manifest, Parts: api.PartSet{Bitmap: roaring.And(a.held, x.Parts.Bitmap)}})
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: x.Dataset, Manifest: x.Manifest, Parts: api.PartSet{Bitmap: roaring.And(a.heldParts, x.Parts.Bitmap)}})
 		for _, c := range x.Copies {
-			r.Copies = append(r.Copies, api.StageProgress{Dataset: x.Dataset, Part: c.Part, Of: 1e9, From: c.From[0], Full: a.full})
+			heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: x.Dataset, Part: c.Part, Of: 1e9, From: c.From[0], Full: a.cacheFull})
 		}
 	}
-	return r
+	return heartbeat
 }
 
 func withInputs(use string) func(*api.Submission) {
@@ -146,7 +146,7 @@
 
 // Checks that a task is started only once its inputs are confirmed on its machine, and that it is allocated no resources
 // while it waits for them, so that other tasks can use these. The inputs stay pinned while the task runs.
-func TestNothingStartsBeforeItsInputs(t *testing.T) {
+func TestTasksStartOnlyOnceInputsAreStaged(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	agent := h.addAgent("a1")
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
@@ -156,7 +156,7 @@
 	if len(h.starts("run-000001/0")) != 0 || len(h.machines["a1"].allocations) != 0 {
 		t.Fatal("a task was started or allocated resources without its inputs")
 	}
-	if got := agent.copies(); !slices.Equal(got, []int{0, 1}) {
+	if got := agent.orderedCopies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
 	}
 	h.submit("run-000002", 2, nil)
@@ -184,19 +184,19 @@
 	// The inputs of a running task stay pinned, and may be evicted after it exits.
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskRunning, ""))
 	h.round()
-	if !agent.wants(0) {
+	if !agent.mustKeep(0) {
 		t.Fatal("a running task's input may be evicted")
 	}
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskExited, api.CauseDone))
 	h.round()
-	if agent.wants(0) {
+	if agent.mustKeep(0) {
 		t.Fatal("the input of an exited task is still pinned")
 	}
 }
 
 // Checks that each task is placed on the machine that holds its part, although another machine has as many free
 // resources.
-func TestTasksGoToTheirHolders(t *testing.T) {
+func TestTasksArePlacedOnHoldersOfTheirInputs(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1", 0, 3)
 	h.addAgent("a2", 1, 2)
@@ -227,17 +227,17 @@
 	h.reelect()
 	// The agent reports before the new leader knows which tasks run; nothing may be evicted.
 	h.agentHeartbeat(agent)
-	if !agent.wants(0) {
+	if !agent.mustKeep(0) {
 		t.Fatal("the input of a task that may be running was unpinned")
 	}
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.round()
-	if !agent.wants(0) || !agent.wants(1) || agent.term != h.term {
+	if !agent.mustKeep(0) || !agent.mustKeep(1) || agent.term != h.term {
 		t.Fatalf("the new leader's order: %+v", agent.sets)
 	}
-	before := agent.refused
+	before := agent.refusedOrders
 	agent.apply(old)
-	if agent.refused != before+1 {
+	if agent.refusedOrders != before+1 {
 		t.Fatal("the agent accepted an order of the old leader")
 	}
 	agent.finishCopies()
@@ -250,7 +250,7 @@
 }
 
 // Checks that a job that is cancelled while its inputs are being copied never starts, and that its copies are stopped.
-func TestCancelledDuringStaging(t *testing.T) {
+func TestJobCancelledDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	agent := h.addAgent("a1")
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
@@ -260,7 +260,7 @@
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
 	h.round()
-	if got := agent.copies(); !slices.Equal(got, []int{0}) {
+	if got := agent.orderedCopies(); !slices.Equal(got, []int{0}) {
 		t.Fatalf("copies ordered: %v, want only that of the job that was not cancelled", got)
 	}
 	agent.finishCopies()
@@ -272,17 +272,17 @@
 }
 
 // Checks that tasks are placed on another machine if theirs is released while inputs are being copied to it.
-func TestMachineGoesDuringStaging(t *testing.T) {
+func TestMachineReleasedDuringStaging(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1")
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	h.round()
-	b := h.addAgent("a2")
+	other := h.addAgent("a2")
 	h.InstancesReleased([]string{"a1"}, nil)
 	delete(h.agents, "a1")
 	h.round()
 	h.round()
-	b.finishCopies()
+	other.finishCopies()
 	h.workerHeartbeat("a2")
 	h.round()
 	h.round()
@@ -292,14 +292,14 @@
 }
 
 // Checks that a task is requeued from a machine whose cache stays full or whose agent is silent, and starts on another.
-func TestStuckInputsMoveOn(t *testing.T) {
+func TestStuckStagingRequeuesTask(t *testing.T) {
 	for _, kind := range []string{"full", "silent"} {
 		h := newDataHarness(t, features.Staged)
 		agent := h.addAgent("a1")
 		h.submit("run-000001", 1, withInputs(api.UseOwn))
 		h.round()
-		b := h.addAgent("a2")
-		agent.full = kind == "full"
+		other := h.addAgent("a2")
+		agent.cacheFull = kind == "full"
 		if kind == "silent" {
 			delete(h.agents, "a1")
 		}
@@ -307,7 +307,7 @@
 			h.workerHeartbeat("a1")
 			h.workerHeartbeat("a2")
 			h.round()
-			b.finishCopies()
+			other.finishCopies()
 		}
 		if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
 			t.Errorf("%s: %+v", kind, starts)
@@ -317,16 +317,16 @@
 
 // Checks that services and gangs are allocated no resources and preempt nothing while their inputs are being copied, and
 // that a gang starts as a whole.
-func TestServicesAndGangsWaitForTheirInputs(t *testing.T) {
+func TestServicesAndGangsWaitForInputs(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
 		h := newDataHarness(t, features.Staged)
 		agent := h.addAgent("a1")
-		var low []api.TaskReport
+		var lowRankTasks []api.TaskReport
 		if shape == api.Service {
 			h.submit("run-000009", 2, func(x *api.Submission) { x.Rank = "low" })
 			h.round()
 			for k := range 2 {
-				low = append(low, taskReport(taskKey("run-000009", k), h.jobs["run-000009"].allocations[k].attempt, api.TaskRunning, ""))
+				lowRankTasks = append(lowRankTasks, taskReport(taskKey("run-000009", k), h.jobs["run-000009"].allocations[k].attempt, api.TaskRunning, ""))
 			}
 		}
 		h.submit("run-000001", 2, func(x *api.Submission) {
@@ -337,7 +337,7 @@
 			}
 		})
 		for i := range 8 {
-			h.workerHeartbeat("a1", low...)
+			h.workerHeartbeat("a1", lowRankTasks...)
 			h.round()
 			if len(h.starts("run-000001/0")) != 0 {
 				t.Fatalf("%s: task started without its inputs", shape)
@@ -353,7 +353,7 @@
 		}
 		for range 8 {
 			agent.finishCopies()
-			h.workerHeartbeat("a1", low...)
+			h.workerHeartbeat("a1", lowRankTasks...)
 			h.round()
 		}
 		placed := 0
@@ -370,7 +370,7 @@
 
 // Checks that a job that was accepted with inputs does not start without them on a controller that has datasets off or
 // does not know the dataset.
-func TestOffNothingWithInputsStarts(t *testing.T) {
+func TestJobWithInputsDoesNotStartWithDatasetsOff(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1", 0)
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
@@ -391,21 +391,21 @@
 
 // Checks the other placement modes: without locality awareness parts are copied only from the store, and all tasks start
 // in every mode.
-func TestPlacementsForComparison(t *testing.T) {
-	for _, place := range []string{features.Blind, features.Images, features.Local} {
-		h := newDataHarness(t, place)
-		a := h.addAgent("a1", 0, 1)
-		b := h.addAgent("a2")
+func TestPlacementModesWithoutLocalityCopyFromStore(t *testing.T) {
+	for _, placement := range []string{features.Blind, features.Images, features.Local} {
+		h := newDataHarness(t, placement)
+		holder := h.addAgent("a1", 0, 1)
+		other := h.addAgent("a2")
 		h.submit("run-000001", 4, withInputs(api.UseOwn))
 		for range 12 {
 			h.workerHeartbeat("a1")
 			h.workerHeartbeat("a2")
 			h.round()
-			for _, agent := range []*fakeAgent{a, b} {
+			for _, agent := range []*fakeAgent{holder, other} {
 				for _, x := range agent.sets {
 					for _, c := range x.Copies {
-						if place != features.Local && !c.From[0].Store {
-							t.Fatalf("%s: copied from %v", place, c.From)
+						if placement != features.Local && !c.From[0].Store {
+							t.Fatalf("%s: copied from %v", placement, c.From)
 						}
 					}
 				}
@@ -414,7 +414,7 @@
 		}
 		for k := range 4 {
 			if len(h.starts(taskKey("run-000001", k))) != 1 {
-				t.Errorf("%s: task %d not started", place, k)
+				t.Errorf("%s: task %d not started", placement, k)
 			}
 		}
 	}
@@ -422,26 +422,26 @@
 
 // Checks that a new leader that has received the heartbeat of only one agent queues tasks on the machines that hold their
 // inputs according to the hints of the previous leader, but starts none there before the agent confirms the inputs.
-func TestReplicaHintsOutliveTheLeader(t *testing.T) {
+func TestReplicaHintsGuidePlacementAfterFailover(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1")
 	h.addAgent("a2", 0, 1)
 	h.storeReplicaHints(h.clock.Now().Add(tuning.ReplicaHintsEvery))
 	h.commit()
-	it := h.state.Get(store.ReplicasKey(0))
-	if it == nil {
+	value := h.state.Get(store.ReplicasKey(0))
+	if value == nil {
 		t.Fatal("the replica hints were not stored")
 	}
 	h.reelect()
-	h.LoadReplicaHints([]store.Item{{Key: store.ReplicasKey(0), Value: it}})
+	h.LoadReplicaHints([]store.Item{{Key: store.ReplicasKey(0), Value: value}})
 	h.workerHeartbeat("a1")
 	h.workerHeartbeat("a2")
 	h.agentHeartbeat(h.agents["a1"])
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.Place()
 	h.commit()
-	if n := len(h.machines["a2"].queues); n != 1 || len(h.machines["a1"].queues) != 0 {
-		t.Fatalf("%d queues on a2 and %d on a1, want 1 and 0", n, len(h.machines["a1"].queues))
+	if queuesOnA2 := len(h.machines["a2"].queues); queuesOnA2 != 1 || len(h.machines["a1"].queues) != 0 {
+		t.Fatalf("%d queues on a2 and %d on a1, want 1 and 0", queuesOnA2, len(h.machines["a1"].queues))
 	}
 	if len(h.starts("run-000001/0")) != 0 {
 		t.Fatal("a task was started on the basis of a hint")
@@ -455,26 +455,26 @@
 
 // Checks that a task that waits for a copy moves to a machine that holds its inputs once that has free resources. Without
 // this, tasks waited 10 s for copies of parts that idle machines already held.
-func TestFreedHoldersTakeTasksThatWaitForBytes(t *testing.T) {
+func TestTaskAwaitingCopyMovesToFreedHolder(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1", 0, 1)
 	h.submit("run-000002", 2, nil)
 	h.round()
-	busy := []api.TaskReport{}
+	runningTasks := []api.TaskReport{}
 	for k := range 2 {
-		busy = append(busy, taskReport(taskKey("run-000002", k), h.jobs["run-000002"].allocations[k].attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(taskKey("run-000002", k), h.jobs["run-000002"].allocations[k].attempt, api.TaskRunning, ""))
 	}
-	h.workerHeartbeat("a1", busy...)
+	h.workerHeartbeat("a1", runningTasks...)
 	h.addAgent("a2")
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	h.round()
 	if len(h.machines["a2"].queues) != 1 {
 		t.Fatal("want the task queued on the idle machine while its input is copied there")
 	}
-	for i := range busy {
-		busy[i].State, busy[i].Cause = api.TaskExited, api.CauseDone
+	for i := range runningTasks {
+		runningTasks[i].State, runningTasks[i].Cause = api.TaskExited, api.CauseDone
 	}
-	h.workerHeartbeat("a1", busy...)
+	h.workerHeartbeat("a1", runningTasks...)
 	h.workerHeartbeat("a2")
 	for range 3 {
 		h.round()
@@ -485,7 +485,7 @@
 }
 
 // Checks that the number of tasks staged ahead follows the applied configuration.
-func TestAheadTasksOfAConfigurationCount(t *testing.T) {
+func TestConfigurationSetsAheadTasks(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	for _, ahead := range []int{9, 5} {
 		active := configured(t, "")
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -56,11 +56,11 @@
 	fleetCPUs := s.fleetCPUs()
 	s.dependencies.inheritUrgency(fleetCPUs)
 	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*s.waitingJobs())
-	startTimeout := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
+	startWithin := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
 	for _, job := range s.jobOrder {
 		job.starved = job.unplaced() > 0 &&
 			job.rank != api.RankProduction &&
-			ageing.Due(s.now(), job.waitingSince, job.lastStart, startTimeout) &&
+			ageing.Due(s.now(), job.waitingSince, job.lastStart, startWithin) &&
 			s.startableNow(job)
 		job.latestStart = s.latestStart(job, nowMS)
 		if job.latestStart < math.MaxInt64 && fleetCPUs > 0 {
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -70,7 +70,7 @@
 
 // Checks that of two equally urgent jobs the one with less work is ordered first, and that a much more urgent job is
 // ordered before a smaller one. Without this, under overload one job of 70 tasks made several small jobs late.
-func TestSmallJobsGoFirstWhenAsUrgent(t *testing.T) {
+func TestSmallerJobGoesFirstAtEqualUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	due := func(d float64) func(*api.Submission) {
@@ -92,7 +92,7 @@
 
 // Checks that a job that missed its deadline is not ordered after all others while it can still meet a multiple of the
 // deadline for which its class has an objective.
-func TestLateJobHasItsNextAim(t *testing.T) {
+func TestLateJobIsOrderedByNextObjective(t *testing.T) {
 	h := newHarness(t)
 	h.deadlineMultiples["c"] = []float64{2}
 	due := func(x *api.Submission) { x.DeadlineS = 60 }
@@ -143,18 +143,18 @@
 // as earlier ones end. They must not be ordered before younger jobs that can still meet their deadlines, or the queues
 // would be ordered by arrival. Only a job that was within the guarantee on arrival is ordered first
 // (docs/incidents/fleet-guarantee-by-arrival.md).
-func TestGuaranteeIsNotByArrival(t *testing.T) {
+func TestGuaranteedBacklogIsNotOrderedByArrival(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
-	sure := func(x *api.Submission) { x.Team, x.DeadlineS, x.EstimateS = "sure", 60, 30 }
-	h.submit("run-000001", 4, sure)
+	inSureTeam := func(x *api.Submission) { x.Team, x.DeadlineS, x.EstimateS = "sure", 60, 30 }
+	h.submit("run-000001", 4, inSureTeam)
 	h.Place()
-	h.submit("run-000002", 2, sure) // beyond the guarantee of 16 CPUs, which the first job uses completely
+	h.submit("run-000002", 2, inSureTeam) // beyond the guarantee of 16 CPUs, which the first job uses completely
 	h.Place()
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
 	h.clock.Advance(40 * time.Second)
-	h.submit("run-000003", 4, sure)
+	h.submit("run-000003", 4, inSureTeam)
 	h.heartbeat("a1", 1)
 	h.Place()
 	order := func() (out []string) {
--- a/scheduler/placement_bench_test.go
+++ b/scheduler/placement_bench_test.go
@@ -46,13 +46,13 @@
 	for i := range machines {
 		h.heartbeat(fmt.Sprintf("a%03d", i), 1)
 	}
-	tiny := func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB, x.EstimateS = "lent", "low", 0.25, 0.9, 4 }
+	smallLowRank := func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB, x.EstimateS = "lent", "low", 0.25, 0.9, 4 }
 	for i := range machines / 7 {
 		h.submit(fmt.Sprintf("run-%06d", i), 4, func(x *api.Submission) { x.Team, x.Image = "left", fmt.Sprintf("img-%d", i%8) })
 	}
-	h.submit("run-900000", 25000, tiny)
+	h.submit("run-900000", 25000, smallLowRank)
 	for i := range 400 {
-		h.submit(fmt.Sprintf("run-8%05d", i), 1, tiny)
+		h.submit(fmt.Sprintf("run-8%05d", i), 1, smallLowRank)
 	}
 	for range 3 {
 		h.settleStarts()
--- a/scheduler/placement_round_test.go
+++ b/scheduler/placement_round_test.go
@@ -11,7 +11,7 @@
 
 // Checks that at most half of the replicas of a spread service, rounded up, are in one zone, even while another zone has
 // no machine.
-func TestSpreadServiceKeepsToHalfOfItsReplicasInAZone(t *testing.T) {
+func TestSpreadServiceHasAtMostHalfItsReplicasPerZone(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
@@ -66,7 +66,7 @@
 
 // Checks that an image that a machine is already fetching for one task counts as held for the next task, so that the
 // machine starts the next task from another machine's queue at once.
-func TestImageOnItsWayCountsAsHeld(t *testing.T) {
+func TestImageBeingFetchedCountsAsHeld(t *testing.T) {
 	h := newHarness(t)
 	for _, m := range []string{"a1", "a2"} {
 		h.heartbeat(m, 1)
@@ -102,7 +102,7 @@
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 5000, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB, x.EstimateS = "low", 0.1, 0.1, 1 })
-	most := 0
+	mostTasks := 0
 	for range 12 {
 		h.Place()
 		for h.committer.Pending() > 0 {
@@ -118,13 +118,13 @@
 		for attempt := range machine.exited {
 			tasks = append(tasks, taskReport(attempt.Task, attempt.Number, api.TaskExited, api.CauseDone))
 		}
-		most = max(most, len(tasks))
+		mostTasks = max(mostTasks, len(tasks))
 		// The worker does not receive what to clear, so the exited tasks stay in its heartbeats.
 		h.clock.Advance(time.Second)
 		h.heartbeat("a1", 1, tasks...)
 	}
-	if most == 0 || most > tuning.ReportTasks {
-		t.Errorf("the largest heartbeat has %d tasks, want at least 1 and at most %d", most, tuning.ReportTasks)
+	if mostTasks == 0 || mostTasks > tuning.ReportTasks {
+		t.Errorf("the largest heartbeat has %d tasks, want at least 1 and at most %d", mostTasks, tuning.ReportTasks)
 	}
 }
 
@@ -132,7 +132,7 @@
 // Without the reserve they filled all free resources, and dozens of their tasks were preempted for each task of other
 // jobs.
 func TestLowRankLeavesAReserve(t *testing.T) {
-	fill := func(owned int) (free float64) {
+	freeAfterFill := func(owned int) (free float64) {
 		h := newHarness(t)
 		for i := range 10 {
 			h.heartbeat("a1"+string(rune('a'+i)), 1)
@@ -148,10 +148,10 @@
 		}
 		return free
 	}
-	if free := fill(10); free < 4 || free > 8 {
+	if free := freeAfterFill(10); free < 4 || free > 8 {
 		t.Errorf("%v of 80 CPUs left free while other jobs use 40, want a tenth of these", free)
 	}
-	if free := fill(0); free > 0 {
+	if free := freeAfterFill(0); free > 0 {
 		t.Errorf("%v CPUs left free although there are no other jobs", free)
 	}
 }
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -32,43 +32,43 @@
 	*harness
 	// names are the names of the machines.
 	names []string
-	// runs maps each machine to its running tasks and their attempts.
-	runs map[string]map[string]uint64
-	// quiet is the number of further rounds in which a machine sends no heartbeat.
-	quiet map[string]int
-	// read is the number of sent responses that the workers have executed.
-	read int
+	// runningTasks maps each machine to its running tasks and their attempts.
+	runningTasks map[string]map[string]uint64
+	// silentRounds is the number of further rounds in which a machine sends no heartbeat.
+	silentRounds map[string]int
+	// executedResponses is the number of sent responses that the workers have executed.
+	executedResponses int
 }
 
-func newRackHarness(t *testing.T, inRacks, each int) *rackHarness {
-	y := &rackHarness{harness: newHarness(t), runs: map[string]map[string]uint64{}, quiet: map[string]int{}}
-	y.topologyMap = racks(t, 1, inRacks)
-	y.elect()
-	for r := range inRacks {
-		for k := range each {
+func newRackHarness(t *testing.T, rackCount, machinesPerRack int) *rackHarness {
+	h := &rackHarness{harness: newHarness(t), runningTasks: map[string]map[string]uint64{}, silentRounds: map[string]int{}}
+	h.topologyMap = racks(t, 1, rackCount)
+	h.elect()
+	for r := range rackCount {
+		for k := range machinesPerRack {
 			name := fmt.Sprintf("a%d-%d", r+1, k+1)
-			y.names = append(y.names, name)
-			y.runs[name] = map[string]uint64{}
+			h.names = append(h.names, name)
+			h.runningTasks[name] = map[string]uint64{}
 		}
 	}
-	y.round()
-	return y
+	h.round()
+	return h
 }
 
-func (y *rackHarness) obey(name string, o api.HeartbeatResponse) {
-	for _, c := range o.Commands {
+func (h *rackHarness) execute(name string, response api.HeartbeatResponse) {
+	for _, c := range response.Commands {
 		switch c.Verb {
 		case api.CommandRun:
-			y.runs[name][c.Task] = c.Attempt
+			h.runningTasks[name][c.Task] = c.Attempt
 		case api.CommandKill:
-			delete(y.runs[name], c.Task)
+			delete(h.runningTasks[name], c.Task)
 		}
 	}
 }
 
 // heartbeatTasks returns the tasks that a worker reports.
-func (y *rackHarness) heartbeatTasks(name string) (tasks []api.TaskReport) {
-	for key, attempt := range y.runs[name] {
+func (h *rackHarness) heartbeatTasks(name string) (tasks []api.TaskReport) {
+	for key, attempt := range h.runningTasks[name] {
 		tasks = append(tasks, taskReport(key, attempt, api.TaskRunning, ""))
 	}
 	slices.SortFunc(tasks, func(a, b api.TaskReport) int { return strings.Compare(a.Task, b.Task) })
@@ -77,45 +77,45 @@
 
 // round sends the heartbeats of all machines that are not silent, runs a placement round, commits it, and executes and
 // answers the commands. It advances the clock by one second.
-func (y *rackHarness) round() {
-	for _, name := range y.names {
-		if y.quiet[name] > 0 {
-			y.quiet[name]--
+func (h *rackHarness) round() {
+	for _, name := range h.names {
+		if h.silentRounds[name] > 0 {
+			h.silentRounds[name]--
 			continue
 		}
-		y.obey(name, y.heartbeat(name, 1, y.heartbeatTasks(name)...))
+		h.execute(name, h.heartbeat(name, 1, h.heartbeatTasks(name)...))
 	}
-	y.Place()
-	y.commit()
-	for ; y.read < len(y.sent); y.read++ {
-		if o := y.sent[y.read]; y.runs[o.machine] != nil {
-			y.obey(o.machine, o.response)
+	h.Place()
+	h.commit()
+	for ; h.executedResponses < len(h.sent); h.executedResponses++ {
+		if sent := h.sent[h.executedResponses]; h.runningTasks[sent.machine] != nil {
+			h.execute(sent.machine, sent.response)
 		}
 	}
-	y.answerCommands()
-	y.clock.Advance(time.Second)
+	h.answerCommands()
+	h.clock.Advance(time.Second)
 }
 
 // tasksByRack returns the number of a job's tasks that workers run, in total and by rack.
-func (y *rackHarness) tasksByRack(id string) (all int, by map[string]int) {
-	by = map[string]int{}
-	for name, tasks := range y.runs {
+func (h *rackHarness) tasksByRack(id string) (total int, byRack map[string]int) {
+	byRack = map[string]int{}
+	for name, tasks := range h.runningTasks {
 		for key := range tasks {
 			if strings.HasPrefix(key, id+"/") {
-				by[strings.SplitN(name, "-", 2)[0]]++
-				all++
+				byRack[strings.SplitN(name, "-", 2)[0]]++
+				total++
 			}
 		}
 	}
-	return all, by
+	return total, byRack
 }
 
 // finish makes a task exit successfully.
-func (y *rackHarness) finish(name, key string) {
-	attempt := y.runs[name][key]
-	delete(y.runs[name], key)
-	y.obey(name, y.heartbeat(name, 1, append(y.heartbeatTasks(name), taskReport(key, attempt, api.TaskExited, api.CauseDone))...))
-	y.commit()
+func (h *rackHarness) finish(name, key string) {
+	attempt := h.runningTasks[name][key]
+	delete(h.runningTasks[name], key)
+	h.execute(name, h.heartbeat(name, 1, append(h.heartbeatTasks(name), taskReport(key, attempt, api.TaskExited, api.CauseDone))...))
+	h.commit()
 }
 
 // service returns a function that makes a submission a service with a survive constraint, or without one if survive is
@@ -130,33 +130,33 @@
 // also hold while a silent machine may still run a replica, and under a new leader that knows this replica only from its
 // record. The replica is replaced only once its machine is known to be gone.
 func TestSurviveIsKeptThroughSilenceAndTakeover(t *testing.T) {
-	racks := newRackHarness(t, 2, 3)
-	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
-	racks.round()
-	racks.round()
-	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
+	h := newRackHarness(t, 2, 3)
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.round()
+	h.round()
+	if n, by := h.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
 		t.Fatalf("running replicas by rack: %v, want one in each", by)
 	}
 	var silent string
-	for _, name := range racks.names {
-		if strings.HasPrefix(name, "a1") && len(racks.runs[name]) > 0 {
+	for _, name := range h.names {
+		if strings.HasPrefix(name, "a1") && len(h.runningTasks[name]) > 0 {
 			silent = name
 		}
 	}
-	racks.quiet[silent] = 1000
-	racks.elect()
-	racks.read = 0
+	h.silentRounds[silent] = 1000
+	h.elect()
+	h.executedResponses = 0
 	for range 8 {
-		racks.round()
-		if n, by := racks.tasksByRack("run-000001"); n != 2 {
+		h.round()
+		if n, by := h.tasksByRack("run-000001"); n != 2 {
 			t.Fatalf("running replicas by rack: %v while %s may still run one, want 2 in all", by, silent)
 		}
 	}
-	racks.InstancesReleased([]string{silent}, nil)
-	racks.runs[silent] = map[string]uint64{}
-	racks.round()
-	racks.round()
-	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 {
+	h.InstancesReleased([]string{silent}, nil)
+	h.runningTasks[silent] = map[string]uint64{}
+	h.round()
+	h.round()
+	if n, by := h.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 {
 		t.Errorf("the replica was not replaced, running replicas by rack: %v", by)
 	}
 }
@@ -165,46 +165,46 @@
 // empty rack. If it fits in no rack it waits while other jobs start. Of two gangs that fit only one at a time, one runs
 // and the other waits.
 func TestNearWaitsForARackThatHoldsAll(t *testing.T) {
-	racks := newRackHarness(t, 2, 2)
+	h := newRackHarness(t, 2, 2)
 	near := &api.Near{Level: "rack", Must: true}
-	racks.submit("run-000001", 1, service(nil))
-	racks.round()
-	racks.round()
-	_, by := racks.tasksByRack("run-000001")
+	h.submit("run-000001", 1, service(nil))
+	h.round()
+	h.round()
+	_, by := h.tasksByRack("run-000001")
 	gang := func(submission *api.Submission) {
 		submission.Shape, submission.Near, submission.CPUs = api.Gang, near, 4
 	}
-	racks.submit("run-000002", 3, gang)
-	racks.round()
-	racks.round()
-	n, at := racks.tasksByRack("run-000002")
+	h.submit("run-000002", 3, gang)
+	h.round()
+	h.round()
+	n, at := h.tasksByRack("run-000002")
 	if n != 3 || at["a1"] != 3 && at["a2"] != 3 {
 		t.Fatalf("running tasks of a gang of three by rack: %v, want all in one rack", at)
 	}
 	if at["a1"] > 0 != (by["a1"] > 0) {
 		t.Errorf("the gang was placed in the empty rack: %v, other tasks %v", at, by)
 	}
-	racks.submit("run-000003", 4, gang)
-	racks.submit("run-000004", 4, gang)
-	racks.submit("run-000005", 2, service(nil))
+	h.submit("run-000003", 4, gang)
+	h.submit("run-000004", 4, gang)
+	h.submit("run-000005", 2, service(nil))
 	for range 5 {
-		racks.round()
+		h.round()
 	}
 	for _, id := range []string{"run-000003", "run-000004"} {
-		x, ok := racks.Explain(id)
+		x, ok := h.Explain(id)
 		if text := strings.Join(x.Why, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is kept for it until it drains") {
 			t.Errorf("%s: %+v", id, x)
 		}
 	}
-	if v := racks.Topology(); len(v.Domains) != 3 || v.Domains[1].In != "s1" || len(v.Waiting) != 1 {
+	if v := h.Topology(); len(v.Domains) != 3 || v.Domains[1].In != "s1" || len(v.Waiting) != 1 {
 		t.Errorf("%+v", v)
 	}
-	three, _ := racks.tasksByRack("run-000003")
-	four, _ := racks.tasksByRack("run-000004")
+	three, _ := h.tasksByRack("run-000003")
+	four, _ := h.tasksByRack("run-000004")
 	if three+four != 4 || three*four != 0 {
 		t.Fatalf("%d and %d tasks of two gangs of four run, want exactly one gang complete", three, four)
 	}
-	if racks.jobs["run-000004"].waitReason == "" && racks.jobs["run-000003"].waitReason == "" {
+	if h.jobs["run-000004"].waitReason == "" && h.jobs["run-000003"].waitReason == "" {
 		t.Error("the waiting gang has no wait reason")
 	}
 }
@@ -213,42 +213,42 @@
 // has enough free resources, and that it preempts nothing unless all of its tasks can then start.
 func TestPreemptionChoosesCheapestRack(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
-		racks := newRackHarness(t, 2, 2)
+		h := newRackHarness(t, 2, 2)
 		// Both racks are full. The tasks in one of them start a minute later than those in the other.
-		racks.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
-		racks.round()
-		racks.round()
+		h.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
+		h.round()
+		h.round()
 		for range 60 {
-			racks.round()
+			h.round()
 		}
-		racks.submit("run-000002", 4, nil)
-		racks.round()
-		racks.round()
-		_, old := racks.tasksByRack("run-000001")
-		_, young := racks.tasksByRack("run-000002")
+		h.submit("run-000002", 4, nil)
+		h.round()
+		h.round()
+		_, old := h.tasksByRack("run-000001")
+		_, young := h.tasksByRack("run-000002")
 		if len(old) != 1 || len(young) != 1 {
 			t.Fatalf("%v, %v", old, young)
 		}
 		// No rack has the resources for nine tasks.
-		racks.submit("run-000003", 9, func(submission *api.Submission) {
+		h.submit("run-000003", 9, func(submission *api.Submission) {
 			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
-		racks.round()
-		racks.round()
-		if n, _ := racks.tasksByRack("run-000003"); n != 0 || racks.jobs["run-000003"].waitReason == "" {
-			t.Errorf("%s: %d of 9 tasks run, want 0 and a wait reason, got %q", shape, n, racks.jobs["run-000003"].waitReason)
+		h.round()
+		h.round()
+		if n, _ := h.tasksByRack("run-000003"); n != 0 || h.jobs["run-000003"].waitReason == "" {
+			t.Errorf("%s: %d of 9 tasks run, want 0 and a wait reason, got %q", shape, n, h.jobs["run-000003"].waitReason)
 		}
-		if n, _ := racks.tasksByRack("run-000001"); n != 4 {
+		if n, _ := h.tasksByRack("run-000001"); n != 4 {
 			t.Errorf("%s: tasks were preempted although the job cannot start", shape)
 		}
-		racks.submit("run-000004", 4, func(submission *api.Submission) {
+		h.submit("run-000004", 4, func(submission *api.Submission) {
 			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
 		})
 		for range 4 {
-			racks.round()
+			h.round()
 		}
-		n, at := racks.tasksByRack("run-000004")
-		kept, _ := racks.tasksByRack("run-000001")
+		n, at := h.tasksByRack("run-000004")
+		kept, _ := h.tasksByRack("run-000001")
 		if n != 4 || len(at) != 1 || kept != 4 {
 			t.Errorf("%s: %d of 4 tasks run, by rack %v; %d of 4 tasks of the older job run", shape, n, at, kept)
 		}
@@ -258,36 +258,36 @@
 // Checks that exactly one instance is requested for a replica that the topology allows in none of the present racks, since
 // the new machine may come up in a rack where the replica is allowed.
 func TestInstanceIsRequestedForADomain(t *testing.T) {
-	racks := newRackHarness(t, 2, 3)
-	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h := newRackHarness(t, 2, 3)
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	for range 5 {
-		racks.round()
+		h.round()
 	}
-	rented := 0
+	requested := 0
 	for i := range 60 {
-		for _, r := range racks.InstanceRequests() {
+		for _, r := range h.InstanceRequests() {
 			var names []string
 			for range r.Count {
-				rented++
-				names = append(names, fmt.Sprintf("n-%d", rented))
+				requested++
+				names = append(names, fmt.Sprintf("n-%d", requested))
 			}
-			racks.InstancesGranted(r, names, nil)
+			h.InstancesGranted(r, names, nil)
 			if i > 40 {
 				t.Errorf("another instance was requested in round %d: %+v", i, r)
 			}
 		}
-		racks.round()
+		h.round()
 	}
-	if rented != 1 {
-		t.Fatalf("%d instances requested for one replica, want 1", rented)
+	if requested != 1 {
+		t.Fatalf("%d instances requested for one replica, want 1", requested)
 	}
 	// The machine matches no pattern of the topology, so it is a domain of its own.
-	racks.names = append(racks.names, "n-1")
-	racks.runs["n-1"] = map[string]uint64{}
+	h.names = append(h.names, "n-1")
+	h.runningTasks["n-1"] = map[string]uint64{}
 	for range 4 {
-		racks.round()
+		h.round()
 	}
-	if n, _ := racks.tasksByRack("run-000001"); n != 3 {
+	if n, _ := h.tasksByRack("run-000001"); n != 3 {
 		t.Errorf("%d of 3 replicas run", n)
 	}
 }
@@ -295,192 +295,192 @@
 // Checks that a rack that drains before a new machine could boot is reserved for a gang that needs all of it. Tasks that
 // would not end in time are kept out, and the gang starts once the rack is empty. Without the reservation small jobs would
 // use all resources as they become free, and the gang would never start.
-func TestDrainingRackIsKept(t *testing.T) {
-	racks := newRackHarness(t, 2, 2)
+func TestDrainingRackIsReserved(t *testing.T) {
+	h := newRackHarness(t, 2, 2)
 	long := func(submission *api.Submission) { submission.EstimateS = 500 }
 	short := func(submission *api.Submission) {
 		submission.EstimateS, submission.Near = 20, &api.Near{Level: "rack", Must: true}
 	}
-	racks.submit("run-000001", 4, short)
-	racks.round()
-	racks.round()
-	_, at := racks.tasksByRack("run-000001")
-	racks.submit("run-000002", 4, long)
-	racks.round()
-	racks.round()
-	racks.submit("run-000003", 4, func(submission *api.Submission) {
+	h.submit("run-000001", 4, short)
+	h.round()
+	h.round()
+	_, at := h.tasksByRack("run-000001")
+	h.submit("run-000002", 4, long)
+	h.round()
+	h.round()
+	h.submit("run-000003", 4, func(submission *api.Submission) {
 		submission.Shape, submission.Near = api.Gang, &api.Near{Level: "rack", Must: true}
 	})
-	racks.round()
-	racks.round()
-	if why := racks.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
+	h.round()
+	h.round()
+	if why := h.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
 		t.Fatalf("wait reason %q", why)
 	}
 	// Half of the tasks in the rack exit while a job with a long estimate waits for resources.
-	racks.submit("run-000004", 2, long)
+	h.submit("run-000004", 2, long)
 	ended := 0
-	for _, name := range racks.names {
-		for key := range racks.runs[name] {
+	for _, name := range h.names {
+		for key := range h.runningTasks[name] {
 			if strings.HasPrefix(key, "run-000001/") && ended < 2 {
-				racks.finish(name, key)
+				h.finish(name, key)
 				ended++
 			}
 		}
 	}
 	for range 4 {
-		racks.round()
+		h.round()
 	}
-	if n, by := racks.tasksByRack("run-000004"); n != 0 {
+	if n, by := h.tasksByRack("run-000004"); n != 0 {
 		t.Fatalf("tasks that do not end before the reservation run in the racks %v", by)
 	}
-	for _, name := range racks.names {
-		for key := range racks.runs[name] {
+	for _, name := range h.names {
+		for key := range h.runningTasks[name] {
 			if strings.HasPrefix(key, "run-000001/") {
-				racks.finish(name, key)
+				h.finish(name, key)
 			}
 		}
 	}
 	for range 4 {
-		racks.round()
+		h.round()
 	}
-	if n, by := racks.tasksByRack("run-000003"); n != 4 || len(by) != 1 || by["a1"] != at["a1"] {
+	if n, by := h.tasksByRack("run-000003"); n != 4 || len(by) != 1 || by["a1"] != at["a1"] {
 		t.Errorf("%d of 4 tasks run, by rack %v, want all in the drained rack of %v", n, by, at)
 	}
 }
 
 // Checks that after the loss of a rack, when the survive constraint no longer allows all replicas, the running replicas
 // continue and the other one waits with a reason, and that it starts once the rack has a machine again.
-func TestSurviveHealsWhenARackReturns(t *testing.T) {
-	racks := newRackHarness(t, 3, 2)
-	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
-	racks.round()
-	racks.round()
-	left := slices.Clone(racks.names[:2])
-	racks.names = racks.names[2:]
-	for _, name := range left {
-		racks.runs[name] = map[string]uint64{}
+func TestWaitingReplicaStartsWhenARackReturns(t *testing.T) {
+	h := newRackHarness(t, 3, 2)
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.round()
+	h.round()
+	lostMachines := slices.Clone(h.names[:2])
+	h.names = h.names[2:]
+	for _, name := range lostMachines {
+		h.runningTasks[name] = map[string]uint64{}
 	}
 	for range 16 {
-		racks.round()
-		racks.InstancesReleased(racks.MaintainFleet(), nil)
+		h.round()
+		h.InstancesReleased(h.MaintainFleet(), nil)
 	}
-	if n, by := racks.tasksByRack("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
+	if n, by := h.tasksByRack("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
 		t.Fatalf("running replicas by rack: %v, want one each in a2 and a3", by)
 	}
-	if x, _ := racks.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
+	if x, _ := h.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
 		t.Errorf("%+v", x)
 	}
-	racks.names = append(racks.names, "a1-9")
-	racks.runs["a1-9"] = map[string]uint64{}
+	h.names = append(h.names, "a1-9")
+	h.runningTasks["a1-9"] = map[string]uint64{}
 	for range 3 {
-		racks.round()
+		h.round()
 	}
-	if n, by := racks.tasksByRack("run-000001"); n != 3 || by["a1"] != 1 {
+	if n, by := h.tasksByRack("run-000001"); n != 3 || by["a1"] != 1 {
 		t.Errorf("the waiting replica did not start, running replicas by rack: %v", by)
 	}
 }
 
 // Checks that a rack that is silent for less than a lease causes no restarts and is assigned no tasks meanwhile. If the
 // rack stays silent, its machines are released after the lease and its tasks start once in other racks.
-func TestSilentRackIsOneFailure(t *testing.T) {
+func TestSilentRackIsReplacedOnlyAfterLease(t *testing.T) {
 	for _, returns := range []bool{true, false} {
-		racks := newRackHarness(t, 3, 3)
-		racks.submit("run-000001", 9, service(&api.Survive{Level: "rack", AtMost: 3, Must: true}))
-		racks.round()
-		racks.round()
-		for _, name := range racks.names[:3] {
-			racks.quiet[name] = 8
+		h := newRackHarness(t, 3, 3)
+		h.submit("run-000001", 9, service(&api.Survive{Level: "rack", AtMost: 3, Must: true}))
+		h.round()
+		h.round()
+		for _, name := range h.names[:3] {
+			h.silentRounds[name] = 8
 			if !returns {
-				racks.quiet[name] = 1000
+				h.silentRounds[name] = 1000
 			}
 		}
-		began := map[string]uint64{}
-		for _, tasks := range racks.runs {
-			maps.Copy(began, tasks)
+		firstAttempts := map[string]uint64{}
+		for _, tasks := range h.runningTasks {
+			maps.Copy(firstAttempts, tasks)
 		}
-		var returned []string
+		var released []string
 		for i := range 20 {
 			if i == 5 {
-				racks.submit("run-000002", 6, nil)
+				h.submit("run-000002", 6, nil)
 			}
-			racks.round()
-			gone := racks.MaintainFleet()
+			h.round()
+			gone := h.MaintainFleet()
 			for _, name := range gone {
-				racks.runs[name] = map[string]uint64{}
+				h.runningTasks[name] = map[string]uint64{}
 			}
-			racks.InstancesReleased(gone, nil)
-			returned = append(returned, gone...)
-			if n, by := racks.tasksByRack("run-000002"); i < 8 && by["a1"] > 0 {
+			h.InstancesReleased(gone, nil)
+			released = append(released, gone...)
+			if n, by := h.tasksByRack("run-000002"); i < 8 && by["a1"] > 0 {
 				t.Fatalf("%d of %d tasks were placed in a silent rack", by["a1"], n)
 			}
-			if i < 8 && len(returned) > 0 {
-				t.Fatalf("%v were released within a lease", returned)
+			if i < 8 && len(released) > 0 {
+				t.Fatalf("%v were released within a lease", released)
 			}
 		}
-		again := 0
-		for _, tasks := range racks.runs {
+		restarts := 0
+		for _, tasks := range h.runningTasks {
 			for key, attempt := range tasks {
-				if was := began[key]; was != 0 && was != attempt {
-					again++
+				if was := firstAttempts[key]; was != 0 && was != attempt {
+					restarts++
 				}
 			}
 		}
-		_, by := racks.tasksByRack("run-000001")
+		_, by := h.tasksByRack("run-000001")
 		switch {
-		case returns && (again > 0 || len(returned) > 0 || by["a1"] != 3):
-			t.Errorf("a rack that returned caused %d restarts and %d releases; running replicas by rack: %v", again, len(returned), by)
-		case !returns && (len(returned) != 3 || by["a2"] != 3 || by["a3"] != 3):
-			t.Errorf("released %v, running replicas by rack: %v", returned, by)
+		case returns && (restarts > 0 || len(released) > 0 || by["a1"] != 3):
+			t.Errorf("a rack that returned caused %d restarts and %d releases; running replicas by rack: %v", restarts, len(released), by)
+		case !returns && (len(released) != 3 || by["a2"] != 3 || by["a3"] != 3):
+			t.Errorf("released %v, running replicas by rack: %v", released, by)
 		}
 	}
 }
 
 // Checks that a new topology version in which running replicas exceed the survive constraint of a rack stops none of them
 // and allows no further replica there.
-func TestTopologyMovesUnderARunningReplica(t *testing.T) {
-	racks := newRackHarness(t, 2, 2)
-	racks.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
-	racks.round()
-	racks.round()
+func TestTopologyChangeStopsNoRunningReplica(t *testing.T) {
+	h := newRackHarness(t, 2, 2)
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.round()
+	h.round()
 	m, err := topology.Parse([]byte("version = 2\n[[domain]]\nname = \"r1\"\nlevel = \"rack\"\nmachines = [\"a*\"]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	racks.topologyMap = m
-	racks.ReplaceTopology(m)
+	h.topologyMap = m
+	h.ReplaceTopology(m)
 	for range 4 {
-		racks.round()
+		h.round()
 	}
-	if n, by := racks.tasksByRack("run-000001"); n != 2 {
+	if n, by := h.tasksByRack("run-000001"); n != 2 {
 		t.Errorf("running replicas by machine prefix: %v, want 2 in all", by)
 	}
-	racks.elect()
-	racks.read = 0
+	h.elect()
+	h.executedResponses = 0
 	for range 4 {
-		racks.round()
+		h.round()
 	}
-	if n, by := racks.tasksByRack("run-000001"); n != 2 {
+	if n, by := h.tasksByRack("run-000001"); n != 2 {
 		t.Errorf("running replicas by machine prefix under the next leader: %v, want 2 in all", by)
 	}
 }
 
 // Checks that the survive and near constraints of all jobs hold during random submissions, cancellations, silent machines
 // and racks, and failovers. It uses 200 seeds and checks the tasks that the workers run.
-func TestBoundsHoldWhateverHappens(t *testing.T) {
+func TestTopologyConstraintsHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 14))
-		racks := newRackHarness(t, 2+rng.IntN(3), 2+rng.IntN(3))
-		type asked struct {
+		h := newRackHarness(t, 2+rng.IntN(3), 2+rng.IntN(3))
+		type submittedJob struct {
 			id         string
 			tasks      int
 			near, gang bool
 			most       int
 		}
-		var jobs []asked
+		var jobs []submittedJob
 		for step := range 40 {
 			switch rng.IntN(6) {
 			case 0, 1:
-				x := asked{id: fmt.Sprintf("run-%06d", step), tasks: 1 + rng.IntN(6), near: rng.IntN(2) == 0, gang: rng.IntN(3) == 0}
+				x := submittedJob{id: fmt.Sprintf("run-%06d", step), tasks: 1 + rng.IntN(6), near: rng.IntN(2) == 0, gang: rng.IntN(3) == 0}
 				change := func(submission *api.Submission) {
 					submission.Shape = []string{api.Service, api.JobArray}[rng.IntN(2)]
 					submission.Rank = []string{"low", "normal", "high", "prod"}[rng.IntN(4)]
@@ -497,31 +497,31 @@
 						submission.Survive = &api.Survive{Level: "rack", AtMost: x.most, Must: true}
 					}
 				}
-				racks.submit(x.id, x.tasks, change)
+				h.submit(x.id, x.tasks, change)
 				jobs = append(jobs, x)
 			case 2:
-				racks.quiet[racks.names[rng.IntN(len(racks.names))]] = 1 + rng.IntN(8)
+				h.silentRounds[h.names[rng.IntN(len(h.names))]] = 1 + rng.IntN(8)
 			case 3:
 				// All machines of a rack become silent.
-				rack, _, _ := strings.Cut(racks.names[rng.IntN(len(racks.names))], "-")
-				for _, name := range racks.names {
+				rack, _, _ := strings.Cut(h.names[rng.IntN(len(h.names))], "-")
+				for _, name := range h.names {
 					if strings.HasPrefix(name, rack+"-") {
-						racks.quiet[name] = 2 + rng.IntN(6)
+						h.silentRounds[name] = 2 + rng.IntN(6)
 					}
 				}
 			case 4:
-				racks.elect()
-				racks.read = 0
+				h.elect()
+				h.executedResponses = 0
 			case 5:
 				if len(jobs) > 0 {
 					id := jobs[rng.IntN(len(jobs))].id
-					racks.Cancel(cancelledContext(), id)
-					racks.commit()
+					h.Cancel(cancelledContext(), id)
+					h.commit()
 				}
 			}
-			racks.round()
+			h.round()
 			for _, x := range jobs {
-				_, by := racks.tasksByRack(x.id)
+				_, by := h.tasksByRack(x.id)
 				for r, k := range by {
 					if x.most > 0 && k > x.most {
 						t.Fatalf("seed %d step %d: %s has %d replicas in %s, want at most %d", seed, step, x.id, k, r, x.most)
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -20,21 +20,21 @@
 	h.Place()
 	h.commit()
 	h.CommandsAnswered("a1", h.sent[0].response, nil, true)
-	var run []api.TaskReport
+	var runningTasks []api.TaskReport
 	for i := range 2 {
-		run = append(run, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	}
-	h.heartbeat("a1", 1, run...)
+	h.heartbeat("a1", 1, runningTasks...)
 	h.sent = nil
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	h.Place()
 	h.commit()
 	var cmds []api.Command
-	for _, o := range h.sent {
-		cmds = append(cmds, o.response.Commands...)
+	for _, response := range h.sent {
+		cmds = append(cmds, response.response.Commands...)
 	}
-	o := h.heartbeat("a1", 1, run...)
-	cmds = append(cmds, o.Commands...)
+	response := h.heartbeat("a1", 1, runningTasks...)
+	cmds = append(cmds, response.Commands...)
 	kill, start := -1, -1
 	for i, c := range cmds {
 		if c.Verb == api.CommandKill && kill < 0 {
@@ -63,14 +63,14 @@
 	h.Place()
 	h.commit()
 	h.answerCommands()
-	var run []api.TaskReport
+	var runningTasks []api.TaskReport
 	for i := range 2 {
 		k := taskKey("run-000001", i)
-		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	}
-	h.heartbeat("a1", 1, run[0])
+	h.heartbeat("a1", 1, runningTasks[0])
 	h.clock.Advance(5 * time.Second)
-	h.heartbeat("a1", 1, run...)
+	h.heartbeat("a1", 1, runningTasks...)
 	job := h.jobs["run-000001"]
 	older, younger := job.allocations[0], job.allocations[1]
 	if h.preemptionLoss(older) <= h.preemptionLoss(younger) {
@@ -108,7 +108,7 @@
 
 // Checks that the candidate heap returns candidates with the same scores as an exhaustive search of the fleet for each
 // task.
-func TestCandidatesAgreeWithPlainSearch(t *testing.T) {
+func TestCandidateHeapAgreesWithExhaustiveSearch(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
 		h := newHarness(t)
@@ -129,29 +129,29 @@
 		}
 		h.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
 		job := h.jobs["run-900000"]
-		opts := h.candidates(job, h.sortedMachines())
+		candidates := h.candidates(job, h.sortedMachines())
 		for {
-			plain := math.Inf(1)
+			exhaustiveScore := math.Inf(1)
 			for _, machine := range h.sortedMachines() {
 				if x, ok := h.candidateOn(job, machine); ok {
-					plain = math.Min(plain, x.score)
+					exhaustiveScore = math.Min(exhaustiveScore, x.score)
 				}
 			}
-			x, ok := h.bestCandidate(job, opts)
+			x, ok := h.bestCandidate(job, candidates)
 			if !ok || len(job.pending) == 0 {
-				if !math.IsInf(plain, 1) && len(job.pending) > 0 {
-					t.Fatalf("seed %d: no candidate found, an exhaustive search finds score %v", seed, plain)
+				if !math.IsInf(exhaustiveScore, 1) && len(job.pending) > 0 {
+					t.Fatalf("seed %d: no candidate found, an exhaustive search finds score %v", seed, exhaustiveScore)
 				}
 				break
 			}
-			if x.score != plain {
-				t.Fatalf("seed %d: found score %v, an exhaustive search finds %v", seed, x.score, plain)
+			if x.score != exhaustiveScore {
+				t.Fatalf("seed %d: found score %v, an exhaustive search finds %v", seed, x.score, exhaustiveScore)
 			}
 			task := int(job.pending[0])
 			job.pending = job.pending[1:]
 			h.preemptVictims(x.victims, job)
 			h.startTask(job, task, x.machine, append(x.stopping, x.victims...), "preempting")
-			h.pushCandidate(job, x.machine, opts)
+			h.pushCandidate(job, x.machine, candidates)
 		}
 		if len(job.allocations) == 0 {
 			t.Fatalf("seed %d: no task was started", seed)
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -36,11 +36,11 @@
 	h.Place()
 	h.commit()
 	h.answerCommands()
-	var run []api.TaskReport
+	var runningTasks []api.TaskReport
 	for _, k := range []string{"run-000001/0", "run-000002/0"} {
-		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	}
-	h.heartbeat("a1", 1, run...)
+	h.heartbeat("a1", 1, runningTasks...)
 	h.submit("run-000003", 2, func(x *api.Submission) { x.Team = "sure" })
 	h.Place()
 	if h.jobs["run-000001"].allocations[0].stopping {
@@ -48,7 +48,7 @@
 	}
 	for range 7 {
 		h.clock.Advance(time.Second)
-		h.heartbeat("a1", 1, run...)
+		h.heartbeat("a1", 1, runningTasks...)
 	}
 	h.Place()
 	if !h.jobs["run-000001"].allocations[0].stopping || len(h.jobs["run-000003"].allocations) != 1 {
@@ -97,15 +97,15 @@
 	h.Place()
 	h.commit()
 	h.answerCommands()
-	var run []api.TaskReport
+	var runningTasks []api.TaskReport
 	for i := range 2 {
 		k := taskKey("run-000001", i)
-		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	}
 	h.submit("run-000002", 2, func(x *api.Submission) { x.Team = "sure" })
 	for range 12 {
 		h.clock.Advance(time.Second)
-		h.heartbeat("a1", 1, run...)
+		h.heartbeat("a1", 1, runningTasks...)
 		h.Place()
 		h.commit()
 	}
@@ -119,7 +119,7 @@
 // Checks what happens when a team's limit is lowered below its usage: no new tasks start, and running tasks continue or,
 // if the configuration says so, are stopped, the lowest rank first. Explain returns why other jobs wait, and a job that
 // can never start within the limit is kept.
-func TestLimitSinksBelowWhatRuns(t *testing.T) {
+func TestLimitLoweredBelowUsage(t *testing.T) {
 	for _, stop := range []bool{false, true} {
 		h := newHarness(t)
 		h.configuration = configured(t, oneTeam("40"))
@@ -171,7 +171,7 @@
 
 // Checks that a task whose start command was not answered is not stopped for a limit before a worker reports it.
 // Otherwise nothing could confirm that it is gone, and it would count towards the limit for the rest of the term.
-func TestStartsUnderWayAreNotStoppedForALimit(t *testing.T) {
+func TestUnansweredStartsAreNotStoppedForALimit(t *testing.T) {
 	h := newHarness(t)
 	h.configuration = configured(t, oneTeam("40"))
 	h.heartbeat("a1", 1)
@@ -207,18 +207,18 @@
 
 // Checks that the function returned by ApplyConfiguration counts the starts that were decided before the change until
 // they are stored.
-func TestUndecidedStartsAreCounted(t *testing.T) {
+func TestUnstoredStartsAreCounted(t *testing.T) {
 	h := newHarness(t)
 	h.configuration = configured(t, oneTeam("40"))
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, func(x *api.Submission) { smallJob(x); x.Team, x.CPUs = "t", 1 })
 	h.Place()
-	undecided := h.ApplyConfiguration(configured(t, oneTeam("2")))
-	if n := undecided(); n != 2 {
+	unstoredStarts := h.ApplyConfiguration(configured(t, oneTeam("2")))
+	if n := unstoredStarts(); n != 2 {
 		t.Fatalf("%d starts are not stored, want 2", n)
 	}
 	h.commit()
-	if n := undecided(); n != 0 {
+	if n := unstoredStarts(); n != 0 {
 		t.Errorf("%d starts are not stored after the commit, want 0", n)
 	}
 }
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -44,7 +44,7 @@
 func (h *partitionHarness) agentHeartbeatThroughPeer(agent *fakeAgent) api.StageOrder {
 	h.Helper()
 	agent.seq++
-	r := agent.stageReport()
+	r := agent.heartbeat()
 	o, err := h.proxy.HandleHeartbeat(r, h.term)
 	if err != nil {
 		h.Fatalf("heartbeat of %s failed: %v", agent.name, err)
@@ -69,13 +69,13 @@
 func TestInputsAreStagedAcrossPartition(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
-	agent := &fakeAgent{name: "a1", held: roaring.New()}
+	agent := &fakeAgent{name: "a1", heldParts: roaring.New()}
 	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.exchangePackets()
 	h.agentHeartbeatThroughPeer(agent)
-	if got := agent.copies(); !slices.Equal(got, []int{0, 1}) {
+	if got := agent.orderedCopies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
 	}
 	agent.finishCopies()
@@ -89,7 +89,7 @@
 		t.Fatal("a task did not start although its inputs are staged")
 	}
 	// An outdated heartbeat must be ignored.
-	late := agent.stageReport()
+	late := agent.heartbeat()
 	late.Seq, late.Pinned = 1, nil
 	h.HandleRelayedStageHeartbeat("y", late)
 	if !h.datasets.planner.Confirmed("a1", inventory, 0) {
@@ -108,7 +108,7 @@
 func TestFailoverDuringRelayedStaging(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
-	agent := &fakeAgent{name: "a1", held: roaring.BitmapOf(0), version: 3}
+	agent := &fakeAgent{name: "a1", heldParts: roaring.BitmapOf(0), version: 3}
 	h.agentHeartbeatThroughPeer(agent)
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	for range 3 {
@@ -117,21 +117,21 @@
 	}
 	h.exchangePackets()
 	starts := h.starts("run-000001/0")
-	if len(starts) != 1 || !agent.wants(0) || agent.known != 3 {
+	if len(starts) != 1 || !agent.mustKeep(0) || agent.known != 3 {
 		t.Fatalf("%d starts, order %+v, known %d", len(starts), agent.sets, agent.known)
 	}
 	old := h.term
 	h.reelect()
 	h.follow()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
-	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.wants(0) {
+	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.mustKeep(0) {
 		t.Fatalf("the peer returned the order %+v, want one with number 0", o)
 	}
 	h.exchangePackets()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	h.exchangePackets()
 	h.agentHeartbeatThroughPeer(agent)
-	if agent.term != h.term || agent.term == old || !agent.wants(0) {
+	if agent.term != h.term || agent.term == old || !agent.mustKeep(0) {
 		t.Fatalf("the new leader's order: term %d of %d, %+v", agent.term, h.term, agent.sets)
 	}
 	id, _ := h.datasets.planner.ID("a1")
@@ -153,12 +153,12 @@
 	h.AddDatasets(sets...)
 	var all []*fakeAgent
 	for i := range 1000 {
-		agent := &fakeAgent{name: fmt.Sprintf("b%04d", i), held: roaring.BitmapOf(uint32(i % 8)), version: 1}
+		agent := &fakeAgent{name: fmt.Sprintf("b%04d", i), heldParts: roaring.BitmapOf(uint32(i % 8)), version: 1}
 		all = append(all, agent)
 		h.workerHeartbeat(agent.name)
 		h.agentHeartbeatThroughPeer(agent)
 	}
-	full := all[0].stageReport()
+	full := all[0].heartbeat()
 	for _, d := range sets {
 		full.Holds = append(full.Holds, api.StageHeld{Dataset: d.Name, Manifest: d.Manifest.String(), Of: d.Parts, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
 	}
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -8,22 +8,23 @@
 	"switchferry/api"
 )
 
-// flood runs the scheduler under a continuous backlog of small jobs, whose tasks have an estimate of 20 s, until the time
-// most has passed or stop returns true. It returns the time after which the job with the given ID first had an allocation
-// (for a gang, allocations of all tasks) or was no longer known; negative if neither happened.
-func (h *harness) flood(machines int, id string, most time.Duration, small func(*api.Submission), stop func() bool) (began time.Duration) {
-	from := h.clock.Now()
+// runUnderLoad runs the scheduler under a continuous backlog of small jobs, whose tasks have an estimate of 20 s, until
+// the timeout has passed or stop returns true. Modify changes each of these jobs. The result is the time after which the
+// job with the given ID first had an allocation (for a gang, allocations of all tasks) or was no longer known. It is
+// negative if neither happened.
+func (h *harness) runUnderLoad(machines int, id string, timeout time.Duration, modify func(*api.Submission), stop func() bool) (startedAfter time.Duration) {
+	start := h.clock.Now()
 	type run struct {
 		key     string
 		attempt uint64
 		ends    time.Time
 	}
-	runningOn := map[string][]run{}
-	for began = -1; h.clock.Since(from) < most && !stop(); {
+	runningTasks := map[string][]run{}
+	for startedAfter = -1; h.clock.Since(start) < timeout && !stop(); {
 		for h.waiting("s") < 20*machines {
 			h.submit(fmt.Sprintf("run-%06d", 1000+h.nextSeq("jobs")), 3, func(x *api.Submission) {
 				x.Class, x.CPUs, x.MemoryGB, x.EstimateS, x.DeadlineS = "s", 1, 1, 20, 120
-				small(x)
+				modify(x)
 			})
 		}
 		h.Place()
@@ -33,31 +34,31 @@
 			o := h.sent[h.answered]
 			for _, c := range o.response.Commands {
 				if c.Verb == api.CommandRun {
-					runningOn[o.machine] = append(runningOn[o.machine], run{c.Task, c.Attempt, h.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
+					runningTasks[o.machine] = append(runningTasks[o.machine], run{c.Task, c.Attempt, h.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
 				}
 			}
 			h.CommandsAnswered(o.machine, o.response, nil, true)
 		}
 		h.clock.Advance(500 * time.Millisecond)
 		for i := range machines {
-			m, keep := fmt.Sprintf("a%d", i), []run(nil)
-			var all []api.TaskReport
-			for _, r := range runningOn[m] {
+			m, remaining := fmt.Sprintf("a%d", i), []run(nil)
+			var reports []api.TaskReport
+			for _, r := range runningTasks[m] {
 				if h.clock.Now().After(r.ends) {
-					all = append(all, taskReport(r.key, r.attempt, api.TaskExited, api.CauseDone))
+					reports = append(reports, taskReport(r.key, r.attempt, api.TaskExited, api.CauseDone))
 				} else {
-					keep = append(keep, r)
-					all = append(all, taskReport(r.key, r.attempt, api.TaskRunning, ""))
+					remaining = append(remaining, r)
+					reports = append(reports, taskReport(r.key, r.attempt, api.TaskRunning, ""))
 				}
 			}
-			runningOn[m] = keep
-			h.heartbeat(m, 1, all...)
+			runningTasks[m] = remaining
+			h.heartbeat(m, 1, reports...)
 		}
-		if job := h.jobs[id]; began < 0 && (job == nil || len(job.allocations) > 0 && (job.Job.Shape != api.Gang || len(job.allocations) == job.taskCount)) {
-			began = h.clock.Since(from)
+		if job := h.jobs[id]; startedAfter < 0 && (job == nil || len(job.allocations) > 0 && (job.Job.Shape != api.Gang || len(job.allocations) == job.taskCount)) {
+			startedAfter = h.clock.Since(start)
 		}
 	}
-	return began
+	return startedAfter
 }
 
 // waiting returns the number of pending and queued tasks of a class.
@@ -74,7 +75,7 @@
 // acceptable to users: jobs that need a whole machine or many machines at once, large late jobs, and jobs of rank low.
 // Without reservations and ageing they never started, because smaller tasks used all resources as soon as they became
 // free, and jobs that could still meet their deadlines were ordered first.
-func TestNobodyStarves(t *testing.T) {
+func TestAllJobsStartUnderContinuousLoad(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		job  func(*api.Submission)
@@ -92,9 +93,9 @@
 		for i := range 6 {
 			h.heartbeat(fmt.Sprintf("a%d", i), 1)
 		}
-		h.flood(6, "", 40*time.Second, c.small, func() bool { return false })
+		h.runUnderLoad(6, "", 40*time.Second, c.small, func() bool { return false })
 		h.submit("run-000001", c.tasks, func(x *api.Submission) { x.Class, x.EstimateS, x.MemoryGB = "l", 60, 1; c.job(x) })
-		at := h.flood(6, "run-000001", 300*time.Second, c.small, func() bool { j := h.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
+		at := h.runUnderLoad(6, "run-000001", 300*time.Second, c.small, func() bool { j := h.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
 		if at < 0 || at > 240*time.Second {
 			t.Errorf("%s: started after %v, want at most 4m0s", c.name, at)
 		}
