--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -35,7 +35,7 @@
 	}
 	drainedAt := s.now().Add(time.Duration(delayMS) * time.Millisecond)
 	if s.topology.reservations.Reserve(s.now(), topology.Reservation{Job: job.id, Rank: job.rank, Domain: domain, At: drainedAt}) {
-		job.reservedDomain = fmt.Sprintf("%s %q is kept for it until it drains", domain.Level, domain.Name)
+		job.reservedDomain = fmt.Sprintf("%s %q is reserved for the job until it drains", domain.Level, domain.Name)
 	}
 	return job.reservedDomain
 }
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -59,8 +59,8 @@
 	fromStore bool
 	// spreadSeconds is the time in seconds that the sources need to deliver the task's own parts to one more machine.
 	spreadSeconds float64
-	// inFlight maps each machine to which the task's part is being copied to the bytes still to be transferred. It is
-	// nil if the task needs more than one part.
+	// inFlight holds the bytes still to be transferred to each machine to which the task's part is being copied. It is
+	// nil unless that part is the only input of the task.
 	inFlight map[replicas.MachineID]float64
 }
 
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -192,7 +192,7 @@
 	}
 	for _, id := range []string{"run-000003", "run-000004"} {
 		x, ok := h.Explain(id)
-		if text := strings.Join(x.Why, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is kept for it until it drains") {
+		if text := strings.Join(x.Why, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is reserved for the job until it drains") {
 			t.Errorf("%s: %+v", id, x)
 		}
 	}
@@ -313,7 +313,7 @@
 	})
 	h.round()
 	h.round()
-	if why := h.jobs["run-000003"].waitReason; !strings.Contains(why, "is kept for it") {
+	if why := h.jobs["run-000003"].waitReason; !strings.Contains(why, "is reserved for the job") {
 		t.Fatalf("wait reason %q", why)
 	}
 	// Half of the tasks in the rack exit while a job with a long estimate waits for resources.
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -105,9 +105,9 @@
 	limit, ok := active.Limit(job.Job.Team)
 	switch {
 	case !ok:
-		return fmt.Sprintf("team %s is not in the configuration any more (revision %d); it waits until a team of this name is", job.Job.Team, active.Revision)
+		return fmt.Sprintf("team %s is not in the configuration any more (revision %d); the job waits until a team of this name is configured", job.Job.Team, active.Revision)
 	case !limit.Allows(feasibility.ConcurrentRequest(&job.Job)):
-		return fmt.Sprintf("it needs more at once than the limit of team %s allows since revision %d; it waits until that is raised", job.Job.Team, active.Revision)
+		return fmt.Sprintf("the job needs more at once than the limit of team %s allows since revision %d; it waits until the limit is raised", job.Job.Team, active.Revision)
 	}
-	return fmt.Sprintf("team %s has as much as its limit allows", job.Job.Team)
+	return fmt.Sprintf("team %s uses as much as its limit allows", job.Job.Team)
 }
