--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -47,18 +47,18 @@
 		h.machines[[]string{"a1", "a2"}[i]].enqueue(job, job.pending)
 		job.pending, job.queued = nil, 1
 	}
-	var ended []api.TaskReport
+	var reports []api.TaskReport
 	for _, r := range h.machines["a2"].Attempts {
-		ended = append(ended, taskReport(r.Task, r.Attempt, api.TaskExited, api.CauseDone))
+		reports = append(reports, taskReport(r.Task, r.Attempt, api.TaskExited, api.CauseDone))
 		break
 	}
 	for _, r := range h.machines["a2"].Attempts {
-		if r.Task != ended[0].Task {
-			ended = append(ended, r)
+		if r.Task != reports[0].Task {
+			reports = append(reports, r)
 		}
 	}
 	h.again("a1")
-	h.heartbeat("a2", 1, ended...)
+	h.heartbeat("a2", 1, reports...)
 	h.Place()
 	if alloc := h.jobs["run-000002"].allocations[0]; alloc == nil || alloc.machine.Name != "a2" {
 		t.Errorf("the earlier job did not start on the machine with free resources: %+v", alloc)
@@ -73,12 +73,12 @@
 func TestSmallerJobGoesFirstAtEqualUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
-	due := func(d float64) func(*api.Submission) {
+	withDeadline := func(d float64) func(*api.Submission) {
 		return func(x *api.Submission) { x.DeadlineS = d }
 	}
-	h.submit("run-000001", 30, due(4000))
-	h.submit("run-000002", 2, due(4000))
-	h.submit("run-000003", 30, due(400))
+	h.submit("run-000001", 30, withDeadline(4000))
+	h.submit("run-000002", 2, withDeadline(4000))
+	h.submit("run-000003", 30, withDeadline(400))
 	h.submit("run-000004", api.MaxTasks, func(x *api.Submission) { x.DeadlineS, x.EstimateS = 1e15, 1e14 })
 	h.sortQueues()
 	var got []string
@@ -95,14 +95,14 @@
 func TestLateJobIsOrderedByNextObjective(t *testing.T) {
 	h := newHarness(t)
 	h.deadlineMultiples["c"] = []float64{2}
-	due := func(x *api.Submission) { x.DeadlineS = 60 }
-	h.submit("run-000001", 1, due)
+	withDeadline := func(x *api.Submission) { x.DeadlineS = 60 }
+	h.submit("run-000001", 1, withDeadline)
 	job := h.jobs["run-000001"]
-	at := func(after float64) int64 {
+	latestStartAfter := func(after float64) int64 {
 		return h.latestStart(job, job.AcceptedAt+int64(after*1000)) - job.AcceptedAt
 	}
-	if at(0) != 30_000 || at(31) != 90_000 || at(91) != math.MaxInt64-job.AcceptedAt {
-		t.Errorf("latest starts %d, %d, %d", at(0), at(31), at(91))
+	if latestStartAfter(0) != 30_000 || latestStartAfter(31) != 90_000 || latestStartAfter(91) != math.MaxInt64-job.AcceptedAt {
+		t.Errorf("latest starts %d, %d, %d", latestStartAfter(0), latestStartAfter(31), latestStartAfter(91))
 	}
 }
 
--- a/scheduler/placement_round_test.go
+++ b/scheduler/placement_round_test.go
@@ -76,9 +76,9 @@
 	h.machines["a1"].enqueue(job, job.pending)
 	job.pending, job.queued = nil, 2
 	h.submit("run-000002", 1, func(x *api.Submission) { x.CPUs, x.Image = 4, "other" })
-	k := h.jobs["run-000002"]
-	k.pending = nil
-	h.allocate(k, 0, h.machines["a1"], 1)
+	otherJob := h.jobs["run-000002"]
+	otherJob.pending = nil
+	h.allocate(otherJob, 0, h.machines["a1"], 1)
 	h.allocate(job, 1, h.machines["a2"], 2)
 	job.queued, h.machines["a1"].queues[0].tasks = 1, []int32{0}
 	if !h.worthPulling(job, h.machines["a2"]) {
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -134,8 +134,8 @@
 	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
 	h.round()
 	h.round()
-	if n, by := h.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 || by["a2"] != 1 {
-		t.Fatalf("running replicas by rack: %v, want one in each", by)
+	if n, byRack := h.tasksByRack("run-000001"); n != 2 || byRack["a1"] != 1 || byRack["a2"] != 1 {
+		t.Fatalf("running replicas by rack: %v, want one in each", byRack)
 	}
 	var silent string
 	for _, name := range h.names {
@@ -148,16 +148,16 @@
 	h.executedResponses = 0
 	for range 8 {
 		h.round()
-		if n, by := h.tasksByRack("run-000001"); n != 2 {
-			t.Fatalf("running replicas by rack: %v while %s may still run one, want 2 in all", by, silent)
+		if n, byRack := h.tasksByRack("run-000001"); n != 2 {
+			t.Fatalf("running replicas by rack: %v while %s may still run one, want 2 in all", byRack, silent)
 		}
 	}
 	h.InstancesReleased([]string{silent}, nil)
 	h.runningTasks[silent] = map[string]uint64{}
 	h.round()
 	h.round()
-	if n, by := h.tasksByRack("run-000001"); n != 2 || by["a1"] != 1 {
-		t.Errorf("the replica was not replaced, running replicas by rack: %v", by)
+	if n, byRack := h.tasksByRack("run-000001"); n != 2 || byRack["a1"] != 1 {
+		t.Errorf("the replica was not replaced, running replicas by rack: %v", byRack)
 	}
 }
 
@@ -170,19 +170,19 @@
 	h.submit("run-000001", 1, service(nil))
 	h.round()
 	h.round()
-	_, by := h.tasksByRack("run-000001")
+	_, otherByRack := h.tasksByRack("run-000001")
 	gang := func(submission *api.Submission) {
 		submission.Shape, submission.Near, submission.CPUs = api.Gang, near, 4
 	}
 	h.submit("run-000002", 3, gang)
 	h.round()
 	h.round()
-	n, at := h.tasksByRack("run-000002")
-	if n != 3 || at["a1"] != 3 && at["a2"] != 3 {
-		t.Fatalf("running tasks of a gang of three by rack: %v, want all in one rack", at)
+	n, byRack := h.tasksByRack("run-000002")
+	if n != 3 || byRack["a1"] != 3 && byRack["a2"] != 3 {
+		t.Fatalf("running tasks of a gang of three by rack: %v, want all in one rack", byRack)
 	}
-	if at["a1"] > 0 != (by["a1"] > 0) {
-		t.Errorf("the gang was placed in the empty rack: %v, other tasks %v", at, by)
+	if byRack["a1"] > 0 != (otherByRack["a1"] > 0) {
+		t.Errorf("the gang was placed in the empty rack: %v, other tasks %v", byRack, otherByRack)
 	}
 	h.submit("run-000003", 4, gang)
 	h.submit("run-000004", 4, gang)
@@ -199,10 +199,10 @@
 	if v := h.Topology(); len(v.Domains) != 3 || v.Domains[1].In != "s1" || len(v.Waiting) != 1 {
 		t.Errorf("%+v", v)
 	}
-	three, _ := h.tasksByRack("run-000003")
-	four, _ := h.tasksByRack("run-000004")
-	if three+four != 4 || three*four != 0 {
-		t.Fatalf("%d and %d tasks of two gangs of four run, want exactly one gang complete", three, four)
+	tasksOfThird, _ := h.tasksByRack("run-000003")
+	tasksOfFourth, _ := h.tasksByRack("run-000004")
+	if tasksOfThird+tasksOfFourth != 4 || tasksOfThird*tasksOfFourth != 0 {
+		t.Fatalf("%d and %d tasks of two gangs of four run, want exactly one gang complete", tasksOfThird, tasksOfFourth)
 	}
 	if h.jobs["run-000004"].waitReason == "" && h.jobs["run-000003"].waitReason == "" {
 		t.Error("the waiting gang has no wait reason")
@@ -224,10 +224,10 @@
 		h.submit("run-000002", 4, nil)
 		h.round()
 		h.round()
-		_, old := h.tasksByRack("run-000001")
-		_, young := h.tasksByRack("run-000002")
-		if len(old) != 1 || len(young) != 1 {
-			t.Fatalf("%v, %v", old, young)
+		_, olderByRack := h.tasksByRack("run-000001")
+		_, youngerByRack := h.tasksByRack("run-000002")
+		if len(olderByRack) != 1 || len(youngerByRack) != 1 {
+			t.Fatalf("%v, %v", olderByRack, youngerByRack)
 		}
 		// No rack has the resources for nine tasks.
 		h.submit("run-000003", 9, func(submission *api.Submission) {
@@ -247,10 +247,10 @@
 		for range 4 {
 			h.round()
 		}
-		n, at := h.tasksByRack("run-000004")
+		n, byRack := h.tasksByRack("run-000004")
 		kept, _ := h.tasksByRack("run-000001")
-		if n != 4 || len(at) != 1 || kept != 4 {
-			t.Errorf("%s: %d of 4 tasks run, by rack %v; %d of 4 tasks of the older job run", shape, n, at, kept)
+		if n != 4 || len(byRack) != 1 || kept != 4 {
+			t.Errorf("%s: %d of 4 tasks run, by rack %v; %d of 4 tasks of the older job run", shape, n, byRack, kept)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	h.submit("run-000001", 4, short)
 	h.round()
 	h.round()
-	_, at := h.tasksByRack("run-000001")
+	_, drainedByRack := h.tasksByRack("run-000001")
 	h.submit("run-000002", 4, long)
 	h.round()
 	h.round()
@@ -330,8 +330,8 @@
 	for range 4 {
 		h.round()
 	}
-	if n, by := h.tasksByRack("run-000004"); n != 0 {
-		t.Fatalf("tasks that do not end before the reservation run in the racks %v", by)
+	if n, byRack := h.tasksByRack("run-000004"); n != 0 {
+		t.Fatalf("tasks that do not end before the reservation run in the racks %v", byRack)
 	}
 	for _, name := range h.names {
 		for key := range h.runningTasks[name] {
@@ -343,8 +343,8 @@
 	for range 4 {
 		h.round()
 	}
-	if n, by := h.tasksByRack("run-000003"); n != 4 || len(by) != 1 || by["a1"] != at["a1"] {
-		t.Errorf("%d of 4 tasks run, by rack %v, want all in the drained rack of %v", n, by, at)
+	if n, byRack := h.tasksByRack("run-000003"); n != 4 || len(byRack) != 1 || byRack["a1"] != drainedByRack["a1"] {
+		t.Errorf("%d of 4 tasks run, by rack %v, want all in the drained rack of %v", n, byRack, drainedByRack)
 	}
 }
 
@@ -364,8 +364,8 @@
 		h.round()
 		h.InstancesReleased(h.MaintainFleet(), nil)
 	}
-	if n, by := h.tasksByRack("run-000001"); n != 2 || by["a2"] != 1 || by["a3"] != 1 {
-		t.Fatalf("running replicas by rack: %v, want one each in a2 and a3", by)
+	if n, byRack := h.tasksByRack("run-000001"); n != 2 || byRack["a2"] != 1 || byRack["a3"] != 1 {
+		t.Fatalf("running replicas by rack: %v, want one each in a2 and a3", byRack)
 	}
 	if x, _ := h.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
 		t.Errorf("%+v", x)
@@ -375,8 +375,8 @@
 	for range 3 {
 		h.round()
 	}
-	if n, by := h.tasksByRack("run-000001"); n != 3 || by["a1"] != 1 {
-		t.Errorf("the waiting replica did not start, running replicas by rack: %v", by)
+	if n, byRack := h.tasksByRack("run-000001"); n != 3 || byRack["a1"] != 1 {
+		t.Errorf("the waiting replica did not start, running replicas by rack: %v", byRack)
 	}
 }
 
@@ -410,8 +410,8 @@
 			}
 			h.InstancesReleased(gone, nil)
 			released = append(released, gone...)
-			if n, by := h.tasksByRack("run-000002"); i < 8 && by["a1"] > 0 {
-				t.Fatalf("%d of %d tasks were placed in a silent rack", by["a1"], n)
+			if n, byRack := h.tasksByRack("run-000002"); i < 8 && byRack["a1"] > 0 {
+				t.Fatalf("%d of %d tasks were placed in a silent rack", byRack["a1"], n)
 			}
 			if i < 8 && len(released) > 0 {
 				t.Fatalf("%v were released within a lease", released)
@@ -425,12 +425,12 @@
 				}
 			}
 		}
-		_, by := h.tasksByRack("run-000001")
+		_, byRack := h.tasksByRack("run-000001")
 		switch {
-		case returns && (restarts > 0 || len(released) > 0 || by["a1"] != 3):
-			t.Errorf("a rack that returned caused %d restarts and %d releases; running replicas by rack: %v", restarts, len(released), by)
-		case !returns && (len(released) != 3 || by["a2"] != 3 || by["a3"] != 3):
-			t.Errorf("released %v, running replicas by rack: %v", released, by)
+		case returns && (restarts > 0 || len(released) > 0 || byRack["a1"] != 3):
+			t.Errorf("a rack that returned caused %d restarts and %d releases; running replicas by rack: %v", restarts, len(released), byRack)
+		case !returns && (len(released) != 3 || byRack["a2"] != 3 || byRack["a3"] != 3):
+			t.Errorf("released %v, running replicas by rack: %v", released, byRack)
 		}
 	}
 }
@@ -451,16 +451,16 @@
 	for range 4 {
 		h.round()
 	}
-	if n, by := h.tasksByRack("run-000001"); n != 2 {
-		t.Errorf("running replicas by machine prefix: %v, want 2 in all", by)
+	if n, byRack := h.tasksByRack("run-000001"); n != 2 {
+		t.Errorf("running replicas by machine prefix: %v, want 2 in all", byRack)
 	}
 	h.elect()
 	h.executedResponses = 0
 	for range 4 {
 		h.round()
 	}
-	if n, by := h.tasksByRack("run-000001"); n != 2 {
-		t.Errorf("running replicas by machine prefix under the next leader: %v, want 2 in all", by)
+	if n, byRack := h.tasksByRack("run-000001"); n != 2 {
+		t.Errorf("running replicas by machine prefix under the next leader: %v, want 2 in all", byRack)
 	}
 }
 
@@ -521,14 +521,14 @@
 			}
 			h.round()
 			for _, x := range jobs {
-				_, by := h.tasksByRack(x.id)
-				for r, k := range by {
+				_, byRack := h.tasksByRack(x.id)
+				for r, k := range byRack {
 					if x.most > 0 && k > x.most {
 						t.Fatalf("seed %d step %d: %s has %d replicas in %s, want at most %d", seed, step, x.id, k, r, x.most)
 					}
 				}
-				if x.near && len(by) > 1 {
-					t.Fatalf("seed %d step %d: %s runs in several racks: %v", seed, step, x.id, by)
+				if x.near && len(byRack) > 1 {
+					t.Fatalf("seed %d step %d: %s runs in several racks: %v", seed, step, x.id, byRack)
 				}
 			}
 		}
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -89,9 +89,9 @@
 		t.Fatal("a task did not start although its inputs are staged")
 	}
 	// An outdated heartbeat must be ignored.
-	late := agent.heartbeat()
-	late.Seq, late.Pinned = 1, nil
-	h.HandleRelayedStageHeartbeat("y", late)
+	outdated := agent.heartbeat()
+	outdated.Seq, outdated.Pinned = 1, nil
+	h.HandleRelayedStageHeartbeat("y", outdated)
 	if !h.datasets.planner.Confirmed("a1", inventory, 0) {
 		t.Error("an outdated heartbeat revoked the confirmation of an input")
 	}
@@ -120,7 +120,7 @@
 	if len(starts) != 1 || !agent.mustKeep(0) || agent.known != 3 {
 		t.Fatalf("%d starts, order %+v, known %d", len(starts), agent.sets, agent.known)
 	}
-	old := h.term
+	oldTerm := h.term
 	h.reelect()
 	h.follow()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
@@ -131,7 +131,7 @@
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	h.exchangePackets()
 	h.agentHeartbeatThroughPeer(agent)
-	if agent.term != h.term || agent.term == old || !agent.mustKeep(0) {
+	if agent.term != h.term || agent.term == oldTerm || !agent.mustKeep(0) {
 		t.Fatalf("the new leader's order: term %d of %d, %+v", agent.term, h.term, agent.sets)
 	}
 	id, _ := h.datasets.planner.ID("a1")
@@ -151,26 +151,26 @@
 		sets = append(sets, &d)
 	}
 	h.AddDatasets(sets...)
-	var all []*fakeAgent
+	var agents []*fakeAgent
 	for i := range 1000 {
 		agent := &fakeAgent{name: fmt.Sprintf("b%04d", i), heldParts: roaring.BitmapOf(uint32(i % 8)), version: 1}
-		all = append(all, agent)
+		agents = append(agents, agent)
 		h.workerHeartbeat(agent.name)
 		h.agentHeartbeatThroughPeer(agent)
 	}
-	full := all[0].heartbeat()
+	largeHeartbeat := agents[0].heartbeat()
 	for _, d := range sets {
-		full.Holds = append(full.Holds, api.StageHeld{Dataset: d.Name, Manifest: d.Manifest.String(), Of: d.Parts, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
+		largeHeartbeat.Holds = append(largeHeartbeat.Holds, api.StageHeld{Dataset: d.Name, Manifest: d.Manifest.String(), Of: d.Parts, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
 	}
-	all[0].seq++
-	full.Seq = all[0].seq
-	if _, err := h.proxy.HandleHeartbeat(full, h.term); err != nil {
+	agents[0].seq++
+	largeHeartbeat.Seq = agents[0].seq
+	if _, err := h.proxy.HandleHeartbeat(largeHeartbeat, h.term); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
 		h.exchangePackets()
 	}
-	for _, agent := range all {
+	for _, agent := range agents {
 		h.agentHeartbeatThroughPeer(agent)
 		if agent.term != h.term {
 			t.Fatalf("%s has no order of the current term after four exchanges", agent.name)
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -95,9 +95,9 @@
 		}
 		h.runUnderLoad(6, "", 40*time.Second, c.small, func() bool { return false })
 		h.submit("run-000001", c.tasks, func(x *api.Submission) { x.Class, x.EstimateS, x.MemoryGB = "l", 60, 1; c.job(x) })
-		at := h.runUnderLoad(6, "run-000001", 300*time.Second, c.small, func() bool { j := h.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
-		if at < 0 || at > 240*time.Second {
-			t.Errorf("%s: started after %v, want at most 4m0s", c.name, at)
+		startedAfter := h.runUnderLoad(6, "run-000001", 300*time.Second, c.small, func() bool { j := h.jobs["run-000001"]; return j == nil || len(j.allocations) > 0 })
+		if startedAfter < 0 || startedAfter > 240*time.Second {
+			t.Errorf("%s: started after %v, want at most 4m0s", c.name, startedAfter)
 		}
 	}
 }
