--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -12,9 +12,9 @@
 	"switchferry/features"
 )
 
-// scatteredReplicas is a leader with so many machines, ten times as many parts of one dataset with
-// three holders each, and a job of 1,000 tasks. In kind "groups" the tasks' parts lie on 64
-// triples of machines, in kind "scattered" each on its own.
+// scatteredReplicas returns a leader with the given number of machines, a dataset with ten times as many parts and three
+// holders for each part, and a job of 1,000 tasks. With kind "groups" the parts of the tasks are held by 64 triples of
+// machines, with kind "scattered" each part is held by a random triple.
 func scatteredReplicas(t *testing.T, machines int, kind string) (*dataHarness, *jobState) {
 	rng := rand.New(rand.NewPCG(11, uint64(machines)))
 	parts := 10 * machines
@@ -22,42 +22,42 @@
 	h := &dataHarness{harness: newHarness(t), place: features.Staged, agents: map[string]*fakeAgent{}}
 	h.enable()
 	h.AddDatasets(&dataset.Entry{Summary: *set})
-	runningOn := make([]*roaring.Bitmap, machines)
-	for i := range runningOn {
-		runningOn[i] = roaring.New()
+	heldParts := make([]*roaring.Bitmap, machines)
+	for i := range heldParts {
+		heldParts[i] = roaring.New()
 	}
 	triples := make([][3]int, 64)
 	for i := range triples {
 		triples[i] = [3]int{rng.IntN(machines), rng.IntN(machines), rng.IntN(machines)}
 	}
-	for k := range parts {
-		tr := [3]int{rng.IntN(machines), rng.IntN(machines), rng.IntN(machines)}
-		if kind == "groups" && k < 1000 {
-			tr = triples[k%64]
+	for part := range parts {
+		triple := [3]int{rng.IntN(machines), rng.IntN(machines), rng.IntN(machines)}
+		if kind == "groups" && part < 1000 {
+			triple = triples[part%64]
 		}
-		for _, m := range tr {
-			runningOn[m].Add(uint32(k))
+		for _, m := range triple {
+			heldParts[m].Add(uint32(part))
 		}
 	}
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
 		h.heartbeat(name, 1)
 		h.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
-			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: runningOn[i]}}}})
+			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: heldParts[i]}}}})
 	}
 	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, h.clock.Now())
 	h.commit()
 	job := h.jobs["run-000001"]
 	if job == nil || len(job.pending) != 1000 {
-		t.Fatal("no job")
+		t.Fatal("the job was not accepted with 1,000 pending tasks")
 	}
 	h.datasets.snapshot = h.datasets.index.Snapshot()
 	return h, job
 }
 
-// BenchmarkDataFill is the whole decision for a job of 1,000 tasks with inputs: busy
-// times, holders, groups, water-filling and queues. Table: docs/data.md; made with
+// BenchmarkDataFill measures the whole placement of a job of 1,000 tasks with inputs: busy times, holders, groups,
+// water-filling and queues. docs/data.md has a table of the results, which was produced with
 //
 //	go test -bench DataFill -run '^$' -cpu 1 ./controller
 func BenchmarkDataFill(b *testing.B) {
@@ -86,8 +86,7 @@
 	}
 }
 
-// BenchmarkStage is what a round adds to the placer once the job's copies are planned and
-// nothing changes.
+// BenchmarkStage measures planStaging when the copies of the job are already planned and nothing has changed.
 func BenchmarkStage(b *testing.B) {
 	for _, machines := range []int{250, 1000, 2000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -11,8 +11,8 @@
 	"switchferry/fleet"
 )
 
-// Production takes room from lower work, in one command, and never from its
-// own rank.
+// Checks that a production job preempts allocations of lower rank, that the kill is sent before the start, and that
+// allocations of the same rank are not preempted.
 func TestHigherRankPreemptsLowerRank(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -20,21 +20,21 @@
 	h.Place()
 	h.commit()
 	h.CommandsAnswered("a1", h.sent[0].response, nil, true)
-	var run []api.TaskReport
+	var runningTasks []api.TaskReport
 	for i := range 2 {
-		run = append(run, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	}
-	h.heartbeat("a1", 1, run...)
+	h.heartbeat("a1", 1, runningTasks...)
 	h.sent = nil
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	h.Place()
 	h.commit()
 	var cmds []api.Command
-	for _, o := range h.sent {
-		cmds = append(cmds, o.response.Commands...)
+	for _, response := range h.sent {
+		cmds = append(cmds, response.response.Commands...)
 	}
-	o := h.heartbeat("a1", 1, run...)
-	cmds = append(cmds, o.Commands...)
+	response := h.heartbeat("a1", 1, runningTasks...)
+	cmds = append(cmds, response.Commands...)
 	kill, start := -1, -1
 	for i, c := range cmds {
 		if c.Verb == api.CommandKill && kill < 0 {
@@ -45,17 +45,17 @@
 		}
 	}
 	if kill < 0 || start < kill {
-		t.Errorf("want a kill, then the start: %+v", cmds)
+		t.Errorf("want a kill and then the start: %+v", cmds)
 	}
 	h.submit("run-000003", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 8 })
 	h.Place()
 	if h.jobs["run-000002"].allocations[0].stopping {
-		t.Error("stopped work of its own rank")
+		t.Error("an allocation of the same rank was preempted")
 	}
 }
 
-// A task that made room once is not stopped again while others would do, though
-// it has run the shortest each time.
+// Checks that a task that was preempted before is not preempted again while another task can be preempted instead,
+// although it has run for the shortest time.
 func TestTaskIsNotPreemptedAgain(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -63,32 +63,31 @@
 	h.Place()
 	h.commit()
 	h.answerCommands()
-	var run []api.TaskReport
+	var runningTasks []api.TaskReport
 	for i := range 2 {
 		k := taskKey("run-000001", i)
-		run = append(run, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
+		runningTasks = append(runningTasks, taskReport(k, h.starts(k)[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	}
-	h.heartbeat("a1", 1, run[0])
+	h.heartbeat("a1", 1, runningTasks[0])
 	h.clock.Advance(5 * time.Second)
-	h.heartbeat("a1", 1, run...)
+	h.heartbeat("a1", 1, runningTasks...)
 	job := h.jobs["run-000001"]
 	older, younger := job.allocations[0], job.allocations[1]
 	if h.preemptionLoss(older) <= h.preemptionLoss(younger) {
-		t.Fatal("task 1 is not the younger one")
+		t.Fatal("preempting the older task must lose more work")
 	}
 	job.preemptions[1] = 1
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
 	h.Place()
 	if !older.stopping || younger.stopping {
-		t.Errorf("stopped: older %v, younger %v", older.stopping, younger.stopping)
+		t.Errorf("stopping: older task %v, younger task %v, want only the older one", older.stopping, younger.stopping)
 	}
 }
 
-// Tests of scale count work, never time. fullFleet is in bench_test.go.
+// Tests of scale count operations and never measure time. fullFleet is in placement_bench_test.go.
 
-// On a full fleet, an array that may stop other work looks at each machine once
-// and then at those that it uses. Looking at all of them for each task took most
-// of the leader's processor, and submissions and reports waited.
+// Checks that on a full fleet an array that may preempt searches each machine once, and afterwards only the machines that
+// it uses. A search of all machines for each task used most of the leader's CPU and delayed submissions and heartbeats.
 func TestPreemptionSearchesTheFleetOnceForAJob(t *testing.T) {
 	h := fullFleet(t, 280)
 	h.victimSearches = 0
@@ -100,16 +99,16 @@
 		}
 	}
 	if started < 150 {
-		t.Fatalf("%d urgent tasks started, want nearly all of 200", started)
+		t.Fatalf("%d tasks of rank high started, want at least 150 of 200", started)
 	}
 	if most := 4*280 + 3*started; h.victimSearches > most {
-		t.Errorf("%d machines searched for 4 jobs, want %d at most", h.victimSearches, most)
+		t.Errorf("%d searches of machines for 4 jobs, want at most %d", h.victimSearches, most)
 	}
 }
 
-// The options kept in order give what a plain search of the whole fleet for
-// each task gives.
-func TestCandidatesAgreeWithPlainSearch(t *testing.T) {
+// Checks that the candidate heap returns candidates with the same scores as an exhaustive search of the fleet for each
+// task.
+func TestCandidateHeapAgreesWithExhaustiveSearch(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
 		h := newHarness(t)
@@ -130,36 +129,36 @@
 		}
 		h.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
 		job := h.jobs["run-900000"]
-		opts := h.candidates(job, h.sortedMachines())
+		candidates := h.candidates(job, h.sortedMachines())
 		for {
-			plain := math.Inf(1)
+			exhaustiveScore := math.Inf(1)
 			for _, machine := range h.sortedMachines() {
 				if x, ok := h.candidateOn(job, machine); ok {
-					plain = math.Min(plain, x.score)
+					exhaustiveScore = math.Min(exhaustiveScore, x.score)
 				}
 			}
-			x, ok := h.bestCandidate(job, opts)
+			x, ok := h.bestCandidate(job, candidates)
 			if !ok || len(job.pending) == 0 {
-				if !math.IsInf(plain, 1) && len(job.pending) > 0 {
-					t.Fatalf("seed %d: nothing found, a plain search finds %v", seed, plain)
+				if !math.IsInf(exhaustiveScore, 1) && len(job.pending) > 0 {
+					t.Fatalf("seed %d: no candidate found, an exhaustive search finds score %v", seed, exhaustiveScore)
 				}
 				break
 			}
-			if x.score != plain {
-				t.Fatalf("seed %d: found %v, a plain search %v", seed, x.score, plain)
+			if x.score != exhaustiveScore {
+				t.Fatalf("seed %d: found score %v, an exhaustive search finds %v", seed, x.score, exhaustiveScore)
 			}
 			task := int(job.pending[0])
 			job.pending = job.pending[1:]
 			h.preemptVictims(x.victims, job)
-			h.startTask(job, task, x.machine, append(x.leaving, x.victims...), "preempting")
-			h.pushCandidate(job, x.machine, opts)
+			h.startTask(job, task, x.machine, append(x.stopping, x.victims...), "preempting")
+			h.pushCandidate(job, x.machine, candidates)
 		}
 		if len(job.allocations) == 0 {
-			t.Fatalf("seed %d: nothing was started", seed)
+			t.Fatalf("seed %d: no task was started", seed)
 		}
 		for _, machine := range h.machines {
 			if free, _ := machine.freeAfterStops(); !free.Fits(fleet.Resources{}) {
-				t.Fatalf("seed %d: %s holds more than its room", seed, machine.Name)
+				t.Fatalf("seed %d: the allocations on %s exceed its resources", seed, machine.Name)
 			}
 		}
 	}
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -19,8 +19,8 @@
 	"switchferry/tuning"
 )
 
-// partitionHarness is a leader, and a peer y that does not reach it: agents report to y's proxy, and
-// all goes through the state service, whose limits are kept.
+// partitionHarness is a leader and a peer y that cannot reach each other. Agents report to y's proxy, and all messages are
+// relayed through the state service, whose limits are enforced.
 type partitionHarness struct {
 	*dataHarness
 	proxy   *proxy.Agents
@@ -37,23 +37,23 @@
 	return h
 }
 
-// follow has the relayed packets read from the beginning of the present term.
+// follow makes the harness read relayed packets from the start of the current term.
 func (h *partitionHarness) follow() { h.packets.after = h.term }
 
-// agentHeartbeatThroughPeer lets an agent report to y and take the answer.
+// agentHeartbeatThroughPeer sends an agent's heartbeat to y and applies the order in the response.
 func (h *partitionHarness) agentHeartbeatThroughPeer(agent *fakeAgent) api.StageOrder {
 	h.Helper()
 	agent.seq++
-	r := agent.stageReport()
+	r := agent.heartbeat()
 	o, err := h.proxy.HandleHeartbeat(r, h.term)
 	if err != nil {
-		h.Fatalf("%s is answered %v", agent.name, err)
+		h.Fatalf("heartbeat of %s failed: %v", agent.name, err)
 	}
 	agent.apply(o)
 	return o
 }
 
-// exchangePackets takes letters both ways once.
+// exchangePackets carries packets once to the leader and once back, with a placement round in between.
 func (h *partitionHarness) exchangePackets() {
 	h.Helper()
 	h.clock.Advance(tuning.RelayEvery)
@@ -63,52 +63,52 @@
 	h.packets.toFollower()
 }
 
-// Behind a cut a job's inputs are copied and its tasks start: the agent's reports go to
-// the leader, and its orders come back, through the state service. Agents reported to the
-// leader alone before, and no task with inputs started until the cut ended.
+// Checks that inputs are staged and tasks start during a network partition, with agent heartbeats and orders relayed
+// through the state service. When agents reported only to the leader, no task with inputs started until the partition
+// ended.
 func TestInputsAreStagedAcrossPartition(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
-	agent := &fakeAgent{name: "a1", held: roaring.New()}
+	agent := &fakeAgent{name: "a1", heldParts: roaring.New()}
 	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
 	h.submit("run-000001", 2, withInputs(api.UseOwn))
 	h.exchangePackets()
 	h.agentHeartbeatThroughPeer(agent)
-	if got := agent.copies(); !slices.Equal(got, []int{0, 1}) {
+	if got := agent.orderedCopies(); !slices.Equal(got, []int{0, 1}) {
 		t.Fatalf("copies ordered: %v", got)
 	}
 	agent.finishCopies()
 	if h.exchangePackets(); len(h.starts("run-000001/0")) != 0 {
-		t.Fatal("started before its inputs were proved there")
+		t.Fatal("a task was started before its inputs were confirmed")
 	}
 	h.workerHeartbeat("a1")
 	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 1 {
-		t.Fatal("not started though its inputs are there")
+		t.Fatal("a task did not start although its inputs are staged")
 	}
-	// A report that was overtaken proves nothing.
-	late := agent.stageReport()
-	late.Seq, late.Pinned = 1, nil
-	h.HandleRelayedStageHeartbeat("y", late)
+	// An outdated heartbeat must be ignored.
+	outdated := agent.heartbeat()
+	outdated.Seq, outdated.Pinned = 1, nil
+	h.HandleRelayedStageHeartbeat("y", outdated)
 	if !h.datasets.planner.Confirmed("a1", inventory, 0) {
-		t.Error("an old report took a proof back")
+		t.Error("an outdated heartbeat revoked the confirmation of an input")
 	}
-	// Once the agent reaches the leader itself, the mail ends.
+	// Once the agent reaches the leader directly, its orders are no longer relayed.
 	h.agentHeartbeat(agent)
 	h.commit()
 	if h.datasets.relayedOrders["a1"] != nil || len(h.datasets.orderMailboxes.Machines("y", 0)) != 0 {
-		t.Error("mail for an agent that is within reach")
+		t.Error("orders are still relayed to an agent that reaches the leader directly")
 	}
 }
 
-// The leader changes behind the cut. The old one's order is not told any more, what the
-// agent holds is told to the new one, and what may run there stays pinned.
+// Checks a failover during a network partition: the peer no longer returns the old leader's order, the new leader learns
+// what the agent holds, and the inputs of tasks that may be running stay pinned.
 func TestFailoverDuringRelayedStaging(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
-	agent := &fakeAgent{name: "a1", held: roaring.BitmapOf(0), version: 3}
+	agent := &fakeAgent{name: "a1", heldParts: roaring.BitmapOf(0), version: 3}
 	h.agentHeartbeatThroughPeer(agent)
 	h.submit("run-000001", 1, withInputs(api.UseOwn))
 	for range 3 {
@@ -117,31 +117,31 @@
 	}
 	h.exchangePackets()
 	starts := h.starts("run-000001/0")
-	if len(starts) != 1 || !agent.wants(0) || agent.known != 3 {
+	if len(starts) != 1 || !agent.mustKeep(0) || agent.known != 3 {
 		t.Fatalf("%d starts, order %+v, known %d", len(starts), agent.sets, agent.known)
 	}
-	old := h.term
+	oldTerm := h.term
 	h.reelect()
 	h.follow()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
-	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.wants(0) {
-		t.Fatalf("told %+v", o)
+	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.mustKeep(0) {
+		t.Fatalf("the peer returned the order %+v, want one with number 0", o)
 	}
 	h.exchangePackets()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts[0].response.Commands[0].Attempt, api.TaskRunning, ""))
 	h.exchangePackets()
 	h.agentHeartbeatThroughPeer(agent)
-	if agent.term != h.term || agent.term == old || !agent.wants(0) {
+	if agent.term != h.term || agent.term == oldTerm || !agent.mustKeep(0) {
 		t.Fatalf("the new leader's order: term %d of %d, %+v", agent.term, h.term, agent.sets)
 	}
 	id, _ := h.datasets.planner.ID("a1")
 	if !h.datasets.index.Snapshot().Has(id, "inv", 0) {
-		t.Error("the new leader was not told what the agent holds")
+		t.Error("the new leader did not learn what the agent holds")
 	}
 }
 
-// An agent that holds very much, and a thousand agents at once, go through the limits of
-// the state service; so do their orders.
+// Checks that the relayed heartbeats and orders of a thousand agents, one of which holds parts of 2,000 datasets, stay
+// within the limits of the state service.
 func TestManyAgentsRelayWithinStateLimits(t *testing.T) {
 	h := newPartitionHarness(t)
 	var sets []*dataset.Entry
@@ -151,37 +151,37 @@
 		sets = append(sets, &d)
 	}
 	h.AddDatasets(sets...)
-	var all []*fakeAgent
+	var agents []*fakeAgent
 	for i := range 1000 {
-		agent := &fakeAgent{name: fmt.Sprintf("b%04d", i), held: roaring.BitmapOf(uint32(i % 8)), version: 1}
-		all = append(all, agent)
+		agent := &fakeAgent{name: fmt.Sprintf("b%04d", i), heldParts: roaring.BitmapOf(uint32(i % 8)), version: 1}
+		agents = append(agents, agent)
 		h.workerHeartbeat(agent.name)
 		h.agentHeartbeatThroughPeer(agent)
 	}
-	full := all[0].stageReport()
+	largeHeartbeat := agents[0].heartbeat()
 	for _, d := range sets {
-		full.Holds = append(full.Holds, api.StageHeld{Dataset: d.Name, Manifest: d.Manifest.String(), Of: d.Parts, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
+		largeHeartbeat.Holds = append(largeHeartbeat.Holds, api.StageHeld{Dataset: d.Name, Manifest: d.Manifest.String(), Of: d.Parts, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
 	}
-	all[0].seq++
-	full.Seq = all[0].seq
-	if _, err := h.proxy.HandleHeartbeat(full, h.term); err != nil {
+	agents[0].seq++
+	largeHeartbeat.Seq = agents[0].seq
+	if _, err := h.proxy.HandleHeartbeat(largeHeartbeat, h.term); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
 		h.exchangePackets()
 	}
-	for _, agent := range all {
+	for _, agent := range agents {
 		h.agentHeartbeatThroughPeer(agent)
 		if agent.term != h.term {
-			t.Fatalf("%s has no order after four rounds", agent.name)
+			t.Fatalf("%s has no order of the current term after four exchanges", agent.name)
 		}
 	}
 	id, _ := h.datasets.planner.ID("b0000")
 	if !h.datasets.index.Snapshot().Has(id, "set-1999", 2) {
-		t.Error("the long report did not arrive")
+		t.Error("the large heartbeat did not arrive completely")
 	}
 	if len(h.state.Refused) != 0 {
 		raw, _ := json.Marshal(h.state.Refused)
-		t.Errorf("the state service refused: %s", raw)
+		t.Errorf("the state service refused requests: %s", raw)
 	}
 }
