--- a/peer/ask.go
+++ b/peer/ask.go
@@ -10,22 +10,22 @@
 	"switchferry/tuning"
 )
 
-// pendingRequest is a request to a peer whose reply is awaited.
+// pendingRequest is a request that was sent to a peer and has no reply yet.
 type pendingRequest struct {
 	remote *remotePeer
 	conn   net.Conn
 	seq    uint64
 	reply  <-chan Response
-	// receivedBefore is the number of frames that had come from the peer before the request.
+	// receivedBefore is the number of frames received from the peer before the request was sent.
 	receivedBefore uint64
 }
 
-// Ask passes a request on to a peer and waits for the reply, for tuning.PeerTimeout at most. A greeting
-// goes with the request, which a live peer answers at once. A peer that sends nothing within patience is
-// taken for unreachable; one that does is only busy, and is waited for.
+// Ask forwards a request to a peer and waits at most tuning.PeerTimeout for the reply. It sends a hello before the
+// request, which a live peer answers at once. A peer from which no frame arrives within livenessTimeout counts as
+// unreachable. If a frame arrives but no reply, the peer is busy, and Ask continues to wait.
 //
-// The error is ErrUnreachable or ErrBusy.
-func (network *Network) Ask(ctx context.Context, member string, request Request, patience time.Duration) (Response, error) {
+// The error matches ErrUnreachable or ErrBusy.
+func (network *Network) Ask(ctx context.Context, member string, request Request, livenessTimeout time.Duration) (Response, error) {
 	pending, ok := network.beginRequest(member)
 	if !ok {
 		return Response{}, fmt.Errorf("%w: no connection to %q", ErrUnreachable, member)
@@ -36,31 +36,31 @@
 			return Response{}, fmt.Errorf("%w: sending a request to %s: %w", ErrUnreachable, member, err)
 		}
 	}
-	return network.awaitReply(ctx, pending, patience)
+	return network.awaitReply(ctx, pending, livenessTimeout)
 }
 
-// beginRequest registers a request to a peer; false: the peer is not connected.
+// beginRequest registers a request to a peer. It returns false if no connection to the peer is alive.
 func (network *Network) beginRequest(member string) (pendingRequest, bool) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	remote := network.peers[member]
-	if remote == nil || remote.conn == nil || network.clock.Since(remote.lastFrame) > tuning.PeerDead {
+	if remote == nil || remote.conn == nil || network.clock.Since(remote.lastFrameAt) > tuning.PeerDead {
 		return pendingRequest{}, false
 	}
 	remote.lastSeq++
-	reply := make(chan Response, 1) // The receiver of frames must not block.
+	reply := make(chan Response, 1) // The goroutine that receives frames must not block.
 	remote.pendingRequests[remote.lastSeq] = reply
 	return pendingRequest{remote, remote.conn, remote.lastSeq, reply, remote.receivedFrames}, true
 }
 
-// endRequest removes a request; a later reply to it is ignored.
+// endRequest unregisters a request. A reply that arrives later is ignored.
 func (network *Network) endRequest(pending pendingRequest) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	delete(pending.remote.pendingRequests, pending.seq)
 }
 
-// requestFrame returns a request as a frame.
+// requestFrame returns the frame of a request.
 func requestFrame(seq uint64, request Request) frame {
 	return frame{
 		kind: wire.KindRequest, seq: seq,
@@ -68,10 +68,10 @@
 	}
 }
 
-// awaitReply waits for the reply to a request that was sent.
-func (network *Network) awaitReply(ctx context.Context, pending pendingRequest, patience time.Duration) (Response, error) {
+// awaitReply waits for the reply to a request that was sent. Ask documents the time limits and errors.
+func (network *Network) awaitReply(ctx context.Context, pending pendingRequest, livenessTimeout time.Duration) (Response, error) {
 	member := pending.remote.Member
-	firstSign := network.clock.After(min(patience, tuning.PeerTimeout))
+	livenessTimer := network.clock.After(min(livenessTimeout, tuning.PeerTimeout))
 	timeout := network.clock.After(tuning.PeerTimeout)
 	for {
 		select {
@@ -80,13 +80,13 @@
 				return Response{}, fmt.Errorf("%w: the connection to %s ended", ErrUnreachable, member)
 			}
 			return response, nil
-		case <-firstSign:
+		case <-livenessTimer:
 			if network.ReceivedCount(member) == pending.receivedBefore {
-				return Response{}, fmt.Errorf("%w: %s is silent", ErrUnreachable, member)
+				return Response{}, fmt.Errorf("%w: %s sent no frame since the request", ErrUnreachable, member)
 			}
-			firstSign = nil
+			livenessTimer = nil
 		case <-timeout:
-			return Response{}, fmt.Errorf("%w: no reply of %s within %v", ErrBusy, member, tuning.PeerTimeout)
+			return Response{}, fmt.Errorf("%w: no reply from %s within %v", ErrBusy, member, tuning.PeerTimeout)
 		case <-ctx.Done():
 			return Response{}, fmt.Errorf("%w: waiting for %s: %w", ErrUnreachable, member, ctx.Err())
 		}
--- a/peer/connection.go
+++ b/peer/connection.go
@@ -16,14 +16,14 @@
 	"switchferry/tuning"
 )
 
-// Run starts to keep a connection to every peer, and returns. The connections end with ctx.
+// Run starts one goroutine per peer that keeps a connection to it until ctx ends, and returns at once.
 func (network *Network) Run(ctx context.Context) {
 	for _, remote := range network.peers {
 		go network.maintainConnection(ctx, remote)
 	}
 }
 
-// maintainConnection connects to a peer again and again until ctx ends.
+// maintainConnection connects to a peer, and reconnects whenever the connection ends, until ctx ends.
 func (network *Network) maintainConnection(ctx context.Context, remote *remotePeer) {
 	for ctx.Err() == nil {
 		conn, err := network.Dial(ctx, "tcp", remote.Address)
@@ -40,19 +40,19 @@
 	}
 }
 
-// observeConnection passes on how a connection to a peer began or ended.
+// observeConnection reports the outcome of a connection to a peer to OnObservation.
 func (network *Network) observeConnection(remote *remotePeer, outcome membership.ConnectionOutcome) {
 	network.OnObservation(membership.Connection{To: remote.Member, Outcome: outcome})
 }
 
-// dialOutcome returns what the error of a failed attempt to connect tells, and records a refusal.
+// dialOutcome classifies the error of a failed attempt to connect. It records the time of a refusal.
 func (network *Network) dialOutcome(remote *remotePeer, err error) membership.ConnectionOutcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		network.mu.Lock()
 		defer network.mu.Unlock()
-		remote.lastRefusal = network.clock.Now()
-		remote.lastActivity = remote.lastRefusal
+		remote.lastRefusalAt = network.clock.Now()
+		remote.lastActivityAt = remote.lastRefusalAt
 		return membership.Refused
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, connlimit.ErrLimit):
 		return membership.NoSocket
@@ -61,7 +61,7 @@
 	}
 }
 
-// runConnection exchanges greetings and replies with a peer until the connection ends. It closes the
+// runConnection sends hellos to a peer and receives its frames until the connection ends. It closes the
 // connection and returns how it ended.
 func (network *Network) runConnection(ctx context.Context, remote *remotePeer, conn net.Conn) membership.ConnectionOutcome {
 	ctx, stop := context.WithCancel(ctx)
@@ -69,7 +69,7 @@
 	network.attach(remote, conn)
 	var silent atomic.Bool
 	go func() {
-		defer closeConn(conn) // This ends the reader below.
+		defer closeConn(conn) // This ends the read loop below.
 		silent.Store(network.sendHellos(ctx, remote, conn))
 	}()
 	reader := bufio.NewReader(conn)
@@ -93,28 +93,28 @@
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	remote.conn = conn
-	remote.questionTimes = map[uint64]time.Time{}
+	remote.statementRequestTimes = map[uint64]time.Time{}
 }
 
-// detach forgets the connection to a peer and ends the requests that wait for replies on it.
+// detach removes the connection to a peer and fails the requests that wait for replies on it.
 func (network *Network) detach(remote *remotePeer) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	remote.conn = nil
-	remote.lastFrame = time.Time{}
-	for seq, waiter := range remote.pendingRequests {
-		close(waiter)
+	remote.lastFrameAt = time.Time{}
+	for seq, replyChannel := range remote.pendingRequests {
+		close(replyChannel)
 		delete(remote.pendingRequests, seq)
 	}
 }
 
-// sendHellos greets a peer at regular intervals until ctx ends, a write fails, or the peer is silent for
-// too long. It tells whether the peer was silent: a peer behind a network partition says nothing and
-// raises no error.
+// sendHellos sends hellos to a peer every tuning.PeerHello until ctx ends, a write fails, or no frame arrives from
+// the peer for tuning.PeerDead. It reports whether it ended for the last reason: a network partition stops the
+// frames of a peer without causing an error.
 func (network *Network) sendHellos(ctx context.Context, remote *remotePeer, conn net.Conn) (silent bool) {
 	started := network.clock.Now()
 	for {
-		if writeFrame(conn, &remote.writeMutex, network.newHelloQuestion(remote)) != nil {
+		if writeFrame(conn, &remote.writeMutex, network.newHelloRequestingStatement(remote)) != nil {
 			return false
 		}
 		select {
@@ -123,52 +123,53 @@
 		case <-network.clock.After(tuning.PeerHello):
 		}
 		network.mu.Lock()
-		last := remote.lastFrame
+		lastFrameAt := remote.lastFrameAt
 		network.mu.Unlock()
-		if last.Before(started) {
-			last = started
+		if lastFrameAt.Before(started) {
+			lastFrameAt = started
 		}
-		if network.clock.Since(last) > tuning.PeerDead {
+		if network.clock.Since(lastFrameAt) > tuning.PeerDead {
 			return true
 		}
 	}
 }
 
-// receive takes in a frame of a peer.
+// receive processes a frame from a peer. It applies the watermark statement of a hello and reports the hello to
+// OnObservation.
 func (network *Network) receive(remote *remotePeer, message frame) {
-	questionTime, asked := network.record(remote, message)
+	requestedAt, requested := network.recordFrame(remote, message)
 	if message.kind != wire.KindHello {
 		return
 	}
 	switch {
 	case message.seq == 0:
-		// A greeting without a statement.
-	case asked:
-		network.Watermarks.ApplyStatement(remote.Member, questionTime, message.statement())
+		// The hello has no watermark statement.
+	case requested:
+		network.Watermarks.ApplyStatement(remote.Member, requestedAt, message.statement())
 	default:
 		slog.Info("ignoring unrequested watermark statement", "member", remote.Member, "seq", message.seq)
 	}
-	network.OnObservation(helloOf(remote.Member, message).observation())
+	network.OnObservation(helloFromFrame(remote.Member, message).membershipHello())
 }
 
-// record updates the state of a peer for a frame, and delivers a reply to who waits for it. It returns
-// when the question was sent that the frame answers, if it answers one.
-func (network *Network) record(remote *remotePeer, message frame) (questionTime time.Time, asked bool) {
+// recordFrame updates the state of a peer with a received frame and delivers a reply to the waiting request. If the frame
+// answers a request for a watermark statement, it returns when that request was sent, and true.
+func (network *Network) recordFrame(remote *remotePeer, message frame) (requestedAt time.Time, requested bool) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	remote.lastFrame = network.clock.Now()
-	remote.lastActivity = remote.lastFrame
+	remote.lastFrameAt = network.clock.Now()
+	remote.lastActivityAt = remote.lastFrameAt
 	remote.receivedFrames++
-	questionTime, asked = remote.questionTimes[message.seq]
+	requestedAt, requested = remote.statementRequestTimes[message.seq]
 	switch message.kind {
 	case wire.KindHello:
-		remote.hello = helloOf(remote.Member, message)
-		delete(remote.questionTimes, message.seq)
+		remote.hello = helloFromFrame(remote.Member, message)
+		delete(remote.statementRequestTimes, message.seq)
 	case wire.KindReply:
-		if waiter := remote.pendingRequests[message.seq]; waiter != nil {
-			waiter <- Response{Status: message.status, Body: message.body, RetryAfterS: message.retryAfterS}
+		if replyChannel := remote.pendingRequests[message.seq]; replyChannel != nil {
+			replyChannel <- Response{Status: message.status, Body: message.body, RetryAfterS: message.retryAfterS}
 			delete(remote.pendingRequests, message.seq)
 		}
 	}
-	return questionTime, asked
+	return requestedAt, requested
 }
--- a/peer/decode.go
+++ b/peer/decode.go
@@ -11,19 +11,20 @@
 	"switchferry/watermark"
 )
 
-// frameMinimum is the least size in bytes that a frame can have.
-const frameMinimum = 8
+// minFrameBytes is the minimum size of a frame in bytes, without its length prefix.
+const minFrameBytes = 8
 
-// readFrame reads one frame. FlatBuffers for Go does not verify what it reads: its accessors panic on a
-// damaged frame, which becomes an error here. The error is io.EOF if the input ends before a frame begins.
+// readFrame reads one frame with its length prefix. FlatBuffers for Go does not verify its input: its accessors
+// panic on a malformed frame, and readFrame turns the panic into an error. The error is io.EOF if the input ends
+// before a frame begins.
 func readFrame(reader io.Reader) (message frame, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(reader, head[:]); err != nil {
+	var lengthPrefix [4]byte
+	if _, err := io.ReadFull(reader, lengthPrefix[:]); err != nil {
 		return frame{}, err
 	}
-	size := binary.LittleEndian.Uint32(head[:])
-	if size < frameMinimum || size > tuning.FrameLimit {
-		return frame{}, fmt.Errorf("frame of %d bytes", size)
+	size := binary.LittleEndian.Uint32(lengthPrefix[:])
+	if size < minFrameBytes || size > tuning.FrameLimit {
+		return frame{}, fmt.Errorf("invalid frame size of %d bytes", size)
 	}
 	raw := make([]byte, size)
 	if _, err := io.ReadFull(reader, raw); err != nil {
@@ -31,16 +32,16 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("damaged frame: %v", cause)
+			err = fmt.Errorf("malformed frame: %v", cause)
 		}
 	}()
 	return decodeFrame(wire.GetRootAsFrame(raw, 0))
 }
 
-// decodeFrame takes a frame out of the wire's form. It panics on a damaged one.
+// decodeFrame converts a frame from its wire format. It panics if the frame is malformed.
 func decodeFrame(encoded *wire.Frame) (frame, error) {
 	if encoded.Kind() > wire.KindReply {
-		return frame{}, fmt.Errorf("unknown kind %d", encoded.Kind())
+		return frame{}, fmt.Errorf("unknown frame kind %d", encoded.Kind())
 	}
 	cancellations, err := decodeCancellations(encoded)
 	if err != nil {
@@ -63,16 +64,16 @@
 		heardPeers:         decodeHeardPeers(encoded),
 		leaving:            encoded.Leaving(),
 		incarnation:        encoded.Life(),
-		watermarkFrom:      encoded.ToldFrom(),
-		watermarkTo:        encoded.ToldTo(),
-		watermarkLatest:    encoded.ToldLatest(),
+		statementFrom:      encoded.ToldFrom(),
+		statementTo:        encoded.ToldTo(),
+		statementLatest:    encoded.ToldLatest(),
 		cancellations:      cancellations,
-		watermarkCurrent:   encoded.Knows(),
-		watermarkAge:       time.Duration(encoded.WordAgeMs()) * time.Millisecond,
+		statementCurrent:   encoded.Knows(),
+		statementAge:       time.Duration(encoded.WordAgeMs()) * time.Millisecond,
 	}, nil
 }
 
-// decodeHeardPeers returns the members that a greeting lists, tuning.FrameMembers at most.
+// decodeHeardPeers returns the first tuning.FrameMembers of the members that a hello lists.
 func decodeHeardPeers(encoded *wire.Frame) []string {
 	var members []string
 	for index := range min(encoded.HearsLength(), tuning.FrameMembers) {
@@ -81,11 +82,11 @@
 	return members
 }
 
-// decodeCancellations returns the cancellations of a statement; more than tuning.CancellationsAtOnce are
-// an error.
+// decodeCancellations returns the cancellations of a watermark statement. More than tuning.CancellationsAtOnce
+// are an error.
 func decodeCancellations(encoded *wire.Frame) ([]watermark.Cancellation, error) {
 	if encoded.ToldLength() > tuning.CancellationsAtOnce {
-		return nil, fmt.Errorf("%d cancellations", encoded.ToldLength())
+		return nil, fmt.Errorf("too many cancellations in a statement: %d", encoded.ToldLength())
 	}
 	var cancellations []watermark.Cancellation
 	for index := range encoded.ToldLength() {
--- a/peer/encode.go
+++ b/peer/encode.go
@@ -10,13 +10,14 @@
 	"switchferry/watermark"
 )
 
-// builderBytes is the first size of an encoder's buffer without the body: enough for most greetings.
-const builderBytes = 256
+// initialBuilderBytes is the initial size of an encoder's buffer in bytes, without the body. Most hellos fit into it.
+const initialBuilderBytes = 256
 
-// encodeFrame returns a frame as it goes over the wire, with its length before it.
+// encodeFrame returns a frame in its wire format, with the length prefix.
 func encodeFrame(message frame) []byte {
-	builder := flatbuffers.NewBuilder(builderBytes + len(message.body))
-	// Objects that a table refers to have to be written before it, in this order.
+	builder := flatbuffers.NewBuilder(initialBuilderBytes + len(message.body))
+	// FlatBuffers requires that objects are written before the table that refers to them. The order of these calls
+	// determines the bytes of the frame.
 	member := encodeString(builder, message.member)
 	verb := encodeString(builder, message.verb)
 	job := encodeString(builder, message.job)
@@ -40,18 +41,18 @@
 	wire.FrameAddHears(builder, heardPeers)
 	wire.FrameAddLeaving(builder, message.leaving)
 	wire.FrameAddLife(builder, message.incarnation)
-	wire.FrameAddToldFrom(builder, message.watermarkFrom)
-	wire.FrameAddToldTo(builder, message.watermarkTo)
-	wire.FrameAddToldLatest(builder, message.watermarkLatest)
+	wire.FrameAddToldFrom(builder, message.statementFrom)
+	wire.FrameAddToldTo(builder, message.statementTo)
+	wire.FrameAddToldLatest(builder, message.statementLatest)
 	wire.FrameAddTold(builder, cancellations)
-	wire.FrameAddKnows(builder, message.watermarkCurrent)
-	// The age is rounded up, so that the statement never claims to cover more than it does.
-	wire.FrameAddWordAgeMs(builder, clampedMilliseconds(message.watermarkAge+time.Millisecond-1))
+	wire.FrameAddKnows(builder, message.statementCurrent)
+	// The age is rounded up, so that the statement never claims to cover a later time than it does.
+	wire.FrameAddWordAgeMs(builder, clampedMilliseconds(message.statementAge+time.Millisecond-1))
 	builder.FinishSizePrefixed(wire.FrameEnd(builder))
 	return builder.FinishedBytes()
 }
 
-// encodeString writes a string and returns its offset; an empty one is left out.
+// encodeString writes a string and returns its offset. For an empty string it writes nothing and returns 0.
 func encodeString(builder *flatbuffers.Builder, text string) flatbuffers.UOffsetT {
 	if text == "" {
 		return 0
@@ -59,7 +60,7 @@
 	return builder.CreateString(text)
 }
 
-// encodeBytes writes bytes and returns their offset; none are left out.
+// encodeBytes writes a byte vector and returns its offset. For an empty slice it writes nothing and returns 0.
 func encodeBytes(builder *flatbuffers.Builder, raw []byte) flatbuffers.UOffsetT {
 	if len(raw) == 0 {
 		return 0
@@ -67,7 +68,7 @@
 	return builder.CreateByteVector(raw)
 }
 
-// encodeStrings writes a list of strings and returns its offset; an empty list is left out.
+// encodeStrings writes a vector of strings and returns its offset. For an empty list it writes nothing and returns 0.
 func encodeStrings(builder *flatbuffers.Builder, texts []string) flatbuffers.UOffsetT {
 	if len(texts) == 0 {
 		return 0
@@ -79,7 +80,8 @@
 	return builder.CreateVectorOfTables(offsets)
 }
 
-// encodeCancellations writes cancellations and returns the offset of their list; an empty list is left out.
+// encodeCancellations writes a vector of cancellations and returns its offset. For an empty list it writes nothing
+// and returns 0.
 func encodeCancellations(builder *flatbuffers.Builder, cancellations []watermark.Cancellation) flatbuffers.UOffsetT {
 	if len(cancellations) == 0 {
 		return 0
@@ -95,8 +97,7 @@
 	return builder.CreateVectorOfTables(offsets)
 }
 
-// clampedMilliseconds returns a duration in whole milliseconds, rounded down, or the nearest value that
-// the wire can carry.
+// clampedMilliseconds returns a duration in whole milliseconds, rounded down and clamped to the range of uint32.
 func clampedMilliseconds(duration time.Duration) uint32 {
 	return uint32(min(max(duration.Milliseconds(), 0), math.MaxUint32))
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -10,25 +10,25 @@
 	"switchferry/watermark"
 )
 
-// frame is a decoded wire.Frame. Which fields are set depends on the kind.
+// frame is a decoded wire.Frame. The kind determines which fields are set.
 type frame struct {
 	kind wire.Kind
-	// seq pairs a reply with its request and a statement with its question, on one connection. It is 0 in
-	// a greeting that neither asks nor answers.
+	// seq matches a reply to its request, and a watermark statement to the hello that requested it, on one
+	// connection. It is 0 in a hello that neither requests nor contains a statement.
 	seq uint64
-	// member is the sender of a greeting or request.
+	// member is the sender of a hello or request.
 	member string
 
-	// Of a request: see Request.
+	// verb and job are set in requests; see Request.
 	verb, job string
-	// body is that of a request or reply.
+	// body is set in requests and replies.
 	body []byte
 
-	// Of a reply: see Response.
+	// The fields of this group are set in replies; see Response.
 	status      int
 	retryAfterS int
 
-	// Of a greeting: see Hello.
+	// The fields of this group are set in hellos; see Hello.
 	term               uint64
 	stateOK            bool
 	benchmarkUS        uint32
@@ -37,19 +37,21 @@
 	heardPeers         []string
 	leaving            bool
 
-	// Of a greeting with seq: see watermark.Statement. A question has only incarnation and watermarkFrom,
-	// the position that its sender is at.
+	// The fields of this group are set in hellos with a seq; see watermark.Statement. A hello that requests a
+	// statement has only incarnation and statementFrom, the sequence number up to which its sender has the peer's
+	// cancellations.
 	incarnation     uint64
-	watermarkFrom   uint64
-	watermarkTo     uint64
-	watermarkLatest uint64
+	statementFrom   uint64
+	statementTo     uint64
+	statementLatest uint64
 	cancellations   []watermark.Cancellation
-	// watermarkCurrent tells that the statement covers everything until watermarkAge ago.
-	watermarkCurrent bool
-	watermarkAge     time.Duration
+	// statementCurrent is true if the statement covers all cancellations until statementAge ago.
+	statementCurrent bool
+	statementAge     time.Duration
 }
 
-// writeFrame writes a frame within tuning.PeerTimeout. The mutex keeps the frames of a connection apart.
+// writeFrame writes a frame with a timeout of tuning.PeerTimeout. It holds writeMutex while it writes, so that
+// concurrent writers do not interleave their frames.
 func writeFrame(conn net.Conn, writeMutex *sync.Mutex, message frame) error {
 	raw := encodeFrame(message)
 	writeMutex.Lock()
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -7,9 +7,9 @@
 	"switchferry/watermark"
 )
 
-// newHello returns a greeting of this controller that asks for nothing.
+// newHello returns a hello of this controller that neither requests nor contains a watermark statement.
 func (network *Network) newHello() frame {
-	hello := network.self()
+	hello := network.localHello()
 	return frame{
 		kind: wire.KindHello, member: hello.Member, term: hello.Term, stateOK: hello.StateOK,
 		benchmarkUS: hello.BenchmarkUS, receivesHeartbeats: hello.ReceivesHeartbeats,
@@ -17,70 +17,70 @@
 	}
 }
 
-// newHelloReply returns the greeting that answers another one, with a statement about cancellations if
-// the other one asks for it.
+// newHelloReply returns the hello that answers the hello message. It contains a watermark statement if message
+// requests one and this controller has one.
 func (network *Network) newHelloReply(message frame) frame {
 	hello := network.newHello()
 	if message.seq == 0 || network.Watermarks == nil {
 		return hello
 	}
-	if statement, ok := network.Watermarks.Statement(message.incarnation, message.watermarkFrom); ok {
+	if statement, ok := network.Watermarks.Statement(message.incarnation, message.statementFrom); ok {
 		hello.seq = message.seq
 		hello.setStatement(statement)
 	}
 	return hello
 }
 
-// newHelloQuestion returns a greeting that also asks the peer for its statement about cancellations, and
-// notes when it was sent.
-func (network *Network) newHelloQuestion(remote *remotePeer) frame {
+// newHelloRequestingStatement returns a hello that requests the peer's watermark statement, and records the present
+// time as the time of the request.
+func (network *Network) newHelloRequestingStatement(remote *remotePeer) frame {
 	hello := network.newHello()
 	if network.Watermarks == nil {
 		return hello
 	}
-	incarnation, have, ok := network.Watermarks.Position(remote.Member)
+	incarnation, afterSeq, ok := network.Watermarks.Position(remote.Member)
 	if !ok {
 		return hello
 	}
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	if len(remote.questionTimes) == tuning.WatermarksAsked {
-		// A controller of an older version answers none.
-		clear(remote.questionTimes)
+	if len(remote.statementRequestTimes) == tuning.WatermarksAsked {
+		// Controllers of an older version do not answer these requests.
+		clear(remote.statementRequestTimes)
 	}
 	remote.lastSeq++
-	hello.seq, hello.incarnation, hello.watermarkFrom = remote.lastSeq, incarnation, have
-	remote.questionTimes[remote.lastSeq] = network.clock.Now()
+	hello.seq, hello.incarnation, hello.statementFrom = remote.lastSeq, incarnation, afterSeq
+	remote.statementRequestTimes[remote.lastSeq] = network.clock.Now()
 	return hello
 }
 
-// setStatement puts a statement about cancellations into a greeting.
+// setStatement copies a watermark statement into a hello.
 func (message *frame) setStatement(statement watermark.Statement) {
 	message.incarnation = statement.Incarnation
-	message.watermarkFrom = statement.From
-	message.watermarkTo = statement.To
-	message.watermarkLatest = statement.Latest
+	message.statementFrom = statement.From
+	message.statementTo = statement.To
+	message.statementLatest = statement.Latest
 	message.cancellations = statement.Cancellations
-	message.watermarkCurrent = statement.Current
-	message.watermarkAge = statement.Age
+	message.statementCurrent = statement.Current
+	message.statementAge = statement.Age
 }
 
-// statement returns the statement about cancellations of a greeting.
+// statement returns the watermark statement of a hello.
 func (message *frame) statement() watermark.Statement {
 	return watermark.Statement{
 		Incarnation:   message.incarnation,
-		From:          message.watermarkFrom,
-		To:            message.watermarkTo,
-		Latest:        message.watermarkLatest,
+		From:          message.statementFrom,
+		To:            message.statementTo,
+		Latest:        message.statementLatest,
 		Cancellations: message.cancellations,
-		Current:       message.watermarkCurrent,
-		Age:           message.watermarkAge,
+		Current:       message.statementCurrent,
+		Age:           message.statementAge,
 	}
 }
 
-// helloOf returns what a greeting announces. The member is the one that was connected to, whatever name
-// the greeting has.
-func helloOf(member string, message frame) Hello {
+// helloFromFrame returns the state announced in a hello. Its member is the one that the connection was made to; the name
+// in the frame is ignored.
+func helloFromFrame(member string, message frame) Hello {
 	return Hello{
 		Member: member, Term: message.term, StateOK: message.stateOK,
 		BenchmarkUS: message.benchmarkUS, ReceivesHeartbeats: message.receivesHeartbeats,
@@ -88,8 +88,8 @@
 	}
 }
 
-// observation returns the greeting as the failure detection of package membership takes it.
-func (hello Hello) observation() membership.Hello {
+// membershipHello converts the hello to the observation that package membership expects.
+func (hello Hello) membershipHello() membership.Hello {
 	return membership.Hello{
 		From: hello.Member, StartedMS: hello.StartedMS, HeardPeers: hello.HeardPeers, Leads: hello.Term > 0,
 		StateOK: hello.StateOK, ReceivesHeartbeats: hello.ReceivesHeartbeats,
--- a/peer/network.go
+++ b/peer/network.go
@@ -18,63 +18,65 @@
 	"switchferry/tuning"
 )
 
-// Network is a controller's end of the connections with its peers. Its methods may be called concurrently.
+// Network manages a controller's connections with its peers. Its methods are safe for concurrent use.
 type Network struct {
-	clock  clockwork.Clock
-	self   func() Hello
-	handle Handler
-	// Dial opens a connection to a peer. It may be replaced before Run.
+	clock clockwork.Clock
+	// localHello returns the present state of this controller.
+	localHello func() Hello
+	handle     Handler
+	// Dial opens a connection to a peer. It may be replaced before Run is called.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// OnObservation receives everything that is seen of peers. It may be replaced before Run, is called
-	// concurrently and without the lock, and must not block.
+	// OnObservation receives the hellos and connection outcomes of all peers. It may be replaced before Run is
+	// called. It is called concurrently and without holding mu, and must not block.
 	OnObservation func(membership.Observation)
-	// Watermarks is set before Run and Serve, or stays nil: then nothing is said about cancellations.
+	// Watermarks must be set before Run and Serve are called. If it is nil, watermark statements are neither
+	// requested nor sent.
 	Watermarks Watermarks
 
-	// mu guards the state of every remotePeer.
+	// mu guards the fields of every remotePeer, except settings.Peer and writeMutex.
 	mu sync.Mutex
-	// peers holds all peers by member. The map itself does not change after New.
+	// peers holds all peers by member name. The map itself does not change after New.
 	peers map[string]*remotePeer
 }
 
-// remotePeer is another controller and the connection to it. The lock of the Network guards all fields
-// but the address and writeMutex.
+// remotePeer is another controller and the connection to it. Network.mu guards all fields except settings.Peer,
+// which does not change, and writeMutex.
 type remotePeer struct {
 	settings.Peer
 
-	// conn is the connection to the peer; nil while there is none.
+	// conn is the connection to the peer, or nil while there is none.
 	conn net.Conn
-	// questionTimes holds, by sequence number, when each question about cancellations was sent that has no
-	// answer on this connection yet.
-	questionTimes map[uint64]time.Time
-	// pendingRequests holds, by sequence number, who waits for the reply to a request. A channel is closed
-	// without a reply when the connection ends.
+	// statementRequestTimes holds, by sequence number, when each watermark statement was requested that has not
+	// arrived on this connection yet.
+	statementRequestTimes map[uint64]time.Time
+	// pendingRequests holds, by sequence number, the channel that receives the reply to each pending request.
+	// When the connection ends, the channels are closed without a reply.
 	pendingRequests map[uint64]chan Response
-	// lastSeq is the newest sequence number of a question or request.
+	// lastSeq is the last sequence number that was used, for a statement request or another request.
 	lastSeq uint64
 
-	// hello is the peer's newest greeting.
+	// hello is the peer's latest hello.
 	hello Hello
-	// lastFrame is when the newest frame of this connection came in; zero without a connection.
-	lastFrame time.Time
-	// lastRefusal is when the peer last refused a connection: it is down, or has no free socket, but
-	// the network between is in order.
-	lastRefusal time.Time
-	// lastActivity is the later of the newest frame of any connection and the last refusal.
-	lastActivity time.Time
-	// receivedFrames counts the frames of all connections.
+	// lastFrameAt is when the latest frame arrived on the current connection. It is zero without a connection.
+	lastFrameAt time.Time
+	// lastRefusalAt is when the peer's host last refused a connection. The peer is then down or has no free
+	// socket, but the network to it works.
+	lastRefusalAt time.Time
+	// lastActivityAt is when the latest frame on any connection or the latest refusal arrived.
+	lastActivityAt time.Time
+	// receivedFrames is the number of frames received on all connections.
 	receivedFrames uint64
 
-	// writeMutex keeps frames on conn whole.
+	// writeMutex serializes writes to conn, so that frames are not interleaved.
 	writeMutex sync.Mutex
 }
 
-// New returns the network of a controller with the given peers. The function self returns the greeting
-// of this controller, and handle handles the requests of peers.
-func New(peers []settings.Peer, clock clockwork.Clock, self func() Hello, handle Handler) *Network {
+// New returns the network of a controller with the given peers. The function self returns the present state of this
+// controller for its hellos, and handle handles the requests that peers forward.
+func New(peers []settings.Peer, clock clockwork.Clock, localHello func() Hello, handle Handler) *Network {
 	network := &Network{
 		clock:         clock,
-		self:          self,
+		localHello:    localHello,
 		handle:        handle,
 		Dial:          (&net.Dialer{Timeout: tuning.PeerDead}).DialContext,
 		OnObservation: func(membership.Observation) {},
@@ -86,46 +88,46 @@
 	return network
 }
 
-// LivePeers returns the newest greeting of each reachable peer, in no particular order.
+// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerDead, in no particular order.
 func (network *Network) LivePeers() []Hello {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	var hellos []Hello
 	for _, remote := range network.peers {
-		if !remote.lastFrame.IsZero() && network.clock.Since(remote.lastFrame) < tuning.PeerDead {
+		if !remote.lastFrameAt.IsZero() && network.clock.Since(remote.lastFrameAt) < tuning.PeerDead {
 			hellos = append(hellos, remote.hello)
 		}
 	}
 	return hellos
 }
 
-// Isolated tells whether there are peers and none answers in any way, not even by refusing a connection.
-// Then this controller's own network is more likely at fault than all of them.
+// Isolated reports whether there are peers and none of them has recently sent a frame or refused a connection. In
+// that case a fault of this controller's own network is more likely than a failure of all peers.
 func (network *Network) Isolated() bool {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	for _, remote := range network.peers {
-		last := remote.lastFrame
-		if remote.lastRefusal.After(last) {
-			last = remote.lastRefusal
+		lastActivityAt := remote.lastFrameAt
+		if remote.lastRefusalAt.After(lastActivityAt) {
+			lastActivityAt = remote.lastRefusalAt
 		}
-		if !last.IsZero() && network.clock.Since(last) < tuning.PeerDead+tuning.PeerHello {
+		if !lastActivityAt.IsZero() && network.clock.Since(lastActivityAt) < tuning.PeerDead+tuning.PeerHello {
 			return false
 		}
 	}
 	return len(network.peers) > 0
 }
 
-// Unresponsive tells whether a peer gives no sign of life at all: it neither answers nor refuses a
-// connection, so an attempt to reach it ends by a timeout. It is false for an unknown member.
+// Unresponsive reports whether a peer has recently neither sent a frame nor refused a connection, so that attempts
+// to reach it end by a timeout. It returns false for an unknown member.
 func (network *Network) Unresponsive(member string) bool {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	remote := network.peers[member]
-	return remote != nil && network.clock.Since(remote.lastActivity) > tuning.PeerDead+tuning.PeerHello
+	return remote != nil && network.clock.Since(remote.lastActivityAt) > tuning.PeerDead+tuning.PeerHello
 }
 
-// ReceivedCount returns the number of frames received from a peer; 0 for an unknown member.
+// ReceivedCount returns the number of frames received from a peer, or 0 for an unknown member.
 func (network *Network) ReceivedCount(member string) uint64 {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -135,7 +137,7 @@
 	return 0
 }
 
-// Reachable tells whether a peer sent anything lately.
+// Reachable reports whether a peer sent a frame within tuning.PeerDead.
 func (network *Network) Reachable(member string) bool {
 	for _, hello := range network.LivePeers() {
 		if hello.Member == member {
@@ -149,7 +151,7 @@
 func (network *Network) Serve(ctx context.Context, listener net.Listener) error {
 	go func() {
 		<-ctx.Done()
-		_ = listener.Close() // Accept reports whatever matters.
+		_ = listener.Close() // Accept fails once the listener is closed, whatever Close returns.
 	}()
 	for ctx.Err() == nil {
 		conn, err := listener.Accept()
@@ -164,8 +166,8 @@
 	return nil
 }
 
-// serveConn answers the greetings and requests of one peer until its connection ends. Anything that is
-// not a frame ends this connection and has no other effect.
+// serveConn answers the hellos and requests of one peer until its connection ends. Malformed input ends this
+// connection and has no other effect.
 func (network *Network) serveConn(ctx context.Context, conn net.Conn) {
 	defer closeConn(conn)
 	var writeMutex sync.Mutex
@@ -193,12 +195,12 @@
 func (network *Network) serveRequest(ctx context.Context, conn net.Conn, writeMutex *sync.Mutex, message frame) {
 	request := Request{Verb: message.verb, Job: message.job, Body: message.body, From: message.member}
 	response := network.handle(ctx, request)
-	// A peer whose connection has failed treats the request as unanswered and asks elsewhere.
+	// If the connection has failed, the peer treats the request as unanswered and forwards it elsewhere.
 	_ = writeFrame(conn, writeMutex, frame{
 		kind: wire.KindReply, seq: message.seq,
 		status: response.Status, body: response.Body, retryAfterS: response.RetryAfterS,
 	})
 }
 
-// closeConn closes a connection that is given up; nothing depends on whether that succeeds.
+// closeConn closes a connection that is no longer used and ignores the error.
 func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,9 +1,9 @@
-// Package peer connects the controllers with each other. Over one TCP connection in each direction,
-// in FlatBuffers frames with a length before each, they exchange greetings, statements about
-// cancellations, and requests of users that another controller passes on to the leader.
+// Package peer implements the protocol between controllers. Each controller opens one TCP connection to every other
+// one. Over these connections they exchange hellos, watermark statements about cancellations (package watermark) and
+// user requests that are forwarded to the leader, as FlatBuffers frames with a length prefix.
 //
-// The layout of a frame is in peer.fbs, its generated code in peer/wire. Names of the wire stand
-// only there and in encode.go and decode.go.
+// The schema of a frame is in peer.fbs, and the code generated from it in peer/wire. Only these and encode.go and
+// decode.go use the field names of the wire format.
 package peer
 
 import (
@@ -14,68 +14,68 @@
 	"switchferry/watermark"
 )
 
-// Request is a request that one controller passes on to another.
+// Request is a request that one controller forwards to another.
 type Request struct {
-	// Verb says what is asked for. The verbs are those of package controller.
+	// Verb is the operation that is requested. Package controller defines the verbs.
 	Verb string
-	// Job is the id of the job, or of another object, that the request is about; it may be empty.
+	// Job is the ID of the job or other object that the request refers to. It may be empty.
 	Job string
-	// Body is the request's body; it may be empty.
+	// Body is the body of the request. It may be empty.
 	Body []byte
-	// From is the member that passes the request on.
+	// From is the member that forwards the request.
 	From string
 }
 
-// Response is the answer to a Request, in the terms of HTTP.
+// Response is the response to a Request, with the fields of an HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
-	// RetryAfterS is the pause in seconds before the request should be sent again; 0 means not said.
+	// RetryAfterS is the time in seconds after which the request should be retried, or 0 if not specified.
 	RetryAfterS int
 }
 
-// Hello is the state that a controller announces in its greetings.
+// Hello is the state that a controller announces to its peers at regular intervals.
 type Hello struct {
 	Member string
-	// Term is the term that the member leads, or 0.
+	// Term is the leadership term of the member if it is the leader, otherwise 0.
 	Term uint64
-	// StateOK tells that the state service answered the member lately.
+	// StateOK is true if the state service recently responded to the member.
 	StateOK bool
-	// BenchmarkUS is the time in microseconds that a fixed piece of work takes the member; 0 means not measured.
+	// BenchmarkUS is the time in microseconds that the member takes for a fixed benchmark, or 0 if not measured.
 	BenchmarkUS uint32
-	// ReceivesHeartbeats tells that a worker reported to the member itself a moment ago. Controllers that
-	// reach each other may still not both be reached by workers.
+	// ReceivesHeartbeats is true if the member recently received a heartbeat from a worker directly. Workers may
+	// be able to reach only one of two controllers that reach each other.
 	ReceivesHeartbeats bool
-	// StartedMS is the start of the member's process, in milliseconds of its own time of day. Like
-	// HeardPeers and Leaving, it is announced only if the membership feature is on.
+	// StartedMS is the start time of the member's process, in milliseconds on the member's own clock. Like
+	// HeardPeers and Leaving, it is announced only if the membership feature is enabled.
 	StartedMS uint64
-	// HeardPeers lists the members whose greetings the member receives.
+	// HeardPeers lists the members whose hellos the member receives.
 	HeardPeers []string
-	// Leaving tells that the member is shutting down gracefully.
+	// Leaving is true if the member is shutting down gracefully.
 	Leaving bool
 }
 
-// ErrUnreachable tells that a peer gave no answer. It may or may not have handled the request.
+// ErrUnreachable means that a peer did not respond. The peer may or may not have handled the request.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// ErrBusy tells that a peer is alive but has not answered in time. It may or may not have handled the
-// request, or may handle it later.
+// ErrBusy means that a peer is alive but did not reply in time. The peer may have handled the request, or may still
+// handle it later.
 var ErrBusy = errors.New("peer busy")
 
-// Handler handles the requests that peers pass on. It is called concurrently; its context ends with
-// that of Network.Serve.
+// Handler handles the requests that peers forward. It is called concurrently. Its context is that of Network.Serve.
 type Handler func(ctx context.Context, request Request) Response
 
-// Watermarks is this controller's record of cancellations, its own and those of its peers. Its methods
-// are called concurrently, and never while a lock of the Network is held.
+// Watermarks is this controller's record of cancellations, its own and those of its peers. Its methods are called
+// concurrently, and never while Network.mu is held.
 type Watermarks interface {
-	// Position returns the incarnation of the member that its last statement came from, and how far
-	// that was; ok is false while a member of an older version may be there, which is asked nothing.
-	Position(member string) (incarnation, have uint64, ok bool)
-	// Statement returns what this controller says to a peer that is at the given position; ok is false
-	// while it says nothing.
-	Statement(incarnation, have uint64) (statement watermark.Statement, ok bool)
-	// ApplyStatement takes in the statement of a member that was asked for it at the time sent, on the
-	// clock of the Network.
+	// Position returns the incarnation of the member at its last statement and the sequence number up to which its
+	// cancellations were received. If ok is false, the member may run an older version, and no statement is
+	// requested from it.
+	Position(member string) (incarnation, afterSeq uint64, ok bool)
+	// Statement returns this controller's statement for a peer that has its cancellations up to the sequence number
+	// afterSeq of the given incarnation. If ok is false, there is no statement to send.
+	Statement(incarnation, afterSeq uint64) (statement watermark.Statement, ok bool)
+	// ApplyStatement applies the statement of a member. The parameter sent is when the statement was requested,
+	// on the clock of the Network.
 	ApplyStatement(member string, sent time.Time, statement watermark.Statement)
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// listen opens a port on loopback, which is closed with the test.
+// listen opens a TCP port on the loopback interface and closes it at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -41,7 +41,7 @@
 	return listener
 }
 
-// dial connects to a listener.
+// dial connects to a listener and closes the connection at the end of the test.
 func dial(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -49,39 +49,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // Its user may have closed it.
+	t.Cleanup(func() { _ = conn.Close() }) // The test may have closed it.
 	return conn
 }
 
-// closeOrFail closes an end of a connection as its process would by ending.
-func closeOrFail(t *testing.T, closer io.Closer) {
+// requireClose closes one end of a connection or a listener, as the end of its process would, and fails the test on an
+// error.
+func requireClose(t *testing.T, closer io.Closer) {
 	t.Helper()
 	if err := closer.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Damaged frames are errors, never panics: FlatBuffers checks nothing itself.
-func TestDamagedFramesAreErrors(t *testing.T) {
+// Malformed frames cause errors and never panics. FlatBuffers does not verify its input.
+func TestMalformedFramesCauseErrorsNotPanics(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	good := encodeFrame(frame{kind: wire.KindReply, seq: 1, body: make([]byte, 300), verb: "x"})
+	valid := encodeFrame(frame{kind: wire.KindReply, seq: 1, body: make([]byte, 300), verb: "x"})
 	for range 5000 {
-		raw := bytes.Clone(good)
+		raw := bytes.Clone(valid)
 		for range 1 + rnd.IntN(8) {
 			raw[4+rnd.IntN(len(raw)-4)] = byte(rnd.Uint32())
 		}
 		_, _ = readFrame(bytes.NewReader(raw))
 	}
-	huge := binary.LittleEndian.AppendUint32(nil, 1<<31)
-	for _, raw := range [][]byte{huge, {4, 0, 0, 0, 1, 2, 3, 4}, good[:20], {0xff}} {
+	oversized := binary.LittleEndian.AppendUint32(nil, 1<<31)
+	for _, raw := range [][]byte{oversized, {4, 0, 0, 0, 1, 2, 3, 4}, valid[:20], {0xff}} {
 		if _, err := readFrame(bytes.NewReader(raw)); err == nil {
-			t.Errorf("%d bytes of garbage were taken", len(raw))
+			t.Errorf("a malformed frame of %d bytes was accepted", len(raw))
 		}
 	}
 }
 
-// Bytes that are not a frame end that connection and nothing else, and a request gets its reply.
-func TestGarbageClosesOnlyItsConnection(t *testing.T) {
+// Malformed input ends only the connection on which it arrives. On another connection, hellos and requests are still
+// answered.
+func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
 	ctx := t.Context()
 	listener := listen(t)
 	clock := clockwork.NewFakeClock()
@@ -91,33 +93,33 @@
 	})
 	go func() { _ = server.Serve(ctx, listener) }()
 
-	bad := dial(t, listener)
-	_, _ = bad.Write(bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 20))
-	if _, err := bad.Read(make([]byte, 1)); err == nil {
-		t.Error("garbage got an answer")
+	malformedConn := dial(t, listener)
+	_, _ = malformedConn.Write(bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 20))
+	if _, err := malformedConn.Read(make([]byte, 1)); err == nil {
+		t.Error("malformed input was answered")
 	}
 
-	one := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	remote := one.peers["n0"]
+	client := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	remote := client.peers["n0"]
 	conn := dial(t, listener)
-	go one.runConnection(ctx, remote, conn)
-	for !one.Reachable("n0") {
-		// The first greeting is on its way.
+	go client.runConnection(ctx, remote, conn)
+	for !client.Reachable("n0") {
+		// Wait for the first hello.
 	}
-	if h := one.LivePeers(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || one.Isolated() {
-		t.Errorf("alive %+v", h)
+	if h := client.LivePeers(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || client.Isolated() {
+		t.Errorf("live peers %+v", h)
 	}
-	response, err := one.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
+	response, err := client.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
 	if err != nil || response.Status != 200 || string(response.Body) != "status x" || response.RetryAfterS != 3 {
 		t.Errorf("%+v, %v", response, err)
 	}
-	if _, err := one.Ask(ctx, "n9", Request{}, time.Second); err == nil {
-		t.Error("an unknown peer answered")
+	if _, err := client.Ask(ctx, "n9", Request{}, time.Second); err == nil {
+		t.Error("a request to an unknown peer was answered")
 	}
 }
 
-// The observations of a peer are: connected, its greeting, connection reset when its process ends, and
-// connection refused after that.
+// A peer that starts and then ends causes these observations, in this order: connection established, hello, connection
+// reset, connection refused.
 func TestConnectionOutcomesAreObserved(t *testing.T) {
 	ctx := t.Context()
 	listener := listen(t)
@@ -125,36 +127,36 @@
 	self := func() Hello {
 		return Hello{Member: "n0", StateOK: true, ReceivesHeartbeats: true, StartedMS: 17, HeardPeers: []string{"n1", "n2"}, Leaving: true}
 	}
-	life, end := context.WithCancel(ctx)
+	serveCtx, stopServing := context.WithCancel(ctx)
 	conns := make(chan net.Conn, 1)
 	server := New(nil, clock, self, nil)
 	go func() {
 		conn, err := listener.Accept()
 		if err == nil {
 			conns <- conn
-			server.serveConn(life, conn)
+			server.serveConn(serveCtx, conn)
 		}
 	}()
-	seen := make(chan membership.Observation, 64)
+	observations := make(chan membership.Observation, 64)
 	network := New([]settings.Peer{{Member: "n0", Address: listener.Addr().String()}}, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	network.OnObservation = func(o membership.Observation) { seen <- o }
+	network.OnObservation = func(o membership.Observation) { observations <- o }
 	network.Run(ctx)
 	want := func(w membership.Observation) {
 		t.Helper()
-		if got := <-seen; !reflect.DeepEqual(got, w) {
+		if got := <-observations; !reflect.DeepEqual(got, w) {
 			t.Fatalf("observed %+v, want %+v", got, w)
 		}
 	}
 	want(membership.Connection{To: "n0", Outcome: membership.Established})
 	want(membership.Hello{From: "n0", StartedMS: 17, HeardPeers: []string{"n1", "n2"}, StateOK: true, ReceivesHeartbeats: true, Leaving: true})
-	end()
-	closeOrFail(t, listener)
-	closeOrFail(t, <-conns)
+	stopServing()
+	requireClose(t, listener)
+	requireClose(t, <-conns)
 	want(membership.Connection{To: "n0", Outcome: membership.Reset})
 	for {
 		clock.Advance(tuning.PeerHello)
 		select {
-		case o := <-seen:
+		case o := <-observations:
 			if o != (membership.Connection{To: "n0", Outcome: membership.Refused}) {
 				t.Fatalf("observed %+v", o)
 			}
@@ -164,7 +166,7 @@
 	}
 }
 
-// fakeWatermarks replies to every question with one statement, and records what is applied.
+// fakeWatermarks answers every request with the same statement, and records the statements that are applied.
 type fakeWatermarks struct {
 	reply       watermark.Statement
 	applied     chan time.Time
@@ -172,8 +174,8 @@
 }
 
 func (s *fakeWatermarks) Position(string) (uint64, uint64, bool) { return 3, 1, true }
-func (s *fakeWatermarks) Statement(incarnation, have uint64) (watermark.Statement, bool) {
-	s.reply.Incarnation, s.reply.From = incarnation, have
+func (s *fakeWatermarks) Statement(incarnation, afterSeq uint64) (watermark.Statement, bool) {
+	s.reply.Incarnation, s.reply.From = incarnation, afterSeq
 	return s.reply, true
 }
 func (s *fakeWatermarks) ApplyStatement(_ string, sent time.Time, w watermark.Statement) {
@@ -181,50 +183,50 @@
 	s.applied <- sent
 }
 
-// A statement counts from when its question was sent, however late the answer is. An answer that was not
-// asked for is ignored, and too many cancellations end the connection.
-func TestWatermarkCountsFromQuestion(t *testing.T) {
+// A watermark statement is applied with the time at which it was requested, however late it arrives. Unrequested and
+// duplicate statements are ignored, and one with too many cancellations ends the connection.
+func TestStatementIsAppliedAsOfItsRequest(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	here, there := net.Pipe()
-	t.Cleanup(func() { _ = there.Close() })
+	localConn, remoteConn := net.Pipe()
+	t.Cleanup(func() { _ = remoteConn.Close() })
 	network := New([]settings.Peer{{Member: "n1"}}, clock, func() Hello { return Hello{Member: "n0"} }, nil)
-	mine := &fakeWatermarks{applied: make(chan time.Time, 4)}
-	network.Watermarks = mine
-	other := New(nil, clock, func() Hello { return Hello{Member: "n1"} }, nil)
-	other.Watermarks = &fakeWatermarks{reply: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
-	sent := clock.Now()
+	watermarks := &fakeWatermarks{applied: make(chan time.Time, 4)}
+	network.Watermarks = watermarks
+	remoteNetwork := New(nil, clock, func() Hello { return Hello{Member: "n1"} }, nil)
+	remoteNetwork.Watermarks = &fakeWatermarks{reply: watermark.Statement{To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 20*time.Millisecond + 1}}
+	requestedAt := clock.Now()
 	done := make(chan membership.ConnectionOutcome)
-	go func() { done <- network.runConnection(t.Context(), network.peers["n1"], here) }()
-	question, err := readFrame(there)
-	if err != nil || question.seq == 0 || question.incarnation != 3 || question.watermarkFrom != 1 {
-		t.Fatalf("question %+v, %v", question, err)
+	go func() { done <- network.runConnection(t.Context(), network.peers["n1"], localConn) }()
+	request, err := readFrame(remoteConn)
+	if err != nil || request.seq == 0 || request.incarnation != 3 || request.statementFrom != 1 {
+		t.Fatalf("statement request %+v, %v", request, err)
 	}
 	clock.Advance(time.Second)
-	reply := other.newHelloReply(question)
-	stray := reply
-	stray.seq += 7
+	reply := remoteNetwork.newHelloReply(request)
+	unrequested := reply
+	unrequested.seq += 7
 	var mu sync.Mutex
-	for _, message := range []frame{stray, reply, reply} {
-		if err := writeFrame(there, &mu, message); err != nil {
+	for _, message := range []frame{unrequested, reply, reply} {
+		if err := writeFrame(remoteConn, &mu, message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if at := <-mine.applied; !at.Equal(sent) {
-		t.Errorf("counts from %v after the question", at.Sub(sent))
+	if appliedAt := <-watermarks.applied; !appliedAt.Equal(requestedAt) {
+		t.Errorf("applied with a time %v after the request", appliedAt.Sub(requestedAt))
 	}
 	want := watermark.Statement{Incarnation: 3, From: 1, To: 2, Latest: 5, Cancellations: []watermark.Cancellation{{Job: "run-1", Age: 1500 * time.Millisecond}}, Current: true, Age: 21 * time.Millisecond}
-	if !reflect.DeepEqual(mine.lastApplied, want) {
-		t.Errorf("applied %+v, want %+v", mine.lastApplied, want)
+	if !reflect.DeepEqual(watermarks.lastApplied, want) {
+		t.Errorf("applied %+v, want %+v", watermarks.lastApplied, want)
 	}
 	for range tuning.CancellationsAtOnce {
 		reply.cancellations = append(reply.cancellations, watermark.Cancellation{Job: "run-1"})
 	}
 	reply.cancellations = append(reply.cancellations, reply.cancellations[0])
-	if err := writeFrame(there, &mu, reply); err != nil {
+	if err := writeFrame(remoteConn, &mu, reply); err != nil {
 		t.Fatal(err)
 	}
 	<-done
-	if len(mine.applied) > 0 {
-		t.Error("an answer that nobody asked for, or one that came twice, was taken")
+	if len(watermarks.applied) > 0 {
+		t.Error("an unrequested or duplicate statement was applied")
 	}
 }
--- a/peer/responses.go
+++ b/peer/responses.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// JSONResponse returns a response with a status and body encoded as JSON. A body that cannot be encoded gives the
-// response of RetryLater.
+// JSONResponse returns a response with the given status and the body encoded as JSON. If the body cannot be encoded,
+// it returns the response of RetryLater.
 func JSONResponse(status int, body any) Response {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -21,22 +21,23 @@
 	return Response{Status: status, Body: raw}
 }
 
-// RetryLater returns a 503 that asks the user to come back after the usual pause.
-func RetryLater(why string) Response {
-	response := JSONResponse(http.StatusServiceUnavailable, api.Error{Error: why})
+// RetryLater returns a response with status 503 that tells the user to retry after tuning.RetryAfterS.
+func RetryLater(reason string) Response {
+	response := JSONResponse(http.StatusServiceUnavailable, api.Error{Error: reason})
 	response.RetryAfterS = tuning.RetryAfterS
 	return response
 }
 
-// RetryLaterAfter is RetryLater with the pause that the work ahead is expected to take. The pause lies between the usual
-// one and the longest that users heed.
-func RetryLaterAfter(why string, after time.Duration) Response {
-	response := RetryLater(why)
-	response.RetryAfterS = min(tuning.RetryAfterMost, max(response.RetryAfterS, int(math.Ceil(after.Seconds()))))
+// RetryLaterAfter is RetryLater with a given time until the retry. The time is rounded up to seconds and limited to the
+// range from tuning.RetryAfterS to tuning.RetryAfterMost, the longest that users comply with.
+func RetryLaterAfter(reason string, delay time.Duration) Response {
+	response := RetryLater(reason)
+	response.RetryAfterS = min(tuning.RetryAfterMost, max(response.RetryAfterS, int(math.Ceil(delay.Seconds()))))
 	return response
 }
 
-// Refusal returns an error response that names the field of an api.FieldError.
+// Refusal returns a response with the given status and an api.Error as body. If err is an api.FieldError, the body
+// names the field.
 func Refusal(status int, err error) Response {
 	body := api.Error{Error: err.Error()}
 	if field, ok := errors.AsType[*api.FieldError](err); ok {
--- a/peer/version1_test.go
+++ b/peer/version1_test.go
@@ -12,8 +12,8 @@
 	"switchferry/peer/wire"
 )
 
-// version1Frames are frames of all kinds; testdata/frames1.hex holds them as the first version's
-// controllers sent them, one a line.
+// version1Frames are frames of all kinds. testdata/frames1.hex contains them as the first version of the controller
+// encoded them, one per line.
 var version1Frames = []frame{
 	{kind: wire.KindHello, member: "ferryhost-1", term: 1873, stateOK: true, benchmarkUS: 81, receivesHeartbeats: true},
 	{kind: wire.KindHello, member: "ferryhost-2"},
@@ -39,7 +39,7 @@
 	}
 	for i, line := range strings.Fields(string(raw)) {
 		if lines[i] != line {
-			t.Errorf("frame %d is sent as\n%s, by the first version as\n%s", i, lines[i], line)
+			t.Errorf("frame %d is encoded as\n%s, by the first version as\n%s", i, lines[i], line)
 		}
 		old, err := hex.DecodeString(line)
 		if err != nil {
