--- a/relay/mailbox.go
+++ b/relay/mailbox.go
@@ -9,14 +9,14 @@
 	"switchferry/tuning"
 )
 
-// Mailbox spreads the leader's messages for the machines behind one peer over packets of bounded
-// size. Each machine is assigned to one packet, and moves to another when that one grows too
-// large. It is not safe for concurrent use.
+// Mailbox distributes the leader's messages for the machines that one peer serves over packets of
+// bounded size. Each machine is assigned to one packet, and is reassigned to another if that one grows
+// too large. A Mailbox is not safe for concurrent use.
 type Mailbox struct {
 	limits Limits
 	// packetIndex is the index in packets of each machine's packet.
 	packetIndex map[string]int
-	// packets has the machines that are assigned to each packet. It only grows.
+	// packets has the set of machines that are assigned to each packet. Packets are never removed.
 	packets []map[string]bool
 }
 
@@ -25,40 +25,41 @@
 	return &Mailbox{limits: limits, packetIndex: map[string]int{}}
 }
 
-// AssignPacket returns the index of the packet that a machine is assigned to. A machine that has none
-// is assigned to the first packet with room.
-func (m *Mailbox) AssignPacket(name string) int {
-	if index, ok := m.packetIndex[name]; ok {
+// AssignPacket returns the index of the packet that a machine is assigned to. A machine without a packet
+// is first assigned to the first one with fewer than tuning.PacketMachines machines, or to a new one.
+func (m *Mailbox) AssignPacket(machine string) int {
+	if index, ok := m.packetIndex[machine]; ok {
 		return index
 	}
 	index := slices.IndexFunc(m.packets, func(machines map[string]bool) bool { return len(machines) < tuning.PacketMachines })
 	if index < 0 {
-		index = m.addPacket()
+		index = m.addEmptyPacket()
 	}
-	m.packetIndex[name] = index
-	m.packets[index][name] = true
+	m.packetIndex[machine] = index
+	m.packets[index][machine] = true
 	return index
 }
 
-// addPacket adds a packet without machines and returns its index.
-func (m *Mailbox) addPacket() int {
+// addEmptyPacket adds a packet without machines and returns its index.
+func (m *Mailbox) addEmptyPacket() int {
 	m.packets = append(m.packets, map[string]bool{})
 	return len(m.packets) - 1
 }
 
-// Remove takes a machine out of the mailbox and returns the index of the packet that it was assigned
-// to; -1: none.
-func (m *Mailbox) Remove(name string) int {
-	index, ok := m.packetIndex[name]
+// Remove removes a machine from the mailbox and returns the index of the packet that it was assigned to,
+// or -1 if it was assigned to none.
+func (m *Mailbox) Remove(machine string) int {
+	index, ok := m.packetIndex[machine]
 	if !ok {
 		return -1
 	}
-	delete(m.packetIndex, name)
-	delete(m.packets[index], name)
+	delete(m.packetIndex, machine)
+	delete(m.packets[index], machine)
 	return index
 }
 
-// Machines returns the machines that are assigned to a packet, sorted by name.
+// Machines returns the names of the machines that are assigned to a packet, sorted. It returns none for
+// an unknown index.
 func (m *Mailbox) Machines(index int) []string {
 	if index < 0 || index >= len(m.packets) {
 		return nil
@@ -66,25 +67,26 @@
 	return slices.Sorted(maps.Keys(m.packets[index]))
 }
 
-// BuildPacket builds a packet of what body returns for its machines; a machine for which body
-// returns nil is left out. A packet that grows too large hands half of its machines over to a new
-// one: touched are the indices of the new packets, which the caller must build as well. tooLarge
-// are the machines whose message alone exceeds a packet: it is left out, so that the others' are
-// delivered. The packet of an unknown index is empty. The error is that of encoding the messages.
-func (m *Mailbox) BuildPacket(term uint64, index int, body func(name string) json.RawMessage) (packet Packet, touched []int, tooLarge []string, err error) {
+// BuildPacket builds the packet at index from the messages that messageFor returns for its machines. It
+// omits machines for which messageFor returns nil. While the packet is too large, the second half of its
+// messages is reassigned to a new packet; newPackets has the indices of these packets, which the caller
+// must build as well. tooLarge has the machines whose message alone exceeds a packet; it is omitted, so that
+// the other messages are delivered. The packet of an unknown index is empty. The error is that of
+// encoding the messages.
+func (m *Mailbox) BuildPacket(term uint64, index int, messageFor func(name string) json.RawMessage) (packet Packet, newPackets []int, tooLarge []string, err error) {
 	if index < 0 || index >= len(m.packets) {
 		return Packet{Term: term}, nil, nil, nil
 	}
 	var messages []Message
 	for _, name := range m.Machines(index) {
-		if raw := body(name); raw != nil {
-			messages = append(messages, Message{name, raw})
+		if body := messageFor(name); body != nil {
+			messages = append(messages, Message{name, body})
 		}
 	}
 	for {
 		packed, err := compress.EncodeFast(messages)
-		if err != nil || len(packed) <= m.limits.packedBytes() {
-			return Packet{Term: term, Packed: packed}, touched, tooLarge, err
+		if err != nil || len(packed) <= m.limits.maxPackedBytes() {
+			return Packet{Term: term, Packed: packed}, newPackets, tooLarge, err
 		}
 		if len(messages) == 1 {
 			tooLarge = append(tooLarge, messages[0].Name)
@@ -92,15 +94,15 @@
 			continue
 		}
 		half := len(messages) / 2
-		touched = append(touched, m.moveToNewPacket(messages[half:], index))
+		newPackets = append(newPackets, m.moveToNewPacket(messages[half:], index))
 		messages = messages[:half]
 	}
 }
 
-// moveToNewPacket assigns the recipients of messages from the packet at index to a new one, and
-// returns the new one's index.
+// moveToNewPacket reassigns the recipients of messages from the packet at index to a new packet, and
+// returns the index of the new packet.
 func (m *Mailbox) moveToNewPacket(messages []Message, index int) int {
-	newIndex := m.addPacket()
+	newIndex := m.addEmptyPacket()
 	for _, message := range messages {
 		delete(m.packets[index], message.Name)
 		m.packets[newIndex][message.Name], m.packetIndex[message.Name] = true, newIndex
--- a/relay/outbox.go
+++ b/relay/outbox.go
@@ -12,51 +12,53 @@
 	"switchferry/tuning"
 )
 
-// The compression ratio is the number of bytes of messages for each byte of Packet.Packed. It is
-// estimated from the packets that were made before.
+// The compression ratio is the number of uncompressed message bytes per byte of Packet.Packed.
 const (
+	// initialCompressionRatio is the estimate before the first packet is built.
 	initialCompressionRatio = 2
-	minCompressionRatio     = 0.5
-	// compressionRatioMargin lowers the measured ratio, so that the next packet fits at the
-	// first attempt.
+	// minCompressionRatio is the lower bound of the estimate.
+	minCompressionRatio = 0.5
+	// compressionRatioMargin is the factor from the ratio of the last packet to the estimate for the next
+	// one. It is below 1 so that the next packet usually fits at the first attempt.
 	compressionRatioMargin = 0.9
 )
 
-// Outbox holds the newest message of each sender, to be relayed to the leader of one term. It is
-// not safe for concurrent use.
+// Outbox holds the latest message of each sender, to be relayed to the leader of one term. It is not
+// safe for concurrent use.
 type Outbox struct {
 	limits Limits
 	term   uint64
-	// entries has the newest message of each sender, by its name.
+	// entries has the latest message of each sender, by the sender's name.
 	entries map[string]*outboxEntry
-	// fragments are those of large messages that are still to be sent. They go first.
+	// fragments are the fragments of large messages that are not sent yet. They are sent before messages.
 	fragments []Packet
-	// lastID is the ID of the message that was fragmented last.
-	lastID           uint64
+	// lastMessageID is the ID of the last payload that was fragmented.
+	lastMessageID uint64
+	// compressionRatio is the estimated compression ratio of the next packet.
 	compressionRatio float64
 }
 
-// outboxEntry is the newest message of one sender.
+// outboxEntry is the latest message of one sender.
 type outboxEntry struct {
 	body json.RawMessage
-	// changed tells that the message differs from the one that was sent last, and changedAt
-	// since when.
-	changed   bool
+	// changed is true if the message differs from the one that was last sent.
+	changed bool
+	// changedAt is when changed last became true.
 	changedAt time.Time
-	// sentAt is when the message was last handed out by Next; zero: never.
+	// sentAt is when Next last returned the sender's message, or zero if it never did.
 	sentAt time.Time
-	// updatedAt is when the sender last called Put.
+	// updatedAt is when Put was last called for the sender.
 	updatedAt time.Time
 }
 
-// NewOutbox returns an empty outbox for term 0. The IDs of fragmented messages count up from
-// firstID, which must be above any that an earlier process of this member used; a timestamp does.
-func NewOutbox(limits Limits, firstID uint64) *Outbox {
-	return &Outbox{limits: limits, entries: map[string]*outboxEntry{}, lastID: firstID, compressionRatio: initialCompressionRatio}
+// NewOutbox returns an empty outbox for term 0. The IDs of fragmented messages increase from
+// firstMessageID, which must be higher than the IDs that earlier processes of this member used. A timestamp is suitable.
+func NewOutbox(limits Limits, firstMessageID uint64) *Outbox {
+	return &Outbox{limits: limits, entries: map[string]*outboxEntry{}, lastMessageID: firstMessageID, compressionRatio: initialCompressionRatio}
 }
 
-// Reset empties the outbox and addresses it to the leader of term. It does nothing if the outbox
-// is addressed to that one already.
+// Reset empties the outbox and addresses it to the leader of term. It does nothing if the outbox is
+// already addressed to that leader.
 func (o *Outbox) Reset(term uint64) {
 	if o.term != term {
 		o.term, o.entries, o.fragments = term, map[string]*outboxEntry{}, nil
@@ -66,13 +68,13 @@
 // Term returns the term of the leader that the outbox is addressed to.
 func (o *Outbox) Term() uint64 { return o.term }
 
-// Put replaces the message of a sender. If changed is false, the message only shows that the sender
-// is still alive; it is then relayed at the pace of refreshes.
-func (o *Outbox) Put(name string, body json.RawMessage, changed bool, now time.Time) {
-	entry := o.entries[name]
+// Put replaces the message of a sender. If changed is false, the message only shows that the sender is
+// alive, and it is relayed only at the refresh interval of Next.
+func (o *Outbox) Put(sender string, body json.RawMessage, changed bool, now time.Time) {
+	entry := o.entries[sender]
 	if entry == nil {
 		entry = &outboxEntry{changed: true, changedAt: now}
-		o.entries[name] = entry
+		o.entries[sender] = entry
 	}
 	if changed && !entry.changed {
 		entry.changed, entry.changedAt = true, now
@@ -83,8 +85,8 @@
 // Len returns the number of senders.
 func (o *Outbox) Len() int { return len(o.entries) }
 
-// Expire removes the senders that have not called Put for longer than maxIdle, and returns their
-// names in no particular order.
+// Expire removes the senders for which Put has not been called for longer than maxIdle, and returns
+// their names in no particular order.
 func (o *Outbox) Expire(now time.Time, maxIdle time.Duration) (expired []string) {
 	for name, entry := range o.entries {
 		if now.Sub(entry.updatedAt) > maxIdle {
@@ -95,21 +97,22 @@
 	return expired
 }
 
-// Batch is what one transaction sends.
+// Batch is the set of packets that one transaction writes.
 type Batch struct {
 	Packets []Packet
-	// senders are those whose messages are in Packets, and fragments the Packets that are
-	// fragments: what Requeue puts back.
-	senders   []string
+	// senders are the senders whose messages are in Packets, or in fragments that were queued for a later
+	// batch. Requeue marks their messages as changed.
+	senders []string
+	// fragments are those of Packets that are fragments. Requeue puts them back into the queue.
 	fragments []Packet
 }
 
-// Next takes out the packets that are due, at most maxPackets and never more than one transaction
-// carries. Fragments go first, then messages that changed, those that have waited longest first,
-// then messages that have not been sent for refreshEvery although their sender is alive. They count
-// as sent unless Requeue puts them back. The batch is empty if nothing is due.
+// Next returns the packets that are due: at most maxPackets, and never more than fit into one
+// transaction. Fragments come first, then messages that changed, in the order of their changes, then
+// unchanged messages that were last sent at least refreshEvery ago and whose sender has called Put since.
+// They count as sent unless the batch is passed to Requeue. The batch is empty if nothing is due.
 //
-// The error names senders whose messages cannot be encoded. They are removed from the outbox, and
+// The error names the senders whose messages cannot be encoded. They are removed from the outbox, and
 // the batch is valid without them.
 func (o *Outbox) Next(now time.Time, refreshEvery time.Duration, maxPackets int) (batch Batch, err error) {
 	maxPackets = min(maxPackets, o.limits.MaxPackets())
@@ -126,14 +129,14 @@
 		}
 		count, packed, packErr := o.packNext(senders)
 		if packErr != nil {
-			// Kept, it would block all other messages for ever.
+			// If the message stayed in the outbox, it would block all other messages forever.
 			err = errors.Join(err, fmt.Errorf("packing the message of %s: %w", senders[0], packErr))
 			delete(o.entries, senders[0])
 			senders = senders[1:]
 			continue
 		}
-		if len(packed) > o.limits.packedBytes() {
-			o.fragment(packed)
+		if len(packed) > o.limits.maxPackedBytes() {
+			o.queueFragments(packed)
 		} else {
 			batch.Packets = append(batch.Packets, Packet{Term: o.term, Packed: packed})
 		}
@@ -147,7 +150,7 @@
 	return batch, err
 }
 
-// dueSenders returns the senders whose messages are to be sent now, in the order of sending.
+// dueSenders returns the senders whose messages are due, in the order in which they are sent.
 func (o *Outbox) dueSenders(now time.Time, refreshEvery time.Duration) []string {
 	var senders []string
 	for name, entry := range o.entries {
@@ -157,14 +160,14 @@
 		}
 	}
 	slices.SortFunc(senders, func(a, b string) int {
-		return cmp.Or(o.entries[a].compare(o.entries[b]), cmp.Compare(a, b))
+		return cmp.Or(o.entries[a].compareUrgency(o.entries[b]), cmp.Compare(a, b))
 	})
 	return senders
 }
 
-// compare orders entries by the time at which they are due: changed before unchanged, then the
-// longest waiting first.
-func (e *outboxEntry) compare(other *outboxEntry) int {
+// compareUrgency orders entries by urgency: changed entries before unchanged ones, then the one that has
+// waited longest first.
+func (e *outboxEntry) compareUrgency(other *outboxEntry) int {
 	switch {
 	case e.changed && !other.changed:
 		return -1
@@ -176,17 +179,17 @@
 	return e.sentAt.Compare(other.sentAt)
 }
 
-// packNext packs as many messages of the first senders as fit into one packet, and at least one. It
-// returns how many, and the payload, which exceeds a packet only if count is 1. The error is that
-// of the first sender's message.
+// packNext packs messages of the first senders into the payload of one packet: at least one message, and
+// no more than are estimated to fit. It returns their count and the payload, which exceeds the size of a
+// packet only if count is 1. The error is that of encoding the first sender's message.
 func (o *Outbox) packNext(senders []string) (count int, packed string, err error) {
 	count = o.estimateCount(senders)
 	for {
 		messages := make([]Message, 0, count)
-		rawBytes := 0
+		uncompressedBytes := 0
 		for _, name := range senders[:count] {
 			messages = append(messages, Message{name, o.entries[name].body})
-			rawBytes += o.rawBytes(name)
+			uncompressedBytes += o.uncompressedBytes(name)
 		}
 		packed, err = compress.EncodeFast(messages)
 		if err != nil && count == 1 {
@@ -196,50 +199,52 @@
 			count = 1
 			continue
 		}
-		ratio := compressionRatioMargin * float64(rawBytes) / float64(len(packed))
+		ratio := compressionRatioMargin * float64(uncompressedBytes) / float64(len(packed))
 		o.compressionRatio = max(minCompressionRatio, min(tuning.PacketRatio, ratio))
-		if count == 1 || len(packed) <= o.limits.packedBytes() {
+		if count == 1 || len(packed) <= o.limits.maxPackedBytes() {
 			return count, packed, nil
 		}
 		count /= 2
 	}
 }
 
-// estimateCount returns how many messages of the first senders are likely to fit into one packet,
-// at least 1.
+// estimateCount returns the number of messages of the first senders that are likely to fit into one
+// packet, at least 1.
 func (o *Outbox) estimateCount(senders []string) int {
-	maxRawBytes := o.compressionRatio * float64(o.limits.packedBytes())
-	rawBytes := 0
+	maxUncompressedBytes := o.compressionRatio * float64(o.limits.maxPackedBytes())
+	uncompressedBytes := 0
 	for i, name := range senders {
-		rawBytes += o.rawBytes(name)
-		if i > 0 && float64(rawBytes) > maxRawBytes {
+		uncompressedBytes += o.uncompressedBytes(name)
+		if i > 0 && float64(uncompressedBytes) > maxUncompressedBytes {
 			return i
 		}
 	}
 	return len(senders)
 }
 
-// rawBytes returns the size of a sender's message before compression.
-func (o *Outbox) rawBytes(name string) int { return len(o.entries[name].body) + len(name) }
+// uncompressedBytes returns the size of a sender's message in bytes before compression.
+func (o *Outbox) uncompressedBytes(sender string) int {
+	return len(o.entries[sender].body) + len(sender)
+}
 
-// fragment queues a payload that is too large for one packet in fragments.
-func (o *Outbox) fragment(packed string) {
-	o.lastID++
-	size := o.limits.packedBytes()
+// queueFragments splits a payload that is too large for one packet into fragments and queues them.
+func (o *Outbox) queueFragments(packed string) {
+	o.lastMessageID++
+	size := o.limits.maxPackedBytes()
 	total := (len(packed) + size - 1) / size
-	for piece := range total {
+	for index := range total {
 		o.fragments = append(o.fragments, Packet{
-			Term:   o.term,
-			Packed: packed[piece*size : min(len(packed), (piece+1)*size)],
-			ID:     o.lastID,
-			Piece:  piece,
-			Of:     total,
+			Term:          o.term,
+			Packed:        packed[index*size : min(len(packed), (index+1)*size)],
+			ID:            o.lastMessageID,
+			FragmentIndex: index,
+			FragmentCount: total,
 		})
 	}
 }
 
-// Requeue puts back a batch that may not have been sent. Fragments for the leader of an earlier
-// term are dropped.
+// Requeue puts a batch that may not have been written back into the outbox. Fragments that are addressed
+// to the leader of another term are dropped.
 func (o *Outbox) Requeue(batch Batch) {
 	for _, name := range batch.senders {
 		if entry := o.entries[name]; entry != nil && !entry.changed {
--- a/relay/reader.go
+++ b/relay/reader.go
@@ -4,35 +4,34 @@
 	"encoding/json"
 )
 
-// Reader is the receiving end of a Mailbox: it has the newest message for each machine, out of all
-// packets of the leader of the newest term. The zero value is ready for use. It is not safe for
-// concurrent use.
+// Reader is the receiver of a Mailbox's packets: it holds the latest message for each machine from the
+// packets of the newest term. The zero value is ready for use. A Reader is not safe for concurrent use.
 type Reader struct {
 	term uint64
-	// packets is the last packet that was applied of each key of the state service.
+	// packets has the last packet that was applied for each key of the state service.
 	packets map[string]appliedPacket
-	// messages is the newest message for each machine.
+	// messages has the latest message for each machine.
 	messages map[string]currentMessage
 }
 
-// appliedPacket is a packet whose messages are in a Reader.
+// appliedPacket is a packet whose messages a Reader has applied.
 type appliedPacket struct {
-	// revision is the state service's revision of the packet.
+	// revision is the revision of the packet's key in the state service.
 	revision uint64
 	machines []string
 }
 
-// currentMessage is the newest message for a machine, and the packet that it came in.
+// currentMessage is the latest message for a machine, with the key and revision of the packet that contained it.
 type currentMessage struct {
 	key      string
 	revision uint64
 	body     json.RawMessage
 }
 
-// Apply takes in a packet as it is stored under a key at a revision of the state service, in
-// whatever order packets are read. It ignores packets of a term that is older than the newest one,
-// and of a revision that is not newer than the last one of that key. The error tells that the packet
-// is corrupt; it is then not applied.
+// Apply applies the packet that is stored under a key at a revision of the state service. Packets may be
+// applied in any order. Apply ignores a packet of an earlier term than the newest one, and a packet whose
+// revision is not newer than the last one applied for its key. It returns an error, and does not apply
+// the packet, if the packet is corrupt.
 func (r *Reader) Apply(key string, revision uint64, packet *Packet) error {
 	if packet.Term < r.term {
 		return nil
@@ -66,10 +65,10 @@
 	return nil
 }
 
-// MessageFor returns the newest message for a machine from the leader of a term; nil: none.
-func (r *Reader) MessageFor(term uint64, name string) json.RawMessage {
+// MessageFor returns the latest message for a machine from the leader of a term, or nil if there is none.
+func (r *Reader) MessageFor(term uint64, machine string) json.RawMessage {
 	if r.term != term {
 		return nil
 	}
-	return r.messages[name].body
+	return r.messages[machine].body
 }
--- a/relay/reader_test.go
+++ b/relay/reader_test.go
@@ -7,9 +7,10 @@
 	"switchferry/internal/compress"
 )
 
-// A machine that moves from one packet to another gets the message of the newer one, in whatever
-// order the packets are read. Packets of another term, or of an older revision of a key, are ignored.
-func TestReaderKeepsNewestMessage(t *testing.T) {
+// A machine that was reassigned to another packet gets the message of the packet with the newer revision,
+// in whatever order the packets are read. Packets of an earlier term, or of an older revision of a key,
+// are ignored.
+func TestReaderKeepsLatestMessage(t *testing.T) {
 	packetOf := func(term uint64, messages ...Message) *Packet {
 		packed, err := compress.EncodeFast(messages)
 		if err != nil {
@@ -42,6 +43,6 @@
 		}
 	}
 	if err := reader.Apply("k/0", 20, packetOf(9, message("a", `"new"`))); err != nil || reader.MessageFor(7, "a") != nil || string(reader.MessageFor(9, "a")) != `"new"` {
-		t.Error("terms are mixed up")
+		t.Error("messages of different terms are confused")
 	}
 }
--- a/relay/reassembler.go
+++ b/relay/reassembler.go
@@ -8,44 +8,45 @@
 	"switchferry/tuning"
 )
 
-// Reassembler opens the packets of outboxes and puts the fragments of large messages together, for
-// each sending member apart. The zero value is ready for use. It is not safe for concurrent use.
+// Reassembler unpacks the packets of outboxes and reassembles fragmented messages, separately for each
+// sending member. The zero value is ready for use. A Reassembler is not safe for concurrent use.
 type Reassembler struct {
-	// partial has the message of each member of which fragments are missing.
+	// partial has, for each member, the message whose fragments have not all arrived.
 	partial map[string]*partialMessage
 }
 
-// partialMessage is a fragmented message that is not complete.
+// partialMessage is a fragmented message that is still incomplete.
 type partialMessage struct {
-	id uint64
-	// fragments are in their order; "" is one that is missing.
+	messageID uint64
+	// fragments are the fragments by index; "" stands for a missing one.
 	fragments []string
-	missing   int
+	// missing is the number of missing fragments.
+	missing int
 }
 
-// Unpack returns the messages of a packet from a member. It returns none while fragments of the
-// message are missing. A message of which a fragment is lost is dropped once a fragment of a later
-// one arrives. The error tells that the packet is corrupt.
+// Unpack returns the messages of a packet from a member. For a fragment, it returns the message if all
+// others have arrived, and nothing otherwise. A message with a lost fragment is dropped when a fragment
+// of a later one arrives. Unpack returns an error if the packet is corrupt.
 func (r *Reassembler) Unpack(sender string, packet *Packet) ([]Message, error) {
-	if packet.Of == 0 {
+	if packet.FragmentCount == 0 {
 		return decodeMessages(packet.Packed)
 	}
-	if packet.Of < 0 || packet.Of > tuning.MaxPacketPieces || packet.Piece < 0 || packet.Piece >= packet.Of {
-		return nil, fmt.Errorf("fragment %d of %d is out of range", packet.Piece, packet.Of)
+	if packet.FragmentCount < 0 || packet.FragmentCount > tuning.MaxPacketPieces || packet.FragmentIndex < 0 || packet.FragmentIndex >= packet.FragmentCount {
+		return nil, fmt.Errorf("fragment %d of %d is out of range", packet.FragmentIndex, packet.FragmentCount)
 	}
 	partial := r.partial[sender]
-	if partial == nil || partial.id != packet.ID || len(partial.fragments) != packet.Of {
-		if partial != nil && packet.ID < partial.id {
+	if partial == nil || partial.messageID != packet.ID || len(partial.fragments) != packet.FragmentCount {
+		if partial != nil && packet.ID < partial.messageID {
 			return nil, nil
 		}
-		partial = &partialMessage{packet.ID, make([]string, packet.Of), packet.Of}
+		partial = &partialMessage{packet.ID, make([]string, packet.FragmentCount), packet.FragmentCount}
 		if r.partial == nil {
 			r.partial = map[string]*partialMessage{}
 		}
 		r.partial[sender] = partial
 	}
-	if partial.fragments[packet.Piece] == "" {
-		partial.fragments[packet.Piece] = packet.Packed
+	if partial.fragments[packet.FragmentIndex] == "" {
+		partial.fragments[packet.FragmentIndex] = packet.Packed
 		partial.missing--
 	}
 	if partial.missing > 0 {
@@ -55,7 +56,7 @@
 	return decodeMessages(strings.Join(partial.fragments, ""))
 }
 
-// decodeMessages is the reverse of compress.EncodeFast for a list of messages.
+// decodeMessages decodes a payload that compress.EncodeFast encoded from a list of messages.
 func decodeMessages(packed string) ([]Message, error) {
 	var messages []Message
 	if err := compress.Decode(packed, &messages); err != nil {
--- a/relay/reassembler_test.go
+++ b/relay/reassembler_test.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// A fragment that is lost loses its message and no other. Corrupt packets are errors.
+// A lost fragment loses only the message that it belongs to. Corrupt packets cause errors.
 func TestLostFragmentLosesOnlyItsMessage(t *testing.T) {
 	outbox := NewOutbox(limits, 1)
 	outbox.Reset(7)
 	random := rand.New(rand.NewPCG(3, 3))
 	var reassembler Reassembler
-	send := func(lose int) (out []Message) {
+	send := func(lostPacket int) (received []Message) {
 		outbox.Put("big", messageBody(random, 200<<10), true, start)
 		outbox.Put("small", json.RawMessage(`1`), true, start)
 		for i := 0; ; {
 			batch, _ := outbox.Next(start, time.Minute, 3)
 			if len(batch.Packets) == 0 {
-				return out
+				return received
 			}
 			requireWithinLimits(t, batch)
 			for k := range batch.Packets {
-				if i++; i == lose {
+				if i++; i == lostPacket {
 					continue
 				}
 				messages, err := reassembler.Unpack("y", &batch.Packets[k])
 				if err != nil {
 					t.Fatal(err)
 				}
-				out = append(out, messages...)
+				received = append(received, messages...)
 			}
 		}
 	}
-	if out := send(2); len(out) != 1 || out[0].Name != "small" {
-		t.Fatalf("with a lost fragment: %d messages", len(out))
+	if received := send(2); len(received) != 1 || received[0].Name != "small" {
+		t.Fatalf("with a lost fragment: %d messages", len(received))
 	}
-	if out := send(0); len(out) != 2 {
-		t.Errorf("afterwards: %d messages", len(out))
+	if received := send(0); len(received) != 2 {
+		t.Errorf("afterwards: %d messages", len(received))
 	}
-	for _, packet := range []Packet{{Packed: "!"}, {Packed: "AAAA"}, {Of: 3, Piece: 3}, {Of: -1}, {Of: 1 << 30}} {
+	for _, packet := range []Packet{{Packed: "!"}, {Packed: "AAAA"}, {FragmentCount: 3, FragmentIndex: 3}, {FragmentCount: -1}, {FragmentCount: 1 << 30}} {
 		if _, err := reassembler.Unpack("y", &packet); err == nil {
-			t.Errorf("%+v opened", packet)
+			t.Errorf("corrupt packet %+v was accepted", packet)
 		}
 	}
 }
