--- a/peer/connection.go
+++ b/peer/connection.go
@@ -152,8 +152,8 @@
 	network.OnObservation(helloFromFrame(remote.Member, message).membershipHello())
 }
 
-// recordFrame updates the state of a peer with a received frame and delivers a reply to the waiting request. If the frame
-// answers a request for a watermark statement, it returns when that request was sent, and true.
+// recordFrame updates the state of a peer with a received frame and delivers a reply to the waiting request. If the
+// frame answers a request for a watermark statement, it returns when that request was sent, and true.
 func (network *Network) recordFrame(remote *remotePeer, message frame) (requestedAt time.Time, requested bool) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
--- a/store/bitmap.go
+++ b/store/bitmap.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// TaskBitmap is the set of a job's tasks that are done.
+// TaskBitmap is the set of the completed tasks of a job, one bit per task.
 type TaskBitmap []byte
 
-// NewTaskBitmap returns an empty bitmap for tasks tasks.
+// NewTaskBitmap returns an empty bitmap for a job with the given number of tasks.
 func NewTaskBitmap(tasks int) TaskBitmap { return make(TaskBitmap, (tasks+7)/8) }
 
-// Has returns whether a task is in the set.
+// Has reports whether a task is in the set.
 func (b TaskBitmap) Has(task int) bool { return b[task/8]&(1<<(task%8)) != 0 }
 
 // Set adds a task to the set.
 func (b TaskBitmap) Set(task int) { b[task/8] |= 1 << (task % 8) }
 
-// Pack encodes the tasks of one shard, without trailing zero bytes.
+// Pack encodes the part of the bitmap that belongs to a shard in base64, without trailing zero bytes.
 func (b TaskBitmap) Pack(s Shard) string {
 	from := min(len(b), s.Index*s.Size/8)
 	to := min(len(b), from+s.Size/8)
@@ -28,7 +28,8 @@
 	return base64.RawStdEncoding.EncodeToString(packed)
 }
 
-// Unpack adds the tasks of one shard that Pack encoded; tasks that are in the set stay in it.
+// Unpack adds the tasks of a shard that Pack encoded to the set. It returns an error if packed is not valid base64 or
+// exceeds the bitmap.
 func (b TaskBitmap) Unpack(s Shard, packed string) error {
 	decoded, err := base64.RawStdEncoding.DecodeString(packed)
 	if err != nil {
--- a/store/client.go
+++ b/store/client.go
@@ -1,9 +1,9 @@
-// Package store is the client of the state service, a small consistent key-value store with
-// transactions, leases and watches, and the layer that keeps the scheduler's records there:
+// Package store contains the client of the state service, which is a small consistent key-value store with
+// transactions, leases and watches, and the layer that stores the scheduler's records in it:
 //
-//   - Client makes one call, and distinguishes a refusal from an unknown outcome.
-//   - HedgedClient sends transactions and reads again while they are unanswered.
-//   - Committer writes the leader's records in groups, within the limits of the state service.
+//   - Client makes single calls and distinguishes refused calls from those with an unknown outcome.
+//   - HedgedClient resends transactions and reads that are not answered in time.
+//   - Committer writes the leader's records in batches, within the limits of the state service.
 //   - The remaining files define the keys and the records.
 package store
 
@@ -21,56 +21,59 @@
 	"switchferry/tuning"
 )
 
-// Errors of a call, to be tested with errors.Is.
+// Errors of calls, to be tested with errors.Is.
 var (
-	// ErrConflict means that a condition of the transaction did not hold; nothing was executed.
+	// ErrConflict means that a condition of the transaction did not hold. No operation was executed.
 	ErrConflict = errors.New("a condition failed")
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("no such key")
 	// ErrNoLease means that the lease does not exist or has expired.
 	ErrNoLease = errors.New("no such lease")
-	// ErrBusy means that the call was refused and not executed; it may be repeated.
+	// ErrBusy means that the call was refused and not executed. It may be retried.
 	ErrBusy = errors.New("refused, not executed")
-	// ErrRateLimited is the ErrBusy of a caller that exceeds the rate of requests or changes.
+	// ErrRateLimited is an ErrBusy. It means that the caller exceeded its rate of requests or changes.
 	ErrRateLimited = fmt.Errorf("%w: status 429", ErrBusy)
 	// ErrOutcomeUnknown means that no usable response arrived. The call may have been executed, and
 	// may still be executed at any later time.
 	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
-	// ErrInvalidRequest means that the request is not allowed, and will not be when it is repeated.
-	ErrInvalidRequest = errors.New("refused for what it is")
-	// ErrCompacted means that the changes since the revision of a watch are no longer kept.
+	// ErrInvalidRequest means that the request is invalid. A retry fails as well.
+	ErrInvalidRequest = errors.New("invalid request")
+	// ErrCompacted means that the state service has discarded changes since the revision of a watch.
 	ErrCompacted = errors.New("revision no longer kept")
 )
 
-// Item is a key with its value, the revision of its last change, and the lease that deletes it when
-// it expires (0: none).
+// Item is a key with its value.
 type Item struct {
-	Key      string          `json:"k"`
-	Value    json.RawMessage `json:"value"`
-	Revision uint64          `json:"stamp"`
-	Lease    uint64          `json:"ticket"`
+	Key   string          `json:"k"`
+	Value json.RawMessage `json:"value"`
+	// Revision is the revision of the key's last change.
+	Revision uint64 `json:"stamp"`
+	// Lease is the lease that deletes the key when it expires, or 0 if there is none.
+	Lease uint64 `json:"ticket"`
 }
 
-// Condition holds if the last change of Key has this revision. Revision 0 means that Key does not
-// exist.
+// Condition is a condition of a transaction: the last change of Key has this revision. Revision 0 means
+// that Key does not exist.
 type Condition struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Operation is one change of a transaction: it either sets the key Set to Value, optionally attached
-// to a lease, or deletes the key Delete.
+// Operation is one change of a transaction. It either sets the key Set to Value or deletes the key Delete;
+// the other key is empty.
 type Operation struct {
-	Set    string `json:"set,omitempty"`
-	Value  any    `json:"value,omitempty"`
+	Set   string `json:"set,omitempty"`
+	Value any    `json:"value,omitempty"`
+	// Lease is the lease that the key Set is attached to, or 0 for none.
 	Lease  uint64 `json:"ticket,omitempty"`
 	Delete string `json:"delete,omitempty"`
 }
 
-// key is the key that the operation sets or deletes.
+// key returns the key that the operation sets or deletes.
 func (o Operation) key() string { return o.Set + o.Delete }
 
-// Event is one change that a watch reports: the key Set has a new value, or the key Delete is gone.
+// Event is one change that a watch reports: the key Set has a new value, or the key Delete was deleted. The
+// other key is empty.
 type Event struct {
 	Set      string          `json:"set"`
 	Value    json.RawMessage `json:"value"`
@@ -78,29 +81,29 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Client makes calls to the state service. It keeps no state of its own and is safe for concurrent
-// use once OnResponse is set.
+// Client makes calls to the state service. It is safe for concurrent use once OnResponse is set.
 type Client struct {
-	base string
-	http *http.Client
-	// OnResponse is called after every call that was not rate-limited, with true if the state
-	// service served it and false if it refused it (status 503) or did not respond. It must not
-	// block.
+	baseURL    string
+	httpClient *http.Client
+	// OnResponse is called after every call that was not rate-limited. The parameter served is false if the
+	// state service refused the call with status 503 or did not respond. OnResponse may be replaced before the
+	// first call and must not block.
 	OnResponse func(served bool)
 }
 
-// NewClient returns a client of the state service at the address addr (host:port).
+// NewClient returns a client of the state service at the address addr (host:port) that sends its requests
+// over transport.
 func NewClient(addr string, transport http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, OnResponse: func(bool) {}}
+	return &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: transport}, OnResponse: func(bool) {}}
 }
 
-// call makes one call and decodes the response into the value that into points to (nil: none).
-// It returns the status, or ErrBusy, ErrRateLimited or ErrOutcomeUnknown; other statuses are left to
-// the caller.
-func (c *Client) call(ctx context.Context, method, path string, body, into any, timeout time.Duration) (int, error) {
+// call makes one call and decodes the response into the value that target points to, unless it is nil. It
+// returns the HTTP status, and an error that matches ErrBusy, ErrRateLimited or ErrOutcomeUnknown. The caller
+// handles all statuses other than 429 and 503.
+func (c *Client) call(ctx context.Context, method, path string, body, target any, timeout time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, response, err := rest.Do(ctx, c.http, method, c.base+path, body)
+	status, response, err := rest.Do(ctx, c.httpClient, method, c.baseURL+path, body)
 	if err != nil {
 		c.OnResponse(false)
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
@@ -113,15 +116,15 @@
 		return status, fmt.Errorf("%s %s: %w", method, path, ErrRateLimited)
 	}
 	c.OnResponse(true)
-	if into != nil && len(response) > 0 {
-		if err := json.Unmarshal(response, into); err != nil {
+	if target != nil && len(response) > 0 {
+		if err := json.Unmarshal(response, target); err != nil {
 			return status, fmt.Errorf("%s %s: %w: malformed response: %w", method, path, ErrOutcomeUnknown, err)
 		}
 	}
 	return status, nil
 }
 
-// unexpectedStatus is the error of a call that was answered with a status that it does not define.
+// unexpectedStatus returns the error for a response status that the protocol does not define for the call.
 func unexpectedStatus(method, path string, status int) error {
 	return fmt.Errorf("%s %s: %w: status %d", method, path, ErrOutcomeUnknown, status)
 }
@@ -142,12 +145,11 @@
 	return item, unexpectedStatus(http.MethodGet, path, status)
 }
 
-// listPageSize is the number of keys that List reads at once.
+// listPageSize is the number of keys per page of List.
 const listPageSize = "500"
 
-// List reads all keys under a prefix, page by page. The pages are not one snapshot: a watch from
-// the returned revision, which is that of the first page, reports every change that List may have
-// missed.
+// List reads all keys under a prefix, page by page. The pages are not a consistent snapshot. A watch from the
+// returned revision, which is that of the first page, reports every change that List may have missed.
 func (c *Client) List(ctx context.Context, prefix string) (items []Item, revision uint64, err error) {
 	after := ""
 	for {
@@ -179,10 +181,10 @@
 	}
 }
 
-// Transact executes the operations if all conditions hold, and returns the revision of the change.
-// Otherwise nothing is executed: with ErrConflict, failed are the keys whose conditions did not
-// hold; ErrNoLease means that the lease of an operation has expired.
-func (c *Client) Transact(ctx context.Context, conditions []Condition, operations []Operation) (revision uint64, failed []string, err error) {
+// Transact executes the operations atomically if all conditions hold, and returns the revision of the change.
+// With ErrConflict, no operation was executed, and failedKeys has the keys whose conditions did not hold. With
+// ErrNoLease, no operation was executed because the lease of one of them has expired.
+func (c *Client) Transact(ctx context.Context, conditions []Condition, operations []Operation) (revision uint64, failedKeys []string, err error) {
 	const path = "/multi"
 	body := struct {
 		If   []Condition `json:"if"`
@@ -209,7 +211,7 @@
 	return 0, nil, unexpectedStatus(http.MethodPost, path, status)
 }
 
-// GrantLease creates a lease that expires ttl after its last renewal, and returns its id.
+// GrantLease creates a lease that expires ttl after its creation or last renewal, and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	const path = "/leases"
 	body := struct {
@@ -228,7 +230,7 @@
 	return response.Ticket, nil
 }
 
-// leasePath is the path of a lease.
+// leasePath returns the URL path of a lease.
 func leasePath(id uint64) string { return "/leases/" + strconv.FormatUint(id, 10) }
 
 // RenewLease renews a lease. It returns ErrNoLease if the lease has expired.
@@ -246,17 +248,16 @@
 	return unexpectedStatus(http.MethodPost, path, status)
 }
 
-// RevokeLease ends a lease at once and deletes the keys that are attached to it. A lease that has
-// already expired is not an error.
+// RevokeLease ends a lease at once and deletes the keys that are attached to it. It returns no error if the
+// lease has already expired.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) error {
 	_, err := c.call(ctx, http.MethodDelete, leasePath(id), nil, nil, tuning.StateTimeout)
 	return err
 }
 
-// Watch waits up to block for changes under a prefix that are newer than the revision after, and
-// returns them with the revision to continue from. Without a change it returns no events. It returns
-// ErrCompacted if changes after that revision are no longer kept; the caller then lists the prefix
-// again.
+// Watch waits at most block for changes under a prefix that are newer than the revision after. It returns them
+// with the revision from which to continue, or no events if there was no change. It returns ErrCompacted if
+// changes since that revision have been discarded; the caller must then list the prefix again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) ([]Event, uint64, error) {
 	query := url.Values{
 		"under":    {prefix},
--- a/store/commit_failure.go
+++ b/store/commit_failure.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// retryDelay is the wait after a commit that was refused for the load or whose outcome is unknown.
+	// retryDelay is the delay before the next attempt after a commit that was refused because of the load or
+	// whose outcome is unknown.
 	retryDelay = 100 * time.Millisecond
-	// unexpectedRetryDelay is the wait after a commit that failed in a way the protocol does not define.
+	// unexpectedRetryDelay is the delay before the next attempt after an error that the protocol does not define.
 	unexpectedRetryDelay = time.Second
 )
 
-// handleFailure prepares the next attempt after a transaction failed with err, and returns how long
-// to wait before it. failedKeys are the keys whose conditions did not hold.
+// handleFailure prepares the next attempt after a transaction failed with err, and returns the delay before it.
+// failedKeys has the keys whose conditions did not hold.
 func (c *Committer) handleFailure(ctx context.Context, transaction *pendingTransaction, failedKeys []string, err error) time.Duration {
 	switch {
 	case errors.Is(err, ErrRateLimited):
@@ -28,15 +29,15 @@
 	case errors.Is(err, ErrBusy):
 		return retryDelay
 	case errors.Is(err, ErrConflict):
-		if slices.Contains(failedKeys, transaction.leader.Key) {
+		if slices.Contains(failedKeys, transaction.leaderCondition.Key) {
 			c.source.Deposed()
 			return tuning.Tick
 		}
 		c.refreshRevisions(ctx, failedKeys, true)
 		return 0
 	case errors.Is(err, ErrOutcomeUnknown):
-		// The transaction may have been executed, or may be later: read the revisions of its
-		// keys. Should it be executed after that, the next attempt fails.
+		// The transaction may have been executed, or may still be executed later, so the revisions of its keys
+		// are read. If it is executed after that, the next attempt fails with a conflict.
 		slog.Info("commit outcome unknown, reading keys back", "err", err)
 		keys := make([]string, len(transaction.operations))
 		for i, operation := range transaction.operations {
@@ -49,21 +50,21 @@
 	return unexpectedRetryDelay
 }
 
-// lowerRate applies the announced rate after changes were refused for their rate. The announcement
-// is of one lasting reduction, so the former rate is not tried again in this term.
+// lowerRate sets the write limit to the announced rate after changes were refused because of their rate. The
+// announced reduction is permanent, so the previous rate is not tried again in this term.
 func (c *Committer) lowerRate() {
-	if c.announcedRate == 0 || c.limiter.Limit() <= c.announcedRate {
+	if c.announcedRate == 0 || c.writeLimiter.Limit() <= c.announcedRate {
 		return
 	}
-	slog.Info("write rate lowered to the announced limit", "from", float64(c.limiter.Limit()), "to", float64(c.announcedRate))
+	slog.Info("write rate lowered to the announced limit", "from", float64(c.writeLimiter.Limit()), "to", float64(c.announcedRate))
 	now := c.clock.Now()
-	c.limiter.SetLimitAt(now, c.announcedRate)
-	c.limiter.SetBurstAt(now, max(1, int(c.announcedRate)))
+	c.writeLimiter.SetLimitAt(now, c.announcedRate)
+	c.writeLimiter.SetBurstAt(now, max(1, int(c.announcedRate)))
 }
 
-// quarantine defers a record that the state service does not take, so that it does not block all
-// others: one that was too large did, again every second (docs/incidents/fleet-relay-too-long.md).
-// Its callbacks keep waiting.
+// quarantine defers a record that the state service does not accept, so that it does not block all others. A
+// record that was too large once did so, with a new attempt every second
+// (docs/incidents/fleet-relay-too-long.md). The callbacks of the record stay pending.
 func (c *Committer) quarantine(record *pendingRecord, err error) {
 	slog.Error("record quarantined", "key", record.key, "again_in", tuning.QuarantineTime, "err", err)
 	record.quarantinedUntil = c.clock.Now().Add(tuning.QuarantineTime)
@@ -71,8 +72,8 @@
 	c.requeue([]*pendingRecord{record})
 }
 
-// isolateRecords finds out for which record a transaction was refused: each is tried alone, and the
-// one that is refused alone is quarantined.
+// isolateRecords is called after a transaction was rejected, to identify the record that caused it. It requeues
+// each record for a transaction of its own; a record that is rejected alone is quarantined.
 func (c *Committer) isolateRecords(batch []*pendingRecord, err error) {
 	if len(batch) == 1 {
 		c.quarantine(batch[0], err)
@@ -85,8 +86,8 @@
 	c.requeue(batch)
 }
 
-// refreshRevisions reads the revisions of keys, all at once since urgent records wait meanwhile.
-// conflict is true if the keys are known to have other revisions than expected.
+// refreshRevisions reads the revisions of keys. The reads are concurrent because urgent records wait for them.
+// conflict is true if the revisions of the keys are known to differ from the expected ones.
 func (c *Committer) refreshRevisions(ctx context.Context, keys []string, conflict bool) {
 	items := make([]Item, len(keys))
 	errs := make([]error, len(keys))
@@ -100,8 +101,8 @@
 	}
 }
 
-// applyRead records the revision of a key that was read, and reports a value to the source that this
-// committer did not knowingly write.
+// applyRead records the revision of a key that was read. It reports the value to the source if this committer is
+// not known to have written it.
 func (c *Committer) applyRead(key string, item Item, err error, conflict bool) {
 	var found *Item
 	c.mu.Lock()
@@ -114,8 +115,8 @@
 		delete(c.revisions, key)
 	}
 	c.mu.Unlock()
-	// A key that was unknown and exists was written by another process, or by an attempt of
-	// ours whose response was lost; the source decides which.
+	// A key that was unknown and exists was written by another process, or by a transaction of this committer
+	// whose response was lost. The source distinguishes the two cases.
 	changed := !known || knownRevision != item.Revision
 	if found != nil && changed && (conflict || !known) {
 		c.source.Conflict(key, found)
--- a/store/committer.go
+++ b/store/committer.go
@@ -13,153 +13,158 @@
 	"switchferry/tuning"
 )
 
-// RecordSource builds the records that a Committer writes, each as it is at the moment of the
-// commit. The committer calls it from the goroutine of Run (or Step) without holding its lock.
+// RecordSource provides the records that a Committer writes, each with its state at the time of the commit. The
+// committer calls the methods from the goroutine that runs Run or Step, without holding its lock.
 type RecordSource interface {
-	// Record returns the value of a key; exists is false if the key is to be deleted. The
-	// transaction is also made conditional on more.
-	Record(key string) (value any, exists bool, more []Condition)
-	// Condition returns the condition that holds as long as this process leads; ok is false
-	// if it does not lead.
+	// Record returns the value to store under a key, or exists false if the key is to be deleted. The
+	// transaction gets extraConditions in addition to the condition on the revision of the key.
+	Record(key string) (value any, exists bool, extraConditions []Condition)
+	// Condition returns the condition that holds as long as this process is the leader, or ok false if it is
+	// not the leader.
 	Condition() (leader Condition, ok bool)
-	// Conflict reports a value that this committer did not write, or wrote without learning
-	// the outcome.
+	// Conflict reports a stored value that this committer did not write, or that it wrote in a transaction
+	// whose outcome it did not learn.
 	Conflict(key string, found *Item)
-	// Committed is called after a transaction, once the callbacks of its records have run.
+	// Committed is called after each transaction, after the callbacks of its records.
 	Committed()
-	// Deposed is called when the leader's key belongs to another process.
+	// Deposed is called when another process has become the leader.
 	Deposed()
 }
 
-// Urgencies of records: what a user waits for goes first (accepted jobs, cancellations), then
-// ordinary records, those of jobs of lower ranks one step later each, then what nobody waits for.
+// Urgencies of records. Records with lower values are written first.
 const (
-	Urgent   = 0
+	// Urgent is the urgency of records that a user waits for, such as accepted jobs and cancellations.
+	Urgent = 0
+	// Ordinary is the urgency of the records of jobs of the highest rank. It increases by 1 with each lower rank.
 	Ordinary = 1
-	Lazy     = 8
+	// Lazy is the urgency of records that nobody waits for.
+	Lazy = 8
 )
 
-// Committer writes the records of one leadership term in groups, one transaction at a time. Every
-// written key is conditional on its revision, so that a transaction whose outcome was unknown and
-// which is executed late cannot undo a newer one.
+// Committer writes the records of one leadership term in batches, one transaction at a time. Every write is
+// conditional on the revision of its key, so that a transaction with an unknown outcome that is executed late
+// cannot overwrite the result of a newer one.
 //
-// MarkDirty and the other methods that report or change what is pending are safe for concurrent
-// use; Run, or Step, belongs to one goroutine.
+// All exported methods except Run and Step are safe for concurrent use. Only one goroutine may call Run or Step.
 type Committer struct {
-	source  RecordSource
-	clock   clockwork.Clock
-	limiter *rate.Limiter
-	hedged  *HedgedClient
-
-	maxOperations int // of a transaction
-	maxConditions int // of a transaction
-	// announcedRate, in changes a second, applies from the first time that the state service
-	// refuses changes for their rate; 0: no lower rate is announced.
+	source       RecordSource
+	clock        clockwork.Clock
+	writeLimiter *rate.Limiter
+	hedged       *HedgedClient
+
+	maxOperations int // per transaction
+	maxConditions int // per transaction
+	// announcedRate is a lower write limit that was announced for the state service, in changes per second, or 0
+	// if there is none. It applies from the first time that the state service refuses changes because of their
+	// rate.
 	announcedRate rate.Limit
 
-	// The fields of this group belong to the goroutine of Run.
+	// The fields of this group are used only by the goroutine of Run or Step.
 
-	// deferred is true if the last Step found no pending record that may be written yet.
-	deferred bool
-	writes   writeStatistics
+	// lastBatchEmpty is true if the last batch was empty because no pending record was ready, or because the rest of
+	// the write limit was reserved for urgent ones.
+	lastBatchEmpty bool
+	writes         writeStatistics
 
-	// wake, of capacity one, holds a token after a record was marked.
+	// wake receives a value when a record is marked as dirty. Its capacity is 1.
 	wake chan struct{}
 
-	mu            sync.Mutex
-	queue         *recordQueue
-	revisions     map[string]uint64 // by key, as last read or written; absent: the key does not exist
+	// mu guards the fields below.
+	mu    sync.Mutex
+	queue *recordQueue
+	// revisions has the revision of each key as last read or written. A key that does not exist has no entry.
+	revisions     map[string]uint64
 	maxValueBytes int
 }
 
-// NewCommitter returns a committer for one term that writes through client within limits.
-// revisions holds the revision of each key as it was loaded; the committer keeps the map.
+// NewCommitter returns a committer for one term that writes through client and stays within limits. The map
+// revisions has the revision of each key as loaded at the start of the term; the committer takes ownership of it.
 func NewCommitter(client *Client, source RecordSource, clock clockwork.Clock, limits settings.State, revisions map[string]uint64) *Committer {
-	least := limits.Least()
+	lowestLimits := limits.Least()
 	writeRate := rate.Limit(limits.WriteRPS * tuning.QuotaShare)
 	limiter := rate.NewLimiter(writeRate, max(1, int(writeRate)))
 	committer := &Committer{
 		source:        source,
 		clock:         clock,
-		limiter:       limiter,
-		hedged:        NewHedgedClient(client, clock, limiter, least.WriteRPS),
-		maxOperations: min(least.TxnOps, limiter.Burst()),
-		maxConditions: conditionsPerOperation * least.TxnOps,
+		writeLimiter:  limiter,
+		hedged:        NewHedgedClient(client, clock, limiter, lowestLimits.WriteRPS),
+		maxOperations: min(lowestLimits.TxnOps, limiter.Burst()),
+		maxConditions: conditionsPerOperation * lowestLimits.TxnOps,
 		writes:        newWriteStatistics(clock.Now()),
 		wake:          make(chan struct{}, 1),
 		queue:         newRecordQueue(),
 		revisions:     revisions,
 		maxValueBytes: limits.ValueBytes(),
 	}
-	if least.WriteRPS < limits.WriteRPS {
-		committer.announcedRate = rate.Limit(least.WriteRPS * tuning.QuotaShare)
+	if lowestLimits.WriteRPS < limits.WriteRPS {
+		committer.announcedRate = rate.Limit(lowestLimits.WriteRPS * tuning.QuotaShare)
 	}
 	return committer
 }
 
-// SetValueLimit sets the maximum size of a value; larger ones are not sent from now on.
+// SetValueLimit sets the maximum size of a value in bytes. Larger values are not sent.
 func (c *Committer) SetValueLimit(valueBytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxValueBytes = valueBytes
 }
 
-// valueLimit is the maximum size of a value in bytes.
+// valueLimit returns the maximum size of a value in bytes.
 func (c *Committer) valueLimit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.maxValueBytes
 }
 
-// MarkDirty requests that a key is written. onStored (nil: nothing) is called from the goroutine
-// of Run once a record at least as new as the present one is stored. MarkDirty does not block.
+// MarkDirty requests that a key is written. Unless onStored is nil, it is called from the goroutine of Run or Step
+// once the present state of the record or a newer one is stored. MarkDirty does not block.
 func (c *Committer) MarkDirty(key string, urgency int, onStored func()) {
 	c.MarkDirtyWithin(key, urgency, 0, onStored)
 }
 
-// MarkDirtyWithin is MarkDirty for a change that may wait that long for other changes of the same
-// key, to be written together with them.
-func (c *Committer) MarkDirtyWithin(key string, urgency int, wait time.Duration, onStored func()) {
+// MarkDirtyWithin is MarkDirty for a change whose write may be delayed by up to maxDelay, so that later changes of the
+// same key are written together with it.
+func (c *Committer) MarkDirtyWithin(key string, urgency int, maxDelay time.Duration, onStored func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue.add(key, urgency, c.clock.Now(), wait, onStored)
+	c.queue.add(key, urgency, c.clock.Now(), maxDelay, onStored)
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetRevision records the revision of a key that another process wrote.
+// SetRevision sets the known revision of a key that another process wrote.
 func (c *Committer) SetRevision(key string, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revisions[key] = revision
 }
 
-// revision is the revision of a key as last read or written, 0 if the key does not exist.
+// revision returns the revision of a key as last read or written, or 0 if the key does not exist.
 func (c *Committer) revision(key string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revisions[key]
 }
 
-// Pending is the number of records that are not written yet.
+// Pending returns the number of records in the queue.
 func (c *Committer) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.queue.len()
+	return c.queue.length()
 }
 
-// Delay estimates how long one more urgent record would wait for the write limit.
+// Delay estimates how long an additional urgent record would wait because of the write limit.
 func (c *Committer) Delay() time.Duration {
 	c.mu.Lock()
 	needed := float64(c.queue.urgentCount() + 1)
 	c.mu.Unlock()
-	missing := needed - math.Max(0, c.limiter.TokensAt(c.clock.Now()))
-	return time.Duration(math.Max(0, missing) / float64(c.limiter.Limit()) * float64(time.Second))
+	missing := needed - math.Max(0, c.writeLimiter.TokensAt(c.clock.Now()))
+	return time.Duration(math.Max(0, missing) / float64(c.writeLimiter.Limit()) * float64(time.Second))
 }
 
-// Run commits until the context ends.
+// Run commits pending records until ctx ends.
 func (c *Committer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if c.Pending() == 0 {
@@ -176,12 +181,12 @@
 	}
 }
 
-// pause waits until Step is to be tried again.
+// pause waits before the next call of Step.
 func (c *Committer) pause(ctx context.Context, pause time.Duration) {
-	// A new record ends the pause if all others wait for a time of their own, but not if the
-	// state service has just refused a call.
+	// A newly marked record ends the pause if the last batch was empty, since the record may be ready at once. It
+	// does not end the pause after the state service has refused a call.
 	var wake chan struct{}
-	if c.deferred {
+	if c.lastBatchEmpty {
 		wake = c.wake
 	}
 	select {
--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -19,7 +19,7 @@
 // fakeSource is a RecordSource whose records the test sets.
 type fakeSource struct {
 	values    map[string]any
-	lead      Condition
+	leader    Condition
 	deposed   bool
 	conflicts []string
 }
@@ -28,12 +28,12 @@
 	v, ok := s.values[key]
 	return v, ok, nil
 }
-func (s *fakeSource) Condition() (Condition, bool) { return s.lead, true }
+func (s *fakeSource) Condition() (Condition, bool) { return s.leader, true }
 func (s *fakeSource) Conflict(key string, _ *Item) { s.conflicts = append(s.conflicts, key) }
 func (s *fakeSource) Committed()                   {}
 func (s *fakeSource) Deposed()                     { s.deposed = true }
 
-// newTestCommitter returns a committer that leads, with its state service and the source of its records.
+// newTestCommitter returns a fake state service, a source of records, and a committer of the leader that uses both.
 func newTestCommitter() (*fake.State, *fakeSource, *Committer) {
 	return newTestCommitterAt(clockwork.NewFakeClock())
 }
@@ -42,16 +42,16 @@
 	return newTestCommitterWithin(clock, settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16})
 }
 
-// newTestCommitterWithin returns a committer that leads and keeps to limits; its state service does not enforce
-// any.
+// newTestCommitterWithin is newTestCommitter with a committer that stays within limits. The state service does not
+// enforce any limits.
 func newTestCommitterWithin(clock clockwork.Clock, limits settings.State) (*fake.State, *fakeSource, *Committer) {
 	state := fake.NewState(clock)
 	source := &fakeSource{values: map[string]any{}}
-	source.lead = Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
+	source.leader = Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
 	return state, source, NewCommitter(NewClient("state:1", state), source, clock, limits, map[string]uint64{})
 }
 
-// decodeString decodes a stored string; a missing value is the empty one.
+// decodeString decodes a stored string. It returns an empty string for a missing value.
 func decodeString(t *testing.T, encoded json.RawMessage) (v string) {
 	t.Helper()
 	if encoded != nil && json.Unmarshal(encoded, &v) != nil {
@@ -60,9 +60,9 @@
 	return v
 }
 
-// With the write limit used up, an accepted job is stored as soon as the limit allows one change, and not
-// only when it allows all pending ones.
-func TestUrgentRecordNeedsCapacityForItselfOnly(t *testing.T) {
+// When the write limit is used up, an accepted job is stored as soon as the limit allows one change. It does not wait
+// until the limit allows all pending changes.
+func TestUrgentRecordWaitsOnlyForItsOwnChange(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state, source, committer := newTestCommitterAt(clock)
 	for i := range 200 {
@@ -74,24 +74,23 @@
 	for range 20 {
 		committer.Step(ctx)
 	}
-	if left := committer.Pending(); left != 200-48 {
-		t.Fatalf("%d records wait, want all but a second's worth", left)
+	if pending := committer.Pending(); pending != 200-48 {
+		t.Fatalf("%d records are pending, want all but those of one second", pending)
 	}
 	source.values[JobKey("run-2")] = "job"
 	committer.MarkDirty(JobKey("run-2"), Urgent, nil)
 	wait := committer.Step(ctx)
 	if wait <= 0 || wait > time.Second/40 {
-		t.Fatalf("waits %v for one change", wait)
+		t.Fatalf("Step waits %v, want the time for one change", wait)
 	}
 	clock.Advance(wait + time.Millisecond)
 	committer.Step(ctx)
 	if state.Get(JobKey("run-2")) == nil {
-		t.Error("the accepted job waits behind ordinary records")
+		t.Error("the accepted job was not stored before ordinary records")
 	}
 }
 
-// A leader that continues after it was deposed must not write: its transactions are conditional on the
-// leader's key.
+// A deposed leader that is not aware of it cannot write, because its transactions are conditional on the leader's key.
 func TestDeposedLeaderCannotCommit(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	state.Put(LeaderKey, LeaderRecord{Member: "b"})
@@ -100,12 +99,12 @@
 	committer.MarkDirty("sf/t/run-1/0", Ordinary, func() { stored = true })
 	committer.Step(t.Context())
 	if state.Get("sf/t/run-1/0") != nil || stored || !source.deposed {
-		t.Errorf("written %s, callback run %v, deposed %v", state.Get("sf/t/run-1/0"), stored, source.deposed)
+		t.Errorf("stored value %s, callback ran %v, deposed %v", state.Get("sf/t/run-1/0"), stored, source.deposed)
 	}
 }
 
-// A transaction without a response that is executed late must not undo a newer one.
-func TestLateTransactionCannotUndoNewerOne(t *testing.T) {
+// A transaction that got no response and is executed late does not overwrite the result of a newer one.
+func TestLateTransactionCannotOverwriteNewerOne(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	const key = "sf/t/run-1/0"
 	source.values[key] = "first"
@@ -123,8 +122,8 @@
 	}
 }
 
-// A transaction that was executed although its response was lost counts once its key is read back, and its
-// callbacks run once.
+// If a transaction was executed and its response was lost, the committer finds this by reading the key back, and runs
+// the callbacks once.
 func TestLostResponseRunsCallbackOnce(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	source.values["sf/j/run-1"] = "job"
@@ -133,11 +132,11 @@
 	state.LoseAnswer = true
 	committer.Step(t.Context())
 	if stored != 0 {
-		t.Fatal("callback run before the outcome was known")
+		t.Fatal("callback ran before the outcome was known")
 	}
 	committer.Step(t.Context())
 	if stored != 1 || len(source.conflicts) != 1 {
-		t.Errorf("callback run %d times, conflicts %v", stored, source.conflicts)
+		t.Errorf("callback ran %d times, conflicts %v", stored, source.conflicts)
 	}
 }
 
@@ -151,36 +150,36 @@
 	committer.MarkDirty("sf/j/run-9", Urgent, nil)
 	committer.Step(t.Context())
 	if state.Get("sf/j/run-9") == nil || state.Largest.Ops > 12 {
-		t.Errorf("accepted job not first, or %d changes", state.Largest.Ops)
+		t.Errorf("the accepted job was not written first, or a transaction had %d changes", state.Largest.Ops)
 	}
 	for range 10 {
 		committer.Step(t.Context())
 	}
-	// While the clock is stopped, no more than the changes of one second are written.
+	// The clock does not advance. The write limit allows all changes of this test within one second.
 	if committer.Pending() != 0 {
-		t.Errorf("%d records wait", committer.Pending())
+		t.Errorf("%d records are still pending", committer.Pending())
 	}
 }
 
-func TestOutageKeepsRecordsWaiting(t *testing.T) {
+func TestOutageKeepsRecordsPending(t *testing.T) {
 	state, source, committer := newTestCommitter()
 	source.values["sf/j/run-1"] = "job"
 	committer.MarkDirty("sf/j/run-1", Urgent, nil)
 	state.Down = true
 	if committer.Step(t.Context()) == 0 || committer.Pending() != 1 {
-		t.Error("the record does not wait for the service")
+		t.Error("the record is not pending during the outage")
 	}
 	state.Down = false
 	committer.Step(t.Context())
 	if state.Get("sf/j/run-1") == nil {
-		t.Error("not written after the outage")
+		t.Error("the record was not written after the outage")
 	}
 }
 
-// A transaction whose response is late is sent once more, and its callbacks run as soon as either is answered.
-// Only one of the two takes effect. One response in 25 took 240 ms on a day of the fleet, and held up all
+// A transaction whose response is late is resent, and its callbacks run as soon as either attempt is answered. Only one
+// of the two takes effect. Without resending, one response in 25 took 240 ms on one day in production and delayed all
 // records behind it.
-func TestLateAnswersAreNotWaitedFor(t *testing.T) {
+func TestLateResponseDoesNotDelayCommit(t *testing.T) {
 	for _, executed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("executed %v", executed), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
@@ -191,7 +190,7 @@
 			late := state.LateNext(executed)
 			var read *fake.Late
 			if executed {
-				// The read that finds the effect of the first is late as well.
+				// The response to the read that verifies the first attempt is late as well.
 				read = state.LateRead(false)
 			}
 			done := make(chan struct{})
@@ -204,14 +203,14 @@
 				t.Fatal(err)
 			}
 			clock.Advance(40 * time.Millisecond)
-			// If the first was executed, the second fails; its effect is read back, its response is not
-			// waited for.
+			// If the first attempt was executed, the second one fails with a conflict. The committer then reads
+			// the key and does not wait for the first response.
 			if executed {
 				<-read.Asked
 			}
 			advanceUntil(clock, done)
 			if stored != 1 || decodeString(t, state.Get(JobKey("run-1"))) != "job" {
-				t.Errorf("callback run %d times", stored)
+				t.Errorf("callback ran %d times", stored)
 			}
 			late.Answer()
 			if executed {
@@ -227,7 +226,7 @@
 	}
 }
 
-// advanceUntil advances the clock until done is closed.
+// advanceUntil advances the clock in steps of 1 ms until done is closed.
 func advanceUntil(clock *clockwork.FakeClock, done <-chan struct{}) {
 	for {
 		select {
@@ -240,56 +239,56 @@
 	}
 }
 
-// A record that the state service rejects, whether that is known beforehand or not, is quarantined and logged
-// with its key. All others are written, and so is it once it is accepted.
-func TestPoisonedRecordIsSetAside(t *testing.T) {
+// A record that is too large or that the state service rejects is quarantined, and all other records are written. The
+// quarantined record is written after the quarantine if it is acceptable by then.
+func TestRejectedRecordIsQuarantined(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state, source, committer := newTestCommitterWithin(clock, settings.State{WriteRPS: 1000, TxnOps: 12, ValueKB: 16})
-	large, spaced := JobKey("run-000001"), JobKey("with space")
-	source.values[large], source.values[spaced] = strings.Repeat("x", 17<<10), "job"
+	tooLarge, invalid := JobKey("run-000001"), JobKey("with space")
+	source.values[tooLarge], source.values[invalid] = strings.Repeat("x", 17<<10), "job"
 	stored := map[string]bool{}
-	touch := func(key string) { committer.MarkDirty(key, Urgent, func() { stored[key] = true }) }
-	touch(large)
-	touch(spaced)
+	markDirty := func(key string) { committer.MarkDirty(key, Urgent, func() { stored[key] = true }) }
+	markDirty(tooLarge)
+	markDirty(invalid)
 	var others []string
 	for i := range 30 {
 		key := JobKey(fmt.Sprintf("run-%06d", 100+i))
 		source.values[key] = "job"
 		others = append(others, key)
-		touch(key)
+		markDirty(key)
 	}
 	for range 40 {
 		committer.Step(t.Context())
 	}
 	for _, key := range others {
 		if !stored[key] {
-			t.Fatalf("%s waits behind what cannot be stored", key)
+			t.Fatalf("%s is blocked by a record that cannot be stored", key)
 		}
 	}
-	if stored[large] || stored[spaced] || committer.Pending() != 2 {
-		t.Fatalf("stored %v %v, %d wait", stored[large], stored[spaced], committer.Pending())
+	if stored[tooLarge] || stored[invalid] || committer.Pending() != 2 {
+		t.Fatalf("stored %v %v, %d pending", stored[tooLarge], stored[invalid], committer.Pending())
 	}
 	if count := state.Requests; committer.Step(t.Context()) <= 0 || state.Requests != count {
-		t.Error("what is set aside is tried again at once")
+		t.Error("quarantined records were retried at once")
 	}
-	source.values[large] = "short now"
+	source.values[tooLarge] = "short now"
 	clock.Advance(tuning.QuarantineTime + time.Second)
 	for range 3 {
 		committer.Step(t.Context())
 	}
-	if !stored[large] || stored[spaced] {
-		t.Errorf("after the pause: stored %v %v", stored[large], stored[spaced])
+	if !stored[tooLarge] || stored[invalid] {
+		t.Errorf("after the quarantine: stored %v %v", stored[tooLarge], stored[invalid])
 	}
 }
 
-// The announced rate applies from the first refusal on, in the middle of a burst: nothing is refused after
-// that, and accepted jobs still go before other pending records.
-func TestRateSinksAtTheFirstRefusal(t *testing.T) {
+// The committer lowers its rate to the announced one at the first refusal, in the middle of a burst. After that the
+// state service refuses nothing, and accepted jobs are still written before other pending records.
+func TestRateIsLoweredAtFirstRefusal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	limits := settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Next: settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
 	state, source, committer := newTestCommitterWithin(clock, limits)
 	state.Limit(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
-	burst := func(from, to int) {
+	markDirtyRange := func(from, to int) {
 		for i := from; i < to; i++ {
 			key := Shard{"run-1", i, 40}.Key()
 			source.values[key] = "x"
@@ -297,99 +296,99 @@
 		}
 	}
 	ctx := t.Context()
-	play := func(d time.Duration) {
+	runFor := func(d time.Duration) {
 		for end := clock.Now().Add(d); clock.Now().Before(end); {
 			clock.Advance(max(time.Millisecond, committer.Step(ctx)))
 		}
 	}
-	burst(0, 900)
-	play(2 * time.Second)
+	markDirtyRange(0, 900)
+	runFor(2 * time.Second)
 	state.Limit(fake.Limits{WriteRPS: 42, ValueKB: 2, TxnOps: 4})
-	play(9 * time.Second)
+	runFor(9 * time.Second)
 	if count := state.Refusals()["too many changes"]; count < 1 || count > 2 {
 		t.Fatalf("%d refusals, want one or two", count)
 	}
 	before := state.Refusals()
-	burst(900, 1400)
+	markDirtyRange(900, 1400)
 	stored := false
 	source.values[JobKey("run-2")] = "job"
 	committer.MarkDirty(JobKey("run-2"), Urgent, func() { stored = true })
 	if committer.Step(ctx); !stored {
-		t.Error("an accepted job waits though a part of the limit is reserved for it")
+		t.Error("an accepted job was not written although a part of the limit is reserved for it")
 	}
-	play(5 * time.Second)
+	runFor(5 * time.Second)
 	if after := state.Refusals(); !maps.Equal(before, after) || state.Largest.Ops > 4 {
-		t.Errorf("refused %v, then %v; %d changes at once", before, after, state.Largest.Ops)
+		t.Errorf("refusals %v, then %v; %d changes in one transaction", before, after, state.Largest.Ops)
 	}
 	if committer.Pending() > 800 {
-		t.Errorf("%d still wait", committer.Pending())
+		t.Errorf("%d records are still pending", committer.Pending())
 	}
 }
 
-// Ends of tasks wait for other changes of their record; a start in the same record is written together with
-// them, and an accepted job does not wait for them.
+// Completions of tasks wait for other changes of their record. A start in the same record is written at once, together
+// with them. An accepted job does not wait for them.
 func TestDelayedRecordsWaitForOtherChanges(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state, source, committer := newTestCommitterAt(clock)
 	ctx := t.Context()
 	shard, other := Shard{"run-1", 0, 40}.Key(), Shard{"run-1", 1, 40}.Key()
 	source.values[shard], source.values[other], source.values[JobKey("run-2")] = "ends", "ends", "job"
-	ends, accepted := 0, false
-	committer.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { ends++ })
-	committer.MarkDirtyWithin(other, Ordinary+2, 2*time.Second, func() { ends++ })
-	if committer.Step(ctx) == 0 || ends > 0 {
-		t.Fatal("written at once")
+	completions, accepted := 0, false
+	committer.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { completions++ })
+	committer.MarkDirtyWithin(other, Ordinary+2, 2*time.Second, func() { completions++ })
+	if committer.Step(ctx) == 0 || completions > 0 {
+		t.Fatal("a delayed record was written at once")
 	}
 	committer.MarkDirty(JobKey("run-2"), Urgent, func() { accepted = true })
 	committer.Step(ctx)
-	if !accepted || ends > 0 || state.Get(shard) != nil {
-		t.Fatal("an accepted job waits, or is written with ends that wait for other changes")
+	if !accepted || completions > 0 || state.Get(shard) != nil {
+		t.Fatal("an accepted job was delayed, or was written together with delayed records")
 	}
-	committer.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { ends++ })
+	committer.MarkDirtyWithin(shard, Ordinary+2, 2*time.Second, func() { completions++ })
 	committer.MarkDirty(shard, Ordinary+2, nil)
 	committer.Step(ctx)
-	if ends != 2 || state.Get(other) != nil {
-		t.Fatalf("%d callbacks of ends run after a start in their record", ends)
+	if completions != 2 || state.Get(other) != nil {
+		t.Fatalf("after a start in their record, %d completions are stored, want 2", completions)
 	}
 	clock.Advance(2 * time.Second)
 	committer.Step(ctx)
-	if ends != 3 {
-		t.Error("not written when its time has come")
+	if completions != 3 {
+		t.Error("a delayed record was not written after its delay")
 	}
 }
 
-// While records of a higher rank arrive faster than the limit allows, those of lower ranks get a share of the
-// changes once they have waited 5 s, oldest first. Accepted jobs still go first.
-func TestRecordsOfLowRanksDoNotWaitForEver(t *testing.T) {
+// While records of a higher rank arrive faster than the write limit allows, records of lower ranks that have waited 5 s
+// get a share of the changes, oldest first. Accepted jobs are still written first.
+func TestOverdueRecordsOfLowerRanksAreWritten(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	_, source, committer := newTestCommitterAt(clock)
-	written := map[string]time.Duration{}
-	from, count := clock.Now(), 0
-	put := func(key string, urgency int) {
+	writtenAfter := map[string]time.Duration{}
+	startedAt, count := clock.Now(), 0
+	markDirty := func(key string, urgency int) {
 		source.values[key] = "v"
-		committer.MarkDirty(key, urgency, func() { written[key] = clock.Since(from) })
+		committer.MarkDirty(key, urgency, func() { writtenAfter[key] = clock.Since(startedAt) })
 	}
 	for i := range 60 {
-		put(fmt.Sprintf("sf/t/low-%02d", i), Ordinary+3)
+		markDirty(fmt.Sprintf("sf/t/low-%02d", i), Ordinary+3)
 	}
-	for clock.Since(from) < 20*time.Second {
+	for clock.Since(startedAt) < 20*time.Second {
 		for range 10 {
 			count++
-			put(fmt.Sprintf("sf/t/high-%d", count), Ordinary)
+			markDirty(fmt.Sprintf("sf/t/high-%d", count), Ordinary)
 		}
-		accepted := JobKey(fmt.Sprintf("run-%d", count))
-		put(accepted, Urgent)
+		acceptedKey := JobKey(fmt.Sprintf("run-%d", count))
+		markDirty(acceptedKey, Urgent)
 		for range 10 {
 			committer.Step(t.Context())
 			clock.Advance(10 * time.Millisecond)
 		}
-		if at, ok := written[accepted]; !ok || clock.Since(from)-at > 150*time.Millisecond {
-			t.Fatalf("an accepted job waits: %v", at)
+		if at, ok := writtenAfter[acceptedKey]; !ok || clock.Since(startedAt)-at > 150*time.Millisecond {
+			t.Fatalf("an accepted job was delayed: stored %v after the start", at)
 		}
 	}
 	for i := range 60 {
-		if at, ok := written[fmt.Sprintf("sf/t/low-%02d", i)]; !ok || at > 10*time.Second {
-			t.Errorf("record %d of a low rank was written after %v, %v", i, at, ok)
+		if at, ok := writtenAfter[fmt.Sprintf("sf/t/low-%02d", i)]; !ok || at > 10*time.Second {
+			t.Errorf("record %d of a lower rank was written after %v (written: %v)", i, at, ok)
 		}
 	}
 }
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -14,20 +14,20 @@
 	"switchferry/tuning"
 )
 
-// HedgedClient repeats a transaction or a read while it is unanswered: one response in 25 was late by
-// hundreds of milliseconds, and held up every record behind it
-// (docs/incidents/fleet-late-commits.md). It is safe for concurrent use.
+// HedgedClient resends a transaction or a read that is not answered in time. Without it, one response in 25 was
+// late by hundreds of milliseconds and delayed every record queued behind it
+// (docs/incidents/fleet-late-commits.md). A HedgedClient is safe for concurrent use.
 type HedgedClient struct {
 	client *Client
 	clock  clockwork.Clock
-	// writeLimiter is the limiter of the writer, which a repeated transaction counts against.
+	// writeLimiter limits the changes of the writer, including resent ones.
 	writeLimiter *rate.Limiter
-	// resendLimiter allows some repetitions while writeLimiter has little capacity left.
+	// resendLimiter limits the resent changes while little of writeLimiter's burst is left.
 	resendLimiter *rate.Limiter
 }
 
-// NewHedgedClient returns a hedged client for a writer whose changes writeLimiter limits. writeRPS is the
-// limit of the state service in changes a second.
+// NewHedgedClient returns a hedged client for a writer whose changes are limited by writeLimiter. writeRPS is the
+// limit of the state service in changes per second.
 func NewHedgedClient(client *Client, clock clockwork.Clock, writeLimiter *rate.Limiter, writeRPS float64) *HedgedClient {
 	resendLimiter := rate.NewLimiter(rate.Limit(writeRPS*tuning.HedgeShare), writeLimiter.Burst())
 	return &HedgedClient{client: client, clock: clock, writeLimiter: writeLimiter, resendLimiter: resendLimiter}
@@ -40,7 +40,7 @@
 	err        error
 }
 
-// certainty orders outcomes by how much they say about what was executed.
+// certainty ranks outcomes by how much they prove about the execution of the transaction; higher is more certain.
 func (o outcome) certainty() int {
 	switch {
 	case o.err == nil:
@@ -53,13 +53,13 @@
 	return 0
 }
 
-// Transact is Client.Transact for a transaction that is conditional on the revision of every key that it
-// writes. However often such a transaction is sent, it takes effect at most once, because the first
-// execution changes the revisions.
+// Transact is Client.Transact for a transaction that is conditional on the revision of every key that it writes.
+// Such a transaction takes effect at most once, however often it is sent, because its first execution changes the
+// revisions.
 //
-// If a repetition fails with ErrConflict, an earlier one may have been executed and its response may be
-// late. That response is not waited for: the keys are read, and if all of them hold what was to be
-// written, at one revision, the transaction was executed.
+// If a resent transaction fails with ErrConflict, an earlier attempt may have been executed and its response may be
+// late. Transact does not wait for that response but reads the keys. If all of them have the values that were to
+// be written, at the same revision, the transaction was executed.
 func (h *HedgedClient) Transact(ctx context.Context, conditions []Condition, operations []Operation) (uint64, []string, error) {
 	responses := make(chan outcome, tuning.HedgeTries)
 	send := func() {
@@ -68,60 +68,61 @@
 	}
 	go send()
 	sent, answered := 1, 0
-	resend := h.clock.After(tuning.HedgeAfter)
-	best := outcome{err: ErrBusy}
-	var verified chan outcome // nil: the keys are not being read
+	resendTimer := h.clock.After(tuning.HedgeAfter)
+	bestOutcome := outcome{err: ErrBusy}
+	var verified chan outcome // nil until the keys are read
 	for {
 		select {
 		case response := <-responses:
 			answered++
-			if response.certainty() >= best.certainty() {
-				best = response
+			if response.certainty() >= bestOutcome.certainty() {
+				bestOutcome = response
 			}
 			switch {
-			case best.err == nil:
-				return best.revision, nil, nil
+			case bestOutcome.err == nil:
+				return bestOutcome.revision, nil, nil
 			case sent > 1 && errors.Is(response.err, ErrConflict) && verified == nil:
-				resend = nil
+				resendTimer = nil
 				verified = make(chan outcome, 1)
 				go func() { verified <- h.verifyWritten(ctx, operations) }()
 			case answered == sent && verified == nil:
-				return best.revision, best.failedKeys, best.err
+				return bestOutcome.revision, bestOutcome.failedKeys, bestOutcome.err
 			}
 		case verification := <-verified:
 			if verification.err == nil {
 				return verification.revision, nil, nil
 			}
 			// Another process wrote a key, or the keys could not be read.
-			return best.revision, best.failedKeys, best.err
-		case <-resend:
-			resend = nil
+			return bestOutcome.revision, bestOutcome.failedKeys, bestOutcome.err
+		case <-resendTimer:
+			resendTimer = nil
 			if sent == tuning.HedgeTries || !h.allowResend(len(operations)) {
 				continue
 			}
 			sent++
 			go send()
-			resend = h.clock.After(tuning.HedgeAfter)
+			resendTimer = h.clock.After(tuning.HedgeAfter)
 		}
 	}
 }
 
-// allowResend returns whether so many changes may be sent again, and counts them against the write limit:
-// either the writer has much of its limit left, or resendLimiter allows it. A fixed share alone was used
-// up by large transactions while four fifths of the limit were left.
+// allowResend reports whether so many changes may be resent, and counts them against the write limit if so. They
+// may if at least the share tuning.HedgeSpare of the write limiter's burst is left afterwards, or if resendLimiter
+// allows it. With only the fixed rate of resendLimiter, large transactions used it up while four fifths of the
+// write limit were unused.
 func (h *HedgedClient) allowResend(changes int) bool {
 	now := h.clock.Now()
-	left := h.writeLimiter.TokensAt(now) - float64(changes)
-	spare := left >= float64(h.writeLimiter.Burst())*tuning.HedgeSpare
-	if !spare && !h.resendLimiter.AllowN(now, changes) {
+	remaining := h.writeLimiter.TokensAt(now) - float64(changes)
+	hasSpareCapacity := remaining >= float64(h.writeLimiter.Burst())*tuning.HedgeSpare
+	if !hasSpareCapacity && !h.resendLimiter.AllowN(now, changes) {
 		return false
 	}
 	h.writeLimiter.AllowN(now, changes)
 	return true
 }
 
-// Get is Client.Get, repeated while it is unanswered: reading several keys back would otherwise wait
-// for the latest of the responses.
+// Get is Client.Get, resent while it is not answered. Without resending, concurrent reads of several keys would
+// take as long as the slowest response.
 func (h *HedgedClient) Get(ctx context.Context, key string) (Item, error) {
 	type result struct {
 		item Item
@@ -134,9 +135,9 @@
 	}
 	go send()
 	for sent, answered := 1, 0; ; {
-		var resend <-chan time.Time
+		var resendTimer <-chan time.Time
 		if sent < tuning.HedgeTries {
-			resend = h.clock.After(tuning.HedgeAfter)
+			resendTimer = h.clock.After(tuning.HedgeAfter)
 		}
 		select {
 		case response := <-responses:
@@ -144,15 +145,15 @@
 			if response.err == nil || errors.Is(response.err, ErrNotFound) || answered == sent {
 				return response.item, response.err
 			}
-		case <-resend:
+		case <-resendTimer:
 			sent++
 			go send()
 		}
 	}
 }
 
-// verifyWritten reads the keys of operations and returns the revision at which all of them were written
-// together. Its error is ErrConflict if any key holds anything else.
+// verifyWritten reads the keys of operations and returns the revision at which all of them were written together.
+// The error of the outcome is ErrConflict if any key has another state.
 func (h *HedgedClient) verifyWritten(ctx context.Context, operations []Operation) outcome {
 	revisions := make([]uint64, len(operations))
 	errs := make([]error, len(operations))
@@ -176,8 +177,8 @@
 	return outcome{revision: revision}
 }
 
-// verifyOperation reads the key of an operation and returns its revision (0 if it was deleted), or
-// ErrConflict if the key is not as the operation leaves it.
+// verifyOperation reads the key of an operation. It returns the key's revision, or 0 if the operation deletes it
+// and it does not exist. It returns ErrConflict if the state of the key is not the result of the operation.
 func (h *HedgedClient) verifyOperation(ctx context.Context, operation Operation) (uint64, error) {
 	item, err := h.Get(ctx, operation.key())
 	switch {
@@ -191,8 +192,8 @@
 	return item.Revision, nil
 }
 
-// equalJSON compares a stored value with one that was to be written, whatever their spaces and the order
-// of their keys.
+// equalJSON reports whether a stored value is equal to the JSON encoding of value, regardless of white space and of
+// the order of object keys.
 func equalJSON(stored json.RawMessage, value any) bool {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/store/keys.go
+++ b/store/keys.go
@@ -6,81 +6,82 @@
 	"strings"
 )
 
-// Keys in the state service. docs/operators.md describes the layout for operators.
+// Keys and key prefixes in the state service. docs/operators.md describes the layout for operators.
 const (
-	// rootPrefix begins every key.
+	// rootPrefix is the prefix of all keys.
 	rootPrefix = "sf/"
-	// LeaderKey holds the LeaderRecord. It is attached to the leader's lease.
+	// LeaderKey is the key of the LeaderRecord. It is attached to the leader's lease.
 	LeaderKey = "sf/leader"
-	// JobPrefix holds a JobRecord for each job that is not archived yet.
+	// JobPrefix is the prefix of the JobRecords, one for each job that is not archived yet.
 	JobPrefix = "sf/j/"
-	// ShardPrefix holds the ShardRecords of these jobs.
+	// ShardPrefix is the prefix of the ShardRecords of the jobs that are not archived yet.
 	ShardPrefix = "sf/t/"
-	// FinalPrefix holds a FinalRecord for each archived job, for good.
+	// FinalPrefix is the prefix of the FinalRecords, one for each archived job. They are never deleted.
 	FinalPrefix = "sf/f/"
-	// InboxPrefix holds an InboxRecord for each job that a peer accepted or cancelled without
-	// reaching the leader.
+	// InboxPrefix is the prefix of the InboxRecords, one for each job that a peer accepted or cancelled while it
+	// could not reach the leader.
 	InboxPrefix = "sf/in/"
-	// RelayPrefix holds packets (package relay) of workers' heartbeats that a peer relays
-	// because the workers cannot reach the leader.
+	// RelayPrefix is the prefix of packets (package relay) of workers' heartbeats that a peer relays because the
+	// workers cannot reach the leader.
 	RelayPrefix = "sf/relay/"
-	// RelayResponsePrefix holds packets with the leader's responses to these heartbeats.
+	// RelayResponsePrefix is the prefix of packets of the leader's responses to relayed heartbeats of workers.
 	RelayResponsePrefix = "sf/mail/"
-	// ImagesPrefix holds ImagesRecords, which machines likely cache which images, for the next
-	// leader. They are soft state: an old or missing record does no harm.
+	// ImagesPrefix is the prefix of the ImagesRecords, which inform the next leader which machines probably cache
+	// which images. They are soft state: an outdated or missing record does no harm.
 	ImagesPrefix = "sf/images/"
-	// DatasetPrefix holds the registered datasets, for good.
+	// DatasetPrefix is the prefix of the registered datasets, which are kept permanently.
 	DatasetPrefix = "sf/d/"
-	// ReplicasPrefix holds which machines hold which parts of datasets, for the next leader.
-	// It is soft state.
+	// ReplicasPrefix is the prefix of the records that inform the next leader which machines hold which parts of
+	// datasets. They are soft state.
 	ReplicasPrefix = "sf/holds/"
-	// AgentRelayPrefix holds packets of data agents' heartbeats that a peer relays.
+	// AgentRelayPrefix is the prefix of packets of data agents' heartbeats that a peer relays.
 	AgentRelayPrefix = "sf/srelay/"
-	// AgentResponsePrefix holds packets with the leader's responses to these heartbeats.
+	// AgentResponsePrefix is the prefix of packets of the leader's responses to relayed heartbeats of data agents.
 	AgentResponsePrefix = "sf/smail/"
 )
 
-// JobKey is the key of a job's JobRecord.
+// JobKey returns the key of a job's JobRecord.
 func JobKey(id string) string { return JobPrefix + id }
 
-// FinalKey is the key of a job's FinalRecord.
+// FinalKey returns the key of a job's FinalRecord.
 func FinalKey(id string) string { return FinalPrefix + id }
 
-// InboxKey is the key of a job's InboxRecord.
+// InboxKey returns the key of a job's InboxRecord.
 func InboxKey(id string) string { return InboxPrefix + id }
 
-// DatasetKey is the key of a dataset.
+// DatasetKey returns the key of a dataset.
 func DatasetKey(name string) string { return DatasetPrefix + name }
 
-// ReplicasKey is the key of part n of the record of replicas.
+// ReplicasKey returns the key of part n of the record of replicas.
 func ReplicasKey(n int) string { return ReplicasPrefix + strconv.Itoa(n) }
 
-// ImagesKey is the key of part n of the record of images.
+// ImagesKey returns the key of part n of the record of cached images.
 func ImagesKey(n int) string { return ImagesPrefix + strconv.Itoa(n) }
 
-// RelayKey is the key of packet n of the heartbeats that a member relays.
+// RelayKey returns the key of packet n of the workers' heartbeats that a member relays.
 func RelayKey(member string, n int) string { return packetKey(RelayPrefix, member, n) }
 
-// RelayResponseKey is the key of packet n of the responses to a member's relayed heartbeats.
+// RelayResponseKey returns the key of packet n of the responses to the workers' heartbeats that a member relays.
 func RelayResponseKey(member string, n int) string { return packetKey(RelayResponsePrefix, member, n) }
 
-// AgentRelayKey is the key of packet n of the data agents' heartbeats that a member relays.
+// AgentRelayKey returns the key of packet n of the data agents' heartbeats that a member relays.
 func AgentRelayKey(member string, n int) string { return packetKey(AgentRelayPrefix, member, n) }
 
-// AgentResponseKey is the key of packet n of the responses to a member's relayed data agents' heartbeats.
+// AgentResponseKey returns the key of packet n of the responses to the data agents' heartbeats that a member relays.
 func AgentResponseKey(member string, n int) string { return packetKey(AgentResponsePrefix, member, n) }
 
-// packetKey is the key of packet n of a member under a prefix.
+// packetKey returns the key of packet n of a member under a prefix.
 func packetKey(prefix, member string, n int) string { return fmt.Sprintf("%s%s/%d", prefix, member, n) }
 
-// RelaySender is the member whose packets the key, which begins with prefix, belongs to.
+// RelaySender returns the member in the key of a packet that begins with prefix.
 func RelaySender(prefix, key string) string {
 	member, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	return member
 }
 
-// ParseRelayKey is the inverse of RelayKey, RelayResponseKey and the two others of their kind, whose prefix is
-// given. ok is false if key is no such key.
+// ParseRelayKey returns the member and the packet number of a key that RelayKey, RelayResponseKey, AgentRelayKey or
+// AgentResponseKey returned; prefix is the prefix of that kind of key. ok is false if key is not a valid key of this
+// kind.
 func ParseRelayKey(prefix, key string) (member string, n int, ok bool) {
 	member, number, ok := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	n, err := strconv.Atoi(number)
--- a/store/record_queue.go
+++ b/store/record_queue.go
@@ -8,51 +8,51 @@
 	"switchferry/tuning"
 )
 
-// sequenceBits of a record's priority number the requests in their order; the bits above them hold
-// the urgency.
+// sequenceBits is the number of low bits of a record's priority that contain the sequence number of its request. The
+// bits above them contain the urgency.
 const sequenceBits = 56
 
-// pendingRecord is a key that is to be written.
+// pendingRecord is a request to write the record of a key.
 type pendingRecord struct {
 	key string
-	// priority orders records, the lowest first: by urgency, then by the order of the requests.
+	// priority orders records by urgency, then by the order of the requests. Records with lower values go first.
 	priority uint64
-	// onStored are called in this order once the record is stored.
+	// onStored are the callbacks to call, in this order, once the record is stored.
 	onStored []func()
 	// requestedAt is the time of the first request.
 	requestedAt time.Time
-	// notBefore is until when the record waits for more changes to be written with it.
+	// notBefore is the earliest time of the write. Until then the record waits for more changes of its key.
 	notBefore time.Time
-	// quarantinedUntil is until when the record is deferred because the state service refused it.
+	// quarantinedUntil is the time until which the record is deferred because the state service rejected it.
 	quarantinedUntil time.Time
-	// isolated records are written in a transaction of their own.
+	// isolated is true if the record must be written in a transaction of its own.
 	isolated bool
 }
 
-// urgency is the highest urgency that was requested.
+// urgency returns the lowest urgency value, that is the most urgent one, that was requested.
 func (r *pendingRecord) urgency() int { return int(r.priority >> sequenceBits) }
 
-// runCallbacks calls what waits for the record to be stored.
+// runCallbacks calls the callbacks of a record that was stored.
 func (r *pendingRecord) runCallbacks() {
 	for _, onStored := range r.onStored {
 		onStored()
 	}
 }
 
-// recordQueue orders the pending records of a Committer, whose lock guards it.
+// recordQueue contains the pending records of a Committer. Committer.mu guards it.
 type recordQueue struct {
 	records  map[string]*pendingRecord // by key
 	sequence uint64
-	// overdueCredit is the number of changes that overdue records are entitled to.
+	// overdueCredit is the number of changes that are reserved for overdue records and not used yet.
 	overdueCredit float64
 }
 
-// batchLimit bounds one batch.
+// batchLimit limits the size of one batch.
 type batchLimit struct {
 	// records is the maximum number of records.
 	records int
-	// unreserved is the number of records that may be taken whatever their urgency; a larger
-	// batch consists of Urgent and Ordinary records only.
+	// unreserved is the number of records that may be taken regardless of their urgency. A larger batch consists of
+	// Urgent and Ordinary records only.
 	unreserved int
 }
 
@@ -60,9 +60,9 @@
 	return &recordQueue{records: map[string]*pendingRecord{}}
 }
 
-func (q *recordQueue) len() int { return len(q.records) }
+func (q *recordQueue) length() int { return len(q.records) }
 
-// urgentCount is the number of Urgent records.
+// urgentCount returns the number of Urgent records.
 func (q *recordQueue) urgentCount() int {
 	count := 0
 	for _, record := range q.records {
@@ -73,20 +73,20 @@
 	return count
 }
 
-// add requests that a key is written, at the latest after wait. A request for a key that is already
-// pending can only make it more urgent.
-func (q *recordQueue) add(key string, urgency int, now time.Time, wait time.Duration, onStored func()) {
+// add requests that a key is written, and allows a delay of up to maxDelay. A request for a key that is already pending
+// can only make its record more urgent, not less.
+func (q *recordQueue) add(key string, urgency int, now time.Time, maxDelay time.Duration, onStored func()) {
 	q.sequence++
 	priority := uint64(urgency)<<sequenceBits | q.sequence
 	record := q.records[key]
 	if record == nil {
 		record = &pendingRecord{key: key, priority: priority, requestedAt: now}
-		if wait > 0 {
-			record.notBefore = now.Add(wait)
+		if maxDelay > 0 {
+			record.notBefore = now.Add(maxDelay)
 		}
 		q.records[key] = record
 	}
-	if wait == 0 {
+	if maxDelay == 0 {
 		record.notBefore = time.Time{}
 	}
 	record.priority = min(record.priority, priority)
@@ -95,8 +95,8 @@
 	}
 }
 
-// restore puts a record back that was taken and not written, and merges it with a newer request for
-// the same key.
+// restore puts a record that was taken and not written back into the queue, and merges it with a newer request for the
+// same key, if there is one.
 func (q *recordQueue) restore(record *pendingRecord) {
 	newer := q.records[record.key]
 	if newer == nil {
@@ -112,21 +112,21 @@
 	newer.notBefore = time.Time{}
 }
 
-// take removes the records of the next transaction from the queue. Without any, either reserved is
-// true (records are ready, but the limit is reserved for more urgent ones), or nextReady is the time
-// until the next record is ready, 0 if none is pending.
+// take removes the records of the next transaction from the queue and returns them. If it returns none, either
+// reserved is true, which means that records are ready but the remaining limit is reserved for more urgent ones, or
+// nextReady is the time until the next record is ready, 0 if none is pending.
 func (q *recordQueue) take(now time.Time, limit batchLimit) (batch []*pendingRecord, nextReady time.Duration, reserved bool) {
 	ready, nextReady := q.ready(now)
-	pressing := 0
-	for pressing < len(ready) && ready[pressing].urgency() <= Ordinary {
-		pressing++
+	highPriority := 0
+	for highPriority < len(ready) && ready[highPriority].urgency() <= Ordinary {
+		highPriority++
 	}
-	allowed := min(len(ready), max(pressing, limit.unreserved))
+	allowed := min(len(ready), max(highPriority, limit.unreserved))
 	if allowed == 0 && len(ready) > 0 {
 		return nil, 0, true
 	}
 	batch = q.admitOverdue(ready, min(allowed, limit.records), now)
-	// An isolated record is taken alone; with others before it, it waits for the next transaction.
+	// An isolated record is taken alone. If other records come before it, the batch ends with them.
 	if i := slices.IndexFunc(batch, func(r *pendingRecord) bool { return r.isolated }); i >= 0 {
 		batch = batch[:max(i, 1)]
 	}
@@ -136,27 +136,27 @@
 	return batch, nextReady, false
 }
 
-// ready lists the records that may be written now, by priority, and the time until the next of the
-// others may be, 0 without others.
-func (q *recordQueue) ready(now time.Time) (ready []*pendingRecord, next time.Duration) {
+// ready returns the records that may be written now, sorted by priority, and the time until the next of the other
+// records may be written, 0 if there are no others.
+func (q *recordQueue) ready(now time.Time) (ready []*pendingRecord, nextReady time.Duration) {
 	ready = make([]*pendingRecord, 0, len(q.records))
 	for _, record := range q.records {
 		wait := max(record.quarantinedUntil.Sub(now), record.notBefore.Sub(now))
 		switch {
 		case wait <= 0:
 			ready = append(ready, record)
-		case next == 0 || wait < next:
-			next = wait
+		case nextReady == 0 || wait < nextReady:
+			nextReady = wait
 		}
 	}
 	slices.SortFunc(ready, func(a, b *pendingRecord) int { return cmp.Compare(a.priority, b.priority) })
-	return ready, next
+	return ready, nextReady
 }
 
-// admitOverdue cuts the ready records, which are sorted by priority, to the first count. A share of
-// them, the last ones that are not Urgent, is replaced by overdue records, oldest first: while
-// records of higher ranks arrived faster than the limit allows, others waited 95 s and kept their
-// tasks' resources occupied all the while.
+// admitOverdue returns the first count of the ready records, which are sorted by priority. It replaces a share of
+// them, the last ones that are not Urgent, by overdue records, oldest first. Without this, records of lower ranks
+// waited 95 s while those of higher ranks arrived faster than the write limit allows, and the resources of their
+// tasks stayed occupied for that time.
 func (q *recordQueue) admitOverdue(ready []*pendingRecord, count int, now time.Time) []*pendingRecord {
 	overdue := slices.DeleteFunc(slices.Clone(ready[count:]), func(record *pendingRecord) bool {
 		return record.urgency() >= Lazy || now.Sub(record.requestedAt) < tuning.RecordOverdueAfter
--- a/store/records.go
+++ b/store/records.go
@@ -11,66 +11,71 @@
 	Member string `json:"member"`
 }
 
-// JobRecord is a job as accepted.
+// JobRecord is the record of an accepted job that is not archived yet.
 type JobRecord struct {
 	Job api.Submission `json:"job"`
-	// AcceptedAt is the time of day at which the job was accepted, in ms, by the clock of the
-	// controller that accepted it. It orders the queues.
+	// AcceptedAt is when the job was accepted, in Unix milliseconds on the clock of the controller that accepted it.
+	// It determines the order of the job in its queue.
 	AcceptedAt int64 `json:"at"`
-	// FinalState is set once the job is done or cancelled, FinalAt to when, on the same clock.
+	// FinalState is the terminal state of the job, or empty if the job has not reached one.
 	FinalState string `json:"final,omitempty"`
-	FinalAt    int64  `json:"final_at,omitempty"`
+	// FinalAt is when the job reached FinalState, in Unix milliseconds on the same clock.
+	FinalAt int64 `json:"final_at,omitempty"`
 }
 
-// FinalRecord is all that is kept of an archived job.
+// FinalRecord is the record of an archived job. All other records of the job are deleted.
 type FinalRecord struct {
 	State string `json:"s"`
 	Tasks int    `json:"n"`
-	// Service is true if the job was a service. Records of data version 1 do not have it.
+	// Service is true if the job was a service. Records of data version 1 lack this field.
 	Service bool `json:"v,omitempty"`
 }
 
-// InboxRecord informs the leader of a job: a new one, or one to be cancelled.
+// InboxRecord informs the leader of a new job or, if Cancel is true, of a job to be cancelled.
 type InboxRecord struct {
 	Cancel bool `json:"cancel,omitempty"`
 }
 
-// ImagesRecord says which images some machines likely cache: On lists for each machine indices into
-// Names and GB, the most recently used image first.
+// ImagesRecord lists the images that some machines probably cache.
 type ImagesRecord struct {
-	Names []string         `json:"i"`
-	GB    []float64        `json:"g"`
-	On    map[string][]int `json:"m"`
+	// Names are the names of the images.
+	Names []string `json:"i"`
+	// GB are the sizes of the images in GB, in the order of Names.
+	GB []float64 `json:"g"`
+	// On has, for each machine, indices into Names and GB, the most recently used image first.
+	On map[string][]int `json:"m"`
 }
 
-// RelayedCommands are the commands that answer one relayed heartbeat of a machine, which Incarnation and
-// Seq identify.
+// RelayedCommands has the commands in response to one relayed heartbeat of a machine. Incarnation and Seq identify
+// the heartbeat.
 type RelayedCommands struct {
 	Incarnation uint64        `json:"w"`
 	Seq         uint64        `json:"q"`
 	Commands    []api.Command `json:"o"`
 }
 
-// PlacedTask is an attempt of a task that is, or may be, on a machine.
+// PlacedTask is an attempt of a task that runs or may run on a machine.
 type PlacedTask struct {
 	Task    int
 	Machine string
 	Attempt uint64
 }
 
-// MarshalJSON encodes the task as a triple, since a shard must fit into one value.
+// MarshalJSON encodes the task as a JSON array of three elements, which is short enough for the record of a shard to
+// fit into one value.
 func (p PlacedTask) MarshalJSON() ([]byte, error) {
 	return json.Marshal([]any{p.Task, p.Machine, p.Attempt})
 }
 
-// UnmarshalJSON decodes the triple.
+// UnmarshalJSON decodes the array that MarshalJSON encodes.
 func (p *PlacedTask) UnmarshalJSON(encoded []byte) error {
 	return json.Unmarshal(encoded, &[]any{&p.Task, &p.Machine, &p.Attempt})
 }
 
-// ShardRecord holds the state of the tasks of one Shard.
+// ShardRecord is the record of the states of the tasks of one Shard.
 type ShardRecord struct {
-	// Done is the packed bitmap of the tasks that are done (TaskBitmap.Pack).
-	Done string       `json:"d,omitempty"`
-	On   []PlacedTask `json:"on,omitempty"`
+	// Done is the bitmap of the completed tasks, encoded by TaskBitmap.Pack.
+	Done string `json:"d,omitempty"`
+	// On are the tasks that run or may run on machines.
+	On []PlacedTask `json:"on,omitempty"`
 }
--- a/store/shards.go
+++ b/store/shards.go
@@ -11,27 +11,26 @@
 	"switchferry/tuning"
 )
 
-// shardAlignment divides the size of every shard, so that the bitmap of a shard consists of whole bytes.
+// shardAlignment is the number of tasks of which the size of every shard is a multiple, so that the bitmap of a shard
+// consists of whole bytes.
 const shardAlignment = 8
 
-// Shard is a range of a job's tasks that share one record: Size tasks, the first of which is
-// Index*Size.
+// Shard is a range of the tasks of a job that share one record. It has Size tasks, starting with task Index*Size.
 type Shard struct {
 	Job         string
 	Index, Size int
 }
 
-// ShardOf is the shard of a task among shards of the given size.
+// ShardOf returns the shard that contains a task if all shards have the given size.
 func ShardOf(id string, task, size int) Shard { return Shard{id, task / size, size} }
 
-// Range returns the shard's tasks, from the first up to and without the last, of a job with so many
-// tasks.
+// Range returns the half-open range [from, to) of the shard's tasks if the job has total tasks.
 func (s Shard) Range(total int) (from, to int) {
 	return min(total, s.Index*s.Size), min(total, (s.Index+1)*s.Size)
 }
 
-// Key is the key of the shard's record. It contains the size, unless that is the only one that data
-// version 1 has (docs/upgrade.md).
+// Key returns the key of the shard's record. The key contains the size, unless it is tuning.ShardTasks, the only size
+// in data version 1 (docs/upgrade.md).
 func (s Shard) Key() string {
 	if s.Size == tuning.ShardTasks {
 		return fmt.Sprintf("%s%s/%d", ShardPrefix, s.Job, s.Index)
@@ -39,7 +38,7 @@
 	return fmt.Sprintf("%s%s/%d.%d", ShardPrefix, s.Job, s.Index, s.Size)
 }
 
-// ParseShard is the inverse of Shard.Key. It returns false if key is no such key.
+// ParseShard returns the shard whose record has the given key. It returns false if key is not a valid key of a shard.
 func ParseShard(key string) (Shard, bool) {
 	id, number, ok := strings.Cut(strings.TrimPrefix(key, ShardPrefix), "/")
 	index, size, sized := strings.Cut(number, ".")
@@ -54,25 +53,25 @@
 	return shard, valid
 }
 
-// ShardSize is the size of shards whose records fit into values of valueBytes bytes even if all of their
-// tasks are on machines, whose names have up to nameBytes bytes.
+// ShardSize returns the number of tasks per shard with which a record fits into a value of valueBytes bytes even if all
+// tasks of the shard are on machines. nameBytes is the maximum length of a machine name in bytes.
 func ShardSize(valueBytes, nameBytes int) int {
 	tasks := (valueBytes - tuning.ShardMargin) / (tuning.PlacedBytes + max(nameBytes, tuning.NameBytes))
 	return min(tuning.ShardTasks, max(shardAlignment, tasks/shardAlignment*shardAlignment))
 }
 
-// ReadShards merges the records of shards into the machine of each task that is not done, by job and
-// task.
+// ReadShards merges the records of shards. In placed it returns, by job and task number, the placement of each task
+// that is on a machine and not completed.
 //
-// A job can have shards of several sizes, so that a task is in several records. It is done if it is done
-// in any of them. Otherwise its highest attempt counts, since attempts only grow. The revision does not
-// decide: a record that was created, replaced and deleted within seconds can be created again by a late
-// execution of the first transaction, and is then the newest. A record without the task does not count
-// against one that has it on a machine; that machine's heartbeat is waited for first.
+// A job can have shards of several sizes, so a task can be in several records. The task is completed if any of them
+// says so. Otherwise the record with the highest attempt applies, because attempt numbers only increase. The revision
+// is not used: a record that was created, replaced and deleted within seconds can be created again by a late execution
+// of the first transaction, and then has the newest revision. A record without the task does not override one that
+// has it on a machine; the caller waits for that machine's heartbeat first.
 //
-// jobOf returns the bitmap of a job, to which done tasks are added, and its number of tasks, 0 if there is
-// no such job. The keys of shards without a job are returned as orphans. Nothing is known of the jobs in
-// damaged, since one of their records cannot be decoded.
+// jobOf returns the bitmap of a job, to which completed tasks are added, and the job's number of tasks, 0 if the job
+// does not exist. ReadShards returns the keys of shards without a job in orphans. For each job with a record that
+// cannot be decoded, it returns the error in damaged and nothing in placed.
 func ReadShards(items []Item, jobOf func(id string, s Shard) (TaskBitmap, int)) (placed map[string]map[int]PlacedTask, orphans []string, damaged map[string]error) {
 	placed, damaged = map[string]map[int]PlacedTask{}, map[string]error{}
 	bitmaps := map[string]TaskBitmap{}
@@ -107,7 +106,7 @@
 	return placed, orphans, damaged
 }
 
-// decodeShard decodes the record of a shard and adds its done tasks to the job's bitmap.
+// decodeShard decodes the record of a shard and adds its completed tasks to the job's bitmap.
 func decodeShard(item Item, shard Shard, bitmap TaskBitmap) (ShardRecord, error) {
 	var record ShardRecord
 	err := json.Unmarshal(item.Value, &record)
@@ -120,7 +119,8 @@
 	return record, nil
 }
 
-// keepHighestAttempts adds the tasks of one shard, of a job with total tasks, to those in placed.
+// keepHighestAttempts adds the tasks of one shard to placed. Of several attempts of a task it keeps the highest. It
+// ignores tasks outside the shard or beyond the total number of tasks of the job.
 func keepHighestAttempts(placed map[int]PlacedTask, tasks []PlacedTask, shard Shard, total int) {
 	from, to := shard.Range(total)
 	for _, task := range tasks {
--- a/store/shards_test.go
+++ b/store/shards_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Packing the bitmap shard by shard and unpacking it again gives the same set of tasks.
-func TestTaskBitmapSurvivesPackingInShards(t *testing.T) {
+// A bitmap that is packed shard by shard and unpacked again contains the same tasks.
+func TestTaskBitmapRoundTripThroughShards(t *testing.T) {
 	const tasks = 1000
 	want := NewTaskBitmap(tasks)
 	for _, task := range []int{0, 399, 400, 807, 999} {
@@ -23,11 +23,11 @@
 				}
 			}
 			if !slices.Equal(got, want) {
-				t.Error("other tasks are done")
+				t.Error("the unpacked bitmap differs")
 			}
 			for task := range tasks {
 				if got.Has(task) != want.Has(task) {
-					t.Fatalf("bit %d", task)
+					t.Fatalf("task %d differs", task)
 				}
 			}
 		})
@@ -37,21 +37,21 @@
 func TestUnpackRejectsShardLongerThanItsJob(t *testing.T) {
 	bitmap := NewTaskBitmap(1000)
 	if bitmap.Unpack(Shard{"run-1", 2, 400}, "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA") == nil {
-		t.Error("a shard longer than its job was taken")
+		t.Error("a shard longer than its job was accepted")
 	}
 }
 
-func TestShardKeys(t *testing.T) {
+func TestShardKeyRoundTrip(t *testing.T) {
 	for _, want := range []Shard{{"run-000412", 17, 400}, {"run-000412", 17, 40}} {
 		if got, ok := ParseShard(want.Key()); got != want || !ok {
 			t.Error(got, ok)
 		}
 		if got := ShardOf(want.Job, want.Index*want.Size+3, want.Size); got != want {
-			t.Errorf("task 3 of %v is in %v", want, got)
+			t.Errorf("task 3 of shard %v is assigned to shard %v", want, got)
 		}
 	}
 	if key := (Shard{"run-000412", 17, 400}).Key(); key != "sf/t/run-000412/17" {
-		t.Error("the first version does not know", key)
+		t.Error("key differs from that of data version 1:", key)
 	}
 }
 
@@ -61,7 +61,7 @@
 		"sf/t/run-1/999999999",
 	} {
 		if _, ok := ParseShard(key); ok {
-			t.Error("taken:", key)
+			t.Error("malformed key accepted:", key)
 		}
 	}
 }
--- a/store/statistics.go
+++ b/store/statistics.go
@@ -8,27 +8,28 @@
 	"switchferry/tuning"
 )
 
-// writeStatistics counts changes by the kind of their records.
+// writeStatistics counts written changes by the kind of record since a point in time.
 type writeStatistics struct {
-	byKind map[string]int
-	since  time.Time
+	countByKind map[string]int
+	since       time.Time
 }
 
 func newWriteStatistics(now time.Time) writeStatistics {
-	return writeStatistics{byKind: map[string]int{}, since: now}
+	return writeStatistics{countByKind: map[string]int{}, since: now}
 }
 
-// add counts an operation by the first part of its key below the root.
+// add counts an operation. Its kind is the first component of its key after rootPrefix, with the suffix "_deleted" for
+// deletions.
 func (s *writeStatistics) add(operation Operation) {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(operation.key(), rootPrefix), "/")
 	if operation.Delete != "" {
 		kind += "_deleted"
 	}
-	s.byKind[kind]++
+	s.countByKind[kind]++
 }
 
-// countWrites counts the operations of a transaction, and logs every tuning.FleetLogEvery how the
-// write limit is used.
+// countWrites counts the operations of a transaction, and logs the counts and the write limit at most every
+// tuning.FleetLogEvery.
 func (c *Committer) countWrites(operations []Operation) {
 	for _, operation := range operations {
 		c.writes.add(operation)
@@ -38,6 +39,6 @@
 	if elapsed < tuning.FleetLogEvery {
 		return
 	}
-	slog.Info("changes written", "by", c.writes.byKind, "in_s", elapsed.Seconds(), "limit_per_s", float64(c.limiter.Limit()), "waiting", c.Pending())
+	slog.Info("changes written", "by", c.writes.countByKind, "in_s", elapsed.Seconds(), "limit_per_s", float64(c.writeLimiter.Limit()), "waiting", c.Pending())
 	c.writes = newWriteStatistics(now)
 }
--- a/store/status.go
+++ b/store/status.go
@@ -2,7 +2,7 @@
 
 import "switchferry/api"
 
-// JobStatus returns what a user is answered about the job with this id once it has reached a terminal state.
+// JobStatus returns the status that users get for the archived job with the given ID.
 func (r FinalRecord) JobStatus(id string) api.JobStatus {
 	return api.JobStatus{ID: id, State: r.State, Done: r.Tasks}
 }
--- a/store/transaction.go
+++ b/store/transaction.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// conditionsPerOperation is the number of conditions that the protocol allows a
-	// transaction for each of its operations.
+	// conditionsPerOperation is the number of conditions that a transaction may have per allowed operation.
 	conditionsPerOperation = 4
-	// conditionOverheadBytes is the size of an encoded condition without its key.
+	// conditionOverheadBytes is the size in bytes of an encoded condition without its key.
 	conditionOverheadBytes = 40
-	// maxTransactionBytes keeps a transaction below the 64 KiB of a request.
+	// maxTransactionBytes is the maximum estimated size of a transaction in bytes. The state service accepts
+	// requests of up to 64 KiB.
 	maxTransactionBytes = 48 << 10
 )
 
-// Step tries one transaction and returns how long to wait before the next one.
+// Step attempts at most one transaction and returns the time to wait before the next call.
 func (c *Committer) Step(ctx context.Context) time.Duration {
-	// No more records are taken than the limit allows now: an urgent record must not wait
-	// until there is capacity for everything behind it.
-	available := c.limiter.TokensAt(c.clock.Now())
+	// A batch has no more records than the write limit allows now, so that an urgent record does not wait until
+	// the limit allows the less urgent records of its batch as well.
+	available := c.writeLimiter.TokensAt(c.clock.Now())
 	if available < 1 {
 		return c.timeUntilAllowed(1 - available)
 	}
 	batch, pause := c.takeBatch(available)
-	c.deferred = len(batch) == 0
-	if c.deferred {
+	c.lastBatchEmpty = len(batch) == 0
+	if c.lastBatchEmpty {
 		return pause
 	}
 	leader, ok := c.source.Condition()
@@ -56,51 +56,51 @@
 
 // pendingTransaction is one transaction that is being built from pending records.
 type pendingTransaction struct {
-	leader     Condition
-	conditions []Condition
-	operations []Operation
-	// records are the pending records that are stored once the transaction is executed. One
-	// that needs no change has no operation.
+	leaderCondition Condition
+	conditions      []Condition
+	operations      []Operation
+	// records are the pending records that are stored once the transaction is executed. A record that is already
+	// in the requested state has no operation.
 	records []*pendingRecord
-	// size estimates the bytes of the request.
-	size int
+	// estimatedBytes is the estimated size of the request in bytes.
+	estimatedBytes int
 }
 
-// add adds an operation with its conditions, each once. It returns false, and leaves the
-// transaction as it is, if the transaction would become too large; an empty one takes any operation.
+// add adds an operation and those of its conditions that the transaction does not have yet. If the transaction would
+// become too large, add returns false and does not change it. An empty transaction accepts any operation.
 func (t *pendingTransaction) add(operation Operation, conditions []Condition, maxConditions int) bool {
-	size := t.size
+	estimatedBytes := t.estimatedBytes
 	if value, ok := operation.Value.(json.RawMessage); ok {
-		size += len(value)
+		estimatedBytes += len(value)
 	}
 	merged := t.conditions
 	for _, condition := range conditions {
 		if !slices.Contains(merged, condition) {
 			merged = append(merged, condition)
-			size += len(condition.Key) + conditionOverheadBytes
+			estimatedBytes += len(condition.Key) + conditionOverheadBytes
 		}
 	}
-	if (size > maxTransactionBytes || len(merged) > maxConditions) && len(t.operations) > 0 {
+	if (estimatedBytes > maxTransactionBytes || len(merged) > maxConditions) && len(t.operations) > 0 {
 		return false
 	}
-	t.conditions, t.size = merged, size
+	t.conditions, t.estimatedBytes = merged, estimatedBytes
 	t.operations = append(t.operations, operation)
 	return true
 }
 
-// buildTransaction puts the records of a batch into one transaction, as many as fit. The rest goes
-// back into the queue; a record that cannot be encoded or is too large is quarantined.
+// buildTransaction builds a transaction from the records of a batch, as many as fit, and requeues the rest. It
+// quarantines records that cannot be encoded or are too large.
 func (c *Committer) buildTransaction(leader Condition, batch []*pendingRecord) *pendingTransaction {
-	transaction := &pendingTransaction{leader: leader, conditions: []Condition{leader}}
-	for position, record := range batch {
-		value, exists, more := c.source.Record(record.key)
+	transaction := &pendingTransaction{leaderCondition: leader, conditions: []Condition{leader}}
+	for index, record := range batch {
+		value, exists, extraConditions := c.source.Record(record.key)
 		revision := c.revision(record.key)
 		if !exists && revision == 0 {
 			transaction.records = append(transaction.records, record)
 			continue
 		}
 		if !exists && strings.HasPrefix(record.key, FinalPrefix) {
-			// Without it, the job could be accepted anew.
+			// Without its final record, a job could be accepted again.
 			invariant.Violated("a final record is never deleted", "key", record.key, "revision", revision)
 			transaction.records = append(transaction.records, record)
 			continue
@@ -114,9 +114,9 @@
 			}
 			operation = Operation{Set: record.key, Value: encoded}
 		}
-		conditions := append([]Condition{{Key: record.key, Revision: revision}}, more...)
+		conditions := append([]Condition{{Key: record.key, Revision: revision}}, extraConditions...)
 		if !transaction.add(operation, conditions, c.maxConditions) {
-			c.requeue(batch[position:])
+			c.requeue(batch[index:])
 			break
 		}
 		transaction.records = append(transaction.records, record)
@@ -124,22 +124,22 @@
 	return transaction
 }
 
-// encode encodes a value, and returns an error if it is larger than the state service takes.
+// encode encodes a value as JSON. It returns an error if the result exceeds the maximum size of a value.
 func (c *Committer) encode(value any) (json.RawMessage, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
 	if limit := c.valueLimit(); len(encoded) > limit {
-		return nil, fmt.Errorf("%d bytes, a value has at most %d", len(encoded), limit)
+		return nil, fmt.Errorf("value of %d bytes exceeds the limit of %d", len(encoded), limit)
 	}
 	return encoded, nil
 }
 
-// commit sends a transaction. If it is not known to be executed, committed is false, its records are
-// pending again, and pause is how long to wait before the next one.
+// commit sends a transaction. If the transaction is not known to be executed, commit requeues its records and returns
+// committed false and the time to wait before the next transaction.
 func (c *Committer) commit(ctx context.Context, transaction *pendingTransaction) (pause time.Duration, committed bool) {
-	c.limiter.AllowN(c.clock.Now(), len(transaction.operations))
+	c.writeLimiter.AllowN(c.clock.Now(), len(transaction.operations))
 	c.countWrites(transaction.operations)
 	revision, failedKeys, err := c.hedged.Transact(ctx, transaction.conditions, transaction.operations)
 	switch {
@@ -154,7 +154,7 @@
 	return 0, true
 }
 
-// recordRevisions records the revision at which operations were executed.
+// recordRevisions records the revision at which operations were executed as that of their keys.
 func (c *Committer) recordRevisions(operations []Operation, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,16 +163,16 @@
 		case operation.Delete != "":
 			delete(c.revisions, operation.Delete)
 		case strings.HasPrefix(operation.Set, FinalPrefix):
-			// Final states are written once; remembering all of them would take ever
-			// more memory.
+			// Final records are written only once. If their revisions were kept, the memory for them would
+			// grow without bound.
 		default:
 			c.revisions[operation.Set] = revision
 		}
 	}
 }
 
-// takeBatch takes the records of the next transaction out of the queue, with so many changes
-// available under the write limit. Without any, pause is how long to wait until that may change.
+// takeBatch removes the records of the next transaction from the queue; available is the number of changes that the
+// write limit allows now. If there are none, pause is the time to wait before the next attempt.
 func (c *Committer) takeBatch(available float64) (batch []*pendingRecord, pause time.Duration) {
 	limit := batchLimit{
 		records:    min(c.maxOperations, int(available)),
@@ -182,15 +182,15 @@
 	defer c.mu.Unlock()
 	batch, nextReady, reserved := c.queue.take(c.clock.Now(), limit)
 	if reserved {
-		// What is left is reserved for records that are still to come and for which a user
-		// waits: with the limit used up by others, each of a burst of accepted jobs waited
-		// for the next change that the limit allows.
+		// The rest of the write limit is reserved for later records that a user waits for. When other records
+		// used up the limit, each job of a burst of accepted jobs waited for the next change that the limit
+		// allowed.
 		return nil, c.timeUntilAllowed(1)
 	}
 	return batch, min(nextReady, tuning.Tick)
 }
 
-// requeue makes records pending again that were not written.
+// requeue puts records that were not written back into the queue.
 func (c *Committer) requeue(batch []*pendingRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,14 +199,14 @@
 	}
 }
 
-// urgentReserve is the number of changes that are reserved for what users wait for. It leaves room
-// for at least one other change.
+// urgentReserve returns the number of changes that are reserved for records that users wait for. It leaves room for at
+// least one other change.
 func (c *Committer) urgentReserve() float64 {
-	return min(tuning.UrgentReserve*float64(c.limiter.Limit()), float64(c.limiter.Burst()-1))
+	return min(tuning.UrgentReserve*float64(c.writeLimiter.Limit()), float64(c.writeLimiter.Burst()-1))
 }
 
-// timeUntilAllowed is how long it takes until the limiter allows so many more changes.
+// timeUntilAllowed returns the time until the limiter allows so many more changes, at least 1 ms.
 func (c *Committer) timeUntilAllowed(changes float64) time.Duration {
-	wait := time.Duration(changes / float64(c.limiter.Limit()) * float64(time.Second))
+	wait := time.Duration(changes / float64(c.writeLimiter.Limit()) * float64(time.Second))
 	return max(time.Millisecond, wait)
 }
