--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -35,6 +35,7 @@
 	failedAt map[string]time.Time
 }
 
+// message is an observation in transit.
 type message struct {
 	deliverAt   time.Time
 	to          string
@@ -43,6 +44,7 @@
 
 var memberNames = []string{"a", "b", "c"}
 
+// newCluster returns a cluster whose members are all running and have exchanged hellos for 10 s.
 func newCluster(t *testing.T) *cluster {
 	cluster := &cluster{T: t, now: time.Unix(1_790_000_000, 0), rng: rand.New(rand.NewPCG(1, 2)), lists: map[string]*MemberList{}, startedMS: map[string]uint64{}, running: map[string]bool{},
 		pausedUntil: map[string]time.Time{}, cutLinks: map[string]bool{}, leaving: map[string]bool{}, nextHello: map[string]time.Time{}, failedAt: map[string]time.Time{}}
@@ -54,6 +56,7 @@
 	return cluster
 }
 
+// start starts a process, or restarts it with a new member list, and establishes its connections.
 func (c *cluster) start(name string) {
 	c.running[name], c.startedMS[name] = true, uint64(c.now.UnixMilli())
 	c.lists[name] = New(name, slices.DeleteFunc(slices.Clone(memberNames), func(other string) bool { return other == name }), c.now)
@@ -65,6 +68,7 @@
 	}
 }
 
+// send delivers an observation from sender after a random delay, unless the link is cut.
 func (c *cluster) send(to, sender string, observation Observation) {
 	delay := time.Duration(c.rng.IntN(4)) * time.Millisecond
 	if c.rng.Float64() < c.lossRate {
@@ -87,8 +91,9 @@
 
 func (c *cluster) paused(name string) bool { return c.pausedUntil[name].After(c.now) }
 
-func (c *cluster) run(d time.Duration) {
-	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(50 * time.Millisecond) {
+// run advances the simulation by duration in steps of 50 ms.
+func (c *cluster) run(duration time.Duration) {
+	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(50 * time.Millisecond) {
 		for _, name := range memberNames {
 			if c.paused(name) || c.now.Before(c.nextHello[name]) {
 				continue
@@ -126,20 +131,20 @@
 	}
 }
 
-// level returns the level of the member of in the view of the controller name.
-func (c *cluster) level(name, of string) Level {
-	for _, view := range c.lists[name].Views(c.now) {
-		if view.Member == of {
+// level returns the level of member in the view of observer.
+func (c *cluster) level(observer, member string) Level {
+	for _, view := range c.lists[observer].Views(c.now) {
+		if view.Member == member {
 			return view.Level
 		}
 	}
 	return ""
 }
 
-func (c *cluster) requireLevel(name, of string, level Level) {
+func (c *cluster) expectLevel(observer, member string, level Level) {
 	c.Helper()
-	if got := c.level(name, of); got != level {
-		c.Errorf("%s sees %s as %s, want %s; %v", name, of, got, level, c.log)
+	if got := c.level(observer, member); got != level {
+		c.Errorf("%s sees %s as %s, want %s; %v", observer, member, got, level, c.log)
 	}
 }
 
@@ -150,17 +155,17 @@
 	at := cluster.now
 	cluster.crash("c")
 	cluster.run(3 * time.Second)
-	cluster.requireLevel("a", "c", Failed)
-	cluster.requireLevel("b", "c", Failed)
-	cluster.requireLevel("a", "b", Alive)
+	cluster.expectLevel("a", "c", Failed)
+	cluster.expectLevel("b", "c", Failed)
+	cluster.expectLevel("a", "b", Alive)
 	for _, name := range []string{"ac", "bc"} {
 		if took := cluster.failedAt[name].Sub(at); took > 1500*time.Millisecond {
-			t.Errorf("%s declares %s failed %v after the crash", name[:1], name[1:], took)
+			t.Errorf("observer and member %s: declared failed %v after the crash", name, took)
 		}
 	}
 	cluster.start("c")
 	cluster.run(2 * time.Second)
-	cluster.requireLevel("a", "c", Alive)
+	cluster.expectLevel("a", "c", Alive)
 	if !slices.Contains(cluster.log, "a: c alive []") {
 		t.Error("the restart was not reported as a change:", cluster.log)
 	}
@@ -174,7 +179,7 @@
 			cluster := newCluster(t)
 			cluster.pausedUntil["c"] = cluster.now.Add(pause)
 			cluster.run(pause + 5*time.Second)
-			cluster.requireLevel("a", "c", Alive)
+			cluster.expectLevel("a", "c", Alive)
 			for _, line := range cluster.log {
 				if line[:2] == "c:" && line[3] != 'c' {
 					t.Errorf("the paused controller changed the level of another: %v", cluster.log)
@@ -212,9 +217,9 @@
 				cluster.cutLinks[link] = true
 			}
 			cluster.run(20 * time.Second)
-			cluster.requireLevel("a", "c", Suspected)
-			cluster.requireLevel("b", "c", Alive)
-			cluster.requireLevel("b", "a", Alive)
+			cluster.expectLevel("a", "c", Suspected)
+			cluster.expectLevel("b", "c", Alive)
+			cluster.expectLevel("b", "a", Alive)
 			if len(cluster.failedAt) > 0 {
 				t.Errorf("declared failed: %v", cluster.log)
 			}
@@ -225,7 +230,7 @@
 			}
 			clear(cluster.cutLinks)
 			cluster.run(5 * time.Second)
-			cluster.requireLevel("a", "c", Alive)
+			cluster.expectLevel("a", "c", Alive)
 		})
 	}
 }
@@ -238,9 +243,9 @@
 		cluster.cutLinks[other] = true
 	}
 	cluster.run(20 * time.Second)
-	cluster.requireLevel("a", "a", Suspected)
-	cluster.requireLevel("a", "b", Suspected)
-	cluster.requireLevel("b", "a", Failed)
+	cluster.expectLevel("a", "a", Suspected)
+	cluster.expectLevel("a", "b", Suspected)
+	cluster.expectLevel("b", "a", Failed)
 	if _, ok := cluster.failedAt["ab"]; ok {
 		t.Error("the isolated controller declared another one failed")
 	}
@@ -252,16 +257,16 @@
 	cluster := newCluster(t)
 	cluster.leaving["c"] = true
 	cluster.run(time.Second)
-	cluster.requireLevel("a", "c", Left)
+	cluster.expectLevel("a", "c", Left)
 	cluster.crash("c")
 	cluster.run(5 * time.Second)
-	cluster.requireLevel("a", "c", Left)
+	cluster.expectLevel("a", "c", Left)
 	old := Hello{From: "c", StartedMS: cluster.startedMS["c"], StateOK: true, ReceivesHeartbeats: true, Leaving: true}
 	cluster.leaving["c"] = false
 	cluster.start("c")
 	cluster.run(2 * time.Second)
 	cluster.lists["a"].Step(cluster.now, old)
-	cluster.requireLevel("a", "c", Alive)
+	cluster.expectLevel("a", "c", Alive)
 }
 
 // A leader that receives no heartbeats while another controller does has impaired access to workers. A follower that
--- a/membership/observation.go
+++ b/membership/observation.go
@@ -39,7 +39,8 @@
 	Refused
 	// Reset means that an established connection was reset.
 	Reset
-	// TimedOut means that the attempt or the established connection got no response in time.
+	// TimedOut means that the attempt failed, or the established connection ended, without a response from the
+	// member.
 	TimedOut
 	// NoSocket means that this controller has no free socket; it is no evidence about the member.
 	NoSocket
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -17,15 +17,15 @@
 	}
 }
 
-// newHelloReply returns the hello that answers the hello message. It contains a watermark statement if message
+// newHelloReply returns the hello that answers the hello request. It contains a watermark statement if request
 // requests one and this controller has one.
-func (network *Network) newHelloReply(message frame) frame {
+func (network *Network) newHelloReply(request frame) frame {
 	hello := network.newHello()
-	if message.seq == 0 || network.Watermarks == nil {
+	if request.seq == 0 || network.Watermarks == nil {
 		return hello
 	}
-	if statement, ok := network.Watermarks.Statement(message.incarnation, message.statementFrom); ok {
-		hello.seq = message.seq
+	if statement, ok := network.Watermarks.Statement(request.incarnation, request.statementFrom); ok {
+		hello.seq = request.seq
 		hello.setStatement(statement)
 	}
 	return hello
