--- a/scheduler/adoption.go
+++ b/scheduler/adoption.go
@@ -9,39 +9,40 @@
 	"switchferry/store"
 )
 
-// Adoption says what became of a job's record that was read for the leader, and why.
+// Adoption is the outcome of AdoptJob: whether a job's record was adopted and, if not, why.
 type Adoption string
 
-// Outcomes of AdoptJob.
+// The possible outcomes of AdoptJob.
 const (
-	// Adopted: the job is in memory from now on.
+	// Adopted means that the job was added to the scheduler's memory.
 	Adopted Adoption = "adopted"
-	// AlreadyInMemory: the job was accepted before, and what is in memory is newer than any record.
+	// AlreadyInMemory means that the job was accepted before. The state in memory is newer than any record.
 	AlreadyInMemory Adoption = "already in memory"
-	// JobEnded: the job is over, and was so before the record could be adopted.
+	// JobEnded means that the job reached a terminal state before the record could be adopted.
 	JobEnded Adoption = "the job is over"
-	// ReadOutdated: the read was sent so long ago that the job may be over without this term remembering it. It has to be
-	// read again.
+	// ReadOutdated means that the read was sent so long ago that the job may have ended without this term remembering
+	// it. The record must be read again.
 	ReadOutdated Adoption = "read too long ago"
-	// RecordDamaged: a record of the job could not be read, so nothing of it may be started.
+	// RecordDamaged means that a record of the job could not be read, so none of its tasks may be started.
 	RecordDamaged Adoption = "a record of the job is damaged"
-	// RecordsNotLoaded: the term has not read the records yet.
+	// RecordsNotLoaded means that this term has not loaded the records yet.
 	RecordsNotLoaded Adoption = "records not loaded"
 )
 
-// adoptionFacts are what a term knows of a job when a record of it arrives that was read without the scheduler's lock.
+// adoptionFacts is what a term knows about a job when a record of the job arrives that was read without holding the
+// scheduler's lock.
 type adoptionFacts struct {
 	loaded, damaged bool
-	// accepted: the job is in memory, and its record is known to be stored.
+	// accepted is true if the job is in memory and its record is known to be stored.
 	accepted bool
-	// ended: the term remembers that the job is over.
+	// ended is true if the term remembers that the job reached a terminal state.
 	ended bool
-	// covered: the term remembers every job that it archived since the read was sent.
+	// covered is true if the term remembers every job that it archived since the read was sent.
 	covered bool
 }
 
-// decideAdoption decides whether a record is adopted. A job that is not in memory is new, or was archived since the
-// record was read; only the memory of archived jobs tells these apart.
+// decideAdoption decides whether a record is adopted. A job that is not in memory is either new or was archived after
+// the record was read. Only the list of recently archived jobs distinguishes the two cases.
 func decideAdoption(facts adoptionFacts) Adoption {
 	switch {
 	case !facts.loaded:
@@ -58,9 +59,9 @@
 	return Adopted
 }
 
-// AdoptJob adopts the record of a job that another controller accepted. It was read from the state service by a call that
-// was sent at the given time, and the job may have ended since. All who read job records for a term call it, but for the
-// committer, whose reads and writes follow each other.
+// AdoptJob adopts the record of a job that another controller accepted, and returns the outcome. The record was read
+// from the state service by a call sent at sentAt, and the job may have ended since. Every reader of job records in a
+// term calls AdoptJob, except the committer, which executes its reads and writes one after the other.
 func (s *Scheduler) AdoptJob(found *store.Item, sentAt time.Time) Adoption {
 	id := strings.TrimPrefix(found.Key, store.JobPrefix)
 	s.mu.Lock()
@@ -77,7 +78,7 @@
 	return outcome
 }
 
-// adoptionFacts returns what this term knows of a job whose record was read by a call sent at the given time. s.mu must be
+// adoptionFacts returns what this term knows about a job whose record was read by a call sent at sentAt. s.mu must be
 // held.
 func (s *Scheduler) adoptionFacts(id string, sentAt time.Time) adoptionFacts {
 	job := s.jobs[id]
@@ -90,15 +91,16 @@
 	}
 }
 
-// knowsEnd reports whether this term remembers that a job is over. s.mu must be held.
+// knowsEnd reports whether this term remembers that a job reached a terminal state. s.mu must be held.
 func (s *Scheduler) knowsEnd(id string) bool {
 	_, archived := s.archived.at(id)
 	_, terminal := s.terminalStates.Get(id)
 	return archived || terminal
 }
 
-// checkOutdatedRecord reports a record without a terminal state that was read after the job had been archived. That of a
-// job that was cancelled with a dependency stays without one until it is deleted. s.mu must be held.
+// checkOutdatedRecord reports an invariant violation if a record without a terminal state was read after the job had
+// been archived. Jobs with dependencies are exempt: a job that was cancelled because a dependency was cancelled has no
+// terminal state in its record until the record is deleted. s.mu must be held.
 func (s *Scheduler) checkOutdatedRecord(id string, found *store.Item, sentAt time.Time) {
 	archivedAt, archived := s.archived.at(id)
 	if !archived || !sentAt.After(archivedAt) {
@@ -110,8 +112,9 @@
 	}
 }
 
-// adoptFinalRecord takes in the final record of a job that is in memory. One that was to be accepted is over, and is
-// dropped. Of one that is accepted the final record is what users were told, whatever is in memory. s.mu must be held.
+// adoptFinalRecord applies the final record of a job that is in memory. A job that is not accepted yet has already
+// ended, and is removed. For an accepted job, the final record is what users were told, so it overrides the state in
+// memory. s.mu must be held.
 func (s *Scheduler) adoptFinalRecord(id string, found *store.Item) {
 	final, err := decodeFinalRecord(found)
 	job := s.jobs[id]
@@ -130,8 +133,9 @@
 	}
 }
 
-// reconcileFinalRecord takes in the final record of an accepted job: mostly this leader's own, of which it did not get the
-// answer. If the job is not over in memory, or otherwise, its tasks end and the record holds. s.mu must be held.
+// reconcileFinalRecord applies the final record of an accepted job. Usually this leader wrote the record itself but did
+// not receive the response. If the job has no terminal state in memory, or a different one, an invariant violation is
+// reported, the job takes the recorded state and its tasks are stopped. s.mu must be held.
 func (s *Scheduler) reconcileFinalRecord(job *jobState, final store.FinalRecord) {
 	job.finalRecord = &final
 	if job.FinalState == final.State {
--- a/scheduler/allocation.go
+++ b/scheduler/allocation.go
@@ -9,9 +9,9 @@
 	"switchferry/tuning"
 )
 
-// allocation is one attempt of a task on one machine. It lasts until that machine is proved to be done with the attempt,
-// and until then counts for the team's limit, for zones and domains and for the machine's resources. All of it is
-// guarded by Scheduler.mu.
+// allocation is one attempt of a task on one machine. It exists until there is proof that the attempt is not on the
+// machine and cannot start there any more. Until then it counts towards the team's limit, the zone and domain
+// constraints and the machine's used resources. Scheduler.mu guards all of it.
 type allocation struct {
 	job     *jobState
 	task    int
@@ -23,32 +23,32 @@
 
 	// committed is set once the record that holds the allocation is stored, so that the run command may be sent.
 	committed bool
-	// state is the task state of the newest heartbeat that showed the attempt.
+	// state is the task state in the newest heartbeat that listed the attempt.
 	state        string
 	allocatedAt  time.Time
 	runningSince time.Time
 
-	// stopGraceS is how many seconds a task that is stopping has, and stopReason why it is stopped.
+	// stopGraceS is the grace period of a task that is being stopped, in seconds; stopReason is why it is stopped.
 	stopGraceS float64
 	stopReason string
 	// startedByAgeing is set if the task was started because its job was starved.
 	startedByAgeing bool
-	// victims are stopped for this task. They are killed in the command that starts it.
+	// victims are the allocations preempted for this task. Their kill commands go out with the command that starts it.
 	victims []*allocation
 }
 
 // attemptOf returns the identity of an allocation's attempt.
 func (a *allocation) attemptOf() fleet.Attempt { return fleet.Attempt{Task: a.key, Number: a.attempt} }
 
-// nextAttempt returns an attempt number that was never used before: the term followed by a counter.
-// s.mu must be held.
+// nextAttempt returns an attempt number that was never used before: the term in the high bits and a counter in the low
+// tuning.AttemptBits. s.mu must be held.
 func (s *Scheduler) nextAttempt() uint64 {
 	s.lastAttempt++
 	return s.term<<tuning.AttemptBits | s.lastAttempt
 }
 
-// mayAllocate reports whether a task that waits may get an allocation. One that has an allocation, or that has completed,
-// must not be waiting. s.mu must be held.
+// mayAllocate reports whether a pending or queued task may get an allocation. It reports an invariant violation if the
+// task already has an allocation or has completed. s.mu must be held.
 func (s *Scheduler) mayAllocate(job *jobState, task int) bool {
 	holder := job.allocations[task]
 	switch {
@@ -62,7 +62,7 @@
 	return false
 }
 
-// allocate adds an allocation and counts its resources. The task must have none. s.mu must be held.
+// allocate adds an allocation for a task that has none, and adds its request to the used resources. s.mu must be held.
 func (s *Scheduler) allocate(job *jobState, task int, machine *machineState, attempt uint64) *allocation {
 	alloc := &allocation{job: job, task: task, key: taskKey(job.id, task), machine: machine, attempt: attempt, allocatedAt: s.now()}
 	job.allocations[task] = alloc
@@ -77,8 +77,9 @@
 	return alloc
 }
 
-// releaseAllocation ends an allocation whose machine is proved to be done with it. The proof is logged and counted.
-// s.mu must be held.
+// releaseAllocation removes an allocation whose attempt is proved not to be on its machine and unable to start there.
+// It archives the job if that was the last allocation of a job whose terminal state is stored. The proof is logged and
+// counted. s.mu must be held.
 func (s *Scheduler) releaseAllocation(alloc *allocation, proof releaseProof) {
 	if alloc.job.allocations[alloc.task] != alloc {
 		return
@@ -92,7 +93,7 @@
 	s.wakePlacer()
 }
 
-// removeAllocation undoes allocate. s.mu must be held.
+// removeAllocation reverses allocate. s.mu must be held.
 func (s *Scheduler) removeAllocation(alloc *allocation) {
 	job, machine := alloc.job, alloc.machine
 	delete(job.allocations, alloc.task)
@@ -110,20 +111,21 @@
 	}
 	if len(machine.allocations) == 0 {
 		machine.idleSince = s.now()
-		// Rounding errors of the sums must not outlive the tasks.
+		// Resets the sum, so that rounding errors do not accumulate.
 		machine.used = fleet.Resources{}
 	}
 	s.updateFreeResources(machine)
 }
 
-// loseTask releases an allocation whose task has to run again. The proof is logged. s.mu must be held.
+// loseTask releases an allocation and requeues its task. The proof is logged. s.mu must be held.
 func (s *Scheduler) loseTask(alloc *allocation, proof releaseProof) {
 	slog.Info("task lost", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", proof)
 	s.releaseAllocation(alloc, proof)
 	s.requeue(alloc.job, alloc.task)
 }
 
-// requeue makes a task pending again, unless it needs no further run. s.mu must be held.
+// requeue makes a task pending again, unless it has completed or its job has ended or waits for dependencies. s.mu must
+// be held.
 func (s *Scheduler) requeue(job *jobState, task int) {
 	if holder := job.allocations[task]; holder != nil {
 		invariant.Violated("a task is pending only without an allocation", "task", holder.key, "attempt", holder.attempt, "machine", holder.machine.Name)
--- a/scheduler/attempt_evidence.go
+++ b/scheduler/attempt_evidence.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// attemptEvidence counts, in one term, the proofs on which allocations were released, and how often messages about an
-// attempt crossed on the way. Scheduler.mu guards it.
+// attemptEvidence counts, for one term, released allocations by proof, and how often a message about an attempt crossed
+// a start command for it in transit. Scheduler.mu guards it.
 type attemptEvidence struct {
 	proofs map[releaseProof]int
-	// exitsCrossed counts attempts that ended, and stopsCrossed attempts that were stopped, while a start of them could
-	// still arrive.
+	// exitsCrossed counts attempts that exited, and stopsCrossed attempts that were stopped, while a start command for
+	// them could still arrive.
 	exitsCrossed, stopsCrossed int
-	// absencesCrossed counts heartbeats that lacked an attempt while a start of it could still arrive.
+	// absencesCrossed counts heartbeats that did not list an attempt while a start command for it could still arrive.
 	absencesCrossed int
 }
 
-// LogReleases logs the proofs on which allocations were released in this term, and how often messages crossed.
+// LogReleases logs how many allocations were released in this term by each proof, and how often messages crossed.
 func (s *Scheduler) LogReleases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/collaborators.go
+++ b/scheduler/collaborators.go
@@ -7,8 +7,8 @@
 	"switchferry/store"
 )
 
-// Collaborators are what a Scheduler asks of the process that runs it. All methods may be called with the scheduler's lock
-// held: they must not block, nor call the scheduler.
+// Collaborators holds the interfaces through which a Scheduler acts on its surroundings. Their methods may be called
+// with the scheduler's lock held, so they must neither block nor call the scheduler.
 type Collaborators struct {
 	Records        RecordWriter
 	Sender         CommandSender
@@ -17,43 +17,44 @@
 	TerminalStates TerminalStates
 }
 
-// RecordWriter writes records to the state service, later; store.Committer is one. What it writes of a key it asks of the
-// scheduler (Record) at that time.
+// RecordWriter writes records to the state service asynchronously; store.Committer implements it. When it writes a key,
+// it gets the key's current value from Scheduler.Record.
 type RecordWriter interface {
-	// MarkDirty has the record of a key written, the most urgent first. Stored is called once a value at least as new as
-	// now is stored, without the scheduler's lock held; it may be nil.
+	// MarkDirty schedules the record of a key to be written, the most urgent records first. Once a value at least as
+	// new as the present one is stored, stored is called without the scheduler's lock held; it may be nil.
 	MarkDirty(key string, urgency int, stored func())
-	// MarkDirtyWithin is MarkDirty for a change that may wait that long to be written with others of its key.
+	// MarkDirtyWithin is like MarkDirty, but the write may be delayed by up to wait to combine it with later changes of
+	// the key.
 	MarkDirtyWithin(key string, urgency int, wait time.Duration, stored func())
-	// SetRevision notes the revision of a record that another controller wrote and that the scheduler has adopted.
+	// SetRevision sets the revision of a record that another controller wrote and that the scheduler has adopted.
 	SetRevision(key string, revision uint64)
-	// Delay returns how long a record of a new job would wait for the limits of the state service.
+	// Delay returns how long the record of a new job would wait because of the rate limits of the state service.
 	Delay() time.Duration
 }
 
 // CommandSender sends commands to machines.
 type CommandSender interface {
-	// SendCommands delivers a response to a worker before its next heartbeat.
+	// SendCommands sends commands to a worker without waiting for its next heartbeat.
 	SendCommands(machine, address string, response api.HeartbeatResponse)
-	// SendStageOrder delivers an order to an agent; it is used only with datasets on.
+	// SendStageOrder sends a staging order to an agent. It is called only if datasets are enabled.
 	SendStageOrder(machine, address string, order api.StageOrder)
 }
 
-// Leadership tells whether the term lasts.
+// Leadership reports whether this controller still leads.
 type Leadership interface {
-	// Leading reports whether this controller certainly still leads in the term.
+	// Leading reports whether this controller is certain to be the leader still in this term.
 	Leading() bool
 }
 
-// ZoneMonitor tells which zones can be reached.
+// ZoneMonitor reports which zones are unreachable.
 type ZoneMonitor interface {
-	// ZoneUnreachable reports whether no controller in a zone can be reached.
+	// ZoneUnreachable reports whether none of the controllers in a zone can be reached.
 	ZoneUnreachable(zone string) bool
 }
 
-// TerminalStates remembers what became of jobs that have ended; lookup.TerminalStates is one.
+// TerminalStates caches the terminal states of jobs; lookup.TerminalStates implements it.
 type TerminalStates interface {
-	// Remember notes the terminal state of a job.
+	// Remember adds the terminal state of a job.
 	Remember(id string, final store.FinalRecord)
 	// Get returns the terminal state of a job; ok is false if it is not known.
 	Get(id string) (final store.FinalRecord, ok bool)
--- a/scheduler/command_relay.go
+++ b/scheduler/command_relay.go
@@ -11,8 +11,8 @@
 	"switchferry/store"
 )
 
-// newMailboxes returns the mailboxes of a leader for one kind of packet. Key returns the key of a member's packet of
-// some number, which begins with prefix; body returns what the packet holds for a machine, or nil, and is called with
+// newMailboxes returns the leader's mailboxes for one kind of packet. key returns the key of a member's packet with the
+// given number, which begins with prefix. body returns the packet's content for a machine, or nil; it is called with
 // Scheduler.mu held.
 func newMailboxes(sched *Scheduler, prefix string, key func(string, int) string, body func(member, machine string) json.RawMessage) *exchange.Mailboxes {
 	return &exchange.Mailboxes{
@@ -27,8 +27,9 @@
 	}
 }
 
-// HandleRelayedHeartbeat handles a worker's heartbeat that came in a packet of the peer called member. The commands for
-// the worker are relayed through the same peer.
+// HandleRelayedHeartbeat handles a worker's heartbeat that arrived in a packet of the peer named member. Commands for
+// the worker are relayed through the same peer. Heartbeats with a higher term, of released machines, and copies are
+// ignored.
 func (s *Scheduler) HandleRelayedHeartbeat(member string, heartbeat *api.Heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 	s.relayCommands(machine)
 }
 
-// AcceptWorkerMessage handles a relayed message that contains a worker's heartbeat. A malformed one is logged and
+// AcceptWorkerMessage handles a relayed message that contains a worker's heartbeat. A malformed message is logged and
 // ignored.
 func (s *Scheduler) AcceptWorkerMessage(member string, message relay.Message) {
 	var heartbeat api.Heartbeat
@@ -62,7 +63,7 @@
 	s.HandleRelayedHeartbeat(member, &heartbeat)
 }
 
-// decodeRelayed decodes the body of a relayed message and checks it as if it had come from its sender directly.
+// decodeRelayed decodes the body of a relayed message and validates it like a heartbeat that was sent directly.
 func decodeRelayed(message relay.Message, heartbeat interface{ Check() error }) error {
 	if err := json.Unmarshal(message.Body, heartbeat); err != nil {
 		return fmt.Errorf("decoding a relayed message: %w", err)
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// stopRelayingCommands stops relaying commands to a machine, because its heartbeats come directly or through another
-// peer, or because it is gone. s.mu must be held.
+// stopRelayingCommands stops relaying commands to a machine whose heartbeats arrive directly or through another peer,
+// or which no longer exists. s.mu must be held.
 func (s *Scheduler) stopRelayingCommands(machine *machineState) {
 	if machine.relayPeer == "" {
 		return
@@ -83,9 +84,8 @@
 	machine.relayPeer, machine.relayedCommands = "", nil
 }
 
-// relayCommands has the commands for a machine written into the packets of the peer that relays its heartbeats. The
-// commands are derived from the machine's newest heartbeat, whose incarnation and sequence number go with them.
-// s.mu must be held.
+// relayCommands updates the commands for a machine in the packets of the peer that relays its heartbeats. The commands
+// are derived from the machine's newest heartbeat and carry its incarnation and sequence number. s.mu must be held.
 func (s *Scheduler) relayCommands(machine *machineState) {
 	commands := s.commands(machine, byRelay)
 	if len(commands) == 0 && machine.relayedCommands == nil {
@@ -103,7 +103,8 @@
 	s.commandMailboxes.Update(machine.relayPeer, machine.Name)
 }
 
-// relayedCommandBody returns what a packet for the peer called member holds for a machine, or nil. s.mu must be held.
+// relayedCommandBody returns the commands for a machine in a packet for the peer named member, or nil. s.mu must be
+// held.
 func (s *Scheduler) relayedCommandBody(member, name string) json.RawMessage {
 	if machine := s.machines[name]; machine != nil && machine.relayPeer == member {
 		return machine.relayedCommands
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -9,8 +9,8 @@
 	"switchferry/invariant"
 )
 
-// stopTask has a task stopped, with so many seconds to save its progress. A task that is being stopped already is only
-// given less time, never more. Why is logged. s.mu must be held.
+// stopTask stops a task with a grace period of graceS seconds, in which it can save its progress. The grace period of a
+// task that is already being stopped can be shortened but not extended. why is logged. s.mu must be held.
 func (s *Scheduler) stopTask(alloc *allocation, graceS float64, why string) {
 	if alloc.stopping && alloc.stopGraceS <= graceS {
 		return
@@ -22,7 +22,7 @@
 	}
 	alloc.stopping, alloc.stopGraceS, alloc.stopReason = true, graceS, why
 	if !alloc.runSent {
-		// No leader has sent the start, so the task is on no machine.
+		// No leader has sent the run command, so the task is on no machine.
 		s.releaseAllocation(alloc, proofNotSent)
 		s.requeue(alloc.job, alloc.task)
 		return
@@ -33,13 +33,13 @@
 	s.pushCommands(alloc.machine)
 }
 
-// commands derives the commands for a worker from its allocations and from the tasks of its newest heartbeat, and notes
-// the runs among them as sent on that path. Commands can be repeated without harm, except that a run after a clear
-// starts the attempt again. The result is never nil, as it is encoded as a JSON list. s.mu must be held.
+// commands derives the commands for a worker from its allocations and from the tasks in its newest heartbeat, and
+// records the run commands among them as sent on path. Commands are idempotent, except that a run after a clear starts
+// the attempt again. The result is never nil, because it must be encoded as a JSON array. s.mu must be held.
 func (s *Scheduler) commands(machine *machineState, path deliveryPath) []api.Command {
 	commands := []api.Command{}
 	for _, alloc := range machine.allocations {
-		// A task that is saving is ended by a second kill with a grace period of 0; other kills are not repeated to it.
+		// While a task saves its progress, the kill is repeated only with a grace period of 0, which ends it at once.
 		if alloc.stopping && alloc.reported && (alloc.state != api.TaskSaving || alloc.stopGraceS == 0) {
 			s.logCommand(api.CommandKill, machine, alloc.attemptOf(), path, alloc.stopReason)
 			commands = append(commands, killCommand(alloc.key, alloc.attempt, alloc.stopGraceS))
@@ -50,8 +50,8 @@
 			continue
 		}
 		if exit := machine.exited[attempt]; exit != nil {
-			// Only the worker remembers an exit that is not stored (rule 2), and a run of the attempt that is still under
-			// way would start it again after a clear (rule 4).
+			// An exit that is not stored is known only to the worker (rule 2), and a run command still in transit would
+			// start the attempt again after a clear (rule 4).
 			if exit.mayClear() {
 				s.logCommand(api.CommandClear, machine, attempt, path, "its end is on record, no start under way")
 				commands = append(commands, api.Command{Verb: api.CommandClear, Task: attempt.Task, Attempt: attempt.Number})
@@ -72,33 +72,33 @@
 	return commands
 }
 
-// logCommand logs a command for one attempt and why it may be sent, so that the logs of the controllers tell what each of
-// them did about a task.
+// logCommand logs a command for one attempt and why it may be sent, so that the logs show what each controller did with
+// a task.
 func (s *Scheduler) logCommand(verb string, machine *machineState, attempt fleet.Attempt, path deliveryPath, allowedBy string) {
 	slog.Debug("command sent", "verb", verb, "task", attempt.Task, "attempt", attempt.Number, "machine", machine.Name, "incarnation", machine.Incarnation,
 		"seq", machine.Seq, "path", path, "term", s.term, "allowed_by", allowedBy)
 }
 
-// killCommand returns the command that stops an attempt of a task, with so many seconds to save its progress.
+// killCommand returns the command that stops an attempt of a task with a grace period of graceS seconds.
 func killCommand(key string, attempt uint64, graceS float64) api.Command {
 	return api.Command{Verb: api.CommandKill, Task: key, Attempt: attempt, GraceS: &graceS}
 }
 
-// runDue reports whether the command that starts an allocation's attempt is to be sent on a path now. Scheduler.mu must
-// be held.
+// runDue reports whether the run command of an allocation's attempt should be sent on path now. Scheduler.mu must be
+// held.
 func (a *allocation) runDue(path deliveryPath) bool {
 	if !a.committed || a.stopping || a.reported {
-		// The allocation must be stored before its command is sent (rule 2 of docs/design.md).
+		// The allocation must be stored before its run command is sent (rule 2 of docs/design.md).
 		return false
 	}
 	if a.runSent && (a.incarnation == 0 || a.incarnation != a.machine.Incarnation) {
-		// The run was sent by an earlier leader or to an earlier incarnation of the worker. Whether it arrived is for
-		// reconcileMissing to decide (rule 3).
+		// The run command was sent by an earlier leader or to an earlier incarnation of the worker. reconcileMissing
+		// decides whether it arrived (rule 3).
 		return false
 	}
 	if path == byCommandResponse && !a.starts.none() {
-		// The run may be under way already. It is repeated in responses to heartbeats alone, whose execution the next
-		// heartbeat proves (rule 4).
+		// A run command may already be in transit. It is repeated only in responses to heartbeats, because the next
+		// heartbeat proves that the worker executed or dropped such a response (rule 4).
 		return false
 	}
 	if a.job.terminalStored {
@@ -106,22 +106,21 @@
 		return false
 	}
 	if a.job.FinalState != "" {
-		// Its tasks are being stopped one after the other, and each stop sends the machine its other commands.
+		// The job's tasks are being stopped one by one, and each stop also sends the machine its other commands.
 		return false
 	}
 	return !slices.ContainsFunc(a.victims, (*allocation).blocksSuccessor)
 }
 
-// blocksSuccessor reports whether a preempted attempt keeps the task that replaces it from being started: it may still
-// be on its machine, and the command that starts the other task does not end it at once. Scheduler.mu must be held.
+// blocksSuccessor reports whether a preempted attempt prevents the start of the task that replaces it: the attempt may
+// still be on its machine, and the message with the run command does not kill it at once. Scheduler.mu must be held.
 func (a *allocation) blocksSuccessor() bool {
 	released := a.job.allocations[a.task] != a
 	endsAtOnce := a.stopping && a.stopGraceS == 0 && a.reported
 	return !released && !endsAtOnce
 }
 
-// sendRun returns the command that starts an allocation's attempt, and notes that it is sent on that path. s.mu must be
-// held.
+// sendRun returns the command that starts an allocation's attempt, and records it as sent on path. s.mu must be held.
 func (s *Scheduler) sendRun(alloc *allocation, path deliveryPath) api.Command {
 	alloc.runSent, alloc.incarnation = true, alloc.machine.Incarnation
 	alloc.starts.add(path, alloc.machine.Seq)
@@ -129,8 +128,8 @@
 	return api.Command{Verb: api.CommandRun, Task: alloc.key, Attempt: alloc.attempt}
 }
 
-// pushCommands sends a machine its commands without waiting for its next heartbeat: directly, one request at a time, or
-// through the relay that its heartbeats come from. s.mu must be held.
+// pushCommands sends a machine its commands without waiting for its next heartbeat: directly, with at most one request
+// in flight, or through the peer that relays its heartbeats. s.mu must be held.
 func (s *Scheduler) pushCommands(machine *machineState) {
 	if !machine.Up || machine.releasing || !s.releasedAt[machine.Name].IsZero() {
 		return
@@ -148,14 +147,14 @@
 	}
 }
 
-// sendDirectly sends commands to a worker, whose response CommandsAnswered gets. No other command may be in flight to
-// the worker. s.mu must be held.
+// sendDirectly sends commands to a worker; CommandsAnswered handles the outcome. No other direct command may be in
+// flight to the worker. s.mu must be held.
 func (s *Scheduler) sendDirectly(machine *machineState, commands []api.Command) {
 	machine.commandInFlight = true
 	s.sender.SendCommands(machine.Name, machine.Address, api.HeartbeatResponse{Term: s.term, Incarnation: machine.Incarnation, Commands: commands})
 }
 
-// ConnectionRefused notes that a machine refused the connection for a command.
+// ConnectionRefused records that a machine refused the connection over which a command was to be sent.
 func (s *Scheduler) ConnectionRefused(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,9 +163,9 @@
 	}
 }
 
-// CommandsAnswered handles the outcome of sent, commands that SendCommands sent to a machine. Heartbeat is the worker's
-// response, or nil without one. Settled says that none of the commands can be executed any more that has not been: the
-// worker responded, or the request was never sent. Otherwise they may still be executed at any time.
+// CommandsAnswered handles the outcome of a call of SendCommands with the response sent. heartbeat is the worker's
+// answer, or nil if there was none. settled means that no command of the request can be executed from now on, because
+// the worker answered or the request was never sent; otherwise the commands may still be executed at any time.
 func (s *Scheduler) CommandsAnswered(name string, sent api.HeartbeatResponse, heartbeat *api.Heartbeat, settled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,8 +182,8 @@
 		}
 	}
 	s.noteCommandOutcome(machine, heartbeat, settled)
-	// A machine that has sent no heartbeat in this term has its whole lease to find this leader: only its own
-	// heartbeat makes it count as up.
+	// A machine that has sent no heartbeat in this term has a full lease to find this leader. Only a heartbeat that it
+	// sends itself marks it as up.
 	if heartbeat != nil && machine.Up && heartbeat.Machine == name && heartbeat.Term <= s.term && machine.Newer(heartbeat) {
 		s.reconcile(machine, heartbeat, byCommandResponse)
 	}
@@ -195,7 +194,8 @@
 	}
 }
 
-// settleRun counts one unanswered run command less, as it was answered or never sent. Scheduler.mu must be held.
+// settleRun removes a direct run command that was answered or never sent from the pending starts of its attempt.
+// Scheduler.mu must be held.
 func (m *machineState) settleRun(command api.Command, answered bool) {
 	attempt := fleet.Attempt{Task: command.Task, Number: command.Attempt}
 	if alloc := m.allocationOf(attempt); alloc != nil {
@@ -209,8 +209,9 @@
 	}
 }
 
-// noteCommandOutcome notes what the outcome of a direct command shows of the network: a worker that responds receives
-// commands, and shows that this controller's own network works. s.mu must be held.
+// noteCommandOutcome updates the reachability of a machine and of this controller from the outcome of a direct command.
+// A worker that answers receives commands, which also proves that this controller's outbound connections work. s.mu
+// must be held.
 func (s *Scheduler) noteCommandOutcome(machine *machineState, heartbeat *api.Heartbeat, settled bool) {
 	switch {
 	case heartbeat == nil:
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -13,15 +13,15 @@
 	"switchferry/tuning"
 )
 
-// tick notes that the leader is running, and logs how long the process was paused, if it was. s.mu must be held.
+// tick tells the failure detector that the process is running, and logs a detected pause of it. s.mu must be held.
 func (s *Scheduler) tick(now time.Time) {
 	if pause := s.detector.Tick(now); pause > 0 {
 		slog.Info("process paused", "for", pause.Round(time.Millisecond))
 	}
 }
 
-// LastContact returns when this leader last received a heartbeat. If the process was paused since, it returns the end
-// of the pause, as nothing could be received before.
+// LastContact returns when this leader last received a heartbeat. If the process was paused after that, it returns the
+// end of the pause, because nothing could be received during it.
 func (s *Scheduler) LastContact() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,8 +29,8 @@
 	return latest(s.lastHeartbeat, s.detector.ResumedAt())
 }
 
-// OutboundLost reports whether this leader reaches no worker any more while a peer receives heartbeats: those may still
-// arrive here through the peer, but no command can be sent directly.
+// OutboundLost reports whether this leader can no longer reach any worker while a peer still receives heartbeats. The
+// heartbeats may still arrive here through the peer, but no command can be sent directly.
 func (s *Scheduler) OutboundLost(peers []peer.Hello) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,8 +41,8 @@
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
-// expectedToReport reports whether a machine should be sending heartbeats: it certainly did in this term, or there are
-// tasks on it by the records, or the cloud lists it as up. Scheduler.mu must be held.
+// expectedToReport reports whether a machine should be sending heartbeats: it is known to have been alive in this term,
+// or the records place tasks on it, or the cloud lists it as up. Scheduler.mu must be held.
 func (m *machineState) expectedToReport() bool {
 	if m.Up && (m.link.AliveThisTerm() || m.listed) {
 		return true
@@ -50,7 +50,7 @@
 	return !m.listedFailed && (len(m.allocations) > 0 || m.listedRunning)
 }
 
-// observation returns what the failure detector needs to know of a machine's last heartbeat. s.mu must be held.
+// observation returns the failure detector's input for a machine, based on its last heartbeat. s.mu must be held.
 func (s *Scheduler) observation(machine *machineState) failuredetector.Observation {
 	observed := failuredetector.Observation{Zone: machine.Zone, Via: machine.lastPeer, Timeout: s.heartbeatTimeout(machine)}
 	if machine.Up {
@@ -62,22 +62,22 @@
 	return observed
 }
 
-// confirmedObservation returns an observation of a machine with the time at which the machine last showed that it
-// receives responses or commands in place of that of its last heartbeat. Scheduler.mu must be held.
+// confirmedObservation returns an observation of a machine in which LastHeartbeat is replaced by the time at which the
+// machine last proved that it receives responses or commands. Scheduler.mu must be held.
 func confirmedObservation(machine *machineState, observed failuredetector.Observation) failuredetector.Observation {
 	observed.LastHeartbeat = machine.link.ConfirmedAt()
 	return observed
 }
 
-// detectPartitions lets the failure detector find zones, domains and peers most of whose machines are silent, and logs
-// those that it finds anew. s.mu must be held.
+// detectPartitions runs the failure detector, which finds the zones, domains and peers most of whose machines are
+// silent, and logs the newly found ones. s.mu must be held.
 func (s *Scheduler) detectPartitions(now time.Time) {
 	observations := func(yield func(failuredetector.Observation)) {
 		for _, machine := range s.machines {
 			switch {
 			case !machine.expectedToReport() || machine.releasing:
 			case machine.link.State(now, s.lease()) == reachability.OutboundLost:
-				// A zone of machines that receive nothing is one failure, as a silent zone is.
+				// A zone whose machines receive no commands is treated as one failure, like a silent zone.
 				yield(confirmedObservation(machine, s.observation(machine)))
 			default:
 				yield(s.observation(machine))
@@ -97,8 +97,8 @@
 	}
 }
 
-// decideMachine decides whether a machine is kept, drained, returned to the cloud or forgotten, and why. s.mu must be
-// held.
+// decideMachine decides whether a machine is kept, drained, released to the cloud or forgotten, and returns the reason.
+// s.mu must be held.
 func (s *Scheduler) decideMachine(machine *machineState, now time.Time) (failuredetector.Action, string) {
 	limits := s.detectionLimits(machine)
 	state := s.detectionState(machine, now)
@@ -111,8 +111,8 @@
 	return failuredetector.Decide(state, limits)
 }
 
-// detectionLimits returns for how long a machine may be silent. Heartbeats that a peer relays take longer. s.mu must be
-// held.
+// detectionLimits returns how long a machine may be silent. Relayed heartbeats take longer to arrive, so their machines
+// may be silent for longer. s.mu must be held.
 func (s *Scheduler) detectionLimits(machine *machineState) failuredetector.Limits {
 	limits := failuredetector.Limits{
 		SuspectAfter:  s.heartbeatTimeout(machine),
@@ -126,8 +126,8 @@
 	return limits
 }
 
-// detectionState returns what the failure detector decides a machine's fate by, but for StartupExpired. s.mu must be
-// held.
+// detectionState returns the state of a machine by which the failure detector decides, without StartupExpired. s.mu
+// must be held.
 func (s *Scheduler) detectionState(machine *machineState, now time.Time) failuredetector.MachineState {
 	observed := s.observation(machine)
 	confirmed := confirmedObservation(machine, observed)
@@ -148,8 +148,9 @@
 	}
 }
 
-// startupExpired reports whether a machine that has sent no heartbeat should have done so by now. One with tasks by the
-// records was up before, so only the time counts that it has to find a new leader, electionGrace. s.mu must be held.
+// startupExpired reports whether a machine that has sent no heartbeat should have sent one by now. A machine to which
+// the records assign tasks was up before, so it only gets electionGrace, the time to find a new leader. s.mu must be
+// held.
 func (s *Scheduler) startupExpired(machine *machineState, now time.Time, electionGrace time.Duration) bool {
 	bootTime := tuning.ReadyUnknown
 	if machine.Spec != nil {
@@ -163,23 +164,22 @@
 	return overdue && now.Sub(s.detector.ResumedAt()) > electionGrace
 }
 
-// heartbeatOverdue reports whether a machine has been silent for longer than its heartbeats explain. s.mu must be held.
+// heartbeatOverdue reports whether a machine has been silent for longer than its heartbeat timeout. s.mu must be held.
 func (s *Scheduler) heartbeatOverdue(machine *machineState, now time.Time) bool {
 	return now.Sub(machine.LastHeartbeat) > s.heartbeatTimeout(machine)
 }
 
-// inboundLost reports whether a machine responds to commands although its heartbeats reach no controller. s.mu must be
-// held.
+// inboundLost reports whether a machine answers commands while its heartbeats reach no controller. s.mu must be held.
 func (s *Scheduler) inboundLost(machine *machineState) bool {
 	now := s.now()
 	return machine.Up && machine.relayPeer == "" && s.heartbeatOverdue(machine, now) &&
 		machine.link.InboundLost(now, now.Sub(machine.LastHeartbeat), s.heartbeatTimeout(machine))
 }
 
-// probeUnconfirmed sends an empty command to machines that may receive none, the longest not probed first and so many
-// at a time. Those whose heartbeats arrive get work again once they respond. Those that are silent are probed as well:
-// one that responds reaches no controller, and the incarnation in its response shows whether its lease expired.
-// s.mu must be held.
+// probeUnconfirmed sends an empty command list to machines that may not receive commands, the least recently probed
+// first, with at most tuning.ProbesAtOnce requests in flight. A machine whose heartbeats arrive gets work again once it
+// answers. Silent machines are probed as well: one that answers cannot reach any controller, and the incarnation in its
+// answer shows whether its lease expired. s.mu must be held.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
 	var due []*machineState
 	remaining := tuning.ProbesAtOnce
@@ -199,7 +199,7 @@
 	}
 }
 
-// needsProbe reports whether it is in doubt that a machine receives commands, and a direct command can show it.
+// needsProbe reports whether it is uncertain that a machine receives commands and a direct command can settle it.
 // s.mu must be held.
 func (s *Scheduler) needsProbe(machine *machineState, now time.Time) bool {
 	if !machine.Up || machine.releasing || machine.relayPeer != "" {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -13,108 +13,110 @@
 	"switchferry/topology"
 )
 
-// jobState is a job whose records are not archived yet. All of it is guarded by Scheduler.mu.
+// jobState is the state of a job that is not archived yet. Scheduler.mu guards all of it.
 type jobState struct {
 	store.JobRecord
 	id        string
 	taskCount int
-	// rank is the job's priority level, which dependants in a pipeline may raise.
+	// rank is the job's priority level; dependent jobs can raise it.
 	rank    int
 	request fleet.Resources
 
-	// accepted is set once the job's record is stored. Until then no user may learn of the job.
+	// accepted is set once the job's record is stored. Until then the job must not be visible to users.
 	accepted bool
-	// changed is closed, and replaced, when the job is accepted, when its terminal state is stored, and
-	// when the last unsettled start of a cancelled job settles. Requests of users wait on it.
+	// changed is closed and replaced when the job is accepted, when its terminal state is stored, and when the last
+	// pending start of a cancelled job is settled. User requests wait on it.
 	changed chan struct{}
-	// learnedAt is when this leader learned of the job, or released it from its dependencies.
+	// learnedAt is when this leader added the job, or when the job's last dependency was done.
 	learnedAt time.Time
 
 	completed      store.TaskBitmap
 	completedCount int
-	// allocations holds, by task, the tasks that are or may be on a machine, at most one attempt each.
+	// allocations holds, by task, the attempts that are or may be on a machine, at most one for each task.
 	allocations map[int]*allocation
 	// pending holds the tasks that are neither completed nor allocated nor in a machine's run queue.
 	pending []int32
 	// queued counts the tasks in run queues of machines.
 	queued int
-	// preemptions counts, by task, how often it was stopped for other work.
+	// preemptions counts, by task, how often the task was preempted.
 	preemptions map[int]int
 
 	// shards are the job's shard records that exist or are about to be written.
 	shards map[store.Shard]bool
-	// resharding is set while the shard records are rewritten in the current size.
+	// resharding is set while the shard records are rewritten with the current number of tasks per shard.
 	resharding bool
 
-	// terminalStored is set once the terminal state is stored and users may be told.
+	// terminalStored is set once the terminal state is stored and may be reported to users.
 	terminalStored bool
-	// archived is set once the terminal state has been handed to the committer under its own key, after which the
-	// job's other records are deleted.
+	// archived is set once the job's final record has been passed to the committer. The job's other records are deleted
+	// after it.
 	archived bool
-	// finalRecord is the job's final record as it was found in the state service; nil if none was found.
+	// finalRecord is the job's final record as read from the state service; nil if none was found.
 	finalRecord *store.FinalRecord
 	// onTerminal are called in order once the terminal state is stored.
 	onTerminal []func()
 	// terminalAt is when the terminal state was decided; zero while there is none.
 	terminalAt time.Time
 
-	// failures counts the machines on which the job failed since one of its tasks completed; it sets the backoff.
+	// failures counts the machines on which the job failed since one of its tasks last completed; it determines the
+	// backoff.
 	failures int
 	// pausedUntil is the end of the job's backoff.
 	pausedUntil time.Time
-	// avoidUntil is, by machine, until when the machine gets no task of the job.
+	// avoidUntil holds, by machine name, the time until which the machine gets no task of the job.
 	avoidUntil map[string]time.Time
-	// failedOn are all machines on which the job has ever failed in this term.
+	// failedOn holds the names of all machines on which the job has failed in this term.
 	failedOn map[string]bool
 
-	// waitsForDependencies is set while some job that this one depends on is not known to be done; none of its
-	// tasks is pending then.
+	// waitsForDependencies is set while a job that this one depends on is not known to be done. While it is set, no
+	// task is pending.
 	waitsForDependencies bool
-	// eligibleAt is when the job was submitted or, if later, its last dependency was done, in ms on the clock of At.
+	// eligibleAt is when the job was submitted or, if later, when its last dependency was done, in ms on the clock of
+	// At.
 	eligibleAt int64
-	// inherited is the rank and the deadlines that dependants pass down to the job; empty without dependants.
+	// inherited holds the rank and the deadlines that the job inherits from its dependents; empty if it has none.
 	inherited dag.Stage
 
 	// latestStart orders the job among those of its rank.
 	latestStart int64
-	// overQuota is 0 while the job is within its team's guarantee and 1 otherwise; it is a key of the order.
+	// overQuota is 0 while the job is within its team's guarantee and 1 otherwise; it is one of the sort keys of jobs.
 	overQuota int
-	// guaranteed is set if the job was within the guarantee when this leader first checked. Other teams' work is
-	// stopped only for such a job; one that comes within the guarantee later is merely ordered first.
+	// guaranteed is set if the job was within its team's guarantee when this leader first checked. Only for such a job
+	// is other teams' work preempted; a job that comes within the guarantee later is only ordered first.
 	guaranteed bool
 	// guaranteeChecked is set once guaranteed has been decided.
 	guaranteeChecked bool
 
 	// inputs are the datasets that the job's tasks need.
 	inputs []input
-	// intendedMachines are, by task of a service or a gang, the machines that its inputs are being copied to.
+	// intendedMachines holds, by task of a service or a gang, the machine to which the task's inputs are being copied.
 	intendedMachines map[int]*machineState
 
-	// site counts where the job's tasks are in the topology; nil if the job constrains no domains.
+	// site counts the job's tasks by topology domain; nil if the job has no domain constraints.
 	site *topology.Site
-	// waitReason is the topology constraint that keeps the job from being placed, in the operator's words.
+	// waitReason describes to operators the topology constraint that prevents the job from being placed.
 	waitReason string
-	// nextDomainSearch is when a domain that preemption could free for the job is next searched for.
+	// nextDomainSearch is when to search next for a domain that preemption could free for the job.
 	nextDomainSearch time.Time
-	// nextDomainReservation is when the domain to be reserved for the job is next chosen.
+	// nextDomainReservation is when to choose next a domain to reserve for the job.
 	nextDomainReservation time.Time
-	// reservedDomain describes the reserved domain to operators; empty without one.
+	// reservedDomain describes the reserved domain to operators; empty if there is none.
 	reservedDomain string
 
-	// waitingSince is when the job could first start. Where that is not known it is an earlier time.
+	// waitingSince is when the job could first have started, or an earlier time if that is not known.
 	waitingSince time.Time
 	// lastStart is when a task of the job was last allocated.
 	lastStart time.Time
-	// starved is set while the job has waited so long that it goes before all but production work.
+	// starved is set while the job has waited so long that it precedes all work except production.
 	starved bool
-	// nextMachineReservation is when machines to be reserved for the starved job are next chosen.
+	// nextMachineReservation is when to choose next the machines to reserve for the starved job.
 	nextMachineReservation time.Time
-	// passedOverLogged is set once it was logged that the job waits although a machine has enough resources.
+	// passedOverLogged is set once it has been logged that the job waits although a machine has enough free resources.
 	passedOverLogged bool
 }
 
-// newJobState returns the state of a job that has no tasks on machines yet. Accepted says that the record is stored;
-// now is when this leader learns of the job.
+// newJobState returns the state of a job that has no allocations yet. accepted means that the record is stored; now is
+// the current time.
 func newJobState(record store.JobRecord, accepted bool, now time.Time) *jobState {
 	job := &jobState{
 		JobRecord:    record,
@@ -140,8 +142,8 @@
 	return job
 }
 
-// recordedTerminalTime returns when a recorded terminal state was decided, now at the latest: users can have been told
-// by then at most. Records of version 1 have no time, for which now stands in.
+// recordedTerminalTime returns when a recorded terminal state was decided. It returns now if the recorded time is in
+// the future, or missing as in records of version 1.
 func recordedTerminalTime(record store.JobRecord, now time.Time) time.Time {
 	if decided := time.UnixMilli(record.FinalAt); record.FinalAt > 0 && decided.Before(now) {
 		return decided
@@ -149,17 +151,18 @@
 	return now
 }
 
-// notify wakes the requests that wait for a change of the job.
+// notify wakes the requests that wait on changed.
 func (j *jobState) notify() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// urgency returns how urgent the records of the job's tasks are, by its rank. An array of rank low with 25,000 short
-// tasks always has something to write: written in order of arrival, all other starts waited for seconds behind it.
+// urgency returns the write urgency of the records of the job's tasks, which depends on its rank. If records were
+// written in order of arrival, a low-rank array of 25,000 short tasks, which always has records to write, would delay
+// all other starts by seconds.
 func (j *jobState) urgency() int { return store.Ordinary + api.RankProduction - j.rank }
 
-// addJob adds a job to the job table. Accepted says that its record is stored. s.mu must be held.
+// addJob adds a job to the job table. accepted means that its record is stored. s.mu must be held.
 func (s *Scheduler) addJob(record store.JobRecord, accepted bool) *jobState {
 	job := newJobState(record, accepted, s.now())
 	s.resolveInputs(job)
@@ -178,7 +181,7 @@
 	s.removeFromQueues(job)
 }
 
-// parseTaskKey parses the name of a task, as taskKey makes it. It returns false if the name is malformed.
+// parseTaskKey parses a task key made by taskKey. ok is false if the key is malformed.
 func parseTaskKey(key string) (jobID string, task int, ok bool) {
 	jobID, number, ok := strings.Cut(key, "/")
 	if !ok {
@@ -188,5 +191,5 @@
 	return jobID, task, err == nil && task >= 0
 }
 
-// taskKey returns the name that the protocol gives a task: the job's id and the task's number.
+// taskKey returns the name of a task in the protocol: the job's ID and the task's number.
 func taskKey(id string, task int) string { return id + "/" + strconv.Itoa(task) }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -12,57 +12,59 @@
 	"switchferry/tuning"
 )
 
-// machineState is a fleet.Machine with what this term's leader has decided and knows of it. Scheduler.mu guards it.
+// machineState is a fleet.Machine with the state that this term's leader keeps about it. Scheduler.mu guards it.
 type machineState struct {
 	*fleet.Machine
 
-	// allocations are by task key; used is the sum of what they request.
+	// allocations holds the machine's allocations by task key; used is the sum of their requests.
 	allocations map[string]*allocation
 	used        fleet.Resources
-	// imagesInUse counts the allocations by image: one that a task waits for is on its way, and costs the next task
-	// less than a fetch.
+	// imagesInUse counts the allocations by image. An image that an allocated task still waits for is already being
+	// fetched, so the next task that needs it does not wait for a whole fetch.
 	imagesInUse map[string]int
-	// queues are in the order of compareJobs as of the last placement round.
+	// queues holds the machine's run queues, sorted by compareJobs as of the last placement round.
 	queues []*runQueue
-	// exited are the attempts that have ended and that the worker still reports.
+	// exited holds the attempts that have exited and that the worker still reports.
 	exited map[fleet.Attempt]*exitedTask
 
-	// commandInFlight is true while a direct command awaits its answer; resendCommands, if another must follow it.
+	// commandInFlight is true while a direct command awaits its answer; resendCommands is true if commands must be sent
+	// again after it.
 	commandInFlight, resendCommands bool
-	// relayPeer is the peer that relays its heartbeats; empty if they come directly.
+	// relayPeer is the peer that relays the machine's heartbeats; empty if they arrive directly.
 	relayPeer string
-	// relayedCommands are its commands in the mailbox for that peer; nil if there are none.
+	// relayedCommands are the machine's commands in the mailbox for relayPeer; nil if there are none.
 	relayedCommands json.RawMessage
-	// lastPeer is the peer that its last heartbeat came through in any way.
+	// lastPeer is the peer that forwarded or relayed the last heartbeat; empty if the worker sent it directly.
 	lastPeer string
 
-	// link is whether our commands reach it; outboundLossLogged is true once it was logged that they do not.
+	// link tracks whether this leader's commands reach the machine; outboundLossLogged is true once their loss was
+	// logged.
 	link               reachability.Link
 	outboundLossLogged bool
-	// probedAt is when it was last probed to confirm that.
+	// probedAt is when the machine was last probed to confirm that commands reach it.
 	probedAt time.Time
 
-	// reservedFor is the starved job that it drains for, until about reservedUntil.
+	// reservedFor is the starved job for which the machine drains, until about reservedUntil.
 	reservedFor   *jobState
 	reservedUntil time.Time
 
-	// listed, listedRunning and listedFailed are what the cloud's list of this term says: that it exists, that it is
-	// up though its worker has sent no heartbeat, that it has stopped.
+	// listed, listedRunning and listedFailed come from the cloud's instance list in this term: the machine exists; it
+	// is running although its worker has sent no heartbeat; it has stopped.
 	listed                      bool
 	listedRunning, listedFailed bool
-	// releasing is true while the cloud is asked to release it.
+	// releasing is true while a request to the cloud to release the machine is open.
 	releasing bool
-	// requestedHere is true if this leader requested it, and so knows when.
+	// requestedHere is true if this leader requested the machine, so that the time of the request is known.
 	requestedHere bool
-	// faultLogged is true once it was logged that it is faulty or overdue.
+	// faultLogged is true once it was logged that the machine is faulty or overdue.
 	faultLogged bool
-	// idleSince is when its last allocation ended.
+	// idleSince is when the machine's last allocation ended.
 	idleSince time.Time
-	// refusedUntil is until when it gets no work because it refused a start.
+	// refusedUntil is the time until which the machine gets no work because it refused a start.
 	refusedUntil time.Time
 }
 
-// machineNamed returns a machine by its name, and adds it if it is not known. s.mu must be held.
+// machineNamed returns the machine with a name, and adds it if it is not known. s.mu must be held.
 func (s *Scheduler) machineNamed(name string) *machineState {
 	machine := s.machines[name]
 	if machine == nil {
@@ -84,7 +86,7 @@
 	return machine
 }
 
-// sortedMachines returns the machines by name. The list is shared and must not be changed. s.mu must be held.
+// sortedMachines returns the machines sorted by name. The slice is shared and must not be modified. s.mu must be held.
 func (s *Scheduler) sortedMachines() []*machineState {
 	if s.machinesByName == nil {
 		s.machinesByName = make([]*machineState, 0, len(s.machines))
@@ -96,7 +98,7 @@
 	return s.machinesByName
 }
 
-// capacity returns all resources of a machine; none if its type is unknown.
+// capacity returns the total resources of a machine; zero if its type is unknown.
 func (m *machineState) capacity() fleet.Resources {
 	if m.Spec == nil {
 		return fleet.Resources{}
@@ -104,10 +106,10 @@
 	return fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
 }
 
-// free returns the resources that no allocation takes.
+// free returns the resources that no allocation uses.
 func (m *machineState) free() fleet.Resources { return m.capacity().Sub(m.used) }
 
-// fetchSeconds returns the time to fetch a job's image, in seconds: none where it is held or on its way already.
+// fetchSeconds returns the time to fetch a job's image, in seconds; 0 if the image is present or already being fetched.
 func (m *machineState) fetchSeconds(job *jobState) float64 {
 	if m.imagesInUse[job.Job.Image] > 0 {
 		return 0
@@ -122,8 +124,8 @@
 		machine.link.State(s.now(), s.lease()) == reachability.Reachable
 }
 
-// heartbeatTimeout returns how long a machine may be silent and still get work; longer for one whose heartbeats are
-// relayed.
+// heartbeatTimeout returns how long a machine may be silent and still get work. It is longer for a machine whose
+// heartbeats are relayed.
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
 	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
 	if machine.relayPeer != "" {
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -2,19 +2,20 @@
 
 import "switchferry/tuning"
 
-// pendingStarts are the run commands for one attempt that this leader has sent and that may still start it (rule 4 of
-// docs/design.md). They belong to the attempt from its first start until its machine has cleared it: an allocation holds
-// them, and after the attempt's exit its exitedTask. The zero value is none. Scheduler.mu guards them.
+// pendingStarts tracks the run commands for one attempt that this leader has sent and that may still start the attempt
+// (rule 4 of docs/design.md). It exists from the attempt's first start until its machine has cleared the attempt: in
+// the allocation, and after the attempt's exit in its exitedTask. The zero value means none. Scheduler.mu guards it.
 type pendingStarts struct {
-	// direct counts commands sent directly whose outcome is unknown. Each may be executed at any later time of this term.
+	// direct counts commands sent directly whose outcome is unknown. Each may still be executed at any time in this
+	// term.
 	direct int
-	// responseSeq is the sequence number of the newest heartbeat whose response carried a start, or 0.
+	// responseSeq is the sequence number of the newest heartbeat whose response contained a start, or 0.
 	responseSeq uint64
-	// relayedSeq is that of the newest heartbeat in whose response a relay may deliver a start, or 0.
+	// relayedSeq is the sequence number of the last heartbeat in whose response a relay may deliver a start, or 0.
 	relayedSeq uint64
 }
 
-// add notes that a start is sent on a path. Seq is the sequence number of the machine's newest heartbeat.
+// add records a start as sent on path. seq is the sequence number of the machine's newest heartbeat.
 func (p *pendingStarts) add(path deliveryPath, seq uint64) {
 	switch path {
 	case byHeartbeat:
@@ -26,16 +27,17 @@
 	}
 }
 
-// settleDirect notes that a start sent directly was answered or never left.
+// settleDirect records that a direct start was answered or was never sent.
 func (p *pendingStarts) settleDirect() {
 	if p.direct > 0 {
 		p.direct--
 	}
 }
 
-// observe notes a heartbeat, newer than all before it in the same incarnation. A worker has executed the response to a
-// heartbeat, or dropped it, when it sends the next one, whichever way that or a copy of it takes. Its answers to direct
-// commands come in between and show nothing.
+// observe settles the starts that a heartbeat proves settled. The heartbeat must be newer than all before it in the
+// same incarnation. When a worker sends a heartbeat, it has executed or dropped the response to the previous one,
+// regardless of the path that the heartbeat or a copy of it takes. Answers to direct commands are sent in between and
+// prove nothing.
 func (p *pendingStarts) observe(path deliveryPath, seq uint64) {
 	if path == byCommandResponse {
 		return
@@ -48,30 +50,31 @@
 	}
 }
 
-// none reports whether no start can arrive any more.
+// none reports whether no start can arrive any more on any path.
 func (p *pendingStarts) none() bool { return *p == pendingStarts{} }
 
-// noneButRelayed reports whether no start can arrive any more on a way that leads from this leader to the worker itself.
+// noneButRelayed reports whether no start can arrive any more except through a relay.
 func (p *pendingStarts) noneButRelayed() bool { return p.direct == 0 && p.responseSeq == 0 }
 
-// attemptState is what this leader knows of an attempt that has not exited. Scheduler.mu guards it.
+// attemptState is what this leader knows about an attempt that has not exited. Scheduler.mu guards it.
 type attemptState struct {
-	// runSent is set once a run command was sent, by this leader or perhaps by an earlier one.
+	// runSent is set once a run command was sent by this leader, or may have been sent by an earlier one.
 	runSent bool
-	// incarnation is the worker's incarnation that the run was sent to or that reported the attempt; 0: not known.
+	// incarnation is the incarnation of the worker to which the run command was sent or which reported the attempt; 0
+	// if unknown.
 	incarnation uint64
-	// starts may still start the attempt.
+	// starts tracks the run commands that may still start the attempt.
 	starts pendingStarts
-	// reported is set once a heartbeat showed the attempt.
+	// reported is set once a heartbeat listed the attempt.
 	reported bool
-	// stopping is set once the task is to be stopped.
+	// stopping is set once the scheduler has decided to stop the task.
 	stopping bool
 }
 
-// releaseProof is what shows that an attempt is not on its machine and will not be (rule 3 of docs/design.md).
+// releaseProof is a proof that an attempt is not on its machine and cannot start there (rule 3 of docs/design.md).
 type releaseProof string
 
-// The proofs. No other reason releases an allocation.
+// The proofs on which an allocation may be released. There are no other reasons.
 const (
 	proofNotSent        releaseProof = "no start was sent"
 	proofExited         releaseProof = "exit reported"
@@ -82,26 +85,28 @@
 	proofReleased       releaseProof = "its machine is gone"
 )
 
-// absence is what follows from a heartbeat that lacks an attempt.
+// absence is what a heartbeat that does not list an attempt proves.
 type absence int
 
 const (
-	// absenceOpen: nothing follows, as the attempt may start after the heartbeat was sent, or was never sent.
+	// absenceOpen means that it proves nothing: the attempt may start after the heartbeat was sent, or no run command
+	// was sent.
 	absenceOpen absence = iota
-	// absenceLost: the start was lost, and the same attempt is sent again.
+	// absenceLost means that the run command was lost and is sent again for the same attempt.
 	absenceLost
-	// absenceProved: the attempt is not on the machine and will not be.
+	// absenceProved means that the attempt is not on the machine and cannot start there.
 	absenceProved
 )
 
-// observedWorker is what a heartbeat shows of its worker: whether it has seen this term's token, and its incarnation.
+// observedWorker is the state of a worker in a heartbeat: whether it has seen this term's fencing token, and its
+// incarnation.
 type observedWorker struct {
 	seenTerm    bool
 	incarnation uint64
 }
 
-// absentFrom decides what a heartbeat shows that lacks the attempt. The heartbeat is newer than all before, and
-// pendingStarts.observe has noted it.
+// absentFrom decides what a heartbeat that does not list the attempt proves; the proof is set only for absenceProved.
+// The heartbeat must be newer than all before, and pendingStarts.observe must have processed it.
 func (a *attemptState) absentFrom(worker observedWorker) (absence, releaseProof) {
 	switch {
 	case !a.runSent:
@@ -110,7 +115,8 @@
 		// The worker may still execute a command of an earlier leader.
 		return absenceOpen, ""
 	case a.incarnation != 0 && worker.incarnation > a.incarnation:
-		// With its lease a worker ends all tasks, and it drops responses to heartbeats of the incarnation before.
+		// A worker ends all tasks when its lease expires, and drops responses to heartbeats of its previous
+		// incarnation.
 		return absenceProved, proofNewIncarnation
 	case !a.starts.none():
 		return absenceOpen, ""
@@ -124,18 +130,19 @@
 	return absenceLost, ""
 }
 
-// exitedTask is an attempt that has ended on a machine and is not cleared yet.
+// exitedTask is an attempt that has exited on a machine and is not cleared yet. Scheduler.mu guards it.
 type exitedTask struct {
-	// starts may still arrive. Until then only the worker's memory of the attempt keeps them from starting it again.
+	// starts tracks the run commands that may still arrive. They do not start the attempt again only because the worker
+	// still remembers it.
 	starts pendingStarts
-	// incarnation is that of the worker that reported the exit.
+	// incarnation is the incarnation of the worker that reported the exit.
 	incarnation uint64
-	// stored is true once its end is on record.
+	// stored is true once the end of the attempt is stored, or if it need not be.
 	stored bool
 }
 
-// mayClear reports whether the worker may be told to forget the attempt. Clearing one whose start was under way made a
-// task run on two machines (docs/incidents/task-ran-twice.md).
+// mayClear reports whether the worker may be told to forget the attempt. Clearing an attempt while a start for it was
+// in transit made a task run on two machines (docs/incidents/task-ran-twice.md).
 func (e *exitedTask) mayClear() bool {
 	return e.stored && e.starts.none()
 }
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -11,15 +11,16 @@
 	"switchferry/tuning"
 )
 
-// deliveryPath is how a heartbeat arrived or how commands are sent.
+// deliveryPath is the path on which a heartbeat arrives or commands are sent.
 type deliveryPath int
 
-// The delivery paths: byHeartbeat is a worker's request and its response, also when a peer forwards the request at
-// once; byCommandResponse is a command sent to the worker and its response, which contains a heartbeat; byRelay are
-// packets that a peer and the leader leave for each other in the state service.
+// The delivery paths.
 const (
+	// byHeartbeat is a worker's heartbeat request and the response to it, also when a peer forwards the request.
 	byHeartbeat deliveryPath = iota
+	// byCommandResponse is a direct command request to a worker and the response to it, which contains a heartbeat.
 	byCommandResponse
+	// byRelay is the exchange of packets between a peer and the leader through the state service.
 	byRelay
 )
 
@@ -28,29 +29,31 @@
 	return [...]string{"heartbeat", "command", "relay"}[p]
 }
 
-// HandleHeartbeat handles a worker's heartbeat and returns the response to it. Via is the peer that forwarded the
-// heartbeat, or empty if the worker sent it to this controller. Deposed says that the worker has seen a higher term
-// than this one, refused that the machine was returned to the cloud. In both cases the response must not be sent.
+// HandleHeartbeat handles a worker's heartbeat and returns the response to it. via is the peer that forwarded the
+// heartbeat, or empty if the worker sent it to this controller. deposed means that the worker has seen a higher term
+// than this one; refused means that the machine was released to the cloud. In both cases the response must not be sent.
 func (s *Scheduler) HandleHeartbeat(heartbeat *api.Heartbeat, via string) (response api.HeartbeatResponse, deposed, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	response = api.HeartbeatResponse{Term: s.term, Commands: []api.Command{}}
 	if heartbeat.Term > s.term {
-		// The worker would drop a response with this term: only the holder of the highest token may command it.
+		// The worker would drop a response of this term, because it obeys only the highest fencing token it has seen.
 		return response, true, false
 	}
 	if _, released := s.releasedAt[heartbeat.Machine]; released {
-		// The machine's return proved that its tasks are gone, and they may run elsewhere (rule 3 of docs/design.md).
+		// The release of the machine proved that its tasks are gone, and they may run elsewhere (rule 3 of
+		// docs/design.md).
 		return response, false, true
 	}
 	machine := s.machineNamed(heartbeat.Machine)
 	if !s.acceptHeartbeat(machine, heartbeat, via, false) {
-		// A late copy shows nothing. If a worker waits for the response, its lease is renewed, and that is all.
+		// A late copy proves nothing. If a worker waits for the response, it renews the worker's lease and nothing
+		// else.
 		return response, false, false
 	}
 	s.stopRelayingCommands(machine)
-	// A heartbeat that the response to a command has overtaken is no copy, but its list of tasks is old. Until the
-	// records are loaded, nothing can be decided, and only the lease is renewed.
+	// A heartbeat that was overtaken by the response to a command is not a copy, but its task list is outdated. Until
+	// the records are loaded, nothing can be decided. In both cases the response only renews the lease.
 	if !machine.Newer(heartbeat) || !s.loaded {
 		return response, false, false
 	}
@@ -59,9 +62,9 @@
 	return response, false, false
 }
 
-// acceptHeartbeat notes that a machine sent a heartbeat. It returns false if the heartbeat is no newer than one before,
-// by incarnation and sequence number, so that it shows nothing (package reachability). Via is the peer that passed it
-// on; relayed says that it came in a packet rather than in a request. s.mu must be held.
+// acceptHeartbeat records that a machine sent a heartbeat. It returns false if the heartbeat, by incarnation and
+// sequence number, is not newer than one received before, and so proves nothing (package reachability). via is the peer
+// that forwarded or relayed it; relayed means that it arrived in a packet rather than in a request. s.mu must be held.
 func (s *Scheduler) acceptHeartbeat(machine *machineState, heartbeat *api.Heartbeat, via string, relayed bool) bool {
 	now := s.now()
 	newer, confirmed := machine.link.Observe(now, reachability.Heartbeat{
@@ -85,8 +88,8 @@
 	return true
 }
 
-// reconcile compares a heartbeat that is newer than all before with the scheduler's state: each allocation with the
-// task that the worker reports, and each task that it reports with the allocations. s.mu must be held.
+// reconcile updates the scheduler's state from a heartbeat that is newer than all before: it compares each allocation
+// with the tasks that the worker reports, and each reported task with the allocations. s.mu must be held.
 func (s *Scheduler) reconcile(machine *machineState, heartbeat *api.Heartbeat, path deliveryPath) {
 	now := s.now()
 	first := !machine.Up
@@ -107,10 +110,11 @@
 	s.reconcileAttempts(machine, path)
 }
 
-// reconcileAttempts compares the attempts that a machine's newest heartbeat lists with the allocations and exits that
-// are known there. s.mu must be held.
+// reconcileAttempts compares the attempts in a machine's newest heartbeat with the known allocations and exits on the
+// machine. s.mu must be held.
 func (s *Scheduler) reconcileAttempts(machine *machineState, path deliveryPath) {
-	// All are settled before any is judged, since that may send the machine its commands.
+	// All pending starts are updated before any attempt is reconciled, because reconciling may send commands to the
+	// machine.
 	for _, alloc := range machine.allocations {
 		alloc.starts.observe(path, machine.Seq)
 	}
@@ -136,8 +140,8 @@
 	}
 }
 
-// forgetExit drops the exit of an attempt that the machine's newest heartbeat lacks: it was cleared, or a new incarnation
-// began. s.mu must be held.
+// forgetExit removes the exit of an attempt that the machine's newest heartbeat does not list, because the attempt was
+// cleared or a new incarnation began. s.mu must be held.
 func (s *Scheduler) forgetExit(machine *machineState, attempt fleet.Attempt, exit *exitedTask) {
 	if machine.Incarnation == exit.incarnation && !exit.starts.none() {
 		invariant.Violated("an attempt is cleared only when no start of it can arrive", "task", attempt.Task, "attempt", attempt.Number,
@@ -147,7 +151,7 @@
 	delete(machine.exited, attempt)
 }
 
-// recordMachineUp notes the first heartbeat of a machine in this term. s.mu must be held.
+// recordMachineUp handles the first heartbeat of a machine in this term. s.mu must be held.
 func (s *Scheduler) recordMachineUp(machine *machineState, heartbeat *api.Heartbeat, now time.Time) {
 	startup := now.Sub(machine.RequestedAt)
 	slog.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone,
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// reconcileActive takes over the reported state of an allocation's attempt. s.mu must be held.
+// reconcileActive updates an allocation from the reported state of its attempt. s.mu must be held.
 func (s *Scheduler) reconcileActive(machine *machineState, alloc *allocation, report api.TaskReport) {
 	now := s.now()
 	if !alloc.reported {
@@ -192,9 +196,9 @@
 	}
 }
 
-// reconcileExited handles the exit of an allocation's attempt, which is proof that it runs no more. s.mu must be held.
+// reconcileExited handles the exit of an allocation's attempt, which proves that it no longer runs. s.mu must be held.
 func (s *Scheduler) reconcileExited(machine *machineState, alloc *allocation, cause string) {
-	// The worker may be told to forget the attempt only once no start of it is under way, on any path.
+	// The attempt may be cleared only once no start for it is in transit on any path.
 	exit := &exitedTask{starts: alloc.starts, incarnation: machine.Incarnation, stored: cause != api.CauseDone}
 	machine.exited[alloc.attemptOf()] = exit
 	if !exit.starts.none() {
@@ -222,8 +226,8 @@
 	s.pushCommands(machine)
 }
 
-// reconcileCompleted handles the exit of a task that completed. Until that is stored only the worker knows it, so the
-// clear command waits for the record (rule 2 of docs/design.md). s.mu must be held.
+// reconcileCompleted handles the exit of a task that completed. Until the completion is stored, only the worker knows
+// of it, so the clear command is not sent before (rule 2 of docs/design.md). s.mu must be held.
 func (s *Scheduler) reconcileCompleted(machine *machineState, alloc *allocation, exit *exitedTask) {
 	machine.ClearFailures()
 	machine.faultLogged = false
@@ -233,8 +237,8 @@
 	s.markCompleted(alloc.job, alloc.task, s.allowClear(machine, exit))
 }
 
-// allowClear returns a function that lets an exited task be cleared on its machine, to be called with s.mu held once
-// the task's completion is stored.
+// allowClear returns a callback that allows an exited task to be cleared on its machine. It must be called with s.mu
+// held once the task's completion is stored.
 func (s *Scheduler) allowClear(machine *machineState, exit *exitedTask) func() {
 	return func() {
 		exit.stored = true
@@ -242,8 +246,8 @@
 	}
 }
 
-// reconcileMissing judges an allocation that the newest heartbeat lacks (rules 3 and 4 of docs/design.md). s.mu must be
-// held.
+// reconcileMissing handles an allocation whose attempt the newest heartbeat does not list (rules 3 and 4 of
+// docs/design.md). s.mu must be held.
 func (s *Scheduler) reconcileMissing(machine *machineState, alloc *allocation) {
 	verdict, proof := alloc.absentFrom(observedWorker{seenTerm: machine.Term == s.term, incarnation: machine.Incarnation})
 	switch verdict {
@@ -258,7 +262,7 @@
 	}
 }
 
-// reconcileUnknown judges a reported attempt that is neither an allocation nor a known exit. s.mu must be held.
+// reconcileUnknown handles a reported attempt that is neither an allocation nor a known exit. s.mu must be held.
 func (s *Scheduler) reconcileUnknown(machine *machineState, attempt fleet.Attempt, report api.TaskReport) {
 	id, task, ok := parseTaskKey(attempt.Task)
 	job := s.jobs[id]
@@ -274,14 +278,14 @@
 	case known:
 		s.reconcileUnknownRunning(machine, job, task, report)
 	}
-	// Whatever else runs is killed by the next commands.
+	// All other running attempts are killed by the next commands.
 }
 
-// reconcileUnknownRunning judges an attempt of a known job's task that is on a machine without being its allocation.
-// s.mu must be held.
+// reconcileUnknownRunning handles a reported attempt of a known job that has no allocation on the machine. s.mu must be
+// held.
 func (s *Scheduler) reconcileUnknownRunning(machine *machineState, job *jobState, task int, report api.TaskReport) {
 	if alloc := job.allocations[task]; alloc != nil && !alloc.runSent {
-		// Started beside an attempt that runs, the task would be on two machines.
+		// If this allocation were started as well, the task would run on two machines.
 		s.releaseAllocation(alloc, proofNotSent)
 	}
 	alloc := job.allocations[task]
@@ -293,17 +297,17 @@
 	}
 }
 
-// reportSecondAttempt reports an attempt that is on a machine although its task has an allocation that may have started.
-// s.mu must be held.
+// reportSecondAttempt reports an invariant violation: an attempt is on a machine although its task has another
+// allocation, which may have started. s.mu must be held.
 func (s *Scheduler) reportSecondAttempt(machine *machineState, second api.TaskReport, alloc *allocation) {
 	invariant.Violated("a task is on one machine", "task", second.Task, "attempt", second.Attempt, "machine", machine.Name,
 		"incarnation", machine.Incarnation, "seq", machine.Seq, "term", s.term, "allocated_to", alloc.machine.Name, "allocated_attempt", alloc.attempt,
 		"reported", alloc.reported, "state", alloc.state)
 }
 
-// adoptTask makes an allocation of a running attempt that no record holds, so that it counts for limits, zones and
-// resources until it is proved gone (rule 3 of docs/design.md). It is stopped if its job does not need it. s.mu must be
-// held.
+// adoptTask creates an allocation for a running attempt that is in no record, so that it counts towards limits, zones
+// and resources until it is proved gone (rule 3 of docs/design.md). The attempt is stopped if its job does not need it.
+// s.mu must be held.
 func (s *Scheduler) adoptTask(machine *machineState, job *jobState, task int, report api.TaskReport) {
 	slog.Info("adopting unknown task", "task", taskKey(job.id, task), "machine", machine.Name, "attempt", report.Attempt,
 		"incarnation", machine.Incarnation, "seq", machine.Seq, "term", s.term, "state", report.State)
@@ -312,7 +316,7 @@
 	s.reconcileActive(machine, alloc, report)
 	s.removeQueuedTask(job, task)
 	if job.FinalState != "" || job.completed.Has(task) {
-		s.stopTask(alloc, 0, "not wanted")
+		s.stopTask(alloc, 0, "task not needed")
 		return
 	}
 	s.markShardDirty(job, task, nil)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package scheduler is the leader's state and decisions during one term: which jobs there are, where their tasks run, how
-// the fleet scales out and in, and what is put on record. A Scheduler does no I/O of its own: the process (package
-// controller) passes heartbeats, records and answers in, and carries out what the scheduler asks of its collaborators.
-// One lock, held briefly, guards all of a term's state.
+// Package scheduler holds the leader's state during one term and makes its decisions: which jobs exist, where their
+// tasks run, how the fleet scales out and in, and what is stored in the state service. A Scheduler does no I/O itself:
+// the process (package controller) passes in heartbeats, records and responses, and does the I/O that the scheduler
+// requests through its Collaborators. One lock, held briefly, guards all of a term's state.
 package scheduler
 
 import (
@@ -30,7 +30,7 @@
 	clock    clockwork.Clock
 	settings *settings.Settings
 
-	// What the Scheduler asks of the process that runs it.
+	// Collaborators.
 
 	records        RecordWriter
 	sender         CommandSender
@@ -38,54 +38,56 @@
 	zones          ZoneMonitor
 	terminalStates TerminalStates
 
-	// termStarted is when the Scheduler was made.
+	// termStarted is when the Scheduler was created.
 	termStarted time.Time
-	// wake receives when there is something to place before the next tick.
+	// wake receives a value when a placement round should run before the next tick.
 	wake chan struct{}
 
-	// mu guards all fields below and all that they point to. It is held for short, and never during I/O.
+	// mu guards all fields below and everything they point to. It is held only briefly, and never during I/O.
 	mu sync.Mutex
 
 	// Configuration.
 
 	configuration *configuration.Active
-	// liveConfiguration is true once a configuration was applied that may change within the term.
+	// liveConfiguration is true once a configuration that may change within the term was applied.
 	liveConfiguration bool
-	// machineTypes is the cloud's catalog by name.
+	// machineTypes holds the machine types in the cloud's catalog by name.
 	machineTypes map[string]*api.MachineType
-	// objectives are the times within which jobs of each class should be complete, in seconds, ascending.
+	// objectives holds, by job class, the times within which jobs should complete, in seconds, ascending.
 	objectives map[string][]float64
-	// deadlineMultiples are the multiples of their deadlines, above one, by which most jobs of a class should be
-	// complete, ascending.
+	// deadlineMultiples holds, by job class, the multiples of their deadlines within which most jobs should complete;
+	// all above one, ascending.
 	deadlineMultiples map[string][]float64
 
 	// Records.
 
 	// loaded is true once the records have been read.
 	loaded bool
-	// damagedJobs are jobs of which a record could not be read.
+	// damagedJobs holds the IDs of jobs that have a record that could not be read.
 	damagedJobs map[string]bool
-	// currentFormat is true once every member runs a version that reads this version's records.
+	// currentFormat is true once every member runs a version that can read records in this version's format.
 	currentFormat bool
-	// tasksPerShard is how many tasks share a record that is written now; it keeps records within the state service's
-	// limit for machine names of up to longestName bytes.
+	// tasksPerShard is the number of tasks in a newly written shard record. With machine names of up to longestName
+	// bytes, it keeps records within the state service's size limit.
 	tasksPerShard int
 	longestName   int
 
 	// Jobs.
 
 	jobs map[string]*jobState
-	// jobOrder lists the jobs in the order of compareJobs as of the last placement round; new ones are at the end.
+	// jobOrder lists the jobs sorted by compareJobs as of the last placement round, followed by newer jobs.
 	jobOrder     []*jobState
 	archived     *archivedJobs
 	dependencies *dependencies
-	// lastAttempt and lastInstanceRequest make attempts and idempotency keys unique within the term.
+	// lastAttempt and lastInstanceRequest are counters that make attempt numbers and idempotency keys unique within the
+	// term.
 	lastAttempt         uint64
 	lastInstanceRequest uint64
 
 	// Quotas, by team.
 
-	// usage is what allocated tasks request; stoppingUsage is the part of it that is being stopped.
+	// usage is the sum of the requests of allocated tasks; stoppingUsage is the part of it whose tasks are being
+	// stopped.
 	usage         map[string]fleet.Resources
 	stoppingUsage map[string]fleet.Resources
 	quotas        quota.Ledger
@@ -93,34 +95,35 @@
 	// Machines.
 
 	machines map[string]*machineState
-	// machinesByName is the result of sortedMachines; nil once machines came or went.
+	// machinesByName caches the result of sortedMachines; nil after machines were added or removed.
 	machinesByName []*machineState
-	// releasedAt is when machines were released lately.
+	// releasedAt holds, by machine name, when recently released machines were released.
 	releasedAt    map[string]time.Time
 	fleetLoggedAt time.Time
-	// topology is nil without a topology.
+	// topology is nil if no topology is configured.
 	topology *topologyView
-	// datasets is nil unless datasets are on.
+	// datasets is nil unless datasets are enabled.
 	datasets *datasetState
-	// imageHints are the images of machines that have not reported yet, as the last leader knew them;
-	// imagesChanged is true if there are changes since they were stored at imagesStoredAt.
+	// imageHints holds the images of machines that have not sent a heartbeat yet, as stored by the previous leader;
+	// imagesChanged is true if the images changed since they were stored at imagesStoredAt.
 	imageHints     map[string][]fleet.Image
 	imagesChanged  bool
 	imagesStoredAt time.Time
 
 	// Requests to the cloud.
 
-	// instanceRefusals is until when a pool that refused a request is not asked again.
+	// instanceRefusals holds, by pool, the time until which no instances are requested because the cloud refused a
+	// request.
 	instanceRefusals map[capacityPool]time.Time
-	// instancesRequested counts open requests.
+	// instancesRequested is the number of open requests for instances.
 	instancesRequested int
 	startupTimes       failuredetector.StartupTimes
 
 	// Commands.
 
-	// evidence counts what moves of tasks have rested on.
+	// evidence counts released allocations by proof, and crossed messages.
 	evidence attemptEvidence
-	// commandsReady are machines with commands whose records have been stored.
+	// commandsReady holds the machines that have commands to be sent since the records behind them were stored.
 	commandsReady map[*machineState]bool
 	// commandMailboxes holds the commands that are relayed through each peer.
 	commandMailboxes *exchange.Mailboxes
@@ -129,12 +132,12 @@
 
 	lastHeartbeat time.Time
 	detector      *failuredetector.Detector
-	// evictionBudget bounds how many machines are released for their silence; deferralLoggedAt is when it was last
-	// logged that some are not.
+	// evictionBudget limits how many machines are released for being silent; deferralLoggedAt is when it was last
+	// logged that releases are deferred.
 	evictionBudget   failuredetector.EvictionBudget
 	deferralLoggedAt time.Time
-	// lastDirectContact is when a worker last sent us a heartbeat itself or answered a command; unansweredCommands
-	// counts the commands since then that none answered.
+	// lastDirectContact is when a worker last sent this controller a heartbeat directly or answered a command;
+	// unansweredCommands counts the unanswered commands since then.
 	lastDirectContact  time.Time
 	unansweredCommands int
 
@@ -149,7 +152,7 @@
 	scratchQueued []placement.Queued
 }
 
-// New returns the state of a new term. No record is read yet.
+// New returns the Scheduler of a new term. Its records are not loaded yet.
 func New(term uint64, clock clockwork.Clock, set *settings.Settings, pol *policy.Policy, types []api.MachineType, with Collaborators) *Scheduler {
 	started := clock.Now()
 	scheduler := &Scheduler{
@@ -187,8 +190,8 @@
 	return scheduler
 }
 
-// objectivesByClass returns, for each class of jobs, the times within which its jobs should be complete, in seconds,
-// and the multiples of their deadlines, above one; both ascending.
+// objectivesByClass returns, by job class, the times within which jobs should complete, in seconds, and the multiples
+// of their deadlines that are above one; both ascending.
 func objectivesByClass(objectives []settings.Objective) (withinS, deadlineMultiples map[string][]float64) {
 	withinS, deadlineMultiples = map[string][]float64{}, map[string][]float64{}
 	for _, objective := range objectives {
@@ -207,22 +210,22 @@
 	return withinS, deadlineMultiples
 }
 
-// Term returns the number of this term of the leader, the fencing token of its commands.
+// Term returns the number of this leadership term, which is the fencing token of its commands.
 func (s *Scheduler) Term() uint64 { return s.term }
 
 // TermStarted returns when this term began.
 func (s *Scheduler) TermStarted() time.Time { return s.termStarted }
 
-// Leading reports whether this controller certainly still leads in this term.
+// Leading reports whether this controller is certain to be the leader still in this term.
 func (s *Scheduler) Leading() bool { return s.leadership.Leading() }
 
-// Wake returns a channel that receives when there is something to place before the next tick.
+// Wake returns a channel that receives a value when a placement round should run before the next tick.
 func (s *Scheduler) Wake() <-chan struct{} { return s.wake }
 
-// LookupNeeded returns a channel that receives when UnresolvedDependencies has grown.
+// LookupNeeded returns a channel that receives a value when UnresolvedDependencies has new entries.
 func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
 
-// SetTypes updates the machine types by the cloud's catalog. Types that it does not name stay.
+// SetTypes adds or replaces machine types from the cloud's catalog. Types that are not in types are kept.
 func (s *Scheduler) SetTypes(types []api.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +245,7 @@
 	return s.loaded
 }
 
-// Committed sends the commands whose records have been stored, in one message a machine.
+// Committed sends the commands whose records have been stored, in one message for each machine.
 func (s *Scheduler) Committed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,7 +255,7 @@
 	clear(s.commandsReady)
 }
 
-// withLock returns f as a callback of the committer that holds s.mu while f runs.
+// withLock returns a callback for the committer that calls f with s.mu held.
 func (s *Scheduler) withLock(f func()) func() {
 	return func() {
 		s.mu.Lock()
@@ -261,7 +264,7 @@
 	}
 }
 
-// wakePlacer asks for a placement round before the next tick.
+// wakePlacer requests a placement round before the next tick.
 func (s *Scheduler) wakePlacer() {
 	select {
 	case s.wake <- struct{}{}:
@@ -269,8 +272,8 @@
 	}
 }
 
-// now returns the time; during a placement round that is the time at which the round began, since it asks for every
-// machine and task. s.mu must be held.
+// now returns the current time. During a placement round, which calls it for every machine and task, it returns the
+// time at which the round began. s.mu must be held.
 func (s *Scheduler) now() time.Time {
 	if !s.roundTime.IsZero() {
 		return s.roundTime
@@ -278,7 +281,7 @@
 	return s.clock.Now()
 }
 
-// since returns the time since t by now. s.mu must be held.
+// since returns the time elapsed between t and now. s.mu must be held.
 func (s *Scheduler) since(t time.Time) time.Duration { return s.now().Sub(t) }
 
 // lease returns the duration of the workers' leases.
