--- a/scheduler/adoption_test.go
+++ b/scheduler/adoption_test.go
@@ -58,7 +58,7 @@
 // A leader that does not know that a job ended accepts a repeated submission as a new job until the state service
 // refuses its record. If the job is submitted again before the committer's callback for the refused record has run,
 // that callback must not mark the new job as accepted, because the new job's record is not stored.
-func TestCallbackOfADroppedJobDoesNotAcceptItsSuccessor(t *testing.T) {
+func TestCallbackOfRefusedRecordDoesNotAcceptResubmittedJob(t *testing.T) {
 	h := newHarness(t)
 	h.state.Put(store.FinalKey("run-000001"), store.FinalRecord{State: api.Done, Tasks: 1})
 	submission := &api.Submission{ID: "run-000001", Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 4, MemoryGB: 8, Image: "img", EstimateS: 30}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestSubmissionOfAJobThatIsOverIsNotTakenForANewOne(t *testing.T) {
+func TestSubmissionOfEndedJobIsNotAccepted(t *testing.T) {
 	h := newHarness(t)
 	h.terminalStates["run-000001"] = store.FinalRecord{State: api.Done}
 	submission := &api.Submission{ID: "run-000001", Tasks: 1, Shape: api.JobArray, Team: "t"}
@@ -104,7 +104,7 @@
 }
 
 // A job with a damaged shard record must not be started again, even if its job record can be read.
-func TestJobWithDamagedTasksIsNotAdopted(t *testing.T) {
+func TestJobWithDamagedShardIsNotAdopted(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, nil)
 	h.heartbeat("a1", 1)
@@ -143,7 +143,7 @@
 			}
 			h.commit()
 			if got := h.status("run-000001"); got != onRecord {
-				t.Errorf("job reported as %s, want %s", got, onRecord)
+				t.Errorf("job reported as %s, not as in its final record", got)
 			}
 			if got := string(h.state.Get(store.FinalKey("run-000001"))); got != final {
 				t.Errorf("final record %s, want %s", got, final)
@@ -169,7 +169,7 @@
 }
 
 // A record without a terminal state that was read after the job was archived is an invariant violation.
-func TestRecordOfAnArchivedJobIsReported(t *testing.T) {
+func TestOutdatedRecordOfArchivedJobIsReported(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, nil)
 	record, err := h.client().Get(t.Context(), store.JobKey("run-000001"))
@@ -182,10 +182,10 @@
 	h.commit()
 	invariant.TakeViolations()
 	if got := h.AdoptJob(&record, readAt); got != JobEnded || invariant.TakeViolations() != 0 {
-		t.Errorf("record read before the end: outcome %q, want %q and no violation", got, JobEnded)
+		t.Errorf("record read before the end: outcome %q, or an invariant violation was reported", got)
 	}
 	h.clock.Advance(time.Second)
 	if got := h.AdoptJob(&record, h.clock.Now()); got != JobEnded || invariant.TakeViolations() != 1 {
-		t.Errorf("record read after the end: outcome %q, want %q and one violation", got, JobEnded)
+		t.Errorf("record read after the end: outcome %q, or not exactly one invariant violation was reported", got)
 	}
 }
--- a/scheduler/allocation_test.go
+++ b/scheduler/allocation_test.go
@@ -29,32 +29,32 @@
 	h.heartbeat("b1", 1)
 	for range 5 {
 		h.clock.Advance(time.Second)
-		o := h.heartbeat("a1", 1)
-		if !hasCommand(o, api.CommandRun, "run-000001/0") || o.Commands[0].Attempt != start.response.Commands[0].Attempt {
-			t.Fatalf("want a start of the same attempt, got %+v", o.Commands)
+		response := h.heartbeat("a1", 1)
+		if !hasCommand(response, api.CommandRun, "run-000001/0") || response.Commands[0].Attempt != start.response.Commands[0].Attempt {
+			t.Fatalf("want a start of the same attempt, got %+v", response.Commands)
 		}
 		h.heartbeat("b1", 1)
 		h.Place()
 		h.commit()
 	}
-	for _, x := range h.starts("run-000001/0") {
-		if x.machine != "a1" {
-			t.Errorf("started on %s as well", x.machine)
+	for _, repeated := range h.starts("run-000001/0") {
+		if repeated.machine != "a1" {
+			t.Errorf("started on %s as well", repeated.machine)
 		}
 	}
 }
 
 // A clear makes the worker forget the attempt, so a start that is still in transit would run it again.
-func TestClearWaitsForOpenStart(t *testing.T) {
+func TestClearWaitsForPendingStart(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
-	a := start.response.Commands[0].Attempt
-	o := h.heartbeat("a1", 1, taskReport("run-000001/0", a, api.TaskExited, api.CauseStopped))
-	if hasCommand(o, api.CommandClear, "run-000001/0") {
+	attempt := start.response.Commands[0].Attempt
+	response := h.heartbeat("a1", 1, taskReport("run-000001/0", attempt, api.TaskExited, api.CauseStopped))
+	if hasCommand(response, api.CommandClear, "run-000001/0") {
 		t.Fatal("the attempt was cleared while its start was unanswered")
 	}
 	h.CommandsAnswered("a1", start.response, nil, true)
-	if o = h.heartbeat("a1", 1, taskReport("run-000001/0", a, api.TaskExited, api.CauseStopped)); !hasCommand(o, api.CommandClear, "run-000001/0") {
+	if response = h.heartbeat("a1", 1, taskReport("run-000001/0", attempt, api.TaskExited, api.CauseStopped)); !hasCommand(response, api.CommandClear, "run-000001/0") {
 		t.Error("the attempt was not cleared after the start was answered")
 	}
 }
@@ -68,8 +68,8 @@
 	h.Place()
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
-	if n := len(h.starts("run-000001/0")); n != 0 {
-		t.Errorf("%d starts after the cancel", n)
+	if startCount := len(h.starts("run-000001/0")); startCount != 0 {
+		t.Errorf("%d starts after the cancel", startCount)
 	}
 
 	h = newHarness(t)
@@ -77,10 +77,10 @@
 	h.CommandsAnswered("a1", start.response, nil, false)
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
-	if o := h.heartbeat("a1", 1); hasCommand(o, api.CommandRun, "run-000002/0") {
+	if response := h.heartbeat("a1", 1); hasCommand(response, api.CommandRun, "run-000002/0") {
 		t.Error("a cancelled task was started again")
 	}
-	if o := h.heartbeat("a1", 1, taskReport("run-000002/0", start.response.Commands[0].Attempt, api.TaskFetching, "")); !hasCommand(o, api.CommandKill, "run-000002/0") {
+	if response := h.heartbeat("a1", 1, taskReport("run-000002/0", start.response.Commands[0].Attempt, api.TaskFetching, "")); !hasCommand(response, api.CommandKill, "run-000002/0") {
 		t.Error("the task of a late start was not killed")
 	}
 	if h.terminalStates["run-000002"].State != api.Cancelled {
@@ -90,22 +90,22 @@
 
 // A task completes just before the leader crashes. The new leader learns of it from a heartbeat, stores the completion
 // before it clears the attempt, and does not run the task again.
-func TestDoneJustBeforeCrash(t *testing.T) {
+func TestCompletionBeforeLeaderCrashIsKept(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, nil)
 	h.Place()
 	h.commit()
-	at := h.starts("run-000001/0")[0].response.Commands[0].Attempt
-	at1 := h.starts("run-000001/1")[0].response.Commands[0].Attempt
+	firstAttempt := h.starts("run-000001/0")[0].response.Commands[0].Attempt
+	secondAttempt := h.starts("run-000001/1")[0].response.Commands[0].Attempt
 	h.elect()
-	done := taskReport("run-000001/0", at, api.TaskExited, api.CauseDone)
-	other := taskReport("run-000001/1", at1, api.TaskRunning, "")
-	if o := h.heartbeat("a1", 1, done, other); hasCommand(o, api.CommandClear, "run-000001/0") || hasCommand(o, api.CommandKill, "run-000001/1") {
+	done := taskReport("run-000001/0", firstAttempt, api.TaskExited, api.CauseDone)
+	other := taskReport("run-000001/1", secondAttempt, api.TaskRunning, "")
+	if response := h.heartbeat("a1", 1, done, other); hasCommand(response, api.CommandClear, "run-000001/0") || hasCommand(response, api.CommandKill, "run-000001/1") {
 		t.Fatal("the attempt was cleared before its completion was stored, or a running task was killed")
 	}
 	h.commit()
-	if o := h.heartbeat("a1", 1, done, other); !hasCommand(o, api.CommandClear, "run-000001/0") {
+	if response := h.heartbeat("a1", 1, done, other); !hasCommand(response, api.CommandClear, "run-000001/0") {
 		t.Error("the attempt was not cleared after its completion was stored")
 	}
 	h.Place()
@@ -113,10 +113,10 @@
 	if len(h.starts("run-000001/0"))+len(h.starts("run-000001/1")) != 0 {
 		t.Error("a task was started again")
 	}
-	if starts, _ := h.JobStatus("run-000001"); starts.State != api.Running || starts.Done != 1 {
-		t.Errorf("status %+v", starts)
+	if status, _ := h.JobStatus("run-000001"); status.State != api.Running || status.Done != 1 {
+		t.Errorf("status %+v", status)
 	}
-	h.heartbeat("a1", 1, taskReport("run-000001/1", at1, api.TaskExited, api.CauseDone))
+	h.heartbeat("a1", 1, taskReport("run-000001/1", secondAttempt, api.TaskExited, api.CauseDone))
 	if len(h.terminalStates) != 0 {
 		t.Error("the job was reported as done before that was stored")
 	}
@@ -134,7 +134,7 @@
 
 // A cancellation is confirmed once no start is in transit that a worker may still execute, or after
 // tuning.CancelStartWait: the task is stopped in that case too.
-func TestCancellationWaitsForStartsUnderWay(t *testing.T) {
+func TestCancellationWaitsForPendingStarts(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		h := newHarness(t)
 		start := h.submitAndStart("run-000001")
@@ -143,24 +143,24 @@
 		h.commit()
 		// Waits out the requests above, so that nothing else waits on the clock.
 		h.clock.Advance(tuning.AcceptWait)
-		got := make(chan peer.Response, 1)
+		responses := make(chan peer.Response, 1)
 		waiting, confirmed := context.WithCancel(context.Background())
 		go func() {
-			a, _ := h.Cancel(context.Background(), "run-000001")
-			got <- a
+			response, _ := h.Cancel(context.Background(), "run-000001")
+			responses <- response
 			confirmed()
 		}()
 		if err := h.clock.BlockUntilContext(waiting, 1); err != nil {
 			t.Fatal("the cancellation was confirmed while a start was in transit")
 		}
 		if answered {
-			r := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: h.nextSeq("a1"), Term: h.term, Tasks: []api.TaskReport{taskReport(alloc.key, alloc.attempt, api.TaskRunning, "")}}
-			h.CommandsAnswered("a1", start.response, r, true)
+			heartbeat := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: h.nextSeq("a1"), Term: h.term, Tasks: []api.TaskReport{taskReport(alloc.key, alloc.attempt, api.TaskRunning, "")}}
+			h.CommandsAnswered("a1", start.response, heartbeat, true)
 		} else {
 			h.clock.Advance(tuning.CancelStartWait)
 		}
-		if a := <-got; a.Status != 200 || !strings.Contains(string(a.Body), api.Cancelled) {
-			t.Errorf("start answered %v: response %d %s", answered, a.Status, a.Body)
+		if response := <-responses; response.Status != 200 || !strings.Contains(string(response.Body), api.Cancelled) {
+			t.Errorf("start answered %v: response %d %s", answered, response.Status, response.Body)
 		}
 	}
 }
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -24,9 +24,9 @@
 	h.submit("run-000001", 1, nil)
 	h.Place()
 	h.commit()
-	m := h.relayedCommandsFor("sib", "b1")
-	if len(m.Commands) != 1 || m.Commands[0].Verb != api.CommandRun || len(h.starts("run-000001/0")) != 0 {
-		t.Fatalf("relayed commands %+v, want one start; direct starts %d, want 0", m, len(h.starts("run-000001/0")))
+	commands := h.relayedCommandsFor("sib", "b1")
+	if len(commands.Commands) != 1 || commands.Commands[0].Verb != api.CommandRun || len(h.starts("run-000001/0")) != 0 {
+		t.Fatalf("relayed commands %+v, want one start; direct starts %d, want 0", commands, len(h.starts("run-000001/0")))
 	}
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
@@ -35,10 +35,10 @@
 		t.Fatal("a relayed heartbeat was taken as proof that the task is absent")
 	}
 	h.heartbeat("b1", 1)
-	if m := h.relayedCommandsFor("sib", "b1"); len(m.Commands) != 0 {
-		t.Errorf("commands are still relayed after a direct heartbeat: %+v", m)
+	if commands := h.relayedCommandsFor("sib", "b1"); len(commands.Commands) != 0 {
+		t.Errorf("commands are still relayed after a direct heartbeat: %+v", commands)
 	}
-	for h.seq["b1"] < m.Seq+tuning.RelayedCommandsSpan {
+	for h.seq["b1"] < commands.Seq+tuning.RelayedCommandsSpan {
 		h.heartbeat("b1", 1)
 	}
 	h.commit()
@@ -50,8 +50,8 @@
 	if h.jobs["run-000001"] != nil {
 		t.Error("the first heartbeat whose response cannot contain the relayed start was not taken as proof that the task is absent")
 	}
-	if m := h.relayedCommandsFor("sib", "b1"); len(m.Commands) != 0 {
-		t.Errorf("commands are still relayed: %+v", m)
+	if commands := h.relayedCommandsFor("sib", "b1"); len(commands.Commands) != 0 {
+		t.Errorf("commands are still relayed: %+v", commands)
 	}
 	// Packets for the leader of another term must be ignored.
 	raw, _ := json.Marshal(relay.Packet{Term: h.term - 1, Packed: "x"})
@@ -63,59 +63,59 @@
 // For any number of workers that can reach only a follower, each heartbeat reaches the leader and each command its
 // worker within the limits of the state service.
 func TestManyWorkersRelayWithinStateLimits(t *testing.T) {
-	for _, many := range []int{50, 500, 2500} {
+	for _, workerCount := range []int{50, 500, 2500} {
 		h := newHarness(t)
 		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 		limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-		y := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
-		name := func(i int) string { return fmt.Sprintf("b%04d", i) }
-		told := map[string]string{}
+		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+		workerName := func(i int) string { return fmt.Sprintf("b%04d", i) }
+		startedOn := map[string]string{}
 		seq := uint64(0)
-		say := func() {
+		sendHeartbeats := func() {
 			seq++
-			for i := range many {
-				r := &api.Heartbeat{Machine: name(i), Address: name(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: h.term}
-				if o := y.HandleHeartbeat(r, h.term); len(o.Commands) > 0 {
-					told[o.Commands[0].Task] = name(i)
+			for i := range workerCount {
+				heartbeat := &api.Heartbeat{Machine: workerName(i), Address: workerName(i) + ":1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: h.term}
+				if response := follower.HandleHeartbeat(heartbeat, h.term); len(response.Commands) > 0 {
+					startedOn[response.Commands[0].Task] = workerName(i)
 				}
 			}
 		}
-		packets := newWorkerPackets(h, y.Exchange)
-		carry := func() {
+		packets := newWorkerPackets(h, follower.Exchange)
+		exchangePackets := func() {
 			h.clock.Advance(tuning.RelayEvery)
 			packets.toLeader(h.AcceptWorkerMessage)
 			h.Place()
 			h.commit()
 			packets.toFollower()
 		}
-		say()
-		for range 2 + many/500 {
-			carry()
+		sendHeartbeats()
+		for range 2 + workerCount/500 {
+			exchangePackets()
 		}
-		if len(h.machines) != many {
-			t.Fatalf("%d of %d workers reached the leader", len(h.machines), many)
+		if len(h.machines) != workerCount {
+			t.Fatalf("%d of %d workers reached the leader", len(h.machines), workerCount)
 		}
-		h.submit("run-000001", min(many, 100), func(x *api.Submission) { x.Team, x.CPUs, x.MemoryGB = "left", 8, 8 })
+		h.submit("run-000001", min(workerCount, 100), func(submission *api.Submission) { submission.Team, submission.CPUs, submission.MemoryGB = "left", 8, 8 })
 		for range 4 {
-			say()
-			carry()
+			sendHeartbeats()
+			exchangePackets()
 		}
-		say()
-		if len(told) != min(many, 100) {
-			t.Errorf("%d workers: %d starts arrived, want %d", many, len(told), min(many, 100))
+		sendHeartbeats()
+		if len(startedOn) != min(workerCount, 100) {
+			t.Errorf("%d workers: %d starts arrived, want one for each task", workerCount, len(startedOn))
 		}
-		for key, n := range told {
-			if alloc := h.jobs["run-000001"].allocations[taskNumber(key)]; alloc == nil || alloc.machine.Name != n {
-				t.Fatalf("the start of %s arrived at %s, which does not hold its allocation", key, n)
+		for key, machineName := range startedOn {
+			if alloc := h.jobs["run-000001"].allocations[taskNumber(key)]; alloc == nil || alloc.machine.Name != machineName {
+				t.Fatalf("the start of %s arrived at %s, which does not hold its allocation", key, machineName)
 			}
 		}
 		if len(h.state.Refused) != 0 {
-			t.Errorf("%d workers: the state service refused %v", many, h.state.Refused)
+			t.Errorf("%d workers: the state service refused %v", workerCount, h.state.Refused)
 		}
 	}
 }
 
 func taskNumber(key string) int {
-	_, n, _ := parseTaskKey(key)
-	return n
+	_, number, _ := parseTaskKey(key)
+	return number
 }
--- a/scheduler/failure_detection_test.go
+++ b/scheduler/failure_detection_test.go
@@ -52,19 +52,19 @@
 	// The heartbeats of most of the zone are already relayed, but its controllers are unreachable. The other machines
 	// may still be searching for a relay.
 	h = newHarness(t)
-	for _, m := range []string{"b1", "b2", "b3"} {
-		h.heartbeat(m, 1)
+	for _, name := range []string{"b1", "b2", "b3"} {
+		h.heartbeat(name, 1)
 	}
 	h.unreachableZone = "b"
-	rest := func() {
+	sendOtherHeartbeats := func() {
 		h.heartbeat("a1", 1)
 		h.heartbeatsThrough("sib", "b2", "b3")
 	}
-	if names := h.maintainFor(15*time.Second, rest); len(names) != 0 {
+	if names := h.maintainFor(15*time.Second, sendOtherHeartbeats); len(names) != 0 {
 		t.Errorf("released %v, want none", names)
 	}
 	h.unreachableZone = ""
-	if names := h.maintainFor(5*time.Second, rest); len(names) != 1 || names[0] != "b1" {
+	if names := h.maintainFor(5*time.Second, sendOtherHeartbeats); len(names) != 1 || names[0] != "b1" {
 		t.Errorf("released %v, want b1", names)
 	}
 }
@@ -72,86 +72,86 @@
 // Idle machines are released, even if teams have a guarantee.
 func TestIdleMachinesAreReleased(t *testing.T) {
 	h := newHarness(t)
-	left := map[string]bool{}
+	remaining := map[string]bool{}
 	for i := range 4 {
-		left[fmt.Sprintf("a%d", i)] = true
+		remaining[fmt.Sprintf("a%d", i)] = true
 	}
 	for range 8 * 30 * 2 {
 		h.clock.Advance(time.Second)
-		for m := range left {
-			h.heartbeat(m, 1)
+		for name := range remaining {
+			h.heartbeat(name, 1)
 		}
-		for _, n := range h.MaintainFleet() {
-			delete(left, n)
-			h.InstancesReleased([]string{n}, nil)
+		for _, name := range h.MaintainFleet() {
+			delete(remaining, name)
+			h.InstancesReleased([]string{name}, nil)
 		}
 	}
-	if len(left) > 0 || len(h.InstanceRequests()) > 0 {
-		t.Errorf("%d idle machines were not released, or new ones were requested", len(left))
+	if len(remaining) > 0 || len(h.InstanceRequests()) > 0 {
+		t.Errorf("%d idle machines were not released, or new ones were requested", len(remaining))
 	}
 }
 
 // A paused leader receives no heartbeats. After a pause it released the machines whose first heartbeat came later than
 // those of the others, because it counted the pause as their silence.
-func TestProcessPauseIsNotHeldAgainstMachines(t *testing.T) {
+func TestProcessPauseDoesNotCountAsMachineSilence(t *testing.T) {
 	h := newHarness(t)
 	all := []string{"a1", "a2", "a3", "a4", "a5", "a6"}
-	for _, n := range all {
-		h.heartbeat(n, 1)
+	for _, name := range all {
+		h.heartbeat(name, 1)
 	}
 	h.maintainFor(13*time.Second, func() {
-		for _, n := range all {
-			h.heartbeat(n, 1)
+		for _, name := range all {
+			h.heartbeat(name, 1)
 		}
 	})
 	h.clock.Advance(8 * time.Second)
-	for _, n := range all[:4] {
-		h.heartbeat(n, 1)
+	for _, name := range all[:4] {
+		h.heartbeat(name, 1)
 	}
-	if gone := h.MaintainFleet(); len(gone) > 0 {
-		t.Fatalf("%v released because of the time in which the leader was paused", gone)
+	if released := h.MaintainFleet(); len(released) > 0 {
+		t.Fatalf("%v released because of the time in which the leader was paused", released)
 	}
-	gone := h.maintainFor(5*time.Second, func() {
-		for _, n := range all[:5] {
-			h.heartbeat(n, 1)
+	released := h.maintainFor(5*time.Second, func() {
+		for _, name := range all[:5] {
+			h.heartbeat(name, 1)
 		}
 	})
-	if !slices.Equal(gone, []string{"a6"}) {
-		t.Errorf("%v released after the pause, want only the machine that stays silent", gone)
+	if !slices.Equal(released, []string{"a6"}) {
+		t.Errorf("%v released after the pause, want only the machine that stays silent", released)
 	}
 }
 
 // Workers of a controller that stops responding need half a lease to switch to the next controller. If they were less
 // than half of their zone, they were released before that.
-func TestMachinesOfASilentControllerAreLeftTime(t *testing.T) {
+func TestMachinesOfSilentControllerGetTimeToSwitch(t *testing.T) {
 	h := newHarness(t)
-	var there, here []string
+	var throughPeer, direct []string
 	for i := range 8 {
-		here = append(here, fmt.Sprintf("a1%d", i))
+		direct = append(direct, fmt.Sprintf("a1%d", i))
 		if i < 4 {
-			there = append(there, fmt.Sprintf("a2%d", i))
+			throughPeer = append(throughPeer, fmt.Sprintf("a2%d", i))
 		}
 	}
-	others := func() {
-		for _, n := range here[1:] {
-			h.heartbeat(n, 1)
+	sendMostDirectHeartbeats := func() {
+		for _, name := range direct[1:] {
+			h.heartbeat(name, 1)
 		}
 	}
-	all := func() {
-		others()
-		h.heartbeat(here[0], 1)
-		for _, n := range there {
-			h.heartbeatThrough("n1", n)
+	sendAllHeartbeats := func() {
+		sendMostDirectHeartbeats()
+		h.heartbeat(direct[0], 1)
+		for _, name := range throughPeer {
+			h.heartbeatThrough("n1", name)
 		}
 	}
-	all()
-	h.maintainFor(13*time.Second, all)
-	gone := h.maintainFor(6*time.Second, others)
-	if !slices.Equal(gone, here[:1]) {
-		t.Fatalf("%v released, want only the machine that is silent while others on the same path are not", gone)
+	sendAllHeartbeats()
+	h.maintainFor(13*time.Second, sendAllHeartbeats)
+	released := h.maintainFor(6*time.Second, sendMostDirectHeartbeats)
+	if !slices.Equal(released, direct[:1]) {
+		t.Fatalf("%v released, want only the machine that is silent while others on the same path are not", released)
 	}
-	if gone = h.maintainFor(5*time.Second, others); len(gone) != len(there) {
-		t.Errorf("%v released after a whole lease, want all of %v", gone, there)
+	if released = h.maintainFor(5*time.Second, sendMostDirectHeartbeats); len(released) != len(throughPeer) {
+		t.Errorf("%v released after a whole lease, want all of %v", released, throughPeer)
 	}
 }
 
@@ -159,21 +159,21 @@
 // start waited for the next heartbeat. It must resign, so that the peer can lead.
 func TestLeaderThatReachesNoWorkerResigns(t *testing.T) {
 	h := newHarness(t)
-	hears := []peer.Hello{{Member: "n1", StateOK: true, ReceivesHeartbeats: true}}
+	receivingPeers := []peer.Hello{{Member: "n1", StateOK: true, ReceivesHeartbeats: true}}
 	h.heartbeat("a1", 1)
 	h.heartbeat("a2", 1)
-	miss := func(n int) {
+	loseCommands := func(n int) {
 		for range n {
 			h.CommandsAnswered("a1", api.HeartbeatResponse{Term: h.term}, nil, true)
 		}
 	}
-	quiet := func() { h.heartbeatThrough("n1", "a1"); h.heartbeatThrough("n1", "a2") }
-	miss(tuning.OutboundLostCommands)
-	if h.OutboundLost(hears) {
+	sendThroughPeer := func() { h.heartbeatThrough("n1", "a1"); h.heartbeatThrough("n1", "a2") }
+	loseCommands(tuning.OutboundLostCommands)
+	if h.OutboundLost(receivingPeers) {
 		t.Error("resigns because of a few commands unanswered at one moment")
 	}
-	h.maintainFor(5*time.Second, quiet)
-	if !h.OutboundLost(hears) {
+	h.maintainFor(5*time.Second, sendThroughPeer)
+	if !h.OutboundLost(receivingPeers) {
 		t.Error("does not resign although it reaches no worker and a peer receives heartbeats")
 	}
 	if h.OutboundLost([]peer.Hello{{Member: "n1", StateOK: true}}) {
@@ -181,9 +181,9 @@
 	}
 	h.heartbeat("a2", 1)
 	h.heartbeat("a2", 1)
-	h.maintainFor(5*time.Second, quiet)
-	miss(tuning.OutboundLostCommands - 1)
-	if h.OutboundLost(hears) {
+	h.maintainFor(5*time.Second, sendThroughPeer)
+	loseCommands(tuning.OutboundLostCommands - 1)
+	if h.OutboundLost(receivingPeers) {
 		t.Error("resigns because one machine does not answer, although another sent heartbeats directly")
 	}
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -56,21 +56,21 @@
 // elect begins a new term on the same state service, as after a crash of the leader.
 func (h *harness) elect() *harness {
 	h.Helper()
-	set := &settings.Settings{Member: "x"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: h.limits.Next}
-	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
+	memberSettings := &settings.Settings{Member: "x"}
+	memberSettings.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	memberSettings.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: h.limits.Next}
+	memberSettings.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
 		{Name: "left", CPUs: 900, CPUsMax: 3000}, {Name: "right", CPUs: 1200, CPUsMax: 3000}}
 	term := h.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	client := store.NewClient("state:1", h.state)
 	h.leading, h.sent, h.answered, h.terminalStates = true, nil, 0, map[string]store.FinalRecord{}
-	played := harnessCollaborators{h}
-	collaborators := Collaborators{Records: played, Sender: played, Leadership: played, Zones: played, TerminalStates: played}
-	h.Scheduler = New(term, h.clock, set, policy.Default(), testTypes, collaborators)
+	fakes := harnessCollaborators{h}
+	collaborators := Collaborators{Records: fakes, Sender: fakes, Leadership: fakes, Zones: fakes, TerminalStates: fakes}
+	h.Scheduler = New(term, h.clock, memberSettings, policy.Default(), testTypes, collaborators)
 	if h.topologyMap != nil {
 		h.UseTopology(h.topologyMap)
 	}
-	h.committer = store.NewCommitter(client, harnessSource{h.Scheduler, h}, h.clock, set.Facts.State, map[string]uint64{})
+	h.committer = store.NewCommitter(client, harnessSource{h.Scheduler, h}, h.clock, memberSettings.Facts.State, map[string]uint64{})
 	ctx := context.Background()
 	jobs, _, err := client.List(ctx, store.JobPrefix)
 	if err != nil {
@@ -85,8 +85,8 @@
 		h.Fatal(err)
 	}
 	h.LoadImageHints(images)
-	for _, it := range append(append(jobs, shards...), images...) {
-		h.committer.SetRevision(it.Key, it.Revision)
+	for _, item := range append(append(jobs, shards...), images...) {
+		h.committer.SetRevision(item.Key, item.Revision)
 	}
 	h.Load(jobs, shards)
 	return h
@@ -155,12 +155,12 @@
 // submit submits a job, changed by change if that is not nil, and stores its record.
 func (h *harness) submit(id string, tasks int, change func(*api.Submission)) {
 	h.Helper()
-	sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: tasks,
+	submission := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: tasks,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30}
 	if change != nil {
-		change(&sub)
+		change(&submission)
 	}
-	h.Submit(cancelledContext(), &sub, h.clock.Now())
+	h.Submit(cancelledContext(), &submission, h.clock.Now())
 	h.commit()
 	if _, ok := h.JobStatus(id); !ok {
 		h.Fatalf("%s not accepted", id)
@@ -174,13 +174,13 @@
 }
 
 // heartbeat delivers a direct heartbeat of a worker that has seen the current term.
-func (h *harness) heartbeat(name string, session uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
-	return h.heartbeatAt(name, session, h.nextSeq(name), h.term, tasks...)
+func (h *harness) heartbeat(name string, incarnation uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	return h.heartbeatAt(name, incarnation, h.nextSeq(name), h.term, tasks...)
 }
 
-func (h *harness) heartbeatAt(name string, session, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
-	o, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: term, Tasks: tasks}, "")
-	return o
+func (h *harness) heartbeatAt(name string, incarnation, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	response, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: incarnation, Seq: seq, Term: term, Tasks: tasks}, "")
+	return response
 }
 
 // zoneOf returns the zone of a machine: b if its name begins with b, otherwise a.
@@ -197,19 +197,19 @@
 
 // starts returns the run commands for a task sent directly so far, newest last.
 func (h *harness) starts(key string) (out []sentCommands) {
-	for _, o := range h.sent {
-		for _, c := range o.response.Commands {
-			if c.Verb == api.CommandRun && c.Task == key {
-				out = append(out, sentCommands{o.machine, api.HeartbeatResponse{Term: o.response.Term, Incarnation: o.response.Incarnation, Commands: []api.Command{c}}})
+	for _, sent := range h.sent {
+		for _, command := range sent.response.Commands {
+			if command.Verb == api.CommandRun && command.Task == key {
+				out = append(out, sentCommands{sent.machine, api.HeartbeatResponse{Term: sent.response.Term, Incarnation: sent.response.Incarnation, Commands: []api.Command{command}}})
 			}
 		}
 	}
 	return out
 }
 
-func hasCommand(o api.HeartbeatResponse, verb, key string) bool {
-	for _, c := range o.Commands {
-		if c.Verb == verb && c.Task == key {
+func hasCommand(response api.HeartbeatResponse, verb, key string) bool {
+	for _, command := range response.Commands {
+		if command.Verb == verb && command.Task == key {
 			return true
 		}
 	}
@@ -249,13 +249,13 @@
 
 // maintainFor advances the clock by d in steps of tuning.MaintainEvery. In each step it calls reports, which delivers
 // heartbeats, and then MaintainFleet. It returns the machines to be released.
-func (h *harness) maintainFor(d time.Duration, reports func()) (returned []string) {
-	for ; d > 0; d -= tuning.MaintainEvery {
+func (h *harness) maintainFor(duration time.Duration, sendHeartbeats func()) (released []string) {
+	for ; duration > 0; duration -= tuning.MaintainEvery {
 		h.clock.Advance(tuning.MaintainEvery)
-		reports()
-		returned = append(returned, h.MaintainFleet()...)
+		sendHeartbeats()
+		released = append(released, h.MaintainFleet()...)
 	}
-	return returned
+	return released
 }
 
 // instancesGranted simulates the cloud's response to a request for instances.
@@ -266,8 +266,8 @@
 
 // heartbeatsThrough delivers heartbeats that a peer relays through the state service.
 func (h *harness) heartbeatsThrough(member string, names ...string) {
-	for _, n := range names {
-		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: h.nextSeq(n), Term: h.term})
+	for _, name := range names {
+		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term})
 	}
 }
 
@@ -277,26 +277,26 @@
 }
 
 // relayedCommandsFor returns the commands in the state service for a machine whose heartbeats a peer relays.
-func (h *harness) relayedCommandsFor(member, name string) (m store.RelayedCommands) {
+func (h *harness) relayedCommandsFor(member, name string) (commands store.RelayedCommands) {
 	h.Helper()
-	var r relay.Reader
+	var reader relay.Reader
 	items, _, err := store.NewClient("state:1", h.state).List(context.Background(), store.RelayResponsePrefix+member+"/")
-	for _, it := range items {
-		var l relay.Packet
+	for _, item := range items {
+		var packet relay.Packet
 		if err == nil {
-			err = json.Unmarshal(it.Value, &l)
+			err = json.Unmarshal(item.Value, &packet)
 		}
 		if err == nil {
-			err = r.Apply(it.Key, it.Revision, &l)
+			err = reader.Apply(item.Key, item.Revision, &packet)
 		}
 	}
-	if raw := r.MessageFor(h.term, name); err == nil && raw != nil {
-		err = json.Unmarshal(raw, &m)
+	if raw := reader.MessageFor(h.term, name); err == nil && raw != nil {
+		err = json.Unmarshal(raw, &commands)
 	}
 	if err != nil {
 		h.Fatal(err)
 	}
-	return m
+	return commands
 }
 
 func (h *harness) client() *store.Client { return store.NewClient("state:1", h.state) }
@@ -306,17 +306,17 @@
 	h.Place()
 	h.commit()
 	runningOn := map[string][]api.TaskReport{}
-	for _, o := range h.sent {
-		for _, c := range o.response.Commands {
-			if c.Verb == api.CommandRun {
-				runningOn[o.machine] = append(runningOn[o.machine], taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
+	for _, message := range h.sent {
+		for _, command := range message.response.Commands {
+			if command.Verb == api.CommandRun {
+				runningOn[message.machine] = append(runningOn[message.machine], taskReport(command.Task, command.Attempt, api.TaskRunning, ""))
 			}
 		}
 	}
 	sent := h.sent
 	h.sent = nil
-	for _, o := range sent {
-		h.CommandsAnswered(o.machine, o.response, nil, true)
+	for _, message := range sent {
+		h.CommandsAnswered(message.machine, message.response, nil, true)
 	}
 	for name, tasks := range runningOn {
 		h.heartbeat(name, 1, tasks...)
@@ -326,22 +326,22 @@
 // again sends a heartbeat with the same task list as the worker's last one.
 func (h *harness) again(name string) {
 	var tasks []api.TaskReport
-	for _, t := range h.machines[name].Attempts {
-		tasks = append(tasks, t)
+	for _, report := range h.machines[name].Attempts {
+		tasks = append(tasks, report)
 	}
 	h.heartbeat(name, 1, tasks...)
 }
 
 // status returns the state of a job as the leader reports it; empty if the job is not known.
 func (h *harness) status(id string) string {
-	starts, ok := h.JobStatus(id)
+	status, ok := h.JobStatus(id)
 	if !ok {
-		if f, over := h.terminalStates[id]; over {
-			return f.State
+		if final, ended := h.terminalStates[id]; ended {
+			return final.State
 		}
 		return ""
 	}
-	return starts.State
+	return status.State
 }
 
 // complete runs all tasks of a job to completion on one machine.
@@ -350,10 +350,10 @@
 	h.heartbeat(machine, 1)
 	h.Place()
 	h.commit()
-	var ran, done []api.TaskReport
+	var running, done []api.TaskReport
 	for key, alloc := range h.machines[machine].allocations {
 		if alloc.committed && alloc.job.id == id {
-			ran = append(ran, taskReport(key, alloc.attempt, api.TaskRunning, ""))
+			running = append(running, taskReport(key, alloc.attempt, api.TaskRunning, ""))
 			done = append(done, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
@@ -361,7 +361,7 @@
 		h.Fatalf("%s did not start", id)
 	}
 	h.answerCommands()
-	h.heartbeat(machine, 1, ran...)
+	h.heartbeat(machine, 1, running...)
 	h.heartbeat(machine, 1, done...)
 	h.commit()
 	h.answerCommands()
@@ -370,7 +370,9 @@
 
 // awaiting returns a change of a submission to a small job that depends on others.
 func awaiting(ids ...string) func(*api.Submission) {
-	return func(x *api.Submission) { x.Awaits, x.CPUs, x.MemoryGB = ids, 0.1, 0.1 }
+	return func(submission *api.Submission) {
+		submission.Awaits, submission.CPUs, submission.MemoryGB = ids, 0.1, 0.1
+	}
 }
 
 // smallJob changes a submission to a small job without dependencies.
@@ -379,11 +381,11 @@
 // configured parses a configuration and applies it over the default one.
 func configured(t *testing.T, text string) *configuration.Active {
 	t.Helper()
-	d, err := configuration.Parse(text)
+	document, err := configuration.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d.Over(configuration.FromFiles(nil, policy.Default()), 3)
+	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
 func oneTeam(limit string) string { return "[[teams]]\nname = \"t\"\ncpus_max = " + limit + "\n" }
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -17,16 +17,16 @@
 	harness   *harness
 	reachable map[string]bool
 	workers   map[string]*fake.Worker
-	// begun counts the run commands delivered to each machine.
-	begun    map[string]int
-	released []string
+	// startCounts counts the run commands delivered to each machine.
+	startCounts map[string]int
+	released    []string
 }
 
 func newInboundLostWorkers(h *harness, names ...string) *inboundLostWorkers {
-	workers := &inboundLostWorkers{harness: h, reachable: map[string]bool{}, workers: map[string]*fake.Worker{}, begun: map[string]int{}}
-	for _, n := range names {
-		workers.reachable[n] = true
-		workers.workers[n] = fake.NewWorker(fake.WorkerOptions{Host: fake.Host{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n)}, Clock: h.clock,
+	workers := &inboundLostWorkers{harness: h, reachable: map[string]bool{}, workers: map[string]*fake.Worker{}, startCounts: map[string]int{}}
+	for _, name := range names {
+		workers.reachable[name] = true
+		workers.workers[name] = fake.NewWorker(fake.WorkerOptions{Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name)}, Clock: h.clock,
 			Every: time.Second, Lease: 10 * time.Second, Runs: func(string) time.Duration { return time.Hour }})
 	}
 	return workers
@@ -34,44 +34,44 @@
 
 // run advances the clock by d. Reachable machines send a heartbeat every second, and all machines answer direct
 // commands.
-func (w *inboundLostWorkers) run(d time.Duration) {
+func (w *inboundLostWorkers) run(duration time.Duration) {
 	h := w.harness
-	for end := h.clock.Now().Add(d); h.clock.Now().Before(end); h.clock.Advance(500 * time.Millisecond) {
-		for _, n := range slices.Sorted(maps.Keys(w.workers)) {
-			x := w.workers[n]
-			if w.reachable[n] && h.clock.Now().UnixMilli()%1000 < 500 {
-				w.deliver(n, x.Report())
+	for end := h.clock.Now().Add(duration); h.clock.Now().Before(end); h.clock.Advance(500 * time.Millisecond) {
+		for _, name := range slices.Sorted(maps.Keys(w.workers)) {
+			worker := w.workers[name]
+			if w.reachable[name] && h.clock.Now().UnixMilli()%1000 < 500 {
+				w.deliverHeartbeat(name, worker.Report())
 			}
 		}
 		w.released = append(w.released, h.MaintainFleet()...)
 		h.Place()
 		h.commit()
 		for ; h.answered < len(h.sent); h.answered++ {
-			o := h.sent[h.answered]
-			w.count(o.machine, o.response.Commands)
-			if w.workers[o.machine] == nil {
-				h.CommandsAnswered(o.machine, o.response, nil, false)
+			message := h.sent[h.answered]
+			w.countStarts(message.machine, message.response.Commands)
+			if w.workers[message.machine] == nil {
+				h.CommandsAnswered(message.machine, message.response, nil, false)
 				continue
 			}
-			r, _ := w.workers[o.machine].Direct(o.response)
-			h.CommandsAnswered(o.machine, o.response, r, true)
+			heartbeat, _ := w.workers[message.machine].Direct(message.response)
+			h.CommandsAnswered(message.machine, message.response, heartbeat, true)
 		}
 	}
 }
 
-func (w *inboundLostWorkers) count(name string, cs []api.Command) {
-	for _, c := range cs {
-		if c.Verb == api.CommandRun {
-			w.begun[name]++
+func (w *inboundLostWorkers) countStarts(name string, commands []api.Command) {
+	for _, command := range commands {
+		if command.Verb == api.CommandRun {
+			w.startCounts[name]++
 		}
 	}
 }
 
-// deliver delivers a heartbeat to the leader and the response to the worker.
-func (w *inboundLostWorkers) deliver(name string, r *api.Heartbeat) {
-	o, _, _ := w.harness.HandleHeartbeat(r, "")
-	w.count(name, o.Commands)
-	w.workers[name].Answer(r, w.harness.clock.Now(), o)
+// deliverHeartbeat delivers a heartbeat to the leader and the response to the worker.
+func (w *inboundLostWorkers) deliverHeartbeat(name string, heartbeat *api.Heartbeat) {
+	response, _, _ := w.harness.HandleHeartbeat(heartbeat, "")
+	w.countStarts(name, response.Commands)
+	w.workers[name].Answer(heartbeat, w.harness.clock.Now(), response)
 }
 
 // A machine's heartbeats reach no controller, but it still executes commands. It must get no new work, and its tasks
@@ -81,20 +81,20 @@
 func TestMachineWithLostHeartbeatsGetsNoMoreWork(t *testing.T) {
 	h := newHarness(t)
 	workers := newInboundLostWorkers(h, "a1", "a2", "a3", "a4")
-	for n := range workers.reachable {
-		workers.reachable[n] = n == "a1"
+	for name := range workers.reachable {
+		workers.reachable[name] = name == "a1"
 	}
 	workers.run(time.Second)
-	h.submit("run-000001", 1, func(x *api.Submission) { x.Shape, x.Rank = api.Service, "prod" })
+	h.submit("run-000001", 1, func(submission *api.Submission) { submission.Shape, submission.Rank = api.Service, "prod" })
 	h.submit("run-000002", 1, nil)
 	workers.run(time.Second)
 	if len(h.machines["a1"].allocations) != 2 {
 		t.Fatalf("%d tasks on a1", len(h.machines["a1"].allocations))
 	}
-	for n := range workers.reachable {
-		workers.reachable[n] = n != "a1"
+	for name := range workers.reachable {
+		workers.reachable[name] = name != "a1"
 	}
-	before := workers.begun["a1"]
+	before := workers.startCounts["a1"]
 	workers.run(6 * time.Second)
 	for _, id := range []string{"run-000001", "run-000002"} {
 		if alloc := h.jobs[id].allocations[0]; alloc == nil || alloc.machine.Name == "a1" || alloc.state != api.TaskRunning {
@@ -107,12 +107,12 @@
 		t.Errorf("wait reason %q does not name the machine whose heartbeats are lost", why)
 	}
 	workers.run(6 * time.Second)
-	if workers.begun["a1"] != before || len(workers.released) > 0 {
-		t.Errorf("%d starts on the machine whose heartbeats are lost, want 0; released %v, want none", workers.begun["a1"]-before, workers.released)
+	if workers.startCounts["a1"] != before || len(workers.released) > 0 {
+		t.Errorf("%d starts on the machine whose heartbeats are lost, want 0; released %v, want none", workers.startCounts["a1"]-before, workers.released)
 	}
 	workers.reachable["a1"] = true
 	workers.run(2 * time.Second)
-	if workers.begun["a1"] == before {
+	if workers.startCounts["a1"] == before {
 		t.Error("the machine got no work within 2 s after its heartbeats arrived again")
 	}
 	// A machine whose heartbeats stay lost is released in the end.
@@ -130,7 +130,7 @@
 	h := newHarness(t)
 	workers := newInboundLostWorkers(h, "a1", "b1", "b2", "b3", "b4")
 	workers.run(time.Second)
-	h.submit("run-000001", 8, func(x *api.Submission) { x.Zone = "b" })
+	h.submit("run-000001", 8, func(submission *api.Submission) { submission.Zone = "b" })
 	workers.run(2 * time.Second)
 	for n := range workers.reachable {
 		workers.reachable[n] = n == "a1"
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -25,7 +25,7 @@
 	// queues holds the machine's run queues, sorted by compareJobs as of the last placement round.
 	queues []*runQueue
 	// exited holds the attempts that have exited and that the worker still reports.
-	exited map[fleet.Attempt]*exitedTask
+	exited map[fleet.Attempt]*exitedAttempt
 
 	// commandInFlight is true while a direct command awaits its answer; resendCommands is true if commands must be sent
 	// again after it.
@@ -72,7 +72,7 @@
 			Machine:     &fleet.Machine{Name: name, LastHeartbeat: s.now(), RequestedAt: s.now()},
 			allocations: map[string]*allocation{},
 			imagesInUse: map[string]int{},
-			exited:      map[fleet.Attempt]*exitedTask{},
+			exited:      map[fleet.Attempt]*exitedAttempt{},
 			idleSince:   s.now(),
 		}
 		s.machines[name] = machine
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -4,7 +4,7 @@
 
 // pendingStarts tracks the run commands for one attempt that this leader has sent and that may still start the attempt
 // (rule 4 of docs/design.md). It exists from the attempt's first start until its machine has cleared the attempt: in
-// the allocation, and after the attempt's exit in its exitedTask. The zero value means none. Scheduler.mu guards it.
+// the allocation, and after the attempt's exit in its exitedAttempt. The zero value means none. Scheduler.mu guards it.
 type pendingStarts struct {
 	// direct counts commands sent directly whose outcome is unknown. Each may still be executed at any time in this
 	// term.
@@ -130,8 +130,8 @@
 	return absenceStartLost, ""
 }
 
-// exitedTask is an attempt that has exited on a machine and is not cleared yet. Scheduler.mu guards it.
-type exitedTask struct {
+// exitedAttempt is an attempt that has exited on a machine and is not cleared yet. Scheduler.mu guards it.
+type exitedAttempt struct {
 	// starts tracks the run commands that may still arrive. They do not start the attempt again only because the worker
 	// still remembers it.
 	starts pendingStarts
@@ -143,6 +143,6 @@
 
 // mayClear reports whether the worker may be told to forget the attempt. Clearing an attempt while a start for it was
 // in transit made a task run on two machines (docs/incidents/task-ran-twice.md).
-func (e *exitedTask) mayClear() bool {
+func (e *exitedAttempt) mayClear() bool {
 	return e.stored && e.starts.isEmpty()
 }
--- a/scheduler/pending_starts_test.go
+++ b/scheduler/pending_starts_test.go
@@ -6,19 +6,19 @@
 	"switchferry/tuning"
 )
 
-func TestStartsAreSettledByWhatProvesThemSettled(t *testing.T) {
+func TestPendingStartsAreSettledOnlyByProof(t *testing.T) {
 	const sentAfter = 10
 	const lastRelayed = sentAfter + tuning.RelayedCommandsSpan
 	cases := []struct {
 		name string
 		sent deliveryPath
-		// heardOn and heardSeq are the path and sequence number of the next newer heartbeat; answered is true if the
-		// command was answered.
-		heardOn  deliveryPath
-		heardSeq uint64
-		answered bool
-		// none is true if no start must be pending after that.
-		none bool
+		// heartbeatPath and heartbeatSeq are the path and sequence number of the next newer heartbeat; answered is true
+		// if the command was answered.
+		heartbeatPath deliveryPath
+		heartbeatSeq  uint64
+		answered      bool
+		// wantEmpty is true if no start must be pending after that.
+		wantEmpty bool
 	}{
 		{"a direct start, and a heartbeat", byCommandResponse, byHeartbeat, lastRelayed + 1, false, false},
 		{"a direct start, and a relayed heartbeat", byCommandResponse, byRelay, lastRelayed + 1, false, false},
@@ -45,9 +45,9 @@
 		if tc.answered {
 			starts.settleDirect()
 		}
-		starts.observe(tc.heardOn, tc.heardSeq)
-		if starts.isEmpty() != tc.none {
-			t.Errorf("%s: pending starts %+v, want none: %v", tc.name, starts, tc.none)
+		starts.observe(tc.heartbeatPath, tc.heartbeatSeq)
+		if starts.isEmpty() != tc.wantEmpty {
+			t.Errorf("%s: unexpected pending starts %+v", tc.name, starts)
 		}
 	}
 }
@@ -83,18 +83,18 @@
 func TestExitIsClearedOnceStoredAndNoStartCanArrive(t *testing.T) {
 	cases := []struct {
 		name     string
-		exit     exitedTask
+		exit     exitedAttempt
 		mayClear bool
 	}{
-		{"stored", exitedTask{stored: true}, true},
-		{"not stored", exitedTask{}, false},
-		{"a direct start pending", exitedTask{stored: true, starts: pendingStarts{direct: 1}}, false},
-		{"a start in a response pending", exitedTask{stored: true, starts: pendingStarts{responseSeq: 4}}, false},
-		{"a relayed start pending", exitedTask{stored: true, starts: pendingStarts{relayedSeq: 9}}, false},
+		{"stored", exitedAttempt{stored: true}, true},
+		{"not stored", exitedAttempt{}, false},
+		{"a direct start pending", exitedAttempt{stored: true, starts: pendingStarts{direct: 1}}, false},
+		{"a start in a response pending", exitedAttempt{stored: true, starts: pendingStarts{responseSeq: 4}}, false},
+		{"a relayed start pending", exitedAttempt{stored: true, starts: pendingStarts{relayedSeq: 9}}, false},
 	}
 	for _, tc := range cases {
 		if tc.exit.mayClear() != tc.mayClear {
-			t.Errorf("%s: %+v, want mayClear %v", tc.name, tc.exit, tc.mayClear)
+			t.Errorf("%s: wrong result of mayClear for %+v", tc.name, tc.exit)
 		}
 	}
 }
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -142,7 +142,7 @@
 
 // forgetExit removes the exit of an attempt that the machine's newest heartbeat does not list, because the attempt was
 // cleared or a new incarnation began. s.mu must be held.
-func (s *Scheduler) forgetExit(machine *machineState, attempt fleet.Attempt, exit *exitedTask) {
+func (s *Scheduler) forgetExit(machine *machineState, attempt fleet.Attempt, exit *exitedAttempt) {
 	if machine.Incarnation == exit.incarnation && !exit.starts.isEmpty() {
 		invariant.Violated("an attempt is cleared only when no start of it can arrive", "task", attempt.Task, "attempt", attempt.Number,
 			"machine", machine.Name, "incarnation", machine.Incarnation, "seq", machine.Seq, "direct", exit.starts.direct, "response_to", exit.starts.responseSeq,
@@ -199,7 +199,7 @@
 // reconcileExited handles the exit of an allocation's attempt, which proves that it no longer runs. s.mu must be held.
 func (s *Scheduler) reconcileExited(machine *machineState, alloc *allocation, cause string) {
 	// The attempt may be cleared only once no start for it is in transit on any path.
-	exit := &exitedTask{starts: alloc.starts, incarnation: machine.Incarnation, stored: cause != api.CauseDone}
+	exit := &exitedAttempt{starts: alloc.starts, incarnation: machine.Incarnation, stored: cause != api.CauseDone}
 	machine.exited[alloc.attemptID()] = exit
 	if !exit.starts.isEmpty() {
 		s.evidence.exitsCrossed++
@@ -228,7 +228,7 @@
 
 // reconcileCompleted handles the exit of a task that completed. Until the completion is stored, only the worker knows
 // of it, so the clear command is not sent before (rule 2 of docs/design.md). s.mu must be held.
-func (s *Scheduler) reconcileCompleted(machine *machineState, alloc *allocation, exit *exitedTask) {
+func (s *Scheduler) reconcileCompleted(machine *machineState, alloc *allocation, exit *exitedAttempt) {
 	machine.ClearFailures()
 	machine.faultLogged = false
 	alloc.job.clearFailures()
@@ -239,7 +239,7 @@
 
 // allowClear returns a callback that allows an exited task to be cleared on its machine. It must be called with s.mu
 // held once the task's completion is stored.
-func (s *Scheduler) allowClear(machine *machineState, exit *exitedTask) func() {
+func (s *Scheduler) allowClear(machine *machineState, exit *exitedAttempt) func() {
 	return func() {
 		exit.stored = true
 		s.commandsReady[machine] = true
@@ -269,7 +269,7 @@
 	known := ok && job != nil && task < job.taskCount
 	switch {
 	case report.State == api.TaskExited:
-		exit := &exitedTask{incarnation: machine.Incarnation, stored: !known || report.Cause != api.CauseDone}
+		exit := &exitedAttempt{incarnation: machine.Incarnation, stored: !known || report.Cause != api.CauseDone}
 		machine.exited[attempt] = exit
 		if !exit.stored {
 			s.removeQueuedTask(job, task)
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -36,8 +36,8 @@
 	start := h.submitAndStart("run-000001")
 	h.CommandsAnswered("a1", start.response, nil, true)
 	h.heartbeatAt("a1", 1, 50, h.term, taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, ""))
-	if o := h.heartbeatAt("a1", 1, 40, h.term); len(o.Commands) != 0 {
-		t.Errorf("commands in the response to a late heartbeat: %+v", o.Commands)
+	if response := h.heartbeatAt("a1", 1, 40, h.term); len(response.Commands) != 0 {
+		t.Errorf("commands in the response to a late heartbeat: %+v", response.Commands)
 	}
 	h.Place()
 	h.commit()
@@ -47,7 +47,7 @@
 }
 
 // A heartbeat with a higher term proves that there is a newer leader.
-func TestHigherTermDeposes(t *testing.T) {
+func TestHigherTermDeposesLeader(t *testing.T) {
 	h := newHarness(t)
 	_, deposed, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Incarnation: 1, Seq: 1, Term: h.term + 5}, "")
 	if !deposed {
@@ -84,7 +84,7 @@
 
 // During an outage of the state service, heartbeats are still answered, because otherwise the workers' leases would
 // expire and end all tasks. Nothing is started.
-func TestOutageLongerThanLease(t *testing.T) {
+func TestTasksSurviveStateServiceOutage(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
 	h.CommandsAnswered("a1", start.response, nil, true)
@@ -92,14 +92,14 @@
 	h.Place()
 	h.leading = false
 	h.state.Down = true
-	run := taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, "")
+	running := taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, "")
 	for range 25 {
 		h.clock.Advance(time.Second)
 		h.committer.Step(context.Background())
-		o := h.heartbeat("a1", 1, run)
+		response := h.heartbeat("a1", 1, running)
 		h.Place()
-		if o.Term != h.term || len(o.Commands) != 0 {
-			t.Fatalf("response during an outage: %+v", o)
+		if response.Term != h.term || len(response.Commands) != 0 {
+			t.Fatalf("response during an outage: %+v", response)
 		}
 		if len(h.MaintainFleet()) != 0 {
 			t.Fatal("machines released during an outage")
@@ -122,26 +122,26 @@
 	workers.run(time.Second)
 	h.submit("run-000001", 2, nil)
 	workers.run(2 * time.Second)
-	where := func() (out []string) {
-		for _, i := range slices.Sorted(maps.Keys(h.jobs["run-000001"].allocations)) {
-			alloc := h.jobs["run-000001"].allocations[i]
+	describeAllocations := func() (out []string) {
+		for _, task := range slices.Sorted(maps.Keys(h.jobs["run-000001"].allocations)) {
+			alloc := h.jobs["run-000001"].allocations[task]
 			out = append(out, fmt.Sprint(alloc.machine.Name, alloc.attempt, alloc.state))
 		}
 		return out
 	}
-	before, begun := where(), len(workers.begun)
-	odd := func(name string, session, seq uint64, tasks ...api.TaskReport) {
-		h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: h.term, Tasks: tasks}, "")
+	before, machinesStarted := describeAllocations(), len(workers.startCounts)
+	sendHeartbeat := func(name string, incarnation, seq uint64, tasks ...api.TaskReport) {
+		h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: incarnation, Seq: seq, Term: h.term, Tasks: tasks}, "")
 	}
 	for range 20 {
-		odd("a9", 1, 1, taskReport("run-000001/0", 7, api.TaskRunning, ""), taskReport("run-000001/99", 7, api.TaskRunning, ""))
-		odd("a1", 1, 1)
-		odd("a1", 0, 1<<40, taskReport("run-000001/0", 1, api.TaskExited, api.CauseStopped))
-		odd("a2", 1, 2, taskReport("none", 0, "", ""), taskReport("run-000001/-1", 1, api.TaskRunning, ""), taskReport("run-999999/0", 1, api.TaskRunning, ""), taskReport("run-000001/1/2", 1, "asleep", "?"))
+		sendHeartbeat("a9", 1, 1, taskReport("run-000001/0", 7, api.TaskRunning, ""), taskReport("run-000001/99", 7, api.TaskRunning, ""))
+		sendHeartbeat("a1", 1, 1)
+		sendHeartbeat("a1", 0, 1<<40, taskReport("run-000001/0", 1, api.TaskExited, api.CauseStopped))
+		sendHeartbeat("a2", 1, 2, taskReport("none", 0, "", ""), taskReport("run-000001/-1", 1, api.TaskRunning, ""), taskReport("run-999999/0", 1, api.TaskRunning, ""), taskReport("run-000001/1/2", 1, "asleep", "?"))
 		workers.run(5 * time.Second)
 	}
-	if len(before) != 2 || !slices.Equal(where(), before) || len(workers.begun) != begun || slices.Contains(workers.released, "a1") || slices.Contains(workers.released, "a2") {
-		t.Errorf("allocations were %v and are now %v; released %v", before, where(), workers.released)
+	if len(before) != 2 || !slices.Equal(describeAllocations(), before) || len(workers.startCounts) != machinesStarted || slices.Contains(workers.released, "a1") || slices.Contains(workers.released, "a2") {
+		t.Errorf("allocations were %v and are now %v; released %v", before, describeAllocations(), workers.released)
 	}
 	if violations := invariant.TakeViolations(); violations != 1 {
 		t.Errorf("%d invariant violations reported, want 1", violations)
@@ -150,38 +150,38 @@
 
 // Copies of a machine's old heartbeats made the machine count as alive: it was released only after the copies had
 // ceased, its tasks waited until then, and it was given more.
-func TestCopiesKeepNoMachineAlive(t *testing.T) {
+func TestCopiedHeartbeatsDoNotKeepMachineAlive(t *testing.T) {
 	h := newHarness(t)
-	all := func() { h.heartbeat("a1", 1); h.heartbeat("b1", 1) }
-	all()
-	h.submit("run-000001", 1, func(x *api.Submission) { x.Zone = "b" })
+	sendHeartbeats := func() { h.heartbeat("a1", 1); h.heartbeat("b1", 1) }
+	sendHeartbeats()
+	h.submit("run-000001", 1, func(submission *api.Submission) { submission.Zone = "b" })
 	h.Place()
 	h.commit()
 	h.answerCommands()
-	at := h.starts("run-000001/0")[0].response.Commands[0].Attempt
-	running := taskReport("run-000001/0", at, api.TaskRunning, "")
-	old := h.seq["b1"]
+	attempt := h.starts("run-000001/0")[0].response.Commands[0].Attempt
+	running := taskReport("run-000001/0", attempt, api.TaskRunning, "")
+	firstCopied := h.seq["b1"]
 	h.maintainFor(5*time.Second, func() { h.heartbeat("a1", 1); h.heartbeat("b1", 1, running) })
-	last := h.seq["b1"]
+	lastCopied := h.seq["b1"]
 	notice := 1.0
-	gone := h.maintainFor(8*time.Second, func() {
+	released := h.maintainFor(8*time.Second, func() {
 		h.heartbeat("a1", 1)
-		for seq := old; seq <= last; seq++ {
-			r := &api.Heartbeat{Machine: "b1", Address: "b1:1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: h.term, PreemptionNoticeS: &notice}
-			if o, _, _ := h.HandleHeartbeat(r, "n1"); len(o.Commands) > 0 {
+		for seq := firstCopied; seq <= lastCopied; seq++ {
+			heartbeat := &api.Heartbeat{Machine: "b1", Address: "b1:1", Type: "m8", Zone: "b", Incarnation: 1, Seq: seq, Term: h.term, PreemptionNoticeS: &notice}
+			if response, _, _ := h.HandleHeartbeat(heartbeat, "n1"); len(response.Commands) > 0 {
 				t.Error("the response to a copied heartbeat contains commands")
 			}
-			h.HandleRelayedHeartbeat("n2", r)
+			h.HandleRelayedHeartbeat("n2", heartbeat)
 		}
 	})
-	if len(gone) != 1 || gone[0] != "b1" {
-		t.Fatalf("released %v, want b1, of which only copied heartbeats arrive", gone)
+	if len(released) != 1 || released[0] != "b1" {
+		t.Fatalf("released %v, want b1, of which only copied heartbeats arrive", released)
 	}
 	if machine := h.machines["b1"]; machine.relayPeer != "" || machine.lastPeer != "" || !machine.PreemptedAt.IsZero() {
 		t.Errorf("copied heartbeats changed the relay peer %q, the last peer %q or the preemption time %v", machine.relayPeer, machine.lastPeer, machine.PreemptedAt)
 	}
 	h.InstancesReleased([]string{"b1"}, nil)
-	h.heartbeatAt("b1", 1, last, h.term, running)
+	h.heartbeatAt("b1", 1, lastCopied, h.term, running)
 	if h.machines["b1"] != nil {
 		t.Error("a copied heartbeat added a released machine again")
 	}
@@ -190,25 +190,25 @@
 // For a new leader, a copy of a heartbeat that a machine sent before it failed is the first heartbeat of that machine.
 // The leader placed work on such a machine and counted it as supply. A machine that is known only from a copy, and is
 // neither in the cloud's list nor in a record, must be forgotten without being released.
-func TestFirstHeartbeatMayBeACopy(t *testing.T) {
+func TestCopiedFirstHeartbeatDoesNotMakeMachineSchedulable(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 30, nil)
 	h.elect()
 	notice := 5.0
 	for i := range 3 {
-		n := fmt.Sprintf("a%d", 7+i)
-		o, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: "a", Incarnation: 4, Seq: 300, Term: h.term - 3, PreemptionNoticeS: &notice}, "")
+		name := fmt.Sprintf("a%d", 7+i)
+		response, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: "a", Incarnation: 4, Seq: 300, Term: h.term - 3, PreemptionNoticeS: &notice}, "")
 		h.Place()
-		if machine := h.machines[n]; machine == nil || len(machine.allocations) > 0 || len(o.Commands) > 0 || h.schedulable(machine) {
-			t.Fatalf("a first heartbeat with an old token made the machine schedulable: %+v", o)
+		if machine := h.machines[name]; machine == nil || len(machine.allocations) > 0 || len(response.Commands) > 0 || h.schedulable(machine) {
+			t.Fatalf("a first heartbeat with an old token made the machine schedulable: %+v", response)
 		}
 	}
-	if all, _ := h.supply(); all != 0 {
-		t.Errorf("%v CPUs counted as supply, want 0", all)
+	if cpus, _ := h.supply(); cpus != 0 {
+		t.Errorf("%v CPUs counted as supply, want 0", cpus)
 	}
-	if gone := h.maintainFor(30*time.Second, func() { h.heartbeat("a1", 1) }); len(gone) > 0 || len(h.machines) != 1 {
-		t.Errorf("released %v, want none; %d machines are known, want 1", gone, len(h.machines))
+	if released := h.maintainFor(30*time.Second, func() { h.heartbeat("a1", 1) }); len(released) > 0 || len(h.machines) != 1 {
+		t.Errorf("released %v, want none; %d machines are known, want 1", released, len(h.machines))
 	}
 	// A machine that is alive receives the token and sends it in its next heartbeat.
 	h.heartbeatAt("a8", 4, 301, h.term-3)
--- a/scheduler/relayed_start_copy_test.go
+++ b/scheduler/relayed_start_copy_test.go
@@ -15,7 +15,7 @@
 func TestCopyOfARelayedHeartbeatSettlesNoStart(t *testing.T) {
 	const task = "run-000001/0"
 	h := newHarness(t)
-	played := newPlayedWorkers(t, h, "a1", "b1")
+	played := newSimulatedWorkers(t, h, "a1", "b1")
 	follower := newFollowerRelay(h)
 	packets := newWorkerPackets(h, follower.Exchange)
 	exchangePackets := func() {
@@ -51,11 +51,11 @@
 	h.mu.Lock()
 	h.stopTask(h.jobs["run-000001"].allocations[0], 0, "test")
 	h.mu.Unlock()
-	played.answerCommands()
+	played.deliverCommands()
 	h.machines["a1"].refusedUntil = h.clock.Now().Add(time.Minute)
 	played.join("b1")
 	played.place()
-	played.answerCommands()
+	played.deliverCommands()
 	if !played.running[task]["b1"] {
 		t.Fatal("the task does not run on the second machine")
 	}
@@ -63,5 +63,5 @@
 	if twice := played.startedTwice(); len(twice) > 0 {
 		t.Errorf("tasks ran on two machines: %v", twice)
 	}
-	played.expectForgotten("a1", 20)
+	played.expectAttemptsCleared("a1", 20)
 }
--- a/scheduler/start_under_way_test.go
+++ b/scheduler/start_under_way_test.go
@@ -11,9 +11,9 @@
 	"switchferry/internal/fake"
 )
 
-// playedWorkers simulates workers that follow the protocol and whose messages the test delivers one by one. It records
-// where each task runs, and tasks that start on a second machine.
-type playedWorkers struct {
+// simulatedWorkers simulates workers that follow the protocol and whose messages the test delivers one by one. It
+// records where each task runs, and tasks that start on a second machine.
+type simulatedWorkers struct {
 	*testing.T
 	harness *harness
 	workers map[string]*fake.Worker
@@ -25,20 +25,20 @@
 	// mu guards the fields below, because workers complete tasks on other goroutines.
 	mu      sync.Mutex
 	running fake.Placements[string]
-	// twice describes the tasks that started on one machine while they ran on another.
-	twice []string
+	// duplicateStarts describes the tasks that started on one machine while they ran on another.
+	duplicateStarts []string
 }
 
-func newPlayedWorkers(t *testing.T, h *harness, names ...string) *playedWorkers {
-	played := &playedWorkers{T: t, harness: h, workers: map[string]*fake.Worker{}, runTime: time.Hour, failures: map[string]string{}, running: fake.Placements[string]{}}
+func newSimulatedWorkers(t *testing.T, h *harness, names ...string) *simulatedWorkers {
+	simulated := &simulatedWorkers{T: t, harness: h, workers: map[string]*fake.Worker{}, runTime: time.Hour, failures: map[string]string{}, running: fake.Placements[string]{}}
 	for _, name := range names {
-		played.add(name)
+		simulated.add(name)
 	}
-	return played
+	return simulated
 }
 
 // add adds a worker that has not sent a heartbeat yet.
-func (p *playedWorkers) add(name string) {
+func (p *simulatedWorkers) add(name string) {
 	p.workers[name] = fake.NewWorker(fake.WorkerOptions{
 		Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name)}, Clock: p.harness.clock,
 		Every: time.Second, Lease: 10 * time.Second,
@@ -49,43 +49,43 @@
 	})
 }
 
-func (p *playedWorkers) ended(task, machine string) {
+func (p *simulatedWorkers) ended(task, machine string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running.End(task, machine)
 }
 
-func (p *playedWorkers) started(task, machine string) {
+func (p *simulatedWorkers) started(task, machine string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	elsewhere, _ := p.running.Start(task, machine)
 	for _, other := range elsewhere {
-		p.twice = append(p.twice, task+" on "+other+" and "+machine)
+		p.duplicateStarts = append(p.duplicateStarts, task+" on "+other+" and "+machine)
 	}
 }
 
 // startedTwice describes the tasks that started on one machine while they ran on another.
-func (p *playedWorkers) startedTwice() []string {
+func (p *simulatedWorkers) startedTwice() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.twice)
+	return slices.Clone(p.duplicateStarts)
 }
 
 // heartbeat delivers a heartbeat of a worker to the leader and the response to the worker.
-func (p *playedWorkers) heartbeat(name string) {
+func (p *simulatedWorkers) heartbeat(name string) {
 	report := p.workers[name].Report()
 	response, _, _ := p.harness.HandleHeartbeat(report, "")
 	p.workers[name].Answer(report, p.harness.clock.Now(), response)
 }
 
 // join delivers a worker's first heartbeat and one more, which carries the term's token.
-func (p *playedWorkers) join(name string) {
+func (p *simulatedWorkers) join(name string) {
 	p.heartbeat(name)
 	p.heartbeat(name)
 }
 
-// answerCommands delivers all pending direct commands and their answers.
-func (p *playedWorkers) answerCommands() {
+// deliverCommands delivers all pending direct commands and their answers.
+func (p *simulatedWorkers) deliverCommands() {
 	for h := p.harness; h.answered < len(h.sent); {
 		sent := h.sent[h.answered]
 		h.answered++
@@ -94,14 +94,14 @@
 	}
 }
 
-// expectForgotten fails the test if a machine still lists an attempt after the given number of heartbeats, one per
-// second.
-func (p *playedWorkers) expectForgotten(name string, heartbeats int) {
+// expectAttemptsCleared fails the test if a machine still lists an attempt after the given number of heartbeats, one
+// per second.
+func (p *simulatedWorkers) expectAttemptsCleared(name string, heartbeats int) {
 	p.Helper()
 	for range heartbeats {
 		p.harness.clock.Advance(time.Second)
 		p.heartbeat(name)
-		p.answerCommands()
+		p.deliverCommands()
 	}
 	if report := p.workers[name].Report(); len(report.Tasks) > 0 {
 		p.Errorf("%s still lists attempts: %+v", name, report.Tasks)
@@ -109,7 +109,7 @@
 }
 
 // place places the pending tasks and writes the records.
-func (p *playedWorkers) place() {
+func (p *simulatedWorkers) place() {
 	p.harness.Place()
 	p.harness.commit()
 }
@@ -124,7 +124,7 @@
 	for _, cause := range []string{api.CauseError, api.CauseNoRoom, api.CauseUnknown, api.CauseStopped} {
 		t.Run(cause, func(t *testing.T) {
 			h := newHarness(t)
-			played := newPlayedWorkers(t, h, "a1", "b1")
+			played := newSimulatedWorkers(t, h, "a1", "b1")
 			played.join("a1")
 			h.submit("run-000001", 1, nil)
 			played.place()
@@ -137,12 +137,12 @@
 			if cause != api.CauseStopped {
 				played.failures["a1"] = cause
 			}
-			played.answerCommands()
+			played.deliverCommands()
 			if cause == api.CauseStopped {
 				h.mu.Lock()
 				h.stopTask(h.jobs["run-000001"].allocations[0], 0, "test")
 				h.mu.Unlock()
-				played.answerCommands()
+				played.deliverCommands()
 			}
 			delete(played.failures, "a1")
 
@@ -150,7 +150,7 @@
 			h.clock.Advance(2 * time.Second)
 			played.join("b1")
 			played.place()
-			played.answerCommands()
+			played.deliverCommands()
 			if !played.running[task]["b1"] {
 				t.Fatal("the task does not run on the second machine")
 			}
@@ -158,7 +158,7 @@
 			if twice := played.startedTwice(); len(twice) > 0 {
 				t.Errorf("tasks ran on two machines: %v", twice)
 			}
-			played.expectForgotten("a1", 3)
+			played.expectAttemptsCleared("a1", 3)
 		})
 	}
 }
@@ -167,9 +167,9 @@
 // it may still arrive, and a newer one that runs. The running attempt must be recognized in any order of the list. Only
 // the last entry of each task was considered, so that the running attempt counted as gone and the task was started
 // elsewhere.
-func TestRunningAttemptIsSeenBesideAnEarlierOne(t *testing.T) {
+func TestRunningAttemptIsRecognizedBesideExitedAttempt(t *testing.T) {
 	h := newHarness(t)
-	played := newPlayedWorkers(t, h, "a1", "b1")
+	played := newSimulatedWorkers(t, h, "a1", "b1")
 	played.join("a1")
 	h.submit("run-000001", 1, nil)
 	played.place()
@@ -185,10 +185,10 @@
 	h.mu.Lock()
 	h.stopTask(first, 0, "test")
 	h.mu.Unlock()
-	played.answerCommands()
+	played.deliverCommands()
 	played.heartbeat("a1")
 	played.place()
-	played.answerCommands()
+	played.deliverCommands()
 	if second := h.jobs["run-000001"].allocations[0]; second == nil || second == first || second.machine.Name != "a1" || len(played.workers["a1"].Report().Tasks) != 2 {
 		t.Fatalf("no second attempt beside the first: %+v, %+v", second, played.workers["a1"].Report().Tasks)
 	}
@@ -199,7 +199,7 @@
 		played.heartbeat("a1")
 		played.heartbeat("b1")
 		played.place()
-		played.answerCommands()
+		played.deliverCommands()
 	}
 	if _, executed := played.workers["a1"].Direct(lost.response); !executed {
 		t.Error("the worker did not execute the delayed first start, so the test does not check what it should")
@@ -213,12 +213,12 @@
 // is in no record. The leader sent a kill for that attempt and the start at the same time, so that the task ran on two
 // machines until the kill arrived. An allocation whose start was never sent must be released in favour of the running
 // attempt.
-func TestUnsentStartGivesWayToAnAttemptThatRuns(t *testing.T) {
+func TestUnsentStartYieldsToRunningAttempt(t *testing.T) {
 	const task, unrecorded = "run-000001/0", 7
 	for _, shape := range []string{api.JobArray, api.Service} {
 		t.Run(shape, func(t *testing.T) {
 			h := newHarness(t)
-			played := newPlayedWorkers(t, h, "a1", "b1")
+			played := newSimulatedWorkers(t, h, "a1", "b1")
 			played.join("a1")
 			h.submit("run-000001", 1, func(job *api.Submission) { job.Shape = shape })
 			h.Place()
@@ -234,7 +234,7 @@
 				report := played.workers["b1"].Report()
 				slow, _, _ := h.HandleHeartbeat(report, "")
 				h.commit()
-				played.answerCommands()
+				played.deliverCommands()
 				played.heartbeat("a1")
 				h.clock.Advance(time.Second)
 				played.workers["b1"].Answer(report, h.clock.Now(), slow)
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -24,17 +24,17 @@
 	response *api.HeartbeatResponse
 }
 
-// mostOpenJobs is the maximum number of jobs at a time; their tasks exceed the capacity of the machines.
-const mostOpenJobs = 4
+// maxOpenJobs is the maximum number of jobs at a time; their tasks exceed the capacity of the machines.
+const maxOpenJobs = 4
 
-// settledWithin is the time within which all jobs must be done once all messages arrive: a failed job is paused for at
+// settleTimeout is the time within which all jobs must be done once all messages arrive: a failed job is paused for at
 // most tuning.BackoffMax before its tasks run.
-const settledWithin = tuning.BackoffMax + time.Minute
+const settleTimeout = tuning.BackoffMax + time.Minute
 
 // randomStarts simulates a leader and workers that follow the protocol. The messages between them are delayed, lost,
 // repeated and reordered on all three paths: direct commands, responses to heartbeats, and relayed packets.
 type randomStarts struct {
-	*playedWorkers
+	*simulatedWorkers
 	rng   *rand.Rand
 	names []string
 	// waiting holds, by machine, the heartbeats whose response was not delivered yet; copies holds heartbeats that may
@@ -54,7 +54,7 @@
 func newRandomStarts(t *testing.T, seed uint64) *randomStarts {
 	h := newHarness(t)
 	names := []string{"a1", "a2", "b1"}
-	random := &randomStarts{playedWorkers: newPlayedWorkers(t, h, names...), rng: rand.New(rand.NewPCG(seed, 0)), names: names, waiting: map[string]*exchangedHeartbeat{}, relayed: map[string]bool{}}
+	random := &randomStarts{simulatedWorkers: newSimulatedWorkers(t, h, names...), rng: rand.New(rand.NewPCG(seed, 0)), names: names, waiting: map[string]*exchangedHeartbeat{}, relayed: map[string]bool{}}
 	random.runTime = 5 * time.Second
 	random.relay = newFollowerRelay(h)
 	random.packets = newWorkerPackets(h, random.relay.Exchange)
@@ -67,32 +67,32 @@
 	h.clock.Advance(time.Duration(r.rng.IntN(100)) * time.Millisecond)
 	switch r.rng.IntN(32) {
 	case 0, 1, 2, 3, 4:
-		r.send(name)
+		r.sendHeartbeat(name)
 	case 5, 6, 7, 8, 9:
 		r.answer(name)
 	case 10, 11:
-		r.respond(name)
+		r.deliverResponse(name)
 	case 12, 13, 14, 15, 16, 17, 18, 19:
 		for range 1 + r.rng.IntN(4) {
 			r.deliverCommand()
 		}
 	case 20, 21:
-		r.carry()
+		r.exchangePackets()
 	case 22:
 		if len(r.copies) > 0 {
-			r.repeat(r.copies[r.rng.IntN(len(r.copies))])
+			r.deliverCopy(r.copies[r.rng.IntN(len(r.copies))])
 		}
 	case 23:
-		r.disturb(name)
+		r.injectFault(name)
 	case 24, 25, 26:
-		r.stopOne()
+		r.stopRandomTask()
 	default:
 		r.submitAndPlace()
 	}
 }
 
-// send makes a worker send a heartbeat, unless it awaits a response.
-func (r *randomStarts) send(name string) {
+// sendHeartbeat makes a worker send a heartbeat, unless it awaits a response.
+func (r *randomStarts) sendHeartbeat(name string) {
 	if r.waiting[name] == nil {
 		report := r.workers[name].Report()
 		r.waiting[name] = &exchangedHeartbeat{report: report}
@@ -126,9 +126,9 @@
 	sent.response = &response
 }
 
-// repeat delivers a copy of a heartbeat to the leader or the follower, regardless of where the heartbeat itself was
-// sent.
-func (r *randomStarts) repeat(heartbeat *api.Heartbeat) {
+// deliverCopy delivers a copy of a heartbeat to the leader or the follower, regardless of where the heartbeat itself
+// was sent.
+func (r *randomStarts) deliverCopy(heartbeat *api.Heartbeat) {
 	if r.rng.IntN(2) == 0 {
 		r.harness.HandleHeartbeat(heartbeat, "")
 		return
@@ -136,8 +136,8 @@
 	r.relay.HandleHeartbeat(heartbeat, r.harness.term)
 }
 
-// respond makes a worker execute the response to its heartbeat, or stop waiting for it.
-func (r *randomStarts) respond(name string) {
+// deliverResponse makes a worker execute the response to its heartbeat, or stop waiting for it.
+func (r *randomStarts) deliverResponse(name string) {
 	sent := r.waiting[name]
 	switch {
 	case sent == nil:
@@ -149,9 +149,9 @@
 	}
 }
 
-// submitAndPlace submits a job if there are fewer than mostOpenJobs, and then calls placeAndSend.
+// submitAndPlace submits a job if there are fewer than maxOpenJobs, and then calls placeAndSend.
 func (r *randomStarts) submitAndPlace() {
-	if len(r.harness.jobs) < mostOpenJobs {
+	if len(r.harness.jobs) < maxOpenJobs {
 		r.jobs++
 		r.harness.submit(fmt.Sprintf("run-%06d", r.jobs), 3, nil)
 	}
@@ -204,8 +204,8 @@
 	return sent
 }
 
-// carry exchanges packets between the follower and the leader, in one direction, both or none.
-func (r *randomStarts) carry() {
+// exchangePackets exchanges packets between the follower and the leader, in one direction, both or none.
+func (r *randomStarts) exchangePackets() {
 	if r.rng.IntN(3) > 0 {
 		r.packets.toLeader(r.harness.AcceptWorkerMessage)
 		r.harness.commit()
@@ -215,8 +215,9 @@
 	}
 }
 
-// disturb restarts a worker, elects a new leader, changes whether a machine is relayed, or sets the cause of failures.
-func (r *randomStarts) disturb(name string) {
+// injectFault restarts a worker, elects a new leader, changes whether a machine is relayed, or sets the cause of
+// failures.
+func (r *randomStarts) injectFault(name string) {
 	causes := []string{"", "", "", api.CauseError, api.CauseNoRoom, api.CauseUnknown}
 	switch r.rng.IntN(8) {
 	case 0:
@@ -230,8 +231,9 @@
 	}
 }
 
-// stopOne makes the leader stop a task that a heartbeat has listed, or whose start was not sent, as in a preemption.
-func (r *randomStarts) stopOne() {
+// stopRandomTask makes the leader stop a task that a heartbeat has listed, or whose start was not sent, as in a
+// preemption.
+func (r *randomStarts) stopRandomTask() {
 	h := r.harness
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -256,15 +258,15 @@
 	r.packets.reassembler = relay.Reassembler{}
 }
 
-// settle delivers all messages until all jobs are done or settledWithin has passed, and reports whether all jobs are
+// settle delivers all messages until all jobs are done or settleTimeout has passed, and reports whether all jobs are
 // done.
 func (r *randomStarts) settle() bool {
 	clear(r.failures)
 	clear(r.relayed)
 	r.replaceFaulty()
-	for end := r.harness.clock.Now().Add(settledWithin); r.harness.clock.Now().Before(end); {
+	for end := r.harness.clock.Now().Add(settleTimeout); r.harness.clock.Now().Before(end); {
 		for _, name := range r.names {
-			r.respond(name)
+			r.deliverResponse(name)
 			delete(r.waiting, name)
 			r.heartbeat(name)
 		}
@@ -307,8 +309,8 @@
 	r.join(replacement)
 }
 
-// openWork describes the jobs that have not ended and the machines, for the failure message.
-func (r *randomStarts) openWork() string {
+// describeOpenWork describes the jobs that have not ended and the machines, for the failure message.
+func (r *randomStarts) describeOpenWork() string {
 	var text strings.Builder
 	for id, job := range r.harness.jobs {
 		fmt.Fprintf(&text, "%s %q: %d of %d done, %v pending, %d queued, paused until %v\n", id, job.FinalState, job.completedCount, job.taskCount, job.pending, job.queued, job.pausedUntil)
@@ -346,7 +348,7 @@
 			t.Fatalf("seed %d: tasks ran on two machines: %v", seed, twice)
 		}
 		if !random.settle() {
-			t.Fatalf("seed %d: not all of the %d jobs are done in the end:\n%s", seed, random.jobs, random.openWork())
+			t.Fatalf("seed %d: not all of the %d jobs are done in the end:\n%s", seed, random.jobs, random.describeOpenWork())
 		}
 		if twice := random.startedTwice(); len(twice) > 0 || invariant.Violations() > 0 {
 			t.Fatalf("seed %d: tasks ran on two machines: %v; %d invariant violations", seed, twice, invariant.Violations())
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -52,13 +52,15 @@
 	h.commit()
 	first := h.sent
 	h.elect()
-	h.submit("run-000002", 1, func(j *api.Submission) { j.Rank, j.Shape, j.EstimateS = "prod", api.Service, 0 })
+	h.submit("run-000002", 1, func(submission *api.Submission) {
+		submission.Rank, submission.Shape, submission.EstimateS = "prod", api.Service, 0
+	})
 	// One machine of six sends a heartbeat, with both its tasks.
 	var tasks []api.TaskReport
-	for _, o := range first {
-		for _, c := range o.response.Commands {
-			if o.machine == "b2" {
-				tasks = append(tasks, taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
+	for _, message := range first {
+		for _, command := range message.response.Commands {
+			if message.machine == "b2" {
+				tasks = append(tasks, taskReport(command.Task, command.Attempt, api.TaskRunning, ""))
 			}
 		}
 	}
@@ -69,21 +71,21 @@
 	h.Place()
 	h.commit()
 	stopped := h.heartbeat("b2", 1, tasks...)
-	i := slices.IndexFunc(tasks, func(x api.TaskReport) bool { return hasCommand(stopped, api.CommandKill, x.Task) })
-	if i < 0 {
+	preempted := slices.IndexFunc(tasks, func(report api.TaskReport) bool { return hasCommand(stopped, api.CommandKill, report.Task) })
+	if preempted < 0 {
 		t.Fatalf("no task is preempted for the urgent job: %+v", stopped)
 	}
-	tasks[i].State, tasks[i].Cause = api.TaskExited, api.CauseStopped
+	tasks[preempted].State, tasks[preempted].Cause = api.TaskExited, api.CauseStopped
 	h.heartbeat("b2", 1, tasks...)
 	h.Place()
 	h.commit()
-	if o := h.heartbeat("b2", 1, tasks[1-i]); len(h.starts("run-000002/0")) != 1 && !hasCommand(o, api.CommandRun, "run-000002/0") {
-		t.Errorf("the urgent job was not started on the machine that sent a heartbeat: %+v, %+v", o, h.sent)
+	if response := h.heartbeat("b2", 1, tasks[1-preempted]); len(h.starts("run-000002/0")) != 1 && !hasCommand(response, api.CommandRun, "run-000002/0") {
+		t.Errorf("the urgent job was not started on the machine that sent a heartbeat: %+v, %+v", response, h.sent)
 	}
-	for _, o := range h.sent {
-		for _, c := range o.response.Commands {
-			if c.Verb == api.CommandRun && c.Task != "run-000002/0" {
-				t.Errorf("%s was started on %s, but may run on a machine that has sent no heartbeat", c.Task, o.machine)
+	for _, message := range h.sent {
+		for _, command := range message.response.Commands {
+			if command.Verb == api.CommandRun && command.Task != "run-000002/0" {
+				t.Errorf("%s was started on %s, but may run on a machine that has sent no heartbeat", command.Task, message.machine)
 			}
 		}
 	}
@@ -91,12 +93,12 @@
 
 // After a takeover, a job that depends on a job that ended earlier waits until the state of that job has been looked
 // up. All other jobs are placed at once.
-func TestTakeoverPlacesBeforeAllIsLookedUp(t *testing.T) {
+func TestTakeoverPlacesIndependentJobsBeforeLookup(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, awaiting("run-000001"))
 	h.complete("run-000001", "a1")
-	h.submit("run-000003", 1, func(x *api.Submission) { smallJob(x); x.Rank = "high" })
+	h.submit("run-000003", 1, func(submission *api.Submission) { smallJob(submission); submission.Rank = "high" })
 	h.elect()
 	h.heartbeat("a1", 1)
 	h.Place()
@@ -109,19 +111,19 @@
 	if len(h.jobs["run-000002"].allocations) != 1 || len(h.UnresolvedDependencies()) > 0 {
 		t.Error("the dependent job was not placed after the look-up")
 	}
-	if f := h.terminalStates["run-000001"]; f.Tasks != 1 {
-		t.Errorf("the terminal state of the looked-up job is %+v, want one task", f)
+	if final := h.terminalStates["run-000001"]; final.Tasks != 1 {
+		t.Errorf("the terminal state of the looked-up job is %+v, want one task", final)
 	}
 }
 
 // The limits of the state service are lowered during a takeover. All writes of the new leader must be within the new
 // limits.
-func TestLimitsSinkDuringTakeover(t *testing.T) {
+func TestLowerStateLimitsDuringTakeover(t *testing.T) {
 	h := newHarness(t)
 	for i := range 20 {
 		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
 	}
-	h.submit("run-000001", 120, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
+	h.submit("run-000001", 120, func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 1, 1 })
 	h.submit("run-000002", 1, awaiting("run-000001"))
 	h.Place()
 	h.commit()
@@ -137,10 +139,10 @@
 	h.Place()
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
-	if r := h.state.Refusals(); len(r) > 0 || h.state.Largest.Ops > 12 {
-		t.Errorf("refused writes %v, largest transaction of %d operations", r, h.state.Largest.Ops)
+	if refusals := h.state.Refusals(); len(refusals) > 0 || h.state.Largest.Ops > 12 {
+		t.Errorf("refused writes %v, or a transaction has too many operations", refusals)
 	}
-	if starts := h.status("run-000002"); starts != api.Cancelled {
-		t.Errorf("the dependent job is %q, want %q", starts, api.Cancelled)
+	if status := h.status("run-000002"); status != api.Cancelled {
+		t.Errorf("the dependent job is %q, want it cancelled", status)
 	}
 }
