--- a/scheduler/relayed_start_copy_test.go
+++ b/scheduler/relayed_start_copy_test.go
@@ -15,7 +15,7 @@
 func TestCopyOfARelayedHeartbeatSettlesNoStart(t *testing.T) {
 	const task = "run-000001/0"
 	h := newHarness(t)
-	played := newSimulatedWorkers(t, h, "a1", "b1")
+	simulated := newSimulatedWorkers(t, h, "a1", "b1")
 	follower := newFollowerRelay(h)
 	packets := newWorkerPackets(h, follower.Exchange)
 	exchangePackets := func() {
@@ -24,44 +24,44 @@
 		packets.toFollower()
 		h.clock.Advance(time.Second)
 	}
-	a1 := played.workers["a1"]
-	relayed := func() (report *api.Heartbeat, response api.HeartbeatResponse) {
+	a1 := simulated.workers["a1"]
+	relayHeartbeat := func() (report *api.Heartbeat, response api.HeartbeatResponse) {
 		report = a1.Report()
 		return report, follower.HandleHeartbeat(report, h.term)
 	}
-	played.join("a1")
+	simulated.join("a1")
 	h.submit("run-000001", 1, nil)
-	report, response := relayed()
+	report, response := relayHeartbeat()
 	a1.Answer(report, h.clock.Now(), response)
 	exchangePackets()
 	h.Place()
 	exchangePackets()
 
-	started, response := relayed()
+	started, response := relayHeartbeat()
 	exchangePackets()
 	a1.Answer(started, h.clock.Now(), response)
-	if !played.running[task]["a1"] {
+	if !simulated.running[task]["a1"] {
 		t.Fatalf("the relayed start did not arrive: %+v", response)
 	}
-	repeated, late := relayed()
-	if !hasCommand(late, api.CommandRun, task) {
-		t.Fatalf("the relay did not repeat the start: %+v", late)
+	repeated, lateResponse := relayHeartbeat()
+	if !hasCommand(lateResponse, api.CommandRun, task) {
+		t.Fatalf("the relay did not repeat the start: %+v", lateResponse)
 	}
 	h.HandleHeartbeat(repeated, "")
 	h.mu.Lock()
 	h.stopTask(h.jobs["run-000001"].allocations[0], 0, "test")
 	h.mu.Unlock()
-	played.deliverCommands()
+	simulated.deliverCommands()
 	h.machines["a1"].refusedUntil = h.clock.Now().Add(time.Minute)
-	played.join("b1")
-	played.place()
-	played.deliverCommands()
-	if !played.running[task]["b1"] {
+	simulated.join("b1")
+	simulated.place()
+	simulated.deliverCommands()
+	if !simulated.running[task]["b1"] {
 		t.Fatal("the task does not run on the second machine")
 	}
-	a1.Answer(repeated, h.clock.Now(), late)
-	if twice := played.startedTwice(); len(twice) > 0 {
+	a1.Answer(repeated, h.clock.Now(), lateResponse)
+	if twice := simulated.startedTwice(); len(twice) > 0 {
 		t.Errorf("tasks ran on two machines: %v", twice)
 	}
-	played.expectAttemptsCleared("a1", 20)
+	simulated.expectAttemptsCleared("a1", 20)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -153,7 +153,7 @@
 }
 
 // New returns the Scheduler of a new term. Its records are not loaded yet.
-func New(term uint64, clock clockwork.Clock, memberSettings *settings.Settings, schedulingPolicy *policy.Policy, types []api.MachineType, collaborators Collaborators) *Scheduler {
+func New(term uint64, clock clockwork.Clock, memberSettings *settings.Settings, schedulingPolicy *policy.Policy, machineTypes []api.MachineType, collaborators Collaborators) *Scheduler {
 	started := clock.Now()
 	scheduler := &Scheduler{
 		term:              term,
@@ -186,7 +186,7 @@
 	scheduler.dependencies = newDependencies(scheduler)
 	scheduler.commandMailboxes = newMailboxes(scheduler, store.RelayResponsePrefix, store.RelayResponseKey, scheduler.relayedCommandBody)
 	scheduler.objectives, scheduler.deadlineMultiples = objectivesByClass(memberSettings.Facts.Objectives)
-	scheduler.SetTypes(types)
+	scheduler.SetTypes(machineTypes)
 	return scheduler
 }
 
@@ -225,12 +225,12 @@
 // LookupNeeded returns a channel that receives a value when UnresolvedDependencies has new entries.
 func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
 
-// SetTypes adds or replaces machine types from the cloud's catalog. Types that are not in types are kept.
-func (s *Scheduler) SetTypes(types []api.MachineType) {
+// SetTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are kept.
+func (s *Scheduler) SetTypes(machineTypes []api.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range types {
-		machineType := types[i]
+	for i := range machineTypes {
+		machineType := machineTypes[i]
 		s.machineTypes[machineType.Name] = &machineType
 	}
 	for _, machine := range s.machines {
--- a/scheduler/start_under_way_test.go
+++ b/scheduler/start_under_way_test.go
@@ -124,41 +124,41 @@
 	for _, cause := range []string{api.CauseError, api.CauseNoRoom, api.CauseUnknown, api.CauseStopped} {
 		t.Run(cause, func(t *testing.T) {
 			h := newHarness(t)
-			played := newSimulatedWorkers(t, h, "a1", "b1")
-			played.join("a1")
+			simulated := newSimulatedWorkers(t, h, "a1", "b1")
+			simulated.join("a1")
 			h.submit("run-000001", 1, nil)
-			played.place()
+			simulated.place()
 
-			overtaken := played.workers["a1"].Report()
-			late, _, _ := h.HandleHeartbeat(overtaken, "")
-			if !hasCommand(late, api.CommandRun, task) {
-				t.Fatalf("the response does not repeat the start: %+v", late)
+			overtaken := simulated.workers["a1"].Report()
+			lateResponse, _, _ := h.HandleHeartbeat(overtaken, "")
+			if !hasCommand(lateResponse, api.CommandRun, task) {
+				t.Fatalf("the response does not repeat the start: %+v", lateResponse)
 			}
 			if cause != api.CauseStopped {
-				played.failures["a1"] = cause
+				simulated.failures["a1"] = cause
 			}
-			played.deliverCommands()
+			simulated.deliverCommands()
 			if cause == api.CauseStopped {
 				h.mu.Lock()
 				h.stopTask(h.jobs["run-000001"].allocations[0], 0, "test")
 				h.mu.Unlock()
-				played.deliverCommands()
+				simulated.deliverCommands()
 			}
-			delete(played.failures, "a1")
+			delete(simulated.failures, "a1")
 
 			h.machines["a1"].refusedUntil = h.clock.Now().Add(time.Minute)
 			h.clock.Advance(2 * time.Second)
-			played.join("b1")
-			played.place()
-			played.deliverCommands()
-			if !played.running[task]["b1"] {
+			simulated.join("b1")
+			simulated.place()
+			simulated.deliverCommands()
+			if !simulated.running[task]["b1"] {
 				t.Fatal("the task does not run on the second machine")
 			}
-			played.workers["a1"].Answer(overtaken, h.clock.Now(), late)
-			if twice := played.startedTwice(); len(twice) > 0 {
+			simulated.workers["a1"].Answer(overtaken, h.clock.Now(), lateResponse)
+			if twice := simulated.startedTwice(); len(twice) > 0 {
 				t.Errorf("tasks ran on two machines: %v", twice)
 			}
-			played.expectAttemptsCleared("a1", 3)
+			simulated.expectAttemptsCleared("a1", 3)
 		})
 	}
 }
@@ -169,15 +169,15 @@
 // elsewhere.
 func TestRunningAttemptIsRecognizedBesideExitedAttempt(t *testing.T) {
 	h := newHarness(t)
-	played := newSimulatedWorkers(t, h, "a1", "b1")
-	played.join("a1")
+	simulated := newSimulatedWorkers(t, h, "a1", "b1")
+	simulated.join("a1")
 	h.submit("run-000001", 1, nil)
-	played.place()
+	simulated.place()
 	lost := h.sent[0]
 	h.answered = len(h.sent)
 	h.CommandsAnswered("a1", lost.response, nil, false)
-	played.heartbeat("a1")
-	played.heartbeat("a1")
+	simulated.heartbeat("a1")
+	simulated.heartbeat("a1")
 	first := h.jobs["run-000001"].allocations[0]
 	if !first.reported || first.starts.direct != 1 {
 		t.Fatalf("first attempt %+v", first)
@@ -185,26 +185,26 @@
 	h.mu.Lock()
 	h.stopTask(first, 0, "test")
 	h.mu.Unlock()
-	played.deliverCommands()
-	played.heartbeat("a1")
-	played.place()
-	played.deliverCommands()
-	if second := h.jobs["run-000001"].allocations[0]; second == nil || second == first || second.machine.Name != "a1" || len(played.workers["a1"].Report().Tasks) != 2 {
-		t.Fatalf("no second attempt beside the first: %+v, %+v", second, played.workers["a1"].Report().Tasks)
+	simulated.deliverCommands()
+	simulated.heartbeat("a1")
+	simulated.place()
+	simulated.deliverCommands()
+	if second := h.jobs["run-000001"].allocations[0]; second == nil || second == first || second.machine.Name != "a1" || len(simulated.workers["a1"].Report().Tasks) != 2 {
+		t.Fatalf("no second attempt beside the first: %+v, %+v", second, simulated.workers["a1"].Report().Tasks)
 	}
 	h.machines["a1"].refusedUntil = h.clock.Now().Add(time.Minute)
-	played.join("b1")
+	simulated.join("b1")
 	for range 4 {
 		h.clock.Advance(time.Second)
-		played.heartbeat("a1")
-		played.heartbeat("b1")
-		played.place()
-		played.deliverCommands()
+		simulated.heartbeat("a1")
+		simulated.heartbeat("b1")
+		simulated.place()
+		simulated.deliverCommands()
 	}
-	if _, executed := played.workers["a1"].Direct(lost.response); !executed {
+	if _, executed := simulated.workers["a1"].Direct(lost.response); !executed {
 		t.Error("the worker did not execute the delayed first start, so the test does not check what it should")
 	}
-	if twice := played.startedTwice(); len(twice) > 0 {
+	if twice := simulated.startedTwice(); len(twice) > 0 {
 		t.Errorf("tasks ran on two machines: %v", twice)
 	}
 }
@@ -218,32 +218,32 @@
 	for _, shape := range []string{api.JobArray, api.Service} {
 		t.Run(shape, func(t *testing.T) {
 			h := newHarness(t)
-			played := newSimulatedWorkers(t, h, "a1", "b1")
-			played.join("a1")
+			simulated := newSimulatedWorkers(t, h, "a1", "b1")
+			simulated.join("a1")
 			h.submit("run-000001", 1, func(job *api.Submission) { job.Shape = shape })
 			h.Place()
 			if placed := h.jobs["run-000001"].allocations[0]; placed == nil || placed.committed {
 				t.Fatalf("want an allocation whose record is not stored, got %+v", placed)
 			}
-			played.workers["b1"].Direct(api.HeartbeatResponse{Term: h.term, Incarnation: played.workers["b1"].Report().Incarnation,
+			simulated.workers["b1"].Direct(api.HeartbeatResponse{Term: h.term, Incarnation: simulated.workers["b1"].Report().Incarnation,
 				Commands: []api.Command{{Verb: api.CommandRun, Task: task, Attempt: unrecorded}}})
-			if !played.running[task]["b1"] {
+			if !simulated.running[task]["b1"] {
 				t.Fatal("the unrecorded attempt does not run")
 			}
 			for range 3 {
-				report := played.workers["b1"].Report()
-				slow, _, _ := h.HandleHeartbeat(report, "")
+				report := simulated.workers["b1"].Report()
+				slowResponse, _, _ := h.HandleHeartbeat(report, "")
 				h.commit()
-				played.deliverCommands()
-				played.heartbeat("a1")
+				simulated.deliverCommands()
+				simulated.heartbeat("a1")
 				h.clock.Advance(time.Second)
-				played.workers["b1"].Answer(report, h.clock.Now(), slow)
-				played.place()
+				simulated.workers["b1"].Answer(report, h.clock.Now(), slowResponse)
+				simulated.place()
 			}
-			if twice := played.startedTwice(); len(twice) > 0 {
+			if twice := simulated.startedTwice(); len(twice) > 0 {
 				t.Errorf("tasks ran on two machines: %v", twice)
 			}
-			if alloc := h.jobs["run-000001"].allocations[0]; !played.running[task]["b1"] || alloc == nil || alloc.machine.Name != "b1" || alloc.attempt != unrecorded {
+			if alloc := h.jobs["run-000001"].allocations[0]; !simulated.running[task]["b1"] || alloc == nil || alloc.machine.Name != "b1" || alloc.attempt != unrecorded {
 				t.Errorf("the running attempt is not the task's allocation: %+v", alloc)
 			}
 			if machine := h.machines["a1"]; len(machine.allocations) != 0 || machine.used != (fleet.Resources{}) {
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -342,8 +342,8 @@
 		for range 500 {
 			random.step()
 		}
-		evidence := random.harness.evidence
-		crossed += evidence.exitsCrossed + evidence.stopsCrossed + evidence.absencesCrossed
+		stats := random.harness.evidence
+		crossed += stats.exitsCrossed + stats.stopsCrossed + stats.absencesCrossed
 		if twice := random.startedTwice(); len(twice) > 0 {
 			t.Fatalf("seed %d: tasks ran on two machines: %v", seed, twice)
 		}
