--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// needsProbe reports whether it is uncertain that a machine receives commands and a direct command can settle it.
-// s.mu must be held.
+// needsProbe reports whether it is uncertain that a machine receives commands and a direct command can show whether it
+// does. s.mu must be held.
 func (s *Scheduler) needsProbe(machine *machineState, now time.Time) bool {
 	if !machine.Up || machine.releasing || machine.relayPeer != "" {
 		return false
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// maintainFor advances the clock by d in steps of tuning.MaintainEvery. In each step it calls reports, which delivers
-// heartbeats, and then MaintainFleet. It returns the machines to be released.
+// maintainFor advances the clock by duration in steps of tuning.MaintainEvery. In each step it calls sendHeartbeats and
+// then MaintainFleet. It returns the machines to be released.
 func (h *harness) maintainFor(duration time.Duration, sendHeartbeats func()) (released []string) {
 	for ; duration > 0; duration -= tuning.MaintainEvery {
 		h.clock.Advance(tuning.MaintainEvery)
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -32,7 +32,7 @@
 	return workers
 }
 
-// run advances the clock by d. Reachable machines send a heartbeat every second, and all machines answer direct
+// run advances the clock by duration. Reachable machines send a heartbeat every second, and all machines answer direct
 // commands.
 func (w *inboundLostWorkers) run(duration time.Duration) {
 	h := w.harness
@@ -76,8 +76,8 @@
 
 // A machine's heartbeats reach no controller, but it still executes commands. It must get no new work, and its tasks
 // must run elsewhere before its lease expires. Unlike a silent machine it must not be released, and gets work as soon
-// as its heartbeats arrive again. Such machines were released after 3.2 heartbeat intervals, and a replacement had to
-// boot.
+// as its heartbeats arrive again. Before this rule, such a machine was released after 3.2 heartbeat intervals and a
+// replacement had to boot.
 func TestMachineWithLostHeartbeatsGetsNoMoreWork(t *testing.T) {
 	h := newHarness(t)
 	workers := newInboundLostWorkers(h, "a1", "a2", "a3", "a4")
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -71,13 +71,13 @@
 	// waitsForDependencies is set while a job that this one depends on is not known to be done. While it is set, no
 	// task is pending.
 	waitsForDependencies bool
-	// eligibleAt is when the job was submitted or, if later, when its last dependency was done, in ms on the clock of
-	// At.
+	// eligibleAt is when the job was submitted or, if later, when its last dependency was done, in Unix ms.
 	eligibleAt int64
 	// inherited holds the rank and the deadlines that the job inherits from its dependents; empty if it has none.
 	inherited dag.Stage
 
-	// latestStart orders the job among those of its rank.
+	// latestStart orders the job among those of its rank. It is when the job must start to meet its next deadline, in
+	// Unix ms, and later for jobs that need a larger share of the fleet.
 	latestStart int64
 	// overQuota is 0 while the job is within its team's guarantee and 1 otherwise; it is one of the sort keys of jobs.
 	overQuota int
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -281,8 +281,8 @@
 	// All other running attempts are killed by the next commands.
 }
 
-// reconcileUnknownRunning handles a reported attempt of a known job that has no allocation on the machine. s.mu must be
-// held.
+// reconcileUnknownRunning handles a reported attempt that has not exited and is not the allocation of its task, which
+// belongs to a known job. s.mu must be held.
 func (s *Scheduler) reconcileUnknownRunning(machine *machineState, job *jobState, task int, report api.TaskReport) {
 	if alloc := job.allocations[task]; alloc != nil && !alloc.runSent {
 		// If this allocation were started as well, the task would run on two machines.
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A machine that starts after a request to the cloud whose response was lost is used.
+// A machine gets work even if the cloud's response to the request for it was lost.
 func TestUnexpectedMachineIsUsed(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, nil)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -123,7 +123,7 @@
 
 	// evidence counts released allocations by proof, and crossed messages.
 	evidence releaseStats
-	// commandsReady holds the machines that have commands to be sent since the records behind them were stored.
+	// commandsReady holds the machines whose commands can be sent because the records that they depend on are stored.
 	commandsReady map[*machineState]bool
 	// commandMailboxes holds the commands that are relayed through each peer.
 	commandMailboxes *exchange.Mailboxes
