--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -19,8 +19,7 @@
 	"switchferry/tuning"
 )
 
-// harness is a leader on a fake clock with a scripted state service; the test
-// plays the workers and the cloud.
+// harness runs a leader on a fake clock and a fake state service. The test simulates the workers and the cloud.
 type harness struct {
 	*testing.T
 	*Scheduler
@@ -30,15 +29,15 @@
 	leading        bool
 	sent           []sentCommands
 	terminalStates map[string]store.FinalRecord
-	// sendStageOrder plays the agents; it is set with datasets on.
+	// sendStageOrder simulates the agents; it must be set if datasets are enabled.
 	sendStageOrder func(machine string, order api.StageOrder)
-	// seq is each machine's newest tally.
+	// seq holds each machine's newest sequence number.
 	seq             map[string]uint64
 	unreachableZone string
 	answered        int
-	// topologyMap is where machines stand; nil: nothing is declared.
+	// topologyMap is the configured topology; nil if there is none.
 	topologyMap *topology.Map
-	// limits are the state service's as the settings have them.
+	// limits holds the limits of the state service in the settings; only Next is used.
 	limits settings.State
 }
 
@@ -54,24 +53,24 @@
 	return (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
 }
 
-// elect begins a new term over the same state service, as after a crash.
+// elect begins a new term on the same state service, as after a crash of the leader.
 func (h *harness) elect() *harness {
 	h.Helper()
-	set := &settings.Settings{Member: "x"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: h.limits.Next}
-	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
+	memberSettings := &settings.Settings{Member: "x"}
+	memberSettings.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	memberSettings.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: h.limits.Next}
+	memberSettings.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
 		{Name: "left", CPUs: 900, CPUsMax: 3000}, {Name: "right", CPUs: 1200, CPUsMax: 3000}}
 	term := h.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	client := store.NewClient("state:1", h.state)
 	h.leading, h.sent, h.answered, h.terminalStates = true, nil, 0, map[string]store.FinalRecord{}
-	played := harnessCollaborators{h}
-	collaborators := Collaborators{Records: played, Sender: played, Leadership: played, Zones: played, TerminalStates: played}
-	h.Scheduler = New(term, h.clock, set, policy.Default(), testTypes, collaborators)
+	fakes := harnessCollaborators{h}
+	collaborators := Collaborators{Records: fakes, Sender: fakes, Leadership: fakes, Zones: fakes, TerminalStates: fakes}
+	h.Scheduler = New(term, h.clock, memberSettings, policy.Default(), testTypes, collaborators)
 	if h.topologyMap != nil {
 		h.UseTopology(h.topologyMap)
 	}
-	h.committer = store.NewCommitter(client, harnessSource{h.Scheduler, h}, h.clock, set.Facts.State, map[string]uint64{})
+	h.committer = store.NewCommitter(client, harnessSource{h.Scheduler, h}, h.clock, memberSettings.Facts.State, map[string]uint64{})
 	ctx := context.Background()
 	jobs, _, err := client.List(ctx, store.JobPrefix)
 	if err != nil {
@@ -86,21 +85,21 @@
 		h.Fatal(err)
 	}
 	h.LoadImageHints(images)
-	for _, it := range append(append(jobs, shards...), images...) {
-		h.committer.SetRevision(it.Key, it.Revision)
+	for _, item := range append(append(jobs, shards...), images...) {
+		h.committer.SetRevision(item.Key, item.Revision)
 	}
 	h.Load(jobs, shards)
 	return h
 }
 
-// harnessCollaborators is what the harness plays for its scheduler.
+// harnessCollaborators implements the scheduler's Collaborators on a harness.
 type harnessCollaborators struct{ harness *harness }
 
 func (c harnessCollaborators) MarkDirty(key string, urgency int, stored func()) {
 	c.harness.committer.MarkDirty(key, urgency, stored)
 }
 
-// MarkDirtyWithin writes at once, so that a test need not wait.
+// MarkDirtyWithin schedules the write without delay, so that tests need not wait.
 func (c harnessCollaborators) MarkDirtyWithin(key string, urgency int, _ time.Duration, stored func()) {
 	c.harness.committer.MarkDirty(key, urgency, stored)
 }
@@ -145,7 +144,7 @@
 
 func (x harnessSource) Deposed() { x.harness.leading = false }
 
-// commit writes all that waits.
+// commit writes all pending records.
 func (h *harness) commit() {
 	for i := 0; h.committer.Pending() > 0 && i < 2000; i++ {
 		h.committer.Step(context.Background())
@@ -153,38 +152,38 @@
 	}
 }
 
-// submit stores a job.
+// submit submits a job, changed by change if that is not nil, and stores its record.
 func (h *harness) submit(id string, tasks int, change func(*api.Submission)) {
 	h.Helper()
-	sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: tasks,
+	submission := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: tasks,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30}
 	if change != nil {
-		change(&sub)
+		change(&submission)
 	}
-	h.Submit(cancelledContext(), &sub, h.clock.Now())
+	h.Submit(cancelledContext(), &submission, h.clock.Now())
 	h.commit()
 	if _, ok := h.JobStatus(id); !ok {
 		h.Fatalf("%s not accepted", id)
 	}
 }
 
-// nextSeq is a machine's next tally.
+// nextSeq returns a machine's next sequence number.
 func (h *harness) nextSeq(name string) uint64 {
 	h.seq[name]++
 	return h.seq[name]
 }
 
-// heartbeat plays a worker that has seen the current term.
-func (h *harness) heartbeat(name string, session uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
-	return h.heartbeatAt(name, session, h.nextSeq(name), h.term, tasks...)
+// heartbeat delivers a direct heartbeat of a worker that has seen the current term.
+func (h *harness) heartbeat(name string, incarnation uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	return h.heartbeatAt(name, incarnation, h.nextSeq(name), h.term, tasks...)
 }
 
-func (h *harness) heartbeatAt(name string, session, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
-	o, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: session, Seq: seq, Term: term, Tasks: tasks}, "")
-	return o
+func (h *harness) heartbeatAt(name string, incarnation, seq, term uint64, tasks ...api.TaskReport) api.HeartbeatResponse {
+	response, _, _ := h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: incarnation, Seq: seq, Term: term, Tasks: tasks}, "")
+	return response
 }
 
-// zoneOf puts machines whose name begins with b into zone b.
+// zoneOf returns the zone of a machine: b if its name begins with b, otherwise a.
 func zoneOf(name string) string {
 	if name[0] == 'b' {
 		return "b"
@@ -196,28 +195,28 @@
 	return api.TaskReport{Task: key, Attempt: attempt, State: state, Cause: cause}
 }
 
-// starts are the run commands sent directly so far, newest last.
+// starts returns the run commands for a task sent directly so far, newest last.
 func (h *harness) starts(key string) (out []sentCommands) {
-	for _, o := range h.sent {
-		for _, c := range o.response.Commands {
-			if c.Verb == api.CommandRun && c.Task == key {
-				out = append(out, sentCommands{o.machine, api.HeartbeatResponse{Term: o.response.Term, Incarnation: o.response.Incarnation, Commands: []api.Command{c}}})
+	for _, sent := range h.sent {
+		for _, command := range sent.response.Commands {
+			if command.Verb == api.CommandRun && command.Task == key {
+				out = append(out, sentCommands{sent.machine, api.HeartbeatResponse{Term: sent.response.Term, Incarnation: sent.response.Incarnation, Commands: []api.Command{command}}})
 			}
 		}
 	}
 	return out
 }
 
-func hasCommand(o api.HeartbeatResponse, verb, key string) bool {
-	for _, c := range o.Commands {
-		if c.Verb == verb && c.Task == key {
+func hasCommand(response api.HeartbeatResponse, verb, key string) bool {
+	for _, command := range response.Commands {
+		if command.Verb == verb && command.Task == key {
 			return true
 		}
 	}
 	return false
 }
 
-// submitAndStart places a job of one task on a lone machine and returns its start.
+// submitAndStart places a job of one task on the only machine and returns the message with its run command.
 func (h *harness) submitAndStart(id string) sentCommands {
 	h.Helper()
 	h.heartbeat("a1", 1)
@@ -234,127 +233,127 @@
 	return starts[0]
 }
 
-// cancelledContext is the context of a user who does not wait for the answer.
+// cancelledContext returns the context of a request that does not wait.
 func cancelledContext() context.Context {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	return ctx
 }
 
-// answerCommands lets the workers answer every direct command.
+// answerCommands settles every direct command that was not answered yet, without a heartbeat.
 func (h *harness) answerCommands() {
 	for ; h.answered < len(h.sent); h.answered++ {
 		h.CommandsAnswered(h.sent[h.answered].machine, h.sent[h.answered].response, nil, true)
 	}
 }
 
-// maintainFor lets time pass with the leader at work: each step the named machines
-// heartbeat, then it looks after machines.
-func (h *harness) maintainFor(d time.Duration, reports func()) (returned []string) {
-	for ; d > 0; d -= tuning.MaintainEvery {
+// maintainFor advances the clock by duration in steps of tuning.MaintainEvery. In each step it calls sendHeartbeats and
+// then MaintainFleet. It returns the machines to be released.
+func (h *harness) maintainFor(duration time.Duration, sendHeartbeats func()) (released []string) {
+	for ; duration > 0; duration -= tuning.MaintainEvery {
 		h.clock.Advance(tuning.MaintainEvery)
-		reports()
-		returned = append(returned, h.MaintainFleet()...)
+		sendHeartbeats()
+		released = append(released, h.MaintainFleet()...)
 	}
-	return returned
+	return released
 }
 
-// instancesGranted plays a rental's answer.
+// instancesGranted simulates the cloud's response to a request for instances.
 func (h *harness) instancesGranted(names ...string) {
 	h.instancesRequested++
 	h.InstancesGranted(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
 }
 
-// heartbeatsThrough plays reports that a sibling passes on through the state service.
+// heartbeatsThrough delivers heartbeats that a peer relays through the state service.
 func (h *harness) heartbeatsThrough(member string, names ...string) {
-	for _, n := range names {
-		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), Incarnation: 1, Seq: h.nextSeq(n), Term: h.term})
+	for _, name := range names {
+		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term})
 	}
 }
 
-// heartbeatThrough plays a report that comes through a sibling.
+// heartbeatThrough delivers a heartbeat that a peer forwards in a request.
 func (h *harness) heartbeatThrough(via, name string) {
 	h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term}, via)
 }
 
-// relayedCommandsFor is what stands in the state service for a machine behind a sibling.
-func (h *harness) relayedCommandsFor(member, name string) (m store.RelayedCommands) {
+// relayedCommandsFor returns the commands in the state service for a machine whose heartbeats a peer relays.
+func (h *harness) relayedCommandsFor(member, name string) (commands store.RelayedCommands) {
 	h.Helper()
-	var r relay.Reader
+	var reader relay.Reader
 	items, _, err := store.NewClient("state:1", h.state).List(context.Background(), store.RelayResponsePrefix+member+"/")
-	for _, it := range items {
-		var l relay.Packet
+	for _, item := range items {
+		var packet relay.Packet
 		if err == nil {
-			err = json.Unmarshal(it.Value, &l)
+			err = json.Unmarshal(item.Value, &packet)
 		}
 		if err == nil {
-			err = r.Apply(it.Key, it.Revision, &l)
+			err = reader.Apply(item.Key, item.Revision, &packet)
 		}
 	}
-	if raw := r.MessageFor(h.term, name); err == nil && raw != nil {
-		err = json.Unmarshal(raw, &m)
+	if raw := reader.MessageFor(h.term, name); err == nil && raw != nil {
+		err = json.Unmarshal(raw, &commands)
 	}
 	if err != nil {
 		h.Fatal(err)
 	}
-	return m
+	return commands
 }
 
 func (h *harness) client() *store.Client { return store.NewClient("state:1", h.state) }
 
-// settleStarts places what waits, and the workers report it as running.
+// settleStarts places the pending tasks, answers their start commands and has the workers report them as running.
 func (h *harness) settleStarts() {
 	h.Place()
 	h.commit()
 	runningOn := map[string][]api.TaskReport{}
-	for _, o := range h.sent {
-		for _, c := range o.response.Commands {
-			if c.Verb == api.CommandRun {
-				runningOn[o.machine] = append(runningOn[o.machine], taskReport(c.Task, c.Attempt, api.TaskRunning, ""))
+	for _, message := range h.sent {
+		for _, command := range message.response.Commands {
+			if command.Verb == api.CommandRun {
+				runningOn[message.machine] = append(runningOn[message.machine], taskReport(command.Task, command.Attempt, api.TaskRunning, ""))
 			}
 		}
 	}
 	sent := h.sent
 	h.sent = nil
-	for _, o := range sent {
-		h.CommandsAnswered(o.machine, o.response, nil, true)
+	for _, message := range sent {
+		h.CommandsAnswered(message.machine, message.response, nil, true)
 	}
 	for name, tasks := range runningOn {
 		h.heartbeat(name, 1, tasks...)
 	}
 }
 
-// again repeats a worker's last report.
+// again sends a heartbeat with the same task list as the worker's last one.
 func (h *harness) again(name string) {
 	var tasks []api.TaskReport
-	for _, t := range h.machines[name].Attempts {
-		tasks = append(tasks, t)
+	for _, report := range h.machines[name].Attempts {
+		tasks = append(tasks, report)
 	}
 	h.heartbeat(name, 1, tasks...)
 }
 
-// state is what the leader says of a job.
+// status returns the state of a job as the leader reports it; empty if the job is not known.
 func (h *harness) status(id string) string {
-	starts, ok := h.JobStatus(id)
+	status, ok := h.JobStatus(id)
 	if !ok {
-		if f, over := h.terminalStates[id]; over {
-			return f.State
+		if final, ended := h.terminalStates[id]; ended {
+			return final.State
 		}
 		return ""
 	}
-	return starts.State
+	return status.State
 }
 
-// complete runs all tasks of a job to their end on a machine.
+// complete runs all tasks of a job to completion on one machine.
 func (h *harness) complete(id, machine string) {
 	h.Helper()
 	h.heartbeat(machine, 1)
 	h.Place()
 	h.commit()
-	var ran, done []api.TaskReport
+	var running, done []api.TaskReport
 	for key, alloc := range h.machines[machine].allocations {
 		if alloc.committed && alloc.job.id == id {
-			ran = append(ran, taskReport(key, alloc.attempt, api.TaskRunning, ""))
+			running = append(running, taskReport(key, alloc.attempt, api.TaskRunning, ""))
 			done = append(done, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
@@ -362,34 +361,36 @@
 		h.Fatalf("%s did not start", id)
 	}
 	h.answerCommands()
-	h.heartbeat(machine, 1, ran...)
+	h.heartbeat(machine, 1, running...)
 	h.heartbeat(machine, 1, done...)
 	h.commit()
 	h.answerCommands()
 	h.heartbeat(machine, 1)
 }
 
-// awaiting makes a small job that awaits others.
+// awaiting returns a change of a submission to a small job that depends on others.
 func awaiting(ids ...string) func(*api.Submission) {
-	return func(x *api.Submission) { x.Awaits, x.CPUs, x.MemoryGB = ids, 0.1, 0.1 }
+	return func(submission *api.Submission) {
+		submission.Awaits, submission.CPUs, submission.MemoryGB = ids, 0.1, 0.1
+	}
 }
 
-// smallJob is a job that awaits nothing.
+// smallJob changes a submission to a small job without dependencies.
 var smallJob = awaiting()
 
-// configured is a configuration of one team.
+// configured parses a configuration and applies it over the default one.
 func configured(t *testing.T, text string) *configuration.Active {
 	t.Helper()
-	d, err := configuration.Parse(text)
+	document, err := configuration.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d.Over(configuration.FromFiles(nil, policy.Default()), 3)
+	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
 func oneTeam(limit string) string { return "[[teams]]\nname = \"t\"\ncpus_max = " + limit + "\n" }
 
-// mustJSON encodes a value as the state service keeps it.
+// mustJSON encodes a value as JSON, as in a stored record.
 func mustJSON(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
