--- a/scheduler/answer.go
+++ b/scheduler/answer.go
@@ -4,47 +4,53 @@
 	"switchferry/api"
 )
 
-// AnswerBasis says on what the answer to a question about a job rests, or why a term has none. Where it has none, the
-// records tell.
+// AnswerBasis states which data a job status is based on, or why the status cannot be given from the leader's memory. In
+// the latter case the caller must read the stored records.
 type AnswerBasis string
 
-// Bases of an answer.
+// Bases on which a status may be given.
 const (
-	// FromStoredEnd: the job's terminal state is on record and does not change any more, whoever leads.
+	// FromStoredEnd means that the job's terminal state is stored. It cannot change, whichever controller leads.
 	FromStoredEnd AnswerBasis = "terminal state on record"
-	// FromMemory: nobody can have answered anything newer than what the leader has in memory.
+	// FromMemory means that no controller can have given out a newer status than the one in the leader's memory.
 	FromMemory AnswerBasis = "memory of the leader"
 )
 
-// Reasons for which a term does not answer.
+// Reasons why a status cannot be given from memory.
 const (
+	// NotInMemory means that the scheduler holds no job of this ID.
 	NotInMemory AnswerBasis = "not in memory"
+	// NotAccepted means that the job's record is not known to be stored yet.
 	NotAccepted AnswerBasis = "its record is not stored yet"
-	// EndUnderWay: a transaction without an answer may have been executed, and whoever has read the record has told users.
+	// EndUnderWay means that a terminal state is decided but its transaction is not confirmed. The transaction may have
+	// been executed, and another controller may have read the record and reported the terminal state to users.
 	EndUnderWay AnswerBasis = "its end may be on record"
-	// DependencyEndUnderWay: so may the cancellation of a job that this one depends on, which cancels it too.
+	// DependencyEndUnderWay means that the cancellation of a dependency is not confirmed. If it is stored, it cancels this
+	// job too.
 	DependencyEndUnderWay AnswerBasis = "the cancellation of a dependency may be on record"
-	// DependencyUnknown: a dependency has yet to be looked up, and may be cancelled.
+	// DependencyUnknown means that a dependency has not been looked up yet. It may be cancelled.
 	DependencyUnknown AnswerBasis = "a dependency is not looked up yet"
-	// NotLeading: another controller may lead, and have ended the job.
+	// NotLeading means that another controller may lead and may have completed or cancelled the job.
 	NotLeading AnswerBasis = "not certain to lead"
 )
 
-// Known reports whether there is an answer.
+// Known reports whether a status may be given on this basis.
 func (b AnswerBasis) Known() bool { return b == FromStoredEnd || b == FromMemory }
 
-// answerFacts are what decides whether a term may answer a question about a job from memory.
+// answerFacts holds the inputs of decideAnswer.
 type answerFacts struct {
 	inMemory, accepted bool
-	// ended: a terminal state is decided; endStored: it is known to be on record.
+	// ended is set once a terminal state is decided, endStored once that state is known to be stored.
 	ended, endStored bool
-	// dependencies says whether those of the job, direct or not, allow an answer.
+	// dependencies is FromMemory if the job's direct and transitive dependencies allow a status from memory; otherwise it
+	// is the reason why they do not.
 	dependencies AnswerBasis
 	leading      bool
 }
 
-// decideAnswer decides whether a term may answer from memory. It may not while another controller can have answered
-// something newer, by a record that this term wrote without knowing it, or by leading itself.
+// decideAnswer decides whether the status of a job may be given from memory. It may not while another controller can have
+// given out a newer status: from a record that this term wrote in a transaction without a confirmed outcome, or because the
+// other controller now leads.
 func decideAnswer(facts answerFacts) AnswerBasis {
 	switch {
 	case !facts.inMemory:
@@ -63,15 +69,15 @@
 	return FromMemory
 }
 
-// Answer returns the status of a job as it may be answered now, and what that rests on. The status counts only if the
-// basis is known.
+// Answer returns the status of a job and the basis on which it may be given. The status is valid only if basis.Known()
+// is true.
 func (s *Scheduler) Answer(id string) (api.JobStatus, AnswerBasis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answer(s.jobs[id])
 }
 
-// answer is Answer for a job in memory, nil if it is not there. s.mu must be held.
+// answer implements Answer. Job is nil if the job is not in memory. s.mu must be held.
 func (s *Scheduler) answer(job *jobState) (api.JobStatus, AnswerBasis) {
 	if job == nil {
 		return api.JobStatus{}, NotInMemory
@@ -84,12 +90,13 @@
 		dependencies: s.dependencies.answerBasis(job),
 	}
 	status := s.status(job)
-	// The last of all: the process may be paused between any two steps while another one leads and cancels the job.
+	// Leadership must be checked last: the process may be paused between any two steps, while another controller leads and
+	// cancels the job.
 	facts.leading = s.leadership.Leading()
 	return status, decideAnswer(facts)
 }
 
-// JobStatus returns the status of a job in memory; ok is false if it must not be answered from there.
+// JobStatus returns the status of a job from memory; ok is false if the status must not be given from memory.
 func (s *Scheduler) JobStatus(id string) (status api.JobStatus, ok bool) {
 	status, basis := s.Answer(id)
 	return status, basis.Known()
--- a/scheduler/archived_jobs.go
+++ b/scheduler/archived_jobs.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// archivedJobs are the jobs that this term had in memory and whose records it has archived, the last ones up to a limit. A
-// record of such a job that was read before may still arrive. Scheduler.mu must be held for all methods.
+// archivedJobs holds the most recently archived jobs of this term, up to a limit. It lets the scheduler discard a record of
+// such a job that was read before the job was archived and arrives afterwards. Scheduler.mu must be held for all methods.
 type archivedJobs struct {
 	limit int
-	// archivedAt is when each of the jobs was archived, and order lists them, the oldest first.
+	// archivedAt maps each job ID to the time of its archival; order lists the IDs, oldest first.
 	archivedAt map[string]time.Time
 	order      []string
-	// completeSince is the time after which all archived jobs are here; zero while none was dropped for the limit.
+	// completeSince is the archival time of the last entry that was dropped for the limit: all jobs archived after it are
+	// in the set. It is zero while none was dropped.
 	completeSince time.Time
 }
 
@@ -18,7 +19,7 @@
 	return &archivedJobs{limit: limit, archivedAt: map[string]time.Time{}}
 }
 
-// add notes that a job is archived. The oldest one is dropped if there are more than the limit.
+// add records that a job was archived at the given time. Above the limit it drops the oldest entry.
 func (a *archivedJobs) add(id string, now time.Time) {
 	if _, known := a.archivedAt[id]; known {
 		return
@@ -34,13 +35,13 @@
 	delete(a.archivedAt, oldest)
 }
 
-// at returns when a job was archived; ok is false if it is not here.
+// at returns when a job was archived; ok is false if the job is not in the set.
 func (a *archivedJobs) at(id string) (at time.Time, ok bool) {
 	at, ok = a.archivedAt[id]
 	return at, ok
 }
 
-// covers reports whether every job is here that was archived since a read was sent.
+// covers reports whether the set holds every job that was archived since a read was sent.
 func (a *archivedJobs) covers(sentAt time.Time) bool {
 	return a.completeSince.IsZero() || sentAt.After(a.completeSince)
 }
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -12,14 +12,16 @@
 	"switchferry/tuning"
 )
 
-// dependencies connects the jobs of a term to the graph of those that wait for others. Everything in it follows from
-// records: a job's dependencies from its own, that one of them is done or cancelled from that one's. So a cancellation
-// needs no record but that of the cancelled job: its dependants are cancelled from then on, whichever controller is
-// asked, and their own final records only make that cheaper to read. Scheduler.mu must be held for all methods.
+// dependencies connects the jobs of a term to the graph of jobs that wait for others. Its whole state follows from stored
+// records: the job's own record lists its dependencies, and the record of each dependency tells whether that one is done
+// or cancelled. A cancellation therefore needs only the record of the cancelled job: from then on every controller treats
+// its dependants as cancelled, and their own final records only make that cheaper to read. Scheduler.mu must be held for
+// all methods.
 type dependencies struct {
 	scheduler *Scheduler
 	graph     *dag.Graph
-	// missing are dependencies that this leader does not know; lookupNeeded receives when there are more.
+	// missing holds the dependencies whose state this leader does not know; lookupNeeded receives a signal when one is
+	// added.
 	missing      map[string]bool
 	lookupNeeded chan struct{}
 }
@@ -29,8 +31,8 @@
 	return &dependencies{scheduler: sched, graph: dag.New(), missing: map[string]bool{}, lookupNeeded: make(chan struct{}, 1)}
 }
 
-// terminalState returns the final state of a job that is on record, empty if there is none; known reports whether this
-// leader knows the job. A final state that is decided and not on record yet does not count.
+// terminalState returns the stored terminal state of a job, empty if there is none; known reports whether this leader
+// knows the job. A terminal state that is decided but not stored yet does not count.
 func (p *dependencies) terminalState(id string) (state string, known bool) {
 	if job := p.scheduler.jobs[id]; job != nil {
 		if job.terminalStored {
@@ -42,11 +44,11 @@
 	return final.State, ok
 }
 
-// add adds an accepted job with the dependencies that are not done. It reports whether the job's tasks may not start:
-// the job waits, or it was cancelled with one of its dependencies.
+// add adds an accepted job to the graph with its dependencies that are not done. It returns true if the job's tasks must
+// not start, because the job waits or because it was cancelled with one of its dependencies.
 func (p *dependencies) add(job *jobState) bool {
 	if job.completedCount > 0 || len(job.allocations) > 0 {
-		// That one of its tasks was allocated proves that all its dependencies were done.
+		// Tasks are allocated only after all dependencies are done, so a lookup is not needed.
 		return false
 	}
 	var unfinished []string
@@ -71,9 +73,9 @@
 	return true
 }
 
-// answerBasis returns whether a job may be answered from memory as far as its dependencies go, direct or not: each of them
-// may be cancelled, and with it the job, as soon as that is on record. An earlier leader may have cancelled one that has yet
-// to be looked up, and a transaction of this one may have been executed without an answer.
+// answerBasis returns FromMemory if the job's direct and transitive dependencies allow its status to be given from memory,
+// and otherwise the reason why not. A stored cancellation of any of them cancels the job: an earlier leader may have
+// cancelled one that has not been looked up yet, and a transaction of this leader may have been executed without a response.
 func (p *dependencies) answerBasis(job *jobState) AnswerBasis {
 	if !job.waitsForDependencies {
 		return FromMemory
@@ -92,7 +94,7 @@
 	return basis
 }
 
-// visitDependencies calls visit once for each job that a job depends on, directly or not, until visit returns false.
+// visitDependencies calls visit once for each direct or transitive dependency of a job, until visit returns false.
 func (p *dependencies) visitDependencies(id string, visit func(dependency string) (goOn bool)) {
 	seen := map[string]bool{}
 	for unvisited := []string{id}; len(unvisited) > 0; unvisited = unvisited[1:] {
@@ -109,7 +111,7 @@
 	}
 }
 
-// requestLookup asks for the final state of a dependency that this leader does not know.
+// requestLookup requests a lookup of the terminal state of a dependency that this leader does not know.
 func (p *dependencies) requestLookup(id string) {
 	p.missing[id] = true
 	select {
@@ -118,8 +120,8 @@
 	}
 }
 
-// onTerminal handles a job's final state that is on record now: its dependants may start if it was their last
-// dependency, or are cancelled with it.
+// onTerminal handles the stored terminal state of a job. If the job is done, dependants without further unfinished
+// dependencies may start; if it is cancelled, its direct and transitive dependants are cancelled.
 func (p *dependencies) onTerminal(jobID, state string) {
 	lookedUp := p.missing[jobID]
 	delete(p.missing, jobID)
@@ -136,8 +138,9 @@
 	}
 }
 
-// release lets a job start whose dependencies are all done. LookedUp tells that the last one was looked up: it may have
-// been done long ago, under an earlier leader, so the job counts as waiting since its submission.
+// release makes the tasks of a job whose dependencies are all done eligible to start. LookedUp is set if the state of the
+// last dependency was looked up: that dependency may have been done for a long time, under an earlier leader, so the
+// job's waiting time keeps counting from its submission.
 func (p *dependencies) release(jobID string, lookedUp bool) {
 	job := p.scheduler.jobs[jobID]
 	if job == nil || job.FinalState != "" {
@@ -152,22 +155,23 @@
 	p.scheduler.wakePlacer()
 }
 
-// cancel cancels a job whose dependency, direct or not, is cancelled. Nothing of it has started, so that its final record
-// is all that there is to write.
+// cancel cancels a job because a direct or transitive dependency is cancelled. No task of the job has started, so only
+// its final record needs to be written.
 func (p *dependencies) cancel(job *jobState, dependency string) {
 	sched := p.scheduler
 	job.waitsForDependencies = false
 	job.setTerminal(sched, api.Cancelled)
 	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", job.FinalState, "with", dependency)
 	for _, alloc := range job.allocations {
-		// Only with a damaged record can there be any.
+		// There are allocations only if a record is damaged.
 		sched.stopTask(alloc, tuning.CancelKill, "cancelled")
 	}
 	sched.onTerminalStored(job)
 }
 
-// inheritUrgency gives each job the rank and the deadlines of its dependants, where they are more urgent than its own. A
-// rank is not raised to that of production, which no pipeline may starve. FleetCPUs are those of machines that are up.
+// inheritUrgency gives each job the ranks and deadlines of its dependants where these are more urgent than its own. A rank
+// is never raised to the production rank, so that pipelines cannot starve production jobs. FleetCPUs is the total number
+// of CPUs of the machines that are up.
 func (p *dependencies) inheritUrgency(fleetCPUs float64) {
 	sched := p.scheduler
 	stages := p.graph.Inherit(func(id string) (dag.Stage, bool) {
@@ -183,8 +187,8 @@
 	}
 }
 
-// durationMS returns how long a job that waits needs once it may start, in ms: a fetch of its image, and its tasks in as
-// many waves as they need if they have the whole fleet.
+// durationMS returns the expected time, in ms, from the moment that a job may start to its completion: the fetch of its
+// image, and the run time of its tasks in as many waves as they need when the whole fleet is available to them.
 func (p *dependencies) durationMS(job *jobState, fleetCPUs float64) int64 {
 	waves := 1.0
 	if fleetCPUs > 0 {
@@ -203,8 +207,8 @@
 	return tuning.StageGapMS + int64(1000*(fetchSeconds+waves*estimate(job)))
 }
 
-// startsSoon reports whether machines for a job that waits should be requested already: all its dependencies run, and
-// by the estimates end within the boot of a machine. s.mu must be held.
+// startsSoon reports whether machines should already be requested for a job that waits for dependencies: all of these are
+// running and by their estimates complete within the longest boot time of a machine. s.mu must be held.
 func (p *dependencies) startsSoon(job *jobState) bool {
 	bootS := p.scheduler.longestBootS()
 	for _, id := range p.graph.Dependencies(job.id) {
@@ -215,8 +219,8 @@
 	return true
 }
 
-// endsWithin reports whether all tasks of a job are done or run and, by its estimate, end within the given seconds.
-// s.mu must be held.
+// endsWithin reports whether each task of a job either is done, or is running and by the job's estimate ends within the
+// given seconds. s.mu must be held.
 func (p *dependencies) endsWithin(job *jobState, seconds float64) bool {
 	if job.waitsForDependencies || job.FinalState == "" && (job.unplaced() > 0 || len(job.allocations) == 0) {
 		return false
@@ -229,7 +233,7 @@
 	return true
 }
 
-// waitReasons returns what a job waits for, one dependency each, for operators and users.
+// waitReasons returns one text for each dependency that a job waits for, to be shown to operators and users.
 func (p *dependencies) waitReasons(job *jobState) (reasons []string) {
 	for _, dependencyID := range p.graph.Dependencies(job.id) {
 		var state string
@@ -248,7 +252,7 @@
 	return reasons
 }
 
-// makeEligible makes all tasks of a job pending that are neither done nor allocated. No task may be queued.
+// makeEligible makes pending all tasks of a job that are neither done nor allocated. No task of the job may be queued.
 // Scheduler.mu must be held.
 func (j *jobState) makeEligible() {
 	j.pending = j.pending[:0]
@@ -259,7 +263,7 @@
 	}
 }
 
-// UnresolvedDependencies returns the dependencies whose final state this leader has yet to look up.
+// UnresolvedDependencies returns the IDs of the dependencies whose state this leader has yet to look up.
 func (s *Scheduler) UnresolvedDependencies() (ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,7 +273,8 @@
 	return ids
 }
 
-// ResolveDependency handles the final state, as looked up, of a job that was over before this term.
+// ResolveDependency handles the looked-up terminal state of a job that was done or cancelled before this term. It does
+// nothing if the job is in memory.
 func (s *Scheduler) ResolveDependency(id string, final store.FinalRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -11,7 +11,7 @@
 )
 
 // Topology returns the state of the topology for operators: its domains in the order of the file, reservations, and
-// jobs that wait because of where their tasks may be. It is empty without a topology.
+// jobs that wait because of placement restrictions. It is empty if no topology is configured.
 func (s *Scheduler) Topology() api.TopologyView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,8 @@
 	return view
 }
 
-// Explain returns where a job's tasks are and why the others wait; false if this leader does not know the job.
+// Explain returns where a job's tasks are placed and why the others wait; ok is false if the job's status must not be
+// given from memory (see Answer).
 func (s *Scheduler) Explain(id string) (explanation api.Explanation, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,9 +86,9 @@
 	return explanation, true
 }
 
-// taskLocations counts a job's allocated tasks by domain, or by machine where the topology names none; those whose
-// machine is silent or does not get our commands count as unconfirmed too. Most tasks come first.
-// s.mu must be held.
+// taskLocations counts a job's allocated tasks by domain, or by machine where the topology lists no domain for it. Tasks
+// on a machine whose heartbeats are overdue or that does not receive commands also count as unconfirmed. The result is
+// sorted by descending number of tasks. s.mu must be held.
 func (s *Scheduler) taskLocations(job *jobState) []api.TaskLocation {
 	locations := map[string]*api.TaskLocation{}
 	for _, alloc := range job.allocations {
@@ -116,8 +117,8 @@
 	return sorted
 }
 
-// waitReasons returns why a job's tasks wait, for operators and users, from the job's own reasons to the machines'.
-// s.mu must be held.
+// waitReasons returns why a job's tasks wait, for operators and users: reasons in the job itself come first, then the state
+// of the machines. s.mu must be held.
 func (s *Scheduler) waitReasons(job *jobState) (reasons []string) {
 	switch {
 	case !job.accepted:
@@ -147,13 +148,13 @@
 	return reasons
 }
 
-// machineCounts counts the machines that satisfy a job's constraints; each that cannot start a task of it now counts
-// under one reason too.
+// machineCounts counts the machines that satisfy a job's constraints. Each of them that cannot start a task of the job now
+// is also counted under exactly one reason.
 type machineCounts struct {
 	allowed int
-	// outboundUnconfirmed have not confirmed lately that they get our commands.
+	// outboundUnconfirmed counts machines that have not recently confirmed that they receive commands.
 	outboundUnconfirmed int
-	// inboundLost answer commands, but their heartbeats reach no controller.
+	// inboundLost counts machines that answer commands but whose heartbeats reach no controller.
 	inboundLost       int
 	unschedulable     int
 	forbiddenBySpread int
@@ -165,7 +166,7 @@
 	return c.allowed - c.outboundUnconfirmed - c.inboundLost - c.unschedulable - c.forbiddenBySpread - c.full
 }
 
-// countMachines counts the machines that a job's tasks may run on, by why they can start none now.
+// countMachines counts the machines that a job's tasks may run on, by the reason why they cannot start a task now.
 // s.mu must be held.
 func (s *Scheduler) countMachines(job *jobState) (counts machineCounts) {
 	for _, machine := range s.machines {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -15,13 +15,13 @@
 	"switchferry/tuning"
 )
 
-// releasedMachineMemory is for how long the name of a released machine is remembered, so that late reports and lists
-// do not bring it back.
+// releasedMachineMemory is how long the name of a released machine is kept, so that late heartbeats and instance lists do
+// not add the machine again.
 const releasedMachineMemory = 10 * time.Minute
 
-// MaintainFleet looks after the machines: it drains, forgets and gives up machines, and stops what runs over a
-// lowered limit. It returns the names of the machines that the cloud should release. It does nothing before the
-// records are loaded or while this controller may not lead.
+// MaintainFleet drains, removes and releases machines, and stops tasks that exceed a lowered limit of their team. It
+// returns the names of the machines that the cloud should release. It returns nil before the records are loaded and
+// while this controller is not certain to lead.
 func (s *Scheduler) MaintainFleet() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,16 +52,17 @@
 	return released
 }
 
-// markReleasing marks a machine as one that the cloud should release, and returns its name. That it is released
-// proves that its tasks are gone.
+// markReleasing marks a machine as one that the cloud should release, and returns its name. The cloud's confirmation of the
+// release proves that the tasks on the machine have ended.
 func (m *machineState) markReleasing(reason string) string {
 	slog.Info("releasing machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
 	m.releasing = true
 	return m.Name
 }
 
-// releaseFailedMachines acts on each machine by the failure detector's verdict, and returns the names of those to
-// release; how many silent machines these may be is bounded by the eviction budget. s.mu must be held.
+// releaseFailedMachines takes the action that the failure detector decided for each machine, and returns the names of the
+// machines to release. The eviction budget bounds how many machines with overdue heartbeats are among them.
+// s.mu must be held.
 func (s *Scheduler) releaseFailedMachines(now time.Time) (released []string) {
 	reasons := map[string]string{}
 	var overdue []failuredetector.Candidate
@@ -100,8 +101,8 @@
 	return released
 }
 
-// logFleet logs how the CPUs of the machines that are up are used, by tasks that run, that fetch or are about to
-// start, and that are being stopped; and what waits. s.mu must be held.
+// logFleet logs how many CPUs of the machines that are up are used by tasks that are running, starting (including fetches)
+// and stopping, and how many CPUs waiting jobs need. s.mu must be held.
 func (s *Scheduler) logFleet() {
 	var cpus, running, starting, stopping float64
 	machines := 0
@@ -134,8 +135,8 @@
 		"waiting_jobs", jobs, "waiting_cpus", waiting)
 }
 
-// logPassedOver logs, once a job, that one has waited for tuning.PassedOverAfter beside a machine with the resources for one
-// of its tasks: users expect that nobody waits 90 s so. s.mu must be held.
+// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverAfter although a machine has
+// free resources for one of its tasks. Users expect that no job waits 90 s in this way. s.mu must be held.
 func (s *Scheduler) logPassedOver(job *jobState) {
 	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
 	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverAfter || !s.withinQuota(job) {
@@ -153,8 +154,9 @@
 		"waited", s.since(waitingSince).Round(time.Second), "why", s.waitReasons(job))
 }
 
-// drain stops the tasks of a machine that is about to be taken, or whose lease is about to end: those with checkpoints
-// in time to save, the others at once unless they are expected to complete. s.mu must be held.
+// drain stops the tasks of a machine that is about to be preempted or whose lease is about to expire: tasks with
+// checkpoints early enough to save their state, the others at once unless they are expected to complete in time.
+// s.mu must be held.
 func (s *Scheduler) drain(machine *machineState, until time.Time, reason string) {
 	secondsLeft := until.Sub(s.now()).Seconds()
 	for _, alloc := range machine.allocations {
@@ -176,8 +178,8 @@
 	}
 }
 
-// idleMachines marks a machine for release that has been idle for the policy's time and that the desired capacity does
-// not need, and returns its name; at most one. s.mu must be held.
+// idleMachines marks at most one machine for release and returns its name: one that has been idle for the time that the
+// policy sets and that the desired capacity does not need. s.mu must be held.
 func (s *Scheduler) idleMachines(now time.Time) []string {
 	desired, desiredOrdinary := s.desiredCapacity()
 	supply, spotSupply := s.supply()
@@ -199,7 +201,8 @@
 	return nil
 }
 
-// forgetMachine removes a machine that is gone, and makes its queued tasks pending again. It must have no allocations.
+// forgetMachine removes a machine that no longer exists, and makes its queued tasks pending again. The machine must have no
+// allocations.
 // s.mu must be held.
 func (s *Scheduler) forgetMachine(machine *machineState) {
 	for _, queue := range machine.queues {
@@ -215,7 +218,7 @@
 	s.machinesByName = nil
 }
 
-// Addresses returns the addresses, by name, of machines that have not sent a heartbeat yet in this term.
+// Addresses returns the addresses, by machine name, of machines that have not sent a heartbeat yet in this term.
 func (s *Scheduler) Addresses() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,8 +231,8 @@
 	return addresses
 }
 
-// InstancesReleased handles the cloud's answer to a release: without an error the machines and all on them are gone, so
-// that their tasks may run elsewhere; with one the machines may be released again.
+// InstancesReleased handles the cloud's response to a release. If err is nil, the machines and all tasks on them no longer
+// exist, so the tasks may run elsewhere; otherwise the release of the machines may be requested again.
 func (s *Scheduler) InstancesReleased(names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -251,8 +254,8 @@
 	s.wakePlacer()
 }
 
-// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags, so that a machine is missing
-// proves nothing.
+// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags behind, so a machine that is missing
+// from it may still exist and is kept.
 func (s *Scheduler) ApplyInstanceList(list []api.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -16,26 +16,28 @@
 	"switchferry/tuning"
 )
 
-// Two things that a leader learns from its machines over time are stored now and then as hints for the next leader.
+// Two kinds of soft state that a leader learns from its machines are stored periodically as hints for the next leader.
 //
-// Images: a leader infers which images a machine holds from what ran on it. Without the hint the next leader would see
-// no holders, and on a large fleet each of hundreds of machines would fetch images again, or wait as if it had to.
+// Images: a leader infers which images a machine holds from the tasks that ran on it. Without the hint the next leader
+// would assume that no machine holds an image, and on a large fleet each of hundreds of machines would fetch images again,
+// or its placements would be planned as if it had to.
 //
-// Replicas: agents report what they hold of datasets, but it takes some seconds until all have found the new leader.
-// Tasks would meanwhile be given to machines whose agents reported first, and their inputs copied there although other
-// machines hold them.
+// Replicas: agents report which parts of datasets they hold, but it takes some seconds until all of them have found the new
+// leader. Without the hint tasks would meanwhile be placed on machines whose agents reported first, and their inputs copied
+// there although other machines hold them.
 //
-// A hint is stored in parts of machinesPerHint machines each, in the order of their names. As machines come and go the
-// parts shift, and a machine may be in two parts, which does no harm.
+// A hint is stored in parts of machinesPerHint machines each, in the order of the machine names. Machines move between parts
+// as others are added and removed, so a machine may be in two parts, which is harmless.
 
-// recordImageUse notes that a machine holds a job's image, as a task of the job ran on it. s.mu must be held.
+// recordImageUse records that a machine holds a job's image, because a task of the job ran on it. s.mu must be held.
 func (s *Scheduler) recordImageUse(machine *machineState, job *jobState) {
 	if machine.RecordImage(job.Job.Image, job.Job.ImageGB) {
 		s.imagesChanged = true
 	}
 }
 
-// storeImageHints has the hint of images stored if it changed and the last one is old enough. s.mu must be held.
+// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImagesEvery ago.
+// s.mu must be held.
 func (s *Scheduler) storeImageHints(now time.Time) {
 	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesEvery {
 		return
@@ -44,7 +46,8 @@
 	s.storeHintParts(store.ImagesKey)
 }
 
-// storeReplicaHints has the hint of replicas stored if it changed and the last one is old enough. s.mu must be held.
+// storeReplicaHints marks the replica hint for writing if it changed and was last marked at least tuning.ReplicaHintsEvery
+// ago. s.mu must be held.
 func (s *Scheduler) storeReplicaHints(now time.Time) {
 	datasets := s.datasets
 	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.ReplicaHintsEvery {
@@ -58,7 +61,8 @@
 	s.storeHintParts(store.ReplicasKey)
 }
 
-// storeHintParts has all parts of a hint stored. Key returns the key of the part of some number. s.mu must be held.
+// storeHintParts marks all parts of a hint for writing. Key returns the key of a part from its number.
+// s.mu must be held.
 func (s *Scheduler) storeHintParts(key func(part int) string) {
 	perPart := s.machinesPerHint()
 	parts := (len(s.machines) + perPart - 1) / perPart
@@ -67,8 +71,8 @@
 	}
 }
 
-// machinesPerHint returns how many machines are in one part of a hint: half as many where values are small, so that
-// little is lost of what does not fit.
+// machinesPerHint returns the number of machines in one part of a hint. It is halved if the state service allows only
+// small values, so that few entries are cut off for lack of room.
 func (s *Scheduler) machinesPerHint() int {
 	if s.settings.Facts.State.Least().ValueBytes() < tuning.ImagesBytes {
 		return tuning.ImagesMachines / 2
@@ -76,7 +80,7 @@
 	return tuning.ImagesMachines
 }
 
-// hintPartMachines returns the machines in the part of a hint that has such a key, or none if there is no such part.
+// hintPartMachines returns the machines in the hint part with the given key, or nil if there is no such part.
 // s.mu must be held.
 func (s *Scheduler) hintPartMachines(key, prefix string) []*machineState {
 	part, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
@@ -87,7 +91,7 @@
 	return machines[part*perPart : min(len(machines), (part+1)*perPart)]
 }
 
-// imagesRecord builds the part of the hint of images that has such a key. It returns false if there is no such part.
+// imagesRecord builds the image hint part with the given key. It returns false if there is no such part.
 // s.mu must be held.
 func (s *Scheduler) imagesRecord(key string) (store.ImagesRecord, bool) {
 	machines := s.hintPartMachines(key, store.ImagesPrefix)
@@ -101,8 +105,8 @@
 	return softstate.EncodeImages(held, s.settings.Facts.State.Least().ValueBytes()), true
 }
 
-// replicaHintRecord builds the part of the hint of replicas that has such a key. It returns false if there is no such
-// part. s.mu must be held.
+// replicaHintRecord builds the replica hint part with the given key. It returns false if there is no such part or it
+// cannot be encoded. s.mu must be held.
 func (s *Scheduler) replicaHintRecord(key string) (replicas.Hint, bool) {
 	machines := s.hintPartMachines(key, store.ReplicasPrefix)
 	if s.datasets == nil || machines == nil {
@@ -121,7 +125,7 @@
 	return hint, true
 }
 
-// LoadImageHints reads the hint of images that an earlier leader stored. A corrupt part is logged and left out.
+// LoadImageHints loads the image hint that an earlier leader stored. A corrupt part is logged and skipped.
 func (s *Scheduler) LoadImageHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +139,8 @@
 	}
 }
 
-// restoreImages gives a machine that sends its first heartbeat in this term the images that it holds by the hint, the
-// one used least recently first. s.mu must be held.
+// restoreImages records the images that a machine holds according to the hint, least recently used first. It is called at
+// the machine's first heartbeat in this term. s.mu must be held.
 func (s *Scheduler) restoreImages(machine *machineState) {
 	images := s.imageHints[machine.Name]
 	delete(s.imageHints, machine.Name)
@@ -145,9 +149,9 @@
 	}
 }
 
-// LoadReplicaHints reads the hint of replicas that an earlier leader stored. A corrupt part is logged and left out.
-// Machines that the hint names may be chosen for a while as if their agents had reported, but nothing starts on them
-// before they have.
+// LoadReplicaHints loads the replica hint that an earlier leader stored. A corrupt part is logged and skipped. For a limited
+// time tasks may be assigned to machines in the hint as if their agents had reported, but no task starts there before the
+// agent has reported.
 func (s *Scheduler) LoadReplicaHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +174,7 @@
 	}
 }
 
-// decodeReplicaHint decodes a part of the hint of replicas into what each machine holds of each dataset.
+// decodeReplicaHint decodes a replica hint part into a map from machine name to dataset name to replica.
 func decodeReplicaHint(value []byte) (map[string]map[string]replicas.Replica, error) {
 	var hint replicas.Hint
 	if err := json.Unmarshal(value, &hint); err != nil {
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// markCompleted notes that a task completed and calls stored once that is on record, which may be at once.
-// s.mu must be held, and is held when stored is called.
+// markCompleted records that a task completed and calls stored once the completion is stored, which may be before
+// markCompleted returns. s.mu must be held, and is held when stored is called.
 func (s *Scheduler) markCompleted(job *jobState, task int, stored func()) {
 	if job.FinalState == "" && !job.completed.Has(task) {
 		s.recordCompletion(job, task)
@@ -23,14 +23,14 @@
 	case job.FinalState != "":
 		job.onTerminal = append(job.onTerminal, stored)
 	default:
-		// The worker reports the exit until it is on record, so nothing is lost with this leader. Exits are written
-		// together because writing each by itself took a third of the state service's write limit.
+		// The worker repeats its report of the exit until the exit is stored, so none is lost if this leader fails. Exits
+		// are batched because writing each by itself took a third of the state service's write limit.
 		s.records.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.CompletionBatchDelay, s.withLock(stored))
 	}
 }
 
 // recordCompletion counts a task that completed for the first time, stops any other attempt of it, and finishes the
-// job with its last task. s.mu must be held.
+// job if this was its last task. s.mu must be held.
 func (s *Scheduler) recordCompletion(job *jobState, task int) {
 	job.completed.Set(task)
 	job.completedCount++
@@ -42,12 +42,14 @@
 	}
 }
 
-// allTasksCompleted reports whether the job is done for want of tasks to run. A service runs until it is cancelled.
+// allTasksCompleted reports whether the job is done because all its tasks completed. It is never true for a service, which
+// runs until it is cancelled.
 func (j *jobState) allTasksCompleted() bool {
 	return j.completedCount == j.taskCount && j.Job.Shape != api.Service
 }
 
-// finish decides a job's terminal state, if it has none, and has it stored. Users may be told once it is.
+// finish decides a job's terminal state, if it has none, and marks it for writing. It must not be reported to users before
+// it is stored.
 // s.mu must be held.
 func (s *Scheduler) finish(job *jobState, state string) {
 	if job.FinalState != "" {
@@ -62,8 +64,8 @@
 	s.records.MarkDirty(store.JobKey(job.id), urgency, s.withLock(func() { s.onTerminalStored(job) }))
 }
 
-// setTerminal sets a job's terminal state in memory. No user may be told before it is stored. Scheduler.mu must be
-// held.
+// setTerminal sets a job's terminal state in memory. The state must not be reported to users before it is stored.
+// Scheduler.mu must be held.
 func (j *jobState) setTerminal(sched *Scheduler, state string) {
 	j.FinalState, j.terminalAt = state, sched.now()
 	if state == api.Cancelled {
@@ -73,8 +75,9 @@
 	sched.clearMachineFailures(j)
 }
 
-// onTerminalStored is called once a job's terminal state is on record, or follows from another job's that is: it lets
-// users, dependants and waiting callbacks know. s.mu must be held.
+// onTerminalStored handles a job's terminal state that is stored, or that follows from the stored terminal state of a
+// dependency: it wakes waiting requests, calls the callbacks that wait, updates dependants and archives the job.
+// s.mu must be held.
 func (s *Scheduler) onTerminalStored(job *jobState) {
 	job.terminalStored = true
 	s.terminalStates.Remember(job.id, job.terminalRecord(s.currentFormat))
@@ -87,15 +90,15 @@
 	s.archive(job)
 }
 
-// terminalRecord returns what is kept of a job that is over. Unless currentFormat is set, it leaves out what older
-// versions do not read.
+// terminalRecord returns the final record of a job in a terminal state. Unless currentFormat is set, it omits fields that
+// older versions do not read.
 func (j *jobState) terminalRecord(currentFormat bool) store.FinalRecord {
 	return store.FinalRecord{State: j.FinalState, Tasks: j.completedCount, Service: currentFormat && j.Job.Shape == api.Service}
 }
 
-// archive replaces the records of a job that is over and has no task left on machines by its terminal state, under a
-// key of its own. The terminal state is written first, so that at every moment one of the two keys answers for the
-// job; then the job's key and its shards are deleted. s.mu must be held.
+// archive replaces the records of a job in a terminal state by its final record, which has its own key. It does nothing
+// while the job still has tasks on machines. The final record is written first, so that the job can be looked up under
+// one of the two keys at any time; then the job record and its shard records are deleted. s.mu must be held.
 func (s *Scheduler) archive(job *jobState) {
 	if !job.terminalStored || job.archived || len(job.allocations) > 0 {
 		return
@@ -112,9 +115,9 @@
 	}))
 }
 
-// overdueCancellations returns the machines, one entry for each task, that must be returned to the cloud lest a task
-// of a cancelled job is on them past cancel_s: they were commanded to end the task and have not confirmed that it is
-// gone. The margin covers the time that the cloud takes to answer. s.mu must be held.
+// overdueCancellations returns the machines, one entry for each task, that must be released to the cloud so that no task
+// of a cancelled job runs longer than cancel_s after the cancellation: they have not confirmed that the task has ended.
+// tuning.CancelReleaseMargin covers the cloud's response time. s.mu must be held.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
 	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReleaseMargin
 	var overdue []*machineState
@@ -131,8 +134,8 @@
 	return overdue
 }
 
-// obeysCommands reports whether a machine sends heartbeats and receives responses, so that a command ends a task on it
-// sooner than the machine's return would. s.mu must be held.
+// obeysCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task on it
+// sooner than releasing the machine would. s.mu must be held.
 func (s *Scheduler) obeysCommands(machine *machineState, now time.Time) bool {
 	return !s.heartbeatOverdue(machine, now) && machine.link.State(now, s.lease()) == reachability.Reachable
 }
--- a/scheduler/live_configuration.go
+++ b/scheduler/live_configuration.go
@@ -8,8 +8,8 @@
 	"switchferry/feasibility"
 )
 
-// ApplyConfiguration makes all decisions from now on follow a configuration. The returned function counts the starts and
-// accepted jobs that were decided before and are not on record yet.
+// ApplyConfiguration makes the given configuration apply to all decisions from now on. The returned function counts the task
+// starts and job acceptances that were decided under the previous configuration and are not stored yet; it acquires s.mu.
 func (s *Scheduler) ApplyConfiguration(active *configuration.Active) (undecided func() int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 // admits reports whether a job may be accepted under a configuration: its team exists, and the team's limit allows the
-// least that the job needs at once.
+// minimum resources that the job needs at the same time.
 func admits(active *configuration.Active, submission *api.Submission) bool {
 	limit, ok := active.Limit(submission.Team)
 	return ok && limit.Allows(feasibility.ConcurrentRequest(submission))
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -12,17 +12,17 @@
 	"switchferry/store"
 )
 
-// recordContent is a record as it is to be stored.
+// recordContent is the content of a record to be written.
 type recordContent struct {
-	// value is encoded as JSON. It counts only if exists is set; otherwise the key is to be deleted.
+	// value is encoded as JSON. It is used only if exists is set; otherwise the key is deleted.
 	value  any
 	exists bool
 	// conditions must hold besides the key's own revision.
 	conditions []store.Condition
 }
 
-// recordKinds lists the kinds of records that a scheduler writes: the prefix of their keys, and the builder of one,
-// which gets the key without the prefix and is called with s.mu held. No prefix begins with another one.
+// recordKinds lists the kinds of records that a scheduler writes: the prefix of their keys and the function that builds
+// one, which gets the key without the prefix and is called with s.mu held. No prefix is a prefix of another one.
 var recordKinds = []struct {
 	prefix string
 	build  func(s *Scheduler, name string) recordContent
@@ -37,8 +37,8 @@
 	{store.AgentResponsePrefix, (*Scheduler).stageOrderPacket},
 }
 
-// Record builds the record of a key from the scheduler's state, for the committer: its value, whether it exists or the
-// key is to be deleted, and the conditions under which it may be written besides the key's own revision.
+// Record builds the record of a key from the scheduler's state, for the committer. If exists is false the key is to be
+// deleted. The conditions must hold for the write in addition to the one on the key's own revision.
 func (s *Scheduler) Record(key string) (value any, exists bool, conditions []store.Condition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +51,9 @@
 	return nil, false, nil
 }
 
-// jobRecord builds the record of a job that is not archived. It is written on condition that the job has no final record,
-// lest one that is over come back to life, and that the inputs of a job that is not accepted yet are as they were checked.
+// jobRecord builds the record of a job that is not archived. Its conditions are that the job has no final record, so that a
+// job in a terminal state is never restarted, and, before acceptance, that the job's inputs are unchanged since they were
+// checked.
 func (s *Scheduler) jobRecord(id string) recordContent {
 	job := s.jobs[id]
 	if job == nil {
@@ -67,19 +68,19 @@
 	}
 	record := job.JobRecord
 	if job.FinalState != "" && s.exceedsValueLimit(record) {
-		// The job was accepted while values could be larger. What only its starts need may go.
+		// The job was accepted while the value limit was larger. Fields that are needed only to start tasks can be dropped.
 		record.Job.Types, record.Job.Inputs, record.Job.Awaits, record.Job.Image = nil, nil, nil, ""
 	}
 	return recordContent{value: record, exists: true, conditions: conditions}
 }
 
-// exceedsValueLimit reports whether a record is larger than a value may be now.
+// exceedsValueLimit reports whether an encoded record is larger than the current limit on values.
 func (s *Scheduler) exceedsValueLimit(record store.JobRecord) bool {
 	raw, err := json.Marshal(record)
 	return err == nil && len(raw) > s.settings.Facts.State.Least().ValueBytes()
 }
 
-// finalRecord builds the record of a job's terminal state. One that is on record stays as it is.
+// finalRecord builds the record of a job's terminal state. A final record that is already stored is kept unchanged.
 func (s *Scheduler) finalRecord(id string) recordContent {
 	job := s.jobs[id]
 	if job == nil || job.FinalState == "" {
@@ -91,7 +92,7 @@
 	return recordContent{value: job.terminalRecord(s.currentFormat), exists: true}
 }
 
-// shardRecord builds the record of one shard of a job: which of its tasks completed, and where the others are.
+// shardRecord builds the record of one shard of a job: which of its tasks completed, and where the others are placed.
 func (s *Scheduler) shardRecord(name string) recordContent {
 	shard, ok := store.ParseShard(store.ShardPrefix + name)
 	job := s.jobs[shard.Job]
@@ -108,25 +109,25 @@
 	return recordContent{value: record, exists: true}
 }
 
-// imagesRecordContent builds one part of the hint that says which images machines hold.
+// imagesRecordContent builds one part of the image hint.
 func (s *Scheduler) imagesRecordContent(part string) recordContent {
 	record, ok := s.imagesRecord(store.ImagesPrefix + part)
 	return recordContent{value: record, exists: ok}
 }
 
-// replicaHintContent builds one part of the hint that says which machines hold which parts of datasets.
+// replicaHintContent builds one part of the replica hint.
 func (s *Scheduler) replicaHintContent(part string) recordContent {
 	record, ok := s.replicaHintRecord(store.ReplicasPrefix + part)
 	return recordContent{value: record, exists: ok}
 }
 
-// commandPacket builds one packet of commands for workers that are reached through a peer.
+// commandPacket builds one packet of commands that a peer relays to workers.
 func (s *Scheduler) commandPacket(name string) recordContent {
 	packet, ok := s.commandMailboxes.Packet(store.RelayResponsePrefix + name)
 	return recordContent{value: packet, exists: ok}
 }
 
-// stageOrderPacket builds one packet of orders for agents that are reached through a peer.
+// stageOrderPacket builds one packet of staging orders that a peer relays to data agents.
 func (s *Scheduler) stageOrderPacket(name string) recordContent {
 	if s.datasets == nil {
 		return recordContent{}
@@ -135,10 +136,10 @@
 	return recordContent{value: packet, exists: ok}
 }
 
-// Load restores the scheduler's state from the records of jobs and of shards. A job with a corrupt record is left out
-// and its records are left as they are: nothing of it is started or written, what runs of it is stopped, and questions
-// about it are answered with 503 until the records are mended. Every leader once tried forever to read such a record,
-// and led nothing.
+// Load restores the scheduler's state from the records of jobs and of shards. A job with a corrupt record is not loaded and
+// its records are left unchanged: none of its tasks is started, none of its records is written, its running tasks are
+// stopped, and requests about it get status 503 until the records are repaired. One corrupt record must not stop the whole
+// load, because then every new leader would retry it forever and schedule nothing.
 func (s *Scheduler) Load(jobs, shards []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +151,7 @@
 		s.restoreProgress(job)
 	}
 	for _, job := range loaded {
-		// An earlier iteration may have ended this job along with one that it depends on.
+		// An earlier iteration may have cancelled this job together with a dependency.
 		if job.FinalState == "" && !s.dependencies.add(job) {
 			job.makeEligible()
 		}
@@ -166,7 +167,8 @@
 	slog.Info("records loaded", "term", s.term, "jobs", len(s.jobs), "damaged", len(s.damagedJobs))
 }
 
-// loadJobs adds the jobs on record. s.mu must be held.
+// loadJobs adds the jobs from their stored records. A job with an invalid record is added to s.damagedJobs instead.
+// s.mu must be held.
 func (s *Scheduler) loadJobs(items []store.Item) {
 	for _, item := range items {
 		id := strings.TrimPrefix(item.Key, store.JobPrefix)
@@ -194,7 +196,7 @@
 	return final, nil
 }
 
-// decodeJobRecord decodes a job's record and checks that it is that of the job id.
+// decodeJobRecord decodes a job's record and checks that the job in it has the given ID.
 func decodeJobRecord(id string, value []byte) (store.JobRecord, error) {
 	var record store.JobRecord
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -206,7 +208,7 @@
 	return record, nil
 }
 
-// loadShards restores which tasks completed and where the others are. s.mu must be held.
+// loadShards restores from shard records which tasks completed and where the others are placed. s.mu must be held.
 func (s *Scheduler) loadShards(items []store.Item) {
 	placedTasks, orphans, damaged := store.ReadShards(items, func(id string, shard store.Shard) (store.TaskBitmap, int) {
 		job := s.jobs[id]
@@ -231,8 +233,9 @@
 	}
 }
 
-// restoreAllocations restores the allocations of a job that earlier leaders recorded. Such a task may run, or its
-// command was never sent: until its machine proves otherwise, it counts as running. s.mu must be held.
+// restoreAllocations restores the allocations of a job that earlier leaders recorded. Whether the command to run such a
+// task was ever sent is not known, so the task is treated as running until its machine proves otherwise.
+// s.mu must be held.
 func (s *Scheduler) restoreAllocations(job *jobState, placed map[int]store.PlacedTask) {
 	for _, task := range slices.Sorted(maps.Keys(placed)) {
 		alloc := s.allocate(job, task, s.machineNamed(placed[task].Machine), placed[task].Attempt)
@@ -241,7 +244,8 @@
 	}
 }
 
-// restoreProgress counts a loaded job's completed tasks and, if it is over, lets users know. s.mu must be held.
+// restoreProgress counts a loaded job's completed tasks and, if the job has a terminal state, marks that as stored.
+// s.mu must be held.
 func (s *Scheduler) restoreProgress(job *jobState) {
 	for task := range job.taskCount {
 		if job.completed.Has(task) {
@@ -253,15 +257,15 @@
 	}
 }
 
-// markTerminalOnRecord notes that a job's terminal state was read from its record, so users may be told.
-// s.mu must be held.
+// markTerminalOnRecord marks a job's terminal state as stored, because it was read from its record. From then on it may be
+// reported to users. s.mu must be held.
 func (s *Scheduler) markTerminalOnRecord(job *jobState) {
 	job.terminalStored = true
 	s.terminalStates.Remember(job.id, job.terminalRecord(s.currentFormat))
 }
 
-// resumeEnding carries on where an earlier leader was ending a job: it stops what is left of a job that is over, and
-// finishes one whose tasks have all completed. s.mu must be held.
+// resumeEnding continues the end of a job that an earlier leader may have begun: it stops the remaining tasks of a job in
+// a terminal state and archives the job, and finishes a job whose tasks have all completed. s.mu must be held.
 func (s *Scheduler) resumeEnding(job *jobState) {
 	switch {
 	case job.FinalState != "":
@@ -274,16 +278,16 @@
 	}
 }
 
-// Conflict adopts a record that another controller wrote, or that this one wrote without getting the answer, and that
-// kept a record of this scheduler from being written. It is for the committer, which reads a record after all that it has
-// written; others call AdoptJob.
+// Conflict adopts a stored record that prevented a write of this scheduler. It was written by another controller, or by this
+// one in a transaction whose response was lost. Only the committer may call it, because it reads a record after all its own
+// writes; other callers use AdoptJob.
 func (s *Scheduler) Conflict(key string, found *store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.adoptRecord(key, found)
 }
 
-// adoptRecord adopts a record as the state service holds it. s.mu must be held.
+// adoptRecord adopts a record as stored in the state service. s.mu must be held.
 func (s *Scheduler) adoptRecord(key string, found *store.Item) {
 	if strings.HasPrefix(key, store.DatasetPrefix) {
 		s.adoptDatasetRecord(found)
@@ -294,8 +298,9 @@
 	}
 }
 
-// adoptJobRecord adds a job that is on record, in place of one of the same id whose record is not stored yet. Requests
-// that wait for that one then wait for this one. s.mu must be held.
+// adoptJobRecord adds a job from its stored record. It replaces a job of the same ID that is not accepted yet; requests
+// that wait for the replaced job then wait for the new one. It does nothing if that job is already accepted.
+// s.mu must be held.
 func (s *Scheduler) adoptJobRecord(jobID string, found *store.Item) {
 	record, err := decodeJobRecord(jobID, found.Value)
 	if err != nil {
@@ -323,8 +328,9 @@
 	s.archive(job)
 }
 
-// markAccepted notes that a job's record is stored: users may learn of the job, and its tasks may start once its
-// dependencies are done. Another job of the same id may have taken its place meanwhile. s.mu must be held.
+// markAccepted records that a job's record is stored: the job may be reported to users, and its tasks may start once its
+// dependencies are done. It does nothing if another job of the same ID has replaced this one meanwhile.
+// s.mu must be held.
 func (s *Scheduler) markAccepted(job *jobState) {
 	if s.jobs[job.id] != job || job.accepted {
 		return
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -11,7 +11,7 @@
 	"switchferry/tuning"
 )
 
-// status returns what users are told of a job. s.mu must be held.
+// status returns the status of a job as reported to users. s.mu must be held.
 func (s *Scheduler) status(job *jobState) api.JobStatus {
 	if job.terminalStored {
 		return job.terminalRecord(s.currentFormat).JobStatus(job.id)
@@ -28,16 +28,16 @@
 	return status
 }
 
-// Presence is what a term knows of a job, whether or not this controller still leads. Its zero value is that of a job that
-// is not in memory.
+// Presence is what the scheduler of a term holds in memory about a job, whether or not this controller still leads. The zero
+// value describes a job that is not in memory.
 type Presence struct {
-	// InMemory is set for a job that is being accepted, or Accepted.
+	// InMemory is set while a job is being accepted and afterwards; Accepted is set once the job's record is stored.
 	InMemory, Accepted bool
-	// Service is set for a service, which is never done.
+	// Service is set for a service. A service is never done, it can only be cancelled.
 	Service bool
 }
 
-// Presence returns what this term knows of a job.
+// Presence returns what this scheduler holds in memory about a job.
 func (s *Scheduler) Presence(id string) Presence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,9 +48,9 @@
 	return Presence{InMemory: true, Accepted: job.accepted, Service: job.Job.Shape == api.Service}
 }
 
-// Submit has a job stored, unless it is already, and waits until it is. The submission has been checked; now is the
-// time of day of its arrival. Submit returns false if it cannot tell the job's state, so that the caller must look
-// again.
+// Submit accepts a job, unless it is accepted already, and waits until its record is stored. The submission must have been
+// validated; now is the wall-clock time of its arrival. Submit returns false if the job's status cannot be determined from
+// memory, so that the caller must look the job up again.
 func (s *Scheduler) Submit(ctx context.Context, submission *api.Submission, now time.Time) (peer.Response, bool) {
 	s.mu.Lock()
 	job := s.jobs[submission.ID]
@@ -83,26 +83,27 @@
 	return peer.JSONResponse(http.StatusOK, status), true
 }
 
-// refuseSubmission returns the response to a submission that cannot be taken now, or false if it can. IsNew says that
+// refuseSubmission returns the response to a submission that cannot be accepted now, or false if it can be. IsNew is set if
 // the job is not in memory. s.mu must be held.
 func (s *Scheduler) refuseSubmission(submission *api.Submission, isNew bool) (peer.Response, bool) {
 	delay := s.records.Delay()
 	switch {
 	case isNew && delay > tuning.AcceptWait:
-		// Its user would be asked to retry before it is stored: better at once, and for when the backlog is written.
+		// The record would not be stored before the request times out. Refusing at once tells the user when to retry: after
+		// the backlog of writes.
 		return peer.RetryLaterAfter("more jobs come in than can be stored", delay), true
 	case s.damagedJobs[submission.ID]:
-		// What its user was told before is not known. Written anew, the job might go back on that.
+		// The status that its user was given before is not known. Accepting the job anew could contradict it.
 		return peer.RetryLater("the job's record is damaged"), true
 	case isNew && s.liveConfiguration && !admits(s.configuration, submission):
-		// The configuration has changed since the submission was checked.
+		// The configuration has changed since the submission was validated.
 		return peer.RetryLater("the configuration has just changed"), true
 	}
 	return peer.Response{}, false
 }
 
-// Cancel cancels a job that is not over yet and waits until its terminal state is stored, which is the response. It
-// returns false if the job is not in memory.
+// Cancel cancels a job that has no terminal state yet, waits until the terminal state is stored and returns it as the
+// response. It returns false if the job is not in memory.
 func (s *Scheduler) Cancel(ctx context.Context, jobID string) (peer.Response, bool) {
 	s.mu.Lock()
 	job := s.jobs[jobID]
@@ -135,9 +136,9 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: jobID, State: job.FinalState, Done: job.completedCount}), true
 }
 
-// waitForSettledStarts waits, for a moment at most, until no start of a cancelled job is under way. Such a task would be
-// stopped at once, but none should start after the user was told that the job is cancelled. Most starts settle within
-// milliseconds. s.mu must not be held.
+// waitForSettledStarts waits, for tuning.CancelStartWait at most, until no run command for a task of a cancelled job is in
+// flight. A task that starts late would be stopped at once, but none should start after the user was told that the job is
+// cancelled. Most starts settle within milliseconds. s.mu must not be held.
 func (s *Scheduler) waitForSettledStarts(ctx context.Context, job *jobState) {
 	s.mu.Lock()
 	unsettled, changed := job.FinalState == api.Cancelled && job.hasUnsettledStarts(), job.changed
@@ -147,8 +148,8 @@
 	}
 }
 
-// hasUnsettledStarts reports whether a start that this leader sent may still be executed, of a task that no heartbeat
-// has shown yet. Scheduler.mu must be held.
+// hasUnsettledStarts reports whether a run command that this leader sent may still be executed, for a task that no
+// heartbeat has reported yet. Commands relayed through a peer do not count. Scheduler.mu must be held.
 func (j *jobState) hasUnsettledStarts() bool {
 	for _, alloc := range j.allocations {
 		if !alloc.reported && !alloc.starts.noneButRelayed() {
@@ -158,7 +159,7 @@
 	return false
 }
 
-// notifySettledStarts wakes the requests that wait for the starts of a cancelled job, if none is under way any more.
+// notifySettledStarts wakes the requests that wait for the starts of a cancelled job to settle, once none is in flight.
 // Scheduler.mu must be held.
 func (j *jobState) notifySettledStarts() {
 	if j.FinalState == api.Cancelled && j.terminalStored && !j.hasUnsettledStarts() {
@@ -166,8 +167,8 @@
 	}
 }
 
-// waitForChange waits until a job's channel of changes is closed, and returns false if ctx ends or the timeout expires
-// before. s.mu must not be held.
+// waitForChange waits until a job's change channel is closed. It returns false if ctx ends or the timeout expires first.
+// s.mu must not be held.
 func (s *Scheduler) waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-changed:
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -16,14 +16,14 @@
 	"switchferry/tuning"
 )
 
-// capacityPool is one kind of machine that the cloud has.
+// capacityPool identifies a kind of machine that can be requested from the cloud: a machine type in a zone, spot or not.
 type capacityPool struct {
 	machineType, zone string
 	spot              bool
 }
 
-// demand returns the CPUs that unfinished jobs need, and how many of these may not be on spot machines. A task that
-// requests much memory counts as the CPUs that such memory comes with. s.mu must be held.
+// demand returns the number of CPUs that unfinished jobs need, and how many of these must not be on spot machines. A task
+// whose memory request is large for its CPUs counts as the number of CPUs that come with that memory. s.mu must be held.
 func (s *Scheduler) demand() (all, ordinary float64) {
 	memoryPerCPU := 0.0
 	for _, machineType := range s.machineTypes {
@@ -35,7 +35,7 @@
 		}
 		taskCPUs := job.request.CPUs
 		if memoryPerCPU > 0 {
-			// Until the catalog is read, memory cannot be converted to CPUs.
+			// Memory cannot be converted to CPUs before the catalog is read.
 			taskCPUs = math.Max(taskCPUs, job.request.MemoryGB/memoryPerCPU)
 		}
 		tasks := float64(s.demandedTasks(job))
@@ -50,7 +50,7 @@
 	return all, ordinary
 }
 
-// supply returns the CPUs of machines that are up or expected to come up, and how many of these are on spot machines.
+// supply returns the number of CPUs of machines that count as supply, and how many of these are on spot machines.
 // s.mu must be held.
 func (s *Scheduler) supply() (all, spot float64) {
 	for _, machine := range s.machines {
@@ -65,13 +65,14 @@
 	return all, spot
 }
 
-// countsAsSupply reports whether a machine is up or expected to come up, and stays. s.mu must be held.
+// countsAsSupply reports whether a machine is up or expected to come up, and is neither being released nor preempted.
+// s.mu must be held.
 func (s *Scheduler) countsAsSupply(machine *machineState) bool {
 	return !machine.releasing && machine.PreemptedAt.IsZero() && !s.mayNeverStart(machine) && !s.startupOverdue(machine)
 }
 
-// startupOverdue reports whether a machine that is not up yet is unlikely to come up, by how long others took. Others
-// are requested in its place while it still has time. s.mu must be held.
+// startupOverdue reports whether a machine that is not up yet is unlikely to come up, judged by the startup times of other
+// machines. Replacements are requested before the machine's own startup deadline has passed. s.mu must be held.
 func (s *Scheduler) startupOverdue(machine *machineState) bool {
 	if machine.Up || !machine.requestedHere || machine.Spec == nil {
 		return false
@@ -86,8 +87,8 @@
 	return overdue
 }
 
-// mayNeverStart reports whether a machine's heartbeats are overdue, or it does not get our commands. It may yet come
-// back, but others are requested in the meantime, since they take long to boot. s.mu must be held.
+// mayNeverStart reports whether a machine's heartbeats are overdue or it does not receive commands. The machine may
+// recover, but replacements are requested in the meantime because they take long to boot. s.mu must be held.
 func (s *Scheduler) mayNeverStart(machine *machineState) bool {
 	if machine.Up {
 		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
@@ -105,7 +106,7 @@
 	return machine.listedRunning && s.since(s.termStarted) > 2*s.heartbeatTimeout(machine)
 }
 
-// longestBootS returns the longest boot time of the catalog's machine types, in seconds. s.mu must be held.
+// longestBootS returns the longest boot time of all machine types in the catalog, in seconds. s.mu must be held.
 func (s *Scheduler) longestBootS() (bootS float64) {
 	for _, machineType := range s.machineTypes {
 		bootS = max(bootS, machineType.BootS)
@@ -113,11 +114,11 @@
 	return bootS
 }
 
-// desiredCapacity returns how many CPUs the fleet should have in all, and how many of them on ordinary machines.
+// desiredCapacity returns how many CPUs the fleet should have in total, and how many of them on machines that are not spot.
 // s.mu must be held.
 func (s *Scheduler) desiredCapacity() (all, ordinary float64) {
 	allDemand, ordinaryDemand := s.demand()
-	// No headroom is kept for the guarantee of a team without work: its machines would be idle.
+	// Guarantees of teams without unfinished jobs get no headroom, because the machines for it would be idle.
 	busyTeams := map[string]bool{}
 	for _, job := range s.jobOrder {
 		if job.FinalState == "" && !job.waitsForDependencies {
@@ -134,12 +135,13 @@
 	return allDemand + headroom, tuning.ServiceHeadroom * ordinaryDemand
 }
 
-// maxInstanceRequests is how many requests to the cloud are made at once.
+// maxInstanceRequests is the maximum number of instance requests that are sent to the cloud at the same time.
 const maxInstanceRequests = 2
 
-// InstanceRequests returns what the cloud should be asked for now; nothing while an earlier request is open, or in
-// the first two report intervals of a term. It goes on while the state service is out: the requests' idempotency
-// keys are this term's own, and the machines will be needed whoever leads.
+// InstanceRequests returns the instance requests to send to the cloud now. It returns none while an earlier request is open,
+// and during the first two heartbeat intervals of a term. It keeps requesting during an outage of the state service: the
+// idempotency keys are unique to this term, and the machines are needed whichever controller leads. The caller must pass
+// the result of each request to InstancesGranted.
 func (s *Scheduler) InstanceRequests() []api.InstanceRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,14 +171,14 @@
 		cpus := s.machineTypes[pool.machineType].CPUs
 		count := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/cpus)))
 		requests = append(requests, s.instanceRequest(pool, count))
-		// How many of them will come is not known; the next round sees it.
+		// The cloud may grant fewer; the next round takes that into account.
 		supply += float64(count) * cpus
 	}
 	s.instancesRequested = len(requests)
 	return requests
 }
 
-// availablePools returns the pools that the cloud has not refused lately, in the order in which they are asked.
+// availablePools returns the pools that the cloud has not refused recently, in the order in which to request from them.
 // s.mu must be held.
 func (s *Scheduler) availablePools(now time.Time) []capacityPool {
 	var pools []capacityPool
@@ -198,7 +200,7 @@
 	}
 	slices.SortFunc(pools, func(a, b capacityPool) int {
 		return cmp.Or(
-			// Ordinary machines first: nobody takes them back, and services need them.
+			// Machines that are not spot come first: the cloud does not preempt them, and services need them.
 			compareBools(a.spot, b.spot),
 			cmp.Compare(cpusInZone[a.zone], cpusInZone[b.zone]),
 			cmp.Compare(s.machineTypes[a.machineType].BootS, s.machineTypes[b.machineType].BootS),
@@ -218,9 +220,9 @@
 	return 1
 }
 
-// requestForUnplaceable returns a request for one machine for a job that no machine that is up or coming can ever
-// serve, if there is such a job: with enough CPUs in all, none of its type or zone was ever requested.
-// s.mu must be held.
+// requestForUnplaceable returns a request for one machine if there is a job that no machine in use or expected can ever
+// run. The total number of CPUs may be sufficient in this case, so that no machine of the type or zone that the job needs
+// would be requested otherwise. s.mu must be held.
 func (s *Scheduler) requestForUnplaceable(pools []capacityPool) []api.InstanceRequest {
 	var jobs []*api.Submission
 	for _, job := range s.jobOrder {
@@ -244,7 +246,7 @@
 	return nil
 }
 
-// machinesInUseOrComing returns the machines that count as supply, each with what services use of it.
+// machinesInUseOrComing returns the machines that count as supply, each with the resources that services use on it.
 // s.mu must be held.
 func (s *Scheduler) machinesInUseOrComing() (machines []feasibility.Machine) {
 	for _, machine := range s.machines {
@@ -262,7 +264,7 @@
 	return machines
 }
 
-// instanceRequest returns a request for machines of a pool, with an idempotency key that is never used again.
+// instanceRequest returns a request for machines of a pool, with an idempotency key that no other request uses.
 // s.mu must be held.
 func (s *Scheduler) instanceRequest(pool capacityPool, count int) api.InstanceRequest {
 	s.lastInstanceRequest++
@@ -275,8 +277,8 @@
 	}
 }
 
-// InstancesGranted handles the cloud's answer to a request of InstanceRequests: the names of the machines that it
-// granted, or an error. A pool that granted fewer than were asked for is not asked again for a while.
+// InstancesGranted handles the cloud's response to a request from InstanceRequests: the names of the granted machines, or an
+// error. After an error or fewer machines than requested, the pool is not requested from for tuning.InstanceRefusalPause.
 func (s *Scheduler) InstancesGranted(request api.InstanceRequest, names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -4,13 +4,14 @@
 	"switchferry/store"
 )
 
-// markShardDirty has the shard record of a task written and calls after once it is stored. s.mu must be held.
+// markShardDirty marks the shard record of a task for writing; the committer calls after once the record is stored. After
+// may be nil. s.mu must be held.
 func (s *Scheduler) markShardDirty(job *jobState, task int, after func()) {
 	s.records.MarkDirty(s.shardKey(job, task), job.urgency(), after)
 }
 
-// shardKey returns the key of the shard record that holds a task, and notes that the record is to be written.
-// s.mu must be held.
+// shardKey returns the key of the shard record that holds a task, adds the shard to the job's shards and reshards the job
+// if it has records of another size. s.mu must be held.
 func (s *Scheduler) shardKey(job *jobState, task int) string {
 	s.reshard(job)
 	shard := store.ShardOf(job.id, task, s.tasksPerShard)
@@ -18,8 +19,8 @@
 	return shard.Key()
 }
 
-// reshard rewrites a job's shard records of other sizes in the current size and deletes the old ones once all new ones
-// are stored. Which of them a crash leaves behind makes no difference. s.mu must be held.
+// reshard rewrites a job's shard records of other sizes in the current size, and deletes the old records once all new ones
+// are stored. A crash may leave any mix of old and new records, which Load reads correctly. s.mu must be held.
 func (s *Scheduler) reshard(job *jobState) {
 	oldShards := s.shardsOfOtherSize(job)
 	if len(oldShards) == 0 || job.resharding {
@@ -67,16 +68,17 @@
 	return shards
 }
 
-// reshardAll rewrites all shard records of other sizes. Once the limit on values sinks, a large record could not be
-// written again, and the starts that it holds would wait with it. s.mu must be held.
+// reshardAll rewrites all shard records that do not have the current size. After the limit on values is lowered, a larger
+// record could not be written any more, and task starts that must be stored in it would never be sent.
+// s.mu must be held.
 func (s *Scheduler) reshardAll() {
 	for _, job := range s.jobOrder {
 		s.reshard(job)
 	}
 }
 
-// UseCurrentFormat makes the scheduler write records in this version's format from now on. The caller must know that no
-// older version reads them any more.
+// UseCurrentFormat makes the scheduler write records in this version's format from now on. The caller must ensure that no
+// controller of an older version reads them any more.
 func (s *Scheduler) UseCurrentFormat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +86,8 @@
 	s.fitShards()
 }
 
-// fitShards chooses the largest size of shard whose records always fit into a value, and rewrites those of other
-// sizes. s.mu must be held.
+// fitShards sets s.tasksPerShard to the largest shard size whose records always fit into a value, and rewrites the shard
+// records of other sizes. s.mu must be held.
 func (s *Scheduler) fitShards() {
 	s.tasksPerShard = store.ShardSize(s.settings.Facts.State.Least().ValueBytes(), s.longestName)
 	s.reshardAll()
--- a/scheduler/task_failures.go
+++ b/scheduler/task_failures.go
@@ -8,12 +8,12 @@
 	"switchferry/tuning"
 )
 
-// A job that was submitted with a mistake fails on every machine, at once, until its user cancels it. Its failures are
-// no evidence against machines, and it gets one machine at a time, with a growing backoff, until a task of it works.
+// A job that was submitted with a mistake fails at once on every machine until its user cancels it. Its failures do not
+// count against machines, and it runs one task at a time, with exponential backoff, until one of its tasks works.
 
-// failsEverywhere reports whether a job failed on tuning.MistakeMachines machines, with no task complete and none that
-// has run for tuning.MistakeRun. A job whose first tasks were on faulty machines is so only until another of its tasks
-// has run that long. s.mu must be held.
+// failsEverywhere reports whether a job has failed on at least tuning.BrokenJobMachines machines while none of its tasks has
+// completed or is running for longer than tuning.BrokenJobRunTime. A job whose first tasks were placed on faulty machines
+// meets this only until another of its tasks has run that long. s.mu must be held.
 func (s *Scheduler) failsEverywhere(job *jobState) bool {
 	if len(job.failedOn) < tuning.BrokenJobMachines || job.completedCount > 0 {
 		return false
@@ -26,7 +26,7 @@
 	return true
 }
 
-// faulty reports whether a machine fails tasks of jobs that work elsewhere. s.mu must be held.
+// faulty reports whether tasks fail on a machine whose jobs do not fail everywhere. s.mu must be held.
 func (s *Scheduler) faulty(machine *machineState) bool {
 	return machine.Faulty(func(id string) bool {
 		job := s.jobs[id]
@@ -34,8 +34,9 @@
 	})
 }
 
-// recordTaskFailure counts a failure of a job's task on a machine, and makes the job avoid the machine for a while. Only
-// the first of several failures on one machine counts against the job. s.mu must be held.
+// recordTaskFailure counts a failure of a job's task on a machine, and makes the job avoid the machine for
+// tuning.BackoffMax. Repeated failures on the same machine within that time do not count against the job again.
+// s.mu must be held.
 func (s *Scheduler) recordTaskFailure(job *jobState, machine *machineState, now time.Time) {
 	machine.RecordFailure(job.id)
 	if !machine.faultLogged && s.faulty(machine) {
@@ -61,15 +62,17 @@
 	}
 }
 
-// clearFailures ends a job's backoff: a task of it completed, so the failures were not the job's. s.mu must be held.
+// clearFailures ends a job's backoff after one of its tasks completed, which shows that the job itself is not the cause of
+// the failures. s.mu must be held.
 func (j *jobState) clearFailures() {
 	if j.failures > 0 {
 		j.failures, j.pausedUntil = 0, time.Time{}
 	}
 }
 
-// clearMachineFailures removes the failures of a job that fails everywhere from the machines when it is over: they would
-// count against these once the job is forgotten. s.mu must be held.
+// clearMachineFailures removes the failures of a job that fails everywhere from the machines when the job reaches a
+// terminal state. Otherwise they would count against the machines once the job is removed from memory.
+// s.mu must be held.
 func (s *Scheduler) clearMachineFailures(job *jobState) {
 	if !s.failsEverywhere(job) {
 		return
@@ -89,7 +92,7 @@
 	return len(job.pending)
 }
 
-// demandedTasks returns how many tasks a job needs machines for. s.mu must be held.
+// demandedTasks returns the number of a job's tasks for which machines are needed. s.mu must be held.
 func (s *Scheduler) demandedTasks(job *jobState) int {
 	if s.failsEverywhere(job) && job.Job.Shape != api.Gang {
 		return max(1, len(job.allocations))
