--- a/scheduler/answer.go
+++ b/scheduler/answer.go
@@ -10,8 +10,8 @@
 
 // Bases on which a status may be given.
 const (
-	// FromStoredEnd means that the job's terminal state is stored. It cannot change, whichever controller leads.
-	FromStoredEnd AnswerBasis = "terminal state on record"
+	// FromTerminalRecord means that the job's terminal state is stored. It cannot change, whichever controller leads.
+	FromTerminalRecord AnswerBasis = "terminal state on record"
 	// FromMemory means that no controller can have given out a newer status than the one in the leader's memory.
 	FromMemory AnswerBasis = "memory of the leader"
 )
@@ -22,12 +22,12 @@
 	NotInMemory AnswerBasis = "not in memory"
 	// NotAccepted means that the job's record is not known to be stored yet.
 	NotAccepted AnswerBasis = "its record is not stored yet"
-	// EndUnderWay means that a terminal state is decided but its transaction is not confirmed. The transaction may have
+	// TerminalStateUnconfirmed means that a terminal state is decided but its transaction is not confirmed. The transaction may have
 	// been executed, and another controller may have read the record and reported the terminal state to users.
-	EndUnderWay AnswerBasis = "its end may be on record"
-	// DependencyEndUnderWay means that the cancellation of a dependency is not confirmed. If it is stored, it cancels this
+	TerminalStateUnconfirmed AnswerBasis = "its end may be on record"
+	// DependencyCancellationUnconfirmed means that the cancellation of a dependency is not confirmed. If it is stored, it cancels this
 	// job too.
-	DependencyEndUnderWay AnswerBasis = "the cancellation of a dependency may be on record"
+	DependencyCancellationUnconfirmed AnswerBasis = "the cancellation of a dependency may be on record"
 	// DependencyUnknown means that a dependency has not been looked up yet. It may be cancelled.
 	DependencyUnknown AnswerBasis = "a dependency is not looked up yet"
 	// NotLeading means that another controller may lead and may have completed or cancelled the job.
@@ -35,13 +35,13 @@
 )
 
 // Known reports whether a status may be given on this basis.
-func (b AnswerBasis) Known() bool { return b == FromStoredEnd || b == FromMemory }
+func (b AnswerBasis) Known() bool { return b == FromTerminalRecord || b == FromMemory }
 
 // answerFacts holds the inputs of decideAnswer.
 type answerFacts struct {
 	inMemory, accepted bool
-	// ended is set once a terminal state is decided, endStored once that state is known to be stored.
-	ended, endStored bool
+	// ended is set once a terminal state is decided, terminalStored once that state is known to be stored.
+	ended, terminalStored bool
 	// dependencies is FromMemory if the job's direct and transitive dependencies allow a status from memory; otherwise it
 	// is the reason why they do not.
 	dependencies AnswerBasis
@@ -57,10 +57,10 @@
 		return NotInMemory
 	case !facts.accepted:
 		return NotAccepted
-	case facts.endStored:
-		return FromStoredEnd
+	case facts.terminalStored:
+		return FromTerminalRecord
 	case facts.ended:
-		return EndUnderWay
+		return TerminalStateUnconfirmed
 	case facts.dependencies != FromMemory:
 		return facts.dependencies
 	case !facts.leading:
@@ -86,7 +86,7 @@
 		inMemory:     true,
 		accepted:     job.accepted,
 		ended:        job.FinalState != "",
-		endStored:    job.terminalStored,
+		terminalStored:    job.terminalStored,
 		dependencies: s.dependencies.answerBasis(job),
 	}
 	status := s.status(job)
--- a/scheduler/answer_test.go
+++ b/scheduler/answer_test.go
@@ -9,22 +9,22 @@
 		change func(*answerFacts)
 		want   AnswerBasis
 	}{
-		{"a job that goes on", func(*answerFacts) {}, FromMemory},
-		{"an unknown job", func(f *answerFacts) { f.inMemory = false }, NotInMemory},
-		{"a job that is not stored", func(f *answerFacts) { f.accepted = false }, NotAccepted},
-		{"an end that is decided", func(f *answerFacts) { f.ended = true }, EndUnderWay},
-		{"an end that is stored", func(f *answerFacts) { f.ended, f.endStored = true, true }, FromStoredEnd},
-		{"an end that is stored, of an earlier leader", func(f *answerFacts) { f.ended, f.endStored, f.leading = true, true, false }, FromStoredEnd},
-		{"a dependency's cancellation that is decided", func(f *answerFacts) { f.dependencies = DependencyEndUnderWay }, DependencyEndUnderWay},
-		{"an unknown dependency", func(f *answerFacts) { f.dependencies = DependencyUnknown }, DependencyUnknown},
-		{"an earlier leader", func(f *answerFacts) { f.leading = false }, NotLeading},
+		{"a running job", func(*answerFacts) {}, FromMemory},
+		{"a job that is not in memory", func(f *answerFacts) { f.inMemory = false }, NotInMemory},
+		{"a job whose record is not stored", func(f *answerFacts) { f.accepted = false }, NotAccepted},
+		{"a terminal state that is decided", func(f *answerFacts) { f.ended = true }, TerminalStateUnconfirmed},
+		{"a terminal state that is stored", func(f *answerFacts) { f.ended, f.terminalStored = true, true }, FromTerminalRecord},
+		{"a terminal state that is stored, on a controller that no longer leads", func(f *answerFacts) { f.ended, f.terminalStored, f.leading = true, true, false }, FromTerminalRecord},
+		{"a dependency's cancellation that is decided but not stored", func(f *answerFacts) { f.dependencies = DependencyCancellationUnconfirmed }, DependencyCancellationUnconfirmed},
+		{"a dependency that is not looked up", func(f *answerFacts) { f.dependencies = DependencyUnknown }, DependencyUnknown},
+		{"a controller that no longer leads", func(f *answerFacts) { f.leading = false }, NotLeading},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			facts := running
 			tc.change(&facts)
 			if got := decideAnswer(facts); got != tc.want {
-				t.Errorf("%q, want %q", got, tc.want)
+				t.Errorf("decided %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -8,9 +8,9 @@
 	"switchferry/tuning"
 )
 
-// Whatever a cut-off controller does, a cancelled task's machine is returned in time: the
-// cloud's answer proves that it is gone. Machines of the same silent zone without such a
-// task are left alone, and so is one that says itself that it is gone.
+// A machine that holds a cancelled task and cannot be reached is released in time, whatever a partitioned controller does:
+// the cloud's response to the release proves that the task has ended. Other machines of the same silent zone are kept. The
+// same holds if the leader changes after the cancellation.
 func TestCancelledTaskBehindPartitionIsGoneInTime(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		h := newHarness(t)
@@ -38,14 +38,14 @@
 			runningOn[alloc.machine.Name] = true
 		}
 		if len(runningOn) < 2 || len(runningOn) == len(far) {
-			t.Fatalf("on %v", runningOn)
+			t.Fatalf("tasks run on %v, want some but not all machines of the zone", runningOn)
 		}
 		h.maintainFor(6*time.Second, near)
 		h.Cancel(cancelledContext(), "run-000001")
 		h.commit()
 		told := h.clock.Now()
 		if again {
-			// The leader changes; the new one knows from the record since when.
+			// The leader changes; the new one reads the time of the cancellation from the record.
 			h.maintainFor(15*time.Second, near)
 			h.elect()
 			h.settings.Facts.Workers.CancelS = 47.5
@@ -64,11 +64,11 @@
 		}
 		for n := range runningOn {
 			if at, ok := gone[n]; !ok || at > 42*time.Second || at < 40*time.Second {
-				t.Errorf("leader changed %v: %s, with a cancelled task, returned after %v, %v", again, n, at, ok)
+				t.Errorf("leader changed %v: %s, which holds a cancelled task, was released after %v (released: %v), want 40 s to 42 s", again, n, at, ok)
 			}
 		}
 		if !again && len(gone) != len(runningOn) {
-			t.Errorf("returned %v, want those with a cancelled task alone", gone)
+			t.Errorf("released %v, want only the machines with a cancelled task, %v", gone, runningOn)
 		}
 	}
 }
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -87,7 +87,7 @@
 		case p.missing[dependency]:
 			basis = DependencyUnknown
 		case other != nil && other.FinalState == api.Cancelled && !other.terminalStored:
-			basis = DependencyEndUnderWay
+			basis = DependencyCancellationUnconfirmed
 		}
 		return basis == FromMemory
 	})
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -12,8 +12,8 @@
 	"switchferry/lookup"
 )
 
-// Random graphs with random ends, cancellations and crashes of the leader between any two
-// writes, against a reference that recomputes everything from the records.
+// Runs random dependency graphs with random completions, cancellations and leader crashes between any two writes, and
+// compares the scheduler with a reference that recomputes all states from the records.
 func TestRandomDependenciesMatchRecords(t *testing.T) {
 	graphs := 1000
 	if testing.Short() {
@@ -31,7 +31,7 @@
 			run.advance()
 		}
 		run.check(seed)
-		// A cancellation that was asked for and not answered may have come through or not.
+		// A cancellation that was requested but not confirmed may have been stored or not.
 		gone := map[string]bool{}
 		for _, id := range run.ids {
 			want := api.Done
@@ -41,32 +41,37 @@
 				want = api.Cancelled
 			}
 			if starts != want {
-				t.Fatalf("seed %d: %s is %q in the end, want %s", seed, id, starts, want)
+				t.Fatalf("seed %d: %s finally is %q, want %s", seed, id, starts, want)
 			}
 		}
 	}
 }
 
-// randomRun is a random run: what users asked for, and what they were told.
+// randomRun is the state of one random run: what users requested and which responses they got.
 type randomRun struct {
 	*harness
-	ids       []string
-	needs     map[string][]string
+	ids []string
+	// needs lists the direct dependencies of each job.
+	needs map[string][]string
+	// asked holds the jobs whose cancellation was requested, cancelled those for which it was confirmed.
 	cancelled map[string]bool
 	asked     map[string]bool
-	answered  map[string]string
-	checked   int
-	// recordReader answers from the records; a new one for each check, as it remembers what is over.
+	// answered is the last state that was reported for each job.
+	answered map[string]string
+	// checked is the number of sent responses that check has examined.
+	checked int
+	// recordReader reads states from the records. Each check gets a new one, because it caches terminal states.
 	recordReader *lookup.Jobs
 	running      []api.TaskReport
 }
 
-// mustBeCancelled tells from what users were told whether a job must be withdrawn.
+// mustBeCancelled reports whether a job must be cancelled because its cancellation, or that of a direct or transitive
+// dependency, was confirmed to a user.
 func (r *randomRun) mustBeCancelled(id string) bool {
 	return r.cancelled[id] || slices.ContainsFunc(r.needs[id], r.mustBeCancelled)
 }
 
-// answer is what a user is told of a job: by the leader, or from the records.
+// answer returns the state of a job as reported to a user, by the leader or else from the records.
 func (r *randomRun) answer(id string) string {
 	if starts, ok := r.JobStatus(id); ok {
 		return starts.State
@@ -76,11 +81,12 @@
 	}
 	starts, found, err := statusOnRecord(r.recordReader, id)
 	if err != nil || !found {
-		r.Fatalf("%s: %v %v", id, found, err)
+		r.Fatalf("%s: found on record: %v, error: %v", id, found, err)
 	}
 	return starts.State
 }
 
+// step performs one random action: a submission, a cancellation, a leader change or a round of the scheduler.
 func (r *randomRun) step(rng *rand.Rand) {
 	switch rng.IntN(9) {
 	case 0, 1, 2:
@@ -112,7 +118,7 @@
 			r.cancelled[id] = true
 		}
 	case 4:
-		// The leader dies; what was on its way to the state service is lost.
+		// The leader crashes; its writes that are not sent yet are lost.
 		r.elect()
 		r.running = nil
 	default:
@@ -120,7 +126,7 @@
 	}
 }
 
-// exchangePackets lets a machine report, and writes some of what waits.
+// advance runs one round: a machine reports, pending tasks are placed and two transactions are written.
 func (r *randomRun) advance() {
 	if len(r.UnresolvedDependencies()) > 0 {
 		r.lookUpDependencies()
@@ -133,13 +139,14 @@
 	r.running = nil
 	for key, alloc := range r.machineNamed("a1").allocations {
 		if alloc.committed {
-			// It completes at once.
+			// Each task completes as soon as it has started.
 			r.running = append(r.running, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
 		}
 	}
 }
 
-// check finds what must never happen.
+// check fails the test if a task started before all dependencies were done on record, if a job is not cancelled although
+// a confirmed cancellation requires it, or if a reported terminal state has changed.
 func (r *randomRun) check(seed int) {
 	r.Helper()
 	r.recordReader = nil
@@ -151,7 +158,7 @@
 			}
 			for _, n := range r.needs[id] {
 				if starts, _, err := statusOnRecord(r.records(), n); err != nil || starts.State != api.Done {
-					r.Fatalf("seed %d: %s starts, though %s is %q on record", seed, c.Task, n, starts.State)
+					r.Fatalf("seed %d: %s starts although its dependency %s is %q on record", seed, c.Task, n, starts.State)
 				}
 			}
 		}
@@ -160,10 +167,10 @@
 	for _, id := range r.ids {
 		starts := r.answer(id)
 		if r.mustBeCancelled(id) && starts != api.Cancelled {
-			r.Fatalf("seed %d: %s is %q, though one before it was told to be cancelled", seed, id, starts)
+			r.Fatalf("seed %d: %s is %q although its cancellation or that of a dependency was confirmed", seed, id, starts)
 		}
 		if was := r.answered[id]; (was == api.Done || was == api.Cancelled) && starts != was {
-			r.Fatalf("seed %d: %s was %s and is %s", seed, id, was, starts)
+			r.Fatalf("seed %d: the terminal state of %s changed from %s to %s", seed, id, was, starts)
 		}
 		r.answered[id] = starts
 	}
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -14,9 +14,9 @@
 	"switchferry/tuning"
 )
 
-// What a pipeline's last job must keep reaches those before it: the rank below production's, and a
-// latest start that leaves time for what lies between, in waves where the fleet is small. It does
-// so again whenever something of that changes.
+// The rank and the deadline of the last job of a pipeline are inherited by the jobs before it: the rank is capped below
+// the production rank, and the deadline is reduced by the expected duration of the jobs in between, which run in waves on
+// a small fleet. The inherited values are recomputed when the last job is cancelled.
 func TestDependenciesInheritUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -29,10 +29,10 @@
 	h.sortQueues()
 	first, second, last := h.jobs["run-000001"], h.jobs["run-000002"], h.jobs["run-000003"]
 	if first.rank != api.RankProduction-1 || second.rank != api.RankProduction-1 || last.rank != api.RankProduction {
-		t.Errorf("ranks %d, %d, %d", first.rank, second.rank, last.rank)
+		t.Errorf("ranks %d, %d, %d, want %d, %d, %d", first.rank, second.rank, last.rank, api.RankProduction-1, api.RankProduction-1, api.RankProduction)
 	}
-	// 10 s for the last; 16 processors' worth of the second on 8 take two waves of 30 s, its
-	// fetch of 1 GB 2 s.
+	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to fetch
+	// its image of 1 GB.
 	due := last.AcceptedAt + 200_000 - tuning.StageGapMS - 10_000
 	if got := second.inherited.DuesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
@@ -44,18 +44,18 @@
 	h.commit()
 	h.sortQueues()
 	if first.rank != api.RankLow || len(first.inherited.DuesMS) > 0 {
-		t.Errorf("it is still pressed: rank %d, due at %v", first.rank, first.inherited.DuesMS)
+		t.Errorf("urgency is still inherited from a cancelled job: rank %d, due at %v", first.rank, first.inherited.DuesMS)
 	}
 }
 
-// records reads the records alone, as another controller does; it remembers what is over.
+// records returns a reader of the stored records, as another controller uses it. The reader caches terminal states.
 func (h *harness) records() *lookup.Jobs {
 	states := lookup.NewTerminalStates()
 	unlimited := rate.NewLimiter(rate.Inf, 1)
 	return &lookup.Jobs{Client: store.NewClient("state:1", h.state), Recall: states.Get, Remember: states.Remember, Queue: lookup.NewFairQueue(h.clock, unlimited)}
 }
 
-// statusOnRecord is what the records say of a job.
+// statusOnRecord returns the status of a job according to the stored records.
 func statusOnRecord(records *lookup.Jobs, id string) (starts api.JobStatus, found bool, err error) {
 	x, err := records.Read(context.Background(), id)
 	if err != nil || !x.Found {
@@ -65,22 +65,22 @@
 	return starts, err == nil, err
 }
 
-// lookUpDependencies looks up what the leader does not know of awaited jobs.
+// lookUpDependencies looks up the dependencies whose state the leader does not know.
 func (h *harness) lookUpDependencies() {
 	h.LookUpDependencies(context.Background(), h.records(), h.UnresolvedDependencies())
 }
 
-// A job waits until the done of all that it awaits is on record: not when the last task ends,
-// and not when the leader has decided it.
+// A dependant starts only after the completion of its dependency is stored. That the last task of the dependency has
+// exited, or that the leader has decided the terminal state, is not enough.
 func TestDependentStartsAfterCompletionIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, awaiting("run-000001"))
 	if h.status("run-000002") != api.Pending || h.usage["t"].CPUs != 0 || !h.jobs["run-000002"].waitsForDependencies {
-		t.Fatal("it does not wait")
+		t.Fatal("the dependant does not wait for its dependency")
 	}
 	if all, _ := h.demand(); all > 0.2 {
-		t.Errorf("machines for %.1f processors are asked for", all)
+		t.Errorf("the demand is %.1f CPUs, want none for the waiting dependant", all)
 	}
 	h.heartbeat("a1", 1)
 	h.Place()
@@ -89,30 +89,31 @@
 	h.heartbeat("a1", 1, taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
 	h.heartbeat("a1", 1, taskReport("run-000001/0", starts.Attempt, api.TaskExited, api.CauseDone))
 	if h.jobs["run-000001"].FinalState != api.Done {
-		t.Fatal("not decided")
+		t.Fatal("the dependency has no terminal state after its last task exited")
 	}
 	h.Place()
 	if len(h.jobs["run-000002"].allocations) > 0 {
-		t.Fatal("it was placed before the record")
+		t.Fatal("the dependant was placed before the completion was stored")
 	}
 	if state, _ := h.dependencies.terminalState("run-000001"); state != "" {
-		t.Fatalf("one that is accepted now would take it for %s", state)
+		t.Fatalf("the terminal state %s is visible to new dependants before it is stored", state)
 	}
 	h.commit()
 	h.Place()
 	if len(h.jobs["run-000002"].allocations) != 1 {
-		t.Error("it does not start after the record")
+		t.Error("the dependant does not start after the completion was stored")
 	}
 }
 
-// A cancellation is decided by one record. Whatever of what follows was written when the leader
-// dies, every job behind it is withdrawn for whoever is asked, and for the next leader.
+// One stored record decides a cancellation. However many of the following writes are done when the leader fails, the
+// leader, a controller that only reads records and the next leader all report every direct and transitive dependant as
+// cancelled.
 func TestCancellationReachesAllAfterOneRecord(t *testing.T) {
 	for steps := range 12 {
 		h := newHarness(t)
 		h.submit("run-000000", 1, smallJob)
 		for i := 1; i < 30; i++ {
-			// A chain of ten, and twenty that await its first and its last.
+			// A chain of ten jobs, then jobs that depend on the first and the last of the chain.
 			runningOn := []string{fmt.Sprintf("run-%06d", i-1)}
 			if i > 10 {
 				runningOn = []string{"run-000001", "run-000010"}
@@ -122,7 +123,7 @@
 		h.Cancel(cancelledContext(), "run-000000")
 		h.committer.Step(context.Background())
 		if rec := string(h.state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, api.Cancelled) {
-			t.Fatalf("the cancellation is not the first record: %s", rec)
+			t.Fatalf("the cancellation was not written first: %s", rec)
 		}
 		for range steps {
 			h.committer.Step(context.Background())
@@ -136,7 +137,7 @@
 		}
 		check("the leader", h.status)
 		records := h.records()
-		check("a node alone", func(id string) string {
+		check("a reader of the records", func(id string) string {
 			starts, _, err := statusOnRecord(records, id)
 			if err != nil {
 				t.Fatal(err)
@@ -156,12 +157,13 @@
 		})
 		h.commit()
 		if left := h.jobs; len(left) > 0 {
-			t.Fatalf("%d jobs are left", len(left))
+			t.Fatalf("%d jobs are left in memory", len(left))
 		}
 	}
 }
 
-// A thousand jobs behind one are withdrawn as one, and written within the limits.
+// A thousand dependants of one job are cancelled with it by one transaction, and their final records are written within
+// the limits of the state service.
 func TestThousandDependentsOfOneJob(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000000", 1, smallJob)
@@ -177,21 +179,21 @@
 	}
 	h.commit()
 	if h.state.Largest.Ops > 12 || len(h.state.Refused) > 0 || len(h.jobs) > 0 {
-		t.Errorf("%d changes at once, refused %v, %d jobs left", h.state.Largest.Ops, h.state.Refused, len(h.jobs))
+		t.Errorf("largest transaction %d operations, refused %v, %d jobs left", h.state.Largest.Ops, h.state.Refused, len(h.jobs))
 	}
 }
 
-// A cancellation that comes too late, and is answered with done, stops nothing behind the job.
+// The cancellation of a job that is already done has no effect on the job's dependants.
 func TestCancelOfADoneJobStopsNothing(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, awaiting("run-000001"))
 	h.complete("run-000001", "a1")
 	if a, ok := h.Cancel(cancelledContext(), "run-000001"); ok {
-		t.Fatalf("%d %s: it is still in memory", a.Status, a.Body)
+		t.Fatalf("%d %s: the job is still in memory", a.Status, a.Body)
 	}
 	h.complete("run-000002", "a1")
 	if starts := h.status("run-000002"); starts != api.Done {
-		t.Errorf("%q", starts)
+		t.Errorf("the dependant is %q, want %s", starts, api.Done)
 	}
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -15,9 +15,9 @@
 	"switchferry/tuning"
 )
 
-// releasedMachineMemory is how long the name of a released machine is kept, so that late heartbeats and instance lists do
+// releasedNameRetention is how long the name of a released machine is kept, so that late heartbeats and instance lists do
 // not add the machine again.
-const releasedMachineMemory = 10 * time.Minute
+const releasedNameRetention = 10 * time.Minute
 
 // MaintainFleet drains, removes and releases machines, and stops tasks that exceed a lowered limit of their team. It
 // returns the names of the machines that the cloud should release. It returns nil before the records are loaded and
@@ -48,7 +48,7 @@
 		s.logFleet()
 		s.evidence.log(s.term)
 	}
-	maps.DeleteFunc(s.releasedAt, func(_ string, at time.Time) bool { return now.Sub(at) > releasedMachineMemory })
+	maps.DeleteFunc(s.releasedAt, func(_ string, at time.Time) bool { return now.Sub(at) > releasedNameRetention })
 	return released
 }
 
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -10,9 +10,8 @@
 	"switchferry/tuning"
 )
 
-// The next leader knows the images of machines from the last one's record, in
-// order of use; without it, it saw no holders and every placement waited for
-// fetches that were none.
+// A new leader restores the images of each machine from the stored hint, in order of use. Without the hint it assumed that
+// no machine held any image, and every placement waited for fetches that were not needed.
 func TestNextLeaderKnowsImages(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.ImagesMachines + 1 {
@@ -29,29 +28,29 @@
 	h.MaintainFleet()
 	h.commit()
 	if h.state.Get(store.ImagesKey(1)) == nil {
-		t.Fatal("nothing on record")
+		t.Fatal("the second part of the hint is not stored")
 	}
 	h.elect()
 	h.heartbeat(last.Name, 1)
 	machine := h.machines[last.Name]
 	if !machine.HasImage("three") || !machine.HasImage("two") || machine.HasImage("one") {
-		t.Errorf("known images: %+v", machine.Images())
+		t.Errorf("restored images: %+v, want the last two used", machine.Images())
 	}
-	// Nothing new is nothing to write.
+	// The hint is not written again without a change.
 	h.clock.Advance(2 * tuning.ImagesEvery)
 	before := h.committer.Pending()
 	h.storeImageHints(h.clock.Now())
 	if h.committer.Pending() != before {
-		t.Error("written again without a change")
+		t.Error("the hint was marked for writing without a change")
 	}
 	h.LoadImageHints([]store.Item{{Key: store.ImagesKey(0), Value: json.RawMessage(`{"i":["x"],"g":[1],"m":{"a000":[7,-1,0]}}`)}, {Key: store.ImagesKey(1), Value: json.RawMessage(`[`)}})
 	h.heartbeat("a000", 1)
 	if !h.machines["a000"].HasImage("x") {
-		t.Error("a record with indices out of range was dropped whole")
+		t.Error("a hint with some indices out of range was dropped as a whole")
 	}
 }
 
-// The largest record stays within a value of the state service.
+// The largest image hint stays within the value limit of the state service.
 func TestImagesRecordFitsAValue(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.ImagesMachines {
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -13,19 +13,19 @@
 
 // markCompleted records that a task completed and calls stored once the completion is stored, which may be before
 // markCompleted returns. s.mu must be held, and is held when stored is called.
-func (s *Scheduler) markCompleted(job *jobState, task int, stored func()) {
+func (s *Scheduler) markCompleted(job *jobState, task int, onStored func()) {
 	if job.FinalState == "" && !job.completed.Has(task) {
 		s.recordCompletion(job, task)
 	}
 	switch {
 	case job.terminalStored:
-		stored()
+		onStored()
 	case job.FinalState != "":
-		job.onTerminal = append(job.onTerminal, stored)
+		job.onTerminal = append(job.onTerminal, onStored)
 	default:
 		// The worker repeats its report of the exit until the exit is stored, so none is lost if this leader fails. Exits
 		// are batched because writing each by itself took a third of the state service's write limit.
-		s.records.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.CompletionBatchDelay, s.withLock(stored))
+		s.records.MarkDirtyWithin(s.shardKey(job, task), job.urgency(), tuning.CompletionBatchDelay, s.withLock(onStored))
 	}
 }
 
@@ -126,7 +126,7 @@
 			continue
 		}
 		for _, alloc := range job.allocations {
-			if now.Sub(alloc.allocatedAt) >= limit || !s.obeysCommands(alloc.machine, now) {
+			if now.Sub(alloc.allocatedAt) >= limit || !s.respondsToCommands(alloc.machine, now) {
 				overdue = append(overdue, alloc.machine)
 			}
 		}
@@ -134,8 +134,8 @@
 	return overdue
 }
 
-// obeysCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task on it
+// respondsToCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task on it
 // sooner than releasing the machine would. s.mu must be held.
-func (s *Scheduler) obeysCommands(machine *machineState, now time.Time) bool {
+func (s *Scheduler) respondsToCommands(machine *machineState, now time.Time) bool {
 	return !s.heartbeatOverdue(machine, now) && machine.link.State(now, s.lease()) == reachability.Reachable
 }
--- a/scheduler/live_configuration.go
+++ b/scheduler/live_configuration.go
@@ -10,7 +10,7 @@
 
 // ApplyConfiguration makes the given configuration apply to all decisions from now on. The returned function counts the task
 // starts and job acceptances that were decided under the previous configuration and are not stored yet; it acquires s.mu.
-func (s *Scheduler) ApplyConfiguration(active *configuration.Active) (undecided func() int) {
+func (s *Scheduler) ApplyConfiguration(active *configuration.Active) (uncommitted func() int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configuration, s.liveConfiguration = active, true
@@ -20,15 +20,15 @@
 	if active.Topology != nil {
 		s.replaceTopology(active.Topology)
 	}
-	var starts []*allocation
-	var accepts []*jobState
+	var uncommittedStarts []*allocation
+	var uncommittedJobs []*jobState
 	for _, job := range s.jobOrder {
 		if !job.accepted {
-			accepts = append(accepts, job)
+			uncommittedJobs = append(uncommittedJobs, job)
 		}
 		for _, alloc := range job.allocations {
 			if !alloc.committed {
-				starts = append(starts, alloc)
+				uncommittedStarts = append(uncommittedStarts, alloc)
 			}
 		}
 	}
@@ -36,13 +36,13 @@
 	return func() int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		starts = slices.DeleteFunc(starts, func(alloc *allocation) bool {
+		uncommittedStarts = slices.DeleteFunc(uncommittedStarts, func(alloc *allocation) bool {
 			return alloc.committed || alloc.job.allocations[alloc.task] != alloc
 		})
-		accepts = slices.DeleteFunc(accepts, func(job *jobState) bool {
+		uncommittedJobs = slices.DeleteFunc(uncommittedJobs, func(job *jobState) bool {
 			return job.accepted || s.jobs[job.id] != job
 		})
-		return len(starts) + len(accepts)
+		return len(uncommittedStarts) + len(uncommittedJobs)
 	}
 }
 
--- a/scheduler/main_test.go
+++ b/scheduler/main_test.go
@@ -14,7 +14,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	code := m.Run()
 	if violations := invariant.Violations(); violations > 0 {
-		fmt.Printf("FAIL: %d contradictions were reported that no test brought about\n", violations)
+		fmt.Printf("FAIL: %d invariant violations were reported that no test provoked\n", violations)
 		code = 1
 	}
 	os.Exit(code)
--- a/scheduler/norace_test.go
+++ b/scheduler/norace_test.go
@@ -2,5 +2,5 @@
 
 package scheduler
 
-// raceDetector is true if the race detector is on.
+// raceDetector reports whether the race detector is enabled.
 const raceDetector = false
--- a/scheduler/race_test.go
+++ b/scheduler/race_test.go
@@ -2,5 +2,5 @@
 
 package scheduler
 
-// raceDetector is true if the race detector is on, which makes a scenario take ten times as long.
+// raceDetector reports whether the race detector is enabled. It makes scenarios run about ten times longer.
 const raceDetector = true
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -12,6 +12,8 @@
 	"switchferry/tuning"
 )
 
+// The records of a job with the maximum number of tasks are written within the limits of the state service, and a new
+// leader reads all of its allocations.
 func TestLargestJobWithinStateLimits(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", api.MaxTasks, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Team = 0.01, 0.01, "t" })
@@ -29,16 +31,16 @@
 		t.Errorf("largest transaction %+v", l)
 	}
 	if h.committer.Pending() > 0 {
-		t.Errorf("%d records wait", h.committer.Pending())
+		t.Errorf("%d records are not written", h.committer.Pending())
 	}
 	h.elect()
 	if n := len(h.jobs["run-000001"].allocations); n != api.MaxTasks {
-		t.Errorf("%d tasks read back", n)
+		t.Errorf("%d allocations restored, want %d", n, api.MaxTasks)
 	}
 }
 
-// An accept whose answer from the state service is lost: the job is there once,
-// and the user's retry gets 200.
+// If the state service's response to the acceptance of a job is lost, the job exists exactly once and the user's retry
+// gets status 200.
 func TestAcceptWithLostAnswer(t *testing.T) {
 	h := newHarness(t)
 	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
@@ -50,12 +52,12 @@
 		t.Errorf("retry: %+v", a)
 	}
 	if n := len(h.jobs["run-000001"].pending); n != 2 {
-		t.Errorf("%d tasks wait", n)
+		t.Errorf("%d tasks are pending, want 2", n)
 	}
 }
 
-// A damaged record, of a job or of its tasks, costs a new leader that job alone, and nothing more of it: no leader
-// could begin before, and none must write over what it cannot read.
+// A new leader that reads a damaged job record or shard record leaves out only that job, and neither overwrites nor deletes
+// the job's records. Before, one damaged record kept every new leader from scheduling anything.
 func TestDamagedRecordsCostTheirJobAlone(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -68,7 +70,7 @@
 	for _, id := range []string{"run-000001", "run-000002"} {
 		shards[id] = store.ShardOf(id, 0, h.tasksPerShard).Key()
 		if h.state.Get(shards[id]) == nil {
-			t.Fatalf("no record of the task of %s", id)
+			t.Fatalf("no shard record of %s", id)
 		}
 	}
 	h.state.Put(store.JobKey("run-000001"), "damaged")
@@ -78,26 +80,25 @@
 	h.Place()
 	h.commit()
 	if _, ok := h.JobStatus("run-000003"); !ok {
-		t.Error("a job whose records are sound is not known")
+		t.Error("a job with intact records is not loaded")
 	}
 	for _, id := range []string{"run-000001", "run-000002"} {
 		if _, ok := h.JobStatus(id); ok {
-			t.Errorf("%s is answered for", id)
+			t.Errorf("the status of %s is given from memory although a record is damaged", id)
 		}
 		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
 		if a, ok := h.Submit(cancelledContext(), &sub, h.clock.Now()); !ok || a.Status != 503 || a.RetryAfterS < 1 {
-			t.Errorf("%s submitted again: %d", id, a.Status)
+			t.Errorf("%s submitted again: status %d, want 503", id, a.Status)
 		}
 	}
 	h.commit()
 	if string(h.state.Get(store.JobKey("run-000001"))) != `"damaged"` || string(h.state.Get(shards["run-000002"])) != `"damaged"` || h.state.Get(shards["run-000001"]) == nil || h.state.Get(store.JobKey("run-000002")) == nil {
-		t.Error("records that could not be read, or those beside them, were written over or deleted")
+		t.Error("records of a damaged job were overwritten or deleted")
 	}
 }
 
-// The records of a job that the first version wrote, larger than values may be by now, are read,
-// and written anew in sizes that fit; a transaction of the old leader that comes late changes
-// nothing.
+// Shard records of the first version that are larger than the current value limit are read and rewritten in a size that
+// fits. A delayed transaction of the old leader changes nothing.
 func TestLargeRecordsAreSplit(t *testing.T) {
 	h := newHarness(t)
 	for i := range 30 {
@@ -105,12 +106,12 @@
 	}
 	h.submit("run-000001", 150, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
 	h.Place()
-	h.state.HoldNext = true // the old leader's last write of them comes late
+	h.state.HoldNext = true // delays a transaction of the old leader until Deliver
 	h.committer.Step(context.Background())
 	h.commit()
 	old := store.ShardOf("run-000001", 0, tuning.ShardTasks)
 	if n := len(h.state.Get(old.Key())); n < 2048 {
-		t.Fatalf("the record has %d bytes only", n)
+		t.Fatalf("the record has only %d bytes", n)
 	}
 	placed := len(h.jobs["run-000001"].allocations)
 	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 8}
@@ -120,18 +121,19 @@
 	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 8})
 	h.state.Deliver()
 	if h.state.Get(old.Key()) != nil {
-		t.Error("the large record still stands")
+		t.Error("the large record was not deleted")
 	}
 	h.elect()
 	if n := len(h.jobs["run-000001"].allocations); n != placed || placed == 0 {
-		t.Errorf("%d tasks are on machines, want %d", n, placed)
+		t.Errorf("%d allocations restored, want %d", n, placed)
 	}
 	if len(h.state.Refused) > 0 {
-		t.Error("refused:", h.state.Refused)
+		t.Error("refused transactions:", h.state.Refused)
 	}
 }
 
-// What fits is counted with the names of the machines, and a service that is over says so.
+// The shard size accounts for the length of machine names, so that records with long names still fit into a value. The
+// final record of a cancelled service marks it as a service.
 func TestRecordsFitWhateverTheNames(t *testing.T) {
 	h := newHarness(t)
 	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
@@ -147,20 +149,21 @@
 	h.Place()
 	h.commit()
 	if n := h.committer.Pending(); n > 0 || len(h.state.Refusals()) > 0 || h.state.Largest.Value > 2048 {
-		t.Errorf("%d records wait, refused %v, the largest value has %d bytes", n, h.state.Refusals(), h.state.Largest.Value)
+		t.Errorf("%d records are not written, refused %v, the largest value has %d bytes", n, h.state.Refusals(), h.state.Largest.Value)
 	}
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
 	if x, err := h.records().Read(context.Background(), "run-000002"); err != nil || !x.Service || x.Final.State != api.Cancelled {
-		t.Errorf("%+v %v", x, err)
+		t.Errorf("final record %+v, error %v, want a cancelled service", x, err)
 	}
 }
 
-// Whichever of a job's records a crash left behind, and in whatever order they were written, the highest attempt
-// answer where a task is, and what is done stays done. A record's first transaction, carried out once more after
-// the record was replaced and deleted, made the oldest placement the newest revision: the task would have been
-// looked for on its former machine, found missing there, and started a second time. So a record that has the
-// task nowhere does not speak against one that has it: its machine does.
+// Whichever shard records of a job a crash leaves behind, and in whatever order they were written, the highest attempt
+// decides where a task is placed, and a completed task stays completed. The revisions of the records cannot decide this:
+// when the first transaction of a record was executed again after the record had been replaced and deleted, the oldest
+// placement got the newest revision. The leader would have looked for the task on its former machine, found it missing
+// there and started it a second time. A record in which a task has no placement does not override one in which it has:
+// only the machine's report can show that the task is not there.
 func TestHighestAttemptOfATaskCounts(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		h := newHarness(t)
@@ -187,28 +190,27 @@
 		h.elect()
 		job := h.jobs["run-000001"]
 		if !job.completed.Has(3) || !job.completed.Has(4) || job.completedCount != 2 {
-			t.Errorf("late %v: an end is lost", late)
+			t.Errorf("older records written last %v: a completion is lost", late)
 		}
 		if alloc := job.allocations[1]; alloc == nil || alloc.machine.Name != "a2" || alloc.attempt != 9 {
-			t.Errorf("late %v: an older attempt tells where task 1 is: %+v", late, alloc)
+			t.Errorf("older records written last %v: task 1 is not placed by its highest attempt: %+v", late, alloc)
 		}
 		if alloc := job.allocations[50]; alloc == nil || alloc.machine.Name != "a1" {
-			t.Errorf("late %v: task 50, which stands in one record alone, is lost", late)
+			t.Errorf("older records written last %v: task 50, which is in only one record, is lost", late)
 		}
 		if alloc := job.allocations[2]; alloc == nil || alloc.machine.Name != "a1" {
-			t.Fatalf("late %v: task 2 is nowhere, though its machine has not been heard", late)
+			t.Fatalf("older records written last %v: task 2 has no allocation although its machine has not reported yet", late)
 		}
 		h.heartbeat("a1", 1)
 		h.heartbeat("a1", 1)
 		if job.allocations[2] != nil || job.allocations[1] == nil {
-			t.Errorf("late %v: the machine's word does not free task 2, or frees task 1", late)
+			t.Errorf("older records written last %v: the machine's reports do not release task 2, or release task 1", late)
 		}
 	}
 }
 
-// A guest's array of thousands of short tasks keeps dozens of records waiting to be
-// written; an owner's start waited behind all of them. The limit of writes allows one
-// transaction here.
+// The shard record of a production task's start is written before the many waiting records of a low-rank job array. Before,
+// the start waited until all of these were written. The test runs a single transaction.
 func TestOwnersRecordsGoBeforeGuests(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
@@ -233,6 +235,6 @@
 	h.committer.MarkDirty(store.JobKey("run-000002"), store.Urgent, func() { accepted = true })
 	h.committer.Step(context.Background())
 	if !stored || !accepted {
-		t.Errorf("after one of many transactions the owner's start is stored: %v, the accept: %v", stored, accepted)
+		t.Errorf("after the first transaction, the production start is stored: %v, the acceptance: %v, want both", stored, accepted)
 	}
 }
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -12,8 +12,8 @@
 	"switchferry/tuning"
 )
 
-// More submissions than can be stored in time are refused at once, and told when
-// their turn may come; the leader does not keep what it cannot take.
+// Submissions beyond what the committer can store in time are refused at once with a Retry-After time. The leader does not
+// keep refused jobs in memory.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t)
 	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
@@ -24,22 +24,22 @@
 			refused++
 			longest = max(longest, a.RetryAfterS)
 			if a.Status != 503 || a.RetryAfterS < 2 {
-				t.Fatalf("refused with %d, come back after %d s", a.Status, a.RetryAfterS)
+				t.Fatalf("refused with status %d and Retry-After %d s", a.Status, a.RetryAfterS)
 			}
 		}
 	}
-	// A second's worth, and what is written within the time that users wait.
+	// The jobs whose records are written within the time that a submission waits.
 	if kept := 500 - refused; kept < 40 || kept > 60 {
-		t.Errorf("%d of 500 taken at 20 writes a second", kept)
+		t.Errorf("%d of 500 submissions kept at 20 writes per second, want 40 to 60", kept)
 	}
 	if longest > tuning.RetryAfterMost {
-		t.Errorf("told to come back after %d s", longest)
+		t.Errorf("Retry-After of %d s, want at most %d s", longest, tuning.RetryAfterMost)
 	}
 	for range 200 {
 		h.committer.Step(context.Background())
 		h.clock.Advance(50 * time.Millisecond)
 	}
 	if d := h.committer.Delay(); d > 0 {
-		t.Errorf("still %v behind", d)
+		t.Errorf("the write backlog is still %v", d)
 	}
 }
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -68,7 +68,7 @@
 // countsAsSupply reports whether a machine is up or expected to come up, and is neither being released nor preempted.
 // s.mu must be held.
 func (s *Scheduler) countsAsSupply(machine *machineState) bool {
-	return !machine.releasing && machine.PreemptedAt.IsZero() && !s.mayNeverStart(machine) && !s.startupOverdue(machine)
+	return !machine.releasing && machine.PreemptedAt.IsZero() && !s.presumedUnavailable(machine) && !s.startupOverdue(machine)
 }
 
 // startupOverdue reports whether a machine that is not up yet is unlikely to come up, judged by the startup times of other
@@ -87,9 +87,9 @@
 	return overdue
 }
 
-// mayNeverStart reports whether a machine's heartbeats are overdue or it does not receive commands. The machine may
+// presumedUnavailable reports whether a machine's heartbeats are overdue or it does not receive commands. The machine may
 // recover, but replacements are requested in the meantime because they take long to boot. s.mu must be held.
-func (s *Scheduler) mayNeverStart(machine *machineState) bool {
+func (s *Scheduler) presumedUnavailable(machine *machineState) bool {
 	if machine.Up {
 		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
 			return true
@@ -237,7 +237,7 @@
 	for _, pool := range pools {
 		kinds = append(kinds, feasibility.Pool{Type: s.machineTypes[pool.machineType], Zone: pool.zone, Spot: pool.spot})
 	}
-	for _, submission := range feasibility.Unplaceable(jobs, s.machinesInUseOrComing()) {
+	for _, submission := range feasibility.Unplaceable(jobs, s.supplyMachines()) {
 		if kind, ok := feasibility.PoolFor(submission, kinds); ok {
 			slog.Info("requesting instance for unplaceable job", "job", submission.ID, "type", kind.Type.Name, "zone", kind.Zone, "spot", kind.Spot)
 			return []api.InstanceRequest{s.instanceRequest(capacityPool{kind.Type.Name, kind.Zone, kind.Spot}, 1)}
@@ -246,20 +246,20 @@
 	return nil
 }
 
-// machinesInUseOrComing returns the machines that count as supply, each with the resources that services use on it.
+// supplyMachines returns the machines that count as supply, each with the resources that services use on it.
 // s.mu must be held.
-func (s *Scheduler) machinesInUseOrComing() (machines []feasibility.Machine) {
+func (s *Scheduler) supplyMachines() (machines []feasibility.Machine) {
 	for _, machine := range s.machines {
 		if !s.countsAsSupply(machine) {
 			continue
 		}
-		known := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
+		supplied := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
 		for _, alloc := range machine.allocations {
 			if alloc.job.Job.Shape == api.Service {
-				known.Used = known.Used.Add(alloc.job.request)
+				supplied.Used = supplied.Used.Add(alloc.job.request)
 			}
 		}
-		machines = append(machines, known)
+		machines = append(machines, supplied)
 	}
 	return machines
 }
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// TestInstancesAreRequestedDuringOutage that are gone are replaced at once, also while the state service is
-// out: they take long to boot.
+// Replacements for machines whose heartbeats are overdue are requested also during an outage of the state service, because
+// machines take long to boot.
 func TestInstancesAreRequestedDuringOutage(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
@@ -24,7 +24,7 @@
 		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
 	}
 	if r := h.InstanceRequests(); len(r) != 0 {
-		t.Fatalf("rented %+v with enough machines", r)
+		t.Fatalf("requested %+v although there are enough machines", r)
 	}
 	h.leading = false
 	for range 8 {
@@ -34,22 +34,22 @@
 		}
 	}
 	if r := h.InstanceRequests(); len(r) == 0 {
-		t.Error("nothing rented for machines that are gone")
+		t.Error("no replacement requested for lost machines")
 	}
 }
 
-// What jobs ask for is counted in processors, also before the catalog is read.
+// The demand of jobs is counted in CPUs even before the catalog is read.
 func TestDemandWithoutCatalog(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 3, func(x *api.Submission) { x.CPUs, x.MemoryGB = 4, 8 })
 	h.machineTypes = map[string]*api.MachineType{}
 	if all, _ := h.demand(); all != 12 {
-		t.Errorf("%v processors for 3 tasks of 4", all)
+		t.Errorf("the demand is %v CPUs, want 12 for 3 tasks of 4 CPUs", all)
 	}
 }
 
-// A fleet with room to spare had no machine on which a job may run, and none was rented: rentals looked
-// at processors in all. One is, once, and not again while it boots.
+// If the fleet has free resources but no machine on which a job may run, one machine is requested for the job, and not a
+// second one while the first boots. Before, none was requested because only the total number of CPUs was considered.
 func TestInstanceIsRequestedForUnplaceableJob(t *testing.T) {
 	h := newHarness(t)
 	for i := range 5 {
@@ -63,16 +63,16 @@
 	})
 	rs := h.InstanceRequests()
 	if len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 1 {
-		t.Fatalf("rented %+v", rs)
+		t.Fatalf("requested %+v, want one machine in zone b", rs)
 	}
 	h.InstancesGranted(rs[0], []string{"b1"}, nil)
 	if again := h.InstanceRequests(); len(again) != 0 {
-		t.Errorf("rented again: %+v", again)
+		t.Errorf("requested again while the first machine boots: %+v", again)
 	}
 }
 
-// Fleet-wide lateness: a whole batch was returned after three boot times, just before
-// it came up, and another as late one was paid for.
+// Instances that are all late are not released as long as none of their batch is up. Before, a whole batch was released
+// after three boot times, just before it came up, and an equally late replacement was paid for.
 func TestLateInstancesAreNotReleasedTogether(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
@@ -80,20 +80,20 @@
 	quiet := func() { h.heartbeat("a0", 1) }
 	boots := settings.Seconds(tuning.StartupDeadlineFactor * testTypes[0].BootS)
 	if gone := h.maintainFor(boots+20*time.Second, quiet); len(gone) > 0 {
-		t.Fatalf("%v returned though none of the batch is up", gone)
+		t.Fatalf("%v released although none of the batch is up", gone)
 	}
 	all, _ := h.supply()
 	if want := 4 * testTypes[0].CPUs; all != want {
-		t.Errorf("%v processors are counted on, want %v: others would be rented twice", all, want)
+		t.Errorf("the supply is %v CPUs, want %v: the machines would be requested twice", all, want)
 	}
 	late := func() { quiet(); h.heartbeat("a1", 1); h.heartbeat("a2", 1) }
 	if gone := h.maintainFor(2*time.Second, late); !slices.Equal(gone, []string{"a3"}) {
-		t.Errorf("%v returned after the others came up, want the one that did not", gone)
+		t.Errorf("%v released after the others came up, want only a3", gone)
 	}
 }
 
-// One machine never comes up while those rented with it do: others are rented in its
-// place long before it is given up.
+// An instance that is not up after the others of its batch no longer counts as supply, so that a replacement is requested,
+// long before the instance itself is released.
 func TestOvertakenInstanceIsReplaced(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
@@ -103,13 +103,13 @@
 	one := testTypes[0].CPUs
 	h.maintainFor(5*time.Second, up)
 	if all, _ := h.supply(); all != 3*one {
-		t.Errorf("%v processors counted on, want %v: it is not late yet", all, 3*one)
+		t.Errorf("the supply is %v CPUs, want %v: the instance is not late yet", all, 3*one)
 	}
 	h.maintainFor(30*time.Second, up)
 	if all, _ := h.supply(); all != 2*one {
-		t.Errorf("%v processors counted on, want %v", all, 2*one)
+		t.Errorf("the supply is %v CPUs, want %v without the late instance", all, 2*one)
 	}
 	if h.machines["a2"] == nil || h.machines["a2"].releasing {
-		t.Error("returned although it may still come up")
+		t.Error("the late instance was released although it may still come up")
 	}
 }
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -6,8 +6,8 @@
 
 // markShardDirty marks the shard record of a task for writing; the committer calls after once the record is stored. After
 // may be nil. s.mu must be held.
-func (s *Scheduler) markShardDirty(job *jobState, task int, after func()) {
-	s.records.MarkDirty(s.shardKey(job, task), job.urgency(), after)
+func (s *Scheduler) markShardDirty(job *jobState, task int, onStored func()) {
+	s.records.MarkDirty(s.shardKey(job, task), job.urgency(), onStored)
 }
 
 // shardKey returns the key of the shard record that holds a task, adds the shard to the job's shards and reshards the job
--- a/scheduler/task_failures.go
+++ b/scheduler/task_failures.go
@@ -26,7 +26,7 @@
 	return true
 }
 
-// faulty reports whether tasks fail on a machine whose jobs do not fail everywhere. s.mu must be held.
+// faulty reports whether a machine is faulty, not counting failures of jobs that fail everywhere. s.mu must be held.
 func (s *Scheduler) faulty(machine *machineState) bool {
 	return machine.Faulty(func(id string) bool {
 		job := s.jobs[id]
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// A machine on which tasks of several jobs fail gets no more work; a job that
-// fails on every machine is paced.
+// A machine on which tasks of several jobs fail is released; a job that fails on every machine is retried with a backoff
+// and does not make machines faulty.
 func TestFaultyMachineAndBrokenJobAreToldApart(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -27,7 +27,7 @@
 		}
 	}
 	if names := h.MaintainFleet(); len(names) != 1 {
-		t.Errorf("suspect machines: %v", names)
+		t.Errorf("released %v, want the one faulty machine", names)
 	}
 
 	h = newHarness(t)
@@ -45,11 +45,12 @@
 		}
 	}
 	if n := len(h.starts("run-000009/0")); n > 4 || len(h.MaintainFleet()) != 0 {
-		t.Errorf("a job that always fails was started %d times at once", n)
+		t.Errorf("a job that always fails was started %d times without a backoff, or machines were released for it", n)
 	}
 }
 
-// runTasks lets all machines report; what was started runs, or fails if bad says so.
+// runTasks sends a heartbeat of every machine, in which each started task runs, or exits with an error if bad returns true
+// for its machine and job.
 func (h *harness) runTasks(bad func(machine, job string) bool) {
 	for _, m := range h.sortedMachines() {
 		var tasks []api.TaskReport
@@ -68,7 +69,7 @@
 	h.commit()
 }
 
-// runTasksFor plays a while of the leader's rounds.
+// runTasksFor runs the leader's rounds for the duration d and returns the machines that were released.
 func (h *harness) runTasksFor(d time.Duration, bad func(machine, job string) bool) (returned []string) {
 	for ; d > 0; d -= tuning.MaintainEvery {
 		h.clock.Advance(tuning.MaintainEvery)
@@ -81,8 +82,8 @@
 	return returned
 }
 
-// Two jobs with a mistake failed on the same machines, which were returned for it with
-// all that worked on them.
+// Two jobs that fail on every machine do not make machines faulty. Before, the machines on which both had failed were
+// released together with the working tasks on them.
 func TestBrokenJobsDoNotMarkMachinesFaulty(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4"} {
@@ -92,16 +93,16 @@
 	h.submit("run-000001", 6, nil)
 	h.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
 	if gone := h.runTasksFor(20*time.Second, bad); len(gone) > 0 {
-		t.Fatalf("healthy machines %v returned", gone)
+		t.Fatalf("healthy machines %v released", gone)
 	}
 	one, two := h.jobs["run-000001"], h.jobs["run-000002"]
 	if !h.failsEverywhere(one) || !h.failsEverywhere(two) {
-		t.Fatal("jobs that fail everywhere are not told from others")
+		t.Fatal("jobs that fail on every machine are not recognized")
 	}
 	if all, _ := h.demand(); all != 8 {
-		t.Errorf("12 tasks that fail everywhere ask for %v processors, want those of one task each", all)
+		t.Errorf("the demand of two jobs that fail everywhere is %v CPUs, want 8, one task of each", all)
 	}
-	// Others have the fleet, and a retry is one task.
+	// Other jobs can use the fleet, and each retry is a single task.
 	h.submit("run-000009", 8, nil)
 	started := map[string]int{}
 	for range 200 {
@@ -114,18 +115,18 @@
 		t.Errorf("%d of 8 tasks of another job run", n)
 	}
 	if started[one.id] > 1 || started[two.id] > 1 {
-		t.Errorf("retries of %v tasks at once, want one", started)
+		t.Errorf("at most %v tasks at once in retries, want one of each job", started)
 	}
-	// Once they are cancelled, what they did on machines is forgotten too.
+	// Their failures do not count against machines after they are cancelled either.
 	h.Cancel(cancelledContext(), one.id)
 	h.Cancel(cancelledContext(), two.id)
 	if gone := h.runTasksFor(5*time.Second, bad); len(gone) > 0 {
-		t.Errorf("%v returned after the mistaken jobs were cancelled", gone)
+		t.Errorf("%v released after the failing jobs were cancelled", gone)
 	}
 }
 
-// A faulty machine is still found: what fails there works elsewhere. And a job that met
-// it is not held back for that.
+// A faulty machine is detected even if another job fails on every machine, because tasks that fail on it work elsewhere. A
+// job whose tasks failed on the faulty machine still runs on all others.
 func TestFaultyMachineIsFoundAmongBrokenJobs(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
@@ -135,15 +136,15 @@
 	small := func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 }
 	h.submit("run-000005", 5, nil)
 	gone := h.runTasksFor(5*time.Second, bad)
-	// The first fills the fleet; only the faulty machine is left for the second.
+	// The first working job fills the healthy machines; only the faulty one is left for the second.
 	h.submit("run-000001", 40, small)
 	gone = append(gone, h.runTasksFor(5*time.Second, bad)...)
 	h.submit("run-000002", 8, small)
 	gone = append(gone, h.runTasksFor(10*time.Second, bad)...)
 	if !slices.Equal(gone, []string{"a2"}) {
-		t.Errorf("returned %v, want the faulty a2", gone)
+		t.Errorf("released %v, want only the faulty a2", gone)
 	}
 	if n := len(h.jobs["run-000001"].allocations); n != 32 {
-		t.Errorf("%d tasks of a good job run, want 32 on four good machines", n)
+		t.Errorf("%d tasks of a working job run, want 32 on four healthy machines", n)
 	}
 }
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -18,9 +18,9 @@
 	"switchferry/store"
 )
 
-// version1 plays a scripted term: jobs of all shapes that run, are done, cancelled, and accepted
-// by a sibling. testdata/version1.json is what the first version's controllers had written after
-// it, before any of them knew another version.
+// version1 runs a scripted term with jobs of several shapes that run, are done, are cancelled, or are accepted by a peer.
+// testdata/version1.json holds the records that controllers of the first version wrote in the same term, before they
+// supported any other version.
 func version1(t *testing.T) *harness {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC))
 	h := (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
@@ -57,6 +57,8 @@
 	return h
 }
 
+// The records that this version writes before UseCurrentFormat are byte for byte those of the first version. Setting
+// WRITE_VERSION1 rewrites the file of expected records.
 func TestRecordsOfVersionOne(t *testing.T) {
 	h := version1(t)
 	items, _, err := store.NewClient("state:1", h.state).List(context.Background(), "sf/")
@@ -77,14 +79,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Until no process of the first version can come back, what is written is the same to the byte.
+	// As long as a process of the first version may come back, the records must stay readable for it.
 	if string(raw)+"\n" != string(want) {
-		t.Errorf("other records than the first version's:\n%s", raw)
+		t.Errorf("the records differ from those of the first version:\n%s", raw)
 	}
 }
 
-// A leader of this version goes on with what the first version wrote, and once no process of
-// that one can come back writes all of it anew in its own sizes, with nothing else in it.
+// A leader of this version continues from the records of the first version. Once no process of the first version can come
+// back, it rewrites them in its own shard size with the same allocations and completions.
 func TestVersionOneIsReadAndSplit(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "version1.json"))
 	var items []store.Item
@@ -110,7 +112,7 @@
 	}
 	before, done := where(), h.jobs["run-000001"].completedCount
 	if len(before) != 37 || done != 1 || len(h.jobs) != 3 {
-		t.Fatalf("%d tasks on machines, %d done, %d jobs", len(before), done, len(h.jobs))
+		t.Fatalf("%d allocations, %d tasks done, %d jobs, want 37, 1 and 3", len(before), done, len(h.jobs))
 	}
 	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	h.elect()
@@ -118,11 +120,11 @@
 	h.commit()
 	for _, key := range []string{"sf/t/run-000001/0", "sf/t/run-000001/1", "sf/t/run-000002/0"} {
 		if h.state.Get(key) != nil {
-			t.Error("a record of the first version still stands:", key)
+			t.Error("a record of the first version was not deleted:", key)
 		}
 	}
 	h.elect()
 	if got := where(); !maps.Equal(got, before) || h.jobs["run-000001"].completedCount != done {
-		t.Errorf("%d tasks on machines, want %d", len(got), len(before))
+		t.Errorf("%d allocations restored, want the same %d; %d tasks done, want %d", len(got), len(before), h.jobs["run-000001"].completedCount, done)
 	}
 }
