--- a/scheduler/answer.go
+++ b/scheduler/answer.go
@@ -22,11 +22,12 @@
 	NotInMemory AnswerBasis = "not in memory"
 	// NotAccepted means that the job's record is not known to be stored yet.
 	NotAccepted AnswerBasis = "its record is not stored yet"
-	// TerminalStateUnconfirmed means that a terminal state is decided but its transaction is not confirmed. The transaction may have
-	// been executed, and another controller may have read the record and reported the terminal state to users.
+	// TerminalStateUnconfirmed means that a terminal state is decided but its transaction is not confirmed. The
+	// transaction may have been executed, and another controller may have read the record and reported the terminal
+	// state to users.
 	TerminalStateUnconfirmed AnswerBasis = "its end may be on record"
-	// DependencyCancellationUnconfirmed means that the cancellation of a dependency is not confirmed. If it is stored, it cancels this
-	// job too.
+	// DependencyCancellationUnconfirmed means that the cancellation of a dependency is not confirmed. If it is stored, it
+	// cancels this job too.
 	DependencyCancellationUnconfirmed AnswerBasis = "the cancellation of a dependency may be on record"
 	// DependencyUnknown means that a dependency has not been looked up yet. It may be cancelled.
 	DependencyUnknown AnswerBasis = "a dependency is not looked up yet"
@@ -40,8 +41,8 @@
 // answerFacts holds the inputs of decideAnswer.
 type answerFacts struct {
 	inMemory, accepted bool
-	// ended is set once a terminal state is decided, terminalStored once that state is known to be stored.
-	ended, terminalStored bool
+	// terminal is set once a terminal state is decided, terminalStored once that state is known to be stored.
+	terminal, terminalStored bool
 	// dependencies is FromMemory if the job's direct and transitive dependencies allow a status from memory; otherwise it
 	// is the reason why they do not.
 	dependencies AnswerBasis
@@ -59,7 +60,7 @@
 		return NotAccepted
 	case facts.terminalStored:
 		return FromTerminalRecord
-	case facts.ended:
+	case facts.terminal:
 		return TerminalStateUnconfirmed
 	case facts.dependencies != FromMemory:
 		return facts.dependencies
@@ -83,11 +84,11 @@
 		return api.JobStatus{}, NotInMemory
 	}
 	facts := answerFacts{
-		inMemory:     true,
-		accepted:     job.accepted,
-		ended:        job.FinalState != "",
-		terminalStored:    job.terminalStored,
-		dependencies: s.dependencies.answerBasis(job),
+		inMemory:       true,
+		accepted:       job.accepted,
+		terminal:       job.FinalState != "",
+		terminalStored: job.terminalStored,
+		dependencies:   s.dependencies.answerBasis(job),
 	}
 	status := s.status(job)
 	// Leadership must be checked last: the process may be paused between any two steps, while another controller leads and
--- a/scheduler/answer_test.go
+++ b/scheduler/answer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAnswerIsDecidedByWhatOthersCanHaveAnswered(t *testing.T) {
+func TestDecideAnswerBasis(t *testing.T) {
 	running := answerFacts{inMemory: true, accepted: true, dependencies: FromMemory, leading: true}
 	cases := []struct {
 		name   string
@@ -12,9 +12,9 @@
 		{"a running job", func(*answerFacts) {}, FromMemory},
 		{"a job that is not in memory", func(f *answerFacts) { f.inMemory = false }, NotInMemory},
 		{"a job whose record is not stored", func(f *answerFacts) { f.accepted = false }, NotAccepted},
-		{"a terminal state that is decided", func(f *answerFacts) { f.ended = true }, TerminalStateUnconfirmed},
-		{"a terminal state that is stored", func(f *answerFacts) { f.ended, f.terminalStored = true, true }, FromTerminalRecord},
-		{"a terminal state that is stored, on a controller that no longer leads", func(f *answerFacts) { f.ended, f.terminalStored, f.leading = true, true, false }, FromTerminalRecord},
+		{"a terminal state that is decided", func(f *answerFacts) { f.terminal = true }, TerminalStateUnconfirmed},
+		{"a terminal state that is stored", func(f *answerFacts) { f.terminal, f.terminalStored = true, true }, FromTerminalRecord},
+		{"a terminal state that is stored, on a controller that no longer leads", func(f *answerFacts) { f.terminal, f.terminalStored, f.leading = true, true, false }, FromTerminalRecord},
 		{"a dependency's cancellation that is decided but not stored", func(f *answerFacts) { f.dependencies = DependencyCancellationUnconfirmed }, DependencyCancellationUnconfirmed},
 		{"a dependency that is not looked up", func(f *answerFacts) { f.dependencies = DependencyUnknown }, DependencyUnknown},
 		{"a controller that no longer leads", func(f *answerFacts) { f.leading = false }, NotLeading},
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -11,16 +11,16 @@
 // A machine that holds a cancelled task and cannot be reached is released in time, whatever a partitioned controller does:
 // the cloud's response to the release proves that the task has ended. Other machines of the same silent zone are kept. The
 // same holds if the leader changes after the cancellation.
-func TestCancelledTaskBehindPartitionIsGoneInTime(t *testing.T) {
-	for _, again := range []bool{false, true} {
+func TestPartitionedMachineWithCancelledTaskIsReleasedInTime(t *testing.T) {
+	for _, leaderChanges := range []bool{false, true} {
 		h := newHarness(t)
 		h.settings.Facts.Workers.CancelS = 47.5
 		h.unreachableZone = "b"
-		far := []string{"b1", "b2", "b3", "b4"}
-		near := func() { h.heartbeat("a1", 1) }
-		both := func() {
-			near()
-			for _, n := range far {
+		partitioned := []string{"b1", "b2", "b3", "b4"}
+		reportReachable := func() { h.heartbeat("a1", 1) }
+		reportAll := func() {
+			reportReachable()
+			for _, n := range partitioned {
 				var runs []api.TaskReport
 				for _, alloc := range h.machineNamed(n).allocations {
 					runs = append(runs, taskReport(alloc.key, alloc.attempt, api.TaskRunning, ""))
@@ -28,47 +28,47 @@
 				h.heartbeat(n, 1, runs...)
 			}
 		}
-		both()
+		reportAll()
 		h.submit("run-000001", 6, func(x *api.Submission) { x.Zone = "b" })
 		h.Place()
 		h.commit()
-		h.maintainFor(25*time.Second, both)
+		h.maintainFor(25*time.Second, reportAll)
 		runningOn := map[string]bool{}
 		for _, alloc := range h.jobs["run-000001"].allocations {
 			runningOn[alloc.machine.Name] = true
 		}
-		if len(runningOn) < 2 || len(runningOn) == len(far) {
+		if len(runningOn) < 2 || len(runningOn) == len(partitioned) {
 			t.Fatalf("tasks run on %v, want some but not all machines of the zone", runningOn)
 		}
-		h.maintainFor(6*time.Second, near)
+		h.maintainFor(6*time.Second, reportReachable)
 		h.Cancel(cancelledContext(), "run-000001")
 		h.commit()
-		told := h.clock.Now()
-		if again {
+		cancelledAt := h.clock.Now()
+		if leaderChanges {
 			// The leader changes; the new one reads the time of the cancellation from the record.
-			h.maintainFor(15*time.Second, near)
+			h.maintainFor(15*time.Second, reportReachable)
 			h.elect()
 			h.settings.Facts.Workers.CancelS = 47.5
 			h.unreachableZone = "b"
 			var list []api.Instance
-			for _, n := range append([]string{"a1"}, far...) {
+			for _, n := range append([]string{"a1"}, partitioned...) {
 				list = append(list, api.Instance{Name: n, Address: n + ":1", Type: "m8", Zone: zoneOf(n), State: "running"})
 			}
 			h.ApplyInstanceList(list)
 		}
-		gone := map[string]time.Duration{}
-		for h.clock.Since(told) < 50*time.Second {
-			for _, n := range h.maintainFor(tuning.MaintainEvery, near) {
-				gone[n] = h.clock.Since(told)
+		releasedAfter := map[string]time.Duration{}
+		for h.clock.Since(cancelledAt) < 50*time.Second {
+			for _, n := range h.maintainFor(tuning.MaintainEvery, reportReachable) {
+				releasedAfter[n] = h.clock.Since(cancelledAt)
 			}
 		}
 		for n := range runningOn {
-			if at, ok := gone[n]; !ok || at > 42*time.Second || at < 40*time.Second {
-				t.Errorf("leader changed %v: %s, which holds a cancelled task, was released after %v (released: %v), want 40 s to 42 s", again, n, at, ok)
+			if at, ok := releasedAfter[n]; !ok || at > 42*time.Second || at < 40*time.Second {
+				t.Errorf("leader changed %v: %s, which holds a cancelled task, was released after %v (released: %v), want 40 s to 42 s", leaderChanges, n, at, ok)
 			}
 		}
-		if !again && len(gone) != len(runningOn) {
-			t.Errorf("released %v, want only the machines with a cancelled task, %v", gone, runningOn)
+		if !leaderChanges && len(releasedAfter) != len(runningOn) {
+			t.Errorf("released %v, want only the machines with a cancelled task, %v", releasedAfter, runningOn)
 		}
 	}
 }
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -81,7 +81,7 @@
 		return FromMemory
 	}
 	basis := FromMemory
-	p.visitDependencies(job.id, func(dependency string) (goOn bool) {
+	p.visitDependencies(job.id, func(dependency string) (proceed bool) {
 		other := p.scheduler.jobs[dependency]
 		switch {
 		case p.missing[dependency]:
@@ -95,7 +95,7 @@
 }
 
 // visitDependencies calls visit once for each direct or transitive dependency of a job, until visit returns false.
-func (p *dependencies) visitDependencies(id string, visit func(dependency string) (goOn bool)) {
+func (p *dependencies) visitDependencies(id string, visit func(dependency string) (proceed bool)) {
 	seen := map[string]bool{}
 	for unvisited := []string{id}; len(unvisited) > 0; unvisited = unvisited[1:] {
 		for _, dependency := range p.graph.Dependencies(unvisited[0]) {
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -22,7 +22,7 @@
 	for seed := range graphs {
 		h := newHarness(t)
 		rng := rand.New(rand.NewPCG(uint64(seed), 7))
-		run := &randomRun{harness: h, needs: map[string][]string{}, cancelled: map[string]bool{}, asked: map[string]bool{}, answered: map[string]string{}}
+		run := &randomRun{harness: h, dependenciesOf: map[string][]string{}, cancelConfirmed: map[string]bool{}, cancelRequested: map[string]bool{}, lastState: map[string]string{}}
 		for range 30 {
 			run.step(rng)
 			run.check(seed)
@@ -32,16 +32,16 @@
 		}
 		run.check(seed)
 		// A cancellation that was requested but not confirmed may have been stored or not.
-		gone := map[string]bool{}
+		wantCancelled := map[string]bool{}
 		for _, id := range run.ids {
 			want := api.Done
-			starts := run.answer(id)
-			gone[id] = run.cancelled[id] || run.asked[id] && starts == api.Cancelled || slices.ContainsFunc(run.needs[id], func(n string) bool { return gone[n] })
-			if gone[id] {
+			state := run.reportedState(id)
+			wantCancelled[id] = run.cancelConfirmed[id] || run.cancelRequested[id] && state == api.Cancelled || slices.ContainsFunc(run.dependenciesOf[id], func(dependency string) bool { return wantCancelled[dependency] })
+			if wantCancelled[id] {
 				want = api.Cancelled
 			}
-			if starts != want {
-				t.Fatalf("seed %d: %s finally is %q, want %s", seed, id, starts, want)
+			if state != want {
+				t.Fatalf("seed %d: %s finally is %q, want %s", seed, id, state, want)
 			}
 		}
 	}
@@ -51,15 +51,15 @@
 type randomRun struct {
 	*harness
 	ids []string
-	// needs lists the direct dependencies of each job.
-	needs map[string][]string
+	// dependenciesOf lists the direct dependencies of each job.
+	dependenciesOf map[string][]string
 	// asked holds the jobs whose cancellation was requested, cancelled those for which it was confirmed.
-	cancelled map[string]bool
-	asked     map[string]bool
-	// answered is the last state that was reported for each job.
-	answered map[string]string
-	// checked is the number of sent responses that check has examined.
-	checked int
+	cancelConfirmed map[string]bool
+	cancelRequested map[string]bool
+	// lastState is the last state that was reported for each job.
+	lastState map[string]string
+	// checkedResponses is the number of sent responses that check has examined.
+	checkedResponses int
 	// recordReader reads states from the records. Each check gets a new one, because it caches terminal states.
 	recordReader *lookup.Jobs
 	running      []api.TaskReport
@@ -68,22 +68,22 @@
 // mustBeCancelled reports whether a job must be cancelled because its cancellation, or that of a direct or transitive
 // dependency, was confirmed to a user.
 func (r *randomRun) mustBeCancelled(id string) bool {
-	return r.cancelled[id] || slices.ContainsFunc(r.needs[id], r.mustBeCancelled)
+	return r.cancelConfirmed[id] || slices.ContainsFunc(r.dependenciesOf[id], r.mustBeCancelled)
 }
 
-// answer returns the state of a job as reported to a user, by the leader or else from the records.
-func (r *randomRun) answer(id string) string {
-	if starts, ok := r.JobStatus(id); ok {
-		return starts.State
+// reportedState returns the state of a job as reported to a user, by the leader or else from the records.
+func (r *randomRun) reportedState(id string) string {
+	if status, ok := r.JobStatus(id); ok {
+		return status.State
 	}
 	if r.recordReader == nil {
 		r.recordReader = r.records()
 	}
-	starts, found, err := statusOnRecord(r.recordReader, id)
+	status, found, err := statusOnRecord(r.recordReader, id)
 	if err != nil || !found {
 		r.Fatalf("%s: found on record: %v, error: %v", id, found, err)
 	}
-	return starts.State
+	return status.State
 }
 
 // step performs one random action: a submission, a cancellation, a leader change or a round of the scheduler.
@@ -91,31 +91,31 @@
 	switch rng.IntN(9) {
 	case 0, 1, 2:
 		id := fmt.Sprintf("run-%06d", len(r.ids))
-		var runningOn []string
-		for _, o := range r.ids {
+		var awaited []string
+		for _, earlier := range r.ids {
 			if rng.IntN(3) == 0 {
-				runningOn = append(runningOn, o)
+				awaited = append(awaited, earlier)
 			}
 		}
 		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
-		awaiting(runningOn...)(&sub)
+		awaiting(awaited...)(&sub)
 		r.Submit(cancelledContext(), &sub, r.clock.Now())
 		r.commit()
-		r.ids, r.needs[id] = append(r.ids, id), runningOn
+		r.ids, r.dependenciesOf[id] = append(r.ids, id), awaited
 	case 3:
 		if len(r.ids) == 0 {
 			return
 		}
 		id := r.ids[rng.IntN(len(r.ids))]
 		r.Cancel(cancelledContext(), id)
-		r.asked[id] = true
+		r.cancelRequested[id] = true
 		if rng.IntN(2) == 0 {
 			r.committer.Step(context.Background())
 		} else {
 			r.commit()
 		}
-		if a, ok := r.Cancel(cancelledContext(), id); ok && a.Status == 200 && strings.Contains(string(a.Body), api.Cancelled) && !r.mustBeCancelled(id) {
-			r.cancelled[id] = true
+		if response, ok := r.Cancel(cancelledContext(), id); ok && response.Status == 200 && strings.Contains(string(response.Body), api.Cancelled) && !r.mustBeCancelled(id) {
+			r.cancelConfirmed[id] = true
 		}
 	case 4:
 		// The leader crashes; its writes that are not sent yet are lost.
@@ -150,28 +150,28 @@
 func (r *randomRun) check(seed int) {
 	r.Helper()
 	r.recordReader = nil
-	for _, o := range r.sent[min(r.checked, len(r.sent)):] {
-		for _, c := range o.response.Commands {
-			id, _, _ := parseTaskKey(c.Task)
-			if c.Verb != api.CommandRun {
+	for _, sent := range r.sent[min(r.checkedResponses, len(r.sent)):] {
+		for _, command := range sent.response.Commands {
+			id, _, _ := parseTaskKey(command.Task)
+			if command.Verb != api.CommandRun {
 				continue
 			}
-			for _, n := range r.needs[id] {
-				if starts, _, err := statusOnRecord(r.records(), n); err != nil || starts.State != api.Done {
-					r.Fatalf("seed %d: %s starts although its dependency %s is %q on record", seed, c.Task, n, starts.State)
+			for _, dependency := range r.dependenciesOf[id] {
+				if status, _, err := statusOnRecord(r.records(), dependency); err != nil || status.State != api.Done {
+					r.Fatalf("seed %d: %s starts although its dependency %s is %q on record", seed, command.Task, dependency, status.State)
 				}
 			}
 		}
 	}
-	r.checked = len(r.sent)
+	r.checkedResponses = len(r.sent)
 	for _, id := range r.ids {
-		starts := r.answer(id)
-		if r.mustBeCancelled(id) && starts != api.Cancelled {
-			r.Fatalf("seed %d: %s is %q although its cancellation or that of a dependency was confirmed", seed, id, starts)
+		status := r.reportedState(id)
+		if r.mustBeCancelled(id) && status != api.Cancelled {
+			r.Fatalf("seed %d: %s is %q although its cancellation or that of a dependency was confirmed", seed, id, status)
 		}
-		if was := r.answered[id]; (was == api.Done || was == api.Cancelled) && starts != was {
-			r.Fatalf("seed %d: the terminal state of %s changed from %s to %s", seed, id, was, starts)
+		if was := r.lastState[id]; (was == api.Done || was == api.Cancelled) && status != was {
+			r.Fatalf("seed %d: the terminal state of %s changed from %s to %s", seed, id, was, status)
 		}
-		r.answered[id] = starts
+		r.lastState[id] = status
 	}
 }
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -56,13 +56,13 @@
 }
 
 // statusOnRecord returns the status of a job according to the stored records.
-func statusOnRecord(records *lookup.Jobs, id string) (starts api.JobStatus, found bool, err error) {
-	x, err := records.Read(context.Background(), id)
-	if err != nil || !x.Found {
-		return starts, false, err
+func statusOnRecord(records *lookup.Jobs, id string) (status api.JobStatus, found bool, err error) {
+	record, err := records.Read(context.Background(), id)
+	if err != nil || !record.Found {
+		return status, false, err
 	}
-	starts, err = records.Status(context.Background(), id, x, id)
-	return starts, err == nil, err
+	status, err = records.Status(context.Background(), id, record, id)
+	return status, err == nil, err
 }
 
 // lookUpDependencies looks up the dependencies whose state the leader does not know.
@@ -85,9 +85,9 @@
 	h.heartbeat("a1", 1)
 	h.Place()
 	h.commit()
-	starts := h.starts("run-000001/0")[0].response.Commands[0]
-	h.heartbeat("a1", 1, taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
-	h.heartbeat("a1", 1, taskReport("run-000001/0", starts.Attempt, api.TaskExited, api.CauseDone))
+	run := h.starts("run-000001/0")[0].response.Commands[0]
+	h.heartbeat("a1", 1, taskReport("run-000001/0", run.Attempt, api.TaskRunning, ""))
+	h.heartbeat("a1", 1, taskReport("run-000001/0", run.Attempt, api.TaskExited, api.CauseDone))
 	if h.jobs["run-000001"].FinalState != api.Done {
 		t.Fatal("the dependency has no terminal state after its last task exited")
 	}
@@ -108,17 +108,17 @@
 // One stored record decides a cancellation. However many of the following writes are done when the leader fails, the
 // leader, a controller that only reads records and the next leader all report every direct and transitive dependant as
 // cancelled.
-func TestCancellationReachesAllAfterOneRecord(t *testing.T) {
+func TestCancellationReachesAllDependantsOnceStored(t *testing.T) {
 	for steps := range 12 {
 		h := newHarness(t)
 		h.submit("run-000000", 1, smallJob)
 		for i := 1; i < 30; i++ {
 			// A chain of ten jobs, then jobs that depend on the first and the last of the chain.
-			runningOn := []string{fmt.Sprintf("run-%06d", i-1)}
+			awaited := []string{fmt.Sprintf("run-%06d", i-1)}
 			if i > 10 {
-				runningOn = []string{"run-000001", "run-000010"}
+				awaited = []string{"run-000001", "run-000010"}
 			}
-			h.submit(fmt.Sprintf("run-%06d", i), 1, awaiting(runningOn...))
+			h.submit(fmt.Sprintf("run-%06d", i), 1, awaiting(awaited...))
 		}
 		h.Cancel(cancelledContext(), "run-000000")
 		h.committer.Step(context.Background())
@@ -128,32 +128,32 @@
 		for range steps {
 			h.committer.Step(context.Background())
 		}
-		check := func(who string, says func(id string) string) {
+		check := func(reader string, stateOf func(id string) string) {
 			for i := 1; i < 30; i++ {
-				if id := fmt.Sprintf("run-%06d", i); says(id) != api.Cancelled {
-					t.Fatalf("%s, after %d further writes: %s is %q", who, steps, id, says(id))
+				if id := fmt.Sprintf("run-%06d", i); stateOf(id) != api.Cancelled {
+					t.Fatalf("%s, after %d further writes: %s is %q", reader, steps, id, stateOf(id))
 				}
 			}
 		}
 		check("the leader", h.status)
 		records := h.records()
 		check("a reader of the records", func(id string) string {
-			starts, _, err := statusOnRecord(records, id)
+			status, _, err := statusOnRecord(records, id)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return starts.State
+			return status.State
 		})
 		h.elect()
 		for range 5 {
 			h.lookUpDependencies()
 		}
 		check("the next leader", func(id string) string {
-			if starts := h.status(id); starts != "" {
-				return starts
+			if status := h.status(id); status != "" {
+				return status
 			}
-			starts, _, _ := statusOnRecord(h.records(), id)
-			return starts.State
+			status, _, _ := statusOnRecord(h.records(), id)
+			return status.State
 		})
 		h.commit()
 		if left := h.jobs; len(left) > 0 {
@@ -164,7 +164,7 @@
 
 // A thousand dependants of one job are cancelled with it by one transaction, and their final records are written within
 // the limits of the state service.
-func TestThousandDependentsOfOneJob(t *testing.T) {
+func TestCancellationOfJobWithThousandDependants(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000000", 1, smallJob)
 	for i := 1; i <= 1000; i++ {
@@ -173,8 +173,8 @@
 	h.Cancel(cancelledContext(), "run-000000")
 	h.committer.Step(context.Background())
 	for i := 1; i <= 1000; i++ {
-		if starts := h.status(fmt.Sprintf("run-%06d", i)); starts != api.Cancelled {
-			t.Fatalf("run-%06d is %q", i, starts)
+		if state := h.status(fmt.Sprintf("run-%06d", i)); state != api.Cancelled {
+			t.Fatalf("run-%06d is %q", i, state)
 		}
 	}
 	h.commit()
@@ -184,16 +184,16 @@
 }
 
 // The cancellation of a job that is already done has no effect on the job's dependants.
-func TestCancelOfADoneJobStopsNothing(t *testing.T) {
+func TestCancelOfDoneJobDoesNotCancelDependants(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, awaiting("run-000001"))
 	h.complete("run-000001", "a1")
-	if a, ok := h.Cancel(cancelledContext(), "run-000001"); ok {
-		t.Fatalf("%d %s: the job is still in memory", a.Status, a.Body)
+	if response, ok := h.Cancel(cancelledContext(), "run-000001"); ok {
+		t.Fatalf("%d %s: the job is still in memory", response.Status, response.Body)
 	}
 	h.complete("run-000002", "a1")
-	if starts := h.status("run-000002"); starts != api.Done {
-		t.Errorf("the dependant is %q, want %s", starts, api.Done)
+	if state := h.status("run-000002"); state != api.Done {
+		t.Errorf("the dependant is %q, want %s", state, api.Done)
 	}
 }
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -12,7 +12,7 @@
 
 // A new leader restores the images of each machine from the stored hint, in order of use. Without the hint it assumed that
 // no machine held any image, and every placement waited for fetches that were not needed.
-func TestNextLeaderKnowsImages(t *testing.T) {
+func TestNextLeaderRestoresImages(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.ImagesMachines + 1 {
 		h.heartbeat(fmt.Sprintf("a%03d", i), 1)
@@ -51,7 +51,7 @@
 }
 
 // The largest image hint stays within the value limit of the state service.
-func TestImagesRecordFitsAValue(t *testing.T) {
+func TestImagesRecordFitsValueLimit(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.ImagesMachines {
 		machine := h.machineNamed(fmt.Sprintf("n-%06d", i))
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -134,8 +134,8 @@
 	return overdue
 }
 
-// respondsToCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task on it
-// sooner than releasing the machine would. s.mu must be held.
+// respondsToCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task on
+// it sooner than releasing the machine would. s.mu must be held.
 func (s *Scheduler) respondsToCommands(machine *machineState, now time.Time) bool {
 	return !s.heartbeatOverdue(machine, now) && machine.link.State(now, s.lease()) == reachability.Reachable
 }
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, job := range loaded {
-		s.resumeEnding(job)
+		s.resumeTermination(job)
 	}
 	if s.currentFormat {
 		s.fitShards()
@@ -253,20 +253,20 @@
 		}
 	}
 	if job.FinalState != "" {
-		s.markTerminalOnRecord(job)
+		s.markTerminalStored(job)
 	}
 }
 
-// markTerminalOnRecord marks a job's terminal state as stored, because it was read from its record. From then on it may be
+// markTerminalStored marks a job's terminal state as stored, because it was read from its record. From then on it may be
 // reported to users. s.mu must be held.
-func (s *Scheduler) markTerminalOnRecord(job *jobState) {
+func (s *Scheduler) markTerminalStored(job *jobState) {
 	job.terminalStored = true
 	s.terminalStates.Remember(job.id, job.terminalRecord(s.currentFormat))
 }
 
-// resumeEnding continues the end of a job that an earlier leader may have begun: it stops the remaining tasks of a job in
-// a terminal state and archives the job, and finishes a job whose tasks have all completed. s.mu must be held.
-func (s *Scheduler) resumeEnding(job *jobState) {
+// resumeTermination continues the end of a job that an earlier leader may have begun: it stops the remaining tasks of a job
+// in a terminal state and archives the job, and finishes a job whose tasks have all completed. s.mu must be held.
+func (s *Scheduler) resumeTermination(job *jobState) {
 	switch {
 	case job.FinalState != "":
 		for _, alloc := range job.allocations {
@@ -319,7 +319,7 @@
 		job.changed = replaced.changed
 	}
 	if record.FinalState != "" {
-		s.markTerminalOnRecord(job)
+		s.markTerminalStored(job)
 	}
 	s.markAccepted(job)
 	if job.terminalStored {
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -26,9 +26,9 @@
 	}
 	h.mu.Unlock()
 	h.commit()
-	l := h.state.Largest
-	if l.Value > 16<<10 || l.Bytes > 64<<10 || l.Ops > 12 {
-		t.Errorf("largest transaction %+v", l)
+	largest := h.state.Largest
+	if largest.Value > 16<<10 || largest.Bytes > 64<<10 || largest.Ops > 12 {
+		t.Errorf("largest transaction %+v", largest)
 	}
 	if h.committer.Pending() > 0 {
 		t.Errorf("%d records are not written", h.committer.Pending())
@@ -41,15 +41,15 @@
 
 // If the state service's response to the acceptance of a job is lost, the job exists exactly once and the user's retry
 // gets status 200.
-func TestAcceptWithLostAnswer(t *testing.T) {
+func TestAcceptanceWithLostResponse(t *testing.T) {
 	h := newHarness(t)
 	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
 	h.state.LoseAnswer = true
 	h.Submit(cancelledContext(), sub, h.clock.Now())
 	h.committer.Step(context.Background())
 	h.commit()
-	if a, ok := h.Submit(context.Background(), sub, h.clock.Now()); !ok || a.Status != 200 {
-		t.Errorf("retry: %+v", a)
+	if response, ok := h.Submit(context.Background(), sub, h.clock.Now()); !ok || response.Status != 200 {
+		t.Errorf("retry: %+v", response)
 	}
 	if n := len(h.jobs["run-000001"].pending); n != 2 {
 		t.Errorf("%d tasks are pending, want 2", n)
@@ -58,7 +58,7 @@
 
 // A new leader that reads a damaged job record or shard record leaves out only that job, and neither overwrites nor deletes
 // the job's records. Before, one damaged record kept every new leader from scheduling anything.
-func TestDamagedRecordsCostTheirJobAlone(t *testing.T) {
+func TestDamagedRecordsAffectOnlyTheirJob(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	for _, id := range []string{"run-000001", "run-000002", "run-000003"} {
@@ -87,8 +87,8 @@
 			t.Errorf("the status of %s is given from memory although a record is damaged", id)
 		}
 		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
-		if a, ok := h.Submit(cancelledContext(), &sub, h.clock.Now()); !ok || a.Status != 503 || a.RetryAfterS < 1 {
-			t.Errorf("%s submitted again: status %d, want 503", id, a.Status)
+		if response, ok := h.Submit(cancelledContext(), &sub, h.clock.Now()); !ok || response.Status != 503 || response.RetryAfterS < 1 {
+			t.Errorf("%s submitted again: status %d, want 503", id, response.Status)
 		}
 	}
 	h.commit()
@@ -99,7 +99,7 @@
 
 // Shard records of the first version that are larger than the current value limit are read and rewritten in a size that
 // fits. A delayed transaction of the old leader changes nothing.
-func TestLargeRecordsAreSplit(t *testing.T) {
+func TestLargeShardRecordsAreRewrittenInSmallerShards(t *testing.T) {
 	h := newHarness(t)
 	for i := range 30 {
 		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
@@ -134,7 +134,7 @@
 
 // The shard size accounts for the length of machine names, so that records with long names still fit into a value. The
 // final record of a cancelled service marks it as a service.
-func TestRecordsFitWhateverTheNames(t *testing.T) {
+func TestShardSizeAccountsForMachineNames(t *testing.T) {
 	h := newHarness(t)
 	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
 	h.elect()
@@ -144,8 +144,11 @@
 	for i := range 10 {
 		h.heartbeat(fmt.Sprintf("a%0100d", i), 1)
 	}
-	h.submit("run-000001", 80, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
-	h.submit("run-000002", 1, func(x *api.Submission) { smallJob(x); x.Shape, x.Rank = api.Service, "prod" })
+	h.submit("run-000001", 80, func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 1, 1 })
+	h.submit("run-000002", 1, func(submission *api.Submission) {
+		smallJob(submission)
+		submission.Shape, submission.Rank = api.Service, "prod"
+	})
 	h.Place()
 	h.commit()
 	if n := h.committer.Pending(); n > 0 || len(h.state.Refusals()) > 0 || h.state.Largest.Value > 2048 {
@@ -153,8 +156,8 @@
 	}
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
-	if x, err := h.records().Read(context.Background(), "run-000002"); err != nil || !x.Service || x.Final.State != api.Cancelled {
-		t.Errorf("final record %+v, error %v, want a cancelled service", x, err)
+	if found, err := h.records().Read(context.Background(), "run-000002"); err != nil || !found.Service || found.Final.State != api.Cancelled {
+		t.Errorf("final record %+v, error %v, want a cancelled service", found, err)
 	}
 }
 
@@ -164,73 +167,73 @@
 // placement got the newest revision. The leader would have looked for the task on its former machine, found it missing
 // there and started it a second time. A record in which a task has no placement does not override one in which it has:
 // only the machine's report can show that the task is not there.
-func TestHighestAttemptOfATaskCounts(t *testing.T) {
-	for _, late := range []bool{false, true} {
+func TestHighestAttemptDeterminesAllocation(t *testing.T) {
+	for _, olderWrittenLast := range []bool{false, true} {
 		h := newHarness(t)
 		h.submit("run-000001", 100, smallJob)
-		put := func(size, index int, done []int, runningOn ...store.PlacedTask) {
-			b := store.NewTaskBitmap(100)
+		put := func(size, index int, done []int, placed ...store.PlacedTask) {
+			bitmap := store.NewTaskBitmap(100)
 			for _, i := range done {
-				b.Set(i)
+				bitmap.Set(i)
 			}
-			sh := store.Shard{Job: "run-000001", Index: index, Size: size}
-			h.state.Put(sh.Key(), store.ShardRecord{Done: b.Pack(sh), On: runningOn})
+			shard := store.Shard{Job: "run-000001", Index: index, Size: size}
+			h.state.Put(shard.Key(), store.ShardRecord{Done: bitmap.Pack(shard), On: placed})
 		}
-		first := func() {
+		writeOlder := func() {
 			put(400, 0, []int{3}, store.PlacedTask{Task: 1, Machine: "a1", Attempt: 5}, store.PlacedTask{Task: 50, Machine: "a1", Attempt: 6}, store.PlacedTask{Task: 2, Machine: "a1", Attempt: 7})
 		}
-		second := func() { put(40, 0, []int{4}, store.PlacedTask{Task: 1, Machine: "a2", Attempt: 9}) }
-		if late {
-			second()
-			first()
+		writeNewer := func() { put(40, 0, []int{4}, store.PlacedTask{Task: 1, Machine: "a2", Attempt: 9}) }
+		if olderWrittenLast {
+			writeNewer()
+			writeOlder()
 		} else {
-			first()
-			second()
+			writeOlder()
+			writeNewer()
 		}
 		h.elect()
 		job := h.jobs["run-000001"]
 		if !job.completed.Has(3) || !job.completed.Has(4) || job.completedCount != 2 {
-			t.Errorf("older records written last %v: a completion is lost", late)
+			t.Errorf("older records written last %v: a completion is lost", olderWrittenLast)
 		}
 		if alloc := job.allocations[1]; alloc == nil || alloc.machine.Name != "a2" || alloc.attempt != 9 {
-			t.Errorf("older records written last %v: task 1 is not placed by its highest attempt: %+v", late, alloc)
+			t.Errorf("older records written last %v: task 1 is not placed by its highest attempt: %+v", olderWrittenLast, alloc)
 		}
 		if alloc := job.allocations[50]; alloc == nil || alloc.machine.Name != "a1" {
-			t.Errorf("older records written last %v: task 50, which is in only one record, is lost", late)
+			t.Errorf("older records written last %v: task 50, which is in only one record, is lost", olderWrittenLast)
 		}
 		if alloc := job.allocations[2]; alloc == nil || alloc.machine.Name != "a1" {
-			t.Fatalf("older records written last %v: task 2 has no allocation although its machine has not reported yet", late)
+			t.Fatalf("older records written last %v: task 2 has no allocation although its machine has not reported yet", olderWrittenLast)
 		}
 		h.heartbeat("a1", 1)
 		h.heartbeat("a1", 1)
 		if job.allocations[2] != nil || job.allocations[1] == nil {
-			t.Errorf("older records written last %v: the machine's reports do not release task 2, or release task 1", late)
+			t.Errorf("older records written last %v: the machine's reports do not release task 2, or release task 1", olderWrittenLast)
 		}
 	}
 }
 
 // The shard record of a production task's start is written before the many waiting records of a low-rank job array. Before,
 // the start waited until all of these were written. The test runs a single transaction.
-func TestOwnersRecordsGoBeforeGuests(t *testing.T) {
+func TestProductionRecordsAreWrittenBeforeLowRank(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
 		h.heartbeat("a1"+string(rune('a'+i)), 1)
 	}
 	h.submit("run-000001", 40*tuning.ShardTasks, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
-	guest := h.jobs["run-000001"]
+	lowRank := h.jobs["run-000001"]
 	for shard := range 40 {
-		h.markShardDirty(guest, shard*tuning.ShardTasks, nil)
+		h.markShardDirty(lowRank, shard*tuning.ShardTasks, nil)
 	}
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Rank = "prod" })
 	for h.committer.Pending() > 0 {
 		h.commit()
 	}
 	for shard := range 40 {
-		h.markShardDirty(guest, shard*tuning.ShardTasks, nil)
+		h.markShardDirty(lowRank, shard*tuning.ShardTasks, nil)
 	}
-	owner := h.jobs["run-000002"]
+	production := h.jobs["run-000002"]
 	stored := false
-	h.markShardDirty(owner, 0, func() { stored = true })
+	h.markShardDirty(production, 0, func() { stored = true })
 	accepted := false
 	h.committer.MarkDirty(store.JobKey("run-000002"), store.Urgent, func() { accepted = true })
 	h.committer.Step(context.Background())
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -14,17 +14,17 @@
 
 // Submissions beyond what the committer can store in time are refused at once with a Retry-After time. The leader does not
 // keep refused jobs in memory.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+func TestSubmissionsBeyondWriteCapacityAreRefused(t *testing.T) {
 	h := newHarness(t)
 	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
 		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
-		if a, _ := h.Submit(cancelledContext(), sub, h.clock.Now()); h.jobs[sub.ID] == nil {
+		if response, _ := h.Submit(cancelledContext(), sub, h.clock.Now()); h.jobs[sub.ID] == nil {
 			refused++
-			longest = max(longest, a.RetryAfterS)
-			if a.Status != 503 || a.RetryAfterS < 2 {
-				t.Fatalf("refused with status %d and Retry-After %d s", a.Status, a.RetryAfterS)
+			longest = max(longest, response.RetryAfterS)
+			if response.Status != 503 || response.RetryAfterS < 2 {
+				t.Fatalf("refused with status %d and Retry-After %d s", response.Status, response.RetryAfterS)
 			}
 		}
 	}
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -13,7 +13,7 @@
 
 // Replacements for machines whose heartbeats are overdue are requested also during an outage of the state service, because
 // machines take long to boot.
-func TestInstancesAreRequestedDuringOutage(t *testing.T) {
+func TestReplacementsAreRequestedDuringOutage(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
 		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
@@ -61,11 +61,11 @@
 			h.heartbeat(fmt.Sprintf("a%d", i), 1)
 		}
 	})
-	rs := h.InstanceRequests()
-	if len(rs) != 1 || rs[0].Zone != "b" || rs[0].Count != 1 {
-		t.Fatalf("requested %+v, want one machine in zone b", rs)
+	requests := h.InstanceRequests()
+	if len(requests) != 1 || requests[0].Zone != "b" || requests[0].Count != 1 {
+		t.Fatalf("requested %+v, want one machine in zone b", requests)
 	}
-	h.InstancesGranted(rs[0], []string{"b1"}, nil)
+	h.InstancesGranted(requests[0], []string{"b1"}, nil)
 	if again := h.InstanceRequests(); len(again) != 0 {
 		t.Errorf("requested again while the first machine boots: %+v", again)
 	}
@@ -77,37 +77,37 @@
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
 	h.instancesGranted("a1", "a2", "a3")
-	quiet := func() { h.heartbeat("a0", 1) }
-	boots := settings.Seconds(tuning.StartupDeadlineFactor * testTypes[0].BootS)
-	if gone := h.maintainFor(boots+20*time.Second, quiet); len(gone) > 0 {
-		t.Fatalf("%v released although none of the batch is up", gone)
+	noneUp := func() { h.heartbeat("a0", 1) }
+	bootDeadline := settings.Seconds(tuning.StartupDeadlineFactor * testTypes[0].BootS)
+	if released := h.maintainFor(bootDeadline+20*time.Second, noneUp); len(released) > 0 {
+		t.Fatalf("%v released although none of the batch is up", released)
 	}
 	all, _ := h.supply()
 	if want := 4 * testTypes[0].CPUs; all != want {
 		t.Errorf("the supply is %v CPUs, want %v: the machines would be requested twice", all, want)
 	}
-	late := func() { quiet(); h.heartbeat("a1", 1); h.heartbeat("a2", 1) }
-	if gone := h.maintainFor(2*time.Second, late); !slices.Equal(gone, []string{"a3"}) {
-		t.Errorf("%v released after the others came up, want only a3", gone)
+	twoUp := func() { noneUp(); h.heartbeat("a1", 1); h.heartbeat("a2", 1) }
+	if released := h.maintainFor(2*time.Second, twoUp); !slices.Equal(released, []string{"a3"}) {
+		t.Errorf("%v released after the others came up, want only a3", released)
 	}
 }
 
 // An instance that is not up after the others of its batch no longer counts as supply, so that a replacement is requested,
 // long before the instance itself is released.
-func TestOvertakenInstanceIsReplaced(t *testing.T) {
+func TestInstanceSlowerThanItsBatchIsReplaced(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
 	h.instancesGranted("a1", "a2")
 	h.maintainFor(30*time.Second, func() { h.heartbeat("a0", 1) })
-	up := func() { h.heartbeat("a0", 1); h.heartbeat("a1", 1) }
-	one := testTypes[0].CPUs
-	h.maintainFor(5*time.Second, up)
-	if all, _ := h.supply(); all != 3*one {
-		t.Errorf("the supply is %v CPUs, want %v: the instance is not late yet", all, 3*one)
+	oneUp := func() { h.heartbeat("a0", 1); h.heartbeat("a1", 1) }
+	cpusPerMachine := testTypes[0].CPUs
+	h.maintainFor(5*time.Second, oneUp)
+	if all, _ := h.supply(); all != 3*cpusPerMachine {
+		t.Errorf("the supply is %v CPUs, want %v: the instance is not late yet", all, 3*cpusPerMachine)
 	}
-	h.maintainFor(30*time.Second, up)
-	if all, _ := h.supply(); all != 2*one {
-		t.Errorf("the supply is %v CPUs, want %v without the late instance", all, 2*one)
+	h.maintainFor(30*time.Second, oneUp)
+	if all, _ := h.supply(); all != 2*cpusPerMachine {
+		t.Errorf("the supply is %v CPUs, want %v without the late instance", all, 2*cpusPerMachine)
 	}
 	if h.machines["a2"] == nil || h.machines["a2"].releasing {
 		t.Error("the late instance was released although it may still come up")
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -12,7 +12,7 @@
 
 // A machine on which tasks of several jobs fail is released; a job that fails on every machine is retried with a backoff
 // and does not make machines faulty.
-func TestFaultyMachineAndBrokenJobAreToldApart(t *testing.T) {
+func TestFaultyMachineAndBrokenJobAreDistinguished(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
 	for i := 1; i <= 3; i++ {
@@ -49,9 +49,9 @@
 	}
 }
 
-// runTasks sends a heartbeat of every machine, in which each started task runs, or exits with an error if bad returns true
-// for its machine and job.
-func (h *harness) runTasks(bad func(machine, job string) bool) {
+// runTasks sends a heartbeat of every machine, in which each started task runs, or exits with an error if fails returns
+// true for its machine and job.
+func (h *harness) runTasks(fails func(machine, job string) bool) {
 	for _, m := range h.sortedMachines() {
 		var tasks []api.TaskReport
 		for key, alloc := range m.allocations {
@@ -59,7 +59,7 @@
 				continue
 			}
 			state, cause := api.TaskRunning, ""
-			if bad(m.Name, alloc.job.id) {
+			if fails(m.Name, alloc.job.id) {
 				state, cause = api.TaskExited, api.CauseError
 			}
 			tasks = append(tasks, taskReport(key, alloc.attempt, state, cause))
@@ -70,16 +70,16 @@
 }
 
 // runTasksFor runs the leader's rounds for the duration d and returns the machines that were released.
-func (h *harness) runTasksFor(d time.Duration, bad func(machine, job string) bool) (returned []string) {
+func (h *harness) runTasksFor(d time.Duration, fails func(machine, job string) bool) (released []string) {
 	for ; d > 0; d -= tuning.MaintainEvery {
 		h.clock.Advance(tuning.MaintainEvery)
-		h.runTasks(bad)
+		h.runTasks(fails)
 		h.Place()
 		h.commit()
 		h.answerCommands()
-		returned = append(returned, h.MaintainFleet()...)
+		released = append(released, h.MaintainFleet()...)
 	}
-	return returned
+	return released
 }
 
 // Two jobs that fail on every machine do not make machines faulty. Before, the machines on which both had failed were
@@ -89,11 +89,11 @@
 	for _, n := range []string{"a1", "a2", "a3", "a4"} {
 		h.heartbeat(n, 1)
 	}
-	bad := func(_, job string) bool { return job != "run-000009" }
+	fails := func(_, job string) bool { return job != "run-000009" }
 	h.submit("run-000001", 6, nil)
 	h.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
-	if gone := h.runTasksFor(20*time.Second, bad); len(gone) > 0 {
-		t.Fatalf("healthy machines %v released", gone)
+	if released := h.runTasksFor(20*time.Second, fails); len(released) > 0 {
+		t.Fatalf("healthy machines %v released", released)
 	}
 	one, two := h.jobs["run-000001"], h.jobs["run-000002"]
 	if !h.failsEverywhere(one) || !h.failsEverywhere(two) {
@@ -104,45 +104,45 @@
 	}
 	// Other jobs can use the fleet, and each retry is a single task.
 	h.submit("run-000009", 8, nil)
-	started := map[string]int{}
+	maxStarted := map[string]int{}
 	for range 200 {
-		h.runTasksFor(tuning.MaintainEvery, bad)
+		h.runTasksFor(tuning.MaintainEvery, fails)
 		for _, j := range []*jobState{one, two} {
-			started[j.id] = max(started[j.id], len(j.allocations)+j.queued)
+			maxStarted[j.id] = max(maxStarted[j.id], len(j.allocations)+j.queued)
 		}
 	}
 	if n := len(h.jobs["run-000009"].allocations); n != 8 {
 		t.Errorf("%d of 8 tasks of another job run", n)
 	}
-	if started[one.id] > 1 || started[two.id] > 1 {
-		t.Errorf("at most %v tasks at once in retries, want one of each job", started)
+	if maxStarted[one.id] > 1 || maxStarted[two.id] > 1 {
+		t.Errorf("at most %v tasks at once in retries, want one of each job", maxStarted)
 	}
 	// Their failures do not count against machines after they are cancelled either.
 	h.Cancel(cancelledContext(), one.id)
 	h.Cancel(cancelledContext(), two.id)
-	if gone := h.runTasksFor(5*time.Second, bad); len(gone) > 0 {
-		t.Errorf("%v released after the failing jobs were cancelled", gone)
+	if released := h.runTasksFor(5*time.Second, fails); len(released) > 0 {
+		t.Errorf("%v released after the failing jobs were cancelled", released)
 	}
 }
 
 // A faulty machine is detected even if another job fails on every machine, because tasks that fail on it work elsewhere. A
 // job whose tasks failed on the faulty machine still runs on all others.
-func TestFaultyMachineIsFoundAmongBrokenJobs(t *testing.T) {
+func TestFaultyMachineIsDetectedAmongBrokenJobs(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
 		h.heartbeat(n, 1)
 	}
-	bad := func(machine, job string) bool { return machine == "a2" || job == "run-000005" }
+	fails := func(machine, job string) bool { return machine == "a2" || job == "run-000005" }
 	small := func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 }
 	h.submit("run-000005", 5, nil)
-	gone := h.runTasksFor(5*time.Second, bad)
+	released := h.runTasksFor(5*time.Second, fails)
 	// The first working job fills the healthy machines; only the faulty one is left for the second.
 	h.submit("run-000001", 40, small)
-	gone = append(gone, h.runTasksFor(5*time.Second, bad)...)
+	released = append(released, h.runTasksFor(5*time.Second, fails)...)
 	h.submit("run-000002", 8, small)
-	gone = append(gone, h.runTasksFor(10*time.Second, bad)...)
-	if !slices.Equal(gone, []string{"a2"}) {
-		t.Errorf("released %v, want only the faulty a2", gone)
+	released = append(released, h.runTasksFor(10*time.Second, fails)...)
+	if !slices.Equal(released, []string{"a2"}) {
+		t.Errorf("released %v, want only the faulty a2", released)
 	}
 	if n := len(h.jobs["run-000001"].allocations); n != 32 {
 		t.Errorf("%d tasks of a working job run, want 32 on four healthy machines", n)
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -18,10 +18,10 @@
 	"switchferry/store"
 )
 
-// version1 runs a scripted term with jobs of several shapes that run, are done, are cancelled, or are accepted by a peer.
-// testdata/version1.json holds the records that controllers of the first version wrote in the same term, before they
-// supported any other version.
-func version1(t *testing.T) *harness {
+// runVersion1Term runs a scripted term with jobs of several shapes that run, are done, are cancelled, or are accepted by a
+// peer. testdata/version1.json holds the records that controllers of the first version wrote in the same term, before
+// they supported any other version.
+func runVersion1Term(t *testing.T) *harness {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC))
 	h := (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
 	for _, m := range []string{"a1", "a2", "b1"} {
@@ -36,15 +36,15 @@
 		h.commit()
 	}
 	for _, m := range []string{"a1", "a2", "b1"} {
-		var now []api.TaskReport
+		var reports []api.TaskReport
 		for key, alloc := range h.machines[m].allocations {
 			if strings.HasPrefix(key, "run-000003/") || key == "run-000001/0" {
-				now = append(now, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
+				reports = append(reports, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
 			} else {
-				now = append(now, taskReport(key, alloc.attempt, api.TaskRunning, ""))
+				reports = append(reports, taskReport(key, alloc.attempt, api.TaskRunning, ""))
 			}
 		}
-		h.heartbeat(m, 1, now...)
+		h.heartbeat(m, 1, reports...)
 	}
 	h.commit()
 	h.Cancel(cancelledContext(), "run-000004")
@@ -59,8 +59,8 @@
 
 // The records that this version writes before UseCurrentFormat are byte for byte those of the first version. Setting
 // WRITE_VERSION1 rewrites the file of expected records.
-func TestRecordsOfVersionOne(t *testing.T) {
-	h := version1(t)
+func TestRecordsMatchVersionOne(t *testing.T) {
+	h := runVersion1Term(t)
 	items, _, err := store.NewClient("state:1", h.state).List(context.Background(), "sf/")
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 
 // A leader of this version continues from the records of the first version. Once no process of the first version can come
 // back, it rewrites them in its own shard size with the same allocations and completions.
-func TestVersionOneIsReadAndSplit(t *testing.T) {
+func TestVersionOneRecordsAreReadAndResharded(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "version1.json"))
 	var items []store.Item
 	if err == nil {
@@ -97,11 +97,11 @@
 		t.Fatal(err)
 	}
 	h := newHarness(t)
-	for _, it := range items {
-		h.state.Put(it.Key, it.Value)
+	for _, item := range items {
+		h.state.Put(item.Key, item.Value)
 	}
 	h.elect()
-	where := func() map[string]string {
+	allocatedMachines := func() map[string]string {
 		m := map[string]string{}
 		for _, job := range h.jobs {
 			for _, alloc := range job.allocations {
@@ -110,7 +110,7 @@
 		}
 		return m
 	}
-	before, done := where(), h.jobs["run-000001"].completedCount
+	before, done := allocatedMachines(), h.jobs["run-000001"].completedCount
 	if len(before) != 37 || done != 1 || len(h.jobs) != 3 {
 		t.Fatalf("%d allocations, %d tasks done, %d jobs, want 37, 1 and 3", len(before), done, len(h.jobs))
 	}
@@ -124,7 +124,7 @@
 		}
 	}
 	h.elect()
-	if got := where(); !maps.Equal(got, before) || h.jobs["run-000001"].completedCount != done {
+	if got := allocatedMachines(); !maps.Equal(got, before) || h.jobs["run-000001"].completedCount != done {
 		t.Errorf("%d allocations restored, want the same %d; %d tasks done, want %d", len(got), len(before), h.jobs["run-000001"].completedCount, done)
 	}
 }
