--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -53,7 +53,7 @@
 	ids []string
 	// dependenciesOf lists the direct dependencies of each job.
 	dependenciesOf map[string][]string
-	// asked holds the jobs whose cancellation was requested, cancelled those for which it was confirmed.
+	// cancelRequested holds the jobs whose cancellation was requested, cancelConfirmed those for which it was confirmed.
 	cancelConfirmed map[string]bool
 	cancelRequested map[string]bool
 	// lastState is the last state that was reported for each job.
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -85,9 +85,9 @@
 	h.heartbeat("a1", 1)
 	h.Place()
 	h.commit()
-	run := h.starts("run-000001/0")[0].response.Commands[0]
-	h.heartbeat("a1", 1, taskReport("run-000001/0", run.Attempt, api.TaskRunning, ""))
-	h.heartbeat("a1", 1, taskReport("run-000001/0", run.Attempt, api.TaskExited, api.CauseDone))
+	runCommand := h.starts("run-000001/0")[0].response.Commands[0]
+	h.heartbeat("a1", 1, taskReport("run-000001/0", runCommand.Attempt, api.TaskRunning, ""))
+	h.heartbeat("a1", 1, taskReport("run-000001/0", runCommand.Attempt, api.TaskExited, api.CauseDone))
 	if h.jobs["run-000001"].FinalState != api.Done {
 		t.Fatal("the dependency has no terminal state after its last task exited")
 	}
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -20,7 +20,7 @@
 //
 // Images: a leader infers which images a machine holds from the tasks that ran on it. Without the hint the next leader
 // would assume that no machine holds an image, and on a large fleet each of hundreds of machines would fetch images again,
-// or its placements would be planned as if it had to.
+// or tasks would wait as if it had to.
 //
 // Replicas: agents report which parts of datasets they hold, but it takes some seconds until all of them have found the new
 // leader. Without the hint tasks would meanwhile be placed on machines whose agents reported first, and their inputs copied
@@ -178,7 +178,7 @@
 func decodeReplicaHint(value []byte) (map[string]map[string]replicas.Replica, error) {
 	var hint replicas.Hint
 	if err := json.Unmarshal(value, &hint); err != nil {
-		return nil, fmt.Errorf("decoding the hint: %w", err)
+		return nil, fmt.Errorf("decoding replica hint: %w", err)
 	}
 	return hint.Decode()
 }
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// markCompleted records that a task completed and calls stored once the completion is stored, which may be before
-// markCompleted returns. s.mu must be held, and is held when stored is called.
+// markCompleted records that a task completed and calls onStored once the completion is stored, which may be before
+// markCompleted returns. s.mu must be held, and is held when onStored is called.
 func (s *Scheduler) markCompleted(job *jobState, task int, onStored func()) {
 	if job.FinalState == "" && !job.completed.Has(task) {
 		s.recordCompletion(job, task)
@@ -116,8 +116,8 @@
 }
 
 // overdueCancellations returns the machines, one entry for each task, that must be released to the cloud so that no task
-// of a cancelled job runs longer than cancel_s after the cancellation: they have not confirmed that the task has ended.
-// tuning.CancelReleaseMargin covers the cloud's response time. s.mu must be held.
+// of a cancelled job runs longer than cancel_s after the cancellation: they were sent the command to stop the task and
+// have not confirmed that it has ended. tuning.CancelReleaseMargin covers the cloud's response time. s.mu must be held.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
 	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReleaseMargin
 	var overdue []*machineState
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -174,7 +174,7 @@
 		id := strings.TrimPrefix(item.Key, store.JobPrefix)
 		record, err := decodeJobRecord(id, item.Value)
 		if err == nil && (record.Job.Tasks < 1 || record.Job.Tasks > api.MaxTasks) {
-			err = fmt.Errorf("%d tasks, a job has 1 to %d", record.Job.Tasks, api.MaxTasks)
+			err = fmt.Errorf("invalid number of tasks %d, must be 1 to %d", record.Job.Tasks, api.MaxTasks)
 		}
 		if err != nil {
 			slog.Error("corrupt job record, leaving the job out", "key", item.Key, "err", err)
@@ -203,7 +203,7 @@
 		return record, fmt.Errorf("decoding the record of job %s: %w", id, err)
 	}
 	if record.Job.ID != id {
-		return record, fmt.Errorf("the record of job %s is that of job %.40q", id, record.Job.ID)
+		return record, fmt.Errorf("the record of job %s contains job ID %.40q", id, record.Job.ID)
 	}
 	return record, nil
 }
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -109,23 +109,23 @@
 	h.state.HoldNext = true // delays a transaction of the old leader until Deliver
 	h.committer.Step(context.Background())
 	h.commit()
-	old := store.ShardOf("run-000001", 0, tuning.ShardTasks)
-	if n := len(h.state.Get(old.Key())); n < 2048 {
+	oldShard := store.ShardOf("run-000001", 0, tuning.ShardTasks)
+	if n := len(h.state.Get(oldShard.Key())); n < 2048 {
 		t.Fatalf("the record has only %d bytes", n)
 	}
-	placed := len(h.jobs["run-000001"].allocations)
+	placedCount := len(h.jobs["run-000001"].allocations)
 	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 8}
 	h.elect()
 	h.UseCurrentFormat()
 	h.commit()
 	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 8})
 	h.state.Deliver()
-	if h.state.Get(old.Key()) != nil {
+	if h.state.Get(oldShard.Key()) != nil {
 		t.Error("the large record was not deleted")
 	}
 	h.elect()
-	if n := len(h.jobs["run-000001"].allocations); n != placed || placed == 0 {
-		t.Errorf("%d allocations restored, want %d", n, placed)
+	if n := len(h.jobs["run-000001"].allocations); n != placedCount || placedCount == 0 {
+		t.Errorf("%d allocations restored, want %d", n, placedCount)
 	}
 	if len(h.state.Refused) > 0 {
 		t.Error("refused transactions:", h.state.Refused)
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	// The jobs whose records are written within the time that a submission waits.
+	// One second's worth of writes, and what is written within the time that a submission waits.
 	if kept := 500 - refused; kept < 40 || kept > 60 {
 		t.Errorf("%d of 500 submissions kept at 20 writes per second, want 40 to 60", kept)
 	}
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -4,8 +4,8 @@
 	"switchferry/store"
 )
 
-// markShardDirty marks the shard record of a task for writing; the committer calls after once the record is stored. After
-// may be nil. s.mu must be held.
+// markShardDirty marks the shard record of a task for writing; the committer calls onStored, which
+// may be nil, once the record is stored. s.mu must be held.
 func (s *Scheduler) markShardDirty(job *jobState, task int, onStored func()) {
 	s.records.MarkDirty(s.shardKey(job, task), job.urgency(), onStored)
 }
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// As long as a process of the first version may come back, the records must stay readable for it.
+	// As long as a process of the first version may come back, the records must be identical byte for byte.
 	if string(raw)+"\n" != string(want) {
 		t.Errorf("the records differ from those of the first version:\n%s", raw)
 	}
