--- a/connlimit/conn.go
+++ b/connlimit/conn.go
@@ -9,7 +9,7 @@
 	"switchferry/tuning"
 )
 
-// conn is one connection that a Limiter counts.
+// conn is a connection that a Limiter counts while it is open.
 type conn struct {
 	net.Conn
 	limiter *Limiter
@@ -17,7 +17,7 @@
 	once    sync.Once
 }
 
-// Close closes the connection, which then no longer counts.
+// Close closes the connection and removes it from the Limiter's counts, once however often it is called.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		c.limiter.mu.Lock()
@@ -29,7 +29,7 @@
 	return c.Conn.Close()
 }
 
-// track counts a connection until it is closed.
+// track wraps a connection and counts it until it is closed.
 func (l *Limiter) track(c net.Conn, class Class) *conn {
 	tracked := &conn{Conn: c, limiter: l, class: class}
 	l.mu.Lock()
@@ -46,13 +46,13 @@
 	class   Class
 }
 
-// Listen returns a listener whose accepted connections count as a class: Unclassified, if Classify is called for them
-// later, or Peer.
+// Listen returns a listener whose accepted connections are counted under class: Peer, or Unclassified if Classify is
+// called for them later.
 func (l *Limiter) Listen(inner net.Listener, class Class) net.Listener {
 	return &listener{inner, l, class}
 }
 
-// Accept waits for a connection. Near the limit the longest idle connection of a worker is closed for it.
+// Accept waits for a connection. If too many are then open, it closes the worker connections that were idle longest.
 func (l *listener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -63,8 +63,8 @@
 	return tracked, nil
 }
 
-// Classify sets the class of an accepted connection, as its requests show. It does nothing for connections that the
-// Limiter does not count, or if the class is Unclassified.
+// Classify sets the class of an accepted connection once its first request shows who opened it. It does nothing if the
+// Limiter does not count the connection, or if the class is Unclassified.
 func (l *Limiter) Classify(c net.Conn, class Class) {
 	tracked, ok := c.(*conn)
 	if !ok || class == Unclassified {
@@ -77,19 +77,19 @@
 	l.openByClass[class]++
 }
 
-// State tracks which connections of an HTTP server are idle. It is for http.Server.ConnState.
-func (l *Limiter) State(c net.Conn, state http.ConnState) {
+// ConnState tracks which connections of an HTTP server are idle. It is meant to be set as http.Server.ConnState.
+func (l *Limiter) ConnState(c net.Conn, state http.ConnState) {
 	tracked, ok := c.(*conn)
 	if !ok {
 		return
 	}
 	if l.setState(tracked, state) {
-		// Connections that were opened before this one was idle found none to close.
+		// Connections opened before this one became idle may have found no idle connection to close.
 		l.closeIdle()
 	}
 }
 
-// setState tracks whether a connection is idle, and reports whether it may now be closed for new ones.
+// setState records whether a connection is idle, and reports whether it may now be closed to make room for new ones.
 func (l *Limiter) setState(tracked *conn, state http.ConnState) (closable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,8 +101,9 @@
 	return false
 }
 
-// Dial returns a function that opens connections and counts them as the class that classOf returns for their address. Near
-// the limit it opens none of class Command: its error is then a *net.OpError of operation "dial" that wraps ErrLimit.
+// Dial returns a function that opens connections and counts each under the class that classOf returns for its address.
+// Near the limit the function opens no connection of class Command and returns a *net.OpError with operation "dial"
+// that wraps ErrLimit.
 func (l *Limiter) Dial(classOf func(addr string) Class) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: tuning.DialTimeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -120,16 +121,16 @@
 	}
 }
 
-// contextKey is the key of a request's connection in its context.
-type contextKey struct{}
+// connKey is the context key under which a request's connection is stored.
+type connKey struct{}
 
-// Context returns a context that carries a connection. It is for http.Server.ConnContext.
-func Context(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, contextKey{}, c)
+// ConnContext returns a context that carries the connection c. It is meant to be set as http.Server.ConnContext.
+func ConnContext(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, c)
 }
 
 // FromContext returns the connection that a request arrived on, or nil if its context has none.
 func FromContext(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(contextKey{}).(net.Conn)
+	c, _ := ctx.Value(connKey{}).(net.Conn)
 	return c
 }
--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -1,11 +1,12 @@
-// Package connlimit keeps a controller's open connections within the platform's limit of sockets, by class of the other
-// side. It knows how many are open and who opened them, not what is sent on them.
+// Package connlimit keeps the number of a controller's open connections within the platform's limit on sockets. It
+// counts connections by the class of the remote side and does not inspect what is sent on them.
 //
-// Beyond the platform's limit every new connection fails, those of users and peers like those of workers, and the workers
-// of a large fleet would keep theirs open between heartbeats without need. So as the limit comes nearer, workers are told
-// to close their connections after each response, commands are no longer sent to workers directly but with the responses
-// to their heartbeats, and idle connections of workers are closed for new ones. The rest is left to users, peers, the
-// state service and the cloud.
+// Above the platform's limit every new connection fails, whether it is of a worker, a user or a peer. The workers of a
+// large cluster would otherwise keep their connections open between heartbeats without need. As the number of open
+// connections approaches the limit, the controller therefore takes three measures in turn: it tells workers to close
+// their connections after each response, it sends commands to workers with the responses to their heartbeats instead of
+// over connections of their own, and it closes idle worker connections to make room for new ones. The remaining
+// connections are reserved for users, peers, the state service and the cloud.
 package connlimit
 
 import (
@@ -20,54 +21,55 @@
 	"switchferry/tuning"
 )
 
-// Class is who is on the other side of a connection.
+// Class says what is on the remote side of a connection, and which side opened it.
 type Class int
 
-// The classes of connections.
+// Classes of connections.
 const (
 	// Unclassified is an accepted connection on which no request has arrived yet.
 	Unclassified Class = iota
-	// Worker is a connection on which a worker or an agent sends heartbeats.
+	// Worker is a connection on which a worker or a data agent sends heartbeats.
 	Worker
-	// User is any other connection to the port for users.
+	// User is any other connection to the HTTP port.
 	User
-	// Command is a connection to a worker or an agent.
+	// Command is a connection that the controller opens to a worker or a data agent to send it a command.
 	Command
 	// Service is a connection to the state service or the cloud.
 	Service
-	// Peer is a connection on the port between controllers, in either direction.
+	// Peer is a connection between controllers, in either direction.
 	Peer
 	classCount
 )
 
 var classNames = [classCount]string{"unclassified", "worker", "user", "command", "service", "peer"}
 
-// String returns the name under which the class is logged.
+// String returns the class name that is used in logs.
 func (c Class) String() string { return classNames[c] }
 
-// ErrLimit is the error of a connection that was not opened since too many are open.
+// ErrLimit is returned when a connection is not opened because too many are open.
 var ErrLimit = errors.New("connection limit reached")
 
-// Limiter counts the connections of a process and closes or refuses some near the limit. It is safe for concurrent use;
-// NewLimiter makes one.
+// Limiter counts the open connections of a process and closes or refuses some near the limit. It is safe for concurrent
+// use and must be created by NewLimiter.
 type Limiter struct {
 	mu          sync.Mutex
-	limit       int // 0: none
+	limit       int // 0: no limit
 	open        int
 	openByClass [classCount]int
-	// idleWorkers are the connections of workers on which no request is being handled, the longest idle first.
+	// idleWorkers holds the worker connections on which no request is being handled, the longest idle first.
 	idleWorkers *simplelru.LRU[*conn, struct{}]
-	// idleClosed counts those that were closed near the limit, and refused the commands that were not sent.
+	// idleClosed counts the idle worker connections that were closed, refused the command connections that were not
+	// opened.
 	idleClosed, refused int
 }
 
-// NewLimiter returns a Limiter for at most so many connections; 0: any number.
+// NewLimiter returns a Limiter for at most limit open connections; 0 means no limit.
 func NewLimiter(limit int) *Limiter {
-	idle, err := simplelru.NewLRU[*conn, struct{}](math.MaxInt32, nil)
+	idleWorkers, err := simplelru.NewLRU[*conn, struct{}](math.MaxInt32, nil)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // NewLRU fails only for a size below 1
 	}
-	return &Limiter{limit: limit, idleWorkers: idle}
+	return &Limiter{limit: limit, idleWorkers: idleWorkers}
 }
 
 // SetLimit changes the limit. Connections that are already open stay open.
@@ -77,17 +79,17 @@
 	l.limit = limit
 }
 
-// Counts is how many connections are open.
+// Counts holds the number of open connections and the totals of the connections closed and refused near the limit.
 type Counts struct {
 	Open, Limit int
-	// ByClass is how many are open by the name of their class, without classes that have none.
+	// ByClass maps the name of each class with open connections to their number.
 	ByClass map[string]int
-	// IdleClosed is how many idle connections of workers have been closed near the limit, and Refused how many commands
-	// have not been sent.
+	// IdleClosed is how many idle worker connections were closed near the limit, and Refused how many command
+	// connections were not opened.
 	IdleClosed, Refused int
 }
 
-// Counts returns how many connections are open.
+// Counts returns the present counts.
 func (l *Limiter) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,10 +102,10 @@
 	return counts
 }
 
-// unlimited is the threshold without a limit: more connections than a process can have.
+// unlimited is the threshold when there is no limit. It exceeds the number of connections that a process can have.
 const unlimited = 1 << 30
 
-// threshold returns how many connections a fraction of the limit is. The mutex must be held.
+// threshold returns the given fraction of the limit as a number of connections. The caller holds l.mu.
 func (l *Limiter) threshold(fraction float64) int {
 	if l.limit <= 0 {
 		return unlimited
@@ -111,14 +113,15 @@
 	return int(fraction * float64(l.limit))
 }
 
-// NearLimit reports whether workers should close their connections after a response.
+// NearLimit reports whether so many connections are open that workers should close theirs after each response.
 func (l *Limiter) NearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open >= l.threshold(tuning.ConnNearLimit)
 }
 
-// refuseCommand reports whether too many connections are open to send a command, and counts it if so.
+// refuseCommand reports whether too many connections are open to open another one for a command. If so, it counts the
+// refusal.
 func (l *Limiter) refuseCommand() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,19 +132,20 @@
 	return refuse
 }
 
-// closeIdle closes idle connections of workers, the longest idle first, while too many are open.
+// closeIdle closes idle worker connections, the longest idle first, while too many connections are open.
 func (l *Limiter) closeIdle() {
 	for {
-		oldest := l.takeIdle()
+		oldest := l.removeLongestIdle()
 		if oldest == nil {
 			return
 		}
-		_ = oldest.Close() // it is of no use any more, and counted as closed in any case
+		_ = oldest.Close() // the connection is counted as closed even if this fails
 	}
 }
 
-// takeIdle returns the idle connection to close next, or nil if none has to be closed or none is idle.
-func (l *Limiter) takeIdle() *conn {
+// removeLongestIdle removes the worker connection that has been idle longest and returns it for closing. It returns nil
+// if no connection has to be closed or no worker connection is idle.
+func (l *Limiter) removeLongestIdle() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open <= l.threshold(tuning.ConnFull) {
@@ -155,9 +159,10 @@
 	return oldest
 }
 
-// Watch calls notify with the counts once in every such interval while NearLimit holds, until the context ends.
-func (l *Limiter) Watch(ctx context.Context, every time.Duration, notify func(Counts)) {
-	ticker := time.NewTicker(every)
+// Watch checks NearLimit at the given interval and calls notify with the counts if it holds. It returns when the
+// context ends.
+func (l *Limiter) Watch(ctx context.Context, interval time.Duration, notify func(Counts)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/connlimit/limiter_test.go
+++ b/connlimit/limiter_test.go
@@ -13,8 +13,8 @@
 	"switchferry/connlimit"
 )
 
-// serve starts an HTTP server whose connections a Limiter counts; /v1/report is the path of workers. It returns the
-// server's address.
+// serve starts an HTTP server whose connections a Limiter counts, and returns the Limiter and the server's address.
+// Connections with requests for /v1/report are classified as those of workers, all others as those of users.
 func serve(t *testing.T, limit int) (*connlimit.Limiter, string) {
 	t.Helper()
 	limiter := connlimit.NewLimiter(limit)
@@ -29,7 +29,7 @@
 		}
 		limiter.Classify(connlimit.FromContext(r.Context()), class)
 	}
-	server := &http.Server{ConnContext: connlimit.Context, ConnState: limiter.State, Handler: http.HandlerFunc(handle)}
+	server := &http.Server{ConnContext: connlimit.ConnContext, ConnState: limiter.ConnState, Handler: http.HandlerFunc(handle)}
 	go func() { _ = server.Serve(limiter.Listen(listener, connlimit.Unclassified)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return limiter, listener.Addr().String()
@@ -59,8 +59,8 @@
 	return conn
 }
 
-// request opens a connection, sends one request and leaves the connection open. It returns whether the server says that
-// it will close it.
+// request opens a connection, sends one request on it and leaves the connection open. It returns whether the response
+// announces that the server will close the connection.
 func request(t *testing.T, addr, path string) (conn net.Conn, closed bool, err error) {
 	t.Helper()
 	conn = dial(t, addr)
@@ -68,7 +68,8 @@
 	return conn, closed, err
 }
 
-// requestOn sends one request on an open connection.
+// requestOn sends one request on an open connection, and returns whether the response announces that the server will
+// close it.
 func requestOn(conn net.Conn, path string) (closed bool, err error) {
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path); err != nil {
 		return false, err
@@ -80,9 +81,9 @@
 	return response.Close, response.Body.Close()
 }
 
-// Workers of 80%, 100% and 120% of the limit connect and keep their connections as long as they may. Users are still
-// served, and never are more connections open than the limit, since its last part is kept free for users.
-func TestWorkersLeaveSocketsForOthers(t *testing.T) {
+// Workers that number 80%, 100% and 120% of the limit connect and keep their connections open until the server asks
+// them to close. Users must still be served and the limit must not be exceeded.
+func TestWorkersLeaveConnectionsForUsers(t *testing.T) {
 	const limit, users = 200, 20
 	for _, workers := range []int{160, 200, 240} {
 		t.Run(fmt.Sprintf("workers=%d", workers), func(t *testing.T) {
@@ -90,7 +91,7 @@
 			for range workers {
 				conn, closed, err := request(t, addr, "/v1/report")
 				if err != nil {
-					t.Fatalf("a heartbeat is refused: %v", err)
+					t.Fatalf("heartbeat refused: %v", err)
 				}
 				if closed {
 					_ = conn.Close()
@@ -98,11 +99,11 @@
 			}
 			for range users {
 				if _, _, err := request(t, addr, "/submissions/run-000001"); err != nil {
-					t.Fatalf("a user is refused: %v", err)
+					t.Fatalf("user request refused: %v", err)
 				}
 			}
 			if counts := limiter.Counts(); counts.Open > limit || counts.ByClass["user"] != users {
-				t.Errorf("%+v, want %d open at most, %d of them users", counts, limit, users)
+				t.Errorf("counts %+v, want at most %d open connections, %d of them of users", counts, limit, users)
 			}
 		})
 	}
@@ -119,11 +120,11 @@
 	}
 	_, err := conn.Read(make([]byte, 1))
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a worker keeps its idle connection: %v", err)
+		t.Errorf("idle worker connection was not closed: %v", err)
 	}
 }
 
-// Near the limit the connections of workers that are idle for longest are closed for new ones, and no others.
+// Near the limit, only idle worker connections are closed to make room for new connections.
 func TestIdleWorkerConnectionsAreClosedNearLimit(t *testing.T) {
 	limiter, addr := serve(t, 1000)
 	worker, _, err := request(t, addr, "/v1/report")
@@ -144,16 +145,17 @@
 		t.Errorf("a user's connection was closed: %v", err)
 	}
 	if closed {
-		t.Error("the server closes a user's connection after a response")
+		t.Error("server announces that it will close a user's connection")
 	}
 	if counts := limiter.Counts(); counts.IdleClosed != 1 {
-		t.Errorf("%+v, want one idle connection closed", counts)
+		t.Errorf("counts %+v, want one idle connection closed", counts)
 	}
 }
 
-// Seen: beside load, the test above waited for ever. A server counts a connection as idle only after it has written the
-// response. A new connection that came in between found none idle to close, and the worker's stayed open above the limit
-// until the next new connection. Here the order of the two is fixed.
+// A worker connection that becomes idle above the limit is closed at once. An HTTP server marks a connection idle only
+// after it has written the response. A new connection accepted before that found no idle connection to close, and the
+// worker's stayed open above the limit until the next one was accepted; under load, the test above then hung. This test
+// forces that order of events.
 func TestWorkerConnectionIsClosedOnceIdle(t *testing.T) {
 	limiter := connlimit.NewLimiter(2)
 	listener := listen(t)
@@ -169,16 +171,17 @@
 	}
 	worker, accepted := connect()
 	limiter.Classify(accepted, connlimit.Worker)
-	limiter.State(accepted, http.StateActive)
+	limiter.ConnState(accepted, http.StateActive)
 	connect()
-	limiter.State(accepted, http.StateIdle)
+	limiter.ConnState(accepted, http.StateIdle)
 	expectClosed(t, worker)
 	if counts := limiter.Counts(); counts.IdleClosed != 1 || counts.Open != 1 {
-		t.Errorf("%+v, want the worker's connection closed, the other one open", counts)
+		t.Errorf("counts %+v, want the worker's connection closed and the other one open", counts)
 	}
 }
 
-// Commands leave the last connections to the state service; a command that is refused was never sent.
+// Command connections are refused before the limit is reached, so that the state service can still be reached. The
+// error is a dial error, which shows that the command was not sent.
 func TestCommandsAreRefusedNearLimit(t *testing.T) {
 	_, addr := serve(t, 0)
 	limiter := connlimit.NewLimiter(10)
@@ -191,14 +194,14 @@
 		}
 		var opError *net.OpError
 		if !errors.As(err, &opError) || opError.Op != "dial" || !errors.Is(err, connlimit.ErrLimit) || sent < 5 || sent > 9 {
-			t.Fatalf("after %d commands: %v, want ErrLimit after 5 to 9", sent, err)
+			t.Fatalf("after %d command connections: error %v, want ErrLimit after 5 to 9", sent, err)
 		}
 		break
 	}
 	dialService := limiter.Dial(func(string) connlimit.Class { return connlimit.Service })
 	conn, err := dialService(t.Context(), "tcp4", addr)
 	if err != nil {
-		t.Fatalf("the state service is refused: %v", err)
+		t.Fatalf("connection to the state service refused: %v", err)
 	}
 	_ = conn.Close()
 }
--- a/cpupressure/cpupressure_test.go
+++ b/cpupressure/cpupressure_test.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// A leader that computes three times slower than a peer transfers its leadership, but not at once, and not if
-// the peer is slow as well or does not reach the state service.
+// A leader whose CPU is three times slower than a peer's transfers its leadership after tuning.TransferAfter. It
+// does not if the peer is slow as well or does not reach the state service.
 func TestSlowLeaderTransfersLeadership(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	elected := clock.Now().Add(-time.Hour)
@@ -22,7 +22,7 @@
 	}
 	clock.Advance(tuning.TransferAfter)
 	if !transfer.Due(clock.Now(), elected, 300, fast) {
-		t.Error("not due though slow for long enough")
+		t.Error("not due although slow for long enough")
 	}
 	if transfer.Due(clock.Now(), clock.Now().Add(-time.Second), 300, fast) {
 		t.Error("due right after the election")
@@ -33,20 +33,20 @@
 			t.Errorf("due with peers %+v", peers)
 		}
 		if !transfer.slowSince.IsZero() {
-			t.Errorf("slow counted with peers %+v", peers)
+			t.Errorf("slowness recorded with peers %+v", peers)
 		}
 	}
 }
 
-// A busy leader is not slow. Samples that were disturbed do not show in the time that it compares, nor do those
-// for which a coarse clock shows nothing in the time that it publishes, however many they are. With the least
-// of some samples leaders resigned five times on a calm day, with one measure for both twelve times on
-// another.
+// A busy leader must not be taken for a slow one. A few disturbed samples must not change the time that a controller
+// compares, and samples that a coarse clock reads as zero must not change the time that it publishes. When the
+// minimum of several samples was used, leaders resigned five times on a quiet day; when the same value was both
+// published and compared, they resigned twelve times on another day.
 func TestBenchmarkIgnoresDisturbanceAndCoarseClock(t *testing.T) {
 	var monitor Monitor
 	for i := range tuning.BenchmarkSamples {
 		if i < tuning.BenchmarkRecent && monitor.ComparisonUS() != 0 || i < tuning.BenchmarkSamples/2 && monitor.PublishedUS() != 0 {
-			t.Fatalf("stated after %d samples", i)
+			t.Fatalf("benchmark time returned after only %d samples", i)
 		}
 		used := time.Duration(i%2) * time.Microsecond
 		if i == 100 {
@@ -55,20 +55,20 @@
 		monitor.add(used)
 	}
 	if monitor.PublishedUS() != 83 || monitor.ComparisonUS() != 1 {
-		t.Errorf("idle: %d published, %d for comparison", monitor.PublishedUS(), monitor.ComparisonUS())
+		t.Errorf("idle controller: %d us published, %d us for comparison; want 83 and 1", monitor.PublishedUS(), monitor.ComparisonUS())
 	}
 	monitor.add(9 * time.Millisecond)
 	monitor.add(9 * time.Millisecond)
 	if monitor.ComparisonUS() != 1 {
-		t.Errorf("two disturbed samples count: %d", monitor.ComparisonUS())
+		t.Errorf("two disturbed samples changed the comparison time to %d us", monitor.ComparisonUS())
 	}
 	for range tuning.BenchmarkRank {
 		monitor.add(240 * time.Microsecond)
 	}
 	if monitor.ComparisonUS() != 240 {
-		t.Errorf("%d for comparison: slow samples do not show", monitor.ComparisonUS())
+		t.Errorf("comparison time %d us, want the 240 us of the slow samples", monitor.ComparisonUS())
 	}
-	if used, err := processorTime(func() { time.Sleep(0) }); err != nil || used < 0 || used > time.Second {
+	if used, err := cpuTime(func() { time.Sleep(0) }); err != nil || used < 0 || used > time.Second {
 		t.Error(used, err)
 	}
 }
--- a/cpupressure/monitor.go
+++ b/cpupressure/monitor.go
@@ -1,4 +1,4 @@
-// Package cpupressure measures how fast a controller computes, and decides when a leader should transfer its
+// Package cpupressure measures a controller's CPU speed with a benchmark, and decides when a leader should transfer its
 // leadership to a peer that is several times faster.
 package cpupressure
 
@@ -18,29 +18,28 @@
 	"switchferry/tuning"
 )
 
-// Monitor measures the processor time of a fixed benchmark at regular intervals. It may be used from several
-// goroutines at once.
+// Monitor measures the CPU time of a fixed benchmark at regular intervals. It is safe for concurrent use.
 //
-// Processor time excludes the moments in which other processes ran. Where the operating system counts it in
-// coarse steps, most short samples show no time at all, on an idle controller more often than on a busy one.
-// The least of some samples is then useless: with it, leaders that were merely busy transferred their
-// leadership several times a day (docs/incidents/fleet-busy-taken-for-slow.md). So a controller publishes, for
-// others to compare with, the longest sample of half a minute, and compares one of the longer of its recent
-// ones. Both err in favour of the current leader.
+// CPU time excludes the time in which other processes ran. Where the operating system counts CPU time in coarse
+// steps, most short samples read zero, more often on an idle controller than on a busy one. The minimum of several
+// samples is then useless: when it was used, leaders that were merely busy transferred their leadership several
+// times a day (docs/incidents/fleet-busy-taken-for-slow.md). Therefore a controller publishes to its peers the
+// longest sample of half a minute, and compares with theirs one of the longer ones among its own most recent
+// samples. Both choices favour the current leader.
 type Monitor struct {
 	clock clockwork.Clock
 
 	// mu guards samples.
 	mu sync.Mutex
-	// samples are the last tuning.PaceTries at most, the newest last.
+	// samples holds the last tuning.BenchmarkSamples samples at most, the newest last.
 	samples []time.Duration
 }
 
-// NewMonitor returns a monitor without samples.
+// NewMonitor returns a Monitor without samples.
 func NewMonitor(clock clockwork.Clock) *Monitor { return &Monitor{clock: clock} }
 
-// Run takes a sample every tuning.PaceEvery until the context ends. It gives up, with a log line, if the
-// operating system does not report processor time.
+// Run takes a sample every tuning.BenchmarkEvery until the context ends. If the operating system does not report
+// CPU time, it logs an error and returns.
 func (m *Monitor) Run(ctx context.Context) {
 	data := make([]byte, tuning.BenchmarkBytes)
 	benchmark := func() {
@@ -49,7 +48,7 @@
 		}
 	}
 	for ctx.Err() == nil {
-		used, err := processorTime(benchmark)
+		used, err := cpuTime(benchmark)
 		if err != nil {
 			slog.Error("CPU benchmark failed", "err", err)
 			return
@@ -62,8 +61,8 @@
 	}
 }
 
-// processorTime returns how much processor time work takes on the calling goroutine's thread.
-func processorTime(work func()) (time.Duration, error) {
+// cpuTime runs work and returns the CPU time that it took on the calling goroutine's thread.
+func cpuTime(work func()) (time.Duration, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var start, end unix.Timespec
@@ -73,12 +72,12 @@
 		err = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &end)
 	}
 	if err != nil {
-		return 0, fmt.Errorf("read the thread's processor time: %w", err)
+		return 0, fmt.Errorf("read the thread's CPU time: %w", err)
 	}
 	return time.Duration(end.Nano() - start.Nano()), nil
 }
 
-// add records a sample.
+// add appends a sample and drops the oldest if there are more than tuning.BenchmarkSamples.
 func (m *Monitor) add(used time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,8 +86,8 @@
 	}
 }
 
-// PublishedUS returns the benchmark time in microseconds that other controllers compare with, 1 or more; 0
-// while there are too few samples.
+// PublishedUS returns the benchmark time in microseconds, at least 1, with which peers compare their own. It returns
+// 0 while there are too few samples.
 func (m *Monitor) PublishedUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,8 +97,8 @@
 	return microseconds(slices.Max(m.samples))
 }
 
-// ComparisonUS returns the benchmark time in microseconds that this controller compares with those of others,
-// 1 or more; 0 while there are too few samples.
+// ComparisonUS returns the benchmark time in microseconds, at least 1, that this controller compares with those
+// published by its peers. It returns 0 while there are too few samples.
 func (m *Monitor) ComparisonUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,5 +109,5 @@
 	return microseconds(recent[len(recent)-tuning.BenchmarkRank])
 }
 
-// microseconds returns a sample in microseconds, at least 1, since 0 means that there is none.
+// microseconds converts a sample to microseconds, at least 1 because 0 means that there is no sample.
 func microseconds(used time.Duration) uint32 { return uint32(max(1, used.Microseconds())) }
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -12,13 +12,12 @@
 	"switchferry/tuning"
 )
 
-// shortRetry is the wait after an attempt that failed because another process was faster, or to let the
-// state service remove the key of a revoked lease.
+// shortRetry is the delay before the next attempt after another process has won the election, or after a lease was
+// revoked, to let the state service remove the key that is attached to it.
 const shortRetry = tuning.ElectRetry / 5
 
-// Campaign reads who leads and, if nobody does, tries to become the leader. It returns whether this member
-// has been elected. Otherwise it has waited for as long as is useful before the next attempt, unless another
-// member leads.
+// Campaign reads the leader's key and, if there is no leader, tries to become it. It returns whether this member was
+// elected. If not, Campaign has already waited until the next attempt makes sense, unless another member leads.
 func (e *Elector) Campaign(ctx context.Context) bool {
 	if !e.leadershipVacant(ctx) || !e.mayCampaign(ctx) {
 		return false
@@ -41,7 +40,8 @@
 	return true
 }
 
-// leadershipVacant reads the leader's key, records who leads, and returns whether nobody does.
+// leadershipVacant reads the leader's key, records the leader, and returns whether there is none. It returns false
+// after a delay if the key cannot be read.
 func (e *Elector) leadershipVacant(ctx context.Context) bool {
 	item, err := e.client.Get(ctx, store.LeaderKey)
 	switch {
@@ -57,20 +57,20 @@
 		slog.Error("corrupt leader record", "value", string(item.Value))
 	}
 	if record.Member == e.member {
-		// The key was written by a previous process of this member. Nobody else has this name, so
-		// the lease can be revoked at once.
+		// The key was written by a previous incarnation of this member. Member names are unique, so the lease can be
+		// revoked at once.
 		slog.Info("revoking lease of previous incarnation")
 		_ = e.client.RevokeLease(ctx, item.Lease) // it expires by itself if this fails
 		sleep.For(ctx, e.clock, shortRetry)
 		return false
 	}
 	e.observeLeader(record.Member, item.Revision)
-	e.observedRevision = item.Revision
+	e.otherLeaderRevision = item.Revision
 	return false
 }
 
-// mayCampaign returns whether this member may campaign now. It waits where others are to come first: after a
-// resignation, and while this member cannot reach any peer.
+// mayCampaign returns whether this member may campaign now. It gives other members precedence by a delay after this
+// member's own term, and while this member cannot reach any peer.
 func (e *Elector) mayCampaign(ctx context.Context) bool {
 	e.mu.Lock()
 	wait := e.campaignAfter.Sub(e.clock.Now())
@@ -88,23 +88,23 @@
 	return true
 }
 
-// claimLeadership writes the leader's key, attached to the lease, if there is none. It returns the term.
+// claimLeadership writes the leader's key, attached to the lease, if the key does not exist. It returns the term.
 func (e *Elector) claimLeadership(ctx context.Context, leaseID uint64) (term uint64, err error) {
 	term, _, err = e.client.Transact(ctx,
 		[]store.Condition{{Key: store.LeaderKey, Revision: 0}},
 		[]store.Operation{{Set: store.LeaderKey, Value: store.LeaderRecord{Member: e.member}, Lease: leaseID}})
 	if errors.Is(err, store.ErrOutcomeUnknown) {
-		// It may have been executed: read the key before anything else.
-		item, readErr := e.client.Get(ctx, store.LeaderKey)
-		if readErr == nil && item.Lease == leaseID {
+		// The transaction may have been executed: the key shows whether it was.
+		item, getErr := e.client.Get(ctx, store.LeaderKey)
+		if getErr == nil && item.Lease == leaseID {
 			return item.Revision, nil
 		}
 	}
 	return term, err
 }
 
-// beginTerm records that this member leads. Its lease was requested at the given time. A resignation that
-// was meant for an earlier term is dropped.
+// beginTerm records that this member leads in the term, with a lease that was requested at the given time. It drops
+// a resignation that was meant for an earlier term.
 func (e *Elector) beginTerm(term, leaseID uint64, requested time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,7 +116,8 @@
 	}
 }
 
-// awaitLeaderChange waits until the leader's key changes after a revision, or cannot be watched.
+// awaitLeaderChange waits until the leader's key has a revision above after. If the key cannot be watched, it returns
+// after a delay.
 func (e *Elector) awaitLeaderChange(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
 		changes, revision, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchBlock)
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -21,9 +21,9 @@
 	isolated      bool
 }
 
-func (e *recordedEvents) Elected(t uint64)        { e.elected = append(e.elected, t) }
-func (e *recordedEvents) Lost(t uint64, _ string) { e.lost = append(e.lost, t) }
-func (e *recordedEvents) Isolated() bool          { return e.isolated }
+func (e *recordedEvents) Elected(term uint64)        { e.elected = append(e.elected, term) }
+func (e *recordedEvents) Lost(term uint64, _ string) { e.lost = append(e.lost, term) }
+func (e *recordedEvents) Isolated() bool             { return e.isolated }
 
 func newElectors() (*fake.State, *clockwork.FakeClock, *Elector, *Elector) {
 	clock := clockwork.NewFakeClock()
@@ -34,19 +34,19 @@
 	return state, clock, newElector("n0"), newElector("n1")
 }
 
-// One leads at a time, and terms only grow.
+// At most one member leads at a time, and terms are strictly increasing.
 func TestOneLeaderAtATime(t *testing.T) {
 	_, clock, first, second := newElectors()
 	if !first.Campaign(t.Context()) || second.Campaign(t.Context()) {
-		t.Fatal("not exactly one leader")
+		t.Fatal("want exactly one leader")
 	}
 	firstTerm, valid := first.Term()
 	if member, term := second.Leader(); member != "n0" || term != firstTerm || !valid {
-		t.Errorf("n1 follows %s in term %d", member, term)
+		t.Errorf("n1 sees leader %s in term %d, want n0 in its valid term", member, term)
 	}
 	clock.Advance(tuning.TermTTL + time.Second)
 	if _, valid := first.Term(); valid {
-		t.Error("valid although its lease has run out")
+		t.Error("term valid although its lease has expired")
 	}
 	if !second.Campaign(t.Context()) {
 		t.Fatal("n1 not elected")
@@ -56,21 +56,20 @@
 	}
 }
 
-// After an election without a response, the key is read before anything else.
-func TestWinnerOfLostResponseKnowsThatItWon(t *testing.T) {
+// A member whose winning write gets no response reads the key and finds that it was elected.
+func TestElectionWithLostResponseIsRecognized(t *testing.T) {
 	state, _, first, second := newElectors()
 	state.LoseAnswer = true
 	if !first.Campaign(t.Context()) {
-		t.Fatal("the winner does not know that it won")
+		t.Fatal("the elected member does not know that it leads")
 	}
 	if second.Campaign(t.Context()) {
 		t.Error("two leaders")
 	}
 }
 
-// A controller that the state service refuses, while others are served, is no leader once its lease has
-// expired.
-func TestOutageEndsLeadership(t *testing.T) {
+// A leader that cannot reach the state service no longer has a valid term once its lease has expired.
+func TestTermIsInvalidAfterOutage(t *testing.T) {
 	state, clock, first, _ := newElectors()
 	if !first.Campaign(t.Context()) {
 		t.Fatal("not elected")
@@ -78,32 +77,33 @@
 	state.Down = true
 	clock.Advance(tuning.TermTTL)
 	if _, valid := first.Term(); valid {
-		t.Error("valid without a renewal")
+		t.Error("term valid although its lease was not renewed")
 	}
 	if first.ExpiredFor() <= 0 {
-		t.Error("not overdue")
+		t.Error("lease not reported as expired")
 	}
 }
 
-// The lease of a previous process of the same member does not hold up the next one.
+// The lease of a member's previous incarnation is revoked, so that the new one need not wait for it to expire.
 func TestLeaseOfPreviousIncarnationIsRevoked(t *testing.T) {
 	state, clock, first, _ := newElectors()
 	if !first.Campaign(t.Context()) {
 		t.Fatal("not elected")
 	}
-	again := New("n0", store.NewClient("x:1", state), clock, &recordedEvents{})
+	restarted := New("n0", store.NewClient("x:1", state), clock, &recordedEvents{})
 	done := make(chan bool)
-	go func() { done <- again.Campaign(t.Context()) }()
+	go func() { done <- restarted.Campaign(t.Context()) }()
 	if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	clock.Advance(time.Second)
-	if <-done || !again.Campaign(t.Context()) {
-		t.Error("still waits for its own old lease")
+	if <-done || !restarted.Campaign(t.Context()) {
+		t.Error("not elected after the lease of the previous incarnation was revoked")
 	}
 }
 
-// slowRenewals is a transport that delays the responses to renewals, and drops every loseEvery-th (0: none).
+// slowRenewals is a transport that delays the responses to lease renewals by delay, and loses every loseEvery-th
+// response; 0 loses none.
 type slowRenewals struct {
 	state     *fake.State
 	delay     time.Duration
@@ -130,10 +130,10 @@
 	return response, err
 }
 
-// A leader keeps its term while responses to its renewals are late and some are lost, since the next renewal
-// does not wait for them. A leader that crashed is succeeded in under a second; it took 2.2 to 2.5 s. A leader
-// that is cut off from the state service is succeeded only when its lease expires, and by then it knows.
-func TestSuccession(t *testing.T) {
+// A leader keeps its term while responses to its renewals are late and some are lost, since the next renewal does not
+// wait for them. A leader that crashes is replaced in under a second; this used to take 2.2 to 2.5 s. A leader that
+// is cut off from the state service knows that its term is no longer valid by the time its lease expires.
+func TestTermSurvivesLostRenewalsAndEndsAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
 		state := fake.NewState(clock)
@@ -144,71 +144,71 @@
 		}
 		first, recorded := newElector("n0", &slowRenewals{delay: 300 * time.Millisecond, loseEvery: 3})
 		second, _ := newElector("n1", &slowRenewals{})
-		ctx, crash := context.WithCancel(t.Context())
+		firstCtx, crash := context.WithCancel(t.Context())
 		defer crash()
-		rest, stop := context.WithCancel(t.Context())
+		secondCtx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go first.Run(ctx)
+		go first.Run(firstCtx)
 		time.Sleep(100 * time.Millisecond)
-		go second.Run(rest)
+		go second.Run(secondCtx)
 		term, _ := first.Term()
 		for range 600 {
 			time.Sleep(50 * time.Millisecond)
-			if now, valid := first.Term(); now != term || !valid || len(recorded.lost) > 0 {
-				t.Fatalf("term %d of %d, valid %v, lost %v", now, term, valid, recorded.lost)
+			if current, valid := first.Term(); current != term || !valid || len(recorded.lost) > 0 {
+				t.Fatalf("term %d of %d, valid %v, lost %v", current, term, valid, recorded.lost)
 			}
 		}
 		crash()
-		at := time.Now()
-		for led := uint64(0); led <= term; led, _ = second.Term() {
-			if time.Since(at) > 3*time.Second {
-				t.Fatal("nobody follows")
+		crashedAt := time.Now()
+		for secondTerm := uint64(0); secondTerm <= term; secondTerm, _ = second.Term() {
+			if time.Since(crashedAt) > 3*time.Second {
+				t.Fatal("no new leader within 3 s of the crash")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		if took := time.Since(at); took >= time.Second {
-			t.Errorf("succeeded after %v", took)
+		if took := time.Since(crashedAt); took >= time.Second {
+			t.Errorf("new leader elected after %v, want less than 1 s", took)
 		}
 		if _, valid := first.Term(); valid {
-			t.Error("the crashed leader's key still counts for it")
+			t.Error("the crashed leader's term is still valid after a new leader was elected")
 		}
 		state.Outage(true)
 		time.Sleep(tuning.TermTTL)
 		if _, valid := second.Term(); valid {
-			t.Error("valid without the state service")
+			t.Error("term valid although the state service was down for the lease time")
 		}
 	})
 }
 
-// A process that restarts within a fraction of a second finds the key of its previous incarnation, whose lease
-// is still valid. It must not take it for its own, or attempts and names of instances of the previous
-// incarnation would be used twice.
-func TestKeyOfTheFormerLifeIsNotOnesOwn(t *testing.T) {
+// A process that restarts within a fraction of a second finds the key of its previous incarnation, whose lease is
+// still valid. It must not continue that term, or it would reuse attempt numbers and instance names of the previous
+// incarnation.
+func TestTermOfPreviousIncarnationIsNotContinued(t *testing.T) {
 	state, clock, first, _ := newElectors()
 	if !first.Campaign(t.Context()) {
 		t.Fatal("not elected")
 	}
-	old, _ := first.Term()
+	previousTerm, _ := first.Term()
 	recorded := &recordedEvents{}
-	again := New("n0", store.NewClient("x:1", state), clock, recorded)
+	restarted := New("n0", store.NewClient("x:1", state), clock, recorded)
 	done := make(chan bool, 1)
-	standing, stop := context.WithCancel(t.Context())
+	campaigning, stop := context.WithCancel(t.Context())
 	go func() {
-		done <- again.Campaign(t.Context())
+		done <- restarted.Campaign(t.Context())
 		stop()
 	}()
-	_ = clock.BlockUntilContext(standing, 1) // the campaign may end without a wait
+	_ = clock.BlockUntilContext(campaigning, 1) // the campaign may end without waiting for the clock
 	clock.Advance(100 * time.Millisecond)
 	if won := <-done; won {
-		t.Error("took the former life's key for its own")
+		t.Error("continued the term of the previous incarnation")
 	}
-	if term, valid := again.Term(); term != 0 || valid {
-		t.Errorf("leads in term %d, %v", term, valid)
+	if term, valid := restarted.Term(); term != 0 || valid {
+		t.Errorf("leads in term %d, valid %v; want no term", term, valid)
 	}
-	if !again.Campaign(t.Context()) {
-		t.Fatal("does not lead anew though nobody does")
+	if !restarted.Campaign(t.Context()) {
+		t.Fatal("not elected although there is no leader")
 	}
-	if term, _ := again.Term(); term <= old {
-		t.Errorf("term %d after %d", term, old)
+	if term, _ := restarted.Term(); term <= previousTerm {
+		t.Errorf("term %d after %d", term, previousTerm)
 	}
 }
--- a/election/term.go
+++ b/election/term.go
@@ -10,30 +10,30 @@
 	"switchferry/tuning"
 )
 
-// Reasons for which a term ends without a resignation.
+// Reasons why a term ends without a resignation.
 const (
 	leaseExpired     = "lease expired"
 	storeUnreachable = "state service unreachable"
 )
 
-// leaseValidUntil is until when a lease that was requested or renewed by a call sent at the given time has
-// certainly not expired.
+// leaseValidUntil returns the time before which a lease is certain not to have expired if the request that granted or
+// renewed it was sent at the given time.
 func leaseValidUntil(sent time.Time) time.Time { return sent.Add(tuning.TermTTL - tuning.TermMargin) }
 
-// holdTerm renews the lease until the term ends, and ends it. If the context ends, the lease is left to
-// expire.
+// holdTerm renews the lease until the leadership is lost, and then ends the term. If the context ends, it returns
+// without ending the term and the lease expires by itself.
 func (e *Elector) holdTerm(ctx context.Context) {
 	renewalCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if why, lost := e.renewUntilLost(renewalCtx); lost {
-		e.endTerm(ctx, why)
+	if reason, lost := e.renewUntilLost(renewalCtx); lost {
+		e.endTerm(ctx, reason)
 	}
 }
 
-// renewUntilLost renews the lease every tuning.RenewEvery until the term ends, and returns the reason; lost is
-// false if the context ended instead. Renewals run at the same time, up to tuning.RenewAtOnce, so that one without
-// a response does not hold up the next; they end with the context.
-func (e *Elector) renewUntilLost(ctx context.Context) (why string, lost bool) {
+// renewUntilLost renews the lease every tuning.RenewEvery until the leadership is lost, and returns the reason; lost
+// is false if the context ended instead. Up to tuning.RenewAtOnce renewals run concurrently, so that one without a
+// response does not delay the next. They end with the context.
+func (e *Elector) renewUntilLost(ctx context.Context) (reason string, lost bool) {
 	expired := make(chan struct{}, tuning.RenewAtOnce)
 	slots := make(chan struct{}, tuning.RenewAtOnce)
 	for {
@@ -53,8 +53,8 @@
 		select {
 		case <-ctx.Done():
 			return "", false
-		case why := <-e.resignations:
-			return why, true
+		case reason := <-e.resignations:
+			return reason, true
 		case <-expired:
 			return leaseExpired, true
 		case <-e.clock.After(tuning.RenewEvery):
@@ -62,8 +62,8 @@
 	}
 }
 
-// renew renews the lease once. The lease is valid from the moment at which the renewal was sent, since the
-// response may be late, and later than that of a later renewal.
+// renew renews the lease once. The validity is counted from the time when the request was sent, because the response
+// may be delayed and may arrive after the response to a later request.
 func (e *Elector) renew(ctx context.Context) error {
 	e.mu.Lock()
 	leaseID := e.leaseID
@@ -81,20 +81,20 @@
 	return nil
 }
 
-// endTerm records that this member no longer leads, and revokes its lease so that others need not wait for
-// it to expire. After a resignation this member does not campaign for tuning.StandAgain.
-func (e *Elector) endTerm(ctx context.Context, why string) {
+// endTerm records that this member no longer leads, and revokes its lease so that other members need not wait for it
+// to expire. Unless the reason is that the lease expired, this member then does not campaign for tuning.CampaignDelay.
+func (e *Elector) endTerm(ctx context.Context, reason string) {
 	e.mu.Lock()
 	now := e.clock.Now()
 	term, leaseID := e.term, e.leaseID
 	e.term, e.validUntil = 0, time.Time{}
 	e.leader, e.leaderTerm, e.leaderlessSince = "", term, now
 	e.campaignAfter = now.Add(tuning.CampaignDelay)
-	if why == leaseExpired {
+	if reason == leaseExpired {
 		e.campaignAfter = time.Time{}
 	}
 	e.mu.Unlock()
-	slog.Info("leadership lost", "term", term, "why", why)
-	e.callbacks.Lost(term, why)
+	slog.Info("leadership lost", "term", term, "why", reason)
+	e.callbacks.Lost(term, reason)
 	_ = e.client.RevokeLease(ctx, leaseID) // it expires by itself if this fails
 }
--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -1,6 +1,6 @@
-// Package httpapi is the HTTP port of a controller for users, operators, workers, data agents and
-// health checks. It decodes and checks requests, hands them to the controller, and encodes the
-// answers. What is decided about a request is the controller's matter.
+// Package httpapi serves the HTTP port of a controller for users, operators, workers, data agents and health checks. It
+// decodes and validates requests, passes them to the controller, and encodes the responses. Decisions about requests
+// are made by the controller.
 package httpapi
 
 import (
@@ -19,7 +19,7 @@
 	"switchferry/tuning"
 )
 
-// Paths of workers and data agents.
+// Paths to which workers and data agents send heartbeats.
 const (
 	heartbeatPath      = "/v1/report"
 	stageHeartbeatPath = "/v1/staging"
@@ -27,39 +27,41 @@
 
 // Limits of a connection.
 const (
-	idleTimeout    = 2 * time.Minute
+	// idleTimeout is how long a connection may be idle between requests.
+	idleTimeout = 2 * time.Minute
+	// maxHeaderBytes is the maximum size of a request's headers in bytes.
 	maxHeaderBytes = 16 << 10
 )
 
-// Controller handles the requests of the port. Its methods are called concurrently. Those that tell
-// whether a feature is on are asked once, by New.
+// Controller handles the requests that arrive at the port. Its methods are called concurrently. The methods that report
+// whether a feature is on are called only by New.
 type Controller interface {
-	// Ready tells whether the controller can take requests.
+	// Ready reports whether the controller can take requests.
 	Ready() bool
-	// Handle handles a request of a user or operator; forwarded is false for those of this port.
+	// Handle handles a request of a user or operator. forwarded is true if another controller has forwarded the request,
+	// and therefore false for requests that arrive at this port.
 	Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response
-	// HandleHeartbeat handles the heartbeat of a worker, which raw is the body of, and returns an HTTP
-	// status and what to answer as JSON.
+	// HandleHeartbeat handles the heartbeat of a worker, whose undecoded body is raw. It returns the HTTP status and the
+	// body of the response, which is encoded as JSON.
 	HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any)
 	// HandleStageHeartbeat does the same for the heartbeat of a data agent.
 	HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any)
-	// DataOn tells whether the dataset feature is on. The paths of a feature exist only if it is.
+	// DataOn reports whether the dataset feature is on. The paths of a feature exist only if it is on.
 	DataOn() bool
-	// TopologyOn tells whether a topology is declared.
+	// TopologyOn reports whether a topology is declared.
 	TopologyOn() bool
-	// MembersOn tells whether the membership feature is on.
+	// MembersOn reports whether the membership feature is on.
 	MembersOn() bool
-	// ConfigurationOn tells whether the live configuration feature is on.
+	// ConfigurationOn reports whether the live configuration feature is on.
 	ConfigurationOn() bool
 }
 
-// New returns the handler of the port. Every connection is reported to the budget of sockets as a user's
-// or a worker's.
-func New(backend Controller, budget *connlimit.Limiter) http.Handler {
+// New returns the HTTP handler of the port. It classifies each connection in limiter as one of a user or of a worker.
+func New(backend Controller, limiter *connlimit.Limiter) http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
 	router.HTTPErrorHandler = writeError
-	router.Use(classifyConnections(budget))
+	router.Use(classifyConnections(limiter))
 	registerUserPaths(router, backend)
 	router.GET("/ready", func(call echo.Context) error {
 		if backend.Ready() {
@@ -74,37 +76,38 @@
 	return router
 }
 
-// writeError answers a request that no handler has answered.
+// writeError writes the response to a request that no handler has answered.
 func writeError(err error, call echo.Context) {
 	status := http.StatusInternalServerError
 	if httpError, ok := errors.AsType[*echo.HTTPError](err); ok {
 		status = httpError.Code
 	}
 	if !call.Response().Committed {
-		// The client is gone if this fails, and asks again if it still wants an answer.
+		// If this fails, the client has disconnected and may repeat its request.
 		_ = call.JSON(status, api.Error{Error: http.StatusText(status)})
 	}
 }
 
-// classifyConnections returns a middleware that tells the budget what kind of client a connection has.
-func classifyConnections(budget *connlimit.Limiter) echo.MiddlewareFunc {
+// classifyConnections returns a middleware that sets the class of each request's connection in limiter, and near the
+// limit asks workers to close theirs.
+func classifyConnections(limiter *connlimit.Limiter) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(call echo.Context) error {
 			class := connlimit.User
 			if path := call.Path(); path == heartbeatPath || path == stageHeartbeatPath {
 				class = connlimit.Worker
-				if budget.NearLimit() {
-					// A worker can connect anew for its next heartbeat; a user's connection cannot wait.
+				if limiter.NearLimit() {
+					// A worker can open a new connection for its next heartbeat, whereas a user must be able to connect now.
 					call.Response().Header().Set("Connection", "close")
 				}
 			}
-			budget.Classify(connlimit.FromContext(call.Request().Context()), class)
+			limiter.Classify(connlimit.FromContext(call.Request().Context()), class)
 			return next(call)
 		}
 	}
 }
 
-// readBody reads a body of at most limit bytes; a longer one is the error tooLong.
+// readBody reads a body of at most limit bytes. It returns the error tooLong if the body is longer.
 func readBody(call echo.Context, limit int, tooLong error) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(call.Request().Body, int64(limit)+1))
 	if err == nil && len(body) > limit {
@@ -113,20 +116,20 @@
 	return body, err
 }
 
-// Serve runs the port on a listener until ctx ends, and then returns nil. Connections that the budget counts, which are
-// those of its own listener, are reported to it.
-func Serve(ctx context.Context, listener net.Listener, handler http.Handler, budget *connlimit.Limiter) error {
+// Serve serves HTTP on listener until ctx ends, and then returns nil. It reports state changes of connections to
+// limiter, which tracks those that its own listener accepted.
+func Serve(ctx context.Context, listener net.Listener, handler http.Handler, limiter *connlimit.Limiter) error {
 	server := &http.Server{
 		Handler:           handler,
-		ConnContext:       connlimit.Context,
-		ConnState:         budget.State,
+		ConnContext:       connlimit.ConnContext,
+		ConnState:         limiter.ConnState,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // Serve below reports whatever matters.
+		_ = server.Close() // any error that matters is returned by server.Serve below
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
