--- a/httpapi/heartbeats.go
+++ b/httpapi/heartbeats.go
@@ -12,10 +12,10 @@
 	"switchferry/tuning"
 )
 
-// errHeartbeatTooLong refuses a data agent's heartbeat over tuning.OrderLimit.
-var errHeartbeatTooLong = errors.New("the report is over 1 MiB")
+// errHeartbeatTooLong is returned for a data agent's heartbeat that is longer than tuning.OrderLimit.
+var errHeartbeatTooLong = errors.New("the heartbeat is over 1 MiB")
 
-// serveHeartbeat answers a worker.
+// serveHeartbeat handles the heartbeat of a worker.
 func serveHeartbeat(call echo.Context, backend Controller) error {
 	var heartbeat api.Heartbeat
 	raw, err := readHeartbeat(call, &heartbeat, tuning.BodyLimit, errBodyTooLong)
@@ -26,7 +26,7 @@
 	return call.JSON(status, body)
 }
 
-// serveStageHeartbeat answers a data agent.
+// serveStageHeartbeat handles the heartbeat of a data agent.
 func serveStageHeartbeat(call echo.Context, backend Controller) error {
 	var heartbeat api.StageHeartbeat
 	raw, err := readHeartbeat(call, &heartbeat, tuning.OrderLimit, errHeartbeatTooLong)
@@ -37,10 +37,11 @@
 	return call.JSON(status, body)
 }
 
-// checkable is a message that can tell whether it can be handled.
+// checkable is a message that can validate itself.
 type checkable interface{ Check() error }
 
-// readHeartbeat reads, decodes and checks a heartbeat of at most limit bytes, and returns its body.
+// readHeartbeat reads a heartbeat of at most limit bytes, decodes it into heartbeat and validates it. It returns the
+// undecoded body, or the error tooLong if the body is longer.
 func readHeartbeat(call echo.Context, heartbeat checkable, limit int, tooLong error) ([]byte, error) {
 	raw, err := readBody(call, limit, tooLong)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return raw, nil
 }
 
-// refuseHeartbeat answers a heartbeat that cannot be handled.
+// refuseHeartbeat logs a malformed heartbeat and answers it with status 400.
 func refuseHeartbeat(call echo.Context, sender string, err error) error {
 	slog.Error("malformed heartbeat", "sender", sender, "from", call.Request().RemoteAddr, "err", err)
 	return call.JSON(http.StatusBadRequest, api.Error{Error: err.Error()})
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -20,8 +20,8 @@
 func (fake *fakeController) MembersOn() bool       { return false }
 func (fake *fakeController) ConfigurationOn() bool { return false }
 func (fake *fakeController) DataOn() bool          { return fake.dataOn }
-func (fake *fakeController) HandleStageHeartbeat(_ context.Context, r *api.StageHeartbeat, _ []byte) (int, any) {
-	return 200, api.StageOrder{Term: 4, Order: r.Order}
+func (fake *fakeController) HandleStageHeartbeat(_ context.Context, heartbeat *api.StageHeartbeat, _ []byte) (int, any) {
+	return 200, api.StageOrder{Term: 4, Order: heartbeat.Order}
 }
 
 func (fake *fakeController) Ready() bool { return false }
@@ -49,7 +49,7 @@
 		{"POST", "/v1/report", `{"watch":1}`, 400, "host"},
 		{"POST", "/v1/report", `{"host":"m","watch":1}`, 421, `"harbor":"n1"`},
 		{"GET", "/elsewhere", "", 404, "error"},
-		// Off, a feature's paths are as unknown as any.
+		// The paths of a feature that is off do not exist.
 		{"GET", "/datasets", "", 404, "Not Found"},
 		{"POST", "/v1/staging", "{}", 404, "Not Found"},
 		{"DELETE", "/submissions/run-1", "", 405, "error"},
@@ -59,7 +59,7 @@
 		if w.Code != test.status || !strings.Contains(w.Body.String(), test.text) {
 			t.Errorf("%s %s: %d %s", test.method, test.path, w.Code, w.Body)
 		}
-		// Who is told to come back is told when.
+		// Only a request that can be retried is answered with Retry-After.
 		if retry := w.Header().Get("Retry-After"); (test.text == "later") != (retry == "1") {
 			t.Errorf("%s %s: Retry-After %q", test.method, test.path, retry)
 		}
@@ -67,7 +67,7 @@
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "/submissions/run-7/cancel", nil))
 	if backend.lastRequest.Verb != "cancel" || backend.lastRequest.Job != "run-7" {
-		t.Errorf("passed on %+v", backend.lastRequest)
+		t.Errorf("controller received %+v, want verb cancel of run-7", backend.lastRequest)
 	}
 }
 
--- a/httpapi/submissions_test.go
+++ b/httpapi/submissions_test.go
@@ -26,91 +26,92 @@
 	"switchferry/store"
 )
 
-// externalServices carries calls to the state service and the cloud; the latter is unreachable at first.
+// externalServices is a transport to the fake state service and the fake cloud. The cloud is unreachable until
+// cloudReachable is set.
 type externalServices struct {
 	state          http.RoundTripper
 	cloud          http.RoundTripper
 	cloudReachable atomic.Bool
 }
 
-// RoundTrip carries a call.
+// RoundTrip passes the request to the service that its host names.
 func (s *externalServices) RoundTrip(request *http.Request) (*http.Response, error) {
 	switch {
 	case strings.HasPrefix(request.URL.Host, "state"):
 		return s.state.RoundTrip(request)
 	case !s.cloudReachable.Load():
-		return nil, errors.New("the cloud is out of reach")
+		return nil, errors.New("cloud unreachable")
 	}
 	return s.cloud.RoundTrip(request)
 }
 
-// silentListener is a listener for peers to which none connects.
-type silentListener chan struct{}
+// idleListener is a listener for peers that accepts no connections.
+type idleListener chan struct{}
 
-// Accept blocks until the channel is closed.
-func (listener silentListener) Accept() (net.Conn, error) { <-listener; return nil, net.ErrClosed }
+// Accept blocks until the channel is closed, and then returns net.ErrClosed.
+func (listener idleListener) Accept() (net.Conn, error) { <-listener; return nil, net.ErrClosed }
 
 // Close does nothing.
-func (silentListener) Close() error { return nil }
+func (idleListener) Close() error { return nil }
 
-// Addr returns an address that nobody looks at.
-func (silentListener) Addr() net.Addr { return &net.TCPAddr{} }
+// Addr returns an empty address, which the tests do not use.
+func (idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 const validBody = `{"name_id":"run-000001","jobclass":"c","owner":"t","shape":"sweep","rank":"normal","parts":2,"cores":1,"cards":0,"ram_gb":1,
  "hulls":null,"berth":null,"together":false,"apart":false,"standby":true,"bundle":"i","size_gb":1,"expect_s":1,"snapshot_s":0,"stow_s":0,"due_s":null}`
 
-// bodyWith returns the valid body with one field changed; nil leaves the field out.
+// bodyWith returns validBody with one field set to value, or removed if value is nil.
 func bodyWith(field string, value any) string {
-	m := map[string]any{}
-	if json.Unmarshal([]byte(validBody), &m) != nil {
-		panic("the valid body is not")
+	fields := map[string]any{}
+	if json.Unmarshal([]byte(validBody), &fields) != nil {
+		panic("validBody is not valid JSON")
 	}
-	m[field] = value
+	fields[field] = value
 	if value == nil {
-		delete(m, field)
+		delete(fields, field)
 	}
-	raw, _ := json.Marshal(m)
+	raw, _ := json.Marshal(fields)
 	return string(raw)
 }
 
-// Submissions go through the port to a controller that leads. One that lacks a field or can never run is refused with
-// the field and a remedy. A known job is never refused, whatever the body says by now. A job that cannot be decided yet
-// is put off with Retry-After.
-func TestSubmissionsAreRefusedOrPutOff(t *testing.T) {
+// Submissions are sent through the HTTP port to a leader. A submission that lacks a field or can never run is refused
+// with the name of the field and a remedy. The submission of a known job is never refused, whatever its body. A
+// submission that cannot be decided yet is answered with status 503 and Retry-After.
+func TestSubmissionsAreRefusedOrDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		clock := clockwork.NewRealClock()
-		set := &settings.Settings{Member: "n0", Zone: "a"}
-		set.External = settings.External{State: "state:1", Cloud: "cloud:1"}
-		set.Facts = settings.Facts{Nodes: 1, Zones: []string{"a", "b"}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}, Teams: []settings.Team{{Name: "t", CPUsMax: 40}},
+		config := &settings.Settings{Member: "n0", Zone: "a"}
+		config.External = settings.External{State: "state:1", Cloud: "cloud:1"}
+		config.Facts = settings.Facts{Nodes: 1, Zones: []string{"a", "b"}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}, Teams: []settings.Team{{Name: "t", CPUsMax: 40}},
 			State: settings.State{RPS: 400, WriteRPS: 400, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}}
 		types := []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 1, BootS: 10, Zones: []string{"a", "b"}}}
 		state := fake.NewState(clock)
-		out := &externalServices{state: state, cloud: fake.NewCloud(clock, types, 20)}
-		n := controller.New(ctx, set, policy.Default(), clock, out)
-		back := make(silentListener)
+		services := &externalServices{state: state, cloud: fake.NewCloud(clock, types, 20)}
+		leader := controller.New(ctx, config, policy.Default(), clock, services)
+		peerListener := make(idleListener)
 		done := make(chan struct{})
-		go func() { n.Run(back); close(done) }()
-		handler := httpapi.New(n, connlimit.NewLimiter(0))
-		ask := func(method, path, body string) (int, string, string) {
+		go func() { leader.Run(peerListener); close(done) }()
+		handler := httpapi.New(leader, connlimit.NewLimiter(0))
+		send := func(method, path, body string) (int, string, string) {
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader([]byte(body))))
 			return w.Code, w.Body.String(), w.Header().Get("Retry-After")
 		}
 		check := func(method, path, body string, status int, words ...string) {
 			t.Helper()
-			code, text, retry := ask(method, path, body)
+			code, text, retry := send(method, path, body)
 			for _, word := range words {
 				if !strings.Contains(text, word) {
-					t.Errorf("%s %s %.200s: %s, want %q in it", method, path, body, text, word)
+					t.Errorf("%s %s %.200s: response %s, want %q in it", method, path, body, text, word)
 				}
 			}
 			if code != status || (code == http.StatusServiceUnavailable) != (retry != "") {
-				t.Errorf("%s %s %.200s: %d %s, Retry-After %q, want %d", method, path, body, code, text, retry, status)
+				t.Errorf("%s %s %.200s: status %d, response %s, Retry-After %q; want status %d, and Retry-After only with 503", method, path, body, code, text, retry, status)
 			}
 		}
 		time.Sleep(5 * time.Second)
-		// The machine types are not known yet: a new job is put off, a known one is answered.
+		// While the machine types are not known, a new job is answered with 503 and a known one with its state.
 		check("POST", "/submissions", validBody, 503, "machine types are not known")
 		var known api.Submission
 		if err := json.Unmarshal([]byte(strings.Replace(validBody, "run-000001", "run-000009", 1)), &known); err != nil {
@@ -118,7 +119,7 @@
 		}
 		state.Put(store.JobKey(known.ID), store.JobRecord{Job: known})
 		check("POST", "/submissions", strings.Replace(validBody, "run-000001", "run-000009", 1), 200, `"status":"pending"`)
-		out.cloudReachable.Store(true)
+		services.cloudReachable.Store(true)
 		time.Sleep(time.Minute)
 
 		for _, field := range []string{"name_id", "jobclass", "owner", "shape", "rank", "parts", "cores", "cards", "ram_gb", "bundle", "size_gb", "together", "apart", "standby", "expect_s", "snapshot_s", "stow_s"} {
@@ -151,7 +152,7 @@
 		check("POST", "/submissions/run-000001/cancel", "", 404)
 		check("POST", "/submissions/nothing/cancel", "", 404)
 
-		// A repeated submission is answered with the job's state whatever its body says, before and after the job ends.
+		// A repeated submission is answered with the job's state whatever its body, before and after the job has ended.
 		check("POST", "/submissions", validBody, 201, `"status":"pending"`)
 		repeats := []string{validBody, bodyWith("owner", "nobody"), bodyWith("cores", nil), bodyWith("parts", 0), bodyWith("hulls", []string{"m9"}), bodyWith("cores", 1000)}
 		for _, body := range repeats {
@@ -164,7 +165,8 @@
 		check("POST", "/submissions/run-000001/cancel", "", 200, `"status":"withdrawn"`)
 		check("GET", "/submissions/run-000001", "", 200, `"status":"withdrawn"`)
 
-		// In an outage, a job that cannot be looked up is put off; the state of a job that is over is answered.
+		// During an outage of the state service, a job that cannot be looked up is answered with 503, and one that has ended
+		// with its state.
 		state.Outage(true)
 		time.Sleep(3 * time.Second)
 		check("POST", "/submissions", bodyWith("name_id", "run-000002"), 503)
@@ -172,7 +174,7 @@
 		check("POST", "/submissions", bodyWith("cores", 1000), 200, `"status":"withdrawn"`)
 		state.Outage(false)
 		stop()
-		close(back)
+		close(peerListener)
 		<-done
 		time.Sleep(time.Minute)
 	})
--- a/httpapi/users.go
+++ b/httpapi/users.go
@@ -15,17 +15,18 @@
 	"switchferry/tuning"
 )
 
-// errBodyTooLong refuses a body over tuning.BodyLimit.
+// errBodyTooLong is returned for a request body that is longer than tuning.BodyLimit.
 var errBodyTooLong = errors.New("the body is over 64 KiB")
 
-// verbsWithBody are the verbs whose requests have a body.
+// verbsWithBody holds the verbs whose requests have a body.
 var verbsWithBody = map[string]bool{
 	controller.VerbSubmit:    true,
 	controller.VerbRegister:  true,
 	controller.VerbConfigure: true,
 }
 
-// registerUserPaths adds the paths of users and operators. Those of a feature are added if it is on.
+// registerUserPaths adds the paths for users and operators. The paths of an optional feature are added only if it is
+// on.
 func registerUserPaths(router *echo.Echo, backend Controller) {
 	verb := func(verb string) echo.HandlerFunc {
 		return func(call echo.Context) error { return serveUser(call, backend, verb) }
@@ -52,7 +53,7 @@
 	}
 }
 
-// serveUser answers a request of a user or operator.
+// serveUser passes a request of a user or operator to the controller and writes the response.
 func serveUser(call echo.Context, backend Controller, verb string) error {
 	request := peer.Request{Verb: verb, Job: call.Param("id")}
 	if verbsWithBody[verb] {
--- a/lookup/fair_queue.go
+++ b/lookup/fair_queue.go
@@ -13,13 +13,13 @@
 	"switchferry/tuning"
 )
 
-// FairQueue shares a limited number of reads among questions about jobs: the job whose questions have gone
-// unanswered for the longest time comes first.
+// FairQueue grants reads of the state service, at a limited rate, to status requests. The request for the job whose
+// requests have gone unanswered for the longest time is served first.
 //
-// In order of arrival, questions about jobs that nobody knows or that ended long ago used up the reads, and it
-// was left to chance whether a question about a running job was ever answered.
+// When requests were served in order of arrival, requests for unknown jobs and for jobs that had ended long ago used
+// up the reads, and requests for a running job could go unanswered indefinitely.
 //
-// It is safe for concurrent use.
+// FairQueue is safe for concurrent use.
 type FairQueue struct {
 	clock   clockwork.Clock
 	limiter *rate.Limiter
@@ -27,28 +27,29 @@
 	maxWaiting int
 
 	mu sync.Mutex
-	// unansweredSince is when the first question about a job went unanswered, by job.
+	// unansweredSince maps a job ID to the time of the first status request for the job since one was last answered.
 	unansweredSince *simplelru.LRU[string, time.Time]
 	waiting         requestHeap
 	// serving is true while a goroutine runs serve.
 	serving bool
 }
 
-// readRequest is a question that waits for a read.
+// readRequest is a status request that waits for a read.
 type readRequest struct {
-	// since is when the first question about the same job went unanswered.
+	// since is the time of the first status request for the same job since one was last answered.
 	since time.Time
 	// ready is closed when the request leaves the heap.
 	ready chan struct{}
 	// index is the position in the heap, notWaiting once the request has left it.
-	index    int
+	index int
+	// rejected is true if the request left the heap without a read.
 	rejected bool
 }
 
 // notWaiting is the index of a request that is not in the heap.
 const notWaiting = -1
 
-// NewFairQueue returns a queue that grants as many reads as the limiter allows.
+// NewFairQueue returns a FairQueue that grants reads at the rate of the limiter.
 func NewFairQueue(clock clockwork.Clock, limiter *rate.Limiter) *FairQueue {
 	return &FairQueue{
 		clock:           clock,
@@ -58,21 +59,21 @@
 	}
 }
 
-// TryAcquire takes one read without waiting. It returns false if none is left now or others wait.
+// TryAcquire takes one read without waiting. It returns false if the limiter allows none now or other requests wait.
 func (q *FairQueue) TryAcquire() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.tryAcquire(q.clock.Now())
 }
 
-// tryAcquire is TryAcquire under the lock.
+// tryAcquire is TryAcquire for callers that hold q.mu.
 func (q *FairQueue) tryAcquire(now time.Time) bool {
 	return len(q.waiting) == 0 && q.limiter.AllowN(now, 1)
 }
 
-// Acquire takes one read for a question about a job and waits for it up to tuning.QuestionWait. It returns
-// false if there was none in time. The next question about the job then comes before those about jobs that have
-// waited less, until Answered is called.
+// Acquire takes one read for a status request for a job, and waits for it up to tuning.QuestionWait. It returns false
+// if no read was granted in time. Until Answered is called, further requests for the job are then served before those
+// for jobs that have been unanswered for a shorter time.
 func (q *FairQueue) Acquire(ctx context.Context, id string) bool {
 	request, granted := q.enqueue(id)
 	if granted {
@@ -91,7 +92,7 @@
 	return !request.rejected
 }
 
-// enqueue takes one read at once if there is one, or makes a request wait for one.
+// enqueue takes one read at once if possible; otherwise it adds a request to the heap and returns it.
 func (q *FairQueue) enqueue(id string) (request *readRequest, granted bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -107,7 +108,7 @@
 	request = &readRequest{since: since, ready: make(chan struct{})}
 	heap.Push(&q.waiting, request)
 	if len(q.waiting) > q.maxWaiting {
-		// More cannot be served in time.
+		// The limiter cannot serve more requests than maxWaiting before they time out.
 		q.reject(q.waiting.newest())
 	}
 	if !q.serving && len(q.waiting) > 0 {
@@ -117,27 +118,27 @@
 	return request, false
 }
 
-// Answered records that a question about a job was answered.
+// Answered records that a status request for a job was answered.
 func (q *FairQueue) Answered(id string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.unansweredSince.Remove(id)
 }
 
-// reject ends the wait of a request without a read. It is called under the lock.
+// reject ends the wait of a request without granting it a read. The caller holds q.mu.
 func (q *FairQueue) reject(request *readRequest) {
 	request.rejected = true
 	q.release(request)
 }
 
-// release takes a request out of the heap and ends its wait. It is called under the lock.
+// release removes a request from the heap and ends its wait. The caller holds q.mu.
 func (q *FairQueue) release(request *readRequest) {
 	heap.Remove(&q.waiting, request.index)
 	request.index = notWaiting
 	close(request.ready)
 }
 
-// serve grants reads to waiting requests, as the limiter allows, until none waits.
+// serve grants reads to waiting requests at the rate of the limiter, and returns when none waits.
 func (q *FairQueue) serve() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -155,7 +156,7 @@
 	q.serving = false
 }
 
-// requestHeap is a heap of requests, that for the job that has waited longest first.
+// requestHeap is a heap.Interface with the request for the job that has been unanswered longest at the root.
 type requestHeap []*readRequest
 
 func (h requestHeap) Len() int           { return len(h) }
@@ -165,14 +166,14 @@
 	h[a].index, h[b].index = a, b
 }
 
-// Push adds a request for heap.Push.
+// Push appends a request. It is called only by package heap.
 func (h *requestHeap) Push(x any) {
 	request := x.(*readRequest) //nolint:forcetypeassert // heap.Push is called with requests only
 	request.index = len(*h)
 	*h = append(*h, request)
 }
 
-// Pop removes the last request for heap.Remove.
+// Pop removes and returns the last request. It is called only by package heap.
 func (h *requestHeap) Pop() any {
 	last := len(*h) - 1
 	request := (*h)[last]
@@ -180,7 +181,7 @@
 	return request
 }
 
-// newest is the request for the job that has waited least.
+// newest returns the request for the job that has been unanswered for the shortest time. The heap must not be empty.
 func (h requestHeap) newest() *readRequest {
 	newest := h[0]
 	for _, request := range h {
--- a/lookup/fair_queue_test.go
+++ b/lookup/fair_queue_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/time/rate"
 )
 
-// 1,000 jobs are asked about every 5 s, far more than the limit of reads allows. In order of arrival, some were
-// not answered for minutes. With the job that has waited longest first, each is answered within the time that
-// all of them take, and the limit is used up but not exceeded.
-func TestNobodyIsShutOutByAFlood(t *testing.T) {
+// Users request the status of 1,000 jobs every 5 s, far more than the limiter allows. When requests were served in
+// order of arrival, some jobs went unanswered for minutes. With the longest unanswered job first, each job must be
+// answered within about the time that one read for every job takes, and the limit must be used up but not exceeded.
+func TestFairQueueServesEveryJobUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const jobs, perSecond = 1000, 20
 		clock := clockwork.NewRealClock()
@@ -25,37 +25,37 @@
 		began := time.Now()
 		var mu sync.Mutex
 		longest, answered := time.Duration(0), 0
-		var all sync.WaitGroup
+		var users sync.WaitGroup
 		for i := range jobs {
 			id := fmt.Sprintf("run-%06d", i)
-			first := time.Duration(rng.IntN(5000)) * time.Millisecond
-			all.Go(func() {
-				time.Sleep(first)
-				last := time.Now()
+			firstRequest := time.Duration(rng.IntN(5000)) * time.Millisecond
+			users.Go(func() {
+				time.Sleep(firstRequest)
+				lastAnswer := time.Now()
 				for time.Since(began) < 3*time.Minute {
 					ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 					if queue.Acquire(ctx, id) {
 						queue.Answered(id)
 						mu.Lock()
 						answered++
-						longest = max(longest, time.Since(last))
+						longest = max(longest, time.Since(lastAnswer))
 						mu.Unlock()
-						last = time.Now()
+						lastAnswer = time.Now()
 					}
 					cancel()
 					time.Sleep(5 * time.Second)
 				}
 				mu.Lock()
-				longest = max(longest, time.Since(last)-10*time.Second)
+				longest = max(longest, time.Since(lastAnswer)-10*time.Second)
 				mu.Unlock()
 			})
 		}
-		all.Wait()
-		if most := int(perSecond * (time.Since(began).Seconds() + 1)); answered > most || answered < most*9/10 {
-			t.Errorf("%d answers, the limit allows %d", answered, most)
+		users.Wait()
+		if allowed := int(perSecond * (time.Since(began).Seconds() + 1)); answered > allowed || answered < allowed*9/10 {
+			t.Errorf("%d answers, want between 90%% and 100%% of the %d that the limit allows", answered, allowed)
 		}
 		if longest > 70*time.Second {
-			t.Errorf("a job went unanswered for %v; all take 50 s", longest)
+			t.Errorf("a job went unanswered for %v; one read for every job takes 50 s", longest)
 		}
 	})
 }
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -1,9 +1,9 @@
-// Package lookup answers questions about jobs from their records in the state service, for a controller
-// that does not have the jobs in memory: one that cannot reach the leader, or a new leader that does not
-// know yet which jobs ended before its term.
+// Package lookup answers status requests for jobs from their records in the state service, on a controller that does
+// not have the jobs in memory: one that cannot reach the leader, or a new leader that does not know yet which jobs
+// ended before its term.
 //
-// Questions share a limited number of reads (FairQueue). What was read of ended jobs is remembered
-// (TerminalStates), and so are the final states that were sent to users (Notifications).
+// FairQueue limits the rate of reads and shares them among the requests. TerminalStates caches the final records of
+// archived jobs, and Notifications the final states that were sent to users.
 package lookup
 
 import (
@@ -19,36 +19,38 @@
 	"switchferry/tuning"
 )
 
-// ErrTooDeep is returned if a job depends, directly or through others, on more than tuning.AwaitsReads jobs.
-var ErrTooDeep = errors.New("too many jobs before this one to look at without the leader")
+// ErrTooManyDependencies is returned if more than tuning.MaxDependencyReads jobs would have to be read to find out
+// whether a job depends, directly or indirectly, on a cancelled one.
+var ErrTooManyDependencies = errors.New("too many jobs before this one to look at without the leader")
 
-// Jobs reads the records of jobs. Its methods are safe for concurrent use if Recall and Remember are.
+// Jobs reads the records of jobs from the state service. Its methods are safe for concurrent use if Recall and Remember
+// are.
 type Jobs struct {
 	Client *store.Client
-	// Recall returns the final record of an archived job if it is remembered.
+	// Recall returns the cached final record of an archived job, and whether there is one.
 	Recall func(id string) (store.FinalRecord, bool)
-	// Remember is called with every final record that is read.
+	// Remember is called with every final record that is read, so that it can be cached.
 	Remember func(id string, f store.FinalRecord)
-	// Queue limits the reads and shares them among the questions.
+	// Queue limits the reads of ReadInTurn and shares them among the status requests.
 	Queue *FairQueue
 }
 
-// Job is what the records say of a job.
+// Job is the state of a job according to its records.
 type Job struct {
 	// Found is false if the job was never accepted.
 	Found   bool
 	Service bool
-	// Final is the final state of the job. Its State is empty while the job has not ended by its own
-	// records.
+	// Final is the final record of the job. Its State is empty if the job's own records do not say that it has ended; the
+	// job may still be cancelled through a dependency.
 	Final store.FinalRecord
-	// DependsOn are the jobs that the job depends on, while it is not archived.
+	// DependsOn holds the IDs of the jobs on which the job depends directly. It is empty once the job is archived.
 	DependsOn []string
-	// Record is the job's JobRecord, nil once the job is archived.
+	// Record is the item that holds the job's JobRecord, nil once the job is archived.
 	Record *store.Item
 }
 
-// Read reads a job. Its JobRecord is read first, since the final record is written before the JobRecord is
-// deleted. The error is that of the state service, or names a damaged record.
+// Read reads a job. It reads the JobRecord before the final record, because the final record is written before the
+// JobRecord is deleted. It returns an error if the state service does or if a record cannot be decoded.
 func (j *Jobs) Read(ctx context.Context, jobID string) (Job, error) {
 	if final, ok := j.Recall(jobID); ok {
 		return archivedJob(final), nil
@@ -63,7 +65,7 @@
 	return j.ReadArchived(ctx, jobID)
 }
 
-// ReadArchived reads the final record of a job, and remembers it. The errors are those of Read.
+// ReadArchived reads the final record of a job and passes it to Remember. Its errors are those of Read.
 func (j *Jobs) ReadArchived(ctx context.Context, jobID string) (Job, error) {
 	item, err := j.Client.Get(ctx, store.FinalKey(jobID))
 	switch {
@@ -74,22 +76,22 @@
 	}
 	var final store.FinalRecord
 	if err := json.Unmarshal(item.Value, &final); err != nil {
-		return Job{}, damaged(item, err)
+		return Job{}, damagedRecordError(item, err)
 	}
 	j.Remember(jobID, final)
 	return archivedJob(final), nil
 }
 
-// archivedJob is the job of a final record.
+// archivedJob returns the Job for a final record.
 func archivedJob(final store.FinalRecord) Job {
 	return Job{Found: true, Service: final.Service, Final: final}
 }
 
-// decodeJob decodes a JobRecord.
+// decodeJob returns the Job for an item that holds a JobRecord.
 func decodeJob(item store.Item) (Job, error) {
 	var record store.JobRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		return Job{}, damaged(item, err)
+		return Job{}, damagedRecordError(item, err)
 	}
 	return Job{
 		Found:     true,
@@ -100,46 +102,47 @@
 	}, nil
 }
 
-// damaged is the error of a record that cannot be decoded.
-func damaged(item store.Item, err error) error {
+// damagedRecordError returns the error for a record that cannot be decoded.
+func damagedRecordError(item store.Item, err error) error {
 	return fmt.Errorf("record %s is damaged: %w", item.Key, err)
 }
 
-// ReadInTurn is Read within the limit of reads, on behalf of a question about the job asked. The question
-// waits for its turn; if asked is empty, it does not wait. It returns store.ErrBusy if no read is allowed in
-// time.
-func (j *Jobs) ReadInTurn(ctx context.Context, jobID, asked string) (Job, error) {
-	if _, known := j.Recall(jobID); !known && !j.acquire(ctx, asked) {
+// ReadInTurn is Read within the rate limit of Queue, on behalf of a status request for the job queriedID. It waits
+// until the queue grants a read; if queriedID is empty, it does not wait. It returns store.ErrBusy if no read is
+// granted in time. A cached final record needs no read.
+func (j *Jobs) ReadInTurn(ctx context.Context, jobID, queriedID string) (Job, error) {
+	if _, cached := j.Recall(jobID); !cached && !j.acquire(ctx, queriedID) {
 		return Job{}, store.ErrBusy
 	}
 	return j.Read(ctx, jobID)
 }
 
-// acquire takes one read from the queue for a question about the job asked (empty: without waiting).
-func (j *Jobs) acquire(ctx context.Context, asked string) bool {
-	if asked == "" {
+// acquire takes one read from the queue for a status request for the job queriedID. If queriedID is empty, it does not
+// wait.
+func (j *Jobs) acquire(ctx context.Context, queriedID string) bool {
+	if queriedID == "" {
 		return j.Queue.TryAcquire()
 	}
-	return j.Queue.Acquire(ctx, asked)
+	return j.Queue.Acquire(ctx, queriedID)
 }
 
-// DependsOnCancelled returns whether any of the jobs awaits, or a job that they depend on, directly or through
-// others, is cancelled: a job that depends on them is then cancelled too, and a controller that answers
-// without the leader must not say anything else. It reads on behalf of a question about the job asked, as
-// ReadInTurn does, and returns ErrTooDeep after tuning.AwaitsReads jobs.
-func (j *Jobs) DependsOnCancelled(ctx context.Context, awaits []string, asked string) (bool, error) {
+// DependsOnCancelled returns whether any of the dependencies of a job, or of the jobs on which these depend directly or
+// indirectly, is cancelled. The job is then cancelled too, and a controller that answers without the leader must report
+// that state. The jobs are read with ReadInTurn on behalf of a status request for the job queriedID. The error is
+// ErrTooManyDependencies if more than tuning.MaxDependencyReads jobs would have to be read.
+func (j *Jobs) DependsOnCancelled(ctx context.Context, dependencies []string, queriedID string) (bool, error) {
 	visited := map[string]bool{}
-	for pending := slices.Clone(awaits); len(pending) > 0; {
+	for pending := slices.Clone(dependencies); len(pending) > 0; {
 		id := pending[0]
 		pending = pending[1:]
 		if visited[id] {
 			continue
 		}
 		visited[id] = true
-		if _, known := j.Recall(id); !known && len(visited) > tuning.MaxDependencyReads {
-			return false, ErrTooDeep
+		if _, cached := j.Recall(id); !cached && len(visited) > tuning.MaxDependencyReads {
+			return false, ErrTooManyDependencies
 		}
-		job, err := j.ReadInTurn(ctx, id, asked)
+		job, err := j.ReadInTurn(ctx, id, queriedID)
 		switch {
 		case err != nil:
 			return false, err
@@ -152,17 +155,17 @@
 	return false, nil
 }
 
-// ForEach calls visit for each of ids with its index, up to tuning.AwaitsAtOnce calls at the same time, and
-// returns when all calls have returned.
+// ForEach calls visit for each of ids with its index, in up to tuning.DependencyLookups concurrent calls, and returns
+// when all calls have returned.
 func ForEach(ids []string, visit func(i int, id string)) {
 	slots := make(chan struct{}, tuning.DependencyLookups)
-	var calls sync.WaitGroup
+	var running sync.WaitGroup
 	for i, id := range ids {
 		slots <- struct{}{}
-		calls.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
 			visit(i, id)
 		})
 	}
-	calls.Wait()
+	running.Wait()
 }
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -10,51 +10,51 @@
 	"switchferry/tuning"
 )
 
-// Notifications remembers the final states that this process has sent to users, for up to tuning.FinalCache
-// jobs. An older state, from memory, from the leader or from a record that was read before, is then not sent
-// after them: reads are monotonic within one process. It is safe for concurrent use.
+// Notifications caches the terminal states that this process has sent to users, for up to tuning.FinalCache jobs. It
+// prevents that an older state, found in memory, at the leader or in a record read earlier, is sent after a terminal
+// state, so that reads are monotonic within one process. It is safe for concurrent use.
 type Notifications struct {
-	mu       sync.Mutex
-	terminal *simplelru.LRU[string, api.JobStatus]
+	mu           sync.Mutex
+	sentTerminal *simplelru.LRU[string, api.JobStatus]
 }
 
-// NewNotifications returns an empty Notifications.
+// NewNotifications returns Notifications without entries.
 func NewNotifications() *Notifications {
-	return &Notifications{terminal: newCache[api.JobStatus](tuning.FinalCache)}
+	return &Notifications{sentTerminal: newCache[api.JobStatus](tuning.FinalCache)}
 }
 
-// Notification says what may be sent of a status that was found for a job.
-type Notification int
+// SendDecision says whether a status that was found for a job may be sent to a user.
+type SendDecision int
 
-// What Newest returns beside a status.
+// The decisions that Newest returns.
 const (
-	// Send: the status may be sent.
-	Send Notification = iota
-	// Older: a final state was sent before, and is to be sent again in place of the status.
+	// Send means that the status that was found may be sent.
+	Send SendDecision = iota
+	// Older means that a terminal state was sent before and must be sent again instead of the status that was found.
 	Older
-	// Contradiction: another final state was sent before, so that neither may be sent now.
+	// Contradiction means that a different terminal state was sent before, so that neither may be sent now.
 	Contradiction
 )
 
-// Newest returns the status to send for a job whose present status was found to be status: that one, or the
-// final one that was sent before.
-func (n *Notifications) Newest(status api.JobStatus) (api.JobStatus, Notification) {
+// Newest returns the status to send for a job, given the status that was found for it: that status, or the terminal one
+// that was sent before. A terminal status that may be sent is cached as sent.
+func (n *Notifications) Newest(status api.JobStatus) (api.JobStatus, SendDecision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	sent, ended := n.terminal.Get(status.ID)
+	sent, alreadySent := n.sentTerminal.Get(status.ID)
 	switch {
 	case !isTerminal(status.State):
-		if ended {
+		if alreadySent {
 			return sent, Older
 		}
 		return status, Send
-	case ended && sent.State != status.State:
-		invariant.Violated("a final state that users were told does not change", "job", status.ID, "told", sent.State, "found", status.State)
+	case alreadySent && sent.State != status.State:
+		invariant.Violated("a terminal state that was sent to a user does not change", "job", status.ID, "told", sent.State, "found", status.State)
 		return sent, Contradiction
 	}
-	n.terminal.Add(status.ID, status)
+	n.sentTerminal.Add(status.ID, status)
 	return status, Send
 }
 
-// isTerminal reports whether a job that is in a state stays in it.
+// isTerminal reports whether a job state is terminal.
 func isTerminal(state string) bool { return state == api.Done || state == api.Cancelled }
--- a/lookup/status.go
+++ b/lookup/status.go
@@ -6,14 +6,15 @@
 	"switchferry/api"
 )
 
-// Status returns what a user is answered, from the records alone, about the job with this id, which was found as found by
-// Read or ReadInTurn. Asked and the errors are as for DependsOnCancelled.
-func (j *Jobs) Status(ctx context.Context, id string, found Job, asked string) (api.JobStatus, error) {
+// Status returns the status of the job with the given ID according to the records alone, without the leader. found is
+// what Read or ReadInTurn returned for the job. queriedID and the errors are as for
+// DependsOnCancelled.
+func (j *Jobs) Status(ctx context.Context, id string, found Job, queriedID string) (api.JobStatus, error) {
 	if found.Record == nil {
 		return found.Final.JobStatus(id), nil
 	}
 	if final, ok := j.Recall(id); ok {
-		// It ended while it was read: the record is outdated.
+		// The job ended after its JobRecord was read.
 		return final.JobStatus(id), nil
 	}
 	status := api.JobStatus{ID: id, State: api.Pending}
@@ -21,7 +22,7 @@
 		status.State = found.Final.State
 		return status, nil
 	}
-	cancelled, err := j.DependsOnCancelled(ctx, found.DependsOn, asked)
+	cancelled, err := j.DependsOnCancelled(ctx, found.DependsOn, queriedID)
 	if err != nil {
 		return status, err
 	}
--- a/lookup/terminal_states.go
+++ b/lookup/terminal_states.go
@@ -10,30 +10,31 @@
 	"switchferry/tuning"
 )
 
-// TerminalStates remembers the final records of up to tuning.FinalCache archived jobs, those added last. It is
-// safe for concurrent use.
+// TerminalStates caches the final records of archived jobs, the last tuning.FinalCache that were added. It is safe for
+// concurrent use.
 type TerminalStates struct {
 	mu      sync.Mutex
 	records *simplelru.LRU[string, store.FinalRecord]
 }
 
-// NewTerminalStates returns an empty cache.
+// NewTerminalStates returns an empty TerminalStates.
 func NewTerminalStates() *TerminalStates {
 	return &TerminalStates{records: newCache[store.FinalRecord](tuning.FinalCache)}
 }
 
-// Remember adds the final record of a job. One that contradicts what is remembered is reported, and not taken in.
+// Remember adds the final record of a job. If its state differs from that of the cached record, Remember reports an
+// invariant violation and keeps the cached record.
 func (s *TerminalStates) Remember(id string, record store.FinalRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known, ok := s.records.Peek(id); ok && known.State != record.State {
-		invariant.Violated("a terminal state does not change", "job", id, "remembered", known.State, "found", record.State)
+	if cached, ok := s.records.Peek(id); ok && cached.State != record.State {
+		invariant.Violated("a terminal state does not change", "job", id, "remembered", cached.State, "found", record.State)
 		return
 	}
 	s.records.Add(id, record)
 }
 
-// Get returns the final record of a job if it is remembered.
+// Get returns the cached final record of a job, and whether there is one.
 func (s *TerminalStates) Get(id string) (store.FinalRecord, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts users' requests to a controller and logs the counts periodically, so that a surge of requests or
-// an unresponsive leader can be distinguished from other faults.
+// Package traffic counts the requests of users to a controller and logs the counts periodically, so that operators can
+// distinguish a surge of requests or an unresponsive leader from other faults.
 package traffic
 
 import (
@@ -13,33 +13,33 @@
 	"switchferry/invariant"
 )
 
-// Counts are users' requests since the counts were last taken.
+// Counts holds the numbers of requests and responses since the counts were last taken.
 type Counts struct {
-	// StateQueries are requests for a job's state, OtherRequests all others, and Refused those of both that were refused
-	// with a time to try again.
+	// StateQueries counts requests for a job's state, OtherRequests all others, and Refused the requests of both kinds
+	// that were refused with a retry delay.
 	StateQueries, OtherRequests, Refused int
-	// LeaderBypassed is how often a request was handled without the leader, as it did not answer.
+	// LeaderBypassed counts requests that were handled without the leader because it did not respond.
 	LeaderBypassed int
-	// OlderAnswers are answers that were not sent since their user had been told of the job's end.
-	OlderAnswers int
-	// RecordAnswers are answers from a record of the state service; OldestRead is how long before its answer the oldest of
-	// these records was asked for.
+	// StaleAnswers counts responses that were dropped because a terminal state of the job had already been sent.
+	StaleAnswers int
+	// RecordAnswers counts responses that were derived from a record in the state service. OldestRead is the longest time
+	// between the request for such a record and the response.
 	RecordAnswers int
 	OldestRead    time.Duration
 }
 
-// Counter counts requests. The zero value is ready for use. It is safe for concurrent use.
+// Counter counts requests and responses. The zero value is ready to use. It is safe for concurrent use.
 type Counter struct {
 	mu      sync.Mutex
 	current Counts
 }
 
-// Add counts one request: question is whether it asked for a job's state, and refused whether it was refused with a
-// time to try again.
-func (c *Counter) Add(question, refused bool) {
+// Add counts one request. question is true if the request was for a job's state, refused if it was refused with a retry
+// delay.
+func (c *Counter) Add(stateQuery, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if question {
+	if stateQuery {
 		c.current.StateQueries++
 	} else {
 		c.current.OtherRequests++
@@ -49,21 +49,22 @@
 	}
 }
 
-// LeaderBypassed counts a request that was handled without the leader, as it did not answer.
+// LeaderBypassed counts a request that was handled without the leader because it did not respond.
 func (c *Counter) LeaderBypassed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current.LeaderBypassed++
 }
 
-// OlderAnswerDropped counts an answer that was not sent since its user had been told of the job's end.
+// OlderAnswerDropped counts a response that was dropped because a terminal state of the job had already been sent.
 func (c *Counter) OlderAnswerDropped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.current.OlderAnswers++
+	c.current.StaleAnswers++
 }
 
-// AnsweredFromRecord counts an answer from a record that was asked for so long before.
+// AnsweredFromRecord counts a response that was derived from a record in the state service, which was requested age
+// before the response.
 func (c *Counter) AnsweredFromRecord(age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 	c.current.OldestRead = max(c.current.OldestRead, age)
 }
 
-// Take returns the counts and resets them.
+// Take returns the counts since the last call and resets them.
 func (c *Counter) Take() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,17 +81,17 @@
 	return counts
 }
 
-// Log takes and logs the counts once in every such interval, unless they are all zero, until the context ends.
-func (c *Counter) Log(ctx context.Context, clock clockwork.Clock, every time.Duration) {
+// Log takes the counts at the given interval and logs them unless all are zero, until the context ends.
+func (c *Counter) Log(ctx context.Context, clock clockwork.Clock, interval time.Duration) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-clock.After(every):
+		case <-clock.After(interval):
 		}
 		if counts := c.Take(); counts != (Counts{}) {
 			slog.Info("request statistics", "questions", counts.StateQueries, "other_requests", counts.OtherRequests, "refused", counts.Refused, "leader_silent", counts.LeaderBypassed,
-				"older_answers", counts.OlderAnswers, "from_records", counts.RecordAnswers, "oldest_read_ms", counts.OldestRead.Milliseconds(),
+				"older_answers", counts.StaleAnswers, "from_records", counts.RecordAnswers, "oldest_read_ms", counts.OldestRead.Milliseconds(),
 				"invariant_violations", invariant.Violations())
 		}
 	}
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -14,7 +14,7 @@
 	counter.OlderAnswerDropped()
 	counter.AnsweredFromRecord(time.Second)
 	counter.AnsweredFromRecord(time.Millisecond)
-	want := Counts{StateQueries: 2, OtherRequests: 1, Refused: 2, LeaderBypassed: 1, OlderAnswers: 1, RecordAnswers: 2, OldestRead: time.Second}
+	want := Counts{StateQueries: 2, OtherRequests: 1, Refused: 2, LeaderBypassed: 1, StaleAnswers: 1, RecordAnswers: 2, OldestRead: time.Second}
 	if got := counter.Take(); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
