--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -14,22 +14,22 @@
 	"switchferry/tuning"
 )
 
-// VersionRegistry writes the version record of this controller and reads those of the others. It is safe for
+// VersionRegistry writes the version record of this controller and reads those of the other members. It is safe for
 // concurrent use once Configuration is set.
 type VersionRegistry struct {
 	member  string
-	members []string // of the deployment, with member
+	members []string // all members of the deployment, including this one
 	client  *store.Client
 	clock   clockwork.Clock
-	// Configuration is whether this process has live configuration on. It is set before the first use of
-	// the registry.
+	// Configuration is true if live configuration is on in this process. It must be set before the registry is first
+	// used.
 	Configuration bool
 
 	mu       sync.Mutex
 	versions *memberVersions
 }
 
-// NewVersionRegistry returns the registry of one member of a deployment.
+// NewVersionRegistry returns the VersionRegistry of member, one of the members of a deployment.
 func NewVersionRegistry(member string, members []string, client *store.Client, clock clockwork.Clock) *VersionRegistry {
 	return &VersionRegistry{
 		member:   member,
@@ -40,23 +40,23 @@
 	}
 }
 
-// Older returns the members, in order, that may still run, or go back to, a process with an older version of
-// data, since no version record of theirs was seen.
+// Older returns the members that may still run, or be rolled back to, a process with an older data version, because no
+// version record with at least DataVersion was seen of them. They are sorted by name.
 func (r *VersionRegistry) Older() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.versions.older()
 }
 
-// Observe records the version record of a member.
-func (r *VersionRegistry) Observe(member string, mark VersionMark) {
+// Observe records that the version record of a member was read.
+func (r *VersionRegistry) Observe(member string, record VersionMark) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.versions.observe(member, mark)
+	r.versions.observe(member, record)
 }
 
-// Run writes the version record of this controller and reads those that are missing, every
-// tuning.UpgradeEvery, until all are seen. It returns false if the context ends before.
+// Run writes the version record of this controller and reads those of the members that Older returns, every
+// tuning.UpgradeEvery, until no older member is left. It returns true then, and false if the context ends before.
 func (r *VersionRegistry) Run(ctx context.Context) bool {
 	recorded := false
 	for ctx.Err() == nil {
@@ -78,50 +78,51 @@
 	return false
 }
 
-// observeRecord decodes and records the version record of a member.
+// observeRecord decodes the version record of a member and observes it. A record that cannot be decoded is logged.
 func (r *VersionRegistry) observeRecord(member string, item store.Item) {
-	var mark VersionMark
-	if err := json.Unmarshal(item.Value, &mark); err != nil {
+	var record VersionMark
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		slog.Error("corrupt version record", "key", item.Key, "err", err)
 		return
 	}
-	r.Observe(member, mark)
+	r.Observe(member, record)
 }
 
-// WithoutConfiguration reads the version records of all members and returns those that may run a process that
-// does not know live configuration, or has it off. A record that cannot be decoded counts as missing.
+// WithoutConfiguration reads the version records of all members and returns the members that may run a process that
+// does not support live configuration or has it off. A record that cannot be decoded is treated as missing. It returns
+// an error if a record cannot be read.
 func (r *VersionRegistry) WithoutConfiguration(ctx context.Context) (without []string, err error) {
 	for _, member := range r.members {
 		item, err := r.client.Get(ctx, RecordPrefix+member)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return nil, fmt.Errorf("reading the version record of %s: %w", member, err)
 		}
-		var mark VersionMark
-		if err != nil || json.Unmarshal(item.Value, &mark) != nil || !mark.Configuration {
+		var record VersionMark
+		if err != nil || json.Unmarshal(item.Value, &record) != nil || !record.Configuration {
 			without = append(without, member)
 		}
 	}
 	return without, nil
 }
 
-// RecordOwn writes the version record of this controller unless it is as it should be, and returns whether it
-// was found so. After a write it returns false: whether the write was executed is known by the next call.
+// RecordOwn reads the version record of this controller. It returns true if the record is up to date; otherwise it
+// writes the record and returns false, because only the next call can tell whether the write was executed.
 func (r *VersionRegistry) RecordOwn(ctx context.Context) bool {
 	key := RecordPrefix + r.member
 	item, err := r.client.Get(ctx, key)
-	var mark VersionMark
-	if err == nil && json.Unmarshal(item.Value, &mark) == nil && mark.Data >= DataVersion && mark.Configuration == r.Configuration {
-		r.Observe(r.member, mark)
+	var record VersionMark
+	if err == nil && json.Unmarshal(item.Value, &record) == nil && record.Data >= DataVersion && record.Configuration == r.Configuration {
+		r.Observe(r.member, record)
 		return true
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
-	// The version of data is never lowered: a newer process of this member may have written it.
-	mark = VersionMark{Data: max(DataVersion, mark.Data), Configuration: r.Configuration}
+	// The data version is never lowered, because a newer process of this member may have written the record.
+	record = VersionMark{Data: max(DataVersion, record.Data), Configuration: r.Configuration}
 	_, _, err = r.client.Transact(ctx,
 		[]store.Condition{{Key: key, Revision: item.Revision}},
-		[]store.Operation{{Set: key, Value: mark}})
+		[]store.Operation{{Set: key, Value: record}})
 	if err != nil {
 		slog.Info("version record not written yet", "err", err)
 	}
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -16,8 +16,8 @@
 	return state, NewVersionRegistry(member, []string{"n0", "n1", "n2"}, store.NewClient("state:1", state), clock)
 }
 
-// A member counts as older until its version record was seen. Records of strangers are ignored, and a version
-// that was seen never becomes lower.
+// A member counts as older until a version record with DataVersion was observed. Records of unknown members are
+// ignored, and an observed version is never lowered.
 func TestMembersAreOlderUntilTheirRecordIsSeen(t *testing.T) {
 	_, registry := newTestRegistry("n0")
 	for _, step := range []struct {
@@ -27,7 +27,7 @@
 	}{
 		{"n1", DataVersion, []string{"n0", "n2"}},
 		{"n1", DataVersion - 1, []string{"n0", "n2"}},
-		{"stranger", DataVersion, []string{"n0", "n2"}},
+		{"unknown", DataVersion, []string{"n0", "n2"}},
 		{"n0", DataVersion - 1, []string{"n0", "n2"}},
 		{"n0", DataVersion, []string{"n2"}},
 		{"n2", DataVersion + 1, nil},
@@ -39,9 +39,10 @@
 	}
 }
 
-// RecordOwn writes the record of this member if it is missing, damaged, older or of another setting, and keeps
-// the version of a newer process. It returns true only for a record that it has read.
-func TestRecordOwnWritesUnlessItIsRecorded(t *testing.T) {
+// RecordOwn writes the record of this member if it is missing, damaged, of an older version or of a different
+// configuration setting, and keeps the data version of a newer process. It returns true only after it has read the
+// record that it would write.
+func TestRecordOwnWritesUnlessUpToDate(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		stored        any // nil: none
@@ -61,20 +62,20 @@
 				state.Put(RecordPrefix+"n0", test.stored)
 			}
 			if registry.RecordOwn(t.Context()) {
-				t.Error("recorded before it was read")
+				t.Error("returned true before the written record was read")
 			}
 			if got := string(state.Get(RecordPrefix + "n0")); got != test.want {
 				t.Errorf("stored %s, want %s", got, test.want)
 			}
 			if !registry.RecordOwn(t.Context()) || slices.Contains(registry.Older(), "n0") {
-				t.Error("not recorded after it was written")
+				t.Error("returned false, or the member still counts as older, after the record was written")
 			}
 		})
 	}
 }
 
-// A member whose record is missing, damaged or says that live configuration is off is reported; if a record
-// cannot be read, nothing is.
+// WithoutConfiguration returns the members whose record is missing, damaged or says that live configuration is off. If
+// a record cannot be read, it returns an error.
 func TestMembersWithoutConfiguration(t *testing.T) {
 	state, registry := newTestRegistry("n0")
 	state.Put(RecordPrefix+"n0", VersionMark{Data: DataVersion, Configuration: true})
@@ -91,6 +92,6 @@
 	}
 	state.Down = true
 	if without, err := registry.WithoutConfiguration(t.Context()); err == nil {
-		t.Errorf("without configuration %v though nothing can be read", without)
+		t.Errorf("without configuration %v, want an error because nothing can be read", without)
 	}
 }
--- a/watermark/commands.go
+++ b/watermark/commands.go
@@ -7,9 +7,9 @@
 	"switchferry/tuning"
 )
 
-// KillCommands returns the commands that end a machine's tasks of cancelled jobs at once, except those that
-// are already among its pending commands. They are safe under any fencing token, since a cancelled job never
-// runs again.
+// KillCommands returns commands that kill a machine's tasks of cancelled jobs without a grace period. It omits those
+// that are already among the machine's pending commands. The commands are safe under any fencing token, since a
+// cancelled job never runs again.
 func (t *Tracker) KillCommands(tasks []api.TaskReport, pending []api.Command) (kills []api.Command) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -26,7 +26,7 @@
 	return kills
 }
 
-// killsAtOnce reports whether commands end an attempt of a task without letting it save.
+// killsAtOnce reports whether commands contains one that kills this attempt of the task without giving it time to save.
 func killsAtOnce(commands []api.Command, task api.TaskReport) bool {
 	return slices.ContainsFunc(commands, func(command api.Command) bool {
 		return command.Verb == api.CommandKill && command.Task == task.Task && command.Attempt == task.Attempt &&
@@ -34,8 +34,8 @@
 	})
 }
 
-// WithoutCancelledStarts returns commands without the starts of cancelled jobs' tasks, which may have been
-// derived before the cancellation was known. It does not change its argument.
+// WithoutCancelledStarts returns commands without those that start tasks of cancelled jobs. Such commands may have been
+// created before the cancellation was known. It does not change its argument.
 func (t *Tracker) WithoutCancelledStarts(commands []api.Command) []api.Command {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/watermark/statement.go
+++ b/watermark/statement.go
@@ -10,40 +10,41 @@
 	"switchferry/tuning"
 )
 
-// Statement is what a controller answers when a peer asks for its cancellations.
+// Statement is a controller's response to a peer's request for its cancellations.
 type Statement struct {
-	// Incarnation identifies the answering process. It is never 0, and another after a restart.
+	// Incarnation identifies the responding process. It is never 0, and changes with a restart.
 	Incarnation uint64
-	// From, To and Latest are sequence numbers within the incarnation: the statement holds the cancellations
-	// after From up to and including To, and Latest is the last that the process has.
+	// From, To and Latest are sequence numbers within the incarnation. The statement holds the cancellations after From
+	// up to and including To. Latest is the highest sequence number of the process.
 	From, To, Latest uint64
 	Cancellations    []Cancellation
-	// Current means that the controller knew every cancellation that any controller acknowledged more than
-	// Age before it made the statement.
+	// Current is true if the controller knew every cancellation that any controller had acknowledged more than Age
+	// before it made the statement. Age is meaningful only if Current is true.
 	Current bool
 	Age     time.Duration
 }
 
-// Cancellation is a job's cancellation of which a user was, or may have been, notified Age ago.
+// Cancellation is the cancellation of a job. A user was, or may have been, notified of it Age before the statement was
+// made.
 type Cancellation struct {
 	Job string
 	Age time.Duration
 }
 
-// peerState is what is known of one incarnation of a peer. Tracker.mu guards it.
+// peerState holds what is known about one incarnation of a peer. Tracker.mu guards it.
 type peerState struct {
 	incarnation uint64
-	// firstAnswerAt is when the incarnation's first statement arrived; its process started before that.
-	firstAnswerAt time.Time
-	// receivedSeq is the sequence number up to which its cancellations were received without a gap.
+	// firstStatementAt is the time when the incarnation's first statement arrived. Its process started before that.
+	firstStatementAt time.Time
+	// receivedSeq is the sequence number up to which its cancellations have been received without a gap.
 	receivedSeq uint64
-	// confirmedAt is when the latest statement was asked for after which none of its cancellations was
+	// confirmedAt is the time of the latest request whose statement left none of the incarnation's cancellations
 	// missing.
 	confirmedAt time.Time
 }
 
-// Position returns what to ask a peer with: its known incarnation and the sequence number up to which its
-// cancellations were received, or zeros if nothing is known of it.
+// Position returns the arguments for a request to a peer for its Statement: the known incarnation of the peer and the
+// sequence number up to which its cancellations were received. Both are 0 if nothing is known about the peer.
 func (t *Tracker) Position(member string) (incarnation, receivedSeq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,8 +54,9 @@
 	return 0, 0
 }
 
-// Statement answers a peer that has received the cancellations of an incarnation up to a sequence number. It
-// begins from 0 if the incarnation is not this process's, and holds tuning.CancellationsAtOnce at most.
+// Statement returns the response to a peer that has received the cancellations of the given incarnation up to
+// receivedSeq. It starts from 0 if the incarnation is not that of this process, and holds at most
+// tuning.CancellationsAtOnce cancellations.
 func (t *Tracker) Statement(now time.Time, incarnation, receivedSeq uint64) Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,9 +81,9 @@
 	return statement
 }
 
-// ApplyStatement records a peer's statement that was asked for at sentAt and arrived now. An error says what
-// of it was rejected. The valid cancellations of a rejected statement are recorded nevertheless, since they
-// can only add to what is known, but it confirms nothing.
+// ApplyStatement applies a peer's statement that was requested at sentAt and arrived now. It returns an error if the
+// statement is invalid; the watermark then stays as it is. If only some cancellations are invalid, the others are
+// recorded nevertheless, since they can only add to what is known.
 func (t *Tracker) ApplyStatement(now time.Time, member string, sentAt time.Time, statement Statement) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,21 +95,21 @@
 		return err
 	}
 	if peer == nil || peer.incarnation != statement.Incarnation {
-		peer = &peerState{incarnation: statement.Incarnation, firstAnswerAt: now}
+		peer = &peerState{incarnation: statement.Incarnation, firstStatementAt: now}
 		t.peers[member] = peer
 	}
 	if err := t.recordReported(now, statement.Cancellations); err != nil {
 		return err
 	}
 	if t.peers[member] != peer {
-		return nil // There were too many cancellations to keep, and the tracker was reset.
+		return nil // There were too many cancellations to keep, so record has reset the tracker.
 	}
 	if statement.From > peer.receivedSeq {
-		return nil // Cancellations between the received ones and these are missing.
+		return nil // Cancellations between receivedSeq and From are missing.
 	}
 	peer.receivedSeq = max(peer.receivedSeq, statement.To)
 	if peer.receivedSeq < statement.Latest {
-		return nil // The rest follows in further statements.
+		return nil // Further statements will contain the remaining cancellations.
 	}
 	if sentAt.After(peer.confirmedAt) {
 		peer.confirmedAt = sentAt
@@ -119,8 +121,8 @@
 	return nil
 }
 
-// validate checks a statement's numbers against each other and against what is known of the peer, which is
-// nil if nothing is.
+// validate checks that the numbers of a statement are consistent with each other and with what is known about the peer.
+// peer is nil if nothing is known about it.
 func (s Statement) validate(peer *peerState) error {
 	switch {
 	case s.Incarnation == 0:
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// recordReported records the cancellations of a peer's statement that are not too old. The error is that of
-// the last invalid one. The caller holds t.mu.
+// recordReported records the cancellations of a peer's statement, except those that are invalid or older than
+// Limits.MaxAge. It returns an error for the last invalid one. The caller holds t.mu.
 func (t *Tracker) recordReported(now time.Time, cancellations []Cancellation) error {
 	var invalid error
 	for _, reported := range cancellations {
@@ -150,13 +152,13 @@
 	return invalid
 }
 
-// advanceFromPeers moves the watermark to the earliest moment up to which every peer has confirmed its
-// cancellations. It does so only if each peer's incarnation was known before the watermark, so that no peer
-// can have had another process since. The caller holds t.mu.
+// advanceFromPeers advances the watermark to the earliest confirmedAt of the peers. It does so only if the first
+// statement of each peer's incarnation arrived no later than the watermark, so that no peer can have been restarted
+// since the watermark. The caller holds t.mu.
 func (t *Tracker) advanceFromPeers() {
 	var earliest time.Time
 	for _, peer := range t.peers {
-		if peer == nil || peer.firstAnswerAt.After(t.completeUntil) {
+		if peer == nil || peer.firstStatementAt.After(t.completeUntil) {
 			return
 		}
 		if earliest.IsZero() || peer.confirmedAt.Before(earliest) {
--- a/watermark/statement_test.go
+++ b/watermark/statement_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A statement counts from when it was asked for. Counted from its arrival, what was acknowledged in between
-// would be taken for known.
-func TestStatementsCountFromTheirRequest(t *testing.T) {
+// A statement is valid as of the time of its request. If its arrival counted instead, cancellations that were
+// acknowledged in between would be assumed to be known.
+func TestStatementIsValidAsOfItsRequest(t *testing.T) {
 	cluster := newCluster(t)
 	tracker, peerB, peerC := cluster.trackers["a"], cluster.trackers["b"], cluster.trackers["c"]
 	incarnationB, receivedB := tracker.Position("b")
@@ -22,22 +22,21 @@
 		t.Fatal(err)
 	}
 	if allowed, age := tracker.MayRenew(later); !allowed || age < 10*time.Second {
-		t.Errorf("renews %v, confirmed %v ago, by statements asked for 10 s ago", allowed, age)
+		t.Errorf("renewal allowed %v, watermark %v ago; want renewal with a watermark at least 10 s ago, when the statements were requested", allowed, age)
 	}
-	// A statement that arrives after a newer one changes nothing.
+	// A statement that arrives after one with a later request does not change the watermark.
 	cluster.now = later
 	cluster.exchangeAndAdvance()
 	_, before := tracker.MayRenew(later)
 	_ = tracker.ApplyStatement(later, "b", start, statementB)
 	if _, age := tracker.MayRenew(later); age != before {
-		t.Errorf("confirmed %v ago, was %v", age, before)
+		t.Errorf("watermark %v ago, want it unchanged at %v", age, before)
 	}
 }
 
-// A statement that cannot be true is rejected: it neither extends the time for which leases are renewed nor
-// cancels a job.
+// An invalid statement is rejected: it neither advances the watermark nor cancels a job.
 func TestInvalidStatementsAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(s *Statement){
+	for name, corrupt := range map[string]func(s *Statement){
 		"no incarnation":             func(s *Statement) { s.Incarnation = 0 },
 		"to before from":             func(s *Statement) { s.From, s.To = 5, 4 },
 		"more than the latest":       func(s *Statement) { s.To = s.Latest + 1 },
@@ -55,15 +54,15 @@
 			incarnation, receivedSeq := tracker.Position("b")
 			statement := cluster.trackers["b"].Statement(later, incarnation, receivedSeq)
 			statement.Current, statement.Age = true, 0
-			spoil(&statement)
+			corrupt(&statement)
 			if err := tracker.ApplyStatement(later, "b", later, statement); err == nil {
 				t.Error("accepted")
 			}
 			if _, age := tracker.MayRenew(later); age != before {
-				t.Errorf("confirmed %v ago, was %v", age, before)
+				t.Errorf("watermark %v ago, want it unchanged at %v", age, before)
 			}
 			if cluster.kills("a") {
-				t.Error("kills a job that nobody cancelled")
+				t.Error("kills a task of a job that was not cancelled")
 			}
 		})
 	}
@@ -77,8 +76,8 @@
 	}
 }
 
-// A statement that begins after what was received leaves a gap, and confirms nothing.
-func TestStatementsWithAGapConfirmNothing(t *testing.T) {
+// A statement that begins after the last received sequence number leaves a gap and does not advance the watermark.
+func TestStatementsWithAGapDoNotAdvanceWatermark(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1")
 	cluster.trackers["b"].RecordCancellation(cluster.now, "run-2")
@@ -89,14 +88,14 @@
 	statement.Current, statement.Age = true, 0
 	_ = tracker.ApplyStatement(later, "b", later, statement)
 	if _, age := tracker.MayRenew(later); age != before {
-		t.Errorf("confirmed %v ago, was %v", age, before)
+		t.Errorf("watermark %v ago, want it unchanged at %v", age, before)
 	}
 }
 
-// A peer that was heard and has confirmed nothing yet, since its first statement is only a part, holds the watermark
-// where it is, whatever the other peers confirm. The order in which a map is walked decides at present, so several
-// trackers are tried.
-func TestPeerWithoutConfirmationHoldsTheWatermark(t *testing.T) {
+// A peer whose first statement was incomplete has confirmed nothing yet. The watermark must then not advance, whatever
+// the other peers confirm. Whether the fault shows depends on the iteration order of a map, so the test tries several
+// trackers.
+func TestPeerWithoutConfirmationBlocksWatermark(t *testing.T) {
 	for range 64 {
 		tracker := New(start, []string{"b", "c"}, NewLimits(47*time.Second, 17*time.Second))
 		apply := func(after time.Duration, member string, statement Statement) {
@@ -110,7 +109,7 @@
 		tracker.MarkCurrent(start.Add(2 * time.Second))
 		apply(20*time.Second, "c", Statement{Incarnation: 2})
 		if _, age := tracker.MayRenew(start.Add(20 * time.Second)); age != 18*time.Second {
-			t.Fatalf("confirmed %v ago, want 18s: the watermark has passed a peer that confirmed nothing", age)
+			t.Fatalf("watermark %v ago, want 18s: it advanced past a peer that confirmed nothing", age)
 		}
 	}
 }
--- a/watermark/watermark.go
+++ b/watermark/watermark.go
@@ -1,18 +1,18 @@
-// Package watermark tracks up to which moment a controller knows every cancellation that was acknowledged
-// to a user, and decides from it whether the controller may renew workers' leases (rule 10 of
-// docs/design.md).
+// Package watermark tracks the watermark of a controller: the time up to which it knows every cancellation that any
+// controller acknowledged to a user. From it the package decides whether the controller may renew workers' leases
+// (rule 10 of docs/design.md).
 //
-// The decision rests on information, not on which peers are alive. There are three ways in which a
-// controller knows all cancellations up to a moment:
+// The decision depends on the cancellations that are known, not on which peers are alive. A controller knows all
+// cancellations up to a time in any of three cases:
 //
 //   - It is certain to lead, or it has read the records (MarkCurrent).
-//   - A peer states up to when that peer knows them, and includes them (Statement.Current).
-//   - It knew them up to an earlier moment, and since then each peer has stated what its process
-//     acknowledged. No other process was there to acknowledge any. What a process acknowledged last before
-//     it ended is in no statement, so a peer's new incarnation confirms nothing until the watermark has
-//     passed its first statement in one of the other ways.
+//   - A peer states up to which time the peer knows all cancellations, and includes them (Statement.Current).
+//   - It knew them up to an earlier time, and since then each peer has stated the cancellations that its process
+//     acknowledged. No other process existed that could have acknowledged any. The last cancellations that a process
+//     acknowledged before it ended may be missing from all statements. A new incarnation of a peer therefore confirms
+//     nothing until the watermark has passed the arrival of its first statement in one of the other two ways.
 //
-// A statement counts from when it was asked for, so a late one is as old as its request.
+// A statement is valid as of the time of its request, since its response may be late.
 //
 // The package reads no clock, starts no goroutine and does no I/O.
 package watermark
@@ -27,30 +27,32 @@
 	"switchferry/tuning"
 )
 
-// Tracker holds the cancellations that one process knows. It may be used from several goroutines at once.
+// Tracker holds the watermark of one process and the cancellations that it knows. It is safe for concurrent use and
+// must be created by New.
 type Tracker struct {
 	limits Limits
 
 	// mu guards all fields below. It is never held during I/O.
 	mu sync.Mutex
-	// incarnation is the random number, never 0, by which peers recognize this process. The process takes a
-	// new one when it discards its knowledge.
+	// incarnation is the random number, never 0, that identifies this process to its peers. It is replaced when the
+	// tracker is reset.
 	incarnation uint64
 	startedAt   time.Time
-	// completeUntil is the watermark: every cancellation that any controller acknowledged before it is known
-	// here. It is zero until a first one is established.
+	// completeUntil is the watermark: every cancellation that any controller acknowledged before this time is recorded
+	// here. It is zero until it is first established.
 	completeUntil time.Time
-	// byJob and ordered hold the same cancellations, by job ID and in the order of their sequence numbers.
+	// byJob and ordered hold the same cancellations, by job ID and in the order of their sequence numbers. latestSeq is
+	// the last sequence number that was assigned.
 	byJob     map[string]*cancellation
 	ordered   []*cancellation
 	latestSeq uint64
-	// lastExpiry is when expired cancellations were last removed.
-	lastExpiry time.Time
-	// peers has an entry for every other controller, nil until its first statement.
+	// lastRemoval is the time when expired cancellations were last removed.
+	lastRemoval time.Time
+	// peers has an entry for every other controller, which is nil until the controller's first statement.
 	peers map[string]*peerState
 }
 
-// cancellation is one cancelled job.
+// cancellation is the recorded cancellation of a job.
 type cancellation struct {
 	job string
 	// acknowledgedAt is the latest moment at which a user was, or may have been, notified of it.
@@ -58,7 +60,7 @@
 	seq            uint64
 }
 
-// New returns the tracker of a process that starts now, with the names of all other controllers.
+// New returns the Tracker of a process that starts now. peers holds the names of all other controllers.
 func New(now time.Time, peers []string, limits Limits) *Tracker {
 	t := &Tracker{limits: limits, peers: map[string]*peerState{}}
 	for _, name := range peers {
@@ -68,8 +70,8 @@
 	return t
 }
 
-// reset discards all knowledge, as if the process had restarted. The caller holds t.mu, or is the only one
-// that knows t.
+// reset discards the watermark, the cancellations and the states of the peers, as if the process had restarted. The
+// caller holds t.mu, or has exclusive access to t.
 func (t *Tracker) reset(now time.Time) {
 	t.incarnation, t.startedAt, t.completeUntil = rand.Uint64()|1, now, time.Time{}
 	t.byJob, t.ordered, t.latestSeq = map[string]*cancellation{}, nil, 0
@@ -78,27 +80,27 @@
 	}
 }
 
-// RecordCancellation records a job's cancellation. It must be called before its user is notified, and before
-// its record can be read by a controller that would notify the user.
+// RecordCancellation records the cancellation of a job. It must be called before the user is notified, and before the
+// record of the cancellation can be read by another controller, which would notify the user.
 func (t *Tracker) RecordCancellation(now time.Time, jobID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.record(now, jobID, now)
 }
 
-// record records a cancellation. A known one gets a new sequence number, and so reaches the peers again, only
-// if it was acknowledged again after tuning.CancellationAgain: its tasks then have that much longer to be
-// gone. The caller holds t.mu.
+// record records a cancellation. One that is already recorded gets a new sequence number, and so is sent to the peers
+// again, only if it was acknowledged again at least tuning.CancellationAgain later. The time within which its tasks
+// must have ended then counts from the later acknowledgement. The caller holds t.mu.
 func (t *Tracker) record(now time.Time, jobID string, acknowledgedAt time.Time) {
 	t.removeExpired(now)
-	if known := t.byJob[jobID]; known != nil {
-		if acknowledgedAt.Sub(known.acknowledgedAt) < tuning.CancellationAgain {
+	if existing := t.byJob[jobID]; existing != nil {
+		if acknowledgedAt.Sub(existing.acknowledgedAt) < tuning.CancellationAgain {
 			return
 		}
-		t.ordered = slices.DeleteFunc(t.ordered, func(c *cancellation) bool { return c == known })
+		t.ordered = slices.DeleteFunc(t.ordered, func(c *cancellation) bool { return c == existing })
 	}
 	if len(t.byJob) >= tuning.CancellationsKept {
-		// Nothing can be confirmed about cancellations that are discarded, so start over.
+		// The watermark is only valid while every cancellation is kept, so discard all state.
 		t.reset(now)
 	}
 	t.latestSeq++
@@ -106,13 +108,13 @@
 	t.byJob[jobID], t.ordered = recorded, append(t.ordered, recorded)
 }
 
-// removeExpired removes cancellations older than the retention time, at most once in
+// removeExpired removes the cancellations that are older than Limits.Retention, at most once every
 // tuning.CancellationSweep. The caller holds t.mu.
 func (t *Tracker) removeExpired(now time.Time) {
-	if now.Sub(t.lastExpiry) < tuning.CancellationSweep {
+	if now.Sub(t.lastRemoval) < tuning.CancellationSweep {
 		return
 	}
-	t.lastExpiry = now
+	t.lastRemoval = now
 	t.ordered = slices.DeleteFunc(t.ordered, func(c *cancellation) bool {
 		expired := now.Sub(c.acknowledgedAt) > t.limits.Retention
 		if expired {
@@ -128,23 +130,23 @@
 	return t.byJob[job] != nil
 }
 
-// MarkCurrent states that every cancellation that any controller acknowledged before a moment is recorded
-// here.
+// MarkCurrent advances the watermark to moment. The caller guarantees that every cancellation that any controller
+// acknowledged before moment is recorded here.
 func (t *Tracker) MarkCurrent(moment time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.advanceTo(moment)
 }
 
-// advanceTo moves the watermark forward to a moment; it never moves back. The caller holds t.mu.
+// advanceTo advances the watermark to moment unless it is already later. The caller holds t.mu.
 func (t *Tracker) advanceTo(moment time.Time) {
 	if moment.After(t.completeUntil) {
 		t.completeUntil = moment
 	}
 }
 
-// MayRenew reports whether a lease may be renewed now such that it ends before an unknown cancellation must
-// have taken effect. The age is how long ago the watermark was, or negative if there is none.
+// MayRenew reports whether a lease may be renewed now, which is the case if it will end before the tasks of any unknown
+// cancellation must have ended. age is the time since the watermark, negative if there is no watermark.
 func (t *Tracker) MayRenew(now time.Time) (allowed bool, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,20 +160,21 @@
 	return age < t.limits.RenewFor, age
 }
 
-// UnconfirmedPeers returns, for operators, why the watermark does not advance by the peers' statements: one
-// reason for each peer that confirms nothing at present, and one if this process started after the watermark.
+// UnconfirmedPeers returns the reasons, as texts for operators, why the statements of the peers do not advance the
+// watermark: one for each peer that has not confirmed a time after the watermark, and one if this process started after
+// the watermark.
 func (t *Tracker) UnconfirmedPeers() (reasons []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.startedAt.After(t.completeUntil) {
-		reasons = append(reasons, "this process began since")
+		reasons = append(reasons, "this process started since")
 	}
 	for name, peer := range t.peers {
 		switch {
 		case peer == nil:
 			reasons = append(reasons, name+" has said nothing")
-		case peer.firstAnswerAt.After(t.completeUntil):
-			reasons = append(reasons, name+" may have been another process since")
+		case peer.firstStatementAt.After(t.completeUntil):
+			reasons = append(reasons, name+" may have restarted since")
 		case !peer.confirmedAt.After(t.completeUntil):
 			reasons = append(reasons, name+" has said nothing since")
 		}
--- a/watermark/watermark_test.go
+++ b/watermark/watermark_test.go
@@ -9,13 +9,13 @@
 	"switchferry/tuning"
 )
 
-// cluster is three controllers, a, b and c, on one simulated clock. The tests observe a, which is certain to
-// have led until start.
+// cluster simulates three controllers, a, b and c, with a common clock. The tests observe a, which is certain to have
+// led until start.
 type cluster struct {
 	t        *testing.T
 	now      time.Time
 	trackers map[string]*Tracker
-	// disconnected has the pairs that do not reach each other, "ab" for a and b.
+	// disconnected holds the pairs of controllers that cannot reach each other, "ab" for a and b.
 	disconnected map[string]bool
 }
 
@@ -38,7 +38,7 @@
 	return c
 }
 
-// restart replaces a controller by a new process that knows nothing.
+// restart replaces a controller by a new process without any state.
 func (c *cluster) restart(member string) {
 	var others []string
 	for _, other := range []string{"a", "b", "c"} {
@@ -49,7 +49,8 @@
 	c.trackers[member] = New(c.now, others, limits)
 }
 
-// exchangeAndAdvance lets every controller apply a statement of each peer, and advances the clock by a second.
+// exchangeAndAdvance lets every controller apply a statement of each peer that it reaches, and advances the clock by
+// one second.
 func (c *cluster) exchangeAndAdvance() {
 	for member, tracker := range c.trackers {
 		for other, peer := range c.trackers {
@@ -58,61 +59,61 @@
 			}
 			incarnation, receivedSeq := tracker.Position(other)
 			if err := tracker.ApplyStatement(c.now, other, c.now, peer.Statement(c.now, incarnation, receivedSeq)); err != nil {
-				c.t.Errorf("%s of %s: %v", member, other, err)
+				c.t.Errorf("%s rejected the statement of %s: %v", member, other, err)
 			}
 		}
 	}
 	c.now = c.now.Add(time.Second)
 }
 
-// kills reports whether a controller kills a running task of run-1.
+// kills reports whether a controller would kill a running task of run-1.
 func (c *cluster) kills(member string) bool {
 	running := []api.TaskReport{{Task: "run-1/0", State: api.TaskRunning}}
 	return len(c.trackers[member].KillCommands(running, nil)) > 0
 }
 
-// Without confirmation by its peers a controller renews leases, each of which lasts another 17 s, for 29 s
-// and no longer. Each case also says whether a learns of a cancellation that b acknowledged. Except where a
-// case says so, no controller reaches the state service after start.
+// Without confirmation by its peers, a controller renews leases of 17 s for 29 s and no longer. Each case also states
+// whether a learns of the cancellation of run-1, which b acknowledges. After start no controller reads the state
+// service or leads, except where a case calls MarkCurrent.
 func TestLeaseRenewalEndsWithoutConfirmation(t *testing.T) {
-	const ever = 120
+	const lastSecond = 120
 	for _, test := range []struct {
 		name string
-		// apply makes happen what happens at a second.
+		// apply simulates the events of the given second after start.
 		apply func(c *cluster, second int)
-		// last is the last second in which a renews leases.
+		// last is the last second in which a may renew leases, -1 if there is none.
 		last int
-		// knows is whether a learns that run-1 is cancelled.
+		// knows is true if a learns that run-1 is cancelled.
 		knows bool
 	}{
-		{"no fault", func(*cluster, int) {}, ever, false},
+		{"no fault", func(*cluster, int) {}, lastSecond, false},
 		{"cancelled by a peer", func(c *cluster, second int) {
 			if second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
-		}, ever, true},
-		{"cancelled by a peer that reaches only the other", func(c *cluster, second int) {
+		}, lastSecond, true},
+		{"cancelled by a peer that reaches only the other peer", func(c *cluster, second int) {
 			c.disconnected["ab"] = true
 			if second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
-			// c passes on what b has stated.
-		}, ever, true},
-		{"cancelled by a peer that is cut off then", func(c *cluster, second int) {
+			// c forwards the cancellation that b has stated.
+		}, lastSecond, true},
+		{"cancelled by a peer that is disconnected from then on", func(c *cluster, second int) {
 			if c.disconnected["ab"], c.disconnected["bc"] = second >= 5, second >= 5; second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 			}
 		}, 4 + 29, false},
-		{"cut off briefly", func(c *cluster, second int) {
+		{"disconnected briefly", func(c *cluster, second int) {
 			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 20, second > 5 && second < 20
-		}, ever, false},
-		{"peers cut off one after the other", func(c *cluster, second int) {
+		}, lastSecond, false},
+		{"peers disconnected one after the other", func(c *cluster, second int) {
 			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 20, second > 30 && second < 50
-		}, ever, false},
-		{"cut off for good", func(c *cluster, second int) { c.disconnected["ab"], c.disconnected["ac"] = second > 5, second > 5 }, 5 + 29, false},
-		{"cut off for long", func(c *cluster, second int) {
+		}, lastSecond, false},
+		{"disconnected permanently", func(c *cluster, second int) { c.disconnected["ab"], c.disconnected["ac"] = second > 5, second > 5 }, 5 + 29, false},
+		{"disconnected for longer than renewal is allowed", func(c *cluster, second int) {
 			c.disconnected["ab"], c.disconnected["ac"] = second > 5 && second < 60, second > 5 && second < 60
-		}, ever, false},
+		}, lastSecond, false},
 		{"peer cancels and restarts at once", func(c *cluster, second int) {
 			if second == 5 {
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
@@ -148,7 +149,8 @@
 			if second == 10 {
 				c.restart("a")
 			}
-			// It learns what b and c know, which includes what its previous process acknowledged until second 9.
+			// The new process gets from b and c what they know, including what its previous process acknowledged until
+			// second 9.
 		}, 9 + 28, false},
 		{"all restart at once", func(c *cluster, second int) {
 			if second == 0 {
@@ -157,7 +159,7 @@
 				c.restart("c")
 			}
 		}, -1, false},
-		{"peer restarts and then leads", func(c *cluster, second int) {
+		{"peer restarts and later leads", func(c *cluster, second int) {
 			switch {
 			case second == 5:
 				c.restart("b")
@@ -165,15 +167,15 @@
 				c.trackers["b"].RecordCancellation(c.now, "run-1")
 				c.trackers["b"].MarkCurrent(c.now)
 			}
-		}, ever, true},
-		{"more than a statement holds", func(c *cluster, second int) {
+		}, lastSecond, true},
+		{"more cancellations than a statement holds", func(c *cluster, second int) {
 			if second == 5 {
 				for i := range 2*tuning.CancellationsAtOnce + 1 {
 					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
 				}
 			}
-		}, ever, true},
-		{"more than is kept", func(c *cluster, second int) {
+		}, lastSecond, true},
+		{"more cancellations than a tracker keeps", func(c *cluster, second int) {
 			if second == 5 {
 				for i := range tuning.CancellationsKept + 1 {
 					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
@@ -184,40 +186,40 @@
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newCluster(t)
 			last, knows := -1, false
-			for second := range ever + 1 {
+			for second := range lastSecond + 1 {
 				test.apply(cluster, second)
 				if allowed, _ := cluster.trackers["a"].MayRenew(cluster.now.Add(-time.Millisecond)); allowed {
 					last = second
 				} else if len(cluster.trackers["a"].UnconfirmedPeers()) == 0 {
-					t.Errorf("second %d: no reason why leases are not renewed", second)
+					t.Errorf("second %d: UnconfirmedPeers gives no reason why leases are not renewed", second)
 				}
 				knows = knows || cluster.kills("a")
 				cluster.exchangeAndAdvance()
 			}
 			if last != test.last || knows != test.knows {
-				t.Errorf("renewed until second %d, knows %v; want %d, %v", last, knows, test.last, test.knows)
+				t.Errorf("renewal allowed until second %d, cancellation known %v; want %d, %v", last, knows, test.last, test.knows)
 			}
 		})
 	}
 }
 
-// A cancellation is remembered until its tasks are certain to be gone, counted from its last acknowledgement.
-// After that every controller forgets it, however often peers have passed it on to each other.
+// A cancellation is kept until its tasks are certain to have ended, counted from its last acknowledgement. After that
+// every controller removes it, however often the peers have sent it to each other.
 func TestCancellationsExpire(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1")
 	for range 30 {
 		cluster.exchangeAndAdvance()
 	}
-	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1") // its record was stored only now
+	cluster.trackers["b"].RecordCancellation(cluster.now, "run-1") // acknowledged again, because its record was stored only now
 	for second := range 140 {
 		cluster.exchangeAndAdvance()
 		for member := range cluster.trackers {
 			if second < 47 && !cluster.kills(member) {
-				t.Fatalf("%s has forgotten after %d s", member, second)
+				t.Fatalf("%s removed the cancellation after %d s", member, second)
 			}
 			if second > 70 && cluster.kills(member) {
-				t.Fatalf("%s still remembers after %d s", member, second)
+				t.Fatalf("%s still keeps the cancellation after %d s", member, second)
 			}
 		}
 	}
