--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -21,7 +21,7 @@
 	"switchferry/tuning"
 )
 
-// Class says what is on the remote side of a connection, and which side opened it.
+// Class is the kind of the remote side of a connection.
 type Class int
 
 // Classes of connections.
--- a/election/election.go
+++ b/election/election.go
@@ -47,7 +47,8 @@
 	leader string
 	// leaderTerm is the term of leader, or the last known term while there is no leader.
 	leaderTerm uint64
-	// leaderlessSince is when the leader's key was last found to be missing, or this member's last term ended.
+	// leaderlessSince is the time when the last leader was found to be gone: its key was missing, or this member's own
+	// term ended.
 	leaderlessSince time.Time
 	// term is the term in which this member leads, 0 if it does not lead.
 	term    uint64
@@ -73,7 +74,7 @@
 
 // LeaderlessFor returns the last known term and the time since the last leader was found to be gone. It is meaningful
 // only while Leader returns no member.
-func (e *Elector) LeaderlessFor() (term uint64, since time.Duration) {
+func (e *Elector) LeaderlessFor() (term uint64, duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leaderTerm, e.clock.Since(e.leaderlessSince)
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -19,8 +19,8 @@
 	"switchferry/tuning"
 )
 
-// ErrTooManyDependencies is returned if more than tuning.MaxDependencyReads jobs would have to be read to find out
-// whether a job depends, directly or indirectly, on a cancelled one.
+// ErrTooManyDependencies is returned if a job depends, directly or indirectly, on so many jobs that looking for a
+// cancelled one among them would exceed tuning.MaxDependencyReads.
 var ErrTooManyDependencies = errors.New("too many jobs before this one to look at without the leader")
 
 // Jobs reads the records of jobs from the state service. Its methods are safe for concurrent use if Recall and Remember
@@ -129,7 +129,7 @@
 // DependsOnCancelled returns whether any of the dependencies of a job, or of the jobs on which these depend directly or
 // indirectly, is cancelled. The job is then cancelled too, and a controller that answers without the leader must report
 // that state. The jobs are read with ReadInTurn on behalf of a status request for the job queriedID. The error is
-// ErrTooManyDependencies if more than tuning.MaxDependencyReads jobs would have to be read.
+// ErrTooManyDependencies if a job has to be read after tuning.MaxDependencyReads jobs were examined.
 func (j *Jobs) DependsOnCancelled(ctx context.Context, dependencies []string, queriedID string) (bool, error) {
 	visited := map[string]bool{}
 	for pending := slices.Clone(dependencies); len(pending) > 0; {
