--- a/configuration/active.go
+++ b/configuration/active.go
@@ -7,31 +7,31 @@
 	"switchferry/topology"
 )
 
-// Active is the configuration that decisions use: a revision's document on top of files and settings.
-// It is immutable; a new revision has an Active of its own.
+// Active is the configuration that scheduling decisions use: the document of a revision, which overrides
+// the controller's files and settings. It is immutable; each revision has its own Active.
 type Active struct {
-	// Revision is 0 if files and settings apply alone.
+	// Revision is the number of the revision, or 0 if only the files and settings apply.
 	Revision  uint64
 	Policy    *policy.Policy
 	OverLimit OverLimit
-	// AheadTasks is nil if the features file applies.
+	// AheadTasks overrides data.ahead_tasks of the features file, unless it is nil.
 	AheadTasks *int
-	// Topology is nil if the topology file applies.
+	// Topology overrides the topology file, unless it is nil.
 	Topology *topology.Map
 
 	teams []settings.Team
-	// byName has the first of teams of each name.
+	// byName maps each team name to the first team of that name.
 	byName map[string]settings.Team
 }
 
-// FromFiles returns the configuration without any revision.
+// FromFiles returns the configuration that applies without any revision.
 func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
 	active := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
 	active.setTeams(teams)
 	return active
 }
 
-// setTeams sets the teams of a configuration that is not in use yet.
+// setTeams sets the teams. It must not be called once the configuration is in use.
 func (a *Active) setTeams(teams []settings.Team) {
 	a.teams, a.byName = teams, make(map[string]settings.Team, len(teams))
 	for _, team := range teams {
@@ -41,22 +41,22 @@
 	}
 }
 
-// Team returns the team of a name; false: there is none.
+// Team returns the team with the given name, and false if there is none.
 func (a *Active) Team(name string) (settings.Team, bool) {
 	team, ok := a.byName[name]
 	return team, ok
 }
 
-// Teams returns all teams. The caller must not change the list.
+// Teams returns all teams. The caller must not modify the slice.
 func (a *Active) Teams() []settings.Team { return a.teams }
 
-// Limit returns what a team may use at most; false: there is no such team.
+// Limit returns the resource limit of a team, and false if there is no such team.
 func (a *Active) Limit(name string) (limit quota.Limit, ok bool) {
 	team, ok := a.byName[name]
 	return quota.Limit{CPUs: team.CPUsMax, Cards: team.CardsMax}, ok
 }
 
-// Over returns the configuration of the document as a revision, on top of files and settings.
+// Over returns the configuration in which the document, as the given revision, overrides files.
 func (d *Document) Over(files *Active, revision uint64) *Active {
 	active := *files
 	active.Revision, active.OverLimit = revision, d.OverLimit
@@ -75,9 +75,9 @@
 	return &active
 }
 
-// Stricter returns the configuration that decisions use during a rollout. It is the one from before
-// with the lower of each limit and guarantee, and only the teams that both have, so that whatever it
-// admits is within the limits of both revisions.
+// Stricter returns the configuration that decisions use during a rollout. It equals before, except
+// that it has only the teams that both configurations have, each with the lower of the two values of
+// every limit and guarantee. Whatever it admits is therefore within the limits of both revisions.
 func Stricter(before, after *Active) *Active {
 	active := *before
 	var teams []settings.Team
@@ -98,7 +98,7 @@
 	return &active
 }
 
-// lowerLimit returns the lower of two limits; 0 stands for no limit.
+// lowerLimit returns the lower of two limits, where 0 means no limit.
 func lowerLimit(a, b float64) float64 {
 	switch {
 	case a == 0:
--- a/configuration/check.go
+++ b/configuration/check.go
@@ -12,14 +12,15 @@
 	"switchferry/tuning"
 )
 
-// documentChecker collects the errors in a document, each with the line of its field.
+// documentChecker collects the errors in a document with the line of each field.
 type documentChecker struct {
-	// lines is from fieldLines.
+	// lines is the result of fieldLines.
 	lines       map[string]int
 	fieldErrors FieldErrors
 }
 
-// addError adds an error at the line of the field, or of the innermost table around it that has one.
+// addError adds an error at the line of the field, or of the innermost enclosing table whose line is
+// known.
 func (c *documentChecker) addError(field, remedy string) {
 	line := 0
 	for at := field; at != "" && line == 0; at = parentField(at) {
@@ -28,13 +29,13 @@
 	c.fieldErrors = append(c.fieldErrors, FieldError{line, field, remedy})
 }
 
-// parentField returns the name of the table or list that a field is in; "": none.
+// parentField returns the name of the table or list that contains a field, or "" if there is none.
 func parentField(field string) string {
 	i := strings.LastIndexAny(field, ".[")
 	return field[:max(i, 0)]
 }
 
-// checkDocument checks a document, and sets its compiled policy and its topology.
+// checkDocument checks a document and sets its compiled policy and its topology.
 func (c *documentChecker) checkDocument(document *Document, declared *topology.Declaration) {
 	c.checkOverLimit(document.OverLimit)
 	if document.Policy != nil {
@@ -53,10 +54,10 @@
 	switch overLimit.Running {
 	case Leave:
 		if overLimit.StopWithinS != 0 {
-			c.addError("over_limit.stop_within_s", `goes with running = "stop" alone; leave it out`)
+			c.addError("over_limit.stop_within_s", `is valid only with running = "stop"; leave it out`)
 		}
 	case Stop:
-		// The negation also holds for NaN.
+		// The negated form also rejects NaN.
 		if !(overLimit.StopWithinS >= 0 && overLimit.StopWithinS <= tuning.ConfigurationStopMostS) {
 			c.addError("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.ConfigurationStopMostS))
 		}
@@ -65,7 +66,8 @@
 	}
 }
 
-// checkTeams checks the teams by the rules of the settings, and that no guarantee exceeds its limit.
+// checkTeams applies the checks of package settings to the teams, and checks that no guarantee exceeds
+// the corresponding limit.
 func (c *documentChecker) checkTeams(teams []settings.Team) {
 	settings.CheckTeams(teams, func(i int, field, want string) {
 		name := fmt.Sprintf("teams[%d]", i)
@@ -89,8 +91,8 @@
 	}
 }
 
-// fieldLines returns the line of each name in a document: tables, entries of arrays of tables as
-// name[i], and keys by their full names.
+// fieldLines returns the line of each table, table array entry and key in a document, by full name.
+// Entry i of the table array "name" is called name[i].
 func fieldLines(text string) map[string]int {
 	lines, counts := map[string]int{}, map[string]int{}
 	var parser unstable.Parser
@@ -120,7 +122,7 @@
 	return lines
 }
 
-// expressionKey returns the key of an expression, with dots, and its line.
+// expressionKey returns the dotted key of an expression and its line.
 func expressionKey(parser *unstable.Parser, expression *unstable.Node) (name string, line int) {
 	var parts []string
 	for keys := expression.Key(); keys.Next(); {
--- a/configuration/difference.go
+++ b/configuration/difference.go
@@ -12,7 +12,7 @@
 // Difference is a setting in which two documents differ.
 type Difference struct {
 	Field string `json:"field"`
-	// From and To are the values as text; empty: the document does not have the setting.
+	// From and To are the values as text, or empty if the document lacks the setting.
 	From string `json:"from"`
 	To   string `json:"to"`
 }
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%s: %s -> %s", d.Field, display(d.From), display(d.To))
 }
 
-// Differences returns how one document differs from another, sorted by field. A nil document has no
-// settings.
+// Differences returns the settings in which two documents differ, sorted by field. A nil document is
+// treated as one without settings.
 func Differences(from, to *Document) (out []Difference) {
 	before, after := documentFields(from), documentFields(to)
 	all := maps.Clone(before)
@@ -41,7 +41,8 @@
 	return out
 }
 
-// documentFields returns the values of a document's settings as text, by the names of Difference.Field.
+// documentFields returns the settings of a document as text, keyed by the names used in
+// Difference.Field.
 func documentFields(document *Document) map[string]string {
 	out := map[string]string{}
 	if document == nil {
@@ -72,7 +73,7 @@
 	return out
 }
 
-// teamText returns the amounts of a team.
+// teamText returns the guarantees and limits of a team as text.
 func teamText(team settings.Team) string {
 	text := fmt.Sprintf("%g guaranteed, %s at most", team.CPUs, limitText(team.CPUsMax))
 	if team.Cards > 0 || team.CardsMax > 0 {
@@ -81,7 +82,7 @@
 	return text
 }
 
-// limitText returns a limit; 0 stands for no limit.
+// limitText returns a limit as text. A limit of 0 means no limit and is shown as "any".
 func limitText(limit float64) string {
 	if limit == 0 {
 		return "any"
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -1,12 +1,13 @@
-// Package configuration is the live configuration: the teams, policy, feature switches and topology
-// that operators change while the service runs. It is one document with numbered revisions.
+// Package configuration defines the live configuration: the teams, policy, feature settings and
+// topology that operators can change while the service runs. It is one document with numbered
+// revisions.
 //
-// The package defines how a document is parsed and checked, how two documents differ, how a revision
-// is stored in values of the state service, for how long a controller may use a revision that it has
-// read (ValidityLease), and when a new one is in force (Rollout). It is pure: it reads no clock,
-// starts no goroutine and does no I/O. Package revisions carries it out against the state service.
+// The package defines how a document is parsed and checked, how two documents are compared, how a
+// revision is encoded into values of the state service, how long a controller may use a revision that
+// it has read (ValidityLease), and when a new revision is in force (Rollout). It reads no clock, starts
+// no goroutine and does no I/O. Package revisions does the I/O with the state service.
 //
-// docs/configuration.md has the design and the safety argument.
+// docs/configuration.md describes the design and why it is safe.
 package configuration
 
 import (
@@ -24,41 +25,41 @@
 
 // The values of OverLimit.Running.
 const (
-	// Leave lets running tasks above a limit run to their ends.
+	// Leave lets the running tasks that exceed a limit run to completion.
 	Leave = "leave"
-	// Stop stops as many running tasks as the limit demands, those of the lowest rank first.
+	// Stop stops running tasks, lowest rank first, until the usage is within the limit.
 	Stop = "stop"
 )
 
-// OverLimit says what happens to the running tasks of a team whose limit falls below its usage.
+// OverLimit defines what happens to the running tasks of a team whose limit is lowered below its usage.
 type OverLimit struct {
 	// Running is Leave or Stop.
 	Running string `toml:"running"`
-	// StopWithinS is the grace period of a stopped task, to save a checkpoint, in seconds.
+	// StopWithinS is the grace period in seconds in which a stopped task can save a checkpoint.
 	StopWithinS float64 `toml:"stop_within_s"`
 }
 
-// Switches are the settings of features that can be changed while the service runs.
+// Switches holds the settings of the features file that can be changed while the service runs.
 type Switches struct {
-	// AheadTasks overrides data.ahead_tasks of the features file; nil: it does not.
+	// AheadTasks overrides data.ahead_tasks of the features file, unless it is nil.
 	AheadTasks *int `toml:"ahead_tasks"`
 }
 
-// Document is a configuration as operators write it. For a section that it lacks, the files and
-// settings of the controllers apply. It does not change after Parse.
+// Document is a configuration document as written by an operator. The controllers' files and settings
+// apply for each section that it lacks. It is immutable after Parse.
 type Document struct {
 	OverLimit OverLimit
-	// Policy has the policy expressions by the names of settings; nil: the policy file applies.
+	// Policy maps the names of policy settings to expressions. If it is nil, the policy file applies.
 	Policy map[string]string
-	// Teams has all teams; empty: those of the settings apply.
+	// Teams has all teams. If it is empty, the teams of the settings apply.
 	Teams    []settings.Team
 	Switches Switches
-	// Topology is nil if the topology file applies.
+	// Topology overrides the topology file, unless it is nil.
 	Topology *topology.Map
-	// Text is the document as it was written.
+	// Text is the source text of the document.
 	Text string
 
-	// policy is Policy, compiled.
+	// policy is the compiled form of Policy.
 	policy *policy.Policy
 }
 
@@ -71,8 +72,8 @@
 	Topology  *topology.Declaration `toml:"topology"`
 }
 
-// Parse parses and checks a document. The error is of type FieldErrors. It has all errors that were
-// found, ordered by line.
+// Parse parses and checks a document. The error is of type FieldErrors and has all errors that were
+// found, sorted by line.
 func Parse(text string) (*Document, error) {
 	if len(text) > tuning.ConfigurationBytes {
 		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
@@ -97,7 +98,7 @@
 	return document, nil
 }
 
-// decodeFieldError returns the error of a text that cannot be decoded.
+// decodeFieldError converts an error of stricttoml.Decode to a FieldError.
 func decodeFieldError(err error) FieldError {
 	if value, ok := errors.AsType[*stricttoml.ValueError](err); ok {
 		return FieldError{Line: value.Line, Field: value.Name, Remedy: value.Err.Error()}
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -54,16 +54,16 @@
 		t.Errorf("%+v", active)
 	}
 	if _, ok := active.Limit("other"); ok {
-		t.Error("a team that the document lacks is still there")
+		t.Error("a team that the document lacks is still configured")
 	}
-	// For a section that is missing, the files apply.
+	// The files apply for each section that the document lacks.
 	b := parse(t, "").Over(files, 5)
 	if limit, ok := b.Limit("other"); !ok || limit.CPUs != 5 || b.AheadTasks != nil || b.Topology != nil || b.Policy != files.Policy {
 		t.Errorf("%+v", b)
 	}
 }
 
-// Each error has its line, its field and what the field must be; a document with any error is refused.
+// Parse refuses a document with any error, and reports for each error the line, the field and what the field must be.
 func TestParseReportsAllErrors(t *testing.T) {
 	for _, test := range []struct {
 		text string
@@ -72,7 +72,7 @@
 		{"[policy]\nslot_s = \"700\"\nno_such = \"1\"\nidle_keep_s = \"boot +\"\n", []string{"line 2: policy.slot_s: is 700, want 0.1 to 600", "line 3: policy.no_such: no such setting", "line 4: policy.idle_keep_s: want a number"}},
 		{"[[teams]]\nname = \"a\"\ncpus = 9\ncpus_max = 5\n[[teams]]\nname = \"a\"\ngpus = -1\n", []string{"line 3: teams[0].cpus: a is guaranteed 9 and may use 5", "line 6: teams[1].name: is missing or stands twice", "teams[1]: amounts"}},
 		{"[features]\nahead_tasks = -2\n[over_limit]\nrunning = \"drop\"\n", []string{"line 2: features.ahead_tasks: must be 0 to 1000, not -2", `line 4: over_limit.running: must be "leave" or "stop"`}},
-		{"[over_limit]\nstop_within_s = 5\n", []string{"line 2: over_limit.stop_within_s: goes with running"}},
+		{"[over_limit]\nstop_within_s = 5\n", []string{"line 2: over_limit.stop_within_s: is valid only with running"}},
 		{"[topology]\nversion = 1\n[[topology.domain]]\nname = \"x\"\nlevel = \"shelf\"\n[[topology.domain]]\nname = \"y\"\nlevel = \"rack\"\nin = \"z\"\n",
 			[]string{"line 5: topology.domain[0].level: \"shelf\" must be region, zone, switch or rack", `line 9: topology.domain[1].in: there is no domain "z"`}},
 		{"[teams]\n", []string{"line 1: teams"}},
@@ -111,26 +111,26 @@
 		t.Errorf("%q", got)
 	}
 	if n := len(Differences(nil, parse(t, whole))); n != 8 {
-		t.Errorf("%d differences from nothing", n)
+		t.Errorf("%d differences from a nil document, want 8", n)
 	}
 }
 
-// During a rollout, whatever is started is within the limits of both revisions.
+// Whatever is started during a rollout must be within the limits of both revisions.
 func TestStricterTakesLowerLimitsOfBothRevisions(t *testing.T) {
 	team := func(name string, guaranteed, limit float64) settings.Team {
 		return settings.Team{Name: name, CPUs: guaranteed, CPUsMax: limit, Cards: guaranteed, CardsMax: limit}
 	}
-	before := FromFiles([]settings.Team{team("sinks", 8, 40), team("rises", 2, 10), team("bounded", 0, 0), team("freed", 0, 6), team("goes", 1, 1)}, policy.Default())
-	after := FromFiles([]settings.Team{team("sinks", 4, 20), team("rises", 6, 30), team("bounded", 0, 7), team("freed", 0, 0), team("comes", 1, 1)}, policy.Default())
+	before := FromFiles([]settings.Team{team("lowered", 8, 40), team("raised", 2, 10), team("newly limited", 0, 0), team("no longer limited", 0, 6), team("removed", 1, 1)}, policy.Default())
+	after := FromFiles([]settings.Team{team("lowered", 4, 20), team("raised", 6, 30), team("newly limited", 0, 7), team("no longer limited", 0, 0), team("added", 1, 1)}, policy.Default())
 	between := Stricter(before, after)
-	for name, want := range map[string]settings.Team{"sinks": team("sinks", 4, 20), "rises": team("rises", 2, 10), "bounded": team("bounded", 0, 7), "freed": team("freed", 0, 6)} {
+	for name, want := range map[string]settings.Team{"lowered": team("lowered", 4, 20), "raised": team("raised", 2, 10), "newly limited": team("newly limited", 0, 7), "no longer limited": team("no longer limited", 0, 6)} {
 		if got, ok := between.Team(name); !ok || got != want {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	for _, name := range []string{"goes", "comes"} {
+	for _, name := range []string{"removed", "added"} {
 		if _, ok := between.Team(name); ok {
-			t.Errorf("%s may start work before both sides know it", name)
+			t.Errorf("team %q may start tasks although only one of the revisions has it", name)
 		}
 	}
 }
--- a/configuration/fielderror.go
+++ b/configuration/fielderror.go
@@ -7,11 +7,11 @@
 
 // FieldError is one error in a document.
 type FieldError struct {
-	// Line counts from 1; 0: the error belongs to no line, or the line is not known.
+	// Line counts from 1. It is 0 if the error belongs to no line or the line is not known.
 	Line int `json:"line,omitempty"`
-	// Field is the full name of the setting, with dots and indices: "teams[0].cpus".
+	// Field is the full name of the setting with dots and indices, such as "teams[0].cpus".
 	Field string `json:"field"`
-	// Remedy says what the setting must be.
+	// Remedy describes the error and what the setting must be.
 	Remedy string `json:"remedy"`
 }
 
@@ -23,7 +23,7 @@
 	return where + ": " + e.Remedy
 }
 
-// FieldErrors are the errors in a document, at least one. It is the error of Parse.
+// FieldErrors is the error that Parse returns: the errors in a document, at least one.
 type FieldErrors []FieldError
 
 func (e FieldErrors) Error() string {
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -1,6 +1,6 @@
-// Package httpapi answers operators' requests about the configuration. It turns what package
-// revisions knows and does into the statuses and bodies of docs/configuration-operators.md. A status
-// of 503 asks the client to try again.
+// Package httpapi answers operators' HTTP requests about the configuration. It maps the results of
+// package revisions to the statuses and bodies that docs/configuration-operators.md describes. A status
+// of 503 asks the client to retry.
 package httpapi
 
 import (
@@ -20,23 +20,25 @@
 	"switchferry/upgrade"
 )
 
-// History asks, in place of a revision's number, for the last revisions.
+// History is passed to Handler.Revision in place of a revision's number to request the list of the last
+// revisions.
 const History = "history"
 
-// stateUnreachable is the error of an answer that needs the state service.
+// stateUnreachable is the error text of an answer that failed because the state service did not
+// respond.
 const stateUnreachable = "the state service is out of reach"
 
-// Handler answers for one controller. Its methods are safe for concurrent use.
+// Handler answers configuration requests on one controller. Its methods are safe for concurrent use.
 type Handler struct {
 	Store    *revisions.Store
 	Versions *upgrade.VersionRegistry
-	// TopologyOn and DataOn tell whether these features are on. Settings that need a feature can be
-	// configured only then.
+	// TopologyOn and DataOn report whether these features are on. A document may contain the settings
+	// of a feature only if the feature is on.
 	TopologyOn, DataOn bool
 }
 
-// Present returns the present configuration and, on the leader, how far the last change has come.
-// Applier is nil on other controllers.
+// Present returns the current configuration and, on the leader, the progress of the last change. The
+// applier is nil on a controller that does not lead.
 func (h *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
 	revision, newest, rejection := h.Store.Current()
 	var view api.ConfigurationView
@@ -53,7 +55,7 @@
 	return view
 }
 
-// viewOf shows a revision.
+// viewOf returns the API view of a revision.
 func viewOf(revision *configuration.Revision) api.ConfigurationView {
 	return api.ConfigurationView{
 		Revision: revision.Number,
@@ -64,7 +66,8 @@
 	}
 }
 
-// Revision returns the status and body for a stored revision, named by its number, or for History.
+// Revision returns the status and body of the answer for one stored revision, given by its number, or
+// for the last revisions if which is History.
 func (h *Handler) Revision(ctx context.Context, which string) (status int, body any) {
 	if which == History {
 		return h.history(ctx)
@@ -83,7 +86,7 @@
 	return http.StatusOK, viewOf(revision)
 }
 
-// history returns the status and body for the last revisions, without their documents.
+// history returns the status and body of the answer for the last revisions, without their documents.
 func (h *Handler) history(ctx context.Context) (status int, body any) {
 	history, err := h.Store.History(ctx)
 	if err != nil {
@@ -96,8 +99,8 @@
 	return http.StatusOK, views
 }
 
-// Change makes the change that a body asks for, on the leader, and returns the status and body of the
-// answer.
+// Change applies the configuration change that a request body contains, and returns the status and body
+// of the answer. It is called on the leader only.
 func (h *Handler) Change(ctx context.Context, applier *revisions.Applier, body []byte) (status int, answer any) {
 	var request api.ConfigurationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -115,7 +118,7 @@
 		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrUnavailable.Error()}
 	}
 	if len(without) > 0 {
-		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can only change once all controllers run a version that knows of it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
+		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
 	}
 	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
 	switch {
@@ -130,7 +133,8 @@
 	return http.StatusAccepted, progress
 }
 
-// checkFeatures returns configuration.FieldErrors for the sections that need a feature which is off.
+// checkFeatures returns configuration.FieldErrors if the document contains settings of a feature that
+// is off.
 func (h *Handler) checkFeatures(document *configuration.Document) error {
 	var fieldErrors configuration.FieldErrors
 	if document.Topology != nil && !h.TopologyOn {
@@ -145,7 +149,7 @@
 	return fieldErrors
 }
 
-// fieldErrorViews shows the errors in a document.
+// fieldErrorViews returns the API view of the errors in a document.
 func fieldErrorViews(err error) (views []api.ConfigurationFieldError) {
 	fieldErrors, ok := errors.AsType[configuration.FieldErrors](err)
 	if !ok {
@@ -157,8 +161,9 @@
 	return views
 }
 
-// conflictAnswer shows the present revision to the operator whose change was refused because of it,
-// and how the wanted document differs from it.
+// conflictAnswer returns the body of the answer to a change that was refused because the current
+// revision is not the expected one: the current revision, and how the requested document differs
+// from it.
 func (h *Handler) conflictAnswer(wanted *configuration.Document, err error) api.ConfigurationConflict {
 	conflict := api.ConfigurationConflict{Error: err.Error()}
 	revision, _, _ := h.Store.Current()
--- a/configuration/httpapi/handler_test.go
+++ b/configuration/httpapi/handler_test.go
@@ -26,14 +26,14 @@
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	// The compressor is made once, and must not be made within a bubble of synctest.
+	// The compressor is created on first use, which must not happen inside a synctest bubble.
 	if _, err := compress.EncodeSmall(0); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// soleLeader is a leader without peers that decides nothing.
+// soleLeader is a leader without peers that makes no decisions.
 type soleLeader struct{ term uint64 }
 
 func (l soleLeader) Condition() (store.Condition, bool) {
@@ -48,8 +48,8 @@
 
 func (soleLeader) RefreshPeer(context.Context, string, uint64) (uint64, error) { return 0, nil }
 
-// newLeadingHandler returns the handler and the applier of a controller that leads, and its state
-// service.
+// newLeadingHandler returns the handler and the applier of a leading controller, and the state service
+// that it uses.
 func newLeadingHandler(t *testing.T) (*Handler, *revisions.Applier, *fake.State) {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -68,7 +68,7 @@
 	return handler, applier, state
 }
 
-// changeBody is the body of a request for a change.
+// changeBody returns the JSON body of a change request.
 func changeBody(t *testing.T, request api.ConfigurationRequest) []byte {
 	t.Helper()
 	body, err := json.Marshal(request)
@@ -78,7 +78,8 @@
 	return body
 }
 
-// requireAnswer fails unless an answer has the status, and its body as JSON contains each text.
+// requireAnswer fails the test unless the status is as wanted and the JSON of the answer contains each
+// wanted text.
 func requireAnswer(t *testing.T, name string, status int, answer any, wantStatus int, want ...string) {
 	t.Helper()
 	body, err := json.Marshal(answer)
@@ -106,13 +107,13 @@
 			status int
 			want   []string
 		}{
-			{"no JSON", []byte("x"), http.StatusBadRequest, []string{`"field":"body"`}},
+			{"body is not JSON", []byte("x"), http.StatusBadRequest, []string{`"field":"body"`}},
 			{"wrong type", changeBody(t, api.ConfigurationRequest{Document: "teams = 1\n"}), http.StatusBadRequest,
 				[]string{`"mistakes":[{"line":1,"field":"teams","remedy":"must be a list of tables, [[teams]], not an integer"}]`}},
 			{"features are off", changeBody(t, api.ConfigurationRequest{Document: "[topology]\nversion = 1\n[features]\nahead_tasks = 3\n"}), http.StatusBadRequest,
 				[]string{`"field":"topology"`, `"field":"features.ahead_tasks"`}},
-			{"made", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"in_force":true`}},
-			{"made already", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"unchanged":true`}},
+			{"new document", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"in_force":true`}},
+			{"same document again", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"unchanged":true`}},
 			{"another revision expected", changeBody(t, api.ConfigurationRequest{Document: "# empty\n", Expect: &none}), http.StatusConflict,
 				[]string{`"revision":1`, `"by":"ann"`, `"differences":["teams.team: 0 guaranteed, 40 at most`}},
 		} {
@@ -121,7 +122,7 @@
 		}
 		state.Put(upgrade.RecordPrefix+"n0", upgrade.VersionMark{Data: upgrade.DataVersion})
 		status, answer := handler.Change(t.Context(), applier, changeBody(t, first))
-		requireAnswer(t, "a controller has it off", status, answer, http.StatusServiceUnavailable, "not seen yet of n0")
+		requireAnswer(t, "a controller runs with the feature off", status, answer, http.StatusServiceUnavailable, "not seen yet of n0")
 		state.Outage(true)
 		status, answer = handler.Change(t.Context(), applier, changeBody(t, first))
 		requireAnswer(t, "outage", status, answer, http.StatusServiceUnavailable, revisions.ErrUnavailable.Error())
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -14,40 +14,42 @@
 	"switchferry/tuning"
 )
 
-// Format is the version of the storage format that this program writes, and the highest that it reads.
+// Format is the version of the storage format that this program writes, and the highest that it can
+// read.
 const Format = 1
 
 // Keys in the state service.
 const (
-	// HeadKey is the key of the Head, which names the newest revision.
+	// HeadKey is the key of the Head, which identifies the newest revision.
 	HeadKey = "sf/config/head"
-	// PartPrefix is the prefix of the keys of all Parts.
+	// PartPrefix is the prefix of the keys of all parts.
 	PartPrefix = "sf/config/r/"
 )
 
-// PartKey returns the key of a part of a revision, counted from 0.
+// PartKey returns the key of a part of a revision. Parts are numbered from 0.
 func PartKey(revision uint64, part int) string {
 	return fmt.Sprintf("%s%08d/%d", PartPrefix, revision, part)
 }
 
-// ParsePartKey returns the revision that the key of a part belongs to; false: it is no such key.
+// ParsePartKey returns the revision to which the key of a part belongs, and false if the key is not one
+// of a part.
 func ParsePartKey(key string) (uint64, bool) {
 	text, _, ok := strings.Cut(strings.TrimPrefix(key, PartPrefix), "/")
 	number, err := strconv.ParseUint(text, 10, 64)
 	return number, ok && err == nil
 }
 
-// Revision is a document that was applied, with who applied it and why.
+// Revision is a document that was applied, with its author and the reason for the change.
 type Revision struct {
 	Number uint64 `json:"number"`
 	By     string `json:"by"`
 	Why    string `json:"why"`
-	// AtMS is when it was applied, by the leader's clock, in milliseconds of Unix time.
+	// AtMS is the time of the change by the leader's clock, in milliseconds of Unix time.
 	AtMS     int64  `json:"at_ms"`
 	Document string `json:"document"`
 }
 
-// Head is the value of HeadKey. It names the newest revision.
+// Head is the value of HeadKey. It identifies the newest revision.
 type Head struct {
 	Number uint64 `json:"number"`
 	// Digest is the digest of the revision's compressed text.
@@ -58,24 +60,24 @@
 type Part struct {
 	// Format is the version of the storage format.
 	Format int `json:"format"`
-	// Of is the number of parts of the revision.
+	// Of is the total number of parts of the revision.
 	Of int `json:"of"`
-	// Digest is the digest of the text of all parts.
+	// Digest is the digest of the concatenated texts of all parts.
 	Digest string `json:"digest"`
-	// Text is a section of the compressed text.
+	// Text is this part's section of the compressed text.
 	Text string `json:"text"`
 }
 
-// Why a stored revision is not used.
+// The reasons why a stored revision cannot be used.
 var (
-	// ErrDamaged: the revision is incomplete or inconsistent.
+	// ErrDamaged reports that the stored revision is incomplete or inconsistent.
 	ErrDamaged = errors.New("the stored revision is damaged")
-	// ErrNewer: the revision was stored by a newer version of the program.
+	// ErrNewer reports that the revision was stored in a newer format by a newer version of the program.
 	ErrNewer = errors.New("the stored revision is of a newer format than this program knows")
 )
 
-// Encode returns a revision as it is stored, in parts that fit into values of valueBytes each. It
-// fails if the revision takes more than tuning.ConfigurationPartsMost parts.
+// Encode returns the stored form of a revision: its head, and parts that each fit into a value of
+// valueBytes bytes. It fails if the revision takes more than tuning.ConfigurationPartsMost parts.
 func Encode(revision *Revision, valueBytes int) (Head, []Part, error) {
 	text, err := compress.EncodeSmall(revision)
 	if err != nil {
@@ -99,8 +101,8 @@
 	return Head{revision.Number, digest}, parts, nil
 }
 
-// Decode is the reverse of Encode. Digest is that of the Head; empty: it is not known, and the parts
-// need only agree with each other. The error wraps ErrDamaged or ErrNewer.
+// Decode is the inverse of Encode. The digest is that of the Head, or empty if it is not known; then the
+// parts only need to be consistent with each other. The error wraps ErrDamaged or ErrNewer.
 func Decode(number uint64, digest string, parts []Part) (*Revision, error) {
 	var text strings.Builder
 	for i, part := range parts {
@@ -108,7 +110,7 @@
 		case part.Format > Format:
 			return nil, fmt.Errorf("%w: revision %d has format %d, this program knows %d", ErrNewer, number, part.Format, Format)
 		case part.Of != len(parts) || part.Digest != parts[0].Digest:
-			return nil, fmt.Errorf("%w: part %d of revision %d belongs to another", ErrDamaged, i, number)
+			return nil, fmt.Errorf("%w: part %d of revision %d belongs to another revision", ErrDamaged, i, number)
 		}
 		text.WriteString(part.Text)
 	}
@@ -121,12 +123,12 @@
 		return nil, fmt.Errorf("%w: revision %d: %w", ErrDamaged, number, err)
 	}
 	if revision.Number != number {
-		return nil, fmt.Errorf("%w: revision %d calls itself %d", ErrDamaged, number, revision.Number)
+		return nil, fmt.Errorf("%w: revision %d contains the number %d", ErrDamaged, number, revision.Number)
 	}
 	return &revision, nil
 }
 
-// ParsePart parses a stored part. The error wraps ErrDamaged.
+// ParsePart parses the stored value of a part. The error wraps ErrDamaged.
 func ParsePart(raw json.RawMessage) (Part, error) {
 	var part Part
 	if err := json.Unmarshal(raw, &part); err != nil || part.Of < 1 || part.Of > tuning.ConfigurationPartsMost {
@@ -135,7 +137,7 @@
 	return part, nil
 }
 
-// ParseHead parses the stored head. The error wraps ErrDamaged.
+// ParseHead parses the stored value of the head. The error wraps ErrDamaged.
 func ParseHead(raw json.RawMessage) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(raw, &head); err != nil || head.Number == 0 {
@@ -144,10 +146,10 @@
 	return head, nil
 }
 
-// digestBytes is how much of a hash is kept as a digest.
+// digestBytes is the length in bytes to which a hash is truncated to form a digest.
 const digestBytes = 18
 
-// digestOf returns the digest of a compressed text.
+// digestOf returns the base64-encoded digest of a compressed text.
 func digestOf(text string) string {
 	sum := blake3.Sum256([]byte(text))
 	return base64.RawStdEncoding.EncodeToString(sum[:digestBytes])
--- a/configuration/revision_test.go
+++ b/configuration/revision_test.go
@@ -11,7 +11,7 @@
 	"switchferry/tuning"
 )
 
-// teamsText returns a document with n teams.
+// teamsText returns the text of a document with n teams.
 func teamsText(n int) string {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var b strings.Builder
@@ -21,7 +21,8 @@
 	return b.String()
 }
 
-// 110 teams fit even into the smallest values. A revision that is damaged in any way is refused.
+// A revision with 110 teams can be stored even in values of the smallest size, and is decoded unchanged. Decode refuses
+// damaged parts and parts of a newer format.
 func TestRevisionSurvivesStorageOrIsRefused(t *testing.T) {
 	want := Revision{Number: 12, By: "ops", Why: "why", AtMS: 5, Document: teamsText(110)}
 	for _, valueBytes := range []int{16 << 10, 2 << 10, 1 << 10} {
@@ -31,7 +32,7 @@
 		}
 		for _, part := range parts {
 			if len(part.Text)+tuning.ConfigurationPartMargin > valueBytes {
-				t.Errorf("a part of %d bytes for values of %d", len(part.Text), valueBytes)
+				t.Errorf("a part with a text of %d bytes does not fit into values of %d", len(part.Text), valueBytes)
 			}
 		}
 		got, err := Decode(12, head.Digest, parts)
@@ -40,10 +41,10 @@
 		}
 		for name, damage := range map[string]func(p []Part) []Part{
 			"a part is missing": func(p []Part) []Part { return p[:len(p)-1] },
-			"another text":      func(p []Part) []Part { p[0].Text = "A" + p[0].Text[1:]; return p },
-			"another's part":    func(p []Part) []Part { p[0].Digest = "x"; return p },
+			"changed text":      func(p []Part) []Part { p[0].Text = "A" + p[0].Text[1:]; return p },
+			"wrong digest":      func(p []Part) []Part { p[0].Digest = "x"; return p },
 			"one part too many": func(p []Part) []Part { return append(p, p[0]) },
-			"another's altogether": func([]Part) []Part {
+			"another revision's parts": func([]Part) []Part {
 				_, other, _ := Encode(&Revision{Number: 12, Document: "# another\n"}, valueBytes)
 				return other
 			},
@@ -53,7 +54,7 @@
 			}
 		}
 		if _, err := Decode(13, head.Digest, parts); !errors.Is(err, ErrDamaged) {
-			t.Errorf("under another number: %v", err)
+			t.Errorf("decoded under another number: %v", err)
 		}
 		newer := slices.Clone(parts)
 		newer[0].Format = Format + 1
@@ -62,6 +63,6 @@
 		}
 	}
 	if _, _, err := Encode(&want, tuning.ConfigurationPartMargin+8); err == nil {
-		t.Error("taken into more parts than are read")
+		t.Error("encoded into more parts than can be read")
 	}
 }
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -10,73 +10,77 @@
 	"switchferry/tuning"
 )
 
-// Leader is what an Applier needs of the controller that leads. Its methods are safe for concurrent
-// use. Adopt must not call the Applier, whose lock may be held.
+// Leader is what an Applier requires of the leading controller. Its methods are safe for concurrent
+// use. Adopt must not call the Applier, which may hold its lock during the call.
 type Leader interface {
-	// Condition returns a condition that holds while this controller leads; false: it does not
-	// lead, for certain.
+	// Condition returns a transaction condition that holds while this controller leads. It returns
+	// false if the controller certainly does not lead.
 	Condition() (store.Condition, bool)
-	// Adopt makes all decisions from now on use a configuration. The function that it returns counts
-	// the decisions from before, starts and accepts, that are not persisted.
+	// Adopt makes all later decisions use a configuration. The function that it returns counts the
+	// decisions (starts and accepts) made before the call that are not persisted yet.
 	Adopt(active *configuration.Active) (unrecordedCount func() int)
 	// Peers returns the names of all other controllers.
 	Peers() []string
-	// RefreshPeer has a peer look for the newest revision, at least the given one, and returns the
-	// number of the one that it found.
+	// RefreshPeer asks a peer to read the newest revision, which is the given one or a newer one, and
+	// returns the number of the revision that the peer has read.
 	RefreshPeer(ctx context.Context, member string, revision uint64) (uint64, error)
 }
 
-// Request is a change that an operator asks for.
+// Request is a change that an operator requests.
 type Request struct {
 	Document *configuration.Document
 	// By and Why are stored with the revision.
 	By, Why string
-	// Expect is the number of the revision that must be the present one; nil: any.
+	// Expect is the number that the newest revision must have for the change to be made, or nil for
+	// any.
 	Expect *uint64
 }
 
-// Answer is how far a change has come.
+// Answer is the progress of a change.
 type Answer struct {
 	Revision uint64 `json:"revision"`
-	// InForce tells that no controller decides or answers by an older revision. Otherwise the
-	// revision is stored, and WaitsFor says what the rollout waits for.
+	// InForce is set if no controller uses an older revision for decisions or answers. Otherwise the
+	// revision is stored, and WaitsFor describes what the rollout waits for.
 	InForce  bool     `json:"in_force"`
 	WaitsFor []string `json:"waits_for,omitempty"`
-	// Unchanged tells that the document was in force already, and nothing was stored.
+	// Unchanged is set if the document was already in force and nothing was stored.
 	Unchanged bool `json:"unchanged,omitempty"`
 }
 
-// Applier makes changes in one term of the leader, one at a time. It is safe for concurrent use. Its
-// goroutines end with the context of the term.
+// Applier applies configuration changes during one term of the leader, one at a time. It is safe for
+// concurrent use. Its goroutines end when the context of the term ends.
 type Applier struct {
 	*Store
 	leader Leader
-	// termCtx ends with the term.
+	// termCtx ends when the term ends.
 	termCtx context.Context
 	// inProgress holds a token while a change is in progress.
 	inProgress chan struct{}
 
 	mu sync.Mutex
-	// active is the configuration that is stored, document its document and headRevision the state
-	// service's revision of its head. active is nil before Load; document is nil if files and
-	// settings apply alone.
+	// The fields below are guarded by mu.
+
+	// active is the configuration of the stored revision, and nil before Load. document is its
+	// document, or nil if only the files and settings apply. headRevision is the state service's
+	// revision of its head.
 	active       *configuration.Active
 	document     *configuration.Document
 	headRevision uint64
-	// rollout is the change that is in progress, or else the last one; nil: there was none.
+	// rollout is the rollout in progress, or else the last one of this term, or nil if there was none.
 	rollout *configuration.Rollout
 }
 
-// NewApplier returns the applier of a term, which lasts as long as the context. Load must be called
-// before changes can be made.
+// NewApplier returns the applier for a term, which ends with the context. Load must succeed before
+// changes can be made.
 func NewApplier(ctx context.Context, configStore *Store, leader Leader) *Applier {
 	return &Applier{Store: configStore, leader: leader, termCtx: ctx, inProgress: make(chan struct{}, 1)}
 }
 
-// Load reads the newest revision and has the leader adopt it. It is called once, after the leader's
-// key was won. The leader must decide nothing before it has succeeded.
+// Load reads the newest revision and makes the leader adopt it. It is called once, after this
+// controller has acquired the leader key. The leader must make no decision before Load has succeeded.
 func (a *Applier) Load(ctx context.Context) error {
-	// What was read before this term may be older than what the last leader stored.
+	// A revision that was read before this term may be older than the one that the previous leader
+	// stored last.
 	requestedAt := a.clock.Now()
 	if _, err := a.Refresh(ctx); err != nil {
 		return err
@@ -102,15 +106,16 @@
 	return nil
 }
 
-// Candidates returns the configurations by which an answer that is final for a user must come out the
-// same: the present one, and during a rollout both. It returns none before Load.
+// Candidates returns the configurations that must all lead to the same answer before the answer may be
+// given to a user as final: the current one, or during a rollout the previous and the new one. It
+// returns none before Load.
 func (a *Applier) Candidates() []*configuration.Active {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.active == nil {
 		return nil
 	}
-	// A rollout that was resumed has the same configuration before and after.
+	// In a resumed rollout, Before and After are the same configuration.
 	if a.rollout != nil && a.rollout.Before != a.rollout.After {
 		switch a.rollout.Stage() {
 		case configuration.Storing, configuration.Spreading:
@@ -120,7 +125,7 @@
 	return []*configuration.Active{a.active}
 }
 
-// Reapply has the leader adopt the present configuration once more.
+// Reapply makes the leader adopt the current configuration again.
 func (a *Applier) Reapply() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,9 +138,9 @@
 	}
 }
 
-// Apply makes a change, and waits until it is in force, but no longer than
-// tuning.ConfigurationAnswer; the change goes on after that. On an error, the revision is not known
-// to be stored; see ErrConflict and the others for what is known.
+// Apply makes a change and waits until it is in force, for tuning.ConfigurationAnswer at most. After that
+// the change continues in the background. On an error, the revision is not known to be stored; the
+// error values of this package say what is known.
 func (a *Applier) Apply(ctx context.Context, request Request) (Answer, error) {
 	if err := a.acquire(ctx); err != nil {
 		return Answer{}, err
@@ -175,8 +180,8 @@
 	return a.awaitOutcome(ctx, change.rollout, done)
 }
 
-// acquire waits until no other change is in progress, for tuning.ConfigurationTurn at most. The error
-// is ErrBusy.
+// acquire waits until no other change is in progress, for tuning.ConfigurationTurn at most, and reserves
+// the applier for the caller's change. The error is ErrBusy.
 func (a *Applier) acquire(ctx context.Context) error {
 	select {
 	case a.inProgress <- struct{}{}:
@@ -188,10 +193,10 @@
 	return ErrBusy
 }
 
-// release lets the next change begin.
+// release ends the reservation of acquire, so that the next change can begin.
 func (a *Applier) release() { <-a.inProgress }
 
-// awaitOutcome waits until a change is in force or has failed, but no longer than a request can take.
+// awaitOutcome waits until a change is in force or has failed, for tuning.ConfigurationAnswer at most.
 func (a *Applier) awaitOutcome(ctx context.Context, rollout *configuration.Rollout, done <-chan error) (Answer, error) {
 	select {
 	case err := <-done:
@@ -212,7 +217,8 @@
 	return a.answerFor(rollout), nil
 }
 
-// Progress returns how far the last change of this term has come; false: none was stored.
+// Progress returns the progress of the last change of this term, and false if its revision is not stored
+// or there was no change.
 func (a *Applier) Progress() (Answer, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -222,7 +228,7 @@
 	return a.answerFor(a.rollout), true
 }
 
-// answerFor returns how far a rollout has come whose revision is stored. The caller holds a.mu.
+// answerFor returns the progress of a rollout whose revision is stored. The caller must hold a.mu.
 func (a *Applier) answerFor(rollout *configuration.Rollout) Answer {
 	return Answer{
 		Revision: rollout.After.Revision,
--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -16,8 +16,8 @@
 	"switchferry/tuning"
 )
 
-// With all peers in reach a change is in force at once. With a peer out of reach it is in force once that
-// peer's lease has expired, and the peer decides nothing by the old revision from then on.
+// If all peers can be reached, a change is in force at once. If a peer is isolated, the change is in force once
+// that peer's lease has expired, and the peer does not use the old revision from then on.
 func TestApplyWaitsForPeersOrTheirLeases(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A start that was decided before the change delays it until the start is persisted, and the answer says so.
+// A change is not in force before all starts that were decided before it are persisted, and the answer says so.
 func TestChangeWaitsForEarlierDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -77,8 +77,8 @@
 	})
 }
 
-// Of two changes that expect the same revision one is made, and the other is refused. The same document
-// once more changes nothing.
+// Of two concurrent changes that expect the same revision, one is made and the other is refused. Applying the
+// current document again changes nothing.
 func TestOneOfTwoConcurrentChangesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -106,7 +106,8 @@
 	})
 }
 
-// Of many concurrent changes each is in force in the end, and the last 50 revisions are kept.
+// Many concurrent changes all come into force in the end, and only the last tuning.ConfigurationKept revisions
+// are kept.
 func TestManyConcurrentChangesAllComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
@@ -136,13 +137,13 @@
 		_, newest, _ := applier.Current()
 		history, err := applier.History(cluster.ctx)
 		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationKept || cluster.state.Under(configuration.PartPrefix) != tuning.ConfigurationKept {
-			t.Errorf("%d in force, newest %d, %d in the history, %d on record, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
+			t.Errorf("%d in force, newest %d, %d in the history, %d stored, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
 		}
 	})
 }
 
-// The leader crashes between any two of its writes. The next one uses a whole revision, the former or the
-// new one, and can change it.
+// If the leader crashes between any two of its writes, the next leader uses a complete revision, either the
+// previous or the new one, and can make another change.
 func TestCrashBetweenWritesLeavesWholeRevision(t *testing.T) {
 	for writes := range 12 {
 		synctest.Test(t, func(t *testing.T) {
@@ -174,18 +175,18 @@
 	}
 }
 
-// A revision that is damaged or of a newer format is not used. The last good one is, and a change can
-// follow.
+// A stored revision that is damaged or of a newer format is not used. The last usable one is used instead, and
+// another change can be made.
 func TestUnreadableRevisionFallsBackToLastGood(t *testing.T) {
 	for name, damage := range map[string]func(cluster *testCluster){
-		"a part": func(cluster *testCluster) {
+		"a damaged part": func(cluster *testCluster) {
 			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 1, Of: 1, Text: "x"})
 		},
-		"no JSON": func(cluster *testCluster) { cluster.state.Put(configuration.PartKey(2, 0), "x") },
-		"newer": func(cluster *testCluster) {
+		"a part that is not JSON": func(cluster *testCluster) { cluster.state.Put(configuration.PartKey(2, 0), "x") },
+		"a newer format": func(cluster *testCluster) {
 			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 2, Of: 1, Text: "x"})
 		},
-		"the head": func(cluster *testCluster) {
+		"a damaged head": func(cluster *testCluster) {
 			cluster.state.Put(configuration.PartKey(2, 0), "x")
 			cluster.state.Put(configuration.HeadKey, "x")
 		},
@@ -212,7 +213,7 @@
 	}
 }
 
-// A change whose answer from the state service is lost is stored all the same, and is found to be.
+// If the state service's answer to a change is lost, the applier finds out that the change is stored.
 func TestLostAnswerDoesNotRefuseChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -235,7 +236,7 @@
 	})
 }
 
-// In an outage a change is refused at once, and the present revision stays in force.
+// During an outage of the state service a change is refused at once, and the current revision stays in force.
 func TestOutageRefusesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -258,8 +259,8 @@
 	})
 }
 
-// A new leader does not call the revision in force that it has read: the former leader may have stored it a
-// moment ago, and a controller that is isolated may still use an older one.
+// A new leader does not at once report the revision that it has read as in force: the previous leader may just
+// have stored it, and an isolated controller may still use an older one.
 func TestNewLeaderCallsNothingInForceAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -277,12 +278,12 @@
 		}
 		next := cluster.elect()
 		if _, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)}); !errors.Is(err, ErrBusy) {
-			t.Errorf("the same once more, at once: %v", err)
+			t.Errorf("the same change again, before the rollout is finished: %v", err)
 		}
 		for {
 			progress, ok := next.Progress()
 			if lease, holds := cluster.followers["y"].Lease(); ok && progress.InForce && holds && lease.Active.Revision < 2 {
-				t.Fatal("called in force while y may use revision 1")
+				t.Fatal("revision 2 is reported as in force while y may use revision 1")
 			}
 			if progress.InForce {
 				break
@@ -296,16 +297,16 @@
 	})
 }
 
-// Random faults: lost answers, transactions that are not executed, isolated followers, changes of leader at
-// any moment. No follower may ever use a revision older than one that was reported to be in force, and
-// every leader begins with one that is as new.
+// Under random faults (lost answers, transactions that are not executed, isolated followers, changes of leader
+// at any time), no follower may use a revision older than one that was reported as in force, and no leader
+// begins with an older one.
 func TestNoLeaseIsOlderThanRevisionInForce(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			cluster := newTestCluster(t, []settings.State{smallLimits, usualLimits}[seed%2])
 			cluster.mu.Lock()
-			// The callers hold the lock.
+			// The functions are called with cluster.mu held, which also guards the generator.
 			network := rand.New(rand.NewPCG(seed, 4))
 			cluster.dropAnswer = func() bool { return network.IntN(4) == 0 }
 			cluster.dropRequest = func() bool { return network.IntN(6) == 0 }
@@ -350,8 +351,8 @@
 	}
 }
 
-// A part that was written for a refused change is written once more, late, between the parts and the head of
-// the next change. The next change is not stored with a part of the other.
+// A delayed duplicate of a write for a refused change is executed between the parts and the head of the next
+// change. The next change must not be stored with a part of the refused one.
 func TestLateCopyOfEarlierPartIsNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
@@ -370,7 +371,7 @@
 				return false
 			}
 		}
-		// The first parts of the first change are held back and sent again. Then the outage begins.
+		// The write of the first parts of the first change is held back and retried. Then the outage begins.
 		cluster.state.HoldNext = true
 		cluster.mu.Lock()
 		cluster.dropRequest = atTransaction(3, func() { cluster.state.Outage(true) })
@@ -391,7 +392,7 @@
 		answer, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))})
 		next := cluster.elect()
 		if revision, _, rejection := next.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
-			t.Errorf("tried again: %+v, %v, rejection %q", answer, err, rejection)
+			t.Errorf("second change retried: %+v, %v, rejection %q", answer, err, rejection)
 		}
 	})
 }
--- a/configuration/revisions/cluster_test.go
+++ b/configuration/revisions/cluster_test.go
@@ -26,14 +26,14 @@
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	// The compressor is made once, and must not be made within a bubble of synctest.
+	// The compressor is created on first use, which must not happen inside a synctest bubble.
 	if _, err := compress.EncodeSmall(0); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// testCluster is a state service, two followers x and y, and a leader z.
+// testCluster has a state service, two followers x and y, and a leader z.
 type testCluster struct {
 	t         *testing.T
 	ctx       context.Context
@@ -41,25 +41,26 @@
 	clock     clockwork.Clock
 	limits    settings.State
 	followers map[string]*Store
-	// term is the leader's last term.
+	// term is the leader's latest term.
 	term uint64
 
+	// mu guards the fields below.
 	mu sync.Mutex
-	// dropAnswer decides whether a transaction of the leader is executed and its answer lost,
-	// dropRequest whether it is not executed.
+	// dropAnswer reports whether the answer to a transaction of the leader is lost after the transaction
+	// was executed, dropRequest whether the request is lost before that. Both are called with mu held.
 	dropAnswer, dropRequest func() bool
-	// isolated are the followers that answer no peer, and that the state service does not answer.
+	// isolated is the set of followers that can reach neither the leader nor the state service.
 	isolated map[string]bool
-	// unrecorded is the number of the leader's decisions that are not persisted.
+	// unrecorded is the number of the leader's decisions that are not persisted yet.
 	unrecorded int
-	// adopted are the configurations that the leader was given, the last at the end.
+	// adopted are the configurations that the leader has adopted, in order.
 	adopted []*configuration.Active
 }
 
-// fileConfiguration is the configuration without any revision.
+// fileConfiguration is the configuration that applies without any revision.
 var fileConfiguration = configuration.FromFiles([]settings.Team{{Name: "a", CPUsMax: 100}}, policy.Default())
 
-// newTestCluster returns a cluster whose followers run until the test ends, and which has no leader.
+// newTestCluster returns a cluster without a leader, whose followers run until the test ends.
 func newTestCluster(t *testing.T, limits settings.State) *testCluster {
 	t.Helper()
 	ctx := t.Context()
@@ -80,7 +81,7 @@
 	name string
 }
 
-// errNoAnswer is the error of a request that is lost.
+// errNoAnswer is the error of a request that was lost or whose answer was lost.
 var errNoAnswer = errors.New("no answer")
 
 func (l transport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -139,7 +140,7 @@
 	return l.followers[member].Refresh(ctx)
 }
 
-// awaitSettled waits until an applier has brought the revision into force that it has read.
+// awaitSettled waits until the revision that an applier has loaded is in force.
 func (c *testCluster) awaitSettled(applier *Applier) *Applier {
 	c.t.Helper()
 	for range 1000 {
@@ -148,11 +149,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.t.Fatal("the revision that was read does not come into force")
+	c.t.Fatal("the revision that was loaded does not come into force")
 	return nil
 }
 
-// elect begins a term, which ends the one before.
+// elect begins a new term of the leader, which ends the previous one, and returns its applier.
 func (c *testCluster) elect() *Applier {
 	c.t.Helper()
 	c.term = c.state.Put(store.LeaderKey, store.LeaderRecord{Member: "z"})
@@ -164,7 +165,7 @@
 	return applier
 }
 
-// parseDocument returns a document that must be valid.
+// parseDocument parses a document and fails the test if it is not valid.
 func parseDocument(t *testing.T, text string) *configuration.Document {
 	t.Helper()
 	parsed, err := configuration.Parse(text)
@@ -174,26 +175,26 @@
 	return parsed
 }
 
-// documentWithLimit returns a document that limits team a.
+// documentWithLimit returns a document that limits team a to a number of CPUs.
 func documentWithLimit(t *testing.T, cpus int) *configuration.Document {
 	return parseDocument(t, fmt.Sprintf("[[teams]]\nname = \"a\"\ncpus_max = %d\n", cpus))
 }
 
-// isolate cuts a follower off from all others, or reconnects it.
+// isolate disconnects a follower from the leader and the state service if cut is set, or else reconnects it.
 func (c *testCluster) isolate(name string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isolated[name] = cut
 }
 
-// lastAdopted returns the configuration that the leader uses.
+// lastAdopted returns the configuration that the leader adopted last.
 func (c *testCluster) lastAdopted() *configuration.Active {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.adopted[len(c.adopted)-1]
 }
 
-// requireNoOlderLease fails if a follower may use an older revision than one that is in force.
+// requireNoOlderLease fails the test if a follower may use an older revision than the one in force.
 func (c *testCluster) requireNoOlderLease(inForce uint64) {
 	c.t.Helper()
 	for name, configStore := range c.followers {
@@ -203,7 +204,7 @@
 	}
 }
 
-// smallLimits make a large document take many parts and several transactions.
+// smallLimits are limits under which a large document takes many parts and several transactions.
 var smallLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
 var usualLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
@@ -214,7 +215,7 @@
 	c.isolated = map[string]bool{}
 }
 
-// largeDocument returns a document, one for each n, that takes many parts under smallLimits.
+// largeDocument returns the text of a document that takes many parts under smallLimits. It differs for each n.
 func largeDocument(n int) string {
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	var b strings.Builder
--- a/configuration/revisions/errors.go
+++ b/configuration/revisions/errors.go
@@ -2,20 +2,20 @@
 
 import "errors"
 
-// Why a change is not made. The error of Applier.Apply wraps one of them, or tells that the document
-// cannot be stored.
+// The reasons why a change is not made. An error of Applier.Apply that wraps none of them means that
+// the document cannot be stored.
 var (
-	// ErrConflict: the present revision is not the expected one.
+	// ErrConflict reports that the newest revision is not the expected one.
 	ErrConflict = errors.New("the configuration was changed meanwhile")
-	// ErrBusy: another change is in progress.
-	ErrBusy = errors.New("another change is on its way")
-	// ErrUnavailable: the state service does not answer, and nothing was stored.
+	// ErrBusy reports that another change is in progress.
+	ErrBusy = errors.New("another change is in progress")
+	// ErrUnavailable reports that the state service does not answer and that nothing was stored.
 	ErrUnavailable = errors.New("the state service is out of reach; nothing was stored")
-	// ErrOutcomeUnknown: it is not known yet whether the change is stored. The applier goes on to
-	// find out.
+	// ErrOutcomeUnknown reports that it is not known yet whether the change is stored. The applier
+	// retries until it is known or the term ends.
 	ErrOutcomeUnknown = errors.New("it is not known yet whether the change is stored")
-	// ErrNotLeader: this controller does not lead any more.
-	ErrNotLeader = errors.New("this controller does not lead any more")
-	// ErrNotLoaded: the newest revision has not been read yet.
+	// ErrNotLeader reports that this controller is no longer the leader.
+	ErrNotLeader = errors.New("this controller is no longer the leader")
+	// ErrNotLoaded reports that the newest revision has not been read yet in this term.
 	ErrNotLoaded = errors.New("the configuration has not been read yet")
 )
--- a/configuration/revisions/persist.go
+++ b/configuration/revisions/persist.go
@@ -12,7 +12,7 @@
 
 // persist writes the parts of a revision and then its head, on condition that this controller leads
 // and that the head is still at headRevision. It returns the state service's revision of the new head.
-// On an error the head is not written, except for ErrOutcomeUnknown.
+// If it fails, the head is not written, except that it may be written on ErrOutcomeUnknown.
 func (a *Applier) persist(revision *configuration.Revision, headRevision uint64) (newHeadRevision uint64, err error) {
 	head, parts, err := configuration.Encode(revision, a.limits.ValueBytes())
 	if err != nil {
@@ -29,7 +29,8 @@
 		if err != nil {
 			return 0, err
 		}
-		// A late copy of an earlier attempt must not change the parts that the head will name.
+		// A delayed duplicate of an earlier attempt must not change the parts of the revision that
+		// the head will identify.
 		for _, operation := range operations {
 			conditions = append(conditions, store.Condition{Key: operation.Set, Revision: storeRevision})
 		}
@@ -39,10 +40,11 @@
 	return a.transact(conditions, operations, &head)
 }
 
-// transact repeats a transaction until its outcome is known, and returns the state service's revision
-// of it. It may be executed twice: the second execution fails by the conditions. Head is the head that
-// the transaction writes; nil: it writes none. The error is ErrUnavailable if nothing can have been
-// executed, and ErrOutcomeUnknown if the term ended before the outcome was known.
+// transact retries a transaction until its outcome is known, and returns the state service's revision
+// of the transaction. The service may execute two attempts; the conditions of the second one then fail.
+// The head is the one that the transaction writes, or nil if it writes none. The error is ErrUnavailable
+// if no attempt can have been executed, and ErrOutcomeUnknown if the term ended before the outcome was
+// known.
 func (a *Applier) transact(conditions []store.Condition, operations []store.Operation, head *configuration.Head) (uint64, error) {
 	outcomeUnknown := false
 	for a.termCtx.Err() == nil {
@@ -55,7 +57,7 @@
 		case err == nil:
 			return storeRevision, nil
 		case errors.Is(err, store.ErrConflict):
-			// An attempt without an answer may have been executed.
+			// An earlier attempt whose answer was lost may have been executed.
 			if outcomeUnknown {
 				if found, ok := a.findHead(head); ok {
 					return found, nil
@@ -76,7 +78,8 @@
 	return 0, ErrOutcomeUnknown
 }
 
-// conflictError returns why a transaction whose conditions on these keys failed was not executed.
+// conflictError returns the error for a transaction that was not executed because its conditions on the
+// given keys failed.
 func conflictError(failed []string) error {
 	if len(failed) > 0 && failed[0] == store.LeaderKey {
 		return ErrNotLeader
@@ -84,8 +87,8 @@
 	return fmt.Errorf("%w: %v", ErrConflict, failed)
 }
 
-// findHead tells whether a head is the one that is stored, and at which revision of the state service.
-// It asks until there is an answer or the term ends.
+// findHead reports whether the stored head equals the given one, and returns the state service's
+// revision of it. It retries until the state service answers or the term ends.
 func (a *Applier) findHead(head *configuration.Head) (storeRevision uint64, ok bool) {
 	if head == nil {
 		return 0, false
@@ -104,8 +107,9 @@
 	return 0, false
 }
 
-// removeOldRevisions removes the newest of the revisions that are no longer kept, at most
-// tuning.ConfigurationSwept. What fails is attempted again after a later change.
+// removeOldRevisions removes revisions that are older than the tuning.ConfigurationKept newest ones, the
+// newest of them first and tuning.ConfigurationSwept at most. A removal that fails is retried after a
+// later change.
 func (a *Applier) removeOldRevisions(newest uint64) {
 	for back := uint64(tuning.ConfigurationKept); back < tuning.ConfigurationKept+tuning.ConfigurationSwept && back < newest; back++ {
 		number := newest - back
@@ -117,7 +121,7 @@
 		if !ok {
 			return
 		}
-		// The first part goes last, since it has the number of parts.
+		// The first part is removed last, since the number of parts is read from it.
 		for i := parts - 1; i >= 0; i-- {
 			operations := []store.Operation{{Delete: configuration.PartKey(number, i)}}
 			if _, _, err := a.client.Transact(a.termCtx, []store.Condition{leading}, operations); err != nil {
@@ -128,7 +132,8 @@
 	}
 }
 
-// storedParts returns the number of parts of a revision; false: it is not stored, or cannot be read.
+// storedParts returns the number of parts of a revision, and false if the revision is not stored or
+// cannot be read.
 func (a *Applier) storedParts(number uint64) (int, bool) {
 	item, err := a.client.Get(a.termCtx, configuration.PartKey(number, 0))
 	if err != nil {
--- a/configuration/revisions/rollout.go
+++ b/configuration/revisions/rollout.go
@@ -9,7 +9,7 @@
 	"switchferry/tuning"
 )
 
-// change is a change that is in progress.
+// change is a configuration change in progress.
 type change struct {
 	// rollout is guarded by Applier.mu.
 	rollout  *configuration.Rollout
@@ -19,14 +19,15 @@
 	headRevision uint64
 }
 
-// rollOut takes a change from before it is stored until it is in force. The error says why the
-// revision is not stored, or is ErrNotLeader if the term ended before it was in force.
+// rollOut stores the revision of a change and waits until it is in force. The error is the reason why
+// the revision is not stored, or ErrNotLeader if the term ended before the revision was in force.
 func (a *Applier) rollOut(change change) error {
 	rollout, revision := change.rollout, change.revision
 	a.mu.Lock()
 	a.rollout = rollout
 	a.mu.Unlock()
-	// From here on the lower limits of both revisions apply, whatever becomes of the change.
+	// From here on the lower limits of both revisions apply, so that the decisions comply with both
+	// whether or not the new revision is stored.
 	unrecordedCount := a.leader.Adopt(rollout.Effective())
 	headRevision, err := a.persist(revision, change.headRevision)
 	if err != nil {
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// resumeRollout brings the revision into force that the last leader stored. That leader may have ended
-// before the revision was in force, and some controllers may still use an older one.
+// resumeRollout brings the revision that the previous leader stored into force. That leader's term may
+// have ended before the revision was in force, so some controllers may still use an older one.
 func (a *Applier) resumeRollout(active *configuration.Active) {
 	rollout := configuration.NewRollout(active, active, a.leader.Peers())
 	rollout.MarkStored(a.clock.Now())
@@ -67,8 +68,8 @@
 	}()
 }
 
-// awaitInForce waits until a stored revision is in force, and returns true then. It returns false if
-// the term ends before. The goroutines that it starts end with the rollout or the term.
+// awaitInForce waits until a stored revision is in force, and returns false if the term ends before
+// that. The goroutines that it starts end when the revision is in force or the term ends.
 func (a *Applier) awaitInForce(rollout *configuration.Rollout, unrecordedCount func() int) bool {
 	for _, member := range a.leader.Peers() {
 		go a.awaitConfirmation(rollout, member)
@@ -83,8 +84,9 @@
 	return false
 }
 
-// advance moves a rollout on, and returns true once the revision is in force. The leader then decides
-// by the new revision alone, before anybody is told that it is in force.
+// advance updates the stage of a rollout and reports whether the revision is in force. If it is, the
+// leader adopts the new revision before a.mu is released, and thus before any answer says that the
+// revision is in force.
 func (a *Applier) advance(rollout *configuration.Rollout, unrecorded int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,7 +98,8 @@
 	return true
 }
 
-// awaitConfirmation asks a peer until it has read the revision, or the revision is in force without.
+// awaitConfirmation asks a peer repeatedly to read the revision, until the peer has confirmed it, the
+// revision is in force without that confirmation, or the term ends.
 func (a *Applier) awaitConfirmation(rollout *configuration.Rollout, member string) {
 	for a.termCtx.Err() == nil {
 		number, err := a.leader.RefreshPeer(a.termCtx, member, rollout.After.Revision)
@@ -114,5 +117,5 @@
 	}
 }
 
-// sleep waits for a duration, or until the term ends.
+// sleep waits for a duration or until the term ends.
 func (a *Applier) sleep(duration time.Duration) { sleep.For(a.termCtx, a.clock, duration) }
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -1,8 +1,8 @@
 // Package revisions reads and writes the configuration in the state service. A Store reads the newest
-// revision at intervals, so that its controller knows until when it may use what it has read. The
-// leader's Applier stores a new revision and brings it into force on all controllers.
+// revision at intervals, which renews the lease under which its controller may use that revision. The
+// leader's Applier stores new revisions and brings them into force on all controllers.
 //
-// What a revision means is up to package configuration, and what decisions use it to the controller.
+// Package configuration defines the meaning of a revision; the controller decides where it is used.
 package revisions
 
 import (
@@ -22,32 +22,34 @@
 	"switchferry/tuning"
 )
 
-// Store has the newest revision that this process has read. It is safe for concurrent use.
+// Store holds the newest revision that this process has read. It is safe for concurrent use.
 type Store struct {
 	client *store.Client
 	clock  clockwork.Clock
-	// files is the configuration without any revision.
+	// files is the configuration that applies without any revision.
 	files *configuration.Active
-	// limits are the lowest that the state service has or will have.
+	// limits are the lowest limits that the state service has now or will have.
 	limits settings.State
 
+	// mu guards the fields below.
 	mu    sync.Mutex
 	lease configuration.ValidityLease
-	// revision is the one that the lease is for; nil: files and settings apply alone.
+	// revision is the one that the lease covers, or nil if only the files and settings apply.
 	revision *configuration.Revision
-	// newest is the number of the newest revision that is stored; 0: there is none.
+	// newest is the number of the newest stored revision, or 0 if there is none.
 	newest uint64
-	// rejection is why the newest revision is not used; empty: it is.
+	// rejection is the reason why the newest revision is not used, or empty if it is used.
 	rejection string
 }
 
-// New returns a Store that has read nothing yet. Files is the configuration without any revision.
+// New returns a Store that has read nothing yet. The argument files is the configuration that applies
+// without any revision.
 func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Store {
 	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
 }
 
-// Run refreshes at intervals until the context ends. It pauses while paused returns true, as on the
-// leader, which knows the newest revision.
+// Run calls Refresh at intervals of tuning.ConfigurationEvery until the context ends. It skips the call
+// while paused returns true, as on the leader, which stores the revisions itself.
 func (s *Store) Run(ctx context.Context, paused func() bool) {
 	for ctx.Err() == nil {
 		if !paused() {
@@ -59,24 +61,25 @@
 	}
 }
 
-// Lease returns the configuration that was read last, and whether it may be used now.
+// Lease returns the lease on the revision that was read last, and whether it is valid now.
 func (s *Store) Lease() (configuration.ValidityLease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease, s.lease.ValidAt(s.clock.Now())
 }
 
-// Current returns the revision that was read last; nil: files and settings apply alone. Newest is the
-// number of the newest revision that is stored, and rejection says why that is not used; empty: it is.
+// Current returns the revision in use, or nil if only the files and settings apply. The result newest
+// is the number of the newest stored revision, or 0 if there is none, and rejection is the reason why
+// that revision is not used, or empty if it is used.
 func (s *Store) Current() (revision *configuration.Revision, newest uint64, rejection string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision, s.newest, s.rejection
 }
 
-// Refresh renews the lease: it reads which revision is the newest, and reads that one if it is not
-// the present one. It returns the number of the newest; 0: there is none. The error is that of the
-// state service; a revision that cannot be used is no error.
+// Refresh renews the lease: it reads the head, and reads the newest revision if that is not the current
+// one. It returns the number of the newest revision, or 0 if there is none. An error means that the
+// state service could not be read; a stored revision that cannot be used is not an error.
 func (s *Store) Refresh(ctx context.Context) (uint64, error) {
 	requestedAt := s.clock.Now()
 	head, err := s.client.Get(ctx, configuration.HeadKey)
@@ -92,7 +95,8 @@
 	return s.load(ctx, head, configuration.ValidityLease{StoreRevision: head.Revision, RequestedAt: requestedAt})
 }
 
-// renew renews the lease if the head of its revision is unchanged, and tells whether it is.
+// renew renews the lease if the head has not changed since the lease's revision was read, and reports
+// whether that is so. It returns the number of the newest revision.
 func (s *Store) renew(headRevision uint64, requestedAt time.Time) (newest uint64, unchanged bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +107,9 @@
 	return s.newest, unchanged
 }
 
-// load reads the revision that a head names, and makes it the current one. If it cannot be used, the
-// newest one before it that can is. It returns the number of the newest.
+// load reads the revision that a head identifies and makes it the current one. If that revision cannot be
+// used, load falls back to the newest earlier one that can. It returns the number of the newest
+// revision.
 func (s *Store) load(ctx context.Context, head store.Item, lease configuration.ValidityLease) (uint64, error) {
 	if head.Revision == 0 {
 		lease.Active = s.files
@@ -135,19 +140,21 @@
 		if rejection == "" {
 			rejection = err.Error()
 		}
-		digest = "" // The head has that of the newest only.
+		digest = "" // The head has only the digest of the newest revision.
 	}
 	lease.Active = s.files
 	s.setCurrent(lease, nil, namedHead.Number, rejection)
 	return namedHead.Number, nil
 }
 
-// isUnusable tells whether an error is about a stored revision, and not about reading it.
+// isUnusable reports whether an error means that a stored revision cannot be used, as opposed to a failed
+// read.
 func isUnusable(err error) bool {
 	return errors.Is(err, configuration.ErrDamaged) || errors.Is(err, configuration.ErrNewer)
 }
 
-// highestStored returns the highest number of a revision of which a part is stored; 0: there is none.
+// highestStored returns the highest number of a revision of which at least one part is stored, or 0 if
+// there is none.
 func (s *Store) highestStored(ctx context.Context) (uint64, error) {
 	items, _, err := s.client.List(ctx, configuration.PartPrefix)
 	if err != nil {
@@ -162,7 +169,7 @@
 	return highest, nil
 }
 
-// setCurrent sets what was read last, unless it was requested before the present one was.
+// setCurrent replaces the lease and the revision, unless the present lease comes from a later request.
 func (s *Store) setCurrent(lease configuration.ValidityLease, revision *configuration.Revision, newest uint64, rejection string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +182,9 @@
 	}
 }
 
-// readRevision reads a revision and its document. Digest is that of the head; empty: not known. The
-// error wraps configuration.ErrDamaged or configuration.ErrNewer if the revision cannot be used.
+// readRevision reads a revision and its document. The digest is that of the head, or empty if it is not
+// known. The error wraps configuration.ErrDamaged or configuration.ErrNewer if the revision cannot be
+// used.
 func (s *Store) readRevision(ctx context.Context, number uint64, digest string) (*configuration.Revision, *configuration.Document, error) {
 	var parts []configuration.Part
 	for i := 0; i == 0 || i < parts[0].Of; i++ {
@@ -211,8 +219,8 @@
 	return revision, err
 }
 
-// History reads the last revisions that are stored, the newest first, without their documents. For a
-// revision that cannot be used, Why has the reason.
+// History reads the last stored revisions, newest first, without their documents. For a
+// revision that cannot be used, Why contains the reason.
 func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
 	newest, err := s.Refresh(ctx)
 	if err != nil {
--- a/configuration/rollout.go
+++ b/configuration/rollout.go
@@ -8,40 +8,42 @@
 	"switchferry/tuning"
 )
 
-// Stage is how far a rollout has come.
+// Stage is the stage that a rollout has reached.
 type Stage int
 
-// The stages of a rollout. It begins with Storing, and ends with Refused or InForce.
+// The stages of a rollout. Storing is the first; Refused and InForce are final.
 const (
-	// Storing: the revision is not known to be stored. The lower limits of both revisions apply.
+	// Storing means that the revision is not known to be stored. The lower limits of both revisions
+	// apply.
 	Storing Stage = iota
-	// Refused: the revision is not stored, and will not be. The former one applies.
+	// Refused means that the revision is not stored and will not be. The previous one applies.
 	Refused
-	// Spreading: the revision is stored, and some controllers may still use the former one. The
-	// lower limits of both apply.
+	// Spreading means that the revision is stored, but some controllers may still use the previous
+	// one. The lower limits of both revisions apply.
 	Spreading
-	// InForce: no controller decides or answers by an older revision. The new one applies.
+	// InForce means that no controller uses an older revision for decisions or answers. The new
+	// revision applies.
 	InForce
 )
 
-// Rollout is the change from one revision to the next as the leader sees it, from before the new one
-// is stored until it is in force. It is not safe for concurrent use.
+// Rollout is the leader's state of the change from one revision to the next, from before the new
+// revision is stored until it is in force. It is not safe for concurrent use.
 type Rollout struct {
-	// Before and After do not change.
+	// Before and After are the configurations of the previous and the new revision. They are immutable.
 	Before, After *Active
 	// stricter is Stricter(Before, After).
 	stricter *Active
 	stage    Stage
-	// storedAt is when the state service answered that the revision is stored.
+	// storedAt is the time at which the state service answered that the revision is stored.
 	storedAt time.Time
-	// unconfirmed are the peers that may use a revision older than After.
+	// unconfirmed is the set of peers that may still use a revision older than After.
 	unconfirmed map[string]bool
-	// unrecorded is the number of decisions from before the change that are not persisted.
+	// unrecorded is the number of decisions made before the change that are not persisted yet.
 	unrecorded int
 }
 
-// NewRollout returns a rollout in stage Storing. Peers are all other controllers. Until SetUnrecorded
-// is called, it counts as having unrecorded decisions.
+// NewRollout returns a rollout in stage Storing. Peers are the names of all other controllers. Until
+// SetUnrecorded is called, the rollout assumes that there are decisions that are not persisted.
 func NewRollout(before, after *Active, peers []string) *Rollout {
 	rollout := &Rollout{Before: before, After: after, stricter: Stricter(before, after), unconfirmed: map[string]bool{}, unrecorded: 1}
 	for _, peer := range peers {
@@ -50,7 +52,7 @@
 	return rollout
 }
 
-// Effective returns the configuration that decisions are to use now.
+// Effective returns the configuration that decisions must use in the present stage.
 func (r *Rollout) Effective() *Active {
 	switch r.stage {
 	case Refused:
@@ -61,31 +63,31 @@
 	return r.stricter
 }
 
-// Stage returns how far the rollout has come.
+// Stage returns the stage that the rollout has reached.
 func (r *Rollout) Stage() Stage { return r.stage }
 
-// MarkRefused notes that the revision is not stored.
+// MarkRefused records that the revision is not stored and will not be.
 func (r *Rollout) MarkRefused() { r.stage = Refused }
 
-// MarkStored notes that the revision is stored, and when the state service answered so. The revision
-// may have been stored earlier; the answer is the latest that it can have been.
+// MarkStored records that the revision is stored, and the time at which the state service's answer
+// arrived. The revision was stored at that time or earlier.
 func (r *Rollout) MarkStored(answered time.Time) { r.stage, r.storedAt = Spreading, answered }
 
-// Confirm notes that the present process of a peer has read the revision, or a newer one. It has no
-// effect before MarkStored.
+// Confirm records that the process that now runs on a peer has read the given revision. It has no
+// effect before MarkStored, or if the revision is older than After.
 func (r *Rollout) Confirm(member string, revision uint64) {
 	if r.stage == Spreading && revision >= r.After.Revision {
 		delete(r.unconfirmed, member)
 	}
 }
 
-// SetUnrecorded sets the number of decisions from before the change, starts and accepts, that are not
-// persisted.
+// SetUnrecorded sets the number of decisions (starts and accepts) made before the change that are not
+// persisted yet.
 func (r *Rollout) SetUnrecorded(n int) { r.unrecorded = n }
 
-// Advance moves a stored revision to InForce once all decisions from before the change are persisted,
-// and either each peer has confirmed the revision or no lease on an older one can be valid. It
-// returns the stage.
+// Advance moves a stored revision to InForce once all decisions made before the change are persisted,
+// and either each peer has confirmed the revision or no lease on an older one can be valid any more.
+// It returns the stage.
 func (r *Rollout) Advance(now time.Time) Stage {
 	if r.stage == Spreading && r.unrecorded == 0 && (len(r.unconfirmed) == 0 || !now.Before(r.leasesExpireAt())) {
 		r.stage = InForce
@@ -93,14 +95,15 @@
 	return r.stage
 }
 
-// leasesExpireAt returns when no lease on an older revision can be valid any more. A request that was
-// sent after the revision was stored finds it; a lease by an earlier one has expired by then, even
-// with the drift between the clocks of two controllers.
+// leasesExpireAt returns the time from which no lease on an older revision can be valid. A request that
+// is sent after the revision was stored finds the revision. A lease that an earlier request renewed has
+// expired by the returned time, even if the clocks of the two controllers drift apart.
 func (r *Rollout) leasesExpireAt() time.Time {
 	return r.storedAt.Add(tuning.ConfigurationLease + tuning.ConfigurationGrain)
 }
 
-// WaitsFor returns what the rollout waits for, sorted, in words for operators; empty: nothing.
+// WaitsFor returns descriptions, for operators, of what the rollout waits for, sorted. It returns none
+// if the rollout waits for nothing.
 func (r *Rollout) WaitsFor(now time.Time) (out []string) {
 	if r.stage == Storing {
 		return []string{"the state service"}
@@ -109,7 +112,7 @@
 		return nil
 	}
 	if r.unrecorded > 0 {
-		out = append(out, fmt.Sprintf("%d starts and accepts of before the change, which are not on record yet", r.unrecorded))
+		out = append(out, fmt.Sprintf("%d starts and accepts from before the change that are not on record yet", r.unrecorded))
 	}
 	if left := r.leasesExpireAt().Sub(now); left > 0 {
 		for member := range r.unconfirmed {
--- a/configuration/rollout_test.go
+++ b/configuration/rollout_test.go
@@ -8,8 +8,8 @@
 	"switchferry/tuning"
 )
 
-// A revision is in force once each peer has confirmed it or no lease on an older one can be valid, and
-// never before all decisions by the older one are persisted.
+// A revision is in force once each peer has confirmed it or no lease on an older one can be valid, but not
+// before all decisions made under the older one are persisted.
 func TestRolloutIsInForceOnceNoOlderRevisionIsValid(t *testing.T) {
 	start := time.Unix(1000, 0)
 	before, after := FromFiles([]settings.Team{{Name: "a", CPUsMax: 9}}, nil), FromFiles([]settings.Team{{Name: "a", CPUsMax: 5}}, nil)
@@ -22,12 +22,12 @@
 		now       time.Time
 		want      Stage
 	}{
-		{"nobody confirmed, leases are valid", nil, 0, last.Add(-time.Millisecond), Spreading},
-		{"nobody confirmed, leases have expired", nil, 0, last, InForce},
+		{"none confirmed, leases may be valid", nil, 0, last.Add(-time.Millisecond), Spreading},
+		{"none confirmed, leases have expired", nil, 0, last, InForce},
 		{"one confirmed", map[string]uint64{"x": 7}, 0, start, Spreading},
-		{"both confirmed, one a newer one", map[string]uint64{"x": 7, "y": 8}, 0, start, InForce},
-		{"both confirmed, one an older one", map[string]uint64{"x": 7, "y": 6}, 0, start, Spreading},
-		{"both confirmed, starts are not on record", map[string]uint64{"x": 7, "y": 7}, 2, last.Add(time.Hour), Spreading},
+		{"both confirmed, one of them a newer revision", map[string]uint64{"x": 7, "y": 8}, 0, start, InForce},
+		{"both confirmed, one of them an older revision", map[string]uint64{"x": 7, "y": 6}, 0, start, Spreading},
+		{"both confirmed, starts are not persisted", map[string]uint64{"x": 7, "y": 7}, 2, last.Add(time.Hour), Spreading},
 	} {
 		rollout := NewRollout(before, after, []string{"x", "y"})
 		rollout.Confirm("x", 7) // has no effect before the revision is stored
@@ -43,12 +43,12 @@
 			t.Errorf("%s: %v, waits for %v", test.name, got, rollout.WaitsFor(test.now))
 		}
 		if want := map[Stage]*Active{Spreading: rollout.stricter, InForce: after}[test.want]; rollout.Effective() != want {
-			t.Errorf("%s: another configuration is effective", test.name)
+			t.Errorf("%s: the effective configuration is not the expected one", test.name)
 		}
 	}
 	rollout := NewRollout(before, after, nil)
 	rollout.MarkRefused()
 	if rollout.Effective() != before || rollout.Advance(last.Add(time.Hour)) != Refused {
-		t.Error("a refused change counts")
+		t.Error("the previous configuration is not effective after the change was refused")
 	}
 }
--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -1,9 +1,9 @@
-// Package exchange relays messages between a controller and a leader that cannot reach each other,
-// by writing the packets of package relay to the state service and reading them. It decides when and
-// how much is written; what the messages say is up to its users.
+// Package exchange relays messages between a controller and a leader that cannot reach each other: each
+// writes packets of package relay to the state service, from which the other reads them. The package
+// decides when and how much is written; its users define the content of the messages.
 //
-// An Exchange is the side of a controller that does not reach the leader. Follow and Mailboxes are
-// the leader's side.
+// An Exchange is used by a controller that cannot reach the leader. Follow and Mailboxes are used by
+// the leader.
 package exchange
 
 import (
@@ -24,33 +24,35 @@
 	"switchferry/tuning"
 )
 
-// Exchange relays messages of one kind between this controller, Member, and a leader that it does
-// not reach. Its fields are set before the first call and not changed after.
+// Exchange relays messages of one kind between this controller and a leader that it cannot reach. Its
+// fields are set before the first call and not changed afterwards.
 type Exchange struct {
+	// Member is the name of this controller.
 	Member string
 	Client *store.Client
 	Clock  clockwork.Clock
-	// Rate limits the packets that this controller writes, of all its exchanges together.
+	// Rate limits the packets that all exchanges of this controller together write.
 	Rate *rate.Limiter
-	// UplinkKey returns the key of the i-th packet to the leader. DownlinkPrefix is the prefix of
-	// the keys of the leader's packets.
+	// UplinkKey returns the key of packet i to the leader, counted from 0. DownlinkPrefix is the
+	// prefix of the keys of the leader's packets to this controller.
 	UplinkKey      func(member string, i int) string
 	DownlinkPrefix string
 	// RefreshEvery is the interval at which an unchanged message is written again.
 	RefreshEvery time.Duration
 
-	// Lock guards Outbox and Reader, which the owner shares.
+	// Lock guards Outbox and Reader, which the owner of the exchange uses too.
 	Lock   *sync.Mutex
 	Outbox *relay.Outbox
 	Reader *relay.Reader
-	// Expire removes senders that are no longer relayed. It is called with Lock held.
+	// Expire removes senders that have sent nothing for too long. It is called with Lock held.
 	Expire func(now time.Time)
-	// TermEnded is called with Lock held when the term that the outbox is addressed to has ended.
+	// TermEnded is called with Lock held when the term of the leader to which the outbox is addressed
+	// has ended.
 	TermEnded func()
 }
 
-// Run writes and reads packets while the outbox has senders. It returns once the context has ended
-// and its reader has stopped.
+// Run writes and reads packets while the outbox has senders. It returns once the context has ended and
+// the goroutine that reads has stopped.
 func (e *Exchange) Run(ctx context.Context) {
 	var reader sync.WaitGroup
 	reader.Go(func() { e.read(ctx) })
@@ -62,7 +64,7 @@
 	}
 }
 
-// active expires senders, and tells whether there are any left.
+// active expires senders and reports whether any are left.
 func (e *Exchange) active() bool {
 	e.Lock.Lock()
 	defer e.Lock.Unlock()
@@ -70,8 +72,8 @@
 	return e.Outbox.Len() > 0
 }
 
-// Write sends the packets that are due, as many as one transaction and Rate allow. It returns true
-// if there may be more to send.
+// Write writes the packets that are due, as many as one transaction and Rate allow. It returns true if
+// more packets may be due.
 func (e *Exchange) Write(ctx context.Context) bool {
 	if !e.active() {
 		return false
@@ -96,7 +98,8 @@
 		operations = append(operations, store.Operation{Set: e.UplinkKey(e.Member, i), Value: packet})
 	}
 	e.Rate.AllowN(now, len(operations))
-	// The condition holds for the addressed leader only: a later one must not read these packets.
+	// The condition holds only while the addressed leader leads: a later leader must not read these
+	// packets.
 	addressed := []store.Condition{{Key: store.LeaderKey, Revision: term}}
 	_, _, err = e.Client.Transact(ctx, addressed, operations)
 	if err == nil {
@@ -113,8 +116,8 @@
 	return false
 }
 
-// read follows the leader's packets until the context ends. It starts with a full reading after each
-// error, and each time that there are senders again.
+// read applies the leader's packets as they change, until the context ends. It reads all packets first,
+// and again after each error and each time that senders appear after there were none.
 func (e *Exchange) read(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
@@ -131,8 +134,9 @@
 }
 
 // Fetch applies the leader's packets to Reader: all of them if after is 0, otherwise those that
-// changed after that revision of the state service, for which it waits. It returns the revision to
-// continue from. The error is that of the state service; packets that are corrupt are logged.
+// changed after that revision of the state service, for which it waits up to tuning.WatchBlock. It
+// returns the revision to continue from. An error means that the state service could not be read;
+// corrupt packets are logged and skipped.
 func (e *Exchange) Fetch(ctx context.Context, after uint64) (uint64, error) {
 	events, revision, err := e.downlinkEvents(ctx, after)
 	if err != nil {
@@ -155,7 +159,8 @@
 	return max(after, revision), nil
 }
 
-// downlinkEvents returns the leader's packets as events, and the revision that they are as of.
+// downlinkEvents returns the leader's packets as events, and the revision of the state service at which
+// they were read.
 func (e *Exchange) downlinkEvents(ctx context.Context, after uint64) ([]store.Event, uint64, error) {
 	if after > 0 {
 		return e.Client.Watch(ctx, e.DownlinkPrefix, after, tuning.WatchBlock)
@@ -168,7 +173,7 @@
 	return events, revision, err
 }
 
-// parsePacket parses a value of the state service.
+// parsePacket parses a packet from a value of the state service.
 func parsePacket(raw json.RawMessage) (packet relay.Packet, err error) {
 	if err := json.Unmarshal(raw, &packet); err != nil {
 		return packet, fmt.Errorf("parsing a relayed packet: %w", err)
@@ -176,7 +181,7 @@
 	return packet, nil
 }
 
-// logCorruptPacket logs that the packet under a key is skipped.
+// logCorruptPacket logs that the packet with the given key is skipped as corrupt.
 func logCorruptPacket(key string, err error) {
 	slog.Error("corrupt relayed message", "key", key, "err", err)
 }
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	// The compressor is made once, and must not be made within a bubble of synctest.
+	// The compressor is created on first use, which must not happen inside a synctest bubble.
 	if _, err := compress.EncodeFast(0); err != nil {
 		panic(err)
 	}
@@ -31,13 +31,13 @@
 
 var facts = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
-// partition is a controller "y" and a leader that reach the state service alone.
+// partition is a controller "y" and a leader "x" that can reach the state service but not each other.
 type partition struct {
 	state  *fake.State
 	client *store.Client
 	clock  clockwork.Clock
 	term   uint64
-	// exchange is the controller's.
+	// exchange is the exchange of the controller.
 	exchange *Exchange
 
 	mu sync.Mutex
@@ -69,26 +69,26 @@
 	return link
 }
 
-// elect begins a term of the leader.
+// elect begins a new term of the leader.
 func (p *partition) elect() {
 	p.term = p.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 }
 
-// put puts a message of a machine into the outbox.
+// put puts a message of a machine into the controller's outbox.
 func (p *partition) put(machine, body string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.exchange.Outbox.Put(machine, json.RawMessage(body), true, p.clock.Now())
 }
 
-// messageFor returns the newest message for a machine.
+// messageFor returns the newest message from the leader for a machine.
 func (p *partition) messageFor(machine string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return string(p.exchange.Reader.MessageFor(p.term, machine))
 }
 
-// received collects what the leader receives, as "member machine body".
+// received collects the messages that the leader receives, in the form "member machine body".
 type received struct {
 	mu       sync.Mutex
 	messages []string
@@ -106,7 +106,7 @@
 	return fmt.Sprint(r.messages)
 }
 
-// packetOf returns a packet for the leader of a term with a message of a machine.
+// packetOf returns a packet to the leader of a term that contains one message of a machine.
 func packetOf(t *testing.T, term uint64, machine, body string) relay.Packet {
 	t.Helper()
 	outbox := relay.NewOutbox(PacketLimits(facts), 1)
@@ -119,8 +119,8 @@
 	return batch.Packets[0]
 }
 
-// Messages cross in both directions while both sides run, and both stop with their contexts. A packet
-// that is corrupt, or of another term, is skipped.
+// Messages are relayed in both directions while both sides run, and both sides stop when their contexts
+// end. Packets that are corrupt or of another term are skipped.
 func TestMessagesCrossInBothDirections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		link := newPartition(t)
@@ -168,24 +168,24 @@
 	})
 }
 
-// Packets are written for the leader of their term alone. After a change of leader nothing is written,
-// and TermEnded is called.
+// Packets are written only while the leader to which they are addressed leads. After a change of leader
+// nothing is written, and TermEnded is called.
 func TestWriteStopsWhenTermHasEnded(t *testing.T) {
 	link := newPartition(t)
 	link.put("n1", `1`)
 	link.elect()
 	if link.exchange.Write(t.Context()) || link.ended != 1 || link.state.Under(store.RelayPrefix) != 0 {
-		t.Errorf("%d ends of the term, %d packets written", link.ended, link.state.Under(store.RelayPrefix))
+		t.Errorf("TermEnded called %d times, %d packets written", link.ended, link.state.Under(store.RelayPrefix))
 	}
 }
 
-// Messages whose write was refused are written with the next attempt.
+// Messages whose write failed in an outage are written on the next attempt.
 func TestWriteRetriesAfterOutage(t *testing.T) {
 	link := newPartition(t)
 	link.put("n1", `1`)
 	link.state.Outage(true)
 	if link.exchange.Write(t.Context()) || link.ended != 0 {
-		t.Errorf("%d ends of the term in an outage", link.ended)
+		t.Errorf("TermEnded called %d times in an outage", link.ended)
 	}
 	link.state.Outage(false)
 	if !link.exchange.Write(t.Context()) || link.state.Under(store.RelayPrefix) != 1 {
@@ -196,7 +196,7 @@
 	}
 }
 
-// The packet of a machine that is removed is written again if it has the machine's message, and only then.
+// When a machine is removed, its packet is written again if and only if the stored packet contains its message.
 func TestMailboxesWritePacketOfRemovedMachine(t *testing.T) {
 	var dirty []string
 	mailboxes := &Mailboxes{
--- a/relay/exchange/follow.go
+++ b/relay/exchange/follow.go
@@ -12,15 +12,16 @@
 	"switchferry/tuning"
 )
 
-// Follow is the leader's reader: it passes the messages that peers relay under a prefix to deliver,
-// beginning after a revision of the state service, until the context ends. Packets that are not
-// addressed to the leader of term are ignored. It calls deliver from its own goroutine only.
+// Follow passes the messages that peers relay to the leader to deliver, until the context ends. It reads
+// the packets whose keys have the prefix and that changed after the given revision of the state
+// service. Packets that are not addressed to the leader of term are ignored. Follow calls deliver only
+// from the goroutine in which it runs.
 func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, deliver func(member string, message relay.Message)) {
 	var reassembler relay.Reassembler
 	for ctx.Err() == nil {
 		events, revision, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
 		if errors.Is(err, store.ErrCompacted) {
-			// Only the revision is needed: senders repeat their messages.
+			// Only the revision is needed, since senders repeat their messages.
 			_, revision, err = client.List(ctx, prefix)
 		}
 		if err != nil {
@@ -32,9 +33,9 @@
 	}
 }
 
-// UnpackEvents passes the messages in the packets that events set to deliver, each with the member
-// that relayed it. Packets that are not addressed to the leader of term are ignored; packets that are
-// corrupt are logged and skipped.
+// UnpackEvents passes the messages in the packets that the events set to deliver, each with the name of
+// the member that relayed it. Packets that are not addressed to the leader of term are ignored; corrupt
+// packets are logged and skipped.
 func UnpackEvents(events []store.Event, prefix string, term uint64, reassembler *relay.Reassembler, deliver func(member string, message relay.Message)) {
 	for _, event := range events {
 		if event.Set == "" {
@@ -59,8 +60,8 @@
 	}
 }
 
-// ClaimPackets hands the packets of earlier leaders to the committer, which then overwrites or
-// deletes them. It repeats until the packets are listed or the context ends.
+// ClaimPackets registers the packets of earlier leaders with the committer, which then overwrites or
+// deletes them. It retries until the packets have been listed or the context ends.
 func ClaimPackets(ctx context.Context, client *store.Client, clock clockwork.Clock, committer *store.Committer, prefix string) {
 	for {
 		items, _, err := client.List(ctx, prefix)
--- a/relay/exchange/limits.go
+++ b/relay/exchange/limits.go
@@ -8,15 +8,15 @@
 	"switchferry/tuning"
 )
 
-// PacketLimits returns the limits that relayed packets keep: the lowest that the state service has
-// or will have.
+// PacketLimits returns the limits that relayed packets must observe, derived from the lowest limits that
+// the state service has now or will have.
 func PacketLimits(facts settings.State) relay.Limits {
 	least := facts.Least()
 	return relay.Limits{Value: least.ValueBytes(), Request: tuning.PacketRequestBytes, Ops: least.TxnOps}
 }
 
-// WriteRate returns the limiter of the packets that a controller writes, of all kinds together. It is
-// a small share of the state service's limit, since the leader's records come first.
+// WriteRate returns the limiter of the packets of all kinds that a controller writes. Its rate is the
+// share tuning.RelayShare of the state service's write limit, since the leader's records have priority.
 func WriteRate(facts settings.State) *rate.Limiter {
 	writesPerSecond := tuning.RelayShare * facts.Least().WriteRPS
 	return rate.NewLimiter(rate.Limit(writesPerSecond), max(PacketLimits(facts).MaxPackets(), int(writesPerSecond)))
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -8,28 +8,28 @@
 	"switchferry/store"
 )
 
-// Mailboxes holds the leader's packets of one kind, for workers or for data agents: a mailbox for
-// each peer with those that are behind it. It is not safe for concurrent use. Its exported fields
-// are set before the first call and not changed after.
+// Mailboxes builds the leader's packets of one kind, either for workers or for data agents. It has a
+// mailbox for each peer, with the machines whose messages that peer relays. It is not safe for
+// concurrent use. Its exported fields are set before the first call and not changed afterwards.
 type Mailboxes struct {
 	// Term is the leader's term.
 	Term uint64
-	// Limits are those that packets keep.
+	// Limits are the limits that packets must observe.
 	Limits relay.Limits
-	// Prefix is the prefix of the packets' keys, and Key returns one of them.
+	// Prefix is the common prefix of the packets' keys. Key returns the key of one packet for a peer.
 	Prefix string
 	Key    func(member string, part int) string
-	// MarkDirty asks for the packet of a key to be built by Packet and written.
+	// MarkDirty requests that the packet with the given key is built by Packet and written.
 	MarkDirty func(key string, urgency int, after func())
-	// Body returns the message for a machine behind a peer; nil: there is none.
+	// Body returns the message for a machine that a peer relays, or nil if there is none.
 	Body func(member, machine string) json.RawMessage
 
-	// mailboxes are by the name of the peer.
+	// mailboxes maps the names of peers to their mailboxes.
 	mailboxes map[string]*relay.Mailbox
 }
 
-// Update asks for a machine's packet to be written with its message as it is then. The machine is
-// added to the peer's mailbox if it is new.
+// Update requests that a machine's packet is written, with the message that Body returns at that time.
+// It adds the machine to the peer's mailbox if it is not in it yet.
 func (m *Mailboxes) Update(member, machine string) {
 	mailbox := m.mailboxes[member]
 	if mailbox == nil {
@@ -42,8 +42,8 @@
 	m.MarkDirty(m.Key(member, mailbox.AssignPacket(machine)), store.Ordinary, nil)
 }
 
-// Remove takes a machine out of a peer's mailbox. Stored tells that its message is in the stored
-// packet, which is then written without it.
+// Remove removes a machine from a peer's mailbox. If stored is set, the stored packet contains the
+// machine's message, and Remove requests that the packet is written without it.
 func (m *Mailboxes) Remove(member, machine string, stored bool) {
 	mailbox := m.mailboxes[member]
 	if mailbox == nil {
@@ -54,8 +54,9 @@
 	}
 }
 
-// Packet builds the packet of a key, and asks for the packets that took over machines from it to be
-// written. It returns false if the key is not that of a packet, and what is stored is to be deleted.
+// Packet builds the packet with the given key. If machines had to be moved to other packets, it requests
+// that those are written. It returns false if there is no packet with that key, and the caller must
+// delete the stored one.
 func (m *Mailboxes) Packet(key string) (relay.Packet, bool) {
 	member, index, ok := store.ParseRelayKey(m.Prefix, key)
 	if !ok || m.mailboxes[member] == nil {
@@ -75,7 +76,7 @@
 	return packet, packet.Packed != ""
 }
 
-// Machines returns the machines that are assigned to a packet for a peer, sorted by name.
+// Machines returns the machines that are assigned to a peer's packet, sorted by name.
 func (m *Mailboxes) Machines(member string, index int) []string {
 	if mailbox := m.mailboxes[member]; mailbox != nil {
 		return mailbox.Machines(index)
--- a/relay/proxy/agents.go
+++ b/relay/proxy/agents.go
@@ -13,9 +13,9 @@
 	"switchferry/tuning"
 )
 
-// Agents answers data agents in place of an unreachable leader. It is safe for use from several goroutines at once.
+// Agents answers data agents in place of an unreachable leader. It is safe for concurrent use.
 type Agents struct {
-	// Exchange carries the packets of agents; its owner runs it.
+	// Exchange relays the packets of agents. The owner of the Agents must run it.
 	Exchange *exchange.Exchange
 
 	clock clockwork.Clock
@@ -25,7 +25,7 @@
 	orders *staging.Proxy
 }
 
-// NewAgents returns a proxy that knows no agent yet.
+// NewAgents returns a proxy that has received no heartbeat yet.
 func NewAgents(options Options) *Agents {
 	a := &Agents{clock: options.Clock, orders: staging.NewProxy(options.newOutbox())}
 	a.Exchange = options.newExchange(store.AgentRelayKey, store.AgentResponsePrefix, tuning.RelayStageRefresh)
@@ -35,8 +35,8 @@
 	return a
 }
 
-// HandleHeartbeat takes in an agent's heartbeat for the leader of a term and returns the newest order that the leader has
-// sent for it. The error is that of a damaged order.
+// HandleHeartbeat relays an agent's heartbeat to the leader of a term and returns the newest order that the leader has
+// sent for the agent. The error reports that the order is corrupt.
 func (a *Agents) HandleHeartbeat(heartbeat *api.StageHeartbeat, term uint64) (api.StageOrder, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package proxy answers workers and data agents in place of a leader that this controller cannot reach, while the state
-// service says that the leader leads. Heartbeats go to the leader, and its commands and orders come back, in packets
-// through the state service (packages relay and relay/exchange). Without it, every worker on the far side of a network
-// partition would kill its tasks as soon as its lease expires.
+// Package proxy answers workers and data agents in place of a leader that this controller cannot reach but that leads
+// according to the state service. It relays their heartbeats to the leader, and the leader's commands and orders back, in
+// packets through the state service (packages relay and relay/exchange). Without it, every worker that a network partition
+// separates from the leader would kill its tasks as soon as its lease expires.
 package proxy
 
 import (
@@ -17,29 +17,30 @@
 	"switchferry/tuning"
 )
 
-// Options are what a proxy needs of its controller.
+// Options holds what a proxy requires of its controller.
 type Options struct {
 	// Member is this controller's name.
 	Member string
-	// Client and Clock are used for all packets.
+	// Client is the client of the state service, and Clock the clock, that the proxy uses.
 	Client *store.Client
 	Clock  clockwork.Clock
-	// WriteLimit bounds the writes of all proxies of this controller together.
+	// WriteLimit limits the rate at which all proxies of this controller together write packets.
 	WriteLimit *rate.Limiter
 	// State holds the limits of the state service.
 	State settings.State
 }
 
-// senderTimeout is how long a sender may be silent before a proxy forgets it.
+// senderTimeout is the time without a heartbeat after which a proxy removes a sender.
 const senderTimeout = 2 * tuning.RelayRefresh
 
-// newOutbox returns an outbox for the packets to the leader. Its pieces are numbered from the time of day, so that no
-// earlier process of this member used the same numbers.
+// newOutbox returns an outbox for the packets to the leader. The IDs of its fragmented messages count up from the present
+// Unix time in milliseconds, so that no earlier process of this member has used the same IDs.
 func (o *Options) newOutbox() *relay.Outbox {
 	return relay.NewOutbox(exchange.PacketLimits(o.State), uint64(o.Clock.Now().UnixMilli()))
 }
 
-// newExchange returns an exchange between this controller and the leader. The caller fills in whose packets it carries.
+// newExchange returns an exchange between this controller and the leader. The caller sets the remaining fields: Lock,
+// Outbox, Reader, Expire and TermEnded.
 func (o *Options) newExchange(uplinkKey func(member string, i int) string, downlinkPrefix string, refreshEvery time.Duration) *exchange.Exchange {
 	return &exchange.Exchange{
 		Member:         o.Member,
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// newWorkers returns the proxy of a controller y.
+// newWorkers returns the proxy of the controller y.
 func newWorkers() *Workers {
 	clock := clockwork.NewFakeClock()
 	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
@@ -23,14 +23,15 @@
 	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimit: exchange.WriteRate(limits), State: limits})
 }
 
-// relayedCommand is a command for a task of b1, derived from the heartbeat seq, in one of the packets of the leader of term 7.
+// relayedCommand describes a command for a task on machine b1 that the leader of term 7 derived from heartbeat seq and put into
+// the given packet, which was written at the given revision of the state service.
 type relayedCommand struct {
 	packet        int
 	revision, seq uint64
 	verb          string
 }
 
-// relayCommand has a proxy read the packet with a command.
+// relayCommand makes a proxy read a packet that contains a command.
 func relayCommand(t *testing.T, workers *Workers, command relayedCommand) {
 	t.Helper()
 	mailbox := relay.NewMailbox(exchange.PacketLimits(settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}))
@@ -48,14 +49,14 @@
 	}
 }
 
-// relayStart is relayCommand for a start in the first packet.
+// relayStart makes a proxy read a start command in packet 0.
 func relayStart(t *testing.T, workers *Workers, revision, seq uint64) {
 	t.Helper()
 	relayCommand(t, workers, relayedCommand{revision: revision, seq: seq, verb: api.CommandRun})
 }
 
-// Commands are delivered only while the worker reports to this relay alone: in a gap another controller may have cleared the
-// attempt that they would start.
+// Commands are delivered only while this proxy receives all of a worker's heartbeats: if heartbeats are missing, another
+// controller may have cleared the attempt that the commands would start.
 func TestOvertakenCommandsAreNotDelivered(t *testing.T) {
 	workers := newWorkers()
 	send := func(seq uint64) api.HeartbeatResponse {
@@ -71,22 +72,22 @@
 			t.Errorf("commands from before a gap delivered for heartbeat %d", seq)
 		}
 	}
-	// What was delivered last is not followed by what was derived from an earlier heartbeat, in whichever packet it is
-	// found: after a clear, a start would begin the task again.
+	// Commands that were derived from an earlier heartbeat than the last delivered ones are not delivered after them, even
+	// from another packet: a start after a clear would run the task again.
 	relayCommand(t, workers, relayedCommand{packet: 1, revision: 60, seq: 14, verb: api.CommandClear})
 	if response := send(15); len(response.Commands) != 1 || response.Commands[0].Verb != api.CommandClear {
 		t.Fatalf("the newer commands: %+v", response)
 	}
 	relayCommand(t, workers, relayedCommand{packet: 0, revision: 70, seq: 13, verb: api.CommandRun})
 	if response := send(16); len(response.Commands) != 0 {
-		t.Errorf("commands derived before those that were delivered: %+v", response)
+		t.Errorf("commands derived before those that were delivered last: %+v", response)
 	}
 	if response := workers.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(response.Commands) != 0 || response.Term != 9 {
 		t.Errorf("commands of another term: %+v", response)
 	}
 }
 
-// A late copy of a heartbeat does not undo what the worker has said since.
+// A delayed duplicate of a heartbeat does not replace a newer one.
 func TestCopyOfAHeartbeatChangesNothing(t *testing.T) {
 	w := newWorkers()
 	term := uint64(9)
@@ -99,12 +100,13 @@
 	old.Seq = 10
 	w.HandleHeartbeat(&old, term)
 	if s := w.workers["b1"]; s.firstSeq != firstSeq || s.heartbeat.Seq != 11 || first.Term != term {
-		t.Error("a copy undid what the worker had said since")
+		t.Error("a duplicate heartbeat replaced the state from a newer one")
 	}
 }
 
-// Commands are delivered for a span of heartbeats after the one that they were derived from. Later the leader counts a
-// start among them as settled; it gets the heartbeat at once, so that it derives them anew, although nothing else changed.
+// Commands are delivered for tuning.RelayedCommandsSpan heartbeats after the one from which they were derived. After that
+// the leader may count a start among them as settled. The next heartbeat is sent at once, although the worker's status has
+// not changed, so that the leader derives the commands again.
 func TestOutdatedCommandsAreNotDeliveredButDerivedAnew(t *testing.T) {
 	workers := newWorkers()
 	say := func(seq uint64) api.HeartbeatResponse {
@@ -126,23 +128,23 @@
 		return len(batch.Packets)
 	}
 	if packetsDue() != 1 || packetsDue() != 0 {
-		t.Fatal("more than the first heartbeat is due")
+		t.Fatal("packets due: want the first heartbeat only")
 	}
 	const outdated = derivedFrom + tuning.RelayedCommandsSpan + 1
 	if response := say(outdated); len(response.Commands) != 0 {
-		t.Errorf("outdated commands are delivered: %+v", response)
+		t.Errorf("outdated commands were delivered: %+v", response)
 	}
 	if packetsDue() != 1 {
-		t.Error("the leader does not get the heartbeat at once")
+		t.Error("the heartbeat is not sent to the leader at once")
 	}
 	relayStart(t, workers, 51, outdated)
 	if response := say(outdated + 1); len(response.Commands) != 1 {
-		t.Errorf("commands derived anew are not delivered: %+v", response)
+		t.Errorf("commands derived again are not delivered: %+v", response)
 	}
 }
 
-// Commands derived from an earlier heartbeat are not delivered in answer to one that was offered to the leader, nor after
-// it: the leader may have handled it, and started the task elsewhere.
+// Once a heartbeat was forwarded to the leader directly without a reply, commands derived from earlier heartbeats are not
+// delivered any more, neither in answer to it nor later: the leader may have handled it and started the task elsewhere.
 func TestOfferedHeartbeatGetsNoEarlierCommands(t *testing.T) {
 	workers := newWorkers()
 	heartbeat := func(seq uint64) *api.Heartbeat {
@@ -151,10 +153,10 @@
 	workers.HandleHeartbeat(heartbeat(10), 7)
 	relayStart(t, workers, 50, 10)
 	if response := workers.HandleOfferedHeartbeat(heartbeat(11), 7); len(response.Commands) > 0 || response.Term != 7 {
-		t.Errorf("answer to an offered heartbeat: %+v", response)
+		t.Errorf("answer to a forwarded heartbeat: %+v", response)
 	}
 	if response := workers.HandleHeartbeat(heartbeat(12), 7); len(response.Commands) > 0 {
-		t.Errorf("answer after an offered heartbeat: %+v", response)
+		t.Errorf("answer to the heartbeat after a forwarded one: %+v", response)
 	}
 	relayStart(t, workers, 51, 12)
 	if response := workers.HandleHeartbeat(heartbeat(13), 7); len(response.Commands) != 1 {
