--- a/configuration/active.go
+++ b/configuration/active.go
@@ -13,7 +13,7 @@
 	// Revision is the number of the revision, or 0 if only the files and settings apply.
 	Revision  uint64
 	Policy    *policy.Policy
-	OverLimit OverLimit
+	OverLimit OverLimitPolicy
 	// AheadTasks overrides data.ahead_tasks of the features file, unless it is nil.
 	AheadTasks *int
 	// Topology overrides the topology file, unless it is nil.
@@ -26,7 +26,7 @@
 
 // FromFiles returns the configuration that applies without any revision.
 func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
-	active := &Active{Policy: filePolicy, OverLimit: OverLimit{Running: Leave}}
+	active := &Active{Policy: filePolicy, OverLimit: OverLimitPolicy{Running: Leave}}
 	active.setTeams(teams)
 	return active
 }
--- a/configuration/check.go
+++ b/configuration/check.go
@@ -36,7 +36,7 @@
 }
 
 // checkDocument checks a document and sets its compiled policy and its topology.
-func (c *documentChecker) checkDocument(document *Document, declared *topology.Declaration) {
+func (c *documentChecker) checkDocument(document *Document, topologyDeclaration *topology.Declaration) {
 	c.checkOverLimit(document.OverLimit)
 	if document.Policy != nil {
 		document.policy = policy.Of(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
@@ -45,12 +45,12 @@
 	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.AheadMost) {
 		c.addError("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, *aheadTasks))
 	}
-	if declared != nil {
-		document.Topology = declared.Map(func(field, want string) { c.addError("topology."+field, want) })
+	if topologyDeclaration != nil {
+		document.Topology = topologyDeclaration.Map(func(field, want string) { c.addError("topology."+field, want) })
 	}
 }
 
-func (c *documentChecker) checkOverLimit(overLimit OverLimit) {
+func (c *documentChecker) checkOverLimit(overLimit OverLimitPolicy) {
 	switch overLimit.Running {
 	case Leave:
 		if overLimit.StopWithinS != 0 {
--- a/configuration/difference.go
+++ b/configuration/difference.go
@@ -17,6 +17,7 @@
 	To   string `json:"to"`
 }
 
+// String returns the difference as a line of text for operators.
 func (d Difference) String() string {
 	display := func(value string) string {
 		if value == "" {
@@ -29,48 +30,48 @@
 
 // Differences returns the settings in which two documents differ, sorted by field. A nil document is
 // treated as one without settings.
-func Differences(from, to *Document) (out []Difference) {
+func Differences(from, to *Document) (differences []Difference) {
 	before, after := documentFields(from), documentFields(to)
-	all := maps.Clone(before)
-	maps.Copy(all, after)
-	for _, name := range slices.Sorted(maps.Keys(all)) {
+	names := maps.Clone(before)
+	maps.Copy(names, after)
+	for _, name := range slices.Sorted(maps.Keys(names)) {
 		if before[name] != after[name] {
-			out = append(out, Difference{name, before[name], after[name]})
+			differences = append(differences, Difference{name, before[name], after[name]})
 		}
 	}
-	return out
+	return differences
 }
 
 // documentFields returns the settings of a document as text, keyed by the names used in
 // Difference.Field.
 func documentFields(document *Document) map[string]string {
-	out := map[string]string{}
+	fields := map[string]string{}
 	if document == nil {
-		return out
+		return fields
 	}
 	if document.OverLimit.Running != Leave {
-		out["over_limit"] = fmt.Sprintf("%s within %g s", document.OverLimit.Running, document.OverLimit.StopWithinS)
+		fields["over_limit"] = fmt.Sprintf("%s within %g s", document.OverLimit.Running, document.OverLimit.StopWithinS)
 	}
 	for name, text := range document.Policy {
-		out["policy."+name] = text
+		fields["policy."+name] = text
 	}
 	for _, team := range document.Teams {
-		out["teams."+team.Name] = teamText(team)
+		fields["teams."+team.Name] = teamText(team)
 	}
 	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil {
-		out["features.ahead_tasks"] = fmt.Sprint(*aheadTasks)
+		fields["features.ahead_tasks"] = fmt.Sprint(*aheadTasks)
 	}
-	if declared := document.Topology; declared != nil {
-		out["topology.version"] = fmt.Sprint(declared.Version())
-		for _, domain := range declared.Domains() {
-			in := ""
+	if topologyMap := document.Topology; topologyMap != nil {
+		fields["topology.version"] = fmt.Sprint(topologyMap.Version())
+		for _, domain := range topologyMap.Domains() {
+			parentText := ""
 			if domain.Parent != nil {
-				in = " in " + domain.Parent.Name
+				parentText = " in " + domain.Parent.Name
 			}
-			out["topology."+domain.Name] = domain.Level + in + " " + strings.Join(domain.Patterns(), " ")
+			fields["topology."+domain.Name] = domain.Level + parentText + " " + strings.Join(domain.Patterns(), " ")
 		}
 	}
-	return out
+	return fields
 }
 
 // teamText returns the guarantees and limits of a team as text.
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -23,7 +23,7 @@
 	"switchferry/tuning"
 )
 
-// The values of OverLimit.Running.
+// The values of OverLimitPolicy.Running.
 const (
 	// Leave lets the running tasks that exceed a limit run to completion.
 	Leave = "leave"
@@ -31,16 +31,17 @@
 	Stop = "stop"
 )
 
-// OverLimit defines what happens to the running tasks of a team whose limit is lowered below its usage.
-type OverLimit struct {
+// OverLimitPolicy defines what happens to the running tasks of a team whose limit is lowered below its
+// usage.
+type OverLimitPolicy struct {
 	// Running is Leave or Stop.
 	Running string `toml:"running"`
 	// StopWithinS is the grace period in seconds in which a stopped task can save a checkpoint.
 	StopWithinS float64 `toml:"stop_within_s"`
 }
 
-// Switches holds the settings of the features file that can be changed while the service runs.
-type Switches struct {
+// FeatureSettings holds the settings of the features file that can be changed while the service runs.
+type FeatureSettings struct {
 	// AheadTasks overrides data.ahead_tasks of the features file, unless it is nil.
 	AheadTasks *int `toml:"ahead_tasks"`
 }
@@ -48,12 +49,12 @@
 // Document is a configuration document as written by an operator. The controllers' files and settings
 // apply for each section that it lacks. It is immutable after Parse.
 type Document struct {
-	OverLimit OverLimit
+	OverLimit OverLimitPolicy
 	// Policy maps the names of policy settings to expressions. If it is nil, the policy file applies.
 	Policy map[string]string
 	// Teams has all teams. If it is empty, the teams of the settings apply.
 	Teams    []settings.Team
-	Switches Switches
+	Switches FeatureSettings
 	// Topology overrides the topology file, unless it is nil.
 	Topology *topology.Map
 	// Text is the source text of the document.
@@ -65,10 +66,10 @@
 
 // documentTOML is the TOML form of a document.
 type documentTOML struct {
-	OverLimit OverLimit             `toml:"over_limit"`
+	OverLimit OverLimitPolicy       `toml:"over_limit"`
 	Policy    map[string]string     `toml:"policy"`
 	Teams     []settings.Team       `toml:"teams"`
-	Features  Switches              `toml:"features"`
+	Features  FeatureSettings       `toml:"features"`
 	Topology  *topology.Declaration `toml:"topology"`
 }
 
@@ -78,30 +79,30 @@
 	if len(text) > tuning.ConfigurationBytes {
 		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
 	}
-	file := documentTOML{OverLimit: OverLimit{Running: Leave}}
-	unknown, err := stricttoml.Decode([]byte(text), &file)
+	decoded := documentTOML{OverLimit: OverLimitPolicy{Running: Leave}}
+	unknown, err := stricttoml.Decode([]byte(text), &decoded)
 	if err != nil {
 		return nil, FieldErrors{decodeFieldError(err)}
 	}
-	check := documentChecker{lines: fieldLines(text)}
+	checker := documentChecker{lines: fieldLines(text)}
 	for _, err := range unknown {
-		if name, ok := errors.AsType[*stricttoml.UnknownError](err); ok {
-			check.fieldErrors = append(check.fieldErrors, FieldError{name.Line, name.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
+		if unknownField, ok := errors.AsType[*stricttoml.UnknownError](err); ok {
+			checker.fieldErrors = append(checker.fieldErrors, FieldError{unknownField.Line, unknownField.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
 		}
 	}
-	document := &Document{OverLimit: file.OverLimit, Policy: file.Policy, Teams: file.Teams, Switches: file.Features, Text: text}
-	check.checkDocument(document, file.Topology)
-	if len(check.fieldErrors) > 0 {
-		slices.SortStableFunc(check.fieldErrors, func(a, b FieldError) int { return cmp.Compare(a.Line, b.Line) })
-		return nil, check.fieldErrors
+	document := &Document{OverLimit: decoded.OverLimit, Policy: decoded.Policy, Teams: decoded.Teams, Switches: decoded.Features, Text: text}
+	checker.checkDocument(document, decoded.Topology)
+	if len(checker.fieldErrors) > 0 {
+		slices.SortStableFunc(checker.fieldErrors, func(a, b FieldError) int { return cmp.Compare(a.Line, b.Line) })
+		return nil, checker.fieldErrors
 	}
 	return document, nil
 }
 
 // decodeFieldError converts an error of stricttoml.Decode to a FieldError.
 func decodeFieldError(err error) FieldError {
-	if value, ok := errors.AsType[*stricttoml.ValueError](err); ok {
-		return FieldError{Line: value.Line, Field: value.Name, Remedy: value.Err.Error()}
+	if valueError, ok := errors.AsType[*stricttoml.ValueError](err); ok {
+		return FieldError{Line: valueError.Line, Field: valueError.Name, Remedy: valueError.Err.Error()}
 	}
 	return FieldError{Field: "document", Remedy: "must be TOML: " + err.Error()}
 }
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -10,7 +10,7 @@
 	"switchferry/settings"
 )
 
-const whole = `
+const fullDocument = `
 [over_limit]
 running = "stop"
 stop_within_s = 30
@@ -49,7 +49,7 @@
 
 func TestDocumentOverridesFiles(t *testing.T) {
 	files := FromFiles([]settings.Team{{Name: "other", CPUsMax: 5}}, policy.Default())
-	active := parse(t, whole).Over(files, 4)
+	active := parse(t, fullDocument).Over(files, 4)
 	if limit, ok := active.Limit("vision"); !ok || limit.CPUs != 40 || active.Revision != 4 || *active.AheadTasks != 7 || active.Topology.Version() != 2 || active.Policy.Value(policy.SlotS, nil) != 3 || active.OverLimit.StopWithinS != 30 {
 		t.Errorf("%+v", active)
 	}
@@ -57,9 +57,9 @@
 		t.Error("a team that the document lacks is still configured")
 	}
 	// The files apply for each section that the document lacks.
-	b := parse(t, "").Over(files, 5)
-	if limit, ok := b.Limit("other"); !ok || limit.CPUs != 5 || b.AheadTasks != nil || b.Topology != nil || b.Policy != files.Policy {
-		t.Errorf("%+v", b)
+	filesOnly := parse(t, "").Over(files, 5)
+	if limit, ok := filesOnly.Limit("other"); !ok || limit.CPUs != 5 || filesOnly.AheadTasks != nil || filesOnly.Topology != nil || filesOnly.Policy != files.Policy {
+		t.Errorf("%+v", filesOnly)
 	}
 }
 
@@ -100,17 +100,17 @@
 }
 
 func TestDifferences(t *testing.T) {
-	after := strings.NewReplacer(`slot_s = "3"`, `slot_s = "4"`, "cpus_max = 40", "cpus_max = 0", "ahead_tasks = 7\n", "", "n-0001*", "n-0002*", `name = "export"`, `name = "import"`).Replace(whole)
+	after := strings.NewReplacer(`slot_s = "3"`, `slot_s = "4"`, "cpus_max = 40", "cpus_max = 0", "ahead_tasks = 7\n", "", "n-0001*", "n-0002*", `name = "export"`, `name = "import"`).Replace(fullDocument)
 	var got []string
-	for _, d := range Differences(parse(t, whole), parse(t, after)) {
-		got = append(got, d.String())
+	for _, difference := range Differences(parse(t, fullDocument), parse(t, after)) {
+		got = append(got, difference.String())
 	}
 	want := []string{"features.ahead_tasks: 7 -> (none)", "policy.slot_s: 3 -> 4", "teams.export: 0 guaranteed, any at most -> (none)", "teams.import: (none) -> 0 guaranteed, any at most",
 		"teams.vision: 10 guaranteed, 40 at most -> 10 guaranteed, any at most", "topology.r1: rack n-0001* -> rack n-0002*"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%q", got)
 	}
-	if n := len(Differences(nil, parse(t, whole))); n != 8 {
+	if n := len(Differences(nil, parse(t, fullDocument))); n != 8 {
 		t.Errorf("%d differences from a nil document, want 8", n)
 	}
 }
@@ -122,14 +122,14 @@
 	}
 	before := FromFiles([]settings.Team{team("lowered", 8, 40), team("raised", 2, 10), team("newly limited", 0, 0), team("no longer limited", 0, 6), team("removed", 1, 1)}, policy.Default())
 	after := FromFiles([]settings.Team{team("lowered", 4, 20), team("raised", 6, 30), team("newly limited", 0, 7), team("no longer limited", 0, 0), team("added", 1, 1)}, policy.Default())
-	between := Stricter(before, after)
+	stricter := Stricter(before, after)
 	for name, want := range map[string]settings.Team{"lowered": team("lowered", 4, 20), "raised": team("raised", 2, 10), "newly limited": team("newly limited", 0, 7), "no longer limited": team("no longer limited", 0, 6)} {
-		if got, ok := between.Team(name); !ok || got != want {
+		if got, ok := stricter.Team(name); !ok || got != want {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 	for _, name := range []string{"removed", "added"} {
-		if _, ok := between.Team(name); ok {
+		if _, ok := stricter.Team(name); ok {
 			t.Errorf("team %q may start tasks although only one of the revisions has it", name)
 		}
 	}
--- a/configuration/fielderror.go
+++ b/configuration/fielderror.go
@@ -15,6 +15,7 @@
 	Remedy string `json:"remedy"`
 }
 
+// String returns the error with its line, if that is known, and its field.
 func (e FieldError) String() string {
 	where := e.Field
 	if e.Line > 0 {
@@ -26,6 +27,7 @@
 // FieldErrors is the error that Parse returns: the errors in a document, at least one.
 type FieldErrors []FieldError
 
+// Error returns the text of all errors, one per line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, fieldError := range e {
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -68,17 +68,17 @@
 
 // Revision returns the status and body of the answer for one stored revision, given by its number, or
 // for the last revisions if which is History.
-func (h *Handler) Revision(ctx context.Context, which string) (status int, body any) {
-	if which == History {
+func (h *Handler) Revision(ctx context.Context, identifier string) (status int, body any) {
+	if identifier == History {
 		return h.history(ctx)
 	}
-	number, err := strconv.ParseUint(which, 10, 64)
+	number, err := strconv.ParseUint(identifier, 10, 64)
 	if err != nil || number == 0 {
-		return http.StatusBadRequest, api.Error{Error: fmt.Sprintf("%q is no revision; revisions are numbered from 1", which), Field: "revision"}
+		return http.StatusBadRequest, api.Error{Error: fmt.Sprintf("%q is no revision; revisions are numbered from 1", identifier), Field: "revision"}
 	}
 	revision, err := h.Store.Revision(ctx, number)
 	switch {
-	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewer):
+	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewerFormat):
 		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationKept)}
 	case err != nil:
 		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
@@ -113,12 +113,12 @@
 	if err != nil {
 		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
 	}
-	without, err := h.Versions.WithoutConfiguration(ctx)
+	controllersWithout, err := h.Versions.WithoutConfiguration(ctx)
 	if err != nil {
 		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrUnavailable.Error()}
 	}
-	if len(without) > 0 {
-		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(without, ", ")}
+	if len(controllersWithout) > 0 {
+		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(controllersWithout, ", ")}
 	}
 	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
 	switch {
@@ -164,15 +164,15 @@
 // conflictAnswer returns the body of the answer to a change that was refused because the current
 // revision is not the expected one: the current revision, and how the requested document differs
 // from it.
-func (h *Handler) conflictAnswer(wanted *configuration.Document, err error) api.ConfigurationConflict {
+func (h *Handler) conflictAnswer(requested *configuration.Document, err error) api.ConfigurationConflict {
 	conflict := api.ConfigurationConflict{Error: err.Error()}
 	revision, _, _ := h.Store.Current()
 	if revision == nil {
 		return conflict
 	}
 	conflict.Revision, conflict.By, conflict.Why = revision.Number, revision.By, revision.Why
-	if present, parseErr := configuration.Parse(revision.Document); parseErr == nil {
-		for _, difference := range configuration.Differences(present, wanted) {
+	if current, parseErr := configuration.Parse(revision.Document); parseErr == nil {
+		for _, difference := range configuration.Differences(current, requested) {
 			conflict.Differences = append(conflict.Differences, difference.String())
 		}
 	}
--- a/configuration/httpapi/handler_test.go
+++ b/configuration/httpapi/handler_test.go
@@ -40,7 +40,7 @@
 	return store.Condition{Key: store.LeaderKey, Revision: l.term}, true
 }
 
-func (soleLeader) Adopt(*configuration.Active) (unrecordedCount func() int) {
+func (soleLeader) Adopt(*configuration.Active) (unpersistedCount func() int) {
 	return func() int { return 0 }
 }
 
@@ -99,7 +99,7 @@
 func TestChangeAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler, applier, state := newLeadingHandler(t)
-		none := uint64(0)
+		revisionZero := uint64(0)
 		first := api.ConfigurationRequest{Document: "[[teams]]\nname = \"team\"\ncpus_max = 40\n", By: "ann", Why: "less"}
 		for _, test := range []struct {
 			name   string
@@ -114,7 +114,7 @@
 				[]string{`"field":"topology"`, `"field":"features.ahead_tasks"`}},
 			{"new document", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"in_force":true`}},
 			{"same document again", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"unchanged":true`}},
-			{"another revision expected", changeBody(t, api.ConfigurationRequest{Document: "# empty\n", Expect: &none}), http.StatusConflict,
+			{"another revision expected", changeBody(t, api.ConfigurationRequest{Document: "# empty\n", Expect: &revisionZero}), http.StatusConflict,
 				[]string{`"revision":1`, `"by":"ann"`, `"differences":["teams.team: 0 guaranteed, 40 at most`}},
 		} {
 			status, answer := handler.Change(t.Context(), applier, test.body)
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -60,8 +60,8 @@
 type Part struct {
 	// Format is the version of the storage format.
 	Format int `json:"format"`
-	// Of is the total number of parts of the revision.
-	Of int `json:"of"`
+	// PartCount is the total number of parts of the revision.
+	PartCount int `json:"of"`
 	// Digest is the digest of the concatenated texts of all parts.
 	Digest string `json:"digest"`
 	// Text is this part's section of the compressed text.
@@ -72,8 +72,9 @@
 var (
 	// ErrDamaged reports that the stored revision is incomplete or inconsistent.
 	ErrDamaged = errors.New("the stored revision is damaged")
-	// ErrNewer reports that the revision was stored in a newer format by a newer version of the program.
-	ErrNewer = errors.New("the stored revision is of a newer format than this program knows")
+	// ErrNewerFormat reports that the revision was stored by a newer version of the program, in a format
+	// that this version does not know.
+	ErrNewerFormat = errors.New("the stored revision is of a newer format than this program knows")
 )
 
 // Encode returns the stored form of a revision: its head, and parts that each fit into a value of
@@ -94,28 +95,28 @@
 	}
 	var parts []Part
 	for rest := text; rest != ""; {
-		n := min(partBytes, len(rest))
-		parts = append(parts, Part{Format: Format, Of: count, Digest: digest, Text: rest[:n]})
-		rest = rest[n:]
+		length := min(partBytes, len(rest))
+		parts = append(parts, Part{Format: Format, PartCount: count, Digest: digest, Text: rest[:length]})
+		rest = rest[length:]
 	}
 	return Head{revision.Number, digest}, parts, nil
 }
 
 // Decode is the inverse of Encode. The digest is that of the Head, or empty if it is not known; then the
-// parts only need to be consistent with each other. The error wraps ErrDamaged or ErrNewer.
+// parts only need to be consistent with each other. The error wraps ErrDamaged or ErrNewerFormat.
 func Decode(number uint64, digest string, parts []Part) (*Revision, error) {
 	var text strings.Builder
 	for i, part := range parts {
 		switch {
 		case part.Format > Format:
-			return nil, fmt.Errorf("%w: revision %d has format %d, this program knows %d", ErrNewer, number, part.Format, Format)
-		case part.Of != len(parts) || part.Digest != parts[0].Digest:
+			return nil, fmt.Errorf("%w: revision %d has format %d, this program knows %d", ErrNewerFormat, number, part.Format, Format)
+		case part.PartCount != len(parts) || part.Digest != parts[0].Digest:
 			return nil, fmt.Errorf("%w: part %d of revision %d belongs to another revision", ErrDamaged, i, number)
 		}
 		text.WriteString(part.Text)
 	}
-	found := digestOf(text.String())
-	if len(parts) == 0 || found != parts[0].Digest || digest != "" && found != digest {
+	actualDigest := digestOf(text.String())
+	if len(parts) == 0 || actualDigest != parts[0].Digest || digest != "" && actualDigest != digest {
 		return nil, fmt.Errorf("%w: the digest of revision %d is wrong", ErrDamaged, number)
 	}
 	var revision Revision
@@ -131,7 +132,7 @@
 // ParsePart parses the stored value of a part. The error wraps ErrDamaged.
 func ParsePart(raw json.RawMessage) (Part, error) {
 	var part Part
-	if err := json.Unmarshal(raw, &part); err != nil || part.Of < 1 || part.Of > tuning.ConfigurationPartsMost {
+	if err := json.Unmarshal(raw, &part); err != nil || part.PartCount < 1 || part.PartCount > tuning.ConfigurationPartsMost {
 		return part, fmt.Errorf("%w: a part cannot be read", ErrDamaged)
 	}
 	return part, nil
--- a/configuration/revision_test.go
+++ b/configuration/revision_test.go
@@ -23,7 +23,7 @@
 
 // A revision with 110 teams can be stored even in values of the smallest size, and is decoded unchanged. Decode refuses
 // damaged parts and parts of a newer format.
-func TestRevisionSurvivesStorageOrIsRefused(t *testing.T) {
+func TestDecodeReturnsEncodedRevisionOrError(t *testing.T) {
 	want := Revision{Number: 12, By: "ops", Why: "why", AtMS: 5, Document: teamsText(110)}
 	for _, valueBytes := range []int{16 << 10, 2 << 10, 1 << 10} {
 		head, parts, err := Encode(&want, valueBytes)
@@ -58,7 +58,7 @@
 		}
 		newer := slices.Clone(parts)
 		newer[0].Format = Format + 1
-		if _, err := Decode(12, head.Digest, newer); !errors.Is(err, ErrNewer) {
+		if _, err := Decode(12, head.Digest, newer); !errors.Is(err, ErrNewerFormat) {
 			t.Errorf("a newer format: %v", err)
 		}
 	}
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -18,7 +18,7 @@
 	Condition() (store.Condition, bool)
 	// Adopt makes all later decisions use a configuration. The function that it returns counts the
 	// decisions (starts and accepts) made before the call that are not persisted yet.
-	Adopt(active *configuration.Active) (unrecordedCount func() int)
+	Adopt(active *configuration.Active) (unpersistedCount func() int)
 	// Peers returns the names of all other controllers.
 	Peers() []string
 	// RefreshPeer asks a peer to read the newest revision, which is the given one or a newer one, and
@@ -54,8 +54,8 @@
 	leader Leader
 	// termCtx ends when the term ends.
 	termCtx context.Context
-	// inProgress holds a token while a change is in progress.
-	inProgress chan struct{}
+	// changeSemaphore holds a token while a change is in progress.
+	changeSemaphore chan struct{}
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
@@ -73,7 +73,7 @@
 // NewApplier returns the applier for a term, which ends with the context. Load must succeed before
 // changes can be made.
 func NewApplier(ctx context.Context, configStore *Store, leader Leader) *Applier {
-	return &Applier{Store: configStore, leader: leader, termCtx: ctx, inProgress: make(chan struct{}, 1)}
+	return &Applier{Store: configStore, leader: leader, termCtx: ctx, changeSemaphore: make(chan struct{}, 1)}
 }
 
 // Load reads the newest revision and makes the leader adopt it. It is called once, after this
@@ -118,7 +118,7 @@
 	// In a resumed rollout, Before and After are the same configuration.
 	if a.rollout != nil && a.rollout.Before != a.rollout.After {
 		switch a.rollout.Stage() {
-		case configuration.Storing, configuration.Spreading:
+		case configuration.Storing, configuration.Propagating:
 			return []*configuration.Active{a.rollout.Before, a.rollout.After}
 		}
 	}
@@ -184,7 +184,7 @@
 // the applier for the caller's change. The error is ErrBusy.
 func (a *Applier) acquire(ctx context.Context) error {
 	select {
-	case a.inProgress <- struct{}{}:
+	case a.changeSemaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 	case <-a.termCtx.Done():
@@ -194,7 +194,7 @@
 }
 
 // release ends the reservation of acquire, so that the next change can begin.
-func (a *Applier) release() { <-a.inProgress }
+func (a *Applier) release() { <-a.changeSemaphore }
 
 // awaitOutcome waits until a change is in force or has failed, for tuning.ConfigurationAnswer at most.
 func (a *Applier) awaitOutcome(ctx context.Context, rollout *configuration.Rollout, done <-chan error) (Answer, error) {
@@ -214,7 +214,7 @@
 	case configuration.Refused:
 		return Answer{}, ErrUnavailable
 	}
-	return a.answerFor(rollout), nil
+	return a.progressFor(rollout), nil
 }
 
 // Progress returns the progress of the last change of this term, and false if its revision is not stored
@@ -225,11 +225,11 @@
 	if a.rollout == nil || a.rollout.Stage() == configuration.Refused || a.rollout.Stage() == configuration.Storing {
 		return Answer{}, false
 	}
-	return a.answerFor(a.rollout), true
+	return a.progressFor(a.rollout), true
 }
 
-// answerFor returns the progress of a rollout whose revision is stored. The caller must hold a.mu.
-func (a *Applier) answerFor(rollout *configuration.Rollout) Answer {
+// progressFor returns the progress of a rollout whose revision is stored. The caller must hold a.mu.
+func (a *Applier) progressFor(rollout *configuration.Rollout) Answer {
 	return Answer{
 		Revision: rollout.After.Revision,
 		InForce:  rollout.Stage() == configuration.InForce,
--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -19,18 +19,18 @@
 // If all peers can be reached, a change is in force at once. If a peer is isolated, the change is in force once
 // that peer's lease has expired, and the peer does not use the old revision from then on.
 func TestApplyWaitsForPeersOrTheirLeases(t *testing.T) {
-	for _, cut := range []bool{false, true} {
+	for _, isolated := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t, usualLimits)
 			applier := cluster.elect()
 			time.Sleep(time.Second)
-			cluster.isolate("y", cut)
+			cluster.isolate("y", isolated)
 			began := time.Now()
 			answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50), By: "me", Why: "less"})
-			if err != nil || answer.Revision != 1 || answer.InForce == cut {
+			if err != nil || answer.Revision != 1 || answer.InForce == isolated {
 				t.Fatalf("%+v, %v", answer, err)
 			}
-			if cut && (len(answer.WaitsFor) != 1 || !strings.HasPrefix(answer.WaitsFor[0], "y, for")) {
+			if isolated && (len(answer.WaitsFor) != 1 || !strings.HasPrefix(answer.WaitsFor[0], "y, for")) {
 				t.Errorf("waits for %v", answer.WaitsFor)
 			}
 			for !answer.InForce {
@@ -38,27 +38,27 @@
 				answer, _ = applier.Progress()
 			}
 			cluster.requireNoOlderLease(1)
-			if took := time.Since(began); cut && took > 2*time.Second || !cut && took > 100*time.Millisecond {
+			if took := time.Since(began); isolated && took > 2*time.Second || !isolated && took > 100*time.Millisecond {
 				t.Errorf("in force after %v", took)
 			}
 			if last := cluster.lastAdopted(); last.Revision != 1 {
 				t.Errorf("the leader uses revision %d", last.Revision)
 			}
-			if _, ok := cluster.followers["y"].Lease(); ok == cut {
+			if _, ok := cluster.followers["y"].Lease(); ok == isolated {
 				t.Errorf("y has a lease: %v", ok)
 			}
-			cluster.reconnectAll()
+			cluster.reconnectFollowers()
 		})
 	}
 }
 
 // A change is not in force before all starts that were decided before it are persisted, and the answer says so.
-func TestChangeWaitsForEarlierDecisions(t *testing.T) {
+func TestChangeWaitsUntilEarlierDecisionsArePersisted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
 		applier := cluster.elect()
 		cluster.mu.Lock()
-		cluster.unrecorded = 3
+		cluster.unpersisted = 3
 		cluster.mu.Unlock()
 		answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50)})
 		if err != nil || answer.InForce || len(answer.WaitsFor) == 0 || !strings.HasPrefix(answer.WaitsFor[0], "3 starts") {
@@ -68,7 +68,7 @@
 			t.Errorf("meanwhile the limit is %g", limit.CPUs)
 		}
 		cluster.mu.Lock()
-		cluster.unrecorded = 0
+		cluster.unpersisted = 0
 		cluster.mu.Unlock()
 		time.Sleep(100 * time.Millisecond)
 		if answer, _ = applier.Progress(); !answer.InForce {
@@ -99,9 +99,9 @@
 			t.Errorf("%v and %v", first, second)
 		}
 		revision, newest, _ := applier.Current()
-		again, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, revision.Document)})
-		if err != nil || !again.Unchanged || !again.InForce || newest != 1 || again.Revision != 1 {
-			t.Errorf("%+v, %v", again, err)
+		repeated, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, revision.Document)})
+		if err != nil || !repeated.Unchanged || !repeated.InForce || newest != 1 || repeated.Revision != 1 {
+			t.Errorf("%+v, %v", repeated, err)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 
 // If the leader crashes between any two of its writes, the next leader uses a complete revision, either the
 // previous or the new one, and can make another change.
-func TestCrashBetweenWritesLeavesWholeRevision(t *testing.T) {
+func TestCrashBetweenWritesLeavesCompleteRevision(t *testing.T) {
 	for writes := range 12 {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t, smallLimits)
@@ -162,12 +162,12 @@
 			cluster.mu.Lock()
 			cluster.dropRequest = func() bool { return false }
 			cluster.mu.Unlock()
-			next := cluster.awaitSettled(cluster.elect())
-			revision, newest, rejection := next.Current()
+			nextApplier := cluster.awaitSettled(cluster.elect())
+			revision, newest, rejection := nextApplier.Current()
 			if rejection != "" || revision.Number != newest || revision.Document != largeDocument(int(revision.Number)) {
 				t.Fatalf("after %d writes: revision %d, newest %d, %s", writes, revision.Number, newest, rejection)
 			}
-			answer, err := next.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(3))})
+			answer, err := nextApplier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(3))})
 			if err != nil || !answer.InForce || answer.Revision != newest+1 {
 				t.Errorf("after %d writes: %+v, %v", writes, answer, err)
 			}
@@ -177,14 +177,14 @@
 
 // A stored revision that is damaged or of a newer format is not used. The last usable one is used instead, and
 // another change can be made.
-func TestUnreadableRevisionFallsBackToLastGood(t *testing.T) {
+func TestUnusableRevisionFallsBackToLastUsable(t *testing.T) {
 	for name, damage := range map[string]func(cluster *testCluster){
 		"a damaged part": func(cluster *testCluster) {
-			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 1, Of: 1, Text: "x"})
+			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 1, PartCount: 1, Text: "x"})
 		},
 		"a part that is not JSON": func(cluster *testCluster) { cluster.state.Put(configuration.PartKey(2, 0), "x") },
 		"a newer format": func(cluster *testCluster) {
-			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 2, Of: 1, Text: "x"})
+			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 2, PartCount: 1, Text: "x"})
 		},
 		"a damaged head": func(cluster *testCluster) {
 			cluster.state.Put(configuration.PartKey(2, 0), "x")
@@ -200,13 +200,13 @@
 				}
 			}
 			damage(cluster)
-			next := cluster.awaitSettled(cluster.elect())
-			revision, newest, rejection := next.Current()
-			if revision == nil || revision.Number != 1 || newest != 2 || rejection == "" || next.active.Revision != 1 {
+			nextApplier := cluster.awaitSettled(cluster.elect())
+			revision, newest, rejection := nextApplier.Current()
+			if revision == nil || revision.Number != 1 || newest != 2 || rejection == "" || nextApplier.active.Revision != 1 {
 				t.Fatalf("%s: %+v, newest %d, rejection %q", name, revision, newest, rejection)
 			}
-			answer, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 30)})
-			if revision, _, rejection = next.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || rejection != "" {
+			answer, err := nextApplier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 30)})
+			if revision, _, rejection = nextApplier.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || rejection != "" {
 				t.Errorf("%s: %+v, %v", name, answer, err)
 			}
 		})
@@ -214,7 +214,7 @@
 }
 
 // If the state service's answer to a change is lost, the applier finds out that the change is stored.
-func TestLostAnswerDoesNotRefuseChange(t *testing.T) {
+func TestChangeWithLostAnswerIsFoundStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
 		applier := cluster.elect()
@@ -261,7 +261,7 @@
 
 // A new leader does not at once report the revision that it has read as in force: the previous leader may just
 // have stored it, and an isolated controller may still use an older one.
-func TestNewLeaderCallsNothingInForceAtOnce(t *testing.T) {
+func TestNewLeaderDoesNotReportInForceBeforeLeasesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
 		applier := cluster.elect()
@@ -276,12 +276,12 @@
 		if err != nil || stored.Revision != 2 || stored.InForce {
 			t.Fatalf("%+v, %v", stored, err)
 		}
-		next := cluster.elect()
-		if _, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)}); !errors.Is(err, ErrBusy) {
+		nextApplier := cluster.elect()
+		if _, err := nextApplier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)}); !errors.Is(err, ErrBusy) {
 			t.Errorf("the same change again, before the rollout is finished: %v", err)
 		}
 		for {
-			progress, ok := next.Progress()
+			progress, ok := nextApplier.Progress()
 			if lease, holds := cluster.followers["y"].Lease(); ok && progress.InForce && holds && lease.Active.Revision < 2 {
 				t.Fatal("revision 2 is reported as in force while y may use revision 1")
 			}
@@ -290,9 +290,9 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		again, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)})
-		if err != nil || !again.Unchanged || !again.InForce {
-			t.Errorf("%+v, %v", again, err)
+		repeated, err := nextApplier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)})
+		if err != nil || !repeated.Unchanged || !repeated.InForce {
+			t.Errorf("%+v, %v", repeated, err)
 		}
 	})
 }
@@ -307,9 +307,9 @@
 			cluster := newTestCluster(t, []settings.State{smallLimits, usualLimits}[seed%2])
 			cluster.mu.Lock()
 			// The functions are called with cluster.mu held, which also guards the generator.
-			network := rand.New(rand.NewPCG(seed, 4))
-			cluster.dropAnswer = func() bool { return network.IntN(4) == 0 }
-			cluster.dropRequest = func() bool { return network.IntN(6) == 0 }
+			networkRNG := rand.New(rand.NewPCG(seed, 4))
+			cluster.dropAnswer = func() bool { return networkRNG.IntN(4) == 0 }
+			cluster.dropRequest = func() bool { return networkRNG.IntN(6) == 0 }
 			cluster.mu.Unlock()
 			applier := cluster.elect()
 			inForce := uint64(0)
@@ -353,7 +353,7 @@
 
 // A delayed duplicate of a write for a refused change is executed between the parts and the head of the next
 // change. The next change must not be stored with a part of the refused one.
-func TestLateCopyOfEarlierPartIsNotStored(t *testing.T) {
+func TestDelayedDuplicateOfEarlierPartIsNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
 		applier := cluster.elect()
@@ -362,11 +362,11 @@
 			t.Fatalf("%d parts, %v", len(parts), err)
 		}
 		transactions := 0
-		atTransaction := func(n int, what func()) func() bool {
+		atTransaction := func(n int, action func()) func() bool {
 			transactions = 0
 			return func() bool {
 				if transactions++; transactions == n {
-					what()
+					action()
 				}
 				return false
 			}
@@ -390,8 +390,8 @@
 		cluster.dropRequest = func() bool { return false }
 		cluster.mu.Unlock()
 		answer, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))})
-		next := cluster.elect()
-		if revision, _, rejection := next.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
+		nextApplier := cluster.elect()
+		if revision, _, rejection := nextApplier.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
 			t.Errorf("second change retried: %+v, %v, rejection %q", answer, err, rejection)
 		}
 	})
--- a/configuration/revisions/cluster_test.go
+++ b/configuration/revisions/cluster_test.go
@@ -51,8 +51,8 @@
 	dropAnswer, dropRequest func() bool
 	// isolated is the set of followers that can reach neither the leader nor the state service.
 	isolated map[string]bool
-	// unrecorded is the number of the leader's decisions that are not persisted yet.
-	unrecorded int
+	// unpersisted is the number of the leader's decisions that are not persisted yet.
+	unpersisted int
 	// adopted are the configurations that the leader has adopted, in order.
 	adopted []*configuration.Active
 }
@@ -84,23 +84,23 @@
 // errNoAnswer is the error of a request that was lost or whose answer was lost.
 var errNoAnswer = errors.New("no answer")
 
-func (l transport) RoundTrip(request *http.Request) (*http.Response, error) {
-	l.mu.Lock()
-	cut := l.isolated[l.name]
-	drop, fail := false, false
+func (t transport) RoundTrip(request *http.Request) (*http.Response, error) {
+	t.mu.Lock()
+	isolated := t.isolated[t.name]
+	dropAnswer, dropRequest := false, false
 	if request.URL.Path == "/multi" {
-		drop, fail = l.dropAnswer(), l.dropRequest()
+		dropAnswer, dropRequest = t.dropAnswer(), t.dropRequest()
 	}
-	l.mu.Unlock()
-	if cut {
+	t.mu.Unlock()
+	if isolated {
 		<-request.Context().Done()
 		return nil, request.Context().Err()
 	}
-	if fail {
+	if dropRequest {
 		return nil, errNoAnswer
 	}
-	resp, err := l.state.RoundTrip(request)
-	if drop && err == nil {
+	resp, err := t.state.RoundTrip(request)
+	if dropAnswer && err == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return nil, errNoAnswer
 	}
@@ -124,7 +124,7 @@
 	return func() int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.unrecorded
+		return l.unpersisted
 	}
 }
 
@@ -132,9 +132,9 @@
 
 func (l *testLeader) RefreshPeer(ctx context.Context, member string, _ uint64) (uint64, error) {
 	l.mu.Lock()
-	cut := l.isolated[member]
+	isolated := l.isolated[member]
 	l.mu.Unlock()
-	if cut {
+	if isolated {
 		return 0, errNoAnswer
 	}
 	return l.followers[member].Refresh(ctx)
@@ -180,11 +180,11 @@
 	return parseDocument(t, fmt.Sprintf("[[teams]]\nname = \"a\"\ncpus_max = %d\n", cpus))
 }
 
-// isolate disconnects a follower from the leader and the state service if cut is set, or else reconnects it.
-func (c *testCluster) isolate(name string, cut bool) {
+// isolate disconnects a follower from the leader and the state service if isolated is set, or else reconnects it.
+func (c *testCluster) isolate(name string, isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isolated[name] = cut
+	c.isolated[name] = isolated
 }
 
 // lastAdopted returns the configuration that the leader adopted last.
@@ -208,8 +208,8 @@
 var smallLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
 var usualLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
-// reconnectAll reconnects all followers.
-func (c *testCluster) reconnectAll() {
+// reconnectFollowers reconnects all followers.
+func (c *testCluster) reconnectFollowers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isolated = map[string]bool{}
--- a/configuration/revisions/persist.go
+++ b/configuration/revisions/persist.go
@@ -11,14 +11,14 @@
 )
 
 // persist writes the parts of a revision and then its head, on condition that this controller leads
-// and that the head is still at headRevision. It returns the state service's revision of the new head.
+// and that the head is still at expectedHeadRevision. It returns the state service's revision of the new head.
 // If it fails, the head is not written, except that it may be written on ErrOutcomeUnknown.
-func (a *Applier) persist(revision *configuration.Revision, headRevision uint64) (newHeadRevision uint64, err error) {
+func (a *Applier) persist(revision *configuration.Revision, expectedHeadRevision uint64) (newHeadRevision uint64, err error) {
 	head, parts, err := configuration.Encode(revision, a.limits.ValueBytes())
 	if err != nil {
 		return 0, err
 	}
-	conditions := []store.Condition{{Key: configuration.HeadKey, Revision: headRevision}}
+	conditions := []store.Condition{{Key: configuration.HeadKey, Revision: expectedHeadRevision}}
 	var operations []store.Operation
 	for i, part := range parts {
 		operations = append(operations, store.Operation{Set: configuration.PartKey(revision.Number, i), Value: part})
@@ -48,11 +48,11 @@
 func (a *Applier) transact(conditions []store.Condition, operations []store.Operation, head *configuration.Head) (uint64, error) {
 	outcomeUnknown := false
 	for a.termCtx.Err() == nil {
-		leading, ok := a.leader.Condition()
+		leaderCondition, ok := a.leader.Condition()
 		if !ok && !outcomeUnknown {
 			return 0, ErrNotLeader
 		}
-		storeRevision, failed, err := a.client.Transact(a.termCtx, append([]store.Condition{leading}, conditions...), operations)
+		storeRevision, failed, err := a.client.Transact(a.termCtx, append([]store.Condition{leaderCondition}, conditions...), operations)
 		switch {
 		case err == nil:
 			return storeRevision, nil
@@ -96,8 +96,8 @@
 	for a.termCtx.Err() == nil {
 		item, err := a.client.Get(a.termCtx, configuration.HeadKey)
 		if err == nil {
-			found, err := configuration.ParseHead(item.Value)
-			return item.Revision, err == nil && found == *head
+			storedHead, err := configuration.ParseHead(item.Value)
+			return item.Revision, err == nil && storedHead == *head
 		}
 		if errors.Is(err, store.ErrNotFound) {
 			return 0, false
@@ -111,20 +111,20 @@
 // newest of them first and tuning.ConfigurationSwept at most. A removal that fails is retried after a
 // later change.
 func (a *Applier) removeOldRevisions(newest uint64) {
-	for back := uint64(tuning.ConfigurationKept); back < tuning.ConfigurationKept+tuning.ConfigurationSwept && back < newest; back++ {
-		number := newest - back
-		parts, ok := a.storedParts(number)
+	for age := uint64(tuning.ConfigurationKept); age < tuning.ConfigurationKept+tuning.ConfigurationSwept && age < newest; age++ {
+		number := newest - age
+		partCount, ok := a.storedPartCount(number)
 		if !ok {
 			continue
 		}
-		leading, ok := a.leader.Condition()
+		leaderCondition, ok := a.leader.Condition()
 		if !ok {
 			return
 		}
 		// The first part is removed last, since the number of parts is read from it.
-		for i := parts - 1; i >= 0; i-- {
+		for i := partCount - 1; i >= 0; i-- {
 			operations := []store.Operation{{Delete: configuration.PartKey(number, i)}}
-			if _, _, err := a.client.Transact(a.termCtx, []store.Condition{leading}, operations); err != nil {
+			if _, _, err := a.client.Transact(a.termCtx, []store.Condition{leaderCondition}, operations); err != nil {
 				slog.Info("configuration revision not removed", "revision", number, "err", err)
 				return
 			}
@@ -132,13 +132,13 @@
 	}
 }
 
-// storedParts returns the number of parts of a revision, and false if the revision is not stored or
+// storedPartCount returns the number of parts of a revision, and false if the revision is not stored or
 // cannot be read.
-func (a *Applier) storedParts(number uint64) (int, bool) {
+func (a *Applier) storedPartCount(number uint64) (int, bool) {
 	item, err := a.client.Get(a.termCtx, configuration.PartKey(number, 0))
 	if err != nil {
 		return 0, false
 	}
 	part, err := configuration.ParsePart(item.Value)
-	return part.Of, err == nil
+	return part.PartCount, err == nil
 }
--- a/configuration/revisions/rollout.go
+++ b/configuration/revisions/rollout.go
@@ -28,7 +28,7 @@
 	a.mu.Unlock()
 	// From here on the lower limits of both revisions apply, so that the decisions comply with both
 	// whether or not the new revision is stored.
-	unrecordedCount := a.leader.Adopt(rollout.Effective())
+	unpersistedCount := a.leader.Adopt(rollout.Effective())
 	headRevision, err := a.persist(revision, change.headRevision)
 	if err != nil {
 		a.mu.Lock()
@@ -44,7 +44,7 @@
 	lease := configuration.ValidityLease{Active: rollout.After, StoreRevision: headRevision, RequestedAt: a.clock.Now()}
 	a.setCurrent(lease, revision, revision.Number, "")
 	storedAt := a.clock.Now()
-	if !a.awaitInForce(rollout, unrecordedCount) {
+	if !a.awaitInForce(rollout, unpersistedCount) {
 		return ErrNotLeader
 	}
 	slog.Info("configuration in force", "revision", revision.Number, "by", revision.By, "why", revision.Why, "stored_to_in_force_ms", a.clock.Since(storedAt).Milliseconds())
@@ -61,7 +61,7 @@
 	a.rollout = rollout
 	a.mu.Unlock()
 	// This does not block: no change has been requested in this term yet.
-	a.inProgress <- struct{}{}
+	a.changeSemaphore <- struct{}{}
 	go func() {
 		defer a.release()
 		a.awaitInForce(rollout, func() int { return 0 })
@@ -70,13 +70,13 @@
 
 // awaitInForce waits until a stored revision is in force, and returns false if the term ends before
 // that. The goroutines that it starts end when the revision is in force or the term ends.
-func (a *Applier) awaitInForce(rollout *configuration.Rollout, unrecordedCount func() int) bool {
+func (a *Applier) awaitInForce(rollout *configuration.Rollout, unpersistedCount func() int) bool {
 	for _, member := range a.leader.Peers() {
 		go a.awaitConfirmation(rollout, member)
 	}
 	for a.termCtx.Err() == nil {
-		unrecorded := unrecordedCount()
-		if a.advance(rollout, unrecorded) {
+		unpersisted := unpersistedCount()
+		if a.advance(rollout, unpersisted) {
 			return true
 		}
 		a.sleep(tuning.ConfigurationStep)
@@ -87,10 +87,10 @@
 // advance updates the stage of a rollout and reports whether the revision is in force. If it is, the
 // leader adopts the new revision before a.mu is released, and thus before any answer says that the
 // revision is in force.
-func (a *Applier) advance(rollout *configuration.Rollout, unrecorded int) bool {
+func (a *Applier) advance(rollout *configuration.Rollout, unpersisted int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	rollout.SetUnrecorded(unrecorded)
+	rollout.SetUnpersisted(unpersisted)
 	if rollout.Advance(a.clock.Now()) != configuration.InForce {
 		return false
 	}
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -150,7 +150,7 @@
 // isUnusable reports whether an error means that a stored revision cannot be used, as opposed to a failed
 // read.
 func isUnusable(err error) bool {
-	return errors.Is(err, configuration.ErrDamaged) || errors.Is(err, configuration.ErrNewer)
+	return errors.Is(err, configuration.ErrDamaged) || errors.Is(err, configuration.ErrNewerFormat)
 }
 
 // highestStored returns the highest number of a revision of which at least one part is stored, or 0 if
@@ -183,11 +183,11 @@
 }
 
 // readRevision reads a revision and its document. The digest is that of the head, or empty if it is not
-// known. The error wraps configuration.ErrDamaged or configuration.ErrNewer if the revision cannot be
-// used.
+// known. The error wraps configuration.ErrDamaged or configuration.ErrNewerFormat if the revision
+// cannot be used.
 func (s *Store) readRevision(ctx context.Context, number uint64, digest string) (*configuration.Revision, *configuration.Document, error) {
 	var parts []configuration.Part
-	for i := 0; i == 0 || i < parts[0].Of; i++ {
+	for i := 0; i == 0 || i < parts[0].PartCount; i++ {
 		item, err := s.client.Get(ctx, configuration.PartKey(number, i))
 		if errors.Is(err, store.ErrNotFound) {
 			return nil, nil, fmt.Errorf("%w: part %d of revision %d is missing", configuration.ErrDamaged, i, number)
@@ -213,20 +213,20 @@
 }
 
 // Revision reads a stored revision. The error wraps configuration.ErrDamaged or
-// configuration.ErrNewer if the revision is not stored or cannot be used.
+// configuration.ErrNewerFormat if the revision is not stored or cannot be used.
 func (s *Store) Revision(ctx context.Context, number uint64) (*configuration.Revision, error) {
 	revision, _, err := s.readRevision(ctx, number, "")
 	return revision, err
 }
 
-// History reads the last stored revisions, newest first, without their documents. For a
+// History reads the last tuning.ConfigurationKept revisions, newest first, without their documents. For a
 // revision that cannot be used, Why contains the reason.
 func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
 	newest, err := s.Refresh(ctx)
 	if err != nil {
 		return nil, err
 	}
-	out := []*configuration.Revision{}
+	history := []*configuration.Revision{}
 	for number := newest; number > 0 && number+tuning.ConfigurationKept > newest; number-- {
 		revision, err := s.Revision(ctx, number)
 		if isUnusable(err) {
@@ -236,7 +236,7 @@
 			return nil, err
 		}
 		revision.Document = ""
-		out = append(out, revision)
+		history = append(history, revision)
 	}
-	return out, nil
+	return history, nil
 }
--- a/configuration/rollout.go
+++ b/configuration/rollout.go
@@ -18,9 +18,9 @@
 	Storing Stage = iota
 	// Refused means that the revision is not stored and will not be. The previous one applies.
 	Refused
-	// Spreading means that the revision is stored, but some controllers may still use the previous
+	// Propagating means that the revision is stored, but some controllers may still use the previous
 	// one. The lower limits of both revisions apply.
-	Spreading
+	Propagating
 	// InForce means that no controller uses an older revision for decisions or answers. The new
 	// revision applies.
 	InForce
@@ -38,14 +38,14 @@
 	storedAt time.Time
 	// unconfirmed is the set of peers that may still use a revision older than After.
 	unconfirmed map[string]bool
-	// unrecorded is the number of decisions made before the change that are not persisted yet.
-	unrecorded int
+	// unpersisted is the number of decisions made before the change that are not persisted yet.
+	unpersisted int
 }
 
 // NewRollout returns a rollout in stage Storing. Peers are the names of all other controllers. Until
-// SetUnrecorded is called, the rollout assumes that there are decisions that are not persisted.
+// SetUnpersisted is called, the rollout assumes that there are decisions that are not persisted.
 func NewRollout(before, after *Active, peers []string) *Rollout {
-	rollout := &Rollout{Before: before, After: after, stricter: Stricter(before, after), unconfirmed: map[string]bool{}, unrecorded: 1}
+	rollout := &Rollout{Before: before, After: after, stricter: Stricter(before, after), unconfirmed: map[string]bool{}, unpersisted: 1}
 	for _, peer := range peers {
 		rollout.unconfirmed[peer] = true
 	}
@@ -71,25 +71,25 @@
 
 // MarkStored records that the revision is stored, and the time at which the state service's answer
 // arrived. The revision was stored at that time or earlier.
-func (r *Rollout) MarkStored(answered time.Time) { r.stage, r.storedAt = Spreading, answered }
+func (r *Rollout) MarkStored(answeredAt time.Time) { r.stage, r.storedAt = Propagating, answeredAt }
 
 // Confirm records that the process that now runs on a peer has read the given revision. It has no
 // effect before MarkStored, or if the revision is older than After.
 func (r *Rollout) Confirm(member string, revision uint64) {
-	if r.stage == Spreading && revision >= r.After.Revision {
+	if r.stage == Propagating && revision >= r.After.Revision {
 		delete(r.unconfirmed, member)
 	}
 }
 
-// SetUnrecorded sets the number of decisions (starts and accepts) made before the change that are not
-// persisted yet.
-func (r *Rollout) SetUnrecorded(n int) { r.unrecorded = n }
+// SetUnpersisted sets the number of decisions (starts and accepts) that were made before the change and
+// are not persisted yet.
+func (r *Rollout) SetUnpersisted(count int) { r.unpersisted = count }
 
 // Advance moves a stored revision to InForce once all decisions made before the change are persisted,
 // and either each peer has confirmed the revision or no lease on an older one can be valid any more.
 // It returns the stage.
 func (r *Rollout) Advance(now time.Time) Stage {
-	if r.stage == Spreading && r.unrecorded == 0 && (len(r.unconfirmed) == 0 || !now.Before(r.leasesExpireAt())) {
+	if r.stage == Propagating && r.unpersisted == 0 && (len(r.unconfirmed) == 0 || !now.Before(r.leasesExpireAt())) {
 		r.stage = InForce
 	}
 	return r.stage
@@ -104,21 +104,21 @@
 
 // WaitsFor returns descriptions, for operators, of what the rollout waits for, sorted. It returns none
 // if the rollout waits for nothing.
-func (r *Rollout) WaitsFor(now time.Time) (out []string) {
+func (r *Rollout) WaitsFor(now time.Time) (reasons []string) {
 	if r.stage == Storing {
 		return []string{"the state service"}
 	}
-	if r.stage != Spreading {
+	if r.stage != Propagating {
 		return nil
 	}
-	if r.unrecorded > 0 {
-		out = append(out, fmt.Sprintf("%d starts and accepts from before the change that are not on record yet", r.unrecorded))
+	if r.unpersisted > 0 {
+		reasons = append(reasons, fmt.Sprintf("%d starts and accepts from before the change that are not on record yet", r.unpersisted))
 	}
-	if left := r.leasesExpireAt().Sub(now); left > 0 {
+	if remaining := r.leasesExpireAt().Sub(now); remaining > 0 {
 		for member := range r.unconfirmed {
-			out = append(out, fmt.Sprintf("%s, for %.1f s at most", member, left.Seconds()))
+			reasons = append(reasons, fmt.Sprintf("%s, for %.1f s at most", member, remaining.Seconds()))
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(reasons)
+	return reasons
 }
--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -31,8 +31,8 @@
 	Member string
 	Client *store.Client
 	Clock  clockwork.Clock
-	// Rate limits the packets that all exchanges of this controller together write.
-	Rate *rate.Limiter
+	// WriteLimiter limits the packets that all exchanges of this controller together write.
+	WriteLimiter *rate.Limiter
 	// UplinkKey returns the key of packet i to the leader, counted from 0. DownlinkPrefix is the
 	// prefix of the keys of the leader's packets to this controller.
 	UplinkKey      func(member string, i int) string
@@ -64,8 +64,8 @@
 	}
 }
 
-// active expires senders and reports whether any are left.
-func (e *Exchange) active() bool {
+// hasActiveSenders expires senders and reports whether any are left.
+func (e *Exchange) hasActiveSenders() bool {
 	e.Lock.Lock()
 	defer e.Lock.Unlock()
 	e.Expire(e.Clock.Now())
@@ -75,11 +75,11 @@
 // Write writes the packets that are due, as many as one transaction and Rate allow. It returns true if
 // more packets may be due.
 func (e *Exchange) Write(ctx context.Context) bool {
-	if !e.active() {
+	if !e.hasActiveSenders() {
 		return false
 	}
 	now := e.Clock.Now()
-	maxPackets := int(e.Rate.TokensAt(now))
+	maxPackets := int(e.WriteLimiter.TokensAt(now))
 	if maxPackets < 1 {
 		return false
 	}
@@ -97,11 +97,11 @@
 	for i, packet := range batch.Packets {
 		operations = append(operations, store.Operation{Set: e.UplinkKey(e.Member, i), Value: packet})
 	}
-	e.Rate.AllowN(now, len(operations))
+	e.WriteLimiter.AllowN(now, len(operations))
 	// The condition holds only while the addressed leader leads: a later leader must not read these
 	// packets.
-	addressed := []store.Condition{{Key: store.LeaderKey, Revision: term}}
-	_, _, err = e.Client.Transact(ctx, addressed, operations)
+	addressedLeader := []store.Condition{{Key: store.LeaderKey, Revision: term}}
+	_, _, err = e.Client.Transact(ctx, addressedLeader, operations)
 	if err == nil {
 		return true
 	}
@@ -121,7 +121,7 @@
 func (e *Exchange) read(ctx context.Context) {
 	after := uint64(0)
 	for ctx.Err() == nil {
-		if e.active() {
+		if e.hasActiveSenders() {
 			next, err := e.Fetch(ctx, after)
 			if err == nil {
 				after = next
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -29,10 +29,10 @@
 	os.Exit(m.Run())
 }
 
-var facts = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+var stateLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
-// partition is a controller "y" and a leader "x" that can reach the state service but not each other.
-type partition struct {
+// testPartition is a controller "y" and a leader "x" that can reach the state service but not each other.
+type testPartition struct {
 	state  *fake.State
 	client *store.Client
 	clock  clockwork.Clock
@@ -41,48 +41,48 @@
 	exchange *Exchange
 
 	mu sync.Mutex
-	// ended counts the calls of TermEnded.
-	ended int
+	// termEndedCalls counts the calls of TermEnded.
+	termEndedCalls int
 }
 
-func newPartition(t *testing.T) *partition {
+func newPartition(t *testing.T) *testPartition {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	link := &partition{state: fake.NewState(clock), clock: clock}
-	link.client = store.NewClient("state:1", link.state)
-	link.elect()
-	link.exchange = &Exchange{
+	partition := &testPartition{state: fake.NewState(clock), clock: clock}
+	partition.client = store.NewClient("state:1", partition.state)
+	partition.elect()
+	partition.exchange = &Exchange{
 		Member:         "y",
-		Client:         link.client,
+		Client:         partition.client,
 		Clock:          clock,
-		Rate:           WriteRate(facts),
+		WriteLimiter:   WriteRate(stateLimits),
 		UplinkKey:      store.RelayKey,
 		DownlinkPrefix: store.RelayResponsePrefix + "y/",
 		RefreshEvery:   time.Hour,
-		Lock:           &link.mu,
-		Outbox:         relay.NewOutbox(PacketLimits(facts), 1),
+		Lock:           &partition.mu,
+		Outbox:         relay.NewOutbox(PacketLimits(stateLimits), 1),
 		Reader:         &relay.Reader{},
 		Expire:         func(time.Time) {},
-		TermEnded:      func() { link.ended++ },
+		TermEnded:      func() { partition.termEndedCalls++ },
 	}
-	link.exchange.Outbox.Reset(link.term)
-	return link
+	partition.exchange.Outbox.Reset(partition.term)
+	return partition
 }
 
 // elect begins a new term of the leader.
-func (p *partition) elect() {
+func (p *testPartition) elect() {
 	p.term = p.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 }
 
 // put puts a message of a machine into the controller's outbox.
-func (p *partition) put(machine, body string) {
+func (p *testPartition) put(machine, body string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.exchange.Outbox.Put(machine, json.RawMessage(body), true, p.clock.Now())
 }
 
 // messageFor returns the newest message from the leader for a machine.
-func (p *partition) messageFor(machine string) string {
+func (p *testPartition) messageFor(machine string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return string(p.exchange.Reader.MessageFor(p.term, machine))
@@ -109,7 +109,7 @@
 // packetOf returns a packet to the leader of a term that contains one message of a machine.
 func packetOf(t *testing.T, term uint64, machine, body string) relay.Packet {
 	t.Helper()
-	outbox := relay.NewOutbox(PacketLimits(facts), 1)
+	outbox := relay.NewOutbox(PacketLimits(stateLimits), 1)
 	outbox.Reset(term)
 	outbox.Put(machine, json.RawMessage(body), true, time.Unix(1_800_000_000, 0))
 	batch, err := outbox.Next(time.Unix(1_800_000_000, 0), time.Hour, 1)
@@ -121,17 +121,19 @@
 
 // Messages are relayed in both directions while both sides run, and both sides stop when their contexts
 // end. Packets that are corrupt or of another term are skipped.
-func TestMessagesCrossInBothDirections(t *testing.T) {
+func TestMessagesAreRelayedInBothDirections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		link := newPartition(t)
+		partition := newPartition(t)
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		running.Go(func() { link.exchange.Run(ctx) })
-		var got received
-		running.Go(func() { Follow(ctx, link.client, link.clock, store.RelayPrefix, link.term, link.term, got.deliver) })
+		running.Go(func() { partition.exchange.Run(ctx) })
+		var messages received
+		running.Go(func() {
+			Follow(ctx, partition.client, partition.clock, store.RelayPrefix, partition.term, partition.term, messages.deliver)
+		})
 		mailboxes := &Mailboxes{
-			Term:   link.term,
-			Limits: PacketLimits(facts),
+			Term:   partition.term,
+			Limits: PacketLimits(stateLimits),
 			Prefix: store.RelayResponsePrefix,
 			Key:    store.RelayResponseKey,
 			Body: func(member, machine string) json.RawMessage {
@@ -143,24 +145,24 @@
 			if !ok {
 				t.Errorf("no packet of key %s", key)
 			}
-			link.state.Put(key, packet)
+			partition.state.Put(key, packet)
 		}
 
-		link.put("n1", `"from n1"`)
+		partition.put("n1", `"from n1"`)
 		mailboxes.Update("y", "n1")
-		link.state.Put(store.RelayKey("y", 8), "corrupt")
-		link.state.Put(store.RelayKey("y", 9), packetOf(t, link.term+1, "n9", `"for another leader"`))
-		link.state.Put(store.RelayResponsePrefix+"y/!", "corrupt") // is read before the packet of key 0
+		partition.state.Put(store.RelayKey("y", 8), "corrupt")
+		partition.state.Put(store.RelayKey("y", 9), packetOf(t, partition.term+1, "n9", `"for another leader"`))
+		partition.state.Put(store.RelayResponsePrefix+"y/!", "corrupt") // is read before the packet of key 0
 		time.Sleep(10 * time.Second)
-		if want := `[y n1 "from n1"]`; got.String() != want {
-			t.Errorf("the leader received %s, want %s", &got, want)
+		if want := `[y n1 "from n1"]`; messages.String() != want {
+			t.Errorf("the leader received %s, want %s", &messages, want)
 		}
-		if body, want := link.messageFor("n1"), `"to n1 by y"`; body != want {
+		if body, want := partition.messageFor("n1"), `"to n1 by y"`; body != want {
 			t.Errorf("the message for n1 is %s, want %s", body, want)
 		}
 		mailboxes.Update("y", "n2")
 		time.Sleep(10 * time.Second)
-		if body, want := link.messageFor("n2"), `"to n2 by y"`; body != want {
+		if body, want := partition.messageFor("n2"), `"to n2 by y"`; body != want {
 			t.Errorf("the message for n2 is %s, want %s", body, want)
 		}
 		stop()
@@ -171,27 +173,27 @@
 // Packets are written only while the leader to which they are addressed leads. After a change of leader
 // nothing is written, and TermEnded is called.
 func TestWriteStopsWhenTermHasEnded(t *testing.T) {
-	link := newPartition(t)
-	link.put("n1", `1`)
-	link.elect()
-	if link.exchange.Write(t.Context()) || link.ended != 1 || link.state.Under(store.RelayPrefix) != 0 {
-		t.Errorf("TermEnded called %d times, %d packets written", link.ended, link.state.Under(store.RelayPrefix))
+	partition := newPartition(t)
+	partition.put("n1", `1`)
+	partition.elect()
+	if partition.exchange.Write(t.Context()) || partition.termEndedCalls != 1 || partition.state.Under(store.RelayPrefix) != 0 {
+		t.Errorf("TermEnded called %d times, %d packets written", partition.termEndedCalls, partition.state.Under(store.RelayPrefix))
 	}
 }
 
 // Messages whose write failed in an outage are written on the next attempt.
 func TestWriteRetriesAfterOutage(t *testing.T) {
-	link := newPartition(t)
-	link.put("n1", `1`)
-	link.state.Outage(true)
-	if link.exchange.Write(t.Context()) || link.ended != 0 {
-		t.Errorf("TermEnded called %d times in an outage", link.ended)
+	partition := newPartition(t)
+	partition.put("n1", `1`)
+	partition.state.Outage(true)
+	if partition.exchange.Write(t.Context()) || partition.termEndedCalls != 0 {
+		t.Errorf("TermEnded called %d times in an outage", partition.termEndedCalls)
 	}
-	link.state.Outage(false)
-	if !link.exchange.Write(t.Context()) || link.state.Under(store.RelayPrefix) != 1 {
-		t.Errorf("%d packets written after an outage", link.state.Under(store.RelayPrefix))
+	partition.state.Outage(false)
+	if !partition.exchange.Write(t.Context()) || partition.state.Under(store.RelayPrefix) != 1 {
+		t.Errorf("%d packets written after an outage", partition.state.Under(store.RelayPrefix))
 	}
-	if link.exchange.Write(t.Context()) {
+	if partition.exchange.Write(t.Context()) {
 		t.Error("an unchanged message is written again at once")
 	}
 }
@@ -201,7 +203,7 @@
 	var dirty []string
 	mailboxes := &Mailboxes{
 		Term:      7,
-		Limits:    PacketLimits(facts),
+		Limits:    PacketLimits(stateLimits),
 		Prefix:    store.RelayResponsePrefix,
 		Key:       store.RelayResponseKey,
 		MarkDirty: func(key string, _ int, _ func()) { dirty = append(dirty, key) },
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -63,8 +63,8 @@
 		return relay.Packet{}, false
 	}
 	body := func(machine string) json.RawMessage { return m.Body(member, machine) }
-	packet, touched, tooLarge, err := m.mailboxes[member].BuildPacket(m.Term, index, body)
-	for _, other := range touched {
+	packet, newPackets, tooLarge, err := m.mailboxes[member].BuildPacket(m.Term, index, body)
+	for _, other := range newPackets {
 		m.MarkDirty(m.Key(member, other), store.Ordinary, nil)
 	}
 	for _, machine := range tooLarge {
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -1,7 +1,7 @@
 // Package proxy answers workers and data agents in place of a leader that this controller cannot reach but that leads
 // according to the state service. It relays their heartbeats to the leader, and the leader's commands and orders back, in
-// packets through the state service (packages relay and relay/exchange). Without it, every worker that a network partition
-// separates from the leader would kill its tasks as soon as its lease expires.
+// packets through the state service (packages relay and relay/exchange). Without it, every worker that a network
+// partition separates from the leader would kill its tasks as soon as its lease expires.
 package proxy
 
 import (
@@ -46,7 +46,7 @@
 		Member:         o.Member,
 		Client:         o.Client,
 		Clock:          o.Clock,
-		Rate:           o.WriteLimit,
+		WriteLimiter:   o.WriteLimit,
 		UplinkKey:      uplinkKey,
 		DownlinkPrefix: downlinkPrefix + o.Member + "/",
 		RefreshEvery:   refreshEvery,
--- a/relay/proxy/workers.go
+++ b/relay/proxy/workers.go
@@ -66,21 +66,21 @@
 	}
 }
 
-// HandleHeartbeat relays a worker's heartbeat to the leader of a term and returns the commands that the leader has sent for
-// the worker. It returns none if they may be out of date.
+// HandleHeartbeat relays a worker's heartbeat to the leader of a term and returns the commands that the leader has sent
+// for the worker. It returns none if they may be out of date.
 func (w *Workers) HandleHeartbeat(heartbeat *api.Heartbeat, term uint64) api.HeartbeatResponse {
 	return w.handleHeartbeat(heartbeat, term, false)
 }
 
-// HandleOfferedHeartbeat is HandleHeartbeat for a heartbeat that was forwarded to the leader directly, but without a reply in
-// time. The leader may have handled the heartbeat and sent other commands since. A leader of an older version then counts all
-// relayed starts as settled.
+// HandleOfferedHeartbeat is HandleHeartbeat for a heartbeat that was forwarded to the leader directly, but without a
+// reply in time. The leader may have handled the heartbeat and sent other commands since. A leader of an older version
+// then counts all relayed starts as settled.
 func (w *Workers) HandleOfferedHeartbeat(heartbeat *api.Heartbeat, term uint64) api.HeartbeatResponse {
 	return w.handleHeartbeat(heartbeat, term, true)
 }
 
-// handleHeartbeat implements HandleHeartbeat, and HandleOfferedHeartbeat if offered is set.
-func (w *Workers) handleHeartbeat(heartbeat *api.Heartbeat, term uint64, offered bool) api.HeartbeatResponse {
+// handleHeartbeat implements HandleHeartbeat, and HandleOfferedHeartbeat if forwarded is set.
+func (w *Workers) handleHeartbeat(heartbeat *api.Heartbeat, term uint64, forwarded bool) api.HeartbeatResponse {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	response := api.HeartbeatResponse{Term: term, Commands: []api.Command{}}
@@ -93,12 +93,12 @@
 		// and the commands in the answer to it would count as delivered.
 		return response
 	}
-	begins := worker == nil || worker.heartbeat.Incarnation != heartbeat.Incarnation || heartbeat.Seq != worker.heartbeat.Seq+1
-	if begins {
+	newSequence := worker == nil || worker.heartbeat.Incarnation != heartbeat.Incarnation || heartbeat.Seq != worker.heartbeat.Seq+1
+	if newSequence {
 		slog.Debug("relaying a worker's heartbeats", "machine", heartbeat.Machine, "session", heartbeat.Incarnation)
 	}
-	changed := begins || !sameStatus(heartbeat, &worker.heartbeat)
-	if begins || offered {
+	changed := newSequence || !sameStatus(heartbeat, &worker.heartbeat)
+	if newSequence || forwarded {
 		// Commands derived from earlier heartbeats are not delivered any more: the worker may have received newer ones from
 		// another controller.
 		worker = &workerState{firstSeq: heartbeat.Seq}
@@ -117,7 +117,7 @@
 	return response
 }
 
-// sameStatus reports whether two heartbeats of a worker are equal in term, tasks and the presence of a preemption notice.
+// sameStatus reports whether two heartbeats of a worker are equal in term, tasks and whether there is a preemption notice.
 func sameStatus(a, b *api.Heartbeat) bool {
 	return a.Term == b.Term && (a.PreemptionNoticeS == nil) == (b.PreemptionNoticeS == nil) && slices.Equal(a.Tasks, b.Tasks)
 }
@@ -127,22 +127,22 @@
 // tuning.RelayedCommandsSpan heartbeats ago: the leader counts a start among them as settled once it has seen a later
 // heartbeat (rule 4 of docs/design.md). w.mu must be held.
 func (w *Workers) deliver(worker *workerState, term uint64) (commands []api.Command, outdated bool) {
-	none := []api.Command{}
+	noCommands := []api.Command{}
 	machine := worker.heartbeat.Machine
-	raw := w.inbox.MessageFor(term, machine)
-	if raw == nil {
-		return none, false
+	encoded := w.inbox.MessageFor(term, machine)
+	if encoded == nil {
+		return noCommands, false
 	}
 	var message store.RelayedCommands
-	if err := json.Unmarshal(raw, &message); err != nil {
+	if err := json.Unmarshal(encoded, &message); err != nil {
 		slog.Error("corrupt relayed message", "machine", machine, "err", err)
-		return none, false
+		return noCommands, false
 	}
 	if message.Incarnation != worker.heartbeat.Incarnation || message.Seq < max(worker.firstSeq, worker.deliveredSeq) {
-		return none, false
+		return noCommands, false
 	}
 	if worker.heartbeat.Seq > message.Seq+tuning.RelayedCommandsSpan {
-		return none, true
+		return noCommands, true
 	}
 	worker.deliveredSeq = message.Seq
 	return message.Commands, false
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -23,8 +23,8 @@
 	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimit: exchange.WriteRate(limits), State: limits})
 }
 
-// relayedCommand describes a command for a task on machine b1 that the leader of term 7 derived from heartbeat seq and put into
-// the given packet, which was written at the given revision of the state service.
+// relayedCommand describes a command for a task on machine b1 that the leader of term 7 derived from heartbeat seq and
+// put into the given packet, which was written at the given revision of the state service.
 type relayedCommand struct {
 	packet        int
 	revision, seq uint64
@@ -57,29 +57,29 @@
 
 // Commands are delivered only while this proxy receives all of a worker's heartbeats: if heartbeats are missing, another
 // controller may have cleared the attempt that the commands would start.
-func TestOvertakenCommandsAreNotDelivered(t *testing.T) {
+func TestStaleCommandsAreNotDelivered(t *testing.T) {
 	workers := newWorkers()
-	send := func(seq uint64) api.HeartbeatResponse {
+	sendHeartbeat := func(seq uint64) api.HeartbeatResponse {
 		return workers.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
 	}
-	send(10)
+	sendHeartbeat(10)
 	relayCommand(t, workers, relayedCommand{packet: 0, revision: 50, seq: 10, verb: api.CommandRun})
-	if response := send(11); len(response.Commands) != 1 || response.Term != 7 {
+	if response := sendHeartbeat(11); len(response.Commands) != 1 || response.Term != 7 {
 		t.Fatalf("commands not delivered: %+v", response)
 	}
 	for _, seq := range []uint64{13, 14} {
-		if response := send(seq); len(response.Commands) != 0 {
+		if response := sendHeartbeat(seq); len(response.Commands) != 0 {
 			t.Errorf("commands from before a gap delivered for heartbeat %d", seq)
 		}
 	}
 	// Commands that were derived from an earlier heartbeat than the last delivered ones are not delivered after them, even
 	// from another packet: a start after a clear would run the task again.
 	relayCommand(t, workers, relayedCommand{packet: 1, revision: 60, seq: 14, verb: api.CommandClear})
-	if response := send(15); len(response.Commands) != 1 || response.Commands[0].Verb != api.CommandClear {
+	if response := sendHeartbeat(15); len(response.Commands) != 1 || response.Commands[0].Verb != api.CommandClear {
 		t.Fatalf("the newer commands: %+v", response)
 	}
 	relayCommand(t, workers, relayedCommand{packet: 0, revision: 70, seq: 13, verb: api.CommandRun})
-	if response := send(16); len(response.Commands) != 0 {
+	if response := sendHeartbeat(16); len(response.Commands) != 0 {
 		t.Errorf("commands derived before those that were delivered last: %+v", response)
 	}
 	if response := workers.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: 17, Term: 7}, 9); len(response.Commands) != 0 || response.Term != 9 {
@@ -88,35 +88,35 @@
 }
 
 // A delayed duplicate of a heartbeat does not replace a newer one.
-func TestCopyOfAHeartbeatChangesNothing(t *testing.T) {
-	w := newWorkers()
+func TestDuplicateHeartbeatIsIgnored(t *testing.T) {
+	workers := newWorkers()
 	term := uint64(9)
-	r := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
-	first := w.HandleHeartbeat(&r, term)
-	r.Seq = 11
-	w.HandleHeartbeat(&r, term)
-	firstSeq := w.workers["b1"].firstSeq
-	old := r
-	old.Seq = 10
-	w.HandleHeartbeat(&old, term)
-	if s := w.workers["b1"]; s.firstSeq != firstSeq || s.heartbeat.Seq != 11 || first.Term != term {
+	heartbeat := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
+	first := workers.HandleHeartbeat(&heartbeat, term)
+	heartbeat.Seq = 11
+	workers.HandleHeartbeat(&heartbeat, term)
+	firstSeq := workers.workers["b1"].firstSeq
+	duplicate := heartbeat
+	duplicate.Seq = 10
+	workers.HandleHeartbeat(&duplicate, term)
+	if worker := workers.workers["b1"]; worker.firstSeq != firstSeq || worker.heartbeat.Seq != 11 || first.Term != term {
 		t.Error("a duplicate heartbeat replaced the state from a newer one")
 	}
 }
 
-// Commands are delivered for tuning.RelayedCommandsSpan heartbeats after the one from which they were derived. After that
-// the leader may count a start among them as settled. The next heartbeat is sent at once, although the worker's status has
-// not changed, so that the leader derives the commands again.
-func TestOutdatedCommandsAreNotDeliveredButDerivedAnew(t *testing.T) {
+// Commands are delivered for tuning.RelayedCommandsSpan heartbeats after the one from which they were derived. After
+// that the leader may count a start among them as settled. The next heartbeat is sent at once, although the worker's
+// status has not changed, so that the leader derives the commands again.
+func TestOutdatedCommandsAreDerivedAgain(t *testing.T) {
 	workers := newWorkers()
-	say := func(seq uint64) api.HeartbeatResponse {
+	sendHeartbeat := func(seq uint64) api.HeartbeatResponse {
 		return workers.HandleHeartbeat(&api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}, 7)
 	}
 	const derivedFrom = 10
-	say(derivedFrom)
+	sendHeartbeat(derivedFrom)
 	relayStart(t, workers, 50, derivedFrom)
 	for seq := uint64(derivedFrom + 1); seq <= derivedFrom+tuning.RelayedCommandsSpan; seq++ {
-		if response := say(seq); len(response.Commands) != 1 {
+		if response := sendHeartbeat(seq); len(response.Commands) != 1 {
 			t.Fatalf("not delivered for heartbeat %d: %+v", seq, response)
 		}
 	}
@@ -130,22 +130,22 @@
 	if packetsDue() != 1 || packetsDue() != 0 {
 		t.Fatal("packets due: want the first heartbeat only")
 	}
-	const outdated = derivedFrom + tuning.RelayedCommandsSpan + 1
-	if response := say(outdated); len(response.Commands) != 0 {
+	const outdatedAt = derivedFrom + tuning.RelayedCommandsSpan + 1
+	if response := sendHeartbeat(outdatedAt); len(response.Commands) != 0 {
 		t.Errorf("outdated commands were delivered: %+v", response)
 	}
 	if packetsDue() != 1 {
 		t.Error("the heartbeat is not sent to the leader at once")
 	}
-	relayStart(t, workers, 51, outdated)
-	if response := say(outdated + 1); len(response.Commands) != 1 {
+	relayStart(t, workers, 51, outdatedAt)
+	if response := sendHeartbeat(outdatedAt + 1); len(response.Commands) != 1 {
 		t.Errorf("commands derived again are not delivered: %+v", response)
 	}
 }
 
 // Once a heartbeat was forwarded to the leader directly without a reply, commands derived from earlier heartbeats are not
 // delivered any more, neither in answer to it nor later: the leader may have handled it and started the task elsewhere.
-func TestOfferedHeartbeatGetsNoEarlierCommands(t *testing.T) {
+func TestForwardedHeartbeatGetsNoEarlierCommands(t *testing.T) {
 	workers := newWorkers()
 	heartbeat := func(seq uint64) *api.Heartbeat {
 		return &api.Heartbeat{Machine: "b1", Incarnation: 1, Seq: seq, Term: 7}
