--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -16,21 +16,21 @@
 	"switchferry/tuning"
 )
 
-// With all peers in reach a change is in force at once. With a peer out of reach it is in force once that
-// peer's lease has expired, and the peer decides nothing by the old revision from then on.
+// If all peers can be reached, a change is in force at once. If a peer is isolated, the change is in force once
+// that peer's lease has expired, and the peer does not use the old revision from then on.
 func TestApplyWaitsForPeersOrTheirLeases(t *testing.T) {
-	for _, cut := range []bool{false, true} {
+	for _, isolated := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t, usualLimits)
 			applier := cluster.elect()
 			time.Sleep(time.Second)
-			cluster.isolate("y", cut)
+			cluster.isolate("y", isolated)
 			began := time.Now()
 			answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50), By: "me", Why: "less"})
-			if err != nil || answer.Revision != 1 || answer.InForce == cut {
+			if err != nil || answer.Revision != 1 || answer.InForce == isolated {
 				t.Fatalf("%+v, %v", answer, err)
 			}
-			if cut && (len(answer.WaitsFor) != 1 || !strings.HasPrefix(answer.WaitsFor[0], "y, for")) {
+			if isolated && (len(answer.WaitsFor) != 1 || !strings.HasPrefix(answer.WaitsFor[0], "y, for")) {
 				t.Errorf("waits for %v", answer.WaitsFor)
 			}
 			for !answer.InForce {
@@ -38,27 +38,27 @@
 				answer, _ = applier.Progress()
 			}
 			cluster.requireNoOlderLease(1)
-			if took := time.Since(began); cut && took > 2*time.Second || !cut && took > 100*time.Millisecond {
+			if took := time.Since(began); isolated && took > 2*time.Second || !isolated && took > 100*time.Millisecond {
 				t.Errorf("in force after %v", took)
 			}
 			if last := cluster.lastAdopted(); last.Revision != 1 {
 				t.Errorf("the leader uses revision %d", last.Revision)
 			}
-			if _, ok := cluster.followers["y"].Lease(); ok == cut {
+			if _, ok := cluster.followers["y"].Lease(); ok == isolated {
 				t.Errorf("y has a lease: %v", ok)
 			}
-			cluster.reconnectAll()
+			cluster.reconnectFollowers()
 		})
 	}
 }
 
-// A start that was decided before the change delays it until the start is persisted, and the answer says so.
-func TestChangeWaitsForEarlierDecisions(t *testing.T) {
+// A change is not in force before all starts that were decided before it are persisted, and the answer says so.
+func TestChangeWaitsUntilEarlierDecisionsArePersisted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
 		applier := cluster.elect()
 		cluster.mu.Lock()
-		cluster.unrecorded = 3
+		cluster.unpersisted = 3
 		cluster.mu.Unlock()
 		answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50)})
 		if err != nil || answer.InForce || len(answer.WaitsFor) == 0 || !strings.HasPrefix(answer.WaitsFor[0], "3 starts") {
@@ -68,7 +68,7 @@
 			t.Errorf("meanwhile the limit is %g", limit.CPUs)
 		}
 		cluster.mu.Lock()
-		cluster.unrecorded = 0
+		cluster.unpersisted = 0
 		cluster.mu.Unlock()
 		time.Sleep(100 * time.Millisecond)
 		if answer, _ = applier.Progress(); !answer.InForce {
@@ -77,8 +77,8 @@
 	})
 }
 
-// Of two changes that expect the same revision one is made, and the other is refused. The same document
-// once more changes nothing.
+// Of two concurrent changes that expect the same revision, one is made and the other is refused. Applying the
+// current document again changes nothing.
 func TestOneOfTwoConcurrentChangesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -99,14 +99,15 @@
 			t.Errorf("%v and %v", first, second)
 		}
 		revision, newest, _ := applier.Current()
-		again, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, revision.Document)})
-		if err != nil || !again.Unchanged || !again.InForce || newest != 1 || again.Revision != 1 {
-			t.Errorf("%+v, %v", again, err)
+		repeated, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, revision.Document)})
+		if err != nil || !repeated.Unchanged || !repeated.InForce || newest != 1 || repeated.Revision != 1 {
+			t.Errorf("%+v, %v", repeated, err)
 		}
 	})
 }
 
-// Of many concurrent changes each is in force in the end, and the last 50 revisions are kept.
+// Many concurrent changes all come into force in the end, and only the last tuning.ConfigurationKept revisions
+// are kept.
 func TestManyConcurrentChangesAllComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
@@ -136,14 +137,14 @@
 		_, newest, _ := applier.Current()
 		history, err := applier.History(cluster.ctx)
 		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationKept || cluster.state.Under(configuration.PartPrefix) != tuning.ConfigurationKept {
-			t.Errorf("%d in force, newest %d, %d in the history, %d on record, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
+			t.Errorf("%d in force, newest %d, %d in the history, %d stored, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
 		}
 	})
 }
 
-// The leader crashes between any two of its writes. The next one uses a whole revision, the former or the
-// new one, and can change it.
-func TestCrashBetweenWritesLeavesWholeRevision(t *testing.T) {
+// If the leader crashes between any two of its writes, the next leader uses a complete revision, either the
+// previous or the new one, and can make another change.
+func TestCrashBetweenWritesLeavesCompleteRevision(t *testing.T) {
 	for writes := range 12 {
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t, smallLimits)
@@ -161,12 +162,12 @@
 			cluster.mu.Lock()
 			cluster.dropRequest = func() bool { return false }
 			cluster.mu.Unlock()
-			next := cluster.awaitSettled(cluster.elect())
-			revision, newest, rejection := next.Current()
+			nextApplier := cluster.awaitSettled(cluster.elect())
+			revision, newest, rejection := nextApplier.Current()
 			if rejection != "" || revision.Number != newest || revision.Document != largeDocument(int(revision.Number)) {
 				t.Fatalf("after %d writes: revision %d, newest %d, %s", writes, revision.Number, newest, rejection)
 			}
-			answer, err := next.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(3))})
+			answer, err := nextApplier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(3))})
 			if err != nil || !answer.InForce || answer.Revision != newest+1 {
 				t.Errorf("after %d writes: %+v, %v", writes, answer, err)
 			}
@@ -174,18 +175,18 @@
 	}
 }
 
-// A revision that is damaged or of a newer format is not used. The last good one is, and a change can
-// follow.
-func TestUnreadableRevisionFallsBackToLastGood(t *testing.T) {
+// A stored revision that is damaged or of a newer format is not used. The last usable one is used instead, and
+// another change can be made.
+func TestUnusableRevisionFallsBackToLastUsable(t *testing.T) {
 	for name, damage := range map[string]func(cluster *testCluster){
-		"a part": func(cluster *testCluster) {
-			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 1, Of: 1, Text: "x"})
+		"a damaged part": func(cluster *testCluster) {
+			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 1, PartCount: 1, Text: "x"})
 		},
-		"no JSON": func(cluster *testCluster) { cluster.state.Put(configuration.PartKey(2, 0), "x") },
-		"newer": func(cluster *testCluster) {
-			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 2, Of: 1, Text: "x"})
+		"a part that is not JSON": func(cluster *testCluster) { cluster.state.Put(configuration.PartKey(2, 0), "x") },
+		"a newer format": func(cluster *testCluster) {
+			cluster.state.Put(configuration.PartKey(2, 0), configuration.Part{Format: 2, PartCount: 1, Text: "x"})
 		},
-		"the head": func(cluster *testCluster) {
+		"a damaged head": func(cluster *testCluster) {
 			cluster.state.Put(configuration.PartKey(2, 0), "x")
 			cluster.state.Put(configuration.HeadKey, "x")
 		},
@@ -199,21 +200,21 @@
 				}
 			}
 			damage(cluster)
-			next := cluster.awaitSettled(cluster.elect())
-			revision, newest, rejection := next.Current()
-			if revision == nil || revision.Number != 1 || newest != 2 || rejection == "" || next.active.Revision != 1 {
+			nextApplier := cluster.awaitSettled(cluster.elect())
+			revision, newest, rejection := nextApplier.Current()
+			if revision == nil || revision.Number != 1 || newest != 2 || rejection == "" || nextApplier.active.Revision != 1 {
 				t.Fatalf("%s: %+v, newest %d, rejection %q", name, revision, newest, rejection)
 			}
-			answer, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 30)})
-			if revision, _, rejection = next.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || rejection != "" {
+			answer, err := nextApplier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 30)})
+			if revision, _, rejection = nextApplier.Current(); err != nil || answer.Revision != 3 || revision.Number != 3 || rejection != "" {
 				t.Errorf("%s: %+v, %v", name, answer, err)
 			}
 		})
 	}
 }
 
-// A change whose answer from the state service is lost is stored all the same, and is found to be.
-func TestLostAnswerDoesNotRefuseChange(t *testing.T) {
+// If the state service's answer to a change is lost, the applier finds out that the change is stored.
+func TestChangeWithLostAnswerIsFoundStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
 		applier := cluster.elect()
@@ -235,7 +236,7 @@
 	})
 }
 
-// In an outage a change is refused at once, and the present revision stays in force.
+// During an outage of the state service a change is refused at once, and the current revision stays in force.
 func TestOutageRefusesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -258,9 +259,9 @@
 	})
 }
 
-// A new leader does not call the revision in force that it has read: the former leader may have stored it a
-// moment ago, and a controller that is isolated may still use an older one.
-func TestNewLeaderCallsNothingInForceAtOnce(t *testing.T) {
+// A new leader does not at once report the revision that it has read as in force: the previous leader may just
+// have stored it, and an isolated controller may still use an older one.
+func TestNewLeaderDoesNotReportInForceBeforeLeasesExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
 		applier := cluster.elect()
@@ -275,40 +276,40 @@
 		if err != nil || stored.Revision != 2 || stored.InForce {
 			t.Fatalf("%+v, %v", stored, err)
 		}
-		next := cluster.elect()
-		if _, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)}); !errors.Is(err, ErrBusy) {
-			t.Errorf("the same once more, at once: %v", err)
+		nextApplier := cluster.elect()
+		if _, err := nextApplier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)}); !errors.Is(err, ErrBusy) {
+			t.Errorf("the same change again, before the rollout is finished: %v", err)
 		}
 		for {
-			progress, ok := next.Progress()
+			progress, ok := nextApplier.Progress()
 			if lease, holds := cluster.followers["y"].Lease(); ok && progress.InForce && holds && lease.Active.Revision < 2 {
-				t.Fatal("called in force while y may use revision 1")
+				t.Fatal("revision 2 is reported as in force while y may use revision 1")
 			}
 			if progress.InForce {
 				break
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		again, err := next.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)})
-		if err != nil || !again.Unchanged || !again.InForce {
-			t.Errorf("%+v, %v", again, err)
+		repeated, err := nextApplier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 20)})
+		if err != nil || !repeated.Unchanged || !repeated.InForce {
+			t.Errorf("%+v, %v", repeated, err)
 		}
 	})
 }
 
-// Random faults: lost answers, transactions that are not executed, isolated followers, changes of leader at
-// any moment. No follower may ever use a revision older than one that was reported to be in force, and
-// every leader begins with one that is as new.
+// Under random faults (lost answers, transactions that are not executed, isolated followers, changes of leader
+// at any time), no follower may use a revision older than one that was reported as in force, and no leader
+// begins with an older one.
 func TestNoLeaseIsOlderThanRevisionInForce(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			cluster := newTestCluster(t, []settings.State{smallLimits, usualLimits}[seed%2])
 			cluster.mu.Lock()
-			// The callers hold the lock.
-			network := rand.New(rand.NewPCG(seed, 4))
-			cluster.dropAnswer = func() bool { return network.IntN(4) == 0 }
-			cluster.dropRequest = func() bool { return network.IntN(6) == 0 }
+			// The functions are called with cluster.mu held, which also guards the generator.
+			networkRNG := rand.New(rand.NewPCG(seed, 4))
+			cluster.dropAnswer = func() bool { return networkRNG.IntN(4) == 0 }
+			cluster.dropRequest = func() bool { return networkRNG.IntN(6) == 0 }
 			cluster.mu.Unlock()
 			applier := cluster.elect()
 			inForce := uint64(0)
@@ -350,9 +351,9 @@
 	}
 }
 
-// A part that was written for a refused change is written once more, late, between the parts and the head of
-// the next change. The next change is not stored with a part of the other.
-func TestLateCopyOfEarlierPartIsNotStored(t *testing.T) {
+// A delayed duplicate of a write for a refused change is executed between the parts and the head of the next
+// change. The next change must not be stored with a part of the refused one.
+func TestDelayedDuplicateOfEarlierPartIsNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
 		applier := cluster.elect()
@@ -361,16 +362,16 @@
 			t.Fatalf("%d parts, %v", len(parts), err)
 		}
 		transactions := 0
-		atTransaction := func(n int, what func()) func() bool {
+		atTransaction := func(n int, action func()) func() bool {
 			transactions = 0
 			return func() bool {
 				if transactions++; transactions == n {
-					what()
+					action()
 				}
 				return false
 			}
 		}
-		// The first parts of the first change are held back and sent again. Then the outage begins.
+		// The write of the first parts of the first change is held back and retried. Then the outage begins.
 		cluster.state.HoldNext = true
 		cluster.mu.Lock()
 		cluster.dropRequest = atTransaction(3, func() { cluster.state.Outage(true) })
@@ -389,9 +390,9 @@
 		cluster.dropRequest = func() bool { return false }
 		cluster.mu.Unlock()
 		answer, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))})
-		next := cluster.elect()
-		if revision, _, rejection := next.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
-			t.Errorf("tried again: %+v, %v, rejection %q", answer, err, rejection)
+		nextApplier := cluster.elect()
+		if revision, _, rejection := nextApplier.Current(); err != nil || !answer.InForce || rejection != "" || revision == nil || revision.Document != largeDocument(2) {
+			t.Errorf("second change retried: %+v, %v, rejection %q", answer, err, rejection)
 		}
 	})
 }
--- a/configuration/revisions/rollout.go
+++ b/configuration/revisions/rollout.go
@@ -9,7 +9,7 @@
 	"switchferry/tuning"
 )
 
-// change is a change that is in progress.
+// change is a configuration change in progress.
 type change struct {
 	// rollout is guarded by Applier.mu.
 	rollout  *configuration.Rollout
@@ -19,15 +19,16 @@
 	headRevision uint64
 }
 
-// rollOut takes a change from before it is stored until it is in force. The error says why the
-// revision is not stored, or is ErrNotLeader if the term ended before it was in force.
+// rollOut stores the revision of a change and waits until it is in force. The error is the reason why
+// the revision is not stored, or ErrNotLeader if the term ended before the revision was in force.
 func (a *Applier) rollOut(change change) error {
 	rollout, revision := change.rollout, change.revision
 	a.mu.Lock()
 	a.rollout = rollout
 	a.mu.Unlock()
-	// From here on the lower limits of both revisions apply, whatever becomes of the change.
-	unrecordedCount := a.leader.Adopt(rollout.Effective())
+	// From here on the lower limits of both revisions apply, so that the decisions comply with both
+	// whether or not the new revision is stored.
+	unpersistedCount := a.leader.Adopt(rollout.Effective())
 	headRevision, err := a.persist(revision, change.headRevision)
 	if err != nil {
 		a.mu.Lock()
@@ -43,7 +44,7 @@
 	lease := configuration.ValidityLease{Active: rollout.After, StoreRevision: headRevision, RequestedAt: a.clock.Now()}
 	a.setCurrent(lease, revision, revision.Number, "")
 	storedAt := a.clock.Now()
-	if !a.awaitInForce(rollout, unrecordedCount) {
+	if !a.awaitInForce(rollout, unpersistedCount) {
 		return ErrNotLeader
 	}
 	slog.Info("configuration in force", "revision", revision.Number, "by", revision.By, "why", revision.Why, "stored_to_in_force_ms", a.clock.Since(storedAt).Milliseconds())
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// resumeRollout brings the revision into force that the last leader stored. That leader may have ended
-// before the revision was in force, and some controllers may still use an older one.
+// resumeRollout brings the revision that the previous leader stored into force. That leader's term may
+// have ended before the revision was in force, so some controllers may still use an older one.
 func (a *Applier) resumeRollout(active *configuration.Active) {
 	rollout := configuration.NewRollout(active, active, a.leader.Peers())
 	rollout.MarkStored(a.clock.Now())
@@ -60,22 +61,22 @@
 	a.rollout = rollout
 	a.mu.Unlock()
 	// This does not block: no change has been requested in this term yet.
-	a.inProgress <- struct{}{}
+	a.changeSemaphore <- struct{}{}
 	go func() {
 		defer a.release()
 		a.awaitInForce(rollout, func() int { return 0 })
 	}()
 }
 
-// awaitInForce waits until a stored revision is in force, and returns true then. It returns false if
-// the term ends before. The goroutines that it starts end with the rollout or the term.
-func (a *Applier) awaitInForce(rollout *configuration.Rollout, unrecordedCount func() int) bool {
+// awaitInForce waits until a stored revision is in force, and returns false if the term ends before
+// that. The goroutines that it starts end when the revision is in force or the term ends.
+func (a *Applier) awaitInForce(rollout *configuration.Rollout, unpersistedCount func() int) bool {
 	for _, member := range a.leader.Peers() {
 		go a.awaitConfirmation(rollout, member)
 	}
 	for a.termCtx.Err() == nil {
-		unrecorded := unrecordedCount()
-		if a.advance(rollout, unrecorded) {
+		unpersisted := unpersistedCount()
+		if a.advance(rollout, unpersisted) {
 			return true
 		}
 		a.sleep(tuning.ConfigurationStep)
@@ -83,12 +84,13 @@
 	return false
 }
 
-// advance moves a rollout on, and returns true once the revision is in force. The leader then decides
-// by the new revision alone, before anybody is told that it is in force.
-func (a *Applier) advance(rollout *configuration.Rollout, unrecorded int) bool {
+// advance updates the stage of a rollout and reports whether the revision is in force. If it is, the
+// leader adopts the new revision before a.mu is released, and thus before any answer says that the
+// revision is in force.
+func (a *Applier) advance(rollout *configuration.Rollout, unpersisted int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	rollout.SetUnrecorded(unrecorded)
+	rollout.SetUnpersisted(unpersisted)
 	if rollout.Advance(a.clock.Now()) != configuration.InForce {
 		return false
 	}
@@ -96,7 +98,8 @@
 	return true
 }
 
-// awaitConfirmation asks a peer until it has read the revision, or the revision is in force without.
+// awaitConfirmation asks a peer repeatedly to read the revision, until the peer has confirmed it, the
+// revision is in force without that confirmation, or the term ends.
 func (a *Applier) awaitConfirmation(rollout *configuration.Rollout, member string) {
 	for a.termCtx.Err() == nil {
 		number, err := a.leader.RefreshPeer(a.termCtx, member, rollout.After.Revision)
@@ -114,5 +117,5 @@
 	}
 }
 
-// sleep waits for a duration, or until the term ends.
+// sleep waits for a duration or until the term ends.
 func (a *Applier) sleep(duration time.Duration) { sleep.For(a.termCtx, a.clock, duration) }
