--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -1,13 +1,14 @@
-// Package ageing prevents starvation: it decides when a job has waited so long that it is served before others, and which
-// machines to keep free so that its tasks can start soonest.
+// Package ageing prevents starvation: it decides when a job has waited so long that it is scheduled before others, and
+// which machines to reserve so that its tasks can start soonest.
 //
-// Priorities and due times alone starve jobs: while small jobs, or those of higher priority, keep coming, the largest jobs
-// of a class, those that can no longer meet their due time and those that need a whole machine are passed over each time.
-// So a job of which nothing has started for a while may start one task, or a gang as a whole, before all but production
-// jobs; after that it has its ordinary position again. This costs the other jobs one task for each waiting job in that
-// time, and bounds the wait of each by that time plus the time that a machine takes to drain.
+// Scheduling by priority and due time alone starves jobs: while small jobs, or jobs of higher priority, keep arriving, the
+// largest jobs of a class, those that can no longer meet their due time and those that need a whole machine are passed
+// over in every round. So a job of which no task has started within a time limit may start one task, or a gang as a whole,
+// before all but production jobs; after that it has its ordinary position again. This costs the other jobs one task for
+// each waiting job per time limit, and bounds the wait of each job by the limit plus the time that a machine takes to
+// drain.
 //
-// The package knows times, zones and when tasks could start, not jobs or machines. It has no clock and no lock.
+// The package knows times, zones and when tasks could start, but no jobs. It has no clock and no lock.
 package ageing
 
 import (
@@ -17,8 +18,8 @@
 	"time"
 )
 
-// Due reports whether a job has starved for limit or longer. It could have started since waitingSince, and a task of it
-// was last started at lastStart; zero: none was.
+// Due reports whether a job has starved for limit or longer. The job has been ready to start since waitingSince, and one
+// of its tasks was last started at lastStart, which is zero if none was.
 func Due(now, waitingSince, lastStart time.Time, limit time.Duration) bool {
 	if lastStart.After(waitingSince) {
 		waitingSince = lastStart
@@ -26,15 +27,17 @@
 	return now.Sub(waitingSince) >= limit
 }
 
-// Machine is when further tasks of a job could start on one machine, as what runs there ends.
+// Machine says when further tasks of a job could start on one machine, as the tasks running there end.
 type Machine struct {
 	Name, Zone string
-	// At are the times from now at which one more task each could start, in ascending order; none: never.
+	// At lists, for each further task, the time from now until it could start, in ascending order. It is empty if none
+	// ever can.
 	At []time.Duration
 }
 
-// EarliestMachines chooses the machines on which so many tasks can all have started soonest, with oneZone in a single zone, and
-// returns their names and in how long that is. The names are nil if the tasks can never all start.
+// EarliestMachines chooses the machines on which the given number of tasks can all have started soonest, in a single zone
+// if oneZone is set. It returns their names and the time until the last task starts. The names are nil if the tasks can
+// never all start, or if there are none.
 func EarliestMachines(machines []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
 	if !oneZone {
 		return earliest(machines, tasks)
@@ -52,7 +55,7 @@
 	return names, at
 }
 
-// earliest is EarliestMachines without regard to zones.
+// earliest implements EarliestMachines without regard to zones.
 func earliest(machines []Machine, tasks int) (names []string, at time.Duration) {
 	type start struct {
 		at   time.Duration
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that rents machines by the second. It keeps to the cloud's
-// limit of requests, and tells apart the outcomes that the scheduler decides by.
+// Package cloud is the client of the cloud that rents machines by the second. It respects the cloud's
+// request rate limit, and distinguishes the errors that the scheduler handles differently.
 package cloud
 
 import (
@@ -18,33 +18,34 @@
 	"switchferry/tuning"
 )
 
-// Outcomes of a call that callers decide by. After any other error, and after ErrTrouble, a request for
-// machines may still be carried out later.
+// Errors that callers handle differently. After any other error, and after ErrTrouble, a request for
+// machines may still be executed later.
 var (
-	// ErrNoCapacity tells that no machine of the type, zone and kind is available now.
+	// ErrNoCapacity means that no machine of the type, zone and kind is available now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrTrouble tells that the cloud has an outage.
+	// ErrTrouble means that the cloud has an outage.
 	ErrTrouble = errors.New("the cloud is in trouble")
 )
 
-// errEmptyCatalog refuses a catalog without machine types, with which nothing could be decided.
+// errEmptyCatalog means that the catalog has no machine types, so that no machine could be chosen.
 var errEmptyCatalog = errors.New("an empty catalog")
 
-// noCapacity is the text of the cloud's 503 that means ErrNoCapacity.
+// noCapacity is the error text of the 503 response that means ErrNoCapacity.
 const noCapacity = "no capacity"
 
-// pageLimit is the number of machines in a page of the list, the most that the cloud gives.
+// pageLimit is the number of machines in a page of the list, the maximum that the cloud returns.
 const pageLimit = 500
 
-// Client is a client of the cloud. Its methods may be called concurrently; each waits until the limit of
-// requests allows a call, and gives the call up after tuning.CloudTimeout.
+// Client is a client of the cloud. Its methods are safe for concurrent use; each waits until the rate limit
+// allows a call, and cancels the call after tuning.CloudTimeout.
 type Client struct {
 	base    string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// New returns a client for an address, with the cloud's limit of requests per second.
+// New returns a client for an address. The cloud's limit is rps requests per second, of which the client uses
+// the share tuning.QuotaShare.
 func New(addr string, rps float64, transport http.RoundTripper) *Client {
 	return &Client{
 		base:    "http://" + addr,
@@ -53,7 +54,7 @@
 	}
 }
 
-// call makes one request and decodes the answer, unless into is nil.
+// call sends one request and decodes the response into into, unless that is nil.
 func (client *Client) call(ctx context.Context, method, path string, body, into any) error {
 	if err := client.limiter.Wait(ctx); err != nil {
 		return err
@@ -73,7 +74,7 @@
 	return fmt.Errorf("status %d: %.100s", status, raw)
 }
 
-// decode decodes an answer, unless into is nil.
+// decode decodes a response, unless into is nil.
 func decode(raw []byte, into any) error {
 	if into == nil {
 		return nil
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// unavailableError returns what a 503 with the given body means.
+// unavailableError returns the error for a 503 response with the given body.
 func unavailableError(raw []byte) error {
 	var refusal api.Error
 	if json.Unmarshal(raw, &refusal) == nil && refusal.Error == noCapacity {
@@ -93,7 +94,7 @@
 	return ErrTrouble
 }
 
-// Catalog returns the machine types, with current prices. There is at least one.
+// Catalog returns the machine types, with current prices. Without an error there is at least one.
 func (client *Client) Catalog(ctx context.Context) ([]api.MachineType, error) {
 	var answer struct {
 		Types []api.MachineType `json:"hulls"`
@@ -107,8 +108,8 @@
 	return answer.Types, nil
 }
 
-// Rent asks for machines and returns the names of those rented, which may be fewer than asked for. The
-// error is ErrNoCapacity if there are none; then the same request can be sent again.
+// Rent requests machines and returns the names of those rented, which may be fewer than requested. The
+// error is ErrNoCapacity if none is available; then the same request can be sent again.
 func (client *Client) Rent(ctx context.Context, request api.InstanceRequest) ([]string, error) {
 	var answer struct {
 		Machines []string `json:"hosts"`
@@ -119,8 +120,8 @@
 	return answer.Machines, nil
 }
 
-// Return gives machines back. Without an error, they and everything on them are gone. Unknown names are
-// ignored; the cloud takes 100 at most.
+// Return returns machines to the cloud. Without an error, the machines and everything on them no longer
+// exist. Unknown names are ignored; the cloud accepts 100 names at most.
 func (client *Client) Return(ctx context.Context, names []string) error {
 	request := struct {
 		Machines []string `json:"hosts"`
@@ -132,7 +133,7 @@
 }
 
 // List returns all machines in the order of their names, which is that of their creation. The list is
-// delayed: new machines may be missing, and machines that are gone may still be in it.
+// delayed: new machines may be missing, and returned or failed machines may still be in it.
 func (client *Client) List(ctx context.Context) ([]api.Instance, error) {
 	var instances []api.Instance
 	after := ""
--- a/dag/graph.go
+++ b/dag/graph.go
@@ -1,7 +1,7 @@
-// Package dag tracks the dependencies between jobs: which jobs wait for which, what becomes ready when one completes and
-// what is cancelled with one, and which priority and due times a job inherits from the jobs that depend on it.
+// Package dag tracks the dependencies between jobs: which jobs wait for which, which jobs become ready when one completes
+// or are cancelled with one, and which priority and due times a job inherits from the jobs that depend on it.
 //
-// It has no lock, clock or I/O, and every list that it returns is in a stable order.
+// The package has no lock, clock or I/O, and every list that it returns is in a deterministic order.
 package dag
 
 import (
@@ -10,13 +10,13 @@
 )
 
 // Graph holds the dependencies that are not complete. A job waits from Add until all its dependencies are complete, or
-// until it is cancelled itself. A Graph is not safe for concurrent use; New makes one.
+// until it is cancelled. A Graph is created by New and is not safe for concurrent use.
 type Graph struct {
-	// dependencies leads from each waiting job to those it waits for, and dependents the other way.
+	// dependencies has an edge from each waiting job to each job that it waits for, dependents the reverse edges.
 	dependencies, dependents edges
 }
 
-// edges are the directed edges of a graph by their origin. An origin without edges has no entry.
+// edges holds the directed edges of a graph by their origin. An origin without edges has no entry.
 type edges map[string]map[string]bool
 
 func (e edges) add(from, to string) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// from returns the ends of the edges from an origin, sorted.
+// from returns the targets of the edges from an origin, sorted.
 func (e edges) from(origin string) []string { return slices.Sorted(maps.Keys(e[origin])) }
 
 // New returns an empty graph.
@@ -41,8 +41,8 @@
 	return &Graph{dependencies: edges{}, dependents: edges{}}
 }
 
-// Add makes a job wait for others that are not complete. These may be unknown to the graph and may wait themselves; a job
-// that waits already waits for these as well.
+// Add makes a job wait for dependencies, which must not be complete. Dependencies may be unknown to the graph and may wait
+// themselves. If the job waits already, the dependencies are added to the existing ones.
 func (g *Graph) Add(job string, dependencies []string) {
 	for _, dependency := range dependencies {
 		g.dependencies.add(job, dependency)
@@ -50,7 +50,7 @@
 	}
 }
 
-// removeEdge makes a job no longer wait for a dependency.
+// removeEdge removes a dependency of a job.
 func (g *Graph) removeEdge(job, dependency string) {
 	g.dependencies.remove(job, dependency)
 	g.dependents.remove(dependency, job)
@@ -59,7 +59,7 @@
 // Waiting reports whether a job waits for any other.
 func (g *Graph) Waiting(job string) bool { return len(g.dependencies[job]) > 0 }
 
-// Len returns how many jobs wait.
+// Len returns the number of jobs that wait.
 func (g *Graph) Len() int { return len(g.dependencies) }
 
 // Dependencies returns the jobs that a job waits for, sorted.
@@ -68,7 +68,7 @@
 // Dependents returns the jobs that wait for a job directly, sorted.
 func (g *Graph) Dependents(job string) []string { return g.dependents.from(job) }
 
-// Complete removes a completed job from the dependencies of all others, and returns the jobs that now wait for nothing,
+// Complete removes a completed job from the dependencies of all others, and returns the jobs that have become ready,
 // sorted.
 func (g *Graph) Complete(job string) (ready []string) {
 	for _, dependent := range g.Dependents(job) {
@@ -80,8 +80,8 @@
 	return ready
 }
 
-// Cancel removes a cancelled job and every job that depends on it, directly or through others. It returns the latter in
-// breadth-first order.
+// Cancel removes a cancelled job and every job that depends on it, directly or transitively. It returns the dependent
+// jobs in breadth-first order.
 func (g *Graph) Cancel(job string) (transitive []string) {
 	cancelled := map[string]bool{job: true}
 	for frontier := []string{job}; len(frontier) > 0; frontier = frontier[1:] {
--- a/dag/inherit.go
+++ b/dag/inherit.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Stage is what a job's position in the run queues follows from.
+// Stage holds the attributes of a job that determine its position in the run queues.
 type Stage struct {
-	// Rank is its priority; higher goes first.
+	// Rank is the job's priority; higher ranks go first.
 	Rank int
-	// TakesMS is how long it takes from when it may start until it completes, in milliseconds.
+	// TakesMS is the time from when the job may start until it completes, in milliseconds.
 	TakesMS int64
-	// DuesMS are its due times in milliseconds of one clock, the soonest first: a job that misses one still has the
-	// next.
+	// DuesMS lists the job's due times in milliseconds of one clock, in ascending order. A job that misses one is held
+	// to the next.
 	DuesMS []int64
 }
 
-// Inherit returns, for each job that others wait for, the stage that it has to keep for their sake and its own: the
-// highest rank and, for each due time by its index, the soonest. A dependency is due by the due time of its dependent
-// less what the dependent takes. StageOf returns a job's own stage, and false for a job that is not known.
+// Inherit returns, for each job that others wait for, the stage that results from its own and from those of its
+// dependents: the highest rank and, at each index of the due times, the earliest. A dependency is due at the due time of
+// its dependent less the dependent's TakesMS. StageOf returns a job's own stage, and false for an unknown job.
 func (g *Graph) Inherit(stageOf func(job string) (Stage, bool)) map[string]Stage {
 	walk := inheritanceWalk{graph: g, stageOf: stageOf, stages: map[string]Stage{}}
 	for id := range g.dependents {
@@ -29,7 +29,7 @@
 	return walk.stages
 }
 
-// inheritanceWalk is a depth-first walk along the dependents of a graph's jobs.
+// inheritanceWalk is a depth-first traversal of the dependents of a graph's jobs.
 type inheritanceWalk struct {
 	graph   *Graph
 	stageOf func(job string) (Stage, bool)
@@ -43,7 +43,7 @@
 		return stage
 	}
 	stage, _ := w.stageOf(job)
-	// This entry ends a cycle, which no accepted jobs form, while the dependents are visited.
+	// This entry ends the recursion if there is a cycle. Accepted jobs form no cycles.
 	w.stages[job] = stage
 	stage.DuesMS = slices.Clone(stage.DuesMS)
 	for _, dependent := range w.graph.Dependents(job) {
@@ -53,7 +53,7 @@
 	return stage
 }
 
-// inherit applies to a stage what one of its dependents requires.
+// inherit merges the inherited stage of a dependent into a stage.
 func (s *Stage) inherit(dependent Stage) {
 	s.Rank = max(s.Rank, dependent.Rank)
 	for i, due := range dependent.DuesMS {
--- a/failuredetector/decision.go
+++ b/failuredetector/decision.go
@@ -7,7 +7,7 @@
 	"switchferry/tuning"
 )
 
-// MachineState is what the leader knows of a machine when it decides what becomes of it.
+// MachineState is what the leader knows of a machine when it decides which action to take on it.
 type MachineState struct {
 	// Failed means that the cloud lists the machine as failed, Listed that the cloud listed it in this term,
 	// Up that it sent a heartbeat in this term.
@@ -16,13 +16,13 @@
 	Link reachability.State
 	// Tasks is how many tasks the machine has, or may have.
 	Tasks int
-	// SilentFor is for how long the machine's silence counts against it, UnconfirmedFor for how long it
-	// counts that the machine has not shown that answers and commands reach it.
+	// SilentFor is the time since Detector.SilentSince. UnconfirmedFor is the corresponding time for which the
+	// machine has not confirmed that answers and commands reach it.
 	SilentFor, UnconfirmedFor time.Duration
-	// PreemptionNotice means that the cloud takes the machine back, NoticeExpired that the time that it gave
-	// has passed.
+	// PreemptionNotice means that the cloud preempts the machine, NoticeExpired that the notice period has
+	// passed.
 	PreemptionNotice, NoticeExpired bool
-	// Faulty means that tasks fail on the machine that succeed elsewhere.
+	// Faulty means that tasks of several jobs have failed on the machine.
 	Faulty bool
 	// InboundLost means that the machine answers commands while its heartbeats reach no controller, so its
 	// lease expires although it is healthy.
@@ -33,11 +33,11 @@
 	StartupExpired bool
 }
 
-// Limits are for how long a machine may be silent.
+// Limits are the times for which a machine may be silent.
 type Limits struct {
-	// SuspectAfter is the time after which it gets no more work.
+	// SuspectAfter is the time after which the machine gets no more tasks.
 	SuspectAfter time.Duration
-	// ReleaseAfter is the time after which it is released.
+	// ReleaseAfter is the time after which the machine is released.
 	ReleaseAfter time.Duration
 	// ElectionGrace replaces ReleaseAfter for a machine that has to find a new leader, or that does not
 	// receive the leader's answers.
@@ -46,7 +46,7 @@
 	InboundLost time.Duration
 }
 
-// Action is what becomes of a machine.
+// Action is what the leader does with a machine.
 type Action int
 
 const (
@@ -54,17 +54,17 @@
 	Keep Action = iota
 	// Release returns the machine to the cloud now.
 	Release
-	// ReleaseWithinBudget returns it as the eviction budget allows.
+	// ReleaseWithinBudget returns the machine to the cloud when the eviction budget allows it.
 	ReleaseWithinBudget
-	// Drain saves its tasks and gives it no more work.
+	// Drain checkpoints the machine's tasks and gives it no more.
 	Drain
-	// Forget drops a machine that is known only from a heartbeat that may have been a delayed copy of one
-	// from before its failure.
+	// Forget removes the record of a machine that is known only from one heartbeat, which may be a delayed
+	// copy of one sent before the machine failed.
 	Forget
 )
 
-// Decide returns what becomes of a machine, and for operators the reason, which is empty for Keep and may be
-// empty for Drain.
+// Decide returns the action to take on a machine and the reason for operators, which is empty for Keep and may
+// be empty for Drain.
 func Decide(machine MachineState, limits Limits) (action Action, reason string) {
 	switch {
 	case machine.Failed:
@@ -77,21 +77,22 @@
 	case machine.Link == reachability.Unconfirmed && machine.SilentFor > limits.ElectionGrace && !machine.Listed && machine.Tasks == 0:
 		return Forget, "one unconfirmed heartbeat, and the cloud does not list it"
 	case machine.Link == reachability.Unconfirmed && machine.SilentFor <= limits.ElectionGrace:
-		// Neither its preemption notice nor its silence counts before it is certain to have lived in this term.
+		// Its preemption notice and its silence are ignored until it is certain that the machine was alive in
+		// this term.
 		return Keep, ""
 	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
 		return Release, "preempted by the cloud"
 	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
-		if machine.SilentShare > tuning.EvictFreelyShare {
-			// The cause lies between most of the zone and the controllers, not in the machine. There may be no
-			// capacity elsewhere, and its tasks live until its lease expires, or longer.
+		if machine.SilentShare > tuning.EvictUnlimitedShare {
+			// The fault is between most of the zone and the controllers, not in the machine. There may be no
+			// capacity elsewhere, and the tasks run at least until the lease expires.
 			return Keep, ""
 		}
 		return Drain, "heartbeats lost"
 	case machine.SilentFor > limits.ReleaseAfter:
 		return ReleaseWithinBudget, "heartbeat timeout"
 	case machine.Link == reachability.OutboundLost && machine.UnconfirmedFor > limits.ElectionGrace:
-		// Its lease has expired since: it has no tasks, and cannot be given any.
+		// The machine's lease has expired meanwhile: it has no tasks and cannot be given any.
 		return ReleaseWithinBudget, "commands lost"
 	case machine.Faulty:
 		return Release, "faulty"
--- a/failuredetector/detector.go
+++ b/failuredetector/detector.go
@@ -8,35 +8,35 @@
 	"switchferry/tuning"
 )
 
-// Observation is what the leader knows of the heartbeats of a machine that should send them.
+// Observation is what the leader knows of the heartbeats of one machine that is expected to send them.
 type Observation struct {
 	// Zone is the machine's zone. It is empty while the zone is not known, as for a recorded machine that
-	// sent no heartbeat and that the cloud does not list. Such a machine is most likely gone, and does not
-	// form a zone with others like it.
+	// has sent no heartbeat and that the cloud does not list. Such machines most likely no longer exist, and
+	// are not grouped into a zone.
 	Zone string
-	// Via is the controller that relayed the last heartbeat, empty if it came directly. It means nothing
-	// while LastHeartbeat is zero.
+	// Via is the controller that relayed the last heartbeat, empty if the heartbeat came directly. It is not
+	// defined while LastHeartbeat is zero.
 	Via string
 	// LastHeartbeat is when the last heartbeat of this term arrived; zero if none did.
 	LastHeartbeat time.Time
 	// Domains are the failure domains that the machine is in, such as racks and switches, if a topology is
 	// declared. No controller is in one of them alone.
 	Domains []string
-	// Timeout is how long the machine may be silent without anything being wrong.
+	// Timeout is how long the machine may be silent before it counts as not responding.
 	Timeout time.Duration
 }
 
-// Verdict is a zone, a failure domain or a path, of which exactly one is set, that was newly found lost: most
-// of its machines are silent, or none of its controllers is reachable.
+// Verdict says that a zone, a failure domain or a path, of which exactly one is set, was newly found lost: most
+// of its machines are silent, or, for a zone, none of its controllers is reachable.
 type Verdict struct {
 	// Zone is a zone's name if IsZone is set.
 	Zone   string
 	IsZone bool
-	// Domain is a failure domain's name; empty if the verdict is about none.
+	// Domain is the name of a failure domain; empty if the verdict concerns a zone or a path.
 	Domain string
 	// Via is the controller that the heartbeats came through, empty for the direct path.
 	Via string
-	// Machines is how many machines should send heartbeats, Responding how many of them do.
+	// Machines is the number of machines that should send heartbeats, Responding the number of those that do.
 	Machines, Responding int
 	// ControllersUnreachable means that none of the zone's controllers is reachable.
 	ControllersUnreachable bool
@@ -71,9 +71,9 @@
 	}
 }
 
-// Tick must be called in every round of the leader. It returns how long the process was paused, or 0 if the
-// gap since the last call is one that load explains. After a pause, heartbeats that arrived meanwhile are
-// still to be read, and workers that turned to another controller meanwhile are still to return.
+// Tick must be called in every round of the leader. It returns how long the process was paused, or 0 if the gap
+// since the last call is short enough to be due to load. After a pause, heartbeats that arrived meanwhile have
+// not been read yet, and workers that switched to another controller meanwhile have not returned yet.
 func (d *Detector) Tick(now time.Time) (paused time.Duration) {
 	if gap := now.Sub(d.lastTick); gap > tuning.MinProcessPause {
 		d.resumedAt, paused = now, gap
@@ -95,14 +95,14 @@
 	return d.silentShares[zone], d.zoneSizes[zone]
 }
 
-// responses counts the machines of a group that should send heartbeats, and those of them that do.
+// responses counts the machines of a group that should send heartbeats, and those that do.
 type responses struct{ machines, responding int }
 
-// mostSilent reports whether more than half of the group's machines are silent. A single machine says
-// nothing about the group.
+// mostSilent reports whether more than half of the group's machines are silent. It is false for a group of one
+// machine, which is no evidence about the group.
 func (r responses) mostSilent() bool { return r.machines > 1 && 2*r.responding < r.machines }
 
-// responsesByGroup has the responses of each zone, path or failure domain, by name.
+// responsesByGroup holds the responses of each zone, path or failure domain, by name.
 type responsesByGroup map[string]responses
 
 func (g responsesByGroup) add(group string, responding bool) {
@@ -114,9 +114,9 @@
 	g[group] = counted
 }
 
-// Observe takes the observations of all machines that should send heartbeats; zoneUnreachable reports whether
-// none of a zone's controllers is reachable. It returns what was newly found lost, sorted by name: what is
-// lost for longer is returned again only after it was not for a lease.
+// Observe evaluates the observations of all machines that should send heartbeats; zoneUnreachable reports
+// whether none of a zone's controllers is reachable. It returns verdicts on the groups that are newly lost,
+// sorted by name. A group that stays lost is returned again only after it was not lost for a lease.
 func (d *Detector) Observe(now time.Time, each func(yield func(Observation)), zoneUnreachable func(zone string) bool) []Verdict {
 	zones, paths, domains := responsesByGroup{}, responsesByGroup{}, responsesByGroup{}
 	each(func(observed Observation) {
@@ -145,7 +145,7 @@
 	return verdicts
 }
 
-// recordSilentShares replaces what SilentShare returns.
+// recordSilentShares stores the silent shares and sizes of zones that SilentShare returns.
 func (d *Detector) recordSilentShares(zones responsesByGroup) {
 	clear(d.silentShares)
 	clear(d.zoneSizes)
@@ -155,8 +155,8 @@
 	}
 }
 
-// detectLost notes in lostAt which groups are lost now, and returns the verdicts on those that were not lost
-// within the last lease. The verdict function returns a group's verdict without its counts.
+// detectLost records in lostAt which groups are lost now, and returns verdicts on those that were not lost
+// within the last lease. The function verdict returns a group's verdict without its counts.
 func (d *Detector) detectLost(now time.Time, groups responsesByGroup, lostAt map[string]time.Time, verdict func(group string) Verdict) []Verdict {
 	var verdicts []Verdict
 	for group, counted := range groups {
@@ -173,9 +173,8 @@
 	return verdicts
 }
 
-// SilentSince returns since when a machine's silence counts against it: the latest of its last heartbeat, or
-// the beginning of the term if there was none, and of the moments at which its heartbeat could not have
-// arrived.
+// SilentSince returns the time from which a machine's silence is counted: the latest of its last heartbeat (the
+// beginning of the term if there was none) and of the times at which its heartbeat could not have arrived.
 func (d *Detector) SilentSince(now time.Time, observed Observation) time.Time {
 	since := observed.LastHeartbeat
 	if since.IsZero() {
@@ -183,19 +182,20 @@
 	}
 	silentFor := now.Sub(since)
 	if silentFor <= tuning.PartitionLeases*d.lease {
-		// A partition is more likely than the failure of all machines of a zone. They need time to find a
-		// controller that relays for them, and their own zone's controllers may keep their tasks alive.
+		// A partition is more likely than the failure of all machines of a zone. The machines need time to
+		// find a controller that relays for them, and their own zone's controllers may be renewing the leases
+		// of their tasks.
 		since = latest(since, d.zoneLostAt[observed.Zone])
 	}
 	if silentFor <= d.lease && !observed.LastHeartbeat.IsZero() {
-		// If the controller that relayed their heartbeats has failed, they turn to the next one within half
-		// a lease. After a whole lease no task on them is left.
+		// If the controller that relayed the machine's heartbeats has failed, the worker switches to the next
+		// one within half a lease. After a whole lease, no task is left on the machine.
 		since = latest(since, d.pathLostAt[observed.Via])
 	}
 	if silentFor <= d.lease {
-		// The failure of a switch is more likely than that of all machines behind it. Their tasks go on, and
-		// are still there if the switch returns before the leases expire. After that none is left, and the
-		// machines are released like any others.
+		// The failure of a switch is more likely than that of all machines behind it. Their tasks keep running
+		// if the switch recovers before the leases expire. After that no task is left, and the machines are
+		// released like any others.
 		for _, domain := range observed.Domains {
 			since = latest(since, d.domainLostAt[domain])
 		}
@@ -206,7 +206,7 @@
 	return since
 }
 
-// latest returns the later of two moments.
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/failuredetector/eviction_budget.go
+++ b/failuredetector/eviction_budget.go
@@ -13,9 +13,10 @@
 // Candidate is a machine that has been silent for long enough to be released.
 type Candidate struct {
 	Name, Zone string
-	// Tasks is how many tasks can run elsewhere once the machine's release proves that they are gone.
+	// Tasks is the number of tasks that can run elsewhere once the machine's release proves that they have
+	// stopped.
 	Tasks int
-	// Unconditional means that the machine is released whatever the budget is.
+	// Unconditional means that the machine is released regardless of the budget.
 	Unconditional bool
 }
 
@@ -24,49 +25,49 @@
 	Zone string
 	// SilentShare is the share of the zone's machines that are silent, from 0 to 1.
 	SilentShare float64
-	// Machines is how many machines the zone has.
+	// Machines is the number of machines of the zone.
 	Machines int
-	// Release has the names of the machines that are released now.
+	// Release lists the names of the machines that are released now.
 	Release []string
-	// Deferred is how many candidates are kept for now, DeferredTasks how many tasks are on them.
+	// Deferred is the number of candidates that are not released yet, DeferredTasks the number of tasks on them.
 	Deferred, DeferredTasks int
 }
 
 // EvictionBudget limits how many machines of a zone are released. Single machines that stay silent have most
-// likely failed, and every second of waiting costs their tasks. The more machines of a zone are silent, the
-// more likely is another cause: the machines then come back with their tasks, or at least their images, while
-// every replacement has to boot. So the budget shrinks as the silent share grows, as that of Kubernetes' node
-// lifecycle controller does, but never to nothing: a zone that is lost for good is released within minutes.
+// likely failed, and their tasks are delayed by every second of waiting. The more machines of a zone are silent,
+// the more likely is another cause: the machines then come back with their tasks, or at least their images,
+// while every replacement has to boot. So the budget shrinks as the silent share grows, as in Kubernetes' node
+// lifecycle controller, but never to zero: a zone that is lost permanently is released within minutes.
 //
 // The zero value is a full budget.
 type EvictionBudget struct {
 	zones map[string]*zoneBudget
 }
 
-// zoneBudget is how many machines of one zone may be released at a moment.
+// zoneBudget is the number of machines of one zone that may be released, as of refilledAt.
 type zoneBudget struct {
 	machines   float64
 	refilledAt time.Time
 }
 
-// slowdownPastReturnSlowly divides the release rate of a zone whose silent share exceeds tuning.ReturnSlowly.
+// slowdownPastReturnSlowly divides the release rate of a zone whose silent share exceeds tuning.EvictSlowlyShare.
 const slowdownPastReturnSlowly = 5
 
-// releaseRate returns which share of a zone's machines may be released per second, given the share of them
-// that is silent; infinity means that there is no limit.
+// releaseRate returns the share of a zone's machines that may be released per second, given the share that is
+// silent; infinity means that there is no limit.
 func releaseRate(silentShare float64) float64 {
 	switch {
-	case silentShare <= tuning.EvictFreelyShare:
+	case silentShare <= tuning.EvictUnlimitedShare:
 		return math.Inf(1)
 	case silentShare <= tuning.EvictSlowlyShare:
-		return tuning.EvictShare
+		return tuning.EvictionRate
 	}
-	return tuning.EvictShare / slowdownPastReturnSlowly
+	return tuning.EvictionRate / slowdownPastReturnSlowly
 }
 
-// Spend decides which candidates are released now, and takes them from the budget. Those with the most tasks
-// come first, since these wait for the release. The function silentShare returns the silent share and the
-// number of machines of a zone. The decisions are sorted by zone; zones without candidates have none.
+// Spend decides which candidates are released now, and subtracts them from the budget. Machines with the most
+// tasks come first, since the tasks wait for the release. The function silentShare returns the silent share and
+// the number of machines of a zone. The decisions are sorted by zone; zones without candidates have none.
 func (b *EvictionBudget) Spend(now time.Time, candidates []Candidate, silentShare func(zone string) (share float64, machines int)) []EvictionDecision {
 	if b.zones == nil {
 		b.zones = map[string]*zoneBudget{}
@@ -85,11 +86,11 @@
 	return decisions
 }
 
-// spendInZone completes the decision on a zone's candidates. It sorts them.
+// spendInZone completes the decision on a zone's candidates, and sorts the candidates in place.
 func (b *EvictionBudget) spendInZone(now time.Time, candidates []Candidate, decision *EvictionDecision) {
 	perSecond := releaseRate(decision.SilentShare)
 	if decision.Zone == "" {
-		perSecond = math.Inf(1) // Machines of unknown zone do not fail together.
+		perSecond = math.Inf(1) // Machines of unknown zone have no common cause of failure.
 	}
 	budget := b.refill(now, decision.Zone, decision.Machines, perSecond)
 	slices.SortFunc(candidates, func(a, b Candidate) int {
@@ -109,8 +110,8 @@
 	}
 }
 
-// refill returns the budget of a zone with so many machines after adding to it what has accrued since the
-// last call, at a rate of so many times the zone's machines per second. A zone's first budget is full.
+// refill returns the budget of a zone with the given number of machines after adding what has accrued since the
+// last call, at a rate of perSecond times that number. A zone's first budget is full.
 func (b *EvictionBudget) refill(now time.Time, zone string, machines int, perSecond float64) *zoneBudget {
 	capacity := math.Max(tuning.EvictBurstMachines, tuning.EvictBurstShare*float64(machines))
 	budget := b.zones[zone]
--- a/failuredetector/startup.go
+++ b/failuredetector/startup.go
@@ -6,9 +6,9 @@
 	"switchferry/tuning"
 )
 
-// StartupTimes has, by machine type, the startup time of the machine that was requested last among those that
-// have started. Machines start late, or never. That all of them are late says nothing about one; that one is
-// late while others that were requested later have started does. The zero value knows of none.
+// StartupTimes holds, by machine type, the startup time of the machine that was requested last among those that
+// have started. Machines may start late or never. If all machines are late, that is no evidence against one of
+// them; if machines that were requested later have started, it is. The zero value holds no startup times.
 type StartupTimes struct {
 	latest map[string]startup
 }
@@ -36,8 +36,8 @@
 	return ok && !last.requestedAt.Before(requestedAt)
 }
 
-// Overdue reports whether a machine of this age that has not started most likely never will, given the
-// startup time that is expected of its type. It also returns how long the last one to start took.
+// Overdue reports whether a machine of this age that has not started most likely never will, given the expected
+// startup time of its type. It also returns the startup time that is held for the type.
 func (b *StartupTimes) Overdue(machineType string, requestedAt time.Time, age, expected time.Duration) (overdue bool, latestDuration time.Duration) {
 	latestDuration = b.latest[machineType].duration
 	tolerated := func(duration time.Duration) time.Duration {
@@ -46,9 +46,9 @@
 	return b.overtaken(machineType, requestedAt) && age > tolerated(expected) && age > tolerated(latestDuration), latestDuration
 }
 
-// Deadline returns how long a machine that this leader requested may take to start before it is released.
-// While none of those requested since has started either, all of them are late, and the deadline is twice as
-// long: a replacement would be as late.
+// Deadline returns how long a machine that this leader requested may take to start before it is released. While
+// no machine that was requested at the same time or later has started, the deadline is twice as long: all
+// machines of the type are late, and a replacement would be as late.
 func (b *StartupTimes) Deadline(machineType string, requestedAt time.Time, expected time.Duration) time.Duration {
 	deadline := time.Duration(tuning.StartupDeadlineFactor * float64(expected))
 	if !b.overtaken(machineType, requestedAt) {
--- a/feasibility/feasibility.go
+++ b/feasibility/feasibility.go
@@ -1,6 +1,6 @@
-// Package feasibility checks whether a job can ever run: on the machines that there are or that the cloud rents, and
-// within its team's limit. Scale-out follows the total of CPUs that are requested, so a fleet with enough free CPUs may
-// still have no machine of the type, zone or size that one job needs.
+// Package feasibility checks whether a job can ever run: on the machines that exist or that the cloud rents, and within
+// its team's limit. Scale-out follows the total of requested CPUs, so a fleet with enough free CPUs may still have no
+// machine of the type, zone or size that a job needs.
 //
 // The package has no clock and no lock.
 package feasibility
@@ -14,14 +14,14 @@
 	"switchferry/quota"
 )
 
-// Machine is a machine that runs or is being started.
+// Machine is a machine that is running or being started.
 type Machine struct {
-	// Spec is the machine's type; nil: not known, and then no job can run on it.
+	// Spec is the machine's type; nil while it is not known, and then no job can run on the machine.
 	Spec *api.MachineType
 	Zone string
-	// Spot is whether it is a preemptible instance.
+	// Spot says whether the machine is a preemptible instance.
 	Spot bool
-	// Used is what services take, which only their users end.
+	// Used is the resources taken by services, which run until their users end them.
 	Used fleet.Resources
 }
 
@@ -32,7 +32,7 @@
 	Spot bool
 }
 
-// canRun reports whether the machine can run a task of a job at some time, once all but services has ended there.
+// canRun reports whether the machine can run a task of a job once everything on it except services has ended.
 func (m *Machine) canRun(job *api.Submission) bool {
 	if m.Spec == nil || m.Spot && !job.Spot || job.Zone != "" && job.Zone != m.Zone || !m.Spec.Fits(job) {
 		return false
@@ -41,8 +41,8 @@
 	return total.Sub(m.Used).Fits(fleet.RequestOf(job))
 }
 
-// Unplaceable returns the jobs of which no machine can ever run a task, in the given order; of jobs with equal
-// requirements only the first.
+// Unplaceable returns the jobs whose tasks no machine can ever run, in the given order. Of several jobs with equal
+// requirements it returns only the first.
 func Unplaceable(jobs []*api.Submission, machines []Machine) (unplaceable []*api.Submission) {
 	checked := map[string]bool{}
 	for _, job := range jobs {
@@ -70,8 +70,8 @@
 	return pools[i], true
 }
 
-// ConcurrentRequest returns the least that a job must have at once to run at all: one task of a job array, and all tasks
-// of a gang or a service.
+// ConcurrentRequest returns the minimum resources that a job needs at the same time to run: those of one task of a job
+// array, and of all tasks of a gang or a service.
 func ConcurrentRequest(job *api.Submission) fleet.Resources {
 	if job.Shape == api.JobArray {
 		return fleet.RequestOf(job)
@@ -80,8 +80,8 @@
 }
 
 // CanRun checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
-// there is no such team. If undecided, the machine types are not known yet, and the rest is in order. An error is an
-// *api.FieldError that names the submission's field.
+// there is no such team. The result is undecided if all other checks pass but the machine types are not known yet. An
+// error is an *api.FieldError that names the submission's field.
 func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (undecided bool, err error) {
 	limit, ok := limitOf(job.Team)
 	if !ok {
--- a/fleet/images.go
+++ b/fleet/images.go
@@ -12,8 +12,8 @@
 	GB   float64
 }
 
-// RecordImage notes that a task with this image ran on the machine, and reports whether the image was not known to be
-// cached there.
+// RecordImage records that a task with an image of gb gigabytes ran on the machine, and reports whether the image was not
+// yet known to be cached there.
 func (m *Machine) RecordImage(image string, gb float64) bool {
 	limit := 0.0
 	if m.Spec != nil {
@@ -32,8 +32,8 @@
 // HasImage reports whether the machine likely caches an image.
 func (m *Machine) HasImage(image string) bool { return m.cache.has(image) }
 
-// FetchSeconds returns the time to fetch an image to the machine in seconds; 0 if it is cached, or the machine's rate is
-// not known.
+// FetchSeconds returns the time in seconds to fetch an image of gb gigabytes to the machine; 0 if the image is cached, or
+// if the machine's type is not known.
 func (m *Machine) FetchSeconds(image string, gb float64) float64 {
 	if m.HasImage(image) || m.Spec == nil {
 		return 0
@@ -55,7 +55,7 @@
 }
 
 // touch makes an image the most recently used one. A new image evicts the least recently used ones until all fit into
-// limit gigabytes (0: no limit); the new one stays in any case.
+// limit gigabytes (0 means no limit); the new image itself is never evicted.
 func (c *imageCache) touch(image Image, limit float64) {
 	if i := c.index(image.Name); i >= 0 {
 		copy(c.images[1:i+1], c.images[:i])
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -1,5 +1,5 @@
-// Package fleet models one worker machine as the leader knows it: its identity, its latest heartbeat, the task failures
-// on it, the container images that it likely caches, and amounts of resources. It decides nothing about placement.
+// Package fleet models one worker machine as known to the leader: its identity, its latest heartbeat, the task failures
+// on it, the container images that it likely caches, and amounts of resources. It makes no placement decisions.
 package fleet
 
 import (
@@ -9,32 +9,32 @@
 	"switchferry/tuning"
 )
 
-// Attempt names one attempt of a task.
+// Attempt identifies one attempt of a task.
 type Attempt struct {
 	Task   string
 	Number uint64
 }
 
-// Machine is what is known of one machine. The zero value is a machine that has not reported. It is not safe for
+// Machine is the leader's state of one machine. The zero value is a machine that has not reported. It is not safe for
 // concurrent use.
 type Machine struct {
 	Name    string
 	Address string
 	Type    string
 	Zone    string
-	// Spot is whether the machine is a preemptible instance.
+	// Spot says whether the machine is a preemptible instance.
 	Spot bool
 	// Spec is the machine's type as the cloud describes it; nil while it is not known.
 	Spec *api.MachineType
 
-	// Up is whether the machine's worker has reported in this leadership term.
+	// Up says whether the machine's worker has reported in this leadership term.
 	Up bool
 	// Incarnation, Seq and Term (the fencing token) are those of the latest accepted heartbeat.
 	Incarnation uint64
 	Seq         uint64
 	Term        uint64
 	// LastHeartbeat is when a heartbeat last arrived, and RequestedAt when the machine was requested from the cloud.
-	// Until that is known, both are when the leader first learned of the machine.
+	// Until these times are known, both are the time at which the leader first learned of the machine.
 	LastHeartbeat time.Time
 	RequestedAt   time.Time
 	// PreemptedAt is when the cloud preempts the instance; zero without a preemption notice.
@@ -53,7 +53,8 @@
 	return heartbeat.NewerThan(m.Incarnation, m.Seq)
 }
 
-// ApplyHeartbeat takes over what a heartbeat says. The caller has checked with Newer that it is newer.
+// ApplyHeartbeat updates the machine from a heartbeat that arrived at now. The caller must have checked with Newer that
+// the heartbeat is newer.
 func (m *Machine) ApplyHeartbeat(heartbeat *api.Heartbeat, now time.Time) {
 	m.Up = true
 	m.Address, m.Type, m.Zone, m.Spot = heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
@@ -77,18 +78,19 @@
 	m.Failures[job]++
 }
 
-// ClearFailures resets all failure counts, as a task that completes shows that the machine works.
+// ClearFailures resets all failure counts. It is called when a task completes, which shows that the machine works.
 func (m *Machine) ClearFailures() { m.Failures = nil }
 
 // ClearJobFailures resets the failure count of one job.
 func (m *Machine) ClearJobFailures(job string) { delete(m.Failures, job) }
 
-// faultyJobs is how many jobs must have failed on a machine before it counts as faulty: the failures of a single job may
-// be that job's own fault.
+// faultyJobs is the number of jobs that must have failed on a machine before it counts as faulty: the failures of a
+// single job may be caused by that job.
 const faultyJobs = 2
 
-// Faulty reports whether the machine should get no more tasks: since a task last completed, at least tuning.SickErrors
-// tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines is false are left out.
+// Faulty reports whether the machine should get no more tasks: since a task last completed on it, at least
+// tuning.FaultyFailures tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines is false
+// are not counted.
 func (m *Machine) Faulty(countsAgainstMachines func(job string) bool) bool {
 	if len(m.Failures) < faultyJobs {
 		return false
--- a/fleet/resources.go
+++ b/fleet/resources.go
@@ -5,16 +5,16 @@
 	"switchferry/tuning"
 )
 
-// Resources is an amount of each resource of a machine: processors, cards (accelerators) and memory in gigabytes. The
-// zero value is no resources. Amounts may be fractions, and differences may be negative.
+// Resources is an amount of each resource of a machine: CPUs, cards (accelerators) and memory in gigabytes. The zero value
+// is no resources. Amounts may be fractional, and differences may be negative.
 type Resources struct{ CPUs, Cards, MemoryGB float64 }
 
-// RequestOf returns what one task of a job takes.
+// RequestOf returns the resources that one task of a job requests.
 func RequestOf(job *api.Submission) Resources {
 	return Resources{job.CPUs, job.Cards, job.MemoryGB}
 }
 
-// Sub returns r less other.
+// Sub returns r minus other.
 func (r Resources) Sub(other Resources) Resources {
 	return Resources{r.CPUs - other.CPUs, r.Cards - other.Cards, r.MemoryGB - other.MemoryGB}
 }
@@ -30,17 +30,18 @@
 	return Resources{r.CPUs * factor, r.Cards * factor, r.MemoryGB * factor}
 }
 
-// Fits reports whether a request fits into r. It tolerates tuning.RoomSlack, for the rounding of decimal amounts.
+// Fits reports whether a request fits into r, with a tolerance of tuning.ResourceSlack for rounding errors of decimal
+// amounts.
 func (r Resources) Fits(request Resources) bool {
 	const slack = tuning.ResourceSlack
 	return r.CPUs+slack >= request.CPUs && r.Cards+slack >= request.Cards && r.MemoryGB+slack >= request.MemoryGB
 }
 
-// unlimited is how many empty requests fit.
+// unlimited is the number of empty requests that fit into any resources.
 const unlimited = 1 << 20
 
-// Count returns how many times a request fits into r at once, with the tolerance of Fits. A request of nothing fits
-// 1<<20 times.
+// Count returns how many times a request fits into r at once, with the tolerance of Fits. An empty request fits 1<<20
+// times.
 func (r Resources) Count(request Resources) int {
 	n := unlimited
 	for _, pair := range [3]struct{ available, requested float64 }{
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant reports contradictions: states that cannot be if the rules of the design hold, such as a job that is
-// over and is pending again. Each is logged with its evidence and counted, so that it shows in logs, statistics and tests.
-// Whoever reports one must not act on what contradicts.
+// Package invariant reports violated invariants: states that cannot occur if the rules of the design hold, such as a job
+// that is terminal and becomes pending again. Each violation is logged with its evidence and counted, so that it shows in
+// logs, statistics and tests. A caller that reports a violation must not act on the contradictory state.
 package invariant
 
 import (
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// violations counts the contradictions of this process.
+// violations counts the violations reported by this process.
 var violations atomic.Int64
 
 // Violated reports that an invariant does not hold. The attributes are the evidence, as for slog.
@@ -17,8 +17,8 @@
 	slog.Error("invariant violated", append([]any{"invariant", invariant}, evidence...)...)
 }
 
-// Violations returns how many contradictions this process has reported.
+// Violations returns the number of violations that this process has reported.
 func Violations() int64 { return violations.Load() }
 
-// TakeViolations returns the count and resets it, for a test that brings a contradiction about.
+// TakeViolations returns the count and resets it, for tests that cause a violation.
 func TakeViolations() int64 { return violations.Swap(0) }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,12 +1,12 @@
 // Package quota enforces teams' resource limits and reserves quota for the job that is first in a team's queue.
 //
 // A team at its limit gets quota back one small task at a time, so a job that needs more than that would starve while
-// small tasks keep coming. A Ledger therefore reserves the missing quota for the first job, by priority or age, that
-// only the limit keeps from starting: jobs behind it start only within what the reservation leaves. Two rules bound what a
-// reservation costs other jobs. There is none where usage that does not end by itself already takes too much, and it
-// lapses for a while after tuning.QuotaReserved, so that other jobs do not wait long for one that cannot start.
+// small tasks keep arriving. A Ledger therefore reserves the missing quota for the first job, by priority or age, that
+// only the limit keeps from starting: jobs behind it start only within the quota that is not reserved. Two rules bound
+// the cost of a reservation to other jobs. No quota is reserved for a job that could not start even if all usage that
+// ends by itself had ended. A reservation expires, and is not renewed for some time, after tuning.QuotaReservationTTL, so that other jobs do not wait long for one that cannot start.
 //
-// The package knows amounts, times and the order in which demands are passed to it, not jobs or machines. It has no
+// The package knows amounts, times and the order in which demands are passed to it, but no jobs or machines. It has no
 // clock and no lock.
 package quota
 
@@ -19,7 +19,7 @@
 	"switchferry/tuning"
 )
 
-// Limit is the most that a team may use at once. A zero field does not limit that resource.
+// Limit is the maximum that a team may use at once. A zero field does not limit that resource.
 type Limit struct{ CPUs, Cards float64 }
 
 // Allows reports whether a usage is within the limit.
@@ -31,14 +31,14 @@
 type Usage struct {
 	// Rank is the priority of the task's job; higher is more important.
 	Rank int
-	// Loss is the work that is lost if the task is stopped now, in any unit that is the same for all tasks.
+	// Loss is the work that is lost if the task is stopped now. The unit is arbitrary but the same for all tasks.
 	Loss int64
-	// Resources is what the task takes.
+	// Resources is the amount that the task uses.
 	Resources fleet.Resources
 }
 
 // Excess returns the indices of the running tasks to stop so that a team's usage is within its limit: tasks of the
-// lowest rank first, and among these the ones with the least loss. The usage is the sum over all running tasks.
+// lowest rank first, and tasks of equal rank in ascending order of loss. The usage is the sum over all running tasks.
 func Excess(limit Limit, use fleet.Resources, running []Usage) (stop []int) {
 	order := make([]int, len(running))
 	for i := range order {
@@ -61,8 +61,8 @@
 type Demand struct {
 	Team, ID string
 	Limit    Limit
-	// Request is what the job needs at once, Use what its team uses now, and Permanent the part of that use which does
-	// not end by itself, such as services.
+	// Request is the amount that the job needs at once, Usage what its team uses now, and Permanent the part of that
+	// usage that does not end by itself, such as services.
 	Request, Usage, Permanent fleet.Resources
 }
 
@@ -72,11 +72,11 @@
 // satisfied reports whether the limit allows the job to start now.
 func (d Demand) satisfied() bool { return d.Limit.Allows(d.Usage.Add(d.Request)) }
 
-// Reservation is quota that is kept for one job.
+// Reservation is quota that is reserved for one job.
 type Reservation struct {
 	ID        string
 	Resources fleet.Resources
-	// since is when the team's limit was first reserved without a break, for this job or for one before it.
+	// since is when the team's current uninterrupted sequence of reservations began, for this job or an earlier one.
 	since time.Time
 }
 
@@ -84,13 +84,13 @@
 type Ledger struct {
 	// reservations are the current reservations by team.
 	reservations map[string]Reservation
-	// pausedUntil is, by team, when its limit may be reserved again after a reservation lapsed.
+	// pausedUntil is, by team, when quota may be reserved again after a reservation expired.
 	pausedUntil map[string]time.Time
 }
 
 // Reserve replaces all reservations. Demands are given in queue order, and the first one of each team that is feasible
-// but not satisfied gets the reservation; a team without such a demand has none. A reservation that was held for
-// tuning.QuotaReserved lapses, and the team's limit is not reserved again for tuning.QuotaRests.
+// but not satisfied gets the reservation; a team without such a demand has none. A reservation that has been held for
+// tuning.QuotaReservationTTL expires, and no quota is reserved for the team for tuning.QuotaReservationPause.
 func (l *Ledger) Reserve(now time.Time, demands []Demand) {
 	reservations := map[string]Reservation{}
 	for _, demand := range demands {
@@ -100,11 +100,11 @@
 		}
 		reservation := Reservation{ID: demand.ID, Resources: demand.Request, since: now}
 		if previous, ok := l.reservations[demand.Team]; ok {
-			// Jobs behind it have been held back since then, whichever job the quota was reserved for.
+			// Other jobs of the team have been delayed since then, whichever job the quota was reserved for.
 			reservation.since = previous.since
 		}
-		if now.Sub(reservation.since) >= tuning.QuotaReserved {
-			l.pause(demand.Team, now.Add(tuning.QuotaRests))
+		if now.Sub(reservation.since) >= tuning.QuotaReservationTTL {
+			l.pause(demand.Team, now.Add(tuning.QuotaReservationPause))
 			continue
 		}
 		reservations[demand.Team] = reservation
@@ -112,7 +112,7 @@
 	l.reservations = reservations
 }
 
-// pause keeps a team's limit from being reserved for some time.
+// pause prevents reservations for a team until the given time.
 func (l *Ledger) pause(team string, until time.Time) {
 	if l.pausedUntil == nil {
 		l.pausedUntil = map[string]time.Time{}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -49,10 +49,10 @@
 		{2 * time.Second, []Demand{demand("big", 8, 16, 0)}, ""},
 		{3 * time.Second, nil, ""},
 		{4 * time.Second, []Demand{demand("never", 8, 24, 20), demand("next", 4, 24, 20)}, "next"},
-		{4*time.Second + tuning.QuotaReserved - 1, []Demand{demand("other", 2, 24, 0)}, "other"},
-		{4*time.Second + tuning.QuotaReserved, []Demand{demand("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Demand{demand("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Demand{demand("other", 2, 24, 0)}, "other"},
+		{4*time.Second + tuning.QuotaReservationTTL - 1, []Demand{demand("other", 2, 24, 0)}, "other"},
+		{4*time.Second + tuning.QuotaReservationTTL, []Demand{demand("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReservationTTL + tuning.QuotaReservationPause - 1, []Demand{demand("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReservationTTL + tuning.QuotaReservationPause, []Demand{demand("other", 2, 24, 0)}, "other"},
 	} {
 		ledger.Reserve(start.Add(step.after), step.demands)
 		if reservation, _ := ledger.Reservation("one"); reservation.ID != step.want {
--- a/reachability/deduplicator.go
+++ b/reachability/deduplicator.go
@@ -6,14 +6,14 @@
 	"switchferry/api"
 )
 
-// Deduplicator recognizes delayed copies among the heartbeats that one controller receives, whoever leads. It
-// remembers the newest heartbeat of each machine. It is not safe for use from several goroutines at once.
+// Deduplicator recognizes delayed copies among the heartbeats that one controller receives, independent of which
+// controller leads. It remembers the newest heartbeat of each machine. It is not safe for concurrent use.
 type Deduplicator struct {
 	newest *simplelru.LRU[string, position]
 }
 
-// NewDeduplicator returns a deduplicator for so many machines, 1 or more; beyond that it forgets the machine
-// that has sent nothing for longest. It panics if the limit is below 1.
+// NewDeduplicator returns a deduplicator that remembers at most limit machines; beyond that it evicts the machine
+// that was used least recently. It panics if the limit is below 1.
 func NewDeduplicator(limit int) *Deduplicator {
 	newest, err := simplelru.NewLRU[string, position](limit, nil)
 	if err != nil {
@@ -22,9 +22,9 @@
 	return &Deduplicator{newest}
 }
 
-// Accept reports whether a heartbeat is newer than all before from its machine, and remembers it if it is. A
-// worker uses no sequence number twice, so any other is a copy, or was delayed until its worker stopped
-// waiting for the answer.
+// Accept reports whether a heartbeat is newer than all earlier ones from its machine, and remembers it if it is.
+// A worker uses no sequence number twice, so any other heartbeat is a copy, or was delayed until its worker
+// stopped waiting for the answer.
 func (d *Deduplicator) Accept(heartbeat *api.Heartbeat) bool {
 	if last, ok := d.newest.Get(heartbeat.Machine); ok && !heartbeat.NewerThan(last.incarnation, last.seq) {
 		return false
--- a/reachability/link.go
+++ b/reachability/link.go
@@ -1,10 +1,10 @@
-// Package reachability judges whether a machine receives the answers and commands of its controllers, apart
-// from whether its heartbeats arrive. In a one-way partition heartbeats arrive while answers and commands do
-// not, or commands arrive while heartbeats do not; and delayed copies of heartbeats may arrive long after the
-// machine has failed. The package knows incarnations, sequence numbers, terms and paths of heartbeats and the
-// outcome of commands, not what a machine is or runs. It has no clock and no lock.
+// Package reachability determines whether a machine receives the answers and commands of its controllers,
+// independent of whether its heartbeats arrive. In a one-way partition heartbeats arrive while answers and
+// commands do not, or commands arrive while heartbeats do not; and delayed copies of heartbeats may arrive long
+// after the machine has failed. The package uses incarnations, sequence numbers, terms and paths of heartbeats
+// and the outcome of commands, not what a machine runs. It has no clock and no lock.
 //
-// What each observation shows of the two directions, to the controllers (inbound) and to the machine
+// What each observation shows about the two directions, to the controllers (inbound) and to the machine
 // (outbound):
 //
 //	observation                                      inbound works   outbound works   because
@@ -13,15 +13,15 @@
 //	heartbeat that is not newer                      no              no               it is a copy, or was overtaken
 //	heartbeat with this term's token                 yes             yes              only an answer or a command of this term has the token
 //	the next heartbeat in sequence, to the same
-//	controller, in the same incarnation              yes             yes              without an answer, a worker turns to another controller
+//	controller, in the same incarnation              yes             yes              without an answer, a worker switches to another controller
 //	answer to a command, executed or refused         no              yes              the command arrived
 //	heartbeat through a controller that relays       yes             unknown          it does not pass on every heartbeat
 //	answer to a command, but no heartbeat for long   no              yes              the machine reaches no controller, and its lease expires
 //	command without an answer                        no              hint: no         the command or its answer was lost
 //	newer heartbeats that show none of the above     yes             hint: no         a controller may have failed instead
 //
-// A hint only leads to suspicion. Nothing is concluded from time alone: that the tasks of an unreachable
-// machine are gone is known from a newer incarnation, from exits that it reports, or from the cloud's answer
+// A hint only leads to suspicion. Nothing is concluded from time alone: that the tasks of an unreachable machine
+// have stopped is known from a newer incarnation, from exits that the machine reports, or from the cloud's answer
 // to its release. docs/dayend.md has the reasons in full.
 package reachability
 
@@ -33,19 +33,20 @@
 	"switchferry/tuning"
 )
 
-// State is whether answers and commands reach a machine, as far as is known.
+// State says whether answers and commands reach a machine, as far as is known.
 type State int
 
 const (
-	// Unconfirmed means that nothing shows yet that the machine receives anything of this term's
-	// controllers. Its heartbeats may be copies of what it sent before it failed.
+	// Unconfirmed means that there is no evidence yet that the machine receives anything from this term's
+	// controllers. Its heartbeats may be copies of heartbeats that it sent before it failed.
 	Unconfirmed State = iota
-	// Reachable means that the last evidence confirmed it.
+	// Reachable means that the latest evidence confirms that answers or commands reach the machine.
 	Reachable
-	// Suspected means that since then commands were lost, or heartbeats came that do not confirm it.
+	// Suspected means that since the last confirmation commands were lost, or heartbeats arrived that do not
+	// confirm it.
 	Suspected
-	// OutboundLost means that for a whole lease heartbeats came through more than one controller, or into a
-	// new incarnation, while nothing reached the machine.
+	// OutboundLost means that for a whole lease nothing reached the machine, while its heartbeats came through
+	// more than one controller or with a new incarnation.
 	OutboundLost
 )
 
@@ -54,7 +55,7 @@
 	return [...]string{"unconfirmed", "reachable", "suspected", "outbound lost"}[s]
 }
 
-// Heartbeat is what matters here of a heartbeat.
+// Heartbeat holds the fields of a heartbeat that show which direction works.
 type Heartbeat struct {
 	Incarnation, Seq uint64
 	// HighestTerm is the highest term that the worker has seen, Term that of the leader that observes it.
@@ -65,19 +66,19 @@
 	Relayed bool
 }
 
-// Link is what is known in one term of the connection to one machine. The zero value is that of a machine
-// that sent nothing yet.
+// Link is the state of the connection to one machine in one term. The zero value is the state for a machine that
+// has sent nothing yet.
 type Link struct {
 	// newest is the position of the newest heartbeat, via the controller that it came through, and relayed
-	// whether that one answers in the leader's place.
+	// whether that controller answers in the leader's place.
 	newest  position
 	via     string
 	relayed bool
-	// answerSeq is the sequence number of the last answer to a command; answers and heartbeats are numbered
-	// together.
+	// answerSeq is the sequence number of the last answer to a command; answers and heartbeats share one
+	// sequence.
 	answerSeq uint64
-	// confirmedAt is when the machine last showed that answers or commands reach it, answeredAt when it last
-	// answered a command; zero if never in this term.
+	// confirmedAt is when the machine last confirmed that answers or commands reach it, answeredAt when it last
+	// answered a command; zero if it has not in this term.
 	confirmedAt, answeredAt time.Time
 	// startedThisTerm means that the machine was rented or seen booting in this term, so that none of its
 	// heartbeats can be older than the term.
@@ -85,14 +86,14 @@
 
 	// The fields below describe the time since confirmedAt.
 
-	// unconfirmed is how many newer heartbeats confirmed nothing, the first of them at firstUnconfirmedAt,
-	// through the controllers in paths.
+	// unconfirmed is the number of newer heartbeats that confirmed nothing. The first of them arrived at
+	// firstUnconfirmedAt; paths lists the controllers that they came through.
 	unconfirmed        int
 	firstUnconfirmedAt time.Time
 	paths              []string
-	// newIncarnation means that one of them began a new incarnation.
+	// newIncarnation means that one of these heartbeats began a new incarnation.
 	newIncarnation bool
-	// lostCommands is how many commands got no answer.
+	// lostCommands is the number of commands without an answer.
 	lostCommands int
 }
 
@@ -102,15 +103,15 @@
 // MarkStarted records that the machine started in this term, so that no heartbeat of it can be older.
 func (l *Link) MarkStarted() { l.startedThisTerm = true }
 
-// Observe records a heartbeat. It returns whether the heartbeat is newer than all before, which shows nothing
-// if it is not, and whether it confirms that answers or commands reach the machine.
+// Observe records a heartbeat. It returns whether the heartbeat is newer than all earlier ones (an older one is
+// ignored), and whether it confirms that answers or commands reach the machine.
 func (l *Link) Observe(now time.Time, heartbeat Heartbeat) (newer, confirmed bool) {
 	sent := position{heartbeat.Incarnation, heartbeat.Seq}
 	if sent.incarnation < l.newest.incarnation || sent.incarnation == l.newest.incarnation && sent.seq <= l.newest.seq {
 		return false, false
 	}
-	// A worker adopts a term's token once, and shows it from then on. So only the first heartbeat with the
-	// token shows that the worker receives anything now.
+	// A worker adopts a term's token once and sends it with every later heartbeat. So only the first heartbeat
+	// with the token shows that the worker receives anything now.
 	firstWithTerm := heartbeat.HighestTerm == heartbeat.Term && l.confirmedAt.IsZero()
 	confirmed = firstWithTerm || l.followsAnswered(heartbeat)
 	newIncarnation := l.newest.incarnation > 0 && sent.incarnation > l.newest.incarnation
@@ -124,15 +125,15 @@
 	return true, confirmed
 }
 
-// followsAnswered reports whether a heartbeat is the next after one that was answered: it follows the newest
-// one, or the last answer to a command, in the same incarnation and to the same controller.
+// followsAnswered reports whether a heartbeat shows that the one before it was answered: it is the next in sequence
+// after the newest heartbeat or the last answer to a command, in the same incarnation and to the same controller.
 func (l *Link) followsAnswered(heartbeat Heartbeat) bool {
 	return heartbeat.Incarnation == l.newest.incarnation &&
 		(heartbeat.Seq == l.newest.seq+1 || heartbeat.Seq == l.answerSeq+1) &&
 		heartbeat.Via == l.via && !heartbeat.Relayed && !l.relayed
 }
 
-// recordUnconfirmed counts the newest heartbeat as one that confirms nothing.
+// recordUnconfirmed counts the newest heartbeat as one that does not confirm the link.
 func (l *Link) recordUnconfirmed(now time.Time, newIncarnation bool) {
 	l.unconfirmed++
 	if l.unconfirmed == 1 {
@@ -150,7 +151,7 @@
 	l.confirm(now)
 }
 
-// CommandLost records that a command got no answer.
+// CommandLost records that a command was not answered.
 func (l *Link) CommandLost() { l.lostCommands++ }
 
 // confirm records that answers or commands reach the machine.
@@ -158,13 +159,13 @@
 	l.confirmedAt, l.unconfirmed, l.paths, l.newIncarnation, l.lostCommands = now, 0, nil, false, 0
 }
 
-// InboundLost reports whether a machine that has been silent for a while has answered a command since its last
-// heartbeat: it receives commands and reaches no controller. An answer counts for validFor.
+// InboundLost reports whether a machine that has been silent for silentFor has answered a command since its last
+// heartbeat, so that it receives commands but reaches no controller. An answer is valid as evidence for validFor.
 func (l *Link) InboundLost(now time.Time, silentFor, validFor time.Duration) bool {
 	return !l.answeredAt.IsZero() && now.Sub(l.answeredAt) < min(silentFor, validFor)
 }
 
-// ConfirmedAt returns when the machine last showed that answers or commands reach it; zero if it never did in
+// ConfirmedAt returns when the machine last confirmed that answers or commands reach it; zero if it has not in
 // this term.
 func (l *Link) ConfirmedAt() time.Time { return l.confirmedAt }
 
@@ -176,9 +177,9 @@
 	switch {
 	case l.relayed && l.AliveThisTerm():
 		return Reachable
-	case l.unconfirmed >= tuning.HopsOutboundLost && now.Sub(l.firstUnconfirmedAt) >= lease && (len(l.paths) > 1 || l.newIncarnation):
+	case l.unconfirmed >= tuning.OutboundLostUnconfirmedHeartbeats && now.Sub(l.firstUnconfirmedAt) >= lease && (len(l.paths) > 1 || l.newIncarnation):
 		return OutboundLost
-	case l.unconfirmed >= tuning.HopsSuspect || l.lostCommands > 0:
+	case l.unconfirmed >= tuning.SuspectUnconfirmedHeartbeats || l.lostCommands > 0:
 		return Suspected
 	case !l.AliveThisTerm():
 		return Unconfirmed
@@ -186,9 +187,9 @@
 	return Reachable
 }
 
-// Reason returns, for operators, what the link's state follows from.
+// Reason returns, for operators, the evidence from which the link's state follows.
 func (l *Link) Reason(now time.Time) string {
-	if !l.AliveThisTerm() && l.unconfirmed < tuning.HopsSuspect && l.lostCommands == 0 {
+	if !l.AliveThisTerm() && l.unconfirmed < tuning.SuspectUnconfirmedHeartbeats && l.lostCommands == 0 {
 		return "nothing of this term's leader is confirmed to have reached it"
 	}
 	return fmt.Sprintf("since the last confirmation %d heartbeats in %.0f s through %d controllers, and %d commands without an answer",
--- a/softstate/images.go
+++ b/softstate/images.go
@@ -1,5 +1,5 @@
-// Package softstate encodes what a leader infers and may lose, so that the next leader need not learn it anew: the images
-// that machines likely cache. Nothing depends on such a record being current, complete or there at all.
+// Package softstate encodes soft state of the leader, the images that machines likely cache, so that the next leader need
+// not infer it again. Nothing depends on such a record being current, complete or present.
 //
 // The package has no clock and no lock.
 package softstate
@@ -19,10 +19,10 @@
 	Images []fleet.Image
 }
 
-// EncodeImages returns the record of some machines with the most recently used images of each, as many as fit into limit
-// bytes of JSON, and tuning.ImagesEach at most.
+// EncodeImages returns the record of machines with the most recently used images of each, as many as fit into limit
+// bytes of JSON, and tuning.MaxImagesPerMachine at most.
 func EncodeImages(machines []Machine, limit int) store.ImagesRecord {
-	for perMachine := tuning.ImagesEach; ; perMachine /= 2 {
+	for perMachine := tuning.MaxImagesPerMachine; ; perMachine /= 2 {
 		record := encode(machines, perMachine)
 		raw, err := json.Marshal(record)
 		if perMachine == 0 || err == nil && len(raw) <= limit {
@@ -31,7 +31,7 @@
 	}
 }
 
-// encode returns the record of some machines with so many images of each. Machines without images are left out.
+// encode returns the record of machines with at most perMachine images of each. Machines without images are left out.
 func encode(machines []Machine, perMachine int) store.ImagesRecord {
 	table := imageTable{indices: map[string]int{}}
 	cachedOn := map[string][]int{}
@@ -59,14 +59,14 @@
 	indices map[string]int
 }
 
-// index returns the number of an image, which is added if it is new. It returns false for an image that a record cannot
-// have: its name is too long, or there are tuning.ImagesNames images already.
+// index returns the number of an image, which is added if it is new. It returns false for an image that the record cannot
+// contain: its name is too long, or there are tuning.ImagesNames images already.
 func (t *imageTable) index(image fleet.Image) (index int, ok bool) {
 	if index, ok := t.indices[image.Name]; ok {
 		return index, true
 	}
 	name, err := json.Marshal(image.Name)
-	if err != nil || len(name) > tuning.ImagesNameBytes || len(t.names) >= tuning.ImagesNames {
+	if err != nil || len(name) > tuning.MaxImageNameBytes || len(t.names) >= tuning.ImagesNames {
 		return 0, false
 	}
 	index = len(t.names)
--- a/softstate/images_test.go
+++ b/softstate/images_test.go
@@ -35,7 +35,7 @@
 	var machines []Machine
 	for m := range 10 {
 		machine := Machine{Name: fmt.Sprintf("n-%d", m)}
-		for i := range tuning.ImagesEach {
+		for i := range tuning.MaxImagesPerMachine {
 			machine.Images = append(machine.Images, fleet.Image{Name: fmt.Sprintf("image-%d-%d", m, i), GB: 1})
 		}
 		machines = append(machines, machine)
@@ -58,7 +58,7 @@
 }
 
 func TestEncodeImagesLeavesOutLongNames(t *testing.T) {
-	long := strings.Repeat("x", tuning.ImagesNameBytes)
+	long := strings.Repeat("x", tuning.MaxImageNameBytes)
 	record := EncodeImages([]Machine{{"n-1", []fleet.Image{{Name: long}, {Name: "a"}}}}, 1<<20)
 	if !slices.Equal(record.Names, []string{"a"}) || !slices.Equal(record.On["n-1"], []int{0}) {
 		t.Errorf("record %+v, want only the image with the short name", record)
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -177,16 +177,16 @@
 	// ImagesEvery is the interval at which the leader stores which machines have which images. The record is only a
 	// hint for the next leader, so it is written rarely.
 	ImagesEvery = 8 * time.Second
-	// ImagesMachines is the maximum number of machines in a record of cached images. With at most ImagesEach images of
-	// each machine, ImagesNames names and ImagesNameBytes bytes a name, and at under 4 bytes an index, 20 a machine and
-	// 20 a size, the record stays within 16 KiB.
+	// ImagesMachines is the maximum number of machines in a record of cached images. With at most MaxImagesPerMachine
+	// images of each machine, ImagesNames names and MaxImageNameBytes bytes a name, and at under 4 bytes an index, 20 a
+	// machine and 20 a size, the record stays within 16 KiB.
 	ImagesMachines = 64
-	// ImagesEach is the maximum number of images of each machine in such a record.
-	ImagesEach = 24
+	// MaxImagesPerMachine is the maximum number of images of each machine in such a record.
+	MaxImagesPerMachine = 24
 	// ImagesNames is the maximum number of image names in such a record.
 	ImagesNames = 100
-	// ImagesNameBytes is the maximum length in bytes of an image name in such a record.
-	ImagesNameBytes = 48
+	// MaxImageNameBytes is the maximum length in bytes of an image name in such a record.
+	MaxImageNameBytes = 48
 	// ImagesBytes is the size limit of values in bytes below which a record of cached images has half as many machines,
 	// and only as many images of each machine as fit.
 	ImagesBytes = 8 << 10
@@ -329,14 +329,14 @@
 	PartitionLeases = 6
 	// ReadyUnknown is the boot time that is assumed for a machine of unknown type.
 	ReadyUnknown = time.Minute
-	// EvictFreelyShare is the silent share of a zone up to which its machines are released without a rate limit. A
+	// EvictUnlimitedShare is the silent share of a zone up to which its machines are released without a rate limit. A
 	// third of a zone at once is more than any wave of spot preemptions has taken.
-	EvictFreelyShare = 0.34
-	// EvictSlowlyShare is the silent share of a zone up to which machines are released at EvictShare; above it, at a
+	EvictUnlimitedShare = 0.34
+	// EvictSlowlyShare is the silent share of a zone up to which machines are released at EvictionRate; above it, at a
 	// fifth of that rate. Kubernetes also slows down above 55%.
 	EvictSlowlyShare = 0.55
-	// EvictShare is the release rate as a share of a zone's machines per second.
-	EvictShare = 0.02
+	// EvictionRate is the release rate as a share of a zone's machines per second.
+	EvictionRate = 0.02
 	// EvictBurstShare is the capacity of a zone's eviction budget as a share of its machines, if that is more than
 	// EvictBurstMachines.
 	EvictBurstShare = 0.05
@@ -452,11 +452,11 @@
 	// PassedOverAfter is how long a job waits although it fits a machine before that is logged. Users consider it a
 	// fault after 90 s.
 	PassedOverAfter = time.Minute
-	// QuotaReserved is how long a reservation of a team's quota lasts if it is not used. Users expect that no job waits
-	// 90 s while its team is under its limit.
-	QuotaReserved = time.Minute
-	// QuotaRests is the pause after such a reservation has expired before the team's quota is reserved again.
-	QuotaRests = 15 * time.Second
+	// QuotaReservationTTL is how long a reservation of a team's quota lasts if it is not used. Users expect that no job
+	// waits 90 s while its team is under its limit.
+	QuotaReservationTTL = time.Minute
+	// QuotaReservationPause is the pause after such a reservation has expired before the team's quota is reserved again.
+	QuotaReservationPause = 15 * time.Second
 	// ReservedShare is the maximum share of machines that are reserved for starving jobs. About half of their capacity
 	// is unused while they drain, some 2% of the fleet.
 	ReservedShare = 0.05
@@ -609,12 +609,13 @@
 
 // Reachability: whether a machine that sends heartbeats receives the answers, and the reverse.
 const (
-	// HopsSuspect is the number of newer heartbeats without evidence of a response from which on a machine is suspected
-	// of an outbound partition. A single one may be due to a controller that failed.
-	HopsSuspect = 2
-	// HopsOutboundLost is the number of such heartbeats over a lease from which on the partition is certain. Workers
-	// switch to another controller 5 s after an unanswered heartbeat, so three of them take one lease of 10 s.
-	HopsOutboundLost = 3
+	// SuspectUnconfirmedHeartbeats is the number of newer heartbeats without evidence of a response from which on a
+	// machine is suspected of an outbound partition. A single one may be due to a controller that failed.
+	SuspectUnconfirmedHeartbeats = 2
+	// OutboundLostUnconfirmedHeartbeats is the number of such heartbeats over a lease from which on the partition is
+	// certain. Workers switch to another controller 5 s after an unanswered heartbeat, so three of them take one lease
+	// of 10 s.
+	OutboundLostUnconfirmedHeartbeats = 3
 	// InboundLostLeases is the number of leases for which a machine is kept that answers commands but reaches no
 	// controller. Packet filters between machines and controllers are corrected in less time, and replacing a machine
 	// costs a boot.
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is the client for commands that controllers send directly to workers, beside those in the
-// answers to heartbeats.
+// Package worker is the client for commands that controllers send directly to workers, in addition to those in
+// the responses to heartbeats.
 package worker
 
 import (
@@ -15,11 +15,11 @@
 	"switchferry/tuning"
 )
 
-// ErrNotSent tells that the commands certainly did not reach the worker, and never will. Any other error
-// leaves open whether and when they are executed.
+// ErrNotSent means that the commands did not reach the worker, and never will. After any other error it is
+// unknown whether and when they are executed.
 var ErrNotSent = errors.New("not sent")
 
-// Client sends commands to workers. It may be used concurrently.
+// Client sends commands to workers. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
 // New returns a client that uses the given transport.
@@ -27,15 +27,16 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Send sends commands to the worker at an address, for tuning.WorkerTimeout at most. The heartbeat that
-// it returns is the worker's answer. Executed tells that it describes the state after the commands; else
-// the worker refused them, because of a lower term or another incarnation, and executed none.
+// Send sends commands to the worker at an address and waits for tuning.WorkerTimeout at most. It returns the
+// heartbeat with which the worker responds. If executed is true, the heartbeat describes the state after the
+// commands; otherwise the worker refused them, because of a lower term or another incarnation, and executed
+// none.
 func (client *Client) Send(ctx context.Context, addr string, commands api.HeartbeatResponse) (heartbeat *api.Heartbeat, executed bool, err error) {
 	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
 	defer stop()
 	status, body, err := rest.Do(ctx, client.http, http.MethodPost, "http://"+addr+"/orders", commands)
 	if networkError, ok := errors.AsType[*net.OpError](err); ok && networkError.Op == "dial" {
-		// A connection attempt that was given up does not complete later.
+		// An abandoned connection attempt does not complete later.
 		return nil, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if err != nil {
