--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -17,7 +17,7 @@
 	return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body))}, nil
 }
 
-// Refusals, outages and malformed answers are told apart and survived.
+// Rent distinguishes refusals, outages and malformed responses.
 func TestRentTellsErrorsApart(t *testing.T) {
 	ctx := t.Context()
 	for _, test := range []struct {
@@ -41,7 +41,7 @@
 	}
 	empty := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return 200, `{}` }))
 	if _, err := empty.Catalog(ctx); err == nil {
-		t.Error("an empty catalog was taken")
+		t.Error("an empty catalog was accepted")
 	}
 }
 
--- a/dag/graph_test.go
+++ b/dag/graph_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// model is a reference for Graph: it knows only who needs whom, who is done and who was cancelled, and derives everything
-// else anew each time.
+// model is a reference implementation of Graph: it stores only the dependencies, the completed and the cancelled jobs, and
+// computes everything else on each call.
 type model struct {
 	ids             []string
 	needs           map[string][]string
 	done, cancelled map[string]bool
 }
 
-// lost reports whether a job is cancelled, itself or through a dependency.
+// lost reports whether a job is cancelled, directly or through a dependency.
 func (m *model) lost(job string) bool {
 	return m.cancelled[job] || slices.ContainsFunc(m.needs[job], m.lost)
 }
 
-// ready reports whether a job waits for nothing.
+// ready reports whether a job is not cancelled and all its dependencies are complete.
 func (m *model) ready(job string) bool {
 	return !m.lost(job) && !slices.ContainsFunc(m.needs[job], func(dependency string) bool { return !m.done[dependency] })
 }
@@ -34,7 +34,7 @@
 	return values
 }
 
-// checkNewly checks that got holds the jobs for which a predicate is true now and was not before.
+// checkNewly checks that got holds exactly the jobs for which the predicate now is true and was not true before.
 func (m *model) checkNewly(t *testing.T, operation string, got []string, before map[string]bool, now func(job string) bool) {
 	t.Helper()
 	var want []string
@@ -50,7 +50,7 @@
 	}
 }
 
-// Random graphs with random completions and cancellations agree with the model after each step.
+// After each step of random additions, completions and cancellations, the graph agrees with the model.
 func TestGraphAgainstReference(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/failuredetector/decision_test.go
+++ b/failuredetector/decision_test.go
@@ -8,9 +8,9 @@
 	"switchferry/reachability"
 )
 
-// A machine that answers commands but whose heartbeats do not arrive is drained, unless so much of its zone is
-// silent that the cause lies elsewhere, and released after two leases. One that answers nothing is released
-// after the usual time.
+// A machine that answers commands but whose heartbeats do not arrive is drained, and released after
+// limits.InboundLost. It is not drained if so much of its zone is silent that the fault must be elsewhere. A
+// machine that does not answer commands either is released after limits.ReleaseAfter.
 func TestInboundLossDrainsThenReleases(t *testing.T) {
 	limits := Limits{SuspectAfter: 7 * time.Second, ReleaseAfter: 10 * time.Second, ElectionGrace: 20 * time.Second, InboundLost: 35 * time.Second}
 	for _, test := range []struct {
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -8,8 +8,8 @@
 	"switchferry/tuning"
 )
 
-// fleet is a fleet of scripted machines, 2,000 in zone far and 3,000 in zone near, each of which sends
-// heartbeats when the script says so.
+// fleet simulates 5,000 machines, 2,000 in zone far and 3,000 in zone near, whose heartbeats each test
+// determines.
 type fleet struct {
 	now             time.Time
 	detector        *Detector
@@ -37,13 +37,13 @@
 	return f
 }
 
-// startTerm begins a term, in which the machines are known from the records alone.
+// startTerm begins a term, in which the machines are at first known only from the records.
 func (f *fleet) startTerm() {
 	f.detector, f.budget, f.lastHeartbeat = New(f.now, lease), EvictionBudget{}, map[string]time.Time{}
 }
 
-// run lets time pass while the machines for which reports is true send heartbeats. It returns how many
-// machines were released, by zone.
+// run advances the time while the machines for which reports is true send heartbeats. It returns the number of
+// released machines by zone.
 func (f *fleet) run(duration time.Duration, reports func(name string) bool) map[string]int {
 	out := map[string]int{}
 	for end := f.now.Add(duration); f.now.Before(end); {
@@ -96,10 +96,11 @@
 
 func (f *fleet) isNear(name string) bool { return f.zone[name] == "near" }
 
-// A zone of 2,000 machines falls silent, and the leader changes meanwhile. No machine of it is released
-// while a network partition is likely, whether the zone has controllers, which are then unreachable, or not,
-// or half of it is back. 442 of 430 machines were returned 18 s after such a change
-// (docs/incidents/fleet-zone-returned.md). A machine of the other zone that dies is released without delay.
+// A zone of 2,000 machines becomes silent, and the leader changes meanwhile. None of its machines is released
+// while a network partition is likely, whether or not the zone has controllers, which are then unreachable, and
+// also if half of its machines respond again. 442 of 430 machines were returned 18 s after such a change of
+// leader (docs/incidents/fleet-zone-returned.md). A machine of the other zone that fails is released without
+// delay.
 func TestSilentZoneIsKeptThroughFailover(t *testing.T) {
 	const dead = "n-4999"
 	for _, test := range []struct {
@@ -130,7 +131,7 @@
 			if released["far"] > 0 || !fleet.released[dead] || released["near"] != 1 {
 				t.Errorf("released %v, the dead machine %v", released, fleet.released[dead])
 			}
-			// The partition ends, and all machines come back: none was released in vain.
+			// The partition ends, and all machines respond again.
 			fleet.unreachableZone = ""
 			if more := fleet.run(20*time.Second, func(name string) bool { return name != dead }); len(more) > 0 {
 				t.Errorf("released after the partition: %v", more)
@@ -139,8 +140,8 @@
 	}
 }
 
-// A zone that is lost for good is released too, but slowly: it may come back at any moment, and every
-// released machine must be replaced by one that has to boot.
+// A zone that is lost permanently is released too, but slowly: it may come back at any time, and every released
+// machine must be replaced by one that has to boot.
 func TestLostZoneIsReleasedSlowly(t *testing.T) {
 	fleet := newFleet()
 	fleet.run(30*time.Second, allReport)
@@ -163,8 +164,8 @@
 	}
 }
 
-// Recorded machines that sent no heartbeat and that the cloud does not list have no known zone, and do not
-// count as one zone together: taken for a silent zone, they were kept for minutes after a change of leader.
+// Recorded machines that sent no heartbeat and that the cloud does not list have no known zone, and are not
+// grouped into one. Treated as a silent zone, they were kept for minutes after a change of leader.
 func TestMachinesWithoutZoneAreReleased(t *testing.T) {
 	fleet := newFleet()
 	fleet.run(30*time.Second, allReport)
@@ -173,13 +174,14 @@
 	}
 	fleet.startTerm()
 	if released := fleet.run(lease+tuning.NewTermGrace+2*time.Second, func(name string) bool { return fleet.zone[name] != "" }); released[""] != 60 || len(released) != 1 {
-		t.Errorf("released %v, want the 60 that are gone", released)
+		t.Errorf("released %v, want the 60 without a zone", released)
 	}
 }
 
-// A switch that falls silent with all machines behind it is kept until their leases have expired, so it costs
-// nothing if it returns before. One machine behind it, or half of them, is released like any other. The same
-// holds after a change of leader for machines known from records alone.
+// If all machines of a failure domain such as a switch become silent, they are kept until their leases have
+// expired, so that no task is lost if the domain recovers before. If one machine of it, or half of them, are
+// silent, these are released like any others. The same holds after a change of leader for machines that are
+// known only from records.
 func TestSilentDomainIsKeptForOneLease(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	for _, test := range []struct {
@@ -187,7 +189,7 @@
 		silent   int
 		size     int
 		failover bool
-		// want is after how long the first machine is released.
+		// want is the time after which the first machine is released.
 		want time.Duration
 	}{
 		{"one machine of ten", 1, 10, false, releaseAfter},
--- a/failuredetector/eviction_budget_test.go
+++ b/failuredetector/eviction_budget_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The loss of a quarter of a zone is released as each machine becomes due. Unconditional releases ignore the
-// budget, and machines with the most tasks are released first.
+// If a quarter of a zone is lost, each machine is released without delay when it becomes due. Unconditional
+// releases ignore the budget, and machines with the most tasks are released first.
 func TestBudgetReleasesMachinesWithMostTasksFirst(t *testing.T) {
 	fleet := newFleet()
 	fleet.run(30*time.Second, allReport)
--- a/feasibility/feasibility_test.go
+++ b/feasibility/feasibility_test.go
@@ -7,8 +7,8 @@
 	"switchferry/fleet"
 )
 
-// A job is unplaceable where there is no machine of its type, zone, kind and size, or services hold all of these; its pool
-// is one that it may run on.
+// A job is unplaceable if there is no machine of its type, zone, kind and size, or if services occupy all such machines.
+// PoolFor returns a pool on whose machines it can run.
 func TestUnplaceableJobsAndThePoolsForThem(t *testing.T) {
 	small := &api.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
 	large := &api.MachineType{Name: "large", CPUs: 32, MemoryGB: 256, Zones: []string{"a", "b"}}
@@ -20,15 +20,15 @@
 	for _, testCase := range []struct {
 		name string
 		job  api.Submission
-		// wantPool is the pool for an unplaceable job; "": the job is placeable.
+		// wantPool is the pool for an unplaceable job; it is empty if the job is placeable.
 		wantPool string
 	}{
 		{"any machine", api.Submission{CPUs: 1, MemoryGB: 1}, ""},
 		{"only preemptible machines in its zone", api.Submission{CPUs: 1, Zone: "b"}, "small b"},
 		{"preemptible machines are allowed", api.Submission{CPUs: 1, Zone: "b", Spot: true}, ""},
-		{"services hold its machine type", api.Submission{CPUs: 4, Types: []string{"large"}}, "large b"},
+		{"services occupy its machine type", api.Submission{CPUs: 4, Types: []string{"large"}}, "large b"},
 		{"services leave enough of its machine type", api.Submission{CPUs: 1, MemoryGB: 100}, ""},
-		{"too large for what services leave", api.Submission{CPUs: 8, MemoryGB: 100}, "large b"},
+		{"too large for the resources that services leave free", api.Submission{CPUs: 8, MemoryGB: 100}, "large b"},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			unplaceable := Unplaceable([]*api.Submission{&testCase.job, &testCase.job}, machines)
@@ -44,6 +44,6 @@
 		})
 	}
 	if _, ok := PoolFor(&api.Submission{CPUs: 64}, pools); ok {
-		t.Error("a pool for a job that fits no machine type")
+		t.Error("PoolFor returned a pool for a job that fits no machine type")
 	}
 }
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -7,8 +7,8 @@
 	"switchferry/api"
 )
 
-// Several failures of one job may be its own fault, and jobs that fail everywhere do not count; a task that completes
-// clears the count.
+// Several failures of one job may be caused by the job, and jobs for which countsAgainstMachines is false do not count. A
+// task that completes clears the count.
 func TestMachineIsFaultyAfterFailuresOfSeveralJobs(t *testing.T) {
 	machine := &Machine{}
 	countsAgainstMachines := func(job string) bool { return job != "mistaken" }
@@ -16,7 +16,7 @@
 		machine.RecordFailure("one")
 		machine.RecordFailure("mistaken")
 		if machine.Faulty(countsAgainstMachines) {
-			t.Fatal("faulty for the failures of one job")
+			t.Fatal("faulty after failures of only one job that counts")
 		}
 	}
 	machine.RecordFailure("two")
@@ -25,12 +25,12 @@
 	}
 	machine.ClearJobFailures("two")
 	if machine.Faulty(countsAgainstMachines) {
-		t.Error("faulty for failures that were cleared")
+		t.Error("faulty after the failures of one of two jobs were cleared")
 	}
 	machine.RecordFailure("two")
 	machine.ClearFailures()
 	if machine.Faulty(countsAgainstMachines) {
-		t.Error("faulty after a task that completed")
+		t.Error("faulty after all failures were cleared")
 	}
 }
 
--- a/fleet/resources_test.go
+++ b/fleet/resources_test.go
@@ -8,6 +8,6 @@
 		t.Errorf("%d tasks fit, want 10 despite rounding", n)
 	}
 	if r.Fits(Resources{CPUs: 1, Cards: 1}) || !r.Fits(Resources{CPUs: 8, MemoryGB: 32}) {
-		t.Errorf("%+v fits a card, or does not fit its own amount", r)
+		t.Errorf("a request for a card fits into %+v, or an equal amount does not", r)
 	}
 }
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -10,9 +10,9 @@
 		t.Errorf("%d violations, want 2", got)
 	}
 	if got := TakeViolations(); got != 2 {
-		t.Errorf("%d violations taken, want 2", got)
+		t.Errorf("%d violations before the reset, want 2", got)
 	}
 	if got := Violations(); got != 0 {
-		t.Errorf("%d violations left, want none", got)
+		t.Errorf("%d violations after the reset, want none", got)
 	}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// The first feasible demand of a team holds the reservation until it is satisfied or has waited for too long; then the
-// limit is not reserved for a while. The steps share one ledger, in order.
+// The first feasible demand of a team holds the reservation until it is satisfied or the reservation expires. After an
+// expiry, no quota is reserved for a while. The steps use one ledger, in order.
 func TestReserve(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	demand := func(id string, request, use, permanent float64) Demand {
--- a/reachability/link_test.go
+++ b/reachability/link_test.go
@@ -7,14 +7,14 @@
 
 const lease = 10 * time.Second
 
-// script plays heartbeats and commands against one link.
+// script applies heartbeats and commands to one link.
 type script struct {
 	t    *testing.T
 	link Link
 	now  time.Time
 }
 
-// heartbeat observes a heartbeat to the leader of term 7 that arrives after the one before.
+// heartbeat advances the time by after and observes a heartbeat to the leader of term 7.
 func (s *script) heartbeat(after time.Duration, via string, incarnation, seq, highestTerm uint64) (newer, confirmed bool) {
 	s.now = s.now.Add(after)
 	return s.link.Observe(s.now, Heartbeat{Incarnation: incarnation, Seq: seq, HighestTerm: highestTerm, Term: 7, Via: via})
@@ -31,20 +31,21 @@
 	return &script{t: t, now: time.Unix(1_800_000_000, 0)}
 }
 
-// newReachable returns the script of a machine that has shown that the leader's answers reach it.
+// newReachable returns the script of a machine that has confirmed that the leader's answers reach it.
 func newReachable(t *testing.T) *script {
 	script := newScript(t)
 	script.heartbeat(0, "", 1, 5, 6)
 	script.want(Unconfirmed)
 	if _, confirmed := script.heartbeat(500*time.Millisecond, "", 1, 6, 7); !confirmed {
-		t.Error("this term's token in a report is no proof")
+		t.Error("a heartbeat with this term's token does not confirm the link")
 	}
 	script.want(Reachable)
 	return script
 }
 
-// Answers do not reach the machine: it turns from controller to controller every 5 s, is suspected with its
-// second unconfirmed heartbeat, and its link counts as lost after a lease. One answer that arrives ends that.
+// Answers do not reach the machine: its worker switches to another controller every 5 s. The machine is suspected
+// from its second unconfirmed heartbeat on, and its link counts as lost after a lease. A single answer that
+// arrives makes it reachable again.
 func TestOutboundLossNeedsSeveralPaths(t *testing.T) {
 	script := newReachable(t)
 	script.heartbeat(time.Second, "", 1, 7, 7)
@@ -64,11 +65,12 @@
 	script.link.CommandAnswered(script.now, 13)
 	script.want(Reachable)
 	if _, confirmed := script.heartbeat(time.Second, "n1", 2, 14, 7); !confirmed {
-		t.Error("an answer to a command counts in between as a report that was not answered")
+		t.Error("the answer to a command between two heartbeats counts as an unanswered heartbeat")
 	}
 }
 
-// A controller cannot send, but the next one that the machine turns to can: its link never counts as lost.
+// One controller cannot send, but the next one that the worker switches to can. The machine's link never counts as
+// lost.
 func TestControllerThatCannotSendDoesNotBlameMachine(t *testing.T) {
 	script := newReachable(t)
 	for seq := uint64(7); seq < 40; seq += 3 {
@@ -80,7 +82,8 @@
 	}
 }
 
-// With a single controller its incarnations show the loss: they rise although its heartbeats arrive.
+// With a single controller, an outbound loss shows in the machine's incarnations: they increase although its
+// heartbeats arrive.
 func TestOutboundLossShowsByNewIncarnations(t *testing.T) {
 	script := newReachable(t)
 	for i := range uint64(4) {
@@ -89,24 +92,24 @@
 	script.want(OutboundLost)
 }
 
-// Copies show nothing, however late, of whatever incarnation. A heartbeat that the answer to a command has
-// overtaken is no copy.
+// Copies of heartbeats are ignored, regardless of their delay and incarnation. A heartbeat that was overtaken by
+// the answer to a command is not a copy.
 func TestDelayedCopiesShowNothing(t *testing.T) {
 	script := newReachable(t)
 	script.heartbeat(time.Second, "", 2, 9, 7)
 	for _, copied := range [][2]uint64{{2, 9}, {2, 8}, {1, 6}, {1, 99}, {0, 0}} {
 		if newer, confirmed := script.heartbeat(time.Second, "n1", copied[0], copied[1], 7); newer || confirmed {
-			t.Errorf("a copy of report %v is taken for news", copied)
+			t.Errorf("a copy of heartbeat %v is accepted as newer", copied)
 		}
 	}
 	script.link.CommandAnswered(script.now, 12)
 	if newer, _ := script.heartbeat(time.Second, "", 2, 11, 7); !newer {
-		t.Error("a report that an answer overtook is taken for a copy")
+		t.Error("a heartbeat that was overtaken by an answer is rejected as a copy")
 	}
 }
 
-// The first heartbeat that a new leader receives may be old, and is unconfirmed until the machine has received
-// an answer. A machine that started in this term can have sent none before it.
+// The first heartbeat that a new leader receives may be old, so the link is unconfirmed until the machine has
+// received an answer. A machine that started in this term cannot have sent a heartbeat before the term.
 func TestFirstHeartbeatOfTermIsUnconfirmed(t *testing.T) {
 	script := newScript(t)
 	script.heartbeat(0, "", 3, 500, 6)
@@ -117,7 +120,7 @@
 	script.want(Reachable)
 }
 
-// A controller that relays passes on only some heartbeats, so gaps between them show nothing.
+// A controller that relays heartbeats forwards only some of them, so gaps in their sequence are no evidence.
 func TestRelayedHeartbeatsSuspectNoMachine(t *testing.T) {
 	script := newReachable(t)
 	for seq := uint64(10); seq < 100; seq += 9 {
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Only a connection that never came about proves that a command was not sent;
-// everything else may still be executed.
+// Only a failed connection attempt proves that a command was not sent. After any other error the command may
+// still be executed.
 func TestSendTellsWhetherCommandsMayHaveArrived(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -36,15 +36,15 @@
 		{"no connection", func() (*http.Response, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 		}, true, true, false},
-		{"reset", func() (*http.Response, error) {
+		{"connection reset", func() (*http.Response, error) {
 			return nil, &net.OpError{Op: "read", Err: errors.New("reset")}
 		}, true, false, false},
-		{"garbage", answering(200, `{"host":`), true, false, false},
-		{"trouble", answering(500, ``), true, false, false},
+		{"malformed response", answering(200, `{"host":`), true, false, false},
+		{"server error", answering(500, ``), true, false, false},
 	} {
 		_, done, err := New(test.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
 		if (err != nil) != test.fails || errors.Is(err, ErrNotSent) != test.notSent || done != test.done {
-			t.Errorf("%s: done %v, %v", test.name, done, err)
+			t.Errorf("%s: executed %v, error %v", test.name, done, err)
 		}
 	}
 }
