--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -38,7 +38,7 @@
 // EarliestMachines chooses the machines on which the given number of tasks can all have started soonest, in a single zone
 // if oneZone is set. It returns their names and the time until the last task starts. The names are nil if the tasks can
 // never all start, or if there are none.
-func EarliestMachines(machines []Machine, tasks int, oneZone bool) (names []string, at time.Duration) {
+func EarliestMachines(machines []Machine, tasks int, oneZone bool) (names []string, delay time.Duration) {
 	if !oneZone {
 		return earliest(machines, tasks)
 	}
@@ -48,23 +48,23 @@
 	}
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		zoneNames, zoneAt := earliest(zones[zone], tasks)
-		if zoneNames != nil && (names == nil || zoneAt < at) {
-			names, at = zoneNames, zoneAt
+		if zoneNames != nil && (names == nil || zoneAt < delay) {
+			names, delay = zoneNames, zoneAt
 		}
 	}
-	return names, at
+	return names, delay
 }
 
 // earliest implements EarliestMachines without regard to zones.
-func earliest(machines []Machine, tasks int) (names []string, at time.Duration) {
+func earliest(machines []Machine, tasks int) (names []string, delay time.Duration) {
 	type start struct {
 		at   time.Duration
 		name string
 	}
 	var starts []start
 	for _, machine := range machines {
-		for _, at := range machine.At[:min(tasks, len(machine.At))] {
-			starts = append(starts, start{at, machine.Name})
+		for _, delay := range machine.At[:min(tasks, len(machine.At))] {
+			starts = append(starts, start{delay, machine.Name})
 		}
 	}
 	if tasks <= 0 || len(starts) < tasks {
--- a/ageing/ageing_test.go
+++ b/ageing/ageing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestDueAfterWaitingSinceLastStart(t *testing.T) {
+func TestStarvedAfterWaitingSinceLastStart(t *testing.T) {
 	waitingSince := time.Unix(1_800_000_000, 0)
 	for _, testCase := range []struct {
 		name             string
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestKeepChoosesMachinesThatDrainSoonest(t *testing.T) {
+func TestEarliestMachinesChoosesThoseThatDrainSoonest(t *testing.T) {
 	seconds := func(list ...int) (at []time.Duration) {
 		for _, s := range list {
 			at = append(at, time.Duration(s)*time.Second)
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -39,18 +39,18 @@
 // Client is a client of the cloud. Its methods are safe for concurrent use; each waits until the rate limit
 // allows a call, and cancels the call after tuning.CloudTimeout.
 type Client struct {
-	base    string
+	baseURL string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
 // New returns a client for an address. The cloud's limit is rps requests per second, of which the client uses
 // the share tuning.QuotaShare.
-func New(addr string, rps float64, transport http.RoundTripper) *Client {
+func New(addr string, requestsPerSecond float64, transport http.RoundTripper) *Client {
 	return &Client{
-		base:    "http://" + addr,
+		baseURL: "http://" + addr,
 		http:    &http.Client{Transport: transport},
-		limiter: rate.NewLimiter(rate.Limit(rps*tuning.QuotaShare), max(1, int(rps))),
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*tuning.QuotaShare), max(1, int(requestsPerSecond))),
 	}
 }
 
@@ -59,9 +59,9 @@
 	if err := client.limiter.Wait(ctx); err != nil {
 		return err
 	}
-	ctx, stop := context.WithTimeout(ctx, tuning.CloudTimeout)
-	defer stop()
-	status, raw, err := rest.Do(ctx, client.http, method, client.base+path, body)
+	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
+	defer cancel()
+	status, raw, err := rest.Do(ctx, client.http, method, client.baseURL+path, body)
 	if err != nil {
 		return err
 	}
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -18,7 +18,7 @@
 }
 
 // Rent distinguishes refusals, outages and malformed responses.
-func TestRentTellsErrorsApart(t *testing.T) {
+func TestRentDistinguishesErrors(t *testing.T) {
 	ctx := t.Context()
 	for _, test := range []struct {
 		status int
--- a/dag/graph_test.go
+++ b/dag/graph_test.go
@@ -10,23 +10,23 @@
 // model is a reference implementation of Graph: it stores only the dependencies, the completed and the cancelled jobs, and
 // computes everything else on each call.
 type model struct {
-	ids             []string
-	needs           map[string][]string
-	done, cancelled map[string]bool
+	ids                  []string
+	dependencies         map[string][]string
+	completed, cancelled map[string]bool
 }
 
-// lost reports whether a job is cancelled, directly or through a dependency.
-func (m *model) lost(job string) bool {
-	return m.cancelled[job] || slices.ContainsFunc(m.needs[job], m.lost)
+// isCancelled reports whether a job is cancelled, directly or through a dependency.
+func (m *model) isCancelled(job string) bool {
+	return m.cancelled[job] || slices.ContainsFunc(m.dependencies[job], m.isCancelled)
 }
 
-// ready reports whether a job is not cancelled and all its dependencies are complete.
-func (m *model) ready(job string) bool {
-	return !m.lost(job) && !slices.ContainsFunc(m.needs[job], func(dependency string) bool { return !m.done[dependency] })
+// isReady reports whether a job is not cancelled and all its dependencies are complete.
+func (m *model) isReady(job string) bool {
+	return !m.isCancelled(job) && !slices.ContainsFunc(m.dependencies[job], func(dependency string) bool { return !m.completed[dependency] })
 }
 
-// all returns a predicate's value for every job.
-func (m *model) all(predicate func(job string) bool) map[string]bool {
+// evaluate returns a predicate's value for every job.
+func (m *model) evaluate(predicate func(job string) bool) map[string]bool {
 	values := map[string]bool{}
 	for _, job := range m.ids {
 		values[job] = predicate(job)
@@ -34,8 +34,8 @@
 	return values
 }
 
-// checkNewly checks that got holds exactly the jobs for which the predicate now is true and was not true before.
-func (m *model) checkNewly(t *testing.T, operation string, got []string, before map[string]bool, now func(job string) bool) {
+// checkNewlyTrue checks that got holds exactly the jobs for which the predicate now is true and was not true before.
+func (m *model) checkNewlyTrue(t *testing.T, operation string, got []string, before map[string]bool, now func(job string) bool) {
 	t.Helper()
 	var want []string
 	for _, job := range m.ids {
@@ -51,20 +51,20 @@
 }
 
 // After each step of random additions, completions and cancellations, the graph agrees with the model.
-func TestGraphAgainstReference(t *testing.T) {
+func TestGraphAgreesWithReferenceModel(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		graph := New()
-		reference := &model{needs: map[string][]string{}, done: map[string]bool{}, cancelled: map[string]bool{}}
+		reference := &model{dependencies: map[string][]string{}, completed: map[string]bool{}, cancelled: map[string]bool{}}
 		for step := range 40 {
 			switch pick := rng.IntN(4); {
 			case pick < 2 || len(reference.ids) == 0:
 				job := fmt.Sprintf("run-%d", step)
 				var open []string
 				for _, other := range reference.ids {
-					if rng.IntN(4) == 0 && !reference.lost(other) {
-						reference.needs[job] = append(reference.needs[job], other)
-						if !reference.done[other] {
+					if rng.IntN(4) == 0 && !reference.isCancelled(other) {
+						reference.dependencies[job] = append(reference.dependencies[job], other)
+						if !reference.completed[other] {
 							open = append(open, other)
 						}
 					}
@@ -73,24 +73,24 @@
 				graph.Add(job, open)
 			case pick == 2:
 				job := reference.ids[rng.IntN(len(reference.ids))]
-				if reference.done[job] || !reference.ready(job) {
+				if reference.completed[job] || !reference.isReady(job) {
 					continue
 				}
-				before := reference.all(reference.ready)
-				reference.done[job] = true
-				reference.checkNewly(t, fmt.Sprintf("seed %d, complete %s", seed, job), graph.Complete(job), before, reference.ready)
+				before := reference.evaluate(reference.isReady)
+				reference.completed[job] = true
+				reference.checkNewlyTrue(t, fmt.Sprintf("seed %d, complete %s", seed, job), graph.Complete(job), before, reference.isReady)
 			default:
 				job := reference.ids[rng.IntN(len(reference.ids))]
-				if reference.done[job] || reference.lost(job) {
+				if reference.completed[job] || reference.isCancelled(job) {
 					continue
 				}
-				before := reference.all(reference.lost)
+				before := reference.evaluate(reference.isCancelled)
 				reference.cancelled[job] = true
 				before[job] = true
-				reference.checkNewly(t, fmt.Sprintf("seed %d, cancel %s", seed, job), graph.Cancel(job), before, reference.lost)
+				reference.checkNewlyTrue(t, fmt.Sprintf("seed %d, cancel %s", seed, job), graph.Cancel(job), before, reference.isCancelled)
 			}
 			for _, job := range reference.ids {
-				if want := !reference.ready(job) && !reference.lost(job) && !reference.done[job]; graph.Waiting(job) != want {
+				if want := !reference.isReady(job) && !reference.isCancelled(job) && !reference.completed[job]; graph.Waiting(job) != want {
 					t.Fatalf("seed %d: %s waits: %v, want %v", seed, job, graph.Waiting(job), want)
 				}
 			}
--- a/failuredetector/decision_test.go
+++ b/failuredetector/decision_test.go
@@ -11,7 +11,7 @@
 // A machine that answers commands but whose heartbeats do not arrive is drained, and released after
 // limits.InboundLost. It is not drained if so much of its zone is silent that the fault must be elsewhere. A
 // machine that does not answer commands either is released after limits.ReleaseAfter.
-func TestInboundLossDrainsThenReleases(t *testing.T) {
+func TestMachineWithInboundLossIsDrainedThenReleased(t *testing.T) {
 	limits := Limits{SuspectAfter: 7 * time.Second, ReleaseAfter: 10 * time.Second, ElectionGrace: 20 * time.Second, InboundLost: 35 * time.Second}
 	for _, test := range []struct {
 		inboundLost bool
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -45,7 +45,7 @@
 // run advances the time while the machines for which reports is true send heartbeats. It returns the number of
 // released machines by zone.
 func (f *fleet) run(duration time.Duration, reports func(name string) bool) map[string]int {
-	out := map[string]int{}
+	released := map[string]int{}
 	for end := f.now.Add(duration); f.now.Before(end); {
 		f.now = f.now.Add(tuning.MaintainEvery)
 		i := 0
@@ -76,20 +76,20 @@
 		for _, decision := range f.budget.Spend(f.now, due, f.detector.SilentShare) {
 			for _, name := range decision.Release {
 				f.released[name] = true
-				out[decision.Zone]++
+				released[decision.Zone]++
 			}
 		}
 	}
-	return out
+	return released
 }
 
-func (f *fleet) remaining() (out []string) {
+func (f *fleet) remaining() (names []string) {
 	for _, name := range f.machines {
 		if !f.released[name] {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
 func allReport(string) bool { return true }
--- a/failuredetector/eviction_budget.go
+++ b/failuredetector/eviction_budget.go
@@ -50,8 +50,8 @@
 	refilledAt time.Time
 }
 
-// slowdownPastReturnSlowly divides the release rate of a zone whose silent share exceeds tuning.EvictSlowlyShare.
-const slowdownPastReturnSlowly = 5
+// aboveSlowlyShareDivisor divides the release rate of a zone whose silent share exceeds tuning.EvictSlowlyShare.
+const aboveSlowlyShareDivisor = 5
 
 // releaseRate returns the share of a zone's machines that may be released per second, given the share that is
 // silent; infinity means that there is no limit.
@@ -62,7 +62,7 @@
 	case silentShare <= tuning.EvictSlowlyShare:
 		return tuning.EvictionRate
 	}
-	return tuning.EvictionRate / slowdownPastReturnSlowly
+	return tuning.EvictionRate / aboveSlowlyShareDivisor
 }
 
 // Spend decides which candidates are released now, and subtracts them from the budget. Machines with the most
--- a/failuredetector/startup_test.go
+++ b/failuredetector/startup_test.go
@@ -8,7 +8,7 @@
 // A machine that has not started is overdue only if another one that was requested at the same time or later has
 // started, and only after a multiple of both the expected startup time and the other machine's. While no such
 // machine has started, the deadline is twice as long.
-func TestLateStartupCountsOnlyIfOvertaken(t *testing.T) {
+func TestStartupIsOverdueOnlyIfLaterMachineStarted(t *testing.T) {
 	const expected = 10 * time.Second
 	requested := time.Unix(1_800_000_000, 0)
 	var startups StartupTimes
--- a/fleet/resources.go
+++ b/fleet/resources.go
@@ -37,13 +37,13 @@
 	return r.CPUs+slack >= request.CPUs && r.Cards+slack >= request.Cards && r.MemoryGB+slack >= request.MemoryGB
 }
 
-// unlimited is the number of empty requests that fit into any resources.
-const unlimited = 1 << 20
+// emptyRequestCount is the number of empty requests that fit into any resources.
+const emptyRequestCount = 1 << 20
 
 // Count returns how many times a request fits into r at once, with the tolerance of Fits. An empty request fits 1<<20
 // times.
 func (r Resources) Count(request Resources) int {
-	n := unlimited
+	n := emptyRequestCount
 	for _, pair := range [3]struct{ available, requested float64 }{
 		{r.CPUs, request.CPUs}, {r.Cards, request.Cards}, {r.MemoryGB, request.MemoryGB},
 	} {
--- a/fleet/resources_test.go
+++ b/fleet/resources_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestResourcesMultipleAndFitsTolerateRounding(t *testing.T) {
+func TestCountAndFitsTolerateRounding(t *testing.T) {
 	r := Resources{CPUs: 8, MemoryGB: 32}
 	if n := r.Count(Resources{CPUs: 0.8, MemoryGB: 3.2}); n != 10 {
 		t.Errorf("%d tasks fit, want 10 despite rounding", n)
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestViolationsAreCountedUntilTaken(t *testing.T) {
+func TestViolationsAreCountedUntilReset(t *testing.T) {
 	TakeViolations()
 	Violated("one", "job", "run-000001")
 	Violated("two")
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -24,8 +24,8 @@
 type Limit struct{ CPUs, Cards float64 }
 
 // Allows reports whether a usage is within the limit.
-func (l Limit) Allows(use fleet.Resources) bool {
-	return (l.CPUs == 0 || use.CPUs <= l.CPUs+tuning.ResourceSlack) && (l.Cards == 0 || use.Cards <= l.Cards+tuning.ResourceSlack)
+func (l Limit) Allows(usage fleet.Resources) bool {
+	return (l.CPUs == 0 || usage.CPUs <= l.CPUs+tuning.ResourceSlack) && (l.Cards == 0 || usage.Cards <= l.Cards+tuning.ResourceSlack)
 }
 
 // Usage is one running task of a team.
@@ -40,7 +40,7 @@
 
 // Excess returns the indices of the running tasks to stop so that a team's usage is within its limit: tasks of the
 // lowest rank first, and tasks of equal rank in ascending order of loss. The usage is the sum over all running tasks.
-func Excess(limit Limit, use fleet.Resources, running []Usage) (stop []int) {
+func Excess(limit Limit, usage fleet.Resources, running []Usage) (stop []int) {
 	order := make([]int, len(running))
 	for i := range order {
 		order[i] = i
@@ -49,11 +49,11 @@
 		return cmp.Or(cmp.Compare(running[a].Rank, running[b].Rank), cmp.Compare(running[a].Loss, running[b].Loss))
 	})
 	for _, i := range order {
-		if limit.Allows(use) {
+		if limit.Allows(usage) {
 			break
 		}
 		stop = append(stop, i)
-		use = use.Sub(running[i].Resources)
+		usage = usage.Sub(running[i].Resources)
 	}
 	return stop
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -33,7 +33,7 @@
 
 // The first feasible demand of a team holds the reservation until it is satisfied or the reservation expires. After an
 // expiry, no quota is reserved for a while. The steps use one ledger, in order.
-func TestReserve(t *testing.T) {
+func TestReserveFirstFeasibleDemandUntilExpiry(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	demand := func(id string, request, use, permanent float64) Demand {
 		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(request), Usage: cpus(use), Permanent: cpus(permanent)}
--- a/reachability/link_test.go
+++ b/reachability/link_test.go
@@ -20,7 +20,7 @@
 	return s.link.Observe(s.now, Heartbeat{Incarnation: incarnation, Seq: seq, HighestTerm: highestTerm, Term: 7, Via: via})
 }
 
-func (s *script) want(state State) {
+func (s *script) wantState(state State) {
 	s.t.Helper()
 	if got := s.link.State(s.now, lease); got != state {
 		s.t.Errorf("%v, want %v: %s", got, state, s.link.Reason(s.now))
@@ -35,11 +35,11 @@
 func newReachable(t *testing.T) *script {
 	script := newScript(t)
 	script.heartbeat(0, "", 1, 5, 6)
-	script.want(Unconfirmed)
+	script.wantState(Unconfirmed)
 	if _, confirmed := script.heartbeat(500*time.Millisecond, "", 1, 6, 7); !confirmed {
 		t.Error("a heartbeat with this term's token does not confirm the link")
 	}
-	script.want(Reachable)
+	script.wantState(Reachable)
 	return script
 }
 
@@ -49,21 +49,21 @@
 func TestOutboundLossNeedsSeveralPaths(t *testing.T) {
 	script := newReachable(t)
 	script.heartbeat(time.Second, "", 1, 7, 7)
-	script.want(Reachable)
+	script.wantState(Reachable)
 	script.heartbeat(5*time.Second, "n1", 1, 8, 7)
-	script.want(Reachable) // the failure of a controller would look the same
+	script.wantState(Reachable) // the failure of a controller would look the same
 	script.heartbeat(5*time.Second, "n2", 1, 9, 7)
-	script.want(Suspected)
+	script.wantState(Suspected)
 	script.heartbeat(5*time.Second, "", 1, 10, 7)
-	script.want(OutboundLost)
+	script.wantState(OutboundLost)
 	script.heartbeat(5*time.Second, "n1", 2, 11, 7)
-	script.want(OutboundLost)
+	script.wantState(OutboundLost)
 	script.heartbeat(time.Second, "n1", 2, 12, 7)
-	script.want(Reachable)
+	script.wantState(Reachable)
 	script.link.CommandLost()
-	script.want(Suspected)
+	script.wantState(Suspected)
 	script.link.CommandAnswered(script.now, 13)
-	script.want(Reachable)
+	script.wantState(Reachable)
 	if _, confirmed := script.heartbeat(time.Second, "n1", 2, 14, 7); !confirmed {
 		t.Error("the answer to a command between two heartbeats counts as an unanswered heartbeat")
 	}
@@ -71,30 +71,30 @@
 
 // One controller cannot send, but the next one that the worker switches to can. The machine's link never counts as
 // lost.
-func TestControllerThatCannotSendDoesNotBlameMachine(t *testing.T) {
+func TestControllerThatCannotSendDoesNotMarkLinkLost(t *testing.T) {
 	script := newReachable(t)
 	for seq := uint64(7); seq < 40; seq += 3 {
 		script.heartbeat(5*time.Second, "", 1, seq, 7)
 		script.link.CommandLost()
 		script.heartbeat(5*time.Second, "n1", 1, seq+1, 7)
 		script.heartbeat(time.Second, "n1", 1, seq+2, 7)
-		script.want(Reachable)
+		script.wantState(Reachable)
 	}
 }
 
 // With a single controller, an outbound loss shows in the machine's incarnations: they increase although its
 // heartbeats arrive.
-func TestOutboundLossShowsByNewIncarnations(t *testing.T) {
+func TestNewIncarnationsShowOutboundLoss(t *testing.T) {
 	script := newReachable(t)
 	for i := range uint64(4) {
 		script.heartbeat(5*time.Second, "", 2+i, 10+2*i, 7)
 	}
-	script.want(OutboundLost)
+	script.wantState(OutboundLost)
 }
 
 // Copies of heartbeats are ignored, regardless of their delay and incarnation. A heartbeat that was overtaken by
 // the answer to a command is not a copy.
-func TestDelayedCopiesShowNothing(t *testing.T) {
+func TestDelayedCopiesAreIgnored(t *testing.T) {
 	script := newReachable(t)
 	script.heartbeat(time.Second, "", 2, 9, 7)
 	for _, copied := range [][2]uint64{{2, 9}, {2, 8}, {1, 6}, {1, 99}, {0, 0}} {
@@ -113,21 +113,21 @@
 func TestFirstHeartbeatOfTermIsUnconfirmed(t *testing.T) {
 	script := newScript(t)
 	script.heartbeat(0, "", 3, 500, 6)
-	script.want(Unconfirmed)
+	script.wantState(Unconfirmed)
 	script = newScript(t)
 	script.link.MarkStarted()
 	script.heartbeat(0, "", 1, 1, 0)
-	script.want(Reachable)
+	script.wantState(Reachable)
 }
 
 // A controller that relays heartbeats forwards only some of them, so gaps in their sequence are no evidence.
-func TestRelayedHeartbeatsSuspectNoMachine(t *testing.T) {
+func TestRelayedHeartbeatsDoNotCauseSuspicion(t *testing.T) {
 	script := newReachable(t)
 	for seq := uint64(10); seq < 100; seq += 9 {
 		script.now = script.now.Add(3 * time.Second)
 		script.link.Observe(script.now, Heartbeat{Incarnation: 1, Seq: seq, HighestTerm: 7, Term: 7, Via: "n1", Relayed: true})
-		script.want(Reachable)
+		script.wantState(Reachable)
 	}
 	script.heartbeat(time.Second, "", 1, 200, 7)
-	script.want(Reachable) // the first unconfirmed heartbeat after the relayed ones
+	script.wantState(Reachable) // the first unconfirmed heartbeat after the relayed ones
 }
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -140,7 +140,7 @@
 	// ConnFull is the use of sockets above which idle connections of workers are closed in favour of new ones. The
 	// sockets above it are reserved for connections that are opened before the idle ones are closed.
 	ConnFull = 0.9
-	// ConnLogEvery is the minimum interval between log lines about a shortage of sockets.
+	// ConnLogEvery is the interval between log lines while sockets are scarce.
 	ConnLogEvery = 10 * time.Second
 )
 
@@ -468,7 +468,7 @@
 	BackoffBase = time.Second
 	// BackoffMax is the maximum pause before a failing job is started again.
 	BackoffMax = 60 * time.Second
-	// BackoffErrors is the number of machines on which a job may fail before its starts are delayed.
+	// BackoffErrors is the number of machines on which a job must have failed before its starts are delayed.
 	BackoffErrors = 3
 	// CancelKill is the grace period, in seconds, of a cancelled task, whose work is no longer needed.
 	CancelKill = 0.0
@@ -601,7 +601,8 @@
 	ReplicaHintMargin = 64
 	// RemovePoll is the interval at which the command line asks whether a dataset has been removed.
 	RemovePoll = 2 * time.Second
-	// RemoveTries is the maximum number of times that a dataset's record is read again because it has changed.
+	// RemoveTries is the maximum number of attempts to remove a dataset. Its record is read again for each, because it
+	// has changed since the last read.
 	RemoveTries = 3
 	// DatasetsLimit is the maximum number of datasets that controllers keep in memory: at some 300 bytes each, 3 MB.
 	DatasetsLimit = 10_000
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -32,8 +32,8 @@
 // commands; otherwise the worker refused them, because of a lower term or another incarnation, and executed
 // none.
 func (client *Client) Send(ctx context.Context, addr string, commands api.HeartbeatResponse) (heartbeat *api.Heartbeat, executed bool, err error) {
-	ctx, stop := context.WithTimeout(ctx, tuning.WorkerTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, tuning.WorkerTimeout)
+	defer cancel()
 	status, body, err := rest.Do(ctx, client.http, http.MethodPost, "http://"+addr+"/orders", commands)
 	if networkError, ok := errors.AsType[*net.OpError](err); ok && networkError.Op == "dial" {
 		// An abandoned connection attempt does not complete later.
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -15,7 +15,7 @@
 
 func (s scriptedTransport) RoundTrip(*http.Request) (*http.Response, error) { return s() }
 
-func answering(status int, body string) scriptedTransport {
+func respondWith(status int, body string) scriptedTransport {
 	return func() (*http.Response, error) {
 		return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}, nil
 	}
@@ -23,28 +23,28 @@
 
 // Only a failed connection attempt proves that a command was not sent. After any other error the command may
 // still be executed.
-func TestSendTellsWhetherCommandsMayHaveArrived(t *testing.T) {
-	for _, test := range []struct {
+func TestSendDistinguishesCommandsThatMayHaveArrived(t *testing.T) {
+	for _, testCase := range []struct {
 		name    string
 		rt      scriptedTransport
 		fails   bool
 		notSent bool
 		done    bool
 	}{
-		{"executed", answering(200, `{"host":"m","watch":1}`), false, false, true},
-		{"refused", answering(409, `{"host":"m","watch":2}`), false, false, false},
+		{"executed", respondWith(200, `{"host":"m","watch":1}`), false, false, true},
+		{"refused", respondWith(409, `{"host":"m","watch":2}`), false, false, false},
 		{"no connection", func() (*http.Response, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 		}, true, true, false},
 		{"connection reset", func() (*http.Response, error) {
 			return nil, &net.OpError{Op: "read", Err: errors.New("reset")}
 		}, true, false, false},
-		{"malformed response", answering(200, `{"host":`), true, false, false},
-		{"server error", answering(500, ``), true, false, false},
+		{"malformed response", respondWith(200, `{"host":`), true, false, false},
+		{"server error", respondWith(500, ``), true, false, false},
 	} {
-		_, done, err := New(test.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
-		if (err != nil) != test.fails || errors.Is(err, ErrNotSent) != test.notSent || done != test.done {
-			t.Errorf("%s: executed %v, error %v", test.name, done, err)
+		_, done, err := New(testCase.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
+		if (err != nil) != testCase.fails || errors.Is(err, ErrNotSent) != testCase.notSent || done != testCase.done {
+			t.Errorf("%s: executed %v, error %v", testCase.name, done, err)
 		}
 	}
 }
