--- a/reachability/link.go
+++ b/reachability/link.go
@@ -190,8 +190,8 @@
 // Reason returns, for operators, the evidence from which the link's state follows.
 func (l *Link) Reason(now time.Time) string {
 	if !l.AliveThisTerm() && l.unconfirmed < tuning.SuspectUnconfirmedHeartbeats && l.lostCommands == 0 {
-		return "nothing of this term's leader is confirmed to have reached it"
+		return "no evidence yet that anything from this term's leader reached the machine"
 	}
-	return fmt.Sprintf("since the last confirmation %d heartbeats in %.0f s through %d controllers, and %d commands without an answer",
+	return fmt.Sprintf("since the last confirmation: %d unconfirmed heartbeats in %.0f s through %d controllers, %d unanswered commands",
 		l.unconfirmed, max(0, now.Sub(l.firstUnconfirmedAt).Seconds()), len(l.paths), l.lostCommands)
 }
