--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// The first feasible demand of a team holds the reservation until it is satisfied or has waited for too long; then the
-// limit is not reserved for a while. The steps share one ledger, in order.
-func TestReserve(t *testing.T) {
+// The first feasible demand of a team holds the reservation until it is satisfied or the reservation expires. After an
+// expiry, no quota is reserved for a while. The steps use one ledger, in order.
+func TestReserveFirstFeasibleDemandUntilExpiry(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	demand := func(id string, request, use, permanent float64) Demand {
 		return Demand{Team: "one", ID: id, Limit: Limit{CPUs: 24}, Request: cpus(request), Usage: cpus(use), Permanent: cpus(permanent)}
@@ -49,10 +49,10 @@
 		{2 * time.Second, []Demand{demand("big", 8, 16, 0)}, ""},
 		{3 * time.Second, nil, ""},
 		{4 * time.Second, []Demand{demand("never", 8, 24, 20), demand("next", 4, 24, 20)}, "next"},
-		{4*time.Second + tuning.QuotaReserved - 1, []Demand{demand("other", 2, 24, 0)}, "other"},
-		{4*time.Second + tuning.QuotaReserved, []Demand{demand("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests - 1, []Demand{demand("other", 2, 24, 0)}, ""},
-		{4*time.Second + tuning.QuotaReserved + tuning.QuotaRests, []Demand{demand("other", 2, 24, 0)}, "other"},
+		{4*time.Second + tuning.QuotaReservationTTL - 1, []Demand{demand("other", 2, 24, 0)}, "other"},
+		{4*time.Second + tuning.QuotaReservationTTL, []Demand{demand("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReservationTTL + tuning.QuotaReservationPause - 1, []Demand{demand("other", 2, 24, 0)}, ""},
+		{4*time.Second + tuning.QuotaReservationTTL + tuning.QuotaReservationPause, []Demand{demand("other", 2, 24, 0)}, "other"},
 	} {
 		ledger.Reserve(start.Add(step.after), step.demands)
 		if reservation, _ := ledger.Reservation("one"); reservation.ID != step.want {
