--- a/cost/cost.go
+++ b/cost/cost.go
@@ -1,25 +1,25 @@
-// Package cost computes how long a task waits on a machine before it can run there. The scheduler determines what a machine
-// lacks, and this package what that costs, so that water-filling, rebalancing, preemption and services weigh it alike. A
-// new kind of cost is one more field of Wait and one more term of Wait.Seconds.
+// Package cost estimates how long a task waits on a machine before it can run there. The scheduler determines what a
+// machine lacks, and this package converts that to seconds, so that water-filling, rebalancing, preemption and the
+// placement of services use the same estimate. To add a kind of cost, add a field to Wait and a term to Wait.Seconds.
 //
 // All functions are pure.
 package cost
 
 import "math"
 
-// Wait is what one task waits for on one machine, in seconds.
+// Wait is how long one task waits on one machine, in seconds, by cause.
 type Wait struct {
-	// Image is the time to fetch its image, which the worker does after the task was started.
+	// Image is the time to fetch the task's image. The worker fetches it after the task was started.
 	Image float64
-	// Data is the time to copy missing inputs, which is done before the task is started.
+	// Data is the time to copy missing inputs. They are copied before the task is started.
 	Data float64
 }
 
-// Seconds returns the whole wait. Its parts add up since the image is fetched only once the inputs are there.
+// Seconds returns the total wait. The parts are added because the image is fetched only after the inputs were copied.
 func (w Wait) Seconds() float64 { return w.Image + w.Data }
 
-// Fetch returns the seconds to transfer an amount at a rate in the same unit a second, and 0 if the rate is not positive,
-// as it is not known or not limited.
+// Fetch returns the seconds that it takes to transfer an amount at a rate, which is given in the same unit per second.
+// It returns 0 if the rate is not positive, which means that it is unknown or unlimited.
 func Fetch(amount, rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -27,8 +27,9 @@
 	return amount / rate
 }
 
-// Copy returns the seconds until some bytes have been copied to a machine. They come after the backlog of the machine's
-// link and, if they are only in the object store, after the backlog of that. Rates are in bytes a second; 0: no limit.
+// Copy returns the seconds until a number of bytes have been copied to a machine. The copy waits for the backlog of the
+// machine's link and, if storeOnly is set because only the object store has the bytes, also for the store's backlog.
+// Backlogs are in bytes and rates in bytes per second; a rate of 0 is unlimited.
 func Copy(bytes, linkBacklog, linkRate, storeBacklog, storeRate float64, storeOnly bool) float64 {
 	if bytes <= 0 {
 		return 0
--- a/placement/busyheap.go
+++ b/placement/busyheap.go
@@ -5,12 +5,13 @@
 	"container/heap"
 )
 
-// busyHeap is a heap of the servers that take tasks: the least busy first, and among these the ones with the most free
-// slots. Its elements are fixed when it is made, so Push and Pop, which heap.Interface asks for, are never called.
+// busyHeap is a heap of the servers that take tasks, ordered by ascending Busy, then by descending Free, then by index.
+// Its elements are fixed when it is made, so Push and Pop, which heap.Interface requires, are never called.
 type busyHeap struct {
 	servers []Server
-	// order are the indices of the servers in heap order, and positions says where in order a server is.
-	order     []int32
+	// order holds the indices of the servers in heap order.
+	order []int32
+	// positions holds, by server, its index in order, or -1 if the server takes no tasks.
 	positions []int32
 }
 
--- a/placement/filler.go
+++ b/placement/filler.go
@@ -6,22 +6,24 @@
 	"slices"
 )
 
-// groupFiller carries out FillGroups on one job.
+// groupFiller is the state of one call of FillGroups, which assigns the tasks of one job.
 type groupFiller struct {
 	servers   []Server
 	inputCost InputCost
 	shares    []Share
-	// participants are the servers that take part in the group that is being filled, with Busy, Mu and Free as that
-	// group sees them, and members says for each which server it is. byLoad are the indices of those that are below the
-	// level, the least busy first. All three are reused from group to group.
+	// participants are the servers that may get tasks of the current group, with Busy, Mu and Free as they are for that
+	// group. Like members and byLoad, the slice is reused for every group.
 	participants []Server
-	members      []member
-	byLoad       []int32
-	// leastLoaded is made when it is first needed after the water-filling, which raises Busy of many servers at once.
+	// members identifies the server of each participant.
+	members []member
+	// byLoad holds the indices of the participants below the level, in ascending order of Busy.
+	byLoad []int32
+	// leastLoaded is built when it is first used after a group was water-filled; nil until then. Water-filling raises
+	// Busy of many servers at once, so it resets the heap instead of updating it.
 	leastLoaded *busyHeap
 }
 
-// member is one participant in a group.
+// member identifies the server of one participant and tells whether it holds all inputs of the group.
 type member struct {
 	server      int32
 	holdsInputs bool
@@ -35,7 +37,7 @@
 	}
 }
 
-// waterFill assigns the tasks of a group, given with its index, by the least level.
+// waterFill assigns the tasks of a group to the participants that are below the least level that covers these tasks.
 func (f *groupFiller) waterFill(groupIndex int, group *Group) {
 	f.leastLoaded = nil
 	f.addHolders(group)
@@ -54,7 +56,7 @@
 	}
 }
 
-// addHolders makes the servers that hold the group's inputs its only participants.
+// addHolders resets the participants to the servers that hold the group's inputs and take tasks.
 func (f *groupFiller) addHolders(group *Group) {
 	f.participants, f.members = f.participants[:0], f.members[:0]
 	for _, i := range group.Holders {
@@ -64,7 +66,8 @@
 	}
 }
 
-// addOthers adds the servers that lack inputs and that, with the cost of copying them, are still below a level.
+// addOthers adds the servers that lack inputs as participants, if they are below a level even with the cost of copying.
+// Their Busy, Mu and Free include that cost.
 func (f *groupFiller) addOthers(groupIndex int, group *Group, level int) {
 	holders, rate := group.Holders, f.inputCost.Rate(groupIndex)
 	for index, server := range f.servers {
@@ -82,14 +85,14 @@
 	}
 }
 
-// copying returns a server as a group sees it whose inputs it must copy, in so many slots for one task and at a rate of so
-// many tasks in a slot. Its link copies the inputs of one task after the other, so only one task can start at once, however
-// many processors are idle.
+// copying returns the server as it is for a group whose inputs it must copy: slots is how long it copies for one task,
+// and rate for how many tasks it copies in a slot. A link copies the inputs of one task at a time, so only one task can
+// start at once, however many CPUs are idle.
 func (s Server) copying(slots int, rate float64) Server {
 	return Server{Busy: s.Busy + slots, Mu: min(s.Mu, rate), Free: min(s.Free, 1)}
 }
 
-// minBusy returns the least Busy of all servers that take tasks, and math.MaxInt if there are none.
+// minBusy returns the least Busy of all servers that take tasks, or math.MaxInt if there is none.
 func (f *groupFiller) minBusy() int {
 	least := math.MaxInt
 	for _, server := range f.servers {
@@ -100,7 +103,7 @@
 	return least
 }
 
-// sortBelow fills byLoad with the participants below a level.
+// sortBelow sets byLoad to the participants whose Busy is below a level.
 func (f *groupFiller) sortBelow(level int) {
 	order, sorted := f.byLoad[:0], true
 	for i, server := range f.participants {
@@ -117,7 +120,7 @@
 	f.byLoad = order
 }
 
-// distribute assigns tasks to the participants of byLoad; the last one takes the rest.
+// distribute assigns tasks to the participants in byLoad, up to their share of the level; the last one gets the rest.
 func (f *groupFiller) distribute(groupIndex int, tasks []int32, level int) {
 	for k, i := range f.byLoad {
 		if len(tasks) == 0 {
@@ -132,7 +135,8 @@
 	}
 }
 
-// assign gives tasks to a participant that works up to a level.
+// assign assigns tasks to a participant and updates its server. Busy of a server that holds the inputs rises to the
+// level; otherwise, it rises only by the work that the tasks add.
 func (f *groupFiller) assign(groupIndex int, to member, tasks []int32, level int) {
 	server, n := &f.servers[to.server], len(tasks)
 	if to.holdsInputs {
@@ -145,7 +149,7 @@
 	f.shares = append(f.shares, Share{int(to.server), tasks})
 }
 
-// placeSingly assigns the tasks of a small group one by one.
+// placeSingly assigns the tasks of a group one by one, each to the server that bestServer returns.
 func (f *groupFiller) placeSingly(groupIndex int, group *Group) {
 	for i := range group.Tasks {
 		if best := f.bestServer(groupIndex, group); best >= 0 {
@@ -154,7 +158,7 @@
 	}
 }
 
-// assignOne gives one task of a group to a server.
+// assignOne assigns one task of a group to a server.
 func (f *groupFiller) assignOne(groupIndex int, group *Group, best int, task []int32) {
 	server := &f.servers[best]
 	server.Busy += ceil(1 / server.Mu)
@@ -168,8 +172,8 @@
 	f.shares = append(f.shares, Share{best, task})
 }
 
-// bestServer returns the server on which one more task of a group is finished first, or -1 if none takes it: a holder of
-// the group's inputs, or the least busy of all servers with the cost of copying them.
+// bestServer returns the server on which one more task of a group finishes first, or -1 if no server takes it. The
+// candidates are the holders of the group's inputs and, with the cost of copying them, the least busy of all servers.
 func (f *groupFiller) bestServer(groupIndex int, group *Group) int {
 	best, level := -1, 0
 	consider := func(i, copySlots int) {
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Group is the tasks of one job whose inputs are held by the same servers (3).
+// Group is a set of tasks of one job whose inputs are held by the same servers, as in (3).
 type Group struct {
 	Tasks []int32
-	// Holders are the indices, in ascending order, of the servers that hold all inputs of the group's tasks (1).
+	// Holders are the indices, in ascending order, of the servers that hold all inputs of the group's tasks, as in (1).
 	Holders []int32
 }
 
-// Groups sorts tasks into groups by their holders, which are given in ascending order for each task. Groups with the
-// fewest holders come first, since they have the least choice; the worst case of the paper's theorem 1 is the reverse
-// order.
+// Groups divides tasks into groups with the same holders; the function holders returns those of a task in ascending
+// order. Groups with the fewest holders come first, since they can choose among the fewest servers. The reverse order
+// is the worst case of the paper's theorem 1.
 func Groups(tasks []int32, holders func(task int32) []int32) []Group {
 	type locatedTask struct {
 		task    int32
@@ -39,36 +39,38 @@
 	return groups
 }
 
-// InputCost is what it costs to run a task on a server that does not hold all its inputs. Groups and servers are given
-// by index.
+// InputCost tells what it costs to run a task on a server that does not hold all of the task's inputs. Groups and
+// servers are given by index.
 type InputCost interface {
-	// Slots returns how many slots a server takes to copy what it lacks for one task of a group.
+	// Slots returns how many slots a server needs to copy the inputs that it lacks for one task of a group.
 	Slots(group, server int) int
-	// Least returns a lower bound of Slots over all servers that do not hold all inputs of the group.
+	// Least returns a lower bound of Slots for a group over all servers that do not hold all of the group's inputs.
 	Least(group int) int
-	// Rate returns for how many tasks of a group, whose inputs may all differ, a server copies the inputs in a slot.
+	// Rate returns the number of tasks of a group whose inputs a server can copy in a slot. Every task may have
+	// different inputs.
 	Rate(group int) float64
-	// Took is called when a server is assigned a number of tasks of a group whose inputs it must copy.
+	// Took is called when a server that must copy a group's inputs has been assigned a number of its tasks.
 	Took(group, server, tasks int)
 }
 
-// Share is the tasks of one group that a server is assigned.
+// Share is the tasks of one group that one server is assigned. Server is its index.
 type Share struct {
 	Server int
 	Tasks  []int32
 }
 
-// FillGroups is Algorithm 2, the water-filling of a job of several groups: group after group it finds the least level
-// and assigns (level-b)*mu tasks to each server below it. Servers that do not hold all inputs take part with b raised by
-// what the missing ones cost; a nil inputCost leaves them out, as in (1). Tasks that no server can take are left out of
-// the shares.
+// FillGroups assigns the tasks of a job with several groups by the paper's Algorithm 2. For one group after another, it
+// finds the least level and assigns (level-b)*mu tasks to each server below it. For a server that does not hold all
+// inputs, the cost of copying them is added to b; if inputCost is nil, such servers get no tasks, as in (1). Tasks that
+// no server can take are in none of the shares.
 //
-// Busy and Free of the servers are updated as in (10), but Busy of a server that must copy inputs rises only by the work
-// that it gets, since it can serve other tasks while it copies.
+// Busy of the servers is updated as in (10), and Free is reduced by the tasks assigned. Busy of a server that must copy
+// inputs rises only by the work that it is assigned, since it can run other tasks while it copies.
 //
-// The groups with the most tasks, as many as waterFilled, are filled so, each in one or two passes over the servers.
-// The tasks of the others are placed one by one: on the holder with the least level, or on the least busy server if that
-// is sooner. So a decision takes at most waterFilled passes and a few steps for each task, however many groups there are.
+// Only the waterFilled groups with the most tasks are assigned in this way, each in one or two passes over the servers.
+// The tasks of the other groups are then placed one by one: on the holder where the task finishes first, or on the
+// least busy server if it finishes sooner there. This bounds the time of a decision to two passes for each of the
+// waterFilled groups and a few steps for each task, whatever the number of groups.
 func FillGroups(servers []Server, groups []Group, inputCost InputCost, waterFilled int) []Share {
 	filler := newFiller(servers, inputCost)
 	large := largest(groups, waterFilled)
@@ -85,7 +87,8 @@
 	return filler.shares
 }
 
-// largest marks the n groups with the most tasks, the first ones among equals.
+// largest returns, by group, whether it is one of the n with the most tasks. Of groups of equal size, earlier ones come
+// first.
 func largest(groups []Group, n int) []bool {
 	large := make([]bool, len(groups))
 	order := make([]int, len(groups))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,30 +1,33 @@
 // Package placement assigns the tasks of a job to servers by water-filling, as in section III-B of "Data-Locality-Aware
-// Task Assignment and Scheduling for Distributed Job Executions". Numbers in parentheses in its comments are the paper's
-// equations, and b, mu and level are its symbols: b is the time in slots until a server has worked off what is queued,
-// mu how many tasks of the job it finishes in a slot, and the level the time at which the job's tasks are finished.
+// Task Assignment and Scheduling for Distributed Job Executions". Numbers in parentheses in its comments are the
+// paper's equations, and b, mu and level are its symbols. Time is divided into slots of equal length: b is the number
+// of slots until a server has finished the tasks in its queue, mu the number of tasks of the job that it finishes in a
+// slot, and the level the slot by which the job's tasks are finished.
 //
-// The package is pure: it takes numbers, returns numbers, and has no lock, clock or I/O.
+// The package has no locks, clock or I/O; its results depend on the arguments only.
 package placement
 
 import "math"
 
-// Server is a machine as the tasks of one job see it.
+// Server is the state of a machine with respect to the tasks of one job.
 type Server struct {
-	// Busy is b: the slots until the queue ahead of the job is done.
+	// Busy is b: the number of slots until the tasks queued ahead of the job are finished.
 	Busy int
-	// Mu is how many of the job's tasks the machine finishes in a slot. A server with a Mu of zero takes no tasks.
+	// Mu is how many of the job's tasks the machine finishes in a slot. A server whose Mu is zero takes no tasks.
 	Mu float64
-	// Free is how many of the job's tasks the machine could start at once.
+	// Free is how many of the job's tasks the machine could start immediately.
 	Free int
 }
 
-// Queued is what one job has outstanding on a machine: a number of tasks, of which the machine finishes Mu in a slot.
+// Queued is the unfinished work of one job on a machine: the number of its tasks, of which the machine finishes Mu in a
+// slot.
 type Queued struct {
 	Tasks int
 	Mu    float64
 }
 
-// Busy returns b of a machine with such a queue by (2): the sum over the queued jobs of tasks by mu, each rounded up.
+// Busy returns b of a machine with a queue by (2): the sum, over the queued jobs, of tasks divided by mu, each rounded
+// up.
 func Busy(queue []Queued) int {
 	b := 0
 	for _, queued := range queue {
@@ -35,8 +38,8 @@
 	return b
 }
 
-// Mu returns how many tasks of a job a machine finishes in a slot, if it runs so many of them at once and a slot and a
-// task last so many seconds. It is zero if any of these is not positive.
+// Mu returns how many tasks of a job a machine finishes in a slot if it runs `concurrent` of them at once; slotS and
+// taskS are the durations of a slot and of a task in seconds. It returns zero if an argument is not positive.
 func Mu(concurrent int, slotS, taskS float64) float64 {
 	if concurrent <= 0 || slotS <= 0 || taskS <= 0 {
 		return 0
@@ -44,7 +47,7 @@
 	return float64(concurrent) * slotS / taskS
 }
 
-// coveredTasks returns how many tasks the servers finish up to a level: the left side of (9).
+// coveredTasks returns how many tasks the servers can finish by a level: the left side of (9).
 func coveredTasks(servers []Server, level int) float64 {
 	sum := 0.0
 	for _, server := range servers {
@@ -55,8 +58,8 @@
 	return sum
 }
 
-// Level returns the least level at which the servers cover a number of tasks by (9), found by binary search. It returns
-// false if no level does, as no server takes tasks.
+// Level returns the least level by which the servers can finish a number of tasks, as in (9). It returns false if there
+// is no such level because no server takes tasks.
 func Level(servers []Server, tasks int) (level int, ok bool) {
 	if tasks <= 0 {
 		return 0, true
@@ -76,8 +79,8 @@
 	return low, true
 }
 
-// levelBounds returns levels between which, both included, the least one that covers the tasks lies, and false if no
-// server takes tasks.
+// levelBounds returns an inclusive lower and upper bound of the least level by which the servers can finish the tasks,
+// and false if no server takes tasks.
 func levelBounds(servers []Server, tasks int) (low, high int, ok bool) {
 	low, high = math.MaxInt, math.MaxInt
 	totalMu, work := 0.0, 0.0
@@ -86,15 +89,15 @@
 			continue
 		}
 		ok = true
-		// This server alone covers the tasks at this level, as in (5).
+		// This server alone finishes the tasks by this level, as in (5).
 		high = min(high, server.Busy+ceil(float64(tasks)/server.Mu))
-		// Below its queue no server takes any.
+		// No server gets tasks at a level at or below its Busy.
 		low = min(low, server.Busy+1)
 		totalMu += server.Mu
 		work += float64(server.Busy) * server.Mu
 	}
-	// All servers together cover the tasks at this level even if each of them also has to catch up on a queue that is
-	// longer than the level, which none has to.
+	// All servers together finish the tasks by this level even if the tasks queued beyond the level counted against it,
+	// which they do not.
 	if combined := math.Ceil((float64(tasks)+work)/totalMu + epsilon); combined < float64(high) {
 		high = max(low, int(combined))
 	}
@@ -102,12 +105,12 @@
 }
 
 // Fill assigns a number of tasks to the servers and returns how many each gets, or nil if no server takes tasks. Each
-// server below the least level gets (level-b)*mu of them, and the last of these the rest; Busy of every server is raised
-// to the level (10).
+// server below the least level gets (level-b)*mu tasks, and the last of these servers gets the rest. Busy of every
+// server is raised to the level, as in (10).
 //
-// A server that could start more than that at once (Free) gets as many as it can start. A task lasts many slots, so
-// shares of a fraction of a task would scatter a job of small tasks over as many servers, none of which would then have
-// the resources for a large task.
+// A server that could start more tasks than that immediately (Free) gets as many as it could start. Since a task lasts
+// many slots, (level-b)*mu may be less than one task; a job of small tasks would then be scattered over as many servers
+// as it has tasks, and none of these would have the resources for a large task.
 func Fill(servers []Server, tasks int) []int {
 	level, ok := Level(servers, tasks)
 	if !ok {
@@ -134,12 +137,13 @@
 	return shares
 }
 
-// share returns how many tasks a server gets that is below the level: (level-b)*mu, or as many as it can start at once.
+// share returns how many tasks a server below the level gets: (level-b)*mu, or as many as it can start immediately if
+// that is more.
 func (s Server) share(level int) int {
 	return max(s.Free, ceil(float64(level-s.Busy)*s.Mu))
 }
 
-// epsilon absorbs rounding in sums of fractions of tasks.
+// epsilon is the tolerance, in tasks or slots, for rounding errors in sums of fractions.
 const epsilon = 1e-9
 
 func ceil(x float64) int { return int(math.Ceil(x - epsilon)) }
--- a/topology/constraint.go
+++ b/topology/constraint.go
@@ -9,26 +9,28 @@
 	"switchferry/fleet"
 )
 
-// Constraint is what a domain must offer to a number of tasks that run at once.
+// Constraint is what a domain must offer to a number of tasks that are to run in it at the same time.
 type Constraint struct {
 	// Resources is what each task requests.
 	Resources fleet.Resources
-	Tasks     int
-	// Allowed reports whether the tasks may run on a machine; nil: on all.
+	// Tasks is the number of tasks.
+	Tasks int
+	// Allowed reports whether the tasks may run on a machine; if it is nil, they may run on all machines.
 	Allowed func(machine string) bool
-	// Spread bounds, if it is a must, how many of the tasks may share a failure domain; nil: any number.
+	// Spread limits how many of the tasks may share a failure domain. There is no limit if it is nil or its Must is
+	// false.
 	Spread *api.Survive
 }
 
-// admits reports whether the tasks may run on a machine now.
+// admits reports whether a machine is usable and the tasks may run on it.
 func (c *Constraint) admits(node *machineNode) bool {
 	return node.usable && (c.Allowed == nil || c.Allowed(node.name))
 }
 
-// bounded reports whether the number of tasks in one failure domain is bounded.
+// bounded reports whether the number of tasks in one failure domain is limited.
 func (c *Constraint) bounded() bool { return c.Spread != nil && c.Spread.Must }
 
-// Fit returns how many of the tasks, all of them at most, could start in a domain at once.
+// Fit returns how many of the tasks could start in a domain at the same time; at most constraint.Tasks.
 func (t *Tree) Fit(domain *Domain, constraint Constraint) int {
 	fit := 0
 	var placed map[Place]int
@@ -52,16 +54,18 @@
 	return fit
 }
 
-// Closest returns the best domain, at a level or further in, in which all tasks could start together: of the innermost
-// ones that the one with the least free resources, so that large free blocks stay whole. If there is none, best is nil,
-// nearest is the domain in which the fewest tasks could not start, and shortfall their number.
+// Closest returns the best domain, at a level or an inner one, in which all tasks could start at the same time: an
+// innermost one and, among those, the one with the least free resources, which avoids fragmentation of the others. If
+// there is none, best is nil, nearest is the domain in which the most tasks could start, and shortfall is the number of
+// tasks that could not.
 func (t *Tree) Closest(level string, constraint Constraint) (best, nearest *Domain, shortfall int) {
 	all := constraint.Resources.Scale(constraint.Tasks)
 	shortfall = constraint.Tasks + 1
 	for domain := range t.domainsFrom(level) {
 		free := t.totals[domain].free
-		// Fit visits every machine of a domain, so it is called only if its result could matter: in a domain whose total
-		// is too small, only if there is none better and the total alone does not miss as many tasks already.
+		// Fit visits every machine of a domain, so it is called only if its result can matter. In a domain whose total
+		// free resources are too small for all tasks, that is only so if there is no best domain yet and the total
+		// alone does not already imply a shortfall at least as large as the smallest one so far.
 		fits := free.Fits(all)
 		if !fits && (best != nil || constraint.Tasks-min(constraint.Tasks, free.Count(constraint.Resources)) >= shortfall) {
 			continue
@@ -83,22 +87,24 @@
 	return nil, nearest, shortfall
 }
 
-// Cheapest returns the domain, at a level or further in, in which all tasks can be started at the least total cost, or
-// nil if there is none. Offer returns what each further task on a machine costs, in the order in which they would be
-// started, for as many as are possible; a task that fits into free resources costs 0. The tasks of a domain are chosen by
-// the least next cost, machine by machine.
+// Cheapest returns the domain, at a level or an inner one, in which all tasks can be started at the least total cost,
+// or nil if there is none. The function offer returns the cost of each additional task on a machine, in the order in
+// which they would be started, for as many tasks as the machine can run; a task that fits into free resources costs 0.
+// In each domain, the tasks with the lowest costs are chosen.
 func (t *Tree) Cheapest(level string, constraint Constraint, offer func(machine string) []int64) *Domain {
 	domain, _ := t.cheapestBy(level, constraint, offer, func(sum, _ int64) int64 { return sum })
 	return domain
 }
 
-// Soonest returns the domain, at a level or further in, in which all tasks can have started soonest, and when the last of
-// them does; nil if there is none. Offer returns when each further task on a machine could start, in any unit of time.
+// Soonest returns the domain, at a level or an inner one, in which the last of the tasks can start soonest, and when
+// that is. The domain is nil if there is none. The function offer returns when each additional task on a machine could
+// start, in a unit of time that the caller chooses.
 func (t *Tree) Soonest(level string, constraint Constraint, offer func(machine string) []int64) (*Domain, int64) {
 	return t.cheapestBy(level, constraint, offer, func(_, last int64) int64 { return last })
 }
 
-// cheapestBy returns the domain with the least cost, which costOf makes of the sum and the last one of its tasks' costs.
+// cheapestBy returns the domain with the least cost and that cost. The function costOf computes the cost of a domain
+// from the sum and the highest of its tasks' costs.
 func (t *Tree) cheapestBy(level string, constraint Constraint, offer func(machine string) []int64, costOf func(sum, last int64) int64) (best *Domain, least int64) {
 	offers := map[*machineNode][]int64{}
 	offerOnce := func(node *machineNode) []int64 {
@@ -121,15 +127,16 @@
 	return best, least
 }
 
-// offeredTask is one task that could start on a machine, and the failure domain that counts for the constraint's spread;
-// the zero Place: none does.
+// offeredTask is one task that could start on a machine.
 type offeredTask struct {
-	cost  int64
+	cost int64
+	// place is the failure domain in which the task counts towards the limit of the constraint's spread; the zero value
+	// if there is no limit.
 	place Place
 }
 
-// taskCosts returns the sum and the last one of the costs of the cheapest tasks that a domain offers, and false if it does
-// not offer as many as the constraint asks for.
+// taskCosts returns the sum and the highest of the costs of the cheapest tasks that a domain offers, and false if it
+// offers fewer tasks than the constraint requires.
 func (t *Tree) taskCosts(domain *Domain, constraint Constraint, offer func(*machineNode) []int64) (sum, last int64, ok bool) {
 	offered := t.offeredTasks(domain, constraint, offer)
 	if len(offered) < constraint.Tasks {
@@ -151,7 +158,7 @@
 	return sum, last, tasks == constraint.Tasks
 }
 
-// offeredTasks returns the tasks that could start on the machines of a domain, in no order.
+// offeredTasks returns the tasks that could start on the machines of a domain, in unspecified order.
 func (t *Tree) offeredTasks(domain *Domain, constraint Constraint, offer func(*machineNode) []int64) (offered []offeredTask) {
 	for node := range t.totals[domain].machines {
 		if !constraint.admits(node) {
@@ -163,7 +170,7 @@
 		}
 		highest := int64(0)
 		for _, cost := range offer(node) {
-			// A later task of a machine cannot be had before an earlier one, so it is no cheaper.
+			// The tasks of a machine are started in order, so a later one cannot cost less than an earlier one.
 			highest = max(highest, cost)
 			offered = append(offered, offeredTask{highest, place})
 		}
@@ -171,7 +178,7 @@
 	return offered
 }
 
-// domainsFrom yields the domains at a level or further in, in declared order.
+// domainsFrom yields the domains at a level or an inner one, in the order of declaration.
 func (t *Tree) domainsFrom(level string) iter.Seq[*Domain] {
 	return func(yield func(*Domain) bool) {
 		for _, domain := range t.topology.domains {
@@ -182,8 +189,8 @@
 	}
 }
 
-// preferred reports whether domain is preferred to other if tasks could start in both: the one further in, then the one
-// with fewer free resources, then by name.
+// preferred reports whether domain is preferred to other if the tasks could start in both. The one at the inner level
+// is preferred, then the one with fewer free CPUs, then fewer free cards, then the lesser name.
 func (t *Tree) preferred(domain, other *Domain) bool {
 	free, otherFree := t.totals[domain].free, t.totals[other].free
 	return cmp.Or(
--- a/topology/declaration.go
+++ b/topology/declaration.go
@@ -9,14 +9,15 @@
 	"switchferry/tuning"
 )
 
-// Declaration is the content of a topology file, which may also be part of another document.
+// Declaration is the content of a topology file. It may also be part of another document.
 type Declaration struct {
 	Version int           `toml:"version"`
 	Domains []DomainEntry `toml:"domain"`
 	Devices []DeviceEntry `toml:"devices"`
 }
 
-// DomainEntry declares one domain: its name, its level, the name of its parent, and patterns of its machines' names.
+// DomainEntry declares one domain: its name, its level, the name of its parent domain, and patterns that match the
+// names of its machines.
 type DomainEntry struct {
 	Name     string   `toml:"name"`
 	Level    string   `toml:"level"`
@@ -24,15 +25,16 @@
 	Machines []string `toml:"machines"`
 }
 
-// DeviceEntry declares the cards of machines, which are given by patterns of their names.
+// DeviceEntry declares the cards of the machines whose names match one of the patterns in Machines. Linked lists the
+// sets of cards that share a fast link, by index.
 type DeviceEntry struct {
 	Machines []string `toml:"machines"`
 	Count    int      `toml:"count"`
 	Linked   [][]int  `toml:"linked"`
 }
 
-// Parse decodes and checks a topology file. The error joins one error for every mistake, tuning.MistakesTold of them at
-// most, each with the field it is in.
+// Parse decodes and validates a topology file. The error joins one error for each mistake, tuning.MaxReportedErrors at
+// most, each with the name of the field.
 func Parse(raw []byte) (*Map, error) {
 	var declaration Declaration
 	unknown, err := stricttoml.Decode(raw, &declaration)
@@ -55,8 +57,8 @@
 	return m, nil
 }
 
-// Map returns the declared topology. Report is called for every mistake, with its field and what is expected there; if
-// it was called, the result must not be used.
+// Map returns the declared topology. The function report is called for every mistake, with the name of the field and
+// what is wrong or expected there; if it was called, the result must not be used.
 func (d *Declaration) Map(report func(field, want string)) *Map {
 	builder := mapBuilder{report: report, topology: &Map{version: d.Version, byName: map[string]*Domain{}, devices: d.Devices}}
 	if d.Version < 1 {
@@ -79,7 +81,7 @@
 	return builder.topology
 }
 
-// mapBuilder makes a Map from a declaration and reports the mistakes that it finds.
+// mapBuilder builds a Map from a declaration and reports the mistakes that it finds.
 type mapBuilder struct {
 	topology *Map
 	report   func(field, want string)
@@ -90,7 +92,7 @@
 	b.report(field, fmt.Sprintf(format, args...))
 }
 
-// checkPatterns reports patterns of machines' names that are malformed.
+// checkPatterns reports malformed patterns of machine names.
 func (b *mapBuilder) checkPatterns(field string, patterns []string) {
 	for _, pattern := range patterns {
 		if _, err := path.Match(pattern, "x"); err != nil || pattern == "" {
@@ -99,10 +101,10 @@
 	}
 }
 
-// addDomain adds a domain without its parent, which may be declared later.
+// addDomain adds a domain without its parent, which may be declared after it.
 func (b *mapBuilder) addDomain(field string, entry DomainEntry) {
 	if entry.Name == "" || b.topology.byName[entry.Name] != nil {
-		b.reportf(field+".name", "%q is missing or stands twice", entry.Name)
+		b.reportf(field+".name", "%q is missing or declared twice", entry.Name)
 		return
 	}
 	if !ValidLevel(entry.Level) || entry.Level == Machine {
@@ -114,7 +116,7 @@
 	b.topology.byName[entry.Name] = domain
 }
 
-// setParent sets the parent of a domain, if one is declared.
+// setParent sets the parent of a domain if it has one.
 func (b *mapBuilder) setParent(field string, entry DomainEntry) {
 	domain := b.topology.byName[entry.Name]
 	if domain == nil || entry.In == "" {
@@ -125,14 +127,14 @@
 	case parent == nil:
 		b.reportf(field, "there is no domain %q", entry.In)
 	case levelDepth[parent.Level] >= levelDepth[domain.Level]:
-		// This rules out cycles as well: every path of parents ends.
+		// This also rules out cycles, since each parent must be at an outer level.
 		b.reportf(field, "a %s cannot be in %s %q; outermost is region, then zone, switch, rack", domain.Level, parent.Level, parent.Name)
 	default:
 		domain.Parent = parent
 	}
 }
 
-// checkDevices reports mistakes in the cards of machines.
+// checkDevices reports mistakes in a declaration of cards.
 func (b *mapBuilder) checkDevices(field string, entry DeviceEntry) {
 	if len(entry.Machines) == 0 {
 		b.reportf(field+".machines", "is missing")
@@ -146,7 +148,7 @@
 	for _, set := range entry.Linked {
 		for _, card := range set {
 			if card < 0 || card >= entry.Count || linked[card] {
-				b.reportf(field+".linked", "card %d is none of 0 to %d, or stands twice", card, entry.Count-1)
+				b.reportf(field+".linked", "card %d is not between 0 and %d, or is listed twice", card, entry.Count-1)
 			}
 			linked[card] = true
 		}
--- a/topology/file.go
+++ b/topology/file.go
@@ -7,14 +7,15 @@
 	"sync"
 )
 
-// File is a topology file that may change while it is in use. It is safe for concurrent use; Open makes one.
+// File is a topology file that may change while it is in use. Open returns one. It is safe for concurrent use.
 type File struct {
 	path string
 
+	// mu guards the fields below.
 	mu sync.Mutex
-	// raw is what was last read, valid or not; nil if the file could not be read.
+	// raw is the content that was last read, valid or not; nil if the file could not be read.
 	raw []byte
-	// current is the latest valid version.
+	// current is the version in use: the latest valid one.
 	current *Map
 }
 
@@ -31,16 +32,16 @@
 	return &File{path: path, raw: raw, current: m}, nil
 }
 
-// Map returns the version in use.
+// Map returns the version of the topology that is in use.
 func (f *File) Map() *Map {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current
 }
 
-// Reload reads the file again and returns the new version, or nil if it has not changed. A file that cannot be read, has
-// mistakes or does not raise its version leaves the current version in use; the error is returned once for each such
-// content of the file.
+// Reload reads the file again and returns the new version of the topology, or nil if the file has not changed. If the
+// file cannot be read, is invalid or does not raise its version number, the current version stays in use. The error is
+// returned only by the first of consecutive calls that find the file in the same state.
 func (f *File) Reload() (*Map, error) {
 	raw, err := os.ReadFile(f.path)
 	f.mu.Lock()
@@ -61,7 +62,7 @@
 		return nil, fmt.Errorf("%w; version %d stays in use", err, f.current.version)
 	}
 	if m.version <= f.current.version {
-		return nil, fmt.Errorf("topology: version: must grow with each change, from %d, not be %d; that one stays in use", f.current.version, m.version)
+		return nil, fmt.Errorf("topology: version: must grow with each change; version %d stays in use, and version %d in the file is rejected", f.current.version, m.version)
 	}
 	f.current = m
 	return m, nil
--- a/topology/reservations.go
+++ b/topology/reservations.go
@@ -7,19 +7,22 @@
 	"switchferry/tuning"
 )
 
-// Reservation keeps a domain that drains for a job that must run in it as a whole.
+// Reservation reserves a domain for a job all of whose tasks must run in it. While the tasks
+// of other jobs there end, Reservations.Blocks limits which new ones may start.
 type Reservation struct {
 	Job string
 	// Rank is the job's priority; higher is more important.
 	Rank   int
 	Domain *Domain
-	// At is when the last of its tasks could start there.
+	// At is when the domain is needed: the time at which the last of the job's tasks could start there.
 	At time.Time
 
+	// expiresAt is when the reservation ends unless it is renewed.
 	expiresAt time.Time
 }
 
-// blocks reports whether the reservation, if it has not expired, keeps a task of another job out of a domain.
+// blocks reports whether the reservation prevents a task of a job from starting in a domain, as defined at
+// Reservations.Blocks.
 func (r *Reservation) blocks(now time.Time, domain *Domain, job string, rank int, endsAt time.Time) bool {
 	if r.Job == job || rank > r.Rank || !now.Before(r.expiresAt) || !domain.Within(r.Domain) {
 		return false
@@ -27,15 +30,16 @@
 	return endsAt.IsZero() || endsAt.After(r.At)
 }
 
-// Reservations are those of one leadership term. They are not persisted: they follow from what runs, so that a new leader
-// comes to the same ones within a scheduling round, apart from estimates. The zero value holds none. It is not safe for
-// concurrent use.
+// Reservations holds the reservations of one leadership term. They are not persisted: they are derived from the running
+// tasks, so a new leader makes the same ones within one scheduling round, except for differences in estimates. The zero
+// value holds no reservations. Reservations is not safe for concurrent use.
 type Reservations struct {
 	reservations []Reservation
 }
 
-// Reserve makes or renews the reservation of a job for tuning.ReservedFor; expiresAt of the request is ignored. It returns
-// false if another job has reserved the domain, one within it or one around it, or if tuning.ReservedMost are held.
+// Reserve makes or renews the reservation of a job, which then expires after tuning.ReservedFor; expiresAt of the
+// request is ignored. A job has at most one reservation. Reserve returns false if another job has reserved the domain,
+// a domain within it or one that contains it, or if there are already tuning.ReservedMost reservations.
 func (r *Reservations) Reserve(now time.Time, request Reservation) bool {
 	r.Expire(now)
 	own := -1
@@ -56,7 +60,8 @@
 		return true
 	}
 	if previous := r.reservations[own]; previous.Domain == request.Domain {
-		// The start is not put off because other jobs use the domain meanwhile.
+		// A renewal does not postpone the time at which the domain is needed, so other jobs that use it meanwhile do
+		// not delay the job.
 		request.At = latest(now, earliest(request.At, previous.At))
 	}
 	r.reservations[own] = request
@@ -77,26 +82,26 @@
 	return b
 }
 
-// Expire drops the reservations that were not renewed in time.
+// Expire removes the reservations that were not renewed in time.
 func (r *Reservations) Expire(now time.Time) {
 	r.reservations = slices.DeleteFunc(r.reservations, func(held Reservation) bool { return !now.Before(held.expiresAt) })
 }
 
-// Blocks reports whether a reservation of another job keeps a task of a job from starting in a domain now: unless the
-// task ends by the time the reserved domain is needed, or its job is of a higher rank. EndsAt is when the task would end;
-// zero: never. A nil domain is never reserved.
+// Blocks reports whether a reservation of another job prevents a task of a job from starting in a domain now. It does
+// not if the task would end by the time at which the reserved domain is needed, or if the task's job has a higher rank.
+// EndsAt is when the task would end; the zero time means never. A nil domain is never reserved.
 func (r *Reservations) Blocks(now time.Time, domain *Domain, job string, rank int, endsAt time.Time) bool {
 	return slices.ContainsFunc(r.reservations, func(held Reservation) bool {
 		return held.blocks(now, domain, job, rank, endsAt)
 	})
 }
 
-// Any reports whether there are reservations, including ones that have expired since the last call of Reserve, Expire or
-// All.
+// Any reports whether there are reservations. Ones that have expired since the last call of Reserve, Expire or All are
+// included.
 func (r *Reservations) Any() bool { return len(r.reservations) > 0 }
 
-// All returns the reservations at a time. The slice is valid until the next call of another method and must not be
-// changed.
+// All returns the reservations that have not expired. The slice is valid until the next call of another method, and the
+// caller must not change it.
 func (r *Reservations) All(now time.Time) []Reservation {
 	r.Expire(now)
 	return r.reservations
--- a/topology/search.go
+++ b/topology/search.go
@@ -6,26 +6,28 @@
 	"switchferry/tuning"
 )
 
-// Search decides how many machines to request from the cloud for stranded tasks: those that no free machine may take since
-// all are in the wrong failure domain. The cloud does not say where a new machine is before it has started, so it may be
-// of no use either. An attempt therefore lasts as long as a machine takes to start and tuning.SeekAfterBoot, the pause
-// before the next one doubles each time, from tuning.SeekPause up to tuning.SeekPauseMost, and machines that turn out to
-// be of no use are returned like any without work.
+// Search decides how many CPUs to request from the cloud for stranded tasks: those that cannot run on any free machine
+// because all free machines are in the wrong failure domain. The cloud does not tell the domain of a new machine before
+// it has started, so the new machine may be in the wrong domain too. Therefore, attempts are limited in time and
+// frequency: an attempt lasts as long as a machine takes to start plus tuning.SearchAfterBoot, and the pause before the
+// next attempt doubles each time, from tuning.SearchPause up to tuning.SearchPauseMax. New machines that cannot run the
+// tasks are returned like all machines without work.
 //
-// The zero value has made no attempt. A Search has no clock, is not persisted, so that a new leader starts anew, and is
-// not safe for concurrent use.
+// The zero value has made no attempt. A Search has no clock. It is not persisted, so a new leader begins with the zero
+// value. It is not safe for concurrent use.
 type Search struct {
-	// targetCPUs is the result of TargetCPUs during the attempt that lasts until attemptUntil.
+	// targetCPUs is what TargetCPUs returns during the current attempt, which lasts until attemptUntil.
 	targetCPUs   float64
 	attemptUntil time.Time
-	// nextAttempt is when the next attempt may begin, and pause the time between the end of the latest one and then.
+	// nextAttempt is when the next attempt may begin.
 	nextAttempt time.Time
-	pause       time.Duration
+	// pause is the time from the end of the latest attempt to nextAttempt.
+	pause time.Duration
 }
 
-// TargetCPUs returns how many CPUs the fleet should have at least for the sake of stranded tasks, or 0 between attempts.
-// Stranded is the CPUs that these tasks request, supply what the fleet has including machines that start, and startup the
-// longest time that a machine takes to start.
+// TargetCPUs returns the least number of CPUs that the fleet should have so that the stranded tasks can run, or 0
+// between attempts and if there are none. Stranded is the number of CPUs that these tasks request, supply the number
+// that the fleet has, including machines that are starting, and startup the longest time that a machine takes to start.
 func (s *Search) TargetCPUs(now time.Time, stranded, supply float64, startup time.Duration) float64 {
 	if stranded <= 0 {
 		*s = Search{}
--- a/topology/site.go
+++ b/topology/site.go
@@ -7,27 +7,28 @@
 	"switchferry/fleet"
 )
 
-// Site tracks where the tasks of one job run, or may still run, and where more of them may run under the job's affinity
-// (near) and spread (survive). It counts by machine names, so that a new leader, which knows tasks from records before
-// their machines report, comes to the same result. A Site is not safe for concurrent use.
+// Site counts the tasks of one job, by the machines on which they run or may still run, and determines where more of
+// them may be placed under the job's affinity (near) and spread (survive). It knows machines by name only, so a new
+// leader, which reads the tasks from records before their machines report, gets the same results. A Site is not safe
+// for concurrent use.
 type Site struct {
 	tree    *Tree
 	near    *api.Near
 	survive *api.Survive
-	// nearCounts counts the tasks by failure domain at the level of near, and surviveCounts at that of survive; nil
-	// without the one or the other.
+	// nearCounts counts the tasks by failure domain at the level of near, and surviveCounts at the level of survive.
+	// Each is nil if the job has no such constraint.
 	nearCounts, surviveCounts *Spread
 	// tasksOn counts the tasks by machine.
 	tasksOn map[string]int
-	// target is the domain that waiting tasks are placed in; nil: any.
+	// target is the domain in which waiting tasks must be placed; nil if they may be placed in any.
 	target *Domain
-	// nearest and shortfall say why there is no target: the domain in which the fewest tasks could not start, and their
-	// number.
+	// nearest and shortfall tell why the last ChooseDomain found no target: the domain in which the most tasks could
+	// start, and the number of tasks that could not. If nearest is nil, there is no domain at the level.
 	nearest   *Domain
 	shortfall int
 }
 
-// NewSite returns the site of a job without tasks, or nil if the job has neither affinity nor spread.
+// NewSite returns a Site of a job that has no tasks placed yet, or nil if the job has neither affinity nor spread.
 func (t *Tree) NewSite(near *api.Near, survive *api.Survive) *Site {
 	if near == nil && survive == nil {
 		return nil
@@ -42,8 +43,8 @@
 	return s
 }
 
-// Rebased returns the site on another version of the topology: running tasks stay on their machines and count in the
-// domains that these are in now.
+// Rebased returns a copy of the site for a tree with another version of the topology. The tasks stay on their machines
+// and are counted in the domains of these machines in that version.
 func (s *Site) Rebased(tree *Tree) *Site {
 	next := tree.NewSite(s.near, s.survive)
 	for machine, count := range s.tasksOn {
@@ -54,7 +55,7 @@
 	return next
 }
 
-// Add counts a task that may run on a machine.
+// Add adds a task that runs, or may still run, on a machine.
 func (s *Site) Add(machine string) {
 	s.tasksOn[machine]++
 	for _, counts := range [...]*Spread{s.nearCounts, s.surviveCounts} {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Remove removes a task that was added on a machine and is known to be gone.
+// Remove removes a task that was added for a machine and is known to have ended.
 func (s *Site) Remove(machine string) {
 	if s.tasksOn[machine]--; s.tasksOn[machine] <= 0 {
 		delete(s.tasksOn, machine)
@@ -76,18 +77,19 @@
 	}
 }
 
-// unplacedWithAffinity reports whether the job has an affinity and no task yet. Once it has tasks, Allows keeps the others
-// near them.
+// unplacedWithAffinity reports whether the job has an affinity and no task yet. A domain is chosen only then: once the
+// job has tasks, Allows and Cost keep further ones in the same failure domain.
 func (s *Site) unplacedWithAffinity() bool { return s.near != nil && s.nearCounts.total == 0 }
 
-// constraint returns what a domain must offer to n more tasks.
+// constraint returns what a domain must offer to n additional tasks.
 func (s *Site) constraint(request fleet.Resources, n int, allowed func(machine string) bool) Constraint {
 	return Constraint{Resources: request, Tasks: n, Allowed: allowed, Spread: s.survive}
 }
 
-// ChooseDomain chooses the domain in which the next n tasks of a job, each with the same request, are placed; allowed
-// reports whether they may run on a machine. If all is set, the domain must have the resources for all of them at once;
-// else, if none has, the one in which the most can start is chosen. It returns false if the tasks have to wait.
+// ChooseDomain chooses the domain in which the next n tasks of the job are placed, each of which requests the same
+// resources; allowed reports whether they may run on a machine. If all is set, only a domain in which all of them can
+// start at the same time is chosen; otherwise, if there is none, the one in which the most can start. ChooseDomain
+// returns false if the tasks must wait.
 func (s *Site) ChooseDomain(request fleet.Resources, n int, all bool, allowed func(machine string) bool) bool {
 	s.target, s.nearest, s.shortfall = nil, nil, 0
 	if !s.unplacedWithAffinity() || n == 0 {
@@ -105,9 +107,9 @@
 	return true
 }
 
-// ChooseDomainByPreemption chooses a domain like ChooseDomain for a job that may preempt others: the one where that loses
-// the least. Offer returns what each further task on a machine loses, as for Tree.Cheapest. It returns false if there is
-// no such domain.
+// ChooseDomainByPreemption chooses a domain like ChooseDomain, for a job that may preempt others: the domain in which
+// preemption costs the least. The function offer returns the cost of each additional task on a machine, as for
+// Tree.Cheapest. ChooseDomainByPreemption returns false if there is no such domain.
 func (s *Site) ChooseDomainByPreemption(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) bool {
 	if !s.unplacedWithAffinity() {
 		return false
@@ -116,9 +118,9 @@
 	return s.target != nil
 }
 
-// SoonestDomain returns the domain that first has the resources for n tasks, and in how long. Offer returns in how long
-// each further task on a machine could start, in any unit. The domain is nil if there is none, the job has no affinity, or
-// some of its tasks run already.
+// SoonestDomain returns the domain that is the first to have the resources for n tasks, and the time until then. The
+// function offer returns the time until each additional task on a machine could start, in a unit that the caller
+// chooses. The domain is nil if there is none, the job has no affinity, or the job has tasks already.
 func (s *Site) SoonestDomain(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) (*Domain, int64) {
 	if !s.unplacedWithAffinity() {
 		return nil, 0
@@ -126,8 +128,8 @@
 	return s.tree.Soonest(s.near.Level, s.constraint(request, n, allowed), offer)
 }
 
-// Allows reports whether one more task may be placed on a machine. All tasks that may still run count, so that no bound
-// is exceeded while tasks move or after a change of leader.
+// Allows reports whether one more task may be placed on a machine. Tasks that may still run count as running, so that
+// no limit is exceeded while tasks move between machines or after a change of leader.
 func (s *Site) Allows(machine string) bool {
 	if s.survive != nil && s.survive.Must && !s.surviveCounts.Allows(machine, s.survive.AtMost) {
 		return false
@@ -138,8 +140,9 @@
 	return s.near == nil || !s.near.Must || s.nearCounts.CountAt(machine) == s.nearCounts.total
 }
 
-// Cost returns how much speaks against a machine that Allows permits: with a spread, one for each task of the job in the
-// same failure domain, and with an affinity, one if other tasks are elsewhere.
+// Cost returns the penalty for placing one more task on a machine that Allows permits; lower is better. A spread adds 1
+// for each task of the job in the machine's failure domain, and an affinity adds 1 if tasks of the job are outside the
+// machine's failure domain.
 func (s *Site) Cost(machine string) float64 {
 	cost := 0.0
 	if s.survive != nil {
@@ -151,7 +154,8 @@
 	return cost
 }
 
-// Reason returns why ChooseDomain found no domain, for users, or "".
+// Reason returns a message for users that tells why the last ChooseDomain returned false, or "" if the tasks need not
+// wait for a domain.
 func (s *Site) Reason() string {
 	switch {
 	case s.near == nil || !s.near.Must || s.target != nil || s.nearCounts.total > 0 || s.shortfall == 0:
@@ -162,12 +166,12 @@
 	return fmt.Sprintf("no %s has room for all of it: %s %q has none for %d", s.near.Level, s.nearest.Level, s.nearest.Name, s.shortfall)
 }
 
-// Infeasible returns why no fleet can ever run so many tasks at once under an affinity and a spread, for users, or "" if
-// these do not contradict each other.
+// Infeasible returns a message for users if an affinity and a spread contradict each other, so that no fleet could run
+// so many tasks at the same time, or "" if they do not.
 func Infeasible(near *api.Near, survive *api.Survive, tasks int) string {
 	if near == nil || survive == nil || !near.Must || !survive.Must || levelDepth[survive.Level] > levelDepth[near.Level] || tasks <= survive.AtMost {
 		return ""
 	}
-	return fmt.Sprintf("must stand in one %s, so %d tasks are in one %s and at most %d may be; make one of the two a wish (\"must\": false)",
+	return fmt.Sprintf("must run in one %s, so %d tasks would be in one %s, in which at most %d may run; make one of the two a preference (\"must\": false)",
 		near.Level, tasks, survive.Level, survive.AtMost)
 }
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -1,10 +1,10 @@
-// Package topology models where machines are in the data centre: a tree of failure domains (region, zone, switch, rack)
-// above the machines, and the devices on a machine with the links between them. It keeps the free resources of each
-// domain, and finds domains for tasks that must run close together (affinity) or apart (spread). It does not know jobs
-// and tasks beyond what they request, and decides nothing else about placement.
+// Package topology models the location of machines: a tree of failure domains (region, zone, switch, rack) with
+// machines as its leaves, and the devices of a machine with the links between them. It tracks the free resources of
+// each domain and finds domains for tasks that must run close together (affinity) or apart (spread). Of jobs and tasks,
+// it knows only what they request; all other placement decisions are made elsewhere.
 //
-// A Map is the topology as the operators declare it, and a Tree the machines of a fleet on one version of it. Machines
-// are assigned to domains by patterns of their names, since the cloud does not say where a new machine is.
+// A Map is the topology that the operators declare, and a Tree holds the machines of a fleet in one version of it.
+// Machines are assigned to domains by patterns of their names, since the cloud does not tell where a new machine is.
 package topology
 
 import (
@@ -17,7 +17,7 @@
 	"switchferry/tuning"
 )
 
-// The levels, outermost first. A domain is on a lower level than its parent; levels may be left out.
+// The levels, outermost first. The level of a domain is further in than that of its parent; levels may be skipped.
 const (
 	Region  = "region"
 	Zone    = "zone"
@@ -26,7 +26,7 @@
 	Machine = "machine"
 )
 
-// levelDepth is the position of each level, the outermost at 0.
+// levelDepth is the depth of each level by name; the outermost has depth 0.
 var levelDepth = func() map[string]int {
 	depth := map[string]int{}
 	for i, level := range api.Levels {
@@ -35,31 +35,32 @@
 	return depth
 }()
 
-// ValidLevel reports whether there is a level of this name.
+// ValidLevel reports whether name is the name of a level.
 func ValidLevel(name string) bool {
 	_, ok := levelDepth[name]
 	return ok
 }
 
-// Domain is one failure domain: what its machines share may fail and stop all of them at once.
+// Domain is one failure domain: its machines share infrastructure whose failure can stop all of them at the same time.
 type Domain struct {
 	Name, Level string
-	// Parent is the domain that contains this one; nil: none does.
+	// Parent is the domain that contains this one; nil if there is none.
 	Parent *Domain
 
+	// patterns match the names of the machines that are declared directly in the domain.
 	patterns []string
 	// path holds the names of the domain and its ancestors, innermost first.
 	path []string
 }
 
-// Patterns returns the patterns, with * and ?, of the names of machines that are declared directly in the domain. The
-// slice must not be changed.
+// Patterns returns the patterns, with * and ?, that match the names of the machines declared directly in the domain.
+// The caller must not change the slice.
 func (d *Domain) Patterns() []string { return d.patterns }
 
 // declares reports whether a machine's name matches one of the domain's patterns.
 func (d *Domain) declares(machine string) bool { return matchesAny(d.patterns, machine) }
 
-// Within reports whether d is other, or inside it at any depth. A nil domain is within none.
+// Within reports whether d is other or inside it at any depth. A nil domain is not within any domain.
 func (d *Domain) Within(other *Domain) bool {
 	for ancestor := d; ancestor != nil; ancestor = ancestor.Parent {
 		if ancestor == other {
@@ -69,7 +70,7 @@
 	return false
 }
 
-// Ancestor returns the domain of a level that d is in, which may be d itself, or nil if it is in none.
+// Ancestor returns the domain at a level that contains d or is d itself, or nil if there is none.
 func (d *Domain) Ancestor(level string) *Domain {
 	for ancestor := d; ancestor != nil; ancestor = ancestor.Parent {
 		if ancestor.Level == level {
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// Devices are the cards of a machine. Linked are the sets of cards that share a fast link, by index; each card is in one
-// of them at most.
+// Devices describes the cards (accelerators) of a machine. Linked holds the sets of cards that share a fast link, by
+// index; each card is in at most one set.
 type Devices struct {
 	Count  int
 	Linked [][]int
@@ -94,20 +95,21 @@
 	devices []DeviceEntry
 }
 
-// Version returns the number that the declaration gives itself; operators raise it with each change.
+// Version returns the version number in the declaration; operators raise it with each change.
 func (m *Map) Version() int { return m.version }
 
-// Domains returns all domains in declared order. The slice must not be changed.
+// Domains returns all domains in the order of declaration. The caller must not change the slice.
 func (m *Map) Domains() []*Domain { return m.domains }
 
-// Domain returns the domain of a name, and false if there is none.
+// Domain returns the domain with a name, and false if there is none.
 func (m *Map) Domain(name string) (*Domain, bool) {
 	domain, ok := m.byName[name]
 	return domain, ok
 }
 
-// Of returns the innermost domain in which a machine's name is declared, or nil if there is none. It is ambiguous if the
-// patterns of two domains match of which neither is within the other; then the one declared first is returned.
+// Of returns the innermost domain whose patterns match a machine's name, or nil if there is none. The result is
+// ambiguous if the patterns of two domains match and neither domain is within the other; in that case, the one declared
+// first is returned.
 func (m *Map) Of(machine string) (domain *Domain, ambiguous bool) {
 	for _, declared := range m.domains {
 		switch {
@@ -121,7 +123,7 @@
 	return domain, ambiguous
 }
 
-// DevicesOf returns the cards of a machine, and false if none are declared for it.
+// DevicesOf returns the devices of a machine by its name, and false if none are declared for it.
 func (m *Map) DevicesOf(machine string) (Devices, bool) {
 	for _, entry := range m.devices {
 		if matchesAny(entry.Machines, machine) {
@@ -131,7 +133,8 @@
 	return Devices{}, false
 }
 
-// matchesAny reports whether a machine's name matches one of some patterns. Parse rejects malformed ones.
+// matchesAny reports whether a machine's name matches one of the patterns. Malformed patterns, which Parse rejects,
+// match nothing.
 func matchesAny(patterns []string, machine string) bool {
 	return slices.ContainsFunc(patterns, func(pattern string) bool {
 		matched, _ := path.Match(pattern, machine)
@@ -139,12 +142,13 @@
 	})
 }
 
-// Check returns an error that names machines whose domain is ambiguous, tuning.MistakesTold of them at most, or nil.
+// Check returns an error that names the machines whose domain is ambiguous, at most tuning.MaxReportedErrors of them,
+// or nil if there are none.
 func (m *Map) Check(machines []string) error {
 	var mistakes []error
 	for _, name := range machines {
 		if _, ambiguous := m.Of(name); ambiguous && len(mistakes) < tuning.MaxReportedErrors {
-			mistakes = append(mistakes, fmt.Errorf("topology: machine %q stands in two domains; make the patterns exclude one another", name))
+			mistakes = append(mistakes, fmt.Errorf("topology: machine %q matches the patterns of two separate domains; make the patterns mutually exclusive", name))
 		}
 	}
 	return errors.Join(mistakes...)
--- a/topology/tree.go
+++ b/topology/tree.go
@@ -2,31 +2,33 @@
 
 import "switchferry/fleet"
 
-// Tree holds the machines of a fleet on one version of the topology, and the total of the free resources of each domain.
-// A change of a machine takes one step for each level above it, however large the fleet is. A Tree is not safe for
-// concurrent use.
+// Tree holds the machines of a fleet in one version of the topology, and the total free resources of each domain. A
+// change of a machine updates only the domains that contain it, so its cost does not depend on the size of the fleet. A
+// Tree is not safe for concurrent use.
 type Tree struct {
 	topology *Map
 	machines map[string]*machineNode
 	totals   map[*Domain]*domainTotals
-	// unlisted counts the machines that no domain declares, each of which is a domain of its own, and ambiguous those
-	// that two domains declare.
-	unlisted, ambiguous int
+	// unlisted is the number of machines that no domain declares, each of which is a failure domain of its own.
+	unlisted int
+	// ambiguous is the number of machines that are declared by two domains, neither of which is within the other.
+	ambiguous int
 }
 
 // machineNode is one machine in a tree.
 type machineNode struct {
 	name string
-	// domain is the innermost one that declares the machine; nil: none does.
-	domain    *Domain
+	// domain is the innermost domain that declares the machine; nil if there is none.
+	domain *Domain
+	// ambiguous is the second result of Map.Of for the machine.
 	ambiguous bool
 
 	free fleet.Resources
-	// usable is whether the machine may get tasks; if not, none of its resources count as free.
+	// usable is whether the machine may get tasks. The resources of an unusable machine do not count as free.
 	usable bool
 }
 
-// available returns what the machine adds to the free resources of its domains.
+// available returns what the machine contributes to the free resources of its domains.
 func (n *machineNode) available() fleet.Resources {
 	if !n.usable {
 		return fleet.Resources{}
@@ -34,20 +36,22 @@
 	return n.free
 }
 
-// domainTotals are the totals of a domain, over its machines at any depth.
+// domainTotals holds the totals of a domain over all machines within it, at any depth.
 type domainTotals struct {
 	free     fleet.Resources
 	machines map[*machineNode]bool
-	// usable counts the machines that may get tasks.
+	// usable is the number of machines that may get tasks.
 	usable int
 }
 
-// replace replaces what one machine adds to the totals, and changes the number of usable machines.
+// replace replaces one machine's contribution to the free resources, and adds usableChange to the number of usable
+// machines.
 func (t *domainTotals) replace(before, after fleet.Resources, usableChange int) {
 	t.free = t.free.Sub(before).Add(after)
 	t.usable += usableChange
 	if t.usable == 0 {
-		// Rounding errors must not accumulate over months.
+		// Without usable machines, the exact total is zero; setting it keeps rounding errors from accumulating over
+		// months.
 		t.free = fleet.Resources{}
 	}
 }
@@ -61,10 +65,10 @@
 	return t
 }
 
-// Map returns the version of the topology that the tree is on.
+// Map returns the version of the topology that the tree uses.
 func (t *Tree) Map() *Map { return t.topology }
 
-// Rebased returns a new tree of the same machines on another version of the topology.
+// Rebased returns a new tree with the same machines in another version of the topology.
 func (t *Tree) Rebased(topology *Map) *Tree {
 	next := NewTree(topology)
 	for _, node := range t.machines {
@@ -73,8 +77,8 @@
 	return next
 }
 
-// Set records the free resources of a machine, and whether it may get tasks; none of the resources of an unusable
-// machine count as free. A machine that the tree does not have is added.
+// Set records the free resources of a machine and whether it is usable, that is, may get tasks. The resources of an
+// unusable machine do not count as free. The machine is added if it is not in the tree.
 func (t *Tree) Set(machine string, free fleet.Resources, usable bool) {
 	node := t.machines[machine]
 	if node == nil {
@@ -95,7 +99,7 @@
 	}
 }
 
-// add adds an unusable machine.
+// add adds a machine, initially unusable and without free resources.
 func (t *Tree) add(machine string) *machineNode {
 	node := &machineNode{name: machine}
 	node.domain, node.ambiguous = t.topology.Of(machine)
@@ -112,7 +116,7 @@
 	return node
 }
 
-// Remove removes a machine that is gone. It does nothing if the tree does not have it.
+// Remove removes a machine. It does nothing if the machine is not in the tree.
 func (t *Tree) Remove(machine string) {
 	node := t.machines[machine]
 	if node == nil {
@@ -131,14 +135,14 @@
 	delete(t.machines, machine)
 }
 
-// Unlisted returns how many machines no domain declares.
+// Unlisted returns the number of machines that no domain declares.
 func (t *Tree) Unlisted() int { return t.unlisted }
 
-// Ambiguous returns how many machines two domains declare of which neither is within the other.
+// Ambiguous returns the number of machines that are declared by two domains, neither of which is within the other.
 func (t *Tree) Ambiguous() int { return t.ambiguous }
 
-// Of returns the innermost domain that a machine is in, or nil if it is in none. The tree need not have the machine: a new
-// leader may know its name only from records.
+// Of returns the innermost domain that contains a machine, or nil if there is none. The machine need not be in the
+// tree: a new leader may know its name only from records.
 func (t *Tree) Of(machine string) *Domain {
 	if node := t.machines[machine]; node != nil {
 		return node.domain
@@ -147,7 +151,7 @@
 	return domain
 }
 
-// Path returns the names of the domains that a machine is in, innermost first. The slice must not be changed.
+// Path returns the names of the domains that contain a machine, innermost first. The caller must not change the slice.
 func (t *Tree) Path(machine string) []string {
 	if domain := t.Of(machine); domain != nil {
 		return domain.path
@@ -155,8 +159,8 @@
 	return nil
 }
 
-// Place is the failure domain of a machine at a level: a domain or, if the machine is in none of that level, the machine
-// itself. Two machines share a failure domain exactly if their places are equal.
+// Place is the failure domain of a machine at a level: a domain or, if no domain at that level contains the machine,
+// the machine itself. Two machines share a failure domain if and only if their values are equal.
 type Place struct {
 	Domain  *Domain
 	Machine string
@@ -172,11 +176,11 @@
 	return Place{Machine: machine}
 }
 
-// Free returns the free resources of a domain's usable machines.
+// Free returns the total free resources of a domain's usable machines.
 func (t *Tree) Free(domain *Domain) fleet.Resources { return t.totals[domain].free }
 
-// Usable returns how many of a domain's machines may get tasks.
+// Usable returns the number of a domain's machines that may get tasks.
 func (t *Tree) Usable(domain *Domain) int { return t.totals[domain].usable }
 
-// Machines returns how many machines a domain has.
+// Machines returns the number of machines in a domain, at any depth.
 func (t *Tree) Machines(domain *Domain) int { return len(t.totals[domain].machines) }
