--- a/placement/filler.go
+++ b/placement/filler.go
@@ -47,7 +47,7 @@
 		if !ok {
 			level = math.MaxInt
 		}
-		f.addOthers(groupIndex, group, level)
+		f.addNonHolders(groupIndex, group, level)
 		level, ok = Level(f.participants, tasks)
 	}
 	if ok {
@@ -66,9 +66,9 @@
 	}
 }
 
-// addOthers adds the servers that lack inputs as participants, if they are below a level even with the cost of copying.
-// Their Busy, Mu and Free include that cost.
-func (f *groupFiller) addOthers(groupIndex int, group *Group, level int) {
+// addNonHolders adds the servers that lack inputs as participants, if they are below a level even with the cost of
+// copying. Their Busy, Mu and Free include that cost.
+func (f *groupFiller) addNonHolders(groupIndex int, group *Group, level int) {
 	holders, rate := group.Holders, f.inputCost.Rate(groupIndex)
 	for index, server := range f.servers {
 		for len(holders) > 0 && int(holders[0]) < index {
@@ -78,17 +78,17 @@
 		if isHolder || server.Mu <= 0 || server.Busy+1 >= level {
 			continue
 		}
-		copying := server.copying(f.inputCost.Slots(groupIndex, index), rate)
-		if copying.Busy < level {
-			f.participants, f.members = append(f.participants, copying), append(f.members, member{int32(index), false})
+		adjusted := server.withCopyCost(f.inputCost.Slots(groupIndex, index), rate)
+		if adjusted.Busy < level {
+			f.participants, f.members = append(f.participants, adjusted), append(f.members, member{int32(index), false})
 		}
 	}
 }
 
-// copying returns the server as it is for a group whose inputs it must copy: slots is how long it copies for one task,
-// and rate for how many tasks it copies in a slot. A link copies the inputs of one task at a time, so only one task can
-// start at once, however many CPUs are idle.
-func (s Server) copying(slots int, rate float64) Server {
+// withCopyCost returns the server as it is for a group whose inputs it must copy: slots is how long it copies for one
+// task, and rate for how many tasks it copies in a slot. A link copies the inputs of one task at a time, so only one
+// task can start at once, however many CPUs are idle.
+func (s Server) withCopyCost(slots int, rate float64) Server {
 	return Server{Busy: s.Busy + slots, Mu: min(s.Mu, rate), Free: min(s.Free, 1)}
 }
 
@@ -126,27 +126,27 @@
 		if len(tasks) == 0 {
 			return
 		}
-		n := len(tasks)
+		count := len(tasks)
 		if k < len(f.byLoad)-1 {
-			n = min(n, f.participants[i].share(level))
+			count = min(count, f.participants[i].share(level))
 		}
-		f.assign(groupIndex, f.members[i], tasks[:n:n], level)
-		tasks = tasks[n:]
+		f.assign(groupIndex, f.members[i], tasks[:count:count], level)
+		tasks = tasks[count:]
 	}
 }
 
 // assign assigns tasks to a participant and updates its server. Busy of a server that holds the inputs rises to the
 // level; otherwise, it rises only by the work that the tasks add.
-func (f *groupFiller) assign(groupIndex int, to member, tasks []int32, level int) {
-	server, n := &f.servers[to.server], len(tasks)
-	if to.holdsInputs {
+func (f *groupFiller) assign(groupIndex int, participant member, tasks []int32, level int) {
+	server, count := &f.servers[participant.server], len(tasks)
+	if participant.holdsInputs {
 		server.Busy = max(server.Busy, level)
 	} else {
-		server.Busy += ceil(float64(n) / server.Mu)
-		f.inputCost.Took(groupIndex, int(to.server), n)
+		server.Busy += ceil(float64(count) / server.Mu)
+		f.inputCost.Took(groupIndex, int(participant.server), count)
 	}
-	server.Free = max(0, server.Free-n)
-	f.shares = append(f.shares, Share{int(to.server), tasks})
+	server.Free = max(0, server.Free-count)
+	f.shares = append(f.shares, Share{int(participant.server), tasks})
 }
 
 // placeSingly assigns the tasks of a group one by one, each to the server that bestServer returns.
@@ -159,17 +159,17 @@
 }
 
 // assignOne assigns one task of a group to a server.
-func (f *groupFiller) assignOne(groupIndex int, group *Group, best int, task []int32) {
-	server := &f.servers[best]
+func (f *groupFiller) assignOne(groupIndex int, group *Group, serverIndex int, tasks []int32) {
+	server := &f.servers[serverIndex]
 	server.Busy += ceil(1 / server.Mu)
 	server.Free = max(0, server.Free-1)
 	if f.leastLoaded != nil {
-		f.leastLoaded.fix(best)
+		f.leastLoaded.fix(serverIndex)
 	}
-	if _, holds := slices.BinarySearch(group.Holders, int32(best)); !holds {
-		f.inputCost.Took(groupIndex, best, 1)
+	if _, holdsInputs := slices.BinarySearch(group.Holders, int32(serverIndex)); !holdsInputs {
+		f.inputCost.Took(groupIndex, serverIndex, 1)
 	}
-	f.shares = append(f.shares, Share{best, task})
+	f.shares = append(f.shares, Share{serverIndex, tasks})
 }
 
 // bestServer returns the server on which one more task of a group finishes first, or -1 if no server takes it. The
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -67,13 +67,13 @@
 // Busy of the servers is updated as in (10), and Free is reduced by the tasks assigned. Busy of a server that must copy
 // inputs rises only by the work that it is assigned, since it can run other tasks while it copies.
 //
-// Only the waterFilled groups with the most tasks are assigned in this way, each in one or two passes over the servers.
-// The tasks of the other groups are then placed one by one: on the holder where the task finishes first, or on the
-// least busy server if it finishes sooner there. This bounds the time of a decision to two passes for each of the
-// waterFilled groups and a few steps for each task, whatever the number of groups.
-func FillGroups(servers []Server, groups []Group, inputCost InputCost, waterFilled int) []Share {
+// Only the maxWaterFilled groups with the most tasks are assigned in this way, each in one or two passes over the
+// servers. The tasks of the other groups are then placed one by one: on the holder where the task finishes first, or on
+// the least busy server if it finishes sooner there. This bounds the time of a decision to two passes for each of the
+// maxWaterFilled groups and a few steps for each task, whatever the number of groups.
+func FillGroups(servers []Server, groups []Group, inputCost InputCost, maxWaterFilled int) []Share {
 	filler := newFiller(servers, inputCost)
-	large := largest(groups, waterFilled)
+	large := largest(groups, maxWaterFilled)
 	for i := range groups {
 		if large[i] {
 			filler.waterFill(i, &groups[i])
--- a/topology/constraint.go
+++ b/topology/constraint.go
@@ -27,15 +27,15 @@
 	return node.usable && (c.Allowed == nil || c.Allowed(node.name))
 }
 
-// bounded reports whether the number of tasks in one failure domain is limited.
-func (c *Constraint) bounded() bool { return c.Spread != nil && c.Spread.Must }
+// limitsSpread reports whether the number of tasks in one failure domain is limited.
+func (c *Constraint) limitsSpread() bool { return c.Spread != nil && c.Spread.Must }
 
-// Fit returns how many of the tasks could start in a domain at the same time; at most constraint.Tasks.
-func (t *Tree) Fit(domain *Domain, constraint Constraint) int {
-	fit := 0
-	var placed map[Place]int
-	if constraint.bounded() {
-		placed = map[Place]int{}
+// StartableTasks returns how many of the tasks could start in a domain at the same time; at most constraint.Tasks.
+func (t *Tree) StartableTasks(domain *Domain, constraint Constraint) int {
+	startable := 0
+	var placed map[FailureDomain]int
+	if constraint.limitsSpread() {
+		placed = map[FailureDomain]int{}
 	}
 	for node := range t.totals[domain].machines {
 		if !constraint.admits(node) {
@@ -43,29 +43,29 @@
 		}
 		tasks := node.free.Count(constraint.Resources)
 		if placed != nil {
-			place := t.Place(node.name, constraint.Spread.Level)
-			tasks = min(tasks, constraint.Spread.AtMost-placed[place])
-			placed[place] += tasks
+			failureDomain := t.FailureDomain(node.name, constraint.Spread.Level)
+			tasks = min(tasks, constraint.Spread.AtMost-placed[failureDomain])
+			placed[failureDomain] += tasks
 		}
-		if fit += tasks; fit >= constraint.Tasks {
+		if startable += tasks; startable >= constraint.Tasks {
 			return constraint.Tasks
 		}
 	}
-	return fit
+	return startable
 }
 
-// Closest returns the best domain, at a level or an inner one, in which all tasks could start at the same time: an
+// BestDomain returns the best domain, at a level or an inner one, in which all tasks could start at the same time: an
 // innermost one and, among those, the one with the least free resources, which avoids fragmentation of the others. If
-// there is none, best is nil, nearest is the domain in which the most tasks could start, and shortfall is the number of
+// there is none, best is nil, partial is the domain in which the most tasks could start, and shortfall is the number of
 // tasks that could not.
-func (t *Tree) Closest(level string, constraint Constraint) (best, nearest *Domain, shortfall int) {
+func (t *Tree) BestDomain(level string, constraint Constraint) (best, partial *Domain, shortfall int) {
 	all := constraint.Resources.Scale(constraint.Tasks)
 	shortfall = constraint.Tasks + 1
-	for domain := range t.domainsFrom(level) {
+	for domain := range t.domainsAtOrBelow(level) {
 		free := t.totals[domain].free
-		// Fit visits every machine of a domain, so it is called only if its result can matter. In a domain whose total
-		// free resources are too small for all tasks, that is only so if there is no best domain yet and the total
-		// alone does not already imply a shortfall at least as large as the smallest one so far.
+		// StartableTasks visits every machine of a domain, so it is called only if its result can matter. In a domain
+		// whose total free resources are too small for all tasks, that is only so if there is no best domain yet and
+		// the total alone does not already imply a shortfall at least as large as the smallest one so far.
 		fits := free.Fits(all)
 		if !fits && (best != nil || constraint.Tasks-min(constraint.Tasks, free.Count(constraint.Resources)) >= shortfall) {
 			continue
@@ -73,39 +73,39 @@
 		if fits && best != nil && !t.preferred(domain, best) {
 			continue
 		}
-		missing := constraint.Tasks - t.Fit(domain, constraint)
+		missing := constraint.Tasks - t.StartableTasks(domain, constraint)
 		switch {
 		case fits && missing == 0:
 			best = domain
 		case missing < shortfall:
-			nearest, shortfall = domain, missing
+			partial, shortfall = domain, missing
 		}
 	}
 	if best != nil {
 		return best, nil, 0
 	}
-	return nil, nearest, shortfall
+	return nil, partial, shortfall
 }
 
-// Cheapest returns the domain, at a level or an inner one, in which all tasks can be started at the least total cost,
-// or nil if there is none. The function offer returns the cost of each additional task on a machine, in the order in
-// which they would be started, for as many tasks as the machine can run; a task that fits into free resources costs 0.
-// In each domain, the tasks with the lowest costs are chosen.
-func (t *Tree) Cheapest(level string, constraint Constraint, offer func(machine string) []int64) *Domain {
+// CheapestDomain returns the domain, at a level or an inner one, in which all tasks can be started at the least total
+// cost, or nil if there is none. The function offer returns the cost of each additional task on a machine, in the order
+// in which they would be started, for as many tasks as the machine can run; a task that fits into free resources costs
+// 0. In each domain, the tasks with the lowest costs are chosen.
+func (t *Tree) CheapestDomain(level string, constraint Constraint, offer func(machine string) []int64) *Domain {
 	domain, _ := t.cheapestBy(level, constraint, offer, func(sum, _ int64) int64 { return sum })
 	return domain
 }
 
-// Soonest returns the domain, at a level or an inner one, in which the last of the tasks can start soonest, and when
-// that is. The domain is nil if there is none. The function offer returns when each additional task on a machine could
-// start, in a unit of time that the caller chooses.
-func (t *Tree) Soonest(level string, constraint Constraint, offer func(machine string) []int64) (*Domain, int64) {
+// SoonestDomain returns the domain, at a level or an inner one, in which the last of the tasks can start soonest, and
+// when that is. The domain is nil if there is none. The function offer returns when each additional task on a machine
+// could start, in a unit of time that the caller chooses.
+func (t *Tree) SoonestDomain(level string, constraint Constraint, offer func(machine string) []int64) (*Domain, int64) {
 	return t.cheapestBy(level, constraint, offer, func(_, last int64) int64 { return last })
 }
 
 // cheapestBy returns the domain with the least cost and that cost. The function costOf computes the cost of a domain
 // from the sum and the highest of its tasks' costs.
-func (t *Tree) cheapestBy(level string, constraint Constraint, offer func(machine string) []int64, costOf func(sum, last int64) int64) (best *Domain, least int64) {
+func (t *Tree) cheapestBy(level string, constraint Constraint, offer func(machine string) []int64, costOf func(sum, highest int64) int64) (best *Domain, least int64) {
 	offers := map[*machineNode][]int64{}
 	offerOnce := func(node *machineNode) []int64 {
 		costs, known := offers[node]
@@ -115,12 +115,12 @@
 		}
 		return costs
 	}
-	for domain := range t.domainsFrom(level) {
-		sum, last, ok := t.taskCosts(domain, constraint, offerOnce)
+	for domain := range t.domainsAtOrBelow(level) {
+		sum, highest, ok := t.taskCosts(domain, constraint, offerOnce)
 		if !ok {
 			continue
 		}
-		if cost := costOf(sum, last); best == nil || cost < least || cost == least && t.preferred(domain, best) {
+		if cost := costOf(sum, highest); best == nil || cost < least || cost == least && t.preferred(domain, best) {
 			best, least = domain, cost
 		}
 	}
@@ -130,32 +130,32 @@
 // offeredTask is one task that could start on a machine.
 type offeredTask struct {
 	cost int64
-	// place is the failure domain in which the task counts towards the limit of the constraint's spread; the zero value
-	// if there is no limit.
-	place Place
+	// failureDomain is the failure domain in which the task counts towards the limit of the constraint's spread; the
+	// zero value if there is no limit.
+	failureDomain FailureDomain
 }
 
 // taskCosts returns the sum and the highest of the costs of the cheapest tasks that a domain offers, and false if it
 // offers fewer tasks than the constraint requires.
-func (t *Tree) taskCosts(domain *Domain, constraint Constraint, offer func(*machineNode) []int64) (sum, last int64, ok bool) {
+func (t *Tree) taskCosts(domain *Domain, constraint Constraint, offer func(*machineNode) []int64) (sum, highest int64, ok bool) {
 	offered := t.offeredTasks(domain, constraint, offer)
 	if len(offered) < constraint.Tasks {
 		return 0, 0, false
 	}
 	slices.SortFunc(offered, func(a, b offeredTask) int { return cmp.Compare(a.cost, b.cost) })
-	placed := map[Place]int{}
+	placed := map[FailureDomain]int{}
 	tasks := 0
 	for _, task := range offered {
 		if tasks == constraint.Tasks {
 			break
 		}
-		if task.place != (Place{}) && placed[task.place] >= constraint.Spread.AtMost {
+		if task.failureDomain != (FailureDomain{}) && placed[task.failureDomain] >= constraint.Spread.AtMost {
 			continue
 		}
-		placed[task.place]++
-		tasks, sum, last = tasks+1, sum+task.cost, task.cost
+		placed[task.failureDomain]++
+		tasks, sum, highest = tasks+1, sum+task.cost, task.cost
 	}
-	return sum, last, tasks == constraint.Tasks
+	return sum, highest, tasks == constraint.Tasks
 }
 
 // offeredTasks returns the tasks that could start on the machines of a domain, in unspecified order.
@@ -164,22 +164,22 @@
 		if !constraint.admits(node) {
 			continue
 		}
-		var place Place
-		if constraint.bounded() {
-			place = t.Place(node.name, constraint.Spread.Level)
+		var failureDomain FailureDomain
+		if constraint.limitsSpread() {
+			failureDomain = t.FailureDomain(node.name, constraint.Spread.Level)
 		}
 		highest := int64(0)
 		for _, cost := range offer(node) {
 			// The tasks of a machine are started in order, so a later one cannot cost less than an earlier one.
 			highest = max(highest, cost)
-			offered = append(offered, offeredTask{highest, place})
+			offered = append(offered, offeredTask{highest, failureDomain})
 		}
 	}
 	return offered
 }
 
-// domainsFrom yields the domains at a level or an inner one, in the order of declaration.
-func (t *Tree) domainsFrom(level string) iter.Seq[*Domain] {
+// domainsAtOrBelow yields the domains at a level or an inner one, in the order of declaration.
+func (t *Tree) domainsAtOrBelow(level string) iter.Seq[*Domain] {
 	return func(yield func(*Domain) bool) {
 		for _, domain := range t.topology.domains {
 			if levelDepth[domain.Level] >= levelDepth[level] && !yield(domain) {
--- a/topology/constraint_test.go
+++ b/topology/constraint_test.go
@@ -24,7 +24,7 @@
 		}
 		request, tasks := fleet.Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, 1+rng.IntN(10)
 		level := []string{Zone, Switch, Rack}[rng.IntN(3)]
-		best, nearest, shortfall := tree.Closest(level, Constraint{Resources: request, Tasks: tasks})
+		best, nearest, shortfall := tree.BestDomain(level, Constraint{Resources: request, Tasks: tasks})
 		least, found := tasks+1, false
 		var want *Domain
 		for _, domain := range topology.Domains() {
--- a/topology/declaration.go
+++ b/topology/declaration.go
@@ -21,7 +21,7 @@
 type DomainEntry struct {
 	Name     string   `toml:"name"`
 	Level    string   `toml:"level"`
-	In       string   `toml:"in"`
+	Parent   string   `toml:"in"`
 	Machines []string `toml:"machines"`
 }
 
@@ -119,13 +119,13 @@
 // setParent sets the parent of a domain if it has one.
 func (b *mapBuilder) setParent(field string, entry DomainEntry) {
 	domain := b.topology.byName[entry.Name]
-	if domain == nil || entry.In == "" {
+	if domain == nil || entry.Parent == "" {
 		return
 	}
-	parent := b.topology.byName[entry.In]
+	parent := b.topology.byName[entry.Parent]
 	switch {
 	case parent == nil:
-		b.reportf(field, "there is no domain %q", entry.In)
+		b.reportf(field, "there is no domain %q", entry.Parent)
 	case levelDepth[parent.Level] >= levelDepth[domain.Level]:
 		// This also rules out cycles, since each parent must be at an outer level.
 		b.reportf(field, "a %s cannot be in %s %q; outermost is region, then zone, switch, rack", domain.Level, parent.Level, parent.Name)
--- a/topology/declaration_test.go
+++ b/topology/declaration_test.go
@@ -66,7 +66,7 @@
 		}
 		tree := NewTree(topology)
 		tree.Set("n-1", fleet.Resources{CPUs: 1}, true)
-		tree.Closest(Rack, Constraint{Resources: fleet.Resources{CPUs: 1}, Tasks: 1})
+		tree.BestDomain(Rack, Constraint{Resources: fleet.Resources{CPUs: 1}, Tasks: 1})
 		tree.Remove("n-1")
 	})
 }
--- a/topology/example_test.go
+++ b/topology/example_test.go
@@ -37,11 +37,11 @@
 	tree.Set("n-21", fleet.Resources{CPUs: 16, MemoryGB: 64}, true)
 
 	gang := topology.Constraint{Resources: fleet.Resources{CPUs: 4, MemoryGB: 8}, Tasks: 5}
-	best, _, _ := tree.Closest(topology.Rack, gang)
+	best, _, _ := tree.BestDomain(topology.Rack, gang)
 	fmt.Println("5 tasks fit into", best.Name)
 
 	gang.Tasks = 7
-	_, nearest, shortfall := tree.Closest(topology.Rack, gang)
+	_, nearest, shortfall := tree.BestDomain(topology.Rack, gang)
 	fmt.Printf("7 tasks fit into no rack; %s is nearest, without resources for %d\n", nearest.Name, shortfall)
 
 	// Output:
--- a/topology/site.go
+++ b/topology/site.go
@@ -8,37 +8,38 @@
 )
 
 // Site counts the tasks of one job, by the machines on which they run or may still run, and determines where more of
-// them may be placed under the job's affinity (near) and spread (survive). It knows machines by name only, so a new
+// them may be placed under the job's affinity and spread. It knows machines by name only, so a new
 // leader, which reads the tasks from records before their machines report, gets the same results. A Site is not safe
 // for concurrent use.
 type Site struct {
-	tree    *Tree
-	near    *api.Near
-	survive *api.Survive
-	// nearCounts counts the tasks by failure domain at the level of near, and surviveCounts at the level of survive.
+	tree     *Tree
+	affinity *api.Near
+	spread   *api.Survive
+	// affinityCounts counts the tasks by failure domain at the level of the affinity, and spreadCounts at that of the
+	// spread.
 	// Each is nil if the job has no such constraint.
-	nearCounts, surviveCounts *Spread
+	affinityCounts, spreadCounts *TaskCounts
 	// tasksOn counts the tasks by machine.
 	tasksOn map[string]int
 	// target is the domain in which waiting tasks must be placed; nil if they may be placed in any.
 	target *Domain
-	// nearest and shortfall tell why the last ChooseDomain found no target: the domain in which the most tasks could
-	// start, and the number of tasks that could not. If nearest is nil, there is no domain at the level.
-	nearest   *Domain
-	shortfall int
+	// partialDomain and shortfall tell why the last ChooseDomain found no target: the domain in which the most tasks
+	// could start, and the number of tasks that could not. If partialDomain is nil, there is no domain at the level.
+	partialDomain *Domain
+	shortfall     int
 }
 
 // NewSite returns a Site of a job that has no tasks placed yet, or nil if the job has neither affinity nor spread.
-func (t *Tree) NewSite(near *api.Near, survive *api.Survive) *Site {
-	if near == nil && survive == nil {
+func (t *Tree) NewSite(affinity *api.Near, spread *api.Survive) *Site {
+	if affinity == nil && spread == nil {
 		return nil
 	}
-	s := &Site{tree: t, near: near, survive: survive, tasksOn: map[string]int{}}
-	if near != nil {
-		s.nearCounts = t.NewSpread(near.Level)
+	s := &Site{tree: t, affinity: affinity, spread: spread, tasksOn: map[string]int{}}
+	if affinity != nil {
+		s.affinityCounts = t.NewTaskCounts(affinity.Level)
 	}
-	if survive != nil {
-		s.surviveCounts = t.NewSpread(survive.Level)
+	if spread != nil {
+		s.spreadCounts = t.NewTaskCounts(spread.Level)
 	}
 	return s
 }
@@ -46,7 +47,7 @@
 // Rebased returns a copy of the site for a tree with another version of the topology. The tasks stay on their machines
 // and are counted in the domains of these machines in that version.
 func (s *Site) Rebased(tree *Tree) *Site {
-	next := tree.NewSite(s.near, s.survive)
+	next := tree.NewSite(s.affinity, s.spread)
 	for machine, count := range s.tasksOn {
 		for range count {
 			next.Add(machine)
@@ -58,7 +59,7 @@
 // Add adds a task that runs, or may still run, on a machine.
 func (s *Site) Add(machine string) {
 	s.tasksOn[machine]++
-	for _, counts := range [...]*Spread{s.nearCounts, s.surviveCounts} {
+	for _, counts := range [...]*TaskCounts{s.affinityCounts, s.spreadCounts} {
 		if counts != nil {
 			counts.Add(machine)
 		}
@@ -70,7 +71,7 @@
 	if s.tasksOn[machine]--; s.tasksOn[machine] <= 0 {
 		delete(s.tasksOn, machine)
 	}
-	for _, counts := range [...]*Spread{s.nearCounts, s.surviveCounts} {
+	for _, counts := range [...]*TaskCounts{s.affinityCounts, s.spreadCounts} {
 		if counts != nil {
 			counts.Remove(machine)
 		}
@@ -79,29 +80,29 @@
 
 // unplacedWithAffinity reports whether the job has an affinity and no task yet. A domain is chosen only then: once the
 // job has tasks, Allows and Cost keep further ones in the same failure domain.
-func (s *Site) unplacedWithAffinity() bool { return s.near != nil && s.nearCounts.total == 0 }
+func (s *Site) unplacedWithAffinity() bool { return s.affinity != nil && s.affinityCounts.total == 0 }
 
 // constraint returns what a domain must offer to n additional tasks.
 func (s *Site) constraint(request fleet.Resources, n int, allowed func(machine string) bool) Constraint {
-	return Constraint{Resources: request, Tasks: n, Allowed: allowed, Spread: s.survive}
+	return Constraint{Resources: request, Tasks: n, Allowed: allowed, Spread: s.spread}
 }
 
 // ChooseDomain chooses the domain in which the next n tasks of the job are placed, each of which requests the same
-// resources; allowed reports whether they may run on a machine. If all is set, only a domain in which all of them can
-// start at the same time is chosen; otherwise, if there is none, the one in which the most can start. ChooseDomain
-// returns false if the tasks must wait.
-func (s *Site) ChooseDomain(request fleet.Resources, n int, all bool, allowed func(machine string) bool) bool {
-	s.target, s.nearest, s.shortfall = nil, nil, 0
+// resources; allowed reports whether they may run on a machine. If requireAll is set, only a domain in which all of
+// them can start at the same time is chosen; otherwise, if there is none, the one in which the most can start.
+// ChooseDomain returns false if the tasks must wait.
+func (s *Site) ChooseDomain(request fleet.Resources, n int, requireAll bool, allowed func(machine string) bool) bool {
+	s.target, s.partialDomain, s.shortfall = nil, nil, 0
 	if !s.unplacedWithAffinity() || n == 0 {
 		return true
 	}
-	best, nearest, shortfall := s.tree.Closest(s.near.Level, s.constraint(request, n, allowed))
-	if best == nil && nearest != nil && shortfall < n && !all {
-		best = nearest
+	best, partial, shortfall := s.tree.BestDomain(s.affinity.Level, s.constraint(request, n, allowed))
+	if best == nil && partial != nil && shortfall < n && !requireAll {
+		best = partial
 	}
 	if best == nil {
-		s.nearest, s.shortfall = nearest, shortfall
-		return !s.near.Must
+		s.partialDomain, s.shortfall = partial, shortfall
+		return !s.affinity.Must
 	}
 	s.target = best
 	return true
@@ -109,12 +110,12 @@
 
 // ChooseDomainByPreemption chooses a domain like ChooseDomain, for a job that may preempt others: the domain in which
 // preemption costs the least. The function offer returns the cost of each additional task on a machine, as for
-// Tree.Cheapest. ChooseDomainByPreemption returns false if there is no such domain.
+// Tree.CheapestDomain. ChooseDomainByPreemption returns false if there is no such domain.
 func (s *Site) ChooseDomainByPreemption(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) bool {
 	if !s.unplacedWithAffinity() {
 		return false
 	}
-	s.target = s.tree.Cheapest(s.near.Level, s.constraint(request, n, allowed), offer)
+	s.target = s.tree.CheapestDomain(s.affinity.Level, s.constraint(request, n, allowed), offer)
 	return s.target != nil
 }
 
@@ -125,19 +126,19 @@
 	if !s.unplacedWithAffinity() {
 		return nil, 0
 	}
-	return s.tree.Soonest(s.near.Level, s.constraint(request, n, allowed), offer)
+	return s.tree.SoonestDomain(s.affinity.Level, s.constraint(request, n, allowed), offer)
 }
 
 // Allows reports whether one more task may be placed on a machine. Tasks that may still run count as running, so that
 // no limit is exceeded while tasks move between machines or after a change of leader.
 func (s *Site) Allows(machine string) bool {
-	if s.survive != nil && s.survive.Must && !s.surviveCounts.Allows(machine, s.survive.AtMost) {
+	if s.spread != nil && s.spread.Must && !s.spreadCounts.Allows(machine, s.spread.AtMost) {
 		return false
 	}
 	if s.target != nil && !s.tree.Of(machine).Within(s.target) {
 		return false
 	}
-	return s.near == nil || !s.near.Must || s.nearCounts.CountAt(machine) == s.nearCounts.total
+	return s.affinity == nil || !s.affinity.Must || s.affinityCounts.CountAt(machine) == s.affinityCounts.total
 }
 
 // Cost returns the penalty for placing one more task on a machine that Allows permits; lower is better. A spread adds 1
@@ -145,10 +146,10 @@
 // machine's failure domain.
 func (s *Site) Cost(machine string) float64 {
 	cost := 0.0
-	if s.survive != nil {
-		cost += float64(s.surviveCounts.CountAt(machine))
+	if s.spread != nil {
+		cost += float64(s.spreadCounts.CountAt(machine))
 	}
-	if s.near != nil && s.nearCounts.CountAt(machine) < s.nearCounts.total {
+	if s.affinity != nil && s.affinityCounts.CountAt(machine) < s.affinityCounts.total {
 		cost++
 	}
 	return cost
@@ -158,20 +159,20 @@
 // wait for a domain.
 func (s *Site) Reason() string {
 	switch {
-	case s.near == nil || !s.near.Must || s.target != nil || s.nearCounts.total > 0 || s.shortfall == 0:
+	case s.affinity == nil || !s.affinity.Must || s.target != nil || s.affinityCounts.total > 0 || s.shortfall == 0:
 		return ""
-	case s.nearest == nil:
-		return fmt.Sprintf("no %s has room for any of its tasks", s.near.Level)
+	case s.partialDomain == nil:
+		return fmt.Sprintf("no %s has room for any of its tasks", s.affinity.Level)
 	}
-	return fmt.Sprintf("no %s has room for all of it: %s %q has none for %d", s.near.Level, s.nearest.Level, s.nearest.Name, s.shortfall)
+	return fmt.Sprintf("no %s has room for all of it: %s %q has none for %d", s.affinity.Level, s.partialDomain.Level, s.partialDomain.Name, s.shortfall)
 }
 
 // Infeasible returns a message for users if an affinity and a spread contradict each other, so that no fleet could run
 // so many tasks at the same time, or "" if they do not.
-func Infeasible(near *api.Near, survive *api.Survive, tasks int) string {
-	if near == nil || survive == nil || !near.Must || !survive.Must || levelDepth[survive.Level] > levelDepth[near.Level] || tasks <= survive.AtMost {
+func Infeasible(affinity *api.Near, spread *api.Survive, tasks int) string {
+	if affinity == nil || spread == nil || !affinity.Must || !spread.Must || levelDepth[spread.Level] > levelDepth[affinity.Level] || tasks <= spread.AtMost {
 		return ""
 	}
 	return fmt.Sprintf("must run in one %s, so %d tasks would be in one %s, in which at most %d may run; make one of the two a preference (\"must\": false)",
-		near.Level, tasks, survive.Level, survive.AtMost)
+		affinity.Level, tasks, spread.Level, spread.AtMost)
 }
--- a/topology/spread.go
+++ b/topology/spread.go
@@ -1,37 +1,39 @@
 package topology
 
-// Spread counts the tasks of a job by failure domain at a level. Every task that may still run must be counted until it
-// is known to have ended, including tasks on machines that send no heartbeats and tasks that are being stopped. A
-// Spread is not safe for concurrent use.
-type Spread struct {
+// TaskCounts counts the tasks of a job by failure domain at a level. Every task that may still run must be counted
+// until it is known to have ended, including tasks on machines that send no heartbeats and tasks that are being
+// stopped. A Spread is not safe for concurrent use.
+type TaskCounts struct {
 	tree    *Tree
 	level   string
-	tasksAt map[Place]int
+	tasksAt map[FailureDomain]int
 	total   int
 }
 
-// NewSpread returns a Spread without tasks at a level.
-func (t *Tree) NewSpread(level string) *Spread {
-	return &Spread{tree: t, level: level, tasksAt: map[Place]int{}}
+// NewTaskCounts returns a TaskCounts without tasks at a level.
+func (t *Tree) NewTaskCounts(level string) *TaskCounts {
+	return &TaskCounts{tree: t, level: level, tasksAt: map[FailureDomain]int{}}
 }
 
 // Add adds a task on a machine.
-func (s *Spread) Add(machine string) {
-	s.tasksAt[s.tree.Place(machine, s.level)]++
+func (s *TaskCounts) Add(machine string) {
+	s.tasksAt[s.tree.FailureDomain(machine, s.level)]++
 	s.total++
 }
 
 // Remove removes a task that was added for a machine and is known to have ended.
-func (s *Spread) Remove(machine string) {
-	place := s.tree.Place(machine, s.level)
-	if s.tasksAt[place]--; s.tasksAt[place] <= 0 {
-		delete(s.tasksAt, place)
+func (s *TaskCounts) Remove(machine string) {
+	failureDomain := s.tree.FailureDomain(machine, s.level)
+	if s.tasksAt[failureDomain]--; s.tasksAt[failureDomain] <= 0 {
+		delete(s.tasksAt, failureDomain)
 	}
 	s.total--
 }
 
 // CountAt returns how many tasks are in the failure domain of a machine.
-func (s *Spread) CountAt(machine string) int { return s.tasksAt[s.tree.Place(machine, s.level)] }
+func (s *TaskCounts) CountAt(machine string) int {
+	return s.tasksAt[s.tree.FailureDomain(machine, s.level)]
+}
 
 // Allows reports whether one more task may run on a machine if at most bound tasks may run in one failure domain.
-func (s *Spread) Allows(machine string, bound int) bool { return s.CountAt(machine) < bound }
+func (s *TaskCounts) Allows(machine string, limit int) bool { return s.CountAt(machine) < limit }
--- a/topology/spread_test.go
+++ b/topology/spread_test.go
@@ -12,7 +12,7 @@
 	for _, machine := range []string{"n-1a", "n-1b", "n-2a", "n-3a"} {
 		tree.Set(machine, fleet.Resources{CPUs: 8}, true)
 	}
-	spread := tree.NewSpread(Rack)
+	spread := tree.NewTaskCounts(Rack)
 	spread.Add("n-1a")
 	if spread.Allows("n-1b", 1) || !spread.Allows("n-2a", 1) {
 		t.Fatal("a rack takes more tasks than its bound, or another one fewer")
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -142,9 +142,9 @@
 	})
 }
 
-// Check returns an error that names the machines whose domain is ambiguous, at most tuning.MaxReportedErrors of them,
-// or nil if there are none.
-func (m *Map) Check(machines []string) error {
+// CheckAmbiguity returns an error that names the machines whose domain is ambiguous, at most tuning.MaxReportedErrors
+// of them, or nil if there are none.
+func (m *Map) CheckAmbiguity(machines []string) error {
 	var mistakes []error
 	for _, name := range machines {
 		if _, ambiguous := m.Of(name); ambiguous && len(mistakes) < tuning.MaxReportedErrors {
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -53,7 +53,7 @@
 
 func TestCheckNamesAmbiguousMachines(t *testing.T) {
 	topology := mustParse(t, "version=1\n[[domain]]\nname='a'\nlevel='rack'\nmachines=['n*']\n[[domain]]\nname='b'\nlevel='rack'\nmachines=['n-1']\n")
-	err := topology.Check([]string{"n-1", "n-2"})
+	err := topology.CheckAmbiguity([]string{"n-1", "n-2"})
 	if err == nil || !strings.Contains(err.Error(), `"n-1"`) || strings.Contains(err.Error(), `"n-2"`) {
 		t.Errorf("error %v, want one that names only n-1", err)
 	}
--- a/topology/tree.go
+++ b/topology/tree.go
@@ -159,21 +159,21 @@
 	return nil
 }
 
-// Place is the failure domain of a machine at a level: a domain or, if no domain at that level contains the machine,
-// the machine itself. Two machines share a failure domain if and only if their values are equal.
-type Place struct {
+// FailureDomain is the failure domain of a machine at a level: a domain or, if no domain at that level contains the
+// machine, the machine itself. Two machines share a failure domain if and only if their values are equal.
+type FailureDomain struct {
 	Domain  *Domain
 	Machine string
 }
 
-// Place returns the failure domain of a machine at a level.
-func (t *Tree) Place(machine, level string) Place {
+// FailureDomain returns the failure domain of a machine at a level. The machine need not be in the tree.
+func (t *Tree) FailureDomain(machine, level string) FailureDomain {
 	if level != Machine {
 		if domain := t.Of(machine).Ancestor(level); domain != nil {
-			return Place{Domain: domain}
+			return FailureDomain{Domain: domain}
 		}
 	}
-	return Place{Machine: machine}
+	return FailureDomain{Machine: machine}
 }
 
 // Free returns the total free resources of a domain's usable machines.
--- a/topology/tree_test.go
+++ b/topology/tree_test.go
@@ -20,7 +20,7 @@
 		// A machine without a domain of the level is a failure domain of its own.
 		{"n-3a", Switch, "machine n-3a"}, {"x-1", Zone, "machine x-1"}, {"n-1a", Machine, "machine n-1a"},
 	} {
-		place := tree.Place(testCase.machine, testCase.level)
+		place := tree.FailureDomain(testCase.machine, testCase.level)
 		got := Machine + " " + place.Machine
 		if place.Domain != nil {
 			got = place.Domain.Level + " " + place.Domain.Name
