--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// tasks returns the tasks from one number up to, and without, another.
+// tasks returns the tasks numbered from `from` up to, but not including, `to`.
 func tasks(from, to int) (list []int32) {
 	for t := from; t < to; t++ {
 		list = append(list, int32(t))
@@ -25,7 +25,7 @@
 	}
 }
 
-// flatCost is the same for every group and server.
+// flatCost is an InputCost that is the same for every group and server, without a limit of the copy rate.
 type flatCost struct{ slots int }
 
 func (f flatCost) Slots(int, int) int { return f.slots }
@@ -33,13 +33,13 @@
 func (f flatCost) Rate(int) float64   { return math.Inf(1) }
 func (f flatCost) Took(int, int, int) {}
 
-// slowLinkCost has links that bring one task's inputs a slot.
+// slowLinkCost is a flatCost with links that copy the inputs of one task per slot.
 type slowLinkCost struct{ flatCost }
 
 func (slowLinkCost) Rate(int) float64 { return 1 }
 
-// Tasks whose inputs no server holds are one group, but each needs inputs of its own. Two tasks must not be assigned to
-// one idle machine, which copies for one after the other, while other machines are idle.
+// Tasks whose inputs no server holds form one group, although their inputs may differ. A machine copies the inputs of
+// one task after the other, so two tasks must not be assigned to one idle machine while other machines are idle.
 func TestTasksThatNeedCopiesSpreadOverMachines(t *testing.T) {
 	servers := make([]Server, 4)
 	for i := range servers {
@@ -47,12 +47,12 @@
 	}
 	for _, s := range FillGroups(servers, []Group{{Tasks: tasks(0, 4)}}, slowLinkCost{flatCost{1}}, 64) {
 		if len(s.Tasks) != 1 {
-			t.Fatalf("%d tasks wait for one link", len(s.Tasks))
+			t.Fatalf("%d tasks whose inputs must be copied are assigned to one server, want 1", len(s.Tasks))
 		}
 	}
 }
 
-// A machine without the inputs takes part once their holders are busy for longer than copying takes, and not before.
+// A machine without the inputs gets tasks only if their holders are busy for longer than copying the inputs takes.
 func TestMachineWithoutInputsIsUsedOnlyIfCopyingIsSooner(t *testing.T) {
 	for _, testCase := range []struct{ copySlots, wantAway int }{{100, 0}, {2, 8}} {
 		servers := []Server{{Busy: 10, Mu: 1}, {Busy: 0, Mu: 1}}
@@ -72,7 +72,8 @@
 	}
 }
 
-// However many groups are filled at once, each task is assigned to exactly one server, and without copying to a holder.
+// Whatever the number of water-filled groups, each task is assigned to exactly one server, which is a holder of its
+// inputs if there is no InputCost.
 func TestEveryTaskIsPlacedOnceAndOnAHolder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 300 {
@@ -114,8 +115,9 @@
 	}
 }
 
-// BenchmarkFleet measures one decision at scale: a job of 1,000 tasks whose inputs have up to three holders each, in 64
-// groups by water-filling, or scattered over 1,000 groups, of which all but 64 are placed one by one.
+// BenchmarkFleet measures one decision for a job of 1,000 tasks whose inputs have up to three holders each. The tasks
+// are either in 64 groups, all of which are water-filled, or in up to 1,000 groups, of which all but 64 are placed task
+// by task.
 func BenchmarkFleet(b *testing.B) {
 	for _, machines := range []int{250, 500, 1000, 2000} {
 		for _, kind := range []string{"groups=64", "scattered"} {
--- a/placement/optimum_test.go
+++ b/placement/optimum_test.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// network is a flow network; maxFlow pushes flow along shortest paths (Dinic's algorithm).
+// network is a flow network, given as the edges from each node. Its maximum flow is computed with Dinic's algorithm.
 type network struct {
 	edges [][]edge
 }
 
-// edge leads to a node and has a residual capacity; back is the index of the reverse edge at that node.
+// edge is an edge to a node with its residual capacity; back is the index of the reverse edge at that node.
 type edge struct{ to, back, capacity int }
 
 func (n *network) addEdge(from, to, capacity int) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// distances returns one plus the number of edges from the source to each node; 0: it is not reached.
+// distances returns, by node, one plus the least number of edges from the source to it, or 0 if it is not reachable.
 func (n *network) distances(source int) []int {
 	distance := make([]int, len(n.edges))
 	distance[source] = 1
@@ -47,8 +47,8 @@
 	return distance
 }
 
-// push sends at most so much flow from a node to the sink on one path along growing distances, and returns how much.
-// Next is, by node, the first edge that may lead on.
+// push sends flow up to a limit from a node to the sink along one shortest path, and returns its amount. Next holds, by
+// node, the index of the first edge that may still lie on such a path.
 func (n *network) push(node, sink, limit int, distance, next []int) int {
 	if node == sink {
 		return limit
@@ -67,9 +67,9 @@
 	return 0
 }
 
-// optimalLevel returns the least level at which a job's groups flow to their holders within (level-b)*mu tasks each, and
-// the tasks of each server. Two groups may share a slot, which the paper's program (4) does not let them, so this is
-// its exact optimum or below.
+// optimalLevel returns the least level at which all tasks of a job's groups can be assigned to holders with at most
+// (level-b)*mu tasks for each server, and how many tasks each server then gets. Groups may share a slot of a server,
+// which the paper's program (4) does not allow, so the result is at most the exact optimum of that program.
 func optimalLevel(servers []Server, groups []Group) (level int, used []int) {
 	all := 0
 	low, high := 0, 0
@@ -97,8 +97,8 @@
 	return low, used
 }
 
-// flowWithin returns the tasks of each server if the groups flow to their holders within a level, and whether all tasks
-// do.
+// flowWithin assigns as many of the groups' tasks as possible to holders within a level, as a maximum flow. It returns
+// how many tasks each server gets, and whether all tasks are assigned.
 func flowWithin(servers []Server, groups []Group, tasks, level int) (used []int, ok bool) {
 	source, sink := len(groups)+len(servers), len(groups)+len(servers)+1
 	flow := network{make([][]edge, sink+1)}
--- a/placement/paper_test.go
+++ b/placement/paper_test.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// paperJob is a job of the paper's experiment (section V): when it arrives, in slots, its groups, and mu of each server.
+// paperJob is a job of the paper's experiment (section V): its arrival time in slots, its groups, and its mu by server.
 type paperJob struct {
 	arrival float64
 	groups  []Group
 	mu      []float64
 }
 
-// paperJobs draws 250 jobs of about 113,000 tasks in 5.5 groups each for 100 servers. The paper cuts them out of a
-// published trace; here sizes are drawn with a long tail instead. Alpha is the skew of the groups' first holder, load the
-// share of the servers that the jobs need on average, and holders the least and the largest number of holders.
+// paperJobs generates 250 jobs for 100 servers, with about 113,000 tasks in total and 5.5 groups per job on average.
+// The paper takes its jobs from a published trace; here, the sizes of the groups are drawn from a log-normal
+// distribution. Alpha is the Zipf exponent of the choice of a group's first holder, load the mean utilization of the
+// servers, and holders the smallest and the largest number of holders of a group.
 func paperJobs(seed uint64, alpha, load float64, holders [2]int) []paperJob {
 	const servers, jobs, total = 100, 250, 113_653
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -71,9 +72,9 @@
 	return out
 }
 
-// simulateQueues runs the jobs through first-in-first-out queues. It returns the mean completion time in slots by
-// water-filling, the mean of what the optimum would have reached at each arrival with the same backlog (0 without an
-// optimum), and the time of a decision.
+// simulateQueues assigns the jobs by water-filling, in the order of arrival, to servers with first-in-first-out queues.
+// It returns the mean completion time in slots, the mean of the completion times that the function optimum computes at
+// each arrival for the same queues (0 if optimum is nil), and the mean time that a decision of the water-filling takes.
 func simulateQueues(jobs []paperJob, optimum func(servers []Server, groups []Group) (int, []int)) (mean, best float64, each time.Duration) {
 	busyUntil := make([]float64, 100)
 	for _, job := range jobs {
@@ -101,8 +102,9 @@
 	return mean, best, each / time.Duration(len(jobs))
 }
 
-// This is the paper's own experiment, against the exact optimum of each arrival: in the paper's Table I water-filling is
-// 1 to 5% behind. The table of docs/data.md has the figures.
+// This repeats the paper's experiment and compares water-filling with the exact optimum at each arrival. In the paper's
+// Table I, the completion times of water-filling are 1 to 5% above the optimum. The table of docs/data.md has the
+// figures.
 func TestPaperWithinThreePercent(t *testing.T) {
 	for _, load := range []float64{0.25, 0.5, 0.75} {
 		for _, alpha := range []float64{0, 1, 2} {
@@ -119,8 +121,8 @@
 	}
 }
 
-// BenchmarkPaper measures the same by the number of holders, as in the paper's Table I (load 0.75, alpha 2): "slots" is
-// the mean completion time, and "behind" the part by which it is above the optimum.
+// BenchmarkPaper measures water-filling by the number of holders, as in the paper's Table I (load 0.75, alpha 2). The
+// metric "slots" is the mean completion time, and "behind" the fraction by which it exceeds the optimum.
 func BenchmarkPaper(b *testing.B) {
 	for _, p := range []int{4, 6, 8, 10, 12} {
 		b.Run(fmt.Sprintf("holders=%d", p), func(b *testing.B) {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// With b = 0, 2, 5, mu = 2, 1, 4 and ten tasks, the servers cover 6+1+0 = 7 at level 3, and 8+2 = 10 at level 4.
+// With b = 0, 2, 5, mu = 2, 1, 4 and ten tasks, the servers finish 6+1+0 = 7 tasks by level 3, and 8+2+0 = 10 by level
+// 4.
 func TestFillMatchesWorkedExample(t *testing.T) {
 	servers := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
 	if l, ok := Level(servers, 10); !ok || l != 4 {
@@ -25,8 +26,9 @@
 	}
 }
 
-// Ten tasks that last 12 slots are assigned to three idle machines that run four at once, not one each to ten machines: a
-// machine with one small task cannot take a large one. A machine above the level still gets none.
+// Ten tasks that last 12 slots are assigned to three idle machines that run four tasks at once, not to ten machines
+// with one task each, since a machine with one small task may lack the resources for a large one. A machine above the
+// level gets none.
 func TestFillUsesFreeSlotsOfOneMachineFirst(t *testing.T) {
 	var servers []Server
 	for range 12 {
@@ -50,7 +52,8 @@
 	}
 }
 
-// The binary search finds what trying every level in turn finds, and the shares add up, with none above the level.
+// Level agrees with a linear search over the levels. The shares of Fill add up to the number of tasks, and no server
+// works beyond the level.
 func TestLevelAndFillAgainstBruteForce(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
@@ -93,7 +96,7 @@
 	}
 }
 
-// The search begins between two bounds; the level is the least one all the same.
+// The bounds between which Level searches must not exclude the least level that covers the tasks.
 func TestLevelIsTheLeastThatCovers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 3000 {
--- a/topology/constraint_test.go
+++ b/topology/constraint_test.go
@@ -8,7 +8,7 @@
 	"switchferry/fleet"
 )
 
-// Closest agrees with a search that asks every machine of every domain.
+// BestDomain agrees with a search that visits every machine of every domain.
 func TestClosestAgainstBruteForce(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 5))
--- a/topology/declaration_test.go
+++ b/topology/declaration_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// FuzzTopology checks that every accepted declaration is a tree, in which each parent is on an outer level, and can be used.
+// FuzzTopology checks that the domains of every accepted declaration form a tree in which each parent is at an outer
+// level, and that a Tree can be built and searched with it.
 func FuzzTopology(f *testing.F) {
 	f.Add([]byte(smallTopology))
 	f.Add([]byte("version=1\n[[domain]]\nname='a'\nlevel='rack'\nin='b'\n[[domain]]\nname='b'\nlevel='zone'\nmachines=['*']\n"))
@@ -60,7 +61,7 @@
 		for _, domain := range topology.Domains() {
 			for ancestor, steps := domain, 0; ancestor.Parent != nil; ancestor, steps = ancestor.Parent, steps+1 {
 				if steps > len(levelDepth) || levelDepth[ancestor.Parent.Level] >= levelDepth[ancestor.Level] {
-					t.Fatalf("the parent of %s is %s", ancestor.Name, ancestor.Parent.Name)
+					t.Fatalf("the parent of %s is %s, which is not at an outer level", ancestor.Name, ancestor.Parent.Name)
 				}
 			}
 		}
--- a/topology/example_test.go
+++ b/topology/example_test.go
@@ -7,7 +7,7 @@
 	"switchferry/topology"
 )
 
-// Two racks of one zone: the tasks of a gang that must run in one rack fit only into the second.
+// A zone has two racks. The tasks of a gang must run in one rack, and only the second rack has enough free resources.
 func Example() {
 	declared, err := topology.Parse([]byte(`version = 1
 
--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A file that is changed while it is in use and has a mistake leaves the current version in use, and is reported once.
+// If a file becomes invalid or is removed while it is in use, the current version stays in use and the error is
+// reported once.
 func TestChangedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "topology.toml")
 	write := func(text string) {
@@ -33,14 +34,14 @@
 			t.Errorf("%s: topology %v and error %v, want none and one with %q", testCase.name, topology, err, testCase.want)
 		}
 		if topology, err := file.Reload(); topology != nil || err != nil || file.Map().Version() != 3 {
-			t.Errorf("%s: reported twice, or in use: %v", testCase.name, err)
+			t.Errorf("%s: reported twice, or the invalid version is in use: %v", testCase.name, err)
 		}
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := file.Reload(); err == nil || file.Map().Version() != 3 {
-		t.Error("a file that is gone is not reported, or its version is no longer in use")
+		t.Error("a removed file is not reported, or its version is no longer in use")
 	}
 	write("version = 4\n" + rack)
 	if topology, err := file.Reload(); err != nil || topology == nil || file.Map().Version() != 4 {
--- a/topology/reservations_test.go
+++ b/topology/reservations_test.go
@@ -27,8 +27,8 @@
 	}{
 		{"the same domain for another job", "other", "s1", false},
 		{"a domain within it", "other", "r1", false},
-		{"a domain around it", "other", "west", false},
-		{"a domain beside it", "other", "r3", true},
+		{"a domain that contains it", "other", "west", false},
+		{"a separate domain", "other", "r3", true},
 		{"another domain for the same job", "job", "r1", true},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// A renewed reservation is not needed later than before, but never in the past. One that is not renewed expires.
+// A renewal does not postpone the time at which the domain is needed, unless that time has passed. A reservation that
+// is not renewed expires.
 func TestReservationIsRenewedAndExpires(t *testing.T) {
 	rack := domainOf(t, mustParse(t, smallTopology), "r1")
 	start := time.Unix(1_800_000_000, 0)
@@ -63,7 +64,7 @@
 		}
 	}
 	if reservations.Expire(start.Add(4*time.Second + tuning.ReservedFor)); reservations.Any() {
-		t.Error("a reservation that was not renewed is held")
+		t.Error("a reservation that was not renewed has not expired")
 	}
 }
 
--- a/topology/search_test.go
+++ b/topology/search_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Machines that turn out to be of no use must not be followed by more at once, or for ever: a service that needs a third
-// rack where there are two would rent all machines of the cloud.
+// If new machines are in the wrong failure domain too, further ones must not be requested immediately or without limit.
+// Otherwise, a service that needs three racks where only two exist would rent all machines of the cloud.
 func TestSeekGivesUpAndTriesAgainLater(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	const boot = 50 * time.Second
@@ -21,7 +21,7 @@
 			supply = target
 		}
 		if target == 0 && last > 0 {
-			// The machines that were of no use are returned.
+			// The new machines, which cannot run the tasks, are returned.
 			supply = 100
 		}
 		last = target
@@ -34,6 +34,6 @@
 		t.Errorf("%d attempts in two hours, want 4 to 7", attempts)
 	}
 	if search.TargetCPUs(now, 0, supply, boot) != 0 || search.TargetCPUs(now, 8, 100, boot) != 108 {
-		t.Error("once no task is stranded, the search must start anew")
+		t.Error("once no task is stranded, the next attempt must begin without a pause")
 	}
 }
--- a/topology/site_test.go
+++ b/topology/site_test.go
@@ -7,7 +7,7 @@
 	"switchferry/fleet"
 )
 
-// siteTree returns a tree of smallTopology with so many free CPUs on one machine in each of its three racks.
+// siteTree returns a tree of smallTopology with one machine in each of its three racks, with the given free CPUs.
 func siteTree(t *testing.T, rack1, rack2, rack3 float64) *Tree {
 	t.Helper()
 	tree := NewTree(mustParse(t, smallTopology))
@@ -33,12 +33,12 @@
 		wantAllowed  []string
 		wantReason   string
 	}{
-		{"a rack for all", api.Near{Level: Rack, Must: true}, 1, 4, true, true, []string{"n-20"}, ""},
-		{"none for all", api.Near{Level: Rack, Must: true}, 1, 3, true, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r2" has none for 1`},
-		{"none for all, and some are enough", api.Near{Level: Rack, Must: true}, 1, 3, false, true, []string{"n-20"}, ""},
-		{"none for all, and it is no must", api.Near{Level: Rack}, 1, 3, true, true, []string{"n-10", "n-20", "n-30"}, ""},
-		{"none for any", api.Near{Level: Rack, Must: true}, 0, 0, false, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r1" has none for 4`},
-		{"a switch for all", api.Near{Level: Switch, Must: true}, 2, 2, true, true, []string{"n-10", "n-20"}, ""},
+		{"a rack has resources for all tasks", api.Near{Level: Rack, Must: true}, 1, 4, true, true, []string{"n-20"}, ""},
+		{"no rack has resources for all tasks", api.Near{Level: Rack, Must: true}, 1, 3, true, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r2" has none for 1`},
+		{"no rack has resources for all tasks, which need not start together", api.Near{Level: Rack, Must: true}, 1, 3, false, true, []string{"n-20"}, ""},
+		{"no rack has resources for all tasks, and the affinity is a preference", api.Near{Level: Rack}, 1, 3, true, true, []string{"n-10", "n-20", "n-30"}, ""},
+		{"no rack has resources for any task", api.Near{Level: Rack, Must: true}, 0, 0, false, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r1" has none for 4`},
+		{"a switch has resources for all tasks", api.Near{Level: Switch, Must: true}, 2, 2, true, true, []string{"n-10", "n-20"}, ""},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			site := siteTree(t, testCase.rack1, testCase.rack2, 0).NewSite(&testCase.near, nil)
@@ -82,30 +82,30 @@
 	}
 }
 
-// Further tasks stay near the first one, and count against the bound of a spread until they are removed, also on a new
-// version of the topology.
+// An affinity keeps further tasks in the failure domain of the first one. With a spread, tasks count towards the limit
+// until they are removed, also after a change to another version of the topology.
 func TestSiteCountsTasksOnMachines(t *testing.T) {
 	tree := siteTree(t, 8, 8, 8)
 	near := tree.NewSite(&api.Near{Level: Switch, Must: true}, nil)
 	near.Add("n-10")
 	if !near.Allows("n-20") || near.Allows("n-30") {
-		t.Error("a task is not kept under the switch of the first one")
+		t.Error("a second task may run under another switch than the first one, or not under the same one")
 	}
 	spread := tree.NewSite(nil, &api.Survive{Level: Rack, AtMost: 1, Must: true})
 	spread.Add("n-10")
 	if spread.Allows("n-10") || !spread.Allows("n-20") {
-		t.Error("a rack takes more tasks than its bound, or another one fewer")
+		t.Error("a rack may exceed the limit, or another rack may not reach it")
 	}
 	if spread.Cost("n-10") != 1 || spread.Cost("n-20") != 0 {
 		t.Errorf("costs %v and %v, want 1 and 0", spread.Cost("n-10"), spread.Cost("n-20"))
 	}
 	moved := mustParse(t, "version = 4\n[[domain]]\nname = \"r9\"\nlevel = \"rack\"\nmachines = [\"n-10\", \"n-20\"]\n")
 	if rebased := spread.Rebased(tree.Rebased(moved)); rebased.Allows("n-20") || !rebased.Allows("n-30") {
-		t.Error("the task does not count in its rack of the new version")
+		t.Error("the task does not count in its rack in the new version of the topology")
 	}
 	spread.Remove("n-10")
 	if !spread.Allows("n-10") {
-		t.Error("a task that was removed counts")
+		t.Error("a task that was removed still counts")
 	}
 }
 
@@ -124,7 +124,7 @@
 		{"more tasks in one rack than a switch may have", rack, two, 3, true},
 		{"few enough tasks", rack, two, 2, false},
 		{"several switches in one zone", zone, two, 9, false},
-		{"the affinity is no must", &api.Near{Level: Rack}, two, 9, false},
+		{"the affinity is a preference", &api.Near{Level: Rack}, two, 9, false},
 	} {
 		if got := Infeasible(testCase.near, testCase.survive, testCase.tasks) != ""; got != testCase.want {
 			t.Errorf("%s: infeasible %v, want %v", testCase.name, got, testCase.want)
--- a/topology/spread.go
+++ b/topology/spread.go
@@ -2,7 +2,7 @@
 
 // TaskCounts counts the tasks of a job by failure domain at a level. Every task that may still run must be counted
 // until it is known to have ended, including tasks on machines that send no heartbeats and tasks that are being
-// stopped. A Spread is not safe for concurrent use.
+// stopped. A TaskCounts is not safe for concurrent use.
 type TaskCounts struct {
 	tree    *Tree
 	level   string
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// smallTopology has two racks under one switch, and one without a switch.
+// smallTopology has one zone with two racks under one switch and one rack without a switch.
 const smallTopology = `version = 3
 [[domain]]
 name = "west"
--- a/topology/tree_test.go
+++ b/topology/tree_test.go
@@ -17,7 +17,7 @@
 	}
 	for _, testCase := range []struct{ machine, level, want string }{
 		{"n-1a", Rack, "rack r1"}, {"n-1a", Switch, "switch s1"}, {"n-2a", Switch, "switch s1"}, {"n-3a", Zone, "zone west"},
-		// A machine without a domain of the level is a failure domain of its own.
+		// A machine that is in no domain of the level is a failure domain of its own.
 		{"n-3a", Switch, "machine n-3a"}, {"x-1", Zone, "machine x-1"}, {"n-1a", Machine, "machine n-1a"},
 	} {
 		place := tree.FailureDomain(testCase.machine, testCase.level)
@@ -34,8 +34,7 @@
 	}
 }
 
-// Machines are set and removed at random, and the tree is rebased; the totals of each domain are always those of its
-// machines.
+// After any sequence of Set, Remove and Rebased, the totals of each domain equal those computed from its machines.
 func TestDomainTotalsAgreeWithMachines(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
