--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -16,7 +16,7 @@
 	return list
 }
 
-func TestGroupsByHoldersFewestFirst(t *testing.T) {
+func TestGroupsAreOrderedByNumberOfHolders(t *testing.T) {
 	holders := [][]int32{{1, 2}, {0}, {1, 2}, nil, {0, 1, 2}}
 	got := Groups(tasks(0, 5), func(t int32) []int32 { return holders[t] })
 	want := []Group{{[]int32{3}, nil}, {[]int32{1}, []int32{0}}, {[]int32{0, 2}, []int32{1, 2}}, {[]int32{4}, []int32{0, 1, 2}}}
@@ -40,7 +40,7 @@
 
 // Tasks whose inputs no server holds form one group, although their inputs may differ. A machine copies the inputs of
 // one task after the other, so two tasks must not be assigned to one idle machine while other machines are idle.
-func TestTasksThatNeedCopiesSpreadOverMachines(t *testing.T) {
+func TestTasksWithMissingInputsAreSpreadOverMachines(t *testing.T) {
 	servers := make([]Server, 4)
 	for i := range servers {
 		servers[i] = Server{Mu: 4, Free: 4}
@@ -54,27 +54,27 @@
 
 // A machine without the inputs gets tasks only if their holders are busy for longer than copying the inputs takes.
 func TestMachineWithoutInputsIsUsedOnlyIfCopyingIsSooner(t *testing.T) {
-	for _, testCase := range []struct{ copySlots, wantAway int }{{100, 0}, {2, 8}} {
+	for _, testCase := range []struct{ copySlots, wantRemoteTasks int }{{100, 0}, {2, 8}} {
 		servers := []Server{{Busy: 10, Mu: 1}, {Busy: 0, Mu: 1}}
 		groups := []Group{{tasks(0, 10), []int32{0}}}
-		away := 0
+		remoteTasks := 0
 		for _, s := range FillGroups(servers, groups, flatCost{testCase.copySlots}, 64) {
 			if s.Server == 1 {
-				away += len(s.Tasks)
+				remoteTasks += len(s.Tasks)
 			}
 		}
-		if (away > 0) != (testCase.wantAway > 0) || away < testCase.wantAway {
-			t.Errorf("copying takes %d slots: %d tasks on the machine without inputs", testCase.copySlots, away)
+		if (remoteTasks > 0) != (testCase.wantRemoteTasks > 0) || remoteTasks < testCase.wantRemoteTasks {
+			t.Errorf("copying takes %d slots: %d tasks on the machine without inputs", testCase.copySlots, remoteTasks)
 		}
-		if testCase.wantAway > 0 && servers[1].Busy != away {
-			t.Errorf("the machine that copies is busy for %d slots with %d tasks", servers[1].Busy, away)
+		if testCase.wantRemoteTasks > 0 && servers[1].Busy != remoteTasks {
+			t.Errorf("the machine that copies is busy for %d slots with %d tasks", servers[1].Busy, remoteTasks)
 		}
 	}
 }
 
 // Whatever the number of water-filled groups, each task is assigned to exactly one server, which is a holder of its
 // inputs if there is no InputCost.
-func TestEveryTaskIsPlacedOnceAndOnAHolder(t *testing.T) {
+func TestFillGroupsAssignsEveryTaskOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 300 {
 		servers := make([]Server, 1+rng.IntN(30))
--- a/placement/optimum_test.go
+++ b/placement/optimum_test.go
@@ -37,10 +37,10 @@
 	distance := make([]int, len(n.edges))
 	distance[source] = 1
 	for queue := []int{source}; len(queue) > 0; queue = queue[1:] {
-		for _, e := range n.edges[queue[0]] {
-			if e.capacity > 0 && distance[e.to] == 0 {
-				distance[e.to] = distance[queue[0]] + 1
-				queue = append(queue, e.to)
+		for _, edge := range n.edges[queue[0]] {
+			if edge.capacity > 0 && distance[edge.to] == 0 {
+				distance[edge.to] = distance[queue[0]] + 1
+				queue = append(queue, edge.to)
 			}
 		}
 	}
@@ -70,36 +70,36 @@
 // optimalLevel returns the least level at which all tasks of a job's groups can be assigned to holders with at most
 // (level-b)*mu tasks for each server, and how many tasks each server then gets. Groups may share a slot of a server,
 // which the paper's program (4) does not allow, so the result is at most the exact optimum of that program.
-func optimalLevel(servers []Server, groups []Group) (level int, used []int) {
-	all := 0
+func optimalLevel(servers []Server, groups []Group) (level int, tasksByServer []int) {
+	tasks := 0
 	low, high := 0, 0
-	for _, g := range groups {
-		all += len(g.Tasks)
+	for _, group := range groups {
+		tasks += len(group.Tasks)
 		var holders []Server
-		for _, i := range g.Holders {
+		for _, i := range group.Holders {
 			holders = append(holders, servers[i])
 		}
-		x, _ := Level(holders, len(g.Tasks)) // (6)
-		low = max(low, x)
+		groupLevel, _ := Level(holders, len(group.Tasks)) // (6)
+		low = max(low, groupLevel)
 	}
 	for _, server := range servers {
-		high = max(high, server.Busy+ceil(float64(all)/server.Mu))
+		high = max(high, server.Busy+ceil(float64(tasks)/server.Mu))
 	}
 	for low < high {
 		middle := (low + high) / 2
-		if _, ok := flowWithin(servers, groups, all, middle); ok {
+		if _, ok := flowWithin(servers, groups, tasks, middle); ok {
 			high = middle
 		} else {
 			low = middle + 1
 		}
 	}
-	used, _ = flowWithin(servers, groups, all, low)
-	return low, used
+	tasksByServer, _ = flowWithin(servers, groups, tasks, low)
+	return low, tasksByServer
 }
 
 // flowWithin assigns as many of the groups' tasks as possible to holders within a level, as a maximum flow. It returns
 // how many tasks each server gets, and whether all tasks are assigned.
-func flowWithin(servers []Server, groups []Group, tasks, level int) (used []int, ok bool) {
+func flowWithin(servers []Server, groups []Group, tasks, level int) (tasksByServer []int, ok bool) {
 	source, sink := len(groups)+len(servers), len(groups)+len(servers)+1
 	flow := network{make([][]edge, sink+1)}
 	for groupIndex := range groups {
@@ -112,11 +112,11 @@
 		flow.addEdge(len(groups)+i, sink, int(float64(max(0, level-server.Busy))*server.Mu))
 	}
 	ok = flow.maxFlow(source, sink) == tasks
-	used = make([]int, len(servers))
+	tasksByServer = make([]int, len(servers))
 	for i := range servers {
 		edges := flow.edges[len(groups)+i]
 		toSink := edges[len(edges)-1]
-		used[i] = flow.edges[sink][toSink.back].capacity
+		tasksByServer[i] = flow.edges[sink][toSink.back].capacity
 	}
-	return used, ok
+	return tasksByServer, ok
 }
--- a/placement/paper_test.go
+++ b/placement/paper_test.go
@@ -23,59 +23,59 @@
 func paperJobs(seed uint64, alpha, load float64, holders [2]int) []paperJob {
 	const servers, jobs, total = 100, 250, 113_653
 	rng := rand.New(rand.NewPCG(seed, 7))
-	out := make([]paperJob, jobs)
-	weight := make([][]float64, jobs)
-	sum := 0.0
-	for jobIndex := range out {
+	result := make([]paperJob, jobs)
+	weights := make([][]float64, jobs)
+	totalWeight := 0.0
+	for jobIndex := range result {
 		n := 1
 		for n < 25 && rng.Float64() > 1/5.52 {
 			n++
 		}
 		for range n {
 			groupWeight := math.Exp(rng.NormFloat64() * 1.4)
-			weight[jobIndex] = append(weight[jobIndex], groupWeight)
-			sum += groupWeight
+			weights[jobIndex] = append(weights[jobIndex], groupWeight)
+			totalWeight += groupWeight
 		}
 	}
 	zipf := make([]float64, servers)
-	norm := 0.0
+	totalZipf := 0.0
 	for i := range zipf {
 		zipf[i] = math.Pow(float64(i+1), -alpha)
-		norm += zipf[i]
+		totalZipf += zipf[i]
 	}
-	span := total / (servers * 4 * load)
+	duration := total / (servers * 4 * load)
 	arrival := 0.0
-	for jobIndex := range out {
-		arrival += rng.ExpFloat64() * span / jobs
-		out[jobIndex].arrival = arrival
+	for jobIndex := range result {
+		arrival += rng.ExpFloat64() * duration / jobs
+		result[jobIndex].arrival = arrival
 		for range servers {
-			out[jobIndex].mu = append(out[jobIndex].mu, float64(3+rng.IntN(3)))
+			result[jobIndex].mu = append(result[jobIndex].mu, float64(3+rng.IntN(3)))
 		}
 		task := 0
-		for _, groupWeight := range weight[jobIndex] {
-			first, x := 0, rng.Float64()*norm
-			for x > zipf[first] && first < servers-1 {
-				x -= zipf[first]
+		for _, groupWeight := range weights[jobIndex] {
+			first, remaining := 0, rng.Float64()*totalZipf
+			for remaining > zipf[first] && first < servers-1 {
+				remaining -= zipf[first]
 				first++
 			}
-			var on []int32
+			var groupHolders []int32
 			for i := range holders[0] + rng.IntN(holders[1]-holders[0]+1) {
-				on = append(on, int32((first+i)%servers))
+				groupHolders = append(groupHolders, int32((first+i)%servers))
 			}
-			slices.Sort(on)
-			n := max(1, int(math.Round(groupWeight/sum*total)))
-			out[jobIndex].groups = append(out[jobIndex].groups, Group{tasks(task, task+n), on})
+			slices.Sort(groupHolders)
+			n := max(1, int(math.Round(groupWeight/totalWeight*total)))
+			result[jobIndex].groups = append(result[jobIndex].groups, Group{tasks(task, task+n), groupHolders})
 			task += n
 		}
-		slices.SortStableFunc(out[jobIndex].groups, func(a, b Group) int { return len(a.Holders) - len(b.Holders) })
+		slices.SortStableFunc(result[jobIndex].groups, func(a, b Group) int { return len(a.Holders) - len(b.Holders) })
 	}
-	return out
+	return result
 }
 
 // simulateQueues assigns the jobs by water-filling, in the order of arrival, to servers with first-in-first-out queues.
 // It returns the mean completion time in slots, the mean of the completion times that the function optimum computes at
 // each arrival for the same queues (0 if optimum is nil), and the mean time that a decision of the water-filling takes.
-func simulateQueues(jobs []paperJob, optimum func(servers []Server, groups []Group) (int, []int)) (mean, best float64, each time.Duration) {
+func simulateQueues(jobs []paperJob, optimum func(servers []Server, groups []Group) (int, []int)) (meanCompletion, meanOptimum float64, decisionTime time.Duration) {
 	busyUntil := make([]float64, 100)
 	for _, job := range jobs {
 		servers := make([]Server, len(busyUntil))
@@ -85,37 +85,37 @@
 		before := slices.Clone(servers)
 		began := time.Now()
 		FillGroups(servers, job.groups, nil, len(job.groups))
-		each += time.Since(began)
-		done := 0
+		decisionTime += time.Since(began)
+		completion := 0
 		for i, server := range servers {
 			if server.Busy > before[i].Busy {
-				done = max(done, server.Busy)
+				completion = max(completion, server.Busy)
 				busyUntil[i] = max(busyUntil[i], job.arrival+float64(server.Busy))
 			}
 		}
-		mean += float64(done) / float64(len(jobs))
+		meanCompletion += float64(completion) / float64(len(jobs))
 		if optimum != nil {
 			level, _ := optimum(before, job.groups)
-			best += float64(level) / float64(len(jobs))
+			meanOptimum += float64(level) / float64(len(jobs))
 		}
 	}
-	return mean, best, each / time.Duration(len(jobs))
+	return meanCompletion, meanOptimum, decisionTime / time.Duration(len(jobs))
 }
 
 // This repeats the paper's experiment and compares water-filling with the exact optimum at each arrival. In the paper's
 // Table I, the completion times of water-filling are 1 to 5% above the optimum. The table of docs/data.md has the
 // figures.
-func TestPaperWithinThreePercent(t *testing.T) {
+func TestWaterFillingWithinThreePercentOfOptimum(t *testing.T) {
 	for _, load := range []float64{0.25, 0.5, 0.75} {
 		for _, alpha := range []float64{0, 1, 2} {
-			wf, opt := 0.0, 0.0
+			waterFilling, optimum := 0.0, 0.0
 			for seed := range uint64(3) {
-				m, o, _ := simulateQueues(paperJobs(seed, alpha, load, [2]int{8, 12}), optimalLevel)
-				wf, opt = wf+m, opt+o
+				meanCompletion, meanOptimum, _ := simulateQueues(paperJobs(seed, alpha, load, [2]int{8, 12}), optimalLevel)
+				waterFilling, optimum = waterFilling+meanCompletion, optimum+meanOptimum
 			}
-			t.Logf("load %.2f alpha %.0f: water-filling %.1f, optimum %.1f slots, %.4f", load, alpha, wf/3, opt/3, wf/opt)
-			if wf > 1.03*opt || wf < opt {
-				t.Errorf("load %.2f alpha %.0f: water-filling %.1f, optimum %.1f slots", load, alpha, wf/3, opt/3)
+			t.Logf("load %.2f alpha %.0f: water-filling %.1f, optimum %.1f slots, %.4f", load, alpha, waterFilling/3, optimum/3, waterFilling/optimum)
+			if waterFilling > 1.03*optimum || waterFilling < optimum {
+				t.Errorf("load %.2f alpha %.0f: water-filling %.1f, optimum %.1f slots", load, alpha, waterFilling/3, optimum/3)
 			}
 		}
 	}
@@ -124,17 +124,17 @@
 // BenchmarkPaper measures water-filling by the number of holders, as in the paper's Table I (load 0.75, alpha 2). The
 // metric "slots" is the mean completion time, and "behind" the fraction by which it exceeds the optimum.
 func BenchmarkPaper(b *testing.B) {
-	for _, p := range []int{4, 6, 8, 10, 12} {
-		b.Run(fmt.Sprintf("holders=%d", p), func(b *testing.B) {
-			jobs := paperJobs(1, 2, 0.75, [2]int{p, p})
-			m, o, _ := simulateQueues(jobs, optimalLevel)
-			var each time.Duration
+	for _, holders := range []int{4, 6, 8, 10, 12} {
+		b.Run(fmt.Sprintf("holders=%d", holders), func(b *testing.B) {
+			jobs := paperJobs(1, 2, 0.75, [2]int{holders, holders})
+			meanCompletion, meanOptimum, _ := simulateQueues(jobs, optimalLevel)
+			var decisionTime time.Duration
 			for b.Loop() {
-				_, _, each = simulateQueues(jobs, nil)
+				_, _, decisionTime = simulateQueues(jobs, nil)
 			}
-			b.ReportMetric(m, "slots")
-			b.ReportMetric(m/o-1, "behind")
-			b.ReportMetric(float64(each.Nanoseconds())/1000, "us/job")
+			b.ReportMetric(meanCompletion, "slots")
+			b.ReportMetric(meanCompletion/meanOptimum-1, "behind")
+			b.ReportMetric(float64(decisionTime.Nanoseconds())/1000, "us/job")
 		})
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -10,8 +10,8 @@
 // 4.
 func TestFillMatchesWorkedExample(t *testing.T) {
 	servers := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
-	if l, ok := Level(servers, 10); !ok || l != 4 {
-		t.Fatalf("level %d, want 4", l)
+	if level, ok := Level(servers, 10); !ok || level != 4 {
+		t.Fatalf("level %d, want 4", level)
 	}
 	if got := Fill(servers, 10); !slices.Equal(got, []int{8, 2, 0}) {
 		t.Errorf("shares %v, want 8, 2, 0", got)
@@ -29,7 +29,7 @@
 // Ten tasks that last 12 slots are assigned to three idle machines that run four tasks at once, not to ten machines
 // with one task each, since a machine with one small task may lack the resources for a large one. A machine above the
 // level gets none.
-func TestFillUsesFreeSlotsOfOneMachineFirst(t *testing.T) {
+func TestFillStartsAsManyTasksAsFitOnOneMachine(t *testing.T) {
 	var servers []Server
 	for range 12 {
 		servers = append(servers, Server{Mu: 4.0 / 12, Free: 4})
@@ -54,19 +54,19 @@
 
 // Level agrees with a linear search over the levels. The shares of Fill add up to the number of tasks, and no server
 // works beyond the level.
-func TestLevelAndFillAgainstBruteForce(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(1, 2))
+func TestLevelAndFillAgreeWithLinearSearch(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
 		var servers []Server
-		for range 1 + rnd.IntN(8) {
-			servers = append(servers, Server{Busy: rnd.IntN(20), Mu: float64(rnd.IntN(9)) / 4})
+		for range 1 + rng.IntN(8) {
+			servers = append(servers, Server{Busy: rng.IntN(20), Mu: float64(rng.IntN(9)) / 4})
 		}
-		tasks := 1 + rnd.IntN(60)
+		tasks := 1 + rng.IntN(60)
 		want := -1
 		for level := 0; level < 2000 && want < 0; level++ {
 			sum := 0.0
-			for _, x := range servers {
-				sum += float64(max(level-x.Busy, 0)) * x.Mu
+			for _, server := range servers {
+				sum += float64(max(level-server.Busy, 0)) * server.Mu
 			}
 			if sum >= float64(tasks) {
 				want = level
@@ -97,7 +97,7 @@
 }
 
 // The bounds between which Level searches must not exclude the least level that covers the tasks.
-func TestLevelIsTheLeastThatCovers(t *testing.T) {
+func TestLevelIsLeastThatCoversTasks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 3000 {
 		servers := make([]Server, 1+rng.IntN(20))
--- a/topology/constraint_test.go
+++ b/topology/constraint_test.go
@@ -9,7 +9,7 @@
 )
 
 // BestDomain agrees with a search that visits every machine of every domain.
-func TestClosestAgainstBruteForce(t *testing.T) {
+func TestBestDomainAgreesWithExhaustiveSearch(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		topology := mustParse(t, smallTopology)
@@ -24,7 +24,7 @@
 		}
 		request, tasks := fleet.Resources{CPUs: float64(1 + rng.IntN(4)), MemoryGB: 1}, 1+rng.IntN(10)
 		level := []string{Zone, Switch, Rack}[rng.IntN(3)]
-		best, nearest, shortfall := tree.BestDomain(level, Constraint{Resources: request, Tasks: tasks})
+		best, partial, shortfall := tree.BestDomain(level, Constraint{Resources: request, Tasks: tasks})
 		least, found := tasks+1, false
 		var want *Domain
 		for _, domain := range topology.Domains() {
@@ -33,7 +33,7 @@
 			}
 			fit := 0
 			for name, r := range free {
-				if in, _ := topology.Of(name); in.Within(domain) {
+				if innermost, _ := topology.Of(name); innermost.Within(domain) {
 					fit += r.Count(request)
 				}
 			}
@@ -42,8 +42,8 @@
 				want, found = domain, true
 			}
 		}
-		if best != want || !found && (nearest == nil || shortfall != least) || found && shortfall != 0 {
-			t.Fatalf("seed %d: %d tasks of %g at %s: got %v, nearest %v with a shortfall of %d; want %v, %d", seed, tasks, request.CPUs, level, best, nearest, shortfall, want, least)
+		if best != want || !found && (partial == nil || shortfall != least) || found && shortfall != 0 {
+			t.Fatalf("seed %d: %d tasks of %g at %s: got %v, nearest %v with a shortfall of %d; want %v, %d", seed, tasks, request.CPUs, level, best, partial, shortfall, want, least)
 		}
 	}
 }
--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -9,7 +9,7 @@
 
 // If a file becomes invalid or is removed while it is in use, the current version stays in use and the error is
 // reported once.
-func TestChangedFile(t *testing.T) {
+func TestReloadKeepsVersionIfFileIsInvalid(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "topology.toml")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/topology/search_test.go
+++ b/topology/search_test.go
@@ -7,7 +7,7 @@
 
 // If new machines are in the wrong failure domain too, further ones must not be requested immediately or without limit.
 // Otherwise, a service that needs three racks where only two exist would rent all machines of the cloud.
-func TestSeekGivesUpAndTriesAgainLater(t *testing.T) {
+func TestScaleUpAttemptsAreLimited(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	const boot = 50 * time.Second
 	var search Search
--- a/topology/site_test.go
+++ b/topology/site_test.go
@@ -17,7 +17,7 @@
 	return tree
 }
 
-func TestSiteWithoutConstraintsIsNil(t *testing.T) {
+func TestNewSiteWithoutConstraintsReturnsNil(t *testing.T) {
 	if site := siteTree(t, 8, 8, 8).NewSite(nil, nil); site != nil {
 		t.Errorf("site %+v, want nil", site)
 	}
@@ -61,10 +61,10 @@
 	}
 }
 
-func TestChooseDomainByPreemptionLosesTheLeast(t *testing.T) {
+func TestChooseDomainByPreemptionTakesLeastCost(t *testing.T) {
 	site := siteTree(t, 8, 8, 8).NewSite(&api.Near{Level: Rack, Must: true}, nil)
-	losses := map[string][]int64{"n-10": {0, 9}, "n-20": {3, 4}, "n-30": {1}}
-	offer := func(machine string) []int64 { return losses[machine] }
+	costs := map[string][]int64{"n-10": {0, 9}, "n-20": {3, 4}, "n-30": {1}}
+	offer := func(machine string) []int64 { return costs[machine] }
 	if !site.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 2, nil, offer) || !site.Allows("n-20") || site.Allows("n-10") {
 		t.Error("the rack with the least loss is not chosen")
 	}
@@ -84,11 +84,11 @@
 
 // An affinity keeps further tasks in the failure domain of the first one. With a spread, tasks count towards the limit
 // until they are removed, also after a change to another version of the topology.
-func TestSiteCountsTasksOnMachines(t *testing.T) {
+func TestSiteAppliesAffinityAndSpreadToFurtherTasks(t *testing.T) {
 	tree := siteTree(t, 8, 8, 8)
-	near := tree.NewSite(&api.Near{Level: Switch, Must: true}, nil)
-	near.Add("n-10")
-	if !near.Allows("n-20") || near.Allows("n-30") {
+	affinity := tree.NewSite(&api.Near{Level: Switch, Must: true}, nil)
+	affinity.Add("n-10")
+	if !affinity.Allows("n-20") || affinity.Allows("n-30") {
 		t.Error("a second task may run under another switch than the first one, or not under the same one")
 	}
 	spread := tree.NewSite(nil, &api.Survive{Level: Rack, AtMost: 1, Must: true})
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestInfeasible(t *testing.T) {
+func TestInfeasibleIfAffinityAndSpreadContradict(t *testing.T) {
 	rack, zone := &api.Near{Level: Rack, Must: true}, &api.Near{Level: Zone, Must: true}
 	two := &api.Survive{Level: Switch, AtMost: 2, Must: true}
 	for _, testCase := range []struct {
--- a/topology/spread_test.go
+++ b/topology/spread_test.go
@@ -7,7 +7,7 @@
 )
 
 // A task on a machine that sends no heartbeats counts until it is known to have ended.
-func TestSpreadCountsUntilTasksAreGone(t *testing.T) {
+func TestTasksCountUntilTheyHaveEnded(t *testing.T) {
 	tree := NewTree(mustParse(t, smallTopology))
 	for _, machine := range []string{"n-1a", "n-1b", "n-2a", "n-3a"} {
 		tree.Set(machine, fleet.Resources{CPUs: 8}, true)
--- a/topology/tree_test.go
+++ b/topology/tree_test.go
@@ -10,7 +10,7 @@
 	"switchferry/fleet"
 )
 
-func TestPlaceAtLevel(t *testing.T) {
+func TestFailureDomainAtLevel(t *testing.T) {
 	tree := NewTree(mustParse(t, smallTopology))
 	for _, machine := range []string{"n-1a", "n-1b", "n-2a", "n-3a", "x-1"} {
 		tree.Set(machine, fleet.Resources{CPUs: 8, MemoryGB: 32}, true)
@@ -20,10 +20,10 @@
 		// A machine that is in no domain of the level is a failure domain of its own.
 		{"n-3a", Switch, "machine n-3a"}, {"x-1", Zone, "machine x-1"}, {"n-1a", Machine, "machine n-1a"},
 	} {
-		place := tree.FailureDomain(testCase.machine, testCase.level)
-		got := Machine + " " + place.Machine
-		if place.Domain != nil {
-			got = place.Domain.Level + " " + place.Domain.Name
+		failureDomain := tree.FailureDomain(testCase.machine, testCase.level)
+		got := Machine + " " + failureDomain.Machine
+		if failureDomain.Domain != nil {
+			got = failureDomain.Domain.Level + " " + failureDomain.Domain.Name
 		}
 		if got != testCase.want {
 			t.Errorf("%s at %s: %s, want %s", testCase.machine, testCase.level, got, testCase.want)
@@ -61,7 +61,7 @@
 			for _, domain := range topology.Domains() {
 				want, machines, usableMachines := fleet.Resources{}, 0, 0
 				for machine, r := range free {
-					if in, _ := topology.Of(machine); !in.Within(domain) {
+					if innermost, _ := topology.Of(machine); !innermost.Within(domain) {
 						continue
 					}
 					machines++
