--- a/placement/filler.go
+++ b/placement/filler.go
@@ -175,15 +175,15 @@
 // bestServer returns the server on which one more task of a group finishes first, or -1 if no server takes it. The
 // candidates are the holders of the group's inputs and, with the cost of copying them, the least busy of all servers.
 func (f *groupFiller) bestServer(groupIndex int, group *Group) int {
-	best, level := -1, 0
+	best, earliestFinish := -1, 0
 	consider := func(i, copySlots int) {
 		server := f.servers[i]
 		if server.Mu <= 0 {
 			return
 		}
-		finished := server.Busy + copySlots + ceil(1/server.Mu)
-		if best < 0 || finished < level || finished == level && server.Free > f.servers[best].Free {
-			best, level = i, finished
+		finish := server.Busy + copySlots + ceil(1/server.Mu)
+		if best < 0 || finish < earliestFinish || finish == earliestFinish && server.Free > f.servers[best].Free {
+			best, earliestFinish = i, finish
 		}
 	}
 	for _, i := range group.Holders {
@@ -196,7 +196,7 @@
 		f.leastLoaded = newBusyHeap(f.servers)
 	}
 	least := f.leastLoaded.minimum()
-	if least >= 0 && (best < 0 || f.servers[least].Busy+f.inputCost.Least(groupIndex) < level) {
+	if least >= 0 && (best < 0 || f.servers[least].Busy+f.inputCost.Least(groupIndex) < earliestFinish) {
 		consider(least, f.inputCost.Slots(groupIndex, least))
 	}
 	return best
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// With b = 0, 2, 5, mu = 2, 1, 4 and ten tasks, the servers finish 6+1+0 = 7 tasks by level 3, and 8+2+0 = 10 by level
-// 4.
+// With b = 0, 2, 5 and mu = 2, 1, 4, the servers finish 6+1+0 = 7 tasks by level 3, and 8+2+0 = 10 by level 4.
 func TestFillMatchesWorkedExample(t *testing.T) {
 	servers := []Server{{Mu: 2}, {Busy: 2, Mu: 1}, {Busy: 5, Mu: 4}}
 	if level, ok := Level(servers, 10); !ok || level != 4 {
@@ -53,7 +52,7 @@
 }
 
 // Level agrees with a linear search over the levels. The shares of Fill add up to the number of tasks, and no server
-// works beyond the level.
+// above the level gets tasks.
 func TestLevelAndFillAgreeWithLinearSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
--- a/topology/reservations.go
+++ b/topology/reservations.go
@@ -7,8 +7,8 @@
 	"switchferry/tuning"
 )
 
-// Reservation reserves a domain for a job all of whose tasks must run in it. While the tasks
-// of other jobs there end, Reservations.Blocks limits which new ones may start.
+// Reservation reserves a domain for a job all of whose tasks must run in it. While the tasks of other jobs there end,
+// Reservations.Blocks limits which new ones may start.
 type Reservation struct {
 	Job string
 	// Rank is the job's priority; higher is more important.
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -17,12 +17,19 @@
 	"switchferry/tuning"
 )
 
-// The levels, outermost first. The level of a domain is further in than that of its parent; levels may be skipped.
+// Names of the levels, outermost first. The level of a domain is further in than that of its parent; levels may be
+// skipped.
 const (
-	Region  = "region"
-	Zone    = "zone"
-	Switch  = "switch"
-	Rack    = "rack"
+	// Region is the outermost level.
+	Region = "region"
+	// Zone is the level of the zones of a region.
+	Zone = "zone"
+	// Switch is the level of the network switches.
+	Switch = "switch"
+	// Rack is the level of the racks.
+	Rack = "rack"
+	// Machine is the innermost level, at which each machine is a failure domain of its own. No domain is declared at
+	// it.
 	Machine = "machine"
 )
 
--- a/topology/tree.go
+++ b/topology/tree.go
@@ -86,16 +86,16 @@
 	}
 	before, usableBefore := node.available(), node.usable
 	node.free, node.usable = free, usable
-	change := 0
+	usableChange := 0
 	switch {
 	case usable && !usableBefore:
-		change = 1
+		usableChange = 1
 	case !usable && usableBefore:
-		change = -1
+		usableChange = -1
 	}
 	after := node.available()
 	for domain := node.domain; domain != nil; domain = domain.Parent {
-		t.totals[domain].replace(before, after, change)
+		t.totals[domain].replace(before, after, usableChange)
 	}
 }
 
