--- a/internal/cluster/addresses.go
+++ b/internal/cluster/addresses.go
@@ -9,28 +9,29 @@
 	"sync"
 )
 
-// Ports of controllers are below those that the system gives to connections and to listeners that ask for any port. A
-// controller's port is free while its process does not run: once another cluster's controller had got it, and answered for
-// jobs of the same ids.
+// Controllers listen on ports below the kernel's ephemeral range, [firstPort, endPort). While a controller's process is
+// down, nothing listens on its port. If the port were ephemeral, a controller of another cluster could be given it and
+// would then answer requests about jobs with the same ids.
 const (
-	firstPort    = 15_000
-	endPort      = 32_000
+	firstPort = 15_000
+	endPort   = 32_000
+	// portAttempts is the maximum number of random ports that one call tries.
 	portAttempts = 1000
 )
 
-// errNoFreePort is returned if no port can be had.
+// errNoFreePort is returned when portAttempts random ports did not yield enough free ones.
 var errNoFreePort = errors.New("no free loopback port")
 
-// addressBook gives each address to one owner in this process.
+// addressBook allocates loopback addresses. It never allocates the same address twice in a process.
 type addressBook struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards given
 	given map[string]bool
 }
 
-// addresses are those that clusters of this process have.
+// addresses is shared by all clusters of this process.
 var addresses = addressBook{given: map[string]bool{}}
 
-// take returns loopback addresses on which nothing listens, and which nobody else in this process gets.
+// take allocates n loopback addresses on which nothing listens.
 func (book *addressBook) take(ctx context.Context, n int) ([]string, error) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
@@ -49,7 +50,7 @@
 	return taken, nil
 }
 
-// isFree reports whether nothing listens on an address.
+// isFree reports whether nothing listens on the address.
 func isFree(ctx context.Context, address string) bool {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
@@ -59,5 +60,5 @@
 	return listener.Close() == nil
 }
 
-// freeAddresses are loopback addresses on which nothing listens, and which no other cluster of this process gets.
+// freeAddresses allocates n loopback addresses on which nothing listens. No other cluster of this process is given them.
 func freeAddresses(ctx context.Context, n int) ([]string, error) { return addresses.take(ctx, n) }
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -11,14 +11,14 @@
 	"switchferry/internal/fake"
 )
 
-// Agent is the process of a data agent beside a fake worker.
+// Agent is a data agent process that runs beside a fake worker.
 type Agent struct{ command *exec.Cmd }
 
-// PID is the process's number.
+// PID returns the process id.
 func (agent *Agent) PID() int { return agent.command.Process.Pid }
 
-// ServeDatasets opens a store of datasets with nothing in it, and writes a features file that names it; the
-// controllers that are started afterwards read that file.
+// ServeDatasets starts an empty dataset store and enables the data feature with its URL for the controllers that are
+// started afterwards.
 func (cluster *Cluster) ServeDatasets() error {
 	objects := fake.NewObjects()
 	address, err := cluster.serve(http.HandlerFunc(objects.ServeHTTP))
@@ -29,7 +29,7 @@
 	return cluster.EnableFeatures(fmt.Sprintf("[data]\non = true\nstore = %q\nlink_mb_per_s = 125.0\nstore_mb_per_s = 1000.0\n", cluster.datasetStore))
 }
 
-// EnableFeatures adds to the features file of the controllers that are started afterwards.
+// EnableFeatures appends TOML text to the features file. Controllers that are started afterwards read it.
 func (cluster *Cluster) EnableFeatures(text string) error {
 	name := filepath.Join(cluster.dir, "features.toml")
 	if cluster.features == "" {
@@ -39,8 +39,8 @@
 	return os.WriteFile(name, []byte(cluster.features), 0o600)
 }
 
-// StartAgents runs data agents beside n workers; ServeDatasets comes first. What they send to each controller goes through
-// a port that counts it.
+// StartAgents starts data agents for the machines n-000000 to n-<n-1>. ServeDatasets must be called before. The agents'
+// connections to controllers pass through forwarded ports, where their traffic is counted. Close ends the agents.
 func (cluster *Cluster) StartAgents(program string, n int) ([]*Agent, error) {
 	arguments := []string{"stager", "--store", cluster.datasetStore, "--cache", "1GB"}
 	for _, controller := range cluster.Controllers {
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		machine := fmt.Sprintf("n-%06d", index)
-		command := exec.Command(program, //nolint:noctx // Close ends it and waits for it.
+		command := exec.Command(program, //nolint:noctx // Close kills the process and waits for it.
 			append(arguments, "--machine", machine, "--address", address[0], "--dir", filepath.Join(cluster.dir, "cache-"+machine))...)
 		command.Env = append(os.Environ(), "LOG_LEVEL=error")
 		command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -13,21 +13,30 @@
 	"switchferry/settings"
 )
 
-// Rules that an Audit checks, by the protocol's names.
+// Rules that an Audit checks. The values are the rules' names in results.
 const (
-	RanTwice     = "ran_twice"
-	OverQuota    = "quota"
+	// RanTwice means that a task ran on two machines at the same time.
+	RanTwice = "ran_twice"
+	// OverQuota means that a team's running tasks used more than its CPU limit.
+	OverQuota = "quota"
+	// RanCancelled means that a task ran too long after its job was reported as cancelled.
 	RanCancelled = "ran_cancelled"
-	NotDone      = "not_done"
-	WentBack     = "went_back"
-	Forgotten    = "forgotten"
-	Invented     = "invented"
-	TooEarly     = "too_early"
-	Orphaned     = "orphaned"
+	// NotDone means that a job was reported as done before all of its tasks had completed.
+	NotDone = "not_done"
+	// WentBack means that a job left a terminal state, or was reported as cancelled without a request.
+	WentBack = "went_back"
+	// Forgotten means that an accepted job was reported as unknown or refused, or that its user got no answer.
+	Forgotten = "forgotten"
+	// Invented means that a controller reported a job that nobody had submitted.
+	Invented = "invented"
+	// TooEarly means that a task started before the jobs that its job depends on were done.
+	TooEarly = "too_early"
+	// Orphaned means that a job was not cancelled although a job that it depends on was.
+	Orphaned = "orphaned"
 )
 
-// Audit records what runs where and what users were told, and checks it against the protocol's rules. It is safe for
-// concurrent use.
+// Audit records which tasks run on which machines and which job states users were given, and checks both against the
+// protocol's rules. It is safe for concurrent use.
 type Audit struct {
 	cancelWithin time.Duration
 
@@ -36,41 +45,48 @@
 	usage      map[string]float64
 	jobs       map[string]*AuditedJob
 	placements fake.Placements[string]
-	// startedAt is when each task last started; terms when a leader's first start came, by its term.
-	startedAt   map[string]time.Time
+	// startedAt is when each task last started.
+	startedAt map[string]time.Time
+	// firstStarts is when the first task started under each leader's term.
 	firstStarts map[uint64]time.Time
 	starts      int
 	violations  map[string]int
 	crossings   CrossedStarts
-	// questions, answers, crossed and told are the fields of AuditCounts.
+	// questions, answers, crossed and told are the counters that Counts returns.
 	questions, answers, crossed, told int
 	explanations                      []string
 }
 
-// AuditedJob is a job as its user knows it.
+// AuditedJob is a submitted job with what its tasks did and what its user was told. The audit's lock guards it.
 type AuditedJob struct {
 	api.Submission
+	// Submitted is when the job was recorded, just before its submission. Accepted is when the first answer that
+	// accepted it arrived, zero before.
 	Submitted, Accepted time.Time
-	// Begun counts tasks that started at least once; LastBegun is when the last of these did.
-	Begun     int
+	// Begun counts the tasks that started at least once.
+	Begun int
+	// LastBegun is when a task of the job last started for the first time.
 	LastBegun time.Time
-	Done      int
-	// Told is the final state that its user was told, at ToldAt.
-	Told   string
+	// Done counts the tasks that completed.
+	Done int
+	// Told is the terminal state that the user was given first, empty before.
+	Told string
+	// ToldAt is when the user was given that state.
 	ToldAt time.Time
-	// AnsweredAt is when a question about it was last answered.
+	// AnsweredAt is when a request about the job was last answered.
 	AnsweredAt time.Time
-	// cancelRequested is set before its user first asks for its cancellation.
+	// cancelRequested is set just before the user first requests the job's cancellation.
 	cancelRequested bool
 
 	startedTasks, doneTasks map[string]bool
 	finished                time.Time
 }
 
-// Finished is when the last task completed, zero before.
+// Finished returns when the last task completed, zero before.
 func (job *AuditedJob) Finished() time.Time { return job.finished }
 
-// NewAudit makes an audit of a deployment that knows no jobs yet. A team without a limit is not bounded.
+// NewAudit returns an audit without jobs. A team whose CPUsMax is 0 has no limit. A cancellation must take effect within
+// workers.CancelS seconds.
 func NewAudit(teams []settings.Team, workers settings.Workers) *Audit {
 	audit := &Audit{cancelWithin: seconds(workers.CancelS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, placements: fake.Placements[string]{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
 	for _, team := range teams {
@@ -81,14 +97,14 @@
 	return audit
 }
 
-// Submit records a job. It must be called once for each job, before the job is submitted.
+// Submit records a job. It must be called once for each job, before the job is sent to a controller.
 func (audit *Audit) Submit(submission api.Submission) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	audit.jobs[submission.ID] = &AuditedJob{Submission: submission, Submitted: time.Now(), startedTasks: map[string]bool{}, doneTasks: map[string]bool{}}
 }
 
-// checkDependencies checks that the jobs that a started task's job awaits are done; mu is held.
+// checkDependencies checks that all jobs that the started task's job depends on are done. The caller holds mu.
 func (audit *Audit) checkDependencies(job *AuditedJob, task string) {
 	for _, id := range job.Awaits {
 		if awaited := audit.jobs[id]; awaited != nil && awaited.Done < awaited.Tasks {
@@ -97,7 +113,7 @@
 	}
 }
 
-// Started records that a machine started a task under a leader's term, and checks that it may.
+// Started records that a machine started a task under a leader's term, and checks the start against the rules.
 func (audit *Audit) Started(task, machine string, term uint64) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -132,17 +148,19 @@
 	}
 }
 
-// CrossedStarts counts starts that reached a worker when it had the attempt already or another one of the task: starts
-// and exits, or starts and stops, had crossed on the way.
+// CrossedStarts counts the start commands that had no effect because the worker already had that attempt or another one
+// of the task. This happens when a start command and an exit report, or a start and a kill, pass each other in transit.
+// The fields are written out under their Go names.
 type CrossedStarts struct {
-	// Repeated came while the attempt had not ended, Late after it had, and Busy beside another attempt.
+	// Repeated counts starts of attempts that had not ended, Late those of attempts that had, and Busy those that came
+	// while another attempt of the task had not ended.
 	Repeated, Late, Busy int
 }
 
-// Sum is how many starts crossed in any way.
+// Sum returns the number of start commands without effect of all kinds.
 func (c CrossedStarts) Sum() int { return c.Repeated + c.Late + c.Busy }
 
-// StartCrossed records a start that changed nothing.
+// StartCrossed records a start command that had no effect at a worker.
 func (audit *Audit) StartCrossed(kind fake.CrossedStart) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -156,14 +174,14 @@
 	}
 }
 
-// Crossings counts the starts that crossed with something on the way.
+// Crossings returns the number of start commands that had no effect, by kind.
 func (audit *Audit) Crossings() CrossedStarts {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return audit.crossings
 }
 
-// Ended records that a task is no longer on a machine, and whether it completed.
+// Ended records that a task no longer runs on a machine, and whether it completed.
 func (audit *Audit) Ended(task, machine string, done bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -180,7 +198,7 @@
 	}
 }
 
-// Sweep looks for tasks of cancelled jobs that still run after the time that the protocol allows.
+// Sweep checks that no task of a cancelled job still runs after the time that the protocol allows.
 func (audit *Audit) Sweep() {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -191,14 +209,14 @@
 	}
 }
 
-// Broken counts the violations by rule and explains the first few.
+// Broken returns the number of violations by rule, and explanations of the first maxExplanations.
 func (audit *Audit) Broken() (counts map[string]int, why []string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return maps.Clone(audit.violations), slices.Clone(audit.explanations)
 }
 
-// Jobs calls f for each job, with the record locked.
+// Jobs calls f for each job with the audit's lock held. f must not call the audit.
 func (audit *Audit) Jobs(f func(job *AuditedJob)) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -207,7 +225,7 @@
 	}
 }
 
-// RunningOn are the tasks that run on some machines.
+// RunningOn returns the tasks that run on the given machines, in no order.
 func (audit *Audit) RunningOn(machines map[string]bool) (tasks []string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -219,7 +237,7 @@
 	return tasks
 }
 
-// StartedSince tells how long after a moment each of some tasks that started since then last did.
+// StartedSince returns, for each of the tasks whose last start was after the given time, how long after it that was.
 func (audit *Audit) StartedSince(at time.Time, tasks []string) (after []time.Duration) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -231,7 +249,7 @@
 	return after
 }
 
-// FirstStart is when the first task started under a term higher than one; zero: none did.
+// FirstStart returns when the first task started under a term higher than the given one, zero if none did.
 func (audit *Audit) FirstStart(above uint64) (first time.Time) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -243,7 +261,7 @@
 	return first
 }
 
-// Estimate is how long a task's job says that it runs.
+// Estimate returns the run time that the task's job declares for its tasks, 0 if the job is unknown.
 func (audit *Audit) Estimate(task string) time.Duration {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -253,17 +271,18 @@
 	return 0
 }
 
-// Starts is how many tasks were started so far, each start counted.
+// Starts returns the number of task starts so far, repeated starts of a task included.
 func (audit *Audit) Starts() int {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return audit.starts
 }
 
-// maxExplanations is how many violations are explained.
+// maxExplanations is the maximum number of violations that are explained.
 const maxExplanations = 20
 
-// recordViolation counts a violation of a rule and explains it unless many were; mu is held.
+// recordViolation counts a violation of a rule, and records an explanation of the first maxExplanations. The caller
+// holds mu.
 func (audit *Audit) recordViolation(rule, format string, args ...any) {
 	audit.violations[rule]++
 	if len(audit.explanations) < maxExplanations {
@@ -271,7 +290,7 @@
 	}
 }
 
-// jobOf is the job of a task, nil if it is unknown; mu is held.
+// jobOf returns the job of a task, nil if it is unknown. The caller holds mu.
 func (audit *Audit) jobOf(task string) *AuditedJob {
 	jobID, _, _ := strings.Cut(task, "/")
 	return audit.jobs[jobID]
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,10 +1,10 @@
-// Package cluster runs a deployment on this machine for experiments: three controllers as processes of their own,
-// the fakes of the state service and the cloud with every limit enforced, and fake workers, which speak the workers'
-// protocol over real loopback connections and run nothing. Zones can be cut off from each other. Close ends everything
-// that the cluster started.
+// Package cluster runs a deployment on this machine for experiments: controllers as separate processes, fakes of the
+// state service and the cloud with all limits enforced, and fake workers, which speak the workers' protocol over loopback
+// connections but execute no tasks. Network partitions between zones, message faults and state service faults can be
+// injected.
 //
-// The resources that controllers use are measured from outside: Sample reads what the kernel counts of a process, and
-// Traffic counts what goes over the connections, all of which end at or pass through this process.
+// The resource use of controllers is measured from outside their processes: Sample reads the kernel's counters of a
+// process, and Traffic counts messages and bytes on the connections, all of which end at or pass through this process.
 package cluster
 
 import (
@@ -34,26 +34,30 @@
 
 // Options configure a cluster.
 type Options struct {
-	// Zones has the zone of each controller; Facts is what the platform tells them. Its limits of the state service
-	// and the cloud are enforced by the stand-ins.
+	// Zones lists the zone of each controller.
 	Zones []string
+	// Facts are the platform's facts in the controllers' settings. The fakes enforce the limits of the state service and
+	// the cloud that they state.
 	Facts settings.Facts
-	// Type is the only type of machine; Room is how many machines can be rented besides those of AddWorkers.
+	// Type is the only machine type.
 	Type api.MachineType
+	// Room is how many machines can be rented in addition to those of AddWorkers.
 	Room int
-	// Arguments are further arguments of `serve`, the same for every controller.
+	// Arguments are further arguments of `serve` for all controllers.
 	Arguments []string
-	// LogDir is where the controllers' logs go, one file each; empty: they are dropped. LogLevel is theirs.
+	// LogDir is the directory of the controllers' log files, one for each member. If it is empty, logs are discarded.
+	// LogLevel is the controllers' log level, "error" if empty.
 	LogDir, LogLevel string
-	// Runs is how long a task of a job runs. Audit is told of starts and ends, and may be nil.
-	Runs  func(task string) time.Duration
+	// Runs returns how long a task runs.
+	Runs func(task string) time.Duration
+	// Audit, if not nil, is notified of starts and ends of tasks.
 	Audit Observer
-	// Crossed, if not nil, is told of each start that changes nothing at its worker.
+	// Crossed, if not nil, is called for each start command that has no effect at a worker.
 	Crossed func(kind fake.CrossedStart)
 }
 
-// Observer learns of what workers do with tasks, in order for each worker. It is called with that worker's lock held and
-// must not call the worker.
+// Observer is notified of starts and ends of tasks, in order for each worker. It is called with that worker's lock held
+// and must not call the worker.
 type Observer interface {
 	Started(task, machine string, term uint64)
 	Ended(task, machine string, done bool)
@@ -74,30 +78,31 @@
 	delays      delayRecorder
 	network     *zoneNetwork
 	messages    messageFaults
-	// stateLinks are the controllers' ways to the state service, by member.
+	// stateLinks are the controllers' connections to the state service, by member.
 	stateLinks map[string]*stateLink
 	http       *http.Client
 	cleanup    []func()
-	// datasetStore is the base URL of the store of datasets, and features the text of the features file; both may be empty.
+	// datasetStore is the base URL of the dataset store, and features the text of the features file. Both may be empty.
 	datasetStore, features string
 
-	mu          sync.Mutex
+	mu          sync.Mutex         // guards workers and zonesByTerm
 	workers     map[string]*Worker // by machine
 	zonesByTerm map[uint64]string  // the zone of the leader of each term
-	// Returned is told, without locks, of machines that controllers gave back to the cloud; it may be set before
-	// the first worker is added.
+	// Returned is called, without locks held, for each machine that a controller returned to the cloud, with the number
+	// of tasks that ran on it. It may be set only before the first worker is added.
 	Returned func(w *Worker, running int)
 }
 
-// Controller is one controller, which may be run by one process after another.
+// Controller is one member of the cluster. It has at most one process at a time and can be started again after it ended.
 type Controller struct {
 	Settings *settings.Settings
 	cluster  *Cluster
-	mu       sync.Mutex
+	mu       sync.Mutex // guards command
 	command  *exec.Cmd
 }
 
-// New starts the fakes and writes the controllers' settings; no controller runs yet. The caller must Close the cluster.
+// New starts the fakes and writes the controllers' settings files. It does not start the controllers. The caller must
+// call Close.
 func New(ctx context.Context, options Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
@@ -122,7 +127,7 @@
 	return cluster, nil
 }
 
-// Close ends all that the cluster started.
+// Close ends all processes, servers and goroutines of the cluster and removes its directory.
 func (cluster *Cluster) Close() {
 	cluster.stop()
 	for _, controller := range cluster.Controllers {
@@ -133,15 +138,15 @@
 	}
 }
 
-// AddArguments adds to the arguments of `serve` of the controllers that are started afterwards.
+// AddArguments appends to the `serve` arguments of the controllers that are started afterwards.
 func (cluster *Cluster) AddArguments(more ...string) {
 	cluster.options.Arguments = append(cluster.options.Arguments, more...)
 }
 
-// Dir is a directory of the cluster's own, removed by Close.
+// Dir returns the cluster's temporary directory, which Close removes.
 func (cluster *Cluster) Dir() string { return cluster.dir }
 
-// configure opens the ports around the controllers and writes their settings.
+// configure opens the ports through which controllers reach each other and the fakes, and writes the controllers' settings.
 func (cluster *Cluster) configure() error {
 	free, err := freeAddresses(cluster.ctx, 2*len(cluster.options.Zones))
 	if err != nil {
@@ -178,7 +183,7 @@
 	return nil
 }
 
-// newStateLinkOf returns the way to the state service of a controller.
+// newStateLinkOf creates and registers a controller's link to the state service.
 func (cluster *Cluster) newStateLinkOf(member string) *stateLink {
 	link := newStateLink(cluster.ctx, cluster.State)
 	cluster.stateLinks[member] = link
@@ -189,14 +194,14 @@
 	return filepath.Join(cluster.dir, member+".toml")
 }
 
-// Start begins a process of the controller.
+// Start starts the controller's process. It fails if one already runs.
 func (controller *Controller) Start(program string) error {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
 	if controller.command != nil {
-		return fmt.Errorf("%s runs already", controller.Settings.Member)
+		return fmt.Errorf("controller %s is already running", controller.Settings.Member)
 	}
-	command := exec.Command(program, //nolint:noctx // Kill, Terminate and Close end it and wait for it.
+	command := exec.Command(program, //nolint:noctx // Kill, Terminate and Close end the process and wait for it.
 		append([]string{"serve", "--config", controller.cluster.settingsFile(controller.Settings.Member)}, controller.cluster.options.Arguments...)...)
 	level := controller.cluster.options.LogLevel
 	if level == "" {
@@ -211,7 +216,7 @@
 		defer closeQuietly(log)
 		command.Stderr = log
 	}
-	// It must not outlive this process, however that ends.
+	// The kernel kills the controller when this process ends for any reason.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
@@ -220,15 +225,15 @@
 	return nil
 }
 
-// Kill ends the process at once and waits until it is gone; without one it does nothing.
+// Kill sends SIGKILL to the process and waits for its end. It does nothing if no process runs.
 func (controller *Controller) Kill() { controller.endProcess(func(p *os.Process) { _ = p.Kill() }) }
 
-// Terminate tells the process to end, and waits until it has.
+// Terminate sends SIGTERM to the process and waits for its end. It does nothing if no process runs.
 func (controller *Controller) Terminate() {
 	controller.endProcess(func(p *os.Process) { _ = p.Signal(syscall.SIGTERM) })
 }
 
-// endProcess ends the process, if there is one, and waits until it is gone.
+// endProcess calls how to end the process, if one runs, and waits for its end.
 func (controller *Controller) endProcess(how func(*os.Process)) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -239,13 +244,13 @@
 	controller.command = nil
 }
 
-// Pause suspends the process, whose clocks run on; Resume lets it go on.
+// Pause suspends the process with SIGSTOP until Resume. Its clocks keep running.
 func (controller *Controller) Pause() { controller.signal(syscall.SIGSTOP) }
 
-// Resume ends Pause.
+// Resume continues a process that Pause suspended.
 func (controller *Controller) Resume() { controller.signal(syscall.SIGCONT) }
 
-// signal sends the process a signal, if there is one.
+// signal sends a signal to the process, if one runs.
 func (controller *Controller) signal(signal os.Signal) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -254,7 +259,7 @@
 	}
 }
 
-// EndedByItself reports whether the process has ended although nobody ended it.
+// EndedByItself reports whether the process has ended other than by Kill, Terminate or Close.
 func (controller *Controller) EndedByItself() bool {
 	pid := controller.PID()
 	if pid == 0 {
@@ -268,10 +273,10 @@
 	return err != nil || stat.State == zombieState
 }
 
-// zombieState is how the kernel calls a process that has ended and was not waited for.
+// zombieState is the kernel's state code of a process that has ended and has not been waited for.
 const zombieState = "Z"
 
-// PID is the process's number, 0 if none runs.
+// PID returns the process id, 0 if no process runs.
 func (controller *Controller) PID() int {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -281,7 +286,7 @@
 	return controller.command.Process.Pid
 }
 
-// Leader is the leader according to the state service, nil if there is none.
+// Leader returns the leader that is recorded in the state service, nil if there is none.
 func (cluster *Cluster) Leader() *Controller {
 	member, _ := cluster.currentLeader()
 	for _, controller := range cluster.Controllers {
@@ -292,15 +297,16 @@
 	return nil
 }
 
-// WaitForLeader waits until a controller leads.
+// WaitForLeader waits until a leader is recorded in the state service. It returns ErrTimeout if none is in time.
 func (cluster *Cluster) WaitForLeader(timeout time.Duration) error {
 	return cluster.Until(timeout, func() bool { return cluster.Leader() != nil })
 }
 
-// ErrTimeout is returned when a condition did not hold in time.
+// ErrTimeout is returned when a condition did not hold before a timeout.
 var ErrTimeout = errors.New("not in time")
 
-// Until waits until f holds, looking five times a second.
+// Until polls f every 200 ms until it returns true. It returns ErrTimeout after the timeout, or the context's error if
+// the cluster is closed.
 func (cluster *Cluster) Until(timeout time.Duration, f func() bool) error {
 	for end := time.Now().Add(timeout); !f(); {
 		if time.Now().After(end) {
@@ -313,10 +319,10 @@
 	return nil
 }
 
-// Sleep waits for a duration; it reports false if the cluster was closed before.
+// Sleep waits for a duration. It reports false if the cluster was closed before its end.
 func (cluster *Cluster) Sleep(d time.Duration) bool { return sleep.Real(cluster.ctx, d) }
 
-// Call sends a user's request to a controller.
+// Call sends an HTTP request to a controller's public address and returns the status and the body of the answer.
 func (cluster *Cluster) Call(ctx context.Context, controller *Controller, method, path string, body []byte) (status int, answer []byte, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+controller.Settings.Listen+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/cluster/delays.go
+++ b/internal/cluster/delays.go
@@ -7,29 +7,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Delays are how long messages between controllers and workers take, in ms. A start that goes out in the response to a
-// heartbeat and directly arrives twice, as far apart as Overtaken says.
+// Delays are latencies of messages between controllers and workers, in ms.
 type Delays struct {
-	// Heartbeats is from a heartbeat to the response.
+	// Heartbeats is the time from sending a heartbeat to its response.
 	Heartbeats *hdrhistogram.Histogram
-	// Overtaken is from the first direct command that arrives while a heartbeat waits for its response to that response.
+	// Overtaken is the time from the first direct command that arrives while a heartbeat awaits its response to that
+	// response. A start command that is sent both directly and in the response arrives twice, that far apart.
 	Overtaken *hdrhistogram.Histogram
 }
 
-// delayLimitMS is the longest delay that a histogram tells apart from longer ones.
+// delayLimitMS is the upper bound of the histograms, in ms. Longer delays are recorded as this value.
 const delayLimitMS = 60_000
 
 func newDelays() Delays {
 	return Delays{Heartbeats: hdrhistogram.New(1, delayLimitMS, 3), Overtaken: hdrhistogram.New(1, delayLimitMS, 3)}
 }
 
-// delayRecorder records the delays of all workers.
+// delayRecorder records the delays of all workers. It is safe for concurrent use.
 type delayRecorder struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards delays
 	delays Delays
 }
 
-// responded records an exchange. The time of the command is zero if none arrived meanwhile.
+// responded records a heartbeat, with the times when it was sent, when the first direct command arrived in between (zero
+// if none did), and when its response arrived.
 func (recorder *delayRecorder) responded(sent, command, response time.Time) {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -39,13 +40,13 @@
 	}
 }
 
-// recordDelay adds a delay to a histogram; whatever is longer counts as delayLimitMS.
+// recordDelay adds a delay to a histogram. Delays longer than delayLimitMS are recorded as delayLimitMS.
 func recordDelay(histogram *hdrhistogram.Histogram, delay time.Duration) {
-	// Values up to the limit are never refused.
+	// RecordValue returns an error only for values above the limit.
 	_ = histogram.RecordValue(min(delay.Milliseconds(), delayLimitMS))
 }
 
-// take returns what was recorded since it was last called.
+// take returns the delays that were recorded since the last call, and resets the recorder.
 func (recorder *delayRecorder) take() Delays {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -54,5 +55,5 @@
 	return taken
 }
 
-// TakeDelays returns the delays of the exchanges that ended since it was last called.
+// TakeDelays returns the delays of the heartbeats that were answered since the last call, and resets the recorder.
 func (cluster *Cluster) TakeDelays() Delays { return cluster.delays.take() }
--- a/internal/cluster/measure.go
+++ b/internal/cluster/measure.go
@@ -9,7 +9,8 @@
 	"github.com/prometheus/procfs"
 )
 
-// Usage is what the kernel counts of one process: processor time in seconds since it began, and what it holds now.
+// Usage is a process's resource use as the kernel counts it: the CPU time in seconds since the process started, and its
+// current resident memory, open file descriptors and threads.
 type Usage struct {
 	CPUSeconds  float64 `json:"cpu_s"`
 	MemoryBytes int     `json:"memory_bytes"`
@@ -17,7 +18,7 @@
 	Threads     int     `json:"threads"`
 }
 
-// Sample reads what the kernel counts of a process.
+// Sample reads the resource use of a process from the kernel.
 func Sample(pid int) (Usage, error) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
@@ -34,10 +35,10 @@
 	return Usage{CPUSeconds: stat.CPUTime(), MemoryBytes: stat.ResidentMemory(), Descriptors: descriptors, Threads: stat.NumThreads}, nil
 }
 
-// SampleSelf is Sample of this process.
+// SampleSelf reads the resource use of this process.
 func SampleSelf() (Usage, error) { return Sample(os.Getpid()) }
 
-// MemoryBytes is how much memory this machine has.
+// MemoryBytes returns the size of this machine's memory.
 func MemoryBytes() (uint64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -48,18 +49,18 @@
 		return 0, err
 	}
 	if info.MemTotalBytes == nil {
-		return 0, fmt.Errorf("the kernel does not tell how much memory there is")
+		return 0, fmt.Errorf("the kernel does not report the size of the memory")
 	}
 	return *info.MemTotalBytes, nil
 }
 
-// Count is how many messages, or pieces of a stream, and how many bytes of them went by.
+// Count is a number of messages, or of chunks of a byte stream, and their total size.
 type Count struct {
 	Messages int `json:"messages"`
 	Bytes    int `json:"bytes"`
 }
 
-// Traffic counts by kind. It is safe for use from several goroutines at once.
+// Traffic counts messages and bytes by kind of message. It is safe for concurrent use.
 type Traffic struct {
 	mu     sync.Mutex
 	counts map[string]Count
@@ -67,7 +68,7 @@
 
 func newTraffic() *Traffic { return &Traffic{counts: map[string]Count{}} }
 
-// Add notes one message of so many bytes.
+// Add counts one message of the given size.
 func (traffic *Traffic) Add(kind string, bytes int) {
 	traffic.mu.Lock()
 	defer traffic.mu.Unlock()
@@ -75,14 +76,14 @@
 	traffic.counts[kind] = Count{count.Messages + 1, count.Bytes + bytes}
 }
 
-// Snapshot is what was counted so far.
+// Snapshot returns a copy of the counts so far.
 func (traffic *Traffic) Snapshot() map[string]Count {
 	traffic.mu.Lock()
 	defer traffic.mu.Unlock()
 	return maps.Clone(traffic.counts)
 }
 
-// Since is what was counted from an earlier snapshot to a later one.
+// Since returns the difference of two snapshots, without the kinds of which no messages were counted in between.
 func Since(earlier, later map[string]Count) map[string]Count {
 	out := map[string]Count{}
 	for kind, count := range later {
--- a/internal/cluster/message_faults.go
+++ b/internal/cluster/message_faults.go
@@ -10,30 +10,33 @@
 	"switchferry/internal/sleep"
 )
 
-// Delays of messages that arrive late.
 const (
+	// minLateMessage is the minimum delay of late commands and repeated heartbeats.
 	minLateMessage = 500 * time.Millisecond
+	// maxLateMessage is the maximum delay of late commands and repeated heartbeats.
 	maxLateMessage = 12 * time.Second
 )
 
-// MessageFaults is what is wrong with messages between workers and controllers, as shares of them.
+// MessageFaults are the faults of messages between workers and controllers. Each field is the share of messages, from 0
+// to 1, that has the fault.
 type MessageFaults struct {
-	// LostHeartbeats do not arrive, and of RepeatedHeartbeats a copy arrives later, at any controller.
+	// LostHeartbeats are not delivered. RepeatedHeartbeats are delivered, and a copy is later delivered to a random
+	// controller.
 	LostHeartbeats, RepeatedHeartbeats float64
-	// LateCommands are executed later, if they still apply, and not answered.
+	// LateCommands get no answer. The worker executes them later if they still apply.
 	LateCommands float64
-	// SlowHeartbeats take up to maxSlowMessage, and so do the responses to that share of the others. SlowCommands are
-	// executed and answered up to that late.
+	// SlowHeartbeats is the share of heartbeats, and independently of their responses, that is delayed by up to
+	// maxSlowMessage. SlowCommands are executed and answered up to maxSlowMessage late.
 	SlowHeartbeats, SlowCommands float64
-	// FailingStarts end at once, as failed or refused.
+	// FailingStarts are starts of tasks that end at once, failed or refused.
 	FailingStarts float64
 }
 
-// maxSlowMessage bounds by how much a slow message is late. With two of them a worker still takes some responses, which
-// must come within 4 s.
+// maxSlowMessage is the maximum delay of a slow message. Twice this delay is within a worker's response timeout of 4 s, so
+// that a worker still accepts responses when both the heartbeat and the response are slow.
 const maxSlowMessage = 1900 * time.Millisecond
 
-// delay has a share of messages wait. It reports false if ctx ended before.
+// delay delays the given share of messages by a random time. It reports false if ctx ended before.
 func delay(ctx context.Context, share float64) bool {
 	if !happens(share) {
 		return ctx.Err() == nil
@@ -41,7 +44,7 @@
 	return sleep.Real(ctx, randomDuration(maxSlowMessage))
 }
 
-// startFailure returns why a start ends at once, empty if it does not.
+// startFailure returns the cause with which a task that is being started ends at once, empty if the task runs.
 func (f MessageFaults) startFailure() string {
 	if !happens(f.FailingStarts) {
 		return ""
@@ -50,28 +53,28 @@
 	return causes[rand.IntN(len(causes))]
 }
 
-// messageFaults holds MessageFaults that may change. Its zero value is ready for use.
+// messageFaults holds the current MessageFaults. The zero value has no faults. It is safe for concurrent use.
 type messageFaults struct {
 	mu     sync.Mutex
 	faults MessageFaults
 }
 
-// SetMessageFaults changes what is wrong with messages between workers and controllers.
+// SetMessageFaults replaces the faults of messages between workers and controllers.
 func (cluster *Cluster) SetMessageFaults(faults MessageFaults) {
 	cluster.messages.mu.Lock()
 	defer cluster.messages.mu.Unlock()
 	cluster.messages.faults = faults
 }
 
-// current returns what is wrong now.
+// current returns the current faults.
 func (m *messageFaults) current() MessageFaults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.faults
 }
 
-// happens reports whether what meets a share of messages meets this one.
+// happens returns true with a probability of share.
 func happens(share float64) bool { return share > 0 && rand.Float64() < share }
 
-// lateness returns by how much a late message is late.
+// lateness returns a random delay of a late message, from minLateMessage to maxLateMessage.
 func lateness() time.Duration { return minLateMessage + randomDuration(maxLateMessage-minLateMessage) }
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -13,20 +13,20 @@
 	"switchferry/internal/sleep"
 )
 
-// RegionalServices is the place of the state service and the cloud, which belong to no zone.
+// RegionalServices stands for the zone of the state service and the cloud, which belong to no zone.
 const RegionalServices = ""
 
-// zoneNetwork says which zones are cut off from each other.
+// zoneNetwork holds the network faults between zones and between controllers. It is safe for concurrent use.
 type zoneNetwork struct {
 	// mu guards the fields below.
 	mu sync.Mutex
-	// isolatedZones reach each other, but no other zone and no service; empty if nothing is cut off.
+	// isolatedZones reach each other, but no other zone and no regional service. It is empty without a partition.
 	isolatedZones []string
-	// cutMembers are pairs of controllers of which the first does not reach the second.
+	// cutMembers are the pairs of controllers, sender and receiver, whose link is blocked in that direction.
 	cutMembers map[[2]string]bool
-	// peerDelay bounds by how much what controllers send each other is late.
+	// peerDelay is the maximum delay of data between controllers.
 	peerDelay time.Duration
-	// changed is closed and replaced with each change.
+	// changed is closed and replaced at each change of isolatedZones or cutMembers.
 	changed chan struct{}
 }
 
@@ -34,7 +34,8 @@
 	return &zoneNetwork{cutMembers: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// Isolate cuts some zones, which go on reaching each other, off from everything else; without any it ends that.
+// Isolate partitions the given zones, which still reach each other, from all other zones and the regional services. Without
+// zones it ends the partition.
 func (cluster *Cluster) Isolate(zones ...string) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
@@ -42,7 +43,8 @@
 	cluster.network.notifyChange()
 }
 
-// CutPeer holds up what one controller sends to another one, or ends that. Nothing else is cut.
+// CutPeer blocks the data that one controller sends to another one, or unblocks it. Blocked data is delivered afterwards.
+// The opposite direction is not affected.
 func (cluster *Cluster) CutPeer(from, to string, cut bool) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
@@ -50,14 +52,14 @@
 	cluster.network.notifyChange()
 }
 
-// SlowPeers delays each piece of what controllers send each other by up to that time; 0 ends that.
+// SlowPeers delays each chunk of data between controllers by a random time up to the given one; 0 ends the delays.
 func (cluster *Cluster) SlowPeers(upTo time.Duration) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
 	cluster.network.peerDelay = upTo
 }
 
-// delayPeer waits as long as a piece of what controllers send each other is late.
+// delayPeer waits for the random delay of one chunk of data between controllers.
 func (network *zoneNetwork) delayPeer(ctx context.Context) {
 	network.mu.Lock()
 	upTo := network.peerDelay
@@ -67,32 +69,32 @@
 	}
 }
 
-// notifyChange wakes who waits for a cut to end; mu is held.
+// notifyChange wakes the goroutines that wait for a path to be unblocked. The caller holds mu.
 func (network *zoneNetwork) notifyChange() {
 	close(network.changed)
 	network.changed = make(chan struct{})
 }
 
-// blocked reports whether two places are cut off from each other, and returns a channel that is closed when that may have
-// changed.
+// blocked reports whether two zones are partitioned from each other, and returns a channel that is closed when that may
+// have changed. Each zone may be RegionalServices.
 func (network *zoneNetwork) blocked(a, b string) (bool, <-chan struct{}) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return network.zonesCut(a, b), network.changed
 }
 
-// zonesCut reports whether two places are cut off from each other; mu is held.
+// zonesCut reports whether two zones are partitioned from each other. The caller holds mu.
 func (network *zoneNetwork) zonesCut(a, b string) bool {
 	return slices.Contains(network.isolatedZones, a) != slices.Contains(network.isolatedZones, b)
 }
 
-// wait waits until two places reach each other. It reports false if ctx ended before.
+// wait waits until two zones reach each other. It reports false if ctx ended before.
 func (network *zoneNetwork) wait(ctx context.Context, a, b string) bool {
 	return awaitPassage(ctx, func() (bool, <-chan struct{}) { return network.blocked(a, b) })
 }
 
-// awaitPassage waits until a way is not blocked any more. Blocked also returns a channel that is closed when its answer may
-// have changed. It reports false if ctx ended before.
+// awaitPassage waits until blocked returns false. blocked also returns a channel that is closed when its result may have
+// changed. awaitPassage reports false if ctx ended before.
 func awaitPassage(ctx context.Context, blocked func() (bool, <-chan struct{})) bool {
 	for {
 		isBlocked, changed := blocked()
@@ -107,21 +109,23 @@
 	}
 }
 
-// peerLink is the way from one controller to another one, which listens at target. Kind is what its traffic counts as.
+// peerLink is a network path to the controller that listens at target. kind names its traffic in Traffic. The zones and
+// the members are empty unless the sender is a controller.
 type peerLink struct {
 	target, kind         string
 	fromZone, toZone     string
 	fromMember, toMember string
 }
 
-// reversed is the link in the direction of its replies.
+// reversed returns the link in the opposite direction.
 func (link peerLink) reversed() peerLink {
 	link.fromZone, link.toZone = link.toZone, link.fromZone
 	link.fromMember, link.toMember = link.toMember, link.fromMember
 	return link
 }
 
-// linkBlocked is blocked for one direction of a link.
+// linkBlocked reports whether a link is blocked in its direction, and returns a channel that is closed when that may have
+// changed.
 func (network *zoneNetwork) linkBlocked(link peerLink) (bool, <-chan struct{}) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -129,12 +133,13 @@
 	return cut || network.zonesCut(link.fromZone, link.toZone), network.changed
 }
 
-// await waits until what is sent in the direction of a link arrives. It reports false if ctx ended before.
+// await waits until a link is not blocked in its direction. It reports false if ctx ended before.
 func (network *zoneNetwork) await(ctx context.Context, link peerLink) bool {
 	return awaitPassage(ctx, func() (bool, <-chan struct{}) { return network.linkBlocked(link) })
 }
 
-// newLink opens a port through which a controller reaches another one; what a cut holds up is delivered after it.
+// newLink opens a loopback port that forwards connections to the link's target. Data that is sent while the link is
+// blocked is delivered afterwards.
 func (cluster *Cluster) newLink(link peerLink) (address string, err error) {
 	listener, err := listenLoopback(cluster.ctx)
 	if err != nil {
@@ -153,8 +158,8 @@
 	return listener.Addr().String(), nil
 }
 
-// forward connects a connection with a link's target, delays what is sent while the ends are cut off from each other, and
-// counts the bytes of each direction.
+// forward relays a connection to the link's target. It holds data back while the link is blocked, and counts the bytes of
+// each direction.
 func (cluster *Cluster) forward(inbound net.Conn, link peerLink) {
 	defer closeQuietly(inbound)
 	if !cluster.network.await(cluster.ctx, link) {
@@ -192,7 +197,7 @@
 	pump(outbound, inbound, link, " out")
 }
 
-// serveRegional opens a port at which one controller reaches a stand-in.
+// serveRegional opens a loopback port at which one controller reaches the fake of a regional service.
 func (cluster *Cluster) serveRegional(service http.RoundTripper, kind, member, zone string) (address string, err error) {
 	return cluster.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		if !cluster.network.wait(request.Context(), zone, RegionalServices) {
@@ -220,10 +225,10 @@
 	return listener, nil
 }
 
-// closeQuietly closes what holds nothing that a failing close could lose.
+// closeQuietly closes a resource and ignores the error. Use it only where a failed close loses no data.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
-// firstSegment is the first part of a path, which tells what is asked.
+// firstSegment returns the first segment of a path, with its leading slash.
 func firstSegment(path string) string {
 	for index := 1; index < len(path); index++ {
 		if path[index] == '/' {
@@ -233,7 +238,7 @@
 	return path
 }
 
-// serve runs an HTTP server on a loopback port of its own until the cluster is closed.
+// serve runs an HTTP server on a free loopback port until the cluster is closed.
 func (cluster *Cluster) serve(h http.Handler) (address string, err error) {
 	listener, err := listenLoopback(cluster.ctx)
 	if err != nil {
--- a/internal/cluster/questions.go
+++ b/internal/cluster/questions.go
@@ -8,41 +8,47 @@
 	"switchferry/api"
 )
 
-// QuestionKind is what a user asked of a controller.
+// QuestionKind is a kind of user request.
 type QuestionKind string
 
-// Kinds of questions.
 const (
+	// AskStatus requests a job's status.
 	AskStatus QuestionKind = "status"
+	// AskSubmit submits a job.
 	AskSubmit QuestionKind = "submission"
+	// AskCancel requests a job's cancellation.
 	AskCancel QuestionKind = "cancellation"
 )
 
-// Question is a question about a job and its answer, as its user saw them.
+// Question is a user's request about a job, with its answer.
 type Question struct {
-	Job        string
-	Kind       QuestionKind
+	// Job is the job's id.
+	Job  string
+	Kind QuestionKind
+	// Controller is the member that was asked.
 	Controller string
-	// AskedAt is just before the question was sent, AnsweredAt just after the answer was there.
+	// AskedAt is the time just before the request was sent, AnsweredAt the time just after the answer arrived.
 	AskedAt, AnsweredAt time.Time
-	// Status is the HTTP status, and State the job's state if the answer has one.
+	// Status is the HTTP status, 0 without an answer.
 	Status int
-	State  string
+	// State is the job's state in the answer, empty if there is none.
+	State string
 }
 
-// answered reports whether the question was answered with a state or with the job's being unknown.
+// answered reports whether there was an answer other than a server error.
 func (q Question) answered() bool { return q.Status < http.StatusInternalServerError && q.Status > 0 }
 
-// CancelRequested records that a job's user is about to ask for its cancellation.
+// CancelRequested records that a job's cancellation is about to be requested. The job must be known.
 func (audit *Audit) CancelRequested(jobID string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	audit.jobs[jobID].cancelRequested = true
 }
 
-// Judge records a question with its answer, in the order of the answers, and checks it. An answer is compared with what the
-// user had been told before asking: two that cross on their ways may differ, unless they name two terminal states.
-// It reports whether the job is over.
+// Judge records a request with its answer and checks the answer. It must be called in the order of the answers. An answer
+// is compared with the state that the user had been given before sending the request: answers to overlapping requests may
+// arrive out of order and differ, unless they state two different terminal states. It reports whether the job is in a
+// terminal state.
 func (audit *Audit) Judge(question Question) (over bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -73,7 +79,7 @@
 // isOver reports whether a state is terminal.
 func isOver(state string) bool { return state == api.Done || state == api.Cancelled }
 
-// judgeRefusal checks an answer that a job is unknown or cannot run; mu is held.
+// judgeRefusal checks an answer that a job is unknown or refused. The caller holds mu.
 func (audit *Audit) judgeRefusal(job *AuditedJob, question Question) {
 	known := !job.Accepted.IsZero() && job.Accepted.Before(question.AskedAt)
 	if known {
@@ -81,7 +87,8 @@
 	}
 }
 
-// judgeState checks a state against what the user had been told and what the workers did; mu is held.
+// judgeState checks a reported state against the state reported before and against the tasks' progress. The caller
+// holds mu.
 func (audit *Audit) judgeState(job *AuditedJob, question Question) {
 	state := question.State
 	changed := job.Told != "" && state != job.Told
@@ -105,15 +112,16 @@
 	}
 }
 
-// mayBeCancelled reports whether the user of a job, or of one that it awaits, has asked for its cancellation; mu is held.
+// mayBeCancelled reports whether the cancellation of a job, or of a job that it depends on directly or not, was requested.
+// The caller holds mu.
 func (audit *Audit) mayBeCancelled(job *AuditedJob) bool {
 	return job.cancelRequested || slices.ContainsFunc(job.Awaits, func(id string) bool {
 		return audit.jobs[id] != nil && audit.mayBeCancelled(audit.jobs[id])
 	})
 }
 
-// isOrphaned reports whether a job that a job awaits, directly or not, was told to be cancelled so long before a moment that
-// this one must be too; mu is held.
+// isOrphaned reports whether a job must have been cancelled by the given time because a job that it depends on, directly or
+// not, was. The caller holds mu.
 func (audit *Audit) isOrphaned(job *AuditedJob, at time.Time) bool {
 	return slices.ContainsFunc(job.Awaits, func(id string) bool {
 		awaited := audit.jobs[id]
@@ -128,22 +136,22 @@
 	})
 }
 
-// AuditCounts are what an audit has seen of questions.
+// AuditCounts are the numbers of events that an audit has recorded.
 type AuditCounts struct {
-	// Questions were asked and Answers came; Crossed are answers that a newer one overtook on its way.
+	// Questions counts requests, Answers those that were answered, and Crossed the answers that arrived after a newer one.
 	Questions, Answers, Crossed int
-	// Told are jobs of which a user was told a terminal state, Leaders the terms under which tasks were started.
+	// Told counts jobs whose user was given a terminal state, Leaders the terms under which tasks were started.
 	Told, Leaders int
 }
 
-// Counts returns what was seen so far.
+// Counts returns the counts so far.
 func (audit *Audit) Counts() AuditCounts {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return AuditCounts{Questions: audit.questions, Answers: audit.answers, Crossed: audit.crossed, Told: audit.told, Leaders: len(audit.firstStarts)}
 }
 
-// Unanswered records that nothing was to be learnt of an accepted job for so long that it counts as forgotten.
+// Unanswered records that requests about an accepted job had no answer for so long that the job counts as lost.
 func (audit *Audit) Unanswered(jobID string, since time.Duration) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
--- a/internal/cluster/state_link.go
+++ b/internal/cluster/state_link.go
@@ -13,43 +13,46 @@
 	"switchferry/internal/sleep"
 )
 
-// Delays of transactions that are executed late.
 const (
+	// minLateWrite is the minimum delay of transactions that are executed late.
 	minLateWrite = 500 * time.Millisecond
+	// maxLateWrite is the maximum delay of transactions that are executed late.
 	maxLateWrite = 4 * time.Second
 )
 
-// maxLateAnswer bounds the delay of an answer that is late while others are not.
+// maxLateAnswer is the maximum additional delay of late answers.
 const maxLateAnswer = 1500 * time.Millisecond
 
-// StateFaults is what is wrong with one controller's way to the state service. The zero value is a way in order.
+// StateFaults are the faults of one controller's link to the state service. The zero value has no faults.
 type StateFaults struct {
-	// Refused has every request answered with 503, and Silent none until that is over.
+	// Refused answers all requests with 503. Silent holds all requests until the fault ends.
 	Refused, Silent bool
-	// SlowUpTo delays each request, or its answer, by up to that long.
+	// SlowUpTo is the maximum of the random delay of each request or of its answer.
 	SlowUpTo time.Duration
-	// LateAnswers is the share of requests that are executed at once and answered up to maxLateAnswer late.
+	// LateAnswers is the share of requests, other than transactions, that are executed at once and answered up to
+	// maxLateAnswer late.
 	LateAnswers float64
-	// LostAnswers is the share of transactions that are executed and whose answers are lost; LateWrites is the share that
-	// gets no answer and is executed later.
+	// LostAnswers is the share of transactions that are executed without an answer. LateWrites is the share of
+	// transactions that get no answer and are executed later.
 	LostAnswers, LateWrites float64
 }
 
-// stateLink is one controller's way to the state service.
+// stateLink is one controller's link to the state service. It is safe for concurrent use.
 type stateLink struct {
 	ctx     context.Context
 	service http.RoundTripper
 
-	// mu guards faults, and changed, which is closed and replaced with each change.
-	mu      sync.Mutex
-	faults  StateFaults
+	// mu guards the fields below.
+	mu     sync.Mutex
+	faults StateFaults
+	// changed is closed and replaced at each change of faults.
 	changed chan struct{}
 }
 
-// errNoAnswer is what a controller gets whose request has no answer.
+// errNoAnswer is returned for a request that gets no answer.
 var errNoAnswer = errors.New("no answer")
 
-// SetStateFaults changes what is wrong with a controller's way to the state service.
+// SetStateFaults replaces the faults of a controller's link to the state service.
 func (cluster *Cluster) SetStateFaults(member string, faults StateFaults) {
 	link := cluster.stateLinks[member]
 	link.mu.Lock()
@@ -59,19 +62,19 @@
 	link.changed = make(chan struct{})
 }
 
-// newStateLink returns a way in order. What it executes late ends with the context.
+// newStateLink returns a link without faults. Late transactions are not executed after the context's end.
 func newStateLink(ctx context.Context, service http.RoundTripper) *stateLink {
 	return &stateLink{ctx: ctx, service: service, changed: make(chan struct{})}
 }
 
-// current returns what is wrong now, and a channel that is closed when that changes.
+// current returns the current faults, and a channel that is closed when they change.
 func (link *stateLink) current() (StateFaults, <-chan struct{}) {
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	return link.faults, link.changed
 }
 
-// RoundTrip passes a request on as far as the faults let it.
+// RoundTrip forwards a request to the state service, subject to the link's faults.
 func (link *stateLink) RoundTrip(request *http.Request) (*http.Response, error) {
 	faults, err := link.awaitOpen(request.Context())
 	if err != nil {
@@ -96,7 +99,7 @@
 	return response, err
 }
 
-// awaitOpen waits while the way is silent, and returns what else is wrong with it then.
+// awaitOpen waits while the link is silent, and returns the faults that apply afterwards.
 func (link *stateLink) awaitOpen(ctx context.Context) (faults StateFaults, err error) {
 	open := awaitPassage(ctx, func() (bool, <-chan struct{}) {
 		var changed <-chan struct{}
@@ -109,7 +112,7 @@
 	return faults, nil
 }
 
-// transact passes a transaction on: at once, without its answer, or later.
+// transact forwards a transaction: with its answer, without its answer, or late and without its answer.
 func (link *stateLink) transact(request *http.Request, faults StateFaults) (*http.Response, error) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -129,7 +132,7 @@
 		late := context.WithoutCancel(request.Context())
 		time.AfterFunc(minLateWrite+randomDuration(maxLateWrite-minLateWrite), func() {
 			if link.ctx.Err() == nil {
-				_, _ = execute(late) //nolint:bodyclose // The stand-in's answers hold no resources.
+				_, _ = execute(late) //nolint:bodyclose // The fake's answers hold no resources.
 			}
 		})
 		return nil, errNoAnswer
@@ -137,7 +140,7 @@
 	return execute(request.Context())
 }
 
-// randomDuration returns a duration below a limit, 0 if the limit is.
+// randomDuration returns a random duration below the limit, 0 if the limit is not positive.
 func randomDuration(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -15,23 +15,24 @@
 	"switchferry/store"
 )
 
-// Worker is a fake worker that runs no tasks, but has a port and connections of its own.
+// Worker is a fake worker with its own listening port and connections. It executes no tasks.
 type Worker struct {
 	*fake.Worker
 	cluster *Cluster
 	stop    context.CancelFunc
 	client  *http.Client
 
-	// mu guards the fields below: whether heartbeats of the worker are lost, whether answers and commands to it are, and
-	// changed, which is closed and replaced with each change. A dead worker stays mute and deaf.
-	mu               sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// mute blocks messages from the worker, and deaf messages to it. A dead worker stays mute and deaf.
 	mute, deaf, dead bool
-	changed          chan struct{}
-	// commandAt is when the first direct command arrived since the last heartbeat was sent; zero: none did.
+	// changed is closed and replaced at each change of mute or deaf.
+	changed chan struct{}
+	// commandAt is when the first direct command arrived since the last heartbeat was sent, zero if none did.
 	commandAt time.Time
 }
 
-// AddWorkers starts n machines, spread evenly over the zones.
+// AddWorkers starts n machines with their workers, distributed evenly over the zones.
 func (cluster *Cluster) AddWorkers(n int, zones []string) error {
 	cluster.mu.Lock()
 	have := len(cluster.workers)
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// addWorker opens a worker's port and runs the worker. obtainHost is the machine of a worker with that address; it
-// reports false if there is none any more.
+// addWorker opens a worker's port and runs the worker. obtainHost returns the machine for a worker with that address, and
+// false if the machine no longer exists; then no worker is started.
 func (cluster *Cluster) addWorker(obtainHost func(address string) (fake.Host, bool)) error {
 	ctx, stop := context.WithCancel(cluster.ctx)
 	worker := &Worker{cluster: cluster, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
@@ -87,7 +88,7 @@
 // seconds converts seconds into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Workers are the workers that run now, in no order.
+// Workers returns the current workers, in no order.
 func (cluster *Cluster) Workers() []*Worker {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -98,7 +99,7 @@
 	return out
 }
 
-// Running counts the tasks that run on all workers.
+// Running returns the number of tasks that run on all workers.
 func (cluster *Cluster) Running() (n int) {
 	for _, worker := range cluster.Workers() {
 		_, _, _, running := worker.Seen()
@@ -107,7 +108,7 @@
 	return n
 }
 
-// machineRented starts the worker of a machine that a controller rented, once the machine has booted.
+// machineRented starts the worker of a rented machine after the machine's boot time.
 func (cluster *Cluster) machineRented(host fake.Host) {
 	time.AfterFunc(seconds(cluster.options.Type.BootS), func() {
 		if cluster.ctx.Err() != nil {
@@ -117,7 +118,7 @@
 	})
 }
 
-// machineReturned ends the worker of a machine that a controller gave back.
+// machineReturned stops the worker of a machine that a controller returned to the cloud.
 func (cluster *Cluster) machineReturned(host fake.Host) {
 	cluster.mu.Lock()
 	worker := cluster.workers[host.Name]
@@ -128,15 +129,16 @@
 	}
 	worker.stop()
 	_, _, _, running := worker.Seen()
-	// Commands that come after this are of another incarnation.
+	// With the new incarnation the worker rejects commands that are still in transit.
 	worker.Restart()
 	cluster.Returned(worker, running)
 }
 
-// Lose cuts the worker off in both directions, or ends that.
+// Lose blocks or unblocks the worker's messages in both directions.
 func (worker *Worker) Lose(on bool) { worker.LoseOneWay(on, on) }
 
-// LoseOneWay has the worker's heartbeats lost, if it is mute, and answers and commands to it, if it is deaf.
+// LoseOneWay sets which messages are blocked: those from the worker, which are heartbeats and answers to commands, and
+// those to the worker, which are responses to heartbeats and commands.
 func (worker *Worker) LoseOneWay(mute, deaf bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -145,7 +147,7 @@
 	worker.changed = make(chan struct{})
 }
 
-// Die ends the machine for good, with all that runs on it.
+// Die fails the machine permanently and ends all tasks on it.
 func (worker *Worker) Die() {
 	worker.mu.Lock()
 	worker.dead = true
@@ -154,17 +156,17 @@
 	worker.Restart()
 }
 
-// direction is a direction of messages between a worker and a place.
+// direction is a direction of messages between a worker and a controller.
 type direction int
 
 const (
-	// fromWorker is that of heartbeats, and of answers to commands.
+	// fromWorker is the direction of heartbeats and of answers to commands.
 	fromWorker direction = iota
-	// toWorker is that of answers to heartbeats, and of commands.
+	// toWorker is the direction of responses to heartbeats and of commands.
 	toWorker
 )
 
-// reachable waits until a message of a direction passes between the worker and a place, a zone or RegionalServices. It
+// reachable waits until messages of a direction pass between the worker and a zone, which may be RegionalServices. It
 // reports false if ctx ended before.
 func (worker *Worker) reachable(ctx context.Context, place string, way direction) bool {
 	return awaitPassage(ctx, func() (bool, <-chan struct{}) {
@@ -175,7 +177,8 @@
 	})
 }
 
-// loses reports whether messages of a direction are lost, and returns a channel that is closed when that may have changed.
+// loses reports whether messages of a direction are blocked, and returns a channel that is closed when that may have
+// changed.
 func (worker *Worker) loses(way direction) (bool, <-chan struct{}) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -185,7 +188,8 @@
 	return worker.mute, worker.changed
 }
 
-// post sends a heartbeat to a controller; status 0 stands for no answer.
+// post sends a heartbeat to a controller, subject to the network's and the messages' faults. It returns status 0 if there is
+// no answer.
 func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
 	var recipient *Controller
 	for _, controller := range worker.cluster.Controllers {
@@ -226,14 +230,14 @@
 	return response.StatusCode, decodeAnswer(response.StatusCode, answer)
 }
 
-// beginExchange notes that a heartbeat is sent.
+// beginExchange resets the record of direct commands when a heartbeat is sent.
 func (worker *Worker) beginExchange() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.commandAt = time.Time{}
 }
 
-// noteCommand notes that a direct command has arrived.
+// noteCommand records the time of a direct command if it is the first since the last heartbeat was sent.
 func (worker *Worker) noteCommand() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -242,14 +246,14 @@
 	}
 }
 
-// firstCommand is when the first direct command arrived since the last heartbeat was sent; zero: none did.
+// firstCommand returns when the first direct command arrived since the last heartbeat was sent, zero if none did.
 func (worker *Worker) firstCommand() time.Time {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return worker.commandAt
 }
 
-// repeatHeartbeat sends a copy of an earlier heartbeat to any controller; nobody gets the answer.
+// repeatHeartbeat sends a copy of an earlier heartbeat to a random controller and discards the answer.
 func (worker *Worker) repeatHeartbeat(ctx context.Context, raw []byte) {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
@@ -258,7 +262,8 @@
 	_, _, _ = worker.cluster.Call(ctx, recipient, http.MethodPost, "/v1/report", raw)
 }
 
-// decodeAnswer decodes an answer to a heartbeat, to nil if it is malformed.
+// decodeAnswer decodes an answer to a heartbeat: an api.HeartbeatResponse for status 200, nil if that is malformed, and an
+// api.Redirect otherwise.
 func decodeAnswer(status int, raw []byte) any {
 	if status == http.StatusOK {
 		var orders api.HeartbeatResponse
@@ -272,7 +277,8 @@
 	return redirect
 }
 
-// serveCommand executes commands that a leader sends directly, unless its zone and the worker are cut off from each other.
+// serveCommand executes commands that a leader sends directly. While the leader's zone and the worker do not reach each
+// other, it waits, and it aborts the request if that ends first.
 func (worker *Worker) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	var orders api.HeartbeatResponse
 	if err := json.NewDecoder(request.Body).Decode(&orders); err != nil {
@@ -304,7 +310,7 @@
 	_, _ = writer.Write(raw)
 }
 
-// currentLeader is the leader according to the state service, with its term; empty and 0 if there is none.
+// currentLeader returns the leader that is recorded in the state service, and its term; empty and 0 if there is none.
 func (cluster *Cluster) currentLeader() (member string, term uint64) {
 	raw, stamp := cluster.State.Read(store.LeaderKey)
 	var record store.LeaderRecord
@@ -314,7 +320,8 @@
 	return record.Member, stamp
 }
 
-// watchLeader records the zone of each term's leader until the cluster is closed: commands carry a term, not a sender.
+// watchLeader records the zone of each term's leader until the cluster is closed. It is needed because commands carry
+// a term but not their sender.
 func (cluster *Cluster) watchLeader() {
 	for cluster.Sleep(20 * time.Millisecond) {
 		member, term := cluster.currentLeader()
@@ -331,14 +338,14 @@
 	}
 }
 
-// Terms is how many terms of leaders there were.
+// Terms returns the number of leader terms that were observed.
 func (cluster *Cluster) Terms() int {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	return len(cluster.zonesByTerm)
 }
 
-// zoneOfTerm is the zone of a term's leader, RegionalServices if that is not known.
+// zoneOfTerm returns the zone of a term's leader, RegionalServices if it is not known.
 func (cluster *Cluster) zoneOfTerm(term uint64) string {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -17,54 +17,60 @@
 	"switchferry/api"
 )
 
-// Limits of the cloud's interface.
+// Limits of the cloud's protocol.
 const (
-	maxRentCount   = 50
+	// maxRentCount is the maximum number of machines in a rental request.
+	maxRentCount = 50
+	// maxReturnCount is the maximum number of machines in a return request.
 	maxReturnCount = 100
-	maxPageSize    = 500
+	// maxPageSize is the maximum number of machines in a page of a list.
+	maxPageSize = 500
 )
 
-// Cloud is a fake of the cloud: an http.RoundTripper that rents machines, keeps the protocol's limits, and lists its
-// machines without delay.
+// Cloud is an http.RoundTripper that fakes the cloud. It rents machines, enforces the protocol's limits, and lists rented
+// machines immediately. It is safe for concurrent use.
 type Cloud struct {
 	clock    clockwork.Clock
 	types    []api.MachineType
 	requests *rate.Limiter
 
-	mu               sync.Mutex
-	hosts            map[string]*Host
+	// mu guards the fields below, except Up and Gone.
+	mu    sync.Mutex
+	hosts map[string]*Host // by name
+	// rentalsByRequest holds the names of the machines of each rental, by idempotency key.
 	rentalsByRequest map[string][]string
 	nextHost         int
 	// Room is how many more machines can be rented.
 	Room int
-	// Up is called for each machine that was rented, Gone for each that was returned, without the lock. Set both
-	// before the first request.
+	// Up is called for each rented machine, Gone for each returned one, without mu held. They may be set only before the
+	// first request.
 	Up, Gone func(Host)
-	// Refused counts requests that broke a limit, by its name.
+	// Refused counts the requests that violated a limit, by the error's text.
 	Refused map[string]int
 }
 
-// Host is one machine as the cloud knows it.
+// Host is a machine of the cloud.
 type Host struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
 	rentedAt                  time.Time
 }
 
-// NewCloud makes a cloud of some machine types without room, which answers rps requests a second.
+// NewCloud returns a cloud with the given machine types and no capacity, which accepts rps requests per second with bursts
+// of two seconds' worth.
 func NewCloud(clock clockwork.Clock, types []api.MachineType, rps float64) *Cloud {
 	return &Cloud{clock: clock, types: types, requests: rate.NewLimiter(rate.Limit(rps), max(1, int(2*rps))), hosts: map[string]*Host{},
 		rentalsByRequest: map[string][]string{}, Up: func(Host) {}, Gone: func(Host) {}, Refused: map[string]int{}}
 }
 
-// Add makes a machine that was not requested, as if rented before.
+// Add adds a machine, as if it had been rented earlier, and returns it. It takes no capacity.
 func (cloud *Cloud) Add(typ, zone string, spot bool) Host {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	return *cloud.addHost(typ, zone, spot)
 }
 
-// AddAt is Add for a machine whose worker listens at an address of its own.
+// AddAt adds an on-demand machine whose worker listens at the given address.
 func (cloud *Cloud) AddAt(typ, zone, addr string) Host {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -73,7 +79,7 @@
 	return *host
 }
 
-// Move gives a machine another address; it reports false if the machine was returned.
+// Move changes the address of a machine. It reports false if the machine does not exist, as after its return.
 func (cloud *Cloud) Move(name, addr string) (Host, bool) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -85,7 +91,7 @@
 	return *host, true
 }
 
-// addHost makes a machine with the next name; mu is held.
+// addHost adds a machine with the next name. The caller holds mu.
 func (cloud *Cloud) addHost(typ, zone string, spot bool) *Host {
 	host := &Host{Name: fmt.Sprintf("n-%06d", cloud.nextHost), Address: fmt.Sprintf("worker-%d:9000", cloud.nextHost), Type: typ, Zone: zone, Spot: spot, rentedAt: cloud.clock.Now()}
 	cloud.nextHost++
@@ -109,7 +115,7 @@
 	return resp, err
 }
 
-// serve answers a request and returns the machines that it rented and returned.
+// serve answers a request and returns the machines that the request rented and those that it returned.
 func (cloud *Cloud) serve(request *http.Request, body []byte) (resp *http.Response, rented, returned []Host, err error) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -132,14 +138,14 @@
 	return resp, rented, returned, err
 }
 
-// refuse counts and answers a request that breaks a limit; mu is held.
+// refuse counts and answers a request that violates a limit. The caller holds mu.
 func (cloud *Cloud) refuse(status int, why string) (*http.Response, error) {
 	cloud.Refused[why]++
 	return reply(status, map[string]any{"error": why})
 }
 
-// serveRent rents as many of the requested machines as there is room for. A request with a known idempotency key is
-// answered as before. mu is held.
+// serveRent rents as many of the requested machines as the capacity allows. A request with a known idempotency key gets
+// the first answer again. The caller holds mu.
 func (cloud *Cloud) serveRent(body []byte) (resp *http.Response, rented []Host, err error) {
 	var request api.InstanceRequest
 	if json.Unmarshal(body, &request) != nil || request.IdempotencyKey == "" || request.Count < 1 || request.Count > maxRentCount {
@@ -163,7 +169,7 @@
 	return resp, rented, err
 }
 
-// serveReturn gives machines back; unknown ones are passed over. mu is held.
+// serveReturn returns machines to the cloud and ignores unknown ones. The caller holds mu.
 func (cloud *Cloud) serveReturn(body []byte) (resp *http.Response, returned []Host, err error) {
 	var request struct {
 		Hosts []string `json:"hosts"`
@@ -183,7 +189,7 @@
 	return resp, returned, err
 }
 
-// serveList answers with a page of the machines, in the order of their names; mu is held.
+// serveList answers with a page of the machines, sorted by name. The caller holds mu.
 func (cloud *Cloud) serveList(request *http.Request) (*http.Response, error) {
 	query := request.URL.Query()
 	limit, err := strconv.Atoi(query.Get("limit"))
--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -2,19 +2,21 @@
 
 import "net/http"
 
-// Late is a request whose answer is held back until Answer is called.
+// Late controls the answer to a delayed request.
 type Late struct {
-	// Asked is closed once the request arrived.
-	Asked    chan struct{}
+	// Asked is closed when the request arrives.
+	Asked chan struct{}
+	// released is closed when the answer may be sent.
 	released chan struct{}
+	// executed means that the request is executed on arrival, not when the answer is released.
 	executed bool
 }
 
-// Answer releases the answer. It must be called once.
+// Answer releases the answer. It must be called exactly once.
 func (l *Late) Answer() { close(l.released) }
 
-// LateNext holds back the answer to the next transaction, which is executed at once or, if executed is false, when the
-// answer is released.
+// LateNext delays the answer to the next transaction until Late.Answer is called. The transaction is executed on arrival
+// if executed is true, and when the answer is released otherwise.
 func (state *State) LateNext(executed bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -22,8 +24,8 @@
 	return state.delayedWrite
 }
 
-// LateRead holds back the answer to the next read of a key, which is executed at once or, if executed is false, when the
-// answer is released.
+// LateRead delays the answer to the next read of a key until Late.Answer is called. The read is executed on arrival if
+// executed is true, and when the answer is released otherwise.
 func (state *State) LateRead(executed bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -31,8 +33,7 @@
 	return state.delayedRead
 }
 
-// awaitRelease waits until the answer is released. It is called, and returns, with mu held, which it releases while it
-// waits.
+// awaitRelease waits until the answer is released. The caller holds mu, which is unlocked during the wait.
 func (state *State) awaitRelease(late *Late) {
 	close(late.Asked)
 	state.mu.Unlock()
@@ -40,7 +41,7 @@
 	state.mu.Lock()
 }
 
-// serveDelayed executes a transaction whose answer is held back. It is called, and returns, with mu held.
+// serveDelayed executes a transaction whose answer is delayed. The caller holds mu, which is unlocked during the wait.
 func (state *State) serveDelayed(late *Late, transaction transactionRequest) (resp *http.Response, err error) {
 	if late.executed {
 		resp, err = state.apply(transaction)
@@ -52,12 +53,12 @@
 	return resp, err
 }
 
-// Deliver executes the transactions that HoldNext held back; nobody gets their answers.
+// Deliver executes the transactions that HoldNext held back, in order, and discards their answers.
 func (state *State) Deliver() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for _, transaction := range state.heldTransactions {
-		_, _ = state.apply(transaction) //nolint:bodyclose // The answer holds no resources, and nobody gets it.
+		_, _ = state.apply(transaction) //nolint:bodyclose // The answer holds no resources.
 	}
 	state.heldTransactions = nil
 }
--- a/internal/fake/leases.go
+++ b/internal/fake/leases.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// grantLease grants a lease for the life in the request.
+// grantLease grants a lease with the lifetime in the request. The caller holds mu.
 func (state *State) grantLease(body []byte) (*http.Response, error) {
 	var q struct {
 		Life int64 `json:"life_ms"`
@@ -27,7 +27,7 @@
 	return reply(http.StatusOK, map[string]any{"ticket": id})
 }
 
-// renewOrRevokeLease renews the lease in the request's path, or revokes it if the method is DELETE.
+// renewOrRevokeLease renews the lease in the request's path, or revokes it if the method is DELETE. The caller holds mu.
 func (state *State) renewOrRevokeLease(request *http.Request) (*http.Response, error) {
 	id, _ := strconv.ParseUint(strings.Split(request.URL.Path, "/")[2], 10, 64)
 	if _, ok := state.leases[id]; !ok {
@@ -42,7 +42,7 @@
 	return reply(http.StatusOK, map[string]any{})
 }
 
-// expireLeases ends the leases whose time has passed and deletes the records that hang on them; mu is held.
+// expireLeases removes expired leases and the records that are attached to them. The caller holds mu.
 func (state *State) expireLeases() {
 	for id, end := range state.leases {
 		if state.clock.Now().After(end) {
--- a/internal/fake/objects.go
+++ b/internal/fake/objects.go
@@ -11,33 +11,38 @@
 	"switchferry/dataset"
 )
 
-// Objects is a fake of the store of datasets, an http.Handler that serves NAME/manifest.json and ranges of NAME/data. It
-// can be made to fail by Break.
+// Objects is an http.Handler that fakes the dataset store. It serves NAME/manifest.json and byte ranges of NAME/data, and
+// fails as set by Break. It is safe for concurrent use.
 type Objects struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below, except Hanging
 	objects   map[string][]byte
 	manifests map[string][]byte
-	// served counts the bytes of data that were sent, rangeCounts how often each range was requested, by the
-	// dataset's name and its first byte.
-	served      int64
+	// served counts the bytes of data that were sent.
+	served int64
+	// rangeCounts counts the requests for each range, by the dataset's name and the range's first byte.
 	rangeCounts map[string]int
 	fault       Fault
-	// Hanging gets a message whenever a request hangs or drips, unless 64 wait to be read.
+	// Hanging receives a value for each request that hangs, unless its buffer of 64 is full.
 	Hanging chan struct{}
 }
 
-// Fault is how the store fails. The first After bytes of an answer are as they should be.
+// Fault is a way in which the store fails. The zero value is no fault.
 type Fault struct {
-	Kind  string // "", reset, hang, 503, short, wrong, drip
+	// Kind is one of: "" for none; "503" for that status on every request; "short" and "reset" to close the connection
+	// in the middle of the data; "hang" to send no further data; "drip" to send one more byte and then none; "wrong" to
+	// corrupt the data.
+	Kind string
+	// After is the number of bytes of an answer's data that are sent intact before the fault.
 	After int
 }
 
-// NewObjects makes an empty store.
+// NewObjects returns an empty store.
 func NewObjects() *Objects {
 	return &Objects{objects: map[string][]byte{}, manifests: map[string][]byte{}, rangeCounts: map[string]int{}, Hanging: make(chan struct{}, 64)}
 }
 
-// Add publishes a dataset and returns its manifest with its digest; it panics if the dataset cannot be built.
+// Add publishes a dataset with chunks of the given size in bytes and the given number of chunks in a part. It returns the
+// dataset's manifest and the manifest's digest, and panics if the dataset cannot be built.
 func (objects *Objects) Add(name string, data []byte, chunk, part int) (*dataset.Manifest, dataset.Digest) {
 	manifest, err := dataset.Build(name, strings.NewReader(string(data)), chunk, part, nil)
 	if err != nil {
@@ -53,14 +58,14 @@
 	return manifest, digest
 }
 
-// Break sets how the store fails from now on. The zero Fault ends that.
+// Break sets how the store fails from now on.
 func (objects *Objects) Break(fault Fault) {
 	objects.mu.Lock()
 	defer objects.mu.Unlock()
 	objects.fault = fault
 }
 
-// Served is the number of bytes of data that were sent, and how often the most requested range was requested.
+// Served returns the number of data bytes that were sent, and the number of requests for the most requested range.
 func (objects *Objects) Served() (bytes int64, most int) {
 	objects.mu.Lock()
 	defer objects.mu.Unlock()
@@ -70,7 +75,7 @@
 	return objects.served, most
 }
 
-// ServeHTTP serves a dataset's manifest, or one range of its data.
+// ServeHTTP serves a dataset's manifest or one byte range of its data.
 func (objects *Objects) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	name, file, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	objects.mu.Lock()
@@ -99,7 +104,7 @@
 	objects.writeBody(w, request, body, fault)
 }
 
-// writeBody writes the body of an answer as the fault says.
+// writeBody writes the body of an answer, subject to the fault.
 func (objects *Objects) writeBody(w http.ResponseWriter, request *http.Request, body []byte, fault Fault) {
 	good := min(fault.After, len(body))
 	switch fault.Kind {
@@ -114,7 +119,7 @@
 	case "short", "reset":
 		objects.write(w, body[:good])
 		flush(w)
-		// The server closes the connection in the middle of the body.
+		// This panic has the server close the connection in the middle of the body.
 		panic(http.ErrAbortHandler)
 	case "hang", "drip":
 		objects.write(w, body[:good])
@@ -126,7 +131,7 @@
 	}
 }
 
-// write writes data and counts the bytes.
+// write writes data and counts its bytes as served.
 func (objects *Objects) write(w http.ResponseWriter, data []byte) {
 	count, _ := w.Write(data)
 	objects.mu.Lock()
@@ -134,14 +139,14 @@
 	objects.mu.Unlock()
 }
 
-// flush sends what was written so far.
+// flush sends the buffered data to the client.
 func flush(w http.ResponseWriter) {
 	if flusher, ok := w.(http.Flusher); ok {
 		flusher.Flush()
 	}
 }
 
-// hang announces that a request hangs, and waits for its end, for a minute at most.
+// hang sends to Hanging and waits until the client cancels the request, for at most one minute.
 func (objects *Objects) hang(request *http.Request) {
 	select {
 	case objects.Hanging <- struct{}{}:
--- a/internal/fake/placements.go
+++ b/internal/fake/placements.go
@@ -2,12 +2,12 @@
 
 import "iter"
 
-// Placements records on which machines each task runs, so that a second machine never hides the first. M identifies a
-// machine. It is made like a map and is not safe for concurrent use.
+// Placements records all machines on which each task runs, so that a task on two machines at once is detected. M
+// identifies a machine. It is created like a map and is not safe for concurrent use.
 type Placements[M comparable] map[string]map[M]bool
 
-// Start records that a machine starts a task. It returns the other machines that run the task, which no protocol allows,
-// and whether this one ran it already.
+// Start records that a machine starts a task. It returns the other machines that run the task, of which the protocol
+// allows none, and whether this machine was already running it.
 func (p Placements[M]) Start(task string, machine M) (elsewhere []M, again bool) {
 	if p[task] == nil {
 		p[task] = map[M]bool{}
@@ -22,7 +22,7 @@
 	return elsewhere, again
 }
 
-// End records that a task is no longer on a machine, and reports whether it was.
+// End records that a task no longer runs on a machine, and reports whether it ran there.
 func (p Placements[M]) End(task string, machine M) bool {
 	ran := p[task][machine]
 	delete(p[task], machine)
@@ -32,7 +32,7 @@
 	return ran
 }
 
-// All yields each task with each machine that runs it, in no order.
+// All yields each task with each machine on which it runs, in no order.
 func (p Placements[M]) All() iter.Seq2[string, M] {
 	return func(yield func(string, M) bool) {
 		for task, machines := range p {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -1,6 +1,7 @@
-// Package fake holds working fakes of what surrounds the controllers, for tests, the simulation and experiments: the
-// state service, the cloud, a store of datasets and the workers. They keep the protocol and its limits, can be made to
-// fail, and run in process on a clock that the caller gives. Nothing is stored on disk, and tasks run nothing.
+// Package fake provides in-process fakes of the services around the controllers, for tests, the simulation and
+// experiments: the state service, the cloud, the dataset store and the workers. They follow the protocol and enforce its
+// limits, support fault injection, and run on the caller's clock. They store nothing on disk, and their tasks execute
+// nothing.
 package fake
 
 import (
@@ -22,74 +23,87 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits are the state service's limits that each deployment sets. The others are the same everywhere and always kept.
+// Limits are the state service's limits that differ between deployments. The protocol's other limits always apply.
 type Limits struct {
-	// RPS limits requests a second, WriteRPS changes a second, each with bursts of one second's worth; 0 is no
-	// limit, for tests whose clock does not advance.
+	// RPS is the maximum number of requests per second, WriteRPS that of changes per second, each with bursts of one
+	// second's worth. 0 means no limit, for tests whose clock does not advance.
 	RPS, WriteRPS float64
-	// ValueKB limits a value in KiB, TxnOps the changes of a transaction.
+	// ValueKB is the maximum size of a value in KiB.
 	ValueKB float64
-	TxnOps  int
+	// TxnOps is the maximum number of changes in a transaction.
+	TxnOps int
 }
 
-// Limits that the protocol sets.
+// Limits that the protocol sets for all deployments.
 const (
-	maxBodyBytes  = 64 << 10
-	maxListItems  = 1000
-	maxListBytes  = 512 << 10
-	maxHistory    = 10_000
-	maxKeyBytes   = 200
+	// maxBodyBytes is the maximum size of a request's body.
+	maxBodyBytes = 64 << 10
+	// maxListItems is the maximum number of records in a page of a list.
+	maxListItems = 1000
+	// maxListBytes is the maximum size of a page's keys and values, unless a single record is larger.
+	maxListBytes = 512 << 10
+	// maxHistory is the number of changes that are kept for watches.
+	maxHistory = 10_000
+	// maxKeyBytes is the maximum length of a key.
+	maxKeyBytes = 200
+	// maxWatchBlock is the maximum time for which a watch waits.
 	maxWatchBlock = 60 * time.Second
-	minLeaseLife  = 100 * time.Millisecond
-	maxLeaseLife  = 600 * time.Second
+	// minLeaseLife is the minimum lifetime of a lease.
+	minLeaseLife = 100 * time.Millisecond
+	// maxLeaseLife is the maximum lifetime of a lease.
+	maxLeaseLife = 600 * time.Second
 )
 
-// record is a key's value, the revision of its last change, and the lease that it hangs on, 0 if on none.
+// record is a key's value, the revision of its last change, and the id of the lease to which it is attached, 0 if none.
 type record struct {
 	value    json.RawMessage
 	revision uint64
 	leaseID  uint64
 }
 
-// State is a fake of the state service, a key-value store with leases, watches and transactions on conditions. It is an
-// http.RoundTripper that answers requests itself.
+// State is an http.RoundTripper that fakes the state service, a key-value store with leases, watches and conditional
+// transactions. Its methods are safe for concurrent use.
 type State struct {
 	clock clockwork.Clock
 
-	// mu guards the fields below, also the exported ones while requests are served.
+	// mu guards the fields below. Callers may use the exported ones only while no request is served.
 	mu        sync.Mutex
 	records   map[string]record
-	leases    map[uint64]time.Time
-	leaseLife map[uint64]time.Duration
+	leases    map[uint64]time.Time     // expiry, by lease id
+	leaseLife map[uint64]time.Duration // lifetime, by lease id
 	revision  uint64
-	// Down has every request answered with 503.
+	// Down answers all requests with 503.
 	Down bool
-	// LoseAnswer has the next transaction executed and its answer lost; HoldNext has it held back until
-	// Deliver.
-	LoseAnswer, HoldNext bool
-	heldTransactions     []transactionRequest
-	delayedWrite         *Late
-	delayedRead          *Late
-	// Largest is the largest transaction so far: its changes, its bytes, and
-	// the bytes of its largest value.
+	// LoseAnswer executes the next transaction without answering it.
+	LoseAnswer bool
+	// HoldNext holds the next transaction back until Deliver, without answering it.
+	HoldNext         bool
+	heldTransactions []transactionRequest
+	// delayedWrite and delayedRead delay the answer to the next transaction and the next read of a key, if not nil.
+	delayedWrite *Late
+	delayedRead  *Late
+	// Largest holds the maxima over all transactions so far: the number of changes, the size of the body in bytes, and
+	// the size of a value in bytes.
 	Largest struct{ Ops, Bytes, Value int }
-	// Requests counts all requests, Refused those that break a limit, by its name. changesByKind counts puts and
-	// deletes by the first two parts of the keys.
-	Requests      int
-	Refused       map[string]int
+	// Requests counts all requests.
+	Requests int
+	// Refused counts the requests that violated a limit, by the error's text.
+	Refused map[string]int
+	// changesByKind counts puts and deletes in transactions, by the first two segments of the key.
 	changesByKind map[string]int
 
 	limits   Limits
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	// history holds the newest changes; every one up to gone is no longer kept.
-	history       []change
+	// history holds the newest changes, oldest first, for watches.
+	history []change
+	// oldestDropped is the newest revision whose changes may no longer be in history.
 	oldestDropped uint64
-	// notifyChange is closed at each change, and made anew.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-// NewState makes an empty service with the default limits.
+// NewState returns an empty service that accepts values of 16 KiB and transactions of 24 changes, without rate limits.
 func NewState(clock clockwork.Clock) *State {
 	s := &State{clock: clock, records: map[string]record{}, leases: map[uint64]time.Time{}, leaseLife: map[uint64]time.Duration{}, revision: 10, oldestDropped: 10,
 		Refused: map[string]int{}, changesByKind: map[string]int{}, changed: make(chan struct{})}
@@ -97,7 +111,7 @@
 	return s
 }
 
-// Limit sets the deployment's limits.
+// Limit replaces the deployment's limits.
 func (state *State) Limit(limits Limits) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -110,43 +124,43 @@
 	state.limits, state.requests, state.writes = limits, per(limits.RPS), per(limits.WriteRPS)
 }
 
-// Outage sets Down while requests may be served.
+// Outage sets Down. Unlike the field it may be used while requests are served.
 func (state *State) Outage(down bool) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.Down = down
 }
 
-// Refusals counts the requests that broke a limit so far, by its name.
+// Refusals returns a copy of Refused. Unlike the field it may be used while requests are served.
 func (state *State) Refusals() map[string]int {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	return maps.Clone(state.Refused)
 }
 
-// Changes counts the puts and deletes so far, by the first two parts of the keys.
+// Changes returns the number of puts and deletes in transactions so far, by the first two segments of the key.
 func (state *State) Changes() map[string]int {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	return maps.Clone(state.changesByKind)
 }
 
-// keyKind is the first two parts of a key.
+// keyKind returns the first two segments of a key.
 func keyKind(key string) string {
 	parts := strings.SplitN(key, "/", 3)
 	return strings.Join(parts[:min(2, len(parts))], "/")
 }
 
-// refuse counts and answers a request that breaks a limit; mu is held.
+// refuse counts and answers a request that violates a limit. The caller holds mu.
 func (state *State) refuse(status int, why string) (*http.Response, error) {
 	state.Refused[why]++
 	return reply(status, map[string]any{"error": why})
 }
 
-// errAnswerLost is what a client gets whose request is executed, or held back, without an answer.
+// errAnswerLost is returned for a transaction that is executed or held back without an answer.
 var errAnswerLost = errors.New("no answer")
 
-// reply makes an answer with a JSON body.
+// reply returns a response with a JSON body.
 func reply(status int, body any) (*http.Response, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -191,7 +205,7 @@
 	return reply(http.StatusBadRequest, map[string]any{"error": "malformed"})
 }
 
-// serveGet answers with a key's record.
+// serveGet answers with a key's record. The caller holds mu, which is unlocked while the answer is delayed.
 func (state *State) serveGet(key string) (*http.Response, error) {
 	found, ok := state.records[key]
 	if late := state.delayedRead; late != nil {
@@ -207,7 +221,7 @@
 	return reply(http.StatusOK, map[string]any{"k": key, "value": found.value, "stamp": found.revision, "ticket": found.leaseID})
 }
 
-// serveList answers with a page of the records under a prefix, in the order of their keys.
+// serveList answers with a page of the records under a prefix, sorted by key. The caller holds mu.
 func (state *State) serveList(query url.Values) (*http.Response, error) {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 || limit > maxListItems {
@@ -230,7 +244,7 @@
 	return reply(http.StatusOK, map[string]any{"rows": rows, "more": len(rows) < len(keys), "epoch": state.revision})
 }
 
-// Put sets a key as another client of the service would; it returns the new revision.
+// Put sets a key, as another client of the service would, and returns the new revision.
 func (state *State) Put(key string, value any) uint64 {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -244,13 +258,13 @@
 	return state.revision
 }
 
-// Get is a key's value, nil if it does not exist.
+// Get returns a key's value, nil if the key does not exist.
 func (state *State) Get(key string) json.RawMessage {
 	value, _ := state.Read(key)
 	return value
 }
 
-// Under counts the keys that begin with a prefix.
+// Under returns the number of keys that begin with a prefix.
 func (state *State) Under(prefix string) (n int) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -262,7 +276,7 @@
 	return n
 }
 
-// Read is a key's value and the revision of its last change, nil and 0 if it does not exist.
+// Read returns a key's value and the revision of its last change, nil and 0 if the key does not exist.
 func (state *State) Read(key string) (value json.RawMessage, stamp uint64) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
--- a/internal/fake/transactions.go
+++ b/internal/fake/transactions.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// transactionRequest is a transaction in the protocol's names: conditions on revisions, and puts and deletes that are
-// executed if all hold.
+// transactionRequest is the JSON body of a transaction: conditions on the revisions of keys, and puts and deletes that are
+// executed if all conditions hold. Ticket is the id of a lease.
 type transactionRequest struct {
 	If []struct {
 		K     string `json:"k"`
@@ -21,7 +21,8 @@
 	} `json:"then"`
 }
 
-// serveTransaction executes a transaction unless it breaks a limit; mu is held, as in all methods that answer.
+// serveTransaction executes a transaction unless it violates a limit. The caller holds mu, which is unlocked while the
+// answer is delayed.
 func (state *State) serveTransaction(body []byte) (*http.Response, error) {
 	var transaction transactionRequest
 	if json.Unmarshal(body, &transaction) != nil {
@@ -55,7 +56,7 @@
 	return resp, err
 }
 
-// violatedLimit names the limit that a transaction breaks; it is empty if there is none.
+// violatedLimit returns the error text of the first limit that a transaction violates, empty if there is none.
 func (state *State) violatedLimit(transaction *transactionRequest) string {
 	malformed := func(key string) bool { return key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\n") }
 	switch {
@@ -80,7 +81,7 @@
 	return ""
 }
 
-// apply executes a transaction, or answers which conditions failed; mu is held.
+// apply executes a transaction, or answers with the keys whose conditions failed. The caller holds mu.
 func (state *State) apply(transaction transactionRequest) (*http.Response, error) {
 	var failed []string
 	for _, c := range transaction.If {
--- a/internal/fake/watch.go
+++ b/internal/fake/watch.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// change is one put or deleted key as watches report it, in the protocol's names.
+// change is a put or a delete of a key, as JSON in the answer to a watch.
 type change struct {
 	Set    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -17,8 +17,8 @@
 	Stamp  uint64          `json:"stamp"`
 }
 
-// serveWatch answers with the changes under a prefix after a revision, and waits for one up to the time in the request.
-// It is called, and returns, with mu held, which it releases while it waits.
+// serveWatch answers with the changes under a prefix after a revision. If there are none, it waits for one up to the time
+// in the request. The caller holds mu, which is unlocked during the wait.
 func (state *State) serveWatch(request *http.Request) (*http.Response, error) {
 	query := request.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -53,7 +53,7 @@
 	}
 }
 
-// changesAfter are the kept changes after a revision of keys with a prefix; mu is held.
+// changesAfter returns the changes in history after a revision whose keys have a prefix. The caller holds mu.
 func (state *State) changesAfter(revision uint64, prefix string) []change {
 	changes := []change{}
 	for _, kept := range state.history {
@@ -64,8 +64,8 @@
 	return changes
 }
 
-// nextLeaseEnd fires when the first lease expires, which changes the records that hang on it; nil if there is no lease.
-// mu is held.
+// nextLeaseEnd returns a channel that receives when the next lease expires, which deletes the records attached to it. It
+// returns nil if there is no lease. The caller holds mu.
 func (state *State) nextLeaseEnd() (ends <-chan time.Time) {
 	var earliest time.Duration
 	for _, end := range state.leases {
@@ -76,7 +76,8 @@
 	return ends
 }
 
-// recordChanges keeps changes for watches, drops the oldest beyond maxHistory and wakes those that wait; mu is held.
+// recordChanges appends changes to history, drops the oldest beyond maxHistory and wakes waiting watches. The caller
+// holds mu.
 func (state *State) recordChanges(changes ...change) {
 	state.history = append(state.history, changes...)
 	if n := len(state.history) - maxHistory; n > 0 {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -14,14 +14,13 @@
 	"switchferry/api"
 )
 
-// Worker is a fake worker that keeps the protocol exactly: incarnation, sequence numbers, fencing token, lease, the
-// order in which it tries controllers, and commands. Its tasks run nothing; they last as long as WorkerOptions.Runs
-// says.
+// Worker is a fake worker that follows the protocol in full: incarnation, sequence numbers, fencing token, lease, the
+// order in which it tries controllers, and commands. Its tasks execute nothing and complete after the duration that
+// WorkerOptions.Runs returns. It is safe for concurrent use.
 type Worker struct {
 	Host
 	clock clockwork.Clock
-	// controllers are tried in this order; post sends a heartbeat to one and returns status 0 if there is no
-	// answer until the context ends.
+	// controllers, post, interval, lease and runTime are WorkerOptions.Nodes, Post, Every, Lease and Runs.
 	controllers []string
 	post        func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
 	interval    time.Duration
@@ -29,23 +28,31 @@
 	runTime     func(task string) time.Duration
 
 	// mu guards the fields below and the tasks.
-	mu              sync.Mutex
+	mu sync.Mutex
+	// controllerIndex is the index of the controller to which the next heartbeat goes.
 	controllerIndex int
 	incarnation     uint64
 	sequence        uint64
-	term            uint64
-	renewedAt       time.Time
-	tasks           map[attemptKey]*workerTask
-	changes         chan struct{}
-	// killed counts tasks that ended with the lease or the worker.
-	killed     int
+	// term is the highest fencing token seen in this incarnation.
+	term uint64
+	// renewedAt is the start of the lease: when the last answered heartbeat was sent, or a later start of the worker.
+	renewedAt time.Time
+	tasks     map[attemptKey]*workerTask
+	// changes signals Run to send a heartbeat early.
+	changes chan struct{}
+	// killed counts the running tasks that ended with the lease or the worker.
+	killed int
+	// answeredAt is when the last accepted answer to a heartbeat arrived.
 	answeredAt time.Time
-	// hung is closed when the machine continues, and nil while it is not suspended; hungAt is when it was.
-	hung   chan struct{}
+	// hung is closed when a suspended machine continues, and nil while the machine is not suspended.
+	hung chan struct{}
+	// hungAt is when the machine was last suspended.
 	hungAt time.Time
-	// imagePull is WorkerOptions.Fetch; pullingUntil is when the machine's link is free for the next image.
-	imagePull    func(task string) (image string, d time.Duration)
+	// imagePull is WorkerOptions.Fetch.
+	imagePull func(task string) (image string, d time.Duration)
+	// cachedImages is when the pull of each image completes or completed.
 	cachedImages map[string]time.Time
+	// pullingUntil is when all pulls so far are complete.
 	pullingUntil time.Time
 	// onStart and onEnd are WorkerOptions.Starts and Ends.
 	onStart func(task string, term uint64, at time.Time)
@@ -53,35 +60,39 @@
 	// failure and crossed are WorkerOptions.Fails and Crossed.
 	failure func(task string) (cause string)
 	crossed func(kind CrossedStart)
-	// noticeAt is when the machine will be taken; zero without a notice.
+	// noticeAt is when the cloud will reclaim the machine, zero without a preemption notice.
 	noticeAt time.Time
 }
 
-// CrossedStart is a kind of start that changed nothing, since it had crossed with another message.
+// CrossedStart is the reason why a start command had no effect at a worker. It happens when commands and heartbeats pass
+// each other in transit.
 type CrossedStart int
 
-// A RepeatedStart is of an attempt that has not ended, a LateStart of one that has, and a BusyStart of one beside another
-// attempt of its task that has not ended.
 const (
+	// RepeatedStart means that the worker has the attempt, which has not exited.
 	RepeatedStart CrossedStart = iota
+	// LateStart means that the worker has the attempt, which has exited.
 	LateStart
+	// BusyStart means that the worker has another attempt of the task, which has not exited. The started attempt exits
+	// with api.CauseBusy.
 	BusyStart
 )
 
-// attemptKey names one attempt of a task. A worker may have several attempts of a task, of which one has not exited.
+// attemptKey identifies an attempt of a task. A worker may have several attempts of a task, of which at most one has not
+// exited.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// workerTask is an attempt on the machine: its image is there at readyAt, and it completes at endsAt.
+// workerTask is an attempt on the machine. Its image is present at readyAt, when it starts, and it completes at endsAt.
 type workerTask struct {
 	api.TaskReport
 	term            uint64
 	readyAt, endsAt time.Time
 }
 
-// responseTimeout is how long a worker waits for the answer to a heartbeat.
+// responseTimeout is the maximum time for which a worker waits for the answer to a heartbeat.
 const responseTimeout = 4 * time.Second
 
 // WorkerOptions configure a worker. Nodes, Post, Every, Lease and Runs are required.
@@ -90,33 +101,38 @@
 	Clock clockwork.Clock
 	// Nodes are the controllers in the order in which the worker tries them.
 	Nodes []string
-	// Post sends a heartbeat to a controller; status 0 stands for no answer until the context ends.
+	// Post sends a heartbeat to a controller and returns the status and the decoded body of the answer: an
+	// api.HeartbeatResponse or an api.Redirect. It returns status 0 if there is no answer before the context ends.
 	Post func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
-	// Every is the time between heartbeats, Lease how long tasks outlive the last answered one.
-	Every, Lease time.Duration
-	// Runs is how long a task runs.
+	// Every is the interval between heartbeats.
+	Every time.Duration
+	// Lease is how long after the last answered heartbeat was sent tasks keep running.
+	Lease time.Duration
+	// Runs returns how long a task runs.
 	Runs func(task string) time.Duration
-	// Starts, if not nil, is called for each start: with the worker's lock if Ends is set, else without.
+	// Starts, if not nil, is called for each start of a task: with the worker's lock held if Ends is set, otherwise in a
+	// new goroutine without it.
 	Starts func(task string, term uint64, at time.Time)
-	// Ends, if not nil, is called for each end of a running task, in order with the starts and with the lock.
+	// Ends, if not nil, is called for each end of a running task, with the worker's lock held and in order with Starts.
 	Ends func(task string, done bool)
-	// Fetch is the image that a task needs and how long its pull takes. Images are pulled one after the other
-	// and stay. Nil: tasks need none.
+	// Fetch returns the image that a task needs and how long its pull takes. Images are pulled one at a time and never
+	// evicted. If it is nil, tasks need no image.
 	Fetch func(task string) (image string, d time.Duration)
-	// Fails, if not nil, is why a task that is started ends at once, one of the causes of exits; empty if it runs.
+	// Fails, if not nil, returns the exit cause with which a task that is being started ends at once, empty if the task
+	// runs.
 	Fails func(task string) (cause string)
-	// Crossed, if not nil, is called with the lock for each start that changes nothing.
+	// Crossed, if not nil, is called with the worker's lock held for each start command that has no effect.
 	Crossed func(kind CrossedStart)
 }
 
-// NewWorker makes a worker without tasks, whose lease begins now.
+// NewWorker returns a worker without tasks, whose lease begins now.
 func NewWorker(options WorkerOptions) *Worker {
 	return &Worker{Host: options.Host, clock: options.Clock, controllers: options.Nodes, post: options.Post, interval: options.Every, lease: options.Lease, runTime: options.Runs, onStart: options.Starts, onEnd: options.Ends, imagePull: options.Fetch, failure: options.Fails, crossed: options.Crossed, cachedImages: map[string]time.Time{},
 		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[attemptKey]*workerTask{}, changes: make(chan struct{}, 1)}
 }
 
-// Seen is the highest fencing token that the worker has seen, when it was last answered, how many tasks ended with its
-// lease, and how many run.
+// Seen returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat, the
+// number of tasks that ended with the lease or the worker, and the number of running tasks.
 func (worker *Worker) Seen() (term uint64, answered time.Time, killed, running int) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -129,8 +145,9 @@
 	return worker.term, worker.answeredAt, worker.killed, running
 }
 
-// Hang suspends the machine or lets it continue. While suspended it executes, reports and answers nothing, but its clock
-// runs on. Commands that arrive meanwhile are executed afterwards if their term and incarnation are still current.
+// Hang suspends the machine or resumes it. A suspended machine executes nothing and sends neither heartbeats nor answers,
+// but its clock keeps running. Commands that arrive in the meantime are executed after it resumes, if their term and
+// incarnation are still current.
 func (worker *Worker) Hang(suspend bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -143,7 +160,7 @@
 			worker.mu.Lock()
 			defer worker.mu.Unlock()
 			if worker.hung == hung {
-				// Tasks end with the lease, although the worker notices that only when it continues.
+				// Tasks end with the lease, although the worker detects the lease's expiry only after it resumes.
 				worker.loseTasks()
 			}
 		})
@@ -160,7 +177,7 @@
 	}
 }
 
-// loseTasks ends and removes all tasks; mu is held.
+// loseTasks ends and removes all tasks. The caller holds mu.
 func (worker *Worker) loseTasks() {
 	for _, current := range worker.tasks {
 		if current.State == api.TaskRunning {
@@ -171,7 +188,7 @@
 	worker.tasks = map[attemptKey]*workerTask{}
 }
 
-// waitWhileHung waits until the machine is not suspended; mu is not held.
+// waitWhileHung waits until the machine is not suspended. The caller must not hold mu.
 func (worker *Worker) waitWhileHung() {
 	for {
 		worker.mu.Lock()
@@ -184,8 +201,8 @@
 	}
 }
 
-// completeDueTasks ends the lease if it has expired, starts the tasks whose image is there and completes those whose time
-// has come; mu is held.
+// completeDueTasks ends all tasks if the lease has expired, starts tasks whose image is present and completes tasks whose
+// run time has passed. It does nothing while the machine is suspended. The caller holds mu.
 func (worker *Worker) completeDueTasks() {
 	if worker.hung != nil {
 		return
@@ -208,7 +225,7 @@
 	}
 }
 
-// startTask starts a task whose image is there; mu is held.
+// startTask starts a task whose image is present. The caller holds mu.
 func (worker *Worker) startTask(current *workerTask) {
 	current.State = api.TaskRunning
 	worker.notifyChange()
@@ -221,7 +238,7 @@
 	}
 }
 
-// scheduleTransitions has a task start and complete at the right moments; mu is held.
+// scheduleTransitions sets timers for the start and the completion of a task. The caller holds mu.
 func (worker *Worker) scheduleTransitions(current *workerTask) {
 	for _, at := range []time.Time{current.readyAt, current.endsAt} {
 		if duration := at.Sub(worker.clock.Now()); duration > 0 {
@@ -234,7 +251,8 @@
 	}
 }
 
-// imageReadyAt is when the image of a task that was assigned now is there; it begins the pull if need be. mu is held.
+// imageReadyAt returns when the image of a task that is assigned now is present, and starts its pull if there is none yet.
+// The caller holds mu.
 func (worker *Worker) imageReadyAt(task string, now time.Time) time.Time {
 	if worker.imagePull == nil {
 		return now
@@ -255,14 +273,14 @@
 	return readyAt
 }
 
-// endTask reports the end of a task that was running; mu is held.
+// endTask reports the end of a task that was running. The caller holds mu.
 func (worker *Worker) endTask(task string, done bool) {
 	if worker.onEnd != nil {
 		worker.onEnd(task, done)
 	}
 }
 
-// Taken sums up what the tasks that have not ended take, by the given function of a task's name.
+// Taken returns the sum of the resource use of all tasks that have not exited, where of returns a task's resource use.
 func (worker *Worker) Taken(of func(task string) float64) (sum float64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -274,7 +292,7 @@
 	return sum
 }
 
-// notifyChange has Run send the next heartbeat without waiting for the interval's end.
+// notifyChange signals Run to send the next heartbeat before the interval ends.
 func (worker *Worker) notifyChange() {
 	select {
 	case worker.changes <- struct{}{}:
@@ -282,8 +300,8 @@
 	}
 }
 
-// heartbeat makes the next heartbeat, its tasks in the order of their names. The protocol gives the attempts of one task
-// no order, so every second heartbeat has the newest first; mu is held.
+// heartbeat returns the next heartbeat, with tasks sorted by name. The protocol does not order the attempts of a task, so
+// every second heartbeat lists the newest attempt first. The caller holds mu.
 func (worker *Worker) heartbeat() *api.Heartbeat {
 	worker.sequence++
 	heartbeat := &api.Heartbeat{Machine: worker.Name, Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Spot: worker.Spot, Incarnation: worker.incarnation, Seq: worker.sequence, Term: worker.term, Tasks: []api.TaskReport{}}
@@ -304,8 +322,8 @@
 	return heartbeat
 }
 
-// Restart ends all tasks at once, as if the worker's process had died and started again: with a new incarnation and
-// without a fencing token.
+// Restart ends all tasks, as if the worker's process had crashed and restarted. The worker continues with a new
+// incarnation and without a fencing token. A suspended machine resumes.
 func (worker *Worker) Restart() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -352,8 +370,8 @@
 	}
 }
 
-// acceptResponse applies the answer to a heartbeat that was sent at a time. It returns how long to wait at least until the
-// next one.
+// acceptResponse applies the answer to a heartbeat that was sent at the given time. It returns the minimum time to wait
+// before the next heartbeat.
 func (worker *Worker) acceptResponse(heartbeat *api.Heartbeat, sent time.Time, status int, body any) time.Duration {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -378,7 +396,7 @@
 	return time.Second
 }
 
-// executeCommands executes the commands of an answer in order; mu is held.
+// executeCommands executes the commands of a response in order. The caller holds mu.
 func (worker *Worker) executeCommands(response api.HeartbeatResponse) {
 	if response.Term > worker.term {
 		worker.term = response.Term
@@ -408,7 +426,7 @@
 	}
 }
 
-// runAttempt starts an attempt that the worker does not know, or refuses it; mu is held.
+// runAttempt starts or refuses an attempt that the worker does not have. The caller holds mu.
 func (worker *Worker) runAttempt(key attemptKey, term uint64) {
 	now := worker.clock.Now()
 	current := &workerTask{TaskReport: api.TaskReport{Task: key.task, Attempt: key.attempt, State: api.TaskFetching}, term: term}
@@ -437,14 +455,14 @@
 	}
 }
 
-// noteCrossed passes on that a start changed nothing; mu is held.
+// noteCrossed reports a start command that had no effect. The caller holds mu.
 func (worker *Worker) noteCrossed(kind CrossedStart) {
 	if worker.crossed != nil {
 		worker.crossed(kind)
 	}
 }
 
-// Notice announces that the machine will be taken after some time.
+// Notice has the worker report a preemption notice: the cloud will reclaim the machine after the given time.
 func (worker *Worker) Notice(after time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -452,7 +470,7 @@
 	worker.notifyChange()
 }
 
-// hasUnfinishedAttempt reports whether an attempt of a task is on the machine that has not exited; mu is held.
+// hasUnfinishedAttempt reports whether the worker has an attempt of a task that has not exited. The caller holds mu.
 func (worker *Worker) hasUnfinishedAttempt(task string) bool {
 	for key, current := range worker.tasks {
 		if key.task == task && current.State != api.TaskExited {
@@ -462,7 +480,8 @@
 	return false
 }
 
-// Report is the heartbeat that the worker would send now. Answer applies an answer to it, as Run does.
+// Report returns the next heartbeat. Each call takes a sequence number. It is for callers that do not use Run; they pass
+// the heartbeat's answer to Answer.
 func (worker *Worker) Report() *api.Heartbeat {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -470,12 +489,14 @@
 	return worker.heartbeat()
 }
 
-// Answer applies the answer to a heartbeat that was sent at a time.
+// Answer applies a successful answer to a heartbeat that was sent at the given time.
 func (worker *Worker) Answer(heartbeat *api.Heartbeat, sent time.Time, response api.HeartbeatResponse) {
 	worker.acceptResponse(heartbeat, sent, http.StatusOK, response)
 }
 
-// Direct serves POST /orders: it returns the worker's state after the commands, and whether they were executed.
+// Direct executes commands that were sent directly to the worker, as POST /orders does. It returns the worker's state
+// afterwards and whether the commands were executed: not if their term is outdated or they are for another incarnation.
+// While the machine is suspended, it waits.
 func (worker *Worker) Direct(response api.HeartbeatResponse) (*api.Heartbeat, bool) {
 	worker.waitWhileHung()
 	worker.mu.Lock()
