--- a/internal/cluster/addresses.go
+++ b/internal/cluster/addresses.go
@@ -22,29 +22,29 @@
 // errNoFreePort is returned when portAttempts random ports did not yield enough free ones.
 var errNoFreePort = errors.New("no free loopback port")
 
-// addressBook allocates loopback addresses. It never allocates the same address twice in a process.
-type addressBook struct {
-	mu    sync.Mutex // guards given
-	given map[string]bool
+// addressAllocator allocates loopback addresses. It never allocates the same address twice in a process.
+type addressAllocator struct {
+	mu        sync.Mutex // guards given
+	allocated map[string]bool
 }
 
-// addresses is shared by all clusters of this process.
-var addresses = addressBook{given: map[string]bool{}}
+// loopbackAddresses is shared by all clusters of this process.
+var loopbackAddresses = addressAllocator{allocated: map[string]bool{}}
 
-// take allocates n loopback addresses on which nothing listens.
-func (book *addressBook) take(ctx context.Context, n int) ([]string, error) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
+// allocate allocates n loopback addresses on which nothing listens.
+func (allocator *addressAllocator) allocate(ctx context.Context, n int) ([]string, error) {
+	allocator.mu.Lock()
+	defer allocator.mu.Unlock()
 	var taken []string
 	for attempt := 0; len(taken) < n; attempt++ {
 		if attempt == portAttempts {
 			return nil, errNoFreePort
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(endPort-firstPort))
-		if book.given[address] || !isFree(ctx, address) {
+		if allocator.allocated[address] || !isFree(ctx, address) {
 			continue
 		}
-		book.given[address] = true
+		allocator.allocated[address] = true
 		taken = append(taken, address)
 	}
 	return taken, nil
@@ -60,5 +60,8 @@
 	return listener.Close() == nil
 }
 
-// freeAddresses allocates n loopback addresses on which nothing listens. No other cluster of this process is given them.
-func freeAddresses(ctx context.Context, n int) ([]string, error) { return addresses.take(ctx, n) }
+// allocateAddresses allocates n loopback addresses on which nothing listens. No other cluster of this process is given
+// them.
+func allocateAddresses(ctx context.Context, n int) ([]string, error) {
+	return loopbackAddresses.allocate(ctx, n)
+}
--- a/internal/cluster/addresses_test.go
+++ b/internal/cluster/addresses_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Two clusters of one process never get the same address, although nothing listens on it between a process's end and the
-// start of the next one.
+// Clusters of one process are never given the same address, even while nothing listens on it because a controller is
+// being restarted.
 func TestAddressesAreGivenOnce(t *testing.T) {
 	const clusters, each = 8, 20
 	var taking sync.WaitGroup
@@ -15,7 +15,7 @@
 	for i := range clusters {
 		taking.Go(func() {
 			var err error
-			if got[i], err = freeAddresses(t.Context(), each); err != nil {
+			if got[i], err = allocateAddresses(t.Context(), each); err != nil {
 				t.Error(err)
 			}
 		})
@@ -24,6 +24,6 @@
 	all := slices.Concat(got...)
 	slices.Sort(all)
 	if distinct := len(slices.Compact(slices.Clone(all))); distinct != clusters*each {
-		t.Errorf("%d different addresses, want %d", distinct, clusters*each)
+		t.Errorf("got %d distinct addresses, want %d", distinct, clusters*each)
 	}
 }
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -52,7 +52,7 @@
 	}
 	var agents []*Agent
 	for index := range n {
-		address, err := freeAddresses(cluster.ctx, 1)
+		address, err := allocateAddresses(cluster.ctx, 1)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -15,24 +15,24 @@
 
 // Rules that an Audit checks. The values are the rules' names in results.
 const (
-	// RanTwice means that a task ran on two machines at the same time.
-	RanTwice = "ran_twice"
+	// RanOnTwoMachines means that a task ran on two machines at the same time.
+	RanOnTwoMachines = "ran_twice"
 	// OverQuota means that a team's running tasks used more than its CPU limit.
 	OverQuota = "quota"
-	// RanCancelled means that a task ran too long after its job was reported as cancelled.
-	RanCancelled = "ran_cancelled"
-	// NotDone means that a job was reported as done before all of its tasks had completed.
-	NotDone = "not_done"
-	// WentBack means that a job left a terminal state, or was reported as cancelled without a request.
-	WentBack = "went_back"
-	// Forgotten means that an accepted job was reported as unknown or refused, or that its user got no answer.
-	Forgotten = "forgotten"
-	// Invented means that a controller reported a job that nobody had submitted.
-	Invented = "invented"
-	// TooEarly means that a task started before the jobs that its job depends on were done.
-	TooEarly = "too_early"
-	// Orphaned means that a job was not cancelled although a job that it depends on was.
-	Orphaned = "orphaned"
+	// RanAfterCancel means that a task ran too long after its job was reported as cancelled.
+	RanAfterCancel = "ran_cancelled"
+	// DoneBeforeTasks means that a job was reported as done before all of its tasks had completed.
+	DoneBeforeTasks = "not_done"
+	// StateReverted means that a job left a terminal state, or was reported as cancelled without a request.
+	StateReverted = "went_back"
+	// JobLost means that an accepted job was reported as unknown or refused, or that its user got no answer.
+	JobLost = "forgotten"
+	// UnknownJob means that a controller reported a job that nobody had submitted.
+	UnknownJob = "invented"
+	// StartedBeforeDependency means that a task started before the jobs that its job depends on were done.
+	StartedBeforeDependency = "too_early"
+	// DependencyCancelled means that a job was not cancelled although a job that it depends on was.
+	DependencyCancelled = "orphaned"
 )
 
 // Audit records which tasks run on which machines and which job states users were given, and checks both against the
@@ -48,13 +48,13 @@
 	// startedAt is when each task last started.
 	startedAt map[string]time.Time
 	// firstStarts is when the first task started under each leader's term.
-	firstStarts map[uint64]time.Time
-	starts      int
-	violations  map[string]int
-	crossings   CrossedStarts
-	// questions, answers, crossed and told are the counters that Counts returns.
-	questions, answers, crossed, told int
-	explanations                      []string
+	firstStarts       map[uint64]time.Time
+	starts            int
+	violations        map[string]int
+	ineffectiveStarts CrossedStarts
+	// The following fields are the counters that Counts returns.
+	requests, answers, outOfOrderAnswers, terminalJobs int
+	explanations                                       []string
 }
 
 // AuditedJob is a submitted job with what its tasks did and what its user was told. The audit's lock guards it.
@@ -67,12 +67,12 @@
 	Begun int
 	// LastBegun is when a task of the job last started for the first time.
 	LastBegun time.Time
-	// Done counts the tasks that completed.
-	Done int
+	// TasksDone counts the tasks that completed.
+	TasksDone int
 	// Told is the terminal state that the user was given first, empty before.
 	Told string
-	// ToldAt is when the user was given that state.
-	ToldAt time.Time
+	// TerminalStateAt is when the user was given that state.
+	TerminalStateAt time.Time
 	// AnsweredAt is when a request about the job was last answered.
 	AnsweredAt time.Time
 	// cancelRequested is set just before the user first requests the job's cancellation.
@@ -107,8 +107,8 @@
 // checkDependencies checks that all jobs that the started task's job depends on are done. The caller holds mu.
 func (audit *Audit) checkDependencies(job *AuditedJob, task string) {
 	for _, id := range job.Awaits {
-		if awaited := audit.jobs[id]; awaited != nil && awaited.Done < awaited.Tasks {
-			audit.recordViolation(TooEarly, "%s before %s, of which %d of %d tasks are done", task, id, awaited.Done, awaited.Tasks)
+		if awaited := audit.jobs[id]; awaited != nil && awaited.TasksDone < awaited.Tasks {
+			audit.recordViolation(StartedBeforeDependency, "%s before %s, of which %d of %d tasks are done", task, id, awaited.TasksDone, awaited.Tasks)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 	if audit.firstStarts[term].IsZero() {
 		audit.firstStarts[term] = now
 	}
-	elsewhere, again := audit.placements.Start(task, machine)
-	for _, other := range elsewhere {
-		audit.recordViolation(RanTwice, "%s on %s and %s", task, other, machine)
+	otherMachines, again := audit.placements.Start(task, machine)
+	for _, other := range otherMachines {
+		audit.recordViolation(RanOnTwoMachines, "%s on %s and %s", task, other, machine)
 	}
 	job := audit.jobOf(task)
 	if job == nil {
@@ -143,8 +143,8 @@
 		job.Begun++
 		job.LastBegun = time.Now()
 	}
-	if job.Told == api.Cancelled && time.Since(job.ToldAt) > audit.cancelWithin {
-		audit.recordViolation(RanCancelled, "%s started %v after its cancellation was told", task, time.Since(job.ToldAt).Round(time.Millisecond))
+	if job.Told == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
+		audit.recordViolation(RanAfterCancel, "%s started %v after its cancellation was told", task, time.Since(job.TerminalStateAt).Round(time.Millisecond))
 	}
 }
 
@@ -158,19 +158,19 @@
 }
 
 // Sum returns the number of start commands without effect of all kinds.
-func (c CrossedStarts) Sum() int { return c.Repeated + c.Late + c.Busy }
+func (counts CrossedStarts) Sum() int { return counts.Repeated + counts.Late + counts.Busy }
 
 // StartCrossed records a start command that had no effect at a worker.
-func (audit *Audit) StartCrossed(kind fake.CrossedStart) {
+func (audit *Audit) StartCrossed(kind fake.IneffectiveStart) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	switch kind {
 	case fake.RepeatedStart:
-		audit.crossings.Repeated++
+		audit.ineffectiveStarts.Repeated++
 	case fake.LateStart:
-		audit.crossings.Late++
+		audit.ineffectiveStarts.Late++
 	case fake.BusyStart:
-		audit.crossings.Busy++
+		audit.ineffectiveStarts.Busy++
 	}
 }
 
@@ -178,7 +178,7 @@
 func (audit *Audit) Crossings() CrossedStarts {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	return audit.crossings
+	return audit.ineffectiveStarts
 }
 
 // Ended records that a task no longer runs on a machine, and whether it completed.
@@ -193,7 +193,7 @@
 		return
 	}
 	job.doneTasks[task] = true
-	if job.Done++; job.Done == job.Tasks {
+	if job.TasksDone++; job.TasksDone == job.Tasks {
 		job.finished = time.Now()
 	}
 }
@@ -203,14 +203,14 @@
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	for task, machine := range audit.placements.All() {
-		if job := audit.jobOf(task); job != nil && job.Told == api.Cancelled && time.Since(job.ToldAt) > audit.cancelWithin {
-			audit.recordViolation(RanCancelled, "%s is on %s %v after its cancellation was told", task, machine, time.Since(job.ToldAt).Round(time.Millisecond))
+		if job := audit.jobOf(task); job != nil && job.Told == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
+			audit.recordViolation(RanAfterCancel, "%s is on %s %v after its cancellation was told", task, machine, time.Since(job.TerminalStateAt).Round(time.Millisecond))
 		}
 	}
 }
 
 // Broken returns the number of violations by rule, and explanations of the first maxExplanations.
-func (audit *Audit) Broken() (counts map[string]int, why []string) {
+func (audit *Audit) Broken() (counts map[string]int, explanations []string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return maps.Clone(audit.violations), slices.Clone(audit.explanations)
@@ -250,11 +250,11 @@
 }
 
 // FirstStart returns when the first task started under a term higher than the given one, zero if none did.
-func (audit *Audit) FirstStart(above uint64) (first time.Time) {
+func (audit *Audit) FirstStart(term uint64) (first time.Time) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	for term, at := range audit.firstStarts {
-		if term > above && (first.IsZero() || at.Before(first)) {
+	for startTerm, at := range audit.firstStarts {
+		if startTerm > term && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
--- a/internal/cluster/audit_test.go
+++ b/internal/cluster/audit_test.go
@@ -10,8 +10,8 @@
 	"switchferry/settings"
 )
 
-// history is an audit of three jobs of team t, whose limit is three processors, with a clock of whole seconds for questions.
-// A cancellation has to take effect at once.
+// history is an audit of three jobs of team t, which has a limit of three CPUs, and a fourth job that depends on the first.
+// The times of requests are given in seconds since start. A cancellation must take effect within 1 ms.
 type history struct {
 	*Audit
 	start time.Time
@@ -26,16 +26,16 @@
 	return h
 }
 
-// ask plays a question that is sent and answered in these seconds.
+// ask records a request that is sent and answered at the given seconds.
 func (h *history) ask(kind QuestionKind, id string, asked, answered, status int, state string) {
 	at := func(second int) time.Time { return h.start.Add(time.Duration(second) * time.Second) }
 	h.Judge(Question{Job: id, Kind: kind, AskedAt: at(asked), AnsweredAt: at(answered), Status: status, State: state})
 }
 
-// accept plays the acceptance of a job in second 1.
+// accept records the acceptance of a job at second 1.
 func (h *history) accept(id string) { h.ask(AskSubmit, id, 0, 1, http.StatusCreated, api.Pending) }
 
-// finish plays the run of both tasks of the first job.
+// finish records that both tasks of the first job start and complete.
 func (h *history) finish() {
 	for _, task := range []string{"run-000001/0", "run-000001/1"} {
 		h.Started(task, "m1", 1)
@@ -50,125 +50,125 @@
 		play   func(h *history)
 		broken map[string]int
 	}{
-		{"a job that is done", func(h *history) {
+		{"done job", func(h *history) {
 			h.finish()
 			h.ask(AskStatus, id, 2, 3, 200, api.Done)
 			h.ask(AskSubmit, id, 4, 5, 200, api.Done)
 		}, nil},
-		{"a job that is cancelled", func(h *history) {
+		{"cancelled job", func(h *history) {
 			h.CancelRequested(id)
 			h.ask(AskStatus, id, 2, 3, 200, api.Cancelled)
 			h.ask(AskCancel, id, 2, 4, 200, api.Cancelled)
 		}, nil},
-		{"an older answer that crossed with the end", func(h *history) {
+		{"older request answered after the terminal state", func(h *history) {
 			h.finish()
 			h.ask(AskStatus, id, 3, 4, 200, api.Done)
 			h.ask(AskStatus, id, 2, 5, 200, api.Running)
 		}, nil},
-		{"an older answer to a later question", func(h *history) {
+		{"later request answered with an older state", func(h *history) {
 			h.finish()
 			h.ask(AskStatus, id, 3, 4, 200, api.Done)
 			h.ask(AskStatus, id, 5, 6, 200, api.Running)
-		}, map[string]int{WentBack: 1}},
-		{"two ends, even if they crossed", func(h *history) {
+		}, map[string]int{StateReverted: 1}},
+		{"two different terminal states for overlapping requests", func(h *history) {
 			h.finish()
 			h.CancelRequested(id)
 			h.ask(AskCancel, id, 2, 4, 200, api.Cancelled)
 			h.ask(AskStatus, id, 3, 5, 200, api.Done)
-		}, map[string]int{WentBack: 1}},
-		{"cancelled, and nobody asked for it", func(h *history) {
+		}, map[string]int{StateReverted: 1}},
+		{"cancelled without a request", func(h *history) {
 			h.ask(AskStatus, id, 2, 3, 200, api.Cancelled)
-		}, map[string]int{WentBack: 1}},
-		{"cancelled with a job that it awaits", func(h *history) {
+		}, map[string]int{StateReverted: 1}},
+		{"cancelled after its dependency", func(h *history) {
 			h.accept("run-000004")
 			h.CancelRequested(id)
 			h.ask(AskStatus, "run-000004", 2, 3, 200, api.Cancelled)
 		}, nil},
-		{"not cancelled with a job that it awaits", func(h *history) {
+		{"not cancelled after its dependency", func(h *history) {
 			h.accept("run-000004")
 			h.CancelRequested(id)
 			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.ask(AskStatus, "run-000004", 4, 5, 200, api.Pending)
-		}, map[string]int{Orphaned: 1}},
-		{"accepted long after a job that it awaits was cancelled", func(h *history) {
+		}, map[string]int{DependencyCancelled: 1}},
+		{"accepted long after its dependency was cancelled", func(h *history) {
 			h.CancelRequested(id)
 			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.ask(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
 		}, nil},
-		{"still pending long after that", func(h *history) {
+		{"pending long after its acceptance with a cancelled dependency", func(h *history) {
 			h.CancelRequested(id)
 			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.ask(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
 			h.ask(AskStatus, "run-000004", 6, 7, 200, api.Pending)
-		}, map[string]int{Orphaned: 1}},
-		{"done before its tasks", func(h *history) {
+		}, map[string]int{DependencyCancelled: 1}},
+		{"reported as done before its tasks", func(h *history) {
 			h.ask(AskStatus, id, 2, 3, 200, api.Done)
-		}, map[string]int{NotDone: 1}},
+		}, map[string]int{DoneBeforeTasks: 1}},
 		{"unknown after it was accepted", func(h *history) {
 			h.ask(AskStatus, id, 2, 3, 404, "")
-		}, map[string]int{Forgotten: 1}},
+		}, map[string]int{JobLost: 1}},
 		{"refused after it was accepted", func(h *history) {
 			h.ask(AskSubmit, id, 2, 3, 422, "")
-		}, map[string]int{Forgotten: 1}},
-		{"unknown to a question that crossed with its acceptance", func(h *history) {
+		}, map[string]int{JobLost: 1}},
+		{"unknown to a request sent before its acceptance", func(h *history) {
 			h.ask(AskStatus, id, 0, 3, 404, "")
 		}, nil},
-		{"not answered for long", func(h *history) {
+		{"unanswered for a minute", func(h *history) {
 			h.ask(AskStatus, id, 2, 3, 503, "")
 			h.Unanswered(id, time.Minute)
-		}, map[string]int{Forgotten: 1}},
-		{"a job of nobody", func(h *history) {
+		}, map[string]int{JobLost: 1}},
+		{"job that was never submitted", func(h *history) {
 			h.ask(AskStatus, "run-999999", 2, 3, 404, "")
 			h.ask(AskStatus, "run-999998", 2, 3, 200, api.Pending)
-		}, map[string]int{Invented: 1}},
-		{"on two machines", func(h *history) {
+		}, map[string]int{UnknownJob: 1}},
+		{"task on two machines", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.Started(id+"/0", "m2", 1)
-		}, map[string]int{RanTwice: 1}},
-		{"on a machine again after it ended there", func(h *history) {
+		}, map[string]int{RanOnTwoMachines: 1}},
+		{"task on one machine after another", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.Ended(id+"/0", "m1", false)
 			h.Started(id+"/0", "m1", 1)
 			h.Ended(id+"/0", "m1", false)
 			h.Started(id+"/0", "m2", 1)
 		}, nil},
-		{"on two machines, and a third one after the second ended", func(h *history) {
+		{"task on two machines, and on a third after the end on the second", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.Started(id+"/0", "m2", 1)
 			h.Ended(id+"/0", "m2", false)
 			h.Started(id+"/0", "m3", 1)
-		}, map[string]int{RanTwice: 2}},
-		{"on two machines, and a third one after the first ended", func(h *history) {
+		}, map[string]int{RanOnTwoMachines: 2}},
+		{"task on two machines, and on a third after the end on the first", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.Started(id+"/0", "m2", 1)
 			h.Ended(id+"/0", "m1", false)
 			h.Started(id+"/0", "m3", 1)
-		}, map[string]int{RanTwice: 2}},
-		{"on three machines", func(h *history) {
+		}, map[string]int{RanOnTwoMachines: 2}},
+		{"task on three machines", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.Started(id+"/0", "m2", 1)
 			h.Started(id+"/0", "m3", 1)
-		}, map[string]int{RanTwice: 3}},
-		{"more than its team's limit", func(h *history) {
+		}, map[string]int{RanOnTwoMachines: 3}},
+		{"team above its limit", func(h *history) {
 			for _, task := range []string{id + "/0", id + "/1", "run-000002/0", "run-000002/1"} {
 				h.Started(task, "m1", 1)
 			}
 		}, map[string]int{OverQuota: 1}},
-		{"on a machine after its cancellation was told", func(h *history) {
+		{"task running after its job was reported as cancelled", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.CancelRequested(id)
 			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.Sweep()
-		}, map[string]int{RanCancelled: 1}},
-		{"started after its cancellation was told", func(h *history) {
+		}, map[string]int{RanAfterCancel: 1}},
+		{"task started after its job was reported as cancelled", func(h *history) {
 			h.CancelRequested(id)
 			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.Started(id+"/0", "m1", 1)
-		}, map[string]int{RanCancelled: 1}},
-		{"started before a job that it awaits is done", func(h *history) {
+		}, map[string]int{RanAfterCancel: 1}},
+		{"task started before a dependency is done", func(h *history) {
 			h.accept("run-000004")
 			h.Started("run-000004/0", "m1", 1)
-		}, map[string]int{TooEarly: 1}},
+		}, map[string]int{StartedBeforeDependency: 1}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -176,7 +176,7 @@
 			h.accept(id)
 			tc.play(h)
 			if broken, why := h.Broken(); !maps.Equal(broken, tc.broken) {
-				t.Errorf("%v broken, want %v: %v", broken, tc.broken, why)
+				t.Errorf("violations %v, want %v: %v", broken, tc.broken, why)
 			}
 		})
 	}
@@ -190,8 +190,8 @@
 	h.finish()
 	h.ask(AskStatus, "run-000001", 5, 6, 200, api.Done)
 	h.ask(AskStatus, "run-000001", 5, 7, 200, api.Running)
-	want := AuditCounts{Questions: 5, Answers: 3, Crossed: 1, Told: 1, Leaders: 1}
+	want := AuditCounts{Questions: 5, Answers: 3, Crossed: 1, Told: 1, LeaderTerms: 1}
 	if got := h.Counts(); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("counts %+v, want %+v", got, want)
 	}
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -53,7 +53,7 @@
 	// Audit, if not nil, is notified of starts and ends of tasks.
 	Audit Observer
 	// Crossed, if not nil, is called for each start command that has no effect at a worker.
-	Crossed func(kind fake.CrossedStart)
+	Crossed func(kind fake.IneffectiveStart)
 }
 
 // Observer is notified of starts and ends of tasks, in order for each worker. It is called with that worker's lock held
@@ -139,8 +139,8 @@
 }
 
 // AddArguments appends to the `serve` arguments of the controllers that are started afterwards.
-func (cluster *Cluster) AddArguments(more ...string) {
-	cluster.options.Arguments = append(cluster.options.Arguments, more...)
+func (cluster *Cluster) AddArguments(arguments ...string) {
+	cluster.options.Arguments = append(cluster.options.Arguments, arguments...)
 }
 
 // Dir returns the cluster's temporary directory, which Close removes.
@@ -148,7 +148,7 @@
 
 // configure opens the ports through which controllers reach each other and the fakes, and writes the controllers' settings.
 func (cluster *Cluster) configure() error {
-	free, err := freeAddresses(cluster.ctx, 2*len(cluster.options.Zones))
+	free, err := allocateAddresses(cluster.ctx, 2*len(cluster.options.Zones))
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 			}
 			set.Peers = append(set.Peers, settings.Peer{Member: name(j), Zone: other, Address: link})
 		}
-		if set.External.State, err = cluster.serveRegional(cluster.newStateLinkOf(name(index)), "state", name(index), zone); err != nil {
+		if set.External.State, err = cluster.serveRegional(cluster.addStateLink(name(index)), "state", name(index), zone); err != nil {
 			return err
 		}
 		if set.External.Cloud, err = cluster.serveRegional(cluster.Cloud, "cloud", name(index), zone); err != nil {
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// newStateLinkOf creates and registers a controller's link to the state service.
-func (cluster *Cluster) newStateLinkOf(member string) *stateLink {
+// addStateLink creates and registers a controller's link to the state service.
+func (cluster *Cluster) addStateLink(member string) *stateLink {
 	link := newStateLink(cluster.ctx, cluster.State)
 	cluster.stateLinks[member] = link
 	return link
@@ -234,11 +234,11 @@
 }
 
 // endProcess calls how to end the process, if one runs, and waits for its end.
-func (controller *Controller) endProcess(how func(*os.Process)) {
+func (controller *Controller) endProcess(end func(*os.Process)) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
 	if controller.command != nil {
-		how(controller.command.Process)
+		end(controller.command.Process)
 		_ = controller.command.Wait()
 	}
 	controller.command = nil
@@ -307,8 +307,8 @@
 
 // Until polls f every 200 ms until it returns true. It returns ErrTimeout after the timeout, or the context's error if
 // the cluster is closed.
-func (cluster *Cluster) Until(timeout time.Duration, f func() bool) error {
-	for end := time.Now().Add(timeout); !f(); {
+func (cluster *Cluster) Until(timeout time.Duration, condition func() bool) error {
+	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) {
 			return fmt.Errorf("%w: %v", ErrTimeout, timeout)
 		}
--- a/internal/cluster/delays.go
+++ b/internal/cluster/delays.go
@@ -16,11 +16,11 @@
 	Overtaken *hdrhistogram.Histogram
 }
 
-// delayLimitMS is the upper bound of the histograms, in ms. Longer delays are recorded as this value.
-const delayLimitMS = 60_000
+// maxDelayMS is the upper bound of the histograms, in ms. Longer delays are recorded as this value.
+const maxDelayMS = 60_000
 
 func newDelays() Delays {
-	return Delays{Heartbeats: hdrhistogram.New(1, delayLimitMS, 3), Overtaken: hdrhistogram.New(1, delayLimitMS, 3)}
+	return Delays{Heartbeats: hdrhistogram.New(1, maxDelayMS, 3), Overtaken: hdrhistogram.New(1, maxDelayMS, 3)}
 }
 
 // delayRecorder records the delays of all workers. It is safe for concurrent use.
@@ -29,9 +29,9 @@
 	delays Delays
 }
 
-// responded records a heartbeat, with the times when it was sent, when the first direct command arrived in between (zero
-// if none did), and when its response arrived.
-func (recorder *delayRecorder) responded(sent, command, response time.Time) {
+// recordExchange records the delays of an answered heartbeat. sent is when it was sent, response when its response arrived,
+// and command when the first direct command arrived in between, zero if none did.
+func (recorder *delayRecorder) recordExchange(sent, command, response time.Time) {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	recordDelay(recorder.delays.Heartbeats, response.Sub(sent))
@@ -40,14 +40,14 @@
 	}
 }
 
-// recordDelay adds a delay to a histogram. Delays longer than delayLimitMS are recorded as delayLimitMS.
+// recordDelay adds a delay to a histogram. Delays longer than maxDelayMS are recorded as maxDelayMS.
 func recordDelay(histogram *hdrhistogram.Histogram, delay time.Duration) {
 	// RecordValue returns an error only for values above the limit.
-	_ = histogram.RecordValue(min(delay.Milliseconds(), delayLimitMS))
+	_ = histogram.RecordValue(min(delay.Milliseconds(), maxDelayMS))
 }
 
-// take returns the delays that were recorded since the last call, and resets the recorder.
-func (recorder *delayRecorder) take() Delays {
+// takeDelays returns the delays that were recorded since the last call, and resets the recorder.
+func (recorder *delayRecorder) takeDelays() Delays {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	taken := recorder.delays
@@ -56,4 +56,4 @@
 }
 
 // TakeDelays returns the delays of the heartbeats that were answered since the last call, and resets the recorder.
-func (cluster *Cluster) TakeDelays() Delays { return cluster.delays.take() }
+func (cluster *Cluster) TakeDelays() Delays { return cluster.delays.takeDelays() }
--- a/internal/cluster/delays_test.go
+++ b/internal/cluster/delays_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// A command counts as overtaking only if it arrived while the heartbeat waited, and a span does not count what was taken
-// before it.
+// A heartbeat without a direct command in between adds nothing to the histogram of direct commands, and each delay is
+// returned by one call only.
 func TestDelaysOfOneSpan(t *testing.T) {
 	recorder := delayRecorder{delays: newDelays()}
 	sent := time.Unix(1000, 0)
-	recorder.responded(sent, time.Time{}, sent.Add(20*time.Millisecond))
-	recorder.responded(sent, sent.Add(100*time.Millisecond), sent.Add(3*time.Second))
-	recorder.responded(sent, time.Time{}, sent.Add(time.Hour))
-	delays := recorder.take()
-	if count, longest := delays.Heartbeats.TotalCount(), delays.Heartbeats.Max(); count != 3 || longest < delayLimitMS {
+	recorder.recordExchange(sent, time.Time{}, sent.Add(20*time.Millisecond))
+	recorder.recordExchange(sent, sent.Add(100*time.Millisecond), sent.Add(3*time.Second))
+	recorder.recordExchange(sent, time.Time{}, sent.Add(time.Hour))
+	delays := recorder.takeDelays()
+	if count, longest := delays.Heartbeats.TotalCount(), delays.Heartbeats.Max(); count != 3 || longest < maxDelayMS {
 		t.Errorf("%d heartbeats, the longest %d ms, want 3 and the limit", count, longest)
 	}
 	if count, longest := delays.Overtaken.TotalCount(), delays.Overtaken.Max(); count != 1 || longest < 2890 || longest > 2910 {
-		t.Errorf("%d overtaken, the longest %d ms, want 1 of 2900", count, longest)
+		t.Errorf("%d direct commands, the longest lead %d ms, want 1 of 2900", count, longest)
 	}
-	if again := recorder.take(); again.Heartbeats.TotalCount() != 0 || again.Overtaken.TotalCount() != 0 {
-		t.Error("delays count for two spans")
+	if again := recorder.takeDelays(); again.Heartbeats.TotalCount() != 0 || again.Overtaken.TotalCount() != 0 {
+		t.Error("delays are returned by two calls")
 	}
 }
 
-// The first direct command of an exchange counts, and none of the exchange before.
+// The time of the first direct command since the last heartbeat is kept, and commands before that heartbeat do not count.
 func TestCommandsAreNotedForTheirExchange(t *testing.T) {
 	worker := &Worker{}
-	worker.noteCommand()
+	worker.recordCommand()
 	worker.beginExchange()
 	if at := worker.firstCommand(); !at.IsZero() {
-		t.Error("a command of the exchange before counts")
+		t.Error("a command before the heartbeat counts")
 	}
-	worker.noteCommand()
+	worker.recordCommand()
 	first := worker.firstCommand()
-	worker.noteCommand()
+	worker.recordCommand()
 	if again := worker.firstCommand(); first.IsZero() || !again.Equal(first) {
-		t.Errorf("%v, want the first command's %v", again, first)
+		t.Errorf("time %v, want that of the first command, %v", again, first)
 	}
 }
--- a/internal/cluster/measure.go
+++ b/internal/cluster/measure.go
@@ -87,9 +87,9 @@
 func Since(earlier, later map[string]Count) map[string]Count {
 	out := map[string]Count{}
 	for kind, count := range later {
-		was := earlier[kind]
-		if count.Messages > was.Messages {
-			out[kind] = Count{count.Messages - was.Messages, count.Bytes - was.Bytes}
+		before := earlier[kind]
+		if count.Messages > before.Messages {
+			out[kind] = Count{count.Messages - before.Messages, count.Bytes - before.Bytes}
 		}
 	}
 	return out
--- a/internal/cluster/message_faults.go
+++ b/internal/cluster/message_faults.go
@@ -36,9 +36,9 @@
 // that a worker still accepts responses when both the heartbeat and the response are slow.
 const maxSlowMessage = 1900 * time.Millisecond
 
-// delay delays the given share of messages by a random time. It reports false if ctx ended before.
-func delay(ctx context.Context, share float64) bool {
-	if !happens(share) {
+// delayShare delays the given share of messages by a random time. It reports false if ctx ended before.
+func delayShare(ctx context.Context, share float64) bool {
+	if !withProbability(share) {
 		return ctx.Err() == nil
 	}
 	return sleep.Real(ctx, randomDuration(maxSlowMessage))
@@ -46,7 +46,7 @@
 
 // startFailure returns the cause with which a task that is being started ends at once, empty if the task runs.
 func (f MessageFaults) startFailure() string {
-	if !happens(f.FailingStarts) {
+	if !withProbability(f.FailingStarts) {
 		return ""
 	}
 	causes := []string{api.CauseError, api.CauseNoRoom, api.CauseUnknown}
@@ -73,8 +73,12 @@
 	return m.faults
 }
 
-// happens returns true with a probability of share.
-func happens(share float64) bool { return share > 0 && rand.Float64() < share }
+// withProbability returns true with the given probability.
+func withProbability(probability float64) bool {
+	return probability > 0 && rand.Float64() < probability
+}
 
-// lateness returns a random delay of a late message, from minLateMessage to maxLateMessage.
-func lateness() time.Duration { return minLateMessage + randomDuration(maxLateMessage-minLateMessage) }
+// randomLateDelay returns a random delay of a late message, from minLateMessage to maxLateMessage.
+func randomLateDelay() time.Duration {
+	return minLateMessage + randomDuration(maxLateMessage-minLateMessage)
+}
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -22,16 +22,16 @@
 	mu sync.Mutex
 	// isolatedZones reach each other, but no other zone and no regional service. It is empty without a partition.
 	isolatedZones []string
-	// cutMembers are the pairs of controllers, sender and receiver, whose link is blocked in that direction.
-	cutMembers map[[2]string]bool
+	// blockedMembers are the pairs of controllers, sender and receiver, whose link is blocked in that direction.
+	blockedMembers map[[2]string]bool
 	// peerDelay is the maximum delay of data between controllers.
 	peerDelay time.Duration
-	// changed is closed and replaced at each change of isolatedZones or cutMembers.
+	// changed is closed and replaced at each change of isolatedZones or blockedMembers.
 	changed chan struct{}
 }
 
 func newNetwork() *zoneNetwork {
-	return &zoneNetwork{cutMembers: map[[2]string]bool{}, changed: make(chan struct{})}
+	return &zoneNetwork{blockedMembers: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
 // Isolate partitions the given zones, which still reach each other, from all other zones and the regional services. Without
@@ -45,10 +45,10 @@
 
 // CutPeer blocks the data that one controller sends to another one, or unblocks it. Blocked data is delivered afterwards.
 // The opposite direction is not affected.
-func (cluster *Cluster) CutPeer(from, to string, cut bool) {
+func (cluster *Cluster) CutPeer(from, to string, block bool) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
-	cluster.network.cutMembers[[2]string{from, to}] = cut
+	cluster.network.blockedMembers[[2]string{from, to}] = block
 	cluster.network.notifyChange()
 }
 
@@ -80,22 +80,22 @@
 func (network *zoneNetwork) blocked(a, b string) (bool, <-chan struct{}) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	return network.zonesCut(a, b), network.changed
+	return network.zonesPartitioned(a, b), network.changed
 }
 
-// zonesCut reports whether two zones are partitioned from each other. The caller holds mu.
-func (network *zoneNetwork) zonesCut(a, b string) bool {
+// zonesPartitioned reports whether two zones are partitioned from each other. The caller holds mu.
+func (network *zoneNetwork) zonesPartitioned(a, b string) bool {
 	return slices.Contains(network.isolatedZones, a) != slices.Contains(network.isolatedZones, b)
 }
 
-// wait waits until two zones reach each other. It reports false if ctx ended before.
-func (network *zoneNetwork) wait(ctx context.Context, a, b string) bool {
-	return awaitPassage(ctx, func() (bool, <-chan struct{}) { return network.blocked(a, b) })
+// waitForZones waits until two zones reach each other. It reports false if ctx ended before.
+func (network *zoneNetwork) waitForZones(ctx context.Context, a, b string) bool {
+	return waitUntilUnblocked(ctx, func() (bool, <-chan struct{}) { return network.blocked(a, b) })
 }
 
-// awaitPassage waits until blocked returns false. blocked also returns a channel that is closed when its result may have
-// changed. awaitPassage reports false if ctx ended before.
-func awaitPassage(ctx context.Context, blocked func() (bool, <-chan struct{})) bool {
+// waitUntilUnblocked waits until blocked returns false. blocked also returns a channel that is closed when its result may
+// have changed. waitUntilUnblocked reports false if ctx ended before.
+func waitUntilUnblocked(ctx context.Context, blocked func() (bool, <-chan struct{})) bool {
 	for {
 		isBlocked, changed := blocked()
 		if !isBlocked {
@@ -129,13 +129,13 @@
 func (network *zoneNetwork) linkBlocked(link peerLink) (bool, <-chan struct{}) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	cut := network.cutMembers[[2]string{link.fromMember, link.toMember}]
-	return cut || network.zonesCut(link.fromZone, link.toZone), network.changed
+	memberBlocked := network.blockedMembers[[2]string{link.fromMember, link.toMember}]
+	return memberBlocked || network.zonesPartitioned(link.fromZone, link.toZone), network.changed
 }
 
-// await waits until a link is not blocked in its direction. It reports false if ctx ended before.
-func (network *zoneNetwork) await(ctx context.Context, link peerLink) bool {
-	return awaitPassage(ctx, func() (bool, <-chan struct{}) { return network.linkBlocked(link) })
+// waitForLink waits until a link is not blocked in its direction. It reports false if ctx ended before.
+func (network *zoneNetwork) waitForLink(ctx context.Context, link peerLink) bool {
+	return waitUntilUnblocked(ctx, func() (bool, <-chan struct{}) { return network.linkBlocked(link) })
 }
 
 // newLink opens a loopback port that forwards connections to the link's target. Data that is sent while the link is
@@ -162,7 +162,7 @@
 // each direction.
 func (cluster *Cluster) forward(inbound net.Conn, link peerLink) {
 	defer closeQuietly(inbound)
-	if !cluster.network.await(cluster.ctx, link) {
+	if !cluster.network.waitForLink(cluster.ctx, link) {
 		return
 	}
 	dialer := net.Dialer{Timeout: time.Second}
@@ -181,7 +181,7 @@
 			if n > 0 {
 				cluster.Traffic.Add(link.kind+direction, n)
 				cluster.network.delayPeer(cluster.ctx)
-				if !cluster.network.await(cluster.ctx, link) {
+				if !cluster.network.waitForLink(cluster.ctx, link) {
 					return
 				}
 				if _, err := into.Write(buffer[:n]); err != nil {
@@ -200,12 +200,12 @@
 // serveRegional opens a loopback port at which one controller reaches the fake of a regional service.
 func (cluster *Cluster) serveRegional(service http.RoundTripper, kind, member, zone string) (address string, err error) {
 	return cluster.serve(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		if !cluster.network.wait(request.Context(), zone, RegionalServices) {
+		if !cluster.network.waitForZones(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
 		requested := int(max(0, request.ContentLength)) + len(request.URL.RequestURI())
 		response, err := service.RoundTrip(request)
-		if err != nil || !cluster.network.wait(request.Context(), zone, RegionalServices) {
+		if err != nil || !cluster.network.waitForZones(request.Context(), zone, RegionalServices) {
 			panic(http.ErrAbortHandler)
 		}
 		defer func() { _ = response.Body.Close() }()
--- a/internal/cluster/questions.go
+++ b/internal/cluster/questions.go
@@ -36,7 +36,9 @@
 }
 
 // answered reports whether there was an answer other than a server error.
-func (q Question) answered() bool { return q.Status < http.StatusInternalServerError && q.Status > 0 }
+func (request Question) answered() bool {
+	return request.Status < http.StatusInternalServerError && request.Status > 0
+}
 
 // CancelRequested records that a job's cancellation is about to be requested. The job must be known.
 func (audit *Audit) CancelRequested(jobID string) {
@@ -49,66 +51,66 @@
 // is compared with the state that the user had been given before sending the request: answers to overlapping requests may
 // arrive out of order and differ, unless they state two different terminal states. It reports whether the job is in a
 // terminal state.
-func (audit *Audit) Judge(question Question) (over bool) {
+func (audit *Audit) Judge(request Question) (terminal bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	audit.questions++
-	if !question.answered() {
+	audit.requests++
+	if !request.answered() {
 		return false
 	}
 	audit.answers++
-	job := audit.jobs[question.Job]
+	job := audit.jobs[request.Job]
 	if job == nil {
-		if question.Status == http.StatusOK || question.Status == http.StatusCreated {
-			audit.recordViolation(Invented, "%s of nobody: %d %s by %s", question.Job, question.Status, question.State, question.Controller)
+		if request.Status == http.StatusOK || request.Status == http.StatusCreated {
+			audit.recordViolation(UnknownJob, "%s of nobody: %d %s by %s", request.Job, request.Status, request.State, request.Controller)
 		}
 		return false
 	}
-	job.AnsweredAt = question.AnsweredAt
-	if question.Status != http.StatusOK && question.Status != http.StatusCreated {
-		audit.judgeRefusal(job, question)
+	job.AnsweredAt = request.AnsweredAt
+	if request.Status != http.StatusOK && request.Status != http.StatusCreated {
+		audit.checkRefusal(job, request)
 		return false
 	}
-	if question.Kind == AskSubmit && job.Accepted.IsZero() {
-		job.Accepted = question.AnsweredAt
+	if request.Kind == AskSubmit && job.Accepted.IsZero() {
+		job.Accepted = request.AnsweredAt
 	}
-	audit.judgeState(job, question)
-	return isOver(question.State)
+	audit.checkState(job, request)
+	return isTerminal(request.State)
 }
 
-// isOver reports whether a state is terminal.
-func isOver(state string) bool { return state == api.Done || state == api.Cancelled }
+// isTerminal reports whether a state is terminal.
+func isTerminal(state string) bool { return state == api.Done || state == api.Cancelled }
 
-// judgeRefusal checks an answer that a job is unknown or refused. The caller holds mu.
-func (audit *Audit) judgeRefusal(job *AuditedJob, question Question) {
-	known := !job.Accepted.IsZero() && job.Accepted.Before(question.AskedAt)
-	if known {
-		audit.recordViolation(Forgotten, "%s: %d to a %s by %s", job.ID, question.Status, question.Kind, question.Controller)
+// checkRefusal checks an answer that a job is unknown or refused. The caller holds mu.
+func (audit *Audit) checkRefusal(job *AuditedJob, request Question) {
+	accepted := !job.Accepted.IsZero() && job.Accepted.Before(request.AskedAt)
+	if accepted {
+		audit.recordViolation(JobLost, "%s: %d to a %s by %s", job.ID, request.Status, request.Kind, request.Controller)
 	}
 }
 
-// judgeState checks a reported state against the state reported before and against the tasks' progress. The caller
+// checkState checks a reported state against the state reported before and against the tasks' progress. The caller
 // holds mu.
-func (audit *Audit) judgeState(job *AuditedJob, question Question) {
-	state := question.State
+func (audit *Audit) checkState(job *AuditedJob, request Question) {
+	state := request.State
 	changed := job.Told != "" && state != job.Told
-	toldBefore := job.ToldAt.Before(question.AskedAt)
+	reportedBefore := job.TerminalStateAt.Before(request.AskedAt)
 	switch {
-	case changed && !isOver(state) && !toldBefore:
-		audit.crossed++
+	case changed && !isTerminal(state) && !reportedBefore:
+		audit.outOfOrderAnswers++
 	case changed:
-		audit.recordViolation(WentBack, "%s was %s, now %s by %s, asked %v after it was told", job.ID, job.Told, state, question.Controller,
-			question.AskedAt.Sub(job.ToldAt).Round(time.Millisecond))
-	case state == api.Done && job.Done < job.Tasks:
-		audit.recordViolation(NotDone, "%s with %d of %d tasks done", job.ID, job.Done, job.Tasks)
+		audit.recordViolation(StateReverted, "%s was %s, now %s by %s, asked %v after it was told", job.ID, job.Told, state, request.Controller,
+			request.AskedAt.Sub(job.TerminalStateAt).Round(time.Millisecond))
+	case state == api.Done && job.TasksDone < job.Tasks:
+		audit.recordViolation(DoneBeforeTasks, "%s with %d of %d tasks done", job.ID, job.TasksDone, job.Tasks)
 	case state == api.Cancelled && !audit.mayBeCancelled(job):
-		audit.recordViolation(WentBack, "%s is cancelled, and nobody asked for it", job.ID)
-	case !isOver(state) && audit.isOrphaned(job, question.AskedAt):
-		audit.recordViolation(Orphaned, "%s is %s although a job that it awaits was cancelled", job.ID, state)
+		audit.recordViolation(StateReverted, "%s is cancelled, and nobody asked for it", job.ID)
+	case !isTerminal(state) && audit.mustBeCancelled(job, request.AskedAt):
+		audit.recordViolation(DependencyCancelled, "%s is %s although a job that it awaits was cancelled", job.ID, state)
 	}
-	if isOver(state) && job.Told == "" {
-		job.Told, job.ToldAt = state, question.AnsweredAt
-		audit.told++
+	if isTerminal(state) && job.Told == "" {
+		job.Told, job.TerminalStateAt = state, request.AnsweredAt
+		audit.terminalJobs++
 	}
 }
 
@@ -120,19 +122,19 @@
 	})
 }
 
-// isOrphaned reports whether a job must have been cancelled by the given time because a job that it depends on, directly or
-// not, was. The caller holds mu.
-func (audit *Audit) isOrphaned(job *AuditedJob, at time.Time) bool {
+// mustBeCancelled reports whether a job must have been cancelled by the given time because a job that it depends on,
+// directly or not, was. The caller holds mu.
+func (audit *Audit) mustBeCancelled(job *AuditedJob, at time.Time) bool {
 	return slices.ContainsFunc(job.Awaits, func(id string) bool {
 		awaited := audit.jobs[id]
 		if awaited == nil {
 			return false
 		}
-		limit := awaited.ToldAt
+		limit := awaited.TerminalStateAt
 		if job.Accepted.After(limit) {
 			limit = job.Accepted
 		}
-		return awaited.Told == api.Cancelled && at.Sub(limit) > audit.cancelWithin || audit.isOrphaned(awaited, at)
+		return awaited.Told == api.Cancelled && at.Sub(limit) > audit.cancelWithin || audit.mustBeCancelled(awaited, at)
 	})
 }
 
@@ -141,19 +143,19 @@
 	// Questions counts requests, Answers those that were answered, and Crossed the answers that arrived after a newer one.
 	Questions, Answers, Crossed int
 	// Told counts jobs whose user was given a terminal state, Leaders the terms under which tasks were started.
-	Told, Leaders int
+	Told, LeaderTerms int
 }
 
 // Counts returns the counts so far.
 func (audit *Audit) Counts() AuditCounts {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	return AuditCounts{Questions: audit.questions, Answers: audit.answers, Crossed: audit.crossed, Told: audit.told, Leaders: len(audit.firstStarts)}
+	return AuditCounts{Questions: audit.requests, Answers: audit.answers, Crossed: audit.outOfOrderAnswers, Told: audit.terminalJobs, LeaderTerms: len(audit.firstStarts)}
 }
 
 // Unanswered records that requests about an accepted job had no answer for so long that the job counts as lost.
-func (audit *Audit) Unanswered(jobID string, since time.Duration) {
+func (audit *Audit) Unanswered(jobID string, duration time.Duration) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
-	audit.recordViolation(Forgotten, "%s: no answer for %v", jobID, since.Round(time.Second))
+	audit.recordViolation(JobLost, "%s: no answer for %v", jobID, duration.Round(time.Second))
 }
--- a/internal/cluster/state_link.go
+++ b/internal/cluster/state_link.go
@@ -76,7 +76,7 @@
 
 // RoundTrip forwards a request to the state service, subject to the link's faults.
 func (link *stateLink) RoundTrip(request *http.Request) (*http.Response, error) {
-	faults, err := link.awaitOpen(request.Context())
+	faults, err := link.waitWhileSilent(request.Context())
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		return link.transact(request, faults)
 	}
 	response, err := link.service.RoundTrip(request)
-	if happens(faults.LateAnswers) {
+	if withProbability(faults.LateAnswers) {
 		delay += randomDuration(maxLateAnswer)
 	}
 	if !sleep.Real(request.Context(), delay) {
@@ -99,9 +99,9 @@
 	return response, err
 }
 
-// awaitOpen waits while the link is silent, and returns the faults that apply afterwards.
-func (link *stateLink) awaitOpen(ctx context.Context) (faults StateFaults, err error) {
-	open := awaitPassage(ctx, func() (bool, <-chan struct{}) {
+// waitWhileSilent waits while the link is silent, and returns the faults that apply afterwards.
+func (link *stateLink) waitWhileSilent(ctx context.Context) (faults StateFaults, err error) {
+	open := waitUntilUnblocked(ctx, func() (bool, <-chan struct{}) {
 		var changed <-chan struct{}
 		faults, changed = link.current()
 		return faults.Silent, changed
@@ -123,12 +123,12 @@
 		repeated.Body = io.NopCloser(bytes.NewReader(body))
 		return link.service.RoundTrip(repeated)
 	}
-	fate := rand.Float64()
+	random := rand.Float64()
 	switch {
-	case fate < faults.LostAnswers:
+	case random < faults.LostAnswers:
 		_, _ = execute(request.Context())
 		return nil, errNoAnswer
-	case fate < faults.LostAnswers+faults.LateWrites:
+	case random < faults.LostAnswers+faults.LateWrites:
 		late := context.WithoutCancel(request.Context())
 		time.AfterFunc(minLateWrite+randomDuration(maxLateWrite-minLateWrite), func() {
 			if link.ctx.Err() == nil {
--- a/internal/cluster/state_link_test.go
+++ b/internal/cluster/state_link_test.go
@@ -12,7 +12,7 @@
 	"switchferry/internal/fake"
 )
 
-// newTestLink returns a way to a state service, with some faults.
+// newTestLink returns a link with the given faults to a new state service.
 func newTestLink(t *testing.T, faults StateFaults) (*stateLink, *fake.State) {
 	t.Helper()
 	state := fake.NewState(clockwork.NewRealClock())
@@ -21,7 +21,7 @@
 	return link, state
 }
 
-// put has a way carry a transaction that sets the key a/b; it returns the status, 0 without an answer.
+// put sends a transaction that sets the key a/b over the link. It returns the status, 0 without an answer.
 func put(ctx context.Context, t *testing.T, link *stateLink) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://state/multi", strings.NewReader(`{"then":[{"set":"a/b","value":1}]}`))
@@ -41,10 +41,11 @@
 		name   string
 		faults StateFaults
 		status int
-		// atOnce and later say whether the transaction is executed when it is over, and a moment later.
+		// atOnce is whether the transaction has been executed when the request ends, and later whether it has some
+		// seconds afterwards.
 		atOnce, later bool
 	}{
-		{"in order", StateFaults{}, 200, true, true},
+		{"no faults", StateFaults{}, 200, true, true},
 		{"refused", StateFaults{Refused: true}, 503, false, false},
 		{"silent", StateFaults{Silent: true}, 0, false, false},
 		{"lost answers", StateFaults{LostAnswers: 1}, 0, true, true},
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -24,22 +24,22 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// mute blocks messages from the worker, and deaf messages to it. A dead worker stays mute and deaf.
-	mute, deaf, dead bool
-	// changed is closed and replaced at each change of mute or deaf.
+	// outboundBlocked blocks messages from the worker, inboundBlocked those to it. On a dead worker both stay blocked.
+	outboundBlocked, inboundBlocked, dead bool
+	// changed is closed and replaced at each change of outboundBlocked or inboundBlocked.
 	changed chan struct{}
-	// commandAt is when the first direct command arrived since the last heartbeat was sent, zero if none did.
-	commandAt time.Time
+	// firstCommandAt is when the first direct command arrived since the last heartbeat was sent, zero if none did.
+	firstCommandAt time.Time
 }
 
 // AddWorkers starts n machines with their workers, distributed evenly over the zones.
 func (cluster *Cluster) AddWorkers(n int, zones []string) error {
 	cluster.mu.Lock()
-	have := len(cluster.workers)
+	existing := len(cluster.workers)
 	cluster.mu.Unlock()
 	for index := range n {
 		if err := cluster.addWorker(func(address string) (fake.Host, bool) {
-			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(have+index)%len(zones)], address), true
+			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(existing+index)%len(zones)], address), true
 		}); err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 		members = append(members, controller.Settings.Member)
 	}
 	options := fake.WorkerOptions{Host: host, Clock: cluster.clock, Nodes: members, Post: worker.post, Every: seconds(cluster.options.Facts.Workers.ReportS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
-		Runs: cluster.options.Runs, Crossed: cluster.options.Crossed, Fails: func(string) string { return cluster.messages.current().startFailure() }}
+		Runs: cluster.options.Runs, OnIneffectiveStart: cluster.options.Crossed, Fails: func(string) string { return cluster.messages.current().startFailure() }}
 	if audit := cluster.options.Audit; audit != nil {
 		options.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, host.Name, term) }
 		options.Ends = func(task string, done bool) { audit.Ended(task, host.Name, done) }
@@ -114,7 +114,7 @@
 		if cluster.ctx.Err() != nil {
 			return
 		}
-		_ = cluster.addWorker(func(address string) (fake.Host, bool) { return cluster.Cloud.Move(host.Name, address) })
+		_ = cluster.addWorker(func(address string) (fake.Host, bool) { return cluster.Cloud.SetAddress(host.Name, address) })
 	})
 }
 
@@ -135,14 +135,14 @@
 }
 
 // Lose blocks or unblocks the worker's messages in both directions.
-func (worker *Worker) Lose(on bool) { worker.LoseOneWay(on, on) }
+func (worker *Worker) Lose(blocked bool) { worker.LoseOneWay(blocked, blocked) }
 
 // LoseOneWay sets which messages are blocked: those from the worker, which are heartbeats and answers to commands, and
 // those to the worker, which are responses to heartbeats and commands.
-func (worker *Worker) LoseOneWay(mute, deaf bool) {
+func (worker *Worker) LoseOneWay(outbound, inbound bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.mute, worker.deaf = mute || worker.dead, deaf || worker.dead
+	worker.outboundBlocked, worker.inboundBlocked = outbound || worker.dead, inbound || worker.dead
 	close(worker.changed)
 	worker.changed = make(chan struct{})
 }
@@ -156,40 +156,40 @@
 	worker.Restart()
 }
 
-// direction is a direction of messages between a worker and a controller.
-type direction int
+// messageDirection is a direction of messages between a worker and a controller.
+type messageDirection int
 
 const (
 	// fromWorker is the direction of heartbeats and of answers to commands.
-	fromWorker direction = iota
+	fromWorker messageDirection = iota
 	// toWorker is the direction of responses to heartbeats and of commands.
 	toWorker
 )
 
-// reachable waits until messages of a direction pass between the worker and a zone, which may be RegionalServices. It
-// reports false if ctx ended before.
-func (worker *Worker) reachable(ctx context.Context, place string, way direction) bool {
-	return awaitPassage(ctx, func() (bool, <-chan struct{}) {
-		if blocked, changed := worker.cluster.network.blocked(worker.Zone, place); blocked {
+// waitUntilReachable waits until messages of a direction pass between the worker and a zone, which may be
+// RegionalServices. It reports false if ctx ended before.
+func (worker *Worker) waitUntilReachable(ctx context.Context, zone string, direction messageDirection) bool {
+	return waitUntilUnblocked(ctx, func() (bool, <-chan struct{}) {
+		if blocked, changed := worker.cluster.network.blocked(worker.Zone, zone); blocked {
 			return true, changed
 		}
-		return worker.loses(way)
+		return worker.isBlocked(direction)
 	})
 }
 
-// loses reports whether messages of a direction are blocked, and returns a channel that is closed when that may have
+// isBlocked reports whether messages of a direction are blocked, and returns a channel that is closed when that may have
 // changed.
-func (worker *Worker) loses(way direction) (bool, <-chan struct{}) {
+func (worker *Worker) isBlocked(direction messageDirection) (bool, <-chan struct{}) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if way == toWorker {
-		return worker.deaf, worker.changed
+	if direction == toWorker {
+		return worker.inboundBlocked, worker.changed
 	}
-	return worker.mute, worker.changed
+	return worker.outboundBlocked, worker.changed
 }
 
-// post sends a heartbeat to a controller, subject to the network's and the messages' faults. It returns status 0 if there is
-// no answer.
+// post sends a heartbeat to a controller, subject to the network's and the messages' faults. It returns status 0 if there
+// is no answer.
 func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
 	var recipient *Controller
 	for _, controller := range worker.cluster.Controllers {
@@ -198,15 +198,15 @@
 		}
 	}
 	raw, err := json.Marshal(heartbeat)
-	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone, fromWorker) {
+	if err != nil || !worker.waitUntilReachable(ctx, recipient.Settings.Zone, fromWorker) {
 		return 0, nil
 	}
 	faults := worker.cluster.messages.current()
-	if happens(faults.RepeatedHeartbeats) {
+	if withProbability(faults.RepeatedHeartbeats) {
 		late := context.WithoutCancel(ctx)
-		time.AfterFunc(lateness(), func() { worker.repeatHeartbeat(late, raw) })
+		time.AfterFunc(randomLateDelay(), func() { worker.repeatHeartbeat(late, raw) })
 	}
-	if happens(faults.LostHeartbeats) || !delay(ctx, faults.SlowHeartbeats) {
+	if withProbability(faults.LostHeartbeats) || !delayShare(ctx, faults.SlowHeartbeats) {
 		<-ctx.Done()
 		return 0, nil
 	}
@@ -222,10 +222,10 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(response.Body)
-	if err != nil || !worker.reachable(ctx, recipient.Settings.Zone, toWorker) || !delay(ctx, faults.SlowHeartbeats) {
+	if err != nil || !worker.waitUntilReachable(ctx, recipient.Settings.Zone, toWorker) || !delayShare(ctx, faults.SlowHeartbeats) {
 		return 0, nil
 	}
-	worker.cluster.delays.responded(sent, worker.firstCommand(), time.Now())
+	worker.cluster.delays.recordExchange(sent, worker.firstCommand(), time.Now())
 	worker.cluster.Traffic.Add("reports to "+member, len(raw)+len(answer))
 	return response.StatusCode, decodeAnswer(response.StatusCode, answer)
 }
@@ -234,15 +234,15 @@
 func (worker *Worker) beginExchange() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.commandAt = time.Time{}
+	worker.firstCommandAt = time.Time{}
 }
 
-// noteCommand records the time of a direct command if it is the first since the last heartbeat was sent.
-func (worker *Worker) noteCommand() {
+// recordCommand records the time of a direct command if it is the first since the last heartbeat was sent.
+func (worker *Worker) recordCommand() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	if worker.commandAt.IsZero() {
-		worker.commandAt = time.Now()
+	if worker.firstCommandAt.IsZero() {
+		worker.firstCommandAt = time.Now()
 	}
 }
 
@@ -250,7 +250,7 @@
 func (worker *Worker) firstCommand() time.Time {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	return worker.commandAt
+	return worker.firstCommandAt
 }
 
 // repeatHeartbeat sends a copy of an earlier heartbeat to a random controller and discards the answer.
@@ -266,11 +266,11 @@
 // api.Redirect otherwise.
 func decodeAnswer(status int, raw []byte) any {
 	if status == http.StatusOK {
-		var orders api.HeartbeatResponse
-		if json.Unmarshal(raw, &orders) != nil {
+		var response api.HeartbeatResponse
+		if json.Unmarshal(raw, &response) != nil {
 			return nil
 		}
-		return orders
+		return response
 	}
 	var redirect api.Redirect
 	_ = json.Unmarshal(raw, &redirect)
@@ -280,27 +280,27 @@
 // serveCommand executes commands that a leader sends directly. While the leader's zone and the worker do not reach each
 // other, it waits, and it aborts the request if that ends first.
 func (worker *Worker) serveCommand(writer http.ResponseWriter, request *http.Request) {
-	var orders api.HeartbeatResponse
-	if err := json.NewDecoder(request.Body).Decode(&orders); err != nil {
+	var commands api.HeartbeatResponse
+	if err := json.NewDecoder(request.Body).Decode(&commands); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	fromZone := worker.cluster.zoneOfTerm(orders.Term)
-	if !worker.reachable(request.Context(), fromZone, toWorker) {
+	fromZone := worker.cluster.zoneOfTerm(commands.Term)
+	if !worker.waitUntilReachable(request.Context(), fromZone, toWorker) {
 		panic(http.ErrAbortHandler)
 	}
 	faults := worker.cluster.messages.current()
-	if happens(faults.LateCommands) {
-		time.AfterFunc(lateness(), func() { worker.Direct(orders) })
+	if withProbability(faults.LateCommands) {
+		time.AfterFunc(randomLateDelay(), func() { worker.Direct(commands) })
 		panic(http.ErrAbortHandler)
 	}
-	if !delay(request.Context(), faults.SlowCommands) {
+	if !delayShare(request.Context(), faults.SlowCommands) {
 		panic(http.ErrAbortHandler)
 	}
-	worker.noteCommand()
-	heartbeat, executed := worker.Direct(orders)
+	worker.recordCommand()
+	heartbeat, executed := worker.Direct(commands)
 	raw, err := json.Marshal(heartbeat)
-	if err != nil || !worker.reachable(request.Context(), fromZone, toWorker) {
+	if err != nil || !worker.waitUntilReachable(request.Context(), fromZone, toWorker) {
 		panic(http.ErrAbortHandler)
 	}
 	worker.cluster.Traffic.Add("commands", int(max(0, request.ContentLength))+len(raw))
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -34,7 +34,7 @@
 	types    []api.MachineType
 	requests *rate.Limiter
 
-	// mu guards the fields below, except Up and Gone.
+	// mu guards the fields below, except the callbacks.
 	mu    sync.Mutex
 	hosts map[string]*Host // by name
 	// rentalsByRequest holds the names of the machines of each rental, by idempotency key.
@@ -42,9 +42,10 @@
 	nextHost         int
 	// Room is how many more machines can be rented.
 	Room int
-	// Up is called for each rented machine, Gone for each returned one, without mu held. They may be set only before the
-	// first request.
-	Up, Gone func(Host)
+	// Up is called, without mu held, for each rented machine. It may be set only before the first request.
+	Up func(Host)
+	// Gone is called, without mu held, for each returned machine. It may be set only before the first request.
+	Gone func(Host)
 	// Refused counts the requests that violated a limit, by the error's text.
 	Refused map[string]int
 }
@@ -64,36 +65,36 @@
 }
 
 // Add adds a machine, as if it had been rented earlier, and returns it. It takes no capacity.
-func (cloud *Cloud) Add(typ, zone string, spot bool) Host {
+func (cloud *Cloud) Add(machineType, zone string, spot bool) Host {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
-	return *cloud.addHost(typ, zone, spot)
+	return *cloud.addHost(machineType, zone, spot)
 }
 
 // AddAt adds an on-demand machine whose worker listens at the given address.
-func (cloud *Cloud) AddAt(typ, zone, addr string) Host {
+func (cloud *Cloud) AddAt(machineType, zone, address string) Host {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
-	host := cloud.addHost(typ, zone, false)
-	host.Address = addr
+	host := cloud.addHost(machineType, zone, false)
+	host.Address = address
 	return *host
 }
 
-// Move changes the address of a machine. It reports false if the machine does not exist, as after its return.
-func (cloud *Cloud) Move(name, addr string) (Host, bool) {
+// SetAddress changes the address of a machine. It reports false if the machine does not exist, as after its return.
+func (cloud *Cloud) SetAddress(name, address string) (Host, bool) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	host := cloud.hosts[name]
 	if host == nil {
 		return Host{}, false
 	}
-	host.Address = addr
+	host.Address = address
 	return *host, true
 }
 
 // addHost adds a machine with the next name. The caller holds mu.
-func (cloud *Cloud) addHost(typ, zone string, spot bool) *Host {
-	host := &Host{Name: fmt.Sprintf("n-%06d", cloud.nextHost), Address: fmt.Sprintf("worker-%d:9000", cloud.nextHost), Type: typ, Zone: zone, Spot: spot, rentedAt: cloud.clock.Now()}
+func (cloud *Cloud) addHost(machineType, zone string, spot bool) *Host {
+	host := &Host{Name: fmt.Sprintf("n-%06d", cloud.nextHost), Address: fmt.Sprintf("worker-%d:9000", cloud.nextHost), Type: machineType, Zone: zone, Spot: spot, rentedAt: cloud.clock.Now()}
 	cloud.nextHost++
 	cloud.hosts[host.Name] = host
 	return host
@@ -105,11 +106,11 @@
 	if request.Body != nil {
 		body, _ = io.ReadAll(request.Body)
 	}
-	resp, up, gone, err := cloud.serve(request, body)
-	for _, host := range up {
+	resp, rented, returned, err := cloud.serve(request, body)
+	for _, host := range rented {
 		cloud.Up(host)
 	}
-	for _, host := range gone {
+	for _, host := range returned {
 		cloud.Gone(host)
 	}
 	return resp, err
@@ -139,9 +140,9 @@
 }
 
 // refuse counts and answers a request that violates a limit. The caller holds mu.
-func (cloud *Cloud) refuse(status int, why string) (*http.Response, error) {
-	cloud.Refused[why]++
-	return reply(status, map[string]any{"error": why})
+func (cloud *Cloud) refuse(status int, reason string) (*http.Response, error) {
+	cloud.Refused[reason]++
+	return reply(status, map[string]any{"error": reason})
 }
 
 // serveRent rents as many of the requested machines as the capacity allows. A request with a known idempotency key gets
--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -8,28 +8,28 @@
 	Asked chan struct{}
 	// released is closed when the answer may be sent.
 	released chan struct{}
-	// executed means that the request is executed on arrival, not when the answer is released.
-	executed bool
+	// executeOnArrival executes the request when it arrives, not when the answer is released.
+	executeOnArrival bool
 }
 
 // Answer releases the answer. It must be called exactly once.
-func (l *Late) Answer() { close(l.released) }
+func (late *Late) Answer() { close(late.released) }
 
-// LateNext delays the answer to the next transaction until Late.Answer is called. The transaction is executed on arrival
-// if executed is true, and when the answer is released otherwise.
-func (state *State) LateNext(executed bool) *Late {
+// LateNext delays the answer to the next transaction until the result releases it. The transaction is executed on arrival
+// if executeOnArrival is true, and on release otherwise.
+func (state *State) LateNext(executeOnArrival bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.delayedWrite = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executed: executed}
-	return state.delayedWrite
+	state.delayedTransaction = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
+	return state.delayedTransaction
 }
 
-// LateRead delays the answer to the next read of a key until Late.Answer is called. The read is executed on arrival if
-// executed is true, and when the answer is released otherwise.
-func (state *State) LateRead(executed bool) *Late {
+// LateRead delays the answer to the next read of a key until the result releases it. The read is executed on arrival if
+// executeOnArrival is true, and on release otherwise.
+func (state *State) LateRead(executeOnArrival bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.delayedRead = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executed: executed}
+	state.delayedRead = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
 	return state.delayedRead
 }
 
@@ -43,11 +43,11 @@
 
 // serveDelayed executes a transaction whose answer is delayed. The caller holds mu, which is unlocked during the wait.
 func (state *State) serveDelayed(late *Late, transaction transactionRequest) (resp *http.Response, err error) {
-	if late.executed {
+	if late.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
 	state.awaitRelease(late)
-	if !late.executed {
+	if !late.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
 	return resp, err
--- a/internal/fake/objects.go
+++ b/internal/fake/objects.go
@@ -12,13 +12,13 @@
 )
 
 // Objects is an http.Handler that fakes the dataset store. It serves NAME/manifest.json and byte ranges of NAME/data, and
-// fails as set by Break. It is safe for concurrent use.
+// can be made to fail. It is safe for concurrent use.
 type Objects struct {
 	mu        sync.Mutex // guards the fields below, except Hanging
 	objects   map[string][]byte
 	manifests map[string][]byte
-	// served counts the bytes of data that were sent.
-	served int64
+	// bytesServed counts the bytes of data that were sent.
+	bytesServed int64
 	// rangeCounts counts the requests for each range, by the dataset's name and the range's first byte.
 	rangeCounts map[string]int
 	fault       Fault
@@ -43,8 +43,8 @@
 
 // Add publishes a dataset with chunks of the given size in bytes and the given number of chunks in a part. It returns the
 // dataset's manifest and the manifest's digest, and panics if the dataset cannot be built.
-func (objects *Objects) Add(name string, data []byte, chunk, part int) (*dataset.Manifest, dataset.Digest) {
-	manifest, err := dataset.Build(name, strings.NewReader(string(data)), chunk, part, nil)
+func (objects *Objects) Add(name string, data []byte, chunkBytes, partChunks int) (*dataset.Manifest, dataset.Digest) {
+	manifest, err := dataset.Build(name, strings.NewReader(string(data)), chunkBytes, partChunks, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -66,13 +66,13 @@
 }
 
 // Served returns the number of data bytes that were sent, and the number of requests for the most requested range.
-func (objects *Objects) Served() (bytes int64, most int) {
+func (objects *Objects) Served() (bytes int64, maxRangeCount int) {
 	objects.mu.Lock()
 	defer objects.mu.Unlock()
 	for _, n := range objects.rangeCounts {
-		most = max(most, n)
+		maxRangeCount = max(maxRangeCount, n)
 	}
-	return objects.served, most
+	return objects.bytesServed, maxRangeCount
 }
 
 // ServeHTTP serves a dataset's manifest or one byte range of its data.
@@ -106,25 +106,25 @@
 
 // writeBody writes the body of an answer, subject to the fault.
 func (objects *Objects) writeBody(w http.ResponseWriter, request *http.Request, body []byte, fault Fault) {
-	good := min(fault.After, len(body))
+	intact := min(fault.After, len(body))
 	switch fault.Kind {
 	case "":
 		objects.write(w, body)
 	case "wrong":
 		wrong := slices.Clone(body)
-		for i := good; i < len(wrong); i++ {
+		for i := intact; i < len(wrong); i++ {
 			wrong[i] ^= 0x55
 		}
 		objects.write(w, wrong)
 	case "short", "reset":
-		objects.write(w, body[:good])
+		objects.write(w, body[:intact])
 		flush(w)
 		// This panic has the server close the connection in the middle of the body.
 		panic(http.ErrAbortHandler)
 	case "hang", "drip":
-		objects.write(w, body[:good])
-		if fault.Kind == "drip" && good < len(body) {
-			objects.write(w, body[good:good+1])
+		objects.write(w, body[:intact])
+		if fault.Kind == "drip" && intact < len(body) {
+			objects.write(w, body[intact:intact+1])
 		}
 		flush(w)
 		objects.hang(request)
@@ -135,7 +135,7 @@
 func (objects *Objects) write(w http.ResponseWriter, data []byte) {
 	count, _ := w.Write(data)
 	objects.mu.Lock()
-	objects.served += int64(count)
+	objects.bytesServed += int64(count)
 	objects.mu.Unlock()
 }
 
--- a/internal/fake/placements.go
+++ b/internal/fake/placements.go
@@ -8,18 +8,18 @@
 
 // Start records that a machine starts a task. It returns the other machines that run the task, of which the protocol
 // allows none, and whether this machine was already running it.
-func (p Placements[M]) Start(task string, machine M) (elsewhere []M, again bool) {
+func (p Placements[M]) Start(task string, machine M) (otherMachines []M, alreadyRunning bool) {
 	if p[task] == nil {
 		p[task] = map[M]bool{}
 	}
 	for other := range p[task] {
 		if other != machine {
-			elsewhere = append(elsewhere, other)
+			otherMachines = append(otherMachines, other)
 		}
 	}
-	again = p[task][machine]
+	alreadyRunning = p[task][machine]
 	p[task][machine] = true
-	return elsewhere, again
+	return otherMachines, alreadyRunning
 }
 
 // End records that a task no longer runs on a machine, and reports whether it ran there.
--- a/internal/fake/placements_test.go
+++ b/internal/fake/placements_test.go
@@ -33,7 +33,7 @@
 			ran = placements.End("run-000001/0", step.machine)
 		}
 		if !slices.Equal(elsewhere, step.elsewhere) || ran != step.ran {
-			t.Errorf("%+v: elsewhere on %v, ran %v", step, elsewhere, ran)
+			t.Errorf("%+v: other machines %v, ran %v", step, elsewhere, ran)
 		}
 	}
 	for task, machine := range placements.All() {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -46,12 +46,12 @@
 	maxHistory = 10_000
 	// maxKeyBytes is the maximum length of a key.
 	maxKeyBytes = 200
-	// maxWatchBlock is the maximum time for which a watch waits.
-	maxWatchBlock = 60 * time.Second
-	// minLeaseLife is the minimum lifetime of a lease.
-	minLeaseLife = 100 * time.Millisecond
-	// maxLeaseLife is the maximum lifetime of a lease.
-	maxLeaseLife = 600 * time.Second
+	// maxWatchWait is the maximum time for which a watch waits.
+	maxWatchWait = 60 * time.Second
+	// minLeaseLifetime is the minimum lifetime of a lease.
+	minLeaseLifetime = 100 * time.Millisecond
+	// maxLeaseLifetime is the maximum lifetime of a lease.
+	maxLeaseLifetime = 600 * time.Second
 )
 
 // record is a key's value, the revision of its last change, and the id of the lease to which it is attached, 0 if none.
@@ -67,21 +67,21 @@
 	clock clockwork.Clock
 
 	// mu guards the fields below. Callers may use the exported ones only while no request is served.
-	mu        sync.Mutex
-	records   map[string]record
-	leases    map[uint64]time.Time     // expiry, by lease id
-	leaseLife map[uint64]time.Duration // lifetime, by lease id
-	revision  uint64
+	mu             sync.Mutex
+	records        map[string]record
+	leaseExpiries  map[uint64]time.Time     // expiry, by lease id
+	leaseLifetimes map[uint64]time.Duration // lifetime, by lease id
+	revision       uint64
 	// Down answers all requests with 503.
 	Down bool
 	// LoseAnswer executes the next transaction without answering it.
 	LoseAnswer bool
-	// HoldNext holds the next transaction back until Deliver, without answering it.
+	// HoldNext holds the next transaction back and does not answer it.
 	HoldNext         bool
 	heldTransactions []transactionRequest
-	// delayedWrite and delayedRead delay the answer to the next transaction and the next read of a key, if not nil.
-	delayedWrite *Late
-	delayedRead  *Late
+	// delayedTransaction and delayedRead delay the answer to the next transaction and the next read of a key, if not nil.
+	delayedTransaction *Late
+	delayedRead        *Late
 	// Largest holds the maxima over all transactions so far: the number of changes, the size of the body in bytes, and
 	// the size of a value in bytes.
 	Largest struct{ Ops, Bytes, Value int }
@@ -105,7 +105,7 @@
 
 // NewState returns an empty service that accepts values of 16 KiB and transactions of 24 changes, without rate limits.
 func NewState(clock clockwork.Clock) *State {
-	s := &State{clock: clock, records: map[string]record{}, leases: map[uint64]time.Time{}, leaseLife: map[uint64]time.Duration{}, revision: 10, oldestDropped: 10,
+	s := &State{clock: clock, records: map[string]record{}, leaseExpiries: map[uint64]time.Time{}, leaseLifetimes: map[uint64]time.Duration{}, revision: 10, oldestDropped: 10,
 		Refused: map[string]int{}, changesByKind: map[string]int{}, changed: make(chan struct{})}
 	s.Limit(Limits{ValueKB: 16, TxnOps: 24})
 	return s
@@ -115,13 +115,13 @@
 func (state *State) Limit(limits Limits) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	per := func(n float64) *rate.Limiter {
+	limiter := func(n float64) *rate.Limiter {
 		if n <= 0 {
 			return rate.NewLimiter(rate.Inf, 0)
 		}
 		return rate.NewLimiter(rate.Limit(n), max(1, int(n)))
 	}
-	state.limits, state.requests, state.writes = limits, per(limits.RPS), per(limits.WriteRPS)
+	state.limits, state.requests, state.writes = limits, limiter(limits.RPS), limiter(limits.WriteRPS)
 }
 
 // Outage sets Down. Unlike the field it may be used while requests are served.
@@ -152,9 +152,9 @@
 }
 
 // refuse counts and answers a request that violates a limit. The caller holds mu.
-func (state *State) refuse(status int, why string) (*http.Response, error) {
-	state.Refused[why]++
-	return reply(status, map[string]any{"error": why})
+func (state *State) refuse(status int, reason string) (*http.Response, error) {
+	state.Refused[reason]++
+	return reply(status, map[string]any{"error": reason})
 }
 
 // errAnswerLost is returned for a transaction that is executed or held back without an answer.
@@ -211,7 +211,7 @@
 	if late := state.delayedRead; late != nil {
 		state.delayedRead = nil
 		state.awaitRelease(late)
-		if !late.executed {
+		if !late.executeOnArrival {
 			found, ok = state.records[key]
 		}
 	}
--- a/internal/fake/transactions.go
+++ b/internal/fake/transactions.go
@@ -28,8 +28,8 @@
 	if json.Unmarshal(body, &transaction) != nil {
 		return reply(http.StatusBadRequest, map[string]any{"error": "malformed"})
 	}
-	if why := state.violatedLimit(&transaction); why != "" {
-		return state.refuse(http.StatusBadRequest, why)
+	if reason := state.violatedLimit(&transaction); reason != "" {
+		return state.refuse(http.StatusBadRequest, reason)
 	}
 	if !state.writes.AllowN(state.clock.Now(), len(transaction.Then)) {
 		return state.refuse(http.StatusTooManyRequests, "too many changes")
@@ -39,8 +39,8 @@
 	for _, o := range transaction.Then {
 		state.Largest.Value = max(state.Largest.Value, len(o.Value))
 	}
-	if late := state.delayedWrite; late != nil {
-		state.delayedWrite = nil
+	if late := state.delayedTransaction; late != nil {
+		state.delayedTransaction = nil
 		return state.serveDelayed(late, transaction)
 	}
 	if state.HoldNext {
@@ -93,7 +93,7 @@
 		return reply(http.StatusConflict, map[string]any{"failed": failed, "epoch": state.revision})
 	}
 	for _, o := range transaction.Then {
-		if _, ok := state.leases[o.Ticket]; o.Ticket != 0 && !ok {
+		if _, ok := state.leaseExpiries[o.Ticket]; o.Ticket != 0 && !ok {
 			return reply(http.StatusBadRequest, map[string]any{"error": "no such lease"})
 		}
 	}
--- a/internal/fake/watch.go
+++ b/internal/fake/watch.go
@@ -24,7 +24,7 @@
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	block, blockErr := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 	wait := time.Duration(block) * time.Millisecond
-	if err != nil || query.Get("block_ms") != "" && blockErr != nil || wait < 0 || wait > maxWatchBlock {
+	if err != nil || query.Get("block_ms") != "" && blockErr != nil || wait < 0 || wait > maxWatchWait {
 		return state.refuse(http.StatusBadRequest, "malformed watch")
 	}
 	timeout := state.clock.After(wait)
@@ -36,7 +36,7 @@
 		if len(changes) > 0 || timedOut {
 			return reply(http.StatusOK, map[string]any{"epoch": state.revision, "log": changes})
 		}
-		changed, leaseEnds := state.changed, state.nextLeaseEnd()
+		changed, leaseEnds := state.changed, state.nextLeaseExpiry()
 		state.mu.Unlock()
 		select {
 		case <-changed:
@@ -64,11 +64,11 @@
 	return changes
 }
 
-// nextLeaseEnd returns a channel that receives when the next lease expires, which deletes the records attached to it. It
+// nextLeaseExpiry returns a channel that receives when the next lease expires, which deletes the records attached to it. It
 // returns nil if there is no lease. The caller holds mu.
-func (state *State) nextLeaseEnd() (ends <-chan time.Time) {
+func (state *State) nextLeaseExpiry() (ends <-chan time.Time) {
 	var earliest time.Duration
-	for _, end := range state.leases {
+	for _, end := range state.leaseExpiries {
 		if left := end.Sub(state.clock.Now()); ends == nil || left < earliest {
 			earliest, ends = left, state.clock.After(left+time.Millisecond)
 		}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -15,17 +15,17 @@
 )
 
 // Worker is a fake worker that follows the protocol in full: incarnation, sequence numbers, fencing token, lease, the
-// order in which it tries controllers, and commands. Its tasks execute nothing and complete after the duration that
-// WorkerOptions.Runs returns. It is safe for concurrent use.
+// order in which it tries controllers, and commands. Its tasks execute nothing and complete after a duration that the
+// caller determines. It is safe for concurrent use.
 type Worker struct {
 	Host
 	clock clockwork.Clock
-	// controllers, post, interval, lease and runTime are WorkerOptions.Nodes, Post, Every, Lease and Runs.
-	controllers []string
-	post        func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
-	interval    time.Duration
-	lease       time.Duration
-	runTime     func(task string) time.Duration
+	// The following fields are copied from WorkerOptions.
+	controllers  []string
+	post         func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
+	interval     time.Duration
+	lease        time.Duration
+	taskDuration func(task string) time.Duration
 
 	// mu guards the fields below and the tasks.
 	mu sync.Mutex
@@ -33,44 +33,43 @@
 	controllerIndex int
 	incarnation     uint64
 	sequence        uint64
-	// term is the highest fencing token seen in this incarnation.
+	// term is the highest fencing token seen since the last restart.
 	term uint64
 	// renewedAt is the start of the lease: when the last answered heartbeat was sent, or a later start of the worker.
 	renewedAt time.Time
 	tasks     map[attemptKey]*workerTask
-	// changes signals Run to send a heartbeat early.
-	changes chan struct{}
+	// wakeups signals Run to send a heartbeat early.
+	wakeups chan struct{}
 	// killed counts the running tasks that ended with the lease or the worker.
 	killed int
 	// answeredAt is when the last accepted answer to a heartbeat arrived.
 	answeredAt time.Time
-	// hung is closed when a suspended machine continues, and nil while the machine is not suspended.
-	hung chan struct{}
-	// hungAt is when the machine was last suspended.
-	hungAt time.Time
-	// imagePull is WorkerOptions.Fetch.
+	// resumed is closed when a suspended machine continues, and nil while the machine is not suspended.
+	resumed chan struct{}
+	// suspendedAt is when the machine was last suspended.
+	suspendedAt time.Time
+	// imagePull returns a task's image and the duration of its pull, as in WorkerOptions. It may be nil.
 	imagePull func(task string) (image string, d time.Duration)
 	// cachedImages is when the pull of each image completes or completed.
 	cachedImages map[string]time.Time
 	// pullingUntil is when all pulls so far are complete.
 	pullingUntil time.Time
-	// onStart and onEnd are WorkerOptions.Starts and Ends.
-	onStart func(task string, term uint64, at time.Time)
-	onEnd   func(task string, done bool)
-	// failure and crossed are WorkerOptions.Fails and Crossed.
-	failure func(task string) (cause string)
-	crossed func(kind CrossedStart)
-	// noticeAt is when the cloud will reclaim the machine, zero without a preemption notice.
-	noticeAt time.Time
+	// The following callbacks are copied from WorkerOptions. They may be nil.
+	onStart            func(task string, term uint64, at time.Time)
+	onEnd              func(task string, done bool)
+	startFailure       func(task string) (cause string)
+	onIneffectiveStart func(kind IneffectiveStart)
+	// preemptionAt is when the cloud will reclaim the machine, zero without a preemption notice.
+	preemptionAt time.Time
 }
 
-// CrossedStart is the reason why a start command had no effect at a worker. It happens when commands and heartbeats pass
-// each other in transit.
-type CrossedStart int
+// IneffectiveStart is the reason why a start command had no effect at a worker. It happens when commands and heartbeats
+// pass each other in transit.
+type IneffectiveStart int
 
 const (
 	// RepeatedStart means that the worker has the attempt, which has not exited.
-	RepeatedStart CrossedStart = iota
+	RepeatedStart IneffectiveStart = iota
 	// LateStart means that the worker has the attempt, which has exited.
 	LateStart
 	// BusyStart means that the worker has another attempt of the task, which has not exited. The started attempt exits
@@ -95,7 +94,7 @@
 // responseTimeout is the maximum time for which a worker waits for the answer to a heartbeat.
 const responseTimeout = 4 * time.Second
 
-// WorkerOptions configure a worker. Nodes, Post, Every, Lease and Runs are required.
+// WorkerOptions configure a worker. A field is required unless its comment states what nil means.
 type WorkerOptions struct {
 	Host  Host
 	Clock clockwork.Clock
@@ -110,10 +109,11 @@
 	Lease time.Duration
 	// Runs returns how long a task runs.
 	Runs func(task string) time.Duration
-	// Starts, if not nil, is called for each start of a task: with the worker's lock held if Ends is set, otherwise in a
-	// new goroutine without it.
+	// Starts, if not nil, is called for each start of a task. If the callback for ends is set too, the worker's lock is
+	// held, otherwise the call is made in a new goroutine without the lock.
 	Starts func(task string, term uint64, at time.Time)
-	// Ends, if not nil, is called for each end of a running task, with the worker's lock held and in order with Starts.
+	// Ends, if not nil, is called for each end of a running task, with the worker's lock held and in order with the calls
+	// for starts.
 	Ends func(task string, done bool)
 	// Fetch returns the image that a task needs and how long its pull takes. Images are pulled one at a time and never
 	// evicted. If it is nil, tasks need no image.
@@ -121,14 +121,14 @@
 	// Fails, if not nil, returns the exit cause with which a task that is being started ends at once, empty if the task
 	// runs.
 	Fails func(task string) (cause string)
-	// Crossed, if not nil, is called with the worker's lock held for each start command that has no effect.
-	Crossed func(kind CrossedStart)
+	// OnIneffectiveStart, if not nil, is called with the worker's lock held for each start command that has no effect.
+	OnIneffectiveStart func(kind IneffectiveStart)
 }
 
 // NewWorker returns a worker without tasks, whose lease begins now.
 func NewWorker(options WorkerOptions) *Worker {
-	return &Worker{Host: options.Host, clock: options.Clock, controllers: options.Nodes, post: options.Post, interval: options.Every, lease: options.Lease, runTime: options.Runs, onStart: options.Starts, onEnd: options.Ends, imagePull: options.Fetch, failure: options.Fails, crossed: options.Crossed, cachedImages: map[string]time.Time{},
-		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[attemptKey]*workerTask{}, changes: make(chan struct{}, 1)}
+	return &Worker{Host: options.Host, clock: options.Clock, controllers: options.Nodes, post: options.Post, interval: options.Every, lease: options.Lease, taskDuration: options.Runs, onStart: options.Starts, onEnd: options.Ends, imagePull: options.Fetch, startFailure: options.Fails, onIneffectiveStart: options.OnIneffectiveStart, cachedImages: map[string]time.Time{},
+		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[attemptKey]*workerTask{}, wakeups: make(chan struct{}, 1)}
 }
 
 // Seen returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat, the
@@ -152,27 +152,27 @@
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	switch {
-	case suspend && worker.hung == nil:
+	case suspend && worker.resumed == nil:
 		worker.completeDueTasks()
-		worker.hung, worker.hungAt = make(chan struct{}), worker.clock.Now()
-		hung := worker.hung
+		worker.resumed, worker.suspendedAt = make(chan struct{}), worker.clock.Now()
+		resumed := worker.resumed
 		worker.clock.AfterFunc(worker.lease-worker.clock.Since(worker.renewedAt), func() {
 			worker.mu.Lock()
 			defer worker.mu.Unlock()
-			if worker.hung == hung {
+			if worker.resumed == resumed {
 				// Tasks end with the lease, although the worker detects the lease's expiry only after it resumes.
 				worker.loseTasks()
 			}
 		})
-	case !suspend && worker.hung != nil:
-		stood := worker.clock.Since(worker.hungAt)
+	case !suspend && worker.resumed != nil:
+		suspendedFor := worker.clock.Since(worker.suspendedAt)
 		for _, current := range worker.tasks {
-			current.readyAt, current.endsAt = current.readyAt.Add(stood), current.endsAt.Add(stood)
+			current.readyAt, current.endsAt = current.readyAt.Add(suspendedFor), current.endsAt.Add(suspendedFor)
 			worker.scheduleTransitions(current)
 		}
-		worker.pullingUntil = worker.pullingUntil.Add(stood)
-		close(worker.hung)
-		worker.hung = nil
+		worker.pullingUntil = worker.pullingUntil.Add(suspendedFor)
+		close(worker.resumed)
+		worker.resumed = nil
 		worker.completeDueTasks()
 	}
 }
@@ -188,23 +188,23 @@
 	worker.tasks = map[attemptKey]*workerTask{}
 }
 
-// waitWhileHung waits until the machine is not suspended. The caller must not hold mu.
-func (worker *Worker) waitWhileHung() {
+// waitWhileSuspended waits until the machine is not suspended. The caller must not hold mu.
+func (worker *Worker) waitWhileSuspended() {
 	for {
 		worker.mu.Lock()
-		hung := worker.hung
+		resumed := worker.resumed
 		worker.mu.Unlock()
-		if hung == nil {
+		if resumed == nil {
 			return
 		}
-		<-hung
+		<-resumed
 	}
 }
 
 // completeDueTasks ends all tasks if the lease has expired, starts tasks whose image is present and completes tasks whose
 // run time has passed. It does nothing while the machine is suspended. The caller holds mu.
 func (worker *Worker) completeDueTasks() {
-	if worker.hung != nil {
+	if worker.resumed != nil {
 		return
 	}
 	now := worker.clock.Now()
@@ -220,7 +220,7 @@
 		if current.State == api.TaskRunning && !now.Before(current.endsAt) {
 			current.State, current.Cause = api.TaskExited, api.CauseDone
 			worker.endTask(current.Task, true)
-			worker.notifyChange()
+			worker.wakeRun()
 		}
 	}
 }
@@ -228,7 +228,7 @@
 // startTask starts a task whose image is present. The caller holds mu.
 func (worker *Worker) startTask(current *workerTask) {
 	current.State = api.TaskRunning
-	worker.notifyChange()
+	worker.wakeRun()
 	switch {
 	case worker.onStart == nil:
 	case worker.onEnd != nil:
@@ -281,21 +281,21 @@
 }
 
 // Taken returns the sum of the resource use of all tasks that have not exited, where of returns a task's resource use.
-func (worker *Worker) Taken(of func(task string) float64) (sum float64) {
+func (worker *Worker) Taken(use func(task string) float64) (sum float64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	for _, current := range worker.tasks {
 		if current.State != api.TaskExited {
-			sum += of(current.Task)
+			sum += use(current.Task)
 		}
 	}
 	return sum
 }
 
-// notifyChange signals Run to send the next heartbeat before the interval ends.
-func (worker *Worker) notifyChange() {
+// wakeRun signals Run to send the next heartbeat before the interval ends.
+func (worker *Worker) wakeRun() {
 	select {
-	case worker.changes <- struct{}{}:
+	case worker.wakeups <- struct{}{}:
 	default:
 	}
 }
@@ -305,8 +305,8 @@
 func (worker *Worker) heartbeat() *api.Heartbeat {
 	worker.sequence++
 	heartbeat := &api.Heartbeat{Machine: worker.Name, Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Spot: worker.Spot, Incarnation: worker.incarnation, Seq: worker.sequence, Term: worker.term, Tasks: []api.TaskReport{}}
-	if !worker.noticeAt.IsZero() {
-		left := max(0, worker.noticeAt.Sub(worker.clock.Now()).Seconds())
+	if !worker.preemptionAt.IsZero() {
+		left := max(0, worker.preemptionAt.Sub(worker.clock.Now()).Seconds())
 		heartbeat.PreemptionNoticeS = &left
 	}
 	for _, current := range worker.tasks {
@@ -331,17 +331,17 @@
 	worker.term = 0
 	worker.incarnation++
 	worker.renewedAt = worker.clock.Now()
-	if worker.hung != nil {
-		close(worker.hung)
-		worker.hung = nil
+	if worker.resumed != nil {
+		close(worker.resumed)
+		worker.resumed = nil
 	}
-	worker.notifyChange()
+	worker.wakeRun()
 }
 
 // Run sends heartbeats until ctx ends.
 func (worker *Worker) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		worker.waitWhileHung()
+		worker.waitWhileSuspended()
 		worker.mu.Lock()
 		worker.completeDueTasks()
 		heartbeat, node, sent := worker.heartbeat(), worker.controllers[worker.controllerIndex], worker.clock.Now()
@@ -349,7 +349,7 @@
 		call, stop := context.WithTimeout(ctx, responseTimeout)
 		status, body := worker.post(call, node, heartbeat)
 		stop()
-		worker.waitWhileHung()
+		worker.waitWhileSuspended()
 		if worker.clock.Since(sent) > responseTimeout {
 			status, body = 0, nil
 		}
@@ -364,7 +364,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-worker.changes:
+		case <-worker.wakeups:
 		case <-worker.clock.After(worker.interval - wait):
 		}
 	}
@@ -388,7 +388,7 @@
 	if to, ok := body.(api.Redirect); ok && status == http.StatusMisdirectedRequest {
 		if i := slices.Index(worker.controllers, to.Controller); i >= 0 && i != worker.controllerIndex {
 			worker.controllerIndex = i
-			worker.notifyChange()
+			worker.wakeRun()
 			return 100 * time.Millisecond
 		}
 	}
@@ -400,7 +400,7 @@
 func (worker *Worker) executeCommands(response api.HeartbeatResponse) {
 	if response.Term > worker.term {
 		worker.term = response.Term
-		worker.notifyChange()
+		worker.wakeRun()
 	}
 	for _, command := range response.Commands {
 		key := attemptKey{command.Task, command.Attempt}
@@ -409,9 +409,9 @@
 		case command.Verb == api.CommandRun && current == nil:
 			worker.runAttempt(key, response.Term)
 		case command.Verb == api.CommandRun && current.State == api.TaskExited:
-			worker.noteCrossed(LateStart)
+			worker.reportIneffectiveStart(LateStart)
 		case command.Verb == api.CommandRun:
-			worker.noteCrossed(RepeatedStart)
+			worker.reportIneffectiveStart(RepeatedStart)
 		case current == nil:
 		case command.Verb == api.CommandKill && current.State != api.TaskExited:
 			ran := current.State == api.TaskRunning
@@ -419,7 +419,7 @@
 			if ran {
 				worker.endTask(current.Task, false)
 			}
-			worker.notifyChange()
+			worker.wakeRun()
 		case command.Verb == api.CommandClear && current.State == api.TaskExited:
 			delete(worker.tasks, key)
 		}
@@ -433,32 +433,32 @@
 	busy := worker.hasUnfinishedAttempt(key.task)
 	worker.tasks[key] = current
 	if busy {
-		worker.noteCrossed(BusyStart)
+		worker.reportIneffectiveStart(BusyStart)
 		current.State, current.Cause = api.TaskExited, api.CauseBusy
-		worker.notifyChange()
+		worker.wakeRun()
 		return
 	}
-	if worker.failure != nil {
-		if cause := worker.failure(key.task); cause != "" {
+	if worker.startFailure != nil {
+		if cause := worker.startFailure(key.task); cause != "" {
 			current.State, current.Cause = api.TaskExited, cause
-			worker.notifyChange()
+			worker.wakeRun()
 			return
 		}
 	}
 	current.readyAt = worker.imageReadyAt(key.task, now)
-	current.endsAt = current.readyAt.Add(worker.runTime(key.task))
+	current.endsAt = current.readyAt.Add(worker.taskDuration(key.task))
 	worker.scheduleTransitions(current)
 	if current.readyAt.After(now) {
-		worker.notifyChange()
+		worker.wakeRun()
 	} else {
 		worker.startTask(current)
 	}
 }
 
-// noteCrossed reports a start command that had no effect. The caller holds mu.
-func (worker *Worker) noteCrossed(kind CrossedStart) {
-	if worker.crossed != nil {
-		worker.crossed(kind)
+// reportIneffectiveStart reports a start command that had no effect. The caller holds mu.
+func (worker *Worker) reportIneffectiveStart(kind IneffectiveStart) {
+	if worker.onIneffectiveStart != nil {
+		worker.onIneffectiveStart(kind)
 	}
 }
 
@@ -466,8 +466,8 @@
 func (worker *Worker) Notice(after time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.noticeAt = worker.clock.Now().Add(after)
-	worker.notifyChange()
+	worker.preemptionAt = worker.clock.Now().Add(after)
+	worker.wakeRun()
 }
 
 // hasUnfinishedAttempt reports whether the worker has an attempt of a task that has not exited. The caller holds mu.
@@ -480,8 +480,8 @@
 	return false
 }
 
-// Report returns the next heartbeat. Each call takes a sequence number. It is for callers that do not use Run; they pass
-// the heartbeat's answer to Answer.
+// Report returns the next heartbeat. Each call takes a sequence number. It is for callers that send heartbeats themselves
+// and do not use Run.
 func (worker *Worker) Report() *api.Heartbeat {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -498,7 +498,7 @@
 // afterwards and whether the commands were executed: not if their term is outdated or they are for another incarnation.
 // While the machine is suspended, it waits.
 func (worker *Worker) Direct(response api.HeartbeatResponse) (*api.Heartbeat, bool) {
-	worker.waitWhileHung()
+	worker.waitWhileSuspended()
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.completeDueTasks()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -14,12 +14,12 @@
 	return api.Command{Verb: verb, Task: "run-000001/0", Attempt: attempt}
 }
 
-// direct has a worker execute commands and returns the attempts that it reports then, by number.
+// direct has a worker execute commands and returns the attempts that it reports afterwards, by number.
 func direct(t *testing.T, worker *Worker, commands ...api.Command) map[uint64]api.TaskReport {
 	t.Helper()
 	heartbeat, executed := worker.Direct(api.HeartbeatResponse{Term: 3, Incarnation: 1, Commands: commands})
 	if !executed {
-		t.Fatal("not executed")
+		t.Fatal("the worker rejected the commands")
 	}
 	attempts := map[uint64]api.TaskReport{}
 	for _, report := range heartbeat.Tasks {
@@ -28,32 +28,32 @@
 	return attempts
 }
 
-// A worker refuses an attempt beside one that has not exited, runs one beside exited ones, and starts an attempt again
-// once it has cleared it.
+// A worker refuses an attempt while another attempt of the task has not exited, runs it once all others have exited, and
+// runs a cleared attempt again.
 func TestWorkerKeepsAttemptsApart(t *testing.T) {
 	cause := ""
 	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
 		Runs: func(string) time.Duration { return time.Hour }, Fails: func(string) string { return cause }})
 	if got := direct(t, worker, command(api.CommandRun, 1), command(api.CommandRun, 2)); got[1].State != api.TaskRunning || got[2].Cause != api.CauseBusy {
-		t.Fatalf("a second attempt beside a running one: %+v", got)
+		t.Fatalf("second attempt while the first runs: %+v", got)
 	}
 	if got := direct(t, worker, command(api.CommandKill, 1), command(api.CommandRun, 2), command(api.CommandRun, 3)); got[1].Cause != api.CauseStopped || got[2].Cause != api.CauseBusy || got[3].State != api.TaskRunning {
-		t.Fatalf("a third attempt beside exited ones: %+v", got)
+		t.Fatalf("third attempt after the others exited: %+v", got)
 	}
 	if got := direct(t, worker, command(api.CommandClear, 1), command(api.CommandClear, 2), command(api.CommandClear, 3)); len(got) != 1 || got[3].State != api.TaskRunning {
-		t.Fatalf("exited ones are cleared, the running one stays: %+v", got)
+		t.Fatalf("clear must remove exited attempts and keep the running one: %+v", got)
 	}
 	cause = api.CauseNoRoom
 	if got := direct(t, worker, command(api.CommandKill, 3), command(api.CommandRun, 4)); got[4].Cause != api.CauseNoRoom {
-		t.Fatalf("a refused start: %+v", got)
+		t.Fatalf("refused start: %+v", got)
 	}
 	cause = ""
 	if got := direct(t, worker, command(api.CommandClear, 4), command(api.CommandRun, 4)); got[4].State != api.TaskRunning {
-		t.Fatalf("a cleared attempt starts again: %+v", got)
+		t.Fatalf("start of a cleared attempt: %+v", got)
 	}
 }
 
-// The protocol gives the attempts of one task no order, and the worker's heartbeats have both.
+// The protocol does not order the attempts of a task, so the worker's heartbeats alternate between both orders.
 func TestWorkerReportsAttemptsInBothOrders(t *testing.T) {
 	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
 		Runs: func(string) time.Duration { return time.Hour }})
@@ -65,6 +65,6 @@
 		}
 	}
 	if newestFirst != 1 {
-		t.Errorf("newest first in %d of two heartbeats, want 1", newestFirst)
+		t.Errorf("newest attempt first in %d of 2 heartbeats, want 1", newestFirst)
 	}
 }
--- a/internal/golden/calls_test.go
+++ b/internal/golden/calls_test.go
@@ -17,14 +17,14 @@
 	"switchferry/worker"
 )
 
-// callRecorder notes each call and answers it.
+// callRecorder is a transport that records each request and returns a fixed response.
 type callRecorder struct {
 	seen   bytes.Buffer
 	status int
 	body   string
 }
 
-// RoundTrip answers with what is set.
+// RoundTrip records the request and returns the response.
 func (r *callRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
 	var body []byte
 	if request.Body != nil {
@@ -34,16 +34,16 @@
 	return &http.Response{StatusCode: r.status, Body: io.NopCloser(strings.NewReader(r.body)), Header: http.Header{}, Request: request}, nil
 }
 
-// call is one call to another service, and what the service answers.
+// call is a call to another service, with the service's response.
 type call struct {
 	name   string
 	status int
 	body   string
-	// make carries the call out and gives what was made of the answer.
+	// make makes the call over a transport and returns the decoded response.
 	make func(ctx context.Context, transport http.RoundTripper) (result any, err error)
 }
 
-// outcomes are the errors by which callers decide, the narrower ones first.
+// outcomes are the errors that callers distinguish. An error that wraps another one of the list comes before it.
 var outcomes = []struct {
 	name string
 	err  error
@@ -61,7 +61,7 @@
 	{"not sent", worker.ErrNotSent},
 }
 
-// outcome names an error, whatever its text.
+// outcome returns the name of an error in outcomes, so that golden files do not depend on error texts.
 func outcome(err error) string {
 	if err == nil {
 		return "none"
@@ -74,7 +74,7 @@
 	return "another"
 }
 
-// recordCalls carries calls out and compares what was sent, and what was made of the answers.
+// recordCalls makes the calls and compares the requests and the decoded responses with a golden file.
 func recordCalls(t *testing.T, file string, calls []call) {
 	t.Helper()
 	var all bytes.Buffer
@@ -86,7 +86,7 @@
 	compare(t, file, all.Bytes())
 }
 
-// Calls to the state service, and what its answers mean, stay.
+// Requests to the state service, and how its responses are decoded, match the golden file.
 func TestCallsToTheStateServiceStay(t *testing.T) {
 	client := func(transport http.RoundTripper) *store.Client { return store.NewClient("state:1", transport) }
 	conditions, changes := []store.Condition{filled[store.Condition]()}, []store.Operation{filled[store.Operation]()}
@@ -134,7 +134,7 @@
 	})
 }
 
-// Calls to the cloud, and what its answers mean, stay.
+// Requests to the cloud, and how its responses are decoded, match the golden file.
 func TestCallsToTheCloudStay(t *testing.T) {
 	client := func(transport http.RoundTripper) *cloud.Client { return cloud.New("cloud:1", 20, transport) }
 	catalog := func(ctx context.Context, transport http.RoundTripper) (any, error) {
@@ -161,7 +161,7 @@
 	})
 }
 
-// Commands that go directly to a worker, and what its answers mean, stay.
+// Commands that are sent directly to a worker, and how its responses are decoded, match the golden file.
 func TestCallsToWorkersStay(t *testing.T) {
 	send := func(ctx context.Context, transport http.RoundTripper) (any, error) {
 		report, executed, err := worker.New(transport).Send(ctx, "worker-0:9000", filled[api.HeartbeatResponse]())
--- a/internal/golden/cli_test.go
+++ b/internal/golden/cli_test.go
@@ -17,10 +17,10 @@
 	"switchferry/experiment"
 )
 
-// execute runs the program and gives its output, and its error with the exit code.
+// execute runs the program and returns its standard output, followed by its standard error and, if it failed, its exit code.
 func execute(t *testing.T, args ...string) string {
 	t.Helper()
-	// The user's name is a default.
+	// Some flags default to the user's name.
 	t.Setenv("USER", "operator")
 	var out, errs bytes.Buffer
 	root := cli.Root()
@@ -36,7 +36,7 @@
 	return out.String()
 }
 
-// Help of every command, with its flags and their defaults, stays.
+// The help of all commands, with flags and their defaults, matches the golden file.
 func TestHelpStays(t *testing.T) {
 	var all bytes.Buffer
 	var add func(command *cobra.Command)
@@ -52,26 +52,26 @@
 	compare(t, "cli/help.txt", all.Bytes())
 }
 
-// example is the JSON of a message with every field set.
+// example returns the JSON of a message with every field set, from its golden file.
 func example(t *testing.T, name string) string {
 	t.Helper()
 	line, _, _ := strings.Cut(string(golden(t, "messages/"+name+".jsonl")), "\n")
 	return line
 }
 
-// response is what a controller answers.
+// response is the answer of a fake controller.
 type response struct {
 	status int
 	body   string
 }
 
-// controllerAnswers plays a controller, and notes what it is asked.
+// controllerAnswers is a fake controller that records the requests it gets.
 type controllerAnswers struct {
 	responses map[string]response
 	asked     bytes.Buffer
 }
 
-// ServeHTTP answers by method and path.
+// ServeHTTP records the request and answers it by its method and path, with 404 if there is no response for them.
 func (c *controllerAnswers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	request := r.Method + " " + r.URL.RequestURI()
@@ -85,7 +85,7 @@
 	_, _ = io.WriteString(w, answer.body)
 }
 
-// answering is a controller whose answers have every field set.
+// answering returns a fake controller whose answers have every field set.
 func answering(t *testing.T) *controllerAnswers {
 	t.Helper()
 	ok := func(name string) response { return response{http.StatusOK, example(t, name)} }
@@ -111,7 +111,7 @@
 	}}
 }
 
-// transcript is what a command asks of a controller and prints.
+// transcript runs a command against a fake controller and returns the requests that it sends and the output.
 func transcript(t *testing.T, answers *controllerAnswers, args ...string) string {
 	t.Helper()
 	server := httptest.NewServer(answers)
@@ -121,7 +121,8 @@
 	return fmt.Sprintf("$ switchferry %s\n%s%s\n", strings.Join(args, " "), answers.asked.String(), printed)
 }
 
-// Commands ask controllers, and print their answers as JSON and as text, as the version in production does.
+// Commands send the same requests to controllers as the version in production, and print the answers in the same way as text
+// and as JSON.
 func TestCommandsOfUsersStay(t *testing.T) {
 	const document, manifest = "testdata/files/configuration.toml", "testdata/cli/manifest.json"
 	writeManifest(t)
@@ -154,7 +155,7 @@
 	compare(t, "cli/users.txt", []byte(all.String()))
 }
 
-// writeManifest makes the manifest that commands read, with -update.
+// writeManifest compares the manifest file that commands read with a newly built one. With -update it writes the file.
 func writeManifest(t *testing.T) {
 	t.Helper()
 	m, err := dataset.Build("inventory-7", strings.NewReader(strings.Repeat("0123456789", 100)), 300, 2, nil)
@@ -168,7 +169,7 @@
 	compare(t, "cli/manifest.json", append(raw, '\n'))
 }
 
-// A change of the configuration that is refused, or not in force in time, ends with its own exit code.
+// A configuration change that is refused, or does not take effect in time, ends with its specific exit code.
 func TestRefusedChangesStay(t *testing.T) {
 	pending := `{"revision":41,"in_force":false,"waits_for":["n1","n2"]}`
 	var all strings.Builder
@@ -182,13 +183,13 @@
 		answers.responses["POST /configuration"] = answer
 		answers.responses["GET /configuration"] = response{http.StatusNotFound, ""}
 		printed := transcript(t, answers, "config", "apply", "testdata/files/configuration.toml", "--wait", "1s")
-		// How often it asks meanwhile is not pinned.
+		// The number of polls depends on timing.
 		all.WriteString(strings.ReplaceAll(printed, "> GET /configuration \n", ""))
 	}
 	compare(t, "cli/refused.txt", []byte(all.String()))
 }
 
-// Commands that ask nobody print the same.
+// The output of commands that need no controller matches the golden file.
 func TestOfflineCommandsStay(t *testing.T) {
 	const config = "testdata/http/controller.toml"
 	var all strings.Builder
@@ -210,7 +211,7 @@
 	compare(t, "cli/offline.txt", []byte(all.String()))
 }
 
-// What experiments print as JSON keeps its form.
+// The JSON output of experiments matches the golden files.
 func TestExperimentResultsStay(t *testing.T) {
 	pinAll(t, "experiments", []message{
 		of[experiment.Gap]("gap"),
--- a/internal/golden/doc.go
+++ b/internal/golden/doc.go
@@ -1,5 +1,5 @@
-// Package golden pins what must not change between versions: stored records, messages, frames, files and the output of
-// commands. It has tests only; they compare with the files under testdata, byte for byte. Run them with -update to
-// write the files anew, twice where one test reads what another writes. That is right only where a format changes on
-// purpose.
+// Package golden contains compatibility tests for formats that must not change between versions: stored records, messages,
+// frames, files and the output of commands. The tests compare with the golden files under testdata, byte for byte. After
+// an intended change of a format, run them with -update to rewrite the golden files, and run them twice, because some
+// tests read files that others write.
 package golden
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -17,7 +17,7 @@
 	"switchferry/topology"
 )
 
-// inTOML is a value as TOML, by the names that files have.
+// inTOML encodes a value as TOML, with the field names that files use.
 func inTOML(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := toml.Marshal(value)
@@ -27,7 +27,7 @@
 	return raw
 }
 
-// unset are the exported fields of a value that are zero, by their paths.
+// unset returns the paths of all exported fields of a value that are zero.
 func unset(v reflect.Value, path string) (missing []string) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -48,15 +48,16 @@
 	return missing
 }
 
-// fullySet checks that a file sets every field, and so that a new field gets into it.
+// fullySet checks that no field of a value that was read from a file is zero. It fails when a new field is missing from the
+// file.
 func fullySet(t *testing.T, value any) {
 	t.Helper()
 	if missing := unset(reflect.ValueOf(value).Elem(), ""); len(missing) > 0 {
-		t.Errorf("not in the file: %v", missing)
+		t.Errorf("fields missing from the file: %v", missing)
 	}
 }
 
-// Every field of a settings file is read, by the operators' names.
+// Every field of a settings file is read under its documented name, and the encoded settings are read back unchanged.
 func TestSettingsFileIsRead(t *testing.T) {
 	set, err := settings.Load("testdata/files/settings.toml")
 	if err != nil {
@@ -66,11 +67,11 @@
 	compare(t, "files/settings.read.toml", inTOML(t, set))
 	again, err := settings.Parse(golden(t, "files/settings.read.toml"))
 	if err != nil || !reflect.DeepEqual(again, set) {
-		t.Errorf("what was read is read again as %+v, %v; want %+v", again, err, set)
+		t.Errorf("the encoded settings are read as %+v, %v; want %+v", again, err, set)
 	}
 }
 
-// Every field of a features file is read, by the operators' names, and what it leaves out has its default.
+// Every field of a features file is read under its documented name, and omitted fields have their defaults.
 func TestFeaturesFileIsRead(t *testing.T) {
 	on, err := features.Load("testdata/files/features.toml")
 	if err != nil {
@@ -80,7 +81,7 @@
 	compare(t, "files/features.read.toml", inTOML(t, on))
 	again, err := features.Parse(golden(t, "files/features.read.toml"))
 	if err != nil || !reflect.DeepEqual(again, on) {
-		t.Errorf("what was read is read again as %+v, %v; want %+v", again, err, on)
+		t.Errorf("the encoded features are read as %+v, %v; want %+v", again, err, on)
 	}
 
 	defaults, err := features.Parse(nil)
@@ -90,7 +91,7 @@
 	compare(t, "files/features.defaults.toml", inTOML(t, defaults))
 }
 
-// describe lists what a topology says, and what it says of some machines.
+// describe lists a topology's domains, and the domains and devices of some machines.
 func describe(m *topology.Map) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "version %d\n", m.Version())
@@ -112,7 +113,7 @@
 	return out.Bytes()
 }
 
-// Every field of a topology file is read.
+// Every field of a topology file is read, and the encoded topology is read back unchanged.
 func TestTopologyFileIsRead(t *testing.T) {
 	raw := golden(t, "files/topology.toml")
 	m, err := topology.Parse(raw)
@@ -128,7 +129,7 @@
 	compare(t, "files/topology.read.toml", inTOML(t, declared))
 	again, err := topology.Parse(golden(t, "files/topology.read.toml"))
 	if err != nil || !bytes.Equal(describe(again), describe(m)) {
-		t.Errorf("what was read is read again as another topology, %v", err)
+		t.Errorf("the encoded topology is read as a different one, %v", err)
 	}
 }
 
@@ -143,7 +144,7 @@
 	compare(t, "files/configuration.topology.txt", describe(document.Topology))
 }
 
-// Expressions of a policy file are read with their variables, and give the values that they gave.
+// The expressions of a policy file evaluate to the values in the golden file.
 func TestPolicyFileIsRead(t *testing.T) {
 	night, err := policy.Load(filepath.Join("testdata", "files", "night.policy"))
 	if err != nil {
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -10,13 +10,13 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// elements is how many elements each slice gets.
+// elements is the length of filled slices.
 const elements = 2
 
-// filler sets fields to values that all differ. They depend on the order of fields alone, not on their names.
+// filler sets fields to different values. A value depends on the order of the fields and not on their names.
 type filler struct{ count int64 }
 
-// filled is a value of a type with every field set that JSON shows.
+// filled returns a value of a type in which all fields that are encoded as JSON are set.
 func filled[T any]() T {
 	var value T
 	new(filler).fill(reflect.ValueOf(&value).Elem())
@@ -28,7 +28,7 @@
 	return f.count
 }
 
-// special sets the types that have a form of their own.
+// special sets a value whose type has its own JSON encoding, and reports whether it has one.
 func (f *filler) special(v reflect.Value) bool {
 	switch v.Interface().(type) {
 	case json.RawMessage:
--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -20,10 +20,10 @@
 	"switchferry/watermark"
 )
 
-// frameWait is how long a test waits for a frame, at most.
+// frameWait is the maximum time for which a test waits for a frame.
 const frameWait = 10 * time.Second
 
-// frame kinds, by the names of their golden files.
+// Golden files of the kinds of frames.
 const (
 	frameGreeting = "frames/greeting.hex"
 	frameQuestion = "frames/question.hex"
@@ -32,11 +32,13 @@
 	frameReply    = "frames/reply.hex"
 )
 
-// memory is what a controller knows of cancellations, and what it is told of them.
+// memory is a fake peer.Watermarks, which exchanges knowledge of cancellations between controllers.
 type memory struct {
+	// says is the statement that is sent to the other controller.
 	says watermark.Statement
+	// told receives the statements of the other controller.
 	told chan watermark.Statement
-	// asked gets what each question says that the other one has.
+	// asked receives the position in each question of the other controller.
 	asked chan [2]uint64
 }
 
@@ -44,19 +46,19 @@
 	return &memory{says: filled[watermark.Statement](), told: make(chan watermark.Statement, 1), asked: make(chan [2]uint64, 1)}
 }
 
-// Have tells what this controller has of the other's.
+// Position returns a fixed position in the other controller's statements.
 func (m *memory) Position(string) (life, have uint64, ok bool) { return 1234, 56, true }
 
-// Say gives all there is.
+// Statement records the position in the question and returns the fake's statement.
 func (m *memory) Statement(life, have uint64) (watermark.Statement, bool) {
 	m.asked <- [2]uint64{life, have}
 	return m.says, true
 }
 
-// Heard takes word in.
+// ApplyStatement records a statement of the other controller.
 func (m *memory) ApplyStatement(_ string, _ time.Time, s watermark.Statement) { m.told <- s }
 
-// wireEnd is the other end of a controller's connection.
+// wireEnd is the test's end of a connection to a controller.
 type wireEnd struct {
 	t    *testing.T
 	conn net.Conn
@@ -65,14 +67,14 @@
 
 func newWireEnd(t *testing.T, conn net.Conn) *wireEnd {
 	t.Helper()
-	t.Cleanup(func() { _ = conn.Close() }) // it may be closed already
+	t.Cleanup(func() { _ = conn.Close() }) // the error is ignored because the connection may be closed already
 	if err := conn.SetDeadline(time.Now().Add(frameWait)); err != nil {
 		t.Fatal(err)
 	}
 	return &wireEnd{t, conn, bufio.NewReader(conn)}
 }
 
-// read is the next frame, its length before it.
+// read returns the next frame with its length prefix.
 func (e *wireEnd) read() []byte {
 	e.t.Helper()
 	head, err := e.rd.Peek(4)
@@ -86,13 +88,13 @@
 	return raw
 }
 
-// expect reads a frame and compares it.
+// expect reads a frame and compares it with a golden file.
 func (e *wireEnd) expect(file string) {
 	e.t.Helper()
 	compare(e.t, file, append([]byte(hex.EncodeToString(e.read())), '\n'))
 }
 
-// send writes a golden frame.
+// send sends the frame in a golden file.
 func (e *wireEnd) send(file string) {
 	e.t.Helper()
 	raw, err := hex.DecodeString(string(bytes.TrimSpace(golden(e.t, file))))
@@ -104,13 +106,13 @@
 	}
 }
 
-// onePipe is a listener with one connection.
+// onePipe is a listener that accepts a single connection.
 type onePipe struct {
 	conns chan net.Conn
 	done  <-chan struct{}
 }
 
-// Accept gives the connection, and then waits for the end.
+// Accept returns the connection. Further calls block until done is closed.
 func (l onePipe) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -123,10 +125,10 @@
 // Close does nothing.
 func (l onePipe) Close() error { return nil }
 
-// Addr is not looked at.
+// Addr returns a placeholder that no code reads.
 func (l onePipe) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serve is the wire to a controller that answers.
+// serve starts a controller that accepts a connection, and returns the test's end of that connection.
 func serve(t *testing.T, words peer.Watermarks, handle peer.Handler) *wireEnd {
 	t.Helper()
 	n := peer.New(nil, clockwork.NewFakeClock(), filled[peer.Hello], handle)
@@ -138,7 +140,8 @@
 	return newWireEnd(t, here)
 }
 
-// dial is the wire to a controller that asks, and the controller.
+// dial starts a controller that opens a connection. It returns the test's end of that connection, the controller's network
+// and the network's observations.
 func dial(t *testing.T, words peer.Watermarks) (*wireEnd, *peer.Network, chan membership.Observation) {
 	t.Helper()
 	n := peer.New([]settings.Peer{{Member: "n1", Address: "10.0.0.2:7000"}}, clockwork.NewFakeClock(), filled[peer.Hello], nil)
@@ -160,18 +163,18 @@
 	return newWireEnd(t, here), n, seen
 }
 
-// receive waits for what another goroutine gives.
+// receive waits for a value from a channel, for frameWait at most.
 func receive[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
 	case <-time.After(frameWait):
-		t.Fatal("nothing came")
+		t.Fatal("no value received in time")
 	}
 	return value
 }
 
-// greetingSeen waits until a greeting is taken in.
+// greetingSeen waits until the network has processed a greeting, and returns it.
 func greetingSeen(t *testing.T, seen <-chan membership.Observation) membership.Hello {
 	t.Helper()
 	for {
@@ -181,7 +184,7 @@
 	}
 }
 
-// A controller greets as the version in production does, alone and with a question about cancellations.
+// A controller sends the same greeting as the version in production, with and without a question about cancellations.
 func TestGreetingsStayOnTheWire(t *testing.T) {
 	t.Run("greeting", func(t *testing.T) {
 		wire, _, _ := dial(t, nil)
@@ -193,7 +196,7 @@
 	})
 }
 
-// A controller answers a greeting with a greeting, and a question with what it knows of cancellations.
+// A controller answers a greeting with a greeting, and a question about cancellations with its statement.
 func TestAnswersToGreetingsStayOnTheWire(t *testing.T) {
 	t.Run("greeting", func(t *testing.T) {
 		wire := serve(t, nil, nil)
@@ -205,30 +208,30 @@
 		wire := serve(t, words, nil)
 		wire.send(frameQuestion)
 		if got, want := receive(t, words.asked), [2]uint64{1234, 56}; got != want {
-			t.Errorf("the question is read as %v, want %v", got, want)
+			t.Errorf("position in the question %v, want %v", got, want)
 		}
 		wire.expect(frameWord)
 	})
 }
 
-// What a greeting says, and what comes with it, is read in full.
+// All fields of a greeting, and of the statement that comes with it, are decoded.
 func TestGreetingsAreRead(t *testing.T) {
 	words := newMemory()
 	wire, n, seen := dial(t, words)
 	wire.read()
 	wire.send(frameWord)
 	if got, want := receive(t, words.told), filled[watermark.Statement](); !reflect.DeepEqual(got, want) {
-		t.Errorf("word is read as %+v, want %+v", got, want)
+		t.Errorf("statement decoded as %+v, want %+v", got, want)
 	}
 	greetingSeen(t, seen)
 	want := filled[peer.Hello]()
 	want.Member = "n1"
 	if got := n.LivePeers(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-		t.Errorf("greetings are read as %+v, want %+v", got, want)
+		t.Errorf("greetings decoded as %+v, want %+v", got, want)
 	}
 }
 
-// A user's request that is passed on, and its answer, cross as the version in production sends them.
+// A controller forwards a user's request with the same frame as the version in production, and decodes the answer.
 func TestRequestsStayOnTheWire(t *testing.T) {
 	wire, n, seen := dial(t, nil)
 	wire.read()
@@ -241,16 +244,16 @@
 			answers <- a
 		}
 	}()
-	// A greeting goes with each request.
+	// Each request is preceded by a greeting.
 	wire.expect(frameGreeting)
 	wire.expect(frameRequest)
 	wire.send(frameReply)
 	if got, want := receive(t, answers), filled[peer.Response](); !reflect.DeepEqual(got, want) {
-		t.Errorf("the answer is read as %+v, want %+v", got, want)
+		t.Errorf("answer decoded as %+v, want %+v", got, want)
 	}
 }
 
-// The other controller reads the request as it was asked, and answers.
+// A controller decodes a forwarded request and answers it with the same frame as the version in production.
 func TestRequestsAreReadAndAnswered(t *testing.T) {
 	requests := make(chan peer.Request, 1)
 	wire := serve(t, nil, func(_ context.Context, r peer.Request) peer.Response {
@@ -259,7 +262,7 @@
 	})
 	wire.send(frameRequest)
 	if got, want := receive(t, requests), filled[peer.Request](); !reflect.DeepEqual(got, want) {
-		t.Errorf("the request is read as %+v, want %+v", got, want)
+		t.Errorf("request decoded as %+v, want %+v", got, want)
 	}
 	wire.expect(frameReply)
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestMain silences the logs of what is tested, and has times of day printed in UTC.
+// TestMain discards logs and sets the local time zone to UTC, so that output does not depend on the machine.
 func TestMain(m *testing.M) {
 	time.Local = time.UTC
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
 }
 
-// golden reads a golden file.
+// golden returns the content of a golden file.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
@@ -33,18 +33,18 @@
 	return raw
 }
 
-// compare checks bytes against a golden file, or writes it with -update.
+// compare checks that bytes equal a golden file. With -update it writes the file before.
 func compare(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if *update {
 		write(t, name, got)
 	}
 	if want := golden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s differs, first in %s", name, firstDifference(got, want))
+		t.Errorf("%s differs from the output, first in %s", name, firstDifference(got, want))
 	}
 }
 
-// firstDifference shows the first line that two texts do not share.
+// firstDifference describes the first line in which two texts differ, or else their numbers of lines.
 func firstDifference(got, want []byte) string {
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range min(len(gotLines), len(wantLines)) {
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("their lengths: got %d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// write makes a golden file.
+// write writes a golden file and creates its directory if needed.
 func write(t *testing.T, name string, raw []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -67,7 +67,7 @@
 	}
 }
 
-// encode is a value's JSON as it goes over the wire, and a line break.
+// encode returns a value's JSON, followed by a newline.
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -77,7 +77,7 @@
 	return append(raw, '\n')
 }
 
-// decode reads JSON.
+// decode decodes JSON into a value.
 func decode(t *testing.T, raw []byte, into any) {
 	t.Helper()
 	if err := json.Unmarshal(raw, into); err != nil {
@@ -85,23 +85,24 @@
 	}
 }
 
-// message is one type whose JSON is pinned.
+// message is a type whose JSON is compared with a golden file.
 type message struct {
+	// file is the golden file's name without folder and extension.
 	file string
-	// name is the type's, without its package.
+	// name is the type's name without its package.
 	name string
 	// check compares both directions of the type's JSON with a golden file.
 	check func(t *testing.T, file string)
 }
 
-// of is the message of a type.
+// of returns the message for a type.
 func of[T any](file string) message { return message{file, nameOf[T](), pin[T]} }
 
-// nameOf is the name of a type without its package.
+// nameOf returns the name of a type without its package.
 func nameOf[T any]() string { return reflect.TypeFor[T]().Name() }
 
-// pin compares a type's JSON with a golden file of three lines: a value with every field set, the zero value, and what
-// the zero value is written as once it was read. The first line is written again as it was read.
+// pin compares a type's JSON with a golden file of three lines: a value with every field set, the zero value, and the zero
+// value after it was decoded and encoded again. The first line must not change when it is decoded and encoded again.
 func pin[T any](t *testing.T, file string) {
 	t.Helper()
 	var zero T
@@ -113,12 +114,12 @@
 	}
 	for _, c := range []struct{ stored, want []byte }{{lines[0], lines[0]}, {lines[1], lines[2]}} {
 		if again := rewrite[T](t, c.stored); !bytes.Equal(again, c.want) {
-			t.Errorf("%s is written again as\n%s, want\n%s", file, again, c.want)
+			t.Errorf("a line of %s is decoded and encoded again as\n%s, want\n%s", file, again, c.want)
 		}
 	}
 }
 
-// rewrite reads a type's JSON and writes it again.
+// rewrite decodes a type's JSON and encodes it again.
 func rewrite[T any](t *testing.T, raw []byte) []byte {
 	t.Helper()
 	var value T
@@ -126,7 +127,7 @@
 	return encode(t, value)
 }
 
-// pinAll runs one subtest for each message, whose files are in a folder.
+// pinAll runs a subtest for each message, whose golden files are in the given folder.
 func pinAll(t *testing.T, folder string, messages []message) {
 	t.Helper()
 	for _, m := range messages {
--- a/internal/golden/http_test.go
+++ b/internal/golden/http_test.go
@@ -29,27 +29,28 @@
 	"switchferry/topology"
 )
 
-// Hosts of the services that the controller's settings name.
+// Addresses of the services in the controller's settings file.
 const (
 	cloudHost = "127.0.0.1:9001"
 	stateHost = "127.0.0.1:9002"
 )
 
-// term is a leader's token in an answer. Which number it has hangs on what else was stored before.
+// term matches the leader's fencing token in an answer. Its value depends on the number of earlier writes to the state
+// service.
 var term = regexp.MustCompile(`"helm":[1-9][0-9]*`)
 
-// cloudOpens is how long after the controller's start the cloud can be reached: after it leads, so that the order of the
-// two is the same each time.
+// cloudOpens is how long after the controller's start the cloud becomes reachable. The controller leads by then, so that the
+// order of both events is the same in each run.
 const cloudOpens = 2 * time.Second
 
-// services carries a controller's calls to the state service and the cloud; nobody else can be reached.
+// services is the transport of a controller's requests to the state service and the cloud. No other host is reachable.
 type services struct {
 	state, cloud http.RoundTripper
-	// opens is from when on the cloud can be reached.
+	// opens is when the cloud becomes reachable.
 	opens time.Time
 }
 
-// RoundTrip carries a call.
+// RoundTrip forwards a request to the service at its host.
 func (s services) RoundTrip(r *http.Request) (*http.Response, error) {
 	switch r.URL.Host {
 	case stateHost:
@@ -62,31 +63,31 @@
 	return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 }
 
-// silentPort is a back port on which nobody calls.
+// silentPort is a listener for controllers to which no controller connects.
 type silentPort chan struct{}
 
 // Accept waits until the port is closed.
 func (p silentPort) Accept() (net.Conn, error) { <-p; return nil, net.ErrClosed }
 
-// Close is done by whoever made the port.
+// Close does nothing. The creator of the listener closes the channel.
 func (p silentPort) Close() error { return nil }
 
-// Addr is not looked at.
+// Addr returns a placeholder that no code reads.
 func (p silentPort) Addr() net.Addr { return &net.TCPAddr{} }
 
-// recorder notes which verb a path has between controllers.
+// recorder records the verb and the job of the last request to a controller.
 type recorder struct {
 	httpapi.Controller
 	last string
 }
 
-// Handle passes the request on.
+// Handle records the request and passes it to the controller.
 func (r *recorder) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	r.last = strings.TrimSpace(request.Verb + " " + request.Job)
 	return r.Controller.Handle(ctx, request, forwarded)
 }
 
-// startController runs a controller with all features on against stand-ins. It ends with stop.
+// startController runs a controller with all features enabled against fakes, until stop is called.
 func startController(t *testing.T) (node *controller.Controller, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -120,8 +121,8 @@
 	}
 }
 
-// warmCompression makes the encoders that the whole process shares: one that was made in a bubble of synctest cannot be
-// used outside.
+// warmCompression creates the encoders that the whole process shares. An encoder that is created in a synctest bubble could
+// not be used outside it.
 func warmCompression(t *testing.T) {
 	t.Helper()
 	for _, text := range []func(any) (string, error){compress.EncodeFast, compress.EncodeSmall} {
@@ -131,7 +132,7 @@
 	}
 }
 
-// exchange sends one request and gives what the transcript says of it.
+// exchange sends a request to a handler and returns the request, its verb between controllers and the answer as text.
 func exchange(handler http.Handler, seen *recorder, method, path, body string) string {
 	seen.last = ""
 	w := httptest.NewRecorder()
@@ -152,7 +153,7 @@
 	return out.String()
 }
 
-// Requests on every path are answered by a controller that leads as the version in production answers them.
+// A controller that leads gives the same answers to requests on all paths as the version in production.
 func TestAnswersStayOnTheWire(t *testing.T) {
 	warmCompression(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -56,12 +56,12 @@
 	of[api.ConfigurationConflict]("configuration-conflict"),
 }
 
-// Messages that users, workers, agents and the cloud exchange with controllers keep their form.
+// The JSON of messages between controllers and users, workers, agents or the cloud matches the golden files.
 func TestMessagesStayOnTheWire(t *testing.T) {
 	pinAll(t, "messages", apiMessages)
 }
 
-// Answers that other packages make, and what the state service is asked and answers, keep their form.
+// The JSON of answers that are defined in other packages, and of requests to the state service, matches the golden files.
 func TestMessagesOfOtherPackagesStayOnTheWire(t *testing.T) {
 	pinAll(t, "messages", []message{
 		of[membership.View]("member-view"),
@@ -81,7 +81,7 @@
 	})
 }
 
-// Every struct of package api that JSON shows has a golden file.
+// Every exported struct of package api with JSON tags has a golden file.
 func TestEveryMessageIsPinned(t *testing.T) {
 	var pinned []string
 	for _, m := range apiMessages {
@@ -94,7 +94,7 @@
 	}
 }
 
-// structsWithTags are the exported structs of a package that have JSON tags.
+// structsWithTags returns the names of a package's exported structs with JSON tags.
 func structsWithTags(t *testing.T, folder string) (names []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -116,7 +116,7 @@
 	return names
 }
 
-// hasTags tells whether a type is a struct with a JSON tag.
+// hasTags reports whether a type is a struct with a JSON tag.
 func hasTags(expression ast.Expr) bool {
 	fields, ok := expression.(*ast.StructType)
 	return ok && slices.ContainsFunc(fields.Fields.List, func(f *ast.Field) bool {
@@ -124,7 +124,7 @@
 	})
 }
 
-// Words of the protocol that stand in values.
+// The string values of the protocol's enumerations do not change.
 func TestWordsStayOnTheWire(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{api.JobArray, "sweep"}, {api.Gang, "gang"}, {api.Service, "standing"},
@@ -141,12 +141,12 @@
 		{strings.Join(api.Levels, " "), "region zone switch rack machine"},
 	} {
 		if c.got != c.want {
-			t.Errorf("word %q, want %q", c.got, c.want)
+			t.Errorf("value %q, want %q", c.got, c.want)
 		}
 	}
 }
 
-// Ranks are ordered as the protocol has them.
+// Ranks have the order that the protocol defines.
 func TestRanksStayOnTheWire(t *testing.T) {
 	for level, rank := range []string{"low", "normal", "high", "prod"} {
 		var s api.Submission
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -17,10 +17,10 @@
 	"switchferry/store"
 )
 
-// smallValue is so few bytes that a packed text takes several values.
+// smallValue is a maximum size of a value in bytes at which the packed test data needs several values.
 const smallValue = 400
 
-// manyBytes is text that packing makes little smaller.
+// manyBytes returns text that compresses poorly.
 func manyBytes() string {
 	random := rand.New(rand.NewPCG(1, 2))
 	text := make([]byte, 900)
@@ -30,7 +30,7 @@
 	return string(text)
 }
 
-// A revision of the configuration is packed into parts, and read from them.
+// A configuration revision is encoded into several parts and decoded from them.
 func TestConfigurationStaysAsStored(t *testing.T) {
 	revision := filled[configuration.Revision]()
 	revision.Document = manyBytes()
@@ -57,11 +57,11 @@
 	}
 	read, err := configuration.Decode(head.Number, head.Digest, parts)
 	if err != nil || *read != revision {
-		t.Errorf("read as %+v, %v; want %+v", read, err, revision)
+		t.Errorf("decoded as %+v, %v; want %+v", read, err, revision)
 	}
 }
 
-// Messages that are passed on are packed into letters: many in one, or one in several pieces.
+// Relayed messages are packed into packets: several messages in one packet, or one message in several fragments.
 func TestLettersStayAsStored(t *testing.T) {
 	long, err := json.Marshal(manyBytes())
 	if err != nil {
@@ -79,13 +79,13 @@
 			var stored []relay.Packet
 			decode(t, golden(t, c.file), &stored)
 			if read := messages(t, stored); !reflect.DeepEqual(read, c.messages) {
-				t.Errorf("read as %s, want %s", read, c.messages)
+				t.Errorf("unpacked as %s, want %s", read, c.messages)
 			}
 		})
 	}
 }
 
-// letters packs messages.
+// letters packs messages into packets.
 func letters(t *testing.T, all []relay.Message) []relay.Packet {
 	t.Helper()
 	now := time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC)
@@ -101,7 +101,7 @@
 	return batch.Packets
 }
 
-// messages unpacks letters.
+// messages unpacks packets into messages.
 func messages(t *testing.T, all []relay.Packet) (out []relay.Message) {
 	t.Helper()
 	var joiner relay.Reassembler
@@ -115,7 +115,7 @@
 	return out
 }
 
-// The leader's letters to machines behind another controller are read by that one.
+// A controller reads the packets in which the leader sends responses to machines behind that controller.
 func TestLeadersMailStaysAsStored(t *testing.T) {
 	body := json.RawMessage(encode(t, filled[store.RelayedCommands]()))
 	shelf := relay.NewMailbox(relay.Limits{Value: 4096, Request: 60_000, Ops: 12})
@@ -138,7 +138,7 @@
 	}
 }
 
-// Which machine holds which parts of datasets is packed into a hint for the next leader.
+// The index of dataset parts on machines is encoded into a hint for the next leader and decoded from it.
 func TestHoldingsStayAsStored(t *testing.T) {
 	index := replicas.New()
 	parts := roaring.BitmapOf(1, 2, 7)
@@ -157,11 +157,11 @@
 		t.Fatal(err)
 	}
 	if read := held["n-1"]["inventory-7"]; read.Of != 9 || !read.Parts.Equals(parts) {
-		t.Errorf("read as %d of %d parts", read.Parts.GetCardinality(), read.Of)
+		t.Errorf("decoded as %d of %d parts, want 3 of 9", read.Parts.GetCardinality(), read.Of)
 	}
 }
 
-// Which machine holds which images is a record that shares the images' names.
+// The images on machines are encoded into a record that holds each image name once, and decoded from it.
 func TestImagesStayAsStored(t *testing.T) {
 	machines := []softstate.Machine{
 		{Name: "n-1", Images: []fleet.Image{{Name: "img-07", GB: 6.5}, {Name: "img-08", GB: 2}}},
@@ -174,7 +174,7 @@
 	}
 	for _, m := range machines {
 		if !reflect.DeepEqual(held[m.Name], m.Images) {
-			t.Errorf("%s is read with %v, want %v", m.Name, held[m.Name], m.Images)
+			t.Errorf("images of %s decoded as %v, want %v", m.Name, held[m.Name], m.Images)
 		}
 	}
 }
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -13,7 +13,7 @@
 	"switchferry/upgrade"
 )
 
-// Records in the state service are read and written as the version in production does.
+// Records in the state service are decoded and encoded as by the version in production.
 func TestRecordsStayAsStored(t *testing.T) {
 	pinAll(t, "records", []message{
 		of[store.LeaderRecord]("leader"),
@@ -60,16 +60,16 @@
 	}
 }
 
-// A key of a shard names its job, its number and its size.
+// A shard's key is parsed into the shard's job, number and size.
 func TestShardKeysAreRead(t *testing.T) {
 	for _, want := range []store.Shard{store.ShardOf("run-000412", 900, tuning.ShardTasks), store.ShardOf("run-000412", 900, 64)} {
 		if got, ok := store.ParseShard(want.Key()); !ok || got != want {
-			t.Errorf("%s is read as %+v, %t", want.Key(), got, ok)
+			t.Errorf("%s is parsed as %+v, %t", want.Key(), got, ok)
 		}
 	}
 }
 
-// The bitmap of done tasks is text in a record.
+// The bitmap of done tasks is packed into text and unpacked from it.
 func TestDoneTasksStayAsStored(t *testing.T) {
 	shard := store.ShardOf("run-000412", 64, 64)
 	done := store.NewTaskBitmap(200)
@@ -82,6 +82,6 @@
 	}
 	read := store.NewTaskBitmap(200)
 	if err := read.Unpack(shard, want); err != nil || !bytes.Equal(read, done) {
-		t.Errorf("read as %v, %v; want %v", read, err, done)
+		t.Errorf("unpacked as %v, %v; want %v", read, err, done)
 	}
 }
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -23,16 +23,17 @@
 )
 
 const (
-	// agentQuota is the size of the cache.
+	// agentQuota is the size of the cache in bytes.
 	agentQuota = 1 << 20
-	// agentPatience is how long copies may take, at most.
+	// agentPatience is the maximum time for which a test waits for copies.
 	agentPatience = 20 * time.Second
-	// storeData are the bytes of the dataset, storeChunk those of a chunk.
-	storeData  = "the first chunk.the second one..the third chunk.the fourth one.."
+	// storeData is the content of the dataset.
+	storeData = "the first chunk.the second one..the third chunk.the fourth one.."
+	// storeChunk is the size of a chunk in bytes.
 	storeChunk = 16
 )
 
-// startAgent runs an agent over a folder until the test ends, or end is called.
+// startAgent runs an agent with its cache in the given directory until the test ends or end is called.
 func startAgent(t *testing.T, dir, store string) (a *dataagent.Agent, end func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -45,7 +46,7 @@
 	return a, func() { stop(); <-done }
 }
 
-// pinnedParts are the parts of a dataset that an agent keeps.
+// pinnedParts returns the number of parts of a dataset that an agent holds pinned.
 func pinnedParts(a *dataagent.Agent, name string) uint64 {
 	for _, held := range a.Report(false).Pinned {
 		if held.Dataset == name {
@@ -55,17 +56,18 @@
 	return 0
 }
 
-// awaitParts waits until an agent keeps so many parts of a dataset.
+// awaitParts waits until an agent holds the given number of parts of a dataset pinned.
 func awaitParts(t *testing.T, a *dataagent.Agent, name string, parts uint64) {
 	t.Helper()
 	for end := time.Now().Add(agentPatience); pinnedParts(a, name) != parts; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the agent keeps %d parts of %s, want %d", pinnedParts(a, name), name, parts)
+			t.Fatalf("the agent has %d parts of %s pinned, want %d", pinnedParts(a, name), name, parts)
 		}
 	}
 }
 
-// stage has an agent over a folder copy parts 0 and 1 of a dataset of two chunks a part, and leaves a chunk half copied.
+// stage has an agent copy parts 0 and 1 of a dataset with two chunks a part into a directory, and then writes part of another
+// chunk there.
 func stage(t *testing.T, dir string) {
 	t.Helper()
 	objects := fake.NewObjects()
@@ -79,14 +81,14 @@
 		set.Copies = append(set.Copies, api.StageCopy{Part: int(part), From: []api.StageSource{{Store: true}}})
 	}
 	if ok, err := a.Apply(&api.StageOrder{Term: 1873, Order: 5, Sets: []api.StageSet{set}}); !ok || err != nil {
-		t.Fatalf("the order was taken: %t, %v", ok, err)
+		t.Fatalf("order accepted: %t, %v; want true", ok, err)
 	}
 	awaitParts(t, a, manifest.Name, uint64(len(parts)))
 	end()
 	leaveHalf(t, dir)
 }
 
-// leaveHalf leaves a chunk of which some bytes are there.
+// leaveHalf writes the first bytes of a chunk into an agent's cache, as after an interrupted copy.
 func leaveHalf(t *testing.T, dir string) {
 	t.Helper()
 	cache, err := dataagent.OpenCache(dir, agentQuota, nil)
@@ -104,7 +106,7 @@
 	w.Leave()
 }
 
-// listing is a folder as text: each file's path, and its content.
+// listing returns a directory as text: the path and the content of each file.
 func listing(t *testing.T, dir string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -126,13 +128,13 @@
 	return out.Bytes()
 }
 
-// restore makes a folder of a listing.
+// restore recreates a directory from its listing.
 func restore(t *testing.T, raw []byte, dir string) {
 	t.Helper()
 	for _, file := range strings.Split("\n"+string(raw), "\n-- ")[1:] {
 		name, content, ok := strings.Cut(file, " --\n")
 		if !ok {
-			t.Fatalf("no name of a file in %q", file)
+			t.Fatalf("no file name in %q", file)
 		}
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -144,14 +146,15 @@
 	}
 }
 
-// What an agent keeps on disk is written as the version in production writes it.
+// An agent writes its cache to disk in the same format as the version in production.
 func TestAgentsStoreStaysAsStored(t *testing.T) {
 	dir := t.TempDir()
 	stage(t, dir)
 	compare(t, "stager/store.txt", listing(t, dir))
 }
 
-// An agent takes up what another version left on disk, without a store: it keeps and tells the same parts.
+// An agent whose dataset store is unreachable restores the cache that another version wrote, and keeps and reports the same
+// parts.
 func TestAgentsStoreIsRead(t *testing.T) {
 	dir := t.TempDir()
 	restore(t, golden(t, "stager/store.txt"), dir)
@@ -159,16 +162,16 @@
 	awaitParts(t, a, "inventory-7", 2)
 	report := a.Report(true)
 	end()
-	// How often it was asked is not pinned.
+	// The sequence number depends on timing.
 	report.Seq = 1
 	compare(t, "stager/report.json", encode(t, report))
 	compare(t, "stager/store.read.txt", listing(t, dir))
 }
 
-// reports counts an agent's reports, which hangs on how often it was asked.
+// reports matches the sequence number of an agent's reports, which depends on timing.
 var reports = regexp.MustCompile(`"seq":[0-9]+`)
 
-// Answers of an agent's port, to peers, the leader and operators, stay.
+// The answers of an agent's port to peers, the leader and operators match the golden file.
 func TestAgentsPortStaysOnTheWire(t *testing.T) {
 	dir := t.TempDir()
 	restore(t, golden(t, "stager/store.txt"), dir)
