--- a/internal/cluster/audit_test.go
+++ b/internal/cluster/audit_test.go
@@ -10,8 +10,8 @@
 	"switchferry/settings"
 )
 
-// history is an audit of three jobs of team t, which has a limit of three CPUs, and a fourth job that depends on the first.
-// The times of requests are given in seconds since start. A cancellation must take effect within 1 ms.
+// history is an audit of three jobs of team t, which has a limit of three CPUs, and a fourth job that depends on the
+// first. The times of requests are given in seconds since start. A cancellation must take effect within 1 ms.
 type history struct {
 	*Audit
 	start time.Time
@@ -26,24 +26,26 @@
 	return h
 }
 
-// ask records a request that is sent and answered at the given seconds.
-func (h *history) ask(kind QuestionKind, id string, asked, answered, status int, state string) {
+// recordRequest records a request that is sent and answered at the given seconds.
+func (h *history) recordRequest(kind QuestionKind, id string, sent, answered, status int, state string) {
 	at := func(second int) time.Time { return h.start.Add(time.Duration(second) * time.Second) }
-	h.Judge(Question{Job: id, Kind: kind, AskedAt: at(asked), AnsweredAt: at(answered), Status: status, State: state})
+	h.Judge(Question{Job: id, Kind: kind, AskedAt: at(sent), AnsweredAt: at(answered), Status: status, State: state})
 }
 
-// accept records the acceptance of a job at second 1.
-func (h *history) accept(id string) { h.ask(AskSubmit, id, 0, 1, http.StatusCreated, api.Pending) }
+// recordAcceptance records the acceptance of a job at second 1.
+func (h *history) recordAcceptance(id string) {
+	h.recordRequest(AskSubmit, id, 0, 1, http.StatusCreated, api.Pending)
+}
 
-// finish records that both tasks of the first job start and complete.
-func (h *history) finish() {
+// recordCompletion records that both tasks of the first job start and complete.
+func (h *history) recordCompletion() {
 	for _, task := range []string{"run-000001/0", "run-000001/1"} {
 		h.Started(task, "m1", 1)
 		h.Ended(task, "m1", true)
 	}
 }
 
-func TestAuditFindsEachBrokenRuleAndNoOther(t *testing.T) {
+func TestAuditReportsExactlyTheViolatedRules(t *testing.T) {
 	const id = "run-000001"
 	cases := []struct {
 		name   string
@@ -51,75 +53,75 @@
 		broken map[string]int
 	}{
 		{"done job", func(h *history) {
-			h.finish()
-			h.ask(AskStatus, id, 2, 3, 200, api.Done)
-			h.ask(AskSubmit, id, 4, 5, 200, api.Done)
+			h.recordCompletion()
+			h.recordRequest(AskStatus, id, 2, 3, 200, api.Done)
+			h.recordRequest(AskSubmit, id, 4, 5, 200, api.Done)
 		}, nil},
 		{"cancelled job", func(h *history) {
 			h.CancelRequested(id)
-			h.ask(AskStatus, id, 2, 3, 200, api.Cancelled)
-			h.ask(AskCancel, id, 2, 4, 200, api.Cancelled)
+			h.recordRequest(AskStatus, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskCancel, id, 2, 4, 200, api.Cancelled)
 		}, nil},
 		{"older request answered after the terminal state", func(h *history) {
-			h.finish()
-			h.ask(AskStatus, id, 3, 4, 200, api.Done)
-			h.ask(AskStatus, id, 2, 5, 200, api.Running)
+			h.recordCompletion()
+			h.recordRequest(AskStatus, id, 3, 4, 200, api.Done)
+			h.recordRequest(AskStatus, id, 2, 5, 200, api.Running)
 		}, nil},
 		{"later request answered with an older state", func(h *history) {
-			h.finish()
-			h.ask(AskStatus, id, 3, 4, 200, api.Done)
-			h.ask(AskStatus, id, 5, 6, 200, api.Running)
+			h.recordCompletion()
+			h.recordRequest(AskStatus, id, 3, 4, 200, api.Done)
+			h.recordRequest(AskStatus, id, 5, 6, 200, api.Running)
 		}, map[string]int{StateReverted: 1}},
 		{"two different terminal states for overlapping requests", func(h *history) {
-			h.finish()
+			h.recordCompletion()
 			h.CancelRequested(id)
-			h.ask(AskCancel, id, 2, 4, 200, api.Cancelled)
-			h.ask(AskStatus, id, 3, 5, 200, api.Done)
+			h.recordRequest(AskCancel, id, 2, 4, 200, api.Cancelled)
+			h.recordRequest(AskStatus, id, 3, 5, 200, api.Done)
 		}, map[string]int{StateReverted: 1}},
 		{"cancelled without a request", func(h *history) {
-			h.ask(AskStatus, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskStatus, id, 2, 3, 200, api.Cancelled)
 		}, map[string]int{StateReverted: 1}},
 		{"cancelled after its dependency", func(h *history) {
-			h.accept("run-000004")
+			h.recordAcceptance("run-000004")
 			h.CancelRequested(id)
-			h.ask(AskStatus, "run-000004", 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskStatus, "run-000004", 2, 3, 200, api.Cancelled)
 		}, nil},
 		{"not cancelled after its dependency", func(h *history) {
-			h.accept("run-000004")
+			h.recordAcceptance("run-000004")
 			h.CancelRequested(id)
-			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.ask(AskStatus, "run-000004", 4, 5, 200, api.Pending)
+			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskStatus, "run-000004", 4, 5, 200, api.Pending)
 		}, map[string]int{DependencyCancelled: 1}},
 		{"accepted long after its dependency was cancelled", func(h *history) {
 			h.CancelRequested(id)
-			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.ask(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
+			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
 		}, nil},
 		{"pending long after its acceptance with a cancelled dependency", func(h *history) {
 			h.CancelRequested(id)
-			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.ask(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
-			h.ask(AskStatus, "run-000004", 6, 7, 200, api.Pending)
+			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
+			h.recordRequest(AskStatus, "run-000004", 6, 7, 200, api.Pending)
 		}, map[string]int{DependencyCancelled: 1}},
 		{"reported as done before its tasks", func(h *history) {
-			h.ask(AskStatus, id, 2, 3, 200, api.Done)
+			h.recordRequest(AskStatus, id, 2, 3, 200, api.Done)
 		}, map[string]int{DoneBeforeTasks: 1}},
 		{"unknown after it was accepted", func(h *history) {
-			h.ask(AskStatus, id, 2, 3, 404, "")
+			h.recordRequest(AskStatus, id, 2, 3, 404, "")
 		}, map[string]int{JobLost: 1}},
 		{"refused after it was accepted", func(h *history) {
-			h.ask(AskSubmit, id, 2, 3, 422, "")
+			h.recordRequest(AskSubmit, id, 2, 3, 422, "")
 		}, map[string]int{JobLost: 1}},
 		{"unknown to a request sent before its acceptance", func(h *history) {
-			h.ask(AskStatus, id, 0, 3, 404, "")
+			h.recordRequest(AskStatus, id, 0, 3, 404, "")
 		}, nil},
 		{"unanswered for a minute", func(h *history) {
-			h.ask(AskStatus, id, 2, 3, 503, "")
+			h.recordRequest(AskStatus, id, 2, 3, 503, "")
 			h.Unanswered(id, time.Minute)
 		}, map[string]int{JobLost: 1}},
 		{"job that was never submitted", func(h *history) {
-			h.ask(AskStatus, "run-999999", 2, 3, 404, "")
-			h.ask(AskStatus, "run-999998", 2, 3, 200, api.Pending)
+			h.recordRequest(AskStatus, "run-999999", 2, 3, 404, "")
+			h.recordRequest(AskStatus, "run-999998", 2, 3, 200, api.Pending)
 		}, map[string]int{UnknownJob: 1}},
 		{"task on two machines", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
@@ -157,39 +159,39 @@
 		{"task running after its job was reported as cancelled", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.CancelRequested(id)
-			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.Sweep()
 		}, map[string]int{RanAfterCancel: 1}},
 		{"task started after its job was reported as cancelled", func(h *history) {
 			h.CancelRequested(id)
-			h.ask(AskCancel, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
 			h.Started(id+"/0", "m1", 1)
 		}, map[string]int{RanAfterCancel: 1}},
 		{"task started before a dependency is done", func(h *history) {
-			h.accept("run-000004")
+			h.recordAcceptance("run-000004")
 			h.Started("run-000004/0", "m1", 1)
 		}, map[string]int{StartedBeforeDependency: 1}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHistory()
-			h.accept(id)
+			h.recordAcceptance(id)
 			tc.play(h)
-			if broken, why := h.Broken(); !maps.Equal(broken, tc.broken) {
-				t.Errorf("violations %v, want %v: %v", broken, tc.broken, why)
+			if violations, why := h.Broken(); !maps.Equal(violations, tc.broken) {
+				t.Errorf("violations %v, want %v: %v", violations, tc.broken, why)
 			}
 		})
 	}
 }
 
-func TestAuditCountsWhatItSaw(t *testing.T) {
+func TestAuditCountsRequestsAndAnswers(t *testing.T) {
 	h := newHistory()
-	h.accept("run-000001")
-	h.ask(AskStatus, "run-000001", 2, 3, 503, "")
-	h.ask(AskStatus, "run-000001", 2, 4, 0, "")
-	h.finish()
-	h.ask(AskStatus, "run-000001", 5, 6, 200, api.Done)
-	h.ask(AskStatus, "run-000001", 5, 7, 200, api.Running)
+	h.recordAcceptance("run-000001")
+	h.recordRequest(AskStatus, "run-000001", 2, 3, 503, "")
+	h.recordRequest(AskStatus, "run-000001", 2, 4, 0, "")
+	h.recordCompletion()
+	h.recordRequest(AskStatus, "run-000001", 5, 6, 200, api.Done)
+	h.recordRequest(AskStatus, "run-000001", 5, 7, 200, api.Running)
 	want := AuditCounts{Questions: 5, Answers: 3, Crossed: 1, Told: 1, LeaderTerms: 1}
 	if got := h.Counts(); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,7 +1,7 @@
 // Package cluster runs a deployment on this machine for experiments: controllers as separate processes, fakes of the
-// state service and the cloud with all limits enforced, and fake workers, which speak the workers' protocol over loopback
-// connections but execute no tasks. Network partitions between zones, message faults and state service faults can be
-// injected.
+// state service and the cloud with all limits enforced, and fake workers, which speak the workers' protocol over
+// loopback connections but execute no tasks. Network partitions between zones, message faults and state service faults
+// can be injected.
 //
 // The resource use of controllers is measured from outside their processes: Sample reads the kernel's counters of a
 // process, and Traffic counts messages and bytes on the connections, all of which end at or pass through this process.
@@ -146,7 +146,8 @@
 // Dir returns the cluster's temporary directory, which Close removes.
 func (cluster *Cluster) Dir() string { return cluster.dir }
 
-// configure opens the ports through which controllers reach each other and the fakes, and writes the controllers' settings.
+// configure opens the ports through which controllers reach each other and the fakes, and writes the controllers'
+// settings.
 func (cluster *Cluster) configure() error {
 	free, err := allocateAddresses(cluster.ctx, 2*len(cluster.options.Zones))
 	if err != nil {
--- a/internal/cluster/delays.go
+++ b/internal/cluster/delays.go
@@ -29,9 +29,9 @@
 	delays Delays
 }
 
-// recordExchange records the delays of an answered heartbeat. sent is when it was sent, response when its response arrived,
-// and command when the first direct command arrived in between, zero if none did.
-func (recorder *delayRecorder) recordExchange(sent, command, response time.Time) {
+// recordHeartbeat records the delays of an answered heartbeat. sent is when it was sent, response when its response
+// arrived, and command when the first direct command arrived in between, zero if none did.
+func (recorder *delayRecorder) recordHeartbeat(sent, command, response time.Time) {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	recordDelay(recorder.delays.Heartbeats, response.Sub(sent))
--- a/internal/cluster/delays_test.go
+++ b/internal/cluster/delays_test.go
@@ -7,12 +7,12 @@
 
 // A heartbeat without a direct command in between adds nothing to the histogram of direct commands, and each delay is
 // returned by one call only.
-func TestDelaysOfOneSpan(t *testing.T) {
+func TestTakeDelaysReturnsEachDelayOnce(t *testing.T) {
 	recorder := delayRecorder{delays: newDelays()}
 	sent := time.Unix(1000, 0)
-	recorder.recordExchange(sent, time.Time{}, sent.Add(20*time.Millisecond))
-	recorder.recordExchange(sent, sent.Add(100*time.Millisecond), sent.Add(3*time.Second))
-	recorder.recordExchange(sent, time.Time{}, sent.Add(time.Hour))
+	recorder.recordHeartbeat(sent, time.Time{}, sent.Add(20*time.Millisecond))
+	recorder.recordHeartbeat(sent, sent.Add(100*time.Millisecond), sent.Add(3*time.Second))
+	recorder.recordHeartbeat(sent, time.Time{}, sent.Add(time.Hour))
 	delays := recorder.takeDelays()
 	if count, longest := delays.Heartbeats.TotalCount(), delays.Heartbeats.Max(); count != 3 || longest < maxDelayMS {
 		t.Errorf("%d heartbeats, the longest %d ms, want 3 and the limit", count, longest)
@@ -25,11 +25,12 @@
 	}
 }
 
-// The time of the first direct command since the last heartbeat is kept, and commands before that heartbeat do not count.
-func TestCommandsAreNotedForTheirExchange(t *testing.T) {
+// The time of the first direct command since the last heartbeat is kept, and commands before that heartbeat do not
+// count.
+func TestFirstCommandSinceLastHeartbeatIsRecorded(t *testing.T) {
 	worker := &Worker{}
 	worker.recordCommand()
-	worker.beginExchange()
+	worker.resetFirstCommand()
 	if at := worker.firstCommand(); !at.IsZero() {
 		t.Error("a command before the heartbeat counts")
 	}
--- a/internal/cluster/message_faults.go
+++ b/internal/cluster/message_faults.go
@@ -32,8 +32,8 @@
 	FailingStarts float64
 }
 
-// maxSlowMessage is the maximum delay of a slow message. Twice this delay is within a worker's response timeout of 4 s, so
-// that a worker still accepts responses when both the heartbeat and the response are slow.
+// maxSlowMessage is the maximum delay of a slow message. Twice this delay is within a worker's response timeout of 4 s,
+// so that a worker still accepts responses when both the heartbeat and the response are slow.
 const maxSlowMessage = 1900 * time.Millisecond
 
 // delayShare delays the given share of messages by a random time. It reports false if ctx ended before.
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -34,8 +34,8 @@
 	return &zoneNetwork{blockedMembers: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// Isolate partitions the given zones, which still reach each other, from all other zones and the regional services. Without
-// zones it ends the partition.
+// Isolate partitions the given zones, which still reach each other, from all other zones and the regional services.
+// Without zones it ends the partition.
 func (cluster *Cluster) Isolate(zones ...string) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
@@ -43,8 +43,8 @@
 	cluster.network.notifyChange()
 }
 
-// CutPeer blocks the data that one controller sends to another one, or unblocks it. Blocked data is delivered afterwards.
-// The opposite direction is not affected.
+// CutPeer blocks the data that one controller sends to another one, or unblocks it. Blocked data is delivered
+// afterwards. The opposite direction is not affected.
 func (cluster *Cluster) CutPeer(from, to string, block bool) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
@@ -93,8 +93,8 @@
 	return waitUntilUnblocked(ctx, func() (bool, <-chan struct{}) { return network.blocked(a, b) })
 }
 
-// waitUntilUnblocked waits until blocked returns false. blocked also returns a channel that is closed when its result may
-// have changed. waitUntilUnblocked reports false if ctx ended before.
+// waitUntilUnblocked waits until blocked returns false. blocked also returns a channel that is closed when its result
+// may have changed. waitUntilUnblocked reports false if ctx ended before.
 func waitUntilUnblocked(ctx context.Context, blocked func() (bool, <-chan struct{})) bool {
 	for {
 		isBlocked, changed := blocked()
@@ -124,8 +124,8 @@
 	return link
 }
 
-// linkBlocked reports whether a link is blocked in its direction, and returns a channel that is closed when that may have
-// changed.
+// linkBlocked reports whether a link is blocked in its direction, and returns a channel that is closed when that may
+// have changed.
 func (network *zoneNetwork) linkBlocked(link peerLink) (bool, <-chan struct{}) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -158,8 +158,8 @@
 	return listener.Addr().String(), nil
 }
 
-// forward relays a connection to the link's target. It holds data back while the link is blocked, and counts the bytes of
-// each direction.
+// forward relays a connection to the link's target. It holds data back while the link is blocked, and counts the bytes
+// of each direction.
 func (cluster *Cluster) forward(inbound net.Conn, link peerLink) {
 	defer closeQuietly(inbound)
 	if !cluster.network.waitForLink(cluster.ctx, link) {
--- a/internal/cluster/questions.go
+++ b/internal/cluster/questions.go
@@ -47,10 +47,10 @@
 	audit.jobs[jobID].cancelRequested = true
 }
 
-// Judge records a request with its answer and checks the answer. It must be called in the order of the answers. An answer
-// is compared with the state that the user had been given before sending the request: answers to overlapping requests may
-// arrive out of order and differ, unless they state two different terminal states. It reports whether the job is in a
-// terminal state.
+// Judge records a request with its answer and checks the answer. It must be called in the order of the answers. An
+// answer is compared with the state that the user had been given before sending the request: answers to overlapping
+// requests may arrive out of order and differ, unless they state two different terminal states. It reports whether the
+// job is in a terminal state.
 func (audit *Audit) Judge(request Question) (terminal bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -114,8 +114,8 @@
 	}
 }
 
-// mayBeCancelled reports whether the cancellation of a job, or of a job that it depends on directly or not, was requested.
-// The caller holds mu.
+// mayBeCancelled reports whether the cancellation of a job, or of a job that it depends on directly or not, was
+// requested. The caller holds mu.
 func (audit *Audit) mayBeCancelled(job *AuditedJob) bool {
 	return job.cancelRequested || slices.ContainsFunc(job.Awaits, func(id string) bool {
 		return audit.jobs[id] != nil && audit.mayBeCancelled(audit.jobs[id])
--- a/internal/cluster/state_link_test.go
+++ b/internal/cluster/state_link_test.go
@@ -21,8 +21,8 @@
 	return link, state
 }
 
-// put sends a transaction that sets the key a/b over the link. It returns the status, 0 without an answer.
-func put(ctx context.Context, t *testing.T, link *stateLink) int {
+// sendPut sends a transaction that sets the key a/b over the link. It returns the status, 0 without an answer.
+func sendPut(ctx context.Context, t *testing.T, link *stateLink) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://state/multi", strings.NewReader(`{"then":[{"set":"a/b","value":1}]}`))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return response.StatusCode
 }
 
-func TestFaultsOfTheWayToTheStateService(t *testing.T) {
+func TestStateLinkFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults StateFaults
@@ -57,7 +57,7 @@
 			link, state := newTestLink(t, tc.faults)
 			ctx, stop := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer stop()
-			if got := put(ctx, t, link); got != tc.status {
+			if got := sendPut(ctx, t, link); got != tc.status {
 				t.Errorf("status %d, want %d", got, tc.status)
 			}
 			if got := state.Get("a/b") != nil; got != tc.atOnce {
@@ -75,11 +75,11 @@
 	}
 }
 
-func TestSilentWayGoesOnOnceItIsOpen(t *testing.T) {
+func TestSilentStateLinkForwardsRequestAfterFaultEnds(t *testing.T) {
 	link, _ := newTestLink(t, StateFaults{Silent: true})
 	cluster := &Cluster{stateLinks: map[string]*stateLink{"n0": link}}
 	time.AfterFunc(50*time.Millisecond, func() { cluster.SetStateFaults("n0", StateFaults{}) })
-	if got := put(t.Context(), t, link); got != 200 {
+	if got := sendPut(t.Context(), t, link); got != 200 {
 		t.Errorf("status %d", got)
 	}
 }
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// addWorker opens a worker's port and runs the worker. obtainHost returns the machine for a worker with that address, and
-// false if the machine no longer exists; then no worker is started.
+// addWorker opens a worker's port and runs the worker. obtainHost returns the machine for a worker with that address,
+// and false if the machine no longer exists; then no worker is started.
 func (cluster *Cluster) addWorker(obtainHost func(address string) (fake.Host, bool)) error {
 	ctx, stop := context.WithCancel(cluster.ctx)
 	worker := &Worker{cluster: cluster, stop: stop, changed: make(chan struct{}), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second}}}
@@ -188,8 +188,8 @@
 	return worker.outboundBlocked, worker.changed
 }
 
-// post sends a heartbeat to a controller, subject to the network's and the messages' faults. It returns status 0 if there
-// is no answer.
+// post sends a heartbeat to a controller, subject to the network's and the messages' faults. It returns status 0 if
+// there is no answer.
 func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
 	var recipient *Controller
 	for _, controller := range worker.cluster.Controllers {
@@ -214,7 +214,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	worker.beginExchange()
+	worker.resetFirstCommand()
 	sent := time.Now()
 	response, err := worker.client.Do(request)
 	if err != nil {
@@ -225,13 +225,13 @@
 	if err != nil || !worker.waitUntilReachable(ctx, recipient.Settings.Zone, toWorker) || !delayShare(ctx, faults.SlowHeartbeats) {
 		return 0, nil
 	}
-	worker.cluster.delays.recordExchange(sent, worker.firstCommand(), time.Now())
+	worker.cluster.delays.recordHeartbeat(sent, worker.firstCommand(), time.Now())
 	worker.cluster.Traffic.Add("reports to "+member, len(raw)+len(answer))
 	return response.StatusCode, decodeAnswer(response.StatusCode, answer)
 }
 
-// beginExchange resets the record of direct commands when a heartbeat is sent.
-func (worker *Worker) beginExchange() {
+// resetFirstCommand resets the record of direct commands when a heartbeat is sent.
+func (worker *Worker) resetFirstCommand() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.firstCommandAt = time.Time{}
@@ -262,8 +262,8 @@
 	_, _, _ = worker.cluster.Call(ctx, recipient, http.MethodPost, "/v1/report", raw)
 }
 
-// decodeAnswer decodes an answer to a heartbeat: an api.HeartbeatResponse for status 200, nil if that is malformed, and an
-// api.Redirect otherwise.
+// decodeAnswer decodes an answer to a heartbeat: an api.HeartbeatResponse for status 200, nil if that is malformed, and
+// an api.Redirect otherwise.
 func decodeAnswer(status int, raw []byte) any {
 	if status == http.StatusOK {
 		var response api.HeartbeatResponse
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -27,8 +27,8 @@
 	maxPageSize = 500
 )
 
-// Cloud is an http.RoundTripper that fakes the cloud. It rents machines, enforces the protocol's limits, and lists rented
-// machines immediately. It is safe for concurrent use.
+// Cloud is an http.RoundTripper that fakes the cloud. It rents machines, enforces the protocol's limits, and lists
+// rented machines immediately. It is safe for concurrent use.
 type Cloud struct {
 	clock    clockwork.Clock
 	types    []api.MachineType
@@ -57,8 +57,8 @@
 	rentedAt                  time.Time
 }
 
-// NewCloud returns a cloud with the given machine types and no capacity, which accepts rps requests per second with bursts
-// of two seconds' worth.
+// NewCloud returns a cloud with the given machine types and no capacity, which accepts rps requests per second with
+// bursts of two seconds' worth.
 func NewCloud(clock clockwork.Clock, types []api.MachineType, rps float64) *Cloud {
 	return &Cloud{clock: clock, types: types, requests: rate.NewLimiter(rate.Limit(rps), max(1, int(2*rps))), hosts: map[string]*Host{},
 		rentalsByRequest: map[string][]string{}, Up: func(Host) {}, Gone: func(Host) {}, Refused: map[string]int{}}
--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -15,8 +15,8 @@
 // Answer releases the answer. It must be called exactly once.
 func (late *Late) Answer() { close(late.released) }
 
-// LateNext delays the answer to the next transaction until the result releases it. The transaction is executed on arrival
-// if executeOnArrival is true, and on release otherwise.
+// LateNext delays the answer to the next transaction until the result releases it. The transaction is executed on
+// arrival if executeOnArrival is true, and on release otherwise.
 func (state *State) LateNext(executeOnArrival bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
--- a/internal/fake/objects.go
+++ b/internal/fake/objects.go
@@ -11,8 +11,8 @@
 	"switchferry/dataset"
 )
 
-// Objects is an http.Handler that fakes the dataset store. It serves NAME/manifest.json and byte ranges of NAME/data, and
-// can be made to fail. It is safe for concurrent use.
+// Objects is an http.Handler that fakes the dataset store. It serves NAME/manifest.json and byte ranges of NAME/data,
+// and can be made to fail. It is safe for concurrent use.
 type Objects struct {
 	mu        sync.Mutex // guards the fields below, except Hanging
 	objects   map[string][]byte
@@ -41,8 +41,8 @@
 	return &Objects{objects: map[string][]byte{}, manifests: map[string][]byte{}, rangeCounts: map[string]int{}, Hanging: make(chan struct{}, 64)}
 }
 
-// Add publishes a dataset with chunks of the given size in bytes and the given number of chunks in a part. It returns the
-// dataset's manifest and the manifest's digest, and panics if the dataset cannot be built.
+// Add publishes a dataset with chunks of the given size in bytes and the given number of chunks in a part. It returns
+// the dataset's manifest and the manifest's digest, and panics if the dataset cannot be built.
 func (objects *Objects) Add(name string, data []byte, chunkBytes, partChunks int) (*dataset.Manifest, dataset.Digest) {
 	manifest, err := dataset.Build(name, strings.NewReader(string(data)), chunkBytes, partChunks, nil)
 	if err != nil {
--- a/internal/fake/placements_test.go
+++ b/internal/fake/placements_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPlacementsKeepEveryMachineOfATask(t *testing.T) {
+func TestPlacementsTrackAllMachinesOfTask(t *testing.T) {
 	placements := Placements[string]{}
 	for _, step := range []struct {
 		start     bool
@@ -25,15 +25,15 @@
 		{false, "m2", nil, true},
 		{true, "m1", nil, false},
 	} {
-		var elsewhere []string
+		var otherMachines []string
 		ran := false
 		if step.start {
-			elsewhere, ran = placements.Start("run-000001/0", step.machine)
+			otherMachines, ran = placements.Start("run-000001/0", step.machine)
 		} else {
 			ran = placements.End("run-000001/0", step.machine)
 		}
-		if !slices.Equal(elsewhere, step.elsewhere) || ran != step.ran {
-			t.Errorf("%+v: other machines %v, ran %v", step, elsewhere, ran)
+		if !slices.Equal(otherMachines, step.elsewhere) || ran != step.ran {
+			t.Errorf("%+v: other machines %v, ran %v", step, otherMachines, ran)
 		}
 	}
 	for task, machine := range placements.All() {
--- a/internal/fake/transactions.go
+++ b/internal/fake/transactions.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// transactionRequest is the JSON body of a transaction: conditions on the revisions of keys, and puts and deletes that are
-// executed if all conditions hold. Ticket is the id of a lease.
+// transactionRequest is the JSON body of a transaction: conditions on the revisions of keys, and puts and deletes that
+// are executed if all conditions hold. Ticket is the id of a lease.
 type transactionRequest struct {
 	If []struct {
 		K     string `json:"k"`
--- a/internal/fake/watch.go
+++ b/internal/fake/watch.go
@@ -17,8 +17,8 @@
 	Stamp  uint64          `json:"stamp"`
 }
 
-// serveWatch answers with the changes under a prefix after a revision. If there are none, it waits for one up to the time
-// in the request. The caller holds mu, which is unlocked during the wait.
+// serveWatch answers with the changes under a prefix after a revision. If there are none, it waits for one up to the
+// time in the request. The caller holds mu, which is unlocked during the wait.
 func (state *State) serveWatch(request *http.Request) (*http.Response, error) {
 	query := request.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -64,8 +64,8 @@
 	return changes
 }
 
-// nextLeaseExpiry returns a channel that receives when the next lease expires, which deletes the records attached to it. It
-// returns nil if there is no lease. The caller holds mu.
+// nextLeaseExpiry returns a channel that receives when the next lease expires, which deletes the records attached to it.
+// It returns nil if there is no lease. The caller holds mu.
 func (state *State) nextLeaseExpiry() (ends <-chan time.Time) {
 	var earliest time.Duration
 	for _, end := range state.leaseExpiries {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -131,8 +131,8 @@
 		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[attemptKey]*workerTask{}, wakeups: make(chan struct{}, 1)}
 }
 
-// Seen returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat, the
-// number of tasks that ended with the lease or the worker, and the number of running tasks.
+// Seen returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat,
+// the number of tasks that ended with the lease or the worker, and the number of running tasks.
 func (worker *Worker) Seen() (term uint64, answered time.Time, killed, running int) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -145,9 +145,9 @@
 	return worker.term, worker.answeredAt, worker.killed, running
 }
 
-// Hang suspends the machine or resumes it. A suspended machine executes nothing and sends neither heartbeats nor answers,
-// but its clock keeps running. Commands that arrive in the meantime are executed after it resumes, if their term and
-// incarnation are still current.
+// Hang suspends the machine or resumes it. A suspended machine executes nothing and sends neither heartbeats nor
+// answers, but its clock keeps running. Commands that arrive in the meantime are executed after it resumes, if their
+// term and incarnation are still current.
 func (worker *Worker) Hang(suspend bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -201,8 +201,8 @@
 	}
 }
 
-// completeDueTasks ends all tasks if the lease has expired, starts tasks whose image is present and completes tasks whose
-// run time has passed. It does nothing while the machine is suspended. The caller holds mu.
+// completeDueTasks ends all tasks if the lease has expired, starts tasks whose image is present and completes tasks
+// whose run time has passed. It does nothing while the machine is suspended. The caller holds mu.
 func (worker *Worker) completeDueTasks() {
 	if worker.resumed != nil {
 		return
@@ -251,8 +251,8 @@
 	}
 }
 
-// imageReadyAt returns when the image of a task that is assigned now is present, and starts its pull if there is none yet.
-// The caller holds mu.
+// imageReadyAt returns when the image of a task that is assigned now is present, and starts its pull if there is none
+// yet. The caller holds mu.
 func (worker *Worker) imageReadyAt(task string, now time.Time) time.Time {
 	if worker.imagePull == nil {
 		return now
@@ -300,8 +300,8 @@
 	}
 }
 
-// heartbeat returns the next heartbeat, with tasks sorted by name. The protocol does not order the attempts of a task, so
-// every second heartbeat lists the newest attempt first. The caller holds mu.
+// heartbeat returns the next heartbeat, with tasks sorted by name. The protocol does not order the attempts of a task,
+// so every second heartbeat lists the newest attempt first. The caller holds mu.
 func (worker *Worker) heartbeat() *api.Heartbeat {
 	worker.sequence++
 	heartbeat := &api.Heartbeat{Machine: worker.Name, Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Spot: worker.Spot, Incarnation: worker.incarnation, Seq: worker.sequence, Term: worker.term, Tasks: []api.TaskReport{}}
@@ -480,8 +480,8 @@
 	return false
 }
 
-// Report returns the next heartbeat. Each call takes a sequence number. It is for callers that send heartbeats themselves
-// and do not use Run.
+// Report returns the next heartbeat. Each call takes a sequence number. It is for callers that send heartbeats
+// themselves and do not use Run.
 func (worker *Worker) Report() *api.Heartbeat {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -14,8 +14,8 @@
 	return api.Command{Verb: verb, Task: "run-000001/0", Attempt: attempt}
 }
 
-// direct has a worker execute commands and returns the attempts that it reports afterwards, by number.
-func direct(t *testing.T, worker *Worker, commands ...api.Command) map[uint64]api.TaskReport {
+// executeCommands has a worker execute commands and returns the attempts that it reports afterwards, by number.
+func executeCommands(t *testing.T, worker *Worker, commands ...api.Command) map[uint64]api.TaskReport {
 	t.Helper()
 	heartbeat, executed := worker.Direct(api.HeartbeatResponse{Term: 3, Incarnation: 1, Commands: commands})
 	if !executed {
@@ -30,34 +30,34 @@
 
 // A worker refuses an attempt while another attempt of the task has not exited, runs it once all others have exited, and
 // runs a cleared attempt again.
-func TestWorkerKeepsAttemptsApart(t *testing.T) {
+func TestWorkerRunsOneAttemptOfTaskAtATime(t *testing.T) {
 	cause := ""
 	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
 		Runs: func(string) time.Duration { return time.Hour }, Fails: func(string) string { return cause }})
-	if got := direct(t, worker, command(api.CommandRun, 1), command(api.CommandRun, 2)); got[1].State != api.TaskRunning || got[2].Cause != api.CauseBusy {
+	if got := executeCommands(t, worker, command(api.CommandRun, 1), command(api.CommandRun, 2)); got[1].State != api.TaskRunning || got[2].Cause != api.CauseBusy {
 		t.Fatalf("second attempt while the first runs: %+v", got)
 	}
-	if got := direct(t, worker, command(api.CommandKill, 1), command(api.CommandRun, 2), command(api.CommandRun, 3)); got[1].Cause != api.CauseStopped || got[2].Cause != api.CauseBusy || got[3].State != api.TaskRunning {
+	if got := executeCommands(t, worker, command(api.CommandKill, 1), command(api.CommandRun, 2), command(api.CommandRun, 3)); got[1].Cause != api.CauseStopped || got[2].Cause != api.CauseBusy || got[3].State != api.TaskRunning {
 		t.Fatalf("third attempt after the others exited: %+v", got)
 	}
-	if got := direct(t, worker, command(api.CommandClear, 1), command(api.CommandClear, 2), command(api.CommandClear, 3)); len(got) != 1 || got[3].State != api.TaskRunning {
+	if got := executeCommands(t, worker, command(api.CommandClear, 1), command(api.CommandClear, 2), command(api.CommandClear, 3)); len(got) != 1 || got[3].State != api.TaskRunning {
 		t.Fatalf("clear must remove exited attempts and keep the running one: %+v", got)
 	}
 	cause = api.CauseNoRoom
-	if got := direct(t, worker, command(api.CommandKill, 3), command(api.CommandRun, 4)); got[4].Cause != api.CauseNoRoom {
+	if got := executeCommands(t, worker, command(api.CommandKill, 3), command(api.CommandRun, 4)); got[4].Cause != api.CauseNoRoom {
 		t.Fatalf("refused start: %+v", got)
 	}
 	cause = ""
-	if got := direct(t, worker, command(api.CommandClear, 4), command(api.CommandRun, 4)); got[4].State != api.TaskRunning {
+	if got := executeCommands(t, worker, command(api.CommandClear, 4), command(api.CommandRun, 4)); got[4].State != api.TaskRunning {
 		t.Fatalf("start of a cleared attempt: %+v", got)
 	}
 }
 
 // The protocol does not order the attempts of a task, so the worker's heartbeats alternate between both orders.
-func TestWorkerReportsAttemptsInBothOrders(t *testing.T) {
+func TestHeartbeatsAlternateOrderOfAttempts(t *testing.T) {
 	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
 		Runs: func(string) time.Duration { return time.Hour }})
-	direct(t, worker, command(api.CommandRun, 1), command(api.CommandKill, 1), command(api.CommandRun, 2))
+	executeCommands(t, worker, command(api.CommandRun, 1), command(api.CommandKill, 1), command(api.CommandRun, 2))
 	newestFirst := 0
 	for range 2 {
 		if report := worker.Report(); report.Tasks[0].Attempt == 2 {
--- a/internal/golden/cli_test.go
+++ b/internal/golden/cli_test.go
@@ -17,7 +17,8 @@
 	"switchferry/experiment"
 )
 
-// execute runs the program and returns its standard output, followed by its standard error and, if it failed, its exit code.
+// execute runs the program and returns its standard output, followed by its standard error and, if it failed, its exit
+// code.
 func execute(t *testing.T, args ...string) string {
 	t.Helper()
 	// Some flags default to the user's name.
@@ -37,7 +38,7 @@
 }
 
 // The help of all commands, with flags and their defaults, matches the golden file.
-func TestHelpStays(t *testing.T) {
+func TestHelpMatchesGolden(t *testing.T) {
 	var all bytes.Buffer
 	var add func(command *cobra.Command)
 	add = func(command *cobra.Command) {
@@ -65,17 +66,17 @@
 	body   string
 }
 
-// controllerAnswers is a fake controller that records the requests it gets.
-type controllerAnswers struct {
+// fakeController is a fake controller that records the requests it gets.
+type fakeController struct {
 	responses map[string]response
-	asked     bytes.Buffer
+	requests  bytes.Buffer
 }
 
 // ServeHTTP records the request and answers it by its method and path, with 404 if there is no response for them.
-func (c *controllerAnswers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	request := r.Method + " " + r.URL.RequestURI()
-	fmt.Fprintf(&c.asked, "> %s %s\n", request, body)
+	fmt.Fprintf(&c.requests, "> %s %s\n", request, body)
 	answer, ok := c.responses[request]
 	if !ok {
 		answer = response{http.StatusNotFound, `{"error":"Not Found"}`}
@@ -85,14 +86,14 @@
 	_, _ = io.WriteString(w, answer.body)
 }
 
-// answering returns a fake controller whose answers have every field set.
-func answering(t *testing.T) *controllerAnswers {
+// newFakeController returns a fake controller whose answers have every field set.
+func newFakeController(t *testing.T) *fakeController {
 	t.Helper()
 	ok := func(name string) response { return response{http.StatusOK, example(t, name)} }
 	list := func(name string) response { return response{http.StatusOK, "[" + example(t, name) + "]"} }
 	document := string(encode(t, map[string]any{"revision": 40, "by": "ops", "why": "a test", "at_ms": 1789999200000, "in_force": true, "leader": true,
 		"document": "[[teams]]\nname = \"vision\"\ncpus = 2.0\ncpus_max = 4.0\n"}))
-	return &controllerAnswers{responses: map[string]response{
+	return &fakeController{responses: map[string]response{
 		"POST /submissions":                       {http.StatusCreated, example(t, "job-status")},
 		"GET /submissions/run-000001":             ok("job-status"),
 		"POST /submissions/run-000001/cancel":     ok("job-status"),
@@ -112,20 +113,20 @@
 }
 
 // transcript runs a command against a fake controller and returns the requests that it sends and the output.
-func transcript(t *testing.T, answers *controllerAnswers, args ...string) string {
+func transcript(t *testing.T, fake *fakeController, args ...string) string {
 	t.Helper()
-	server := httptest.NewServer(answers)
+	server := httptest.NewServer(fake)
 	defer server.Close()
-	answers.asked.Reset()
+	fake.requests.Reset()
 	printed := execute(t, append(args, "--node", strings.TrimPrefix(server.URL, "http://"))...)
-	return fmt.Sprintf("$ switchferry %s\n%s%s\n", strings.Join(args, " "), answers.asked.String(), printed)
+	return fmt.Sprintf("$ switchferry %s\n%s%s\n", strings.Join(args, " "), fake.requests.String(), printed)
 }
 
-// Commands send the same requests to controllers as the version in production, and print the answers in the same way as text
-// and as JSON.
-func TestCommandsOfUsersStay(t *testing.T) {
+// Commands send the same requests to controllers as the version in production, and print the answers in the same way as
+// text and as JSON.
+func TestUserCommandsMatchGolden(t *testing.T) {
 	const document, manifest = "testdata/files/configuration.toml", "testdata/cli/manifest.json"
-	writeManifest(t)
+	compareManifest(t)
 	var all strings.Builder
 	for _, args := range [][]string{
 		{"submit", "--file", "testdata/cli/job.json"},
@@ -149,14 +150,14 @@
 		{"config", "apply", document, "--why", "a test", "--expect", "40"},
 		{"config", "rollback", "40", "--why", "back"},
 	} {
-		all.WriteString(transcript(t, answering(t), args...))
-		all.WriteString(transcript(t, answering(t), append(args, "--json")...))
+		all.WriteString(transcript(t, newFakeController(t), args...))
+		all.WriteString(transcript(t, newFakeController(t), append(args, "--json")...))
 	}
 	compare(t, "cli/users.txt", []byte(all.String()))
 }
 
-// writeManifest compares the manifest file that commands read with a newly built one. With -update it writes the file.
-func writeManifest(t *testing.T) {
+// compareManifest compares the manifest file that commands read with a newly built one. With -update it writes the file.
+func compareManifest(t *testing.T) {
 	t.Helper()
 	m, err := dataset.Build("inventory-7", strings.NewReader(strings.Repeat("0123456789", 100)), 300, 2, nil)
 	if err != nil {
@@ -170,7 +171,7 @@
 }
 
 // A configuration change that is refused, or does not take effect in time, ends with its specific exit code.
-func TestRefusedChangesStay(t *testing.T) {
+func TestRefusedConfigurationChangesMatchGolden(t *testing.T) {
 	pending := `{"revision":41,"in_force":false,"waits_for":["n1","n2"]}`
 	var all strings.Builder
 	for _, answer := range []response{
@@ -179,10 +180,10 @@
 		{http.StatusUnprocessableEntity, example(t, "error")},
 		{http.StatusAccepted, pending},
 	} {
-		answers := answering(t)
-		answers.responses["POST /configuration"] = answer
-		answers.responses["GET /configuration"] = response{http.StatusNotFound, ""}
-		printed := transcript(t, answers, "config", "apply", "testdata/files/configuration.toml", "--wait", "1s")
+		fake := newFakeController(t)
+		fake.responses["POST /configuration"] = answer
+		fake.responses["GET /configuration"] = response{http.StatusNotFound, ""}
+		printed := transcript(t, fake, "config", "apply", "testdata/files/configuration.toml", "--wait", "1s")
 		// The number of polls depends on timing.
 		all.WriteString(strings.ReplaceAll(printed, "> GET /configuration \n", ""))
 	}
@@ -190,7 +191,7 @@
 }
 
 // The output of commands that need no controller matches the golden file.
-func TestOfflineCommandsStay(t *testing.T) {
+func TestOfflineCommandsMatchGolden(t *testing.T) {
 	const config = "testdata/http/controller.toml"
 	var all strings.Builder
 	for _, args := range [][]string{
@@ -212,23 +213,23 @@
 }
 
 // The JSON output of experiments matches the golden files.
-func TestExperimentResultsStay(t *testing.T) {
-	pinAll(t, "experiments", []message{
-		of[experiment.Gap]("gap"),
-		of[experiment.HandedOver]("handover"),
-		of[experiment.DayEndResult]("dayend"),
-		of[experiment.UpgradeResult]("upgrade"),
-		of[experiment.RecoveryResult]("recovery"),
-		of[experiment.OrderResult]("order"),
-		of[experiment.LocalityResult]("locality"),
-		of[experiment.TopologyResult]("topology"),
-		of[experiment.ScaleResult]("scale"),
-		of[capacity.Record]("capacity-record"),
-		of[capacity.Measurement]("capacity-measurement"),
-		of[capacity.Size]("capacity-size"),
-		of[capacity.Slopes]("capacity-slopes"),
-		of[capacity.Row]("capacity-row"),
-		of[capacity.JobCost]("capacity-job-cost"),
-		of[capacity.Limit]("capacity-limit"),
+func TestExperimentResultsMatchGolden(t *testing.T) {
+	compareMessages(t, "experiments", []goldenMessage{
+		messageOf[experiment.Gap]("gap"),
+		messageOf[experiment.HandedOver]("handover"),
+		messageOf[experiment.DayEndResult]("dayend"),
+		messageOf[experiment.UpgradeResult]("upgrade"),
+		messageOf[experiment.RecoveryResult]("recovery"),
+		messageOf[experiment.OrderResult]("order"),
+		messageOf[experiment.LocalityResult]("locality"),
+		messageOf[experiment.TopologyResult]("topology"),
+		messageOf[experiment.ScaleResult]("scale"),
+		messageOf[capacity.Record]("capacity-record"),
+		messageOf[capacity.Measurement]("capacity-measurement"),
+		messageOf[capacity.Size]("capacity-size"),
+		messageOf[capacity.Slopes]("capacity-slopes"),
+		messageOf[capacity.Row]("capacity-row"),
+		messageOf[capacity.JobCost]("capacity-job-cost"),
+		messageOf[capacity.Limit]("capacity-limit"),
 	})
 }
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -17,8 +17,8 @@
 	"switchferry/topology"
 )
 
-// inTOML encodes a value as TOML, with the field names that files use.
-func inTOML(t *testing.T, value any) []byte {
+// encodeTOML encodes a value as TOML, with the field names that files use.
+func encodeTOML(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := toml.Marshal(value)
 	if err != nil {
@@ -27,32 +27,32 @@
 	return raw
 }
 
-// unset returns the paths of all exported fields of a value that are zero.
-func unset(v reflect.Value, path string) (missing []string) {
+// zeroFields returns the paths of all exported fields of a value that are zero.
+func zeroFields(v reflect.Value, path string) (zero []string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				missing = append(missing, unset(v.Field(i), path+"."+field.Tag.Get("toml"))...)
+				zero = append(zero, zeroFields(v.Field(i), path+"."+field.Tag.Get("toml"))...)
 			}
 		}
-		return missing
+		return zero
 	case reflect.Slice:
 		for i := range v.Len() {
-			missing = append(missing, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+			zero = append(zero, zeroFields(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 		}
 	}
 	if v.IsZero() {
-		missing = append(missing, path)
+		zero = append(zero, path)
 	}
-	return missing
+	return zero
 }
 
-// fullySet checks that no field of a value that was read from a file is zero. It fails when a new field is missing from the
-// file.
-func fullySet(t *testing.T, value any) {
+// requireAllFieldsSet checks that no field of a value that was read from a file is zero. It fails when a new field is
+// missing from the file.
+func requireAllFieldsSet(t *testing.T, value any) {
 	t.Helper()
-	if missing := unset(reflect.ValueOf(value).Elem(), ""); len(missing) > 0 {
+	if missing := zeroFields(reflect.ValueOf(value).Elem(), ""); len(missing) > 0 {
 		t.Errorf("fields missing from the file: %v", missing)
 	}
 }
@@ -63,8 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fullySet(t, set)
-	compare(t, "files/settings.read.toml", inTOML(t, set))
+	requireAllFieldsSet(t, set)
+	compare(t, "files/settings.read.toml", encodeTOML(t, set))
 	again, err := settings.Parse(golden(t, "files/settings.read.toml"))
 	if err != nil || !reflect.DeepEqual(again, set) {
 		t.Errorf("the encoded settings are read as %+v, %v; want %+v", again, err, set)
@@ -77,8 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fullySet(t, on)
-	compare(t, "files/features.read.toml", inTOML(t, on))
+	requireAllFieldsSet(t, on)
+	compare(t, "files/features.read.toml", encodeTOML(t, on))
 	again, err := features.Parse(golden(t, "files/features.read.toml"))
 	if err != nil || !reflect.DeepEqual(again, on) {
 		t.Errorf("the encoded features are read as %+v, %v; want %+v", again, err, on)
@@ -88,11 +88,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "files/features.defaults.toml", inTOML(t, defaults))
+	compare(t, "files/features.defaults.toml", encodeTOML(t, defaults))
 }
 
-// describe lists a topology's domains, and the domains and devices of some machines.
-func describe(m *topology.Map) []byte {
+// describeTopology lists a topology's domains, and the domains and devices of some machines.
+func describeTopology(m *topology.Map) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "version %d\n", m.Version())
 	for _, d := range m.Domains() {
@@ -120,15 +120,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "files/topology.read.txt", describe(m))
+	compare(t, "files/topology.read.txt", describeTopology(m))
 
 	var declared topology.Declaration
 	if err := toml.Unmarshal(raw, &declared); err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "files/topology.read.toml", inTOML(t, declared))
+	compare(t, "files/topology.read.toml", encodeTOML(t, declared))
 	again, err := topology.Parse(golden(t, "files/topology.read.toml"))
-	if err != nil || !bytes.Equal(describe(again), describe(m)) {
+	if err != nil || !bytes.Equal(describeTopology(again), describeTopology(m)) {
 		t.Errorf("the encoded topology is read as a different one, %v", err)
 	}
 }
@@ -140,8 +140,8 @@
 		t.Fatal(err)
 	}
 	sections := map[string]any{"over_limit": document.OverLimit, "policy": document.Policy, "teams": document.Teams, "features": document.Switches}
-	compare(t, "files/configuration.read.toml", inTOML(t, sections))
-	compare(t, "files/configuration.topology.txt", describe(document.Topology))
+	compare(t, "files/configuration.read.toml", encodeTOML(t, sections))
+	compare(t, "files/configuration.topology.txt", describeTopology(document.Topology))
 }
 
 // The expressions of a policy file evaluate to the values in the golden file.
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -10,8 +10,8 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// elements is the length of filled slices.
-const elements = 2
+// sliceLength is the length of filled slices.
+const sliceLength = 2
 
 // filler sets fields to different values. A value depends on the order of the fields and not on their names.
 type filler struct{ count int64 }
@@ -28,8 +28,8 @@
 	return f.count
 }
 
-// special sets a value whose type has its own JSON encoding, and reports whether it has one.
-func (f *filler) special(v reflect.Value) bool {
+// fillSpecialType sets a value whose type has its own JSON encoding, and reports whether it has one.
+func (f *filler) fillSpecialType(v reflect.Value) bool {
 	switch v.Interface().(type) {
 	case json.RawMessage:
 		v.SetBytes(fmt.Appendf(nil, `{"n":%d}`, f.next()))
@@ -47,7 +47,7 @@
 }
 
 func (f *filler) fill(v reflect.Value) {
-	if f.special(v) {
+	if f.fillSpecialType(v) {
 		return
 	}
 	switch v.Kind() {
@@ -74,7 +74,7 @@
 func (f *filler) fillComposite(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), elements, elements))
+		v.Set(reflect.MakeSlice(v.Type(), sliceLength, sliceLength))
 		f.fillElements(v)
 	case reflect.Array:
 		f.fillElements(v)
--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -25,77 +25,81 @@
 
 // Golden files of the kinds of frames.
 const (
-	frameGreeting = "frames/greeting.hex"
-	frameQuestion = "frames/question.hex"
-	frameWord     = "frames/word.hex"
-	frameRequest  = "frames/request.hex"
-	frameReply    = "frames/reply.hex"
+	frameGreeting             = "frames/greeting.hex"
+	frameGreetingWithQuestion = "frames/question.hex"
+	frameStatement            = "frames/word.hex"
+	frameRequest              = "frames/request.hex"
+	frameReply                = "frames/reply.hex"
 )
 
-// memory is a fake peer.Watermarks, which exchanges knowledge of cancellations between controllers.
-type memory struct {
-	// says is the statement that is sent to the other controller.
-	says watermark.Statement
-	// told receives the statements of the other controller.
-	told chan watermark.Statement
-	// asked receives the position in each question of the other controller.
-	asked chan [2]uint64
+// fakeWatermarks is a fake peer.Watermarks, which exchanges knowledge of cancellations between controllers.
+type fakeWatermarks struct {
+	// statement is the statement that is sent to the other controller.
+	statement watermark.Statement
+	// applied receives the statements of the other controller.
+	applied chan watermark.Statement
+	// positions receives the position in each question of the other controller.
+	positions chan [2]uint64
 }
 
-func newMemory() *memory {
-	return &memory{says: filled[watermark.Statement](), told: make(chan watermark.Statement, 1), asked: make(chan [2]uint64, 1)}
+func newFakeWatermarks() *fakeWatermarks {
+	return &fakeWatermarks{statement: filled[watermark.Statement](), applied: make(chan watermark.Statement, 1), positions: make(chan [2]uint64, 1)}
 }
 
 // Position returns a fixed position in the other controller's statements.
-func (m *memory) Position(string) (life, have uint64, ok bool) { return 1234, 56, true }
+func (fake *fakeWatermarks) Position(string) (incarnation, have uint64, ok bool) {
+	return 1234, 56, true
+}
 
 // Statement records the position in the question and returns the fake's statement.
-func (m *memory) Statement(life, have uint64) (watermark.Statement, bool) {
-	m.asked <- [2]uint64{life, have}
-	return m.says, true
+func (fake *fakeWatermarks) Statement(incarnation, have uint64) (watermark.Statement, bool) {
+	fake.positions <- [2]uint64{incarnation, have}
+	return fake.statement, true
 }
 
 // ApplyStatement records a statement of the other controller.
-func (m *memory) ApplyStatement(_ string, _ time.Time, s watermark.Statement) { m.told <- s }
+func (fake *fakeWatermarks) ApplyStatement(_ string, _ time.Time, statement watermark.Statement) {
+	fake.applied <- statement
+}
 
-// wireEnd is the test's end of a connection to a controller.
-type wireEnd struct {
-	t    *testing.T
-	conn net.Conn
-	rd   *bufio.Reader
+// testConn is the test's end of a connection to a controller.
+type testConn struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func newWireEnd(t *testing.T, conn net.Conn) *wireEnd {
+func newTestConn(t *testing.T, conn net.Conn) *testConn {
 	t.Helper()
 	t.Cleanup(func() { _ = conn.Close() }) // the error is ignored because the connection may be closed already
 	if err := conn.SetDeadline(time.Now().Add(frameWait)); err != nil {
 		t.Fatal(err)
 	}
-	return &wireEnd{t, conn, bufio.NewReader(conn)}
+	return &testConn{t, conn, bufio.NewReader(conn)}
 }
 
 // read returns the next frame with its length prefix.
-func (e *wireEnd) read() []byte {
+func (e *testConn) read() []byte {
 	e.t.Helper()
-	head, err := e.rd.Peek(4)
+	head, err := e.reader.Peek(4)
 	if err != nil {
 		e.t.Fatal(err)
 	}
 	raw := make([]byte, 4+binary.LittleEndian.Uint32(head))
-	if _, err := io.ReadFull(e.rd, raw); err != nil {
+	if _, err := io.ReadFull(e.reader, raw); err != nil {
 		e.t.Fatal(err)
 	}
 	return raw
 }
 
 // expect reads a frame and compares it with a golden file.
-func (e *wireEnd) expect(file string) {
+func (e *testConn) expect(file string) {
 	e.t.Helper()
 	compare(e.t, file, append([]byte(hex.EncodeToString(e.read())), '\n'))
 }
 
 // send sends the frame in a golden file.
-func (e *wireEnd) send(file string) {
+func (e *testConn) send(file string) {
 	e.t.Helper()
 	raw, err := hex.DecodeString(string(bytes.TrimSpace(golden(e.t, file))))
 	if err != nil {
@@ -106,14 +110,14 @@
 	}
 }
 
-// onePipe is a listener that accepts a single connection.
-type onePipe struct {
+// singleConnListener is a listener that accepts a single connection.
+type singleConnListener struct {
 	conns chan net.Conn
 	done  <-chan struct{}
 }
 
 // Accept returns the connection. Further calls block until done is closed.
-func (l onePipe) Accept() (net.Conn, error) {
+func (l singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -123,33 +127,33 @@
 }
 
 // Close does nothing.
-func (l onePipe) Close() error { return nil }
+func (l singleConnListener) Close() error { return nil }
 
 // Addr returns a placeholder that no code reads.
-func (l onePipe) Addr() net.Addr { return &net.TCPAddr{} }
+func (l singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serve starts a controller that accepts a connection, and returns the test's end of that connection.
-func serve(t *testing.T, words peer.Watermarks, handle peer.Handler) *wireEnd {
+// startAccepting starts a controller that accepts a connection, and returns the test's end of that connection.
+func startAccepting(t *testing.T, watermarks peer.Watermarks, handle peer.Handler) *testConn {
 	t.Helper()
-	n := peer.New(nil, clockwork.NewFakeClock(), filled[peer.Hello], handle)
-	n.Watermarks = words
+	network := peer.New(nil, clockwork.NewFakeClock(), filled[peer.Hello], handle)
+	network.Watermarks = watermarks
 	here, there := net.Pipe()
-	l := onePipe{make(chan net.Conn, 1), t.Context().Done()}
+	l := singleConnListener{make(chan net.Conn, 1), t.Context().Done()}
 	l.conns <- there
-	go func() { _ = n.Serve(t.Context(), l) }()
-	return newWireEnd(t, here)
+	go func() { _ = network.Serve(t.Context(), l) }()
+	return newTestConn(t, here)
 }
 
-// dial starts a controller that opens a connection. It returns the test's end of that connection, the controller's network
-// and the network's observations.
-func dial(t *testing.T, words peer.Watermarks) (*wireEnd, *peer.Network, chan membership.Observation) {
+// startDialing starts a controller that opens a connection. It returns the test's end of that connection, the
+// controller's network and the network's observations.
+func startDialing(t *testing.T, watermarks peer.Watermarks) (*testConn, *peer.Network, chan membership.Observation) {
 	t.Helper()
-	n := peer.New([]settings.Peer{{Member: "n1", Address: "10.0.0.2:7000"}}, clockwork.NewFakeClock(), filled[peer.Hello], nil)
-	n.Watermarks = words
+	network := peer.New([]settings.Peer{{Member: "n1", Address: "10.0.0.2:7000"}}, clockwork.NewFakeClock(), filled[peer.Hello], nil)
+	network.Watermarks = watermarks
 	here, there := net.Pipe()
 	conns := make(chan net.Conn, 1)
 	conns <- there
-	n.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	network.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		select {
 		case c := <-conns:
 			return c, nil
@@ -157,10 +161,10 @@
 			return nil, ctx.Err()
 		}
 	}
-	seen := make(chan membership.Observation, 64)
-	n.OnObservation = func(o membership.Observation) { seen <- o }
-	n.Run(t.Context())
-	return newWireEnd(t, here), n, seen
+	observations := make(chan membership.Observation, 64)
+	network.OnObservation = func(o membership.Observation) { observations <- o }
+	network.Run(t.Context())
+	return newTestConn(t, here), network, observations
 }
 
 // receive waits for a value from a channel, for frameWait at most.
@@ -174,72 +178,72 @@
 	return value
 }
 
-// greetingSeen waits until the network has processed a greeting, and returns it.
-func greetingSeen(t *testing.T, seen <-chan membership.Observation) membership.Hello {
+// awaitGreeting waits until the network has processed a greeting, and returns it.
+func awaitGreeting(t *testing.T, observations <-chan membership.Observation) membership.Hello {
 	t.Helper()
 	for {
-		if g, ok := receive(t, seen).(membership.Hello); ok {
+		if g, ok := receive(t, observations).(membership.Hello); ok {
 			return g
 		}
 	}
 }
 
 // A controller sends the same greeting as the version in production, with and without a question about cancellations.
-func TestGreetingsStayOnTheWire(t *testing.T) {
+func TestGreetingFramesMatchGolden(t *testing.T) {
 	t.Run("greeting", func(t *testing.T) {
-		wire, _, _ := dial(t, nil)
+		wire, _, _ := startDialing(t, nil)
 		wire.expect(frameGreeting)
 	})
 	t.Run("question", func(t *testing.T) {
-		wire, _, _ := dial(t, newMemory())
-		wire.expect(frameQuestion)
+		wire, _, _ := startDialing(t, newFakeWatermarks())
+		wire.expect(frameGreetingWithQuestion)
 	})
 }
 
 // A controller answers a greeting with a greeting, and a question about cancellations with its statement.
-func TestAnswersToGreetingsStayOnTheWire(t *testing.T) {
+func TestAnswersToGreetingsMatchGolden(t *testing.T) {
 	t.Run("greeting", func(t *testing.T) {
-		wire := serve(t, nil, nil)
+		wire := startAccepting(t, nil, nil)
 		wire.send(frameGreeting)
 		wire.expect(frameGreeting)
 	})
 	t.Run("question", func(t *testing.T) {
-		words := newMemory()
-		wire := serve(t, words, nil)
-		wire.send(frameQuestion)
-		if got, want := receive(t, words.asked), [2]uint64{1234, 56}; got != want {
+		watermarks := newFakeWatermarks()
+		wire := startAccepting(t, watermarks, nil)
+		wire.send(frameGreetingWithQuestion)
+		if got, want := receive(t, watermarks.positions), [2]uint64{1234, 56}; got != want {
 			t.Errorf("position in the question %v, want %v", got, want)
 		}
-		wire.expect(frameWord)
+		wire.expect(frameStatement)
 	})
 }
 
 // All fields of a greeting, and of the statement that comes with it, are decoded.
-func TestGreetingsAreRead(t *testing.T) {
-	words := newMemory()
-	wire, n, seen := dial(t, words)
+func TestGreetingsAreDecoded(t *testing.T) {
+	watermarks := newFakeWatermarks()
+	wire, network, observations := startDialing(t, watermarks)
 	wire.read()
-	wire.send(frameWord)
-	if got, want := receive(t, words.told), filled[watermark.Statement](); !reflect.DeepEqual(got, want) {
+	wire.send(frameStatement)
+	if got, want := receive(t, watermarks.applied), filled[watermark.Statement](); !reflect.DeepEqual(got, want) {
 		t.Errorf("statement decoded as %+v, want %+v", got, want)
 	}
-	greetingSeen(t, seen)
+	awaitGreeting(t, observations)
 	want := filled[peer.Hello]()
 	want.Member = "n1"
-	if got := n.LivePeers(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
+	if got := network.LivePeers(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 		t.Errorf("greetings decoded as %+v, want %+v", got, want)
 	}
 }
 
 // A controller forwards a user's request with the same frame as the version in production, and decodes the answer.
-func TestRequestsStayOnTheWire(t *testing.T) {
-	wire, n, seen := dial(t, nil)
+func TestRequestFramesMatchGolden(t *testing.T) {
+	wire, network, observations := startDialing(t, nil)
 	wire.read()
 	wire.send(frameGreeting)
-	greetingSeen(t, seen)
+	awaitGreeting(t, observations)
 	answers := make(chan peer.Response, 1)
 	go func() {
-		a, err := n.Ask(t.Context(), "n1", filled[peer.Request](), frameWait)
+		a, err := network.Ask(t.Context(), "n1", filled[peer.Request](), frameWait)
 		if err == nil {
 			answers <- a
 		}
@@ -254,9 +258,9 @@
 }
 
 // A controller decodes a forwarded request and answers it with the same frame as the version in production.
-func TestRequestsAreReadAndAnswered(t *testing.T) {
+func TestRequestsAreDecodedAndAnswered(t *testing.T) {
 	requests := make(chan peer.Request, 1)
-	wire := serve(t, nil, func(_ context.Context, r peer.Request) peer.Response {
+	wire := startAccepting(t, nil, func(_ context.Context, r peer.Request) peer.Response {
 		requests <- r
 		return filled[peer.Response]()
 	})
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// message is a type whose JSON is compared with a golden file.
-type message struct {
+// goldenMessage is a type whose JSON is compared with a golden file.
+type goldenMessage struct {
 	// file is the golden file's name without folder and extension.
 	file string
 	// name is the type's name without its package.
@@ -95,40 +95,43 @@
 	check func(t *testing.T, file string)
 }
 
-// of returns the message for a type.
-func of[T any](file string) message { return message{file, nameOf[T](), pin[T]} }
+// messageOf returns the message for a type.
+func messageOf[T any](file string) goldenMessage {
+	return goldenMessage{file, nameOf[T](), compareJSON[T]}
+}
 
 // nameOf returns the name of a type without its package.
 func nameOf[T any]() string { return reflect.TypeFor[T]().Name() }
 
-// pin compares a type's JSON with a golden file of three lines: a value with every field set, the zero value, and the zero
-// value after it was decoded and encoded again. The first line must not change when it is decoded and encoded again.
-func pin[T any](t *testing.T, file string) {
+// compareJSON compares a type's JSON with a golden file of three lines: a value with every field set, the zero value,
+// and the zero value after it was decoded and encoded again. The first line must not change when it is decoded and
+// encoded again.
+func compareJSON[T any](t *testing.T, file string) {
 	t.Helper()
 	var zero T
 	filledLine, zeroLine := encode(t, filled[T]()), encode(t, zero)
-	compare(t, file, slices.Concat(filledLine, zeroLine, rewrite[T](t, zeroLine)))
+	compare(t, file, slices.Concat(filledLine, zeroLine, reencode[T](t, zeroLine)))
 	lines := slices.Collect(bytes.Lines(golden(t, file)))
 	if len(lines) != 3 {
 		t.Fatalf("%s has %d lines", file, len(lines))
 	}
 	for _, c := range []struct{ stored, want []byte }{{lines[0], lines[0]}, {lines[1], lines[2]}} {
-		if again := rewrite[T](t, c.stored); !bytes.Equal(again, c.want) {
+		if again := reencode[T](t, c.stored); !bytes.Equal(again, c.want) {
 			t.Errorf("a line of %s is decoded and encoded again as\n%s, want\n%s", file, again, c.want)
 		}
 	}
 }
 
-// rewrite decodes a type's JSON and encodes it again.
-func rewrite[T any](t *testing.T, raw []byte) []byte {
+// reencode decodes a type's JSON and encodes it again.
+func reencode[T any](t *testing.T, raw []byte) []byte {
 	t.Helper()
 	var value T
 	decode(t, raw, &value)
 	return encode(t, value)
 }
 
-// pinAll runs a subtest for each message, whose golden files are in the given folder.
-func pinAll(t *testing.T, folder string, messages []message) {
+// compareMessages runs a subtest for each message, whose golden files are in the given folder.
+func compareMessages(t *testing.T, folder string, messages []goldenMessage) {
 	t.Helper()
 	for _, m := range messages {
 		t.Run(m.file, func(t *testing.T) { m.check(t, filepath.Join(folder, m.file+".jsonl")) })
--- a/internal/golden/http_test.go
+++ b/internal/golden/http_test.go
@@ -35,54 +35,55 @@
 	stateHost = "127.0.0.1:9002"
 )
 
-// term matches the leader's fencing token in an answer. Its value depends on the number of earlier writes to the state
-// service.
-var term = regexp.MustCompile(`"helm":[1-9][0-9]*`)
+// termPattern matches the leader's fencing token in an answer. Its value depends on the number of earlier writes to the
+// state service.
+var termPattern = regexp.MustCompile(`"helm":[1-9][0-9]*`)
 
-// cloudOpens is how long after the controller's start the cloud becomes reachable. The controller leads by then, so that the
-// order of both events is the same in each run.
-const cloudOpens = 2 * time.Second
+// cloudReachableAfter is how long after the controller's start the cloud becomes reachable. The controller leads by
+// then, so that the order of both events is the same in each run.
+const cloudReachableAfter = 2 * time.Second
 
-// services is the transport of a controller's requests to the state service and the cloud. No other host is reachable.
-type services struct {
+// serviceTransport is the transport of a controller's requests to the state service and the cloud. No other host is
+// reachable.
+type serviceTransport struct {
 	state, cloud http.RoundTripper
-	// opens is when the cloud becomes reachable.
-	opens time.Time
+	// cloudReachableAt is when the cloud becomes reachable.
+	cloudReachableAt time.Time
 }
 
 // RoundTrip forwards a request to the service at its host.
-func (s services) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s serviceTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	switch r.URL.Host {
 	case stateHost:
 		return s.state.RoundTrip(r)
 	case cloudHost:
-		if !time.Now().Before(s.opens) {
+		if !time.Now().Before(s.cloudReachableAt) {
 			return s.cloud.RoundTrip(r)
 		}
 	}
 	return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 }
 
-// silentPort is a listener for controllers to which no controller connects.
-type silentPort chan struct{}
+// idleListener is a listener for controllers to which no controller connects.
+type idleListener chan struct{}
 
 // Accept waits until the port is closed.
-func (p silentPort) Accept() (net.Conn, error) { <-p; return nil, net.ErrClosed }
+func (p idleListener) Accept() (net.Conn, error) { <-p; return nil, net.ErrClosed }
 
 // Close does nothing. The creator of the listener closes the channel.
-func (p silentPort) Close() error { return nil }
+func (p idleListener) Close() error { return nil }
 
 // Addr returns a placeholder that no code reads.
-func (p silentPort) Addr() net.Addr { return &net.TCPAddr{} }
+func (p idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// recorder records the verb and the job of the last request to a controller.
-type recorder struct {
+// verbRecorder records the verb and the job of the last request to a controller.
+type verbRecorder struct {
 	httpapi.Controller
 	last string
 }
 
 // Handle records the request and passes it to the controller.
-func (r *recorder) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
+func (r *verbRecorder) Handle(ctx context.Context, request peer.Request, forwarded bool) peer.Response {
 	r.last = strings.TrimSpace(request.Verb + " " + request.Job)
 	return r.Controller.Handle(ctx, request, forwarded)
 }
@@ -92,15 +93,15 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	clock := clockwork.NewRealClock()
-	set, err := settings.Parse(golden(t, "http/controller.toml"))
+	controllerSettings, err := settings.Parse(golden(t, "http/controller.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	on, err := features.Load("testdata/http/features.toml")
+	featureSettings, err := features.Load("testdata/http/features.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	where, err := topology.Open(on.Topology.File)
+	topologyFile, err := topology.Open(featureSettings.Topology.File)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,39 +109,39 @@
 	decode(t, golden(t, "http/catalog.json"), &types)
 	cloud := fake.NewCloud(clock, types, 20)
 	cloud.Add("m8", "a", false)
-	node = controller.New(ctx, set, policy.Default(), clock, services{fake.NewState(clock), cloud, time.Now().Add(cloudOpens)})
-	node.Enable(on)
-	node.UseTopologyFile(where)
-	back, done := make(silentPort), make(chan struct{})
-	go func() { node.Run(back); close(done) }()
+	node = controller.New(ctx, controllerSettings, policy.Default(), clock, serviceTransport{fake.NewState(clock), cloud, time.Now().Add(cloudReachableAfter)})
+	node.Enable(featureSettings)
+	node.UseTopologyFile(topologyFile)
+	listener, done := make(idleListener), make(chan struct{})
+	go func() { node.Run(listener); close(done) }()
 	return node, func() {
 		cancel()
-		close(back)
+		close(listener)
 		<-done
 		time.Sleep(time.Minute)
 	}
 }
 
-// warmCompression creates the encoders that the whole process shares. An encoder that is created in a synctest bubble could
-// not be used outside it.
-func warmCompression(t *testing.T) {
+// createSharedEncoders creates the encoders that the whole process shares. An encoder that is created in a synctest
+// bubble could not be used outside it.
+func createSharedEncoders(t *testing.T) {
 	t.Helper()
-	for _, text := range []func(any) (string, error){compress.EncodeFast, compress.EncodeSmall} {
-		if _, err := text(nil); err != nil {
+	for _, encode := range []func(any) (string, error){compress.EncodeFast, compress.EncodeSmall} {
+		if _, err := encode(nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// exchange sends a request to a handler and returns the request, its verb between controllers and the answer as text.
-func exchange(handler http.Handler, seen *recorder, method, path, body string) string {
-	seen.last = ""
+// sendRequest sends a request to a handler and returns the request, its verb between controllers and the answer as text.
+func sendRequest(handler http.Handler, recorder *verbRecorder, method, path, body string) string {
+	recorder.last = ""
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body)))
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %s %s\n", method, path, body)
-	if seen.last != "" {
-		fmt.Fprintf(&out, "  verb %s\n", seen.last)
+	if recorder.last != "" {
+		fmt.Fprintf(&out, "  verb %s\n", recorder.last)
 	}
 	fmt.Fprintf(&out, "  %d", w.Code)
 	for _, name := range []string{"Content-Type", "Retry-After"} {
@@ -148,19 +149,19 @@
 			fmt.Fprintf(&out, " %s: %s", name, value)
 		}
 	}
-	answer := term.ReplaceAllString(strings.TrimSpace(w.Body.String()), `"helm":TERM`)
+	answer := termPattern.ReplaceAllString(strings.TrimSpace(w.Body.String()), `"helm":TERM`)
 	fmt.Fprintf(&out, "\n  %s\n", answer)
 	return out.String()
 }
 
 // A controller that leads gives the same answers to requests on all paths as the version in production.
-func TestAnswersStayOnTheWire(t *testing.T) {
-	warmCompression(t)
+func TestLeaderAnswersMatchGolden(t *testing.T) {
+	createSharedEncoders(t)
 	synctest.Test(t, func(t *testing.T) {
 		node, stop := startController(t)
 		defer stop()
-		seen := &recorder{Controller: node}
-		handler := httpapi.New(seen, connlimit.NewLimiter(0))
+		recorder := &verbRecorder{Controller: node}
+		handler := httpapi.New(recorder, connlimit.NewLimiter(0))
 		var transcript bytes.Buffer
 		for line := range strings.Lines(string(golden(t, "http/requests.txt"))) {
 			line = strings.TrimSuffix(line, "\n")
@@ -176,7 +177,7 @@
 				time.Sleep(pause)
 			default:
 				path, body, _ := strings.Cut(rest, " ")
-				transcript.WriteString(exchange(handler, seen, verb, path, body))
+				transcript.WriteString(sendRequest(handler, recorder, verb, path, body))
 			}
 		}
 		compare(t, "http/answers.txt", transcript.Bytes())
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -20,75 +20,76 @@
 )
 
 // apiMessages are the messages of package api.
-var apiMessages = []message{
-	of[api.Submission]("submission"),
-	of[api.Input]("input"),
-	of[api.Near]("near"),
-	of[api.Survive]("survive"),
-	of[api.JobStatus]("job-status"),
-	of[api.Error]("error"),
-	of[api.TaskReport]("task-report"),
-	of[api.Heartbeat]("report"),
-	of[api.Command]("command"),
-	of[api.HeartbeatResponse]("orders"),
-	of[api.Redirect]("redirect"),
-	of[api.MachineType]("machine-type"),
-	of[api.InstanceRequest]("rental"),
-	of[api.Instance]("cloud-machine"),
-	of[api.StageSource]("stage-source"),
-	of[api.StageCopy]("stage-copy"),
-	of[api.StageSet]("stage-set"),
-	of[api.StageOrder]("stage-order"),
-	of[api.StageHeld]("stage-held"),
-	of[api.StageFailure]("stage-failure"),
-	of[api.StageProgress]("stage-progress"),
-	of[api.StageHeartbeat]("stage-report"),
-	of[api.TopologyView]("topology-view"),
-	of[api.ReservedView]("reserved-view"),
-	of[api.DomainView]("domain-view"),
-	of[api.WaitingView]("waiting-view"),
-	of[api.Explanation]("explanation"),
-	of[api.TaskLocation]("stand"),
-	of[api.ConfigurationRequest]("configuration-request"),
-	of[api.ConfigurationView]("configuration-view"),
-	of[api.ConfigurationFieldError]("configuration-mistake"),
-	of[api.ConfigurationFieldErrors]("configuration-mistakes"),
-	of[api.ConfigurationConflict]("configuration-conflict"),
+var apiMessages = []goldenMessage{
+	messageOf[api.Submission]("submission"),
+	messageOf[api.Input]("input"),
+	messageOf[api.Near]("near"),
+	messageOf[api.Survive]("survive"),
+	messageOf[api.JobStatus]("job-status"),
+	messageOf[api.Error]("error"),
+	messageOf[api.TaskReport]("task-report"),
+	messageOf[api.Heartbeat]("report"),
+	messageOf[api.Command]("command"),
+	messageOf[api.HeartbeatResponse]("orders"),
+	messageOf[api.Redirect]("redirect"),
+	messageOf[api.MachineType]("machine-type"),
+	messageOf[api.InstanceRequest]("rental"),
+	messageOf[api.Instance]("cloud-machine"),
+	messageOf[api.StageSource]("stage-source"),
+	messageOf[api.StageCopy]("stage-copy"),
+	messageOf[api.StageSet]("stage-set"),
+	messageOf[api.StageOrder]("stage-order"),
+	messageOf[api.StageHeld]("stage-held"),
+	messageOf[api.StageFailure]("stage-failure"),
+	messageOf[api.StageProgress]("stage-progress"),
+	messageOf[api.StageHeartbeat]("stage-report"),
+	messageOf[api.TopologyView]("topology-view"),
+	messageOf[api.ReservedView]("reserved-view"),
+	messageOf[api.DomainView]("domain-view"),
+	messageOf[api.WaitingView]("waiting-view"),
+	messageOf[api.Explanation]("explanation"),
+	messageOf[api.TaskLocation]("stand"),
+	messageOf[api.ConfigurationRequest]("configuration-request"),
+	messageOf[api.ConfigurationView]("configuration-view"),
+	messageOf[api.ConfigurationFieldError]("configuration-mistake"),
+	messageOf[api.ConfigurationFieldErrors]("configuration-mistakes"),
+	messageOf[api.ConfigurationConflict]("configuration-conflict"),
 }
 
 // The JSON of messages between controllers and users, workers, agents or the cloud matches the golden files.
-func TestMessagesStayOnTheWire(t *testing.T) {
-	pinAll(t, "messages", apiMessages)
+func TestAPIMessagesMatchGolden(t *testing.T) {
+	compareMessages(t, "messages", apiMessages)
 }
 
-// The JSON of answers that are defined in other packages, and of requests to the state service, matches the golden files.
-func TestMessagesOfOtherPackagesStayOnTheWire(t *testing.T) {
-	pinAll(t, "messages", []message{
-		of[membership.View]("member-view"),
-		of[scheduler.DataView]("data-view"),
-		of[scheduler.DatasetView]("dataset-view"),
-		of[scheduler.CopyView]("copy-view"),
-		of[controller.RemovalView]("removal-view"),
-		of[revisions.Answer]("configuration-answer"),
-		of[configuration.Difference]("configuration-difference"),
-		of[configuration.FieldError]("document-mistake"),
-		of[dataset.Summary]("dataset-summary"),
-		of[dataset.Manifest]("dataset-manifest"),
-		of[store.Item]("state-item"),
-		of[store.Condition]("state-condition"),
-		of[store.Operation]("state-change"),
-		of[store.Event]("state-event"),
+// The JSON of answers that are defined in other packages, and of requests to the state service, matches the golden
+// files.
+func TestMessagesOfOtherPackagesMatchGolden(t *testing.T) {
+	compareMessages(t, "messages", []goldenMessage{
+		messageOf[membership.View]("member-view"),
+		messageOf[scheduler.DataView]("data-view"),
+		messageOf[scheduler.DatasetView]("dataset-view"),
+		messageOf[scheduler.CopyView]("copy-view"),
+		messageOf[controller.RemovalView]("removal-view"),
+		messageOf[revisions.Answer]("configuration-answer"),
+		messageOf[configuration.Difference]("configuration-difference"),
+		messageOf[configuration.FieldError]("document-mistake"),
+		messageOf[dataset.Summary]("dataset-summary"),
+		messageOf[dataset.Manifest]("dataset-manifest"),
+		messageOf[store.Item]("state-item"),
+		messageOf[store.Condition]("state-condition"),
+		messageOf[store.Operation]("state-change"),
+		messageOf[store.Event]("state-event"),
 	})
 }
 
 // Every exported struct of package api with JSON tags has a golden file.
-func TestEveryMessageIsPinned(t *testing.T) {
-	var pinned []string
+func TestEveryAPIMessageHasGoldenFile(t *testing.T) {
+	var names []string
 	for _, m := range apiMessages {
-		pinned = append(pinned, m.name)
+		names = append(names, m.name)
 	}
 	for _, name := range structsWithTags(t, "../../api") {
-		if !slices.Contains(pinned, name) {
+		if !slices.Contains(names, name) {
 			t.Errorf("api.%s has no golden file", name)
 		}
 	}
@@ -125,7 +126,7 @@
 }
 
 // The string values of the protocol's enumerations do not change.
-func TestWordsStayOnTheWire(t *testing.T) {
+func TestProtocolValuesDoNotChange(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{api.JobArray, "sweep"}, {api.Gang, "gang"}, {api.Service, "standing"},
 		{api.Pending, "pending"}, {api.Running, "running"}, {api.Done, "done"}, {api.Cancelled, "withdrawn"},
@@ -147,7 +148,7 @@
 }
 
 // Ranks have the order that the protocol defines.
-func TestRanksStayOnTheWire(t *testing.T) {
+func TestRankOrderDoesNotChange(t *testing.T) {
 	for level, rank := range []string{"low", "normal", "high", "prod"} {
 		var s api.Submission
 		decode(t, []byte(`{"rank":"`+rank+`"}`), &s)
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -17,11 +17,11 @@
 	"switchferry/store"
 )
 
-// smallValue is a maximum size of a value in bytes at which the packed test data needs several values.
-const smallValue = 400
+// maxValueBytes is a maximum size of a value in bytes at which the packed test data needs several values.
+const maxValueBytes = 400
 
-// manyBytes returns text that compresses poorly.
-func manyBytes() string {
+// incompressibleText returns text that compresses poorly.
+func incompressibleText() string {
 	random := rand.New(rand.NewPCG(1, 2))
 	text := make([]byte, 900)
 	for i := range text {
@@ -31,10 +31,10 @@
 }
 
 // A configuration revision is encoded into several parts and decoded from them.
-func TestConfigurationStaysAsStored(t *testing.T) {
+func TestPackedConfigurationMatchesGolden(t *testing.T) {
 	revision := filled[configuration.Revision]()
-	revision.Document = manyBytes()
-	head, parts, err := configuration.Encode(&revision, smallValue)
+	revision.Document = incompressibleText()
+	head, parts, err := configuration.Encode(&revision, maxValueBytes)
 	if err != nil || len(parts) < 2 {
 		t.Fatalf("%d parts, %v; want several", len(parts), err)
 	}
@@ -62,8 +62,8 @@
 }
 
 // Relayed messages are packed into packets: several messages in one packet, or one message in several fragments.
-func TestLettersStayAsStored(t *testing.T) {
-	long, err := json.Marshal(manyBytes())
+func TestRelayPacketsMatchGolden(t *testing.T) {
+	long, err := json.Marshal(incompressibleText())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,21 +75,21 @@
 		{"packed/letters-pieces.json", []relay.Message{{Name: "n-3", Body: long}}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			compare(t, c.file, encode(t, letters(t, c.messages)))
+			compare(t, c.file, encode(t, packMessages(t, c.messages)))
 			var stored []relay.Packet
 			decode(t, golden(t, c.file), &stored)
-			if read := messages(t, stored); !reflect.DeepEqual(read, c.messages) {
+			if read := unpackMessages(t, stored); !reflect.DeepEqual(read, c.messages) {
 				t.Errorf("unpacked as %s, want %s", read, c.messages)
 			}
 		})
 	}
 }
 
-// letters packs messages into packets.
-func letters(t *testing.T, all []relay.Message) []relay.Packet {
+// packMessages packs messages into packets.
+func packMessages(t *testing.T, all []relay.Message) []relay.Packet {
 	t.Helper()
 	now := time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC)
-	outbox := relay.NewOutbox(relay.Limits{Value: smallValue, Request: 60_000, Ops: 12}, 7)
+	outbox := relay.NewOutbox(relay.Limits{Value: maxValueBytes, Request: 60_000, Ops: 12}, 7)
 	outbox.Reset(1873)
 	for _, m := range all {
 		outbox.Put(m.Name, m.Body, true, now)
@@ -101,12 +101,12 @@
 	return batch.Packets
 }
 
-// messages unpacks packets into messages.
-func messages(t *testing.T, all []relay.Packet) (out []relay.Message) {
+// unpackMessages unpacks packets into messages.
+func unpackMessages(t *testing.T, all []relay.Packet) (out []relay.Message) {
 	t.Helper()
-	var joiner relay.Reassembler
-	for _, l := range all {
-		found, err := joiner.Unpack("n1", &l)
+	var reassembler relay.Reassembler
+	for _, packet := range all {
+		found, err := reassembler.Unpack("n1", &packet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,14 +116,14 @@
 }
 
 // A controller reads the packets in which the leader sends responses to machines behind that controller.
-func TestLeadersMailStaysAsStored(t *testing.T) {
+func TestRelayedCommandsMatchGolden(t *testing.T) {
 	body := json.RawMessage(encode(t, filled[store.RelayedCommands]()))
-	shelf := relay.NewMailbox(relay.Limits{Value: 4096, Request: 60_000, Ops: 12})
-	letter, _, _, err := shelf.BuildPacket(1873, shelf.AssignPacket("n-1"), func(string) json.RawMessage { return body })
+	mailbox := relay.NewMailbox(relay.Limits{Value: 4096, Request: 60_000, Ops: 12})
+	packet, _, _, err := mailbox.BuildPacket(1873, mailbox.AssignPacket("n-1"), func(string) json.RawMessage { return body })
 	if err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "packed/leaders-mail.json", encode(t, letter))
+	compare(t, "packed/leaders-mail.json", encode(t, packet))
 
 	var stored relay.Packet
 	decode(t, golden(t, "packed/leaders-mail.json"), &stored)
@@ -131,22 +131,22 @@
 	if err := reader.Apply(store.RelayResponseKey("n1", 0), 5, &stored); err != nil {
 		t.Fatal(err)
 	}
-	var mail store.RelayedCommands
-	decode(t, reader.MessageFor(1873, "n-1"), &mail)
-	if want := filled[store.RelayedCommands](); !reflect.DeepEqual(mail, want) {
-		t.Errorf("read as %+v, want %+v", mail, want)
+	var commands store.RelayedCommands
+	decode(t, reader.MessageFor(1873, "n-1"), &commands)
+	if want := filled[store.RelayedCommands](); !reflect.DeepEqual(commands, want) {
+		t.Errorf("read as %+v, want %+v", commands, want)
 	}
 }
 
 // The index of dataset parts on machines is encoded into a hint for the next leader and decoded from it.
-func TestHoldingsStayAsStored(t *testing.T) {
+func TestReplicaHintMatchesGolden(t *testing.T) {
 	index := replicas.New()
 	parts := roaring.BitmapOf(1, 2, 7)
 	index.Set("n-1", map[string]replicas.Replica{"inventory-7": {Parts: parts, Of: 9}})
 	number := func(name string) (replicas.MachineID, bool) { return index.ID(name), true }
-	hint, told, err := replicas.EncodeHint(index.Snapshot(), []string{"n-1"}, number, 4096)
-	if err != nil || told != 1 {
-		t.Fatalf("%d machines in the hint, %v", told, err)
+	hint, machines, err := replicas.EncodeHint(index.Snapshot(), []string{"n-1"}, number, 4096)
+	if err != nil || machines != 1 {
+		t.Fatalf("%d machines in the hint, %v", machines, err)
 	}
 	compare(t, "packed/holdings.json", encode(t, hint))
 
@@ -162,7 +162,7 @@
 }
 
 // The images on machines are encoded into a record that holds each image name once, and decoded from it.
-func TestImagesStayAsStored(t *testing.T) {
+func TestImagesRecordMatchesGolden(t *testing.T) {
 	machines := []softstate.Machine{
 		{Name: "n-1", Images: []fleet.Image{{Name: "img-07", GB: 6.5}, {Name: "img-08", GB: 2}}},
 		{Name: "n-2", Images: []fleet.Image{{Name: "img-08", GB: 2}}},
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -14,28 +14,28 @@
 )
 
 // Records in the state service are decoded and encoded as by the version in production.
-func TestRecordsStayAsStored(t *testing.T) {
-	pinAll(t, "records", []message{
-		of[store.LeaderRecord]("leader"),
-		of[store.JobRecord]("job"),
-		of[store.ShardRecord]("shard"),
-		of[store.FinalRecord]("final"),
-		of[store.InboxRecord]("inbox"),
-		of[store.ImagesRecord]("images"),
-		of[replicas.Hint]("holdings"),
-		of[dataset.Entry]("dataset"),
-		of[relay.Packet]("letter"),
-		of[relay.Message]("letter-message"),
-		of[store.RelayedCommands]("mail"),
-		of[upgrade.VersionMark]("version-mark"),
-		of[configuration.Head]("configuration-head"),
-		of[configuration.Part]("configuration-part"),
-		of[configuration.Revision]("configuration-revision"),
+func TestRecordsMatchGolden(t *testing.T) {
+	compareMessages(t, "records", []goldenMessage{
+		messageOf[store.LeaderRecord]("leader"),
+		messageOf[store.JobRecord]("job"),
+		messageOf[store.ShardRecord]("shard"),
+		messageOf[store.FinalRecord]("final"),
+		messageOf[store.InboxRecord]("inbox"),
+		messageOf[store.ImagesRecord]("images"),
+		messageOf[replicas.Hint]("holdings"),
+		messageOf[dataset.Entry]("dataset"),
+		messageOf[relay.Packet]("letter"),
+		messageOf[relay.Message]("letter-message"),
+		messageOf[store.RelayedCommands]("mail"),
+		messageOf[upgrade.VersionMark]("version-mark"),
+		messageOf[configuration.Head]("configuration-head"),
+		messageOf[configuration.Part]("configuration-part"),
+		messageOf[configuration.Revision]("configuration-revision"),
 	})
 }
 
 // Keys of the state service are as documented for operators.
-func TestKeysStayAsStored(t *testing.T) {
+func TestStateKeysDoNotChange(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{store.LeaderKey, "sf/leader"},
 		{store.JobKey("run-000412"), "sf/j/run-000412"},
@@ -61,7 +61,7 @@
 }
 
 // A shard's key is parsed into the shard's job, number and size.
-func TestShardKeysAreRead(t *testing.T) {
+func TestShardKeysAreParsed(t *testing.T) {
 	for _, want := range []store.Shard{store.ShardOf("run-000412", 900, tuning.ShardTasks), store.ShardOf("run-000412", 900, 64)} {
 		if got, ok := store.ParseShard(want.Key()); !ok || got != want {
 			t.Errorf("%s is parsed as %+v, %t", want.Key(), got, ok)
@@ -70,7 +70,7 @@
 }
 
 // The bitmap of done tasks is packed into text and unpacked from it.
-func TestDoneTasksStayAsStored(t *testing.T) {
+func TestTaskBitmapEncodingDoesNotChange(t *testing.T) {
 	shard := store.ShardOf("run-000412", 64, 64)
 	done := store.NewTaskBitmap(200)
 	for _, task := range []int{64, 67, 100} {
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	// agentQuota is the size of the cache in bytes.
-	agentQuota = 1 << 20
-	// agentPatience is the maximum time for which a test waits for copies.
-	agentPatience = 20 * time.Second
-	// storeData is the content of the dataset.
-	storeData = "the first chunk.the second one..the third chunk.the fourth one.."
-	// storeChunk is the size of a chunk in bytes.
-	storeChunk = 16
+	// agentCacheBytes is the size of the cache in bytes.
+	agentCacheBytes = 1 << 20
+	// copyTimeout is the maximum time for which a test waits for copies.
+	copyTimeout = 20 * time.Second
+	// datasetContent is the content of the dataset.
+	datasetContent = "the first chunk.the second one..the third chunk.the fourth one.."
+	// chunkBytes is the size of a chunk in bytes.
+	chunkBytes = 16
 )
 
 // startAgent runs an agent with its cache in the given directory until the test ends or end is called.
 func startAgent(t *testing.T, dir, store string) (a *dataagent.Agent, end func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	a, err := dataagent.New(ctx, dataagent.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, CacheBytes: agentQuota, Store: store, Clock: clockwork.NewRealClock()})
+	a, err := dataagent.New(ctx, dataagent.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, CacheBytes: agentCacheBytes, Store: store, Clock: clockwork.NewRealClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	return a, func() { stop(); <-done }
 }
 
-// pinnedParts returns the number of parts of a dataset that an agent holds pinned.
-func pinnedParts(a *dataagent.Agent, name string) uint64 {
+// pinnedPartCount returns the number of parts of a dataset that an agent holds pinned.
+func pinnedPartCount(a *dataagent.Agent, name string) uint64 {
 	for _, held := range a.Report(false).Pinned {
 		if held.Dataset == name {
 			return held.Parts.GetCardinality()
@@ -59,22 +59,22 @@
 // awaitParts waits until an agent holds the given number of parts of a dataset pinned.
 func awaitParts(t *testing.T, a *dataagent.Agent, name string, parts uint64) {
 	t.Helper()
-	for end := time.Now().Add(agentPatience); pinnedParts(a, name) != parts; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(copyTimeout); pinnedPartCount(a, name) != parts; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the agent has %d parts of %s pinned, want %d", pinnedParts(a, name), name, parts)
+			t.Fatalf("the agent has %d parts of %s pinned, want %d", pinnedPartCount(a, name), name, parts)
 		}
 	}
 }
 
-// stage has an agent copy parts 0 and 1 of a dataset with two chunks a part into a directory, and then writes part of another
-// chunk there.
-func stage(t *testing.T, dir string) {
+// stageParts has an agent copy parts 0 and 1 of a dataset with two chunks a part into a directory, and then writes part
+// of another chunk there.
+func stageParts(t *testing.T, dir string) {
 	t.Helper()
 	objects := fake.NewObjects()
-	manifest, digest := objects.Add("inventory-7", []byte(storeData), storeChunk, 2)
+	manifest, digest := objects.Add("inventory-7", []byte(datasetContent), chunkBytes, 2)
 	server := httptest.NewServer(objects)
 	defer server.Close()
-	a, end := startAgent(t, dir, server.URL)
+	a, stop := startAgent(t, dir, server.URL)
 	parts := []uint32{0, 1}
 	set := api.StageSet{Dataset: manifest.Name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
 	for _, part := range parts {
@@ -84,30 +84,30 @@
 		t.Fatalf("order accepted: %t, %v; want true", ok, err)
 	}
 	awaitParts(t, a, manifest.Name, uint64(len(parts)))
-	end()
-	leaveHalf(t, dir)
+	stop()
+	writePartialChunk(t, dir)
 }
 
-// leaveHalf writes the first bytes of a chunk into an agent's cache, as after an interrupted copy.
-func leaveHalf(t *testing.T, dir string) {
+// writePartialChunk writes the first bytes of a chunk into an agent's cache, as after an interrupted copy.
+func writePartialChunk(t *testing.T, dir string) {
 	t.Helper()
-	cache, err := dataagent.OpenCache(dir, agentQuota, nil)
+	cache, err := dataagent.OpenCache(dir, agentCacheBytes, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := []byte("a chunk that is cut off")
-	w, err := cache.Begin(dataset.Chunk{Digest: dataset.Sum(whole), Bytes: int64(len(whole))})
+	content := []byte("a chunk that is cut off")
+	writer, err := cache.Begin(dataset.Chunk{Digest: dataset.Sum(content), Bytes: int64(len(content))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Write(whole[:7]); err != nil {
+	if _, err := writer.Write(content[:7]); err != nil {
 		t.Fatal(err)
 	}
-	w.Leave()
+	writer.Leave()
 }
 
-// listing returns a directory as text: the path and the content of each file.
-func listing(t *testing.T, dir string) []byte {
+// listDirectory returns a directory as text: the path and the content of each file.
+func listDirectory(t *testing.T, dir string) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -128,10 +128,10 @@
 	return out.Bytes()
 }
 
-// restore recreates a directory from its listing.
-func restore(t *testing.T, raw []byte, dir string) {
+// restoreDirectory recreates a directory from its listing.
+func restoreDirectory(t *testing.T, listing []byte, dir string) {
 	t.Helper()
-	for _, file := range strings.Split("\n"+string(raw), "\n-- ")[1:] {
+	for _, file := range strings.Split("\n"+string(listing), "\n-- ")[1:] {
 		name, content, ok := strings.Cut(file, " --\n")
 		if !ok {
 			t.Fatalf("no file name in %q", file)
@@ -147,17 +147,17 @@
 }
 
 // An agent writes its cache to disk in the same format as the version in production.
-func TestAgentsStoreStaysAsStored(t *testing.T) {
+func TestAgentCacheFilesMatchGolden(t *testing.T) {
 	dir := t.TempDir()
-	stage(t, dir)
-	compare(t, "stager/store.txt", listing(t, dir))
+	stageParts(t, dir)
+	compare(t, "stager/store.txt", listDirectory(t, dir))
 }
 
-// An agent whose dataset store is unreachable restores the cache that another version wrote, and keeps and reports the same
-// parts.
-func TestAgentsStoreIsRead(t *testing.T) {
+// An agent whose dataset store is unreachable restores the cache that another version wrote, and keeps and reports the
+// same parts.
+func TestAgentReadsStoredCache(t *testing.T) {
 	dir := t.TempDir()
-	restore(t, golden(t, "stager/store.txt"), dir)
+	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
 	a, end := startAgent(t, dir, "http://127.0.0.1:1")
 	awaitParts(t, a, "inventory-7", 2)
 	report := a.Report(true)
@@ -165,16 +165,16 @@
 	// The sequence number depends on timing.
 	report.Seq = 1
 	compare(t, "stager/report.json", encode(t, report))
-	compare(t, "stager/store.read.txt", listing(t, dir))
+	compare(t, "stager/store.read.txt", listDirectory(t, dir))
 }
 
-// reports matches the sequence number of an agent's reports, which depends on timing.
-var reports = regexp.MustCompile(`"seq":[0-9]+`)
+// sequencePattern matches the sequence number of an agent's reports, which depends on timing.
+var sequencePattern = regexp.MustCompile(`"seq":[0-9]+`)
 
 // The answers of an agent's port to peers, the leader and operators match the golden file.
-func TestAgentsPortStaysOnTheWire(t *testing.T) {
+func TestAgentPortAnswersMatchGolden(t *testing.T) {
 	dir := t.TempDir()
-	restore(t, golden(t, "stager/store.txt"), dir)
+	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
 	a, end := startAgent(t, dir, "http://127.0.0.1:1")
 	defer end()
 	awaitParts(t, a, "inventory-7", 2)
@@ -201,7 +201,7 @@
 		}
 		w := httptest.NewRecorder()
 		a.Handler().ServeHTTP(w, request)
-		answer := reports.ReplaceAllString(strings.TrimSpace(w.Body.String()), `"seq":COUNT`)
+		answer := sequencePattern.ReplaceAllString(strings.TrimSpace(w.Body.String()), `"seq":COUNT`)
 		fmt.Fprintf(&all, "%s %s %s %s\n  %d %s\n  %s\n", c.method, c.path, c.bytes, c.body, w.Code, w.Header().Get("Content-Type"), answer)
 	}
 	compare(t, "stager/port.txt", all.Bytes())
