--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -85,8 +85,8 @@
 // Finished returns when the last task completed, zero before.
 func (job *AuditedJob) Finished() time.Time { return job.finished }
 
-// NewAudit returns an audit without jobs. A team whose CPUsMax is 0 has no limit. A cancellation must take effect within
-// workers.CancelS seconds.
+// NewAudit returns an audit without jobs. A team whose CPUsMax is 0 has no limit. A cancellation must take effect
+// within workers.CancelS seconds.
 func NewAudit(teams []settings.Team, workers settings.Workers) *Audit {
 	audit := &Audit{cancelWithin: seconds(workers.CancelS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, placements: fake.Placements[string]{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
 	for _, team := range teams {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -93,7 +93,8 @@
 	Returned func(w *Worker, running int)
 }
 
-// Controller is one member of the cluster. It has at most one process at a time and can be started again after it ended.
+// Controller is one member of the cluster. It has at most one process at a time and can be started again after it
+// ended.
 type Controller struct {
 	Settings *settings.Settings
 	cluster  *Cluster
@@ -149,31 +150,31 @@
 // configure opens the ports through which controllers reach each other and the fakes, and writes the controllers'
 // settings.
 func (cluster *Cluster) configure() error {
-	free, err := allocateAddresses(cluster.ctx, 2*len(cluster.options.Zones))
+	addresses, err := allocateAddresses(cluster.ctx, 2*len(cluster.options.Zones))
 	if err != nil {
 		return err
 	}
 	name := func(index int) string { return fmt.Sprintf("n%d", index) }
 	for index, zone := range cluster.options.Zones {
-		set := &settings.Settings{Member: name(index), Zone: zone, Listen: free[2*index], PeerListen: free[2*index+1], Facts: cluster.options.Facts}
+		controllerSettings := &settings.Settings{Member: name(index), Zone: zone, Listen: addresses[2*index], PeerListen: addresses[2*index+1], Facts: cluster.options.Facts}
 		for j, other := range cluster.options.Zones {
 			if j == index {
 				continue
 			}
-			link, err := cluster.newLink(peerLink{target: free[2*j+1], kind: fmt.Sprintf("siblings of %s", name(index)), fromZone: zone, toZone: other, fromMember: name(index), toMember: name(j)})
+			link, err := cluster.newLink(peerLink{target: addresses[2*j+1], kind: fmt.Sprintf("siblings of %s", name(index)), fromZone: zone, toZone: other, fromMember: name(index), toMember: name(j)})
 			if err != nil {
 				return err
 			}
-			set.Peers = append(set.Peers, settings.Peer{Member: name(j), Zone: other, Address: link})
+			controllerSettings.Peers = append(controllerSettings.Peers, settings.Peer{Member: name(j), Zone: other, Address: link})
 		}
-		if set.External.State, err = cluster.serveRegional(cluster.addStateLink(name(index)), "state", name(index), zone); err != nil {
+		if controllerSettings.External.State, err = cluster.serveRegional(cluster.addStateLink(name(index)), "state", name(index), zone); err != nil {
 			return err
 		}
-		if set.External.Cloud, err = cluster.serveRegional(cluster.Cloud, "cloud", name(index), zone); err != nil {
+		if controllerSettings.External.Cloud, err = cluster.serveRegional(cluster.Cloud, "cloud", name(index), zone); err != nil {
 			return err
 		}
-		cluster.Controllers = append(cluster.Controllers, &Controller{Settings: set, cluster: cluster})
-		raw, err := toml.Marshal(set)
+		cluster.Controllers = append(cluster.Controllers, &Controller{Settings: controllerSettings, cluster: cluster})
+		raw, err := toml.Marshal(controllerSettings)
 		if err == nil {
 			err = os.WriteFile(cluster.settingsFile(name(index)), raw, 0o600)
 		}
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -177,8 +177,8 @@
 	})
 }
 
-// isBlocked reports whether messages of a direction are blocked, and returns a channel that is closed when that may have
-// changed.
+// isBlocked reports whether messages of a direction are blocked, and returns a channel that is closed when that may
+// have changed.
 func (worker *Worker) isBlocked(direction messageDirection) (bool, <-chan struct{}) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/internal/fake/leases.go
+++ b/internal/fake/leases.go
@@ -27,7 +27,8 @@
 	return reply(http.StatusOK, map[string]any{"ticket": id})
 }
 
-// renewOrRevokeLease renews the lease in the request's path, or revokes it if the method is DELETE. The caller holds mu.
+// renewOrRevokeLease renews the lease in the request's path, or revokes it if the method is DELETE. The caller holds
+// mu.
 func (state *State) renewOrRevokeLease(request *http.Request) (*http.Response, error) {
 	id, _ := strconv.ParseUint(strings.Split(request.URL.Path, "/")[2], 10, 64)
 	if _, ok := state.leaseExpiries[id]; !ok {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -1,7 +1,7 @@
 // Package fake provides in-process fakes of the services around the controllers, for tests, the simulation and
-// experiments: the state service, the cloud, the dataset store and the workers. They follow the protocol and enforce its
-// limits, support fault injection, and run on the caller's clock. They store nothing on disk, and their tasks execute
-// nothing.
+// experiments: the state service, the cloud, the dataset store and the workers. They follow the protocol and enforce
+// its limits, support fault injection, and run on the caller's clock. They store nothing on disk, and their tasks
+// execute nothing.
 package fake
 
 import (
@@ -97,15 +97,15 @@
 	writes   *rate.Limiter
 	// history holds the newest changes, oldest first, for watches.
 	history []change
-	// oldestDropped is the newest revision whose changes may no longer be in history.
-	oldestDropped uint64
+	// newestDropped is the newest revision whose changes may have been dropped from history.
+	newestDropped uint64
 	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
 // NewState returns an empty service that accepts values of 16 KiB and transactions of 24 changes, without rate limits.
 func NewState(clock clockwork.Clock) *State {
-	s := &State{clock: clock, records: map[string]record{}, leaseExpiries: map[uint64]time.Time{}, leaseLifetimes: map[uint64]time.Duration{}, revision: 10, oldestDropped: 10,
+	s := &State{clock: clock, records: map[string]record{}, leaseExpiries: map[uint64]time.Time{}, leaseLifetimes: map[uint64]time.Duration{}, revision: 10, newestDropped: 10,
 		Refused: map[string]int{}, changesByKind: map[string]int{}, changed: make(chan struct{})}
 	s.Limit(Limits{ValueKB: 16, TxnOps: 24})
 	return s
--- a/internal/fake/watch.go
+++ b/internal/fake/watch.go
@@ -29,7 +29,7 @@
 	}
 	timeout := state.clock.After(wait)
 	for timedOut := wait == 0; ; {
-		if after < state.oldestDropped {
+		if after < state.newestDropped {
 			return reply(http.StatusGone, map[string]any{"epoch": state.revision})
 		}
 		changes := state.changesAfter(after, query.Get("under"))
@@ -64,8 +64,8 @@
 	return changes
 }
 
-// nextLeaseExpiry returns a channel that receives when the next lease expires, which deletes the records attached to it.
-// It returns nil if there is no lease. The caller holds mu.
+// nextLeaseExpiry returns a channel that receives when the next lease expires, which deletes the records attached to
+// it. It returns nil if there is no lease. The caller holds mu.
 func (state *State) nextLeaseExpiry() (ends <-chan time.Time) {
 	var earliest time.Duration
 	for _, end := range state.leaseExpiries {
@@ -81,7 +81,7 @@
 func (state *State) recordChanges(changes ...change) {
 	state.history = append(state.history, changes...)
 	if n := len(state.history) - maxHistory; n > 0 {
-		state.oldestDropped = state.history[n-1].Stamp
+		state.newestDropped = state.history[n-1].Stamp
 		state.history = slices.Clone(state.history[n:])
 	}
 	close(state.changed)
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -77,8 +77,8 @@
 	BusyStart
 )
 
-// attemptKey identifies an attempt of a task. A worker may have several attempts of a task, of which at most one has not
-// exited.
+// attemptKey identifies an attempt of a task. A worker may have several attempts of a task, of which at most one has
+// not exited.
 type attemptKey struct {
 	task    string
 	attempt uint64
@@ -257,13 +257,13 @@
 	if worker.imagePull == nil {
 		return now
 	}
-	image, duration := worker.imagePull(task)
+	image, pullDuration := worker.imagePull(task)
 	readyAt, ok := worker.cachedImages[image]
 	if !ok {
 		if worker.pullingUntil.Before(now) {
 			worker.pullingUntil = now
 		}
-		worker.pullingUntil = worker.pullingUntil.Add(duration)
+		worker.pullingUntil = worker.pullingUntil.Add(pullDuration)
 		readyAt = worker.pullingUntil
 		worker.cachedImages[image] = readyAt
 	}
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -28,8 +28,8 @@
 	return attempts
 }
 
-// A worker refuses an attempt while another attempt of the task has not exited, runs it once all others have exited, and
-// runs a cleared attempt again.
+// A worker refuses an attempt while another attempt of the task has not exited, runs it once all others have exited,
+// and runs a cleared attempt again.
 func TestWorkerRunsOneAttemptOfTaskAtATime(t *testing.T) {
 	cause := ""
 	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
--- a/internal/golden/cli_test.go
+++ b/internal/golden/cli_test.go
@@ -73,11 +73,11 @@
 }
 
 // ServeHTTP records the request and answers it by its method and path, with 404 if there is no response for them.
-func (c *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (controller *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	request := r.Method + " " + r.URL.RequestURI()
-	fmt.Fprintf(&c.requests, "> %s %s\n", request, body)
-	answer, ok := c.responses[request]
+	fmt.Fprintf(&controller.requests, "> %s %s\n", request, body)
+	answer, ok := controller.responses[request]
 	if !ok {
 		answer = response{http.StatusNotFound, `{"error":"Not Found"}`}
 	}
@@ -156,7 +156,8 @@
 	compare(t, "cli/users.txt", []byte(all.String()))
 }
 
-// compareManifest compares the manifest file that commands read with a newly built one. With -update it writes the file.
+// compareManifest compares the manifest file that commands read with a newly built one. With -update it writes the
+// file.
 func compareManifest(t *testing.T) {
 	t.Helper()
 	m, err := dataset.Build("inventory-7", strings.NewReader(strings.Repeat("0123456789", 100)), 300, 2, nil)
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -59,29 +59,29 @@
 
 // Every field of a settings file is read under its documented name, and the encoded settings are read back unchanged.
 func TestSettingsFileIsRead(t *testing.T) {
-	set, err := settings.Load("testdata/files/settings.toml")
+	loaded, err := settings.Load("testdata/files/settings.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireAllFieldsSet(t, set)
-	compare(t, "files/settings.read.toml", encodeTOML(t, set))
-	again, err := settings.Parse(golden(t, "files/settings.read.toml"))
-	if err != nil || !reflect.DeepEqual(again, set) {
-		t.Errorf("the encoded settings are read as %+v, %v; want %+v", again, err, set)
+	requireAllFieldsSet(t, loaded)
+	compare(t, "files/settings.read.toml", encodeTOML(t, loaded))
+	reloaded, err := settings.Parse(golden(t, "files/settings.read.toml"))
+	if err != nil || !reflect.DeepEqual(reloaded, loaded) {
+		t.Errorf("the encoded settings are read as %+v, %v; want %+v", reloaded, err, loaded)
 	}
 }
 
 // Every field of a features file is read under its documented name, and omitted fields have their defaults.
 func TestFeaturesFileIsRead(t *testing.T) {
-	on, err := features.Load("testdata/files/features.toml")
+	loaded, err := features.Load("testdata/files/features.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireAllFieldsSet(t, on)
-	compare(t, "files/features.read.toml", encodeTOML(t, on))
-	again, err := features.Parse(golden(t, "files/features.read.toml"))
-	if err != nil || !reflect.DeepEqual(again, on) {
-		t.Errorf("the encoded features are read as %+v, %v; want %+v", again, err, on)
+	requireAllFieldsSet(t, loaded)
+	compare(t, "files/features.read.toml", encodeTOML(t, loaded))
+	reloaded, err := features.Parse(golden(t, "files/features.read.toml"))
+	if err != nil || !reflect.DeepEqual(reloaded, loaded) {
+		t.Errorf("the encoded features are read as %+v, %v; want %+v", reloaded, err, loaded)
 	}
 
 	defaults, err := features.Parse(nil)
@@ -92,22 +92,22 @@
 }
 
 // describeTopology lists a topology's domains, and the domains and devices of some machines.
-func describeTopology(m *topology.Map) []byte {
+func describeTopology(topologyMap *topology.Map) []byte {
 	var out bytes.Buffer
-	fmt.Fprintf(&out, "version %d\n", m.Version())
-	for _, d := range m.Domains() {
-		in := "nothing"
+	fmt.Fprintf(&out, "version %d\n", topologyMap.Version())
+	for _, d := range topologyMap.Domains() {
+		parent := "nothing"
 		if d.Parent != nil {
-			in = d.Parent.Name
+			parent = d.Parent.Name
 		}
-		fmt.Fprintf(&out, "%s %s in %s, machines %q\n", d.Level, d.Name, in, d.Patterns())
+		fmt.Fprintf(&out, "%s %s in %s, machines %q\n", d.Level, d.Name, parent, d.Patterns())
 	}
 	for _, machine := range []string{"n-000001", "n-00011", "n-000200", "n-000300"} {
 		domain := "nothing"
-		if d, _ := m.Of(machine); d != nil {
+		if d, _ := topologyMap.Of(machine); d != nil {
 			domain = d.Name
 		}
-		devices, known := m.DevicesOf(machine)
+		devices, known := topologyMap.DevicesOf(machine)
 		fmt.Fprintf(&out, "%s in %s, devices %d linked %v, known %t\n", machine, domain, devices.Count, devices.Linked, known)
 	}
 	return out.Bytes()
@@ -116,19 +116,19 @@
 // Every field of a topology file is read, and the encoded topology is read back unchanged.
 func TestTopologyFileIsRead(t *testing.T) {
 	raw := golden(t, "files/topology.toml")
-	m, err := topology.Parse(raw)
+	loaded, err := topology.Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "files/topology.read.txt", describeTopology(m))
+	compare(t, "files/topology.read.txt", describeTopology(loaded))
 
 	var declared topology.Declaration
 	if err := toml.Unmarshal(raw, &declared); err != nil {
 		t.Fatal(err)
 	}
 	compare(t, "files/topology.read.toml", encodeTOML(t, declared))
-	again, err := topology.Parse(golden(t, "files/topology.read.toml"))
-	if err != nil || !bytes.Equal(describeTopology(again), describeTopology(m)) {
+	reloaded, err := topology.Parse(golden(t, "files/topology.read.toml"))
+	if err != nil || !bytes.Equal(describeTopology(reloaded), describeTopology(loaded)) {
 		t.Errorf("the encoded topology is read as a different one, %v", err)
 	}
 }
--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -79,34 +79,34 @@
 }
 
 // read returns the next frame with its length prefix.
-func (e *testConn) read() []byte {
-	e.t.Helper()
-	head, err := e.reader.Peek(4)
+func (connection *testConn) read() []byte {
+	connection.t.Helper()
+	head, err := connection.reader.Peek(4)
 	if err != nil {
-		e.t.Fatal(err)
+		connection.t.Fatal(err)
 	}
 	raw := make([]byte, 4+binary.LittleEndian.Uint32(head))
-	if _, err := io.ReadFull(e.reader, raw); err != nil {
-		e.t.Fatal(err)
+	if _, err := io.ReadFull(connection.reader, raw); err != nil {
+		connection.t.Fatal(err)
 	}
 	return raw
 }
 
 // expect reads a frame and compares it with a golden file.
-func (e *testConn) expect(file string) {
-	e.t.Helper()
-	compare(e.t, file, append([]byte(hex.EncodeToString(e.read())), '\n'))
+func (connection *testConn) expect(file string) {
+	connection.t.Helper()
+	compare(connection.t, file, append([]byte(hex.EncodeToString(connection.read())), '\n'))
 }
 
 // send sends the frame in a golden file.
-func (e *testConn) send(file string) {
-	e.t.Helper()
-	raw, err := hex.DecodeString(string(bytes.TrimSpace(golden(e.t, file))))
+func (connection *testConn) send(file string) {
+	connection.t.Helper()
+	raw, err := hex.DecodeString(string(bytes.TrimSpace(golden(connection.t, file))))
 	if err != nil {
-		e.t.Fatal(err)
+		connection.t.Fatal(err)
 	}
-	if _, err := e.conn.Write(raw); err != nil {
-		e.t.Fatal(err)
+	if _, err := connection.conn.Write(raw); err != nil {
+		connection.t.Fatal(err)
 	}
 }
 
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -116,8 +116,8 @@
 		t.Fatalf("%s has %d lines", file, len(lines))
 	}
 	for _, c := range []struct{ stored, want []byte }{{lines[0], lines[0]}, {lines[1], lines[2]}} {
-		if again := reencode[T](t, c.stored); !bytes.Equal(again, c.want) {
-			t.Errorf("a line of %s is decoded and encoded again as\n%s, want\n%s", file, again, c.want)
+		if reencoded := reencode[T](t, c.stored); !bytes.Equal(reencoded, c.want) {
+			t.Errorf("a line of %s is decoded and encoded again as\n%s, want\n%s", file, reencoded, c.want)
 		}
 	}
 }
--- a/internal/golden/http_test.go
+++ b/internal/golden/http_test.go
@@ -68,13 +68,13 @@
 type idleListener chan struct{}
 
 // Accept waits until the port is closed.
-func (p idleListener) Accept() (net.Conn, error) { <-p; return nil, net.ErrClosed }
+func (listener idleListener) Accept() (net.Conn, error) { <-listener; return nil, net.ErrClosed }
 
 // Close does nothing. The creator of the listener closes the channel.
-func (p idleListener) Close() error { return nil }
+func (listener idleListener) Close() error { return nil }
 
 // Addr returns a placeholder that no code reads.
-func (p idleListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (listener idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // verbRecorder records the verb and the job of the last request to a controller.
 type verbRecorder struct {
@@ -133,7 +133,8 @@
 	}
 }
 
-// sendRequest sends a request to a handler and returns the request, its verb between controllers and the answer as text.
+// sendRequest sends a request to a handler and returns the request, its verb between controllers and the answer as
+// text.
 func sendRequest(handler http.Handler, recorder *verbRecorder, method, path, body string) string {
 	recorder.last = ""
 	w := httptest.NewRecorder()
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -45,19 +45,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var stored []json.RawMessage
-	decode(t, golden(t, "packed/configuration-parts.json"), &stored)
+	var storedParts []json.RawMessage
+	decode(t, golden(t, "packed/configuration-parts.json"), &storedParts)
 	parts = nil
-	for _, raw := range stored {
+	for _, raw := range storedParts {
 		part, err := configuration.ParsePart(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		parts = append(parts, part)
 	}
-	read, err := configuration.Decode(head.Number, head.Digest, parts)
-	if err != nil || *read != revision {
-		t.Errorf("decoded as %+v, %v; want %+v", read, err, revision)
+	decoded, err := configuration.Decode(head.Number, head.Digest, parts)
+	if err != nil || *decoded != revision {
+		t.Errorf("decoded as %+v, %v; want %+v", decoded, err, revision)
 	}
 }
 
@@ -78,8 +78,8 @@
 			compare(t, c.file, encode(t, packMessages(t, c.messages)))
 			var stored []relay.Packet
 			decode(t, golden(t, c.file), &stored)
-			if read := unpackMessages(t, stored); !reflect.DeepEqual(read, c.messages) {
-				t.Errorf("unpacked as %s, want %s", read, c.messages)
+			if unpacked := unpackMessages(t, stored); !reflect.DeepEqual(unpacked, c.messages) {
+				t.Errorf("unpacked as %s, want %s", unpacked, c.messages)
 			}
 		})
 	}
@@ -134,7 +134,7 @@
 	var commands store.RelayedCommands
 	decode(t, reader.MessageFor(1873, "n-1"), &commands)
 	if want := filled[store.RelayedCommands](); !reflect.DeepEqual(commands, want) {
-		t.Errorf("read as %+v, want %+v", commands, want)
+		t.Errorf("decoded as %+v, want %+v", commands, want)
 	}
 }
 
@@ -152,12 +152,12 @@
 
 	var stored replicas.Hint
 	decode(t, golden(t, "packed/holdings.json"), &stored)
-	held, err := stored.Decode()
+	decoded, err := stored.Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read := held["n-1"]["inventory-7"]; read.Of != 9 || !read.Parts.Equals(parts) {
-		t.Errorf("decoded as %d of %d parts, want 3 of 9", read.Parts.GetCardinality(), read.Of)
+	if replica := decoded["n-1"]["inventory-7"]; replica.Of != 9 || !replica.Parts.Equals(parts) {
+		t.Errorf("decoded as %d of %d parts, want 3 of 9", replica.Parts.GetCardinality(), replica.Of)
 	}
 }
 
@@ -168,13 +168,13 @@
 		{Name: "n-2", Images: []fleet.Image{{Name: "img-08", GB: 2}}},
 	}
 	compare(t, "packed/images.json", encode(t, softstate.EncodeImages(machines, 4096)))
-	held, err := softstate.DecodeImages(golden(t, "packed/images.json"))
+	decoded, err := softstate.DecodeImages(golden(t, "packed/images.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range machines {
-		if !reflect.DeepEqual(held[m.Name], m.Images) {
-			t.Errorf("images of %s decoded as %v, want %v", m.Name, held[m.Name], m.Images)
+		if !reflect.DeepEqual(decoded[m.Name], m.Images) {
+			t.Errorf("images of %s decoded as %v, want %v", m.Name, decoded[m.Name], m.Images)
 		}
 	}
 }
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -80,8 +80,8 @@
 	if got := done.Pack(shard); got != want {
 		t.Errorf("packed as %q, want %q", got, want)
 	}
-	read := store.NewTaskBitmap(200)
-	if err := read.Unpack(shard, want); err != nil || !bytes.Equal(read, done) {
-		t.Errorf("unpacked as %v, %v; want %v", read, err, done)
+	unpacked := store.NewTaskBitmap(200)
+	if err := unpacked.Unpack(shard, want); err != nil || !bytes.Equal(unpacked, done) {
+		t.Errorf("unpacked as %v, %v; want %v", unpacked, err, done)
 	}
 }
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -33,22 +33,22 @@
 	chunkBytes = 16
 )
 
-// startAgent runs an agent with its cache in the given directory until the test ends or end is called.
-func startAgent(t *testing.T, dir, store string) (a *dataagent.Agent, end func()) {
+// startAgent runs an agent with its cache in the given directory until the test ends or stopAgent is called.
+func startAgent(t *testing.T, dir, store string) (agent *dataagent.Agent, stopAgent func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	a, err := dataagent.New(ctx, dataagent.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, CacheBytes: agentCacheBytes, Store: store, Clock: clockwork.NewRealClock()})
+	agent, err := dataagent.New(ctx, dataagent.Options{Machine: "n-000001", Address: "10.0.0.1:9100", Dir: dir, CacheBytes: agentCacheBytes, Store: store, Clock: clockwork.NewRealClock()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { a.Run(ctx); close(done) }()
-	return a, func() { stop(); <-done }
+	go func() { agent.Run(ctx); close(done) }()
+	return agent, func() { stop(); <-done }
 }
 
 // pinnedPartCount returns the number of parts of a dataset that an agent holds pinned.
-func pinnedPartCount(a *dataagent.Agent, name string) uint64 {
-	for _, held := range a.Report(false).Pinned {
+func pinnedPartCount(agent *dataagent.Agent, name string) uint64 {
+	for _, held := range agent.Report(false).Pinned {
 		if held.Dataset == name {
 			return held.Parts.GetCardinality()
 		}
@@ -57,11 +57,11 @@
 }
 
 // awaitParts waits until an agent holds the given number of parts of a dataset pinned.
-func awaitParts(t *testing.T, a *dataagent.Agent, name string, parts uint64) {
+func awaitParts(t *testing.T, agent *dataagent.Agent, name string, parts uint64) {
 	t.Helper()
-	for end := time.Now().Add(copyTimeout); pinnedPartCount(a, name) != parts; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(copyTimeout); pinnedPartCount(agent, name) != parts; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the agent has %d parts of %s pinned, want %d", pinnedPartCount(a, name), name, parts)
+			t.Fatalf("the agent has %d parts of %s pinned, want %d", pinnedPartCount(agent, name), name, parts)
 		}
 	}
 }
@@ -74,16 +74,16 @@
 	manifest, digest := objects.Add("inventory-7", []byte(datasetContent), chunkBytes, 2)
 	server := httptest.NewServer(objects)
 	defer server.Close()
-	a, stop := startAgent(t, dir, server.URL)
+	agent, stop := startAgent(t, dir, server.URL)
 	parts := []uint32{0, 1}
 	set := api.StageSet{Dataset: manifest.Name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
 	for _, part := range parts {
 		set.Copies = append(set.Copies, api.StageCopy{Part: int(part), From: []api.StageSource{{Store: true}}})
 	}
-	if ok, err := a.Apply(&api.StageOrder{Term: 1873, Order: 5, Sets: []api.StageSet{set}}); !ok || err != nil {
+	if ok, err := agent.Apply(&api.StageOrder{Term: 1873, Order: 5, Sets: []api.StageSet{set}}); !ok || err != nil {
 		t.Fatalf("order accepted: %t, %v; want true", ok, err)
 	}
-	awaitParts(t, a, manifest.Name, uint64(len(parts)))
+	awaitParts(t, agent, manifest.Name, uint64(len(parts)))
 	stop()
 	writePartialChunk(t, dir)
 }
@@ -158,10 +158,10 @@
 func TestAgentReadsStoredCache(t *testing.T) {
 	dir := t.TempDir()
 	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
-	a, end := startAgent(t, dir, "http://127.0.0.1:1")
-	awaitParts(t, a, "inventory-7", 2)
-	report := a.Report(true)
-	end()
+	agent, stop := startAgent(t, dir, "http://127.0.0.1:1")
+	awaitParts(t, agent, "inventory-7", 2)
+	report := agent.Report(true)
+	stop()
 	// The sequence number depends on timing.
 	report.Seq = 1
 	compare(t, "stager/report.json", encode(t, report))
@@ -175,9 +175,9 @@
 func TestAgentPortAnswersMatchGolden(t *testing.T) {
 	dir := t.TempDir()
 	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
-	a, end := startAgent(t, dir, "http://127.0.0.1:1")
-	defer end()
-	awaitParts(t, a, "inventory-7", 2)
+	agent, stop := startAgent(t, dir, "http://127.0.0.1:1")
+	defer stop()
+	awaitParts(t, agent, "inventory-7", 2)
 	const chunk, manifest = "e24ed97ccb1da8f0391bf5f6b125e31d5e6d796ebc001d203fc99d1e93ebcbf6", "f92d09a34602c40cd2e20a7db26240497dc414b8469b113dc991e80dd3c05efa"
 	var all bytes.Buffer
 	for _, c := range []struct{ method, path, bytes, body string }{
@@ -200,7 +200,7 @@
 			request.Header.Set("Range", c.bytes)
 		}
 		w := httptest.NewRecorder()
-		a.Handler().ServeHTTP(w, request)
+		agent.Handler().ServeHTTP(w, request)
 		answer := sequencePattern.ReplaceAllString(strings.TrimSpace(w.Body.String()), `"seq":COUNT`)
 		fmt.Fprintf(&all, "%s %s %s %s\n  %d %s\n  %s\n", c.method, c.path, c.bytes, c.body, w.Code, w.Header().Get("Content-Type"), answer)
 	}
