--- a/internal/cluster/addresses.go
+++ b/internal/cluster/addresses.go
@@ -9,9 +9,9 @@
 	"sync"
 )
 
-// Controllers listen on ports below the kernel's ephemeral range, [firstPort, endPort). While a controller's process is
-// down, nothing listens on its port. If the port were ephemeral, a controller of another cluster could be given it and
-// would then answer requests about jobs with the same ids.
+// Controllers listen on ports in [firstPort, endPort), below the kernel's ephemeral range. While a controller's
+// process is down, nothing listens on its port. With ephemeral ports, a controller of another cluster was once given
+// such a port and answered requests about jobs with the same ids.
 const (
 	firstPort = 15_000
 	endPort   = 32_000
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -128,7 +128,7 @@
 	return cluster, nil
 }
 
-// Close ends all processes, servers and goroutines of the cluster and removes its directory.
+// Close ends everything that the cluster started and removes its directory.
 func (cluster *Cluster) Close() {
 	cluster.stop()
 	for _, controller := range cluster.Controllers {
@@ -235,7 +235,7 @@
 	controller.endProcess(func(p *os.Process) { _ = p.Signal(syscall.SIGTERM) })
 }
 
-// endProcess calls how to end the process, if one runs, and waits for its end.
+// endProcess calls end with the process, if one runs, and waits for the process to exit.
 func (controller *Controller) endProcess(end func(*os.Process)) {
 	controller.mu.Lock()
 	defer controller.mu.Unlock()
@@ -307,8 +307,8 @@
 // ErrTimeout is returned when a condition did not hold before a timeout.
 var ErrTimeout = errors.New("not in time")
 
-// Until polls f every 200 ms until it returns true. It returns ErrTimeout after the timeout, or the context's error if
-// the cluster is closed.
+// Until polls the condition every 200 ms until it holds. It returns ErrTimeout after the timeout, or the context's
+// error if the cluster is closed.
 func (cluster *Cluster) Until(timeout time.Duration, condition func() bool) error {
 	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) {
--- a/internal/cluster/questions.go
+++ b/internal/cluster/questions.go
@@ -142,7 +142,7 @@
 type AuditCounts struct {
 	// Questions counts requests, Answers those that were answered, and Crossed the answers that arrived after a newer one.
 	Questions, Answers, Crossed int
-	// Told counts jobs whose user was given a terminal state, Leaders the terms under which tasks were started.
+	// Told counts jobs whose user was given a terminal state, LeaderTerms the terms under which tasks were started.
 	Told, LeaderTerms int
 }
 
