--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -2,37 +2,38 @@
 
 import "net/http"
 
-// Late is a request whose answer is held back until Answer is called.
+// Late controls the answer to a delayed request.
 type Late struct {
-	// Asked is closed once the request arrived.
-	Asked    chan struct{}
+	// Asked is closed when the request arrives.
+	Asked chan struct{}
+	// released is closed when the answer may be sent.
 	released chan struct{}
-	executed bool
+	// executeOnArrival executes the request when it arrives, not when the answer is released.
+	executeOnArrival bool
 }
 
-// Answer releases the answer. It must be called once.
-func (l *Late) Answer() { close(l.released) }
+// Answer releases the answer. It must be called exactly once.
+func (late *Late) Answer() { close(late.released) }
 
-// LateNext holds back the answer to the next transaction, which is executed at once or, if executed is false, when the
-// answer is released.
-func (state *State) LateNext(executed bool) *Late {
+// LateNext delays the answer to the next transaction until the result releases it. The transaction is executed on
+// arrival if executeOnArrival is true, and on release otherwise.
+func (state *State) LateNext(executeOnArrival bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.delayedWrite = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executed: executed}
-	return state.delayedWrite
+	state.delayedTransaction = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
+	return state.delayedTransaction
 }
 
-// LateRead holds back the answer to the next read of a key, which is executed at once or, if executed is false, when the
-// answer is released.
-func (state *State) LateRead(executed bool) *Late {
+// LateRead delays the answer to the next read of a key until the result releases it. The read is executed on arrival if
+// executeOnArrival is true, and on release otherwise.
+func (state *State) LateRead(executeOnArrival bool) *Late {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.delayedRead = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executed: executed}
+	state.delayedRead = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
 	return state.delayedRead
 }
 
-// awaitRelease waits until the answer is released. It is called, and returns, with mu held, which it releases while it
-// waits.
+// awaitRelease waits until the answer is released. The caller holds mu, which is unlocked during the wait.
 func (state *State) awaitRelease(late *Late) {
 	close(late.Asked)
 	state.mu.Unlock()
@@ -40,24 +41,24 @@
 	state.mu.Lock()
 }
 
-// serveDelayed executes a transaction whose answer is held back. It is called, and returns, with mu held.
+// serveDelayed executes a transaction whose answer is delayed. The caller holds mu, which is unlocked during the wait.
 func (state *State) serveDelayed(late *Late, transaction transactionRequest) (resp *http.Response, err error) {
-	if late.executed {
+	if late.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
 	state.awaitRelease(late)
-	if !late.executed {
+	if !late.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
 	return resp, err
 }
 
-// Deliver executes the transactions that HoldNext held back; nobody gets their answers.
+// Deliver executes the transactions that HoldNext held back, in order, and discards their answers.
 func (state *State) Deliver() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for _, transaction := range state.heldTransactions {
-		_, _ = state.apply(transaction) //nolint:bodyclose // The answer holds no resources, and nobody gets it.
+		_, _ = state.apply(transaction) //nolint:bodyclose // The answer holds no resources.
 	}
 	state.heldTransactions = nil
 }
--- a/internal/golden/cli_test.go
+++ b/internal/golden/cli_test.go
@@ -17,10 +17,11 @@
 	"switchferry/experiment"
 )
 
-// execute runs the program and gives its output, and its error with the exit code.
+// execute runs the program and returns its standard output, followed by its standard error and, if it failed, its exit
+// code.
 func execute(t *testing.T, args ...string) string {
 	t.Helper()
-	// The user's name is a default.
+	// Some flags default to the user's name.
 	t.Setenv("USER", "operator")
 	var out, errs bytes.Buffer
 	root := cli.Root()
@@ -36,8 +37,8 @@
 	return out.String()
 }
 
-// Help of every command, with its flags and their defaults, stays.
-func TestHelpStays(t *testing.T) {
+// The help of all commands, with flags and their defaults, matches the golden file.
+func TestHelpMatchesGolden(t *testing.T) {
 	var all bytes.Buffer
 	var add func(command *cobra.Command)
 	add = func(command *cobra.Command) {
@@ -52,31 +53,31 @@
 	compare(t, "cli/help.txt", all.Bytes())
 }
 
-// example is the JSON of a message with every field set.
+// example returns the JSON of a message with every field set, from its golden file.
 func example(t *testing.T, name string) string {
 	t.Helper()
 	line, _, _ := strings.Cut(string(golden(t, "messages/"+name+".jsonl")), "\n")
 	return line
 }
 
-// response is what a controller answers.
+// response is the answer of a fake controller.
 type response struct {
 	status int
 	body   string
 }
 
-// controllerAnswers plays a controller, and notes what it is asked.
-type controllerAnswers struct {
+// fakeController is a fake controller that records the requests it gets.
+type fakeController struct {
 	responses map[string]response
-	asked     bytes.Buffer
+	requests  bytes.Buffer
 }
 
-// ServeHTTP answers by method and path.
-func (c *controllerAnswers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP records the request and answers it by its method and path, with 404 if there is no response for them.
+func (controller *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	request := r.Method + " " + r.URL.RequestURI()
-	fmt.Fprintf(&c.asked, "> %s %s\n", request, body)
-	answer, ok := c.responses[request]
+	fmt.Fprintf(&controller.requests, "> %s %s\n", request, body)
+	answer, ok := controller.responses[request]
 	if !ok {
 		answer = response{http.StatusNotFound, `{"error":"Not Found"}`}
 	}
@@ -85,14 +86,14 @@
 	_, _ = io.WriteString(w, answer.body)
 }
 
-// answering is a controller whose answers have every field set.
-func answering(t *testing.T) *controllerAnswers {
+// newFakeController returns a fake controller whose answers have every field set.
+func newFakeController(t *testing.T) *fakeController {
 	t.Helper()
 	ok := func(name string) response { return response{http.StatusOK, example(t, name)} }
 	list := func(name string) response { return response{http.StatusOK, "[" + example(t, name) + "]"} }
 	document := string(encode(t, map[string]any{"revision": 40, "by": "ops", "why": "a test", "at_ms": 1789999200000, "in_force": true, "leader": true,
 		"document": "[[teams]]\nname = \"vision\"\ncpus = 2.0\ncpus_max = 4.0\n"}))
-	return &controllerAnswers{responses: map[string]response{
+	return &fakeController{responses: map[string]response{
 		"POST /submissions":                       {http.StatusCreated, example(t, "job-status")},
 		"GET /submissions/run-000001":             ok("job-status"),
 		"POST /submissions/run-000001/cancel":     ok("job-status"),
@@ -111,20 +112,21 @@
 	}}
 }
 
-// transcript is what a command asks of a controller and prints.
-func transcript(t *testing.T, answers *controllerAnswers, args ...string) string {
+// transcript runs a command against a fake controller and returns the requests that it sends and the output.
+func transcript(t *testing.T, fake *fakeController, args ...string) string {
 	t.Helper()
-	server := httptest.NewServer(answers)
+	server := httptest.NewServer(fake)
 	defer server.Close()
-	answers.asked.Reset()
+	fake.requests.Reset()
 	printed := execute(t, append(args, "--node", strings.TrimPrefix(server.URL, "http://"))...)
-	return fmt.Sprintf("$ switchferry %s\n%s%s\n", strings.Join(args, " "), answers.asked.String(), printed)
+	return fmt.Sprintf("$ switchferry %s\n%s%s\n", strings.Join(args, " "), fake.requests.String(), printed)
 }
 
-// Commands ask controllers, and print their answers as JSON and as text, as the version in production does.
-func TestCommandsOfUsersStay(t *testing.T) {
+// Commands send the same requests to controllers as the version in production, and print the answers in the same way as
+// text and as JSON.
+func TestUserCommandsMatchGolden(t *testing.T) {
 	const document, manifest = "testdata/files/configuration.toml", "testdata/cli/manifest.json"
-	writeManifest(t)
+	compareManifest(t)
 	var all strings.Builder
 	for _, args := range [][]string{
 		{"submit", "--file", "testdata/cli/job.json"},
@@ -148,14 +150,15 @@
 		{"config", "apply", document, "--why", "a test", "--expect", "40"},
 		{"config", "rollback", "40", "--why", "back"},
 	} {
-		all.WriteString(transcript(t, answering(t), args...))
-		all.WriteString(transcript(t, answering(t), append(args, "--json")...))
+		all.WriteString(transcript(t, newFakeController(t), args...))
+		all.WriteString(transcript(t, newFakeController(t), append(args, "--json")...))
 	}
 	compare(t, "cli/users.txt", []byte(all.String()))
 }
 
-// writeManifest makes the manifest that commands read, with -update.
-func writeManifest(t *testing.T) {
+// compareManifest compares the manifest file that commands read with a newly built one. With -update it writes the
+// file.
+func compareManifest(t *testing.T) {
 	t.Helper()
 	m, err := dataset.Build("inventory-7", strings.NewReader(strings.Repeat("0123456789", 100)), 300, 2, nil)
 	if err != nil {
@@ -168,8 +171,8 @@
 	compare(t, "cli/manifest.json", append(raw, '\n'))
 }
 
-// A change of the configuration that is refused, or not in force in time, ends with its own exit code.
-func TestRefusedChangesStay(t *testing.T) {
+// A configuration change that is refused, or does not take effect in time, ends with its specific exit code.
+func TestRefusedConfigurationChangesMatchGolden(t *testing.T) {
 	pending := `{"revision":41,"in_force":false,"waits_for":["n1","n2"]}`
 	var all strings.Builder
 	for _, answer := range []response{
@@ -178,18 +181,18 @@
 		{http.StatusUnprocessableEntity, example(t, "error")},
 		{http.StatusAccepted, pending},
 	} {
-		answers := answering(t)
-		answers.responses["POST /configuration"] = answer
-		answers.responses["GET /configuration"] = response{http.StatusNotFound, ""}
-		printed := transcript(t, answers, "config", "apply", "testdata/files/configuration.toml", "--wait", "1s")
-		// How often it asks meanwhile is not pinned.
+		fake := newFakeController(t)
+		fake.responses["POST /configuration"] = answer
+		fake.responses["GET /configuration"] = response{http.StatusNotFound, ""}
+		printed := transcript(t, fake, "config", "apply", "testdata/files/configuration.toml", "--wait", "1s")
+		// The number of polls depends on timing.
 		all.WriteString(strings.ReplaceAll(printed, "> GET /configuration \n", ""))
 	}
 	compare(t, "cli/refused.txt", []byte(all.String()))
 }
 
-// Commands that ask nobody print the same.
-func TestOfflineCommandsStay(t *testing.T) {
+// The output of commands that need no controller matches the golden file.
+func TestOfflineCommandsMatchGolden(t *testing.T) {
 	const config = "testdata/http/controller.toml"
 	var all strings.Builder
 	for _, args := range [][]string{
@@ -210,24 +213,24 @@
 	compare(t, "cli/offline.txt", []byte(all.String()))
 }
 
-// What experiments print as JSON keeps its form.
-func TestExperimentResultsStay(t *testing.T) {
-	pinAll(t, "experiments", []message{
-		of[experiment.Gap]("gap"),
-		of[experiment.HandedOver]("handover"),
-		of[experiment.DayEndResult]("dayend"),
-		of[experiment.UpgradeResult]("upgrade"),
-		of[experiment.RecoveryResult]("recovery"),
-		of[experiment.OrderResult]("order"),
-		of[experiment.LocalityResult]("locality"),
-		of[experiment.TopologyResult]("topology"),
-		of[experiment.ScaleResult]("scale"),
-		of[capacity.Record]("capacity-record"),
-		of[capacity.Measurement]("capacity-measurement"),
-		of[capacity.Size]("capacity-size"),
-		of[capacity.Slopes]("capacity-slopes"),
-		of[capacity.Row]("capacity-row"),
-		of[capacity.JobCost]("capacity-job-cost"),
-		of[capacity.Limit]("capacity-limit"),
+// The JSON output of experiments matches the golden files.
+func TestExperimentResultsMatchGolden(t *testing.T) {
+	compareMessages(t, "experiments", []goldenMessage{
+		messageOf[experiment.Gap]("gap"),
+		messageOf[experiment.HandedOver]("handover"),
+		messageOf[experiment.DayEndResult]("dayend"),
+		messageOf[experiment.UpgradeResult]("upgrade"),
+		messageOf[experiment.RecoveryResult]("recovery"),
+		messageOf[experiment.OrderResult]("order"),
+		messageOf[experiment.LocalityResult]("locality"),
+		messageOf[experiment.TopologyResult]("topology"),
+		messageOf[experiment.ScaleResult]("scale"),
+		messageOf[capacity.Record]("capacity-record"),
+		messageOf[capacity.Measurement]("capacity-measurement"),
+		messageOf[capacity.Size]("capacity-size"),
+		messageOf[capacity.Slopes]("capacity-slopes"),
+		messageOf[capacity.Row]("capacity-row"),
+		messageOf[capacity.JobCost]("capacity-job-cost"),
+		messageOf[capacity.Limit]("capacity-limit"),
 	})
 }
