--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -9,7 +9,7 @@
 	"switchferry/controller"
 )
 
-// jobAccepted records that a controller accepted a job, with the status that it answered.
+// jobAccepted records that a controller accepted a job and answered with this status.
 func (checker *invariantChecker) jobAccepted(job *trackedJob, status api.JobStatus) {
 	checker.mu.Lock()
 	job.acceptedAt = time.Now()
@@ -21,14 +21,14 @@
 	checker.recordAnswer(job, http.StatusOK, status)
 }
 
-// jobOver reports whether the user of a job was told of a terminal state.
+// jobOver reports whether a terminal state of the job was reported to its user.
 func (checker *invariantChecker) jobOver(job *trackedJob) bool {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	return job.finalState != ""
 }
 
-// recordWrongAnswer counts an answer that the protocol does not have, and explains it.
+// recordWrongAnswer counts a response that the protocol does not allow, and adds an explanation to the result.
 func (checker *invariantChecker) recordWrongAnswer(format string, a ...any) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -36,8 +36,8 @@
 	checker.explain("wrong answer: "+format, a...)
 }
 
-// checkAnswer checks the answer to a request that was sent at a time. The same user may have other requests under way:
-// an answer that crossed with a newer one, which reported a terminal state, is passed over.
+// checkAnswer checks the response to a request that was sent at the given time. The same user may have concurrent
+// requests: a response without a terminal state is ignored if another response reported one after this request was sent.
 func (checker *invariantChecker) checkAnswer(job *trackedJob, sent time.Time, code int, status api.JobStatus, verb string) {
 	checker.mu.Lock()
 	crossed := job.finalAt.After(sent) && status.State != api.Done && status.State != api.Cancelled
@@ -48,13 +48,14 @@
 	case verb == controller.VerbSubmit && known && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
 		checker.recordRefusal(job, code)
 	case verb == controller.VerbCancel && code == http.StatusOK && status.State != api.Done && status.State != api.Cancelled:
-		checker.recordWrongAnswer("a cancellation of %s: %q", job.ID, status.State)
+		checker.recordWrongAnswer("a cancellation of %s was answered with state %q", job.ID, status.State)
 	default:
 		checker.recordAnswer(job, code, status)
 	}
 }
 
-// recordRefusal records that a valid submission was refused: if the job had been accepted, it is forgotten.
+// recordRefusal records that a valid submission was refused, as a violation of the rule "forgotten" if the job had been
+// accepted before, and of "refused" otherwise.
 func (checker *invariantChecker) recordRefusal(job *trackedJob, code int) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -65,7 +66,8 @@
 	}
 }
 
-// recordAnswer compares an answer about a job with what its user was told before and with what runs.
+// recordAnswer checks a response about a job against the states that were reported to its user before and against the
+// tasks that are done.
 func (checker *invariantChecker) recordAnswer(job *trackedJob, code int, status api.JobStatus) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -99,14 +101,14 @@
 	}
 }
 
-// recordCancelled records that a job was reported as cancelled, which somebody must have asked for, and that the jobs
-// that await it are orphaned; checker.mu is held.
+// recordCancelled records that a job was reported as cancelled, checks that its cancellation was requested, and marks the
+// jobs that await it as orphaned; checker.mu is held.
 func (checker *invariantChecker) recordCancelled(job *trackedJob, now time.Time) {
 	if job.cancelledAt.IsZero() {
 		job.cancelledAt = now
 	}
 	if !job.cancelRequested && !checker.dependencyCancelled(job) {
-		checker.recordViolation("went_back", "%s is called cancelled, and was not", job.ID)
+		checker.recordViolation("went_back", "%s is reported as cancelled, but nobody cancelled it", job.ID)
 	}
 	checker.recordFinalState(job, api.Cancelled)
 	for _, other := range checker.jobsInOrder {
@@ -116,7 +118,7 @@
 	}
 }
 
-// recordFinalState records the terminal state that a user was told; checker.mu is held.
+// recordFinalState records the terminal state that was reported to the job's user; checker.mu is held.
 func (checker *invariantChecker) recordFinalState(job *trackedJob, state string) {
 	if job.finalState == "" {
 		job.finalAt = time.Now()
@@ -124,8 +126,8 @@
 	job.finalState = state
 }
 
-// dependencyCancelled reports whether the user of a job that a job awaits, directly or not, has asked to cancel it. Its
-// dependant may be reported as cancelled before it is itself.
+// dependencyCancelled reports whether the cancellation of a direct or transitive dependency of the job was requested. The
+// job may be reported as cancelled before that dependency is; checker.mu is held.
 func (checker *invariantChecker) dependencyCancelled(job *trackedJob) bool {
 	return slices.ContainsFunc(job.Awaits, func(id string) bool {
 		other := checker.jobs[id]
@@ -133,7 +135,7 @@
 	})
 }
 
-// awaitsDependency reports whether a job that a job awaits is not done; checker.mu is held.
+// awaitsDependency reports whether any direct dependency of the job is not done; checker.mu is held.
 func (checker *invariantChecker) awaitsDependency(job *trackedJob) bool {
 	for _, id := range job.Awaits {
 		if other := checker.jobs[id]; other == nil || len(other.doneTasks) < other.Tasks {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// inject begins a fault and returns once it is over.
+// inject begins a fault and returns when it ends. It panics if the kind of the fault is unknown.
 func (sim *simulation) inject(ctx context.Context, fault Fault) {
 	lead := sim.leader()
 	who := lead
@@ -21,8 +21,8 @@
 	play(&activeFault{sim, ctx, fault, lead, who})
 }
 
-// activeFault is a fault that is being injected. leaderName is who led when it began, targetName the controller that it
-// affects.
+// activeFault is a fault that is being injected. leaderName is the controller that led when the fault began, targetName
+// the controller that it affects.
 type activeFault struct {
 	*simulation
 	ctx context.Context
@@ -30,7 +30,8 @@
 	leaderName, targetName string
 }
 
-// faultHandlers begin a fault of each kind and return once it is over.
+// faultHandlers holds, for each kind, the function that injects a fault. It returns when the fault ends, except that
+// controllers which it stopped are started again in the background.
 var faultHandlers = map[string]func(s *activeFault){
 	RollingRestart: (*activeFault).rollingRestart, ControllerCrash: (*activeFault).crashControllers,
 	ControllerIsolated: (*activeFault).partitionController, ControllerPartition: (*activeFault).partitionController, ControllerPairPartition: (*activeFault).partitionController,
@@ -47,17 +48,17 @@
 	InvalidRequests:     func(s *activeFault) { s.during(func(by int) { s.invalidRequestFaults.Add(int32(by)) }) },
 }
 
-// during calls change with 1 as the fault begins, and with -1 as it ends.
+// during calls change with 1 when the fault begins and with -1 when it ends.
 func (active *activeFault) during(change func(by int)) {
 	change(1)
 	active.sleep(active.ctx, active.For)
 	change(-1)
 }
 
-// cutLinks cuts links, each from one host to another, for as long as the fault lasts.
+// cutLinks cuts links, each from one host to another, for the duration of the fault.
 func (active *activeFault) cutLinks(links [][2]string) { active.cutFor(links, active.For) }
 
-// cutFor cuts links for a while.
+// cutFor cuts links, each from one host to another, for a duration.
 func (active *activeFault) cutFor(links [][2]string, duration time.Duration) {
 	set := func(cut bool) {
 		for _, link := range links {
@@ -69,7 +70,7 @@
 	set(false)
 }
 
-// bothDirections are the links between one host and others, in both directions.
+// bothDirections returns the links between one host and each of the others, in both directions.
 func bothDirections(one string, others []string) (links [][2]string) {
 	for _, other := range others {
 		if other != one {
@@ -79,7 +80,7 @@
 	return links
 }
 
-// crashController ends a controller's process, which starts again after the fault's duration.
+// crashController stops a controller's process and starts it again, in the background, after the fault's duration.
 func (active *activeFault) crashController(name string) {
 	active.stopController(name)
 	active.actors.Go(func() {
@@ -89,7 +90,7 @@
 	})
 }
 
-// rollingRestart restarts the controllers one after the other.
+// rollingRestart restarts the controllers one after the other, one each rollInterval.
 func (active *activeFault) rollingRestart() {
 	for _, name := range controllerNames {
 		active.crashController(name)
@@ -99,15 +100,15 @@
 	}
 }
 
-// crashControllers ends Count controllers, beginning with the target.
+// crashControllers crashes Count controllers, beginning with the target.
 func (active *activeFault) crashControllers() {
 	for i := range min(active.Count, 3) {
 		active.crashController(controllerNames[(slices.Index(controllerNames, active.targetName)+i)%3])
 	}
 }
 
-// partitionController cuts a controller off from the state service and the other controllers, from everything, or from
-// one other controller.
+// partitionController cuts the target off from the state service and the other controllers (ControllerIsolated), from all
+// of these and the machines (ControllerPartition), or from one other controller (ControllerPairPartition).
 func (active *activeFault) partitionController() {
 	others := append([]string{"state"}, controllerNames...)
 	switch active.Kind {
@@ -119,7 +120,8 @@
 	active.cutLinks(bothDirections(active.targetName, others))
 }
 
-// flapLeaderLinks cuts the leader off from the other controllers again and again.
+// flapLeaderLinks repeatedly cuts the leader off from the other controllers, first in both directions, then only in the
+// direction from the leader.
 func (active *activeFault) flapLeaderLinks() {
 	end := time.Now().Add(active.For)
 	links := bothDirections(active.leaderName, controllerNames)
@@ -136,7 +138,8 @@
 	}
 }
 
-// markFaulted marks all machines as met by a fault and returns the names of those selected.
+// markFaulted records on every machine that a fault affected it now, and returns the names of the machines that which
+// selects.
 func (active *activeFault) markFaulted(which func(machine *simulatedMachine) bool) (names []string) {
 	active.withLock(func() {
 		for _, machine := range active.machines {
@@ -149,7 +152,7 @@
 	return names
 }
 
-// loseOutbound cuts the links from all controllers to some machines, and records for how long these heard nobody.
+// loseOutbound cuts the links from all controllers to Count machines, and records for how long these received nothing.
 func (active *activeFault) loseOutbound() {
 	deaf := active.pickMachines(active.Count)
 	var links [][2]string
@@ -181,12 +184,12 @@
 	active.cutLinks(links)
 }
 
-// duplicateHeartbeats has some heartbeats delivered twice.
+// duplicateHeartbeats has some heartbeats delivered a second time.
 func (active *activeFault) duplicateHeartbeats() {
 	active.during(func(by int) { active.withLock(func() { active.duplicatingHeartbeats = by > 0 }) })
 }
 
-// crashMachines ends machines for good, with their tasks.
+// crashMachines ends Count machines permanently, with their tasks.
 func (active *activeFault) crashMachines() {
 	for _, machine := range active.pickMachines(active.Count) {
 		active.withLock(func() { machine.dead = true })
@@ -195,17 +198,17 @@
 	}
 }
 
-// restartWorkers ends all tasks of some machines, whose workers are back at once.
+// restartWorkers restarts the workers of Count machines without a delay, which ends all their tasks.
 func (active *activeFault) restartWorkers() {
 	for _, machine := range active.pickMachines(active.Count) {
 		machine.worker.Restart()
 	}
 }
 
-// stateOutage makes the state service unavailable to all.
+// stateOutage makes the state service unavailable to all controllers.
 func (active *activeFault) stateOutage() { active.during(func(by int) { active.state.Outage(by > 0) }) }
 
-// pauseProcess pauses a controller's process. Messages for it are delivered afterwards.
+// pauseProcess pauses the target's process. Messages from other controllers are delivered to it afterwards.
 func (active *activeFault) pauseProcess() {
 	var links [][2]string
 	for _, other := range controllerNames {
@@ -218,7 +221,7 @@
 	active.setPaused(active.targetName, false)
 }
 
-// slowState slows the state service for the target, or for all unless Count is 1.
+// slowState makes the state service answer the target late if Count is 1, and all controllers otherwise.
 func (active *activeFault) slowState() {
 	who := active.targetName
 	if active.Count != 1 {
@@ -227,12 +230,12 @@
 	active.during(func(by int) { active.withLock(func() { active.slowStateFaults[who] += by }) })
 }
 
-// hangPicked suspends some machines.
+// hangPicked suspends Count machines.
 func (active *activeFault) hangPicked() {
 	active.hangMachines(active.ctx, active.pickMachines(active.Count), active.For)
 }
 
-// failMachines has some machines fail half of the tasks that they start.
+// failMachines makes Count machines fail half of the tasks that they start.
 func (active *activeFault) failMachines() {
 	failing := active.pickMachines(active.Count)
 	active.during(func(by int) {
@@ -245,7 +248,7 @@
 	})
 }
 
-// loseInbound keeps the heartbeats of some machines, or of all in the leader's zone, from the controllers.
+// loseInbound drops the heartbeats of Count machines, or with Follower of all healthy machines in the leader's zone.
 func (active *activeFault) loseInbound() {
 	mute := active.pickMachines(active.Count)
 	if active.Follower {
@@ -263,7 +266,7 @@
 	})
 }
 
-// cancellationWave hands the fault to all users who wait at this moment.
+// cancellationWave passes the fault to every user who waits for the next poll at this moment.
 func (active *activeFault) cancellationWave() {
 	active.withLock(func() { active.hungByWave = 0 })
 	for {
@@ -275,7 +278,7 @@
 	}
 }
 
-// refuseState has the state service refuse the target.
+// refuseState makes the state service answer the target with 503 or, with Unanswered, not at all.
 func (active *activeFault) refuseState() {
 	how := refusalUnavailable
 	if active.Unanswered {
@@ -291,7 +294,7 @@
 	})
 }
 
-// partitionZone cuts the target's zone off from the other one and from the services, in both directions.
+// partitionZone cuts the target's zone off from the other zone, the state service and the cloud, in both directions.
 func (active *activeFault) partitionZone() {
 	zone := active.controllers[active.targetName].zone
 	inside := active.markFaulted(func(machine *simulatedMachine) bool { return machine.Zone == zone })
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -13,17 +13,17 @@
 	"switchferry/peer"
 )
 
-// invalidChange is a change that makes a valid submission invalid, and the HTTP status with which the protocol
-// refuses the result.
+// invalidChange is a change that makes a valid submission invalid; refusal is the HTTP status code with which the protocol
+// refuses the changed submission.
 type invalidChange struct {
 	refusal int
 	change  func(fields map[string]any)
 }
 
-// submissionFields are the fields of a submission, in their wire names, that must be there and have a type.
+// submissionFields are the wire names of the required fields of a submission. A value of the wrong type is invalid.
 var submissionFields = []string{"jobclass", "owner", "shape", "rank", "parts", "cores", "cards", "ram_gb", "bundle", "size_gb", "together", "apart", "standby", "expect_s", "snapshot_s", "stow_s"}
 
-// randomInvalidChange draws a change; the fields are in their wire names.
+// randomInvalidChange draws a change. It changes a submission's fields by their wire names.
 func randomInvalidChange(rng *rand.Rand) invalidChange {
 	field := submissionFields[rng.IntN(len(submissionFields))]
 	changes := []invalidChange{
@@ -39,7 +39,7 @@
 	return changes[rng.IntN(len(changes))]
 }
 
-// changedSubmission is the body of a submission after a change of its fields.
+// changedSubmission returns the encoded submission after a change of its fields.
 func changedSubmission(submission *api.Submission, change func(fields map[string]any)) []byte {
 	fields := map[string]any{}
 	if err := json.Unmarshal(encodeSubmission(submission), &fields); err != nil {
@@ -53,12 +53,13 @@
 	return body
 }
 
-// sendInvalidRequests sends what a user does by mistake: it repeats the submission with an invalid change, under
-// its own identifier and a new one, asks for the job that was refused, and cancels a job that is over.
+// sendInvalidRequests sends requests that a user makes by mistake: it repeats the submission with an invalid change, under
+// the job's own identifier and under a new one, asks for the job that was refused and cancels it, and cancels the user's
+// job if its terminal state was already reported.
 func (user *user) sendInvalidRequests(ctx context.Context) {
 	sim, job := user.sim, user.job
 	invalid := randomInvalidChange(user.rng)
-	// Under a known identifier the answer is the job's state, whatever else the body says.
+	// A submission with a known identifier is answered with the job's state, whatever the other fields contain.
 	sent := time.Now()
 	code, status := user.request(ctx, requestTimeout, peer.Request{Verb: controller.VerbSubmit, Body: changedSubmission(&job.Submission, invalid.change)})
 	sim.checker.checkAnswer(job, sent, code, status, controller.VerbSubmit)
@@ -70,7 +71,8 @@
 	}
 }
 
-// submitInvalidJob submits an invalid job under an unknown identifier, which has to be refused and to stay unknown.
+// submitInvalidJob submits an invalid job under an unknown identifier, and checks that the controllers refuse the job and
+// do not know its identifier afterwards.
 func (user *user) submitInvalidJob(ctx context.Context, invalid invalidChange) {
 	checker := user.sim.checker
 	unknownID := fmt.Sprintf("run-7%s7", user.job.ID[4:])
@@ -85,7 +87,7 @@
 	for _, verb := range []string{controller.VerbStatus, controller.VerbCancel} {
 		code, _ = user.request(ctx, requestTimeout, peer.Request{Verb: verb, Job: unknownID})
 		if code != 0 && code != http.StatusNotFound && code < http.StatusInternalServerError {
-			checker.recordWrongAnswer("%s of a job that was refused: %d", verb, code)
+			checker.recordWrongAnswer("%s of a job that was refused was answered with %d", verb, code)
 		}
 	}
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -13,53 +13,57 @@
 	"switchferry/internal/fake"
 )
 
-// invariantChecker knows what users were told and what each machine really runs, and compares the two with the
-// rules of the protocol. It locks sim.mu never while it holds its own mu.
+// invariantChecker records the responses that users received and the tasks that each machine runs, and checks both against
+// the rules of the protocol. It never locks sim.mu while it holds its own mu.
 type invariantChecker struct {
 	sim *simulation
 
 	// mu guards the fields below and the tracked jobs.
 	mu   sync.Mutex
 	jobs map[string]*trackedJob
-	// jobsInOrder are the same jobs in the order of their submission.
+	// jobsInOrder holds the same jobs in the order of their submission.
 	jobsInOrder []*trackedJob
 	placements  fake.Placements[*simulatedMachine]
-	// startedTasks are the tasks that started at least once.
+	// startedTasks holds the tasks that started at least once.
 	startedTasks map[string]bool
-	// overdueTasks are tasks of cancelled jobs whose late presence on a machine was recorded.
+	// overdueTasks holds the tasks of cancelled jobs for which checkOverdueTasks recorded a violation.
 	overdueTasks map[string]bool
-	// faultsOverAt is when the last fault ended; zero before.
+	// faultsOverAt is the time at which the last fault ended; zero before that.
 	faultsOverAt time.Time
-	// wastedStarts are starts sent to machines that did not hear them; lostLeases is for how many leases
-	// machines, added up, did not hear controllers.
+	// wastedStarts holds the starts that were sent to a machine which had received nothing for a lease or longer.
 	wastedStarts map[string]bool
-	lostLeases   float64
-	result       Result
+	// lostLeases is the time for which machines received nothing from controllers, summed over the machines, in leases.
+	lostLeases float64
+	result     Result
 }
 
-// trackedJob is one job as its user and the checker know it. Times are zero until the event happened.
+// trackedJob is the state of one job as its user and the checker know it. The checker's mu guards its fields. Times are
+// zero until the event has happened.
 type trackedJob struct {
 	api.Submission
+	// acceptedAt is when a controller accepted the job, cancelledAt when it was first reported as cancelled.
 	acceptedAt, cancelledAt time.Time
-	// doneAt is when its last task ended, whether that was reported or not.
+	// doneAt is when the last task completed, whether that was reported or not.
 	doneAt time.Time
-	// finalState is the terminal state that was reported at finalAt; empty before.
+	// finalState is the terminal state that was reported to the user, first at finalAt; empty before.
 	finalState string
 	finalAt    time.Time
-	// answeredAt is when its user last got an answer.
+	// answeredAt is when the user last received a response about the job.
 	answeredAt time.Time
-	startedAt  time.Time
-	// readyAt is when the last job that it awaits was done, or when it was accepted.
-	readyAt   time.Time
+	// startedAt is when the first task started.
+	startedAt time.Time
+	// readyAt is when the last dependency was done, or when the job was accepted if none was done before that.
+	readyAt time.Time
+	// doneTasks holds the indices of the completed tasks.
 	doneTasks map[int]bool
-	// cancelRequested is set once its user has asked to cancel it, whether that was answered or not.
+	// cancelRequested is set once the user has requested the cancellation, whether that was answered or not.
 	cancelRequested bool
-	// orphanedAt is when a job that it awaits was reported as cancelled.
+	// orphanedAt is when a dependency was first reported as cancelled.
 	orphanedAt time.Time
-	// starvedSince is since when it waits beside free resources without a break; starved is set once that
-	// was recorded.
+	// starvedSince is when the job began to wait although free resources fit it; zero while it does not.
 	starvedSince time.Time
-	starved      bool
+	// starved is set once the job was counted in Result.StarvedJobs.
+	starved bool
 }
 
 func newInvariantChecker(sim *simulation) *invariantChecker {
@@ -74,21 +78,22 @@
 	}
 }
 
-// recordViolation counts a violation of a rule and explains it; checker.mu is held.
+// recordViolation counts a violation of a rule and adds an explanation to the result; checker.mu is held.
 func (checker *invariantChecker) recordViolation(rule, format string, args ...any) {
 	checker.result.Rules[rule]++
 	checker.explain("%s", rule+": "+fmt.Sprintf(format, args...))
 }
 
-// explain adds a line with the time to the result's explanations unless there are many; checker.mu is held.
+// explain adds a line with the current time to the result's explanations, of which it keeps maxExplanations; checker.mu is
+// held.
 func (checker *invariantChecker) explain(format string, args ...any) {
 	if len(checker.result.Explanations) < maxExplanations {
 		checker.result.Explanations = append(checker.result.Explanations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 	}
 }
 
-// taskRunTime is how long a task runs: half to one and a half times its job's estimate, as its name determines. Tasks
-// of services run for an hour.
+// taskRunTime returns how long a task runs: 0.5 to 1.5 times its job's estimate, chosen by a hash of the task's name. Tasks
+// of services and of unknown jobs run for an hour.
 func (checker *invariantChecker) taskRunTime(task string) time.Duration {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -101,13 +106,13 @@
 	return seconds((0.5 + float64(hash.Sum32()%1000)/1000) * job.EstimateS)
 }
 
-// jobOf is the job of a task, nil if nobody submitted it; checker.mu is held.
+// jobOf returns the job of a task, nil if no user submitted it; checker.mu is held.
 func (checker *invariantChecker) jobOf(task string) *trackedJob {
 	jobID, _, _ := strings.Cut(task, "/")
 	return checker.jobs[jobID]
 }
 
-// taskStarted records that a machine started a task and checks that it may.
+// taskStarted records that a machine started a task, and checks the start against the rules.
 func (checker *invariantChecker) taskStarted(task string, machine *simulatedMachine) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -138,31 +143,31 @@
 	checker.checkZones(job, task, machine)
 }
 
-// checkStartAfterCancel checks that a task of a cancelled job starts, if at all, within the time that the protocol
-// gives workers to learn of the cancellation; checker.mu is held.
+// checkStartAfterCancel counts a start of a task after its job was reported as cancelled. The start is a violation if it is
+// later than the time within which the protocol requires the tasks of cancelled jobs to stop; checker.mu is held.
 func (checker *invariantChecker) checkStartAfterCancel(job *trackedJob, task string, machine *simulatedMachine) {
 	if job.cancelledAt.IsZero() {
 		return
 	}
 	since := time.Since(job.cancelledAt)
 	checker.result.StartedAfterCancel++
-	checker.explain("%s began on %s %v after its cancellation was told", task, machine.Name, since)
+	checker.explain("%s started on %s %v after its job was reported as cancelled", task, machine.Name, since)
 	if since > seconds(checker.sim.Workers.CancelS) {
-		checker.recordViolation("ran_cancelled", "%s was started %v after its cancellation was told", task, since)
+		checker.recordViolation("ran_cancelled", "%s was started %v after its job was reported as cancelled", task, since)
 	}
 }
 
-// checkDependencies checks that the jobs that a started one awaits are done; checker.mu is held.
+// checkDependencies checks that all dependencies of a started task's job are done; checker.mu is held.
 func (checker *invariantChecker) checkDependencies(job *trackedJob, task string) {
 	for _, awaited := range job.Awaits {
 		if other := checker.jobs[awaited]; other != nil && len(other.doneTasks) < other.Tasks {
-			checker.recordViolation("too_early", "%s before %s, of which %d of %d tasks are done", task, awaited, len(other.doneTasks), other.Tasks)
+			checker.recordViolation("too_early", "%s was started before its dependency %s was done, of which %d of %d tasks are done", task, awaited, len(other.doneTasks), other.Tasks)
 		}
 	}
 }
 
-// checkTeamLimit checks the processors in use by a started task's team against its limit, by the settings and by
-// the configuration in force; checker.mu is held.
+// checkTeamLimit checks the processors that the team of a started task uses against the team's limit in the settings and,
+// if there are operators, in the configuration in force; checker.mu is held.
 func (checker *invariantChecker) checkTeamLimit(job *trackedJob, task string) {
 	usage := 0.0
 	for running := range checker.placements.All() {
@@ -171,7 +176,7 @@
 		}
 	}
 	if usage > checker.sim.teamLimit()+cpuTolerance {
-		checker.recordViolation("quota", "%s uses %.0f", job.Team, usage)
+		checker.recordViolation("quota", "team %s uses %.0f processors", job.Team, usage)
 	}
 	if checker.sim.operators != nil {
 		if violation := checker.sim.operators.checkStart(task, job.Team, usage); violation != "" {
@@ -180,11 +185,11 @@
 	}
 }
 
-// checkZones checks that a started task runs in the zone that its job is bound to, and that no zone has more than
-// half of a job whose tasks are to be spread; checker.mu is held.
+// checkZones checks that a started task runs in the zone that its job is bound to, and that no zone has more than half of
+// the tasks, rounded up, of a job whose tasks must be spread; checker.mu is held.
 func (checker *invariantChecker) checkZones(job *trackedJob, task string, machine *simulatedMachine) {
 	if job.Zone != "" && job.Zone != machine.Zone {
-		checker.recordViolation("wrong_place", "%s of zone %s in %s", task, job.Zone, machine.Zone)
+		checker.recordViolation("wrong_place", "%s is bound to zone %s and runs in %s", task, job.Zone, machine.Zone)
 	}
 	if !job.Spread {
 		return
@@ -197,12 +202,12 @@
 	}
 	if inZone > (job.Tasks+1)/2 {
 		_, number, _ := strings.Cut(task, "/")
-		checker.recordViolation("wrong_place", "%d of %d of %s in %s, with %s", inZone, job.Tasks, job.ID, machine.Zone, number)
+		checker.recordViolation("wrong_place", "%d of %d tasks of %s run in zone %s, the last one started is %s", inZone, job.Tasks, job.ID, machine.Zone, number)
 	}
 }
 
-// taskEnded records that a task is no longer on a machine, and whether it completed, and checks that a cancelled
-// one ended in time. A worker may act on its lease's end a second late.
+// taskEnded records that a task ended on a machine, and whether it completed, and checks that a task of a cancelled job
+// ended in time. A worker may react up to one second late to the end of its lease.
 func (checker *invariantChecker) taskEnded(task string, machine *simulatedMachine, done bool) {
 	_, number, _ := strings.Cut(task, "/")
 	checker.mu.Lock()
@@ -213,14 +218,14 @@
 		return
 	}
 	if now := time.Now(); !job.cancelledAt.IsZero() && now.Sub(job.cancelledAt) > seconds(checker.sim.Workers.CancelS)+time.Second {
-		checker.recordViolation("ran_cancelled", "%s on %s until %v after it was told", task, machine.Name, now.Sub(job.cancelledAt))
+		checker.recordViolation("ran_cancelled", "%s ran on %s until %v after its job was reported as cancelled", task, machine.Name, now.Sub(job.cancelledAt))
 	}
 	if index, err := strconv.Atoi(number); err == nil && done {
 		checker.taskDone(job, index)
 	}
 }
 
-// taskDone records that a task of a job is done and, with its last one, the job; checker.mu is held.
+// taskDone records that a task of a job completed, and that the job is done if it was the last one; checker.mu is held.
 func (checker *invariantChecker) taskDone(job *trackedJob, index int) {
 	job.doneTasks[index] = true
 	if len(job.doneTasks) < job.Tasks || !job.doneAt.IsZero() {
@@ -234,7 +239,7 @@
 	}
 }
 
-// taskImage is the image that a task needs, empty for an unknown task.
+// taskImage returns the image that a task needs, empty for an unknown task.
 func (checker *invariantChecker) taskImage(task string) string {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -244,7 +249,7 @@
 	return ""
 }
 
-// machineOf is the first machine by name that runs a task of a job, nil if none does.
+// machineOf returns the machine that runs a task of a job, the first by name if there are several, nil if there is none.
 func (checker *invariantChecker) machineOf(jobID string) (found *simulatedMachine) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -256,7 +261,7 @@
 	return found
 }
 
-// taskCPUs is how many processors a task takes, 0 for an unknown task.
+// taskCPUs returns how many processors a task uses, 0 for an unknown task.
 func (checker *invariantChecker) taskCPUs(task string) float64 {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -266,8 +271,8 @@
 	return 0
 }
 
-// checkOverdueTasks looks for tasks of cancelled jobs that still run after the time that the protocol allows, also on
-// machines that no controller can reach.
+// checkOverdueTasks records a violation for each task of a cancelled job that still runs after the time that the protocol
+// allows, also on machines that no controller can reach.
 func (checker *invariantChecker) checkOverdueTasks() {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -278,12 +283,13 @@
 		}
 		if over := time.Since(job.cancelledAt); over > seconds(checker.sim.Workers.CancelS) && !checker.overdueTasks[task] {
 			checker.overdueTasks[task] = true
-			checker.recordViolation("ran_cancelled", "%s is on %s %v after it was told", task, machine.Name, over)
+			checker.recordViolation("ran_cancelled", "%s still runs on %s %v after its job was reported as cancelled", task, machine.Name, over)
 		}
 	}
 }
 
-// recordLostCommands records starts that were sent to a machine which has not heard controllers for a lease or more.
+// recordLostCommands records the starts among commands that were sent to a machine which has received nothing from
+// controllers for a lease or longer.
 func (checker *invariantChecker) recordLostCommands(machine *simulatedMachine, commands []api.Command) {
 	checker.sim.mu.Lock()
 	since := machine.outboundLostSince
@@ -300,8 +306,8 @@
 	}
 }
 
-// machineReturned records a machine that was given back, and whether that cost running work although no fault had met
-// it in the last minute.
+// machineReturned records that a machine was returned to the cloud. It counts the machine in Result.ReturnedInVain if it
+// ran tasks and no fault affected it within the last minute.
 func (checker *invariantChecker) machineReturned(machine *simulatedMachine) {
 	_, _, _, running := machine.worker.Seen()
 	checker.sim.mu.Lock()
@@ -318,14 +324,15 @@
 	}
 }
 
-// machineReachable records that a machine hears controllers again, which it did not since that time.
+// machineReachable records that a machine receives messages from controllers again, for the first time since the given
+// time.
 func (checker *invariantChecker) machineReachable(since time.Time) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	checker.lostLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
 }
 
-// faultsOver records that all faults are over. From here on no request may go unanswered for long.
+// faultsOver records that all faults have ended. From then on the checker measures how long users wait for a response.
 func (checker *invariantChecker) faultsOver() {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -9,8 +9,8 @@
 	"switchferry/api"
 )
 
-// submitJobs generates jobs at random intervals for as long as the scenario's SubmitFor lasts, counted from
-// began, and starts a simulated user for each. A job whose random identifier is taken already is dropped.
+// submitJobs generates jobs at random intervals until SubmitFor has passed since began, and starts a simulated user for
+// each job. It drops a job whose random identifier is already in use.
 func (sim *simulation) submitJobs(ctx context.Context, began time.Time) {
 	rng := sim.actorRNG("users")
 	for time.Since(began) < sim.SubmitFor {
@@ -25,8 +25,8 @@
 	}
 }
 
-// randomSubmission draws a job: mostly small arrays, some of the classes large, whole (machines), guest (low
-// priority), service and piped (awaiting other jobs).
+// randomSubmission draws a job. Most are small job arrays; the other classes are large (many tasks), whole (tasks that need
+// a whole machine), guest (low priority), service, and piped (awaits other jobs).
 func (sim *simulation) randomSubmission(rng *rand.Rand) api.Submission {
 	job := api.Submission{ID: fmt.Sprintf("run-%06d", rng.IntN(1_000_000)), Team: teamNames[rng.IntN(len(teamNames))], Shape: api.JobArray, Rank: "normal",
 		CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 0.1, Spot: true, Class: "small", Tasks: 1 + rng.IntN(4), EstimateS: 5 + 10*rng.Float64()}
@@ -54,7 +54,7 @@
 	return job
 }
 
-// randomCancellation draws how long after its acceptance the user of a job cancels it; noCancellation if never.
+// randomCancellation draws how long after the acceptance of a job its user cancels it; noCancellation means never.
 func (sim *simulation) randomCancellation(rng *rand.Rand, job *trackedJob) time.Duration {
 	share := sim.CancelShare
 	if share == 0 {
@@ -66,7 +66,7 @@
 	return noCancellation
 }
 
-// addJob begins to track a job that is about to be submitted; it reports false if its identifier is in use.
+// addJob adds a job that is about to be submitted; it reports false if the job's identifier is in use.
 func (checker *invariantChecker) addJob(job *trackedJob) bool {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -78,7 +78,7 @@
 	return true
 }
 
-// randomDependencies draws up to two accepted job arrays that a new job awaits.
+// randomDependencies draws up to two accepted job arrays and returns their identifiers, as dependencies of a new job.
 func (checker *invariantChecker) randomDependencies(rng *rand.Rand) (awaits []string) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -12,12 +12,13 @@
 	"time"
 )
 
-// linkTable says which links are cut. A link is one direction between two hosts.
+// linkTable records which links are cut. A link is one direction between two hosts.
 type linkTable struct {
-	// mu guards cuts, which counts the cuts of a link from one host to another, and changed, which is closed
-	// and replaced with each change.
-	mu      sync.Mutex
-	cuts    map[[2]string]int
+	// mu guards the fields below.
+	mu sync.Mutex
+	// cuts counts the active cuts of each link, a pair of sender and receiver.
+	cuts map[[2]string]int
+	// changed is closed and replaced with each change of cuts.
 	changed chan struct{}
 }
 
@@ -46,7 +47,7 @@
 	return links.cuts[[2]string{from, to}] > 0, links.changed
 }
 
-// newControllerNetwork makes a network without listeners.
+// newControllerNetwork returns a network without listeners.
 func newControllerNetwork(partitions *linkTable) *controllerNetwork {
 	return &controllerNetwork{partitions: partitions, listeners: map[string]*simulatedListener{}, conns: map[*simulatedConn]string{}}
 }
@@ -55,9 +56,10 @@
 type controllerNetwork struct {
 	partitions *linkTable
 
+	// mu guards the fields below.
 	mu        sync.Mutex
 	listeners map[string]*simulatedListener
-	// conns holds each open end of a connection with the host that it belongs to.
+	// conns maps each open end of a connection to the host that it belongs to.
 	conns map[*simulatedConn]string
 }
 
@@ -69,7 +71,7 @@
 	once     sync.Once
 }
 
-// Accept waits for a connection.
+// Accept waits for a connection; it returns net.ErrClosed once the listener is closed.
 func (listener *simulatedListener) Accept() (net.Conn, error) {
 	select {
 	case testCase := <-listener.incoming:
@@ -79,24 +81,25 @@
 	}
 }
 
-// Close ends the port.
+// Close closes the listener. It may be called several times.
 func (listener *simulatedListener) Close() error {
 	listener.once.Do(func() { close(listener.closed) })
 	return nil
 }
 
-// Addr is the port's address.
+// Addr returns the listener's address, the name of its host.
 func (listener *simulatedListener) Addr() net.Addr { return simulatedAddr(listener.host) }
 
+// simulatedAddr is the address of a host on the simulated network: its name.
 type simulatedAddr string
 
-// Network is the address's network.
+// Network returns "tcp".
 func (simulatedAddr) Network() string { return "tcp" }
 
-// String is the address.
+// String returns the name of the host.
 func (address simulatedAddr) String() string { return string(address) }
 
-// listen makes the listener of a host's new process.
+// listen returns the listener of a host's new process.
 func (network *controllerNetwork) listen(host string) *simulatedListener {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -105,7 +108,7 @@
 	return listener
 }
 
-// reset ends a host's process: its connections are reset, and new ones are refused.
+// reset closes a host's listener and all connections of the host; new connections to it are refused.
 func (network *controllerNetwork) reset(host string) {
 	network.mu.Lock()
 	if listener := network.listeners[host]; listener != nil {
@@ -124,7 +127,7 @@
 	}
 }
 
-// dialer is how a host connects to others. An attempt over a cut link fails after dialTimeout.
+// dialer returns the function with which a host connects to others. Connecting over a cut link fails after dialTimeout.
 func (network *controllerNetwork) dialer(from string) func(ctx context.Context, networkName, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		conn, err := network.dial(ctx, from, address)
@@ -135,7 +138,7 @@
 	}
 }
 
-// dial connects two hosts if both links between them work and the other one listens.
+// dial connects two hosts if the links between them work in both directions and the other host listens.
 func (network *controllerNetwork) dial(ctx context.Context, from, address string) (net.Conn, error) {
 	outboundCut, _ := network.partitions.isCut(from, address)
 	inboundCut, _ := network.partitions.isCut(address, from)
@@ -165,10 +168,10 @@
 	}
 }
 
-// dialTimeout is how long a connection attempt over a cut link takes to fail.
+// dialTimeout is how long it takes until connecting over a cut link fails.
 const dialTimeout = time.Second
 
-// pair makes the two ends of a connection.
+// pair returns the two ends of a new connection, that of from first.
 func (network *controllerNetwork) pair(from, to string) (*simulatedConn, *simulatedConn) {
 	x, y := newByteStream(), newByteStream()
 	here := &simulatedConn{network: network, from: from, to: to, inbound: y, outbound: x}
@@ -180,7 +183,7 @@
 	return here, there
 }
 
-// simulatedConn is one end of a connection. What is written while its link is cut arrives afterwards.
+// simulatedConn is one end of a connection. Data written while the link is cut arrives once the link works again.
 type simulatedConn struct {
 	network           *controllerNetwork
 	from, to          string
@@ -188,14 +191,14 @@
 	peer              *simulatedConn
 }
 
-// Read waits for what the other end wrote.
+// Read waits for data from the other end; it returns io.EOF once the connection is closed.
 func (conn *simulatedConn) Read(buffer []byte) (int, error) {
 	for {
 		count, written, err := conn.inbound.read(buffer)
 		if err != nil {
 			return 0, err
 		}
-		// changed is what may make a further attempt succeed.
+		// changed is closed when another attempt may succeed.
 		changed := written
 		if count > 0 {
 			cut, linkChanged := conn.network.partitions.isCut(conn.to, conn.from)
@@ -213,10 +216,10 @@
 	}
 }
 
-// Write appends to the stream; it never waits.
+// Write appends to the outbound stream. It never blocks, and fails once the connection is closed.
 func (conn *simulatedConn) Write(p []byte) (int, error) { return conn.outbound.write(p) }
 
-// Close resets the connection.
+// Close resets the connection; data that was not read yet is lost.
 func (conn *simulatedConn) Close() error {
 	conn.inbound.close()
 	conn.outbound.close()
@@ -226,13 +229,13 @@
 	return nil
 }
 
-// LocalAddr is this end's address, RemoteAddr the other's.
+// LocalAddr returns the address of this end.
 func (conn *simulatedConn) LocalAddr() net.Addr { return simulatedAddr(conn.from) }
 
-// RemoteAddr is the other end's address.
+// RemoteAddr returns the address of the other end.
 func (conn *simulatedConn) RemoteAddr() net.Addr { return simulatedAddr(conn.to) }
 
-// SetDeadline does nothing, nor do the other two: controllers close connections that hang.
+// SetDeadline does nothing, as SetReadDeadline and SetWriteDeadline: controllers close connections that hang.
 func (conn *simulatedConn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing.
@@ -243,8 +246,10 @@
 
 // byteStream is the unbounded buffer of one direction of a connection.
 type byteStream struct {
-	mu      sync.Mutex
-	buffer  []byte
+	// mu guards buffer and written.
+	mu     sync.Mutex
+	buffer []byte
+	// written is closed and replaced with each write.
 	written chan struct{}
 	closed  chan struct{}
 	once    sync.Once
@@ -256,8 +261,8 @@
 
 var errConnectionReset = errors.New("connection reset")
 
-// read takes bytes from the stream. It returns io.EOF once the stream is closed, and a channel that is closed with the
-// next write.
+// read takes up to len(to) bytes from the stream without waiting. It returns their number and a channel that is closed with
+// the next write, or io.EOF once the stream is closed.
 func (stream *byteStream) read(to []byte) (int, chan struct{}, error) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
@@ -271,14 +276,14 @@
 	return n, stream.written, nil
 }
 
-// unread puts bytes back in front.
+// unread puts bytes back at the front of the stream.
 func (stream *byteStream) unread(data []byte) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
 	stream.buffer = append(slices.Clone(data), stream.buffer...)
 }
 
-// write appends bytes; it fails once the stream is closed.
+// write appends bytes to the stream; it returns errConnectionReset once the stream is closed.
 func (stream *byteStream) write(data []byte) (int, error) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
@@ -293,5 +298,5 @@
 	return len(data), nil
 }
 
-// close ends the stream; what is in it is lost.
+// close closes the stream; bytes that were not read yet are lost. It may be called several times.
 func (stream *byteStream) close() { stream.once.Do(func() { close(stream.closed) }) }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -18,53 +18,63 @@
 	"switchferry/store"
 )
 
-// The probe is a job of probeCPUs processors for a team whose limit is one of two, of which it fits the larger only. The
-// answer to it tells by which revision it was judged.
+// The probe is a job whose submission shows which limit of its team a controller applies, and so which revision of the
+// configuration: the job fits the larger limit only.
 const (
-	probeTeam       = "probe"
+	// probeTeam is the team of the probe.
+	probeTeam = "probe"
+	// probeLimitSmall is the smaller limit of the team, in processors.
 	probeLimitSmall = 4.0
+	// probeLimitLarge is the larger limit of the team, in processors.
 	probeLimitLarge = 40.0
-	probeCPUs       = 8.0
+	// probeCPUs is the number of processors that the probe needs.
+	probeCPUs = 8.0
 )
 
-// inForceTimeout is how long the operators wait for a change to be in force.
+// inForceTimeout is how long the operators wait for a change to come into force.
 const inForceTimeout = 8 * time.Second
 
 // operators change the configuration while the simulation runs, one change after the other, and submit probes. They check
-// that no controller decides or answers by a revision older than one that was confirmed to be in force.
+// that no controller schedules or answers by a revision older than one that was confirmed to be in force.
 type operators struct {
 	sim *simulation
 
 	// mu guards the fields below.
-	mu       sync.Mutex
+	mu sync.Mutex
+	// attempts holds all configurations that were sent, in order.
 	attempts []configurationAttempt
-	// inForce is the index of the last attempt that was confirmed to be in force, at confirmedAt; -1: none.
-	inForce     int
+	// inForce is the index of the last attempt that was confirmed to be in force; -1 if there is none.
+	inForce int
+	// confirmedAt is when that attempt was confirmed.
 	confirmedAt time.Time
-	// recordedStarts is when the newest start of each task was written to the state service.
+	// recordedStarts holds the newest start of each task that was written to the state service.
 	recordedStarts map[string]recordedStart
-	// changes counts the confirmed changes.
+	// changes counts the changes that were confirmed to be in force.
 	changes int
 }
 
-// configurationAttempt is a configuration that was sent, whether it came into force or not.
+// configurationAttempt is a configuration that was sent, whether it came into force or not. Its limits are in processors.
 type configurationAttempt struct {
+	// probeLimit is the limit of probeTeam.
 	probeLimit float64
-	// teamLimits are the limits of the teams that submit jobs.
+	// teamLimits holds the limits of the teams that submit jobs.
 	teamLimits map[string]float64
 }
 
 // recordedStart is a start of a task in the state service's records.
 type recordedStart struct {
+	// attempt is the number of the start among the starts of the task.
 	attempt uint64
-	at      time.Time
+	// at is when the start was written.
+	at time.Time
 }
 
 func newOperators(sim *simulation) *operators {
 	return &operators{sim: sim, inForce: -1, recordedStarts: map[string]recordedStart{}}
 }
 
-// randomAttempt draws the next configuration. Every job fits its limits; with initialLimits they are as in the settings.
+// randomAttempt draws the next configuration. Every single task fits its limits. With initialLimits, the limits of the teams
+// that submit jobs are those in the settings.
 func (ops *operators) randomAttempt(rng *rand.Rand, initialLimits bool) configurationAttempt {
 	attempt := configurationAttempt{probeLimit: probeLimitSmall, teamLimits: map[string]float64{}}
 	if rng.IntN(2) == 0 {
@@ -79,7 +89,7 @@
 	return attempt
 }
 
-// document is the configuration's text; a random comment makes each one different.
+// document returns the text of the configuration. A random comment makes each text different.
 func (attempt *configurationAttempt) document(rng *rand.Rand) string {
 	var text strings.Builder
 	if rng.IntN(3) == 0 {
@@ -92,8 +102,8 @@
 	return text.String()
 }
 
-// changeRepeatedly changes the configuration for as long as users submit jobs, and then back to the limits in the
-// settings.
+// changeRepeatedly changes the configuration every ChangeInterval while users submit jobs, and then restores the limits in
+// the settings. began is when users began to submit jobs.
 func (ops *operators) changeRepeatedly(ctx context.Context, began time.Time) {
 	rng := ops.sim.actorRNG("operators")
 	for ops.sim.sleep(ctx, ops.sim.ChangeInterval) && time.Since(began) < ops.sim.SubmitFor {
@@ -104,7 +114,7 @@
 	}
 }
 
-// change makes one change and waits for it to be in force; it reports false if that is not confirmed in time.
+// change makes one change and waits until it is in force; it reports false if that is not confirmed in time.
 func (ops *operators) change(ctx context.Context, rng *rand.Rand, initialLimits bool) bool {
 	attempt := ops.randomAttempt(rng, initialLimits)
 	body, err := json.Marshal(api.ConfigurationRequest{Document: attempt.document(rng), By: "operators", Why: "the day"})
@@ -132,8 +142,8 @@
 	return true
 }
 
-// awaitInForce asks controllers until the leader answers that a revision is in force; it reports false if a later one
-// is, or if inForceTimeout has passed.
+// awaitInForce polls random controllers until the leader reports that a revision is in force. It reports false if a later
+// revision is in force, or if inForceTimeout has passed.
 func (ops *operators) awaitInForce(ctx context.Context, rng *rand.Rand, revision uint64) bool {
 	for end := time.Now().Add(inForceTimeout); ; {
 		if time.Now().After(end) || !ops.sim.sleep(ctx, 100*time.Millisecond) {
@@ -150,7 +160,8 @@
 	}
 }
 
-// request sends a request to a random controller and returns its answer, or 0 if it does not run or answer in time.
+// request sends a request to a random controller and returns the HTTP status code and body of its response, or 0 if the
+// controller does not run or does not answer within requestTimeout.
 func (ops *operators) request(ctx context.Context, rng *rand.Rand, request peer.Request) (code int, body []byte) {
 	name := controllerNames[rng.IntN(len(controllerNames))]
 	instance := ops.sim.runningController(name)
@@ -166,8 +177,9 @@
 	return response.Status, response.Body
 }
 
-// submitProbes submits again and again a job that can never be accepted. Where its team's limit admits it, it is refused
-// for awaiting a job that was never submitted; the reason of the refusal tells which limit applied.
+// submitProbes repeatedly submits the probe and checks which limit the controllers apply to it. The probe is never accepted:
+// a controller refuses it for the limit of its team, or, if the limit admits it, for awaiting a job that was never
+// submitted.
 func (ops *operators) submitProbes(ctx context.Context) {
 	rng := ops.sim.actorRNG("probes")
 	body := encodeSubmission(&api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: probeCPUs, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}})
@@ -184,13 +196,14 @@
 		if !ops.probeAnswerPossible(admitted, oldest) {
 			checker := ops.sim.checker
 			checker.mu.Lock()
-			checker.recordViolation("older_revision", "a submission is judged by another limit than the one in force and all later ones: passed %v", admitted)
+			checker.recordViolation("older_revision", "a controller applied a limit to a submission that neither the configuration in force nor a later one has: admitted %v", admitted)
 			checker.mu.Unlock()
 		}
 	}
 }
 
-// probeAnswerPossible reports whether any attempt from the oldest on explains that a probe was admitted or not.
+// probeAnswerPossible reports whether any attempt from the oldest on, an index in attempts, has a limit with which the probe
+// is admitted, or not admitted if admitted is false.
 func (ops *operators) probeAnswerPossible(admitted bool, oldest int) bool {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
@@ -199,30 +212,30 @@
 	})
 }
 
-// checkStart checks a start against the limits in force when it was recorded; usage is the team's with it. It returns a
-// description of the violation, empty if there is none.
+// checkStart checks a start of a task against the limits that may be in force when it was recorded. usage is the number of
+// processors that the team uses, including the task. checkStart returns a description of the violation, empty if there is
+// none.
 func (ops *operators) checkStart(task, team string, usage float64) (violation string) {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
 	if ops.inForce < 0 {
 		return ""
 	}
-	// A start that was recorded before the confirmation may have been decided by an older revision.
 	limit := ops.attempts[ops.inForce].teamLimits[team]
 	for _, attempt := range ops.attempts[ops.inForce+1:] {
 		limit = max(limit, attempt.teamLimits[team])
 	}
+	// A start that was recorded before the confirmation may have been decided by an older revision.
 	if start, ok := ops.recordedStarts[task]; !ok || !start.at.After(ops.confirmedAt) || usage <= limit+cpuTolerance {
 		return ""
 	}
-	return fmt.Sprintf("%s was recorded after a limit of %g came into force, and %s uses %g", task, limit, team, usage)
+	return fmt.Sprintf("%s was recorded after a limit of %g processors came into force, and team %s uses %g", task, limit, team, usage)
 }
 
-// startRecorder passes requests on to the state service and records, for the operators, when starts of tasks were
-// written.
+// startRecorder forwards requests to the state service and records, for the operators, when starts of tasks were written.
 type startRecorder struct{ operators *operators }
 
-// RoundTrip passes one request on.
+// RoundTrip forwards one request, and records the starts of a transaction that was executed.
 func (recorder startRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.URL.Path != transactionPath || request.Body == nil {
 		return recorder.operators.sim.state.RoundTrip(request)
@@ -239,7 +252,7 @@
 	return resp, err
 }
 
-// recordStarts records the starts that an executed transaction wrote.
+// recordStarts records the starts of tasks that an executed transaction wrote.
 func (ops *operators) recordStarts(body []byte) {
 	var transaction struct {
 		Then []struct {
--- a/internal/simulation/processes.go
+++ b/internal/simulation/processes.go
@@ -15,14 +15,15 @@
 	"switchferry/store"
 )
 
-// controllerProcess is a controller that is started and ended again; instance and stop are nil while it does not run.
+// controllerProcess is a controller's process, which can be started and stopped repeatedly. instance and stop are nil while
+// it does not run; the simulation's mu guards them.
 type controllerProcess struct {
 	name, zone string
 	instance   *controller.Controller
 	stop       context.CancelFunc
 }
 
-// startController starts a controller's process unless it runs.
+// startController starts a controller's process unless it runs already or ctx has ended.
 func (sim *simulation) startController(ctx context.Context, name string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -40,7 +41,7 @@
 	sim.actors.Go(func() { instance.Run(listener) })
 }
 
-// controllerSettings are a controller's settings, as its settings file and the deploy file would give them; sim.mu is
+// controllerSettings returns a controller's settings, as its settings file and the deploy file would give them; sim.mu is
 // held.
 func (sim *simulation) controllerSettings(process *controllerProcess) *settings.Settings {
 	set := &settings.Settings{Member: process.name, Zone: process.zone}
@@ -56,7 +57,7 @@
 	return set
 }
 
-// stopController ends a controller's process and resets its connections.
+// stopController stops a controller's process, if it runs, and resets its connections.
 func (sim *simulation) stopController(name string) {
 	sim.mu.Lock()
 	process := sim.controllers[name]
@@ -69,14 +70,14 @@
 	sim.network.reset(name)
 }
 
-// runningController is the instance of a controller, nil while it does not run.
+// runningController returns the instance of a controller, nil while it does not run.
 func (sim *simulation) runningController(name string) *controller.Controller {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.controllers[name].instance
 }
 
-// leader is the controller that leads according to the state service, or the first one if there is none.
+// leader returns the name of the leader according to the state service, or of the first controller if there is no leader.
 func (sim *simulation) leader() string {
 	var record store.LeaderRecord
 	if json.Unmarshal(sim.state.Get(store.LeaderKey), &record) != nil || record.Member == "" {
@@ -85,7 +86,7 @@
 	return record.Member
 }
 
-// setPaused pauses a controller's process or lets it continue.
+// setPaused pauses a controller's process or resumes it.
 func (sim *simulation) setPaused(name string, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// waitWhilePaused waits until a controller's process is not paused.
+// waitWhilePaused blocks until a controller's process is not paused.
 func (sim *simulation) waitWhilePaused(name string) {
 	for {
 		sim.mu.Lock()
@@ -111,14 +112,15 @@
 	}
 }
 
-// pausableClock is a controller's clock. While the process is paused, time goes on, but timers do not fire.
+// pausableClock is the clock of a controller's process. While the process is paused, time advances, but the channels that
+// After returns do not receive.
 type pausableClock struct {
 	clockwork.Clock
 	sim  *simulation
 	name string
 }
 
-// After fires once the duration has passed and the process is not paused.
+// After returns a channel that receives the time once the duration has passed and the process is not paused.
 func (clock *pausableClock) After(duration time.Duration) <-chan time.Time {
 	if !slices.ContainsFunc(clock.sim.Faults, func(fault Fault) bool { return fault.Kind == ProcessPause }) {
 		return clock.Clock.After(duration)
@@ -131,5 +133,5 @@
 	return out
 }
 
-// Sleep waits like After.
+// Sleep blocks until the duration has passed and the process is not paused.
 func (clock *pausableClock) Sleep(duration time.Duration) { <-clock.After(duration) }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -7,61 +7,68 @@
 	"time"
 )
 
-// Limits by which a run is judged.
+// Limits that a run is checked against.
 const (
-	// forgottenAfter is how long a job may go without an answer once all faults are over.
+	// forgottenAfter is how long the user of a job may get no response once all faults are over.
 	forgottenAfter = 75 * time.Second
-	// doneReportLag is how soon after its last task's end a job has to be reported done.
+	// doneReportLag is the longest time between the end of a job's last task and the response that reports the job as done.
 	doneReportLag = 3 * time.Second
-	// largestStartLimit is how soon the largest jobs of a class have to start.
+	// largestStartLimit is the longest start delay of the largest jobs of a class.
 	largestStartLimit = 240 * time.Second
-	// starvationLimit is how long a job may wait beside free resources that fit it.
+	// starvationLimit is how long a job may wait while free resources fit it.
 	starvationLimit = 90 * time.Second
-	// maxExplanations bounds Result.Explanations as to what is recorded while the simulation runs.
+	// maxExplanations is how many explanations are added to Result.Explanations while the simulation runs. The evaluation at
+	// its end may add more.
 	maxExplanations = 20
-	// cpuTolerance is by how many processors sums may exceed a limit through rounding.
+	// cpuTolerance is by how many processors a sum may exceed a limit, for rounding errors.
 	cpuTolerance = 1e-6
-	// teamPrefix distinguishes teams from classes where jobs are grouped by either.
+	// teamPrefix distinguishes the names of teams from those of classes where jobs are grouped by both.
 	teamPrefix = "team "
 )
 
-// Result is what was found in one run of a scenario.
+// Result holds the findings of one run of a scenario.
 type Result struct {
-	// Jobs counts accepted jobs, Tasks the starts of tasks.
-	Jobs  int `json:"jobs"`
+	// Jobs counts the accepted jobs.
+	Jobs int `json:"jobs"`
+	// Tasks counts the starts of tasks.
 	Tasks int `json:"tasks_started"`
 	// TasksRestarted counts the starts of tasks that had started before.
 	TasksRestarted int `json:"tasks_started_again"`
-	// Rules counts violations by the name of the rule; Explanations describe the first few.
-	Rules        map[string]int `json:"rules_broken"`
-	Explanations []string       `json:"why,omitempty"`
-	// LongestUnansweredS is the longest time, in seconds, that the user of a job got no answer once all
-	// faults were over; Forgotten counts jobs left without an answer for longer than forgottenAfter.
+	// Rules counts violations by the name of the rule.
+	Rules map[string]int `json:"rules_broken"`
+	// Explanations describes the first findings.
+	Explanations []string `json:"why,omitempty"`
+	// LongestUnansweredS is the longest time, in seconds, for which the user of a job got no response once all faults were
+	// over.
 	LongestUnansweredS float64 `json:"longest_unanswered_s"`
-	Forgotten          int     `json:"forgotten"`
-	// PendingForGood counts accepted jobs that nobody cancelled and that had not started in the end.
+	// Forgotten counts the unfinished jobs whose users had got no response for longer than forgottenAfter at the end.
+	Forgotten int `json:"forgotten"`
+	// PendingForGood counts the accepted jobs that had not started at the end although their dependencies were done and
+	// neither they nor their dependencies were cancelled.
 	PendingForGood int `json:"pending_for_good"`
-	// ClassesMinShare is the least share of started jobs among the classes, the teams and the largest
-	// jobs of each class; LargestBeginP99S is the 99th percentile of the start delay of the largest, in seconds.
-	ClassesMinShare  float64 `json:"classes_min_share"`
+	// ClassesMinShare is the smallest share of started jobs among the classes, the teams and the largest jobs of each
+	// class. Of the largest jobs, only those that started within largestStartLimit count as started.
+	ClassesMinShare float64 `json:"classes_min_share"`
+	// LargestBeginP99S is the 99th percentile of the start delay of the largest jobs of all classes, in seconds.
 	LargestBeginP99S float64 `json:"largest_begin_p99_s"`
-	// StartsInVain counts tasks sent to a machine later than one lease after it stopped hearing
-	// controllers, per such machine and lease. ReturnedInVain counts machines that were given back with
-	// work on them although no fault had met them in the last minute.
-	StartsInVain   float64 `json:"starts_in_vain"`
-	ReturnedInVain int     `json:"returned_in_vain"`
-	// StartedAfterCancel counts tasks that started after the cancellation was acknowledged. StarvedJobs
-	// counts jobs that waited longer than starvationLimit after all faults while a machine had room for
-	// them and their team was under its limit. WrongAnswers counts answers to invalid requests that the
-	// protocol does not have.
+	// StartsInVain is the number of tasks that were sent to machines which had received nothing from controllers for a lease
+	// or longer, divided by the number of leases for which machines received nothing, at least 1.
+	StartsInVain float64 `json:"starts_in_vain"`
+	// ReturnedInVain counts the machines that were returned to the cloud while they ran tasks, although no fault had
+	// affected them within the last minute.
+	ReturnedInVain int `json:"returned_in_vain"`
+	// StartedAfterCancel counts the starts of tasks after the cancellation of their job was reported to its user.
 	StartedAfterCancel int `json:"started_cancelled"`
-	StarvedJobs        int `json:"waited_in_vain"`
-	WrongAnswers       int `json:"wrong_answers"`
-	// ConfigurationChanges counts the revisions of the configuration that came into force.
+	// StarvedJobs counts the jobs that waited longer than starvationLimit, after all faults were over, while machines had
+	// room for them and their team was below its limit.
+	StarvedJobs int `json:"waited_in_vain"`
+	// WrongAnswers counts the responses that the protocol does not allow, mostly to invalid requests.
+	WrongAnswers int `json:"wrong_answers"`
+	// ConfigurationChanges counts the changes of the configuration that were confirmed to be in force.
 	ConfigurationChanges int `json:"changes_in_force,omitempty"`
 }
 
-// laterOf is the later of two times.
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -69,13 +76,13 @@
 	return b
 }
 
-// evaluate judges the whole run at its end. It is called once, while the controllers still run.
+// evaluate computes the result at the end of a run. It must be called only once, while the controllers still run.
 func (checker *invariantChecker) evaluate() *Result {
 	checker.countLostLeases()
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	now := time.Now()
-	// classes are the jobs that should have started, by class and, under "team " and its name, by team.
+	// classes holds the jobs that should have started, by class and by team; teamPrefix precedes the name of a team.
 	classes := map[string][]*trackedJob{}
 	for _, job := range checker.jobsInOrder {
 		if job.acceptedAt.IsZero() {
@@ -101,7 +108,7 @@
 	return &result
 }
 
-// countLostLeases adds the machines that are unreachable for controllers at the end.
+// countLostLeases adds to lostLeases the time for which machines that are still unreachable at the end received nothing.
 func (checker *invariantChecker) countLostLeases() {
 	checker.sim.mu.Lock()
 	defer checker.sim.mu.Unlock()
@@ -112,7 +119,7 @@
 	}
 }
 
-// evaluateOpenJob judges a job whose user was told of no terminal state; checker.mu is held.
+// evaluateOpenJob evaluates an accepted job of which no terminal state was reported to its user; checker.mu is held.
 func (checker *invariantChecker) evaluateOpenJob(job *trackedJob, now time.Time) {
 	result := &checker.result
 	unanswered := now.Sub(job.answeredAt)
@@ -125,11 +132,11 @@
 		result.Explanations = append(result.Explanations, fmt.Sprintf("pending for good: %s %s, %d tasks, accepted %v ago", job.ID, job.Class, job.Tasks, now.Sub(job.acceptedAt).Round(time.Second)))
 	}
 	if !job.doneAt.IsZero() && now.Sub(job.doneAt) > doneReportLag+2*pollInterval && job.answeredAt.Sub(job.doneAt) > doneReportLag {
-		result.Explanations = append(result.Explanations, fmt.Sprintf("done late: %s", job.ID))
+		result.Explanations = append(result.Explanations, fmt.Sprintf("reported as done too late: %s", job.ID))
 	}
 }
 
-// evaluateClasses computes the least share of started jobs and the start delay of the largest; checker.mu is held.
+// evaluateClasses computes the smallest share of started jobs and the start delay of the largest jobs; checker.mu is held.
 func (checker *invariantChecker) evaluateClasses(classes map[string][]*trackedJob, now time.Time) {
 	result := &checker.result
 	result.ClassesMinShare = 1
@@ -152,7 +159,8 @@
 	}
 }
 
-// startedShare is the share of jobs that started, within that time if it is not 0; of no jobs it is 1.
+// startedShare returns the share of jobs that started, with a start delay of at most within unless within is 0. Without jobs
+// it returns 1.
 func startedShare(jobs []*trackedJob, within time.Duration) float64 {
 	if len(jobs) == 0 {
 		return 1
@@ -166,10 +174,10 @@
 	return float64(started) / float64(len(jobs))
 }
 
-// startableAt is when nothing but the scheduler kept the job from starting.
+// startableAt returns when the job could start at the earliest: once it was accepted and its dependencies were done.
 func (job *trackedJob) startableAt() time.Time { return laterOf(job.acceptedAt, job.readyAt) }
 
-// startDelay is how long the job was startable before it started, or has been until now.
+// startDelay returns the time from startableAt to the job's start, or to now if the job has not started.
 func (job *trackedJob) startDelay(now time.Time) time.Duration {
 	if job.startedAt.IsZero() {
 		return now.Sub(job.startableAt())
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -6,134 +6,145 @@
 	"switchferry/settings"
 )
 
-// Kinds of faults. A fault begins At a time and lasts For a duration. Where a fault affects one controller, that is the
-// leader or, with Follower, another one: its target.
+// Kinds of faults. At, For, Count, Follower, Unanswered and HangMachinesFor are fields of Fault. The target of a fault that
+// affects one controller is the leader or, with Follower, another controller.
 const (
-	// ControllerCrash ends Count controllers, beginning with the target; each starts again after For.
+	// ControllerCrash stops Count controllers, beginning with the target; each starts again after For.
 	ControllerCrash = "crash"
-	// RollingRestart ends all controllers, one each rollInterval; each starts again after For.
+	// RollingRestart stops all controllers, one each rollInterval; each starts again after For.
 	RollingRestart = "roll"
-	// ControllerIsolated cuts the target off from the state service and the other controllers; its workers
-	// still reach it.
+	// ControllerIsolated cuts the target off from the state service and the other controllers; workers still reach it.
 	ControllerIsolated = "lone"
-	// OutboundLost keeps commands and answers from Count machines, whose heartbeats still arrive.
+	// OutboundLost drops all commands and responses to Count machines, whose heartbeats still arrive.
 	OutboundLost = "half-deaf"
-	// ControllerOutboundLost keeps everything that the target sends from all machines.
+	// ControllerOutboundLost drops everything that the target sends to machines.
 	ControllerOutboundLost = "deaf-node"
-	// DuplicateHeartbeats delivers every fifth heartbeat again, two seconds to three leases later, to any
-	// controller.
+	// DuplicateHeartbeats delivers one heartbeat in five a second time, to a random controller and with a delay of two
+	// seconds up to two seconds and three leases.
 	DuplicateHeartbeats = "copies"
-	// MachineCrash ends Count machines for good.
+	// MachineCrash ends Count machines permanently.
 	MachineCrash = "die"
-	// WorkerRestart ends all tasks on Count machines, whose workers are back at once.
+	// WorkerRestart ends all tasks on Count machines, whose workers restart without a delay.
 	WorkerRestart = "restart"
-	// StateOutage makes the state service unavailable to all.
+	// StateOutage makes the state service unavailable to all controllers.
 	StateOutage = "outage"
-	// ZonePartition cuts the target's zone off from the other one and from the services.
+	// ZonePartition cuts the target's zone off from the other zone, the state service and the cloud.
 	ZonePartition = "zone"
-	// StateRefused has the state service answer the target with 503 or, with Unanswered, not at all.
+	// StateRefused makes the state service answer the target with 503 or, with Unanswered, not at all.
 	StateRefused = "refused"
-	// ControllerPartition cuts the target off from everything. What was sent between controllers arrives
-	// afterwards.
+	// ControllerPartition cuts the target off from the state service, the other controllers and the machines. Messages
+	// between controllers arrive afterwards.
 	ControllerPartition = "silence"
-	// ControllerPairPartition does so between the target and one other controller.
+	// ControllerPairPartition cuts the target off from one other controller. Messages between them arrive afterwards.
 	ControllerPairPartition = "apart"
-	// LateWrites has one transaction in five executed 2 to 12 s late, without an answer in time.
+	// LateWrites delays the execution of one transaction in five by minLateWriteDelay to maxWriteDelay, so that its answer
+	// comes too late.
 	LateWrites = "late-writes"
-	// DelayedCommands has one command in three reach its machine up to 8 s late, or be answered so late.
+	// DelayedCommands delays one request with commands in three, or the response to it, by up to maxCommandDelay.
 	DelayedCommands = "held"
-	// CancellationWave has the users of Count in ten waiting job arrays cancel them, at once and each
-	// waveInterval for the fault's duration. With HangMachinesFor, up to maxHungByWave machines that run tasks
-	// of these jobs are suspended for that long.
+	// CancellationWave makes Count in ten of the users who wait for the next poll cancel their job arrays, at once and then
+	// every waveInterval for the fault's duration. With HangMachinesFor, up to maxHungByWave machines that run tasks of
+	// these jobs are suspended for that time.
 	CancellationWave = "wave"
-	// MachineHang suspends Count machines: they execute nothing, and what they were sent afterwards.
+	// MachineHang suspends Count machines, which execute commands that reach them only afterwards.
 	MachineHang = "hangs"
-	// InboundLost keeps the heartbeats of Count machines, or with Follower of all in the leader's zone, from the
-	// controllers; commands reach these machines.
+	// InboundLost drops the heartbeats of Count machines, or with Follower of all healthy machines in the leader's zone;
+	// commands still reach these machines.
 	InboundLost = "mute"
-	// ProcessPause suspends the target's process while its clock runs on.
+	// ProcessPause pauses the target's process while time advances.
 	ProcessPause = "freeze"
-	// SlowState has the state service answer up to maxSlowDelay late: to the target if Count is 1, else to all.
+	// SlowState delays requests to the state service, or their responses, by up to maxSlowDelay: those of the target if Count
+	// is 1, else those of all controllers.
 	SlowState = "slow"
-	// CancelAtEnd has users cancel half of the job arrays around the moment at which the last task ends, and ask
-	// for their status and repeat their submission beside that.
+	// CancelAtEnd makes users cancel half of the job arrays around the moment at which the last task ends, and ask for their
+	// status and repeat their submission around the same moment.
 	CancelAtEnd = "at-end"
-	// InvalidRequests has users repeat submissions, also with other contents, cancel jobs that are over, and
-	// submit jobs that cannot run.
+	// InvalidRequests makes users repeat submissions with invalid contents, cancel jobs in a terminal state, and submit
+	// invalid jobs.
 	InvalidRequests = "odd"
-	// SlowHeartbeats has half of the heartbeats, and half of the responses to them, take up to maxHeartbeatDelay, while
-	// direct commands take maxQuickCommandDelay at most.
+	// SlowHeartbeats delays half of the heartbeats, and half of the responses to them, by up to maxHeartbeatDelay, and
+	// requests with direct commands by up to maxQuickCommandDelay.
 	SlowHeartbeats = "slow-heartbeats"
-	// LeaderLinkFlapping cuts the leader off from the other controllers again and again: in both directions for
-	// flapCutBoth, then, after flapOpen, for flapCutReplies in the direction from the leader alone.
+	// LeaderLinkFlapping repeatedly cuts the links between the leader and the other controllers: in both directions for
+	// flapCutBoth and, after flapOpen, in the direction from the leader only for flapCutReplies.
 	LeaderLinkFlapping = "flapping"
-	// FailingMachines has Count machines fail half of the tasks that they start, at once.
+	// FailingMachines makes Count machines fail half of the tasks that they start, immediately after the start.
 	FailingMachines = "failing"
 )
 
-// maxHeartbeatDelay bounds the delay of a heartbeat and of its response during a SlowHeartbeats fault. With both, a worker
-// still gets some responses within its timeout of 4 s.
+// maxHeartbeatDelay bounds the delay of a heartbeat, and that of its response, during a SlowHeartbeats fault. Even with both
+// delays, a worker still receives responses within its timeout of 4 s.
 const maxHeartbeatDelay = 1900 * time.Millisecond
 
-// maxQuickCommandDelay bounds the delay of commands to workers during a SlowHeartbeats fault.
+// maxQuickCommandDelay bounds the delay of direct commands to workers during a SlowHeartbeats fault.
 const maxQuickCommandDelay = 300 * time.Millisecond
 
-// maxSlowDelay bounds the delay of an answer during a SlowState fault.
+// maxSlowDelay bounds the delay of a request, or of its response, during a SlowState fault.
 const maxSlowDelay = 1500 * time.Millisecond
 
-// How long the phases of a LeaderLinkFlapping fault last. Within flapCutReplies the leader still counts as reachable.
+// Durations of the phases of a LeaderLinkFlapping fault.
 const (
-	flapCutBoth    = 5 * time.Second
-	flapOpen       = 900 * time.Millisecond
+	// flapCutBoth is how long both directions are cut.
+	flapCutBoth = 5 * time.Second
+	// flapOpen is how long the links work after each cut.
+	flapOpen = 900 * time.Millisecond
+	// flapCutReplies is how long only the direction from the leader is cut; the leader still counts as reachable.
 	flapCutReplies = 2 * time.Second
 )
 
-// rollInterval is the time between two ends of controllers in a RollingRestart.
+// rollInterval is the time between the stops of two controllers in a RollingRestart.
 const rollInterval = 5 * time.Second
 
-// defaultCPUsPerMachine is a team's limit, in processors for each machine, where a scenario does not say.
+// defaultCPUsPerMachine is the limit of a team, in processors per machine, if a scenario does not set one.
 const defaultCPUsPerMachine = 6
 
-// Fault is one fault of a scenario. The kind says which of the other fields it uses.
+// Fault is one fault of a scenario. The constant of its kind describes which of the fields below Kind it uses.
 type Fault struct {
-	// At is when it begins, counted from when users begin to submit jobs; For is how long it lasts.
-	At, For         time.Duration
-	Kind            string
-	Count           int
-	Follower        bool
-	Unanswered      bool
+	// At is when the fault begins, counted from when users begin to submit jobs; For is how long it lasts.
+	At, For time.Duration
+	// Kind is one of the kinds of faults above.
+	Kind string
+	// Count is how many controllers or machines the fault affects, or which share of the users, in tenths.
+	Count int
+	// Follower makes a follower the target instead of the leader. For InboundLost it selects the leader's zone.
+	Follower bool
+	// Unanswered makes the state service leave requests unanswered instead of answering with 503.
+	Unanswered bool
+	// HangMachinesFor is how long machines are suspended in a CancellationWave; 0 means that none are.
 	HangMachinesFor time.Duration
 }
 
-// Scenario describes a run: the fleet, the load and the faults.
+// Scenario describes a run of the simulation: the fleet, the load and the faults.
 type Scenario struct {
-	// Seed determines machines, jobs and the choices that faults leave open.
+	// Seed determines the jobs and all random choices of users and faults.
 	Seed uint64
-	// Machines is how many machines the region has at most, and has from the beginning.
+	// Machines is the number of machines at the beginning, and the most that the cloud provides at a time.
 	Machines int
-	// SubmitFor is how long users submit jobs. After that, or after the last fault if that is later, the
-	// simulation goes on for WaitAfter.
+	// SubmitFor is how long users submit jobs. After that, or after the last fault if that ends later, the simulation
+	// continues for WaitAfter.
 	SubmitFor, WaitAfter time.Duration
-	// JobsPerSecond is how many jobs users submit on average.
+	// JobsPerSecond is how many jobs users submit per second on average.
 	JobsPerSecond float64
-	Faults        []Fault
-	// CancelShare is the share of job arrays that their users cancel, defaultCancelShare if it is 0.
+	// Faults are the faults that are injected, in any order.
+	Faults []Fault
+	// CancelShare is the share of job arrays that their users cancel; 0 means defaultCancelShare, a negative value none.
 	CancelShare float64
-	// TaskRunS is for how many seconds tasks of small job arrays are estimated to run, 5 to 15 if it is 0.
+	// TaskRunS is the estimated run time of tasks of small job arrays, in seconds; 0 means 5 to 15 s, at random.
 	TaskRunS float64
-	// CPUsPerMachine is a team's limit in processors for each machine, defaultCPUsPerMachine if it is 0.
+	// CPUsPerMachine is the limit of each team, in processors per machine; 0 means defaultCPUsPerMachine.
 	CPUsPerMachine float64
-	// ImagePullS is how many seconds a machine needs to pull one of the four images; 0: no images are needed.
+	// ImagePullS is how many seconds a machine needs to pull one of the four images; 0 means that tasks need no image.
 	ImagePullS float64
-	// ZoneBoundJobs binds a third of the small job arrays to one zone.
+	// ZoneBoundJobs binds each of a third of the small job arrays to one zone.
 	ZoneBoundJobs bool
-	Workers       settings.Workers
-	// ChangeInterval is the time between two changes of the configuration; 0: there are none, and live
+	// Workers are the settings of the workers.
+	Workers settings.Workers
+	// ChangeInterval is the time between two changes of the configuration; 0 means that there are none, and that live
 	// configuration is off.
 	ChangeInterval time.Duration
 }
 
-// teamLimit is how many processors a team may use.
+// teamLimit returns how many processors each team may use according to the settings.
 func (scenario *Scenario) teamLimit() float64 {
 	if scenario.CPUsPerMachine > 0 {
 		return scenario.CPUsPerMachine * float64(scenario.Machines)
@@ -141,14 +152,14 @@
 	return defaultCPUsPerMachine * float64(scenario.Machines)
 }
 
-// NewScenario is a scenario without faults for some machines, with the workers' settings of a small fleet.
+// NewScenario returns a scenario without faults for a number of machines, with the workers' settings of a small fleet.
 func NewScenario(seed uint64, machines int) *Scenario {
 	return &Scenario{Seed: seed, Machines: machines, SubmitFor: 120 * time.Second, WaitAfter: 150 * time.Second, JobsPerSecond: min(4, float64(machines)/8),
 		Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}}
 }
 
-// Scenarios are the faults of the named scenarios: kinds of faults alone, for leaders and followers, together, and in
-// the middle of an election. The names are part of the command line.
+// Scenarios returns the faults of the named scenarios: single kinds of faults, for leaders and followers, several kinds
+// together, and faults during an election. The names are part of the command line.
 func Scenarios() map[string][]Fault {
 	return map[string][]Fault{
 		"quiet":                       nil,
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,14 +1,14 @@
 // Package simulation runs a whole region in one process and checks the scheduler's invariants while faults are
 // injected.
 //
-// The controllers are the production ones, as `serve` runs them. Simulated are the state service, the cloud and the
-// workers (package fake), the users, the operators who change the configuration, and the network, of which each
-// direction of each pair of hosts can be cut by itself. Not simulated are disks, the controllers' HTTP listeners,
-// data transfer between machines and the load on processors.
+// The controllers are the production ones, as `serve` runs them. The state service, the cloud and the workers are simulated
+// (package fake), as are the users, the operators who change the configuration, and the network, on which each direction
+// between two hosts can be cut separately. Disks, the controllers' HTTP listeners, data transfer between machines and
+// processor load are not simulated.
 //
-// A simulation runs on the time package's clock: in tests within testing/synctest, where a scenario of minutes
-// takes a second, else in real time. The same seed makes the same machines, jobs and faults; the order of what
-// happens at one moment is the Go scheduler's, so results of one seed may differ slightly.
+// A simulation runs on the time package's clock: in tests within testing/synctest, where a scenario of minutes takes a
+// second, otherwise in real time. The same seed produces the same machines, jobs and faults. The Go scheduler determines the
+// order of simultaneous events, so the results of one seed may differ slightly.
 package simulation
 
 import (
@@ -35,14 +35,14 @@
 	network    *controllerNetwork
 	state      *fake.State
 	cloud      *fake.Cloud
-	// rng chooses the machines that faults meet; mu guards it.
+	// rng selects the machines that faults affect; mu guards it.
 	rng     *rand.Rand
 	checker *invariantChecker
 	// operators is nil in scenarios without changes of the configuration.
 	operators *operators
-	// actors are the goroutines that Run waits for.
+	// actors tracks the goroutines that Run waits for.
 	actors sync.WaitGroup
-	// cancellations hands a cancellation wave to the users who wait at that moment.
+	// cancellations passes a CancellationWave fault to the users who wait for the next poll.
 	cancellations chan Fault
 	// cancelAtEndFaults and invalidRequestFaults count the active faults of these kinds.
 	cancelAtEndFaults, invalidRequestFaults atomic.Int32
@@ -50,18 +50,20 @@
 	// mu guards the fields below and the mutable fields of processes and machines.
 	mu          sync.Mutex
 	controllers map[string]*controllerProcess
-	// machines are the rented ones by address.
-	machines              map[string]*simulatedMachine
+	// machines holds the rented machines by address.
+	machines map[string]*simulatedMachine
+	// duplicatingHeartbeats is set while a DuplicateHeartbeats fault is active.
 	duplicatingHeartbeats bool
 	// lateWriteFaults, delayedCommandFaults and slowHeartbeatFaults count the active faults of these kinds.
 	lateWriteFaults, delayedCommandFaults, slowHeartbeatFaults int
-	// slowStateFaults counts those by controller; the empty name stands for all controllers.
+	// slowStateFaults counts the active SlowState faults by controller; the empty name stands for all controllers.
 	slowStateFaults map[string]int
-	// pausedProcesses holds, for each paused controller, a channel that is closed when it continues.
+	// pausedProcesses holds, for each paused controller, a channel that is closed when its process is resumed.
 	pausedProcesses map[string]chan struct{}
-	// stateRefusals says how the state service refuses a controller: refusalUnavailable, refusalUnanswered or not.
+	// stateRefusals holds how the state service refuses the requests of a controller: refusalUnavailable or
+	// refusalUnanswered; empty while it does not.
 	stateRefusals map[string]string
-	// hungByWave counts the machines that hang because of the last cancellation wave.
+	// hungByWave counts the machines that were suspended since the last cancellation wave began.
 	hungByWave int
 }
 
@@ -76,17 +78,22 @@
 
 // Limits of the simulated services, which controllers know from their settings.
 const (
-	stateRPS      = 400
+	// stateRPS is how many requests per second the state service accepts.
+	stateRPS = 400
+	// stateWriteRPS is how many writes per second the state service accepts.
 	stateWriteRPS = 120
-	stateValueKB  = 16
-	stateTxnOps   = 12
-	cloudRPS      = 20
+	// stateValueKB is the largest value that the state service stores, in KB.
+	stateValueKB = 16
+	// stateTxnOps is the largest number of operations in a transaction.
+	stateTxnOps = 12
+	// cloudRPS is how many requests per second the cloud accepts.
+	cloudRPS = 20
 )
 
-// startupTime is how long controllers have before users and faults begin.
+// startupTime is the time between the start of the controllers and that of users and faults.
 const startupTime = 5 * time.Second
 
-// Run plays the scenario to its end and returns what was found. It returns early if ctx ends.
+// Run runs the scenario to its end and returns the findings. It ends early, with the findings so far, if ctx ends.
 func (scenario *Scenario) Run(ctx context.Context) *Result {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -108,12 +115,12 @@
 		sim.stopController(name)
 	}
 	sim.actors.Wait()
-	// Delayed requests are executed even if their sender has ended; they must not outlive the run.
+	// Delayed requests are executed even if their sender has stopped; they must not outlive the run.
 	time.Sleep(maxWriteDelay)
 	return result
 }
 
-// newSimulation makes the parts of a simulation; nothing runs yet.
+// newSimulation returns a simulation of which nothing runs yet.
 func newSimulation(ctx context.Context, scenario *Scenario) *simulation {
 	clock := clockwork.NewRealClock()
 	sim := &simulation{
@@ -162,7 +169,8 @@
 	}
 }
 
-// scheduleFaults has each fault injected at its time, counted from began; it returns when the last one ends.
+// scheduleFaults starts a goroutine for each fault that injects it at its time, counted from began. It returns the time,
+// counted from began, at which the last fault ends.
 func (sim *simulation) scheduleFaults(ctx context.Context, began time.Time) (end time.Duration) {
 	for _, fault := range sim.Faults {
 		end = max(end, fault.At+fault.For)
@@ -178,7 +186,7 @@
 	return end
 }
 
-// startActors starts the users, the operators and the checks that are made every second.
+// startActors starts the users, the operators and the checks that run every second.
 func (sim *simulation) startActors(ctx context.Context, began time.Time) {
 	sim.actors.Go(func() { sim.submitJobs(ctx, began) })
 	if sim.operators != nil {
@@ -193,13 +201,13 @@
 	})
 }
 
-// sleep waits for a duration; it reports false if ctx ended before.
+// sleep waits for a duration; it reports false if ctx ends first.
 func (sim *simulation) sleep(ctx context.Context, duration time.Duration) bool {
 	return sleep.Real(ctx, duration)
 }
 
-// actorRNG makes the random numbers of one actor from the seed and the actor's name, so that no actor's numbers
-// depend on what the others do.
+// actorRNG returns a random number generator for one actor, seeded with the scenario's seed and the actor's name, so that
+// the numbers of an actor do not depend on what the others do.
 func (sim *simulation) actorRNG(actor string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(actor))
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -6,11 +6,11 @@
 	"switchferry/api"
 )
 
-// freeCPUs is what healthy machines have left, by machine.
+// freeCPUs holds the number of free processors of each healthy machine.
 type freeCPUs map[*simulatedMachine]float64
 
-// checkStarvation looks for jobs that wait beside free resources that fit them, once all faults are over. A moment
-// without such resources, or a start, begins the time anew.
+// checkStarvation counts, once all faults are over, the jobs that wait longer than starvationLimit while free resources fit
+// them. The time starts over whenever no free resources fit the job, or a task of it starts.
 func (checker *invariantChecker) checkStarvation() {
 	free := checker.healthyMachines()
 	checker.mu.Lock()
@@ -32,12 +32,12 @@
 		if now.Sub(job.starvedSince) > starvationLimit && !job.starved {
 			job.starved = true
 			checker.result.StarvedJobs++
-			checker.explain("waits in vain: %s %s, %d of %d tasks, %g processors each", job.ID, job.Class, waiting, job.Tasks, job.CPUs)
+			checker.explain("starved: %s %s, %d of %d tasks wait, %g processors each", job.ID, job.Class, waiting, job.Tasks, job.CPUs)
 		}
 	}
 }
 
-// healthyMachines are the machines that no fault affects, with their free processors.
+// healthyMachines returns the machines that no fault affects, with their free processors.
 func (checker *invariantChecker) healthyMachines() freeCPUs {
 	checker.sim.mu.Lock()
 	var healthy []*simulatedMachine
@@ -54,7 +54,8 @@
 	return free
 }
 
-// usageByTeam counts the processors in use by each team, and each job's running tasks; checker.mu is held.
+// usageByTeam returns the number of processors that each team uses, and the number of running tasks of each job; checker.mu
+// is held.
 func (checker *invariantChecker) usageByTeam() (usage map[string]float64, running map[string]int) {
 	usage, running = map[string]float64{}, map[string]int{}
 	for task := range checker.placements.All() {
@@ -65,8 +66,9 @@
 	return usage, running
 }
 
-// couldStart reports whether a job is due and free machines and its team's limit have room for one of its waiting
-// tasks, or for all of them if it is a service; checker.mu is held.
+// couldStart reports whether a job may start and both the free processors and its team's limit have room for one of its
+// waiting tasks, or for all of them if it is a service; usage is the number of processors that the team uses. checker.mu is
+// held.
 func (checker *invariantChecker) couldStart(job *trackedJob, waiting int, free freeCPUs, usage float64) bool {
 	if job.acceptedAt.IsZero() || job.finalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || waiting <= 0 || checker.awaitsDependency(job) {
 		return false
--- a/internal/simulation/transport.go
+++ b/internal/simulation/transport.go
@@ -17,8 +17,8 @@
 )
 
 // controllerTransport carries the HTTP requests of one controller to the state service, the cloud and the workers, and
-// delays, loses or refuses them as the active faults say. A transaction may be executed late, even if the process that
-// sent it has ended.
+// delays, drops or refuses them according to the active faults. A transaction may be executed late, even if the process
+// that sent it has stopped.
 type controllerTransport struct {
 	sim  *simulation
 	from string
@@ -28,8 +28,7 @@
 	rng *rand.Rand
 }
 
-// stateTransport is the state service as controllers reach it, with the operators' recorder before it if there are
-// operators.
+// stateTransport returns the transport to the state service, which records starts of tasks if there are operators.
 func (sim *simulation) stateTransport() http.RoundTripper {
 	if sim.operators != nil {
 		return startRecorder{sim.operators}
@@ -37,14 +36,14 @@
 	return sim.state
 }
 
-// RoundTrip carries one request. A paused process neither sends nor learns anything until it continues.
+// RoundTrip carries one request. While the process is paused, it neither sends the request nor receives the response.
 func (t *controllerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	t.sim.waitWhilePaused(t.from)
 	defer t.sim.waitWhilePaused(t.from)
 	return t.send(request)
 }
 
-// send carries a request as the cuts of the network and the active faults allow.
+// send carries a request, subject to the links that are cut and the active faults.
 func (t *controllerTransport) send(request *http.Request) (*http.Response, error) {
 	host, via := t.target(request)
 	if via == nil {
@@ -66,8 +65,8 @@
 	return resp, err
 }
 
-// target is the host that a request goes to, by its name on the network, and who serves it there; via is nil if nobody
-// does.
+// target returns the name of the host that a request is sent to, and the transport that serves it there; via is nil if no
+// running machine has the address.
 func (t *controllerTransport) target(request *http.Request) (host string, via http.RoundTripper) {
 	host, _, _ = strings.Cut(request.URL.Host, ":")
 	switch host {
@@ -85,13 +84,13 @@
 	return machine.Name, workerEndpoint{t.sim, machine}
 }
 
-// awaitTimeout waits for the end of a request that gets no answer.
+// awaitTimeout blocks until the context of a request that gets no response ends, and returns the context's error.
 func (t *controllerTransport) awaitTimeout(request *http.Request) (*http.Response, error) {
 	<-request.Context().Done()
 	return nil, request.Context().Err()
 }
 
-// unreachable fails a request over a link that is cut: half of them while connecting, the others by timeout.
+// unreachable fails a request over a cut link: half of the requests while connecting, the others when their context ends.
 func (t *controllerTransport) unreachable(request *http.Request, via http.RoundTripper) (*http.Response, error) {
 	if endpoint, ok := via.(workerEndpoint); ok {
 		var response api.HeartbeatResponse
@@ -100,28 +99,29 @@
 		}
 	}
 	if t.chance(2) {
-		// There was no connection yet.
+		// This request needs a new connection.
 		t.sim.sleep(request.Context(), dialTimeout)
 		return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 	}
 	return t.awaitTimeout(request)
 }
 
-// chance is true once in so many draws, on average.
+// chance reports true with a probability of 1/in.
 func (t *controllerTransport) chance(in int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rng.IntN(in) == 0
 }
 
-// randomBelow draws a duration from zero to below the given one.
+// randomBelow draws a duration that is not negative and less than the given one.
 func (t *controllerTransport) randomBelow(duration time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Duration(t.rng.Int64N(int64(duration)))
 }
 
-// stateRefusal is the answer of the state service while it refuses this controller; refused is false while it does not.
+// stateRefusal returns the response of the state service while it refuses this controller; refused is false if the request is
+// not refused.
 func (t *controllerTransport) stateRefusal(request *http.Request, host string) (resp *http.Response, refused bool, err error) {
 	if host != stateHost {
 		return nil, false, nil
@@ -139,13 +139,13 @@
 	return nil, false, nil
 }
 
-// requestDelay is how long a request waits before it is carried out, and its answer afterwards.
+// requestDelay is the delay of a request: before it is executed, and between its execution and the response.
 type requestDelay struct {
 	before, after time.Duration
 }
 
-// delay draws whether a request is delayed, and by how much. A delayed request is carried out even if its caller has
-// given up.
+// delay draws whether a request is delayed, and by how much. A delayed request is executed even if its caller has given up;
+// so the delay may be zero.
 func (t *controllerTransport) delay(request *http.Request, host string, via http.RoundTripper) (delay requestDelay, delayed bool) {
 	endpoint, toWorker := via.(workerEndpoint)
 	t.sim.mu.Lock()
@@ -175,8 +175,8 @@
 	return requestDelay{}, false
 }
 
-// writeDelay draws whether and how long a transaction is delayed: one in 200, or, while a LateWrites fault is active,
-// one in five and for longer.
+// writeDelay draws whether a transaction is delayed, and by how much: one in 200, or one in five and for longer while a
+// LateWrites fault is active.
 func (t *controllerTransport) writeDelay(lateWrites bool) (wait time.Duration, late bool) {
 	late, wait = t.chance(200), t.randomBelow(maxRegularWriteDelay)
 	if lateWrites {
@@ -185,7 +185,8 @@
 	return wait, late
 }
 
-// commandDelay draws a delay of a command to a worker while a DelayedCommands fault is active.
+// commandDelay draws whether a request with commands to a worker, or its response, is delayed while a DelayedCommands fault
+// is active, and by how much.
 func (t *controllerTransport) commandDelay() (delay requestDelay, delayed bool) {
 	wait := t.randomBelow(maxCommandDelay)
 	if t.chance(6) {
@@ -197,31 +198,37 @@
 	return requestDelay{}, false
 }
 
-// Names of the simulated services on the network, and the path of transactions at the state service.
+// Addresses of the simulated services.
 const (
-	stateHost       = "state"
-	cloudHost       = "cloud"
+	// stateHost is the host name of the state service.
+	stateHost = "state"
+	// cloudHost is the host name of the cloud.
+	cloudHost = "cloud"
+	// transactionPath is the URL path of transactions at the state service.
 	transactionPath = "/multi"
 )
 
-// How the state service refuses a controller.
+// Ways in which the state service refuses the requests of a controller.
 const (
+	// refusalUnavailable means that it answers with status 503.
 	refusalUnavailable = "503"
-	refusalUnanswered  = "hang"
+	// refusalUnanswered means that it does not answer.
+	refusalUnanswered = "hang"
 )
 
 // Bounds of delays.
 const (
 	// maxRegularWriteDelay bounds the delay of a transaction while no fault is active.
 	maxRegularWriteDelay = 4 * time.Second
-	// minLateWriteDelay and maxWriteDelay bound it during a LateWrites fault.
+	// minLateWriteDelay is the shortest delay of a delayed transaction during a LateWrites fault.
 	minLateWriteDelay = 2 * time.Second
-	maxWriteDelay     = 12 * time.Second
-	// maxCommandDelay bounds the delay of commands to workers during a DelayedCommands fault.
+	// maxWriteDelay bounds the delay of a transaction during a LateWrites fault.
+	maxWriteDelay = 12 * time.Second
+	// maxCommandDelay bounds the delay of commands to workers, or of their responses, during a DelayedCommands fault.
 	maxCommandDelay = 8 * time.Second
 )
 
-// sendDelayed carries a request out after a delay, whether or not its caller still waits, and delays the answer.
+// sendDelayed executes a request after a delay, whether or not its caller still waits, and delays the response.
 func (t *controllerTransport) sendDelayed(request *http.Request, via http.RoundTripper, delay requestDelay) (*http.Response, error) {
 	var body []byte
 	if request.Body != nil {
@@ -235,7 +242,7 @@
 		err  error
 	}
 	done := make(chan outcome, 1)
-	// The request outlives its caller; Run waits for the longest delay at its end.
+	// The request may outlive its caller; Run waits for the longest such delay at its end.
 	go func() { //nolint:contextcheck // A delayed request is executed even if its caller has given up.
 		time.Sleep(delay.before)
 		again := request.Clone(context.WithoutCancel(request.Context()))
@@ -258,7 +265,7 @@
 	machine *simulatedMachine
 }
 
-// RoundTrip executes the commands of one request. A worker that does not take them answers 409.
+// RoundTrip executes the commands of one request. A worker that rejects them answers with status 409.
 func (endpoint workerEndpoint) RoundTrip(request *http.Request) (*http.Response, error) {
 	var response api.HeartbeatResponse
 	if err := json.NewDecoder(request.Body).Decode(&response); err != nil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -14,20 +14,21 @@
 	"switchferry/peer"
 )
 
-// The users' habits.
+// Behaviour of the simulated users.
 const (
-	// pollInterval is how often a user asks for a job's status, and pollTimeout how long it waits for the answer.
+	// pollInterval is the longest time between two requests of a user for a job's status.
 	pollInterval = 5 * time.Second
-	pollTimeout  = 2 * time.Second
-	// requestTimeout bounds submissions, cancellations and requests that are out of the ordinary.
+	// pollTimeout is how long a user waits for the response with the status.
+	pollTimeout = 2 * time.Second
+	// requestTimeout is how long users and operators wait for the response to any other request.
 	requestTimeout = 5 * time.Second
-	// submitPatience is for how long a user repeats a submission that gets no answer.
+	// submitPatience is how long a user repeats a submission that gets no response.
 	submitPatience = time.Minute
-	// waveInterval is the pause between two cancellations of one user in a cancellation wave.
+	// waveInterval is the time between two cancellation requests of one user in a cancellation wave.
 	waveInterval = 50 * time.Millisecond
-	// defaultCancelShare is the share of job arrays that are cancelled where a scenario does not say.
+	// defaultCancelShare is the share of job arrays that are cancelled if a scenario does not set one.
 	defaultCancelShare = 1.0 / 15
-	// noCancellation stands for a user who does not cancel.
+	// noCancellation means that a user does not cancel the job.
 	noCancellation = time.Duration(-1)
 )
 
@@ -40,8 +41,7 @@
 	cancelAfter time.Duration
 }
 
-// followJob submits a job and then polls its status until the user loses interest, which is after the job's
-// terminal state was reported.
+// followJob submits a job and then polls its status until its terminal state was reported; some users poll again after that.
 func (sim *simulation) followJob(ctx context.Context, job *trackedJob, cancelAfter time.Duration) {
 	user := &user{sim: sim, job: job, rng: sim.actorRNG(job.ID), cancelAfter: cancelAfter}
 	if !user.submit(ctx) {
@@ -56,7 +56,8 @@
 	return user.sim.request(ctx, user.rng, timeout, request)
 }
 
-// submit repeats the submission until a controller answers it; it reports whether the job was accepted.
+// submit repeats the submission until a controller accepts or refuses it, for up to submitPatience; it reports whether the
+// job was accepted.
 func (user *user) submit(ctx context.Context) bool {
 	body := encodeSubmission(&user.job.Submission)
 	for from := time.Now(); ; {
@@ -75,8 +76,8 @@
 	}
 }
 
-// waitForPoll waits for the moment of the next poll, or for a cancellation wave, in which the user may take part;
-// it reports false once the simulation is over.
+// waitForPoll waits until the next poll is due or a cancellation wave begins, in which the user may take part. It reports
+// false once the simulation has ended.
 func (user *user) waitForPoll(ctx context.Context) bool {
 	wait := time.NewTimer(pollInterval - time.Duration(user.rng.IntN(1000))*time.Millisecond)
 	select {
@@ -91,8 +92,8 @@
 	return true
 }
 
-// joinWave cancels the job again and again for as long as the wave lasts or until it is answered. Where that is in
-// vain, the job is cancelled with the next poll.
+// joinWave repeatedly requests the cancellation of the job until a terminal state is reported or the wave ends. If none was
+// reported, the user cancels the job with the next poll.
 func (user *user) joinWave(ctx context.Context, fault Fault) {
 	user.sim.checker.cancelRequested(user.job)
 	user.cancelAfter = 0
@@ -107,7 +108,7 @@
 	}
 }
 
-// cancel asks once to cancel the job; it reports whether a controller accepted that.
+// cancel requests the cancellation of the job once; it reports whether a controller accepted the request.
 func (user *user) cancel(ctx context.Context, timeout time.Duration) bool {
 	code, status := user.request(ctx, timeout, peer.Request{Verb: controller.VerbCancel, Job: user.job.ID})
 	if code != http.StatusOK {
@@ -117,7 +118,7 @@
 	return true
 }
 
-// poll cancels the job if its time has come and asks for its status; it reports false if the user asks no more.
+// poll cancels the job if that is due, and requests its status. It reports false if the user stops polling.
 func (user *user) poll(ctx context.Context) bool {
 	sim, job := user.sim, user.job
 	if user.cancelAfter >= 0 && time.Since(job.acceptedAt) > user.cancelAfter {
@@ -133,7 +134,7 @@
 		user.sendInvalidRequests(ctx)
 	}
 	if sim.checker.jobOver(job) && user.rng.IntN(3) > 0 {
-		// Most users ask no more; some do so once again later.
+		// Two thirds of the users stop polling now; the others poll again.
 		return false
 	}
 	if user.rng.IntN(10) == 0 {
@@ -142,25 +143,25 @@
 	return true
 }
 
-// requestUnknownJob asks for a job that nobody submitted, which no controller may know.
+// requestUnknownJob requests the status of a job that nobody submitted. A response that knows the job is a violation.
 func (user *user) requestUnknownJob(ctx context.Context) {
 	code, _ := user.request(ctx, pollTimeout, peer.Request{Verb: controller.VerbStatus, Job: "run-9" + user.job.ID[4:] + "9"})
 	if code == http.StatusOK {
 		checker := user.sim.checker
 		checker.mu.Lock()
 		defer checker.mu.Unlock()
-		checker.recordViolation("invented", "a job that nobody submitted")
+		checker.recordViolation("invented", "a controller reported the status of a job that nobody submitted")
 	}
 }
 
-// cancelRequested notes that the user of a job asks to cancel it.
+// cancelRequested records that the user of a job requests its cancellation.
 func (checker *invariantChecker) cancelRequested(job *trackedJob) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	job.cancelRequested = true
 }
 
-// encodeSubmission is a job's body of a submission request.
+// encodeSubmission returns the body of a job's submission request.
 func encodeSubmission(submission *api.Submission) []byte {
 	body, err := json.Marshal(submission)
 	if err != nil {
@@ -169,8 +170,8 @@
 	return body
 }
 
-// requestAroundEnd cancels a job around the moment at which its last task ends, which is remaining from now, and
-// asks for its status and repeats its submission beside that.
+// requestAroundEnd cancels a job around the moment at which its last task ends, which is after remaining, and concurrently
+// requests its status and repeats its submission.
 func (sim *simulation) requestAroundEnd(job *trackedJob, remaining time.Duration) {
 	cancel := peer.Request{Verb: controller.VerbCancel, Job: job.ID}
 	status := peer.Request{Verb: controller.VerbStatus, Job: job.ID}
@@ -189,7 +190,7 @@
 			sim.checker.mu.Lock()
 			job.cancelRequested = job.cancelRequested || request.Verb == controller.VerbCancel
 			if job.finalState != "" {
-				// Its user may have asked no more.
+				// The user may have stopped polling, so the time since the last response does not count.
 				job.answeredAt = sent
 			}
 			sim.checker.mu.Unlock()
@@ -199,8 +200,8 @@
 	}
 }
 
-// request sends a request to the first ready controller, counted from a random one. It returns the HTTP status
-// and the job's status, or 0 if no controller is ready or the answer does not come within the timeout.
+// request sends a request to the first ready controller, in order from a random one. It returns the HTTP status code and the
+// job's status, or 0 if no controller is ready or there is no response within the timeout.
 func (sim *simulation) request(ctx context.Context, rng *rand.Rand, timeout time.Duration, request peer.Request) (int, api.JobStatus) {
 	call, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
@@ -215,7 +216,7 @@
 		if !ok {
 			return 0, api.JobStatus{}
 		}
-		// Errors have no status: theirs stays empty.
+		// The body of an error contains no status; the status then stays empty.
 		var status api.JobStatus
 		_ = json.Unmarshal(response.Body, &status)
 		return response.Status, status
@@ -223,8 +224,8 @@
 	return 0, api.JobStatus{}
 }
 
-// call has a controller handle a request, before and after which it may be paused. It reports false if there is no
-// answer until ctx ends.
+// call makes a controller handle a request. If the controller is paused, the request or its response waits until it is
+// resumed. call reports false if ctx ends before there is a response.
 func (sim *simulation) call(ctx context.Context, name string, instance *controller.Controller, request peer.Request) (peer.Response, bool) {
 	answer := make(chan peer.Response, 1)
 	go func() {
@@ -241,8 +242,8 @@
 	}
 }
 
-// cancelsAtEnd reports whether the user of a job cancels it around its last task's end: half of the job arrays,
-// chosen by identifier, while a CancelAtEnd fault is active.
+// cancelsAtEnd reports whether the user of a job cancels it around the end of its last task. While a CancelAtEnd fault is
+// active, that is so for half of the job arrays, chosen by a hash of the identifier.
 func (sim *simulation) cancelsAtEnd(job *trackedJob) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(job.ID))
--- a/internal/simulation/workers.go
+++ b/internal/simulation/workers.go
@@ -13,7 +13,7 @@
 	"switchferry/internal/fake"
 )
 
-// maxHungByWave is how many machines a cancellation wave suspends at most.
+// maxHungByWave is the largest number of machines that a cancellation wave suspends.
 const maxHungByWave = 8
 
 // simulatedMachine is a rented machine with its worker. The simulation's mu guards the fields below stop.
@@ -22,23 +22,23 @@
 	worker *fake.Worker
 	stop   context.CancelFunc
 
-	// outboundLostSince is since when it hears no controller; zero while it does.
+	// outboundLostSince is when the machine stopped receiving messages from controllers; zero while it receives them.
 	outboundLostSince time.Time
-	// dead is set once a fault ended it for good.
+	// dead is set once a fault ended the machine permanently.
 	dead bool
-	// lastFaultAt is when a fault last began or ceased to affect it.
+	// lastFaultAt is when a fault last began or ceased to affect the machine; zero if none has.
 	lastFaultAt time.Time
-	// inboundLossCount, hangCount and failingCount count the active faults in which it reaches no controller, in which it
-	// is suspended and in which it fails tasks.
+	// inboundLossCount, hangCount and failingCount count the active faults in which the machine's heartbeats are dropped, in
+	// which it is suspended, and in which it fails tasks.
 	inboundLossCount, hangCount, failingCount int
 }
 
-// healthy reports whether no fault affects the machine; the simulation's mu is held.
+// healthy reports whether no fault affects the machine itself; the simulation's mu is held.
 func (machine *simulatedMachine) healthy() bool {
 	return !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount+machine.failingCount == 0
 }
 
-// startWorker adds a machine and runs its worker until ctx ends or the machine is given back.
+// startWorker adds a machine and runs its worker until ctx ends or the machine is returned to the cloud or dies.
 func (sim *simulation) startWorker(ctx context.Context, host fake.Host) {
 	ctx, stop := context.WithCancel(ctx)
 	machine := &simulatedMachine{Host: host, stop: stop}
@@ -53,7 +53,8 @@
 	sim.actors.Go(func() { machine.worker.Run(ctx) })
 }
 
-// imagePull tells a worker which image a task needs and how long its pull takes; it is nil if no images are needed.
+// imagePull returns the function that tells a worker which image a task needs and how long its pull takes; nil if tasks need
+// no images.
 func (sim *simulation) imagePull() func(task string) (string, time.Duration) {
 	if sim.ImagePullS <= 0 {
 		return nil
@@ -61,8 +62,9 @@
 	return func(task string) (string, time.Duration) { return sim.checker.taskImage(task), seconds(sim.ImagePullS) }
 }
 
-// heartbeatSender is how a machine's worker sends a heartbeat to a controller: over links that may be cut, and
-// sometimes twice. It returns 0 if there is no answer.
+// heartbeatSender returns the function with which a machine's worker sends a heartbeat to a controller, over links that may
+// be cut, and sometimes twice. The function returns the HTTP status code and the decoded response, or 0 if there is no
+// response.
 func (sim *simulation) heartbeatSender(machine *simulatedMachine, rng *rand.Rand) func(ctx context.Context, member string, heartbeat *api.Heartbeat) (int, any) {
 	return func(ctx context.Context, member string, heartbeat *api.Heartbeat) (int, any) {
 		raw, err := json.Marshal(heartbeat)
@@ -102,7 +104,7 @@
 	}
 }
 
-// delayHeartbeat holds half of the heartbeats, and of the responses to them, up while a SlowHeartbeats fault is active.
+// delayHeartbeat delays half of the heartbeats, and half of the responses to them, while a SlowHeartbeats fault is active.
 func (sim *simulation) delayHeartbeat(ctx context.Context, rng *rand.Rand) {
 	sim.mu.Lock()
 	slow := sim.slowHeartbeatFaults > 0
@@ -112,7 +114,8 @@
 	}
 }
 
-// startFailure is why a task that a machine starts ends at once, empty if it runs. The worker's lock guards rng.
+// startFailure returns the cause for which a task fails immediately after its start, empty if it does not. The worker's lock
+// guards rng.
 func (sim *simulation) startFailure(machine *simulatedMachine, rng *rand.Rand) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -122,8 +125,8 @@
 	return ""
 }
 
-// duplicateHeartbeat delivers one heartbeat in five again, two seconds to three leases later and to any controller,
-// while a DuplicateHeartbeats fault is active.
+// duplicateHeartbeat delivers one heartbeat in five a second time while a DuplicateHeartbeats fault is active: to a random
+// controller, with a delay of two seconds up to two seconds and three leases.
 func (sim *simulation) duplicateHeartbeat(ctx context.Context, raw []byte, rng *rand.Rand) {
 	sim.mu.Lock()
 	duplicating := sim.duplicatingHeartbeats
@@ -143,15 +146,15 @@
 	})
 }
 
-// inboundLost reports whether the machine's heartbeats reach no controller.
+// inboundLost reports whether a fault drops the machine's heartbeats.
 func (sim *simulation) inboundLost(machine *simulatedMachine) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return machine.inboundLossCount > 0
 }
 
-// decodeForwarded decodes an answer that one controller passed on from another, which is still encoded; other answers
-// are returned as they are.
+// decodeForwarded decodes the body of a response that one controller forwarded from another, which is still encoded. Other
+// bodies are returned unchanged.
 func decodeForwarded(code int, body any) any {
 	raw, ok := body.(json.RawMessage)
 	if !ok {
@@ -168,7 +171,7 @@
 	return body
 }
 
-// machineReturned stops the worker of a machine that was given back to the cloud.
+// machineReturned removes a machine that was returned to the cloud and stops its worker.
 func (sim *simulation) machineReturned(host fake.Host) {
 	sim.mu.Lock()
 	machine := sim.machines[host.Address]
@@ -182,7 +185,7 @@
 	machine.worker.Restart()
 }
 
-// pickMachines chooses up to count healthy machines by the seed and marks them as met by a fault.
+// pickMachines selects up to count healthy machines at random and records that a fault affects them now.
 func (sim *simulation) pickMachines(count int) (out []*simulatedMachine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -200,7 +203,7 @@
 	return out
 }
 
-// hangMachines suspends machines for a while: commands that reach them are carried out afterwards.
+// hangMachines suspends machines for a duration. They execute commands that reach them only afterwards.
 func (sim *simulation) hangMachines(ctx context.Context, machines []*simulatedMachine, duration time.Duration) {
 	set := func(by int) {
 		sim.withLock(func() {
@@ -218,8 +221,8 @@
 	set(-1)
 }
 
-// hangMachineOf suspends a machine that runs a task of a job unless maxHungByWave machines were suspended since the
-// last cancellation wave.
+// hangMachineOf suspends a machine that runs a task of a job, unless none does, the machine is suspended already, or
+// maxHungByWave machines were suspended since the last cancellation wave began.
 func (sim *simulation) hangMachineOf(ctx context.Context, job *trackedJob, duration time.Duration) {
 	machine := sim.checker.machineOf(job.ID)
 	if machine == nil {
