--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceDetector is true if the race detector is on.
+// raceDetector is true if the race detector is enabled.
 const raceDetector = false
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceDetector is true if the race detector is on, which makes a scenario take ten times as long.
+// raceDetector is true if the race detector is enabled, with which a scenario takes ten times as long.
 const raceDetector = true
--- a/internal/simulation/start_under_way_test.go
+++ b/internal/simulation/start_under_way_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// The operators saw a task on two machines at once, at some 4,000 machines and under faults, without logs. Here heartbeats
-// and their responses are slow while direct commands are quick, as there, and machines fail tasks. A start goes out in a
-// direct command and in the response to a heartbeat; the task ends, is cleared and starts elsewhere, and then the
-// response arrives and starts it on the first machine again. Six of 24 seeds ran a task twice, without a change of leader.
+// A start of a task that is delivered twice must not run the task twice. Operators saw a task on two machines at once, in a
+// fleet of some 4,000 machines under faults. Here heartbeats and their responses are slow, direct commands are fast, and
+// machines fail tasks. A start is sent in a direct command and in the response to a heartbeat; the task ends, its record is
+// cleared, and it starts on another machine; then the response arrives and starts it on the first machine again. Before
+// this was prevented, six of 24 seeds ran a task twice, without a change of leader.
 func TestStartsUnderWayRunNoTaskTwice(t *testing.T) {
 	forEachSeed(t, 16, 2, func(t *testing.T, seed uint64) {
 		scenario := NewScenario(seed, 12)
@@ -22,8 +23,8 @@
 	})
 }
 
-// The leader's links to the other controllers come and go, so that workers' heartbeats are forwarded and relayed by turns,
-// and machines fail tasks.
+// The leader's links to the other controllers flap, so that workers' heartbeats are alternately forwarded and relayed, while
+// machines fail tasks. No task may run twice.
 func TestAlternatingRelayRunsNoTaskTwice(t *testing.T) {
 	forEachSeed(t, 6, 1, func(t *testing.T, seed uint64) {
 		scenario := NewScenario(seed, 12)
