--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -18,27 +18,28 @@
 		job.readyAt = job.acceptedAt
 	}
 	checker.mu.Unlock()
-	checker.recordAnswer(job, http.StatusOK, status)
+	checker.recordResponse(job, http.StatusOK, status)
 }
 
-// jobOver reports whether a terminal state of the job was reported to its user.
-func (checker *invariantChecker) jobOver(job *trackedJob) bool {
+// terminalStateReported reports whether a terminal state of the job was reported to its user.
+func (checker *invariantChecker) terminalStateReported(job *trackedJob) bool {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	return job.finalState != ""
 }
 
-// recordWrongAnswer counts a response that the protocol does not allow, and adds an explanation to the result.
-func (checker *invariantChecker) recordWrongAnswer(format string, a ...any) {
+// recordUnexpectedResponse counts a response that the protocol does not allow, and adds an explanation to the result.
+func (checker *invariantChecker) recordUnexpectedResponse(format string, a ...any) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	checker.result.WrongAnswers++
+	checker.result.UnexpectedResponses++
 	checker.explain("wrong answer: "+format, a...)
 }
 
-// checkAnswer checks the response to a request that was sent at the given time. The same user may have concurrent
-// requests: a response without a terminal state is ignored if another response reported one after this request was sent.
-func (checker *invariantChecker) checkAnswer(job *trackedJob, sent time.Time, code int, status api.JobStatus, verb string) {
+// checkResponse checks the response to a request that was sent at the given time. The same user may have concurrent
+// requests: a response without a terminal state is ignored if another response reported one after this request was
+// sent.
+func (checker *invariantChecker) checkResponse(job *trackedJob, sent time.Time, code int, status api.JobStatus, verb string) {
 	checker.mu.Lock()
 	crossed := job.finalAt.After(sent) && status.State != api.Done && status.State != api.Cancelled
 	known := !job.acceptedAt.IsZero() && job.acceptedAt.Before(sent)
@@ -48,9 +49,9 @@
 	case verb == controller.VerbSubmit && known && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
 		checker.recordRefusal(job, code)
 	case verb == controller.VerbCancel && code == http.StatusOK && status.State != api.Done && status.State != api.Cancelled:
-		checker.recordWrongAnswer("a cancellation of %s was answered with state %q", job.ID, status.State)
+		checker.recordUnexpectedResponse("a cancellation of %s was answered with state %q", job.ID, status.State)
 	default:
-		checker.recordAnswer(job, code, status)
+		checker.recordResponse(job, code, status)
 	}
 }
 
@@ -66,9 +67,9 @@
 	}
 }
 
-// recordAnswer checks a response about a job against the states that were reported to its user before and against the
+// recordResponse checks a response about a job against the states that were reported to its user before and against the
 // tasks that are done.
-func (checker *invariantChecker) recordAnswer(job *trackedJob, code int, status api.JobStatus) {
+func (checker *invariantChecker) recordResponse(job *trackedJob, code int, status api.JobStatus) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	now := time.Now()
@@ -101,8 +102,8 @@
 	}
 }
 
-// recordCancelled records that a job was reported as cancelled, checks that its cancellation was requested, and marks the
-// jobs that await it as orphaned; checker.mu is held.
+// recordCancelled records that a job was reported as cancelled, checks that its cancellation was requested, and marks
+// the jobs that await it as orphaned; checker.mu is held.
 func (checker *invariantChecker) recordCancelled(job *trackedJob, now time.Time) {
 	if job.cancelledAt.IsZero() {
 		job.cancelledAt = now
@@ -126,8 +127,8 @@
 	job.finalState = state
 }
 
-// dependencyCancelled reports whether the cancellation of a direct or transitive dependency of the job was requested. The
-// job may be reported as cancelled before that dependency is; checker.mu is held.
+// dependencyCancelled reports whether the cancellation of a direct or transitive dependency of the job was requested.
+// The job may be reported as cancelled before that dependency is; checker.mu is held.
 func (checker *invariantChecker) dependencyCancelled(job *trackedJob) bool {
 	return slices.ContainsFunc(job.Awaits, func(id string) bool {
 		other := checker.jobs[id]
--- a/internal/simulation/configuration_test.go
+++ b/internal/simulation/configuration_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Operators change the limits of teams every two seconds while faults are injected. No controller may start tasks or answer
-// by a revision older than one that was confirmed to be in force, and changes must continue to come into force. The length
-// of a scenario's name is its seed.
+// Operators change the limits of teams every two seconds while faults are injected. No controller may start tasks or
+// answer by a revision older than one that was confirmed to be in force, and changes must continue to come into force.
+// The length of a scenario's name is its seed.
 func TestOlderConfigurationRevisionIsNeverUsed(t *testing.T) {
 	for name, faults := range map[string][]Fault{
 		"quiet":                                  nil,
@@ -30,16 +30,16 @@
 		"delayed commands, leader process pause": {{At: seconds(15), For: seconds(50), Kind: DelayedCommands}, {At: seconds(30), For: seconds(3), Kind: ProcessPause}},
 		"zone partition":                         {{At: seconds(20), For: seconds(30), Kind: ZonePartition}},
 	} {
-		for i, pace := range workerPaces {
+		for i, timing := range workerTimings {
 			if raceDetector && i != len(name)%2 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", name, pace.ReportS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.ReportS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(name)), 12)
-				scenario.Workers, scenario.SubmitFor, scenario.ChangeInterval = pace, 80*time.Second, 2*time.Second
+				scenario.Workers, scenario.SubmitFor, scenario.ChangeInterval = timing, 80*time.Second, 2*time.Second
 				scenario.Faults = faults
-				if result := playScenario(t, scenario); result.ConfigurationChanges < 8 {
+				if result := runScenario(t, scenario); result.ConfigurationChanges < 8 {
 					t.Errorf("only %d changes came into force", result.ConfigurationChanges)
 				}
 			})
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,16 +9,16 @@
 
 // inject begins a fault and returns when it ends. It panics if the kind of the fault is unknown.
 func (sim *simulation) inject(ctx context.Context, fault Fault) {
-	lead := sim.leader()
-	who := lead
+	leader := sim.leader()
+	target := leader
 	if fault.Follower {
-		who = controllerNames[(slices.Index(controllerNames, lead)+1)%3]
+		target = controllerNames[(slices.Index(controllerNames, leader)+1)%3]
 	}
-	play, ok := faultHandlers[fault.Kind]
+	handler, ok := faultHandlers[fault.Kind]
 	if !ok {
 		panic(fmt.Sprintf("no fault of kind %q", fault.Kind))
 	}
-	play(&activeFault{sim, ctx, fault, lead, who})
+	handler(&activeFault{sim, ctx, fault, leader, target})
 }
 
 // activeFault is a fault that is being injected. leaderName is the controller that led when the fault began, targetName
@@ -35,31 +35,37 @@
 var faultHandlers = map[string]func(s *activeFault){
 	RollingRestart: (*activeFault).rollingRestart, ControllerCrash: (*activeFault).crashControllers,
 	ControllerIsolated: (*activeFault).partitionController, ControllerPartition: (*activeFault).partitionController, ControllerPairPartition: (*activeFault).partitionController,
-	OutboundLost: (*activeFault).loseOutbound, ControllerOutboundLost: (*activeFault).loseControllerOutbound, InboundLost: (*activeFault).loseInbound, MachineHang: (*activeFault).hangPicked,
+	OutboundLost: (*activeFault).loseOutbound, ControllerOutboundLost: (*activeFault).loseControllerOutbound, InboundLost: (*activeFault).loseInbound, MachineHang: (*activeFault).hangRandomMachines,
 	MachineCrash: (*activeFault).crashMachines, WorkerRestart: (*activeFault).restartWorkers, ZonePartition: (*activeFault).partitionZone, ProcessPause: (*activeFault).pauseProcess,
 	StateOutage: (*activeFault).stateOutage, SlowState: (*activeFault).slowState, StateRefused: (*activeFault).refuseState, CancellationWave: (*activeFault).cancellationWave,
 	DuplicateHeartbeats: (*activeFault).duplicateHeartbeats,
-	LateWrites:          func(s *activeFault) { s.during(func(by int) { s.withLock(func() { s.lateWriteFaults += by }) }) },
-	DelayedCommands:     func(s *activeFault) { s.during(func(by int) { s.withLock(func() { s.delayedCommandFaults += by }) }) },
-	CancelAtEnd:         func(s *activeFault) { s.during(func(by int) { s.cancelAtEndFaults.Add(int32(by)) }) },
-	SlowHeartbeats:      func(s *activeFault) { s.during(func(by int) { s.withLock(func() { s.slowHeartbeatFaults += by }) }) },
-	LeaderLinkFlapping:  (*activeFault).flapLeaderLinks,
-	FailingMachines:     (*activeFault).failMachines,
-	InvalidRequests:     func(s *activeFault) { s.during(func(by int) { s.invalidRequestFaults.Add(int32(by)) }) },
+	LateWrites: func(s *activeFault) {
+		s.adjustWhileActive(func(by int) { s.withLock(func() { s.lateWriteFaults += by }) })
+	},
+	DelayedCommands: func(s *activeFault) {
+		s.adjustWhileActive(func(by int) { s.withLock(func() { s.delayedCommandFaults += by }) })
+	},
+	CancelAtEnd: func(s *activeFault) { s.adjustWhileActive(func(by int) { s.cancelAtEndFaults.Add(int32(by)) }) },
+	SlowHeartbeats: func(s *activeFault) {
+		s.adjustWhileActive(func(by int) { s.withLock(func() { s.slowHeartbeatFaults += by }) })
+	},
+	LeaderLinkFlapping: (*activeFault).flapLeaderLinks,
+	FailingMachines:    (*activeFault).failMachines,
+	InvalidRequests:    func(s *activeFault) { s.adjustWhileActive(func(by int) { s.invalidRequestFaults.Add(int32(by)) }) },
 }
 
-// during calls change with 1 when the fault begins and with -1 when it ends.
-func (active *activeFault) during(change func(by int)) {
+// adjustWhileActive calls change with 1 when the fault begins and with -1 when it ends.
+func (active *activeFault) adjustWhileActive(change func(by int)) {
 	change(1)
 	active.sleep(active.ctx, active.For)
 	change(-1)
 }
 
 // cutLinks cuts links, each from one host to another, for the duration of the fault.
-func (active *activeFault) cutLinks(links [][2]string) { active.cutFor(links, active.For) }
+func (active *activeFault) cutLinks(links [][2]string) { active.cutLinksFor(links, active.For) }
 
-// cutFor cuts links, each from one host to another, for a duration.
-func (active *activeFault) cutFor(links [][2]string, duration time.Duration) {
+// cutLinksFor cuts links, each from one host to another, for a duration.
+func (active *activeFault) cutLinksFor(links [][2]string, duration time.Duration) {
 	set := func(cut bool) {
 		for _, link := range links {
 			active.partitions.setCut(link[0], link[1], cut)
@@ -90,11 +96,11 @@
 	})
 }
 
-// rollingRestart restarts the controllers one after the other, one each rollInterval.
+// rollingRestart restarts the controllers one after the other, one each rollingRestartInterval.
 func (active *activeFault) rollingRestart() {
 	for _, name := range controllerNames {
 		active.crashController(name)
-		if !active.sleep(active.ctx, rollInterval) {
+		if !active.sleep(active.ctx, rollingRestartInterval) {
 			return
 		}
 	}
@@ -107,8 +113,8 @@
 	}
 }
 
-// partitionController cuts the target off from the state service and the other controllers (ControllerIsolated), from all
-// of these and the machines (ControllerPartition), or from one other controller (ControllerPairPartition).
+// partitionController cuts the target off from the state service and the other controllers (ControllerIsolated), from
+// all of these and the machines (ControllerPartition), or from one other controller (ControllerPairPartition).
 func (active *activeFault) partitionController() {
 	others := append([]string{"state"}, controllerNames...)
 	switch active.Kind {
@@ -127,12 +133,12 @@
 	links := bothDirections(active.leaderName, controllerNames)
 	replies := slices.DeleteFunc(slices.Clone(links), func(link [2]string) bool { return link[0] != active.leaderName })
 	for time.Now().Before(end) {
-		active.cutFor(links, flapCutBoth)
-		if !active.sleep(active.ctx, flapOpen) {
+		active.cutLinksFor(links, flapCutBoth)
+		if !active.sleep(active.ctx, flapConnected) {
 			return
 		}
-		active.cutFor(replies, flapCutReplies)
-		if !active.sleep(active.ctx, flapOpen) {
+		active.cutLinksFor(replies, flapCutFromLeader)
+		if !active.sleep(active.ctx, flapConnected) {
 			return
 		}
 	}
@@ -140,11 +146,11 @@
 
 // markFaulted records on every machine that a fault affected it now, and returns the names of the machines that which
 // selects.
-func (active *activeFault) markFaulted(which func(machine *simulatedMachine) bool) (names []string) {
+func (active *activeFault) markFaulted(selects func(machine *simulatedMachine) bool) (names []string) {
 	active.withLock(func() {
 		for _, machine := range active.machines {
 			machine.lastFaultAt = time.Now()
-			if which(machine) {
+			if selects(machine) {
 				names = append(names, machine.Name)
 			}
 		}
@@ -154,10 +160,10 @@
 
 // loseOutbound cuts the links from all controllers to Count machines, and records for how long these received nothing.
 func (active *activeFault) loseOutbound() {
-	deaf := active.pickMachines(active.Count)
+	unreachable := active.pickHealthyMachines(active.Count)
 	var links [][2]string
 	active.withLock(func() {
-		for _, machine := range deaf {
+		for _, machine := range unreachable {
 			machine.outboundLostSince = time.Now()
 			for _, name := range controllerNames {
 				links = append(links, [2]string{name, machine.Name})
@@ -166,9 +172,9 @@
 	})
 	active.cutLinks(links)
 	active.withLock(func() {
-		for _, machine := range deaf {
+		for _, machine := range unreachable {
 			if active.machines[machine.Address] == machine {
-				active.checker.machineReachable(machine.outboundLostSince)
+				active.checker.machineReachableAgain(machine.outboundLostSince)
 			}
 			machine.outboundLostSince = time.Time{}
 		}
@@ -186,12 +192,12 @@
 
 // duplicateHeartbeats has some heartbeats delivered a second time.
 func (active *activeFault) duplicateHeartbeats() {
-	active.during(func(by int) { active.withLock(func() { active.duplicatingHeartbeats = by > 0 }) })
+	active.adjustWhileActive(func(by int) { active.withLock(func() { active.duplicatingHeartbeats = by > 0 }) })
 }
 
 // crashMachines ends Count machines permanently, with their tasks.
 func (active *activeFault) crashMachines() {
-	for _, machine := range active.pickMachines(active.Count) {
+	for _, machine := range active.pickHealthyMachines(active.Count) {
 		active.withLock(func() { machine.dead = true })
 		machine.stop()
 		machine.worker.Restart()
@@ -200,13 +206,15 @@
 
 // restartWorkers restarts the workers of Count machines without a delay, which ends all their tasks.
 func (active *activeFault) restartWorkers() {
-	for _, machine := range active.pickMachines(active.Count) {
+	for _, machine := range active.pickHealthyMachines(active.Count) {
 		machine.worker.Restart()
 	}
 }
 
 // stateOutage makes the state service unavailable to all controllers.
-func (active *activeFault) stateOutage() { active.during(func(by int) { active.state.Outage(by > 0) }) }
+func (active *activeFault) stateOutage() {
+	active.adjustWhileActive(func(by int) { active.state.Outage(by > 0) })
+}
 
 // pauseProcess pauses the target's process. Messages from other controllers are delivered to it afterwards.
 func (active *activeFault) pauseProcess() {
@@ -223,22 +231,22 @@
 
 // slowState makes the state service answer the target late if Count is 1, and all controllers otherwise.
 func (active *activeFault) slowState() {
-	who := active.targetName
+	controllerName := active.targetName
 	if active.Count != 1 {
-		who = ""
+		controllerName = ""
 	}
-	active.during(func(by int) { active.withLock(func() { active.slowStateFaults[who] += by }) })
+	active.adjustWhileActive(func(by int) { active.withLock(func() { active.slowStateFaults[controllerName] += by }) })
 }
 
-// hangPicked suspends Count machines.
-func (active *activeFault) hangPicked() {
-	active.hangMachines(active.ctx, active.pickMachines(active.Count), active.For)
+// hangRandomMachines suspends Count random machines.
+func (active *activeFault) hangRandomMachines() {
+	active.hangMachines(active.ctx, active.pickHealthyMachines(active.Count), active.For)
 }
 
 // failMachines makes Count machines fail half of the tasks that they start.
 func (active *activeFault) failMachines() {
-	failing := active.pickMachines(active.Count)
-	active.during(func(by int) {
+	failing := active.pickHealthyMachines(active.Count)
+	active.adjustWhileActive(func(by int) {
 		active.withLock(func() {
 			for _, machine := range failing {
 				machine.failingCount += by
@@ -250,15 +258,15 @@
 
 // loseInbound drops the heartbeats of Count machines, or with Follower of all healthy machines in the leader's zone.
 func (active *activeFault) loseInbound() {
-	mute := active.pickMachines(active.Count)
+	silenced := active.pickHealthyMachines(active.Count)
 	if active.Follower {
-		mute = slices.DeleteFunc(active.pickMachines(len(active.machines)), func(machine *simulatedMachine) bool {
+		silenced = slices.DeleteFunc(active.pickHealthyMachines(len(active.machines)), func(machine *simulatedMachine) bool {
 			return machine.Zone != active.controllers[active.leaderName].zone
 		})
 	}
-	active.during(func(by int) {
+	active.adjustWhileActive(func(by int) {
 		active.withLock(func() {
-			for _, machine := range mute {
+			for _, machine := range silenced {
 				machine.inboundLossCount += by
 				machine.lastFaultAt = time.Now()
 			}
@@ -280,15 +288,15 @@
 
 // refuseState makes the state service answer the target with 503 or, with Unanswered, not at all.
 func (active *activeFault) refuseState() {
-	how := refusalUnavailable
+	mode := refusalUnavailable
 	if active.Unanswered {
-		how = refusalUnanswered
+		mode = refusalUnanswered
 	}
-	active.during(func(by int) {
+	active.adjustWhileActive(func(by int) {
 		active.withLock(func() {
 			active.stateRefusals[active.targetName] = ""
 			if by > 0 {
-				active.stateRefusals[active.targetName] = how
+				active.stateRefusals[active.targetName] = mode
 			}
 		})
 	})
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -13,11 +13,11 @@
 	"switchferry/peer"
 )
 
-// invalidChange is a change that makes a valid submission invalid; refusal is the HTTP status code with which the protocol
-// refuses the changed submission.
+// invalidChange is a change that makes a valid submission invalid; statusCode is the HTTP status code with which the
+// protocol refuses the changed submission.
 type invalidChange struct {
-	refusal int
-	change  func(fields map[string]any)
+	statusCode int
+	change     func(fields map[string]any)
 }
 
 // submissionFields are the wire names of the required fields of a submission. A value of the wrong type is invalid.
@@ -53,26 +53,26 @@
 	return body
 }
 
-// sendInvalidRequests sends requests that a user makes by mistake: it repeats the submission with an invalid change, under
-// the job's own identifier and under a new one, asks for the job that was refused and cancels it, and cancels the user's
-// job if its terminal state was already reported.
+// sendInvalidRequests sends requests that a user makes by mistake: it repeats the submission with an invalid change,
+// under the job's own identifier and under a new one, asks for the job that was refused and cancels it, and cancels the
+// user's job if its terminal state was already reported.
 func (user *user) sendInvalidRequests(ctx context.Context) {
 	sim, job := user.sim, user.job
 	invalid := randomInvalidChange(user.rng)
 	// A submission with a known identifier is answered with the job's state, whatever the other fields contain.
 	sent := time.Now()
 	code, status := user.request(ctx, requestTimeout, peer.Request{Verb: controller.VerbSubmit, Body: changedSubmission(&job.Submission, invalid.change)})
-	sim.checker.checkAnswer(job, sent, code, status, controller.VerbSubmit)
+	sim.checker.checkResponse(job, sent, code, status, controller.VerbSubmit)
 	user.submitInvalidJob(ctx, invalid)
-	if sim.checker.jobOver(job) {
+	if sim.checker.terminalStateReported(job) {
 		sent = time.Now()
 		code, status = user.request(ctx, requestTimeout, peer.Request{Verb: controller.VerbCancel, Job: job.ID})
-		sim.checker.checkAnswer(job, sent, code, status, controller.VerbCancel)
+		sim.checker.checkResponse(job, sent, code, status, controller.VerbCancel)
 	}
 }
 
-// submitInvalidJob submits an invalid job under an unknown identifier, and checks that the controllers refuse the job and
-// do not know its identifier afterwards.
+// submitInvalidJob submits an invalid job under an unknown identifier, and checks that the controllers refuse the job
+// and do not know its identifier afterwards.
 func (user *user) submitInvalidJob(ctx context.Context, invalid invalidChange) {
 	checker := user.sim.checker
 	unknownID := fmt.Sprintf("run-7%s7", user.job.ID[4:])
@@ -81,13 +81,13 @@
 		fields["name_id"] = unknownID
 	})
 	code, _ := user.request(ctx, requestTimeout, peer.Request{Verb: controller.VerbSubmit, Body: body})
-	if code != 0 && code != invalid.refusal && code < http.StatusInternalServerError {
-		checker.recordWrongAnswer("a job that %s: %d for %d", changedSubmission(&user.job.Submission, invalid.change), code, invalid.refusal)
+	if code != 0 && code != invalid.statusCode && code < http.StatusInternalServerError {
+		checker.recordUnexpectedResponse("a job that %s: %d for %d", changedSubmission(&user.job.Submission, invalid.change), code, invalid.statusCode)
 	}
 	for _, verb := range []string{controller.VerbStatus, controller.VerbCancel} {
 		code, _ = user.request(ctx, requestTimeout, peer.Request{Verb: verb, Job: unknownID})
 		if code != 0 && code != http.StatusNotFound && code < http.StatusInternalServerError {
-			checker.recordWrongAnswer("%s of a job that was refused was answered with %d", verb, code)
+			checker.recordUnexpectedResponse("%s of a job that was refused was answered with %d", verb, code)
 		}
 	}
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -13,8 +13,8 @@
 	"switchferry/internal/fake"
 )
 
-// invariantChecker records the responses that users received and the tasks that each machine runs, and checks both against
-// the rules of the protocol. It never locks sim.mu while it holds its own mu.
+// invariantChecker records the responses that users received and the tasks that each machine runs, and checks both
+// against the rules of the protocol. It never locks sim.mu while it holds its own mu.
 type invariantChecker struct {
 	sim *simulation
 
@@ -30,11 +30,12 @@
 	overdueTasks map[string]bool
 	// faultsOverAt is the time at which the last fault ended; zero before that.
 	faultsOverAt time.Time
-	// wastedStarts holds the starts that were sent to a machine which had received nothing for a lease or longer.
-	wastedStarts map[string]bool
-	// lostLeases is the time for which machines received nothing from controllers, summed over the machines, in leases.
-	lostLeases float64
-	result     Result
+	// undeliveredStarts holds the starts that were sent to a machine which had received nothing for a lease or longer.
+	undeliveredStarts map[string]bool
+	// unreachableLeases is the time for which machines received nothing from controllers, summed over the machines, in
+	// leases.
+	unreachableLeases float64
+	result            Result
 }
 
 // trackedJob is the state of one job as its user and the checker know it. The checker's mu guards its fields. Times are
@@ -68,13 +69,13 @@
 
 func newInvariantChecker(sim *simulation) *invariantChecker {
 	return &invariantChecker{
-		sim:          sim,
-		jobs:         map[string]*trackedJob{},
-		placements:   fake.Placements[*simulatedMachine]{},
-		wastedStarts: map[string]bool{},
-		overdueTasks: map[string]bool{},
-		startedTasks: map[string]bool{},
-		result:       Result{Rules: map[string]int{}},
+		sim:               sim,
+		jobs:              map[string]*trackedJob{},
+		placements:        fake.Placements[*simulatedMachine]{},
+		undeliveredStarts: map[string]bool{},
+		overdueTasks:      map[string]bool{},
+		startedTasks:      map[string]bool{},
+		result:            Result{Rules: map[string]int{}},
 	}
 }
 
@@ -84,16 +85,16 @@
 	checker.explain("%s", rule+": "+fmt.Sprintf(format, args...))
 }
 
-// explain adds a line with the current time to the result's explanations, of which it keeps maxExplanations; checker.mu is
-// held.
+// explain adds a line with the current time to the result's explanations, of which it keeps maxExplanations; checker.mu
+// is held.
 func (checker *invariantChecker) explain(format string, args ...any) {
 	if len(checker.result.Explanations) < maxExplanations {
 		checker.result.Explanations = append(checker.result.Explanations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 	}
 }
 
-// taskRunTime returns how long a task runs: 0.5 to 1.5 times its job's estimate, chosen by a hash of the task's name. Tasks
-// of services and of unknown jobs run for an hour.
+// taskRunTime returns how long a task runs: 0.5 to 1.5 times its job's estimate, chosen by a hash of the task's name.
+// Tasks of services and of unknown jobs run for an hour.
 func (checker *invariantChecker) taskRunTime(task string) time.Duration {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -118,7 +119,7 @@
 	defer checker.mu.Unlock()
 	checker.result.Tasks++
 	if checker.startedTasks[task] {
-		checker.result.TasksRestarted++
+		checker.result.TaskRestarts++
 	}
 	checker.startedTasks[task] = true
 	elsewhere, _ := checker.placements.Start(task, machine)
@@ -143,17 +144,17 @@
 	checker.checkZones(job, task, machine)
 }
 
-// checkStartAfterCancel counts a start of a task after its job was reported as cancelled. The start is a violation if it is
-// later than the time within which the protocol requires the tasks of cancelled jobs to stop; checker.mu is held.
+// checkStartAfterCancel counts a start of a task after its job was reported as cancelled. The start is a violation if
+// it is later than the time within which the protocol requires the tasks of cancelled jobs to stop; checker.mu is held.
 func (checker *invariantChecker) checkStartAfterCancel(job *trackedJob, task string, machine *simulatedMachine) {
 	if job.cancelledAt.IsZero() {
 		return
 	}
-	since := time.Since(job.cancelledAt)
-	checker.result.StartedAfterCancel++
-	checker.explain("%s started on %s %v after its job was reported as cancelled", task, machine.Name, since)
-	if since > seconds(checker.sim.Workers.CancelS) {
-		checker.recordViolation("ran_cancelled", "%s was started %v after its job was reported as cancelled", task, since)
+	elapsed := time.Since(job.cancelledAt)
+	checker.result.StartsAfterCancel++
+	checker.explain("%s started on %s %v after its job was reported as cancelled", task, machine.Name, elapsed)
+	if elapsed > seconds(checker.sim.Workers.CancelS) {
+		checker.recordViolation("ran_cancelled", "%s was started %v after its job was reported as cancelled", task, elapsed)
 	}
 }
 
@@ -166,8 +167,8 @@
 	}
 }
 
-// checkTeamLimit checks the processors that the team of a started task uses against the team's limit in the settings and,
-// if there are operators, in the configuration in force; checker.mu is held.
+// checkTeamLimit checks the processors that the team of a started task uses against the team's limit in the settings
+// and, if there are operators, in the configuration in force; checker.mu is held.
 func (checker *invariantChecker) checkTeamLimit(job *trackedJob, task string) {
 	usage := 0.0
 	for running := range checker.placements.All() {
@@ -185,8 +186,8 @@
 	}
 }
 
-// checkZones checks that a started task runs in the zone that its job is bound to, and that no zone has more than half of
-// the tasks, rounded up, of a job whose tasks must be spread; checker.mu is held.
+// checkZones checks that a started task runs in the zone that its job is bound to, and that no zone has more than half
+// of the tasks, rounded up, of a job whose tasks must be spread; checker.mu is held.
 func (checker *invariantChecker) checkZones(job *trackedJob, task string, machine *simulatedMachine) {
 	if job.Zone != "" && job.Zone != machine.Zone {
 		checker.recordViolation("wrong_place", "%s is bound to zone %s and runs in %s", task, job.Zone, machine.Zone)
@@ -249,7 +250,8 @@
 	return ""
 }
 
-// machineOf returns the machine that runs a task of a job, the first by name if there are several, nil if there is none.
+// machineOf returns the machine that runs a task of a job, the first by name if there are several, nil if there is
+// none.
 func (checker *invariantChecker) machineOf(jobID string) (found *simulatedMachine) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -271,8 +273,8 @@
 	return 0
 }
 
-// checkOverdueTasks records a violation for each task of a cancelled job that still runs after the time that the protocol
-// allows, also on machines that no controller can reach.
+// checkOverdueTasks records a violation for each task of a cancelled job that still runs after the time that the
+// protocol allows, also on machines that no controller can reach.
 func (checker *invariantChecker) checkOverdueTasks() {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -281,9 +283,9 @@
 		if job == nil || job.cancelledAt.IsZero() || machine.dead {
 			continue
 		}
-		if over := time.Since(job.cancelledAt); over > seconds(checker.sim.Workers.CancelS) && !checker.overdueTasks[task] {
+		if elapsed := time.Since(job.cancelledAt); elapsed > seconds(checker.sim.Workers.CancelS) && !checker.overdueTasks[task] {
 			checker.overdueTasks[task] = true
-			checker.recordViolation("ran_cancelled", "%s still runs on %s %v after its job was reported as cancelled", task, machine.Name, over)
+			checker.recordViolation("ran_cancelled", "%s still runs on %s %v after its job was reported as cancelled", task, machine.Name, elapsed)
 		}
 	}
 }
@@ -301,13 +303,13 @@
 	defer checker.mu.Unlock()
 	for _, command := range commands {
 		if command.Verb == api.CommandRun {
-			checker.wastedStarts[fmt.Sprint(machine.Name, command.Task, command.Attempt)] = true
+			checker.undeliveredStarts[fmt.Sprint(machine.Name, command.Task, command.Attempt)] = true
 		}
 	}
 }
 
-// machineReturned records that a machine was returned to the cloud. It counts the machine in Result.ReturnedInVain if it
-// ran tasks and no fault affected it within the last minute.
+// machineReturned records that a machine was returned to the cloud. It counts the machine in Result.ReturnedInVain if
+// it ran tasks and no fault affected it within the last minute.
 func (checker *invariantChecker) machineReturned(machine *simulatedMachine) {
 	_, _, _, running := machine.worker.Seen()
 	checker.sim.mu.Lock()
@@ -320,16 +322,16 @@
 		checker.result.ReturnedInVain++
 	}
 	if !since.IsZero() {
-		checker.lostLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
+		checker.unreachableLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
 	}
 }
 
-// machineReachable records that a machine receives messages from controllers again, for the first time since the given
-// time.
-func (checker *invariantChecker) machineReachable(since time.Time) {
+// machineReachableAgain records that a machine receives messages from controllers again, for the first time since the
+// given time.
+func (checker *invariantChecker) machineReachableAgain(since time.Time) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	checker.lostLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
+	checker.unreachableLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
 }
 
 // faultsOver records that all faults have ended. From then on the checker measures how long users wait for a response.
--- a/internal/simulation/jobs.go
+++ b/internal/simulation/jobs.go
@@ -9,11 +9,11 @@
 	"switchferry/api"
 )
 
-// submitJobs generates jobs at random intervals until SubmitFor has passed since began, and starts a simulated user for
+// submitJobs generates jobs at random intervals until SubmitFor has passed since start, and starts a simulated user for
 // each job. It drops a job whose random identifier is already in use.
-func (sim *simulation) submitJobs(ctx context.Context, began time.Time) {
+func (sim *simulation) submitJobs(ctx context.Context, start time.Time) {
 	rng := sim.actorRNG("users")
-	for time.Since(began) < sim.SubmitFor {
+	for time.Since(start) < sim.SubmitFor {
 		if !sim.sleep(ctx, time.Duration(rng.ExpFloat64()/sim.JobsPerSecond*float64(time.Second))) {
 			return
 		}
@@ -25,8 +25,8 @@
 	}
 }
 
-// randomSubmission draws a job. Most are small job arrays; the other classes are large (many tasks), whole (tasks that need
-// a whole machine), guest (low priority), service, and piped (awaits other jobs).
+// randomSubmission draws a job. Most are small job arrays; the other classes are large (many tasks), whole (tasks that
+// need a whole machine), guest (low priority), service, and piped (awaits other jobs).
 func (sim *simulation) randomSubmission(rng *rand.Rand) api.Submission {
 	job := api.Submission{ID: fmt.Sprintf("run-%06d", rng.IntN(1_000_000)), Team: teamNames[rng.IntN(len(teamNames))], Shape: api.JobArray, Rank: "normal",
 		CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 0.1, Spot: true, Class: "small", Tasks: 1 + rng.IntN(4), EstimateS: 5 + 10*rng.Float64()}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -28,10 +28,10 @@
 
 // setCut adds or removes a cut of the link from one host to another. A link with two cuts works again once both are
 // removed.
-func (links *linkTable) setCut(from, to string, on bool) {
+func (links *linkTable) setCut(from, to string, cut bool) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
-	if on {
+	if cut {
 		links.cuts[[2]string{from, to}]++
 	} else {
 		links.cuts[[2]string{from, to}]--
@@ -74,8 +74,8 @@
 // Accept waits for a connection; it returns net.ErrClosed once the listener is closed.
 func (listener *simulatedListener) Accept() (net.Conn, error) {
 	select {
-	case testCase := <-listener.incoming:
-		return testCase, nil
+	case conn := <-listener.incoming:
+		return conn, nil
 	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
@@ -155,15 +155,15 @@
 	if listener == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	here, there := network.pair(from, address)
+	localEnd, remoteEnd := network.pair(from, address)
 	select {
-	case listener.incoming <- there:
-		return here, nil
+	case listener.incoming <- remoteEnd:
+		return localEnd, nil
 	case <-listener.closed:
-		_ = here.Close()
+		_ = localEnd.Close()
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
-		_ = here.Close()
+		_ = localEnd.Close()
 		return nil, ctx.Err()
 	}
 }
@@ -173,14 +173,14 @@
 
 // pair returns the two ends of a new connection, that of from first.
 func (network *controllerNetwork) pair(from, to string) (*simulatedConn, *simulatedConn) {
-	x, y := newByteStream(), newByteStream()
-	here := &simulatedConn{network: network, from: from, to: to, inbound: y, outbound: x}
-	there := &simulatedConn{network: network, from: to, to: from, inbound: x, outbound: y}
-	here.peer, there.peer = there, here
+	outbound, inbound := newByteStream(), newByteStream()
+	localEnd := &simulatedConn{network: network, from: from, to: to, inbound: inbound, outbound: outbound}
+	remoteEnd := &simulatedConn{network: network, from: to, to: from, inbound: outbound, outbound: inbound}
+	localEnd.peer, remoteEnd.peer = remoteEnd, localEnd
 	network.mu.Lock()
-	network.conns[here], network.conns[there] = from, to
+	network.conns[localEnd], network.conns[remoteEnd] = from, to
 	network.mu.Unlock()
-	return here, there
+	return localEnd, remoteEnd
 }
 
 // simulatedConn is one end of a connection. Data written while the link is cut arrives once the link works again.
@@ -261,8 +261,8 @@
 
 var errConnectionReset = errors.New("connection reset")
 
-// read takes up to len(to) bytes from the stream without waiting. It returns their number and a channel that is closed with
-// the next write, or io.EOF once the stream is closed.
+// read takes up to len(to) bytes from the stream without waiting. It returns their number and a channel that is closed
+// with the next write, or io.EOF once the stream is closed.
 func (stream *byteStream) read(to []byte) (int, chan struct{}, error) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -34,8 +34,8 @@
 // inForceTimeout is how long the operators wait for a change to come into force.
 const inForceTimeout = 8 * time.Second
 
-// operators change the configuration while the simulation runs, one change after the other, and submit probes. They check
-// that no controller schedules or answers by a revision older than one that was confirmed to be in force.
+// operators change the configuration while the simulation runs, one change after the other, and submit probes. They
+// check that no controller schedules or answers by a revision older than one that was confirmed to be in force.
 type operators struct {
 	sim *simulation
 
@@ -43,17 +43,18 @@
 	mu sync.Mutex
 	// attempts holds all configurations that were sent, in order.
 	attempts []configurationAttempt
-	// inForce is the index of the last attempt that was confirmed to be in force; -1 if there is none.
-	inForce int
+	// confirmedAttempt is the index of the last attempt that was confirmed to be in force; -1 if there is none.
+	confirmedAttempt int
 	// confirmedAt is when that attempt was confirmed.
 	confirmedAt time.Time
 	// recordedStarts holds the newest start of each task that was written to the state service.
 	recordedStarts map[string]recordedStart
-	// changes counts the changes that were confirmed to be in force.
-	changes int
+	// confirmedChanges counts the changes that were confirmed to be in force.
+	confirmedChanges int
 }
 
-// configurationAttempt is a configuration that was sent, whether it came into force or not. Its limits are in processors.
+// configurationAttempt is a configuration that was sent, whether it came into force or not. Its limits are in
+// processors.
 type configurationAttempt struct {
 	// probeLimit is the limit of probeTeam.
 	probeLimit float64
@@ -70,11 +71,11 @@
 }
 
 func newOperators(sim *simulation) *operators {
-	return &operators{sim: sim, inForce: -1, recordedStarts: map[string]recordedStart{}}
+	return &operators{sim: sim, confirmedAttempt: -1, recordedStarts: map[string]recordedStart{}}
 }
 
-// randomAttempt draws the next configuration. Every single task fits its limits. With initialLimits, the limits of the teams
-// that submit jobs are those in the settings.
+// randomAttempt draws the next configuration. Every single task fits its limits. With initialLimits, the limits of the
+// teams that submit jobs are those in the settings.
 func (ops *operators) randomAttempt(rng *rand.Rand, initialLimits bool) configurationAttempt {
 	attempt := configurationAttempt{probeLimit: probeLimitSmall, teamLimits: map[string]float64{}}
 	if rng.IntN(2) == 0 {
@@ -102,11 +103,11 @@
 	return text.String()
 }
 
-// changeRepeatedly changes the configuration every ChangeInterval while users submit jobs, and then restores the limits in
-// the settings. began is when users began to submit jobs.
-func (ops *operators) changeRepeatedly(ctx context.Context, began time.Time) {
+// changeRepeatedly changes the configuration every ChangeInterval while users submit jobs, and then restores the limits
+// in the settings. start is when users began to submit jobs.
+func (ops *operators) changeRepeatedly(ctx context.Context, start time.Time) {
 	rng := ops.sim.actorRNG("operators")
-	for ops.sim.sleep(ctx, ops.sim.ChangeInterval) && time.Since(began) < ops.sim.SubmitFor {
+	for ops.sim.sleep(ctx, ops.sim.ChangeInterval) && time.Since(start) < ops.sim.SubmitFor {
 		ops.change(ctx, rng, false)
 	}
 	for ctx.Err() == nil && !ops.change(ctx, rng, true) {
@@ -123,27 +124,27 @@
 	}
 	ops.mu.Lock()
 	ops.attempts = append(ops.attempts, attempt)
-	number := len(ops.attempts) - 1
+	index := len(ops.attempts) - 1
 	ops.mu.Unlock()
 	code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbConfigure, Body: body})
-	var made struct {
+	var response struct {
 		Revision uint64 `json:"revision"`
 	}
-	if code != http.StatusOK && code != http.StatusAccepted || json.Unmarshal(raw, &made) != nil {
+	if code != http.StatusOK && code != http.StatusAccepted || json.Unmarshal(raw, &response) != nil {
 		return false
 	}
-	if code != http.StatusOK && !ops.awaitInForce(ctx, rng, made.Revision) {
+	if code != http.StatusOK && !ops.awaitInForce(ctx, rng, response.Revision) {
 		return false
 	}
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
-	ops.inForce, ops.confirmedAt = number, time.Now()
-	ops.changes++
+	ops.confirmedAttempt, ops.confirmedAt = index, time.Now()
+	ops.confirmedChanges++
 	return true
 }
 
-// awaitInForce polls random controllers until the leader reports that a revision is in force. It reports false if a later
-// revision is in force, or if inForceTimeout has passed.
+// awaitInForce polls random controllers until the leader reports that a revision is in force. It reports false if a
+// later revision is in force, or if inForceTimeout has passed.
 func (ops *operators) awaitInForce(ctx context.Context, rng *rand.Rand, revision uint64) bool {
 	for end := time.Now().Add(inForceTimeout); ; {
 		if time.Now().After(end) || !ops.sim.sleep(ctx, 100*time.Millisecond) {
@@ -168,24 +169,24 @@
 	if instance == nil {
 		return 0, nil
 	}
-	call, stop := context.WithTimeout(ctx, requestTimeout)
+	callContext, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
-	response, ok := ops.sim.call(call, name, instance, request)
+	response, ok := ops.sim.call(callContext, name, instance, request)
 	if !ok {
 		return 0, nil
 	}
 	return response.Status, response.Body
 }
 
-// submitProbes repeatedly submits the probe and checks which limit the controllers apply to it. The probe is never accepted:
-// a controller refuses it for the limit of its team, or, if the limit admits it, for awaiting a job that was never
-// submitted.
+// submitProbes repeatedly submits the probe and checks which limit the controllers apply to it. The probe is never
+// accepted: a controller refuses it for the limit of its team, or, if the limit admits it, for awaiting a job that was
+// never submitted.
 func (ops *operators) submitProbes(ctx context.Context) {
 	rng := ops.sim.actorRNG("probes")
 	body := encodeSubmission(&api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: probeCPUs, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}})
 	for ops.sim.sleep(ctx, 200*time.Millisecond) {
 		ops.mu.Lock()
-		oldest := ops.inForce
+		oldest := ops.confirmedAttempt
 		ops.mu.Unlock()
 		code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbSubmit, Body: body})
 		var refusal api.Error
@@ -202,8 +203,8 @@
 	}
 }
 
-// probeAnswerPossible reports whether any attempt from the oldest on, an index in attempts, has a limit with which the probe
-// is admitted, or not admitted if admitted is false.
+// probeAnswerPossible reports whether any attempt from the oldest on, an index in attempts, has a limit with which the
+// probe is admitted, or not admitted if admitted is false.
 func (ops *operators) probeAnswerPossible(admitted bool, oldest int) bool {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
@@ -212,17 +213,17 @@
 	})
 }
 
-// checkStart checks a start of a task against the limits that may be in force when it was recorded. usage is the number of
-// processors that the team uses, including the task. checkStart returns a description of the violation, empty if there is
-// none.
+// checkStart checks a start of a task against the limits that may be in force when it was recorded. usage is the number
+// of processors that the team uses, including the task. checkStart returns a description of the violation, empty if
+// there is none.
 func (ops *operators) checkStart(task, team string, usage float64) (violation string) {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
-	if ops.inForce < 0 {
+	if ops.confirmedAttempt < 0 {
 		return ""
 	}
-	limit := ops.attempts[ops.inForce].teamLimits[team]
-	for _, attempt := range ops.attempts[ops.inForce+1:] {
+	limit := ops.attempts[ops.confirmedAttempt].teamLimits[team]
+	for _, attempt := range ops.attempts[ops.confirmedAttempt+1:] {
 		limit = max(limit, attempt.teamLimits[team])
 	}
 	// A start that was recorded before the confirmation may have been decided by an older revision.
@@ -232,7 +233,8 @@
 	return fmt.Sprintf("%s was recorded after a limit of %g processors came into force, and team %s uses %g", task, limit, team, usage)
 }
 
-// startRecorder forwards requests to the state service and records, for the operators, when starts of tasks were written.
+// startRecorder forwards requests to the state service and records, for the operators, when starts of tasks were
+// written.
 type startRecorder struct{ operators *operators }
 
 // RoundTrip forwards one request, and records the starts of a transaction that was executed.
--- a/internal/simulation/processes.go
+++ b/internal/simulation/processes.go
@@ -15,8 +15,8 @@
 	"switchferry/store"
 )
 
-// controllerProcess is a controller's process, which can be started and stopped repeatedly. instance and stop are nil while
-// it does not run; the simulation's mu guards them.
+// controllerProcess is a controller's process, which can be started and stopped repeatedly. instance and stop are nil
+// while it does not run; the simulation's mu guards them.
 type controllerProcess struct {
 	name, zone string
 	instance   *controller.Controller
@@ -41,8 +41,8 @@
 	sim.actors.Go(func() { instance.Run(listener) })
 }
 
-// controllerSettings returns a controller's settings, as its settings file and the deploy file would give them; sim.mu is
-// held.
+// controllerSettings returns a controller's settings, as its settings file and the deploy file would give them; sim.mu
+// is held.
 func (sim *simulation) controllerSettings(process *controllerProcess) *settings.Settings {
 	set := &settings.Settings{Member: process.name, Zone: process.zone}
 	set.External = settings.External{State: "state:1", Cloud: "cloud:1"}
@@ -77,7 +77,8 @@
 	return sim.controllers[name].instance
 }
 
-// leader returns the name of the leader according to the state service, or of the first controller if there is no leader.
+// leader returns the name of the leader according to the state service, or of the first controller if there is no
+// leader.
 func (sim *simulation) leader() string {
 	var record store.LeaderRecord
 	if json.Unmarshal(sim.state.Get(store.LeaderKey), &record) != nil || record.Member == "" {
@@ -87,14 +88,14 @@
 }
 
 // setPaused pauses a controller's process or resumes it.
-func (sim *simulation) setPaused(name string, on bool) {
+func (sim *simulation) setPaused(name string, paused bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	switch testCase := sim.pausedProcesses[name]; {
-	case on && testCase == nil:
+	switch resumed := sim.pausedProcesses[name]; {
+	case paused && resumed == nil:
 		sim.pausedProcesses[name] = make(chan struct{})
-	case !on && testCase != nil:
-		close(testCase)
+	case !paused && resumed != nil:
+		close(resumed)
 		delete(sim.pausedProcesses, name)
 	}
 }
@@ -103,17 +104,17 @@
 func (sim *simulation) waitWhilePaused(name string) {
 	for {
 		sim.mu.Lock()
-		testCase := sim.pausedProcesses[name]
+		resumed := sim.pausedProcesses[name]
 		sim.mu.Unlock()
-		if testCase == nil {
+		if resumed == nil {
 			return
 		}
-		<-testCase
+		<-resumed
 	}
 }
 
-// pausableClock is the clock of a controller's process. While the process is paused, time advances, but the channels that
-// After returns do not receive.
+// pausableClock is the clock of a controller's process. While the process is paused, time advances, but the channels
+// that After returns do not receive.
 type pausableClock struct {
 	clockwork.Clock
 	sim  *simulation
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -9,16 +9,17 @@
 
 // Limits that a run is checked against.
 const (
-	// forgottenAfter is how long the user of a job may get no response once all faults are over.
-	forgottenAfter = 75 * time.Second
-	// doneReportLag is the longest time between the end of a job's last task and the response that reports the job as done.
-	doneReportLag = 3 * time.Second
-	// largestStartLimit is the longest start delay of the largest jobs of a class.
-	largestStartLimit = 240 * time.Second
-	// starvationLimit is how long a job may wait while free resources fit it.
-	starvationLimit = 90 * time.Second
-	// maxExplanations is how many explanations are added to Result.Explanations while the simulation runs. The evaluation at
-	// its end may add more.
+	// maxUnansweredTime is how long the user of a job may get no response once all faults are over.
+	maxUnansweredTime = 75 * time.Second
+	// maxDoneReportDelay is the longest time between the end of a job's last task and the response that reports the job
+	// as done.
+	maxDoneReportDelay = 3 * time.Second
+	// maxLargestStartDelay is the longest start delay of the largest jobs of a class.
+	maxLargestStartDelay = 240 * time.Second
+	// maxStarvationTime is how long a job may wait while free resources fit it.
+	maxStarvationTime = 90 * time.Second
+	// maxExplanations is how many explanations are added to Result.Explanations while the simulation runs. The
+	// evaluation at its end may add more.
 	maxExplanations = 20
 	// cpuTolerance is by how many processors a sum may exceed a limit, for rounding errors.
 	cpuTolerance = 1e-6
@@ -32,38 +33,39 @@
 	Jobs int `json:"jobs"`
 	// Tasks counts the starts of tasks.
 	Tasks int `json:"tasks_started"`
-	// TasksRestarted counts the starts of tasks that had started before.
-	TasksRestarted int `json:"tasks_started_again"`
+	// TaskRestarts counts the starts of tasks that had started before.
+	TaskRestarts int `json:"tasks_started_again"`
 	// Rules counts violations by the name of the rule.
 	Rules map[string]int `json:"rules_broken"`
 	// Explanations describes the first findings.
 	Explanations []string `json:"why,omitempty"`
-	// LongestUnansweredS is the longest time, in seconds, for which the user of a job got no response once all faults were
-	// over.
+	// LongestUnansweredS is the longest time, in seconds, for which the user of a job got no response once all faults
+	// were over.
 	LongestUnansweredS float64 `json:"longest_unanswered_s"`
-	// Forgotten counts the unfinished jobs whose users had got no response for longer than forgottenAfter at the end.
+	// Forgotten counts the unfinished jobs whose users had got no response for longer than maxUnansweredTime at the
+	// end.
 	Forgotten int `json:"forgotten"`
 	// PendingForGood counts the accepted jobs that had not started at the end although their dependencies were done and
 	// neither they nor their dependencies were cancelled.
 	PendingForGood int `json:"pending_for_good"`
 	// ClassesMinShare is the smallest share of started jobs among the classes, the teams and the largest jobs of each
-	// class. Of the largest jobs, only those that started within largestStartLimit count as started.
+	// class. Of the largest jobs, only those that started within maxLargestStartDelay count as started.
 	ClassesMinShare float64 `json:"classes_min_share"`
 	// LargestBeginP99S is the 99th percentile of the start delay of the largest jobs of all classes, in seconds.
 	LargestBeginP99S float64 `json:"largest_begin_p99_s"`
-	// StartsInVain is the number of tasks that were sent to machines which had received nothing from controllers for a lease
-	// or longer, divided by the number of leases for which machines received nothing, at least 1.
+	// StartsInVain is the number of tasks that were sent to machines which had received nothing from controllers for a
+	// lease or longer, divided by the number of leases for which machines received nothing, at least 1.
 	StartsInVain float64 `json:"starts_in_vain"`
 	// ReturnedInVain counts the machines that were returned to the cloud while they ran tasks, although no fault had
 	// affected them within the last minute.
 	ReturnedInVain int `json:"returned_in_vain"`
-	// StartedAfterCancel counts the starts of tasks after the cancellation of their job was reported to its user.
-	StartedAfterCancel int `json:"started_cancelled"`
-	// StarvedJobs counts the jobs that waited longer than starvationLimit, after all faults were over, while machines had
-	// room for them and their team was below its limit.
+	// StartsAfterCancel counts the starts of tasks after the cancellation of their job was reported to its user.
+	StartsAfterCancel int `json:"started_cancelled"`
+	// StarvedJobs counts the jobs that waited longer than maxStarvationTime, after all faults were over, while machines
+	// had room for them and their team was below its limit.
 	StarvedJobs int `json:"waited_in_vain"`
-	// WrongAnswers counts the responses that the protocol does not allow, mostly to invalid requests.
-	WrongAnswers int `json:"wrong_answers"`
+	// UnexpectedResponses counts the responses that the protocol does not allow, mostly to invalid requests.
+	UnexpectedResponses int `json:"wrong_answers"`
 	// ConfigurationChanges counts the changes of the configuration that were confirmed to be in force.
 	ConfigurationChanges int `json:"changes_in_force,omitempty"`
 }
@@ -78,28 +80,28 @@
 
 // evaluate computes the result at the end of a run. It must be called only once, while the controllers still run.
 func (checker *invariantChecker) evaluate() *Result {
-	checker.countLostLeases()
+	checker.countUnreachableLeases()
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	now := time.Now()
 	// classes holds the jobs that should have started, by class and by team; teamPrefix precedes the name of a team.
-	classes := map[string][]*trackedJob{}
+	groups := map[string][]*trackedJob{}
 	for _, job := range checker.jobsInOrder {
 		if job.acceptedAt.IsZero() {
 			continue
 		}
 		checker.result.Jobs++
 		if job.finalState == "" {
-			checker.evaluateOpenJob(job, now)
+			checker.evaluateUnfinishedJob(job, now)
 		}
 		if job.cancelledAt.IsZero() && job.orphanedAt.IsZero() && !checker.awaitsDependency(job) {
-			classes[job.Class] = append(classes[job.Class], job)
-			classes[teamPrefix+job.Team] = append(classes[teamPrefix+job.Team], job)
+			groups[job.Class] = append(groups[job.Class], job)
+			groups[teamPrefix+job.Team] = append(groups[teamPrefix+job.Team], job)
 		}
 	}
-	checker.evaluateClasses(classes, now)
-	if checker.lostLeases > 0 {
-		checker.result.StartsInVain = float64(len(checker.wastedStarts)) / max(1, checker.lostLeases)
+	checker.evaluateGroups(groups, now)
+	if checker.unreachableLeases > 0 {
+		checker.result.StartsInVain = float64(len(checker.undeliveredStarts)) / max(1, checker.unreachableLeases)
 	}
 	if checker.result.Tasks == 0 {
 		checker.recordViolation("nothing_ran", "no task was started")
@@ -108,47 +110,50 @@
 	return &result
 }
 
-// countLostLeases adds to lostLeases the time for which machines that are still unreachable at the end received nothing.
-func (checker *invariantChecker) countLostLeases() {
+// countUnreachableLeases adds to unreachableLeases the time for which machines that are still unreachable at the end
+// received nothing.
+func (checker *invariantChecker) countUnreachableLeases() {
 	checker.sim.mu.Lock()
 	defer checker.sim.mu.Unlock()
 	for _, machine := range checker.sim.machines {
 		if !machine.outboundLostSince.IsZero() {
-			checker.lostLeases += time.Since(machine.outboundLostSince).Seconds() / checker.sim.Workers.LeaseS
+			checker.unreachableLeases += time.Since(machine.outboundLostSince).Seconds() / checker.sim.Workers.LeaseS
 		}
 	}
 }
 
-// evaluateOpenJob evaluates an accepted job of which no terminal state was reported to its user; checker.mu is held.
-func (checker *invariantChecker) evaluateOpenJob(job *trackedJob, now time.Time) {
+// evaluateUnfinishedJob evaluates an accepted job of which no terminal state was reported to its user; checker.mu is
+// held.
+func (checker *invariantChecker) evaluateUnfinishedJob(job *trackedJob, now time.Time) {
 	result := &checker.result
 	unanswered := now.Sub(job.answeredAt)
 	result.LongestUnansweredS = max(result.LongestUnansweredS, unanswered.Seconds())
-	if unanswered > forgottenAfter {
+	if unanswered > maxUnansweredTime {
 		result.Forgotten++
 	}
 	if job.startedAt.IsZero() && job.orphanedAt.IsZero() && job.cancelledAt.IsZero() && !checker.awaitsDependency(job) {
 		result.PendingForGood++
 		result.Explanations = append(result.Explanations, fmt.Sprintf("pending for good: %s %s, %d tasks, accepted %v ago", job.ID, job.Class, job.Tasks, now.Sub(job.acceptedAt).Round(time.Second)))
 	}
-	if !job.doneAt.IsZero() && now.Sub(job.doneAt) > doneReportLag+2*pollInterval && job.answeredAt.Sub(job.doneAt) > doneReportLag {
+	if !job.doneAt.IsZero() && now.Sub(job.doneAt) > maxDoneReportDelay+2*pollInterval && job.answeredAt.Sub(job.doneAt) > maxDoneReportDelay {
 		result.Explanations = append(result.Explanations, fmt.Sprintf("reported as done too late: %s", job.ID))
 	}
 }
 
-// evaluateClasses computes the smallest share of started jobs and the start delay of the largest jobs; checker.mu is held.
-func (checker *invariantChecker) evaluateClasses(classes map[string][]*trackedJob, now time.Time) {
+// evaluateGroups computes the smallest share of started jobs and the start delay of the largest jobs; checker.mu is
+// held.
+func (checker *invariantChecker) evaluateGroups(groups map[string][]*trackedJob, now time.Time) {
 	result := &checker.result
 	result.ClassesMinShare = 1
 	var delays []float64
-	for name, jobs := range classes {
+	for name, jobs := range groups {
 		result.ClassesMinShare = min(result.ClassesMinShare, startedShare(jobs, 0))
 		if strings.HasPrefix(name, teamPrefix) {
 			continue
 		}
 		sort.SliceStable(jobs, func(i, j int) bool { return float64(jobs[i].Tasks)*jobs[i].CPUs > float64(jobs[j].Tasks)*jobs[j].CPUs })
 		largest := jobs[:min(len(jobs), max(1, len(jobs)/10))]
-		result.ClassesMinShare = min(result.ClassesMinShare, startedShare(largest, largestStartLimit))
+		result.ClassesMinShare = min(result.ClassesMinShare, startedShare(largest, maxLargestStartDelay))
 		for _, job := range largest {
 			delays = append(delays, job.startDelay(now).Seconds())
 		}
@@ -159,8 +164,8 @@
 	}
 }
 
-// startedShare returns the share of jobs that started, with a start delay of at most within unless within is 0. Without jobs
-// it returns 1.
+// startedShare returns the share of jobs that started, with a start delay of at most within unless within is 0. Without
+// jobs it returns 1.
 func startedShare(jobs []*trackedJob, within time.Duration) float64 {
 	if len(jobs) == 0 {
 		return 1
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -6,12 +6,12 @@
 	"switchferry/settings"
 )
 
-// Kinds of faults. At, For, Count, Follower, Unanswered and HangMachinesFor are fields of Fault. The target of a fault that
-// affects one controller is the leader or, with Follower, another controller.
+// Kinds of faults. At, For, Count, Follower, Unanswered and HangMachinesFor are fields of Fault. The target of a fault
+// that affects one controller is the leader or, with Follower, another controller.
 const (
 	// ControllerCrash stops Count controllers, beginning with the target; each starts again after For.
 	ControllerCrash = "crash"
-	// RollingRestart stops all controllers, one each rollInterval; each starts again after For.
+	// RollingRestart stops all controllers, one each rollingRestartInterval; each starts again after For.
 	RollingRestart = "roll"
 	// ControllerIsolated cuts the target off from the state service and the other controllers; workers still reach it.
 	ControllerIsolated = "lone"
@@ -37,63 +37,64 @@
 	ControllerPartition = "silence"
 	// ControllerPairPartition cuts the target off from one other controller. Messages between them arrive afterwards.
 	ControllerPairPartition = "apart"
-	// LateWrites delays the execution of one transaction in five by minLateWriteDelay to maxWriteDelay, so that its answer
-	// comes too late.
+	// LateWrites delays the execution of one transaction in five by minLateWriteDelay to maxWriteDelay, so that its
+	// answer comes too late.
 	LateWrites = "late-writes"
-	// DelayedCommands delays one request with commands in three, or the response to it, by up to maxCommandDelay.
+	// DelayedCommands delays one request with commands in three, or the response to it, by up to
+	// maxDelayedCommandDelay.
 	DelayedCommands = "held"
-	// CancellationWave makes Count in ten of the users who wait for the next poll cancel their job arrays, at once and then
-	// every waveInterval for the fault's duration. With HangMachinesFor, up to maxHungByWave machines that run tasks of
-	// these jobs are suspended for that time.
+	// CancellationWave makes Count in ten of the users who wait for the next poll cancel their job arrays, at once and
+	// then every waveInterval for the fault's duration. With HangMachinesFor, up to maxHungByWave machines that run
+	// tasks of these jobs are suspended for that time.
 	CancellationWave = "wave"
 	// MachineHang suspends Count machines, which execute commands that reach them only afterwards.
 	MachineHang = "hangs"
-	// InboundLost drops the heartbeats of Count machines, or with Follower of all healthy machines in the leader's zone;
-	// commands still reach these machines.
+	// InboundLost drops the heartbeats of Count machines, or with Follower of all healthy machines in the leader's
+	// zone; commands still reach these machines.
 	InboundLost = "mute"
 	// ProcessPause pauses the target's process while time advances.
 	ProcessPause = "freeze"
-	// SlowState delays requests to the state service, or their responses, by up to maxSlowDelay: those of the target if Count
-	// is 1, else those of all controllers.
+	// SlowState delays requests to the state service, or their responses, by up to maxSlowStateDelay: those of the
+	// target if Count is 1, else those of all controllers.
 	SlowState = "slow"
-	// CancelAtEnd makes users cancel half of the job arrays around the moment at which the last task ends, and ask for their
-	// status and repeat their submission around the same moment.
+	// CancelAtEnd makes users cancel half of the job arrays around the moment at which the last task ends, and ask for
+	// their status and repeat their submission around the same moment.
 	CancelAtEnd = "at-end"
 	// InvalidRequests makes users repeat submissions with invalid contents, cancel jobs in a terminal state, and submit
 	// invalid jobs.
 	InvalidRequests = "odd"
 	// SlowHeartbeats delays half of the heartbeats, and half of the responses to them, by up to maxHeartbeatDelay, and
-	// requests with direct commands by up to maxQuickCommandDelay.
+	// requests with direct commands by up to maxDirectCommandDelay.
 	SlowHeartbeats = "slow-heartbeats"
 	// LeaderLinkFlapping repeatedly cuts the links between the leader and the other controllers: in both directions for
-	// flapCutBoth and, after flapOpen, in the direction from the leader only for flapCutReplies.
+	// flapCutBoth and, after flapConnected, in the direction from the leader only for flapCutFromLeader.
 	LeaderLinkFlapping = "flapping"
 	// FailingMachines makes Count machines fail half of the tasks that they start, immediately after the start.
 	FailingMachines = "failing"
 )
 
-// maxHeartbeatDelay bounds the delay of a heartbeat, and that of its response, during a SlowHeartbeats fault. Even with both
-// delays, a worker still receives responses within its timeout of 4 s.
+// maxHeartbeatDelay bounds the delay of a heartbeat, and that of its response, during a SlowHeartbeats fault. Even with
+// both delays, a worker still receives responses within its timeout of 4 s.
 const maxHeartbeatDelay = 1900 * time.Millisecond
 
-// maxQuickCommandDelay bounds the delay of direct commands to workers during a SlowHeartbeats fault.
-const maxQuickCommandDelay = 300 * time.Millisecond
+// maxDirectCommandDelay bounds the delay of direct commands to workers during a SlowHeartbeats fault.
+const maxDirectCommandDelay = 300 * time.Millisecond
 
-// maxSlowDelay bounds the delay of a request, or of its response, during a SlowState fault.
-const maxSlowDelay = 1500 * time.Millisecond
+// maxSlowStateDelay bounds the delay of a request, or of its response, during a SlowState fault.
+const maxSlowStateDelay = 1500 * time.Millisecond
 
 // Durations of the phases of a LeaderLinkFlapping fault.
 const (
 	// flapCutBoth is how long both directions are cut.
 	flapCutBoth = 5 * time.Second
-	// flapOpen is how long the links work after each cut.
-	flapOpen = 900 * time.Millisecond
-	// flapCutReplies is how long only the direction from the leader is cut; the leader still counts as reachable.
-	flapCutReplies = 2 * time.Second
+	// flapConnected is how long the links work after each cut.
+	flapConnected = 900 * time.Millisecond
+	// flapCutFromLeader is how long only the direction from the leader is cut; the leader still counts as reachable.
+	flapCutFromLeader = 2 * time.Second
 )
 
-// rollInterval is the time between the stops of two controllers in a RollingRestart.
-const rollInterval = 5 * time.Second
+// rollingRestartInterval is the time between the stops of two controllers in a RollingRestart.
+const rollingRestartInterval = 5 * time.Second
 
 // defaultCPUsPerMachine is the limit of a team, in processors per machine, if a scenario does not set one.
 const defaultCPUsPerMachine = 6
@@ -127,7 +128,8 @@
 	JobsPerSecond float64
 	// Faults are the faults that are injected, in any order.
 	Faults []Fault
-	// CancelShare is the share of job arrays that their users cancel; 0 means defaultCancelShare, a negative value none.
+	// CancelShare is the share of job arrays that their users cancel; 0 means defaultCancelShare, a negative value
+	// none.
 	CancelShare float64
 	// TaskRunS is the estimated run time of tasks of small job arrays, in seconds; 0 means 5 to 15 s, at random.
 	TaskRunS float64
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,14 +1,14 @@
 // Package simulation runs a whole region in one process and checks the scheduler's invariants while faults are
 // injected.
 //
-// The controllers are the production ones, as `serve` runs them. The state service, the cloud and the workers are simulated
-// (package fake), as are the users, the operators who change the configuration, and the network, on which each direction
-// between two hosts can be cut separately. Disks, the controllers' HTTP listeners, data transfer between machines and
-// processor load are not simulated.
+// The controllers are the production ones, as `serve` runs them. The state service, the cloud and the workers are
+// simulated (package fake), as are the users, the operators who change the configuration, and the network, on which
+// each direction between two hosts can be cut separately. Disks, the controllers' HTTP listeners, data transfer between
+// machines and processor load are not simulated.
 //
 // A simulation runs on the time package's clock: in tests within testing/synctest, where a scenario of minutes takes a
-// second, otherwise in real time. The same seed produces the same machines, jobs and faults. The Go scheduler determines the
-// order of simultaneous events, so the results of one seed may differ slightly.
+// second, otherwise in real time. The same seed produces the same machines, jobs and faults. The Go scheduler
+// determines the order of simultaneous events, so the results of one seed may differ slightly.
 package simulation
 
 import (
@@ -100,15 +100,15 @@
 	sim := newSimulation(ctx, scenario)
 	sim.startRegion(ctx)
 	sim.sleep(ctx, startupTime)
-	began := time.Now()
-	faultsEnd := sim.scheduleFaults(ctx, began)
-	sim.startActors(ctx, began)
+	start := time.Now()
+	faultsEnd := sim.scheduleFaults(ctx, start)
+	sim.startActors(ctx, start)
 	sim.sleep(ctx, faultsEnd)
 	sim.checker.faultsOver()
-	sim.sleep(ctx, max(scenario.SubmitFor, faultsEnd)+scenario.WaitAfter-time.Since(began))
+	sim.sleep(ctx, max(scenario.SubmitFor, faultsEnd)+scenario.WaitAfter-time.Since(start))
 	result := sim.checker.evaluate()
 	if sim.operators != nil {
-		result.ConfigurationChanges = sim.operators.changes
+		result.ConfigurationChanges = sim.operators.confirmedChanges
 	}
 	stop()
 	for _, name := range controllerNames {
@@ -169,16 +169,16 @@
 	}
 }
 
-// scheduleFaults starts a goroutine for each fault that injects it at its time, counted from began. It returns the time,
-// counted from began, at which the last fault ends.
-func (sim *simulation) scheduleFaults(ctx context.Context, began time.Time) (end time.Duration) {
+// scheduleFaults starts a goroutine for each fault that injects it at its time, counted from start. It returns the
+// time, counted from start, at which the last fault ends.
+func (sim *simulation) scheduleFaults(ctx context.Context, start time.Time) (end time.Duration) {
 	for _, fault := range sim.Faults {
 		end = max(end, fault.At+fault.For)
 		if fault.Kind == RollingRestart {
-			end = max(end, fault.At+fault.For+2*rollInterval)
+			end = max(end, fault.At+fault.For+2*rollingRestartInterval)
 		}
 		sim.actors.Go(func() {
-			if sim.sleep(ctx, fault.At-time.Since(began)) {
+			if sim.sleep(ctx, fault.At-time.Since(start)) {
 				sim.inject(ctx, fault)
 			}
 		})
@@ -187,10 +187,10 @@
 }
 
 // startActors starts the users, the operators and the checks that run every second.
-func (sim *simulation) startActors(ctx context.Context, began time.Time) {
-	sim.actors.Go(func() { sim.submitJobs(ctx, began) })
+func (sim *simulation) startActors(ctx context.Context, start time.Time) {
+	sim.actors.Go(func() { sim.submitJobs(ctx, start) })
 	if sim.operators != nil {
-		sim.actors.Go(func() { sim.operators.changeRepeatedly(ctx, began) })
+		sim.actors.Go(func() { sim.operators.changeRepeatedly(ctx, start) })
 		sim.actors.Go(func() { sim.operators.submitProbes(ctx) })
 	}
 	sim.actors.Go(func() {
@@ -206,8 +206,8 @@
 	return sleep.Real(ctx, duration)
 }
 
-// actorRNG returns a random number generator for one actor, seeded with the scenario's seed and the actor's name, so that
-// the numbers of an actor do not depend on what the others do.
+// actorRNG returns a random number generator for one actor, seeded with the scenario's seed and the actor's name, so
+// that the numbers of an actor do not depend on what the others do.
 func (sim *simulation) actorRNG(actor string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(actor))
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -9,8 +9,8 @@
 // freeCPUs holds the number of free processors of each healthy machine.
 type freeCPUs map[*simulatedMachine]float64
 
-// checkStarvation counts, once all faults are over, the jobs that wait longer than starvationLimit while free resources fit
-// them. The time starts over whenever no free resources fit the job, or a task of it starts.
+// checkStarvation counts, once all faults are over, the jobs that wait longer than maxStarvationTime while free
+// resources fit them. The time starts over whenever no free resources fit the job, or a task of it starts.
 func (checker *invariantChecker) checkStarvation() {
 	free := checker.healthyMachines()
 	checker.mu.Lock()
@@ -29,7 +29,7 @@
 		if job.starvedSince.IsZero() {
 			job.starvedSince = now
 		}
-		if now.Sub(job.starvedSince) > starvationLimit && !job.starved {
+		if now.Sub(job.starvedSince) > maxStarvationTime && !job.starved {
 			job.starved = true
 			checker.result.StarvedJobs++
 			checker.explain("starved: %s %s, %d of %d tasks wait, %g processors each", job.ID, job.Class, waiting, job.Tasks, job.CPUs)
@@ -54,8 +54,8 @@
 	return free
 }
 
-// usageByTeam returns the number of processors that each team uses, and the number of running tasks of each job; checker.mu
-// is held.
+// usageByTeam returns the number of processors that each team uses, and the number of running tasks of each job;
+// checker.mu is held.
 func (checker *invariantChecker) usageByTeam() (usage map[string]float64, running map[string]int) {
 	usage, running = map[string]float64{}, map[string]int{}
 	for task := range checker.placements.All() {
@@ -67,8 +67,8 @@
 }
 
 // couldStart reports whether a job may start and both the free processors and its team's limit have room for one of its
-// waiting tasks, or for all of them if it is a service; usage is the number of processors that the team uses. checker.mu is
-// held.
+// waiting tasks, or for all of them if it is a service; usage is the number of processors that the team uses.
+// checker.mu is held.
 func (checker *invariantChecker) couldStart(job *trackedJob, waiting int, free freeCPUs, usage float64) bool {
 	if job.acceptedAt.IsZero() || job.finalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || waiting <= 0 || checker.awaitsDependency(job) {
 		return false
--- a/internal/simulation/transport.go
+++ b/internal/simulation/transport.go
@@ -45,29 +45,29 @@
 
 // send carries a request, subject to the links that are cut and the active faults.
 func (t *controllerTransport) send(request *http.Request) (*http.Response, error) {
-	host, via := t.target(request)
-	if via == nil {
+	host, transport := t.target(request)
+	if transport == nil {
 		return t.awaitTimeout(request)
 	}
 	if cut, _ := t.sim.partitions.isCut(t.from, host); cut {
-		return t.unreachable(request, via)
+		return t.failOverCutLink(request, transport)
 	}
 	if resp, refused, err := t.stateRefusal(request, host); refused {
 		return resp, err
 	}
-	if delay, delayed := t.delay(request, host, via); delayed {
-		return t.sendDelayed(request, via, delay)
+	if delay, delayed := t.delay(request, host, transport); delayed {
+		return t.sendDelayed(request, transport, delay)
 	}
-	resp, err := via.RoundTrip(request)
+	resp, err := transport.RoundTrip(request)
 	if cut, _ := t.sim.partitions.isCut(host, t.from); cut {
 		return t.awaitTimeout(request)
 	}
 	return resp, err
 }
 
-// target returns the name of the host that a request is sent to, and the transport that serves it there; via is nil if no
-// running machine has the address.
-func (t *controllerTransport) target(request *http.Request) (host string, via http.RoundTripper) {
+// target returns the name of the host that a request is sent to, and the transport that serves it there; transport is nil if
+// no running machine has the address.
+func (t *controllerTransport) target(request *http.Request) (host string, transport http.RoundTripper) {
 	host, _, _ = strings.Cut(request.URL.Host, ":")
 	switch host {
 	case stateHost:
@@ -90,15 +90,16 @@
 	return nil, request.Context().Err()
 }
 
-// unreachable fails a request over a cut link: half of the requests while connecting, the others when their context ends.
-func (t *controllerTransport) unreachable(request *http.Request, via http.RoundTripper) (*http.Response, error) {
-	if endpoint, ok := via.(workerEndpoint); ok {
+// failOverCutLink fails a request over a cut link: half of the requests while connecting, the others when their context
+// ends.
+func (t *controllerTransport) failOverCutLink(request *http.Request, transport http.RoundTripper) (*http.Response, error) {
+	if endpoint, ok := transport.(workerEndpoint); ok {
 		var response api.HeartbeatResponse
 		if json.NewDecoder(request.Body).Decode(&response) == nil {
 			t.sim.checker.recordLostCommands(endpoint.machine, response.Commands)
 		}
 	}
-	if t.chance(2) {
+	if t.oneIn(2) {
 		// This request needs a new connection.
 		t.sim.sleep(request.Context(), dialTimeout)
 		return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
@@ -106,11 +107,11 @@
 	return t.awaitTimeout(request)
 }
 
-// chance reports true with a probability of 1/in.
-func (t *controllerTransport) chance(in int) bool {
+// oneIn reports true with a probability of 1/n.
+func (t *controllerTransport) oneIn(n int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.rng.IntN(in) == 0
+	return t.rng.IntN(n) == 0
 }
 
 // randomBelow draws a duration that is not negative and less than the given one.
@@ -120,16 +121,16 @@
 	return time.Duration(t.rng.Int64N(int64(duration)))
 }
 
-// stateRefusal returns the response of the state service while it refuses this controller; refused is false if the request is
-// not refused.
+// stateRefusal returns the response of the state service while it refuses this controller; refused is false if the
+// request is not refused.
 func (t *controllerTransport) stateRefusal(request *http.Request, host string) (resp *http.Response, refused bool, err error) {
 	if host != stateHost {
 		return nil, false, nil
 	}
 	t.sim.mu.Lock()
-	how := t.sim.stateRefusals[t.from]
+	mode := t.sim.stateRefusals[t.from]
 	t.sim.mu.Unlock()
-	switch how {
+	switch mode {
 	case refusalUnanswered:
 		resp, err = t.awaitTimeout(request)
 		return resp, true, err
@@ -144,10 +145,10 @@
 	before, after time.Duration
 }
 
-// delay draws whether a request is delayed, and by how much. A delayed request is executed even if its caller has given up;
-// so the delay may be zero.
-func (t *controllerTransport) delay(request *http.Request, host string, via http.RoundTripper) (delay requestDelay, delayed bool) {
-	endpoint, toWorker := via.(workerEndpoint)
+// delay draws whether a request is delayed, and by how much. A delayed request is executed even if its caller has given
+// up; so the delay may be zero.
+func (t *controllerTransport) delay(request *http.Request, host string, transport http.RoundTripper) (delay requestDelay, delayed bool) {
+	endpoint, toWorker := transport.(workerEndpoint)
 	t.sim.mu.Lock()
 	lateWrites, delayedCommands, slowHeartbeats := t.sim.lateWriteFaults > 0, t.sim.delayedCommandFaults > 0, t.sim.slowHeartbeatFaults > 0
 	slow := host == stateHost && (t.sim.slowStateFaults[""] > 0 || t.sim.slowStateFaults[t.from] > 0)
@@ -160,8 +161,8 @@
 	}
 	switch {
 	case slow:
-		wait := t.randomBelow(maxSlowDelay)
-		if t.chance(2) {
+		wait := t.randomBelow(maxSlowStateDelay)
+		if t.oneIn(2) {
 			return requestDelay{after: wait}, true
 		}
 		return requestDelay{before: wait}, true
@@ -170,7 +171,7 @@
 	case toWorker && delayedCommands:
 		return t.commandDelay()
 	case toWorker && slowHeartbeats:
-		return requestDelay{before: t.randomBelow(maxQuickCommandDelay)}, true
+		return requestDelay{before: t.randomBelow(maxDirectCommandDelay)}, true
 	}
 	return requestDelay{}, false
 }
@@ -178,21 +179,21 @@
 // writeDelay draws whether a transaction is delayed, and by how much: one in 200, or one in five and for longer while a
 // LateWrites fault is active.
 func (t *controllerTransport) writeDelay(lateWrites bool) (wait time.Duration, late bool) {
-	late, wait = t.chance(200), t.randomBelow(maxRegularWriteDelay)
+	late, wait = t.oneIn(200), t.randomBelow(maxRegularWriteDelay)
 	if lateWrites {
-		late, wait = t.chance(5), minLateWriteDelay+t.randomBelow(maxWriteDelay-minLateWriteDelay)
+		late, wait = t.oneIn(5), minLateWriteDelay+t.randomBelow(maxWriteDelay-minLateWriteDelay)
 	}
 	return wait, late
 }
 
-// commandDelay draws whether a request with commands to a worker, or its response, is delayed while a DelayedCommands fault
-// is active, and by how much.
+// commandDelay draws whether a request with commands to a worker, or its response, is delayed while a DelayedCommands
+// fault is active, and by how much.
 func (t *controllerTransport) commandDelay() (delay requestDelay, delayed bool) {
-	wait := t.randomBelow(maxCommandDelay)
-	if t.chance(6) {
+	wait := t.randomBelow(maxDelayedCommandDelay)
+	if t.oneIn(6) {
 		return requestDelay{before: wait}, true
 	}
-	if t.chance(5) {
+	if t.oneIn(5) {
 		return requestDelay{after: wait}, true
 	}
 	return requestDelay{}, false
@@ -224,12 +225,13 @@
 	minLateWriteDelay = 2 * time.Second
 	// maxWriteDelay bounds the delay of a transaction during a LateWrites fault.
 	maxWriteDelay = 12 * time.Second
-	// maxCommandDelay bounds the delay of commands to workers, or of their responses, during a DelayedCommands fault.
-	maxCommandDelay = 8 * time.Second
+	// maxDelayedCommandDelay bounds the delay of commands to workers, or of their responses, during a DelayedCommands
+	// fault.
+	maxDelayedCommandDelay = 8 * time.Second
 )
 
 // sendDelayed executes a request after a delay, whether or not its caller still waits, and delays the response.
-func (t *controllerTransport) sendDelayed(request *http.Request, via http.RoundTripper, delay requestDelay) (*http.Response, error) {
+func (t *controllerTransport) sendDelayed(request *http.Request, transport http.RoundTripper, delay requestDelay) (*http.Response, error) {
 	var body []byte
 	if request.Body != nil {
 		var err error
@@ -247,7 +249,7 @@
 		time.Sleep(delay.before)
 		again := request.Clone(context.WithoutCancel(request.Context()))
 		again.Body = io.NopCloser(bytes.NewReader(body))
-		resp, err := via.RoundTrip(again) //nolint:bodyclose // The caller closes it, as any answer of a transport.
+		resp, err := transport.RoundTrip(again) //nolint:bodyclose // The caller closes it, as any answer of a transport.
 		time.Sleep(delay.after)
 		done <- outcome{resp, err}
 	}()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -22,8 +22,8 @@
 	pollTimeout = 2 * time.Second
 	// requestTimeout is how long users and operators wait for the response to any other request.
 	requestTimeout = 5 * time.Second
-	// submitPatience is how long a user repeats a submission that gets no response.
-	submitPatience = time.Minute
+	// submitRetryLimit is how long a user repeats a submission that gets no response.
+	submitRetryLimit = time.Minute
 	// waveInterval is the time between two cancellation requests of one user in a cancellation wave.
 	waveInterval = 50 * time.Millisecond
 	// defaultCancelShare is the share of job arrays that are cancelled if a scenario does not set one.
@@ -41,7 +41,8 @@
 	cancelAfter time.Duration
 }
 
-// followJob submits a job and then polls its status until its terminal state was reported; some users poll again after that.
+// followJob submits a job and then polls its status until its terminal state was reported; some users poll again after
+// that.
 func (sim *simulation) followJob(ctx context.Context, job *trackedJob, cancelAfter time.Duration) {
 	user := &user{sim: sim, job: job, rng: sim.actorRNG(job.ID), cancelAfter: cancelAfter}
 	if !user.submit(ctx) {
@@ -56,11 +57,11 @@
 	return user.sim.request(ctx, user.rng, timeout, request)
 }
 
-// submit repeats the submission until a controller accepts or refuses it, for up to submitPatience; it reports whether the
-// job was accepted.
+// submit repeats the submission until a controller accepts or refuses it, for up to submitRetryLimit; it reports
+// whether the job was accepted.
 func (user *user) submit(ctx context.Context) bool {
 	body := encodeSubmission(&user.job.Submission)
-	for from := time.Now(); ; {
+	for start := time.Now(); ; {
 		code, status := user.request(ctx, requestTimeout, peer.Request{Verb: controller.VerbSubmit, Body: body})
 		if code == http.StatusOK || code == http.StatusCreated {
 			user.sim.checker.jobAccepted(user.job, status)
@@ -70,14 +71,14 @@
 			user.sim.checker.recordRefusal(user.job, code)
 			return false
 		}
-		if time.Since(from) > submitPatience || !user.sim.sleep(ctx, time.Second+time.Duration(user.rng.IntN(2000))*time.Millisecond) {
+		if time.Since(start) > submitRetryLimit || !user.sim.sleep(ctx, time.Second+time.Duration(user.rng.IntN(2000))*time.Millisecond) {
 			return false
 		}
 	}
 }
 
-// waitForPoll waits until the next poll is due or a cancellation wave begins, in which the user may take part. It reports
-// false once the simulation has ended.
+// waitForPoll waits until the next poll is due or a cancellation wave begins, in which the user may take part. It
+// reports false once the simulation has ended.
 func (user *user) waitForPoll(ctx context.Context) bool {
 	wait := time.NewTimer(pollInterval - time.Duration(user.rng.IntN(1000))*time.Millisecond)
 	select {
@@ -86,21 +87,21 @@
 	case <-wait.C:
 	case fault := <-user.sim.cancellations:
 		if user.rng.IntN(10) < fault.Count && user.job.Shape != api.Service {
-			user.joinWave(ctx, fault)
+			user.joinCancellationWave(ctx, fault)
 		}
 	}
 	return true
 }
 
-// joinWave repeatedly requests the cancellation of the job until a terminal state is reported or the wave ends. If none was
-// reported, the user cancels the job with the next poll.
-func (user *user) joinWave(ctx context.Context, fault Fault) {
-	user.sim.checker.cancelRequested(user.job)
+// joinCancellationWave repeatedly requests the cancellation of the job until a terminal state is reported or the wave
+// ends. If none was reported, the user cancels the job with the next poll.
+func (user *user) joinCancellationWave(ctx context.Context, fault Fault) {
+	user.sim.checker.recordCancelRequest(user.job)
 	user.cancelAfter = 0
 	if fault.HangMachinesFor > 0 {
 		user.sim.hangMachineOf(ctx, user.job, fault.HangMachinesFor)
 	}
-	for from := time.Now(); time.Since(from) < fault.For && user.job.finalState == ""; user.sim.sleep(ctx, waveInterval) {
+	for start := time.Now(); time.Since(start) < fault.For && user.job.finalState == ""; user.sim.sleep(ctx, waveInterval) {
 		user.cancel(ctx, time.Second)
 	}
 	if user.job.finalState != "" {
@@ -114,7 +115,7 @@
 	if code != http.StatusOK {
 		return false
 	}
-	user.sim.checker.recordAnswer(user.job, code, status)
+	user.sim.checker.recordResponse(user.job, code, status)
 	return true
 }
 
@@ -122,18 +123,18 @@
 func (user *user) poll(ctx context.Context) bool {
 	sim, job := user.sim, user.job
 	if user.cancelAfter >= 0 && time.Since(job.acceptedAt) > user.cancelAfter {
-		sim.checker.cancelRequested(job)
+		sim.checker.recordCancelRequest(job)
 		if user.cancel(ctx, requestTimeout) {
 			user.cancelAfter = noCancellation
 		}
 	}
 	sent := time.Now()
 	code, status := user.request(ctx, pollTimeout, peer.Request{Verb: controller.VerbStatus, Job: job.ID})
-	sim.checker.checkAnswer(job, sent, code, status, controller.VerbStatus)
+	sim.checker.checkResponse(job, sent, code, status, controller.VerbStatus)
 	if sim.invalidRequestFaults.Load() > 0 && user.rng.IntN(3) == 0 {
 		user.sendInvalidRequests(ctx)
 	}
-	if sim.checker.jobOver(job) && user.rng.IntN(3) > 0 {
+	if sim.checker.terminalStateReported(job) && user.rng.IntN(3) > 0 {
 		// Two thirds of the users stop polling now; the others poll again.
 		return false
 	}
@@ -154,8 +155,8 @@
 	}
 }
 
-// cancelRequested records that the user of a job requests its cancellation.
-func (checker *invariantChecker) cancelRequested(job *trackedJob) {
+// recordCancelRequest records that the user of a job requests its cancellation.
+func (checker *invariantChecker) recordCancelRequest(job *trackedJob) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	job.cancelRequested = true
@@ -170,8 +171,8 @@
 	return body
 }
 
-// requestAroundEnd cancels a job around the moment at which its last task ends, which is after remaining, and concurrently
-// requests its status and repeats its submission.
+// requestAroundEnd cancels a job around the moment at which its last task ends, which is after remaining, and
+// concurrently requests its status and repeats its submission.
 func (sim *simulation) requestAroundEnd(job *trackedJob, remaining time.Duration) {
 	cancel := peer.Request{Verb: controller.VerbCancel, Job: job.ID}
 	status := peer.Request{Verb: controller.VerbStatus, Job: job.ID}
@@ -195,24 +196,24 @@
 			}
 			sim.checker.mu.Unlock()
 			code, status := sim.request(sim.ctx, rng, requestTimeout, request)
-			sim.checker.checkAnswer(job, sent, code, status, request.Verb)
+			sim.checker.checkResponse(job, sent, code, status, request.Verb)
 		})
 	}
 }
 
-// request sends a request to the first ready controller, in order from a random one. It returns the HTTP status code and the
-// job's status, or 0 if no controller is ready or there is no response within the timeout.
+// request sends a request to the first ready controller, in order from a random one. It returns the HTTP status code
+// and the job's status, or 0 if no controller is ready or there is no response within the timeout.
 func (sim *simulation) request(ctx context.Context, rng *rand.Rand, timeout time.Duration, request peer.Request) (int, api.JobStatus) {
-	call, stop := context.WithTimeout(ctx, timeout)
+	callContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	at := rng.IntN(3)
+	first := rng.IntN(3)
 	for i := range 3 {
-		name := controllerNames[(at+i)%3]
+		name := controllerNames[(first+i)%3]
 		instance := sim.runningController(name)
 		if instance == nil || !instance.Ready() {
 			continue
 		}
-		response, ok := sim.call(call, name, instance, request)
+		response, ok := sim.call(callContext, name, instance, request)
 		if !ok {
 			return 0, api.JobStatus{}
 		}
@@ -242,8 +243,8 @@
 	}
 }
 
-// cancelsAtEnd reports whether the user of a job cancels it around the end of its last task. While a CancelAtEnd fault is
-// active, that is so for half of the job arrays, chosen by a hash of the identifier.
+// cancelsAtEnd reports whether the user of a job cancels it around the end of its last task. While a CancelAtEnd fault
+// is active, that is so for half of the job arrays, chosen by a hash of the identifier.
 func (sim *simulation) cancelsAtEnd(job *trackedJob) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(job.ID))
--- a/internal/simulation/workers.go
+++ b/internal/simulation/workers.go
@@ -28,8 +28,8 @@
 	dead bool
 	// lastFaultAt is when a fault last began or ceased to affect the machine; zero if none has.
 	lastFaultAt time.Time
-	// inboundLossCount, hangCount and failingCount count the active faults in which the machine's heartbeats are dropped, in
-	// which it is suspended, and in which it fails tasks.
+	// inboundLossCount, hangCount and failingCount count the active faults in which the machine's heartbeats are
+	// dropped, in which it is suspended, and in which it fails tasks.
 	inboundLossCount, hangCount, failingCount int
 }
 
@@ -53,8 +53,8 @@
 	sim.actors.Go(func() { machine.worker.Run(ctx) })
 }
 
-// imagePull returns the function that tells a worker which image a task needs and how long its pull takes; nil if tasks need
-// no images.
+// imagePull returns the function that tells a worker which image a task needs and how long its pull takes; nil if tasks
+// need no images.
 func (sim *simulation) imagePull() func(task string) (string, time.Duration) {
 	if sim.ImagePullS <= 0 {
 		return nil
@@ -62,9 +62,9 @@
 	return func(task string) (string, time.Duration) { return sim.checker.taskImage(task), seconds(sim.ImagePullS) }
 }
 
-// heartbeatSender returns the function with which a machine's worker sends a heartbeat to a controller, over links that may
-// be cut, and sometimes twice. The function returns the HTTP status code and the decoded response, or 0 if there is no
-// response.
+// heartbeatSender returns the function with which a machine's worker sends a heartbeat to a controller, over links that
+// may be cut, and sometimes twice. The function returns the HTTP status code and the decoded response, or 0 if there is
+// no response.
 func (sim *simulation) heartbeatSender(machine *simulatedMachine, rng *rand.Rand) func(ctx context.Context, member string, heartbeat *api.Heartbeat) (int, any) {
 	return func(ctx context.Context, member string, heartbeat *api.Heartbeat) (int, any) {
 		raw, err := json.Marshal(heartbeat)
@@ -104,7 +104,8 @@
 	}
 }
 
-// delayHeartbeat delays half of the heartbeats, and half of the responses to them, while a SlowHeartbeats fault is active.
+// delayHeartbeat delays half of the heartbeats, and half of the responses to them, while a SlowHeartbeats fault is
+// active.
 func (sim *simulation) delayHeartbeat(ctx context.Context, rng *rand.Rand) {
 	sim.mu.Lock()
 	slow := sim.slowHeartbeatFaults > 0
@@ -114,8 +115,8 @@
 	}
 }
 
-// startFailure returns the cause for which a task fails immediately after its start, empty if it does not. The worker's lock
-// guards rng.
+// startFailure returns the cause for which a task fails immediately after its start, empty if it does not. The worker's
+// lock guards rng.
 func (sim *simulation) startFailure(machine *simulatedMachine, rng *rand.Rand) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -125,8 +126,8 @@
 	return ""
 }
 
-// duplicateHeartbeat delivers one heartbeat in five a second time while a DuplicateHeartbeats fault is active: to a random
-// controller, with a delay of two seconds up to two seconds and three leases.
+// duplicateHeartbeat delivers one heartbeat in five a second time while a DuplicateHeartbeats fault is active: to a
+// random controller, with a delay of two seconds up to two seconds and three leases.
 func (sim *simulation) duplicateHeartbeat(ctx context.Context, raw []byte, rng *rand.Rand) {
 	sim.mu.Lock()
 	duplicating := sim.duplicatingHeartbeats
@@ -153,8 +154,8 @@
 	return machine.inboundLossCount > 0
 }
 
-// decodeForwarded decodes the body of a response that one controller forwarded from another, which is still encoded. Other
-// bodies are returned unchanged.
+// decodeForwarded decodes the body of a response that one controller forwarded from another, which is still encoded.
+// Other bodies are returned unchanged.
 func decodeForwarded(code int, body any) any {
 	raw, ok := body.(json.RawMessage)
 	if !ok {
@@ -185,8 +186,8 @@
 	machine.worker.Restart()
 }
 
-// pickMachines selects up to count healthy machines at random and records that a fault affects them now.
-func (sim *simulation) pickMachines(count int) (out []*simulatedMachine) {
+// pickHealthyMachines selects up to count healthy machines at random and records that a fault affects them now.
+func (sim *simulation) pickHealthyMachines(count int) (out []*simulatedMachine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, machine := range sim.machines {
