--- a/api/constraints.go
+++ b/api/constraints.go
@@ -17,32 +17,32 @@
 // Near asks for affinity: all tasks of a job in one domain of a level.
 type Near struct {
 	Level string `json:"level"`
-	// Must tells that no task may be placed otherwise; else it is a preference.
+	// Required tells that no task may be placed otherwise; else it is a preference.
 	Must bool `json:"must"`
 }
 
-// Survive asks for anti-affinity: at most AtMost tasks of a job in one domain of a level, so that few are
+// Survive asks for anti-affinity: at most MaxTasks tasks of a job in one domain of a level, so that few are
 // lost with it.
 type Survive struct {
 	Level  string `json:"level"`
 	AtMost int    `json:"at_most"`
-	// Must tells that no task may be placed otherwise; else it is a preference.
+	// Required tells that no task may be placed otherwise; else it is a preference.
 	Must bool `json:"must"`
 }
 
 // placementConstraint is near or survive as a user writes it.
 type placementConstraint struct {
 	Level string `json:"level"`
-	// Must is true unless it is given.
-	Must *bool `json:"must"`
-	// AtMost is a number of tasks, Share a share of the job's tasks; only survive has them, and only one.
-	AtMost *int     `json:"at_most"`
+	// Required is true unless it is given.
+	Required *bool `json:"must"`
+	// MaxTasks is a number of tasks, Share a share of the job's tasks; only survive has them, and only one.
+	MaxTasks *int     `json:"at_most"`
 	Share  *float64 `json:"share"`
 }
 
-// mandatory tells whether the constraint must hold.
-func (constraint *placementConstraint) mandatory() bool {
-	return constraint.Must == nil || *constraint.Must
+// isRequired tells whether the constraint must hold.
+func (constraint *placementConstraint) isRequired() bool {
+	return constraint.Required == nil || *constraint.Required
 }
 
 // ParseSite reads the placement constraints of a submission of so many tasks. Each is nil if the body,
@@ -55,38 +55,38 @@
 	if err := decodeObject(body, &fields); err != nil {
 		return nil, nil, err
 	}
-	near, err := parseNear(fields.Near)
+	near, err := parseAffinity(fields.Near)
 	if err != nil {
 		return nil, nil, err
 	}
-	survive, err := parseSurvive(fields.Survive, tasks)
+	survive, err := parseAntiAffinity(fields.Survive, tasks)
 	if err != nil {
 		return nil, nil, err
 	}
 	return near, survive, nil
 }
 
-// parseNear reads an affinity; nil: there is none.
-func parseNear(raw json.RawMessage) (*Near, error) {
+// parseAffinity reads an affinity; nil: there is none.
+func parseAffinity(raw json.RawMessage) (*Near, error) {
 	constraint, err := parsePlacementConstraint("near", raw, `{"level":"rack","must":true}`)
 	if constraint == nil || err != nil {
 		return nil, err
 	}
-	if constraint.AtMost != nil || constraint.Share != nil {
+	if constraint.MaxTasks != nil || constraint.Share != nil {
 		return nil, &FieldError{"near", `has only "level" and "must"; at_most and share belong to "survive"`}
 	}
-	return &Near{Level: constraint.Level, Must: constraint.mandatory()}, nil
+	return &Near{Level: constraint.Level, Must: constraint.isRequired()}, nil
 }
 
-// parseSurvive reads an anti-affinity of a job of so many tasks; nil: there is none.
-func parseSurvive(raw json.RawMessage, tasks int) (*Survive, error) {
+// parseAntiAffinity reads an anti-affinity of a job of so many tasks; nil: there is none.
+func parseAntiAffinity(raw json.RawMessage, tasks int) (*Survive, error) {
 	const example = `{"level":"rack","at_most":2} or {"level":"rack","share":0.5}`
 	constraint, err := parsePlacementConstraint("survive", raw, example)
 	if constraint == nil || err != nil {
 		return nil, err
 	}
-	survive := &Survive{Level: constraint.Level, Must: constraint.mandatory()}
-	atMost, share := constraint.AtMost, constraint.Share
+	survive := &Survive{Level: constraint.Level, Must: constraint.isRequired()}
+	atMost, share := constraint.MaxTasks, constraint.Share
 	switch {
 	case (atMost == nil) == (share == nil):
 		return nil, &FieldError{"survive", "needs either at_most (tasks) or share (of the tasks, above 0 and at most 1)"}
--- a/api/constraints_test.go
+++ b/api/constraints_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestParseSiteNamesWrongField(t *testing.T) {
+func TestParsePlacementConstraintsNamesInvalidField(t *testing.T) {
 	for body, want := range map[string]string{
 		`{}`: "", `{"near":null,"survive":null}`: "",
 		`{"near":{"level":"rack"}}`:                               "",
--- a/api/inputs_test.go
+++ b/api/inputs_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestParseInputsNamesWrongField(t *testing.T) {
+func TestParseInputsNamesInvalidField(t *testing.T) {
 	for body, want := range map[string]string{
 		`{}`: "", `{"inputs":null}`: "", `{"inputs":[]}`: "",
 		`{"inputs":[{"dataset":"a","use":"own"},{"dataset":"b","use":"all"}]}`: "",
--- a/api/staging.go
+++ b/api/staging.go
@@ -109,8 +109,8 @@
 	FromPeers int64 `json:"from_peers"`
 }
 
-// bytesLimit is the largest size that an agent may report. Sums of a few do not overflow.
-const bytesLimit = math.MaxInt64 / 4
+// maxReportedBytes is the largest size that an agent may report. Sums of a few do not overflow.
+const maxReportedBytes = math.MaxInt64 / 4
 
 // Check returns a *FieldError if a heartbeat cannot be handled, or has numbers that are impossible.
 func (heartbeat *StageHeartbeat) Check() error {
@@ -143,4 +143,4 @@
 }
 
 // validSize tells whether a number can be a size in bytes.
-func validSize(size int64) bool { return size >= 0 && size <= bytesLimit }
+func validSize(size int64) bool { return size >= 0 && size <= maxReportedBytes }
--- a/api/submission.go
+++ b/api/submission.go
@@ -134,26 +134,26 @@
 	reader.readPlacement(submission)
 	reader.readTimes(submission)
 	if raw, ok := reader.fields["awaits"]; ok {
-		submission.Awaits = reader.parseAwaits(raw)
+		submission.Awaits = reader.readAwaits(raw)
 	}
 	return submission
 }
 
 // readIdentity reads what the job is and whose.
 func (reader *submissionReader) readIdentity(submission *Submission) {
-	reader.text("name_id", &submission.ID)
+	reader.readString("name_id", &submission.ID)
 	if submission.ID != "" && !ValidID(submission.ID) {
 		reader.fail("name_id", "must look like run-000412")
 	}
-	reader.text("jobclass", &submission.Class)
-	reader.text("owner", &submission.Team)
-	reader.text("shape", &submission.Shape)
+	reader.readString("jobclass", &submission.Class)
+	reader.readString("owner", &submission.Team)
+	reader.readString("shape", &submission.Shape)
 	switch submission.Shape {
 	case JobArray, Gang, Service:
 	default:
 		reader.fail("shape", fmt.Sprintf("must be %q, %q or %q", JobArray, Gang, Service))
 	}
-	reader.text("rank", &submission.Rank)
+	reader.readString("rank", &submission.Rank)
 	if _, ok := rankLevels[submission.Rank]; !ok {
 		reader.fail("rank", "must be prod, high, normal or low")
 	}
@@ -161,37 +161,37 @@
 
 // readAmounts reads how many tasks there are and what each needs of a machine.
 func (reader *submissionReader) readAmounts(submission *Submission) {
-	given := reader.field("parts", &submission.Tasks, "must be an integer")
+	given := reader.readRequired("parts", &submission.Tasks, "must be an integer")
 	if given && (submission.Tasks < 1 || submission.Tasks > MaxTasks) {
 		reader.fail("parts", fmt.Sprintf("must be between 1 and %d", MaxTasks))
 	}
-	if reader.amount("cores", &submission.CPUs) && submission.CPUs == 0 {
+	if reader.readAmount("cores", &submission.CPUs) && submission.CPUs == 0 {
 		reader.fail("cores", "must be above 0")
 	}
-	reader.amount("cards", &submission.Cards)
-	reader.amount("ram_gb", &submission.MemoryGB)
-	reader.text("bundle", &submission.Image)
-	reader.amount("size_gb", &submission.ImageGB)
+	reader.readAmount("cards", &submission.Cards)
+	reader.readAmount("ram_gb", &submission.MemoryGB)
+	reader.readString("bundle", &submission.Image)
+	reader.readAmount("size_gb", &submission.ImageGB)
 }
 
 // readPlacement reads on which machines tasks may run.
 func (reader *submissionReader) readPlacement(submission *Submission) {
-	given := reader.optional("hulls", &submission.Types, "must be a list of strings or null")
+	given := reader.readOptional("hulls", &submission.Types, "must be a list of strings or null")
 	if given && len(submission.Types) == 0 {
 		reader.fail("hulls", "must not be an empty list")
 	}
-	reader.optional("berth", &submission.Zone, "must be a string or null")
-	reader.flag("together", &submission.OneZone)
-	reader.flag("apart", &submission.Spread)
-	reader.flag("standby", &submission.Spot)
+	reader.readOptional("berth", &submission.Zone, "must be a string or null")
+	reader.readBool("together", &submission.OneZone)
+	reader.readBool("apart", &submission.Spread)
+	reader.readBool("standby", &submission.Spot)
 }
 
 // readTimes reads the durations.
 func (reader *submissionReader) readTimes(submission *Submission) {
-	reader.amount("expect_s", &submission.EstimateS)
-	reader.amount("snapshot_s", &submission.Checkpoint)
-	reader.amount("stow_s", &submission.SaveS)
-	if reader.optional("due_s", &submission.DeadlineS, wantNumber) {
+	reader.readAmount("expect_s", &submission.EstimateS)
+	reader.readAmount("snapshot_s", &submission.Checkpoint)
+	reader.readAmount("stow_s", &submission.SaveS)
+	if reader.readOptional("due_s", &submission.DeadlineS, wantNumber) {
 		reader.checkRange("due_s", submission.DeadlineS)
 	}
 }
@@ -206,8 +206,8 @@
 	}
 }
 
-// optional decodes a field that may be missing or null, and tells whether it had a value of the right type.
-func (reader *submissionReader) optional(field string, into any, want string) bool {
+// readOptional decodes a field that may be missing or null, and tells whether it had a value of the right type.
+func (reader *submissionReader) readOptional(field string, into any, want string) bool {
 	raw := reader.fields[field]
 	if isAbsent(raw) {
 		return false
@@ -219,30 +219,30 @@
 	return true
 }
 
-// field decodes a field that must be there, and tells whether it had a value of the right type.
-func (reader *submissionReader) field(field string, into any, want string) bool {
+// readRequired decodes a field that must be there, and tells whether it had a value of the right type.
+func (reader *submissionReader) readRequired(field string, into any, want string) bool {
 	if isAbsent(reader.fields[field]) {
 		reader.fail(field, "is missing")
 		return false
 	}
-	return reader.optional(field, into, want)
+	return reader.readOptional(field, into, want)
 }
 
-// text reads a string that must not be empty.
-func (reader *submissionReader) text(field string, into *string) {
-	if reader.field(field, into, "must be a string") && *into == "" {
+// readString reads a string that must not be empty.
+func (reader *submissionReader) readString(field string, into *string) {
+	if reader.readRequired(field, into, "must be a string") && *into == "" {
 		reader.fail(field, "must not be empty")
 	}
 }
 
-// flag reads a truth value.
-func (reader *submissionReader) flag(field string, into *bool) {
-	reader.field(field, into, "must be true or false")
+// readBool reads a truth value.
+func (reader *submissionReader) readBool(field string, into *bool) {
+	reader.readRequired(field, into, "must be true or false")
 }
 
-// amount reads a number and tells whether it is valid.
-func (reader *submissionReader) amount(field string, into *float64) bool {
-	return reader.field(field, into, wantNumber) && reader.checkRange(field, *into)
+// readAmount reads a number and tells whether it is valid.
+func (reader *submissionReader) readAmount(field string, into *float64) bool {
+	return reader.readRequired(field, into, wantNumber) && reader.checkRange(field, *into)
 }
 
 // checkRange tells whether a number is in the range of amounts.
@@ -254,8 +254,8 @@
 	return true
 }
 
-// parseAwaits reads the jobs that a submission waits for.
-func (reader *submissionReader) parseAwaits(raw json.RawMessage) []string {
+// readAwaits reads the jobs that a submission waits for.
+func (reader *submissionReader) readAwaits(raw json.RawMessage) []string {
 	const want = "must be a list of one or more job ids like run-000412, or be left out"
 	var awaits []string
 	if json.Unmarshal(raw, &awaits) != nil || len(awaits) == 0 {
--- a/api/submission_test.go
+++ b/api/submission_test.go
@@ -31,7 +31,7 @@
 }
 
 // Every field that is missing, mistyped or out of range is named.
-func TestParseSubmissionNamesWrongField(t *testing.T) {
+func TestParseSubmissionNamesInvalidField(t *testing.T) {
 	for field := range validSubmission() {
 		if field == "hulls" || field == "berth" || field == "due_s" {
 			continue
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestParseSubmissionRefusesOtherThanObjects(t *testing.T) {
+func TestParseSubmissionRejectsNonObjects(t *testing.T) {
 	for _, body := range []string{"", "{", "[]", "null", "3", `"x"`, `{"cores": 1e999}`} {
 		if _, _, err := ParseSubmission([]byte(body)); err == nil {
 			t.Errorf("%q was taken", body)
--- a/api/words_test.go
+++ b/api/words_test.go
@@ -29,15 +29,15 @@
 	"bundle":    "image",
 }
 
-// themedIdentifiers are identifiers that have such a word nevertheless, after their directory. The list may
+// allowedIdentifiers are identifiers that have such a word nevertheless, after their directory. The list may
 // only shrink: an entry without an identifier fails the test too. All words are absent elsewhere, also those
 // that are plain English (bundle, charter, standby, tally).
-var themedIdentifiers = map[string]bool{}
+var allowedIdentifiers = map[string]bool{}
 
-// wireDirectory holds generated code, whose names are those of the frames between controllers.
-const wireDirectory = "peer/wire"
+// generatedDirectory holds generated code, whose names are those of the frames between controllers.
+const generatedDirectory = "peer/wire"
 
-func TestProtocolWordsStandOnlyAtTheEdge(t *testing.T) {
+func TestIdentifiersContainNoProtocolWords(t *testing.T) {
 	found := map[string]bool{}
 	files := 0
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
@@ -49,7 +49,7 @@
 			return err
 		}
 		relative = filepath.ToSlash(relative)
-		if entry.IsDir() && (relative == wireDirectory || skippedDirectory(entry.Name())) {
+		if entry.IsDir() && (relative == generatedDirectory || isSkippedDirectory(entry.Name())) {
 			return fs.SkipDir
 		}
 		if entry.IsDir() || !strings.HasSuffix(path, ".go") {
@@ -58,12 +58,12 @@
 		files++
 		return inspectIdentifiers(path, func(name string, position token.Position) {
 			key := filepath.ToSlash(filepath.Dir(relative)) + " " + name
-			word, themed := themedWord(name)
+			word, themed := protocolWordIn(name)
 			if !themed {
 				return
 			}
 			found[key] = true
-			if !themedIdentifiers[key] {
+			if !allowedIdentifiers[key] {
 				t.Errorf("%s: %s has the protocol's word %q; call it %s", position, name, word, protocolWords[word])
 			}
 		})
@@ -74,27 +74,27 @@
 	if files < 100 {
 		t.Errorf("only %d Go files were found; the test does not run in the tree", files)
 	}
-	for _, key := range slices.Sorted(maps.Keys(themedIdentifiers)) {
+	for _, key := range slices.Sorted(maps.Keys(allowedIdentifiers)) {
 		if !found[key] {
 			t.Errorf("themedIdentifiers lists %q, which is gone; remove it there", key)
 		}
 	}
 }
 
-func TestThemedWordSplitsIdentifiers(t *testing.T) {
+func TestProtocolWordInSplitsIdentifiers(t *testing.T) {
 	for name, want := range map[string]string{
 		"helm": "helm", "newHelm": "helm", "HelmOf": "helm", "HELM": "helm", "berthID": "berth", "hulls": "hull",
 		"bundleGB": "bundle", "tallies": "tally", "StowS": "stow", "withdrawnJobs": "withdrawn", "stand_by": "",
 		"overwhelming": "", "shardsToWrite": "", "newGBHelm": "helm", "HelmID": "helm", "IDHelmGB": "helm", "a1Hull2": "hull", "totally": "", "IdempotencyKey": "", "TermIDSeq": "",
 	} {
-		if got, _ := themedWord(name); got != want {
+		if got, _ := protocolWordIn(name); got != want {
 			t.Errorf("%s: found %q, want %q", name, got, want)
 		}
 	}
 }
 
-// skippedDirectory tells whether a directory has no source: hidden ones, data, and what builds leave.
-func skippedDirectory(name string) bool {
+// isSkippedDirectory tells whether a directory has no source: hidden ones, data, and what builds leave.
+func isSkippedDirectory(name string) bool {
 	switch name {
 	case "testdata", "journal", "target", "vendor":
 		return true
@@ -102,8 +102,8 @@
 	return name != ".." && strings.HasPrefix(name, ".")
 }
 
-// themedWord returns the first word of the protocol that is a word of the identifier, in singular or plural.
-func themedWord(identifier string) (string, bool) {
+// protocolWordIn returns the first word of the protocol that is a word of the identifier, in singular or plural.
+func protocolWordIn(identifier string) (string, bool) {
 	for _, part := range splitIdentifier(identifier) {
 		lower := strings.ToLower(part)
 		singulars := []string{lower, strings.TrimSuffix(lower, "s"), strings.TrimSuffix(lower, "ies") + "y"}
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -62,8 +62,8 @@
 	return Size{Workers: 1600, Tasks: 38_000, JobsPerDay: 8900, Starts: 97, Teams: 110, ChangesPerDay: 610}
 }
 
-// Times multiplies a size by a factor.
-func (s Size) Times(factor float64) Size {
+// Scale multiplies a size by a factor.
+func (s Size) Scale(factor float64) Size {
 	return Size{s.Workers * factor, s.Tasks * factor, s.JobsPerDay * factor, s.Starts * factor, s.Teams * factor, s.ChangesPerDay * factor}
 }
 
@@ -77,7 +77,7 @@
 	// how many points there were, of the sizes from Least to Most.
 	Residual    float64 `json:"residual"`
 	Points      int     `json:"points"`
-	Least, Most Size    `json:"-"`
+	MinSize, MaxSize Size    `json:"-"`
 }
 
 // At is the fitted value of a size.
@@ -85,22 +85,22 @@
 	return f.Constant + f.PerWorker*s.Workers + f.PerTask*s.Tasks + f.PerStart*s.Starts
 }
 
-// Beyond reports whether a size lies outside of what was measured.
-func (f Slopes) Beyond(s Size) bool {
+// Extrapolates reports whether a size lies outside of what was measured.
+func (f Slopes) Extrapolates(s Size) bool {
 	out := func(v, least, most float64) bool { return v < least || v > most }
-	return out(s.Workers, f.Least.Workers, f.Most.Workers) || out(s.Tasks, f.Least.Tasks, f.Most.Tasks) || out(s.Starts, f.Least.Starts, f.Most.Starts)
+	return out(s.Workers, f.MinSize.Workers, f.MaxSize.Workers) || out(s.Tasks, f.MinSize.Tasks, f.MaxSize.Tasks) || out(s.Starts, f.MinSize.Starts, f.MaxSize.Starts)
 }
 
 // Model has the slopes of every figure.
 type Model map[string]Slopes
 
-// leastPoints is at how many sizes a figure must have been measured to be fitted.
-const leastPoints = 4
+// minPoints is at how many sizes a figure must have been measured to be fitted.
+const minPoints = 4
 
-// ErrTooFew is returned if there are not enough measurements of a figure.
-var ErrTooFew = errors.New("too few measurements")
+// ErrTooFewMeasurements is returned if there are not enough measurements of a figure.
+var ErrTooFewMeasurements = errors.New("too few measurements")
 
-// Fit fits every figure that was measured at leastPoints sizes or more; others are left out of the model.
+// Fit fits every figure that was measured at minPoints sizes or more; others are left out of the model.
 func Fit(all []Measurement) (Model, error) {
 	names := map[string]bool{}
 	for _, m := range all {
@@ -111,7 +111,7 @@
 	model := Model{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		slopes, err := fitFigure(name, all)
-		if errors.Is(err, ErrTooFew) {
+		if errors.Is(err, ErrTooFewMeasurements) {
 			continue
 		}
 		if err != nil {
@@ -120,7 +120,7 @@
 		model[name] = slopes
 	}
 	if len(model) == 0 {
-		return nil, fmt.Errorf("%w: no figure was measured at %d sizes", ErrTooFew, leastPoints)
+		return nil, fmt.Errorf("%w: no figure was measured at %d sizes", ErrTooFewMeasurements, minPoints)
 	}
 	return model, nil
 }
@@ -133,7 +133,7 @@
 	func(m Measurement) float64 { return m.Starts },
 }
 
-// fitFigure fits one figure. It returns ErrTooFew if the figure was measured at fewer than leastPoints sizes.
+// fitFigure fits one figure. It returns ErrTooFewMeasurements if the figure was measured at fewer than minPoints sizes.
 func fitFigure(name string, all []Measurement) (Slopes, error) {
 	var points []Measurement
 	for _, measurement := range all {
@@ -141,21 +141,21 @@
 			points = append(points, measurement)
 		}
 	}
-	if len(points) < leastPoints {
-		return Slopes{}, fmt.Errorf("%s: %w: %d, at least %d", name, ErrTooFew, len(points), leastPoints)
+	if len(points) < minPoints {
+		return Slopes{}, fmt.Errorf("%s: %w: %d, at least %d", name, ErrTooFewMeasurements, len(points), minPoints)
 	}
 	used, coefficients, err := nonNegativeLeastSquares(name, points)
 	if err != nil {
 		return Slopes{}, err
 	}
-	out := Slopes{Points: len(points), Least: sizeOf(points[0]), Most: sizeOf(points[0])}
+	out := Slopes{Points: len(points), MinSize: sizeOf(points[0]), MaxSize: sizeOf(points[0])}
 	for i, predictor := range used {
 		*[]*float64{&out.Constant, &out.PerWorker, &out.PerTask, &out.PerStart}[predictor] = coefficients[i]
 	}
 	for _, point := range points {
 		size := sizeOf(point)
 		out.Residual = math.Max(out.Residual, math.Abs(out.At(size)-point.Figures[name])/point.Figures[name])
-		out.Least, out.Most = smaller(out.Least, size), larger(out.Most, size)
+		out.MinSize, out.MaxSize = minSize(out.MinSize, size), maxSize(out.MaxSize, size)
 	}
 	return out, nil
 }
@@ -174,11 +174,11 @@
 			used = used[:len(used)-1]
 			continue
 		}
-		worst := mostNegative(points, used, coefficients)
-		if worst < 0 {
+		mostNegativeIndex := mostNegative(points, used, coefficients)
+		if mostNegativeIndex < 0 {
 			return used, coefficients, nil
 		}
-		used = slices.Delete(slices.Clone(used), worst, worst+1)
+		used = slices.Delete(slices.Clone(used), mostNegativeIndex, mostNegativeIndex+1)
 		if len(used) == 0 {
 			return nil, nil, fmt.Errorf("%s: no slope fits", name)
 		}
@@ -187,17 +187,17 @@
 
 // mostNegative is the index of the negative coefficient that weighs most, -1 if none is negative.
 func mostNegative(points []Measurement, used []int, coefficients []float64) int {
-	worst := -1
+	index := -1
 	for i, coefficient := range coefficients {
-		if coefficient < 0 && (worst < 0 || relative(points, used[i], coefficient) < relative(points, used[worst], coefficients[worst])) {
-			worst = i
+		if coefficient < 0 && (index < 0 || maxContribution(points, used[i], coefficient) < maxContribution(points, used[index], coefficients[index])) {
+			index = i
 		}
 	}
-	return worst
+	return index
 }
 
-// relative is how much a coefficient weighs at the largest point.
-func relative(points []Measurement, predictor int, coefficient float64) float64 {
+// maxContribution is how much a coefficient weighs at the largest point.
+func maxContribution(points []Measurement, predictor int, coefficient float64) float64 {
 	most := 0.0
 	for _, p := range points {
 		most = math.Max(most, predictors[predictor](p))
@@ -208,14 +208,14 @@
 // leastSquares fits a figure to some of the predictors, by index. It fails if these cannot be told apart.
 func leastSquares(name string, points []Measurement, used []int) ([]float64, error) {
 	if len(points) < len(used) {
-		return nil, fmt.Errorf("%w: %d points for %d slopes", ErrTooFew, len(points), len(used))
+		return nil, fmt.Errorf("%w: %d points for %d slopes", ErrTooFewMeasurements, len(points), len(used))
 	}
 	rows := mat.NewDense(len(points), len(used), nil)
 	values := mat.NewVecDense(len(points), nil)
 	// Each column is scaled to its largest entry, else tens of thousands of tasks stand beside a constant of one.
 	scale := make([]float64, len(used))
 	for j, predictor := range used {
-		scale[j] = relative(points, predictor, 1)
+		scale[j] = maxContribution(points, predictor, 1)
 		if scale[j] == 0 {
 			scale[j] = 1
 		}
@@ -242,10 +242,10 @@
 
 func sizeOf(m Measurement) Size { return Size{Workers: m.Workers, Tasks: m.Tasks, Starts: m.Starts} }
 
-func smaller(a, b Size) Size {
+func minSize(a, b Size) Size {
 	return Size{Workers: math.Min(a.Workers, b.Workers), Tasks: math.Min(a.Tasks, b.Tasks), Starts: math.Min(a.Starts, b.Starts)}
 }
 
-func larger(a, b Size) Size {
+func maxSize(a, b Size) Size {
 	return Size{Workers: math.Max(a.Workers, b.Workers), Tasks: math.Max(a.Tasks, b.Tasks), Starts: math.Max(a.Starts, b.Starts)}
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -11,17 +11,17 @@
 	"switchferry/settings"
 )
 
-// exact are measurements of a deployment that costs just so much, at sizes that tell all slopes apart.
-func exact(cost Slopes) (all []Measurement) {
+// exactMeasurements are measurements of a deployment that costs just so much, at sizes that tell all slopes apart.
+func exactMeasurements(cost Slopes) (all []Measurement) {
 	for _, s := range []Size{{Workers: 100, Tasks: 500, Starts: 1}, {Workers: 200, Tasks: 4000, Starts: 9}, {Workers: 400, Tasks: 9000, Starts: 2}, {Workers: 800, Tasks: 3000, Starts: 40}, {Workers: 1600, Tasks: 40000, Starts: 30}} {
 		all = append(all, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": cost.At(s)}})
 	}
 	return all
 }
 
-func TestFitFindsSlopes(t *testing.T) {
+func TestFitRecoversExactCoefficients(t *testing.T) {
 	want := Slopes{Constant: 0.01, PerWorker: 0.0001, PerTask: 0.000003, PerStart: 0.0007}
-	m, err := Fit(exact(want))
+	m, err := Fit(exactMeasurements(want))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +37,8 @@
 }
 
 // Nothing gets cheaper the more there is of it, whatever the noise says; and what does not vary gets no slope.
-func TestFitHasNoNegativeSlopes(t *testing.T) {
-	all := exact(Slopes{Constant: 1, PerWorker: 0.01})
+func TestFitHasNoNegativeCoefficients(t *testing.T) {
+	all := exactMeasurements(Slopes{Constant: 1, PerWorker: 0.01})
 	all[4].Figures["f"] *= 0.8
 	for i := range all {
 		all[i].Figures["same"] = 7
@@ -55,13 +55,13 @@
 	if got := m["same"].At(Size{Workers: 1e6}); math.Abs(got-7) > 1 {
 		t.Errorf("what is always 7 becomes %g", got)
 	}
-	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFew) {
+	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFewMeasurements) {
 		t.Errorf("three sizes: %v", err)
 	}
 }
 
 // The embedded run's figures foretell a size that is left out of the fit within 25%.
-func TestSizeLeftOutIsForetold(t *testing.T) {
+func TestFitPredictsHeldOutSize(t *testing.T) {
 	record, err := Embedded()
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 
 // A size beyond what was measured says so, and the first limit of a settings file is the one that a growing deployment
 // meets first.
-func TestTableAndLimits(t *testing.T) {
+func TestTableMarksExtrapolationAndLimitsAreOrdered(t *testing.T) {
 	record, err := Embedded()
 	if err != nil {
 		t.Fatal(err)
@@ -124,14 +124,14 @@
 	}
 	// At the factor the bound is met.
 	l := roomy[0]
-	for _, other := range model.Limits(Planned().Times(l.Factor), set) {
+	for _, other := range model.Limits(Planned().Scale(l.Factor), set) {
 		if other.Name == l.Name && math.Abs(other.Needed-l.Bound) > 1e-6*l.Bound {
 			t.Errorf("at %g times: %+v", l.Factor, other)
 		}
 	}
 }
 
-func TestReadTellsWhatIsWrong(t *testing.T) {
+func TestReadReportsMissingFile(t *testing.T) {
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil || !strings.Contains(fmt.Sprint(err), "measurements") {
 		t.Error(err)
 	}
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -87,14 +87,14 @@
 
 // Table has a row for each figure of the model, in the order of columns.
 func (m Model) Table(size Size) (rows []Row) {
-	larger := size.Times(1.5)
+	larger := size.Scale(1.5)
 	for _, c := range columns {
 		slopes, ok := m[c.figure]
 		if !ok {
 			continue
 		}
 		row := Row{Role: c.role, Figure: c.name, Unit: c.unit, Value: slopes.At(size), Larger: slopes.At(larger), Residual: slopes.Residual,
-			Beyond: slopes.Beyond(size), LargerBeyond: slopes.Beyond(larger)}
+			Beyond: slopes.Extrapolates(size), LargerBeyond: slopes.Extrapolates(larger)}
 		if c.role == workerRole && size.Workers > 0 {
 			row.Value /= size.Workers
 			row.Larger /= larger.Workers
@@ -111,48 +111,48 @@
 	Needed float64 `json:"needed"`
 	// Factor is how many times the size fits; below 1 the size itself does not.
 	Factor float64 `json:"fits_times"`
-	// Beyond: the size at which it ends lies outside of what was measured.
+	// Extrapolates: the size at which it ends lies outside of what was measured.
 	Beyond bool `json:"beyond_measured"`
 }
 
-// usedShare is how much of a limit the controllers' own throttles leave themselves.
-const usedShare = 0.8
+// throttleShare is how much of a limit the controllers' own throttles leave themselves.
+const throttleShare = 0.8
 
 // Limits are the bounds that a settings file sets, in the order in which a growing deployment meets them.
-func (m Model) Limits(size Size, set *settings.Settings) (limits []Limit) {
-	least := set.Facts.State.Least()
+func (m Model) Limits(size Size, configuration *settings.Settings) (limits []Limit) {
+	strictest := configuration.Facts.State.Least()
 	for _, limit := range []struct {
 		name, figure string
 		bound        float64
 	}{
-		{"facts.resources.cpu, leader's mean", LeaderCPU, set.Facts.Resources.CPU},
-		{"facts.resources.cpu, leader's p99 of seconds", LeaderPeak, set.Facts.Resources.CPU},
-		{"facts.resources.cpu, a new leader's busiest second", TakeoverPeak, set.Facts.Resources.CPU},
-		{"facts.resources.ram_mb, leader", LeaderMemory, set.Facts.Resources.RAMMB},
-		{"facts.resources.sockets, leader", LeaderSockets, float64(set.Facts.Resources.Sockets)},
-		{"facts.resources.sockets, follower", FollowerSockets, float64(set.Facts.Resources.Sockets)},
-		{"facts.state.rps", StateRequests, usedShare * set.Facts.State.RPS},
-		{"facts.state.write_rps", StateChanges, usedShare * least.WriteRPS},
-		{"facts.cloud.rps", CloudRequests, set.Facts.Cloud.RPS},
+		{"facts.resources.cpu, leader's mean", LeaderCPU, configuration.Facts.Resources.CPU},
+		{"facts.resources.cpu, leader's p99 of seconds", LeaderPeak, configuration.Facts.Resources.CPU},
+		{"facts.resources.cpu, a new leader's busiest second", TakeoverPeak, configuration.Facts.Resources.CPU},
+		{"facts.resources.ram_mb, leader", LeaderMemory, configuration.Facts.Resources.RAMMB},
+		{"facts.resources.sockets, leader", LeaderSockets, float64(configuration.Facts.Resources.Sockets)},
+		{"facts.resources.sockets, follower", FollowerSockets, float64(configuration.Facts.Resources.Sockets)},
+		{"facts.state.rps", StateRequests, throttleShare * configuration.Facts.State.RPS},
+		{"facts.state.write_rps", StateChanges, throttleShare * strictest.WriteRPS},
+		{"facts.cloud.rps", CloudRequests, configuration.Facts.Cloud.RPS},
 	} {
 		slopes, ok := m[limit.figure]
 		if !ok || limit.bound <= 0 {
 			continue
 		}
-		factor := slopes.fits(size, limit.bound)
-		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Beyond(size.Times(factor))})
+		factor := slopes.growthFactor(size, limit.bound)
+		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Extrapolates(size.Scale(factor))})
 	}
 	sortLimits(limits)
 	return limits
 }
 
-// fits is the factor by which a size may grow within a bound, given that the fit is linear.
-func (f Slopes) fits(size Size, bound float64) float64 {
-	grows := f.At(size) - f.Constant
-	if grows <= 0 {
+// growthFactor is the factor by which a size may grow within a bound, given that the fit is linear.
+func (f Slopes) growthFactor(size Size, bound float64) float64 {
+	variablePart := f.At(size) - f.Constant
+	if variablePart <= 0 {
 		return math.MaxFloat64
 	}
-	return math.Max(0, (bound-f.Constant)/grows)
+	return math.Max(0, (bound-f.Constant)/variablePart)
 }
 
 // sortLimits puts the limit that is met first in front.
--- a/cmd/scaleplot/main.go
+++ b/cmd/scaleplot/main.go
@@ -19,8 +19,8 @@
 
 // Pictures are so large.
 const (
-	pictureWidth  = 16 * vg.Centimeter
-	pictureHeight = 10 * vg.Centimeter
+	plotWidth  = 16 * vg.Centimeter
+	plotHeight = 10 * vg.Centimeter
 )
 
 func main() {
@@ -28,7 +28,7 @@
 		fmt.Fprintln(os.Stderr, "usage: scaleplot RESULT.json DIRECTORY")
 		os.Exit(2)
 	}
-	if err := draw(os.Args[1], os.Args[2]); err != nil {
+	if err := drawPlots(os.Args[1], os.Args[2]); err != nil {
 		fmt.Fprintln(os.Stderr, "scaleplot:", err)
 		os.Exit(1)
 	}
@@ -37,8 +37,8 @@
 // result is what is drawn.
 type result struct{ experiment.ScaleResult }
 
-// draw writes pictures of the slopes and of the waits into a directory.
-func draw(file, dir string) error {
+// drawPlots writes pictures of the slopes and of the waits into a directory.
+func drawPlots(file, dir string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -50,25 +50,25 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	cpu := r.curve(func(s *experiment.ScaleStep) float64 { return s.Leader.CPUMean })
-	peak := r.curve(func(s *experiment.ScaleStep) float64 { return s.Leader.CPUP99 })
-	follower := r.curve(func(s *experiment.ScaleStep) float64 { return s.Follower.CPUMean })
-	if err := picture(filepath.Join(dir, "processor.png"), "processor time of a controller", "workers", "cores", "leader, mean", cpu, "leader, p99 of seconds", peak, "follower, mean", follower); err != nil {
+	cpu := r.steadyPoints(func(s *experiment.ScaleStep) float64 { return s.Leader.CPUMean })
+	peak := r.steadyPoints(func(s *experiment.ScaleStep) float64 { return s.Leader.CPUP99 })
+	follower := r.steadyPoints(func(s *experiment.ScaleStep) float64 { return s.Follower.CPUMean })
+	if err := writePlot(filepath.Join(dir, "processor.png"), "processor time of a controller", "workers", "cores", "leader, mean", cpu, "leader, p99 of seconds", peak, "follower, mean", follower); err != nil {
 		return err
 	}
-	memory := r.curve(func(s *experiment.ScaleStep) float64 { return s.Leader.MemoryMB })
-	if err := picture(filepath.Join(dir, "memory.png"), "memory of a controller", "workers", "MB", "leader", memory, "follower", r.curve(func(s *experiment.ScaleStep) float64 { return s.Follower.MemoryMB })); err != nil {
+	memory := r.steadyPoints(func(s *experiment.ScaleStep) float64 { return s.Leader.MemoryMB })
+	if err := writePlot(filepath.Join(dir, "memory.png"), "memory of a controller", "workers", "MB", "leader", memory, "follower", r.steadyPoints(func(s *experiment.ScaleStep) float64 { return s.Follower.MemoryMB })); err != nil {
 		return err
 	}
-	var waits []any
+	var waitCurves []any
 	for _, rank := range []string{"high", "normal"} {
-		waits = append(waits, rank, r.curve(func(s *experiment.ScaleStep) float64 { return float64(s.Waits[rank].P99) / 1000 }))
+		waitCurves = append(waitCurves, rank, r.steadyPoints(func(s *experiment.ScaleStep) float64 { return float64(s.Waits[rank].P99) / 1000 }))
 	}
-	return picture(filepath.Join(dir, "waits.png"), "wait for the start of a job's last task, p99", "workers", "s", waits...)
+	return writePlot(filepath.Join(dir, "waits.png"), "wait for the start of a job's last task, p99", "workers", "s", waitCurves...)
 }
 
-// curve is a figure of the steady steps by their size.
-func (r *result) curve(figure func(s *experiment.ScaleStep) float64) (points plotter.XYs) {
+// steadyPoints is a figure of the steady steps by their size.
+func (r *result) steadyPoints(figure func(s *experiment.ScaleStep) float64) (points plotter.XYs) {
 	for i := range r.Steps {
 		if s := &r.Steps[i]; s.Name == experiment.SteadyStep {
 			points = append(points, plotter.XY{X: float64(s.Workers), Y: figure(s)})
@@ -78,12 +78,12 @@
 	return points
 }
 
-func picture(file, title, x, y string, curves ...any) error {
+func writePlot(file, title, x, y string, curves ...any) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Y.Min = 0
 	if err := plotutil.AddLinePoints(p, curves...); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	return p.Save(pictureWidth, pictureHeight, file)
+	return p.Save(plotWidth, plotHeight, file)
 }
--- a/features/features.go
+++ b/features/features.go
@@ -79,8 +79,8 @@
 	Ahead int `toml:"ahead_tasks"`
 }
 
-// copiesMost is the largest limit of concurrent copies that may be set.
-const copiesMost = 64
+// maxCopies is the largest limit of concurrent copies that may be set.
+const maxCopies = 64
 
 // bytesPerGB is the number of bytes in the gigabytes of the features file.
 const bytesPerGB = 1e9
@@ -122,21 +122,21 @@
 		AtStore:   tuning.StageAtStore,
 		Ahead:     tuning.StageAhead,
 	}}
-	wrong, err := stricttoml.Decode(raw, &features)
+	invalid, err := stricttoml.Decode(raw, &features)
 	if err != nil {
 		return nil, fmt.Errorf("features: %w", err)
 	}
-	wrong = append(wrong, features.Data.check()...)
-	if len(wrong) > 0 {
-		return nil, fmt.Errorf("features: %w", errors.Join(wrong...))
+	invalid = append(invalid, features.Data.check()...)
+	if len(invalid) > 0 {
+		return nil, fmt.Errorf("features: %w", errors.Join(invalid...))
 	}
 	features.Data.Store = strings.TrimRight(features.Data.Store, "/")
 	return &features, nil
 }
 
 // check returns an error for every wrong setting.
-func (data *Data) check() (wrong []error) {
-	fail := func(field, want string) { wrong = append(wrong, fmt.Errorf("data.%s: %s", field, want)) }
+func (data *Data) check() (invalid []error) {
+	fail := func(field, want string) { invalid = append(invalid, fmt.Errorf("data.%s: %s", field, want)) }
 	if store, err := url.Parse(data.Store); data.On && (err != nil || store.Scheme != "http" || store.Host == "") {
 		fail("store", "must be a URL like http://10.0.0.9:9000")
 	}
@@ -157,12 +157,12 @@
 	amount("link_mb_per_s", data.LinkMBs, !data.On)
 	amount("store_mb_per_s", data.StoreMBs, !data.On)
 	for field, copies := range map[string]int{"copies_per_link": data.PerLink, "copies_at_store": data.AtStore} {
-		if copies < 1 || copies > copiesMost {
-			fail(field, fmt.Sprintf("must be 1 to %d, not %d", copiesMost, copies))
+		if copies < 1 || copies > maxCopies {
+			fail(field, fmt.Sprintf("must be 1 to %d, not %d", maxCopies, copies))
 		}
 	}
 	if data.Ahead < 0 || data.Ahead > tuning.AheadMost {
 		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, data.Ahead))
 	}
-	return wrong
+	return invalid
 }
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -7,7 +7,7 @@
 )
 
 // All errors of a file are reported at once.
-func TestParseNamesEveryWrongSetting(t *testing.T) {
+func TestParseNamesEveryInvalidSetting(t *testing.T) {
 	_, err := Parse([]byte("[data]\non = true\nstore = \"ftp://x\"\nplacement = \"best\"\ncache_gb = -1\ncopies_per_link = 0\nahead = 3\n[other]\nx = 1\n"))
 	for _, want := range []string{"data.store", "data.placement", "data.cache_gb", "data.link_mb_per_s", "data.store_mb_per_s", "data.copies_per_link", "line 7: data.ahead", "other"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestLoadWithoutFileHasEverythingOff(t *testing.T) {
+func TestLoadWithoutFileDisablesAllFeatures(t *testing.T) {
 	features, err := Load("")
 	if err != nil || features.Data.On {
 		t.Fatal(features, err)
--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -16,20 +16,20 @@
 // windowBytes is the window of the encoders, which bounds their memory.
 const windowBytes = 64 << 10
 
-// encoder returns a function that makes an encoder of a level with the first call, and returns the same one afterwards.
-func encoder(level zstd.EncoderLevel) func() (*zstd.Encoder, error) {
+// lazyEncoder returns a function that makes an encoder of a level with the first call, and returns the same one afterwards.
+func lazyEncoder(level zstd.EncoderLevel) func() (*zstd.Encoder, error) {
 	return sync.OnceValues(func() (*zstd.Encoder, error) {
 		return zstd.NewWriter(nil, zstd.WithEncoderLevel(level), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(windowBytes))
 	})
 }
 
-var fastest, smaller = encoder(zstd.SpeedFastest), encoder(zstd.SpeedDefault)
+var fastEncoder, smallEncoder = lazyEncoder(zstd.SpeedFastest), lazyEncoder(zstd.SpeedDefault)
 
 // EncodeFast encodes a value that is written often: fast rather than small. It is safe for concurrent use.
-func EncodeFast(value any) (string, error) { return encode(value, fastest) }
+func EncodeFast(value any) (string, error) { return encode(value, fastEncoder) }
 
 // EncodeSmall encodes a value that is written rarely: small rather than fast. It is safe for concurrent use.
-func EncodeSmall(value any) (string, error) { return encode(value, smaller) }
+func EncodeSmall(value any) (string, error) { return encode(value, smallEncoder) }
 
 func encode(value any, encoder func() (*zstd.Encoder, error)) (string, error) {
 	raw, err := json.Marshal(value)
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -22,7 +22,7 @@
 	return woken
 }
 
-func TestForEndsWithTheDuration(t *testing.T) {
+func TestForEndsAfterDuration(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	woken := startSleep(t.Context(), t, clock)
 	clock.Advance(time.Minute - time.Millisecond)
@@ -35,21 +35,21 @@
 	<-woken
 }
 
-func TestForEndsWithTheContext(t *testing.T) {
+func TestForEndsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	woken := startSleep(ctx, t, clockwork.NewFakeClock())
 	cancel()
 	<-woken
 }
 
-func TestWaitReportsWhetherItsContextLasts(t *testing.T) {
-	lasting, ended := t.Context(), func() context.Context {
+func TestOnRealClockReportsContextState(t *testing.T) {
+	active, ended := t.Context(), func() context.Context {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		return ctx
 	}()
 	for _, duration := range []time.Duration{-time.Second, 0, time.Millisecond} {
-		if !Real(lasting, duration) {
+		if !Real(active, duration) {
 			t.Errorf("%v: reports that the context has ended", duration)
 		}
 		if Real(ended, duration) {
--- a/internal/stricttoml/stricttoml.go
+++ b/internal/stricttoml/stricttoml.go
@@ -46,9 +46,9 @@
 func Decode(raw []byte, v any) (unknown []error, err error) {
 	err = toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(v)
 	if missing, ok := errors.AsType[*toml.StrictMissingError](err); ok {
-		for _, missed := range missing.Errors {
-			line, _ := missed.Position()
-			unknown = append(unknown, &UnknownError{line, strings.Join(missed.Key(), ".")})
+		for _, unknownField := range missing.Errors {
+			line, _ := unknownField.Position()
+			unknown = append(unknown, &UnknownError{line, strings.Join(unknownField.Key(), ".")})
 		}
 		return unknown, nil
 	}
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestDecodeListsUnknownNames(t *testing.T) {
+func TestDecodeListsUnknownSettings(t *testing.T) {
 	var v destination
 	unknown, err := Decode([]byte("no_such = 1\non = true\n[[teams]]\nname = \"a\"\nother = 2\n"), &v)
 	if err != nil || !v.On || len(v.Teams) != 1 || v.Teams[0].Name != "a" {
--- a/internal/stricttoml/typeerror.go
+++ b/internal/stricttoml/typeerror.go
@@ -13,20 +13,20 @@
 type TypeError struct {
 	// Want and Got describe the types, in TOML's terms and with an article: "a list of strings".
 	Want, Got string
-	// Inside tells that the value itself is of the right type, and Got is something that it contains.
-	Inside bool
+	// InElement tells that the value itself is of the right type, and Got is something that it contains.
+	InElement bool
 }
 
 func (e *TypeError) Error() string {
-	if e.Inside {
+	if e.InElement {
 		return fmt.Sprintf("must be %s; it contains %s where something else belongs", e.Want, e.Got)
 	}
 	return fmt.Sprintf("must be %s, not %s", e.Want, e.Got)
 }
 
-// mismatches are the messages with which the decoder refuses a value because of its type. The first
+// typeMismatchPatterns are the messages with which the decoder refuses a value because of its type. The first
 // group is what the value is, or the number that is out of range; the second names the Go type that it does not fit.
-var mismatches = []*regexp.Regexp{
+var typeMismatchPatterns = []*regexp.Regexp{
 	regexp.MustCompile(`cannot decode TOML (.+?) into (?:struct field .* of type )?(.+)$`),
 	regexp.MustCompile(`cannot store an? (array table|table) in an? (.+)$`),
 	regexp.MustCompile(`integer value (\S+) cannot be stored in (.+)$`),
@@ -35,24 +35,24 @@
 // typeErrorOf returns the name of the setting and the type error that a decoder's error stands for;
 // false: it stands for another.
 func typeErrorOf(err *toml.DecodeError, v any) (name string, typeErr *TypeError, ok bool) {
-	for _, mismatch := range mismatches {
-		match := mismatch.FindStringSubmatch(err.Error())
+	for _, pattern := range typeMismatchPatterns {
+		match := pattern.FindStringSubmatch(err.Error())
 		if match == nil {
 			continue
 		}
-		name, found := resolve(reflect.TypeOf(v), err.Key())
+		name, found := resolveKey(reflect.TypeOf(v), err.Key())
 		if name == "" {
 			return "", nil, false
 		}
 		inside := isCollection(found) && match[1] != "table" && match[1] != "array table" && match[2] != found.String()
-		return name, &TypeError{Want: describe(found, name), Got: describeKind(match[1]), Inside: inside}, true
+		return name, &TypeError{Want: describeType(found, name), Got: describeFoundValue(match[1]), InElement: inside}, true
 	}
 	return "", nil, false
 }
 
-// resolve follows the key of a setting from the type of the destination. It stops at a type that has
+// resolveKey follows the key of a setting from the type of the destination. It stops at a type that has
 // no settings of its own, and returns the name and the type of the setting that it came to.
-func resolve(destination reflect.Type, key []string) (name string, found reflect.Type) {
+func resolveKey(destination reflect.Type, key []string) (name string, found reflect.Type) {
 	found = indirect(destination)
 	for index, part := range key {
 		container := found
@@ -100,8 +100,8 @@
 	return goType.Kind() == reflect.Slice || goType.Kind() == reflect.Struct || goType.Kind() == reflect.Map
 }
 
-// describe says what values the setting of a name and a Go type takes.
-func describe(goType reflect.Type, name string) string {
+// describeType says what values the setting of a name and a Go type takes.
+func describeType(goType reflect.Type, name string) string {
 	switch goType.Kind() {
 	case reflect.String:
 		return "a string in quotes"
@@ -121,7 +121,7 @@
 	case reflect.Slice:
 		return describeList(indirect(goType.Elem()), name)
 	case reflect.Map:
-		return fmt.Sprintf("a table, [%s], of %s", name, describePlural(indirect(goType.Elem())))
+		return fmt.Sprintf("a table, [%s], of %s", name, describeElements(indirect(goType.Elem())))
 	case reflect.Struct:
 		return fmt.Sprintf("a table, [%s]", name)
 	}
@@ -133,11 +133,11 @@
 	if element.Kind() == reflect.Struct || element.Kind() == reflect.Map {
 		return fmt.Sprintf("a list of tables, [[%s]]", name)
 	}
-	return "a list of " + describePlural(element)
+	return "a list of " + describeElements(element)
 }
 
-// describePlural says what the values of a list or table are.
-func describePlural(goType reflect.Type) string {
+// describeElements says what the values of a list or table are.
+func describeElements(goType reflect.Type) string {
 	switch goType.Kind() {
 	case reflect.String:
 		return "strings in quotes"
@@ -153,8 +153,8 @@
 	return "whole numbers"
 }
 
-// describeKind says what the decoder found.
-func describeKind(kind string) string {
+// describeFoundValue says what the decoder found.
+func describeFoundValue(kind string) string {
 	switch kind {
 	case "array table":
 		return "a list of tables"
--- a/lint/baseline.go
+++ b/lint/baseline.go
@@ -99,17 +99,17 @@
 }
 
 // Compare lists the pairs with more findings than the baseline allows, and those with fewer.
-func Compare(baseline, found Counts) (risen, fallen []Change) {
+func Compare(baseline, found Counts) (increased, decreased []Change) {
 	for _, pair := range allPairs(baseline, found) {
 		change := Change{Pair: pair, Allowed: baseline[pair], Found: found[pair]}
 		switch {
 		case change.Found > change.Allowed:
-			risen = append(risen, change)
+			increased = append(increased, change)
 		case change.Found < change.Allowed:
-			fallen = append(fallen, change)
+			decreased = append(decreased, change)
 		}
 	}
-	return risen, fallen
+	return increased, decreased
 }
 
 func allPairs(baseline, found Counts) []Pair {
@@ -123,9 +123,9 @@
 	return pairs
 }
 
-// Lowered is the baseline with each count brought down to what was found. No count rises and no
+// LoweredBaseline is the baseline with each count brought down to what was found. No count rises and no
 // pair is added.
-func Lowered(baseline, found Counts) Counts {
+func LoweredBaseline(baseline, found Counts) Counts {
 	lowered := Counts{}
 	for pair, allowed := range baseline {
 		if count := min(allowed, found[pair]); count > 0 {
@@ -144,16 +144,16 @@
 	return totals
 }
 
-// RisenTotals names the linters that have more findings in the whole tree than the baseline allows,
+// IncreasedTotals names the linters that have more findings in the whole tree than the baseline allows,
 // each with both totals.
-func RisenTotals(baseline, found Counts) []string {
+func IncreasedTotals(baseline, found Counts) []string {
 	allowed := baseline.Totals()
 	totals := found.Totals()
-	var risen []string
+	var increased []string
 	for _, linter := range slices.Sorted(maps.Keys(totals)) {
 		if totals[linter] > allowed[linter] {
-			risen = append(risen, fmt.Sprintf("%s: %d, baseline %d", linter, totals[linter], allowed[linter]))
+			increased = append(increased, fmt.Sprintf("%s: %d, baseline %d", linter, totals[linter], allowed[linter]))
 		}
 	}
-	return risen
+	return increased
 }
--- a/lint/baseline_test.go
+++ b/lint/baseline_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestBaselineReadsWhatItWrites(t *testing.T) {
+func TestBaselineRoundTrip(t *testing.T) {
 	counts := Counts{
 		{"store", "errcheck"}:            2,
 		{"controller", "funlen"}:         11,
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestBaselineRejectsLinesThatAreNotCounts(t *testing.T) {
+func TestParseBaselineRejectsInvalidLines(t *testing.T) {
 	for _, line := range []string{
 		"store errcheck",
 		"store errcheck two",
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestCompareListsRisenNewAndFallenPairs(t *testing.T) {
+func TestCompareListsIncreasedNewAndDecreasedPairs(t *testing.T) {
 	baseline := Counts{
 		{"controller", "funlen"}: 5,
 		{"controller", "revive"}: 5,
@@ -71,24 +71,24 @@
 		{"scheduler", "revive"}:  1,
 		{"store", "errcheck"}:    1,
 	}
-	risen, fallen := Compare(baseline, found)
-	wantRisen := []Change{
+	increased, decreased := Compare(baseline, found)
+	wantIncreased := []Change{
 		{Pair{"controller", "funlen"}, 5, 6},
 		{Pair{"scheduler", "revive"}, 0, 1},
 	}
-	wantFallen := []Change{
+	wantDecreased := []Change{
 		{Pair{"election", "errcheck"}, 1, 0},
 		{Pair{"store", "errcheck"}, 2, 1},
 	}
-	if !reflect.DeepEqual(risen, wantRisen) {
-		t.Errorf("risen: %v, want %v", risen, wantRisen)
+	if !reflect.DeepEqual(increased, wantIncreased) {
+		t.Errorf("risen: %v, want %v", increased, wantIncreased)
 	}
-	if !reflect.DeepEqual(fallen, wantFallen) {
-		t.Errorf("fallen: %v, want %v", fallen, wantFallen)
+	if !reflect.DeepEqual(decreased, wantDecreased) {
+		t.Errorf("fallen: %v, want %v", decreased, wantDecreased)
 	}
 }
 
-func TestLoweredNeverRaisesOrAdds(t *testing.T) {
+func TestLoweredBaselineNeverIncreasesOrAddsCounts(t *testing.T) {
 	baseline := Counts{
 		{"controller", "funlen"}: 5,
 		{"election", "errcheck"}: 1,
@@ -103,12 +103,12 @@
 		{"controller", "funlen"}: 5,
 		{"store", "errcheck"}:    1,
 	}
-	if lowered := Lowered(baseline, found); !reflect.DeepEqual(lowered, want) {
+	if lowered := LoweredBaseline(baseline, found); !reflect.DeepEqual(lowered, want) {
 		t.Errorf("lowered: %v, want %v", lowered, want)
 	}
 }
 
-func TestRisenTotalsIgnoresMovesBetweenDirectories(t *testing.T) {
+func TestIncreasedTotalsIgnoresMovesBetweenDirectories(t *testing.T) {
 	baseline := Counts{
 		{"controller", "funlen"}: 5,
 		{"controller", "revive"}: 2,
@@ -120,7 +120,7 @@
 		{"store", "unparam"}:     1,
 	}
 	want := []string{"revive: 3, baseline 2", "unparam: 1, baseline 0"}
-	if risen := RisenTotals(baseline, found); !reflect.DeepEqual(risen, want) {
+	if risen := IncreasedTotals(baseline, found); !reflect.DeepEqual(risen, want) {
 		t.Errorf("risen totals: %v, want %v", risen, want)
 	}
 }
--- a/lint/findings_test.go
+++ b/lint/findings_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestParseFindingsRejectsRunsThatSawOnlyPartOfTheCode(t *testing.T) {
+func TestParseFindingsRejectsIncompleteRuns(t *testing.T) {
 	t.Run("code that does not compile", func(t *testing.T) {
 		_, err := ParseFindings([]byte(`{"Issues":[{"FromLinter":"typecheck","Text":"undefined: x","Pos":{"Filename":"store/etcd.go","Line":3,"Column":2}}],"Report":{}}`))
 		if _, ok := errors.AsType[*CompileError](err); !ok {
--- a/lint/main.go
+++ b/lint/main.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errRisen       = errors.New("more findings than the baseline allows")
-	errRisenTotals = errors.New("baseline not written: a linter has more findings in the whole tree")
+	errMoreFindings       = errors.New("more findings than the baseline allows")
+	errHigherTotals = errors.New("baseline not written: a linter has more findings in the whole tree")
 )
 
 func main() {
@@ -44,20 +44,20 @@
 func run(ctx context.Context, update, regenerate bool) error {
 	baseline, err := readBaseline(baselinePath)
 	missing := errors.Is(err, fs.ErrNotExist)
-	firstTime := missing && regenerate
-	if err != nil && !firstTime {
+	createBaseline := missing && regenerate
+	if err != nil && !createBaseline {
 		return err
 	}
 	findings, err := runLinter(ctx)
 	if err != nil {
 		return err
 	}
-	if firstTime {
+	if createBaseline {
 		return writeBaseline(Count(findings))
 	}
 	var text string
 	if regenerate {
-		text, err = writeAnew(baseline, findings)
+		text, err = regenerateBaseline(baseline, findings)
 	} else {
 		text, err = check(baseline, findings, update)
 	}
@@ -90,22 +90,22 @@
 // error. With update it lowers the baseline file, also when something else rose.
 func check(baseline Counts, findings []Finding, update bool) (text string, err error) {
 	found := Count(findings)
-	risen, fallen := Compare(baseline, found)
+	increased, decreased := Compare(baseline, found)
 	var out strings.Builder
-	for _, change := range fallen {
+	for _, change := range decreased {
 		fmt.Fprintln(&out, "fewer:", change)
 	}
-	for _, change := range risen {
+	for _, change := range increased {
 		fmt.Fprintln(&out, "more:", change)
 		listFindings(&out, findings, change.Pair)
 	}
-	if update && len(fallen) > 0 {
-		if err := writeBaseline(Lowered(baseline, found)); err != nil {
+	if update && len(decreased) > 0 {
+		if err := writeBaseline(LoweredBaseline(baseline, found)); err != nil {
 			return out.String(), err
 		}
 	}
-	if len(risen) > 0 {
-		return out.String(), errRisen
+	if len(increased) > 0 {
+		return out.String(), errMoreFindings
 	}
 	return out.String(), nil
 }
@@ -118,12 +118,12 @@
 	}
 }
 
-// writeAnew replaces the baseline file by the counts found. It refuses when a linter's total over
+// regenerateBaseline replaces the baseline file by the counts found. It refuses when a linter's total over
 // all directories rose; the text then lists those linters.
-func writeAnew(baseline Counts, findings []Finding) (text string, err error) {
+func regenerateBaseline(baseline Counts, findings []Finding) (text string, err error) {
 	found := Count(findings)
-	if risen := RisenTotals(baseline, found); len(risen) > 0 {
-		return "more in the whole tree:\n  " + strings.Join(risen, "\n  ") + "\n", errRisenTotals
+	if increased := IncreasedTotals(baseline, found); len(increased) > 0 {
+		return "more in the whole tree:\n  " + strings.Join(increased, "\n  ") + "\n", errHigherTotals
 	}
 	return "", writeBaseline(found)
 }
--- a/lint/main_test.go
+++ b/lint/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// inTreeWithBaseline makes an empty tree with this baseline the working directory.
-func inTreeWithBaseline(t *testing.T, baseline Counts) {
+// changeToTreeWithBaseline makes an empty tree with this baseline the working directory.
+func changeToTreeWithBaseline(t *testing.T, baseline Counts) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	if err := os.Mkdir("lint", 0o755); err != nil {
@@ -19,7 +19,7 @@
 	}
 }
 
-func checkBaseline(t *testing.T, want Counts) {
+func expectBaseline(t *testing.T, want Counts) {
 	t.Helper()
 	baseline, err := readBaseline(baselinePath)
 	if err != nil {
@@ -34,9 +34,9 @@
 	return Finding{Linter: linter, Text: "text", Pos: Position{Filename: filename, Line: 1, Column: 2}}
 }
 
-func TestCheckPassesOnTheBaselineAndPrintsWhatFell(t *testing.T) {
+func TestCheckPassesAndPrintsDecreasedCounts(t *testing.T) {
 	baseline := Counts{{"store", "errcheck"}: 1, {"store", "funlen"}: 2}
-	inTreeWithBaseline(t, baseline)
+	changeToTreeWithBaseline(t, baseline)
 	findings := []Finding{findingIn("store/etcd.go", "errcheck"), findingIn("store/etcd.go", "funlen")}
 	text, err := check(baseline, findings, false)
 	if err != nil {
@@ -45,16 +45,16 @@
 	if want := "fewer: store funlen: 1, baseline 2\n"; text != want {
 		t.Errorf("text %q, want %q", text, want)
 	}
-	checkBaseline(t, baseline)
+	expectBaseline(t, baseline)
 }
 
-func TestCheckFailsWithTheFindingsOfAPairThatRose(t *testing.T) {
+func TestCheckFailsAndListsFindingsOfIncreasedPair(t *testing.T) {
 	baseline := Counts{{"store", "errcheck"}: 1, {"store", "funlen"}: 2}
-	inTreeWithBaseline(t, baseline)
+	changeToTreeWithBaseline(t, baseline)
 	findings := []Finding{findingIn("store/etcd.go", "errcheck"), findingIn("store/etcd_test.go", "errcheck")}
 	text, err := check(baseline, findings, true)
-	if !errors.Is(err, errRisen) {
-		t.Fatalf("error %v, want %v", err, errRisen)
+	if !errors.Is(err, errMoreFindings) {
+		t.Fatalf("error %v, want %v", err, errMoreFindings)
 	}
 	want := `fewer: store funlen: 0, baseline 2
 more: store errcheck: 2, baseline 1
@@ -64,24 +64,24 @@
 	if text != want {
 		t.Errorf("text %q, want %q", text, want)
 	}
-	checkBaseline(t, Counts{{"store", "errcheck"}: 1})
+	expectBaseline(t, Counts{{"store", "errcheck"}: 1})
 }
 
-func TestRegenerateFollowsMovesButNotGrowth(t *testing.T) {
+func TestRegenerateAcceptsMovesAndRejectsIncrease(t *testing.T) {
 	baseline := Counts{{"controller", "funlen"}: 1}
-	inTreeWithBaseline(t, baseline)
+	changeToTreeWithBaseline(t, baseline)
 	grown := []Finding{findingIn("controller/a.go", "funlen"), findingIn("scheduler/a.go", "funlen")}
-	text, err := writeAnew(baseline, grown)
-	if !errors.Is(err, errRisenTotals) {
-		t.Errorf("error %v, want %v", err, errRisenTotals)
+	text, err := regenerateBaseline(baseline, grown)
+	if !errors.Is(err, errHigherTotals) {
+		t.Errorf("error %v, want %v", err, errHigherTotals)
 	}
 	if want := "more in the whole tree:\n  funlen: 2, baseline 1\n"; text != want {
 		t.Errorf("text %q, want %q", text, want)
 	}
-	checkBaseline(t, baseline)
+	expectBaseline(t, baseline)
 	moved := []Finding{findingIn("scheduler/a.go", "funlen")}
-	if _, err := writeAnew(baseline, moved); err != nil {
+	if _, err := regenerateBaseline(baseline, moved); err != nil {
 		t.Error(err)
 	}
-	checkBaseline(t, Counts{{"scheduler", "funlen"}: 1})
+	expectBaseline(t, Counts{{"scheduler", "funlen"}: 1})
 }
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -11,31 +11,31 @@
 // `name = expression`; an empty line, or one that starts with #, is skipped. The error has one line for
 // each wrong line of the file.
 func Parse(text string) (*Policy, error) {
-	parser := fileParser{policy: Default(), lines: map[string]int{}}
-	var wrong []error
+	parser := fileParser{policy: Default(), settingLines: map[string]int{}}
+	var invalid []error
 	scanner := bufio.NewScanner(strings.NewReader(text))
 	for line := 1; scanner.Scan(); line++ {
 		if err := parser.parseLine(line, strings.TrimSpace(scanner.Text())); err != nil {
-			wrong = append(wrong, fmt.Errorf("policy: line %d: %w", line, err))
+			invalid = append(invalid, fmt.Errorf("policy: line %d: %w", line, err))
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		wrong = append(wrong, fmt.Errorf("policy: %w", err))
+		invalid = append(invalid, fmt.Errorf("policy: %w", err))
 	}
-	if len(wrong) > 0 {
-		return nil, errors.Join(wrong...)
+	if len(invalid) > 0 {
+		return nil, errors.Join(invalid...)
 	}
 	return parser.policy, nil
 }
 
-// errNoEquals refuses a line that sets nothing.
-var errNoEquals = errors.New("want name = expression")
+// errMissingEquals refuses a line that sets nothing.
+var errMissingEquals = errors.New("want name = expression")
 
 // fileParser puts the lines of a policy file into a policy.
 type fileParser struct {
 	policy *Policy
-	// lines has the line in which each setting was set.
-	lines map[string]int
+	// settingLines has the line in which each setting was set.
+	settingLines map[string]int
 }
 
 // parseLine puts one line into the policy.
@@ -45,16 +45,16 @@
 	}
 	name, expression, ok := strings.Cut(text, "=")
 	if !ok {
-		return errNoEquals
+		return errMissingEquals
 	}
 	name = strings.TrimSpace(name)
 	if _, ok := definitions[name]; !ok {
 		return fmt.Errorf("%s: %w", name, errUnknownSetting())
 	}
-	if before := parser.lines[name]; before > 0 {
-		return fmt.Errorf("%s: already set in line %d", name, before)
+	if previousLine := parser.settingLines[name]; previousLine > 0 {
+		return fmt.Errorf("%s: already set in line %d", name, previousLine)
 	}
-	parser.lines[name] = line
+	parser.settingLines[name] = line
 	if err := parser.policy.setExpression(name, strings.TrimSpace(expression)); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,13 +29,13 @@
 
 	// mu guards warned.
 	mu sync.Mutex
-	// warned has the settings whose replacement by the default was logged.
-	warned map[string]bool
+	// warnedSettings has the settings whose replacement by the default was logged.
+	warnedSettings map[string]bool
 }
 
 // Default returns the built-in policy.
 func Default() *Policy {
-	policy := &Policy{programs: map[string]*vm.Program{}, defaults: map[string]*vm.Program{}, warned: map[string]bool{}}
+	policy := &Policy{programs: map[string]*vm.Program{}, defaults: map[string]*vm.Program{}, warnedSettings: map[string]bool{}}
 	for name, setting := range definitions {
 		program, err := compileExpression(name, setting.fallback)
 		if err != nil {
@@ -111,19 +111,19 @@
 		fallback = setting.min
 	}
 	fallback = math.Min(math.Max(fallback, setting.min), setting.max)
-	if policy.warnOnce(name) {
+	if policy.markWarned(name) {
 		slog.Error("invalid policy value, using the default", "setting", name, "value", value, "err", err,
 			"least", setting.min, "most", setting.max)
 	}
 	return fallback
 }
 
-// warnOnce tells whether a setting has not been warned of yet, and notes that it is.
-func (policy *Policy) warnOnce(name string) bool {
+// markWarned tells whether a setting has not been warned of yet, and notes that it is.
+func (policy *Policy) markWarned(name string) bool {
 	policy.mu.Lock()
 	defer policy.mu.Unlock()
-	first := !policy.warned[name]
-	policy.warned[name] = true
+	first := !policy.warnedSettings[name]
+	policy.warnedSettings[name] = true
 	return first
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,7 +22,7 @@
 }
 
 // Every error is reported, with its line and the setting's name.
-func TestParseNamesEveryError(t *testing.T) {
+func TestParseReportsEveryErrorWithLineAndName(t *testing.T) {
 	_, err := Parse("slot_s = \"long\"\nslotz = 3\nheadroom_cpus = demand +\nno equals\nslot_s = 4\nbegin_by_s = 400\n")
 	if err == nil {
 		t.Fatal("taken")
--- a/settings/check.go
+++ b/settings/check.go
@@ -8,10 +8,10 @@
 
 // Least values that the settings must have for the service to work.
 const (
-	// minimumTxnOps is the number of changes of the smallest transaction that has to fit.
-	minimumTxnOps = 3
-	// minimumValueKB is the size that a job's record may need.
-	minimumValueKB = 1
+	// minTxnOps is the number of changes of the smallest transaction that has to fit.
+	minTxnOps = 3
+	// minValueKB is the size that a job's record may need.
+	minValueKB = 1
 )
 
 // check returns an error for the first wrong field, with the number of the others.
@@ -26,16 +26,16 @@
 		checker.fail(name, want)
 	})
 	workers := settings.Facts.Workers
-	checker.positive("facts.workers.report_s", workers.ReportS)
-	checker.positive("facts.workers.lease_s", workers.LeaseS)
-	checker.positive("facts.workers.cancel_s", workers.CancelS)
+	checker.checkPositive("facts.workers.report_s", workers.ReportS)
+	checker.checkPositive("facts.workers.lease_s", workers.LeaseS)
+	checker.checkPositive("facts.workers.cancel_s", workers.CancelS)
 	checker.checkState(settings.Facts.State)
-	checker.positive("facts.cloud.rps", settings.Facts.Cloud.RPS)
+	checker.checkPositive("facts.cloud.rps", settings.Facts.Cloud.RPS)
 	if !(settings.Facts.Cloud.ListLagS >= 0) {
 		checker.fail("facts.cloud.list_lag_s", "must be 0 or more")
 	}
-	checker.positive("facts.resources.ram_mb", settings.Facts.Resources.RAMMB)
-	return joined(checker.fieldErrors)
+	checker.checkPositive("facts.resources.ram_mb", settings.Facts.Resources.RAMMB)
+	return summarizeErrors(checker.fieldErrors)
 }
 
 // fieldChecker collects the errors of fields.
@@ -46,16 +46,16 @@
 	checker.fieldErrors = append(checker.fieldErrors, fmt.Errorf("%s: %s", field, want))
 }
 
-// address checks that a field is an IP address with a port.
-func (checker *fieldChecker) address(field, value string) {
+// checkAddress checks that a field is an IP address with a port.
+func (checker *fieldChecker) checkAddress(field, value string) {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
 		checker.fail(field, "must be an IP address and a port")
 	}
 }
 
-// positive checks that a field is a finite number above 0.
-func (checker *fieldChecker) positive(field string, value float64) {
+// checkPositive checks that a field is a finite number above 0.
+func (checker *fieldChecker) checkPositive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
 		checker.fail(field, "must be a number above 0")
 	}
@@ -66,10 +66,10 @@
 	if settings.Member == "" {
 		checker.fail("member", "is missing")
 	}
-	checker.address("serve_on", settings.Listen)
-	checker.address("back", settings.PeerListen)
-	checker.address("external.cloud", settings.External.Cloud)
-	checker.address("external.state", settings.External.State)
+	checker.checkAddress("serve_on", settings.Listen)
+	checker.checkAddress("back", settings.PeerListen)
+	checker.checkAddress("external.cloud", settings.External.Cloud)
+	checker.checkAddress("external.state", settings.External.State)
 	seen := map[string]bool{settings.Member: true}
 	for index, peer := range settings.Peers {
 		field := fmt.Sprintf("siblings[%d]", index)
@@ -77,26 +77,26 @@
 			checker.fail(field+".member", "is missing or stands twice")
 		}
 		seen[peer.Member] = true
-		checker.address(field+".address", peer.Address)
+		checker.checkAddress(field+".address", peer.Address)
 	}
 }
 
 // checkState checks the limits of the state service, and those that are announced.
 func (checker *fieldChecker) checkState(state State) {
-	checker.positive("facts.state.rps", state.RPS)
-	checker.positive("facts.state.write_rps", state.WriteRPS)
-	checker.positive("facts.state.value_kb", state.ValueKB)
-	if state.TxnOps < minimumTxnOps {
+	checker.checkPositive("facts.state.rps", state.RPS)
+	checker.checkPositive("facts.state.write_rps", state.WriteRPS)
+	checker.checkPositive("facts.state.value_kb", state.ValueKB)
+	if state.TxnOps < minTxnOps {
 		checker.fail("facts.state.txn_ops", "must be 3 or more")
 	}
-	next := state.Next
+	announced := state.Next
 	switch {
-	case !isAmount(next.WriteRPS) || !isAmount(next.ValueKB):
+	case !isNonNegativeFinite(announced.WriteRPS) || !isNonNegativeFinite(announced.ValueKB):
 		checker.fail("facts.state.next", "limits must be numbers of 0 or more; 0 or left out: as now")
-	case next.ValueKB > 0 && next.ValueKB < minimumValueKB:
+	case announced.ValueKB > 0 && announced.ValueKB < minValueKB:
 		checker.fail("facts.state.next.value_kb", "must be 1 or more: a job's record takes up to 1 KiB")
 	}
-	if next.TxnOps != 0 && next.TxnOps < minimumTxnOps {
+	if announced.TxnOps != 0 && announced.TxnOps < minTxnOps {
 		checker.fail("facts.state.next.txn_ops", "must be 3 or more, or left out: as now")
 	}
 }
@@ -110,11 +110,11 @@
 			fail(index, "name", "is missing or stands twice")
 		}
 		names[team.Name] = true
-		if !isAmount(team.CPUs) || !isAmount(team.CPUsMax) || !isAmount(team.Cards) || !isAmount(team.CardsMax) {
+		if !isNonNegativeFinite(team.CPUs) || !isNonNegativeFinite(team.CPUsMax) || !isNonNegativeFinite(team.Cards) || !isNonNegativeFinite(team.CardsMax) {
 			fail(index, "", "amounts must be numbers of 0 or more")
 		}
 	}
 }
 
-// isAmount tells whether a number is finite and 0 or more.
-func isAmount(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
+// isNonNegativeFinite tells whether a number is finite and 0 or more.
+func isNonNegativeFinite(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -26,8 +26,8 @@
 	return &settings, settings.check()
 }
 
-// joined returns the first of some errors, with the number of the others; nil: there are none.
-func joined(fieldErrors []error) error {
+// summarizeErrors returns the first of some errors, with the number of the others; nil: there are none.
+func summarizeErrors(fieldErrors []error) error {
 	switch len(fieldErrors) {
 	case 0:
 		return nil
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,8 +36,8 @@
 	// Nodes is the number of controllers.
 	Nodes int      `toml:"nodes"`
 	Zones []string `toml:"zones"`
-	// ClockOffMS bounds how far a time of day is from the true time, in milliseconds.
-	ClockOffMS float64     `toml:"clock_off_ms"`
+	// MaxClockErrorMS bounds how far a time of day is from the true time, in milliseconds.
+	MaxClockErrorMS float64     `toml:"clock_off_ms"`
 	Teams      []Team      `toml:"teams"`
 	Objectives []Objective `toml:"objectives"`
 	Workers    Workers     `toml:"workers"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -52,7 +52,7 @@
 }
 
 // A value of a wrong type is described in TOML's terms, with its line, and without Go's names.
-func TestParseDescribesWrongTypes(t *testing.T) {
+func TestParseDescribesTypeErrorsInTOMLTerms(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`lease_s = 10.0`, `lease_s = "long"`, "settings: line 19: facts.workers.lease_s: must be a number, not a string"},
 		{`txn_ops = 24`, `txn_ops = 1.5`, "settings: line 25: facts.state.txn_ops: must be a whole number, not a fraction"},
@@ -74,7 +74,7 @@
 }
 
 // A wrong setting ends the process with one line that names the field.
-func TestParseNamesWrongField(t *testing.T) {
+func TestParseNamesInvalidFieldInOneLine(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`member = "n0"`, ``, "member"},
 		{`serve_on = "10.0.0.1:8080"`, `serve_on = "here"`, "serve_on"},
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -42,20 +42,20 @@
 }
 
 // The subgradient method takes Polyak's steps towards a value below the best so far, by initialTarget of it at first, and
-// by half as much each time that nothing better was found for more than staleRounds rounds.
+// by half as much each time that nothing better was found for more than maxStaleRounds rounds.
 const (
 	initialTarget = 0.1
-	staleRounds   = 12
-	// improvement is by how much a value must be below the best so far to count as better.
-	improvement = 1e-9
+	maxStaleRounds   = 12
+	// minImprovement is by how much a value must be below the best so far to count as better.
+	minImprovement = 1e-9
 )
 
 // InTime returns the bound after so many rounds; more rounds make it tighter.
 func InTime(jobs []Job, free Free, rounds int) Result {
-	possible := possibleAlone(jobs)
+	feasible := feasibleJobs(jobs)
 	result := Result{
-		Jobs: len(jobs), Alone: len(jobs) - len(possible),
-		Most: float64(len(possible)), Prices: make([]float64, len(free.CPUs)),
+		Jobs: len(jobs), Alone: len(jobs) - len(feasible),
+		Most: float64(len(feasible)), Prices: make([]float64, len(free.CPUs)),
 	}
 	prices := make([]float64, len(free.CPUs))
 	usage := make([]float64, len(free.CPUs))
@@ -63,15 +63,15 @@
 	target := initialTarget
 	stale := 0
 	for range rounds {
-		value := evaluate(possible, free, prices, usage)
-		if value < result.Most-improvement {
+		value := evaluate(feasible, free, prices, usage)
+		if value < result.Most-minImprovement {
 			stale = 0
 			result.Most = value
 			copy(result.Prices, prices)
-		} else if stale++; stale > staleRounds {
+		} else if stale++; stale > maxStaleRounds {
 			stale, target = 0, target/2
 			copy(prices, result.Prices)
-			value = evaluate(possible, free, prices, usage)
+			value = evaluate(feasible, free, prices, usage)
 		}
 		setSubgradient(subgradient, free, prices, usage)
 		norm := floats.Dot(subgradient, subgradient)
@@ -86,14 +86,14 @@
 	return result
 }
 
-// possibleAlone returns the jobs that can meet their due times with the whole fleet for themselves.
-func possibleAlone(jobs []Job) (possible []Job) {
+// feasibleJobs returns the jobs that can meet their due times with the whole fleet for themselves.
+func feasibleJobs(jobs []Job) (feasible []Job) {
 	for _, job := range jobs {
 		if feasibleAlone(job) {
-			possible = append(possible, job)
+			feasible = append(feasible, job)
 		}
 	}
-	return possible
+	return feasible
 }
 
 func feasibleAlone(job Job) bool {
@@ -149,28 +149,28 @@
 
 // cumulativePrice is what one CPU costs from the start of the day up to a time.
 type cumulativePrice struct {
-	slot   float64
+	slotS   float64
 	prices []float64
-	// upToSlot is the cost up to the start of each slot, and up to the end of the last one.
-	upToSlot []float64
+	// costAtSlotStart is the cost up to the start of each slot, and up to the end of the last one.
+	costAtSlotStart []float64
 }
 
 func newCumulativePrice(prices []float64, slot float64) *cumulativePrice {
-	upToSlot := make([]float64, len(prices)+1)
+	costAtSlotStart := make([]float64, len(prices)+1)
 	for i, price := range prices {
-		upToSlot[i+1] = upToSlot[i] + price*slot
+		costAtSlotStart[i+1] = costAtSlotStart[i] + price*slot
 	}
-	return &cumulativePrice{slot: slot, prices: prices, upToSlot: upToSlot}
+	return &cumulativePrice{slotS: slot, prices: prices, costAtSlotStart: costAtSlotStart}
 }
 
-// upTo returns the cost up to a time in seconds. After the last slot CPU time costs nothing.
-func (c *cumulativePrice) upTo(seconds float64) float64 {
-	slots := math.Max(0, seconds/c.slot)
+// costUpTo returns the cost up to a time in seconds. After the last slot CPU time costs nothing.
+func (c *cumulativePrice) costUpTo(seconds float64) float64 {
+	slots := math.Max(0, seconds/c.slotS)
 	i := min(int(slots), len(c.prices))
 	if i == len(c.prices) {
-		return c.upToSlot[i]
+		return c.costAtSlotStart[i]
 	}
-	return c.upToSlot[i] + (slots-float64(i))*c.slot*c.prices[i]
+	return c.costAtSlotStart[i] + (slots-float64(i))*c.slotS*c.prices[i]
 }
 
 // cheapestStart returns when a task of a job costs least to start, and what each of its CPUs costs then. Prices change
@@ -182,13 +182,13 @@
 		if at < job.Arrive || at > last {
 			return
 		}
-		if costAt := c.upTo(at+task.Run) - c.upTo(at); costAt < cost {
+		if costAt := c.costUpTo(at+task.Run) - c.costUpTo(at); costAt < cost {
 			start, cost = at, costAt
 		}
 	}
 	try(job.Arrive)
 	try(last)
-	for boundary := math.Ceil(job.Arrive/c.slot) * c.slot; boundary <= job.Due && cost > 0; boundary += c.slot {
+	for boundary := math.Ceil(job.Arrive/c.slotS) * c.slotS; boundary <= job.Due && cost > 0; boundary += c.slotS {
 		try(boundary)
 		try(boundary - task.Run)
 	}
--- a/upperbound/upperbound_test.go
+++ b/upperbound/upperbound_test.go
@@ -8,18 +8,18 @@
 )
 
 // schedule is the CPUs that are left in each second while a search places tasks.
-type schedule struct{ left []float64 }
+type schedule struct{ freeCPUs []float64 }
 
 // fits reports whether a task can run from a second on.
 func (s *schedule) fits(task Task, from int) bool {
 	to := from + int(task.Run)
-	return to <= len(s.left) && !slices.ContainsFunc(s.left[from:to], func(cpus float64) bool { return cpus < task.CPUs })
+	return to <= len(s.freeCPUs) && !slices.ContainsFunc(s.freeCPUs[from:to], func(cpus float64) bool { return cpus < task.CPUs })
 }
 
 // reserve takes some CPUs away for the run of a task, or gives them back if they are negative.
 func (s *schedule) reserve(cpus float64, from, seconds int) {
 	for i := from; i < from+seconds; i++ {
-		s.left[i] -= cpus
+		s.freeCPUs[i] -= cpus
 	}
 }
 
@@ -64,7 +64,7 @@
 		if len(chosen) <= best {
 			continue
 		}
-		s := schedule{left: slices.Clone(free.CPUs)}
+		s := schedule{freeCPUs: slices.Clone(free.CPUs)}
 		if s.placeAll(chosen) {
 			best = len(chosen)
 		}
@@ -73,7 +73,7 @@
 }
 
 // The bound is never below what is possible, over 300 small days for which that is tried out, and close to it.
-func TestBoundAgainstBruteForce(t *testing.T) {
+func TestBoundIsNotBelowBruteForceAndIsTight(t *testing.T) {
 	gap, sum := 0.0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -105,7 +105,7 @@
 }
 
 // With enough free CPUs for all, every job that can meet its due time alone does so.
-func TestBoundCountsJobsThatFitAlone(t *testing.T) {
+func TestBoundWithAmpleCapacityCountsFeasibleJobs(t *testing.T) {
 	jobs := []Job{{0, 10, []Task{{2, 5}}}, {3, 9, []Task{{4, 6}, {1, 2}}}, {0, 4, []Task{{1, 5}}}}
 	if got := InTime(jobs, Free{Slot: 5, CPUs: []float64{100, 100}}, 50); got.Most != 2 || got.Alone != 1 {
 		t.Errorf("%+v, want a bound of 2 and 1 job that cannot be in time alone", got)
