--- a/api/api.go
+++ b/api/api.go
@@ -1,8 +1,8 @@
-// Package api has the messages that users, workers, data agents and the cloud exchange with the
-// controllers, and checks the ones that come from outside. It does no I/O.
+// Package api defines the messages that users, workers, data agents and the cloud exchange with the
+// controllers, and validates those that come from outside. It does no I/O.
 //
-// The names and words of the protocol stand only in the struct tags and in the values of the
-// constants of this package; words_test.go keeps them out of all other identifiers.
+// Protocol names occur only in the struct tags and in the constant values of this package;
+// words_test.go checks that no identifier contains one.
 package api
 
 import (
@@ -10,11 +10,11 @@
 	"encoding/json"
 )
 
-// FieldError tells which field of a body is wrong.
+// FieldError reports an invalid field of a request body.
 type FieldError struct {
-	// Field is the field's name in the body, with an index or a dot for what is inside it.
+	// Field is the path of the field in the body, such as "inputs[2].use".
 	Field string
-	// Want says what the field must be.
+	// Want describes the valid values.
 	Want string
 }
 
@@ -23,7 +23,7 @@
 // errNotObject returns the error for a body that is not a JSON object.
 func errNotObject() *FieldError { return &FieldError{"body", "must be a JSON object"} }
 
-// decodeObject decodes a body that must be a JSON object; the error is a *FieldError.
+// decodeObject decodes a body that must be a JSON object. The error is a *FieldError.
 func decodeObject(body []byte, into any) error {
 	if json.Unmarshal(body, into) != nil {
 		return errNotObject()
@@ -31,14 +31,14 @@
 	return nil
 }
 
-// isAbsent tells whether a field is missing or null.
+// isAbsent reports whether a field is missing or null.
 func isAbsent(raw json.RawMessage) bool {
 	return len(raw) == 0 || bytes.Equal(bytes.TrimSpace(raw), []byte("null"))
 }
 
-// Error is the body of a refusal.
+// Error is the response body of a rejected request.
 type Error struct {
 	Error string `json:"error"`
-	// Field is the wrong field of the request, if it is one alone.
+	// Field is the invalid field of the request; empty unless the error concerns exactly one field.
 	Field string `json:"field,omitempty"`
 }
--- a/api/cloud.go
+++ b/api/cloud.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// MachineType is one kind of machine in the cloud's catalog.
+// MachineType is a machine type in the cloud's catalog.
 type MachineType struct {
 	Name     string  `json:"sku"`
 	CPUs     float64 `json:"cores"`
 	Cards    float64 `json:"cards"`
 	MemoryGB float64 `json:"ram_gb"`
-	// CacheGB is the size of the image cache, PullGBs the rate of image fetches in gigabytes a second.
+	// CacheGB is the size of the image cache in gigabytes. PullGBs is the image download rate in gigabytes per second.
 	CacheGB float64 `json:"cache_gb"`
 	PullGBs float64 `json:"pull_gb_per_s"`
-	// Price and SpotPrice are per hour; SpotPrice is the current one.
+	// Price and SpotPrice are prices per hour. SpotPrice is the current spot price.
 	Price     float64 `json:"hourly"`
 	SpotPrice float64 `json:"low_price"`
 	// BootS is the nominal boot time in seconds.
@@ -19,7 +19,7 @@
 	Zones []string `json:"berths"`
 }
 
-// Fits tells whether one task of a job fits an empty machine of this type, in an allowed zone.
+// Fits reports whether one task of a job fits on an empty machine of this type in a zone that the job allows.
 func (machineType *MachineType) Fits(submission *Submission) bool {
 	const rounding = 1e-9
 	switch {
@@ -35,8 +35,8 @@
 	return submission.Zone == "" || slices.Contains(machineType.Zones, submission.Zone)
 }
 
-// InstanceRequest asks the cloud for machines. A request that has succeeded gets the same answer again
-// when it is repeated, so an IdempotencyKey is never used for another one.
+// InstanceRequest asks the cloud for machines. Repeating a successful request returns the original response,
+// so an IdempotencyKey must not be reused for a different request.
 type InstanceRequest struct {
 	IdempotencyKey string `json:"charter"`
 	Type           string `json:"hull"`
@@ -45,7 +45,7 @@
 	Count          int    `json:"how_many"`
 }
 
-// Instance is a machine as the cloud lists it.
+// Instance is a machine in the cloud's list.
 type Instance struct {
 	Name    string `json:"name_id"`
 	Address string `json:"address"`
@@ -53,6 +53,6 @@
 	Zone    string `json:"berth"`
 	Spot    bool   `json:"standby"`
 	State   string `json:"status"`
-	// AgeS is the time in seconds since the machine was requested, at the moment that the list describes.
+	// AgeS is the time in seconds from the request for the machine to the moment that the list describes.
 	AgeS float64 `json:"held_s"`
 }
--- a/api/configuration.go
+++ b/api/configuration.go
@@ -1,57 +1,59 @@
 package api
 
-// ConfigurationRequest asks for a change of the live configuration.
+// ConfigurationRequest is a request to change the live configuration.
 type ConfigurationRequest struct {
-	// Document is the whole new configuration, as TOML.
+	// Document is the complete new configuration in TOML.
 	Document string `json:"document"`
-	// By and Why, the operator and the reason, are stored with the revision.
+	// By is the operator and Why the reason for the change. Both are stored with the revision.
 	By  string `json:"by"`
 	Why string `json:"why"`
-	// Expect is the revision that must be the current one, 0 for none; nil means whichever is.
+	// Expect is the revision that must be current for the change to apply; 0 means that no revision may be stored,
+	// nil that any revision is accepted.
 	Expect *uint64 `json:"expect,omitempty"`
 }
 
-// ConfigurationView shows a revision of the live configuration. Revision 0 is what files and settings say.
+// ConfigurationView describes a revision of the live configuration. Revision 0 is the configuration that the
+// files and settings define.
 type ConfigurationView struct {
 	Revision uint64 `json:"revision"`
 	By       string `json:"by,omitempty"`
 	Why      string `json:"why,omitempty"`
-	// AtMS is when it was applied, in milliseconds of the time of day.
+	// AtMS is the time at which the revision was applied, in milliseconds since the Unix epoch.
 	AtMS     int64  `json:"at_ms,omitempty"`
 	Document string `json:"document,omitempty"`
-	// InForce tells that no controller decides or answers by an older revision; else WaitsFor says whom
-	// that waits for.
+	// InForce is true if no controller decides or answers by an older revision. Otherwise WaitsFor lists what
+	// still has to happen.
 	InForce  bool     `json:"in_force"`
 	WaitsFor []string `json:"waits_for,omitempty"`
-	// Newest is the newest stored revision. If it is another than Revision, NotTaken says why.
+	// Newest is the newest stored revision. If it differs from Revision, NotTaken gives the reason.
 	Newest   uint64 `json:"newest,omitempty"`
 	NotTaken string `json:"not_taken,omitempty"`
-	// Leader tells that the leader answers; else the answer is read from the stored records.
+	// Leader is true if the leader produced this view. Otherwise the view was read from the stored records.
 	Leader bool `json:"leader"`
 }
 
-// ConfigurationFieldError is one error in a document.
+// ConfigurationFieldError is one error in a configuration document.
 type ConfigurationFieldError struct {
-	// Line counts from 1; 0 means that the error is not in one line.
+	// Line is the line number, from 1; 0 means that the error cannot be attributed to one line.
 	Line  int    `json:"line,omitempty"`
 	Field string `json:"field"`
-	// Remedy says what the field must be.
+	// Remedy describes the valid values of the field.
 	Remedy string `json:"remedy"`
 }
 
-// ConfigurationFieldErrors refuses a document, with all its errors.
+// ConfigurationFieldErrors rejects a configuration document and lists all its errors.
 type ConfigurationFieldErrors struct {
 	Error    string                    `json:"error"`
 	Mistakes []ConfigurationFieldError `json:"mistakes"`
 }
 
-// ConfigurationConflict refuses a change that expected another revision than the current one, which
-// Revision, By and Why are about.
+// ConfigurationConflict rejects a change whose expected revision is not the current one. Revision, By and Why
+// describe the current revision.
 type ConfigurationConflict struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision"`
 	By       string `json:"by"`
 	Why      string `json:"why"`
-	// Differences are those from the current revision to the refused document.
+	// Differences lists the differences between the current revision and the rejected document.
 	Differences []string `json:"differences"`
 }
--- a/api/constraints.go
+++ b/api/constraints.go
@@ -8,45 +8,47 @@
 	"strings"
 )
 
-// Levels are what a topology's domains may be, outermost first. They must not be changed.
+// Levels lists the levels of topology domains, outermost first. Callers must not modify it.
 var Levels = []string{"region", "zone", "switch", "rack", "machine"}
 
-// shareRounding keeps a share that is written as a decimal from losing a task to rounding.
+// shareRounding is added before a share is converted to a number of tasks, so that the binary representation
+// of a decimal share does not lose a task.
 const shareRounding = 1e-9
 
-// Near asks for affinity: all tasks of a job in one domain of a level.
+// Near is an affinity constraint: all tasks of a job are placed in one domain of the given level.
 type Near struct {
 	Level string `json:"level"`
-	// Required tells that no task may be placed otherwise; else it is a preference.
+	// Must is true if the constraint is mandatory; otherwise it is a preference.
 	Must bool `json:"must"`
 }
 
-// Survive asks for anti-affinity: at most MaxTasks tasks of a job in one domain of a level, so that few are
-// lost with it.
+// Survive is an anti-affinity constraint: at most AtMost tasks of a job are placed in one domain of the given
+// level, which limits the tasks that the failure of a domain affects.
 type Survive struct {
 	Level  string `json:"level"`
 	AtMost int    `json:"at_most"`
-	// Required tells that no task may be placed otherwise; else it is a preference.
+	// Must is true if the constraint is mandatory; otherwise it is a preference.
 	Must bool `json:"must"`
 }
 
-// placementConstraint is near or survive as a user writes it.
+// placementConstraint is the "near" or "survive" field of a submission.
 type placementConstraint struct {
 	Level string `json:"level"`
-	// Required is true unless it is given.
+	// Required defaults to true.
 	Required *bool `json:"must"`
-	// MaxTasks is a number of tasks, Share a share of the job's tasks; only survive has them, and only one.
+	// MaxTasks is a number of tasks, Share a fraction of the job's tasks. "survive" has exactly one of them,
+	// "near" has neither.
 	MaxTasks *int     `json:"at_most"`
-	Share  *float64 `json:"share"`
+	Share    *float64 `json:"share"`
 }
 
-// isRequired tells whether the constraint must hold.
+// isRequired reports whether the constraint is mandatory rather than a preference.
 func (constraint *placementConstraint) isRequired() bool {
 	return constraint.Required == nil || *constraint.Required
 }
 
-// ParseSite reads the placement constraints of a submission of so many tasks. Each is nil if the body,
-// which must be a JSON object, does not have it. The error is a *FieldError.
+// ParseSite reads the placement constraints from the body of a submission, which must be a JSON object; tasks is
+// the job's number of tasks. A constraint is nil if the body does not contain it. The error is a *FieldError.
 func ParseSite(body []byte, tasks int) (*Near, *Survive, error) {
 	var fields struct {
 		Near    json.RawMessage `json:"near"`
@@ -66,7 +68,7 @@
 	return near, survive, nil
 }
 
-// parseAffinity reads an affinity; nil: there is none.
+// parseAffinity reads the "near" field and returns nil if it is absent.
 func parseAffinity(raw json.RawMessage) (*Near, error) {
 	constraint, err := parsePlacementConstraint("near", raw, `{"level":"rack","must":true}`)
 	if constraint == nil || err != nil {
@@ -78,7 +80,8 @@
 	return &Near{Level: constraint.Level, Must: constraint.isRequired()}, nil
 }
 
-// parseAntiAffinity reads an anti-affinity of a job of so many tasks; nil: there is none.
+// parseAntiAffinity reads the "survive" field of a job with the given number of tasks and returns nil if it is
+// absent.
 func parseAntiAffinity(raw json.RawMessage, tasks int) (*Survive, error) {
 	const example = `{"level":"rack","at_most":2} or {"level":"rack","share":0.5}`
 	constraint, err := parsePlacementConstraint("survive", raw, example)
@@ -97,14 +100,14 @@
 	case !(*share > 0 && *share <= 1):
 		return nil, &FieldError{"survive.share", "must be above 0 and at most 1"}
 	default:
-		// With fewer than one, no task could run.
+		// A limit of 0 would prevent every task from running.
 		survive.AtMost = max(1, int(*share*float64(tasks)+shareRounding))
 	}
 	return survive, nil
 }
 
-// parsePlacementConstraint reads the constraint of a field; nil: there is none. Unknown names in it are
-// refused, since a misspelt "must" would turn a preference into a condition.
+// parsePlacementConstraint reads the constraint in a field and returns nil if the field is absent. Unknown names
+// are rejected, since a misspelt "must" would turn a preference into a mandatory constraint.
 func parsePlacementConstraint(field string, raw json.RawMessage, example string) (*placementConstraint, error) {
 	if isAbsent(raw) {
 		return nil, nil
--- a/api/heartbeat.go
+++ b/api/heartbeat.go
@@ -2,51 +2,51 @@
 
 // Task states, as workers report them.
 const (
-	// TaskFetching is a task that waits for its image.
+	// TaskFetching means that the machine is fetching the task's image.
 	TaskFetching = "fetching"
-	// TaskRunning is a task that runs, or that waits for the rest of its gang.
+	// TaskRunning means that the task is running or waiting for the other tasks of its gang.
 	TaskRunning = "running"
-	// TaskSaving is a task that was told to stop and saves its progress.
+	// TaskSaving means that the task was told to stop and is saving its progress.
 	TaskSaving = "flushing"
-	// TaskExited is a task that has ended; its cause says why.
+	// TaskExited means that the task has exited; TaskReport.Cause gives the reason.
 	TaskExited = "ended"
 )
 
-// Causes of exits, as workers report them.
+// Exit causes, as workers report them.
 const (
-	// CauseDone is a task that completed.
+	// CauseDone means that the task completed.
 	CauseDone = "done"
-	// CauseStopped is a task that was stopped by command.
+	// CauseStopped means that a command stopped the task.
 	CauseStopped = "halted"
-	// CauseError is a task that failed, mostly because its machine is faulty.
+	// CauseError means that the task failed, in most cases because of a faulty machine.
 	CauseError = "error"
-	// CauseNoRoom is a start that was refused for lack of free resources.
+	// CauseNoRoom means that the worker rejected the start for lack of free resources.
 	CauseNoRoom = "no_room"
-	// CauseBusy is a start that was refused because another attempt of the task is on the machine.
+	// CauseBusy means that the worker rejected the start because another attempt of the task is on the machine.
 	CauseBusy = "busy"
-	// CauseUnknown is a start that was refused because the worker cannot find the job or task.
+	// CauseUnknown means that the worker rejected the start because it cannot find the job or task.
 	CauseUnknown = "unknown"
 )
 
-// Verbs of commands to workers.
+// Values of Command.Verb.
 const (
 	// CommandRun starts an attempt of a task.
 	CommandRun = "run"
-	// CommandKill stops an attempt. It may save its progress if its grace period is long enough.
+	// CommandKill stops an attempt. The task saves its progress if the grace period is long enough.
 	CommandKill = "kill"
 	// CommandClear removes an exited attempt from the worker's heartbeats.
 	CommandClear = "clear"
 )
 
-// TaskReport is one task in a worker's heartbeat.
+// TaskReport is the state of one task in a worker's heartbeat.
 type TaskReport struct {
 	Task    string `json:"part"`
 	Attempt uint64 `json:"try"`
-	// State is one of the task states.
+	// State is one of the task states, such as TaskRunning.
 	State string `json:"status"`
-	// Cause is one of the causes of exits; empty unless the task has exited.
+	// Cause is one of the exit causes, such as CauseDone; empty unless the task has exited.
 	Cause string `json:"cause"`
-	// Saved tells that the progress of a stopped task was saved.
+	// Saved is true if the progress of a stopped task was saved.
 	Saved bool `json:"stored"`
 }
 
@@ -57,23 +57,23 @@
 	Type    string `json:"hull"`
 	Zone    string `json:"berth"`
 	Spot    bool   `json:"standby"`
-	// Incarnation starts at 1 and grows each time the worker's lease expires, Seq with every heartbeat.
+	// Incarnation starts at 1 and increases each time the worker's lease expires. Seq increases with every heartbeat.
 	Incarnation uint64 `json:"watch"`
 	Seq         uint64 `json:"tally"`
 	// Term is the highest fencing token that the worker has seen.
 	Term uint64 `json:"helm"`
-	// PreemptionNoticeS is the time in seconds until the cloud takes the machine away; nil means no notice.
+	// PreemptionNoticeS is the time in seconds until the cloud reclaims the machine; nil if no notice was given.
 	PreemptionNoticeS *float64 `json:"recall_s"`
-	// Tasks are all tasks on the machine, including exited ones that no command has cleared.
+	// Tasks lists all tasks on the machine, including exited ones that no CommandClear has removed.
 	Tasks []TaskReport `json:"parts"`
 }
 
-// NewerThan tells whether a heartbeat is newer than the one with the given incarnation and seq.
+// NewerThan reports whether the heartbeat is newer than the one with the given incarnation and sequence number.
 func (heartbeat *Heartbeat) NewerThan(incarnation, seq uint64) bool {
 	return heartbeat.Incarnation > incarnation || heartbeat.Incarnation == incarnation && heartbeat.Seq > seq
 }
 
-// Check returns a *FieldError if a field is missing without which a heartbeat cannot be handled.
+// Check returns a *FieldError if a required field is missing.
 func (heartbeat *Heartbeat) Check() error {
 	switch {
 	case heartbeat.Machine == "":
@@ -84,27 +84,28 @@
 	return nil
 }
 
-// Command tells a worker what to do with an attempt of a task.
+// Command instructs a worker to start, stop or clear an attempt of a task.
 type Command struct {
 	// Verb is CommandRun, CommandKill or CommandClear.
 	Verb    string `json:"verb"`
 	Task    string `json:"part"`
 	Attempt uint64 `json:"try"`
-	// GraceS is the time in seconds that CommandKill leaves the task to save; nil for other verbs.
+	// GraceS is the grace period of CommandKill in seconds, in which the task may save its progress; nil for other
+	// verbs.
 	GraceS *float64 `json:"wind_down_s,omitempty"`
 }
 
-// HeartbeatResponse answers a heartbeat, or is sent directly to a worker. The worker executes the
-// commands in order.
+// HeartbeatResponse is the response to a heartbeat. A controller also sends it to a worker directly, outside of a
+// heartbeat. The worker executes the commands in order.
 type HeartbeatResponse struct {
 	// Term is the fencing token.
 	Term uint64 `json:"helm"`
-	// Incarnation is the worker's that the commands are for; only in what is sent directly.
+	// Incarnation is the worker incarnation that the commands are for; set only in messages that are sent directly.
 	Incarnation uint64    `json:"watch,omitempty"`
 	Commands    []Command `json:"orders"`
 }
 
-// Redirect names the controller to report to; empty means the next one.
+// Redirect tells a worker which controller to report to. If Controller is empty, the worker tries the next one.
 type Redirect struct {
 	Controller string `json:"harbor,omitempty"`
 }
--- a/api/inputs.go
+++ b/api/inputs.go
@@ -7,24 +7,24 @@
 	"switchferry/tuning"
 )
 
-// How tasks use an input.
+// Values of Input.Use.
 const (
-	// UseAll tells that every task needs the whole dataset.
+	// UseAll means that every task needs the whole dataset.
 	UseAll = "all"
-	// UseOwn tells that task k needs part k.
+	// UseOwn means that task k needs only part k.
 	UseOwn = "own"
 )
 
-// Input is a dataset that a job's tasks need on their machine before they start.
+// Input is a dataset that must be on a task's machine before the task starts.
 type Input struct {
 	Dataset string `json:"dataset"`
 	// Use is UseAll or UseOwn.
 	Use string `json:"use"`
 }
 
-// ParseInputs reads the inputs of a submission. A body, which must be a JSON object, without the field
-// has none. The error is a *FieldError. The number of tasks is not looked at: whether a dataset has a
-// part for each is known only to its record.
+// ParseInputs reads the inputs from the body of a submission, which must be a JSON object. It returns nil if the
+// field is absent. The error is a *FieldError. The number of tasks is ignored: only the record of a dataset tells
+// whether the dataset has a part for each task.
 func ParseInputs(body []byte, _ int) ([]Input, error) {
 	var fields struct {
 		Inputs json.RawMessage `json:"inputs"`
--- a/api/staging.go
+++ b/api/staging.go
@@ -7,14 +7,14 @@
 	"switchferry/tuning"
 )
 
-// StageSource is where a part of a dataset can be copied from: another machine's agent, or the store.
+// StageSource is a source from which a part of a dataset can be copied: another machine's agent or the store.
 type StageSource struct {
-	// Peer is the address of an agent; empty if Store is set.
+	// Peer is the address of an agent; empty if Store is true.
 	Peer  string `json:"peer,omitempty"`
 	Store bool   `json:"store,omitempty"`
 }
 
-// String returns the source's name in logs.
+// String returns the source's name for logs.
 func (source StageSource) String() string {
 	if source.Store {
 		return "store"
@@ -22,56 +22,57 @@
 	return source.Peer
 }
 
-// StageCopy is one part to be copied now, and the sources to try, best first.
+// StageCopy is a part to copy now, with the sources to try, best first.
 type StageCopy struct {
 	Part int           `json:"part"`
 	From []StageSource `json:"from"`
 }
 
-// StageSet is what a machine shall have of one dataset.
+// StageSet lists the parts of one dataset that a machine must hold.
 type StageSet struct {
 	Dataset  string `json:"dataset"`
 	Manifest string `json:"manifest"`
-	// Parts are to be kept as long as an order lists them.
+	// Parts are kept for as long as an order lists them.
 	Parts PartSet `json:"parts"`
-	// Copies are those of them that are to be copied now.
+	// Copies lists those of Parts that are to be copied now.
 	Copies []StageCopy `json:"copies,omitempty"`
 }
 
-// StageOrder tells an agent all that its machine shall have. It replaces the previous one.
+// StageOrder tells an agent everything that its machine must hold. It replaces the previous order.
 type StageOrder struct {
 	// Term is the fencing token.
 	Term uint64 `json:"helm"`
-	// Incarnation is that of the agent that the order is for.
+	// Incarnation is the agent incarnation that the order is for.
 	Incarnation uint64 `json:"session,omitempty"`
-	// Order grows with every order of a term.
+	// Order is a sequence number that increases with every order of a term.
 	Order uint64 `json:"order"`
-	// Known is the version of the agent's holdings that the controllers have.
+	// Known is the version of the agent's holdings that the controllers know.
 	Known uint64     `json:"known"`
 	Sets  []StageSet `json:"sets"`
-	// Drop are manifests of datasets that were removed for good. The agent deletes what no other dataset
-	// on its machine needs of them.
+	// Drop lists the manifests of datasets that were removed permanently. The agent deletes their data unless
+	// another dataset on its machine needs it.
 	Drop []string `json:"drop,omitempty"`
 }
 
-// StageHeld is a set of parts of one dataset in an agent's heartbeat.
+// StageHeld lists parts of one dataset in an agent's heartbeat.
 type StageHeld struct {
 	Dataset  string `json:"dataset"`
 	Manifest string `json:"manifest"`
-	// Of is the dataset's number of parts.
+	// Of is the number of parts of the dataset.
 	Of    int     `json:"of,omitempty"`
 	Parts PartSet `json:"parts"`
 }
 
-// StageFailure is a source that did not give a part, and why.
+// StageFailure is a failed attempt to copy a part from a source.
 type StageFailure struct {
 	From StageSource `json:"from"`
 	Why  string      `json:"why"`
-	// Corrupt tells that the source gave wrong bytes, or lacked what it had announced.
+	// Corrupt is true if the source sent wrong bytes or did not have a part that it had announced.
 	Corrupt bool `json:"lied,omitempty"`
 }
 
-// StageProgress is a copy under way. Got and Of are bytes.
+// StageProgress is the progress of a copy. Got is the number of bytes copied so far, Of the size of the part in
+// bytes.
 type StageProgress struct {
 	Dataset string         `json:"dataset"`
 	Part    int            `json:"part"`
@@ -79,7 +80,7 @@
 	Of      int64          `json:"of"`
 	From    StageSource    `json:"from"`
 	Failed  []StageFailure `json:"failed,omitempty"`
-	// Full tells that the cache has no space for the part.
+	// Full is true if the cache has no space for the part.
 	Full bool `json:"full,omitempty"`
 }
 
@@ -87,32 +88,33 @@
 type StageHeartbeat struct {
 	Machine string `json:"host"`
 	Address string `json:"address"`
-	// Incarnation grows with each start of the agent, Seq with each heartbeat of an incarnation.
+	// Incarnation increases with each start of the agent, Seq with each heartbeat of an incarnation.
 	Incarnation uint64 `json:"session"`
 	Seq         uint64 `json:"seq"`
-	// Term and Order are those of the newest order that the agent has accepted.
+	// Term and Order identify the newest order that the agent has accepted.
 	Term  uint64 `json:"helm"`
 	Order uint64 `json:"order"`
-	// Quota is the size of the cache, Used what is in it.
+	// Quota is the capacity of the cache, Used the space taken in it.
 	Quota int64 `json:"quota"`
 	Used  int64 `json:"used"`
-	// Version counts the changes of the agent's holdings. While the controllers know it, All is false
-	// and Holds is left out; else All is true and Holds is all that the cache has.
+	// Version counts the changes of the agent's holdings. If the controllers know this version, All is false
+	// and Holds is omitted. Otherwise All is true and Holds lists everything in the cache.
 	Version uint64      `json:"version"`
 	All     bool        `json:"all,omitempty"`
 	Holds   []StageHeld `json:"holds,omitempty"`
-	// Pinned are the parts of the newest order that are complete, checked, and kept.
+	// Pinned lists the parts of the newest order that are complete, verified and protected from eviction.
 	Pinned []StageHeld     `json:"pinned,omitempty"`
 	Copies []StageProgress `json:"copies,omitempty"`
-	// FromStore and FromPeers count the bytes copied since the agent began, by where they came from.
+	// FromStore and FromPeers are the numbers of bytes copied from the store and from other agents since the
+	// agent started.
 	FromStore int64 `json:"from_store"`
 	FromPeers int64 `json:"from_peers"`
 }
 
-// maxReportedBytes is the largest size that an agent may report. Sums of a few do not overflow.
+// maxReportedBytes is the largest size, in bytes, that an agent may report; a sum of up to four does not overflow.
 const maxReportedBytes = math.MaxInt64 / 4
 
-// Check returns a *FieldError if a heartbeat cannot be handled, or has numbers that are impossible.
+// Check returns a *FieldError if a required field is missing or a number is out of range.
 func (heartbeat *StageHeartbeat) Check() error {
 	switch {
 	case heartbeat.Machine == "":
@@ -136,11 +138,11 @@
 	}
 	for index, progress := range heartbeat.Copies {
 		if progress.Part < 0 || progress.Part >= tuning.PartsLimit || progress.Got < 0 || progress.Of < 0 {
-			return &FieldError{fmt.Sprintf("copies[%d]", index), "has impossible numbers"}
+			return &FieldError{fmt.Sprintf("copies[%d]", index), "has numbers that are out of range"}
 		}
 	}
 	return nil
 }
 
-// validSize tells whether a number can be a size in bytes.
+// validSize reports whether a number is a valid size in bytes.
 func validSize(size int64) bool { return size >= 0 && size <= maxReportedBytes }
--- a/api/staging_test.go
+++ b/api/staging_test.go
@@ -7,8 +7,8 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// A heartbeat comes from outside. Whatever passes the check must not break code that
-// handles it.
+// Heartbeats come from untrusted senders. A heartbeat that passes Check must not break the code that
+// processes it.
 func FuzzStageHeartbeat(f *testing.F) {
 	heartbeat := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
 		Holds:  []StageHeld{{Dataset: "a", Of: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
--- a/api/submission.go
+++ b/api/submission.go
@@ -7,15 +7,17 @@
 	"regexp"
 )
 
-// Shapes of jobs. The tasks of an array and of a gang run to completion, those of a gang all at the same
-// time; the tasks of a service run until the job is cancelled.
+// Values of Submission.Shape.
 const (
+	// JobArray is a job whose tasks run to completion independently.
 	JobArray = "sweep"
-	Gang     = "gang"
-	Service  = "standing"
+	// Gang is a job whose tasks run to completion, all at the same time.
+	Gang = "gang"
+	// Service is a job whose tasks run until the job is cancelled.
+	Service = "standing"
 )
 
-// Job states as users see them.
+// Values of JobStatus.State.
 const (
 	Pending   = "pending"
 	Running   = "running"
@@ -23,23 +25,25 @@
 	Cancelled = "withdrawn"
 )
 
-// Levels of the lowest and the highest rank.
+// Numeric levels of the lowest and the highest rank.
 const (
-	RankLow        = 0
+	// RankLow is the level of the rank "low".
+	RankLow = 0
+	// RankProduction is the level of the rank "prod".
 	RankProduction = 3
 )
 
-// rankLevels holds the level of each rank by its name in the protocol.
+// rankLevels maps the protocol's rank names to their levels.
 var rankLevels = map[string]int{"low": RankLow, "normal": 1, "high": 2, "prod": RankProduction}
 
-// MaxTasks is the protocol's limit of tasks in a job.
+// MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100_000
 
-// amountLimit is the largest amount that a submission may ask for.
+// amountLimit is the largest amount or duration in a submission.
 const amountLimit = 1e9
 
-// Submission is a job as its user describes it. Amounts are per task, in processors, accelerators and
-// gigabytes; times are in seconds.
+// Submission is a job as submitted by a user. Amounts are per task, in processors, accelerators and gigabytes;
+// times are in seconds.
 type Submission struct {
 	ID    string `json:"name_id"`
 	Class string `json:"jobclass"`
@@ -51,39 +55,39 @@
 	CPUs     float64 `json:"cores"`
 	Cards    float64 `json:"cards"`
 	MemoryGB float64 `json:"ram_gb"`
-	// Image is what a machine must have before a task can start, ImageGB its size.
+	// Image is the image that a machine must have before a task can start, ImageGB its size.
 	Image   string  `json:"bundle"`
 	ImageGB float64 `json:"size_gb"`
-	// Types are the allowed machine types; empty means any.
+	// Types lists the allowed machine types; empty means any.
 	Types []string `json:"hulls,omitempty"`
 	// Zone is the only allowed zone; empty means any.
 	Zone string `json:"berth,omitempty"`
-	// OneZone asks for all tasks in the same zone, Spread for at most half of them in one.
+	// OneZone requires all tasks in the same zone. Spread allows at most half of them in one zone.
 	OneZone bool `json:"together"`
 	Spread  bool `json:"apart"`
-	// Spot allows spot machines.
+	// Spot allows placement on spot machines.
 	Spot bool `json:"standby"`
-	// EstimateS is the owner's estimate of a task's run time, often wrong; 0 for services.
+	// EstimateS is the owner's estimate of a task's run time, which is often wrong; 0 for services.
 	EstimateS float64 `json:"expect_s"`
-	// Checkpoint is the interval of progress after which a task saves by itself; 0 means that it never
-	// saves. SaveS is the time it takes to save when it is stopped.
+	// Checkpoint is the run time between two checkpoints of a task; 0 means that it never writes one. SaveS is the
+	// time that a task needs to save its progress when it is stopped.
 	Checkpoint float64 `json:"snapshot_s"`
 	SaveS      float64 `json:"stow_s"`
-	// DeadlineS is when the job should be done, from its submission; 0 means no deadline.
+	// DeadlineS is the time from submission by which the job should be done; 0 means no deadline.
 	DeadlineS float64 `json:"due_s,omitempty"`
-	// Awaits are the jobs that must be done before any task of this one starts.
+	// Awaits lists the jobs that must be done before any task of this one starts.
 	Awaits []string `json:"awaits,omitempty"`
-	// Inputs are the datasets that tasks need; none unless that feature is on.
+	// Inputs lists the datasets that the tasks need; empty unless the data feature is on.
 	Inputs []Input `json:"inputs,omitempty"`
-	// Near and Survive constrain the placement of tasks; nil unless that feature is on.
+	// Near and Survive constrain the placement of tasks; nil unless the topology feature is on.
 	Near    *Near    `json:"near,omitempty"`
 	Survive *Survive `json:"survive,omitempty"`
 }
 
-// RankLevel returns the rank as a number; a higher one goes first.
+// RankLevel returns the numeric level of the rank. Jobs of a higher level have priority.
 func (submission *Submission) RankLevel() int { return rankLevels[submission.Rank] }
 
-// JobStatus is the answer to a user who asks about a job. Done and Running count tasks.
+// JobStatus is the response to a user's query for a job. Done and Running are numbers of tasks.
 type JobStatus struct {
 	ID      string `json:"name_id"`
 	State   string `json:"status"`
@@ -91,16 +95,15 @@
 	Running int    `json:"running"`
 }
 
-// jobIDPattern is the form of job ids.
+// jobIDPattern is the pattern of valid job ids.
 var jobIDPattern = regexp.MustCompile(`^run-[0-9]{1,32}$`)
 
-// ValidID tells whether a job id has the protocol's form.
+// ValidID reports whether a job id has the form that the protocol requires.
 func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// ParseSubmission decodes and checks a submission without its inputs and placement constraints, which
-// ParseInputs and ParseSite read. The error is a *FieldError for the first wrong field. The id is
-// returned with an error too, where a valid one could be read, since a job that is known already is
-// never refused.
+// ParseSubmission decodes and validates a submission except for its inputs and placement constraints, which
+// ParseInputs and ParseSite read. The error is a *FieldError for the first invalid field. If the body has a valid
+// id, it is returned even with an error, since the resubmission of a known job is never rejected.
 func ParseSubmission(body []byte) (submission *Submission, id string, err error) {
 	var fields map[string]json.RawMessage
 	if err := decodeObject(body, &fields); err != nil {
@@ -120,13 +123,13 @@
 	return submission, id, nil
 }
 
-// submissionReader reads the fields of a submission and keeps the first error.
+// submissionReader reads the fields of a submission and records the first error.
 type submissionReader struct {
 	fields     map[string]json.RawMessage
 	firstError *FieldError
 }
 
-// read reads all fields. The result is of use only without an error, but for its id.
+// read reads all fields. If it records an error, only the id of the result is meaningful.
 func (reader *submissionReader) read() *Submission {
 	submission := &Submission{}
 	reader.readIdentity(submission)
@@ -139,7 +142,7 @@
 	return submission
 }
 
-// readIdentity reads what the job is and whose.
+// readIdentity reads the job's id, class, team, shape and rank.
 func (reader *submissionReader) readIdentity(submission *Submission) {
 	reader.readString("name_id", &submission.ID)
 	if submission.ID != "" && !ValidID(submission.ID) {
@@ -159,7 +162,7 @@
 	}
 }
 
-// readAmounts reads how many tasks there are and what each needs of a machine.
+// readAmounts reads the number of tasks and the resources that each needs.
 func (reader *submissionReader) readAmounts(submission *Submission) {
 	given := reader.readRequired("parts", &submission.Tasks, "must be an integer")
 	if given && (submission.Tasks < 1 || submission.Tasks > MaxTasks) {
@@ -174,7 +177,7 @@
 	reader.readAmount("size_gb", &submission.ImageGB)
 }
 
-// readPlacement reads on which machines tasks may run.
+// readPlacement reads which machines the tasks may run on.
 func (reader *submissionReader) readPlacement(submission *Submission) {
 	given := reader.readOptional("hulls", &submission.Types, "must be a list of strings or null")
 	if given && len(submission.Types) == 0 {
@@ -196,17 +199,17 @@
 	}
 }
 
-// wantNumber is what an amount must be.
+// wantNumber is the error text for a value that is not a number.
 const wantNumber = "must be a number"
 
-// fail records that a field is wrong, unless another was before.
+// fail records an invalid field unless an earlier error is recorded.
 func (reader *submissionReader) fail(field, want string) {
 	if reader.firstError == nil {
 		reader.firstError = &FieldError{field, want}
 	}
 }
 
-// readOptional decodes a field that may be missing or null, and tells whether it had a value of the right type.
+// readOptional decodes a field that may be missing or null. It reports whether the field has a value of the right type.
 func (reader *submissionReader) readOptional(field string, into any, want string) bool {
 	raw := reader.fields[field]
 	if isAbsent(raw) {
@@ -219,7 +222,7 @@
 	return true
 }
 
-// readRequired decodes a field that must be there, and tells whether it had a value of the right type.
+// readRequired decodes a required field. It reports whether the field has a value of the right type.
 func (reader *submissionReader) readRequired(field string, into any, want string) bool {
 	if isAbsent(reader.fields[field]) {
 		reader.fail(field, "is missing")
@@ -228,24 +231,24 @@
 	return reader.readOptional(field, into, want)
 }
 
-// readString reads a string that must not be empty.
+// readString reads a required string that must not be empty.
 func (reader *submissionReader) readString(field string, into *string) {
 	if reader.readRequired(field, into, "must be a string") && *into == "" {
 		reader.fail(field, "must not be empty")
 	}
 }
 
-// readBool reads a truth value.
+// readBool reads a required boolean.
 func (reader *submissionReader) readBool(field string, into *bool) {
 	reader.readRequired(field, into, "must be true or false")
 }
 
-// readAmount reads a number and tells whether it is valid.
+// readAmount reads a required number and reports whether it is valid.
 func (reader *submissionReader) readAmount(field string, into *float64) bool {
 	return reader.readRequired(field, into, wantNumber) && reader.checkRange(field, *into)
 }
 
-// checkRange tells whether a number is in the range of amounts.
+// checkRange reports whether a number is in the valid range of amounts and records an error if not.
 func (reader *submissionReader) checkRange(field string, value float64) bool {
 	if math.IsNaN(value) || value < 0 || value > amountLimit {
 		reader.fail(field, "must be between 0 and 1e9")
@@ -254,7 +257,7 @@
 	return true
 }
 
-// readAwaits reads the jobs that a submission waits for.
+// readAwaits reads the ids of the jobs that a submission waits for.
 func (reader *submissionReader) readAwaits(raw json.RawMessage) []string {
 	const want = "must be a list of one or more job ids like run-000412, or be left out"
 	var awaits []string
--- a/api/submission_test.go
+++ b/api/submission_test.go
@@ -22,7 +22,7 @@
 	if err != nil || id != "run-000412" || submission.Tasks != 16 || submission.Types[0] != "g8" {
 		t.Errorf("%+v %q %v", submission, id, err)
 	}
-	// What is stored must say the same again.
+	// A submission is stored as JSON and must survive the round trip.
 	again, _ := json.Marshal(submission)
 	var back Submission
 	if json.Unmarshal(again, &back) != nil || back.Team != "vision" || back.DeadlineS != 0 {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Every field that is missing, mistyped or out of range is named.
+// The error names the field that is missing, of the wrong type or out of range.
 func TestParseSubmissionNamesInvalidField(t *testing.T) {
 	for field := range validSubmission() {
 		if field == "hulls" || field == "berth" || field == "due_s" {
@@ -61,14 +61,14 @@
 		t.Errorf("%s: error %v", field, err)
 	}
 	if field != "name_id" && id != "run-000412" {
-		t.Errorf("%s: the id was lost", field)
+		t.Errorf("%s: the id was not returned with the error", field)
 	}
 }
 
 func TestParseSubmissionRejectsNonObjects(t *testing.T) {
 	for _, body := range []string{"", "{", "[]", "null", "3", `"x"`, `{"cores": 1e999}`} {
 		if _, _, err := ParseSubmission([]byte(body)); err == nil {
-			t.Errorf("%q was taken", body)
+			t.Errorf("%q was accepted", body)
 		}
 	}
 }
--- a/api/topology.go
+++ b/api/topology.go
@@ -1,47 +1,47 @@
 package api
 
-// TopologyView is the topology as the leader sees it.
+// TopologyView describes the topology in the leader's current state.
 type TopologyView struct {
 	Version int          `json:"version"`
 	Domains []DomainView `json:"domains"`
-	// Unlisted counts the machines that are in no domain, Ambiguous those that are in two.
+	// Unlisted is the number of machines in no domain, Ambiguous the number of machines in two domains.
 	Unlisted  int `json:"not_named"`
 	Ambiguous int `json:"named_twice"`
-	// Waiting are the jobs with tasks that wait for their inputs.
+	// Waiting lists the jobs with tasks that wait for their inputs.
 	Waiting []WaitingView `json:"waiting"`
-	// Reserved are the domains that are being drained for a job.
+	// Reserved lists the domains that are being drained for a job.
 	Reserved []ReservedView `json:"reserved"`
 }
 
-// ReservedView is a domain that is kept free for a job.
+// ReservedView is a domain that is reserved for a job.
 type ReservedView struct {
 	Domain string `json:"domain"`
 	Job    string `json:"job"`
-	// InS is about when the reservation ends, in seconds from now.
+	// InS is the approximate time until the reservation ends, in seconds.
 	InS float64 `json:"in_s"`
 }
 
-// DomainView is one domain of the topology. The free amounts are those of machines that may get work now.
+// DomainView is one domain of the topology. Free amounts are those of machines that can currently be given tasks.
 type DomainView struct {
 	Name  string `json:"name"`
 	Level string `json:"level"`
-	// In is the domain around this one; empty for an outermost one.
+	// In is the parent domain; empty for an outermost domain.
 	In string `json:"in,omitempty"`
-	// Machines counts the domain's machines, Usable those that may get work now.
+	// Machines is the number of machines in the domain, Usable the number of those that can currently be given tasks.
 	Machines int     `json:"machines"`
 	Usable   int     `json:"usable"`
 	CPUs     float64 `json:"free_cpus"`
 	Cards    float64 `json:"free_cards"`
 	MemoryGB float64 `json:"free_memory_gb"`
-	// Silent tells that the domain has machines and none of them may get work.
+	// Silent is true if the domain has machines and none of them can be given tasks.
 	Silent bool `json:"silent"`
 }
 
-// Explanation tells where a job's tasks are and why others wait.
+// Explanation describes where a job's tasks are placed and why others wait.
 type Explanation struct {
 	Job   string `json:"job"`
 	State string `json:"state"`
-	// Tasks, Done and Waiting count tasks.
+	// Tasks, Done and Waiting are the numbers of all, completed and waiting tasks.
 	Tasks     int            `json:"tasks"`
 	Done      int            `json:"done"`
 	Waiting   int            `json:"waiting"`
@@ -49,19 +49,19 @@
 	Locations []TaskLocation `json:"stands"`
 }
 
-// TaskLocation is how many tasks of a job are, or may be, in one domain, or on a machine that is in none.
+// TaskLocation is the number of tasks of a job that are, or may be, in one domain or on a machine in no domain.
 type TaskLocation struct {
 	Domain string `json:"domain"`
 	Level  string `json:"level"`
 	Tasks  int    `json:"tasks"`
-	// Unconfirmed counts those of them on machines from which no heartbeats come.
+	// Unconfirmed is the number of those tasks on machines that send no heartbeats.
 	Unconfirmed int `json:"unsure"`
 }
 
 // WaitingView is a job with tasks that wait for their inputs.
 type WaitingView struct {
 	Job string `json:"job"`
-	// Tasks counts those that wait.
+	// Tasks is the number of waiting tasks.
 	Tasks int    `json:"tasks"`
 	Why   string `json:"why"`
 }
--- a/api/words_test.go
+++ b/api/words_test.go
@@ -14,8 +14,8 @@
 	"unicode"
 )
 
-// protocolWords are the words that the protocol has for things that the code calls by other names. They may
-// stand in struct tags and in the values of constants, never in an identifier.
+// protocolWords maps words of the protocol to the terms that the code uses instead. They may occur in struct tags
+// and in the values of constants, but not in identifiers.
 var protocolWords = map[string]string{
 	"helm":      "term",
 	"berth":     "zone, or slot of a topology",
@@ -29,12 +29,12 @@
 	"bundle":    "image",
 }
 
-// allowedIdentifiers are identifiers that have such a word nevertheless, after their directory. The list may
-// only shrink: an entry without an identifier fails the test too. All words are absent elsewhere, also those
-// that are plain English (bundle, charter, standby, tally).
+// allowedIdentifiers lists the exceptions: identifiers that contain a protocol word, each as "directory name". The
+// list may only shrink: an entry without a matching identifier fails the test too. Words that are also plain English
+// (bundle, charter, standby, tally) are covered as well.
 var allowedIdentifiers = map[string]bool{}
 
-// generatedDirectory holds generated code, whose names are those of the frames between controllers.
+// generatedDirectory contains generated code, which uses the names of the frames between controllers.
 const generatedDirectory = "peer/wire"
 
 func TestIdentifiersContainNoProtocolWords(t *testing.T) {
@@ -64,7 +64,7 @@
 			}
 			found[key] = true
 			if !allowedIdentifiers[key] {
-				t.Errorf("%s: %s has the protocol's word %q; call it %s", position, name, word, protocolWords[word])
+				t.Errorf("%s: %s contains the protocol word %q; use %s", position, name, word, protocolWords[word])
 			}
 		})
 	})
@@ -72,11 +72,11 @@
 		t.Fatal(err)
 	}
 	if files < 100 {
-		t.Errorf("only %d Go files were found; the test does not run in the tree", files)
+		t.Errorf("found only %d Go files; the test does not run in the source tree", files)
 	}
 	for _, key := range slices.Sorted(maps.Keys(allowedIdentifiers)) {
 		if !found[key] {
-			t.Errorf("themedIdentifiers lists %q, which is gone; remove it there", key)
+			t.Errorf("allowedIdentifiers lists %q, which no longer exists; remove the entry", key)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// isSkippedDirectory tells whether a directory has no source: hidden ones, data, and what builds leave.
+// isSkippedDirectory reports whether a directory contains no source: hidden, data and build output directories.
 func isSkippedDirectory(name string) bool {
 	switch name {
 	case "testdata", "journal", "target", "vendor":
@@ -102,7 +102,7 @@
 	return name != ".." && strings.HasPrefix(name, ".")
 }
 
-// protocolWordIn returns the first word of the protocol that is a word of the identifier, in singular or plural.
+// protocolWordIn returns the first protocol word that occurs as a word of the identifier, in singular or plural.
 func protocolWordIn(identifier string) (string, bool) {
 	for _, part := range splitIdentifier(identifier) {
 		lower := strings.ToLower(part)
@@ -116,7 +116,7 @@
 	return "", false
 }
 
-// splitIdentifier returns the words of an identifier, such as Term, ID and Seq of TermIDSeq.
+// splitIdentifier returns the words of an identifier, such as Term, ID and Seq for TermIDSeq.
 func splitIdentifier(identifier string) []string {
 	var words []string
 	start := 0
@@ -134,7 +134,7 @@
 	return append(words, string(letters[start:]))
 }
 
-// beginsWord tells whether the upper-case letter at an index is not one in the middle of an initialism.
+// beginsWord reports whether the upper-case letter at an index begins a word, that is, is not inside an initialism.
 func beginsWord(letters []rune, index int) bool {
 	return unicode.IsLower(letters[index-1]) || index+1 < len(letters) && unicode.IsLower(letters[index+1])
 }
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -75,8 +75,8 @@
 	PerStart  float64 `json:"per_start_a_second"`
 	// Residual is the largest deviation of a measured point from the fit, as a share of the measured value; Points is
 	// how many points there were, of the sizes from Least to Most.
-	Residual    float64 `json:"residual"`
-	Points      int     `json:"points"`
+	Residual         float64 `json:"residual"`
+	Points           int     `json:"points"`
 	MinSize, MaxSize Size    `json:"-"`
 }
 
--- a/lint/main.go
+++ b/lint/main.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	errMoreFindings       = errors.New("more findings than the baseline allows")
+	errMoreFindings = errors.New("more findings than the baseline allows")
 	errHigherTotals = errors.New("baseline not written: a linter has more findings in the whole tree")
 )
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -38,12 +38,12 @@
 	Zones []string `toml:"zones"`
 	// MaxClockErrorMS bounds how far a time of day is from the true time, in milliseconds.
 	MaxClockErrorMS float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Resources  Resources   `toml:"resources"`
+	Teams           []Team      `toml:"teams"`
+	Objectives      []Objective `toml:"objectives"`
+	Workers         Workers     `toml:"workers"`
+	State           State       `toml:"state"`
+	Cloud           Cloud       `toml:"cloud"`
+	Resources       Resources   `toml:"resources"`
 }
 
 // Team has the guarantee and the limit of a team. An amount of 0 means none.
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -44,8 +44,8 @@
 // The subgradient method takes Polyak's steps towards a value below the best so far, by initialTarget of it at first, and
 // by half as much each time that nothing better was found for more than maxStaleRounds rounds.
 const (
-	initialTarget = 0.1
-	maxStaleRounds   = 12
+	initialTarget  = 0.1
+	maxStaleRounds = 12
 	// minImprovement is by how much a value must be below the best so far to count as better.
 	minImprovement = 1e-9
 )
@@ -149,7 +149,7 @@
 
 // cumulativePrice is what one CPU costs from the start of the day up to a time.
 type cumulativePrice struct {
-	slotS   float64
+	slotS  float64
 	prices []float64
 	// costAtSlotStart is the cost up to the start of each slot, and up to the end of the last one.
 	costAtSlotStart []float64
