--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity estimates what a deployment of some size needs, from figures that were measured at smaller and larger
-// ones. A figure is fitted as a constant and a slope each for workers, running tasks and starts a second. An estimate
-// comes with the residual of its fit, and is marked where the size lies outside of what was measured. The package
-// measures nothing and reads no clock.
+// Package capacity estimates the resources that a deployment of a given size needs, from figures measured on
+// deployments of other sizes. Each figure is fitted as a linear function of workers, running tasks and task starts per
+// second. An estimate includes the residual of its fit and is marked as extrapolated if the size lies outside of the
+// measured range. The package measures nothing and reads no clock.
 package capacity
 
 import (
@@ -14,40 +14,40 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Figures that are fitted, with their units.
+// Names of the fitted figures, with their units.
 const (
 	LeaderCPU         = "leader_cpu"         // share of one core, mean
-	LeaderPeak        = "leader_cpu_p99"     // share of one core, 99th percentile of seconds
+	LeaderPeak        = "leader_cpu_p99"     // share of one core, 99th percentile over one-second samples
 	LeaderMemory      = "leader_memory"      // MB resident
 	LeaderSockets     = "leader_descriptors" // open descriptors
-	FollowerCPU       = "follower_cpu"       // share of one core, mean, of the busier follower
+	FollowerCPU       = "follower_cpu"       // share of one core, mean, of the follower with the higher load
 	FollowerMemory    = "follower_memory"    // MB resident
 	FollowerSockets   = "follower_sockets"   // open descriptors
-	TakeoverPeak      = "takeover_cpu_peak"  // share of one core, busiest second after a change of leader
+	TakeoverPeak      = "takeover_cpu_peak"  // share of one core, maximum over one-second samples after a change of leader
 	TakeoverMemory    = "takeover_memory"    // MB resident, new leader
-	StateRequests     = "state_requests"     // requests a second of all controllers
-	StateTransactions = "state_transactions" // transactions a second of all controllers
-	StateChanges      = "state_changes"      // puts and deletes a second of all controllers
-	ReportBytes       = "report_bytes"       // bytes a second of all workers' reports and their answers
-	CommandMessages   = "command_messages"   // direct commands a second of all workers
-	SiblingBytes      = "sibling_bytes"      // bytes a second between all controllers
-	CloudRequests     = "cloud_requests"     // requests a second of all controllers
-	HollowCPU         = "worker_cpu_at_most" // share of one core of all fake workers, the fake services and users included
-	TakeoverFirst     = "takeover_first"     // seconds from a crash of the leader to the first start
-	TakeoverAll       = "takeover_all_heard" // seconds until every worker was answered by the new leader
+	StateRequests     = "state_requests"     // requests per second of all controllers
+	StateTransactions = "state_transactions" // transactions per second of all controllers
+	StateChanges      = "state_changes"      // puts and deletes per second of all controllers
+	ReportBytes       = "report_bytes"       // bytes per second of all workers' heartbeats and their responses
+	CommandMessages   = "command_messages"   // directly sent commands per second to all workers
+	SiblingBytes      = "sibling_bytes"      // bytes per second between all controllers
+	CloudRequests     = "cloud_requests"     // requests per second of all controllers
+	HollowCPU         = "worker_cpu_at_most" // share of one core, all fake workers, services and users together
+	TakeoverFirst     = "takeover_first"     // seconds from a leader crash to the first task start
+	TakeoverAll       = "takeover_all_heard" // seconds from a leader crash until the new leader has answered every worker
 )
 
-// Measurement is what was measured of a deployment of one size.
+// Measurement holds the figures measured on a deployment of one size.
 type Measurement struct {
 	Name    string  `json:"name"`
 	Workers float64 `json:"workers"`
 	Tasks   float64 `json:"tasks"`
 	Starts  float64 `json:"starts_per_s"`
-	// Figures holds the measured ones by name; some may be missing.
+	// Figures holds the measured figures by name; some may be missing.
 	Figures map[string]float64 `json:"figures"`
 }
 
-// Size is the size of a deployment whose needs are estimated.
+// Size is the size of a deployment.
 type Size struct {
 	Workers       float64 `json:"workers"`
 	Tasks         float64 `json:"tasks"`
@@ -57,50 +57,51 @@
 	ChangesPerDay float64 `json:"configuration_changes_per_day"`
 }
 
-// Planned is the size that operators plan for.
+// Planned returns the size that operators plan for.
 func Planned() Size {
 	return Size{Workers: 1600, Tasks: 38_000, JobsPerDay: 8900, Starts: 97, Teams: 110, ChangesPerDay: 610}
 }
 
-// Scale multiplies a size by a factor.
+// Scale returns the size multiplied by a factor.
 func (s Size) Scale(factor float64) Size {
 	return Size{s.Workers * factor, s.Tasks * factor, s.JobsPerDay * factor, s.Starts * factor, s.Teams * factor, s.ChangesPerDay * factor}
 }
 
-// Slopes are the fit of one figure: a constant and what it grows with.
+// Slopes is the linear fit of one figure: a constant and one coefficient for each predictor.
 type Slopes struct {
 	Constant  float64 `json:"constant"`
 	PerWorker float64 `json:"per_worker"`
 	PerTask   float64 `json:"per_task"`
 	PerStart  float64 `json:"per_start_a_second"`
-	// Residual is the largest deviation of a measured point from the fit, as a share of the measured value; Points is
-	// how many points there were, of the sizes from Least to Most.
+	// Residual is the largest deviation of a measured point from the fit, as a fraction of the measured value. Points
+	// is the number of measured points; Least and Most are the bounds of their sizes.
 	Residual         float64 `json:"residual"`
 	Points           int     `json:"points"`
 	MinSize, MaxSize Size    `json:"-"`
 }
 
-// At is the fitted value of a size.
+// At returns the fitted value at a size.
 func (f Slopes) At(s Size) float64 {
 	return f.Constant + f.PerWorker*s.Workers + f.PerTask*s.Tasks + f.PerStart*s.Starts
 }
 
-// Extrapolates reports whether a size lies outside of what was measured.
+// Extrapolates reports whether a size lies outside of the measured range.
 func (f Slopes) Extrapolates(s Size) bool {
 	out := func(v, least, most float64) bool { return v < least || v > most }
 	return out(s.Workers, f.MinSize.Workers, f.MaxSize.Workers) || out(s.Tasks, f.MinSize.Tasks, f.MaxSize.Tasks) || out(s.Starts, f.MinSize.Starts, f.MaxSize.Starts)
 }
 
-// Model has the slopes of every figure.
+// Model maps the name of each figure to its fit.
 type Model map[string]Slopes
 
-// minPoints is at how many sizes a figure must have been measured to be fitted.
+// minPoints is the number of measurements that a fit of a figure requires.
 const minPoints = 4
 
-// ErrTooFewMeasurements is returned if there are not enough measurements of a figure.
+// ErrTooFewMeasurements is returned if there are too few measurements for a fit.
 var ErrTooFewMeasurements = errors.New("too few measurements")
 
-// Fit fits every figure that was measured at minPoints sizes or more; others are left out of the model.
+// Fit fits every figure that has at least minPoints measurements and omits the others from the model. It returns
+// ErrTooFewMeasurements if no figure can be fitted.
 func Fit(all []Measurement) (Model, error) {
 	names := map[string]bool{}
 	for _, m := range all {
@@ -120,12 +121,13 @@
 		model[name] = slopes
 	}
 	if len(model) == 0 {
-		return nil, fmt.Errorf("%w: no figure was measured at %d sizes", ErrTooFewMeasurements, minPoints)
+		return nil, fmt.Errorf("%w: no figure has %d measurements", ErrTooFewMeasurements, minPoints)
 	}
 	return model, nil
 }
 
-// predictors are the constant and what a figure may grow with, in the order of the fields of Slopes.
+// predictors returns the values of the predictors of a fit: the constant and the dimensions of the size, in the
+// order of the fields of Slopes.
 var predictors = []func(m Measurement) float64{
 	func(Measurement) float64 { return 1 },
 	func(m Measurement) float64 { return m.Workers },
@@ -133,7 +135,7 @@
 	func(m Measurement) float64 { return m.Starts },
 }
 
-// fitFigure fits one figure. It returns ErrTooFewMeasurements if the figure was measured at fewer than minPoints sizes.
+// fitFigure fits one figure. It returns ErrTooFewMeasurements if the figure has fewer than minPoints measurements.
 func fitFigure(name string, all []Measurement) (Slopes, error) {
 	var points []Measurement
 	for _, measurement := range all {
@@ -160,14 +162,15 @@
 	return out, nil
 }
 
-// nonNegativeLeastSquares finds the coefficients with the least squares of relative errors, so that small sizes count as
-// much as large ones. No figure sinks as a deployment grows: a negative coefficient is left out, the most negative first,
-// and the rest is fitted anew. It returns the predictors that are left, by index, with their coefficients.
+// nonNegativeLeastSquares finds the coefficients that minimize the sum of squared relative errors, so that small sizes
+// have the same weight as large ones. No figure decreases as a deployment grows, so predictors with a negative
+// coefficient are removed one at a time, the most negative first, and the remaining ones are fitted again. It returns
+// the indices of the remaining predictors and their coefficients.
 func nonNegativeLeastSquares(name string, points []Measurement) (used []int, coefficients []float64, err error) {
 	used = []int{0, 1, 2, 3}
 	for {
 		if coefficients, err = leastSquares(name, points, used); err != nil {
-			// Some predictors grew together and cannot be told apart: the last one is left out.
+			// Some predictors are linearly dependent; the last one is removed.
 			if len(used) == 1 {
 				return nil, nil, fmt.Errorf("%s: %w", name, err)
 			}
@@ -180,12 +183,12 @@
 		}
 		used = slices.Delete(slices.Clone(used), mostNegativeIndex, mostNegativeIndex+1)
 		if len(used) == 0 {
-			return nil, nil, fmt.Errorf("%s: no slope fits", name)
+			return nil, nil, fmt.Errorf("%s: no non-negative coefficients fit the measurements", name)
 		}
 	}
 }
 
-// mostNegative is the index of the negative coefficient that weighs most, -1 if none is negative.
+// mostNegative returns the index of the negative coefficient with the largest contribution, or -1 if none is negative.
 func mostNegative(points []Measurement, used []int, coefficients []float64) int {
 	index := -1
 	for i, coefficient := range coefficients {
@@ -196,7 +199,7 @@
 	return index
 }
 
-// maxContribution is how much a coefficient weighs at the largest point.
+// maxContribution returns the contribution of a coefficient at the largest value of its predictor.
 func maxContribution(points []Measurement, predictor int, coefficient float64) float64 {
 	most := 0.0
 	for _, p := range points {
@@ -205,14 +208,15 @@
 	return most * coefficient
 }
 
-// leastSquares fits a figure to some of the predictors, by index. It fails if these cannot be told apart.
+// leastSquares fits a figure to the predictors with the given indices. It fails if they are linearly dependent.
 func leastSquares(name string, points []Measurement, used []int) ([]float64, error) {
 	if len(points) < len(used) {
-		return nil, fmt.Errorf("%w: %d points for %d slopes", ErrTooFewMeasurements, len(points), len(used))
+		return nil, fmt.Errorf("%w: %d points for %d coefficients", ErrTooFewMeasurements, len(points), len(used))
 	}
 	rows := mat.NewDense(len(points), len(used), nil)
 	values := mat.NewVecDense(len(points), nil)
-	// Each column is scaled to its largest entry, else tens of thousands of tasks stand beside a constant of one.
+	// Each column is scaled to a maximum of 1: task numbers in the tens of thousands beside a constant of 1 would make
+	// the matrix ill-conditioned.
 	scale := make([]float64, len(used))
 	for j, predictor := range used {
 		scale[j] = maxContribution(points, predictor, 1)
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -11,7 +11,8 @@
 	"switchferry/settings"
 )
 
-// exactMeasurements are measurements of a deployment that costs just so much, at sizes that tell all slopes apart.
+// exactMeasurements returns noise-free measurements with the given coefficients, at sizes whose dimensions are
+// linearly independent.
 func exactMeasurements(cost Slopes) (all []Measurement) {
 	for _, s := range []Size{{Workers: 100, Tasks: 500, Starts: 1}, {Workers: 200, Tasks: 4000, Starts: 9}, {Workers: 400, Tasks: 9000, Starts: 2}, {Workers: 800, Tasks: 3000, Starts: 40}, {Workers: 1600, Tasks: 40000, Starts: 30}} {
 		all = append(all, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": cost.At(s)}})
@@ -36,7 +37,7 @@
 	}
 }
 
-// Nothing gets cheaper the more there is of it, whatever the noise says; and what does not vary gets no slope.
+// Coefficients are not negative even if noise suggests it, and a constant figure has no slope.
 func TestFitHasNoNegativeCoefficients(t *testing.T) {
 	all := exactMeasurements(Slopes{Constant: 1, PerWorker: 0.01})
 	all[4].Figures["f"] *= 0.8
@@ -53,14 +54,14 @@
 		}
 	}
 	if got := m["same"].At(Size{Workers: 1e6}); math.Abs(got-7) > 1 {
-		t.Errorf("what is always 7 becomes %g", got)
+		t.Errorf("a constant figure of 7 is estimated as %g", got)
 	}
 	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFewMeasurements) {
 		t.Errorf("three sizes: %v", err)
 	}
 }
 
-// The embedded run's figures foretell a size that is left out of the fit within 25%.
+// A fit without one of the sizes of the embedded run predicts the figures of that size within 25%.
 func TestFitPredictsHeldOutSize(t *testing.T) {
 	record, err := Embedded()
 	if err != nil {
@@ -90,8 +91,8 @@
 	}
 }
 
-// A size beyond what was measured says so, and the first limit of a settings file is the one that a growing deployment
-// meets first.
+// Estimates outside of the measured range are marked, and limits are ordered by when a growing deployment reaches
+// them.
 func TestTableMarksExtrapolationAndLimitsAreOrdered(t *testing.T) {
 	record, err := Embedded()
 	if err != nil {
@@ -122,7 +123,7 @@
 			t.Errorf("not in order: %+v", roomy)
 		}
 	}
-	// At the factor the bound is met.
+	// At the size scaled by Factor the figure equals the bound.
 	l := roomy[0]
 	for _, other := range model.Limits(Planned().Scale(l.Factor), set) {
 		if other.Name == l.Name && math.Abs(other.Needed-l.Bound) > 1e-6*l.Bound {
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -12,16 +12,17 @@
 	"switchferry/settings"
 )
 
-// Record is the result of a scale run: the measurements, and what a job costs by its shape.
+// Record is the result of a scale run: the measurements and the cost of a job of each shape.
 type Record struct {
-	// Measured says how and where.
+	// Measured describes how and where the measurements were taken.
 	Measured     string        `json:"measured"`
 	Command      string        `json:"command"`
 	Measurements []Measurement `json:"measurements"`
 	Jobs         []JobCost     `json:"jobs"`
 }
 
-// JobCost is what one job of a shape costs the state service, from accept to the removal of its records.
+// JobCost is the number of state service changes that one job of a shape causes, from its acceptance to the removal
+// of its records.
 type JobCost struct {
 	Shape   string `json:"shape"`
 	Tasks   int    `json:"tasks"`
@@ -33,34 +34,34 @@
 //go:embed measured.json
 var embedded []byte
 
-// Embedded is the record of the scale run that docs/CAPACITY.md describes.
+// Embedded returns the record of the scale run that docs/CAPACITY.md describes.
 func Embedded() (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(embedded, &r); err != nil {
-		return nil, fmt.Errorf("the embedded measurements are damaged: %w", err)
+		return nil, fmt.Errorf("decoding the embedded measurements: %w", err)
 	}
 	return &r, nil
 }
 
-// Row is one figure of a role at a size.
+// Row is the estimate of one figure of a role.
 type Row struct {
 	Role   string  `json:"role"`
 	Figure string  `json:"figure"`
 	Unit   string  `json:"unit"`
 	Value  float64 `json:"value"`
-	// Larger is the value at one and a half times the size.
+	// Larger is the value at 1.5 times the size.
 	Larger float64 `json:"value_at_1_5"`
-	// Residual is the fit's; Beyond: the size, LargerBeyond: one and a half times the size, lies outside of what was
-	// measured.
+	// Residual is the residual of the fit. Beyond is true if the size lies outside of the measured range, LargerBeyond
+	// if 1.5 times the size does.
 	Residual     float64 `json:"residual"`
 	Beyond       bool    `json:"beyond_measured"`
 	LargerBeyond bool    `json:"beyond_measured_at_1_5"`
 }
 
-// workerRole is the role whose figures are measured for all together and reported for one.
+// workerRole is the role whose figures are measured for all workers together and reported per worker.
 const workerRole = "worker"
 
-// columns are the figures of the table in its order.
+// columns lists the figures of the table in the order of its rows.
 var columns = []struct {
 	role, figure, name, unit string
 }{
@@ -85,7 +86,7 @@
 	{"controllers", CommandMessages, "direct commands", "1/s"},
 }
 
-// Table has a row for each figure of the model, in the order of columns.
+// Table returns a row for each figure of the model, in the order of columns.
 func (m Model) Table(size Size) (rows []Row) {
 	larger := size.Scale(1.5)
 	for _, c := range columns {
@@ -104,21 +105,21 @@
 	return rows
 }
 
-// Limit is one bound of a deployment, and how large the deployment can grow within it.
+// Limit is an upper bound on one figure and the growth of the deployment that it allows.
 type Limit struct {
 	Name   string  `json:"limit"`
 	Bound  float64 `json:"bound"`
 	Needed float64 `json:"needed"`
-	// Factor is how many times the size fits; below 1 the size itself does not.
+	// Factor is the factor by which the size may grow within the bound; below 1 the size itself exceeds the bound.
 	Factor float64 `json:"fits_times"`
-	// Extrapolates: the size at which it ends lies outside of what was measured.
+	// Beyond is true if the largest size within the bound lies outside of the measured range.
 	Beyond bool `json:"beyond_measured"`
 }
 
-// throttleShare is how much of a limit the controllers' own throttles leave themselves.
+// throttleShare is the fraction of a limit up to which the controllers throttle their own requests.
 const throttleShare = 0.8
 
-// Limits are the bounds that a settings file sets, in the order in which a growing deployment meets them.
+// Limits returns the bounds that the settings impose, in the order in which a growing deployment reaches them.
 func (m Model) Limits(size Size, configuration *settings.Settings) (limits []Limit) {
 	strictest := configuration.Facts.State.Least()
 	for _, limit := range []struct {
@@ -146,7 +147,7 @@
 	return limits
 }
 
-// growthFactor is the factor by which a size may grow within a bound, given that the fit is linear.
+// growthFactor returns the factor by which a size may grow within a bound.
 func (f Slopes) growthFactor(size Size, bound float64) float64 {
 	variablePart := f.At(size) - f.Constant
 	if variablePart <= 0 {
@@ -155,7 +156,7 @@
 	return math.Max(0, (bound-f.Constant)/variablePart)
 }
 
-// sortLimits puts the limit that is met first in front.
+// sortLimits sorts limits by the growth that they allow, the smallest first.
 func sortLimits(limits []Limit) {
 	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Factor, b.Factor) })
 }
--- a/cmd/scaleplot/main.go
+++ b/cmd/scaleplot/main.go
@@ -1,5 +1,5 @@
-// Command scaleplot draws what `switchferry experiment scale --json` measured. It is a program of its own because the
-// fonts that it draws with are read when a program starts, which every controller would pay for.
+// Command scaleplot plots the results of `switchferry experiment scale --json`. It is a separate program because the
+// plotting library loads its fonts at program start, which would slow down the start of every controller.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"switchferry/experiment"
 )
 
-// Pictures are so large.
+// Dimensions of the plots.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
@@ -34,10 +34,10 @@
 	}
 }
 
-// result is what is drawn.
+// result is the scale result to plot.
 type result struct{ experiment.ScaleResult }
 
-// drawPlots writes pictures of the slopes and of the waits into a directory.
+// drawPlots writes plots of processor time, memory and waits into a directory.
 func drawPlots(file, dir string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return writePlot(filepath.Join(dir, "waits.png"), "wait for the start of a job's last task, p99", "workers", "s", waitCurves...)
 }
 
-// steadyPoints is a figure of the steady steps by their size.
+// steadyPoints returns a figure of the steady steps over the number of workers.
 func (r *result) steadyPoints(figure func(s *experiment.ScaleStep) float64) (points plotter.XYs) {
 	for i := range r.Steps {
 		if s := &r.Steps[i]; s.Name == experiment.SteadyStep {
--- a/cmd/switchferry/main.go
+++ b/cmd/switchferry/main.go
@@ -1,4 +1,4 @@
-// Command switchferry runs a controller, or asks one.
+// Command switchferry runs a controller or queries one.
 package main
 
 import (
--- a/features/features.go
+++ b/features/features.go
@@ -1,5 +1,5 @@
-// Package features reads and checks the features file: which optional features are on, and their
-// settings. What the features do is not this package's matter.
+// Package features reads and validates the features file, which enables optional features and holds their
+// settings. It does not implement the features.
 package features
 
 import (
@@ -15,77 +15,78 @@
 	"switchferry/tuning"
 )
 
-// How tasks with inputs are placed, and where their inputs are copied from.
+// Values of Data.Placement: how tasks with inputs are placed and where their inputs are copied from.
 const (
-	// Blind takes neither cached images nor cached inputs into account, and copies from the store alone.
+	// Blind ignores cached images and cached inputs in placement and copies inputs only from the store.
 	Blind = "blind"
-	// Images takes cached images into account, and copies inputs from the store alone.
+	// Images considers cached images in placement and copies inputs only from the store.
 	Images = "images"
-	// Local takes both into account, and copies from other machines too, once the task has a machine.
+	// Local considers both in placement and copies inputs from other machines too, once the task is placed.
 	Local = "local"
-	// Staged is Local, and also copies ahead for queued tasks.
+	// Staged does the same as Local and also copies inputs ahead for queued tasks.
 	Staged = "staged"
 )
 
 // Features is the content of the features file. In the zero value every feature is off.
 type Features struct {
-	// Data lets jobs have datasets as inputs.
+	// Data enables datasets as inputs of jobs.
 	Data Data `toml:"data"`
-	// Topology lets jobs constrain the placement of their tasks by the declared topology.
+	// Topology enables placement constraints by the declared topology.
 	Topology Topology `toml:"topology"`
-	// Membership has controllers announce which peers they hear, watch each other, show the members'
-	// state to operators, and transfer leadership on a graceful shutdown.
+	// Membership enables the membership protocol: controllers announce which peers they receive messages from, monitor
+	// each other, show the members' state to operators, and transfer leadership on a graceful shutdown.
 	Membership Membership `toml:"membership"`
-	// Configuration lets operators change teams, policy, some switches and the topology while the service runs.
+	// Configuration enables changes of teams, policy, some switches and the topology while the service runs.
 	Configuration Configuration `toml:"configuration"`
 }
 
-// Configuration switches live configuration.
+// Configuration holds the settings of live configuration.
 type Configuration struct {
 	On bool `toml:"on"`
 }
 
-// Membership switches membership.
+// Membership holds the settings of the membership protocol.
 type Membership struct {
 	On bool `toml:"on"`
 }
 
-// Topology switches placement constraints by topology.
+// Topology holds the settings of topology constraints.
 type Topology struct {
-	// File is the path of the topology file, relative to the features file's directory unless absolute.
-	// The feature is off if it is empty.
+	// File is the path of the topology file. A relative path is resolved against the directory of the features
+	// file. The feature is off if File is empty.
 	File string `toml:"file"`
 }
 
-// Data switches datasets as inputs, and has their settings.
+// Data holds the settings of datasets as inputs.
 type Data struct {
 	On bool `toml:"on"`
-	// Store is the base URL of the store of datasets, without a slash at the end.
+	// Store is the base URL of the dataset store, without a trailing slash.
 	Store string `toml:"store"`
-	// Placement is Blind, Images, Local or Staged; the first three are for comparison.
+	// Placement is Blind, Images, Local or Staged; the first three exist for comparison.
 	Placement string `toml:"placement"`
-	// CacheGB is the size of an agent's cache in gigabytes of 1e9 bytes, TypeCacheGB the size on machines
-	// of a type.
+	// CacheGB is the default size of an agent's cache in gigabytes of 1e9 bytes. TypeCacheGB overrides it by machine
+	// type.
 	CacheGB     float64            `toml:"cache_gb"`
 	TypeCacheGB map[string]float64 `toml:"type_cache_gb"`
-	// LinkMBs is the rate of a machine's link in each direction, StoreMBs that of the store, in megabytes
-	// of 1e6 bytes a second.
+	// LinkMBs is the bandwidth of a machine's link in each direction, StoreMBs that of the store, in megabytes of
+	// 1e6 bytes per second.
 	LinkMBs  float64 `toml:"link_mb_per_s"`
 	StoreMBs float64 `toml:"store_mb_per_s"`
-	// PerLink and AtStore limit the concurrent copies of a link and of the store.
+	// PerLink and AtStore limit the number of concurrent copies per link and from the store.
 	PerLink int `toml:"copies_per_link"`
 	AtStore int `toml:"copies_at_store"`
-	// Ahead is for how many queued tasks per machine, beyond those that have a machine, inputs are copied ahead.
+	// Ahead is the number of queued tasks per machine for which inputs are copied ahead, in addition to the tasks that
+	// are placed.
 	Ahead int `toml:"ahead_tasks"`
 }
 
-// maxCopies is the largest limit of concurrent copies that may be set.
+// maxCopies is the largest valid limit of concurrent copies.
 const maxCopies = 64
 
-// bytesPerGB is the number of bytes in the gigabytes of the features file.
+// bytesPerGB is the number of bytes in a gigabyte of the features file.
 const bytesPerGB = 1e9
 
-// Cache returns the size in bytes of an agent's cache on machines of a type.
+// Cache returns the size in bytes of an agent's cache on machines of the given type.
 func (data *Data) Cache(machineType string) float64 {
 	if gigabytes, ok := data.TypeCacheGB[machineType]; ok {
 		return gigabytes * bytesPerGB
@@ -93,7 +94,7 @@
 	return data.CacheGB * bytesPerGB
 }
 
-// Load reads a features file and checks it as Parse does. With an empty path every feature is off.
+// Load reads a features file and parses it as Parse does. If path is empty, every feature is off.
 func Load(path string) (*Features, error) {
 	if path == "" {
 		return &Features{}, nil
@@ -112,8 +113,8 @@
 	return features, nil
 }
 
-// Parse decodes and checks the text of a features file. The error lists every wrong setting by its name.
-// An unknown name is one, since who wrote it expects an effect.
+// Parse decodes and validates the text of a features file. The error lists every invalid setting by its name. An
+// unknown name is an error, since its author expects it to have an effect.
 func Parse(raw []byte) (*Features, error) {
 	features := Features{Data: Data{
 		Placement: Staged,
@@ -134,7 +135,7 @@
 	return &features, nil
 }
 
-// check returns an error for every wrong setting.
+// check returns an error for every invalid setting.
 func (data *Data) check() (invalid []error) {
 	fail := func(field, want string) { invalid = append(invalid, fmt.Errorf("data.%s: %s", field, want)) }
 	if store, err := url.Parse(data.Store); data.On && (err != nil || store.Scheme != "http" || store.Host == "") {
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -1,4 +1,4 @@
-// Package rest makes one HTTP request with a JSON body and returns the answer undecoded.
+// Package rest sends an HTTP request with a JSON body and returns the response undecoded.
 package rest
 
 import (
@@ -12,8 +12,8 @@
 	"switchferry/tuning"
 )
 
-// Do sends a request with body as JSON, or without a body if it is nil, and returns the answer's status and its body, of
-// which at most tuning.AnswerLimit bytes. An answer of any status is no error.
+// Do sends a request with body encoded as JSON, or without a body if it is nil. It returns the status of the response
+// and at most the first tuning.AnswerLimit bytes of its body. No response status is treated as an error.
 func Do(ctx context.Context, client *http.Client, method, url string, body any) (int, []byte, error) {
 	var reader io.Reader
 	if body != nil {
@@ -25,14 +25,14 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
-		return 0, nil, fmt.Errorf("making the request %s %s: %w", method, url, err)
+		return 0, nil, fmt.Errorf("creating the request %s %s: %w", method, url, err)
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		// The client's error names the method and the URL.
+		// The client's error already contains the method and the URL.
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // It was read; its close can't fail it.
+	defer func() { _ = response.Body.Close() }() // The body has been read, so an error of Close has no effect.
 	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.AnswerLimit))
 	return response.StatusCode, raw, err
 }
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package sleep has the wait that every loop of this program makes between two rounds: on a clock that tests may replace,
-// and ended by the loop's context.
+// Package sleep provides the wait between two iterations of a loop. The wait uses a replaceable clock and ends early
+// when the loop's context ends.
 package sleep
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// For waits for a duration on a clock, or until ctx ends. It reports false if ctx has ended.
+// For waits until a duration has passed on the clock or ctx ends. It returns false if ctx has ended.
 func For(ctx context.Context, clock clockwork.Clock, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -18,7 +18,8 @@
 	return ctx.Err() == nil
 }
 
-// Real is For on the real clock, for experiments and simulations, which no test's clock drives. It does not wait for a time that is over.
+// Real does the same as For on the real clock, for experiments and simulations, which do not use a test clock. It does
+// not wait if duration is 0 or negative.
 func Real(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -8,7 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// startSleep sleeps for a minute in a goroutine and returns, once it has begun, a channel that is closed at its end.
+// startSleep calls For with one minute in a goroutine. It returns once the wait has begun; the channel is closed when
+// the wait ends.
 func startSleep(ctx context.Context, t *testing.T, clock *clockwork.FakeClock) <-chan struct{} {
 	t.Helper()
 	woken := make(chan struct{})
@@ -28,7 +29,7 @@
 	clock.Advance(time.Minute - time.Millisecond)
 	select {
 	case <-woken:
-		t.Fatal("woken before the duration has passed")
+		t.Fatal("the wait ended before the duration had passed")
 	default:
 	}
 	clock.Advance(time.Millisecond)
@@ -53,7 +54,7 @@
 			t.Errorf("%v: reports that the context has ended", duration)
 		}
 		if Real(ended, duration) {
-			t.Errorf("%v: reports that the context lasts", duration)
+			t.Errorf("%v: reports that the context has not ended", duration)
 		}
 	}
 }
--- a/internal/stricttoml/stricttoml.go
+++ b/internal/stricttoml/stricttoml.go
@@ -1,6 +1,6 @@
-// Package stricttoml decodes TOML files in which every name must be known. Its errors have the line
-// and the name of the setting, and say in TOML's terms what the setting must be. It does not know
-// what the files are about.
+// Package stricttoml decodes TOML and reports unknown names. Its errors contain the line and the name of
+// the setting and describe the valid values in terms of TOML instead of Go types. It does not depend on
+// the content of the files.
 package stricttoml
 
 import (
@@ -12,9 +12,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// UnknownError tells that the destination has no setting of a name.
+// UnknownError reports a setting that the destination does not have.
 type UnknownError struct {
-	// Line counts from 1.
+	// Line is the line number, from 1.
 	Line int
 	// Name is the full name of the setting, with dots.
 	Name string
@@ -24,9 +24,9 @@
 	return fmt.Sprintf("line %d: %s: no such setting", e.Line, e.Name)
 }
 
-// ValueError tells that the text is not TOML, or that a setting has a value of the wrong type.
+// ValueError reports text that is not TOML or a setting with a value of the wrong type.
 type ValueError struct {
-	// Line counts from 1.
+	// Line is the line number, from 1.
 	Line int
 	// Name is the full name of the setting, with dots; empty if the text is not TOML.
 	Name string
@@ -39,10 +39,11 @@
 // Unwrap returns the cause.
 func (e *ValueError) Unwrap() error { return e.Err }
 
-// Decode reads TOML into v, a pointer to a struct or map.
+// Decode decodes TOML into v, a pointer to a struct or map.
 //
-// Unknown has an *UnknownError for each name that v lacks; all else is decoded nevertheless. If the
-// text is not TOML or a value has the wrong type, err is a *ValueError, and v is to be discarded.
+// The result unknown has an *UnknownError for each name that v lacks; all other settings are decoded. If
+// the text is not TOML or a value has the wrong type, err is a *ValueError and the content of v is
+// undefined.
 func Decode(raw []byte, v any) (unknown []error, err error) {
 	err = toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(v)
 	if missing, ok := errors.AsType[*toml.StrictMissingError](err); ok {
@@ -58,7 +59,7 @@
 	return nil, err
 }
 
-// valueErrorOf returns the error of the decoder for the destination v in terms of TOML.
+// valueErrorOf converts an error of the decoder for the destination v to a ValueError in terms of TOML.
 func valueErrorOf(err *toml.DecodeError, v any) *ValueError {
 	line, _ := err.Position()
 	if name, typeErr, ok := typeErrorOf(err, v); ok {
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%q: %v, want line %d: %s", test.text, err, test.line, test.want)
 		}
 		if _, ok := errors.AsType[*TypeError](err); ok {
-			t.Errorf("%q is called a type error: %v", test.text, err)
+			t.Errorf("%q is reported as a type error: %v", test.text, err)
 		}
 	}
 }
--- a/internal/stricttoml/typeerror.go
+++ b/internal/stricttoml/typeerror.go
@@ -9,11 +9,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TypeError tells that a setting has a value of the wrong type.
+// TypeError reports a setting with a value of the wrong type.
 type TypeError struct {
-	// Want and Got describe the types, in TOML's terms and with an article: "a list of strings".
+	// Want and Got describe the expected and the actual type in terms of TOML, such as "a list of strings".
 	Want, Got string
-	// InElement tells that the value itself is of the right type, and Got is something that it contains.
+	// InElement is true if the value itself has the right type and Got describes an element of it.
 	InElement bool
 }
 
@@ -24,16 +24,16 @@
 	return fmt.Sprintf("must be %s, not %s", e.Want, e.Got)
 }
 
-// typeMismatchPatterns are the messages with which the decoder refuses a value because of its type. The first
-// group is what the value is, or the number that is out of range; the second names the Go type that it does not fit.
+// typeMismatchPatterns match the decoder's messages for values of the wrong type. The first group is the kind of
+// the value, or the number that is out of range; the second is the Go type that it does not fit.
 var typeMismatchPatterns = []*regexp.Regexp{
 	regexp.MustCompile(`cannot decode TOML (.+?) into (?:struct field .* of type )?(.+)$`),
 	regexp.MustCompile(`cannot store an? (array table|table) in an? (.+)$`),
 	regexp.MustCompile(`integer value (\S+) cannot be stored in (.+)$`),
 }
 
-// typeErrorOf returns the name of the setting and the type error that a decoder's error stands for;
-// false: it stands for another.
+// typeErrorOf converts a decoder error to the name of the setting and a TypeError. ok is false if the error
+// is not about a type.
 func typeErrorOf(err *toml.DecodeError, v any) (name string, typeErr *TypeError, ok bool) {
 	for _, pattern := range typeMismatchPatterns {
 		match := pattern.FindStringSubmatch(err.Error())
@@ -50,8 +50,8 @@
 	return "", nil, false
 }
 
-// resolveKey follows the key of a setting from the type of the destination. It stops at a type that has
-// no settings of its own, and returns the name and the type of the setting that it came to.
+// resolveKey follows the key of a setting through the type of the destination. It stops at a type without
+// settings of its own or at an unknown part of the key, and returns the name and type of the setting reached.
 func resolveKey(destination reflect.Type, key []string) (name string, found reflect.Type) {
 	found = indirect(destination)
 	for index, part := range key {
@@ -76,7 +76,7 @@
 	return name, found
 }
 
-// fieldOf returns the field of a struct that a TOML name is decoded into.
+// fieldOf returns the struct field that a TOML name is decoded into.
 func fieldOf(structure reflect.Type, name string) (reflect.StructField, bool) {
 	return structure.FieldByNameFunc(func(fieldName string) bool {
 		field, _ := structure.FieldByName(fieldName)
@@ -88,7 +88,7 @@
 	})
 }
 
-// indirect returns the type that a pointer type points to, and any other type as it is.
+// indirect removes all levels of pointers from a type.
 func indirect(goType reflect.Type) reflect.Type {
 	for goType.Kind() == reflect.Pointer {
 		goType = goType.Elem()
@@ -100,7 +100,7 @@
 	return goType.Kind() == reflect.Slice || goType.Kind() == reflect.Struct || goType.Kind() == reflect.Map
 }
 
-// describeType says what values the setting of a name and a Go type takes.
+// describeType describes the valid values of a setting with the given Go type and name.
 func describeType(goType reflect.Type, name string) string {
 	switch goType.Kind() {
 	case reflect.String:
@@ -128,7 +128,7 @@
 	return "a value of another type"
 }
 
-// describeList says what values a list of a Go type takes.
+// describeList describes a list whose elements have the given Go type.
 func describeList(element reflect.Type, name string) string {
 	if element.Kind() == reflect.Struct || element.Kind() == reflect.Map {
 		return fmt.Sprintf("a list of tables, [[%s]]", name)
@@ -136,7 +136,7 @@
 	return "a list of " + describeElements(element)
 }
 
-// describeElements says what the values of a list or table are.
+// describeElements describes the elements of a list or table, in the plural.
 func describeElements(goType reflect.Type) string {
 	switch goType.Kind() {
 	case reflect.String:
@@ -153,7 +153,7 @@
 	return "whole numbers"
 }
 
-// describeFoundValue says what the decoder found.
+// describeFoundValue describes the kind of value that the decoder found, as the decoder names it.
 func describeFoundValue(kind string) string {
 	switch kind {
 	case "array table":
@@ -172,5 +172,5 @@
 	if strings.Contains(kind, "date") || strings.Contains(kind, "time") {
 		return "a date or time"
 	}
-	return kind // a number that is out of range
+	return kind // kind is the number that is out of range.
 }
--- a/lint/baseline.go
+++ b/lint/baseline.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// Pair is one linter in one package directory, relative to the root and with slashes.
+// Pair identifies a linter and a package directory. The directory is relative to the repository root and uses slashes.
 type Pair struct {
 	Directory string
 	Linter    string
 }
 
-// String is the pair as the baseline file writes it.
+// String returns the pair in the format of the baseline file.
 func (p Pair) String() string {
 	return p.Directory + " " + p.Linter
 }
@@ -26,17 +26,17 @@
 	return cmp.Or(cmp.Compare(a.Directory, b.Directory), cmp.Compare(a.Linter, b.Linter))
 }
 
-// Counts is the number of findings of each pair. A pair that is missing has none.
+// Counts maps each pair to its number of findings. A missing pair has no findings.
 type Counts map[Pair]int
 
-// Change is a pair whose count differs between the baseline and the present run.
+// Change is a pair whose count in the current run differs from the baseline.
 type Change struct {
 	Pair    Pair
 	Allowed int
 	Found   int
 }
 
-// String is the change as lint/run prints it.
+// String returns the change in the format that lint/run prints.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %d, baseline %d", c.Pair, c.Found, c.Allowed)
 }
@@ -45,18 +45,19 @@
 # how this file is made and changed.
 `
 
-// SyntaxError is a baseline line that does not read as "directory linter count".
+// SyntaxError reports a line of the baseline that is not of the form "directory linter count".
 type SyntaxError struct {
 	Line int
 	Text string
 }
 
-// Error names the line and the form it should have.
+// Error returns a message with the line and the expected form.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("baseline line %d: want \"directory linter count\", once for each pair and with a count above 0, not %q", e.Line, e.Text)
 }
 
-// ParseBaseline reads a baseline file. Empty lines and lines that begin with # are skipped.
+// ParseBaseline reads a baseline file. Empty lines and lines that start with # are skipped. An invalid line is a
+// *SyntaxError.
 func ParseBaseline(r io.Reader) (Counts, error) {
 	baseline := Counts{}
 	scanner := bufio.NewScanner(r)
@@ -86,7 +87,7 @@
 	return Pair{Directory: fields[0], Linter: fields[1]}, count, true
 }
 
-// Format is the baseline file of these counts, sorted by directory and linter.
+// Format returns the content of the baseline file for these counts, sorted by directory and linter.
 func (c Counts) Format() string {
 	var text strings.Builder
 	text.WriteString(baselineHeader)
@@ -98,7 +99,7 @@
 	return text.String()
 }
 
-// Compare lists the pairs with more findings than the baseline allows, and those with fewer.
+// Compare returns the pairs with more findings than the baseline allows and the pairs with fewer.
 func Compare(baseline, found Counts) (increased, decreased []Change) {
 	for _, pair := range allPairs(baseline, found) {
 		change := Change{Pair: pair, Allowed: baseline[pair], Found: found[pair]}
@@ -123,8 +124,8 @@
 	return pairs
 }
 
-// LoweredBaseline is the baseline with each count brought down to what was found. No count rises and no
-// pair is added.
+// LoweredBaseline returns the baseline with each count reduced to the number of findings. No count increases
+// and no pair is added.
 func LoweredBaseline(baseline, found Counts) Counts {
 	lowered := Counts{}
 	for pair, allowed := range baseline {
@@ -135,7 +136,7 @@
 	return lowered
 }
 
-// Totals is the number of findings of each linter over all directories.
+// Totals returns the number of findings of each linter over all directories.
 func (c Counts) Totals() map[string]int {
 	totals := map[string]int{}
 	for pair, count := range c {
@@ -144,7 +145,7 @@
 	return totals
 }
 
-// IncreasedTotals names the linters that have more findings in the whole tree than the baseline allows,
+// IncreasedTotals lists the linters that have more findings in the whole tree than the baseline allows,
 // each with both totals.
 func IncreasedTotals(baseline, found Counts) []string {
 	allowed := baseline.Totals()
--- a/lint/findings.go
+++ b/lint/findings.go
@@ -8,31 +8,31 @@
 	"path/filepath"
 )
 
-// Finding is one line of golangci-lint's report.
+// Finding is one issue in golangci-lint's report.
 type Finding struct {
 	Linter string `json:"FromLinter"`
 	Text   string
 	Pos    Position
 }
 
-// Position is where a finding is. Filename is relative to the root.
+// Position is the source position of a finding. Filename is relative to the repository root.
 type Position struct {
 	Filename string
 	Line     int
 	Column   int
 }
 
-// String is the finding in the form that editors and terminals follow.
+// String returns the finding in the file:line:column format that editors and terminals link.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s (%s)", f.Pos.Filename, f.Pos.Line, f.Pos.Column, f.Text, f.Linter)
 }
 
-// Pair is the pair that the finding is counted under.
+// Pair returns the pair under which the finding is counted.
 func (f Finding) Pair() Pair {
 	return Pair{Directory: path.Dir(filepath.ToSlash(f.Pos.Filename)), Linter: f.Linter}
 }
 
-// report is the part of golangci-lint's JSON output that is read here.
+// report is the part of golangci-lint's JSON output that this command uses.
 type report struct {
 	Issues []Finding
 	Report *struct {
@@ -40,24 +40,24 @@
 	}
 }
 
-// typecheckLinter is the name under which golangci-lint reports code that does not compile. The
-// other linters skip such a package, so its findings are no count to compare.
+// typecheckLinter is the name under which golangci-lint reports code that does not compile. The other
+// linters skip such a package, so its count of findings cannot be compared with the baseline.
 const typecheckLinter = "typecheck"
 
-var errIncompleteReport = errors.New("golangci-lint's output ends before its report")
+var errIncompleteReport = errors.New("golangci-lint's output contains no report")
 
-// CompileError is a finding that kept the linters from seeing a package.
+// CompileError reports code that does not compile, which the linters therefore skipped.
 type CompileError struct {
 	Finding Finding
 }
 
-// Error is the finding with its place.
+// Error returns the finding with its position.
 func (e *CompileError) Error() string {
 	return "does not compile: " + e.Finding.String()
 }
 
-// ParseFindings reads golangci-lint's JSON output. A report of a run that failed, or of code that
-// does not compile, is an error.
+// ParseFindings reads golangci-lint's JSON output. It returns an error if the run failed, and a
+// *CompileError if the code does not compile.
 func ParseFindings(output []byte) ([]Finding, error) {
 	var result report
 	if err := json.Unmarshal(output, &result); err != nil {
@@ -77,7 +77,7 @@
 	return result.Issues, nil
 }
 
-// Count counts the findings by pair.
+// Count returns the number of findings of each pair.
 func Count(findings []Finding) Counts {
 	counts := Counts{}
 	for _, finding := range findings {
--- a/lint/main.go
+++ b/lint/main.go
@@ -1,5 +1,5 @@
 // Command lint runs golangci-lint on the whole tree and compares its findings with the baseline in
-// lint/baseline.txt, whose counts may only fall. It is started at the root, by lint/run.
+// lint/baseline.txt, whose counts may only decrease. lint/run starts it in the repository root.
 package main
 
 import (
@@ -73,7 +73,7 @@
 	return ParseBaseline(bytes.NewReader(content))
 }
 
-// runLinter builds golangci-lint if the build cache does not have it, and runs it on all packages.
+// runLinter runs golangci-lint on all packages and builds it first if the build cache does not contain it.
 func runLinter(ctx context.Context) ([]Finding, error) {
 	command := exec.CommandContext(ctx, "go", "tool", toolsModuleArg, "golangci-lint", "run",
 		"--issues-exit-code=0", "--show-stats=false",
@@ -86,8 +86,8 @@
 	return ParseFindings(output)
 }
 
-// check compares the findings with the baseline. The text lists the differences, also beside an
-// error. With update it lowers the baseline file, also when something else rose.
+// check compares the findings with the baseline. The returned text lists the differences, even with an
+// error. If update is set, it lowers the counts that decreased in the baseline file, even if others increased.
 func check(baseline Counts, findings []Finding, update bool) (text string, err error) {
 	found := Count(findings)
 	increased, decreased := Compare(baseline, found)
@@ -118,8 +118,8 @@
 	}
 }
 
-// regenerateBaseline replaces the baseline file by the counts found. It refuses when a linter's total over
-// all directories rose; the text then lists those linters.
+// regenerateBaseline replaces the baseline file by the current counts. If a linter's total over all
+// directories increased, it returns an error instead, and the text lists those linters.
 func regenerateBaseline(baseline Counts, findings []Finding) (text string, err error) {
 	found := Count(findings)
 	if increased := IncreasedTotals(baseline, found); len(increased) > 0 {
--- a/lint/main_test.go
+++ b/lint/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// changeToTreeWithBaseline makes an empty tree with this baseline the working directory.
+// changeToTreeWithBaseline changes the working directory to a temporary tree that contains only this baseline.
 func changeToTreeWithBaseline(t *testing.T, baseline Counts) {
 	t.Helper()
 	t.Chdir(t.TempDir())
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Parse reads the text of a policy file over the built-in policy. Each line has the form
-// `name = expression`; an empty line, or one that starts with #, is skipped. The error has one line for
-// each wrong line of the file.
+// Parse returns the built-in policy with the settings of a policy file applied. Each line of the file has the
+// form `name = expression`; empty lines and lines that start with # are skipped. The error has one line for
+// each invalid line of the file.
 func Parse(text string) (*Policy, error) {
 	parser := fileParser{policy: Default(), settingLines: map[string]int{}}
 	var invalid []error
@@ -28,17 +28,17 @@
 	return parser.policy, nil
 }
 
-// errMissingEquals refuses a line that sets nothing.
+// errMissingEquals reports a line without an equals sign.
 var errMissingEquals = errors.New("want name = expression")
 
-// fileParser puts the lines of a policy file into a policy.
+// fileParser applies the lines of a policy file to a policy.
 type fileParser struct {
 	policy *Policy
-	// settingLines has the line in which each setting was set.
+	// settingLines maps each setting that was set to its line number.
 	settingLines map[string]int
 }
 
-// parseLine puts one line into the policy.
+// parseLine applies one line to the policy.
 func (parser *fileParser) parseLine(line int, text string) error {
 	if text == "" || strings.HasPrefix(text, "#") {
 		return nil
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy has the settings that operators write as expressions, in a policy file. Expressions are
-// compiled and checked before the service starts, and evaluated whenever the scheduler needs a value.
+// Package policy evaluates the settings that operators write as expressions in a policy file. Expressions are
+// compiled and checked before the service starts and evaluated whenever the scheduler needs a value.
 package policy
 
 import (
@@ -17,19 +17,19 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Vars has the values of an expression's variables.
+// Vars maps the variables of an expression to their values.
 type Vars map[string]float64
 
-// Policy evaluates the settings. It may be used concurrently.
+// Policy evaluates the settings. It is safe for concurrent use.
 type Policy struct {
-	// programs are the compiled expressions of all settings, and defaults the built-in ones. Both do not
-	// change once the policy is made.
+	// programs maps each setting to its compiled expression, defaults to the built-in one. Neither map changes after
+	// the policy has been constructed.
 	programs map[string]*vm.Program
 	defaults map[string]*vm.Program
 
 	// mu guards warned.
 	mu sync.Mutex
-	// warnedSettings has the settings whose replacement by the default was logged.
+	// warnedSettings holds the settings for which the use of the default has been logged.
 	warnedSettings map[string]bool
 }
 
@@ -46,7 +46,8 @@
 	return policy
 }
 
-// Load reads a policy file over the built-in policy; an empty path gives the latter.
+// Load returns the built-in policy with the settings of a policy file applied. If path is empty, it returns the
+// built-in policy.
 func Load(path string) (*Policy, error) {
 	if path == "" {
 		return Default(), nil
@@ -58,8 +59,8 @@
 	return Parse(string(raw))
 }
 
-// Of returns the built-in policy with other expressions for some settings. It calls fail for each wrong
-// one, in the order of names; after such a call the policy is of no use.
+// Of returns the built-in policy with the given expressions, by name of the setting. It calls fail for each
+// invalid one, in alphabetical order of the names; if it has called fail, the policy must not be used.
 func Of(expressions map[string]string, fail func(name, want string)) *Policy {
 	policy := Default()
 	for _, name := range slices.Sorted(maps.Keys(expressions)) {
@@ -74,21 +75,21 @@
 	return policy
 }
 
-// errUnknownSetting returns the error for a name that is no setting.
+// errUnknownSetting returns the error for an unknown setting, which lists the known ones.
 func errUnknownSetting() error {
 	return fmt.Errorf("no such setting; there are %s", strings.Join(Names(), ", "))
 }
 
-// setExpression compiles the expression of a known setting and uses it in place of the built-in one.
+// setExpression compiles an expression for a known setting and replaces the built-in one.
 func (policy *Policy) setExpression(name, text string) error {
 	program, err := compileExpression(name, text)
 	if err != nil {
-		// The other lines of the message show the place in the expression.
+		// The remaining lines of the message show the position in the expression.
 		summary, _, _ := strings.Cut(err.Error(), "\n")
 		return fmt.Errorf("want a number: %s", summary)
 	}
 	if setting := definitions[name]; len(setting.variables) == 0 {
-		// The value is the same every time, so it can be checked now.
+		// An expression without variables is constant, so its value can be checked now.
 		if value, err := evaluate(program, nil); err == nil && !setting.inRange(value) {
 			return fmt.Errorf("is %g, want %g to %g", value, setting.min, setting.max)
 		}
@@ -97,9 +98,8 @@
 	return nil
 }
 
-// Value evaluates a setting. If the expression fails, or its value is out of range, the built-in expression
-// is used, and its value is moved into the range if necessary. The first time that this happens to a
-// setting is logged.
+// Value evaluates a setting. If the expression fails or its value is out of range, the built-in expression is
+// used instead, with its value clamped to the range. The first such failure of each setting is logged.
 func (policy *Policy) Value(name string, vars Vars) float64 {
 	setting := definitions[name]
 	value, err := evaluate(policy.programs[name], vars)
@@ -118,7 +118,8 @@
 	return fallback
 }
 
-// markWarned tells whether a setting has not been warned of yet, and notes that it is.
+// markWarned records that the use of the default has been logged for a setting. It reports whether this is the
+// first call for the setting.
 func (policy *Policy) markWarned(name string) bool {
 	policy.mu.Lock()
 	defer policy.mu.Unlock()
@@ -127,7 +128,7 @@
 	return first
 }
 
-// compileExpression compiles an expression that may use the variables of a setting and gives a number.
+// compileExpression compiles an expression that may use the variables of a setting and must yield a number.
 func compileExpression(name, text string) (*vm.Program, error) {
 	environment := map[string]any{}
 	for _, variable := range definitions[name].variables {
@@ -136,10 +137,10 @@
 	return expr.Compile(text, expr.Env(environment), expr.AsFloat64())
 }
 
-// errNotNumber tells that an expression has given something else.
+// errNotNumber reports an expression whose result is NaN or not a number.
 var errNotNumber = errors.New("not a number")
 
-// evaluate runs a program. The value is not NaN.
+// evaluate runs a program. It returns errNotNumber rather than NaN.
 func evaluate(program *vm.Program, vars Vars) (float64, error) {
 	environment := make(map[string]any, len(vars))
 	for variable, value := range vars {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,22 +21,22 @@
 	}
 }
 
-// Every error is reported, with its line and the setting's name.
+// Every error is reported with its line and the name of the setting.
 func TestParseReportsEveryErrorWithLineAndName(t *testing.T) {
 	_, err := Parse("slot_s = \"long\"\nslotz = 3\nheadroom_cpus = demand +\nno equals\nslot_s = 4\nbegin_by_s = 400\n")
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("the invalid policy was accepted")
 	}
 	for _, want := range []string{"line 1: slot_s", "line 2: slotz", "line 3: headroom_cpus", "line 4:", "line 5: slot_s: already set in line 1",
-		// With this value jobs would wait longer than their users accept.
+		// 400 s is longer than users accept to wait for a start.
 		"line 6: begin_by_s: is 400, want 10 to 200"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in %v", want, err)
+			t.Errorf("%q missing in %v", want, err)
 		}
 	}
 }
 
-// An expression whose value is invalid at run time is replaced by the built-in one.
+// If an expression yields an invalid value at run time, the built-in expression is used.
 func TestValueFallsBackToDefault(t *testing.T) {
 	policy, err := Parse("idle_keep_s = 0 - boot_s\nspot_share = 1 / demand_cpus")
 	if err != nil {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,7 +7,7 @@
 	"switchferry/tuning"
 )
 
-// Names of the settings in the policy file. The table below describes them.
+// Names of the settings in the policy file. The definitions table describes them.
 const (
 	SlotS        = "slot_s"
 	FetchPenalty = "fetch_penalty"
@@ -18,24 +18,24 @@
 	BeginByS     = "begin_by_s"
 )
 
-// definition is what is known of a setting.
+// definition describes a setting.
 type definition struct {
-	// description says what the setting is, with its unit.
+	// description is the text for operators, with the unit.
 	description string
 	// fallback is the built-in expression.
 	fallback string
-	// variables may be used in expressions.
+	// variables lists the variables that expressions may use.
 	variables []string
-	// min and max are the range of valid values.
+	// min and max bound the valid values, inclusively.
 	min, max float64
 }
 
-// inRange tells whether a value is valid.
+// inRange reports whether a value is within the valid range.
 func (setting definition) inRange(value float64) bool {
 	return value >= setting.min && value <= setting.max
 }
 
-// definitions has all settings by name.
+// definitions holds all settings by name.
 var definitions = map[string]definition{
 	SlotS: {"length of a slot of the water-filling, in seconds", "2",
 		nil, 0.1, 600},
--- a/settings/check.go
+++ b/settings/check.go
@@ -6,15 +6,15 @@
 	"net"
 )
 
-// Least values that the settings must have for the service to work.
+// Minimum values of settings without which the service cannot work.
 const (
-	// minTxnOps is the number of changes of the smallest transaction that has to fit.
+	// minTxnOps is the number of changes in the smallest transaction that must fit.
 	minTxnOps = 3
-	// minValueKB is the size that a job's record may need.
+	// minValueKB is the largest size of a job's record in KiB.
 	minValueKB = 1
 )
 
-// check returns an error for the first wrong field, with the number of the others.
+// check returns an error for the first invalid field with the number of further ones.
 func (settings *Settings) check() error {
 	var checker fieldChecker
 	checker.checkMembers(settings)
@@ -38,10 +38,10 @@
 	return summarizeErrors(checker.fieldErrors)
 }
 
-// fieldChecker collects the errors of fields.
+// fieldChecker collects the errors of invalid fields.
 type fieldChecker struct{ fieldErrors []error }
 
-// fail records that a field is wrong.
+// fail records an invalid field.
 func (checker *fieldChecker) fail(field, want string) {
 	checker.fieldErrors = append(checker.fieldErrors, fmt.Errorf("%s: %s", field, want))
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkMembers checks who the controllers are and what addresses they and the services have.
+// checkMembers checks the names of the controllers and the addresses of controllers and external services.
 func (checker *fieldChecker) checkMembers(settings *Settings) {
 	if settings.Member == "" {
 		checker.fail("member", "is missing")
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkState checks the limits of the state service, and those that are announced.
+// checkState checks the current and the announced limits of the state service.
 func (checker *fieldChecker) checkState(state State) {
 	checker.checkPositive("facts.state.rps", state.RPS)
 	checker.checkPositive("facts.state.write_rps", state.WriteRPS)
@@ -101,8 +101,8 @@
 	}
 }
 
-// CheckTeams checks a list of teams. It calls fail for each error with the index of the team, the field,
-// which is empty if several are meant, and what the field must be.
+// CheckTeams checks a list of teams. It calls fail for each error with the index of the team, the field, which is
+// empty if the error concerns several fields, and a description of the valid values.
 func CheckTeams(teams []Team, fail func(index int, field, want string)) {
 	names := map[string]bool{}
 	for index, team := range teams {
@@ -116,5 +116,5 @@
 	}
 }
 
-// isNonNegativeFinite tells whether a number is finite and 0 or more.
+// isNonNegativeFinite reports whether a number is finite and 0 or more.
 func isNonNegativeFinite(value float64) bool { return value >= 0 && !math.IsInf(value, 0) }
--- a/settings/duration.go
+++ b/settings/duration.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// Seconds converts a number of seconds, as the settings and the wire give durations, to a time.Duration.
+// Seconds converts a number of seconds, the unit of durations in settings and messages, to a time.Duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -7,7 +7,7 @@
 	"switchferry/internal/stricttoml"
 )
 
-// Load reads a settings file and checks it as Parse does.
+// Load reads a settings file and parses it as Parse does.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -16,8 +16,8 @@
 	return Parse(raw)
 }
 
-// Parse decodes and checks settings. Unknown fields are ignored, since the platform may add some at any
-// time. The error is one line that names a wrong field, and its line where the text cannot be decoded.
+// Parse decodes and validates settings. Unknown fields are ignored, since the platform may add some at any time.
+// The error is a single line that names an invalid field, with its line number if the text cannot be decoded.
 func Parse(raw []byte) (*Settings, error) {
 	var settings Settings
 	if _, err := stricttoml.Decode(raw, &settings); err != nil {
@@ -26,7 +26,7 @@
 	return &settings, settings.check()
 }
 
-// summarizeErrors returns the first of some errors, with the number of the others; nil: there are none.
+// summarizeErrors returns the first error with the number of further ones, or nil if there are none.
 func summarizeErrors(fieldErrors []error) error {
 	switch len(fieldErrors) {
 	case 0:
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -36,7 +36,7 @@
 ram_mb = 70.0
 `
 
-// New fields may come at any time, also tables and lists of them.
+// The platform may add fields at any time, including tables and lists of tables.
 func TestParseIgnoresUnknownFields(t *testing.T) {
 	const unknown = "[facts.added]\nvalue = 1\n[[added]]\nvalue = \"a\"\n"
 	for _, text := range []string{validSettings, validSettings + unknown} {
@@ -46,12 +46,12 @@
 			continue
 		}
 		if settings.Member != "n0" || settings.Facts.Resources.RAMMB != 70 || len(settings.Peers) != 1 {
-			t.Errorf("not all was read beside unknown fields: %+v", settings)
+			t.Errorf("settings beside unknown fields were not read: %+v", settings)
 		}
 	}
 }
 
-// A value of a wrong type is described in TOML's terms, with its line, and without Go's names.
+// The error for a value of the wrong type has its line and describes the type in terms of TOML, not of Go.
 func TestParseDescribesTypeErrorsInTOMLTerms(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`lease_s = 10.0`, `lease_s = "long"`, "settings: line 19: facts.workers.lease_s: must be a number, not a string"},
@@ -67,13 +67,13 @@
 		}
 		for _, goName := range []string{"struct", "float64", "[]settings", "settings."} {
 			if strings.Contains(err.Error(), goName) {
-				t.Errorf("%q: %v names %q, which is Go's", test.new, err, goName)
+				t.Errorf("%q: %v contains the Go name %q", test.new, err, goName)
 			}
 		}
 	}
 }
 
-// A wrong setting ends the process with one line that names the field.
+// An invalid setting ends the process with a one-line message that names the field.
 func TestParseNamesInvalidFieldInOneLine(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`member = "n0"`, ``, "member"},
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -1,12 +1,12 @@
-// Package upperbound computes an upper bound of how many jobs of a recorded day could have met their due times, whatever
-// the order in which they were served. It knows how long each task ran and how many CPUs were free when, not machines: a
-// task may run anywhere, and nothing has to be fetched.
+// Package upperbound computes an upper bound on the number of jobs of a recorded day that could have met their deadlines
+// under any scheduling order. It considers the run time of each task and the number of free CPUs over time, but not
+// machines: a task may run anywhere, and image and input fetches take no time.
 //
-// The bound is a Lagrangian relaxation. Each slot of the day has a price for CPU time. At given prices each task by itself
-// is placed where it costs least, without a break and ending by its due time, and a job is served if all of it costs less
-// than one. The price of all free CPU time, plus one less its cost for each job that is served, is no less than the
-// number of jobs that can meet their due times together, for any prices. The bound is the least such value over many
-// prices, which a subgradient method finds.
+// The bound is a Lagrangian relaxation. Each time slot of the day has a price for CPU time. At given prices each task is
+// scheduled independently at its lowest cost, without preemption and ending by its deadline, and a job is accepted if
+// the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus, for each accepted job, 1
+// minus its cost is at least the number of jobs that can meet their deadlines together. The bound is the lowest such
+// value that a subgradient method finds.
 package upperbound
 
 import (
@@ -15,42 +15,44 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// Task is the CPUs that one task took, and for how many seconds it ran.
+// Task is the number of CPUs of one task and its run time in seconds.
 type Task struct{ CPUs, Run float64 }
 
-// Job is a job that could start at Arrive and of which all tasks are due at Due, in seconds of the day.
+// Job is a job that can start at Arrive and whose tasks must all end by Due, in seconds from the start of the day.
 type Job struct {
 	Arrive, Due float64
 	Tasks       []Task
 }
 
-// Free is how many CPUs were free for these jobs, by slots of so many seconds from the start of the day.
+// Free holds the number of CPUs available to the jobs in each time slot. Slot is the length of a slot in seconds; the
+// first slot begins at the start of the day.
 type Free struct {
 	Slot float64
 	CPUs []float64
 }
 
-// Result is the bound, with the prices at which it was found.
+// Result is the bound and the prices at which it was found.
 type Result struct {
-	// Jobs is how many jobs there are, and Alone how many of them could not have met their due times with the whole fleet
-	// for themselves.
+	// Jobs is the number of jobs. Alone is the number of jobs that could not have met their deadlines even with the
+	// whole fleet to themselves.
 	Jobs, Alone int
-	// Most is the bound: at most so many could have met their due times together.
+	// Most is the bound on the number of jobs that could have met their deadlines together.
 	Most float64
-	// Prices are those of the bound, in jobs a CPU second, by slot.
+	// Prices holds the price of each slot, in jobs per CPU second, at which the bound was found.
 	Prices []float64
 }
 
-// The subgradient method takes Polyak's steps towards a value below the best so far, by initialTarget of it at first, and
-// by half as much each time that nothing better was found for more than maxStaleRounds rounds.
+// The subgradient method uses Polyak step sizes with a target value below the best value so far.
 const (
-	initialTarget  = 0.1
+	// initialTarget is the initial distance of the target from the best value, as a fraction of the best value.
+	initialTarget = 0.1
+	// maxStaleRounds is the number of consecutive rounds without improvement beyond which the distance is halved.
 	maxStaleRounds = 12
-	// minImprovement is by how much a value must be below the best so far to count as better.
+	// minImprovement is the amount by which a value must be below the best value to count as an improvement.
 	minImprovement = 1e-9
 )
 
-// InTime returns the bound after so many rounds; more rounds make it tighter.
+// InTime returns the bound after the given number of rounds. More rounds give a tighter bound.
 func InTime(jobs []Job, free Free, rounds int) Result {
 	feasible := feasibleJobs(jobs)
 	result := Result{
@@ -86,7 +88,7 @@
 	return result
 }
 
-// feasibleJobs returns the jobs that can meet their due times with the whole fleet for themselves.
+// feasibleJobs returns the jobs that can meet their deadlines with the whole fleet to themselves.
 func feasibleJobs(jobs []Job) (feasible []Job) {
 	for _, job := range jobs {
 		if feasibleAlone(job) {
@@ -105,8 +107,8 @@
 	return true
 }
 
-// setSubgradient sets the subgradient of the bound at some prices, by slot: the CPU time that is free and not used. Where it
-// would only lower a price that is zero already, it is zero.
+// setSubgradient sets the subgradient of the bound at the given prices: for each slot, the free CPU time minus the used
+// CPU time. It is projected to 0 where a step would lower a price that is already 0.
 func setSubgradient(subgradient []float64, free Free, prices, usage []float64) {
 	for i, cpus := range free.CPUs {
 		subgradient[i] = math.Max(0, cpus)*free.Slot - usage[i]
@@ -116,7 +118,7 @@
 	}
 }
 
-// evaluate returns the bound at some prices, and sets usage to the CPU seconds that the jobs which are served use of each
+// evaluate returns the bound at the given prices and sets usage to the CPU seconds that the accepted jobs use in each
 // slot.
 func evaluate(jobs []Job, free Free, prices, usage []float64) float64 {
 	total := 0.0
@@ -147,11 +149,11 @@
 	return total
 }
 
-// cumulativePrice is what one CPU costs from the start of the day up to a time.
+// cumulativePrice is the cost of one CPU from the start of the day to a given time.
 type cumulativePrice struct {
 	slotS  float64
 	prices []float64
-	// costAtSlotStart is the cost up to the start of each slot, and up to the end of the last one.
+	// costAtSlotStart holds the cost up to the start of each slot and, as its last element, up to the end of the last slot.
 	costAtSlotStart []float64
 }
 
@@ -163,7 +165,7 @@
 	return &cumulativePrice{slotS: slot, prices: prices, costAtSlotStart: costAtSlotStart}
 }
 
-// costUpTo returns the cost up to a time in seconds. After the last slot CPU time costs nothing.
+// costUpTo returns the cost up to a time in seconds from the start of the day. CPU time after the last slot is free.
 func (c *cumulativePrice) costUpTo(seconds float64) float64 {
 	slots := math.Max(0, seconds/c.slotS)
 	i := min(int(slots), len(c.prices))
@@ -173,8 +175,9 @@
 	return c.costAtSlotStart[i] + (slots-float64(i))*c.slotS*c.prices[i]
 }
 
-// cheapestStart returns when a task of a job costs least to start, and what each of its CPUs costs then. Prices change
-// only between slots, so it starts or ends at such a time, or at the first or the last moment that is possible.
+// cheapestStart returns the start time with the lowest cost for a task of a job, and the cost per CPU. Prices change
+// only at slot boundaries, so it suffices to try the earliest and the latest start and all starts at which the task
+// starts or ends at a slot boundary.
 func (c *cumulativePrice) cheapestStart(job Job, task Task) (start, cost float64) {
 	last := job.Due - task.Run
 	start, cost = job.Arrive, math.Inf(1)
@@ -195,7 +198,7 @@
 	return start, cost
 }
 
-// addUsage adds what some CPUs use from one time to another, in CPU seconds, to the usage of each slot.
+// addUsage adds the CPU seconds that cpus CPUs use between two times to the usage of each slot.
 func addUsage(usage []float64, slot, from, to, cpus float64) {
 	for i := max(0, int(from/slot)); i < len(usage) && float64(i)*slot < to; i++ {
 		usage[i] += cpus * (math.Min(to, float64(i+1)*slot) - math.Max(from, float64(i)*slot))
--- a/upperbound/upperbound_test.go
+++ b/upperbound/upperbound_test.go
@@ -7,23 +7,24 @@
 	"testing"
 )
 
-// schedule is the CPUs that are left in each second while a search places tasks.
+// schedule holds the number of free CPUs in each second while the search places tasks.
 type schedule struct{ freeCPUs []float64 }
 
-// fits reports whether a task can run from a second on.
+// fits reports whether a task can run from the given second on.
 func (s *schedule) fits(task Task, from int) bool {
 	to := from + int(task.Run)
 	return to <= len(s.freeCPUs) && !slices.ContainsFunc(s.freeCPUs[from:to], func(cpus float64) bool { return cpus < task.CPUs })
 }
 
-// reserve takes some CPUs away for the run of a task, or gives them back if they are negative.
+// reserve takes CPUs for the run time of a task, or returns them if cpus is negative.
 func (s *schedule) reserve(cpus float64, from, seconds int) {
 	for i := from; i < from+seconds; i++ {
 		s.freeCPUs[i] -= cpus
 	}
 }
 
-// place tries all starts of the tasks of a job, from the given one on, until then returns true.
+// place tries all start times of the tasks of a job, beginning with the task of the given index, until then returns
+// true.
 func (s *schedule) place(job Job, task int, then func() bool) bool {
 	if task == len(job.Tasks) {
 		return then()
@@ -42,7 +43,7 @@
 	return false
 }
 
-// placeAll reports whether all jobs can meet their due times together.
+// placeAll reports whether all jobs can meet their deadlines together.
 func (s *schedule) placeAll(jobs []Job) bool {
 	if len(jobs) == 0 {
 		return true
@@ -50,8 +51,8 @@
 	return s.place(jobs[0], 0, func() bool { return s.placeAll(jobs[1:]) })
 }
 
-// bruteForce returns the largest number of jobs that can meet their due times together, by trying all sets of jobs and all
-// starts at whole seconds.
+// bruteForce returns the largest number of jobs that can meet their deadlines together. It tries all sets of jobs and
+// all start times at whole seconds.
 func bruteForce(jobs []Job, free Free) int {
 	best := 0
 	for set := range 1 << len(jobs) {
@@ -72,7 +73,7 @@
 	return best
 }
 
-// The bound is never below what is possible, over 300 small days for which that is tried out, and close to it.
+// On 300 random small days the bound is never below the optimum found by brute force, and is close to it.
 func TestBoundIsNotBelowBruteForceAndIsTight(t *testing.T) {
 	gap, sum := 0.0, 0
 	for seed := range uint64(300) {
@@ -93,21 +94,21 @@
 		got := InTime(jobs, free, 400)
 		want := bruteForce(jobs, free)
 		if got.Most < float64(want)-1e-6 {
-			t.Fatalf("seed %d: bound %.3f, but %d jobs can meet their due times", seed, got.Most, want)
+			t.Fatalf("seed %d: bound %.3f, but %d jobs can meet their deadlines", seed, got.Most, want)
 		}
 		gap += math.Floor(got.Most+1e-6) - float64(want)
 		sum += want
 	}
-	t.Logf("%d jobs can meet their due times over all days; the bounds, rounded down, allow %.0f more", sum, gap)
+	t.Logf("%d jobs can meet their deadlines over all days; the bounds, rounded down, allow %.0f more", sum, gap)
 	if gap > 0.15*float64(sum) {
 		t.Errorf("the bounds are %.0f above %d", gap, sum)
 	}
 }
 
-// With enough free CPUs for all, every job that can meet its due time alone does so.
+// With enough free CPUs for all jobs, the bound counts every job that can meet its deadline alone.
 func TestBoundWithAmpleCapacityCountsFeasibleJobs(t *testing.T) {
 	jobs := []Job{{0, 10, []Task{{2, 5}}}, {3, 9, []Task{{4, 6}, {1, 2}}}, {0, 4, []Task{{1, 5}}}}
 	if got := InTime(jobs, Free{Slot: 5, CPUs: []float64{100, 100}}, 50); got.Most != 2 || got.Alone != 1 {
-		t.Errorf("%+v, want a bound of 2 and 1 job that cannot be in time alone", got)
+		t.Errorf("%+v, want a bound of 2 and 1 infeasible job", got)
 	}
 }
