--- a/api/words_test.go
+++ b/api/words_test.go
@@ -58,13 +58,13 @@
 		files++
 		return inspectIdentifiers(path, func(name string, position token.Position) {
 			key := filepath.ToSlash(filepath.Dir(relative)) + " " + name
-			word, themed := protocolWordIn(name)
-			if !themed {
+			protocolWord, contained := protocolWordIn(name)
+			if !contained {
 				return
 			}
 			found[key] = true
 			if !allowedIdentifiers[key] {
-				t.Errorf("%s: %s contains the protocol word %q; use %s", position, name, word, protocolWords[word])
+				t.Errorf("%s: %s contains the protocol word %q; use %s", position, name, protocolWord, protocolWords[protocolWord])
 			}
 		})
 	})
