--- a/api/api.go
+++ b/api/api.go
@@ -24,8 +24,8 @@
 func errNotObject() *FieldError { return &FieldError{"body", "must be a JSON object"} }
 
 // decodeObject decodes a body that must be a JSON object. The error is a *FieldError.
-func decodeObject(body []byte, into any) error {
-	if json.Unmarshal(body, into) != nil {
+func decodeObject(body []byte, destination any) error {
+	if json.Unmarshal(body, destination) != nil {
 		return errNotObject()
 	}
 	return nil
--- a/api/cloud.go
+++ b/api/cloud.go
@@ -21,11 +21,11 @@
 
 // Fits reports whether one task of a job fits on an empty machine of this type in a zone that the job allows.
 func (machineType *MachineType) Fits(submission *Submission) bool {
-	const rounding = 1e-9
+	const tolerance = 1e-9
 	switch {
-	case machineType.CPUs+rounding < submission.CPUs,
-		machineType.Cards+rounding < submission.Cards,
-		machineType.MemoryGB+rounding < submission.MemoryGB:
+	case machineType.CPUs+tolerance < submission.CPUs,
+		machineType.Cards+tolerance < submission.Cards,
+		machineType.MemoryGB+tolerance < submission.MemoryGB:
 		return false
 	case submission.Image != "" && machineType.CacheGB > 0 && submission.ImageGB > machineType.CacheGB:
 		return false
--- a/api/staging_test.go
+++ b/api/staging_test.go
@@ -33,10 +33,10 @@
 			clone.RemoveRange(uint64(max(0, h.Of)), 1<<32)
 			_ = roaring.AndNot(clone, h.Parts.Bitmap).GetCardinality()
 		}
-		again, err := json.Marshal(heartbeat)
-		var back StageHeartbeat
-		if err != nil || json.Unmarshal(again, &back) != nil {
-			t.Fatalf("%v: %s", err, again)
+		encoded, err := json.Marshal(heartbeat)
+		var decoded StageHeartbeat
+		if err != nil || json.Unmarshal(encoded, &decoded) != nil {
+			t.Fatalf("%v: %s", err, encoded)
 		}
 	})
 }
--- a/api/submission.go
+++ b/api/submission.go
@@ -9,7 +9,7 @@
 
 // Values of Submission.Shape.
 const (
-	// JobArray is a job whose tasks run to completion independently.
+	// JobArray is a job whose tasks run to completion and need not run at the same time.
 	JobArray = "sweep"
 	// Gang is a job whose tasks run to completion, all at the same time.
 	Gang = "gang"
@@ -210,12 +210,12 @@
 }
 
 // readOptional decodes a field that may be missing or null. It reports whether the field has a value of the right type.
-func (reader *submissionReader) readOptional(field string, into any, want string) bool {
+func (reader *submissionReader) readOptional(field string, destination any, want string) bool {
 	raw := reader.fields[field]
 	if isAbsent(raw) {
 		return false
 	}
-	if json.Unmarshal(raw, into) != nil {
+	if json.Unmarshal(raw, destination) != nil {
 		reader.fail(field, want)
 		return false
 	}
@@ -223,29 +223,29 @@
 }
 
 // readRequired decodes a required field. It reports whether the field has a value of the right type.
-func (reader *submissionReader) readRequired(field string, into any, want string) bool {
+func (reader *submissionReader) readRequired(field string, destination any, want string) bool {
 	if isAbsent(reader.fields[field]) {
 		reader.fail(field, "is missing")
 		return false
 	}
-	return reader.readOptional(field, into, want)
+	return reader.readOptional(field, destination, want)
 }
 
 // readString reads a required string that must not be empty.
-func (reader *submissionReader) readString(field string, into *string) {
-	if reader.readRequired(field, into, "must be a string") && *into == "" {
+func (reader *submissionReader) readString(field string, destination *string) {
+	if reader.readRequired(field, destination, "must be a string") && *destination == "" {
 		reader.fail(field, "must not be empty")
 	}
 }
 
 // readBool reads a required boolean.
-func (reader *submissionReader) readBool(field string, into *bool) {
-	reader.readRequired(field, into, "must be true or false")
+func (reader *submissionReader) readBool(field string, destination *bool) {
+	reader.readRequired(field, destination, "must be true or false")
 }
 
 // readAmount reads a required number and reports whether it is valid.
-func (reader *submissionReader) readAmount(field string, into *float64) bool {
-	return reader.readRequired(field, into, wantNumber) && reader.checkRange(field, *into)
+func (reader *submissionReader) readAmount(field string, destination *float64) bool {
+	return reader.readRequired(field, destination, wantNumber) && reader.checkRange(field, *destination)
 }
 
 // checkRange reports whether a number is in the valid range of amounts and records an error if not.
--- a/api/submission_test.go
+++ b/api/submission_test.go
@@ -23,10 +23,10 @@
 		t.Errorf("%+v %q %v", submission, id, err)
 	}
 	// A submission is stored as JSON and must survive the round trip.
-	again, _ := json.Marshal(submission)
-	var back Submission
-	if json.Unmarshal(again, &back) != nil || back.Team != "vision" || back.DeadlineS != 0 {
-		t.Errorf("%+v", back)
+	encoded, _ := json.Marshal(submission)
+	var decoded Submission
+	if json.Unmarshal(encoded, &decoded) != nil || decoded.Team != "vision" || decoded.DeadlineS != 0 {
+		t.Errorf("%+v", decoded)
 	}
 }
 
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -87,8 +87,8 @@
 
 // Extrapolates reports whether a size lies outside of the measured range.
 func (f Slopes) Extrapolates(s Size) bool {
-	out := func(v, least, most float64) bool { return v < least || v > most }
-	return out(s.Workers, f.MinSize.Workers, f.MaxSize.Workers) || out(s.Tasks, f.MinSize.Tasks, f.MaxSize.Tasks) || out(s.Starts, f.MinSize.Starts, f.MaxSize.Starts)
+	outside := func(v, least, most float64) bool { return v < least || v > most }
+	return outside(s.Workers, f.MinSize.Workers, f.MaxSize.Workers) || outside(s.Tasks, f.MinSize.Tasks, f.MaxSize.Tasks) || outside(s.Starts, f.MinSize.Starts, f.MaxSize.Starts)
 }
 
 // Model maps the name of each figure to its fit.
@@ -102,16 +102,16 @@
 
 // Fit fits every figure that has at least minPoints measurements and omits the others from the model. It returns
 // ErrTooFewMeasurements if no figure can be fitted.
-func Fit(all []Measurement) (Model, error) {
+func Fit(measurements []Measurement) (Model, error) {
 	names := map[string]bool{}
-	for _, m := range all {
+	for _, m := range measurements {
 		for name := range m.Figures {
 			names[name] = true
 		}
 	}
 	model := Model{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		slopes, err := fitFigure(name, all)
+		slopes, err := fitFigure(name, measurements)
 		if errors.Is(err, ErrTooFewMeasurements) {
 			continue
 		}
@@ -126,7 +126,7 @@
 	return model, nil
 }
 
-// predictors returns the values of the predictors of a fit: the constant and the dimensions of the size, in the
+// predictors lists functions that return the predictors of a fit: the constant and the dimensions of the size, in the
 // order of the fields of Slopes.
 var predictors = []func(m Measurement) float64{
 	func(Measurement) float64 { return 1 },
@@ -136,9 +136,9 @@
 }
 
 // fitFigure fits one figure. It returns ErrTooFewMeasurements if the figure has fewer than minPoints measurements.
-func fitFigure(name string, all []Measurement) (Slopes, error) {
+func fitFigure(name string, measurements []Measurement) (Slopes, error) {
 	var points []Measurement
-	for _, measurement := range all {
+	for _, measurement := range measurements {
 		if value, ok := measurement.Figures[name]; ok && value > 0 {
 			points = append(points, measurement)
 		}
@@ -150,16 +150,16 @@
 	if err != nil {
 		return Slopes{}, err
 	}
-	out := Slopes{Points: len(points), MinSize: sizeOf(points[0]), MaxSize: sizeOf(points[0])}
+	fit := Slopes{Points: len(points), MinSize: sizeOf(points[0]), MaxSize: sizeOf(points[0])}
 	for i, predictor := range used {
-		*[]*float64{&out.Constant, &out.PerWorker, &out.PerTask, &out.PerStart}[predictor] = coefficients[i]
+		*[]*float64{&fit.Constant, &fit.PerWorker, &fit.PerTask, &fit.PerStart}[predictor] = coefficients[i]
 	}
 	for _, point := range points {
 		size := sizeOf(point)
-		out.Residual = math.Max(out.Residual, math.Abs(out.At(size)-point.Figures[name])/point.Figures[name])
-		out.MinSize, out.MaxSize = minSize(out.MinSize, size), maxSize(out.MaxSize, size)
+		fit.Residual = math.Max(fit.Residual, math.Abs(fit.At(size)-point.Figures[name])/point.Figures[name])
+		fit.MinSize, fit.MaxSize = minSize(fit.MinSize, size), maxSize(fit.MaxSize, size)
 	}
-	return out, nil
+	return fit, nil
 }
 
 // nonNegativeLeastSquares finds the coefficients that minimize the sum of squared relative errors, so that small sizes
@@ -237,11 +237,11 @@
 	if err := qr.SolveVecTo(&solution, false, values); err != nil {
 		return nil, err
 	}
-	out := make([]float64, len(used))
-	for j := range out {
-		out[j] = solution.AtVec(j) / scale[j]
+	coefficients := make([]float64, len(used))
+	for j := range coefficients {
+		coefficients[j] = solution.AtVec(j) / scale[j]
 	}
-	return out, nil
+	return coefficients, nil
 }
 
 func sizeOf(m Measurement) Size { return Size{Workers: m.Workers, Tasks: m.Tasks, Starts: m.Starts} }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -13,11 +13,11 @@
 
 // exactMeasurements returns noise-free measurements with the given coefficients, at sizes whose dimensions are
 // linearly independent.
-func exactMeasurements(cost Slopes) (all []Measurement) {
+func exactMeasurements(fit Slopes) (measurements []Measurement) {
 	for _, s := range []Size{{Workers: 100, Tasks: 500, Starts: 1}, {Workers: 200, Tasks: 4000, Starts: 9}, {Workers: 400, Tasks: 9000, Starts: 2}, {Workers: 800, Tasks: 3000, Starts: 40}, {Workers: 1600, Tasks: 40000, Starts: 30}} {
-		all = append(all, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": cost.At(s)}})
+		measurements = append(measurements, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": fit.At(s)}})
 	}
-	return all
+	return measurements
 }
 
 func TestFitRecoversExactCoefficients(t *testing.T) {
@@ -68,22 +68,22 @@
 		t.Fatal(err)
 	}
 	for _, size := range []float64{400, 800, 1600} {
-		var others []Measurement
-		var left *Measurement
-		for i, m := range record.Measurements {
+		var remaining []Measurement
+		var heldOut *Measurement
+		for i, model := range record.Measurements {
 			switch {
-			case m.Workers != size:
-				others = append(others, m)
-			case m.Name == "steady":
-				left = &record.Measurements[i]
+			case model.Workers != size:
+				remaining = append(remaining, model)
+			case model.Name == "steady":
+				heldOut = &record.Measurements[i]
 			}
 		}
-		m, err := Fit(others)
+		model, err := Fit(remaining)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, figure := range []string{LeaderCPU, LeaderPeak, LeaderMemory, StateRequests, ReportBytes, SiblingBytes} {
-			got, want := m[figure].At(sizeOf(*left)), left.Figures[figure]
+			got, want := model[figure].At(sizeOf(*heldOut)), heldOut.Figures[figure]
 			if math.Abs(got-want) > 0.25*want {
 				t.Errorf("%s at %g workers: %g, measured %g", figure, size, got, want)
 			}
@@ -111,23 +111,23 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	set := &settings.Settings{Facts: settings.Facts{State: settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, Sockets: 10_000}}}
-	roomy := model.Limits(Planned(), set)
-	set.Facts.Resources.RAMMB = 60
-	tight := model.Limits(Planned(), set)
-	if tight[0].Name != "facts.resources.ram_mb, leader" || tight[0].Factor >= 1 || tight[0].Needed <= 60 || roomy[0].Factor <= tight[0].Factor {
-		t.Errorf("%+v, with more memory %+v", tight[0], roomy[0])
+	configuration := &settings.Settings{Facts: settings.Facts{State: settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, Sockets: 10_000}}}
+	ampleMemory := model.Limits(Planned(), configuration)
+	configuration.Facts.Resources.RAMMB = 60
+	littleMemory := model.Limits(Planned(), configuration)
+	if littleMemory[0].Name != "facts.resources.ram_mb, leader" || littleMemory[0].Factor >= 1 || littleMemory[0].Needed <= 60 || ampleMemory[0].Factor <= littleMemory[0].Factor {
+		t.Errorf("%+v, with more memory %+v", littleMemory[0], ampleMemory[0])
 	}
-	for i := range roomy[1:] {
-		if roomy[i].Factor > roomy[i+1].Factor {
-			t.Errorf("not in order: %+v", roomy)
+	for i := range ampleMemory[1:] {
+		if ampleMemory[i].Factor > ampleMemory[i+1].Factor {
+			t.Errorf("not in order: %+v", ampleMemory)
 		}
 	}
 	// At the size scaled by Factor the figure equals the bound.
-	l := roomy[0]
-	for _, other := range model.Limits(Planned().Scale(l.Factor), set) {
-		if other.Name == l.Name && math.Abs(other.Needed-l.Bound) > 1e-6*l.Bound {
-			t.Errorf("at %g times: %+v", l.Factor, other)
+	firstLimit := ampleMemory[0]
+	for _, other := range model.Limits(Planned().Scale(firstLimit.Factor), configuration) {
+		if other.Name == firstLimit.Name && math.Abs(other.Needed-firstLimit.Bound) > 1e-6*firstLimit.Bound {
+			t.Errorf("at %g times: %+v", firstLimit.Factor, other)
 		}
 	}
 }
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -147,7 +147,8 @@
 	return limits
 }
 
-// growthFactor returns the factor by which a size may grow within a bound.
+// growthFactor returns the factor by which a size may grow within a bound, which is exact because the fit is linear. It
+// returns math.MaxFloat64 if the figure does not grow with the size.
 func (f Slopes) growthFactor(size Size, bound float64) float64 {
 	variablePart := f.At(size) - f.Constant
 	if variablePart <= 0 {
--- a/cmd/scaleplot/main.go
+++ b/cmd/scaleplot/main.go
@@ -1,5 +1,5 @@
 // Command scaleplot plots the results of `switchferry experiment scale --json`. It is a separate program because the
-// plotting library loads its fonts at program start, which would slow down the start of every controller.
+// plotting library loads its fonts at program start, a cost that every controller would otherwise bear.
 package main
 
 import (
--- a/internal/stricttoml/typeerror.go
+++ b/internal/stricttoml/typeerror.go
@@ -40,12 +40,12 @@
 		if match == nil {
 			continue
 		}
-		name, found := resolveKey(reflect.TypeOf(v), err.Key())
+		name, settingType := resolveKey(reflect.TypeOf(v), err.Key())
 		if name == "" {
 			return "", nil, false
 		}
-		inside := isCollection(found) && match[1] != "table" && match[1] != "array table" && match[2] != found.String()
-		return name, &TypeError{Want: describeType(found, name), Got: describeFoundValue(match[1]), InElement: inside}, true
+		inside := isCollection(settingType) && match[1] != "table" && match[1] != "array table" && match[2] != settingType.String()
+		return name, &TypeError{Want: describeType(settingType, name), Got: describeFoundValue(match[1]), InElement: inside}, true
 	}
 	return "", nil, false
 }
--- a/lint/baseline_test.go
+++ b/lint/baseline_test.go
@@ -26,13 +26,13 @@
 	if text != want {
 		t.Errorf("formatted:\n%s\nwant:\n%s", text, want)
 	}
-	again, err := ParseBaseline(strings.NewReader(text))
+	parsed, err := ParseBaseline(strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	delete(counts, Pair{"configuration", "modernize"})
-	if !reflect.DeepEqual(again, counts) {
-		t.Errorf("read again: %v, want %v", again, counts)
+	if !reflect.DeepEqual(parsed, counts) {
+		t.Errorf("read again: %v, want %v", parsed, counts)
 	}
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -136,9 +136,9 @@
 
 // Team returns the team with the given name and reports whether it exists.
 func (settings *Settings) Team(name string) (Team, bool) {
-	for _, t := range settings.Facts.Teams {
-		if t.Name == name {
-			return t, true
+	for _, team := range settings.Facts.Teams {
+		if team.Name == name {
+			return team, true
 		}
 	}
 	return Team{}, false
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -153,7 +153,7 @@
 type cumulativePrice struct {
 	slotS  float64
 	prices []float64
-	// costAtSlotStart holds the cost up to the start of each slot and, as its last element, up to the end of the last slot.
+	// costAtSlotStart holds the cost up to the start of each slot, followed by the cost up to the end of the last slot.
 	costAtSlotStart []float64
 }
 
@@ -179,21 +179,21 @@
 // only at slot boundaries, so it suffices to try the earliest and the latest start and all starts at which the task
 // starts or ends at a slot boundary.
 func (c *cumulativePrice) cheapestStart(job Job, task Task) (start, cost float64) {
-	last := job.Due - task.Run
+	latest := job.Due - task.Run
 	start, cost = job.Arrive, math.Inf(1)
-	try := func(at float64) {
-		if at < job.Arrive || at > last {
+	consider := func(at float64) {
+		if at < job.Arrive || at > latest {
 			return
 		}
 		if costAt := c.costUpTo(at+task.Run) - c.costUpTo(at); costAt < cost {
 			start, cost = at, costAt
 		}
 	}
-	try(job.Arrive)
-	try(last)
+	consider(job.Arrive)
+	consider(latest)
 	for boundary := math.Ceil(job.Arrive/c.slotS) * c.slotS; boundary <= job.Due && cost > 0; boundary += c.slotS {
-		try(boundary)
-		try(boundary - task.Run)
+		consider(boundary)
+		consider(boundary - task.Run)
 	}
 	return start, cost
 }
--- a/upperbound/upperbound_test.go
+++ b/upperbound/upperbound_test.go
@@ -25,9 +25,9 @@
 
 // place tries all start times of the tasks of a job, beginning with the task of the given index, until then returns
 // true.
-func (s *schedule) place(job Job, task int, then func() bool) bool {
+func (s *schedule) place(job Job, task int, placeRest func() bool) bool {
 	if task == len(job.Tasks) {
-		return then()
+		return placeRest()
 	}
 	placed := job.Tasks[task]
 	for start := int(job.Arrive); float64(start)+placed.Run <= job.Due; start++ {
@@ -35,7 +35,7 @@
 			continue
 		}
 		s.reserve(placed.CPUs, start, int(placed.Run))
-		if s.place(job, task+1, then) {
+		if s.place(job, task+1, placeRest) {
 			return true
 		}
 		s.reserve(-placed.CPUs, start, int(placed.Run))
