--- a/api/words_test.go
+++ b/api/words_test.go
@@ -14,8 +14,8 @@
 	"unicode"
 )
 
-// protocolWords are the words that the protocol has for things that the code calls by other names. They may
-// stand in struct tags and in the values of constants, never in an identifier.
+// protocolWords maps words of the protocol to the terms that the code uses instead. They may occur in struct tags
+// and in the values of constants, but not in identifiers.
 var protocolWords = map[string]string{
 	"helm":      "term",
 	"berth":     "zone, or slot of a topology",
@@ -29,15 +29,15 @@
 	"bundle":    "image",
 }
 
-// themedIdentifiers are identifiers that have such a word nevertheless, after their directory. The list may
-// only shrink: an entry without an identifier fails the test too. All words are absent elsewhere, also those
-// that are plain English (bundle, charter, standby, tally).
-var themedIdentifiers = map[string]bool{}
+// allowedIdentifiers lists the exceptions: identifiers that contain a protocol word, each as "directory name". The
+// list may only shrink: an entry without a matching identifier fails the test too. Words that are also plain English
+// (bundle, charter, standby, tally) are covered as well.
+var allowedIdentifiers = map[string]bool{}
 
-// wireDirectory holds generated code, whose names are those of the frames between controllers.
-const wireDirectory = "peer/wire"
+// generatedDirectory contains generated code, which uses the names of the frames between controllers.
+const generatedDirectory = "peer/wire"
 
-func TestProtocolWordsStandOnlyAtTheEdge(t *testing.T) {
+func TestIdentifiersContainNoProtocolWords(t *testing.T) {
 	found := map[string]bool{}
 	files := 0
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
@@ -49,7 +49,7 @@
 			return err
 		}
 		relative = filepath.ToSlash(relative)
-		if entry.IsDir() && (relative == wireDirectory || skippedDirectory(entry.Name())) {
+		if entry.IsDir() && (relative == generatedDirectory || isSkippedDirectory(entry.Name())) {
 			return fs.SkipDir
 		}
 		if entry.IsDir() || !strings.HasSuffix(path, ".go") {
@@ -58,13 +58,13 @@
 		files++
 		return inspectIdentifiers(path, func(name string, position token.Position) {
 			key := filepath.ToSlash(filepath.Dir(relative)) + " " + name
-			word, themed := themedWord(name)
-			if !themed {
+			protocolWord, contained := protocolWordIn(name)
+			if !contained {
 				return
 			}
 			found[key] = true
-			if !themedIdentifiers[key] {
-				t.Errorf("%s: %s has the protocol's word %q; call it %s", position, name, word, protocolWords[word])
+			if !allowedIdentifiers[key] {
+				t.Errorf("%s: %s contains the protocol word %q; use %s", position, name, protocolWord, protocolWords[protocolWord])
 			}
 		})
 	})
@@ -72,29 +72,29 @@
 		t.Fatal(err)
 	}
 	if files < 100 {
-		t.Errorf("only %d Go files were found; the test does not run in the tree", files)
+		t.Errorf("found only %d Go files; the test does not run in the source tree", files)
 	}
-	for _, key := range slices.Sorted(maps.Keys(themedIdentifiers)) {
+	for _, key := range slices.Sorted(maps.Keys(allowedIdentifiers)) {
 		if !found[key] {
-			t.Errorf("themedIdentifiers lists %q, which is gone; remove it there", key)
+			t.Errorf("allowedIdentifiers lists %q, which no longer exists; remove the entry", key)
 		}
 	}
 }
 
-func TestThemedWordSplitsIdentifiers(t *testing.T) {
+func TestProtocolWordInSplitsIdentifiers(t *testing.T) {
 	for name, want := range map[string]string{
 		"helm": "helm", "newHelm": "helm", "HelmOf": "helm", "HELM": "helm", "berthID": "berth", "hulls": "hull",
 		"bundleGB": "bundle", "tallies": "tally", "StowS": "stow", "withdrawnJobs": "withdrawn", "stand_by": "",
 		"overwhelming": "", "shardsToWrite": "", "newGBHelm": "helm", "HelmID": "helm", "IDHelmGB": "helm", "a1Hull2": "hull", "totally": "", "IdempotencyKey": "", "TermIDSeq": "",
 	} {
-		if got, _ := themedWord(name); got != want {
+		if got, _ := protocolWordIn(name); got != want {
 			t.Errorf("%s: found %q, want %q", name, got, want)
 		}
 	}
 }
 
-// skippedDirectory tells whether a directory has no source: hidden ones, data, and what builds leave.
-func skippedDirectory(name string) bool {
+// isSkippedDirectory reports whether a directory contains no source: hidden, data and build output directories.
+func isSkippedDirectory(name string) bool {
 	switch name {
 	case "testdata", "journal", "target", "vendor":
 		return true
@@ -102,8 +102,8 @@
 	return name != ".." && strings.HasPrefix(name, ".")
 }
 
-// themedWord returns the first word of the protocol that is a word of the identifier, in singular or plural.
-func themedWord(identifier string) (string, bool) {
+// protocolWordIn returns the first protocol word that occurs as a word of the identifier, in singular or plural.
+func protocolWordIn(identifier string) (string, bool) {
 	for _, part := range splitIdentifier(identifier) {
 		lower := strings.ToLower(part)
 		singulars := []string{lower, strings.TrimSuffix(lower, "s"), strings.TrimSuffix(lower, "ies") + "y"}
@@ -116,7 +116,7 @@
 	return "", false
 }
 
-// splitIdentifier returns the words of an identifier, such as Term, ID and Seq of TermIDSeq.
+// splitIdentifier returns the words of an identifier, such as Term, ID and Seq for TermIDSeq.
 func splitIdentifier(identifier string) []string {
 	var words []string
 	start := 0
@@ -134,7 +134,7 @@
 	return append(words, string(letters[start:]))
 }
 
-// beginsWord tells whether the upper-case letter at an index is not one in the middle of an initialism.
+// beginsWord reports whether the upper-case letter at an index begins a word, that is, is not inside an initialism.
 func beginsWord(letters []rune, index int) bool {
 	return unicode.IsLower(letters[index-1]) || index+1 < len(letters) && unicode.IsLower(letters[index+1])
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -11,17 +11,18 @@
 	"switchferry/settings"
 )
 
-// exact are measurements of a deployment that costs just so much, at sizes that tell all slopes apart.
-func exact(cost Slopes) (all []Measurement) {
+// exactMeasurements returns noise-free measurements with the given coefficients, at sizes whose dimensions are
+// linearly independent.
+func exactMeasurements(fit Slopes) (measurements []Measurement) {
 	for _, s := range []Size{{Workers: 100, Tasks: 500, Starts: 1}, {Workers: 200, Tasks: 4000, Starts: 9}, {Workers: 400, Tasks: 9000, Starts: 2}, {Workers: 800, Tasks: 3000, Starts: 40}, {Workers: 1600, Tasks: 40000, Starts: 30}} {
-		all = append(all, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": cost.At(s)}})
+		measurements = append(measurements, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": fit.At(s)}})
 	}
-	return all
+	return measurements
 }
 
-func TestFitFindsSlopes(t *testing.T) {
+func TestFitRecoversExactCoefficients(t *testing.T) {
 	want := Slopes{Constant: 0.01, PerWorker: 0.0001, PerTask: 0.000003, PerStart: 0.0007}
-	m, err := Fit(exact(want))
+	m, err := Fit(exactMeasurements(want))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,9 +37,9 @@
 	}
 }
 
-// Nothing gets cheaper the more there is of it, whatever the noise says; and what does not vary gets no slope.
-func TestFitHasNoNegativeSlopes(t *testing.T) {
-	all := exact(Slopes{Constant: 1, PerWorker: 0.01})
+// Coefficients are not negative even if noise suggests it, and a constant figure has no slope.
+func TestFitHasNoNegativeCoefficients(t *testing.T) {
+	all := exactMeasurements(Slopes{Constant: 1, PerWorker: 0.01})
 	all[4].Figures["f"] *= 0.8
 	for i := range all {
 		all[i].Figures["same"] = 7
@@ -53,36 +54,36 @@
 		}
 	}
 	if got := m["same"].At(Size{Workers: 1e6}); math.Abs(got-7) > 1 {
-		t.Errorf("what is always 7 becomes %g", got)
+		t.Errorf("a constant figure of 7 is estimated as %g", got)
 	}
-	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFew) {
+	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFewMeasurements) {
 		t.Errorf("three sizes: %v", err)
 	}
 }
 
-// The embedded run's figures foretell a size that is left out of the fit within 25%.
-func TestSizeLeftOutIsForetold(t *testing.T) {
+// A fit without one of the sizes of the embedded run predicts the figures of that size within 25%.
+func TestFitPredictsHeldOutSize(t *testing.T) {
 	record, err := Embedded()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, size := range []float64{400, 800, 1600} {
-		var others []Measurement
-		var left *Measurement
-		for i, m := range record.Measurements {
+		var remaining []Measurement
+		var heldOut *Measurement
+		for i, model := range record.Measurements {
 			switch {
-			case m.Workers != size:
-				others = append(others, m)
-			case m.Name == "steady":
-				left = &record.Measurements[i]
+			case model.Workers != size:
+				remaining = append(remaining, model)
+			case model.Name == "steady":
+				heldOut = &record.Measurements[i]
 			}
 		}
-		m, err := Fit(others)
+		model, err := Fit(remaining)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, figure := range []string{LeaderCPU, LeaderPeak, LeaderMemory, StateRequests, ReportBytes, SiblingBytes} {
-			got, want := m[figure].At(sizeOf(*left)), left.Figures[figure]
+			got, want := model[figure].At(sizeOf(*heldOut)), heldOut.Figures[figure]
 			if math.Abs(got-want) > 0.25*want {
 				t.Errorf("%s at %g workers: %g, measured %g", figure, size, got, want)
 			}
@@ -90,9 +91,9 @@
 	}
 }
 
-// A size beyond what was measured says so, and the first limit of a settings file is the one that a growing deployment
-// meets first.
-func TestTableAndLimits(t *testing.T) {
+// Estimates outside of the measured range are marked, and limits are ordered by when a growing deployment reaches
+// them.
+func TestTableMarksExtrapolationAndLimitsAreOrdered(t *testing.T) {
 	record, err := Embedded()
 	if err != nil {
 		t.Fatal(err)
@@ -110,28 +111,28 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	set := &settings.Settings{Facts: settings.Facts{State: settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, Sockets: 10_000}}}
-	roomy := model.Limits(Planned(), set)
-	set.Facts.Resources.RAMMB = 60
-	tight := model.Limits(Planned(), set)
-	if tight[0].Name != "facts.resources.ram_mb, leader" || tight[0].Factor >= 1 || tight[0].Needed <= 60 || roomy[0].Factor <= tight[0].Factor {
-		t.Errorf("%+v, with more memory %+v", tight[0], roomy[0])
+	configuration := &settings.Settings{Facts: settings.Facts{State: settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, Sockets: 10_000}}}
+	ampleMemory := model.Limits(Planned(), configuration)
+	configuration.Facts.Resources.RAMMB = 60
+	littleMemory := model.Limits(Planned(), configuration)
+	if littleMemory[0].Name != "facts.resources.ram_mb, leader" || littleMemory[0].Factor >= 1 || littleMemory[0].Needed <= 60 || ampleMemory[0].Factor <= littleMemory[0].Factor {
+		t.Errorf("%+v, with more memory %+v", littleMemory[0], ampleMemory[0])
 	}
-	for i := range roomy[1:] {
-		if roomy[i].Factor > roomy[i+1].Factor {
-			t.Errorf("not in order: %+v", roomy)
+	for i := range ampleMemory[1:] {
+		if ampleMemory[i].Factor > ampleMemory[i+1].Factor {
+			t.Errorf("not in order: %+v", ampleMemory)
 		}
 	}
-	// At the factor the bound is met.
-	l := roomy[0]
-	for _, other := range model.Limits(Planned().Times(l.Factor), set) {
-		if other.Name == l.Name && math.Abs(other.Needed-l.Bound) > 1e-6*l.Bound {
-			t.Errorf("at %g times: %+v", l.Factor, other)
+	// At the size scaled by Factor the figure equals the bound.
+	firstLimit := ampleMemory[0]
+	for _, other := range model.Limits(Planned().Scale(firstLimit.Factor), configuration) {
+		if other.Name == firstLimit.Name && math.Abs(other.Needed-firstLimit.Bound) > 1e-6*firstLimit.Bound {
+			t.Errorf("at %g times: %+v", firstLimit.Factor, other)
 		}
 	}
 }
 
-func TestReadTellsWhatIsWrong(t *testing.T) {
+func TestReadReportsMissingFile(t *testing.T) {
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil || !strings.Contains(fmt.Sprint(err), "measurements") {
 		t.Error(err)
 	}
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -12,16 +12,17 @@
 	"switchferry/settings"
 )
 
-// Record is the result of a scale run: the measurements, and what a job costs by its shape.
+// Record is the result of a scale run: the measurements and the cost of a job of each shape.
 type Record struct {
-	// Measured says how and where.
+	// Measured describes how and where the measurements were taken.
 	Measured     string        `json:"measured"`
 	Command      string        `json:"command"`
 	Measurements []Measurement `json:"measurements"`
 	Jobs         []JobCost     `json:"jobs"`
 }
 
-// JobCost is what one job of a shape costs the state service, from accept to the removal of its records.
+// JobCost is the number of state service changes that one job of a shape causes, from its acceptance to the removal
+// of its records.
 type JobCost struct {
 	Shape   string `json:"shape"`
 	Tasks   int    `json:"tasks"`
@@ -33,34 +34,34 @@
 //go:embed measured.json
 var embedded []byte
 
-// Embedded is the record of the scale run that docs/CAPACITY.md describes.
+// Embedded returns the record of the scale run that docs/CAPACITY.md describes.
 func Embedded() (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(embedded, &r); err != nil {
-		return nil, fmt.Errorf("the embedded measurements are damaged: %w", err)
+		return nil, fmt.Errorf("decoding the embedded measurements: %w", err)
 	}
 	return &r, nil
 }
 
-// Row is one figure of a role at a size.
+// Row is the estimate of one figure of a role.
 type Row struct {
 	Role   string  `json:"role"`
 	Figure string  `json:"figure"`
 	Unit   string  `json:"unit"`
 	Value  float64 `json:"value"`
-	// Larger is the value at one and a half times the size.
+	// Larger is the value at 1.5 times the size.
 	Larger float64 `json:"value_at_1_5"`
-	// Residual is the fit's; Beyond: the size, LargerBeyond: one and a half times the size, lies outside of what was
-	// measured.
+	// Residual is the residual of the fit. Beyond is true if the size lies outside of the measured range, LargerBeyond
+	// if 1.5 times the size does.
 	Residual     float64 `json:"residual"`
 	Beyond       bool    `json:"beyond_measured"`
 	LargerBeyond bool    `json:"beyond_measured_at_1_5"`
 }
 
-// workerRole is the role whose figures are measured for all together and reported for one.
+// workerRole is the role whose figures are measured for all workers together and reported per worker.
 const workerRole = "worker"
 
-// columns are the figures of the table in its order.
+// columns lists the figures of the table in the order of its rows.
 var columns = []struct {
 	role, figure, name, unit string
 }{
@@ -85,16 +86,16 @@
 	{"controllers", CommandMessages, "direct commands", "1/s"},
 }
 
-// Table has a row for each figure of the model, in the order of columns.
+// Table returns a row for each figure of the model, in the order of columns.
 func (m Model) Table(size Size) (rows []Row) {
-	larger := size.Times(1.5)
+	larger := size.Scale(1.5)
 	for _, c := range columns {
 		slopes, ok := m[c.figure]
 		if !ok {
 			continue
 		}
 		row := Row{Role: c.role, Figure: c.name, Unit: c.unit, Value: slopes.At(size), Larger: slopes.At(larger), Residual: slopes.Residual,
-			Beyond: slopes.Beyond(size), LargerBeyond: slopes.Beyond(larger)}
+			Beyond: slopes.Extrapolates(size), LargerBeyond: slopes.Extrapolates(larger)}
 		if c.role == workerRole && size.Workers > 0 {
 			row.Value /= size.Workers
 			row.Larger /= larger.Workers
@@ -104,58 +105,59 @@
 	return rows
 }
 
-// Limit is one bound of a deployment, and how large the deployment can grow within it.
+// Limit is an upper bound on one figure and the growth of the deployment that it allows.
 type Limit struct {
 	Name   string  `json:"limit"`
 	Bound  float64 `json:"bound"`
 	Needed float64 `json:"needed"`
-	// Factor is how many times the size fits; below 1 the size itself does not.
+	// Factor is the factor by which the size may grow within the bound; below 1 the size itself exceeds the bound.
 	Factor float64 `json:"fits_times"`
-	// Beyond: the size at which it ends lies outside of what was measured.
+	// Beyond is true if the largest size within the bound lies outside of the measured range.
 	Beyond bool `json:"beyond_measured"`
 }
 
-// usedShare is how much of a limit the controllers' own throttles leave themselves.
-const usedShare = 0.8
+// throttleShare is the fraction of a limit up to which the controllers throttle their own requests.
+const throttleShare = 0.8
 
-// Limits are the bounds that a settings file sets, in the order in which a growing deployment meets them.
-func (m Model) Limits(size Size, set *settings.Settings) (limits []Limit) {
-	least := set.Facts.State.Least()
+// Limits returns the bounds that the settings impose, in the order in which a growing deployment reaches them.
+func (m Model) Limits(size Size, configuration *settings.Settings) (limits []Limit) {
+	strictest := configuration.Facts.State.Least()
 	for _, limit := range []struct {
 		name, figure string
 		bound        float64
 	}{
-		{"facts.resources.cpu, leader's mean", LeaderCPU, set.Facts.Resources.CPU},
-		{"facts.resources.cpu, leader's p99 of seconds", LeaderPeak, set.Facts.Resources.CPU},
-		{"facts.resources.cpu, a new leader's busiest second", TakeoverPeak, set.Facts.Resources.CPU},
-		{"facts.resources.ram_mb, leader", LeaderMemory, set.Facts.Resources.RAMMB},
-		{"facts.resources.sockets, leader", LeaderSockets, float64(set.Facts.Resources.Sockets)},
-		{"facts.resources.sockets, follower", FollowerSockets, float64(set.Facts.Resources.Sockets)},
-		{"facts.state.rps", StateRequests, usedShare * set.Facts.State.RPS},
-		{"facts.state.write_rps", StateChanges, usedShare * least.WriteRPS},
-		{"facts.cloud.rps", CloudRequests, set.Facts.Cloud.RPS},
+		{"facts.resources.cpu, leader's mean", LeaderCPU, configuration.Facts.Resources.CPU},
+		{"facts.resources.cpu, leader's p99 of seconds", LeaderPeak, configuration.Facts.Resources.CPU},
+		{"facts.resources.cpu, a new leader's busiest second", TakeoverPeak, configuration.Facts.Resources.CPU},
+		{"facts.resources.ram_mb, leader", LeaderMemory, configuration.Facts.Resources.RAMMB},
+		{"facts.resources.sockets, leader", LeaderSockets, float64(configuration.Facts.Resources.Sockets)},
+		{"facts.resources.sockets, follower", FollowerSockets, float64(configuration.Facts.Resources.Sockets)},
+		{"facts.state.rps", StateRequests, throttleShare * configuration.Facts.State.RPS},
+		{"facts.state.write_rps", StateChanges, throttleShare * strictest.WriteRPS},
+		{"facts.cloud.rps", CloudRequests, configuration.Facts.Cloud.RPS},
 	} {
 		slopes, ok := m[limit.figure]
 		if !ok || limit.bound <= 0 {
 			continue
 		}
-		factor := slopes.fits(size, limit.bound)
-		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Beyond(size.Times(factor))})
+		factor := slopes.growthFactor(size, limit.bound)
+		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Extrapolates(size.Scale(factor))})
 	}
 	sortLimits(limits)
 	return limits
 }
 
-// fits is the factor by which a size may grow within a bound, given that the fit is linear.
-func (f Slopes) fits(size Size, bound float64) float64 {
-	grows := f.At(size) - f.Constant
-	if grows <= 0 {
+// growthFactor returns the factor by which a size may grow within a bound, which is exact because the fit is linear. It
+// returns math.MaxFloat64 if the figure does not grow with the size.
+func (f Slopes) growthFactor(size Size, bound float64) float64 {
+	variablePart := f.At(size) - f.Constant
+	if variablePart <= 0 {
 		return math.MaxFloat64
 	}
-	return math.Max(0, (bound-f.Constant)/grows)
+	return math.Max(0, (bound-f.Constant)/variablePart)
 }
 
-// sortLimits puts the limit that is met first in front.
+// sortLimits sorts limits by the growth that they allow, the smallest first.
 func sortLimits(limits []Limit) {
 	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Factor, b.Factor) })
 }
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -81,12 +81,12 @@
 			t.Errorf("%q: %v, want line %d: %s", test.text, err, test.line, test.want)
 		}
 		if _, ok := errors.AsType[*TypeError](err); ok {
-			t.Errorf("%q is called a type error: %v", test.text, err)
+			t.Errorf("%q is reported as a type error: %v", test.text, err)
 		}
 	}
 }
 
-func TestDecodeListsUnknownNames(t *testing.T) {
+func TestDecodeListsUnknownSettings(t *testing.T) {
 	var v destination
 	unknown, err := Decode([]byte("no_such = 1\non = true\n[[teams]]\nname = \"a\"\nother = 2\n"), &v)
 	if err != nil || !v.On || len(v.Teams) != 1 || v.Teams[0].Name != "a" {
