--- a/dataset/build.go
+++ b/dataset/build.go
@@ -7,16 +7,16 @@
 	"switchferry/tuning"
 )
 
-// Build cuts a reader's content into chunks of chunkBytes, the last of which may be smaller, and
-// groups partChunks chunks into a part, the last of which may have fewer. Each chunk is passed to
-// keep, unless that is nil; keep must not retain the bytes. An error of the reader or of keep ends
-// Build and is wrapped.
+// Build splits the content of a reader into chunks of chunkBytes bytes and groups every partChunks
+// chunks into a part. The last chunk and the last part may be smaller. If keep is not nil, it is
+// called with each chunk and must not retain the bytes. Build stops at the first error of the
+// reader or of keep and returns it wrapped.
 func Build(name string, reader io.Reader, chunkBytes, partChunks int, keep func(Chunk, []byte) error) (*Manifest, error) {
 	if chunkBytes < 1 || chunkBytes > tuning.ChunkLimit {
 		return nil, fmt.Errorf("chunk size: must be 1 to %d bytes, not %d", tuning.ChunkLimit, chunkBytes)
 	}
 	if partChunks < 1 {
-		return nil, fmt.Errorf("chunks a part: must be 1 or more, not %d", partChunks)
+		return nil, fmt.Errorf("chunks per part: must be 1 or more, not %d", partChunks)
 	}
 	chunks, err := cutChunks(reader, chunkBytes, keep)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return manifest, manifest.validate()
 }
 
-// cutChunks reads everything and returns its chunks.
+// cutChunks reads the reader to its end and returns the chunks of its content.
 func cutChunks(reader io.Reader, chunkBytes int, keep func(Chunk, []byte) error) ([]Chunk, error) {
 	var chunks []Chunk
 	buffer := make([]byte, chunkBytes)
@@ -41,7 +41,7 @@
 			chunk := Chunk{Digest: Sum(buffer[:size]), Bytes: int64(size)}
 			if keep != nil {
 				if err := keep(chunk, buffer[:size]); err != nil {
-					return nil, fmt.Errorf("keep chunk %d: %w", len(chunks), err)
+					return nil, fmt.Errorf("store chunk %d: %w", len(chunks), err)
 				}
 			}
 			chunks = append(chunks, chunk)
--- a/dataset/dataset_test.go
+++ b/dataset/dataset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// buildManifest returns the manifest of size bytes, and its encoded form.
+// buildManifest returns the manifest of a dataset of the given size in bytes, and its encoded form.
 func buildManifest(t *testing.T, size, chunkBytes, partChunks int) (*Manifest, []byte) {
 	t.Helper()
 	manifest, err := Build("inventory-1", bytes.NewReader(bytes.Repeat([]byte("abcdefg"), size)[:size]), chunkBytes, partChunks, nil)
@@ -20,7 +20,7 @@
 	return manifest, raw
 }
 
-// The parts of a manifest that was encoded and parsed, and those of its summary, cover all bytes.
+// The parts of a manifest cover all bytes of the dataset after encoding and parsing, and so do those of its summary.
 func TestPartsCoverAllBytes(t *testing.T) {
 	manifest, raw := buildManifest(t, 1000, 64, 3)
 	back, err := Parse(raw)
@@ -40,7 +40,7 @@
 	}
 }
 
-// The error of an invalid manifest names each wrong field, so that all can be corrected at once.
+// The error for an invalid manifest names every invalid field, so that a user can correct them all at once.
 func TestEveryMistakeIsNamed(t *testing.T) {
 	_, err := Parse([]byte(`{"format":2,"name":"Bad Name","chunks":[{"digest":"` + strings.Repeat("0", 64) + `","bytes":0}],"parts":[1,5]}`))
 	for _, want := range []string{"format", "name", "chunks[0].bytes", "parts[1]"} {
@@ -54,7 +54,7 @@
 	}
 }
 
-// FuzzManifest checks that any manifest that is accepted is consistent.
+// FuzzManifest checks that the parts of every manifest that Parse accepts cover each chunk exactly once.
 func FuzzManifest(f *testing.F) {
 	f.Add([]byte(`{"format":1,"name":"a","chunks":[{"digest":"` + strings.Repeat("ab", 32) + `","bytes":5}]}`))
 	f.Add([]byte(`{"format":1,"name":"a","chunks":[{"digest":"` + strings.Repeat("ab", 32) + `","bytes":5}],"parts":[1]}`))
@@ -64,7 +64,7 @@
 		if err != nil {
 			return
 		}
-		// The parts must cover all bytes once.
+		// The parts must cover each chunk and each byte exactly once.
 		sum, assigned := int64(0), 0
 		for part := range manifest.PartCount() {
 			from, to := manifest.Part(part)
--- a/dataset/entry.go
+++ b/dataset/entry.go
@@ -2,22 +2,23 @@
 
 // States of a registered dataset.
 const (
-	// Listed means that jobs may use the dataset. It is the empty string, as in records that were
-	// written before there were other states.
+	// Listed means that jobs may use the dataset. It is the empty string because records written
+	// before the other states existed have no state.
 	Listed = ""
-	// Removing means that new jobs may not use it; those that were accepted before still need it.
+	// Removing means that new jobs may not use the dataset, while jobs accepted earlier may still
+	// need it.
 	Removing = "removing"
-	// Removed means that nothing needs it any more, for good. The record stays, since a name is
-	// never reused for other content.
+	// Removed means that no job needs the dataset any more. The state is final. The record is kept
+	// because a name is never reused for other content.
 	Removed = "removed"
 )
 
-// Entry is a registered dataset as it stands in its record.
+// Entry is the stored record of a registered dataset.
 type Entry struct {
 	Summary
 	// State is Listed, Removing or Removed.
 	State string `json:"state,omitempty"`
 	// Stamp is the revision of the record. A job is accepted only if the records of its datasets
-	// are still those that were read.
+	// still have the revisions at which they were read.
 	Stamp uint64 `json:"-"`
 }
--- a/dataset/example_test.go
+++ b/dataset/example_test.go
@@ -7,7 +7,7 @@
 	"switchferry/dataset"
 )
 
-// Content is cut into chunks, here of four bytes, each of which is a part.
+// Build splits content into chunks, here of four bytes each. With one chunk per part, every chunk is a part.
 func ExampleBuild() {
 	manifest, err := dataset.Build("snapshot-7", strings.NewReader("abcdefghij"), 4, 1, nil)
 	if err != nil {
@@ -23,7 +23,7 @@
 	// 2 2
 }
 
-// A summary is made from a manifest as it was published.
+// Summarize takes the manifest and its encoded form as it was published.
 func ExampleSummarize() {
 	manifest, err := dataset.Build("snapshot-7", strings.NewReader("abcdefghij"), 2, 2, nil)
 	if err != nil {
@@ -49,7 +49,7 @@
 	// same digest: true
 }
 
-// A malformed manifest is refused with all of its mistakes.
+// Parse reports all errors of an invalid manifest at once.
 func ExampleParse() {
 	_, err := dataset.Parse([]byte(`{"format": 1, "name": "A", "chunks": []}`))
 	fmt.Println(err)
--- a/dataset/manifest.go
+++ b/dataset/manifest.go
@@ -8,32 +8,33 @@
 	"switchferry/tuning"
 )
 
-// Format is the version of the manifest format that this program reads and writes.
+// Format is the only version of the manifest format that is read and written.
 const Format = 1
 
-// Chunk is a run of a dataset's bytes.
+// Chunk describes a contiguous range of a dataset's bytes. Bytes is its size.
 type Chunk struct {
 	Digest Digest `json:"digest"`
 	Bytes  int64  `json:"bytes"`
 }
 
-// Manifest lists a dataset's chunks in the order of its bytes. Parse and Build return valid ones;
-// the methods must not be called on others.
+// Manifest lists the chunks of a dataset in the order of their bytes. Its methods may be called only
+// on manifests returned by Parse or Build, which are valid.
 type Manifest struct {
 	Format int     `json:"format"`
 	Name   string  `json:"name"`
 	Chunks []Chunk `json:"chunks"`
-	// Parts holds the number of chunks of each part, in order. If it is empty, each chunk is a
-	// part. Task k of a job that uses its own part gets part k.
+	// Parts holds the number of chunks in each part, in order. If it is empty, each chunk is a
+	// part. In a job whose tasks each use their own part, task k gets part k.
 	Parts []int `json:"parts,omitempty"`
 
-	// partStarts holds the index of each part's first chunk, and the number of chunks at its end.
+	// partStarts holds the index of the first chunk of each part, followed by the number of chunks.
 	partStarts []int
-	// chunkOffsets holds the index of each chunk's first byte, and the number of bytes at its end.
+	// chunkOffsets holds the offset in bytes of each chunk, followed by the size of the dataset.
 	chunkOffsets []int64
 }
 
-// Parse reads and validates a manifest. The error lists all mistakes, up to a limit, by field.
+// Parse decodes and validates a manifest. The error of an invalid manifest names each invalid field,
+// up to tuning.MaxReportedErrors of them.
 func Parse(raw []byte) (*Manifest, error) {
 	if len(raw) > tuning.ManifestLimit {
 		return nil, fmt.Errorf("manifest: %d bytes, at most %d are read; use larger chunks", len(raw), tuning.ManifestLimit)
@@ -48,8 +49,8 @@
 	return &manifest, nil
 }
 
-// validate checks the manifest and computes where chunks and parts begin. The error lists all
-// mistakes, up to a limit.
+// validate checks the manifest and computes partStarts and chunkOffsets. The error names each invalid
+// field, up to tuning.MaxReportedErrors of them.
 func (manifest *Manifest) validate() error {
 	var problems problemList
 	if manifest.Format != Format {
@@ -66,7 +67,7 @@
 	return errors.Join(problems...)
 }
 
-// indexChunks checks the sizes of the chunks and computes chunkOffsets.
+// indexChunks validates the sizes of the chunks and computes chunkOffsets.
 func (manifest *Manifest) indexChunks(problems *problemList) {
 	manifest.chunkOffsets = make([]int64, len(manifest.Chunks)+1)
 	for i, chunk := range manifest.Chunks {
@@ -78,7 +79,7 @@
 	}
 }
 
-// indexParts checks the sizes of the parts and computes partStarts.
+// indexParts validates the sizes of the parts and computes partStarts.
 func (manifest *Manifest) indexParts(problems *problemList) {
 	manifest.partStarts = []int{0}
 	if len(manifest.Parts) == 0 {
@@ -91,28 +92,28 @@
 	for i, count := range manifest.Parts {
 		left := len(manifest.Chunks) - assigned
 		if count <= 0 || count > left {
-			problems.addf("manifest: parts[%d]: must be 1 to %d, the chunks that are left, not %d", i, left, count)
+			problems.addf("manifest: parts[%d]: must be 1 to %d, the number of remaining chunks, not %d", i, left, count)
 			return
 		}
 		assigned += count
 		manifest.partStarts = append(manifest.partStarts, assigned)
 	}
 	if assigned != len(manifest.Chunks) {
-		problems.addf("manifest: parts: they make up %d of %d chunks; every chunk must be in a part", assigned, len(manifest.Chunks))
+		problems.addf("manifest: parts: cover %d of %d chunks; every chunk must be in a part", assigned, len(manifest.Chunks))
 	}
 }
 
-// problemList collects mistakes, of which a user is shown a limited number.
+// problemList collects at most tuning.MaxReportedErrors validation errors.
 type problemList []error
 
-// addf adds a formatted mistake unless the limit is reached.
+// addf adds a formatted error unless the list is full.
 func (problems *problemList) addf(format string, arguments ...any) {
 	if len(*problems) < tuning.MaxReportedErrors {
 		*problems = append(*problems, fmt.Errorf(format, arguments...))
 	}
 }
 
-// Encode returns the manifest's bytes and their digest, by which the dataset is known.
+// Encode returns the encoded manifest and its digest, which identifies the content of the dataset.
 func (manifest *Manifest) Encode() ([]byte, Digest, error) {
 	raw, err := json.Marshal(manifest)
 	return raw, Sum(raw), err
@@ -124,17 +125,18 @@
 // PartCount returns the number of parts.
 func (manifest *Manifest) PartCount() int { return len(manifest.partStarts) - 1 }
 
-// Part returns the chunks of a part: those from the index from up to, but without, the index to.
-// The part must be below PartCount.
+// Part returns the range of a part's chunks: from is the index of the first chunk, to the index
+// after the last one. Part panics unless part is at least 0 and less than PartCount.
 func (manifest *Manifest) Part(part int) (from, to int) {
 	return manifest.partStarts[part], manifest.partStarts[part+1]
 }
 
-// PartBytes returns the size of a part in bytes. The part must be below PartCount.
+// PartBytes returns the size of a part in bytes. It panics unless part is at least 0 and less than
+// PartCount.
 func (manifest *Manifest) PartBytes(part int) int64 {
 	from, to := manifest.Part(part)
 	return manifest.chunkOffsets[to] - manifest.chunkOffsets[from]
 }
 
-// Offset returns the index of a chunk's first byte in the dataset.
+// Offset returns the offset in bytes of a chunk in the dataset.
 func (manifest *Manifest) Offset(chunk int) int64 { return manifest.chunkOffsets[chunk] }
--- a/dataset/summary.go
+++ b/dataset/summary.go
@@ -10,23 +10,25 @@
 	"switchferry/tuning"
 )
 
-// partBytesLimit keeps the sum of all parts' sizes within an int64.
+// partBytesLimit is the largest size of a part in bytes. It keeps the sum of the sizes of all parts
+// within an int64.
 const partBytesLimit = math.MaxInt64 / tuning.PartsLimit
 
-// Summary is what a scheduler keeps of a dataset: enough to know the size of a part, and small
-// enough for one record whatever the number of chunks.
+// Summary describes a dataset and the sizes of its parts without listing its chunks, so that it fits
+// into one record whatever the number of chunks.
 type Summary struct {
 	Name     string `json:"name"`
 	Manifest Digest `json:"manifest"`
 	Bytes    int64  `json:"bytes"`
 	Parts    int    `json:"parts"`
-	// Usual is the size in bytes of each part except those in Odd.
-	Usual int64         `json:"part_bytes"`
-	Odd   map[int]int64 `json:"odd,omitempty"`
+	// Usual is the size in bytes of each part that is not in Odd.
+	Usual int64 `json:"part_bytes"`
+	// Odd maps the index of each part of another size to its size in bytes.
+	Odd map[int]int64 `json:"odd,omitempty"`
 }
 
-// Summarize returns the summary of a manifest that was published as raw. The error is that of
-// Check, for instance if too many parts differ in size.
+// Summarize returns the summary of a manifest; raw is its encoded form as it was published, from which
+// the digest is computed. The error is that of Check, for example if too many parts differ in size.
 func Summarize(manifest *Manifest, raw []byte) (Summary, error) {
 	summary := Summary{
 		Name:     manifest.Name,
@@ -35,7 +37,7 @@
 		Parts:    manifest.PartCount(),
 		Odd:      map[int]int64{},
 	}
-	// The usual size is the most frequent one, and of those the smallest.
+	// Usual is the most frequent part size, or the smallest of those that are equally frequent.
 	count := map[int64]int{}
 	for part := range summary.Parts {
 		size := manifest.PartBytes(part)
@@ -52,7 +54,8 @@
 	return summary, summary.Check()
 }
 
-// Check validates a summary that comes from outside. The error lists every mistake.
+// Check validates a summary that was received from a client or read from a record. The error lists
+// the invalid fields.
 func (summary *Summary) Check() error {
 	var problems []error
 	fail := func(format string, arguments ...any) { problems = append(problems, fmt.Errorf(format, arguments...)) }
@@ -66,7 +69,7 @@
 		fail("part_bytes: must be 1 or more, not %d", summary.Usual)
 	}
 	if len(summary.Odd) > tuning.OddParts {
-		fail("odd: %d parts are not of the usual size, at most %d may be; make the parts even", len(summary.Odd), tuning.OddParts)
+		fail("odd: %d parts differ in size from the others, at most %d may; make the parts equal in size", len(summary.Odd), tuning.OddParts)
 	}
 	for part, size := range summary.Odd {
 		if part < 0 || part >= summary.Parts || size < 1 || size > partBytesLimit {
@@ -74,7 +77,7 @@
 			break
 		}
 	}
-	// The sum means nothing, and may overflow, unless its terms are valid.
+	// With invalid part sizes the sum would be meaningless and could overflow.
 	if len(problems) == 0 {
 		sum := summary.Usual * int64(summary.Parts-len(summary.Odd))
 		for _, size := range summary.Odd {
@@ -95,7 +98,7 @@
 	return summary.Usual
 }
 
-// Equal returns whether two summaries describe the same content.
+// Equal returns whether both summaries have the same JSON encoding, and so describe the same content.
 func (summary *Summary) Equal(other *Summary) bool {
 	encoded, err := json.Marshal(summary)
 	otherEncoded, otherErr := json.Marshal(other)
--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -9,26 +9,27 @@
 	"switchferry/tuning"
 )
 
-// Hint is what some machines hold, packed for a record of the state service. A new leader starts
-// from it until the agents report. Nothing breaks if a hint is old, incomplete or missing.
+// Hint is a compressed snapshot of the replicas on some machines, stored as a record of the state
+// service. A new leader uses it until the agents report. A hint may be outdated, incomplete or
+// missing: correctness does not depend on it.
 type Hint struct {
 	Packed string `json:"z"`
 }
 
-// packedHint is the content of a hint, by dataset name.
+// packedHint is the content of a Hint before compression, keyed by dataset name.
 type packedHint map[string]packedDataset
 
-// packedDataset is the number of a dataset's parts and, by machine name, the encoded bitmap of the
-// parts that each machine holds.
+// packedDataset describes the replicas of one dataset. Machines maps the name of each machine to the
+// encoded bitmap of the parts that it holds.
 type packedDataset struct {
 	PartCount int               `json:"n"`
 	Machines  map[string][]byte `json:"m"`
 }
 
-// EncodeHint packs what the given machines hold into at most maxBytes of text. As long as they do
-// not fit, the last half of the machines is left out; included is the number of the first machines
-// that were considered for the hint, 0 if the hint is empty. machineID returns the number of a
-// machine; machines for which it returns false are skipped.
+// EncodeHint encodes the replicas on the given machines as a hint of at most maxBytes bytes. While the
+// hint is too large, the second half of the list of machines is dropped. The hint covers the first
+// included machines of the list; included is 0 if the hint is empty. machineID looks up the ID of a
+// machine by its name; machines for which it returns false are skipped.
 func EncodeHint(snapshot *Snapshot, machines []string, machineID func(string) (MachineID, bool), maxBytes int) (hint Hint, included int, err error) {
 	for included := len(machines); included > 0; included /= 2 {
 		packed, err := snapshot.pack(machines[:included], machineID)
@@ -37,7 +38,7 @@
 		}
 		text, err := compress.EncodeSmall(packed)
 		if err != nil {
-			return Hint{}, 0, fmt.Errorf("hint of replicas on %d machines: %w", included, err)
+			return Hint{}, 0, fmt.Errorf("encode replica hint for %d machines: %w", included, err)
 		}
 		if len(text) <= maxBytes {
 			return Hint{text}, included, nil
@@ -46,7 +47,7 @@
 	return Hint{}, 0, nil
 }
 
-// pack returns what the given machines hold.
+// pack returns the replicas on the given machines. It skips machines for which machineID returns false.
 func (snapshot *Snapshot) pack(machines []string, machineID func(string) (MachineID, bool)) (packedHint, error) {
 	packed := packedHint{}
 	for _, name := range machines {
@@ -68,7 +69,7 @@
 			}
 			encoded, err := held.parts.ToBytes()
 			if err != nil {
-				return nil, fmt.Errorf("hint of replicas: parts of %s on %s: %w", datasetName, name, err)
+				return nil, fmt.Errorf("encode replica hint: parts of %s on %s: %w", datasetName, name, err)
 			}
 			entry.Machines[name] = encoded
 		}
@@ -76,22 +77,22 @@
 	return packed, nil
 }
 
-// Decode returns what each machine held, by machine and dataset name. The error is that of a
-// malformed hint, which comes from a record and is checked in full.
+// Decode returns the replicas in the hint, keyed by machine name and then by dataset name. The content
+// is validated completely, since it comes from a stored record; the error says that it is malformed.
 func (hint Hint) Decode() (map[string]map[string]Replica, error) {
 	var packed packedHint
 	if err := compress.Decode(hint.Packed, &packed); err != nil {
-		return nil, fmt.Errorf("hint of replicas: %w", err)
+		return nil, fmt.Errorf("decode replica hint: %w", err)
 	}
 	machines := map[string]map[string]Replica{}
 	for datasetName, entry := range packed {
 		for name, encoded := range entry.Machines {
 			if entry.PartCount < 0 || entry.PartCount > tuning.PartsLimit {
-				return nil, fmt.Errorf("hint of replicas: %s on %s cannot have %d parts", datasetName, name, entry.PartCount)
+				return nil, fmt.Errorf("decode replica hint: %s on %s: invalid number of parts %d", datasetName, name, entry.PartCount)
 			}
 			parts, err := decodeParts(encoded)
 			if err != nil {
-				return nil, fmt.Errorf("hint of replicas: parts of %s on %s: %w", datasetName, name, err)
+				return nil, fmt.Errorf("decode replica hint: parts of %s on %s: %w", datasetName, name, err)
 			}
 			if machines[name] == nil {
 				machines[name] = map[string]Replica{}
@@ -102,13 +103,13 @@
 	return machines, nil
 }
 
-// decodeParts decodes and validates a bitmap.
+// decodeParts decodes and validates the encoded bitmap of a machine's parts.
 func decodeParts(encoded []byte) (*roaring.Bitmap, error) {
 	parts := roaring.New()
 	if err := parts.UnmarshalBinary(encoded); err != nil {
 		return nil, err
 	}
-	// Validate refuses an empty bitmap, which is fine here.
+	// Validate rejects empty bitmaps, but a machine may hold no parts.
 	if err := parts.Validate(); err != nil && !parts.IsEmpty() {
 		return nil, err
 	}
--- a/replicas/hint_test.go
+++ b/replicas/hint_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A hint of 64 machines with 30 scattered parts each fits one value of the state service and decodes
-// to what was encoded. Machines that do not fit are left out, and a malformed hint is refused.
+// A hint for 64 machines with 30 random parts each fits into one value of the state service, and decoding
+// it returns the encoded replicas. Machines that do not fit are omitted, and a malformed hint is rejected.
 func TestHintKeepsTheMachinesThatFit(t *testing.T) {
 	index := filledIndex(2000, 20000)
 	snapshot := index.Snapshot()
--- a/replicas/index.go
+++ b/replicas/index.go
@@ -1,10 +1,10 @@
-// Package replicas records which machine holds which parts of which datasets, as the agents beside
-// the workers last reported it. It knows neither jobs nor why a part is needed.
+// Package replicas records which machine holds which parts of which datasets, as last reported by the
+// data agents that run beside the workers. It does not know about jobs or why a part is needed.
 //
-// Heartbeats of agents arrive at any time, while placement and users read. A reader takes a
-// Snapshot, which never changes and needs no lock: a round of placement sees one state throughout,
-// and no heartbeat waits for it. Snapshots share whatever did not change between them
-// (benbjohnson/immutable), and a machine's parts are compressed bitmaps (roaring).
+// Agents send heartbeats concurrently with reads by placement and by users. Each reader takes a
+// Snapshot, which is immutable and needs no lock: a placement round sees one consistent state and
+// does not block heartbeats. Successive snapshots share unchanged data (benbjohnson/immutable), and
+// the parts on a machine are stored as a compressed bitmap (roaring).
 package replicas
 
 import (
@@ -14,11 +14,12 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// MachineID is a machine's number, assigned by Index.ID. Numbers are small and are reused after a
-// machine is removed.
+// MachineID identifies a machine within an Index and is assigned by Index.ID. IDs are small numbers
+// and are reused after a machine is removed.
 type MachineID uint32
 
-// Replica is what a machine holds of one dataset: Parts, out of a total of Of parts.
+// Replica is the set of parts of one dataset that a machine holds. Of is the number of parts of the
+// dataset.
 type Replica struct {
 	Of    int
 	Parts *roaring.Bitmap
@@ -26,33 +27,34 @@
 
 // Index records the replicas on all machines. Its methods are safe for concurrent use.
 type Index struct {
-	// current is read without a lock, and written only while mu is held.
+	// current is read without a lock and written only with mu held.
 	current atomic.Pointer[Snapshot]
 
+	// mu guards ids and freeIDs, and serializes writes of current.
 	mu      sync.Mutex
 	ids     map[string]MachineID
 	freeIDs []MachineID
 }
 
-// New returns an empty index.
+// New returns an Index without machines.
 func New() *Index {
 	index := &Index{ids: map[string]MachineID{}}
 	index.current.Store(newSnapshot())
 	return index
 }
 
-// Snapshot returns the present state.
+// Snapshot returns the current state.
 func (index *Index) Snapshot() *Snapshot { return index.current.Load() }
 
-// ID returns the number of a machine, and assigns one if it has none.
+// ID returns the ID of a machine and assigns one if the machine has none.
 func (index *Index) ID(name string) MachineID {
 	index.mu.Lock()
 	defer index.mu.Unlock()
 	return index.assignID(name)
 }
 
-// assignID returns the number of a machine, and assigns the last one that was freed, or else the
-// next one, if it has none. mu must be held.
+// assignID returns the ID of a machine. If the machine has none, it assigns the most recently freed
+// ID, or the next unused one if no ID is free. mu must be held.
 func (index *Index) assignID(name string) MachineID {
 	machineID, ok := index.ids[name]
 	if ok {
@@ -68,7 +70,7 @@
 	return machineID
 }
 
-// Remove forgets a machine, its number and everything that it held.
+// Remove removes a machine and its replicas and frees its ID. Unknown machines are ignored.
 func (index *Index) Remove(name string) {
 	index.mu.Lock()
 	defer index.mu.Unlock()
@@ -92,9 +94,9 @@
 	index.current.Store(&next)
 }
 
-// Set replaces everything that a machine holds by the given replicas, keyed by dataset name. Parts
-// at or beyond a replica's total are left out. Set does not change the bitmaps, and the caller must
-// not change them afterwards.
+// Set replaces all replicas on a machine by the given ones, keyed by dataset name. Parts whose index is
+// not below a replica's number of parts are ignored. Set does not modify the bitmaps, and the caller
+// must not modify them afterwards.
 func (index *Index) Set(name string, replicas map[string]Replica) {
 	index.mu.Lock()
 	defer index.mu.Unlock()
--- a/replicas/index_test.go
+++ b/replicas/index_test.go
@@ -10,11 +10,11 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// replicaOf returns a replica with the given parts out of n.
+// replicaOf returns a replica that holds the given parts of a dataset of n parts.
 func replicaOf(n int, parts ...uint32) Replica { return Replica{n, roaring.BitmapOf(parts...)} }
 
-// Whatever agents report in whatever order, the holders of parts and the parts of machines agree,
-// and a snapshot that was taken before does not change.
+// After any sequence of reports and removals, the holders of each part agree with the parts of each
+// machine, and a snapshot taken earlier is unchanged.
 func TestBothDirectionsAgree(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	index := New()
@@ -57,12 +57,12 @@
 		}
 	}
 	if len(before.Datasets()) != 0 {
-		t.Fatal("an old snapshot changed")
+		t.Fatal("a snapshot taken before the changes was modified")
 	}
 }
 
-// Only machines with every part hold a dataset completely, parts beyond its end are ignored, and a
-// machine that reports nothing holds nothing.
+// Complete lists only machines that hold every part. Parts whose index is not below the number of parts
+// are ignored, and a machine that reports no replicas holds none.
 func TestCompleteHoldersAndPartsBeyondTheEnd(t *testing.T) {
 	index := New()
 	index.Set("n-1", map[string]Replica{"a": replicaOf(3, 0, 1, 2, 9)})
@@ -73,12 +73,12 @@
 	}
 	index.Set("n-1", map[string]Replica{})
 	if snapshot := index.Snapshot(); len(snapshot.Complete("a")) != 0 || len(snapshot.Holders("a", 0)) != 1 {
-		t.Fatal("a replica that was evicted is still there")
+		t.Fatal("an evicted replica is still in the index")
 	}
 }
 
-// filledIndex returns an index of machines named n-000000 and so on, with three random holders of each
-// part. docs/data.md measures such indexes.
+// filledIndex returns an index of machines named n-000000, n-000001 and so on, with up to three random
+// holders of each part. The measurements in docs/data.md use such indexes.
 func filledIndex(machines, parts int) *Index {
 	rng := rand.New(rand.NewPCG(3, uint64(machines)))
 	held := make([]*roaring.Bitmap, machines)
@@ -97,7 +97,7 @@
 	return index
 }
 
-// The leader has 70 MB in all; 60,000 replicas of parts must stay far below.
+// The leader may use 70 MB in total, of which an index of 60,000 replicas of parts must take only a small share.
 func TestMemoryAHolding(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/replicas/snapshot.go
+++ b/replicas/snapshot.go
@@ -7,43 +7,44 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Snapshot is the state of an Index at one moment. It never changes and is safe for concurrent
-// use. The zero value is not usable; Index.Snapshot returns one.
+// Snapshot is the state of an Index at one point in time. It is immutable and safe for concurrent use.
+// The zero value is not usable; use Index.Snapshot.
 type Snapshot struct {
 	datasets *immutable.Map[string, *datasetReplicas]
 	machines *immutable.Map[MachineID, *immutable.Map[string, heldParts]]
 	version  uint64
 }
 
-// heldParts is what a machine holds of a dataset: a bitmap, which is never changed, and the number
-// of parts in it.
+// heldParts is the set of parts of one dataset that a machine holds, and the size of that set. The
+// bitmap is immutable.
 type heldParts struct {
 	parts *roaring.Bitmap
 	count int
 }
 
-// datasetReplicas are the replicas of one dataset on all machines. A value in a snapshot is never
-// changed.
+// datasetReplicas describes the replicas of one dataset on all machines. Values stored in a Snapshot are
+// immutable.
 type datasetReplicas struct {
+	// partCount is the largest number of parts that was reported for the dataset.
 	partCount int
-	// holders are the machines that hold each part, sorted. The slices are never changed.
+	// holders lists the machines that hold each part, sorted by ID. The slices are immutable.
 	holders *immutable.List[[]MachineID]
-	// complete are the machines that hold every part, sorted. The slice is never changed.
+	// complete lists the machines that hold every part, sorted by ID. The slice is immutable.
 	complete []MachineID
-	// replicaCount is the number of parts on all machines together.
+	// replicaCount is the sum over all machines of the number of parts held.
 	replicaCount int
 }
 
-// machineHasher is the hasher of a MachineID for immutable.Map.
+// machineHasher implements immutable.Hasher for MachineID.
 type machineHasher struct{}
 
 // hashMultiplier is 2^32 divided by the golden ratio, for multiplicative hashing.
 const hashMultiplier = 2654435761
 
-// Hash spreads the small numbers over 32 bits.
+// Hash spreads small IDs over the 32-bit range.
 func (machineHasher) Hash(machineID MachineID) uint32 { return uint32(machineID) * hashMultiplier }
 
-// Equal compares two numbers.
+// Equal returns whether two IDs are equal.
 func (machineHasher) Equal(machineID, other MachineID) bool { return machineID == other }
 
 // newSnapshot returns a snapshot without replicas.
@@ -54,8 +55,9 @@
 	}
 }
 
-// update sets what a machine holds of a dataset of partCount parts, 0 if that is unknown. Nil parts
-// mean nothing. It must be called only on a copy that no reader has yet.
+// update replaces the parts of a dataset that a machine holds; nil stands for none. partCount is the
+// number of parts of the dataset, or 0 if that is unknown. update may be called only on a copy that
+// has not been published to readers.
 func (snapshot *Snapshot) update(machineID MachineID, datasetName string, partCount int, parts *roaring.Bitmap) {
 	parts = clip(parts, partCount)
 	before := snapshot.Parts(machineID, datasetName)
@@ -71,7 +73,7 @@
 	}
 	next := replicas.replaced(machineID, partCount, before, parts)
 	if next.replicaCount == 0 {
-		// Names of datasets are not reused, so an empty entry would be kept for ever.
+		// Dataset names are never reused, so an empty entry would never be removed.
 		snapshot.datasets = snapshot.datasets.Delete(datasetName)
 	} else {
 		snapshot.datasets = snapshot.datasets.Set(datasetName, next)
@@ -79,7 +81,7 @@
 	snapshot.setHeld(machineID, datasetName, parts)
 }
 
-// setHeld sets the entry of a dataset on a machine, and removes entries without parts.
+// setHeld stores the parts of a dataset that a machine holds, and removes entries that become empty.
 func (snapshot *Snapshot) setHeld(machineID MachineID, datasetName string, parts *roaring.Bitmap) {
 	held, ok := snapshot.machines.Get(machineID)
 	if !ok {
@@ -97,8 +99,8 @@
 	}
 }
 
-// clip returns the parts below partCount, or all of them if partCount is 0. It does not change the
-// bitmap.
+// clip returns the parts whose index is below partCount, or all parts if partCount is 0. It does not
+// modify the given bitmap; a nil bitmap stands for no parts.
 func clip(parts *roaring.Bitmap, partCount int) *roaring.Bitmap {
 	if parts == nil {
 		return roaring.New()
@@ -110,8 +112,8 @@
 	return parts
 }
 
-// replaced returns the replicas after a machine's parts changed from before to after. The dataset
-// has at least partCount parts from then on.
+// replaced returns a copy in which a machine holds the parts in after instead of those in before. The
+// copy has at least partCount parts.
 func (replicas *datasetReplicas) replaced(machineID MachineID, partCount int, before, after *roaring.Bitmap) *datasetReplicas {
 	next := *replicas
 	next.grow(partCount)
@@ -133,7 +135,7 @@
 	return &next
 }
 
-// grow extends the dataset to partCount parts; the new ones have no holders.
+// grow extends the dataset to partCount parts, if it has fewer. The added parts have no holders.
 func (replicas *datasetReplicas) grow(partCount int) {
 	if partCount <= replicas.partCount {
 		return
@@ -150,7 +152,7 @@
 	replicas.holders = builder.List()
 }
 
-// insertID returns a sorted list with a number added. It does not change the list.
+// insertID returns a sorted list with machineID added. It does not modify the given list.
 func insertID(list []MachineID, machineID MachineID) []MachineID {
 	at, ok := slices.BinarySearch(list, machineID)
 	if ok {
@@ -162,7 +164,7 @@
 	return append(longer, list[at:]...)
 }
 
-// removeID returns a sorted list with a number removed. It does not change the list.
+// removeID returns a sorted list with machineID removed. It does not modify the given list.
 func removeID(list []MachineID, machineID MachineID) []MachineID {
 	at, ok := slices.BinarySearch(list, machineID)
 	if !ok {
@@ -171,11 +173,11 @@
 	return append(slices.Clone(list[:at]), list[at+1:]...)
 }
 
-// Version grows with every change of the index.
+// Version returns the version of the state, which increases with every change of the index.
 func (snapshot *Snapshot) Version() uint64 { return snapshot.version }
 
-// Holders returns the machines that hold a part, sorted. The list is shared, and the caller must
-// not change it.
+// Holders returns the machines that hold a part, sorted by ID. The list is shared, and the caller
+// must not modify it.
 func (snapshot *Snapshot) Holders(dataset string, part int) []MachineID {
 	replicas, ok := snapshot.datasets.Get(dataset)
 	if !ok || part < 0 || part >= replicas.partCount {
@@ -184,8 +186,8 @@
 	return replicas.holders.Get(part)
 }
 
-// Complete returns the machines that hold every part of a dataset, sorted. The list is shared, and
-// the caller must not change it.
+// Complete returns the machines that hold every part of a dataset, sorted by ID. The list is
+// shared, and the caller must not modify it.
 func (snapshot *Snapshot) Complete(dataset string) []MachineID {
 	if replicas, ok := snapshot.datasets.Get(dataset); ok {
 		return replicas.complete
@@ -200,7 +202,7 @@
 }
 
 // Parts returns the parts of a dataset that a machine holds, or nil if it holds none. The caller
-// must not change the bitmap.
+// must not modify the bitmap.
 func (snapshot *Snapshot) Parts(machineID MachineID, dataset string) *roaring.Bitmap {
 	return snapshot.held(machineID, dataset).parts
 }
@@ -210,7 +212,7 @@
 	return snapshot.held(machineID, dataset).count
 }
 
-// held returns what a machine holds of a dataset, the zero value if nothing.
+// held returns the parts of a dataset that a machine holds, or the zero value if it holds none.
 func (snapshot *Snapshot) held(machineID MachineID, dataset string) heldParts {
 	datasets, ok := snapshot.machines.Get(machineID)
 	if !ok {
@@ -220,13 +222,14 @@
 	return held
 }
 
-// Known returns whether any machine holds a part of a dataset.
+// Known returns whether any machine holds at least one part of a dataset.
 func (snapshot *Snapshot) Known(dataset string) bool {
 	_, ok := snapshot.datasets.Get(dataset)
 	return ok
 }
 
-// Datasets returns the names of the datasets of which any machine holds a part, in no order.
+// Datasets returns the names of all datasets of which at least one machine holds a part, in no
+// particular order.
 func (snapshot *Snapshot) Datasets() []string {
 	var names []string
 	for iterator := snapshot.datasets.Iterator(); !iterator.Done(); {
--- a/staging/desired.go
+++ b/staging/desired.go
@@ -8,11 +8,11 @@
 	"switchferry/dataset"
 )
 
-// demandedParts are the parts that a machine shall hold, by dataset name.
+// demandedParts maps the name of each dataset demanded on a machine to the demanded parts.
 type demandedParts map[string]*roaring.Bitmap
 
-// updateDesired brings the desired state of every agent in line with the demands, as far as its
-// cache can hold them. Earlier demands take precedence.
+// updateDesired sets the desired state of every agent to the demanded parts that fit into its cache.
+// Earlier demands take precedence.
 func (planner *Planner) updateDesired(demands []Demand) {
 	demanded, summaries := planner.fitDemands(demands)
 	for _, agent := range planner.agents {
@@ -25,8 +25,9 @@
 	}
 }
 
-// fitDemands returns the demanded parts that fit each agent's cache, and the summaries of their
-// datasets by name. The first demand is kept even if it is larger than the cache.
+// fitDemands returns the demanded parts that fit into each agent's cache, and the summaries of their
+// datasets by name. The first demand of an agent is kept even if it is larger than the cache. It sets
+// desiredBytes of every agent.
 func (planner *Planner) fitDemands(demands []Demand) (map[*agentState]demandedParts, map[string]*dataset.Summary) {
 	demanded := map[*agentState]demandedParts{}
 	summaries := map[string]*dataset.Summary{}
@@ -58,8 +59,8 @@
 	return demanded, summaries
 }
 
-// removeUndemanded removes the datasets of which nothing is demanded any more. It returns
-// whether there were any.
+// removeUndemanded removes from the agent's desired state the datasets that are no longer demanded,
+// and cancels their transfers. It returns whether there were any.
 func (planner *Planner) removeUndemanded(agent *agentState, demanded demandedParts) (removed bool) {
 	for name, desired := range agent.desired {
 		if parts := demanded[name]; parts != nil && !parts.IsEmpty() {
@@ -74,8 +75,8 @@
 	return removed
 }
 
-// updateDemanded sets the desired parts of each demanded dataset, and cancels the transfers of
-// parts that are no longer among them. It returns whether anything changed.
+// updateDemanded sets the desired parts of each demanded dataset and cancels the transfers of parts
+// that are no longer desired. It returns whether the desired state changed.
 func (planner *Planner) updateDemanded(agent *agentState, demanded demandedParts, summaries map[string]*dataset.Summary) (changed bool) {
 	for name, parts := range demanded {
 		if parts.IsEmpty() {
--- a/staging/fake_test.go
+++ b/staging/fake_test.go
@@ -9,8 +9,8 @@
 	"switchferry/api"
 )
 
-// fakeAgent follows the agents' protocol: it applies newer orders, copies each ordered part within
-// one step from the first source that works, and keeps what its order names.
+// fakeAgent is a simulated data agent. It applies orders that are not older than its current one,
+// copies each ordered part within one step from the first source that works, and never evicts parts.
 type fakeAgent struct {
 	name                             string
 	incarnation, sequence            uint64
@@ -25,7 +25,8 @@
 
 func (agent *fakeAgent) address() string { return agent.name + ":1" }
 
-// apply takes an order over, and returns false if it is older than the present one.
+// apply replaces the current order. It returns false if the new order is older, or is for another
+// incarnation.
 func (agent *fakeAgent) apply(order api.StageOrder) bool {
 	if order.Term < agent.term || order.Term == agent.term && order.Order < agent.orderNumber || order.Incarnation != agent.incarnation {
 		return false
@@ -34,7 +35,7 @@
 	return true
 }
 
-// heartbeat returns the next heartbeat, with everything that the agent holds.
+// heartbeat returns the next heartbeat, which lists all parts that the agent holds.
 func (agent *fakeAgent) heartbeat() *api.StageHeartbeat {
 	agent.sequence++
 	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Order: agent.orderNumber, Quota: agent.quota, All: true}
@@ -54,7 +55,7 @@
 	return heartbeat
 }
 
-// fakeCluster moves parts between fake agents as their orders say.
+// fakeCluster simulates a set of agents that copy parts from one another and from the store.
 type fakeCluster struct {
 	agents    map[string]*fakeAgent
 	names     []string
@@ -62,7 +63,7 @@
 	now       time.Time
 }
 
-// newFakeCluster returns a cluster of machines n-0, n-1 and so on, which hold nothing.
+// newFakeCluster returns a cluster of size machines named n-0, n-1 and so on, which hold no parts.
 func newFakeCluster(size int) *fakeCluster {
 	cluster := &fakeCluster{agents: map[string]*fakeAgent{}, now: time.Unix(1000, 0)}
 	for i := range size {
@@ -73,8 +74,8 @@
 	return cluster
 }
 
-// step lets one second pass: every agent that is up sends a heartbeat and applies its order, and
-// then every ordered part is copied from its first source that works.
+// step advances the time by one second. Every agent that is up sends a heartbeat and applies its order,
+// and then every ordered part is copied from its first source that works.
 func (cluster *fakeCluster) step(planner *Planner, demands []Demand) {
 	cluster.now = cluster.now.Add(time.Second)
 	for _, name := range cluster.names {
@@ -87,7 +88,7 @@
 			cluster.agents[name].apply(order)
 		}
 	}
-	// What arrives in this step is no source before the next.
+	// A part received in this step can be served to others only from the next step on.
 	received := map[*fakeAgent][]int{}
 	for _, name := range cluster.names {
 		agent := cluster.agents[name]
@@ -110,8 +111,8 @@
 	}
 }
 
-// copyPart tries the sources of a transfer in order. It returns whether one of them worked, and
-// records the failures of those before it.
+// copyPart tries the sources of a transfer in order until one works. It records the failures of the
+// others and returns whether any source worked.
 func (cluster *fakeCluster) copyPart(agent *fakeAgent, transfer api.StageCopy) bool {
 	for _, source := range transfer.From {
 		why, corrupt := cluster.failure(source, transfer.Part)
@@ -129,7 +130,8 @@
 	return false
 }
 
-// failure returns why a source cannot deliver a part now, or "" if it can.
+// failure returns why a source cannot serve a part now, or "" if it can, and whether it serves corrupt
+// data.
 func (cluster *fakeCluster) failure(source api.StageSource, part int) (why string, corrupt bool) {
 	peer := cluster.agents[machineOfAddress(source.Peer)]
 	switch {
@@ -143,7 +145,7 @@
 	return "", false
 }
 
-// machineOfAddress reverts fakeAgent.address. An empty address has no machine.
+// machineOfAddress returns the name of the machine whose agent has an address, or "" for an empty address.
 func machineOfAddress(addr string) string {
 	if len(addr) < 2 {
 		return ""
@@ -151,7 +153,7 @@
 	return addr[:len(addr)-2]
 }
 
-// demandAll demands each part on every machine.
+// demandAll returns demands for each of the parts on every machine.
 func demandAll(cluster *fakeCluster, parts ...int) (out []Demand) {
 	for _, part := range parts {
 		for _, name := range cluster.names {
--- a/staging/heartbeat.go
+++ b/staging/heartbeat.go
@@ -10,8 +10,8 @@
 	"switchferry/replicas"
 )
 
-// ApplyHeartbeat updates the state of the machine's agent. It returns false, and changes nothing
-// but the time of the last heartbeat, if a newer heartbeat was applied before.
+// ApplyHeartbeat updates the state of the machine's agent. If a heartbeat that is as new or newer was
+// already applied, it only updates the time of the last heartbeat and returns false.
 func (planner *Planner) ApplyHeartbeat(heartbeat *api.StageHeartbeat, now time.Time) bool {
 	agent := planner.agents[heartbeat.Machine]
 	if agent == nil {
@@ -37,8 +37,8 @@
 	return true
 }
 
-// identify stores the agent's incarnation, address and cache size. An agent that restarted
-// copies nothing, so its transfers are cancelled and its order is sent again.
+// identify stores the agent's incarnation, sequence number, address and cache size. A restarted agent
+// has no running transfers, so its transfers are cancelled and its order is sent again.
 func (planner *Planner) identify(agent *agentState, heartbeat *api.StageHeartbeat) {
 	if heartbeat.Incarnation != agent.incarnation {
 		planner.cancelAllTransfers(agent)
@@ -55,8 +55,8 @@
 	agent.cacheQuota = heartbeat.Quota
 }
 
-// applyReplicas stores everything that the agent holds, and notes which removed datasets are
-// among it.
+// applyReplicas stores the replicas that the agent holds, and records which of them belong to removed
+// datasets.
 func (planner *Planner) applyReplicas(agent *agentState, heartbeat *api.StageHeartbeat) {
 	held := map[string]replicas.Replica{}
 	removed := map[string]bool{}
@@ -72,7 +72,7 @@
 	agent.removedDatasets = removed
 }
 
-// applyPinned stores which desired parts the agent pinned, and ends their transfers.
+// applyPinned stores which desired parts the agent has pinned, and removes their transfers.
 func (planner *Planner) applyPinned(agent *agentState, pinned []api.StageHeld) {
 	for _, desired := range agent.desired {
 		desired.pinned = roaring.New()
@@ -91,8 +91,8 @@
 	}
 }
 
-// applyProgress stores the progress and the failures of one transfer. A peer that served wrong
-// bytes is not used as a source any more.
+// applyProgress stores the progress and the failures of one transfer. A peer that served corrupt data
+// is no longer used as a source.
 func (planner *Planner) applyProgress(agent *agentState, progress *api.StageProgress, now time.Time) {
 	agent.cacheFull = agent.cacheFull || progress.Full
 	desired := agent.desired[progress.Dataset]
@@ -118,9 +118,9 @@
 	}
 }
 
-// ApplyHint stores what a machine held according to an earlier leader, unless the planner knows
-// the machine already. Until its agent reports, the machine gets no order, is no source, and
-// nothing is confirmed of it.
+// ApplyHint stores the replicas that a machine held according to a previous leader, unless the planner
+// already knows the machine. Until the machine's agent sends a heartbeat, the machine gets no order,
+// is not used as a source, and none of its parts is confirmed.
 func (planner *Planner) ApplyHint(machine string, holds map[string]replicas.Replica, now time.Time) {
 	if planner.agents[machine] != nil {
 		return
--- a/staging/links.go
+++ b/staging/links.go
@@ -5,16 +5,18 @@
 	"switchferry/replicas"
 )
 
-// transferCounts counts the transfers at the store, and on the links of the agents in their fields
-// incoming and outgoing. A transfer counts as if it came from its first source.
+// transferCounts counts the transfers from the store and of each part. It also maintains the counts of
+// transfers per machine, which are the fields incoming and outgoing of agentState. Each transfer is
+// counted as coming from its first source.
 type transferCounts struct {
+	// fromStore counts the transfers from the store.
 	fromStore int
 	// byPart counts the transfers of each part from any source.
 	byPart map[partKey]int
 }
 
-// recount counts all transfers from scratch. Agents that were removed and added meanwhile may have
-// been counted under an address that another agent has now.
+// recount recomputes all counts. Incremental updates become wrong when agents are removed and added,
+// because an address under which a transfer was counted may now belong to another agent.
 func (counts *transferCounts) recount(agents, agentsByAddress map[string]*agentState) {
 	clear(counts.byPart)
 	counts.fromStore = 0
@@ -30,7 +32,7 @@
 	}
 }
 
-// add counts a transfer to an agent's machine.
+// add counts a transfer from source to an agent's machine.
 func (counts *transferCounts) add(agent *agentState, key partKey, source api.StageSource, agentsByAddress map[string]*agentState) {
 	agent.incoming++
 	counts.byPart[key]++
@@ -41,7 +43,7 @@
 	}
 }
 
-// remove reverts add.
+// remove reverts the effect of add.
 func (counts *transferCounts) remove(agent *agentState, key partKey, source api.StageSource, agentsByAddress map[string]*agentState) {
 	agent.incoming--
 	counts.byPart[key]--
@@ -74,16 +76,16 @@
 	planner.counts.remove(agent, partKey{desired.summary.Name, part}, transfer.sources[0], planner.agentsByAddress)
 }
 
-// byteQueues are the bytes that were still to be delivered at the last call of Plan; those to each
-// machine are in agentState.queuedBytes.
+// byteQueues holds the bytes that were still to be transferred as of the last call of Plan. The bytes
+// to be received by each machine are in agentState.queuedBytes.
 type byteQueues struct {
-	// fromStore are the bytes that only the store has.
+	// fromStore is the number of bytes that have to come from the store.
 	fromStore float64
-	// missing are the bytes of each part that each machine lacks.
+	// missing maps each part to the number of its bytes that each machine still has to receive.
 	missing map[partKey]map[replicas.MachineID]float64
 }
 
-// reset empties the queues, those of the agents included.
+// reset clears the queues and sets queuedBytes of all agents to 0.
 func (queues *byteQueues) reset(agents map[string]*agentState) {
 	queues.fromStore = 0
 	clear(queues.missing)
@@ -92,7 +94,7 @@
 	}
 }
 
-// add adds the missing bytes of a demanded part. StoreOnly means that they come from the store.
+// add adds the missing bytes of a demanded part. storeOnly says that they have to come from the store.
 func (queues *byteQueues) add(agent *agentState, demand Demand, missing float64, storeOnly bool) {
 	key := partKey{demand.Set.Name, demand.Part}
 	if queues.missing[key] == nil {
--- a/staging/plan.go
+++ b/staging/plan.go
@@ -9,9 +9,9 @@
 	"switchferry/tuning"
 )
 
-// Plan brings all orders in line with the demands, the most urgent of which come first, and
-// decides which parts are copied from where. Parts that are not demanded may be evicted. It
-// returns the names of the machines whose order must be sent now, sorted.
+// Plan updates all orders to the given demands, which are sorted by decreasing urgency, and chooses the
+// sources from which missing parts are copied. Parts that are not demanded may be evicted. Plan
+// returns the sorted names of the machines whose order must be sent now.
 func (planner *Planner) Plan(demands []Demand, now time.Time) []string {
 	planner.updateDesired(demands)
 	planner.counts.recount(planner.agents, planner.agentsByAddress)
@@ -33,16 +33,17 @@
 	return planner.dueOrders(changed, now)
 }
 
-// lacks returns whether a demanded part is in the agent's desired state but not on its machine.
+// lacks returns whether a demanded part is in the agent's desired state but neither pinned by the agent
+// nor recorded on its machine.
 func (agent *agentState) lacks(demand Demand, snapshot *replicas.Snapshot) bool {
 	desired := agent.desired[demand.Set.Name]
 	return desired != nil && desired.parts.Contains(uint32(demand.Part)) && !desired.pinned.Contains(uint32(demand.Part)) &&
 		!snapshot.Has(agent.id, demand.Set.Name, demand.Part)
 }
 
-// planTransfer starts the transfer of a part if a source is available, or gives a transfer whose
-// sources all failed other sources. It returns how many bytes of the part are missing, and
-// whether the agent's order changed.
+// planTransfer adds a transfer of the demanded part if a source is available. If the part already has
+// a transfer and all of its sources failed, planTransfer tries to replace them. It returns the number
+// of missing bytes and whether the agent's order changed.
 func (planner *Planner) planTransfer(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time) (missing float64, changed bool) {
 	desired := agent.desired[demand.Set.Name]
 	missing = float64(demand.Set.PartBytes(demand.Part))
@@ -60,8 +61,9 @@
 	return missing, true
 }
 
-// dueOrders numbers the orders of the changed agents. It returns the machines whose order must
-// be sent: those that changed, and those that did not acknowledge their order in time.
+// dueOrders increments the order number of the changed agents. It returns the sorted names of the
+// machines whose order must be sent: those whose order changed, and those that have not acknowledged
+// their order within tuning.StageResend.
 func (planner *Planner) dueOrders(changed map[*agentState]bool, now time.Time) []string {
 	var due []string
 	for _, agent := range planner.agents {
--- a/staging/planner.go
+++ b/staging/planner.go
@@ -1,15 +1,17 @@
-// Package staging plans the copying of dataset parts to machines: which part goes where, from
-// which source, and in which order. The planner is a step function: it takes the agents'
-// heartbeats and the demands for parts, and returns orders. It does no I/O, takes no lock and
-// reads no clock, and it knows neither jobs nor the reason of a demand.
+// Package staging plans the copying of dataset parts to machines: which part is copied to which
+// machine, from which source, and in which order. The planner is a deterministic state machine: its
+// inputs are the agents' heartbeats, the demands for parts and the current time, and its outputs are
+// orders. It does no I/O, takes no locks and reads no clock, and it does not know about jobs or why a
+// part is demanded.
 //
-// Each machine has one order, which names everything that the machine shall hold. An order
-// carries the leader's term and a number that only grows, and an agent refuses an older one.
-// A part is confirmed as pinned by a heartbeat that acknowledges an order of this term which is
-// not older than the order that first asked for the part without interruption since. From then
-// on the part stays until the leader itself removes it from the order. No proof rests on time.
+// Each machine has one order, which lists everything that the machine has to hold. An order carries
+// the leader's term and an increasing number, and an agent rejects an order that is older than its
+// current one. A part is confirmed as pinned once a heartbeat that reports it as pinned acknowledges
+// an order of this term that is at least as new as the order since which the part has been requested
+// without interruption. A confirmed part stays on the machine until the leader removes it from the
+// order. Confirmation does not depend on clocks or timeouts.
 //
-// The protocol and the reasons for it are described in docs/data.md.
+// The protocol and its rationale are described in docs/data.md.
 package staging
 
 import (
@@ -22,31 +24,32 @@
 	"switchferry/replicas"
 )
 
-// firstOrder is the number of an agent's first order in a term. It is sent even if it asks for
-// nothing, so that an earlier leader's order does not keep parts for ever.
+// firstOrder is the number of an agent's first order in a term. That order is sent even if it is
+// empty, since otherwise the order of a previous leader would keep its parts pinned indefinitely.
 const firstOrder = 1
 
 // Limits are the capacities of the machines' links and of the store.
 type Limits struct {
-	// LinkRate is what a machine's link carries in each direction, and StoreRate what the store
-	// delivers, in bytes per second. Zero means unknown; the rate is then not considered.
+	// LinkRate is the bandwidth of a machine's link in each direction, and StoreRate the total
+	// bandwidth of the store, in bytes per second. Zero means unknown; the rate is then ignored.
 	LinkRate, StoreRate float64
-	// PerLink is how many transfers a machine receives, and how many it serves, at once.
-	// AtStore is how many transfers the store serves at once.
+	// PerLink is the maximum number of concurrent transfers to a machine, and also from a machine.
+	// AtStore is the maximum number of concurrent transfers from the store.
 	PerLink, AtStore int
-	// Peers allows machines to copy from one another. Without it every part comes from the store.
+	// Peers allows machines to copy from one another. If it is false, every part comes from the
+	// store.
 	Peers bool
 }
 
-// Demand asks for one part of a dataset on one machine. Demands are given in order of urgency.
+// Demand requests one part of a dataset on one machine.
 type Demand struct {
 	Machine string
 	Set     *dataset.Summary
 	Part    int
 }
 
-// Planner holds what the leader of one term knows of the agents, and the orders that it gave
-// them. It is not safe for concurrent use.
+// Planner holds the state of all agents as known to the leader of one term, and the orders for them.
+// It is not safe for concurrent use.
 type Planner struct {
 	term   uint64
 	limits Limits
@@ -59,14 +62,14 @@
 	counts transferCounts
 	queues byteQueues
 
-	// corruptPeers are the addresses of agents that served wrong bytes. They are not used as
-	// sources any more in this term.
+	// corruptPeers holds the addresses of agents that served corrupt data. They are not used as
+	// sources for the rest of the term.
 	corruptPeers map[string]bool
-	// removedManifests maps each dataset that was removed for good to its manifest's digest.
+	// removedManifests maps the name of each permanently removed dataset to its manifest's digest.
 	removedManifests map[string]string
 
-	// Planned counts the transfers that were ordered and Failed those that a source failed,
-	// since the term began.
+	// Planned counts the transfers that were planned, and Failed the failures of sources of a
+	// transfer, since the term began.
 	Planned, Failed int
 }
 
@@ -76,66 +79,69 @@
 	part    int
 }
 
-// agentState is what the planner knows of one machine's agent.
+// agentState is the planner's state of one machine's agent.
 type agentState struct {
 	name, address string
 	id            replicas.MachineID
 
-	// incarnation and sequence identify the newest heartbeat.
+	// incarnation and sequence identify the newest applied heartbeat.
 	incarnation, sequence uint64
 	lastHeartbeat         time.Time
-	// replicasVersion is the version of the agent's replicas that the index has.
+	// replicasVersion is the version of the agent's replicas that is stored in the index.
 	replicasVersion uint64
 	// cacheQuota is the size of the agent's cache in bytes, 0 if unknown.
 	cacheQuota int64
-	// cacheFull says that the agent had no room for a part it was to copy.
+	// cacheFull says that the agent reported no space in its cache for a part that it had to copy.
 	cacheFull bool
 
 	// orderNumber is the number of the newest order, orderSentAt the time at which it was last
-	// sent, and appliedOrder the newest order of this term that the agent acknowledged.
+	// sent (zero if it was not sent), and appliedOrder the number of the newest order of this term
+	// that the agent acknowledged (0 if none).
 	orderNumber, appliedOrder uint64
 	orderSentAt               time.Time
-	// planned is set by the first call of Plan that sees the agent. Before it the order is
-	// empty, and sending it would evict what an earlier leader's tasks read.
+	// planned is set by the first call of Plan after the agent reported its address. Until then the
+	// order is empty, and sending it would evict parts that tasks started by a previous leader are
+	// reading.
 	planned bool
-	// desired is what the machine shall hold, by dataset name, and desiredBytes its size.
+	// desired is the state that the machine has to reach, by dataset name, and desiredBytes its
+	// size.
 	desired      map[string]*desiredDataset
 	desiredBytes float64
-	// removedDatasets are the removed datasets of which the agent still holds something;
-	// removalsChanged says that they changed since the last order.
+	// removedDatasets is the set of removed datasets of which the agent still holds parts.
+	// removalsChanged says that the set changed since the last order.
 	removedDatasets map[string]bool
 	removalsChanged bool
 
-	// incoming and outgoing count the transfers to and from this machine.
+	// incoming and outgoing are the numbers of transfers to and from the machine.
 	incoming, outgoing int
-	// queuedBytes are the bytes that the machine has still to receive.
+	// queuedBytes is the number of bytes that the machine still has to receive.
 	queuedBytes float64
 }
 
-// desiredDataset is the part of an agent's order that concerns one dataset.
+// desiredDataset is the desired state of one dataset on one machine, and the progress towards it.
 type desiredDataset struct {
 	summary *dataset.Summary
 	parts   *roaring.Bitmap
-	// addedInOrder is the number of the order that last added a part.
+	// addedInOrder is the number of the newest order that added parts.
 	addedInOrder uint64
-	// pinned are the parts that the newest heartbeat reported as pinned.
+	// pinned is the set of parts that the newest heartbeat reported as pinned.
 	pinned *roaring.Bitmap
-	// transfers are the transfers in the order, by part.
+	// transfers maps each part that is being copied to its transfer.
 	transfers map[int]*partTransfer
 }
 
 // partTransfer is the transfer of one part to one machine.
 type partTransfer struct {
-	// sources are tried in this order; there is at least one.
+	// sources lists the sources in the order in which the agent tries them; there is at least one.
 	sources       []api.StageSource
 	receivedBytes int64
-	// lastProgress is when receivedBytes last changed.
+	// lastProgress is the time at which receivedBytes last changed, at first that of the planning.
 	lastProgress time.Time
-	// failures are the sources that failed, with the reason.
+	// failures maps each source that failed to the reason.
 	failures map[api.StageSource]string
 }
 
-// New returns the planner of a term. It stores what the agents report in index.
+// New returns a Planner for a term. It stores the replicas that the agents report in index.
 func New(term uint64, limits Limits, index *replicas.Index) *Planner {
 	return &Planner{
 		term:             term,
@@ -151,7 +157,7 @@
 	}
 }
 
-// addAgent adds the state of a machine that the planner does not know yet.
+// addAgent adds the state of a machine that is new to the planner.
 func (planner *Planner) addAgent(machine string) *agentState {
 	agent := &agentState{
 		name:        machine,
@@ -164,7 +170,7 @@
 	return agent
 }
 
-// RemoveMachine forgets a machine that no longer exists, and all that it held.
+// RemoveMachine removes the state, the transfers and the replicas of a machine that no longer exists.
 func (planner *Planner) RemoveMachine(machine string) {
 	agent := planner.agents[machine]
 	if agent == nil {
@@ -177,9 +183,9 @@
 	planner.index.Remove(machine)
 }
 
-// RemoveDataset records that a dataset, identified by its manifest's digest, was removed for
-// good. The caller must not demand it any more. Every agent that holds something of it, now or
-// when it reports again, is ordered to delete it.
+// RemoveDataset records that the dataset of this name, whose manifest has the given digest, was removed
+// permanently. The caller must not demand it any more. Every agent that holds parts of it, now or in a
+// later report, is ordered to delete them.
 func (planner *Planner) RemoveDataset(name, manifest string) {
 	if planner.removedManifests[name] != "" {
 		return
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -10,38 +10,41 @@
 	"switchferry/relay"
 )
 
-// Proxy answers agents in place of a leader that their controller cannot reach. It decides
-// nothing: it relays heartbeats to the leader and returns the newest order that the leader sent.
-// Agents refuse orders older than the one they have, so an order that comes late or twice does
-// no harm, and the leader's proofs rest on the heartbeats that it reads, whichever way they came.
-// A Proxy is not safe for concurrent use.
+// Proxy answers heartbeats of agents on behalf of a leader that their controller cannot reach
+// directly. It makes no decisions: it relays heartbeats to the leader and returns the newest order
+// that the leader sent. Agents reject orders older than their current one, so a delayed or duplicate
+// order is harmless. The leader confirms parts only by the heartbeats that it receives itself, by
+// whichever route. A Proxy is not safe for concurrent use.
 type Proxy struct {
-	// Outbox takes the heartbeats for the leader, Inbox has its orders.
+	// Outbox holds the heartbeats to be relayed to the leader, and Inbox the orders received from
+	// it.
 	Outbox *relay.Outbox
 	Inbox  relay.Reader
 
 	agents map[string]*relayedAgent
 }
 
-// relayedAgent is what a machine's agent reported in its heartbeats.
+// relayedAgent is the state of an agent whose heartbeats are relayed.
 type relayedAgent struct {
 	incarnation uint64
-	// replicas are what the agent holds as of replicasVersion, if replicasKnown is set.
+	// replicas lists the replicas that the agent holds as of replicasVersion, if replicasKnown is
+	// set.
 	replicasKnown   bool
 	replicasVersion uint64
 	replicas        []api.StageHeld
-	// lastStatus is the encoded status of the last heartbeat, see encodeStatus.
+	// lastStatus is the status of the last heartbeat, as encoded by encodeStatus.
 	lastStatus []byte
 }
 
-// NewProxy returns a proxy that puts heartbeats into an outbox.
+// NewProxy returns a Proxy that puts heartbeats into an outbox.
 func NewProxy(outbox *relay.Outbox) *Proxy {
 	return &Proxy{Outbox: outbox, agents: map[string]*relayedAgent{}}
 }
 
-// HandleHeartbeat relays a heartbeat to the leader of a term and returns the order for the agent.
-// If the leader sent none to this incarnation, that is an order of number 0, which changes
-// nothing. The error is that of a malformed order of the leader.
+// HandleHeartbeat relays a heartbeat to the leader of a term and returns the order for the agent. If
+// the leader has sent no order to this incarnation of the agent, it returns an order with number 0,
+// which has no effect. It returns an error if the leader's order is malformed or the heartbeat cannot
+// be encoded.
 func (proxy *Proxy) HandleHeartbeat(heartbeat api.StageHeartbeat, term uint64, now time.Time) (api.StageOrder, error) {
 	if proxy.Outbox.Term() != term {
 		proxy.Outbox.Reset(term)
@@ -64,7 +67,7 @@
 	replicasCurrent := agent.replicasKnown && agent.replicasVersion == heartbeat.Version
 	leaderCurrent := ordered && order.Known == heartbeat.Version
 	if replicasCurrent && !leaderCurrent {
-		// The agent sends its replicas until the proxy knows them; the leader may not have them yet.
+		// The agent stops sending its replicas once the proxy has them, even if the leader does not.
 		heartbeat.All = true
 		heartbeat.Holds = agent.replicas
 	}
@@ -80,8 +83,8 @@
 	return order, nil
 }
 
-// leaderOrder returns the newest order of the leader for the machine of a heartbeat. It returns
-// false if there is none of this term and for this incarnation of the agent.
+// leaderOrder returns the newest order that the leader sent for the machine of a heartbeat. It returns
+// false if there is no order of this term for this incarnation of the agent.
 func (proxy *Proxy) leaderOrder(heartbeat *api.StageHeartbeat, term uint64) (order api.StageOrder, ok bool, err error) {
 	raw := proxy.Inbox.MessageFor(term, heartbeat.Machine)
 	if raw == nil {
@@ -93,7 +96,7 @@
 	return order, order.Term == term && order.Incarnation == heartbeat.Incarnation, nil
 }
 
-// relayHeartbeat puts a heartbeat into the outbox, as urgent if the agent's status changed.
+// relayHeartbeat puts a heartbeat into the outbox. It is marked as urgent if the agent's status changed.
 func (proxy *Proxy) relayHeartbeat(agent *relayedAgent, heartbeat *api.StageHeartbeat, now time.Time) error {
 	status, err := encodeStatus(*heartbeat)
 	if err != nil {
@@ -108,7 +111,8 @@
 	return nil
 }
 
-// encodeStatus encodes a heartbeat without the fields that change all the time.
+// encodeStatus encodes a heartbeat without its sequence number and byte counts, which change with
+// almost every heartbeat.
 func encodeStatus(heartbeat api.StageHeartbeat) ([]byte, error) {
 	heartbeat.Seq, heartbeat.Used, heartbeat.FromStore, heartbeat.FromPeers = 0, 0, 0, 0
 	copies := heartbeat.Copies
@@ -120,7 +124,7 @@
 	return json.Marshal(heartbeat)
 }
 
-// Expire forgets the agents that have not sent a heartbeat for the given time.
+// Expire removes the state of agents that have sent no heartbeat within the given time.
 func (proxy *Proxy) Expire(now time.Time, after time.Duration) {
 	for _, machine := range proxy.Outbox.Expire(now, after) {
 		delete(proxy.agents, machine)
--- a/staging/queries.go
+++ b/staging/queries.go
@@ -12,14 +12,15 @@
 	"switchferry/replicas"
 )
 
-// Alive returns whether a machine's agent sent a heartbeat within the given time. Only such
-// machines are chosen for tasks with inputs. It is a preference and proves nothing.
+// Alive returns whether the last heartbeat of a machine's agent is less than the given time ago.
+// Placement chooses only such machines for tasks with inputs. The result is a heuristic on which
+// correctness must not depend.
 func (planner *Planner) Alive(machine string, now time.Time, within time.Duration) bool {
 	agent := planner.agents[machine]
 	return agent != nil && now.Sub(agent.lastHeartbeat) < within
 }
 
-// ID returns a machine's number in the index of replicas, and false if the machine is unknown.
+// ID returns a machine's ID in the index of replicas, and false if the machine is unknown.
 func (planner *Planner) ID(machine string) (replicas.MachineID, bool) {
 	agent := planner.agents[machine]
 	if agent == nil {
@@ -28,13 +29,14 @@
 	return agent.id, true
 }
 
-// Full returns whether a machine's cache has no room for a part that it was to copy.
+// Full returns whether a machine's cache has no space for a part that the machine has to copy.
 func (planner *Planner) Full(machine string) bool {
 	agent := planner.agents[machine]
 	return agent != nil && agent.cacheFull
 }
 
-// Confirmed returns whether a part is proved to be whole, checked and pinned on a machine.
+// Confirmed returns whether a part is known to be complete, verified and pinned on a machine. The
+// package comment says when that holds.
 func (planner *Planner) Confirmed(machine string, set *dataset.Summary, part int) bool {
 	desired := planner.acknowledged(machine, set)
 	return desired != nil && desired.pinned.Contains(uint32(part)) && desired.parts.Contains(uint32(part))
@@ -47,8 +49,8 @@
 		int(desired.pinned.AndCardinality(desired.parts)) == set.Parts
 }
 
-// acknowledged returns what a machine shall hold of a dataset, or nil if its agent did not yet
-// acknowledge an order of this term that asks for all of it.
+// acknowledged returns the desired state of a dataset on a machine, or nil if the machine's agent has
+// not yet acknowledged an order of this term that contains all desired parts.
 func (planner *Planner) acknowledged(machine string, set *dataset.Summary) *desiredDataset {
 	agent := planner.agents[machine]
 	if agent == nil {
@@ -61,8 +63,8 @@
 	return desired
 }
 
-// Idle returns whether every agent acknowledged its order of this term and no machine shall hold
-// anything, so that a call of Plan without demands would change nothing.
+// Idle returns whether all orders are empty and acknowledged in this term, so that a call of Plan
+// without demands would have no effect.
 func (planner *Planner) Idle() bool {
 	for _, agent := range planner.agents {
 		if len(agent.desired) > 0 || agent.removalsChanged {
@@ -75,7 +77,7 @@
 	return true
 }
 
-// QueuedBytes returns the bytes that a machine's link has still to deliver.
+// QueuedBytes returns the number of bytes that a machine still has to receive over its link.
 func (planner *Planner) QueuedBytes(machine string) float64 {
 	if agent := planner.agents[machine]; agent != nil {
 		return agent.queuedBytes
@@ -83,28 +85,29 @@
 	return 0
 }
 
-// ReserveBytes adds to a machine's queued bytes until the next call of Plan.
+// ReserveBytes adds bytes to the queued bytes of a machine until the next call of Plan.
 func (planner *Planner) ReserveBytes(machine string, bytes float64) {
 	if agent := planner.agents[machine]; agent != nil {
 		agent.queuedBytes += bytes
 	}
 }
 
-// TransferDelay returns how long, in seconds, it takes to deliver the given bytes over a link
-// that has queued bytes to deliver before them, or from the store under its present load.
-// StoreOnly says that no machine holds the bytes.
+// TransferDelay returns the estimated time in seconds until the given number of bytes has been copied to
+// a machine whose link has queued bytes to receive first. storeOnly says that no machine holds the
+// bytes; they then also wait for the bytes queued at the store.
 func (planner *Planner) TransferDelay(queued, bytes float64, storeOnly bool) float64 {
 	return cost.Copy(bytes, queued, planner.limits.LinkRate, planner.queues.fromStore, planner.limits.StoreRate, storeOnly || !planner.limits.Peers)
 }
 
-// InFlight returns the machines that shall receive a part and do not have it yet, with the bytes
-// that they lack, as of the last call of Plan. The caller must not change the map.
+// InFlight returns, as of the last call of Plan, the number of bytes of a part that each machine on
+// which it is missing still has to receive. The caller must not modify the map.
 func (planner *Planner) InFlight(set string, part int) map[replicas.MachineID]float64 {
 	return planner.queues.missing[partKey{set, part}]
 }
 
-// Spread returns how long, in seconds, the sources of a part need until one more machine has it.
-// Every holder passes the part on, so the number of holders doubles with each transfer's time.
+// Spread returns the estimated time in seconds until one more machine has a part, given its number of
+// holders. Every holder serves the part to others, so the number of holders doubles in the time of one
+// transfer. The result is 0 if the link rate is unknown or machines may not copy from one another.
 func (planner *Planner) Spread(set *dataset.Summary, part, holders int) float64 {
 	if planner.limits.LinkRate <= 0 || !planner.limits.Peers {
 		return 0
@@ -114,7 +117,7 @@
 	return float64(set.PartBytes(part)) / planner.limits.LinkRate * doublings
 }
 
-// Backlog returns the bytes that all machines together have still to receive.
+// Backlog returns the number of bytes that all machines together still have to receive.
 func (planner *Planner) Backlog() float64 {
 	sum := 0.0
 	for _, agent := range planner.agents {
@@ -123,8 +126,9 @@
 	return math.Max(0, sum)
 }
 
-// Order returns a machine's present order and its agent's address. It returns false if the agent
-// is unknown, or was not yet seen by a call of Plan.
+// Order returns the current order of a machine and the address of its agent. It returns false if the
+// agent is unknown, or if Plan was not called since it first reported. The caller must not modify
+// the order.
 func (planner *Planner) Order(machine string) (order api.StageOrder, address string, ok bool) {
 	agent := planner.agents[machine]
 	if agent == nil || !agent.planned {
@@ -153,16 +157,17 @@
 	return order, agent.address, true
 }
 
-// CopyStatus describes one transfer to operators.
+// CopyStatus describes one transfer for display to operators.
 type CopyStatus struct {
 	Machine, Dataset string
 	Part             int
-	// Got and Of are the received bytes and the size of the part.
+	// Got is the number of received bytes, and Of the size of the part in bytes.
 	Got, Of int64
-	From    []api.StageSource
-	// Failed gives the reason for each source that failed.
+	// From lists the sources in the order in which the agent tries them.
+	From []api.StageSource
+	// Failed maps the name of each source that failed to the reason.
 	Failed map[string]string
-	// Full says that the machine's cache has no room for a part.
+	// Full says that the machine's cache has no space for a part.
 	Full bool
 }
 
--- a/staging/sources.go
+++ b/staging/sources.go
@@ -10,10 +10,10 @@
 	"switchferry/tuning"
 )
 
-// chooseSources returns the sources for a part, the best first, or nil if the transfer has to
-// wait. Peers that hold the part are preferred, those with the fewest outgoing transfers first;
-// peers in failed are left out. The store is used only if no peer has the part and no other
-// machine is receiving it, since each part shall leave the store once.
+// chooseSources returns the sources for a part, best first, or nil if the transfer has to wait. Peers
+// that hold the part are preferred, those with the fewest outgoing transfers first; peers in failed
+// are excluded. The store is used only if no usable peer holds the part and no other machine is
+// receiving it, so that each part is copied from the store only once.
 func (planner *Planner) chooseSources(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) []api.StageSource {
 	if agent.address == "" || agent.incoming >= planner.limits.PerLink {
 		return nil
@@ -32,8 +32,9 @@
 	return []api.StageSource{{Store: true}}
 }
 
-// availablePeers returns the other agents that can serve a part now, those with the fewest
-// outgoing transfers first. Busy says that there is a peer which only has no link free.
+// availablePeers returns the other agents that can serve a part now, those with the fewest outgoing
+// transfers first. busy says that at least one usable peer was left out only because it already
+// serves the maximum number of transfers.
 func (planner *Planner) availablePeers(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) (peers []*agentState, busy bool) {
 	if !planner.limits.Peers {
 		return nil, false
@@ -58,8 +59,8 @@
 	return peers, busy
 }
 
-// isProgressing returns whether some machine is receiving the part, and its transfer has neither
-// failed nor stalled.
+// isProgressing returns whether a machine is receiving the part by a transfer that still has a source
+// that did not fail, and that made progress within tuning.StageGiveUp.
 func (planner *Planner) isProgressing(datasetName string, part int, now time.Time) bool {
 	if planner.counts.byPart[partKey{datasetName, part}] == 0 {
 		return false
@@ -77,15 +78,15 @@
 	return false
 }
 
-// replaceFailedSources gives a transfer whose sources all failed other sources. It returns
-// whether there are any. Otherwise the transfer stays as it is, and the agent tries its sources
-// again with growing pauses.
+// replaceFailedSources replaces the sources of a transfer if all of them failed and others are
+// available. It returns whether it did. Otherwise the transfer is unchanged, and the agent retries
+// its sources with increasing backoff.
 func (planner *Planner) replaceFailedSources(agent *agentState, demand Demand, transfer *partTransfer, snapshot *replicas.Snapshot, now time.Time) bool {
 	if !planner.allSourcesFailed(transfer) {
 		return false
 	}
 	desired := agent.desired[demand.Set.Name]
-	// The transfer's own use of the links must not count against its new sources.
+	// The transfer itself must not count against the limits while its new sources are chosen.
 	planner.cancelTransfer(agent, desired, demand.Part)
 	sources := planner.chooseSources(agent, Demand{agent.name, desired.summary, demand.Part}, snapshot, now, transfer.failures)
 	replaced := sources != nil && !slices.Equal(sources, transfer.sources)
@@ -104,8 +105,8 @@
 	return replaced
 }
 
-// allSourcesFailed returns whether every source of a transfer failed, or served wrong bytes to
-// some machine.
+// allSourcesFailed returns whether every source of a transfer either failed, or served corrupt data to
+// any machine.
 func (planner *Planner) allSourcesFailed(transfer *partTransfer) bool {
 	for _, source := range transfer.sources {
 		_, failed := transfer.failures[source]
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -12,8 +12,8 @@
 
 var limits = Limits{LinkRate: 100, StoreRate: 100, PerLink: 2, AtStore: 2, Peers: true}
 
-// Each part leaves the store once, however many machines demand it. The machines copy it from one
-// another, within the limits of each link.
+// Each part is copied from the store only once, however many machines demand it. The machines copy it
+// from one another without exceeding the limit of concurrent transfers per link.
 func TestEachPartLeavesTheStoreOnce(t *testing.T) {
 	cluster := newFakeCluster(9)
 	planner := New(5, limits, replicas.New())
@@ -35,15 +35,15 @@
 	}
 }
 
-// A source that fails, serves wrong bytes or goes silent is replaced by another one, and in the
-// end every machine has every part.
+// A source that fails, serves corrupt data or stops responding is replaced by another one, and every
+// machine eventually has every part.
 func TestTroubledSourcesAreLeft(t *testing.T) {
-	for _, kind := range []string{"store", "lies", "silent"} {
+	for _, kind := range []string{"store", "corrupt", "silent"} {
 		t.Run(kind, func(t *testing.T) {
 			cluster := newFakeCluster(5)
 			planner := New(5, limits, replicas.New())
 			cluster.agents["n-0"].holds[0] = true
-			cluster.agents["n-0"].corrupt = kind == "lies"
+			cluster.agents["n-0"].corrupt = kind == "corrupt"
 			cluster.storeDown = kind == "store"
 			for i := range 60 {
 				if kind == "silent" && i == 3 {
@@ -59,16 +59,16 @@
 					t.Errorf("%s lacks a part", name)
 				}
 			}
-			if kind == "lies" && cluster.agents["n-1"].copiesFromPeers+cluster.agents["n-2"].copiesFromPeers == 0 && cluster.agents["n-3"].copiesFromPeers+cluster.agents["n-4"].copiesFromPeers == 0 {
-				t.Error("nobody copied from a peer with the right bytes")
+			if kind == "corrupt" && cluster.agents["n-1"].copiesFromPeers+cluster.agents["n-2"].copiesFromPeers == 0 && cluster.agents["n-3"].copiesFromPeers+cluster.agents["n-4"].copiesFromPeers == 0 {
+				t.Error("no part was copied from a peer with correct data")
 			}
 		})
 	}
 }
 
-// A part is confirmed only for an order of this term that asked for it without interruption. A
-// part that was out of the order in between may have been evicted, whatever an earlier heartbeat
-// reported.
+// A part is confirmed only once the agent acknowledged an order of this term since which the part has
+// been requested without interruption. A part that was absent from an order in between may have been
+// evicted, whatever an earlier heartbeat reported.
 func TestConfirmationNeedsUninterruptedOrderOfThisTerm(t *testing.T) {
 	cluster := newFakeCluster(1)
 	planner := New(5, limits, replicas.New())
@@ -82,7 +82,7 @@
 	old := cluster.agents["n-0"].heartbeat()
 	planner.Plan(nil, cluster.now)
 	if planner.Confirmed("n-0", inventory, 1) {
-		t.Fatal("confirmed though it may be evicted")
+		t.Fatal("confirmed although the part may be evicted")
 	}
 	planner.Plan(one, cluster.now)
 	old.Seq += 5
@@ -97,13 +97,13 @@
 	if !planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("not confirmed again")
 	}
-	// The next leader confirms nothing that its own order did not ask for.
+	// The next leader confirms a part only after the agent acknowledged that leader's own order.
 	next := New(6, limits, replicas.New())
 	next.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
 	next.Plan(one, cluster.now)
 	next.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
 	if next.Confirmed("n-0", inventory, 1) {
-		t.Fatal("confirmed under an earlier leader's order")
+		t.Fatal("confirmed by an acknowledgement of a previous leader's order")
 	}
 	for range 3 {
 		cluster.step(next, one)
@@ -114,7 +114,7 @@
 	}
 }
 
-// A cache that cannot hold all demanded parts gets the most urgent ones.
+// If a cache cannot hold all demanded parts, the most urgent ones are copied to it.
 func TestMostUrgentDemandsGetTheCache(t *testing.T) {
 	cluster := newFakeCluster(1)
 	cluster.agents["n-0"].quota = 35
@@ -123,12 +123,12 @@
 		cluster.step(planner, demandAll(cluster, 4, 5, 6, 7))
 	}
 	if got := len(cluster.agents["n-0"].holds); got != 3 || cluster.agents["n-0"].holds[7] {
-		t.Fatalf("it holds %v", cluster.agents["n-0"].holds)
+		t.Fatalf("n-0 holds parts %v", cluster.agents["n-0"].holds)
 	}
 }
 
-// However agents join, leave and restart, the transfers of each link are counted right, and in the
-// end every demanded part is confirmed.
+// While agents fail, restart and are replaced and the store fails, the counts of transfers per link stay
+// correct. Once the faults end, every demanded part is confirmed.
 func TestTransferCountsStayRightThroughRandomFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -182,7 +182,7 @@
 			}
 		}
 		if !cluster.confirmed(planner, demands) {
-			t.Fatalf("seed %d: not all of %v is there", seed, demands)
+			t.Fatalf("seed %d: not all demands are confirmed: %v", seed, demands)
 		}
 	}
 }
