--- a/dataset/build.go
+++ b/dataset/build.go
@@ -7,40 +7,40 @@
 	"switchferry/tuning"
 )
 
-// Build splits the content of a reader into chunks of chunkBytes bytes and groups every partChunks
-// chunks into a part. The last chunk and the last part may be smaller. If keep is not nil, it is
-// called with each chunk and must not retain the bytes. Build stops at the first error of the
-// reader or of keep and returns it wrapped.
-func Build(name string, reader io.Reader, chunkBytes, partChunks int, keep func(Chunk, []byte) error) (*Manifest, error) {
+// Build splits the content of a reader into chunks of chunkBytes bytes and groups every chunksPerPart
+// chunks into a part. The last chunk and the last part may be smaller. If storeChunk is not nil, it
+// is called with each chunk and must not retain the bytes. Build stops at the first error of the
+// reader or of storeChunk and returns it wrapped.
+func Build(name string, reader io.Reader, chunkBytes, chunksPerPart int, storeChunk func(Chunk, []byte) error) (*Manifest, error) {
 	if chunkBytes < 1 || chunkBytes > tuning.ChunkLimit {
 		return nil, fmt.Errorf("chunk size: must be 1 to %d bytes, not %d", tuning.ChunkLimit, chunkBytes)
 	}
-	if partChunks < 1 {
-		return nil, fmt.Errorf("chunks per part: must be 1 or more, not %d", partChunks)
+	if chunksPerPart < 1 {
+		return nil, fmt.Errorf("chunks per part: must be 1 or more, not %d", chunksPerPart)
 	}
-	chunks, err := cutChunks(reader, chunkBytes, keep)
+	chunks, err := splitChunks(reader, chunkBytes, storeChunk)
 	if err != nil {
 		return nil, err
 	}
 	manifest := &Manifest{Format: Format, Name: name, Chunks: chunks}
-	if partChunks > 1 {
-		for left := len(chunks); left > 0; left -= partChunks {
-			manifest.Parts = append(manifest.Parts, min(left, partChunks))
+	if chunksPerPart > 1 {
+		for remaining := len(chunks); remaining > 0; remaining -= chunksPerPart {
+			manifest.ChunksPerPart = append(manifest.ChunksPerPart, min(remaining, chunksPerPart))
 		}
 	}
 	return manifest, manifest.validate()
 }
 
-// cutChunks reads the reader to its end and returns the chunks of its content.
-func cutChunks(reader io.Reader, chunkBytes int, keep func(Chunk, []byte) error) ([]Chunk, error) {
+// splitChunks reads the reader to its end and returns the chunks of its content.
+func splitChunks(reader io.Reader, chunkBytes int, storeChunk func(Chunk, []byte) error) ([]Chunk, error) {
 	var chunks []Chunk
 	buffer := make([]byte, chunkBytes)
 	for {
 		size, readErr := io.ReadFull(reader, buffer)
 		if size > 0 {
 			chunk := Chunk{Digest: Sum(buffer[:size]), Bytes: int64(size)}
-			if keep != nil {
-				if err := keep(chunk, buffer[:size]); err != nil {
+			if storeChunk != nil {
+				if err := storeChunk(chunk, buffer[:size]); err != nil {
 					return nil, fmt.Errorf("store chunk %d: %w", len(chunks), err)
 				}
 			}
--- a/dataset/dataset.go
+++ b/dataset/dataset.go
@@ -10,8 +10,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,63}$`)
 
-// nameRule states the requirement of ValidName in error messages.
-const nameRule = "must be 1 to 64 of a-z, 0-9, '.', '_' and '-'"
+// nameRequirement states the requirement of ValidName in error messages.
+const nameRequirement = "must be 1 to 64 of a-z, 0-9, '.', '_' and '-'"
 
 // ValidName returns whether name is a valid dataset name: 1 to 64 characters from a-z, 0-9, dot,
 // underscore and dash, of which the first is a letter or a digit.
--- a/dataset/dataset_test.go
+++ b/dataset/dataset_test.go
@@ -23,33 +23,33 @@
 // The parts of a manifest cover all bytes of the dataset after encoding and parsing, and so do those of its summary.
 func TestPartsCoverAllBytes(t *testing.T) {
 	manifest, raw := buildManifest(t, 1000, 64, 3)
-	back, err := Parse(raw)
+	parsed, err := Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sum := int64(0)
-	for part := range back.PartCount() {
-		sum += back.PartBytes(part)
+	for part := range parsed.PartCount() {
+		sum += parsed.PartBytes(part)
 	}
-	if sum != 1000 || manifest.Bytes() != 1000 || back.PartCount() != 6 {
-		t.Fatalf("%d bytes in %d parts", sum, back.PartCount())
+	if sum != 1000 || manifest.Bytes() != 1000 || parsed.PartCount() != 6 {
+		t.Fatalf("%d bytes in %d parts", sum, parsed.PartCount())
 	}
-	summary, err := Summarize(back, raw)
+	summary, err := Summarize(parsed, raw)
 	if err != nil || summary.Usual != 192 || len(summary.Odd) != 1 || summary.PartBytes(5) != 1000-5*192 {
 		t.Fatalf("%+v %v", summary, err)
 	}
 }
 
 // The error for an invalid manifest names every invalid field, so that a user can correct them all at once.
-func TestEveryMistakeIsNamed(t *testing.T) {
+func TestErrorNamesEveryInvalidField(t *testing.T) {
 	_, err := Parse([]byte(`{"format":2,"name":"Bad Name","chunks":[{"digest":"` + strings.Repeat("0", 64) + `","bytes":0}],"parts":[1,5]}`))
 	for _, want := range []string{"format", "name", "chunks[0].bytes", "parts[1]"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s is not named in %v", want, err)
 		}
 	}
-	bad := Summary{Name: "a", Parts: 2, Usual: 10, Bytes: 21}
-	if err := bad.Check(); err == nil || !strings.Contains(err.Error(), "add up to 20") {
+	summary := Summary{Name: "a", Parts: 2, Usual: 10, Bytes: 21}
+	if err := summary.Check(); err == nil || !strings.Contains(err.Error(), "add up to 20") {
 		t.Errorf("%v", err)
 	}
 }
--- a/dataset/manifest.go
+++ b/dataset/manifest.go
@@ -23,9 +23,9 @@
 	Format int     `json:"format"`
 	Name   string  `json:"name"`
 	Chunks []Chunk `json:"chunks"`
-	// Parts holds the number of chunks in each part, in order. If it is empty, each chunk is a
+	// ChunksPerPart holds the number of chunks in each part, in order. If it is empty, each chunk is a
 	// part. In a job whose tasks each use their own part, task k gets part k.
-	Parts []int `json:"parts,omitempty"`
+	ChunksPerPart []int `json:"parts,omitempty"`
 
 	// partStarts holds the index of the first chunk of each part, followed by the number of chunks.
 	partStarts []int
@@ -57,7 +57,7 @@
 		problems.addf("manifest: format: must be %d, not %d", Format, manifest.Format)
 	}
 	if !ValidName(manifest.Name) {
-		problems.addf("manifest: name: %.80q %s", manifest.Name, nameRule)
+		problems.addf("manifest: name: %.80q %s", manifest.Name, nameRequirement)
 	}
 	if len(manifest.Chunks) == 0 {
 		problems.addf("manifest: chunks: at least one is needed")
@@ -82,17 +82,17 @@
 // indexParts validates the sizes of the parts and computes partStarts.
 func (manifest *Manifest) indexParts(problems *problemList) {
 	manifest.partStarts = []int{0}
-	if len(manifest.Parts) == 0 {
+	if len(manifest.ChunksPerPart) == 0 {
 		for i := range manifest.Chunks {
 			manifest.partStarts = append(manifest.partStarts, i+1)
 		}
 		return
 	}
 	assigned := 0
-	for i, count := range manifest.Parts {
-		left := len(manifest.Chunks) - assigned
-		if count <= 0 || count > left {
-			problems.addf("manifest: parts[%d]: must be 1 to %d, the number of remaining chunks, not %d", i, left, count)
+	for i, count := range manifest.ChunksPerPart {
+		remaining := len(manifest.Chunks) - assigned
+		if count <= 0 || count > remaining {
+			problems.addf("manifest: parts[%d]: must be 1 to %d, the number of remaining chunks, not %d", i, remaining, count)
 			return
 		}
 		assigned += count
@@ -125,9 +125,9 @@
 // PartCount returns the number of parts.
 func (manifest *Manifest) PartCount() int { return len(manifest.partStarts) - 1 }
 
-// Part returns the range of a part's chunks: from is the index of the first chunk, to the index
-// after the last one. Part panics unless part is at least 0 and less than PartCount.
-func (manifest *Manifest) Part(part int) (from, to int) {
+// Part returns the range of a part's chunks: start is the index of the first chunk, end the
+// index after the last one. Part panics unless part is at least 0 and less than PartCount.
+func (manifest *Manifest) Part(part int) (start, end int) {
 	return manifest.partStarts[part], manifest.partStarts[part+1]
 }
 
--- a/dataset/summary.go
+++ b/dataset/summary.go
@@ -60,7 +60,7 @@
 	var problems []error
 	fail := func(format string, arguments ...any) { problems = append(problems, fmt.Errorf(format, arguments...)) }
 	if !ValidName(summary.Name) {
-		fail("name: %.80q %s", summary.Name, nameRule)
+		fail("name: %.80q %s", summary.Name, nameRequirement)
 	}
 	if summary.Parts < 1 || summary.Parts > tuning.PartsLimit {
 		fail("parts: must be 1 to %d, not %d; put more chunks in a part", tuning.PartsLimit, summary.Parts)
--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -28,11 +28,11 @@
 
 // EncodeHint encodes the replicas on the given machines as a hint of at most maxBytes bytes. While the
 // hint is too large, the second half of the list of machines is dropped. The hint covers the first
-// included machines of the list; included is 0 if the hint is empty. machineID looks up the ID of a
-// machine by its name; machines for which it returns false are skipped.
-func EncodeHint(snapshot *Snapshot, machines []string, machineID func(string) (MachineID, bool), maxBytes int) (hint Hint, included int, err error) {
+// included machines of the list; included is 0 if the hint is empty. lookUpID returns the ID of the
+// machine of a name; machines for which it returns false are skipped.
+func EncodeHint(snapshot *Snapshot, machines []string, lookUpID func(string) (MachineID, bool), maxBytes int) (hint Hint, included int, err error) {
 	for included := len(machines); included > 0; included /= 2 {
-		packed, err := snapshot.pack(machines[:included], machineID)
+		packed, err := snapshot.pack(machines[:included], lookUpID)
 		if err != nil {
 			return Hint{}, 0, err
 		}
@@ -47,15 +47,15 @@
 	return Hint{}, 0, nil
 }
 
-// pack returns the replicas on the given machines. It skips machines for which machineID returns false.
-func (snapshot *Snapshot) pack(machines []string, machineID func(string) (MachineID, bool)) (packedHint, error) {
+// pack returns the replicas on the given machines. It skips machines for which lookUpID returns false.
+func (snapshot *Snapshot) pack(machines []string, lookUpID func(string) (MachineID, bool)) (packedHint, error) {
 	packed := packedHint{}
 	for _, name := range machines {
-		number, ok := machineID(name)
+		machineID, ok := lookUpID(name)
 		if !ok {
 			continue
 		}
-		datasets, ok := snapshot.machines.Get(number)
+		datasets, ok := snapshot.machines.Get(machineID)
 		if !ok {
 			continue
 		}
--- a/replicas/hint_test.go
+++ b/replicas/hint_test.go
@@ -7,7 +7,7 @@
 
 // A hint for 64 machines with 30 random parts each fits into one value of the state service, and decoding
 // it returns the encoded replicas. Machines that do not fit are omitted, and a malformed hint is rejected.
-func TestHintKeepsTheMachinesThatFit(t *testing.T) {
+func TestHintIncludesOnlyMachinesThatFit(t *testing.T) {
 	index := filledIndex(2000, 20000)
 	snapshot := index.Snapshot()
 	var names []string
--- a/replicas/index.go
+++ b/replicas/index.go
@@ -18,8 +18,8 @@
 // and are reused after a machine is removed.
 type MachineID uint32
 
-// Replica is the set of parts of one dataset that a machine holds. Of is the number of parts of the
-// dataset.
+// Replica is the set of parts of one dataset that a machine holds. Of is the number of parts in the
+// whole dataset.
 type Replica struct {
 	Of    int
 	Parts *roaring.Bitmap
@@ -47,16 +47,16 @@
 func (index *Index) Snapshot() *Snapshot { return index.current.Load() }
 
 // ID returns the ID of a machine and assigns one if the machine has none.
-func (index *Index) ID(name string) MachineID {
+func (index *Index) ID(machine string) MachineID {
 	index.mu.Lock()
 	defer index.mu.Unlock()
-	return index.assignID(name)
+	return index.assignID(machine)
 }
 
 // assignID returns the ID of a machine. If the machine has none, it assigns the most recently freed
 // ID, or the next unused one if no ID is free. mu must be held.
-func (index *Index) assignID(name string) MachineID {
-	machineID, ok := index.ids[name]
+func (index *Index) assignID(machine string) MachineID {
+	machineID, ok := index.ids[machine]
 	if ok {
 		return machineID
 	}
@@ -66,19 +66,19 @@
 	} else {
 		machineID = MachineID(len(index.ids))
 	}
-	index.ids[name] = machineID
+	index.ids[machine] = machineID
 	return machineID
 }
 
 // Remove removes a machine and its replicas and frees its ID. Unknown machines are ignored.
-func (index *Index) Remove(name string) {
+func (index *Index) Remove(machine string) {
 	index.mu.Lock()
 	defer index.mu.Unlock()
-	machineID, ok := index.ids[name]
+	machineID, ok := index.ids[machine]
 	if !ok {
 		return
 	}
-	delete(index.ids, name)
+	delete(index.ids, machine)
 	index.freeIDs = append(index.freeIDs, machineID)
 	snapshot := index.current.Load()
 	held, ok := snapshot.machines.Get(machineID)
@@ -97,10 +97,10 @@
 // Set replaces all replicas on a machine by the given ones, keyed by dataset name. Parts whose index is
 // not below a replica's number of parts are ignored. Set does not modify the bitmaps, and the caller
 // must not modify them afterwards.
-func (index *Index) Set(name string, replicas map[string]Replica) {
+func (index *Index) Set(machine string, replicas map[string]Replica) {
 	index.mu.Lock()
 	defer index.mu.Unlock()
-	machineID := index.assignID(name)
+	machineID := index.assignID(machine)
 	snapshot := index.current.Load()
 	next := *snapshot
 	if held, ok := snapshot.machines.Get(machineID); ok {
--- a/replicas/index_test.go
+++ b/replicas/index_test.go
@@ -10,36 +10,38 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// replicaOf returns a replica that holds the given parts of a dataset of n parts.
-func replicaOf(n int, parts ...uint32) Replica { return Replica{n, roaring.BitmapOf(parts...)} }
+// replicaOf returns a replica that holds the given parts of a dataset of partCount parts.
+func replicaOf(partCount int, parts ...uint32) Replica {
+	return Replica{partCount, roaring.BitmapOf(parts...)}
+}
 
 // After any sequence of reports and removals, the holders of each part agree with the parts of each
 // machine, and a snapshot taken earlier is unchanged.
-func TestBothDirectionsAgree(t *testing.T) {
+func TestHoldersAgreeWithPartsOfMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	index := New()
-	truth := map[string]map[int]bool{}
+	expected := map[string]map[int]bool{}
 	before := index.Snapshot()
 	for range 400 {
 		name := fmt.Sprintf("n-%d", rng.IntN(12))
 		if rng.IntN(10) == 0 {
 			index.Remove(name)
-			delete(truth, name)
+			delete(expected, name)
 			continue
 		}
 		var parts []uint32
-		truth[name] = map[int]bool{}
-		for k := range 20 {
-			if rng.IntN(3) == 0 || rng.IntN(4) == 0 && k < 15 {
-				parts = append(parts, uint32(k))
-				truth[name][k] = true
+		expected[name] = map[int]bool{}
+		for part := range 20 {
+			if rng.IntN(3) == 0 || rng.IntN(4) == 0 && part < 15 {
+				parts = append(parts, uint32(part))
+				expected[name][part] = true
 			}
 		}
 		index.Set(name, map[string]Replica{"a": replicaOf(20, parts...)})
 		snapshot := index.Snapshot()
 		for part := range 20 {
 			holders := 0
-			for machine, holds := range truth {
+			for machine, holds := range expected {
 				machineID := index.ID(machine)
 				if snapshot.Has(machineID, "a", part) != holds[part] {
 					t.Fatalf("part %d on %s", part, machine)
@@ -63,7 +65,7 @@
 
 // Complete lists only machines that hold every part. Parts whose index is not below the number of parts
 // are ignored, and a machine that reports no replicas holds none.
-func TestCompleteHoldersAndPartsBeyondTheEnd(t *testing.T) {
+func TestCompleteHoldersIgnorePartsBeyondPartCount(t *testing.T) {
 	index := New()
 	index.Set("n-1", map[string]Replica{"a": replicaOf(3, 0, 1, 2, 9)})
 	index.Set("n-2", map[string]Replica{"a": replicaOf(3, 0, 2)})
@@ -98,7 +100,7 @@
 }
 
 // The leader may use 70 MB in total, of which an index of 60,000 replicas of parts must take only a small share.
-func TestMemoryAHolding(t *testing.T) {
+func TestMemoryPerReplica(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -109,10 +111,10 @@
 	for part := range 20000 {
 		count += len(index.Snapshot().Holders("chunks", part))
 	}
-	each := float64(after.HeapAlloc-before.HeapAlloc) / float64(count)
-	t.Logf("%d replicas, %.0f bytes each", count, each)
-	if each > 250 {
-		t.Fatalf("%.0f bytes per replica", each)
+	bytesPerReplica := float64(after.HeapAlloc-before.HeapAlloc) / float64(count)
+	t.Logf("%d replicas, %.0f bytes each", count, bytesPerReplica)
+	if bytesPerReplica > 250 {
+		t.Fatalf("%.0f bytes per replica", bytesPerReplica)
 	}
 	runtime.KeepAlive(index)
 }
--- a/replicas/snapshot.go
+++ b/replicas/snapshot.go
@@ -29,8 +29,8 @@
 	partCount int
 	// holders lists the machines that hold each part, sorted by ID. The slices are immutable.
 	holders *immutable.List[[]MachineID]
-	// complete lists the machines that hold every part, sorted by ID. The slice is immutable.
-	complete []MachineID
+	// completeHolders lists the machines that hold every part, sorted by ID. The slice is immutable.
+	completeHolders []MachineID
 	// replicaCount is the sum over all machines of the number of parts held.
 	replicaCount int
 }
@@ -71,7 +71,7 @@
 	if !ok {
 		replicas = &datasetReplicas{holders: immutable.NewList[[]MachineID]()}
 	}
-	next := replicas.replaced(machineID, partCount, before, parts)
+	next := replicas.withParts(machineID, partCount, before, parts)
 	if next.replicaCount == 0 {
 		// Dataset names are never reused, so an empty entry would never be removed.
 		snapshot.datasets = snapshot.datasets.Delete(datasetName)
@@ -112,9 +112,9 @@
 	return parts
 }
 
-// replaced returns a copy in which a machine holds the parts in after instead of those in before. The
+// withParts returns a copy in which a machine holds the parts in after instead of those in before. The
 // copy has at least partCount parts.
-func (replicas *datasetReplicas) replaced(machineID MachineID, partCount int, before, after *roaring.Bitmap) *datasetReplicas {
+func (replicas *datasetReplicas) withParts(machineID MachineID, partCount int, before, after *roaring.Bitmap) *datasetReplicas {
 	next := *replicas
 	next.grow(partCount)
 	for iterator := roaring.AndNot(after, before).Iterator(); iterator.HasNext(); {
@@ -127,9 +127,9 @@
 	}
 	count := int(after.GetCardinality())
 	if count == next.partCount {
-		next.complete = insertID(next.complete, machineID)
+		next.completeHolders = insertID(next.completeHolders, machineID)
 	} else {
-		next.complete = removeID(next.complete, machineID)
+		next.completeHolders = removeID(next.completeHolders, machineID)
 	}
 	next.replicaCount += count - int(before.GetCardinality())
 	return &next
@@ -154,23 +154,23 @@
 
 // insertID returns a sorted list with machineID added. It does not modify the given list.
 func insertID(list []MachineID, machineID MachineID) []MachineID {
-	at, ok := slices.BinarySearch(list, machineID)
+	position, ok := slices.BinarySearch(list, machineID)
 	if ok {
 		return list
 	}
-	longer := make([]MachineID, 0, len(list)+1)
-	longer = append(longer, list[:at]...)
-	longer = append(longer, machineID)
-	return append(longer, list[at:]...)
+	extended := make([]MachineID, 0, len(list)+1)
+	extended = append(extended, list[:position]...)
+	extended = append(extended, machineID)
+	return append(extended, list[position:]...)
 }
 
 // removeID returns a sorted list with machineID removed. It does not modify the given list.
 func removeID(list []MachineID, machineID MachineID) []MachineID {
-	at, ok := slices.BinarySearch(list, machineID)
+	position, ok := slices.BinarySearch(list, machineID)
 	if !ok {
 		return list
 	}
-	return append(slices.Clone(list[:at]), list[at+1:]...)
+	return append(slices.Clone(list[:position]), list[position+1:]...)
 }
 
 // Version returns the version of the state, which increases with every change of the index.
@@ -190,7 +190,7 @@
 // shared, and the caller must not modify it.
 func (snapshot *Snapshot) Complete(dataset string) []MachineID {
 	if replicas, ok := snapshot.datasets.Get(dataset); ok {
-		return replicas.complete
+		return replicas.completeHolders
 	}
 	return nil
 }
--- a/staging/fake_test.go
+++ b/staging/fake_test.go
@@ -17,7 +17,7 @@
 	term, orderNumber                uint64
 	orderedSets                      []api.StageSet
 	holds                            map[uint32]bool
-	corrupt, down                    bool
+	servesCorruptData, down          bool
 	failures                         map[int][]api.StageFailure
 	copiesFromStore, copiesFromPeers int
 	quota                            int64
@@ -40,15 +40,15 @@
 	agent.sequence++
 	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Order: agent.orderNumber, Quota: agent.quota, All: true}
 	held := roaring.New()
-	for k := range agent.holds {
-		held.Add(k)
+	for part := range agent.holds {
+		held.Add(part)
 	}
 	heartbeat.Holds = []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: 8, Parts: api.PartSet{Bitmap: held}}}
-	for _, s := range agent.orderedSets {
-		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: s.Dataset, Manifest: s.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, s.Parts.Bitmap)}})
-		for _, transfer := range s.Copies {
+	for _, set := range agent.orderedSets {
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: set.Dataset, Manifest: set.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, set.Parts.Bitmap)}})
+		for _, transfer := range set.Copies {
 			if !agent.holds[uint32(transfer.Part)] {
-				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: s.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
+				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: set.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
 			}
 		}
 	}
@@ -115,9 +115,9 @@
 // others and returns whether any source worked.
 func (cluster *fakeCluster) copyPart(agent *fakeAgent, transfer api.StageCopy) bool {
 	for _, source := range transfer.From {
-		why, corrupt := cluster.failure(source, transfer.Part)
-		if why != "" {
-			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: why, Corrupt: corrupt})
+		reason, corrupt := cluster.sourceFailure(source, transfer.Part)
+		if reason != "" {
+			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: reason, Corrupt: corrupt})
 			continue
 		}
 		if source.Store {
@@ -130,14 +130,14 @@
 	return false
 }
 
-// failure returns why a source cannot serve a part now, or "" if it can, and whether it serves corrupt
+// sourceFailure returns why a source cannot serve a part now, or "" if it can, and whether it serves corrupt
 // data.
-func (cluster *fakeCluster) failure(source api.StageSource, part int) (why string, corrupt bool) {
+func (cluster *fakeCluster) sourceFailure(source api.StageSource, part int) (reason string, corrupt bool) {
 	peer := cluster.agents[machineOfAddress(source.Peer)]
 	switch {
 	case source.Store && cluster.storeDown, peer != nil && peer.down:
 		return "reset", false
-	case peer != nil && peer.corrupt:
+	case peer != nil && peer.servesCorruptData:
 		return "wrong bytes", true
 	case peer != nil && !peer.holds[uint32(part)]:
 		return "missing", false
@@ -146,25 +146,25 @@
 }
 
 // machineOfAddress returns the name of the machine whose agent has an address, or "" for an empty address.
-func machineOfAddress(addr string) string {
-	if len(addr) < 2 {
+func machineOfAddress(address string) string {
+	if len(address) < 2 {
 		return ""
 	}
-	return addr[:len(addr)-2]
+	return address[:len(address)-2]
 }
 
 // demandAll returns demands for each of the parts on every machine.
-func demandAll(cluster *fakeCluster, parts ...int) (out []Demand) {
+func demandAll(cluster *fakeCluster, parts ...int) (demands []Demand) {
 	for _, part := range parts {
 		for _, name := range cluster.names {
-			out = append(out, Demand{name, inventory, part})
+			demands = append(demands, Demand{name, inventory, part})
 		}
 	}
-	return out
+	return demands
 }
 
-// confirmed returns whether every demand is confirmed.
-func (cluster *fakeCluster) confirmed(planner *Planner, demands []Demand) bool {
+// allConfirmed returns whether every demand is confirmed.
+func (cluster *fakeCluster) allConfirmed(planner *Planner, demands []Demand) bool {
 	for _, demand := range demands {
 		if !planner.Confirmed(demand.Machine, demand.Set, demand.Part) {
 			return false
--- a/staging/heartbeat.go
+++ b/staging/heartbeat.go
@@ -21,7 +21,7 @@
 	if heartbeat.Incarnation < agent.incarnation || heartbeat.Incarnation == agent.incarnation && heartbeat.Seq <= agent.sequence {
 		return false
 	}
-	planner.identify(agent, heartbeat)
+	planner.updateIdentity(agent, heartbeat)
 	agent.appliedOrder = 0
 	if heartbeat.Term == planner.term {
 		agent.appliedOrder = heartbeat.Order
@@ -37,9 +37,9 @@
 	return true
 }
 
-// identify stores the agent's incarnation, sequence number, address and cache size. A restarted agent
+// updateIdentity stores the agent's incarnation, sequence number, address and cache size. A restarted agent
 // has no running transfers, so its transfers are cancelled and its order is sent again.
-func (planner *Planner) identify(agent *agentState, heartbeat *api.StageHeartbeat) {
+func (planner *Planner) updateIdentity(agent *agentState, heartbeat *api.StageHeartbeat) {
 	if heartbeat.Incarnation != agent.incarnation {
 		planner.cancelAllTransfers(agent)
 		agent.orderSentAt = time.Time{}
@@ -121,11 +121,11 @@
 // ApplyHint stores the replicas that a machine held according to a previous leader, unless the planner
 // already knows the machine. Until the machine's agent sends a heartbeat, the machine gets no order,
 // is not used as a source, and none of its parts is confirmed.
-func (planner *Planner) ApplyHint(machine string, holds map[string]replicas.Replica, now time.Time) {
+func (planner *Planner) ApplyHint(machine string, held map[string]replicas.Replica, now time.Time) {
 	if planner.agents[machine] != nil {
 		return
 	}
 	agent := planner.addAgent(machine)
 	agent.lastHeartbeat = now
-	planner.index.Set(machine, holds)
+	planner.index.Set(machine, held)
 }
--- a/staging/planner.go
+++ b/staging/planner.go
@@ -24,9 +24,9 @@
 	"switchferry/replicas"
 )
 
-// firstOrder is the number of an agent's first order in a term. That order is sent even if it is
+// firstOrderNumber is the number of an agent's first order in a term. That order is sent even if it is
 // empty, since otherwise the order of a previous leader would keep its parts pinned indefinitely.
-const firstOrder = 1
+const firstOrderNumber = 1
 
 // Limits are the capacities of the machines' links and of the store.
 type Limits struct {
@@ -162,7 +162,7 @@
 	agent := &agentState{
 		name:        machine,
 		id:          planner.index.ID(machine),
-		orderNumber: firstOrder,
+		orderNumber: firstOrderNumber,
 		desired:     map[string]*desiredDataset{},
 	}
 	planner.agents[machine] = agent
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -124,9 +124,9 @@
 	return json.Marshal(heartbeat)
 }
 
-// Expire removes the state of agents that have sent no heartbeat within the given time.
-func (proxy *Proxy) Expire(now time.Time, after time.Duration) {
-	for _, machine := range proxy.Outbox.Expire(now, after) {
+// Expire removes the state of agents that have sent no heartbeat for maxAge.
+func (proxy *Proxy) Expire(now time.Time, maxAge time.Duration) {
+	for _, machine := range proxy.Outbox.Expire(now, maxAge) {
 		delete(proxy.agents, machine)
 	}
 }
--- a/staging/queries.go
+++ b/staging/queries.go
@@ -12,12 +12,12 @@
 	"switchferry/replicas"
 )
 
-// Alive returns whether the last heartbeat of a machine's agent is less than the given time ago.
+// Alive returns whether the last heartbeat of a machine's agent is younger than maxAge.
 // Placement chooses only such machines for tasks with inputs. The result is a heuristic on which
 // correctness must not depend.
-func (planner *Planner) Alive(machine string, now time.Time, within time.Duration) bool {
+func (planner *Planner) Alive(machine string, now time.Time, maxAge time.Duration) bool {
 	agent := planner.agents[machine]
-	return agent != nil && now.Sub(agent.lastHeartbeat) < within
+	return agent != nil && now.Sub(agent.lastHeartbeat) < maxAge
 }
 
 // ID returns a machine's ID in the index of replicas, and false if the machine is unknown.
@@ -35,28 +35,28 @@
 	return agent != nil && agent.cacheFull
 }
 
-// Confirmed returns whether a part is known to be complete, verified and pinned on a machine. The
-// package comment says when that holds.
-func (planner *Planner) Confirmed(machine string, set *dataset.Summary, part int) bool {
-	desired := planner.acknowledged(machine, set)
+// Confirmed returns whether a part is known to be complete, verified and pinned on a machine, as defined
+// in the package comment.
+func (planner *Planner) Confirmed(machine string, summary *dataset.Summary, part int) bool {
+	desired := planner.acknowledgedDataset(machine, summary)
 	return desired != nil && desired.pinned.Contains(uint32(part)) && desired.parts.Contains(uint32(part))
 }
 
 // ConfirmedAll returns whether Confirmed holds for every part of a dataset.
-func (planner *Planner) ConfirmedAll(machine string, set *dataset.Summary) bool {
-	desired := planner.acknowledged(machine, set)
-	return desired != nil && int(desired.parts.GetCardinality()) == set.Parts &&
-		int(desired.pinned.AndCardinality(desired.parts)) == set.Parts
+func (planner *Planner) ConfirmedAll(machine string, summary *dataset.Summary) bool {
+	desired := planner.acknowledgedDataset(machine, summary)
+	return desired != nil && int(desired.parts.GetCardinality()) == summary.Parts &&
+		int(desired.pinned.AndCardinality(desired.parts)) == summary.Parts
 }
 
-// acknowledged returns the desired state of a dataset on a machine, or nil if the machine's agent has
+// acknowledgedDataset returns the desired state of a dataset on a machine, or nil if the machine's agent has
 // not yet acknowledged an order of this term that contains all desired parts.
-func (planner *Planner) acknowledged(machine string, set *dataset.Summary) *desiredDataset {
+func (planner *Planner) acknowledgedDataset(machine string, summary *dataset.Summary) *desiredDataset {
 	agent := planner.agents[machine]
 	if agent == nil {
 		return nil
 	}
-	desired := agent.desired[set.Name]
+	desired := agent.desired[summary.Name]
 	if desired == nil || agent.appliedOrder == 0 || agent.appliedOrder < desired.addedInOrder {
 		return nil
 	}
@@ -101,20 +101,20 @@
 
 // InFlight returns, as of the last call of Plan, the number of bytes of a part that each machine on
 // which it is missing still has to receive. The caller must not modify the map.
-func (planner *Planner) InFlight(set string, part int) map[replicas.MachineID]float64 {
-	return planner.queues.missing[partKey{set, part}]
+func (planner *Planner) InFlight(datasetName string, part int) map[replicas.MachineID]float64 {
+	return planner.queues.missing[partKey{datasetName, part}]
 }
 
 // Spread returns the estimated time in seconds until one more machine has a part, given its number of
 // holders. Every holder serves the part to others, so the number of holders doubles in the time of one
 // transfer. The result is 0 if the link rate is unknown or machines may not copy from one another.
-func (planner *Planner) Spread(set *dataset.Summary, part, holders int) float64 {
+func (planner *Planner) Spread(summary *dataset.Summary, part, holders int) float64 {
 	if planner.limits.LinkRate <= 0 || !planner.limits.Peers {
 		return 0
 	}
-	ahead := len(planner.queues.missing[partKey{set.Name, part}])
-	doublings := math.Ceil(math.Log2(1 + float64(ahead+1)/float64(max(1, holders))))
-	return float64(set.PartBytes(part)) / planner.limits.LinkRate * doublings
+	pendingReceivers := len(planner.queues.missing[partKey{summary.Name, part}])
+	doublings := math.Ceil(math.Log2(1 + float64(pendingReceivers+1)/float64(max(1, holders))))
+	return float64(summary.PartBytes(part)) / planner.limits.LinkRate * doublings
 }
 
 // Backlog returns the number of bytes that all machines together still have to receive.
@@ -157,8 +157,8 @@
 	return order, agent.address, true
 }
 
-// CopyStatus describes one transfer for display to operators.
-type CopyStatus struct {
+// TransferStatus describes one transfer for display to operators.
+type TransferStatus struct {
 	Machine, Dataset string
 	Part             int
 	// Got is the number of received bytes, and Of the size of the part in bytes.
@@ -172,15 +172,15 @@
 }
 
 // Copies returns all transfers, sorted by machine, dataset and part.
-func (planner *Planner) Copies() []CopyStatus {
-	var statuses []CopyStatus
+func (planner *Planner) Copies() []TransferStatus {
+	var statuses []TransferStatus
 	for _, machine := range slices.Sorted(maps.Keys(planner.agents)) {
 		agent := planner.agents[machine]
 		for _, name := range slices.Sorted(maps.Keys(agent.desired)) {
 			desired := agent.desired[name]
 			for _, part := range slices.Sorted(maps.Keys(desired.transfers)) {
 				transfer := desired.transfers[part]
-				status := CopyStatus{
+				status := TransferStatus{
 					Machine: machine,
 					Dataset: name,
 					Part:    part,
@@ -190,8 +190,8 @@
 					Failed:  map[string]string{},
 					Full:    agent.cacheFull,
 				}
-				for source, why := range transfer.failures {
-					status.Failed[source.String()] = why
+				for source, reason := range transfer.failures {
+					status.Failed[source.String()] = reason
 				}
 				statuses = append(statuses, status)
 			}
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -14,7 +14,7 @@
 
 // Each part is copied from the store only once, however many machines demand it. The machines copy it
 // from one another without exceeding the limit of concurrent transfers per link.
-func TestEachPartLeavesTheStoreOnce(t *testing.T) {
+func TestEachPartIsCopiedFromTheStoreOnce(t *testing.T) {
 	cluster := newFakeCluster(9)
 	planner := New(5, limits, replicas.New())
 	demands := demandAll(cluster, 0, 1, 2)
@@ -30,26 +30,26 @@
 	for _, agent := range cluster.agents {
 		fromStore += agent.copiesFromStore
 	}
-	if !cluster.confirmed(planner, demands) || fromStore != 3 {
-		t.Fatalf("confirmed: %v, %d parts from the store", cluster.confirmed(planner, demands), fromStore)
+	if !cluster.allConfirmed(planner, demands) || fromStore != 3 {
+		t.Fatalf("confirmed: %v, %d parts from the store", cluster.allConfirmed(planner, demands), fromStore)
 	}
 }
 
 // A source that fails, serves corrupt data or stops responding is replaced by another one, and every
 // machine eventually has every part.
-func TestTroubledSourcesAreLeft(t *testing.T) {
+func TestFailedSourcesAreReplaced(t *testing.T) {
 	for _, kind := range []string{"store", "corrupt", "silent"} {
 		t.Run(kind, func(t *testing.T) {
 			cluster := newFakeCluster(5)
 			planner := New(5, limits, replicas.New())
 			cluster.agents["n-0"].holds[0] = true
-			cluster.agents["n-0"].corrupt = kind == "corrupt"
+			cluster.agents["n-0"].servesCorruptData = kind == "corrupt"
 			cluster.storeDown = kind == "store"
-			for i := range 60 {
-				if kind == "silent" && i == 3 {
+			for step := range 60 {
+				if kind == "silent" && step == 3 {
 					cluster.agents["n-0"].down = true
 				}
-				if i == 20 {
+				if step == 20 {
 					cluster.storeDown = false
 				}
 				cluster.step(planner, demandAll(cluster, 0, 1)[1:])
@@ -72,50 +72,50 @@
 func TestConfirmationNeedsUninterruptedOrderOfThisTerm(t *testing.T) {
 	cluster := newFakeCluster(1)
 	planner := New(5, limits, replicas.New())
-	one := []Demand{{"n-0", inventory, 1}}
+	demands := []Demand{{"n-0", inventory, 1}}
 	for range 5 {
-		cluster.step(planner, one)
+		cluster.step(planner, demands)
 	}
 	if !planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("not confirmed")
 	}
-	old := cluster.agents["n-0"].heartbeat()
+	oldHeartbeat := cluster.agents["n-0"].heartbeat()
 	planner.Plan(nil, cluster.now)
 	if planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("confirmed although the part may be evicted")
 	}
-	planner.Plan(one, cluster.now)
-	old.Seq += 5
-	planner.ApplyHeartbeat(old, cluster.now)
+	planner.Plan(demands, cluster.now)
+	oldHeartbeat.Seq += 5
+	planner.ApplyHeartbeat(oldHeartbeat, cluster.now)
 	if planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("confirmed by a heartbeat that acknowledges an order from before the interruption")
 	}
 	cluster.agents["n-0"].sequence += 9
 	for range 3 {
-		cluster.step(planner, one)
+		cluster.step(planner, demands)
 	}
 	if !planner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("not confirmed again")
 	}
 	// The next leader confirms a part only after the agent acknowledged that leader's own order.
-	next := New(6, limits, replicas.New())
-	next.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
-	next.Plan(one, cluster.now)
-	next.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
-	if next.Confirmed("n-0", inventory, 1) {
+	nextPlanner := New(6, limits, replicas.New())
+	nextPlanner.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
+	nextPlanner.Plan(demands, cluster.now)
+	nextPlanner.ApplyHeartbeat(cluster.agents["n-0"].heartbeat(), cluster.now)
+	if nextPlanner.Confirmed("n-0", inventory, 1) {
 		t.Fatal("confirmed by an acknowledgement of a previous leader's order")
 	}
 	for range 3 {
-		cluster.step(next, one)
+		cluster.step(nextPlanner, demands)
 	}
-	late, _, _ := planner.Order("n-0")
-	if !next.Confirmed("n-0", inventory, 1) || cluster.agents["n-0"].apply(late) {
+	oldOrder, _, _ := planner.Order("n-0")
+	if !nextPlanner.Confirmed("n-0", inventory, 1) || cluster.agents["n-0"].apply(oldOrder) {
 		t.Fatal("not confirmed under the new leader's order, or an old order was applied")
 	}
 }
 
 // If a cache cannot hold all demanded parts, the most urgent ones are copied to it.
-func TestMostUrgentDemandsGetTheCache(t *testing.T) {
+func TestMostUrgentDemandsGetCacheSpace(t *testing.T) {
 	cluster := newFakeCluster(1)
 	cluster.agents["n-0"].quota = 35
 	planner := New(5, limits, replicas.New())
@@ -129,14 +129,14 @@
 
 // While agents fail, restart and are replaced and the store fails, the counts of transfers per link stay
 // correct. Once the faults end, every demanded part is confirmed.
-func TestTransferCountsStayRightThroughRandomFaults(t *testing.T) {
+func TestTransferCountsStayCorrectUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		cluster := newFakeCluster(6)
 		planner := New(5, limits, replicas.New())
 		var demands []Demand
-		for i := range 200 {
-			if i < 150 {
+		for step := range 200 {
+			if step < 150 {
 				agent := cluster.agents[cluster.names[rng.IntN(6)]]
 				switch rng.IntN(8) {
 				case 0:
@@ -163,17 +163,17 @@
 			cluster.step(planner, demands)
 			outgoing, incoming, fromStore := 0, 0, 0
 			for _, agent := range planner.agents {
-				size := 0
+				transferCount := 0
 				for _, desired := range agent.desired {
-					size += len(desired.transfers)
+					transferCount += len(desired.transfers)
 					for _, transfer := range desired.transfers {
 						if transfer.sources[0].Store {
 							fromStore++
 						}
 					}
 				}
-				if agent.incoming != size || agent.outgoing < 0 || agent.incoming > 2 {
-					t.Fatalf("seed %d: %s counts %d in for %d, %d out", seed, agent.name, agent.incoming, size, agent.outgoing)
+				if agent.incoming != transferCount || agent.outgoing < 0 || agent.incoming > 2 {
+					t.Fatalf("seed %d: %s counts %d in for %d, %d out", seed, agent.name, agent.incoming, transferCount, agent.outgoing)
 				}
 				outgoing, incoming = outgoing+agent.outgoing, incoming+agent.incoming
 			}
@@ -181,7 +181,7 @@
 				t.Fatalf("seed %d: %d from the store, counted %d", seed, fromStore, planner.counts.fromStore)
 			}
 		}
-		if !cluster.confirmed(planner, demands) {
+		if !cluster.allConfirmed(planner, demands) {
 			t.Fatalf("seed %d: not all demands are confirmed: %v", seed, demands)
 		}
 	}
