--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -28,8 +28,8 @@
 
 // EncodeHint encodes the replicas on the given machines as a hint of at most maxBytes bytes. While the
 // hint is too large, the second half of the list of machines is dropped. The hint covers the first
-// included machines of the list; included is 0 if the hint is empty. lookUpID returns the ID of the
-// machine of a name; machines for which it returns false are skipped.
+// included machines of the list; included is 0 if the hint is empty. lookUpID returns the ID of a
+// machine, given its name; machines for which it returns false are skipped.
 func EncodeHint(snapshot *Snapshot, machines []string, lookUpID func(string) (MachineID, bool), maxBytes int) (hint Hint, included int, err error) {
 	for included := len(machines); included > 0; included /= 2 {
 		packed, err := snapshot.pack(machines[:included], lookUpID)
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -13,8 +13,8 @@
 // Proxy answers heartbeats of agents on behalf of a leader that their controller cannot reach
 // directly. It makes no decisions: it relays heartbeats to the leader and returns the newest order
 // that the leader sent. Agents reject orders older than their current one, so a delayed or duplicate
-// order is harmless. The leader confirms parts only by the heartbeats that it receives itself, by
-// whichever route. A Proxy is not safe for concurrent use.
+// order is harmless. The leader confirms parts only by the heartbeats that it receives itself,
+// directly or relayed. A Proxy is not safe for concurrent use.
 type Proxy struct {
 	// Outbox holds the heartbeats to be relayed to the leader, and Inbox the orders received from
 	// it.
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -45,11 +45,11 @@
 			cluster.agents["n-0"].holds[0] = true
 			cluster.agents["n-0"].servesCorruptData = kind == "corrupt"
 			cluster.storeDown = kind == "store"
-			for step := range 60 {
-				if kind == "silent" && step == 3 {
+			for round := range 60 {
+				if kind == "silent" && round == 3 {
 					cluster.agents["n-0"].down = true
 				}
-				if step == 20 {
+				if round == 20 {
 					cluster.storeDown = false
 				}
 				cluster.step(planner, demandAll(cluster, 0, 1)[1:])
@@ -135,8 +135,8 @@
 		cluster := newFakeCluster(6)
 		planner := New(5, limits, replicas.New())
 		var demands []Demand
-		for step := range 200 {
-			if step < 150 {
+		for round := range 200 {
+			if round < 150 {
 				agent := cluster.agents[cluster.names[rng.IntN(6)]]
 				switch rng.IntN(8) {
 				case 0:
