--- a/staging/planner.go
+++ b/staging/planner.go
@@ -1,5 +1,5 @@
 // Package staging plans the copying of dataset parts to machines: which part is copied to which
-// machine, from which source, and in which order. The planner is a deterministic state machine: its
+// machine, from which source, and in which order. The planner is a state machine: its
 // inputs are the agents' heartbeats, the demands for parts and the current time, and its outputs are
 // orders. It does no I/O, takes no locks and reads no clock, and it does not know about jobs or why a
 // part is demanded.
