--- a/dataset/build.go
+++ b/dataset/build.go
@@ -7,41 +7,41 @@
 	"switchferry/tuning"
 )
 
-// Build cuts a reader's content into chunks of chunkBytes, the last of which may be smaller, and
-// groups partChunks chunks into a part, the last of which may have fewer. Each chunk is passed to
-// keep, unless that is nil; keep must not retain the bytes. An error of the reader or of keep ends
-// Build and is wrapped.
-func Build(name string, reader io.Reader, chunkBytes, partChunks int, keep func(Chunk, []byte) error) (*Manifest, error) {
+// Build splits the content of a reader into chunks of chunkBytes bytes and groups every chunksPerPart
+// chunks into a part. The last chunk and the last part may be smaller. If storeChunk is not nil, it
+// is called with each chunk and must not retain the bytes. Build stops at the first error of the
+// reader or of storeChunk and returns it wrapped.
+func Build(name string, reader io.Reader, chunkBytes, chunksPerPart int, storeChunk func(Chunk, []byte) error) (*Manifest, error) {
 	if chunkBytes < 1 || chunkBytes > tuning.ChunkLimit {
 		return nil, fmt.Errorf("chunk size: must be 1 to %d bytes, not %d", tuning.ChunkLimit, chunkBytes)
 	}
-	if partChunks < 1 {
-		return nil, fmt.Errorf("chunks a part: must be 1 or more, not %d", partChunks)
+	if chunksPerPart < 1 {
+		return nil, fmt.Errorf("chunks per part: must be 1 or more, not %d", chunksPerPart)
 	}
-	chunks, err := cutChunks(reader, chunkBytes, keep)
+	chunks, err := splitChunks(reader, chunkBytes, storeChunk)
 	if err != nil {
 		return nil, err
 	}
 	manifest := &Manifest{Format: Format, Name: name, Chunks: chunks}
-	if partChunks > 1 {
-		for left := len(chunks); left > 0; left -= partChunks {
-			manifest.Parts = append(manifest.Parts, min(left, partChunks))
+	if chunksPerPart > 1 {
+		for remaining := len(chunks); remaining > 0; remaining -= chunksPerPart {
+			manifest.ChunksPerPart = append(manifest.ChunksPerPart, min(remaining, chunksPerPart))
 		}
 	}
 	return manifest, manifest.validate()
 }
 
-// cutChunks reads everything and returns its chunks.
-func cutChunks(reader io.Reader, chunkBytes int, keep func(Chunk, []byte) error) ([]Chunk, error) {
+// splitChunks reads the reader to its end and returns the chunks of its content.
+func splitChunks(reader io.Reader, chunkBytes int, storeChunk func(Chunk, []byte) error) ([]Chunk, error) {
 	var chunks []Chunk
 	buffer := make([]byte, chunkBytes)
 	for {
 		size, readErr := io.ReadFull(reader, buffer)
 		if size > 0 {
 			chunk := Chunk{Digest: Sum(buffer[:size]), Bytes: int64(size)}
-			if keep != nil {
-				if err := keep(chunk, buffer[:size]); err != nil {
-					return nil, fmt.Errorf("keep chunk %d: %w", len(chunks), err)
+			if storeChunk != nil {
+				if err := storeChunk(chunk, buffer[:size]); err != nil {
+					return nil, fmt.Errorf("store chunk %d: %w", len(chunks), err)
 				}
 			}
 			chunks = append(chunks, chunk)
--- a/replicas/hint_test.go
+++ b/replicas/hint_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A hint of 64 machines with 30 scattered parts each fits one value of the state service and decodes
-// to what was encoded. Machines that do not fit are left out, and a malformed hint is refused.
-func TestHintKeepsTheMachinesThatFit(t *testing.T) {
+// A hint for 64 machines with 30 random parts each fits into one value of the state service, and decoding
+// it returns the encoded replicas. Machines that do not fit are omitted, and a malformed hint is rejected.
+func TestHintIncludesOnlyMachinesThatFit(t *testing.T) {
 	index := filledIndex(2000, 20000)
 	snapshot := index.Snapshot()
 	var names []string
--- a/staging/fake_test.go
+++ b/staging/fake_test.go
@@ -9,15 +9,15 @@
 	"switchferry/api"
 )
 
-// fakeAgent follows the agents' protocol: it applies newer orders, copies each ordered part within
-// one step from the first source that works, and keeps what its order names.
+// fakeAgent is a simulated data agent. It applies orders that are not older than its current one,
+// copies each ordered part within one step from the first source that works, and never evicts parts.
 type fakeAgent struct {
 	name                             string
 	incarnation, sequence            uint64
 	term, orderNumber                uint64
 	orderedSets                      []api.StageSet
 	holds                            map[uint32]bool
-	corrupt, down                    bool
+	servesCorruptData, down          bool
 	failures                         map[int][]api.StageFailure
 	copiesFromStore, copiesFromPeers int
 	quota                            int64
@@ -25,7 +25,8 @@
 
 func (agent *fakeAgent) address() string { return agent.name + ":1" }
 
-// apply takes an order over, and returns false if it is older than the present one.
+// apply replaces the current order. It returns false if the new order is older, or is for another
+// incarnation.
 func (agent *fakeAgent) apply(order api.StageOrder) bool {
 	if order.Term < agent.term || order.Term == agent.term && order.Order < agent.orderNumber || order.Incarnation != agent.incarnation {
 		return false
@@ -34,27 +35,27 @@
 	return true
 }
 
-// heartbeat returns the next heartbeat, with everything that the agent holds.
+// heartbeat returns the next heartbeat, which lists all parts that the agent holds.
 func (agent *fakeAgent) heartbeat() *api.StageHeartbeat {
 	agent.sequence++
 	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Order: agent.orderNumber, Quota: agent.quota, All: true}
 	held := roaring.New()
-	for k := range agent.holds {
-		held.Add(k)
+	for part := range agent.holds {
+		held.Add(part)
 	}
 	heartbeat.Holds = []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: 8, Parts: api.PartSet{Bitmap: held}}}
-	for _, s := range agent.orderedSets {
-		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: s.Dataset, Manifest: s.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, s.Parts.Bitmap)}})
-		for _, transfer := range s.Copies {
+	for _, set := range agent.orderedSets {
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: set.Dataset, Manifest: set.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, set.Parts.Bitmap)}})
+		for _, transfer := range set.Copies {
 			if !agent.holds[uint32(transfer.Part)] {
-				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: s.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
+				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: set.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
 			}
 		}
 	}
 	return heartbeat
 }
 
-// fakeCluster moves parts between fake agents as their orders say.
+// fakeCluster simulates a set of agents that copy parts from one another and from the store.
 type fakeCluster struct {
 	agents    map[string]*fakeAgent
 	names     []string
@@ -62,7 +63,7 @@
 	now       time.Time
 }
 
-// newFakeCluster returns a cluster of machines n-0, n-1 and so on, which hold nothing.
+// newFakeCluster returns a cluster of size machines named n-0, n-1 and so on, which hold no parts.
 func newFakeCluster(size int) *fakeCluster {
 	cluster := &fakeCluster{agents: map[string]*fakeAgent{}, now: time.Unix(1000, 0)}
 	for i := range size {
@@ -73,8 +74,8 @@
 	return cluster
 }
 
-// step lets one second pass: every agent that is up sends a heartbeat and applies its order, and
-// then every ordered part is copied from its first source that works.
+// step advances the time by one second. Every agent that is up sends a heartbeat and applies its order,
+// and then every ordered part is copied from its first source that works.
 func (cluster *fakeCluster) step(planner *Planner, demands []Demand) {
 	cluster.now = cluster.now.Add(time.Second)
 	for _, name := range cluster.names {
@@ -87,7 +88,7 @@
 			cluster.agents[name].apply(order)
 		}
 	}
-	// What arrives in this step is no source before the next.
+	// A part received in this step can be served to others only from the next step on.
 	received := map[*fakeAgent][]int{}
 	for _, name := range cluster.names {
 		agent := cluster.agents[name]
@@ -110,13 +111,13 @@
 	}
 }
 
-// copyPart tries the sources of a transfer in order. It returns whether one of them worked, and
-// records the failures of those before it.
+// copyPart tries the sources of a transfer in order until one works. It records the failures of the
+// others and returns whether any source worked.
 func (cluster *fakeCluster) copyPart(agent *fakeAgent, transfer api.StageCopy) bool {
 	for _, source := range transfer.From {
-		why, corrupt := cluster.failure(source, transfer.Part)
-		if why != "" {
-			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: why, Corrupt: corrupt})
+		reason, corrupt := cluster.sourceFailure(source, transfer.Part)
+		if reason != "" {
+			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: reason, Corrupt: corrupt})
 			continue
 		}
 		if source.Store {
@@ -129,13 +130,14 @@
 	return false
 }
 
-// failure returns why a source cannot deliver a part now, or "" if it can.
-func (cluster *fakeCluster) failure(source api.StageSource, part int) (why string, corrupt bool) {
+// sourceFailure returns why a source cannot serve a part now, or "" if it can, and whether it serves corrupt
+// data.
+func (cluster *fakeCluster) sourceFailure(source api.StageSource, part int) (reason string, corrupt bool) {
 	peer := cluster.agents[machineOfAddress(source.Peer)]
 	switch {
 	case source.Store && cluster.storeDown, peer != nil && peer.down:
 		return "reset", false
-	case peer != nil && peer.corrupt:
+	case peer != nil && peer.servesCorruptData:
 		return "wrong bytes", true
 	case peer != nil && !peer.holds[uint32(part)]:
 		return "missing", false
@@ -143,26 +145,26 @@
 	return "", false
 }
 
-// machineOfAddress reverts fakeAgent.address. An empty address has no machine.
-func machineOfAddress(addr string) string {
-	if len(addr) < 2 {
+// machineOfAddress returns the name of the machine whose agent has an address, or "" for an empty address.
+func machineOfAddress(address string) string {
+	if len(address) < 2 {
 		return ""
 	}
-	return addr[:len(addr)-2]
+	return address[:len(address)-2]
 }
 
-// demandAll demands each part on every machine.
-func demandAll(cluster *fakeCluster, parts ...int) (out []Demand) {
+// demandAll returns demands for each of the parts on every machine.
+func demandAll(cluster *fakeCluster, parts ...int) (demands []Demand) {
 	for _, part := range parts {
 		for _, name := range cluster.names {
-			out = append(out, Demand{name, inventory, part})
+			demands = append(demands, Demand{name, inventory, part})
 		}
 	}
-	return out
+	return demands
 }
 
-// confirmed returns whether every demand is confirmed.
-func (cluster *fakeCluster) confirmed(planner *Planner, demands []Demand) bool {
+// allConfirmed returns whether every demand is confirmed.
+func (cluster *fakeCluster) allConfirmed(planner *Planner, demands []Demand) bool {
 	for _, demand := range demands {
 		if !planner.Confirmed(demand.Machine, demand.Set, demand.Part) {
 			return false
