--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -1,6 +1,7 @@
-// Package dataagent is the agent beside a worker. It copies parts of datasets to its machine, keeps
-// them on disk, and serves them to other machines. It knows what the leader ordered it to keep, but
-// neither the jobs that need it nor where else they might run.
+// Package dataagent implements the data agent that runs on each worker machine. It copies parts of
+// datasets to its machine, caches them on disk, and serves them to other machines. It knows which
+// parts the leader ordered it to keep, but neither the jobs that read them nor the other machines on
+// which these jobs could run.
 //
 // The protocol and the layout of the cache are described in docs/data.md.
 package dataagent
@@ -20,46 +21,51 @@
 )
 
 const (
-	// idleConnsPerHost and idleConnTimeout bound the connections that are kept to a source.
+	// idleConnsPerHost is the maximum number of idle connections kept open to a source.
 	idleConnsPerHost = 4
-	idleConnTimeout  = 30 * time.Second
-	// minBurst is the least burst of a limiter, in bytes, and burstsPerSecond into how many bursts
-	// a second's bytes are split.
-	minBurst        = 16 << 10
+	// idleConnTimeout is the time after which an idle connection to a source is closed.
+	idleConnTimeout = 30 * time.Second
+	// minBurst is the smallest burst of a rate limiter, in bytes.
+	minBurst = 16 << 10
+	// burstsPerSecond is the number of bursts into which a rate limiter divides the bytes of a second.
 	burstsPerSecond = 20
 )
 
 // Options configure an agent.
 type Options struct {
-	// Machine is the name of the worker's machine, Address the host and port at which peers and
+	// Machine is the name of the worker's machine. Address is the host and port at which peers and
 	// controllers reach this agent.
 	Machine, Address string
-	// Dir holds the cache, and CacheBytes is its size.
-	Dir        string
+	// Dir is the directory of the cache.
+	Dir string
+	// CacheBytes is the maximum size of the cache, in bytes.
 	CacheBytes int64
-	// Store is the base URL of the store, without a slash at its end.
+	// Store is the base URL of the dataset store, without a trailing slash.
 	Store string
-	// Controllers are the controllers' addresses by member name. Without any, Run sends no
-	// heartbeats.
+	// Controllers maps the member names of the controllers to their addresses. If it is empty, Run
+	// sends no heartbeats.
 	Controllers map[string]string
-	// DownRate and UpRate limit what is received and served, in bytes per second. Zero means no
-	// limit.
+	// DownRate and UpRate limit the rates of receiving and serving, in bytes per second. Zero means
+	// no limit.
 	DownRate, UpRate float64
-	// AtOnce is how many peers are served at once. Zero means tuning.StageAtOnce.
+	// AtOnce is the maximum number of chunk requests that are served concurrently. Zero means
+	// tuning.StageAtOnce.
 	AtOnce int
-	// Pack asks peers to compress what they serve where that pays.
+	// Pack makes the agent ask peers for compressed chunks. A peer compresses a chunk only if that
+	// reduces its size enough.
 	Pack bool
 
-	// Clock and Transport replace the real clock and the default transport unless they are nil.
-	Clock     clockwork.Clock
+	// Clock replaces the real clock unless it is nil.
+	Clock clockwork.Clock
+	// Transport replaces the default HTTP transport unless it is nil.
 	Transport http.RoundTripper
-	// Step is called before each step of a write to the disk, so that tests can fail there. It may
-	// be nil.
+	// Step is called with the name of each step of a write to the disk before the step is executed,
+	// so that tests can inject a crash there. It may be nil.
 	Step func(string)
 }
 
-// Agent copies, keeps and serves parts of datasets. New returns one; its Handler must be served and
-// its Run called once. All methods are safe for concurrent use.
+// Agent copies, caches and serves parts of datasets. It is created by New. The caller must serve its
+// Handler and call Run once. All methods are safe for concurrent use.
 type Agent struct {
 	options Options
 	clock   clockwork.Clock
@@ -67,36 +73,42 @@
 	cache   *Cache
 	sources *sourceClient
 	chunks  *chunkServer
-	// ctx bounds downloads of chunks, which may outlive the transfer that started them.
+	// ctx is the context of chunk downloads, which may outlive the transfer that started them.
 	ctx context.Context
-	// wake starts the next reconciliation, heartbeatDue sends the next heartbeat early.
-	wake, heartbeatDue chan struct{}
-	// goroutines are those that Run waits for.
+	// wake requests a reconciliation.
+	wake chan struct{}
+	// heartbeatDue requests a heartbeat before the usual interval has passed.
+	heartbeatDue chan struct{}
+	// goroutines counts the goroutines that Run waits for before it returns.
 	goroutines sync.WaitGroup
 
-	// orderMu is held while an order is stored and adopted, so that orders are applied one after
-	// the other. It is locked before mu.
+	// orderMu is held while an order is stored and adopted, so that orders are applied one at a
+	// time. It is locked before mu.
 	orderMu sync.Mutex
 
 	// mu guards the fields below and the fields of desiredDataset. It is not held during I/O.
-	mu       sync.Mutex
-	state    storedState
+	mu    sync.Mutex
+	state storedState
+	// sequence is the sequence number of the last heartbeat.
 	sequence uint64
-	// desired is what the order asks for, by dataset name.
+	// desired maps dataset names to the desired state from the current order.
 	desired map[string]*desiredDataset
-	// transfers are the parts being copied, downloads the chunks being received.
+	// transfers are the parts being copied.
 	transfers map[partKey]*partTransfer
+	// downloads are the chunks being received.
 	downloads map[dataset.Digest]*chunkDownload
-	// replicas is what is held, by the text of the manifest's digest. replicasVersion counts its
-	// changes, and knownVersion is the version that the controllers know.
-	replicas                      map[string]*replica
-	replicasVersion, knownVersion uint64
-	// lostChunks is the cache's count of lost chunks when replicas were last refreshed.
+	// replicas maps manifest digests, as text, to the parts of that dataset in the cache.
+	replicas map[string]*replica
+	// replicasVersion counts the changes of replicas.
+	replicasVersion uint64
+	// knownVersion is the value of replicasVersion that the controllers last acknowledged.
+	knownVersion uint64
+	// lostChunks is the value of Cache.LostChunks at the last refresh of replicas.
 	lostChunks uint64
 }
 
-// New opens the cache and continues where an earlier process of this agent stopped: what it
-// reported as pinned stays pinned. Downloads end with ctx.
+// New opens the cache in Options.Dir and restores the stored order of an earlier process of this
+// agent, so that the parts reported as pinned stay pinned. Cancelling ctx cancels all downloads.
 func New(ctx context.Context, options Options) (*Agent, error) {
 	if options.Clock == nil {
 		options.Clock = clockwork.NewRealClock()
@@ -138,7 +150,7 @@
 	return agent, nil
 }
 
-// newLimiter returns a limiter of bytes per second, nil if the rate is not positive.
+// newLimiter returns a rate limiter for a rate in bytes per second, or nil if the rate is not positive.
 func newLimiter(bytesPerSecond float64) *rate.Limiter {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -147,8 +159,8 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), max(minBurst, burst))
 }
 
-// Run carries out the orders, and sends heartbeats if there are controllers, until ctx ends. It
-// returns once all transfers and downloads have ended.
+// Run executes the orders, and sends heartbeats if controllers are configured, until ctx is
+// cancelled. It returns once all transfers and downloads have ended.
 func (agent *Agent) Run(ctx context.Context) {
 	defer agent.goroutines.Wait()
 	if len(agent.options.Controllers) > 0 {
@@ -168,13 +180,13 @@
 	}
 }
 
-// wakeReconciler makes Run reconcile soon.
+// wakeReconciler makes Run start a reconciliation, after the running one if there is one.
 func (agent *Agent) wakeReconciler() { signal(agent.wake) }
 
-// requestHeartbeat makes the next heartbeat due soon.
+// requestHeartbeat makes the next heartbeat due as soon as the minimum interval allows.
 func (agent *Agent) requestHeartbeat() { signal(agent.heartbeatDue) }
 
-// signal puts a value into a channel of capacity one unless there is one already.
+// signal sends to a channel of capacity one, and does nothing if the channel is full.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/dataagent/cache.go
+++ b/dataagent/cache.go
@@ -15,72 +15,81 @@
 	"switchferry/dataset"
 )
 
-// Directories of the cache. chunksDir has a file for each complete chunk, partialDir for each
-// incomplete one, and manifestsDir for each manifest, under their digests; inputsDir has the links
-// through which tasks read.
+// Directories of the cache. Files in the first three are named after digests.
 const (
-	chunksDir    = "chunks"
-	partialDir   = "partial"
+	// chunksDir contains the complete chunks.
+	chunksDir = "chunks"
+	// partialDir contains the incomplete chunks.
+	partialDir = "partial"
+	// manifestsDir contains the manifests.
 	manifestsDir = "manifests"
-	inputsDir    = "inputs"
+	// inputsDir contains the hard links through which tasks read chunks.
+	inputsDir = "inputs"
 )
 
-// Permissions of files and directories in the cache: tasks of other users read them.
 const (
-	filePermission      = 0o644
+	// filePermission lets tasks of other users read the files of the cache.
+	filePermission = 0o644
+	// directoryPermission lets tasks of other users list the directories of the cache.
 	directoryPermission = 0o755
 )
 
 var (
-	// ErrFull means that the quota or the disk has no room, and nothing may be evicted.
+	// ErrFull means that the quota is used up by chunks that may not be evicted, or that the disk is
+	// full.
 	ErrFull = errors.New("the cache is full of what must be kept")
-	// ErrCorrupt means that bytes do not have their digest.
+	// ErrCorrupt means that data does not match the chunk or manifest that it was received or stored
+	// as.
 	ErrCorrupt = errors.New("wrong bytes")
 )
 
-// Cache keeps chunks on disk under their digests. A file in chunksDir is complete: it gets its name
-// only after its digest was checked and its bytes were synced. What a transfer received so far is in
-// partialDir. Chunks that are neither pinned nor being written may be evicted, the least recently
-// used first, to stay within the quota.
+// Cache stores chunks on disk under their digests. A file in chunksDir is always complete: it is moved
+// there only after its digest was checked and its content was synced. The chunks that transfers have
+// received in part are in partialDir. To stay within the quota, chunks that are neither pinned nor
+// being written are evicted: incomplete ones first, then complete ones, the least recently used first.
 //
 // The layout is described in docs/data.md. All methods are safe for concurrent use.
 type Cache struct {
 	dir string
-	// quota is the size that the chunks may have together, in bytes.
+	// quota is the maximum total size of the chunks, in bytes.
 	quota int64
-	// step is called before each step of a write, so that tests can fail there.
+	// step is called with the name of each step of a write before the step is executed, so that tests
+	// can inject a crash there.
 	step func(string)
 
 	// mu guards the fields below.
 	mu     sync.Mutex
 	chunks map[dataset.Digest]*cachedChunk
-	// partials holds the sizes of incomplete chunks, in bytes. That of a chunk being written is its
-	// size when complete.
+	// partials holds the sizes of incomplete chunks, in bytes. A chunk that is being written counts
+	// with its complete size.
 	partials map[dataset.Digest]int64
-	// used is the size of complete and incomplete chunks, in bytes.
-	used    int64
-	pins    map[dataset.Digest]int
+	// used is the total of the sizes in chunks and partials, in bytes.
+	used int64
+	// pins holds the number of pins of each pinned chunk.
+	pins map[dataset.Digest]int
+	// writing is the set of chunks that have an open Writer.
 	writing map[dataset.Digest]bool
-	// evictable holds the complete chunks that are not pinned, the least recently used first.
+	// evictable holds the complete chunks that are not pinned, in order of their last use.
 	evictable *simplelru.LRU[dataset.Digest, struct{}]
-	// lostChunks counts the complete chunks that were evicted, removed or damaged.
+	// lostChunks counts the complete chunks that were evicted, removed or found corrupt.
 	lostChunks uint64
 }
 
 // cachedChunk is a complete chunk.
 type cachedChunk struct {
 	bytes int64
-	// verified says that the digest was checked in the life of this process.
+	// verified is true if this process has checked the digest.
 	verified bool
 }
 
-// OpenCache opens the cache in a directory, and creates it if it does not exist. quota is its size
-// in bytes, and step may be nil. Incomplete chunks of an earlier process are kept to be continued.
+// OpenCache opens the cache in a directory, and creates it if it does not exist. quota is the maximum
+// total size of the chunks in bytes. step is called before each step of a write, and may be nil.
+// Incomplete chunks of an earlier process are kept, so that their transfers can be resumed.
 func OpenCache(dir string, quota int64, step func(string)) (*Cache, error) {
 	if step == nil {
 		step = func(string) {}
 	}
-	// The list has no limit of its own, since evict keeps the cache within its quota.
+	// The list needs no size limit, since evict keeps the cache within its quota.
 	evictable, err := simplelru.NewLRU[dataset.Digest, struct{}](math.MaxInt32, nil)
 	if err != nil {
 		return nil, fmt.Errorf("cache: %w", err)
@@ -103,7 +112,8 @@
 	return cache, cache.scan()
 }
 
-// scan finds the complete and the incomplete chunks on disk.
+// scan registers the complete and incomplete chunks on disk. It removes the incomplete file of a chunk
+// that is also complete.
 func (cache *Cache) scan() error {
 	complete, err := cache.readDirectory(chunksDir)
 	if err != nil {
@@ -129,10 +139,11 @@
 	return nil
 }
 
-// chunkFile is a file that is named after a digest, and its size in bytes.
+// chunkFile describes a file in the cache that is named after a digest.
 type chunkFile struct {
 	digest dataset.Digest
-	size   int64
+	// size is in bytes.
+	size int64
 }
 
 // readDirectory returns the regular files in a directory that are named after a digest, sorted by
@@ -162,26 +173,27 @@
 	return filepath.Join(cache.dir, directory, digest.String())
 }
 
-// removeFile removes a file that the cache does not count any more. If that fails, the next
-// OpenCache finds the file and counts it again.
+// removeFile removes a file that the cache no longer counts. Its error is ignored, since the next
+// OpenCache finds a file that could not be removed and counts it again.
 func removeFile(path string) { _ = os.Remove(path) }
 
-// Used returns the size of all chunks, in bytes.
+// Used returns the total size of complete and incomplete chunks, in bytes. A chunk that is being
+// written counts with its complete size.
 func (cache *Cache) Used() int64 {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	return cache.used
 }
 
-// LostChunks returns how many complete chunks were evicted, removed or damaged since the cache was
-// opened.
+// LostChunks returns how many complete chunks were evicted, removed or found corrupt since the cache
+// was opened.
 func (cache *Cache) LostChunks() uint64 {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	return cache.lostChunks
 }
 
-// Has returns whether a chunk is complete, with the right size.
+// Has reports whether the cache has the complete chunk, with the size that the manifest states.
 func (cache *Cache) Has(chunk dataset.Chunk) bool {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
@@ -189,7 +201,8 @@
 	return cached != nil && cached.bytes == chunk.Bytes
 }
 
-// Pin protects a chunk, which need not be there yet, from eviction. Each Pin needs an Unpin.
+// Pin protects a chunk, which need not be in the cache yet, from eviction. Pins are counted: each Pin
+// must be reverted by one Unpin.
 func (cache *Cache) Pin(digest dataset.Digest) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
@@ -211,8 +224,9 @@
 	}
 }
 
-// evict makes room for the given number of bytes, and returns false if there is too little that may
-// be evicted. mu must be held. The caller removes the returned files after it released mu.
+// evict evicts chunks until need more bytes fit into the quota. ok is false if they do not fit even
+// after all evictable chunks are evicted. mu must be held. The caller must remove the returned files
+// after it has released mu, also if ok is false.
 func (cache *Cache) evict(need int64) (files []string, ok bool) {
 	for digest, size := range cache.partials {
 		if cache.used+need <= cache.quota {
@@ -235,7 +249,8 @@
 	return files, true
 }
 
-// forget stops counting a complete chunk, whose file the caller removes. mu must be held.
+// forget removes a complete chunk from the cache's records; the caller must remove its file. mu must be
+// held.
 func (cache *Cache) forget(digest dataset.Digest) {
 	cache.used -= cache.chunks[digest].bytes
 	delete(cache.chunks, digest)
@@ -243,8 +258,8 @@
 	cache.lostChunks++
 }
 
-// RemoveChunk removes a chunk, complete or not, unless it is pinned or being written. A file that is
-// open stays readable.
+// RemoveChunk removes a complete or incomplete chunk, unless it is pinned or being written. A file that
+// is open for reading stays readable.
 func (cache *Cache) RemoveChunk(digest dataset.Digest) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
@@ -262,9 +277,10 @@
 	}
 }
 
-// Verify reads a chunk and checks its digest, once in the life of this process. A damaged chunk is
-// removed, also if it is pinned, and the error is ErrCorrupt. The error is fs.ErrNotExist if the
-// chunk is not there.
+// Verify checks the size and the digest of a complete chunk on disk. If this process has already
+// verified the chunk, its file is not read again. A corrupt or unreadable chunk is removed, even if it is
+// pinned. The error is ErrCorrupt if the chunk is corrupt, and fs.ErrNotExist if the cache does not have
+// it.
 func (cache *Cache) Verify(chunk dataset.Chunk) error {
 	cache.mu.Lock()
 	cached := cache.chunks[chunk.Digest]
@@ -298,7 +314,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // It was only read.
+	defer func() { _ = file.Close() }() // The file was only read, so the error does not matter.
 	hasher := dataset.NewHasher()
 	size, err := io.Copy(hasher, file)
 	if err != nil {
@@ -310,8 +326,9 @@
 	return nil
 }
 
-// Open opens a complete chunk for reading, which counts as a use, and returns its size in bytes. The
-// file stays readable if the chunk is evicted. The error is fs.ErrNotExist if the chunk is not there.
+// Open opens a complete chunk for reading, returns its size in bytes, and marks it as the most recently
+// used one. The caller must close the file, which stays readable if the chunk is evicted. The error is
+// fs.ErrNotExist if the cache does not have the complete chunk.
 func (cache *Cache) Open(digest dataset.Digest) (*os.File, int64, error) {
 	cache.mu.Lock()
 	cached := cache.chunks[digest]
@@ -326,7 +343,8 @@
 	return file, cached.bytes, err
 }
 
-// diskError marks an error of a full disk as ErrFull.
+// diskError wraps an error that was caused by a full disk or disk quota in ErrFull, and returns other
+// errors unchanged.
 func diskError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return fmt.Errorf("%w: %w", ErrFull, err)
--- a/dataagent/cache_files.go
+++ b/dataagent/cache_files.go
@@ -13,17 +13,17 @@
 	"switchferry/dataset"
 )
 
-// partPrefix begins the name of the directory that has the links of a part.
+// partPrefix is the prefix of the names of the directories with the input links of one part.
 const partPrefix = "part-"
 
-// SaveManifest stores a manifest under its digest, atomically.
+// SaveManifest atomically stores the bytes of a manifest under its digest.
 func (cache *Cache) SaveManifest(digest dataset.Digest, raw []byte) error {
 	cache.step("manifest")
 	return renameio.WriteFile(cache.path(manifestsDir, digest), raw, filePermission)
 }
 
-// Manifest returns a stored manifest and its bytes, whose digest it checks. A damaged one is removed.
-// The error is fs.ErrNotExist if there is no intact one.
+// Manifest returns a stored manifest and its bytes, after checking its digest. A manifest with a wrong
+// digest is removed. The error is fs.ErrNotExist if the cache has no manifest with the right digest.
 func (cache *Cache) Manifest(digest dataset.Digest) (*dataset.Manifest, []byte, error) {
 	path := cache.path(manifestsDir, digest)
 	raw, err := os.ReadFile(path)
@@ -40,7 +40,7 @@
 
 // Manifests returns the digests of the stored manifests.
 func (cache *Cache) Manifests() []dataset.Digest {
-	// A directory that cannot be read has no usable manifests; they are received again.
+	// If the directory cannot be read, its manifests are received again.
 	entries, _ := os.ReadDir(filepath.Join(cache.dir, manifestsDir))
 	var digests []dataset.Digest
 	for _, entry := range entries {
@@ -61,8 +61,8 @@
 	return filepath.Join(cache.dir, inputsDir, datasetName, fmt.Sprintf(partPrefix+"%06d", part))
 }
 
-// LinkInputs makes the chunks of a part readable for tasks, as hard links in the part's directory.
-// A task that reads them keeps its bytes whatever is evicted. Links that exist already are kept.
+// LinkInputs makes the chunks of a part available to tasks as hard links in the part's directory. The
+// links keep the data on disk even if the chunks are evicted. Existing links are kept.
 func (cache *Cache) LinkInputs(manifest *dataset.Manifest, part int) error {
 	directory := cache.partDir(manifest.Name, part)
 	if err := os.MkdirAll(directory, directoryPermission); err != nil {
@@ -78,17 +78,17 @@
 	return nil
 }
 
-// UnlinkInputs removes the links to a part, and the dataset's directory if nothing else is in it.
+// UnlinkInputs removes the links to a part, and the dataset's directory if that is then empty.
 func (cache *Cache) UnlinkInputs(datasetName string, part int) {
-	// Links that stay after an error keep their bytes on disk until the agent starts again.
+	// Links that could not be removed keep their data on disk until the agent is restarted.
 	_ = os.RemoveAll(cache.partDir(datasetName, part))
 	removeFile(filepath.Join(cache.dir, inputsDir, datasetName))
 }
 
-// LinkedInputs returns the parts that have a directory of links, by dataset name.
+// LinkedInputs returns the numbers of the parts that have a directory of links, by dataset name.
 func (cache *Cache) LinkedInputs() map[string][]int {
 	linked := map[string][]int{}
-	// The only error is that of a malformed pattern.
+	// Glob returns an error only for a malformed pattern.
 	directories, _ := filepath.Glob(filepath.Join(cache.dir, inputsDir, "*", partPrefix+"*"))
 	for _, directory := range directories {
 		part, err := strconv.Atoi(strings.TrimPrefix(filepath.Base(directory), partPrefix))
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -18,11 +18,12 @@
 	"switchferry/tuning"
 )
 
-// nextControllerDelay is the pause before the next controller is tried.
+// nextControllerDelay is the pause before a heartbeat is sent to the next controller after one did not
+// accept it.
 const nextControllerDelay = time.Second
 
-// Next returns the heartbeat that is due. It contains everything that the agent holds if the
-// controllers do not know the present version of that.
+// Next returns the next heartbeat to send. It lists all parts in the cache if the controllers have not
+// acknowledged the current version of that list.
 func (agent *Agent) Next() api.StageHeartbeat {
 	agent.mu.Lock()
 	all := agent.knownVersion != agent.replicasVersion
@@ -30,8 +31,8 @@
 	return agent.Report(all)
 }
 
-// Report returns a new heartbeat, with everything that the agent holds if all is set. Its lists are
-// sorted by dataset and part.
+// Report returns a new heartbeat with the next sequence number. If all is true, it lists all parts in the
+// cache. Its lists are sorted by dataset and part.
 func (agent *Agent) Report(all bool) api.StageHeartbeat {
 	agent.refreshReplicas()
 	agent.mu.Lock()
@@ -74,7 +75,7 @@
 	return heartbeat
 }
 
-// heldParts returns everything that the agent holds, in no order. mu must be held.
+// heldParts returns all parts in the cache, by dataset, in no particular order. mu must be held.
 func (agent *Agent) heldParts() []api.StageHeld {
 	var held []api.StageHeld
 	for _, replica := range agent.replicas {
@@ -90,13 +91,13 @@
 	return held
 }
 
-// compareDatasets orders by dataset name.
+// compareDatasets compares by dataset name.
 func compareDatasets(first, second api.StageHeld) int {
 	return cmp.Compare(first.Dataset, second.Dataset)
 }
 
-// sendHeartbeats sends heartbeats until ctx ends. It tries the controllers in turn until one accepts
-// them, and follows redirects to the leader.
+// sendHeartbeats sends heartbeats until ctx is cancelled. It tries the controllers in turn until one
+// accepts the heartbeat, and follows redirects to the leader.
 func (agent *Agent) sendHeartbeats(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(agent.options.Controllers))
 	current := 0
@@ -120,8 +121,8 @@
 	}
 }
 
-// awaitNextHeartbeat waits for the least time between two heartbeats, and then until the usual
-// interval has passed or a heartbeat was requested.
+// awaitNextHeartbeat waits for the minimum interval between two heartbeats, and then until the usual
+// interval has passed or a heartbeat is requested.
 func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
 	interval := agent.clock.After(tuning.StageReportEvery)
 	sleep.For(ctx, agent.clock, tuning.MinStageReportInterval)
@@ -132,9 +133,9 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to the controller at an address and applies the order that it
-// answers with. If the controller is not the leader, redirect is the member name of the one to turn
-// to.
+// sendHeartbeat sends one heartbeat to the controller at the given address and applies the order in its
+// response. If that controller is not the leader, redirect is the member name of the controller to send
+// heartbeats to instead.
 func (agent *Agent) sendHeartbeat(ctx context.Context, address string) (redirect string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StageCallTimeout)
 	defer cancel()
--- a/dataagent/order.go
+++ b/dataagent/order.go
@@ -16,11 +16,11 @@
 	"switchferry/dataset"
 )
 
-// stateFile is the name of the file in the cache's directory that holds the storedState.
+// stateFile is the name of the file in the cache's directory that contains the storedState.
 const stateFile = "state.json"
 
-// storedState is what an agent must still know after a crash, since it may have told the
-// controllers.
+// storedState is the state that must survive a crash of the agent, since the agent may have reported it
+// to the controllers.
 type storedState struct {
 	Incarnation uint64         `json:"session"`
 	Term        uint64         `json:"helm"`
@@ -28,26 +28,30 @@
 	Sets        []api.StageSet `json:"sets"`
 }
 
-// desiredDataset is what the order asks for of one dataset. Agent.mu guards its fields; manifest is
-// written by the reconciler only, which reads it without the lock.
+// desiredDataset is the state of one dataset that the order asks for, and how much of it is reached.
+// Agent.mu guards its fields. Only the reconciler sets the manifest of a dataset in the current order, so
+// the reconciler reads it without the lock.
 type desiredDataset struct {
 	set            api.StageSet
 	manifestDigest dataset.Digest
-	// manifest is nil until it was loaded.
+	// manifest is nil until it is loaded.
 	manifest *dataset.Manifest
-	// pinned are the parts whose chunks are pinned in the cache for this dataset, and verified
-	// those of them that are complete, checked and linked.
-	pinned, verified *roaring.Bitmap
+	// pinned contains the parts whose chunks are pinned in the cache for this dataset.
+	pinned *roaring.Bitmap
+	// verified contains the pinned parts that are complete, have the right digests, and are linked for
+	// tasks.
+	verified *roaring.Bitmap
 }
 
-// restore loads the stored state, begins a new incarnation and adopts the stored order again.
+// restore loads the stored state, starts a new incarnation, adopts the stored order again, and removes
+// input links of parts that the order does not ask for.
 func (agent *Agent) restore() error {
 	raw, err := os.ReadFile(filepath.Join(agent.options.Dir, stateFile))
 	if err == nil {
 		err = json.Unmarshal(raw, &agent.state)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%s: %w; with no task on this machine the folder can be emptied", stateFile, err)
+		return fmt.Errorf("%s: %w; if no task runs on this machine, the cache directory can be emptied", stateFile, err)
 	}
 	agent.state.Incarnation++
 	if err := agent.saveState(agent.state); err != nil {
@@ -69,7 +73,7 @@
 	return nil
 }
 
-// saveState stores the state on disk, atomically.
+// saveState atomically stores the state on disk.
 func (agent *Agent) saveState(state storedState) error {
 	raw, err := json.Marshal(state)
 	if err != nil {
@@ -80,8 +84,9 @@
 }
 
 // Apply adopts an order. It returns false, and changes nothing, if the order is from an older term,
-// older than the present order of the same term, or for another incarnation of the agent. The order
-// is on disk before it takes effect, so what the agent reports as pinned survives a crash.
+// older than the current order of the same term, or for another incarnation of the agent. The order is
+// stored on disk before it takes effect, so that parts reported as pinned stay pinned after a crash. The
+// error is that of storing it; the order then has no effect.
 func (agent *Agent) Apply(order *api.StageOrder) (bool, error) {
 	agent.orderMu.Lock()
 	defer agent.orderMu.Unlock()
@@ -112,8 +117,8 @@
 	return true, nil
 }
 
-// adoptOrder makes a stored order the present one: it unpins what the order does not ask for and
-// cancels transfers that it does not name.
+// adoptOrder makes a stored order the current one: it unpins the parts that the order does not ask for,
+// cancels the transfers that the order does not list, and starts a reconciliation.
 func (agent *Agent) adoptOrder(state storedState) {
 	next := parseSets(state.Sets)
 	agent.mu.Lock()
@@ -125,8 +130,8 @@
 		}
 	}
 	agent.state, agent.desired = state, next
-	// The parts to unpin are determined before mu is released, since the reconciler pins parts of
-	// the new order from then on.
+	// The parts to unpin are determined before mu is released, since the reconciler may pin parts of
+	// the new order as soon as mu is released.
 	unpinned := map[*desiredDataset]*roaring.Bitmap{}
 	for _, desired := range old {
 		unpinned[desired] = desired.pinned.Clone()
@@ -144,7 +149,8 @@
 	agent.wakeReconciler()
 }
 
-// parseSets returns the desired state of an order by dataset name. Malformed sets are left out.
+// parseSets returns the desired state of each dataset in an order, by dataset name. Malformed sets are
+// logged and skipped.
 func parseSets(sets []api.StageSet) map[string]*desiredDataset {
 	parsed := map[string]*desiredDataset{}
 	for _, set := range sets {
@@ -158,8 +164,8 @@
 	return parsed
 }
 
-// unpinParts removes the links to the given parts, and unpins the chunks of those that are pinned.
-// Pins change while mu is held, together with the parts that they stand for.
+// unpinParts removes the input links of the given parts, and unpins the chunks of those that are pinned.
+// The chunks are unpinned while mu is held, so that the pins in the cache always match the pinned parts.
 func (agent *Agent) unpinParts(desired *desiredDataset, parts *roaring.Bitmap) {
 	for iterator := parts.Iterator(); iterator.HasNext(); {
 		agent.cache.UnlinkInputs(desired.set.Dataset, int(iterator.Next()))
--- a/dataagent/reconcile.go
+++ b/dataagent/reconcile.go
@@ -13,8 +13,8 @@
 	"switchferry/api"
 )
 
-// reconcile brings the cache in line with the order: it loads manifests, pins parts and starts
-// transfers. It returns whether something failed that should be tried again soon.
+// reconcile brings the cache to the state that the order asks for: it loads manifests, pins parts and
+// starts transfers. It returns whether a step failed that should be retried after tuning.StageBackoff.
 func (agent *Agent) reconcile(ctx context.Context) (retry bool) {
 	agent.mu.Lock()
 	datasets := slices.Collect(maps.Values(agent.desired))
@@ -36,8 +36,9 @@
 	return retry
 }
 
-// loadDesiredManifest loads the manifest of a desired dataset. Without any source for it, a new
-// order is needed and a retry is of no use.
+// loadDesiredManifest loads the manifest of a desired dataset, and returns whether it is loaded and
+// whether to retry. If the order lists no source for the dataset, retry is false, since only a new order
+// can help.
 func (agent *Agent) loadDesiredManifest(ctx context.Context, desired *desiredDataset) (loaded, retry bool) {
 	var sources []api.StageSource
 	for _, transfer := range desired.set.Copies {
@@ -61,8 +62,8 @@
 	return true, false
 }
 
-// pinParts pins the desired parts, and verifies and links those that are complete. It returns
-// whether that failed for any of them.
+// pinParts pins the desired parts, and verifies and links the complete ones. It returns whether verifying
+// or linking failed for any part.
 func (agent *Agent) pinParts(desired *desiredDataset) (failed bool) {
 	verified := roaring.New()
 	for iterator := agent.pinChunks(desired).Iterator(); iterator.HasNext(); {
@@ -78,7 +79,7 @@
 	}
 	if !verified.IsEmpty() {
 		agent.mu.Lock()
-		// Parts may have been unpinned meanwhile.
+		// A new order may have unpinned parts while they were verified.
 		verified.And(desired.pinned)
 		desired.verified = roaring.Or(desired.verified, verified)
 		agent.mu.Unlock()
@@ -90,8 +91,8 @@
 	return failed
 }
 
-// pinChunks pins the chunks of all desired parts, unless the order was replaced. It returns the
-// pinned parts that are not verified yet.
+// pinChunks pins the chunks of all desired parts, unless desired no longer belongs to the current order. It
+// returns the pinned parts that are not verified yet.
 func (agent *Agent) pinChunks(desired *desiredDataset) *roaring.Bitmap {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -108,7 +109,7 @@
 	return roaring.AndNot(desired.pinned, desired.verified)
 }
 
-// verifyPart checks the digests of a part's chunks and links them for tasks. It returns whether both
+// verifyPart checks the digests of a part's chunks and links the chunks for tasks. It returns whether both
 // succeeded.
 func (agent *Agent) verifyPart(desired *desiredDataset, part int) bool {
 	intact := true
@@ -119,7 +120,7 @@
 			break
 		}
 	}
-	// Chunks are linked even if one is damaged. The part is then not reported as pinned.
+	// Chunks are linked even if one is corrupt; the part is then not reported as pinned.
 	if err := agent.cache.LinkInputs(desired.manifest, part); intact && err != nil {
 		slog.Error("linking inputs failed", "dataset", desired.set.Dataset, "part", part, "err", err)
 		return false
@@ -127,8 +128,8 @@
 	return intact
 }
 
-// startTransfers starts the transfers of the order that are not running and whose parts are not
-// complete.
+// startTransfers starts the transfers that the order lists for a dataset, except those that are already
+// running and those of complete parts.
 func (agent *Agent) startTransfers(ctx context.Context, desired *desiredDataset) {
 	for _, ordered := range desired.set.Copies {
 		if ordered.Part < 0 || ordered.Part >= desired.manifest.PartCount() || agent.hasPart(desired.manifest, ordered.Part) {
@@ -138,7 +139,8 @@
 	}
 }
 
-// startTransfer starts the transfer of a part unless it is running or the order was replaced.
+// startTransfer starts the transfer of a part, unless it is already running or desired no longer belongs
+// to the current order.
 func (agent *Agent) startTransfer(ctx context.Context, desired *desiredDataset, part int) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -154,7 +156,7 @@
 		agent.copyPart(transferCtx, transfer)
 		cancel()
 		agent.mu.Lock()
-		// A later order may have cancelled this transfer and started another one.
+		// A later order may have cancelled this transfer and started another one for the part.
 		if agent.transfers[key] == transfer {
 			delete(agent.transfers, key)
 		}
@@ -165,7 +167,7 @@
 	})
 }
 
-// cancelStaleTransfers cancels the transfers that the order does not name.
+// cancelStaleTransfers cancels the transfers for which the order lists no sources.
 func (agent *Agent) cancelStaleTransfers() {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -177,7 +179,7 @@
 	}
 }
 
-// orderedSources returns the sources that the order names for a part. mu must be held.
+// orderedSources returns the sources that the order lists for a part. mu must be held.
 func (agent *Agent) orderedSources(key partKey) []api.StageSource {
 	desired := agent.desired[key.dataset]
 	if desired == nil {
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// currentSources returns the sources that the order names for a transfer now.
+// currentSources returns the sources that the current order lists for the part of a transfer.
 func (agent *Agent) currentSources(transfer *partTransfer) []api.StageSource {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
--- a/dataagent/replicas.go
+++ b/dataagent/replicas.go
@@ -10,22 +10,22 @@
 	"switchferry/dataset"
 )
 
-// replica is what the cache holds of a dataset: the parts all of whose chunks are there. A replica
-// is never changed.
+// replica describes which parts of a dataset are in the cache. It is immutable.
 type replica struct {
 	manifest       *dataset.Manifest
 	manifestDigest dataset.Digest
-	parts          *roaring.Bitmap
+	// parts contains the parts all of whose chunks are in the cache.
+	parts *roaring.Bitmap
 }
 
-// Version counts the changes of what the agent holds.
+// Version returns the version of the list of parts in the cache. It grows with every change of that list.
 func (agent *Agent) Version() uint64 {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	return agent.replicasVersion
 }
 
-// hasPart returns whether all chunks of a part are in the cache.
+// hasPart reports whether all chunks of a part are in the cache.
 func (agent *Agent) hasPart(manifest *dataset.Manifest, part int) bool {
 	for _, chunk := range partChunks(manifest, part) {
 		if !agent.cache.Has(chunk) {
@@ -35,7 +35,8 @@
 	return true
 }
 
-// updateReplica determines which parts of a dataset the cache holds.
+// updateReplica determines which parts of a dataset are in the cache, and replaces the dataset's replica if
+// they changed.
 func (agent *Agent) updateReplica(manifest *dataset.Manifest, manifestDigest dataset.Digest) {
 	parts := roaring.New()
 	for part := range manifest.PartCount() {
@@ -53,8 +54,9 @@
 	agent.replicasVersion++
 }
 
-// refreshReplicas updates all replicas if the cache lost chunks since the last call, so that a part
-// that lost one is not reported as held. Manifests of undesired datasets without parts are removed.
+// refreshReplicas updates all replicas if the cache has lost chunks since the last call, so that
+// incomplete parts are not reported as held. It removes replicas without parts, and their manifests, unless
+// the order asks for the dataset.
 func (agent *Agent) refreshReplicas() {
 	lost := agent.cache.LostChunks()
 	agent.mu.Lock()
@@ -79,8 +81,8 @@
 	}
 }
 
-// removeDataset deletes a removed dataset, except the chunks that another dataset on this machine
-// has as well. A dataset that the order still asks for stays.
+// removeDataset deletes the chunks and the manifest of a dataset, except the chunks that another replica on
+// this machine shares. It does nothing if the order asks for the dataset.
 func (agent *Agent) removeDataset(manifestDigest string) {
 	held, shared := agent.removableReplica(manifestDigest)
 	if held == nil {
@@ -92,7 +94,7 @@
 			agent.cache.RemoveChunk(chunk.Digest)
 		}
 	}
-	// Shared chunks are no longer reported as parts of this dataset.
+	// Without this, shared chunks would still be reported as parts of the removed dataset.
 	agent.mu.Lock()
 	delete(agent.replicas, manifestDigest)
 	agent.replicasVersion++
@@ -101,8 +103,8 @@
 	agent.refreshReplicas()
 }
 
-// removableReplica returns the replica of a dataset and the chunks of all other replicas. It returns
-// nil if there is no replica, or the order asks for the dataset.
+// removableReplica returns the replica of a dataset, and the chunks of all other replicas as shared. held is
+// nil if there is no replica or the order asks for the dataset.
 func (agent *Agent) removableReplica(manifestDigest string) (held *replica, shared map[dataset.Digest]bool) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -20,14 +20,14 @@
 	"switchferry/tuning"
 )
 
-// retryAfter is after how many seconds a busy agent asks a peer to try again.
+// retryAfter is the value of the Retry-After header that a busy agent sends, in seconds.
 var retryAfter = strconv.Itoa(tuning.RetryAfterS)
 
-// packWindow is the window of the compression, in bytes.
+// packWindow is the window size of the zstd compression, in bytes.
 const packWindow = 512 << 10
 
-// Handler returns the agent's HTTP interface: chunks and manifests for peers, orders from the
-// leader, and the agent's heartbeat for operators.
+// Handler returns the agent's HTTP handler. It serves chunks and manifests to peers, accepts orders from the
+// leader, and shows the agent's heartbeat to operators.
 func (agent *Agent) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
@@ -43,13 +43,14 @@
 // chunkServer serves the chunks and manifests of a cache to peers.
 type chunkServer struct {
 	cache *Cache
-	// limiter keeps to the serving rate; it is nil without a limit.
+	// limiter limits the serving rate; it is nil if there is no limit.
 	limiter *rate.Limiter
-	// slots holds one value for each peer that is being served.
+	// slots contains one value for each chunk request that is being served. Its capacity is the maximum
+	// number of concurrent requests.
 	slots chan struct{}
 }
 
-// serveManifest sends a manifest that the cache has.
+// serveManifest sends a manifest from the cache, or responds with status 404 if the cache does not have it.
 func (server *chunkServer) serveManifest(request echo.Context) error {
 	digest, err := dataset.ParseDigest(request.Param("digest"))
 	if err != nil {
@@ -62,12 +63,12 @@
 	return request.JSONBlob(http.StatusOK, raw)
 }
 
-// serveOrder applies an order and answers with a heartbeat: status 200 if the order was adopted, and
-// 409 if it is outdated.
+// serveOrder applies an order and responds with a heartbeat. The status is 200 if the order was adopted, and
+// 409 if it is outdated or for another incarnation of the agent.
 func (agent *Agent) serveOrder(request echo.Context) error {
 	raw, err := io.ReadAll(io.LimitReader(request.Request().Body, tuning.OrderLimit+1))
 	if err == nil && len(raw) > tuning.OrderLimit {
-		return request.JSON(http.StatusBadRequest, api.Error{Error: "the order is over 1 MiB"})
+		return request.JSON(http.StatusBadRequest, api.Error{Error: "the order exceeds 1 MiB"})
 	}
 	var order api.StageOrder
 	if err == nil {
@@ -88,9 +89,9 @@
 	return request.JSON(status, agent.Report(order.Known != agent.Version()))
 }
 
-// serveChunk sends a chunk, or a range of it, to a peer. The file of a chunk is complete; whether its
-// bytes are still right is checked by the peer. If as many peers are served as may be, the answer is
-// status 503 at once, so that the peer can turn to another source.
+// serveChunk sends a complete chunk, or a range of it, to a peer. It does not check the digest, since the
+// peer does. If all slots are in use, it responds with status 503 at once, so that the peer can try another
+// source.
 func (server *chunkServer) serveChunk(request echo.Context) error {
 	digest, err := dataset.ParseDigest(request.Param("digest"))
 	if err != nil {
@@ -101,13 +102,13 @@
 		defer func() { <-server.slots }()
 	default:
 		request.Response().Header().Set("Retry-After", retryAfter)
-		return request.JSON(http.StatusServiceUnavailable, api.Error{Error: "enough peers are being served"})
+		return request.JSON(http.StatusServiceUnavailable, api.Error{Error: "the maximum number of peers is being served"})
 	}
 	file, _, err := server.cache.Open(digest)
 	if err != nil {
 		return request.JSON(http.StatusNotFound, api.Error{Error: "no such chunk here"})
 	}
-	defer func() { _ = file.Close() }() // It was only read.
+	defer func() { _ = file.Close() }() // The file was only read, so the error does not matter.
 	writer := &limitedWriter{ResponseWriter: request.Response().Writer, limiter: server.limiter, ctx: request.Request().Context()}
 	writer.Header().Set("Content-Type", "application/octet-stream")
 	header := request.Request().Header
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// packChunk writes a chunk compressed.
+// packChunk writes a chunk compressed with zstd.
 func packChunk(writer io.Writer, chunk io.Reader) error {
 	encoder, err := zstd.NewWriter(writer, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindow))
 	if err != nil {
@@ -131,32 +132,33 @@
 	return encoder.Close()
 }
 
-// sampleEncoder returns the encoder that compresses samples.
+// sampleEncoder returns the encoder that worthPacking compresses samples with. It is created on first use.
 var sampleEncoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 })
 
-// worthPacking returns whether a sample from a chunk's beginning shrinks enough when compressed.
+// worthPacking reports whether a sample from the start of a chunk compresses to less than tuning.PackPays of
+// its size.
 func worthPacking(file *os.File) bool {
 	sample := make([]byte, tuning.PackSample)
-	// The error is io.EOF for a chunk smaller than the sample, and any other one leaves less to
-	// sample.
+	// The error is io.EOF if the chunk is smaller than the sample. After any other error the sample is
+	// what could be read.
 	size, _ := file.ReadAt(sample, 0)
 	encoder, err := sampleEncoder()
 	return err == nil && size > 0 && float64(len(encoder.EncodeAll(sample[:size], nil))) < tuning.PackPays*float64(size)
 }
 
-// limitedWriter keeps a response to the serving rate. It has no ReadFrom method, so that
-// everything goes through Write.
+// limitedWriter limits a response to the serving rate. It has no ReadFrom method, so that all data goes
+// through Write.
 type limitedWriter struct {
 	http.ResponseWriter
-	// limiter is nil without a limit.
+	// limiter is nil if there is no limit.
 	limiter *rate.Limiter
-	// ctx bounds the waits for the rate.
+	// ctx cancels the waits for the limiter.
 	ctx context.Context
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It writes one burst of the limiter at a time.
 func (limited *limitedWriter) Write(content []byte) (written int, err error) {
 	for len(content) > 0 && err == nil {
 		burst := content
--- a/dataagent/source.go
+++ b/dataagent/source.go
@@ -18,31 +18,31 @@
 )
 
 var (
-	// errBusy means that a peer serves as many others as it can.
+	// errBusy means that a peer already serves its maximum number of requests.
 	errBusy = errors.New("the source is busy")
-	// errMissing means that a source does not have what it was asked for.
-	errMissing = errors.New("the source does not have it")
-	// errNoSource means that the order names no source for a dataset.
-	errNoSource = errors.New("no source is known for it")
+	// errMissing means that a source does not have the requested chunk.
+	errMissing = errors.New("the source does not have the chunk")
+	// errNoSource means that the order lists no source for a dataset.
+	errNoSource = errors.New("the order lists no source for the dataset")
 )
 
-// sourceClient receives chunks and manifests from the store and from peers. It is safe for concurrent
-// use.
+// sourceClient downloads chunks and manifests from the store and from peers. It is safe for concurrent use.
 type sourceClient struct {
 	http  *http.Client
 	clock clockwork.Clock
-	// store is the base URL of the store. Pack asks peers to compress where that pays.
+	// store is the base URL of the store.
 	store string
-	pack  bool
-	// limiter keeps to the receiving rate; it is nil without a limit.
+	// pack makes the client ask peers for compressed chunks.
+	pack bool
+	// limiter limits the receiving rate; it is nil if there is no limit.
 	limiter *rate.Limiter
-	// fromStore and fromPeers count the bytes received.
+	// fromStore and fromPeers count the bytes received from the store and from peers.
 	fromStore, fromPeers atomic.Int64
 }
 
-// requestChunk asks a source for the bytes of a chunk from the given one on. A whole chunk of a peer
-// may come compressed. The caller must close the response's body. The error is ErrCorrupt if the
-// source answers with another range.
+// requestChunk requests the bytes of a chunk from an offset to its end. A peer may compress a chunk that is
+// requested from its start. The caller must close the response's body. The error is ErrCorrupt if the source
+// responds with another range.
 func (client *sourceClient) requestChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, from int64) (*http.Response, error) {
 	chunk := transfer.manifest.Chunks[index]
 	url := "http://" + source.Peer + "/chunk/" + chunk.Digest.String()
@@ -72,15 +72,15 @@
 	return response, nil
 }
 
-// checkChunkResponse returns an error unless a response carries the bytes that were asked for: a
-// range that begins at first, or else the whole chunk.
+// checkChunkResponse returns an error unless a response contains the requested bytes: if ranged is true, a
+// range that starts at first, and otherwise the whole chunk.
 func checkChunkResponse(response *http.Response, source api.StageSource, ranged bool, first int64) error {
 	switch {
 	case response.StatusCode == http.StatusPartialContent && ranged:
 		contentRange := response.Header.Get("Content-Range")
 		var begin int64
 		if _, err := fmt.Sscanf(contentRange, "bytes %d-", &begin); err != nil || begin != first {
-			return fmt.Errorf("%w: answered the range %q", ErrCorrupt, contentRange)
+			return fmt.Errorf("%w: response has Content-Range %q", ErrCorrupt, contentRange)
 		}
 		return nil
 	case response.StatusCode == http.StatusOK && !ranged:
@@ -94,16 +94,17 @@
 	}
 }
 
-// readChunk writes the rest of a chunk to a writer. Each block must come within tuning.StageStall,
-// or the source counts as stalled. Blocks that came stay in the writer whatever happens.
+// readChunk downloads the missing bytes of a chunk and writes them to a writer. The request is cancelled if
+// a block takes longer than tuning.StageStall. After an error, the writer keeps the blocks that were
+// written.
 func (client *sourceClient) readChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, writer *Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stall := client.clock.AfterFunc(tuning.StageStall, func() {
-		cancel(fmt.Errorf("no block within %v", tuning.StageStall))
+		cancel(fmt.Errorf("no block received within %v", tuning.StageStall))
 	})
 	defer stall.Stop()
-	// An error of a cancelled request only says so; the cause says why it was cancelled.
+	// The error of a cancelled request does not tell why it was cancelled; the cause of the context does.
 	cause := func(err error) error {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
@@ -142,8 +143,9 @@
 	return nil
 }
 
-// loadManifest returns a manifest from the cache, or else from the first source that has it, and
-// then keeps it in the cache. The error is that of the last source.
+// loadManifest returns a manifest from the cache. If the cache does not have it, loadManifest downloads it
+// from the first source that has it and stores it in the cache. If all sources fail, the error is that of
+// the last one.
 func (agent *Agent) loadManifest(ctx context.Context, datasetName string, digest dataset.Digest, sources []api.StageSource) (*dataset.Manifest, error) {
 	if manifest, _, err := agent.cache.Manifest(digest); err == nil {
 		return manifest, nil
@@ -161,7 +163,8 @@
 	return nil, err
 }
 
-// fetchManifest receives a manifest from a source, and checks its digest and its name.
+// fetchManifest downloads a manifest from a source, and checks its digest and its dataset name. The error is
+// ErrCorrupt if the digest is wrong.
 func (client *sourceClient) fetchManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) (*dataset.Manifest, []byte, error) {
 	raw, err := client.readManifest(ctx, source, datasetName, digest)
 	if err != nil {
@@ -175,12 +178,13 @@
 		return nil, nil, err
 	}
 	if manifest.Name != datasetName {
-		return nil, nil, fmt.Errorf("it is the manifest of %q", manifest.Name)
+		return nil, nil, fmt.Errorf("the manifest is that of dataset %q", manifest.Name)
 	}
 	return manifest, raw, nil
 }
 
-// readManifest receives the bytes of a manifest from a source within tuning.StageStall.
+// readManifest downloads the bytes of a manifest from a source. The request is cancelled if it takes longer
+// than tuning.StageStall.
 func (client *sourceClient) readManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) ([]byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -204,20 +208,20 @@
 	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, client, ctx, source}, tuning.ManifestLimit+1))
 }
 
-// closeBody closes a response's body. Its error is of no consequence: what was read was checked, or
-// an earlier error was returned.
+// closeBody closes a response's body. The error is ignored, since the content that was read is checked
+// separately or an earlier error is returned.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// meteredReader counts the bytes that come from a source, and keeps to the receiving rate.
+// meteredReader counts the bytes received from a source, and limits the receiving rate.
 type meteredReader struct {
 	reader io.Reader
 	client *sourceClient
-	// ctx bounds the waits for the rate.
+	// ctx cancels the waits for the limiter.
 	ctx    context.Context
 	source api.StageSource
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It returns at most one burst of the limiter.
 func (metered *meteredReader) Read(buffer []byte) (int, error) {
 	limiter := metered.client.limiter
 	if limiter != nil {
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -13,8 +13,8 @@
 	"switchferry/tuning"
 )
 
-// maxBackoffDoublings keeps the shift of the backoff within its type; tuning.StageBackoffMax is
-// reached before.
+// maxBackoffDoublings limits how often the backoff is doubled, so that its shift does not overflow. The
+// backoff reaches tuning.StageBackoffMax before that.
 const maxBackoffDoublings = 10
 
 // partKey identifies one part of a dataset.
@@ -23,7 +23,7 @@
 	part    int
 }
 
-// partTransfer is the transfer of one part to this machine.
+// partTransfer is a running transfer of one part to this machine.
 type partTransfer struct {
 	datasetName string
 	part        int
@@ -32,14 +32,14 @@
 	progress    transferProgress
 }
 
-// status returns the transfer's progress for a heartbeat.
+// status returns the transfer's progress as a heartbeat reports it.
 func (transfer *partTransfer) status() api.StageProgress {
 	return transfer.progress.status(transfer.datasetName, transfer.part)
 }
 
-// copyPart copies the missing chunks of a part from the sources that the order names at the time,
-// until the part is complete, the order names no source any more, or ctx ends. Each failure turns to
-// the next source; once all have failed, the transfer pauses, each time longer.
+// copyPart copies the missing chunks of a part until the part is complete, the current order lists no
+// sources for it, or ctx is cancelled. After each failure it tries the next source of the current order.
+// After all sources have failed, it waits with exponential backoff before it tries them again.
 func (agent *Agent) copyPart(ctx context.Context, transfer *partTransfer) {
 	next, end := transfer.manifest.Part(transfer.part)
 	for _, chunk := range partChunks(transfer.manifest, transfer.part) {
@@ -79,9 +79,9 @@
 	slog.Info("part complete", "dataset", transfer.datasetName, "part", transfer.part, "bytes", transfer.manifest.PartBytes(transfer.part))
 }
 
-// recordFailure logs and stores why a source failed, and makes a heartbeat due that tells the
-// leader. Only wrong bytes make the leader avoid a peer: one that merely lacks a chunk may have
-// evicted it since its last heartbeat.
+// recordFailure logs the failure of a source, adds it to the transfer's progress, and requests a heartbeat
+// that reports it to the leader. Only wrong bytes are reported as corrupt, which makes the leader avoid a
+// peer: a peer that lacks a chunk may have evicted it since its last heartbeat.
 func (agent *Agent) recordFailure(transfer *partTransfer, source api.StageSource, failures int, err error) {
 	failure := api.StageFailure{From: source, Why: err.Error(), Corrupt: errors.Is(err, ErrCorrupt)}
 	transfer.progress.addFailure(failure, errors.Is(err, ErrFull))
@@ -89,23 +89,24 @@
 	agent.requestHeartbeat()
 }
 
-// chunkDownload is a chunk being received. All transfers that need the chunk wait for the same
-// download, which is cancelled when none of them waits any more.
+// chunkDownload is a running download of a chunk. All transfers that need the chunk wait for the same
+// download, which is cancelled once no transfer waits for it.
 type chunkDownload struct {
 	// done is closed once err is set.
-	done   chan struct{}
+	done chan struct{}
+	// err is the result of the download. It may be read after done is closed.
 	err    error
 	cancel context.CancelFunc
 	// waiters counts the waiting transfers; Agent.mu guards it.
 	waiters int
 }
 
-// fetchChunk brings a chunk into the cache, or waits for the download that does, so that each chunk
-// crosses the link once however many transfers need it. The error is that of the source, or of ctx.
+// fetchChunk downloads a chunk into the cache, or waits for a running download of it, so that a chunk is
+// downloaded only once even if several transfers need it. The error is that of the download, or of ctx.
 func (agent *Agent) fetchChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int) error {
 	chunk := transfer.manifest.Chunks[index]
 	for !agent.cache.Has(chunk) {
-		//nolint:contextcheck // A download outlives the transfer that starts it while others wait for it.
+		//nolint:contextcheck // A download outlives the transfer that starts it if other transfers wait for it.
 		download, started := agent.joinDownload(source, transfer, index)
 		var err error
 		select {
@@ -118,13 +119,13 @@
 		if err == nil || started || ctx.Err() != nil {
 			return err
 		}
-		// The source of another transfer failed; the source of this one may not.
+		// The failed download used the source of another transfer, so this one's source is tried now.
 	}
 	return nil
 }
 
-// joinDownload returns the present download of a chunk, and starts one if there is none. The caller
-// must call leaveDownload.
+// joinDownload adds the caller to the waiters of the running download of a chunk, and starts a download if
+// there is none. The caller must call leaveDownload when it no longer waits.
 func (agent *Agent) joinDownload(source api.StageSource, transfer *partTransfer, index int) (download *chunkDownload, started bool) {
 	digest := transfer.manifest.Chunks[index].Digest
 	agent.mu.Lock()
@@ -148,7 +149,8 @@
 	return download, started
 }
 
-// leaveDownload ends the wait for a download, and cancels it if nobody else waits.
+// leaveDownload removes the caller from the waiters of a download, and cancels the download if no waiters
+// are left.
 func (agent *Agent) leaveDownload(download *chunkDownload) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -158,10 +160,9 @@
 	}
 }
 
-// downloadChunk moves a chunk from a source to the cache, and continues what an earlier source left
-// unfinished. If the digest is wrong in the end, either source may have served wrong bytes, and the
-// chunk is received again from this source alone. The error is ErrCorrupt only if this source is to
-// blame.
+// downloadChunk downloads a chunk from a source into the cache, and resumes an incomplete download from
+// another source. If the digest is then wrong, either source may have served wrong bytes, so the whole chunk
+// is downloaded again from this source. The error is ErrCorrupt only if this source served wrong bytes.
 func (agent *Agent) downloadChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int) error {
 	chunk := transfer.manifest.Chunks[index]
 	for {
@@ -191,42 +192,46 @@
 	}
 }
 
-// transferProgress is how far a transfer is. It is safe for concurrent use.
+// transferProgress is the progress of a transfer. It is safe for concurrent use.
 type transferProgress struct {
+	// totalBytes is the size of the part. It is set before the transfer starts.
 	totalBytes int64
 
 	// mu guards the fields below.
-	mu            sync.Mutex
+	mu sync.Mutex
+	// receivedBytes includes the bytes of chunks that were in the cache already.
 	receivedBytes int64
-	source        api.StageSource
-	// failures holds the last failure of each source.
+	// source is the source that was tried last.
+	source api.StageSource
+	// failures contains the last failure of each source.
 	failures []api.StageFailure
-	// full says that the cache had no room for the last chunk.
+	// full is true if the last attempt failed because the cache was full.
 	full bool
 }
 
-// add adds received bytes, or subtracts those that have to be received again.
+// add adds size to the received bytes. It is negative for bytes that must be received again.
 func (progress *transferProgress) add(size int64) {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
 	progress.receivedBytes += size
 }
 
-// setSource sets the source that is tried now.
+// setSource sets the source that is being tried.
 func (progress *transferProgress) setSource(source api.StageSource) {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
 	progress.source = source
 }
 
-// clearFull records that the cache has room again.
+// clearFull records that the cache had room for the last chunk.
 func (progress *transferProgress) clearFull() {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
 	progress.full = false
 }
 
-// addFailure replaces the last failure of a source. Full says whether the cache had no room.
+// addFailure records a failure, which replaces the last one of the same source. full tells whether the
+// cache was full.
 func (progress *transferProgress) addFailure(failure api.StageFailure, full bool) {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
@@ -235,7 +240,7 @@
 	progress.failures = append(progress.failures, failure)
 }
 
-// status returns the progress for a heartbeat.
+// status returns the progress as a heartbeat reports it.
 func (progress *transferProgress) status(datasetName string, part int) api.StageProgress {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
--- a/dataagent/writer.go
+++ b/dataagent/writer.go
@@ -10,20 +10,21 @@
 	"switchferry/tuning"
 )
 
-// Writer brings one chunk into the cache. It must be closed by Commit, Leave or Drop. It is not safe
+// Writer writes one chunk to the cache. The caller must close it by Commit, Leave or Drop. It is not safe
 // for concurrent use.
 type Writer struct {
 	cache *Cache
 	chunk dataset.Chunk
-	// file is nil if it could not be opened, or was closed by Commit.
-	file   *os.File
+	// file is nil if it could not be opened or was closed by store.
+	file *os.File
+	// hasher has received all bytes up to offset.
 	hasher dataset.Hasher
-	// offset is how many bytes are written.
+	// offset is the number of bytes of the chunk that are written.
 	offset int64
 }
 
-// Begin starts or continues to write a chunk, and makes room for it. Only one writer of a chunk may
-// be open at once. The error is ErrFull if there is no room.
+// Begin opens a writer that starts a chunk or resumes an incomplete one, and reserves space for the whole
+// chunk. Only one writer of a chunk may be open at a time. The error is ErrFull if there is not enough space.
 func (cache *Cache) Begin(chunk dataset.Chunk) (*Writer, error) {
 	if err := cache.reserve(chunk); err != nil {
 		return nil, err
@@ -42,14 +43,15 @@
 	return writer, nil
 }
 
-// reserve marks a chunk as being written and counts its whole size, for which it evicts others.
+// reserve marks a chunk as being written and counts its whole size as used, after evicting other chunks if
+// necessary. The error is ErrFull if that does not free enough space.
 func (cache *Cache) reserve(chunk dataset.Chunk) error {
 	cache.mu.Lock()
 	if cache.writing[chunk.Digest] {
 		cache.mu.Unlock()
 		return fmt.Errorf("chunk %v is being written already", chunk.Digest)
 	}
-	// While the files are removed, the chunk counts as being written, so that nobody evicts it.
+	// The chunk is marked as being written before the files are removed, so that it is not evicted.
 	cache.writing[chunk.Digest] = true
 	missing := chunk.Bytes - cache.partials[chunk.Digest]
 	files, ok := cache.evict(missing)
@@ -70,7 +72,8 @@
 	return nil
 }
 
-// resume takes over the whole blocks that an earlier writer left, and cuts off the rest.
+// resume continues after the complete blocks that an earlier writer left in the file, and truncates a
+// partial block at the end.
 func (writer *Writer) resume() error {
 	info, err := writer.file.Stat()
 	if err != nil {
@@ -87,25 +90,26 @@
 	return err
 }
 
-// At returns how many bytes of the chunk are written. After Begin it is a whole number of blocks.
+// At returns the number of bytes of the chunk that are written. After Begin it is a multiple of
+// tuning.StageBlock.
 func (writer *Writer) At() int64 { return writer.offset }
 
-// Write appends bytes, a block or the rest of the chunk at a time. The error is ErrCorrupt if they
-// are more than the chunk has, and ErrFull if the disk is full.
+// Write appends content to the chunk. Each call should pass one block, or the rest of the chunk. The error
+// is ErrCorrupt if content exceeds the size of the chunk, and ErrFull if the disk is full.
 func (writer *Writer) Write(content []byte) (int, error) {
 	if writer.offset+int64(len(content)) > writer.chunk.Bytes {
-		return 0, fmt.Errorf("more than the chunk's %d bytes: %w", writer.chunk.Bytes, ErrCorrupt)
+		return 0, fmt.Errorf("data exceeds the chunk's %d bytes: %w", writer.chunk.Bytes, ErrCorrupt)
 	}
 	writer.cache.step("write")
 	size, err := writer.file.Write(content)
-	_, _ = writer.hasher.Write(content[:size]) // It never fails.
+	_, _ = writer.hasher.Write(content[:size]) // A hasher returns no error.
 	writer.offset += int64(size)
 	return size, diskError(err)
 }
 
-// Commit checks the digest and makes the chunk complete. The error is ErrCorrupt if the digest is
-// wrong, and what was written is then deleted; it is io.ErrUnexpectedEOF if bytes are missing. The
-// writer is closed in any case.
+// Commit checks the digest, makes the chunk a complete one, and closes the writer, also after an error. The
+// error is ErrCorrupt if the digest is wrong; the written bytes are then deleted. The error is
+// io.ErrUnexpectedEOF if bytes are missing, and ErrFull if the disk is full; the written bytes are then kept.
 func (writer *Writer) Commit() error {
 	if writer.offset != writer.chunk.Bytes {
 		writer.Leave()
@@ -131,7 +135,7 @@
 	return nil
 }
 
-// store syncs and closes the file, and then gives it its name as a complete chunk.
+// store syncs and closes the file, and then moves it to the directory of complete chunks.
 func (writer *Writer) store() error {
 	cache := writer.cache
 	cache.step("sync")
@@ -148,7 +152,7 @@
 		return err
 	}
 	cache.step("dirsync")
-	// If this fails, a crash can only lose the new name, and the chunk is received again.
+	// If the directory is not synced, a crash can only undo the rename; the chunk is then received again.
 	if directory, err := os.Open(filepath.Join(cache.dir, chunksDir)); err == nil {
 		_ = directory.Sync()
 		_ = directory.Close()
@@ -156,28 +160,28 @@
 	return nil
 }
 
-// Leave closes the writer and keeps what is written for a later one.
+// Leave closes the writer and keeps the written bytes, so that a later writer can resume.
 func (writer *Writer) Leave() {
 	size := int64(0)
 	if writer.file != nil {
 		if info, err := writer.file.Stat(); err == nil {
 			size = info.Size()
 		}
-		_ = writer.file.Close() // A later writer checks the digest of all bytes.
+		_ = writer.file.Close() // The error does not matter, since a later writer checks the digest of all bytes.
 	}
 	writer.release(size)
 }
 
-// Drop closes the writer and deletes what is written.
+// Drop closes the writer and deletes the written bytes.
 func (writer *Writer) Drop() {
 	if writer.file != nil {
-		_ = writer.file.Close() // Its bytes are not needed.
+		_ = writer.file.Close() // The error does not matter, since the file is deleted.
 	}
 	removeFile(writer.cache.path(partialDir, writer.chunk.Digest))
 	writer.release(0)
 }
 
-// release ends the reservation of the chunk, of which size bytes stay on disk.
+// release ends the reservation of the chunk's space. size is the number of bytes that remain on disk.
 func (writer *Writer) release(size int64) {
 	cache := writer.cache
 	cache.mu.Lock()
