--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -14,8 +14,8 @@
 	"switchferry/tuning"
 )
 
-// An order of an earlier leader, an older order of the same one, or one for another incarnation
-// changes nothing, also after a restart of the agent.
+// The agent rejects an order from an older term, an older order of the current term, and an order for
+// another incarnation, also after a restart.
 func TestOldOrdersAreRefused(t *testing.T) {
 	fixture := newFixture(t)
 	_, digest := fixture.store.Add("inv", randomBytes(4, 100), 10, 1)
@@ -26,7 +26,7 @@
 	for _, restarted := range []bool{false, true} {
 		if restarted {
 			agent, source = fixture.startAgent(dir, 1<<20)
-			eventually(t, "what was pinned is pinned after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+			eventually(t, "pinned again after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 		}
 		for _, order := range []*api.StageOrder{newOrder(6, 9, "inv", digest, nil), newOrder(7, 2, "inv", digest, nil), {Term: 7, Order: 4, Incarnation: 99}} {
 			raw, err := json.Marshal(order)
@@ -43,9 +43,9 @@
 	}
 }
 
-// A removed dataset is deleted from the disk, except the chunks that another one has as well. A
-// dataset that the order asks for stays, whatever else the order says. An order that comes again
-// after a restart has the same effect.
+// A dataset that the order drops is deleted from the disk, except the chunks that another dataset shares. A
+// dataset that the same order asks for is kept. A drop that arrives after a restart of the agent has the same
+// effect.
 func TestRemovedDatasetsGo(t *testing.T) {
 	fixture := newFixture(t)
 	data := randomBytes(11, 3000)
@@ -64,7 +64,7 @@
 	wanted.Order, wanted.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
 	fixture.apply(agent, &wanted)
 	if pinnedParts(agent, "old").GetCardinality() != 3 {
-		t.Fatal("what the order asks for was removed")
+		t.Fatal("a dataset that the order asks for was removed")
 	}
 	order := newOrder(1, 3, "next", next, nil, 0, 1)
 	fixture.apply(agent, order)
@@ -85,8 +85,8 @@
 	}
 }
 
-// An agent finds the leader if one controller is down and another one redirects it, and reports
-// everything that it holds until the leader knows it.
+// The agent reaches the leader although one controller is down and another one redirects it. It lists all
+// parts in its cache until the leader has acknowledged the list.
 func TestAgentFindsTheLeader(t *testing.T) {
 	fixture := newFixture(t)
 	_, digest := fixture.store.Add("inv", randomBytes(11, 300), 100, 1)
@@ -123,13 +123,13 @@
 		t.Fatal(err)
 	}
 	fixture.run(agent)
-	eventually(t, "the leader knows what is pinned, and all that is held", func() bool {
+	eventually(t, "the leader knows the pinned parts and all held parts", func() bool {
 		fixture.clock.Advance(tuning.MinStageReportInterval)
 		mu.Lock()
 		defer mu.Unlock()
 		return len(last.Pinned) == 1 && last.Pinned[0].Parts.GetCardinality() == 2 && last.Term == 4 && last.Order == 1 && fulls > 0
 	})
 	if agent.Version() == 0 {
-		t.Fatal("nothing was counted as held")
+		t.Fatal("the version of the held parts is still 0")
 	}
 }
--- a/dataagent/cache_test.go
+++ b/dataagent/cache_test.go
@@ -20,8 +20,8 @@
 	"switchferry/internal/fake"
 )
 
-// The cache stays within its quota: pinned parts stay, the least recently used of the others are
-// evicted, and no heartbeat names a part that is not there.
+// The cache stays within its quota: pinned parts are kept, the least recently used of the others are evicted,
+// and heartbeats list no evicted part.
 func TestQuotaEvictsOnlyWhatIsFree(t *testing.T) {
 	fixture := newFixture(t)
 	manifest, digest := fixture.store.Add("inv", randomBytes(5, 8000), 1000, 1)
@@ -39,7 +39,7 @@
 			t.Fatalf("holds %v", h.Parts)
 		}
 	}
-	// A part that does not fit is not copied, and the heartbeat says so.
+	// A part that does not fit is not copied, and the heartbeat reports that the cache is full.
 	fixture.apply(agent, newOrder(1, 4, "inv", digest, from, 1, 2, 3, 4))
 	eventually(t, "the full cache is reported", func() bool {
 		copies := agent.Report(false).Copies
@@ -53,12 +53,12 @@
 	if agent.cache.Used() > 3500 {
 		t.Fatalf("%d bytes used", agent.cache.Used())
 	}
-	// Once other parts may be evicted, it is copied.
+	// The part is copied once others may be evicted.
 	fixture.apply(agent, newOrder(1, 5, "inv", digest, from, 4))
 	fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(4) })
 }
 
-// A part whose bytes changed on disk is neither pinned nor reported as held.
+// After a restart, a part whose chunk was corrupted on disk is reported neither as pinned nor as held.
 func TestDamageOnDiskIsFound(t *testing.T) {
 	fixture := newFixture(t)
 	manifest, digest := fixture.store.Add("inv", randomBytes(6, 3000), 1000, 1)
@@ -73,22 +73,23 @@
 	fixture.store.Break(fake.Fault{Kind: "503"})
 	restarted, _ := fixture.startAgent(dir, 1<<20)
 	eventually(t, "the intact part is pinned", func() bool { return pinnedParts(restarted, "inv").Contains(1) })
-	eventually(t, "the damaged chunk is removed", func() bool { return !restarted.cache.Has(manifest.Chunks[0]) })
+	eventually(t, "the corrupt chunk is removed", func() bool { return !restarted.cache.Has(manifest.Chunks[0]) })
 	if heartbeat := restarted.Report(true); pinnedParts(restarted, "inv").Contains(0) || len(heartbeat.Holds) != 1 || heartbeat.Holds[0].Parts.Contains(0) {
-		t.Fatal("a damaged part is reported as held")
+		t.Fatal("a corrupt part is reported as held")
 	}
 }
 
-// A full disk is reported as a full cache, and what the agent holds stays right.
+// A full disk is reported as a full cache. The part whose write failed is not reported as pinned, the other
+// part is.
 func TestFullDiskIsReportedAsFullCache(t *testing.T) {
 	if _, err := os.Stat("/dev/full"); err != nil {
-		t.Skip("no /dev/full here")
+		t.Skip("this system has no /dev/full")
 	}
 	fixture := newFixture(t)
 	manifest, digest := fixture.store.Add("inv", randomBytes(10, 2000), 1000, 1)
 	dir := t.TempDir()
 	agent, _ := fixture.startAgent(dir, 1<<20)
-	// Writes to the second chunk meet a full disk.
+	// Writes to the second chunk fail as on a full disk.
 	if err := os.Symlink("/dev/full", filepath.Join(dir, "partial", manifest.Chunks[1].Digest.String())); err != nil {
 		t.Fatal(err)
 	}
@@ -97,9 +98,9 @@
 		copies := agent.Report(false).Copies
 		return len(copies) == 1 && copies[0].Part == 1 && copies[0].Full
 	})
-	eventually(t, "the other part is there", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+	eventually(t, "the other part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
 	if pinnedParts(agent, "inv").Contains(1) || agent.cache.Has(manifest.Chunks[1]) {
-		t.Fatal("a chunk without its bytes is held")
+		t.Fatal("a part that could not be written is pinned or held")
 	}
 	if err := os.Remove(filepath.Join(dir, "partial", manifest.Chunks[1].Digest.String())); err != nil {
 		t.Fatal(err)
@@ -107,8 +108,9 @@
 	fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
 }
 
-// killAtStep runs an agent that kills its own process at the step of its writes that the environment
-// names. It returns an error if the agent could not run, and nil if it ended before that step.
+// killAtStep runs an agent that kills its own process before the write step whose number is in
+// DATAAGENT_KILL_AT_STEP. It returns an error if the agent could not run, and nil if the agent needed fewer
+// steps.
 func killAtStep() error {
 	steps, err := strconv.ParseInt(os.Getenv("DATAAGENT_KILL_AT_STEP"), 10, 64)
 	if err != nil {
@@ -143,8 +145,8 @@
 	return nil
 }
 
-// bytesOnDisk returns the size of all chunks in a cache, complete or not. A directory or a file that
-// is not there has none.
+// bytesOnDisk returns the total size of the complete and incomplete chunks in a cache directory. Missing
+// directories and files count as empty.
 func bytesOnDisk(dir string) (size int64) {
 	for _, sub := range []string{"chunks", "partial"} {
 		files, _ := os.ReadDir(filepath.Join(dir, sub))
@@ -157,8 +159,8 @@
 	return size
 }
 
-// An agent is killed at each step of its writes, as a real process. What it reports as held
-// afterwards is complete, it serves no incomplete chunk, and it receives at most one block of each
+// A real agent process is killed before each step of its writes in turn. After the restart, all parts that the
+// agent reports as held are complete, it serves no incomplete chunk, and it receives at most one block of each
 // transfer again.
 func TestKilledAtEachStep(t *testing.T) {
 	fixture := newFixture(t)
@@ -174,11 +176,11 @@
 		if err != nil && !strings.Contains(err.Error(), "killed") {
 			t.Fatalf("step %d: %v %s", step, err, out)
 		}
-		// The store may have sent more than the process received: what it wrote counts.
+		// The store may have sent more than the process received, so the bytes that it wrote are compared.
 		had, blocks := bytesOnDisk(dir), strings.Count(string(out), "write\n")
-		// Two of a chunk's three blocks are full ones. Each transfer may lose its last block.
+		// A chunk has two complete blocks and a shorter one. Each of the two transfers may lose its last block.
 		if had < int64(max(0, blocks-2))*500 || blocks >= 5 && had < 2*block {
-			t.Errorf("step %d: %d blocks were written, %d bytes are there", step, blocks, had)
+			t.Errorf("step %d: %d blocks were written, but only %d bytes are on disk", step, blocks, had)
 		}
 		agent, source := fixture.startAgent(dir, 1<<30)
 		for _, held := range agent.Report(true).Holds {
@@ -197,10 +199,10 @@
 		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{fromStore}, 0, 1))
 		eventually(t, "complete after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 		if again := agent.Report(false).FromStore - (int64(len(data)) - had); again > 2*block+8192 {
-			t.Errorf("step %d: %d bytes copied again by two transfers, a block is %d", step, again, block)
+			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, again, block)
 		}
 	}
 	if !last {
-		t.Error("the steps never ended")
+		t.Error("the agent did not finish before the last step")
 	}
 }
--- a/dataagent/fixture_test.go
+++ b/dataagent/fixture_test.go
@@ -23,7 +23,7 @@
 	"switchferry/tuning"
 )
 
-// TestMain silences the log. In a process of TestKilledAtEachStep it runs an agent instead of tests.
+// TestMain disables logging. In a child process of TestKilledAtEachStep it runs an agent instead of the tests.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError + 1})))
 	if os.Getenv("DATAAGENT_KILL_AT_STEP") != "" {
@@ -36,13 +36,13 @@
 	os.Exit(m.Run())
 }
 
-// block is the number of bytes that a transfer writes at once.
+// block is the size of the blocks in which transfers write chunks, in bytes.
 const block = tuning.StageBlock
 
-// fromStore is the source that the store is.
+// fromStore is the store as a source in orders.
 var fromStore = api.StageSource{Store: true}
 
-// randomBytes returns the same bytes for the same seed.
+// randomBytes returns pseudo-random bytes that depend only on the seed and the size.
 func randomBytes(seed uint64, size int) []byte {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	out := make([]byte, size)
@@ -52,25 +52,27 @@
 	return out
 }
 
-// eventually waits until a condition holds, and fails the test after 20 seconds.
+// eventually waits until a condition holds, and fails the test if that takes longer than 20 seconds.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
 
-// fixture is a store, and a clock that stands still, for agents.
+// fixture has a fake store and a fake clock for the agents of a test.
 type fixture struct {
-	t     *testing.T
+	t *testing.T
+	// clock advances only when the test advances it.
 	clock *clockwork.FakeClock
 	store *fake.Objects
-	url   string
+	// url is the base URL of the store.
+	url string
 }
 
-// newFixture starts a store that ends with the test.
+// newFixture starts a fake store that is closed when the test ends.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	store := fake.NewObjects()
@@ -80,7 +82,8 @@
 	return &fixture{t: t, clock: clockwork.NewFakeClock(), store: store, url: server.URL}
 }
 
-// startAgent runs an agent over a directory until the test ends, and returns it as a source for peers.
+// startAgent runs an agent with the given cache directory and quota, in bytes, until the test ends. It returns
+// the agent, and the source under which peers reach it.
 func (fixture *fixture) startAgent(dir string, quota int64) (*Agent, api.StageSource) {
 	fixture.t.Helper()
 	agent, err := New(fixture.t.Context(), Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: dir, CacheBytes: quota, Store: fixture.url, Clock: fixture.clock, Pack: true})
@@ -93,7 +96,7 @@
 	return agent, api.StageSource{Peer: address(server)}
 }
 
-// run runs an agent until the test ends, and waits for its end then.
+// run starts an agent that runs until the test ends. The end of the test waits until Run has returned.
 func (fixture *fixture) run(agent *Agent) {
 	ended := make(chan struct{})
 	go func() {
@@ -103,10 +106,10 @@
 	fixture.t.Cleanup(func() { <-ended })
 }
 
-// address returns the host and port of a server.
+// address returns the host and port of a server, separated by a colon.
 func address(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-// request sends a request and returns the status and the body of the answer.
+// request sends an HTTP request and returns the status and the body of the response.
 func (fixture *fixture) request(method, url string, body []byte) (status int, answer []byte) {
 	fixture.t.Helper()
 	request, err := http.NewRequestWithContext(fixture.t.Context(), method, url, bytes.NewReader(body))
@@ -125,7 +128,8 @@
 	return response.StatusCode, answer
 }
 
-// newOrder returns an order for parts of one dataset, with a transfer of each if there are sources.
+// newOrder returns an order for parts of one dataset. If sources is not nil, the order lists a transfer of each
+// part from these sources.
 func newOrder(term, number uint64, name string, digest dataset.Digest, sources []api.StageSource, parts ...uint32) *api.StageOrder {
 	set := api.StageSet{Dataset: name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
 	for _, part := range parts {
@@ -136,7 +140,7 @@
 	return &api.StageOrder{Term: term, Order: number, Sets: []api.StageSet{set}}
 }
 
-// apply applies an order that the agent must adopt.
+// apply applies an order, and fails the test if the agent does not adopt it.
 func (fixture *fixture) apply(agent *Agent, order *api.StageOrder) {
 	fixture.t.Helper()
 	if ok, err := agent.Apply(order); !ok || err != nil {
@@ -144,11 +148,11 @@
 	}
 }
 
-// pump advances the clock while no chunk is being received, so that pauses end and no transfer
-// stalls, until a condition holds.
+// pump advances the clock until a condition holds, so that backoffs end. It does so only while no chunk is
+// being downloaded, so that no download is cancelled as stalled.
 func (fixture *fixture) pump(agent *Agent, ok func() bool) {
 	fixture.t.Helper()
-	eventually(fixture.t, "what the pauses lead to", func() bool {
+	eventually(fixture.t, "the condition that pump waits for", func() bool {
 		if ok() {
 			return true
 		}
--- a/dataagent/source_test.go
+++ b/dataagent/source_test.go
@@ -15,8 +15,8 @@
 	"switchferry/tuning"
 )
 
-// If the store fails in the middle of a transfer, in whatever way, the agent turns to a peer, keeps
-// the blocks that came, and pins nothing with wrong bytes.
+// If the store fails during a transfer, the agent continues from a peer, keeps the blocks that it has
+// received, and pins no part with wrong bytes.
 func TestStoreVanishesAndAPeerHasIt(t *testing.T) {
 	for _, kind := range []string{"reset", "short", "hang", "drip", "503", "wrong"} {
 		t.Run(kind, func(t *testing.T) {
@@ -25,44 +25,45 @@
 			manifest, digest := fixture.store.Add("inv", data, len(data), 1)
 			peer, peerSource := fixture.startAgent(t.TempDir(), 1<<30)
 			fixture.apply(peer, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
-			eventually(t, "the peer has it", func() bool { return pinnedParts(peer, "inv").Contains(0) })
+			eventually(t, "the part is pinned at the peer", func() bool { return pinnedParts(peer, "inv").Contains(0) })
 
 			fixture.store.Break(fake.Fault{Kind: kind, After: 2*block + 17})
 			dir := t.TempDir()
 			agent, _ := fixture.startAgent(dir, 1<<30)
 			order := newOrder(1, 1, "inv", digest, []api.StageSource{fromStore, peerSource}, 0)
 			if kind == "503" {
-				// The manifest must come from the peer, too.
+				// The store does not serve the manifest either, so it must come from the peer.
 				order.Sets[0].Copies[0].From = []api.StageSource{peerSource, fromStore}
 				order.Sets[0].Copies = append(order.Sets[0].Copies[:0], api.StageCopy{Part: 0, From: []api.StageSource{fromStore, peerSource}})
 			}
 			fixture.apply(agent, order)
 			if kind == "hang" || kind == "drip" {
 				<-fixture.store.Hanging
-				// The third block never comes completely.
-				eventually(t, "two blocks are there", func() bool {
+				// The third block is never received completely.
+				eventually(t, "two blocks are received", func() bool {
 					copies := agent.Report(false).Copies
 					return len(copies) == 1 && copies[0].Got == 2*block
 				})
 				fixture.clock.Advance(tuning.StageStall + time.Second)
 			}
-			eventually(t, "it is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+			eventually(t, "the part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
 			if err := agent.cache.Verify(manifest.Chunks[0]); err != nil {
 				t.Fatal(err)
 			}
 			fromPeer := agent.Report(false).FromPeers
 			if kept := int64(len(data)) - fromPeer; kind != "503" && kind != "wrong" && kept < 2*block {
-				t.Errorf("the peer gave %d of %d bytes, so verified blocks were thrown away", fromPeer, len(data))
+				t.Errorf("the peer served %d of %d bytes, so blocks from the store were discarded", fromPeer, len(data))
 			}
 			got, err := os.ReadFile(filepath.Join(dir, "inputs", "inv", "part-000000", "000000"))
 			if err != nil || !bytes.Equal(got, data) {
-				t.Fatalf("what the task reads differs: %v", err)
+				t.Fatalf("the task's input file differs from the dataset: %v", err)
 			}
 		})
 	}
 }
 
-// Without a peer, the agent waits until the store works again, and then continues where it stopped.
+// If the store is the only source and fails, the agent retries until the store works again, and resumes the
+// transfer after the blocks that it has received.
 func TestStoreComesBack(t *testing.T) {
 	for _, kind := range []string{"reset", "503", "wrong"} {
 		t.Run(kind, func(t *testing.T) {
@@ -70,9 +71,9 @@
 			data := randomBytes(2, 6*block)
 			manifest, digest := fixture.store.Add("inv", data, 3*block, 1)
 			agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
-			// The manifest comes before the store fails.
+			// The manifest and the first part are received before the store fails.
 			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
-			eventually(t, "the first part is there", func() bool { return pinnedParts(agent, "inv").Contains(0) })
+			eventually(t, "the first part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
 			fixture.store.Break(fake.Fault{Kind: kind, After: block})
 			fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{fromStore}, 0, 1))
 			eventually(t, "the failure is reported", func() bool {
@@ -80,7 +81,7 @@
 				return len(c) == 1 && len(c[0].Failed) == 1 && c[0].Failed[0].Corrupt == (kind == "wrong")
 			})
 			if pinnedParts(agent, "inv").Contains(1) {
-				t.Fatal("pinned without its bytes")
+				t.Fatal("an incomplete part is pinned")
 			}
 			before, _ := fixture.store.Served()
 			fixture.store.Break(fake.Fault{})
@@ -96,7 +97,7 @@
 	}
 }
 
-// Two transfers of datasets that share their bytes receive each chunk once. If one of them is
+// Transfers of two datasets with the same content share the download of each chunk. If one transfer is
 // cancelled, the other one continues.
 func TestTwoRaceForTheSameChunk(t *testing.T) {
 	fixture := newFixture(t)
@@ -110,7 +111,7 @@
 	both.Sets = append(both.Sets, newOrder(1, 1, "two", second, []api.StageSource{fromStore}, 0).Sets...)
 	fixture.apply(agent, &both)
 	<-fixture.store.Hanging
-	eventually(t, "both wait for one download", func() bool {
+	eventually(t, "both transfers wait for one download", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		for _, download := range agent.downloads {
@@ -118,10 +119,10 @@
 		}
 		return false
 	})
-	// One job is cancelled; its order lacks one of the two.
+	// The next order asks for only one of the datasets, as after the cancellation of a job.
 	one := newOrder(1, 2, "two", second, []api.StageSource{fromStore}, 0)
 	fixture.apply(agent, one)
-	eventually(t, "one waits for it", func() bool {
+	eventually(t, "only one transfer waits for the download", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
 		for _, download := range agent.downloads {
@@ -130,17 +131,17 @@
 		return false
 	})
 	if _, most := fixture.store.Served(); most != 1 {
-		t.Fatalf("the chunk was asked for %d times", most)
+		t.Fatalf("the chunk was requested %d times, want 1", most)
 	}
 	fixture.store.Break(fake.Fault{})
 	fixture.clock.Advance(tuning.StageStall + time.Second)
 	fixture.pump(agent, func() bool { return pinnedParts(agent, "two").Contains(0) })
 	if got := agent.Report(false).FromStore; got > 4*block+4096 {
-		t.Errorf("%d bytes for a chunk of %d", got, 3*block)
+		t.Errorf("%d bytes received for a chunk of %d", got, 3*block)
 	}
 }
 
-// Peers compress text and not noise. Either way the same bytes arrive.
+// A peer sends text compressed and random bytes uncompressed. The received part is verified in both cases.
 func TestPeersCompressWhereItPays(t *testing.T) {
 	for kind, data := range map[string][]byte{"text": bytes.Repeat([]byte("item,player,purchase\n"), 40000), "noise": randomBytes(8, 800000)} {
 		t.Run(kind, func(t *testing.T) {
@@ -153,14 +154,14 @@
 			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{source}, 0))
 			eventually(t, "the part comes from the peer", func() bool { return pinnedParts(agent, "inv").Contains(0) })
 			if got := agent.Report(false).FromPeers; (got < int64(len(data))/2) != (kind == "text") {
-				t.Errorf("%d bytes over the link for %d", got, len(data))
+				t.Errorf("%d bytes received for a part of %d", got, len(data))
 			}
 		})
 	}
 }
 
-// If a peer serves other bytes than it reported, or has none, the next source is used. Only wrong
-// bytes are reported as corrupt.
+// If a peer serves wrong bytes or no longer has the chunk, the agent uses the next source. Only a peer with
+// wrong bytes is reported as corrupt.
 func TestCorruptPeerIsReportedAndReplaced(t *testing.T) {
 	for _, kind := range []string{"other bytes", "nothing", "packed nonsense"} {
 		t.Run(kind, func(t *testing.T) {
@@ -196,7 +197,7 @@
 				t.Error("a peer that evicted a part is reported as corrupt")
 			}
 			if len(asked) < 2 {
-				t.Errorf("the peer was asked %d times, so this shows nothing", len(asked))
+				t.Errorf("the peer got %d requests, want at least 2: for the manifest and for the chunk", len(asked))
 			}
 		})
 	}
