--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,7 +1,7 @@
-// Package docs_test checks that architecture.md names what the code has: its packages with the direction of their
-// imports, its functions, types, fields and constants with the files that declare them, its keys and its log lines; and
-// that the README lists all packages, and that all pages but those of incidents name tests and packages' members that exist.
-// After code has moved between files, "go test ./docs -update" mends the links.
+// Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the packages
+// and their imports, the names of declarations and the links to the files that declare them, the keys of the state service,
+// and the log messages. It also checks that the README lists all packages, and that all pages except incident pages name
+// only tests and declarations that exist. After code has moved between files, "go test ./docs -update" updates the links.
 package docs_test
 
 import (
@@ -18,32 +18,34 @@
 
 var update = flag.Bool("update", false, "rewrite the links of architecture.md to the files that declare what they name")
 
-// architecturePage is the page that the tests check.
+// architecturePage is the page that describes the code in detail, in this directory.
 const architecturePage = "architecture.md"
 
 var (
 	codeSpan = regexp.MustCompile("`([^`]+)`")
 	link     = regexp.MustCompile(`\[([^\]]*)\]\(([^)#\s]+)(?:#[^)]*)?\)`)
-	// symbol is a package's directory, a dot, and a name or a type with one of its members.
+	// symbol matches a package's directory, a dot, and a declared name, or a type and one of its members.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*(?:/[a-z0-9]+)*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
-	// unqualified is a type with one of its members, without the package.
+	// unqualified matches a type and one of its members, without the package.
 	unqualified = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
 	repository  = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
 	fileName    = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
 	testName    = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
-	// layerRow is a row of the drawing: a layer's name, two spaces or more, and its packages.
+	// layerRow matches a row of the diagram: the name of a layer, two or more spaces, and the packages of the layer.
 	layerRow = regexp.MustCompile(`^(\S+(?: \S+)*)\s{2,}(\S.*)$`)
-	// layerContinuation has more packages of the layer above it.
+	// layerContinuation matches a row of the diagram with more packages of the layer in the row above.
 	layerContinuation = regexp.MustCompile(`^\s{4,}([a-z].*)$`)
 )
 
-// pageLine is a line of the page outside of fenced blocks.
+// pageLine is a line of architecture.md outside of fenced blocks.
 type pageLine struct {
+	// number is the line number, starting at 1.
 	number int
 	text   string
 }
 
-// readPage returns the lines of the page outside of fenced blocks, and the lines of its first fenced block.
+// readPage returns the lines of architecture.md outside of fenced blocks, and the lines of its first fenced block, which
+// is the diagram of the packages.
 func readPage(t *testing.T) (prose []pageLine, drawing []string) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
@@ -76,17 +78,17 @@
 	}
 }
 
-// checkSpan returns what is wrong with a code span of the page, or nothing.
+// checkSpan returns a message that says what is wrong with a code span of the page, or "" if nothing is.
 func (s *sourceTree) checkSpan(span string) string {
 	if message, ok := quoted(span, `"`); ok {
 		if !s.logMessages[message] {
-			return "no call of slog has the message " + span + "; write the message as it is in the code now"
+			return "no call of slog has the message " + span + "; write the message as it is in the code"
 		}
 		return ""
 	}
 	if reason, ok := quoted(span, `why="`); ok {
 		if !s.literals[reason] {
-			return "no string in the code is the reason " + span + "; write the reason as it is in the code now"
+			return "no string in the code is the reason " + span + "; write the reason as it is in the code"
 		}
 		return ""
 	}
@@ -107,7 +109,8 @@
 	return ""
 }
 
-// quoted returns what stands between a prefix and a final quotation mark.
+// quoted returns the text between a prefix and a final quotation mark. The second result is false if the span does not
+// have both.
 func quoted(span, prefix string) (string, bool) {
 	inner, ok := strings.CutPrefix(span, prefix)
 	if !ok {
@@ -116,29 +119,30 @@
 	return strings.CutSuffix(inner, `"`)
 }
 
-// checkKey returns what is wrong with a key of the state service.
+// checkKey returns a message if no string literal in the code is a prefix of a key of the state service, and "" otherwise.
 func (s *sourceTree) checkKey(key string) string {
 	for literal := range s.literals {
 		if len(literal) > len("sf/") && strings.HasPrefix(literal, "sf/") && strings.HasPrefix(key, literal) {
 			return ""
 		}
 	}
-	return "no string in the code begins the key `" + key + "`; see the constants of package store"
+	return "no string in the code is a prefix of the key `" + key + "`; see the constants of package store"
 }
 
-// checkSymbol returns what is wrong with the name of something that a package declares.
+// checkSymbol returns a message if the package in a directory does not declare a name, and "" otherwise. The message
+// lists declarations of the same name in other places.
 func (s *sourceTree) checkSymbol(directory, name string) string {
 	if pkg := s.packages[directory]; pkg != nil && pkg.declared[name] != "" {
 		return ""
 	}
-	complaint := "`" + directory + "." + name + "` is declared nowhere"
+	complaint := "`" + directory + "." + name + "` is not declared"
 	if s.packages[directory] == nil {
 		complaint = "there is no package " + directory + " for `" + directory + "." + name + "`"
 	}
 	if similar := s.similar(name); len(similar) > 0 {
-		return complaint + "; of that name there are: " + strings.Join(similar, ", ")
+		return complaint + "; declarations with the same last name: " + strings.Join(similar, ", ")
 	}
-	return complaint + ", and nothing of that last name is; it was renamed or removed: write what does its work now"
+	return complaint + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
 }
 
 func TestArchitecturePageLinksLeadToDeclarations(t *testing.T) {
@@ -154,17 +158,17 @@
 				continue
 			}
 			if want := tree.fileOf(text); want != "" && want != target {
-				t.Errorf("docs/%s:%d: the link of %s is %s, and the declaration is in %s; run: go test ./docs -update", architecturePage, line.number, text, target, want)
+				t.Errorf("docs/%s:%d: the link of %s leads to %s, but the declaration is in %s; run: go test ./docs -update", architecturePage, line.number, text, target, want)
 			}
 			if _, err := os.Stat(target); err != nil {
-				t.Errorf("docs/%s:%d: the link %s leads to no file; write its path from docs/", architecturePage, line.number, target)
+				t.Errorf("docs/%s:%d: the target %s of a link does not exist; write its path relative to docs/", architecturePage, line.number, target)
 			}
 		}
 	}
 }
 
-// fileOf returns the file, as a link from this directory, that declares what the text of a link names; empty if the text
-// names nothing that is declared.
+// fileOf returns the path, relative to this directory, of the file that declares the symbol in the text of a link. It
+// returns "" if the text is not a symbol that is declared.
 func (s *sourceTree) fileOf(text string) string {
 	found := symbol.FindStringSubmatch(strings.Trim(text, "`"))
 	if found == nil || s.packages[found[1]] == nil || s.packages[found[1]].declared[found[2]] == "" {
@@ -173,7 +177,7 @@
 	return path.Join(repositoryRoot, s.packages[found[1]].declared[found[2]])
 }
 
-// mendLinks rewrites the links of the page that lead to another file than the one with the declaration.
+// mendLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
 func (s *sourceTree) mendLinks(t *testing.T) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
@@ -192,14 +196,14 @@
 	}
 }
 
-// layer is a row of the drawing.
+// layer is a layer of packages in the diagram.
 type layer struct {
 	name string
-	// depth counts the layers above.
+	// depth is the number of layers above this one.
 	depth int
 }
 
-// readLayers returns the layer of each package on the drawing.
+// readLayers returns the layer of each package in the diagram.
 func readLayers(t *testing.T, drawing []string) map[string]layer {
 	t.Helper()
 	layers := map[string]layer{}
@@ -214,13 +218,13 @@
 		}
 		for directory := range strings.FieldsSeq(packages) {
 			if twice, ok := layers[directory]; ok {
-				t.Errorf("docs/%s: the drawing has package %s in the layers %q and %q; leave it in one", architecturePage, directory, twice.name, current.name)
+				t.Errorf("docs/%s: the diagram has package %s in the layers %q and %q; keep it in one of them", architecturePage, directory, twice.name, current.name)
 			}
 			layers[directory] = current
 		}
 	}
 	if len(layers) == 0 {
-		t.Fatalf("docs/%s: its first fenced block has no rows of layers", architecturePage)
+		t.Fatalf("docs/%s: the first fenced block has no rows of layers", architecturePage)
 	}
 	return layers
 }
@@ -231,18 +235,18 @@
 	layers := readLayers(t, drawing)
 	for directory := range layers {
 		if tree.packages[directory] == nil {
-			t.Errorf("docs/%s: the drawing has package %s, which does not exist; remove it, or write its new name", architecturePage, directory)
+			t.Errorf("docs/%s: the diagram has package %s, which does not exist; remove it, or write its new name", architecturePage, directory)
 		}
 	}
 	for _, directory := range slices.Sorted(maps.Keys(tree.packages)) {
 		here, ok := layers[directory]
 		if !ok {
-			t.Errorf("docs/%s: package %s is not on the drawing; add it to the lowest layer that is not below one that it imports", architecturePage, directory)
+			t.Errorf("docs/%s: package %s is not in the diagram; add it to the lowest layer that is not below the layer of a package that it imports", architecturePage, directory)
 			continue
 		}
 		for _, imported := range slices.Sorted(maps.Keys(tree.packages[directory].imports)) {
 			if there, ok := layers[imported]; ok && there.depth < here.depth {
-				t.Errorf("docs/%s: package %s (layer %q) imports %s, which the drawing has above it (layer %q); imports point down: move one of the two, or end the import",
+				t.Errorf("docs/%s: package %s (layer %q) imports %s, which the diagram has in a higher layer (%q); imports must not point up: move one of the packages, or remove the import",
 					architecturePage, directory, here.name, imported, there.name)
 			}
 		}
@@ -275,7 +279,7 @@
 	}
 }
 
-// pages are all pages but those of incidents, which keep the names of their day.
+// pages returns the paths of all pages except incident pages, which keep the names from the time of the incident.
 func pages(t *testing.T) []string {
 	t.Helper()
 	found, err := filepath.Glob("*.md")
@@ -296,7 +300,7 @@
 		for index, line := range strings.Split(string(raw), "\n") {
 			for _, name := range testName.FindAllString(line, -1) {
 				if !tests[name] {
-					t.Errorf("%s:%d: no test or benchmark is named %s; write the name of the one that shows this now", path.Join("docs", page), index+1, name)
+					t.Errorf("%s:%d: no test or benchmark has the name %s; write the name of the one that shows this", path.Join("docs", page), index+1, name)
 				}
 			}
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -14,37 +14,38 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the repository, seen from the directory in which the tests run.
+// repositoryRoot is the root of the repository, relative to the directory in which the tests run.
 const repositoryRoot = ".."
 
 // modulePath is the prefix of the import paths of the repository's packages.
 const modulePath = "switchferry/"
 
-// sourceTree is what the Go files of the repository declare, import and log. It leaves out tests.
+// sourceTree describes what the Go files of the repository, except tests, declare, import and log.
 type sourceTree struct {
-	// packages are by their directories below the root, with slashes.
+	// packages maps directories, relative to the root and with slashes, to the packages in them.
 	packages map[string]*sourcePackage
-	// logMessages are the messages that are passed to slog as literals.
+	// logMessages is the set of messages that are passed to slog as literals.
 	logMessages map[string]bool
-	// literals are all string literals.
+	// literals is the set of all string literals.
 	literals map[string]bool
 }
 
 // sourcePackage is one package of the repository.
 type sourcePackage struct {
-	// imports are the directories of the repository's packages that it imports.
+	// imports is the set of directories of the repository's packages that the package imports.
 	imports map[string]bool
-	// declared maps "Function", "Type", "Type.Method", "Type.Field" and "Constant" to the file, below the root.
+	// declared maps names such as "Function", "Type", "Type.Method", "Type.Field" and "Constant" to the path of the file
+	// that declares them, relative to the root.
 	declared map[string]string
 }
 
-// notSource reports whether a directory of this name holds no sources of the tree: hidden ones, test data and what builds
-// leave behind.
+// notSource reports whether a directory of this name contains no source files of the repository: hidden directories, test
+// data and build output.
 func notSource(name string) bool {
 	return strings.HasPrefix(name, ".") || name == "testdata" || name == "target"
 }
 
-// readSourceTree parses all Go files that are not tests.
+// readSourceTree parses all Go files of the repository that are not tests.
 func readSourceTree(t *testing.T) *sourceTree {
 	t.Helper()
 	tree := &sourceTree{packages: map[string]*sourcePackage{}, logMessages: map[string]bool{}, literals: map[string]bool{}}
@@ -65,7 +66,7 @@
 	return tree
 }
 
-// readTestNames returns the names of all tests and benchmarks.
+// readTestNames returns the names of all declarations in test files, which include all tests and benchmarks.
 func readTestNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -90,7 +91,7 @@
 	return names
 }
 
-// addFile adds what one file declares, imports and logs.
+// addFile parses one file and adds its declarations, imports, string literals and log messages.
 func (s *sourceTree) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// addLiteral notes a string literal, or the message of a call of slog.
+// addLiteral adds the node if it is a string literal, or its message if it is a call of slog.
 func (s *sourceTree) addLiteral(node ast.Node) {
 	switch node := node.(type) {
 	case *ast.BasicLit:
@@ -137,7 +138,8 @@
 	}
 }
 
-// logMessage returns the message of a call such as slog.Info, if it is a literal.
+// logMessage returns the message of a call of a logging function of slog, such as slog.Info. The second result is false
+// if the call is another one or has no string literal as an argument.
 func logMessage(call *ast.CallExpr) (string, bool) {
 	function, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -156,7 +158,8 @@
 	return "", false
 }
 
-// declaredNames returns the names that a declaration at the top of a file declares.
+// declaredNames returns the names that a top-level declaration declares. Names of methods, fields and interface methods
+// are preceded by their type and a dot.
 func declaredNames(declaration ast.Decl) []string {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -174,7 +177,8 @@
 	return nil
 }
 
-// specNames returns the names of one constant, variable or type, with those of its fields or methods.
+// specNames returns the names that one specification of constants, variables or a type declares, including the fields of
+// a struct type and the methods of an interface type.
 func specNames(spec ast.Spec) (names []string) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -201,7 +205,7 @@
 	return names
 }
 
-// receiverType returns the name of the type that a method belongs to.
+// receiverType returns the name of the type of a method's receiver.
 func receiverType(receiver ast.Expr) string {
 	switch receiver := receiver.(type) {
 	case *ast.StarExpr:
@@ -214,7 +218,7 @@
 	return ""
 }
 
-// unquote returns the value of a string literal that the parser has accepted.
+// unquote returns the value of a string literal, or its source text if it is malformed.
 func unquote(literal *ast.BasicLit) string {
 	value, err := strconv.Unquote(literal.Value)
 	if err != nil {
@@ -223,7 +227,8 @@
 	return value
 }
 
-// similar returns where the tree declares something with the same last name, for messages to whoever mends a page.
+// similar returns the declarations whose last name is the same as that of name, ignoring case, with the files that contain
+// them.
 func (s *sourceTree) similar(name string) (found []string) {
 	last := name[strings.LastIndex(name, ".")+1:]
 	for directory, pkg := range s.packages {
