--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -59,24 +59,24 @@
 	Clock clockwork.Clock
 	// Transport replaces the default HTTP transport unless it is nil.
 	Transport http.RoundTripper
-	// Step is called with the name of each step of a write to the disk before the step is executed,
+	// BeforeStep is called with the name of each step of a write to the disk before the step is executed,
 	// so that tests can inject a crash there. It may be nil.
-	Step func(string)
+	BeforeStep func(string)
 }
 
 // Agent copies, caches and serves parts of datasets. It is created by New. The caller must serve its
 // Handler and call Run once. All methods are safe for concurrent use.
 type Agent struct {
-	options Options
-	clock   clockwork.Clock
-	http    *http.Client
-	cache   *Cache
-	sources *sourceClient
-	chunks  *chunkServer
-	// ctx is the context of chunk downloads, which may outlive the transfer that started them.
-	ctx context.Context
-	// wake requests a reconciliation.
-	wake chan struct{}
+	options      Options
+	clock        clockwork.Clock
+	http         *http.Client
+	cache        *Cache
+	sourceClient *sourceClient
+	chunkServer  *chunkServer
+	// downloadCtx is the context of chunk downloads, which may outlive the transfer that started them.
+	downloadCtx context.Context
+	// reconcileDue requests a reconciliation.
+	reconcileDue chan struct{}
 	// heartbeatDue requests a heartbeat before the usual interval has passed.
 	heartbeatDue chan struct{}
 	// goroutines counts the goroutines that Run waits for before it returns.
@@ -124,7 +124,7 @@
 	if options.AtOnce == 0 {
 		options.AtOnce = tuning.StageAtOnce
 	}
-	cache, err := OpenCache(options.Dir, options.CacheBytes, options.Step)
+	cache, err := OpenCache(options.Dir, options.CacheBytes, options.BeforeStep)
 	if err != nil {
 		return nil, err
 	}
@@ -134,10 +134,10 @@
 		clock:        options.Clock,
 		http:         client,
 		cache:        cache,
-		sources:      &sourceClient{http: client, clock: options.Clock, store: options.Store, pack: options.Pack, limiter: newLimiter(options.DownRate)},
-		chunks:       &chunkServer{cache: cache, limiter: newLimiter(options.UpRate), slots: make(chan struct{}, options.AtOnce)},
-		ctx:          ctx,
-		wake:         make(chan struct{}, 1),
+		sourceClient: &sourceClient{http: client, clock: options.Clock, store: options.Store, compress: options.Pack, limiter: newLimiter(options.DownRate)},
+		chunkServer:  &chunkServer{cache: cache, limiter: newLimiter(options.UpRate), slots: make(chan struct{}, options.AtOnce)},
+		downloadCtx:  ctx,
+		reconcileDue: make(chan struct{}, 1),
 		heartbeatDue: make(chan struct{}, 1),
 		desired:      map[string]*desiredDataset{},
 		transfers:    map[partKey]*partTransfer{},
@@ -174,14 +174,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-agent.wake:
+		case <-agent.reconcileDue:
 		case <-retry:
 		}
 	}
 }
 
-// wakeReconciler makes Run start a reconciliation, after the running one if there is one.
-func (agent *Agent) wakeReconciler() { signal(agent.wake) }
+// requestReconciliation makes Run start a reconciliation, after the running one if there is one.
+func (agent *Agent) requestReconciliation() { signal(agent.reconcileDue) }
 
 // requestHeartbeat makes the next heartbeat due as soon as the minimum interval allows.
 func (agent *Agent) requestHeartbeat() { signal(agent.heartbeatDue) }
--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -16,12 +16,12 @@
 
 // The agent rejects an order from an older term, an older order of the current term, and an order for
 // another incarnation, also after a restart.
-func TestOldOrdersAreRefused(t *testing.T) {
+func TestOutdatedOrdersAreRejected(t *testing.T) {
 	fixture := newFixture(t)
 	_, digest := fixture.store.Add("inv", randomBytes(4, 100), 10, 1)
 	dir := t.TempDir()
 	agent, source := fixture.startAgent(dir, 1<<20)
-	fixture.apply(agent, newOrder(7, 3, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	fixture.apply(agent, newOrder(7, 3, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 	for _, restarted := range []bool{false, true} {
 		if restarted {
@@ -46,14 +46,14 @@
 // A dataset that the order drops is deleted from the disk, except the chunks that another dataset shares. A
 // dataset that the same order asks for is kept. A drop that arrives after a restart of the agent has the same
 // effect.
-func TestRemovedDatasetsGo(t *testing.T) {
+func TestRemovedDatasetIsDeletedExceptSharedChunks(t *testing.T) {
 	fixture := newFixture(t)
 	data := randomBytes(11, 3000)
 	manifest, old := fixture.store.Add("old", data, 1000, 1)
 	_, next := fixture.store.Add("next", append(data[1000:2000:2000], randomBytes(12, 1000)...), 1000, 1)
 	dir := t.TempDir()
 	agent, _ := fixture.startAgent(dir, 1<<20)
-	from := []api.StageSource{fromStore}
+	from := []api.StageSource{storeSource}
 	both := newOrder(1, 1, "old", old, from, 0, 1, 2)
 	both.Sets = append(both.Sets, newOrder(1, 1, "next", next, from, 0, 1).Sets...)
 	fixture.apply(agent, both)
@@ -101,7 +101,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		order := newOrder(4, 1, "inv", digest, []api.StageSource{fromStore}, 0, 2)
+		order := newOrder(4, 1, "inv", digest, []api.StageSource{storeSource}, 0, 2)
 		if last.All {
 			fulls++
 			known = last.Version
@@ -129,7 +129,7 @@
 		defer mu.Unlock()
 		return len(last.Pinned) == 1 && last.Pinned[0].Parts.GetCardinality() == 2 && last.Term == 4 && last.Order == 1 && fulls > 0
 	})
-	if agent.Version() == 0 {
+	if agent.ReplicasVersion() == 0 {
 		t.Fatal("the version of the held parts is still 0")
 	}
 }
--- a/dataagent/cache.go
+++ b/dataagent/cache.go
@@ -53,9 +53,9 @@
 	dir string
 	// quota is the maximum total size of the chunks, in bytes.
 	quota int64
-	// step is called with the name of each step of a write before the step is executed, so that tests
+	// beforeStep is called with the name of each step of a write before the step is executed, so that tests
 	// can inject a crash there.
-	step func(string)
+	beforeStep func(string)
 
 	// mu guards the fields below.
 	mu     sync.Mutex
@@ -83,11 +83,11 @@
 }
 
 // OpenCache opens the cache in a directory, and creates it if it does not exist. quota is the maximum
-// total size of the chunks in bytes. step is called before each step of a write, and may be nil.
+// total size of the chunks in bytes. beforeStep is called before each step of a write, and may be nil.
 // Incomplete chunks of an earlier process are kept, so that their transfers can be resumed.
-func OpenCache(dir string, quota int64, step func(string)) (*Cache, error) {
-	if step == nil {
-		step = func(string) {}
+func OpenCache(dir string, quota int64, beforeStep func(string)) (*Cache, error) {
+	if beforeStep == nil {
+		beforeStep = func(string) {}
 	}
 	// The list needs no size limit, since evict keeps the cache within its quota.
 	evictable, err := simplelru.NewLRU[dataset.Digest, struct{}](math.MaxInt32, nil)
@@ -95,14 +95,14 @@
 		return nil, fmt.Errorf("cache: %w", err)
 	}
 	cache := &Cache{
-		dir:       dir,
-		quota:     quota,
-		step:      step,
-		chunks:    map[dataset.Digest]*cachedChunk{},
-		partials:  map[dataset.Digest]int64{},
-		pins:      map[dataset.Digest]int{},
-		writing:   map[dataset.Digest]bool{},
-		evictable: evictable,
+		dir:        dir,
+		quota:      quota,
+		beforeStep: beforeStep,
+		chunks:     map[dataset.Digest]*cachedChunk{},
+		partials:   map[dataset.Digest]int64{},
+		pins:       map[dataset.Digest]int{},
+		writing:    map[dataset.Digest]bool{},
+		evictable:  evictable,
 	}
 	for _, name := range []string{chunksDir, partialDir, manifestsDir, inputsDir} {
 		if err := os.MkdirAll(filepath.Join(dir, name), directoryPermission); err != nil {
@@ -224,12 +224,12 @@
 	}
 }
 
-// evict evicts chunks until need more bytes fit into the quota. ok is false if they do not fit even
+// evict evicts chunks until neededBytes more bytes fit into the quota. ok is false if they do not fit even
 // after all evictable chunks are evicted. mu must be held. The caller must remove the returned files
 // after it has released mu, also if ok is false.
-func (cache *Cache) evict(need int64) (files []string, ok bool) {
+func (cache *Cache) evict(neededBytes int64) (files []string, ok bool) {
 	for digest, size := range cache.partials {
-		if cache.used+need <= cache.quota {
+		if cache.used+neededBytes <= cache.quota {
 			break
 		}
 		if !cache.writing[digest] && cache.pins[digest] == 0 {
@@ -238,20 +238,20 @@
 			files = append(files, cache.path(partialDir, digest))
 		}
 	}
-	for cache.used+need > cache.quota {
+	for cache.used+neededBytes > cache.quota {
 		digest, _, ok := cache.evictable.RemoveOldest()
 		if !ok {
 			return files, false
 		}
-		cache.forget(digest)
+		cache.untrack(digest)
 		files = append(files, cache.path(chunksDir, digest))
 	}
 	return files, true
 }
 
-// forget removes a complete chunk from the cache's records; the caller must remove its file. mu must be
+// untrack removes a complete chunk from the cache's records; the caller must remove its file. mu must be
 // held.
-func (cache *Cache) forget(digest dataset.Digest) {
+func (cache *Cache) untrack(digest dataset.Digest) {
 	cache.used -= cache.chunks[digest].bytes
 	delete(cache.chunks, digest)
 	cache.evictable.Remove(digest)
@@ -267,7 +267,7 @@
 		return
 	}
 	if cache.chunks[digest] != nil {
-		cache.forget(digest)
+		cache.untrack(digest)
 		removeFile(cache.path(chunksDir, digest))
 	}
 	if size, ok := cache.partials[digest]; ok {
@@ -300,7 +300,7 @@
 		return fmt.Errorf("chunk %v: %w", chunk.Digest, os.ErrNotExist)
 	}
 	if err != nil {
-		cache.forget(chunk.Digest)
+		cache.untrack(chunk.Digest)
 		removeFile(path)
 		return err
 	}
--- a/dataagent/cache_files.go
+++ b/dataagent/cache_files.go
@@ -18,7 +18,7 @@
 
 // SaveManifest atomically stores the bytes of a manifest under its digest.
 func (cache *Cache) SaveManifest(digest dataset.Digest, raw []byte) error {
-	cache.step("manifest")
+	cache.beforeStep("manifest")
 	return renameio.WriteFile(cache.path(manifestsDir, digest), raw, filePermission)
 }
 
@@ -69,7 +69,7 @@
 		return err
 	}
 	for i, chunk := range partChunks(manifest, part) {
-		cache.step("link")
+		cache.beforeStep("link")
 		err := os.Link(cache.path(chunksDir, chunk.Digest), filepath.Join(directory, fmt.Sprintf("%06d", i)))
 		if err != nil && !errors.Is(err, os.ErrExist) {
 			return err
--- a/dataagent/cache_test.go
+++ b/dataagent/cache_test.go
@@ -22,11 +22,11 @@
 
 // The cache stays within its quota: pinned parts are kept, the least recently used of the others are evicted,
 // and heartbeats list no evicted part.
-func TestQuotaEvictsOnlyWhatIsFree(t *testing.T) {
+func TestQuotaEvictsOnlyUnpinnedParts(t *testing.T) {
 	fixture := newFixture(t)
 	manifest, digest := fixture.store.Add("inv", randomBytes(5, 8000), 1000, 1)
 	agent, _ := fixture.startAgent(t.TempDir(), 3500)
-	from := []api.StageSource{fromStore}
+	from := []api.StageSource{storeSource}
 	get := func(n uint64, parts ...uint32) {
 		fixture.apply(agent, newOrder(1, n, "inv", digest, from, parts...))
 		eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == uint64(len(parts)) })
@@ -55,16 +55,16 @@
 	}
 	// The part is copied once others may be evicted.
 	fixture.apply(agent, newOrder(1, 5, "inv", digest, from, 4))
-	fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(4) })
+	fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "inv").Contains(4) })
 }
 
 // After a restart, a part whose chunk was corrupted on disk is reported neither as pinned nor as held.
-func TestDamageOnDiskIsFound(t *testing.T) {
+func TestCorruptChunkOnDiskIsNotReported(t *testing.T) {
 	fixture := newFixture(t)
 	manifest, digest := fixture.store.Add("inv", randomBytes(6, 3000), 1000, 1)
 	dir := t.TempDir()
 	agent, _ := fixture.startAgent(dir, 1<<20)
-	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 	path := filepath.Join(dir, "chunks", manifest.Chunks[0].Digest.String())
 	if err := os.WriteFile(path, randomBytes(7, 1000), 0o644); err != nil {
@@ -93,7 +93,7 @@
 	if err := os.Symlink("/dev/full", filepath.Join(dir, "partial", manifest.Chunks[1].Digest.String())); err != nil {
 		t.Fatal(err)
 	}
-	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 	eventually(t, "the full cache is reported", func() bool {
 		copies := agent.Report(false).Copies
 		return len(copies) == 1 && copies[0].Part == 1 && copies[0].Full
@@ -105,7 +105,7 @@
 	if err := os.Remove(filepath.Join(dir, "partial", manifest.Chunks[1].Digest.String())); err != nil {
 		t.Fatal(err)
 	}
-	fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
+	fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
 }
 
 // killAtStep runs an agent that kills its own process before the write step whose number is in
@@ -131,12 +131,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	agent, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("DATAAGENT_DIR"), CacheBytes: 1 << 30, Store: os.Getenv("DATAAGENT_STORE"), Step: step})
+	agent, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("DATAAGENT_DIR"), CacheBytes: 1 << 30, Store: os.Getenv("DATAAGENT_STORE"), BeforeStep: step})
 	if err != nil {
 		return err
 	}
 	go agent.Run(ctx)
-	if _, err := agent.Apply(newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0, 1)); err != nil {
+	if _, err := agent.Apply(newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0, 1)); err != nil {
 		return err
 	}
 	for pinnedParts(agent, "inv").GetCardinality() < 2 && ctx.Err() == nil {
@@ -162,9 +162,9 @@
 // A real agent process is killed before each step of its writes in turn. After the restart, all parts that the
 // agent reports as held are complete, it serves no incomplete chunk, and it receives at most one block of each
 // transfer again.
-func TestKilledAtEachStep(t *testing.T) {
+func TestRestartAfterKillAtEachWriteStep(t *testing.T) {
 	fixture := newFixture(t)
-	data := randomBytes(9, 2*(2*block+500))
+	data := randomBytes(9, 2*(2*blockSize+500))
 	manifest, digest := fixture.store.Add("inv", data, len(data)/2, 1)
 	last := false
 	for step := 0; !last && step < 60; step++ {
@@ -179,7 +179,7 @@
 		// The store may have sent more than the process received, so the bytes that it wrote are compared.
 		had, blocks := bytesOnDisk(dir), strings.Count(string(out), "write\n")
 		// A chunk has two complete blocks and a shorter one. Each of the two transfers may lose its last block.
-		if had < int64(max(0, blocks-2))*500 || blocks >= 5 && had < 2*block {
+		if had < int64(max(0, blocks-2))*500 || blocks >= 5 && had < 2*blockSize {
 			t.Errorf("step %d: %d blocks were written, but only %d bytes are on disk", step, blocks, had)
 		}
 		agent, source := fixture.startAgent(dir, 1<<30)
@@ -196,10 +196,10 @@
 				t.Fatalf("step %d: chunk %d is served incomplete", step, i)
 			}
 		}
-		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 		eventually(t, "complete after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
-		if again := agent.Report(false).FromStore - (int64(len(data)) - had); again > 2*block+8192 {
-			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, again, block)
+		if again := agent.Report(false).FromStore - (int64(len(data)) - had); again > 2*blockSize+8192 {
+			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, again, blockSize)
 		}
 	}
 	if !last {
--- a/dataagent/fixture_test.go
+++ b/dataagent/fixture_test.go
@@ -23,7 +23,8 @@
 	"switchferry/tuning"
 )
 
-// TestMain disables logging. In a child process of TestKilledAtEachStep it runs an agent instead of the tests.
+// TestMain disables logging. In a child process of TestRestartAfterKillAtEachWriteStep it runs an agent instead of
+// the tests.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError + 1})))
 	if os.Getenv("DATAAGENT_KILL_AT_STEP") != "" {
@@ -36,11 +37,11 @@
 	os.Exit(m.Run())
 }
 
-// block is the size of the blocks in which transfers write chunks, in bytes.
-const block = tuning.StageBlock
+// blockSize is the size of the blocks in which transfers write chunks, in bytes.
+const blockSize = tuning.StageBlock
 
-// fromStore is the store as a source in orders.
-var fromStore = api.StageSource{Store: true}
+// storeSource is the store as a source in orders.
+var storeSource = api.StageSource{Store: true}
 
 // randomBytes returns pseudo-random bytes that depend only on the seed and the size.
 func randomBytes(seed uint64, size int) []byte {
@@ -148,11 +149,11 @@
 	}
 }
 
-// pump advances the clock until a condition holds, so that backoffs end. It does so only while no chunk is
+// advanceUntil advances the clock until a condition holds, so that backoffs end. It does so only while no chunk is
 // being downloaded, so that no download is cancelled as stalled.
-func (fixture *fixture) pump(agent *Agent, ok func() bool) {
+func (fixture *fixture) advanceUntil(agent *Agent, ok func() bool) {
 	fixture.t.Helper()
-	eventually(fixture.t, "the condition that pump waits for", func() bool {
+	eventually(fixture.t, "the condition that advanceUntil waits for", func() bool {
 		if ok() {
 			return true
 		}
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -26,14 +26,14 @@
 // acknowledged the current version of that list.
 func (agent *Agent) Next() api.StageHeartbeat {
 	agent.mu.Lock()
-	all := agent.knownVersion != agent.replicasVersion
+	listHeld := agent.knownVersion != agent.replicasVersion
 	agent.mu.Unlock()
-	return agent.Report(all)
+	return agent.Report(listHeld)
 }
 
-// Report returns a new heartbeat with the next sequence number. If all is true, it lists all parts in the
-// cache. Its lists are sorted by dataset and part.
-func (agent *Agent) Report(all bool) api.StageHeartbeat {
+// Report returns a new heartbeat with the next sequence number. If listHeld is true, it lists all
+// parts in the cache. Its lists are sorted by dataset and part.
+func (agent *Agent) Report(listHeld bool) api.StageHeartbeat {
 	agent.refreshReplicas()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -48,11 +48,11 @@
 		Quota:       agent.options.CacheBytes,
 		Used:        agent.cache.Used(),
 		Version:     agent.replicasVersion,
-		All:         all,
-		FromStore:   agent.sources.fromStore.Load(),
-		FromPeers:   agent.sources.fromPeers.Load(),
+		All:         listHeld,
+		FromStore:   agent.sourceClient.fromStore.Load(),
+		FromPeers:   agent.sourceClient.fromPeers.Load(),
 	}
-	if all {
+	if listHeld {
 		heartbeat.Holds = agent.heldParts()
 	}
 	for _, desired := range agent.desired {
--- a/dataagent/order.go
+++ b/dataagent/order.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", stateFile, err)
 	}
-	agent.cache.step("state")
+	agent.cache.beforeStep("state")
 	return renameio.WriteFile(filepath.Join(agent.options.Dir, stateFile), raw, filePermission)
 }
 
@@ -146,7 +146,7 @@
 		agent.unpinParts(desired, parts)
 	}
 	agent.cancelStaleTransfers()
-	agent.wakeReconciler()
+	agent.requestReconciliation()
 }
 
 // parseSets returns the desired state of each dataset in an order, by dataset name. Malformed sets are
--- a/dataagent/reconcile.go
+++ b/dataagent/reconcile.go
@@ -163,7 +163,7 @@
 		agent.mu.Unlock()
 		agent.updateReplica(desired.manifest, desired.manifestDigest)
 		agent.requestHeartbeat()
-		agent.wakeReconciler()
+		agent.requestReconciliation()
 	})
 }
 
--- a/dataagent/replicas.go
+++ b/dataagent/replicas.go
@@ -18,8 +18,8 @@
 	parts *roaring.Bitmap
 }
 
-// Version returns the version of the list of parts in the cache. It grows with every change of that list.
-func (agent *Agent) Version() uint64 {
+// ReplicasVersion returns the version of the list of parts in the cache. It grows with every change of that list.
+func (agent *Agent) ReplicasVersion() uint64 {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	return agent.replicasVersion
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -20,19 +20,19 @@
 	"switchferry/tuning"
 )
 
-// retryAfter is the value of the Retry-After header that a busy agent sends, in seconds.
-var retryAfter = strconv.Itoa(tuning.RetryAfterS)
+// retryAfterSeconds is the value of the Retry-After header that a busy agent sends, in seconds.
+var retryAfterSeconds = strconv.Itoa(tuning.RetryAfterS)
 
-// packWindow is the window size of the zstd compression, in bytes.
-const packWindow = 512 << 10
+// compressionWindow is the window size of the zstd compression, in bytes.
+const compressionWindow = 512 << 10
 
 // Handler returns the agent's HTTP handler. It serves chunks and manifests to peers, accepts orders from the
 // leader, and shows the agent's heartbeat to operators.
 func (agent *Agent) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
-	router.GET("/chunk/:digest", agent.chunks.serveChunk)
-	router.GET("/manifest/:digest", agent.chunks.serveManifest)
+	router.GET("/chunk/:digest", agent.chunkServer.serveChunk)
+	router.GET("/manifest/:digest", agent.chunkServer.serveManifest)
 	router.POST("/stage", agent.serveOrder)
 	router.GET("/show", func(request echo.Context) error {
 		return request.JSON(http.StatusOK, agent.Report(true))
@@ -86,7 +86,7 @@
 	if !adopted {
 		status = http.StatusConflict
 	}
-	return request.JSON(status, agent.Report(order.Known != agent.Version()))
+	return request.JSON(status, agent.Report(order.Known != agent.ReplicasVersion()))
 }
 
 // serveChunk sends a complete chunk, or a range of it, to a peer. It does not check the digest, since the
@@ -101,7 +101,7 @@
 	case server.slots <- struct{}{}:
 		defer func() { <-server.slots }()
 	default:
-		request.Response().Header().Set("Retry-After", retryAfter)
+		request.Response().Header().Set("Retry-After", retryAfterSeconds)
 		return request.JSON(http.StatusServiceUnavailable, api.Error{Error: "the maximum number of peers is being served"})
 	}
 	file, _, err := server.cache.Open(digest)
@@ -112,17 +112,17 @@
 	writer := &limitedWriter{ResponseWriter: request.Response().Writer, limiter: server.limiter, ctx: request.Request().Context()}
 	writer.Header().Set("Content-Type", "application/octet-stream")
 	header := request.Request().Header
-	if header.Get("Range") == "" && header.Get("Accept-Encoding") == "zstd" && worthPacking(file) {
+	if header.Get("Range") == "" && header.Get("Accept-Encoding") == "zstd" && worthCompressing(file) {
 		writer.Header().Set("Content-Encoding", "zstd")
-		return packChunk(writer, file)
+		return compressChunk(writer, file)
 	}
 	http.ServeContent(writer, request.Request(), "", time.Time{}, file)
 	return nil
 }
 
-// packChunk writes a chunk compressed with zstd.
-func packChunk(writer io.Writer, chunk io.Reader) error {
-	encoder, err := zstd.NewWriter(writer, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindow))
+// compressChunk writes a chunk compressed with zstd.
+func compressChunk(writer io.Writer, chunk io.Reader) error {
+	encoder, err := zstd.NewWriter(writer, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(compressionWindow))
 	if err != nil {
 		return err
 	}
@@ -132,14 +132,14 @@
 	return encoder.Close()
 }
 
-// sampleEncoder returns the encoder that worthPacking compresses samples with. It is created on first use.
+// sampleEncoder returns the encoder that worthCompressing compresses samples with. It is created on first use.
 var sampleEncoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 })
 
-// worthPacking reports whether a sample from the start of a chunk compresses to less than tuning.PackPays of
+// worthCompressing reports whether a sample from the start of a chunk compresses to less than tuning.PackPays of
 // its size.
-func worthPacking(file *os.File) bool {
+func worthCompressing(file *os.File) bool {
 	sample := make([]byte, tuning.PackSample)
 	// The error is io.EOF if the chunk is smaller than the sample. After any other error the sample is
 	// what could be read.
--- a/dataagent/source.go
+++ b/dataagent/source.go
@@ -20,8 +20,8 @@
 var (
 	// errBusy means that a peer already serves its maximum number of requests.
 	errBusy = errors.New("the source is busy")
-	// errMissing means that a source does not have the requested chunk.
-	errMissing = errors.New("the source does not have the chunk")
+	// errChunkNotFound means that a source does not have the requested chunk.
+	errChunkNotFound = errors.New("the source does not have the chunk")
 	// errNoSource means that the order lists no source for a dataset.
 	errNoSource = errors.New("the order lists no source for the dataset")
 )
@@ -32,8 +32,8 @@
 	clock clockwork.Clock
 	// store is the base URL of the store.
 	store string
-	// pack makes the client ask peers for compressed chunks.
-	pack bool
+	// compress makes the client ask peers for compressed chunks.
+	compress bool
 	// limiter limits the receiving rate; it is nil if there is no limit.
 	limiter *rate.Limiter
 	// fromStore and fromPeers count the bytes received from the store and from peers.
@@ -43,29 +43,29 @@
 // requestChunk requests the bytes of a chunk from an offset to its end. A peer may compress a chunk that is
 // requested from its start. The caller must close the response's body. The error is ErrCorrupt if the source
 // responds with another range.
-func (client *sourceClient) requestChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, from int64) (*http.Response, error) {
+func (client *sourceClient) requestChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, offset int64) (*http.Response, error) {
 	chunk := transfer.manifest.Chunks[index]
 	url := "http://" + source.Peer + "/chunk/" + chunk.Digest.String()
-	first := from
+	firstByte := offset
 	if source.Store {
 		url = client.store + "/" + transfer.datasetName + "/data"
-		first = transfer.manifest.Offset(index) + from
+		firstByte = transfer.manifest.Offset(index) + offset
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	ranged := source.Store || from > 0
+	ranged := source.Store || offset > 0
 	if ranged {
-		request.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", first, first+chunk.Bytes-from-1))
-	} else if client.pack {
+		request.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", firstByte, firstByte+chunk.Bytes-offset-1))
+	} else if client.compress {
 		request.Header.Set("Accept-Encoding", "zstd")
 	}
 	response, err := client.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkChunkResponse(response, source, ranged, first); err != nil {
+	if err := checkChunkResponse(response, source, ranged, firstByte); err != nil {
 		closeBody(response)
 		return nil, err
 	}
@@ -73,20 +73,20 @@
 }
 
 // checkChunkResponse returns an error unless a response contains the requested bytes: if ranged is true, a
-// range that starts at first, and otherwise the whole chunk.
-func checkChunkResponse(response *http.Response, source api.StageSource, ranged bool, first int64) error {
+// range that starts at firstByte, and otherwise the whole chunk.
+func checkChunkResponse(response *http.Response, source api.StageSource, ranged bool, firstByte int64) error {
 	switch {
 	case response.StatusCode == http.StatusPartialContent && ranged:
 		contentRange := response.Header.Get("Content-Range")
-		var begin int64
-		if _, err := fmt.Sscanf(contentRange, "bytes %d-", &begin); err != nil || begin != first {
+		var rangeStart int64
+		if _, err := fmt.Sscanf(contentRange, "bytes %d-", &rangeStart); err != nil || rangeStart != firstByte {
 			return fmt.Errorf("%w: response has Content-Range %q", ErrCorrupt, contentRange)
 		}
 		return nil
 	case response.StatusCode == http.StatusOK && !ranged:
 		return nil
 	case response.StatusCode == http.StatusNotFound:
-		return errMissing
+		return errChunkNotFound
 	case response.StatusCode == http.StatusServiceUnavailable && source.Peer != "":
 		return errBusy
 	default:
@@ -100,10 +100,10 @@
 func (client *sourceClient) readChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, writer *Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := client.clock.AfterFunc(tuning.StageStall, func() {
+	stallTimer := client.clock.AfterFunc(tuning.StageStall, func() {
 		cancel(fmt.Errorf("no block received within %v", tuning.StageStall))
 	})
-	defer stall.Stop()
+	defer stallTimer.Stop()
 	// The error of a cancelled request does not tell why it was cancelled; the cause of the context does.
 	cause := func(err error) error {
 		if ctx.Err() != nil {
@@ -111,7 +111,7 @@
 		}
 		return err
 	}
-	response, err := client.requestChunk(ctx, source, transfer, index, writer.At())
+	response, err := client.requestChunk(ctx, source, transfer, index, writer.Offset())
 	if err != nil {
 		return cause(err)
 	}
@@ -127,17 +127,17 @@
 	}
 	total := transfer.manifest.Chunks[index].Bytes
 	block := make([]byte, min(tuning.StageBlock, total))
-	for left := total - writer.At(); left > 0; left = total - writer.At() {
-		size, err := io.ReadFull(body, block[:min(int64(len(block)), left)])
+	for remaining := total - writer.Offset(); remaining > 0; remaining = total - writer.Offset() {
+		size, err := io.ReadFull(body, block[:min(int64(len(block)), remaining)])
 		if size > 0 {
-			stall.Reset(tuning.StageStall)
+			stallTimer.Reset(tuning.StageStall)
 			if _, writeErr := writer.Write(block[:size]); writeErr != nil {
 				return writeErr
 			}
-			transfer.progress.add(int64(size))
+			transfer.progress.addReceived(int64(size))
 		}
 		if err != nil {
-			return cause(fmt.Errorf("after %d of %d bytes: %w", writer.At(), total, err))
+			return cause(fmt.Errorf("after %d of %d bytes: %w", writer.Offset(), total, err))
 		}
 	}
 	return nil
@@ -154,7 +154,7 @@
 	for _, source := range sources {
 		var manifest *dataset.Manifest
 		var raw []byte
-		manifest, raw, err = agent.sources.fetchManifest(ctx, source, datasetName, digest)
+		manifest, raw, err = agent.sourceClient.fetchManifest(ctx, source, datasetName, digest)
 		if err == nil {
 			return manifest, agent.cache.SaveManifest(digest, raw)
 		}
--- a/dataagent/source_test.go
+++ b/dataagent/source_test.go
@@ -17,24 +17,24 @@
 
 // If the store fails during a transfer, the agent continues from a peer, keeps the blocks that it has
 // received, and pins no part with wrong bytes.
-func TestStoreVanishesAndAPeerHasIt(t *testing.T) {
+func TestTransferFailsOverFromStoreToPeer(t *testing.T) {
 	for _, kind := range []string{"reset", "short", "hang", "drip", "503", "wrong"} {
 		t.Run(kind, func(t *testing.T) {
 			fixture := newFixture(t)
-			data := randomBytes(1, 5*block+100)
+			data := randomBytes(1, 5*blockSize+100)
 			manifest, digest := fixture.store.Add("inv", data, len(data), 1)
 			peer, peerSource := fixture.startAgent(t.TempDir(), 1<<30)
-			fixture.apply(peer, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
+			fixture.apply(peer, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0))
 			eventually(t, "the part is pinned at the peer", func() bool { return pinnedParts(peer, "inv").Contains(0) })
 
-			fixture.store.Break(fake.Fault{Kind: kind, After: 2*block + 17})
+			fixture.store.Break(fake.Fault{Kind: kind, After: 2*blockSize + 17})
 			dir := t.TempDir()
 			agent, _ := fixture.startAgent(dir, 1<<30)
-			order := newOrder(1, 1, "inv", digest, []api.StageSource{fromStore, peerSource}, 0)
+			order := newOrder(1, 1, "inv", digest, []api.StageSource{storeSource, peerSource}, 0)
 			if kind == "503" {
 				// The store does not serve the manifest either, so it must come from the peer.
-				order.Sets[0].Copies[0].From = []api.StageSource{peerSource, fromStore}
-				order.Sets[0].Copies = append(order.Sets[0].Copies[:0], api.StageCopy{Part: 0, From: []api.StageSource{fromStore, peerSource}})
+				order.Sets[0].Copies[0].From = []api.StageSource{peerSource, storeSource}
+				order.Sets[0].Copies = append(order.Sets[0].Copies[:0], api.StageCopy{Part: 0, From: []api.StageSource{storeSource, peerSource}})
 			}
 			fixture.apply(agent, order)
 			if kind == "hang" || kind == "drip" {
@@ -42,7 +42,7 @@
 				// The third block is never received completely.
 				eventually(t, "two blocks are received", func() bool {
 					copies := agent.Report(false).Copies
-					return len(copies) == 1 && copies[0].Got == 2*block
+					return len(copies) == 1 && copies[0].Got == 2*blockSize
 				})
 				fixture.clock.Advance(tuning.StageStall + time.Second)
 			}
@@ -51,7 +51,7 @@
 				t.Fatal(err)
 			}
 			fromPeer := agent.Report(false).FromPeers
-			if kept := int64(len(data)) - fromPeer; kind != "503" && kind != "wrong" && kept < 2*block {
+			if kept := int64(len(data)) - fromPeer; kind != "503" && kind != "wrong" && kept < 2*blockSize {
 				t.Errorf("the peer served %d of %d bytes, so blocks from the store were discarded", fromPeer, len(data))
 			}
 			got, err := os.ReadFile(filepath.Join(dir, "inputs", "inv", "part-000000", "000000"))
@@ -64,18 +64,18 @@
 
 // If the store is the only source and fails, the agent retries until the store works again, and resumes the
 // transfer after the blocks that it has received.
-func TestStoreComesBack(t *testing.T) {
+func TestTransferResumesAfterStoreRecovers(t *testing.T) {
 	for _, kind := range []string{"reset", "503", "wrong"} {
 		t.Run(kind, func(t *testing.T) {
 			fixture := newFixture(t)
-			data := randomBytes(2, 6*block)
-			manifest, digest := fixture.store.Add("inv", data, 3*block, 1)
+			data := randomBytes(2, 6*blockSize)
+			manifest, digest := fixture.store.Add("inv", data, 3*blockSize, 1)
 			agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
 			// The manifest and the first part are received before the store fails.
-			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
+			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0))
 			eventually(t, "the first part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
-			fixture.store.Break(fake.Fault{Kind: kind, After: block})
-			fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+			fixture.store.Break(fake.Fault{Kind: kind, After: blockSize})
+			fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 			eventually(t, "the failure is reported", func() bool {
 				c := agent.Report(false).Copies
 				return len(c) == 1 && len(c[0].Failed) == 1 && c[0].Failed[0].Corrupt == (kind == "wrong")
@@ -85,9 +85,9 @@
 			}
 			before, _ := fixture.store.Served()
 			fixture.store.Break(fake.Fault{})
-			fixture.pump(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
+			fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
 			after, _ := fixture.store.Served()
-			if want := int64(2 * block); kind == "reset" && after-before > want {
+			if want := int64(2 * blockSize); kind == "reset" && after-before > want {
 				t.Errorf("%d bytes were copied again, want at most %d", after-before, want)
 			}
 			if err := agent.cache.Verify(manifest.Chunks[1]); err != nil {
@@ -99,16 +99,16 @@
 
 // Transfers of two datasets with the same content share the download of each chunk. If one transfer is
 // cancelled, the other one continues.
-func TestTwoRaceForTheSameChunk(t *testing.T) {
+func TestConcurrentTransfersShareDownload(t *testing.T) {
 	fixture := newFixture(t)
-	data := randomBytes(3, 3*block)
+	data := randomBytes(3, 3*blockSize)
 	_, first := fixture.store.Add("one", data, len(data), 1)
 	_, second := fixture.store.Add("two", data, len(data), 1)
 	agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
-	fixture.store.Break(fake.Fault{Kind: "hang", After: block})
-	order := newOrder(1, 1, "one", first, []api.StageSource{fromStore}, 0)
+	fixture.store.Break(fake.Fault{Kind: "hang", After: blockSize})
+	order := newOrder(1, 1, "one", first, []api.StageSource{storeSource}, 0)
 	both := *order
-	both.Sets = append(both.Sets, newOrder(1, 1, "two", second, []api.StageSource{fromStore}, 0).Sets...)
+	both.Sets = append(both.Sets, newOrder(1, 1, "two", second, []api.StageSource{storeSource}, 0).Sets...)
 	fixture.apply(agent, &both)
 	<-fixture.store.Hanging
 	eventually(t, "both transfers wait for one download", func() bool {
@@ -120,7 +120,7 @@
 		return false
 	})
 	// The next order asks for only one of the datasets, as after the cancellation of a job.
-	one := newOrder(1, 2, "two", second, []api.StageSource{fromStore}, 0)
+	one := newOrder(1, 2, "two", second, []api.StageSource{storeSource}, 0)
 	fixture.apply(agent, one)
 	eventually(t, "only one transfer waits for the download", func() bool {
 		agent.mu.Lock()
@@ -135,20 +135,20 @@
 	}
 	fixture.store.Break(fake.Fault{})
 	fixture.clock.Advance(tuning.StageStall + time.Second)
-	fixture.pump(agent, func() bool { return pinnedParts(agent, "two").Contains(0) })
-	if got := agent.Report(false).FromStore; got > 4*block+4096 {
-		t.Errorf("%d bytes received for a chunk of %d", got, 3*block)
+	fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "two").Contains(0) })
+	if got := agent.Report(false).FromStore; got > 4*blockSize+4096 {
+		t.Errorf("%d bytes received for a chunk of %d", got, 3*blockSize)
 	}
 }
 
 // A peer sends text compressed and random bytes uncompressed. The received part is verified in both cases.
-func TestPeersCompressWhereItPays(t *testing.T) {
+func TestPeersCompressOnlyCompressibleChunks(t *testing.T) {
 	for kind, data := range map[string][]byte{"text": bytes.Repeat([]byte("item,player,purchase\n"), 40000), "noise": randomBytes(8, 800000)} {
 		t.Run(kind, func(t *testing.T) {
 			fixture := newFixture(t)
 			_, digest := fixture.store.Add("inv", data, len(data), 1)
 			holder, source := fixture.startAgent(t.TempDir(), 1<<30)
-			fixture.apply(holder, newOrder(1, 1, "inv", digest, []api.StageSource{fromStore}, 0))
+			fixture.apply(holder, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0))
 			eventually(t, "the part comes from the store", func() bool { return pinnedParts(holder, "inv").Contains(0) })
 			agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
 			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{source}, 0))
@@ -183,7 +183,7 @@
 			t.Cleanup(corruptPeer.Close)
 			agent, _ := fixture.startAgent(t.TempDir(), 1<<20)
 			peer := api.StageSource{Peer: address(corruptPeer)}
-			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{peer, fromStore}, 0))
+			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{peer, storeSource}, 0))
 			reported := false
 			eventually(t, "the part comes from the store", func() bool {
 				for _, progress := range agent.Report(false).Copies {
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -44,7 +44,7 @@
 	next, end := transfer.manifest.Part(transfer.part)
 	for _, chunk := range partChunks(transfer.manifest, transfer.part) {
 		if agent.cache.Has(chunk) {
-			transfer.progress.add(chunk.Bytes)
+			transfer.progress.addReceived(chunk.Bytes)
 		}
 	}
 	failures := 0
@@ -61,7 +61,7 @@
 		transfer.progress.setSource(source)
 		err := agent.fetchChunk(ctx, source, transfer, next)
 		if err == nil {
-			transfer.progress.clearFull()
+			transfer.progress.clearCacheFull()
 			failures = 0
 			next++
 			continue
@@ -132,7 +132,7 @@
 	defer agent.mu.Unlock()
 	download = agent.downloads[digest]
 	if download == nil {
-		ctx, cancel := context.WithCancel(agent.ctx)
+		ctx, cancel := context.WithCancel(agent.downloadCtx)
 		download = &chunkDownload{done: make(chan struct{}), cancel: cancel}
 		agent.downloads[digest] = download
 		started = true
@@ -170,12 +170,12 @@
 		if err != nil {
 			return err
 		}
-		fromThisSourceAlone := writer.At() == 0
-		transfer.progress.add(writer.At())
-		if err := agent.sources.readChunk(ctx, source, transfer, index, writer); err != nil {
-			transfer.progress.add(-writer.At())
+		fromThisSourceAlone := writer.Offset() == 0
+		transfer.progress.addReceived(writer.Offset())
+		if err := agent.sourceClient.readChunk(ctx, source, transfer, index, writer); err != nil {
+			transfer.progress.addReceived(-writer.Offset())
 			if errors.Is(err, ErrCorrupt) {
-				writer.Drop()
+				writer.Discard()
 			} else {
 				writer.Leave()
 			}
@@ -185,7 +185,7 @@
 		if err == nil {
 			return nil
 		}
-		transfer.progress.add(-chunk.Bytes)
+		transfer.progress.addReceived(-chunk.Bytes)
 		if !errors.Is(err, ErrCorrupt) || fromThisSourceAlone {
 			return err
 		}
@@ -205,12 +205,12 @@
 	source api.StageSource
 	// failures contains the last failure of each source.
 	failures []api.StageFailure
-	// full is true if the last attempt failed because the cache was full.
-	full bool
+	// cacheFull is true if the last attempt failed because the cache was full.
+	cacheFull bool
 }
 
-// add adds size to the received bytes. It is negative for bytes that must be received again.
-func (progress *transferProgress) add(size int64) {
+// addReceived adds size to the received bytes. It is negative for bytes that must be received again.
+func (progress *transferProgress) addReceived(size int64) {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
 	progress.receivedBytes += size
@@ -223,19 +223,19 @@
 	progress.source = source
 }
 
-// clearFull records that the cache had room for the last chunk.
-func (progress *transferProgress) clearFull() {
+// clearCacheFull records that the cache had room for the last chunk.
+func (progress *transferProgress) clearCacheFull() {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
-	progress.full = false
+	progress.cacheFull = false
 }
 
-// addFailure records a failure, which replaces the last one of the same source. full tells whether the
-// cache was full.
-func (progress *transferProgress) addFailure(failure api.StageFailure, full bool) {
+// addFailure records a failure, which replaces the last one of the same source. cacheFull tells whether
+// the cache was full.
+func (progress *transferProgress) addFailure(failure api.StageFailure, cacheFull bool) {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
-	progress.full = full
+	progress.cacheFull = cacheFull
 	progress.failures = slices.DeleteFunc(progress.failures, func(other api.StageFailure) bool { return other.From == failure.From })
 	progress.failures = append(progress.failures, failure)
 }
@@ -251,6 +251,6 @@
 		Of:      progress.totalBytes,
 		From:    progress.source,
 		Failed:  slices.Clone(progress.failures),
-		Full:    progress.full,
+		Full:    progress.cacheFull,
 	}
 }
--- a/dataagent/writer.go
+++ b/dataagent/writer.go
@@ -10,7 +10,7 @@
 	"switchferry/tuning"
 )
 
-// Writer writes one chunk to the cache. The caller must close it by Commit, Leave or Drop. It is not safe
+// Writer writes one chunk to the cache. The caller must close it by Commit, Leave or Discard. It is not safe
 // for concurrent use.
 type Writer struct {
 	cache *Cache
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	writer := &Writer{cache: cache, chunk: chunk, hasher: dataset.NewHasher()}
-	cache.step("open")
+	cache.beforeStep("open")
 	file, err := os.OpenFile(cache.path(partialDir, chunk.Digest), os.O_RDWR|os.O_CREATE, filePermission)
 	if err == nil {
 		writer.file = file
@@ -79,20 +79,20 @@
 	if err != nil {
 		return err
 	}
-	whole := min(info.Size(), writer.chunk.Bytes) / tuning.StageBlock * tuning.StageBlock
-	if info.Size() != whole {
-		writer.cache.step("truncate")
-		if err := writer.file.Truncate(whole); err != nil {
+	completeBlocks := min(info.Size(), writer.chunk.Bytes) / tuning.StageBlock * tuning.StageBlock
+	if info.Size() != completeBlocks {
+		writer.cache.beforeStep("truncate")
+		if err := writer.file.Truncate(completeBlocks); err != nil {
 			return err
 		}
 	}
-	writer.offset, err = io.CopyN(writer.hasher, writer.file, whole)
+	writer.offset, err = io.CopyN(writer.hasher, writer.file, completeBlocks)
 	return err
 }
 
-// At returns the number of bytes of the chunk that are written. After Begin it is a multiple of
+// Offset returns the number of bytes of the chunk that are written. After Begin it is a multiple of
 // tuning.StageBlock.
-func (writer *Writer) At() int64 { return writer.offset }
+func (writer *Writer) Offset() int64 { return writer.offset }
 
 // Write appends content to the chunk. Each call should pass one block, or the rest of the chunk. The error
 // is ErrCorrupt if content exceeds the size of the chunk, and ErrFull if the disk is full.
@@ -100,7 +100,7 @@
 	if writer.offset+int64(len(content)) > writer.chunk.Bytes {
 		return 0, fmt.Errorf("data exceeds the chunk's %d bytes: %w", writer.chunk.Bytes, ErrCorrupt)
 	}
-	writer.cache.step("write")
+	writer.cache.beforeStep("write")
 	size, err := writer.file.Write(content)
 	_, _ = writer.hasher.Write(content[:size]) // A hasher returns no error.
 	writer.offset += int64(size)
@@ -116,10 +116,10 @@
 		return fmt.Errorf("%d of %d bytes: %w", writer.offset, writer.chunk.Bytes, io.ErrUnexpectedEOF)
 	}
 	if writer.hasher.Digest() != writer.chunk.Digest {
-		writer.Drop()
+		writer.Discard()
 		return ErrCorrupt
 	}
-	if err := writer.store(); err != nil {
+	if err := writer.finalize(); err != nil {
 		writer.Leave()
 		return diskError(err)
 	}
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// store syncs and closes the file, and then moves it to the directory of complete chunks.
-func (writer *Writer) store() error {
+// finalize syncs and closes the file, and then moves it to the directory of complete chunks.
+func (writer *Writer) finalize() error {
 	cache := writer.cache
-	cache.step("sync")
+	cache.beforeStep("sync")
 	err := writer.file.Sync()
 	if closeErr := writer.file.Close(); err == nil {
 		err = closeErr
@@ -147,11 +147,11 @@
 	if err != nil {
 		return err
 	}
-	cache.step("rename")
+	cache.beforeStep("rename")
 	if err := os.Rename(cache.path(partialDir, writer.chunk.Digest), cache.path(chunksDir, writer.chunk.Digest)); err != nil {
 		return err
 	}
-	cache.step("dirsync")
+	cache.beforeStep("dirsync")
 	// If the directory is not synced, a crash can only undo the rename; the chunk is then received again.
 	if directory, err := os.Open(filepath.Join(cache.dir, chunksDir)); err == nil {
 		_ = directory.Sync()
@@ -172,8 +172,8 @@
 	writer.release(size)
 }
 
-// Drop closes the writer and deletes the written bytes.
-func (writer *Writer) Drop() {
+// Discard closes the writer and deletes the written bytes.
+func (writer *Writer) Discard() {
 	if writer.file != nil {
 		_ = writer.file.Close() // The error does not matter, since the file is deleted.
 	}
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,6 +1,6 @@
 // Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the packages
-// and their imports, the names of declarations and the links to the files that declare them, the keys of the state service,
-// and the log messages. It also checks that the README lists all packages, and that all pages except incident pages name
+// and their imports, the names of declarations and the links to the files that declare them, the keys of the state
+// service, and the log messages. It also checks that the README lists all packages, and that all pages except incident pages name
 // only tests and declarations that exist. After code has moved between files, "go test ./docs -update" updates the links.
 package docs_test
 
@@ -27,10 +27,10 @@
 	// symbol matches a package's directory, a dot, and a declared name, or a type and one of its members.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*(?:/[a-z0-9]+)*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
 	// unqualified matches a type and one of its members, without the package.
-	unqualified = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
-	repository  = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
-	fileName    = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
-	testName    = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
+	unqualified    = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
+	repositoryPath = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
+	fileName       = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
+	testName       = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
 	// layerRow matches a row of the diagram: the name of a layer, two or more spaces, and the packages of the layer.
 	layerRow = regexp.MustCompile(`^(\S+(?: \S+)*)\s{2,}(\S.*)$`)
 	// layerContinuation matches a row of the diagram with more packages of the layer in the row above.
@@ -44,9 +44,9 @@
 	text   string
 }
 
-// readPage returns the lines of architecture.md outside of fenced blocks, and the lines of its first fenced block, which
-// is the diagram of the packages.
-func readPage(t *testing.T) (prose []pageLine, drawing []string) {
+// readArchitecturePage returns the lines of architecture.md outside of fenced blocks, and the lines of its first fenced
+// block, which is the diagram of the packages.
+func readArchitecturePage(t *testing.T) (prose []pageLine, diagram []string) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
 	if err != nil {
@@ -60,15 +60,15 @@
 		case fences%2 == 0:
 			prose = append(prose, pageLine{index + 1, text})
 		case fences == 1:
-			drawing = append(drawing, text)
+			diagram = append(diagram, text)
 		}
 	}
-	return prose, drawing
+	return prose, diagram
 }
 
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	tree := readSourceTree(t)
-	prose, _ := readPage(t)
+	prose, _ := readArchitecturePage(t)
 	for _, line := range prose {
 		for _, span := range codeSpan.FindAllStringSubmatch(line.text, -1) {
 			if complaint := tree.checkSpan(span[1]); complaint != "" {
@@ -101,7 +101,7 @@
 	if found := symbol.FindStringSubmatch(span); found != nil && !fileName.MatchString(span) {
 		return s.checkSymbol(found[1], found[2])
 	}
-	if strings.Contains(span, "/") && repository.MatchString(span) || fileName.MatchString(span) && !strings.Contains(span, " ") {
+	if strings.Contains(span, "/") && repositoryPath.MatchString(span) || fileName.MatchString(span) && !strings.Contains(span, " ") {
 		if _, err := os.Stat(path.Join(repositoryRoot, span)); err != nil {
 			return "`" + span + "` is no file or directory of the repository; write its path from the root"
 		}
@@ -119,7 +119,8 @@
 	return strings.CutSuffix(inner, `"`)
 }
 
-// checkKey returns a message if no string literal in the code is a prefix of a key of the state service, and "" otherwise.
+// checkKey returns a message if no string literal in the code is a prefix of a key of the state service, and ""
+// otherwise.
 func (s *sourceTree) checkKey(key string) string {
 	for literal := range s.literals {
 		if len(literal) > len("sf/") && strings.HasPrefix(literal, "sf/") && strings.HasPrefix(key, literal) {
@@ -139,7 +140,7 @@
 	if s.packages[directory] == nil {
 		complaint = "there is no package " + directory + " for `" + directory + "." + name + "`"
 	}
-	if similar := s.similar(name); len(similar) > 0 {
+	if similar := s.similarDeclarations(name); len(similar) > 0 {
 		return complaint + "; declarations with the same last name: " + strings.Join(similar, ", ")
 	}
 	return complaint + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
@@ -148,16 +149,16 @@
 func TestArchitecturePageLinksLeadToDeclarations(t *testing.T) {
 	tree := readSourceTree(t)
 	if *update {
-		tree.mendLinks(t)
+		tree.updateLinks(t)
 	}
-	prose, _ := readPage(t)
+	prose, _ := readArchitecturePage(t)
 	for _, line := range prose {
 		for _, found := range link.FindAllStringSubmatch(line.text, -1) {
 			text, target := found[1], found[2]
 			if strings.Contains(target, "://") {
 				continue
 			}
-			if want := tree.fileOf(text); want != "" && want != target {
+			if want := tree.declaringFile(text); want != "" && want != target {
 				t.Errorf("docs/%s:%d: the link of %s leads to %s, but the declaration is in %s; run: go test ./docs -update", architecturePage, line.number, text, target, want)
 			}
 			if _, err := os.Stat(target); err != nil {
@@ -167,9 +168,9 @@
 	}
 }
 
-// fileOf returns the path, relative to this directory, of the file that declares the symbol in the text of a link. It
-// returns "" if the text is not a symbol that is declared.
-func (s *sourceTree) fileOf(text string) string {
+// declaringFile returns the path, relative to this directory, of the file that declares the symbol in the text of a
+// link. It returns "" if the text is not a symbol that is declared.
+func (s *sourceTree) declaringFile(text string) string {
 	found := symbol.FindStringSubmatch(strings.Trim(text, "`"))
 	if found == nil || s.packages[found[1]] == nil || s.packages[found[1]].declared[found[2]] == "" {
 		return ""
@@ -177,8 +178,8 @@
 	return path.Join(repositoryRoot, s.packages[found[1]].declared[found[2]])
 }
 
-// mendLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
-func (s *sourceTree) mendLinks(t *testing.T) {
+// updateLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
+func (s *sourceTree) updateLinks(t *testing.T) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
 	if err != nil {
@@ -186,7 +187,7 @@
 	}
 	mended := link.ReplaceAllStringFunc(string(raw), func(whole string) string {
 		found := link.FindStringSubmatch(whole)
-		if want := s.fileOf(found[1]); want != "" {
+		if want := s.declaringFile(found[1]); want != "" {
 			return "[" + found[1] + "](" + want + ")"
 		}
 		return whole
@@ -204,11 +205,11 @@
 }
 
 // readLayers returns the layer of each package in the diagram.
-func readLayers(t *testing.T, drawing []string) map[string]layer {
+func readLayers(t *testing.T, diagram []string) map[string]layer {
 	t.Helper()
 	layers := map[string]layer{}
 	current := layer{depth: -1}
-	for _, text := range drawing {
+	for _, text := range diagram {
 		var packages string
 		if row := layerRow.FindStringSubmatch(text); row != nil && row[1] != "|" && row[1] != "v" {
 			current = layer{row[1], current.depth + 1}
@@ -229,10 +230,10 @@
 	return layers
 }
 
-func TestArchitecturePageDrawsAllPackagesInLayers(t *testing.T) {
+func TestArchitecturePageDiagramHasAllPackagesInLayers(t *testing.T) {
 	tree := readSourceTree(t)
-	_, drawing := readPage(t)
-	layers := readLayers(t, drawing)
+	_, diagram := readArchitecturePage(t)
+	layers := readLayers(t, diagram)
 	for directory := range layers {
 		if tree.packages[directory] == nil {
 			t.Errorf("docs/%s: the diagram has package %s, which does not exist; remove it, or write its new name", architecturePage, directory)
--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -39,9 +39,9 @@
 	declared map[string]string
 }
 
-// notSource reports whether a directory of this name contains no source files of the repository: hidden directories, test
-// data and build output.
-func notSource(name string) bool {
+// isIgnoredDirectory reports whether a directory of this name contains no source files of the repository: hidden
+// directories, test data and build output.
+func isIgnoredDirectory(name string) bool {
 	return strings.HasPrefix(name, ".") || name == "testdata" || name == "target"
 }
 
@@ -53,7 +53,7 @@
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && file != repositoryRoot && notSource(entry.Name()):
+		case entry.IsDir() && file != repositoryRoot && isIgnoredDirectory(entry.Name()):
 			return filepath.SkipDir
 		case entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go"):
 			return nil
@@ -118,14 +118,14 @@
 		}
 	}
 	ast.Inspect(parsed, func(node ast.Node) bool {
-		s.addLiteral(node)
+		s.addLiteralOrLogMessage(node)
 		return true
 	})
 	return nil
 }
 
-// addLiteral adds the node if it is a string literal, or its message if it is a call of slog.
-func (s *sourceTree) addLiteral(node ast.Node) {
+// addLiteralOrLogMessage adds the node if it is a string literal, or its message if it is a call of slog.
+func (s *sourceTree) addLiteralOrLogMessage(node ast.Node) {
 	switch node := node.(type) {
 	case *ast.BasicLit:
 		if node.Kind == token.STRING {
@@ -227,9 +227,9 @@
 	return value
 }
 
-// similar returns the declarations whose last name is the same as that of name, ignoring case, with the files that contain
-// them.
-func (s *sourceTree) similar(name string) (found []string) {
+// similarDeclarations returns the declarations whose last name is the same as that of name, ignoring case, with the
+// files that contain them.
+func (s *sourceTree) similarDeclarations(name string) (found []string) {
 	last := name[strings.LastIndex(name, ".")+1:]
 	for directory, pkg := range s.packages {
 		for declared, file := range pkg.declared {
