--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -60,20 +60,20 @@
 	eventually(t, "pinned", func() bool {
 		return pinnedParts(agent, "old").GetCardinality() == 3 && pinnedParts(agent, "next").GetCardinality() == 2
 	})
-	wanted := *both
-	wanted.Order, wanted.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
-	fixture.apply(agent, &wanted)
+	stillDesired := *both
+	stillDesired.Order, stillDesired.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
+	fixture.apply(agent, &stillDesired)
 	if pinnedParts(agent, "old").GetCardinality() != 3 {
 		t.Fatal("a dataset that the order asks for was removed")
 	}
 	order := newOrder(1, 3, "next", next, nil, 0, 1)
 	fixture.apply(agent, order)
 	agent, _ = fixture.startAgent(dir, 1<<20)
-	order.Drop = wanted.Drop
+	order.Drop = stillDesired.Drop
 	fixture.apply(agent, order)
-	for _, h := range agent.Report(true).Holds {
-		if h.Dataset != "next" || h.Parts.GetCardinality() != 2 {
-			t.Errorf("holds %v of %s", h.Parts, h.Dataset)
+	for _, held := range agent.Report(true).Holds {
+		if held.Dataset != "next" || held.Parts.GetCardinality() != 2 {
+			t.Errorf("holds %v of %s", held.Parts, held.Dataset)
 		}
 	}
 	if err := agent.cache.Verify(manifest.Chunks[1]); err != nil || agent.cache.Used() != 2000 {
@@ -91,22 +91,22 @@
 	fixture := newFixture(t)
 	_, digest := fixture.store.Add("inv", randomBytes(11, 300), 100, 1)
 	var mu sync.Mutex
-	var last api.StageHeartbeat
-	fulls, known := 0, uint64(0)
+	var lastHeartbeat api.StageHeartbeat
+	fullHeartbeats, knownVersion := 0, uint64(0)
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		last = api.StageHeartbeat{}
-		if err := json.NewDecoder(request.Body).Decode(&last); err != nil || last.Check() != nil || request.URL.Path != "/v1/staging" {
+		lastHeartbeat = api.StageHeartbeat{}
+		if err := json.NewDecoder(request.Body).Decode(&lastHeartbeat); err != nil || lastHeartbeat.Check() != nil || request.URL.Path != "/v1/staging" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		order := newOrder(4, 1, "inv", digest, []api.StageSource{storeSource}, 0, 2)
-		if last.All {
-			fulls++
-			known = last.Version
+		if lastHeartbeat.All {
+			fullHeartbeats++
+			knownVersion = lastHeartbeat.Version
 		}
-		order.Known = known
+		order.Known = knownVersion
 		_ = json.NewEncoder(w).Encode(order)
 	}))
 	t.Cleanup(leader.Close)
@@ -127,7 +127,7 @@
 		fixture.clock.Advance(tuning.MinStageReportInterval)
 		mu.Lock()
 		defer mu.Unlock()
-		return len(last.Pinned) == 1 && last.Pinned[0].Parts.GetCardinality() == 2 && last.Term == 4 && last.Order == 1 && fulls > 0
+		return len(lastHeartbeat.Pinned) == 1 && lastHeartbeat.Pinned[0].Parts.GetCardinality() == 2 && lastHeartbeat.Term == 4 && lastHeartbeat.Order == 1 && fullHeartbeats > 0
 	})
 	if agent.ReplicasVersion() == 0 {
 		t.Fatal("the version of the held parts is still 0")
--- a/dataagent/cache_test.go
+++ b/dataagent/cache_test.go
@@ -27,16 +27,16 @@
 	manifest, digest := fixture.store.Add("inv", randomBytes(5, 8000), 1000, 1)
 	agent, _ := fixture.startAgent(t.TempDir(), 3500)
 	from := []api.StageSource{storeSource}
-	get := func(n uint64, parts ...uint32) {
-		fixture.apply(agent, newOrder(1, n, "inv", digest, from, parts...))
+	orderParts := func(order uint64, parts ...uint32) {
+		fixture.apply(agent, newOrder(1, order, "inv", digest, from, parts...))
 		eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == uint64(len(parts)) })
 	}
-	get(1, 0, 1, 2)
-	get(2, 1, 2)
-	get(3, 1, 2, 3) // Part 0 is evicted.
-	for _, h := range agent.Report(true).Holds {
-		if h.Parts.Contains(0) || !h.Parts.Contains(3) {
-			t.Fatalf("holds %v", h.Parts)
+	orderParts(1, 0, 1, 2)
+	orderParts(2, 1, 2)
+	orderParts(3, 1, 2, 3) // Part 0 is evicted.
+	for _, held := range agent.Report(true).Holds {
+		if held.Parts.Contains(0) || !held.Parts.Contains(3) {
+			t.Fatalf("holds %v", held.Parts)
 		}
 	}
 	// A part that does not fit is not copied, and the heartbeat reports that the cache is full.
@@ -112,7 +112,7 @@
 // DATAAGENT_KILL_AT_STEP. It returns an error if the agent could not run, and nil if the agent needed fewer
 // steps.
 func killAtStep() error {
-	steps, err := strconv.ParseInt(os.Getenv("DATAAGENT_KILL_AT_STEP"), 10, 64)
+	stepsBeforeKill, err := strconv.ParseInt(os.Getenv("DATAAGENT_KILL_AT_STEP"), 10, 64)
 	if err != nil {
 		return err
 	}
@@ -120,18 +120,18 @@
 	if err != nil {
 		return err
 	}
-	var left atomic.Int64
-	left.Store(steps)
-	step := func(what string) {
-		fmt.Println(what)
-		if left.Add(-1) < 0 {
+	var remainingSteps atomic.Int64
+	remainingSteps.Store(stepsBeforeKill)
+	beforeStep := func(name string) {
+		fmt.Println(name)
+		if remainingSteps.Add(-1) < 0 {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	agent, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("DATAAGENT_DIR"), CacheBytes: 1 << 30, Store: os.Getenv("DATAAGENT_STORE"), BeforeStep: step})
+	agent, err := New(ctx, Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: os.Getenv("DATAAGENT_DIR"), CacheBytes: 1 << 30, Store: os.Getenv("DATAAGENT_STORE"), BeforeStep: beforeStep})
 	if err != nil {
 		return err
 	}
@@ -166,21 +166,21 @@
 	fixture := newFixture(t)
 	data := randomBytes(9, 2*(2*blockSize+500))
 	manifest, digest := fixture.store.Add("inv", data, len(data)/2, 1)
-	last := false
-	for step := 0; !last && step < 60; step++ {
+	finished := false
+	for step := 0; !finished && step < 60; step++ {
 		dir := t.TempDir()
 		cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^$")
 		cmd.Env = append(os.Environ(), "DATAAGENT_KILL_AT_STEP="+strconv.Itoa(step), "DATAAGENT_DIR="+dir, "DATAAGENT_STORE="+fixture.url, "DATAAGENT_MANIFEST="+digest.String())
-		out, err := cmd.CombinedOutput()
-		last = err == nil
+		output, err := cmd.CombinedOutput()
+		finished = err == nil
 		if err != nil && !strings.Contains(err.Error(), "killed") {
-			t.Fatalf("step %d: %v %s", step, err, out)
+			t.Fatalf("step %d: %v %s", step, err, output)
 		}
 		// The store may have sent more than the process received, so the bytes that it wrote are compared.
-		had, blocks := bytesOnDisk(dir), strings.Count(string(out), "write\n")
+		bytesBefore, writtenBlocks := bytesOnDisk(dir), strings.Count(string(output), "write\n")
 		// A chunk has two complete blocks and a shorter one. Each of the two transfers may lose its last block.
-		if had < int64(max(0, blocks-2))*500 || blocks >= 5 && had < 2*blockSize {
-			t.Errorf("step %d: %d blocks were written, but only %d bytes are on disk", step, blocks, had)
+		if bytesBefore < int64(max(0, writtenBlocks-2))*500 || writtenBlocks >= 5 && bytesBefore < 2*blockSize {
+			t.Errorf("step %d: %d blocks were written, but only %d bytes are on disk", step, writtenBlocks, bytesBefore)
 		}
 		agent, source := fixture.startAgent(dir, 1<<30)
 		for _, held := range agent.Report(true).Holds {
@@ -198,11 +198,11 @@
 		}
 		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 		eventually(t, "complete after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
-		if again := agent.Report(false).FromStore - (int64(len(data)) - had); again > 2*blockSize+8192 {
-			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, again, blockSize)
+		if copiedAgain := agent.Report(false).FromStore - (int64(len(data)) - bytesBefore); copiedAgain > 2*blockSize+8192 {
+			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, copiedAgain, blockSize)
 		}
 	}
-	if !last {
+	if !finished {
 		t.Error("the agent did not finish before the last step")
 	}
 }
--- a/dataagent/fixture_test.go
+++ b/dataagent/fixture_test.go
@@ -54,11 +54,11 @@
 }
 
 // eventually waits until a condition holds, and fails the test if that takes longer than 20 seconds.
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("condition not met within 20 s: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within 20 s: %s", description)
 		}
 	}
 }
@@ -144,17 +144,17 @@
 // apply applies an order, and fails the test if the agent does not adopt it.
 func (fixture *fixture) apply(agent *Agent, order *api.StageOrder) {
 	fixture.t.Helper()
-	if ok, err := agent.Apply(order); !ok || err != nil {
-		fixture.t.Fatalf("order %d/%d: %v %v", order.Term, order.Order, ok, err)
+	if adopted, err := agent.Apply(order); !adopted || err != nil {
+		fixture.t.Fatalf("order %d/%d: %v %v", order.Term, order.Order, adopted, err)
 	}
 }
 
 // advanceUntil advances the clock until a condition holds, so that backoffs end. It does so only while no chunk is
 // being downloaded, so that no download is cancelled as stalled.
-func (fixture *fixture) advanceUntil(agent *Agent, ok func() bool) {
+func (fixture *fixture) advanceUntil(agent *Agent, condition func() bool) {
 	fixture.t.Helper()
 	eventually(fixture.t, "the condition that advanceUntil waits for", func() bool {
-		if ok() {
+		if condition() {
 			return true
 		}
 		agent.mu.Lock()
--- a/dataagent/source_test.go
+++ b/dataagent/source_test.go
@@ -77,8 +77,8 @@
 			fixture.store.Break(fake.Fault{Kind: kind, After: blockSize})
 			fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 			eventually(t, "the failure is reported", func() bool {
-				c := agent.Report(false).Copies
-				return len(c) == 1 && len(c[0].Failed) == 1 && c[0].Failed[0].Corrupt == (kind == "wrong")
+				copies := agent.Report(false).Copies
+				return len(copies) == 1 && len(copies[0].Failed) == 1 && copies[0].Failed[0].Corrupt == (kind == "wrong")
 			})
 			if pinnedParts(agent, "inv").Contains(1) {
 				t.Fatal("an incomplete part is pinned")
@@ -120,8 +120,8 @@
 		return false
 	})
 	// The next order asks for only one of the datasets, as after the cancellation of a job.
-	one := newOrder(1, 2, "two", second, []api.StageSource{storeSource}, 0)
-	fixture.apply(agent, one)
+	secondOnly := newOrder(1, 2, "two", second, []api.StageSource{storeSource}, 0)
+	fixture.apply(agent, secondOnly)
 	eventually(t, "only one transfer waits for the download", func() bool {
 		agent.mu.Lock()
 		defer agent.mu.Unlock()
@@ -130,8 +130,8 @@
 		}
 		return false
 	})
-	if _, most := fixture.store.Served(); most != 1 {
-		t.Fatalf("the chunk was requested %d times, want 1", most)
+	if _, requests := fixture.store.Served(); requests != 1 {
+		t.Fatalf("the chunk was requested %d times, want 1", requests)
 	}
 	fixture.store.Break(fake.Fault{})
 	fixture.clock.Advance(tuning.StageStall + time.Second)
@@ -167,9 +167,9 @@
 		t.Run(kind, func(t *testing.T) {
 			fixture := newFixture(t)
 			_, digest := fixture.store.Add("inv", randomBytes(12, 5000), 5000, 1)
-			asked := make(chan struct{}, 8)
+			requests := make(chan struct{}, 8)
 			corruptPeer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-				asked <- struct{}{}
+				requests <- struct{}{}
 				switch {
 				case kind == "nothing" || strings.HasPrefix(request.URL.Path, "/manifest/"):
 					w.WriteHeader(http.StatusNotFound)
@@ -196,8 +196,8 @@
 			if kind == "nothing" && reported {
 				t.Error("a peer that evicted a part is reported as corrupt")
 			}
-			if len(asked) < 2 {
-				t.Errorf("the peer got %d requests, want at least 2: for the manifest and for the chunk", len(asked))
+			if len(requests) < 2 {
+				t.Errorf("the peer got %d requests, want at least 2: for the manifest and for the chunk", len(requests))
 			}
 		})
 	}
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -26,11 +26,11 @@
 	link     = regexp.MustCompile(`\[([^\]]*)\]\(([^)#\s]+)(?:#[^)]*)?\)`)
 	// symbol matches a package's directory, a dot, and a declared name, or a type and one of its members.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*(?:/[a-z0-9]+)*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
-	// unqualified matches a type and one of its members, without the package.
-	unqualified    = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
-	repositoryPath = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
-	fileName       = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
-	testName       = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
+	// unqualifiedMember matches a type and one of its members, without the package.
+	unqualifiedMember = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
+	repositoryPath    = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
+	fileName          = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
+	testName          = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
 	// layerRow matches a row of the diagram: the name of a layer, two or more spaces, and the packages of the layer.
 	layerRow = regexp.MustCompile(`^(\S+(?: \S+)*)\s{2,}(\S.*)$`)
 	// layerContinuation matches a row of the diagram with more packages of the layer in the row above.
@@ -79,27 +79,27 @@
 }
 
 // checkSpan returns a message that says what is wrong with a code span of the page, or "" if nothing is.
-func (s *sourceTree) checkSpan(span string) string {
+func (tree *sourceTree) checkSpan(span string) string {
 	if message, ok := quoted(span, `"`); ok {
-		if !s.logMessages[message] {
+		if !tree.logMessages[message] {
 			return "no call of slog has the message " + span + "; write the message as it is in the code"
 		}
 		return ""
 	}
 	if reason, ok := quoted(span, `why="`); ok {
-		if !s.literals[reason] {
+		if !tree.literals[reason] {
 			return "no string in the code is the reason " + span + "; write the reason as it is in the code"
 		}
 		return ""
 	}
 	if strings.HasPrefix(span, "sf/") {
-		return s.checkKey(span)
+		return tree.checkKey(span)
 	}
-	if unqualified.MatchString(span) {
+	if unqualifiedMember.MatchString(span) {
 		return "`" + span + "` has no package; write package." + span
 	}
 	if found := symbol.FindStringSubmatch(span); found != nil && !fileName.MatchString(span) {
-		return s.checkSymbol(found[1], found[2])
+		return tree.checkSymbol(found[1], found[2])
 	}
 	if strings.Contains(span, "/") && repositoryPath.MatchString(span) || fileName.MatchString(span) && !strings.Contains(span, " ") {
 		if _, err := os.Stat(path.Join(repositoryRoot, span)); err != nil {
@@ -121,8 +121,8 @@
 
 // checkKey returns a message if no string literal in the code is a prefix of a key of the state service, and ""
 // otherwise.
-func (s *sourceTree) checkKey(key string) string {
-	for literal := range s.literals {
+func (tree *sourceTree) checkKey(key string) string {
+	for literal := range tree.literals {
 		if len(literal) > len("sf/") && strings.HasPrefix(literal, "sf/") && strings.HasPrefix(key, literal) {
 			return ""
 		}
@@ -132,15 +132,15 @@
 
 // checkSymbol returns a message if the package in a directory does not declare a name, and "" otherwise. The message
 // lists declarations of the same name in other places.
-func (s *sourceTree) checkSymbol(directory, name string) string {
-	if pkg := s.packages[directory]; pkg != nil && pkg.declared[name] != "" {
+func (tree *sourceTree) checkSymbol(directory, name string) string {
+	if pkg := tree.packages[directory]; pkg != nil && pkg.declared[name] != "" {
 		return ""
 	}
 	complaint := "`" + directory + "." + name + "` is not declared"
-	if s.packages[directory] == nil {
+	if tree.packages[directory] == nil {
 		complaint = "there is no package " + directory + " for `" + directory + "." + name + "`"
 	}
-	if similar := s.similarDeclarations(name); len(similar) > 0 {
+	if similar := tree.similarDeclarations(name); len(similar) > 0 {
 		return complaint + "; declarations with the same last name: " + strings.Join(similar, ", ")
 	}
 	return complaint + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
@@ -170,29 +170,29 @@
 
 // declaringFile returns the path, relative to this directory, of the file that declares the symbol in the text of a
 // link. It returns "" if the text is not a symbol that is declared.
-func (s *sourceTree) declaringFile(text string) string {
+func (tree *sourceTree) declaringFile(text string) string {
 	found := symbol.FindStringSubmatch(strings.Trim(text, "`"))
-	if found == nil || s.packages[found[1]] == nil || s.packages[found[1]].declared[found[2]] == "" {
+	if found == nil || tree.packages[found[1]] == nil || tree.packages[found[1]].declared[found[2]] == "" {
 		return ""
 	}
-	return path.Join(repositoryRoot, s.packages[found[1]].declared[found[2]])
+	return path.Join(repositoryRoot, tree.packages[found[1]].declared[found[2]])
 }
 
 // updateLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
-func (s *sourceTree) updateLinks(t *testing.T) {
+func (tree *sourceTree) updateLinks(t *testing.T) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	mended := link.ReplaceAllStringFunc(string(raw), func(whole string) string {
-		found := link.FindStringSubmatch(whole)
-		if want := s.declaringFile(found[1]); want != "" {
+	updated := link.ReplaceAllStringFunc(string(raw), func(original string) string {
+		found := link.FindStringSubmatch(original)
+		if want := tree.declaringFile(found[1]); want != "" {
 			return "[" + found[1] + "](" + want + ")"
 		}
-		return whole
+		return original
 	})
-	if err := os.WriteFile(architecturePage, []byte(mended), 0o644); err != nil {
+	if err := os.WriteFile(architecturePage, []byte(updated), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -214,12 +214,12 @@
 		if row := layerRow.FindStringSubmatch(text); row != nil && row[1] != "|" && row[1] != "v" {
 			current = layer{row[1], current.depth + 1}
 			packages = row[2]
-		} else if more := layerContinuation.FindStringSubmatch(text); more != nil && strings.TrimSpace(text) != "v" {
-			packages = more[1]
+		} else if continuation := layerContinuation.FindStringSubmatch(text); continuation != nil && strings.TrimSpace(text) != "v" {
+			packages = continuation[1]
 		}
 		for directory := range strings.FieldsSeq(packages) {
-			if twice, ok := layers[directory]; ok {
-				t.Errorf("docs/%s: the diagram has package %s in the layers %q and %q; keep it in one of them", architecturePage, directory, twice.name, current.name)
+			if previous, ok := layers[directory]; ok {
+				t.Errorf("docs/%s: the diagram has package %s in the layers %q and %q; keep it in one of them", architecturePage, directory, previous.name, current.name)
 			}
 			layers[directory] = current
 		}
@@ -240,15 +240,15 @@
 		}
 	}
 	for _, directory := range slices.Sorted(maps.Keys(tree.packages)) {
-		here, ok := layers[directory]
+		importingLayer, ok := layers[directory]
 		if !ok {
 			t.Errorf("docs/%s: package %s is not in the diagram; add it to the lowest layer that is not below the layer of a package that it imports", architecturePage, directory)
 			continue
 		}
 		for _, imported := range slices.Sorted(maps.Keys(tree.packages[directory].imports)) {
-			if there, ok := layers[imported]; ok && there.depth < here.depth {
+			if importedLayer, ok := layers[imported]; ok && importedLayer.depth < importingLayer.depth {
 				t.Errorf("docs/%s: package %s (layer %q) imports %s, which the diagram has in a higher layer (%q); imports must not point up: move one of the packages, or remove the import",
-					architecturePage, directory, here.name, imported, there.name)
+					architecturePage, directory, importingLayer.name, imported, importedLayer.name)
 			}
 		}
 	}
--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -92,7 +92,7 @@
 }
 
 // addFile parses one file and adds its declarations, imports, string literals and log messages.
-func (s *sourceTree) addFile(file string) error {
+func (tree *sourceTree) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return fmt.Errorf("parse %s: %w", file, err)
@@ -102,10 +102,10 @@
 		return err
 	}
 	name = filepath.ToSlash(name)
-	pkg := s.packages[path.Dir(name)]
+	pkg := tree.packages[path.Dir(name)]
 	if pkg == nil {
 		pkg = &sourcePackage{imports: map[string]bool{}, declared: map[string]string{}}
-		s.packages[path.Dir(name)] = pkg
+		tree.packages[path.Dir(name)] = pkg
 	}
 	for _, spec := range parsed.Imports {
 		if imported, ok := strings.CutPrefix(unquote(spec.Path), modulePath); ok {
@@ -118,22 +118,22 @@
 		}
 	}
 	ast.Inspect(parsed, func(node ast.Node) bool {
-		s.addLiteralOrLogMessage(node)
+		tree.addLiteralOrLogMessage(node)
 		return true
 	})
 	return nil
 }
 
 // addLiteralOrLogMessage adds the node if it is a string literal, or its message if it is a call of slog.
-func (s *sourceTree) addLiteralOrLogMessage(node ast.Node) {
+func (tree *sourceTree) addLiteralOrLogMessage(node ast.Node) {
 	switch node := node.(type) {
 	case *ast.BasicLit:
 		if node.Kind == token.STRING {
-			s.literals[unquote(node)] = true
+			tree.literals[unquote(node)] = true
 		}
 	case *ast.CallExpr:
 		if message, ok := logMessage(node); ok {
-			s.logMessages[message] = true
+			tree.logMessages[message] = true
 		}
 	}
 }
@@ -145,9 +145,9 @@
 	if !ok {
 		return "", false
 	}
-	of, ok := function.X.(*ast.Ident)
+	qualifier, ok := function.X.(*ast.Ident)
 	levels := []string{"Debug", "Info", "Warn", "Error", "Log"}
-	if !ok || of.Name != "slog" || !slices.Contains(levels, strings.TrimSuffix(function.Sel.Name, "Context")) {
+	if !ok || qualifier.Name != "slog" || !slices.Contains(levels, strings.TrimSuffix(function.Sel.Name, "Context")) {
 		return "", false
 	}
 	for _, argument := range call.Args {
@@ -188,11 +188,11 @@
 	case *ast.TypeSpec:
 		names = append(names, spec.Name.Name)
 		var members *ast.FieldList
-		switch of := spec.Type.(type) {
+		switch typeExpression := spec.Type.(type) {
 		case *ast.StructType:
-			members = of.Fields
+			members = typeExpression.Fields
 		case *ast.InterfaceType:
-			members = of.Methods
+			members = typeExpression.Methods
 		default:
 			return names
 		}
@@ -229,9 +229,9 @@
 
 // similarDeclarations returns the declarations whose last name is the same as that of name, ignoring case, with the
 // files that contain them.
-func (s *sourceTree) similarDeclarations(name string) (found []string) {
+func (tree *sourceTree) similarDeclarations(name string) (found []string) {
 	last := name[strings.LastIndex(name, ".")+1:]
-	for directory, pkg := range s.packages {
+	for directory, pkg := range tree.packages {
 		for declared, file := range pkg.declared {
 			if strings.EqualFold(declared[strings.LastIndex(declared, ".")+1:], last) {
 				found = append(found, fmt.Sprintf("%s.%s in %s", directory, declared, file))
