--- a/dataagent/writer.go
+++ b/dataagent/writer.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// Writer writes one chunk to the cache. The caller must close it by Commit, Leave or Discard. It is not safe
-// for concurrent use.
+// Writer writes one chunk to the cache. The caller must close it by Writer.Commit, Writer.Leave or
+// Writer.Discard. It is not safe for concurrent use.
 type Writer struct {
 	cache *Cache
 	chunk dataset.Chunk
@@ -90,7 +90,7 @@
 	return err
 }
 
-// Offset returns the number of bytes of the chunk that are written. After Begin it is a multiple of
+// Offset returns the number of bytes of the chunk that are written. In a new writer it is a multiple of
 // tuning.StageBlock.
 func (writer *Writer) Offset() int64 { return writer.offset }
 
