--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -14,19 +14,19 @@
 	"switchferry/tuning"
 )
 
-// An order of an earlier leader, an older order of the same one, or one for another incarnation
-// changes nothing, also after a restart of the agent.
-func TestOldOrdersAreRefused(t *testing.T) {
+// The agent rejects an order from an older term, an older order of the current term, and an order for
+// another incarnation, also after a restart.
+func TestOutdatedOrdersAreRejected(t *testing.T) {
 	fixture := newFixture(t)
 	_, digest := fixture.store.Add("inv", randomBytes(4, 100), 10, 1)
 	dir := t.TempDir()
 	agent, source := fixture.startAgent(dir, 1<<20)
-	fixture.apply(agent, newOrder(7, 3, "inv", digest, []api.StageSource{fromStore}, 0, 1))
+	fixture.apply(agent, newOrder(7, 3, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 	for _, restarted := range []bool{false, true} {
 		if restarted {
 			agent, source = fixture.startAgent(dir, 1<<20)
-			eventually(t, "what was pinned is pinned after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+			eventually(t, "pinned again after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 		}
 		for _, order := range []*api.StageOrder{newOrder(6, 9, "inv", digest, nil), newOrder(7, 2, "inv", digest, nil), {Term: 7, Order: 4, Incarnation: 99}} {
 			raw, err := json.Marshal(order)
@@ -43,37 +43,37 @@
 	}
 }
 
-// A removed dataset is deleted from the disk, except the chunks that another one has as well. A
-// dataset that the order asks for stays, whatever else the order says. An order that comes again
-// after a restart has the same effect.
-func TestRemovedDatasetsGo(t *testing.T) {
+// A dataset that the order drops is deleted from the disk, except the chunks that another dataset shares. A
+// dataset that the same order asks for is kept. A drop that arrives after a restart of the agent has the same
+// effect.
+func TestRemovedDatasetIsDeletedExceptSharedChunks(t *testing.T) {
 	fixture := newFixture(t)
 	data := randomBytes(11, 3000)
 	manifest, old := fixture.store.Add("old", data, 1000, 1)
 	_, next := fixture.store.Add("next", append(data[1000:2000:2000], randomBytes(12, 1000)...), 1000, 1)
 	dir := t.TempDir()
 	agent, _ := fixture.startAgent(dir, 1<<20)
-	from := []api.StageSource{fromStore}
+	from := []api.StageSource{storeSource}
 	both := newOrder(1, 1, "old", old, from, 0, 1, 2)
 	both.Sets = append(both.Sets, newOrder(1, 1, "next", next, from, 0, 1).Sets...)
 	fixture.apply(agent, both)
 	eventually(t, "pinned", func() bool {
 		return pinnedParts(agent, "old").GetCardinality() == 3 && pinnedParts(agent, "next").GetCardinality() == 2
 	})
-	wanted := *both
-	wanted.Order, wanted.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
-	fixture.apply(agent, &wanted)
+	stillDesired := *both
+	stillDesired.Order, stillDesired.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
+	fixture.apply(agent, &stillDesired)
 	if pinnedParts(agent, "old").GetCardinality() != 3 {
-		t.Fatal("what the order asks for was removed")
+		t.Fatal("a dataset that the order asks for was removed")
 	}
 	order := newOrder(1, 3, "next", next, nil, 0, 1)
 	fixture.apply(agent, order)
 	agent, _ = fixture.startAgent(dir, 1<<20)
-	order.Drop = wanted.Drop
+	order.Drop = stillDesired.Drop
 	fixture.apply(agent, order)
-	for _, h := range agent.Report(true).Holds {
-		if h.Dataset != "next" || h.Parts.GetCardinality() != 2 {
-			t.Errorf("holds %v of %s", h.Parts, h.Dataset)
+	for _, held := range agent.Report(true).Holds {
+		if held.Dataset != "next" || held.Parts.GetCardinality() != 2 {
+			t.Errorf("holds %v of %s", held.Parts, held.Dataset)
 		}
 	}
 	if err := agent.cache.Verify(manifest.Chunks[1]); err != nil || agent.cache.Used() != 2000 {
@@ -85,28 +85,28 @@
 	}
 }
 
-// An agent finds the leader if one controller is down and another one redirects it, and reports
-// everything that it holds until the leader knows it.
+// The agent reaches the leader although one controller is down and another one redirects it. It lists all
+// parts in its cache until the leader has acknowledged the list.
 func TestAgentFindsTheLeader(t *testing.T) {
 	fixture := newFixture(t)
 	_, digest := fixture.store.Add("inv", randomBytes(11, 300), 100, 1)
 	var mu sync.Mutex
-	var last api.StageHeartbeat
-	fulls, known := 0, uint64(0)
+	var lastHeartbeat api.StageHeartbeat
+	fullHeartbeats, knownVersion := 0, uint64(0)
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		last = api.StageHeartbeat{}
-		if err := json.NewDecoder(request.Body).Decode(&last); err != nil || last.Check() != nil || request.URL.Path != "/v1/staging" {
+		lastHeartbeat = api.StageHeartbeat{}
+		if err := json.NewDecoder(request.Body).Decode(&lastHeartbeat); err != nil || lastHeartbeat.Check() != nil || request.URL.Path != "/v1/staging" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		order := newOrder(4, 1, "inv", digest, []api.StageSource{fromStore}, 0, 2)
-		if last.All {
-			fulls++
-			known = last.Version
+		order := newOrder(4, 1, "inv", digest, []api.StageSource{storeSource}, 0, 2)
+		if lastHeartbeat.All {
+			fullHeartbeats++
+			knownVersion = lastHeartbeat.Version
 		}
-		order.Known = known
+		order.Known = knownVersion
 		_ = json.NewEncoder(w).Encode(order)
 	}))
 	t.Cleanup(leader.Close)
@@ -123,13 +123,13 @@
 		t.Fatal(err)
 	}
 	fixture.run(agent)
-	eventually(t, "the leader knows what is pinned, and all that is held", func() bool {
+	eventually(t, "the leader knows the pinned parts and all held parts", func() bool {
 		fixture.clock.Advance(tuning.MinStageReportInterval)
 		mu.Lock()
 		defer mu.Unlock()
-		return len(last.Pinned) == 1 && last.Pinned[0].Parts.GetCardinality() == 2 && last.Term == 4 && last.Order == 1 && fulls > 0
+		return len(lastHeartbeat.Pinned) == 1 && lastHeartbeat.Pinned[0].Parts.GetCardinality() == 2 && lastHeartbeat.Term == 4 && lastHeartbeat.Order == 1 && fullHeartbeats > 0
 	})
-	if agent.Version() == 0 {
-		t.Fatal("nothing was counted as held")
+	if agent.ReplicasVersion() == 0 {
+		t.Fatal("the version of the held parts is still 0")
 	}
 }
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,7 +1,7 @@
-// Package docs_test checks that architecture.md names what the code has: its packages with the direction of their
-// imports, its functions, types, fields and constants with the files that declare them, its keys and its log lines; and
-// that the README lists all packages, and that all pages but those of incidents name tests and packages' members that exist.
-// After code has moved between files, "go test ./docs -update" mends the links.
+// Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the packages
+// and their imports, the names of declarations and the links to the files that declare them, the keys of the state
+// service, and the log messages. It also checks that the README lists all packages, and that all pages except incident pages name
+// only tests and declarations that exist. After code has moved between files, "go test ./docs -update" updates the links.
 package docs_test
 
 import (
@@ -18,33 +18,35 @@
 
 var update = flag.Bool("update", false, "rewrite the links of architecture.md to the files that declare what they name")
 
-// architecturePage is the page that the tests check.
+// architecturePage is the page that describes the code in detail, in this directory.
 const architecturePage = "architecture.md"
 
 var (
 	codeSpan = regexp.MustCompile("`([^`]+)`")
 	link     = regexp.MustCompile(`\[([^\]]*)\]\(([^)#\s]+)(?:#[^)]*)?\)`)
-	// symbol is a package's directory, a dot, and a name or a type with one of its members.
+	// symbol matches a package's directory, a dot, and a declared name, or a type and one of its members.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*(?:/[a-z0-9]+)*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
-	// unqualified is a type with one of its members, without the package.
-	unqualified = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
-	repository  = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
-	fileName    = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
-	testName    = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
-	// layerRow is a row of the drawing: a layer's name, two spaces or more, and its packages.
+	// unqualifiedMember matches a type and one of its members, without the package.
+	unqualifiedMember = regexp.MustCompile(`^[A-Z]\w*\.[A-Za-z]\w*$`)
+	repositoryPath    = regexp.MustCompile(`^[\w.-]+(?:/[\w.-]+)*/?$`)
+	fileName          = regexp.MustCompile(`\.(?:go|md|toml|json|txt|fbs|hex)$`)
+	testName          = regexp.MustCompile(`\b(?:Test|Benchmark)[A-Z]\w*\b`)
+	// layerRow matches a row of the diagram: the name of a layer, two or more spaces, and the packages of the layer.
 	layerRow = regexp.MustCompile(`^(\S+(?: \S+)*)\s{2,}(\S.*)$`)
-	// layerContinuation has more packages of the layer above it.
+	// layerContinuation matches a row of the diagram with more packages of the layer in the row above.
 	layerContinuation = regexp.MustCompile(`^\s{4,}([a-z].*)$`)
 )
 
-// pageLine is a line of the page outside of fenced blocks.
+// pageLine is a line of architecture.md outside of fenced blocks.
 type pageLine struct {
+	// number is the line number, starting at 1.
 	number int
 	text   string
 }
 
-// readPage returns the lines of the page outside of fenced blocks, and the lines of its first fenced block.
-func readPage(t *testing.T) (prose []pageLine, drawing []string) {
+// readArchitecturePage returns the lines of architecture.md outside of fenced blocks, and the lines of its first fenced
+// block, which is the diagram of the packages.
+func readArchitecturePage(t *testing.T) (prose []pageLine, diagram []string) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
 	if err != nil {
@@ -58,15 +60,15 @@
 		case fences%2 == 0:
 			prose = append(prose, pageLine{index + 1, text})
 		case fences == 1:
-			drawing = append(drawing, text)
+			diagram = append(diagram, text)
 		}
 	}
-	return prose, drawing
+	return prose, diagram
 }
 
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	tree := readSourceTree(t)
-	prose, _ := readPage(t)
+	prose, _ := readArchitecturePage(t)
 	for _, line := range prose {
 		for _, span := range codeSpan.FindAllStringSubmatch(line.text, -1) {
 			if complaint := tree.checkSpan(span[1]); complaint != "" {
@@ -76,30 +78,30 @@
 	}
 }
 
-// checkSpan returns what is wrong with a code span of the page, or nothing.
-func (s *sourceTree) checkSpan(span string) string {
+// checkSpan returns a message that says what is wrong with a code span of the page, or "" if nothing is.
+func (tree *sourceTree) checkSpan(span string) string {
 	if message, ok := quoted(span, `"`); ok {
-		if !s.logMessages[message] {
-			return "no call of slog has the message " + span + "; write the message as it is in the code now"
+		if !tree.logMessages[message] {
+			return "no call of slog has the message " + span + "; write the message as it is in the code"
 		}
 		return ""
 	}
 	if reason, ok := quoted(span, `why="`); ok {
-		if !s.literals[reason] {
-			return "no string in the code is the reason " + span + "; write the reason as it is in the code now"
+		if !tree.literals[reason] {
+			return "no string in the code is the reason " + span + "; write the reason as it is in the code"
 		}
 		return ""
 	}
 	if strings.HasPrefix(span, "sf/") {
-		return s.checkKey(span)
+		return tree.checkKey(span)
 	}
-	if unqualified.MatchString(span) {
+	if unqualifiedMember.MatchString(span) {
 		return "`" + span + "` has no package; write package." + span
 	}
 	if found := symbol.FindStringSubmatch(span); found != nil && !fileName.MatchString(span) {
-		return s.checkSymbol(found[1], found[2])
+		return tree.checkSymbol(found[1], found[2])
 	}
-	if strings.Contains(span, "/") && repository.MatchString(span) || fileName.MatchString(span) && !strings.Contains(span, " ") {
+	if strings.Contains(span, "/") && repositoryPath.MatchString(span) || fileName.MatchString(span) && !strings.Contains(span, " ") {
 		if _, err := os.Stat(path.Join(repositoryRoot, span)); err != nil {
 			return "`" + span + "` is no file or directory of the repository; write its path from the root"
 		}
@@ -107,7 +109,8 @@
 	return ""
 }
 
-// quoted returns what stands between a prefix and a final quotation mark.
+// quoted returns the text between a prefix and a final quotation mark. The second result is false if the span does not
+// have both.
 func quoted(span, prefix string) (string, bool) {
 	inner, ok := strings.CutPrefix(span, prefix)
 	if !ok {
@@ -116,134 +119,136 @@
 	return strings.CutSuffix(inner, `"`)
 }
 
-// checkKey returns what is wrong with a key of the state service.
-func (s *sourceTree) checkKey(key string) string {
-	for literal := range s.literals {
+// checkKey returns a message if no string literal in the code is a prefix of a key of the state service, and ""
+// otherwise.
+func (tree *sourceTree) checkKey(key string) string {
+	for literal := range tree.literals {
 		if len(literal) > len("sf/") && strings.HasPrefix(literal, "sf/") && strings.HasPrefix(key, literal) {
 			return ""
 		}
 	}
-	return "no string in the code begins the key `" + key + "`; see the constants of package store"
+	return "no string in the code is a prefix of the key `" + key + "`; see the constants of package store"
 }
 
-// checkSymbol returns what is wrong with the name of something that a package declares.
-func (s *sourceTree) checkSymbol(directory, name string) string {
-	if pkg := s.packages[directory]; pkg != nil && pkg.declared[name] != "" {
+// checkSymbol returns a message if the package in a directory does not declare a name, and "" otherwise. The message
+// lists declarations of the same name in other places.
+func (tree *sourceTree) checkSymbol(directory, name string) string {
+	if pkg := tree.packages[directory]; pkg != nil && pkg.declared[name] != "" {
 		return ""
 	}
-	complaint := "`" + directory + "." + name + "` is declared nowhere"
-	if s.packages[directory] == nil {
+	complaint := "`" + directory + "." + name + "` is not declared"
+	if tree.packages[directory] == nil {
 		complaint = "there is no package " + directory + " for `" + directory + "." + name + "`"
 	}
-	if similar := s.similar(name); len(similar) > 0 {
-		return complaint + "; of that name there are: " + strings.Join(similar, ", ")
+	if similar := tree.similarDeclarations(name); len(similar) > 0 {
+		return complaint + "; declarations with the same last name: " + strings.Join(similar, ", ")
 	}
-	return complaint + ", and nothing of that last name is; it was renamed or removed: write what does its work now"
+	return complaint + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
 }
 
 func TestArchitecturePageLinksLeadToDeclarations(t *testing.T) {
 	tree := readSourceTree(t)
 	if *update {
-		tree.mendLinks(t)
+		tree.updateLinks(t)
 	}
-	prose, _ := readPage(t)
+	prose, _ := readArchitecturePage(t)
 	for _, line := range prose {
 		for _, found := range link.FindAllStringSubmatch(line.text, -1) {
 			text, target := found[1], found[2]
 			if strings.Contains(target, "://") {
 				continue
 			}
-			if want := tree.fileOf(text); want != "" && want != target {
-				t.Errorf("docs/%s:%d: the link of %s is %s, and the declaration is in %s; run: go test ./docs -update", architecturePage, line.number, text, target, want)
+			if want := tree.declaringFile(text); want != "" && want != target {
+				t.Errorf("docs/%s:%d: the link of %s leads to %s, but the declaration is in %s; run: go test ./docs -update", architecturePage, line.number, text, target, want)
 			}
 			if _, err := os.Stat(target); err != nil {
-				t.Errorf("docs/%s:%d: the link %s leads to no file; write its path from docs/", architecturePage, line.number, target)
+				t.Errorf("docs/%s:%d: the target %s of a link does not exist; write its path relative to docs/", architecturePage, line.number, target)
 			}
 		}
 	}
 }
 
-// fileOf returns the file, as a link from this directory, that declares what the text of a link names; empty if the text
-// names nothing that is declared.
-func (s *sourceTree) fileOf(text string) string {
+// declaringFile returns the path, relative to this directory, of the file that declares the symbol in the text of a
+// link. It returns "" if the text is not a symbol that is declared.
+func (tree *sourceTree) declaringFile(text string) string {
 	found := symbol.FindStringSubmatch(strings.Trim(text, "`"))
-	if found == nil || s.packages[found[1]] == nil || s.packages[found[1]].declared[found[2]] == "" {
+	if found == nil || tree.packages[found[1]] == nil || tree.packages[found[1]].declared[found[2]] == "" {
 		return ""
 	}
-	return path.Join(repositoryRoot, s.packages[found[1]].declared[found[2]])
+	return path.Join(repositoryRoot, tree.packages[found[1]].declared[found[2]])
 }
 
-// mendLinks rewrites the links of the page that lead to another file than the one with the declaration.
-func (s *sourceTree) mendLinks(t *testing.T) {
+// updateLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
+func (tree *sourceTree) updateLinks(t *testing.T) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	mended := link.ReplaceAllStringFunc(string(raw), func(whole string) string {
-		found := link.FindStringSubmatch(whole)
-		if want := s.fileOf(found[1]); want != "" {
+	updated := link.ReplaceAllStringFunc(string(raw), func(original string) string {
+		found := link.FindStringSubmatch(original)
+		if want := tree.declaringFile(found[1]); want != "" {
 			return "[" + found[1] + "](" + want + ")"
 		}
-		return whole
+		return original
 	})
-	if err := os.WriteFile(architecturePage, []byte(mended), 0o644); err != nil {
+	if err := os.WriteFile(architecturePage, []byte(updated), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// layer is a row of the drawing.
+// layer is a layer of packages in the diagram.
 type layer struct {
 	name string
-	// depth counts the layers above.
+	// depth is the number of layers above this one.
 	depth int
 }
 
-// readLayers returns the layer of each package on the drawing.
-func readLayers(t *testing.T, drawing []string) map[string]layer {
+// readLayers returns the layer of each package in the diagram.
+func readLayers(t *testing.T, diagram []string) map[string]layer {
 	t.Helper()
 	layers := map[string]layer{}
 	current := layer{depth: -1}
-	for _, text := range drawing {
+	for _, text := range diagram {
 		var packages string
 		if row := layerRow.FindStringSubmatch(text); row != nil && row[1] != "|" && row[1] != "v" {
 			current = layer{row[1], current.depth + 1}
 			packages = row[2]
-		} else if more := layerContinuation.FindStringSubmatch(text); more != nil && strings.TrimSpace(text) != "v" {
-			packages = more[1]
+		} else if continuation := layerContinuation.FindStringSubmatch(text); continuation != nil && strings.TrimSpace(text) != "v" {
+			packages = continuation[1]
 		}
 		for directory := range strings.FieldsSeq(packages) {
-			if twice, ok := layers[directory]; ok {
-				t.Errorf("docs/%s: the drawing has package %s in the layers %q and %q; leave it in one", architecturePage, directory, twice.name, current.name)
+			if previous, ok := layers[directory]; ok {
+				t.Errorf("docs/%s: the diagram has package %s in the layers %q and %q; keep it in one of them", architecturePage, directory, previous.name, current.name)
 			}
 			layers[directory] = current
 		}
 	}
 	if len(layers) == 0 {
-		t.Fatalf("docs/%s: its first fenced block has no rows of layers", architecturePage)
+		t.Fatalf("docs/%s: the first fenced block has no rows of layers", architecturePage)
 	}
 	return layers
 }
 
-func TestArchitecturePageDrawsAllPackagesInLayers(t *testing.T) {
+func TestArchitecturePageDiagramHasAllPackagesInLayers(t *testing.T) {
 	tree := readSourceTree(t)
-	_, drawing := readPage(t)
-	layers := readLayers(t, drawing)
+	_, diagram := readArchitecturePage(t)
+	layers := readLayers(t, diagram)
 	for directory := range layers {
 		if tree.packages[directory] == nil {
-			t.Errorf("docs/%s: the drawing has package %s, which does not exist; remove it, or write its new name", architecturePage, directory)
+			t.Errorf("docs/%s: the diagram has package %s, which does not exist; remove it, or write its new name", architecturePage, directory)
 		}
 	}
 	for _, directory := range slices.Sorted(maps.Keys(tree.packages)) {
-		here, ok := layers[directory]
+		importingLayer, ok := layers[directory]
 		if !ok {
-			t.Errorf("docs/%s: package %s is not on the drawing; add it to the lowest layer that is not below one that it imports", architecturePage, directory)
+			t.Errorf("docs/%s: package %s is not in the diagram; add it to the lowest layer that is not below the layer of a package that it imports", architecturePage, directory)
 			continue
 		}
 		for _, imported := range slices.Sorted(maps.Keys(tree.packages[directory].imports)) {
-			if there, ok := layers[imported]; ok && there.depth < here.depth {
-				t.Errorf("docs/%s: package %s (layer %q) imports %s, which the drawing has above it (layer %q); imports point down: move one of the two, or end the import",
-					architecturePage, directory, here.name, imported, there.name)
+			if importedLayer, ok := layers[imported]; ok && importedLayer.depth < importingLayer.depth {
+				t.Errorf("docs/%s: package %s (layer %q) imports %s, which the diagram has in a higher layer (%q); imports must not point up: move one of the packages, or remove the import",
+					architecturePage, directory, importingLayer.name, imported, importedLayer.name)
 			}
 		}
 	}
@@ -275,7 +280,7 @@
 	}
 }
 
-// pages are all pages but those of incidents, which keep the names of their day.
+// pages returns the paths of all pages except incident pages, which keep the names from the time of the incident.
 func pages(t *testing.T) []string {
 	t.Helper()
 	found, err := filepath.Glob("*.md")
@@ -296,7 +301,7 @@
 		for index, line := range strings.Split(string(raw), "\n") {
 			for _, name := range testName.FindAllString(line, -1) {
 				if !tests[name] {
-					t.Errorf("%s:%d: no test or benchmark is named %s; write the name of the one that shows this now", path.Join("docs", page), index+1, name)
+					t.Errorf("%s:%d: no test or benchmark has the name %s; write the name of the one that shows this", path.Join("docs", page), index+1, name)
 				}
 			}
 			for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -14,37 +14,38 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the repository, seen from the directory in which the tests run.
+// repositoryRoot is the root of the repository, relative to the directory in which the tests run.
 const repositoryRoot = ".."
 
 // modulePath is the prefix of the import paths of the repository's packages.
 const modulePath = "switchferry/"
 
-// sourceTree is what the Go files of the repository declare, import and log. It leaves out tests.
+// sourceTree describes what the Go files of the repository, except tests, declare, import and log.
 type sourceTree struct {
-	// packages are by their directories below the root, with slashes.
+	// packages maps directories, relative to the root and with slashes, to the packages in them.
 	packages map[string]*sourcePackage
-	// logMessages are the messages that are passed to slog as literals.
+	// logMessages is the set of messages that are passed to slog as literals.
 	logMessages map[string]bool
-	// literals are all string literals.
+	// literals is the set of all string literals.
 	literals map[string]bool
 }
 
 // sourcePackage is one package of the repository.
 type sourcePackage struct {
-	// imports are the directories of the repository's packages that it imports.
+	// imports is the set of directories of the repository's packages that the package imports.
 	imports map[string]bool
-	// declared maps "Function", "Type", "Type.Method", "Type.Field" and "Constant" to the file, below the root.
+	// declared maps names such as "Function", "Type", "Type.Method", "Type.Field" and "Constant" to the path of the file
+	// that declares them, relative to the root.
 	declared map[string]string
 }
 
-// notSource reports whether a directory of this name holds no sources of the tree: hidden ones, test data and what builds
-// leave behind.
-func notSource(name string) bool {
+// isIgnoredDirectory reports whether a directory of this name contains no source files of the repository: hidden
+// directories, test data and build output.
+func isIgnoredDirectory(name string) bool {
 	return strings.HasPrefix(name, ".") || name == "testdata" || name == "target"
 }
 
-// readSourceTree parses all Go files that are not tests.
+// readSourceTree parses all Go files of the repository that are not tests.
 func readSourceTree(t *testing.T) *sourceTree {
 	t.Helper()
 	tree := &sourceTree{packages: map[string]*sourcePackage{}, logMessages: map[string]bool{}, literals: map[string]bool{}}
@@ -52,7 +53,7 @@
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && file != repositoryRoot && notSource(entry.Name()):
+		case entry.IsDir() && file != repositoryRoot && isIgnoredDirectory(entry.Name()):
 			return filepath.SkipDir
 		case entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go"):
 			return nil
@@ -65,7 +66,7 @@
 	return tree
 }
 
-// readTestNames returns the names of all tests and benchmarks.
+// readTestNames returns the names of all declarations in test files, which include all tests and benchmarks.
 func readTestNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -90,8 +91,8 @@
 	return names
 }
 
-// addFile adds what one file declares, imports and logs.
-func (s *sourceTree) addFile(file string) error {
+// addFile parses one file and adds its declarations, imports, string literals and log messages.
+func (tree *sourceTree) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return fmt.Errorf("parse %s: %w", file, err)
@@ -101,10 +102,10 @@
 		return err
 	}
 	name = filepath.ToSlash(name)
-	pkg := s.packages[path.Dir(name)]
+	pkg := tree.packages[path.Dir(name)]
 	if pkg == nil {
 		pkg = &sourcePackage{imports: map[string]bool{}, declared: map[string]string{}}
-		s.packages[path.Dir(name)] = pkg
+		tree.packages[path.Dir(name)] = pkg
 	}
 	for _, spec := range parsed.Imports {
 		if imported, ok := strings.CutPrefix(unquote(spec.Path), modulePath); ok {
@@ -117,35 +118,36 @@
 		}
 	}
 	ast.Inspect(parsed, func(node ast.Node) bool {
-		s.addLiteral(node)
+		tree.addLiteralOrLogMessage(node)
 		return true
 	})
 	return nil
 }
 
-// addLiteral notes a string literal, or the message of a call of slog.
-func (s *sourceTree) addLiteral(node ast.Node) {
+// addLiteralOrLogMessage adds the node if it is a string literal, or its message if it is a call of slog.
+func (tree *sourceTree) addLiteralOrLogMessage(node ast.Node) {
 	switch node := node.(type) {
 	case *ast.BasicLit:
 		if node.Kind == token.STRING {
-			s.literals[unquote(node)] = true
+			tree.literals[unquote(node)] = true
 		}
 	case *ast.CallExpr:
 		if message, ok := logMessage(node); ok {
-			s.logMessages[message] = true
+			tree.logMessages[message] = true
 		}
 	}
 }
 
-// logMessage returns the message of a call such as slog.Info, if it is a literal.
+// logMessage returns the message of a call of a logging function of slog, such as slog.Info. The second result is false
+// if the call is another one or has no string literal as an argument.
 func logMessage(call *ast.CallExpr) (string, bool) {
 	function, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return "", false
 	}
-	of, ok := function.X.(*ast.Ident)
+	qualifier, ok := function.X.(*ast.Ident)
 	levels := []string{"Debug", "Info", "Warn", "Error", "Log"}
-	if !ok || of.Name != "slog" || !slices.Contains(levels, strings.TrimSuffix(function.Sel.Name, "Context")) {
+	if !ok || qualifier.Name != "slog" || !slices.Contains(levels, strings.TrimSuffix(function.Sel.Name, "Context")) {
 		return "", false
 	}
 	for _, argument := range call.Args {
@@ -156,7 +158,8 @@
 	return "", false
 }
 
-// declaredNames returns the names that a declaration at the top of a file declares.
+// declaredNames returns the names that a top-level declaration declares. Names of methods, fields and interface methods
+// are preceded by their type and a dot.
 func declaredNames(declaration ast.Decl) []string {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -174,7 +177,8 @@
 	return nil
 }
 
-// specNames returns the names of one constant, variable or type, with those of its fields or methods.
+// specNames returns the names that one specification of constants, variables or a type declares, including the fields of
+// a struct type and the methods of an interface type.
 func specNames(spec ast.Spec) (names []string) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -184,11 +188,11 @@
 	case *ast.TypeSpec:
 		names = append(names, spec.Name.Name)
 		var members *ast.FieldList
-		switch of := spec.Type.(type) {
+		switch typeExpression := spec.Type.(type) {
 		case *ast.StructType:
-			members = of.Fields
+			members = typeExpression.Fields
 		case *ast.InterfaceType:
-			members = of.Methods
+			members = typeExpression.Methods
 		default:
 			return names
 		}
@@ -201,7 +205,7 @@
 	return names
 }
 
-// receiverType returns the name of the type that a method belongs to.
+// receiverType returns the name of the type of a method's receiver.
 func receiverType(receiver ast.Expr) string {
 	switch receiver := receiver.(type) {
 	case *ast.StarExpr:
@@ -214,7 +218,7 @@
 	return ""
 }
 
-// unquote returns the value of a string literal that the parser has accepted.
+// unquote returns the value of a string literal, or its source text if it is malformed.
 func unquote(literal *ast.BasicLit) string {
 	value, err := strconv.Unquote(literal.Value)
 	if err != nil {
@@ -223,10 +227,11 @@
 	return value
 }
 
-// similar returns where the tree declares something with the same last name, for messages to whoever mends a page.
-func (s *sourceTree) similar(name string) (found []string) {
+// similarDeclarations returns the declarations whose last name is the same as that of name, ignoring case, with the
+// files that contain them.
+func (tree *sourceTree) similarDeclarations(name string) (found []string) {
 	last := name[strings.LastIndex(name, ".")+1:]
-	for directory, pkg := range s.packages {
+	for directory, pkg := range tree.packages {
 		for declared, file := range pkg.declared {
 			if strings.EqualFold(declared[strings.LastIndex(declared, ".")+1:], last) {
 				found = append(found, fmt.Sprintf("%s.%s in %s", directory, declared, file))
