--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -37,15 +37,15 @@
 	TopologyOn, DataOn bool
 }
 
-// Present returns the current configuration and, on the leader, the progress of the last change. The
+// Current returns the current configuration and, on the leader, the progress of the last change. The
 // applier is nil on a controller that does not lead.
-func (h *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
+func (h *Handler) Current(applier *revisions.Applier) api.ConfigurationView {
 	revision, newest, rejection := h.Store.Current()
 	var view api.ConfigurationView
 	if revision != nil {
 		view = viewOf(revision)
 	}
-	view.Newest, view.NotTaken, view.Leader = newest, rejection, applier != nil
+	view.Newest, view.NotAppliedReason, view.FromLeader = newest, rejection, applier != nil
 	if applier != nil {
 		view.InForce = true
 		if progress, ok := applier.Progress(); ok && progress.Revision == view.Revision {
@@ -58,11 +58,11 @@
 // viewOf returns the API view of a revision.
 func viewOf(revision *configuration.Revision) api.ConfigurationView {
 	return api.ConfigurationView{
-		Revision: revision.Number,
-		By:       revision.By,
-		Why:      revision.Why,
-		AtMS:     revision.AtMS,
-		Document: revision.Document,
+		Revision:    revision.Number,
+		Operator:    revision.By,
+		Reason:      revision.Why,
+		AppliedAtMS: revision.AtMS,
+		Document:    revision.Document,
 	}
 }
 
@@ -79,7 +79,7 @@
 	revision, err := h.Store.Revision(ctx, number)
 	switch {
 	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewerFormat):
-		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationKept)}
+		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationRetention)}
 	case err != nil:
 		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
 	}
@@ -111,7 +111,7 @@
 		err = h.checkFeatures(document)
 	}
 	if err != nil {
-		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
+		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", FieldErrors: fieldErrorViews(err)}
 	}
 	controllersWithout, err := h.Versions.WithoutConfiguration(ctx)
 	if err != nil {
@@ -120,12 +120,12 @@
 	if len(controllersWithout) > 0 {
 		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(controllersWithout, ", ")}
 	}
-	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
+	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.Operator, Why: request.Reason, Expect: request.ExpectedRevision})
 	switch {
 	case errors.Is(err, revisions.ErrConflict):
 		return http.StatusConflict, h.conflictAnswer(document, err)
 	case err != nil:
-		slog.Info("configuration not changed", "by", request.By, "err", err)
+		slog.Info("configuration not changed", "by", request.Operator, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: err.Error()}
 	case progress.InForce:
 		return http.StatusOK, progress
@@ -140,7 +140,7 @@
 	if document.Topology != nil && !h.TopologyOn {
 		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
 	}
-	if document.Switches.AheadTasks != nil && !h.DataOn {
+	if document.Features.AheadTasks != nil && !h.DataOn {
 		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
 	}
 	if len(fieldErrors) == 0 {
@@ -170,7 +170,7 @@
 	if revision == nil {
 		return conflict
 	}
-	conflict.Revision, conflict.By, conflict.Why = revision.Number, revision.By, revision.Why
+	conflict.Revision, conflict.Operator, conflict.Reason = revision.Number, revision.By, revision.Why
 	if current, parseErr := configuration.Parse(revision.Document); parseErr == nil {
 		for _, difference := range configuration.Differences(current, requested) {
 			conflict.Differences = append(conflict.Differences, difference.String())
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -29,7 +29,7 @@
 	// files is the configuration that applies without any revision.
 	files *configuration.Active
 	// limits are the lowest limits that the state service has now or will have.
-	limits settings.State
+	limits settings.StateLimits
 
 	// mu guards the fields below.
 	mu    sync.Mutex
@@ -44,11 +44,11 @@
 
 // New returns a Store that has read nothing yet. The argument files is the configuration that applies
 // without any revision.
-func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Store {
-	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
+func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.StateLimits) *Store {
+	return &Store{client: client, clock: clock, files: files, limits: limits.Strictest()}
 }
 
-// Run calls Refresh at intervals of tuning.ConfigurationEvery until the context ends. It skips the call
+// Run calls Refresh at intervals of tuning.ConfigurationInterval until the context ends. It skips the call
 // while paused returns true, as on the leader, which stores the revisions itself.
 func (s *Store) Run(ctx context.Context, paused func() bool) {
 	for ctx.Err() == nil {
@@ -57,7 +57,7 @@
 				slog.Debug("configuration not confirmed", "err", err)
 			}
 		}
-		sleep.For(ctx, s.clock, tuning.ConfigurationEvery)
+		sleep.For(ctx, s.clock, tuning.ConfigurationInterval)
 	}
 }
 
@@ -126,10 +126,10 @@
 		}
 	}
 	digest := namedHead.Digest
-	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationKept > namedHead.Number; number-- {
+	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationRetention > namedHead.Number; number-- {
 		revision, document, err := s.readRevision(ctx, number, digest)
 		if err == nil {
-			lease.Active = document.Over(s.files, number)
+			lease.Active = document.Overlay(s.files, number)
 			s.setCurrent(lease, revision, namedHead.Number, rejection)
 			return namedHead.Number, nil
 		}
@@ -219,7 +219,7 @@
 	return revision, err
 }
 
-// History reads the last tuning.ConfigurationKept revisions, newest first, without their documents. For a
+// History reads the last tuning.ConfigurationRetention revisions, newest first, without their documents. For a
 // revision that cannot be used, Why contains the reason.
 func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
 	newest, err := s.Refresh(ctx)
@@ -227,7 +227,7 @@
 		return nil, err
 	}
 	history := []*configuration.Revision{}
-	for number := newest; number > 0 && number+tuning.ConfigurationKept > newest; number-- {
+	for number := newest; number > 0 && number+tuning.ConfigurationRetention > newest; number-- {
 		revision, err := s.Revision(ctx, number)
 		if isUnusable(err) {
 			revision, err = &configuration.Revision{Number: number, Why: err.Error()}, nil
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -88,11 +88,11 @@
 
 // New returns a Service with datasets and topology off.
 func New(options Options) *Service {
-	writeRate := options.Settings.Facts.State.Least().WriteRPS
-	leaderlessRate := writeRate * (1 - tuning.QuotaShare)
+	writeRate := options.Settings.Facts.State.Strictest().WriteRPS
+	leaderlessRate := writeRate * (1 - tuning.LeaderRateShare)
 	limiter := rate.NewLimiter(rate.Limit(leaderlessRate), max(1, int(leaderlessRate)))
-	acceptRate := tuning.QuotaShare * writeRate / float64(1+len(options.Settings.Peers))
-	retries, err := retry.New(acceptRate, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
+	acceptRate := tuning.LeaderRateShare * writeRate / float64(1+len(options.Settings.Peers))
+	retries, err := retry.New(acceptRate, tuning.RetryAfterS, tuning.MaxRetryAfterS, tuning.RetryPeriod, tuning.RefusedJobsCapacity)
 	if err != nil {
 		panic(err) // retry.New fails only for a limit below one, and these limits are constants.
 	}
@@ -149,7 +149,7 @@
 // answerChangedDataset answers a submission one of whose datasets changed while the submission was being accepted.
 func (s *Service) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
 	if status, _, err := s.checkInputs(ctx, sched, submission, body); err != nil {
-		return peer.Refusal(status, err)
+		return peer.ErrorResponse(status, err)
 	}
 	return peer.RetryLater("a dataset of the job has just changed")
 }
@@ -158,7 +158,7 @@
 // stops at the first check that fails.
 func (s *Service) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
-	if verdict.rules, verdict.undecided, verdict.err = s.CanRun(sched, submission); verdict.err != nil {
+	if verdict.rules, verdict.undecided, verdict.err = s.CheckSubmission(sched, submission); verdict.err != nil {
 		return verdict
 	}
 	if verdict.err = s.checkRecordSize(submission); verdict.err != nil {
@@ -205,7 +205,7 @@
 	case verdict.err != nil && !s.StillValid(verdict.rules, sched):
 		return peer.RetryLater("the configuration has just changed")
 	case verdict.err != nil:
-		return peer.Refusal(verdict.status, verdict.err)
+		return peer.ErrorResponse(verdict.status, verdict.err)
 	case verdict.rules.UnknownReason != "":
 		return peer.RetryLater(verdict.rules.UnknownReason)
 	case s.Data.On:
@@ -217,7 +217,7 @@
 // checkRecordSize returns a *api.FieldError if the record of a job is too large for the state service.
 func (s *Service) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
-	if limit := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > limit {
+	if limit := s.settings.Facts.State.Strictest().MaxValueBytes(); err == nil && len(raw) > limit {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), limit)}
 	}
 	return err
@@ -233,17 +233,17 @@
 	UnknownReason string
 }
 
-// CanRun checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
+// CheckSubmission checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
 // configuration are not known, or if the configuration is changing and the old and the new one disagree. An error is a
 // *api.FieldError.
-func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
+func (s *Service) CheckSubmission(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
 	types := s.catalog.MachineTypes()
 	rules = s.configuration.CurrentRules(sched)
 	if rules.UnknownReason != "" {
 		return rules, true, nil
 	}
 	for i, active := range rules.Configurations {
-		unknown, refusal := feasibility.CanRun(submission, active.Limit, types)
+		unknown, refusal := feasibility.CheckSubmission(submission, active.Limit, types)
 		if i > 0 && (refusal == nil) != (err == nil) {
 			rules.UnknownReason = "the configuration is just changing"
 			return rules, true, nil
@@ -265,14 +265,14 @@
 // checkTopologyConstraints parses the topology constraints of a submission and checks whether they can be met. An error
 // is a *api.FieldError, and status is its HTTP status.
 func checkTopologyConstraints(submission *api.Submission, body []byte) (status int, err error) {
-	if submission.Near, submission.Survive, err = api.ParseSite(body, submission.Tasks); err != nil {
+	if submission.Near, submission.Survive, err = api.ParsePlacementConstraints(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err
 	}
 	if submission.Shape == api.JobArray {
 		// Tasks of a job array need not all run at once.
 		return 0, nil
 	}
-	if reason := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); reason != "" {
+	if reason := topology.InfeasibleReason(submission.Near, submission.Survive, submission.Tasks); reason != "" {
 		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: reason}
 	}
 	return 0, nil
@@ -294,6 +294,6 @@
 	if refused {
 		response.RetryAfterS = max(response.RetryAfterS, s.retries.Refused(s.clock.Now(), id))
 	} else {
-		s.retries.Taken(id)
+		s.retries.Remove(id)
 	}
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
+	return document.Overlay(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
 // Without the leader, a submission is checked only against a recently confirmed configuration, and stored only on the
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	s.Team = "unknown"
-	rules, _, err := controller.submissions.CanRun(nil, &s)
+	rules, _, err := controller.submissions.CheckSubmission(nil, &s)
 	if err == nil || !controller.submissions.StillValid(rules, nil) {
 		t.Fatalf("refused with %v, or the refusal is not valid", err)
 	}
@@ -134,7 +134,7 @@
 // A setting that a later revision omits takes its value from the files again.
 func TestOmittedSettingFallsBackToFiles(t *testing.T) {
 	controller := newLeader(t).otherController()
-	controller.features.data.Ahead = 5
+	controller.features.data.AheadTasks = 5
 	if ahead := *controller.configuration.withFileDefaults(parseOverEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
 		t.Fatalf("ahead %d with 9 configured", ahead)
 	}
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// datasetCache caches the records of up to tuning.DatasetsLimit datasets.
+// datasetCache caches the records of up to tuning.MaxDatasets datasets.
 type datasetCache struct {
 	clock  clockwork.Clock
 	client *store.Client
@@ -62,10 +62,10 @@
 func (c *datasetCache) add(entry *dataset.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cached := c.entries[entry.Name]; cached != nil && cached.Stamp > entry.Stamp {
+	if cached := c.entries[entry.Name]; cached != nil && cached.Revision > entry.Revision {
 		return
 	}
-	if len(c.entries) >= tuning.DatasetsLimit {
+	if len(c.entries) >= tuning.MaxDatasets {
 		// Any entry can be evicted: it is read again when needed.
 		for name := range c.entries {
 			delete(c.entries, name)
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -41,10 +41,10 @@
 func (d *datasetService) register(ctx context.Context, body []byte) peer.Response {
 	var entry dataset.Entry
 	if err := json.Unmarshal(body, &entry.Summary); err != nil {
-		return peer.Refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
+		return peer.ErrorResponse(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
 	}
 	if err := entry.Check(); err != nil {
-		return peer.Refusal(http.StatusBadRequest, err)
+		return peer.ErrorResponse(http.StatusBadRequest, err)
 	}
 	revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
 	if errors.Is(err, store.ErrConflict) {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	entry.Stamp = revision
+	entry.Revision = revision
 	d.cache.add(&entry)
 	if sched := d.term.scheduler(); sched != nil {
 		sched.AddDatasets(&entry)
@@ -91,7 +91,7 @@
 	if !dataset.ValidName(name) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
-	for range tuning.RemoveTries {
+	for range tuning.MaxRemoveAttempts {
 		item, err := d.client.Get(ctx, store.DatasetKey(name))
 		if errors.Is(err, store.ErrNotFound) {
 			return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
@@ -127,7 +127,7 @@
 		return nil, fmt.Errorf("store %s as being removed: %w", item.Key, err)
 	}
 	slog.Info("dataset no longer listed", "dataset", strings.TrimPrefix(item.Key, store.DatasetPrefix))
-	next.Stamp = revision
+	next.Revision = revision
 	return &next, nil
 }
 
@@ -154,7 +154,7 @@
 		// Only the leader knows how many jobs still need the dataset.
 		if d.term.scheduler() == nil && !forwarded {
 			if leader, _, reachable := d.leader.locate(); reachable {
-				if response, err := d.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
+				if response, err := d.peers.Call(ctx, leader, request, tuning.PeerTimeout); err == nil {
 					return response
 				}
 			}
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -21,13 +21,13 @@
 		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
 			t.scheduler.ConnectionRefused(name)
 		}
-		t.scheduler.CommandsAnswered(name, response, nil, errors.Is(err, worker.ErrNotSent))
+		t.scheduler.HandleCommandOutcome(name, response, nil, errors.Is(err, worker.ErrNotSent))
 		return
 	}
 	if heartbeat.Term > t.scheduler.Term() {
 		t.controller.resignIfDeposed(t.scheduler)
 	}
-	t.scheduler.CommandsAnswered(name, response, heartbeat, true)
+	t.scheduler.HandleCommandOutcome(name, response, heartbeat, true)
 }
 
 // resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the leader's
@@ -59,7 +59,7 @@
 				go t.announceTerm(ctx, name, address)
 			}
 		}
-		sleep.For(ctx, t.controller.clock, tuning.ListEvery)
+		sleep.For(ctx, t.controller.clock, tuning.ListInterval)
 	}
 }
 
@@ -74,7 +74,7 @@
 			return
 		}
 		if done || heartbeat.Incarnation == incarnation {
-			t.scheduler.CommandsAnswered(name, response, heartbeat, true)
+			t.scheduler.HandleCommandOutcome(name, response, heartbeat, true)
 			return
 		}
 		incarnation = heartbeat.Incarnation
@@ -87,7 +87,7 @@
 	for ctx.Err() == nil {
 		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
-				batch := names[:min(len(names), tuning.ReleaseBatch)]
+				batch := names[:min(len(names), tuning.MaxReleaseBatch)]
 				names = names[len(batch):]
 				go t.releaseMachines(ctx, batch)
 			}
@@ -98,7 +98,7 @@
 				t.scheduler.InstancesGranted(request, names, err)
 			}()
 		}
-		sleep.For(ctx, t.controller.clock, tuning.MaintainEvery)
+		sleep.For(ctx, t.controller.clock, tuning.MaintenanceInterval)
 	}
 }
 
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -37,19 +37,19 @@
 	m.types = types
 }
 
-// refresh reads the types every tuning.CatalogEvery, or tuning.BackoffBase after an error, and passes them to the scheduler
+// refresh reads the types every tuning.CatalogInterval, or tuning.BackoffBase after an error, and passes them to the scheduler
 // of the current term, until the context ends.
 func (m *machineCatalog) refresh(ctx context.Context, term *currentTerm) {
 	for ctx.Err() == nil {
 		types, err := m.cloud.Catalog(ctx)
-		wait := tuning.CatalogEvery
+		wait := tuning.CatalogInterval
 		if err != nil {
 			slog.Info("catalog not read", "err", err)
 			wait = tuning.BackoffBase
 		} else {
 			m.set(types)
 			if sched := term.scheduler(); sched != nil {
-				sched.SetTypes(types)
+				sched.UpdateMachineTypes(types)
 			}
 		}
 		sleep.For(ctx, m.clock, wait)
--- a/dataset/manifest.go
+++ b/dataset/manifest.go
@@ -36,8 +36,8 @@
 // Parse decodes and validates a manifest. The error of an invalid manifest names each invalid field,
 // up to tuning.MaxReportedErrors of them.
 func Parse(raw []byte) (*Manifest, error) {
-	if len(raw) > tuning.ManifestLimit {
-		return nil, fmt.Errorf("manifest: %d bytes, at most %d are read; use larger chunks", len(raw), tuning.ManifestLimit)
+	if len(raw) > tuning.MaxManifestBytes {
+		return nil, fmt.Errorf("manifest: %d bytes, at most %d are read; use larger chunks", len(raw), tuning.MaxManifestBytes)
 	}
 	var manifest Manifest
 	if err := json.Unmarshal(raw, &manifest); err != nil {
@@ -71,8 +71,8 @@
 func (manifest *Manifest) indexChunks(problems *problemList) {
 	manifest.chunkOffsets = make([]int64, len(manifest.Chunks)+1)
 	for i, chunk := range manifest.Chunks {
-		if chunk.Bytes <= 0 || chunk.Bytes > tuning.ChunkLimit {
-			problems.addf("manifest: chunks[%d].bytes: must be 1 to %d, not %d", i, tuning.ChunkLimit, chunk.Bytes)
+		if chunk.Bytes <= 0 || chunk.Bytes > tuning.MaxChunkBytes {
+			problems.addf("manifest: chunks[%d].bytes: must be 1 to %d, not %d", i, tuning.MaxChunkBytes, chunk.Bytes)
 			chunk.Bytes = 0
 		}
 		manifest.chunkOffsets[i+1] = manifest.chunkOffsets[i] + chunk.Bytes
@@ -125,18 +125,18 @@
 // PartCount returns the number of parts.
 func (manifest *Manifest) PartCount() int { return len(manifest.partStarts) - 1 }
 
-// Part returns the range of a part's chunks: start is the index of the first chunk, end the
+// PartChunks returns the range of a part's chunks: start is the index of the first chunk, end the
 // index after the last one. Part panics unless part is at least 0 and less than PartCount.
-func (manifest *Manifest) Part(part int) (start, end int) {
+func (manifest *Manifest) PartChunks(part int) (start, end int) {
 	return manifest.partStarts[part], manifest.partStarts[part+1]
 }
 
 // PartBytes returns the size of a part in bytes. It panics unless part is at least 0 and less than
 // PartCount.
 func (manifest *Manifest) PartBytes(part int) int64 {
-	from, to := manifest.Part(part)
+	from, to := manifest.PartChunks(part)
 	return manifest.chunkOffsets[to] - manifest.chunkOffsets[from]
 }
 
-// Offset returns the offset in bytes of a chunk in the dataset.
-func (manifest *Manifest) Offset(chunk int) int64 { return manifest.chunkOffsets[chunk] }
+// ChunkOffset returns the offset in bytes of a chunk in the dataset.
+func (manifest *Manifest) ChunkOffset(chunk int) int64 { return manifest.chunkOffsets[chunk] }
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -62,7 +62,7 @@
 }
 
 func (x *Handover) runRolls(ctx context.Context, graceful bool) (*HandedOver, error) {
-	r, err := newUpgradeRun(ctx, UpgradeDefaults(), x.Seed, settings.State{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
+	r, err := newUpgradeRun(ctx, UpgradeDefaults(), x.Seed, settings.StateLimits{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
 	}
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -89,8 +89,8 @@
 }
 
 // placements are the placement modes with their names in the result.
-var placements = []struct{ name, mode string }{{"blind", features.Blind}, {"images", features.Images},
-	{"locality", features.Local}, {"locality+staging", features.Staged}}
+var placements = []struct{ name, mode string }{{"blind", features.PlacementBlind}, {"images", features.PlacementImages},
+	{"locality", features.PlacementLocal}, {"locality+staging", features.PlacementStaged}}
 
 // arrival is one job of a workload.
 type arrival struct {
@@ -195,13 +195,13 @@
 		return PlacementFigures{}, err
 	}
 	set := &settings.Settings{Member: "experiment"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	types := []api.MachineType{{Name: "m", CPUs: float64(l.Slots), MemoryGB: 64, CacheGB: 3, PullGBs: 1, BootS: 1, Zones: []string{"z"}}}
 	p.scheduler = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Collaborators{Records: localityRecords{p},
 		Sender: localityCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
 	p.scheduler.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
-		PerLink: tuning.StagePerLink, AtStore: max(tuning.StageAtStore, l.Machines/2), Ahead: tuning.StageAhead})
+		CopiesPerLink: tuning.StageCopiesPerLink, CopiesAtStore: max(tuning.StageCopiesAtStore, l.Machines/2), AheadTasks: tuning.StageAheadTasks})
 	p.scheduler.Load(nil, nil)
 	for _, s := range p.store.summaries {
 		p.scheduler.AddDatasets(&dataset.Entry{Summary: *s})
@@ -237,7 +237,7 @@
 		touched[j.dataset] = true
 		s := api.Submission{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: p.Parts, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprintf("image-%d", j.image), ImageGB: 0.5, Spot: true, EstimateS: p.TaskRunS,
-			Inputs: []api.Input{{Dataset: datasetName(j.dataset), Use: api.UseOwn}}}
+			Inputs: []api.Input{{Dataset: datasetName(j.dataset), Use: api.UseOwnPart}}}
 		p.mu.Lock()
 		p.submittedAt[s.ID], p.imageOf[s.ID] = time.Now(), s.Image
 		p.mu.Unlock()
@@ -259,9 +259,9 @@
 	}
 	f := PlacementFigures{Name: name, LeastBytes: int64(len(touched)) * int64(p.Parts*p.PartBytes)}
 	for _, m := range p.machines {
-		r := m.agent.Report(false)
-		f.StoreBytes += r.FromStore
-		f.PeerBytes += r.FromPeers
+		r := m.agent.Heartbeat(false)
+		f.StoreBytes += r.BytesFromStore
+		f.PeerBytes += r.BytesFromPeers
 	}
 	// Manifests, which each machine fetches once, do not count as data.
 	f.StoreBytes -= p.store.manifestBytes.Load()
@@ -299,7 +299,7 @@
 	m := p.machines[name]
 	m.execute(p, o)
 	r := m.heartbeat()
-	p.scheduler.CommandsAnswered(name, o, r, true)
+	p.scheduler.HandleCommandOutcome(name, o, r, true)
 }
 
 // localityRecords is a record writer whose records count as stored after the next round of placement.
--- a/experiment/locality_machines.go
+++ b/experiment/locality_machines.go
@@ -57,7 +57,7 @@
 	for ctx.Err() == nil {
 		o, _, _ := p.scheduler.HandleHeartbeat(m.heartbeat(), "")
 		m.execute(p, o)
-		r := m.agent.Next()
+		r := m.agent.NextHeartbeat()
 		if so, _, refused := p.scheduler.HandleStageHeartbeat(&r); !refused {
 			_, _ = m.agent.Apply(&so)
 		}
@@ -71,7 +71,7 @@
 
 func (m *machine) applyStageOrder(leader *scheduler.Scheduler, o api.StageOrder) {
 	_, _ = m.agent.Apply(&o)
-	r := m.agent.Next()
+	r := m.agent.NextHeartbeat()
 	leader.HandleStageHeartbeat(&r)
 }
 
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -29,7 +29,7 @@
 	FromS, ToS float64
 	// SlotS is the length of a time slot in which capacity is counted, in seconds.
 	SlotS float64
-	// Rounds is the number of iterations of upperbound.InTime.
+	// Rounds is the number of iterations of upperbound.Compute.
 	Rounds int
 }
 
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	free := upperbound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.lastAt/o.SlotS)+1)}
+	free := upperbound.FreeCapacity{SlotS: o.SlotS, CPUs: make([]float64, int(day.lastAt/o.SlotS)+1)}
 	sample := 0
 	for i := range free.CPUs {
 		for sample+1 < len(day.fleetCPUs) && day.fleetCPUs[sample+1][0] <= float64(i)*o.SlotS {
@@ -167,10 +167,10 @@
 		}
 		x := upperbound.Job{Arrive: j.ready, Due: due}
 		for _, run := range j.runTimes {
-			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
+			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, RunS: run})
 		}
 		// A fixed order makes the result reproducible.
-		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.Run, b.Run) })
+		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.RunS, b.RunS) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
@@ -179,8 +179,8 @@
 	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
 		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
 	})
-	b := upperbound.InTime(jobs, free, o.Rounds)
-	res.Alone, res.Most = b.Alone, b.Most
+	b := upperbound.Compute(jobs, free, o.Rounds)
+	res.Alone, res.Most = b.InfeasibleAlone, b.Bound
 	return res, nil
 }
 
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -157,7 +157,7 @@
 		askedAt := time.Now()
 		status, answer := p.request(ctx, callTimeout, http.MethodPost, "/submissions", body)
 		if status == http.StatusCreated || status == http.StatusOK {
-			p.checkAnswer(cluster.AskSubmit, job.ID, askedAt, status, answer.State)
+			p.checkAnswer(cluster.SubmitRequest, job.ID, askedAt, status, answer.State)
 			p.locked(func() { _ = p.submissionLatency.RecordValue(max(1, time.Since(began).Milliseconds())) })
 			return true
 		}
@@ -176,13 +176,13 @@
 	if status != http.StatusOK {
 		return false
 	}
-	p.checkAnswer(cluster.AskCancel, id, askedAt, status, answer.State)
+	p.checkAnswer(cluster.CancelRequest, id, askedAt, status, answer.State)
 	return true
 }
 
 // checkAnswer passes an answer to the audit, which checks it, and reports whether the job has ended.
-func (p *population) checkAnswer(kind cluster.QuestionKind, id string, askedAt time.Time, status int, state string) (over bool) {
-	return p.audit.Judge(cluster.Question{Job: id, Kind: kind, AskedAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
+func (p *population) checkAnswer(kind cluster.RequestKind, id string, askedAt time.Time, status int, state string) (over bool) {
+	return p.audit.CheckAnswer(cluster.JobRequest{JobID: id, Kind: kind, SentAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
 }
 
 // poll polls a job once and reports whether it has ended.
@@ -194,7 +194,7 @@
 		p.locked(func() { p.failedPolls++ })
 		return false
 	}
-	over := p.checkAnswer(cluster.AskStatus, id, askedAt, status, answer.State)
+	over := p.checkAnswer(cluster.StatusRequest, id, askedAt, status, answer.State)
 	if over && answer.State == api.Done {
 		p.audit.Jobs(func(j *cluster.AuditedJob) {
 			if at := j.Finished(); j.ID == id && !at.IsZero() {
@@ -227,17 +227,17 @@
 	all := map[string]*hdrhistogram.Histogram{}
 	unstarted := map[string]int{}
 	p.audit.Jobs(func(j *cluster.AuditedJob) {
-		if j.Submitted.Before(from) || j.Submitted.After(to) || j.Told == api.Cancelled {
+		if j.Submitted.Before(from) || j.Submitted.After(to) || j.TerminalState == api.Cancelled {
 			return
 		}
 		if all[j.Rank] == nil {
 			all[j.Rank] = hdrhistogram.New(1, histogramMaxMS, 3)
 		}
-		if j.Begun < j.Tasks {
+		if j.TasksStarted < j.Tasks {
 			unstarted[j.Rank]++
 			return
 		}
-		_ = all[j.Rank].RecordValue(max(1, j.LastBegun.Sub(j.Submitted).Milliseconds()))
+		_ = all[j.Rank].RecordValue(max(1, j.LastTaskStartedAt.Sub(j.Submitted).Milliseconds()))
 	})
 	out := map[string]StartWaits{}
 	for rank, h := range all {
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -38,7 +38,7 @@
 // RecoveryDefaults returns the sizes and times of the tables in docs/fleet.md.
 func RecoveryDefaults() *Recovery {
 	return &Recovery{Seed: 1, Sizes: []int{300, 1000, 2500}, Cases: []string{CrashLeader, CrashAll, CutZone},
-		Workers: settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
+		Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
 }
 
 // RecoveryFigures holds the measurements of one case at one fleet size. Times are in seconds since the fault; -1 means that the
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -92,7 +92,7 @@
 
 func (run *scaleRun) countLosses() (c lossCounts) {
 	for _, w := range run.cluster.Workers() {
-		_, _, killed, _ := w.Seen()
+		_, _, killed, _ := w.Status()
 		c.killed += killed
 	}
 	machines, tasks, killed := run.returned.get()
@@ -102,7 +102,7 @@
 // highestTerm returns the highest term that any worker has seen.
 func (run *scaleRun) highestTerm() (term uint64) {
 	for _, w := range run.cluster.Workers() {
-		seen, _, _, _ := w.Seen()
+		seen, _, _, _ := w.Status()
 		term = max(term, seen)
 	}
 	return term
@@ -172,7 +172,7 @@
 // allSawTermAbove reports whether every worker has seen a higher term than the given one.
 func (run *scaleRun) allSawTermAbove(than uint64) bool {
 	for _, w := range run.cluster.Workers() {
-		if term, _, _, _ := w.Seen(); term <= than {
+		if term, _, _, _ := w.Status(); term <= than {
 			return false
 		}
 	}
@@ -220,9 +220,9 @@
 		return run.cutRack()
 	case ScaleOutage:
 		return nil, func() {
-			run.cluster.State.Outage(true)
+			run.cluster.State.SetDown(true)
 			run.cluster.Sleep(secondsDuration(run.OutageS))
-			run.cluster.State.Outage(false)
+			run.cluster.State.SetDown(false)
 		}, false
 	case ScaleRestarts:
 		return nil, run.restartWorkers, false
@@ -259,7 +259,7 @@
 	}
 	setLost := func(on bool) {
 		for _, w := range rack {
-			w.Lose(on)
+			w.BlockAllMessages(on)
 		}
 	}
 	return machines, func() {
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -94,7 +94,7 @@
 // change makes one change and waits until it is in force. It returns false if the change was refused or did not come into
 // force in time.
 func (c *limitChanger) change(number int) bool {
-	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), By: "scale", Why: fmt.Sprint(number)})
+	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), Operator: "scale", Reason: fmt.Sprint(number)})
 	if err != nil {
 		return false
 	}
@@ -112,7 +112,7 @@
 		}
 		shown, raw := users.requestRaw(c.run.ctx, pollTimeout, http.MethodGet, "/configuration", nil)
 		var v api.ConfigurationView
-		if shown == http.StatusOK && json.Unmarshal(raw, &v) == nil && v.Leader && (v.Revision > stored.Revision || v.Revision == stored.Revision && v.InForce) {
+		if shown == http.StatusOK && json.Unmarshal(raw, &v) == nil && v.FromLeader && (v.Revision > stored.Revision || v.Revision == stored.Revision && v.InForce) {
 			status = shown
 		}
 	}
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -36,7 +36,7 @@
 }
 
 func (r *returnCounts) add(w *cluster.Worker, running int) {
-	_, _, killed, _ := w.Seen()
+	_, _, killed, _ := w.Status()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.machines++
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -70,7 +70,7 @@
 	began := time.Now()
 	var running sync.WaitGroup
 	for i := range faults {
-		if !sleep.Real(ctx, time.Until(began.Add(faults[i].At))) {
+		if !sleep.OnRealClock(ctx, time.Until(began.Add(faults[i].At))) {
 			break
 		}
 		running.Go(func() { in.runFault(ctx, &faults[i]) })
@@ -90,8 +90,8 @@
 		_ = controller.Start(in.program) // Fails if it is running.
 	}
 	for _, worker := range in.cluster.Workers() {
-		worker.LoseOneWay(false, false)
-		worker.Hang(false)
+		worker.BlockMessages(false, false)
+		worker.Suspend(false)
 	}
 }
 
@@ -107,7 +107,7 @@
 		in.killSeries(ctx, fault)
 	case Pause:
 		in.cluster.Controllers[target].Pause()
-		sleep.Real(ctx, fault.For)
+		sleep.OnRealClock(ctx, fault.For)
 		in.cluster.Controllers[target].Resume()
 	case DeafWorkers, MuteWorkers, RestartedWorkers, HungWorkers:
 		in.disturbWorkers(ctx, fault)
@@ -144,7 +144,7 @@
 	for _, controller := range controllers {
 		controller.Kill()
 	}
-	sleep.Real(ctx, downtime)
+	sleep.OnRealClock(ctx, downtime)
 	for _, controller := range controllers {
 		_ = controller.Start(in.program) // Fails if another fault has started it.
 	}
@@ -154,7 +154,7 @@
 func (in *injector) killSeries(ctx context.Context, fault *Fault) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		in.kill(ctx, []*cluster.Controller{in.cluster.Controllers[in.target(&Fault{Target: TheLeader})]}, seriesDowntime)
-		sleep.Real(ctx, seriesInterval)
+		sleep.OnRealClock(ctx, seriesInterval)
 	}
 }
 
@@ -173,15 +173,15 @@
 		case RestartedWorkers:
 			worker.Restart()
 		case HungWorkers:
-			worker.Hang(true)
+			worker.Suspend(true)
 		default:
-			worker.LoseOneWay(fault.Kind == MuteWorkers, fault.Kind == DeafWorkers)
+			worker.BlockMessages(fault.Kind == MuteWorkers, fault.Kind == DeafWorkers)
 		}
 	}
-	sleep.Real(ctx, fault.For)
+	sleep.OnRealClock(ctx, fault.For)
 	for _, worker := range affected {
-		worker.LoseOneWay(false, false)
-		worker.Hang(false)
+		worker.BlockMessages(false, false)
+		worker.Suspend(false)
 	}
 }
 
@@ -190,12 +190,12 @@
 	ended := in.pickWorkers(endedWorkersOneIn)
 	if fault.Kind == NoticedWorkers {
 		for _, worker := range ended {
-			worker.Notice(fault.For)
+			worker.AnnouncePreemption(fault.For)
 		}
-		sleep.Real(ctx, fault.For)
+		sleep.OnRealClock(ctx, fault.For)
 	}
 	for _, worker := range ended {
-		worker.Die()
+		worker.Fail()
 	}
 }
 
@@ -204,7 +204,7 @@
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapRepliesCut}} {
 			in.applyFor(ctx, &phase, target)
-			sleep.Real(ctx, flapOpen)
+			sleep.OnRealClock(ctx, flapOpen)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	in.active[fault] = target
 	in.mu.Unlock()
 	in.apply()
-	sleep.Real(ctx, fault.For)
+	sleep.OnRealClock(ctx, fault.For)
 	in.mu.Lock()
 	delete(in.active, fault)
 	in.mu.Unlock()
@@ -265,13 +265,13 @@
 			}
 		}
 	}
-	in.cluster.State.Outage(outage)
+	in.cluster.State.SetDown(outage)
 	in.cluster.SetMessageFaults(messages)
-	in.cluster.SlowPeers(peerDelay)
+	in.cluster.DelayPeers(peerDelay)
 	for number, controller := range in.cluster.Controllers {
 		in.cluster.SetStateFaults(controller.Settings.Member, state[number])
 		for other, peer := range in.cluster.Controllers {
-			in.cluster.CutPeer(controller.Settings.Member, peer.Settings.Member, cutOff[number] || cutOff[other] || repliesCut[number])
+			in.cluster.BlockPeer(controller.Settings.Member, peer.Settings.Member, cutOff[number] || cutOff[other] || repliesCut[number])
 		}
 	}
 }
@@ -280,7 +280,7 @@
 func addStateFault(faults *cluster.StateFaults, kind Kind) {
 	switch kind {
 	case SlowState:
-		faults.SlowUpTo = maxStateDelay
+		faults.MaxDelay = maxStateDelay
 	case LateAnswers:
 		faults.LateAnswers = lateAnswerShare
 	case LostAnswers:
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -1,5 +1,5 @@
 // Package soak injects random faults into a cluster of real controllers over loopback, with stand-ins of the state service, the
-// cloud and the workers, while users submit, poll, resubmit and cancel jobs at all controllers. cluster.Audit checks the
+// cloud and the workers, while users submit, poll, resubmit and cancel jobs at all controllers. cluster.Observer checks the
 // protocol's rules from outside, by the answers that users receive and the actions of workers.
 //
 // A run's whole schedule is derived from one seed. Real processes are not deterministic, so the logs of a failed run are kept.
@@ -130,8 +130,8 @@
 	Terms  int `json:"terms"`
 	// Crossings counts start commands that had no effect because they crossed with another message. Releases counts, from the
 	// leaders' logs, the released allocations by the proof that allowed it, and the messages about an attempt that crossed.
-	Crossings cluster.CrossedStarts `json:"crossings"`
-	Releases  map[string]int        `json:"releases"`
+	Crossings cluster.IneffectiveStarts `json:"crossings"`
+	Releases  map[string]int            `json:"releases"`
 	// Unfinished counts the accepted jobs that had not ended when the run ended.
 	Unfinished int `json:"unfinished"`
 	// UnexpectedExits counts the controllers whose last process exited without being killed.
@@ -261,12 +261,12 @@
 	const smallFleet = 50
 	scale := max(1, float64(o.Workers)/smallFleet)
 	return settings.Facts{
-		Nodes: controllers, Zones: []string{"a"},
+		ControllerCount: controllers, Zones: []string{"a"},
 		Teams:     []settings.Team{{Name: teamName, CPUsMax: float64(teamCPUsPerWorker * o.Workers)}},
-		Workers:   settings.Workers{ReportS: 0.5, LeaseS: 5, CancelS: 20},
-		State:     settings.State{RPS: 400 * scale, WriteRPS: 80 * scale, ValueKB: 16, TxnOps: 12},
-		Cloud:     settings.Cloud{RPS: 20, ListLagS: 1},
-		Resources: settings.Resources{CPU: 1, RAMMB: 300, Sockets: 3000},
+		Workers:   settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 5, CancelDeadlineS: 20},
+		State:     settings.StateLimits{RPS: 400 * scale, WriteRPS: 80 * scale, ValueKB: 16, TxnOps: 12},
+		Cloud:     settings.CloudLimits{RPS: 20, ListLagS: 1},
+		Resources: settings.Resources{CPU: 1, RAMMB: 300, MaxSockets: 3000},
 	}
 }
 
@@ -274,8 +274,8 @@
 func (o *Options) clusterOptions(facts settings.Facts, logs string, audit *cluster.Audit) cluster.Options {
 	machine := api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 2, Price: 1, SpotPrice: 0.5, Zones: facts.Zones}
 	return cluster.Options{
-		Zones: slices.Repeat(facts.Zones, controllers), Facts: facts, Type: machine, Room: o.Workers, LogDir: logs, LogLevel: o.LogLevel,
-		Runs: audit.Estimate, Audit: audit, Crossed: audit.StartCrossed,
+		Zones: slices.Repeat(facts.Zones, controllers), Facts: facts, MachineType: machine, RentalCapacity: o.Workers, LogDir: logs, LogLevel: o.LogLevel,
+		TaskDuration: audit.Estimate, Observer: audit, OnIneffectiveStart: audit.RecordIneffectiveStart,
 	}
 }
 
@@ -309,13 +309,13 @@
 	}
 	background.Go(func() { users.askAboutEndedJobs(settled) })
 	background.Go(func() {
-		for sleep.Real(settled, sweepInterval) {
-			audit.Sweep()
+		for sleep.OnRealClock(settled, sweepInterval) {
+			audit.CheckCancelledJobs()
 		}
 	})
 	newInjector(running, o.Program, users).run(ctx, faults)
 	<-submitting.Done()
-	for end := time.Now().Add(settleTimeout); users.unfinished() > 0 && time.Now().Before(end) && sleep.Real(ctx, settlePollInterval); {
+	for end := time.Now().Add(settleTimeout); users.unfinished() > 0 && time.Now().Before(end) && sleep.OnRealClock(ctx, settlePollInterval); {
 		// Users keep polling.
 	}
 	if ctx.Err() == nil {
@@ -332,22 +332,22 @@
 func reportUnanswered(audit *cluster.Audit) {
 	unanswered := map[string]time.Duration{}
 	audit.Jobs(func(job *cluster.AuditedJob) {
-		if since := time.Since(job.AnsweredAt); job.Told == "" && !job.Accepted.IsZero() && since > forgottenAfter {
+		if since := time.Since(job.AnsweredAt); job.TerminalState == "" && !job.Accepted.IsZero() && since > forgottenAfter {
 			unanswered[job.ID] = since
 		}
 	})
 	for id, since := range unanswered {
-		audit.Unanswered(id, since)
+		audit.RecordUnanswered(id, since)
 	}
 }
 
 // evaluate fills in the findings of the audit and of the logs, and removes the logs unless the run failed.
 func (o *Options) evaluate(run *Run, audit *cluster.Audit, logs string) {
 	counts := audit.Counts()
-	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Questions, counts.Answers, counts.Crossed, counts.Told, audit.Starts()
-	run.Broken, run.Details = audit.Broken()
+	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Requests, counts.Answers, counts.OutOfOrderAnswers, counts.TerminalJobs, audit.Starts()
+	run.Broken, run.Details = audit.Violations()
 	texts := readLogs(logs)
-	run.Contradictions, run.Releases, run.Crossings = countInvariantViolations(texts), countReleases(texts), audit.Crossings()
+	run.Contradictions, run.Releases, run.Crossings = countInvariantViolations(texts), countReleases(texts), audit.IneffectiveStarts()
 	switch {
 	case float64(run.Answers) < minAnswersPerS*o.ForS:
 		run.Vacuous = "too few questions were answered"
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -116,20 +116,20 @@
 			following.Go(func() { u.pollUntilEnded(settled, next) })
 			awaits = []string{next.ID}
 		}
-		sleep.Real(ctx, rand.N(maxSubmitPause))
+		sleep.OnRealClock(ctx, rand.N(maxSubmitPause))
 	}
 }
 
 // submit retries a submission at random controllers until it is accepted. It returns false if ctx ended first.
 func (u *users) submit(ctx context.Context, job *job) bool {
 	for ctx.Err() == nil {
-		if status, _ := u.request(ctx, cluster.AskSubmit, job, u.randomController()); status == http.StatusOK || status == http.StatusCreated {
+		if status, _ := u.request(ctx, cluster.SubmitRequest, job, u.randomController()); status == http.StatusOK || status == http.StatusCreated {
 			u.mu.Lock()
 			u.open[job.ID] = job
 			u.mu.Unlock()
 			return true
 		}
-		sleep.Real(ctx, retryPause)
+		sleep.OnRealClock(ctx, retryPause)
 	}
 	return false
 }
@@ -143,15 +143,15 @@
 		u.cancel(ctx, job)
 	case choice < cancelNowShare+cancelLaterShare || job.Shape == api.Service:
 		go func() {
-			sleep.Real(ctx, rand.N(4*time.Second))
+			sleep.OnRealClock(ctx, rand.N(4*time.Second))
 			u.cancel(ctx, job)
 		}()
 	}
 	for {
-		if _, over := u.request(ctx, cluster.AskStatus, job, u.randomController()); over {
+		if _, over := u.request(ctx, cluster.StatusRequest, job, u.randomController()); over {
 			break
 		}
-		if !sleep.Real(ctx, retryPause+rand.N(maxPollJitter)) {
+		if !sleep.OnRealClock(ctx, retryPause+rand.N(maxPollJitter)) {
 			return
 		}
 	}
@@ -166,11 +166,11 @@
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
-		if _, over := u.request(ctx, cluster.AskCancel, job, u.randomController()); over {
+		if _, over := u.request(ctx, cluster.CancelRequest, job, u.randomController()); over {
 			u.askAllControllers(ctx, job)
 			return
 		}
-		sleep.Real(ctx, retryPause)
+		sleep.OnRealClock(ctx, retryPause)
 	}
 }
 
@@ -197,7 +197,7 @@
 	}
 	var asking sync.WaitGroup
 	for _, controller := range u.cluster.Controllers {
-		for _, kind := range []cluster.QuestionKind{cluster.AskStatus, cluster.AskSubmit} {
+		for _, kind := range []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest} {
 			asking.Go(func() { u.request(ctx, kind, job, controller) })
 		}
 	}
@@ -206,10 +206,10 @@
 
 // askAboutEndedJobs polls, resubmits and cancels jobs that have ended, and polls jobs that do not exist, until ctx ends.
 func (u *users) askAboutEndedJobs(ctx context.Context) {
-	for sleep.Real(ctx, endedJobInterval) {
+	for sleep.OnRealClock(ctx, endedJobInterval) {
 		if rand.Float64() < unknownShare {
 			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", unknownIDStart+rand.IntN(1000))}}
-			u.request(ctx, cluster.AskStatus, unknown, u.randomController())
+			u.request(ctx, cluster.StatusRequest, unknown, u.randomController())
 			continue
 		}
 		u.mu.Lock()
@@ -221,9 +221,9 @@
 		if ended == nil {
 			continue
 		}
-		kinds := []cluster.QuestionKind{cluster.AskStatus, cluster.AskSubmit, cluster.AskCancel}
+		kinds := []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest, cluster.CancelRequest}
 		kind := kinds[rand.IntN(len(kinds))]
-		if kind == cluster.AskCancel {
+		if kind == cluster.CancelRequest {
 			// The job has ended, so the answer must be its final state.
 			u.audit.CancelRequested(ended.ID)
 		}
@@ -238,20 +238,20 @@
 
 // request sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer; over reports
 // whether the job has ended.
-func (u *users) request(ctx context.Context, kind cluster.QuestionKind, job *job, controller *cluster.Controller) (status int, over bool) {
+func (u *users) request(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, over bool) {
 	method, path, timeout := http.MethodPost, "/submissions", callTimeout
 	var body []byte
 	switch kind {
-	case cluster.AskSubmit:
+	case cluster.SubmitRequest:
 		body = job.body
-	case cluster.AskCancel:
+	case cluster.CancelRequest:
 		path += "/" + job.ID + "/cancel"
-	case cluster.AskStatus:
+	case cluster.StatusRequest:
 		method, path, timeout = http.MethodGet, path+"/"+job.ID, pollTimeout
 	}
 	call, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	question := cluster.Question{Job: job.ID, Kind: kind, Controller: controller.Settings.Member, AskedAt: time.Now()}
+	question := cluster.JobRequest{JobID: job.ID, Kind: kind, Controller: controller.Settings.Member, SentAt: time.Now()}
 	status, raw, err := u.cluster.Call(call, controller, method, path, body)
 	question.AnsweredAt = time.Now()
 	var answer api.JobStatus
@@ -260,7 +260,7 @@
 		_ = json.Unmarshal(raw, &answer) // An error response has no state.
 		question.State = answer.State
 	}
-	return question.Status, u.audit.Judge(question)
+	return question.Status, u.audit.CheckAnswer(question)
 }
 
 // unfinished returns the number of accepted jobs that have not ended.
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -36,7 +36,7 @@
 	}
 	p := &schedulerPlacer{w: w}
 	set := &settings.Settings{Member: "experiment"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: leaseSeconds, CancelS: 40}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: leaseSeconds, CancelDeadlineS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	var types []api.MachineType
 	for _, c := range []float64{8, 16, 32} {
@@ -253,7 +253,7 @@
 	var chosen []*rackMachine
 	for _, m := range machines {
 		for f := m.free(); f >= j.submission.CPUs && j.running+j.completed+len(chosen) < j.submission.Tasks; f -= j.submission.CPUs {
-			if j.submission.Survive != nil && inRack[m.rack] >= j.submission.Survive.AtMost {
+			if j.submission.Survive != nil && inRack[m.rack] >= j.submission.Survive.MaxTasks {
 				break
 			}
 			inRack[m.rack]++
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -144,16 +144,16 @@
 	case k < 6:
 		j.submission.Shape, j.submission.Tasks, j.submission.EstimateS = api.Service, 2+w.rng.IntN(11), 0
 		j.cancelAt = j.submitted.Add(time.Duration(60+w.rng.IntN(240)) * time.Second)
-		j.submission.Survive = &api.Survive{Level: "rack", AtMost: 1 + j.submission.Tasks/3, Must: true}
+		j.submission.Survive = &api.Survive{Level: "rack", MaxTasks: 1 + j.submission.Tasks/3, Required: true}
 		if k == 0 {
-			j.submission.Near = &api.Near{Level: "switch", Must: true}
+			j.submission.Near = &api.Near{Level: "switch", Required: true}
 		}
 	case k < 11:
 		j.submission.Shape, j.submission.Tasks, j.submission.CPUs = api.Gang, 4+w.rng.IntN(20), 4
-		j.submission.Near = &api.Near{Level: "rack", Must: true}
+		j.submission.Near = &api.Near{Level: "rack", Required: true}
 	case k < 12:
 		j.submission.Shape, j.submission.Tasks, j.submission.CPUs = api.Gang, 30+w.rng.IntN(50), 4
-		j.submission.Near = &api.Near{Level: "switch", Must: true}
+		j.submission.Near = &api.Near{Level: "switch", Required: true}
 	}
 	return j
 }
@@ -243,7 +243,7 @@
 	for _, j := range w.jobOrder {
 		if x := j.submission.Survive; x != nil {
 			for _, n := range racks[j.submission.ID] {
-				if n > x.AtMost {
+				if n > x.MaxTasks {
 					f.Violations++
 					break
 				}
@@ -337,7 +337,7 @@
 		b[i], c[i] = float64(room[g]), -1
 		if r, ok := racks[g.rack]; ok {
 			a.Set(len(groups)+r, i, 1)
-			b[len(groups)+r] = float64(submission.Survive.AtMost)
+			b[len(groups)+r] = float64(submission.Survive.MaxTasks)
 		}
 	}
 	for i := range rows {
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -92,7 +92,7 @@
 	*Upgrade
 	rng     *rand.Rand
 	cluster *cluster.Cluster
-	limits  settings.State
+	limits  settings.StateLimits
 
 	// mu guards the fields below.
 	mu        sync.Mutex
@@ -113,20 +113,20 @@
 }
 
 // reducedLimits are the lower limits that the state service applies from some time during a run.
-var reducedLimits = settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
+var reducedLimits = settings.AnnouncedStateLimits{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
 
 // newUpgradeRun starts the stand-ins and workers of a run, but no controllers.
-func newUpgradeRun(ctx context.Context, x *Upgrade, seed uint64, limits settings.State) (*upgradeRun, error) {
-	limits.Next = reducedLimits
+func newUpgradeRun(ctx context.Context, x *Upgrade, seed uint64, limits settings.StateLimits) (*upgradeRun, error) {
+	limits.Announced = reducedLimits
 	r := &upgradeRun{Upgrade: x, rng: rand.New(rand.NewPCG(seed, 0)), limits: limits, res: UpgradeFigures{Seed: seed}, runningOn: map[string]string{}, completed: map[string]bool{}, jobs: map[string]*userJob{}}
 	zones := []string{"east"}
 	var err error
-	r.cluster, err = cluster.New(ctx, cluster.Options{Zones: []string{"east", "east", "east"}, Room: 0,
-		Type: api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 40, Price: 1, SpotPrice: 0.5, Zones: zones},
-		Facts: settings.Facts{Nodes: 3, Zones: zones, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 0.5, LeaseS: 5, CancelS: 20},
-			State: limits, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}, Resources: settings.Resources{CPU: 1, RAMMB: 200, Sockets: 500}},
-		Runs:  func(task string) time.Duration { return time.Duration(500+200*(len(task)%7)) * time.Millisecond },
-		Audit: r})
+	r.cluster, err = cluster.New(ctx, cluster.Options{Zones: []string{"east", "east", "east"}, RentalCapacity: 0,
+		MachineType: api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 40, Price: 1, SpotPrice: 0.5, Zones: zones},
+		Facts: settings.Facts{ControllerCount: 3, Zones: zones, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 5, CancelDeadlineS: 20},
+			State: limits, Cloud: settings.CloudLimits{RPS: 20, ListLagS: 1}, Resources: settings.Resources{CPU: 1, RAMMB: 200, MaxSockets: 500}},
+		TaskDuration: func(task string) time.Duration { return time.Duration(500+200*(len(task)%7)) * time.Millisecond },
+		Observer:     r})
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 }
 
 func (x *Upgrade) runOnce(ctx context.Context, seed uint64) (*UpgradeFigures, error) {
-	r, err := newUpgradeRun(ctx, x, seed, settings.State{RPS: 400, WriteRPS: 60, ValueKB: 16, TxnOps: 12})
+	r, err := newUpgradeRun(ctx, x, seed, settings.StateLimits{RPS: 400, WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
 	}
@@ -254,7 +254,7 @@
 		r.submit(ctx, r.jobsToAwait(), 1+r.rng.IntN(12))
 		switch {
 		case i == 10:
-			r.cluster.State.Limit(fake.Limits{RPS: r.limits.RPS, WriteRPS: reducedLimits.WriteRPS, ValueKB: reducedLimits.ValueKB, TxnOps: reducedLimits.TxnOps})
+			r.cluster.State.SetLimits(fake.Limits{RPS: r.limits.RPS, WriteRPS: reducedLimits.WriteRPS, ValueKB: reducedLimits.ValueKB, TxnOps: reducedLimits.TxnOps})
 		case i%7 == 3:
 			r.cancel(ctx)
 		case i%13 == 5:
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -104,7 +104,7 @@
 	}
 	for _, machine := range []string{"n-000001", "n-00011", "n-000200", "n-000300"} {
 		domain := "nothing"
-		if d, _ := topologyMap.Of(machine); d != nil {
+		if d, _ := topologyMap.DomainOf(machine); d != nil {
 			domain = d.Name
 		}
 		devices, known := topologyMap.DevicesOf(machine)
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sections := map[string]any{"over_limit": document.OverLimit, "policy": document.Policy, "teams": document.Teams, "features": document.Switches}
+	sections := map[string]any{"over_limit": document.OverLimit, "policy": document.Policy, "teams": document.Teams, "features": document.Features}
 	compare(t, "files/configuration.read.toml", encodeTOML(t, sections))
 	compare(t, "files/configuration.topology.txt", describeTopology(document.Topology))
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -42,7 +42,7 @@
 // changes. It must be called several times a second, even without observations.
 func (l *MemberList) Step(now time.Time, observations ...Observation) []Change {
 	l.discountPause(now)
-	if l.localFaults > 0 && now.Sub(l.localFaultsChangedAt) >= tuning.HealthAgain {
+	if l.localFaults > 0 && now.Sub(l.localFaultsChangedAt) >= tuning.LocalFaultDecayInterval {
 		l.localFaults, l.localFaultsChangedAt = l.localFaults-1, now
 	}
 	var changes []Change
@@ -58,7 +58,7 @@
 // discountPause detects a pause of this process since the last step. Hellos that arrived during the pause have
 // not been read yet, so the pause is not counted towards the silence of any peer.
 func (l *MemberList) discountPause(now time.Time) {
-	if pause := now.Sub(l.lastStep); pause >= tuning.MinPause {
+	if pause := now.Sub(l.lastStep); pause >= tuning.MinMembershipPause {
 		l.recordLocalFault(now)
 		for _, peer := range l.peers {
 			peer.lastHelloAt = peer.lastHelloAt.Add(pause)
@@ -69,7 +69,7 @@
 
 // recordLocalFault counts one more pause or lack of sockets of this controller.
 func (l *MemberList) recordLocalFault(now time.Time) {
-	l.localFaults, l.localFaultsChangedAt = min(tuning.HealthMost, l.localFaults+1), now
+	l.localFaults, l.localFaultsChangedAt = min(tuning.MaxLocalFaults, l.localFaults+1), now
 }
 
 // apply records one observation and appends the change that it causes directly, which is a restart of a member.
@@ -129,22 +129,22 @@
 	views := []View{self}
 	for _, peer := range l.peers {
 		view := peer.view(now)
-		view.QuietS, view.Phi = roundedSeconds(now.Sub(peer.lastHelloAt)), roundedTenth(l.phi(now, peer))
+		view.SilentSeconds, view.Phi = roundedSeconds(now.Sub(peer.lastHelloAt)), roundedTenth(l.phi(now, peer))
 		views = append(views, view)
 	}
 	return views
 }
 
-// view returns the member's view without Self, QuietS and Phi. Its slices are never nil, so that they are encoded
+// view returns the member's view without Self, SilentSeconds and Phi. Its slices are never nil, so that they are encoded
 // as JSON arrays and not as null.
 func (m *member) view(now time.Time) View {
 	return View{
-		Member:     m.name,
-		Level:      m.level,
-		Parts:      append([]string{}, m.impairedComponents...),
-		Why:        m.reason,
-		ForS:       roundedSeconds(now.Sub(m.since)),
-		HeardPeers: append([]string{}, m.lastHello.HeardPeers...),
+		Member:             m.name,
+		Level:              m.level,
+		ImpairedComponents: append([]string{}, m.impairedComponents...),
+		Reason:             m.reason,
+		LevelSeconds:       roundedSeconds(now.Sub(m.since)),
+		HeardPeers:         append([]string{}, m.lastHello.HeardPeers...),
 	}
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -109,11 +109,11 @@
 	if h := client.LivePeers(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || client.Isolated() {
 		t.Errorf("live peers %+v", h)
 	}
-	response, err := client.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
+	response, err := client.Call(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
 	if err != nil || response.Status != 200 || string(response.Body) != "status x" || response.RetryAfterS != 3 {
 		t.Errorf("%+v, %v", response, err)
 	}
-	if _, err := client.Ask(ctx, "n9", Request{}, time.Second); err == nil {
+	if _, err := client.Call(ctx, "n9", Request{}, time.Second); err == nil {
 		t.Error("a request to an unknown peer was answered")
 	}
 }
@@ -154,7 +154,7 @@
 	requireClose(t, <-conns)
 	want(membership.Connection{To: "n0", Outcome: membership.Reset})
 	for {
-		clock.Advance(tuning.PeerHello)
+		clock.Advance(tuning.PeerHelloInterval)
 		select {
 		case o := <-observations:
 			if o != (membership.Connection{To: "n0", Outcome: membership.Refused}) {
@@ -218,7 +218,7 @@
 	if !reflect.DeepEqual(watermarks.lastApplied, want) {
 		t.Errorf("applied %+v, want %+v", watermarks.lastApplied, want)
 	}
-	for range tuning.CancellationsAtOnce {
+	for range tuning.MaxStatementCancellations {
 		reply.cancellations = append(reply.cancellations, watermark.Cancellation{Job: "run-1"})
 	}
 	reply.cancellations = append(reply.cancellations, reply.cancellations[0])
--- a/relay/outbox.go
+++ b/relay/outbox.go
@@ -200,7 +200,7 @@
 			continue
 		}
 		ratio := compressionRatioMargin * float64(uncompressedBytes) / float64(len(packed))
-		o.compressionRatio = max(minCompressionRatio, min(tuning.PacketRatio, ratio))
+		o.compressionRatio = max(minCompressionRatio, min(tuning.PacketCompressionRatio, ratio))
 		if count == 1 || len(packed) <= o.limits.maxPackedBytes() {
 			return count, packed, nil
 		}
@@ -236,7 +236,7 @@
 		o.fragments = append(o.fragments, Packet{
 			Term:          o.term,
 			Packed:        packed[index*size : min(len(packed), (index+1)*size)],
-			ID:            o.lastMessageID,
+			MessageID:     o.lastMessageID,
 			FragmentIndex: index,
 			FragmentCount: total,
 		})
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -18,9 +18,9 @@
 // newWorkers returns the proxy of the controller y.
 func newWorkers() *Workers {
 	clock := clockwork.NewFakeClock()
-	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
+	limits := settings.StateLimits{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
 	client := store.NewClient("state:1", fake.NewState(clock))
-	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 }
 
 // relayedCommand describes a command for a task on machine b1 that the leader of term 7 derived from heartbeat seq and
@@ -34,7 +34,7 @@
 // relayCommand makes a proxy read a packet that contains a command.
 func relayCommand(t *testing.T, workers *Workers, command relayedCommand) {
 	t.Helper()
-	mailbox := relay.NewMailbox(exchange.PacketLimits(settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}))
+	mailbox := relay.NewMailbox(exchange.PacketLimits(settings.StateLimits{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}))
 	mailbox.AssignPacket("b1")
 	raw, err := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: command.seq, Commands: []api.Command{{Verb: command.verb, Task: "run-1/0", Attempt: 3}}})
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Commands are delivered for tuning.RelayedCommandsSpan heartbeats after the one from which they were derived. After
+// Commands are delivered for tuning.RelayedCommandHeartbeats heartbeats after the one from which they were derived. After
 // that the leader may count a start among them as settled. The next heartbeat is sent at once, although the worker's
 // status has not changed, so that the leader derives the commands again.
 func TestOutdatedCommandsAreDerivedAgain(t *testing.T) {
@@ -115,13 +115,13 @@
 	const derivedFrom = 10
 	sendHeartbeat(derivedFrom)
 	relayStart(t, workers, 50, derivedFrom)
-	for seq := uint64(derivedFrom + 1); seq <= derivedFrom+tuning.RelayedCommandsSpan; seq++ {
+	for seq := uint64(derivedFrom + 1); seq <= derivedFrom+tuning.RelayedCommandHeartbeats; seq++ {
 		if response := sendHeartbeat(seq); len(response.Commands) != 1 {
 			t.Fatalf("not delivered for heartbeat %d: %+v", seq, response)
 		}
 	}
 	packetsDue := func() int {
-		batch, err := workers.outbox.Next(workers.clock.Now(), tuning.RelayRefresh, 1)
+		batch, err := workers.outbox.Next(workers.clock.Now(), tuning.RelayRefreshInterval, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +130,7 @@
 	if packetsDue() != 1 || packetsDue() != 0 {
 		t.Fatal("packets due: want the first heartbeat only")
 	}
-	const outdatedAt = derivedFrom + tuning.RelayedCommandsSpan + 1
+	const outdatedAt = derivedFrom + tuning.RelayedCommandHeartbeats + 1
 	if response := sendHeartbeat(outdatedAt); len(response.Commands) != 0 {
 		t.Errorf("outdated commands were delivered: %+v", response)
 	}
@@ -152,7 +152,7 @@
 	}
 	workers.HandleHeartbeat(heartbeat(10), 7)
 	relayStart(t, workers, 50, 10)
-	if response := workers.HandleOfferedHeartbeat(heartbeat(11), 7); len(response.Commands) > 0 || response.Term != 7 {
+	if response := workers.HandleForwardedHeartbeat(heartbeat(11), 7); len(response.Commands) > 0 || response.Term != 7 {
 		t.Errorf("answer to a forwarded heartbeat: %+v", response)
 	}
 	if response := workers.HandleHeartbeat(heartbeat(12), 7); len(response.Commands) > 0 {
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// A relay may deliver a start in the response to any of the next tuning.RelayedCommandsSpan heartbeats, on whatever
+// A relay may deliver a start in the response to any of the next tuning.RelayedCommandHeartbeats heartbeats, on whatever
 // path they or copies of them reach the leader. Only a later heartbeat that does not list the task proves its absence.
 func TestRelayedHeartbeatDoesNotDisproveRelayedStart(t *testing.T) {
 	h := newHarness(t)
@@ -38,7 +38,7 @@
 	if commands := h.relayedCommandsFor("sib", "b1"); len(commands.Commands) != 0 {
 		t.Errorf("commands are still relayed after a direct heartbeat: %+v", commands)
 	}
-	for h.seq["b1"] < commands.Seq+tuning.RelayedCommandsSpan {
+	for h.seq["b1"] < commands.Seq+tuning.RelayedCommandHeartbeats {
 		h.heartbeat("b1", 1)
 	}
 	h.commit()
@@ -65,9 +65,9 @@
 func TestManyWorkersRelayWithinStateLimits(t *testing.T) {
 	for _, workerCount := range []int{50, 500, 2500} {
 		h := newHarness(t)
-		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
-		limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+		h.state.SetLimits(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+		limits := settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
+		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 		workerName := func(i int) string { return fmt.Sprintf("b%04d", i) }
 		startedOn := map[string]string{}
 		seq := uint64(0)
@@ -82,7 +82,7 @@
 		}
 		packets := newWorkerPackets(h, follower.Exchange)
 		exchangePackets := func() {
-			h.clock.Advance(tuning.RelayEvery)
+			h.clock.Advance(tuning.RelayInterval)
 			packets.toLeader(h.AcceptWorkerMessage)
 			h.Place()
 			h.commit()
--- a/scheduler/dataset_views.go
+++ b/scheduler/dataset_views.go
@@ -24,12 +24,12 @@
 	Name  string `json:"name"`
 	Bytes int64  `json:"bytes"`
 	Parts int    `json:"parts"`
-	// Whole is the number of machines that hold all parts.
-	Whole int `json:"machines_whole"`
-	// Some is the number of machines that hold at least one part.
-	Some int `json:"machines_some"`
-	// Nowhere is the number of parts that no machine holds.
-	Nowhere int `json:"parts_nowhere"`
+	// CompleteHolders is the number of machines that hold all parts.
+	CompleteHolders int `json:"machines_whole"`
+	// AnyHolders is the number of machines that hold at least one part.
+	AnyHolders int `json:"machines_some"`
+	// PartsWithoutHolder is the number of parts that no machine holds.
+	PartsWithoutHolder int `json:"parts_nowhere"`
 	// State is empty, "removing" or "removed".
 	State string `json:"state,omitempty"`
 	// Jobs is the number of known jobs that have the dataset as an input.
@@ -38,16 +38,16 @@
 
 // CopyView is the view of one copy in progress for operators.
 type CopyView struct {
-	Machine string `json:"machine"`
-	Dataset string `json:"dataset"`
-	Part    int    `json:"part"`
-	Got     int64  `json:"bytes_got"`
-	Of      int64  `json:"bytes"`
-	From    string `json:"from"`
-	// Failed maps each source that did not deliver the part to the reason.
-	Failed map[string]string `json:"failed,omitempty"`
-	// Full is true if the machine's cache has no space for the part.
-	Full bool `json:"cache_full,omitempty"`
+	Machine     string `json:"machine"`
+	Dataset     string `json:"dataset"`
+	Part        int    `json:"part"`
+	CopiedBytes int64  `json:"bytes_got"`
+	TotalBytes  int64  `json:"bytes"`
+	Source      string `json:"from"`
+	// FailedSources maps each source that did not deliver the part to the reason.
+	FailedSources map[string]string `json:"failed,omitempty"`
+	// CacheFull is true if the machine's cache has no space for the part.
+	CacheFull bool `json:"cache_full,omitempty"`
 }
 
 // Datasets returns the view of datasets, the machines that hold them, and the copies in progress. It returns false if
@@ -74,16 +74,16 @@
 	}
 	snapshot = s.datasets.index.Snapshot()
 	view = DataView{Datasets: s.datasetViews(snapshot), Copies: []CopyView{}, Waiting: s.inputWaitingViews()}
-	for _, transfer := range s.datasets.planner.Copies() {
+	for _, transfer := range s.datasets.planner.Transfers() {
 		view.Copies = append(view.Copies, CopyView{
-			Machine: transfer.Machine,
-			Dataset: transfer.Dataset,
-			Part:    transfer.Part,
-			Got:     transfer.Got,
-			Of:      transfer.Of,
-			From:    transfer.From[0].String(),
-			Failed:  transfer.Failed,
-			Full:    transfer.Full,
+			Machine:       transfer.Machine,
+			Dataset:       transfer.Dataset,
+			Part:          transfer.Part,
+			CopiedBytes:   transfer.ReceivedBytes,
+			TotalBytes:    transfer.TotalBytes,
+			Source:        transfer.Sources[0].String(),
+			FailedSources: transfer.FailedSources,
+			CacheFull:     transfer.CacheFull,
 		})
 	}
 	return view, snapshot, true
@@ -100,10 +100,10 @@
 	}
 	views := []DatasetView{}
 	for _, entry := range s.datasets.entries {
-		if entry.State == dataset.Removed && !snapshot.Known(entry.Name) {
+		if entry.State == dataset.Removed && !snapshot.HasReplicas(entry.Name) {
 			continue
 		}
-		views = append(views, DatasetView{Name: entry.Name, Bytes: entry.Bytes, Parts: entry.Parts, State: entry.State, Jobs: jobs[entry.Name]})
+		views = append(views, DatasetView{Name: entry.Name, Bytes: entry.Bytes, Parts: entry.PartCount, State: entry.State, Jobs: jobs[entry.Name]})
 	}
 	return views
 }
@@ -113,9 +113,9 @@
 	views := []api.WaitingView{}
 	for _, job := range s.jobOrder {
 		if !s.inputsReady(job) {
-			views = append(views, api.WaitingView{Job: job.id, Tasks: job.taskCount - job.completedCount, Why: "a dataset is not known to this controller yet"})
+			views = append(views, api.WaitingView{Job: job.id, Tasks: job.taskCount - job.completedCount, Reason: "a dataset is not known to this controller yet"})
 		} else if waiting := s.datasets.waiting[job.id]; waiting > 0 {
-			views = append(views, api.WaitingView{Job: job.id, Tasks: waiting, Why: "inputs are not on their machines yet"})
+			views = append(views, api.WaitingView{Job: job.id, Tasks: waiting, Reason: "inputs are not on their machines yet"})
 		}
 	}
 	return views
@@ -127,14 +127,14 @@
 	for part := range v.Parts {
 		holders := snapshot.Holders(v.Name, part)
 		if len(holders) == 0 {
-			v.Nowhere++
+			v.PartsWithoutHolder++
 		}
 		for _, machine := range holders {
 			holdersOfAny.Add(uint32(machine))
 		}
 	}
-	v.Whole = len(snapshot.Complete(v.Name))
-	v.Some = int(holdersOfAny.GetCardinality())
+	v.CompleteHolders = len(snapshot.CompleteHolders(v.Name))
+	v.AnyHolders = int(holdersOfAny.GetCardinality())
 }
 
 // logDatasets logs the backlog and progress of staging. It does nothing if datasets are off. s.mu must be held.
@@ -147,6 +147,6 @@
 		tasks += waiting
 	}
 	planner := s.datasets.planner
-	slog.Info("staging", "tasks_waiting", tasks, "jobs_waiting", len(s.datasets.waiting), "copies", len(planner.Copies()),
-		"backlog_mb", int(planner.Backlog()/bytesPerMB), "planned", planner.Planned, "failed", planner.Failed)
+	slog.Info("staging", "tasks_waiting", tasks, "jobs_waiting", len(s.datasets.waiting), "copies", len(planner.Transfers()),
+		"backlog_mb", int(planner.TotalQueuedBytes()/bytesPerMB), "planned", planner.PlannedTransfers, "failed", planner.SourceFailures)
 }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -64,8 +64,8 @@
 	refusedUntil time.Time
 }
 
-// machineNamed returns the machine with a name, and adds it if it is not known. s.mu must be held.
-func (s *Scheduler) machineNamed(name string) *machineState {
+// getOrAddMachine returns the machine with a name, and adds it if it is not known. s.mu must be held.
+func (s *Scheduler) getOrAddMachine(name string) *machineState {
 	machine := s.machines[name]
 	if machine == nil {
 		machine = &machineState{
@@ -79,7 +79,7 @@
 		s.machinesByName = nil
 		if len(name) > s.longestName {
 			if s.longestName = len(name); s.currentFormat && s.loaded {
-				s.fitShards()
+				s.updateShardSize()
 			}
 		}
 	}
@@ -127,9 +127,9 @@
 // heartbeatTimeout returns how long a machine may be silent and still get work. It is longer for a machine whose
 // heartbeats are relayed.
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
-	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
+	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.HeartbeatIntervalS)
 	if machine.relayPeer != "" {
-		timeout += tuning.RelayRefresh
+		timeout += tuning.RelayRefreshInterval
 	}
 	return timeout
 }
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -22,8 +22,8 @@
 
 func (w *outboundLostWorkers) run(duration time.Duration, sendOtherHeartbeats func()) (released []string) {
 	h := w.harness
-	for ; duration > 0; duration -= tuning.MaintainEvery {
-		h.clock.Advance(tuning.MaintainEvery)
+	for ; duration > 0; duration -= tuning.MaintenanceInterval {
+		h.clock.Advance(tuning.MaintenanceInterval)
 		sendOtherHeartbeats()
 		if since := h.clock.Since(w.began); since >= time.Duration(w.heartbeatRounds+1)*5*time.Second {
 			w.heartbeatRounds++
@@ -37,17 +37,17 @@
 		h.Place()
 		h.commit()
 		h.Committed()
-		for ; h.answered < len(h.sent); h.answered++ {
-			message := h.sent[h.answered]
+		for ; h.answeredCommands < len(h.sent); h.answeredCommands++ {
+			message := h.sent[h.answeredCommands]
 			unreachable := false
 			for _, name := range w.names {
 				unreachable = unreachable || name == message.machine
 			}
 			if unreachable {
 				w.countStarts(message.response.Commands)
-				h.CommandsAnswered(message.machine, message.response, nil, false)
+				h.HandleCommandOutcome(message.machine, message.response, nil, false)
 			} else {
-				h.CommandsAnswered(message.machine, message.response, nil, true)
+				h.HandleCommandOutcome(message.machine, message.response, nil, true)
 			}
 		}
 		released = append(released, h.MaintainFleet()...)
@@ -70,7 +70,7 @@
 func TestMachineWithLostCommandsGetsNoMoreWork(t *testing.T) {
 	for _, reachableAgain := range []bool{false, true} {
 		h := newHarness(t)
-		h.settings.Facts.Workers.ReportS = 4
+		h.settings.Facts.Workers.HeartbeatIntervalS = 4
 		h.heartbeat("a1", 1)
 		workers := &outboundLostWorkers{harness: h, names: []string{"a1"}, began: h.clock.Now(), starts: map[uint64]bool{}}
 		h.submit("run-000001", 30, func(submission *api.Submission) {
@@ -105,7 +105,7 @@
 // six leases, and then only a few at a time.
 func TestZoneWithLostCommandsIsOneFailure(t *testing.T) {
 	h := newHarness(t)
-	h.settings.Facts.Workers.ReportS = 4
+	h.settings.Facts.Workers.HeartbeatIntervalS = 4
 	workers := &outboundLostWorkers{harness: h, began: h.clock.Now(), starts: map[uint64]bool{}}
 	for i := range 40 {
 		workers.names = append(workers.names, fmt.Sprintf("b%d", i))
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -10,21 +10,21 @@
 	"switchferry/tuning"
 )
 
-// topologyView is the scheduler's state of the topology domains. Scheduler.mu guards it.
-type topologyView struct {
+// topologyState is the scheduler's state of the topology domains. Scheduler.mu guards it.
+type topologyState struct {
 	tree *topology.Tree
 	// loggedUnlisted is the last logged number of machines in no domain.
 	loggedUnlisted int
 	// loggedAmbiguous is the last logged number of machines in several domains.
 	loggedAmbiguous int
-	search          topology.Search
+	search          topology.StrandedScaleUp
 	reservations    topology.Reservations
 }
 
 // UseTopology sets the topology, so that the near and survive constraints of jobs are applied. It must be called before
 // the records are loaded.
 func (s *Scheduler) UseTopology(topologyMap *topology.Map) {
-	s.topology = &topologyView{tree: topology.NewTree(topologyMap)}
+	s.topology = &topologyState{tree: topology.NewTree(topologyMap)}
 }
 
 // ReplaceTopology switches to another version of the topology. Running tasks are not moved; they count for the domains
@@ -57,7 +57,7 @@
 	if s.topology == nil {
 		return
 	}
-	job.site = s.topology.tree.NewSite(job.Job.Near, job.Job.Survive)
+	job.site = s.topology.tree.NewJobPlacement(job.Job.Near, job.Job.Survive)
 }
 
 // updateFreeResources updates a machine's free resources in its domains. s.mu must be held.
@@ -115,7 +115,7 @@
 	found := job.site.ChooseDomain(job.request, len(job.pending), !isArray, allowed)
 	reason := job.site.Reason()
 	if !found && !isArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
-		job.nextDomainSearch = s.now().Add(tuning.DomainSearchEvery)
+		job.nextDomainSearch = s.now().Add(tuning.DomainSearchInterval)
 		costs := func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) }
 		found = job.site.ChooseDomainByPreemption(job.request, len(job.pending), allowed, costs)
 	}
@@ -142,8 +142,8 @@
 			continue
 		}
 		count := len(job.pending)
-		if survive := job.Job.Survive; survive != nil && survive.Must {
-			count = min(count, survive.AtMost)
+		if survive := job.Job.Survive; survive != nil && survive.Required {
+			count = min(count, survive.MaxTasks)
 		}
 		cpus += float64(count) * job.request.CPUs
 	}
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -19,14 +19,14 @@
 	h.submit("run-000001", api.MaxTasks, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Team = 0.01, 0.01, "t" })
 	h.mu.Lock()
 	job := h.jobs["run-000001"]
-	machine := h.machineNamed("n-999999")
+	machine := h.getOrAddMachine("n-999999")
 	for i := range api.MaxTasks {
 		h.allocate(job, i, machine, h.nextAttempt()+1<<40)
 		h.markShardDirty(job, i, nil)
 	}
 	h.mu.Unlock()
 	h.commit()
-	largest := h.state.Largest
+	largest := h.state.LargestTransaction
 	if largest.Value > 16<<10 || largest.Bytes > 64<<10 || largest.Ops > 12 {
 		t.Errorf("largest transaction %+v", largest)
 	}
@@ -44,7 +44,7 @@
 func TestAcceptanceWithLostResponse(t *testing.T) {
 	h := newHarness(t)
 	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
-	h.state.LoseAnswer = true
+	h.state.LoseNextAnswer = true
 	h.Submit(cancelledContext(), sub, h.clock.Now())
 	h.committer.Step(context.Background())
 	h.commit()
@@ -106,20 +106,20 @@
 	}
 	h.submit("run-000001", 150, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
 	h.Place()
-	h.state.HoldNext = true // delays a transaction of the old leader until Deliver
+	h.state.HoldNextTransaction = true // delays a transaction of the old leader until Deliver
 	h.committer.Step(context.Background())
 	h.commit()
-	oldShard := store.ShardOf("run-000001", 0, tuning.ShardTasks)
+	oldShard := store.ShardOf("run-000001", 0, tuning.TasksPerShard)
 	if n := len(h.state.Get(oldShard.Key())); n < 2048 {
 		t.Fatalf("the record has only %d bytes", n)
 	}
 	placedCount := len(h.jobs["run-000001"].allocations)
-	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 8}
+	h.limits.Announced = settings.AnnouncedStateLimits{ValueKB: 2, TxnOps: 8}
 	h.elect()
 	h.UseCurrentFormat()
 	h.commit()
-	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 8})
-	h.state.Deliver()
+	h.state.SetLimits(fake.Limits{ValueKB: 2, TxnOps: 8})
+	h.state.ExecuteHeld()
 	if h.state.Get(oldShard.Key()) != nil {
 		t.Error("the large record was not deleted")
 	}
@@ -136,11 +136,11 @@
 // final record of a cancelled service marks it as a service.
 func TestShardSizeAccountsForMachineNames(t *testing.T) {
 	h := newHarness(t)
-	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
+	h.limits.Announced = settings.AnnouncedStateLimits{ValueKB: 2, TxnOps: 4}
 	h.elect()
 	h.UseCurrentFormat()
 	h.committer.SetValueLimit(2048)
-	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
+	h.state.SetLimits(fake.Limits{ValueKB: 2, TxnOps: 4})
 	for i := range 10 {
 		h.heartbeat(fmt.Sprintf("a%0100d", i), 1)
 	}
@@ -151,8 +151,8 @@
 	})
 	h.Place()
 	h.commit()
-	if n := h.committer.Pending(); n > 0 || len(h.state.Refusals()) > 0 || h.state.Largest.Value > 2048 {
-		t.Errorf("%d records are not written, refused %v, the largest value has %d bytes", n, h.state.Refusals(), h.state.Largest.Value)
+	if n := h.committer.Pending(); n > 0 || len(h.state.Refusals()) > 0 || h.state.LargestTransaction.Value > 2048 {
+		t.Errorf("%d records are not written, refused %v, the largest value has %d bytes", n, h.state.Refusals(), h.state.LargestTransaction.Value)
 	}
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
@@ -177,7 +177,7 @@
 				bitmap.Set(i)
 			}
 			shard := store.Shard{Job: "run-000001", Index: index, Size: size}
-			h.state.Put(shard.Key(), store.ShardRecord{Done: bitmap.Pack(shard), On: placed})
+			h.state.Put(shard.Key(), store.ShardRecord{Done: bitmap.Pack(shard), Placed: placed})
 		}
 		writeOlder := func() {
 			put(400, 0, []int{3}, store.PlacedTask{Task: 1, Machine: "a1", Attempt: 5}, store.PlacedTask{Task: 50, Machine: "a1", Attempt: 6}, store.PlacedTask{Task: 2, Machine: "a1", Attempt: 7})
@@ -219,17 +219,17 @@
 	for i := range 12 {
 		h.heartbeat("a1"+string(rune('a'+i)), 1)
 	}
-	h.submit("run-000001", 40*tuning.ShardTasks, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
+	h.submit("run-000001", 40*tuning.TasksPerShard, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
 	lowRank := h.jobs["run-000001"]
 	for shard := range 40 {
-		h.markShardDirty(lowRank, shard*tuning.ShardTasks, nil)
+		h.markShardDirty(lowRank, shard*tuning.TasksPerShard, nil)
 	}
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Rank = "prod" })
 	for h.committer.Pending() > 0 {
 		h.commit()
 	}
 	for shard := range 40 {
-		h.markShardDirty(lowRank, shard*tuning.ShardTasks, nil)
+		h.markShardDirty(lowRank, shard*tuning.TasksPerShard, nil)
 	}
 	production := h.jobs["run-000002"]
 	stored := false
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -16,7 +16,7 @@
 // keep refused jobs in memory.
 func TestSubmissionsBeyondWriteCapacityAreRefused(t *testing.T) {
 	h := newHarness(t)
-	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
+	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.StateLimits{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
 		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
@@ -32,8 +32,8 @@
 	if kept := 500 - refused; kept < 40 || kept > 60 {
 		t.Errorf("%d of 500 submissions kept at 20 writes per second, want 40 to 60", kept)
 	}
-	if longest > tuning.RetryAfterMost {
-		t.Errorf("Retry-After of %d s, want at most %d s", longest, tuning.RetryAfterMost)
+	if longest > tuning.MaxRetryAfterS {
+		t.Errorf("Retry-After of %d s, want at most %d s", longest, tuning.MaxRetryAfterS)
 	}
 	for range 200 {
 		h.committer.Step(context.Background())
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if !s.loaded || s.instancesRequested > 0 || now.Sub(s.termStarted) < settings.Seconds(2*s.settings.Facts.Workers.ReportS) {
+	if !s.loaded || s.instancesRequested > 0 || now.Sub(s.termStarted) < settings.Seconds(2*s.settings.Facts.Workers.HeartbeatIntervalS) {
 		return nil
 	}
 	desired, desiredOrdinary := s.desiredCapacity()
@@ -169,7 +169,7 @@
 			continue
 		}
 		cpus := s.machineTypes[pool.machineType].CPUs
-		count := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/cpus)))
+		count := min(tuning.MaxInstanceRequest, int(math.Ceil(missing/cpus)))
 		requests = append(requests, s.instanceRequest(pool, count))
 		// The cloud may grant fewer; the next round takes that into account.
 		supply += float64(count) * cpus
@@ -256,7 +256,7 @@
 		supplied := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
 		for _, alloc := range machine.allocations {
 			if alloc.job.Job.Shape == api.Service {
-				supplied.Used = supplied.Used.Add(alloc.job.request)
+				supplied.UsedByServices = supplied.UsedByServices.Add(alloc.job.request)
 			}
 		}
 		machines = append(machines, supplied)
@@ -295,7 +295,7 @@
 		if _, gone := s.releasedAt[name]; gone {
 			continue
 		}
-		machine := s.machineNamed(name)
+		machine := s.getOrAddMachine(name)
 		if !machine.Up {
 			machine.Type, machine.Zone, machine.Spot, machine.Spec = request.Type, request.Zone, request.Spot, s.machineTypes[request.Type]
 			machine.requestedHere = true
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -101,7 +101,7 @@
 	releasedAt    map[string]time.Time
 	fleetLoggedAt time.Time
 	// topology is nil if no topology is configured.
-	topology *topologyView
+	topology *topologyState
 	// datasets is nil unless datasets are enabled.
 	datasets *datasetState
 	// imageHints holds the images of machines that have not sent a heartbeat yet, as stored by the previous leader;
@@ -121,8 +121,8 @@
 
 	// Commands.
 
-	// evidence counts released allocations by proof, and crossed messages.
-	evidence releaseStats
+	// releaseStats counts released allocations by proof, and crossed messages.
+	releaseStats releaseStats
 	// commandsReady holds the machines whose commands can be sent because the records that they depend on are stored.
 	commandsReady map[*machineState]bool
 	// commandMailboxes holds the commands that are relayed through each peer.
@@ -149,7 +149,7 @@
 	victimSearches int
 	// scratchCounts and scratchQueued are reused by queuedAhead.
 	scratchCounts map[*jobState]int
-	scratchQueued []placement.Queued
+	scratchQueued []placement.QueuedJob
 }
 
 // New returns the Scheduler of a new term. Its records are not loaded yet.
@@ -170,23 +170,23 @@
 		lastDirectContact: started,
 		machineTypes:      map[string]*api.MachineType{},
 		jobs:              map[string]*jobState{},
-		archived:          newArchivedJobs(tuning.ArchivedKept),
+		archived:          newArchivedJobs(tuning.ArchivedJobsCapacity),
 		machines:          map[string]*machineState{},
 		releasedAt:        map[string]time.Time{},
 		commandsReady:     map[*machineState]bool{},
-		evidence:          releaseStats{proofs: map[releaseProof]int{}},
+		releaseStats:      releaseStats{proofs: map[releaseProof]int{}},
 		usage:             map[string]fleet.Resources{},
 		stoppingUsage:     map[string]fleet.Resources{},
 		imageHints:        map[string][]fleet.Image{},
 		instanceRefusals:  map[capacityPool]time.Time{},
 		wake:              make(chan struct{}, 1),
 		detector:          failuredetector.New(started, settings.Seconds(memberSettings.Facts.Workers.LeaseS)),
-		tasksPerShard:     tuning.ShardTasks,
+		tasksPerShard:     tuning.TasksPerShard,
 	}
 	scheduler.dependencies = newDependencies(scheduler)
 	scheduler.commandMailboxes = newMailboxes(scheduler, store.RelayResponsePrefix, store.RelayResponseKey, scheduler.relayedCommandBody)
 	scheduler.objectives, scheduler.deadlineMultiples = objectivesByClass(memberSettings.Facts.Objectives)
-	scheduler.SetTypes(machineTypes)
+	scheduler.UpdateMachineTypes(machineTypes)
 	return scheduler
 }
 
@@ -198,8 +198,8 @@
 		switch {
 		case objective.Kind == "finished" && objective.WithinS > 0:
 			withinS[objective.Class] = append(withinS[objective.Class], objective.WithinS)
-		case objective.Kind == "deadline" && objective.Times > 1:
-			deadlineMultiples[objective.Class] = append(deadlineMultiples[objective.Class], objective.Times)
+		case objective.Kind == "deadline" && objective.DeadlineFactor > 1:
+			deadlineMultiples[objective.Class] = append(deadlineMultiples[objective.Class], objective.DeadlineFactor)
 		}
 	}
 	for _, byClass := range []map[string][]float64{withinS, deadlineMultiples} {
@@ -225,8 +225,8 @@
 // LookupNeeded returns a channel that receives a value when UnresolvedDependencies has new entries.
 func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
 
-// SetTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are kept.
-func (s *Scheduler) SetTypes(machineTypes []api.MachineType) {
+// UpdateMachineTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are kept.
+func (s *Scheduler) UpdateMachineTypes(machineTypes []api.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range machineTypes {
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -86,7 +86,7 @@
 func (s *Scheduler) replicaScore(job *jobState, task int, machine *machineState) float64 {
 	score := s.startCost(job, task, machine).Seconds()
 	if job.site != nil {
-		score += tuning.SiteCost * job.site.Cost(machine.Name)
+		score += tuning.PreferenceViolationCostS * job.site.Cost(machine.Name)
 	}
 	for _, alloc := range machine.allocations {
 		if alloc.job == job {
@@ -224,7 +224,7 @@
 // mayPreemptForGang reports whether allocations may be preempted for a whole gang: it has a mandatory near constraint and
 // no inputs, and jobs of lower rank have allocations. s.mu must be held.
 func (s *Scheduler) mayPreemptForGang(job *jobState) bool {
-	return job.site != nil && job.Job.Near != nil && job.Job.Near.Must &&
+	return job.site != nil && job.Job.Near != nil && job.Job.Near.Required &&
 		job.rank > lowestRank(s.jobOrder) && len(job.inputs) == 0 && !s.failsEverywhere(job)
 }
 
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -69,7 +69,7 @@
 	case 0, 1, 2, 3, 4:
 		r.sendHeartbeat(name)
 	case 5, 6, 7, 8, 9:
-		r.answer(name)
+		r.handleHeartbeat(name)
 	case 10, 11:
 		r.deliverResponse(name)
 	case 12, 13, 14, 15, 16, 17, 18, 19:
@@ -94,7 +94,7 @@
 // sendHeartbeat makes a worker send a heartbeat, unless it awaits a response.
 func (r *randomStarts) sendHeartbeat(name string) {
 	if r.waiting[name] == nil {
-		report := r.workers[name].Report()
+		report := r.workers[name].NextHeartbeat()
 		r.waiting[name] = &exchangedHeartbeat{report: report}
 		if r.rng.IntN(4) == 0 {
 			r.copies = append(r.copies, report)
@@ -102,8 +102,8 @@
 	}
 }
 
-// answer makes the leader or the follower handle the heartbeat that a worker has sent.
-func (r *randomStarts) answer(name string) {
+// handleHeartbeat makes the leader or the follower handle the heartbeat that a worker has sent.
+func (r *randomStarts) handleHeartbeat(name string) {
 	sent, h := r.waiting[name], r.harness
 	if sent == nil || sent.response != nil || sent.report.Term > h.term {
 		return
@@ -115,7 +115,7 @@
 	case r.rng.IntN(3) == 0:
 		// The follower forwards the heartbeat to the leader, but answers itself because the leader's response is late.
 		h.HandleHeartbeat(sent.report, "y")
-		response = r.relay.HandleOfferedHeartbeat(sent.report, h.term)
+		response = r.relay.HandleForwardedHeartbeat(sent.report, h.term)
 	default:
 		response = r.relay.HandleHeartbeat(sent.report, h.term)
 		if r.rng.IntN(4) == 0 {
@@ -144,7 +144,7 @@
 	case r.rng.IntN(5) == 0:
 		delete(r.waiting, name)
 	case sent.response != nil:
-		r.workers[name].Answer(sent.report, r.harness.clock.Now(), *sent.response)
+		r.workers[name].ApplyResponse(sent.report, r.harness.clock.Now(), *sent.response)
 		delete(r.waiting, name)
 	}
 }
@@ -162,8 +162,8 @@
 func (r *randomStarts) placeAndSend() {
 	h := r.harness
 	r.place()
-	r.commands = append(r.commands, h.sent[h.answered:]...)
-	h.answered = len(h.sent)
+	r.commands = append(r.commands, h.sent[h.answeredCommands:]...)
+	h.answeredCommands = len(h.sent)
 }
 
 // deliverCommand delivers a random direct command to its worker. The answer may be lost, and a command that the leader
@@ -171,7 +171,7 @@
 func (r *randomStarts) deliverCommand() {
 	if len(r.lost) > 0 && r.rng.IntN(4) == 0 {
 		sent := r.takeCommand(&r.lost)
-		r.workers[sent.machine].Direct(sent.response)
+		r.workers[sent.machine].ExecuteCommands(sent.response)
 		return
 	}
 	if len(r.commands) == 0 {
@@ -186,13 +186,13 @@
 	case 1:
 		settled = true
 	case 2:
-		r.workers[sent.machine].Direct(sent.response)
+		r.workers[sent.machine].ExecuteCommands(sent.response)
 	default:
-		heartbeat, _ = r.workers[sent.machine].Direct(sent.response)
+		heartbeat, _ = r.workers[sent.machine].ExecuteCommands(sent.response)
 		settled = true
 	}
 	if sent.response.Term == h.term {
-		h.CommandsAnswered(sent.machine, sent.response, heartbeat, settled)
+		h.HandleCommandOutcome(sent.machine, sent.response, heartbeat, settled)
 	}
 }
 
@@ -218,7 +218,7 @@
 // injectFault restarts a worker, elects a new leader, changes whether a machine is relayed, or sets the cause of
 // failures.
 func (r *randomStarts) injectFault(name string) {
-	causes := []string{"", "", "", api.CauseError, api.CauseNoRoom, api.CauseUnknown}
+	causes := []string{"", "", "", api.CauseError, api.CauseInsufficientResources, api.CauseNotFound}
 	switch r.rng.IntN(8) {
 	case 0:
 		r.workers[name].Restart()
@@ -273,8 +273,8 @@
 		r.placeAndSend()
 		for len(r.commands) > 0 {
 			sent := r.takeCommand(&r.commands)
-			heartbeat, _ := r.workers[sent.machine].Direct(sent.response)
-			r.harness.CommandsAnswered(sent.machine, sent.response, heartbeat, true)
+			heartbeat, _ := r.workers[sent.machine].ExecuteCommands(sent.response)
+			r.harness.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 		}
 		r.harness.clock.Advance(time.Second)
 		done := 0
@@ -342,7 +342,7 @@
 		for range 500 {
 			random.step()
 		}
-		stats := random.harness.evidence
+		stats := random.harness.releaseStats
 		crossed += stats.exitsCrossed + stats.stopsCrossed + stats.absencesCrossed
 		if twice := random.startedTwice(); len(twice) > 0 {
 			t.Fatalf("seed %d: tasks ran on two machines: %v", seed, twice)
--- a/staging/sources.go
+++ b/staging/sources.go
@@ -15,18 +15,18 @@
 // are excluded. The store is used only if no usable peer holds the part and no other machine is
 // receiving it, so that each part is copied from the store only once.
 func (planner *Planner) chooseSources(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) []api.StageSource {
-	if agent.address == "" || agent.incoming >= planner.limits.PerLink {
+	if agent.address == "" || agent.incoming >= planner.limits.TransfersPerLink {
 		return nil
 	}
 	peers, busy := planner.availablePeers(agent, demand, snapshot, now, failed)
 	if len(peers) > 0 {
 		var sources []api.StageSource
-		for _, peer := range peers[:min(len(peers), tuning.StageSources)] {
+		for _, peer := range peers[:min(len(peers), tuning.StageSourcesPerPart)] {
 			sources = append(sources, api.StageSource{Peer: peer.address})
 		}
 		return sources
 	}
-	if busy || planner.counts.fromStore >= planner.limits.AtStore || planner.limits.Peers && planner.isProgressing(demand.Set.Name, demand.Part, now) {
+	if busy || planner.counts.fromStore >= planner.limits.StoreTransfers || planner.limits.AllowPeers && planner.isProgressing(demand.Dataset.Name, demand.Part, now) {
 		return nil
 	}
 	return []api.StageSource{{Store: true}}
@@ -36,18 +36,18 @@
 // transfers first. busy says that at least one usable peer was left out only because it already
 // serves the maximum number of transfers.
 func (planner *Planner) availablePeers(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) (peers []*agentState, busy bool) {
-	if !planner.limits.Peers {
+	if !planner.limits.AllowPeers {
 		return nil, false
 	}
-	for _, machineID := range snapshot.Holders(demand.Set.Name, demand.Part) {
+	for _, machineID := range snapshot.Holders(demand.Dataset.Name, demand.Part) {
 		peer := planner.agentsByID[machineID]
-		if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilent {
+		if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilenceTimeout {
 			continue
 		}
 		if _, hasFailed := failed[api.StageSource{Peer: peer.address}]; hasFailed {
 			continue
 		}
-		if peer.outgoing >= planner.limits.PerLink {
+		if peer.outgoing >= planner.limits.TransfersPerLink {
 			busy = true
 			continue
 		}
@@ -60,7 +60,7 @@
 }
 
 // isProgressing returns whether a machine is receiving the part by a transfer that still has a source
-// that did not fail, and that made progress within tuning.StageGiveUp.
+// that did not fail, and that made progress within tuning.StageProgressTimeout.
 func (planner *Planner) isProgressing(datasetName string, part int, now time.Time) bool {
 	if planner.counts.byPart[partKey{datasetName, part}] == 0 {
 		return false
@@ -71,7 +71,7 @@
 			continue
 		}
 		transfer := desired.transfers[part]
-		if transfer != nil && len(transfer.failures) < len(transfer.sources) && now.Sub(transfer.lastProgress) < tuning.StageGiveUp {
+		if transfer != nil && len(transfer.failures) < len(transfer.sources) && now.Sub(transfer.lastProgress) < tuning.StageProgressTimeout {
 			return true
 		}
 	}
@@ -85,7 +85,7 @@
 	if !planner.allSourcesFailed(transfer) {
 		return false
 	}
-	desired := agent.desired[demand.Set.Name]
+	desired := agent.desired[demand.Dataset.Name]
 	// The transfer itself must not count against the limits while its new sources are chosen.
 	planner.cancelTransfer(agent, desired, demand.Part)
 	sources := planner.chooseSources(agent, Demand{agent.name, desired.summary, demand.Part}, snapshot, now, transfer.failures)
--- a/topology/reservations.go
+++ b/topology/reservations.go
@@ -14,8 +14,8 @@
 	// Rank is the job's priority; higher is more important.
 	Rank   int
 	Domain *Domain
-	// At is when the domain is needed: the time at which the last of the job's tasks could start there.
-	At time.Time
+	// NeededAt is when the domain is needed: the time at which the last of the job's tasks could start there.
+	NeededAt time.Time
 
 	// expiresAt is when the reservation ends unless it is renewed.
 	expiresAt time.Time
@@ -27,7 +27,7 @@
 	if r.Job == job || rank > r.Rank || !now.Before(r.expiresAt) || !domain.Within(r.Domain) {
 		return false
 	}
-	return endsAt.IsZero() || endsAt.After(r.At)
+	return endsAt.IsZero() || endsAt.After(r.NeededAt)
 }
 
 // Reservations holds the reservations of one leadership term. They are not persisted: they are derived from the running
@@ -37,9 +37,9 @@
 	reservations []Reservation
 }
 
-// Reserve makes or renews the reservation of a job, which then expires after tuning.ReservedFor; expiresAt of the
+// Reserve makes or renews the reservation of a job, which then expires after tuning.DomainReservationTTL; expiresAt of the
 // request is ignored. A job has at most one reservation. Reserve returns false if another job has reserved the domain,
-// a domain within it or one that contains it, or if there are already tuning.ReservedMost reservations.
+// a domain within it or one that contains it, or if there are already tuning.MaxDomainReservations reservations.
 func (r *Reservations) Reserve(now time.Time, request Reservation) bool {
 	r.Expire(now)
 	own := -1
@@ -51,9 +51,9 @@
 			return false
 		}
 	}
-	request.expiresAt = now.Add(tuning.ReservedFor)
+	request.expiresAt = now.Add(tuning.DomainReservationTTL)
 	if own < 0 {
-		if len(r.reservations) >= tuning.ReservedMost {
+		if len(r.reservations) >= tuning.MaxDomainReservations {
 			return false
 		}
 		r.reservations = append(r.reservations, request)
@@ -62,7 +62,7 @@
 	if previous := r.reservations[own]; previous.Domain == request.Domain {
 		// A renewal does not postpone the time at which the domain is needed, so other jobs that use it meanwhile do
 		// not delay the job.
-		request.At = latest(now, earliest(request.At, previous.At))
+		request.NeededAt = latest(now, earliest(request.NeededAt, previous.NeededAt))
 	}
 	r.reservations[own] = request
 	return true
