--- a/api/inputs.go
+++ b/api/inputs.go
@@ -39,8 +39,8 @@
 	if json.Unmarshal(fields.Inputs, &inputs) != nil {
 		return nil, &FieldError{"inputs", `must be a list like [{"dataset":"inventory-7","use":"own"}]`}
 	}
-	if len(inputs) > tuning.InputsLimit {
-		return nil, &FieldError{"inputs", fmt.Sprintf("at most %d are possible", tuning.InputsLimit)}
+	if len(inputs) > tuning.MaxInputs {
+		return nil, &FieldError{"inputs", fmt.Sprintf("at most %d are possible", tuning.MaxInputs)}
 	}
 	seen := map[string]bool{}
 	for index, input := range inputs {
--- a/api/partset.go
+++ b/api/partset.go
@@ -63,7 +63,7 @@
 	if err := bitmap.Validate(); err != nil {
 		return nil, err
 	}
-	if bitmap.Maximum() >= tuning.PartsLimit {
+	if bitmap.Maximum() >= tuning.MaxParts {
 		return nil, fmt.Errorf("part number %d exceeds the limit of parts in a dataset", bitmap.Maximum())
 	}
 	return bitmap, nil
--- a/api/staging.go
+++ b/api/staging.go
@@ -127,7 +127,7 @@
 		return &FieldError{"quota", "quota and used must be numbers of bytes, 0 or more"}
 	}
 	for index, held := range heartbeat.Holds {
-		if held.Dataset == "" || held.Of < 0 || held.Of > tuning.PartsLimit || held.Parts.Bitmap == nil {
+		if held.Dataset == "" || held.Of < 0 || held.Of > tuning.MaxParts || held.Parts.Bitmap == nil {
 			return &FieldError{fmt.Sprintf("holds[%d]", index), "needs dataset, of and parts"}
 		}
 	}
@@ -137,7 +137,7 @@
 		}
 	}
 	for index, progress := range heartbeat.Copies {
-		if progress.Part < 0 || progress.Part >= tuning.PartsLimit || progress.Got < 0 || progress.Of < 0 {
+		if progress.Part < 0 || progress.Part >= tuning.MaxParts || progress.Got < 0 || progress.Of < 0 {
 			return &FieldError{fmt.Sprintf("copies[%d]", index), "has numbers that are out of range"}
 		}
 	}
--- a/cli/client.go
+++ b/cli/client.go
@@ -35,7 +35,7 @@
 func (client *controllerClient) addFlags(cmd *cobra.Command) {
 	cmd.Flags().StringSliceVar(&client.controllers, "node", []string{"127.0.0.1:8080"}, "address of a controller; may be given several times")
 	cmd.Flags().BoolVar(&client.asJSON, "json", false, "print the controller's answer as JSON")
-	cmd.Flags().DurationVar(&client.timeout, "wait", tuning.ClientTotal, "how long to try in all")
+	cmd.Flags().DurationVar(&client.timeout, "wait", tuning.ClientTotalTimeout, "how long to try in all")
 }
 
 // errNoController reports that no controller address is set or that no request could be sent in time.
@@ -50,7 +50,7 @@
 		return 0, nil, withExitCode(ExitUsage, errNoController)
 	}
 	dialer := &net.Dialer{Timeout: tuning.DialTimeout}
-	httpClient := &http.Client{Timeout: tuning.ClientTimeout, Transport: &http.Transport{DialContext: dialer.DialContext}}
+	httpClient := &http.Client{Timeout: tuning.ClientRequestTimeout, Transport: &http.Transport{DialContext: dialer.DialContext}}
 	lastErr := errNoController
 	for attempt := 0; ; attempt++ {
 		url := "http://" + client.controllers[attempt%len(client.controllers)] + path
@@ -90,7 +90,7 @@
 	if err != nil {
 		return 0, nil, &retryableError{err, retryPause}
 	}
-	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.AnswerLimit))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxResponseBytes))
 	_ = response.Body.Close() // The body has been read; a failed close loses nothing.
 	if err != nil {
 		return 0, nil, &retryableError{err, retryPause}
--- a/cli/data_register.go
+++ b/cli/data_register.go
@@ -22,8 +22,8 @@
 		Example: "  switchferry data manifest --name inventory-2026-11-30 --chunk 8MB snapshot.bin > manifest.json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			size, err := humanize.ParseBytes(chunkSize)
-			if err != nil || size == 0 || size > tuning.ChunkLimit {
-				return withExitCode(ExitUsage, fmt.Errorf("--chunk: %q must be a size from 1B to %s", chunkSize, humanize.IBytes(tuning.ChunkLimit)))
+			if err != nil || size == 0 || size > tuning.MaxChunkBytes {
+				return withExitCode(ExitUsage, fmt.Errorf("--chunk: %q must be a size from 1B to %s", chunkSize, humanize.IBytes(tuning.MaxChunkBytes)))
 			}
 			if !dataset.ValidName(name) {
 				return withExitCode(ExitUsage, fmt.Errorf("--name: %q must be 1 to 64 of a-z, 0-9, '.', '_' and '-'", name))
--- a/cli/data_remove.go
+++ b/cli/data_remove.go
@@ -59,7 +59,7 @@
 		select {
 		case <-ctx.Done():
 			return withExitCode(ExitFailed, fmt.Errorf("%s is still being removed after %v; the removal continues in the background", view.Name, client.timeout))
-		case <-time.After(tuning.RemovePoll):
+		case <-time.After(tuning.RemovePollInterval):
 		}
 	}
 }
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	resources := loaded.settings.Facts.Resources
-	debug.SetMemoryLimit(int64(resources.RAMMB * tuning.HeapShare * bytesPerMebibyte))
+	debug.SetMemoryLimit(int64(resources.RAMMB * tuning.MemoryLimitShare * bytesPerMebibyte))
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp4", loaded.settings.Listen)
 	if err != nil {
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -45,12 +45,12 @@
 }
 
 // New returns a client for an address. The cloud's limit is rps requests per second, of which the client uses
-// the share tuning.QuotaShare.
+// the share tuning.LeaderRateShare.
 func New(addr string, requestsPerSecond float64, transport http.RoundTripper) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
 		http:    &http.Client{Transport: transport},
-		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*tuning.QuotaShare), max(1, int(requestsPerSecond))),
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*tuning.LeaderRateShare), max(1, int(requestsPerSecond))),
 	}
 }
 
--- a/configuration/check.go
+++ b/configuration/check.go
@@ -42,8 +42,8 @@
 		document.policy = policy.Of(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
 	}
 	c.checkTeams(document.Teams)
-	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.AheadMost) {
-		c.addError("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, *aheadTasks))
+	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.MaxAheadTasks) {
+		c.addError("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.MaxAheadTasks, *aheadTasks))
 	}
 	if topologyDeclaration != nil {
 		document.Topology = topologyDeclaration.Map(func(field, want string) { c.addError("topology."+field, want) })
@@ -58,8 +58,8 @@
 		}
 	case Stop:
 		// The negated form also rejects NaN.
-		if !(overLimit.StopWithinS >= 0 && overLimit.StopWithinS <= tuning.ConfigurationStopMostS) {
-			c.addError("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.ConfigurationStopMostS))
+		if !(overLimit.StopWithinS >= 0 && overLimit.StopWithinS <= tuning.MaxStopWithinS) {
+			c.addError("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.MaxStopWithinS))
 		}
 	default:
 		c.addError("over_limit.running", fmt.Sprintf("must be %q or %q, not %q", Leave, Stop, overLimit.Running))
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -76,8 +76,8 @@
 // Parse parses and checks a document. The error is of type FieldErrors and has all errors that were
 // found, sorted by line.
 func Parse(text string) (*Document, error) {
-	if len(text) > tuning.ConfigurationBytes {
-		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.ConfigurationBytes)}}
+	if len(text) > tuning.MaxConfigurationBytes {
+		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.MaxConfigurationBytes)}}
 	}
 	decoded := documentTOML{OverLimit: OverLimitPolicy{Running: Leave}}
 	unknown, err := stricttoml.Decode([]byte(text), &decoded)
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -79,7 +79,7 @@
 	revision, err := h.Store.Revision(ctx, number)
 	switch {
 	case errors.Is(err, configuration.ErrDamaged), errors.Is(err, configuration.ErrNewerFormat):
-		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationKept)}
+		return http.StatusNotFound, api.Error{Error: fmt.Sprintf("%v; the last %d revisions are kept", err, tuning.ConfigurationRetention)}
 	case err != nil:
 		return http.StatusServiceUnavailable, api.Error{Error: stateUnreachable}
 	}
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -78,20 +78,20 @@
 )
 
 // Encode returns the stored form of a revision: its head, and parts that each fit into a value of
-// valueBytes bytes. It fails if the revision takes more than tuning.ConfigurationPartsMost parts.
+// valueBytes bytes. It fails if the revision takes more than tuning.MaxConfigurationParts parts.
 func Encode(revision *Revision, valueBytes int) (Head, []Part, error) {
 	text, err := compress.EncodeSmall(revision)
 	if err != nil {
 		return Head{}, nil, fmt.Errorf("compressing revision %d: %w", revision.Number, err)
 	}
-	partBytes := valueBytes - tuning.ConfigurationPartMargin
+	partBytes := valueBytes - tuning.ConfigurationPartMarginBytes
 	if partBytes < 1 {
 		return Head{}, nil, fmt.Errorf("values of %d bytes are too small for a revision", valueBytes)
 	}
 	digest := digestOf(text)
 	count := (len(text) + partBytes - 1) / partBytes
-	if count > tuning.ConfigurationPartsMost {
-		return Head{}, nil, fmt.Errorf("the document takes %d values of %d bytes, at most %d are stored; shorten it", count, valueBytes, tuning.ConfigurationPartsMost)
+	if count > tuning.MaxConfigurationParts {
+		return Head{}, nil, fmt.Errorf("the document takes %d values of %d bytes, at most %d are stored; shorten it", count, valueBytes, tuning.MaxConfigurationParts)
 	}
 	var parts []Part
 	for rest := text; rest != ""; {
@@ -132,7 +132,7 @@
 // ParsePart parses the stored value of a part. The error wraps ErrDamaged.
 func ParsePart(raw json.RawMessage) (Part, error) {
 	var part Part
-	if err := json.Unmarshal(raw, &part); err != nil || part.PartCount < 1 || part.PartCount > tuning.ConfigurationPartsMost {
+	if err := json.Unmarshal(raw, &part); err != nil || part.PartCount < 1 || part.PartCount > tuning.MaxConfigurationParts {
 		return part, fmt.Errorf("%w: a part cannot be read", ErrDamaged)
 	}
 	return part, nil
--- a/configuration/revision_test.go
+++ b/configuration/revision_test.go
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		for _, part := range parts {
-			if len(part.Text)+tuning.ConfigurationPartMargin > valueBytes {
+			if len(part.Text)+tuning.ConfigurationPartMarginBytes > valueBytes {
 				t.Errorf("a part with a text of %d bytes does not fit into values of %d", len(part.Text), valueBytes)
 			}
 		}
@@ -62,7 +62,7 @@
 			t.Errorf("a newer format: %v", err)
 		}
 	}
-	if _, _, err := Encode(&want, tuning.ConfigurationPartMargin+8); err == nil {
+	if _, _, err := Encode(&want, tuning.ConfigurationPartMarginBytes+8); err == nil {
 		t.Error("encoded into more parts than can be read")
 	}
 }
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// Apply makes a change and waits until it is in force, for tuning.ConfigurationAnswer at most. After that
+// Apply makes a change and waits until it is in force, for tuning.ConfigurationTimeout at most. After that
 // the change continues in the background. On an error, the revision is not known to be stored; the
 // error values of this package say what is known.
 func (a *Applier) Apply(ctx context.Context, request Request) (Answer, error) {
@@ -180,7 +180,7 @@
 	return a.awaitOutcome(ctx, change.rollout, done)
 }
 
-// acquire waits until no other change is in progress, for tuning.ConfigurationTurn at most, and reserves
+// acquire waits until no other change is in progress, for tuning.ConfigurationQueueTimeout at most, and reserves
 // the applier for the caller's change. The error is ErrBusy.
 func (a *Applier) acquire(ctx context.Context) error {
 	select {
@@ -188,7 +188,7 @@
 		return nil
 	case <-ctx.Done():
 	case <-a.termCtx.Done():
-	case <-a.clock.After(tuning.ConfigurationTurn):
+	case <-a.clock.After(tuning.ConfigurationQueueTimeout):
 	}
 	return ErrBusy
 }
@@ -196,7 +196,7 @@
 // release ends the reservation of acquire, so that the next change can begin.
 func (a *Applier) release() { <-a.changeSemaphore }
 
-// awaitOutcome waits until a change is in force or has failed, for tuning.ConfigurationAnswer at most.
+// awaitOutcome waits until a change is in force or has failed, for tuning.ConfigurationTimeout at most.
 func (a *Applier) awaitOutcome(ctx context.Context, rollout *configuration.Rollout, done <-chan error) (Answer, error) {
 	select {
 	case err := <-done:
@@ -204,7 +204,7 @@
 			return Answer{}, err
 		}
 	case <-ctx.Done():
-	case <-a.clock.After(tuning.ConfigurationAnswer):
+	case <-a.clock.After(tuning.ConfigurationTimeout):
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// Many concurrent changes all come into force in the end, and only the last tuning.ConfigurationKept revisions
+// Many concurrent changes all come into force in the end, and only the last tuning.ConfigurationRetention revisions
 // are kept.
 func TestManyConcurrentChangesAllComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -136,7 +136,7 @@
 		time.Sleep(time.Second)
 		_, newest, _ := applier.Current()
 		history, err := applier.History(cluster.ctx)
-		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationKept || cluster.state.Under(configuration.PartPrefix) != tuning.ConfigurationKept {
+		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationRetention || cluster.state.Under(configuration.PartPrefix) != tuning.ConfigurationRetention {
 			t.Errorf("%d in force, newest %d, %d in the history, %d stored, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
 		}
 	})
--- a/configuration/revisions/persist.go
+++ b/configuration/revisions/persist.go
@@ -73,7 +73,7 @@
 		default:
 			outcomeUnknown = true
 		}
-		a.sleep(tuning.ElectRetry)
+		a.sleep(tuning.ElectionRetryDelay)
 	}
 	return 0, ErrOutcomeUnknown
 }
@@ -102,16 +102,16 @@
 		if errors.Is(err, store.ErrNotFound) {
 			return 0, false
 		}
-		a.sleep(tuning.ElectRetry)
+		a.sleep(tuning.ElectionRetryDelay)
 	}
 	return 0, false
 }
 
-// removeOldRevisions removes revisions that are older than the tuning.ConfigurationKept newest ones, the
-// newest of them first and tuning.ConfigurationSwept at most. A removal that fails is retried after a
+// removeOldRevisions removes revisions that are older than the tuning.ConfigurationRetention newest ones, the
+// newest of them first and tuning.ConfigurationSweepCount at most. A removal that fails is retried after a
 // later change.
 func (a *Applier) removeOldRevisions(newest uint64) {
-	for age := uint64(tuning.ConfigurationKept); age < tuning.ConfigurationKept+tuning.ConfigurationSwept && age < newest; age++ {
+	for age := uint64(tuning.ConfigurationRetention); age < tuning.ConfigurationRetention+tuning.ConfigurationSweepCount && age < newest; age++ {
 		number := newest - age
 		partCount, ok := a.storedPartCount(number)
 		if !ok {
--- a/configuration/revisions/rollout.go
+++ b/configuration/revisions/rollout.go
@@ -79,7 +79,7 @@
 		if a.advance(rollout, unpersisted) {
 			return true
 		}
-		a.sleep(tuning.ConfigurationStep)
+		a.sleep(tuning.ConfigurationCheckInterval)
 	}
 	return false
 }
@@ -113,7 +113,7 @@
 		if finished {
 			return
 		}
-		a.sleep(tuning.ConfigurationEvery / 4)
+		a.sleep(tuning.ConfigurationInterval / 4)
 	}
 }
 
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -48,7 +48,7 @@
 	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
 }
 
-// Run calls Refresh at intervals of tuning.ConfigurationEvery until the context ends. It skips the call
+// Run calls Refresh at intervals of tuning.ConfigurationInterval until the context ends. It skips the call
 // while paused returns true, as on the leader, which stores the revisions itself.
 func (s *Store) Run(ctx context.Context, paused func() bool) {
 	for ctx.Err() == nil {
@@ -57,7 +57,7 @@
 				slog.Debug("configuration not confirmed", "err", err)
 			}
 		}
-		sleep.For(ctx, s.clock, tuning.ConfigurationEvery)
+		sleep.For(ctx, s.clock, tuning.ConfigurationInterval)
 	}
 }
 
@@ -126,7 +126,7 @@
 		}
 	}
 	digest := namedHead.Digest
-	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationKept > namedHead.Number; number-- {
+	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationRetention > namedHead.Number; number-- {
 		revision, document, err := s.readRevision(ctx, number, digest)
 		if err == nil {
 			lease.Active = document.Over(s.files, number)
@@ -219,7 +219,7 @@
 	return revision, err
 }
 
-// History reads the last tuning.ConfigurationKept revisions, newest first, without their documents. For a
+// History reads the last tuning.ConfigurationRetention revisions, newest first, without their documents. For a
 // revision that cannot be used, Why contains the reason.
 func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
 	newest, err := s.Refresh(ctx)
@@ -227,7 +227,7 @@
 		return nil, err
 	}
 	history := []*configuration.Revision{}
-	for number := newest; number > 0 && number+tuning.ConfigurationKept > newest; number-- {
+	for number := newest; number > 0 && number+tuning.ConfigurationRetention > newest; number-- {
 		revision, err := s.Revision(ctx, number)
 		if isUnusable(err) {
 			revision, err = &configuration.Revision{Number: number, Why: err.Error()}, nil
--- a/configuration/rollout.go
+++ b/configuration/rollout.go
@@ -99,7 +99,7 @@
 // is sent after the revision was stored finds the revision. A lease that an earlier request renewed has
 // expired by the returned time, even if the clocks of the two controllers drift apart.
 func (r *Rollout) leasesExpireAt() time.Time {
-	return r.storedAt.Add(tuning.ConfigurationLease + tuning.ConfigurationGrain)
+	return r.storedAt.Add(tuning.ConfigurationLease + tuning.ConfigurationMargin)
 }
 
 // WaitsFor returns descriptions, for operators, of what the rollout waits for, sorted. It returns none
--- a/configuration/rollout_test.go
+++ b/configuration/rollout_test.go
@@ -14,7 +14,7 @@
 	start := time.Unix(1000, 0)
 	before, after := FromFiles([]settings.Team{{Name: "a", CPUsMax: 9}}, nil), FromFiles([]settings.Team{{Name: "a", CPUsMax: 5}}, nil)
 	after.Revision = 7
-	leasesExpired := start.Add(tuning.ConfigurationLease + tuning.ConfigurationGrain)
+	leasesExpired := start.Add(tuning.ConfigurationLease + tuning.ConfigurationMargin)
 	for _, test := range []struct {
 		name        string
 		confirm     map[string]uint64
--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -148,7 +148,7 @@
 func (l *Limiter) removeLongestIdle() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open <= l.threshold(tuning.ConnFull) {
+	if l.open <= l.threshold(tuning.ConnEvictionLimit) {
 		return nil
 	}
 	oldest, _, ok := l.idleWorkers.RemoveOldest()
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -89,10 +89,10 @@
 // New returns a Service with datasets and topology off.
 func New(options Options) *Service {
 	writeRate := options.Settings.Facts.State.Least().WriteRPS
-	leaderlessRate := writeRate * (1 - tuning.QuotaShare)
+	leaderlessRate := writeRate * (1 - tuning.LeaderRateShare)
 	limiter := rate.NewLimiter(rate.Limit(leaderlessRate), max(1, int(leaderlessRate)))
-	acceptRate := tuning.QuotaShare * writeRate / float64(1+len(options.Settings.Peers))
-	retries, err := retry.New(acceptRate, tuning.RetryAfterS, tuning.RetryAfterMost, tuning.RefusedFor, tuning.RefusedKept)
+	acceptRate := tuning.LeaderRateShare * writeRate / float64(1+len(options.Settings.Peers))
+	retries, err := retry.New(acceptRate, tuning.RetryAfterS, tuning.MaxRetryAfterS, tuning.RetryPeriod, tuning.RefusedJobsCapacity)
 	if err != nil {
 		panic(err) // retry.New fails only for a limit below one, and these limits are constants.
 	}
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -68,7 +68,7 @@
 		if a.mayRedirect(heartbeat.Machine, leader) {
 			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: leader}}
 		}
-		if len(raw) <= tuning.BodyLimit {
+		if len(raw) <= tuning.MaxBodyBytes {
 			response, err := a.peers.Ask(ctx, leader, peer.Request{Verb: verbForwardStageHeartbeat, Body: raw, From: a.settings.Member}, tuning.PeerTimeout)
 			if err == nil && response.Status == http.StatusOK {
 				return answer{response.Status, json.RawMessage(response.Body)}
@@ -96,7 +96,7 @@
 		return peer.JSONResponse(http.StatusMisdirectedRequest, api.Redirect{})
 	}
 	response := a.answerAsLeader(sched, &heartbeat).response()
-	if len(response.Body) > tuning.BodyLimit {
+	if len(response.Body) > tuning.MaxBodyBytes {
 		return peer.JSONResponse(http.StatusRequestEntityTooLarge, api.Error{Error: "the order is too large to be passed on"})
 	}
 	return response
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -52,17 +52,17 @@
 	after := uint64(0)
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		needed := !l.nonLeaderDecisionAt.IsZero() && l.clock.Since(l.nonLeaderDecisionAt) < tuning.WatermarkNeeded
+		needed := !l.nonLeaderDecisionAt.IsZero() && l.clock.Since(l.nonLeaderDecisionAt) < tuning.WatermarkReadPeriod
 		l.mu.Unlock()
 		if needed && l.term.scheduler() == nil {
 			if next, err := l.readCancelledJobs(ctx, after); err == nil {
 				after = next
-				sleep.For(ctx, l.clock, tuning.RelayEvery)
+				sleep.For(ctx, l.clock, tuning.RelayInterval)
 				continue
 			}
 		}
 		after = 0
-		sleep.For(ctx, l.clock, tuning.RelayEvery)
+		sleep.For(ctx, l.clock, tuning.RelayInterval)
 	}
 }
 
@@ -78,7 +78,7 @@
 	if after == 0 {
 		items, revision, err = l.client.List(ctx, store.JobPrefix)
 	} else {
-		events, revision, err = l.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkBlock)
+		events, revision, err = l.client.Watch(ctx, store.JobPrefix, after, tuning.WatermarkWatchTimeout)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("read jobs from revision %d: %w", after, err)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -140,7 +140,7 @@
 			}
 			return connlimit.Command
 		}),
-		MaxIdleConns:        tuning.IdleConns,
+		MaxIdleConns:        tuning.MaxIdleConns,
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
@@ -151,7 +151,7 @@
 // before Run.
 func (c *Controller) UseConnLimiter(limiter *connlimit.Limiter) {
 	c.peers.Dial = limiter.Dial(func(string) connlimit.Class { return connlimit.Peer })
-	go limiter.Watch(c.ctx, tuning.ConnLogEvery, func(counts connlimit.Counts) {
+	go limiter.Watch(c.ctx, tuning.ConnLogInterval, func(counts connlimit.Counts) {
 		slog.Info("connection limit nearly reached", "open", counts.Open, "limit", counts.Limit, "by", counts.ByClass, "idle_closed", counts.IdleClosed, "commands_not_sent", counts.Refused)
 	})
 }
@@ -183,7 +183,7 @@
 	c.peers.Run(c.ctx)
 	go c.catalog.refresh(c.ctx, c.term)
 	go c.markVersion(c.ctx)
-	go c.requestCounts.Log(c.ctx, c.clock, tuning.FleetLogEvery)
+	go c.requestCounts.Log(c.ctx, c.clock, tuning.FleetLogInterval)
 	go c.workerProxy.Exchange.Run(c.ctx)
 	if c.features.data.On {
 		go c.agents.proxy.Exchange.Run(c.ctx)
@@ -225,7 +225,7 @@
 
 // Isolated reports whether this controller reaches no peer. The elector calls it.
 func (c *Controller) Isolated() bool {
-	return c.clock.Since(c.startedAt) > tuning.PeerDead && c.peers.Isolated()
+	return c.clock.Since(c.startedAt) > tuning.PeerSilenceTimeout && c.peers.Isolated()
 }
 
 // hello returns the hello message that this controller sends to its peers.
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// datasetCache caches the records of up to tuning.DatasetsLimit datasets.
+// datasetCache caches the records of up to tuning.MaxDatasets datasets.
 type datasetCache struct {
 	clock  clockwork.Clock
 	client *store.Client
@@ -65,7 +65,7 @@
 	if cached := c.entries[entry.Name]; cached != nil && cached.Stamp > entry.Stamp {
 		return
 	}
-	if len(c.entries) >= tuning.DatasetsLimit {
+	if len(c.entries) >= tuning.MaxDatasets {
 		// Any entry can be evicted: it is read again when needed.
 		for name := range c.entries {
 			delete(c.entries, name)
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -17,13 +17,13 @@
 // context ends.
 func (t *leaderTerm) followDatasets(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
-		events, revision, err := t.controller.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxBlock)
+		events, revision, err := t.controller.client.Watch(ctx, store.DatasetPrefix, after, tuning.InboxWatchTimeout)
 		if errors.Is(err, store.ErrCompacted) {
 			revision, err = t.loadDatasets(ctx)
 			events = nil
 		}
 		if err != nil {
-			sleep.For(ctx, t.controller.clock, tuning.ElectRetry)
+			sleep.For(ctx, t.controller.clock, tuning.ElectionRetryDelay)
 			continue
 		}
 		for _, event := range events {
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -91,7 +91,7 @@
 	if !dataset.ValidName(name) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
 	}
-	for range tuning.RemoveTries {
+	for range tuning.MaxRemoveAttempts {
 		item, err := d.client.Get(ctx, store.DatasetKey(name))
 		if errors.Is(err, store.ErrNotFound) {
 			return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such dataset"})
--- a/controller/dependency_lookup.go
+++ b/controller/dependency_lookup.go
@@ -20,7 +20,7 @@
 		for len(ids) > 0 && ctx.Err() == nil {
 			t.scheduler.LookUpDependencies(ctx, t.controller.jobs.Records, ids)
 			if ids = t.scheduler.UnresolvedDependencies(); len(ids) > 0 {
-				sleep.For(ctx, t.controller.clock, tuning.DependencyRetryEvery)
+				sleep.For(ctx, t.controller.clock, tuning.DependencyRetryInterval)
 			}
 		}
 	}
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -59,7 +59,7 @@
 				go t.announceTerm(ctx, name, address)
 			}
 		}
-		sleep.For(ctx, t.controller.clock, tuning.ListEvery)
+		sleep.For(ctx, t.controller.clock, tuning.ListInterval)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for ctx.Err() == nil {
 		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
-				batch := names[:min(len(names), tuning.ReleaseBatch)]
+				batch := names[:min(len(names), tuning.MaxReleaseBatch)]
 				names = names[len(batch):]
 				go t.releaseMachines(ctx, batch)
 			}
@@ -98,7 +98,7 @@
 				t.scheduler.InstancesGranted(request, names, err)
 			}()
 		}
-		sleep.For(ctx, t.controller.clock, tuning.MaintainEvery)
+		sleep.For(ctx, t.controller.clock, tuning.MaintenanceInterval)
 	}
 }
 
--- a/controller/heartbeat_monitor.go
+++ b/controller/heartbeat_monitor.go
@@ -28,8 +28,8 @@
 
 // newHeartbeatMonitor returns a monitor that has received no heartbeats.
 func newHeartbeatMonitor(clock clockwork.Clock, workers settings.Workers) *heartbeatMonitor {
-	return &heartbeatMonitor{clock: clock, recentWindow: settings.Seconds(tuning.RecentHeartbeats * workers.ReportS),
-		deduplicator: reachability.NewDeduplicator(tuning.HeartbeatsKept)}
+	return &heartbeatMonitor{clock: clock, recentWindow: settings.Seconds(tuning.RecentHeartbeatIntervals * workers.ReportS),
+		deduplicator: reachability.NewDeduplicator(tuning.HeartbeatsCapacity)}
 }
 
 // accept records a heartbeat that a worker sent to this controller and reports whether it is new. A duplicate is no
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -25,7 +25,7 @@
 	heartbeat := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
 	controller.HandleHeartbeat(context.Background(), &heartbeat, nil)
 	heartbeat.Seq = 11
-	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeats * controller.settings.Facts.Workers.ReportS))
+	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeatIntervals * controller.settings.Facts.Workers.ReportS))
 	duplicate := heartbeat
 	duplicate.Seq = 10
 	status, body := controller.HandleHeartbeat(context.Background(), &duplicate, nil)
--- a/controller/inbox/inbox.go
+++ b/controller/inbox/inbox.go
@@ -43,7 +43,7 @@
 			f.listAll = f.listAll || errors.Is(err, store.ErrCompacted)
 			select {
 			case <-ctx.Done():
-			case <-f.clock.After(tuning.ElectRetry):
+			case <-f.clock.After(tuning.ElectionRetryDelay):
 			}
 			continue
 		}
@@ -66,9 +66,9 @@
 		f.listAll, f.after = false, max(f.after, revision)
 		return nil
 	}
-	wait := tuning.InboxBlock
+	wait := tuning.InboxWatchTimeout
 	if len(f.pending) > 0 {
-		wait = tuning.ElectRetry
+		wait = tuning.ElectionRetryDelay
 	}
 	events, revision, err := f.client.Watch(ctx, store.InboxPrefix, f.after, wait)
 	if err != nil {
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -37,12 +37,12 @@
 	m.types = types
 }
 
-// refresh reads the types every tuning.CatalogEvery, or tuning.BackoffBase after an error, and passes them to the scheduler
+// refresh reads the types every tuning.CatalogInterval, or tuning.BackoffBase after an error, and passes them to the scheduler
 // of the current term, until the context ends.
 func (m *machineCatalog) refresh(ctx context.Context, term *currentTerm) {
 	for ctx.Err() == nil {
 		types, err := m.cloud.Catalog(ctx)
-		wait := tuning.CatalogEvery
+		wait := tuning.CatalogInterval
 		if err != nil {
 			slog.Info("catalog not read", "err", err)
 			wait = tuning.BackoffBase
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -37,14 +37,14 @@
 func (c *Controller) isShuttingDown() bool { return c.shuttingDown.Load() }
 
 // Shutdown prepares this process for its end. Users are directed to other controllers, a leader resigns once a peer can
-// succeed it, and requests in progress are still served. It returns after at most tuning.ShutdownMax, or at once with
+// succeed it, and requests in progress are still served. It returns after at most tuning.ShutdownTimeout, or at once with
 // membership off.
 func (c *Controller) Shutdown(ctx context.Context) {
 	if c.members == nil {
 		return
 	}
 	c.shuttingDown.Store(true)
-	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownMax)
+	ctx, stop := context.WithTimeout(ctx, tuning.ShutdownTimeout)
 	defer stop()
 	slog.Info("graceful shutdown", "leads", c.term.scheduler() != nil)
 	// Peers learn of the shutdown from the next hello, and the load balancer from its probe, once a second.
@@ -59,14 +59,14 @@
 			c.elector.Resign("graceful shutdown")
 			break
 		}
-		sleep.For(ctx, c.clock, tuning.ElectRetry)
+		sleep.For(ctx, c.clock, tuning.ElectionRetryDelay)
 	}
 	for ctx.Err() == nil {
 		leader, led := c.elector.Leader()
 		if now, _ := c.elector.Term(); now == 0 && leader != "" && leader != c.settings.Member && led > term {
 			break
 		}
-		sleep.For(ctx, c.clock, tuning.ElectRetry/5)
+		sleep.For(ctx, c.clock, tuning.ElectionRetryDelay/5)
 	}
-	sleep.For(ctx, c.clock, tuning.ShutdownLinger)
+	sleep.For(ctx, c.clock, tuning.ShutdownDrainTime)
 }
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -28,7 +28,7 @@
 	}
 	began := c.clock.Now()
 	response := c.jobs.PublishAnswer(c.route(ctx, request, forwarded))
-	if duration := c.clock.Since(began); request.Verb == VerbSubmit && duration > tuning.AcceptPatience {
+	if duration := c.clock.Since(began); request.Verb == VerbSubmit && duration > tuning.SubmitPeerTimeout {
 		slog.Debug("submission answered late", "ms", duration.Milliseconds(), "status", response.Status, "forwarded", forwarded, "leading", c.term.scheduler() != nil)
 	}
 	if !forwarded && request.Verb == VerbSubmit {
@@ -118,9 +118,9 @@
 func forwardTimeout(verb string) time.Duration {
 	switch verb {
 	case VerbSubmit:
-		return tuning.AcceptPatience
+		return tuning.SubmitPeerTimeout
 	case VerbStatus:
-		return tuning.PollPatience
+		return tuning.StatusPeerTimeout
 	}
 	return tuning.PeerTimeout
 }
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -34,8 +34,8 @@
 		status      int
 		timeout     time.Duration
 	}{
-		{peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, 200 * time.Millisecond, 201, tuning.AcceptPatience},
-		{peer.Request{Verb: VerbStatus, Job: "run-000001"}, 2*time.Second - tuning.StateTimeout, 200, tuning.PollPatience},
+		{peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, 200 * time.Millisecond, 201, tuning.SubmitPeerTimeout},
+		{peer.Request{Verb: VerbStatus, Job: "run-000001"}, 2*time.Second - tuning.StateTimeout, 200, tuning.StatusPeerTimeout},
 	} {
 		if testCase.timeout > testCase.userTimeout {
 			t.Errorf("%s waits %v for the leader, which exceeds its user's timeout of %v", testCase.request.Verb, testCase.timeout, testCase.userTimeout)
@@ -91,8 +91,8 @@
 	for controller.peers.ReceivedCount("n0") < 2 {
 		// Wait for the response to the hello.
 	}
-	clock.Advance(tuning.AcceptPatience)
-	clock.Advance(tuning.PeerTimeout - tuning.AcceptPatience)
+	clock.Advance(tuning.SubmitPeerTimeout)
+	clock.Advance(tuning.PeerTimeout - tuning.SubmitPeerTimeout)
 	if response := <-got; response.Status != 503 || response.RetryAfterS == 0 || state.Requests != before {
 		t.Errorf("status %d, retry after %d s, %d requests to the state service", response.Status, response.RetryAfterS, state.Requests-before)
 	}
@@ -153,7 +153,7 @@
 	}
 	// A single controller has all of the read share, which is half of the request limit, for the burst and while requests
 	// wait. An unknown id takes two reads.
-	if limit := int(2 * tuning.ReadShare * set.Facts.State.RPS * (1 + 3*tuning.QuestionWait.Seconds())); state.Requests > limit || count[404] == 0 || count[404]+count[503] != 1000 {
+	if limit := int(2 * tuning.ReadShare * set.Facts.State.RPS * (1 + 3*tuning.StatusQueueTimeout.Seconds())); state.Requests > limit || count[404] == 0 || count[404]+count[503] != 1000 {
 		t.Errorf("%d requests, want %d at most; answers %v", state.Requests, limit, count)
 	}
 }
--- a/controller/stale_record_test.go
+++ b/controller/stale_record_test.go
@@ -55,7 +55,7 @@
 				<-delayedRead.Asked
 				cancelAndArchive(t, leader, process, id)
 				if !cached {
-					for number := range tuning.FinalCache {
+					for number := range tuning.TerminalJobsCapacity {
 						leader.terminal.Remember(fmt.Sprintf("run-9%05d", number), store.FinalRecord{State: api.Done})
 					}
 				}
--- a/controller/term.go
+++ b/controller/term.go
@@ -73,7 +73,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.scheduler.Wake():
-		case <-t.controller.clock.After(tuning.Tick):
+		case <-t.controller.clock.After(tuning.PlacementInterval):
 		}
 		began := t.controller.clock.Now()
 		t.scheduler.Place()
@@ -81,7 +81,7 @@
 		if reason := t.resignReason(); reason != "" {
 			t.controller.elector.Resign(reason)
 		}
-		sleep.For(ctx, t.controller.clock, max(tuning.PlaceGap, tuning.PlaceRest*duration))
+		sleep.For(ctx, t.controller.clock, max(tuning.MinPlacementInterval, tuning.PlacementPauseFactor*duration))
 	}
 }
 
@@ -118,7 +118,7 @@
 	switch {
 	case t.isolatedFromWorkers():
 		return "receives from neither workers nor peers"
-	case t.controller.elector.ExpiredFor() > tuning.IsolatedAfter:
+	case t.controller.elector.ExpiredFor() > tuning.IsolationTimeout:
 		// If peers were reachable, this would be an outage of the state service alone, during which the leader must still
 		// answer workers.
 		return "reaches neither the state service nor peers"
@@ -126,9 +126,9 @@
 	return ""
 }
 
-// isolatedFromWorkers reports whether no heartbeat has been received for tuning.IsolatedAfter, and the term has lasted for
+// isolatedFromWorkers reports whether no heartbeat has been received for tuning.IsolationTimeout, and the term has lasted for
 // longer than a lease. Workers of unresponsive peers try unreachable controllers in turn. If a new leader resigned before
 // they reached it, they would find no controller at all.
 func (t *leaderTerm) isolatedFromWorkers() bool {
-	return t.controller.clock.Since(t.scheduler.TermStarted()) > settings.Seconds(t.controller.settings.Facts.Workers.LeaseS) && t.controller.clock.Since(t.scheduler.LastContact()) > tuning.IsolatedAfter
+	return t.controller.clock.Since(t.scheduler.TermStarted()) > settings.Seconds(t.controller.settings.Facts.Workers.LeaseS) && t.controller.clock.Since(t.scheduler.LastContact()) > tuning.IsolationTimeout
 }
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -20,7 +20,7 @@
 // watchTopology reloads the topology file at intervals and applies changes while the process runs.
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
-		sleep.For(c.ctx, c.clock, tuning.TopologyEvery)
+		sleep.For(c.ctx, c.clock, tuning.TopologyCheckInterval)
 		placements, err := c.features.topology.Reload()
 		if err != nil {
 			slog.Error("topology file rejected", "err", err)
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -72,7 +72,7 @@
 	}
 	ring := append([]settings.Peer{{Member: w.settings.Member, Zone: w.settings.Zone}}, w.settings.Peers...)
 	return redirect.Target(ring, target, zone, func(member string) bool {
-		return member != w.settings.Member && w.clock.Since(w.startedAt) > tuning.PeerDead+tuning.PeerHello && w.peers.Unresponsive(member)
+		return member != w.settings.Member && w.clock.Since(w.startedAt) > tuning.PeerSilenceTimeout+tuning.PeerHelloInterval && w.peers.Unresponsive(member)
 	})
 }
 
--- a/cpupressure/cpupressure_test.go
+++ b/cpupressure/cpupressure_test.go
@@ -10,7 +10,7 @@
 	"switchferry/tuning"
 )
 
-// A leader whose CPU is three times slower than a peer's transfers its leadership after tuning.TransferAfter. It
+// A leader whose CPU is three times slower than a peer's transfers its leadership after tuning.TransferDelay. It
 // does not if the peer is slow as well or does not reach the state service.
 func TestSlowLeaderTransfersLeadership(t *testing.T) {
 	clock := clockwork.NewFakeClock()
@@ -20,7 +20,7 @@
 	if transfer.Due(clock.Now(), elected, 300, fast) {
 		t.Error("due at the first call")
 	}
-	clock.Advance(tuning.TransferAfter)
+	clock.Advance(tuning.TransferDelay)
 	if !transfer.Due(clock.Now(), elected, 300, fast) {
 		t.Error("not due although slow for long enough")
 	}
@@ -45,7 +45,7 @@
 func TestBenchmarkIgnoresDisturbanceAndCoarseClock(t *testing.T) {
 	var monitor Monitor
 	for i := range tuning.BenchmarkSamples {
-		if i < tuning.BenchmarkRecent && monitor.ComparisonUS() != 0 || i < tuning.BenchmarkSamples/2 && monitor.PublishedUS() != 0 {
+		if i < tuning.RecentBenchmarks && monitor.ComparisonUS() != 0 || i < tuning.BenchmarkSamples/2 && monitor.PublishedUS() != 0 {
 			t.Fatalf("benchmark time returned after only %d samples", i)
 		}
 		used := time.Duration(i%2) * time.Microsecond
--- a/cpupressure/monitor.go
+++ b/cpupressure/monitor.go
@@ -38,7 +38,7 @@
 // NewMonitor returns a Monitor without samples.
 func NewMonitor(clock clockwork.Clock) *Monitor { return &Monitor{clock: clock} }
 
-// Run takes a sample every tuning.BenchmarkEvery until the context ends. If the operating system does not report
+// Run takes a sample every tuning.BenchmarkInterval until the context ends. If the operating system does not report
 // CPU time, it logs an error and returns.
 func (m *Monitor) Run(ctx context.Context) {
 	data := make([]byte, tuning.BenchmarkBytes)
@@ -56,7 +56,7 @@
 		m.add(used)
 		select {
 		case <-ctx.Done():
-		case <-m.clock.After(tuning.BenchmarkEvery):
+		case <-m.clock.After(tuning.BenchmarkInterval):
 		}
 	}
 }
@@ -102,10 +102,10 @@
 func (m *Monitor) ComparisonUS() uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.samples) < tuning.BenchmarkRecent {
+	if len(m.samples) < tuning.RecentBenchmarks {
 		return 0
 	}
-	recent := slices.Sorted(slices.Values(m.samples[len(m.samples)-tuning.BenchmarkRecent:]))
+	recent := slices.Sorted(slices.Values(m.samples[len(m.samples)-tuning.RecentBenchmarks:]))
 	return microseconds(recent[len(recent)-tuning.BenchmarkRank])
 }
 
--- a/cpupressure/transfer.go
+++ b/cpupressure/transfer.go
@@ -20,7 +20,7 @@
 
 // Due reports whether a leader that was elected at the given time should resign now. ownUS is its own benchmark time
 // in microseconds, 0 if unknown, and peers holds the latest hellos of the live peers. Due must be called regularly:
-// it returns true only if the leader was too slow at every call for tuning.TransferAfter, and has led for at least
+// it returns true only if the leader was too slow at every call for tuning.TransferDelay, and has led for at least
 // tuning.TransferMinTerm.
 func (t *LeadershipTransfer) Due(now, elected time.Time, ownUS uint32, peers []peer.Hello) bool {
 	fastestUS := fastestEligible(peers)
@@ -32,7 +32,7 @@
 		t.slowSince = now
 		slog.Info("computing slower than a peer", "pace_us", ownUS, "sibling_us", fastestUS)
 	}
-	return now.Sub(t.slowSince) >= tuning.TransferAfter && now.Sub(elected) >= tuning.TransferMinTerm
+	return now.Sub(t.slowSince) >= tuning.TransferDelay && now.Sub(elected) >= tuning.TransferMinTerm
 }
 
 // fastestEligible returns the shortest benchmark time in microseconds that is published by a peer that can lead,
--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -49,7 +49,7 @@
 	// no limit.
 	DownRate, UpRate float64
 	// AtOnce is the maximum number of chunk requests that are served concurrently. Zero means
-	// tuning.StageAtOnce.
+	// tuning.MaxConcurrentCopies.
 	AtOnce int
 	// Pack makes the agent ask peers for compressed chunks. A peer compresses a chunk only if that
 	// reduces its size enough.
@@ -122,7 +122,7 @@
 		}
 	}
 	if options.AtOnce == 0 {
-		options.AtOnce = tuning.StageAtOnce
+		options.AtOnce = tuning.MaxConcurrentCopies
 	}
 	cache, err := OpenCache(options.Dir, options.CacheBytes, options.BeforeStep)
 	if err != nil {
@@ -155,7 +155,7 @@
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	burst := min(tuning.StageBlock, int(bytesPerSecond/burstsPerSecond))
+	burst := min(tuning.StageBlockBytes, int(bytesPerSecond/burstsPerSecond))
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), max(minBurst, burst))
 }
 
--- a/dataagent/fixture_test.go
+++ b/dataagent/fixture_test.go
@@ -38,7 +38,7 @@
 }
 
 // blockSize is the size of the blocks in which transfers write chunks, in bytes.
-const blockSize = tuning.StageBlock
+const blockSize = tuning.StageBlockBytes
 
 // storeSource is the store as a source in orders.
 var storeSource = api.StageSource{Store: true}
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -124,7 +124,7 @@
 // awaitNextHeartbeat waits for the minimum interval between two heartbeats, and then until the usual
 // interval has passed or a heartbeat is requested.
 func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
-	interval := agent.clock.After(tuning.StageReportEvery)
+	interval := agent.clock.After(tuning.StageReportInterval)
 	sleep.For(ctx, agent.clock, tuning.MinStageReportInterval)
 	select {
 	case <-ctx.Done():
@@ -152,7 +152,7 @@
 		return "", fmt.Errorf("send heartbeat: %w", err)
 	}
 	defer closeBody(response)
-	body, err := io.ReadAll(io.LimitReader(response.Body, tuning.OrderLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxOrderBytes))
 	if err != nil {
 		return "", fmt.Errorf("read answer to heartbeat: %w", err)
 	}
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -66,8 +66,8 @@
 // serveOrder applies an order and responds with a heartbeat. The status is 200 if the order was adopted, and
 // 409 if it is outdated or for another incarnation of the agent.
 func (agent *Agent) serveOrder(request echo.Context) error {
-	raw, err := io.ReadAll(io.LimitReader(request.Request().Body, tuning.OrderLimit+1))
-	if err == nil && len(raw) > tuning.OrderLimit {
+	raw, err := io.ReadAll(io.LimitReader(request.Request().Body, tuning.MaxOrderBytes+1))
+	if err == nil && len(raw) > tuning.MaxOrderBytes {
 		return request.JSON(http.StatusBadRequest, api.Error{Error: "the order exceeds 1 MiB"})
 	}
 	var order api.StageOrder
@@ -137,15 +137,15 @@
 	return zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 })
 
-// worthCompressing reports whether a sample from the start of a chunk compresses to less than tuning.PackPays of
+// worthCompressing reports whether a sample from the start of a chunk compresses to less than tuning.MaxCompressedShare of
 // its size.
 func worthCompressing(file *os.File) bool {
-	sample := make([]byte, tuning.PackSample)
+	sample := make([]byte, tuning.CompressionSampleBytes)
 	// The error is io.EOF if the chunk is smaller than the sample. After any other error the sample is
 	// what could be read.
 	size, _ := file.ReadAt(sample, 0)
 	encoder, err := sampleEncoder()
-	return err == nil && size > 0 && float64(len(encoder.EncodeAll(sample[:size], nil))) < tuning.PackPays*float64(size)
+	return err == nil && size > 0 && float64(len(encoder.EncodeAll(sample[:size], nil))) < tuning.MaxCompressedShare*float64(size)
 }
 
 // limitedWriter limits a response to the serving rate. It has no ReadFrom method, so that all data goes
--- a/dataagent/source.go
+++ b/dataagent/source.go
@@ -95,13 +95,13 @@
 }
 
 // readChunk downloads the missing bytes of a chunk and writes them to a writer. The request is cancelled if
-// a block takes longer than tuning.StageStall. After an error, the writer keeps the blocks that were
+// a block takes longer than tuning.StageBlockTimeout. After an error, the writer keeps the blocks that were
 // written.
 func (client *sourceClient) readChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int, writer *Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stallTimer := client.clock.AfterFunc(tuning.StageStall, func() {
-		cancel(fmt.Errorf("no block received within %v", tuning.StageStall))
+	stallTimer := client.clock.AfterFunc(tuning.StageBlockTimeout, func() {
+		cancel(fmt.Errorf("no block received within %v", tuning.StageBlockTimeout))
 	})
 	defer stallTimer.Stop()
 	// The error of a cancelled request does not tell why it was cancelled; the cause of the context does.
@@ -118,7 +118,7 @@
 	defer closeBody(response)
 	body := io.Reader(&meteredReader{response.Body, client, ctx, source})
 	if response.Header.Get("Content-Encoding") == "zstd" {
-		decoder, err := zstd.NewReader(body, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.PackMemory))
+		decoder, err := zstd.NewReader(body, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.MaxDecompressedBytes))
 		if err != nil {
 			return err
 		}
@@ -126,11 +126,11 @@
 		body = decoder
 	}
 	total := transfer.manifest.Chunks[index].Bytes
-	block := make([]byte, min(tuning.StageBlock, total))
+	block := make([]byte, min(tuning.StageBlockBytes, total))
 	for remaining := total - writer.Offset(); remaining > 0; remaining = total - writer.Offset() {
 		size, err := io.ReadFull(body, block[:min(int64(len(block)), remaining)])
 		if size > 0 {
-			stallTimer.Reset(tuning.StageStall)
+			stallTimer.Reset(tuning.StageBlockTimeout)
 			if _, writeErr := writer.Write(block[:size]); writeErr != nil {
 				return writeErr
 			}
@@ -184,11 +184,11 @@
 }
 
 // readManifest downloads the bytes of a manifest from a source. The request is cancelled if it takes longer
-// than tuning.StageStall.
+// than tuning.StageBlockTimeout.
 func (client *sourceClient) readManifest(ctx context.Context, source api.StageSource, datasetName string, digest dataset.Digest) ([]byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer client.clock.AfterFunc(tuning.StageStall, cancel).Stop()
+	defer client.clock.AfterFunc(tuning.StageBlockTimeout, cancel).Stop()
 	url := "http://" + source.Peer + "/manifest/" + digest.String()
 	if source.Store {
 		url = client.store + "/" + datasetName + "/manifest.json"
@@ -205,7 +205,7 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %d", response.StatusCode)
 	}
-	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, client, ctx, source}, tuning.ManifestLimit+1))
+	return io.ReadAll(io.LimitReader(&meteredReader{response.Body, client, ctx, source}, tuning.MaxManifestBytes+1))
 }
 
 // closeBody closes a response's body. The error is ignored, since the content that was read is checked
--- a/dataagent/source_test.go
+++ b/dataagent/source_test.go
@@ -44,7 +44,7 @@
 					copies := agent.Report(false).Copies
 					return len(copies) == 1 && copies[0].Got == 2*blockSize
 				})
-				fixture.clock.Advance(tuning.StageStall + time.Second)
+				fixture.clock.Advance(tuning.StageBlockTimeout + time.Second)
 			}
 			eventually(t, "the part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
 			if err := agent.cache.Verify(manifest.Chunks[0]); err != nil {
@@ -134,7 +134,7 @@
 		t.Fatalf("the chunk was requested %d times, want 1", requests)
 	}
 	fixture.store.Break(fake.Fault{})
-	fixture.clock.Advance(tuning.StageStall + time.Second)
+	fixture.clock.Advance(tuning.StageBlockTimeout + time.Second)
 	fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "two").Contains(0) })
 	if got := agent.Report(false).FromStore; got > 4*blockSize+4096 {
 		t.Errorf("%d bytes received for a chunk of %d", got, 3*blockSize)
--- a/dataagent/writer.go
+++ b/dataagent/writer.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	completeBlocks := min(info.Size(), writer.chunk.Bytes) / tuning.StageBlock * tuning.StageBlock
+	completeBlocks := min(info.Size(), writer.chunk.Bytes) / tuning.StageBlockBytes * tuning.StageBlockBytes
 	if info.Size() != completeBlocks {
 		writer.cache.beforeStep("truncate")
 		if err := writer.file.Truncate(completeBlocks); err != nil {
@@ -91,7 +91,7 @@
 }
 
 // Offset returns the number of bytes of the chunk that are written. In a new writer it is a multiple of
-// tuning.StageBlock.
+// tuning.StageBlockBytes.
 func (writer *Writer) Offset() int64 { return writer.offset }
 
 // Write appends content to the chunk. Each call should pass one block, or the rest of the chunk. The error
--- a/dataset/build.go
+++ b/dataset/build.go
@@ -12,8 +12,8 @@
 // is called with each chunk and must not retain the bytes. Build stops at the first error of the
 // reader or of storeChunk and returns it wrapped.
 func Build(name string, reader io.Reader, chunkBytes, chunksPerPart int, storeChunk func(Chunk, []byte) error) (*Manifest, error) {
-	if chunkBytes < 1 || chunkBytes > tuning.ChunkLimit {
-		return nil, fmt.Errorf("chunk size: must be 1 to %d bytes, not %d", tuning.ChunkLimit, chunkBytes)
+	if chunkBytes < 1 || chunkBytes > tuning.MaxChunkBytes {
+		return nil, fmt.Errorf("chunk size: must be 1 to %d bytes, not %d", tuning.MaxChunkBytes, chunkBytes)
 	}
 	if chunksPerPart < 1 {
 		return nil, fmt.Errorf("chunks per part: must be 1 or more, not %d", chunksPerPart)
--- a/dataset/manifest.go
+++ b/dataset/manifest.go
@@ -36,8 +36,8 @@
 // Parse decodes and validates a manifest. The error of an invalid manifest names each invalid field,
 // up to tuning.MaxReportedErrors of them.
 func Parse(raw []byte) (*Manifest, error) {
-	if len(raw) > tuning.ManifestLimit {
-		return nil, fmt.Errorf("manifest: %d bytes, at most %d are read; use larger chunks", len(raw), tuning.ManifestLimit)
+	if len(raw) > tuning.MaxManifestBytes {
+		return nil, fmt.Errorf("manifest: %d bytes, at most %d are read; use larger chunks", len(raw), tuning.MaxManifestBytes)
 	}
 	var manifest Manifest
 	if err := json.Unmarshal(raw, &manifest); err != nil {
@@ -71,8 +71,8 @@
 func (manifest *Manifest) indexChunks(problems *problemList) {
 	manifest.chunkOffsets = make([]int64, len(manifest.Chunks)+1)
 	for i, chunk := range manifest.Chunks {
-		if chunk.Bytes <= 0 || chunk.Bytes > tuning.ChunkLimit {
-			problems.addf("manifest: chunks[%d].bytes: must be 1 to %d, not %d", i, tuning.ChunkLimit, chunk.Bytes)
+		if chunk.Bytes <= 0 || chunk.Bytes > tuning.MaxChunkBytes {
+			problems.addf("manifest: chunks[%d].bytes: must be 1 to %d, not %d", i, tuning.MaxChunkBytes, chunk.Bytes)
 			chunk.Bytes = 0
 		}
 		manifest.chunkOffsets[i+1] = manifest.chunkOffsets[i] + chunk.Bytes
--- a/dataset/summary.go
+++ b/dataset/summary.go
@@ -12,7 +12,7 @@
 
 // partBytesLimit is the largest size of a part in bytes. It keeps the sum of the sizes of all parts
 // within an int64.
-const partBytesLimit = math.MaxInt64 / tuning.PartsLimit
+const partBytesLimit = math.MaxInt64 / tuning.MaxParts
 
 // Summary describes a dataset and the sizes of its parts without listing its chunks, so that it fits
 // into one record whatever the number of chunks.
@@ -62,14 +62,14 @@
 	if !ValidName(summary.Name) {
 		fail("name: %.80q %s", summary.Name, nameRequirement)
 	}
-	if summary.Parts < 1 || summary.Parts > tuning.PartsLimit {
-		fail("parts: must be 1 to %d, not %d; put more chunks in a part", tuning.PartsLimit, summary.Parts)
+	if summary.Parts < 1 || summary.Parts > tuning.MaxParts {
+		fail("parts: must be 1 to %d, not %d; put more chunks in a part", tuning.MaxParts, summary.Parts)
 	}
 	if summary.Usual < 1 || summary.Usual > partBytesLimit {
 		fail("part_bytes: must be 1 or more, not %d", summary.Usual)
 	}
-	if len(summary.Odd) > tuning.OddParts {
-		fail("odd: %d parts differ in size from the others, at most %d may; make the parts equal in size", len(summary.Odd), tuning.OddParts)
+	if len(summary.Odd) > tuning.MaxOddParts {
+		fail("odd: %d parts differ in size from the others, at most %d may; make the parts equal in size", len(summary.Odd), tuning.MaxOddParts)
 	}
 	for part, size := range summary.Odd {
 		if part < 0 || part >= summary.Parts || size < 1 || size > partBytesLimit {
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -14,7 +14,7 @@
 
 // shortRetry is the delay before the next attempt after another process has won the election, or after a lease was
 // revoked, to let the state service remove the key that is attached to it.
-const shortRetry = tuning.ElectRetry / 5
+const shortRetry = tuning.ElectionRetryDelay / 5
 
 // Campaign reads the leader's key and, if there is no leader, tries to become it. It returns whether this member was
 // elected. If not, Campaign has already waited until the next attempt makes sense, unless another member leads.
@@ -25,7 +25,7 @@
 	requested := e.clock.Now()
 	leaseID, err := e.client.GrantLease(ctx, tuning.TermTTL)
 	if err != nil {
-		sleep.For(ctx, e.clock, tuning.ElectRetry)
+		sleep.For(ctx, e.clock, tuning.ElectionRetryDelay)
 		return false
 	}
 	term, err := e.claimLeadership(ctx, leaseID)
@@ -49,7 +49,7 @@
 		e.observeLeader("", 0)
 		return true
 	case err != nil:
-		sleep.For(ctx, e.clock, tuning.ElectRetry)
+		sleep.For(ctx, e.clock, tuning.ElectionRetryDelay)
 		return false
 	}
 	var record store.LeaderRecord
@@ -76,11 +76,11 @@
 	wait := e.campaignAfter.Sub(e.clock.Now())
 	e.mu.Unlock()
 	if wait > 0 {
-		sleep.For(ctx, e.clock, min(wait, tuning.ElectRetry))
+		sleep.For(ctx, e.clock, min(wait, tuning.ElectionRetryDelay))
 		return false
 	}
 	if e.callbacks.Isolated() {
-		sleep.For(ctx, e.clock, tuning.IsolatedDelay)
+		sleep.For(ctx, e.clock, tuning.IsolatedCampaignDelay)
 		if _, err := e.client.Get(ctx, store.LeaderKey); !errors.Is(err, store.ErrNotFound) {
 			return false
 		}
@@ -120,9 +120,9 @@
 // after a delay.
 func (e *Elector) awaitLeaderChange(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
-		changes, revision, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchBlock)
+		changes, revision, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchTimeout)
 		if err != nil {
-			sleep.For(ctx, e.clock, tuning.ElectRetry)
+			sleep.For(ctx, e.clock, tuning.ElectionRetryDelay)
 			return
 		}
 		if len(changes) > 0 {
--- a/election/term.go
+++ b/election/term.go
@@ -30,12 +30,12 @@
 	}
 }
 
-// renewUntilLost renews the lease every tuning.RenewEvery until the leadership is lost, and returns the reason; lost
-// is false if the context ended instead. Up to tuning.RenewAtOnce renewals run concurrently, so that one without a
+// renewUntilLost renews the lease every tuning.RenewInterval until the leadership is lost, and returns the reason; lost
+// is false if the context ended instead. Up to tuning.MaxConcurrentRenewals renewals run concurrently, so that one without a
 // response does not delay the next. They end with the context.
 func (e *Elector) renewUntilLost(ctx context.Context) (reason string, lost bool) {
-	expired := make(chan struct{}, tuning.RenewAtOnce)
-	slots := make(chan struct{}, tuning.RenewAtOnce)
+	expired := make(chan struct{}, tuning.MaxConcurrentRenewals)
+	slots := make(chan struct{}, tuning.MaxConcurrentRenewals)
 	for {
 		select {
 		case slots <- struct{}{}:
@@ -57,7 +57,7 @@
 			return reason, true
 		case <-expired:
 			return leaseExpired, true
-		case <-e.clock.After(tuning.RenewEvery):
+		case <-e.clock.After(tuning.RenewInterval):
 		}
 	}
 }
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -197,7 +197,7 @@
 	p.core = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Collaborators{Records: localityRecords{p},
 		Sender: localityCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
 	p.core.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
-		PerLink: tuning.StagePerLink, AtStore: max(tuning.StageAtStore, l.Machines/2), Ahead: tuning.StageAhead})
+		PerLink: tuning.StageCopiesPerLink, AtStore: max(tuning.StageCopiesAtStore, l.Machines/2), Ahead: tuning.StageAheadTasks})
 	p.core.Load(nil, nil)
 	for _, s := range p.store.sets {
 		p.core.AddDatasets(&dataset.Entry{Summary: *s})
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -47,7 +47,7 @@
 func (f *fleet) run(duration time.Duration, reports func(name string) bool) map[string]int {
 	released := map[string]int{}
 	for end := f.now.Add(duration); f.now.Before(end); {
-		f.now = f.now.Add(tuning.MaintainEvery)
+		f.now = f.now.Add(tuning.MaintenanceInterval)
 		i := 0
 		for _, name := range f.remaining() {
 			if i++; reports(name) && (f.now.UnixMilli()/500+int64(i))%6 == 0 {
--- a/features/features.go
+++ b/features/features.go
@@ -119,9 +119,9 @@
 	features := Features{Data: Data{
 		Placement: Staged,
 		CacheGB:   tuning.StageCacheGB,
-		PerLink:   tuning.StagePerLink,
-		AtStore:   tuning.StageAtStore,
-		Ahead:     tuning.StageAhead,
+		PerLink:   tuning.StageCopiesPerLink,
+		AtStore:   tuning.StageCopiesAtStore,
+		Ahead:     tuning.StageAheadTasks,
 	}}
 	invalid, err := stricttoml.Decode(raw, &features)
 	if err != nil {
@@ -162,8 +162,8 @@
 			fail(field, fmt.Sprintf("must be 1 to %d, not %d", maxCopies, copies))
 		}
 	}
-	if data.Ahead < 0 || data.Ahead > tuning.AheadMost {
-		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.AheadMost, data.Ahead))
+	if data.Ahead < 0 || data.Ahead > tuning.MaxAheadTasks {
+		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.MaxAheadTasks, data.Ahead))
 	}
 	return invalid
 }
--- a/httpapi/heartbeats.go
+++ b/httpapi/heartbeats.go
@@ -12,13 +12,13 @@
 	"switchferry/tuning"
 )
 
-// errHeartbeatTooLong is returned for a data agent's heartbeat that is longer than tuning.OrderLimit.
+// errHeartbeatTooLong is returned for a data agent's heartbeat that is longer than tuning.MaxOrderBytes.
 var errHeartbeatTooLong = errors.New("the heartbeat is over 1 MiB")
 
 // serveHeartbeat handles the heartbeat of a worker.
 func serveHeartbeat(call echo.Context, backend Controller) error {
 	var heartbeat api.Heartbeat
-	raw, err := readHeartbeat(call, &heartbeat, tuning.BodyLimit, errBodyTooLong)
+	raw, err := readHeartbeat(call, &heartbeat, tuning.MaxBodyBytes, errBodyTooLong)
 	if err != nil {
 		return refuseHeartbeat(call, "worker", err)
 	}
@@ -29,7 +29,7 @@
 // serveStageHeartbeat handles the heartbeat of a data agent.
 func serveStageHeartbeat(call echo.Context, backend Controller) error {
 	var heartbeat api.StageHeartbeat
-	raw, err := readHeartbeat(call, &heartbeat, tuning.OrderLimit, errHeartbeatTooLong)
+	raw, err := readHeartbeat(call, &heartbeat, tuning.MaxOrderBytes, errHeartbeatTooLong)
 	if err != nil {
 		return refuseHeartbeat(call, "agent", err)
 	}
--- a/httpapi/users.go
+++ b/httpapi/users.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// errBodyTooLong is returned for a request body that is longer than tuning.BodyLimit.
+// errBodyTooLong is returned for a request body that is longer than tuning.MaxBodyBytes.
 var errBodyTooLong = errors.New("the body is over 64 KiB")
 
 // verbsWithBody holds the verbs whose requests have a body.
@@ -57,7 +57,7 @@
 func serveUser(call echo.Context, backend Controller, verb string) error {
 	request := peer.Request{Verb: verb, Job: call.Param("id")}
 	if verbsWithBody[verb] {
-		body, err := readBody(call, tuning.BodyLimit, errBodyTooLong)
+		body, err := readBody(call, tuning.MaxBodyBytes, errBodyTooLong)
 		if err != nil {
 			return call.JSON(http.StatusBadRequest, api.Error{Error: err.Error(), Field: "body"})
 		}
--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -46,14 +46,14 @@
 	return base64.RawStdEncoding.EncodeToString(zstdEncoder.EncodeAll(raw, nil)), nil
 }
 
-// Decode decodes text from EncodeFast or EncodeSmall into value, a pointer. The decoder uses at most tuning.PackMemory
+// Decode decodes text from EncodeFast or EncodeSmall into value, a pointer. The decoder uses at most tuning.MaxDecompressedBytes
 // bytes of memory, whatever the text.
 func Decode(text string, value any) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return fmt.Errorf("decoding a compressed value: %w", err)
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(tuning.PackMemory))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(tuning.MaxDecompressedBytes))
 	if err != nil {
 		return fmt.Errorf("creating a zstd decoder: %w", err)
 	}
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -41,7 +41,7 @@
 		{store.JobKey("run-000412"), "sf/j/run-000412"},
 		{store.FinalKey("run-000412"), "sf/f/run-000412"},
 		{store.InboxKey("run-000412"), "sf/in/run-000412"},
-		{store.ShardOf("run-000412", 900, tuning.ShardTasks).Key(), "sf/t/run-000412/2"},
+		{store.ShardOf("run-000412", 900, tuning.TasksPerShard).Key(), "sf/t/run-000412/2"},
 		{store.ShardOf("run-000412", 900, 64).Key(), "sf/t/run-000412/14.64"},
 		{store.ImagesKey(3), "sf/images/3"},
 		{store.ReplicasKey(3), "sf/holds/3"},
@@ -62,7 +62,7 @@
 
 // A shard's key is parsed into the shard's job, number and size.
 func TestShardKeysAreParsed(t *testing.T) {
-	for _, want := range []store.Shard{store.ShardOf("run-000412", 900, tuning.ShardTasks), store.ShardOf("run-000412", 900, 64)} {
+	for _, want := range []store.Shard{store.ShardOf("run-000412", 900, tuning.TasksPerShard), store.ShardOf("run-000412", 900, 64)} {
 		if got, ok := store.ParseShard(want.Key()); !ok || got != want {
 			t.Errorf("%s is parsed as %+v, %t", want.Key(), got, ok)
 		}
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -13,7 +13,7 @@
 )
 
 // Do sends a request with body encoded as JSON, or without a body if it is nil. It returns the status of the response
-// and at most the first tuning.AnswerLimit bytes of its body. No response status is treated as an error.
+// and at most the first tuning.MaxResponseBytes bytes of its body. No response status is treated as an error.
 func Do(ctx context.Context, client *http.Client, method, url string, body any) (int, []byte, error) {
 	var reader io.Reader
 	if body != nil {
@@ -33,6 +33,6 @@
 		return 0, nil, err
 	}
 	defer func() { _ = response.Body.Close() }() // The body has been read, so an error of Close has no effect.
-	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.AnswerLimit))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxResponseBytes))
 	return response.StatusCode, raw, err
 }
--- a/lookup/fair_queue.go
+++ b/lookup/fair_queue.go
@@ -23,7 +23,7 @@
 type FairQueue struct {
 	clock   clockwork.Clock
 	limiter *rate.Limiter
-	// maxWaiting is the number of requests that can be served within tuning.QuestionWait.
+	// maxWaiting is the number of requests that can be served within tuning.StatusQueueTimeout.
 	maxWaiting int
 
 	mu sync.Mutex
@@ -54,8 +54,8 @@
 	return &FairQueue{
 		clock:           clock,
 		limiter:         limiter,
-		maxWaiting:      max(1, int(float64(limiter.Limit())*tuning.QuestionWait.Seconds())),
-		unansweredSince: newCache[time.Time](tuning.UnansweredKept),
+		maxWaiting:      max(1, int(float64(limiter.Limit())*tuning.StatusQueueTimeout.Seconds())),
+		unansweredSince: newCache[time.Time](tuning.UnansweredStatusCapacity),
 	}
 }
 
@@ -71,7 +71,7 @@
 	return len(q.waiting) == 0 && q.limiter.AllowN(now, 1)
 }
 
-// Acquire takes one read for a status request for a job, and waits for it up to tuning.QuestionWait. It returns false
+// Acquire takes one read for a status request for a job, and waits for it up to tuning.StatusQueueTimeout. It returns false
 // if no read was granted in time. Until Answered is called, further requests for the job are then served before those
 // for jobs that have been unanswered for a shorter time.
 func (q *FairQueue) Acquire(ctx context.Context, id string) bool {
@@ -82,7 +82,7 @@
 	select {
 	case <-request.ready:
 	case <-ctx.Done():
-	case <-q.clock.After(tuning.QuestionWait):
+	case <-q.clock.After(tuning.StatusQueueTimeout):
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -155,10 +155,10 @@
 	return false, nil
 }
 
-// ForEach calls visit for each of ids with its index, in up to tuning.DependencyLookups concurrent calls, and returns
+// ForEach calls visit for each of ids with its index, in up to tuning.MaxConcurrentLookups concurrent calls, and returns
 // when all calls have returned.
 func ForEach(ids []string, visit func(i int, id string)) {
-	slots := make(chan struct{}, tuning.DependencyLookups)
+	slots := make(chan struct{}, tuning.MaxConcurrentLookups)
 	var running sync.WaitGroup
 	for i, id := range ids {
 		slots <- struct{}{}
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -10,7 +10,7 @@
 	"switchferry/tuning"
 )
 
-// Notifications caches the terminal states that this process has sent to users, for up to tuning.FinalCache jobs. It
+// Notifications caches the terminal states that this process has sent to users, for up to tuning.TerminalJobsCapacity jobs. It
 // prevents that an older state, found in memory, at the leader or in a record read earlier, is sent after a terminal
 // state, so that reads are monotonic within one process. It is safe for concurrent use.
 type Notifications struct {
@@ -20,7 +20,7 @@
 
 // NewNotifications returns Notifications without entries.
 func NewNotifications() *Notifications {
-	return &Notifications{sentTerminal: newCache[api.JobStatus](tuning.FinalCache)}
+	return &Notifications{sentTerminal: newCache[api.JobStatus](tuning.TerminalJobsCapacity)}
 }
 
 // SendDecision says whether a status that was found for a job may be sent to a user.
--- a/lookup/terminal_states.go
+++ b/lookup/terminal_states.go
@@ -10,7 +10,7 @@
 	"switchferry/tuning"
 )
 
-// TerminalStates caches the final records of archived jobs, the last tuning.FinalCache that were added. It is safe for
+// TerminalStates caches the final records of archived jobs, the last tuning.TerminalJobsCapacity that were added. It is safe for
 // concurrent use.
 type TerminalStates struct {
 	mu      sync.Mutex
@@ -19,7 +19,7 @@
 
 // NewTerminalStates returns an empty TerminalStates.
 func NewTerminalStates() *TerminalStates {
-	return &TerminalStates{records: newCache[store.FinalRecord](tuning.FinalCache)}
+	return &TerminalStates{records: newCache[store.FinalRecord](tuning.TerminalJobsCapacity)}
 }
 
 // Remember adds the final record of a job. If its state differs from that of the cached record, Remember reports an
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -62,7 +62,7 @@
 	switch {
 	case receiving > 0:
 		return peer.setLevel(now, Suspected, []string{Link}, fmt.Sprintf("%s, but its hellos arrive at %d other controller(s)", reason, receiving), changes)
-	case notReceiving > 0 && (crashed || l.phi(now, peer) >= tuning.PhiFail && silentFor >= tuning.FailSilence):
+	case notReceiving > 0 && (crashed || l.phi(now, peer) >= tuning.PhiFail && silentFor >= tuning.MinFailSilence):
 		peer.helloSinceFailure = false
 		return peer.setLevel(now, Failed, []string{Process}, fmt.Sprintf("%s, and its hellos do not arrive at %d other controller(s) either", reason, notReceiving), changes)
 	}
@@ -73,7 +73,7 @@
 // from, and the other peers whose recent hellos do not list it.
 func (l *MemberList) countObservers(now time.Time, peer *member) (receiving, notReceiving int) {
 	for _, other := range l.peers {
-		if other == peer || !other.helloSinceFailure || other.lastHello.StartedMS == 0 || now.Sub(other.lastHelloAt) > tuning.ViewFresh {
+		if other == peer || !other.helloSinceFailure || other.lastHello.StartedMS == 0 || now.Sub(other.lastHelloAt) > tuning.MaxViewAge {
 			continue
 		}
 		if slices.Contains(other.lastHello.HeardPeers, peer.name) {
@@ -109,7 +109,7 @@
 func (l *MemberList) evaluateSelf(now time.Time, changes []Change) []Change {
 	components := l.localImpairments(now)
 	switch {
-	case l.localFaults >= tuning.HealthSlow:
+	case l.localFaults >= tuning.SlowLocalFaults:
 		return l.self.setLevel(now, Slow, components, fmt.Sprintf("recently paused or ran out of sockets %d times", l.localFaults), changes)
 	case len(components) > 0:
 		return l.self.setLevel(now, Suspected, components, "does not reach: "+strings.Join(components, ", "), changes)
@@ -138,7 +138,7 @@
 func (l *MemberList) isolated(now time.Time) bool {
 	everReceived := false
 	for _, peer := range l.peers {
-		if peer.hellosArrive() || now.Sub(peer.refusedAt) < tuning.CrashFresh {
+		if peer.hellosArrive() || now.Sub(peer.refusedAt) < tuning.CrashEvidenceTTL {
 			return false
 		}
 		everReceived = everReceived || peer.level != Unknown
--- a/membership/intervals.go
+++ b/membership/intervals.go
@@ -11,11 +11,11 @@
 
 // intervals is the distribution of the recent intervals between a member's hellos. It yields the suspicion level
 // phi of the phi accrual failure detector (N. Hayashibara, X. Défago, R. Yared, T. Katayama: "The phi accrual
-// failure detector", SRDS 2004). The prior has the weight of tuning.IntervalsPrior samples: hellos at the
-// expected interval, with a standard deviation of tuning.IntervalsSpread of that interval.
+// failure detector", SRDS 2004). The prior has the weight of tuning.IntervalPriorWeight samples: hellos at the
+// expected interval, with a standard deviation of tuning.IntervalDeviationShare of that interval.
 type intervals struct {
 	expectedInterval time.Duration
-	// samples is a ring buffer of at most tuning.IntervalsKept intervals, in seconds.
+	// samples is a ring buffer of at most tuning.HelloIntervalWindow intervals, in seconds.
 	samples []float64
 	// oldestIndex is the index of the oldest sample once the buffer is full.
 	oldestIndex int
@@ -28,7 +28,7 @@
 // add records one interval; it replaces the oldest one if the buffer is full.
 func (i *intervals) add(interval time.Duration) {
 	seconds := interval.Seconds()
-	if len(i.samples) < tuning.IntervalsKept {
+	if len(i.samples) < tuning.HelloIntervalWindow {
 		i.samples = append(i.samples, seconds)
 	} else {
 		replaced := i.samples[i.oldestIndex]
@@ -43,10 +43,10 @@
 // at tuning.PhiMax.
 func (i *intervals) phi(silentFor time.Duration) float64 {
 	prior, count := i.expectedInterval.Seconds(), float64(len(i.samples))
-	priorDeviation := prior * tuning.IntervalsSpread
-	totalWeight := count + tuning.IntervalsPrior
-	mean := (i.sum + tuning.IntervalsPrior*prior) / totalWeight
-	meanSquare := (i.sumOfSquares + tuning.IntervalsPrior*(prior*prior+priorDeviation*priorDeviation)) / totalWeight
+	priorDeviation := prior * tuning.IntervalDeviationShare
+	totalWeight := count + tuning.IntervalPriorWeight
+	mean := (i.sum + tuning.IntervalPriorWeight*prior) / totalWeight
+	meanSquare := (i.sumOfSquares + tuning.IntervalPriorWeight*(prior*prior+priorDeviation*priorDeviation)) / totalWeight
 	deviation := math.Max(priorDeviation, math.Sqrt(math.Max(0, meanSquare-mean*mean)))
 	probability := distuv.Normal{Mu: mean, Sigma: deviation}.Survival(silentFor.Seconds())
 	if probability <= 0 {
--- a/membership/list.go
+++ b/membership/list.go
@@ -42,7 +42,7 @@
 // changes. It must be called several times a second, even without observations.
 func (l *MemberList) Step(now time.Time, observations ...Observation) []Change {
 	l.discountPause(now)
-	if l.localFaults > 0 && now.Sub(l.localFaultsChangedAt) >= tuning.HealthAgain {
+	if l.localFaults > 0 && now.Sub(l.localFaultsChangedAt) >= tuning.LocalFaultDecayInterval {
 		l.localFaults, l.localFaultsChangedAt = l.localFaults-1, now
 	}
 	var changes []Change
@@ -58,7 +58,7 @@
 // discountPause detects a pause of this process since the last step. Hellos that arrived during the pause have
 // not been read yet, so the pause is not counted towards the silence of any peer.
 func (l *MemberList) discountPause(now time.Time) {
-	if pause := now.Sub(l.lastStep); pause >= tuning.MinPause {
+	if pause := now.Sub(l.lastStep); pause >= tuning.MinMembershipPause {
 		l.recordLocalFault(now)
 		for _, peer := range l.peers {
 			peer.lastHelloAt = peer.lastHelloAt.Add(pause)
@@ -69,7 +69,7 @@
 
 // recordLocalFault counts one more pause or lack of sockets of this controller.
 func (l *MemberList) recordLocalFault(now time.Time) {
-	l.localFaults, l.localFaultsChangedAt = min(tuning.HealthMost, l.localFaults+1), now
+	l.localFaults, l.localFaultsChangedAt = min(tuning.MaxLocalFaults, l.localFaults+1), now
 }
 
 // apply records one observation and appends the change that it causes directly, which is a restart of a member.
--- a/membership/member.go
+++ b/membership/member.go
@@ -40,7 +40,7 @@
 		since:       now,
 		reason:      "no hello received yet",
 		lastHelloAt: now,
-		intervals:   newIntervals(tuning.PeerHello),
+		intervals:   newIntervals(tuning.PeerHelloInterval),
 	}
 }
 
@@ -63,7 +63,7 @@
 	restarted := hello.StartedMS > m.lastHello.StartedMS && m.lastHello.StartedMS > 0
 	if restarted || !m.helloSinceFailure {
 		// The time without hellos before a restart or recovery is not a sample of the process's intervals.
-		m.intervals = newIntervals(tuning.PeerHello)
+		m.intervals = newIntervals(tuning.PeerHelloInterval)
 	} else if interval := now.Sub(m.lastHelloAt); interval > 0 {
 		m.intervals.add(interval)
 	}
@@ -92,7 +92,7 @@
 // reset, and new ones have been refused since. Both are required, because a packet filter can cause either one
 // alone. A network partition causes neither.
 func (m *member) crashed(now time.Time) bool {
-	return !m.resetAt.IsZero() && m.refusedAt.After(m.resetAt) && m.establishedAt.Before(m.resetAt) && now.Sub(m.refusedAt) < tuning.CrashFresh
+	return !m.resetAt.IsZero() && m.refusedAt.After(m.resetAt) && m.establishedAt.Before(m.resetAt) && now.Sub(m.refusedAt) < tuning.CrashEvidenceTTL
 }
 
 // hellosArrive reports whether the member's hellos arrive, as its level shows.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -98,7 +98,7 @@
 			if c.paused(name) || c.now.Before(c.nextHello[name]) {
 				continue
 			}
-			c.nextHello[name] = c.now.Add(tuning.PeerHello)
+			c.nextHello[name] = c.now.Add(tuning.PeerHelloInterval)
 			for _, other := range memberNames {
 				switch {
 				case other == name:
@@ -199,7 +199,7 @@
 	now := time.Unix(1_790_000_000, 0)
 	list := New("a", []string{"b"}, now)
 	for range 20 {
-		now = now.Add(tuning.PeerHello)
+		now = now.Add(tuning.PeerHelloInterval)
 		list.Step(now, Hello{From: "b", StartedMS: 1, StateOK: true})
 	}
 	if changes := list.Step(now.Add(10 * time.Second)); len(changes) > 0 {
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// Run observes this controller's own state, which local returns, every tuning.MembersEvery until ctx ends. This
+// Run observes this controller's own state, which local returns, every tuning.MembershipInterval until ctx ends. This
 // also keeps the levels current when nothing else is observed.
 func (w *Watcher) Run(ctx context.Context, local func() LocalState) {
 	for ctx.Err() == nil {
 		w.Observe(local())
 		select {
 		case <-ctx.Done():
-		case <-w.clock.After(tuning.MembersEvery):
+		case <-w.clock.After(tuning.MembershipInterval):
 		}
 	}
 }
--- a/peer/ask.go
+++ b/peer/ask.go
@@ -44,7 +44,7 @@
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	remote := network.peers[member]
-	if remote == nil || remote.conn == nil || network.clock.Since(remote.lastFrameAt) > tuning.PeerDead {
+	if remote == nil || remote.conn == nil || network.clock.Since(remote.lastFrameAt) > tuning.PeerSilenceTimeout {
 		return pendingRequest{}, false
 	}
 	remote.lastSeq++
--- a/peer/connection.go
+++ b/peer/connection.go
@@ -35,7 +35,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-network.clock.After(tuning.PeerHello):
+		case <-network.clock.After(tuning.PeerHelloInterval):
 		}
 	}
 }
@@ -108,8 +108,8 @@
 	}
 }
 
-// sendHellos sends hellos to a peer every tuning.PeerHello until ctx ends, a write fails, or no frame arrives from
-// the peer for tuning.PeerDead. It reports whether it ended for the last reason: a network partition stops the
+// sendHellos sends hellos to a peer every tuning.PeerHelloInterval until ctx ends, a write fails, or no frame arrives from
+// the peer for tuning.PeerSilenceTimeout. It reports whether it ended for the last reason: a network partition stops the
 // frames of a peer without causing an error.
 func (network *Network) sendHellos(ctx context.Context, remote *remotePeer, conn net.Conn) (silent bool) {
 	started := network.clock.Now()
@@ -120,7 +120,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-network.clock.After(tuning.PeerHello):
+		case <-network.clock.After(tuning.PeerHelloInterval):
 		}
 		network.mu.Lock()
 		lastFrameAt := remote.lastFrameAt
@@ -128,7 +128,7 @@
 		if lastFrameAt.Before(started) {
 			lastFrameAt = started
 		}
-		if network.clock.Since(lastFrameAt) > tuning.PeerDead {
+		if network.clock.Since(lastFrameAt) > tuning.PeerSilenceTimeout {
 			return true
 		}
 	}
--- a/peer/decode.go
+++ b/peer/decode.go
@@ -23,7 +23,7 @@
 		return frame{}, err
 	}
 	size := binary.LittleEndian.Uint32(lengthPrefix[:])
-	if size < minFrameBytes || size > tuning.FrameLimit {
+	if size < minFrameBytes || size > tuning.MaxFrameBytes {
 		return frame{}, fmt.Errorf("invalid frame size of %d bytes", size)
 	}
 	raw := make([]byte, size)
@@ -73,19 +73,19 @@
 	}, nil
 }
 
-// decodeHeardPeers returns the first tuning.FrameMembers of the members that a hello lists.
+// decodeHeardPeers returns the first tuning.MaxHelloMembers of the members that a hello lists.
 func decodeHeardPeers(encoded *wire.Frame) []string {
 	var members []string
-	for index := range min(encoded.HearsLength(), tuning.FrameMembers) {
+	for index := range min(encoded.HearsLength(), tuning.MaxHelloMembers) {
 		members = append(members, string(encoded.Hears(index)))
 	}
 	return members
 }
 
-// decodeCancellations returns the cancellations of a watermark statement. More than tuning.CancellationsAtOnce
+// decodeCancellations returns the cancellations of a watermark statement. More than tuning.MaxStatementCancellations
 // are an error.
 func decodeCancellations(encoded *wire.Frame) ([]watermark.Cancellation, error) {
-	if encoded.ToldLength() > tuning.CancellationsAtOnce {
+	if encoded.ToldLength() > tuning.MaxStatementCancellations {
 		return nil, fmt.Errorf("too many cancellations in a statement: %d", encoded.ToldLength())
 	}
 	var cancellations []watermark.Cancellation
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -44,7 +44,7 @@
 	}
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	if len(remote.statementRequestTimes) == tuning.WatermarksAsked {
+	if len(remote.statementRequestTimes) == tuning.MaxPendingWatermarkRequests {
 		// Controllers of an older version do not answer these requests.
 		clear(remote.statementRequestTimes)
 	}
--- a/peer/network.go
+++ b/peer/network.go
@@ -78,7 +78,7 @@
 		clock:         clock,
 		localHello:    localHello,
 		handle:        handle,
-		Dial:          (&net.Dialer{Timeout: tuning.PeerDead}).DialContext,
+		Dial:          (&net.Dialer{Timeout: tuning.PeerSilenceTimeout}).DialContext,
 		OnObservation: func(membership.Observation) {},
 		peers:         map[string]*remotePeer{},
 	}
@@ -88,13 +88,13 @@
 	return network
 }
 
-// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerDead, in no particular order.
+// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerSilenceTimeout, in no particular order.
 func (network *Network) LivePeers() []Hello {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	var hellos []Hello
 	for _, remote := range network.peers {
-		if !remote.lastFrameAt.IsZero() && network.clock.Since(remote.lastFrameAt) < tuning.PeerDead {
+		if !remote.lastFrameAt.IsZero() && network.clock.Since(remote.lastFrameAt) < tuning.PeerSilenceTimeout {
 			hellos = append(hellos, remote.hello)
 		}
 	}
@@ -111,7 +111,7 @@
 		if remote.lastRefusalAt.After(lastActivityAt) {
 			lastActivityAt = remote.lastRefusalAt
 		}
-		if !lastActivityAt.IsZero() && network.clock.Since(lastActivityAt) < tuning.PeerDead+tuning.PeerHello {
+		if !lastActivityAt.IsZero() && network.clock.Since(lastActivityAt) < tuning.PeerSilenceTimeout+tuning.PeerHelloInterval {
 			return false
 		}
 	}
@@ -124,7 +124,7 @@
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	remote := network.peers[member]
-	return remote != nil && network.clock.Since(remote.lastActivityAt) > tuning.PeerDead+tuning.PeerHello
+	return remote != nil && network.clock.Since(remote.lastActivityAt) > tuning.PeerSilenceTimeout+tuning.PeerHelloInterval
 }
 
 // ReceivedCount returns the number of frames received from a peer, or 0 for an unknown member.
@@ -137,7 +137,7 @@
 	return 0
 }
 
-// Reachable reports whether a peer sent a frame within tuning.PeerDead.
+// Reachable reports whether a peer sent a frame within tuning.PeerSilenceTimeout.
 func (network *Network) Reachable(member string) bool {
 	for _, hello := range network.LivePeers() {
 		if hello.Member == member {
@@ -160,7 +160,7 @@
 			go network.serveConn(ctx, conn)
 		case ctx.Err() == nil:
 			slog.Error("accepting peer connection failed", "err", err)
-			network.clock.Sleep(tuning.ElectRetry)
+			network.clock.Sleep(tuning.ElectionRetryDelay)
 		}
 	}
 	return nil
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -154,7 +154,7 @@
 	requireClose(t, <-conns)
 	want(membership.Connection{To: "n0", Outcome: membership.Reset})
 	for {
-		clock.Advance(tuning.PeerHello)
+		clock.Advance(tuning.PeerHelloInterval)
 		select {
 		case o := <-observations:
 			if o != (membership.Connection{To: "n0", Outcome: membership.Refused}) {
@@ -218,7 +218,7 @@
 	if !reflect.DeepEqual(watermarks.lastApplied, want) {
 		t.Errorf("applied %+v, want %+v", watermarks.lastApplied, want)
 	}
-	for range tuning.CancellationsAtOnce {
+	for range tuning.MaxStatementCancellations {
 		reply.cancellations = append(reply.cancellations, watermark.Cancellation{Job: "run-1"})
 	}
 	reply.cancellations = append(reply.cancellations, reply.cancellations[0])
--- a/peer/responses.go
+++ b/peer/responses.go
@@ -29,10 +29,10 @@
 }
 
 // RetryLaterAfter is RetryLater with a given time until the retry. The time is rounded up to seconds and limited to the
-// range from tuning.RetryAfterS to tuning.RetryAfterMost, the longest that users comply with.
+// range from tuning.RetryAfterS to tuning.MaxRetryAfterS, the longest that users comply with.
 func RetryLaterAfter(reason string, delay time.Duration) Response {
 	response := RetryLater(reason)
-	response.RetryAfterS = min(tuning.RetryAfterMost, max(response.RetryAfterS, int(math.Ceil(delay.Seconds()))))
+	response.RetryAfterS = min(tuning.MaxRetryAfterS, max(response.RetryAfterS, int(math.Ceil(delay.Seconds()))))
 	return response
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -48,7 +48,7 @@
 	ReserveCPUs: {"processors that jobs of rank low leave free while others have work", "0.1 * owned_cpus",
 		[]string{"owned_cpus"}, 0, 1e6},
 	BeginByS: {"how long a job may wait without a start before it has one task's turn ahead of all but production, in seconds", "150",
-		nil, 10, tuning.BeginMostS},
+		nil, 10, tuning.MaxBeginByS},
 	SpotShare: {"largest share of all processors that spot machines may be", "1",
 		[]string{"demand_cpus"}, 0, 1},
 }
--- a/redirect/redirect.go
+++ b/redirect/redirect.go
@@ -30,15 +30,15 @@
 // Allow reports whether a worker may be redirected to the target now and, if so, records the redirect. A worker that
 // came back after an earlier redirect may not be redirected until tuning.RedirectBackoff has passed. A target that
 // reports that it receives no heartbeats may be unreachable for workers, or merely have no workers: it is probed with
-// one worker every tuning.RedirectProbe.
+// one worker every tuning.RedirectProbeInterval.
 func (t *Tracker) Allow(now time.Time, worker, target string, receivesHeartbeats bool) bool {
 	if redirectedAt, known := t.redirectedAt[worker]; known {
-		if since := now.Sub(redirectedAt); since > tuning.RedirectTrip && since < tuning.RedirectBackoff {
+		if since := now.Sub(redirectedAt); since > tuning.RedirectReportTimeout && since < tuning.RedirectBackoff {
 			return false
 		}
 	}
 	if !receivesHeartbeats {
-		if probedAt, probed := t.probedAt[target]; probed && now.Sub(probedAt) < tuning.RedirectProbe {
+		if probedAt, probed := t.probedAt[target]; probed && now.Sub(probedAt) < tuning.RedirectProbeInterval {
 			return false
 		}
 		t.probedAt[target] = now
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -32,14 +32,14 @@
 	if !tracker.Allow(clock.Now(), "n-2", "other", true) {
 		t.Error("not redirected again in the response to a heartbeat that was sent before the redirect arrived")
 	}
-	clock.Advance(tuning.RedirectProbe)
+	clock.Advance(tuning.RedirectProbeInterval)
 	if tracker.Allow(clock.Now(), "n-1", "unreachable", false) {
 		t.Error("the worker that had probed the controller was redirected to it again")
 	}
 	if !tracker.Allow(clock.Now(), "n-3", "unreachable", false) {
 		t.Error("no other worker was redirected to probe the controller")
 	}
-	clock.Advance(tuning.RedirectTrip / 2)
+	clock.Advance(tuning.RedirectReportTimeout / 2)
 	if !tracker.Allow(clock.Now(), "n-4", "unreachable", true) {
 		t.Error("not redirected although the controller receives heartbeats again")
 	}
--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -58,7 +58,7 @@
 	reader.Go(func() { e.read(ctx) })
 	defer reader.Wait()
 	for ctx.Err() == nil {
-		sleep.For(ctx, e.Clock, tuning.RelayEvery)
+		sleep.For(ctx, e.Clock, tuning.RelayInterval)
 		for e.Write(ctx) {
 		}
 	}
@@ -129,12 +129,12 @@
 			}
 		}
 		after = 0
-		sleep.For(ctx, e.Clock, tuning.RelayEvery)
+		sleep.For(ctx, e.Clock, tuning.RelayInterval)
 	}
 }
 
 // Fetch applies the leader's packets to Reader: all of them if after is 0, otherwise those that
-// changed after that revision of the state service, for which it waits up to tuning.WatchBlock. It
+// changed after that revision of the state service, for which it waits up to tuning.WatchTimeout. It
 // returns the revision to continue from. An error means that the state service could not be read;
 // corrupt packets are logged and skipped.
 func (e *Exchange) Fetch(ctx context.Context, after uint64) (uint64, error) {
@@ -163,7 +163,7 @@
 // they were read.
 func (e *Exchange) downlinkEvents(ctx context.Context, after uint64) ([]store.Event, uint64, error) {
 	if after > 0 {
-		return e.Client.Watch(ctx, e.DownlinkPrefix, after, tuning.WatchBlock)
+		return e.Client.Watch(ctx, e.DownlinkPrefix, after, tuning.WatchTimeout)
 	}
 	items, revision, err := e.Client.List(ctx, e.DownlinkPrefix)
 	var events []store.Event
--- a/relay/exchange/follow.go
+++ b/relay/exchange/follow.go
@@ -19,13 +19,13 @@
 func Follow(ctx context.Context, client *store.Client, clock clockwork.Clock, prefix string, after uint64, term uint64, deliver func(member string, message relay.Message)) {
 	var reassembler relay.Reassembler
 	for ctx.Err() == nil {
-		events, revision, err := client.Watch(ctx, prefix, after, tuning.InboxBlock)
+		events, revision, err := client.Watch(ctx, prefix, after, tuning.InboxWatchTimeout)
 		if errors.Is(err, store.ErrCompacted) {
 			// Only the revision is needed, since senders repeat their messages.
 			_, revision, err = client.List(ctx, prefix)
 		}
 		if err != nil {
-			sleep.For(ctx, clock, tuning.ElectRetry)
+			sleep.For(ctx, clock, tuning.ElectionRetryDelay)
 			continue
 		}
 		UnpackEvents(events, prefix, term, &reassembler, deliver)
@@ -72,6 +72,6 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		sleep.For(ctx, clock, tuning.ElectRetry)
+		sleep.For(ctx, clock, tuning.ElectionRetryDelay)
 	}
 }
--- a/relay/exchange/limits.go
+++ b/relay/exchange/limits.go
@@ -12,12 +12,12 @@
 // the state service has now or will have.
 func PacketLimits(limits settings.State) relay.Limits {
 	least := limits.Least()
-	return relay.Limits{Value: least.ValueBytes(), Request: tuning.PacketRequestBytes, Ops: least.TxnOps}
+	return relay.Limits{Value: least.ValueBytes(), Request: tuning.MaxPacketRequestBytes, Ops: least.TxnOps}
 }
 
 // WriteRate returns the limiter of the packets of all kinds that a controller writes. Its rate is the
-// share tuning.RelayShare of the state service's write limit, since the leader's records have priority.
+// share tuning.RelayWriteShare of the state service's write limit, since the leader's records have priority.
 func WriteRate(limits settings.State) *rate.Limiter {
-	writesPerSecond := tuning.RelayShare * limits.Least().WriteRPS
+	writesPerSecond := tuning.RelayWriteShare * limits.Least().WriteRPS
 	return rate.NewLimiter(rate.Limit(writesPerSecond), max(PacketLimits(limits).MaxPackets(), int(writesPerSecond)))
 }
--- a/relay/mailbox.go
+++ b/relay/mailbox.go
@@ -26,12 +26,12 @@
 }
 
 // AssignPacket returns the index of the packet that a machine is assigned to. A machine without a packet
-// is first assigned to the first one with fewer than tuning.PacketMachines machines, or to a new one.
+// is first assigned to the first one with fewer than tuning.MachinesPerPacket machines, or to a new one.
 func (m *Mailbox) AssignPacket(machine string) int {
 	if index, ok := m.packetIndex[machine]; ok {
 		return index
 	}
-	index := slices.IndexFunc(m.packets, func(machines map[string]bool) bool { return len(machines) < tuning.PacketMachines })
+	index := slices.IndexFunc(m.packets, func(machines map[string]bool) bool { return len(machines) < tuning.MachinesPerPacket })
 	if index < 0 {
 		index = m.addEmptyPacket()
 	}
--- a/relay/outbox.go
+++ b/relay/outbox.go
@@ -200,7 +200,7 @@
 			continue
 		}
 		ratio := compressionRatioMargin * float64(uncompressedBytes) / float64(len(packed))
-		o.compressionRatio = max(minCompressionRatio, min(tuning.PacketRatio, ratio))
+		o.compressionRatio = max(minCompressionRatio, min(tuning.PacketCompressionRatio, ratio))
 		if count == 1 || len(packed) <= o.limits.maxPackedBytes() {
 			return count, packed, nil
 		}
--- a/relay/packet.go
+++ b/relay/packet.go
@@ -54,4 +54,4 @@
 func (l Limits) MaxPackets() int { return max(1, min(l.Ops, l.Request/max(1, l.Value))) }
 
 // maxPackedBytes returns the maximum length of Packet.Packed, in bytes.
-func (l Limits) maxPackedBytes() int { return l.Value - tuning.PacketMargin }
+func (l Limits) maxPackedBytes() int { return l.Value - tuning.PacketMarginBytes }
--- a/relay/proxy/agents.go
+++ b/relay/proxy/agents.go
@@ -28,7 +28,7 @@
 // NewAgents returns a proxy that has received no heartbeat yet.
 func NewAgents(options Options) *Agents {
 	a := &Agents{clock: options.Clock, orders: staging.NewProxy(options.newOutbox())}
-	a.Exchange = options.newExchange(store.AgentRelayKey, store.AgentResponsePrefix, tuning.RelayStageRefresh)
+	a.Exchange = options.newExchange(store.AgentRelayKey, store.AgentResponsePrefix, tuning.RelayAgentRefreshInterval)
 	a.Exchange.Lock, a.Exchange.Outbox, a.Exchange.Reader = &a.mu, a.orders.Outbox, &a.orders.Inbox
 	a.Exchange.Expire = func(now time.Time) { a.orders.Expire(now, senderTimeout) }
 	a.Exchange.TermEnded = func() { a.orders.Outbox.Reset(0) }
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -31,7 +31,7 @@
 }
 
 // senderTimeout is the time without a heartbeat after which a proxy removes a sender.
-const senderTimeout = 2 * tuning.RelayRefresh
+const senderTimeout = 2 * tuning.RelayRefreshInterval
 
 // newOutbox returns an outbox for the packets to the leader. The IDs of its fragmented messages count up from the present
 // Unix time in milliseconds, so that no earlier process of this member has used the same IDs.
--- a/relay/proxy/workers.go
+++ b/relay/proxy/workers.go
@@ -46,7 +46,7 @@
 // NewWorkers returns a proxy that has received no heartbeat yet.
 func NewWorkers(options Options) *Workers {
 	w := &Workers{clock: options.Clock, workers: map[string]*workerState{}, outbox: options.newOutbox()}
-	w.Exchange = options.newExchange(store.RelayKey, store.RelayResponsePrefix, tuning.RelayRefresh)
+	w.Exchange = options.newExchange(store.RelayKey, store.RelayResponsePrefix, tuning.RelayRefreshInterval)
 	w.Exchange.Lock, w.Exchange.Outbox, w.Exchange.Reader = &w.mu, w.outbox, &w.inbox
 	w.Exchange.Expire, w.Exchange.TermEnded = w.expire, func() { w.reset(0) }
 	return w
@@ -124,7 +124,7 @@
 
 // deliver returns the commands that the leader of a term has sent for a worker, and records that they are delivered. The
 // result outdated is set if there are commands that are not delivered because they were derived more than
-// tuning.RelayedCommandsSpan heartbeats ago: the leader counts a start among them as settled once it has seen a later
+// tuning.RelayedCommandHeartbeats heartbeats ago: the leader counts a start among them as settled once it has seen a later
 // heartbeat (rule 4 of docs/design.md). w.mu must be held.
 func (w *Workers) deliver(worker *workerState, term uint64) (commands []api.Command, outdated bool) {
 	noCommands := []api.Command{}
@@ -141,7 +141,7 @@
 	if message.Incarnation != worker.heartbeat.Incarnation || message.Seq < max(worker.firstSeq, worker.deliveredSeq) {
 		return noCommands, false
 	}
-	if worker.heartbeat.Seq > message.Seq+tuning.RelayedCommandsSpan {
+	if worker.heartbeat.Seq > message.Seq+tuning.RelayedCommandHeartbeats {
 		return noCommands, true
 	}
 	worker.deliveredSeq = message.Seq
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Commands are delivered for tuning.RelayedCommandsSpan heartbeats after the one from which they were derived. After
+// Commands are delivered for tuning.RelayedCommandHeartbeats heartbeats after the one from which they were derived. After
 // that the leader may count a start among them as settled. The next heartbeat is sent at once, although the worker's
 // status has not changed, so that the leader derives the commands again.
 func TestOutdatedCommandsAreDerivedAgain(t *testing.T) {
@@ -115,13 +115,13 @@
 	const derivedFrom = 10
 	sendHeartbeat(derivedFrom)
 	relayStart(t, workers, 50, derivedFrom)
-	for seq := uint64(derivedFrom + 1); seq <= derivedFrom+tuning.RelayedCommandsSpan; seq++ {
+	for seq := uint64(derivedFrom + 1); seq <= derivedFrom+tuning.RelayedCommandHeartbeats; seq++ {
 		if response := sendHeartbeat(seq); len(response.Commands) != 1 {
 			t.Fatalf("not delivered for heartbeat %d: %+v", seq, response)
 		}
 	}
 	packetsDue := func() int {
-		batch, err := workers.outbox.Next(workers.clock.Now(), tuning.RelayRefresh, 1)
+		batch, err := workers.outbox.Next(workers.clock.Now(), tuning.RelayRefreshInterval, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +130,7 @@
 	if packetsDue() != 1 || packetsDue() != 0 {
 		t.Fatal("packets due: want the first heartbeat only")
 	}
-	const outdatedAt = derivedFrom + tuning.RelayedCommandsSpan + 1
+	const outdatedAt = derivedFrom + tuning.RelayedCommandHeartbeats + 1
 	if response := sendHeartbeat(outdatedAt); len(response.Commands) != 0 {
 		t.Errorf("outdated commands were delivered: %+v", response)
 	}
--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -87,7 +87,7 @@
 	machines := map[string]map[string]Replica{}
 	for datasetName, entry := range packed {
 		for name, encoded := range entry.Machines {
-			if entry.PartCount < 0 || entry.PartCount > tuning.PartsLimit {
+			if entry.PartCount < 0 || entry.PartCount > tuning.MaxParts {
 				return nil, fmt.Errorf("decode replica hint: %s on %s: invalid number of parts %d", datasetName, name, entry.PartCount)
 			}
 			parts, err := decodeParts(encoded)
--- a/scheduler/allocation_test.go
+++ b/scheduler/allocation_test.go
@@ -15,7 +15,7 @@
 func TestStartIsStoredBeforeItIsSent(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
-	if h.state.Get(store.ShardOf("run-000001", 0, tuning.ShardTasks).Key()) == nil || start.machine != "a1" {
+	if h.state.Get(store.ShardOf("run-000001", 0, tuning.TasksPerShard).Key()) == nil || start.machine != "a1" {
 		t.Error("no shard record is stored, or the start went to the wrong machine")
 	}
 }
@@ -121,7 +121,7 @@
 		t.Error("the job was reported as done before that was stored")
 	}
 	h.commit()
-	if h.terminalStates["run-000001"].State != api.Done || h.state.Get(store.FinalKey("run-000001")) == nil || h.state.Get(store.JobKey("run-000001")) != nil || h.state.Get(store.ShardOf("run-000001", 0, tuning.ShardTasks).Key()) != nil {
+	if h.terminalStates["run-000001"].State != api.Done || h.state.Get(store.FinalKey("run-000001")) == nil || h.state.Get(store.JobKey("run-000001")) != nil || h.state.Get(store.ShardOf("run-000001", 0, tuning.TasksPerShard).Key()) != nil {
 		t.Error("the job was not archived")
 	}
 	// A late repetition of the submission must not be accepted as a new job.
@@ -133,7 +133,7 @@
 }
 
 // A cancellation is confirmed once no start is in transit that a worker may still execute, or after
-// tuning.CancelStartWait: the task is stopped in that case too.
+// tuning.CancelStartTimeout: the task is stopped in that case too.
 func TestCancellationWaitsForPendingStarts(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		h := newHarness(t)
@@ -142,7 +142,7 @@
 		h.Cancel(cancelledContext(), "run-000001")
 		h.commit()
 		// Waits out the requests above, so that nothing else waits on the clock.
-		h.clock.Advance(tuning.AcceptWait)
+		h.clock.Advance(tuning.SubmitTimeout)
 		responses := make(chan peer.Response, 1)
 		waiting, confirmed := context.WithCancel(context.Background())
 		go func() {
@@ -157,7 +157,7 @@
 			heartbeat := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: h.nextSeq("a1"), Term: h.term, Tasks: []api.TaskReport{taskReport(alloc.key, alloc.attempt, api.TaskRunning, "")}}
 			h.CommandsAnswered("a1", start.response, heartbeat, true)
 		} else {
-			h.clock.Advance(tuning.CancelStartWait)
+			h.clock.Advance(tuning.CancelStartTimeout)
 		}
 		if response := <-responses; response.Status != 200 || !strings.Contains(string(response.Body), api.Cancelled) {
 			t.Errorf("start answered %v: response %d %s", answered, response.Status, response.Body)
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -58,7 +58,7 @@
 		}
 		releasedAfter := map[string]time.Duration{}
 		for h.clock.Since(cancelledAt) < 50*time.Second {
-			for _, n := range h.maintainFor(tuning.MaintainEvery, reportReachable) {
+			for _, n := range h.maintainFor(tuning.MaintenanceInterval, reportReachable) {
 				releasedAfter[n] = h.clock.Since(cancelledAt)
 			}
 		}
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-// A relay may deliver a start in the response to any of the next tuning.RelayedCommandsSpan heartbeats, on whatever
+// A relay may deliver a start in the response to any of the next tuning.RelayedCommandHeartbeats heartbeats, on whatever
 // path they or copies of them reach the leader. Only a later heartbeat that does not list the task proves its absence.
 func TestRelayedHeartbeatDoesNotDisproveRelayedStart(t *testing.T) {
 	h := newHarness(t)
@@ -38,7 +38,7 @@
 	if commands := h.relayedCommandsFor("sib", "b1"); len(commands.Commands) != 0 {
 		t.Errorf("commands are still relayed after a direct heartbeat: %+v", commands)
 	}
-	for h.seq["b1"] < commands.Seq+tuning.RelayedCommandsSpan {
+	for h.seq["b1"] < commands.Seq+tuning.RelayedCommandHeartbeats {
 		h.heartbeat("b1", 1)
 	}
 	h.commit()
@@ -82,7 +82,7 @@
 		}
 		packets := newWorkerPackets(h, follower.Exchange)
 		exchangePackets := func() {
-			h.clock.Advance(tuning.RelayEvery)
+			h.clock.Advance(tuning.RelayInterval)
 			packets.toLeader(h.AcceptWorkerMessage)
 			h.Place()
 			h.commit()
--- a/scheduler/constraints.go
+++ b/scheduler/constraints.go
@@ -65,5 +65,5 @@
 // heartbeatFull reports whether the machine has as many tasks as one heartbeat can report. Exited tasks count until they
 // are cleared.
 func (m *machineState) heartbeatFull() bool {
-	return len(m.allocations)+len(m.exited) >= tuning.ReportTasks
+	return len(m.allocations)+len(m.exited) >= tuning.MaxReportedTasks
 }
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -170,7 +170,7 @@
 }
 
 // stagingStuck reports whether a machine's agent is silent, and whether its cache has been full for longer than
-// tuning.StageMove. It records in datasetState.stuckSince when the cache became full. s.mu must be held.
+// tuning.StageMoveDelay. It records in datasetState.stuckSince when the cache became full. s.mu must be held.
 func (s *Scheduler) stagingStuck(machine *machineState) (agentSilent, cacheFull bool) {
 	datasets := s.datasets
 	if !datasets.planner.Full(machine.Name) {
@@ -179,8 +179,8 @@
 		datasets.stuckSince[machine.Name] = s.now()
 	}
 	since := datasets.stuckSince[machine.Name]
-	agentSilent = !datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
-	cacheFull = !since.IsZero() && s.since(since) > tuning.StageMove
+	agentSilent = !datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilenceTimeout)
+	cacheFull = !since.IsZero() && s.since(since) > tuning.StageMoveDelay
 	return agentSilent, cacheFull
 }
 
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -303,7 +303,7 @@
 		if kind == "silent" {
 			delete(h.agents, "a1")
 		}
-		for range int(2 * tuning.StageMove / (300 * time.Millisecond)) {
+		for range int(2 * tuning.StageMoveDelay / (300 * time.Millisecond)) {
 			h.workerHeartbeat("a1")
 			h.workerHeartbeat("a2")
 			h.round()
@@ -426,7 +426,7 @@
 	h := newDataHarness(t, features.Staged)
 	h.addAgent("a1")
 	h.addAgent("a2", 0, 1)
-	h.storeReplicaHints(h.clock.Now().Add(tuning.ReplicaHintsEvery))
+	h.storeReplicaHints(h.clock.Now().Add(tuning.ReplicaHintsInterval))
 	h.commit()
 	value := h.state.Get(store.ReplicasKey(0))
 	if value == nil {
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -164,7 +164,7 @@
 	slog.Info("job over", "job", job.id, "class", job.Job.Class, "state", job.FinalState, "with", dependency)
 	for _, alloc := range job.allocations {
 		// There are allocations only if a record is damaged.
-		sched.stopTask(alloc, tuning.CancelKill, "cancelled")
+		sched.stopTask(alloc, tuning.CancelGraceS, "cancelled")
 	}
 	sched.onTerminalStored(job)
 }
@@ -204,7 +204,7 @@
 	if types > 0 {
 		fetchSeconds = job.Job.ImageGB / (totalPullGBs / types)
 	}
-	return tuning.StageGapMS + int64(1000*(fetchSeconds+waves*estimate(job)))
+	return tuning.DependencyStartDelayMS + int64(1000*(fetchSeconds+waves*estimate(job)))
 }
 
 // startsSoon reports whether machines should already be requested for a job that waits for dependencies: all of these are
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -33,12 +33,12 @@
 	}
 	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to fetch
 	// its image of 1 GB.
-	due := last.AcceptedAt + 200_000 - tuning.StageGapMS - 10_000
+	due := last.AcceptedAt + 200_000 - tuning.DependencyStartDelayMS - 10_000
 	if got := second.inherited.DuesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
 	}
-	if got := first.inherited.DuesMS; len(got) != 1 || got[0] != due-tuning.StageGapMS-62_000 {
-		t.Errorf("the first is due at %v, want %d", got, due-tuning.StageGapMS-62_000)
+	if got := first.inherited.DuesMS; len(got) != 1 || got[0] != due-tuning.DependencyStartDelayMS-62_000 {
+		t.Errorf("the first is due at %v, want %d", got, due-tuning.DependencyStartDelayMS-62_000)
 	}
 	h.Cancel(cancelledContext(), "run-000003")
 	h.commit()
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -21,7 +21,7 @@
 		return job.reservedDomain
 	}
 	job.reservedDomain = ""
-	job.nextDomainReservation = s.now().Add(tuning.DomainSearchEvery)
+	job.nextDomainReservation = s.now().Add(tuning.DomainSearchInterval)
 	shortestBootS := 0.0
 	for _, machineType := range s.machineTypes {
 		if machineType.Fits(&job.Job) && (shortestBootS == 0 || machineType.BootS < shortestBootS) {
@@ -59,7 +59,7 @@
 		default:
 			secondsLeft := estimate(alloc.job)
 			if !alloc.runningSince.IsZero() {
-				secondsLeft = max(tuning.MinRun, secondsLeft-s.since(alloc.runningSince).Seconds())
+				secondsLeft = max(tuning.MinRunTimeS, secondsLeft-s.since(alloc.runningSince).Seconds())
 			}
 			releases = append(releases, release{int64(secondsLeft * 1000), alloc.job.request})
 		}
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lastContact := latest(s.lastDirectContact, s.detector.ResumedAt())
-	if s.unansweredCommands < tuning.OutboundLostCommands || s.since(lastContact) < tuning.IsolatedAfter {
+	if s.unansweredCommands < tuning.IsolationUnansweredCommands || s.since(lastContact) < tuning.IsolationTimeout {
 		return false
 	}
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
@@ -116,12 +116,12 @@
 func (s *Scheduler) detectionLimits(machine *machineState) failuredetector.Limits {
 	limits := failuredetector.Limits{
 		SuspectAfter:  s.heartbeatTimeout(machine),
-		ReleaseAfter:  max(tuning.MinSilence, settings.Seconds(tuning.SilentReports*s.settings.Facts.Workers.ReportS)),
+		ReleaseAfter:  max(tuning.MinSilence, settings.Seconds(tuning.SilenceReportIntervals*s.settings.Facts.Workers.ReportS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace,
 		InboundLost:   tuning.InboundLostLeases * s.lease(),
 	}
 	if machine.relayPeer != "" {
-		limits.ReleaseAfter += tuning.RelayRefresh
+		limits.ReleaseAfter += tuning.RelayRefreshInterval
 	}
 	return limits
 }
@@ -152,7 +152,7 @@
 // the records assign tasks was up before, so it only gets electionGrace, the time to find a new leader. s.mu must be
 // held.
 func (s *Scheduler) startupExpired(machine *machineState, now time.Time, electionGrace time.Duration) bool {
-	bootTime := tuning.ReadyUnknown
+	bootTime := tuning.DefaultBootTime
 	if machine.Spec != nil {
 		bootTime = settings.Seconds(machine.Spec.BootS)
 	}
@@ -177,12 +177,12 @@
 }
 
 // probeUnconfirmed sends an empty command list to machines that may not receive commands, the least recently probed
-// first, with at most tuning.ProbesAtOnce requests in flight. A machine whose heartbeats arrive gets work again once it
+// first, with at most tuning.MaxConcurrentProbes requests in flight. A machine whose heartbeats arrive gets work again once it
 // answers. Silent machines are probed as well: one that answers cannot reach any controller, and the incarnation in its
 // answer shows whether its lease expired. s.mu must be held.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
 	var due []*machineState
-	remaining := tuning.ProbesAtOnce
+	remaining := tuning.MaxConcurrentProbes
 	for _, machine := range s.sortedMachines() {
 		switch {
 		case !s.needsProbe(machine, now):
--- a/scheduler/failure_detection_test.go
+++ b/scheduler/failure_detection_test.go
@@ -168,7 +168,7 @@
 		}
 	}
 	sendThroughPeer := func() { h.heartbeatThrough("n1", "a1"); h.heartbeatThrough("n1", "a2") }
-	loseCommands(tuning.OutboundLostCommands)
+	loseCommands(tuning.IsolationUnansweredCommands)
 	if h.OutboundLost(receivingPeers) {
 		t.Error("resigns because of a few commands unanswered at one moment")
 	}
@@ -182,7 +182,7 @@
 	h.heartbeat("a2", 1)
 	h.heartbeat("a2", 1)
 	h.maintainFor(5*time.Second, sendThroughPeer)
-	loseCommands(tuning.OutboundLostCommands - 1)
+	loseCommands(tuning.IsolationUnansweredCommands - 1)
 	if h.OutboundLost(receivingPeers) {
 		t.Error("resigns because one machine does not answer, although another sent heartbeats directly")
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -42,7 +42,7 @@
 	s.storeImageHints(now)
 	s.storeReplicaHints(now)
 	s.finishRemovals()
-	if now.Sub(s.fleetLoggedAt) >= tuning.FleetLogEvery {
+	if now.Sub(s.fleetLoggedAt) >= tuning.FleetLogInterval {
 		s.fleetLoggedAt = now
 		s.logDatasets()
 		s.logFleet()
@@ -92,7 +92,7 @@
 		for _, name := range eviction.Release {
 			released = append(released, s.machines[name].markReleasing(reasons[name]))
 		}
-		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.EvictionLogEvery {
+		if eviction.Deferred > 0 && now.Sub(s.deferralLoggedAt) >= tuning.EvictionLogInterval {
 			s.deferralLoggedAt = now
 			slog.Info("deferring release of silent machines", "zone", eviction.Zone, "silent_share", math.Round(100*eviction.SilentShare)/100,
 				"machines", eviction.Machines, "left", eviction.Deferred, "tasks_that_wait_for_them", eviction.DeferredTasks, "returned", len(eviction.Release))
@@ -135,11 +135,11 @@
 		"waiting_jobs", jobs, "waiting_cpus", waiting)
 }
 
-// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverAfter although a machine has
+// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverLogDelay although a machine has
 // free resources for one of its tasks. Users expect that no job waits 90 s in this way. s.mu must be held.
 func (s *Scheduler) logPassedOver(job *jobState) {
 	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
-	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverAfter || !s.withinQuota(job) {
+	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverLogDelay || !s.withinQuota(job) {
 		return
 	}
 	fits := func(machine *machineState) bool {
@@ -170,7 +170,7 @@
 		}
 		completes := submission.Shape == api.JobArray && estimate(alloc.job)-ranSeconds < secondsLeft
 		switch {
-		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.PreemptionNoticeSlack+s.settings.Facts.Workers.ReportS:
+		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.PreemptionNoticeMarginS+s.settings.Facts.Workers.ReportS:
 			s.stopTask(alloc, submission.SaveS, reason)
 		case submission.Checkpoint == 0 && !completes:
 			s.stopTask(alloc, 0, reason)
@@ -272,7 +272,7 @@
 		}
 		machine.listed = true
 		if !machine.Up {
-			if instance.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.ListLagMost*s.settings.Facts.Cloud.ListLagS) {
+			if instance.State == "booting" && now.Sub(s.termStarted) > settings.Seconds(tuning.MaxListLagFactor*s.settings.Facts.Cloud.ListLagS) {
 				machine.link.MarkStarted()
 			}
 			machine.listedRunning = instance.State == "running"
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -247,11 +247,11 @@
 	}
 }
 
-// maintainFor advances the clock by duration in steps of tuning.MaintainEvery. In each step it calls sendHeartbeats and
+// maintainFor advances the clock by duration in steps of tuning.MaintenanceInterval. In each step it calls sendHeartbeats and
 // then MaintainFleet. It returns the machines to be released.
 func (h *harness) maintainFor(duration time.Duration, sendHeartbeats func()) (released []string) {
-	for ; duration > 0; duration -= tuning.MaintainEvery {
-		h.clock.Advance(tuning.MaintainEvery)
+	for ; duration > 0; duration -= tuning.MaintenanceInterval {
+		h.clock.Advance(tuning.MaintenanceInterval)
 		sendHeartbeats()
 		released = append(released, h.MaintainFleet()...)
 	}
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -36,21 +36,21 @@
 	}
 }
 
-// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImagesEvery ago.
+// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImagesInterval ago.
 // s.mu must be held.
 func (s *Scheduler) storeImageHints(now time.Time) {
-	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesEvery {
+	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesInterval {
 		return
 	}
 	s.imagesChanged, s.imagesStoredAt = false, now
 	s.storeHintParts(store.ImagesKey)
 }
 
-// storeReplicaHints marks the replica hint for writing if it changed and was last marked at least tuning.ReplicaHintsEvery
+// storeReplicaHints marks the replica hint for writing if it changed and was last marked at least tuning.ReplicaHintsInterval
 // ago. s.mu must be held.
 func (s *Scheduler) storeReplicaHints(now time.Time) {
 	datasets := s.datasets
-	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.ReplicaHintsEvery {
+	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.ReplicaHintsInterval {
 		return
 	}
 	version := datasets.index.Snapshot().Version()
@@ -74,10 +74,10 @@
 // machinesPerHint returns the number of machines in one part of a hint. It is halved if the state service allows only
 // small values, so that few entries are cut off for lack of room.
 func (s *Scheduler) machinesPerHint() int {
-	if s.settings.Facts.State.Least().ValueBytes() < tuning.ImagesBytes {
-		return tuning.ImagesMachines / 2
+	if s.settings.Facts.State.Least().ValueBytes() < tuning.SmallValueBytes {
+		return tuning.MaxImagesRecordMachines / 2
 	}
-	return tuning.ImagesMachines
+	return tuning.MaxImagesRecordMachines
 }
 
 // hintPartMachines returns the machines in the hint part with the given key, or nil if there is no such part.
@@ -116,7 +116,7 @@
 	for i, machine := range machines {
 		names[i] = machine.Name
 	}
-	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.ReplicaHintMargin
+	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.ReplicaHintMarginBytes
 	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, limit)
 	if err != nil {
 		slog.Error("encoding replica hint failed", "err", err)
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -14,10 +14,10 @@
 // no machine held any image, and every placement waited for fetches that were not needed.
 func TestNextLeaderRestoresImages(t *testing.T) {
 	h := newHarness(t)
-	for i := range tuning.ImagesMachines + 1 {
+	for i := range tuning.MaxImagesRecordMachines + 1 {
 		h.heartbeat(fmt.Sprintf("a%03d", i), 1)
 	}
-	last := h.machines[fmt.Sprintf("a%03d", tuning.ImagesMachines)]
+	last := h.machines[fmt.Sprintf("a%03d", tuning.MaxImagesRecordMachines)]
 	h.submit("run-000001", 1, nil)
 	job := h.jobs["run-000001"]
 	job.Job.ImageGB = 9
@@ -37,7 +37,7 @@
 		t.Errorf("restored images: %+v, want the last two used", machine.Images())
 	}
 	// The hint is not written again without a change.
-	h.clock.Advance(2 * tuning.ImagesEvery)
+	h.clock.Advance(2 * tuning.ImagesInterval)
 	before := h.committer.Pending()
 	h.storeImageHints(h.clock.Now())
 	if h.committer.Pending() != before {
@@ -53,7 +53,7 @@
 // The largest image hint stays within the value limit of the state service.
 func TestImagesRecordFitsValueLimit(t *testing.T) {
 	h := newHarness(t)
-	for i := range tuning.ImagesMachines {
+	for i := range tuning.MaxImagesRecordMachines {
 		machine := h.machineNamed(fmt.Sprintf("n-%06d", i))
 		for k := range 40 {
 			machine.RecordImage(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
@@ -62,7 +62,7 @@
 	}
 	rec, ok := h.imagesRecord(store.ImagesKey(0))
 	raw, err := json.Marshal(rec)
-	if !ok || err != nil || len(raw) > 16<<10 || len(rec.Names) != tuning.ImagesNames {
+	if !ok || err != nil || len(raw) > 16<<10 || len(rec.Names) != tuning.MaxImageNames {
 		t.Errorf("%d bytes, %d names, %v", len(raw), len(rec.Names), err)
 	}
 }
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -286,7 +286,7 @@
 // mayStage reports whether the inputs of a job can be copied to a machine, because its data agent is alive. It is always
 // true for a job without inputs. s.mu must be held.
 func (s *Scheduler) mayStage(job *jobState, machine *machineState) bool {
-	return len(job.inputs) == 0 || s.datasets != nil && s.datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilent)
+	return len(job.inputs) == 0 || s.datasets != nil && s.datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilenceTimeout)
 }
 
 // placeByLocality is waterFill for a job with inputs. It groups the tasks by the machines that hold their inputs. For all
@@ -301,7 +301,7 @@
 	slices.Sort(job.pending)
 	costModel.groups = s.groupByHolders(job, job.pending[:s.placeableTasks(job)], indexByID, len(machines))
 	assigned := map[int32]bool{}
-	for _, share := range placement.FillGroups(servers, costModel.groups, costModel, tuning.GroupsFilled) {
+	for _, share := range placement.FillGroups(servers, costModel.groups, costModel, tuning.MaxWaterFilledGroups) {
 		machines[share.Server].enqueue(job, share.Tasks)
 		job.queued += len(share.Tasks)
 		for _, task := range share.Tasks {
@@ -444,5 +444,5 @@
 	if couldStart && (wait.Data > 0 || s.sharedStartCost(job, task, source).Data == 0) {
 		return false
 	}
-	return seconds <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*seconds
+	return seconds <= tuning.FreeFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
 }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -129,7 +129,7 @@
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
 	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
 	if machine.relayPeer != "" {
-		timeout += tuning.RelayRefresh
+		timeout += tuning.RelayRefreshInterval
 	}
 	return timeout
 }
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -55,7 +55,7 @@
 	nowMS := s.now().UnixMilli()
 	fleetCPUs := s.fleetCPUs()
 	s.dependencies.inheritUrgency(fleetCPUs)
-	weight := math.Max(tuning.WorkWeight, tuning.WorkWaiting*s.waitingJobs())
+	weight := math.Max(tuning.MinWorkWeight, tuning.WorkWeightPerJob*s.waitingJobs())
 	startWithin := settings.Seconds(s.configuration.Policy.Value(policy.BeginByS, nil))
 	for _, job := range s.jobOrder {
 		job.starved = job.unplaced() > 0 &&
@@ -67,7 +67,7 @@
 			// Of two equally urgent jobs, the one with less work relative to the fleet comes first. When not all jobs can
 			// meet their deadlines, more of them do that way.
 			work := float64(job.taskCount-job.completedCount) * estimate(job) * job.request.CPUs / fleetCPUs
-			job.latestStart += int64(weight * math.Min(work, tuning.WorkMost) * 1000)
+			job.latestStart += int64(weight * math.Min(work, tuning.MaxWorkS) * 1000)
 		}
 	}
 	slices.SortFunc(s.jobOrder, compareJobs)
@@ -165,5 +165,5 @@
 	return lowest
 }
 
-// estimate returns the expected run time of a task of a job in seconds, which is at least tuning.MinRun.
-func estimate(job *jobState) float64 { return math.Max(tuning.MinRun, job.Job.EstimateS) }
+// estimate returns the expected run time of a task of a job in seconds, which is at least tuning.MinRunTimeS.
+func estimate(job *jobState) float64 { return math.Max(tuning.MinRunTimeS, job.Job.EstimateS) }
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -22,8 +22,8 @@
 
 func (w *outboundLostWorkers) run(duration time.Duration, sendOtherHeartbeats func()) (released []string) {
 	h := w.harness
-	for ; duration > 0; duration -= tuning.MaintainEvery {
-		h.clock.Advance(tuning.MaintainEvery)
+	for ; duration > 0; duration -= tuning.MaintenanceInterval {
+		h.clock.Advance(tuning.MaintenanceInterval)
 		sendOtherHeartbeats()
 		if since := h.clock.Since(w.began); since >= time.Duration(w.heartbeatRounds+1)*5*time.Second {
 			w.heartbeatRounds++
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -23,7 +23,7 @@
 	case byCommandResponse:
 		p.direct++
 	case byRelay:
-		p.relayedSeq = seq + tuning.RelayedCommandsSpan
+		p.relayedSeq = seq + tuning.RelayedCommandHeartbeats
 	}
 }
 
--- a/scheduler/pending_starts_test.go
+++ b/scheduler/pending_starts_test.go
@@ -8,7 +8,7 @@
 
 func TestPendingStartsAreSettledOnlyByProof(t *testing.T) {
 	const sentAfter = 10
-	const lastRelayed = sentAfter + tuning.RelayedCommandsSpan
+	const lastRelayed = sentAfter + tuning.RelayedCommandHeartbeats
 	cases := []struct {
 		name string
 		sent deliveryPath
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -79,7 +79,7 @@
 func (s *Scheduler) preemptForArrays(machines []*machineState) {
 	lowest := lowestRank(s.jobOrder)
 	for _, job := range s.jobOrder {
-		if job.rank <= lowest && (!job.guaranteed || s.since(job.learnedAt) < tuning.GuaranteePatience) {
+		if job.rank <= lowest && (!job.guaranteed || s.since(job.learnedAt) < tuning.GuaranteeDelay) {
 			// No allocation can be preempted for it.
 			continue
 		}
@@ -379,7 +379,7 @@
 // fetch, so that the wait is at most a multiple of the shortest possible wait. s.mu must be held.
 func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
 	seconds := s.sharedStartCost(job, 0, machine).Seconds()
-	return seconds <= tuning.FreeFetch || s.since(job.learnedAt).Seconds() >= tuning.PullPatience*seconds
+	return seconds <= tuning.FreeFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
 }
 
 // startTask allocates a task to a machine and commits its start. Victims are the allocations whose resources the task
--- a/scheduler/placement_round_test.go
+++ b/scheduler/placement_round_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Checks that the tasks in a machine's heartbeat stay within tuning.ReportTasks, however small the tasks are and however
+// Checks that the tasks in a machine's heartbeat stay within tuning.MaxReportedTasks, however small the tasks are and however
 // long exited tasks wait to be stored and cleared.
 func TestSmallTasksDoNotOverfillAHeartbeat(t *testing.T) {
 	h := newHarness(t)
@@ -123,8 +123,8 @@
 		h.clock.Advance(time.Second)
 		h.heartbeat("a1", 1, tasks...)
 	}
-	if mostTasks == 0 || mostTasks > tuning.ReportTasks {
-		t.Errorf("the largest heartbeat has %d tasks, want at least 1 and at most %d", mostTasks, tuning.ReportTasks)
+	if mostTasks == 0 || mostTasks > tuning.MaxReportedTasks {
+		t.Errorf("the largest heartbeat has %d tasks, want at least 1 and at most %d", mostTasks, tuning.MaxReportedTasks)
 	}
 }
 
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -115,7 +115,7 @@
 	found := job.site.ChooseDomain(job.request, len(job.pending), !isArray, allowed)
 	reason := job.site.Reason()
 	if !found && !isArray && job.rank > lowestRank(s.jobOrder) && !s.failsEverywhere(job) && !s.now().Before(job.nextDomainSearch) {
-		job.nextDomainSearch = s.now().Add(tuning.DomainSearchEvery)
+		job.nextDomainSearch = s.now().Add(tuning.DomainSearchInterval)
 		costs := func(name string) []int64 { return s.preemptionCosts(job, s.machines[name]) }
 		found = job.site.ChooseDomainByPreemption(job.request, len(job.pending), allowed, costs)
 	}
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -31,14 +31,14 @@
 // Production is never preempted. s.mu must be held.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
 	victim := alloc.job
-	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.StarvedStartProtected {
+	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.StarvedStartProtection {
 		// Preempting a task of a starved job soon after its start would undo the ageing.
 		return false
 	}
 	if victim.rank < job.rank {
 		return true
 	}
-	guaranteeApplies := job.guaranteed && s.since(job.learnedAt) >= tuning.GuaranteePatience
+	guaranteeApplies := job.guaranteed && s.since(job.learnedAt) >= tuning.GuaranteeDelay
 	exceedsGuarantee := victim.overQuota != 0 && victim.Job.Team != job.Job.Team
 	if victim.rank > job.rank || victim.rank == api.RankProduction || !guaranteeApplies || !exceedsGuarantee {
 		return false
@@ -110,7 +110,7 @@
 // adds to the loss. Otherwise a restarted task would always have lost the least work, and would be preempted each time.
 // s.mu must be held.
 func (s *Scheduler) preemptionLoss(alloc *allocation) int64 {
-	earlierLoss := int64(alloc.job.preemptions[alloc.task]) * tuning.PreemptionLoss.Milliseconds()
+	earlierLoss := int64(alloc.job.preemptions[alloc.task]) * tuning.RepeatedPreemptionCost.Milliseconds()
 	if alloc.runningSince.IsZero() {
 		return earlierLoss
 	}
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -109,7 +109,7 @@
 	h.state.HoldNext = true // delays a transaction of the old leader until Deliver
 	h.committer.Step(context.Background())
 	h.commit()
-	oldShard := store.ShardOf("run-000001", 0, tuning.ShardTasks)
+	oldShard := store.ShardOf("run-000001", 0, tuning.TasksPerShard)
 	if n := len(h.state.Get(oldShard.Key())); n < 2048 {
 		t.Fatalf("the record has only %d bytes", n)
 	}
@@ -219,17 +219,17 @@
 	for i := range 12 {
 		h.heartbeat("a1"+string(rune('a'+i)), 1)
 	}
-	h.submit("run-000001", 40*tuning.ShardTasks, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
+	h.submit("run-000001", 40*tuning.TasksPerShard, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
 	lowRank := h.jobs["run-000001"]
 	for shard := range 40 {
-		h.markShardDirty(lowRank, shard*tuning.ShardTasks, nil)
+		h.markShardDirty(lowRank, shard*tuning.TasksPerShard, nil)
 	}
 	h.submit("run-000002", 1, func(x *api.Submission) { x.Rank = "prod" })
 	for h.committer.Pending() > 0 {
 		h.commit()
 	}
 	for shard := range 40 {
-		h.markShardDirty(lowRank, shard*tuning.ShardTasks, nil)
+		h.markShardDirty(lowRank, shard*tuning.TasksPerShard, nil)
 	}
 	production := h.jobs["run-000002"]
 	stored := false
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -70,7 +70,7 @@
 	accepted, changed := job.accepted, job.changed
 	s.mu.Unlock()
 
-	if !accepted && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
+	if !accepted && !s.waitForChange(ctx, changed, tuning.SubmitTimeout) {
 		return peer.RetryLaterAfter("the record is not stored yet", s.records.Delay()), true
 	}
 	status, ok := s.JobStatus(submission.ID)
@@ -88,7 +88,7 @@
 func (s *Scheduler) refuseSubmission(submission *api.Submission, isNew bool) (peer.Response, bool) {
 	delay := s.records.Delay()
 	switch {
-	case isNew && delay > tuning.AcceptWait:
+	case isNew && delay > tuning.SubmitTimeout:
 		// The record would not be stored before the request times out. Refusing at once tells the user when to retry: after
 		// the backlog of writes.
 		return peer.RetryLaterAfter("more jobs come in than can be stored", delay), true
@@ -118,13 +118,13 @@
 	if job.FinalState == "" {
 		s.finish(job, api.Cancelled)
 		for _, alloc := range job.allocations {
-			s.stopTask(alloc, tuning.CancelKill, "cancelled")
+			s.stopTask(alloc, tuning.CancelGraceS, "cancelled")
 		}
 	}
 	stored, changed := job.terminalStored, job.changed
 	s.mu.Unlock()
 
-	if !stored && !s.waitForChange(ctx, changed, tuning.AcceptWait) {
+	if !stored && !s.waitForChange(ctx, changed, tuning.SubmitTimeout) {
 		return peer.RetryLater("the record is not stored yet"), true
 	}
 	s.waitForSettledStarts(ctx, job)
@@ -136,7 +136,7 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: jobID, State: job.FinalState, Done: job.completedCount}), true
 }
 
-// waitForSettledStarts waits, for tuning.CancelStartWait at most, until no run command for a task of a cancelled job is in
+// waitForSettledStarts waits, for tuning.CancelStartTimeout at most, until no run command for a task of a cancelled job is in
 // flight. A task that starts late would be stopped at once, but none should start after the user was told that the job is
 // cancelled. Most starts settle within milliseconds. s.mu must not be held.
 func (s *Scheduler) waitForSettledStarts(ctx context.Context, job *jobState) {
@@ -144,7 +144,7 @@
 	unsettled, changed := job.FinalState == api.Cancelled && job.hasUnsettledStarts(), job.changed
 	s.mu.Unlock()
 	if unsettled {
-		s.waitForChange(ctx, changed, tuning.CancelStartWait)
+		s.waitForChange(ctx, changed, tuning.CancelStartTimeout)
 	}
 }
 
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -32,8 +32,8 @@
 	if kept := 500 - refused; kept < 40 || kept > 60 {
 		t.Errorf("%d of 500 submissions kept at 20 writes per second, want 40 to 60", kept)
 	}
-	if longest > tuning.RetryAfterMost {
-		t.Errorf("Retry-After of %d s, want at most %d s", longest, tuning.RetryAfterMost)
+	if longest > tuning.MaxRetryAfterS {
+		t.Errorf("Retry-After of %d s, want at most %d s", longest, tuning.MaxRetryAfterS)
 	}
 	for range 200 {
 		h.committer.Step(context.Background())
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -169,7 +169,7 @@
 			continue
 		}
 		cpus := s.machineTypes[pool.machineType].CPUs
-		count := min(tuning.InstanceRequestBatch, int(math.Ceil(missing/cpus)))
+		count := min(tuning.MaxInstanceRequest, int(math.Ceil(missing/cpus)))
 		requests = append(requests, s.instanceRequest(pool, count))
 		// The cloud may grant fewer; the next round takes that into account.
 		supply += float64(count) * cpus
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -170,7 +170,7 @@
 		lastDirectContact: started,
 		machineTypes:      map[string]*api.MachineType{},
 		jobs:              map[string]*jobState{},
-		archived:          newArchivedJobs(tuning.ArchivedKept),
+		archived:          newArchivedJobs(tuning.ArchivedJobsCapacity),
 		machines:          map[string]*machineState{},
 		releasedAt:        map[string]time.Time{},
 		commandsReady:     map[*machineState]bool{},
@@ -181,7 +181,7 @@
 		instanceRefusals:  map[capacityPool]time.Time{},
 		wake:              make(chan struct{}, 1),
 		detector:          failuredetector.New(started, settings.Seconds(memberSettings.Facts.Workers.LeaseS)),
-		tasksPerShard:     tuning.ShardTasks,
+		tasksPerShard:     tuning.TasksPerShard,
 	}
 	scheduler.dependencies = newDependencies(scheduler)
 	scheduler.commandMailboxes = newMailboxes(scheduler, store.RelayResponsePrefix, store.RelayResponseKey, scheduler.relayedCommandBody)
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -86,7 +86,7 @@
 func (s *Scheduler) replicaScore(job *jobState, task int, machine *machineState) float64 {
 	score := s.startCost(job, task, machine).Seconds()
 	if job.site != nil {
-		score += tuning.SiteCost * job.site.Cost(machine.Name)
+		score += tuning.PreferenceViolationCostS * job.site.Cost(machine.Name)
 	}
 	for _, alloc := range machine.allocations {
 		if alloc.job == job {
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -56,7 +56,7 @@
 // exchangePackets carries packets once to the leader and once back, with a placement round in between.
 func (h *partitionHarness) exchangePackets() {
 	h.Helper()
-	h.clock.Advance(tuning.RelayEvery)
+	h.clock.Advance(tuning.RelayInterval)
 	h.packets.toLeader(h.AcceptAgentMessage)
 	h.Place()
 	h.commit()
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -18,7 +18,7 @@
 	jobsWithReservations, reservedMachines := s.currentReservations()
 	// The limit is at least 1 and is checked before a job reserves machines, so one job can always reserve as many as it
 	// needs.
-	limit := max(1, int(tuning.ReservedShare*float64(len(s.machines))))
+	limit := max(1, int(tuning.MaxReservedShare*float64(len(s.machines))))
 	for _, job := range s.jobOrder {
 		if !job.starved || now.Before(job.nextMachineReservation) || reservedMachines >= limit && !jobsWithReservations[job] {
 			continue
@@ -26,7 +26,7 @@
 		if !s.withinQuota(job) || len(job.inputs) > 0 || job.site != nil {
 			continue
 		}
-		job.nextMachineReservation = now.Add(tuning.StarvationReserveEvery)
+		job.nextMachineReservation = now.Add(tuning.StarvationReserveInterval)
 		names, drainTime := s.soonestMachines(job)
 		for _, machine := range s.machines {
 			if machine.reservedFor == job {
--- a/scheduler/task_failures.go
+++ b/scheduler/task_failures.go
@@ -51,8 +51,8 @@
 	failedEverywhere := s.failsEverywhere(job)
 	job.failedOn[machine.Name] = true
 	job.failures++
-	if job.failures >= tuning.BackoffErrors {
-		pause := min(tuning.BackoffMax, tuning.BackoffBase<<min(job.failures-tuning.BackoffErrors, 6))
+	if job.failures >= tuning.BackoffMachines {
+		pause := min(tuning.BackoffMax, tuning.BackoffBase<<min(job.failures-tuning.BackoffMachines, 6))
 		job.pausedUntil = now.Add(pause)
 		slog.Debug("job paused", "job", job.id, "errors", job.failures, "for", pause)
 	}
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -71,8 +71,8 @@
 
 // runTasksFor runs the leader's rounds for the duration d and returns the machines that were released.
 func (h *harness) runTasksFor(d time.Duration, fails func(machine, job string) bool) (released []string) {
-	for ; d > 0; d -= tuning.MaintainEvery {
-		h.clock.Advance(tuning.MaintainEvery)
+	for ; d > 0; d -= tuning.MaintenanceInterval {
+		h.clock.Advance(tuning.MaintenanceInterval)
 		h.runTasks(fails)
 		h.Place()
 		h.commit()
@@ -106,7 +106,7 @@
 	h.submit("run-000009", 8, nil)
 	maxStarted := map[string]int{}
 	for range 200 {
-		h.runTasksFor(tuning.MaintainEvery, fails)
+		h.runTasksFor(tuning.MaintenanceInterval, fails)
 		for _, j := range []*jobState{one, two} {
 			maxStarted[j.id] = max(maxStarted[j.id], len(j.allocations)+j.queued)
 		}
--- a/softstate/images.go
+++ b/softstate/images.go
@@ -60,13 +60,13 @@
 }
 
 // index returns the number of an image, which is added if it is new. It returns false for an image that the record cannot
-// contain: its name is too long, or there are tuning.ImagesNames images already.
+// contain: its name is too long, or there are tuning.MaxImageNames images already.
 func (t *imageTable) index(image fleet.Image) (index int, ok bool) {
 	if index, ok := t.indices[image.Name]; ok {
 		return index, true
 	}
 	name, err := json.Marshal(image.Name)
-	if err != nil || len(name) > tuning.MaxImageNameBytes || len(t.names) >= tuning.ImagesNames {
+	if err != nil || len(name) > tuning.MaxImageNameBytes || len(t.names) >= tuning.MaxImageNames {
 		return 0, false
 	}
 	index = len(t.names)
--- a/staging/plan.go
+++ b/staging/plan.go
@@ -63,7 +63,7 @@
 
 // dueOrders increments the order number of the changed agents. It returns the sorted names of the
 // machines whose order must be sent: those whose order changed, and those that have not acknowledged
-// their order within tuning.StageResend.
+// their order within tuning.StageResendDelay.
 func (planner *Planner) dueOrders(changed map[*agentState]bool, now time.Time) []string {
 	var due []string
 	for _, agent := range planner.agents {
@@ -78,7 +78,7 @@
 		if changed[agent] {
 			agent.orderNumber++
 		}
-		if changed[agent] || agent.appliedOrder != agent.orderNumber && now.Sub(agent.orderSentAt) >= tuning.StageResend {
+		if changed[agent] || agent.appliedOrder != agent.orderNumber && now.Sub(agent.orderSentAt) >= tuning.StageResendDelay {
 			agent.orderSentAt = now
 			due = append(due, agent.name)
 		}
--- a/staging/sources.go
+++ b/staging/sources.go
@@ -21,7 +21,7 @@
 	peers, busy := planner.availablePeers(agent, demand, snapshot, now, failed)
 	if len(peers) > 0 {
 		var sources []api.StageSource
-		for _, peer := range peers[:min(len(peers), tuning.StageSources)] {
+		for _, peer := range peers[:min(len(peers), tuning.StageSourcesPerPart)] {
 			sources = append(sources, api.StageSource{Peer: peer.address})
 		}
 		return sources
@@ -41,7 +41,7 @@
 	}
 	for _, machineID := range snapshot.Holders(demand.Set.Name, demand.Part) {
 		peer := planner.agentsByID[machineID]
-		if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilent {
+		if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilenceTimeout {
 			continue
 		}
 		if _, hasFailed := failed[api.StageSource{Peer: peer.address}]; hasFailed {
@@ -60,7 +60,7 @@
 }
 
 // isProgressing returns whether a machine is receiving the part by a transfer that still has a source
-// that did not fail, and that made progress within tuning.StageGiveUp.
+// that did not fail, and that made progress within tuning.StageProgressTimeout.
 func (planner *Planner) isProgressing(datasetName string, part int, now time.Time) bool {
 	if planner.counts.byPart[partKey{datasetName, part}] == 0 {
 		return false
@@ -71,7 +71,7 @@
 			continue
 		}
 		transfer := desired.transfers[part]
-		if transfer != nil && len(transfer.failures) < len(transfer.sources) && now.Sub(transfer.lastProgress) < tuning.StageGiveUp {
+		if transfer != nil && len(transfer.failures) < len(transfer.sources) && now.Sub(transfer.lastProgress) < tuning.StageProgressTimeout {
 			return true
 		}
 	}
--- a/store/commit_failure.go
+++ b/store/commit_failure.go
@@ -31,7 +31,7 @@
 	case errors.Is(err, ErrConflict):
 		if slices.Contains(failedKeys, transaction.leaderCondition.Key) {
 			c.source.Deposed()
-			return tuning.Tick
+			return tuning.PlacementInterval
 		}
 		c.refreshRevisions(ctx, failedKeys, true)
 		return 0
--- a/store/committer.go
+++ b/store/committer.go
@@ -81,7 +81,7 @@
 // revisions has the revision of each key as loaded at the start of the term; the committer takes ownership of it.
 func NewCommitter(client *Client, source RecordSource, clock clockwork.Clock, limits settings.State, revisions map[string]uint64) *Committer {
 	lowestLimits := limits.Least()
-	writeRate := rate.Limit(limits.WriteRPS * tuning.QuotaShare)
+	writeRate := rate.Limit(limits.WriteRPS * tuning.LeaderRateShare)
 	limiter := rate.NewLimiter(writeRate, max(1, int(writeRate)))
 	committer := &Committer{
 		source:        source,
@@ -97,7 +97,7 @@
 		maxValueBytes: limits.ValueBytes(),
 	}
 	if lowestLimits.WriteRPS < limits.WriteRPS {
-		committer.announcedRate = rate.Limit(lowestLimits.WriteRPS * tuning.QuotaShare)
+		committer.announcedRate = rate.Limit(lowestLimits.WriteRPS * tuning.LeaderRateShare)
 	}
 	return committer
 }
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -29,7 +29,7 @@
 // NewHedgedClient returns a hedged client for a writer whose changes are limited by writeLimiter. writeRPS is the
 // limit of the state service in changes per second.
 func NewHedgedClient(client *Client, clock clockwork.Clock, writeLimiter *rate.Limiter, writeRPS float64) *HedgedClient {
-	resendLimiter := rate.NewLimiter(rate.Limit(writeRPS*tuning.HedgeShare), writeLimiter.Burst())
+	resendLimiter := rate.NewLimiter(rate.Limit(writeRPS*tuning.HedgeWriteShare), writeLimiter.Burst())
 	return &HedgedClient{client: client, clock: clock, writeLimiter: writeLimiter, resendLimiter: resendLimiter}
 }
 
@@ -61,14 +61,14 @@
 // late. Transact does not wait for that response but reads the keys. If all of them have the values that were to
 // be written, at the same revision, the transaction was executed.
 func (h *HedgedClient) Transact(ctx context.Context, conditions []Condition, operations []Operation) (uint64, []string, error) {
-	responses := make(chan outcome, tuning.HedgeTries)
+	responses := make(chan outcome, tuning.MaxHedgeAttempts)
 	send := func() {
 		revision, failedKeys, err := h.client.Transact(ctx, conditions, operations)
 		responses <- outcome{revision, failedKeys, err}
 	}
 	go send()
 	sent, answered := 1, 0
-	resendTimer := h.clock.After(tuning.HedgeAfter)
+	resendTimer := h.clock.After(tuning.HedgeDelay)
 	bestOutcome := outcome{err: ErrBusy}
 	var verified chan outcome // nil until the keys are read
 	for {
@@ -96,24 +96,24 @@
 			return bestOutcome.revision, bestOutcome.failedKeys, bestOutcome.err
 		case <-resendTimer:
 			resendTimer = nil
-			if sent == tuning.HedgeTries || !h.allowResend(len(operations)) {
+			if sent == tuning.MaxHedgeAttempts || !h.allowResend(len(operations)) {
 				continue
 			}
 			sent++
 			go send()
-			resendTimer = h.clock.After(tuning.HedgeAfter)
+			resendTimer = h.clock.After(tuning.HedgeDelay)
 		}
 	}
 }
 
 // allowResend reports whether so many changes may be resent, and counts them against the write limit if so. They
-// may if at least the share tuning.HedgeSpare of the write limiter's burst is left afterwards, or if resendLimiter
+// may if at least the share tuning.HedgeSpareShare of the write limiter's burst is left afterwards, or if resendLimiter
 // allows it. With only the fixed rate of resendLimiter, large transactions used it up while four fifths of the
 // write limit were unused.
 func (h *HedgedClient) allowResend(changes int) bool {
 	now := h.clock.Now()
 	remaining := h.writeLimiter.TokensAt(now) - float64(changes)
-	hasSpareCapacity := remaining >= float64(h.writeLimiter.Burst())*tuning.HedgeSpare
+	hasSpareCapacity := remaining >= float64(h.writeLimiter.Burst())*tuning.HedgeSpareShare
 	if !hasSpareCapacity && !h.resendLimiter.AllowN(now, changes) {
 		return false
 	}
@@ -128,7 +128,7 @@
 		item Item
 		err  error
 	}
-	responses := make(chan result, tuning.HedgeTries)
+	responses := make(chan result, tuning.MaxHedgeAttempts)
 	send := func() {
 		item, err := h.client.Get(ctx, key)
 		responses <- result{item, err}
@@ -136,8 +136,8 @@
 	go send()
 	for sent, answered := 1, 0; ; {
 		var resendTimer <-chan time.Time
-		if sent < tuning.HedgeTries {
-			resendTimer = h.clock.After(tuning.HedgeAfter)
+		if sent < tuning.MaxHedgeAttempts {
+			resendTimer = h.clock.After(tuning.HedgeDelay)
 		}
 		select {
 		case response := <-responses:
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -42,7 +42,7 @@
 			if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
-			clock.Advance(tuning.HedgeAfter)
+			clock.Advance(tuning.HedgeDelay)
 			if err := <-done; !errors.Is(err, test.err) {
 				t.Errorf("error %v, want %v", err, test.err)
 			}
--- a/store/shards.go
+++ b/store/shards.go
@@ -29,10 +29,10 @@
 	return min(total, s.Index*s.Size), min(total, (s.Index+1)*s.Size)
 }
 
-// Key returns the key of the shard's record. The key contains the size, unless it is tuning.ShardTasks, the only size
+// Key returns the key of the shard's record. The key contains the size, unless it is tuning.TasksPerShard, the only size
 // in data version 1 (docs/upgrade.md).
 func (s Shard) Key() string {
-	if s.Size == tuning.ShardTasks {
+	if s.Size == tuning.TasksPerShard {
 		return fmt.Sprintf("%s%s/%d", ShardPrefix, s.Job, s.Index)
 	}
 	return fmt.Sprintf("%s%s/%d.%d", ShardPrefix, s.Job, s.Index, s.Size)
@@ -42,7 +42,7 @@
 func ParseShard(key string) (Shard, bool) {
 	id, number, ok := strings.Cut(strings.TrimPrefix(key, ShardPrefix), "/")
 	index, size, sized := strings.Cut(number, ".")
-	shard := Shard{Job: id, Size: tuning.ShardTasks}
+	shard := Shard{Job: id, Size: tuning.TasksPerShard}
 	var indexErr, sizeErr error
 	shard.Index, indexErr = strconv.Atoi(index)
 	if sized {
@@ -56,8 +56,8 @@
 // ShardSize returns the number of tasks per shard with which a record fits into a value of valueBytes bytes even if all
 // tasks of the shard are on machines. nameBytes is the maximum length of a machine name in bytes.
 func ShardSize(valueBytes, nameBytes int) int {
-	tasks := (valueBytes - tuning.ShardMargin) / (tuning.PlacedBytes + max(nameBytes, tuning.NameBytes))
-	return min(tuning.ShardTasks, max(shardAlignment, tasks/shardAlignment*shardAlignment))
+	tasks := (valueBytes - tuning.ShardMarginBytes) / (tuning.MaxPlacedTaskBytes + max(nameBytes, tuning.MinMachineNameBytes))
+	return min(tuning.TasksPerShard, max(shardAlignment, tasks/shardAlignment*shardAlignment))
 }
 
 // ReadShards merges the records of shards. In placed it returns, by job and task number, the placement of each task
--- a/store/statistics.go
+++ b/store/statistics.go
@@ -29,14 +29,14 @@
 }
 
 // countWrites counts the operations of a transaction, and logs the counts and the write limit at most every
-// tuning.FleetLogEvery.
+// tuning.FleetLogInterval.
 func (c *Committer) countWrites(operations []Operation) {
 	for _, operation := range operations {
 		c.writes.add(operation)
 	}
 	now := c.clock.Now()
 	elapsed := now.Sub(c.writes.since)
-	if elapsed < tuning.FleetLogEvery {
+	if elapsed < tuning.FleetLogInterval {
 		return
 	}
 	slog.Info("changes written", "by", c.writes.countByKind, "in_s", elapsed.Seconds(), "limit_per_s", float64(c.writeLimiter.Limit()), "waiting", c.Pending())
--- a/store/transaction.go
+++ b/store/transaction.go
@@ -39,7 +39,7 @@
 	leader, ok := c.source.Condition()
 	if !ok {
 		c.requeue(batch)
-		return tuning.Tick
+		return tuning.PlacementInterval
 	}
 	transaction := c.buildTransaction(leader, batch)
 	if len(transaction.operations) > 0 {
@@ -187,7 +187,7 @@
 		// allowed.
 		return nil, c.timeUntilAllowed(1)
 	}
-	return batch, min(nextReady, tuning.Tick)
+	return batch, min(nextReady, tuning.PlacementInterval)
 }
 
 // requeue puts records that were not written back into the queue.
--- a/topology/declaration.go
+++ b/topology/declaration.go
@@ -140,8 +140,8 @@
 		b.reportf(field+".machines", "is missing")
 	}
 	b.checkPatterns(field+".machines", entry.Machines)
-	if entry.Count < 1 || entry.Count > tuning.CardsMost {
-		b.reportf(field+".count", "must be 1 to %d, not %d", tuning.CardsMost, entry.Count)
+	if entry.Count < 1 || entry.Count > tuning.MaxCards {
+		b.reportf(field+".count", "must be 1 to %d, not %d", tuning.MaxCards, entry.Count)
 		return
 	}
 	linked := map[int]bool{}
--- a/topology/reservations.go
+++ b/topology/reservations.go
@@ -37,9 +37,9 @@
 	reservations []Reservation
 }
 
-// Reserve makes or renews the reservation of a job, which then expires after tuning.ReservedFor; expiresAt of the
+// Reserve makes or renews the reservation of a job, which then expires after tuning.DomainReservationTTL; expiresAt of the
 // request is ignored. A job has at most one reservation. Reserve returns false if another job has reserved the domain,
-// a domain within it or one that contains it, or if there are already tuning.ReservedMost reservations.
+// a domain within it or one that contains it, or if there are already tuning.MaxDomainReservations reservations.
 func (r *Reservations) Reserve(now time.Time, request Reservation) bool {
 	r.Expire(now)
 	own := -1
@@ -51,9 +51,9 @@
 			return false
 		}
 	}
-	request.expiresAt = now.Add(tuning.ReservedFor)
+	request.expiresAt = now.Add(tuning.DomainReservationTTL)
 	if own < 0 {
-		if len(r.reservations) >= tuning.ReservedMost {
+		if len(r.reservations) >= tuning.MaxDomainReservations {
 			return false
 		}
 		r.reservations = append(r.reservations, request)
--- a/topology/reservations_test.go
+++ b/topology/reservations_test.go
@@ -63,20 +63,20 @@
 			t.Errorf("after %v: %+v, want one for %v", step.after, all, step.wantAt)
 		}
 	}
-	if reservations.Expire(start.Add(4*time.Second + tuning.ReservedFor)); reservations.Any() {
+	if reservations.Expire(start.Add(4*time.Second + tuning.DomainReservationTTL)); reservations.Any() {
 		t.Error("a reservation that was not renewed has not expired")
 	}
 }
 
 func TestReservationsAreLimited(t *testing.T) {
 	text := "version = 1\n"
-	for i := range tuning.ReservedMost + 1 {
+	for i := range tuning.MaxDomainReservations + 1 {
 		text += fmt.Sprintf("[[domain]]\nname = \"r%d\"\nlevel = \"rack\"\n", i)
 	}
 	now := time.Unix(1_800_000_000, 0)
 	var reservations Reservations
 	for i, domain := range mustParse(t, text).Domains() {
-		if got, want := reservations.Reserve(now, Reservation{Job: domain.Name, Domain: domain, At: now}), i < tuning.ReservedMost; got != want {
+		if got, want := reservations.Reserve(now, Reservation{Job: domain.Name, Domain: domain, At: now}), i < tuning.MaxDomainReservations; got != want {
 			t.Errorf("reservation %d: %v, want %v", i+1, got, want)
 		}
 	}
@@ -110,7 +110,7 @@
 			}
 		})
 	}
-	if reservations.Blocks(now.Add(tuning.ReservedFor), domainOf(t, topology, "r1"), "other", 1, time.Time{}) {
+	if reservations.Blocks(now.Add(tuning.DomainReservationTTL), domainOf(t, topology, "r1"), "other", 1, time.Time{}) {
 		t.Error("an expired reservation blocks")
 	}
 }
--- a/topology/search.go
+++ b/topology/search.go
@@ -9,8 +9,8 @@
 // Search decides how many CPUs to request from the cloud for stranded tasks: those that cannot run on any free machine
 // because all free machines are in the wrong failure domain. The cloud does not tell the domain of a new machine before
 // it has started, so the new machine may be in the wrong domain too. Therefore, attempts are limited in time and
-// frequency: an attempt lasts as long as a machine takes to start plus tuning.SearchAfterBoot, and the pause before the
-// next attempt doubles each time, from tuning.SearchPause up to tuning.SearchPauseMax. New machines that cannot run the
+// frequency: an attempt lasts as long as a machine takes to start plus tuning.SearchReportTimeout, and the pause before the
+// next attempt doubles each time, from tuning.SearchBackoff up to tuning.SearchBackoffMax. New machines that cannot run the
 // tasks are returned like all machines without work.
 //
 // The zero value has made no attempt. A Search has no clock. It is not persisted, so a new leader begins with the zero
@@ -40,8 +40,8 @@
 		return 0
 	}
 	s.targetCPUs = supply + stranded
-	s.attemptUntil = now.Add(startup + tuning.SearchAfterBoot)
-	s.pause = min(max(2*s.pause, tuning.SearchPause), tuning.SearchPauseMax)
+	s.attemptUntil = now.Add(startup + tuning.SearchReportTimeout)
+	s.pause = min(max(2*s.pause, tuning.SearchBackoff), tuning.SearchBackoffMax)
 	s.nextAttempt = s.attemptUntil.Add(s.pause)
 	return s.targetCPUs
 }
--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -56,7 +56,7 @@
 }
 
 // Run writes the version record of this controller and reads those of the members that Older returns, every
-// tuning.UpgradeEvery, until no older member is left. It returns true then, and false if the context ends before.
+// tuning.VersionCheckInterval, until no older member is left. It returns true then, and false if the context ends before.
 func (r *VersionRegistry) Run(ctx context.Context) bool {
 	recorded := false
 	for ctx.Err() == nil {
@@ -72,7 +72,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-r.clock.After(tuning.UpgradeEvery):
+		case <-r.clock.After(tuning.VersionCheckInterval):
 		}
 	}
 	return false
--- a/watermark/commands.go
+++ b/watermark/commands.go
@@ -20,7 +20,7 @@
 		if task.State == api.TaskExited || !t.isCancelled(task.Task) || killsAtOnce(pending, task) {
 			continue
 		}
-		grace := tuning.CancelKill
+		grace := tuning.CancelGraceS
 		kills = append(kills, api.Command{Verb: api.CommandKill, Task: task.Task, Attempt: task.Attempt, GraceS: &grace})
 	}
 	return kills
@@ -30,7 +30,7 @@
 func killsAtOnce(commands []api.Command, task api.TaskReport) bool {
 	return slices.ContainsFunc(commands, func(command api.Command) bool {
 		return command.Verb == api.CommandKill && command.Task == task.Task && command.Attempt == task.Attempt &&
-			command.GraceS != nil && *command.GraceS == tuning.CancelKill
+			command.GraceS != nil && *command.GraceS == tuning.CancelGraceS
 	})
 }
 
--- a/watermark/commands_test.go
+++ b/watermark/commands_test.go
@@ -13,7 +13,7 @@
 func TestKillCommandsCoverOnlyCancelledJobs(t *testing.T) {
 	tracker := New(start, nil, limits)
 	tracker.RecordCancellation(start, "run-1")
-	longGrace, noGrace := 10.0, tuning.CancelKill
+	longGrace, noGrace := 10.0, tuning.CancelGraceS
 	tasks := []api.TaskReport{
 		{Task: "run-1/0", Attempt: 3, State: api.TaskRunning},
 		{Task: "run-1/1", Attempt: 4, State: api.TaskFetching},
--- a/watermark/statement.go
+++ b/watermark/statement.go
@@ -56,7 +56,7 @@
 
 // Statement returns the response to a peer that has received the cancellations of the given incarnation up to
 // receivedSeq. It starts from 0 if the incarnation is not that of this process, and holds at most
-// tuning.CancellationsAtOnce cancellations.
+// tuning.MaxStatementCancellations cancellations.
 func (t *Tracker) Statement(now time.Time, incarnation, receivedSeq uint64) Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +69,7 @@
 		return cmp.Compare(c.seq, seq)
 	})
 	for _, c := range t.ordered[first:] {
-		if len(statement.Cancellations) == tuning.CancellationsAtOnce {
+		if len(statement.Cancellations) == tuning.MaxStatementCancellations {
 			statement.To = c.seq - 1
 			break
 		}
@@ -115,7 +115,7 @@
 		peer.confirmedAt = sentAt
 	}
 	if statement.Current {
-		t.advanceTo(sentAt.Add(-statement.Age - tuning.WatermarkGrain))
+		t.advanceTo(sentAt.Add(-statement.Age - tuning.WatermarkMargin))
 	}
 	t.advanceFromPeers()
 	return nil
--- a/watermark/watermark.go
+++ b/watermark/watermark.go
@@ -89,17 +89,17 @@
 }
 
 // record records a cancellation. One that is already recorded gets a new sequence number, and so is sent to the peers
-// again, only if it was acknowledged again at least tuning.CancellationAgain later. The time within which its tasks
+// again, only if it was acknowledged again at least tuning.CancellationRepeatInterval later. The time within which its tasks
 // must have ended then counts from the later acknowledgement. The caller holds t.mu.
 func (t *Tracker) record(now time.Time, jobID string, acknowledgedAt time.Time) {
 	t.removeExpired(now)
 	if existing := t.byJob[jobID]; existing != nil {
-		if acknowledgedAt.Sub(existing.acknowledgedAt) < tuning.CancellationAgain {
+		if acknowledgedAt.Sub(existing.acknowledgedAt) < tuning.CancellationRepeatInterval {
 			return
 		}
 		t.ordered = slices.DeleteFunc(t.ordered, func(c *cancellation) bool { return c == existing })
 	}
-	if len(t.byJob) >= tuning.CancellationsKept {
+	if len(t.byJob) >= tuning.CancellationsCapacity {
 		// The watermark is only valid while every cancellation is kept, so discard all state.
 		t.reset(now)
 	}
@@ -109,9 +109,9 @@
 }
 
 // removeExpired removes the cancellations that are older than Limits.Retention, at most once every
-// tuning.CancellationSweep. The caller holds t.mu.
+// tuning.CancellationSweepInterval. The caller holds t.mu.
 func (t *Tracker) removeExpired(now time.Time) {
-	if now.Sub(t.lastRemoval) < tuning.CancellationSweep {
+	if now.Sub(t.lastRemoval) < tuning.CancellationSweepInterval {
 		return
 	}
 	t.lastRemoval = now
--- a/watermark/watermark_test.go
+++ b/watermark/watermark_test.go
@@ -170,14 +170,14 @@
 		}, lastSecond, true},
 		{"more cancellations than a statement holds", func(c *cluster, second int) {
 			if second == 5 {
-				for i := range 2*tuning.CancellationsAtOnce + 1 {
+				for i := range 2*tuning.MaxStatementCancellations + 1 {
 					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
 				}
 			}
 		}, lastSecond, true},
 		{"more cancellations than a tracker keeps", func(c *cluster, second int) {
 			if second == 5 {
-				for i := range tuning.CancellationsKept + 1 {
+				for i := range tuning.CancellationsCapacity + 1 {
 					c.trackers["b"].RecordCancellation(c.now, fmt.Sprintf("run-%d", i+1))
 				}
 			}
