--- a/cli/config_apply.go
+++ b/cli/config_apply.go
@@ -105,7 +105,7 @@
 	if err := changeError(status, raw); err != nil {
 		return err
 	}
-	var answer revisions.Answer
+	var answer revisions.ChangeProgress
 	if err := decodeAnswer(raw, &answer); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 
 // awaitInForce polls until a stored change is in force, and updates the answer. If ctx ends first, the error names what
 // the change still waits for.
-func (change *configurationChange) awaitInForce(ctx context.Context, answer *revisions.Answer) error {
+func (change *configurationChange) awaitInForce(ctx context.Context, answer *revisions.ChangeProgress) error {
 	for !answer.InForce {
 		select {
 		case <-ctx.Done():
--- a/cli/data.go
+++ b/cli/data.go
@@ -48,19 +48,19 @@
 	}
 	var datasets, copies, waiting []table.Row
 	for _, dataset := range view.Datasets {
-		datasets = append(datasets, table.Row{dataset.Name, formatBytes(dataset.Bytes), dataset.Parts, dataset.Whole, dataset.Some, dataset.Nowhere, dataset.Jobs, dataset.State})
+		datasets = append(datasets, table.Row{dataset.Name, formatBytes(dataset.Bytes), dataset.Parts, dataset.CompleteHolders, dataset.AnyHolders, dataset.PartsWithoutHolder, dataset.Jobs, dataset.State})
 	}
 	printTable(out, table.Row{"dataset", "size", "parts", "machines with all", "with some", "parts nowhere", "jobs", "state"}, datasets)
 	for _, progress := range view.Copies {
 		problems := ""
-		if progress.Full {
+		if progress.CacheFull {
 			problems = "cache full "
 		}
-		for from, why := range progress.Failed {
+		for from, why := range progress.FailedSources {
 			problems += from + ": " + why + " "
 		}
-		copied := fmt.Sprintf("%3.0f%% of %s", 100*float64(progress.Got)/float64(max(1, progress.Of)), formatBytes(progress.Of))
-		copies = append(copies, table.Row{progress.Machine, progress.Dataset, progress.Part, copied, progress.From, problems})
+		copied := fmt.Sprintf("%3.0f%% of %s", 100*float64(progress.CopiedBytes)/float64(max(1, progress.TotalBytes)), formatBytes(progress.TotalBytes))
+		copies = append(copies, table.Row{progress.Machine, progress.Dataset, progress.Part, copied, progress.Source, problems})
 	}
 	printTable(out, table.Row{"machine", "dataset", "part", "copied", "from", "trouble"}, copies)
 	for _, job := range view.Waiting {
--- a/configuration/active.go
+++ b/configuration/active.go
@@ -26,7 +26,7 @@
 
 // FromFiles returns the configuration that applies without any revision.
 func FromFiles(teams []settings.Team, filePolicy *policy.Policy) *Active {
-	active := &Active{Policy: filePolicy, OverLimit: OverLimitPolicy{Running: Leave}}
+	active := &Active{Policy: filePolicy, OverLimit: OverLimitPolicy{Running: LeaveRunning}}
 	active.setTeams(teams)
 	return active
 }
@@ -56,8 +56,8 @@
 	return quota.Limit{CPUs: team.CPUsMax, Cards: team.CardsMax}, ok
 }
 
-// Over returns the configuration in which the document, as the given revision, overrides files.
-func (d *Document) Over(files *Active, revision uint64) *Active {
+// Overlay returns the configuration in which the document, as the given revision, overrides files.
+func (d *Document) Overlay(files *Active, revision uint64) *Active {
 	active := *files
 	active.Revision, active.OverLimit = revision, d.OverLimit
 	if d.policy != nil {
@@ -66,8 +66,8 @@
 	if len(d.Teams) > 0 {
 		active.setTeams(d.Teams)
 	}
-	if d.Switches.AheadTasks != nil {
-		active.AheadTasks = d.Switches.AheadTasks
+	if d.Features.AheadTasks != nil {
+		active.AheadTasks = d.Features.AheadTasks
 	}
 	if d.Topology != nil {
 		active.Topology = d.Topology
--- a/configuration/check.go
+++ b/configuration/check.go
@@ -42,7 +42,7 @@
 		document.policy = policy.Of(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
 	}
 	c.checkTeams(document.Teams)
-	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.MaxAheadTasks) {
+	if aheadTasks := document.Features.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.MaxAheadTasks) {
 		c.addError("features.ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.MaxAheadTasks, *aheadTasks))
 	}
 	if topologyDeclaration != nil {
@@ -52,17 +52,17 @@
 
 func (c *documentChecker) checkOverLimit(overLimit OverLimitPolicy) {
 	switch overLimit.Running {
-	case Leave:
+	case LeaveRunning:
 		if overLimit.StopWithinS != 0 {
 			c.addError("over_limit.stop_within_s", `is valid only with running = "stop"; leave it out`)
 		}
-	case Stop:
+	case StopRunning:
 		// The negated form also rejects NaN.
 		if !(overLimit.StopWithinS >= 0 && overLimit.StopWithinS <= tuning.MaxStopWithinS) {
 			c.addError("over_limit.stop_within_s", fmt.Sprintf("must be 0 to %d seconds", tuning.MaxStopWithinS))
 		}
 	default:
-		c.addError("over_limit.running", fmt.Sprintf("must be %q or %q, not %q", Leave, Stop, overLimit.Running))
+		c.addError("over_limit.running", fmt.Sprintf("must be %q or %q, not %q", LeaveRunning, StopRunning, overLimit.Running))
 	}
 }
 
--- a/configuration/difference.go
+++ b/configuration/difference.go
@@ -49,7 +49,7 @@
 	if document == nil {
 		return fields
 	}
-	if document.OverLimit.Running != Leave {
+	if document.OverLimit.Running != LeaveRunning {
 		fields["over_limit"] = fmt.Sprintf("%s within %g s", document.OverLimit.Running, document.OverLimit.StopWithinS)
 	}
 	for name, text := range document.Policy {
@@ -58,7 +58,7 @@
 	for _, team := range document.Teams {
 		fields["teams."+team.Name] = teamText(team)
 	}
-	if aheadTasks := document.Switches.AheadTasks; aheadTasks != nil {
+	if aheadTasks := document.Features.AheadTasks; aheadTasks != nil {
 		fields["features.ahead_tasks"] = fmt.Sprint(*aheadTasks)
 	}
 	if topologyMap := document.Topology; topologyMap != nil {
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -25,10 +25,10 @@
 
 // The values of OverLimitPolicy.Running.
 const (
-	// Leave lets the running tasks that exceed a limit run to completion.
-	Leave = "leave"
-	// Stop stops running tasks, lowest rank first, until the usage is within the limit.
-	Stop = "stop"
+	// LeaveRunning lets the running tasks that exceed a limit run to completion.
+	LeaveRunning = "leave"
+	// StopRunning stops running tasks, lowest rank first, until the usage is within the limit.
+	StopRunning = "stop"
 )
 
 // OverLimitPolicy defines what happens to the running tasks of a team whose limit is lowered below its
@@ -54,7 +54,7 @@
 	Policy map[string]string
 	// Teams has all teams. If it is empty, the teams of the settings apply.
 	Teams    []settings.Team
-	Switches FeatureSettings
+	Features FeatureSettings
 	// Topology overrides the topology file, unless it is nil.
 	Topology *topology.Map
 	// Text is the source text of the document.
@@ -79,7 +79,7 @@
 	if len(text) > tuning.MaxConfigurationBytes {
 		return nil, FieldErrors{{Field: "document", Remedy: fmt.Sprintf("takes %d bytes, at most %d can be stored; shorten comments, or name machines by patterns", len(text), tuning.MaxConfigurationBytes)}}
 	}
-	decoded := documentTOML{OverLimit: OverLimitPolicy{Running: Leave}}
+	decoded := documentTOML{OverLimit: OverLimitPolicy{Running: LeaveRunning}}
 	unknown, err := stricttoml.Decode([]byte(text), &decoded)
 	if err != nil {
 		return nil, FieldErrors{decodeFieldError(err)}
@@ -90,7 +90,7 @@
 			checker.fieldErrors = append(checker.fieldErrors, FieldError{unknownField.Line, unknownField.Name, "no such setting; there are over_limit, policy, teams, features and topology"})
 		}
 	}
-	document := &Document{OverLimit: decoded.OverLimit, Policy: decoded.Policy, Teams: decoded.Teams, Switches: decoded.Features, Text: text}
+	document := &Document{OverLimit: decoded.OverLimit, Policy: decoded.Policy, Teams: decoded.Teams, Features: decoded.Features, Text: text}
 	checker.checkDocument(document, decoded.Topology)
 	if len(checker.fieldErrors) > 0 {
 		slices.SortStableFunc(checker.fieldErrors, func(a, b FieldError) int { return cmp.Compare(a.Line, b.Line) })
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -49,7 +49,7 @@
 
 func TestDocumentOverridesFiles(t *testing.T) {
 	files := FromFiles([]settings.Team{{Name: "other", CPUsMax: 5}}, policy.Default())
-	active := parse(t, fullDocument).Over(files, 4)
+	active := parse(t, fullDocument).Overlay(files, 4)
 	if limit, ok := active.Limit("vision"); !ok || limit.CPUs != 40 || active.Revision != 4 || *active.AheadTasks != 7 || active.Topology.Version() != 2 || active.Policy.Value(policy.SlotS, nil) != 3 || active.OverLimit.StopWithinS != 30 {
 		t.Errorf("%+v", active)
 	}
@@ -57,7 +57,7 @@
 		t.Error("a team that the document lacks is still configured")
 	}
 	// The files apply for each section that the document lacks.
-	filesOnly := parse(t, "").Over(files, 5)
+	filesOnly := parse(t, "").Overlay(files, 5)
 	if limit, ok := filesOnly.Limit("other"); !ok || limit.CPUs != 5 || filesOnly.AheadTasks != nil || filesOnly.Topology != nil || filesOnly.Policy != files.Policy {
 		t.Errorf("%+v", filesOnly)
 	}
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -37,9 +37,9 @@
 	TopologyOn, DataOn bool
 }
 
-// Present returns the current configuration and, on the leader, the progress of the last change. The
+// Current returns the current configuration and, on the leader, the progress of the last change. The
 // applier is nil on a controller that does not lead.
-func (h *Handler) Present(applier *revisions.Applier) api.ConfigurationView {
+func (h *Handler) Current(applier *revisions.Applier) api.ConfigurationView {
 	revision, newest, rejection := h.Store.Current()
 	var view api.ConfigurationView
 	if revision != nil {
@@ -140,7 +140,7 @@
 	if document.Topology != nil && !h.TopologyOn {
 		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "topology", Remedy: "no topology is on; name a file under [topology] in the features file first, or leave the section out"})
 	}
-	if document.Switches.AheadTasks != nil && !h.DataOn {
+	if document.Features.AheadTasks != nil && !h.DataOn {
 		fieldErrors = append(fieldErrors, configuration.FieldError{Field: "features.ahead_tasks", Remedy: "datasets are off; set on = true under [data] in the features file first, or leave it out"})
 	}
 	if len(fieldErrors) == 0 {
--- a/configuration/httpapi/handler_test.go
+++ b/configuration/httpapi/handler_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	clock := clockwork.NewRealClock()
 	state := fake.NewState(clock)
-	state.Put(upgrade.RecordPrefix+"n0", upgrade.VersionMark{Data: upgrade.DataVersion, Configuration: true})
+	state.Put(upgrade.RecordPrefix+"n0", upgrade.VersionRecord{Data: upgrade.DataVersion, Configuration: true})
 	client := store.NewClient("state:1", state)
 	files := configuration.FromFiles([]settings.Team{{Name: "team"}}, policy.Default())
 	handler := &Handler{
@@ -120,7 +120,7 @@
 			status, answer := handler.Change(t.Context(), applier, test.body)
 			requireAnswer(t, test.name, status, answer, test.status, test.want...)
 		}
-		state.Put(upgrade.RecordPrefix+"n0", upgrade.VersionMark{Data: upgrade.DataVersion})
+		state.Put(upgrade.RecordPrefix+"n0", upgrade.VersionRecord{Data: upgrade.DataVersion})
 		status, answer := handler.Change(t.Context(), applier, changeBody(t, first))
 		requireAnswer(t, "a controller runs with the feature off", status, answer, http.StatusServiceUnavailable, "not seen yet of n0")
 		state.Outage(true)
@@ -132,13 +132,13 @@
 func TestRevisionAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler, applier, state := newLeadingHandler(t)
-		view := handler.Present(applier)
+		view := handler.Current(applier)
 		requireAnswer(t, "nothing configured", http.StatusOK, view, http.StatusOK, `"revision":0`, `"in_force":true`, `"leader":true`)
 		body := changeBody(t, api.ConfigurationRequest{Document: "# first\n", By: "ann", Why: "trial"})
 		if status, answer := handler.Change(t.Context(), applier, body); status != http.StatusOK {
 			t.Fatalf("status %d: %+v", status, answer)
 		}
-		view = handler.Present(nil)
+		view = handler.Current(nil)
 		requireAnswer(t, "a controller that does not lead", http.StatusOK, view, http.StatusOK, `"revision":1`, `"newest":1`, `"in_force":false`, `"leader":false`)
 		for _, test := range []struct {
 			which  string
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -36,8 +36,8 @@
 	Expect *uint64
 }
 
-// Answer is the progress of a change.
-type Answer struct {
+// ChangeProgress is the progress of a change.
+type ChangeProgress struct {
 	Revision uint64 `json:"revision"`
 	// InForce is set if no controller uses an older revision for decisions or answers. Otherwise the
 	// revision is stored, and WaitsFor describes what the rollout waits for.
@@ -141,9 +141,9 @@
 // Apply makes a change and waits until it is in force, for tuning.ConfigurationTimeout at most. After that
 // the change continues in the background. On an error, the revision is not known to be stored; the
 // error values of this package say what is known.
-func (a *Applier) Apply(ctx context.Context, request Request) (Answer, error) {
+func (a *Applier) Apply(ctx context.Context, request Request) (ChangeProgress, error) {
 	if err := a.acquire(ctx); err != nil {
-		return Answer{}, err
+		return ChangeProgress{}, err
 	}
 	a.mu.Lock()
 	active, document, headRevision := a.active, a.document, a.headRevision
@@ -152,13 +152,13 @@
 	switch {
 	case active == nil:
 		a.release()
-		return Answer{}, ErrNotLoaded
+		return ChangeProgress{}, ErrNotLoaded
 	case request.Expect != nil && *request.Expect != newest:
 		a.release()
-		return Answer{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *request.Expect)
+		return ChangeProgress{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *request.Expect)
 	case document != nil && document.Text == request.Document.Text && active.Revision == newest:
 		a.release()
-		return Answer{Revision: newest, InForce: true, Unchanged: true}, nil
+		return ChangeProgress{Revision: newest, InForce: true, Unchanged: true}, nil
 	}
 	change := change{
 		revision: &configuration.Revision{
@@ -171,7 +171,7 @@
 		document:     request.Document,
 		headRevision: headRevision,
 	}
-	change.rollout = configuration.NewRollout(active, request.Document.Over(a.files, newest+1), a.leader.Peers())
+	change.rollout = configuration.NewRollout(active, request.Document.Overlay(a.files, newest+1), a.leader.Peers())
 	done := make(chan error, 1)
 	go func() {
 		defer a.release()
@@ -197,11 +197,11 @@
 func (a *Applier) release() { <-a.changeSemaphore }
 
 // awaitOutcome waits until a change is in force or has failed, for tuning.ConfigurationTimeout at most.
-func (a *Applier) awaitOutcome(ctx context.Context, rollout *configuration.Rollout, done <-chan error) (Answer, error) {
+func (a *Applier) awaitOutcome(ctx context.Context, rollout *configuration.Rollout, done <-chan error) (ChangeProgress, error) {
 	select {
 	case err := <-done:
 		if err != nil {
-			return Answer{}, err
+			return ChangeProgress{}, err
 		}
 	case <-ctx.Done():
 	case <-a.clock.After(tuning.ConfigurationTimeout):
@@ -210,27 +210,27 @@
 	defer a.mu.Unlock()
 	switch rollout.Stage() {
 	case configuration.Storing:
-		return Answer{}, ErrOutcomeUnknown
+		return ChangeProgress{}, ErrOutcomeUnknown
 	case configuration.Refused:
-		return Answer{}, ErrUnavailable
+		return ChangeProgress{}, ErrUnavailable
 	}
 	return a.progressFor(rollout), nil
 }
 
 // Progress returns the progress of the last change of this term, and false if its revision is not stored
 // or there was no change.
-func (a *Applier) Progress() (Answer, bool) {
+func (a *Applier) Progress() (ChangeProgress, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.rollout == nil || a.rollout.Stage() == configuration.Refused || a.rollout.Stage() == configuration.Storing {
-		return Answer{}, false
+		return ChangeProgress{}, false
 	}
 	return a.progressFor(a.rollout), true
 }
 
 // progressFor returns the progress of a rollout whose revision is stored. The caller must hold a.mu.
-func (a *Applier) progressFor(rollout *configuration.Rollout) Answer {
-	return Answer{
+func (a *Applier) progressFor(rollout *configuration.Rollout) ChangeProgress {
+	return ChangeProgress{
 		Revision: rollout.After.Revision,
 		InForce:  rollout.Stage() == configuration.InForce,
 		WaitsFor: rollout.WaitsFor(a.clock.Now()),
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -129,7 +129,7 @@
 	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationRetention > namedHead.Number; number-- {
 		revision, document, err := s.readRevision(ctx, number, digest)
 		if err == nil {
-			lease.Active = document.Over(s.files, number)
+			lease.Active = document.Overlay(s.files, number)
 			s.setCurrent(lease, revision, namedHead.Number, rejection)
 			return namedHead.Number, nil
 		}
--- a/controller/admission/dependencies.go
+++ b/controller/admission/dependencies.go
@@ -53,7 +53,7 @@
 				return id + " is just being accepted", nil
 			}
 		}
-		record, err := s.jobs.Records.ReadInTurn(ctx, id, "")
+		record, err := s.jobs.Records.ReadQueued(ctx, id, "")
 		switch {
 		case err != nil:
 			return "the state service is out of reach", nil //nolint:nilerr // The reason reports the failure, and the user retries.
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -149,7 +149,7 @@
 // answerChangedDataset answers a submission one of whose datasets changed while the submission was being accepted.
 func (s *Service) answerChangedDataset(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) peer.Response {
 	if status, _, err := s.checkInputs(ctx, sched, submission, body); err != nil {
-		return peer.Refusal(status, err)
+		return peer.ErrorResponse(status, err)
 	}
 	return peer.RetryLater("a dataset of the job has just changed")
 }
@@ -205,7 +205,7 @@
 	case verdict.err != nil && !s.StillValid(verdict.rules, sched):
 		return peer.RetryLater("the configuration has just changed")
 	case verdict.err != nil:
-		return peer.Refusal(verdict.status, verdict.err)
+		return peer.ErrorResponse(verdict.status, verdict.err)
 	case verdict.rules.UnknownReason != "":
 		return peer.RetryLater(verdict.rules.UnknownReason)
 	case s.Data.On:
@@ -294,6 +294,6 @@
 	if refused {
 		response.RetryAfterS = max(response.RetryAfterS, s.retries.Refused(s.clock.Now(), id))
 	} else {
-		s.retries.Taken(id)
+		s.retries.Remove(id)
 	}
 }
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -69,7 +69,7 @@
 			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: leader}}
 		}
 		if len(raw) <= tuning.MaxBodyBytes {
-			response, err := a.peers.Ask(ctx, leader, peer.Request{Verb: verbForwardStageHeartbeat, Body: raw, From: a.settings.Member}, tuning.PeerTimeout)
+			response, err := a.peers.Call(ctx, leader, peer.Request{Verb: verbForwardStageHeartbeat, Body: raw, From: a.settings.Member}, tuning.PeerTimeout)
 			if err == nil && response.Status == http.StatusOK {
 				return answer{response.Status, json.RawMessage(response.Body)}
 			}
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -91,7 +91,7 @@
 
 // RefreshPeer makes a peer read the newest revision now, and returns the number of the revision that it found.
 func (l *configurationTerm) RefreshPeer(ctx context.Context, member string, _ uint64) (revision uint64, err error) {
-	response, err := l.controller.peers.Ask(ctx, member, peer.Request{Verb: verbRefreshConfiguration, From: l.controller.settings.Member}, tuning.PeerTimeout)
+	response, err := l.controller.peers.Call(ctx, member, peer.Request{Verb: verbRefreshConfiguration, From: l.controller.settings.Member}, tuning.PeerTimeout)
 	if err != nil {
 		return 0, fmt.Errorf("ask %s for its revision: %w", member, err)
 	}
@@ -137,9 +137,9 @@
 		if _, err := l.revisions.Refresh(ctx); err != nil {
 			return peer.RetryLater("the state service is out of reach")
 		}
-		return peer.JSONResponse(http.StatusOK, l.handler().Present(nil))
+		return peer.JSONResponse(http.StatusOK, l.handler().Current(nil))
 	case request.Verb == VerbConfiguration:
-		return peer.JSONResponse(http.StatusOK, l.handler().Present(applier))
+		return peer.JSONResponse(http.StatusOK, l.handler().Current(applier))
 	}
 	return encodeResponse(l.handler().Change(ctx, applier, request.Body))
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
+	return document.Overlay(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
 // Without the leader, a submission is checked only against a recently confirmed configuration, and stored only on the
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -30,7 +30,7 @@
 	if older := controller.versions.Older(); !slices.Equal(older, []string{"z"}) {
 		t.Errorf("older %v", older)
 	}
-	leader.state.Put("sf/version/z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	leader.state.Put("sf/version/z", upgrade.VersionRecord{Data: upgrade.DataVersion})
 	restarted := newController()
 	restarted.markVersion(context.Background()) // Returns once the records of all members exist.
 	if older := restarted.versions.Older(); len(older) > 0 {
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -41,10 +41,10 @@
 func (d *datasetService) register(ctx context.Context, body []byte) peer.Response {
 	var entry dataset.Entry
 	if err := json.Unmarshal(body, &entry.Summary); err != nil {
-		return peer.Refusal(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
+		return peer.ErrorResponse(http.StatusBadRequest, &api.FieldError{Field: "body", Want: "must be a dataset's summary: " + err.Error()})
 	}
 	if err := entry.Check(); err != nil {
-		return peer.Refusal(http.StatusBadRequest, err)
+		return peer.ErrorResponse(http.StatusBadRequest, err)
 	}
 	revision, _, err := d.client.Transact(ctx, []store.Condition{{Key: store.DatasetKey(entry.Name)}}, []store.Operation{{Set: store.DatasetKey(entry.Name), Value: entry}})
 	if errors.Is(err, store.ErrConflict) {
@@ -154,7 +154,7 @@
 		// Only the leader knows how many jobs still need the dataset.
 		if d.term.scheduler() == nil && !forwarded {
 			if leader, _, reachable := d.leader.locate(); reachable {
-				if response, err := d.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil {
+				if response, err := d.peers.Call(ctx, leader, request, tuning.PeerTimeout); err == nil {
 					return response
 				}
 			}
--- a/controller/dependency_checks_test.go
+++ b/controller/dependency_checks_test.go
@@ -81,7 +81,7 @@
 	leader.submit(smallJob("run-000001"))
 	controller := leader.otherController()
 	controller.submissions.Versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
-	controller.submissions.Versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	controller.submissions.Versions.Observe("y", upgrade.VersionRecord{Data: upgrade.DataVersion})
 	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
 	ask := func() peer.Response {
 		return controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
@@ -89,11 +89,11 @@
 	if response := ask(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
-	controller.submissions.Versions.Observe("z", upgrade.VersionMark{Data: 1})
+	controller.submissions.Versions.Observe("z", upgrade.VersionRecord{Data: 1})
 	if response := ask(); response.Status != 503 {
 		t.Errorf("while a member has data version 1: %d", response.Status)
 	}
-	controller.submissions.Versions.Observe("z", upgrade.VersionMark{Data: upgrade.DataVersion})
+	controller.submissions.Versions.Observe("z", upgrade.VersionRecord{Data: upgrade.DataVersion})
 	if response := ask(); response.Status != 201 {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -21,13 +21,13 @@
 		if errors.Is(err, worker.ErrNotSent) && !errors.Is(err, connlimit.ErrLimit) {
 			t.scheduler.ConnectionRefused(name)
 		}
-		t.scheduler.CommandsAnswered(name, response, nil, errors.Is(err, worker.ErrNotSent))
+		t.scheduler.HandleCommandOutcome(name, response, nil, errors.Is(err, worker.ErrNotSent))
 		return
 	}
 	if heartbeat.Term > t.scheduler.Term() {
 		t.controller.resignIfDeposed(t.scheduler)
 	}
-	t.scheduler.CommandsAnswered(name, response, heartbeat, true)
+	t.scheduler.HandleCommandOutcome(name, response, heartbeat, true)
 }
 
 // resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the leader's
@@ -74,7 +74,7 @@
 			return
 		}
 		if done || heartbeat.Incarnation == incarnation {
-			t.scheduler.CommandsAnswered(name, response, heartbeat, true)
+			t.scheduler.HandleCommandOutcome(name, response, heartbeat, true)
 			return
 		}
 		incarnation = heartbeat.Incarnation
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -46,12 +46,12 @@
 			return answer{http.StatusMisdirectedRequest, api.Redirect{Controller: to}}
 		}
 		request := peer.Request{Verb: verbForwardHeartbeat, Body: raw, From: c.settings.Member}
-		if response, err := c.peers.Ask(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
+		if response, err := c.peers.Call(ctx, leader, request, tuning.PeerTimeout); err == nil && response.Status != http.StatusMisdirectedRequest {
 			return answer{response.Status, json.RawMessage(response.Body)}
 		}
 		// The leader gave no usable response, although it may have handled the heartbeat. This controller answers instead,
 		// and its response renews the lease.
-		return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleOfferedHeartbeat)
+		return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleForwardedHeartbeat)
 	}
 	return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleHeartbeat)
 }
--- a/controller/jobstatus/reader.go
+++ b/controller/jobstatus/reader.go
@@ -43,7 +43,7 @@
 func NewReader(clock clockwork.Clock, client *store.Client, limiter *rate.Limiter, cancellations *watermark.Tracker, counts *traffic.Counter) *Reader {
 	j := &Reader{clock: clock, watermark: cancellations, counts: counts, TerminalStates: TerminalStates{lookup.NewTerminalStates(), clock, cancellations},
 		notifications: lookup.NewNotifications()}
-	j.Records = &lookup.Jobs{Client: client, Recall: j.TerminalStates.Get, Remember: j.TerminalStates.Remember, Queue: lookup.NewFairQueue(clock, limiter)}
+	j.Records = &lookup.Jobs{Client: client, CachedFinal: j.TerminalStates.Get, CacheFinal: j.TerminalStates.Remember, Queue: lookup.NewFairQueue(clock, limiter)}
 	return j
 }
 
@@ -94,7 +94,7 @@
 	}
 	// User requests must not use up the reads that the leader needs for its own work.
 	sentAt := j.clock.Now()
-	record, err := j.Records.ReadInTurn(ctx, id, waitingUser)
+	record, err := j.Records.ReadQueued(ctx, id, waitingUser)
 	if err != nil || !record.Found {
 		return api.JobStatus{}, false, err
 	}
@@ -166,8 +166,8 @@
 	}
 	newestStatus, notification := j.notifications.Newest(job)
 	switch notification {
-	case lookup.Older:
-		j.counts.OlderAnswerDropped()
+	case lookup.Stale:
+		j.counts.StaleAnswerDropped()
 		slog.Debug("older answer dropped", "job", job.ID, "found", job.State, "told", newestStatus.State)
 		return peer.JSONResponse(http.StatusOK, newestStatus)
 	case lookup.Contradiction:
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -152,7 +152,7 @@
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
 	controller := New(context.Background(), set, policy.Default(), l.clock, l.state)
 	controller.catalog.types = testTypes
-	controller.versions.Observe("y", upgrade.VersionMark{Data: upgrade.DataVersion})
+	controller.versions.Observe("y", upgrade.VersionRecord{Data: upgrade.DataVersion})
 	return controller
 }
 
--- a/controller/leader_locator.go
+++ b/controller/leader_locator.go
@@ -30,7 +30,7 @@
 	if forwarded || !reachable {
 		return peer.RetryLater("no leader answers")
 	}
-	response, err := l.peers.Ask(ctx, leader, request, tuning.PeerTimeout)
+	response, err := l.peers.Call(ctx, leader, request, tuning.PeerTimeout)
 	if err != nil {
 		return peer.RetryLater("the leader does not answer")
 	}
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -49,7 +49,7 @@
 		} else {
 			m.set(types)
 			if sched := term.scheduler(); sched != nil {
-				sched.SetTypes(types)
+				sched.UpdateMachineTypes(types)
 			}
 		}
 		sleep.For(ctx, m.clock, wait)
--- a/controller/relayed_start_test.go
+++ b/controller/relayed_start_test.go
@@ -163,7 +163,7 @@
 		sent := r.leader.sent[0]
 		r.leader.sent = r.leader.sent[1:]
 		heartbeat, _ := r.workers[sent.machine].Direct(sent.response)
-		r.leader.CommandsAnswered(sent.machine, sent.response, heartbeat, true)
+		r.leader.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 	}
 }
 
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -10,7 +10,7 @@
 
 // proxyOptions returns the options of the proxies of workers and agents.
 func (c *Controller) proxyOptions() proxy.Options {
-	return proxy.Options{Member: c.settings.Member, Client: c.client, Clock: c.clock, WriteLimit: c.relayLimiter, State: c.settings.Facts.State}
+	return proxy.Options{Member: c.settings.Member, Client: c.client, Clock: c.clock, WriteLimiter: c.relayLimiter, StateLimits: c.settings.Facts.State}
 }
 
 // followWorkerRelay processes the workers' heartbeats that peers relay to the leader through the state service.
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -94,7 +94,7 @@
 	if !reachable {
 		return response, false
 	}
-	response, err := c.peers.Ask(ctx, leader, request, forwardTimeout(request.Verb))
+	response, err := c.peers.Call(ctx, leader, request, forwardTimeout(request.Verb))
 	switch {
 	case err == nil && answeredByLeader(response):
 		return response, true
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -88,7 +88,7 @@
 	if err := clock.BlockUntilContext(ctx, 3); err != nil {
 		t.Fatal(err)
 	}
-	for controller.peers.ReceivedCount("n0") < 2 {
+	for controller.peers.ReceivedFrames("n0") < 2 {
 		// Wait for the response to the hello.
 	}
 	clock.Advance(tuning.SubmitPeerTimeout)
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -295,7 +295,7 @@
 	m := p.machines[name]
 	m.do(p, o)
 	r := m.report()
-	p.core.CommandsAnswered(name, o, r, true)
+	p.core.HandleCommandOutcome(name, o, r, true)
 }
 
 // localityRecords count as stored when the experiment says so.
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sections := map[string]any{"over_limit": document.OverLimit, "policy": document.Policy, "teams": document.Teams, "features": document.Switches}
+	sections := map[string]any{"over_limit": document.OverLimit, "policy": document.Policy, "teams": document.Teams, "features": document.Features}
 	compare(t, "files/configuration.read.toml", encodeTOML(t, sections))
 	compare(t, "files/configuration.topology.txt", describeTopology(document.Topology))
 }
--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -243,7 +243,7 @@
 	awaitGreeting(t, observations)
 	answers := make(chan peer.Response, 1)
 	go func() {
-		a, err := network.Ask(t.Context(), "n1", filled[peer.Request](), frameWait)
+		a, err := network.Call(t.Context(), "n1", filled[peer.Request](), frameWait)
 		if err == nil {
 			answers <- a
 		}
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -89,7 +89,7 @@
 func packMessages(t *testing.T, all []relay.Message) []relay.Packet {
 	t.Helper()
 	now := time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC)
-	outbox := relay.NewOutbox(relay.Limits{Value: maxValueBytes, Request: 60_000, Ops: 12}, 7)
+	outbox := relay.NewOutbox(relay.Limits{MaxValueBytes: maxValueBytes, MaxRequestBytes: 60_000, MaxOperations: 12}, 7)
 	outbox.Reset(1873)
 	for _, m := range all {
 		outbox.Put(m.Name, m.Body, true, now)
@@ -118,7 +118,7 @@
 // A controller reads the packets in which the leader sends responses to machines behind that controller.
 func TestRelayedCommandsMatchGolden(t *testing.T) {
 	body := json.RawMessage(encode(t, filled[store.RelayedCommands]()))
-	mailbox := relay.NewMailbox(relay.Limits{Value: 4096, Request: 60_000, Ops: 12})
+	mailbox := relay.NewMailbox(relay.Limits{MaxValueBytes: 4096, MaxRequestBytes: 60_000, MaxOperations: 12})
 	packet, _, _, err := mailbox.BuildPacket(1873, mailbox.AssignPacket("n-1"), func(string) json.RawMessage { return body })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -27,7 +27,7 @@
 		messageOf[relay.Packet]("letter"),
 		messageOf[relay.Message]("letter-message"),
 		messageOf[store.RelayedCommands]("mail"),
-		messageOf[upgrade.VersionMark]("version-mark"),
+		messageOf[upgrade.VersionRecord]("version-mark"),
 		messageOf[configuration.Head]("configuration-head"),
 		messageOf[configuration.Part]("configuration-part"),
 		messageOf[configuration.Revision]("configuration-revision"),
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -273,7 +273,7 @@
 		if !strings.HasPrefix(op.Set, store.ShardPrefix) || !ok || json.Unmarshal(op.Value, &record) != nil {
 			continue
 		}
-		for _, placed := range record.On {
+		for _, placed := range record.Placed {
 			task := fmt.Sprintf("%s/%d", shard.Job, placed.Task)
 			if placed.Attempt > ops.recordedStarts[task].attempt {
 				ops.recordedStarts[task] = recordedStart{placed.Attempt, time.Now()}
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -27,11 +27,11 @@
 // are.
 type Jobs struct {
 	Client *store.Client
-	// Recall returns the cached final record of an archived job, and whether there is one.
-	Recall func(id string) (store.FinalRecord, bool)
-	// Remember is called with every final record that is read, so that it can be cached.
-	Remember func(id string, f store.FinalRecord)
-	// Queue limits the reads of ReadInTurn and shares them among the status requests.
+	// CachedFinal returns the cached final record of an archived job, and whether there is one.
+	CachedFinal func(id string) (store.FinalRecord, bool)
+	// CacheFinal is called with every final record that is read, so that it can be cached.
+	CacheFinal func(id string, f store.FinalRecord)
+	// Queue limits the reads of ReadQueued and shares them among the status requests.
 	Queue *FairQueue
 }
 
@@ -52,7 +52,7 @@
 // Read reads a job. It reads the JobRecord before the final record, because the final record is written before the
 // JobRecord is deleted. It returns an error if the state service does or if a record cannot be decoded.
 func (j *Jobs) Read(ctx context.Context, jobID string) (Job, error) {
-	if final, ok := j.Recall(jobID); ok {
+	if final, ok := j.CachedFinal(jobID); ok {
 		return archivedJob(final), nil
 	}
 	item, err := j.Client.Get(ctx, store.JobKey(jobID))
@@ -78,7 +78,7 @@
 	if err := json.Unmarshal(item.Value, &final); err != nil {
 		return Job{}, damagedRecordError(item, err)
 	}
-	j.Remember(jobID, final)
+	j.CacheFinal(jobID, final)
 	return archivedJob(final), nil
 }
 
@@ -107,11 +107,11 @@
 	return fmt.Errorf("record %s is damaged: %w", item.Key, err)
 }
 
-// ReadInTurn is Read within the rate limit of Queue, on behalf of a status request for the job queriedID. It waits
+// ReadQueued is Read within the rate limit of Queue, on behalf of a status request for the job queriedID. It waits
 // until the queue grants a read; if queriedID is empty, it does not wait. It returns store.ErrBusy if no read is
 // granted in time. A cached final record needs no read.
-func (j *Jobs) ReadInTurn(ctx context.Context, jobID, queriedID string) (Job, error) {
-	if _, cached := j.Recall(jobID); !cached && !j.acquire(ctx, queriedID) {
+func (j *Jobs) ReadQueued(ctx context.Context, jobID, queriedID string) (Job, error) {
+	if _, cached := j.CachedFinal(jobID); !cached && !j.acquire(ctx, queriedID) {
 		return Job{}, store.ErrBusy
 	}
 	return j.Read(ctx, jobID)
@@ -128,7 +128,7 @@
 
 // DependsOnCancelled returns whether any of the dependencies of a job, or of the jobs on which these depend directly or
 // indirectly, is cancelled. The job is then cancelled too, and a controller that answers without the leader must report
-// that state. The jobs are read with ReadInTurn on behalf of a status request for the job queriedID. The error is
+// that state. The jobs are read with ReadQueued on behalf of a status request for the job queriedID. The error is
 // ErrTooManyDependencies if a job has to be read after tuning.MaxDependencyReads jobs were examined.
 func (j *Jobs) DependsOnCancelled(ctx context.Context, dependencies []string, queriedID string) (bool, error) {
 	visited := map[string]bool{}
@@ -139,10 +139,10 @@
 			continue
 		}
 		visited[id] = true
-		if _, cached := j.Recall(id); !cached && len(visited) > tuning.MaxDependencyReads {
+		if _, cached := j.CachedFinal(id); !cached && len(visited) > tuning.MaxDependencyReads {
 			return false, ErrTooManyDependencies
 		}
-		job, err := j.ReadInTurn(ctx, id, queriedID)
+		job, err := j.ReadQueued(ctx, id, queriedID)
 		switch {
 		case err != nil:
 			return false, err
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -30,8 +30,8 @@
 const (
 	// Send means that the status that was found may be sent.
 	Send SendDecision = iota
-	// Older means that a terminal state was sent before and must be sent again instead of the status that was found.
-	Older
+	// Stale means that a terminal state was sent before and must be sent again instead of the status that was found.
+	Stale
 	// Contradiction means that a different terminal state was sent before, so that neither may be sent now.
 	Contradiction
 )
@@ -45,7 +45,7 @@
 	switch {
 	case !isTerminal(status.State):
 		if alreadySent {
-			return sent, Older
+			return sent, Stale
 		}
 		return status, Send
 	case alreadySent && sent.State != status.State:
--- a/lookup/terminal_states_test.go
+++ b/lookup/terminal_states_test.go
@@ -20,9 +20,9 @@
 		{"running", api.Running, api.Running, Send, 0},
 		{"terminal", api.Cancelled, api.Cancelled, Send, 0},
 		{"same terminal state again", api.Cancelled, api.Cancelled, Send, 0},
-		{"older state", api.Pending, api.Cancelled, Older, 0},
+		{"older state", api.Pending, api.Cancelled, Stale, 0},
 		{"different terminal state", api.Done, api.Cancelled, Contradiction, 1},
-		{"running after the contradiction", api.Running, api.Cancelled, Older, 0},
+		{"running after the contradiction", api.Running, api.Cancelled, Stale, 0},
 	}
 	notifications := NewNotifications()
 	invariant.TakeViolations()
--- a/membership/list.go
+++ b/membership/list.go
@@ -129,22 +129,22 @@
 	views := []View{self}
 	for _, peer := range l.peers {
 		view := peer.view(now)
-		view.QuietS, view.Phi = roundedSeconds(now.Sub(peer.lastHelloAt)), roundedTenth(l.phi(now, peer))
+		view.SilentSeconds, view.Phi = roundedSeconds(now.Sub(peer.lastHelloAt)), roundedTenth(l.phi(now, peer))
 		views = append(views, view)
 	}
 	return views
 }
 
-// view returns the member's view without Self, QuietS and Phi. Its slices are never nil, so that they are encoded
+// view returns the member's view without Self, SilentSeconds and Phi. Its slices are never nil, so that they are encoded
 // as JSON arrays and not as null.
 func (m *member) view(now time.Time) View {
 	return View{
-		Member:     m.name,
-		Level:      m.level,
-		Parts:      append([]string{}, m.impairedComponents...),
-		Why:        m.reason,
-		ForS:       roundedSeconds(now.Sub(m.since)),
-		HeardPeers: append([]string{}, m.lastHello.HeardPeers...),
+		Member:             m.name,
+		Level:              m.level,
+		ImpairedComponents: append([]string{}, m.impairedComponents...),
+		Reason:             m.reason,
+		LevelSeconds:       roundedSeconds(now.Sub(m.since)),
+		HeardPeers:         append([]string{}, m.lastHello.HeardPeers...),
 	}
 }
 
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -57,12 +57,12 @@
 	Self   bool   `json:"self"`
 	Level  Level  `json:"level"`
 	// ImpairedComponents are the impaired components.
-	Parts []string `json:"parts"`
-	Why   string   `json:"why"`
-	// ForS is the time in seconds since the level or the impaired components last changed.
-	ForS float64 `json:"for_s"`
-	// QuietS is the time in seconds since the member's last hello, less the pauses of this controller.
-	QuietS float64 `json:"quiet_s"`
+	ImpairedComponents []string `json:"parts"`
+	Reason             string   `json:"why"`
+	// LevelSeconds is the time in seconds since the level or the impaired components last changed.
+	LevelSeconds float64 `json:"for_s"`
+	// SilentSeconds is the time in seconds since the member's last hello, less the pauses of this controller.
+	SilentSeconds float64 `json:"quiet_s"`
 	// Phi is the suspicion level: -log10 of the probability of this silence.
 	Phi float64 `json:"phi"`
 	// HeardPeers are the members from which the member reports to receive hellos.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -224,8 +224,8 @@
 				t.Errorf("declared failed: %v", cluster.log)
 			}
 			for _, view := range cluster.lists["a"].Views(cluster.now) {
-				if view.Member == "c" && !slices.Equal(view.Parts, []string{Link}) {
-					t.Errorf("impaired components %v, want only the link", view.Parts)
+				if view.Member == "c" && !slices.Equal(view.ImpairedComponents, []string{Link}) {
+					t.Errorf("impaired components %v, want only the link", view.ImpairedComponents)
 				}
 			}
 			clear(cluster.cutLinks)
@@ -278,8 +278,8 @@
 			list := New("a", []string{"b"}, now)
 			list.Step(now, LocalState{StateOK: true, ReceivesHeartbeats: true}, Hello{From: "b", StartedMS: 1, StateOK: true, Leads: leads})
 			view := list.Views(now)[1]
-			if view.Level != Alive || slices.Contains(view.Parts, Workers) != leads {
-				t.Errorf("level %s, impaired components %v", view.Level, view.Parts)
+			if view.Level != Alive || slices.Contains(view.ImpairedComponents, Workers) != leads {
+				t.Errorf("level %s, impaired components %v", view.Level, view.ImpairedComponents)
 			}
 		})
 	}
--- a/peer/ask.go
+++ b/peer/ask.go
@@ -20,12 +20,12 @@
 	receivedBefore uint64
 }
 
-// Ask forwards a request to a peer and waits at most tuning.PeerTimeout for the reply. It sends a hello before the
+// Call forwards a request to a peer and waits at most tuning.PeerTimeout for the reply. It sends a hello before the
 // request, which a live peer answers at once. A peer from which no frame arrives within livenessTimeout counts as
 // unreachable. If a frame arrives but no reply, the peer is busy, and Ask continues to wait.
 //
 // The error matches ErrUnreachable or ErrBusy.
-func (network *Network) Ask(ctx context.Context, member string, request Request, livenessTimeout time.Duration) (Response, error) {
+func (network *Network) Call(ctx context.Context, member string, request Request, livenessTimeout time.Duration) (Response, error) {
 	pending, ok := network.beginRequest(member)
 	if !ok {
 		return Response{}, fmt.Errorf("%w: no connection to %q", ErrUnreachable, member)
@@ -81,7 +81,7 @@
 			}
 			return response, nil
 		case <-livenessTimer:
-			if network.ReceivedCount(member) == pending.receivedBefore {
+			if network.ReceivedFrames(member) == pending.receivedBefore {
 				return Response{}, fmt.Errorf("%w: %s sent no frame since the request", ErrUnreachable, member)
 			}
 			livenessTimer = nil
--- a/peer/network.go
+++ b/peer/network.go
@@ -127,8 +127,8 @@
 	return remote != nil && network.clock.Since(remote.lastActivityAt) > tuning.PeerSilenceTimeout+tuning.PeerHelloInterval
 }
 
-// ReceivedCount returns the number of frames received from a peer, or 0 for an unknown member.
-func (network *Network) ReceivedCount(member string) uint64 {
+// ReceivedFrames returns the number of frames received from a peer, or 0 for an unknown member.
+func (network *Network) ReceivedFrames(member string) uint64 {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if remote := network.peers[member]; remote != nil {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -109,11 +109,11 @@
 	if h := client.LivePeers(); len(h) != 1 || h[0].Term != 5 || !h[0].StateOK || client.Isolated() {
 		t.Errorf("live peers %+v", h)
 	}
-	response, err := client.Ask(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
+	response, err := client.Call(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
 	if err != nil || response.Status != 200 || string(response.Body) != "status x" || response.RetryAfterS != 3 {
 		t.Errorf("%+v, %v", response, err)
 	}
-	if _, err := client.Ask(ctx, "n9", Request{}, time.Second); err == nil {
+	if _, err := client.Call(ctx, "n9", Request{}, time.Second); err == nil {
 		t.Error("a request to an unknown peer was answered")
 	}
 }
--- a/peer/responses.go
+++ b/peer/responses.go
@@ -36,9 +36,9 @@
 	return response
 }
 
-// Refusal returns a response with the given status and an api.Error as body. If err is an api.FieldError, the body
+// ErrorResponse returns a response with the given status and an api.Error as body. If err is an api.FieldError, the body
 // names the field.
-func Refusal(status int, err error) Response {
+func ErrorResponse(status int, err error) Response {
 	body := api.Error{Error: err.Error()}
 	if field, ok := errors.AsType[*api.FieldError](err); ok {
 		body.Field = field.Field
--- a/relay/exchange/follow.go
+++ b/relay/exchange/follow.go
@@ -41,7 +41,7 @@
 		if event.Set == "" {
 			continue
 		}
-		member := store.RelaySender(prefix, event.Set)
+		member := store.PacketKeyMember(prefix, event.Set)
 		packet, err := parsePacket(event.Value)
 		if err == nil && packet.Term != term {
 			continue
--- a/relay/exchange/limits.go
+++ b/relay/exchange/limits.go
@@ -12,7 +12,7 @@
 // the state service has now or will have.
 func PacketLimits(limits settings.State) relay.Limits {
 	least := limits.Least()
-	return relay.Limits{Value: least.ValueBytes(), Request: tuning.MaxPacketRequestBytes, Ops: least.TxnOps}
+	return relay.Limits{MaxValueBytes: least.ValueBytes(), MaxRequestBytes: tuning.MaxPacketRequestBytes, MaxOperations: least.TxnOps}
 }
 
 // WriteRate returns the limiter of the packets of all kinds that a controller writes. Its rate is the
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -58,7 +58,7 @@
 // that those are written. It returns false if there is no packet with that key, and the caller must
 // delete the stored one.
 func (m *Mailboxes) Packet(key string) (relay.Packet, bool) {
-	member, index, ok := store.ParseRelayKey(m.Prefix, key)
+	member, index, ok := store.ParsePacketKey(m.Prefix, key)
 	if !ok || m.mailboxes[member] == nil {
 		return relay.Packet{}, false
 	}
--- a/relay/outbox.go
+++ b/relay/outbox.go
@@ -236,7 +236,7 @@
 		o.fragments = append(o.fragments, Packet{
 			Term:          o.term,
 			Packed:        packed[index*size : min(len(packed), (index+1)*size)],
-			ID:            o.lastMessageID,
+			MessageID:     o.lastMessageID,
 			FragmentIndex: index,
 			FragmentCount: total,
 		})
--- a/relay/outbox_test.go
+++ b/relay/outbox_test.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	limits = Limits{Value: 16 << 10, Request: 56 << 10, Ops: 12}
+	limits = Limits{MaxValueBytes: 16 << 10, MaxRequestBytes: 56 << 10, MaxOperations: 12}
 	start  = time.Unix(1_800_000_000, 0)
 )
 
@@ -29,12 +29,12 @@
 	totalBytes := 0
 	for _, packet := range batch.Packets {
 		raw, err := json.Marshal(packet)
-		if err != nil || len(raw) > limits.Value {
+		if err != nil || len(raw) > limits.MaxValueBytes {
 			t.Fatalf("packet of %d bytes: %v", len(raw), err)
 		}
 		totalBytes += len(raw)
 	}
-	if totalBytes > limits.Request || len(batch.Packets) > limits.Ops {
+	if totalBytes > limits.MaxRequestBytes || len(batch.Packets) > limits.MaxOperations {
 		t.Fatalf("%d packets of %d bytes in one transaction", len(batch.Packets), totalBytes)
 	}
 }
--- a/relay/packet.go
+++ b/relay/packet.go
@@ -24,9 +24,9 @@
 	Term uint64 `json:"term"`
 	// Packed is the payload, a zstd frame in base64, or a fragment of it.
 	Packed string `json:"z"`
-	// ID identifies the fragmented message; later messages have higher IDs. ID, FragmentIndex and
+	// MessageID identifies the fragmented message; later messages have higher IDs. ID, FragmentIndex and
 	// FragmentCount are set only in fragments.
-	ID uint64 `json:"id,omitempty"`
+	MessageID uint64 `json:"id,omitempty"`
 	// FragmentIndex is the zero-based index of the fragment.
 	FragmentIndex int `json:"piece,omitempty"`
 	// FragmentCount is the number of fragments of the message.
@@ -42,16 +42,18 @@
 
 // Limits are the limits of the state service that apply to packets.
 type Limits struct {
-	// Value is the maximum size of a value, in bytes.
-	Value int
-	// Request is the maximum size of a transaction, in bytes.
-	Request int
-	// Ops is the maximum number of operations in a transaction.
-	Ops int
+	// MaxValueBytes is the maximum size of a value, in bytes.
+	MaxValueBytes int
+	// MaxRequestBytes is the maximum size of a transaction, in bytes.
+	MaxRequestBytes int
+	// MaxOperations is the maximum number of operations in a transaction.
+	MaxOperations int
 }
 
 // MaxPackets returns the maximum number of full packets in one transaction, at least 1.
-func (l Limits) MaxPackets() int { return max(1, min(l.Ops, l.Request/max(1, l.Value))) }
+func (l Limits) MaxPackets() int {
+	return max(1, min(l.MaxOperations, l.MaxRequestBytes/max(1, l.MaxValueBytes)))
+}
 
 // maxPackedBytes returns the maximum length of Packet.Packed, in bytes.
-func (l Limits) maxPackedBytes() int { return l.Value - tuning.PacketMarginBytes }
+func (l Limits) maxPackedBytes() int { return l.MaxValueBytes - tuning.PacketMarginBytes }
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -24,10 +24,10 @@
 	// Client is the client of the state service, and Clock the clock, that the proxy uses.
 	Client *store.Client
 	Clock  clockwork.Clock
-	// WriteLimit limits the rate at which all proxies of this controller together write packets.
-	WriteLimit *rate.Limiter
-	// State holds the limits of the state service.
-	State settings.State
+	// WriteLimiter limits the rate at which all proxies of this controller together write packets.
+	WriteLimiter *rate.Limiter
+	// StateLimits holds the limits of the state service.
+	StateLimits settings.State
 }
 
 // senderTimeout is the time without a heartbeat after which a proxy removes a sender.
@@ -36,7 +36,7 @@
 // newOutbox returns an outbox for the packets to the leader. The IDs of its fragmented messages count up from the present
 // Unix time in milliseconds, so that no earlier process of this member has used the same IDs.
 func (o *Options) newOutbox() *relay.Outbox {
-	return relay.NewOutbox(exchange.PacketLimits(o.State), uint64(o.Clock.Now().UnixMilli()))
+	return relay.NewOutbox(exchange.PacketLimits(o.StateLimits), uint64(o.Clock.Now().UnixMilli()))
 }
 
 // newExchange returns an exchange between this controller and the leader. The caller sets the remaining fields: Lock,
@@ -46,7 +46,7 @@
 		Member:         o.Member,
 		Client:         o.Client,
 		Clock:          o.Clock,
-		WriteLimiter:   o.WriteLimit,
+		WriteLimiter:   o.WriteLimiter,
 		UplinkKey:      uplinkKey,
 		DownlinkPrefix: downlinkPrefix + o.Member + "/",
 		RefreshEvery:   refreshEvery,
--- a/relay/proxy/workers.go
+++ b/relay/proxy/workers.go
@@ -72,14 +72,14 @@
 	return w.handleHeartbeat(heartbeat, term, false)
 }
 
-// HandleOfferedHeartbeat is HandleHeartbeat for a heartbeat that was forwarded to the leader directly, but without a
+// HandleForwardedHeartbeat is HandleHeartbeat for a heartbeat that was forwarded to the leader directly, but without a
 // reply in time. The leader may have handled the heartbeat and sent other commands since. A leader of an older version
 // then counts all relayed starts as settled.
-func (w *Workers) HandleOfferedHeartbeat(heartbeat *api.Heartbeat, term uint64) api.HeartbeatResponse {
+func (w *Workers) HandleForwardedHeartbeat(heartbeat *api.Heartbeat, term uint64) api.HeartbeatResponse {
 	return w.handleHeartbeat(heartbeat, term, true)
 }
 
-// handleHeartbeat implements HandleHeartbeat, and HandleOfferedHeartbeat if forwarded is set.
+// handleHeartbeat implements HandleHeartbeat, and HandleForwardedHeartbeat if forwarded is set.
 func (w *Workers) handleHeartbeat(heartbeat *api.Heartbeat, term uint64, forwarded bool) api.HeartbeatResponse {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -20,7 +20,7 @@
 	clock := clockwork.NewFakeClock()
 	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
 	client := store.NewClient("state:1", fake.NewState(clock))
-	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 }
 
 // relayedCommand describes a command for a task on machine b1 that the leader of term 7 derived from heartbeat seq and
@@ -152,7 +152,7 @@
 	}
 	workers.HandleHeartbeat(heartbeat(10), 7)
 	relayStart(t, workers, 50, 10)
-	if response := workers.HandleOfferedHeartbeat(heartbeat(11), 7); len(response.Commands) > 0 || response.Term != 7 {
+	if response := workers.HandleForwardedHeartbeat(heartbeat(11), 7); len(response.Commands) > 0 || response.Term != 7 {
 		t.Errorf("answer to a forwarded heartbeat: %+v", response)
 	}
 	if response := workers.HandleHeartbeat(heartbeat(12), 7); len(response.Commands) > 0 {
--- a/relay/reassembler.go
+++ b/relay/reassembler.go
@@ -35,11 +35,11 @@
 		return nil, fmt.Errorf("fragment %d of %d is out of range", packet.FragmentIndex, packet.FragmentCount)
 	}
 	partial := r.partial[sender]
-	if partial == nil || partial.messageID != packet.ID || len(partial.fragments) != packet.FragmentCount {
-		if partial != nil && packet.ID < partial.messageID {
+	if partial == nil || partial.messageID != packet.MessageID || len(partial.fragments) != packet.FragmentCount {
+		if partial != nil && packet.MessageID < partial.messageID {
 			return nil, nil
 		}
-		partial = &partialMessage{packet.ID, make([]string, packet.FragmentCount), packet.FragmentCount}
+		partial = &partialMessage{packet.MessageID, make([]string, packet.FragmentCount), packet.FragmentCount}
 		if r.partial == nil {
 			r.partial = map[string]*partialMessage{}
 		}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Taken removes a job that was accepted or refused permanently.
-func (s *Spread) Taken(id string) { s.refusedAt.Remove(id) }
+// Remove removes a job that was accepted or refused permanently.
+func (s *Spread) Remove(id string) { s.refusedAt.Remove(id) }
 
 // Waiting returns the number of users who are expected to retry.
 func (s *Spread) Waiting() int { return s.refusedAt.Len() }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -36,7 +36,7 @@
 			job := fmt.Sprint(user)
 			if tick >= outageTicks && capacity >= 1 {
 				capacity--
-				delays.Taken(job)
+				delays.Remove(job)
 				delete(nextTry, user)
 				lastStored = now.Sub(start) - 20*time.Second
 				continue
--- a/scheduler/adoption.go
+++ b/scheduler/adoption.go
@@ -35,8 +35,8 @@
 	loaded, damaged bool
 	// accepted is true if the job is in memory and its record is known to be stored.
 	accepted bool
-	// ended is true if the term remembers that the job reached a terminal state.
-	ended bool
+	// terminal is true if the term remembers that the job reached a terminal state.
+	terminal bool
 	// archivedCovered is true if the term remembers every job that it archived since the read was sent.
 	archivedCovered bool
 }
@@ -51,7 +51,7 @@
 		return RecordDamaged
 	case facts.accepted:
 		return AlreadyInMemory
-	case facts.ended:
+	case facts.terminal:
 		return JobEnded
 	case !facts.archivedCovered:
 		return ReadOutdated
@@ -86,13 +86,13 @@
 		loaded:          s.loaded,
 		damaged:         s.damagedJobs[id],
 		accepted:        job != nil && job.accepted,
-		ended:           s.knowsEnd(id),
+		terminal:        s.remembersTerminalState(id),
 		archivedCovered: s.archived.covers(sentAt),
 	}
 }
 
-// knowsEnd reports whether this term remembers that a job reached a terminal state. s.mu must be held.
-func (s *Scheduler) knowsEnd(id string) bool {
+// remembersTerminalState reports whether this term remembers that a job reached a terminal state. s.mu must be held.
+func (s *Scheduler) remembersTerminalState(id string) bool {
 	_, archived := s.archived.at(id)
 	_, terminal := s.terminalStates.Get(id)
 	return archived || terminal
--- a/scheduler/adoption_test.go
+++ b/scheduler/adoption_test.go
@@ -22,8 +22,8 @@
 		{"before the records are read", func(f *adoptionFacts) { f.loaded = false }, RecordsNotLoaded},
 		{"a job with a damaged record", func(f *adoptionFacts) { f.damaged = true }, RecordDamaged},
 		{"a job in memory", func(f *adoptionFacts) { f.accepted = true }, AlreadyInMemory},
-		{"a job that is over, in memory", func(f *adoptionFacts) { f.accepted, f.ended = true, true }, AlreadyInMemory},
-		{"a job that is over, archived", func(f *adoptionFacts) { f.ended = true }, JobEnded},
+		{"a job that is over, in memory", func(f *adoptionFacts) { f.accepted, f.terminal = true, true }, AlreadyInMemory},
+		{"a job that is over, archived", func(f *adoptionFacts) { f.terminal = true }, JobEnded},
 		{"a read from before what is remembered", func(f *adoptionFacts) { f.archivedCovered = false }, ReadOutdated},
 	}
 	for _, tc := range cases {
--- a/scheduler/allocation.go
+++ b/scheduler/allocation.go
@@ -84,7 +84,7 @@
 	if alloc.job.allocations[alloc.task] != alloc {
 		return
 	}
-	s.evidence.proofs[proof]++
+	s.releaseStats.proofs[proof]++
 	slog.Debug("allocation released", "task", alloc.key, "attempt", alloc.attempt, "machine", alloc.machine.Name,
 		"incarnation", alloc.machine.Incarnation, "seq", alloc.machine.Seq, "term", s.term, "proof", proof)
 	s.removeAllocation(alloc)
@@ -117,8 +117,8 @@
 	s.updateFreeResources(machine)
 }
 
-// loseTask releases an allocation and requeues its task. The proof is logged. s.mu must be held.
-func (s *Scheduler) loseTask(alloc *allocation, proof releaseProof) {
+// releaseAndRequeue releases an allocation and requeues its task. The proof is logged. s.mu must be held.
+func (s *Scheduler) releaseAndRequeue(alloc *allocation, proof releaseProof) {
 	slog.Info("task lost", "task", alloc.key, "machine", alloc.machine.Name, "attempt", alloc.attempt, "why", proof)
 	s.releaseAllocation(alloc, proof)
 	s.requeue(alloc.job, alloc.task)
--- a/scheduler/allocation_test.go
+++ b/scheduler/allocation_test.go
@@ -25,7 +25,7 @@
 func TestUnansweredStartStaysOnItsMachine(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", start.response, nil, false)
+	h.HandleCommandOutcome("a1", start.response, nil, false)
 	h.heartbeat("b1", 1)
 	for range 5 {
 		h.clock.Advance(time.Second)
@@ -53,7 +53,7 @@
 	if hasCommand(response, api.CommandClear, "run-000001/0") {
 		t.Fatal("the attempt was cleared while its start was unanswered")
 	}
-	h.CommandsAnswered("a1", start.response, nil, true)
+	h.HandleCommandOutcome("a1", start.response, nil, true)
 	if response = h.heartbeat("a1", 1, taskReport("run-000001/0", attempt, api.TaskExited, api.CauseStopped)); !hasCommand(response, api.CommandClear, "run-000001/0") {
 		t.Error("the attempt was not cleared after the start was answered")
 	}
@@ -74,7 +74,7 @@
 
 	h = newHarness(t)
 	start := h.submitAndStart("run-000002")
-	h.CommandsAnswered("a1", start.response, nil, false)
+	h.HandleCommandOutcome("a1", start.response, nil, false)
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
 	if response := h.heartbeat("a1", 1); hasCommand(response, api.CommandRun, "run-000002/0") {
@@ -155,7 +155,7 @@
 		}
 		if answered {
 			heartbeat := &api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: h.nextSeq("a1"), Term: h.term, Tasks: []api.TaskReport{taskReport(alloc.key, alloc.attempt, api.TaskRunning, "")}}
-			h.CommandsAnswered("a1", start.response, heartbeat, true)
+			h.HandleCommandOutcome("a1", start.response, heartbeat, true)
 		} else {
 			h.clock.Advance(tuning.CancelStartTimeout)
 		}
--- a/scheduler/attempt_evidence.go
+++ b/scheduler/attempt_evidence.go
@@ -21,7 +21,7 @@
 func (s *Scheduler) LogReleases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.evidence.log(s.term)
+	s.releaseStats.log(s.term)
 }
 
 // log writes the counts as one line.
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -22,7 +22,7 @@
 			reportReachable()
 			for _, n := range partitioned {
 				var runs []api.TaskReport
-				for _, alloc := range h.machineNamed(n).allocations {
+				for _, alloc := range h.getOrAddMachine(n).allocations {
 					runs = append(runs, taskReport(alloc.key, alloc.attempt, api.TaskRunning, ""))
 				}
 				h.heartbeat(n, 1, runs...)
--- a/scheduler/command_relay.go
+++ b/scheduler/command_relay.go
@@ -39,7 +39,7 @@
 	if _, released := s.releasedAt[heartbeat.Machine]; released {
 		return
 	}
-	machine := s.machineNamed(heartbeat.Machine)
+	machine := s.getOrAddMachine(heartbeat.Machine)
 	if !s.acceptHeartbeat(machine, heartbeat, member, true) || !machine.Newer(heartbeat) || !s.loaded {
 		return
 	}
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -67,7 +67,7 @@
 		h := newHarness(t)
 		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 		limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimit: exchange.WriteRate(limits), State: limits})
+		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 		workerName := func(i int) string { return fmt.Sprintf("b%04d", i) }
 		startedOn := map[string]string{}
 		seq := uint64(0)
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if !alloc.starts.isEmpty() {
-		s.evidence.stopsCrossed++
+		s.releaseStats.stopsCrossed++
 	}
 	s.pushCommands(alloc.machine)
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// sendDirectly sends commands to a worker; CommandsAnswered handles the outcome. No other direct command may be in
+// sendDirectly sends commands to a worker; HandleCommandOutcome handles the outcome. No other direct command may be in
 // flight to the worker. s.mu must be held.
 func (s *Scheduler) sendDirectly(machine *machineState, commands []api.Command) {
 	machine.commandInFlight = true
@@ -163,10 +163,10 @@
 	}
 }
 
-// CommandsAnswered handles the outcome of a call of SendCommands with the response sent. heartbeat is the worker's
+// HandleCommandOutcome handles the outcome of a call of SendCommands with the response sent. heartbeat is the worker's
 // answer, or nil if there was none. settled means that no command of the request can be executed from now on, because
 // the worker answered or the request was never sent; otherwise the commands may still be executed at any time.
-func (s *Scheduler) CommandsAnswered(name string, sent api.HeartbeatResponse, heartbeat *api.Heartbeat, settled bool) {
+func (s *Scheduler) HandleCommandOutcome(name string, sent api.HeartbeatResponse, heartbeat *api.Heartbeat, settled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	machine := s.machines[name]
--- a/scheduler/dataset_views.go
+++ b/scheduler/dataset_views.go
@@ -24,12 +24,12 @@
 	Name  string `json:"name"`
 	Bytes int64  `json:"bytes"`
 	Parts int    `json:"parts"`
-	// Whole is the number of machines that hold all parts.
-	Whole int `json:"machines_whole"`
-	// Some is the number of machines that hold at least one part.
-	Some int `json:"machines_some"`
-	// Nowhere is the number of parts that no machine holds.
-	Nowhere int `json:"parts_nowhere"`
+	// CompleteHolders is the number of machines that hold all parts.
+	CompleteHolders int `json:"machines_whole"`
+	// AnyHolders is the number of machines that hold at least one part.
+	AnyHolders int `json:"machines_some"`
+	// PartsWithoutHolder is the number of parts that no machine holds.
+	PartsWithoutHolder int `json:"parts_nowhere"`
 	// State is empty, "removing" or "removed".
 	State string `json:"state,omitempty"`
 	// Jobs is the number of known jobs that have the dataset as an input.
@@ -38,16 +38,16 @@
 
 // CopyView is the view of one copy in progress for operators.
 type CopyView struct {
-	Machine string `json:"machine"`
-	Dataset string `json:"dataset"`
-	Part    int    `json:"part"`
-	Got     int64  `json:"bytes_got"`
-	Of      int64  `json:"bytes"`
-	From    string `json:"from"`
-	// Failed maps each source that did not deliver the part to the reason.
-	Failed map[string]string `json:"failed,omitempty"`
-	// Full is true if the machine's cache has no space for the part.
-	Full bool `json:"cache_full,omitempty"`
+	Machine     string `json:"machine"`
+	Dataset     string `json:"dataset"`
+	Part        int    `json:"part"`
+	CopiedBytes int64  `json:"bytes_got"`
+	TotalBytes  int64  `json:"bytes"`
+	Source      string `json:"from"`
+	// FailedSources maps each source that did not deliver the part to the reason.
+	FailedSources map[string]string `json:"failed,omitempty"`
+	// CacheFull is true if the machine's cache has no space for the part.
+	CacheFull bool `json:"cache_full,omitempty"`
 }
 
 // Datasets returns the view of datasets, the machines that hold them, and the copies in progress. It returns false if
@@ -76,14 +76,14 @@
 	view = DataView{Datasets: s.datasetViews(snapshot), Copies: []CopyView{}, Waiting: s.inputWaitingViews()}
 	for _, transfer := range s.datasets.planner.Copies() {
 		view.Copies = append(view.Copies, CopyView{
-			Machine: transfer.Machine,
-			Dataset: transfer.Dataset,
-			Part:    transfer.Part,
-			Got:     transfer.Got,
-			Of:      transfer.Of,
-			From:    transfer.From[0].String(),
-			Failed:  transfer.Failed,
-			Full:    transfer.Full,
+			Machine:       transfer.Machine,
+			Dataset:       transfer.Dataset,
+			Part:          transfer.Part,
+			CopiedBytes:   transfer.Got,
+			TotalBytes:    transfer.Of,
+			Source:        transfer.From[0].String(),
+			FailedSources: transfer.Failed,
+			CacheFull:     transfer.Full,
 		})
 	}
 	return view, snapshot, true
@@ -127,14 +127,14 @@
 	for part := range v.Parts {
 		holders := snapshot.Holders(v.Name, part)
 		if len(holders) == 0 {
-			v.Nowhere++
+			v.PartsWithoutHolder++
 		}
 		for _, machine := range holders {
 			holdersOfAny.Add(uint32(machine))
 		}
 	}
-	v.Whole = len(snapshot.Complete(v.Name))
-	v.Some = int(holdersOfAny.GetCardinality())
+	v.CompleteHolders = len(snapshot.Complete(v.Name))
+	v.AnyHolders = int(holdersOfAny.GetCardinality())
 }
 
 // logDatasets logs the backlog and progress of staging. It does nothing if datasets are off. s.mu must be held.
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -19,7 +19,7 @@
 	rng := rand.New(rand.NewPCG(11, uint64(machines)))
 	parts := 10 * machines
 	set := &dataset.Summary{Name: "chunks", Bytes: int64(parts) * 64e6, Parts: parts, Usual: 64e6}
-	h := &dataHarness{harness: newHarness(t), place: features.Staged, agents: map[string]*fakeAgent{}}
+	h := &dataHarness{harness: newHarness(t), placement: features.Staged, agents: map[string]*fakeAgent{}}
 	h.enable()
 	h.AddDatasets(&dataset.Entry{Summary: *set})
 	heldParts := make([]*roaring.Bitmap, machines)
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -20,19 +20,19 @@
 // dataHarness is a leader with datasets on and simulated data agents.
 type dataHarness struct {
 	*harness
-	place  string
-	agents map[string]*fakeAgent
+	placement string
+	agents    map[string]*fakeAgent
 }
 
 func newDataHarness(t *testing.T, placement string) *dataHarness {
-	h := &dataHarness{harness: newHarness(t), place: placement, agents: map[string]*fakeAgent{}}
+	h := &dataHarness{harness: newHarness(t), placement: placement, agents: map[string]*fakeAgent{}}
 	h.enable()
 	return h
 }
 
 // enable turns datasets on in the current term.
 func (h *dataHarness) enable() {
-	h.UseData(features.Data{On: true, Placement: h.place, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
+	h.UseData(features.Data{On: true, Placement: h.placement, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
 	h.sendStageOrder = func(name string, o api.StageOrder) {
 		if agent := h.agents[name]; agent != nil {
 			agent.apply(o)
@@ -488,7 +488,7 @@
 func TestConfigurationSetsAheadTasks(t *testing.T) {
 	h := newDataHarness(t, features.Staged)
 	for _, ahead := range []int{9, 5} {
-		active := configured(t, "")
+		active := parseConfiguration(t, "")
 		active.AheadTasks = &ahead
 		h.ApplyConfiguration(active)
 		if h.datasets.settings.Ahead != ahead {
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -98,7 +98,7 @@
 			}
 		}
 		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
-		awaiting(awaited...)(&sub)
+		dependingOn(awaited...)(&sub)
 		r.Submit(cancelledContext(), &sub, r.clock.Now())
 		r.commit()
 		r.ids, r.dependenciesOf[id] = append(r.ids, id), awaited
@@ -137,7 +137,7 @@
 	r.committer.Step(context.Background())
 	r.answerCommands()
 	r.running = nil
-	for key, alloc := range r.machineNamed("a1").allocations {
+	for key, alloc := range r.getOrAddMachine("a1").allocations {
 		if alloc.committed {
 			// Each task completes as soon as it has started.
 			r.running = append(r.running, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -23,7 +23,7 @@
 	h.submit("run-000001", 1, func(x *api.Submission) { smallJob(x); x.Rank = "low" })
 	h.submit("run-000002", 4, func(x *api.Submission) { x.Awaits, x.Rank = []string{"run-000001"}, "low" })
 	h.submit("run-000003", 1, func(x *api.Submission) {
-		awaiting("run-000002")(x)
+		dependingOn("run-000002")(x)
 		x.Rank, x.EstimateS, x.DeadlineS, x.ImageGB = "prod", 10, 200, 0
 	})
 	h.sortQueues()
@@ -52,7 +52,7 @@
 func (h *harness) records() *lookup.Jobs {
 	states := lookup.NewTerminalStates()
 	unlimited := rate.NewLimiter(rate.Inf, 1)
-	return &lookup.Jobs{Client: store.NewClient("state:1", h.state), Recall: states.Get, Remember: states.Remember, Queue: lookup.NewFairQueue(h.clock, unlimited)}
+	return &lookup.Jobs{Client: store.NewClient("state:1", h.state), CachedFinal: states.Get, CacheFinal: states.Remember, Queue: lookup.NewFairQueue(h.clock, unlimited)}
 }
 
 // statusOnRecord returns the status of a job according to the stored records.
@@ -75,7 +75,7 @@
 func TestDependentStartsAfterCompletionIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
-	h.submit("run-000002", 1, awaiting("run-000001"))
+	h.submit("run-000002", 1, dependingOn("run-000001"))
 	if h.status("run-000002") != api.Pending || h.usage["t"].CPUs != 0 || !h.jobs["run-000002"].waitsForDependencies {
 		t.Fatal("the dependant does not wait for its dependency")
 	}
@@ -118,7 +118,7 @@
 			if i > 10 {
 				awaited = []string{"run-000001", "run-000010"}
 			}
-			h.submit(fmt.Sprintf("run-%06d", i), 1, awaiting(awaited...))
+			h.submit(fmt.Sprintf("run-%06d", i), 1, dependingOn(awaited...))
 		}
 		h.Cancel(cancelledContext(), "run-000000")
 		h.committer.Step(context.Background())
@@ -168,7 +168,7 @@
 	h := newHarness(t)
 	h.submit("run-000000", 1, smallJob)
 	for i := 1; i <= 1000; i++ {
-		h.submit(fmt.Sprintf("run-%06d", i), 1, awaiting("run-000000"))
+		h.submit(fmt.Sprintf("run-%06d", i), 1, dependingOn("run-000000"))
 	}
 	h.Cancel(cancelledContext(), "run-000000")
 	h.committer.Step(context.Background())
@@ -187,7 +187,7 @@
 func TestCancelOfDoneJobDoesNotCancelDependants(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
-	h.submit("run-000002", 1, awaiting("run-000001"))
+	h.submit("run-000002", 1, dependingOn("run-000001"))
 	h.complete("run-000001", "a1")
 	if response, ok := h.Cancel(cancelledContext(), "run-000001"); ok {
 		t.Fatalf("%d %s: the job is still in memory", response.Status, response.Body)
--- a/scheduler/failure_detection_test.go
+++ b/scheduler/failure_detection_test.go
@@ -164,7 +164,7 @@
 	h.heartbeat("a2", 1)
 	loseCommands := func(n int) {
 		for range n {
-			h.CommandsAnswered("a1", api.HeartbeatResponse{Term: h.term}, nil, true)
+			h.HandleCommandOutcome("a1", api.HeartbeatResponse{Term: h.term}, nil, true)
 		}
 	}
 	sendThroughPeer := func() { h.heartbeatThrough("n1", "a1"); h.heartbeatThrough("n1", "a2") }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -46,7 +46,7 @@
 		s.fleetLoggedAt = now
 		s.logDatasets()
 		s.logFleet()
-		s.evidence.log(s.term)
+		s.releaseStats.log(s.term)
 	}
 	maps.DeleteFunc(s.releasedAt, func(_ string, at time.Time) bool { return now.Sub(at) > releasedNameRetention })
 	return released
@@ -247,7 +247,7 @@
 		}
 		s.releasedAt[name] = s.now()
 		for _, alloc := range machine.allocations {
-			s.loseTask(alloc, proofReleased)
+			s.releaseAndRequeue(alloc, proofMachineReleased)
 		}
 		s.forgetMachine(machine)
 	}
@@ -265,7 +265,7 @@
 			continue
 		}
 		_, known := s.machines[instance.Name]
-		machine := s.machineNamed(instance.Name)
+		machine := s.getOrAddMachine(instance.Name)
 		if !known {
 			machine.RequestedAt = now.Add(-settings.Seconds(instance.AgeS))
 			slog.Info("machine listed", "machine", instance.Name, "type", instance.Type, "zone", instance.Zone, "state", instance.State)
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -32,9 +32,9 @@
 	// sendStageOrder simulates the agents; it must be set if datasets are enabled.
 	sendStageOrder func(machine string, order api.StageOrder)
 	// seq holds each machine's newest sequence number.
-	seq             map[string]uint64
-	unreachableZone string
-	answered        int
+	seq              map[string]uint64
+	unreachableZone  string
+	answeredCommands int
 	// topologyMap is the configured topology; nil if there is none.
 	topologyMap *topology.Map
 	// limits holds the limits of the state service in the settings; only Next is used.
@@ -63,7 +63,7 @@
 		{Name: "left", CPUs: 900, CPUsMax: 3000}, {Name: "right", CPUs: 1200, CPUsMax: 3000}}
 	term := h.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	client := store.NewClient("state:1", h.state)
-	h.leading, h.sent, h.answered, h.terminalStates = true, nil, 0, map[string]store.FinalRecord{}
+	h.leading, h.sent, h.answeredCommands, h.terminalStates = true, nil, 0, map[string]store.FinalRecord{}
 	fakes := harnessCollaborators{h}
 	collaborators := Collaborators{Records: fakes, Sender: fakes, Leadership: fakes, Zones: fakes, TerminalStates: fakes}
 	h.Scheduler = New(term, h.clock, memberSettings, policy.Default(), testTypes, collaborators)
@@ -242,8 +242,8 @@
 
 // answerCommands settles every direct command that was not answered yet, without a heartbeat.
 func (h *harness) answerCommands() {
-	for ; h.answered < len(h.sent); h.answered++ {
-		h.CommandsAnswered(h.sent[h.answered].machine, h.sent[h.answered].response, nil, true)
+	for ; h.answeredCommands < len(h.sent); h.answeredCommands++ {
+		h.HandleCommandOutcome(h.sent[h.answeredCommands].machine, h.sent[h.answeredCommands].response, nil, true)
 	}
 }
 
@@ -316,15 +316,15 @@
 	sent := h.sent
 	h.sent = nil
 	for _, message := range sent {
-		h.CommandsAnswered(message.machine, message.response, nil, true)
+		h.HandleCommandOutcome(message.machine, message.response, nil, true)
 	}
 	for name, tasks := range runningOn {
 		h.heartbeat(name, 1, tasks...)
 	}
 }
 
-// again sends a heartbeat with the same task list as the worker's last one.
-func (h *harness) again(name string) {
+// repeatHeartbeat sends a heartbeat with the same task list as the worker's last one.
+func (h *harness) repeatHeartbeat(name string) {
 	var tasks []api.TaskReport
 	for _, report := range h.machines[name].Attempts {
 		tasks = append(tasks, report)
@@ -368,27 +368,29 @@
 	h.heartbeat(machine, 1)
 }
 
-// awaiting returns a change of a submission to a small job that depends on others.
-func awaiting(ids ...string) func(*api.Submission) {
+// dependingOn returns a change of a submission to a small job that depends on others.
+func dependingOn(ids ...string) func(*api.Submission) {
 	return func(submission *api.Submission) {
 		submission.Awaits, submission.CPUs, submission.MemoryGB = ids, 0.1, 0.1
 	}
 }
 
 // smallJob changes a submission to a small job without dependencies.
-var smallJob = awaiting()
+var smallJob = dependingOn()
 
-// configured parses a configuration and applies it over the default one.
-func configured(t *testing.T, text string) *configuration.Active {
+// parseConfiguration parses a configuration and applies it over the default one.
+func parseConfiguration(t *testing.T, text string) *configuration.Active {
 	t.Helper()
 	document, err := configuration.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return document.Over(configuration.FromFiles(nil, policy.Default()), 3)
+	return document.Overlay(configuration.FromFiles(nil, policy.Default()), 3)
 }
 
-func oneTeam(limit string) string { return "[[teams]]\nname = \"t\"\ncpus_max = " + limit + "\n" }
+func oneTeamConfiguration(limit string) string {
+	return "[[teams]]\nname = \"t\"\ncpus_max = " + limit + "\n"
+}
 
 // mustJSON encodes a value as JSON, as in a stored record.
 func mustJSON(t *testing.T, value any) []byte {
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -54,7 +54,7 @@
 func TestImagesRecordFitsValueLimit(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.MaxImagesRecordMachines {
-		machine := h.machineNamed(fmt.Sprintf("n-%06d", i))
+		machine := h.getOrAddMachine(fmt.Sprintf("n-%06d", i))
 		for k := range 40 {
 			machine.RecordImage(strings.Repeat("<", 2)+strings.Repeat("x", 30)+fmt.Sprint(i*40+k), 1234.567891234567)
 		}
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -46,15 +46,15 @@
 		w.released = append(w.released, h.MaintainFleet()...)
 		h.Place()
 		h.commit()
-		for ; h.answered < len(h.sent); h.answered++ {
-			message := h.sent[h.answered]
+		for ; h.answeredCommands < len(h.sent); h.answeredCommands++ {
+			message := h.sent[h.answeredCommands]
 			w.countStarts(message.machine, message.response.Commands)
 			if w.workers[message.machine] == nil {
-				h.CommandsAnswered(message.machine, message.response, nil, false)
+				h.HandleCommandOutcome(message.machine, message.response, nil, false)
 				continue
 			}
 			heartbeat, _ := w.workers[message.machine].Direct(message.response)
-			h.CommandsAnswered(message.machine, message.response, heartbeat, true)
+			h.HandleCommandOutcome(message.machine, message.response, heartbeat, true)
 		}
 	}
 }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -64,8 +64,8 @@
 	refusedUntil time.Time
 }
 
-// machineNamed returns the machine with a name, and adds it if it is not known. s.mu must be held.
-func (s *Scheduler) machineNamed(name string) *machineState {
+// getOrAddMachine returns the machine with a name, and adds it if it is not known. s.mu must be held.
+func (s *Scheduler) getOrAddMachine(name string) *machineState {
 	machine := s.machines[name]
 	if machine == nil {
 		machine = &machineState{
@@ -79,7 +79,7 @@
 		s.machinesByName = nil
 		if len(name) > s.longestName {
 			if s.longestName = len(name); s.currentFormat && s.loaded {
-				s.fitShards()
+				s.updateShardSize()
 			}
 		}
 	}
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -57,7 +57,7 @@
 			reports = append(reports, r)
 		}
 	}
-	h.again("a1")
+	h.repeatHeartbeat("a1")
 	h.heartbeat("a2", 1, reports...)
 	h.Place()
 	if alloc := h.jobs["run-000002"].allocations[0]; alloc == nil || alloc.machine.Name != "a2" {
@@ -124,7 +124,7 @@
 	for range 8 {
 		h.clock.Advance(time.Second)
 		for i := range 3 {
-			h.again(fmt.Sprintf("a%d", i))
+			h.repeatHeartbeat(fmt.Sprintf("a%d", i))
 		}
 		h.Place()
 	}
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -37,17 +37,17 @@
 		h.Place()
 		h.commit()
 		h.Committed()
-		for ; h.answered < len(h.sent); h.answered++ {
-			message := h.sent[h.answered]
+		for ; h.answeredCommands < len(h.sent); h.answeredCommands++ {
+			message := h.sent[h.answeredCommands]
 			unreachable := false
 			for _, name := range w.names {
 				unreachable = unreachable || name == message.machine
 			}
 			if unreachable {
 				w.countStarts(message.response.Commands)
-				h.CommandsAnswered(message.machine, message.response, nil, false)
+				h.HandleCommandOutcome(message.machine, message.response, nil, false)
 			} else {
-				h.CommandsAnswered(message.machine, message.response, nil, true)
+				h.HandleCommandOutcome(message.machine, message.response, nil, true)
 			}
 		}
 		released = append(released, h.MaintainFleet()...)
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -53,8 +53,8 @@
 // isEmpty reports whether no start can arrive any more on any path.
 func (p *pendingStarts) isEmpty() bool { return *p == pendingStarts{} }
 
-// noneButRelayed reports whether no start can arrive any more except through a relay.
-func (p *pendingStarts) noneButRelayed() bool { return p.direct == 0 && p.responseSeq == 0 }
+// emptyExceptRelayed reports whether no start can arrive any more except through a relay.
+func (p *pendingStarts) emptyExceptRelayed() bool { return p.direct == 0 && p.responseSeq == 0 }
 
 // attemptState is what this leader knows about an attempt that has not exited. Scheduler.mu guards it.
 type attemptState struct {
@@ -82,7 +82,7 @@
 	proofNoLongerReported releaseProof = "the worker no longer has it"
 	proofNeverArrived     releaseProof = "an earlier leader's start never arrived"
 	proofStopped          releaseProof = "stopped before it started"
-	proofReleased         releaseProof = "its machine is gone"
+	proofMachineReleased  releaseProof = "its machine is gone"
 )
 
 // absence is what a heartbeat that does not list an attempt proves.
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// topologyView is the scheduler's state of the topology domains. Scheduler.mu guards it.
-type topologyView struct {
+// topologyState is the scheduler's state of the topology domains. Scheduler.mu guards it.
+type topologyState struct {
 	tree *topology.Tree
 	// loggedUnlisted is the last logged number of machines in no domain.
 	loggedUnlisted int
@@ -24,7 +24,7 @@
 // UseTopology sets the topology, so that the near and survive constraints of jobs are applied. It must be called before
 // the records are loaded.
 func (s *Scheduler) UseTopology(topologyMap *topology.Map) {
-	s.topology = &topologyView{tree: topology.NewTree(topologyMap)}
+	s.topology = &topologyState{tree: topology.NewTree(topologyMap)}
 }
 
 // ReplaceTopology switches to another version of the topology. Running tasks are not moved; they count for the domains
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -19,7 +19,7 @@
 	h.submit("run-000001", 2, nil)
 	h.Place()
 	h.commit()
-	h.CommandsAnswered("a1", h.sent[0].response, nil, true)
+	h.HandleCommandOutcome("a1", h.sent[0].response, nil, true)
 	var runningTasks []api.TaskReport
 	for i := range 2 {
 		runningTasks = append(runningTasks, taskReport(taskKey("run-000001", i), h.starts(taskKey("run-000001", i))[0].response.Commands[0].Attempt, api.TaskRunning, ""))
@@ -124,7 +124,7 @@
 			h.settleStarts()
 			h.clock.Advance(time.Duration(rnd.IntN(1900)) * time.Millisecond)
 			for k := range 25 {
-				h.again(fmt.Sprintf("a%03d", k))
+				h.repeatHeartbeat(fmt.Sprintf("a%03d", k))
 			}
 		}
 		h.submit("run-900000", 30, func(x *api.Submission) { x.Team, x.Rank, x.CPUs, x.MemoryGB = "left", "high", 2, 3 })
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -63,7 +63,7 @@
 // configuration has over_limit.running set to stop. s.mu must be held.
 func (s *Scheduler) stopOverLimit() {
 	overLimit := s.configuration.OverLimit
-	if overLimit.Running != configuration.Stop {
+	if overLimit.Running != configuration.StopRunning {
 		return
 	}
 	for _, team := range s.configuration.Teams() {
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -73,7 +73,7 @@
 	for range 8 {
 		h.clock.Advance(time.Second)
 		for i := range 3 {
-			h.again(fmt.Sprintf("a%d", i))
+			h.repeatHeartbeat(fmt.Sprintf("a%d", i))
 		}
 		h.Place()
 	}
@@ -122,7 +122,7 @@
 func TestLimitLoweredBelowUsage(t *testing.T) {
 	for _, stop := range []bool{false, true} {
 		h := newHarness(t)
-		h.configuration = configured(t, oneTeam("40"))
+		h.configuration = parseConfiguration(t, oneTeamConfiguration("40"))
 		h.heartbeat("a1", 1)
 		h.submit("run-000001", 2, func(x *api.Submission) { smallJob(x); x.Team, x.CPUs, x.Rank = "t", 1, "low" })
 		h.submit("run-000002", 2, func(x *api.Submission) { smallJob(x); x.Team, x.CPUs = "t", 1 })
@@ -135,11 +135,11 @@
 				running++
 			}
 		}
-		text := oneTeam("2")
+		text := oneTeamConfiguration("2")
 		if stop {
 			text = "[over_limit]\nrunning = \"stop\"\nstop_within_s = 1\n" + text
 		}
-		h.ApplyConfiguration(configured(t, text))
+		h.ApplyConfiguration(parseConfiguration(t, text))
 		h.submit("run-000003", 1, func(x *api.Submission) { smallJob(x); x.Team, x.CPUs = "t", 1 })
 		h.MaintainFleet()
 		h.Place()
@@ -160,8 +160,8 @@
 		if x, _ := h.Explain("run-000003"); !strings.Contains(strings.Join(x.Why, " "), "as much as its limit allows") {
 			t.Errorf("explained by %v", x.Why)
 		}
-		for text, why := range map[string]string{oneTeam("0.5"): "more at once than the limit of team t allows since revision 3", "[[teams]]\nname = \"u\"\n": "team t is not in the configuration any more (revision 3)"} {
-			h.ApplyConfiguration(configured(t, text))
+		for text, why := range map[string]string{oneTeamConfiguration("0.5"): "more at once than the limit of team t allows since revision 3", "[[teams]]\nname = \"u\"\n": "team t is not in the configuration any more (revision 3)"} {
+			h.ApplyConfiguration(parseConfiguration(t, text))
 			if x, ok := h.Explain("run-000003"); !ok || !strings.Contains(strings.Join(x.Why, " "), why) {
 				t.Errorf("explained by %v", x.Why)
 			}
@@ -173,12 +173,12 @@
 // Otherwise nothing could confirm that it is gone, and it would count towards the limit for the rest of the term.
 func TestUnansweredStartsAreNotStoppedForALimit(t *testing.T) {
 	h := newHarness(t)
-	h.configuration = configured(t, oneTeam("40"))
+	h.configuration = parseConfiguration(t, oneTeamConfiguration("40"))
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, func(x *api.Submission) { smallJob(x); x.Team, x.CPUs = "t", 1 })
 	h.Place()
 	h.commit()
-	h.ApplyConfiguration(configured(t, "[over_limit]\nrunning = \"stop\"\n"+oneTeam("1")))
+	h.ApplyConfiguration(parseConfiguration(t, "[over_limit]\nrunning = \"stop\"\n"+oneTeamConfiguration("1")))
 	h.MaintainFleet()
 	stopped := func(then func(alloc *allocation)) (n int) {
 		for _, alloc := range h.jobs["run-000001"].allocations {
@@ -209,11 +209,11 @@
 // they are stored.
 func TestUnstoredStartsAreCounted(t *testing.T) {
 	h := newHarness(t)
-	h.configuration = configured(t, oneTeam("40"))
+	h.configuration = parseConfiguration(t, oneTeamConfiguration("40"))
 	h.heartbeat("a1", 1)
 	h.submit("run-000001", 2, func(x *api.Submission) { smallJob(x); x.Team, x.CPUs = "t", 1 })
 	h.Place()
-	unstoredStarts := h.ApplyConfiguration(configured(t, oneTeam("2")))
+	unstoredStarts := h.ApplyConfiguration(parseConfiguration(t, oneTeamConfiguration("2")))
 	if n := unstoredStarts(); n != 2 {
 		t.Fatalf("%d starts are not stored, want 2", n)
 	}
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -45,7 +45,7 @@
 		// docs/design.md).
 		return response, false, true
 	}
-	machine := s.machineNamed(heartbeat.Machine)
+	machine := s.getOrAddMachine(heartbeat.Machine)
 	if !s.acceptHeartbeat(machine, heartbeat, via, false) {
 		// A late copy proves nothing. If a worker waits for the response, it renews the worker's lease and nothing
 		// else.
@@ -202,7 +202,7 @@
 	exit := &exitedAttempt{starts: alloc.starts, incarnation: machine.Incarnation, stored: cause != api.CauseDone}
 	machine.exited[alloc.attemptID()] = exit
 	if !exit.starts.isEmpty() {
-		s.evidence.exitsCrossed++
+		s.releaseStats.exitsCrossed++
 	}
 	slog.Debug("task ended", "task", alloc.key, "attempt", alloc.attempt, "machine", machine.Name, "cause", cause,
 		"unanswered_starts", alloc.starts.direct, "start_in_response_to", alloc.starts.responseSeq, "start_relayed_up_to", alloc.starts.relayedSeq)
@@ -252,12 +252,12 @@
 	verdict, proof := alloc.judgeAbsence(workerState{seenTerm: machine.Term == s.term, incarnation: machine.Incarnation})
 	switch verdict {
 	case absenceProven:
-		s.loseTask(alloc, proof)
+		s.releaseAndRequeue(alloc, proof)
 	case absenceStartLost:
 		alloc.runSent = false
 	case absenceInconclusive:
 		if !alloc.starts.isEmpty() {
-			s.evidence.absencesCrossed++
+			s.releaseStats.absencesCrossed++
 		}
 	}
 }
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -15,7 +15,7 @@
 func TestNewIncarnationProvesTasksLost(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", start.response, nil, false)
+	h.HandleCommandOutcome("a1", start.response, nil, false)
 	h.heartbeat("a1", 2)
 	h.Place()
 	h.commit()
@@ -34,7 +34,7 @@
 func TestLateHeartbeatChangesNothing(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", start.response, nil, true)
+	h.HandleCommandOutcome("a1", start.response, nil, true)
 	h.heartbeatAt("a1", 1, 50, h.term, taskReport("run-000001/0", start.response.Commands[0].Attempt, api.TaskRunning, ""))
 	if response := h.heartbeatAt("a1", 1, 40, h.term); len(response.Commands) != 0 {
 		t.Errorf("commands in the response to a late heartbeat: %+v", response.Commands)
@@ -87,7 +87,7 @@
 func TestTasksSurviveStateServiceOutage(t *testing.T) {
 	h := newHarness(t)
 	start := h.submitAndStart("run-000001")
-	h.CommandsAnswered("a1", start.response, nil, true)
+	h.HandleCommandOutcome("a1", start.response, nil, true)
 	h.submit("run-000002", 1, nil)
 	h.Place()
 	h.leading = false
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -103,7 +103,7 @@
 	first, end := shard.Range(job.taskCount)
 	for task := first; task < end; task++ {
 		if alloc := job.allocations[task]; alloc != nil {
-			record.On = append(record.On, store.PlacedTask{Task: task, Machine: alloc.machine.Name, Attempt: alloc.attempt})
+			record.Placed = append(record.Placed, store.PlacedTask{Task: task, Machine: alloc.machine.Name, Attempt: alloc.attempt})
 		}
 	}
 	return recordContent{value: record, exists: true}
@@ -160,7 +160,7 @@
 		s.resumeTermination(job)
 	}
 	if s.currentFormat {
-		s.fitShards()
+		s.updateShardSize()
 	}
 	s.loaded = true
 	s.wakePlacer()
@@ -238,7 +238,7 @@
 // s.mu must be held.
 func (s *Scheduler) restoreAllocations(job *jobState, placed map[int]store.PlacedTask) {
 	for _, task := range slices.Sorted(maps.Keys(placed)) {
-		alloc := s.allocate(job, task, s.machineNamed(placed[task].Machine), placed[task].Attempt)
+		alloc := s.allocate(job, task, s.getOrAddMachine(placed[task].Machine), placed[task].Attempt)
 		alloc.committed, alloc.runSent = true, true
 		job.lastStart = s.now()
 	}
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -19,7 +19,7 @@
 	h.submit("run-000001", api.MaxTasks, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Team = 0.01, 0.01, "t" })
 	h.mu.Lock()
 	job := h.jobs["run-000001"]
-	machine := h.machineNamed("n-999999")
+	machine := h.getOrAddMachine("n-999999")
 	for i := range api.MaxTasks {
 		h.allocate(job, i, machine, h.nextAttempt()+1<<40)
 		h.markShardDirty(job, i, nil)
@@ -177,7 +177,7 @@
 				bitmap.Set(i)
 			}
 			shard := store.Shard{Job: "run-000001", Index: index, Size: size}
-			h.state.Put(shard.Key(), store.ShardRecord{Done: bitmap.Pack(shard), On: placed})
+			h.state.Put(shard.Key(), store.ShardRecord{Done: bitmap.Pack(shard), Placed: placed})
 		}
 		writeOlder := func() {
 			put(400, 0, []int{3}, store.PlacedTask{Task: 1, Machine: "a1", Attempt: 5}, store.PlacedTask{Task: 50, Machine: "a1", Attempt: 6}, store.PlacedTask{Task: 2, Machine: "a1", Attempt: 7})
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -55,7 +55,7 @@
 	s.mu.Lock()
 	job := s.jobs[submission.ID]
 	isNew := job == nil
-	if isNew && s.knowsEnd(submission.ID) {
+	if isNew && s.remembersTerminalState(submission.ID) {
 		s.mu.Unlock()
 		return peer.Response{}, false
 	}
@@ -152,7 +152,7 @@
 // heartbeat has reported yet. Commands relayed through a peer do not count. Scheduler.mu must be held.
 func (j *jobState) hasUnsettledStarts() bool {
 	for _, alloc := range j.allocations {
-		if !alloc.reported && !alloc.starts.noneButRelayed() {
+		if !alloc.reported && !alloc.starts.emptyExceptRelayed() {
 			return true
 		}
 	}
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -295,7 +295,7 @@
 		if _, gone := s.releasedAt[name]; gone {
 			continue
 		}
-		machine := s.machineNamed(name)
+		machine := s.getOrAddMachine(name)
 		if !machine.Up {
 			machine.Type, machine.Zone, machine.Spot, machine.Spec = request.Type, request.Zone, request.Spot, s.machineTypes[request.Type]
 			machine.requestedHere = true
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -101,7 +101,7 @@
 	releasedAt    map[string]time.Time
 	fleetLoggedAt time.Time
 	// topology is nil if no topology is configured.
-	topology *topologyView
+	topology *topologyState
 	// datasets is nil unless datasets are enabled.
 	datasets *datasetState
 	// imageHints holds the images of machines that have not sent a heartbeat yet, as stored by the previous leader;
@@ -121,8 +121,8 @@
 
 	// Commands.
 
-	// evidence counts released allocations by proof, and crossed messages.
-	evidence releaseStats
+	// releaseStats counts released allocations by proof, and crossed messages.
+	releaseStats releaseStats
 	// commandsReady holds the machines whose commands can be sent because the records that they depend on are stored.
 	commandsReady map[*machineState]bool
 	// commandMailboxes holds the commands that are relayed through each peer.
@@ -174,7 +174,7 @@
 		machines:          map[string]*machineState{},
 		releasedAt:        map[string]time.Time{},
 		commandsReady:     map[*machineState]bool{},
-		evidence:          releaseStats{proofs: map[releaseProof]int{}},
+		releaseStats:      releaseStats{proofs: map[releaseProof]int{}},
 		usage:             map[string]fleet.Resources{},
 		stoppingUsage:     map[string]fleet.Resources{},
 		imageHints:        map[string][]fleet.Image{},
@@ -186,7 +186,7 @@
 	scheduler.dependencies = newDependencies(scheduler)
 	scheduler.commandMailboxes = newMailboxes(scheduler, store.RelayResponsePrefix, store.RelayResponseKey, scheduler.relayedCommandBody)
 	scheduler.objectives, scheduler.deadlineMultiples = objectivesByClass(memberSettings.Facts.Objectives)
-	scheduler.SetTypes(machineTypes)
+	scheduler.UpdateMachineTypes(machineTypes)
 	return scheduler
 }
 
@@ -225,8 +225,8 @@
 // LookupNeeded returns a channel that receives a value when UnresolvedDependencies has new entries.
 func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
 
-// SetTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are kept.
-func (s *Scheduler) SetTypes(machineTypes []api.MachineType) {
+// UpdateMachineTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are kept.
+func (s *Scheduler) UpdateMachineTypes(machineTypes []api.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range machineTypes {
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -83,12 +83,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.currentFormat = true
-	s.fitShards()
+	s.updateShardSize()
 }
 
-// fitShards sets s.tasksPerShard to the largest shard size whose records always fit into a value, and rewrites the shard
+// updateShardSize sets s.tasksPerShard to the largest shard size whose records always fit into a value, and rewrites the shard
 // records of other sizes. s.mu must be held.
-func (s *Scheduler) fitShards() {
+func (s *Scheduler) updateShardSize() {
 	s.tasksPerShard = store.ShardSize(s.settings.Facts.State.Least().ValueBytes(), s.longestName)
 	s.reshardAll()
 }
--- a/scheduler/start_under_way_test.go
+++ b/scheduler/start_under_way_test.go
@@ -86,11 +86,11 @@
 
 // deliverCommands delivers all pending direct commands and their answers.
 func (p *simulatedWorkers) deliverCommands() {
-	for h := p.harness; h.answered < len(h.sent); {
-		sent := h.sent[h.answered]
-		h.answered++
+	for h := p.harness; h.answeredCommands < len(h.sent); {
+		sent := h.sent[h.answeredCommands]
+		h.answeredCommands++
 		heartbeat, _ := p.workers[sent.machine].Direct(sent.response)
-		h.CommandsAnswered(sent.machine, sent.response, heartbeat, true)
+		h.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 	}
 }
 
@@ -174,8 +174,8 @@
 	h.submit("run-000001", 1, nil)
 	simulated.place()
 	lost := h.sent[0]
-	h.answered = len(h.sent)
-	h.CommandsAnswered("a1", lost.response, nil, false)
+	h.answeredCommands = len(h.sent)
+	h.HandleCommandOutcome("a1", lost.response, nil, false)
 	simulated.heartbeat("a1")
 	simulated.heartbeat("a1")
 	first := h.jobs["run-000001"].allocations[0]
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -69,7 +69,7 @@
 	case 0, 1, 2, 3, 4:
 		r.sendHeartbeat(name)
 	case 5, 6, 7, 8, 9:
-		r.answer(name)
+		r.handleHeartbeat(name)
 	case 10, 11:
 		r.deliverResponse(name)
 	case 12, 13, 14, 15, 16, 17, 18, 19:
@@ -102,8 +102,8 @@
 	}
 }
 
-// answer makes the leader or the follower handle the heartbeat that a worker has sent.
-func (r *randomStarts) answer(name string) {
+// handleHeartbeat makes the leader or the follower handle the heartbeat that a worker has sent.
+func (r *randomStarts) handleHeartbeat(name string) {
 	sent, h := r.waiting[name], r.harness
 	if sent == nil || sent.response != nil || sent.report.Term > h.term {
 		return
@@ -115,7 +115,7 @@
 	case r.rng.IntN(3) == 0:
 		// The follower forwards the heartbeat to the leader, but answers itself because the leader's response is late.
 		h.HandleHeartbeat(sent.report, "y")
-		response = r.relay.HandleOfferedHeartbeat(sent.report, h.term)
+		response = r.relay.HandleForwardedHeartbeat(sent.report, h.term)
 	default:
 		response = r.relay.HandleHeartbeat(sent.report, h.term)
 		if r.rng.IntN(4) == 0 {
@@ -162,8 +162,8 @@
 func (r *randomStarts) placeAndSend() {
 	h := r.harness
 	r.place()
-	r.commands = append(r.commands, h.sent[h.answered:]...)
-	h.answered = len(h.sent)
+	r.commands = append(r.commands, h.sent[h.answeredCommands:]...)
+	h.answeredCommands = len(h.sent)
 }
 
 // deliverCommand delivers a random direct command to its worker. The answer may be lost, and a command that the leader
@@ -192,7 +192,7 @@
 		settled = true
 	}
 	if sent.response.Term == h.term {
-		h.CommandsAnswered(sent.machine, sent.response, heartbeat, settled)
+		h.HandleCommandOutcome(sent.machine, sent.response, heartbeat, settled)
 	}
 }
 
@@ -274,7 +274,7 @@
 		for len(r.commands) > 0 {
 			sent := r.takeCommand(&r.commands)
 			heartbeat, _ := r.workers[sent.machine].Direct(sent.response)
-			r.harness.CommandsAnswered(sent.machine, sent.response, heartbeat, true)
+			r.harness.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 		}
 		r.harness.clock.Advance(time.Second)
 		done := 0
@@ -342,7 +342,7 @@
 		for range 500 {
 			random.step()
 		}
-		stats := random.harness.evidence
+		stats := random.harness.releaseStats
 		crossed += stats.exitsCrossed + stats.stopsCrossed + stats.absencesCrossed
 		if twice := random.startedTwice(); len(twice) > 0 {
 			t.Fatalf("seed %d: tasks ran on two machines: %v", seed, twice)
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -21,7 +21,7 @@
 	}
 	runningTasks := map[string][]run{}
 	for startedAfter = -1; h.clock.Since(start) < timeout && !stop(); {
-		for h.waiting("s") < 20*machines {
+		for h.waitingTasks("s") < 20*machines {
 			h.submit(fmt.Sprintf("run-%06d", 1000+h.nextSeq("jobs")), 3, func(x *api.Submission) {
 				x.Class, x.CPUs, x.MemoryGB, x.EstimateS, x.DeadlineS = "s", 1, 1, 20, 120
 				modify(x)
@@ -30,14 +30,14 @@
 		h.Place()
 		h.commit()
 		h.Committed()
-		for ; h.answered < len(h.sent); h.answered++ {
-			o := h.sent[h.answered]
+		for ; h.answeredCommands < len(h.sent); h.answeredCommands++ {
+			o := h.sent[h.answeredCommands]
 			for _, c := range o.response.Commands {
 				if c.Verb == api.CommandRun {
 					runningTasks[o.machine] = append(runningTasks[o.machine], run{c.Task, c.Attempt, h.clock.Now().Add(time.Duration(15+c.Attempt*7%11) * time.Second)})
 				}
 			}
-			h.CommandsAnswered(o.machine, o.response, nil, true)
+			h.HandleCommandOutcome(o.machine, o.response, nil, true)
 		}
 		h.clock.Advance(500 * time.Millisecond)
 		for i := range machines {
@@ -61,8 +61,8 @@
 	return startedAfter
 }
 
-// waiting returns the number of pending and queued tasks of a class.
-func (h *harness) waiting(class string) (n int) {
+// waitingTasks returns the number of pending and queued tasks of a class.
+func (h *harness) waitingTasks(class string) (n int) {
 	for _, job := range h.jobOrder {
 		if job.Job.Class == class {
 			n += len(job.pending) + job.queued
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -96,7 +96,7 @@
 func TestTakeoverPlacesIndependentJobsBeforeLookup(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
-	h.submit("run-000002", 1, awaiting("run-000001"))
+	h.submit("run-000002", 1, dependingOn("run-000001"))
 	h.complete("run-000001", "a1")
 	h.submit("run-000003", 1, func(submission *api.Submission) { smallJob(submission); submission.Rank = "high" })
 	h.elect()
@@ -124,7 +124,7 @@
 		h.heartbeat(fmt.Sprintf("a%02d", i), 1)
 	}
 	h.submit("run-000001", 120, func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 1, 1 })
-	h.submit("run-000002", 1, awaiting("run-000001"))
+	h.submit("run-000002", 1, dependingOn("run-000001"))
 	h.Place()
 	h.commit()
 	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
--- a/softstate/images.go
+++ b/softstate/images.go
@@ -49,7 +49,7 @@
 			cachedOn[machine.Name] = cached
 		}
 	}
-	return store.ImagesRecord{Names: table.names, GB: table.sizesGB, On: cachedOn}
+	return store.ImagesRecord{Names: table.names, SizesGB: table.sizesGB, ImagesByMachine: cachedOn}
 }
 
 // imageTable numbers the images of a record.
@@ -82,15 +82,15 @@
 	if err := json.Unmarshal(raw, &record); err != nil {
 		return nil, fmt.Errorf("decode record of images: %w", err)
 	}
-	if len(record.Names) != len(record.GB) {
-		return nil, fmt.Errorf("record of images has %d names and %d sizes", len(record.Names), len(record.GB))
+	if len(record.Names) != len(record.SizesGB) {
+		return nil, fmt.Errorf("record of images has %d names and %d sizes", len(record.Names), len(record.SizesGB))
 	}
 	imagesOn := map[string][]fleet.Image{}
-	for machine, cached := range record.On {
+	for machine, cached := range record.ImagesByMachine {
 		var images []fleet.Image
 		for _, index := range cached {
 			if index >= 0 && index < len(record.Names) {
-				images = append(images, fleet.Image{Name: record.Names[index], GB: record.GB[index]})
+				images = append(images, fleet.Image{Name: record.Names[index], GB: record.SizesGB[index]})
 			}
 		}
 		imagesOn[machine] = images
--- a/softstate/images_test.go
+++ b/softstate/images_test.go
@@ -60,7 +60,7 @@
 func TestEncodeImagesLeavesOutLongNames(t *testing.T) {
 	long := strings.Repeat("x", tuning.MaxImageNameBytes)
 	record := EncodeImages([]Machine{{"n-1", []fleet.Image{{Name: long}, {Name: "a"}}}}, 1<<20)
-	if !slices.Equal(record.Names, []string{"a"}) || !slices.Equal(record.On["n-1"], []int{0}) {
+	if !slices.Equal(record.Names, []string{"a"}) || !slices.Equal(record.ImagesByMachine["n-1"], []int{0}) {
 		t.Errorf("record %+v, want only the image with the short name", record)
 	}
 }
--- a/store/keys.go
+++ b/store/keys.go
@@ -73,16 +73,16 @@
 // packetKey returns the key of packet n of a member under a prefix.
 func packetKey(prefix, member string, n int) string { return fmt.Sprintf("%s%s/%d", prefix, member, n) }
 
-// RelaySender returns the member in the key of a packet that begins with prefix.
-func RelaySender(prefix, key string) string {
+// PacketKeyMember returns the member in the key of a packet that begins with prefix.
+func PacketKeyMember(prefix, key string) string {
 	member, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	return member
 }
 
-// ParseRelayKey returns the member and the packet number of a key that RelayKey, RelayResponseKey, AgentRelayKey or
+// ParsePacketKey returns the member and the packet number of a key that RelayKey, RelayResponseKey, AgentRelayKey or
 // AgentResponseKey returned; prefix is the prefix of that kind of key. ok is false if key is not a valid key of this
 // kind.
-func ParseRelayKey(prefix, key string) (member string, n int, ok bool) {
+func ParsePacketKey(prefix, key string) (member string, n int, ok bool) {
 	member, number, ok := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	n, err := strconv.Atoi(number)
 	return member, n, ok && err == nil && n >= 0
--- a/store/records.go
+++ b/store/records.go
@@ -40,10 +40,10 @@
 type ImagesRecord struct {
 	// Names are the names of the images.
 	Names []string `json:"i"`
-	// GB are the sizes of the images in GB, in the order of Names.
-	GB []float64 `json:"g"`
-	// On has, for each machine, indices into Names and GB, the most recently used image first.
-	On map[string][]int `json:"m"`
+	// SizesGB are the sizes of the images in GB, in the order of Names.
+	SizesGB []float64 `json:"g"`
+	// ImagesByMachine has, for each machine, indices into Names and GB, the most recently used image first.
+	ImagesByMachine map[string][]int `json:"m"`
 }
 
 // RelayedCommands has the commands in response to one relayed heartbeat of a machine. Incarnation and Seq identify
@@ -76,6 +76,6 @@
 type ShardRecord struct {
 	// Done is the bitmap of the completed tasks, encoded by TaskBitmap.Pack.
 	Done string `json:"d,omitempty"`
-	// On are the tasks that run or may run on machines.
-	On []PlacedTask `json:"on,omitempty"`
+	// Placed are the tasks that run or may run on machines.
+	Placed []PlacedTask `json:"on,omitempty"`
 }
--- a/store/shards.go
+++ b/store/shards.go
@@ -95,7 +95,7 @@
 		if placed[shard.Job] == nil {
 			placed[shard.Job] = map[int]PlacedTask{}
 		}
-		keepHighestAttempts(placed[shard.Job], record.On, shard, total)
+		keepHighestAttempts(placed[shard.Job], record.Placed, shard, total)
 	}
 	for id := range damaged {
 		delete(placed, id)
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -56,8 +56,8 @@
 	c.current.LeaderBypassed++
 }
 
-// OlderAnswerDropped counts a response that was dropped because a terminal state of the job had already been sent.
-func (c *Counter) OlderAnswerDropped() {
+// StaleAnswerDropped counts a response that was dropped because a terminal state of the job had already been sent.
+func (c *Counter) StaleAnswerDropped() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current.StaleAnswers++
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -11,7 +11,7 @@
 	counter.Add(true, true)
 	counter.Add(false, true)
 	counter.LeaderBypassed()
-	counter.OlderAnswerDropped()
+	counter.StaleAnswerDropped()
 	counter.AnsweredFromRecord(time.Second)
 	counter.AnsweredFromRecord(time.Millisecond)
 	want := Counts{StateQueries: 2, OtherRequests: 1, Refused: 2, LeaderBypassed: 1, StaleAnswers: 1, RecordAnswers: 2, OldestRead: time.Second}
--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -49,7 +49,7 @@
 }
 
 // Observe records that the version record of a member was read.
-func (r *VersionRegistry) Observe(member string, record VersionMark) {
+func (r *VersionRegistry) Observe(member string, record VersionRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.versions.observe(member, record)
@@ -80,7 +80,7 @@
 
 // observeRecord decodes the version record of a member and observes it. A record that cannot be decoded is logged.
 func (r *VersionRegistry) observeRecord(member string, item store.Item) {
-	var record VersionMark
+	var record VersionRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
 		slog.Error("corrupt version record", "key", item.Key, "err", err)
 		return
@@ -97,7 +97,7 @@
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return nil, fmt.Errorf("reading the version record of %s: %w", member, err)
 		}
-		var record VersionMark
+		var record VersionRecord
 		if err != nil || json.Unmarshal(item.Value, &record) != nil || !record.Configuration {
 			without = append(without, member)
 		}
@@ -110,7 +110,7 @@
 func (r *VersionRegistry) RecordOwn(ctx context.Context) bool {
 	key := RecordPrefix + r.member
 	item, err := r.client.Get(ctx, key)
-	var record VersionMark
+	var record VersionRecord
 	if err == nil && json.Unmarshal(item.Value, &record) == nil && record.Data >= DataVersion && record.Configuration == r.Configuration {
 		r.Observe(r.member, record)
 		return true
@@ -119,7 +119,7 @@
 		return false
 	}
 	// The data version is never lowered, because a newer process of this member may have written the record.
-	record = VersionMark{Data: max(DataVersion, record.Data), Configuration: r.Configuration}
+	record = VersionRecord{Data: max(DataVersion, record.Data), Configuration: r.Configuration}
 	_, _, err = r.client.Transact(ctx,
 		[]store.Condition{{Key: key, Revision: item.Revision}},
 		[]store.Operation{{Set: key, Value: record}})
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -22,13 +22,13 @@
 )
 
 // RecordPrefix is the key prefix of the version records. It is followed by the member's name; the value is a
-// VersionMark.
+// VersionRecord.
 const RecordPrefix = "sf/version/"
 
-// VersionMark is the version record of a member. A process writes it before it writes anything that an older process
+// VersionRecord is the version record of a member. A process writes it before it writes anything that an older process
 // would misread. Once the platform has replaced a member's program, it does not start an older one again, so the data
 // version of a record never becomes invalid.
-type VersionMark struct {
+type VersionRecord struct {
 	// Data is the lowest data version that a process of the member may have.
 	Data int `json:"data"`
 	// Configuration is true if the process supports live configuration and has it on. A process that has it off rewrites
@@ -53,7 +53,7 @@
 
 // observe records the data version in a member's version record. It ignores records of unknown members and never lowers
 // a version.
-func (v *memberVersions) observe(member string, record VersionMark) {
+func (v *memberVersions) observe(member string, record VersionRecord) {
 	if known, ok := v.dataVersions[member]; ok {
 		v.dataVersions[member] = max(known, record.Data)
 	}
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -32,7 +32,7 @@
 		{"n0", DataVersion, []string{"n2"}},
 		{"n2", DataVersion + 1, nil},
 	} {
-		registry.Observe(step.member, VersionMark{Data: step.data})
+		registry.Observe(step.member, VersionRecord{Data: step.data})
 		if older := registry.Older(); !slices.Equal(older, step.older) {
 			t.Errorf("after version %d of %s: older %v, want %v", step.data, step.member, older, step.older)
 		}
@@ -51,9 +51,9 @@
 	}{
 		{"missing", nil, false, `{"data":2}`},
 		{"damaged", "not a record", false, `{"data":2}`},
-		{"older", VersionMark{Data: 1}, false, `{"data":2}`},
-		{"newer, configuration now on", VersionMark{Data: 3}, true, `{"data":3,"configuration":true}`},
-		{"configuration now off", VersionMark{Data: 2, Configuration: true}, false, `{"data":2}`},
+		{"older", VersionRecord{Data: 1}, false, `{"data":2}`},
+		{"newer, configuration now on", VersionRecord{Data: 3}, true, `{"data":3,"configuration":true}`},
+		{"configuration now off", VersionRecord{Data: 2, Configuration: true}, false, `{"data":2}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			state, registry := newTestRegistry("n0")
@@ -78,14 +78,14 @@
 // a record cannot be read, it returns an error.
 func TestMembersWithoutConfiguration(t *testing.T) {
 	state, registry := newTestRegistry("n0")
-	state.Put(RecordPrefix+"n0", VersionMark{Data: DataVersion, Configuration: true})
+	state.Put(RecordPrefix+"n0", VersionRecord{Data: DataVersion, Configuration: true})
 	state.Put(RecordPrefix+"n1", "not a record")
 	without, err := registry.WithoutConfiguration(t.Context())
 	if err != nil || !slices.Equal(without, []string{"n1", "n2"}) {
 		t.Errorf("without configuration %v, %v", without, err)
 	}
-	state.Put(RecordPrefix+"n1", VersionMark{Data: DataVersion, Configuration: true})
-	state.Put(RecordPrefix+"n2", VersionMark{Data: DataVersion})
+	state.Put(RecordPrefix+"n1", VersionRecord{Data: DataVersion, Configuration: true})
+	state.Put(RecordPrefix+"n2", VersionRecord{Data: DataVersion})
 	without, err = registry.WithoutConfiguration(t.Context())
 	if err != nil || !slices.Equal(without, []string{"n2"}) {
 		t.Errorf("without configuration %v, %v", without, err)
