--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -18,9 +18,9 @@
 	"time"
 )
 
-// Due reports whether a job has starved for limit or longer. The job has been ready to start since waitingSince, and one
+// Starved reports whether a job has starved for limit or longer. The job has been ready to start since waitingSince, and one
 // of its tasks was last started at lastStart, which is zero if none was.
-func Due(now, waitingSince, lastStart time.Time, limit time.Duration) bool {
+func Starved(now, waitingSince, lastStart time.Time, limit time.Duration) bool {
 	if lastStart.After(waitingSince) {
 		waitingSince = lastStart
 	}
@@ -30,9 +30,9 @@
 // Machine says when further tasks of a job could start on one machine, as the tasks running there end.
 type Machine struct {
 	Name, Zone string
-	// At lists, for each further task, the time from now until it could start, in ascending order. It is empty if none
+	// StartDelays lists, for each further task, the time from now until it could start, in ascending order. It is empty if none
 	// ever can.
-	At []time.Duration
+	StartDelays []time.Duration
 }
 
 // EarliestMachines chooses the machines on which the given number of tasks can all have started soonest, in a single zone
@@ -63,7 +63,7 @@
 	}
 	var starts []start
 	for _, machine := range machines {
-		for _, delay := range machine.At[:min(tasks, len(machine.At))] {
+		for _, delay := range machine.StartDelays[:min(tasks, len(machine.StartDelays))] {
 			starts = append(starts, start{delay, machine.Name})
 		}
 	}
--- a/ageing/ageing_test.go
+++ b/ageing/ageing_test.go
@@ -23,7 +23,7 @@
 			if testCase.lastStart > 0 {
 				lastStart = waitingSince.Add(testCase.lastStart)
 			}
-			if got := Due(waitingSince.Add(testCase.after), waitingSince, lastStart, 150*time.Second); got != testCase.want {
+			if got := Starved(waitingSince.Add(testCase.after), waitingSince, lastStart, 150*time.Second); got != testCase.want {
 				t.Errorf("due %v, want %v", got, testCase.want)
 			}
 		})
--- a/api/configuration.go
+++ b/api/configuration.go
@@ -4,32 +4,32 @@
 type ConfigurationRequest struct {
 	// Document is the complete new configuration in TOML.
 	Document string `json:"document"`
-	// By is the operator and Why the reason for the change. Both are stored with the revision.
-	By  string `json:"by"`
-	Why string `json:"why"`
-	// Expect is the revision that must be current for the change to apply; 0 means that no revision may be stored,
+	// Operator is the operator and Why the reason for the change. Both are stored with the revision.
+	Operator string `json:"by"`
+	Reason   string `json:"why"`
+	// ExpectedRevision is the revision that must be current for the change to apply; 0 means that no revision may be stored,
 	// nil that any revision is accepted.
-	Expect *uint64 `json:"expect,omitempty"`
+	ExpectedRevision *uint64 `json:"expect,omitempty"`
 }
 
 // ConfigurationView describes a revision of the live configuration. Revision 0 is the configuration that the
 // files and settings define.
 type ConfigurationView struct {
 	Revision uint64 `json:"revision"`
-	By       string `json:"by,omitempty"`
-	Why      string `json:"why,omitempty"`
-	// AtMS is the time at which the revision was applied, in milliseconds since the Unix epoch.
-	AtMS     int64  `json:"at_ms,omitempty"`
-	Document string `json:"document,omitempty"`
+	Operator string `json:"by,omitempty"`
+	Reason   string `json:"why,omitempty"`
+	// AppliedAtMS is the time at which the revision was applied, in milliseconds since the Unix epoch.
+	AppliedAtMS int64  `json:"at_ms,omitempty"`
+	Document    string `json:"document,omitempty"`
 	// InForce is true if no controller decides or answers by an older revision. Otherwise WaitsFor lists what
 	// still has to happen.
 	InForce  bool     `json:"in_force"`
 	WaitsFor []string `json:"waits_for,omitempty"`
-	// Newest is the newest stored revision. If it differs from Revision, NotTaken gives the reason.
-	Newest   uint64 `json:"newest,omitempty"`
-	NotTaken string `json:"not_taken,omitempty"`
-	// Leader is true if the leader produced this view. Otherwise the view was read from the stored records.
-	Leader bool `json:"leader"`
+	// Newest is the newest stored revision. If it differs from Revision, NotAppliedReason gives the reason.
+	Newest           uint64 `json:"newest,omitempty"`
+	NotAppliedReason string `json:"not_taken,omitempty"`
+	// FromLeader is true if the leader produced this view. Otherwise the view was read from the stored records.
+	FromLeader bool `json:"leader"`
 }
 
 // ConfigurationFieldError is one error in a configuration document.
@@ -43,8 +43,8 @@
 
 // ConfigurationFieldErrors rejects a configuration document and lists all its errors.
 type ConfigurationFieldErrors struct {
-	Error    string                    `json:"error"`
-	Mistakes []ConfigurationFieldError `json:"mistakes"`
+	Error       string                    `json:"error"`
+	FieldErrors []ConfigurationFieldError `json:"mistakes"`
 }
 
 // ConfigurationConflict rejects a change whose expected revision is not the current one. Revision, By and Why
@@ -52,8 +52,8 @@
 type ConfigurationConflict struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision"`
-	By       string `json:"by"`
-	Why      string `json:"why"`
+	Operator string `json:"by"`
+	Reason   string `json:"why"`
 	// Differences lists the differences between the current revision and the rejected document.
 	Differences []string `json:"differences"`
 }
--- a/api/constraints.go
+++ b/api/constraints.go
@@ -18,17 +18,17 @@
 // Near is an affinity constraint: all tasks of a job are placed in one domain of the given level.
 type Near struct {
 	Level string `json:"level"`
-	// Must is true if the constraint is mandatory; otherwise it is a preference.
-	Must bool `json:"must"`
+	// Required is true if the constraint is mandatory; otherwise it is a preference.
+	Required bool `json:"must"`
 }
 
-// Survive is an anti-affinity constraint: at most AtMost tasks of a job are placed in one domain of the given
+// Survive is an anti-affinity constraint: at most MaxTasks tasks of a job are placed in one domain of the given
 // level, which limits the tasks that the failure of a domain affects.
 type Survive struct {
-	Level  string `json:"level"`
-	AtMost int    `json:"at_most"`
-	// Must is true if the constraint is mandatory; otherwise it is a preference.
-	Must bool `json:"must"`
+	Level    string `json:"level"`
+	MaxTasks int    `json:"at_most"`
+	// Required is true if the constraint is mandatory; otherwise it is a preference.
+	Required bool `json:"must"`
 }
 
 // placementConstraint is the "near" or "survive" field of a submission.
@@ -47,9 +47,9 @@
 	return constraint.Required == nil || *constraint.Required
 }
 
-// ParseSite reads the placement constraints from the body of a submission, which must be a JSON object; tasks is
+// ParsePlacementConstraints reads the placement constraints from the body of a submission, which must be a JSON object; tasks is
 // the job's number of tasks. A constraint is nil if the body does not contain it. The error is a *FieldError.
-func ParseSite(body []byte, tasks int) (*Near, *Survive, error) {
+func ParsePlacementConstraints(body []byte, tasks int) (*Near, *Survive, error) {
 	var fields struct {
 		Near    json.RawMessage `json:"near"`
 		Survive json.RawMessage `json:"survive"`
@@ -77,7 +77,7 @@
 	if constraint.MaxTasks != nil || constraint.Share != nil {
 		return nil, &FieldError{"near", `has only "level" and "must"; at_most and share belong to "survive"`}
 	}
-	return &Near{Level: constraint.Level, Must: constraint.isRequired()}, nil
+	return &Near{Level: constraint.Level, Required: constraint.isRequired()}, nil
 }
 
 // parseAntiAffinity reads the "survive" field of a job with the given number of tasks and returns nil if it is
@@ -88,7 +88,7 @@
 	if constraint == nil || err != nil {
 		return nil, err
 	}
-	survive := &Survive{Level: constraint.Level, Must: constraint.isRequired()}
+	survive := &Survive{Level: constraint.Level, Required: constraint.isRequired()}
 	atMost, share := constraint.MaxTasks, constraint.Share
 	switch {
 	case (atMost == nil) == (share == nil):
@@ -96,12 +96,12 @@
 	case atMost != nil && *atMost < 1:
 		return nil, &FieldError{"survive.at_most", "must be 1 or more"}
 	case atMost != nil:
-		survive.AtMost = *atMost
+		survive.MaxTasks = *atMost
 	case !(*share > 0 && *share <= 1):
 		return nil, &FieldError{"survive.share", "must be above 0 and at most 1"}
 	default:
 		// A limit of 0 would prevent every task from running.
-		survive.AtMost = max(1, int(*share*float64(tasks)+shareRounding))
+		survive.MaxTasks = max(1, int(*share*float64(tasks)+shareRounding))
 	}
 	return survive, nil
 }
--- a/api/constraints_test.go
+++ b/api/constraints_test.go
@@ -19,7 +19,7 @@
 		`{"survive":{"level":"rack","at_most":0}}`:                "survive.at_most",
 		`{"survive":{"level":"rack","share":1.5}}`:                "survive.share",
 	} {
-		_, _, err := ParseSite([]byte(body), 9)
+		_, _, err := ParsePlacementConstraints([]byte(body), 9)
 		got := ""
 		if fieldError, ok := errors.AsType[*FieldError](err); ok {
 			got = fieldError.Field
@@ -30,7 +30,7 @@
 			t.Errorf("%s: %q, want %q", body, got, want)
 		}
 	}
-	near, survive, err := ParseSite([]byte(`{"near":{"level":"switch","must":false},"survive":{"level":"rack","share":0.25}}`), 9)
+	near, survive, err := ParsePlacementConstraints([]byte(`{"near":{"level":"switch","must":false},"survive":{"level":"rack","share":0.25}}`), 9)
 	if err != nil || *near != (Near{"switch", false}) || *survive != (Survive{"rack", 2, true}) {
 		t.Errorf("%+v %+v %v", near, survive, err)
 	}
--- a/api/heartbeat.go
+++ b/api/heartbeat.go
@@ -20,12 +20,12 @@
 	CauseStopped = "halted"
 	// CauseError means that the task failed, in most cases because of a faulty machine.
 	CauseError = "error"
-	// CauseNoRoom means that the worker rejected the start for lack of free resources.
-	CauseNoRoom = "no_room"
-	// CauseBusy means that the worker rejected the start because another attempt of the task is on the machine.
-	CauseBusy = "busy"
-	// CauseUnknown means that the worker rejected the start because it cannot find the job or task.
-	CauseUnknown = "unknown"
+	// CauseInsufficientResources means that the worker rejected the start for lack of free resources.
+	CauseInsufficientResources = "no_room"
+	// CauseConflictingAttempt means that the worker rejected the start because another attempt of the task is on the machine.
+	CauseConflictingAttempt = "busy"
+	// CauseNotFound means that the worker rejected the start because it cannot find the job or task.
+	CauseNotFound = "unknown"
 )
 
 // Values of Command.Verb.
--- a/api/inputs.go
+++ b/api/inputs.go
@@ -9,16 +9,16 @@
 
 // Values of Input.Use.
 const (
-	// UseAll means that every task needs the whole dataset.
-	UseAll = "all"
-	// UseOwn means that task k needs only part k.
-	UseOwn = "own"
+	// UseAllParts means that every task needs the whole dataset.
+	UseAllParts = "all"
+	// UseOwnPart means that task k needs only part k.
+	UseOwnPart = "own"
 )
 
 // Input is a dataset that must be on a task's machine before the task starts.
 type Input struct {
 	Dataset string `json:"dataset"`
-	// Use is UseAll or UseOwn.
+	// Use is UseAllParts or UseOwnPart.
 	Use string `json:"use"`
 }
 
@@ -48,7 +48,7 @@
 		switch {
 		case input.Dataset == "":
 			return nil, &FieldError{field + ".dataset", "is missing"}
-		case input.Use != UseAll && input.Use != UseOwn:
+		case input.Use != UseAllParts && input.Use != UseOwnPart:
 			return nil, &FieldError{field + ".use", `must be "all" (every task needs the whole dataset) or "own" (task k needs part k)`}
 		case seen[input.Dataset]:
 			return nil, &FieldError{field + ".dataset", "stands twice"}
--- a/api/staging.go
+++ b/api/staging.go
@@ -24,8 +24,8 @@
 
 // StageCopy is a part to copy now, with the sources to try, best first.
 type StageCopy struct {
-	Part int           `json:"part"`
-	From []StageSource `json:"from"`
+	Part    int           `json:"part"`
+	Sources []StageSource `json:"from"`
 }
 
 // StageSet lists the parts of one dataset that a machine must hold.
@@ -44,29 +44,29 @@
 	Term uint64 `json:"helm"`
 	// Incarnation is the agent incarnation that the order is for.
 	Incarnation uint64 `json:"session,omitempty"`
-	// Order is a sequence number that increases with every order of a term.
-	Order uint64 `json:"order"`
-	// Known is the version of the agent's holdings that the controllers know.
-	Known uint64     `json:"known"`
-	Sets  []StageSet `json:"sets"`
-	// Drop lists the manifests of datasets that were removed permanently. The agent deletes their data unless
+	// Sequence is a sequence number that increases with every order of a term.
+	Sequence uint64 `json:"order"`
+	// KnownVersion is the version of the agent's holdings that the controllers know.
+	KnownVersion uint64     `json:"known"`
+	Sets         []StageSet `json:"sets"`
+	// DropManifests lists the manifests of datasets that were removed permanently. The agent deletes their data unless
 	// another dataset on its machine needs it.
-	Drop []string `json:"drop,omitempty"`
+	DropManifests []string `json:"drop,omitempty"`
 }
 
-// StageHeld lists parts of one dataset in an agent's heartbeat.
-type StageHeld struct {
+// StageHolding lists parts of one dataset in an agent's heartbeat.
+type StageHolding struct {
 	Dataset  string `json:"dataset"`
 	Manifest string `json:"manifest"`
-	// Of is the number of parts of the dataset.
-	Of    int     `json:"of,omitempty"`
-	Parts PartSet `json:"parts"`
+	// PartCount is the number of parts of the dataset.
+	PartCount int     `json:"of,omitempty"`
+	Parts     PartSet `json:"parts"`
 }
 
 // StageFailure is a failed attempt to copy a part from a source.
 type StageFailure struct {
-	From StageSource `json:"from"`
-	Why  string      `json:"why"`
+	Source StageSource `json:"from"`
+	Reason string      `json:"why"`
 	// Corrupt is true if the source sent wrong bytes or did not have a part that it had announced.
 	Corrupt bool `json:"lied,omitempty"`
 }
@@ -74,14 +74,14 @@
 // StageProgress is the progress of a copy. Got is the number of bytes copied so far, Of the size of the part in
 // bytes.
 type StageProgress struct {
-	Dataset string         `json:"dataset"`
-	Part    int            `json:"part"`
-	Got     int64          `json:"got"`
-	Of      int64          `json:"of"`
-	From    StageSource    `json:"from"`
-	Failed  []StageFailure `json:"failed,omitempty"`
-	// Full is true if the cache has no space for the part.
-	Full bool `json:"full,omitempty"`
+	Dataset     string         `json:"dataset"`
+	Part        int            `json:"part"`
+	CopiedBytes int64          `json:"got"`
+	TotalBytes  int64          `json:"of"`
+	Source      StageSource    `json:"from"`
+	Failed      []StageFailure `json:"failed,omitempty"`
+	// CacheFull is true if the cache has no space for the part.
+	CacheFull bool `json:"full,omitempty"`
 }
 
 // StageHeartbeat is an agent's report of its machine's state. Sizes are in bytes.
@@ -92,23 +92,23 @@
 	Incarnation uint64 `json:"session"`
 	Seq         uint64 `json:"seq"`
 	// Term and Order identify the newest order that the agent has accepted.
-	Term  uint64 `json:"helm"`
-	Order uint64 `json:"order"`
+	Term     uint64 `json:"helm"`
+	Sequence uint64 `json:"order"`
 	// Quota is the capacity of the cache, Used the space taken in it.
 	Quota int64 `json:"quota"`
 	Used  int64 `json:"used"`
 	// Version counts the changes of the agent's holdings. If the controllers know this version, All is false
 	// and Holds is omitted. Otherwise All is true and Holds lists everything in the cache.
-	Version uint64      `json:"version"`
-	All     bool        `json:"all,omitempty"`
-	Holds   []StageHeld `json:"holds,omitempty"`
+	Version          uint64         `json:"version"`
+	HoldingsComplete bool           `json:"all,omitempty"`
+	Holdings         []StageHolding `json:"holds,omitempty"`
 	// Pinned lists the parts of the newest order that are complete, verified and protected from eviction.
-	Pinned []StageHeld     `json:"pinned,omitempty"`
+	Pinned []StageHolding  `json:"pinned,omitempty"`
 	Copies []StageProgress `json:"copies,omitempty"`
-	// FromStore and FromPeers are the numbers of bytes copied from the store and from other agents since the
+	// BytesFromStore and BytesFromPeers are the numbers of bytes copied from the store and from other agents since the
 	// agent started.
-	FromStore int64 `json:"from_store"`
-	FromPeers int64 `json:"from_peers"`
+	BytesFromStore int64 `json:"from_store"`
+	BytesFromPeers int64 `json:"from_peers"`
 }
 
 // maxReportedBytes is the largest size, in bytes, that an agent may report; a sum of up to four does not overflow.
@@ -126,8 +126,8 @@
 	case !validSize(heartbeat.Quota) || !validSize(heartbeat.Used):
 		return &FieldError{"quota", "quota and used must be numbers of bytes, 0 or more"}
 	}
-	for index, held := range heartbeat.Holds {
-		if held.Dataset == "" || held.Of < 0 || held.Of > tuning.MaxParts || held.Parts.Bitmap == nil {
+	for index, held := range heartbeat.Holdings {
+		if held.Dataset == "" || held.PartCount < 0 || held.PartCount > tuning.MaxParts || held.Parts.Bitmap == nil {
 			return &FieldError{fmt.Sprintf("holds[%d]", index), "needs dataset, of and parts"}
 		}
 	}
@@ -137,7 +137,7 @@
 		}
 	}
 	for index, progress := range heartbeat.Copies {
-		if progress.Part < 0 || progress.Part >= tuning.MaxParts || progress.Got < 0 || progress.Of < 0 {
+		if progress.Part < 0 || progress.Part >= tuning.MaxParts || progress.CopiedBytes < 0 || progress.TotalBytes < 0 {
 			return &FieldError{fmt.Sprintf("copies[%d]", index), "has numbers that are out of range"}
 		}
 	}
--- a/api/staging_test.go
+++ b/api/staging_test.go
@@ -10,9 +10,9 @@
 // Heartbeats come from untrusted senders. A heartbeat that passes Check must not break the code that
 // processes it.
 func FuzzStageHeartbeat(f *testing.F) {
-	heartbeat := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, All: true,
-		Holds:  []StageHeld{{Dataset: "a", Of: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
-		Copies: []StageProgress{{Dataset: "a", Part: 3, Got: 5, Of: 9, Failed: []StageFailure{{Why: "503"}}}}}
+	heartbeat := StageHeartbeat{Machine: "n-1", Address: "10.0.0.1:9100", Incarnation: 1, HoldingsComplete: true,
+		Holdings: []StageHolding{{Dataset: "a", PartCount: 9, Parts: PartSet{roaring.BitmapOf(1, 2, 8)}}},
+		Copies:   []StageProgress{{Dataset: "a", Part: 3, CopiedBytes: 5, TotalBytes: 9, Failed: []StageFailure{{Reason: "503"}}}}}
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
 		f.Fatal(err)
@@ -24,13 +24,13 @@
 		if json.Unmarshal(raw, &heartbeat) != nil || heartbeat.Check() != nil {
 			return
 		}
-		for _, h := range append(heartbeat.Holds, heartbeat.Pinned...) {
+		for _, h := range append(heartbeat.Holdings, heartbeat.Pinned...) {
 			n := 0
 			for itr := h.Parts.Iterator(); itr.HasNext() && n < 1000; n++ {
 				itr.Next()
 			}
 			clone := h.Parts.Clone()
-			clone.RemoveRange(uint64(max(0, h.Of)), 1<<32)
+			clone.RemoveRange(uint64(max(0, h.PartCount)), 1<<32)
 			_ = roaring.AndNot(clone, h.Parts.Bitmap).GetCardinality()
 		}
 		encoded, err := json.Marshal(heartbeat)
--- a/api/submission.go
+++ b/api/submission.go
@@ -69,10 +69,10 @@
 	Spot bool `json:"standby"`
 	// EstimateS is the owner's estimate of a task's run time, which is often wrong; 0 for services.
 	EstimateS float64 `json:"expect_s"`
-	// Checkpoint is the run time between two checkpoints of a task; 0 means that it never writes one. SaveS is the
+	// CheckpointS is the run time between two checkpoints of a task; 0 means that it never writes one. SaveS is the
 	// time that a task needs to save its progress when it is stopped.
-	Checkpoint float64 `json:"snapshot_s"`
-	SaveS      float64 `json:"stow_s"`
+	CheckpointS float64 `json:"snapshot_s"`
+	SaveS       float64 `json:"stow_s"`
 	// DeadlineS is the time from submission by which the job should be done; 0 means no deadline.
 	DeadlineS float64 `json:"due_s,omitempty"`
 	// Awaits lists the jobs that must be done before any task of this one starts.
@@ -102,7 +102,7 @@
 func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // ParseSubmission decodes and validates a submission except for its inputs and placement constraints, which
-// ParseInputs and ParseSite read. The error is a *FieldError for the first invalid field. If the body has a valid
+// ParseInputs and ParsePlacementConstraints read. The error is a *FieldError for the first invalid field. If the body has a valid
 // id, it is returned even with an error, since the resubmission of a known job is never rejected.
 func ParseSubmission(body []byte) (submission *Submission, id string, err error) {
 	var fields map[string]json.RawMessage
@@ -192,7 +192,7 @@
 // readTimes reads the durations.
 func (reader *submissionReader) readTimes(submission *Submission) {
 	reader.readAmount("expect_s", &submission.EstimateS)
-	reader.readAmount("snapshot_s", &submission.Checkpoint)
+	reader.readAmount("snapshot_s", &submission.CheckpointS)
 	reader.readAmount("stow_s", &submission.SaveS)
 	if reader.readOptional("due_s", &submission.DeadlineS, wantNumber) {
 		reader.checkRange("due_s", submission.DeadlineS)
--- a/api/topology.go
+++ b/api/topology.go
@@ -17,24 +17,24 @@
 type ReservedView struct {
 	Domain string `json:"domain"`
 	Job    string `json:"job"`
-	// InS is the approximate time until the reservation ends, in seconds.
-	InS float64 `json:"in_s"`
+	// EndsInS is the approximate time until the reservation ends, in seconds.
+	EndsInS float64 `json:"in_s"`
 }
 
 // DomainView is one domain of the topology. Free amounts are those of machines that can currently be given tasks.
 type DomainView struct {
 	Name  string `json:"name"`
 	Level string `json:"level"`
-	// In is the parent domain; empty for an outermost domain.
-	In string `json:"in,omitempty"`
+	// Parent is the parent domain; empty for an outermost domain.
+	Parent string `json:"in,omitempty"`
 	// Machines is the number of machines in the domain, Usable the number of those that can currently be given tasks.
-	Machines int     `json:"machines"`
-	Usable   int     `json:"usable"`
-	CPUs     float64 `json:"free_cpus"`
-	Cards    float64 `json:"free_cards"`
-	MemoryGB float64 `json:"free_memory_gb"`
-	// Silent is true if the domain has machines and none of them can be given tasks.
-	Silent bool `json:"silent"`
+	Machines     int     `json:"machines"`
+	Usable       int     `json:"usable"`
+	FreeCPUs     float64 `json:"free_cpus"`
+	FreeCards    float64 `json:"free_cards"`
+	FreeMemoryGB float64 `json:"free_memory_gb"`
+	// Unavailable is true if the domain has machines and none of them can be given tasks.
+	Unavailable bool `json:"silent"`
 }
 
 // Explanation describes where a job's tasks are placed and why others wait.
@@ -45,7 +45,7 @@
 	Tasks     int            `json:"tasks"`
 	Done      int            `json:"done"`
 	Waiting   int            `json:"waiting"`
-	Why       []string       `json:"why"`
+	Reasons   []string       `json:"why"`
 	Locations []TaskLocation `json:"stands"`
 }
 
@@ -62,6 +62,6 @@
 type WaitingView struct {
 	Job string `json:"job"`
 	// Tasks is the number of waiting tasks.
-	Tasks int    `json:"tasks"`
-	Why   string `json:"why"`
+	Tasks  int    `json:"tasks"`
+	Reason string `json:"why"`
 }
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -16,25 +16,25 @@
 
 // Names of the fitted figures, with their units.
 const (
-	LeaderCPU         = "leader_cpu"         // share of one core, mean
-	LeaderPeak        = "leader_cpu_p99"     // share of one core, 99th percentile over one-second samples
-	LeaderMemory      = "leader_memory"      // MB resident
-	LeaderSockets     = "leader_descriptors" // open descriptors
-	FollowerCPU       = "follower_cpu"       // share of one core, mean, of the follower with the higher load
-	FollowerMemory    = "follower_memory"    // MB resident
-	FollowerSockets   = "follower_sockets"   // open descriptors
-	TakeoverPeak      = "takeover_cpu_peak"  // share of one core, maximum over one-second samples after a change of leader
-	TakeoverMemory    = "takeover_memory"    // MB resident, new leader
-	StateRequests     = "state_requests"     // requests per second of all controllers
-	StateTransactions = "state_transactions" // transactions per second of all controllers
-	StateChanges      = "state_changes"      // puts and deletes per second of all controllers
-	ReportBytes       = "report_bytes"       // bytes per second of all workers' heartbeats and their responses
-	CommandMessages   = "command_messages"   // directly sent commands per second to all workers
-	SiblingBytes      = "sibling_bytes"      // bytes per second between all controllers
-	CloudRequests     = "cloud_requests"     // requests per second of all controllers
-	HollowCPU         = "worker_cpu_at_most" // share of one core, all fake workers, services and users together
-	TakeoverFirst     = "takeover_first"     // seconds from a leader crash to the first task start
-	TakeoverAll       = "takeover_all_heard" // seconds from a leader crash until the new leader has answered every worker
+	LeaderCPU           = "leader_cpu"         // share of one core, mean
+	LeaderCPUP99        = "leader_cpu_p99"     // share of one core, 99th percentile over one-second samples
+	LeaderMemory        = "leader_memory"      // MB resident
+	LeaderDescriptors   = "leader_descriptors" // open descriptors
+	FollowerCPU         = "follower_cpu"       // share of one core, mean, of the follower with the higher load
+	FollowerMemory      = "follower_memory"    // MB resident
+	FollowerDescriptors = "follower_sockets"   // open descriptors
+	TakeoverCPUPeak     = "takeover_cpu_peak"  // share of one core, maximum over one-second samples after a change of leader
+	TakeoverMemory      = "takeover_memory"    // MB resident, new leader
+	StateRequests       = "state_requests"     // requests per second of all controllers
+	StateTransactions   = "state_transactions" // transactions per second of all controllers
+	StateChanges        = "state_changes"      // puts and deletes per second of all controllers
+	HeartbeatBytes      = "report_bytes"       // bytes per second of all workers' heartbeats and their responses
+	CommandMessages     = "command_messages"   // directly sent commands per second to all workers
+	PeerBytes           = "sibling_bytes"      // bytes per second between all controllers
+	CloudRequests       = "cloud_requests"     // requests per second of all controllers
+	FakeWorkerCPU       = "worker_cpu_at_most" // share of one core, all fake workers, services and users together
+	TakeoverFirstStart  = "takeover_first"     // seconds from a leader crash to the first task start
+	TakeoverAllAnswered = "takeover_all_heard" // seconds from a leader crash until the new leader has answered every worker
 )
 
 // Measurement holds the figures measured on a deployment of one size.
@@ -67,8 +67,8 @@
 	return Size{s.Workers * factor, s.Tasks * factor, s.JobsPerDay * factor, s.Starts * factor, s.Teams * factor, s.ChangesPerDay * factor}
 }
 
-// Slopes is the linear fit of one figure: a constant and one coefficient for each predictor.
-type Slopes struct {
+// LinearFit is the linear fit of one figure: a constant and one coefficient for each predictor.
+type LinearFit struct {
 	Constant  float64 `json:"constant"`
 	PerWorker float64 `json:"per_worker"`
 	PerTask   float64 `json:"per_task"`
@@ -81,18 +81,18 @@
 }
 
 // At returns the fitted value at a size.
-func (f Slopes) At(s Size) float64 {
+func (f LinearFit) At(s Size) float64 {
 	return f.Constant + f.PerWorker*s.Workers + f.PerTask*s.Tasks + f.PerStart*s.Starts
 }
 
 // Extrapolates reports whether a size lies outside of the measured range.
-func (f Slopes) Extrapolates(s Size) bool {
+func (f LinearFit) Extrapolates(s Size) bool {
 	outside := func(v, least, most float64) bool { return v < least || v > most }
 	return outside(s.Workers, f.MinSize.Workers, f.MaxSize.Workers) || outside(s.Tasks, f.MinSize.Tasks, f.MaxSize.Tasks) || outside(s.Starts, f.MinSize.Starts, f.MaxSize.Starts)
 }
 
 // Model maps the name of each figure to its fit.
-type Model map[string]Slopes
+type Model map[string]LinearFit
 
 // minPoints is the number of measurements that a fit of a figure requires.
 const minPoints = 4
@@ -136,7 +136,7 @@
 }
 
 // fitFigure fits one figure. It returns ErrTooFewMeasurements if the figure has fewer than minPoints measurements.
-func fitFigure(name string, measurements []Measurement) (Slopes, error) {
+func fitFigure(name string, measurements []Measurement) (LinearFit, error) {
 	var points []Measurement
 	for _, measurement := range measurements {
 		if value, ok := measurement.Figures[name]; ok && value > 0 {
@@ -144,13 +144,13 @@
 		}
 	}
 	if len(points) < minPoints {
-		return Slopes{}, fmt.Errorf("%s: %w: %d, at least %d", name, ErrTooFewMeasurements, len(points), minPoints)
+		return LinearFit{}, fmt.Errorf("%s: %w: %d, at least %d", name, ErrTooFewMeasurements, len(points), minPoints)
 	}
 	used, coefficients, err := nonNegativeLeastSquares(name, points)
 	if err != nil {
-		return Slopes{}, err
+		return LinearFit{}, err
 	}
-	fit := Slopes{Points: len(points), MinSize: sizeOf(points[0]), MaxSize: sizeOf(points[0])}
+	fit := LinearFit{Points: len(points), MinSize: sizeOf(points[0]), MaxSize: sizeOf(points[0])}
 	for i, predictor := range used {
 		*[]*float64{&fit.Constant, &fit.PerWorker, &fit.PerTask, &fit.PerStart}[predictor] = coefficients[i]
 	}
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -13,7 +13,7 @@
 
 // exactMeasurements returns noise-free measurements with the given coefficients, at sizes whose dimensions are
 // linearly independent.
-func exactMeasurements(fit Slopes) (measurements []Measurement) {
+func exactMeasurements(fit LinearFit) (measurements []Measurement) {
 	for _, s := range []Size{{Workers: 100, Tasks: 500, Starts: 1}, {Workers: 200, Tasks: 4000, Starts: 9}, {Workers: 400, Tasks: 9000, Starts: 2}, {Workers: 800, Tasks: 3000, Starts: 40}, {Workers: 1600, Tasks: 40000, Starts: 30}} {
 		measurements = append(measurements, Measurement{Workers: s.Workers, Tasks: s.Tasks, Starts: s.Starts, Figures: map[string]float64{"f": fit.At(s)}})
 	}
@@ -21,7 +21,7 @@
 }
 
 func TestFitRecoversExactCoefficients(t *testing.T) {
-	want := Slopes{Constant: 0.01, PerWorker: 0.0001, PerTask: 0.000003, PerStart: 0.0007}
+	want := LinearFit{Constant: 0.01, PerWorker: 0.0001, PerTask: 0.000003, PerStart: 0.0007}
 	m, err := Fit(exactMeasurements(want))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 
 // Coefficients are not negative even if noise suggests it, and a constant figure has no slope.
 func TestFitHasNoNegativeCoefficients(t *testing.T) {
-	all := exactMeasurements(Slopes{Constant: 1, PerWorker: 0.01})
+	all := exactMeasurements(LinearFit{Constant: 1, PerWorker: 0.01})
 	all[4].Figures["f"] *= 0.8
 	for i := range all {
 		all[i].Figures["same"] = 7
@@ -82,7 +82,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, figure := range []string{LeaderCPU, LeaderPeak, LeaderMemory, StateRequests, ReportBytes, SiblingBytes} {
+		for _, figure := range []string{LeaderCPU, LeaderCPUP99, LeaderMemory, StateRequests, HeartbeatBytes, PeerBytes} {
 			got, want := model[figure].At(sizeOf(*heldOut)), heldOut.Figures[figure]
 			if math.Abs(got-want) > 0.25*want {
 				t.Errorf("%s at %g workers: %g, measured %g", figure, size, got, want)
@@ -107,11 +107,11 @@
 		t.Fatalf("%d rows", len(rows))
 	}
 	for _, r := range rows {
-		if r.Beyond || !r.LargerBeyond || !(r.Value > 0) || r.Larger < r.Value && r.Role != workerRole {
+		if r.Extrapolated || !r.LargerExtrapolated || !(r.Value > 0) || r.Larger < r.Value && r.Role != workerRole {
 			t.Errorf("%+v", r)
 		}
 	}
-	configuration := &settings.Settings{Facts: settings.Facts{State: settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, Sockets: 10_000}}}
+	configuration := &settings.Settings{Facts: settings.Facts{State: settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.CloudLimits{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, MaxSockets: 10_000}}}
 	ampleMemory := model.Limits(Planned(), configuration)
 	configuration.Facts.Resources.RAMMB = 60
 	littleMemory := model.Limits(Planned(), configuration)
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -27,8 +27,8 @@
 	Shape   string `json:"shape"`
 	Tasks   int    `json:"tasks"`
 	Changes int    `json:"changes"`
-	// By counts the changes by the kind of record.
-	By map[string]int `json:"by"`
+	// ChangesByKind counts the changes by the kind of record.
+	ChangesByKind map[string]int `json:"by"`
 }
 
 //go:embed measured.json
@@ -51,11 +51,11 @@
 	Value  float64 `json:"value"`
 	// Larger is the value at 1.5 times the size.
 	Larger float64 `json:"value_at_1_5"`
-	// Residual is the residual of the fit. Beyond is true if the size lies outside of the measured range, LargerBeyond
+	// Residual is the residual of the fit. Beyond is true if the size lies outside of the measured range, LargerExtrapolated
 	// if 1.5 times the size does.
-	Residual     float64 `json:"residual"`
-	Beyond       bool    `json:"beyond_measured"`
-	LargerBeyond bool    `json:"beyond_measured_at_1_5"`
+	Residual           float64 `json:"residual"`
+	Extrapolated       bool    `json:"beyond_measured"`
+	LargerExtrapolated bool    `json:"beyond_measured_at_1_5"`
 }
 
 // workerRole is the role whose figures are measured for all workers together and reported per worker.
@@ -65,24 +65,24 @@
 var columns = []struct {
 	role, figure, name, unit string
 }{
-	{workerRole, ReportBytes, "reports and answers", "bytes/s"},
-	{workerRole, HollowCPU, "processor time at most", "cores"},
+	{workerRole, HeartbeatBytes, "reports and answers", "bytes/s"},
+	{workerRole, FakeWorkerCPU, "processor time at most", "cores"},
 	{"follower", FollowerCPU, "processor time, mean", "cores"},
 	{"follower", FollowerMemory, "memory", "MB"},
-	{"follower", FollowerSockets, "descriptors", ""},
+	{"follower", FollowerDescriptors, "descriptors", ""},
 	{"leader", LeaderCPU, "processor time, mean", "cores"},
-	{"leader", LeaderPeak, "processor time, p99 of seconds", "cores"},
+	{"leader", LeaderCPUP99, "processor time, p99 of seconds", "cores"},
 	{"leader", LeaderMemory, "memory", "MB"},
-	{"leader", LeaderSockets, "descriptors", ""},
-	{"new leader", TakeoverPeak, "processor time, busiest second", "cores"},
+	{"leader", LeaderDescriptors, "descriptors", ""},
+	{"new leader", TakeoverCPUPeak, "processor time, busiest second", "cores"},
 	{"new leader", TakeoverMemory, "memory", "MB"},
-	{"new leader", TakeoverFirst, "crash to the first start", "s"},
-	{"new leader", TakeoverAll, "crash until all are answered", "s"},
+	{"new leader", TakeoverFirstStart, "crash to the first start", "s"},
+	{"new leader", TakeoverAllAnswered, "crash until all are answered", "s"},
 	{"state service", StateRequests, "requests", "1/s"},
 	{"state service", StateTransactions, "transactions", "1/s"},
 	{"state service", StateChanges, "changes", "1/s"},
 	{"cloud", CloudRequests, "requests", "1/s"},
-	{"controllers", SiblingBytes, "between them", "bytes/s"},
+	{"controllers", PeerBytes, "between them", "bytes/s"},
 	{"controllers", CommandMessages, "direct commands", "1/s"},
 }
 
@@ -95,7 +95,7 @@
 			continue
 		}
 		row := Row{Role: c.role, Figure: c.name, Unit: c.unit, Value: slopes.At(size), Larger: slopes.At(larger), Residual: slopes.Residual,
-			Beyond: slopes.Extrapolates(size), LargerBeyond: slopes.Extrapolates(larger)}
+			Extrapolated: slopes.Extrapolates(size), LargerExtrapolated: slopes.Extrapolates(larger)}
 		if c.role == workerRole && size.Workers > 0 {
 			row.Value /= size.Workers
 			row.Larger /= larger.Workers
@@ -112,8 +112,8 @@
 	Needed float64 `json:"needed"`
 	// Factor is the factor by which the size may grow within the bound; below 1 the size itself exceeds the bound.
 	Factor float64 `json:"fits_times"`
-	// Beyond is true if the largest size within the bound lies outside of the measured range.
-	Beyond bool `json:"beyond_measured"`
+	// Extrapolated is true if the largest size within the bound lies outside of the measured range.
+	Extrapolated bool `json:"beyond_measured"`
 }
 
 // throttleShare is the fraction of a limit up to which the controllers throttle their own requests.
@@ -121,17 +121,17 @@
 
 // Limits returns the bounds that the settings impose, in the order in which a growing deployment reaches them.
 func (m Model) Limits(size Size, configuration *settings.Settings) (limits []Limit) {
-	strictest := configuration.Facts.State.Least()
+	strictest := configuration.Facts.State.Strictest()
 	for _, limit := range []struct {
 		name, figure string
 		bound        float64
 	}{
 		{"facts.resources.cpu, leader's mean", LeaderCPU, configuration.Facts.Resources.CPU},
-		{"facts.resources.cpu, leader's p99 of seconds", LeaderPeak, configuration.Facts.Resources.CPU},
-		{"facts.resources.cpu, a new leader's busiest second", TakeoverPeak, configuration.Facts.Resources.CPU},
+		{"facts.resources.cpu, leader's p99 of seconds", LeaderCPUP99, configuration.Facts.Resources.CPU},
+		{"facts.resources.cpu, a new leader's busiest second", TakeoverCPUPeak, configuration.Facts.Resources.CPU},
 		{"facts.resources.ram_mb, leader", LeaderMemory, configuration.Facts.Resources.RAMMB},
-		{"facts.resources.sockets, leader", LeaderSockets, float64(configuration.Facts.Resources.Sockets)},
-		{"facts.resources.sockets, follower", FollowerSockets, float64(configuration.Facts.Resources.Sockets)},
+		{"facts.resources.sockets, leader", LeaderDescriptors, float64(configuration.Facts.Resources.MaxSockets)},
+		{"facts.resources.sockets, follower", FollowerDescriptors, float64(configuration.Facts.Resources.MaxSockets)},
 		{"facts.state.rps", StateRequests, throttleShare * configuration.Facts.State.RPS},
 		{"facts.state.write_rps", StateChanges, throttleShare * strictest.WriteRPS},
 		{"facts.cloud.rps", CloudRequests, configuration.Facts.Cloud.RPS},
@@ -141,7 +141,7 @@
 			continue
 		}
 		factor := slopes.growthFactor(size, limit.bound)
-		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Beyond: slopes.Extrapolates(size.Scale(factor))})
+		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Extrapolated: slopes.Extrapolates(size.Scale(factor))})
 	}
 	sortLimits(limits)
 	return limits
@@ -149,7 +149,7 @@
 
 // growthFactor returns the factor by which a size may grow within a bound, which is exact because the fit is linear. It
 // returns math.MaxFloat64 if the figure does not grow with the size.
-func (f Slopes) growthFactor(size Size, bound float64) float64 {
+func (f LinearFit) growthFactor(size Size, bound float64) float64 {
 	variablePart := f.At(size) - f.Constant
 	if variablePart <= 0 {
 		return math.MaxFloat64
--- a/cli/capacity.go
+++ b/cli/capacity.go
@@ -104,7 +104,7 @@
 	writer.AppendHeader(table.Row{"role", "figure", "unit", "value", "at 1.5 times", "fit off by at most"})
 	for _, row := range report.Rows {
 		writer.AppendRow(table.Row{
-			row.Role, row.Figure, row.Unit, formatValue(row.Value, row.Beyond), formatValue(row.Larger, row.LargerBeyond),
+			row.Role, row.Figure, row.Unit, formatValue(row.Value, row.Extrapolated), formatValue(row.Larger, row.LargerExtrapolated),
 			fmt.Sprintf("%.0f%%", 100*row.Residual),
 		})
 	}
@@ -118,7 +118,7 @@
 	printTable(out, table.Row{"job", "tasks", "changes in the state service"}, jobs)
 	for _, limit := range report.Limits {
 		limits = append(limits, table.Row{
-			limit.Name, fmt.Sprintf("%.4g", limit.Bound), fmt.Sprintf("%.4g", limit.Needed), formatValue(limit.Factor, limit.Beyond),
+			limit.Name, fmt.Sprintf("%.4g", limit.Bound), fmt.Sprintf("%.4g", limit.Needed), formatValue(limit.Factor, limit.Extrapolated),
 		})
 	}
 	printTable(out, table.Row{"limit", "bound", "needed", "holds up to, times this size"}, limits)
--- a/cli/config_apply.go
+++ b/cli/config_apply.go
@@ -87,10 +87,10 @@
 
 // apply submits a document and waits until it is in force or the timeout expires.
 func (change *configurationChange) apply(cmd *cobra.Command, document string) error {
-	request := api.ConfigurationRequest{Document: document, By: change.author, Why: change.reason}
+	request := api.ConfigurationRequest{Document: document, Operator: change.author, Reason: change.reason}
 	if change.expectedRevision >= 0 {
 		expect := uint64(change.expectedRevision)
-		request.Expect = &expect
+		request.ExpectedRevision = &expect
 	}
 	body, err := json.Marshal(&request)
 	if err != nil {
@@ -148,7 +148,7 @@
 	var conflict api.ConfigurationConflict
 	_ = json.Unmarshal(raw, &conflict)
 	return withExitCode(ExitConflict, fmt.Errorf("%s; %s applied revision %d (%s). Differences from it to yours:\n%s\nlook at it with `switchferry config show`, and apply again with --expect %d",
-		conflict.Error, conflict.By, conflict.Revision, conflict.Why, strings.Join(conflict.Differences, "\n"), conflict.Revision))
+		conflict.Error, conflict.Operator, conflict.Revision, conflict.Reason, strings.Join(conflict.Differences, "\n"), conflict.Revision))
 }
 
 // invalidDocumentError returns the error for a document with invalid fields. If the body cannot be decoded, the details
@@ -157,7 +157,7 @@
 	var refusal api.ConfigurationFieldErrors
 	_ = json.Unmarshal(raw, &refusal)
 	var lines []string
-	for _, mistake := range refusal.Mistakes {
+	for _, mistake := range refusal.FieldErrors {
 		lines = append(lines, configuration.FieldError{Line: mistake.Line, Field: mistake.Field, Remedy: mistake.Remedy}.String())
 	}
 	return withExitCode(ExitUsage, fmt.Errorf("%s:\n%s", refusal.Error, strings.Join(lines, "\n")))
@@ -178,7 +178,7 @@
 			continue
 		}
 		var view api.ConfigurationView
-		if json.Unmarshal(raw, &view) == nil && view.Leader && view.Revision >= answer.Revision {
+		if json.Unmarshal(raw, &view) == nil && view.FromLeader && view.Revision >= answer.Revision {
 			answer.InForce = view.InForce || view.Revision > answer.Revision
 			answer.WaitsFor = view.WaitsFor
 		}
--- a/cli/config_show.go
+++ b/cli/config_show.go
@@ -41,13 +41,13 @@
 func describeRevision(view *api.ConfigurationView, byNumber bool) string {
 	lines := []string{"no revision: files and settings count"}
 	if view.Revision > 0 {
-		lines[0] = fmt.Sprintf("revision %d, by %s at %s: %s", view.Revision, view.By, formatTime(view.AtMS), view.Why)
+		lines[0] = fmt.Sprintf("revision %d, by %s at %s: %s", view.Revision, view.Operator, formatTime(view.AppliedAtMS), view.Reason)
 	}
 	switch {
 	case byNumber:
-	case view.NotTaken != "":
-		lines = append(lines, fmt.Sprintf("revision %d is on record and not taken: %s; apply a document to go on from here", view.Newest, view.NotTaken))
-	case !view.Leader:
+	case view.NotAppliedReason != "":
+		lines = append(lines, fmt.Sprintf("revision %d is on record and not taken: %s; apply a document to go on from here", view.Newest, view.NotAppliedReason))
+	case !view.FromLeader:
 		lines = append(lines, "nobody leads: this is what the records say")
 	case view.InForce:
 		lines = append(lines, "in force")
@@ -76,7 +76,7 @@
 			writer := newTable(cmd.OutOrStdout())
 			writer.AppendHeader(table.Row{"revision", "by", "at", "why"})
 			for _, view := range history {
-				writer.AppendRow(table.Row{view.Revision, view.By, formatTime(view.AtMS), view.Why})
+				writer.AppendRow(table.Row{view.Revision, view.Operator, formatTime(view.AppliedAtMS), view.Reason})
 			}
 			writer.Render()
 			return nil
--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -36,8 +36,8 @@
 	ctx := t.Context()
 	apiListener, peerListener := listen(t), listen(t)
 	platform := &settings.Settings{Member: "n0", Zone: "east", External: settings.External{State: "state:1", Cloud: "cloud:1"}}
-	platform.Facts = settings.Facts{Zones: []string{"east"}, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40},
-		State: settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 10}}
+	platform.Facts = settings.Facts{Zones: []string{"east"}, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40},
+		State: settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, Cloud: settings.CloudLimits{RPS: 10}}
 	clock := clockwork.NewRealClock()
 	node := controller.New(ctx, platform, policy.Default(), clock, fake.NewState(clock))
 	node.Enable(&features.Features{Configuration: features.Configuration{On: configurationOn}})
--- a/cli/data.go
+++ b/cli/data.go
@@ -64,7 +64,7 @@
 	}
 	printTable(out, table.Row{"machine", "dataset", "part", "copied", "from", "trouble"}, copies)
 	for _, job := range view.Waiting {
-		waiting = append(waiting, table.Row{job.Job, job.Tasks, job.Why})
+		waiting = append(waiting, table.Row{job.Job, job.Tasks, job.Reason})
 	}
 	printTable(out, table.Row{"job", "tasks that wait", "why"}, waiting)
 	return printer.err
--- a/cli/data_register.go
+++ b/cli/data_register.go
@@ -88,7 +88,7 @@
 			if printed, err := client.requestAndDecode(cmd, http.MethodPost, "/datasets", body, &summary, errDatasetsOff); err != nil || printed {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: %s in %d parts\n", summary.Name, humanize.Bytes(uint64(summary.Bytes)), summary.Parts)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: %s in %d parts\n", summary.Name, humanize.Bytes(uint64(summary.Bytes)), summary.PartCount)
 			return err
 		}}
 	client.addFlags(cmd)
--- a/cli/dataagent.go
+++ b/cli/dataagent.go
@@ -63,8 +63,8 @@
 	cmd.Flags().StringToStringVar(&flags.options.Controllers, "controller", nil, "a controller, as NAME=IP:PORT; give all of them")
 	cmd.Flags().Float64Var(&flags.downloadMBPerS, "down-mb-per-s", 0, "most that is copied in, megabytes a second; 0: no limit")
 	cmd.Flags().Float64Var(&flags.uploadMBPerS, "up-mb-per-s", 0, "most that peers are given, megabytes a second; 0: no limit")
-	cmd.Flags().IntVar(&flags.options.AtOnce, "serve-at-once", tuning.MaxConcurrentCopies, "peers served at once")
-	cmd.Flags().BoolVar(&flags.options.Pack, "pack", true, "let peers pack with zstd what they send, where that pays")
+	cmd.Flags().IntVar(&flags.options.MaxConcurrentServes, "serve-at-once", tuning.MaxConcurrentCopies, "peers served at once")
+	cmd.Flags().BoolVar(&flags.options.Compress, "pack", true, "let peers pack with zstd what they send, where that pays")
 	return cmd
 }
 
--- a/cli/experiment_faults.go
+++ b/cli/experiment_faults.go
@@ -75,8 +75,8 @@
 	writer.AppendHeader(table.Row{"case", "machines", "jobs", "tasks", "forgotten", "longest unanswered s", "pending for good", "least share of a class", "largest begin p99 s",
 		"starts in vain a lease", "returned in vain", "rules broken"})
 	for _, outcome := range result.Cases {
-		writer.AppendRow(table.Row{outcome.Name, outcome.Machines, outcome.Jobs, outcome.Tasks, outcome.Forgotten, fmt.Sprintf("%.1f", outcome.LongestUnansweredS), outcome.PendingForGood, fmt.Sprintf("%.2f", outcome.ClassesMinShare),
-			fmt.Sprintf("%.1f", outcome.LargestBeginP99S), fmt.Sprintf("%.2f", outcome.StartsInVain), outcome.ReturnedInVain, len(outcome.Rules)})
+		writer.AppendRow(table.Row{outcome.Name, outcome.Machines, outcome.Jobs, outcome.TaskStarts, outcome.UnansweredJobs, fmt.Sprintf("%.1f", outcome.LongestUnansweredS), outcome.NeverStartedJobs, fmt.Sprintf("%.2f", outcome.MinStartedShare),
+			fmt.Sprintf("%.1f", outcome.LargestStartDelayP99S), fmt.Sprintf("%.2f", outcome.UndeliveredStartsPerLease), outcome.BusyMachinesReturned, len(outcome.Violations)})
 	}
 }
 
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -138,7 +138,7 @@
 		return withExitCode(ExitFailed, fmt.Errorf("back: %w", err))
 	}
 	slog.Info("controller starts", "member", loaded.settings.Member, "zone", loaded.settings.Zone, "version", Version)
-	limiter := connlimit.NewLimiter(resources.Sockets)
+	limiter := connlimit.NewLimiter(resources.MaxSockets)
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	process := newController(runCtx, loaded, limiter)
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -94,7 +94,7 @@
 	flags.BoolVar(&submission.Spread, "spread", false, "at most half of the tasks in one zone")
 	flags.BoolVar(&submission.Spot, "spot", false, "may use spot machines")
 	flags.Float64Var(&submission.EstimateS, "estimate-s", 0, "estimated run time of a task")
-	flags.Float64Var(&submission.Checkpoint, "checkpoint-s", 0, "interval of checkpoints; 0: none")
+	flags.Float64Var(&submission.CheckpointS, "checkpoint-s", 0, "interval of checkpoints; 0: none")
 	flags.Float64Var(&submission.SaveS, "save-s", 0, "time to save when stopped")
 	flags.Float64Var(&submission.DeadlineS, "deadline-s", 0, "deadline after submission; 0: none")
 	flags.StringSliceVar(&submission.Awaits, "await", nil, "a job that must be done before any task of this one starts; may be given several times")
--- a/cli/topology.go
+++ b/cli/topology.go
@@ -41,17 +41,17 @@
 	writer.AppendHeader(table.Row{"domain", "level", "machines", "that get work", "free CPUs", "cards", "memory GB", ""})
 	children := map[string][]api.DomainView{}
 	for _, domain := range view.Domains {
-		children[domain.In] = append(children[domain.In], domain)
+		children[domain.Parent] = append(children[domain.Parent], domain)
 	}
 	appendDomains(writer, children, "", 0)
 	writer.Render()
 	printer := linePrinter{out: out}
 	printer.printf("version %d; %d machines in no domain, %d in two\n", view.Version, view.Unlisted, view.Ambiguous)
 	for _, reserved := range view.Reserved {
-		printer.printf("%s is kept for %s, for about %.0f s\n", reserved.Domain, reserved.Job, reserved.InS)
+		printer.printf("%s is kept for %s, for about %.0f s\n", reserved.Domain, reserved.Job, reserved.EndsInS)
 	}
 	for _, waiting := range view.Waiting {
-		printer.printf("%s: %d tasks wait: %s\n", waiting.Job, waiting.Tasks, waiting.Why)
+		printer.printf("%s: %d tasks wait: %s\n", waiting.Job, waiting.Tasks, waiting.Reason)
 	}
 	return printer.err
 }
@@ -61,12 +61,12 @@
 func appendDomains(writer table.Writer, children map[string][]api.DomainView, parent string, depth int) {
 	for _, domain := range children[parent] {
 		note := ""
-		if domain.Silent {
+		if domain.Unavailable {
 			note = "silent"
 		}
 		writer.AppendRow(table.Row{
 			strings.Repeat("  ", depth) + domain.Name, domain.Level, domain.Machines, domain.Usable,
-			domain.CPUs, domain.Cards, fmt.Sprintf("%.1f", domain.MemoryGB), note,
+			domain.FreeCPUs, domain.FreeCards, fmt.Sprintf("%.1f", domain.FreeMemoryGB), note,
 		})
 		appendDomains(writer, children, domain.Name, depth+1)
 	}
@@ -107,7 +107,7 @@
 		}
 		printer.printf("  %d in %s %s%s\n", location.Tasks, location.Level, location.Domain, unconfirmed)
 	}
-	for _, why := range explanation.Why {
+	for _, why := range explanation.Reasons {
 		printer.printf("  waits: %s\n", why)
 	}
 	return printer.err
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -18,13 +18,13 @@
 	"switchferry/tuning"
 )
 
-// Errors that callers handle differently. After any other error, and after ErrTrouble, a request for
+// Errors that callers handle differently. After any other error, and after ErrOutage, a request for
 // machines may still be executed later.
 var (
 	// ErrNoCapacity means that no machine of the type, zone and kind is available now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrTrouble means that the cloud has an outage.
-	ErrTrouble = errors.New("the cloud is in trouble")
+	// ErrOutage means that the cloud has an outage.
+	ErrOutage = errors.New("the cloud is in trouble")
 )
 
 // errEmptyCatalog means that the catalog has no machine types, so that no machine could be chosen.
@@ -91,7 +91,7 @@
 	if json.Unmarshal(raw, &refusal) == nil && refusal.Error == noCapacity {
 		return ErrNoCapacity
 	}
-	return ErrTrouble
+	return ErrOutage
 }
 
 // Catalog returns the machine types, with current prices. Without an error there is at least one.
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -28,14 +28,14 @@
 	}{
 		{200, `{"hosts":["n-1","n-2"]}`, nil, 2},
 		{503, `{"error":"no capacity"}`, ErrNoCapacity, 0},
-		{503, `{"error":"trouble"}`, ErrTrouble, 0},
-		{503, `<html>`, ErrTrouble, 0},
+		{503, `{"error":"trouble"}`, ErrOutage, 0},
+		{503, `<html>`, ErrOutage, 0},
 		{200, `{"hosts":`, errors.New("malformed"), 0},
 		{429, ``, errors.New("status"), 0},
 	} {
 		client := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return test.status, test.body }))
 		got, err := client.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
-		if len(got) != test.n || (err == nil) != (test.want == nil) || errors.Is(test.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(test.want, ErrTrouble) && !errors.Is(err, ErrTrouble) {
+		if len(got) != test.n || (err == nil) != (test.want == nil) || errors.Is(test.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(test.want, ErrOutage) && !errors.Is(err, ErrOutage) {
 			t.Errorf("%d %s: %v, %v", test.status, test.body, got, err)
 		}
 	}
--- a/configuration/check.go
+++ b/configuration/check.go
@@ -39,7 +39,7 @@
 func (c *documentChecker) checkDocument(document *Document, topologyDeclaration *topology.Declaration) {
 	c.checkOverLimit(document.OverLimit)
 	if document.Policy != nil {
-		document.policy = policy.Of(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
+		document.policy = policy.FromExpressions(document.Policy, func(name, want string) { c.addError("policy."+name, want) })
 	}
 	c.checkTeams(document.Teams)
 	if aheadTasks := document.Features.AheadTasks; aheadTasks != nil && (*aheadTasks < 0 || *aheadTasks > tuning.MaxAheadTasks) {
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -45,7 +45,7 @@
 	if revision != nil {
 		view = viewOf(revision)
 	}
-	view.Newest, view.NotTaken, view.Leader = newest, rejection, applier != nil
+	view.Newest, view.NotAppliedReason, view.FromLeader = newest, rejection, applier != nil
 	if applier != nil {
 		view.InForce = true
 		if progress, ok := applier.Progress(); ok && progress.Revision == view.Revision {
@@ -58,11 +58,11 @@
 // viewOf returns the API view of a revision.
 func viewOf(revision *configuration.Revision) api.ConfigurationView {
 	return api.ConfigurationView{
-		Revision: revision.Number,
-		By:       revision.By,
-		Why:      revision.Why,
-		AtMS:     revision.AtMS,
-		Document: revision.Document,
+		Revision:    revision.Number,
+		Operator:    revision.By,
+		Reason:      revision.Why,
+		AppliedAtMS: revision.AtMS,
+		Document:    revision.Document,
 	}
 }
 
@@ -111,7 +111,7 @@
 		err = h.checkFeatures(document)
 	}
 	if err != nil {
-		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", Mistakes: fieldErrorViews(err)}
+		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", FieldErrors: fieldErrorViews(err)}
 	}
 	controllersWithout, err := h.Versions.WithoutConfiguration(ctx)
 	if err != nil {
@@ -120,12 +120,12 @@
 	if len(controllersWithout) > 0 {
 		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(controllersWithout, ", ")}
 	}
-	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.By, Why: request.Why, Expect: request.Expect})
+	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.Operator, Why: request.Reason, Expect: request.ExpectedRevision})
 	switch {
 	case errors.Is(err, revisions.ErrConflict):
 		return http.StatusConflict, h.conflictAnswer(document, err)
 	case err != nil:
-		slog.Info("configuration not changed", "by", request.By, "err", err)
+		slog.Info("configuration not changed", "by", request.Operator, "err", err)
 		return http.StatusServiceUnavailable, api.Error{Error: err.Error()}
 	case progress.InForce:
 		return http.StatusOK, progress
@@ -170,7 +170,7 @@
 	if revision == nil {
 		return conflict
 	}
-	conflict.Revision, conflict.By, conflict.Why = revision.Number, revision.By, revision.Why
+	conflict.Revision, conflict.Operator, conflict.Reason = revision.Number, revision.By, revision.Why
 	if current, parseErr := configuration.Parse(revision.Document); parseErr == nil {
 		for _, difference := range configuration.Differences(current, requested) {
 			conflict.Differences = append(conflict.Differences, difference.String())
--- a/configuration/httpapi/handler_test.go
+++ b/configuration/httpapi/handler_test.go
@@ -58,7 +58,7 @@
 	client := store.NewClient("state:1", state)
 	files := configuration.FromFiles([]settings.Team{{Name: "team"}}, policy.Default())
 	handler := &Handler{
-		Store:    revisions.New(client, clock, files, settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}),
+		Store:    revisions.New(client, clock, files, settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}),
 		Versions: upgrade.NewVersionRegistry("n0", []string{"n0"}, client, clock),
 	}
 	applier := revisions.NewApplier(t.Context(), handler.Store, soleLeader{state.Put(store.LeaderKey, store.LeaderRecord{Member: "n0"})})
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		handler, applier, state := newLeadingHandler(t)
 		revisionZero := uint64(0)
-		first := api.ConfigurationRequest{Document: "[[teams]]\nname = \"team\"\ncpus_max = 40\n", By: "ann", Why: "less"}
+		first := api.ConfigurationRequest{Document: "[[teams]]\nname = \"team\"\ncpus_max = 40\n", Operator: "ann", Reason: "less"}
 		for _, test := range []struct {
 			name   string
 			body   []byte
@@ -114,7 +114,7 @@
 				[]string{`"field":"topology"`, `"field":"features.ahead_tasks"`}},
 			{"new document", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"in_force":true`}},
 			{"same document again", changeBody(t, first), http.StatusOK, []string{`"revision":1`, `"unchanged":true`}},
-			{"another revision expected", changeBody(t, api.ConfigurationRequest{Document: "# empty\n", Expect: &revisionZero}), http.StatusConflict,
+			{"another revision expected", changeBody(t, api.ConfigurationRequest{Document: "# empty\n", ExpectedRevision: &revisionZero}), http.StatusConflict,
 				[]string{`"revision":1`, `"by":"ann"`, `"differences":["teams.team: 0 guaranteed, 40 at most`}},
 		} {
 			status, answer := handler.Change(t.Context(), applier, test.body)
@@ -123,7 +123,7 @@
 		state.Put(upgrade.RecordPrefix+"n0", upgrade.VersionRecord{Data: upgrade.DataVersion})
 		status, answer := handler.Change(t.Context(), applier, changeBody(t, first))
 		requireAnswer(t, "a controller runs with the feature off", status, answer, http.StatusServiceUnavailable, "not seen yet of n0")
-		state.Outage(true)
+		state.SetDown(true)
 		status, answer = handler.Change(t.Context(), applier, changeBody(t, first))
 		requireAnswer(t, "outage", status, answer, http.StatusServiceUnavailable, revisions.ErrUnavailable.Error())
 	})
@@ -134,7 +134,7 @@
 		handler, applier, state := newLeadingHandler(t)
 		view := handler.Current(applier)
 		requireAnswer(t, "nothing configured", http.StatusOK, view, http.StatusOK, `"revision":0`, `"in_force":true`, `"leader":true`)
-		body := changeBody(t, api.ConfigurationRequest{Document: "# first\n", By: "ann", Why: "trial"})
+		body := changeBody(t, api.ConfigurationRequest{Document: "# first\n", Operator: "ann", Reason: "trial"})
 		if status, answer := handler.Change(t.Context(), applier, body); status != http.StatusOK {
 			t.Fatalf("status %d: %+v", status, answer)
 		}
@@ -154,7 +154,7 @@
 			status, answer := handler.Revision(t.Context(), test.which)
 			requireAnswer(t, test.which, status, answer, test.status, test.want...)
 		}
-		state.Outage(true)
+		state.SetDown(true)
 		time.Sleep(time.Second)
 		for _, which := range []string{"1", History} {
 			status, answer := handler.Revision(t.Context(), which)
--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -136,8 +136,8 @@
 		time.Sleep(time.Second)
 		_, newest, _ := applier.Current()
 		history, err := applier.History(cluster.ctx)
-		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationRetention || cluster.state.Under(configuration.PartPrefix) != tuning.ConfigurationRetention {
-			t.Errorf("%d in force, newest %d, %d in the history, %d stored, %v", inForce, newest, len(history), cluster.state.Under(configuration.PartPrefix), err)
+		if inForce != 100 || newest != 100 || err != nil || len(history) != tuning.ConfigurationRetention || cluster.state.CountPrefix(configuration.PartPrefix) != tuning.ConfigurationRetention {
+			t.Errorf("%d in force, newest %d, %d in the history, %d stored, %v", inForce, newest, len(history), cluster.state.CountPrefix(configuration.PartPrefix), err)
 		}
 	})
 }
@@ -244,7 +244,7 @@
 		if _, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10)}); err != nil {
 			t.Fatal(err)
 		}
-		cluster.state.Outage(true)
+		cluster.state.SetDown(true)
 		began := time.Now()
 		if _, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 11)}); !errors.Is(err, ErrUnavailable) || time.Since(began) > time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
@@ -304,7 +304,7 @@
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			cluster := newTestCluster(t, []settings.State{smallLimits, usualLimits}[seed%2])
+			cluster := newTestCluster(t, []settings.StateLimits{smallLimits, usualLimits}[seed%2])
 			cluster.mu.Lock()
 			// The functions are called with cluster.mu held, which also guards the generator.
 			networkRNG := rand.New(rand.NewPCG(seed, 4))
@@ -357,7 +357,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, smallLimits)
 		applier := cluster.elect()
-		_, parts, err := configuration.Encode(&configuration.Revision{Number: 1, AtMS: time.Now().UnixMilli(), Document: largeDocument(2)}, smallLimits.ValueBytes())
+		_, parts, err := configuration.Encode(&configuration.Revision{Number: 1, AtMS: time.Now().UnixMilli(), Document: largeDocument(2)}, smallLimits.MaxValueBytes())
 		if err != nil || len(parts) < 3 {
 			t.Fatalf("%d parts, %v", len(parts), err)
 		}
@@ -372,16 +372,16 @@
 			}
 		}
 		// The write of the first parts of the first change is held back and retried. Then the outage begins.
-		cluster.state.HoldNext = true
+		cluster.state.HoldNextTransaction = true
 		cluster.mu.Lock()
-		cluster.dropRequest = atTransaction(3, func() { cluster.state.Outage(true) })
+		cluster.dropRequest = atTransaction(3, func() { cluster.state.SetDown(true) })
 		cluster.mu.Unlock()
 		if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(1))}); !errors.Is(err, ErrUnavailable) {
 			t.Fatalf("the first change: %v", err)
 		}
-		cluster.state.Outage(false)
+		cluster.state.SetDown(false)
 		cluster.mu.Lock()
-		cluster.dropRequest = atTransaction((len(parts)-1)/2+1, cluster.state.Deliver)
+		cluster.dropRequest = atTransaction((len(parts)-1)/2+1, cluster.state.ExecuteHeld)
 		cluster.mu.Unlock()
 		if _, err := applier.Apply(cluster.ctx, Request{Document: parseDocument(t, largeDocument(2))}); !errors.Is(err, ErrConflict) {
 			t.Errorf("the second change: %v", err)
--- a/configuration/revisions/cluster_test.go
+++ b/configuration/revisions/cluster_test.go
@@ -39,7 +39,7 @@
 	ctx       context.Context
 	state     *fake.State
 	clock     clockwork.Clock
-	limits    settings.State
+	limits    settings.StateLimits
 	followers map[string]*Store
 	// term is the leader's latest term.
 	term uint64
@@ -61,13 +61,13 @@
 var fileConfiguration = configuration.FromFiles([]settings.Team{{Name: "a", CPUsMax: 100}}, policy.Default())
 
 // newTestCluster returns a cluster without a leader, whose followers run until the test ends.
-func newTestCluster(t *testing.T, limits settings.State) *testCluster {
+func newTestCluster(t *testing.T, limits settings.StateLimits) *testCluster {
 	t.Helper()
 	ctx := t.Context()
 	clock := clockwork.NewRealClock()
 	cluster := &testCluster{t: t, ctx: ctx, state: fake.NewState(clock), clock: clock, limits: limits, followers: map[string]*Store{}, isolated: map[string]bool{},
 		dropAnswer: func() bool { return false }, dropRequest: func() bool { return false }}
-	cluster.state.Limit(fake.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
+	cluster.state.SetLimits(fake.Limits{ValueKB: limits.ValueKB, TxnOps: limits.TxnOps})
 	for _, name := range []string{"x", "y"} {
 		cluster.followers[name] = New(store.NewClient("state:1", transport{cluster, name}), clock, fileConfiguration, limits)
 		go cluster.followers[name].Run(ctx, func() bool { return false })
@@ -205,8 +205,8 @@
 }
 
 // smallLimits are limits under which a large document takes many parts and several transactions.
-var smallLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
-var usualLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+var smallLimits = settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
+var usualLimits = settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
 // reconnectFollowers reconnects all followers.
 func (c *testCluster) reconnectFollowers() {
--- a/configuration/revisions/persist.go
+++ b/configuration/revisions/persist.go
@@ -14,7 +14,7 @@
 // and that the head is still at expectedHeadRevision. It returns the state service's revision of the new head.
 // If it fails, the head is not written, except that it may be written on ErrOutcomeUnknown.
 func (a *Applier) persist(revision *configuration.Revision, expectedHeadRevision uint64) (newHeadRevision uint64, err error) {
-	head, parts, err := configuration.Encode(revision, a.limits.ValueBytes())
+	head, parts, err := configuration.Encode(revision, a.limits.MaxValueBytes())
 	if err != nil {
 		return 0, err
 	}
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -29,7 +29,7 @@
 	// files is the configuration that applies without any revision.
 	files *configuration.Active
 	// limits are the lowest limits that the state service has now or will have.
-	limits settings.State
+	limits settings.StateLimits
 
 	// mu guards the fields below.
 	mu    sync.Mutex
@@ -44,8 +44,8 @@
 
 // New returns a Store that has read nothing yet. The argument files is the configuration that applies
 // without any revision.
-func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.State) *Store {
-	return &Store{client: client, clock: clock, files: files, limits: limits.Least()}
+func New(client *store.Client, clock clockwork.Clock, files *configuration.Active, limits settings.StateLimits) *Store {
+	return &Store{client: client, clock: clock, files: files, limits: limits.Strictest()}
 }
 
 // Run calls Refresh at intervals of tuning.ConfigurationInterval until the context ends. It skips the call
--- a/controller/admission/inputs.go
+++ b/controller/admission/inputs.go
@@ -50,16 +50,16 @@
 	case entry.State != dataset.Listed:
 		return &api.FieldError{Field: field + ".dataset",
 			Want: fmt.Sprintf("dataset %q is %s; new jobs cannot use it", input.Dataset, entry.State)}
-	case input.Use != api.UseAll && tasks > entry.Parts:
+	case input.Use != api.UseAllParts && tasks > entry.PartCount:
 		return &api.FieldError{Field: field + ".use",
-			Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", tasks, input.Dataset, entry.Parts)}
+			Want: fmt.Sprintf("the job has %d tasks, but dataset %q has %d parts, one for each", tasks, input.Dataset, entry.PartCount)}
 	}
 	return nil
 }
 
 // bytesPerTask returns the largest number of bytes of an input that any one task needs.
 func bytesPerTask(input api.Input, entry *dataset.Entry, tasks int) int64 {
-	if input.Use == api.UseAll {
+	if input.Use == api.UseAllParts {
 		return entry.Bytes
 	}
 	largest := int64(0)
@@ -76,7 +76,7 @@
 	largest := 0.0
 	for i := range types {
 		if types[i].Fits(submission) {
-			largest = max(largest, s.Data.Cache(types[i].Name))
+			largest = max(largest, s.Data.CacheBytes(types[i].Name))
 		}
 	}
 	if len(types) > 0 && float64(taskBytes) > largest {
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, err
 		}
-		conditions = append(conditions, store.Condition{Key: store.DatasetKey(entry.Name), Revision: entry.Stamp})
+		conditions = append(conditions, store.Condition{Key: store.DatasetKey(entry.Name), Revision: entry.Revision})
 	}
 	return conditions, nil
 }
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -88,7 +88,7 @@
 
 // New returns a Service with datasets and topology off.
 func New(options Options) *Service {
-	writeRate := options.Settings.Facts.State.Least().WriteRPS
+	writeRate := options.Settings.Facts.State.Strictest().WriteRPS
 	leaderlessRate := writeRate * (1 - tuning.LeaderRateShare)
 	limiter := rate.NewLimiter(rate.Limit(leaderlessRate), max(1, int(leaderlessRate)))
 	acceptRate := tuning.LeaderRateShare * writeRate / float64(1+len(options.Settings.Peers))
@@ -217,7 +217,7 @@
 // checkRecordSize returns a *api.FieldError if the record of a job is too large for the state service.
 func (s *Service) checkRecordSize(submission *api.Submission) error {
 	raw, err := json.Marshal(store.JobRecord{Job: *submission, AcceptedAt: math.MaxInt64, FinalState: api.Cancelled, FinalAt: math.MaxInt64})
-	if limit := s.settings.Facts.State.Least().ValueBytes(); err == nil && len(raw) > limit {
+	if limit := s.settings.Facts.State.Strictest().MaxValueBytes(); err == nil && len(raw) > limit {
 		err = &api.FieldError{Field: "body", Want: fmt.Sprintf("the job takes %d bytes on record, at most %d can be stored; use shorter names or fewer machine types", len(raw), limit)}
 	}
 	return err
@@ -233,7 +233,7 @@
 	UnknownReason string
 }
 
-// CanRun checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
+// CheckSubmission checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
 // configuration are not known, or if the configuration is changing and the old and the new one disagree. An error is a
 // *api.FieldError.
 func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
@@ -243,7 +243,7 @@
 		return rules, true, nil
 	}
 	for i, active := range rules.Configurations {
-		unknown, refusal := feasibility.CanRun(submission, active.Limit, types)
+		unknown, refusal := feasibility.CheckSubmission(submission, active.Limit, types)
 		if i > 0 && (refusal == nil) != (err == nil) {
 			rules.UnknownReason = "the configuration is just changing"
 			return rules, true, nil
@@ -265,14 +265,14 @@
 // checkTopologyConstraints parses the topology constraints of a submission and checks whether they can be met. An error
 // is a *api.FieldError, and status is its HTTP status.
 func checkTopologyConstraints(submission *api.Submission, body []byte) (status int, err error) {
-	if submission.Near, submission.Survive, err = api.ParseSite(body, submission.Tasks); err != nil {
+	if submission.Near, submission.Survive, err = api.ParsePlacementConstraints(body, submission.Tasks); err != nil {
 		return http.StatusBadRequest, err
 	}
 	if submission.Shape == api.JobArray {
 		// Tasks of a job array need not all run at once.
 		return 0, nil
 	}
-	if reason := topology.Infeasible(submission.Near, submission.Survive, submission.Tasks); reason != "" {
+	if reason := topology.InfeasibleReason(submission.Near, submission.Survive, submission.Tasks); reason != "" {
 		return http.StatusUnprocessableEntity, &api.FieldError{Field: "survive", Want: reason}
 	}
 	return 0, nil
--- a/controller/agents_test.go
+++ b/controller/agents_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	leader = newLeader(t)
 	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "x", Address: "127.0.0.1:1"}}}
-	set.Facts.State = settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
+	set.Facts.State = settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 	follower = New(context.Background(), set, policy.Default(), leader.clock, leader.state)
 	follower.Enable(&features.Features{Data: features.Data{On: true}})
 	if follower.elector.Campaign(context.Background()) {
@@ -45,12 +45,12 @@
 	if _, ok := body.(api.StageOrder); status != 200 || !ok {
 		t.Fatalf("answered %d %+v", status, body)
 	}
-	if leader.state.Under(store.AgentRelayPrefix) != 0 {
+	if leader.state.CountPrefix(store.AgentRelayPrefix) != 0 {
 		t.Fatal("the heartbeat is stored before the exchange writes it")
 	}
 	for follower.agents.proxy.Exchange.Write(context.Background()) {
 	}
-	if leader.state.Under(store.AgentRelayPrefix) == 0 {
+	if leader.state.CountPrefix(store.AgentRelayPrefix) == 0 {
 		t.Error("the heartbeat is not stored for the leader")
 	}
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -76,7 +76,7 @@
 		complete.Topology = l.features.topology.Map()
 	}
 	if complete.AheadTasks == nil {
-		complete.AheadTasks = &l.features.data.Ahead
+		complete.AheadTasks = &l.features.data.AheadTasks
 	}
 	return &complete
 }
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -134,7 +134,7 @@
 // A setting that a later revision omits takes its value from the files again.
 func TestOmittedSettingFallsBackToFiles(t *testing.T) {
 	controller := newLeader(t).otherController()
-	controller.features.data.Ahead = 5
+	controller.features.data.AheadTasks = 5
 	if ahead := *controller.configuration.withFileDefaults(parseOverEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
 		t.Fatalf("ahead %d with 9 configured", ahead)
 	}
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -15,7 +15,7 @@
 func TestOlderVersionsAreExcludedByVersionRecords(t *testing.T) {
 	leader := newLeader(t)
 	set := &settings.Settings{Member: "y", Peers: []settings.Peer{{Member: "z", Address: "127.0.0.1:1"}}}
-	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24, Next: settings.NextState{ValueKB: 2}}
+	set.Facts.State = settings.StateLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24, Announced: settings.AnnouncedStateLimits{ValueKB: 2}}
 	newController := func() *Controller {
 		return New(context.Background(), set, policy.Default(), leader.clock, leader.state)
 	}
--- a/controller/dataset_cache.go
+++ b/controller/dataset_cache.go
@@ -62,7 +62,7 @@
 func (c *datasetCache) add(entry *dataset.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cached := c.entries[entry.Name]; cached != nil && cached.Stamp > entry.Stamp {
+	if cached := c.entries[entry.Name]; cached != nil && cached.Revision > entry.Revision {
 		return
 	}
 	if len(c.entries) >= tuning.MaxDatasets {
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return peer.RetryLater("the state service is out of reach")
 	}
-	entry.Stamp = revision
+	entry.Revision = revision
 	d.cache.add(&entry)
 	if sched := d.term.scheduler(); sched != nil {
 		sched.AddDatasets(&entry)
@@ -127,7 +127,7 @@
 		return nil, fmt.Errorf("store %s as being removed: %w", item.Key, err)
 	}
 	slog.Info("dataset no longer listed", "dataset", strings.TrimPrefix(item.Key, store.DatasetPrefix))
-	next.Stamp = revision
+	next.Revision = revision
 	return &next, nil
 }
 
--- a/controller/dependent_answers_test.go
+++ b/controller/dependent_answers_test.go
@@ -28,7 +28,7 @@
 		}
 		leader.submit(job)
 	}
-	leader.state.LoseAnswer = true
+	leader.state.LoseNextAnswer = true
 	leader.Cancel(cancelledContext(), chain[0])
 	leader.committer.Step(t.Context())
 	other := leader.otherController()
--- a/controller/heartbeat_monitor.go
+++ b/controller/heartbeat_monitor.go
@@ -28,7 +28,7 @@
 
 // newHeartbeatMonitor returns a monitor that has received no heartbeats.
 func newHeartbeatMonitor(clock clockwork.Clock, workers settings.Workers) *heartbeatMonitor {
-	return &heartbeatMonitor{clock: clock, recentWindow: settings.Seconds(tuning.RecentHeartbeatIntervals * workers.ReportS),
+	return &heartbeatMonitor{clock: clock, recentWindow: settings.Seconds(tuning.RecentHeartbeatIntervals * workers.HeartbeatIntervalS),
 		deduplicator: reachability.NewDeduplicator(tuning.HeartbeatsCapacity)}
 }
 
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -25,7 +25,7 @@
 	heartbeat := api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 2, Seq: 10, Term: term}
 	controller.HandleHeartbeat(context.Background(), &heartbeat, nil)
 	heartbeat.Seq = 11
-	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeatIntervals * controller.settings.Facts.Workers.ReportS))
+	clock.Advance(settings.Seconds(2 * tuning.RecentHeartbeatIntervals * controller.settings.Facts.Workers.HeartbeatIntervalS))
 	duplicate := heartbeat
 	duplicate.Seq = 10
 	status, body := controller.HandleHeartbeat(context.Background(), &duplicate, nil)
@@ -60,7 +60,7 @@
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
 	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}
 	controller := New(context.Background(), set, policy.Default(), clock, state)
 	state.Put(store.LeaderKey, store.LeaderRecord{Member: "n2"})
 	if controller.elector.Campaign(context.Background()) {
--- a/controller/helper_test.go
+++ b/controller/helper_test.go
@@ -20,7 +20,7 @@
 
 func testSettings() *settings.Settings {
 	set := &settings.Settings{Member: "y"}
-	set.Facts.State = settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
+	set.Facts.State = settings.StateLimits{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
 	return set
 }
 
@@ -32,7 +32,7 @@
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	controller := New(context.Background(), set, policy.Default(), clock, state)
 	controller.catalog.types = testTypes
-	controller.Enable(&features.Features{Data: features.Data{On: on, Placement: features.Staged, CacheGB: 5, LinkMBs: 100, StoreMBs: 100, PerLink: 1, AtStore: 8}})
+	controller.Enable(&features.Features{Data: features.Data{On: on, Placement: features.PlacementStaged, CacheGB: 5, LinkMBs: 100, StoreMBs: 100, CopiesPerLink: 1, CopiesAtStore: 8}})
 	return controller, state
 }
 
@@ -44,7 +44,7 @@
 }
 
 func datasetSummary(name string, parts int, partBytes int64) string {
-	raw, _ := json.Marshal(dataset.Summary{Name: name, Parts: parts, Usual: partBytes, Bytes: partBytes * int64(parts)})
+	raw, _ := json.Marshal(dataset.Summary{Name: name, PartCount: parts, CommonPartBytes: partBytes, Bytes: partBytes * int64(parts)})
 	return string(raw)
 }
 
@@ -94,6 +94,6 @@
 func newIsolatedController() (*Controller, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "a", Address: "127.0.0.1:1"}}}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10}
 	return New(context.Background(), set, policy.Default(), clock, fake.NewState(clock)), clock
 }
--- a/controller/job_end_test.go
+++ b/controller/job_end_test.go
@@ -50,7 +50,7 @@
 			leader.submit(smallJob("run-000001"))
 			leader.Place()
 			leader.commit()
-			leader.state.LoseAnswer = true
+			leader.state.LoseNextAnswer = true
 			if state == api.Done {
 				leader.seq++
 				leader.HandleHeartbeat(&api.Heartbeat{Machine: "a1", Address: "a1:1", Type: "m8", Zone: "a", Incarnation: 1, Seq: leader.seq, Term: leader.Term(),
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -84,8 +84,8 @@
 func (l *testLeader) elect() {
 	l.leading, l.commands = true, map[string][]api.Command{}
 	set := &settings.Settings{Member: "x"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}
+	set.Facts.State = settings.StateLimits{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
 	set.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}}
 	term := l.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
 	collaborators := testCollaborators(func() bool { return l.leading })
@@ -148,7 +148,7 @@
 // otherController returns another controller, which answers from the records only. No member runs an older version.
 func (l *testLeader) otherController() *Controller {
 	set := &settings.Settings{Member: "y"}
-	set.Facts.State = settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
+	set.Facts.State = settings.StateLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}
 	set.Facts.Teams = []settings.Team{{Name: "t"}}
 	controller := New(context.Background(), set, policy.Default(), l.clock, l.state)
 	controller.catalog.types = testTypes
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -59,7 +59,7 @@
 		members = append(members, other.Member)
 	}
 	facts := controller.settings.Facts.Workers
-	limits := watermark.NewLimits(settings.Seconds(facts.CancelS), settings.Seconds(facts.LeaseS))
+	limits := watermark.NewLimits(settings.Seconds(facts.CancelDeadlineS), settings.Seconds(facts.LeaseS))
 	return &leaseRenewal{clock: controller.clock, client: controller.client, elector: controller.elector, peers: controller.peers, health: controller.health, term: controller.term,
 		versions: controller.versions, watermark: watermark.New(controller.startedAt, members, limits), renewing: true}
 }
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -29,7 +29,7 @@
 		clock := clockwork.NewFakeClock()
 		state := fake.NewState(clock)
 		set := &settings.Settings{Member: "n1", Zone: "b", Peers: []settings.Peer{{Member: "n0", Zone: "a", Address: "127.0.0.1:1"}, {Member: "n2", Zone: "b", Address: "127.0.0.1:1"}}}
-		set.Facts.Workers = settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}
+		set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}
 		controller := New(context.Background(), set, policy.Default(), clock, state)
 		term := state.Put(store.LeaderKey, store.LeaderRecord{Member: "n0"})
 		if controller.elector.Campaign(context.Background()) {
@@ -57,7 +57,7 @@
 				lastRenewal = clock.Since(confirmedAt)
 			}
 		}
-		maxRenewal := settings.Seconds(set.Facts.Workers.CancelS - set.Facts.Workers.LeaseS)
+		maxRenewal := settings.Seconds(set.Facts.Workers.CancelDeadlineS - set.Facts.Workers.LeaseS)
 		if lastRenewal > maxRenewal || lastRenewal < maxRenewal-tuning.LeaseRenewalMargin-time.Second {
 			t.Errorf("led %v: the last lease was renewed %v after the partition began, want at most %v", formerLeader, lastRenewal, maxRenewal)
 		}
@@ -133,7 +133,7 @@
 // worker but renews no lease. Leaders used to renew leases for as long as their key existed.
 func TestNewLeaderRenewsNoLeaseBeforeRecordsAreLoaded(t *testing.T) {
 	controller, clock := newIsolatedController()
-	controller.settings.Facts.Workers.CancelS = 40
+	controller.settings.Facts.Workers.CancelDeadlineS = 40
 	controller.leases.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
 	ask := func(seq uint64) api.HeartbeatResponse {
--- a/controller/relayed_start_test.go
+++ b/controller/relayed_start_test.go
@@ -57,8 +57,8 @@
 	network := peer.New(nil, leader.clock, func() peer.Hello { return peer.Hello{Member: "x", Term: leader.Term(), StateOK: true} }, fixture.serveForwarded)
 	go func() { _ = network.Serve(t.Context(), listener) }()
 	set := &settings.Settings{Member: "y", Zone: "a", Peers: []settings.Peer{{Member: "x", Zone: "b", Address: listener.Addr().String()}}}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	set.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}
+	set.Facts.State = settings.StateLimits{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
 	fixture.follower = New(t.Context(), set, policy.Default(), leader.clock, leader.state)
 	if fixture.follower.elector.Campaign(t.Context()) {
 		t.Fatal("two leaders")
@@ -66,11 +66,11 @@
 	fixture.follower.leases.watermark.MarkCurrent(leader.clock.Now())
 	for _, name := range names {
 		fixture.workers[name] = fake.NewWorker(fake.WorkerOptions{
-			Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: "a"}, Clock: leader.clock, Every: time.Second, Lease: 10 * time.Second,
-			Runs:   func(string) time.Duration { return time.Hour },
-			Starts: func(task string, _ uint64, _ time.Time) { fixture.recordStart(task, name) },
-			Ends:   func(task string, _ bool) { fixture.placements.End(task, name) },
-			Fails:  fixture.failureCause(name),
+			Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: "a"}, Clock: leader.clock, HeartbeatInterval: time.Second, Lease: 10 * time.Second,
+			TaskDuration: func(string) time.Duration { return time.Hour },
+			OnStart:      func(task string, _ uint64, _ time.Time) { fixture.recordStart(task, name) },
+			OnEnd:        func(task string, _ bool) { fixture.placements.End(task, name) },
+			StartFailure: fixture.failureCause(name),
 		})
 	}
 	return fixture
@@ -112,7 +112,7 @@
 
 // heartbeat sends a worker's heartbeat to the follower and makes the worker execute the response.
 func (r *relayFixture) heartbeat(name string) {
-	heartbeat := r.workers[name].Report()
+	heartbeat := r.workers[name].NextHeartbeat()
 	r.executeResponse(name, heartbeat, r.heartbeatResponse(heartbeat))
 }
 
@@ -133,7 +133,7 @@
 	if !ok {
 		r.Fatalf("answered %+v", body)
 	}
-	r.workers[name].Answer(heartbeat, r.leader.clock.Now(), response)
+	r.workers[name].ApplyResponse(heartbeat, r.leader.clock.Now(), response)
 }
 
 // transferHeartbeats transfers the follower's packets to the leader.
@@ -162,7 +162,7 @@
 	for len(r.leader.sent) > 0 {
 		sent := r.leader.sent[0]
 		r.leader.sent = r.leader.sent[1:]
-		heartbeat, _ := r.workers[sent.machine].Direct(sent.response)
+		heartbeat, _ := r.workers[sent.machine].ExecuteCommands(sent.response)
 		r.leader.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 	}
 }
@@ -192,7 +192,7 @@
 	fixture.fetchCommands()
 	fixture.failingMachines["a1"] = true
 	fixture.heartbeat("a1")
-	report := fixture.workers["a1"].Report()
+	report := fixture.workers["a1"].NextHeartbeat()
 	if len(report.Tasks) != 1 || report.Tasks[0].Cause != api.CauseError || len(fixture.leader.commands[task]) > 0 {
 		t.Fatalf("the relayed start command did not arrive: %+v, sent directly %v", report.Tasks, fixture.leader.commands[task])
 	}
@@ -207,7 +207,7 @@
 	<-fixture.handled
 	fixture.deliverCommands()
 	for range 2 {
-		second := fixture.workers["a2"].Report()
+		second := fixture.workers["a2"].NextHeartbeat()
 		response, _, _ := fixture.leader.HandleHeartbeat(second, "")
 		fixture.executeResponse("a2", second, response)
 	}
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -175,12 +175,12 @@
 			stateService := fake.NewState(clock)
 			controller := New(t.Context(), testSettings(), policy.Default(), clock, stateService)
 			stateService.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001"}})
-			held, release := stateService.LateRead(true), make(chan struct{})
+			held, release := stateService.DelayNextRead(true), make(chan struct{})
 			go func() {
 				<-release
-				held.Answer()
+				held.Release()
 			}()
-			return controller, held.Asked, release
+			return controller, held.Received, release
 		},
 		"asked of the leader": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
 			asked, release := make(chan struct{}), make(chan struct{})
--- a/controller/stale_record_test.go
+++ b/controller/stale_record_test.go
@@ -45,21 +45,21 @@
 				if got := leader.otherController().submissions.SubmitWithoutLeader(t.Context(), smallJob(id), nil).Status; got != 201 {
 					t.Fatalf("accepted without the leader: %d", got)
 				}
-				delayedRead := leader.state.LateRead(true)
+				delayedRead := leader.state.DelayNextRead(true)
 				ctx, stop := context.WithCancel(t.Context())
 				readEnded := make(chan struct{})
 				go func() {
 					defer close(readEnded)
 					path.read(ctx, leader, process)
 				}()
-				<-delayedRead.Asked
+				<-delayedRead.Received
 				cancelAndArchive(t, leader, process, id)
 				if !cached {
 					for number := range tuning.TerminalJobsCapacity {
 						leader.terminal.Remember(fmt.Sprintf("run-9%05d", number), store.FinalRecord{State: api.Done})
 					}
 				}
-				delayedRead.Answer()
+				delayedRead.Release()
 				if path.name == "inbox" {
 					// The follower keeps watching the inbox; it has processed this entry once it has marked it for deletion.
 					waitUntil(t, func() bool { return leader.committer.Pending() > 0 })
--- a/controller/term.go
+++ b/controller/term.go
@@ -62,7 +62,7 @@
 // version may read them.
 func (t *leaderTerm) useCurrentFormat() {
 	t.scheduler.UseCurrentFormat()
-	t.committer.SetValueLimit(t.controller.settings.Facts.State.Least().ValueBytes())
+	t.committer.SetValueLimit(t.controller.settings.Facts.State.Strictest().MaxValueBytes())
 }
 
 // run reads the records, starts the loops of the term, and then places tasks until the context ends.
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -48,7 +48,7 @@
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
 	if explanation, ok := sched.Explain(request.Job); ok {
-		explanation.Why = append(explanation.Why, c.leases.problems()...)
+		explanation.Reasons = append(explanation.Reasons, c.leases.problems()...)
 		return peer.JSONResponse(http.StatusOK, explanation)
 	}
 	// The scheduler does not have the job: its record shows whether it has ended or does not exist.
@@ -59,5 +59,5 @@
 	case !found:
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
 	}
-	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: job.ID, State: job.State, Why: []string{}, Locations: []api.TaskLocation{}})
+	return peer.JSONResponse(http.StatusOK, api.Explanation{Job: job.ID, State: job.State, Reasons: []string{}, Locations: []api.TaskLocation{}})
 }
--- a/dag/inherit.go
+++ b/dag/inherit.go
@@ -6,16 +6,16 @@
 type Stage struct {
 	// Rank is the job's priority; higher ranks go first.
 	Rank int
-	// TakesMS is the time from when the job may start until it completes, in milliseconds.
-	TakesMS int64
-	// DuesMS lists the job's due times in milliseconds of one clock, in ascending order. A job that misses one is held
+	// DurationMS is the time from when the job may start until it completes, in milliseconds.
+	DurationMS int64
+	// DueTimesMS lists the job's due times in milliseconds of one clock, in ascending order. A job that misses one is held
 	// to the next.
-	DuesMS []int64
+	DueTimesMS []int64
 }
 
 // Inherit returns, for each job that others wait for, the stage that results from its own and from those of its
 // dependents: the highest rank and, at each index of the due times, the earliest. A dependency is due at the due time of
-// its dependent less the dependent's TakesMS. StageOf returns a job's own stage, and false for an unknown job.
+// its dependent less the dependent's DurationMS. StageOf returns a job's own stage, and false for an unknown job.
 func (g *Graph) Inherit(stageOf func(job string) (Stage, bool)) map[string]Stage {
 	walk := inheritanceWalk{graph: g, stageOf: stageOf, stages: map[string]Stage{}}
 	for id := range g.dependents {
@@ -45,7 +45,7 @@
 	stage, _ := w.stageOf(job)
 	// This entry ends the recursion if there is a cycle. Accepted jobs form no cycles.
 	w.stages[job] = stage
-	stage.DuesMS = slices.Clone(stage.DuesMS)
+	stage.DueTimesMS = slices.Clone(stage.DueTimesMS)
 	for _, dependent := range w.graph.Dependents(job) {
 		stage.inherit(w.visit(dependent))
 	}
@@ -56,11 +56,11 @@
 // inherit merges the inherited stage of a dependent into a stage.
 func (s *Stage) inherit(dependent Stage) {
 	s.Rank = max(s.Rank, dependent.Rank)
-	for i, due := range dependent.DuesMS {
-		due -= dependent.TakesMS
-		if i == len(s.DuesMS) {
-			s.DuesMS = append(s.DuesMS, due)
+	for i, due := range dependent.DueTimesMS {
+		due -= dependent.DurationMS
+		if i == len(s.DueTimesMS) {
+			s.DueTimesMS = append(s.DueTimesMS, due)
 		}
-		s.DuesMS[i] = min(s.DuesMS[i], due)
+		s.DueTimesMS[i] = min(s.DueTimesMS[i], due)
 	}
 }
--- a/dag/inherit_test.go
+++ b/dag/inherit_test.go
@@ -15,8 +15,8 @@
 	graph.Add("publish", []string{"export", "sweep"})
 	graph.Add("other", []string{"export"})
 	stages := map[string]Stage{
-		"export": {TakesMS: 15}, "rewrite": {TakesMS: 25}, "sweep": {Rank: 1, TakesMS: 20, DuesMS: []int64{500}},
-		"publish": {Rank: 2, TakesMS: 8, DuesMS: []int64{200, 300}}, "other": {Rank: 3, TakesMS: 5},
+		"export": {DurationMS: 15}, "rewrite": {DurationMS: 25}, "sweep": {Rank: 1, DurationMS: 20, DueTimesMS: []int64{500}},
+		"publish": {Rank: 2, DurationMS: 8, DueTimesMS: []int64{200, 300}}, "other": {Rank: 3, DurationMS: 5},
 	}
 	stageOf := func(job string) (Stage, bool) { stage, ok := stages[job]; return stage, ok }
 	got := graph.Inherit(stageOf)
@@ -30,11 +30,11 @@
 		t.Fatalf("stages of %v, want those of %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 	}
 	for job, w := range want {
-		if got[job].Rank != w.rank || !slices.Equal(got[job].DuesMS, w.dues) {
+		if got[job].Rank != w.rank || !slices.Equal(got[job].DueTimesMS, w.dues) {
 			t.Errorf("%s: %+v, want %+v", job, got[job], w)
 		}
 	}
-	if !slices.Equal(stages["sweep"].DuesMS, []int64{500}) {
+	if !slices.Equal(stages["sweep"].DueTimesMS, []int64{500}) {
 		t.Error("a job's own due times were changed")
 	}
 	graph.Complete("export")
--- a/dataagent/agent.go
+++ b/dataagent/agent.go
@@ -48,12 +48,12 @@
 	// DownRate and UpRate limit the rates of receiving and serving, in bytes per second. Zero means
 	// no limit.
 	DownRate, UpRate float64
-	// AtOnce is the maximum number of chunk requests that are served concurrently. Zero means
+	// MaxConcurrentServes is the maximum number of chunk requests that are served concurrently. Zero means
 	// tuning.MaxConcurrentCopies.
-	AtOnce int
-	// Pack makes the agent ask peers for compressed chunks. A peer compresses a chunk only if that
+	MaxConcurrentServes int
+	// Compress makes the agent ask peers for compressed chunks. A peer compresses a chunk only if that
 	// reduces its size enough.
-	Pack bool
+	Compress bool
 
 	// Clock replaces the real clock unless it is nil.
 	Clock clockwork.Clock
@@ -121,8 +121,8 @@
 			DisableCompression:  true,
 		}
 	}
-	if options.AtOnce == 0 {
-		options.AtOnce = tuning.MaxConcurrentCopies
+	if options.MaxConcurrentServes == 0 {
+		options.MaxConcurrentServes = tuning.MaxConcurrentCopies
 	}
 	cache, err := OpenCache(options.Dir, options.CacheBytes, options.BeforeStep)
 	if err != nil {
@@ -134,8 +134,8 @@
 		clock:        options.Clock,
 		http:         client,
 		cache:        cache,
-		sourceClient: &sourceClient{http: client, clock: options.Clock, store: options.Store, compress: options.Pack, limiter: newLimiter(options.DownRate)},
-		chunkServer:  &chunkServer{cache: cache, limiter: newLimiter(options.UpRate), slots: make(chan struct{}, options.AtOnce)},
+		sourceClient: &sourceClient{http: client, clock: options.Clock, store: options.Store, compress: options.Compress, limiter: newLimiter(options.DownRate)},
+		chunkServer:  &chunkServer{cache: cache, limiter: newLimiter(options.UpRate), slots: make(chan struct{}, options.MaxConcurrentServes)},
 		downloadCtx:  ctx,
 		reconcileDue: make(chan struct{}, 1),
 		heartbeatDue: make(chan struct{}, 1),
--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -28,13 +28,13 @@
 			agent, source = fixture.startAgent(dir, 1<<20)
 			eventually(t, "pinned again after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 		}
-		for _, order := range []*api.StageOrder{newOrder(6, 9, "inv", digest, nil), newOrder(7, 2, "inv", digest, nil), {Term: 7, Order: 4, Incarnation: 99}} {
+		for _, order := range []*api.StageOrder{newOrder(6, 9, "inv", digest, nil), newOrder(7, 2, "inv", digest, nil), {Term: 7, Sequence: 4, Incarnation: 99}} {
 			raw, err := json.Marshal(order)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if status, answer := fixture.request(http.MethodPost, "http://"+source.Peer+"/stage", raw); status != http.StatusConflict {
-				t.Fatalf("order %d/%d: status %d %s", order.Term, order.Order, status, answer)
+				t.Fatalf("order %d/%d: status %d %s", order.Term, order.Sequence, status, answer)
 			}
 		}
 		if pinnedParts(agent, "inv").GetCardinality() != 2 {
@@ -61,7 +61,7 @@
 		return pinnedParts(agent, "old").GetCardinality() == 3 && pinnedParts(agent, "next").GetCardinality() == 2
 	})
 	stillDesired := *both
-	stillDesired.Order, stillDesired.Drop = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
+	stillDesired.Sequence, stillDesired.DropManifests = 2, []string{old.String(), "no digest", dataset.Sum(nil).String()}
 	fixture.apply(agent, &stillDesired)
 	if pinnedParts(agent, "old").GetCardinality() != 3 {
 		t.Fatal("a dataset that the order asks for was removed")
@@ -69,9 +69,9 @@
 	order := newOrder(1, 3, "next", next, nil, 0, 1)
 	fixture.apply(agent, order)
 	agent, _ = fixture.startAgent(dir, 1<<20)
-	order.Drop = stillDesired.Drop
+	order.DropManifests = stillDesired.DropManifests
 	fixture.apply(agent, order)
-	for _, held := range agent.Report(true).Holds {
+	for _, held := range agent.Heartbeat(true).Holdings {
 		if held.Dataset != "next" || held.Parts.GetCardinality() != 2 {
 			t.Errorf("holds %v of %s", held.Parts, held.Dataset)
 		}
@@ -102,11 +102,11 @@
 			return
 		}
 		order := newOrder(4, 1, "inv", digest, []api.StageSource{storeSource}, 0, 2)
-		if lastHeartbeat.All {
+		if lastHeartbeat.HoldingsComplete {
 			fullHeartbeats++
 			knownVersion = lastHeartbeat.Version
 		}
-		order.Known = knownVersion
+		order.KnownVersion = knownVersion
 		_ = json.NewEncoder(w).Encode(order)
 	}))
 	t.Cleanup(leader.Close)
@@ -127,7 +127,7 @@
 		fixture.clock.Advance(tuning.MinStageReportInterval)
 		mu.Lock()
 		defer mu.Unlock()
-		return len(lastHeartbeat.Pinned) == 1 && lastHeartbeat.Pinned[0].Parts.GetCardinality() == 2 && lastHeartbeat.Term == 4 && lastHeartbeat.Order == 1 && fullHeartbeats > 0
+		return len(lastHeartbeat.Pinned) == 1 && lastHeartbeat.Pinned[0].Parts.GetCardinality() == 2 && lastHeartbeat.Term == 4 && lastHeartbeat.Sequence == 1 && fullHeartbeats > 0
 	})
 	if agent.ReplicasVersion() == 0 {
 		t.Fatal("the version of the held parts is still 0")
--- a/dataagent/cache_test.go
+++ b/dataagent/cache_test.go
@@ -34,7 +34,7 @@
 	orderParts(1, 0, 1, 2)
 	orderParts(2, 1, 2)
 	orderParts(3, 1, 2, 3) // Part 0 is evicted.
-	for _, held := range agent.Report(true).Holds {
+	for _, held := range agent.Heartbeat(true).Holdings {
 		if held.Parts.Contains(0) || !held.Parts.Contains(3) {
 			t.Fatalf("holds %v", held.Parts)
 		}
@@ -42,8 +42,8 @@
 	// A part that does not fit is not copied, and the heartbeat reports that the cache is full.
 	fixture.apply(agent, newOrder(1, 4, "inv", digest, from, 1, 2, 3, 4))
 	eventually(t, "the full cache is reported", func() bool {
-		copies := agent.Report(false).Copies
-		return len(copies) == 1 && copies[0].Full
+		copies := agent.Heartbeat(false).Copies
+		return len(copies) == 1 && copies[0].CacheFull
 	})
 	for part := 1; part <= 3; part++ {
 		if err := agent.cache.Verify(manifest.Chunks[part]); err != nil {
@@ -70,11 +70,11 @@
 	if err := os.WriteFile(path, randomBytes(7, 1000), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	fixture.store.Break(fake.Fault{Kind: "503"})
+	fixture.store.SetFault(fake.Fault{Kind: "503"})
 	restarted, _ := fixture.startAgent(dir, 1<<20)
 	eventually(t, "the intact part is pinned", func() bool { return pinnedParts(restarted, "inv").Contains(1) })
 	eventually(t, "the corrupt chunk is removed", func() bool { return !restarted.cache.Has(manifest.Chunks[0]) })
-	if heartbeat := restarted.Report(true); pinnedParts(restarted, "inv").Contains(0) || len(heartbeat.Holds) != 1 || heartbeat.Holds[0].Parts.Contains(0) {
+	if heartbeat := restarted.Heartbeat(true); pinnedParts(restarted, "inv").Contains(0) || len(heartbeat.Holdings) != 1 || heartbeat.Holdings[0].Parts.Contains(0) {
 		t.Fatal("a corrupt part is reported as held")
 	}
 }
@@ -95,8 +95,8 @@
 	}
 	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 	eventually(t, "the full cache is reported", func() bool {
-		copies := agent.Report(false).Copies
-		return len(copies) == 1 && copies[0].Part == 1 && copies[0].Full
+		copies := agent.Heartbeat(false).Copies
+		return len(copies) == 1 && copies[0].Part == 1 && copies[0].CacheFull
 	})
 	eventually(t, "the other part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
 	if pinnedParts(agent, "inv").Contains(1) || agent.cache.Has(manifest.Chunks[1]) {
@@ -183,7 +183,7 @@
 			t.Errorf("step %d: %d blocks were written, but only %d bytes are on disk", step, writtenBlocks, bytesBefore)
 		}
 		agent, source := fixture.startAgent(dir, 1<<30)
-		for _, held := range agent.Report(true).Holds {
+		for _, held := range agent.Heartbeat(true).Holdings {
 			for _, part := range held.Parts.ToArray() {
 				if err := agent.cache.Verify(manifest.Chunks[part]); err != nil {
 					t.Fatalf("step %d: reported as held: %v", step, err)
@@ -198,7 +198,7 @@
 		}
 		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 		eventually(t, "complete after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
-		if copiedAgain := agent.Report(false).FromStore - (int64(len(data)) - bytesBefore); copiedAgain > 2*blockSize+8192 {
+		if copiedAgain := agent.Heartbeat(false).BytesFromStore - (int64(len(data)) - bytesBefore); copiedAgain > 2*blockSize+8192 {
 			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, copiedAgain, blockSize)
 		}
 	}
--- a/dataagent/fixture_test.go
+++ b/dataagent/fixture_test.go
@@ -87,7 +87,7 @@
 // the agent, and the source under which peers reach it.
 func (fixture *fixture) startAgent(dir string, quota int64) (*Agent, api.StageSource) {
 	fixture.t.Helper()
-	agent, err := New(fixture.t.Context(), Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: dir, CacheBytes: quota, Store: fixture.url, Clock: fixture.clock, Pack: true})
+	agent, err := New(fixture.t.Context(), Options{Machine: "n-1", Address: "127.0.0.1:1", Dir: dir, CacheBytes: quota, Store: fixture.url, Clock: fixture.clock, Compress: true})
 	if err != nil {
 		fixture.t.Fatal(err)
 	}
@@ -135,17 +135,17 @@
 	set := api.StageSet{Dataset: name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
 	for _, part := range parts {
 		if sources != nil {
-			set.Copies = append(set.Copies, api.StageCopy{Part: int(part), From: sources})
+			set.Copies = append(set.Copies, api.StageCopy{Part: int(part), Sources: sources})
 		}
 	}
-	return &api.StageOrder{Term: term, Order: number, Sets: []api.StageSet{set}}
+	return &api.StageOrder{Term: term, Sequence: number, Sets: []api.StageSet{set}}
 }
 
 // apply applies an order, and fails the test if the agent does not adopt it.
 func (fixture *fixture) apply(agent *Agent, order *api.StageOrder) {
 	fixture.t.Helper()
 	if adopted, err := agent.Apply(order); !adopted || err != nil {
-		fixture.t.Fatalf("order %d/%d: %v %v", order.Term, order.Order, adopted, err)
+		fixture.t.Fatalf("order %d/%d: %v %v", order.Term, order.Sequence, adopted, err)
 	}
 }
 
@@ -169,7 +169,7 @@
 
 // pinnedParts returns the parts of a dataset that an agent reports as pinned.
 func pinnedParts(agent *Agent, name string) *roaring.Bitmap {
-	for _, held := range agent.Report(false).Pinned {
+	for _, held := range agent.Heartbeat(false).Pinned {
 		if held.Dataset == name {
 			return held.Parts.Bitmap
 		}
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -22,42 +22,42 @@
 // accept it.
 const nextControllerDelay = time.Second
 
-// Next returns the next heartbeat to send. It lists all parts in the cache if the controllers have not
+// NextHeartbeat returns the next heartbeat to send. It lists all parts in the cache if the controllers have not
 // acknowledged the current version of that list.
-func (agent *Agent) Next() api.StageHeartbeat {
+func (agent *Agent) NextHeartbeat() api.StageHeartbeat {
 	agent.mu.Lock()
 	listHeld := agent.knownVersion != agent.replicasVersion
 	agent.mu.Unlock()
-	return agent.Report(listHeld)
+	return agent.Heartbeat(listHeld)
 }
 
-// Report returns a new heartbeat with the next sequence number. If listHeld is true, it lists all
+// Heartbeat returns a new heartbeat with the next sequence number. If listHeld is true, it lists all
 // parts in the cache. Its lists are sorted by dataset and part.
-func (agent *Agent) Report(listHeld bool) api.StageHeartbeat {
+func (agent *Agent) Heartbeat(listHeld bool) api.StageHeartbeat {
 	agent.refreshReplicas()
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
 	agent.sequence++
 	heartbeat := api.StageHeartbeat{
-		Machine:     agent.options.Machine,
-		Address:     agent.options.Address,
-		Incarnation: agent.state.Incarnation,
-		Seq:         agent.sequence,
-		Term:        agent.state.Term,
-		Order:       agent.state.Order,
-		Quota:       agent.options.CacheBytes,
-		Used:        agent.cache.Used(),
-		Version:     agent.replicasVersion,
-		All:         listHeld,
-		FromStore:   agent.sourceClient.fromStore.Load(),
-		FromPeers:   agent.sourceClient.fromPeers.Load(),
+		Machine:          agent.options.Machine,
+		Address:          agent.options.Address,
+		Incarnation:      agent.state.Incarnation,
+		Seq:              agent.sequence,
+		Term:             agent.state.Term,
+		Sequence:         agent.state.Order,
+		Quota:            agent.options.CacheBytes,
+		Used:             agent.cache.Used(),
+		Version:          agent.replicasVersion,
+		HoldingsComplete: listHeld,
+		BytesFromStore:   agent.sourceClient.fromStore.Load(),
+		BytesFromPeers:   agent.sourceClient.fromPeers.Load(),
 	}
 	if listHeld {
-		heartbeat.Holds = agent.heldParts()
+		heartbeat.Holdings = agent.heldParts()
 	}
 	for _, desired := range agent.desired {
 		if !desired.verified.IsEmpty() {
-			heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{
+			heartbeat.Pinned = append(heartbeat.Pinned, api.StageHolding{
 				Dataset:  desired.set.Dataset,
 				Manifest: desired.set.Manifest,
 				Parts:    api.PartSet{Bitmap: desired.verified},
@@ -67,7 +67,7 @@
 	for _, transfer := range agent.transfers {
 		heartbeat.Copies = append(heartbeat.Copies, transfer.status())
 	}
-	slices.SortFunc(heartbeat.Holds, compareDatasets)
+	slices.SortFunc(heartbeat.Holdings, compareDatasets)
 	slices.SortFunc(heartbeat.Pinned, compareDatasets)
 	slices.SortFunc(heartbeat.Copies, func(first, second api.StageProgress) int {
 		return cmp.Or(cmp.Compare(first.Dataset, second.Dataset), cmp.Compare(first.Part, second.Part))
@@ -76,15 +76,15 @@
 }
 
 // heldParts returns all parts in the cache, by dataset, in no particular order. mu must be held.
-func (agent *Agent) heldParts() []api.StageHeld {
-	var held []api.StageHeld
+func (agent *Agent) heldParts() []api.StageHolding {
+	var held []api.StageHolding
 	for _, replica := range agent.replicas {
 		if !replica.parts.IsEmpty() {
-			held = append(held, api.StageHeld{
-				Dataset:  replica.manifest.Name,
-				Manifest: replica.manifestDigest.String(),
-				Of:       replica.manifest.PartCount(),
-				Parts:    api.PartSet{Bitmap: replica.parts},
+			held = append(held, api.StageHolding{
+				Dataset:   replica.manifest.Name,
+				Manifest:  replica.manifestDigest.String(),
+				PartCount: replica.manifest.PartCount(),
+				Parts:     api.PartSet{Bitmap: replica.parts},
 			})
 		}
 	}
@@ -92,7 +92,7 @@
 }
 
 // compareDatasets compares by dataset name.
-func compareDatasets(first, second api.StageHeld) int {
+func compareDatasets(first, second api.StageHolding) int {
 	return cmp.Compare(first.Dataset, second.Dataset)
 }
 
@@ -139,7 +139,7 @@
 func (agent *Agent) sendHeartbeat(ctx context.Context, address string) (redirect string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.StageCallTimeout)
 	defer cancel()
-	raw, err := json.Marshal(agent.Next())
+	raw, err := json.Marshal(agent.NextHeartbeat())
 	if err != nil {
 		return "", fmt.Errorf("encode heartbeat: %w", err)
 	}
--- a/dataagent/order.go
+++ b/dataagent/order.go
@@ -93,22 +93,22 @@
 	agent.mu.Lock()
 	state := agent.state
 	agent.mu.Unlock()
-	outdated := order.Term < state.Term || order.Term == state.Term && order.Order < state.Order
+	outdated := order.Term < state.Term || order.Term == state.Term && order.Sequence < state.Order
 	if outdated || order.Incarnation != 0 && order.Incarnation != state.Incarnation {
 		return false, nil
 	}
-	if order.Term != state.Term || order.Order != state.Order {
-		state.Term, state.Order, state.Sets = order.Term, order.Order, order.Sets
+	if order.Term != state.Term || order.Sequence != state.Order {
+		state.Term, state.Order, state.Sets = order.Term, order.Sequence, order.Sets
 		if err := agent.saveState(state); err != nil {
 			return false, err
 		}
 		agent.adoptOrder(state)
 	}
-	for _, manifestDigest := range order.Drop {
+	for _, manifestDigest := range order.DropManifests {
 		agent.removeDataset(manifestDigest)
 	}
 	agent.mu.Lock()
-	agent.knownVersion = order.Known
+	agent.knownVersion = order.KnownVersion
 	outOfDate := agent.knownVersion != agent.replicasVersion
 	agent.mu.Unlock()
 	if outOfDate {
@@ -183,6 +183,6 @@
 
 // partChunks returns the chunks of a part.
 func partChunks(manifest *dataset.Manifest, part int) []dataset.Chunk {
-	from, to := manifest.Part(part)
+	from, to := manifest.PartChunks(part)
 	return manifest.Chunks[from:to]
 }
--- a/dataagent/reconcile.go
+++ b/dataagent/reconcile.go
@@ -42,7 +42,7 @@
 func (agent *Agent) loadDesiredManifest(ctx context.Context, desired *desiredDataset) (loaded, retry bool) {
 	var sources []api.StageSource
 	for _, transfer := range desired.set.Copies {
-		for _, source := range transfer.From {
+		for _, source := range transfer.Sources {
 			if !slices.Contains(sources, source) {
 				sources = append(sources, source)
 			}
@@ -187,7 +187,7 @@
 	}
 	for _, ordered := range desired.set.Copies {
 		if ordered.Part == key.part {
-			return ordered.From
+			return ordered.Sources
 		}
 	}
 	return nil
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -35,7 +35,7 @@
 	router.GET("/manifest/:digest", agent.chunkServer.serveManifest)
 	router.POST("/stage", agent.serveOrder)
 	router.GET("/show", func(request echo.Context) error {
-		return request.JSON(http.StatusOK, agent.Report(true))
+		return request.JSON(http.StatusOK, agent.Heartbeat(true))
 	})
 	return router
 }
@@ -86,7 +86,7 @@
 	if !adopted {
 		status = http.StatusConflict
 	}
-	return request.JSON(status, agent.Report(order.Known != agent.ReplicasVersion()))
+	return request.JSON(status, agent.Heartbeat(order.KnownVersion != agent.ReplicasVersion()))
 }
 
 // serveChunk sends a complete chunk, or a range of it, to a peer. It does not check the digest, since the
--- a/dataagent/source.go
+++ b/dataagent/source.go
@@ -49,7 +49,7 @@
 	firstByte := offset
 	if source.Store {
 		url = client.store + "/" + transfer.datasetName + "/data"
-		firstByte = transfer.manifest.Offset(index) + offset
+		firstByte = transfer.manifest.ChunkOffset(index) + offset
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/dataagent/source_test.go
+++ b/dataagent/source_test.go
@@ -27,22 +27,22 @@
 			fixture.apply(peer, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0))
 			eventually(t, "the part is pinned at the peer", func() bool { return pinnedParts(peer, "inv").Contains(0) })
 
-			fixture.store.Break(fake.Fault{Kind: kind, After: 2*blockSize + 17})
+			fixture.store.SetFault(fake.Fault{Kind: kind, IntactBytes: 2*blockSize + 17})
 			dir := t.TempDir()
 			agent, _ := fixture.startAgent(dir, 1<<30)
 			order := newOrder(1, 1, "inv", digest, []api.StageSource{storeSource, peerSource}, 0)
 			if kind == "503" {
 				// The store does not serve the manifest either, so it must come from the peer.
-				order.Sets[0].Copies[0].From = []api.StageSource{peerSource, storeSource}
-				order.Sets[0].Copies = append(order.Sets[0].Copies[:0], api.StageCopy{Part: 0, From: []api.StageSource{storeSource, peerSource}})
+				order.Sets[0].Copies[0].Sources = []api.StageSource{peerSource, storeSource}
+				order.Sets[0].Copies = append(order.Sets[0].Copies[:0], api.StageCopy{Part: 0, Sources: []api.StageSource{storeSource, peerSource}})
 			}
 			fixture.apply(agent, order)
 			if kind == "hang" || kind == "drip" {
 				<-fixture.store.Hanging
 				// The third block is never received completely.
 				eventually(t, "two blocks are received", func() bool {
-					copies := agent.Report(false).Copies
-					return len(copies) == 1 && copies[0].Got == 2*blockSize
+					copies := agent.Heartbeat(false).Copies
+					return len(copies) == 1 && copies[0].CopiedBytes == 2*blockSize
 				})
 				fixture.clock.Advance(tuning.StageBlockTimeout + time.Second)
 			}
@@ -50,7 +50,7 @@
 			if err := agent.cache.Verify(manifest.Chunks[0]); err != nil {
 				t.Fatal(err)
 			}
-			fromPeer := agent.Report(false).FromPeers
+			fromPeer := agent.Heartbeat(false).BytesFromPeers
 			if kept := int64(len(data)) - fromPeer; kind != "503" && kind != "wrong" && kept < 2*blockSize {
 				t.Errorf("the peer served %d of %d bytes, so blocks from the store were discarded", fromPeer, len(data))
 			}
@@ -74,17 +74,17 @@
 			// The manifest and the first part are received before the store fails.
 			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0))
 			eventually(t, "the first part is pinned", func() bool { return pinnedParts(agent, "inv").Contains(0) })
-			fixture.store.Break(fake.Fault{Kind: kind, After: blockSize})
+			fixture.store.SetFault(fake.Fault{Kind: kind, IntactBytes: blockSize})
 			fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
 			eventually(t, "the failure is reported", func() bool {
-				copies := agent.Report(false).Copies
+				copies := agent.Heartbeat(false).Copies
 				return len(copies) == 1 && len(copies[0].Failed) == 1 && copies[0].Failed[0].Corrupt == (kind == "wrong")
 			})
 			if pinnedParts(agent, "inv").Contains(1) {
 				t.Fatal("an incomplete part is pinned")
 			}
 			before, _ := fixture.store.Served()
-			fixture.store.Break(fake.Fault{})
+			fixture.store.SetFault(fake.Fault{})
 			fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "inv").Contains(1) })
 			after, _ := fixture.store.Served()
 			if want := int64(2 * blockSize); kind == "reset" && after-before > want {
@@ -105,7 +105,7 @@
 	_, first := fixture.store.Add("one", data, len(data), 1)
 	_, second := fixture.store.Add("two", data, len(data), 1)
 	agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
-	fixture.store.Break(fake.Fault{Kind: "hang", After: blockSize})
+	fixture.store.SetFault(fake.Fault{Kind: "hang", IntactBytes: blockSize})
 	order := newOrder(1, 1, "one", first, []api.StageSource{storeSource}, 0)
 	both := *order
 	both.Sets = append(both.Sets, newOrder(1, 1, "two", second, []api.StageSource{storeSource}, 0).Sets...)
@@ -133,10 +133,10 @@
 	if _, requests := fixture.store.Served(); requests != 1 {
 		t.Fatalf("the chunk was requested %d times, want 1", requests)
 	}
-	fixture.store.Break(fake.Fault{})
+	fixture.store.SetFault(fake.Fault{})
 	fixture.clock.Advance(tuning.StageBlockTimeout + time.Second)
 	fixture.advanceUntil(agent, func() bool { return pinnedParts(agent, "two").Contains(0) })
-	if got := agent.Report(false).FromStore; got > 4*blockSize+4096 {
+	if got := agent.Heartbeat(false).BytesFromStore; got > 4*blockSize+4096 {
 		t.Errorf("%d bytes received for a chunk of %d", got, 3*blockSize)
 	}
 }
@@ -153,7 +153,7 @@
 			agent, _ := fixture.startAgent(t.TempDir(), 1<<30)
 			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{source}, 0))
 			eventually(t, "the part comes from the peer", func() bool { return pinnedParts(agent, "inv").Contains(0) })
-			if got := agent.Report(false).FromPeers; (got < int64(len(data))/2) != (kind == "text") {
+			if got := agent.Heartbeat(false).BytesFromPeers; (got < int64(len(data))/2) != (kind == "text") {
 				t.Errorf("%d bytes received for a part of %d", got, len(data))
 			}
 		})
@@ -186,9 +186,9 @@
 			fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{peer, storeSource}, 0))
 			reported := false
 			eventually(t, "the part comes from the store", func() bool {
-				for _, progress := range agent.Report(false).Copies {
+				for _, progress := range agent.Heartbeat(false).Copies {
 					for _, failure := range progress.Failed {
-						reported = reported || failure.Corrupt && failure.From == peer
+						reported = reported || failure.Corrupt && failure.Source == peer
 					}
 				}
 				return pinnedParts(agent, "inv").Contains(0)
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -41,7 +41,7 @@
 // sources for it, or ctx is cancelled. After each failure it tries the next source of the current order.
 // After all sources have failed, it waits with exponential backoff before it tries them again.
 func (agent *Agent) copyPart(ctx context.Context, transfer *partTransfer) {
-	next, end := transfer.manifest.Part(transfer.part)
+	next, end := transfer.manifest.PartChunks(transfer.part)
 	for _, chunk := range partChunks(transfer.manifest, transfer.part) {
 		if agent.cache.Has(chunk) {
 			transfer.progress.addReceived(chunk.Bytes)
@@ -83,7 +83,7 @@
 // that reports it to the leader. Only wrong bytes are reported as corrupt, which makes the leader avoid a
 // peer: a peer that lacks a chunk may have evicted it since its last heartbeat.
 func (agent *Agent) recordFailure(transfer *partTransfer, source api.StageSource, failures int, err error) {
-	failure := api.StageFailure{From: source, Why: err.Error(), Corrupt: errors.Is(err, ErrCorrupt)}
+	failure := api.StageFailure{Source: source, Reason: err.Error(), Corrupt: errors.Is(err, ErrCorrupt)}
 	transfer.progress.addFailure(failure, errors.Is(err, ErrFull))
 	slog.Info("copy failed", "dataset", transfer.datasetName, "part", transfer.part, "from", source, "try", failures, "why", err)
 	agent.requestHeartbeat()
@@ -166,7 +166,7 @@
 func (agent *Agent) downloadChunk(ctx context.Context, source api.StageSource, transfer *partTransfer, index int) error {
 	chunk := transfer.manifest.Chunks[index]
 	for {
-		writer, err := agent.cache.Begin(chunk)
+		writer, err := agent.cache.OpenWriter(chunk)
 		if err != nil {
 			return err
 		}
@@ -177,7 +177,7 @@
 			if errors.Is(err, ErrCorrupt) {
 				writer.Discard()
 			} else {
-				writer.Leave()
+				writer.Suspend()
 			}
 			return err
 		}
@@ -236,7 +236,7 @@
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
 	progress.cacheFull = cacheFull
-	progress.failures = slices.DeleteFunc(progress.failures, func(other api.StageFailure) bool { return other.From == failure.From })
+	progress.failures = slices.DeleteFunc(progress.failures, func(other api.StageFailure) bool { return other.Source == failure.Source })
 	progress.failures = append(progress.failures, failure)
 }
 
@@ -245,12 +245,12 @@
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
 	return api.StageProgress{
-		Dataset: datasetName,
-		Part:    part,
-		Got:     max(0, min(progress.receivedBytes, progress.totalBytes)),
-		Of:      progress.totalBytes,
-		From:    progress.source,
-		Failed:  slices.Clone(progress.failures),
-		Full:    progress.cacheFull,
+		Dataset:     datasetName,
+		Part:        part,
+		CopiedBytes: max(0, min(progress.receivedBytes, progress.totalBytes)),
+		TotalBytes:  progress.totalBytes,
+		Source:      progress.source,
+		Failed:      slices.Clone(progress.failures),
+		CacheFull:   progress.cacheFull,
 	}
 }
--- a/dataagent/writer.go
+++ b/dataagent/writer.go
@@ -10,7 +10,7 @@
 	"switchferry/tuning"
 )
 
-// Writer writes one chunk to the cache. The caller must close it by Writer.Commit, Writer.Leave or
+// Writer writes one chunk to the cache. The caller must close it by Writer.Commit, Writer.Suspend or
 // Writer.Discard. It is not safe for concurrent use.
 type Writer struct {
 	cache *Cache
@@ -23,9 +23,9 @@
 	offset int64
 }
 
-// Begin opens a writer that starts a chunk or resumes an incomplete one, and reserves space for the whole
+// OpenWriter opens a writer that starts a chunk or resumes an incomplete one, and reserves space for the whole
 // chunk. Only one writer of a chunk may be open at a time. The error is ErrFull if there is not enough space.
-func (cache *Cache) Begin(chunk dataset.Chunk) (*Writer, error) {
+func (cache *Cache) OpenWriter(chunk dataset.Chunk) (*Writer, error) {
 	if err := cache.reserve(chunk); err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 		err = writer.resume()
 	}
 	if err != nil {
-		writer.Leave()
+		writer.Suspend()
 		return nil, diskError(err)
 	}
 	return writer, nil
@@ -112,7 +112,7 @@
 // io.ErrUnexpectedEOF if bytes are missing, and ErrFull if the disk is full; the written bytes are then kept.
 func (writer *Writer) Commit() error {
 	if writer.offset != writer.chunk.Bytes {
-		writer.Leave()
+		writer.Suspend()
 		return fmt.Errorf("%d of %d bytes: %w", writer.offset, writer.chunk.Bytes, io.ErrUnexpectedEOF)
 	}
 	if writer.hasher.Digest() != writer.chunk.Digest {
@@ -120,7 +120,7 @@
 		return ErrCorrupt
 	}
 	if err := writer.finalize(); err != nil {
-		writer.Leave()
+		writer.Suspend()
 		return diskError(err)
 	}
 	cache := writer.cache
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Leave closes the writer and keeps the written bytes, so that a later writer can resume.
-func (writer *Writer) Leave() {
+// Suspend closes the writer and keeps the written bytes, so that a later writer can resume.
+func (writer *Writer) Suspend() {
 	size := int64(0)
 	if writer.file != nil {
 		if info, err := writer.file.Stat(); err == nil {
--- a/dataset/dataset_test.go
+++ b/dataset/dataset_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("%d bytes in %d parts", sum, parsed.PartCount())
 	}
 	summary, err := Summarize(parsed, raw)
-	if err != nil || summary.Usual != 192 || len(summary.Odd) != 1 || summary.PartBytes(5) != 1000-5*192 {
+	if err != nil || summary.CommonPartBytes != 192 || len(summary.OtherPartBytes) != 1 || summary.PartBytes(5) != 1000-5*192 {
 		t.Fatalf("%+v %v", summary, err)
 	}
 }
@@ -48,7 +48,7 @@
 			t.Errorf("%s is not named in %v", want, err)
 		}
 	}
-	summary := Summary{Name: "a", Parts: 2, Usual: 10, Bytes: 21}
+	summary := Summary{Name: "a", PartCount: 2, CommonPartBytes: 10, Bytes: 21}
 	if err := summary.Check(); err == nil || !strings.Contains(err.Error(), "add up to 20") {
 		t.Errorf("%v", err)
 	}
@@ -67,7 +67,7 @@
 		// The parts must cover each chunk and each byte exactly once.
 		sum, assigned := int64(0), 0
 		for part := range manifest.PartCount() {
-			from, to := manifest.Part(part)
+			from, to := manifest.PartChunks(part)
 			if from != assigned || to <= from {
 				t.Fatalf("part %d is %d to %d after %d", part, from, to, assigned)
 			}
--- a/dataset/entry.go
+++ b/dataset/entry.go
@@ -18,7 +18,7 @@
 	Summary
 	// State is Listed, Removing or Removed.
 	State string `json:"state,omitempty"`
-	// Stamp is the revision of the record. A job is accepted only if the records of its datasets
+	// Revision is the revision of the record. A job is accepted only if the records of its datasets
 	// still have the revisions at which they were read.
-	Stamp uint64 `json:"-"`
+	Revision uint64 `json:"-"`
 }
--- a/dataset/example_test.go
+++ b/dataset/example_test.go
@@ -40,9 +40,9 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(summary.Bytes, "bytes in", summary.Parts, "parts of", summary.Usual)
+	fmt.Println(summary.Bytes, "bytes in", summary.PartCount, "parts of", summary.CommonPartBytes)
 	fmt.Println("part 2 has", summary.PartBytes(2))
-	fmt.Println("same digest:", summary.Manifest == digest)
+	fmt.Println("same digest:", summary.ManifestDigest == digest)
 	// Output:
 	// 10 bytes in 3 parts of 4
 	// part 2 has 2
--- a/dataset/manifest.go
+++ b/dataset/manifest.go
@@ -125,18 +125,18 @@
 // PartCount returns the number of parts.
 func (manifest *Manifest) PartCount() int { return len(manifest.partStarts) - 1 }
 
-// Part returns the range of a part's chunks: start is the index of the first chunk, end the
+// PartChunks returns the range of a part's chunks: start is the index of the first chunk, end the
 // index after the last one. Part panics unless part is at least 0 and less than PartCount.
-func (manifest *Manifest) Part(part int) (start, end int) {
+func (manifest *Manifest) PartChunks(part int) (start, end int) {
 	return manifest.partStarts[part], manifest.partStarts[part+1]
 }
 
 // PartBytes returns the size of a part in bytes. It panics unless part is at least 0 and less than
 // PartCount.
 func (manifest *Manifest) PartBytes(part int) int64 {
-	from, to := manifest.Part(part)
+	from, to := manifest.PartChunks(part)
 	return manifest.chunkOffsets[to] - manifest.chunkOffsets[from]
 }
 
-// Offset returns the offset in bytes of a chunk in the dataset.
-func (manifest *Manifest) Offset(chunk int) int64 { return manifest.chunkOffsets[chunk] }
+// ChunkOffset returns the offset in bytes of a chunk in the dataset.
+func (manifest *Manifest) ChunkOffset(chunk int) int64 { return manifest.chunkOffsets[chunk] }
--- a/dataset/summary.go
+++ b/dataset/summary.go
@@ -17,38 +17,38 @@
 // Summary describes a dataset and the sizes of its parts without listing its chunks, so that it fits
 // into one record whatever the number of chunks.
 type Summary struct {
-	Name     string `json:"name"`
-	Manifest Digest `json:"manifest"`
-	Bytes    int64  `json:"bytes"`
-	Parts    int    `json:"parts"`
-	// Usual is the size in bytes of each part that is not in Odd.
-	Usual int64 `json:"part_bytes"`
-	// Odd maps the index of each part of another size to its size in bytes.
-	Odd map[int]int64 `json:"odd,omitempty"`
+	Name           string `json:"name"`
+	ManifestDigest Digest `json:"manifest"`
+	Bytes          int64  `json:"bytes"`
+	PartCount      int    `json:"parts"`
+	// CommonPartBytes is the size in bytes of each part that is not in Odd.
+	CommonPartBytes int64 `json:"part_bytes"`
+	// OtherPartBytes maps the index of each part of another size to its size in bytes.
+	OtherPartBytes map[int]int64 `json:"odd,omitempty"`
 }
 
 // Summarize returns the summary of a manifest; raw is its encoded form as it was published, from which
 // the digest is computed. The error is that of Check, for example if too many parts differ in size.
 func Summarize(manifest *Manifest, raw []byte) (Summary, error) {
 	summary := Summary{
-		Name:     manifest.Name,
-		Manifest: Sum(raw),
-		Bytes:    manifest.Bytes(),
-		Parts:    manifest.PartCount(),
-		Odd:      map[int]int64{},
+		Name:           manifest.Name,
+		ManifestDigest: Sum(raw),
+		Bytes:          manifest.Bytes(),
+		PartCount:      manifest.PartCount(),
+		OtherPartBytes: map[int]int64{},
 	}
 	// Usual is the most frequent part size, or the smallest of those that are equally frequent.
 	count := map[int64]int{}
-	for part := range summary.Parts {
+	for part := range summary.PartCount {
 		size := manifest.PartBytes(part)
 		count[size]++
-		if count[size] > count[summary.Usual] || count[size] == count[summary.Usual] && size < summary.Usual {
-			summary.Usual = size
+		if count[size] > count[summary.CommonPartBytes] || count[size] == count[summary.CommonPartBytes] && size < summary.CommonPartBytes {
+			summary.CommonPartBytes = size
 		}
 	}
-	for part := range summary.Parts {
-		if size := manifest.PartBytes(part); size != summary.Usual {
-			summary.Odd[part] = size
+	for part := range summary.PartCount {
+		if size := manifest.PartBytes(part); size != summary.CommonPartBytes {
+			summary.OtherPartBytes[part] = size
 		}
 	}
 	return summary, summary.Check()
@@ -62,25 +62,25 @@
 	if !ValidName(summary.Name) {
 		fail("name: %.80q %s", summary.Name, nameRequirement)
 	}
-	if summary.Parts < 1 || summary.Parts > tuning.MaxParts {
-		fail("parts: must be 1 to %d, not %d; put more chunks in a part", tuning.MaxParts, summary.Parts)
+	if summary.PartCount < 1 || summary.PartCount > tuning.MaxParts {
+		fail("parts: must be 1 to %d, not %d; put more chunks in a part", tuning.MaxParts, summary.PartCount)
 	}
-	if summary.Usual < 1 || summary.Usual > partBytesLimit {
-		fail("part_bytes: must be 1 or more, not %d", summary.Usual)
+	if summary.CommonPartBytes < 1 || summary.CommonPartBytes > partBytesLimit {
+		fail("part_bytes: must be 1 or more, not %d", summary.CommonPartBytes)
 	}
-	if len(summary.Odd) > tuning.MaxOddParts {
-		fail("odd: %d parts differ in size from the others, at most %d may; make the parts equal in size", len(summary.Odd), tuning.MaxOddParts)
+	if len(summary.OtherPartBytes) > tuning.MaxOddParts {
+		fail("odd: %d parts differ in size from the others, at most %d may; make the parts equal in size", len(summary.OtherPartBytes), tuning.MaxOddParts)
 	}
-	for part, size := range summary.Odd {
-		if part < 0 || part >= summary.Parts || size < 1 || size > partBytesLimit {
+	for part, size := range summary.OtherPartBytes {
+		if part < 0 || part >= summary.PartCount || size < 1 || size > partBytesLimit {
 			fail("odd: part %d of %d bytes is not possible", part, size)
 			break
 		}
 	}
 	// With invalid part sizes the sum would be meaningless and could overflow.
 	if len(problems) == 0 {
-		sum := summary.Usual * int64(summary.Parts-len(summary.Odd))
-		for _, size := range summary.Odd {
+		sum := summary.CommonPartBytes * int64(summary.PartCount-len(summary.OtherPartBytes))
+		for _, size := range summary.OtherPartBytes {
 			sum += size
 		}
 		if sum != summary.Bytes {
@@ -92,10 +92,10 @@
 
 // PartBytes returns the size of a part in bytes.
 func (summary *Summary) PartBytes(part int) int64 {
-	if size, ok := summary.Odd[part]; ok {
+	if size, ok := summary.OtherPartBytes[part]; ok {
 		return size
 	}
-	return summary.Usual
+	return summary.CommonPartBytes
 }
 
 // Equal returns whether both summaries have the same JSON encoding, and so describe the same content.
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -59,7 +59,7 @@
 // A member whose winning write gets no response reads the key and finds that it was elected.
 func TestElectionWithLostResponseIsRecognized(t *testing.T) {
 	state, _, first, second := newElectors()
-	state.LoseAnswer = true
+	state.LoseNextAnswer = true
 	if !first.Campaign(t.Context()) {
 		t.Fatal("the elected member does not know that it leads")
 	}
@@ -172,7 +172,7 @@
 		if _, valid := first.Term(); valid {
 			t.Error("the crashed leader's term is still valid after a new leader was elected")
 		}
-		state.Outage(true)
+		state.SetDown(true)
 		time.Sleep(tuning.TermTTL)
 		if _, valid := second.Term(); valid {
 			t.Error("term valid although the state service was down for the lease time")
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -78,7 +78,7 @@
 				began := time.Now()
 				r := d.Run(ctx)
 				res.Cases[i*len(names)+j] = DayEndCase{name, size, *r}
-				x.Progress("%s, %d machines: %d jobs, %d tasks, rules broken %v, in %.0f s", name, size, r.Jobs, r.Tasks, r.Rules, time.Since(began).Seconds())
+				x.Progress("%s, %d machines: %d jobs, %d tasks, rules broken %v, in %.0f s", name, size, r.Jobs, r.TaskStarts, r.Violations, time.Since(began).Seconds())
 			})
 		}
 	}
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -58,7 +58,7 @@
 }
 
 func (x *Handover) play(ctx context.Context, told bool) (*HandedOver, error) {
-	r, err := newUpgraded(ctx, UpgradeDefaults(), x.Seed, settings.State{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
+	r, err := newUpgraded(ctx, UpgradeDefaults(), x.Seed, settings.StateLimits{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
 	}
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -88,8 +88,8 @@
 }
 
 // placements are the four, by the name that the result uses.
-var placements = []struct{ name, mode string }{{"blind", features.Blind}, {"images", features.Images},
-	{"locality", features.Local}, {"locality+staging", features.Staged}}
+var placements = []struct{ name, mode string }{{"blind", features.PlacementBlind}, {"images", features.PlacementImages},
+	{"locality", features.PlacementLocal}, {"locality+staging", features.PlacementStaged}}
 
 // arrival is one job of a workload.
 type arrival struct {
@@ -191,13 +191,13 @@
 		return Figure{}, err
 	}
 	set := &settings.Settings{Member: "experiment"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	types := []api.MachineType{{Name: "m", CPUs: float64(l.Slots), MemoryGB: 64, CacheGB: 3, PullGBs: 1, BootS: 1, Zones: []string{"z"}}}
 	p.core = scheduler.New(1, clockwork.NewRealClock(), set, policy.Default(), types, scheduler.Collaborators{Records: localityRecords{p},
 		Sender: localityCommands{p}, Leadership: alwaysLeading{}, Zones: alwaysLeading{}, TerminalStates: noTerminalStates{}})
 	p.core.UseData(features.Data{On: true, Placement: mode, CacheGB: 1, LinkMBs: l.LinkRate / 1e6, StoreMBs: l.StoreRate / 1e6,
-		PerLink: tuning.StageCopiesPerLink, AtStore: max(tuning.StageCopiesAtStore, l.Machines/2), Ahead: tuning.StageAheadTasks})
+		CopiesPerLink: tuning.StageCopiesPerLink, CopiesAtStore: max(tuning.StageCopiesAtStore, l.Machines/2), AheadTasks: tuning.StageAheadTasks})
 	p.core.Load(nil, nil)
 	for _, s := range p.store.sets {
 		p.core.AddDatasets(&dataset.Entry{Summary: *s})
@@ -233,7 +233,7 @@
 		touched[j.dataset] = true
 		s := api.Submission{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: p.Parts, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprintf("image-%d", j.image), ImageGB: 0.5, Spot: true, EstimateS: p.RunS,
-			Inputs: []api.Input{{Dataset: setName(j.dataset), Use: api.UseOwn}}}
+			Inputs: []api.Input{{Dataset: setName(j.dataset), Use: api.UseOwnPart}}}
 		p.mu.Lock()
 		p.arrived[s.ID], p.images[s.ID] = time.Now(), s.Image
 		p.mu.Unlock()
@@ -255,9 +255,9 @@
 	}
 	f := Figure{Name: name, LeastBytes: int64(len(touched)) * int64(p.Parts*p.PartBytes)}
 	for _, m := range p.machines {
-		r := m.agent.Report(false)
-		f.StoreBytes += r.FromStore
-		f.PeerBytes += r.FromPeers
+		r := m.agent.Heartbeat(false)
+		f.StoreBytes += r.BytesFromStore
+		f.PeerBytes += r.BytesFromPeers
 	}
 	// The manifests, which each machine gets once, are not data.
 	f.StoreBytes -= p.store.manifests.Load()
--- a/experiment/locality_machines.go
+++ b/experiment/locality_machines.go
@@ -56,7 +56,7 @@
 	for ctx.Err() == nil {
 		o, _, _ := p.core.HandleHeartbeat(m.report(), "")
 		m.do(p, o)
-		r := m.agent.Next()
+		r := m.agent.NextHeartbeat()
 		if so, _, refused := p.core.HandleStageHeartbeat(&r); !refused {
 			_, _ = m.agent.Apply(&so)
 		}
@@ -70,7 +70,7 @@
 
 func (m *machine) order(core *scheduler.Scheduler, o api.StageOrder) {
 	_, _ = m.agent.Apply(&o)
-	r := m.agent.Next()
+	r := m.agent.NextHeartbeat()
 	core.HandleStageHeartbeat(&r)
 }
 
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	free := upperbound.Free{Slot: o.SlotS, CPUs: make([]float64, int(day.last/o.SlotS)+1)}
+	free := upperbound.FreeCapacity{SlotS: o.SlotS, CPUs: make([]float64, int(day.last/o.SlotS)+1)}
 	at := 0
 	for i := range free.CPUs {
 		for at+1 < len(day.cpus) && day.cpus[at+1][0] <= float64(i)*o.SlotS {
@@ -163,10 +163,10 @@
 		}
 		x := upperbound.Job{Arrive: j.ready, Due: by}
 		for _, run := range j.took {
-			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, Run: run})
+			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, RunS: run})
 		}
 		// In one order, so that two runs give the same.
-		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.Run, b.Run) })
+		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.RunS, b.RunS) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
@@ -175,8 +175,8 @@
 	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
 		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
 	})
-	b := upperbound.InTime(jobs, free, o.Rounds)
-	res.Alone, res.Most = b.Alone, b.Most
+	b := upperbound.Compute(jobs, free, o.Rounds)
+	res.Alone, res.Most = b.InfeasibleAlone, b.Bound
 	return res, nil
 }
 
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -148,7 +148,7 @@
 		askedAt := time.Now()
 		status, answer := p.ask(ctx, callPatience, http.MethodPost, "/submissions", body)
 		if status == http.StatusCreated || status == http.StatusOK {
-			p.judge(cluster.AskSubmit, job.ID, askedAt, status, answer.State)
+			p.judge(cluster.SubmitRequest, job.ID, askedAt, status, answer.State)
 			p.note(func() { _ = p.submissions.RecordValue(max(1, time.Since(began).Milliseconds())) })
 			return true
 		}
@@ -167,13 +167,13 @@
 	if status != http.StatusOK {
 		return false
 	}
-	p.judge(cluster.AskCancel, id, askedAt, status, answer.State)
+	p.judge(cluster.CancelRequest, id, askedAt, status, answer.State)
 	return true
 }
 
 // judge has the audit check an answer; it reports whether the job is over.
-func (p *population) judge(kind cluster.QuestionKind, id string, askedAt time.Time, status int, state string) (over bool) {
-	return p.audit.Judge(cluster.Question{Job: id, Kind: kind, AskedAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
+func (p *population) judge(kind cluster.RequestKind, id string, askedAt time.Time, status int, state string) (over bool) {
+	return p.audit.CheckAnswer(cluster.JobRequest{JobID: id, Kind: kind, SentAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
 }
 
 // poll asks once; true: the job is over.
@@ -185,7 +185,7 @@
 		p.note(func() { p.failed++ })
 		return false
 	}
-	over := p.judge(cluster.AskStatus, id, askedAt, status, answer.State)
+	over := p.judge(cluster.StatusRequest, id, askedAt, status, answer.State)
 	if over && answer.State == api.Done {
 		p.audit.Jobs(func(j *cluster.AuditedJob) {
 			if at := j.Finished(); j.ID == id && !at.IsZero() {
@@ -217,17 +217,17 @@
 	all := map[string]*hdrhistogram.Histogram{}
 	unstarted := map[string]int{}
 	p.audit.Jobs(func(j *cluster.AuditedJob) {
-		if j.Submitted.Before(from) || j.Submitted.After(to) || j.Told == api.Cancelled {
+		if j.Submitted.Before(from) || j.Submitted.After(to) || j.TerminalState == api.Cancelled {
 			return
 		}
 		if all[j.Rank] == nil {
 			all[j.Rank] = hdrhistogram.New(1, histogramMost, 3)
 		}
-		if j.Begun < j.Tasks {
+		if j.TasksStarted < j.Tasks {
 			unstarted[j.Rank]++
 			return
 		}
-		_ = all[j.Rank].RecordValue(max(1, j.LastBegun.Sub(j.Submitted).Milliseconds()))
+		_ = all[j.Rank].RecordValue(max(1, j.LastTaskStartedAt.Sub(j.Submitted).Milliseconds()))
 	})
 	out := map[string]Waits{}
 	for rank, h := range all {
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -36,7 +36,7 @@
 // RecoveryDefaults are the sizes and times of the tables in docs/fleet.md.
 func RecoveryDefaults() *Recovery {
 	return &Recovery{Seed: 1, Sizes: []int{300, 1000, 2500}, Cases: []string{CrashLeader, CrashAll, CutZone},
-		Workers: settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
+		Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
 }
 
 // Recovered is how one fleet came through one case. Times count from the fault, in seconds; -1: it did not happen
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -45,7 +45,7 @@
 // ScaleDefaults are the steps and cases of docs/CAPACITY.md.
 func ScaleDefaults() *Scale {
 	return &Scale{Seed: 1, Sizes: []int{200, 400, 800, 1600, 2400}, CasesAt: 1600, Cases: ScaleCases(), TasksPerWorker: 22.5, StartsPerS: 97, Teams: 110, Agents: 8,
-		StepS: 20, WatchS: 15, CutS: 60, ApartS: 180, OutageS: 20, Workers: settings.Workers{ReportS: 3, LeaseS: 17.5, CancelS: 47.5}, Progress: func(string, ...any) {}}
+		StepS: 20, WatchS: 15, CutS: 60, ApartS: 180, OutageS: 20, Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, Progress: func(string, ...any) {}}
 }
 
 // Bounds that the operators set for a run.
@@ -151,8 +151,8 @@
 	for _, c := range r.Cases {
 		if c.Case == ScaleLeader && c.FirstStart >= 0 && c.HeardAll >= 0 {
 			out.Measurements = append(out.Measurements, capacity.Measurement{Name: "takeover", Workers: float64(c.Step.Workers), Tasks: float64(c.Step.Tasks), Starts: c.Step.Starts,
-				Figures: map[string]float64{capacity.TakeoverPeak: c.Step.Leader.CPUP99, capacity.TakeoverMemory: c.Step.Leader.MemoryMB,
-					capacity.TakeoverFirst: c.FirstStart, capacity.TakeoverAll: c.HeardAll}})
+				Figures: map[string]float64{capacity.TakeoverCPUPeak: c.Step.Leader.CPUP99, capacity.TakeoverMemory: c.Step.Leader.MemoryMB,
+					capacity.TakeoverFirstStart: c.FirstStart, capacity.TakeoverAllAnswered: c.HeardAll}})
 		}
 	}
 	return out
@@ -162,9 +162,9 @@
 func (s *ScaleStep) measurement() capacity.Measurement {
 	workers := float64(s.Workers)
 	figures := map[string]float64{
-		capacity.LeaderCPU: s.Leader.CPUMean, capacity.LeaderPeak: s.Leader.CPUP99, capacity.LeaderMemory: s.Leader.MemoryMB, capacity.LeaderSockets: float64(s.Leader.Descriptors),
-		capacity.FollowerCPU: s.Follower.CPUMean, capacity.FollowerMemory: s.Follower.MemoryMB, capacity.FollowerSockets: float64(s.Follower.Descriptors),
-		capacity.HollowCPU: s.Hollow.CPUMean,
+		capacity.LeaderCPU: s.Leader.CPUMean, capacity.LeaderCPUP99: s.Leader.CPUP99, capacity.LeaderMemory: s.Leader.MemoryMB, capacity.LeaderDescriptors: float64(s.Leader.Descriptors),
+		capacity.FollowerCPU: s.Follower.CPUMean, capacity.FollowerMemory: s.Follower.MemoryMB, capacity.FollowerDescriptors: float64(s.Follower.Descriptors),
+		capacity.FakeWorkerCPU: s.Hollow.CPUMean,
 	}
 	for kind, f := range s.Traffic {
 		switch {
@@ -174,11 +174,11 @@
 				figures[capacity.StateTransactions] += f.Messages
 			}
 		case strings.HasPrefix(kind, "reports "):
-			figures[capacity.ReportBytes] += f.Bytes
+			figures[capacity.HeartbeatBytes] += f.Bytes
 		case strings.HasPrefix(kind, "cloud "):
 			figures[capacity.CloudRequests] += f.Messages
 		case strings.HasPrefix(kind, "siblings "):
-			figures[capacity.SiblingBytes] += f.Bytes
+			figures[capacity.PeerBytes] += f.Bytes
 		case kind == "commands":
 			figures[capacity.CommandMessages] += f.Messages
 		}
@@ -203,8 +203,8 @@
 	if err := run.steps(res); err != nil {
 		return nil, err
 	}
-	run.audit.Sweep()
-	res.Broken, res.Why = run.audit.Broken()
+	run.audit.CheckCancelledJobs()
+	res.Broken, res.Why = run.audit.Violations()
 	res.StateRefused = run.cluster.State.Refusals()
 	if len(res.Broken) > 0 {
 		return res, fmt.Errorf("rules were broken: %v: %v", res.Broken, res.Why)
@@ -279,9 +279,9 @@
 func (x *Scale) limited(team int) bool { return team < max(1, int(teamsAtLimit*float64(x.Teams))) }
 
 func (x *Scale) facts() settings.Facts {
-	return settings.Facts{Nodes: len(controllerZones), Zones: scaleZones, Teams: x.teams(), Workers: x.Workers,
-		State: settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 8, ListLagS: 3},
-		Resources: settings.Resources{CPU: 1, RAMMB: 512, Sockets: 10_000}}
+	return settings.Facts{ControllerCount: len(controllerZones), Zones: scaleZones, Teams: x.teams(), Workers: x.Workers,
+		State: settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.CloudLimits{RPS: 8, ListLagS: 3},
+		Resources: settings.Resources{CPU: 1, RAMMB: 512, MaxSockets: 10_000}}
 }
 
 var hollowType = api.MachineType{Name: "hollow", CPUs: slotsPerWorker, MemoryGB: 4 * slotsPerWorker, CacheGB: 50, PullGBs: 1, BootS: 40, Price: 1, SpotPrice: 0.5, Zones: scaleZones}
@@ -290,12 +290,12 @@
 	facts := x.facts()
 	run := &scaleRun{Scale: x, ctx: ctx, audit: cluster.NewAudit(facts.Teams, facts.Workers)}
 	var err error
-	run.cluster, err = cluster.New(ctx, cluster.Options{Zones: controllerZones, Facts: facts, Type: hollowType, Room: x.Sizes[len(x.Sizes)-1] / 4,
-		LogDir: x.LogDir, LogLevel: x.LogLevel, Runs: run.runs, Audit: run.audit})
+	run.cluster, err = cluster.New(ctx, cluster.Options{Zones: controllerZones, Facts: facts, MachineType: hollowType, RentalCapacity: x.Sizes[len(x.Sizes)-1] / 4,
+		LogDir: x.LogDir, LogLevel: x.LogLevel, TaskDuration: run.runs, Observer: run.audit})
 	if err != nil {
 		return nil, err
 	}
-	run.cluster.Returned = run.returned.add
+	run.cluster.OnReturned = run.returned.add
 	run.users = newPopulation(run.cluster, run.audit, x.Seed)
 	run.changer = newChanger(run)
 	if err = run.startProcesses(); err != nil {
@@ -426,7 +426,7 @@
 
 // settle waits until so many tasks run.
 func (run *scaleRun) settle(tasks int) error {
-	err := run.cluster.Until(settleMost, func() bool { return run.cluster.Running() >= tasks })
+	err := run.cluster.WaitUntil(settleMost, func() bool { return run.cluster.Running() >= tasks })
 	if err != nil {
 		return fmt.Errorf("%d of %d tasks run: %w", run.cluster.Running(), tasks, err)
 	}
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -91,7 +91,7 @@
 
 func (run *scaleRun) losses() (c counted) {
 	for _, w := range run.cluster.Workers() {
-		_, _, killed, _ := w.Seen()
+		_, _, killed, _ := w.Status()
 		c.killed += killed
 	}
 	machines, tasks, killed := run.returned.counts()
@@ -101,7 +101,7 @@
 // highestTerm is the highest token that any worker has seen.
 func (run *scaleRun) highestTerm() (term uint64) {
 	for _, w := range run.cluster.Workers() {
-		seen, _, _, _ := w.Seen()
+		seen, _, _, _ := w.Status()
 		term = max(term, seen)
 	}
 	return term
@@ -170,7 +170,7 @@
 // allSaw tells whether every worker has seen a higher term.
 func (run *scaleRun) allSaw(above uint64) bool {
 	for _, w := range run.cluster.Workers() {
-		if term, _, _, _ := w.Seen(); term <= above {
+		if term, _, _, _ := w.Status(); term <= above {
 			return false
 		}
 	}
@@ -217,9 +217,9 @@
 		return run.loseRack()
 	case ScaleOutage:
 		return nil, func() {
-			run.cluster.State.Outage(true)
+			run.cluster.State.SetDown(true)
 			run.cluster.Sleep(span(run.OutageS))
-			run.cluster.State.Outage(false)
+			run.cluster.State.SetDown(false)
 		}, false
 	case ScaleRestarts:
 		return nil, run.restartSome, false
@@ -255,7 +255,7 @@
 	}
 	lose := func(on bool) {
 		for _, w := range rack {
-			w.Lose(on)
+			w.BlockAllMessages(on)
 		}
 	}
 	return machines, func() {
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -88,7 +88,7 @@
 
 // change makes one change and waits until it is in force.
 func (c *changer) change(number int) bool {
-	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), By: "scale", Why: fmt.Sprint(number)})
+	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), Operator: "scale", Reason: fmt.Sprint(number)})
 	if err != nil {
 		return false
 	}
@@ -106,7 +106,7 @@
 		}
 		shown, raw := users.askRaw(c.run.ctx, pollPatience, http.MethodGet, "/configuration", nil)
 		var v api.ConfigurationView
-		if shown == http.StatusOK && json.Unmarshal(raw, &v) == nil && v.Leader && (v.Revision > stored.Revision || v.Revision == stored.Revision && v.InForce) {
+		if shown == http.StatusOK && json.Unmarshal(raw, &v) == nil && v.FromLeader && (v.Revision > stored.Revision || v.Revision == stored.Revision && v.InForce) {
 			status = shown
 		}
 	}
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -35,7 +35,7 @@
 }
 
 func (r *returns) add(w *cluster.Worker, running int) {
-	_, _, killed, _ := w.Seen()
+	_, _, killed, _ := w.Status()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.machines++
--- a/experiment/scale_measure.go
+++ b/experiment/scale_measure.go
@@ -138,7 +138,7 @@
 		}
 	}
 	step.Agents = meanFigures(r.agents, seconds)
-	for kind, count := range cluster.Since(r.traffic, r.run.cluster.Traffic.Snapshot()) {
+	for kind, count := range cluster.CountsBetween(r.traffic, r.run.cluster.Traffic.Snapshot()) {
 		step.Traffic[kind] = Flow{float64(count.Messages) / seconds, float64(count.Bytes) / seconds}
 	}
 	for kind, n := range r.run.cluster.State.Changes() {
@@ -160,7 +160,7 @@
 // reportDelays prints the delays of a span's heartbeats.
 func (run *scaleRun) reportDelays(name string) {
 	delays := run.cluster.TakeDelays()
-	responses, overtaken := latencyOf(delays.Heartbeats), latencyOf(delays.Overtaken)
+	responses, overtaken := latencyOf(delays.Heartbeats), latencyOf(delays.DirectCommandLead)
 	run.Progress("%s: %d responses to heartbeats, p50 %d ms, p99 %d ms, longest %d ms; %d came after a direct command that overtook the heartbeat, p99 %d ms, longest %d ms later",
 		name, responses.Count, responses.P50, responses.P99, responses.Most, overtaken.Count, overtaken.P99, overtaken.Most)
 }
@@ -206,7 +206,7 @@
 // unfinished is how many accepted jobs are not over for their users.
 func (run *scaleRun) unfinished() (n int) {
 	run.audit.Jobs(func(j *cluster.AuditedJob) {
-		if !j.Accepted.IsZero() && j.Told == "" {
+		if !j.Accepted.IsZero() && j.TerminalState == "" {
 			n++
 		}
 	})
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -23,7 +23,7 @@
 	x.Program, x.Sizes, x.CasesAt, x.Cases = program, []int{10}, 10, []string{ScaleLeader, ScaleRack}
 	x.TasksPerWorker, x.StartsPerS, x.Teams, x.Agents, x.ChangesEveryS = 4, 2, 4, 1, 1
 	x.StepS, x.CutS, x.WatchS = 2, 2, 3
-	x.Workers = settings.Workers{ReportS: 0.5, LeaseS: 6, CancelS: 20}
+	x.Workers = settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 6, CancelDeadlineS: 20}
 	ctx, stop := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer stop()
 	res, err := x.Run(ctx)
--- a/experiment/scale_writes.go
+++ b/experiment/scale_writes.go
@@ -38,18 +38,18 @@
 		}
 		before := run.cluster.State.Changes()
 		id := run.users.begin(run.ctx, shape.job, shape.cancel)
-		if err := run.cluster.Until(writesMost, func() bool { return run.filed(id) }); err != nil {
+		if err := run.cluster.WaitUntil(writesMost, func() bool { return run.filed(id) }); err != nil {
 			return fmt.Errorf("%s: %w", shape.name, err)
 		}
-		cost := capacity.JobCost{Shape: shape.name, Tasks: shape.job.Tasks, By: map[string]int{}}
+		cost := capacity.JobCost{Shape: shape.name, Tasks: shape.job.Tasks, ChangesByKind: map[string]int{}}
 		after := run.cluster.State.Changes()
 		for _, kind := range jobRecords {
 			if n := after[kind] - before[kind]; n > 0 {
-				cost.By[kind] = n
+				cost.ChangesByKind[kind] = n
 				cost.Changes += n
 			}
 		}
-		run.Progress("%s: %d changes in the state service %v", shape.name, cost.Changes, cost.By)
+		run.Progress("%s: %d changes in the state service %v", shape.name, cost.Changes, cost.ChangesByKind)
 		res.Jobs = append(res.Jobs, cost)
 	}
 	return nil
@@ -62,5 +62,5 @@
 			accepted = !j.Accepted.IsZero()
 		}
 	})
-	return accepted && run.cluster.State.Get("sf/j/"+id) == nil && run.cluster.State.Under("sf/t/"+id+"/") == 0
+	return accepted && run.cluster.State.Get("sf/j/"+id) == nil && run.cluster.State.CountPrefix("sf/t/"+id+"/") == 0
 }
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -52,7 +52,7 @@
 	began := time.Now()
 	var playing sync.WaitGroup
 	for i := range faults {
-		if !sleep.Real(ctx, time.Until(began.Add(faults[i].At))) {
+		if !sleep.OnRealClock(ctx, time.Until(began.Add(faults[i].At))) {
 			break
 		}
 		playing.Go(func() { in.playOne(ctx, &faults[i]) })
@@ -72,8 +72,8 @@
 		_ = controller.Start(in.program) // It may run.
 	}
 	for _, worker := range in.cluster.Workers() {
-		worker.LoseOneWay(false, false)
-		worker.Hang(false)
+		worker.BlockMessages(false, false)
+		worker.Suspend(false)
 	}
 }
 
@@ -89,7 +89,7 @@
 		in.killSeries(ctx, fault)
 	case Pause:
 		in.cluster.Controllers[target].Pause()
-		sleep.Real(ctx, fault.For)
+		sleep.OnRealClock(ctx, fault.For)
 		in.cluster.Controllers[target].Resume()
 	case DeafWorkers, MuteWorkers, RestartedWorkers, HungWorkers:
 		in.meetWorkers(ctx, fault)
@@ -126,7 +126,7 @@
 	for _, controller := range controllers {
 		controller.Kill()
 	}
-	sleep.Real(ctx, downtime)
+	sleep.OnRealClock(ctx, downtime)
 	for _, controller := range controllers {
 		_ = controller.Start(in.program) // Another fault may have started it.
 	}
@@ -136,7 +136,7 @@
 func (in *injector) killSeries(ctx context.Context, fault *Fault) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		in.kill(ctx, []*cluster.Controller{in.cluster.Controllers[in.target(&Fault{Target: TheLeader})]}, seriesDowntime)
-		sleep.Real(ctx, seriesInterval)
+		sleep.OnRealClock(ctx, seriesInterval)
 	}
 }
 
@@ -155,15 +155,15 @@
 		case RestartedWorkers:
 			worker.Restart()
 		case HungWorkers:
-			worker.Hang(true)
+			worker.Suspend(true)
 		default:
-			worker.LoseOneWay(fault.Kind == MuteWorkers, fault.Kind == DeafWorkers)
+			worker.BlockMessages(fault.Kind == MuteWorkers, fault.Kind == DeafWorkers)
 		}
 	}
-	sleep.Real(ctx, fault.For)
+	sleep.OnRealClock(ctx, fault.For)
 	for _, worker := range met {
-		worker.LoseOneWay(false, false)
-		worker.Hang(false)
+		worker.BlockMessages(false, false)
+		worker.Suspend(false)
 	}
 }
 
@@ -172,12 +172,12 @@
 	ended := in.pickWorkers(workersEnded)
 	if fault.Kind == NoticedWorkers {
 		for _, worker := range ended {
-			worker.Notice(fault.For)
+			worker.AnnouncePreemption(fault.For)
 		}
-		sleep.Real(ctx, fault.For)
+		sleep.OnRealClock(ctx, fault.For)
 	}
 	for _, worker := range ended {
-		worker.Die()
+		worker.Fail()
 	}
 }
 
@@ -186,7 +186,7 @@
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapReplies}} {
 			in.hold(ctx, &phase, target)
-			sleep.Real(ctx, flapOpen)
+			sleep.OnRealClock(ctx, flapOpen)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	in.active[fault] = target
 	in.mu.Unlock()
 	in.apply()
-	sleep.Real(ctx, fault.For)
+	sleep.OnRealClock(ctx, fault.For)
 	in.mu.Lock()
 	delete(in.active, fault)
 	in.mu.Unlock()
@@ -247,13 +247,13 @@
 			}
 		}
 	}
-	in.cluster.State.Outage(outage)
+	in.cluster.State.SetDown(outage)
 	in.cluster.SetMessageFaults(messages)
-	in.cluster.SlowPeers(peerDelay)
+	in.cluster.DelayPeers(peerDelay)
 	for number, controller := range in.cluster.Controllers {
 		in.cluster.SetStateFaults(controller.Settings.Member, state[number])
 		for other, peer := range in.cluster.Controllers {
-			in.cluster.CutPeer(controller.Settings.Member, peer.Settings.Member, alone[number] || alone[other] || unheard[number])
+			in.cluster.BlockPeer(controller.Settings.Member, peer.Settings.Member, alone[number] || alone[other] || unheard[number])
 		}
 	}
 }
@@ -262,7 +262,7 @@
 func addStateFault(faults *cluster.StateFaults, kind Kind) {
 	switch kind {
 	case SlowState:
-		faults.SlowUpTo = slowUpTo
+		faults.MaxDelay = slowUpTo
 	case LateAnswers:
 		faults.LateAnswers = lateAnswerShare
 	case LostAnswers:
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -1,6 +1,6 @@
 // Package soak plays random faults against real controllers over loopback, with the project's stand-ins of the state service,
 // the cloud and the workers, while users submit, ask, repeat and cancel at all controllers. Whether the protocol's rules hold
-// is checked from outside, by what users are answered and what workers do (cluster.Audit).
+// is checked from outside, by what users are answered and what workers do (cluster.Observer).
 //
 // One seed draws a run's whole schedule. Real processes do not repeat exactly, so a run that broke a rule keeps its logs.
 package soak
@@ -123,8 +123,8 @@
 	Terms  int `json:"terms"`
 	// Crossings are starts that reached a worker in vain. Releases are the proofs on which allocations were released, and how
 	// often messages about an attempt crossed, as far as the leaders' logs count them.
-	Crossings cluster.CrossedStarts `json:"crossings"`
-	Releases  map[string]int        `json:"releases"`
+	Crossings cluster.IneffectiveStarts `json:"crossings"`
+	Releases  map[string]int            `json:"releases"`
 	// Unfinished are accepted jobs that were not over when the run ended.
 	Unfinished int `json:"unfinished"`
 	// EndedByThemselves are controllers whose last process ended although nothing ended it.
@@ -251,12 +251,12 @@
 	const smallFleet = 50
 	scale := max(1, float64(o.Workers)/smallFleet)
 	return settings.Facts{
-		Nodes: controllers, Zones: []string{"a"},
+		ControllerCount: controllers, Zones: []string{"a"},
 		Teams:     []settings.Team{{Name: teamName, CPUsMax: float64(limitPerWorker * o.Workers)}},
-		Workers:   settings.Workers{ReportS: 0.5, LeaseS: 5, CancelS: 20},
-		State:     settings.State{RPS: 400 * scale, WriteRPS: 80 * scale, ValueKB: 16, TxnOps: 12},
-		Cloud:     settings.Cloud{RPS: 20, ListLagS: 1},
-		Resources: settings.Resources{CPU: 1, RAMMB: 300, Sockets: 3000},
+		Workers:   settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 5, CancelDeadlineS: 20},
+		State:     settings.StateLimits{RPS: 400 * scale, WriteRPS: 80 * scale, ValueKB: 16, TxnOps: 12},
+		Cloud:     settings.CloudLimits{RPS: 20, ListLagS: 1},
+		Resources: settings.Resources{CPU: 1, RAMMB: 300, MaxSockets: 3000},
 	}
 }
 
@@ -264,8 +264,8 @@
 func (o *Options) clusterOptions(facts settings.Facts, logs string, audit *cluster.Audit) cluster.Options {
 	machine := api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 2, Price: 1, SpotPrice: 0.5, Zones: facts.Zones}
 	return cluster.Options{
-		Zones: slices.Repeat(facts.Zones, controllers), Facts: facts, Type: machine, Room: o.Workers, LogDir: logs, LogLevel: o.LogLevel,
-		Runs: audit.Estimate, Audit: audit, Crossed: audit.StartCrossed,
+		Zones: slices.Repeat(facts.Zones, controllers), Facts: facts, MachineType: machine, RentalCapacity: o.Workers, LogDir: logs, LogLevel: o.LogLevel,
+		TaskDuration: audit.Estimate, Observer: audit, OnIneffectiveStart: audit.RecordIneffectiveStart,
 	}
 }
 
@@ -299,13 +299,13 @@
 	}
 	rest.Go(func() { users.revisit(settled) })
 	rest.Go(func() {
-		for sleep.Real(settled, sweepEvery) {
-			audit.Sweep()
+		for sleep.OnRealClock(settled, sweepEvery) {
+			audit.CheckCancelledJobs()
 		}
 	})
 	newInjector(running, o.Program, users).play(ctx, faults)
 	<-coming.Done()
-	for end := time.Now().Add(settleLimit); users.unfinished() > 0 && time.Now().Before(end) && sleep.Real(ctx, settleLook); {
+	for end := time.Now().Add(settleLimit); users.unfinished() > 0 && time.Now().Before(end) && sleep.OnRealClock(ctx, settleLook); {
 		// Users go on asking.
 	}
 	if ctx.Err() == nil {
@@ -322,22 +322,22 @@
 func reportUnanswered(audit *cluster.Audit) {
 	silent := map[string]time.Duration{}
 	audit.Jobs(func(job *cluster.AuditedJob) {
-		if since := time.Since(job.AnsweredAt); job.Told == "" && !job.Accepted.IsZero() && since > forgottenAfter {
+		if since := time.Since(job.AnsweredAt); job.TerminalState == "" && !job.Accepted.IsZero() && since > forgottenAfter {
 			silent[job.ID] = since
 		}
 	})
 	for id, since := range silent {
-		audit.Unanswered(id, since)
+		audit.RecordUnanswered(id, since)
 	}
 }
 
 // judge fills in what the audit and the logs say of a run, and removes the logs unless something broke.
 func (o *Options) judge(run *Run, audit *cluster.Audit, logs string) {
 	counts := audit.Counts()
-	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Questions, counts.Answers, counts.Crossed, counts.Told, audit.Starts()
-	run.Broken, run.Why = audit.Broken()
+	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Requests, counts.Answers, counts.OutOfOrderAnswers, counts.TerminalJobs, audit.Starts()
+	run.Broken, run.Why = audit.Violations()
 	texts := readLogs(logs)
-	run.Contradictions, run.Releases, run.Crossings = countContradictions(texts), countReleases(texts), audit.Crossings()
+	run.Contradictions, run.Releases, run.Crossings = countContradictions(texts), countReleases(texts), audit.IneffectiveStarts()
 	switch {
 	case float64(run.Answers) < leastAnswersPerS*o.ForS:
 		run.Vacuous = "too few questions were answered"
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -99,20 +99,20 @@
 			following.Go(func() { u.follow(settled, next) })
 			awaits = []string{next.ID}
 		}
-		sleep.Real(ctx, rand.N(longestPause))
+		sleep.OnRealClock(ctx, rand.N(longestPause))
 	}
 }
 
 // submit repeats a submission at any controllers until it is accepted; it reports false if ctx ended before.
 func (u *users) submit(ctx context.Context, job *job) bool {
 	for ctx.Err() == nil {
-		if status, _ := u.ask(ctx, cluster.AskSubmit, job, u.anyController()); status == http.StatusOK || status == http.StatusCreated {
+		if status, _ := u.ask(ctx, cluster.SubmitRequest, job, u.anyController()); status == http.StatusOK || status == http.StatusCreated {
 			u.mu.Lock()
 			u.open[job.ID] = job
 			u.mu.Unlock()
 			return true
 		}
-		sleep.Real(ctx, retryPause)
+		sleep.OnRealClock(ctx, retryPause)
 	}
 	return false
 }
@@ -126,15 +126,15 @@
 		u.cancel(ctx, job)
 	case fate < atOnceShare+laterShare || job.Shape == api.Service:
 		go func() {
-			sleep.Real(ctx, rand.N(4*time.Second))
+			sleep.OnRealClock(ctx, rand.N(4*time.Second))
 			u.cancel(ctx, job)
 		}()
 	}
 	for {
-		if _, over := u.ask(ctx, cluster.AskStatus, job, u.anyController()); over {
+		if _, over := u.ask(ctx, cluster.StatusRequest, job, u.anyController()); over {
 			break
 		}
-		if !sleep.Real(ctx, retryPause+rand.N(longestPoll)) {
+		if !sleep.OnRealClock(ctx, retryPause+rand.N(longestPoll)) {
 			return
 		}
 	}
@@ -149,11 +149,11 @@
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
-		if _, over := u.ask(ctx, cluster.AskCancel, job, u.anyController()); over {
+		if _, over := u.ask(ctx, cluster.CancelRequest, job, u.anyController()); over {
 			u.lookClosely(ctx, job)
 			return
 		}
-		sleep.Real(ctx, retryPause)
+		sleep.OnRealClock(ctx, retryPause)
 	}
 }
 
@@ -179,7 +179,7 @@
 	}
 	var asking sync.WaitGroup
 	for _, controller := range u.cluster.Controllers {
-		for _, kind := range []cluster.QuestionKind{cluster.AskStatus, cluster.AskSubmit} {
+		for _, kind := range []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest} {
 			asking.Go(func() { u.ask(ctx, kind, job, controller) })
 		}
 	}
@@ -188,10 +188,10 @@
 
 // revisit asks about jobs that are over, repeats their submissions, and asks about jobs of nobody, until ctx ends.
 func (u *users) revisit(ctx context.Context) {
-	for sleep.Real(ctx, revisitPause) {
+	for sleep.OnRealClock(ctx, revisitPause) {
 		if rand.Float64() < unknownShare {
 			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", invalidIDStart+rand.IntN(1000))}}
-			u.ask(ctx, cluster.AskStatus, unknown, u.anyController())
+			u.ask(ctx, cluster.StatusRequest, unknown, u.anyController())
 			continue
 		}
 		u.mu.Lock()
@@ -203,9 +203,9 @@
 		if ended == nil {
 			continue
 		}
-		kinds := []cluster.QuestionKind{cluster.AskStatus, cluster.AskSubmit, cluster.AskCancel}
+		kinds := []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest, cluster.CancelRequest}
 		kind := kinds[rand.IntN(len(kinds))]
-		if kind == cluster.AskCancel {
+		if kind == cluster.CancelRequest {
 			// It is over: the answer is its final state.
 			u.audit.CancelRequested(ended.ID)
 		}
@@ -219,20 +219,20 @@
 }
 
 // ask asks a controller, and has the audit judge the answer. Status is 0 if there is none.
-func (u *users) ask(ctx context.Context, kind cluster.QuestionKind, job *job, controller *cluster.Controller) (status int, over bool) {
+func (u *users) ask(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, over bool) {
 	method, path, patience := http.MethodPost, "/submissions", callPatience
 	var body []byte
 	switch kind {
-	case cluster.AskSubmit:
+	case cluster.SubmitRequest:
 		body = job.body
-	case cluster.AskCancel:
+	case cluster.CancelRequest:
 		path += "/" + job.ID + "/cancel"
-	case cluster.AskStatus:
+	case cluster.StatusRequest:
 		method, path, patience = http.MethodGet, path+"/"+job.ID, pollPatience
 	}
 	call, stop := context.WithTimeout(ctx, patience)
 	defer stop()
-	question := cluster.Question{Job: job.ID, Kind: kind, Controller: controller.Settings.Member, AskedAt: time.Now()}
+	question := cluster.JobRequest{JobID: job.ID, Kind: kind, Controller: controller.Settings.Member, SentAt: time.Now()}
 	status, raw, err := u.cluster.Call(call, controller, method, path, body)
 	question.AnsweredAt = time.Now()
 	var answer api.JobStatus
@@ -241,7 +241,7 @@
 		_ = json.Unmarshal(raw, &answer) // A failure has no state.
 		question.State = answer.State
 	}
-	return question.Status, u.audit.Judge(question)
+	return question.Status, u.audit.CheckAnswer(question)
 }
 
 // unfinished returns how many accepted jobs are not over.
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -36,7 +36,7 @@
 	}
 	p := &corePlacer{w: w}
 	set := &settings.Settings{Member: "experiment"}
-	set.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: leaseSeconds, CancelS: 40}
+	set.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: leaseSeconds, CancelDeadlineS: 40}
 	set.Facts.Teams = []settings.Team{{Name: "team"}}
 	var types []api.MachineType
 	for _, c := range []float64{8, 16, 32} {
@@ -251,7 +251,7 @@
 	var on []*rackMachine
 	for _, m := range in {
 		for f := m.free(); f >= j.s.CPUs && j.live+j.done+len(on) < j.s.Tasks; f -= j.s.CPUs {
-			if j.s.Survive != nil && here[m.rack] >= j.s.Survive.AtMost {
+			if j.s.Survive != nil && here[m.rack] >= j.s.Survive.MaxTasks {
 				break
 			}
 			here[m.rack]++
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -131,16 +131,16 @@
 	case k < 6:
 		j.s.Shape, j.s.Tasks, j.s.EstimateS = api.Service, 2+w.rng.IntN(11), 0
 		j.ends = j.at.Add(time.Duration(60+w.rng.IntN(240)) * time.Second)
-		j.s.Survive = &api.Survive{Level: "rack", AtMost: 1 + j.s.Tasks/3, Must: true}
+		j.s.Survive = &api.Survive{Level: "rack", MaxTasks: 1 + j.s.Tasks/3, Required: true}
 		if k == 0 {
-			j.s.Near = &api.Near{Level: "switch", Must: true}
+			j.s.Near = &api.Near{Level: "switch", Required: true}
 		}
 	case k < 11:
 		j.s.Shape, j.s.Tasks, j.s.CPUs = api.Gang, 4+w.rng.IntN(20), 4
-		j.s.Near = &api.Near{Level: "rack", Must: true}
+		j.s.Near = &api.Near{Level: "rack", Required: true}
 	case k < 12:
 		j.s.Shape, j.s.Tasks, j.s.CPUs = api.Gang, 30+w.rng.IntN(50), 4
-		j.s.Near = &api.Near{Level: "switch", Must: true}
+		j.s.Near = &api.Near{Level: "switch", Required: true}
 	}
 	return j
 }
@@ -229,7 +229,7 @@
 	for _, j := range w.order {
 		if x := j.s.Survive; x != nil {
 			for _, n := range racks[j.s.ID] {
-				if n > x.AtMost {
+				if n > x.MaxTasks {
 					f.Violations++
 					break
 				}
@@ -322,7 +322,7 @@
 		b[i], c[i] = float64(room[g]), -1
 		if r, ok := racks[g.rack]; ok {
 			a.Set(len(groups)+r, i, 1)
-			b[len(groups)+r] = float64(s.Survive.AtMost)
+			b[len(groups)+r] = float64(s.Survive.MaxTasks)
 		}
 	}
 	for i := range rows {
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -39,7 +39,7 @@
 	}{{5, 0, true}, {6, 0, false}, {3, 2, true}, {4, 2, false}, {5, 4, true}} {
 		s := &api.Submission{CPUs: 4, Tasks: c.tasks}
 		if c.most > 0 {
-			s.Survive = &api.Survive{Level: "rack", AtMost: c.most, Must: true}
+			s.Survive = &api.Survive{Level: "rack", MaxTasks: c.most, Required: true}
 		}
 		if got := fits(in, s); got != c.want {
 			t.Errorf("%d tasks, at most %d in a rack: %v", c.tasks, c.most, got)
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -87,7 +87,7 @@
 	*Upgrade
 	rng     *rand.Rand
 	cluster *cluster.Cluster
-	limits  settings.State
+	limits  settings.StateLimits
 
 	mu    sync.Mutex
 	res   Upgraded
@@ -107,20 +107,20 @@
 }
 
 // sunken are the limits of the state service from some moment on.
-var sunken = settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
+var sunken = settings.AnnouncedStateLimits{WriteRPS: 42, ValueKB: 2, TxnOps: 4}
 
 // newUpgraded starts the stand-ins and workers of a run; no controller runs yet.
-func newUpgraded(ctx context.Context, x *Upgrade, seed uint64, limits settings.State) (*upgraded, error) {
-	limits.Next = sunken
+func newUpgraded(ctx context.Context, x *Upgrade, seed uint64, limits settings.StateLimits) (*upgraded, error) {
+	limits.Announced = sunken
 	r := &upgraded{Upgrade: x, rng: rand.New(rand.NewPCG(seed, 0)), limits: limits, res: Upgraded{Seed: seed}, on: map[string]string{}, ended: map[string]bool{}, jobs: map[string]*asked{}}
 	zones := []string{"east"}
 	var err error
-	r.cluster, err = cluster.New(ctx, cluster.Options{Zones: []string{"east", "east", "east"}, Room: 0,
-		Type: api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 40, Price: 1, SpotPrice: 0.5, Zones: zones},
-		Facts: settings.Facts{Nodes: 3, Zones: zones, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{ReportS: 0.5, LeaseS: 5, CancelS: 20},
-			State: limits, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}, Resources: settings.Resources{CPU: 1, RAMMB: 200, Sockets: 500}},
-		Runs:  func(task string) time.Duration { return time.Duration(500+200*(len(task)%7)) * time.Millisecond },
-		Audit: r})
+	r.cluster, err = cluster.New(ctx, cluster.Options{Zones: []string{"east", "east", "east"}, RentalCapacity: 0,
+		MachineType: api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 40, Price: 1, SpotPrice: 0.5, Zones: zones},
+		Facts: settings.Facts{ControllerCount: 3, Zones: zones, Teams: []settings.Team{{Name: "team"}}, Workers: settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 5, CancelDeadlineS: 20},
+			State: limits, Cloud: settings.CloudLimits{RPS: 20, ListLagS: 1}, Resources: settings.Resources{CPU: 1, RAMMB: 200, MaxSockets: 500}},
+		TaskDuration: func(task string) time.Duration { return time.Duration(500+200*(len(task)%7)) * time.Millisecond },
+		Observer:     r})
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 }
 
 func (x *Upgrade) play(ctx context.Context, seed uint64) (*Upgraded, error) {
-	r, err := newUpgraded(ctx, x, seed, settings.State{RPS: 400, WriteRPS: 60, ValueKB: 16, TxnOps: 12})
+	r, err := newUpgraded(ctx, x, seed, settings.StateLimits{RPS: 400, WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
 	}
@@ -245,7 +245,7 @@
 		r.submit(ctx, r.some(), 1+r.rng.IntN(12))
 		switch {
 		case i == 10:
-			r.cluster.State.Limit(fake.Limits{RPS: r.limits.RPS, WriteRPS: sunken.WriteRPS, ValueKB: sunken.ValueKB, TxnOps: sunken.TxnOps})
+			r.cluster.State.SetLimits(fake.Limits{RPS: r.limits.RPS, WriteRPS: sunken.WriteRPS, ValueKB: sunken.ValueKB, TxnOps: sunken.TxnOps})
 		case i%7 == 3:
 			r.cancel(ctx)
 		case i%13 == 5:
--- a/feasibility/feasibility.go
+++ b/feasibility/feasibility.go
@@ -21,8 +21,8 @@
 	Zone string
 	// Spot says whether the machine is a preemptible instance.
 	Spot bool
-	// Used is the resources taken by services, which run until their users end them.
-	Used fleet.Resources
+	// UsedByServices is the resources taken by services, which run until their users end them.
+	UsedByServices fleet.Resources
 }
 
 // Pool is one kind of machine that the cloud rents.
@@ -38,7 +38,7 @@
 		return false
 	}
 	total := fleet.Resources{CPUs: m.Spec.CPUs, Cards: m.Spec.Cards, MemoryGB: m.Spec.MemoryGB}
-	return total.Sub(m.Used).Fits(fleet.RequestOf(job))
+	return total.Sub(m.UsedByServices).Fits(fleet.RequestOf(job))
 }
 
 // Unplaceable returns the jobs whose tasks no machine can ever run, in the given order. Of several jobs with equal
@@ -79,10 +79,10 @@
 	return fleet.RequestOf(job).Scale(job.Tasks)
 }
 
-// CanRun checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
+// CheckSubmission checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
 // there is no such team. The result is undecided if all other checks pass but the machine types are not known yet. An
 // error is an *api.FieldError that names the submission's field.
-func CanRun(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (undecided bool, err error) {
+func CheckSubmission(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (undecided bool, err error) {
 	limit, ok := limitOf(job.Team)
 	if !ok {
 		return false, &api.FieldError{Field: "owner", Want: "no such team"}
--- a/feasibility/feasibility_test.go
+++ b/feasibility/feasibility_test.go
@@ -14,7 +14,7 @@
 	large := &api.MachineType{Name: "large", CPUs: 32, MemoryGB: 256, Zones: []string{"a", "b"}}
 	machines := []Machine{
 		{Spec: small, Zone: "a"}, {Spec: small, Zone: "b", Spot: true}, {Spec: nil, Zone: "b"},
-		{Spec: large, Zone: "a", Used: fleet.Resources{CPUs: 30}},
+		{Spec: large, Zone: "a", UsedByServices: fleet.Resources{CPUs: 30}},
 	}
 	pools := []Pool{{small, "a", false}, {small, "b", false}, {large, "b", false}, {large, "b", true}}
 	for _, testCase := range []struct {
--- a/features/features.go
+++ b/features/features.go
@@ -17,14 +17,14 @@
 
 // Values of Data.Placement: how tasks with inputs are placed and where their inputs are copied from.
 const (
-	// Blind ignores cached images and cached inputs in placement and copies inputs only from the store.
-	Blind = "blind"
-	// Images considers cached images in placement and copies inputs only from the store.
-	Images = "images"
-	// Local considers both in placement and copies inputs from other machines too, once the task is placed.
-	Local = "local"
-	// Staged does the same as Local and also copies inputs ahead for queued tasks.
-	Staged = "staged"
+	// PlacementBlind ignores cached images and cached inputs in placement and copies inputs only from the store.
+	PlacementBlind = "blind"
+	// PlacementImages considers cached images in placement and copies inputs only from the store.
+	PlacementImages = "images"
+	// PlacementLocal considers both in placement and copies inputs from other machines too, once the task is placed.
+	PlacementLocal = "local"
+	// PlacementStaged does the same as Local and also copies inputs ahead for queued tasks.
+	PlacementStaged = "staged"
 )
 
 // Features is the content of the features file. In the zero value every feature is off.
@@ -72,12 +72,12 @@
 	// 1e6 bytes per second.
 	LinkMBs  float64 `toml:"link_mb_per_s"`
 	StoreMBs float64 `toml:"store_mb_per_s"`
-	// PerLink and AtStore limit the number of concurrent copies per link and from the store.
-	PerLink int `toml:"copies_per_link"`
-	AtStore int `toml:"copies_at_store"`
-	// Ahead is the number of queued tasks per machine for which inputs are copied ahead, in addition to the tasks that
+	// CopiesPerLink and CopiesAtStore limit the number of concurrent copies per link and from the store.
+	CopiesPerLink int `toml:"copies_per_link"`
+	CopiesAtStore int `toml:"copies_at_store"`
+	// AheadTasks is the number of queued tasks per machine for which inputs are copied ahead, in addition to the tasks that
 	// are placed.
-	Ahead int `toml:"ahead_tasks"`
+	AheadTasks int `toml:"ahead_tasks"`
 }
 
 // maxCopies is the largest valid limit of concurrent copies.
@@ -86,8 +86,8 @@
 // bytesPerGB is the number of bytes in a gigabyte of the features file.
 const bytesPerGB = 1e9
 
-// Cache returns the size in bytes of an agent's cache on machines of the given type.
-func (data *Data) Cache(machineType string) float64 {
+// CacheBytes returns the size in bytes of an agent's cache on machines of the given type.
+func (data *Data) CacheBytes(machineType string) float64 {
 	if gigabytes, ok := data.TypeCacheGB[machineType]; ok {
 		return gigabytes * bytesPerGB
 	}
@@ -117,11 +117,11 @@
 // unknown name is an error, since its author expects it to have an effect.
 func Parse(raw []byte) (*Features, error) {
 	features := Features{Data: Data{
-		Placement: Staged,
-		CacheGB:   tuning.StageCacheGB,
-		PerLink:   tuning.StageCopiesPerLink,
-		AtStore:   tuning.StageCopiesAtStore,
-		Ahead:     tuning.StageAheadTasks,
+		Placement:     PlacementStaged,
+		CacheGB:       tuning.StageCacheGB,
+		CopiesPerLink: tuning.StageCopiesPerLink,
+		CopiesAtStore: tuning.StageCopiesAtStore,
+		AheadTasks:    tuning.StageAheadTasks,
 	}}
 	invalid, err := stricttoml.Decode(raw, &features)
 	if err != nil {
@@ -142,7 +142,7 @@
 		fail("store", "must be a URL like http://10.0.0.9:9000")
 	}
 	switch data.Placement {
-	case Blind, Images, Local, Staged:
+	case PlacementBlind, PlacementImages, PlacementLocal, PlacementStaged:
 	default:
 		fail("placement", fmt.Sprintf("must be staged, local, images or blind, not %q", data.Placement))
 	}
@@ -157,13 +157,13 @@
 	}
 	amount("link_mb_per_s", data.LinkMBs, !data.On)
 	amount("store_mb_per_s", data.StoreMBs, !data.On)
-	for field, copies := range map[string]int{"copies_per_link": data.PerLink, "copies_at_store": data.AtStore} {
+	for field, copies := range map[string]int{"copies_per_link": data.CopiesPerLink, "copies_at_store": data.CopiesAtStore} {
 		if copies < 1 || copies > maxCopies {
 			fail(field, fmt.Sprintf("must be 1 to %d, not %d", maxCopies, copies))
 		}
 	}
-	if data.Ahead < 0 || data.Ahead > tuning.MaxAheadTasks {
-		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.MaxAheadTasks, data.Ahead))
+	if data.AheadTasks < 0 || data.AheadTasks > tuning.MaxAheadTasks {
+		fail("ahead_tasks", fmt.Sprintf("must be 0 to %d, not %d", tuning.MaxAheadTasks, data.AheadTasks))
 	}
 	return invalid
 }
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(features, err)
 	}
 	features, err = Parse([]byte("[data]\non = true\nstore = \"http://10.0.0.9:9000/\"\nlink_mb_per_s = 100\nstore_mb_per_s = 500\ntype_cache_gb = {big = 900}\n"))
-	if err != nil || features.Data.Store != "http://10.0.0.9:9000" || features.Data.Cache("big") != 900e9 || features.Data.Cache("other") != 50e9 {
+	if err != nil || features.Data.Store != "http://10.0.0.9:9000" || features.Data.CacheBytes("big") != 900e9 || features.Data.CacheBytes("other") != 50e9 {
 		t.Fatalf("%+v %v", features, err)
 	}
 }
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -21,7 +21,7 @@
 func (fake *fakeController) ConfigurationOn() bool { return false }
 func (fake *fakeController) DataOn() bool          { return fake.dataOn }
 func (fake *fakeController) HandleStageHeartbeat(_ context.Context, heartbeat *api.StageHeartbeat, _ []byte) (int, any) {
-	return 200, api.StageOrder{Term: 4, Order: heartbeat.Order}
+	return 200, api.StageOrder{Term: 4, Sequence: heartbeat.Sequence}
 }
 
 func (fake *fakeController) Ready() bool { return false }
--- a/httpapi/submissions_test.go
+++ b/httpapi/submissions_test.go
@@ -83,8 +83,8 @@
 		clock := clockwork.NewRealClock()
 		config := &settings.Settings{Member: "n0", Zone: "a"}
 		config.External = settings.External{State: "state:1", Cloud: "cloud:1"}
-		config.Facts = settings.Facts{Nodes: 1, Zones: []string{"a", "b"}, Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}, Teams: []settings.Team{{Name: "t", CPUsMax: 40}},
-			State: settings.State{RPS: 400, WriteRPS: 400, ValueKB: 16, TxnOps: 12}, Cloud: settings.Cloud{RPS: 20, ListLagS: 1}}
+		config.Facts = settings.Facts{ControllerCount: 1, Zones: []string{"a", "b"}, Workers: settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}, Teams: []settings.Team{{Name: "t", CPUsMax: 40}},
+			State: settings.StateLimits{RPS: 400, WriteRPS: 400, ValueKB: 16, TxnOps: 12}, Cloud: settings.CloudLimits{RPS: 20, ListLagS: 1}}
 		types := []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 1, BootS: 10, Zones: []string{"a", "b"}}}
 		state := fake.NewState(clock)
 		services := &externalServices{state: state, cloud: fake.NewCloud(clock, types, 20)}
@@ -167,12 +167,12 @@
 
 		// During an outage of the state service, a job that cannot be looked up is answered with 503, and one that has ended
 		// with its state.
-		state.Outage(true)
+		state.SetDown(true)
 		time.Sleep(3 * time.Second)
 		check("POST", "/submissions", bodyWith("name_id", "run-000002"), 503)
 		check("POST", "/submissions", strings.Replace(bodyWith("cores", 1000), "run-000001", "run-000002", 1), 503)
 		check("POST", "/submissions", bodyWith("cores", 1000), 200, `"status":"withdrawn"`)
-		state.Outage(false)
+		state.SetDown(false)
 		stop()
 		close(peerListener)
 		<-done
--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -51,7 +51,7 @@
 	firstStarts       map[uint64]time.Time
 	starts            int
 	violations        map[string]int
-	ineffectiveStarts CrossedStarts
+	ineffectiveStarts IneffectiveStarts
 	// The following fields are the counters that Counts returns.
 	requests, answers, outOfOrderAnswers, terminalJobs int
 	explanations                                       []string
@@ -63,14 +63,14 @@
 	// Submitted is when the job was recorded, just before its submission. Accepted is when the first answer that
 	// accepted it arrived, zero before.
 	Submitted, Accepted time.Time
-	// Begun counts the tasks that started at least once.
-	Begun int
-	// LastBegun is when a task of the job last started for the first time.
-	LastBegun time.Time
+	// TasksStarted counts the tasks that started at least once.
+	TasksStarted int
+	// LastTaskStartedAt is when a task of the job last started for the first time.
+	LastTaskStartedAt time.Time
 	// TasksDone counts the tasks that completed.
 	TasksDone int
-	// Told is the terminal state that the user was given first, empty before.
-	Told string
+	// TerminalState is the terminal state that the user was given first, empty before.
+	TerminalState string
 	// TerminalStateAt is when the user was given that state.
 	TerminalStateAt time.Time
 	// AnsweredAt is when a request about the job was last answered.
@@ -88,7 +88,7 @@
 // NewAudit returns an audit without jobs. A team whose CPUsMax is 0 has no limit. A cancellation must take effect
 // within workers.CancelS seconds.
 func NewAudit(teams []settings.Team, workers settings.Workers) *Audit {
-	audit := &Audit{cancelWithin: seconds(workers.CancelS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, placements: fake.Placements[string]{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
+	audit := &Audit{cancelWithin: seconds(workers.CancelDeadlineS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, placements: fake.Placements[string]{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
 	for _, team := range teams {
 		if team.CPUsMax > 0 {
 			audit.limits[team.Name] = team.CPUsMax
@@ -140,28 +140,28 @@
 	}
 	if !job.startedTasks[task] {
 		job.startedTasks[task] = true
-		job.Begun++
-		job.LastBegun = time.Now()
+		job.TasksStarted++
+		job.LastTaskStartedAt = time.Now()
 	}
-	if job.Told == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
+	if job.TerminalState == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
 		audit.recordViolation(RanAfterCancel, "%s started %v after its cancellation was told", task, time.Since(job.TerminalStateAt).Round(time.Millisecond))
 	}
 }
 
-// CrossedStarts counts the start commands that had no effect because the worker already had that attempt or another one
+// IneffectiveStarts counts the start commands that had no effect because the worker already had that attempt or another one
 // of the task. This happens when a start command and an exit report, or a start and a kill, pass each other in transit.
 // The fields are written out under their Go names.
-type CrossedStarts struct {
+type IneffectiveStarts struct {
 	// Repeated counts starts of attempts that had not ended, Late those of attempts that had, and Busy those that came
 	// while another attempt of the task had not ended.
 	Repeated, Late, Busy int
 }
 
 // Sum returns the number of start commands without effect of all kinds.
-func (counts CrossedStarts) Sum() int { return counts.Repeated + counts.Late + counts.Busy }
+func (counts IneffectiveStarts) Sum() int { return counts.Repeated + counts.Late + counts.Busy }
 
-// StartCrossed records a start command that had no effect at a worker.
-func (audit *Audit) StartCrossed(kind fake.IneffectiveStart) {
+// RecordIneffectiveStart records a start command that had no effect at a worker.
+func (audit *Audit) RecordIneffectiveStart(kind fake.IneffectiveStart) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	switch kind {
@@ -174,8 +174,8 @@
 	}
 }
 
-// Crossings returns the number of start commands that had no effect, by kind.
-func (audit *Audit) Crossings() CrossedStarts {
+// IneffectiveStarts returns the number of start commands that had no effect, by kind.
+func (audit *Audit) IneffectiveStarts() IneffectiveStarts {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return audit.ineffectiveStarts
@@ -198,19 +198,19 @@
 	}
 }
 
-// Sweep checks that no task of a cancelled job still runs after the time that the protocol allows.
-func (audit *Audit) Sweep() {
+// CheckCancelledJobs checks that no task of a cancelled job still runs after the time that the protocol allows.
+func (audit *Audit) CheckCancelledJobs() {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	for task, machine := range audit.placements.All() {
-		if job := audit.jobOf(task); job != nil && job.Told == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
+		if job := audit.jobOf(task); job != nil && job.TerminalState == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
 			audit.recordViolation(RanAfterCancel, "%s is on %s %v after its cancellation was told", task, machine, time.Since(job.TerminalStateAt).Round(time.Millisecond))
 		}
 	}
 }
 
-// Broken returns the number of violations by rule, and explanations of the first maxExplanations.
-func (audit *Audit) Broken() (counts map[string]int, explanations []string) {
+// Violations returns the number of violations by rule, and explanations of the first maxExplanations.
+func (audit *Audit) Violations() (counts map[string]int, explanations []string) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
 	return maps.Clone(audit.violations), slices.Clone(audit.explanations)
--- a/internal/cluster/audit_test.go
+++ b/internal/cluster/audit_test.go
@@ -18,7 +18,7 @@
 }
 
 func newHistory() *history {
-	h := &history{NewAudit([]settings.Team{{Name: "t", CPUsMax: 3}}, settings.Workers{CancelS: 0.001}), time.Now().Add(-time.Hour)}
+	h := &history{NewAudit([]settings.Team{{Name: "t", CPUsMax: 3}}, settings.Workers{CancelDeadlineS: 0.001}), time.Now().Add(-time.Hour)}
 	for _, id := range []string{"run-000001", "run-000002", "run-000003"} {
 		h.Submit(api.Submission{ID: id, Team: "t", Tasks: 2, CPUs: 1})
 	}
@@ -27,14 +27,14 @@
 }
 
 // recordRequest records a request that is sent and answered at the given seconds.
-func (h *history) recordRequest(kind QuestionKind, id string, sent, answered, status int, state string) {
+func (h *history) recordRequest(kind RequestKind, id string, sent, answered, status int, state string) {
 	at := func(second int) time.Time { return h.start.Add(time.Duration(second) * time.Second) }
-	h.Judge(Question{Job: id, Kind: kind, AskedAt: at(sent), AnsweredAt: at(answered), Status: status, State: state})
+	h.CheckAnswer(JobRequest{JobID: id, Kind: kind, SentAt: at(sent), AnsweredAt: at(answered), Status: status, State: state})
 }
 
 // recordAcceptance records the acceptance of a job at second 1.
 func (h *history) recordAcceptance(id string) {
-	h.recordRequest(AskSubmit, id, 0, 1, http.StatusCreated, api.Pending)
+	h.recordRequest(SubmitRequest, id, 0, 1, http.StatusCreated, api.Pending)
 }
 
 // recordCompletion records that both tasks of the first job start and complete.
@@ -54,74 +54,74 @@
 	}{
 		{"done job", func(h *history) {
 			h.recordCompletion()
-			h.recordRequest(AskStatus, id, 2, 3, 200, api.Done)
-			h.recordRequest(AskSubmit, id, 4, 5, 200, api.Done)
+			h.recordRequest(StatusRequest, id, 2, 3, 200, api.Done)
+			h.recordRequest(SubmitRequest, id, 4, 5, 200, api.Done)
 		}, nil},
 		{"cancelled job", func(h *history) {
 			h.CancelRequested(id)
-			h.recordRequest(AskStatus, id, 2, 3, 200, api.Cancelled)
-			h.recordRequest(AskCancel, id, 2, 4, 200, api.Cancelled)
+			h.recordRequest(StatusRequest, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(CancelRequest, id, 2, 4, 200, api.Cancelled)
 		}, nil},
 		{"older request answered after the terminal state", func(h *history) {
 			h.recordCompletion()
-			h.recordRequest(AskStatus, id, 3, 4, 200, api.Done)
-			h.recordRequest(AskStatus, id, 2, 5, 200, api.Running)
+			h.recordRequest(StatusRequest, id, 3, 4, 200, api.Done)
+			h.recordRequest(StatusRequest, id, 2, 5, 200, api.Running)
 		}, nil},
 		{"later request answered with an older state", func(h *history) {
 			h.recordCompletion()
-			h.recordRequest(AskStatus, id, 3, 4, 200, api.Done)
-			h.recordRequest(AskStatus, id, 5, 6, 200, api.Running)
+			h.recordRequest(StatusRequest, id, 3, 4, 200, api.Done)
+			h.recordRequest(StatusRequest, id, 5, 6, 200, api.Running)
 		}, map[string]int{StateReverted: 1}},
 		{"two different terminal states for overlapping requests", func(h *history) {
 			h.recordCompletion()
 			h.CancelRequested(id)
-			h.recordRequest(AskCancel, id, 2, 4, 200, api.Cancelled)
-			h.recordRequest(AskStatus, id, 3, 5, 200, api.Done)
+			h.recordRequest(CancelRequest, id, 2, 4, 200, api.Cancelled)
+			h.recordRequest(StatusRequest, id, 3, 5, 200, api.Done)
 		}, map[string]int{StateReverted: 1}},
 		{"cancelled without a request", func(h *history) {
-			h.recordRequest(AskStatus, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(StatusRequest, id, 2, 3, 200, api.Cancelled)
 		}, map[string]int{StateReverted: 1}},
 		{"cancelled after its dependency", func(h *history) {
 			h.recordAcceptance("run-000004")
 			h.CancelRequested(id)
-			h.recordRequest(AskStatus, "run-000004", 2, 3, 200, api.Cancelled)
+			h.recordRequest(StatusRequest, "run-000004", 2, 3, 200, api.Cancelled)
 		}, nil},
 		{"not cancelled after its dependency", func(h *history) {
 			h.recordAcceptance("run-000004")
 			h.CancelRequested(id)
-			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.recordRequest(AskStatus, "run-000004", 4, 5, 200, api.Pending)
+			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(StatusRequest, "run-000004", 4, 5, 200, api.Pending)
 		}, map[string]int{DependencyCancelled: 1}},
 		{"accepted long after its dependency was cancelled", func(h *history) {
 			h.CancelRequested(id)
-			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.recordRequest(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
+			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(SubmitRequest, "run-000004", 4, 5, http.StatusCreated, api.Pending)
 		}, nil},
 		{"pending long after its acceptance with a cancelled dependency", func(h *history) {
 			h.CancelRequested(id)
-			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.recordRequest(AskSubmit, "run-000004", 4, 5, http.StatusCreated, api.Pending)
-			h.recordRequest(AskStatus, "run-000004", 6, 7, 200, api.Pending)
+			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(SubmitRequest, "run-000004", 4, 5, http.StatusCreated, api.Pending)
+			h.recordRequest(StatusRequest, "run-000004", 6, 7, 200, api.Pending)
 		}, map[string]int{DependencyCancelled: 1}},
 		{"reported as done before its tasks", func(h *history) {
-			h.recordRequest(AskStatus, id, 2, 3, 200, api.Done)
+			h.recordRequest(StatusRequest, id, 2, 3, 200, api.Done)
 		}, map[string]int{DoneBeforeTasks: 1}},
 		{"unknown after it was accepted", func(h *history) {
-			h.recordRequest(AskStatus, id, 2, 3, 404, "")
+			h.recordRequest(StatusRequest, id, 2, 3, 404, "")
 		}, map[string]int{JobLost: 1}},
 		{"refused after it was accepted", func(h *history) {
-			h.recordRequest(AskSubmit, id, 2, 3, 422, "")
+			h.recordRequest(SubmitRequest, id, 2, 3, 422, "")
 		}, map[string]int{JobLost: 1}},
 		{"unknown to a request sent before its acceptance", func(h *history) {
-			h.recordRequest(AskStatus, id, 0, 3, 404, "")
+			h.recordRequest(StatusRequest, id, 0, 3, 404, "")
 		}, nil},
 		{"unanswered for a minute", func(h *history) {
-			h.recordRequest(AskStatus, id, 2, 3, 503, "")
-			h.Unanswered(id, time.Minute)
+			h.recordRequest(StatusRequest, id, 2, 3, 503, "")
+			h.RecordUnanswered(id, time.Minute)
 		}, map[string]int{JobLost: 1}},
 		{"job that was never submitted", func(h *history) {
-			h.recordRequest(AskStatus, "run-999999", 2, 3, 404, "")
-			h.recordRequest(AskStatus, "run-999998", 2, 3, 200, api.Pending)
+			h.recordRequest(StatusRequest, "run-999999", 2, 3, 404, "")
+			h.recordRequest(StatusRequest, "run-999998", 2, 3, 200, api.Pending)
 		}, map[string]int{UnknownJob: 1}},
 		{"task on two machines", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
@@ -159,12 +159,12 @@
 		{"task running after its job was reported as cancelled", func(h *history) {
 			h.Started(id+"/0", "m1", 1)
 			h.CancelRequested(id)
-			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
-			h.Sweep()
+			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
+			h.CheckCancelledJobs()
 		}, map[string]int{RanAfterCancel: 1}},
 		{"task started after its job was reported as cancelled", func(h *history) {
 			h.CancelRequested(id)
-			h.recordRequest(AskCancel, id, 2, 3, 200, api.Cancelled)
+			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
 			h.Started(id+"/0", "m1", 1)
 		}, map[string]int{RanAfterCancel: 1}},
 		{"task started before a dependency is done", func(h *history) {
@@ -177,7 +177,7 @@
 			h := newHistory()
 			h.recordAcceptance(id)
 			tc.play(h)
-			if violations, why := h.Broken(); !maps.Equal(violations, tc.broken) {
+			if violations, why := h.Violations(); !maps.Equal(violations, tc.broken) {
 				t.Errorf("violations %v, want %v: %v", violations, tc.broken, why)
 			}
 		})
@@ -187,12 +187,12 @@
 func TestAuditCountsRequestsAndAnswers(t *testing.T) {
 	h := newHistory()
 	h.recordAcceptance("run-000001")
-	h.recordRequest(AskStatus, "run-000001", 2, 3, 503, "")
-	h.recordRequest(AskStatus, "run-000001", 2, 4, 0, "")
+	h.recordRequest(StatusRequest, "run-000001", 2, 3, 503, "")
+	h.recordRequest(StatusRequest, "run-000001", 2, 4, 0, "")
 	h.recordCompletion()
-	h.recordRequest(AskStatus, "run-000001", 5, 6, 200, api.Done)
-	h.recordRequest(AskStatus, "run-000001", 5, 7, 200, api.Running)
-	want := AuditCounts{Questions: 5, Answers: 3, Crossed: 1, Told: 1, LeaderTerms: 1}
+	h.recordRequest(StatusRequest, "run-000001", 5, 6, 200, api.Done)
+	h.recordRequest(StatusRequest, "run-000001", 5, 7, 200, api.Running)
+	want := AuditCounts{Requests: 5, Answers: 3, OutOfOrderAnswers: 1, TerminalJobs: 1, LeaderTerms: 1}
 	if got := h.Counts(); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
