--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -39,21 +39,21 @@
 	// Facts are the platform's facts in the controllers' settings. The fakes enforce the limits of the state service and
 	// the cloud that they state.
 	Facts settings.Facts
-	// Type is the only machine type.
-	Type api.MachineType
-	// Room is how many machines can be rented in addition to those of AddWorkers.
-	Room int
+	// MachineType is the only machine type.
+	MachineType api.MachineType
+	// RentalCapacity is how many machines can be rented in addition to those of AddWorkers.
+	RentalCapacity int
 	// Arguments are further arguments of `serve` for all controllers.
 	Arguments []string
 	// LogDir is the directory of the controllers' log files, one for each member. If it is empty, logs are discarded.
 	// LogLevel is the controllers' log level, "error" if empty.
 	LogDir, LogLevel string
-	// Runs returns how long a task runs.
-	Runs func(task string) time.Duration
-	// Audit, if not nil, is notified of starts and ends of tasks.
-	Audit Observer
-	// Crossed, if not nil, is called for each start command that has no effect at a worker.
-	Crossed func(kind fake.IneffectiveStart)
+	// TaskDuration returns how long a task runs.
+	TaskDuration func(task string) time.Duration
+	// Observer, if not nil, is notified of starts and ends of tasks.
+	Observer Observer
+	// OnIneffectiveStart, if not nil, is called for each start command that has no effect at a worker.
+	OnIneffectiveStart func(kind fake.IneffectiveStart)
 }
 
 // Observer is notified of starts and ends of tasks, in order for each worker. It is called with that worker's lock held
@@ -88,9 +88,9 @@
 	mu          sync.Mutex         // guards workers and zonesByTerm
 	workers     map[string]*Worker // by machine
 	zonesByTerm map[uint64]string  // the zone of the leader of each term
-	// Returned is called, without locks held, for each machine that a controller returned to the cloud, with the number
+	// OnReturned is called, without locks held, for each machine that a controller returned to the cloud, with the number
 	// of tasks that ran on it. It may be set only before the first worker is added.
-	Returned func(w *Worker, running int)
+	OnReturned func(w *Worker, running int)
 }
 
 // Controller is one member of the cluster. It has at most one process at a time and can be started again after it
@@ -113,13 +113,13 @@
 	ctx, stop := context.WithCancel(ctx)
 	facts := options.Facts
 	cluster := &Cluster{options: options, dir: dir, clock: clock, ctx: ctx, stop: stop, State: fake.NewState(clock),
-		Cloud: fake.NewCloud(clock, []api.MachineType{options.Type}, facts.Cloud.RPS), Traffic: newTraffic(), delays: delayRecorder{delays: newDelays()}, network: newNetwork(),
+		Cloud: fake.NewCloud(clock, []api.MachineType{options.MachineType}, facts.Cloud.RPS), Traffic: newTraffic(), delays: delayRecorder{delays: newDelays()}, network: newNetwork(),
 		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, workers: map[string]*Worker{}, stateLinks: map[string]*stateLink{}, zonesByTerm: map[uint64]string{},
-		Returned: func(*Worker, int) {}}
+		OnReturned: func(*Worker, int) {}}
 	cluster.cleanup = append(cluster.cleanup, func() { _ = os.RemoveAll(dir) })
-	cluster.State.Limit(fake.Limits{RPS: facts.State.RPS, WriteRPS: facts.State.WriteRPS, ValueKB: facts.State.ValueKB, TxnOps: facts.State.TxnOps})
-	cluster.Cloud.Room = options.Room
-	cluster.Cloud.Up, cluster.Cloud.Gone = cluster.machineRented, cluster.machineReturned
+	cluster.State.SetLimits(fake.Limits{RPS: facts.State.RPS, WriteRPS: facts.State.WriteRPS, ValueKB: facts.State.ValueKB, TxnOps: facts.State.TxnOps})
+	cluster.Cloud.Capacity = options.RentalCapacity
+	cluster.Cloud.OnRented, cluster.Cloud.OnReturned = cluster.machineRented, cluster.machineReturned
 	if err := cluster.configure(); err != nil {
 		cluster.Close()
 		return nil, err
@@ -301,15 +301,15 @@
 
 // WaitForLeader waits until a leader is recorded in the state service. It returns ErrTimeout if none is in time.
 func (cluster *Cluster) WaitForLeader(timeout time.Duration) error {
-	return cluster.Until(timeout, func() bool { return cluster.Leader() != nil })
+	return cluster.WaitUntil(timeout, func() bool { return cluster.Leader() != nil })
 }
 
 // ErrTimeout is returned when a condition did not hold before a timeout.
 var ErrTimeout = errors.New("not in time")
 
-// Until polls the condition every 200 ms until it holds. It returns ErrTimeout after the timeout, or the context's
+// WaitUntil polls the condition every 200 ms until it holds. It returns ErrTimeout after the timeout, or the context's
 // error if the cluster is closed.
-func (cluster *Cluster) Until(timeout time.Duration, condition func() bool) error {
+func (cluster *Cluster) WaitUntil(timeout time.Duration, condition func() bool) error {
 	for end := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(end) {
 			return fmt.Errorf("%w: %v", ErrTimeout, timeout)
@@ -322,7 +322,7 @@
 }
 
 // Sleep waits for a duration. It reports false if the cluster was closed before its end.
-func (cluster *Cluster) Sleep(d time.Duration) bool { return sleep.Real(cluster.ctx, d) }
+func (cluster *Cluster) Sleep(d time.Duration) bool { return sleep.OnRealClock(cluster.ctx, d) }
 
 // Call sends an HTTP request to a controller's public address and returns the status and the body of the answer.
 func (cluster *Cluster) Call(ctx context.Context, controller *Controller, method, path string, body []byte) (status int, answer []byte, err error) {
--- a/internal/cluster/delays.go
+++ b/internal/cluster/delays.go
@@ -11,16 +11,16 @@
 type Delays struct {
 	// Heartbeats is the time from sending a heartbeat to its response.
 	Heartbeats *hdrhistogram.Histogram
-	// Overtaken is the time from the first direct command that arrives while a heartbeat awaits its response to that
+	// DirectCommandLead is the time from the first direct command that arrives while a heartbeat awaits its response to that
 	// response. A start command that is sent both directly and in the response arrives twice, that far apart.
-	Overtaken *hdrhistogram.Histogram
+	DirectCommandLead *hdrhistogram.Histogram
 }
 
 // maxDelayMS is the upper bound of the histograms, in ms. Longer delays are recorded as this value.
 const maxDelayMS = 60_000
 
 func newDelays() Delays {
-	return Delays{Heartbeats: hdrhistogram.New(1, maxDelayMS, 3), Overtaken: hdrhistogram.New(1, maxDelayMS, 3)}
+	return Delays{Heartbeats: hdrhistogram.New(1, maxDelayMS, 3), DirectCommandLead: hdrhistogram.New(1, maxDelayMS, 3)}
 }
 
 // delayRecorder records the delays of all workers. It is safe for concurrent use.
@@ -36,7 +36,7 @@
 	defer recorder.mu.Unlock()
 	recordDelay(recorder.delays.Heartbeats, response.Sub(sent))
 	if !command.IsZero() {
-		recordDelay(recorder.delays.Overtaken, response.Sub(command))
+		recordDelay(recorder.delays.DirectCommandLead, response.Sub(command))
 	}
 }
 
--- a/internal/cluster/delays_test.go
+++ b/internal/cluster/delays_test.go
@@ -17,10 +17,10 @@
 	if count, longest := delays.Heartbeats.TotalCount(), delays.Heartbeats.Max(); count != 3 || longest < maxDelayMS {
 		t.Errorf("%d heartbeats, the longest %d ms, want 3 and the limit", count, longest)
 	}
-	if count, longest := delays.Overtaken.TotalCount(), delays.Overtaken.Max(); count != 1 || longest < 2890 || longest > 2910 {
+	if count, longest := delays.DirectCommandLead.TotalCount(), delays.DirectCommandLead.Max(); count != 1 || longest < 2890 || longest > 2910 {
 		t.Errorf("%d direct commands, the longest lead %d ms, want 1 of 2900", count, longest)
 	}
-	if again := recorder.takeDelays(); again.Heartbeats.TotalCount() != 0 || again.Overtaken.TotalCount() != 0 {
+	if again := recorder.takeDelays(); again.Heartbeats.TotalCount() != 0 || again.DirectCommandLead.TotalCount() != 0 {
 		t.Error("delays are returned by two calls")
 	}
 }
--- a/internal/cluster/message_faults.go
+++ b/internal/cluster/message_faults.go
@@ -41,7 +41,7 @@
 	if !withProbability(share) {
 		return ctx.Err() == nil
 	}
-	return sleep.Real(ctx, randomDuration(maxSlowMessage))
+	return sleep.OnRealClock(ctx, randomDuration(maxSlowMessage))
 }
 
 // startFailure returns the cause with which a task that is being started ends at once, empty if the task runs.
@@ -49,7 +49,7 @@
 	if !withProbability(f.FailingStarts) {
 		return ""
 	}
-	causes := []string{api.CauseError, api.CauseNoRoom, api.CauseUnknown}
+	causes := []string{api.CauseError, api.CauseInsufficientResources, api.CauseNotFound}
 	return causes[rand.IntN(len(causes))]
 }
 
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -43,17 +43,17 @@
 	cluster.network.notifyChange()
 }
 
-// CutPeer blocks the data that one controller sends to another one, or unblocks it. Blocked data is delivered
+// BlockPeer blocks the data that one controller sends to another one, or unblocks it. Blocked data is delivered
 // afterwards. The opposite direction is not affected.
-func (cluster *Cluster) CutPeer(from, to string, block bool) {
+func (cluster *Cluster) BlockPeer(from, to string, block bool) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
 	cluster.network.blockedMembers[[2]string{from, to}] = block
 	cluster.network.notifyChange()
 }
 
-// SlowPeers delays each chunk of data between controllers by a random time up to the given one; 0 ends the delays.
-func (cluster *Cluster) SlowPeers(upTo time.Duration) {
+// DelayPeers delays each chunk of data between controllers by a random time up to the given one; 0 ends the delays.
+func (cluster *Cluster) DelayPeers(upTo time.Duration) {
 	cluster.network.mu.Lock()
 	defer cluster.network.mu.Unlock()
 	cluster.network.peerDelay = upTo
@@ -65,7 +65,7 @@
 	upTo := network.peerDelay
 	network.mu.Unlock()
 	if upTo > 0 {
-		sleep.Real(ctx, randomDuration(upTo))
+		sleep.OnRealClock(ctx, randomDuration(upTo))
 	}
 }
 
--- a/internal/cluster/state_link.go
+++ b/internal/cluster/state_link.go
@@ -27,8 +27,8 @@
 type StateFaults struct {
 	// Refused answers all requests with 503. Silent holds all requests until the fault ends.
 	Refused, Silent bool
-	// SlowUpTo is the maximum of the random delay of each request or of its answer.
-	SlowUpTo time.Duration
+	// MaxDelay is the maximum of the random delay of each request or of its answer.
+	MaxDelay time.Duration
 	// LateAnswers is the share of requests, other than transactions, that are executed at once and answered up to
 	// maxLateAnswer late.
 	LateAnswers float64
@@ -83,8 +83,8 @@
 	if faults.Refused {
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader([]byte("{}")))}, nil
 	}
-	delay := randomDuration(faults.SlowUpTo)
-	if rand.IntN(2) == 0 && !sleep.Real(request.Context(), delay) {
+	delay := randomDuration(faults.MaxDelay)
+	if rand.IntN(2) == 0 && !sleep.OnRealClock(request.Context(), delay) {
 		return nil, errNoAnswer
 	} else if request.URL.Path == "/multi" {
 		return link.transact(request, faults)
@@ -93,7 +93,7 @@
 	if withProbability(faults.LateAnswers) {
 		delay += randomDuration(maxLateAnswer)
 	}
-	if !sleep.Real(request.Context(), delay) {
+	if !sleep.OnRealClock(request.Context(), delay) {
 		return nil, errNoAnswer
 	}
 	return response, err
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -39,7 +39,7 @@
 	cluster.mu.Unlock()
 	for index := range n {
 		if err := cluster.addWorker(func(address string) (fake.Host, bool) {
-			return cluster.Cloud.AddAt(cluster.options.Type.Name, zones[(existing+index)%len(zones)], address), true
+			return cluster.Cloud.AddAt(cluster.options.MachineType.Name, zones[(existing+index)%len(zones)], address), true
 		}); err != nil {
 			return err
 		}
@@ -70,11 +70,11 @@
 	for _, controller := range cluster.Controllers {
 		members = append(members, controller.Settings.Member)
 	}
-	options := fake.WorkerOptions{Host: host, Clock: cluster.clock, Nodes: members, Post: worker.post, Every: seconds(cluster.options.Facts.Workers.ReportS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
-		Runs: cluster.options.Runs, OnIneffectiveStart: cluster.options.Crossed, Fails: func(string) string { return cluster.messages.current().startFailure() }}
-	if audit := cluster.options.Audit; audit != nil {
-		options.Starts = func(task string, term uint64, _ time.Time) { audit.Started(task, host.Name, term) }
-		options.Ends = func(task string, done bool) { audit.Ended(task, host.Name, done) }
+	options := fake.WorkerOptions{Host: host, Clock: cluster.clock, Controllers: members, Post: worker.post, HeartbeatInterval: seconds(cluster.options.Facts.Workers.HeartbeatIntervalS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
+		TaskDuration: cluster.options.TaskDuration, OnIneffectiveStart: cluster.options.OnIneffectiveStart, StartFailure: func(string) string { return cluster.messages.current().startFailure() }}
+	if audit := cluster.options.Observer; audit != nil {
+		options.OnStart = func(task string, term uint64, _ time.Time) { audit.Started(task, host.Name, term) }
+		options.OnEnd = func(task string, done bool) { audit.Ended(task, host.Name, done) }
 	}
 	worker.Worker = fake.NewWorker(options)
 	cluster.mu.Lock()
@@ -102,7 +102,7 @@
 // Running returns the number of tasks that run on all workers.
 func (cluster *Cluster) Running() (n int) {
 	for _, worker := range cluster.Workers() {
-		_, _, _, running := worker.Seen()
+		_, _, _, running := worker.Status()
 		n += running
 	}
 	return n
@@ -110,7 +110,7 @@
 
 // machineRented starts the worker of a rented machine after the machine's boot time.
 func (cluster *Cluster) machineRented(host fake.Host) {
-	time.AfterFunc(seconds(cluster.options.Type.BootS), func() {
+	time.AfterFunc(seconds(cluster.options.MachineType.BootS), func() {
 		if cluster.ctx.Err() != nil {
 			return
 		}
@@ -128,18 +128,18 @@
 		return
 	}
 	worker.stop()
-	_, _, _, running := worker.Seen()
+	_, _, _, running := worker.Status()
 	// With the new incarnation the worker rejects commands that are still in transit.
 	worker.Restart()
-	cluster.Returned(worker, running)
+	cluster.OnReturned(worker, running)
 }
 
-// Lose blocks or unblocks the worker's messages in both directions.
-func (worker *Worker) Lose(blocked bool) { worker.LoseOneWay(blocked, blocked) }
+// BlockAllMessages blocks or unblocks the worker's messages in both directions.
+func (worker *Worker) BlockAllMessages(blocked bool) { worker.BlockMessages(blocked, blocked) }
 
-// LoseOneWay sets which messages are blocked: those from the worker, which are heartbeats and answers to commands, and
+// BlockMessages sets which messages are blocked: those from the worker, which are heartbeats and answers to commands, and
 // those to the worker, which are responses to heartbeats and commands.
-func (worker *Worker) LoseOneWay(outbound, inbound bool) {
+func (worker *Worker) BlockMessages(outbound, inbound bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.outboundBlocked, worker.inboundBlocked = outbound || worker.dead, inbound || worker.dead
@@ -147,12 +147,12 @@
 	worker.changed = make(chan struct{})
 }
 
-// Die fails the machine permanently and ends all tasks on it.
-func (worker *Worker) Die() {
+// Fail fails the machine permanently and ends all tasks on it.
+func (worker *Worker) Fail() {
 	worker.mu.Lock()
 	worker.dead = true
 	worker.mu.Unlock()
-	worker.Lose(true)
+	worker.BlockAllMessages(true)
 	worker.Restart()
 }
 
@@ -291,14 +291,14 @@
 	}
 	faults := worker.cluster.messages.current()
 	if withProbability(faults.LateCommands) {
-		time.AfterFunc(randomLateDelay(), func() { worker.Direct(commands) })
+		time.AfterFunc(randomLateDelay(), func() { worker.ExecuteCommands(commands) })
 		panic(http.ErrAbortHandler)
 	}
 	if !delayShare(request.Context(), faults.SlowCommands) {
 		panic(http.ErrAbortHandler)
 	}
 	worker.recordCommand()
-	heartbeat, executed := worker.Direct(commands)
+	heartbeat, executed := worker.ExecuteCommands(commands)
 	raw, err := json.Marshal(heartbeat)
 	if err != nil || !worker.waitUntilReachable(request.Context(), fromZone, toWorker) {
 		panic(http.ErrAbortHandler)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -40,12 +40,12 @@
 	// rentalsByRequest holds the names of the machines of each rental, by idempotency key.
 	rentalsByRequest map[string][]string
 	nextHost         int
-	// Room is how many more machines can be rented.
-	Room int
-	// Up is called, without mu held, for each rented machine. It may be set only before the first request.
-	Up func(Host)
-	// Gone is called, without mu held, for each returned machine. It may be set only before the first request.
-	Gone func(Host)
+	// Capacity is how many more machines can be rented.
+	Capacity int
+	// OnRented is called, without mu held, for each rented machine. It may be set only before the first request.
+	OnRented func(Host)
+	// OnReturned is called, without mu held, for each returned machine. It may be set only before the first request.
+	OnReturned func(Host)
 	// Refused counts the requests that violated a limit, by the error's text.
 	Refused map[string]int
 }
@@ -61,7 +61,7 @@
 // bursts of two seconds' worth.
 func NewCloud(clock clockwork.Clock, types []api.MachineType, rps float64) *Cloud {
 	return &Cloud{clock: clock, types: types, requests: rate.NewLimiter(rate.Limit(rps), max(1, int(2*rps))), hosts: map[string]*Host{},
-		rentalsByRequest: map[string][]string{}, Up: func(Host) {}, Gone: func(Host) {}, Refused: map[string]int{}}
+		rentalsByRequest: map[string][]string{}, OnRented: func(Host) {}, OnReturned: func(Host) {}, Refused: map[string]int{}}
 }
 
 // Add adds a machine, as if it had been rented earlier, and returns it. It takes no capacity.
@@ -108,10 +108,10 @@
 	}
 	resp, rented, returned, err := cloud.serve(request, body)
 	for _, host := range rented {
-		cloud.Up(host)
+		cloud.OnRented(host)
 	}
 	for _, host := range returned {
-		cloud.Gone(host)
+		cloud.OnReturned(host)
 	}
 	return resp, err
 }
@@ -155,15 +155,15 @@
 	}
 	names, known := cloud.rentalsByRequest[request.IdempotencyKey]
 	if !known {
-		if cloud.Room <= 0 {
+		if cloud.Capacity <= 0 {
 			resp, err = reply(http.StatusServiceUnavailable, map[string]any{"error": "no capacity"})
 			return resp, nil, err
 		}
-		for range min(request.Count, cloud.Room) {
+		for range min(request.Count, cloud.Capacity) {
 			host := cloud.addHost(request.Type, request.Zone, request.Spot)
 			names, rented = append(names, host.Name), append(rented, *host)
 		}
-		cloud.Room -= len(names)
+		cloud.Capacity -= len(names)
 		cloud.rentalsByRequest[request.IdempotencyKey] = names
 	}
 	resp, err = reply(http.StatusOK, map[string]any{"hosts": names})
@@ -183,7 +183,7 @@
 		if host := cloud.hosts[name]; host != nil {
 			returned = append(returned, *host)
 			delete(cloud.hosts, name)
-			cloud.Room++
+			cloud.Capacity++
 		}
 	}
 	resp, err = reply(http.StatusOK, map[string]any{})
--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -2,47 +2,47 @@
 
 import "net/http"
 
-// Late controls the answer to a delayed request.
-type Late struct {
-	// Asked is closed when the request arrives.
-	Asked chan struct{}
+// DelayedAnswer controls the answer to a delayed request.
+type DelayedAnswer struct {
+	// Received is closed when the request arrives.
+	Received chan struct{}
 	// released is closed when the answer may be sent.
 	released chan struct{}
 	// executeOnArrival executes the request when it arrives, not when the answer is released.
 	executeOnArrival bool
 }
 
-// Answer releases the answer. It must be called exactly once.
-func (late *Late) Answer() { close(late.released) }
+// Release releases the answer. It must be called exactly once.
+func (late *DelayedAnswer) Release() { close(late.released) }
 
-// LateNext delays the answer to the next transaction until the result releases it. The transaction is executed on
+// DelayNextTransaction delays the answer to the next transaction until the result releases it. The transaction is executed on
 // arrival if executeOnArrival is true, and on release otherwise.
-func (state *State) LateNext(executeOnArrival bool) *Late {
+func (state *State) DelayNextTransaction(executeOnArrival bool) *DelayedAnswer {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.delayedTransaction = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
+	state.delayedTransaction = &DelayedAnswer{Received: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
 	return state.delayedTransaction
 }
 
-// LateRead delays the answer to the next read of a key until the result releases it. The read is executed on arrival if
+// DelayNextRead delays the answer to the next read of a key until the result releases it. The read is executed on arrival if
 // executeOnArrival is true, and on release otherwise.
-func (state *State) LateRead(executeOnArrival bool) *Late {
+func (state *State) DelayNextRead(executeOnArrival bool) *DelayedAnswer {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	state.delayedRead = &Late{Asked: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
+	state.delayedRead = &DelayedAnswer{Received: make(chan struct{}), released: make(chan struct{}), executeOnArrival: executeOnArrival}
 	return state.delayedRead
 }
 
 // awaitRelease waits until the answer is released. The caller holds mu, which is unlocked during the wait.
-func (state *State) awaitRelease(late *Late) {
-	close(late.Asked)
+func (state *State) awaitRelease(late *DelayedAnswer) {
+	close(late.Received)
 	state.mu.Unlock()
 	<-late.released
 	state.mu.Lock()
 }
 
 // serveDelayed executes a transaction whose answer is delayed. The caller holds mu, which is unlocked during the wait.
-func (state *State) serveDelayed(late *Late, transaction transactionRequest) (resp *http.Response, err error) {
+func (state *State) serveDelayed(late *DelayedAnswer, transaction transactionRequest) (resp *http.Response, err error) {
 	if late.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
@@ -53,8 +53,8 @@
 	return resp, err
 }
 
-// Deliver executes the transactions that HoldNext held back, in order, and discards their answers.
-func (state *State) Deliver() {
+// ExecuteHeld executes the transactions that HoldNextTransaction held back, in order, and discards their answers.
+func (state *State) ExecuteHeld() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for _, transaction := range state.heldTransactions {
--- a/internal/fake/objects.go
+++ b/internal/fake/objects.go
@@ -32,8 +32,8 @@
 	// in the middle of the data; "hang" to send no further data; "drip" to send one more byte and then none; "wrong" to
 	// corrupt the data.
 	Kind string
-	// After is the number of bytes of an answer's data that are sent intact before the fault.
-	After int
+	// IntactBytes is the number of bytes of an answer's data that are sent intact before the fault.
+	IntactBytes int
 }
 
 // NewObjects returns an empty store.
@@ -58,8 +58,8 @@
 	return manifest, digest
 }
 
-// Break sets how the store fails from now on.
-func (objects *Objects) Break(fault Fault) {
+// SetFault sets how the store fails from now on.
+func (objects *Objects) SetFault(fault Fault) {
 	objects.mu.Lock()
 	defer objects.mu.Unlock()
 	objects.fault = fault
@@ -106,7 +106,7 @@
 
 // writeBody writes the body of an answer, subject to the fault.
 func (objects *Objects) writeBody(w http.ResponseWriter, request *http.Request, body []byte, fault Fault) {
-	intact := min(fault.After, len(body))
+	intact := min(fault.IntactBytes, len(body))
 	switch fault.Kind {
 	case "":
 		objects.write(w, body)
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -74,17 +74,17 @@
 	revision       uint64
 	// Down answers all requests with 503.
 	Down bool
-	// LoseAnswer executes the next transaction without answering it.
-	LoseAnswer bool
-	// HoldNext holds the next transaction back and does not answer it.
-	HoldNext         bool
-	heldTransactions []transactionRequest
+	// LoseNextAnswer executes the next transaction without answering it.
+	LoseNextAnswer bool
+	// HoldNextTransaction holds the next transaction back and does not answer it.
+	HoldNextTransaction bool
+	heldTransactions    []transactionRequest
 	// delayedTransaction and delayedRead delay the answer to the next transaction and the next read of a key, if not nil.
-	delayedTransaction *Late
-	delayedRead        *Late
-	// Largest holds the maxima over all transactions so far: the number of changes, the size of the body in bytes, and
+	delayedTransaction *DelayedAnswer
+	delayedRead        *DelayedAnswer
+	// LargestTransaction holds the maxima over all transactions so far: the number of changes, the size of the body in bytes, and
 	// the size of a value in bytes.
-	Largest struct{ Ops, Bytes, Value int }
+	LargestTransaction struct{ Ops, Bytes, Value int }
 	// Requests counts all requests.
 	Requests int
 	// Refused counts the requests that violated a limit, by the error's text.
@@ -107,12 +107,12 @@
 func NewState(clock clockwork.Clock) *State {
 	s := &State{clock: clock, records: map[string]record{}, leaseExpiries: map[uint64]time.Time{}, leaseLifetimes: map[uint64]time.Duration{}, revision: 10, newestDropped: 10,
 		Refused: map[string]int{}, changesByKind: map[string]int{}, changed: make(chan struct{})}
-	s.Limit(Limits{ValueKB: 16, TxnOps: 24})
+	s.SetLimits(Limits{ValueKB: 16, TxnOps: 24})
 	return s
 }
 
-// Limit replaces the deployment's limits.
-func (state *State) Limit(limits Limits) {
+// SetLimits replaces the deployment's limits.
+func (state *State) SetLimits(limits Limits) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	limiter := func(n float64) *rate.Limiter {
@@ -124,8 +124,8 @@
 	state.limits, state.requests, state.writes = limits, limiter(limits.RPS), limiter(limits.WriteRPS)
 }
 
-// Outage sets Down. Unlike the field it may be used while requests are served.
-func (state *State) Outage(down bool) {
+// SetDown sets Down. Unlike the field it may be used while requests are served.
+func (state *State) SetDown(down bool) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.Down = down
@@ -264,8 +264,8 @@
 	return value
 }
 
-// Under returns the number of keys that begin with a prefix.
-func (state *State) Under(prefix string) (n int) {
+// CountPrefix returns the number of keys that begin with a prefix.
+func (state *State) CountPrefix(prefix string) (n int) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	for key := range state.records {
--- a/internal/fake/transactions.go
+++ b/internal/fake/transactions.go
@@ -34,23 +34,23 @@
 	if !state.writes.AllowN(state.clock.Now(), len(transaction.Then)) {
 		return state.refuse(http.StatusTooManyRequests, "too many changes")
 	}
-	state.Largest.Ops = max(state.Largest.Ops, len(transaction.Then))
-	state.Largest.Bytes = max(state.Largest.Bytes, len(body))
+	state.LargestTransaction.Ops = max(state.LargestTransaction.Ops, len(transaction.Then))
+	state.LargestTransaction.Bytes = max(state.LargestTransaction.Bytes, len(body))
 	for _, o := range transaction.Then {
-		state.Largest.Value = max(state.Largest.Value, len(o.Value))
+		state.LargestTransaction.Value = max(state.LargestTransaction.Value, len(o.Value))
 	}
 	if late := state.delayedTransaction; late != nil {
 		state.delayedTransaction = nil
 		return state.serveDelayed(late, transaction)
 	}
-	if state.HoldNext {
-		state.HoldNext = false
+	if state.HoldNextTransaction {
+		state.HoldNextTransaction = false
 		state.heldTransactions = append(state.heldTransactions, transaction)
 		return nil, errAnswerLost
 	}
 	resp, err := state.apply(transaction)
-	if state.LoseAnswer {
-		state.LoseAnswer = false
+	if state.LoseNextAnswer {
+		state.LoseNextAnswer = false
 		return nil, errAnswerLost
 	}
 	return resp, err
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -73,7 +73,7 @@
 	// LateStart means that the worker has the attempt, which has exited.
 	LateStart
 	// BusyStart means that the worker has another attempt of the task, which has not exited. The started attempt exits
-	// with api.CauseBusy.
+	// with api.CauseConflictingAttempt.
 	BusyStart
 )
 
@@ -98,42 +98,42 @@
 type WorkerOptions struct {
 	Host  Host
 	Clock clockwork.Clock
-	// Nodes are the controllers in the order in which the worker tries them.
-	Nodes []string
+	// Controllers are the controllers in the order in which the worker tries them.
+	Controllers []string
 	// Post sends a heartbeat to a controller and returns the status and the decoded body of the answer: an
 	// api.HeartbeatResponse or an api.Redirect. It returns status 0 if there is no answer before the context ends.
 	Post func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
-	// Every is the interval between heartbeats.
-	Every time.Duration
+	// HeartbeatInterval is the interval between heartbeats.
+	HeartbeatInterval time.Duration
 	// Lease is how long after the last answered heartbeat was sent tasks keep running.
 	Lease time.Duration
-	// Runs returns how long a task runs.
-	Runs func(task string) time.Duration
-	// Starts, if not nil, is called for each start of a task. If the callback for ends is set too, the worker's lock is
+	// TaskDuration returns how long a task runs.
+	TaskDuration func(task string) time.Duration
+	// OnStart, if not nil, is called for each start of a task. If the callback for ends is set too, the worker's lock is
 	// held, otherwise the call is made in a new goroutine without the lock.
-	Starts func(task string, term uint64, at time.Time)
-	// Ends, if not nil, is called for each end of a running task, with the worker's lock held and in order with the calls
+	OnStart func(task string, term uint64, at time.Time)
+	// OnEnd, if not nil, is called for each end of a running task, with the worker's lock held and in order with the calls
 	// for starts.
-	Ends func(task string, done bool)
-	// Fetch returns the image that a task needs and how long its pull takes. Images are pulled one at a time and never
+	OnEnd func(task string, done bool)
+	// ImagePull returns the image that a task needs and how long its pull takes. Images are pulled one at a time and never
 	// evicted. If it is nil, tasks need no image.
-	Fetch func(task string) (image string, d time.Duration)
-	// Fails, if not nil, returns the exit cause with which a task that is being started ends at once, empty if the task
+	ImagePull func(task string) (image string, d time.Duration)
+	// StartFailure, if not nil, returns the exit cause with which a task that is being started ends at once, empty if the task
 	// runs.
-	Fails func(task string) (cause string)
+	StartFailure func(task string) (cause string)
 	// OnIneffectiveStart, if not nil, is called with the worker's lock held for each start command that has no effect.
 	OnIneffectiveStart func(kind IneffectiveStart)
 }
 
 // NewWorker returns a worker without tasks, whose lease begins now.
 func NewWorker(options WorkerOptions) *Worker {
-	return &Worker{Host: options.Host, clock: options.Clock, controllers: options.Nodes, post: options.Post, interval: options.Every, lease: options.Lease, taskDuration: options.Runs, onStart: options.Starts, onEnd: options.Ends, imagePull: options.Fetch, startFailure: options.Fails, onIneffectiveStart: options.OnIneffectiveStart, cachedImages: map[string]time.Time{},
+	return &Worker{Host: options.Host, clock: options.Clock, controllers: options.Controllers, post: options.Post, interval: options.HeartbeatInterval, lease: options.Lease, taskDuration: options.TaskDuration, onStart: options.OnStart, onEnd: options.OnEnd, imagePull: options.ImagePull, startFailure: options.StartFailure, onIneffectiveStart: options.OnIneffectiveStart, cachedImages: map[string]time.Time{},
 		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[attemptKey]*workerTask{}, wakeups: make(chan struct{}, 1)}
 }
 
-// Seen returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat,
+// Status returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat,
 // the number of tasks that ended with the lease or the worker, and the number of running tasks.
-func (worker *Worker) Seen() (term uint64, answered time.Time, killed, running int) {
+func (worker *Worker) Status() (term uint64, answered time.Time, killed, running int) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.completeDueTasks()
@@ -145,10 +145,10 @@
 	return worker.term, worker.answeredAt, worker.killed, running
 }
 
-// Hang suspends the machine or resumes it. A suspended machine executes nothing and sends neither heartbeats nor
+// Suspend suspends the machine or resumes it. A suspended machine executes nothing and sends neither heartbeats nor
 // answers, but its clock keeps running. Commands that arrive in the meantime are executed after it resumes, if their
 // term and incarnation are still current.
-func (worker *Worker) Hang(suspend bool) {
+func (worker *Worker) Suspend(suspend bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	switch {
@@ -280,8 +280,8 @@
 	}
 }
 
-// Taken returns the sum of the resource use of all tasks that have not exited, where of returns a task's resource use.
-func (worker *Worker) Taken(use func(task string) float64) (sum float64) {
+// UnfinishedUse returns the sum of the resource use of all tasks that have not exited, where of returns a task's resource use.
+func (worker *Worker) UnfinishedUse(use func(task string) float64) (sum float64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	for _, current := range worker.tasks {
@@ -434,7 +434,7 @@
 	worker.tasks[key] = current
 	if busy {
 		worker.reportIneffectiveStart(BusyStart)
-		current.State, current.Cause = api.TaskExited, api.CauseBusy
+		current.State, current.Cause = api.TaskExited, api.CauseConflictingAttempt
 		worker.wakeRun()
 		return
 	}
@@ -462,8 +462,8 @@
 	}
 }
 
-// Notice has the worker report a preemption notice: the cloud will reclaim the machine after the given time.
-func (worker *Worker) Notice(after time.Duration) {
+// AnnouncePreemption has the worker report a preemption notice: the cloud will reclaim the machine after the given time.
+func (worker *Worker) AnnouncePreemption(after time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.preemptionAt = worker.clock.Now().Add(after)
@@ -480,24 +480,24 @@
 	return false
 }
 
-// Report returns the next heartbeat. Each call takes a sequence number. It is for callers that send heartbeats
+// NextHeartbeat returns the next heartbeat. Each call takes a sequence number. It is for callers that send heartbeats
 // themselves and do not use Run.
-func (worker *Worker) Report() *api.Heartbeat {
+func (worker *Worker) NextHeartbeat() *api.Heartbeat {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.completeDueTasks()
 	return worker.heartbeat()
 }
 
-// Answer applies a successful answer to a heartbeat that was sent at the given time.
-func (worker *Worker) Answer(heartbeat *api.Heartbeat, sent time.Time, response api.HeartbeatResponse) {
+// ApplyResponse applies a successful answer to a heartbeat that was sent at the given time.
+func (worker *Worker) ApplyResponse(heartbeat *api.Heartbeat, sent time.Time, response api.HeartbeatResponse) {
 	worker.acceptResponse(heartbeat, sent, http.StatusOK, response)
 }
 
-// Direct executes commands that were sent directly to the worker, as POST /orders does. It returns the worker's state
+// ExecuteCommands executes commands that were sent directly to the worker, as POST /orders does. It returns the worker's state
 // afterwards and whether the commands were executed: not if their term is outdated or they are for another incarnation.
 // While the machine is suspended, it waits.
-func (worker *Worker) Direct(response api.HeartbeatResponse) (*api.Heartbeat, bool) {
+func (worker *Worker) ExecuteCommands(response api.HeartbeatResponse) (*api.Heartbeat, bool) {
 	worker.waitWhileSuspended()
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -17,7 +17,7 @@
 // executeCommands has a worker execute commands and returns the attempts that it reports afterwards, by number.
 func executeCommands(t *testing.T, worker *Worker, commands ...api.Command) map[uint64]api.TaskReport {
 	t.Helper()
-	heartbeat, executed := worker.Direct(api.HeartbeatResponse{Term: 3, Incarnation: 1, Commands: commands})
+	heartbeat, executed := worker.ExecuteCommands(api.HeartbeatResponse{Term: 3, Incarnation: 1, Commands: commands})
 	if !executed {
 		t.Fatal("the worker rejected the commands")
 	}
@@ -32,19 +32,19 @@
 // and runs a cleared attempt again.
 func TestWorkerRunsOneAttemptOfTaskAtATime(t *testing.T) {
 	cause := ""
-	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
-		Runs: func(string) time.Duration { return time.Hour }, Fails: func(string) string { return cause }})
-	if got := executeCommands(t, worker, command(api.CommandRun, 1), command(api.CommandRun, 2)); got[1].State != api.TaskRunning || got[2].Cause != api.CauseBusy {
+	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), HeartbeatInterval: time.Second, Lease: 10 * time.Second,
+		TaskDuration: func(string) time.Duration { return time.Hour }, StartFailure: func(string) string { return cause }})
+	if got := executeCommands(t, worker, command(api.CommandRun, 1), command(api.CommandRun, 2)); got[1].State != api.TaskRunning || got[2].Cause != api.CauseConflictingAttempt {
 		t.Fatalf("second attempt while the first runs: %+v", got)
 	}
-	if got := executeCommands(t, worker, command(api.CommandKill, 1), command(api.CommandRun, 2), command(api.CommandRun, 3)); got[1].Cause != api.CauseStopped || got[2].Cause != api.CauseBusy || got[3].State != api.TaskRunning {
+	if got := executeCommands(t, worker, command(api.CommandKill, 1), command(api.CommandRun, 2), command(api.CommandRun, 3)); got[1].Cause != api.CauseStopped || got[2].Cause != api.CauseConflictingAttempt || got[3].State != api.TaskRunning {
 		t.Fatalf("third attempt after the others exited: %+v", got)
 	}
 	if got := executeCommands(t, worker, command(api.CommandClear, 1), command(api.CommandClear, 2), command(api.CommandClear, 3)); len(got) != 1 || got[3].State != api.TaskRunning {
 		t.Fatalf("clear must remove exited attempts and keep the running one: %+v", got)
 	}
-	cause = api.CauseNoRoom
-	if got := executeCommands(t, worker, command(api.CommandKill, 3), command(api.CommandRun, 4)); got[4].Cause != api.CauseNoRoom {
+	cause = api.CauseInsufficientResources
+	if got := executeCommands(t, worker, command(api.CommandKill, 3), command(api.CommandRun, 4)); got[4].Cause != api.CauseInsufficientResources {
 		t.Fatalf("refused start: %+v", got)
 	}
 	cause = ""
@@ -55,12 +55,12 @@
 
 // The protocol does not order the attempts of a task, so the worker's heartbeats alternate between both orders.
 func TestHeartbeatsAlternateOrderOfAttempts(t *testing.T) {
-	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), Every: time.Second, Lease: 10 * time.Second,
-		Runs: func(string) time.Duration { return time.Hour }})
+	worker := NewWorker(WorkerOptions{Host: Host{Name: "a1"}, Clock: clockwork.NewFakeClock(), HeartbeatInterval: time.Second, Lease: 10 * time.Second,
+		TaskDuration: func(string) time.Duration { return time.Hour }})
 	executeCommands(t, worker, command(api.CommandRun, 1), command(api.CommandKill, 1), command(api.CommandRun, 2))
 	newestFirst := 0
 	for range 2 {
-		if report := worker.Report(); report.Tasks[0].Attempt == 2 {
+		if report := worker.NextHeartbeat(); report.Tasks[0].Attempt == 2 {
 			newestFirst++
 		}
 	}
--- a/internal/golden/calls_test.go
+++ b/internal/golden/calls_test.go
@@ -57,7 +57,7 @@
 	{"too old", store.ErrCompacted},
 	{"unknown", store.ErrOutcomeUnknown},
 	{"no capacity", cloud.ErrNoCapacity},
-	{"cloud in trouble", cloud.ErrTrouble},
+	{"cloud in trouble", cloud.ErrOutage},
 	{"not sent", worker.ErrNotSent},
 }
 
--- a/internal/golden/cli_test.go
+++ b/internal/golden/cli_test.go
@@ -228,7 +228,7 @@
 		messageOf[capacity.Record]("capacity-record"),
 		messageOf[capacity.Measurement]("capacity-measurement"),
 		messageOf[capacity.Size]("capacity-size"),
-		messageOf[capacity.Slopes]("capacity-slopes"),
+		messageOf[capacity.LinearFit]("capacity-slopes"),
 		messageOf[capacity.Row]("capacity-row"),
 		messageOf[capacity.JobCost]("capacity-job-cost"),
 		messageOf[capacity.Limit]("capacity-limit"),
--- a/internal/golden/files_test.go
+++ b/internal/golden/files_test.go
@@ -104,7 +104,7 @@
 	}
 	for _, machine := range []string{"n-000001", "n-00011", "n-000200", "n-000300"} {
 		domain := "nothing"
-		if d, _ := topologyMap.Of(machine); d != nil {
+		if d, _ := topologyMap.DomainOf(machine); d != nil {
 			domain = d.Name
 		}
 		devices, known := topologyMap.DevicesOf(machine)
--- a/internal/golden/packed_test.go
+++ b/internal/golden/packed_test.go
@@ -142,7 +142,7 @@
 func TestReplicaHintMatchesGolden(t *testing.T) {
 	index := replicas.New()
 	parts := roaring.BitmapOf(1, 2, 7)
-	index.Set("n-1", map[string]replicas.Replica{"inventory-7": {Parts: parts, Of: 9}})
+	index.Set("n-1", map[string]replicas.Replica{"inventory-7": {Parts: parts, PartCount: 9}})
 	number := func(name string) (replicas.MachineID, bool) { return index.ID(name), true }
 	hint, machines, err := replicas.EncodeHint(index.Snapshot(), []string{"n-1"}, number, 4096)
 	if err != nil || machines != 1 {
@@ -156,8 +156,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if replica := decoded["n-1"]["inventory-7"]; replica.Of != 9 || !replica.Parts.Equals(parts) {
-		t.Errorf("decoded as %d of %d parts, want 3 of 9", replica.Parts.GetCardinality(), replica.Of)
+	if replica := decoded["n-1"]["inventory-7"]; replica.PartCount != 9 || !replica.Parts.Equals(parts) {
+		t.Errorf("decoded as %d of %d parts, want 3 of 9", replica.Parts.GetCardinality(), replica.PartCount)
 	}
 }
 
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -48,7 +48,7 @@
 
 // pinnedPartCount returns the number of parts of a dataset that an agent holds pinned.
 func pinnedPartCount(agent *dataagent.Agent, name string) uint64 {
-	for _, held := range agent.Report(false).Pinned {
+	for _, held := range agent.Heartbeat(false).Pinned {
 		if held.Dataset == name {
 			return held.Parts.GetCardinality()
 		}
@@ -78,9 +78,9 @@
 	parts := []uint32{0, 1}
 	set := api.StageSet{Dataset: manifest.Name, Manifest: digest.String(), Parts: api.PartSet{Bitmap: roaring.BitmapOf(parts...)}}
 	for _, part := range parts {
-		set.Copies = append(set.Copies, api.StageCopy{Part: int(part), From: []api.StageSource{{Store: true}}})
+		set.Copies = append(set.Copies, api.StageCopy{Part: int(part), Sources: []api.StageSource{{Store: true}}})
 	}
-	if ok, err := agent.Apply(&api.StageOrder{Term: 1873, Order: 5, Sets: []api.StageSet{set}}); !ok || err != nil {
+	if ok, err := agent.Apply(&api.StageOrder{Term: 1873, Sequence: 5, Sets: []api.StageSet{set}}); !ok || err != nil {
 		t.Fatalf("order accepted: %t, %v; want true", ok, err)
 	}
 	awaitParts(t, agent, manifest.Name, uint64(len(parts)))
@@ -96,14 +96,14 @@
 		t.Fatal(err)
 	}
 	content := []byte("a chunk that is cut off")
-	writer, err := cache.Begin(dataset.Chunk{Digest: dataset.Sum(content), Bytes: int64(len(content))})
+	writer, err := cache.OpenWriter(dataset.Chunk{Digest: dataset.Sum(content), Bytes: int64(len(content))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := writer.Write(content[:7]); err != nil {
 		t.Fatal(err)
 	}
-	writer.Leave()
+	writer.Suspend()
 }
 
 // listDirectory returns a directory as text: the path and the content of each file.
@@ -160,7 +160,7 @@
 	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
 	agent, stop := startAgent(t, dir, "http://127.0.0.1:1")
 	awaitParts(t, agent, "inventory-7", 2)
-	report := agent.Report(true)
+	report := agent.Heartbeat(true)
 	stop()
 	// The sequence number depends on timing.
 	report.Seq = 1
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -96,7 +96,7 @@
 	case api.Cancelled:
 		checker.recordCancelled(job, now)
 	default:
-		if !job.orphanedAt.IsZero() && !job.acceptedAt.IsZero() && now.Sub(laterOf(job.orphanedAt, job.acceptedAt)) > seconds(checker.sim.Workers.CancelS) {
+		if !job.orphanedAt.IsZero() && !job.acceptedAt.IsZero() && now.Sub(laterOf(job.orphanedAt, job.acceptedAt)) > seconds(checker.sim.Workers.CancelDeadlineS) {
 			checker.recordViolation("orphaned", "%s is %s", job.ID, status.State)
 		}
 	}
--- a/internal/simulation/configuration_test.go
+++ b/internal/simulation/configuration_test.go
@@ -34,7 +34,7 @@
 			if raceDetector && i != len(name)%2 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.ReportS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.HeartbeatIntervalS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(name)), 12)
 				scenario.Workers, scenario.SubmitFor, scenario.ChangeInterval = timing, 80*time.Second, 2*time.Second
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -213,7 +213,7 @@
 
 // stateOutage makes the state service unavailable to all controllers.
 func (active *activeFault) stateOutage() {
-	active.adjustWhileActive(func(by int) { active.state.Outage(by > 0) })
+	active.adjustWhileActive(func(by int) { active.state.SetDown(by > 0) })
 }
 
 // pauseProcess pauses the target's process. Messages from other controllers are delivered to it afterwards.
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -75,13 +75,13 @@
 		undeliveredStarts: map[string]bool{},
 		overdueTasks:      map[string]bool{},
 		startedTasks:      map[string]bool{},
-		result:            Result{Rules: map[string]int{}},
+		result:            Result{Violations: map[string]int{}},
 	}
 }
 
 // recordViolation counts a violation of a rule and adds an explanation to the result; checker.mu is held.
 func (checker *invariantChecker) recordViolation(rule, format string, args ...any) {
-	checker.result.Rules[rule]++
+	checker.result.Violations[rule]++
 	checker.explain("%s", rule+": "+fmt.Sprintf(format, args...))
 }
 
@@ -117,7 +117,7 @@
 func (checker *invariantChecker) taskStarted(task string, machine *simulatedMachine) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	checker.result.Tasks++
+	checker.result.TaskStarts++
 	if checker.startedTasks[task] {
 		checker.result.TaskRestarts++
 	}
@@ -153,7 +153,7 @@
 	elapsed := time.Since(job.cancelledAt)
 	checker.result.StartsAfterCancel++
 	checker.explain("%s started on %s %v after its job was reported as cancelled", task, machine.Name, elapsed)
-	if elapsed > seconds(checker.sim.Workers.CancelS) {
+	if elapsed > seconds(checker.sim.Workers.CancelDeadlineS) {
 		checker.recordViolation("ran_cancelled", "%s was started %v after its job was reported as cancelled", task, elapsed)
 	}
 }
@@ -218,7 +218,7 @@
 	if job == nil {
 		return
 	}
-	if now := time.Now(); !job.cancelledAt.IsZero() && now.Sub(job.cancelledAt) > seconds(checker.sim.Workers.CancelS)+time.Second {
+	if now := time.Now(); !job.cancelledAt.IsZero() && now.Sub(job.cancelledAt) > seconds(checker.sim.Workers.CancelDeadlineS)+time.Second {
 		checker.recordViolation("ran_cancelled", "%s ran on %s until %v after its job was reported as cancelled", task, machine.Name, now.Sub(job.cancelledAt))
 	}
 	if index, err := strconv.Atoi(number); err == nil && done {
@@ -283,7 +283,7 @@
 		if job == nil || job.cancelledAt.IsZero() || machine.dead {
 			continue
 		}
-		if elapsed := time.Since(job.cancelledAt); elapsed > seconds(checker.sim.Workers.CancelS) && !checker.overdueTasks[task] {
+		if elapsed := time.Since(job.cancelledAt); elapsed > seconds(checker.sim.Workers.CancelDeadlineS) && !checker.overdueTasks[task] {
 			checker.overdueTasks[task] = true
 			checker.recordViolation("ran_cancelled", "%s still runs on %s %v after its job was reported as cancelled", task, machine.Name, elapsed)
 		}
@@ -308,10 +308,10 @@
 	}
 }
 
-// machineReturned records that a machine was returned to the cloud. It counts the machine in Result.ReturnedInVain if
+// machineReturned records that a machine was returned to the cloud. It counts the machine in Result.BusyMachinesReturned if
 // it ran tasks and no fault affected it within the last minute.
 func (checker *invariantChecker) machineReturned(machine *simulatedMachine) {
-	_, _, _, running := machine.worker.Seen()
+	_, _, _, running := machine.worker.Status()
 	checker.sim.mu.Lock()
 	healthy := machine.healthy() && (machine.lastFaultAt.IsZero() || time.Since(machine.lastFaultAt) > time.Minute)
 	since := machine.outboundLostSince
@@ -319,7 +319,7 @@
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	if healthy && running > 0 {
-		checker.result.ReturnedInVain++
+		checker.result.BusyMachinesReturned++
 	}
 	if !since.IsZero() {
 		checker.unreachableLeases += time.Since(since).Seconds() / checker.sim.Workers.LeaseS
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -118,7 +118,7 @@
 // change makes one change and waits until it is in force; it reports false if that is not confirmed in time.
 func (ops *operators) change(ctx context.Context, rng *rand.Rand, initialLimits bool) bool {
 	attempt := ops.randomAttempt(rng, initialLimits)
-	body, err := json.Marshal(api.ConfigurationRequest{Document: attempt.document(rng), By: "operators", Why: "the day"})
+	body, err := json.Marshal(api.ConfigurationRequest{Document: attempt.document(rng), Operator: "operators", Reason: "the day"})
 	if err != nil {
 		panic(fmt.Sprintf("encoding a change of the configuration: %v", err))
 	}
@@ -152,7 +152,7 @@
 		}
 		code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbConfiguration})
 		var view api.ConfigurationView
-		if code != http.StatusOK || json.Unmarshal(raw, &view) != nil || !view.Leader || !view.InForce {
+		if code != http.StatusOK || json.Unmarshal(raw, &view) != nil || !view.FromLeader || !view.InForce {
 			continue
 		}
 		if view.Revision >= revision {
--- a/internal/simulation/processes.go
+++ b/internal/simulation/processes.go
@@ -46,9 +46,9 @@
 func (sim *simulation) controllerSettings(process *controllerProcess) *settings.Settings {
 	set := &settings.Settings{Member: process.name, Zone: process.zone}
 	set.External = settings.External{State: "state:1", Cloud: "cloud:1"}
-	set.Facts = settings.Facts{Nodes: len(controllerNames), Zones: slices.Clone(zoneNames), Workers: sim.Workers,
+	set.Facts = settings.Facts{ControllerCount: len(controllerNames), Zones: slices.Clone(zoneNames), Workers: sim.Workers,
 		Teams: []settings.Team{{Name: teamNames[0], CPUsMax: sim.teamLimit()}, {Name: teamNames[1], CPUs: min(sim.teamLimit(), float64(sim.Machines)), CPUsMax: sim.teamLimit()}},
-		State: settings.State{RPS: stateRPS, WriteRPS: stateWriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps}, Cloud: settings.Cloud{RPS: cloudRPS, ListLagS: 1}}
+		State: settings.StateLimits{RPS: stateRPS, WriteRPS: stateWriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps}, Cloud: settings.CloudLimits{RPS: cloudRPS, ListLagS: 1}}
 	for _, member := range controllerNames {
 		if member != process.name {
 			set.Peers = append(set.Peers, settings.Peer{Member: member, Zone: sim.controllers[member].zone, Address: member})
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -31,34 +31,34 @@
 type Result struct {
 	// Jobs counts the accepted jobs.
 	Jobs int `json:"jobs"`
-	// Tasks counts the starts of tasks.
-	Tasks int `json:"tasks_started"`
+	// TaskStarts counts the starts of tasks.
+	TaskStarts int `json:"tasks_started"`
 	// TaskRestarts counts the starts of tasks that had started before.
 	TaskRestarts int `json:"tasks_started_again"`
-	// Rules counts violations by the name of the rule.
-	Rules map[string]int `json:"rules_broken"`
+	// Violations counts violations by the name of the rule.
+	Violations map[string]int `json:"rules_broken"`
 	// Explanations describes the first findings.
 	Explanations []string `json:"why,omitempty"`
 	// LongestUnansweredS is the longest time, in seconds, for which the user of a job got no response once all faults
 	// were over.
 	LongestUnansweredS float64 `json:"longest_unanswered_s"`
-	// Forgotten counts the unfinished jobs whose users had got no response for longer than maxUnansweredTime at the
+	// UnansweredJobs counts the unfinished jobs whose users had got no response for longer than maxUnansweredTime at the
 	// end.
-	Forgotten int `json:"forgotten"`
-	// PendingForGood counts the accepted jobs that had not started at the end although their dependencies were done and
+	UnansweredJobs int `json:"forgotten"`
+	// NeverStartedJobs counts the accepted jobs that had not started at the end although their dependencies were done and
 	// neither they nor their dependencies were cancelled.
-	PendingForGood int `json:"pending_for_good"`
-	// ClassesMinShare is the smallest share of started jobs among the classes, the teams and the largest jobs of each
+	NeverStartedJobs int `json:"pending_for_good"`
+	// MinStartedShare is the smallest share of started jobs among the classes, the teams and the largest jobs of each
 	// class. Of the largest jobs, only those that started within maxLargestStartDelay count as started.
-	ClassesMinShare float64 `json:"classes_min_share"`
-	// LargestBeginP99S is the 99th percentile of the start delay of the largest jobs of all classes, in seconds.
-	LargestBeginP99S float64 `json:"largest_begin_p99_s"`
-	// StartsInVain is the number of tasks that were sent to machines which had received nothing from controllers for a
+	MinStartedShare float64 `json:"classes_min_share"`
+	// LargestStartDelayP99S is the 99th percentile of the start delay of the largest jobs of all classes, in seconds.
+	LargestStartDelayP99S float64 `json:"largest_begin_p99_s"`
+	// UndeliveredStartsPerLease is the number of tasks that were sent to machines which had received nothing from controllers for a
 	// lease or longer, divided by the number of leases for which machines received nothing, at least 1.
-	StartsInVain float64 `json:"starts_in_vain"`
-	// ReturnedInVain counts the machines that were returned to the cloud while they ran tasks, although no fault had
+	UndeliveredStartsPerLease float64 `json:"starts_in_vain"`
+	// BusyMachinesReturned counts the machines that were returned to the cloud while they ran tasks, although no fault had
 	// affected them within the last minute.
-	ReturnedInVain int `json:"returned_in_vain"`
+	BusyMachinesReturned int `json:"returned_in_vain"`
 	// StartsAfterCancel counts the starts of tasks after the cancellation of their job was reported to its user.
 	StartsAfterCancel int `json:"started_cancelled"`
 	// StarvedJobs counts the jobs that waited longer than maxStarvationTime, after all faults were over, while machines
@@ -101,9 +101,9 @@
 	}
 	checker.evaluateGroups(groups, now)
 	if checker.unreachableLeases > 0 {
-		checker.result.StartsInVain = float64(len(checker.undeliveredStarts)) / max(1, checker.unreachableLeases)
+		checker.result.UndeliveredStartsPerLease = float64(len(checker.undeliveredStarts)) / max(1, checker.unreachableLeases)
 	}
-	if checker.result.Tasks == 0 {
+	if checker.result.TaskStarts == 0 {
 		checker.recordViolation("nothing_ran", "no task was started")
 	}
 	result := checker.result
@@ -129,10 +129,10 @@
 	unanswered := now.Sub(job.answeredAt)
 	result.LongestUnansweredS = max(result.LongestUnansweredS, unanswered.Seconds())
 	if unanswered > maxUnansweredTime {
-		result.Forgotten++
+		result.UnansweredJobs++
 	}
 	if job.startedAt.IsZero() && job.orphanedAt.IsZero() && job.cancelledAt.IsZero() && !checker.awaitsDependency(job) {
-		result.PendingForGood++
+		result.NeverStartedJobs++
 		result.Explanations = append(result.Explanations, fmt.Sprintf("pending for good: %s %s, %d tasks, accepted %v ago", job.ID, job.Class, job.Tasks, now.Sub(job.acceptedAt).Round(time.Second)))
 	}
 	if !job.doneAt.IsZero() && now.Sub(job.doneAt) > maxDoneReportDelay+2*pollInterval && job.answeredAt.Sub(job.doneAt) > maxDoneReportDelay {
@@ -144,23 +144,23 @@
 // held.
 func (checker *invariantChecker) evaluateGroups(groups map[string][]*trackedJob, now time.Time) {
 	result := &checker.result
-	result.ClassesMinShare = 1
+	result.MinStartedShare = 1
 	var delays []float64
 	for name, jobs := range groups {
-		result.ClassesMinShare = min(result.ClassesMinShare, startedShare(jobs, 0))
+		result.MinStartedShare = min(result.MinStartedShare, startedShare(jobs, 0))
 		if strings.HasPrefix(name, teamPrefix) {
 			continue
 		}
 		sort.SliceStable(jobs, func(i, j int) bool { return float64(jobs[i].Tasks)*jobs[i].CPUs > float64(jobs[j].Tasks)*jobs[j].CPUs })
 		largest := jobs[:min(len(jobs), max(1, len(jobs)/10))]
-		result.ClassesMinShare = min(result.ClassesMinShare, startedShare(largest, maxLargestStartDelay))
+		result.MinStartedShare = min(result.MinStartedShare, startedShare(largest, maxLargestStartDelay))
 		for _, job := range largest {
 			delays = append(delays, job.startDelay(now).Seconds())
 		}
 	}
 	if len(delays) > 0 {
 		sort.Float64s(delays)
-		result.LargestBeginP99S = delays[(len(delays)*99-1)/100]
+		result.LargestStartDelayP99S = delays[(len(delays)*99-1)/100]
 	}
 }
 
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -157,7 +157,7 @@
 // NewScenario returns a scenario without faults for a number of machines, with the workers' settings of a small fleet.
 func NewScenario(seed uint64, machines int) *Scenario {
 	return &Scenario{Seed: seed, Machines: machines, SubmitFor: 120 * time.Second, WaitAfter: 150 * time.Second, JobsPerSecond: min(4, float64(machines)/8),
-		Workers: settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}}
+		Workers: settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}}
 }
 
 // Scenarios returns the faults of the named scenarios: single kinds of faults, for leaders and followers, several kinds
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -143,16 +143,16 @@
 		sim.operators = newOperators(sim)
 	}
 	sim.network = newControllerNetwork(sim.partitions)
-	sim.state.Limit(fake.Limits{RPS: stateRPS, WriteRPS: stateWriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps})
-	sim.cloud.Room = scenario.Machines
-	sim.cloud.Up = func(host fake.Host) {
+	sim.state.SetLimits(fake.Limits{RPS: stateRPS, WriteRPS: stateWriteRPS, ValueKB: stateValueKB, TxnOps: stateTxnOps})
+	sim.cloud.Capacity = scenario.Machines
+	sim.cloud.OnRented = func(host fake.Host) {
 		sim.actors.Go(func() {
 			if sim.sleep(ctx, seconds(machineType.BootS)) {
 				sim.startWorker(ctx, host)
 			}
 		})
 	}
-	sim.cloud.Gone = sim.machineReturned
+	sim.cloud.OnReturned = sim.machineReturned
 	return sim
 }
 
@@ -203,7 +203,7 @@
 
 // sleep waits for a duration; it reports false if ctx ends first.
 func (sim *simulation) sleep(ctx context.Context, duration time.Duration) bool {
-	return sleep.Real(ctx, duration)
+	return sleep.OnRealClock(ctx, duration)
 }
 
 // actorRNG returns a random number generator for one actor, seeded with the scenario's seed and the actor's name, so
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -48,13 +48,13 @@
 func runOverloadedScenario(t *testing.T, scenario *Scenario, maxNeverStarted int) (result *Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { result = scenario.Run(t.Context()) })
-	if violations := invariant.TakeViolations(); violations > 0 {
+	if violations := invariant.ResetViolations(); violations > 0 {
 		t.Errorf("seed %d: the controllers reported %d invariant violations; run with -logs to see them", scenario.Seed, violations)
 	}
-	for rule, n := range result.Rules {
+	for rule, n := range result.Violations {
 		t.Errorf("seed %d: rule %s broken %d times", scenario.Seed, rule, n)
 	}
-	if result.Forgotten > 0 || result.PendingForGood > maxNeverStarted || result.StarvedJobs > 0 || result.UnexpectedResponses > 0 || result.ClassesMinShare < 0.5 || result.LongestUnansweredS > 30 {
+	if result.UnansweredJobs > 0 || result.NeverStartedJobs > maxNeverStarted || result.StarvedJobs > 0 || result.UnexpectedResponses > 0 || result.MinStartedShare < 0.5 || result.LongestUnansweredS > 30 {
 		t.Errorf("seed %d: %+v", scenario.Seed, *result)
 	}
 	if result.StartsAfterCancel > 0 {
@@ -73,7 +73,7 @@
 }
 
 // workerTimings holds the workers' settings of a small fleet and of a large one.
-var workerTimings = []settings.Workers{{ReportS: 1, LeaseS: 10, CancelS: 40}, {ReportS: 4, LeaseS: 22, CancelS: 47}}
+var workerTimings = []settings.Workers{{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}, {HeartbeatIntervalS: 4, LeaseS: 22, CancelDeadlineS: 47}}
 
 // randomScenario draws a scenario of two to six faults.
 func randomScenario(seed uint64) *Scenario {
@@ -187,14 +187,14 @@
 			if raceDetector && i != len(testCase.name)%2 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", testCase.name, timing.ReportS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reports every %g s", testCase.name, timing.HeartbeatIntervalS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(testCase.name)), 12)
 				scenario.Workers, scenario.CancelShare, scenario.TaskRunS, scenario.JobsPerSecond = timing, 0.3, 110, 1.5
 				scenario.SubmitFor, scenario.WaitAfter = 30*time.Second, 120*time.Second
 				refusalTime := 30 * time.Second
 				scenario.Faults = append([]Fault{{At: 0, For: milliseconds(14_000), Kind: StateRefused, Unanswered: testCase.unanswered}, {At: milliseconds(testCase.cancelMS), For: milliseconds(250), Kind: CancellationWave, Count: 9, HangMachinesFor: milliseconds(testCase.hangMachinesMS)},
-					{At: milliseconds(testCase.outageMS), For: seconds(timing.CancelS + 20), Kind: StateOutage}}, testCase.furtherFaults...)
+					{At: milliseconds(testCase.outageMS), For: seconds(timing.CancelDeadlineS + 20), Kind: StateOutage}}, testCase.furtherFaults...)
 				for i := range scenario.Faults {
 					scenario.Faults[i].At += refusalTime
 				}
@@ -242,7 +242,7 @@
 			if raceDetector && (i > 0 || crash == (len(name)%2 == 0)) {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s, leader crash %v", name, timing.ReportS, crash), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reports every %g s, leader crash %v", name, timing.HeartbeatIntervalS, crash), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(name)), 12)
 				scenario.Workers, scenario.CancelShare, scenario.TaskRunS, scenario.JobsPerSecond = timing, 0.15, 40, 1
@@ -343,8 +343,8 @@
 			// The load is three times the capacity, so not all jobs start.
 			var result *Result
 			synctest.Test(t, func(t *testing.T) { result = scenario.Run(t.Context()) })
-			if len(result.Rules) > 0 || result.StarvedJobs > 0 || result.Forgotten > 0 || result.Tasks < 400 {
-				t.Errorf("%d jobs starved, %d forgotten, %d tasks started, rules broken: %v", result.StarvedJobs, result.Forgotten, result.Tasks, result.Rules)
+			if len(result.Violations) > 0 || result.StarvedJobs > 0 || result.UnansweredJobs > 0 || result.TaskStarts < 400 {
+				t.Errorf("%d jobs starved, %d forgotten, %d tasks started, rules broken: %v", result.StarvedJobs, result.UnansweredJobs, result.TaskStarts, result.Violations)
 			}
 		})
 	}
@@ -360,15 +360,15 @@
 			if raceDetector && (i > 0 || seed > 0) {
 				continue
 			}
-			t.Run(fmt.Sprintf("reports every %g s, seed %d", timing.ReportS, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("reports every %g s, seed %d", timing.HeartbeatIntervalS, seed), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(seed, 12)
 				scenario.Workers, scenario.CancelShare, scenario.CPUsPerMachine, scenario.TaskRunS, scenario.JobsPerSecond = timing, 0.15, 2, 30, 2
 				scenario.SubmitFor = 100 * time.Second
 				scenario.Faults = []Fault{{At: 25 * time.Second, For: 40 * time.Second, Kind: InboundLost, Count: 4}, {At: 28 * time.Second, For: 3 * time.Second, Kind: ControllerCrash, Count: 1},
 					{At: 30 * time.Second, For: 300 * time.Millisecond, Kind: CancellationWave, Count: 5}}
-				if result := runOverloadedScenario(t, scenario, 15); result.LargestBeginP99S > maxLargestStartDelay.Seconds() {
-					t.Errorf("the 99th percentile of the start delay of the largest jobs is %.0f s", result.LargestBeginP99S)
+				if result := runOverloadedScenario(t, scenario, 15); result.LargestStartDelayP99S > maxLargestStartDelay.Seconds() {
+					t.Errorf("the 99th percentile of the start delay of the largest jobs is %.0f s", result.LargestStartDelayP99S)
 				}
 			})
 		}
@@ -388,8 +388,8 @@
 			if partitioned {
 				scenario.Faults = append(scenario.Faults, Fault{At: 40 * time.Second, For: 10 * time.Second, Kind: ControllerPairPartition}, Fault{At: 60 * time.Second, For: 10 * time.Second, Kind: ControllerPairPartition, Follower: true})
 			}
-			if result := runScenario(t, scenario); result.TaskRestarts > 0 || result.Tasks < 10 {
-				t.Errorf("%d of %d starts of tasks were restarts", result.TaskRestarts, result.Tasks)
+			if result := runScenario(t, scenario); result.TaskRestarts > 0 || result.TaskStarts < 10 {
+				t.Errorf("%d of %d starts of tasks were restarts", result.TaskRestarts, result.TaskStarts)
 			}
 		})
 	}
@@ -403,18 +403,18 @@
 			if raceDetector && i > 0 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.ReportS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.HeartbeatIntervalS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(1, 12)
 				scenario.Faults, scenario.Workers = faults, timing
 				result := runScenario(t, scenario)
 				// TestHalfDeafMachineIsGivenNoMoreWork checks the exact number. Here it depends on which
 				// tasks are placed on which machines at the end of a term.
-				if result.StartsInVain > 2 {
-					t.Errorf("%.1f starts per lease on machines that receive nothing", result.StartsInVain)
+				if result.UndeliveredStartsPerLease > 2 {
+					t.Errorf("%.1f starts per lease on machines that receive nothing", result.UndeliveredStartsPerLease)
 				}
-				if result.ReturnedInVain > 0 && name != "cut zone, copies, half-deaf" {
-					t.Errorf("%d healthy machines were returned while they ran tasks", result.ReturnedInVain)
+				if result.BusyMachinesReturned > 0 && name != "cut zone, copies, half-deaf" {
+					t.Errorf("%d healthy machines were returned while they ran tasks", result.BusyMachinesReturned)
 				}
 			})
 		}
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -49,7 +49,7 @@
 	checker.sim.mu.Unlock()
 	free := freeCPUs{}
 	for _, machine := range healthy {
-		free[machine] = machineType.CPUs - machine.worker.Taken(checker.taskCPUs)
+		free[machine] = machineType.CPUs - machine.worker.UnfinishedUse(checker.taskCPUs)
 	}
 	return free
 }
--- a/internal/simulation/transport.go
+++ b/internal/simulation/transport.go
@@ -273,7 +273,7 @@
 	if err := json.NewDecoder(request.Body).Decode(&response); err != nil {
 		return nil, fmt.Errorf("decoding commands for %s: %w", endpoint.machine.Name, err)
 	}
-	heartbeat, ok := endpoint.machine.worker.Direct(response)
+	heartbeat, ok := endpoint.machine.worker.ExecuteCommands(response)
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
 		return nil, fmt.Errorf("encoding the heartbeat of %s: %w", endpoint.machine.Name, err)
--- a/internal/simulation/workers.go
+++ b/internal/simulation/workers.go
@@ -43,10 +43,10 @@
 	ctx, stop := context.WithCancel(ctx)
 	machine := &simulatedMachine{Host: host, stop: stop}
 	rng, failureRNG := sim.actorRNG("reports of "+host.Name), sim.actorRNG("failures of "+host.Name)
-	machine.worker = fake.NewWorker(fake.WorkerOptions{Host: host, Clock: sim.clock, Nodes: controllerNames, Post: sim.heartbeatSender(machine, rng),
-		Every: seconds(sim.Workers.ReportS), Lease: seconds(sim.Workers.LeaseS), Runs: sim.checker.taskRunTime,
-		Starts: func(task string, _ uint64, _ time.Time) { sim.checker.taskStarted(task, machine) }, Fetch: sim.imagePull(),
-		Ends: func(task string, done bool) { sim.checker.taskEnded(task, machine, done) }, Fails: func(string) string { return sim.startFailure(machine, failureRNG) }})
+	machine.worker = fake.NewWorker(fake.WorkerOptions{Host: host, Clock: sim.clock, Controllers: controllerNames, Post: sim.heartbeatSender(machine, rng),
+		HeartbeatInterval: seconds(sim.Workers.HeartbeatIntervalS), Lease: seconds(sim.Workers.LeaseS), TaskDuration: sim.checker.taskRunTime,
+		OnStart: func(task string, _ uint64, _ time.Time) { sim.checker.taskStarted(task, machine) }, ImagePull: sim.imagePull(),
+		OnEnd: func(task string, done bool) { sim.checker.taskEnded(task, machine, done) }, StartFailure: func(string) string { return sim.startFailure(machine, failureRNG) }})
 	sim.mu.Lock()
 	sim.machines[host.Address] = machine
 	sim.mu.Unlock()
@@ -214,7 +214,7 @@
 			}
 		})
 		for _, machine := range machines {
-			machine.worker.Hang(by > 0)
+			machine.worker.Suspend(by > 0)
 		}
 	}
 	set(1)
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -50,10 +50,10 @@
 		return ctx
 	}()
 	for _, duration := range []time.Duration{-time.Second, 0, time.Millisecond} {
-		if !Real(active, duration) {
+		if !OnRealClock(active, duration) {
 			t.Errorf("%v: reports that the context has ended", duration)
 		}
-		if Real(ended, duration) {
+		if OnRealClock(ended, duration) {
 			t.Errorf("%v: reports that the context has not ended", duration)
 		}
 	}
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -20,5 +20,5 @@
 // Violations returns the number of violations that this process has reported.
 func Violations() int64 { return violations.Load() }
 
-// TakeViolations returns the count and resets it, for tests that cause a violation.
-func TakeViolations() int64 { return violations.Swap(0) }
+// ResetViolations returns the count and resets it, for tests that cause a violation.
+func ResetViolations() int64 { return violations.Swap(0) }
--- a/lookup/terminal_states_test.go
+++ b/lookup/terminal_states_test.go
@@ -25,13 +25,13 @@
 		{"running after the contradiction", api.Running, api.Cancelled, Stale, 0},
 	}
 	notifications := NewNotifications()
-	invariant.TakeViolations()
+	invariant.ResetViolations()
 	for _, step := range steps {
 		status, got := notifications.Newest(api.JobStatus{ID: "run-000001", State: step.found})
 		if status.State != step.send || got != step.want {
 			t.Errorf("%s: %s, %d; want %s, %d", step.name, status.State, got, step.send, step.want)
 		}
-		if violations := invariant.TakeViolations(); violations != step.violations {
+		if violations := invariant.ResetViolations(); violations != step.violations {
 			t.Errorf("%s: %d invariant violations, want %d", step.name, violations, step.violations)
 		}
 	}
@@ -39,14 +39,14 @@
 
 func TestCachedTerminalStateIsNotReplaced(t *testing.T) {
 	states := NewTerminalStates()
-	invariant.TakeViolations()
+	invariant.ResetViolations()
 	states.Remember("run-000001", store.FinalRecord{State: api.Done, Tasks: 3})
 	states.Remember("run-000001", store.FinalRecord{State: api.Done, Tasks: 3, Service: true})
-	if violations := invariant.TakeViolations(); violations != 0 {
+	if violations := invariant.ResetViolations(); violations != 0 {
 		t.Errorf("%d invariant violations for the same terminal state", violations)
 	}
 	states.Remember("run-000001", store.FinalRecord{State: api.Cancelled})
-	if final, _ := states.Get("run-000001"); final.State != api.Done || invariant.TakeViolations() != 1 {
+	if final, _ := states.Get("run-000001"); final.State != api.Done || invariant.ResetViolations() != 1 {
 		t.Errorf("cached state %s, want the first state kept and one invariant violation", final.State)
 	}
 }
--- a/placement/busyheap.go
+++ b/placement/busyheap.go
@@ -45,7 +45,7 @@
 // Less implements heap.Interface.
 func (b *busyHeap) Less(x, y int) bool {
 	p, q := b.servers[b.order[x]], b.servers[b.order[y]]
-	return cmp.Or(cmp.Compare(p.Busy, q.Busy), cmp.Compare(q.Free, p.Free), cmp.Compare(b.order[x], b.order[y])) < 0
+	return cmp.Or(cmp.Compare(p.Busy, q.Busy), cmp.Compare(q.FreeCapacity, p.FreeCapacity), cmp.Compare(b.order[x], b.order[y])) < 0
 }
 
 // Swap implements heap.Interface.
--- a/placement/filler.go
+++ b/placement/filler.go
@@ -43,7 +43,7 @@
 	f.addHolders(group)
 	tasks := len(group.Tasks)
 	level, ok := Level(f.participants, tasks)
-	if f.inputCost != nil && (!ok || f.minBusy()+f.inputCost.Least(groupIndex) < level) {
+	if f.inputCost != nil && (!ok || f.minBusy()+f.inputCost.MinCopySlots(groupIndex) < level) {
 		if !ok {
 			level = math.MaxInt
 		}
@@ -69,7 +69,7 @@
 // addNonHolders adds the servers that lack inputs as participants, if they are below a level even with the cost of
 // copying. Their Busy, Mu and Free include that cost.
 func (f *groupFiller) addNonHolders(groupIndex int, group *Group, level int) {
-	holders, rate := group.Holders, f.inputCost.Rate(groupIndex)
+	holders, rate := group.Holders, f.inputCost.TasksCopiedPerSlot(groupIndex)
 	for index, server := range f.servers {
 		for len(holders) > 0 && int(holders[0]) < index {
 			holders = holders[1:]
@@ -78,7 +78,7 @@
 		if isHolder || server.Mu <= 0 || server.Busy+1 >= level {
 			continue
 		}
-		adjusted := server.withCopyCost(f.inputCost.Slots(groupIndex, index), rate)
+		adjusted := server.withCopyCost(f.inputCost.CopySlots(groupIndex, index), rate)
 		if adjusted.Busy < level {
 			f.participants, f.members = append(f.participants, adjusted), append(f.members, member{int32(index), false})
 		}
@@ -89,7 +89,7 @@
 // task, and rate for how many tasks it copies in a slot. A link copies the inputs of one task at a time, so only one
 // task can start at once, however many CPUs are idle.
 func (s Server) withCopyCost(slots int, rate float64) Server {
-	return Server{Busy: s.Busy + slots, Mu: min(s.Mu, rate), Free: min(s.Free, 1)}
+	return Server{Busy: s.Busy + slots, Mu: min(s.Mu, rate), FreeCapacity: min(s.FreeCapacity, 1)}
 }
 
 // minBusy returns the least Busy of all servers that take tasks, or math.MaxInt if there is none.
@@ -143,9 +143,9 @@
 		server.Busy = max(server.Busy, level)
 	} else {
 		server.Busy += ceil(float64(count) / server.Mu)
-		f.inputCost.Took(groupIndex, int(participant.server), count)
+		f.inputCost.RecordAssignment(groupIndex, int(participant.server), count)
 	}
-	server.Free = max(0, server.Free-count)
+	server.FreeCapacity = max(0, server.FreeCapacity-count)
 	f.shares = append(f.shares, Share{int(participant.server), tasks})
 }
 
@@ -162,12 +162,12 @@
 func (f *groupFiller) assignOne(groupIndex int, group *Group, serverIndex int, tasks []int32) {
 	server := &f.servers[serverIndex]
 	server.Busy += ceil(1 / server.Mu)
-	server.Free = max(0, server.Free-1)
+	server.FreeCapacity = max(0, server.FreeCapacity-1)
 	if f.leastLoaded != nil {
 		f.leastLoaded.fix(serverIndex)
 	}
 	if _, holdsInputs := slices.BinarySearch(group.Holders, int32(serverIndex)); !holdsInputs {
-		f.inputCost.Took(groupIndex, serverIndex, 1)
+		f.inputCost.RecordAssignment(groupIndex, serverIndex, 1)
 	}
 	f.shares = append(f.shares, Share{serverIndex, tasks})
 }
@@ -182,7 +182,7 @@
 			return
 		}
 		finish := server.Busy + copySlots + ceil(1/server.Mu)
-		if best < 0 || finish < earliestFinish || finish == earliestFinish && server.Free > f.servers[best].Free {
+		if best < 0 || finish < earliestFinish || finish == earliestFinish && server.FreeCapacity > f.servers[best].FreeCapacity {
 			best, earliestFinish = i, finish
 		}
 	}
@@ -196,8 +196,8 @@
 		f.leastLoaded = newBusyHeap(f.servers)
 	}
 	least := f.leastLoaded.minimum()
-	if least >= 0 && (best < 0 || f.servers[least].Busy+f.inputCost.Least(groupIndex) < earliestFinish) {
-		consider(least, f.inputCost.Slots(groupIndex, least))
+	if least >= 0 && (best < 0 || f.servers[least].Busy+f.inputCost.MinCopySlots(groupIndex) < earliestFinish) {
+		consider(least, f.inputCost.CopySlots(groupIndex, least))
 	}
 	return best
 }
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -42,15 +42,15 @@
 // InputCost tells what it costs to run a task on a server that does not hold all of the task's inputs. Groups and
 // servers are given by index.
 type InputCost interface {
-	// Slots returns how many slots a server needs to copy the inputs that it lacks for one task of a group.
-	Slots(group, server int) int
-	// Least returns a lower bound of Slots for a group over all servers that do not hold all of the group's inputs.
-	Least(group int) int
-	// Rate returns the number of tasks of a group whose inputs a server can copy in a slot. Every task may have
+	// CopySlots returns how many slots a server needs to copy the inputs that it lacks for one task of a group.
+	CopySlots(group, server int) int
+	// MinCopySlots returns a lower bound of Slots for a group over all servers that do not hold all of the group's inputs.
+	MinCopySlots(group int) int
+	// TasksCopiedPerSlot returns the number of tasks of a group whose inputs a server can copy in a slot. Every task may have
 	// different inputs.
-	Rate(group int) float64
-	// Took is called when a server that must copy a group's inputs has been assigned a number of its tasks.
-	Took(group, server, tasks int)
+	TasksCopiedPerSlot(group int) float64
+	// RecordAssignment is called when a server that must copy a group's inputs has been assigned a number of its tasks.
+	RecordAssignment(group, server, tasks int)
 }
 
 // Share is the tasks of one group that one server is assigned. Server is its index.
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -28,10 +28,10 @@
 // flatCost is an InputCost that is the same for every group and server, without a limit of the copy rate.
 type flatCost struct{ slots int }
 
-func (f flatCost) Slots(int, int) int { return f.slots }
-func (f flatCost) Least(int) int      { return f.slots }
-func (f flatCost) Rate(int) float64   { return math.Inf(1) }
-func (f flatCost) Took(int, int, int) {}
+func (f flatCost) CopySlots(int, int) int         { return f.slots }
+func (f flatCost) MinCopySlots(int) int           { return f.slots }
+func (f flatCost) TasksCopiedPerSlot(int) float64 { return math.Inf(1) }
+func (f flatCost) RecordAssignment(int, int, int) {}
 
 // slowLinkCost is a flatCost with links that copy the inputs of one task per slot.
 type slowLinkCost struct{ flatCost }
@@ -43,7 +43,7 @@
 func TestTasksWithMissingInputsAreSpreadOverMachines(t *testing.T) {
 	servers := make([]Server, 4)
 	for i := range servers {
-		servers[i] = Server{Mu: 4, Free: 4}
+		servers[i] = Server{Mu: 4, FreeCapacity: 4}
 	}
 	for _, s := range FillGroups(servers, []Group{{Tasks: tasks(0, 4)}}, slowLinkCost{flatCost{1}}, 64) {
 		if len(s.Tasks) != 1 {
@@ -79,7 +79,7 @@
 	for range 300 {
 		servers := make([]Server, 1+rng.IntN(30))
 		for i := range servers {
-			servers[i] = Server{Busy: rng.IntN(20), Mu: 0.2 + rng.Float64()*3, Free: rng.IntN(3)}
+			servers[i] = Server{Busy: rng.IntN(20), Mu: 0.2 + rng.Float64()*3, FreeCapacity: rng.IntN(3)}
 		}
 		n := rng.IntN(200)
 		holders := make([][]int32, n)
@@ -125,7 +125,7 @@
 				rng := rand.New(rand.NewPCG(5, uint64(machines)))
 				servers := make([]Server, machines)
 				for i := range servers {
-					servers[i] = Server{Busy: rng.IntN(40), Mu: 0.1 + rng.Float64(), Free: rng.IntN(4)}
+					servers[i] = Server{Busy: rng.IntN(40), Mu: 0.1 + rng.Float64(), FreeCapacity: rng.IntN(4)}
 				}
 				sets := make([][]int32, 64)
 				if kind == "scattered" {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -15,20 +15,20 @@
 	Busy int
 	// Mu is how many of the job's tasks the machine finishes in a slot. A server whose Mu is zero takes no tasks.
 	Mu float64
-	// Free is how many of the job's tasks the machine could start immediately.
-	Free int
+	// FreeCapacity is how many of the job's tasks the machine could start immediately.
+	FreeCapacity int
 }
 
-// Queued is the unfinished work of one job on a machine: the number of its tasks, of which the machine finishes Mu in a
+// QueuedJob is the unfinished work of one job on a machine: the number of its tasks, of which the machine finishes Mu in a
 // slot.
-type Queued struct {
+type QueuedJob struct {
 	Tasks int
 	Mu    float64
 }
 
 // Busy returns b of a machine with a queue by (2): the sum, over the queued jobs, of tasks divided by mu, each rounded
 // up.
-func Busy(queue []Queued) int {
+func Busy(queue []QueuedJob) int {
 	b := 0
 	for _, queued := range queue {
 		if queued.Tasks > 0 && queued.Mu > 0 {
@@ -140,7 +140,7 @@
 // share returns how many tasks a server below the level gets: (level-b)*mu, or as many as it can start immediately if
 // that is more.
 func (s Server) share(level int) int {
-	return max(s.Free, ceil(float64(level-s.Busy)*s.Mu))
+	return max(s.FreeCapacity, ceil(float64(level-s.Busy)*s.Mu))
 }
 
 // epsilon is the tolerance, in tasks or slots, for rounding errors in sums of fractions.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -31,16 +31,16 @@
 func TestFillStartsAsManyTasksAsFitOnOneMachine(t *testing.T) {
 	var servers []Server
 	for range 12 {
-		servers = append(servers, Server{Mu: 4.0 / 12, Free: 4})
+		servers = append(servers, Server{Mu: 4.0 / 12, FreeCapacity: 4})
 	}
-	servers[0] = Server{Busy: 9, Mu: 4.0 / 12, Free: 4}
+	servers[0] = Server{Busy: 9, Mu: 4.0 / 12, FreeCapacity: 4}
 	if got := Fill(servers, 10); !slices.Equal(got[:4], []int{0, 4, 4, 2}) {
 		t.Errorf("shares %v, want 0, 4, 4, 2 and no more", got)
 	}
 }
 
 func TestBusyRoundsUpPerJob(t *testing.T) {
-	if b := Busy([]Queued{{3, 2}, {1, 4}, {0, 1}, {4, 0.5}}); b != 2+1+8 {
+	if b := Busy([]QueuedJob{{3, 2}, {1, 4}, {0, 1}, {4, 0.5}}); b != 2+1+8 {
 		t.Errorf("busy for %d slots, want 11", b)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -59,9 +59,9 @@
 	return Parse(string(raw))
 }
 
-// Of returns the built-in policy with the given expressions, by name of the setting. It calls fail for each
+// FromExpressions returns the built-in policy with the given expressions, by name of the setting. It calls fail for each
 // invalid one, in alphabetical order of the names; if it has called fail, the policy must not be used.
-func Of(expressions map[string]string, fail func(name, want string)) *Policy {
+func FromExpressions(expressions map[string]string, fail func(name, want string)) *Policy {
 	policy := Default()
 	for _, name := range slices.Sorted(maps.Keys(expressions)) {
 		if _, ok := definitions[name]; !ok {
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-var stateLimits = settings.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+var stateLimits = settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
 // testPartition is a controller "y" and a leader "x" that can reach the state service but not each other.
 type testPartition struct {
@@ -176,8 +176,8 @@
 	partition := newPartition(t)
 	partition.put("n1", `1`)
 	partition.elect()
-	if partition.exchange.Write(t.Context()) || partition.termEndedCalls != 1 || partition.state.Under(store.RelayPrefix) != 0 {
-		t.Errorf("TermEnded called %d times, %d packets written", partition.termEndedCalls, partition.state.Under(store.RelayPrefix))
+	if partition.exchange.Write(t.Context()) || partition.termEndedCalls != 1 || partition.state.CountPrefix(store.RelayPrefix) != 0 {
+		t.Errorf("TermEnded called %d times, %d packets written", partition.termEndedCalls, partition.state.CountPrefix(store.RelayPrefix))
 	}
 }
 
@@ -185,13 +185,13 @@
 func TestWriteRetriesAfterOutage(t *testing.T) {
 	partition := newPartition(t)
 	partition.put("n1", `1`)
-	partition.state.Outage(true)
+	partition.state.SetDown(true)
 	if partition.exchange.Write(t.Context()) || partition.termEndedCalls != 0 {
 		t.Errorf("TermEnded called %d times in an outage", partition.termEndedCalls)
 	}
-	partition.state.Outage(false)
-	if !partition.exchange.Write(t.Context()) || partition.state.Under(store.RelayPrefix) != 1 {
-		t.Errorf("%d packets written after an outage", partition.state.Under(store.RelayPrefix))
+	partition.state.SetDown(false)
+	if !partition.exchange.Write(t.Context()) || partition.state.CountPrefix(store.RelayPrefix) != 1 {
+		t.Errorf("%d packets written after an outage", partition.state.CountPrefix(store.RelayPrefix))
 	}
 	if partition.exchange.Write(t.Context()) {
 		t.Error("an unchanged message is written again at once")
--- a/relay/exchange/limits.go
+++ b/relay/exchange/limits.go
@@ -10,14 +10,14 @@
 
 // PacketLimits returns the limits that relayed packets must observe, derived from the lowest limits that
 // the state service has now or will have.
-func PacketLimits(limits settings.State) relay.Limits {
-	least := limits.Least()
-	return relay.Limits{MaxValueBytes: least.ValueBytes(), MaxRequestBytes: tuning.MaxPacketRequestBytes, MaxOperations: least.TxnOps}
+func PacketLimits(limits settings.StateLimits) relay.Limits {
+	least := limits.Strictest()
+	return relay.Limits{MaxValueBytes: least.MaxValueBytes(), MaxRequestBytes: tuning.MaxPacketRequestBytes, MaxOperations: least.TxnOps}
 }
 
 // WriteRate returns the limiter of the packets of all kinds that a controller writes. Its rate is the
 // share tuning.RelayWriteShare of the state service's write limit, since the leader's records have priority.
-func WriteRate(limits settings.State) *rate.Limiter {
-	writesPerSecond := tuning.RelayWriteShare * limits.Least().WriteRPS
+func WriteRate(limits settings.StateLimits) *rate.Limiter {
+	writesPerSecond := tuning.RelayWriteShare * limits.Strictest().WriteRPS
 	return rate.NewLimiter(rate.Limit(writesPerSecond), max(PacketLimits(limits).MaxPackets(), int(writesPerSecond)))
 }
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -27,7 +27,7 @@
 	// WriteLimiter limits the rate at which all proxies of this controller together write packets.
 	WriteLimiter *rate.Limiter
 	// StateLimits holds the limits of the state service.
-	StateLimits settings.State
+	StateLimits settings.StateLimits
 }
 
 // senderTimeout is the time without a heartbeat after which a proxy removes a sender.
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -18,7 +18,7 @@
 // newWorkers returns the proxy of the controller y.
 func newWorkers() *Workers {
 	clock := clockwork.NewFakeClock()
-	limits := settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
+	limits := settings.StateLimits{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
 	client := store.NewClient("state:1", fake.NewState(clock))
 	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 }
@@ -34,7 +34,7 @@
 // relayCommand makes a proxy read a packet that contains a command.
 func relayCommand(t *testing.T, workers *Workers, command relayedCommand) {
 	t.Helper()
-	mailbox := relay.NewMailbox(exchange.PacketLimits(settings.State{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}))
+	mailbox := relay.NewMailbox(exchange.PacketLimits(settings.StateLimits{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}))
 	mailbox.AssignPacket("b1")
 	raw, err := json.Marshal(store.RelayedCommands{Incarnation: 1, Seq: command.seq, Commands: []api.Command{{Verb: command.verb, Task: "run-1/0", Attempt: 3}}})
 	if err != nil {
--- a/replicas/hint_test.go
+++ b/replicas/hint_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if got := decoded[name]["chunks"]; got.Of != 20000 || !got.Parts.Equals(snapshot.Parts(index.ID(name), "chunks")) {
+		if got := decoded[name]["chunks"]; got.PartCount != 20000 || !got.Parts.Equals(snapshot.Parts(index.ID(name), "chunks")) {
 			t.Fatalf("%s: %v", name, got)
 		}
 	}
--- a/replicas/index.go
+++ b/replicas/index.go
@@ -21,8 +21,8 @@
 // Replica is the set of parts of one dataset that a machine holds. Of is the number of parts in the
 // whole dataset.
 type Replica struct {
-	Of    int
-	Parts *roaring.Bitmap
+	PartCount int
+	Parts     *roaring.Bitmap
 }
 
 // Index records the replicas on all machines. Its methods are safe for concurrent use.
@@ -111,7 +111,7 @@
 		}
 	}
 	for datasetName, replica := range replicas {
-		next.update(machineID, datasetName, replica.Of, replica.Parts)
+		next.update(machineID, datasetName, replica.PartCount, replica.Parts)
 	}
 	next.version++
 	index.current.Store(&next)
--- a/replicas/index_test.go
+++ b/replicas/index_test.go
@@ -49,8 +49,8 @@
 				if holds[part] {
 					holders++
 				}
-				if snapshot.Count(machineID, "a") != len(holds) {
-					t.Fatalf("%s holds %d, not %d", machine, snapshot.Count(machineID, "a"), len(holds))
+				if snapshot.HeldPartCount(machineID, "a") != len(holds) {
+					t.Fatalf("%s holds %d, not %d", machine, snapshot.HeldPartCount(machineID, "a"), len(holds))
 				}
 			}
 			if len(snapshot.Holders("a", part)) != holders || !slices.IsSorted(snapshot.Holders("a", part)) {
@@ -70,11 +70,11 @@
 	index.Set("n-1", map[string]Replica{"a": replicaOf(3, 0, 1, 2, 9)})
 	index.Set("n-2", map[string]Replica{"a": replicaOf(3, 0, 2)})
 	snapshot := index.Snapshot()
-	if !slices.Equal(snapshot.Complete("a"), []MachineID{index.ID("n-1")}) || snapshot.Holders("a", 9) != nil {
-		t.Fatalf("complete: %v", snapshot.Complete("a"))
+	if !slices.Equal(snapshot.CompleteHolders("a"), []MachineID{index.ID("n-1")}) || snapshot.Holders("a", 9) != nil {
+		t.Fatalf("complete: %v", snapshot.CompleteHolders("a"))
 	}
 	index.Set("n-1", map[string]Replica{})
-	if snapshot := index.Snapshot(); len(snapshot.Complete("a")) != 0 || len(snapshot.Holders("a", 0)) != 1 {
+	if snapshot := index.Snapshot(); len(snapshot.CompleteHolders("a")) != 0 || len(snapshot.Holders("a", 0)) != 1 {
 		t.Fatal("an evicted replica is still in the index")
 	}
 }
--- a/replicas/snapshot.go
+++ b/replicas/snapshot.go
@@ -186,9 +186,9 @@
 	return replicas.holders.Get(part)
 }
 
-// Complete returns the machines that hold every part of a dataset, sorted by ID. The list is
+// CompleteHolders returns the machines that hold every part of a dataset, sorted by ID. The list is
 // shared, and the caller must not modify it.
-func (snapshot *Snapshot) Complete(dataset string) []MachineID {
+func (snapshot *Snapshot) CompleteHolders(dataset string) []MachineID {
 	if replicas, ok := snapshot.datasets.Get(dataset); ok {
 		return replicas.completeHolders
 	}
@@ -207,8 +207,8 @@
 	return snapshot.held(machineID, dataset).parts
 }
 
-// Count returns the number of a dataset's parts that a machine holds.
-func (snapshot *Snapshot) Count(machineID MachineID, dataset string) int {
+// HeldPartCount returns the number of a dataset's parts that a machine holds.
+func (snapshot *Snapshot) HeldPartCount(machineID MachineID, dataset string) int {
 	return snapshot.held(machineID, dataset).count
 }
 
@@ -222,8 +222,8 @@
 	return held
 }
 
-// Known returns whether any machine holds at least one part of a dataset.
-func (snapshot *Snapshot) Known(dataset string) bool {
+// HasReplicas returns whether any machine holds at least one part of a dataset.
+func (snapshot *Snapshot) HasReplicas(dataset string) bool {
 	_, ok := snapshot.datasets.Get(dataset)
 	return ok
 }
--- a/scheduler/adoption_test.go
+++ b/scheduler/adoption_test.go
@@ -70,18 +70,18 @@
 	other := *submission
 	other.ID = "run-000002"
 	h.Submit(cancelledContext(), &other, h.clock.Now())
-	late := h.state.LateNext(true)
+	late := h.state.DelayNextTransaction(true)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
 		h.committer.Step(context.Background())
 	}()
-	<-late.Asked
+	<-late.Received
 	// Meanwhile this term has forgotten that the job ended.
 	delete(h.terminalStates, "run-000001")
 	h.archived = newArchivedJobs(1)
 	h.Submit(cancelledContext(), submission, h.clock.Now())
-	late.Answer()
+	late.Release()
 	<-written
 	if status, ok := h.JobStatus("run-000001"); ok {
 		t.Errorf("the user was told %s, but the job is now reported as %s", api.Done, status.State)
@@ -135,7 +135,7 @@
 			h.submit("run-000001", 1, nil)
 			final := string(mustJSON(t, store.FinalRecord{State: onRecord, Tasks: 1}))
 			h.state.Put(store.FinalKey("run-000001"), store.FinalRecord{State: onRecord, Tasks: 1})
-			invariant.TakeViolations()
+			invariant.ResetViolations()
 			if inMemory == api.Done {
 				h.complete("run-000001", "b1")
 			} else {
@@ -148,7 +148,7 @@
 			if got := string(h.state.Get(store.FinalKey("run-000001"))); got != final {
 				t.Errorf("final record %s, want %s", got, final)
 			}
-			if invariant.TakeViolations() != 1 {
+			if invariant.ResetViolations() != 1 {
 				t.Error("the invariant violation was not reported")
 			}
 			if h.committer.Pending() > 0 {
@@ -180,12 +180,12 @@
 	h.clock.Advance(time.Millisecond)
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
-	invariant.TakeViolations()
-	if got := h.AdoptJob(&record, readAt); got != JobEnded || invariant.TakeViolations() != 0 {
+	invariant.ResetViolations()
+	if got := h.AdoptJob(&record, readAt); got != JobEnded || invariant.ResetViolations() != 0 {
 		t.Errorf("record read before the end: outcome %q, or an invariant violation was reported", got)
 	}
 	h.clock.Advance(time.Second)
-	if got := h.AdoptJob(&record, h.clock.Now()); got != JobEnded || invariant.TakeViolations() != 1 {
+	if got := h.AdoptJob(&record, h.clock.Now()); got != JobEnded || invariant.ResetViolations() != 1 {
 		t.Errorf("record read after the end: outcome %q, or not exactly one invariant violation was reported", got)
 	}
 }
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -14,7 +14,7 @@
 func TestPartitionedMachineWithCancelledTaskIsReleasedInTime(t *testing.T) {
 	for _, leaderChanges := range []bool{false, true} {
 		h := newHarness(t)
-		h.settings.Facts.Workers.CancelS = 47.5
+		h.settings.Facts.Workers.CancelDeadlineS = 47.5
 		h.unreachableZone = "b"
 		partitioned := []string{"b1", "b2", "b3", "b4"}
 		reportReachable := func() { h.heartbeat("a1", 1) }
@@ -48,7 +48,7 @@
 			// The leader changes; the new one reads the time of the cancellation from the record.
 			h.maintainFor(15*time.Second, reportReachable)
 			h.elect()
-			h.settings.Facts.Workers.CancelS = 47.5
+			h.settings.Facts.Workers.CancelDeadlineS = 47.5
 			h.unreachableZone = "b"
 			var list []api.Instance
 			for _, n := range append([]string{"a1"}, partitioned...) {
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -65,8 +65,8 @@
 func TestManyWorkersRelayWithinStateLimits(t *testing.T) {
 	for _, workerCount := range []int{50, 500, 2500} {
 		h := newHarness(t)
-		h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
-		limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
+		h.state.SetLimits(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+		limits := settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 		workerName := func(i int) string { return fmt.Sprintf("b%04d", i) }
 		startedOn := map[string]string{}
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -62,8 +62,8 @@
 // many further tasks as the setting Ahead allows. It also counts the queued tasks that wait for inputs, in
 // datasetState.waiting. s.mu must be held.
 func (s *Scheduler) queuedStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
-	ahead := s.datasets.settings.Ahead
-	if s.datasets.settings.Placement != features.Staged {
+	ahead := s.datasets.settings.AheadTasks
+	if s.datasets.settings.Placement != features.PlacementStaged {
 		ahead = 0
 	}
 	for _, machine := range s.sortedMachines() {
@@ -126,11 +126,11 @@
 			switch {
 			case jobInput.summary == nil:
 			case jobInput.partPerTask:
-				parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: jobInput.summary, Part: demand.task})
+				parts = append(parts, staging.Demand{Machine: demand.machine.Name, Dataset: jobInput.summary, Part: demand.task})
 			case !seen[whole]:
 				seen[whole] = true
-				for part := range jobInput.summary.Parts {
-					parts = append(parts, staging.Demand{Machine: demand.machine.Name, Set: jobInput.summary, Part: part})
+				for part := range jobInput.summary.PartCount {
+					parts = append(parts, staging.Demand{Machine: demand.machine.Name, Dataset: jobInput.summary, Part: part})
 				}
 			}
 		}
@@ -173,7 +173,7 @@
 // tuning.StageMoveDelay. It records in datasetState.stuckSince when the cache became full. s.mu must be held.
 func (s *Scheduler) stagingStuck(machine *machineState) (agentSilent, cacheFull bool) {
 	datasets := s.datasets
-	if !datasets.planner.Full(machine.Name) {
+	if !datasets.planner.CacheFull(machine.Name) {
 		delete(datasets.stuckSince, machine.Name)
 	} else if datasets.stuckSince[machine.Name].IsZero() {
 		datasets.stuckSince[machine.Name] = s.now()
--- a/scheduler/dataset_removal.go
+++ b/scheduler/dataset_removal.go
@@ -24,7 +24,7 @@
 	for _, jobInput := range job.inputs {
 		condition := store.Condition{Key: store.DatasetKey(jobInput.name)}
 		if entry := s.datasets.entries[jobInput.name]; entry != nil && entry.State == dataset.Listed {
-			condition.Revision = entry.Stamp
+			condition.Revision = entry.Revision
 		}
 		conditions = append(conditions, condition)
 	}
@@ -101,7 +101,7 @@
 // removable reports whether a dataset can now be recorded as removed: it is being removed, all jobs accepted before it
 // was unlisted are known, no write is in progress, and no job uses it. s.mu must be held.
 func (s *Scheduler) removable(entry *dataset.Entry) bool {
-	return entry.State == dataset.Removing && s.datasets.inboxRevision >= entry.Stamp &&
+	return entry.State == dataset.Removing && s.datasets.inboxRevision >= entry.Revision &&
 		s.datasets.removing[entry.Name] == "" && s.jobsUsing(entry.Name) == 0
 }
 
@@ -115,7 +115,7 @@
 	}
 	slog.Info("dataset removed", "dataset", entry.Name)
 	entry.State = dataset.Removed
-	s.datasets.planner.RemoveDataset(entry.Name, entry.Manifest.String())
+	s.datasets.planner.RemoveDataset(entry.Name, entry.ManifestDigest.String())
 	s.wakePlacer()
 }
 
@@ -126,7 +126,7 @@
 		return recordContent{}
 	}
 	record := *s.datasets.unlisted[name]
-	unchanged := store.Condition{Key: store.DatasetKey(name), Revision: record.Stamp}
+	unchanged := store.Condition{Key: store.DatasetKey(name), Revision: record.Revision}
 	if s.jobsUsing(name) == 0 {
 		record.State = dataset.Removed
 	}
--- a/scheduler/dataset_removal_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -25,7 +25,7 @@
 // register stores the record of the dataset inv in state listed and adds it to the leader.
 func (h *dataHarness) register() {
 	entry := &dataset.Entry{Summary: *inventory}
-	entry.Stamp = h.state.Put(store.DatasetKey("inv"), entry)
+	entry.Revision = h.state.Put(store.DatasetKey("inv"), entry)
 	h.AddDatasets(entry)
 }
 
@@ -33,7 +33,7 @@
 // leader receives the change at once, as by its watch.
 func (h *dataHarness) unlist(notifyLeader bool) *dataset.Entry {
 	entry := &dataset.Entry{Summary: *inventory, State: dataset.Removing}
-	entry.Stamp = h.state.Put(store.DatasetKey("inv"), entry)
+	entry.Revision = h.state.Put(store.DatasetKey("inv"), entry)
 	if notifyLeader {
 		h.AddDatasets(entry)
 	}
@@ -43,10 +43,10 @@
 // Checks that a dataset is removed only once no job needs it. Tasks that wait, are being staged or run are not affected.
 // After the removal the machines delete the parts, including machines that join later.
 func TestDatasetIsRemovedOnceNoJobNeedsIt(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.register()
 	agent := h.addAgent("a1", 0, 5)
-	h.submit("run-000001", 2, withInputs(api.UseOwn))
+	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
 	h.round()
 	h.round()
 	starts := h.starts("run-000001/0")[0].response.Commands[0]
@@ -78,7 +78,7 @@
 		h.commit()
 		h.round()
 	}
-	if h.recordedState() != dataset.Removed || len(agent.manifestsToDelete) != 1 || agent.manifestsToDelete[0] != inventory.Manifest.String() {
+	if h.recordedState() != dataset.Removed || len(agent.manifestsToDelete) != 1 || agent.manifestsToDelete[0] != inventory.ManifestDigest.String() {
 		t.Fatalf("state %q, the agent is to delete %v", h.recordedState(), agent.manifestsToDelete)
 	}
 	agent.heldParts.Clear()
@@ -94,10 +94,10 @@
 // Checks that a dataset is not removed before the leader knows every job that peers accepted until the dataset was
 // unlisted. The record of such a job may be stored before the leader has read it.
 func TestRemovalWaitsForJobsAcceptedByPeers(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.register()
 	record := store.JobRecord{Job: api.Submission{ID: "run-000007", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
-		Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}, AcceptedAt: h.clock.Now().UnixMilli()}
+		Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwnPart}}}, AcceptedAt: h.clock.Now().UnixMilli()}
 	revision := h.state.Put(store.JobKey("run-000007"), record)
 	unlistedEntry := h.unlist(true)
 	for range 3 {
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	h.Conflict(item.Key, &item)
-	h.InboxSeen(unlistedEntry.Stamp)
+	h.InboxSeen(unlistedEntry.Revision)
 	h.MaintainFleet()
 	h.commit()
 	if h.recordedState() != dataset.Removing || h.JobsUsing("inv") != 1 {
@@ -132,14 +132,14 @@
 
 // Checks that jobs with many inputs are stored in transactions that stay within the limit on conditions.
 func TestManyInputsStayWithinConditionLimit(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	var inputs []api.Input
 	for i := range 16 {
 		entry := &dataset.Entry{Summary: *inventory}
 		entry.Name = fmt.Sprintf("set-%02d", i)
-		entry.Stamp = h.state.Put(store.DatasetKey(entry.Name), entry)
+		entry.Revision = h.state.Put(store.DatasetKey(entry.Name), entry)
 		h.AddDatasets(entry)
-		inputs = append(inputs, api.Input{Dataset: entry.Name, Use: api.UseOwn})
+		inputs = append(inputs, api.Input{Dataset: entry.Name, Use: api.UseOwnPart})
 	}
 	for i := range 20 {
 		submission := api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", Inputs: inputs}
@@ -160,10 +160,10 @@
 // or refused with the reason. The result must not depend on whether the controller knows of the removal.
 func TestSubmissionRacesWithRemoval(t *testing.T) {
 	for _, leaderNotified := range []bool{false, true} {
-		h := newDataHarness(t, features.Staged)
+		h := newDataHarness(t, features.PlacementStaged)
 		h.register()
 		submission := api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img",
-			Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwn}}}
+			Inputs: []api.Input{{Dataset: "inv", Use: api.UseOwnPart}}}
 		h.Submit(cancelledContext(), &submission, h.clock.Now())
 		h.unlist(leaderNotified)
 		h.commit()
--- a/scheduler/dataset_views.go
+++ b/scheduler/dataset_views.go
@@ -74,16 +74,16 @@
 	}
 	snapshot = s.datasets.index.Snapshot()
 	view = DataView{Datasets: s.datasetViews(snapshot), Copies: []CopyView{}, Waiting: s.inputWaitingViews()}
-	for _, transfer := range s.datasets.planner.Copies() {
+	for _, transfer := range s.datasets.planner.Transfers() {
 		view.Copies = append(view.Copies, CopyView{
 			Machine:       transfer.Machine,
 			Dataset:       transfer.Dataset,
 			Part:          transfer.Part,
-			CopiedBytes:   transfer.Got,
-			TotalBytes:    transfer.Of,
-			Source:        transfer.From[0].String(),
-			FailedSources: transfer.Failed,
-			CacheFull:     transfer.Full,
+			CopiedBytes:   transfer.ReceivedBytes,
+			TotalBytes:    transfer.TotalBytes,
+			Source:        transfer.Sources[0].String(),
+			FailedSources: transfer.FailedSources,
+			CacheFull:     transfer.CacheFull,
 		})
 	}
 	return view, snapshot, true
@@ -100,10 +100,10 @@
 	}
 	views := []DatasetView{}
 	for _, entry := range s.datasets.entries {
-		if entry.State == dataset.Removed && !snapshot.Known(entry.Name) {
+		if entry.State == dataset.Removed && !snapshot.HasReplicas(entry.Name) {
 			continue
 		}
-		views = append(views, DatasetView{Name: entry.Name, Bytes: entry.Bytes, Parts: entry.Parts, State: entry.State, Jobs: jobs[entry.Name]})
+		views = append(views, DatasetView{Name: entry.Name, Bytes: entry.Bytes, Parts: entry.PartCount, State: entry.State, Jobs: jobs[entry.Name]})
 	}
 	return views
 }
@@ -113,9 +113,9 @@
 	views := []api.WaitingView{}
 	for _, job := range s.jobOrder {
 		if !s.inputsReady(job) {
-			views = append(views, api.WaitingView{Job: job.id, Tasks: job.taskCount - job.completedCount, Why: "a dataset is not known to this controller yet"})
+			views = append(views, api.WaitingView{Job: job.id, Tasks: job.taskCount - job.completedCount, Reason: "a dataset is not known to this controller yet"})
 		} else if waiting := s.datasets.waiting[job.id]; waiting > 0 {
-			views = append(views, api.WaitingView{Job: job.id, Tasks: waiting, Why: "inputs are not on their machines yet"})
+			views = append(views, api.WaitingView{Job: job.id, Tasks: waiting, Reason: "inputs are not on their machines yet"})
 		}
 	}
 	return views
@@ -133,7 +133,7 @@
 			holdersOfAny.Add(uint32(machine))
 		}
 	}
-	v.CompleteHolders = len(snapshot.Complete(v.Name))
+	v.CompleteHolders = len(snapshot.CompleteHolders(v.Name))
 	v.AnyHolders = int(holdersOfAny.GetCardinality())
 }
 
@@ -147,6 +147,6 @@
 		tasks += waiting
 	}
 	planner := s.datasets.planner
-	slog.Info("staging", "tasks_waiting", tasks, "jobs_waiting", len(s.datasets.waiting), "copies", len(planner.Copies()),
-		"backlog_mb", int(planner.Backlog()/bytesPerMB), "planned", planner.Planned, "failed", planner.Failed)
+	slog.Info("staging", "tasks_waiting", tasks, "jobs_waiting", len(s.datasets.waiting), "copies", len(planner.Transfers()),
+		"backlog_mb", int(planner.TotalQueuedBytes()/bytesPerMB), "planned", planner.PlannedTransfers, "failed", planner.SourceFailures)
 }
--- a/scheduler/datasets.go
+++ b/scheduler/datasets.go
@@ -79,11 +79,11 @@
 		orderMailboxes: newMailboxes(s, store.AgentResponsePrefix, store.AgentResponseKey, s.stageOrderBody),
 	}
 	datasets.planner = staging.New(s.term, staging.Limits{
-		LinkRate:  dataSettings.LinkMBs * bytesPerMB,
-		StoreRate: dataSettings.StoreMBs * bytesPerMB,
-		PerLink:   dataSettings.PerLink,
-		AtStore:   dataSettings.AtStore,
-		Peers:     datasets.localityAware(),
+		LinkRate:         dataSettings.LinkMBs * bytesPerMB,
+		StoreRate:        dataSettings.StoreMBs * bytesPerMB,
+		TransfersPerLink: dataSettings.CopiesPerLink,
+		StoreTransfers:   dataSettings.CopiesAtStore,
+		AllowPeers:       datasets.localityAware(),
 	}, index)
 	s.datasets = datasets
 }
@@ -93,7 +93,7 @@
 
 // localityAware reports whether placement considers which machines hold a job's inputs.
 func (d *datasetState) localityAware() bool {
-	return d.settings.Placement == features.Local || d.settings.Placement == features.Staged
+	return d.settings.Placement == features.PlacementLocal || d.settings.Placement == features.PlacementStaged
 }
 
 // AddDatasets adds or updates datasets from their records in the state service. It copies the entries.
@@ -131,15 +131,15 @@
 	if isNew {
 		added := *entry
 		d.entries[entry.Name] = &added
-	} else if entry.Stamp > known.Stamp {
+	} else if entry.Revision > known.Revision {
 		// The entry is kept because jobs point to its summary, which never changes.
-		known.State, known.Stamp = entry.State, entry.Stamp
+		known.State, known.Revision = entry.State, entry.Revision
 	}
 	if entry.State != dataset.Listed {
 		d.unlisted[entry.Name] = d.entries[entry.Name]
 	}
 	if entry.State == dataset.Removed {
-		d.planner.RemoveDataset(entry.Name, entry.Manifest.String())
+		d.planner.RemoveDataset(entry.Name, entry.ManifestDigest.String())
 	}
 	return isNew
 }
@@ -148,7 +148,7 @@
 func (s *Scheduler) resolveInputs(job *jobState) {
 	if len(job.inputs) == 0 {
 		for _, jobInput := range job.Job.Inputs {
-			job.inputs = append(job.inputs, input{name: jobInput.Dataset, partPerTask: jobInput.Use == api.UseOwn})
+			job.inputs = append(job.inputs, input{name: jobInput.Dataset, partPerTask: jobInput.Use == api.UseOwnPart})
 		}
 	}
 	if s.datasets == nil {
@@ -199,7 +199,7 @@
 	if err := json.Unmarshal(item.Value, &entry); err != nil {
 		return nil, err
 	}
-	entry.Stamp = item.Revision
+	entry.Revision = item.Revision
 	if entry.State != dataset.Listed && entry.State != dataset.Removing && entry.State != dataset.Removed {
 		return nil, fmt.Errorf("state %.20q is not known to this version", entry.State)
 	}
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -18,8 +18,8 @@
 func scatteredReplicas(t *testing.T, machines int, kind string) (*dataHarness, *jobState) {
 	rng := rand.New(rand.NewPCG(11, uint64(machines)))
 	parts := 10 * machines
-	set := &dataset.Summary{Name: "chunks", Bytes: int64(parts) * 64e6, Parts: parts, Usual: 64e6}
-	h := &dataHarness{harness: newHarness(t), placement: features.Staged, agents: map[string]*fakeAgent{}}
+	set := &dataset.Summary{Name: "chunks", Bytes: int64(parts) * 64e6, PartCount: parts, CommonPartBytes: 64e6}
+	h := &dataHarness{harness: newHarness(t), placement: features.PlacementStaged, agents: map[string]*fakeAgent{}}
 	h.enable()
 	h.AddDatasets(&dataset.Entry{Summary: *set})
 	heldParts := make([]*roaring.Bitmap, machines)
@@ -42,11 +42,11 @@
 	for i := range machines {
 		name := fmt.Sprintf("a%06d", i)
 		h.heartbeat(name, 1)
-		h.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, All: true,
-			Holds: []api.StageHeld{{Dataset: "chunks", Of: parts, Parts: api.PartSet{Bitmap: heldParts[i]}}}})
+		h.HandleStageHeartbeat(&api.StageHeartbeat{Machine: name, Address: name + ":2", Incarnation: 1, Seq: 1, Quota: 900e9, HoldingsComplete: true,
+			Holdings: []api.StageHolding{{Dataset: "chunks", PartCount: parts, Parts: api.PartSet{Bitmap: heldParts[i]}}}})
 	}
 	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Class: "c", Team: "right", Shape: api.JobArray, Rank: "normal", Tasks: 1000,
-		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwn}}}, h.clock.Now())
+		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30, Inputs: []api.Input{{Dataset: "chunks", Use: api.UseOwnPart}}}, h.clock.Now())
 	h.commit()
 	job := h.jobs["run-000001"]
 	if job == nil || len(job.pending) != 1000 {
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -15,7 +15,7 @@
 	"switchferry/tuning"
 )
 
-var inventory = &dataset.Summary{Name: "inv", Bytes: 8e9, Parts: 8, Usual: 1e9}
+var inventory = &dataset.Summary{Name: "inv", Bytes: 8e9, PartCount: 8, CommonPartBytes: 1e9}
 
 // dataHarness is a leader with datasets on and simulated data agents.
 type dataHarness struct {
@@ -32,7 +32,7 @@
 
 // enable turns datasets on in the current term.
 func (h *dataHarness) enable() {
-	h.UseData(features.Data{On: true, Placement: h.placement, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, PerLink: 2, AtStore: 8, Ahead: 4})
+	h.UseData(features.Data{On: true, Placement: h.placement, CacheGB: 50, LinkMBs: 125, StoreMBs: 1000, CopiesPerLink: 2, CopiesAtStore: 8, AheadTasks: 4})
 	h.sendStageOrder = func(name string, o api.StageOrder) {
 		if agent := h.agents[name]; agent != nil {
 			agent.apply(o)
@@ -100,11 +100,11 @@
 }
 
 func (a *fakeAgent) apply(order api.StageOrder) {
-	if order.Term < a.term || order.Term == a.term && order.Order < a.order {
+	if order.Term < a.term || order.Term == a.term && order.Sequence < a.order {
 		a.refusedOrders++
 		return
 	}
-	a.term, a.order, a.sets, a.known, a.manifestsToDelete = order.Term, order.Order, order.Sets, order.Known, order.Drop
+	a.term, a.order, a.sets, a.known, a.manifestsToDelete = order.Term, order.Sequence, order.Sets, order.KnownVersion, order.DropManifests
 }
 
 func (a *fakeAgent) mustKeep(part uint32) bool {
@@ -129,12 +129,12 @@
 
 // heartbeat returns the agent's current heartbeat.
 func (a *fakeAgent) heartbeat() *api.StageHeartbeat {
-	heartbeat := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Order: a.order, Quota: 50e9, All: true, Version: a.version,
-		Holds: []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: inventory.Parts, Parts: api.PartSet{Bitmap: a.heldParts.Clone()}}}}
+	heartbeat := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Sequence: a.order, Quota: 50e9, HoldingsComplete: true, Version: a.version,
+		Holdings: []api.StageHolding{{Dataset: "inv", Manifest: inventory.ManifestDigest.String(), PartCount: inventory.PartCount, Parts: api.PartSet{Bitmap: a.heldParts.Clone()}}}}
 	for _, x := range a.sets {
-		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: x.Dataset, Manifest: x.Manifest, Parts: api.PartSet{Bitmap: roaring.And(a.heldParts, x.Parts.Bitmap)}})
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHolding{Dataset: x.Dataset, Manifest: x.Manifest, Parts: api.PartSet{Bitmap: roaring.And(a.heldParts, x.Parts.Bitmap)}})
 		for _, c := range x.Copies {
-			heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: x.Dataset, Part: c.Part, Of: 1e9, From: c.From[0], Full: a.cacheFull})
+			heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: x.Dataset, Part: c.Part, TotalBytes: 1e9, Source: c.Sources[0], CacheFull: a.cacheFull})
 		}
 	}
 	return heartbeat
@@ -147,9 +147,9 @@
 // Checks that a task is started only once its inputs are confirmed on its machine, and that it is allocated no resources
 // while it waits for them, so that other tasks can use these. The inputs stay pinned while the task runs.
 func TestTasksStartOnlyOnceInputsAreStaged(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	agent := h.addAgent("a1")
-	h.submit("run-000001", 2, withInputs(api.UseOwn))
+	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
 	for range 3 {
 		h.round()
 	}
@@ -197,10 +197,10 @@
 // Checks that each task is placed on the machine that holds its part, although another machine has as many free
 // resources.
 func TestTasksArePlacedOnHoldersOfTheirInputs(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1", 0, 3)
 	h.addAgent("a2", 1, 2)
-	h.submit("run-000001", 4, withInputs(api.UseOwn))
+	h.submit("run-000001", 4, withInputs(api.UseOwnPart))
 	h.round()
 	h.round()
 	for part, want := range map[string]string{"0": "a1", "3": "a1", "1": "a2", "2": "a2"} {
@@ -214,9 +214,9 @@
 // state, must keep the inputs of running tasks pinned from its first order on, and orders of the old leader must be
 // refused.
 func TestLeaderChangesDuringStaging(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	agent := h.addAgent("a1", 0)
-	h.submit("run-000001", 2, withInputs(api.UseOwn))
+	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 0 {
@@ -251,10 +251,10 @@
 
 // Checks that a job that is cancelled while its inputs are being copied never starts, and that its copies are stopped.
 func TestJobCancelledDuringStaging(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	agent := h.addAgent("a1")
-	h.submit("run-000001", 2, withInputs(api.UseOwn))
-	h.submit("run-000002", 1, withInputs(api.UseOwn))
+	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
+	h.submit("run-000002", 1, withInputs(api.UseOwnPart))
 	h.round()
 	h.round()
 	h.Cancel(cancelledContext(), "run-000001")
@@ -273,9 +273,9 @@
 
 // Checks that tasks are placed on another machine if theirs is released while inputs are being copied to it.
 func TestMachineReleasedDuringStaging(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1")
-	h.submit("run-000001", 1, withInputs(api.UseOwn))
+	h.submit("run-000001", 1, withInputs(api.UseOwnPart))
 	h.round()
 	other := h.addAgent("a2")
 	h.InstancesReleased([]string{"a1"}, nil)
@@ -294,9 +294,9 @@
 // Checks that a task is requeued from a machine whose cache stays full or whose agent is silent, and starts on another.
 func TestStuckStagingRequeuesTask(t *testing.T) {
 	for _, kind := range []string{"full", "silent"} {
-		h := newDataHarness(t, features.Staged)
+		h := newDataHarness(t, features.PlacementStaged)
 		agent := h.addAgent("a1")
-		h.submit("run-000001", 1, withInputs(api.UseOwn))
+		h.submit("run-000001", 1, withInputs(api.UseOwnPart))
 		h.round()
 		other := h.addAgent("a2")
 		agent.cacheFull = kind == "full"
@@ -319,7 +319,7 @@
 // that a gang starts as a whole.
 func TestServicesAndGangsWaitForInputs(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
-		h := newDataHarness(t, features.Staged)
+		h := newDataHarness(t, features.PlacementStaged)
 		agent := h.addAgent("a1")
 		var lowRankTasks []api.TaskReport
 		if shape == api.Service {
@@ -330,7 +330,7 @@
 			}
 		}
 		h.submit("run-000001", 2, func(x *api.Submission) {
-			withInputs(api.UseAll)(x)
+			withInputs(api.UseAllParts)(x)
 			x.Shape, x.Rank = shape, "prod"
 			if shape == api.Service {
 				x.EstimateS = 0
@@ -371,9 +371,9 @@
 // Checks that a job that was accepted with inputs does not start without them on a controller that has datasets off or
 // does not know the dataset.
 func TestJobWithInputsDoesNotStartWithDatasetsOff(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1", 0)
-	h.submit("run-000001", 1, withInputs(api.UseOwn))
+	h.submit("run-000001", 1, withInputs(api.UseOwnPart))
 	h.elect()
 	for range 3 {
 		h.heartbeat("a1", 1)
@@ -392,11 +392,11 @@
 // Checks the other placement modes: without locality awareness parts are copied only from the store, and all tasks start
 // in every mode.
 func TestPlacementModesWithoutLocalityCopyFromStore(t *testing.T) {
-	for _, placement := range []string{features.Blind, features.Images, features.Local} {
+	for _, placement := range []string{features.PlacementBlind, features.PlacementImages, features.PlacementLocal} {
 		h := newDataHarness(t, placement)
 		holder := h.addAgent("a1", 0, 1)
 		other := h.addAgent("a2")
-		h.submit("run-000001", 4, withInputs(api.UseOwn))
+		h.submit("run-000001", 4, withInputs(api.UseOwnPart))
 		for range 12 {
 			h.workerHeartbeat("a1")
 			h.workerHeartbeat("a2")
@@ -404,8 +404,8 @@
 			for _, agent := range []*fakeAgent{holder, other} {
 				for _, x := range agent.sets {
 					for _, c := range x.Copies {
-						if placement != features.Local && !c.From[0].Store {
-							t.Fatalf("%s: copied from %v", placement, c.From)
+						if placement != features.PlacementLocal && !c.Sources[0].Store {
+							t.Fatalf("%s: copied from %v", placement, c.Sources)
 						}
 					}
 				}
@@ -423,7 +423,7 @@
 // Checks that a new leader that has received the heartbeat of only one agent queues tasks on the machines that hold their
 // inputs according to the hints of the previous leader, but starts none there before the agent confirms the inputs.
 func TestReplicaHintsGuidePlacementAfterFailover(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1")
 	h.addAgent("a2", 0, 1)
 	h.storeReplicaHints(h.clock.Now().Add(tuning.ReplicaHintsInterval))
@@ -437,7 +437,7 @@
 	h.workerHeartbeat("a1")
 	h.workerHeartbeat("a2")
 	h.agentHeartbeat(h.agents["a1"])
-	h.submit("run-000001", 2, withInputs(api.UseOwn))
+	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
 	h.Place()
 	h.commit()
 	if queuesOnA2 := len(h.machines["a2"].queues); queuesOnA2 != 1 || len(h.machines["a1"].queues) != 0 {
@@ -456,7 +456,7 @@
 // Checks that a task that waits for a copy moves to a machine that holds its inputs once that has free resources. Without
 // this, tasks waited 10 s for copies of parts that idle machines already held.
 func TestTaskAwaitingCopyMovesToFreedHolder(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1", 0, 1)
 	h.submit("run-000002", 2, nil)
 	h.round()
@@ -466,7 +466,7 @@
 	}
 	h.workerHeartbeat("a1", runningTasks...)
 	h.addAgent("a2")
-	h.submit("run-000001", 1, withInputs(api.UseOwn))
+	h.submit("run-000001", 1, withInputs(api.UseOwnPart))
 	h.round()
 	if len(h.machines["a2"].queues) != 1 {
 		t.Fatal("want the task queued on the idle machine while its input is copied there")
@@ -486,13 +486,13 @@
 
 // Checks that the number of tasks staged ahead follows the applied configuration.
 func TestConfigurationSetsAheadTasks(t *testing.T) {
-	h := newDataHarness(t, features.Staged)
+	h := newDataHarness(t, features.PlacementStaged)
 	for _, ahead := range []int{9, 5} {
 		active := parseConfiguration(t, "")
 		active.AheadTasks = &ahead
 		h.ApplyConfiguration(active)
-		if h.datasets.settings.Ahead != ahead {
-			t.Errorf("ahead is %d, want the configured %d", h.datasets.settings.Ahead, ahead)
+		if h.datasets.settings.AheadTasks != ahead {
+			t.Errorf("ahead is %d, want the configured %d", h.datasets.settings.AheadTasks, ahead)
 		}
 	}
 }
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -179,7 +179,7 @@
 		if job == nil || job.FinalState != "" {
 			return dag.Stage{}, false
 		}
-		return dag.Stage{Rank: job.Job.RankLevel(), TakesMS: p.durationMS(job, fleetCPUs), DuesMS: sched.deadlines(job)}, true
+		return dag.Stage{Rank: job.Job.RankLevel(), DurationMS: p.durationMS(job, fleetCPUs), DueTimesMS: sched.deadlines(job)}, true
 	})
 	for _, job := range sched.jobOrder {
 		job.inherited = stages[job.id]
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -34,17 +34,17 @@
 	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to fetch
 	// its image of 1 GB.
 	due := last.AcceptedAt + 200_000 - tuning.DependencyStartDelayMS - 10_000
-	if got := second.inherited.DuesMS; len(got) != 1 || got[0] != due {
+	if got := second.inherited.DueTimesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
 	}
-	if got := first.inherited.DuesMS; len(got) != 1 || got[0] != due-tuning.DependencyStartDelayMS-62_000 {
+	if got := first.inherited.DueTimesMS; len(got) != 1 || got[0] != due-tuning.DependencyStartDelayMS-62_000 {
 		t.Errorf("the first is due at %v, want %d", got, due-tuning.DependencyStartDelayMS-62_000)
 	}
 	h.Cancel(cancelledContext(), "run-000003")
 	h.commit()
 	h.sortQueues()
-	if first.rank != api.RankLow || len(first.inherited.DuesMS) > 0 {
-		t.Errorf("urgency is still inherited from a cancelled job: rank %d, due at %v", first.rank, first.inherited.DuesMS)
+	if first.rank != api.RankLow || len(first.inherited.DueTimesMS) > 0 {
+		t.Errorf("urgency is still inherited from a cancelled job: rank %d, due at %v", first.rank, first.inherited.DueTimesMS)
 	}
 }
 
@@ -178,8 +178,8 @@
 		}
 	}
 	h.commit()
-	if h.state.Largest.Ops > 12 || len(h.state.Refused) > 0 || len(h.jobs) > 0 {
-		t.Errorf("largest transaction %d operations, refused %v, %d jobs left", h.state.Largest.Ops, h.state.Refused, len(h.jobs))
+	if h.state.LargestTransaction.Ops > 12 || len(h.state.Refused) > 0 || len(h.jobs) > 0 {
+		t.Errorf("largest transaction %d operations, refused %v, %d jobs left", h.state.LargestTransaction.Ops, h.state.Refused, len(h.jobs))
 	}
 }
 
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -34,7 +34,7 @@
 		return ""
 	}
 	drainedAt := s.now().Add(time.Duration(delayMS) * time.Millisecond)
-	if s.topology.reservations.Reserve(s.now(), topology.Reservation{Job: job.id, Rank: job.rank, Domain: domain, At: drainedAt}) {
+	if s.topology.reservations.Reserve(s.now(), topology.Reservation{Job: job.id, Rank: job.rank, Domain: domain, NeededAt: drainedAt}) {
 		job.reservedDomain = fmt.Sprintf("%s %q is reserved for the job until it drains", domain.Level, domain.Name)
 	}
 	return job.reservedDomain
@@ -91,7 +91,7 @@
 	if job.Job.Shape != api.Service {
 		end = s.now().Add(settings.Seconds(estimate(job) + s.startCost(job, 0, machine).Seconds()))
 	}
-	return s.topology.reservations.Blocks(s.now(), s.topology.tree.Of(machine.Name), job.id, job.rank, end)
+	return s.topology.reservations.Blocks(s.now(), s.topology.tree.DomainOf(machine.Name), job.id, job.rank, end)
 }
 
 // preemptionCosts returns the work in ms that preemption would lose for each pending task of a job that could start on a
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -26,14 +26,14 @@
 	}
 	for _, reservation := range s.topology.reservations.All(s.now()) {
 		view.Reserved = append(view.Reserved, api.ReservedView{
-			Domain: reservation.Domain.Name,
-			Job:    reservation.Job,
-			InS:    reservation.At.Sub(s.now()).Seconds(),
+			Domain:  reservation.Domain.Name,
+			Job:     reservation.Job,
+			EndsInS: reservation.NeededAt.Sub(s.now()).Seconds(),
 		})
 	}
 	for _, job := range s.jobOrder {
 		if job.waitReason != "" && len(job.pending) > 0 {
-			view.Waiting = append(view.Waiting, api.WaitingView{Job: job.id, Tasks: len(job.pending), Why: job.waitReason})
+			view.Waiting = append(view.Waiting, api.WaitingView{Job: job.id, Tasks: len(job.pending), Reason: job.waitReason})
 		}
 	}
 	return view
@@ -43,17 +43,17 @@
 func domainView(tree *topology.Tree, domain *topology.Domain) api.DomainView {
 	free := tree.Free(domain)
 	view := api.DomainView{
-		Name:     domain.Name,
-		Level:    domain.Level,
-		Machines: tree.Machines(domain),
-		Usable:   tree.Usable(domain),
-		CPUs:     free.CPUs,
-		Cards:    free.Cards,
-		MemoryGB: free.MemoryGB,
-	}
-	view.Silent = view.Machines > 0 && view.Usable == 0
+		Name:         domain.Name,
+		Level:        domain.Level,
+		Machines:     tree.Machines(domain),
+		Usable:       tree.Usable(domain),
+		FreeCPUs:     free.CPUs,
+		FreeCards:    free.Cards,
+		FreeMemoryGB: free.MemoryGB,
+	}
+	view.Unavailable = view.Machines > 0 && view.Usable == 0
 	if domain.Parent != nil {
-		view.In = domain.Parent.Name
+		view.Parent = domain.Parent.Name
 	}
 	return view
 }
@@ -74,14 +74,14 @@
 		Tasks:     job.taskCount,
 		Done:      job.completedCount,
 		Waiting:   job.unplaced(),
-		Why:       []string{},
+		Reasons:   []string{},
 		Locations: s.taskLocations(job),
 	}
 	if job.waitsForDependencies {
 		explanation.Waiting = job.taskCount - job.completedCount - len(job.allocations)
 	}
 	if job.FinalState == "" && explanation.Waiting > 0 {
-		explanation.Why = s.waitReasons(job)
+		explanation.Reasons = s.waitReasons(job)
 	}
 	return explanation, true
 }
@@ -95,7 +95,7 @@
 		machine := alloc.machine
 		location := api.TaskLocation{Domain: machine.Name, Level: "machine"}
 		if s.topology != nil {
-			if domain := s.topology.tree.Of(machine.Name); domain != nil {
+			if domain := s.topology.tree.DomainOf(machine.Name); domain != nil {
 				location.Domain, location.Level = domain.Name, domain.Level
 			}
 		}
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -116,7 +116,7 @@
 func (s *Scheduler) detectionLimits(machine *machineState) failuredetector.Limits {
 	limits := failuredetector.Limits{
 		SuspectAfter:  s.heartbeatTimeout(machine),
-		ReleaseAfter:  max(tuning.MinSilence, settings.Seconds(tuning.SilenceReportIntervals*s.settings.Facts.Workers.ReportS)),
+		ReleaseAfter:  max(tuning.MinSilence, settings.Seconds(tuning.SilenceReportIntervals*s.settings.Facts.Workers.HeartbeatIntervalS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace,
 		InboundLost:   tuning.InboundLostLeases * s.lease(),
 	}
@@ -188,7 +188,7 @@
 		case !s.needsProbe(machine, now):
 		case machine.commandInFlight:
 			remaining--
-		case now.Sub(machine.probedAt) >= settings.Seconds(s.settings.Facts.Workers.ReportS):
+		case now.Sub(machine.probedAt) >= settings.Seconds(s.settings.Facts.Workers.HeartbeatIntervalS):
 			due = append(due, machine)
 		}
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -170,9 +170,9 @@
 		}
 		completes := submission.Shape == api.JobArray && estimate(alloc.job)-ranSeconds < secondsLeft
 		switch {
-		case submission.Checkpoint > 0 && secondsLeft < submission.SaveS+2*tuning.PreemptionNoticeMarginS+s.settings.Facts.Workers.ReportS:
+		case submission.CheckpointS > 0 && secondsLeft < submission.SaveS+2*tuning.PreemptionNoticeMarginS+s.settings.Facts.Workers.HeartbeatIntervalS:
 			s.stopTask(alloc, submission.SaveS, reason)
-		case submission.Checkpoint == 0 && !completes:
+		case submission.CheckpointS == 0 && !completes:
 			s.stopTask(alloc, 0, reason)
 		}
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -38,7 +38,7 @@
 	// topologyMap is the configured topology; nil if there is none.
 	topologyMap *topology.Map
 	// limits holds the limits of the state service in the settings; only Next is used.
-	limits settings.State
+	limits settings.StateLimits
 }
 
 type sentCommands struct {
@@ -57,8 +57,8 @@
 func (h *harness) elect() *harness {
 	h.Helper()
 	memberSettings := &settings.Settings{Member: "x"}
-	memberSettings.Facts.Workers = settings.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	memberSettings.Facts.State = settings.State{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Next: h.limits.Next}
+	memberSettings.Facts.Workers = settings.Workers{HeartbeatIntervalS: 1, LeaseS: 10, CancelDeadlineS: 40}
+	memberSettings.Facts.State = settings.StateLimits{RPS: 200, WriteRPS: 5000, ValueKB: 16, TxnOps: 12, Announced: h.limits.Announced}
 	memberSettings.Facts.Teams = []settings.Team{{Name: "t", CPUsMax: 400}, {Name: "small", CPUsMax: 8}, {Name: "sure", CPUs: 16}, {Name: "lent", CPUs: 16},
 		{Name: "left", CPUs: 900, CPUsMax: 3000}, {Name: "right", CPUs: 1200, CPUsMax: 3000}}
 	term := h.state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -74,7 +74,7 @@
 // machinesPerHint returns the number of machines in one part of a hint. It is halved if the state service allows only
 // small values, so that few entries are cut off for lack of room.
 func (s *Scheduler) machinesPerHint() int {
-	if s.settings.Facts.State.Least().ValueBytes() < tuning.SmallValueBytes {
+	if s.settings.Facts.State.Strictest().MaxValueBytes() < tuning.SmallValueBytes {
 		return tuning.MaxImagesRecordMachines / 2
 	}
 	return tuning.MaxImagesRecordMachines
@@ -102,7 +102,7 @@
 	for i, machine := range machines {
 		held[i] = softstate.Machine{Name: machine.Name, Images: machine.Images()}
 	}
-	return softstate.EncodeImages(held, s.settings.Facts.State.Least().ValueBytes()), true
+	return softstate.EncodeImages(held, s.settings.Facts.State.Strictest().MaxValueBytes()), true
 }
 
 // replicaHintRecord builds the replica hint part with the given key. It returns false if there is no such part or it
@@ -116,7 +116,7 @@
 	for i, machine := range machines {
 		names[i] = machine.Name
 	}
-	limit := s.settings.Facts.State.Least().ValueBytes() - tuning.ReplicaHintMarginBytes
+	limit := s.settings.Facts.State.Strictest().MaxValueBytes() - tuning.ReplicaHintMarginBytes
 	hint, _, err := replicas.EncodeHint(s.datasets.index.Snapshot(), names, s.datasets.planner.ID, limit)
 	if err != nil {
 		slog.Error("encoding replica hint failed", "err", err)
@@ -167,7 +167,7 @@
 		for machine, held := range heldByMachine {
 			maps.DeleteFunc(held, func(name string, replica replicas.Replica) bool {
 				entry := s.datasets.entries[name]
-				return entry == nil || entry.Parts != replica.Of
+				return entry == nil || entry.PartCount != replica.PartCount
 			})
 			s.datasets.planner.ApplyHint(machine, held, s.now())
 		}
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -27,7 +27,7 @@
 	for _, name := range names {
 		workers.reachable[name] = true
 		workers.workers[name] = fake.NewWorker(fake.WorkerOptions{Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name)}, Clock: h.clock,
-			Every: time.Second, Lease: 10 * time.Second, Runs: func(string) time.Duration { return time.Hour }})
+			HeartbeatInterval: time.Second, Lease: 10 * time.Second, TaskDuration: func(string) time.Duration { return time.Hour }})
 	}
 	return workers
 }
@@ -40,7 +40,7 @@
 		for _, name := range slices.Sorted(maps.Keys(w.workers)) {
 			worker := w.workers[name]
 			if w.reachable[name] && h.clock.Now().UnixMilli()%1000 < 500 {
-				w.deliverHeartbeat(name, worker.Report())
+				w.deliverHeartbeat(name, worker.NextHeartbeat())
 			}
 		}
 		w.released = append(w.released, h.MaintainFleet()...)
@@ -53,7 +53,7 @@
 				h.HandleCommandOutcome(message.machine, message.response, nil, false)
 				continue
 			}
-			heartbeat, _ := w.workers[message.machine].Direct(message.response)
+			heartbeat, _ := w.workers[message.machine].ExecuteCommands(message.response)
 			h.HandleCommandOutcome(message.machine, message.response, heartbeat, true)
 		}
 	}
@@ -71,7 +71,7 @@
 func (w *inboundLostWorkers) deliverHeartbeat(name string, heartbeat *api.Heartbeat) {
 	response, _, _ := w.harness.HandleHeartbeat(heartbeat, "")
 	w.countStarts(name, response.Commands)
-	w.workers[name].Answer(heartbeat, w.harness.clock.Now(), response)
+	w.workers[name].ApplyResponse(heartbeat, w.harness.clock.Now(), response)
 }
 
 // A machine's heartbeats reach no controller, but it still executes commands. It must get no new work, and its tasks
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -93,7 +93,7 @@
 	intendedMachines map[int]*machineState
 
 	// site counts the job's tasks by topology domain; nil if the job has no domain constraints.
-	site *topology.Site
+	site *topology.JobPlacement
 	// waitReason describes to operators the topology constraint that prevents the job from being placed.
 	waitReason string
 	// nextDomainSearch is when to search next for a domain that preemption could free for the job.
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -119,7 +119,7 @@
 // of a cancelled job runs longer than cancel_s after the cancellation: they were sent the command to stop the task and
 // have not confirmed that it has ended. tuning.CancelReleaseMargin covers the cloud's response time. s.mu must be held.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
-	limit := settings.Seconds(s.settings.Facts.Workers.CancelS) - tuning.CancelReleaseMargin
+	limit := settings.Seconds(s.settings.Facts.Workers.CancelDeadlineS) - tuning.CancelReleaseMargin
 	var overdue []*machineState
 	for _, job := range s.jobOrder {
 		if job.FinalState != api.Cancelled || len(job.allocations) == 0 || now.Sub(job.terminalAt) < limit {
--- a/scheduler/live_configuration.go
+++ b/scheduler/live_configuration.go
@@ -15,7 +15,7 @@
 	defer s.mu.Unlock()
 	s.configuration, s.liveConfiguration = active, true
 	if s.datasets != nil && active.AheadTasks != nil {
-		s.datasets.settings.Ahead = *active.AheadTasks
+		s.datasets.settings.AheadTasks = *active.AheadTasks
 	}
 	if active.Topology != nil {
 		s.replaceTopology(active.Topology)
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -78,9 +78,9 @@
 	return slots
 }
 
-// Slots returns how many slots a task of a group waits for its inputs on a server that does not hold all of them. Most
+// CopySlots returns how many slots a task of a group waits for its inputs on a server that does not hold all of them. Most
 // servers have no backlog, so the last result is reused when the backlog is the same.
-func (m *inputCostModel) Slots(group, server int) int {
+func (m *inputCostModel) CopySlots(group, server int) int {
 	if group == m.lastGroup && m.transfer.inFlight == nil && m.singlePartPerTask && m.backlog[server] == m.lastBacklog {
 		return m.lastSlots
 	}
@@ -111,9 +111,9 @@
 	return slots
 }
 
-// Least returns a lower bound of Slots for all servers that do not hold the inputs of a group. Each of them lacks at
+// MinCopySlots returns a lower bound of Slots for all servers that do not hold the inputs of a group. Each of them lacks at
 // least one part, so the bound is the wait for the smallest part on the link with the smallest backlog.
-func (m *inputCostModel) Least(group int) int {
+func (m *inputCostModel) MinCopySlots(group int) int {
 	if !m.localityAware {
 		return 0
 	}
@@ -124,8 +124,8 @@
 			leastBytes = min(leastBytes, float64(jobInput.summary.PartBytes(task)))
 			continue
 		}
-		leastBytes = min(leastBytes, float64(jobInput.summary.Usual))
-		for _, partBytes := range jobInput.summary.Odd {
+		leastBytes = min(leastBytes, float64(jobInput.summary.CommonPartBytes))
+		for _, partBytes := range jobInput.summary.OtherPartBytes {
 			leastBytes = min(leastBytes, float64(partBytes))
 		}
 	}
@@ -135,9 +135,9 @@
 	return m.penaltySlots(m.scheduler.datasets.planner.TransferDelay(m.minBacklog, leastBytes, false))
 }
 
-// Rate returns the number of tasks of a group whose own parts an idle link can transfer per slot. It is +Inf if that
+// TasksCopiedPerSlot returns the number of tasks of a group whose own parts an idle link can transfer per slot. It is +Inf if that
 // takes no time.
-func (m *inputCostModel) Rate(group int) float64 {
+func (m *inputCostModel) TasksCopiedPerSlot(group int) float64 {
 	if !m.localityAware {
 		return math.Inf(1)
 	}
@@ -153,9 +153,9 @@
 	return math.Inf(1)
 }
 
-// Took adds the bytes that the given number of tasks of a group lack on a server to the backlog of that server, so that
+// RecordAssignment adds the bytes that the given number of tasks of a group lack on a server to the backlog of that server, so that
 // the jobs that follow in this round take them into account.
-func (m *inputCostModel) Took(group, server, tasks int) {
+func (m *inputCostModel) RecordAssignment(group, server, tasks int) {
 	if !m.localityAware {
 		return
 	}
@@ -186,7 +186,7 @@
 	if datasets == nil {
 		return wait
 	}
-	if datasets.settings.Placement == features.Blind {
+	if datasets.settings.Placement == features.PlacementBlind {
 		wait.Image = 0
 	}
 	if len(job.inputs) == 0 || !datasets.localityAware() {
@@ -222,7 +222,7 @@
 // returns nil unless that part is the only input of the task. The caller must not modify the map.
 func (d *datasetState) inFlightCopies(job *jobState, task int) map[replicas.MachineID]float64 {
 	if len(job.inputs) == 1 && job.inputs[0].partPerTask && job.inputs[0].summary != nil {
-		return d.planner.InFlight(job.inputs[0].name, task)
+		return d.planner.MissingBytes(job.inputs[0].name, task)
 	}
 	return nil
 }
@@ -232,7 +232,7 @@
 func (d *datasetState) spreadSeconds(job *jobState, task int) (seconds float64) {
 	for _, jobInput := range job.inputs {
 		if jobInput.partPerTask && jobInput.summary != nil {
-			seconds = max(seconds, d.planner.Spread(jobInput.summary, task, len(d.snapshot.Holders(jobInput.name, task))))
+			seconds = max(seconds, d.planner.SpreadDelay(jobInput.summary, task, len(d.snapshot.Holders(jobInput.name, task))))
 		}
 	}
 	return seconds
@@ -250,9 +250,9 @@
 				fromStore = fromStore || len(d.snapshot.Holders(jobInput.name, task)) == 0
 			}
 		default:
-			if missingParts := jobInput.summary.Parts - d.snapshot.Count(id, jobInput.name); missingParts > 0 {
-				bytes += float64(jobInput.summary.Bytes) * float64(missingParts) / float64(jobInput.summary.Parts)
-				fromStore = fromStore || len(d.snapshot.Complete(jobInput.name)) == 0
+			if missingParts := jobInput.summary.PartCount - d.snapshot.HeldPartCount(id, jobInput.name); missingParts > 0 {
+				bytes += float64(jobInput.summary.Bytes) * float64(missingParts) / float64(jobInput.summary.PartCount)
+				fromStore = fromStore || len(d.snapshot.CompleteHolders(jobInput.name)) == 0
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 // slice.
 func (d *datasetState) holders(job *jobState, task int) (common []replicas.MachineID) {
 	for i, jobInput := range job.inputs {
-		holders := d.snapshot.Complete(jobInput.name)
+		holders := d.snapshot.CompleteHolders(jobInput.name)
 		if jobInput.partPerTask {
 			holders = d.snapshot.Holders(jobInput.name, task)
 		}
@@ -342,7 +342,7 @@
 		if server.Mu <= 0 {
 			continue
 		}
-		if datasets.settings.Placement != features.Blind {
+		if datasets.settings.Placement != features.PlacementBlind {
 			server.Busy += costModel.penaltySlots(machine.fetchSeconds(job))
 		}
 		id, _ := datasets.planner.ID(machine.Name)
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -127,7 +127,7 @@
 // heartbeatTimeout returns how long a machine may be silent and still get work. It is longer for a machine whose
 // heartbeats are relayed.
 func (s *Scheduler) heartbeatTimeout(machine *machineState) time.Duration {
-	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.ReportS)
+	timeout := settings.Seconds(2.5 * s.settings.Facts.Workers.HeartbeatIntervalS)
 	if machine.relayPeer != "" {
 		timeout += tuning.RelayRefreshInterval
 	}
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -60,7 +60,7 @@
 	for _, job := range s.jobOrder {
 		job.starved = job.unplaced() > 0 &&
 			job.rank != api.RankProduction &&
-			ageing.Due(s.now(), job.waitingSince, job.lastStart, startWithin) &&
+			ageing.Starved(s.now(), job.waitingSince, job.lastStart, startWithin) &&
 			s.startableNow(job)
 		job.latestStart = s.latestStart(job, nowMS)
 		if job.latestStart < math.MaxInt64 && fleetCPUs > 0 {
@@ -124,7 +124,7 @@
 // s.mu must be held.
 func (s *Scheduler) latestStart(job *jobState, nowMS int64) int64 {
 	runMS := int64(estimate(job) * 1000)
-	deadlines := job.inherited.DuesMS
+	deadlines := job.inherited.DueTimesMS
 	if deadlines == nil {
 		deadlines = s.deadlines(job)
 	}
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -70,7 +70,7 @@
 func TestMachineWithLostCommandsGetsNoMoreWork(t *testing.T) {
 	for _, reachableAgain := range []bool{false, true} {
 		h := newHarness(t)
-		h.settings.Facts.Workers.ReportS = 4
+		h.settings.Facts.Workers.HeartbeatIntervalS = 4
 		h.heartbeat("a1", 1)
 		workers := &outboundLostWorkers{harness: h, names: []string{"a1"}, began: h.clock.Now(), starts: map[uint64]bool{}}
 		h.submit("run-000001", 30, func(submission *api.Submission) {
@@ -105,7 +105,7 @@
 // six leases, and then only a few at a time.
 func TestZoneWithLostCommandsIsOneFailure(t *testing.T) {
 	h := newHarness(t)
-	h.settings.Facts.Workers.ReportS = 4
+	h.settings.Facts.Workers.HeartbeatIntervalS = 4
 	workers := &outboundLostWorkers{harness: h, began: h.clock.Now(), starts: map[uint64]bool{}}
 	for i := range 40 {
 		workers.names = append(workers.names, fmt.Sprintf("b%d", i))
--- a/scheduler/packets_helper_test.go
+++ b/scheduler/packets_helper_test.go
@@ -50,6 +50,6 @@
 
 // newFollowerRelay returns the relay of a follower named y.
 func newFollowerRelay(h *harness) *proxy.Workers {
-	limits := settings.State{RPS: 800, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
+	limits := settings.StateLimits{RPS: 800, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
 	return proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 }
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -92,7 +92,7 @@
 // queuedAhead returns the outstanding tasks on a machine of the given job and of all jobs before it in the order of the
 // queues, in the form of equation (2) of the paper, and the machine's resources that are not used by services. The slice
 // is valid until the next call. SlotS is the length of a slot in seconds. s.mu must be held.
-func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slotS float64) (_ []placement.Queued, resources fleet.Resources) {
+func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slotS float64) (_ []placement.QueuedJob, resources fleet.Resources) {
 	resources = machine.capacity()
 	// This method is called for each pair of job and machine, so the map and the slice are reused.
 	if s.scratchCounts == nil {
@@ -114,7 +114,7 @@
 	}
 	for aheadJob, tasks := range taskCounts {
 		mu := placement.Mu(max(1, resources.Count(aheadJob.request)), slotS, estimate(aheadJob))
-		queued = append(queued, placement.Queued{Tasks: tasks, Mu: mu})
+		queued = append(queued, placement.QueuedJob{Tasks: tasks, Mu: mu})
 	}
 	s.scratchQueued = queued
 	return queued, resources
@@ -125,9 +125,9 @@
 func (s *Scheduler) server(machine *machineState, job *jobState, slotS float64) placement.Server {
 	queued, resources := s.queuedAhead(machine, job, slotS)
 	return placement.Server{
-		Busy: placement.Busy(queued),
-		Mu:   placement.Mu(resources.Count(job.request), slotS, estimate(job)),
-		Free: machine.free().Count(job.request),
+		Busy:         placement.Busy(queued),
+		Mu:           placement.Mu(resources.Count(job.request), slotS, estimate(job)),
+		FreeCapacity: machine.free().Count(job.request),
 	}
 }
 
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -17,7 +17,7 @@
 	loggedUnlisted int
 	// loggedAmbiguous is the last logged number of machines in several domains.
 	loggedAmbiguous int
-	search          topology.Search
+	search          topology.StrandedScaleUp
 	reservations    topology.Reservations
 }
 
@@ -57,7 +57,7 @@
 	if s.topology == nil {
 		return
 	}
-	job.site = s.topology.tree.NewSite(job.Job.Near, job.Job.Survive)
+	job.site = s.topology.tree.NewJobPlacement(job.Job.Near, job.Job.Survive)
 }
 
 // updateFreeResources updates a machine's free resources in its domains. s.mu must be held.
@@ -142,8 +142,8 @@
 			continue
 		}
 		count := len(job.pending)
-		if survive := job.Job.Survive; survive != nil && survive.Must {
-			count = min(count, survive.AtMost)
+		if survive := job.Job.Survive; survive != nil && survive.Required {
+			count = min(count, survive.MaxTasks)
 		}
 		cpus += float64(count) * job.request.CPUs
 	}
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -131,7 +131,7 @@
 // record. The replica is replaced only once its machine is known to be gone.
 func TestSurviveIsKeptThroughSilenceAndTakeover(t *testing.T) {
 	h := newRackHarness(t, 2, 3)
-	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
 	h.round()
 	h.round()
 	if n, byRack := h.tasksByRack("run-000001"); n != 2 || byRack["a1"] != 1 || byRack["a2"] != 1 {
@@ -166,7 +166,7 @@
 // and the other waits.
 func TestNearWaitsForARackThatHoldsAll(t *testing.T) {
 	h := newRackHarness(t, 2, 2)
-	near := &api.Near{Level: "rack", Must: true}
+	near := &api.Near{Level: "rack", Required: true}
 	h.submit("run-000001", 1, service(nil))
 	h.round()
 	h.round()
@@ -192,11 +192,11 @@
 	}
 	for _, id := range []string{"run-000003", "run-000004"} {
 		x, ok := h.Explain(id)
-		if text := strings.Join(x.Why, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is reserved for the job until it drains") {
+		if text := strings.Join(x.Reasons, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is reserved for the job until it drains") {
 			t.Errorf("%s: %+v", id, x)
 		}
 	}
-	if v := h.Topology(); len(v.Domains) != 3 || v.Domains[1].In != "s1" || len(v.Waiting) != 1 {
+	if v := h.Topology(); len(v.Domains) != 3 || v.Domains[1].Parent != "s1" || len(v.Waiting) != 1 {
 		t.Errorf("%+v", v)
 	}
 	tasksOfThird, _ := h.tasksByRack("run-000003")
@@ -215,7 +215,7 @@
 	for _, shape := range []string{api.Service, api.Gang} {
 		h := newRackHarness(t, 2, 2)
 		// Both racks are full. The tasks in one of them start a minute later than those in the other.
-		h.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Must: true} })
+		h.submit("run-000001", 4, func(submission *api.Submission) { submission.Near = &api.Near{Level: "rack", Required: true} })
 		h.round()
 		h.round()
 		for range 60 {
@@ -231,7 +231,7 @@
 		}
 		// No rack has the resources for nine tasks.
 		h.submit("run-000003", 9, func(submission *api.Submission) {
-			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
+			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Required: true}, 0
 		})
 		h.round()
 		h.round()
@@ -242,7 +242,7 @@
 			t.Errorf("%s: tasks were preempted although the job cannot start", shape)
 		}
 		h.submit("run-000004", 4, func(submission *api.Submission) {
-			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Must: true}, 0
+			submission.Shape, submission.Rank, submission.Near, submission.EstimateS = shape, "prod", &api.Near{Level: "rack", Required: true}, 0
 		})
 		for range 4 {
 			h.round()
@@ -259,7 +259,7 @@
 // the new machine may come up in a rack where the replica is allowed.
 func TestInstanceIsRequestedForADomain(t *testing.T) {
 	h := newRackHarness(t, 2, 3)
-	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
 	for range 5 {
 		h.round()
 	}
@@ -299,7 +299,7 @@
 	h := newRackHarness(t, 2, 2)
 	long := func(submission *api.Submission) { submission.EstimateS = 500 }
 	short := func(submission *api.Submission) {
-		submission.EstimateS, submission.Near = 20, &api.Near{Level: "rack", Must: true}
+		submission.EstimateS, submission.Near = 20, &api.Near{Level: "rack", Required: true}
 	}
 	h.submit("run-000001", 4, short)
 	h.round()
@@ -309,7 +309,7 @@
 	h.round()
 	h.round()
 	h.submit("run-000003", 4, func(submission *api.Submission) {
-		submission.Shape, submission.Near = api.Gang, &api.Near{Level: "rack", Must: true}
+		submission.Shape, submission.Near = api.Gang, &api.Near{Level: "rack", Required: true}
 	})
 	h.round()
 	h.round()
@@ -352,7 +352,7 @@
 // continue and the other one waits with a reason, and that it starts once the rack has a machine again.
 func TestWaitingReplicaStartsWhenARackReturns(t *testing.T) {
 	h := newRackHarness(t, 3, 2)
-	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
 	h.round()
 	h.round()
 	lostMachines := slices.Clone(h.names[:2])
@@ -367,7 +367,7 @@
 	if n, byRack := h.tasksByRack("run-000001"); n != 2 || byRack["a2"] != 1 || byRack["a3"] != 1 {
 		t.Fatalf("running replicas by rack: %v, want one each in a2 and a3", byRack)
 	}
-	if x, _ := h.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Why, ";"), "4 stand where it must not") {
+	if x, _ := h.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Reasons, ";"), "4 stand where it must not") {
 		t.Errorf("%+v", x)
 	}
 	h.names = append(h.names, "a1-9")
@@ -385,7 +385,7 @@
 func TestSilentRackIsReplacedOnlyAfterLease(t *testing.T) {
 	for _, returns := range []bool{true, false} {
 		h := newRackHarness(t, 3, 3)
-		h.submit("run-000001", 9, service(&api.Survive{Level: "rack", AtMost: 3, Must: true}))
+		h.submit("run-000001", 9, service(&api.Survive{Level: "rack", MaxTasks: 3, Required: true}))
 		h.round()
 		h.round()
 		for _, name := range h.names[:3] {
@@ -439,7 +439,7 @@
 // and allows no further replica there.
 func TestTopologyChangeStopsNoRunningReplica(t *testing.T) {
 	h := newRackHarness(t, 2, 2)
-	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", AtMost: 1, Must: true}))
+	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
 	h.round()
 	h.round()
 	m, err := topology.Parse([]byte("version = 2\n[[domain]]\nname = \"r1\"\nlevel = \"rack\"\nmachines = [\"a*\"]\n"))
@@ -491,10 +491,10 @@
 						submission.EstimateS = 0
 					}
 					if x.near {
-						submission.Near = &api.Near{Level: "rack", Must: true}
+						submission.Near = &api.Near{Level: "rack", Required: true}
 					} else {
 						x.most = 1 + rng.IntN(2)
-						submission.Survive = &api.Survive{Level: "rack", AtMost: x.most, Must: true}
+						submission.Survive = &api.Survive{Level: "rack", MaxTasks: x.most, Required: true}
 					}
 				}
 				h.submit(x.id, x.tasks, change)
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -115,7 +115,7 @@
 		return earlierLoss
 	}
 	unsavedWork := s.since(alloc.runningSince)
-	if interval := settings.Seconds(alloc.job.Job.Checkpoint); interval > 0 {
+	if interval := settings.Seconds(alloc.job.Job.CheckpointS); interval > 0 {
 		unsavedWork %= interval
 	}
 	return earlierLoss + unsavedWork.Milliseconds()
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -157,13 +157,13 @@
 		if want := map[bool]int{false: 0, true: 2}[stop]; stopped["run-000001"] != want || stopped["run-000002"] != 0 {
 			t.Errorf("stop %v: stopped tasks by job %v", stop, stopped)
 		}
-		if x, _ := h.Explain("run-000003"); !strings.Contains(strings.Join(x.Why, " "), "as much as its limit allows") {
-			t.Errorf("explained by %v", x.Why)
+		if x, _ := h.Explain("run-000003"); !strings.Contains(strings.Join(x.Reasons, " "), "as much as its limit allows") {
+			t.Errorf("explained by %v", x.Reasons)
 		}
 		for text, why := range map[string]string{oneTeamConfiguration("0.5"): "more at once than the limit of team t allows since revision 3", "[[teams]]\nname = \"u\"\n": "team t is not in the configuration any more (revision 3)"} {
 			h.ApplyConfiguration(parseConfiguration(t, text))
-			if x, ok := h.Explain("run-000003"); !ok || !strings.Contains(strings.Join(x.Why, " "), why) {
-				t.Errorf("explained by %v", x.Why)
+			if x, ok := h.Explain("run-000003"); !ok || !strings.Contains(strings.Join(x.Reasons, " "), why) {
+				t.Errorf("explained by %v", x.Reasons)
 			}
 		}
 	}
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -214,10 +214,10 @@
 	switch cause {
 	case api.CauseError:
 		s.recordTaskFailure(job, machine, now)
-	case api.CauseNoRoom, api.CauseBusy, api.CauseUnknown:
+	case api.CauseInsufficientResources, api.CauseConflictingAttempt, api.CauseNotFound:
 		slog.Info("start refused", "task", alloc.key, "machine", machine.Name, "cause", cause)
 		machine.refusedUntil = now.Add(tuning.BackoffBase)
-		if cause == api.CauseUnknown {
+		if cause == api.CauseNotFound {
 			job.pausedUntil = now.Add(tuning.BackoffBase)
 		}
 	}
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -143,7 +143,7 @@
 	if len(before) != 2 || !slices.Equal(describeAllocations(), before) || len(workers.startCounts) != machinesStarted || slices.Contains(workers.released, "a1") || slices.Contains(workers.released, "a2") {
 		t.Errorf("allocations were %v and are now %v; released %v", before, describeAllocations(), workers.released)
 	}
-	if violations := invariant.TakeViolations(); violations != 1 {
+	if violations := invariant.ResetViolations(); violations != 1 {
 		t.Errorf("%d invariant violations reported, want 1", violations)
 	}
 }
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -77,7 +77,7 @@
 // exceedsValueLimit reports whether an encoded record is larger than the current limit on values.
 func (s *Scheduler) exceedsValueLimit(record store.JobRecord) bool {
 	raw, err := json.Marshal(record)
-	return err == nil && len(raw) > s.settings.Facts.State.Least().ValueBytes()
+	return err == nil && len(raw) > s.settings.Facts.State.Strictest().MaxValueBytes()
 }
 
 // finalRecord builds the record of a job's terminal state. A final record that is already stored is kept unchanged.
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -26,7 +26,7 @@
 	}
 	h.mu.Unlock()
 	h.commit()
-	largest := h.state.Largest
+	largest := h.state.LargestTransaction
 	if largest.Value > 16<<10 || largest.Bytes > 64<<10 || largest.Ops > 12 {
 		t.Errorf("largest transaction %+v", largest)
 	}
@@ -44,7 +44,7 @@
 func TestAcceptanceWithLostResponse(t *testing.T) {
 	h := newHarness(t)
 	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
-	h.state.LoseAnswer = true
+	h.state.LoseNextAnswer = true
 	h.Submit(cancelledContext(), sub, h.clock.Now())
 	h.committer.Step(context.Background())
 	h.commit()
@@ -106,7 +106,7 @@
 	}
 	h.submit("run-000001", 150, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
 	h.Place()
-	h.state.HoldNext = true // delays a transaction of the old leader until Deliver
+	h.state.HoldNextTransaction = true // delays a transaction of the old leader until Deliver
 	h.committer.Step(context.Background())
 	h.commit()
 	oldShard := store.ShardOf("run-000001", 0, tuning.TasksPerShard)
@@ -114,12 +114,12 @@
 		t.Fatalf("the record has only %d bytes", n)
 	}
 	placedCount := len(h.jobs["run-000001"].allocations)
-	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 8}
+	h.limits.Announced = settings.AnnouncedStateLimits{ValueKB: 2, TxnOps: 8}
 	h.elect()
 	h.UseCurrentFormat()
 	h.commit()
-	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 8})
-	h.state.Deliver()
+	h.state.SetLimits(fake.Limits{ValueKB: 2, TxnOps: 8})
+	h.state.ExecuteHeld()
 	if h.state.Get(oldShard.Key()) != nil {
 		t.Error("the large record was not deleted")
 	}
@@ -136,11 +136,11 @@
 // final record of a cancelled service marks it as a service.
 func TestShardSizeAccountsForMachineNames(t *testing.T) {
 	h := newHarness(t)
-	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
+	h.limits.Announced = settings.AnnouncedStateLimits{ValueKB: 2, TxnOps: 4}
 	h.elect()
 	h.UseCurrentFormat()
 	h.committer.SetValueLimit(2048)
-	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
+	h.state.SetLimits(fake.Limits{ValueKB: 2, TxnOps: 4})
 	for i := range 10 {
 		h.heartbeat(fmt.Sprintf("a%0100d", i), 1)
 	}
@@ -151,8 +151,8 @@
 	})
 	h.Place()
 	h.commit()
-	if n := h.committer.Pending(); n > 0 || len(h.state.Refusals()) > 0 || h.state.Largest.Value > 2048 {
-		t.Errorf("%d records are not written, refused %v, the largest value has %d bytes", n, h.state.Refusals(), h.state.Largest.Value)
+	if n := h.committer.Pending(); n > 0 || len(h.state.Refusals()) > 0 || h.state.LargestTransaction.Value > 2048 {
+		t.Errorf("%d records are not written, refused %v, the largest value has %d bytes", n, h.state.Refusals(), h.state.LargestTransaction.Value)
 	}
 	h.Cancel(cancelledContext(), "run-000002")
 	h.commit()
--- a/scheduler/relayed_start_copy_test.go
+++ b/scheduler/relayed_start_copy_test.go
@@ -26,20 +26,20 @@
 	}
 	a1 := simulated.workers["a1"]
 	relayHeartbeat := func() (report *api.Heartbeat, response api.HeartbeatResponse) {
-		report = a1.Report()
+		report = a1.NextHeartbeat()
 		return report, follower.HandleHeartbeat(report, h.term)
 	}
 	simulated.join("a1")
 	h.submit("run-000001", 1, nil)
 	report, response := relayHeartbeat()
-	a1.Answer(report, h.clock.Now(), response)
+	a1.ApplyResponse(report, h.clock.Now(), response)
 	exchangePackets()
 	h.Place()
 	exchangePackets()
 
 	started, response := relayHeartbeat()
 	exchangePackets()
-	a1.Answer(started, h.clock.Now(), response)
+	a1.ApplyResponse(started, h.clock.Now(), response)
 	if !simulated.running[task]["a1"] {
 		t.Fatalf("the relayed start did not arrive: %+v", response)
 	}
@@ -59,7 +59,7 @@
 	if !simulated.running[task]["b1"] {
 		t.Fatal("the task does not run on the second machine")
 	}
-	a1.Answer(repeated, h.clock.Now(), lateResponse)
+	a1.ApplyResponse(repeated, h.clock.Now(), lateResponse)
 	if twice := simulated.startedTwice(); len(twice) > 0 {
 		t.Errorf("tasks ran on two machines: %v", twice)
 	}
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -16,7 +16,7 @@
 // keep refused jobs in memory.
 func TestSubmissionsBeyondWriteCapacityAreRefused(t *testing.T) {
 	h := newHarness(t)
-	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.State{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
+	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.StateLimits{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
 		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if !s.loaded || s.instancesRequested > 0 || now.Sub(s.termStarted) < settings.Seconds(2*s.settings.Facts.Workers.ReportS) {
+	if !s.loaded || s.instancesRequested > 0 || now.Sub(s.termStarted) < settings.Seconds(2*s.settings.Facts.Workers.HeartbeatIntervalS) {
 		return nil
 	}
 	desired, desiredOrdinary := s.desiredCapacity()
@@ -256,7 +256,7 @@
 		supplied := feasibility.Machine{Spec: machine.Spec, Zone: machine.Zone, Spot: machine.Spot}
 		for _, alloc := range machine.allocations {
 			if alloc.job.Job.Shape == api.Service {
-				supplied.Used = supplied.Used.Add(alloc.job.request)
+				supplied.UsedByServices = supplied.UsedByServices.Add(alloc.job.request)
 			}
 		}
 		machines = append(machines, supplied)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -149,7 +149,7 @@
 	victimSearches int
 	// scratchCounts and scratchQueued are reused by queuedAhead.
 	scratchCounts map[*jobState]int
-	scratchQueued []placement.Queued
+	scratchQueued []placement.QueuedJob
 }
 
 // New returns the Scheduler of a new term. Its records are not loaded yet.
@@ -198,8 +198,8 @@
 		switch {
 		case objective.Kind == "finished" && objective.WithinS > 0:
 			withinS[objective.Class] = append(withinS[objective.Class], objective.WithinS)
-		case objective.Kind == "deadline" && objective.Times > 1:
-			deadlineMultiples[objective.Class] = append(deadlineMultiples[objective.Class], objective.Times)
+		case objective.Kind == "deadline" && objective.DeadlineFactor > 1:
+			deadlineMultiples[objective.Class] = append(deadlineMultiples[objective.Class], objective.DeadlineFactor)
 		}
 	}
 	for _, byClass := range []map[string][]float64{withinS, deadlineMultiples} {
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -224,7 +224,7 @@
 // mayPreemptForGang reports whether allocations may be preempted for a whole gang: it has a mandatory near constraint and
 // no inputs, and jobs of lower rank have allocations. s.mu must be held.
 func (s *Scheduler) mayPreemptForGang(job *jobState) bool {
-	return job.site != nil && job.Job.Near != nil && job.Job.Near.Must &&
+	return job.site != nil && job.Job.Near != nil && job.Job.Near.Required &&
 		job.rank > lowestRank(s.jobOrder) && len(job.inputs) == 0 && !s.failsEverywhere(job)
 }
 
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -89,6 +89,6 @@
 // updateShardSize sets s.tasksPerShard to the largest shard size whose records always fit into a value, and rewrites the shard
 // records of other sizes. s.mu must be held.
 func (s *Scheduler) updateShardSize() {
-	s.tasksPerShard = store.ShardSize(s.settings.Facts.State.Least().ValueBytes(), s.longestName)
+	s.tasksPerShard = store.ShardSize(s.settings.Facts.State.Strictest().MaxValueBytes(), s.longestName)
 	s.reshardAll()
 }
--- a/scheduler/stage_relay.go
+++ b/scheduler/stage_relay.go
@@ -60,7 +60,7 @@
 		return
 	}
 	relayed := s.datasets.relayedOrders[machine]
-	current := relayedOrder{member: relayed.member, incarnation: order.Incarnation, order: order.Order, version: order.Known}
+	current := relayedOrder{member: relayed.member, incarnation: order.Incarnation, order: order.Sequence, version: order.KnownVersion}
 	if *relayed == current {
 		return
 	}
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -28,9 +28,9 @@
 }
 
 func newPartitionHarness(t *testing.T) *partitionHarness {
-	h := &partitionHarness{dataHarness: newDataHarness(t, features.Staged)}
-	h.state.Limit(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
-	limits := settings.State{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
+	h := &partitionHarness{dataHarness: newDataHarness(t, features.PlacementStaged)}
+	h.state.SetLimits(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
+	limits := settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 	h.proxy = proxy.NewAgents(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 	h.packets = &packetCarrier{harness: h.harness, exchange: h.proxy.Exchange, prefix: store.AgentRelayPrefix}
 	h.follow()
@@ -72,7 +72,7 @@
 	agent := &fakeAgent{name: "a1", heldParts: roaring.New()}
 	h.agentHeartbeatThroughPeer(agent)
 	h.exchangePackets()
-	h.submit("run-000001", 2, withInputs(api.UseOwn))
+	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
 	h.exchangePackets()
 	h.agentHeartbeatThroughPeer(agent)
 	if got := agent.orderedCopies(); !slices.Equal(got, []int{0, 1}) {
@@ -110,7 +110,7 @@
 	h.workerHeartbeat("a1")
 	agent := &fakeAgent{name: "a1", heldParts: roaring.BitmapOf(0), version: 3}
 	h.agentHeartbeatThroughPeer(agent)
-	h.submit("run-000001", 1, withInputs(api.UseOwn))
+	h.submit("run-000001", 1, withInputs(api.UseOwnPart))
 	for range 3 {
 		h.exchangePackets()
 		h.agentHeartbeatThroughPeer(agent)
@@ -124,7 +124,7 @@
 	h.reelect()
 	h.follow()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
-	if o := h.agentHeartbeatThroughPeer(agent); o.Order != 0 || !agent.mustKeep(0) {
+	if o := h.agentHeartbeatThroughPeer(agent); o.Sequence != 0 || !agent.mustKeep(0) {
 		t.Fatalf("the peer returned the order %+v, want one with number 0", o)
 	}
 	h.exchangePackets()
@@ -147,7 +147,7 @@
 	var sets []*dataset.Entry
 	for i := range 2000 {
 		d := dataset.Entry{Summary: *inventory}
-		d.Name, d.Manifest = fmt.Sprintf("set-%04d", i), dataset.Sum([]byte{byte(i), byte(i >> 8)})
+		d.Name, d.ManifestDigest = fmt.Sprintf("set-%04d", i), dataset.Sum([]byte{byte(i), byte(i >> 8)})
 		sets = append(sets, &d)
 	}
 	h.AddDatasets(sets...)
@@ -160,7 +160,7 @@
 	}
 	largeHeartbeat := agents[0].heartbeat()
 	for _, d := range sets {
-		largeHeartbeat.Holds = append(largeHeartbeat.Holds, api.StageHeld{Dataset: d.Name, Manifest: d.Manifest.String(), Of: d.Parts, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
+		largeHeartbeat.Holdings = append(largeHeartbeat.Holdings, api.StageHolding{Dataset: d.Name, Manifest: d.ManifestDigest.String(), PartCount: d.PartCount, Parts: api.PartSet{Bitmap: roaring.BitmapOf(1, 2)}})
 	}
 	agents[0].seq++
 	largeHeartbeat.Seq = agents[0].seq
--- a/scheduler/start_under_way_test.go
+++ b/scheduler/start_under_way_test.go
@@ -41,11 +41,11 @@
 func (p *simulatedWorkers) add(name string) {
 	p.workers[name] = fake.NewWorker(fake.WorkerOptions{
 		Host: fake.Host{Name: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name)}, Clock: p.harness.clock,
-		Every: time.Second, Lease: 10 * time.Second,
-		Runs:   func(string) time.Duration { return p.runTime },
-		Starts: func(task string, _ uint64, _ time.Time) { p.started(task, name) },
-		Ends:   func(task string, _ bool) { p.ended(task, name) },
-		Fails:  func(string) string { return p.failures[name] },
+		HeartbeatInterval: time.Second, Lease: 10 * time.Second,
+		TaskDuration: func(string) time.Duration { return p.runTime },
+		OnStart:      func(task string, _ uint64, _ time.Time) { p.started(task, name) },
+		OnEnd:        func(task string, _ bool) { p.ended(task, name) },
+		StartFailure: func(string) string { return p.failures[name] },
 	})
 }
 
@@ -73,9 +73,9 @@
 
 // heartbeat delivers a heartbeat of a worker to the leader and the response to the worker.
 func (p *simulatedWorkers) heartbeat(name string) {
-	report := p.workers[name].Report()
+	report := p.workers[name].NextHeartbeat()
 	response, _, _ := p.harness.HandleHeartbeat(report, "")
-	p.workers[name].Answer(report, p.harness.clock.Now(), response)
+	p.workers[name].ApplyResponse(report, p.harness.clock.Now(), response)
 }
 
 // join delivers a worker's first heartbeat and one more, which carries the term's token.
@@ -89,7 +89,7 @@
 	for h := p.harness; h.answeredCommands < len(h.sent); {
 		sent := h.sent[h.answeredCommands]
 		h.answeredCommands++
-		heartbeat, _ := p.workers[sent.machine].Direct(sent.response)
+		heartbeat, _ := p.workers[sent.machine].ExecuteCommands(sent.response)
 		h.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 	}
 }
@@ -103,7 +103,7 @@
 		p.heartbeat(name)
 		p.deliverCommands()
 	}
-	if report := p.workers[name].Report(); len(report.Tasks) > 0 {
+	if report := p.workers[name].NextHeartbeat(); len(report.Tasks) > 0 {
 		p.Errorf("%s still lists attempts: %+v", name, report.Tasks)
 	}
 }
@@ -121,7 +121,7 @@
 // the attempt exited. The test delivers the messages in the same order.
 func TestExitIsNotClearedWhileAHeartbeatResponseMayStartTheAttempt(t *testing.T) {
 	const task = "run-000001/0"
-	for _, cause := range []string{api.CauseError, api.CauseNoRoom, api.CauseUnknown, api.CauseStopped} {
+	for _, cause := range []string{api.CauseError, api.CauseInsufficientResources, api.CauseNotFound, api.CauseStopped} {
 		t.Run(cause, func(t *testing.T) {
 			h := newHarness(t)
 			simulated := newSimulatedWorkers(t, h, "a1", "b1")
@@ -129,7 +129,7 @@
 			h.submit("run-000001", 1, nil)
 			simulated.place()
 
-			overtaken := simulated.workers["a1"].Report()
+			overtaken := simulated.workers["a1"].NextHeartbeat()
 			lateResponse, _, _ := h.HandleHeartbeat(overtaken, "")
 			if !hasCommand(lateResponse, api.CommandRun, task) {
 				t.Fatalf("the response does not repeat the start: %+v", lateResponse)
@@ -154,7 +154,7 @@
 			if !simulated.running[task]["b1"] {
 				t.Fatal("the task does not run on the second machine")
 			}
-			simulated.workers["a1"].Answer(overtaken, h.clock.Now(), lateResponse)
+			simulated.workers["a1"].ApplyResponse(overtaken, h.clock.Now(), lateResponse)
 			if twice := simulated.startedTwice(); len(twice) > 0 {
 				t.Errorf("tasks ran on two machines: %v", twice)
 			}
@@ -189,8 +189,8 @@
 	simulated.heartbeat("a1")
 	simulated.place()
 	simulated.deliverCommands()
-	if second := h.jobs["run-000001"].allocations[0]; second == nil || second == first || second.machine.Name != "a1" || len(simulated.workers["a1"].Report().Tasks) != 2 {
-		t.Fatalf("no second attempt beside the first: %+v, %+v", second, simulated.workers["a1"].Report().Tasks)
+	if second := h.jobs["run-000001"].allocations[0]; second == nil || second == first || second.machine.Name != "a1" || len(simulated.workers["a1"].NextHeartbeat().Tasks) != 2 {
+		t.Fatalf("no second attempt beside the first: %+v, %+v", second, simulated.workers["a1"].NextHeartbeat().Tasks)
 	}
 	h.machines["a1"].refusedUntil = h.clock.Now().Add(time.Minute)
 	simulated.join("b1")
@@ -201,7 +201,7 @@
 		simulated.place()
 		simulated.deliverCommands()
 	}
-	if _, executed := simulated.workers["a1"].Direct(lost.response); !executed {
+	if _, executed := simulated.workers["a1"].ExecuteCommands(lost.response); !executed {
 		t.Error("the worker did not execute the delayed first start, so the test does not check what it should")
 	}
 	if twice := simulated.startedTwice(); len(twice) > 0 {
@@ -225,19 +225,19 @@
 			if placed := h.jobs["run-000001"].allocations[0]; placed == nil || placed.committed {
 				t.Fatalf("want an allocation whose record is not stored, got %+v", placed)
 			}
-			simulated.workers["b1"].Direct(api.HeartbeatResponse{Term: h.term, Incarnation: simulated.workers["b1"].Report().Incarnation,
+			simulated.workers["b1"].ExecuteCommands(api.HeartbeatResponse{Term: h.term, Incarnation: simulated.workers["b1"].NextHeartbeat().Incarnation,
 				Commands: []api.Command{{Verb: api.CommandRun, Task: task, Attempt: unrecorded}}})
 			if !simulated.running[task]["b1"] {
 				t.Fatal("the unrecorded attempt does not run")
 			}
 			for range 3 {
-				report := simulated.workers["b1"].Report()
+				report := simulated.workers["b1"].NextHeartbeat()
 				slowResponse, _, _ := h.HandleHeartbeat(report, "")
 				h.commit()
 				simulated.deliverCommands()
 				simulated.heartbeat("a1")
 				h.clock.Advance(time.Second)
-				simulated.workers["b1"].Answer(report, h.clock.Now(), slowResponse)
+				simulated.workers["b1"].ApplyResponse(report, h.clock.Now(), slowResponse)
 				simulated.place()
 			}
 			if twice := simulated.startedTwice(); len(twice) > 0 {
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -94,7 +94,7 @@
 // sendHeartbeat makes a worker send a heartbeat, unless it awaits a response.
 func (r *randomStarts) sendHeartbeat(name string) {
 	if r.waiting[name] == nil {
-		report := r.workers[name].Report()
+		report := r.workers[name].NextHeartbeat()
 		r.waiting[name] = &exchangedHeartbeat{report: report}
 		if r.rng.IntN(4) == 0 {
 			r.copies = append(r.copies, report)
@@ -144,7 +144,7 @@
 	case r.rng.IntN(5) == 0:
 		delete(r.waiting, name)
 	case sent.response != nil:
-		r.workers[name].Answer(sent.report, r.harness.clock.Now(), *sent.response)
+		r.workers[name].ApplyResponse(sent.report, r.harness.clock.Now(), *sent.response)
 		delete(r.waiting, name)
 	}
 }
@@ -171,7 +171,7 @@
 func (r *randomStarts) deliverCommand() {
 	if len(r.lost) > 0 && r.rng.IntN(4) == 0 {
 		sent := r.takeCommand(&r.lost)
-		r.workers[sent.machine].Direct(sent.response)
+		r.workers[sent.machine].ExecuteCommands(sent.response)
 		return
 	}
 	if len(r.commands) == 0 {
@@ -186,9 +186,9 @@
 	case 1:
 		settled = true
 	case 2:
-		r.workers[sent.machine].Direct(sent.response)
+		r.workers[sent.machine].ExecuteCommands(sent.response)
 	default:
-		heartbeat, _ = r.workers[sent.machine].Direct(sent.response)
+		heartbeat, _ = r.workers[sent.machine].ExecuteCommands(sent.response)
 		settled = true
 	}
 	if sent.response.Term == h.term {
@@ -218,7 +218,7 @@
 // injectFault restarts a worker, elects a new leader, changes whether a machine is relayed, or sets the cause of
 // failures.
 func (r *randomStarts) injectFault(name string) {
-	causes := []string{"", "", "", api.CauseError, api.CauseNoRoom, api.CauseUnknown}
+	causes := []string{"", "", "", api.CauseError, api.CauseInsufficientResources, api.CauseNotFound}
 	switch r.rng.IntN(8) {
 	case 0:
 		r.workers[name].Restart()
@@ -273,7 +273,7 @@
 		r.placeAndSend()
 		for len(r.commands) > 0 {
 			sent := r.takeCommand(&r.commands)
-			heartbeat, _ := r.workers[sent.machine].Direct(sent.response)
+			heartbeat, _ := r.workers[sent.machine].ExecuteCommands(sent.response)
 			r.harness.HandleCommandOutcome(sent.machine, sent.response, heartbeat, true)
 		}
 		r.harness.clock.Advance(time.Second)
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -85,7 +85,7 @@
 		}
 		available := ageing.Machine{Name: machine.Name, Zone: machine.Zone}
 		for _, delayMS := range s.startDelays(job, machine, tasks) {
-			available.At = append(available.At, time.Duration(delayMS)*time.Millisecond)
+			available.StartDelays = append(available.StartDelays, time.Duration(delayMS)*time.Millisecond)
 		}
 		machines = append(machines, available)
 	}
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -127,8 +127,8 @@
 	h.submit("run-000002", 1, dependingOn("run-000001"))
 	h.Place()
 	h.commit()
-	h.state.Limit(fake.Limits{ValueKB: 2, TxnOps: 4})
-	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
+	h.state.SetLimits(fake.Limits{ValueKB: 2, TxnOps: 4})
+	h.limits.Announced = settings.AnnouncedStateLimits{ValueKB: 2, TxnOps: 4}
 	h.elect()
 	h.UseCurrentFormat()
 	for i := range 20 {
@@ -139,7 +139,7 @@
 	h.Place()
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
-	if refusals := h.state.Refusals(); len(refusals) > 0 || h.state.Largest.Ops > 12 {
+	if refusals := h.state.Refusals(); len(refusals) > 0 || h.state.LargestTransaction.Ops > 12 {
 		t.Errorf("refused writes %v, or a transaction has too many operations", refusals)
 	}
 	if status := h.status("run-000002"); status != api.Cancelled {
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -114,7 +114,7 @@
 	if len(before) != 37 || done != 1 || len(h.jobs) != 3 {
 		t.Fatalf("%d allocations, %d tasks done, %d jobs, want 37, 1 and 3", len(before), done, len(h.jobs))
 	}
-	h.limits.Next = settings.NextState{ValueKB: 2, TxnOps: 4}
+	h.limits.Announced = settings.AnnouncedStateLimits{ValueKB: 2, TxnOps: 4}
 	h.elect()
 	h.UseCurrentFormat()
 	h.commit()
--- a/settings/check.go
+++ b/settings/check.go
@@ -26,9 +26,9 @@
 		checker.fail(name, want)
 	})
 	workers := settings.Facts.Workers
-	checker.checkPositive("facts.workers.report_s", workers.ReportS)
+	checker.checkPositive("facts.workers.report_s", workers.HeartbeatIntervalS)
 	checker.checkPositive("facts.workers.lease_s", workers.LeaseS)
-	checker.checkPositive("facts.workers.cancel_s", workers.CancelS)
+	checker.checkPositive("facts.workers.cancel_s", workers.CancelDeadlineS)
 	checker.checkState(settings.Facts.State)
 	checker.checkPositive("facts.cloud.rps", settings.Facts.Cloud.RPS)
 	if !(settings.Facts.Cloud.ListLagS >= 0) {
@@ -82,14 +82,14 @@
 }
 
 // checkState checks the current and the announced limits of the state service.
-func (checker *fieldChecker) checkState(state State) {
+func (checker *fieldChecker) checkState(state StateLimits) {
 	checker.checkPositive("facts.state.rps", state.RPS)
 	checker.checkPositive("facts.state.write_rps", state.WriteRPS)
 	checker.checkPositive("facts.state.value_kb", state.ValueKB)
 	if state.TxnOps < minTxnOps {
 		checker.fail("facts.state.txn_ops", "must be 3 or more")
 	}
-	announced := state.Next
+	announced := state.Announced
 	switch {
 	case !isNonNegativeFinite(announced.WriteRPS) || !isNonNegativeFinite(announced.ValueKB):
 		checker.fail("facts.state.next", "limits must be numbers of 0 or more; 0 or left out: as now")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -33,16 +33,16 @@
 
 // Facts describes the deployment.
 type Facts struct {
-	// Nodes is the number of controllers.
-	Nodes int      `toml:"nodes"`
-	Zones []string `toml:"zones"`
+	// ControllerCount is the number of controllers.
+	ControllerCount int      `toml:"nodes"`
+	Zones           []string `toml:"zones"`
 	// MaxClockErrorMS bounds the deviation of any clock from the true time, in milliseconds.
 	MaxClockErrorMS float64     `toml:"clock_off_ms"`
 	Teams           []Team      `toml:"teams"`
 	Objectives      []Objective `toml:"objectives"`
 	Workers         Workers     `toml:"workers"`
-	State           State       `toml:"state"`
-	Cloud           Cloud       `toml:"cloud"`
+	State           StateLimits `toml:"state"`
+	Cloud           CloudLimits `toml:"cloud"`
 	Resources       Resources   `toml:"resources"`
 }
 
@@ -65,22 +65,22 @@
 	WithinS float64 `toml:"within_s"`
 	// Share is the fraction of jobs that should meet the objective.
 	Share float64 `toml:"share"`
-	// Times is the factor by which the deadline of a job is multiplied.
-	Times float64 `toml:"times"`
+	// DeadlineFactor is the factor by which the deadline of a job is multiplied.
+	DeadlineFactor float64 `toml:"times"`
 }
 
 // Workers holds the time limits and intervals of workers, in seconds.
 type Workers struct {
-	// ReportS is the heartbeat interval.
-	ReportS float64 `toml:"report_s"`
+	// HeartbeatIntervalS is the heartbeat interval.
+	HeartbeatIntervalS float64 `toml:"report_s"`
 	// LeaseS is the time for which a worker keeps its tasks without a heartbeat response.
 	LeaseS float64 `toml:"lease_s"`
-	// CancelS is the time within which the tasks of a cancelled job must be gone.
-	CancelS float64 `toml:"cancel_s"`
+	// CancelDeadlineS is the time within which the tasks of a cancelled job must be gone.
+	CancelDeadlineS float64 `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service.
-type State struct {
+// StateLimits holds the limits of the state service.
+type StateLimits struct {
 	// RPS limits requests per second, WriteRPS puts and deletes per second.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -88,37 +88,37 @@
 	ValueKB float64 `toml:"value_kb"`
 	// TxnOps is the maximum number of puts and deletes in a transaction.
 	TxnOps int `toml:"txn_ops"`
-	// Next holds announced limits that will take effect at some time without further notice.
-	Next NextState `toml:"next"`
+	// Announced holds announced limits that will take effect at some time without further notice.
+	Announced AnnouncedStateLimits `toml:"next"`
 }
 
-// NextState holds the announced limits of the state service. A limit of 0 means that it does not change.
-type NextState struct {
+// AnnouncedStateLimits holds the announced limits of the state service. A limit of 0 means that it does not change.
+type AnnouncedStateLimits struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Least returns the lower of the current and the announced value of each limit. All stored records must comply
+// Strictest returns the lower of the current and the announced value of each limit. All stored records must comply
 // with these limits from the start, since they are rewritten after the announced limits have taken effect.
-func (state State) Least() State {
-	if n := state.Next.WriteRPS; n > 0 {
+func (state StateLimits) Strictest() StateLimits {
+	if n := state.Announced.WriteRPS; n > 0 {
 		state.WriteRPS = math.Min(state.WriteRPS, n)
 	}
-	if n := state.Next.ValueKB; n > 0 {
+	if n := state.Announced.ValueKB; n > 0 {
 		state.ValueKB = math.Min(state.ValueKB, n)
 	}
-	if n := state.Next.TxnOps; n > 0 {
+	if n := state.Announced.TxnOps; n > 0 {
 		state.TxnOps = min(state.TxnOps, n)
 	}
 	return state
 }
 
-// ValueBytes returns the largest size of a value in bytes.
-func (state State) ValueBytes() int { return int(state.ValueKB * 1024) }
+// MaxValueBytes returns the largest size of a value in bytes.
+func (state StateLimits) MaxValueBytes() int { return int(state.ValueKB * 1024) }
 
-// Cloud holds the limits of the cloud.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud.
+type CloudLimits struct {
 	// RPS limits requests per second.
 	RPS float64 `toml:"rps"`
 	// ListLagS is the delay of the list of machines in seconds; at times the delay is twice as long.
@@ -130,8 +130,8 @@
 	// CPU is the limit of processor time as a share of one core.
 	CPU float64 `toml:"cpu"`
 	// RAMMB is the memory limit in megabytes.
-	RAMMB   float64 `toml:"ram_mb"`
-	Sockets int     `toml:"sockets"`
+	RAMMB      float64 `toml:"ram_mb"`
+	MaxSockets int     `toml:"sockets"`
 }
 
 // Team returns the team with the given name and reports whether it exists.
--- a/staging/desired.go
+++ b/staging/desired.go
@@ -39,16 +39,16 @@
 		if agent == nil {
 			continue
 		}
-		summaries[demand.Set.Name] = demand.Set
+		summaries[demand.Dataset.Name] = demand.Dataset
 		if demanded[agent] == nil {
 			demanded[agent] = demandedParts{}
 		}
-		parts := demanded[agent][demand.Set.Name]
+		parts := demanded[agent][demand.Dataset.Name]
 		if parts == nil {
 			parts = roaring.New()
-			demanded[agent][demand.Set.Name] = parts
+			demanded[agent][demand.Dataset.Name] = parts
 		}
-		size := float64(demand.Set.PartBytes(demand.Part))
+		size := float64(demand.Dataset.PartBytes(demand.Part))
 		overQuota := agent.cacheQuota > 0 && agent.desiredBytes > 0 && agent.desiredBytes+size > float64(agent.cacheQuota)
 		if overQuota || parts.Contains(uint32(demand.Part)) {
 			continue
--- a/staging/fake_test.go
+++ b/staging/fake_test.go
@@ -28,27 +28,27 @@
 // apply replaces the current order. It returns false if the new order is older, or is for another
 // incarnation.
 func (agent *fakeAgent) apply(order api.StageOrder) bool {
-	if order.Term < agent.term || order.Term == agent.term && order.Order < agent.orderNumber || order.Incarnation != agent.incarnation {
+	if order.Term < agent.term || order.Term == agent.term && order.Sequence < agent.orderNumber || order.Incarnation != agent.incarnation {
 		return false
 	}
-	agent.term, agent.orderNumber, agent.orderedSets = order.Term, order.Order, order.Sets
+	agent.term, agent.orderNumber, agent.orderedSets = order.Term, order.Sequence, order.Sets
 	return true
 }
 
 // heartbeat returns the next heartbeat, which lists all parts that the agent holds.
 func (agent *fakeAgent) heartbeat() *api.StageHeartbeat {
 	agent.sequence++
-	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Order: agent.orderNumber, Quota: agent.quota, All: true}
+	heartbeat := &api.StageHeartbeat{Machine: agent.name, Address: agent.address(), Incarnation: agent.incarnation, Seq: agent.sequence, Term: agent.term, Sequence: agent.orderNumber, Quota: agent.quota, HoldingsComplete: true}
 	held := roaring.New()
 	for part := range agent.holds {
 		held.Add(part)
 	}
-	heartbeat.Holds = []api.StageHeld{{Dataset: "inv", Manifest: inventory.Manifest.String(), Of: 8, Parts: api.PartSet{Bitmap: held}}}
+	heartbeat.Holdings = []api.StageHolding{{Dataset: "inv", Manifest: inventory.ManifestDigest.String(), PartCount: 8, Parts: api.PartSet{Bitmap: held}}}
 	for _, set := range agent.orderedSets {
-		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHeld{Dataset: set.Dataset, Manifest: set.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, set.Parts.Bitmap)}})
+		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHolding{Dataset: set.Dataset, Manifest: set.Manifest, Parts: api.PartSet{Bitmap: roaring.And(held, set.Parts.Bitmap)}})
 		for _, transfer := range set.Copies {
 			if !agent.holds[uint32(transfer.Part)] {
-				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: set.Dataset, Part: transfer.Part, Of: 10, From: transfer.From[0], Failed: agent.failures[transfer.Part]})
+				heartbeat.Copies = append(heartbeat.Copies, api.StageProgress{Dataset: set.Dataset, Part: transfer.Part, TotalBytes: 10, Source: transfer.Sources[0], Failed: agent.failures[transfer.Part]})
 			}
 		}
 	}
@@ -114,10 +114,10 @@
 // copyPart tries the sources of a transfer in order until one works. It records the failures of the
 // others and returns whether any source worked.
 func (cluster *fakeCluster) copyPart(agent *fakeAgent, transfer api.StageCopy) bool {
-	for _, source := range transfer.From {
+	for _, source := range transfer.Sources {
 		reason, corrupt := cluster.sourceFailure(source, transfer.Part)
 		if reason != "" {
-			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{From: source, Why: reason, Corrupt: corrupt})
+			agent.failures[transfer.Part] = append(agent.failures[transfer.Part], api.StageFailure{Source: source, Reason: reason, Corrupt: corrupt})
 			continue
 		}
 		if source.Store {
@@ -166,7 +166,7 @@
 // allConfirmed returns whether every demand is confirmed.
 func (cluster *fakeCluster) allConfirmed(planner *Planner, demands []Demand) bool {
 	for _, demand := range demands {
-		if !planner.Confirmed(demand.Machine, demand.Set, demand.Part) {
+		if !planner.Confirmed(demand.Machine, demand.Dataset, demand.Part) {
 			return false
 		}
 	}
--- a/staging/heartbeat.go
+++ b/staging/heartbeat.go
@@ -24,9 +24,9 @@
 	planner.updateIdentity(agent, heartbeat)
 	agent.appliedOrder = 0
 	if heartbeat.Term == planner.term {
-		agent.appliedOrder = heartbeat.Order
+		agent.appliedOrder = heartbeat.Sequence
 	}
-	if heartbeat.All {
+	if heartbeat.HoldingsComplete {
 		planner.applyReplicas(agent, heartbeat)
 	}
 	planner.applyPinned(agent, heartbeat.Pinned)
@@ -60,8 +60,8 @@
 func (planner *Planner) applyReplicas(agent *agentState, heartbeat *api.StageHeartbeat) {
 	held := map[string]replicas.Replica{}
 	removed := map[string]bool{}
-	for _, replica := range heartbeat.Holds {
-		held[replica.Dataset] = replicas.Replica{Of: replica.Of, Parts: replica.Parts.Bitmap}
+	for _, replica := range heartbeat.Holdings {
+		held[replica.Dataset] = replicas.Replica{PartCount: replica.PartCount, Parts: replica.Parts.Bitmap}
 		if planner.removedManifests[replica.Dataset] != "" && !replica.Parts.IsEmpty() {
 			removed[replica.Dataset] = true
 		}
@@ -73,13 +73,13 @@
 }
 
 // applyPinned stores which desired parts the agent has pinned, and removes their transfers.
-func (planner *Planner) applyPinned(agent *agentState, pinned []api.StageHeld) {
+func (planner *Planner) applyPinned(agent *agentState, pinned []api.StageHolding) {
 	for _, desired := range agent.desired {
 		desired.pinned = roaring.New()
 	}
 	for _, replica := range pinned {
 		desired := agent.desired[replica.Dataset]
-		if desired == nil || desired.summary.Manifest.String() != replica.Manifest {
+		if desired == nil || desired.summary.ManifestDigest.String() != replica.Manifest {
 			continue
 		}
 		desired.pinned = replica.Parts.Bitmap
@@ -94,7 +94,7 @@
 // applyProgress stores the progress and the failures of one transfer. A peer that served corrupt data
 // is no longer used as a source.
 func (planner *Planner) applyProgress(agent *agentState, progress *api.StageProgress, now time.Time) {
-	agent.cacheFull = agent.cacheFull || progress.Full
+	agent.cacheFull = agent.cacheFull || progress.CacheFull
 	desired := agent.desired[progress.Dataset]
 	if desired == nil {
 		return
@@ -103,17 +103,17 @@
 	if transfer == nil {
 		return
 	}
-	if progress.Got != transfer.receivedBytes {
-		transfer.receivedBytes = progress.Got
+	if progress.CopiedBytes != transfer.receivedBytes {
+		transfer.receivedBytes = progress.CopiedBytes
 		transfer.lastProgress = now
 	}
 	for _, failure := range progress.Failed {
-		if _, known := transfer.failures[failure.From]; !known {
-			planner.Failed++
-			transfer.failures[failure.From] = failure.Why
+		if _, known := transfer.failures[failure.Source]; !known {
+			planner.SourceFailures++
+			transfer.failures[failure.Source] = failure.Reason
 		}
-		if failure.Corrupt && failure.From.Peer != "" {
-			planner.corruptPeers[failure.From.Peer] = true
+		if failure.Corrupt && failure.Source.Peer != "" {
+			planner.corruptPeers[failure.Source.Peer] = true
 		}
 	}
 }
--- a/staging/links.go
+++ b/staging/links.go
@@ -96,7 +96,7 @@
 
 // add adds the missing bytes of a demanded part. storeOnly says that they have to come from the store.
 func (queues *byteQueues) add(agent *agentState, demand Demand, missing float64, storeOnly bool) {
-	key := partKey{demand.Set.Name, demand.Part}
+	key := partKey{demand.Dataset.Name, demand.Part}
 	if queues.missing[key] == nil {
 		queues.missing[key] = map[replicas.MachineID]float64{}
 	}
--- a/staging/plan.go
+++ b/staging/plan.go
@@ -27,7 +27,7 @@
 		if updated {
 			changed[agent] = true
 		}
-		storeOnly := !planner.limits.Peers || len(snapshot.Holders(demand.Set.Name, demand.Part)) == 0
+		storeOnly := !planner.limits.AllowPeers || len(snapshot.Holders(demand.Dataset.Name, demand.Part)) == 0
 		planner.queues.add(agent, demand, missing, storeOnly)
 	}
 	return planner.dueOrders(changed, now)
@@ -36,17 +36,17 @@
 // lacks returns whether a demanded part is in the agent's desired state but neither pinned by the agent
 // nor recorded on its machine.
 func (agent *agentState) lacks(demand Demand, snapshot *replicas.Snapshot) bool {
-	desired := agent.desired[demand.Set.Name]
+	desired := agent.desired[demand.Dataset.Name]
 	return desired != nil && desired.parts.Contains(uint32(demand.Part)) && !desired.pinned.Contains(uint32(demand.Part)) &&
-		!snapshot.Has(agent.id, demand.Set.Name, demand.Part)
+		!snapshot.Has(agent.id, demand.Dataset.Name, demand.Part)
 }
 
 // planTransfer adds a transfer of the demanded part if a source is available. If the part already has
 // a transfer and all of its sources failed, planTransfer tries to replace them. It returns the number
 // of missing bytes and whether the agent's order changed.
 func (planner *Planner) planTransfer(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time) (missing float64, changed bool) {
-	desired := agent.desired[demand.Set.Name]
-	missing = float64(demand.Set.PartBytes(demand.Part))
+	desired := agent.desired[demand.Dataset.Name]
+	missing = float64(demand.Dataset.PartBytes(demand.Part))
 	if transfer := desired.transfers[demand.Part]; transfer != nil {
 		missing -= float64(transfer.receivedBytes)
 		return missing, planner.replaceFailedSources(agent, demand, transfer, snapshot, now)
@@ -56,8 +56,8 @@
 		return missing, false
 	}
 	desired.transfers[demand.Part] = &partTransfer{sources: sources, lastProgress: now, failures: map[api.StageSource]string{}}
-	planner.counts.add(agent, partKey{demand.Set.Name, demand.Part}, sources[0], planner.agentsByAddress)
-	planner.Planned++
+	planner.counts.add(agent, partKey{demand.Dataset.Name, demand.Part}, sources[0], planner.agentsByAddress)
+	planner.PlannedTransfers++
 	return missing, true
 }
 
--- a/staging/planner.go
+++ b/staging/planner.go
@@ -33,18 +33,18 @@
 	// LinkRate is the bandwidth of a machine's link in each direction, and StoreRate the total
 	// bandwidth of the store, in bytes per second. Zero means unknown; the rate is then ignored.
 	LinkRate, StoreRate float64
-	// PerLink is the maximum number of concurrent transfers to a machine, and also from a machine.
-	// AtStore is the maximum number of concurrent transfers from the store.
-	PerLink, AtStore int
-	// Peers allows machines to copy from one another. If it is false, every part comes from the
+	// TransfersPerLink is the maximum number of concurrent transfers to a machine, and also from a machine.
+	// StoreTransfers is the maximum number of concurrent transfers from the store.
+	TransfersPerLink, StoreTransfers int
+	// AllowPeers allows machines to copy from one another. If it is false, every part comes from the
 	// store.
-	Peers bool
+	AllowPeers bool
 }
 
 // Demand requests one part of a dataset on one machine.
 type Demand struct {
 	Machine string
-	Set     *dataset.Summary
+	Dataset *dataset.Summary
 	Part    int
 }
 
@@ -68,9 +68,9 @@
 	// removedManifests maps the name of each permanently removed dataset to its manifest's digest.
 	removedManifests map[string]string
 
-	// Planned counts the transfers that were planned, and Failed the failures of sources of a
+	// PlannedTransfers counts the transfers that were planned, and Failed the failures of sources of a
 	// transfer, since the term began.
-	Planned, Failed int
+	PlannedTransfers, SourceFailures int
 }
 
 // partKey identifies one part of a dataset.
@@ -192,11 +192,11 @@
 	}
 	planner.removedManifests[name] = manifest
 	snapshot := planner.index.Snapshot()
-	if !snapshot.Known(name) {
+	if !snapshot.HasReplicas(name) {
 		return
 	}
 	for _, agent := range planner.agents {
-		if snapshot.Count(agent.id, name) == 0 {
+		if snapshot.HeldPartCount(agent.id, name) == 0 {
 			continue
 		}
 		if agent.removedDatasets == nil {
--- a/staging/proxy.go
+++ b/staging/proxy.go
@@ -31,7 +31,7 @@
 	// set.
 	replicasKnown   bool
 	replicasVersion uint64
-	replicas        []api.StageHeld
+	replicas        []api.StageHolding
 	// lastStatus is the status of the last heartbeat, as encoded by encodeStatus.
 	lastStatus []byte
 }
@@ -59,17 +59,17 @@
 	if err != nil {
 		return api.StageOrder{}, err
 	}
-	if heartbeat.All {
+	if heartbeat.HoldingsComplete {
 		agent.replicasKnown = true
 		agent.replicasVersion = heartbeat.Version
-		agent.replicas = heartbeat.Holds
+		agent.replicas = heartbeat.Holdings
 	}
 	replicasCurrent := agent.replicasKnown && agent.replicasVersion == heartbeat.Version
-	leaderCurrent := ordered && order.Known == heartbeat.Version
+	leaderCurrent := ordered && order.KnownVersion == heartbeat.Version
 	if replicasCurrent && !leaderCurrent {
 		// The agent stops sending its replicas once the proxy has them, even if the leader does not.
-		heartbeat.All = true
-		heartbeat.Holds = agent.replicas
+		heartbeat.HoldingsComplete = true
+		heartbeat.Holdings = agent.replicas
 	}
 	if err := proxy.relayHeartbeat(agent, &heartbeat, now); err != nil {
 		return api.StageOrder{}, err
@@ -78,7 +78,7 @@
 		order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
 	}
 	if replicasCurrent {
-		order.Known = heartbeat.Version
+		order.KnownVersion = heartbeat.Version
 	}
 	return order, nil
 }
@@ -114,11 +114,11 @@
 // encodeStatus encodes a heartbeat without its sequence number and byte counts, which change with
 // almost every heartbeat.
 func encodeStatus(heartbeat api.StageHeartbeat) ([]byte, error) {
-	heartbeat.Seq, heartbeat.Used, heartbeat.FromStore, heartbeat.FromPeers = 0, 0, 0, 0
+	heartbeat.Seq, heartbeat.Used, heartbeat.BytesFromStore, heartbeat.BytesFromPeers = 0, 0, 0, 0
 	copies := heartbeat.Copies
 	heartbeat.Copies = nil
 	for _, progress := range copies {
-		progress.Got = 0
+		progress.CopiedBytes = 0
 		heartbeat.Copies = append(heartbeat.Copies, progress)
 	}
 	return json.Marshal(heartbeat)
