--- a/staging/queries.go
+++ b/staging/queries.go
@@ -29,8 +29,8 @@
 	return agent.id, true
 }
 
-// Full returns whether a machine's cache has no space for a part that the machine has to copy.
-func (planner *Planner) Full(machine string) bool {
+// CacheFull returns whether a machine's cache has no space for a part that the machine has to copy.
+func (planner *Planner) CacheFull(machine string) bool {
 	agent := planner.agents[machine]
 	return agent != nil && agent.cacheFull
 }
@@ -45,8 +45,8 @@
 // ConfirmedAll returns whether Confirmed holds for every part of a dataset.
 func (planner *Planner) ConfirmedAll(machine string, summary *dataset.Summary) bool {
 	desired := planner.acknowledgedDataset(machine, summary)
-	return desired != nil && int(desired.parts.GetCardinality()) == summary.Parts &&
-		int(desired.pinned.AndCardinality(desired.parts)) == summary.Parts
+	return desired != nil && int(desired.parts.GetCardinality()) == summary.PartCount &&
+		int(desired.pinned.AndCardinality(desired.parts)) == summary.PartCount
 }
 
 // acknowledgedDataset returns the desired state of a dataset on a machine, or nil if the machine's agent has
@@ -96,20 +96,20 @@
 // a machine whose link has queued bytes to receive first. storeOnly says that no machine holds the
 // bytes; they then also wait for the bytes queued at the store.
 func (planner *Planner) TransferDelay(queued, bytes float64, storeOnly bool) float64 {
-	return cost.Copy(bytes, queued, planner.limits.LinkRate, planner.queues.fromStore, planner.limits.StoreRate, storeOnly || !planner.limits.Peers)
+	return cost.Copy(bytes, queued, planner.limits.LinkRate, planner.queues.fromStore, planner.limits.StoreRate, storeOnly || !planner.limits.AllowPeers)
 }
 
-// InFlight returns, as of the last call of Plan, the number of bytes of a part that each machine on
+// MissingBytes returns, as of the last call of Plan, the number of bytes of a part that each machine on
 // which it is missing still has to receive. The caller must not modify the map.
-func (planner *Planner) InFlight(datasetName string, part int) map[replicas.MachineID]float64 {
+func (planner *Planner) MissingBytes(datasetName string, part int) map[replicas.MachineID]float64 {
 	return planner.queues.missing[partKey{datasetName, part}]
 }
 
-// Spread returns the estimated time in seconds until one more machine has a part, given its number of
+// SpreadDelay returns the estimated time in seconds until one more machine has a part, given its number of
 // holders. Every holder serves the part to others, so the number of holders doubles in the time of one
 // transfer. The result is 0 if the link rate is unknown or machines may not copy from one another.
-func (planner *Planner) Spread(summary *dataset.Summary, part, holders int) float64 {
-	if planner.limits.LinkRate <= 0 || !planner.limits.Peers {
+func (planner *Planner) SpreadDelay(summary *dataset.Summary, part, holders int) float64 {
+	if planner.limits.LinkRate <= 0 || !planner.limits.AllowPeers {
 		return 0
 	}
 	pendingReceivers := len(planner.queues.missing[partKey{summary.Name, part}])
@@ -117,8 +117,8 @@
 	return float64(summary.PartBytes(part)) / planner.limits.LinkRate * doublings
 }
 
-// Backlog returns the number of bytes that all machines together still have to receive.
-func (planner *Planner) Backlog() float64 {
+// TotalQueuedBytes returns the number of bytes that all machines together still have to receive.
+func (planner *Planner) TotalQueuedBytes() float64 {
 	sum := 0.0
 	for _, agent := range planner.agents {
 		sum += agent.queuedBytes
@@ -135,23 +135,23 @@
 		return order, "", false
 	}
 	order = api.StageOrder{
-		Term:        planner.term,
-		Incarnation: agent.incarnation,
-		Order:       agent.orderNumber,
-		Known:       agent.replicasVersion,
-		Sets:        []api.StageSet{},
+		Term:         planner.term,
+		Incarnation:  agent.incarnation,
+		Sequence:     agent.orderNumber,
+		KnownVersion: agent.replicasVersion,
+		Sets:         []api.StageSet{},
 	}
 	for _, name := range slices.Sorted(maps.Keys(agent.desired)) {
 		desired := agent.desired[name]
-		set := api.StageSet{Dataset: name, Manifest: desired.summary.Manifest.String(), Parts: api.PartSet{Bitmap: desired.parts}}
+		set := api.StageSet{Dataset: name, Manifest: desired.summary.ManifestDigest.String(), Parts: api.PartSet{Bitmap: desired.parts}}
 		for _, part := range slices.Sorted(maps.Keys(desired.transfers)) {
-			set.Copies = append(set.Copies, api.StageCopy{Part: part, From: desired.transfers[part].sources})
+			set.Copies = append(set.Copies, api.StageCopy{Part: part, Sources: desired.transfers[part].sources})
 		}
 		order.Sets = append(order.Sets, set)
 	}
 	for _, name := range slices.Sorted(maps.Keys(agent.removedDatasets)) {
 		if agent.desired[name] == nil {
-			order.Drop = append(order.Drop, planner.removedManifests[name])
+			order.DropManifests = append(order.DropManifests, planner.removedManifests[name])
 		}
 	}
 	return order, agent.address, true
@@ -161,18 +161,18 @@
 type TransferStatus struct {
 	Machine, Dataset string
 	Part             int
-	// Got is the number of received bytes, and Of the size of the part in bytes.
-	Got, Of int64
-	// From lists the sources in the order in which the agent tries them.
-	From []api.StageSource
-	// Failed maps the name of each source that failed to the reason.
-	Failed map[string]string
-	// Full says that the machine's cache has no space for a part.
-	Full bool
-}
-
-// Copies returns all transfers, sorted by machine, dataset and part.
-func (planner *Planner) Copies() []TransferStatus {
+	// ReceivedBytes is the number of received bytes, and Of the size of the part in bytes.
+	ReceivedBytes, TotalBytes int64
+	// Sources lists the sources in the order in which the agent tries them.
+	Sources []api.StageSource
+	// FailedSources maps the name of each source that failed to the reason.
+	FailedSources map[string]string
+	// CacheFull says that the machine's cache has no space for a part.
+	CacheFull bool
+}
+
+// Transfers returns all transfers, sorted by machine, dataset and part.
+func (planner *Planner) Transfers() []TransferStatus {
 	var statuses []TransferStatus
 	for _, machine := range slices.Sorted(maps.Keys(planner.agents)) {
 		agent := planner.agents[machine]
@@ -181,17 +181,17 @@
 			for _, part := range slices.Sorted(maps.Keys(desired.transfers)) {
 				transfer := desired.transfers[part]
 				status := TransferStatus{
-					Machine: machine,
-					Dataset: name,
-					Part:    part,
-					Got:     transfer.receivedBytes,
-					Of:      desired.summary.PartBytes(part),
-					From:    transfer.sources,
-					Failed:  map[string]string{},
-					Full:    agent.cacheFull,
+					Machine:       machine,
+					Dataset:       name,
+					Part:          part,
+					ReceivedBytes: transfer.receivedBytes,
+					TotalBytes:    desired.summary.PartBytes(part),
+					Sources:       transfer.sources,
+					FailedSources: map[string]string{},
+					CacheFull:     agent.cacheFull,
 				}
 				for source, reason := range transfer.failures {
-					status.Failed[source.String()] = reason
+					status.FailedSources[source.String()] = reason
 				}
 				statuses = append(statuses, status)
 			}
--- a/staging/sources.go
+++ b/staging/sources.go
@@ -15,7 +15,7 @@
 // are excluded. The store is used only if no usable peer holds the part and no other machine is
 // receiving it, so that each part is copied from the store only once.
 func (planner *Planner) chooseSources(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) []api.StageSource {
-	if agent.address == "" || agent.incoming >= planner.limits.PerLink {
+	if agent.address == "" || agent.incoming >= planner.limits.TransfersPerLink {
 		return nil
 	}
 	peers, busy := planner.availablePeers(agent, demand, snapshot, now, failed)
@@ -26,7 +26,7 @@
 		}
 		return sources
 	}
-	if busy || planner.counts.fromStore >= planner.limits.AtStore || planner.limits.Peers && planner.isProgressing(demand.Set.Name, demand.Part, now) {
+	if busy || planner.counts.fromStore >= planner.limits.StoreTransfers || planner.limits.AllowPeers && planner.isProgressing(demand.Dataset.Name, demand.Part, now) {
 		return nil
 	}
 	return []api.StageSource{{Store: true}}
@@ -36,10 +36,10 @@
 // transfers first. busy says that at least one usable peer was left out only because it already
 // serves the maximum number of transfers.
 func (planner *Planner) availablePeers(agent *agentState, demand Demand, snapshot *replicas.Snapshot, now time.Time, failed map[api.StageSource]string) (peers []*agentState, busy bool) {
-	if !planner.limits.Peers {
+	if !planner.limits.AllowPeers {
 		return nil, false
 	}
-	for _, machineID := range snapshot.Holders(demand.Set.Name, demand.Part) {
+	for _, machineID := range snapshot.Holders(demand.Dataset.Name, demand.Part) {
 		peer := planner.agentsByID[machineID]
 		if peer == nil || peer == agent || peer.address == "" || planner.corruptPeers[peer.address] || now.Sub(peer.lastHeartbeat) > tuning.StageSilenceTimeout {
 			continue
@@ -47,7 +47,7 @@
 		if _, hasFailed := failed[api.StageSource{Peer: peer.address}]; hasFailed {
 			continue
 		}
-		if peer.outgoing >= planner.limits.PerLink {
+		if peer.outgoing >= planner.limits.TransfersPerLink {
 			busy = true
 			continue
 		}
@@ -85,7 +85,7 @@
 	if !planner.allSourcesFailed(transfer) {
 		return false
 	}
-	desired := agent.desired[demand.Set.Name]
+	desired := agent.desired[demand.Dataset.Name]
 	// The transfer itself must not count against the limits while its new sources are chosen.
 	planner.cancelTransfer(agent, desired, demand.Part)
 	sources := planner.chooseSources(agent, Demand{agent.name, desired.summary, demand.Part}, snapshot, now, transfer.failures)
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -8,9 +8,9 @@
 	"switchferry/replicas"
 )
 
-var inventory = &dataset.Summary{Name: "inv", Bytes: 80, Parts: 8, Usual: 10}
+var inventory = &dataset.Summary{Name: "inv", Bytes: 80, PartCount: 8, CommonPartBytes: 10}
 
-var limits = Limits{LinkRate: 100, StoreRate: 100, PerLink: 2, AtStore: 2, Peers: true}
+var limits = Limits{LinkRate: 100, StoreRate: 100, TransfersPerLink: 2, StoreTransfers: 2, AllowPeers: true}
 
 // Each part is copied from the store only once, however many machines demand it. The machines copy it
 // from one another without exceeding the limit of concurrent transfers per link.
--- a/store/committer.go
+++ b/store/committer.go
@@ -79,8 +79,8 @@
 
 // NewCommitter returns a committer for one term that writes through client and stays within limits. The map
 // revisions has the revision of each key as loaded at the start of the term; the committer takes ownership of it.
-func NewCommitter(client *Client, source RecordSource, clock clockwork.Clock, limits settings.State, revisions map[string]uint64) *Committer {
-	lowestLimits := limits.Least()
+func NewCommitter(client *Client, source RecordSource, clock clockwork.Clock, limits settings.StateLimits, revisions map[string]uint64) *Committer {
+	lowestLimits := limits.Strictest()
 	writeRate := rate.Limit(limits.WriteRPS * tuning.LeaderRateShare)
 	limiter := rate.NewLimiter(writeRate, max(1, int(writeRate)))
 	committer := &Committer{
@@ -94,7 +94,7 @@
 		wake:          make(chan struct{}, 1),
 		queue:         newRecordQueue(),
 		revisions:     revisions,
-		maxValueBytes: limits.ValueBytes(),
+		maxValueBytes: limits.MaxValueBytes(),
 	}
 	if lowestLimits.WriteRPS < limits.WriteRPS {
 		committer.announcedRate = rate.Limit(lowestLimits.WriteRPS * tuning.LeaderRateShare)
--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -39,12 +39,12 @@
 }
 
 func newTestCommitterAt(clock clockwork.Clock) (*fake.State, *fakeSource, *Committer) {
-	return newTestCommitterWithin(clock, settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16})
+	return newTestCommitterWithin(clock, settings.StateLimits{WriteRPS: 60, TxnOps: 12, ValueKB: 16})
 }
 
 // newTestCommitterWithin is newTestCommitter with a committer that stays within limits. The state service does not
 // enforce any limits.
-func newTestCommitterWithin(clock clockwork.Clock, limits settings.State) (*fake.State, *fakeSource, *Committer) {
+func newTestCommitterWithin(clock clockwork.Clock, limits settings.StateLimits) (*fake.State, *fakeSource, *Committer) {
 	state := fake.NewState(clock)
 	source := &fakeSource{values: map[string]any{}}
 	source.leader = Condition{LeaderKey, state.Put(LeaderKey, LeaderRecord{Member: "a"})}
@@ -109,14 +109,14 @@
 	const key = "sf/t/run-1/0"
 	source.values[key] = "first"
 	committer.MarkDirty(key, Ordinary, nil)
-	state.HoldNext = true
+	state.HoldNextTransaction = true
 	committer.Step(t.Context())
 	source.values[key] = "second"
 	committer.Step(t.Context())
 	if got := decodeString(t, state.Get(key)); got != "second" {
 		t.Fatalf("stored %q", got)
 	}
-	state.Deliver()
+	state.ExecuteHeld()
 	if got := decodeString(t, state.Get(key)); got != "second" {
 		t.Errorf("a late transaction wrote %q", got)
 	}
@@ -129,7 +129,7 @@
 	source.values["sf/j/run-1"] = "job"
 	stored := 0
 	committer.MarkDirty("sf/j/run-1", Urgent, func() { stored++ })
-	state.LoseAnswer = true
+	state.LoseNextAnswer = true
 	committer.Step(t.Context())
 	if stored != 0 {
 		t.Fatal("callback ran before the outcome was known")
@@ -149,8 +149,8 @@
 	source.values["sf/j/run-9"] = "job"
 	committer.MarkDirty("sf/j/run-9", Urgent, nil)
 	committer.Step(t.Context())
-	if state.Get("sf/j/run-9") == nil || state.Largest.Ops > 12 {
-		t.Errorf("the accepted job was not written first, or a transaction had %d changes", state.Largest.Ops)
+	if state.Get("sf/j/run-9") == nil || state.LargestTransaction.Ops > 12 {
+		t.Errorf("the accepted job was not written first, or a transaction had %d changes", state.LargestTransaction.Ops)
 	}
 	for range 10 {
 		committer.Step(t.Context())
@@ -183,22 +183,22 @@
 	for _, executed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("executed %v", executed), func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			state, source, committer := newTestCommitterWithin(clock, settings.State{WriteRPS: 100, TxnOps: 12, ValueKB: 16})
+			state, source, committer := newTestCommitterWithin(clock, settings.StateLimits{WriteRPS: 100, TxnOps: 12, ValueKB: 16})
 			stored := 0
 			source.values[JobKey("run-1")] = "job"
 			committer.MarkDirty(JobKey("run-1"), Urgent, func() { stored++ })
-			late := state.LateNext(executed)
-			var read *fake.Late
+			late := state.DelayNextTransaction(executed)
+			var read *fake.DelayedAnswer
 			if executed {
 				// The response to the read that verifies the first attempt is late as well.
-				read = state.LateRead(false)
+				read = state.DelayNextRead(false)
 			}
 			done := make(chan struct{})
 			go func() {
 				committer.Step(t.Context())
 				close(done)
 			}()
-			<-late.Asked
+			<-late.Received
 			if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
@@ -206,15 +206,15 @@
 			// If the first attempt was executed, the second one fails with a conflict. The committer then reads
 			// the key and does not wait for the first response.
 			if executed {
-				<-read.Asked
+				<-read.Received
 			}
 			advanceUntil(clock, done)
 			if stored != 1 || decodeString(t, state.Get(JobKey("run-1"))) != "job" {
 				t.Errorf("callback ran %d times", stored)
 			}
-			late.Answer()
+			late.Release()
 			if executed {
-				read.Answer()
+				read.Release()
 			}
 			source.values[JobKey("run-1")] = "newer"
 			committer.MarkDirty(JobKey("run-1"), Urgent, nil)
@@ -243,7 +243,7 @@
 // quarantined record is written after the quarantine if it is acceptable by then.
 func TestRejectedRecordIsQuarantined(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	state, source, committer := newTestCommitterWithin(clock, settings.State{WriteRPS: 1000, TxnOps: 12, ValueKB: 16})
+	state, source, committer := newTestCommitterWithin(clock, settings.StateLimits{WriteRPS: 1000, TxnOps: 12, ValueKB: 16})
 	tooLarge, invalid := JobKey("run-000001"), JobKey("with space")
 	source.values[tooLarge], source.values[invalid] = strings.Repeat("x", 17<<10), "job"
 	stored := map[string]bool{}
@@ -285,9 +285,9 @@
 // state service refuses nothing, and accepted jobs are still written before other pending records.
 func TestRateIsLoweredAtFirstRefusal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	limits := settings.State{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Next: settings.NextState{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
+	limits := settings.StateLimits{WriteRPS: 60, TxnOps: 12, ValueKB: 16, Announced: settings.AnnouncedStateLimits{WriteRPS: 42, ValueKB: 2, TxnOps: 4}}
 	state, source, committer := newTestCommitterWithin(clock, limits)
-	state.Limit(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
+	state.SetLimits(fake.Limits{WriteRPS: 60, ValueKB: 16, TxnOps: 12})
 	markDirtyRange := func(from, to int) {
 		for i := from; i < to; i++ {
 			key := Shard{"run-1", i, 40}.Key()
@@ -303,7 +303,7 @@
 	}
 	markDirtyRange(0, 900)
 	runFor(2 * time.Second)
-	state.Limit(fake.Limits{WriteRPS: 42, ValueKB: 2, TxnOps: 4})
+	state.SetLimits(fake.Limits{WriteRPS: 42, ValueKB: 2, TxnOps: 4})
 	runFor(9 * time.Second)
 	if count := state.Refusals()["too many changes"]; count < 1 || count > 2 {
 		t.Fatalf("%d refusals, want one or two", count)
@@ -317,8 +317,8 @@
 		t.Error("an accepted job was not written although a part of the limit is reserved for it")
 	}
 	runFor(5 * time.Second)
-	if after := state.Refusals(); !maps.Equal(before, after) || state.Largest.Ops > 4 {
-		t.Errorf("refusals %v, then %v; %d changes in one transaction", before, after, state.Largest.Ops)
+	if after := state.Refusals(); !maps.Equal(before, after) || state.LargestTransaction.Ops > 4 {
+		t.Errorf("refusals %v, then %v; %d changes in one transaction", before, after, state.LargestTransaction.Ops)
 	}
 	if committer.Pending() > 800 {
 		t.Errorf("%d records are still pending", committer.Pending())
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -30,14 +30,14 @@
 			client := NewClient("state:1", state)
 			deletedKey := Condition{JobKey("run-3"), state.Put(JobKey("run-3"), "old")}
 			hedged := NewHedgedClient(client, clock, rate.NewLimiter(10, 10), 10)
-			late := state.LateNext(test.err == nil)
+			late := state.DelayNextTransaction(test.err == nil)
 			done := make(chan error)
 			go func() {
 				_, _, err := hedged.Transact(t.Context(), []Condition{{Key: JobKey("run-1")}, {Key: JobKey("run-2")}, deletedKey},
 					[]Operation{{Set: JobKey("run-1"), Value: "a"}, {Set: JobKey("run-2"), Value: "b"}, {Delete: deletedKey.Key}})
 				done <- err
 			}()
-			<-late.Asked
+			<-late.Received
 			test.before(state)
 			if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 			if err := <-done; !errors.Is(err, test.err) {
 				t.Errorf("error %v, want %v", err, test.err)
 			}
-			late.Answer()
+			late.Release()
 		})
 	}
 }
--- a/topology/constraint.go
+++ b/topology/constraint.go
@@ -28,7 +28,7 @@
 }
 
 // limitsSpread reports whether the number of tasks in one failure domain is limited.
-func (c *Constraint) limitsSpread() bool { return c.Spread != nil && c.Spread.Must }
+func (c *Constraint) limitsSpread() bool { return c.Spread != nil && c.Spread.Required }
 
 // StartableTasks returns how many of the tasks could start in a domain at the same time; at most constraint.Tasks.
 func (t *Tree) StartableTasks(domain *Domain, constraint Constraint) int {
@@ -44,7 +44,7 @@
 		tasks := node.free.Count(constraint.Resources)
 		if placed != nil {
 			failureDomain := t.FailureDomain(node.name, constraint.Spread.Level)
-			tasks = min(tasks, constraint.Spread.AtMost-placed[failureDomain])
+			tasks = min(tasks, constraint.Spread.MaxTasks-placed[failureDomain])
 			placed[failureDomain] += tasks
 		}
 		if startable += tasks; startable >= constraint.Tasks {
@@ -149,7 +149,7 @@
 		if tasks == constraint.Tasks {
 			break
 		}
-		if task.failureDomain != (FailureDomain{}) && placed[task.failureDomain] >= constraint.Spread.AtMost {
+		if task.failureDomain != (FailureDomain{}) && placed[task.failureDomain] >= constraint.Spread.MaxTasks {
 			continue
 		}
 		placed[task.failureDomain]++
--- a/topology/constraint_test.go
+++ b/topology/constraint_test.go
@@ -33,7 +33,7 @@
 			}
 			fit := 0
 			for name, r := range free {
-				if innermost, _ := topology.Of(name); innermost.Within(domain) {
+				if innermost, _ := topology.DomainOf(name); innermost.Within(domain) {
 					fit += r.Count(request)
 				}
 			}
--- a/topology/file_test.go
+++ b/topology/file_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if domain, ambiguous := file.Map().Of("n-000123"); domain == nil || domain.Name != "rack-2" || ambiguous {
+	if domain, ambiguous := file.Map().DomainOf("n-000123"); domain == nil || domain.Name != "rack-2" || ambiguous {
 		t.Errorf("domain %+v, ambiguous: %v; want rack-2", domain, ambiguous)
 	}
 }
--- a/topology/reservations.go
+++ b/topology/reservations.go
@@ -14,8 +14,8 @@
 	// Rank is the job's priority; higher is more important.
 	Rank   int
 	Domain *Domain
-	// At is when the domain is needed: the time at which the last of the job's tasks could start there.
-	At time.Time
+	// NeededAt is when the domain is needed: the time at which the last of the job's tasks could start there.
+	NeededAt time.Time
 
 	// expiresAt is when the reservation ends unless it is renewed.
 	expiresAt time.Time
@@ -27,7 +27,7 @@
 	if r.Job == job || rank > r.Rank || !now.Before(r.expiresAt) || !domain.Within(r.Domain) {
 		return false
 	}
-	return endsAt.IsZero() || endsAt.After(r.At)
+	return endsAt.IsZero() || endsAt.After(r.NeededAt)
 }
 
 // Reservations holds the reservations of one leadership term. They are not persisted: they are derived from the running
@@ -62,7 +62,7 @@
 	if previous := r.reservations[own]; previous.Domain == request.Domain {
 		// A renewal does not postpone the time at which the domain is needed, so other jobs that use it meanwhile do
 		// not delay the job.
-		request.At = latest(now, earliest(request.At, previous.At))
+		request.NeededAt = latest(now, earliest(request.NeededAt, previous.NeededAt))
 	}
 	r.reservations[own] = request
 	return true
--- a/topology/reservations_test.go
+++ b/topology/reservations_test.go
@@ -33,10 +33,10 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			var reservations Reservations
-			if !reservations.Reserve(now, Reservation{Job: "job", Domain: domainOf(t, topology, "s1"), At: now}) {
+			if !reservations.Reserve(now, Reservation{Job: "job", Domain: domainOf(t, topology, "s1"), NeededAt: now}) {
 				t.Fatal("the first reservation is rejected")
 			}
-			if got := reservations.Reserve(now, Reservation{Job: testCase.job, Domain: domainOf(t, topology, testCase.domain), At: now}); got != testCase.want {
+			if got := reservations.Reserve(now, Reservation{Job: testCase.job, Domain: domainOf(t, topology, testCase.domain), NeededAt: now}); got != testCase.want {
 				t.Errorf("reserved %v, want %v", got, testCase.want)
 			}
 		})
@@ -58,8 +58,8 @@
 		{4 * time.Second, 9 * time.Second, 4 * time.Second},
 	} {
 		now := start.Add(step.after)
-		reservations.Reserve(now, Reservation{Job: "job", Domain: rack, At: start.Add(step.at)})
-		if all := reservations.All(now); len(all) != 1 || !all[0].At.Equal(start.Add(step.wantAt)) {
+		reservations.Reserve(now, Reservation{Job: "job", Domain: rack, NeededAt: start.Add(step.at)})
+		if all := reservations.All(now); len(all) != 1 || !all[0].NeededAt.Equal(start.Add(step.wantAt)) {
 			t.Errorf("after %v: %+v, want one for %v", step.after, all, step.wantAt)
 		}
 	}
@@ -76,7 +76,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	var reservations Reservations
 	for i, domain := range mustParse(t, text).Domains() {
-		if got, want := reservations.Reserve(now, Reservation{Job: domain.Name, Domain: domain, At: now}), i < tuning.MaxDomainReservations; got != want {
+		if got, want := reservations.Reserve(now, Reservation{Job: domain.Name, Domain: domain, NeededAt: now}), i < tuning.MaxDomainReservations; got != want {
 			t.Errorf("reservation %d: %v, want %v", i+1, got, want)
 		}
 	}
@@ -87,7 +87,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	neededAt := now.Add(10 * time.Second)
 	var reservations Reservations
-	reservations.Reserve(now, Reservation{Job: "job", Rank: 1, Domain: domainOf(t, topology, "s1"), At: neededAt})
+	reservations.Reserve(now, Reservation{Job: "job", Rank: 1, Domain: domainOf(t, topology, "s1"), NeededAt: neededAt})
 	for _, testCase := range []struct {
 		name   string
 		domain *Domain
--- a/topology/search.go
+++ b/topology/search.go
@@ -6,7 +6,7 @@
 	"switchferry/tuning"
 )
 
-// Search decides how many CPUs to request from the cloud for stranded tasks: those that cannot run on any free machine
+// StrandedScaleUp decides how many CPUs to request from the cloud for stranded tasks: those that cannot run on any free machine
 // because all free machines are in the wrong failure domain. The cloud does not tell the domain of a new machine before
 // it has started, so the new machine may be in the wrong domain too. Therefore, attempts are limited in time and
 // frequency: an attempt lasts as long as a machine takes to start plus tuning.SearchReportTimeout, and the pause before the
@@ -15,7 +15,7 @@
 //
 // The zero value has made no attempt. A Search has no clock. It is not persisted, so a new leader begins with the zero
 // value. It is not safe for concurrent use.
-type Search struct {
+type StrandedScaleUp struct {
 	// targetCPUs is what TargetCPUs returns during the current attempt, which lasts until attemptUntil.
 	targetCPUs   float64
 	attemptUntil time.Time
@@ -28,9 +28,9 @@
 // TargetCPUs returns the least number of CPUs that the fleet should have so that the stranded tasks can run, or 0
 // between attempts and if there are none. Stranded is the number of CPUs that these tasks request, supply the number
 // that the fleet has, including machines that are starting, and startup the longest time that a machine takes to start.
-func (s *Search) TargetCPUs(now time.Time, stranded, supply float64, startup time.Duration) float64 {
+func (s *StrandedScaleUp) TargetCPUs(now time.Time, stranded, supply float64, startup time.Duration) float64 {
 	if stranded <= 0 {
-		*s = Search{}
+		*s = StrandedScaleUp{}
 		return 0
 	}
 	if now.Before(s.attemptUntil) {
--- a/topology/search_test.go
+++ b/topology/search_test.go
@@ -10,7 +10,7 @@
 func TestScaleUpAttemptsAreLimited(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	const boot = 50 * time.Second
-	var search Search
+	var search StrandedScaleUp
 	supply, attempts := 100.0, 0
 	var last float64
 	for range 2 * 3600 {
--- a/topology/site.go
+++ b/topology/site.go
@@ -7,11 +7,11 @@
 	"switchferry/fleet"
 )
 
-// Site counts the tasks of one job, by the machines on which they run or may still run, and determines where more of
+// JobPlacement counts the tasks of one job, by the machines on which they run or may still run, and determines where more of
 // them may be placed under the job's affinity and spread. It knows machines by name only, so a new
 // leader, which reads the tasks from records before their machines report, gets the same results. A Site is not safe
 // for concurrent use.
-type Site struct {
+type JobPlacement struct {
 	tree     *Tree
 	affinity *api.Near
 	spread   *api.Survive
@@ -29,12 +29,12 @@
 	shortfall     int
 }
 
-// NewSite returns a Site of a job that has no tasks placed yet, or nil if the job has neither affinity nor spread.
-func (t *Tree) NewSite(affinity *api.Near, spread *api.Survive) *Site {
+// NewJobPlacement returns a Site of a job that has no tasks placed yet, or nil if the job has neither affinity nor spread.
+func (t *Tree) NewJobPlacement(affinity *api.Near, spread *api.Survive) *JobPlacement {
 	if affinity == nil && spread == nil {
 		return nil
 	}
-	s := &Site{tree: t, affinity: affinity, spread: spread, tasksOn: map[string]int{}}
+	s := &JobPlacement{tree: t, affinity: affinity, spread: spread, tasksOn: map[string]int{}}
 	if affinity != nil {
 		s.affinityCounts = t.NewTaskCounts(affinity.Level)
 	}
@@ -46,8 +46,8 @@
 
 // Rebased returns a copy of the site for a tree with another version of the topology. The tasks stay on their machines
 // and are counted in the domains of these machines in that version.
-func (s *Site) Rebased(tree *Tree) *Site {
-	next := tree.NewSite(s.affinity, s.spread)
+func (s *JobPlacement) Rebased(tree *Tree) *JobPlacement {
+	next := tree.NewJobPlacement(s.affinity, s.spread)
 	for machine, count := range s.tasksOn {
 		for range count {
 			next.Add(machine)
@@ -57,7 +57,7 @@
 }
 
 // Add adds a task that runs, or may still run, on a machine.
-func (s *Site) Add(machine string) {
+func (s *JobPlacement) Add(machine string) {
 	s.tasksOn[machine]++
 	for _, counts := range [...]*TaskCounts{s.affinityCounts, s.spreadCounts} {
 		if counts != nil {
@@ -67,7 +67,7 @@
 }
 
 // Remove removes a task that was added for a machine and is known to have ended.
-func (s *Site) Remove(machine string) {
+func (s *JobPlacement) Remove(machine string) {
 	if s.tasksOn[machine]--; s.tasksOn[machine] <= 0 {
 		delete(s.tasksOn, machine)
 	}
@@ -80,10 +80,12 @@
 
 // unplacedWithAffinity reports whether the job has an affinity and no task yet. A domain is chosen only then: once the
 // job has tasks, Allows and Cost keep further ones in the same failure domain.
-func (s *Site) unplacedWithAffinity() bool { return s.affinity != nil && s.affinityCounts.total == 0 }
+func (s *JobPlacement) unplacedWithAffinity() bool {
+	return s.affinity != nil && s.affinityCounts.total == 0
+}
 
 // constraint returns what a domain must offer to n additional tasks.
-func (s *Site) constraint(request fleet.Resources, n int, allowed func(machine string) bool) Constraint {
+func (s *JobPlacement) constraint(request fleet.Resources, n int, allowed func(machine string) bool) Constraint {
 	return Constraint{Resources: request, Tasks: n, Allowed: allowed, Spread: s.spread}
 }
 
@@ -91,7 +93,7 @@
 // resources; allowed reports whether they may run on a machine. If requireAll is set, only a domain in which all of
 // them can start at the same time is chosen; otherwise, if there is none, the one in which the most can start.
 // ChooseDomain returns false if the tasks must wait.
-func (s *Site) ChooseDomain(request fleet.Resources, n int, requireAll bool, allowed func(machine string) bool) bool {
+func (s *JobPlacement) ChooseDomain(request fleet.Resources, n int, requireAll bool, allowed func(machine string) bool) bool {
 	s.target, s.partialDomain, s.shortfall = nil, nil, 0
 	if !s.unplacedWithAffinity() || n == 0 {
 		return true
@@ -102,7 +104,7 @@
 	}
 	if best == nil {
 		s.partialDomain, s.shortfall = partial, shortfall
-		return !s.affinity.Must
+		return !s.affinity.Required
 	}
 	s.target = best
 	return true
@@ -111,7 +113,7 @@
 // ChooseDomainByPreemption chooses a domain like ChooseDomain, for a job that may preempt others: the domain in which
 // preemption costs the least. The function offer returns the cost of each additional task on a machine, as for
 // Tree.CheapestDomain. ChooseDomainByPreemption returns false if there is no such domain.
-func (s *Site) ChooseDomainByPreemption(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) bool {
+func (s *JobPlacement) ChooseDomainByPreemption(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) bool {
 	if !s.unplacedWithAffinity() {
 		return false
 	}
@@ -122,7 +124,7 @@
 // SoonestDomain returns the domain that is the first to have the resources for n tasks, and the time until then. The
 // function offer returns the time until each additional task on a machine could start, in a unit that the caller
 // chooses. The domain is nil if there is none, the job has no affinity, or the job has tasks already.
-func (s *Site) SoonestDomain(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) (*Domain, int64) {
+func (s *JobPlacement) SoonestDomain(request fleet.Resources, n int, allowed func(machine string) bool, offer func(machine string) []int64) (*Domain, int64) {
 	if !s.unplacedWithAffinity() {
 		return nil, 0
 	}
@@ -131,20 +133,20 @@
 
 // Allows reports whether one more task may be placed on a machine. Tasks that may still run count as running, so that
 // no limit is exceeded while tasks move between machines or after a change of leader.
-func (s *Site) Allows(machine string) bool {
-	if s.spread != nil && s.spread.Must && !s.spreadCounts.Allows(machine, s.spread.AtMost) {
+func (s *JobPlacement) Allows(machine string) bool {
+	if s.spread != nil && s.spread.Required && !s.spreadCounts.Allows(machine, s.spread.MaxTasks) {
 		return false
 	}
-	if s.target != nil && !s.tree.Of(machine).Within(s.target) {
+	if s.target != nil && !s.tree.DomainOf(machine).Within(s.target) {
 		return false
 	}
-	return s.affinity == nil || !s.affinity.Must || s.affinityCounts.CountAt(machine) == s.affinityCounts.total
+	return s.affinity == nil || !s.affinity.Required || s.affinityCounts.CountAt(machine) == s.affinityCounts.total
 }
 
 // Cost returns the penalty for placing one more task on a machine that Allows permits; lower is better. A spread adds 1
 // for each task of the job in the machine's failure domain, and an affinity adds 1 if tasks of the job are outside the
 // machine's failure domain.
-func (s *Site) Cost(machine string) float64 {
+func (s *JobPlacement) Cost(machine string) float64 {
 	cost := 0.0
 	if s.spread != nil {
 		cost += float64(s.spreadCounts.CountAt(machine))
@@ -157,9 +159,9 @@
 
 // Reason returns a message for users that tells why the last ChooseDomain returned false, or "" if the tasks need not
 // wait for a domain.
-func (s *Site) Reason() string {
+func (s *JobPlacement) Reason() string {
 	switch {
-	case s.affinity == nil || !s.affinity.Must || s.target != nil || s.affinityCounts.total > 0 || s.shortfall == 0:
+	case s.affinity == nil || !s.affinity.Required || s.target != nil || s.affinityCounts.total > 0 || s.shortfall == 0:
 		return ""
 	case s.partialDomain == nil:
 		return fmt.Sprintf("no %s has room for any of its tasks", s.affinity.Level)
@@ -167,12 +169,12 @@
 	return fmt.Sprintf("no %s has room for all of it: %s %q has none for %d", s.affinity.Level, s.partialDomain.Level, s.partialDomain.Name, s.shortfall)
 }
 
-// Infeasible returns a message for users if an affinity and a spread contradict each other, so that no fleet could run
+// InfeasibleReason returns a message for users if an affinity and a spread contradict each other, so that no fleet could run
 // so many tasks at the same time, or "" if they do not.
-func Infeasible(affinity *api.Near, spread *api.Survive, tasks int) string {
-	if affinity == nil || spread == nil || !affinity.Must || !spread.Must || levelDepth[spread.Level] > levelDepth[affinity.Level] || tasks <= spread.AtMost {
+func InfeasibleReason(affinity *api.Near, spread *api.Survive, tasks int) string {
+	if affinity == nil || spread == nil || !affinity.Required || !spread.Required || levelDepth[spread.Level] > levelDepth[affinity.Level] || tasks <= spread.MaxTasks {
 		return ""
 	}
 	return fmt.Sprintf("must run in one %s, so %d tasks would be in one %s, in which at most %d may run; make one of the two a preference (\"must\": false)",
-		affinity.Level, tasks, spread.Level, spread.AtMost)
+		affinity.Level, tasks, spread.Level, spread.MaxTasks)
 }
--- a/topology/site_test.go
+++ b/topology/site_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestNewSiteWithoutConstraintsReturnsNil(t *testing.T) {
-	if site := siteTree(t, 8, 8, 8).NewSite(nil, nil); site != nil {
+	if site := siteTree(t, 8, 8, 8).NewJobPlacement(nil, nil); site != nil {
 		t.Errorf("site %+v, want nil", site)
 	}
 }
@@ -33,15 +33,15 @@
 		wantAllowed  []string
 		wantReason   string
 	}{
-		{"a rack has resources for all tasks", api.Near{Level: Rack, Must: true}, 1, 4, true, true, []string{"n-20"}, ""},
-		{"no rack has resources for all tasks", api.Near{Level: Rack, Must: true}, 1, 3, true, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r2" has none for 1`},
-		{"no rack has resources for all tasks, which need not start together", api.Near{Level: Rack, Must: true}, 1, 3, false, true, []string{"n-20"}, ""},
+		{"a rack has resources for all tasks", api.Near{Level: Rack, Required: true}, 1, 4, true, true, []string{"n-20"}, ""},
+		{"no rack has resources for all tasks", api.Near{Level: Rack, Required: true}, 1, 3, true, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r2" has none for 1`},
+		{"no rack has resources for all tasks, which need not start together", api.Near{Level: Rack, Required: true}, 1, 3, false, true, []string{"n-20"}, ""},
 		{"no rack has resources for all tasks, and the affinity is a preference", api.Near{Level: Rack}, 1, 3, true, true, []string{"n-10", "n-20", "n-30"}, ""},
-		{"no rack has resources for any task", api.Near{Level: Rack, Must: true}, 0, 0, false, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r1" has none for 4`},
-		{"a switch has resources for all tasks", api.Near{Level: Switch, Must: true}, 2, 2, true, true, []string{"n-10", "n-20"}, ""},
+		{"no rack has resources for any task", api.Near{Level: Rack, Required: true}, 0, 0, false, false, []string{"n-10", "n-20", "n-30"}, `no rack has room for all of it: rack "r1" has none for 4`},
+		{"a switch has resources for all tasks", api.Near{Level: Switch, Required: true}, 2, 2, true, true, []string{"n-10", "n-20"}, ""},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			site := siteTree(t, testCase.rack1, testCase.rack2, 0).NewSite(&testCase.near, nil)
+			site := siteTree(t, testCase.rack1, testCase.rack2, 0).NewJobPlacement(&testCase.near, nil)
 			if got := site.ChooseDomain(fleet.Resources{CPUs: 1}, 4, testCase.all, nil); got != testCase.want {
 				t.Errorf("chosen %v, want %v", got, testCase.want)
 			}
@@ -62,7 +62,7 @@
 }
 
 func TestChooseDomainByPreemptionTakesLeastCost(t *testing.T) {
-	site := siteTree(t, 8, 8, 8).NewSite(&api.Near{Level: Rack, Must: true}, nil)
+	site := siteTree(t, 8, 8, 8).NewJobPlacement(&api.Near{Level: Rack, Required: true}, nil)
 	costs := map[string][]int64{"n-10": {0, 9}, "n-20": {3, 4}, "n-30": {1}}
 	offer := func(machine string) []int64 { return costs[machine] }
 	if !site.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 2, nil, offer) || !site.Allows("n-20") || site.Allows("n-10") {
@@ -74,7 +74,7 @@
 }
 
 func TestSoonestDomainIsWhereTheLastTaskStartsFirst(t *testing.T) {
-	site := siteTree(t, 8, 8, 8).NewSite(&api.Near{Level: Rack, Must: true}, nil)
+	site := siteTree(t, 8, 8, 8).NewJobPlacement(&api.Near{Level: Rack, Required: true}, nil)
 	starts := map[string][]int64{"n-10": {0, 9}, "n-20": {6, 7}, "n-30": {1}}
 	domain, at := site.SoonestDomain(fleet.Resources{CPUs: 8}, 2, nil, func(machine string) []int64 { return starts[machine] })
 	if domain == nil || domain.Name != "r2" || at != 7 {
@@ -86,12 +86,12 @@
 // until they are removed, also after a change to another version of the topology.
 func TestSiteAppliesAffinityAndSpreadToFurtherTasks(t *testing.T) {
 	tree := siteTree(t, 8, 8, 8)
-	affinity := tree.NewSite(&api.Near{Level: Switch, Must: true}, nil)
+	affinity := tree.NewJobPlacement(&api.Near{Level: Switch, Required: true}, nil)
 	affinity.Add("n-10")
 	if !affinity.Allows("n-20") || affinity.Allows("n-30") {
 		t.Error("a second task may run under another switch than the first one, or not under the same one")
 	}
-	spread := tree.NewSite(nil, &api.Survive{Level: Rack, AtMost: 1, Must: true})
+	spread := tree.NewJobPlacement(nil, &api.Survive{Level: Rack, MaxTasks: 1, Required: true})
 	spread.Add("n-10")
 	if spread.Allows("n-10") || !spread.Allows("n-20") {
 		t.Error("a rack may exceed the limit, or another rack may not reach it")
@@ -110,8 +110,8 @@
 }
 
 func TestInfeasibleIfAffinityAndSpreadContradict(t *testing.T) {
-	rack, zone := &api.Near{Level: Rack, Must: true}, &api.Near{Level: Zone, Must: true}
-	two := &api.Survive{Level: Switch, AtMost: 2, Must: true}
+	rack, zone := &api.Near{Level: Rack, Required: true}, &api.Near{Level: Zone, Required: true}
+	two := &api.Survive{Level: Switch, MaxTasks: 2, Required: true}
 	for _, testCase := range []struct {
 		name    string
 		near    *api.Near
@@ -126,7 +126,7 @@
 		{"several switches in one zone", zone, two, 9, false},
 		{"the affinity is a preference", &api.Near{Level: Rack}, two, 9, false},
 	} {
-		if got := Infeasible(testCase.near, testCase.survive, testCase.tasks) != ""; got != testCase.want {
+		if got := InfeasibleReason(testCase.near, testCase.survive, testCase.tasks) != ""; got != testCase.want {
 			t.Errorf("%s: infeasible %v, want %v", testCase.name, got, testCase.want)
 		}
 	}
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -114,10 +114,10 @@
 	return domain, ok
 }
 
-// Of returns the innermost domain whose patterns match a machine's name, or nil if there is none. The result is
+// DomainOf returns the innermost domain whose patterns match a machine's name, or nil if there is none. The result is
 // ambiguous if the patterns of two domains match and neither domain is within the other; in that case, the one declared
 // first is returned.
-func (m *Map) Of(machine string) (domain *Domain, ambiguous bool) {
+func (m *Map) DomainOf(machine string) (domain *Domain, ambiguous bool) {
 	for _, declared := range m.domains {
 		switch {
 		case !declared.declares(machine):
@@ -154,7 +154,7 @@
 func (m *Map) CheckAmbiguity(machines []string) error {
 	var mistakes []error
 	for _, name := range machines {
-		if _, ambiguous := m.Of(name); ambiguous && len(mistakes) < tuning.MaxReportedErrors {
+		if _, ambiguous := m.DomainOf(name); ambiguous && len(mistakes) < tuning.MaxReportedErrors {
 			mistakes = append(mistakes, fmt.Errorf("topology: machine %q matches the patterns of two separate domains; make the patterns mutually exclusive", name))
 		}
 	}
--- a/topology/tree.go
+++ b/topology/tree.go
@@ -20,7 +20,7 @@
 	name string
 	// domain is the innermost domain that declares the machine; nil if there is none.
 	domain *Domain
-	// ambiguous is the second result of Map.Of for the machine.
+	// ambiguous is the second result of Map.DomainOf for the machine.
 	ambiguous bool
 
 	free fleet.Resources
@@ -102,7 +102,7 @@
 // add adds a machine, initially unusable and without free resources.
 func (t *Tree) add(machine string) *machineNode {
 	node := &machineNode{name: machine}
-	node.domain, node.ambiguous = t.topology.Of(machine)
+	node.domain, node.ambiguous = t.topology.DomainOf(machine)
 	t.machines[machine] = node
 	if node.domain == nil {
 		t.unlisted++
@@ -141,19 +141,19 @@
 // Ambiguous returns the number of machines that are declared by two domains, neither of which is within the other.
 func (t *Tree) Ambiguous() int { return t.ambiguous }
 
-// Of returns the innermost domain that contains a machine, or nil if there is none. The machine need not be in the
+// DomainOf returns the innermost domain that contains a machine, or nil if there is none. The machine need not be in the
 // tree: a new leader may know its name only from records.
-func (t *Tree) Of(machine string) *Domain {
+func (t *Tree) DomainOf(machine string) *Domain {
 	if node := t.machines[machine]; node != nil {
 		return node.domain
 	}
-	domain, _ := t.topology.Of(machine)
+	domain, _ := t.topology.DomainOf(machine)
 	return domain
 }
 
 // Path returns the names of the domains that contain a machine, innermost first. The caller must not change the slice.
 func (t *Tree) Path(machine string) []string {
-	if domain := t.Of(machine); domain != nil {
+	if domain := t.DomainOf(machine); domain != nil {
 		return domain.path
 	}
 	return nil
@@ -169,7 +169,7 @@
 // FailureDomain returns the failure domain of a machine at a level. The machine need not be in the tree.
 func (t *Tree) FailureDomain(machine, level string) FailureDomain {
 	if level != Machine {
-		if domain := t.Of(machine).Ancestor(level); domain != nil {
+		if domain := t.DomainOf(machine).Ancestor(level); domain != nil {
 			return FailureDomain{Domain: domain}
 		}
 	}
--- a/topology/tree_test.go
+++ b/topology/tree_test.go
@@ -61,7 +61,7 @@
 			for _, domain := range topology.Domains() {
 				want, machines, usableMachines := fleet.Resources{}, 0, 0
 				for machine, r := range free {
-					if innermost, _ := topology.Of(machine); !innermost.Within(domain) {
+					if innermost, _ := topology.DomainOf(machine); !innermost.Within(domain) {
 						continue
 					}
 					machines++
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -16,7 +16,7 @@
 )
 
 // Task is the number of CPUs of one task and its run time in seconds.
-type Task struct{ CPUs, Run float64 }
+type Task struct{ CPUs, RunS float64 }
 
 // Job is a job that can start at Arrive and whose tasks must all end by Due, in seconds from the start of the day.
 type Job struct {
@@ -24,20 +24,20 @@
 	Tasks       []Task
 }
 
-// Free holds the number of CPUs available to the jobs in each time slot. Slot is the length of a slot in seconds; the
+// FreeCapacity holds the number of CPUs available to the jobs in each time slot. Slot is the length of a slot in seconds; the
 // first slot begins at the start of the day.
-type Free struct {
-	Slot float64
-	CPUs []float64
+type FreeCapacity struct {
+	SlotS float64
+	CPUs  []float64
 }
 
 // Result is the bound and the prices at which it was found.
 type Result struct {
 	// Jobs is the number of jobs. Alone is the number of jobs that could not have met their deadlines even with the
 	// whole fleet to themselves.
-	Jobs, Alone int
-	// Most is the bound on the number of jobs that could have met their deadlines together.
-	Most float64
+	Jobs, InfeasibleAlone int
+	// Bound is the bound on the number of jobs that could have met their deadlines together.
+	Bound float64
 	// Prices holds the price of each slot, in jobs per CPU second, at which the bound was found.
 	Prices []float64
 }
@@ -52,12 +52,12 @@
 	minImprovement = 1e-9
 )
 
-// InTime returns the bound after the given number of rounds. More rounds give a tighter bound.
-func InTime(jobs []Job, free Free, rounds int) Result {
+// Compute returns the bound after the given number of rounds. More rounds give a tighter bound.
+func Compute(jobs []Job, free FreeCapacity, rounds int) Result {
 	feasible := feasibleJobs(jobs)
 	result := Result{
-		Jobs: len(jobs), Alone: len(jobs) - len(feasible),
-		Most: float64(len(feasible)), Prices: make([]float64, len(free.CPUs)),
+		Jobs: len(jobs), InfeasibleAlone: len(jobs) - len(feasible),
+		Bound: float64(len(feasible)), Prices: make([]float64, len(free.CPUs)),
 	}
 	prices := make([]float64, len(free.CPUs))
 	usage := make([]float64, len(free.CPUs))
@@ -66,9 +66,9 @@
 	stale := 0
 	for range rounds {
 		value := evaluate(feasible, free, prices, usage)
-		if value < result.Most-minImprovement {
+		if value < result.Bound-minImprovement {
 			stale = 0
-			result.Most = value
+			result.Bound = value
 			copy(result.Prices, prices)
 		} else if stale++; stale > maxStaleRounds {
 			stale, target = 0, target/2
@@ -80,7 +80,7 @@
 		if norm == 0 {
 			break
 		}
-		floats.AddScaled(prices, -(value-result.Most*(1-target))/norm, subgradient)
+		floats.AddScaled(prices, -(value-result.Bound*(1-target))/norm, subgradient)
 		for i := range prices {
 			prices[i] = math.Max(0, prices[i])
 		}
@@ -100,7 +100,7 @@
 
 func feasibleAlone(job Job) bool {
 	for _, task := range job.Tasks {
-		if job.Arrive+task.Run > job.Due {
+		if job.Arrive+task.RunS > job.Due {
 			return false
 		}
 	}
@@ -109,9 +109,9 @@
 
 // setSubgradient sets the subgradient of the bound at the given prices: for each slot, the free CPU time minus the used
 // CPU time. It is projected to 0 where a step would lower a price that is already 0.
-func setSubgradient(subgradient []float64, free Free, prices, usage []float64) {
+func setSubgradient(subgradient []float64, free FreeCapacity, prices, usage []float64) {
 	for i, cpus := range free.CPUs {
-		subgradient[i] = math.Max(0, cpus)*free.Slot - usage[i]
+		subgradient[i] = math.Max(0, cpus)*free.SlotS - usage[i]
 		if prices[i] == 0 && subgradient[i] > 0 {
 			subgradient[i] = 0
 		}
@@ -120,13 +120,13 @@
 
 // evaluate returns the bound at the given prices and sets usage to the CPU seconds that the accepted jobs use in each
 // slot.
-func evaluate(jobs []Job, free Free, prices, usage []float64) float64 {
+func evaluate(jobs []Job, free FreeCapacity, prices, usage []float64) float64 {
 	total := 0.0
 	for i, price := range prices {
-		total += price * math.Max(0, free.CPUs[i]) * free.Slot
+		total += price * math.Max(0, free.CPUs[i]) * free.SlotS
 		usage[i] = 0
 	}
-	cumulative := newCumulativePrice(prices, free.Slot)
+	cumulative := newCumulativePrice(prices, free.SlotS)
 	var starts []float64
 	for _, job := range jobs {
 		starts = starts[:0]
@@ -143,7 +143,7 @@
 		}
 		total += 1 - cost
 		for i, task := range job.Tasks {
-			addUsage(usage, free.Slot, starts[i], starts[i]+task.Run, task.CPUs)
+			addUsage(usage, free.SlotS, starts[i], starts[i]+task.RunS, task.CPUs)
 		}
 	}
 	return total
@@ -179,13 +179,13 @@
 // only at slot boundaries, so it suffices to try the earliest and the latest start and all starts at which the task
 // starts or ends at a slot boundary.
 func (c *cumulativePrice) cheapestStart(job Job, task Task) (start, cost float64) {
-	latest := job.Due - task.Run
+	latest := job.Due - task.RunS
 	start, cost = job.Arrive, math.Inf(1)
 	consider := func(at float64) {
 		if at < job.Arrive || at > latest {
 			return
 		}
-		if costAt := c.costUpTo(at+task.Run) - c.costUpTo(at); costAt < cost {
+		if costAt := c.costUpTo(at+task.RunS) - c.costUpTo(at); costAt < cost {
 			start, cost = at, costAt
 		}
 	}
@@ -193,7 +193,7 @@
 	consider(latest)
 	for boundary := math.Ceil(job.Arrive/c.slotS) * c.slotS; boundary <= job.Due && cost > 0; boundary += c.slotS {
 		consider(boundary)
-		consider(boundary - task.Run)
+		consider(boundary - task.RunS)
 	}
 	return start, cost
 }
--- a/upperbound/upperbound_test.go
+++ b/upperbound/upperbound_test.go
@@ -12,7 +12,7 @@
 
 // fits reports whether a task can run from the given second on.
 func (s *schedule) fits(task Task, from int) bool {
-	to := from + int(task.Run)
+	to := from + int(task.RunS)
 	return to <= len(s.freeCPUs) && !slices.ContainsFunc(s.freeCPUs[from:to], func(cpus float64) bool { return cpus < task.CPUs })
 }
 
@@ -30,15 +30,15 @@
 		return placeRest()
 	}
 	placed := job.Tasks[task]
-	for start := int(job.Arrive); float64(start)+placed.Run <= job.Due; start++ {
+	for start := int(job.Arrive); float64(start)+placed.RunS <= job.Due; start++ {
 		if !s.fits(placed, start) {
 			continue
 		}
-		s.reserve(placed.CPUs, start, int(placed.Run))
+		s.reserve(placed.CPUs, start, int(placed.RunS))
 		if s.place(job, task+1, placeRest) {
 			return true
 		}
-		s.reserve(-placed.CPUs, start, int(placed.Run))
+		s.reserve(-placed.CPUs, start, int(placed.RunS))
 	}
 	return false
 }
@@ -53,7 +53,7 @@
 
 // bruteForce returns the largest number of jobs that can meet their deadlines together. It tries all sets of jobs and
 // all start times at whole seconds.
-func bruteForce(jobs []Job, free Free) int {
+func bruteForce(jobs []Job, free FreeCapacity) int {
 	best := 0
 	for set := range 1 << len(jobs) {
 		var chosen []Job
@@ -78,7 +78,7 @@
 	gap, sum := 0.0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		free := Free{Slot: 1}
+		free := FreeCapacity{SlotS: 1}
 		for range 10 {
 			free.CPUs = append(free.CPUs, float64(rng.IntN(4)))
 		}
@@ -87,16 +87,16 @@
 			job := Job{Arrive: float64(rng.IntN(5))}
 			job.Due = job.Arrive + float64(2+rng.IntN(5))
 			for range 1 + rng.IntN(2) {
-				job.Tasks = append(job.Tasks, Task{CPUs: float64(1 + rng.IntN(2)), Run: float64(1 + rng.IntN(3))})
+				job.Tasks = append(job.Tasks, Task{CPUs: float64(1 + rng.IntN(2)), RunS: float64(1 + rng.IntN(3))})
 			}
 			jobs = append(jobs, job)
 		}
-		got := InTime(jobs, free, 400)
+		got := Compute(jobs, free, 400)
 		want := bruteForce(jobs, free)
-		if got.Most < float64(want)-1e-6 {
-			t.Fatalf("seed %d: bound %.3f, but %d jobs can meet their deadlines", seed, got.Most, want)
+		if got.Bound < float64(want)-1e-6 {
+			t.Fatalf("seed %d: bound %.3f, but %d jobs can meet their deadlines", seed, got.Bound, want)
 		}
-		gap += math.Floor(got.Most+1e-6) - float64(want)
+		gap += math.Floor(got.Bound+1e-6) - float64(want)
 		sum += want
 	}
 	t.Logf("%d jobs can meet their deadlines over all days; the bounds, rounded down, allow %.0f more", sum, gap)
@@ -108,7 +108,7 @@
 // With enough free CPUs for all jobs, the bound counts every job that can meet its deadline alone.
 func TestBoundWithAmpleCapacityCountsFeasibleJobs(t *testing.T) {
 	jobs := []Job{{0, 10, []Task{{2, 5}}}, {3, 9, []Task{{4, 6}, {1, 2}}}, {0, 4, []Task{{1, 5}}}}
-	if got := InTime(jobs, Free{Slot: 5, CPUs: []float64{100, 100}}, 50); got.Most != 2 || got.Alone != 1 {
+	if got := Compute(jobs, FreeCapacity{SlotS: 5, CPUs: []float64{100, 100}}, 50); got.Bound != 2 || got.InfeasibleAlone != 1 {
 		t.Errorf("%+v, want a bound of 2 and 1 infeasible job", got)
 	}
 }
