--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -158,7 +158,7 @@
 // stops at the first check that fails.
 func (s *Service) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
-	if verdict.rules, verdict.undecided, verdict.err = s.CanRun(sched, submission); verdict.err != nil {
+	if verdict.rules, verdict.undecided, verdict.err = s.CheckSubmission(sched, submission); verdict.err != nil {
 		return verdict
 	}
 	if verdict.err = s.checkRecordSize(submission); verdict.err != nil {
@@ -236,7 +236,7 @@
 // CheckSubmission checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
 // configuration are not known, or if the configuration is changing and the old and the new one disagree. An error is a
 // *api.FieldError.
-func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
+func (s *Service) CheckSubmission(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
 	types := s.catalog.MachineTypes()
 	rules = s.configuration.CurrentRules(sched)
 	if rules.UnknownReason != "" {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	s.Team = "unknown"
-	rules, _, err := controller.submissions.CanRun(nil, &s)
+	rules, _, err := controller.submissions.CheckSubmission(nil, &s)
 	if err == nil || !controller.submissions.StillValid(rules, nil) {
 		t.Fatalf("refused with %v, or the refusal is not valid", err)
 	}
