--- a/experiment/gaps.go
+++ b/experiment/gaps.go
@@ -8,7 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Gap is one part of the time between the end of a stage and the first start of the next, in ms.
+// Gap is the distribution of one part of the delay between the end of a pipeline stage and the first task start of the
+// next stage, in milliseconds.
 type Gap struct {
 	Part string `json:"part"`
 	Jobs int64  `json:"jobs"`
@@ -18,39 +19,40 @@
 	Most int64  `json:"most_ms"`
 }
 
-// Gaps reads a day's logs and measures the jobs that awaited others until these were done.
+// Gaps reads the controllers' debug logs of a day and measures the delays of the jobs that awaited other jobs. It
+// returns an error if the logs hold no such job.
 func Gaps(r io.Reader) ([]Gap, error) {
-	day, err := readDay(r)
+	day, err := readDayLog(r)
 	if err != nil {
 		return nil, err
 	}
 	parts := []string{"records", "placing", "command, fetch, report", "all"}
-	var h []*hdrhistogram.Histogram
+	var histograms []*hdrhistogram.Histogram
 	for range parts {
-		h = append(h, hdrhistogram.New(1, 3_600_000, 3))
+		histograms = append(histograms, hdrhistogram.New(1, 3_600_000, 3))
 	}
 	for _, j := range day.jobs {
 		end := 0.0
 		for _, id := range j.awaits {
-			if o := day.jobs[id]; o != nil {
-				end = math.Max(end, o.lastEnd)
+			if awaited := day.jobs[id]; awaited != nil {
+				end = math.Max(end, awaited.lastEnd)
 			}
 		}
-		if end == 0 || j.ready <= j.at || j.placed == 0 || j.running == 0 {
-			continue // it waited for nothing, or did not start
+		if end == 0 || j.ready <= j.submitted || j.firstPlaced == 0 || j.firstStart == 0 {
+			continue // did not have to wait for another job, or never started
 		}
-		for i, s := range []float64{j.ready - end, j.placed - j.ready, j.running - j.placed, j.running - end} {
-			if err := h[i].RecordValue(int64(math.Max(0, s) * 1000)); err != nil {
+		for i, seconds := range []float64{j.ready - end, j.firstPlaced - j.ready, j.firstStart - j.firstPlaced, j.firstStart - end} {
+			if err := histograms[i].RecordValue(int64(math.Max(0, seconds) * 1000)); err != nil {
 				return nil, err
 			}
 		}
 	}
-	if h[0].TotalCount() == 0 {
-		return nil, errors.New("no job in these logs waited for others and started; are they of LOG_LEVEL=debug?")
+	if histograms[0].TotalCount() == 0 {
+		return nil, errors.New("no job in these logs awaited another job and started; were they written with LOG_LEVEL=debug?")
 	}
 	var out []Gap
 	for i, part := range parts {
-		out = append(out, Gap{part, h[i].TotalCount(), h[i].ValueAtQuantile(50), h[i].ValueAtQuantile(90), h[i].ValueAtQuantile(99), h[i].Max()})
+		out = append(out, Gap{part, histograms[i].TotalCount(), histograms[i].ValueAtQuantile(50), histograms[i].ValueAtQuantile(90), histograms[i].ValueAtQuantile(99), histograms[i].Max()})
 	}
 	return out, nil
 }
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -19,26 +19,27 @@
 	"switchferry/upperbound"
 )
 
-// Order compares how many jobs of a class were in time on a day with how many could have been, by
-// the controllers' logs of that day at level debug, of one or of all.
+// Order compares how many jobs of a class met their deadline on a day with an upper bound of how many could
+// have. It reads the debug logs of that day, of one controller or of several.
 type Order struct {
 	Class string
-	// WithinS is the time that a job may take; 0: its own deadline, Times over.
+	// WithinS is the allowed time from when a job may start, in seconds; 0 means Times times the job's own deadline.
 	WithinS, Times float64
-	// FromS and ToS bound when the jobs came, in seconds of the day.
+	// FromS and ToS bound the jobs' submission times, in seconds since the first log line.
 	FromS, ToS float64
-	// SlotS is the length of the stretches of which capacity is counted.
-	SlotS  float64
+	// SlotS is the length of a time slot in which capacity is counted, in seconds.
+	SlotS float64
+	// Rounds is the number of iterations of upperbound.Compute.
 	Rounds int
 }
 
-// OrderDefaults are a whole day's.
+// OrderDefaults returns options that cover a whole day.
 func OrderDefaults() *Order { return &Order{Times: 1, ToS: math.MaxFloat32, SlotS: 5, Rounds: 600} }
 
-// OrderResult is what a day's logs say. Alone could not have been in time with the whole fleet
-// for themselves; Most is the bound of package bound for the others, given what jobs of other
-// classes and of the same or a higher rank took. Tasks that never completed are left out with
-// their jobs.
+// OrderResult compares the jobs of a class that met their deadline with those that could have. Alone counts
+// jobs that would have missed it with the whole fleet to themselves. Most is the upper bound that package
+// upperbound gives for the others, after subtracting the capacity that jobs of other classes with the same or
+// a higher rank used. A job of which any task never completed is left out.
 type OrderResult struct {
 	Class  string  `json:"class"`
 	Aim    string  `json:"aim"`
@@ -46,13 +47,13 @@
 	InTime int     `json:"in_time"`
 	Alone  int     `json:"impossible_alone"`
 	Most   float64 `json:"most"`
-	// Late are the jobs that were not, by what kept them.
+	// Late counts the jobs that missed their deadline, by cause.
 	Late LateJobs `json:"late"`
 }
 
-// LateJobs counts late jobs by cause, each once, in this order: a task of it alone ran longer
-// than the job may take; a task was lost with its machine or ended without success; one was
-// stopped; or they waited, for room, an image or a machine.
+// LateJobs counts late jobs by cause. Each job counts once, for the first cause that applies: a single task
+// ran longer than the job's allowed time; a task was lost with its machine or ended without success; a task was
+// stopped; or the job waited for capacity, an image or a machine.
 type LateJobs struct {
 	Long    int `json:"long_task"`
 	Lost    int `json:"task_lost"`
@@ -60,13 +61,13 @@
 	Waited  int `json:"waited"`
 }
 
-func (l *LateJobs) add(j *loggedJob, due float64) {
+func (l *LateJobs) add(j *loggedJob, allowed float64) {
 	longest := 0.0
-	for _, run := range j.took {
+	for _, run := range j.runTimes {
 		longest = math.Max(longest, run)
 	}
 	switch {
-	case longest >= due:
+	case longest >= allowed:
 		l.Long++
 	case j.lost > 0:
 		l.Lost++
@@ -77,52 +78,55 @@
 	}
 }
 
+// loggedJob is a job as the logs show it. Times are in seconds since the first log line; 0: it did not happen.
 type loggedJob struct {
-	class      string
-	rank, size int
-	cpus       float64
-	due        float64
-	at, over   float64
-	// awaits are the jobs that it waits for, ready when the last of them was done: as it came
-	// if there are none.
+	class           string
+	rank, size      int
+	cpus            float64
+	deadlineS       float64
+	submitted, done float64
+	// awaits are the jobs that this job awaits. ready is when the last of them was done, or the time of submission if
+	// there are none.
 	awaits []string
 	ready  float64
-	took   map[string]float64
-	// lastEnd is when the last of its tasks was done; placed and running are the first start of
-	// one; 0: there was none.
-	lastEnd, placed, running float64
-	// lost and stopped count tasks that ended without being done.
+	// runTimes has the run time of each completed task, by task ID.
+	runTimes map[string]float64
+	// lastEnd is when its last task completed; placed and running are when its first task was placed and
+	// started to run.
+	lastEnd, firstPlaced, firstStart float64
+	// lost and stopped count task attempts that ended without completing.
 	lost, stopped int
 }
 
+// loggedRun is one run of a task on a machine.
 type loggedRun struct {
 	job      string
 	from, to float64
 }
 
-// dayLog is what logs tell of a day.
+// dayLog is the content of a day's logs. Each element of cpus is a time and the fleet's CPUs at that time.
 type dayLog struct {
-	jobs map[string]*loggedJob
-	runs []loggedRun
-	cpus [][2]float64
-	last float64
+	jobs      map[string]*loggedJob
+	runs      []loggedRun
+	fleetCPUs [][2]float64
+	lastAt    float64
 }
 
-// Compare reads the logs.
+// Compare reads logs and returns the comparison. It returns an error if no job of the class can be counted.
 func (o *Order) Compare(r io.Reader) (*OrderResult, error) {
-	day, err := readDay(r)
+	day, err := readDayLog(r)
 	if err != nil {
 		return nil, err
 	}
-	free := upperbound.FreeCapacity{SlotS: o.SlotS, CPUs: make([]float64, int(day.last/o.SlotS)+1)}
-	at := 0
+	free := upperbound.FreeCapacity{SlotS: o.SlotS, CPUs: make([]float64, int(day.lastAt/o.SlotS)+1)}
+	sample := 0
 	for i := range free.CPUs {
-		for at+1 < len(day.cpus) && day.cpus[at+1][0] <= float64(i)*o.SlotS {
-			at++
+		for sample+1 < len(day.fleetCPUs) && day.fleetCPUs[sample+1][0] <= float64(i)*o.SlotS {
+			sample++
 		}
-		if len(day.cpus) > 0 {
-			// What is up between two lines is the larger of both, so that the bound holds.
-			free.CPUs[i] = math.Max(day.cpus[at][1], day.cpus[min(at+1, len(day.cpus)-1)][1])
+		if len(day.fleetCPUs) > 0 {
+			// Between two log lines the larger capacity counts, so that the result remains an upper bound.
+			free.CPUs[i] = math.Max(day.fleetCPUs[sample][1], day.fleetCPUs[min(sample+1, len(day.fleetCPUs)-1)][1])
 		}
 	}
 	rank := 0
@@ -146,31 +150,31 @@
 	}
 	var jobs []upperbound.Job
 	for _, j := range day.jobs {
-		// A deadline counts from the submission, other times from when the job could start;
-		// whichever it is, nothing of it could run before.
-		by := j.ready + o.WithinS
+		// A deadline counts from the submission, WithinS from when the job could start. In both cases no task could
+		// run before the job was ready.
+		due := j.ready + o.WithinS
 		if o.WithinS == 0 {
-			by = j.at + o.Times*j.due
+			due = j.submitted + o.Times*j.deadlineS
 		}
-		if j.class != o.Class || j.at < o.FromS || j.at > o.ToS || len(j.took) < j.size || o.WithinS == 0 && o.Times*j.due <= 0 || by > day.last {
+		if j.class != o.Class || j.submitted < o.FromS || j.submitted > o.ToS || len(j.runTimes) < j.size || o.WithinS == 0 && o.Times*j.deadlineS <= 0 || due > day.lastAt {
 			continue
 		}
 		res.Jobs++
-		if j.over > 0 && j.over <= by {
+		if j.done > 0 && j.done <= due {
 			res.InTime++
 		} else {
-			res.Late.add(j, by-j.ready)
+			res.Late.add(j, due-j.ready)
 		}
-		x := upperbound.Job{Arrive: j.ready, Due: by}
-		for _, run := range j.took {
+		x := upperbound.Job{Arrive: j.ready, Due: due}
+		for _, run := range j.runTimes {
 			x.Tasks = append(x.Tasks, upperbound.Task{CPUs: j.cpus, RunS: run})
 		}
-		// In one order, so that two runs give the same.
+		// A fixed order makes the result reproducible.
 		slices.SortFunc(x.Tasks, func(a, b upperbound.Task) int { return cmp.Compare(a.RunS, b.RunS) })
 		jobs = append(jobs, x)
 	}
 	if res.Jobs == 0 {
-		return nil, fmt.Errorf("no job of class %q that came and ended in time is in these logs; are they of LOG_LEVEL=debug?", o.Class)
+		return nil, fmt.Errorf("these logs hold no job of class %q that was submitted and completed in the given period; were they written with LOG_LEVEL=debug?", o.Class)
 	}
 	slices.SortFunc(jobs, func(a, b upperbound.Job) int {
 		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
@@ -180,9 +184,9 @@
 	return res, nil
 }
 
-// scan reads log lines; what stands before time= on a line does not matter. At is the time of a
-// line in seconds since the first.
-func scan(r io.Reader, take func(kv map[string]string, at float64)) error {
+// scanLog reads log lines and ignores what precedes time= on a line. It passes each line's attributes and its time in
+// seconds since the first line to take.
+func scanLog(r io.Reader, take func(kv map[string]string, at float64)) error {
 	var begin time.Time
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 4<<20)
@@ -200,7 +204,7 @@
 		}
 		when, err := time.Parse(time.RFC3339, kv["time"])
 		if d.Err() != nil || err != nil {
-			continue // a line that was cut short
+			continue // truncated line
 		}
 		if begin.IsZero() {
 			begin = when
@@ -208,39 +212,39 @@
 		take(kv, math.Max(0, when.Sub(begin).Seconds()))
 	}
 	if begin.IsZero() {
-		return errors.New("these are no logs of switchferry: no line has time=")
+		return errors.New("not a switchferry log: no line has time=")
 	}
 	return lines.Err()
 }
 
-// readDay takes in the logs of a day.
-func readDay(r io.Reader) (*dayLog, error) {
+// readDayLog parses the logs of a day.
+func readDayLog(r io.Reader) (*dayLog, error) {
 	day := &dayLog{jobs: map[string]*loggedJob{}}
-	on := map[string]float64{}
-	if err := scan(r, func(kv map[string]string, at float64) { day.take(kv, at, on) }); err != nil {
+	startedAt := map[string]float64{}
+	if err := scanLog(r, func(kv map[string]string, at float64) { day.addLine(kv, at, startedAt) }); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(day.cpus, func(a, b [2]float64) int { return cmp.Compare(a[0], b[0]) })
+	slices.SortFunc(day.fleetCPUs, func(a, b [2]float64) int { return cmp.Compare(a[0], b[0]) })
 	return day, nil
 }
 
-func (day *dayLog) take(kv map[string]string, at float64, on map[string]float64) {
+func (day *dayLog) addLine(kv map[string]string, seconds float64, startedAt map[string]float64) {
 	number := func(key string) float64 {
 		v, _ := strconv.ParseFloat(kv[key], 64)
 		return v
 	}
-	day.last = math.Max(day.last, at)
+	day.lastAt = math.Max(day.lastAt, seconds)
 	task := kv["task"]
 	job, _, _ := strings.Cut(task, "/")
-	off := func() {
-		if from, ok := on[task]; ok {
-			delete(on, task)
-			day.runs = append(day.runs, loggedRun{job, from, at})
+	taskEnded := func() {
+		if from, ok := startedAt[task]; ok {
+			delete(startedAt, task)
+			day.runs = append(day.runs, loggedRun{job, from, seconds})
 			switch j := day.jobs[job]; {
 			case j == nil:
 			case kv["cause"] == api.CauseDone:
-				j.took[task] = at - from
-				j.lastEnd = math.Max(j.lastEnd, at)
+				j.runTimes[task] = seconds - from
+				j.lastEnd = math.Max(j.lastEnd, seconds)
 			case kv["cause"] == api.CauseStopped:
 				j.stopped++
 			default:
@@ -252,31 +256,31 @@
 	case "job accepted":
 		if day.jobs[kv["job"]] == nil {
 			s := api.Submission{Rank: kv["rank"]}
-			day.jobs[kv["job"]] = &loggedJob{class: kv["class"], rank: s.RankLevel(), size: int(number("tasks")), cpus: number("cpus"), due: number("due_s"), at: at, ready: at, took: map[string]float64{}}
+			day.jobs[kv["job"]] = &loggedJob{class: kv["class"], rank: s.RankLevel(), size: int(number("tasks")), cpus: number("cpus"), deadlineS: number("due_s"), submitted: seconds, ready: seconds, runTimes: map[string]float64{}}
 			if kv["awaits"] != "" {
 				day.jobs[kv["job"]].awaits = strings.Split(kv["awaits"], ",")
 			}
 		}
 	case "job may start":
-		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.at {
-			j.ready = at // a new leader says it again
+		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.submitted {
+			j.ready = seconds // only the first line counts: a new leader logs it again
 		}
 	case "task placed":
-		if j := day.jobs[job]; j != nil && j.placed == 0 {
-			j.placed = at
+		if j := day.jobs[job]; j != nil && j.firstPlaced == 0 {
+			j.firstPlaced = seconds
 		}
 	case "job over":
-		if j := day.jobs[kv["job"]]; j != nil && j.over == 0 && kv["state"] == api.Done {
-			j.over = at
+		if j := day.jobs[kv["job"]]; j != nil && j.done == 0 && kv["state"] == api.Done {
+			j.done = seconds
 		}
 	case "task running":
-		on[task] = at
-		if j := day.jobs[job]; j != nil && j.running == 0 {
-			j.running = at
+		startedAt[task] = seconds
+		if j := day.jobs[job]; j != nil && j.firstStart == 0 {
+			j.firstStart = seconds
 		}
 	case "task ended", "task lost":
-		off()
+		taskEnded()
 	case "fleet":
-		day.cpus = append(day.cpus, [2]float64{at, number("cpus")})
+		day.fleetCPUs = append(day.fleetCPUs, [2]float64{seconds, number("cpus")})
 	}
 }
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -15,34 +15,38 @@
 	"switchferry/settings"
 )
 
-// Scale plays a whole deployment at the operators' future size on this machine: three real controllers, a few real
-// agents, and hollow workers in this process. It grows the fleet step by step, measures each, and at one size plays
-// failures one after the other. Every rule that the audit finds broken makes the run fail.
+// Scale runs a whole deployment at the operators' planned size on this machine: three real controllers, a few real
+// agents, and hollow workers in this process. It grows the fleet in steps, measures each step, and at one size injects
+// failures one after the other. The run fails if the audit finds a violated rule.
 type Scale struct {
+	// Program is the path of the switchferry program.
 	Program string
 	Seed    uint64
-	// Sizes are the steps, in workers, ascending; CasesAt is the one at which Cases are played.
+	// Sizes are the steps in workers, ascending. CasesAt is the size at which Cases, the names of failures, are run.
 	Sizes   []int
 	CasesAt int
 	Cases   []string
-	// TasksPerWorker of the base load run for good; StartsPerS is how many tasks of arrays that come and go start a
-	// second at CasesAt workers, and in proportion at others.
+	// TasksPerWorker is the base load: tasks that run until the end, per worker. StartsPerS is the rate at which tasks of
+	// short arrays start at CasesAt workers, in tasks per second; at other sizes it is proportional.
 	TasksPerWorker float64
 	StartsPerS     float64
 	Teams, Agents  int
-	// StepS is how long a step is measured, WatchS how long a case is watched after its cause is over, CutS how long
-	// a rack or zone is lost, ApartS how long regions are apart, and OutageS how long the state service is out.
+	// StepS is how long a step is measured, WatchS how long a case is observed after its fault has ended, CutS how long
+	// a rack or zone is partitioned, ApartS how long the regions are partitioned from each other, and OutageS how long the
+	// state service is unavailable. All in seconds.
 	StepS, WatchS, CutS, ApartS, OutageS float64
-	// ChangesEveryS is how often the configuration is changed, in seconds; 0: never, and live configuration is off.
+	// ChangesEveryS is the interval between configuration changes in seconds; 0 means none, and disables live
+	// configuration.
 	ChangesEveryS float64
 	// Workers are the workers' settings.
 	Workers settings.Workers
-	// LogDir is where the controllers' logs go, LogLevel their level; empty: dropped.
+	// LogDir is the directory of the controllers' logs; empty means that they are discarded. LogLevel is their level.
 	LogDir, LogLevel string
-	Progress         func(format string, a ...any)
+	// Progress receives a line after each measurement. It must not be nil.
+	Progress func(format string, a ...any)
 }
 
-// ScaleDefaults are the steps and cases of docs/CAPACITY.md.
+// ScaleDefaults returns the steps and cases of docs/CAPACITY.md.
 func ScaleDefaults() *Scale {
 	return &Scale{Seed: 1, Sizes: []int{200, 400, 800, 1600, 2400}, CasesAt: 1600, Cases: ScaleCases(), TasksPerWorker: 22.5, StartsPerS: 97, Teams: 110, Agents: 8,
 		StepS: 20, WatchS: 15, CutS: 60, ApartS: 180, OutageS: 20, Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, Progress: func(string, ...any) {}}
@@ -50,36 +54,47 @@
 
 // Bounds that the operators set for a run.
 const (
-	memoryShare      = 0.5
-	processesMost    = 100
-	bytesPerWorker   = 600 << 10
-	bytesForTheRest  = 1 << 30
-	teamsAtLimit     = 0.1
-	slotsPerWorker   = 28.0
-	urgentEvery      = 2 * time.Second
-	cancelledShare   = 50 // one array in so many
-	arrivalRunS      = 20.0
-	longRunS         = 3600.0
-	settleMost       = 2 * time.Minute
-	controllerBackIn = 3 * time.Second
+	// maxMemoryShare is the maximum share of the machine's memory that all processes may use.
+	maxMemoryShare = 0.5
+	// maxProcesses is the maximum number of processes.
+	maxProcesses = 100
+	// bytesPerWorker is the estimated memory per hollow worker, fixedBytes that of everything else.
+	bytesPerWorker = 600 << 10
+	fixedBytes     = 1 << 30
+	// limitedTeamShare is the share of teams that use up their CPU limit.
+	limitedTeamShare = 0.1
+	// slotsPerWorker is the number of CPUs of a worker; each task uses one.
+	slotsPerWorker = 28.0
+	// urgentInterval is the interval between urgent jobs.
+	urgentInterval = 2 * time.Second
+	// cancelOneIn: one short array in this many is cancelled.
+	cancelOneIn = 50
+	// arrivalRunS is the run time of the tasks of short arrays, in seconds.
+	arrivalRunS = 20.0
+	// baseRunS is the run time of the tasks of the base load, in seconds.
+	baseRunS = 3600.0
+	// settleTimeout is how long to wait until the expected number of tasks is running.
+	settleTimeout = 2 * time.Minute
+	// controllerRestartDelay is the delay before a killed controller is restarted.
+	controllerRestartDelay = 3 * time.Second
 )
 
-// SteadyStep names the steps at which the load is in proportion to the size.
+// SteadyStep is the name of the steps at which the load is proportional to the fleet size.
 const SteadyStep = "steady"
 
-// scaleMeasured says where the figures come from.
-const scaleMeasured = "real processes over loopback on this machine; hollow workers, stand-ins of state service and cloud"
+// measuredOn describes the origin of the figures.
+const measuredOn = "real processes over loopback on this machine; hollow workers, stand-ins of state service and cloud"
 
-// scaleZones are two regions of two zones; the state service and the cloud stand in the first region, as do two of
-// the three controllers.
+// scaleZones are two regions of two zones each. The state service, the cloud and two of the three controllers are in the
+// first region.
 var (
 	scaleZones      = []string{"a1", "a2", "b1", "b2"}
 	controllerZones = []string{"a1", "a2", "b1"}
 	secondRegion    = []string{"b1", "b2"}
 )
 
-// ProcessFigures are one process's while it was measured: processor time as a share of one core, mean of the span and
-// 99th percentile of its seconds, and the most that it held.
+// ProcessFigures holds one process's resource use during a measurement: its CPU time as a share of one core, as the mean and
+// as the 99th percentile of one-second samples, and the maxima of its memory, descriptors and threads.
 type ProcessFigures struct {
 	CPUMean     float64 `json:"cpu_mean"`
 	CPUP99      float64 `json:"cpu_p99"`
@@ -88,7 +103,7 @@
 	Threads     int     `json:"threads"`
 }
 
-// ScaleStep is one measured span.
+// ScaleStep holds the measurements of one period.
 type ScaleStep struct {
 	Name    string  `json:"name"`
 	Workers int     `json:"workers"`
@@ -96,75 +111,76 @@
 	Starts  float64 `json:"starts_per_s"`
 	Jobs    int     `json:"jobs_unfinished"`
 	Seconds float64 `json:"seconds"`
-	// Follower is the busier one. Agents is the mean agent's. Hollow is this process: workers, stand-ins and users.
-	Leader   ProcessFigures `json:"leader"`
-	Follower ProcessFigures `json:"follower"`
-	Agents   ProcessFigures `json:"agent"`
-	Hollow   ProcessFigures `json:"this_process"`
-	// Traffic is per second, by kind; Writes are puts and deletes in the state service a second, by kind of key.
-	Traffic     map[string]Flow    `json:"traffic"`
-	Writes      map[string]float64 `json:"state_changes_per_s"`
-	Waits       map[string]Waits   `json:"start_waits"`
-	Submissions Latency            `json:"submissions"`
-	Dones       Latency            `json:"time_to_done"`
-	Refused     int                `json:"submissions_refused"`
-	Polls       int                `json:"polls"`
-	PollsFailed int                `json:"polls_unanswered"`
-	Changes     Changes            `json:"configuration_changes"`
+	// Follower is the busier follower. Agents is the mean over the agents. ThisProcess contains the hollow workers, the
+	// stand-ins of the services and the users.
+	Leader      ProcessFigures `json:"leader"`
+	Follower    ProcessFigures `json:"follower"`
+	Agents      ProcessFigures `json:"agent"`
+	ThisProcess ProcessFigures `json:"this_process"`
+	// Traffic is by kind of message. Writes are puts and deletes in the state service per second, by kind of key.
+	Traffic     map[string]Flow       `json:"traffic"`
+	Writes      map[string]float64    `json:"state_changes_per_s"`
+	Waits       map[string]StartWaits `json:"start_waits"`
+	Submissions Latency               `json:"submissions"`
+	TimeToDone  Latency               `json:"time_to_done"`
+	Refused     int                   `json:"submissions_refused"`
+	Polls       int                   `json:"polls"`
+	PollsFailed int                   `json:"polls_unanswered"`
+	Changes     Changes               `json:"configuration_changes"`
 }
 
-// Flow is what went by in a second on average.
+// Flow is a mean rate of messages.
 type Flow struct {
 	Messages float64 `json:"messages_per_s"`
 	Bytes    float64 `json:"bytes_per_s"`
 }
 
-// Latency is of requests, in ms.
+// Latency is the distribution of the latency of requests, in milliseconds.
 type Latency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_ms"`
 	P99   int64 `json:"p99_ms"`
-	Most  int64 `json:"longest_ms"`
+	Max   int64 `json:"longest_ms"`
 }
 
-// ScaleResult is what the experiment prints.
+// ScaleResult is the result that the experiment prints.
 type ScaleResult struct {
 	Measured string      `json:"measured"`
 	Seed     uint64      `json:"seed"`
 	Steps    []ScaleStep `json:"steps"`
 	Cases    []ScaleCase `json:"cases"`
-	// Jobs are what one job of each shape writes.
+	// Jobs has the number of writes that one job of each shape causes.
 	Jobs []capacity.JobCost `json:"jobs"`
-	// Broken are the rules that were broken; Why the first cases. StateRefused and CloudRefused are requests over a
-	// stand-in's limit, by what was wrong.
+	// Broken counts violations by rule; Why describes the first ones. StateRefused counts the requests that the state
+	// service refused, by reason.
 	Broken       map[string]int `json:"rules_broken"`
 	Why          []string       `json:"why,omitempty"`
 	StateRefused map[string]int `json:"state_refused"`
 }
 
-// Record is what package capacity makes its fits of.
+// Record returns the measurements that package capacity fits its models to. command is the command line that produced them.
 func (r *ScaleResult) Record(command string) *capacity.Record {
 	out := &capacity.Record{Measured: r.Measured, Command: command, Jobs: r.Jobs}
 	for _, step := range r.Steps {
 		out.Measurements = append(out.Measurements, step.measurement())
 	}
 	for _, c := range r.Cases {
-		if c.Case == ScaleLeader && c.FirstStart >= 0 && c.HeardAll >= 0 {
+		if c.Case == ScaleLeader && c.FirstStart >= 0 && c.AllWorkersAnswered >= 0 {
 			out.Measurements = append(out.Measurements, capacity.Measurement{Name: "takeover", Workers: float64(c.Step.Workers), Tasks: float64(c.Step.Tasks), Starts: c.Step.Starts,
 				Figures: map[string]float64{capacity.TakeoverCPUPeak: c.Step.Leader.CPUP99, capacity.TakeoverMemory: c.Step.Leader.MemoryMB,
-					capacity.TakeoverFirstStart: c.FirstStart, capacity.TakeoverAllAnswered: c.HeardAll}})
+					capacity.TakeoverFirstStart: c.FirstStart, capacity.TakeoverAllAnswered: c.AllWorkersAnswered}})
 		}
 	}
 	return out
 }
 
-// measurement is the step as package capacity fits it.
+// measurement converts the step to the form that package capacity fits.
 func (s *ScaleStep) measurement() capacity.Measurement {
 	workers := float64(s.Workers)
 	figures := map[string]float64{
 		capacity.LeaderCPU: s.Leader.CPUMean, capacity.LeaderCPUP99: s.Leader.CPUP99, capacity.LeaderMemory: s.Leader.MemoryMB, capacity.LeaderDescriptors: float64(s.Leader.Descriptors),
 		capacity.FollowerCPU: s.Follower.CPUMean, capacity.FollowerMemory: s.Follower.MemoryMB, capacity.FollowerDescriptors: float64(s.Follower.Descriptors),
-		capacity.FakeWorkerCPU: s.Hollow.CPUMean,
+		capacity.FakeWorkerCPU: s.ThisProcess.CPUMean,
 	}
 	for kind, f := range s.Traffic {
 		switch {
@@ -189,9 +205,10 @@
 	return capacity.Measurement{Name: s.Name, Workers: workers, Tasks: float64(s.Tasks), Starts: s.Starts, Figures: figures}
 }
 
-// Run plays all steps and cases.
+// Run runs all steps and cases. It returns an error for invalid options and if a rule was violated; in the latter case the
+// result is valid too.
 func (x *Scale) Run(ctx context.Context) (*ScaleResult, error) {
-	if err := x.check(); err != nil {
+	if err := x.validate(); err != nil {
 		return nil, err
 	}
 	run, err := x.start(ctx)
@@ -199,8 +216,8 @@
 		return nil, err
 	}
 	defer run.close()
-	res := &ScaleResult{Seed: x.Seed, Measured: scaleMeasured}
-	if err := run.steps(res); err != nil {
+	res := &ScaleResult{Seed: x.Seed, Measured: measuredOn}
+	if err := run.runSteps(res); err != nil {
 		return nil, err
 	}
 	run.audit.CheckCancelledJobs()
@@ -212,8 +229,8 @@
 	return res, nil
 }
 
-// check refuses what this machine, or the operators' bounds, do not carry.
-func (x *Scale) check() error {
+// validate returns an error if the options are invalid or exceed this machine's memory or the operators' bounds.
+func (x *Scale) validate() error {
 	if len(x.Sizes) == 0 || !slices.IsSorted(x.Sizes) || x.Sizes[0] < 4 {
 		return fmt.Errorf("--sizes: must be numbers of workers from 4 on, ascending")
 	}
@@ -228,21 +245,21 @@
 	if x.Teams < 2 || x.StepS <= 0 || x.TasksPerWorker <= 0 || x.StartsPerS < 0 {
 		return fmt.Errorf("--teams must be 2 or more; --step and --tasks-per-worker above 0; --starts 0 or more")
 	}
-	if n := len(controllerZones) + x.Agents + 1; n > processesMost {
-		return fmt.Errorf("--agents: %d processes in all, at most %d are allowed", n, processesMost)
+	if n := len(controllerZones) + x.Agents + 1; n > maxProcesses {
+		return fmt.Errorf("--agents: %d processes in all, at most %d are allowed", n, maxProcesses)
 	}
 	total, err := cluster.MemoryBytes()
 	if err != nil {
 		return err
 	}
-	need := float64(x.Sizes[len(x.Sizes)-1])*bytesPerWorker + bytesForTheRest
-	if need > memoryShare*float64(total) {
-		return fmt.Errorf("--sizes: %d workers need some %.0f MB, over %.0f%% of this machine's %.0f MB", x.Sizes[len(x.Sizes)-1], need/(1<<20), 100*memoryShare, float64(total)/(1<<20))
+	need := float64(x.Sizes[len(x.Sizes)-1])*bytesPerWorker + fixedBytes
+	if need > maxMemoryShare*float64(total) {
+		return fmt.Errorf("--sizes: %d workers need some %.0f MB, over %.0f%% of this machine's %.0f MB", x.Sizes[len(x.Sizes)-1], need/(1<<20), 100*maxMemoryShare, float64(total)/(1<<20))
 	}
 	return nil
 }
 
-// scaleRun is a run under way.
+// scaleRun is a run in progress.
 type scaleRun struct {
 	*Scale
 	ctx     context.Context
@@ -250,21 +267,22 @@
 	audit   *cluster.Audit
 	users   *population
 	agents  []*cluster.Agent
-	// arrivals is how many tasks of short arrays the users submit a second.
-	arrivals rateSwitch
-	longJobs []string
-	returned returns
-	changer  *changer
+	// arrivals is the rate at which users submit tasks of short arrays, in tasks per second.
+	arrivals adjustableRate
+	// baseJobs are the IDs of the jobs of the base load.
+	baseJobs []string
+	returned returnCounts
+	changer  *limitChanger
 }
 
-// teams are so many, of which a tenth have a limit that they use up, the others one that they never reach; all but the
-// last, which has what nobody else needs, are guaranteed a part of the fleet.
+// teams returns Teams teams. The share limitedTeamShare of them, but at least one, has a CPU limit that its jobs use up; the
+// others never reach theirs. Each team is guaranteed a part of the fleet.
 func (x *Scale) teams() []settings.Team {
-	most := float64(x.Sizes[len(x.Sizes)-1])
+	maxWorkers := float64(x.Sizes[len(x.Sizes)-1])
 	var out []settings.Team
 	for i := range x.Teams {
-		t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 4 * slotsPerWorker * most, CPUs: 10 * most / float64(x.Teams)}
-		if x.limited(i) {
+		t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUsMax: 4 * slotsPerWorker * maxWorkers, CPUs: 10 * maxWorkers / float64(x.Teams)}
+		if x.usesUpLimit(i) {
 			t.CPUsMax, t.CPUs = limitedCPUs, limitedCPUs
 		}
 		out = append(out, t)
@@ -272,11 +290,13 @@
 	return out
 }
 
-// limitedCPUs is what each team that is at its limit may use.
+// limitedCPUs is the limit, in CPUs, of each team that uses up its limit.
 const limitedCPUs = 40
 
-// limited tells whether a team is one that is at its limit.
-func (x *Scale) limited(team int) bool { return team < max(1, int(teamsAtLimit*float64(x.Teams))) }
+// usesUpLimit reports whether a team uses up its limit.
+func (x *Scale) usesUpLimit(team int) bool {
+	return team < max(1, int(limitedTeamShare*float64(x.Teams)))
+}
 
 func (x *Scale) facts() settings.Facts {
 	return settings.Facts{ControllerCount: len(controllerZones), Zones: scaleZones, Teams: x.teams(), Workers: x.Workers,
@@ -291,18 +311,18 @@
 	run := &scaleRun{Scale: x, ctx: ctx, audit: cluster.NewAudit(facts.Teams, facts.Workers)}
 	var err error
 	run.cluster, err = cluster.New(ctx, cluster.Options{Zones: controllerZones, Facts: facts, MachineType: hollowType, RentalCapacity: x.Sizes[len(x.Sizes)-1] / 4,
-		LogDir: x.LogDir, LogLevel: x.LogLevel, TaskDuration: run.runs, Observer: run.audit})
+		LogDir: x.LogDir, LogLevel: x.LogLevel, TaskDuration: run.taskRunTime, Observer: run.audit})
 	if err != nil {
 		return nil, err
 	}
 	run.cluster.OnReturned = run.returned.add
 	run.users = newPopulation(run.cluster, run.audit, x.Seed)
-	run.changer = newChanger(run)
+	run.changer = newLimitChanger(run)
 	if err = run.startProcesses(); err != nil {
 		run.close()
 		return nil, err
 	}
-	go run.arrive()
+	go run.submitArrivals()
 	if x.ChangesEveryS > 0 {
 		go run.changer.loop()
 	}
@@ -321,7 +341,7 @@
 		}
 	}
 	policy := filepath.Join(run.cluster.Dir(), "scale.policy")
-	// Rank low may fill the fleet, so that urgent work meets a full one.
+	// Without a reserve, jobs of rank low can fill the fleet, so that urgent jobs arrive at a full fleet.
 	if err := os.WriteFile(policy, []byte("reserve_cpus = 0\n"), 0o600); err != nil {
 		return err
 	}
@@ -346,15 +366,15 @@
 
 func (run *scaleRun) close() { run.cluster.Close() }
 
-// runs is how long a task runs: the job's estimate tells.
-func (run *scaleRun) runs(task string) time.Duration {
+// taskRunTime returns how long a task runs, which is the estimate of its job.
+func (run *scaleRun) taskRunTime(task string) time.Duration {
 	return run.audit.Estimate(task)
 }
 
-// steps grows the fleet, measures each size, and plays the cases at theirs.
-func (run *scaleRun) steps(res *ScaleResult) error {
+// runSteps grows the fleet, measures each size, and runs the cases at CasesAt.
+func (run *scaleRun) runSteps(res *ScaleResult) error {
 	workers, tasks := run.Sizes[0], 0
-	if err := run.writes(res); err != nil {
+	if err := run.measureWrites(res); err != nil {
 		return err
 	}
 	for i, size := range run.Sizes {
@@ -362,40 +382,40 @@
 			return err
 		}
 		if i > 0 {
-			// More workers than the tasks need: what a worker costs by itself.
-			if err := run.measured(res, "workers without more tasks", size); err != nil {
+			// The number of tasks has not grown yet, so this measures the cost of a worker by itself.
+			if err := run.recordStep(res, "workers without more tasks", size); err != nil {
 				return err
 			}
 		}
 		workers = size
 		want := int(run.TasksPerWorker * float64(size))
-		run.submitLong(want - tasks)
+		run.submitBaseLoad(want - tasks)
 		tasks = want
 		run.arrivals.set(run.StartsPerS * float64(size) / float64(run.CasesAt))
-		if err := run.settle(want); err != nil {
+		if err := run.waitForTasks(want); err != nil {
 			return fmt.Errorf("%d workers: %w", size, err)
 		}
-		if err := run.measured(res, SteadyStep, size); err != nil {
+		if err := run.recordStep(res, SteadyStep, size); err != nil {
 			return err
 		}
 		if i == 0 {
 			run.arrivals.set(0)
-			if err := run.measured(res, "no arrivals", size); err != nil {
+			if err := run.recordStep(res, "no arrivals", size); err != nil {
 				return err
 			}
-			run.arrivals.set(run.mostArrivals(size))
-			if err := run.measured(res, "more arrivals", size); err != nil {
+			run.arrivals.set(run.maxArrivals(size))
+			if err := run.recordStep(res, "more arrivals", size); err != nil {
 				return err
 			}
 			run.arrivals.set(run.StartsPerS * float64(size) / float64(run.CasesAt))
 		}
 		if size == run.CasesAt {
-			if err := run.playCases(res); err != nil {
+			if err := run.runCases(res); err != nil {
 				return err
 			}
 		} else if len(run.Cases) > 0 {
-			// What a change of leader takes grows with the fleet.
-			if err := run.playCase(res, ScaleLeader, size); err != nil {
+			// The cost of a change of leader grows with the fleet.
+			if err := run.runCase(res, ScaleLeader, size); err != nil {
 				return err
 			}
 		}
@@ -403,17 +423,17 @@
 	return nil
 }
 
-// arrivalsShare is how much of the room that the base load leaves arrays that come and go may take.
-const arrivalsShare = 0.6
+// maxArrivalShare is the maximum share of the capacity left by the base load that short arrays may use.
+const maxArrivalShare = 0.6
 
-// mostArrivals is how many tasks may start a second without a backlog.
-func (run *scaleRun) mostArrivals(workers int) float64 {
+// maxArrivals returns the maximum rate of short tasks that causes no backlog, in tasks per second.
+func (run *scaleRun) maxArrivals(workers int) float64 {
 	free := (slotsPerWorker - run.TasksPerWorker) * float64(workers)
-	return min(run.StartsPerS, arrivalsShare*free/arrivalRunS)
+	return min(run.StartsPerS, maxArrivalShare*free/arrivalRunS)
 }
 
-// measured measures a span of StepS and adds it to the result.
-func (run *scaleRun) measured(res *ScaleResult, name string, workers int) error {
+// recordStep measures a period of StepS and adds it to the result.
+func (run *scaleRun) recordStep(res *ScaleResult, name string, workers int) error {
 	step, err := run.measure(name, workers, run.StepS)
 	if err != nil {
 		return err
@@ -424,11 +444,11 @@
 	return nil
 }
 
-// settle waits until so many tasks run.
-func (run *scaleRun) settle(tasks int) error {
-	err := run.cluster.WaitUntil(settleMost, func() bool { return run.cluster.Running() >= tasks })
+// waitForTasks waits until the given number of tasks is running.
+func (run *scaleRun) waitForTasks(tasks int) error {
+	err := run.cluster.WaitUntil(settleTimeout, func() bool { return run.cluster.Running() >= tasks })
 	if err != nil {
-		return fmt.Errorf("%d of %d tasks run: %w", run.cluster.Running(), tasks, err)
+		return fmt.Errorf("only %d of %d tasks are running: %w", run.cluster.Running(), tasks, err)
 	}
 	return nil
 }
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -13,32 +13,49 @@
 
 // Strengths of faults.
 const (
-	slowUpTo        = 1200 * time.Millisecond
+	// maxStateDelay is the maximum delay that SlowState adds to a request.
+	maxStateDelay = 1200 * time.Millisecond
+	// lateAnswerShare is the share of answers that LateAnswers delays.
 	lateAnswerShare = 0.15
+	// lostAnswerShare is the share of answers to transactions that LostAnswers drops.
 	lostAnswerShare = 0.3
-	lateWriteShare  = 0.2
-	messageShare    = 0.25
-	workersMet      = 5  // one in so many
-	workersEnded    = 10 // one in so many
-	slowShare       = 0.5
-	failingShare    = 0.3
-	slowPeersUpTo   = 900 * time.Millisecond
-	// Within flapReplies after a cut of flapCut and a way open for flapOpen, a leader still counts as reachable.
-	flapCut          = 2500 * time.Millisecond
-	flapOpen         = 700 * time.Millisecond
-	flapReplies      = 1800 * time.Millisecond
-	seriesInterval   = 1500 * time.Millisecond
-	seriesDowntime   = 300 * time.Millisecond
-	jobsOfCancelWave = 12
+	// lateWriteShare is the share of transactions that LateWrites delays.
+	lateWriteShare = 0.2
+	// messageShare is the share of messages affected by LostHeartbeats, RepeatedHeartbeats and LateCommands.
+	messageShare = 0.25
+	// affectedWorkersOneIn: one worker in this many is affected by a fault of workers.
+	affectedWorkersOneIn = 5
+	// endedWorkersOneIn: one worker in this many is ended by DyingWorkers or NoticedWorkers.
+	endedWorkersOneIn = 10
+	// slowMessageShare is the strength of SlowHeartbeats and SlowCommands.
+	slowMessageShare = 0.5
+	// failingStartShare is the share of task starts that FailingStarts makes fail.
+	failingStartShare = 0.3
+	// maxPeerDelay is the maximum delay that SlowPeers adds to a message.
+	maxPeerDelay = 900 * time.Millisecond
+	// flapCut is how long FlappingPeers cuts both directions.
+	flapCut = 2500 * time.Millisecond
+	// flapOpen is how long FlappingPeers restores the connection between two cuts.
+	flapOpen = 700 * time.Millisecond
+	// flapRepliesCut is how long FlappingPeers cuts the replies: short enough that, after flapCut and flapOpen, a leader still
+	// counts as reachable.
+	flapRepliesCut = 1800 * time.Millisecond
+	// seriesInterval is the time between a restart of KillSeries and the next kill.
+	seriesInterval = 1500 * time.Millisecond
+	// seriesDowntime is how long a controller killed by KillSeries stays down.
+	seriesDowntime = 300 * time.Millisecond
+	// maxCancelWaveJobs is the maximum number of jobs that CancelWave cancels.
+	maxCancelWaveJobs = 12
 )
 
-// injector brings the faults of a schedule about. Faults that overlap add up.
+// injector injects the faults of a schedule. Overlapping faults are combined.
 type injector struct {
 	cluster *cluster.Cluster
 	program string
 	users   *users
 
-	// mu guards active, the faults under way with the controller that each meets.
+	// mu guards active, which has the current connection and message faults with the index of the controller that each
+	// affects.
 	mu     sync.Mutex
 	active map[*Fault]int
 }
@@ -47,29 +64,30 @@
 	return &injector{cluster: run, program: program, users: users, active: map[*Fault]int{}}
 }
 
-// play plays a schedule until all its faults are over or ctx ends; then everything is in order again.
-func (in *injector) play(ctx context.Context, faults []Fault) {
+// run injects the faults of a schedule and returns when all have ended or ctx ends. All faults are removed by then, except
+// workers that were ended for good.
+func (in *injector) run(ctx context.Context, faults []Fault) {
 	began := time.Now()
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range faults {
 		if !sleep.OnRealClock(ctx, time.Until(began.Add(faults[i].At))) {
 			break
 		}
-		playing.Go(func() { in.playOne(ctx, &faults[i]) })
+		running.Go(func() { in.runFault(ctx, &faults[i]) })
 	}
-	playing.Wait()
-	in.restore()
+	running.Wait()
+	in.removeFaults()
 }
 
-// restore ends whatever is wrong and starts the controllers that do not run.
-func (in *injector) restore() {
+// removeFaults removes all faults and starts the controllers that are not running.
+func (in *injector) removeFaults() {
 	in.mu.Lock()
 	clear(in.active)
 	in.mu.Unlock()
 	in.apply()
 	for _, controller := range in.cluster.Controllers {
 		controller.Resume()
-		_ = controller.Start(in.program) // It may run.
+		_ = controller.Start(in.program) // Fails if it is running.
 	}
 	for _, worker := range in.cluster.Workers() {
 		worker.BlockMessages(false, false)
@@ -77,8 +95,8 @@
 	}
 }
 
-// playOne brings one fault about and ends it.
-func (in *injector) playOne(ctx context.Context, fault *Fault) {
+// runFault injects one fault and removes it at its end.
+func (in *injector) runFault(ctx context.Context, fault *Fault) {
 	target := in.target(fault)
 	switch fault.Kind {
 	case Kill:
@@ -92,25 +110,25 @@
 		sleep.OnRealClock(ctx, fault.For)
 		in.cluster.Controllers[target].Resume()
 	case DeafWorkers, MuteWorkers, RestartedWorkers, HungWorkers:
-		in.meetWorkers(ctx, fault)
+		in.disturbWorkers(ctx, fault)
 	case DyingWorkers, NoticedWorkers:
 		in.endWorkers(ctx, fault)
 	case FlappingPeers:
 		in.flap(ctx, fault, target)
 	case CancelWave:
-		in.users.cancelMany(ctx, jobsOfCancelWave)
+		in.users.cancelMany(ctx, maxCancelWaveJobs)
 	case RefusedThenOutage:
 		half := *fault
 		half.Kind, half.For = Refused, fault.For/2
-		in.hold(ctx, &half, target)
+		in.applyFor(ctx, &half, target)
 		half.Kind = Outage
-		in.hold(ctx, &half, target)
+		in.applyFor(ctx, &half, target)
 	default:
-		in.hold(ctx, fault, target)
+		in.applyFor(ctx, fault, target)
 	}
 }
 
-// target returns the number of the controller that a fault meets.
+// target returns the index of the controller that a fault affects. It is random for TheLeader if no controller leads.
 func (in *injector) target(fault *Fault) int {
 	if fault.Target != TheLeader {
 		return int(fault.Target)
@@ -121,18 +139,18 @@
 	return rand.IntN(len(in.cluster.Controllers))
 }
 
-// kill ends controllers and starts them again after a time.
+// kill kills controllers and restarts them after downtime.
 func (in *injector) kill(ctx context.Context, controllers []*cluster.Controller, downtime time.Duration) {
 	for _, controller := range controllers {
 		controller.Kill()
 	}
 	sleep.OnRealClock(ctx, downtime)
 	for _, controller := range controllers {
-		_ = controller.Start(in.program) // Another fault may have started it.
+		_ = controller.Start(in.program) // Fails if another fault has started it.
 	}
 }
 
-// killSeries ends one leader after the other.
+// killSeries kills one leader after the other.
 func (in *injector) killSeries(ctx context.Context, fault *Fault) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
 		in.kill(ctx, []*cluster.Controller{in.cluster.Controllers[in.target(&Fault{Target: TheLeader})]}, seriesDowntime)
@@ -140,17 +158,17 @@
 	}
 }
 
-// pickWorkers picks one worker in so many, at least one.
+// pickWorkers returns a random selection of at least one worker, about one in oneIn.
 func (in *injector) pickWorkers(oneIn int) []*cluster.Worker {
 	workers := in.cluster.Workers()
 	rand.Shuffle(len(workers), func(i, j int) { workers[i], workers[j] = workers[j], workers[i] })
 	return workers[:1+len(workers)/oneIn]
 }
 
-// meetWorkers has some workers lose messages, begin anew or hang.
-func (in *injector) meetWorkers(ctx context.Context, fault *Fault) {
-	met := in.pickWorkers(workersMet)
-	for _, worker := range met {
+// disturbWorkers makes some workers lose messages, restart or hang.
+func (in *injector) disturbWorkers(ctx context.Context, fault *Fault) {
+	affected := in.pickWorkers(affectedWorkersOneIn)
+	for _, worker := range affected {
 		switch fault.Kind {
 		case RestartedWorkers:
 			worker.Restart()
@@ -161,15 +179,15 @@
 		}
 	}
 	sleep.OnRealClock(ctx, fault.For)
-	for _, worker := range met {
+	for _, worker := range affected {
 		worker.BlockMessages(false, false)
 		worker.Suspend(false)
 	}
 }
 
-// endWorkers ends some workers for good, with a notice or without.
+// endWorkers ends some workers for good, with or without a notice.
 func (in *injector) endWorkers(ctx context.Context, fault *Fault) {
-	ended := in.pickWorkers(workersEnded)
+	ended := in.pickWorkers(endedWorkersOneIn)
 	if fault.Kind == NoticedWorkers {
 		for _, worker := range ended {
 			worker.AnnouncePreemption(fault.For)
@@ -181,18 +199,18 @@
 	}
 }
 
-// flap cuts a controller off from its peers again and again, in both directions and then in that of its replies.
+// flap repeatedly cuts a controller off from its peers, alternately in both directions and only for its replies.
 func (in *injector) flap(ctx context.Context, fault *Fault, target int) {
 	for end := time.Now().Add(fault.For); time.Now().Before(end) && ctx.Err() == nil; {
-		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapReplies}} {
-			in.hold(ctx, &phase, target)
+		for _, phase := range []Fault{{Kind: CutFromPeers, For: flapCut}, {Kind: cutReplies, For: flapRepliesCut}} {
+			in.applyFor(ctx, &phase, target)
 			sleep.OnRealClock(ctx, flapOpen)
 		}
 	}
 }
 
-// hold keeps a fault of the ways between processes up while it lasts.
-func (in *injector) hold(ctx context.Context, fault *Fault, target int) {
+// applyFor keeps a connection or message fault active for its duration.
+func (in *injector) applyFor(ctx context.Context, fault *Fault, target int) {
 	in.mu.Lock()
 	in.active[fault] = target
 	in.mu.Unlock()
@@ -204,12 +222,12 @@
 	in.apply()
 }
 
-// apply sets the ways between processes to the sum of the faults under way.
+// apply sets the faults of connections and messages to the combination of the active faults.
 func (in *injector) apply() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	state := make([]cluster.StateFaults, len(in.cluster.Controllers))
-	alone, unheard := make([]bool, len(in.cluster.Controllers)), make([]bool, len(in.cluster.Controllers))
+	cutOff, repliesCut := make([]bool, len(in.cluster.Controllers)), make([]bool, len(in.cluster.Controllers))
 	var messages cluster.MessageFaults
 	outage := false
 	peerDelay := time.Duration(0)
@@ -218,11 +236,11 @@
 		case CutFromState:
 			state[target].Silent = true
 		case CutFromPeers:
-			alone[target] = true
+			cutOff[target] = true
 		case cutReplies:
-			unheard[target] = true
+			repliesCut[target] = true
 		case CutFromBoth:
-			state[target].Silent, alone[target] = true, true
+			state[target].Silent, cutOff[target] = true, true
 		case Refused:
 			state[target].Refused = true
 		case Outage:
@@ -234,13 +252,13 @@
 		case LateCommands:
 			messages.LateCommands = messageShare
 		case SlowHeartbeats:
-			messages.SlowHeartbeats = slowShare
+			messages.SlowHeartbeats = slowMessageShare
 		case SlowCommands:
-			messages.SlowCommands = slowShare
+			messages.SlowCommands = slowMessageShare
 		case FailingStarts:
-			messages.FailingStarts = failingShare
+			messages.FailingStarts = failingStartShare
 		case SlowPeers:
-			peerDelay = slowPeersUpTo
+			peerDelay = maxPeerDelay
 		case SlowState, LateAnswers, LostAnswers, LateWrites:
 			for number := range state {
 				addStateFault(&state[number], fault.Kind)
@@ -253,16 +271,16 @@
 	for number, controller := range in.cluster.Controllers {
 		in.cluster.SetStateFaults(controller.Settings.Member, state[number])
 		for other, peer := range in.cluster.Controllers {
-			in.cluster.BlockPeer(controller.Settings.Member, peer.Settings.Member, alone[number] || alone[other] || unheard[number])
+			in.cluster.BlockPeer(controller.Settings.Member, peer.Settings.Member, cutOff[number] || cutOff[other] || repliesCut[number])
 		}
 	}
 }
 
-// addStateFault adds a fault that meets the ways of all controllers to the state service.
+// addStateFault adds a fault that affects the connections of all controllers to the state service.
 func addStateFault(faults *cluster.StateFaults, kind Kind) {
 	switch kind {
 	case SlowState:
-		faults.MaxDelay = slowUpTo
+		faults.MaxDelay = maxStateDelay
 	case LateAnswers:
 		faults.LateAnswers = lateAnswerShare
 	case LostAnswers:
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak plays random faults against real controllers over loopback, with the project's stand-ins of the state service,
-// the cloud and the workers, while users submit, ask, repeat and cancel at all controllers. Whether the protocol's rules hold
-// is checked from outside, by what users are answered and what workers do (cluster.Observer).
+// Package soak injects random faults into a cluster of real controllers over loopback, with stand-ins of the state service, the
+// cloud and the workers, while users submit, poll, resubmit and cancel jobs at all controllers. cluster.Observer checks the
+// protocol's rules from outside, by the answers that users receive and the actions of workers.
 //
-// One seed draws a run's whole schedule. Real processes do not repeat exactly, so a run that broke a rule keeps its logs.
+// A run's whole schedule is derived from one seed. Real processes are not deterministic, so the logs of a failed run are kept.
 package soak
 
 import (
@@ -24,71 +24,77 @@
 	"switchferry/settings"
 )
 
-// teamName is the only team.
+// teamName is the name of the only team.
 const teamName = "team"
 
 // Limits of a run.
 const (
-	// limitPerWorker is the team's limit in processors for each worker of eight: nearly all of them.
-	limitPerWorker = 7
-	controllers    = 3
-	mostWorkers    = 1000
-	mostSeeds      = 1000
-	// settleLimit is how long a run goes on after its faults while jobs are not over. A job about which nothing was to be
-	// learnt for forgottenAfter counts as forgotten.
-	settleLimit    = 85 * time.Second
+	// teamCPUsPerWorker is the team's CPU limit per worker; a worker has eight CPUs.
+	teamCPUsPerWorker = 7
+	// controllers is the number of controllers.
+	controllers = 3
+	// maxWorkers and maxSeeds are the maxima of Options.Workers and Options.Seeds.
+	maxWorkers = 1000
+	maxSeeds   = 1000
+	// settleTimeout is how long a run waits after its faults for unfinished jobs.
+	settleTimeout = 85 * time.Second
+	// forgottenAfter is the time without an answer about a job after which it counts as forgotten.
 	forgottenAfter = 75 * time.Second
-	// A run in which fewer questions were answered for each second, fewer terms began or no start crossed with anything shows
-	// nothing.
-	leastAnswersPerS = 5
-	leastTerms       = 2
-	settleLook       = 250 * time.Millisecond
-	sweepEvery       = time.Second
-	readyLimit       = 20 * time.Second
+	// minAnswersPerS is the minimum rate of answered questions, and minTerms the minimum number of terms, of a conclusive
+	// run.
+	minAnswersPerS = 5
+	minTerms       = 2
+	// settlePollInterval is the interval at which a run checks for unfinished jobs.
+	settlePollInterval = 250 * time.Millisecond
+	// sweepInterval is the interval between sweeps of the audit.
+	sweepInterval = time.Second
+	// leaderTimeout is how long to wait for the first leader.
+	leaderTimeout = 20 * time.Second
 )
 
-// Options say what is played.
+// Options are the parameters of a soak test.
 type Options struct {
-	// Program is the program whose `serve` is run.
+	// Program is the path of the switchferry program; its command `serve` runs the controllers.
 	Program string
-	// First is the first seed, and Seeds how many there are.
+	// First is the first seed, Seeds the number of consecutive seeds.
 	First uint64
 	Seeds int
-	// Workers is how many machines there are from the beginning, and ForS how long faults are played, in seconds.
+	// Workers is the initial number of workers. ForS is how long faults are injected, in seconds.
 	Workers int
 	ForS    float64
-	// Kinds are the kinds of faults that are played; none: all.
+	// Kinds are the kinds of faults to inject; empty means all.
 	Kinds []string
-	// AtOnce is how many runs are played at the same time.
+	// AtOnce is the maximum number of concurrent runs.
 	AtOnce int
-	// LogDir is where the logs of runs that broke something are kept; empty: a directory of its own.
+	// LogDir is the directory that keeps the logs of failed runs; empty means a new temporary directory.
 	LogDir string
-	// LogLevel is the controllers'.
+	// LogLevel is the controllers' log level.
 	LogLevel string
+	// Progress receives the schedule and the outcome of each run. It must not be nil.
 	Progress func(format string, args ...any)
 }
 
-// Defaults are ten short runs of a small fleet.
+// Defaults returns options for ten short runs of a small fleet.
 func Defaults() *Options {
 	return &Options{First: 1, Seeds: 10, Workers: 12, ForS: 30, AtOnce: 2, LogLevel: "info", Progress: func(string, ...any) {}}
 }
 
-// Errors of the options, which say what a user has to change.
+// Errors returned by Options.Check; each names the option to correct.
 var (
-	ErrSeeds   = fmt.Errorf("--seeds: from 1 to %d", mostSeeds)
-	ErrWorkers = fmt.Errorf("--workers: from 1 to %d", mostWorkers)
+	ErrSeeds   = fmt.Errorf("--seeds: from 1 to %d", maxSeeds)
+	ErrWorkers = fmt.Errorf("--workers: from 1 to %d", maxWorkers)
 	ErrFor     = errors.New("--for: from 5 to 3600 seconds")
 	ErrAtOnce  = errors.New("--at-once: from 1 to 8 runs")
 	ErrKind    = errors.New("--kinds: no such kind of fault")
 	ErrProgram = errors.New("--program: no such program")
 )
 
-// Check returns what is wrong with the options.
+// Check returns an error that wraps one of the errors above if an option is invalid.
 func (o *Options) Check() error {
 	switch {
-	case o.Seeds < 1 || o.Seeds > mostSeeds:
+	case o.Seeds < 1 || o.Seeds > maxSeeds:
 		return ErrSeeds
-	case o.Workers < 1 || o.Workers > mostWorkers:
+	case o.Workers < 1 || o.Workers > maxWorkers:
 		return ErrWorkers
 	case o.ForS < 5 || o.ForS > 3600:
 		return ErrFor
@@ -113,44 +119,47 @@
 	Seconds  float64        `json:"seconds"`
 	Schedule []string       `json:"schedule"`
 	Faults   map[string]int `json:"faults"`
-	// Questions were asked, Answers came, and Crossed are those that a newer one overtook.
+	// Questions counts the requests of users and Answers the answers to them. Crossed counts the answers that were overtaken
+	// by a newer one.
 	Questions int `json:"questions"`
 	Answers   int `json:"answers"`
 	Crossed   int `json:"crossed"`
-	// Told are jobs of which a user was told the end, Starts tasks that were started, Terms those of leaders.
+	// Told counts the jobs whose final state a user was told, Starts the task starts, and Terms the leaders' terms.
 	Told   int `json:"told"`
 	Starts int `json:"starts"`
 	Terms  int `json:"terms"`
-	// Crossings are starts that reached a worker in vain. Releases are the proofs on which allocations were released, and how
-	// often messages about an attempt crossed, as far as the leaders' logs count them.
+	// Crossings counts start commands that had no effect because they crossed with another message. Releases counts, from the
+	// leaders' logs, the released allocations by the proof that allowed it, and the messages about an attempt that crossed.
 	Crossings cluster.IneffectiveStarts `json:"crossings"`
 	Releases  map[string]int            `json:"releases"`
-	// Unfinished are accepted jobs that were not over when the run ended.
+	// Unfinished counts the accepted jobs that had not ended when the run ended.
 	Unfinished int `json:"unfinished"`
-	// EndedByThemselves are controllers whose last process ended although nothing ended it.
-	EndedByThemselves int `json:"ended_by_themselves"`
-	// Contradictions are those that the controllers reported of themselves.
-	Contradictions int            `json:"contradictions"`
-	Broken         map[string]int `json:"broken"`
-	Why            []string       `json:"why"`
-	// Vacuous is why the run shows nothing; empty if it does.
+	// UnexpectedExits counts the controllers whose last process exited without being killed.
+	UnexpectedExits int `json:"ended_by_themselves"`
+	// Contradictions counts the invariant violations that the controllers logged.
+	Contradictions int `json:"contradictions"`
+	// Broken counts violations by rule; Details describes the first ones.
+	Broken  map[string]int `json:"broken"`
+	Details []string       `json:"why"`
+	// Vacuous is the reason why the run is inconclusive; empty if it is not.
 	Vacuous string `json:"vacuous,omitempty"`
-	// Logs is where the controllers' logs are, if they were kept.
+	// Logs is the directory of the controllers' logs, if they were kept.
 	Logs string `json:"logs,omitempty"`
 }
 
-// Failed reports whether a rule was broken, or a controller contradicted itself or ended by itself.
+// Failed reports whether a rule was violated, a controller logged an invariant violation, or a controller exited without being
+// killed.
 func (r *Run) Failed() bool {
-	return len(r.Broken) > 0 || r.Contradictions > 0 || r.EndedByThemselves > 0
+	return len(r.Broken) > 0 || r.Contradictions > 0 || r.UnexpectedExits > 0
 }
 
-// Result is what the experiment prints.
+// Result is the result that the experiment prints.
 type Result struct {
 	Measured string `json:"measured"`
 	Runs     []*Run `json:"runs"`
 }
 
-// Failed returns the runs that broke something.
+// Failed returns the failed runs.
 func (r *Result) Failed() (failed []*Run) {
 	for _, run := range r.Runs {
 		if run.Failed() {
@@ -160,33 +169,34 @@
 	return failed
 }
 
-// Play plays all seeds. Everything that it started is gone when it returns.
+// Play runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid options, if a
+// run cannot be set up, or if ctx ends; the result then has the runs that were completed.
 func (o *Options) Play(ctx context.Context) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
 	if err := o.makeLogDir(); err != nil {
-		return nil, fmt.Errorf("making a directory for logs: %w", err)
+		return nil, fmt.Errorf("creating log directory: %w", err)
 	}
 	runs := make([]*Run, o.Seeds)
 	errs := make([]error, o.Seeds)
 	slots := make(chan struct{}, o.AtOnce)
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for number := range o.Seeds {
 		slots <- struct{}{}
-		playing.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
 			if ctx.Err() == nil {
-				runs[number], errs[number] = o.play(ctx, o.First+uint64(number))
+				runs[number], errs[number] = o.runSeed(ctx, o.First+uint64(number))
 			}
 		})
 	}
-	playing.Wait()
+	running.Wait()
 	result := &Result{Measured: "real processes over loopback on this machine; simulated workers, state service and cloud", Runs: slices.DeleteFunc(runs, func(run *Run) bool { return run == nil })}
 	return result, errors.Join(append(errs, ctx.Err())...)
 }
 
-// makeLogDir makes the directory for logs, a new one if none is named.
+// makeLogDir creates LogDir, or a temporary directory if it is empty.
 func (o *Options) makeLogDir() (err error) {
 	if o.LogDir == "" {
 		o.LogDir, err = os.MkdirTemp("", "soak")
@@ -195,12 +205,12 @@
 	return os.MkdirAll(o.LogDir, 0o750)
 }
 
-// play plays one seed.
-func (o *Options) play(ctx context.Context, seed uint64) (*Run, error) {
-	// Logs of an earlier run of the seed are another run's.
+// runSeed runs one seed.
+func (o *Options) runSeed(ctx context.Context, seed uint64) (*Run, error) {
+	// A new directory keeps the logs apart from those of an earlier run of the same seed.
 	logs, err := os.MkdirTemp(o.LogDir, fmt.Sprintf("seed-%d-", seed))
 	if err != nil {
-		return nil, fmt.Errorf("making a directory for logs: %w", err)
+		return nil, fmt.Errorf("creating log directory: %w", err)
 	}
 	facts := o.facts()
 	audit := cluster.NewAudit(facts.Teams, facts.Workers)
@@ -213,28 +223,28 @@
 		return nil, fmt.Errorf("seed %d: %w", seed, err)
 	}
 	duration := time.Duration(o.ForS * float64(time.Second))
-	faults := Draw(seed, o.kinds(), controllers, duration)
-	o.Progress("seed %d: %s", seed, describe(faults))
+	faults := DrawSchedule(seed, o.kinds(), controllers, duration)
+	o.Progress("seed %d: %s", seed, formatFaults(faults))
 	run := &Run{Seed: seed, Workers: o.Workers, Faults: map[string]int{}}
 	for _, fault := range faults {
 		run.Schedule = append(run.Schedule, fault.String())
 		run.Faults[string(fault.Kind)]++
 	}
 	began := time.Now()
-	run.Unfinished = o.playFaults(ctx, running, audit, faults, duration)
+	run.Unfinished = o.runFaults(ctx, running, audit, faults, duration)
 	run.Seconds = time.Since(began).Seconds()
 	run.Terms = running.Terms()
 	for _, controller := range running.Controllers {
 		if controller.EndedByItself() {
-			run.EndedByThemselves++
+			run.UnexpectedExits++
 		}
 	}
 	running.Close()
-	o.judge(run, audit, logs)
+	o.evaluate(run, audit, logs)
 	return run, ctx.Err()
 }
 
-// kinds are the kinds of faults that are played.
+// kinds returns the kinds of faults to inject.
 func (o *Options) kinds() []Kind {
 	if len(o.Kinds) == 0 {
 		return Kinds()
@@ -246,13 +256,13 @@
 	return kinds
 }
 
-// facts are what the platform tells the controllers of a run. Limits grow with the fleet.
+// facts returns the platform facts for the controllers of a run. The limits of the state service grow with the fleet.
 func (o *Options) facts() settings.Facts {
 	const smallFleet = 50
 	scale := max(1, float64(o.Workers)/smallFleet)
 	return settings.Facts{
 		ControllerCount: controllers, Zones: []string{"a"},
-		Teams:     []settings.Team{{Name: teamName, CPUsMax: float64(limitPerWorker * o.Workers)}},
+		Teams:     []settings.Team{{Name: teamName, CPUsMax: float64(teamCPUsPerWorker * o.Workers)}},
 		Workers:   settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 5, CancelDeadlineS: 20},
 		State:     settings.StateLimits{RPS: 400 * scale, WriteRPS: 80 * scale, ValueKB: 16, TxnOps: 12},
 		Cloud:     settings.CloudLimits{RPS: 20, ListLagS: 1},
@@ -260,7 +270,7 @@
 	}
 }
 
-// clusterOptions are those of the cluster of a run.
+// clusterOptions returns the options of the cluster of a run.
 func (o *Options) clusterOptions(facts settings.Facts, logs string, audit *cluster.Audit) cluster.Options {
 	machine := api.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, PullGBs: 1, BootS: 2, Price: 1, SpotPrice: 0.5, Zones: facts.Zones}
 	return cluster.Options{
@@ -279,34 +289,34 @@
 			return err
 		}
 	}
-	if err := running.WaitForLeader(readyLimit); err != nil {
+	if err := running.WaitForLeader(leaderTimeout); err != nil {
 		return fmt.Errorf("no controller leads: %w", err)
 	}
 	return nil
 }
 
-// playFaults has users at work while the faults are played, and afterwards until their jobs are over. It returns how many are
-// not.
-func (o *Options) playFaults(ctx context.Context, running *cluster.Cluster, audit *cluster.Audit, faults []Fault, duration time.Duration) int {
+// runFaults runs the users while the faults are injected, and afterwards until all jobs have ended or settleTimeout has passed.
+// It returns the number of unfinished jobs.
+func (o *Options) runFaults(ctx context.Context, running *cluster.Cluster, audit *cluster.Audit, faults []Fault, duration time.Duration) int {
 	users := newUsers(running, audit)
 	settled, stop := context.WithCancel(ctx)
 	defer stop()
-	coming, stopComing := context.WithTimeout(ctx, duration)
-	defer stopComing()
-	var following, rest sync.WaitGroup
+	submitting, stopSubmitting := context.WithTimeout(ctx, duration)
+	defer stopSubmitting()
+	var following, background sync.WaitGroup
 	for range 6 + o.Workers/8 {
-		following.Go(func() { users.run(coming, settled, &following) })
+		following.Go(func() { users.submitJobs(submitting, settled, &following) })
 	}
-	rest.Go(func() { users.revisit(settled) })
-	rest.Go(func() {
-		for sleep.OnRealClock(settled, sweepEvery) {
+	background.Go(func() { users.askAboutEndedJobs(settled) })
+	background.Go(func() {
+		for sleep.OnRealClock(settled, sweepInterval) {
 			audit.CheckCancelledJobs()
 		}
 	})
-	newInjector(running, o.Program, users).play(ctx, faults)
-	<-coming.Done()
-	for end := time.Now().Add(settleLimit); users.unfinished() > 0 && time.Now().Before(end) && sleep.OnRealClock(ctx, settleLook); {
-		// Users go on asking.
+	newInjector(running, o.Program, users).run(ctx, faults)
+	<-submitting.Done()
+	for end := time.Now().Add(settleTimeout); users.unfinished() > 0 && time.Now().Before(end) && sleep.OnRealClock(ctx, settlePollInterval); {
+		// Users keep polling.
 	}
 	if ctx.Err() == nil {
 		reportUnanswered(audit)
@@ -314,34 +324,34 @@
 	unfinished := users.unfinished()
 	stop()
 	following.Wait()
-	rest.Wait()
+	background.Wait()
 	return unfinished
 }
 
-// reportUnanswered has the audit count the jobs about which nothing was to be learnt for too long.
+// reportUnanswered reports to the audit the accepted jobs about which no controller has answered for forgottenAfter.
 func reportUnanswered(audit *cluster.Audit) {
-	silent := map[string]time.Duration{}
+	unanswered := map[string]time.Duration{}
 	audit.Jobs(func(job *cluster.AuditedJob) {
 		if since := time.Since(job.AnsweredAt); job.TerminalState == "" && !job.Accepted.IsZero() && since > forgottenAfter {
-			silent[job.ID] = since
+			unanswered[job.ID] = since
 		}
 	})
-	for id, since := range silent {
+	for id, since := range unanswered {
 		audit.RecordUnanswered(id, since)
 	}
 }
 
-// judge fills in what the audit and the logs say of a run, and removes the logs unless something broke.
-func (o *Options) judge(run *Run, audit *cluster.Audit, logs string) {
+// evaluate fills in the findings of the audit and of the logs, and removes the logs unless the run failed.
+func (o *Options) evaluate(run *Run, audit *cluster.Audit, logs string) {
 	counts := audit.Counts()
 	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Requests, counts.Answers, counts.OutOfOrderAnswers, counts.TerminalJobs, audit.Starts()
-	run.Broken, run.Why = audit.Violations()
+	run.Broken, run.Details = audit.Violations()
 	texts := readLogs(logs)
-	run.Contradictions, run.Releases, run.Crossings = countContradictions(texts), countReleases(texts), audit.IneffectiveStarts()
+	run.Contradictions, run.Releases, run.Crossings = countInvariantViolations(texts), countReleases(texts), audit.IneffectiveStarts()
 	switch {
-	case float64(run.Answers) < leastAnswersPerS*o.ForS:
+	case float64(run.Answers) < minAnswersPerS*o.ForS:
 		run.Vacuous = "too few questions were answered"
-	case run.Terms < leastTerms:
+	case run.Terms < minTerms:
 		run.Vacuous = "no leader changed"
 	case run.Crossings.Sum() == 0:
 		run.Vacuous = "no start crossed with anything"
@@ -349,19 +359,19 @@
 	if run.Failed() {
 		run.Logs = logs
 	} else {
-		_ = os.RemoveAll(logs) // Nothing in them is missed.
+		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
-	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d ends told, %d starts, %d terms, %d crossed starts, %d unfinished, %d ended by themselves, %d contradictions, broken %v %s", run.Seed, run.Seconds,
-		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.EndedByThemselves, run.Contradictions, run.Broken, run.Vacuous)
-	for _, why := range run.Why {
+	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d final states told, %d starts, %d terms, %d crossed starts, %d unfinished, %d unexpected exits, %d invariant violations, rules violated %v %s", run.Seed, run.Seconds,
+		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
+	for _, why := range run.Details {
 		o.Progress("seed %d: %s", run.Seed, why)
 	}
 }
 
-// releasesLine is what a term logs of the allocations that it has released.
-const releasesLine = `msg="attempts released"`
+// releasesMessage marks the log lines with a term's counts of released allocations so far.
+const releasesMessage = `msg="attempts released"`
 
-// readLogs returns the texts of all logs in a directory. One that cannot be read is left out.
+// readLogs returns the contents of all logs in a directory, except those that cannot be read.
 func readLogs(directory string) (texts []string) {
 	files, _ := filepath.Glob(filepath.Join(directory, "*.log")) // The pattern is well-formed.
 	for _, file := range files {
@@ -372,28 +382,28 @@
 	return texts
 }
 
-// countReleases sums up what the terms in all logs have counted last.
+// countReleases returns the sum of the last counts of each term.
 func countReleases(logs []string) map[string]int {
-	newest := map[string]string{}
+	latest := map[string]string{}
 	for _, text := range logs {
 		for line := range strings.Lines(text) {
-			if _, attributes, ok := strings.Cut(line, releasesLine); ok {
+			if _, attributes, ok := strings.Cut(line, releasesMessage); ok {
 				term, rest, _ := strings.Cut(strings.TrimSpace(attributes), " ")
-				newest[term] = rest
+				latest[term] = rest
 			}
 		}
 	}
 	counts := map[string]int{}
-	for _, attributes := range newest {
+	for _, attributes := range latest {
 		addCounts(counts, attributes)
 	}
 	return counts
 }
 
-// attributePattern matches an attribute of a log line whose value is a number.
+// attributePattern matches a log attribute with a numeric value.
 var attributePattern = regexp.MustCompile(`("[^"]+"|[a-z_]+)=(\d+)`)
 
-// addCounts adds up the numbers among a log line's attributes, by name.
+// addCounts adds the numeric attributes of a log line to counts, by name.
 func addCounts(counts map[string]int, attributes string) {
 	for _, match := range attributePattern.FindAllStringSubmatch(attributes, -1) {
 		if count, err := strconv.Atoi(match[2]); err == nil {
@@ -402,8 +412,8 @@
 	}
 }
 
-// countContradictions counts the contradictions that controllers have logged.
-func countContradictions(logs []string) (count int) {
+// countInvariantViolations counts the invariant violations that the controllers logged.
+func countInvariantViolations(logs []string) (count int) {
 	for _, text := range logs {
 		count += strings.Count(text, "invariant violated")
 	}
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// buildProgram builds the program of this repository.
+// buildProgram builds the switchferry program and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "switchferry")
@@ -22,10 +22,11 @@
 	return program
 }
 
-// Random faults with fixed seeds on real processes break no rule, no controller contradicts itself, and no process is left.
-func TestRandomFaultsBreakNoRule(t *testing.T) {
+// Random faults with fixed seeds on real processes violate no rule, no controller logs an invariant violation, and no process is
+// left running.
+func TestRandomFaultsViolateNoRule(t *testing.T) {
 	if raceDetector {
-		t.Skip("the processes are built without the race detector, so it would see the same run again")
+		t.Skip("the controllers are built without the race detector, so the run would be the same as without it")
 	}
 	options := Defaults()
 	options.Program, options.Seeds, options.ForS, options.AtOnce, options.LogDir = buildProgram(t), 6, 20, 3, t.TempDir()
@@ -38,16 +39,16 @@
 	}
 	for _, run := range result.Runs {
 		if run.Failed() || run.Vacuous != "" {
-			t.Errorf("seed %d: broken %v, %d contradictions, %d ended by themselves, %q: %v", run.Seed, run.Broken, run.Contradictions, run.EndedByThemselves, run.Vacuous, run.Why)
+			t.Errorf("seed %d: rules violated %v, %d invariant violations, %d unexpected exits, %q: %v", run.Seed, run.Broken, run.Contradictions, run.UnexpectedExits, run.Vacuous, run.Details)
 			printLogs(t, run.Logs)
 		}
 	}
 	if out, err := exec.CommandContext(t.Context(), "pgrep", "-f", options.Program).Output(); err == nil && len(out) > 0 {
-		t.Errorf("processes are left: %s", out)
+		t.Errorf("processes still running: %s", out)
 	}
 }
 
-// printLogs prints the end of each log of a run that broke something, as a test's directory does not outlive it.
+// printLogs prints the end of each log of a failed run, because a test's directory is removed with it.
 func printLogs(t *testing.T, directory string) {
 	t.Helper()
 	const mostBytes = 20_000
@@ -61,7 +62,7 @@
 	}
 }
 
-func TestOptionsNameWhatIsWrong(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	cases := []struct {
 		want   error
 		change func(o *Options)
@@ -83,7 +84,7 @@
 	}
 }
 
-func TestReleasesAreCountedOnceATerm(t *testing.T) {
+func TestReleasesAreCountedOncePerTerm(t *testing.T) {
 	directory := t.TempDir()
 	line := func(term, exits, crossed int) string {
 		return fmt.Sprintf("time=x level=INFO msg=\"attempts released\" term=%d exits_crossed=%d \"exit reported\"=%d\n", term, crossed, exits)
@@ -99,14 +100,14 @@
 	}
 }
 
-func TestContradictionsAreCountedInAllLogs(t *testing.T) {
+func TestInvariantViolationsAreCountedInAllLogs(t *testing.T) {
 	directory := t.TempDir()
 	for name, text := range map[string]string{"n0.log": "msg=\"invariant violated\" a\nmsg=\"invariant violated\" b\n", "n1.log": "msg=elected\n", "n2.log": "msg=\"invariant violated\" c\n"} {
 		if err := os.WriteFile(filepath.Join(directory, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := countContradictions(readLogs(directory)); got != 3 {
-		t.Errorf("%d contradictions, want 3", got)
+	if got := countInvariantViolations(readLogs(directory)); got != 3 {
+		t.Errorf("%d invariant violations, want 3", got)
 	}
 }
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -14,40 +14,56 @@
 	"switchferry/internal/sleep"
 )
 
-// What users do.
+// Behavior of users.
 const (
-	pollPatience   = 2 * time.Second
-	callPatience   = 5 * time.Second
-	retryPause     = 200 * time.Millisecond
-	longestPoll    = 900 * time.Millisecond
-	longestPause   = 1500 * time.Millisecond
-	revisitPause   = 60 * time.Millisecond
-	invalidIDStart = 900_000
-	// pipelineShare of the submissions are the first job of a pipeline, closeLookShare of the events in a job's life are
-	// followed by a question to each controller at once, and atOnceShare and laterShare of the jobs are cancelled.
-	pipelineShare   = 0.3
-	closeLookShare  = 0.4
-	atOnceShare     = 0.2
-	laterShare      = 0.2
-	serviceShare    = 0.1
-	unknownShare    = 0.05
-	longestPipeline = 3
-	mostTasks       = 5
-	mostCPUs        = 3
-	shortestTask    = 0.01
+	// pollTimeout is the timeout of a poll, callTimeout that of any other request.
+	pollTimeout = 2 * time.Second
+	callTimeout = 5 * time.Second
+	// retryPause is the delay before a request is retried, and the minimum interval between polls.
+	retryPause = 200 * time.Millisecond
+	// maxPollJitter is the maximum random addition to the interval between polls.
+	maxPollJitter = 900 * time.Millisecond
+	// maxSubmitPause is the maximum pause of a user between submissions.
+	maxSubmitPause = 1500 * time.Millisecond
+	// endedJobInterval is the interval between requests about jobs that have ended.
+	endedJobInterval = 60 * time.Millisecond
+	// unknownIDStart is the lowest number in the IDs of jobs that do not exist.
+	unknownIDStart = 900_000
+	// pipelineShare is the share of submissions that start a pipeline.
+	pipelineShare = 0.3
+	// askAllShare is the share of events in a job's life after which all controllers are asked about it at once.
+	askAllShare = 0.4
+	// cancelNowShare is the share of jobs that are cancelled immediately, and the share whose tasks are very short.
+	cancelNowShare = 0.2
+	// cancelLaterShare is the share of jobs that are cancelled after some time.
+	cancelLaterShare = 0.2
+	// serviceShare is the share of services among the jobs that await no other job.
+	serviceShare = 0.1
+	// unknownShare is the share of requests of revisit that are about jobs that do not exist.
+	unknownShare = 0.05
+	// maxPipelineJobs is the maximum number of jobs in a pipeline.
+	maxPipelineJobs = 3
+	// maxTasks is the maximum number of tasks of a job.
+	maxTasks = 5
+	// maxCPUs is the maximum number of CPUs of a task.
+	maxCPUs = 3
+	// shortTaskS is the run time of very short tasks, in seconds.
+	shortTaskS = 0.01
 )
 
-// users submit jobs, ask about them at all controllers, repeat their submissions and cancel some. What they are answered goes
-// to the audit.
+// users simulates users, who submit jobs, ask about them at all controllers, resubmit them and cancel some. All answers are
+// passed to the audit.
 type users struct {
 	cluster *cluster.Cluster
 	audit   *cluster.Audit
 
-	// mu guards the fields below: how many jobs there were, those that go on, and those that are over.
-	mu      sync.Mutex
-	jobs    int
-	open    map[string]*job
-	endedID []*job
+	// mu guards the fields below.
+	mu sync.Mutex
+	// jobs is the number of jobs created so far.
+	jobs int
+	// open has the accepted jobs that have not ended, by ID; ended has those that have ended.
+	open  map[string]*job
+	ended []*job
 }
 
 // job is a job as its user knows it.
@@ -60,35 +76,36 @@
 	return &users{cluster: run, audit: audit, open: map[string]*job{}}
 }
 
-// newJob makes up a job that awaits others, and makes it known to the audit.
+// newJob creates a random job that awaits the given jobs, and registers it with the audit.
 func (u *users) newJob(awaits []string) *job {
 	u.mu.Lock()
 	u.jobs++
 	number := u.jobs
 	u.mu.Unlock()
 	ranks := []string{"low", "normal", "high"}
-	submission := api.Submission{ID: fmt.Sprintf("run-%06d", number), Class: "soak", Team: teamName, Shape: api.JobArray, Rank: ranks[rand.IntN(len(ranks))], Tasks: 1 + rand.IntN(mostTasks),
-		CPUs: float64(1 + rand.IntN(mostCPUs)), MemoryGB: 1, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: 0.3 + 3*rand.Float64(), Awaits: awaits}
-	if rand.Float64() < atOnceShare {
-		submission.EstimateS = shortestTask
+	submission := api.Submission{ID: fmt.Sprintf("run-%06d", number), Class: "soak", Team: teamName, Shape: api.JobArray, Rank: ranks[rand.IntN(len(ranks))], Tasks: 1 + rand.IntN(maxTasks),
+		CPUs: float64(1 + rand.IntN(maxCPUs)), MemoryGB: 1, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: 0.3 + 3*rand.Float64(), Awaits: awaits}
+	if rand.Float64() < cancelNowShare {
+		submission.EstimateS = shortTaskS
 	}
 	if len(awaits) == 0 && rand.Float64() < serviceShare {
 		submission.Shape, submission.Rank, submission.EstimateS = api.Service, "prod", 0
 	}
 	body, err := json.Marshal(&submission)
 	if err != nil {
-		panic(err) // Only for a type that cannot be encoded.
+		panic(err) // A Submission can always be encoded.
 	}
 	u.audit.Submit(submission)
 	return &job{submission, body}
 }
 
-// run has users come one after the other until ctx ends; those who are there go on until their jobs are over or settled ends.
-func (u *users) run(ctx, settled context.Context, following *sync.WaitGroup) {
+// submitJobs submits jobs and pipelines one after the other until ctx ends. Submitted jobs are followed until they have ended or
+// settled ends; following waits for that.
+func (u *users) submitJobs(ctx, settled context.Context, following *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		length := 1
 		if rand.Float64() < pipelineShare {
-			length = 2 + rand.IntN(longestPipeline-1)
+			length = 2 + rand.IntN(maxPipelineJobs-1)
 		}
 		var awaits []string
 		for range length {
@@ -96,17 +113,17 @@
 			if !u.submit(settled, next) {
 				break
 			}
-			following.Go(func() { u.follow(settled, next) })
+			following.Go(func() { u.pollUntilEnded(settled, next) })
 			awaits = []string{next.ID}
 		}
-		sleep.OnRealClock(ctx, rand.N(longestPause))
+		sleep.OnRealClock(ctx, rand.N(maxSubmitPause))
 	}
 }
 
-// submit repeats a submission at any controllers until it is accepted; it reports false if ctx ended before.
+// submit retries a submission at random controllers until it is accepted. It returns false if ctx ended first.
 func (u *users) submit(ctx context.Context, job *job) bool {
 	for ctx.Err() == nil {
-		if status, _ := u.ask(ctx, cluster.SubmitRequest, job, u.anyController()); status == http.StatusOK || status == http.StatusCreated {
+		if status, _ := u.request(ctx, cluster.SubmitRequest, job, u.randomController()); status == http.StatusOK || status == http.StatusCreated {
 			u.mu.Lock()
 			u.open[job.ID] = job
 			u.mu.Unlock()
@@ -117,52 +134,52 @@
 	return false
 }
 
-// follow asks about a job until it is over, and cancels some.
-func (u *users) follow(ctx context.Context, job *job) {
-	u.lookClosely(ctx, job)
-	fate := rand.Float64()
+// pollUntilEnded polls a job until it has ended, and cancels some jobs.
+func (u *users) pollUntilEnded(ctx context.Context, job *job) {
+	u.askAllControllers(ctx, job)
+	choice := rand.Float64()
 	switch {
-	case fate < atOnceShare:
+	case choice < cancelNowShare:
 		u.cancel(ctx, job)
-	case fate < atOnceShare+laterShare || job.Shape == api.Service:
+	case choice < cancelNowShare+cancelLaterShare || job.Shape == api.Service:
 		go func() {
 			sleep.OnRealClock(ctx, rand.N(4*time.Second))
 			u.cancel(ctx, job)
 		}()
 	}
 	for {
-		if _, over := u.ask(ctx, cluster.StatusRequest, job, u.anyController()); over {
+		if _, over := u.request(ctx, cluster.StatusRequest, job, u.randomController()); over {
 			break
 		}
-		if !sleep.OnRealClock(ctx, retryPause+rand.N(longestPoll)) {
+		if !sleep.OnRealClock(ctx, retryPause+rand.N(maxPollJitter)) {
 			return
 		}
 	}
-	u.lookClosely(ctx, job)
+	u.askAllControllers(ctx, job)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.open, job.ID)
-	u.endedID = append(u.endedID, job)
+	u.ended = append(u.ended, job)
 }
 
-// cancel repeats a cancellation until it is answered, and then looks closely.
+// cancel retries a cancellation until the job has ended, and then calls askAllControllers.
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
-		if _, over := u.ask(ctx, cluster.CancelRequest, job, u.anyController()); over {
-			u.lookClosely(ctx, job)
+		if _, over := u.request(ctx, cluster.CancelRequest, job, u.randomController()); over {
+			u.askAllControllers(ctx, job)
 			return
 		}
 		sleep.OnRealClock(ctx, retryPause)
 	}
 }
 
-// cancelMany cancels some of the jobs that go on, at once.
-func (u *users) cancelMany(ctx context.Context, most int) {
+// cancelMany cancels up to most of the jobs that have not ended, all at once. It does not wait for the answers.
+func (u *users) cancelMany(ctx context.Context, limit int) {
 	u.mu.Lock()
 	var chosen []*job
 	for _, open := range u.open {
-		if chosen = append(chosen, open); len(chosen) == most {
+		if chosen = append(chosen, open); len(chosen) == limit {
 			break
 		}
 	}
@@ -172,32 +189,33 @@
 	}
 }
 
-// lookClosely asks all controllers at once, and repeats the submission there, after some of the events in a job's life.
-func (u *users) lookClosely(ctx context.Context, job *job) {
-	if rand.Float64() >= closeLookShare {
+// askAllControllers asks all controllers about a job and resubmits it to them, all at once. It does so in askAllShare of the
+// calls.
+func (u *users) askAllControllers(ctx context.Context, job *job) {
+	if rand.Float64() >= askAllShare {
 		return
 	}
 	var asking sync.WaitGroup
 	for _, controller := range u.cluster.Controllers {
 		for _, kind := range []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest} {
-			asking.Go(func() { u.ask(ctx, kind, job, controller) })
+			asking.Go(func() { u.request(ctx, kind, job, controller) })
 		}
 	}
 	asking.Wait()
 }
 
-// revisit asks about jobs that are over, repeats their submissions, and asks about jobs of nobody, until ctx ends.
-func (u *users) revisit(ctx context.Context) {
-	for sleep.OnRealClock(ctx, revisitPause) {
+// askAboutEndedJobs polls, resubmits and cancels jobs that have ended, and polls jobs that do not exist, until ctx ends.
+func (u *users) askAboutEndedJobs(ctx context.Context) {
+	for sleep.OnRealClock(ctx, endedJobInterval) {
 		if rand.Float64() < unknownShare {
-			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", invalidIDStart+rand.IntN(1000))}}
-			u.ask(ctx, cluster.StatusRequest, unknown, u.anyController())
+			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", unknownIDStart+rand.IntN(1000))}}
+			u.request(ctx, cluster.StatusRequest, unknown, u.randomController())
 			continue
 		}
 		u.mu.Lock()
 		var ended *job
-		if len(u.endedID) > 0 {
-			ended = u.endedID[rand.IntN(len(u.endedID))]
+		if len(u.ended) > 0 {
+			ended = u.ended[rand.IntN(len(u.ended))]
 		}
 		u.mu.Unlock()
 		if ended == nil {
@@ -206,21 +224,22 @@
 		kinds := []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest, cluster.CancelRequest}
 		kind := kinds[rand.IntN(len(kinds))]
 		if kind == cluster.CancelRequest {
-			// It is over: the answer is its final state.
+			// The job has ended, so the answer must be its final state.
 			u.audit.CancelRequested(ended.ID)
 		}
-		u.ask(ctx, kind, ended, u.anyController())
+		u.request(ctx, kind, ended, u.randomController())
 	}
 }
 
-// anyController is any controller.
-func (u *users) anyController() *cluster.Controller {
+// randomController returns a random controller.
+func (u *users) randomController() *cluster.Controller {
 	return u.cluster.Controllers[rand.IntN(len(u.cluster.Controllers))]
 }
 
-// ask asks a controller, and has the audit judge the answer. Status is 0 if there is none.
-func (u *users) ask(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, over bool) {
-	method, path, patience := http.MethodPost, "/submissions", callPatience
+// request sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer; over reports
+// whether the job has ended.
+func (u *users) request(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, over bool) {
+	method, path, timeout := http.MethodPost, "/submissions", callTimeout
 	var body []byte
 	switch kind {
 	case cluster.SubmitRequest:
@@ -228,9 +247,9 @@
 	case cluster.CancelRequest:
 		path += "/" + job.ID + "/cancel"
 	case cluster.StatusRequest:
-		method, path, patience = http.MethodGet, path+"/"+job.ID, pollPatience
+		method, path, timeout = http.MethodGet, path+"/"+job.ID, pollTimeout
 	}
-	call, stop := context.WithTimeout(ctx, patience)
+	call, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	question := cluster.JobRequest{JobID: job.ID, Kind: kind, Controller: controller.Settings.Member, SentAt: time.Now()}
 	status, raw, err := u.cluster.Call(call, controller, method, path, body)
@@ -238,13 +257,13 @@
 	var answer api.JobStatus
 	if err == nil {
 		question.Status = status
-		_ = json.Unmarshal(raw, &answer) // A failure has no state.
+		_ = json.Unmarshal(raw, &answer) // An error response has no state.
 		question.State = answer.State
 	}
 	return question.Status, u.audit.CheckAnswer(question)
 }
 
-// unfinished returns how many accepted jobs are not over.
+// unfinished returns the number of accepted jobs that have not ended.
 func (u *users) unfinished() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -7,31 +7,31 @@
 	"switchferry/api"
 )
 
-// The leader with a topology passes no bound and misses no place that there is; without one the
-// same jobs stand anywhere, which the count must show.
-func TestTopologyExperiment(t *testing.T) {
+// With a topology the Scheduler exceeds no bound and places every job that fits. Without one the same jobs violate
+// bounds, which the count must show.
+func TestTopologyKeepsBoundsAndPlacesWhatFits(t *testing.T) {
 	x := TopologyDefaults()
 	x.Machines, x.Seconds, x.Seeds = 120, 120, 2
 	res, err := x.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]TopologyFigures{}
+	byName := map[string]TopologyFigures{}
 	for _, f := range res.Placements {
-		by[f.Name] = f
+		byName[f.Name] = f
 	}
-	if f := by["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.PlacedN == 0 {
+	if f := byName["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.PlacedN == 0 {
 		t.Errorf("%+v", f)
 	}
-	if f := by["today"]; f.Violations == 0 {
-		t.Errorf("violations are not counted: %+v", f)
+	if f := byName["today"]; f.Violations == 0 {
+		t.Errorf("no violations counted without a topology: %+v", f)
 	}
-	if f := by["random"]; f.Violations > 0 || f.CloseTogether == 0 {
+	if f := byName["random"]; f.Violations > 0 || f.CloseTogether == 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
-func TestExactSearch(t *testing.T) {
+func TestFitsFindsMaximumPlacement(t *testing.T) {
 	in := []*rackMachine{{rack: "a", cpus: 8}, {rack: "a", cpus: 8}, {rack: "b", cpus: 4}}
 	for _, c := range []struct {
 		tasks, most int
