--- a/scheduler/constraints.go
+++ b/scheduler/constraints.go
@@ -12,8 +12,8 @@
 }
 
 // satisfiesSpread reports whether one more task of a job may start on a machine, given where the job's other tasks run
-// or may run. A job may require that all tasks are in one zone, or that they are spread over zones or domains.
-// s.mu must be held.
+// or may run. A job may require that all its tasks are in one zone, that no zone has more than half of them, rounded
+// up, or that they are spread over domains. s.mu must be held.
 func satisfiesSpread(job *jobState, machine *machineState) bool {
 	if job.site != nil && !job.site.Allows(machine.Name) {
 		return false
@@ -47,8 +47,8 @@
 }
 
 // startableNow reports whether tasks of a job may start now, irrespective of the machine: its record is stored, it is
-// not in a final state or paused, and its input datasets are known. A job that fails on every machine may run only one
-// task at a time, unless it is a gang. s.mu must be held.
+// not in a terminal state or paused, and its input datasets are known. A job that fails on every machine may run only
+// one task at a time, unless it is a gang. s.mu must be held.
 func (s *Scheduler) startableNow(job *jobState) bool {
 	if !job.accepted || job.FinalState != "" || s.now().Before(job.pausedUntil) || !s.inputsReady(job) {
 		return false
--- a/scheduler/data_staging.go
+++ b/scheduler/data_staging.go
@@ -25,16 +25,16 @@
 const allocatedPosition = -1
 
 // planStaging plans which dataset parts are copied to which machines after a placement round, and sends the staging
-// orders that changed. Inputs of allocated tasks come first, because they must not be evicted. Then follow, in the order
-// of the jobs, the inputs of queued tasks for which a machine has free resources, and of a limited number of queued tasks
-// beyond these. s.mu must be held.
+// orders that changed. Inputs of allocated tasks come first, because they must not be evicted. Then follow, in the
+// order of the jobs, the inputs of queued tasks for which a machine has free resources, and of a limited number of
+// queued tasks beyond these. s.mu must be held.
 func (s *Scheduler) planStaging() {
 	datasets := s.datasets
 	if datasets == nil {
 		return
 	}
 	clear(datasets.waiting)
-	if !s.demandsData() && datasets.planner.Idle() {
+	if !s.anyJobHasInputs() && datasets.planner.Idle() {
 		// No job has inputs and no copy is in progress.
 		return
 	}
@@ -43,7 +43,7 @@
 	for i, job := range s.jobOrder {
 		positions[job] = i
 	}
-	demands := slices.Concat(s.queuedStagingDemands(positions), s.heldStagingDemands(positions))
+	demands := slices.Concat(s.queuedStagingDemands(positions), s.assignedStagingDemands(positions))
 	slices.SortStableFunc(demands, func(a, b stagingDemand) int {
 		return cmp.Or(cmp.Compare(a.jobPosition, b.jobPosition), strings.Compare(a.machine.Name, b.machine.Name), cmp.Compare(a.task, b.task))
 	})
@@ -59,7 +59,7 @@
 }
 
 // queuedStagingDemands returns the queued tasks for which their machines have free resources, and on each machine as
-// many further tasks as the setting Ahead allows. It also counts the queued tasks that wait for inputs, in
+// many further tasks as the setting AheadTasks allows. It also counts the queued tasks that wait for inputs, in
 // datasetState.waiting. s.mu must be held.
 func (s *Scheduler) queuedStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
 	ahead := s.datasets.settings.AheadTasks
@@ -89,10 +89,10 @@
 	return demands
 }
 
-// heldStagingDemands returns the allocated tasks of jobs with inputs, and the tasks of services and gangs whose inputs
-// are being copied to an intended machine. It removes the intended machines of tasks that are allocated, completed or
-// part of a job in a final state, and counts the remaining tasks as waiting. s.mu must be held.
-func (s *Scheduler) heldStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
+// assignedStagingDemands returns the allocated tasks of jobs with inputs, and the tasks of services and gangs whose
+// inputs are being copied to an intended machine. It removes the intended machines of tasks that are allocated,
+// completed or part of a job in a terminal state, and counts the remaining tasks as waiting. s.mu must be held.
+func (s *Scheduler) assignedStagingDemands(positions map[*jobState]int) (demands []stagingDemand) {
 	for _, job := range s.jobOrder {
 		if len(job.inputs) == 0 {
 			continue
@@ -138,16 +138,16 @@
 	return parts
 }
 
-// demandsData reports whether any job has inputs. s.mu must be held.
-func (s *Scheduler) demandsData() bool {
+// anyJobHasInputs reports whether any job has inputs. s.mu must be held.
+func (s *Scheduler) anyJobHasInputs() bool {
 	return slices.ContainsFunc(s.jobOrder, func(job *jobState) bool { return len(job.inputs) > 0 })
 }
 
-// retryStuckStaging requeues the tasks of machines that cannot receive inputs, because the data agent is silent or the
+// requeueStuckStaging requeues the tasks of machines that cannot receive inputs, because the data agent is silent or the
 // cache has been full of pinned parts for too long. The jobs avoid such a machine for tuning.BackoffMax.
 // s.mu must be held.
-func (s *Scheduler) retryStuckStaging() {
-	if !s.demandsData() {
+func (s *Scheduler) requeueStuckStaging() {
+	if !s.anyJobHasInputs() {
 		return
 	}
 	for _, machine := range s.sortedMachines() {
@@ -194,8 +194,8 @@
 	return -1
 }
 
-// firstStaged returns a job's queue on a machine and the index of the first task whose inputs are staged there. The index
-// is -1 if there is none. s.mu must be held.
+// firstStaged returns a job's queue on a machine and the index of the first task whose inputs are staged there. The
+// index is -1 if there is none. s.mu must be held.
 func (s *Scheduler) firstStaged(job *jobState, machine *machineState) (*runQueue, int) {
 	for _, queue := range machine.queues {
 		if queue.job == job {
@@ -211,8 +211,8 @@
 	return i >= 0
 }
 
-// intendedMachine returns the machine to which the inputs of a task of a service or gang are being copied. It returns nil
-// if there is none, or if the task may no longer be placed there; it then removes the entry. s.mu must be held.
+// intendedMachine returns the machine to which the inputs of a task of a service or gang are being copied. It returns
+// nil if there is none, or if the task may no longer be placed there; it then removes the entry. s.mu must be held.
 func (s *Scheduler) intendedMachine(job *jobState, task int) *machineState {
 	machine := job.intendedMachines[task]
 	if machine == nil || s.machines[machine.Name] != machine || !s.mayPlace(job, machine) {
@@ -249,7 +249,7 @@
 	order, _, ok := s.datasets.planner.Order(heartbeat.Machine)
 	if !ok || !s.loaded || !s.leadership.Leading() {
 		// There is no order, the records are not loaded or this controller does not lead, so nothing may be evicted. An
-		// order with number 0 changes nothing.
+		// order with sequence number 0 changes nothing.
 		order = api.StageOrder{Term: heartbeat.Term, Sets: []api.StageSet{}}
 	}
 	return order, false, false
--- a/scheduler/dataset_removal.go
+++ b/scheduler/dataset_removal.go
@@ -9,10 +9,10 @@
 )
 
 // A dataset is removed in two steps, each of which updates its record. First it is unlisted. A job is accepted only on
-// the condition that the records of its datasets have not changed since they were read, so no new job can use the dataset
-// from then on. Jobs that were accepted earlier run normally. Once none of them is left, the dataset is marked as removed
-// and agents delete its bytes. Only the leader can determine that none is left, and only when it knows every job that
-// peers accepted before the dataset was unlisted.
+// the condition that the records of its datasets have not changed since they were read, so no new job can use the
+// dataset from then on. Jobs that were accepted earlier run normally. Once none of them is left, the dataset is marked
+// as removed and agents delete its bytes. Only the leader can determine that none is left, and only when it knows every
+// job that peers accepted before the dataset was unlisted.
 
 // inputConditions returns the store conditions under which a job with inputs may be accepted. They cannot hold if one of
 // its datasets is unknown or no longer listed. s.mu must be held.
@@ -31,8 +31,8 @@
 	return conditions
 }
 
-// adoptDatasetRecord adopts a dataset's record that made a conditional write fail. If the dataset is no longer listed, it
-// removes the jobs that use it and are not accepted yet. The requests that wait for these jobs then check the inputs
+// adoptDatasetRecord adopts a dataset's record that made a conditional write fail. If the dataset is no longer listed,
+// it removes the jobs that use it and are not accepted yet. The requests that wait for these jobs then check the inputs
 // again and return the reason. s.mu must be held.
 func (s *Scheduler) adoptDatasetRecord(item *store.Item) {
 	entry, err := DecodeDataset(item)
@@ -105,8 +105,8 @@
 		s.datasets.removing[entry.Name] == "" && s.jobsUsing(entry.Name) == 0
 }
 
-// removalStored is called once the record that datasetRecord built for a dataset is stored. The record does not state the
-// removal if a job that uses the dataset became known before the record was built. s.mu must be held.
+// removalStored is called once the record that datasetRecord built for a dataset is stored. The record does not state
+// the removal if a job that uses the dataset became known before the record was built. s.mu must be held.
 func (s *Scheduler) removalStored(entry *dataset.Entry) {
 	writtenState := s.datasets.removing[entry.Name]
 	delete(s.datasets.removing, entry.Name)
--- a/scheduler/datasets.go
+++ b/scheduler/datasets.go
@@ -17,8 +17,8 @@
 
 // A task with inputs is queued like any other task, but it starts only once the agent of its machine has confirmed that
 // its inputs are complete and pinned there. Until then it is not allocated any resources, so other tasks can use them.
-// Which parts are copied to which machines is derived from the queues in each round and not stored: a new leader rebuilds
-// its queues and learns from the agents which machines hold which parts.
+// Which parts are copied to which machines is derived from the queues in each round and not stored: a new leader
+// rebuilds its queues and learns from the agents which machines hold which parts.
 
 // datasetState is the leader's state of datasets during one term. Scheduler.mu guards it.
 type datasetState struct {
@@ -43,9 +43,9 @@
 	// waiting is the number of tasks of each job, by job ID, that waited for their inputs in the last round.
 	waiting map[string]int
 
-	// hintedVersion is the version of the index that was last stored as a hint.
+	// hintedVersion is the version of the index that was last stored as replica hints for the next leader.
 	hintedVersion uint64
-	// hintStoredAt is when that hint was stored.
+	// hintStoredAt is when those hints were stored.
 	hintStoredAt time.Time
 
 	// relayedOrders holds, by machine, the relayed order of each agent whose last heartbeat was relayed by a peer.
@@ -192,8 +192,8 @@
 	}
 }
 
-// DecodeDataset decodes and checks a dataset's record. It sets the entry's Stamp to the record's revision. Its errors do
-// not name the record, because they become part of responses to users.
+// DecodeDataset decodes and checks a dataset's record. It sets the entry's Revision to the revision of the record. Its
+// errors do not name the record, because they become part of responses to users.
 func DecodeDataset(item *store.Item) (*dataset.Entry, error) {
 	var entry dataset.Entry
 	if err := json.Unmarshal(item.Value, &entry); err != nil {
--- a/scheduler/domain_reservation.go
+++ b/scheduler/domain_reservation.go
@@ -46,7 +46,7 @@
 func (s *Scheduler) startDelays(job *jobState, machine *machineState, tasks int) (delays []int64) {
 	free := machine.free()
 	type release struct {
-		delay     int64
+		delayMS   int64
 		resources fleet.Resources
 	}
 	var releases []release
@@ -64,15 +64,15 @@
 			releases = append(releases, release{int64(secondsLeft * 1000), alloc.job.request})
 		}
 	}
-	slices.SortFunc(releases, func(a, b release) int { return cmp.Compare(a.delay, b.delay) })
-	delay := int64(0)
+	slices.SortFunc(releases, func(a, b release) int { return cmp.Compare(a.delayMS, b.delayMS) })
+	delayMS := int64(0)
 	for len(delays) < tasks {
 		switch {
 		case free.Fits(job.request):
 			free = free.Sub(job.request)
-			delays = append(delays, delay)
+			delays = append(delays, delayMS)
 		case len(releases) > 0:
-			delay, free = releases[0].delay, free.Add(releases[0].resources)
+			delayMS, free = releases[0].delayMS, free.Add(releases[0].resources)
 			releases = releases[1:]
 		default:
 			return delays
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -13,9 +13,9 @@
 	"switchferry/tuning"
 )
 
-// inputCostModel implements placement.InputCost for one job: the cost of the inputs that a group of its tasks lacks on a
-// machine. Results are cached, because in a fleet of thousands of machines the same few waits are computed over and over.
-// Scheduler.mu must be held for all methods.
+// inputCostModel implements placement.InputCost for one job: the cost of the inputs that a group of its tasks lacks on
+// a machine. Results are cached, because in a fleet of thousands of machines the same few waits recur. Scheduler.mu
+// must be held for all methods.
 type inputCostModel struct {
 	scheduler *Scheduler
 	job       *jobState
@@ -42,12 +42,12 @@
 	lastSeconds      float64
 	lastSecondsSlots int
 
-	// lastGroup is the group in the last call of Slots.
+	// lastGroup is the group in the last call of CopySlots.
 	lastGroup int
 	// transfer describes what a task of lastGroup needs. Its bytes and fromStore apply to all servers of the group if
-	// singlePartPerTask is set, otherwise only to the server in the last call of Slots.
+	// singlePartPerTask is set, otherwise only to the server in the last call of CopySlots.
 	transfer inputTransfer
-	// lastBacklog and lastSlots are the backlog of the server in the last call of Slots and the result of that call.
+	// lastBacklog and lastSlots are the backlog of the server in the last call of CopySlots and the result of that call.
 	lastBacklog float64
 	lastSlots   int
 }
@@ -78,8 +78,8 @@
 	return slots
 }
 
-// CopySlots returns how many slots a task of a group waits for its inputs on a server that does not hold all of them. Most
-// servers have no backlog, so the last result is reused when the backlog is the same.
+// CopySlots returns how many slots a task of a group waits for its inputs on a server that does not hold all of them.
+// Most servers have no backlog, so the last result is reused when the backlog is the same.
 func (m *inputCostModel) CopySlots(group, server int) int {
 	if group == m.lastGroup && m.transfer.inFlight == nil && m.singlePartPerTask && m.backlog[server] == m.lastBacklog {
 		return m.lastSlots
@@ -111,8 +111,8 @@
 	return slots
 }
 
-// MinCopySlots returns a lower bound of Slots for all servers that do not hold the inputs of a group. Each of them lacks at
-// least one part, so the bound is the wait for the smallest part on the link with the smallest backlog.
+// MinCopySlots returns a lower bound of CopySlots for all servers that do not hold the inputs of a group. Each of them
+// lacks at least one part, so the bound is the wait for the smallest part on the link with the smallest backlog.
 func (m *inputCostModel) MinCopySlots(group int) int {
 	if !m.localityAware {
 		return 0
@@ -135,8 +135,8 @@
 	return m.penaltySlots(m.scheduler.datasets.planner.TransferDelay(m.minBacklog, leastBytes, false))
 }
 
-// TasksCopiedPerSlot returns the number of tasks of a group whose own parts an idle link can transfer per slot. It is +Inf if that
-// takes no time.
+// TasksCopiedPerSlot returns the number of tasks of a group whose own parts an idle link can transfer per slot. It is
+// +Inf if that takes no time.
 func (m *inputCostModel) TasksCopiedPerSlot(group int) float64 {
 	if !m.localityAware {
 		return math.Inf(1)
@@ -153,8 +153,8 @@
 	return math.Inf(1)
 }
 
-// RecordAssignment adds the bytes that the given number of tasks of a group lack on a server to the backlog of that server, so that
-// the jobs that follow in this round take them into account.
+// RecordAssignment adds the bytes that must be copied to a server for the given number of tasks of a group to the
+// backlog of that server, so that the jobs that follow in this round take them into account.
 func (m *inputCostModel) RecordAssignment(group, server, tasks int) {
 	if !m.localityAware {
 		return
@@ -289,9 +289,9 @@
 	return len(job.inputs) == 0 || s.datasets != nil && s.datasets.planner.Alive(machine.Name, s.now(), tuning.StageSilenceTimeout)
 }
 
-// placeByLocality is waterFill for a job with inputs. It groups the tasks by the machines that hold their inputs. For all
-// other machines it adds the time to copy the missing inputs over their links, with the present backlog, to the busy
-// time. s.mu must be held.
+// placeByLocality is waterFill for a job with inputs. It groups the tasks by the machines that hold their inputs. For
+// all other machines it adds the time to copy the missing inputs over their links, with the present backlog, to the
+// busy time. s.mu must be held.
 func (s *Scheduler) placeByLocality(job *jobState) {
 	costModel := s.newInputCostModel(job)
 	machines, servers, indexByID := s.localityServers(job, costModel)
@@ -326,8 +326,8 @@
 	}
 }
 
-// localityServers returns the machines that may serve a job with inputs, sorted by name, the corresponding servers of the
-// water-filling, and their indexes by machine ID. It adds the machines to the job's input cost model.
+// localityServers returns the machines that may serve a job with inputs, sorted by name, the corresponding servers of
+// the water-filling, and their indexes by machine ID. It adds the machines to the job's input cost model.
 // s.mu must be held.
 func (s *Scheduler) localityServers(job *jobState, costModel *inputCostModel) ([]*machineState, []placement.Server, map[replicas.MachineID]int32) {
 	datasets := s.datasets
@@ -393,10 +393,10 @@
 }
 
 // rebalance moves queued tasks of a job with inputs to machines with free resources. A task whose machine has no free
-// resources moves at once to a machine that holds its inputs. To a machine that must copy them it moves only after a
-// delay in proportion to the copy, as for images. A task that waits for its inputs on a machine with free resources moves
-// only to a machine that holds them. A moved task starts once its inputs are confirmed there. The queues must be those of
-// the job. s.mu must be held.
+// resources moves at once to a machine that holds its inputs. To a machine to which they must be copied it moves only
+// after its job has waited in proportion to the time of the copy, as worthPulling requires for images. A task that
+// waits for its inputs on a machine with free resources moves only to a machine that holds them. A moved task starts
+// once its inputs are confirmed there. The queues must be those of the job. s.mu must be held.
 func (s *Scheduler) rebalance(job *jobState, targets []*machineState, queues []machineQueue) {
 	for _, machine := range targets {
 		if !s.canStart(job, machine) || !s.mayStage(job, machine) {
@@ -417,12 +417,12 @@
 	}
 }
 
-// moveQueued moves up to limit tasks for which gainsByMove is true out of a queue to another machine, and returns how
+// moveQueued moves up to limit tasks for which shouldMove is true out of a queue to another machine, and returns how
 // many it moved. s.mu must be held.
 func (s *Scheduler) moveQueued(job *jobState, source machineQueue, target *machineState, limit int) (moved int) {
 	couldStart := source.machine.free().Fits(job.request) && s.schedulable(source.machine) && s.mayStage(job, source.machine)
 	for i := 0; i < len(source.queue.tasks) && moved < limit; {
-		if !s.gainsByMove(job, int(source.queue.tasks[i]), source.machine, target, couldStart) {
+		if !s.shouldMove(job, int(source.queue.tasks[i]), source.machine, target, couldStart) {
 			i++
 			continue
 		}
@@ -434,11 +434,11 @@
 	return moved
 }
 
-// gainsByMove reports whether a queued task should move to a machine with free resources. CouldStart states that the
-// source has free resources, so that the task waits only for its inputs; it then moves only from a source to which inputs
-// must still be copied to a target that holds them. If the task would have to wait for inputs or its image on the target,
-// it moves only after its job has waited in proportion to that time. s.mu must be held.
-func (s *Scheduler) gainsByMove(job *jobState, task int, source, target *machineState, couldStart bool) bool {
+// shouldMove reports whether a queued task should move to a machine with free resources. If couldStart is true, the
+// source has free resources and the task waits only for its inputs. It then moves only from a source to which inputs
+// must still be copied to a target that holds them. If the task would have to wait for inputs or its image on the
+// target, it moves only after its job has waited in proportion to that time. s.mu must be held.
+func (s *Scheduler) shouldMove(job *jobState, task int, source, target *machineState, couldStart bool) bool {
 	wait := s.sharedStartCost(job, task, target)
 	seconds := wait.Seconds()
 	if couldStart && (wait.Data > 0 || s.sharedStartCost(job, task, source).Data == 0) {
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -65,7 +65,7 @@
 		job.latestStart = s.latestStart(job, nowMS)
 		if job.latestStart < math.MaxInt64 && fleetCPUs > 0 {
 			// Of two equally urgent jobs, the one with less work relative to the fleet comes first. When not all jobs can
-			// meet their deadlines, more of them do that way.
+			// meet their deadlines, this order lets more of them do so.
 			work := float64(job.taskCount-job.completedCount) * estimate(job) * job.request.CPUs / fleetCPUs
 			job.latestStart += int64(weight * math.Min(work, tuning.MaxWorkS) * 1000)
 		}
@@ -119,8 +119,8 @@
 	}
 }
 
-// latestStart returns the time, in Unix ms, by which the rest of a job must start to meet the first of its deadlines that
-// it still can meet. It returns math.MaxInt64 if the job can meet none, so that it is ordered after jobs that can.
+// latestStart returns the time, in Unix ms, by which the rest of a job must start to meet the first of its deadlines
+// that it still can meet. It returns math.MaxInt64 if the job can meet none, so that it is ordered after jobs that can.
 // s.mu must be held.
 func (s *Scheduler) latestStart(job *jobState, nowMS int64) int64 {
 	runMS := int64(estimate(job) * 1000)
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -49,7 +49,7 @@
 	}
 	if s.datasets != nil {
 		s.datasets.snapshot = s.datasets.index.Snapshot()
-		s.retryStuckStaging()
+		s.requeueStuckStaging()
 	}
 	s.refreshTopology()
 	s.reserveForStarved()
@@ -90,8 +90,8 @@
 }
 
 // queuedAhead returns the outstanding tasks on a machine of the given job and of all jobs before it in the order of the
-// queues, in the form of equation (2) of the paper, and the machine's resources that are not used by services. The slice
-// is valid until the next call. SlotS is the length of a slot in seconds. s.mu must be held.
+// queues, in the form of equation (2) of the paper, and the machine's resources that are not used by services. The
+// slice is valid until the next call. The parameter slotS is the length of a slot in seconds. s.mu must be held.
 func (s *Scheduler) queuedAhead(machine *machineState, job *jobState, slotS float64) (_ []placement.QueuedJob, resources fleet.Resources) {
 	resources = machine.capacity()
 	// This method is called for each pair of job and machine, so the map and the slice are reused.
@@ -121,7 +121,7 @@
 }
 
 // server returns a machine as a server of the water-filling for a job. Its busy time does not include the wait for an
-// image or inputs. SlotS is the length of a slot in seconds. s.mu must be held.
+// image or inputs. The parameter slotS is the length of a slot in seconds. s.mu must be held.
 func (s *Scheduler) server(machine *machineState, job *jobState, slotS float64) placement.Server {
 	queued, resources := s.queuedAhead(machine, job, slotS)
 	return placement.Server{
@@ -139,8 +139,8 @@
 	freeCPUs float64
 }
 
-// waterFill queues a job's pending tasks by the paper's Algorithm 2. All tasks of a job need the same image, so they form
-// one group. For machines that lack the image, the time to fetch it is added to the busy time. s.mu must be held.
+// waterFill queues a job's pending tasks by the paper's Algorithm 2. All tasks of a job need the same image, so they
+// form one group. For machines that lack the image, the time to fetch it is added to the busy time. s.mu must be held.
 func (s *Scheduler) waterFill(job *jobState) {
 	placeable := s.placeableTasks(job)
 	if placeable <= 0 {
@@ -196,8 +196,8 @@
 	return candidates
 }
 
-// fetchPenalty returns the number of slots that the operators' policy charges for a wait in seconds. SlotS is the length
-// of a slot in seconds.
+// fetchPenalty returns the number of slots that the operators' policy charges for a wait in seconds. The parameter
+// slotS is the length of a slot in seconds.
 func fetchPenalty(operatorPolicy *policy.Policy, seconds, slotS float64) int {
 	if seconds <= 0 {
 		return 0
@@ -222,10 +222,10 @@
 	freeCPUs, reservedCPUs float64
 }
 
-// serveQueues starts queued tasks, job by job in the order of the jobs: first on the machines where they are queued, then
-// on other machines with free resources, taken from the job's queue on the machine with the most queued tasks. A machine
-// does not start a later job from its own queue while it could serve an earlier job that is queued elsewhere: otherwise a
-// single task queued behind a long one would delay the completion of its whole job. s.mu must be held.
+// serveQueues starts queued tasks, job by job in the order of the jobs: first on the machines where they are queued,
+// then on other machines with free resources, taken from the job's queue on the machine with the most queued tasks. A
+// machine does not start a later job from its own queue while it could serve an earlier job that is queued elsewhere:
+// otherwise a single task queued behind a long one would delay the completion of its whole job. s.mu must be held.
 func (s *Scheduler) serveQueues(machines []*machineState) {
 	round := s.newQueueRound(machines)
 	if len(round.queues) == 0 {
@@ -285,8 +285,8 @@
 	return machine.free().CPUs+tuning.ResourceSlack >= r.smallestCPUs
 }
 
-// mayStart reports whether one more task of a job may start in this round. A starved job starts one task per round, and a
-// job of rank low must leave a reserve of free CPUs to other jobs.
+// mayStart reports whether one more task of a job may start in this round. A starved job starts one task per round, and
+// a job of rank low must leave a reserve of free CPUs to other jobs.
 func (r *queueRound) mayStart(job *jobState) bool {
 	if job.starved {
 		return !job.lastStart.Equal(r.scheduler.now())
@@ -339,9 +339,9 @@
 	r.freeCPUs -= job.request.CPUs
 }
 
-// lowRankReserve returns the free CPUs of all machines, and how many of these jobs of rank low must leave free for other
-// jobs. Without the reserve, small tasks of rank low would fill all free resources, and dozens of them would be preempted
-// for each task of higher rank. s.mu must be held.
+// lowRankReserve returns the free CPUs of all machines, and how many of these jobs of rank low must leave free for
+// other jobs. Without the reserve, small tasks of rank low would fill all free resources, and dozens of them would be
+// preempted for each task of higher rank. s.mu must be held.
 func (s *Scheduler) lowRankReserve(machines []*machineState) (freeCPUs, reservedCPUs float64) {
 	higherRankCPUs := 0.0
 	for _, machine := range machines {
@@ -375,15 +375,15 @@
 }
 
 // worthPulling reports whether a machine should start a task of a job from another machine's queue although it may have
-// to fetch the image. It may do so at once if the fetch is short, else only after the job has waited in proportion to the
-// fetch, so that the wait is at most a multiple of the shortest possible wait. s.mu must be held.
+// to fetch the image. It may do so at once if the fetch is short, else only after the job has waited in proportion to
+// the fetch, so that the wait is at most a multiple of the shortest possible wait. s.mu must be held.
 func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
 	seconds := s.sharedStartCost(job, 0, machine).Seconds()
 	return seconds <= tuning.FreeFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
 }
 
-// startTask allocates a task to a machine and commits its start. Victims are the allocations whose resources the task
-// will use; they must already be stopping. Reason is logged. s.mu must be held.
+// startTask allocates a task to a machine and commits its start. The parameter victims holds the allocations whose
+// resources the task will use; they must already be stopping. The reason is logged. s.mu must be held.
 func (s *Scheduler) startTask(job *jobState, task int, machine *machineState, victims []*allocation, reason string) {
 	if !s.mayAllocate(job, task) {
 		return
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -17,8 +17,10 @@
 	loggedUnlisted int
 	// loggedAmbiguous is the last logged number of machines in several domains.
 	loggedAmbiguous int
-	search          topology.StrandedScaleUp
-	reservations    topology.Reservations
+	// scaleUp decides how many CPUs to request for tasks that the topology allows on no machine with free resources.
+	scaleUp topology.StrandedScaleUp
+	// reservations are the domains that are reserved for waiting jobs until they drain.
+	reservations topology.Reservations
 }
 
 // UseTopology sets the topology, so that the near and survive constraints of jobs are applied. It must be called before
@@ -74,8 +76,8 @@
 	}
 }
 
-// refreshTopology updates which machines are schedulable, since that also changes with time. It requeues the tasks of jobs
-// that chose a domain but started nothing there, and expires reservations. s.mu must be held.
+// refreshTopology updates which machines are schedulable, since that also changes with time. It requeues the tasks of
+// jobs that chose a domain but started nothing there, and expires reservations. s.mu must be held.
 func (s *Scheduler) refreshTopology() {
 	state := s.topology
 	if state == nil {
@@ -99,9 +101,9 @@
 	}
 }
 
-// chooseDomain chooses the domain for a job's pending tasks, and reports whether they may be placed now. If no domain has
-// enough free resources and the job is a service or a gang, it searches for a domain where allocations may be preempted,
-// and then for a domain to reserve. s.mu must be held.
+// chooseDomain chooses the domain for a job's pending tasks, and reports whether they may be placed now. If no domain
+// has enough free resources and the job is a service or a gang, it searches for a domain where allocations may be
+// preempted, and then for a domain to reserve. s.mu must be held.
 func (s *Scheduler) chooseDomain(job *jobState) bool {
 	if job.site == nil {
 		return true
@@ -150,8 +152,8 @@
 	return cpus
 }
 
-// onlyTopologyForbids reports whether some machine has free resources for a task of a job, but topology constraints allow
-// the task on none of these machines. s.mu must be held.
+// onlyTopologyForbids reports whether some machine has free resources for a task of a job, but topology constraints
+// allow the task on none of these machines. s.mu must be held.
 func (s *Scheduler) onlyTopologyForbids(job *jobState) bool {
 	forbidden := false
 	for _, machine := range s.machines {
@@ -166,12 +168,13 @@
 	return forbidden
 }
 
-// topologySearchCPUs returns the minimum number of CPUs that the fleet should have so that tasks that no domain can take
-// now can be placed. It returns zero without a topology. s.mu must be held.
+// topologySearchCPUs returns the minimum number of CPUs that the fleet should have so that tasks that fit into no
+// domain now can be placed. It returns zero if there are no such tasks, between attempts to start machines for them,
+// and without a topology. s.mu must be held.
 func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
 	if s.topology == nil {
 		return 0
 	}
 	supply, _ := s.supply()
-	return s.topology.search.TargetCPUs(now, s.unplaceableCPUs(), supply, settings.Seconds(s.longestBootS()))
+	return s.topology.scaleUp.TargetCPUs(now, s.unplaceableCPUs(), supply, settings.Seconds(s.longestBootS()))
 }
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -26,9 +26,9 @@
 }
 
 // mayPreempt reports whether an allocation may be preempted for a job: one of lower rank, or, for a job that waits
-// within its team's guarantee, one of the same rank that another team runs beyond its own guarantee. Operators would
-// permit this for higher ranks as well, but jobs of higher rank would then preempt the job's tasks in turn, without end.
-// Production is never preempted. s.mu must be held.
+// within its team's guarantee, one of the same rank that another team runs beyond its own guarantee. The operators
+// would accept this for higher ranks as well, but jobs of higher rank would then preempt the job's tasks in turn,
+// without end. Production is never preempted. s.mu must be held.
 func (s *Scheduler) mayPreempt(alloc *allocation, job *jobState) bool {
 	victim := alloc.job
 	if alloc.startedByAgeing && job.rank < api.RankProduction && s.since(alloc.allocatedAt) < tuning.StarvedStartProtection {
@@ -121,7 +121,8 @@
 	return earlierLoss + unsavedWork.Milliseconds()
 }
 
-// preempt frees resources for an array that found none, and starts as many of its tasks as possible. s.mu must be held.
+// preempt preempts allocations for an array that found no free resources, and starts as many of its tasks as possible.
+// s.mu must be held.
 func (s *Scheduler) preempt(job *jobState, machines []*machineState) {
 	if !s.startableNow(job) || s.failsEverywhere(job) || !s.withinQuota(job) || !s.mayPreemptAny(job) {
 		return
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -30,7 +30,7 @@
 // quotaDemands returns the quota demands of waiting jobs that take precedence over other jobs, because they are of rank
 // production or starved. s.mu must be held.
 func (s *Scheduler) quotaDemands() (demands []quota.Demand) {
-	// services is the usage of each team's service replicas, which is not released for other jobs.
+	// serviceUsage is the usage of each team's service replicas, which is not released for other jobs.
 	serviceUsage := map[string]fleet.Resources{}
 	for _, job := range s.jobOrder {
 		if job.Job.Shape == api.Service {
@@ -80,11 +80,11 @@
 	}
 }
 
-// stoppableUsage returns the allocations of a team that can be stopped, and the usage of each. An allocation whose start
-// command was sent but not answered cannot be stopped, because the command may still be executed at any time in this
-// term. If such a task were stopped before it was reported, it would count towards the limit indefinitely. If it were
-// stopped after that, its exit would not be cleared, and a new attempt on the same machine would never start. Such a task
-// therefore runs to completion. s.mu must be held.
+// stoppableUsage returns the allocations of a team that can be stopped, and the usage of each. An allocation whose
+// start command was sent but not answered cannot be stopped, because the command may still be executed at any time in
+// this term. If such a task were stopped before it was reported, it would count towards the limit indefinitely. If it
+// were stopped after that, its exit would not be cleared, and a new attempt on the same machine would never start. Such
+// a task therefore runs to completion. s.mu must be held.
 func (s *Scheduler) stoppableUsage(team string) (allocations []*allocation, usage []quota.Usage) {
 	for _, job := range s.jobOrder {
 		if job.Job.Team != team {
--- a/scheduler/run_queue.go
+++ b/scheduler/run_queue.go
@@ -19,8 +19,8 @@
 	queue   *runQueue
 }
 
-// enqueue adds tasks to a job's queue on a machine and keeps the machine's queues in the order of compareJobs. The caller
-// must update jobState.queued. s.mu must be held.
+// enqueue adds tasks to a job's queue on a machine and keeps the machine's queues in the order of compareJobs. The
+// caller must update jobState.queued. s.mu must be held.
 func (m *machineState) enqueue(job *jobState, tasks []int32) {
 	i, found := slices.BinarySearchFunc(m.queues, job, func(queue *runQueue, job *jobState) int { return compareJobs(queue.job, job) })
 	if !found {
@@ -72,7 +72,7 @@
 	}
 }
 
-// removeFromQueues removes all queued and pending tasks of a job that is in a final state. s.mu must be held.
+// removeFromQueues removes all queued and pending tasks of a job that is in a terminal state. s.mu must be held.
 func (s *Scheduler) removeFromQueues(job *jobState) {
 	s.reclaimQueued(job)
 	job.pending = nil
--- a/scheduler/services_gangs.go
+++ b/scheduler/services_gangs.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// bestReplicaCandidate returns the machine with the lowest score in seconds for a replica of a service, or false if there
-// is none. If intended is not nil, only that machine is considered. s.mu must be held.
+// bestReplicaCandidate returns the machine with the lowest score in seconds for a replica of a service, or false if
+// there is none. If intended is not nil, only that machine is considered. s.mu must be held.
 func (s *Scheduler) bestReplicaCandidate(job *jobState, task int, intended *machineState) (candidate, bool) {
 	best := candidate{score: math.Inf(1)}
 	for _, machine := range s.sortedMachines() {
@@ -139,9 +139,10 @@
 	}
 }
 
-// allocateGang allocates all pending tasks of a gang and returns nil if they do not fit. It tries the zone of each machine
-// in turn if the gang must be in one zone. If keepsMachines is set, it allocates the tasks on their intended machines
-// instead. If they do not fit there, it clears the intended machines and returns abandoned. s.mu must be held.
+// allocateGang allocates all pending tasks of a gang and returns nil if they do not fit. It tries the zone of each
+// machine in turn if the gang must be in one zone. If keepsMachines is set, it allocates the tasks on their intended
+// machines instead. If they do not fit there, it clears the intended machines and returns true for abandoned.
+// s.mu must be held.
 func (s *Scheduler) allocateGang(job *jobState, machines []*machineState, keepsMachines bool) (allocations []*allocation, abandoned bool) {
 	// Workers group the tasks of a gang by attempt, so all tasks get the same one.
 	attempt := s.nextAttempt()
@@ -185,8 +186,8 @@
 	return allocations
 }
 
-// allocateIntended allocates the pending tasks of a gang on their intended machines. It allocates nothing and returns nil
-// if a task cannot start on its machine. s.mu must be held.
+// allocateIntended allocates the pending tasks of a gang on their intended machines. It allocates nothing and returns
+// nil if a task cannot start on its machine. s.mu must be held.
 func (s *Scheduler) allocateIntended(job *jobState, attempt uint64) (allocations []*allocation) {
 	for _, task := range job.pending {
 		machine := job.intendedMachines[int(task)]
@@ -221,16 +222,16 @@
 	return true
 }
 
-// mayPreemptForGang reports whether allocations may be preempted for a whole gang: it has a mandatory near constraint and
-// no inputs, and jobs of lower rank have allocations. s.mu must be held.
+// mayPreemptForGang reports whether allocations may be preempted for a whole gang: it has a mandatory near constraint
+// and no inputs, and jobs of lower rank have allocations. s.mu must be held.
 func (s *Scheduler) mayPreemptForGang(job *jobState) bool {
 	return job.site != nil && job.Job.Near != nil && job.Job.Near.Required &&
 		job.rank > lowestRank(s.jobOrder) && len(job.inputs) == 0 && !s.failsEverywhere(job)
 }
 
-// placeGangByPreemption starts all pending tasks of a gang with a mandatory near constraint by preemption. It does nothing
-// if resources for all of them cannot be freed. The victims of one task count as stopping during the search for the
-// victims of the next, so that no team loses more than mayPreempt permits. s.mu must be held.
+// placeGangByPreemption starts all pending tasks of a gang with a mandatory near constraint by preemption. It does
+// nothing if resources for all of them cannot be freed. The victims of one task count as stopping during the search for
+// the victims of the next, so that no team loses more than mayPreempt permits. s.mu must be held.
 func (s *Scheduler) placeGangByPreemption(job *jobState, machines []*machineState) {
 	attempt := s.nextAttempt()
 	var allocations []*allocation
--- a/scheduler/stage_relay.go
+++ b/scheduler/stage_relay.go
@@ -9,8 +9,8 @@
 	"switchferry/relay"
 )
 
-// relayedOrder identifies the staging order that was last written to the packets for an agent whose heartbeats are relayed
-// by a peer.
+// relayedOrder identifies the staging order that was last written to the packets for an agent whose heartbeats are
+// relayed by a peer.
 type relayedOrder struct {
 	// member is the name of the peer.
 	member string
@@ -77,7 +77,7 @@
 	}
 	raw, err := json.Marshal(order)
 	if err != nil {
-		slog.Error("encoding order failed", "machine", machine, "err", err)
+		slog.Error("encoding staging order failed", "machine", machine, "err", err)
 		return nil
 	}
 	return raw
--- a/scheduler/starvation.go
+++ b/scheduler/starvation.go
@@ -10,9 +10,9 @@
 	"switchferry/tuning"
 )
 
-// reserveForStarved reserves machines for starved jobs that find no free resources, so that the machines drain. Otherwise
-// smaller tasks would use all resources as soon as they become free, and as long as such tasks keep arriving, a gang or a
-// task that needs a whole machine would never start. s.mu must be held.
+// reserveForStarved reserves machines for starved jobs that find no free resources, so that the machines drain.
+// Otherwise smaller tasks would use all resources as soon as they become free, and as long as such tasks keep arriving,
+// a gang or a task that needs a whole machine would never start. s.mu must be held.
 func (s *Scheduler) reserveForStarved() {
 	now := s.now()
 	jobsWithReservations, reservedMachines := s.currentReservations()
@@ -71,8 +71,8 @@
 }
 
 // soonestMachines returns the machines on which one task of an array or service, or a whole gang, can start soonest
-// according to the estimates of the running tasks, and the time until these machines have drained. It returns no machines
-// if the job cannot start on any. s.mu must be held.
+// according to the estimates of the running tasks, and the time until these machines have drained. It returns no
+// machines if the job cannot start on any. s.mu must be held.
 func (s *Scheduler) soonestMachines(job *jobState) (names []string, drainTime time.Duration) {
 	tasks := 1
 	if job.Job.Shape == api.Gang {
@@ -92,9 +92,9 @@
 	return ageing.EarliestMachines(machines, tasks, job.Job.OneZone)
 }
 
-// reservedForStarved reports whether a job must not use a machine because the machine is reserved for another job that is
-// starved. Production jobs ignore the reservation, and tasks of arrays may run there if they end before the machine is
-// expected to have drained. s.mu must be held.
+// reservedForStarved reports whether a job must not use a machine because the machine is reserved for another job that
+// is starved. Production jobs ignore the reservation, and tasks of arrays may run there if they end before the machine
+// is expected to have drained. s.mu must be held.
 func (s *Scheduler) reservedForStarved(job *jobState, machine *machineState) bool {
 	if machine.reservedFor == nil || machine.reservedFor == job || job.rank == api.RankProduction {
 		return false
