--- a/scheduler/dataset_removal_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -30,7 +30,7 @@
 }
 
 // unlist stores the record of the dataset inv in state removing, as any controller can. If notifyLeader is true, the
-// leader receives the change at once, as by its watch.
+// leader receives the change at once, as through its watch of the records.
 func (h *dataHarness) unlist(notifyLeader bool) *dataset.Entry {
 	entry := &dataset.Entry{Summary: *inventory, State: dataset.Removing}
 	entry.Revision = h.state.Put(store.DatasetKey("inv"), entry)
@@ -49,7 +49,7 @@
 	h.submit("run-000001", 2, withInputs(api.UseOwnPart))
 	h.round()
 	h.round()
-	starts := h.starts("run-000001/0")[0].response.Commands[0]
+	firstStart := h.starts("run-000001/0")[0].response.Commands[0]
 	h.unlist(true)
 	h.InboxSeen(1 << 40)
 	h.MaintainFleet()
@@ -58,7 +58,7 @@
 		t.Fatalf("state %q, copies %v: staging for the job that needs the dataset must continue", h.recordedState(), got)
 	}
 	agent.finishCopies()
-	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", firstStart.Attempt, api.TaskRunning, ""))
 	h.round()
 	h.round()
 	second := h.jobs["run-000001"].allocations[1]
@@ -68,10 +68,10 @@
 	end := func(task int, at uint64) api.TaskReport {
 		return taskReport(taskKey("run-000001", task), at, api.TaskExited, api.CauseDone)
 	}
-	h.workerHeartbeat("a1", end(0, starts.Attempt), end(1, second.attempt))
+	h.workerHeartbeat("a1", end(0, firstStart.Attempt), end(1, second.attempt))
 	h.round()
 	if len(agent.manifestsToDelete) != 0 {
-		t.Fatal("the agent was told to delete the dataset before its record was stored as removed")
+		t.Fatal("the agent was ordered to delete the dataset before its record was stored as removed")
 	}
 	for range 3 {
 		h.MaintainFleet()
@@ -79,7 +79,7 @@
 		h.round()
 	}
 	if h.recordedState() != dataset.Removed || len(agent.manifestsToDelete) != 1 || agent.manifestsToDelete[0] != inventory.ManifestDigest.String() {
-		t.Fatalf("state %q, the agent is to delete %v", h.recordedState(), agent.manifestsToDelete)
+		t.Fatalf("state %q, the agent must delete the manifests %v", h.recordedState(), agent.manifestsToDelete)
 	}
 	agent.heldParts.Clear()
 	h.round()
@@ -87,7 +87,7 @@
 	other := h.addAgent("b1", 3)
 	h.round()
 	if len(agent.manifestsToDelete) != 0 || len(other.manifestsToDelete) != 1 {
-		t.Errorf("a1 is to delete %v, b1, which joined later, %v", agent.manifestsToDelete, other.manifestsToDelete)
+		t.Errorf("a1 must delete %v, want nothing; b1, which joined later, must delete %v, want one manifest", agent.manifestsToDelete, other.manifestsToDelete)
 	}
 }
 
@@ -152,7 +152,7 @@
 		}
 	}
 	if len(h.state.Refused) > 0 {
-		t.Error(h.state.Refused)
+		t.Errorf("the state service refused requests: %v", h.state.Refused)
 	}
 }
 
@@ -176,7 +176,7 @@
 			h.commit()
 		}
 		if h.recordedState() != dataset.Removed {
-			t.Errorf("controller knew of the removal: %v: state %q", leaderNotified, h.recordedState())
+			t.Errorf("controller knew of the removal: %v: dataset has state %q, want removed", leaderNotified, h.recordedState())
 		}
 	}
 }
--- a/scheduler/datasets_bench_test.go
+++ b/scheduler/datasets_bench_test.go
@@ -59,7 +59,7 @@
 // BenchmarkDataFill measures the whole placement of a job of 1,000 tasks with inputs: busy times, holders, groups,
 // water-filling and queues. docs/data.md has a table of the results, which was produced with
 //
-//	go test -bench DataFill -run '^$' -cpu 1 ./controller
+//	go test -bench DataFill -run '^$' -cpu 1 ./scheduler
 func BenchmarkDataFill(b *testing.B) {
 	for _, kind := range []string{"groups", "scattered"} {
 		for _, machines := range []int{250, 500, 1000, 2000} {
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -177,17 +177,17 @@
 	}
 	h.workerHeartbeat("a1", ended...)
 	h.round()
-	starts := h.jobs["run-000001"].allocations[0]
-	if starts == nil || h.jobs["run-000001"].allocations[1] == nil {
+	firstAllocation := h.jobs["run-000001"].allocations[0]
+	if firstAllocation == nil || h.jobs["run-000001"].allocations[1] == nil {
 		t.Fatal("a task did not start although its inputs are staged")
 	}
 	// The inputs of a running task stay pinned, and may be evicted after it exits.
-	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", firstAllocation.attempt, api.TaskRunning, ""))
 	h.round()
 	if !agent.mustKeep(0) {
 		t.Fatal("a running task's input may be evicted")
 	}
-	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.attempt, api.TaskExited, api.CauseDone))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", firstAllocation.attempt, api.TaskExited, api.CauseDone))
 	h.round()
 	if agent.mustKeep(0) {
 		t.Fatal("the input of an exited task is still pinned")
@@ -205,7 +205,7 @@
 	h.round()
 	for part, want := range map[string]string{"0": "a1", "3": "a1", "1": "a2", "2": "a2"} {
 		if starts := h.starts("run-000001/" + part); len(starts) != 1 || starts[0].machine != want {
-			t.Errorf("task %s: %+v, want %s", part, starts, want)
+			t.Errorf("starts of task %s: %+v, want one on %s", part, starts, want)
 		}
 	}
 }
@@ -222,15 +222,15 @@
 	if len(h.starts("run-000001/0")) != 1 || len(h.starts("run-000001/1")) != 0 {
 		t.Fatal("want task 0 started and task 1 waiting")
 	}
-	starts := h.starts("run-000001/0")[0].response.Commands[0]
+	startCommand := h.starts("run-000001/0")[0].response.Commands[0]
 	old, _, _ := h.datasets.planner.Order("a1")
 	h.reelect()
-	// The agent reports before the new leader knows which tasks run; nothing may be evicted.
+	// The agent sends a heartbeat before the new leader knows which tasks run; nothing may be evicted.
 	h.agentHeartbeat(agent)
 	if !agent.mustKeep(0) {
 		t.Fatal("the input of a task that may be running was unpinned")
 	}
-	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", startCommand.Attempt, api.TaskRunning, ""))
 	h.round()
 	if !agent.mustKeep(0) || !agent.mustKeep(1) || agent.term != h.term {
 		t.Fatalf("the new leader's order: %+v", agent.sets)
@@ -241,7 +241,7 @@
 		t.Fatal("the agent accepted an order of the old leader")
 	}
 	agent.finishCopies()
-	h.workerHeartbeat("a1", taskReport("run-000001/0", starts.Attempt, api.TaskRunning, ""))
+	h.workerHeartbeat("a1", taskReport("run-000001/0", startCommand.Attempt, api.TaskRunning, ""))
 	h.round()
 	h.round()
 	if len(h.starts("run-000001/1")) != 1 || len(h.starts("run-000001/0")) != 0 {
@@ -287,7 +287,7 @@
 	h.round()
 	h.round()
 	if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
-		t.Fatalf("%+v", starts)
+		t.Fatalf("starts of the task: %+v, want one on a2", starts)
 	}
 }
 
@@ -310,7 +310,7 @@
 			other.finishCopies()
 		}
 		if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
-			t.Errorf("%s: %+v", kind, starts)
+			t.Errorf("agent or cache %s: starts of the task: %+v, want one on a2", kind, starts)
 		}
 	}
 }
@@ -420,8 +420,9 @@
 	}
 }
 
-// Checks that a new leader that has received the heartbeat of only one agent queues tasks on the machines that hold their
-// inputs according to the hints of the previous leader, but starts none there before the agent confirms the inputs.
+// Checks that a new leader that has received the heartbeat of only one agent queues tasks on the machines that hold
+// their inputs according to the hints of the previous leader, but starts none there before the agent confirms the
+// inputs.
 func TestReplicaHintsGuidePlacementAfterFailover(t *testing.T) {
 	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1")
@@ -449,12 +450,12 @@
 	h.round()
 	h.round()
 	if starts := h.starts("run-000001/0"); len(starts) != 1 || starts[0].machine != "a2" {
-		t.Fatalf("%+v", starts)
+		t.Fatalf("starts of the task: %+v, want one on a2", starts)
 	}
 }
 
-// Checks that a task that waits for a copy moves to a machine that holds its inputs once that has free resources. Without
-// this, tasks waited 10 s for copies of parts that idle machines already held.
+// Checks that a task that waits for a copy moves to a machine that holds its inputs once that machine has free
+// resources. Without this, tasks waited 10 s for copies of parts that idle machines already held.
 func TestTaskAwaitingCopyMovesToFreedHolder(t *testing.T) {
 	h := newDataHarness(t, features.PlacementStaged)
 	h.addAgent("a1", 0, 1)
@@ -492,7 +493,7 @@
 		active.AheadTasks = &ahead
 		h.ApplyConfiguration(active)
 		if h.datasets.settings.AheadTasks != ahead {
-			t.Errorf("ahead is %d, want the configured %d", h.datasets.settings.AheadTasks, ahead)
+			t.Errorf("the setting AheadTasks is %d, want the configured %d", h.datasets.settings.AheadTasks, ahead)
 		}
 	}
 }
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// Checks that a machine serves an earlier job that is queued elsewhere before a later job in its own queue. Without this,
-// the last task of a job waited up to 160 s in the queue of one machine while later jobs started on other machines.
+// Checks that a machine serves an earlier job that is queued elsewhere before a later job in its own queue. Without
+// this, the last task of a job waited up to 160 s in the queue of one machine while later jobs started on other
+// machines.
 func TestEarlierJobIsServedBeforeOwnQueue(t *testing.T) {
 	h := newHarness(t)
 	for _, m := range []string{"a1", "a2"} {
@@ -102,12 +103,12 @@
 		return h.latestStart(job, job.AcceptedAt+int64(after*1000)) - job.AcceptedAt
 	}
 	if latestStartAfter(0) != 30_000 || latestStartAfter(31) != 90_000 || latestStartAfter(91) != math.MaxInt64-job.AcceptedAt {
-		t.Errorf("latest starts %d, %d, %d", latestStartAfter(0), latestStartAfter(31), latestStartAfter(91))
+		t.Errorf("latest starts %d, %d, %d ms after acceptance, want 30000, 90000 and none", latestStartAfter(0), latestStartAfter(31), latestStartAfter(91))
 	}
 }
 
-// Checks that nothing is preempted for a job that comes within its team's guarantee only because earlier jobs end. Without
-// this, two teams above their guarantees preempted each other's arrays over and over.
+// Checks that nothing is preempted for a job that comes within its team's guarantee only because earlier jobs end.
+// Without this, two teams above their guarantees preempted each other's arrays without end.
 func TestNothingIsPreemptedForJobsBeyondGuarantee(t *testing.T) {
 	h := newHarness(t)
 	for i := range 3 {
@@ -139,9 +140,9 @@
 	}
 }
 
-// Checks the order within a backlog that exceeds a team's guarantee many times. The oldest jobs come within the guarantee
-// as earlier ones end. They must not be ordered before younger jobs that can still meet their deadlines, or the queues
-// would be ordered by arrival. Only a job that was within the guarantee on arrival is ordered first
+// Checks the order within a backlog that exceeds a team's guarantee many times. The oldest jobs come within the
+// guarantee as earlier ones end. They must not be ordered before younger jobs that can still meet their deadlines, or
+// the queues would be ordered by arrival. Only a job that was within the guarantee on arrival is ordered first
 // (docs/incidents/fleet-guarantee-by-arrival.md).
 func TestGuaranteedBacklogIsNotOrderedByArrival(t *testing.T) {
 	h := newHarness(t)
--- a/scheduler/placement_bench_test.go
+++ b/scheduler/placement_bench_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// BenchmarkReport measures the handling of one worker heartbeat with ten tasks.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHandleHeartbeat measures the handling of one worker heartbeat with ten tasks.
+func BenchmarkHandleHeartbeat(b *testing.B) {
 	h := newHarness(&testing.T{})
 	var tasks []api.TaskReport
 	for i := range 10 {
@@ -104,8 +104,8 @@
 	}
 }
 
-// BenchmarkPlaceGuests measures one placement round on a fleet filled with tasks of rank low.
-func BenchmarkPlaceGuests(b *testing.B) {
+// BenchmarkPlaceLowRank measures one placement round on a fleet filled with tasks of rank low.
+func BenchmarkPlaceLowRank(b *testing.B) {
 	h := lowRankFleet(&testing.T{}, 280)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -117,9 +117,10 @@
 // team, by 110 teams with limits and guarantees, or by 110 teams of which a tenth are at their limit.
 func BenchmarkPlaceTeams(b *testing.B) {
 	for _, c := range []struct {
-		name       string
-		teams      int
-		everyTenth float64
+		name  string
+		teams int
+		// tenthTeamLimit is the CPU limit of every tenth team.
+		tenthTeamLimit float64
 	}{{"1 team", 1, 1e6}, {"110 teams", 110, 1e6}, {"110 teams, 11 at their limit", 110, 1}} {
 		b.Run(c.name, func(b *testing.B) {
 			h := newHarness(&testing.T{})
@@ -127,7 +128,7 @@
 			for i := range c.teams {
 				t := settings.Team{Name: fmt.Sprintf("team-%03d", i), CPUs: 20, CPUsMax: 1e6}
 				if i%10 == 0 {
-					t.CPUsMax = c.everyTenth
+					t.CPUsMax = c.tenthTeamLimit
 				}
 				teams = append(teams, t)
 			}
@@ -155,7 +156,8 @@
 	}
 }
 
-// BenchmarkAdmit measures the admission check of one submission against its team, the team's limit and the machine types.
+// BenchmarkAdmit measures the admission check of one submission against its team, the team's limit and the machine
+// types.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{1, 110} {
 		b.Run(fmt.Sprint(n, " teams"), func(b *testing.B) {
--- a/scheduler/placement_round_test.go
+++ b/scheduler/placement_round_test.go
@@ -39,27 +39,27 @@
 	h.Place()
 	h.commit()
 	h.answerCommands()
-	at := h.starts("run-000001/0")[0]
-	other := map[string]string{"a1": "b", "b1": "a"}[at.machine]
+	firstStart := h.starts("run-000001/0")[0]
+	otherZone := map[string]string{"a1": "b", "b1": "a"}[firstStart.machine]
 	h.elect()
-	// The machine of the second replica reports without it, and the machine of the first replica sends no heartbeat.
-	if other == "b" {
+	// The heartbeat of the second replica's machine does not contain that replica. The first replica's machine sends none.
+	if otherZone == "b" {
 		h.heartbeat("b1", 1)
 	} else {
 		h.heartbeat("a1", 1)
 	}
-	h.heartbeat(other+"2", 1)
-	same := map[string]string{"a": "b", "b": "a"}[other]
-	h.heartbeat(same+"2", 1)
+	h.heartbeat(otherZone+"2", 1)
+	firstZone := map[string]string{"a": "b", "b": "a"}[otherZone]
+	h.heartbeat(firstZone+"2", 1)
 	h.Place()
 	for _, alloc := range h.jobs["run-000001"].allocations {
 		if alloc.task == 1 {
 			t.Errorf("a replica was placed on %s while the other's zone was unknown", alloc.machine.Name)
 		}
 	}
-	h.ApplyInstanceList([]api.Instance{{Name: at.machine, Type: "m8", Zone: same, State: "running"}})
+	h.ApplyInstanceList([]api.Instance{{Name: firstStart.machine, Type: "m8", Zone: firstZone, State: "running"}})
 	h.Place()
-	if alloc := h.jobs["run-000001"].allocations[1]; alloc == nil || alloc.machine.Zone != other {
+	if alloc := h.jobs["run-000001"].allocations[1]; alloc == nil || alloc.machine.Zone != otherZone {
 		t.Errorf("the second replica was not placed in the other zone: %+v", alloc)
 	}
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// Checks that the tasks in a machine's heartbeat stay within tuning.MaxReportedTasks, however small the tasks are and however
-// long exited tasks wait to be stored and cleared.
+// Checks that the tasks in a machine's heartbeat stay within tuning.MaxReportedTasks, however small the tasks are and
+// however long exited tasks wait to be stored and cleared.
 func TestSmallTasksDoNotOverfillAHeartbeat(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -128,17 +128,17 @@
 	}
 }
 
-// Checks that jobs of rank low leave free a tenth of the CPUs that other jobs use, and nothing if there are no other jobs.
-// Without the reserve they filled all free resources, and dozens of their tasks were preempted for each task of other
-// jobs.
+// Checks that jobs of rank low leave free a tenth of the CPUs that other jobs use, and nothing if there are no other
+// jobs. Without the reserve they filled all free resources, and dozens of their tasks were preempted for each task of
+// other jobs.
 func TestLowRankLeavesAReserve(t *testing.T) {
-	freeAfterFill := func(owned int) (free float64) {
+	freeAfterFill := func(otherTasks int) (free float64) {
 		h := newHarness(t)
 		for i := range 10 {
 			h.heartbeat("a1"+string(rune('a'+i)), 1)
 		}
-		if owned > 0 {
-			h.submit("run-000002", owned, nil)
+		if otherTasks > 0 {
+			h.submit("run-000002", otherTasks, nil)
 			h.settleStarts()
 		}
 		h.submit("run-000001", 1000, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.25, 0.1 })
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -129,7 +129,7 @@
 // Checks that a replica that would exceed the survive constraint of a rack waits despite free resources there. This must
 // also hold while a silent machine may still run a replica, and under a new leader that knows this replica only from its
 // record. The replica is replaced only once its machine is known to be gone.
-func TestSurviveIsKeptThroughSilenceAndTakeover(t *testing.T) {
+func TestSurviveHoldsThroughSilenceAndFailover(t *testing.T) {
 	h := newRackHarness(t, 2, 3)
 	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
 	h.round()
@@ -193,11 +193,11 @@
 	for _, id := range []string{"run-000003", "run-000004"} {
 		x, ok := h.Explain(id)
 		if text := strings.Join(x.Reasons, "; "); !ok || x.Waiting > 0 && !strings.Contains(text, "is reserved for the job until it drains") {
-			t.Errorf("%s: %+v", id, x)
+			t.Errorf("%s: explanation %+v, want the reservation of a domain for the waiting gang", id, x)
 		}
 	}
 	if v := h.Topology(); len(v.Domains) != 3 || v.Domains[1].Parent != "s1" || len(v.Waiting) != 1 {
-		t.Errorf("%+v", v)
+		t.Errorf("topology view %+v, want 3 domains, the second one in s1, and 1 waiting job", v)
 	}
 	tasksOfThird, _ := h.tasksByRack("run-000003")
 	tasksOfFourth, _ := h.tasksByRack("run-000004")
@@ -209,8 +209,8 @@
 	}
 }
 
-// Checks that a job of higher rank with a near constraint preempts in the rack where that loses the least work if no rack
-// has enough free resources, and that it preempts nothing unless all of its tasks can then start.
+// Checks that a job of higher rank with a near constraint preempts in the rack where that loses the least work if no
+// rack has enough free resources, and that it preempts nothing unless all of its tasks can then start.
 func TestPreemptionChoosesCheapestRack(t *testing.T) {
 	for _, shape := range []string{api.Service, api.Gang} {
 		h := newRackHarness(t, 2, 2)
@@ -227,7 +227,7 @@
 		_, olderByRack := h.tasksByRack("run-000001")
 		_, youngerByRack := h.tasksByRack("run-000002")
 		if len(olderByRack) != 1 || len(youngerByRack) != 1 {
-			t.Fatalf("%v, %v", olderByRack, youngerByRack)
+			t.Fatalf("running tasks of the two jobs by rack: %v and %v, want each job in one rack", olderByRack, youngerByRack)
 		}
 		// No rack has the resources for nine tasks.
 		h.submit("run-000003", 9, func(submission *api.Submission) {
@@ -255,8 +255,8 @@
 	}
 }
 
-// Checks that exactly one instance is requested for a replica that the topology allows in none of the present racks, since
-// the new machine may come up in a rack where the replica is allowed.
+// Checks that exactly one instance is requested for a replica that the topology allows in none of the present racks,
+// since the new machine may come up in a rack where the replica is allowed.
 func TestInstanceIsRequestedForADomain(t *testing.T) {
 	h := newRackHarness(t, 2, 3)
 	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
@@ -292,9 +292,9 @@
 	}
 }
 
-// Checks that a rack that drains before a new machine could boot is reserved for a gang that needs all of it. Tasks that
-// would not end in time are kept out, and the gang starts once the rack is empty. Without the reservation small jobs would
-// use all resources as they become free, and the gang would never start.
+// Checks that a rack that drains before a new machine could boot is reserved for a gang that needs all of it. Tasks
+// that would not end in time are kept out, and the gang starts once the rack is empty. Without the reservation small
+// jobs would use all resources as they become free, and the gang would never start.
 func TestDrainingRackIsReserved(t *testing.T) {
 	h := newRackHarness(t, 2, 2)
 	long := func(submission *api.Submission) { submission.EstimateS = 500 }
@@ -368,7 +368,7 @@
 		t.Fatalf("running replicas by rack: %v, want one each in a2 and a3", byRack)
 	}
 	if x, _ := h.Explain("run-000001"); x.Waiting != 1 || !strings.Contains(strings.Join(x.Reasons, ";"), "4 stand where it must not") {
-		t.Errorf("%+v", x)
+		t.Errorf("explanation %+v, want 1 waiting replica and the number of machines that the constraint forbids", x)
 	}
 	h.names = append(h.names, "a1-9")
 	h.runningTasks["a1-9"] = map[string]uint64{}
@@ -435,8 +435,8 @@
 	}
 }
 
-// Checks that a new topology version in which running replicas exceed the survive constraint of a rack stops none of them
-// and allows no further replica there.
+// Checks that a new topology version in which running replicas exceed the survive constraint of a rack stops none of
+// them and allows no further replica there.
 func TestTopologyChangeStopsNoRunningReplica(t *testing.T) {
 	h := newRackHarness(t, 2, 2)
 	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
@@ -464,8 +464,8 @@
 	}
 }
 
-// Checks that the survive and near constraints of all jobs hold during random submissions, cancellations, silent machines
-// and racks, and failovers. It uses 200 seeds and checks the tasks that the workers run.
+// Checks that the survive and near constraints of all jobs hold during random submissions, cancellations, silent
+// machines and racks, and failovers. It uses 200 seeds and checks the tasks that the workers run.
 func TestTopologyConstraintsHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 14))
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -84,10 +84,12 @@
 	}
 }
 
-// Tests of scale count operations and never measure time. fullFleet is in placement_bench_test.go.
+// The tests of scalability count operations and do not measure time. The function fullFleet is declared in
+// placement_bench_test.go.
 
-// Checks that on a full fleet an array that may preempt searches each machine once, and afterwards only the machines that
-// it uses. A search of all machines for each task used most of the leader's CPU and delayed submissions and heartbeats.
+// Checks that on a full fleet an array that may preempt searches each machine once, and afterwards only the machines
+// that it uses. A search of all machines for each task used most of the leader's CPU and delayed submissions and
+// heartbeats.
 func TestPreemptionSearchesTheFleetOnceForAJob(t *testing.T) {
 	h := fullFleet(t, 280)
 	h.victimSearches = 0
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Checks that for a job that waits within its team's guarantee, allocations of the same rank that another team runs beyond
-// its own guarantee are preempted, but not at once, and that production is never preempted.
+// Checks that for a job that waits within its team's guarantee, allocations of the same rank that another team runs
+// beyond its own guarantee are preempted, but not at once, and that production is never preempted.
 func TestGuaranteePreemptsBorrowedWork(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -158,12 +158,12 @@
 			t.Errorf("stop %v: stopped tasks by job %v", stop, stopped)
 		}
 		if x, _ := h.Explain("run-000003"); !strings.Contains(strings.Join(x.Reasons, " "), "as much as its limit allows") {
-			t.Errorf("explained by %v", x.Reasons)
+			t.Errorf("reasons %v, want that the team uses as much as its limit allows", x.Reasons)
 		}
 		for text, why := range map[string]string{oneTeamConfiguration("0.5"): "more at once than the limit of team t allows since revision 3", "[[teams]]\nname = \"u\"\n": "team t is not in the configuration any more (revision 3)"} {
 			h.ApplyConfiguration(parseConfiguration(t, text))
 			if x, ok := h.Explain("run-000003"); !ok || !strings.Contains(strings.Join(x.Reasons, " "), why) {
-				t.Errorf("explained by %v", x.Reasons)
+				t.Errorf("reasons %v, want %q among them", x.Reasons, why)
 			}
 		}
 	}
--- a/scheduler/services_gangs_test.go
+++ b/scheduler/services_gangs_test.go
@@ -21,7 +21,7 @@
 	h.commit()
 	for i := range 3 {
 		if got := h.starts(taskKey("run-000001", i)); len(got) != 1 || got[0].machine[0] != 'b' {
-			t.Errorf("task %d: %+v", i, got)
+			t.Errorf("starts of task %d: %+v, want one in zone b", i, got)
 		}
 	}
 }
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -19,8 +19,8 @@
 	"switchferry/tuning"
 )
 
-// partitionHarness is a leader and a peer y that cannot reach each other. Agents report to y's proxy, and all messages are
-// relayed through the state service, whose limits are enforced.
+// partitionHarness is a leader and a peer y that cannot reach each other. Agents send their heartbeats to y's proxy,
+// and all messages are relayed through the state service, whose limits are enforced.
 type partitionHarness struct {
 	*dataHarness
 	proxy   *proxy.Agents
@@ -33,12 +33,12 @@
 	limits := settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
 	h.proxy = proxy.NewAgents(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
 	h.packets = &packetCarrier{harness: h.harness, exchange: h.proxy.Exchange, prefix: store.AgentRelayPrefix}
-	h.follow()
+	h.readPacketsOfCurrentTerm()
 	return h
 }
 
-// follow makes the harness read relayed packets from the start of the current term.
-func (h *partitionHarness) follow() { h.packets.after = h.term }
+// readPacketsOfCurrentTerm makes the harness read relayed packets from the start of the current term.
+func (h *partitionHarness) readPacketsOfCurrentTerm() { h.packets.after = h.term }
 
 // agentHeartbeatThroughPeer sends an agent's heartbeat to y and applies the order in the response.
 func (h *partitionHarness) agentHeartbeatThroughPeer(agent *fakeAgent) api.StageOrder {
@@ -64,8 +64,8 @@
 }
 
 // Checks that inputs are staged and tasks start during a network partition, with agent heartbeats and orders relayed
-// through the state service. When agents reported only to the leader, no task with inputs started until the partition
-// ended.
+// through the state service. When agents sent heartbeats only to the leader, no task with inputs started until the
+// partition ended.
 func TestInputsAreStagedAcrossPartition(t *testing.T) {
 	h := newPartitionHarness(t)
 	h.workerHeartbeat("a1")
@@ -122,10 +122,10 @@
 	}
 	oldTerm := h.term
 	h.reelect()
-	h.follow()
+	h.readPacketsOfCurrentTerm()
 	h.AddDatasets(&dataset.Entry{Summary: *inventory})
 	if o := h.agentHeartbeatThroughPeer(agent); o.Sequence != 0 || !agent.mustKeep(0) {
-		t.Fatalf("the peer returned the order %+v, want one with number 0", o)
+		t.Fatalf("the peer returned the order %+v, want one with sequence number 0", o)
 	}
 	h.exchangePackets()
 	h.workerHeartbeat("a1", taskReport("run-000001/0", starts[0].response.Commands[0].Attempt, api.TaskRunning, ""))
--- a/scheduler/starvation_test.go
+++ b/scheduler/starvation_test.go
@@ -9,9 +9,9 @@
 )
 
 // runUnderLoad runs the scheduler under a continuous backlog of small jobs, whose tasks have an estimate of 20 s, until
-// the timeout has passed or stop returns true. Modify changes each of these jobs. The result is the time after which the
-// job with the given ID first had an allocation (for a gang, allocations of all tasks) or was no longer known. It is
-// negative if neither happened.
+// the timeout has passed or stop returns true. The function modify changes each of these jobs. The result is the time
+// after which the job with the given ID first had an allocation (for a gang, allocations of all tasks) or was no longer
+// known. It is negative if neither happened.
 func (h *harness) runUnderLoad(machines int, id string, timeout time.Duration, modify func(*api.Submission), stop func() bool) (startedAfter time.Duration) {
 	start := h.clock.Now()
 	type run struct {
