--- a/scheduler/dataset_removal_test.go
+++ b/scheduler/dataset_removal_test.go
@@ -65,8 +65,8 @@
 	if second == nil {
 		t.Fatal("task 1 did not start although its inputs are staged")
 	}
-	end := func(task int, at uint64) api.TaskReport {
-		return taskReport(taskKey("run-000001", task), at, api.TaskExited, api.CauseDone)
+	end := func(task int, attempt uint64) api.TaskReport {
+		return taskReport(taskKey("run-000001", task), attempt, api.TaskExited, api.CauseDone)
 	}
 	h.workerHeartbeat("a1", end(0, firstStart.Attempt), end(1, second.attempt))
 	h.round()
--- a/scheduler/datasets_test.go
+++ b/scheduler/datasets_test.go
@@ -85,26 +85,26 @@
 // fakeAgent simulates a data agent. It refuses stale orders, and completes the ordered copies when the test calls
 // finishCopies.
 type fakeAgent struct {
-	name          string
-	seq           uint64
-	term, order   uint64
-	sets          []api.StageSet
-	heldParts     *roaring.Bitmap
-	cacheFull     bool
-	refusedOrders int
+	name                string
+	seq                 uint64
+	term, orderSequence uint64
+	sets                []api.StageSet
+	heldParts           *roaring.Bitmap
+	cacheFull           bool
+	refusedOrders       int
 	// version is the version of the agent's holdings.
 	version uint64
-	// known is the version that the leader knows according to its last order.
-	known             uint64
+	// knownVersion is the version that the leader knows according to its last order.
+	knownVersion      uint64
 	manifestsToDelete []string
 }
 
 func (a *fakeAgent) apply(order api.StageOrder) {
-	if order.Term < a.term || order.Term == a.term && order.Sequence < a.order {
+	if order.Term < a.term || order.Term == a.term && order.Sequence < a.orderSequence {
 		a.refusedOrders++
 		return
 	}
-	a.term, a.order, a.sets, a.known, a.manifestsToDelete = order.Term, order.Sequence, order.Sets, order.KnownVersion, order.DropManifests
+	a.term, a.orderSequence, a.sets, a.knownVersion, a.manifestsToDelete = order.Term, order.Sequence, order.Sets, order.KnownVersion, order.DropManifests
 }
 
 func (a *fakeAgent) mustKeep(part uint32) bool {
@@ -129,7 +129,7 @@
 
 // heartbeat returns the agent's current heartbeat.
 func (a *fakeAgent) heartbeat() *api.StageHeartbeat {
-	heartbeat := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Sequence: a.order, Quota: 50e9, HoldingsComplete: true, Version: a.version,
+	heartbeat := &api.StageHeartbeat{Machine: a.name, Address: a.name + ":2", Incarnation: 1, Seq: a.seq, Term: a.term, Sequence: a.orderSequence, Quota: 50e9, HoldingsComplete: true, Version: a.version,
 		Holdings: []api.StageHolding{{Dataset: "inv", Manifest: inventory.ManifestDigest.String(), PartCount: inventory.PartCount, Parts: api.PartSet{Bitmap: a.heldParts.Clone()}}}}
 	for _, x := range a.sets {
 		heartbeat.Pinned = append(heartbeat.Pinned, api.StageHolding{Dataset: x.Dataset, Manifest: x.Manifest, Parts: api.PartSet{Bitmap: roaring.And(a.heldParts, x.Parts.Bitmap)}})
--- a/scheduler/placement_topology_test.go
+++ b/scheduler/placement_topology_test.go
@@ -164,7 +164,7 @@
 // Checks that a gang with a mandatory near constraint is placed in a rack where all of it fits, and preferably not in an
 // empty rack. If it fits in no rack it waits while other jobs start. Of two gangs that fit only one at a time, one runs
 // and the other waits.
-func TestNearWaitsForARackThatHoldsAll(t *testing.T) {
+func TestNearGangWaitsForRackThatFitsAll(t *testing.T) {
 	h := newRackHarness(t, 2, 2)
 	near := &api.Near{Level: "rack", Required: true}
 	h.submit("run-000001", 1, service(nil))
@@ -257,7 +257,7 @@
 
 // Checks that exactly one instance is requested for a replica that the topology allows in none of the present racks,
 // since the new machine may come up in a rack where the replica is allowed.
-func TestInstanceIsRequestedForADomain(t *testing.T) {
+func TestInstanceIsRequestedForReplicaThatNoRackAllows(t *testing.T) {
 	h := newRackHarness(t, 2, 3)
 	h.submit("run-000001", 3, service(&api.Survive{Level: "rack", MaxTasks: 1, Required: true}))
 	for range 5 {
@@ -474,7 +474,7 @@
 			id         string
 			tasks      int
 			near, gang bool
-			most       int
+			maxPerRack int
 		}
 		var jobs []submittedJob
 		for step := range 40 {
@@ -493,8 +493,8 @@
 					if x.near {
 						submission.Near = &api.Near{Level: "rack", Required: true}
 					} else {
-						x.most = 1 + rng.IntN(2)
-						submission.Survive = &api.Survive{Level: "rack", MaxTasks: x.most, Required: true}
+						x.maxPerRack = 1 + rng.IntN(2)
+						submission.Survive = &api.Survive{Level: "rack", MaxTasks: x.maxPerRack, Required: true}
 					}
 				}
 				h.submit(x.id, x.tasks, change)
@@ -523,8 +523,8 @@
 			for _, x := range jobs {
 				_, byRack := h.tasksByRack(x.id)
 				for r, k := range byRack {
-					if x.most > 0 && k > x.most {
-						t.Fatalf("seed %d step %d: %s has %d replicas in %s, want at most %d", seed, step, x.id, k, r, x.most)
+					if x.maxPerRack > 0 && k > x.maxPerRack {
+						t.Fatalf("seed %d step %d: %s has %d replicas in %s, want at most %d", seed, step, x.id, k, r, x.maxPerRack)
 					}
 				}
 				if x.near && len(byRack) > 1 {
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -117,8 +117,8 @@
 	}
 	h.exchangePackets()
 	starts := h.starts("run-000001/0")
-	if len(starts) != 1 || !agent.mustKeep(0) || agent.known != 3 {
-		t.Fatalf("%d starts, order %+v, known %d", len(starts), agent.sets, agent.known)
+	if len(starts) != 1 || !agent.mustKeep(0) || agent.knownVersion != 3 {
+		t.Fatalf("%d starts, order %+v, known version %d, want 1 start, part 0 pinned and version 3", len(starts), agent.sets, agent.knownVersion)
 	}
 	oldTerm := h.term
 	h.reelect()
