--- a/configuration/active.go
+++ b/configuration/active.go
@@ -76,7 +76,7 @@
 }
 
 // Stricter returns the configuration that decisions use during a rollout. It equals before, except
-// that it has only the teams that both configurations have, each with the lower of the two values of
+// that it contains only the teams that both configurations have, each with the lower of the two values of
 // every limit and guarantee. Whatever it admits is therefore within the limits of both revisions.
 func Stricter(before, after *Active) *Active {
 	active := *before
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -34,7 +34,7 @@
 // OverLimitPolicy defines what happens to the running tasks of a team whose limit is lowered below its
 // usage.
 type OverLimitPolicy struct {
-	// Running is Leave or Stop.
+	// Running is LeaveRunning or StopRunning.
 	Running string `toml:"running"`
 	// StopWithinS is the grace period in seconds in which a stopped task can save a checkpoint.
 	StopWithinS float64 `toml:"stop_within_s"`
@@ -46,18 +46,18 @@
 	AheadTasks *int `toml:"ahead_tasks"`
 }
 
-// Document is a configuration document as written by an operator. The controllers' files and settings
-// apply for each section that it lacks. It is immutable after Parse.
+// Document is a configuration document as written by an operator. For each section that it lacks, the
+// controllers' files and settings apply. It is immutable after Parse.
 type Document struct {
 	OverLimit OverLimitPolicy
 	// Policy maps the names of policy settings to expressions. If it is nil, the policy file applies.
 	Policy map[string]string
-	// Teams has all teams. If it is empty, the teams of the settings apply.
+	// Teams lists all teams. If it is empty, the teams of the settings apply.
 	Teams    []settings.Team
 	Features FeatureSettings
 	// Topology overrides the topology file, unless it is nil.
 	Topology *topology.Map
-	// Text is the source text of the document.
+	// Text is the TOML source of the document.
 	Text string
 
 	// policy is the compiled form of Policy.
--- a/configuration/document_test.go
+++ b/configuration/document_test.go
@@ -51,7 +51,7 @@
 	files := FromFiles([]settings.Team{{Name: "other", CPUsMax: 5}}, policy.Default())
 	active := parse(t, fullDocument).Overlay(files, 4)
 	if limit, ok := active.Limit("vision"); !ok || limit.CPUs != 40 || active.Revision != 4 || *active.AheadTasks != 7 || active.Topology.Version() != 2 || active.Policy.Value(policy.SlotS, nil) != 3 || active.OverLimit.StopWithinS != 30 {
-		t.Errorf("%+v", active)
+		t.Errorf("the full document results in %+v", active)
 	}
 	if _, ok := active.Limit("other"); ok {
 		t.Error("a team that the document lacks is still configured")
@@ -59,7 +59,7 @@
 	// The files apply for each section that the document lacks.
 	filesOnly := parse(t, "").Overlay(files, 5)
 	if limit, ok := filesOnly.Limit("other"); !ok || limit.CPUs != 5 || filesOnly.AheadTasks != nil || filesOnly.Topology != nil || filesOnly.Policy != files.Policy {
-		t.Errorf("%+v", filesOnly)
+		t.Errorf("the empty document results in %+v", filesOnly)
 	}
 }
 
@@ -108,14 +108,14 @@
 	want := []string{"features.ahead_tasks: 7 -> (none)", "policy.slot_s: 3 -> 4", "teams.export: 0 guaranteed, any at most -> (none)", "teams.import: (none) -> 0 guaranteed, any at most",
 		"teams.vision: 10 guaranteed, 40 at most -> 10 guaranteed, any at most", "topology.r1: rack n-0001* -> rack n-0002*"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%q", got)
+		t.Errorf("differences %q, want %q", got, want)
 	}
 	if n := len(Differences(nil, parse(t, fullDocument))); n != 8 {
 		t.Errorf("%d differences from a nil document, want 8", n)
 	}
 }
 
-// Whatever is started during a rollout must be within the limits of both revisions.
+// Tasks that are started during a rollout must be within the limits of both revisions.
 func TestStricterTakesLowerLimitsOfBothRevisions(t *testing.T) {
 	team := func(name string, guaranteed, limit float64) settings.Team {
 		return settings.Team{Name: name, CPUs: guaranteed, CPUsMax: limit, Cards: guaranteed, CardsMax: limit}
--- a/configuration/httpapi/handler.go
+++ b/configuration/httpapi/handler.go
@@ -20,8 +20,7 @@
 	"switchferry/upgrade"
 )
 
-// History is passed to Handler.Revision in place of a revision's number to request the list of the last
-// revisions.
+// History is the identifier that requests the list of the last revisions from Handler.Revision.
 const History = "history"
 
 // stateUnreachable is the error text of an answer that failed because the state service did not
@@ -59,15 +58,15 @@
 func viewOf(revision *configuration.Revision) api.ConfigurationView {
 	return api.ConfigurationView{
 		Revision:    revision.Number,
-		Operator:    revision.By,
-		Reason:      revision.Why,
+		Operator:    revision.Operator,
+		Reason:      revision.Reason,
 		AppliedAtMS: revision.AtMS,
 		Document:    revision.Document,
 	}
 }
 
-// Revision returns the status and body of the answer for one stored revision, given by its number, or
-// for the last revisions if which is History.
+// Revision returns the status and body of the answer for one stored revision, whose number the
+// identifier is, or for the last revisions if the identifier is History.
 func (h *Handler) Revision(ctx context.Context, identifier string) (status int, body any) {
 	if identifier == History {
 		return h.history(ctx)
@@ -113,14 +112,14 @@
 	if err != nil {
 		return http.StatusBadRequest, api.ConfigurationFieldErrors{Error: "the document has mistakes; nothing was changed", FieldErrors: fieldErrorViews(err)}
 	}
-	controllersWithout, err := h.Versions.WithoutConfiguration(ctx)
+	membersWithoutSupport, err := h.Versions.WithoutConfiguration(ctx)
 	if err != nil {
 		return http.StatusServiceUnavailable, api.Error{Error: revisions.ErrUnavailable.Error()}
 	}
-	if len(controllersWithout) > 0 {
-		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(controllersWithout, ", ")}
+	if len(membersWithoutSupport) > 0 {
+		return http.StatusServiceUnavailable, api.Error{Error: "the configuration can be changed only once all controllers run a version that supports it, with [configuration] on; not seen yet of " + strings.Join(membersWithoutSupport, ", ")}
 	}
-	progress, err := applier.Apply(ctx, revisions.Request{Document: document, By: request.Operator, Why: request.Reason, Expect: request.ExpectedRevision})
+	progress, err := applier.Apply(ctx, revisions.Request{Document: document, Operator: request.Operator, Reason: request.Reason, ExpectedRevision: request.ExpectedRevision})
 	switch {
 	case errors.Is(err, revisions.ErrConflict):
 		return http.StatusConflict, h.conflictAnswer(document, err)
@@ -170,7 +169,7 @@
 	if revision == nil {
 		return conflict
 	}
-	conflict.Revision, conflict.Operator, conflict.Reason = revision.Number, revision.By, revision.Why
+	conflict.Revision, conflict.Operator, conflict.Reason = revision.Number, revision.Operator, revision.Reason
 	if current, parseErr := configuration.Parse(revision.Document); parseErr == nil {
 		for _, difference := range configuration.Differences(current, requested) {
 			conflict.Differences = append(conflict.Differences, difference.String())
--- a/configuration/httpapi/handler_test.go
+++ b/configuration/httpapi/handler_test.go
@@ -133,7 +133,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		handler, applier, state := newLeadingHandler(t)
 		view := handler.Current(applier)
-		requireAnswer(t, "nothing configured", http.StatusOK, view, http.StatusOK, `"revision":0`, `"in_force":true`, `"leader":true`)
+		requireAnswer(t, "no revision stored", http.StatusOK, view, http.StatusOK, `"revision":0`, `"in_force":true`, `"leader":true`)
 		body := changeBody(t, api.ConfigurationRequest{Document: "# first\n", Operator: "ann", Reason: "trial"})
 		if status, answer := handler.Change(t.Context(), applier, body); status != http.StatusOK {
 			t.Fatalf("status %d: %+v", status, answer)
--- a/configuration/revision.go
+++ b/configuration/revision.go
@@ -39,11 +39,11 @@
 	return number, ok && err == nil
 }
 
-// Revision is a document that was applied, with its author and the reason for the change.
+// Revision is a document that was applied, with the operator who applied it and the reason for the change.
 type Revision struct {
-	Number uint64 `json:"number"`
-	By     string `json:"by"`
-	Why    string `json:"why"`
+	Number   uint64 `json:"number"`
+	Operator string `json:"by"`
+	Reason   string `json:"why"`
 	// AtMS is the time of the change by the leader's clock, in milliseconds of Unix time.
 	AtMS     int64  `json:"at_ms"`
 	Document string `json:"document"`
--- a/configuration/revision_test.go
+++ b/configuration/revision_test.go
@@ -24,7 +24,7 @@
 // A revision with 110 teams can be stored even in values of the smallest size, and is decoded unchanged. Decode refuses
 // damaged parts and parts of a newer format.
 func TestDecodeReturnsEncodedRevisionOrError(t *testing.T) {
-	want := Revision{Number: 12, By: "ops", Why: "why", AtMS: 5, Document: teamsText(110)}
+	want := Revision{Number: 12, Operator: "ops", Reason: "why", AtMS: 5, Document: teamsText(110)}
 	for _, valueBytes := range []int{16 << 10, 2 << 10, 1 << 10} {
 		head, parts, err := Encode(&want, valueBytes)
 		if err != nil {
--- a/configuration/revisions/applier.go
+++ b/configuration/revisions/applier.go
@@ -29,11 +29,11 @@
 // Request is a change that an operator requests.
 type Request struct {
 	Document *configuration.Document
-	// By and Why are stored with the revision.
-	By, Why string
-	// Expect is the number that the newest revision must have for the change to be made, or nil for
+	// Operator and Reason are stored with the revision.
+	Operator, Reason string
+	// ExpectedRevision is the number that the newest revision must have for the change to be made, or nil for
 	// any.
-	Expect *uint64
+	ExpectedRevision *uint64
 }
 
 // ChangeProgress is the progress of a change.
@@ -60,11 +60,11 @@
 	mu sync.Mutex
 	// The fields below are guarded by mu.
 
-	// active is the configuration of the stored revision, and nil before Load. document is its
-	// document, or nil if only the files and settings apply. headRevision is the state service's
-	// revision of its head.
-	active       *configuration.Active
-	document     *configuration.Document
+	// active is the configuration of the newest stored revision, and nil before Load.
+	active *configuration.Active
+	// document is the document of that revision, or nil if only the files and settings apply.
+	document *configuration.Document
+	// headRevision is the state service's revision of the head that identifies that revision.
 	headRevision uint64
 	// rollout is the rollout in progress, or else the last one of this term, or nil if there was none.
 	rollout *configuration.Rollout
@@ -139,8 +139,8 @@
 }
 
 // Apply makes a change and waits until it is in force, for tuning.ConfigurationTimeout at most. After that
-// the change continues in the background. On an error, the revision is not known to be stored; the
-// error values of this package say what is known.
+// the change continues in the background. If Apply returns an error, the revision is not known to be
+// stored; the error values of this package define what is known.
 func (a *Applier) Apply(ctx context.Context, request Request) (ChangeProgress, error) {
 	if err := a.acquire(ctx); err != nil {
 		return ChangeProgress{}, err
@@ -153,9 +153,9 @@
 	case active == nil:
 		a.release()
 		return ChangeProgress{}, ErrNotLoaded
-	case request.Expect != nil && *request.Expect != newest:
+	case request.ExpectedRevision != nil && *request.ExpectedRevision != newest:
 		a.release()
-		return ChangeProgress{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *request.Expect)
+		return ChangeProgress{}, fmt.Errorf("%w: revision %d is the present one, not %d", ErrConflict, newest, *request.ExpectedRevision)
 	case document != nil && document.Text == request.Document.Text && active.Revision == newest:
 		a.release()
 		return ChangeProgress{Revision: newest, InForce: true, Unchanged: true}, nil
@@ -163,8 +163,8 @@
 	change := change{
 		revision: &configuration.Revision{
 			Number:   newest + 1,
-			By:       request.By,
-			Why:      request.Why,
+			Operator: request.Operator,
+			Reason:   request.Reason,
 			AtMS:     a.clock.Now().UnixMilli(),
 			Document: request.Document.Text,
 		},
--- a/configuration/revisions/applier_test.go
+++ b/configuration/revisions/applier_test.go
@@ -26,7 +26,7 @@
 			time.Sleep(time.Second)
 			cluster.isolate("y", isolated)
 			began := time.Now()
-			answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50), By: "me", Why: "less"})
+			answer, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 50), Operator: "me", Reason: "less"})
 			if err != nil || answer.Revision != 1 || answer.InForce == isolated {
 				t.Fatalf("%+v, %v", answer, err)
 			}
@@ -52,7 +52,8 @@
 	}
 }
 
-// A change is not in force before all starts that were decided before it are persisted, and the answer says so.
+// A change is not in force before all starts that were decided before it are persisted, and the answer lists them as
+// what the change waits for.
 func TestChangeWaitsUntilEarlierDecisionsArePersisted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, usualLimits)
@@ -65,7 +66,7 @@
 			t.Fatalf("%+v, %v", answer, err)
 		}
 		if limit, _ := cluster.lastAdopted().Limit("a"); limit.CPUs != 50 {
-			t.Errorf("meanwhile the limit is %g", limit.CPUs)
+			t.Errorf("before the change is in force, the limit is %g, want 50", limit.CPUs)
 		}
 		cluster.mu.Lock()
 		cluster.unpersisted = 0
@@ -87,7 +88,7 @@
 		outcomes := make(chan error, 2)
 		for i := range 2 {
 			go func() {
-				_, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10+i), Expect: &expect})
+				_, err := applier.Apply(cluster.ctx, Request{Document: documentWithLimit(t, 10+i), ExpectedRevision: &expect})
 				outcomes <- err
 			}()
 		}
--- a/configuration/revisions/cluster_test.go
+++ b/configuration/revisions/cluster_test.go
@@ -206,6 +206,8 @@
 
 // smallLimits are limits under which a large document takes many parts and several transactions.
 var smallLimits = settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 1, TxnOps: 3}
+
+// usualLimits are limits under which a small document takes one part.
 var usualLimits = settings.StateLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 
 // reconnectFollowers reconnects all followers.
--- a/configuration/revisions/rollout.go
+++ b/configuration/revisions/rollout.go
@@ -47,7 +47,7 @@
 	if !a.awaitInForce(rollout, unpersistedCount) {
 		return ErrNotLeader
 	}
-	slog.Info("configuration in force", "revision", revision.Number, "by", revision.By, "why", revision.Why, "stored_to_in_force_ms", a.clock.Since(storedAt).Milliseconds())
+	slog.Info("configuration in force", "revision", revision.Number, "by", revision.Operator, "why", revision.Reason, "stored_to_in_force_ms", a.clock.Since(storedAt).Milliseconds())
 	a.removeOldRevisions(revision.Number)
 	return nil
 }
--- a/configuration/revisions/store.go
+++ b/configuration/revisions/store.go
@@ -117,21 +117,21 @@
 		return 0, nil
 	}
 	rejection := ""
-	namedHead, err := configuration.ParseHead(head.Value)
+	parsedHead, err := configuration.ParseHead(head.Value)
 	if err != nil {
 		slog.Error("corrupt configuration head", "key", configuration.HeadKey, "err", err)
 		rejection = err.Error()
-		if namedHead.Number, err = s.highestStored(ctx); err != nil {
+		if parsedHead.Number, err = s.highestStored(ctx); err != nil {
 			return 0, err
 		}
 	}
-	digest := namedHead.Digest
-	for number := namedHead.Number; number > 0 && number+tuning.ConfigurationRetention > namedHead.Number; number-- {
+	digest := parsedHead.Digest
+	for number := parsedHead.Number; number > 0 && number+tuning.ConfigurationRetention > parsedHead.Number; number-- {
 		revision, document, err := s.readRevision(ctx, number, digest)
 		if err == nil {
 			lease.Active = document.Overlay(s.files, number)
-			s.setCurrent(lease, revision, namedHead.Number, rejection)
-			return namedHead.Number, nil
+			s.setCurrent(lease, revision, parsedHead.Number, rejection)
+			return parsedHead.Number, nil
 		}
 		if !isUnusable(err) {
 			return 0, err
@@ -143,8 +143,8 @@
 		digest = "" // The head has only the digest of the newest revision.
 	}
 	lease.Active = s.files
-	s.setCurrent(lease, nil, namedHead.Number, rejection)
-	return namedHead.Number, nil
+	s.setCurrent(lease, nil, parsedHead.Number, rejection)
+	return parsedHead.Number, nil
 }
 
 // isUnusable reports whether an error means that a stored revision cannot be used, as opposed to a failed
@@ -219,8 +219,8 @@
 	return revision, err
 }
 
-// History reads the last tuning.ConfigurationRetention revisions, newest first, without their documents. For a
-// revision that cannot be used, Why contains the reason.
+// History reads the last tuning.ConfigurationRetention revisions, newest first, without their documents. A
+// revision that cannot be used has only its number and, as Reason, the error.
 func (s *Store) History(ctx context.Context) ([]*configuration.Revision, error) {
 	newest, err := s.Refresh(ctx)
 	if err != nil {
@@ -230,7 +230,7 @@
 	for number := newest; number > 0 && number+tuning.ConfigurationRetention > newest; number-- {
 		revision, err := s.Revision(ctx, number)
 		if isUnusable(err) {
-			revision, err = &configuration.Revision{Number: number, Why: err.Error()}, nil
+			revision, err = &configuration.Revision{Number: number, Reason: err.Error()}, nil
 		}
 		if err != nil {
 			return nil, err
--- a/configuration/rollout.go
+++ b/configuration/rollout.go
@@ -11,7 +11,7 @@
 // Stage is the stage that a rollout has reached.
 type Stage int
 
-// The stages of a rollout. Storing is the first; Refused and InForce are final.
+// The stages of a rollout. Storing is the first; Refused and InForce are terminal.
 const (
 	// Storing means that the revision is not known to be stored. The lower limits of both revisions
 	// apply.
@@ -73,8 +73,8 @@
 // arrived. The revision was stored at that time or earlier.
 func (r *Rollout) MarkStored(answeredAt time.Time) { r.stage, r.storedAt = Propagating, answeredAt }
 
-// Confirm records that the process that now runs on a peer has read the given revision. It has no
-// effect before MarkStored, or if the revision is older than After.
+// Confirm records that the process that now runs as the given peer has read the given revision. It has
+// no effect before MarkStored, or if the revision is older than After.
 func (r *Rollout) Confirm(member string, revision uint64) {
 	if r.stage == Propagating && revision >= r.After.Revision {
 		delete(r.unconfirmed, member)
@@ -102,7 +102,7 @@
 	return r.storedAt.Add(tuning.ConfigurationLease + tuning.ConfigurationMargin)
 }
 
-// WaitsFor returns descriptions, for operators, of what the rollout waits for, sorted. It returns none
+// WaitsFor returns sorted descriptions, for operators, of what the rollout waits for. It returns none
 // if the rollout waits for nothing.
 func (r *Rollout) WaitsFor(now time.Time) (reasons []string) {
 	if r.stage == Storing {
