--- a/controller/admission/dependencies.go
+++ b/controller/admission/dependencies.go
@@ -12,8 +12,8 @@
 	"switchferry/tuning"
 )
 
-// checkDependencies checks that a submission may depend on the jobs that it names. Undecided gives the reason if this
-// cannot be determined now, and is empty otherwise. An error is a *api.FieldError.
+// checkDependencies checks that a submission may depend on the jobs that it names. Undecided is the reason why
+// this cannot be determined now, and empty if it can. An error is a *api.FieldError.
 func (s *Service) checkDependencies(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission) (undecided string, err error) {
 	if len(submission.Awaits) > tuning.MaxDependencies {
 		return "", &api.FieldError{Field: "awaits", Want: fmt.Sprintf("names %d jobs, at most %d can be awaited; let a job between them await some", len(submission.Awaits), tuning.MaxDependencies)}
--- a/controller/admission/inputs.go
+++ b/controller/admission/inputs.go
@@ -40,8 +40,8 @@
 	return 0, false, nil
 }
 
-// checkInput returns a *api.FieldError if a job with that number of tasks can never run with an input. Field is the path
-// of the input in the submission. Entry is nil if the dataset is not registered.
+// checkInput returns a *api.FieldError if a job with that number of tasks can never run with an input. Field is the
+// path of the input in the submission. Entry is nil if the dataset is not registered.
 func checkInput(field string, input api.Input, entry *dataset.Entry, tasks int) error {
 	switch {
 	case entry == nil:
--- a/controller/admission/leaderless.go
+++ b/controller/admission/leaderless.go
@@ -14,8 +14,8 @@
 	"switchferry/store"
 )
 
-// SubmitWithoutLeader accepts a job without the leader, provided that the given conditions hold too. It writes the job's
-// record together with an inbox entry, from which the leader learns of the job.
+// SubmitWithoutLeader accepts a job without the leader, provided that the given conditions hold too. It writes the
+// job's record together with an inbox entry, from which the leader learns of the job.
 func (s *Service) SubmitWithoutLeader(ctx context.Context, submission *api.Submission, body []byte, extraConditions ...store.Condition) peer.Response {
 	record := store.JobRecord{Job: *submission, AcceptedAt: s.clock.Now().UnixMilli()}
 	conditions := []store.Condition{{Key: store.JobKey(submission.ID)}, {Key: store.FinalKey(submission.ID)}}
@@ -41,8 +41,9 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// CancelWithoutLeader cancels a job while the state service holds no leader's key. If it holds one, only that leader may
-// cancel, since it answers status requests from memory; the cancellation is then requested through the inbox.
+// CancelWithoutLeader cancels a job while no leader's key exists in the state service. If one exists, only that leader
+// may cancel the job, since it answers status requests from memory; the cancellation is then requested through the
+// inbox.
 func (s *Service) CancelWithoutLeader(ctx context.Context, id string) peer.Response {
 	if !api.ValidID(id) {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "no such job"})
@@ -72,8 +73,8 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: id, State: record.FinalState})
 }
 
-// Cancel cancels a job as the leader or, if sched is nil, without one. For a job that has already ended, it returns the
-// job's state.
+// Cancel cancels a job as the leader or, if sched is nil, without one. For a job that is already in a terminal state,
+// it returns that state.
 func (s *Service) Cancel(ctx context.Context, sched *scheduler.Scheduler, id string) peer.Response {
 	if sched == nil {
 		return s.CancelWithoutLeader(ctx, id)
--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -1,5 +1,6 @@
-// Package admission accepts, refuses and cancels jobs. A job that can never run is refused at once with the reason. Other
-// jobs are stored by the scheduler of the current term or, without a leader, by writing their records directly.
+// Package admission accepts, refuses and cancels jobs. A job that can never run is refused at once with the reason. The
+// records of other jobs are written by the scheduler of the current term or, without a leader, directly by this
+// package.
 package admission
 
 import (
@@ -115,12 +116,12 @@
 	rules       Rules
 }
 
-// Submit accepts or refuses a job. Sched is nil unless this controller certainly leads. For a job that is already known,
-// it returns the job's state.
+// Submit accepts or refuses a job. Sched is nil unless this controller certainly leads. For a job that is already
+// known, it returns the job's state.
 func (s *Service) Submit(ctx context.Context, sched *scheduler.Scheduler, body []byte) peer.Response {
 	submission, id, err := api.ParseSubmission(body)
 	if id != "" {
-		if job, ok := s.jobs.Recall(sched, id); ok {
+		if job, ok := s.jobs.StatusFromMemory(sched, id); ok {
 			return peer.JSONResponse(http.StatusOK, job)
 		}
 	}
@@ -158,7 +159,7 @@
 // stops at the first check that fails.
 func (s *Service) evaluateSubmission(ctx context.Context, sched *scheduler.Scheduler, submission *api.Submission, body []byte) (verdict submissionVerdict) {
 	verdict.status = http.StatusUnprocessableEntity
-	if verdict.rules, verdict.undecided, verdict.err = s.CanRun(sched, submission); verdict.err != nil {
+	if verdict.rules, verdict.undecided, verdict.err = s.CheckFeasibility(sched, submission); verdict.err != nil {
 		return verdict
 	}
 	if verdict.err = s.checkRecordSize(submission); verdict.err != nil {
@@ -186,8 +187,8 @@
 	return verdict
 }
 
-// refuseSubmission answers a submission that cannot be accepted, either permanently or for the time being. If the job id
-// is known, it returns the state of that job regardless of the rest of the body.
+// refuseSubmission answers a submission that cannot be accepted, either permanently or for the time being. If the job
+// id is known, it returns the state of that job regardless of the rest of the body.
 func (s *Service) refuseSubmission(ctx context.Context, sched *scheduler.Scheduler, id string, verdict submissionVerdict) peer.Response {
 	if id != "" {
 		if sched != nil {
@@ -233,10 +234,10 @@
 	UnknownReason string
 }
 
-// CheckSubmission checks a submission against teams, limits and machine types. Undecided is set if the machine types or the
-// configuration are not known, or if the configuration is changing and the old and the new one disagree. An error is a
-// *api.FieldError.
-func (s *Service) CanRun(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
+// CheckFeasibility checks whether a submission can ever run, given the teams, limits and machine types, and returns the
+// rules that it applied. Undecided is set if the machine types or the configuration are not known, or if the
+// configuration is changing and the old and the new one disagree. An error is a *api.FieldError.
+func (s *Service) CheckFeasibility(sched *scheduler.Scheduler, submission *api.Submission) (rules Rules, undecided bool, err error) {
 	types := s.catalog.MachineTypes()
 	rules = s.configuration.CurrentRules(sched)
 	if rules.UnknownReason != "" {
@@ -253,8 +254,8 @@
 	return rules, undecided, err
 }
 
-// StillValid reports whether a refusal by these rules still holds. It is called immediately before the response is sent,
-// since the process may have been paused after the check.
+// StillValid reports whether a refusal by these rules still holds. It is called immediately before the response is
+// sent, since the process may have been paused after the check.
 func (s *Service) StillValid(rules Rules, sched *scheduler.Scheduler) bool {
 	if rules.Configurations == nil {
 		return true
--- a/controller/admission_test.go
+++ b/controller/admission_test.go
@@ -15,8 +15,8 @@
 	"switchferry/store"
 )
 
-// A job that is accepted while one of its dependencies is being cancelled is cancelled too, regardless of which record is
-// written first and of whether the leader or another controller accepts the job.
+// A job that is accepted while one of its dependencies is being cancelled is cancelled too, regardless of which record
+// is written first and of whether the leader or another controller accepts the job.
 func TestConcurrentAcceptAndDependencyCancellationCancelsJob(t *testing.T) {
 	for _, first := range []string{"accept", "cancel"} {
 		for _, withoutLeader := range []bool{false, true} {
@@ -73,24 +73,24 @@
 	state := fake.NewState(clock)
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
 	controller.catalog.types = testTypes
-	ask := func(body string) int {
+	submit := func(body string) int {
 		return controller.serveJobRequest(context.Background(), nil, peer.Request{Verb: VerbSubmit, Body: []byte(body)}).Status
 	}
-	refusal := `{"name_id":"run-000001","parts":-4}`
-	if got := ask(refusal); got != 400 {
-		t.Errorf("unknown id: %d", got)
+	invalidBody := `{"name_id":"run-000001","parts":-4}`
+	if got := submit(invalidBody); got != 400 {
+		t.Errorf("unknown id: status %d, want 400", got)
 	}
 	state.Put(store.JobKey("run-000001"), store.JobRecord{Job: api.Submission{ID: "run-000001", Tasks: 1}})
-	if got := ask(refusal); got != 200 {
-		t.Errorf("known id: %d", got)
+	if got := submit(invalidBody); got != 200 {
+		t.Errorf("known id: status %d, want 200", got)
 	}
 	state.Put(store.FinalKey("run-000002"), store.FinalRecord{State: api.Done, Tasks: 3})
-	if got := ask(`{"name_id":"run-000002"}`); got != 200 {
-		t.Errorf("id of a job that has ended: %d", got)
+	if got := submit(`{"name_id":"run-000002"}`); got != 200 {
+		t.Errorf("id of a job in a terminal state: status %d, want 200", got)
 	}
 	state.Down = true
-	if got := ask(`{"name_id":"run-000003"}`); got != 503 {
-		t.Errorf("unknown id in an outage of the state service: %d", got)
+	if got := submit(`{"name_id":"run-000003"}`); got != 503 {
+		t.Errorf("unknown id in an outage of the state service: status %d, want 503", got)
 	}
 }
 
@@ -106,9 +106,9 @@
 	body := submissionBody("run-000001", 4, `,"x":1`)
 	long := strings.Replace(body, `"bundle":"img"`, `"bundle":"`+strings.Repeat("i", 17<<10)+`"`, 1)
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(long)}, false); response.Status != 400 || !strings.Contains(string(response.Body), "at most 16384") {
-		t.Errorf("%d %.200s", response.Status, response.Body)
+		t.Errorf("a job that is too large: %d %.200s", response.Status, response.Body)
 	}
 	if response := controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false); response.Status != 201 {
-		t.Errorf("%d %s", response.Status, response.Body)
+		t.Errorf("a job that can be stored: %d %s", response.Status, response.Body)
 	}
 }
--- a/controller/agents.go
+++ b/controller/agents.go
@@ -20,7 +20,8 @@
 	"switchferry/tuning"
 )
 
-// agentGateway answers the heartbeats of the data agents that run next to the workers, and sends them the leader's orders.
+// agentGateway answers the heartbeats of the data agents that run next to the workers, and sends them the leader's
+// orders.
 type agentGateway struct {
 	settings *settings.Settings
 	clock    clockwork.Clock
@@ -53,9 +54,9 @@
 	return a.redirects.Allow(a.clock.Now(), machine, leader, true)
 }
 
-// handleHeartbeat answers an agent's heartbeat; raw is the heartbeat as received. Agents report to the leader and are
-// redirected to it. If an agent returns after a redirect, its heartbeats are forwarded to the leader while that is
-// reachable, and otherwise relayed through the state service.
+// handleHeartbeat answers an agent's heartbeat; raw is the heartbeat as received. Agents send their heartbeats to the
+// leader, and other controllers redirect them to it. If an agent returns after a redirect, its heartbeats are forwarded
+// to the leader while that is reachable, and otherwise relayed through the state service.
 func (a *agentGateway) handleHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) answer {
 	if sched := a.term.scheduler(); sched != nil {
 		return a.answerAsLeader(sched, heartbeat)
--- a/controller/agents_test.go
+++ b/controller/agents_test.go
@@ -16,10 +16,10 @@
 func TestAgentHeartbeatIsRefusedWithoutLeader(t *testing.T) {
 	controller, _ := newDataController(true)
 	if status, _ := controller.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1}, nil); status != 503 {
-		t.Error(status)
+		t.Errorf("heartbeat: status %d, want 503", status)
 	}
-	if response := controller.ask(VerbData, ""); response.Status != 503 || response.RetryAfterS == 0 {
-		t.Error(response.Status)
+	if response := controller.sendRequest(VerbData, ""); response.Status != 503 || response.RetryAfterS == 0 {
+		t.Errorf("list of datasets: status %d, want 503 with a retry time", response.Status)
 	}
 }
 
@@ -37,8 +37,8 @@
 	return follower, leader
 }
 
-// An agent that reports to a controller which does not reach the leader gets a response from the proxy, and its heartbeat
-// is relayed through the state service.
+// An agent that sends its heartbeats to a controller which does not reach the leader gets a response from the proxy,
+// and its heartbeat is relayed through the state service.
 func TestAgentHeartbeatsAreRelayedWhenLeaderIsUnreachable(t *testing.T) {
 	follower, leader := newAgentFollower(t)
 	status, body := follower.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil)
@@ -62,6 +62,6 @@
 	leader.clock.Advance(time.Second)
 	_, _ = follower.client.Get(context.Background(), "k")
 	if status, _ := follower.HandleStageHeartbeat(context.Background(), &api.StageHeartbeat{Machine: "a1", Address: "a:1", Incarnation: 1, Seq: 1}, nil); status != 503 {
-		t.Error(status)
+		t.Errorf("status %d, want 503", status)
 	}
 }
--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -17,19 +17,19 @@
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
 	controller := New(context.Background(), testSettings(), policy.Default(), clock, state)
-	ask := func() int {
+	requestStatus := func() int {
 		return controller.jobs.AnswerStatus(context.Background(), nil, "run-000404", true).Status
 	}
 	state.Down = true
-	if got := ask(); got != 503 {
-		t.Errorf("in an outage: %d", got)
+	if got := requestStatus(); got != 503 {
+		t.Errorf("in an outage: status %d, want 503", got)
 	}
 	state.Down = false
-	if got := ask(); got != 404 {
-		t.Errorf("never submitted: %d", got)
+	if got := requestStatus(); got != 404 {
+		t.Errorf("a job that was never submitted: status %d, want 404", got)
 	}
 	state.Put(store.JobKey("run-000404"), store.JobRecord{Job: api.Submission{ID: "run-000404", Tasks: 1}})
-	if got := ask(); got != 200 {
-		t.Errorf("accepted: %d", got)
+	if got := requestStatus(); got != 200 {
+		t.Errorf("an accepted job: status %d, want 200", got)
 	}
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -29,8 +29,8 @@
 	return incarnation, position, true
 }
 
-// Statement returns the statement for a peer that knows the statements of this incarnation up to a position. Ok is false
-// while a process of an older version may run.
+// Statement returns the statement for a peer that knows the statements of this incarnation up to a position. Ok is
+// false while a process of an older version may run.
 func (exchange cancellationExchange) Statement(incarnation, position uint64) (watermark.Statement, bool) {
 	if len(exchange.leases.versions.Older()) > 0 {
 		return watermark.Statement{}, false
@@ -40,8 +40,8 @@
 }
 
 // ApplyStatement applies the statement with which a peer answered a request sent at askedAt.
-func (exchange cancellationExchange) ApplyStatement(member string, askedAt time.Time, statement watermark.Statement) {
-	if err := exchange.leases.watermark.ApplyStatement(exchange.leases.clock.Now(), member, askedAt, statement); err != nil {
+func (exchange cancellationExchange) ApplyStatement(member string, requestedAt time.Time, statement watermark.Statement) {
+	if err := exchange.leases.watermark.ApplyStatement(exchange.leases.clock.Now(), member, requestedAt, statement); err != nil {
 		slog.Info("rejecting peer statement", "member", member, "err", err)
 	}
 }
@@ -70,7 +70,7 @@
 // returns the revision from which to continue. The cancellations then count as known up to the time of the request, not
 // of its response.
 func (l *leaseRenewal) readCancelledJobs(ctx context.Context, after uint64) (uint64, error) {
-	askedAt := l.clock.Now()
+	requestedAt := l.clock.Now()
 	var items []store.Item
 	var events []store.Event
 	var revision uint64
@@ -94,6 +94,6 @@
 			l.watermark.RecordCancellation(l.clock.Now(), strings.TrimPrefix(item.Key, store.JobPrefix))
 		}
 	}
-	l.watermark.MarkCurrent(askedAt)
+	l.watermark.MarkCurrent(requestedAt)
 	return max(after, revision), nil
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -32,8 +32,8 @@
 	leader   *leaderLocator
 	// fileConfiguration has one element, the configuration from the files and settings.
 	fileConfiguration []*configuration.Active
-	// revisions stores the configuration that operators change while this process runs. It is set before Run, and nil
-	// unless live configuration is on.
+	// revisions reads and writes the revisions with which operators change the configuration while this process runs. It
+	// is set before Run, and nil unless live configuration is on.
 	revisions *revisions.Store
 }
 
@@ -43,7 +43,7 @@
 		term: controller.term, leader: controller.leader, fileConfiguration: []*configuration.Active{configuration.FromFiles(controller.settings.Facts.Teams, controller.policy)}}
 }
 
-// newRevisionStore creates the store of revisions, which switches live configuration on. It is called before Run.
+// newRevisionStore sets revisions, which switches live configuration on. It is called before Run.
 func (l *liveConfiguration) newRevisionStore() {
 	l.revisions = revisions.New(l.client, l.clock, l.fileConfiguration[0], l.settings.Facts.State)
 	l.versions.Configuration = true
@@ -64,12 +64,13 @@
 }
 
 // Adopt makes the scheduler use a configuration. Settings that it omits take their values from the files, even if the
-// previous revision set them.
-func (l *configurationTerm) Adopt(active *configuration.Active) (undecided func() int) {
+// previous revision set them. The function that it returns counts the earlier decisions that are not persisted yet.
+func (l *configurationTerm) Adopt(active *configuration.Active) (unpersistedCount func() int) {
 	return l.scheduler.ApplyConfiguration(l.controller.configuration.withFileDefaults(active))
 }
 
-// withFileDefaults returns a copy of a configuration in which settings that the revision omits are taken from the files.
+// withFileDefaults returns a copy of a configuration in which settings that the revision omits are taken from the
+// files.
 func (l *liveConfiguration) withFileDefaults(active *configuration.Active) *configuration.Active {
 	complete := *active
 	if complete.Topology == nil && l.features.topology != nil {
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -49,8 +49,8 @@
 	if response := submit("run-000001"); response.Status != http.StatusCreated {
 		t.Fatalf("confirmed: %d %s", response.Status, response.Body)
 	}
-	// Another revision is stored that this controller has not read. While its lease is valid it may still check submissions
-	// against the old revision, but it must not store a job on that basis.
+	// Another revision is stored that this controller has not read. While its lease is valid it may still check
+	// submissions against the old revision, but it must not store a job on that basis.
 	revision := &configuration.Revision{Number: 1, Document: "[[teams]]\nname = \"t\"\ncpus_max = 0.5\n"}
 	head, parts, err := configuration.Encode(revision, 16<<10)
 	if err != nil {
@@ -88,12 +88,12 @@
 	if _, err := controller.configuration.revisions.Refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
-	var s api.Submission
-	if err := json.Unmarshal([]byte(sampleJob), &s); err != nil {
+	var submission api.Submission
+	if err := json.Unmarshal([]byte(sampleJob), &submission); err != nil {
 		t.Fatal(err)
 	}
-	s.Team = "unknown"
-	rules, _, err := controller.submissions.CanRun(nil, &s)
+	submission.Team = "unknown"
+	rules, _, err := controller.submissions.CheckFeasibility(nil, &submission)
 	if err == nil || !controller.submissions.StillValid(rules, nil) {
 		t.Fatalf("refused with %v, or the refusal is not valid", err)
 	}
@@ -103,12 +103,13 @@
 	}
 }
 
+// changeConfiguration applies a change request to a controller without an applier, and returns the response.
 func changeConfiguration(controller *Controller, body []byte) peer.Response {
 	return encodeResponse(controller.configuration.handler().Change(context.Background(), nil, body))
 }
 
-// The configuration can be changed only once all controllers have recorded that they support changes. A document that has
-// an error or configures a feature that is off is refused.
+// The configuration can be changed only once all controllers have recorded that they support changes. A document that
+// has an error or configures a feature that is off is refused.
 func TestConfigurationChangeRequiresSupportByAllControllers(t *testing.T) {
 	controller := newLeader(t).otherController()
 	controller.settings.Peers = []settings.Peer{{Member: "z"}}
@@ -136,9 +137,9 @@
 	controller := newLeader(t).otherController()
 	controller.features.data.AheadTasks = 5
 	if ahead := *controller.configuration.withFileDefaults(parseOverEmptyFiles(t, "[features]\nahead_tasks = 9\n")).AheadTasks; ahead != 9 {
-		t.Fatalf("ahead %d with 9 configured", ahead)
+		t.Fatalf("ahead_tasks is %d, want 9 from the document", ahead)
 	}
 	if ahead := *controller.configuration.withFileDefaults(parseOverEmptyFiles(t, "")).AheadTasks; ahead != 5 {
-		t.Errorf("ahead %d after a revision omits it, the features file has 5", ahead)
+		t.Errorf("ahead_tasks is %d after a revision omits it, want 5 from the features file", ahead)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller implements the process of one controller: election, forwarding of requests to the leader, renewal of
-// workers' leases, relaying through the state service when links between controllers fail, and the loops of a leader's
-// term. Scheduling decisions are made by package scheduler, and package admission decides on submissions.
+// Package controller implements the process of one controller: election, forwarding of requests to the leader, renewal
+// of workers' leases, relaying through the state service when links between controllers fail, and the loops of a
+// leader's term. Scheduling decisions are made by package scheduler, and package admission decides on submissions.
 package controller
 
 import (
@@ -86,7 +86,7 @@
 // The transport carries its calls to the state service, the cloud, workers and agents.
 func New(ctx context.Context, set *settings.Settings, pol *policy.Policy, clock clockwork.Clock, transport http.RoundTripper) *Controller {
 	controller := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), features: &optionalFeatures{}}
-	controller.connect(transport)
+	controller.createClients(transport)
 	controller.readLimiter = newReadLimiter(set)
 	controller.relayLimiter = exchange.WriteRate(set.Facts.State)
 	controller.health = &stateHealth{clock: clock}
@@ -109,8 +109,8 @@
 	return controller
 }
 
-// connect creates the clients of other services, the network of peers and the elector.
-func (c *Controller) connect(transport http.RoundTripper) {
+// createClients creates the clients of other services, the network of peers and the elector.
+func (c *Controller) createClients(transport http.RoundTripper) {
 	members := []string{c.settings.Member}
 	for _, other := range c.settings.Peers {
 		members = append(members, other.Member)
@@ -131,7 +131,7 @@
 	return rate.NewLimiter(rate.Limit(share), max(1, int(share)))
 }
 
-// Transport returns the transport for all calls to other services. Its connections count towards the budget.
+// Transport returns the transport for all calls to other services. Its connections count towards the limit of budget.
 func Transport(set *settings.Settings, budget *connlimit.Limiter) *http.Transport {
 	return &http.Transport{
 		DialContext: budget.Dial(func(address string) connlimit.Class {
@@ -205,9 +205,9 @@
 }
 
 // Ready reports whether the load balancer should route users to this controller. It returns false during a shutdown, if
-// this controller does not reach the state service while a peer does, and if it reaches neither. In an outage of the state
-// service all connected controllers stay ready: none is better than another, and the load balancer takes seconds to return
-// to a controller that it has removed.
+// this controller does not reach the state service while a peer does, and if it reaches neither. In an outage of the
+// state service all connected controllers stay ready: none is better than another, and the load balancer takes seconds
+// to return to a controller that it has removed.
 func (c *Controller) Ready() bool {
 	if c.isShuttingDown() {
 		return false
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -21,19 +21,19 @@
 	}
 	controller := newController()
 	if controller.versions.RecordOwn(context.Background()) || string(leader.state.Get("sf/version/y")) != `{"data":2}` {
-		t.Fatalf("marked %s", leader.state.Get("sf/version/y"))
+		t.Fatalf("the version record is %s", leader.state.Get("sf/version/y"))
 	}
 	revision := leader.state.Put("sf/test", 1)
 	if !controller.versions.RecordOwn(context.Background()) || leader.state.Put("sf/test", 1) != revision+1 {
 		t.Error("the version record was written again")
 	}
 	if older := controller.versions.Older(); !slices.Equal(older, []string{"z"}) {
-		t.Errorf("older %v", older)
+		t.Errorf("members that may run an older version: %v, want z", older)
 	}
 	leader.state.Put("sf/version/z", upgrade.VersionRecord{Data: upgrade.DataVersion})
 	restarted := newController()
 	restarted.markVersion(context.Background()) // Returns once the records of all members exist.
 	if older := restarted.versions.Older(); len(older) > 0 {
-		t.Errorf("older %v", older)
+		t.Errorf("members that may run an older version: %v, want none", older)
 	}
 }
--- a/controller/dataset_requests.go
+++ b/controller/dataset_requests.go
@@ -61,7 +61,8 @@
 	return peer.JSONResponse(http.StatusCreated, entry)
 }
 
-// answerRegistered answers the registration of a dataset whose name is taken. Registering the same content again succeeds.
+// answerRegistered answers the registration of a dataset whose name is taken. Registering the same content again
+// succeeds.
 func (d *datasetService) answerRegistered(ctx context.Context, entry *dataset.Entry) peer.Response {
 	item, err := d.client.Get(ctx, store.DatasetKey(entry.Name))
 	if err != nil {
@@ -81,7 +82,7 @@
 type RemovalView struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
-	// Jobs is how many jobs still need the dataset, or -1 if this controller does not know.
+	// Jobs is the number of jobs that still need the dataset, or -1 if this controller does not know it.
 	Jobs int `json:"jobs"`
 }
 
@@ -117,8 +118,8 @@
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// markRemoving stores that a dataset is being removed and returns its new entry; item is its record as read. The error is
-// store.ErrConflict if the record has changed since then.
+// markRemoving stores that a dataset is being removed and returns its new entry; item is its record as read. The error
+// is store.ErrConflict if the record has changed since then.
 func (d *datasetService) markRemoving(ctx context.Context, item store.Item, entry *dataset.Entry) (*dataset.Entry, error) {
 	next := *entry
 	next.State = dataset.Removing
--- a/controller/dependency_checks_test.go
+++ b/controller/dependency_checks_test.go
@@ -27,7 +27,7 @@
 	for index := range tuning.MaxDependencies + 1 {
 		long = append(long, fmt.Sprintf(`"run-%06d"`, 100+index))
 	}
-	ask := func(awaits string) peer.Response {
+	submit := func(awaits string) peer.Response {
 		body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":`+awaits), `"team"`, `"t"`, 1)
 		got := make(chan peer.Response, 1)
 		go func() {
@@ -59,23 +59,23 @@
 		`{"a":1}`:                                {400, "one or more job ids"},
 		`["` + strings.Repeat("9", 1<<10) + `"]`: {400, "is no job id"},
 	} {
-		if response := ask(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.text) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
+		if response := submit(awaits); response.Status != want.status || !strings.Contains(string(response.Body), want.text) || !strings.Contains(string(response.Body), `"field":"awaits"`) {
 			t.Errorf("%.60s: %d %.200s", awaits, response.Status, response.Body)
 		}
 	}
 	if leader.state.Get(store.JobKey("run-000009")) != nil || leader.state.Requests-before > 100 {
 		t.Errorf("the job was stored, or the state service received %d requests", leader.state.Requests-before)
 	}
-	if response := ask(`["run-000001"]`); response.Status != 201 {
-		t.Errorf("%d %s", response.Status, response.Body)
+	if response := submit(`["run-000001"]`); response.Status != 201 {
+		t.Errorf("with a valid dependency: %d %s", response.Status, response.Body)
 	}
-	if response := ask(`["run-000404"]`); response.Status != 200 {
+	if response := submit(`["run-000404"]`); response.Status != 200 {
 		t.Errorf("a retry that names another dependency: %d %s", response.Status, response.Body)
 	}
 }
 
-// While a process of the first version may run, no job with dependencies is accepted, since that version would start the
-// job without waiting for them.
+// While a process of the first version may run, no job with dependencies is accepted, since that version would start
+// the job without waiting for them.
 func TestDependenciesAreRefusedWhileAnOlderVersionMayRun(t *testing.T) {
 	leader := newLeader(t)
 	leader.submit(smallJob("run-000001"))
@@ -83,18 +83,18 @@
 	controller.submissions.Versions = upgrade.NewVersionRegistry("y", []string{"y", "z"}, controller.client, leader.clock)
 	controller.submissions.Versions.Observe("y", upgrade.VersionRecord{Data: upgrade.DataVersion})
 	body := strings.Replace(submissionBody("run-000009", 1, `,"awaits":["run-000001"]`), `"team"`, `"t"`, 1)
-	ask := func() peer.Response {
+	submit := func() peer.Response {
 		return controller.Handle(context.Background(), peer.Request{Verb: VerbSubmit, Body: []byte(body)}, false)
 	}
-	if response := ask(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
-		t.Errorf("%d %s", response.Status, response.Body)
+	if response := submit(); response.Status != 503 || response.RetryAfterS == 0 || !strings.Contains(string(response.Body), "not seen yet of z") {
+		t.Errorf("while z has no version record: %d %s", response.Status, response.Body)
 	}
 	controller.submissions.Versions.Observe("z", upgrade.VersionRecord{Data: 1})
-	if response := ask(); response.Status != 503 {
+	if response := submit(); response.Status != 503 {
 		t.Errorf("while a member has data version 1: %d", response.Status)
 	}
 	controller.submissions.Versions.Observe("z", upgrade.VersionRecord{Data: upgrade.DataVersion})
-	if response := ask(); response.Status != 201 {
-		t.Errorf("%d %s", response.Status, response.Body)
+	if response := submit(); response.Status != 201 {
+		t.Errorf("once all members have the current version: %d %s", response.Status, response.Body)
 	}
 }
--- a/controller/dependent_answers_test.go
+++ b/controller/dependent_answers_test.go
@@ -11,10 +11,10 @@
 )
 
 // Guards against a job that the leader reports as pending after another controller has reported it as cancelled. The
-// transaction that stores a cancellation is committed and its response is lost. Any controller that reads the record then
-// reports the job and its direct and indirect dependents as cancelled. Until the outcome of the transaction was known, the
-// leader considered only the cancellation of the job itself, and not that of its dependencies. The test checks two
-// dependents, with status requests and with repeated submissions.
+// transaction that stores a cancellation is committed and its response is lost. Any controller that reads the record
+// then reports the job and its direct and indirect dependents as cancelled. Until the outcome of the transaction was
+// known, the leader considered only the cancellation of the job itself, and not that of its dependencies. The test
+// checks two dependents, with status requests and with repeated submissions.
 func TestDependentStaysCancelledWhenCancellationResponseIsLost(t *testing.T) {
 	leader, process := newLeaderProcess(t)
 	if _, err := process.client.Get(t.Context(), store.LeaderKey); err != nil {
@@ -51,9 +51,9 @@
 			if got := answeredState(t, other, peer.Request{Verb: VerbStatus, Job: id}); got != api.Cancelled {
 				t.Fatalf("%s, another controller answers for %s: %v", when, id, got)
 			}
-			for _, question := range requests {
-				if got := answeredState(t, process, question.request(id)); got != api.Cancelled {
-					t.Errorf("%s, another controller has answered %s for %s; the leader answered %v to a %s", when, api.Cancelled, id, got, question.name)
+			for _, testCase := range requests {
+				if got := answeredState(t, process, testCase.request(id)); got != api.Cancelled {
+					t.Errorf("%s, another controller has answered %s for %s; the leader answered %v to a %s", when, api.Cancelled, id, got, testCase.name)
 				}
 			}
 		}
--- a/controller/features.go
+++ b/controller/features.go
@@ -5,8 +5,8 @@
 	"switchferry/topology"
 )
 
-// optionalFeatures holds the features that operators have switched on. It is shared by the components of a controller and
-// does not change after Run is called.
+// optionalFeatures holds the features that operators have switched on. It is shared by the components of a controller
+// and does not change after Run is called.
 type optionalFeatures struct {
 	// topology is the topology file, or nil if there is none.
 	topology *topology.File
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -30,9 +30,9 @@
 	t.scheduler.HandleCommandOutcome(name, response, heartbeat, true)
 }
 
-// resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the leader's
-// key is certainly valid, no other controller can have been elected. A worker that reports a term that was never issued
-// must not end the leader's term.
+// resignIfDeposed ends the term after a worker has reported a higher one, and reports whether it did. While the
+// leader's key is certainly valid, no other controller can have been elected. A worker that reports a term that was
+// never issued must not end the leader's term.
 func (c *Controller) resignIfDeposed(sched *scheduler.Scheduler) bool {
 	if sched.Leading() {
 		return false
--- a/controller/fleet_loops_test.go
+++ b/controller/fleet_loops_test.go
@@ -9,8 +9,8 @@
 	"switchferry/policy"
 )
 
-// A leader that is paused between the decision to return a machine and the call to the cloud may no longer lead, and the
-// machine may be in use by another leader. It must not return the machine.
+// A leader that is paused between the decision to return a machine and the call to the cloud may no longer lead, and
+// the machine may be in use by another leader. It must not return the machine.
 func TestNoMachineIsReleasedAfterTheTerm(t *testing.T) {
 	leader := newLeader(t)
 	leader.heartbeat()
--- a/controller/heartbeat_monitor.go
+++ b/controller/heartbeat_monitor.go
@@ -12,7 +12,8 @@
 	"switchferry/tuning"
 )
 
-// heartbeatMonitor distinguishes new heartbeats from duplicates and tracks whether workers reach this controller directly.
+// heartbeatMonitor distinguishes new heartbeats from duplicates and tracks whether workers reach this controller
+// directly.
 type heartbeatMonitor struct {
 	clock clockwork.Clock
 	// recentWindow is the time after the last new heartbeat during which workers count as reaching this controller.
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -11,9 +11,10 @@
 	"switchferry/tuning"
 )
 
-// HandleHeartbeat answers a worker's heartbeat with an HTTP status and a body; raw is the heartbeat as received. Workers
-// report to a controller of their own zone, so that they still get responses during a partition between zones. That
-// controller forwards heartbeats to the leader, or relays them through the state service while the leader is unreachable.
+// HandleHeartbeat answers a worker's heartbeat with an HTTP status and a body; raw is the heartbeat as received.
+// Workers report to a controller of their own zone, so that they still get responses during a partition between zones.
+// That controller forwards heartbeats to the leader, or relays them through the state service while the leader is
+// unreachable.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any) {
 	answer := c.answerHeartbeat(ctx, heartbeat, raw)
 	return answer.status, answer.body
@@ -64,8 +65,8 @@
 }
 
 // answerWithoutLeader answers a heartbeat while no leader is known. For a limited time, the last leader's fencing token
-// still renews leases. A worker that was redirected instead might try controllers on the other side of a partition until
-// its lease expires.
+// still renews leases. A worker that was redirected instead might try controllers on the other side of a partition
+// until its lease expires.
 func (c *Controller) answerWithoutLeader(heartbeat *api.Heartbeat) answer {
 	lastTerm, since := c.elector.LeaderlessFor()
 	if lastTerm == 0 || heartbeat.Term > lastTerm || since > tuning.LeaderlessGrace && c.health.healthy() {
@@ -78,7 +79,7 @@
 }
 
 // answerForUnreachableLeader answers a heartbeat with commands that the leader of the term has relayed, and relays the
-// heartbeat to the leader. Relay is the method of workerProxy that does both.
+// heartbeat to the leader. The argument relay is the method of workerProxy that does both.
 func (c *Controller) answerForUnreachableLeader(heartbeat *api.Heartbeat, term uint64, relay func(*api.Heartbeat, uint64) api.HeartbeatResponse) answer {
 	if heartbeat.Term > term {
 		return answer{http.StatusServiceUnavailable, api.Error{Error: "the leader is out of reach"}}
--- a/controller/heartbeats_test.go
+++ b/controller/heartbeats_test.go
@@ -17,8 +17,8 @@
 	"switchferry/tuning"
 )
 
-// A duplicate heartbeat does not count as evidence that workers reach a follower, and is not relayed. The response to it
-// neither renews the lease nor redirects the worker.
+// A duplicate heartbeat does not count as evidence that workers reach a follower, and is not relayed. The response to
+// it neither renews the lease nor redirects the worker.
 func TestDuplicateHeartbeatsAreIgnoredByFollower(t *testing.T) {
 	controller, clock := newIsolatedController()
 	term := uint64(9)
@@ -37,15 +37,15 @@
 	}
 }
 
-// A worker that reports a fencing token that was never issued does not end the term: while the leader's key is certainly
-// valid, the heartbeat is refused. Such a worker used to end every term.
+// A worker that reports a fencing token that was never issued does not end the term: while the leader's key is
+// certainly valid, the heartbeat is refused. Such a worker used to end every term.
 func TestUnissuedFencingTokenDoesNotEndTerm(t *testing.T) {
 	controller, _ := newIsolatedController()
 	valid := true
 	sched := scheduler.New(7, controller.clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return valid }))
 	heartbeat := &api.Heartbeat{Machine: "a1", Zone: "a", Incarnation: 1, Seq: 1, Term: 1<<64 - 1}
 	if answer := controller.answerAsLeader(sched, heartbeat, ""); answer.status != http.StatusBadRequest {
-		t.Errorf("answered %d", answer.status)
+		t.Errorf("a heartbeat with a token that was never issued: status %d, want 400", answer.status)
 	}
 	valid = false
 	if !controller.resignIfDeposed(sched) {
@@ -53,9 +53,9 @@
 	}
 }
 
-// A controller that reaches neither the state service nor a peer redirects a worker to the previous controller. A worker
-// that returns got no response there and is kept; otherwise it would lose its lease while trying unreachable controllers
-// in turn.
+// A controller that reaches neither the state service nor a peer redirects a worker to the previous controller. A
+// worker that returns has got no response there and is not redirected again; otherwise it would lose its lease while
+// trying unreachable controllers in turn.
 func TestIsolatedControllerKeepsReturningWorkers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
--- a/controller/helper_test.go
+++ b/controller/helper_test.go
@@ -36,26 +36,29 @@
 	return controller, state
 }
 
-func (c *Controller) ask(verb, body string) peer.Response {
+// sendRequest serves a user's request, without the limit on reads from the state service.
+func (c *Controller) sendRequest(verb, body string) peer.Response {
 	// Another test covers the limit on reads for status requests.
 	c.readLimiter.SetLimit(1e9)
 	c.readLimiter.SetBurst(1 << 30)
 	return c.Handle(context.Background(), peer.Request{Verb: verb, Body: []byte(body)}, false)
 }
 
+// datasetSummary returns the JSON summary of a dataset whose parts are all of the same size.
 func datasetSummary(name string, parts int, partBytes int64) string {
 	raw, _ := json.Marshal(dataset.Summary{Name: name, PartCount: parts, CommonPartBytes: partBytes, Bytes: partBytes * int64(parts)})
 	return string(raw)
 }
 
+// submissionBody returns the JSON body of a submission of team "team"; extraFields is appended to its fields.
 func submissionBody(id string, tasks int, extraFields string) string {
 	return fmt.Sprintf(`{"name_id":%q,"jobclass":"c","owner":%q,"shape":"sweep","rank":"normal","parts":%d,"cores":1,"cards":0,"ram_gb":1,
 		"bundle":"img","size_gb":1,"hulls":null,"berth":null,"together":false,"apart":false,"standby":true,
 		"expect_s":10,"snapshot_s":0,"stow_s":0,"due_s":null%s}`, id, "team", tasks, extraFields)
 }
 
-// newFollower returns a controller that has received a hello from its leader n0. Once unresponsive is set, connections to
-// the leader stay open, but it sends no hellos.
+// newFollower returns a controller that has received a hello from its leader n0. Once unresponsive is set, connections
+// to the leader stay open, but it sends no hellos.
 func newFollower(t *testing.T, unresponsive *atomic.Bool, handle peer.Handler) (*Controller, *clockwork.FakeClock, *fake.State) {
 	t.Helper()
 	ctx := t.Context()
--- a/controller/inbox/inbox.go
+++ b/controller/inbox/inbox.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// read adds entries to the pending keys: the whole inbox if listAll is set, and otherwise new entries, for which it waits.
-// The wait is short while keys are pending. The error is store.ErrCompacted if the state service no longer has the events
-// since the last read.
+// read adds entries to the pending keys: the whole inbox if listAll is set, and otherwise new entries, for which it
+// waits. The wait is short while keys are pending. The error is store.ErrCompacted if the state service no longer has
+// the events since the last read.
 func (f *Follower) read(ctx context.Context) error {
 	if f.listAll {
 		items, revision, err := f.client.List(ctx, store.InboxPrefix)
@@ -92,8 +92,8 @@
 }
 
 // processKey processes one key of the inbox and marks the entry for deletion. It returns false if the key must be
-// processed again. A key must not be skipped: an accepted job whose key was skipped used to start only after its user had
-// asked for it.
+// processed again. A key must not be skipped: an accepted job whose key was skipped used to start only after its user
+// had requested its status.
 func (f *Follower) processKey(ctx context.Context, key string) (done bool) {
 	id := strings.TrimPrefix(key, store.InboxPrefix)
 	sentAt := f.clock.Now()
--- a/controller/input_checks_test.go
+++ b/controller/input_checks_test.go
@@ -10,11 +10,11 @@
 	"switchferry/store"
 )
 
-// A job that can never run with its inputs is refused at once, with the field and a remedy. A feasible job is stored with
-// its inputs.
+// A job that can never run with its inputs is refused at once, with the field and a remedy. A feasible job is stored
+// with its inputs.
 func TestInfeasibleInputsAreRefused(t *testing.T) {
 	controller, state := newDataController(true)
-	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1e9)); response.Status != 201 {
+	if response := controller.sendRequest(VerbRegister, datasetSummary("inv", 8, 1e9)); response.Status != 201 {
 		t.Fatalf("%d %s", response.Status, response.Body)
 	}
 	for index, testCase := range []struct {
@@ -31,7 +31,7 @@
 		{9, `[{"dataset":"inv","use":"own"}]`, 422, "9 tasks"},
 		{4, `[{"dataset":"inv","use":"all"}]`, 422, "8.000 GB of data; the largest cache of an allowed machine type holds 5.000 GB"},
 	} {
-		response := controller.ask(VerbSubmit, submissionBody(fmt.Sprintf("run-00000%d", index), testCase.tasks, `,"inputs":`+testCase.inputs))
+		response := controller.sendRequest(VerbSubmit, submissionBody(fmt.Sprintf("run-00000%d", index), testCase.tasks, `,"inputs":`+testCase.inputs))
 		if response.Status != testCase.status || !strings.Contains(string(response.Body), testCase.text) {
 			t.Errorf("%s: %d %s", testCase.inputs, response.Status, response.Body)
 		}
@@ -39,9 +39,9 @@
 	if rec := string(state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, `"inputs":[{"dataset":"inv","use":"own"}]`) {
 		t.Errorf("the record does not contain the inputs: %s", rec)
 	}
-	// Without the state service nothing can be decided, and the user is told at once to retry.
+	// Without the state service nothing can be decided, and the response asks the user at once to retry.
 	state.Down = true
-	if response := controller.ask(VerbSubmit, submissionBody("run-000009", 1, `,"inputs":[{"dataset":"new","use":"own"}]`)); response.Status != 503 || response.RetryAfterS == 0 {
+	if response := controller.sendRequest(VerbSubmit, submissionBody("run-000009", 1, `,"inputs":[{"dataset":"new","use":"own"}]`)); response.Status != 503 || response.RetryAfterS == 0 {
 		t.Errorf("%d %s", response.Status, response.Body)
 	}
 }
@@ -49,8 +49,8 @@
 // With datasets off, inputs are an unknown field, which the protocol requires to be ignored whatever it contains.
 func TestInputsAreIgnoredWithDatasetsOff(t *testing.T) {
 	controller, state := newDataController(false)
-	response := controller.ask(VerbSubmit, submissionBody("run-000001", 4, `,"inputs":[{"nonsense":true}]`))
-	second := controller.ask(VerbSubmit, submissionBody("run-000002", 4, ""))
+	response := controller.sendRequest(VerbSubmit, submissionBody("run-000001", 4, `,"inputs":[{"nonsense":true}]`))
+	second := controller.sendRequest(VerbSubmit, submissionBody("run-000002", 4, ""))
 	if response.Status != 201 || strings.ReplaceAll(string(response.Body), "000001", "000002") != string(second.Body) {
 		t.Errorf("%d %s, %s", response.Status, response.Body, second.Body)
 	}
@@ -58,7 +58,7 @@
 	if strings.ReplaceAll(x, "000001", "000002") != y || strings.Contains(x, "inputs") {
 		t.Errorf("records differ: %s %s", x, y)
 	}
-	if response := controller.ask(VerbRegister, datasetSummary("inv", 8, 1)); response.Status != 404 || state.Get(store.DatasetKey("inv")) != nil {
+	if response := controller.sendRequest(VerbRegister, datasetSummary("inv", 8, 1)); response.Status != 404 || state.Get(store.DatasetKey("inv")) != nil {
 		t.Errorf("a dataset was registered: %d", response.Status)
 	}
 	var decoded api.Submission
--- a/controller/job_end_test.go
+++ b/controller/job_end_test.go
@@ -32,8 +32,8 @@
 }
 
 // The transaction that stores a job's terminal state is committed and its response is lost. A controller that reads the
-// record reports the terminal state to users, so the leader must not answer with an older state while the outcome of the
-// transaction is unknown to it.
+// record reports the terminal state to users, so the leader must not answer with an older state while the outcome of
+// the transaction is unknown to it.
 func TestTerminalStateWithLostResponseIsNotReverted(t *testing.T) {
 	for _, state := range []string{api.Done, api.Cancelled} {
 		t.Run(state, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				leader.Cancel(cancelledContext(), "run-000001")
 			}
 			if got := stateOfFirstJob(t, leading); got == state {
-				t.Fatalf("answered %v before it was written", got)
+				t.Fatalf("answered %v before that state was written", got)
 			}
 			leader.committer.Step(t.Context())
 			if got := stateOfFirstJob(t, other); got != state {
--- a/controller/jobstatus/reader.go
+++ b/controller/jobstatus/reader.go
@@ -24,8 +24,8 @@
 	"switchferry/watermark"
 )
 
-// Reader determines the status of jobs from the state service and from the memory of this controller. Its methods may be
-// called concurrently.
+// Reader determines the status of jobs from the state service and from the memory of this controller. Its methods may
+// be called concurrently.
 type Reader struct {
 	clock     clockwork.Clock
 	watermark *watermark.Tracker
@@ -47,10 +47,10 @@
 	return j
 }
 
-// Recall returns the status of a job if this process can determine it without reading a record, from the remembered
-// terminal state or from the scheduler of the current term. Sched is nil without a term. The result is false if the status
-// is not known.
-func (j *Reader) Recall(sched *scheduler.Scheduler, id string) (api.JobStatus, bool) {
+// StatusFromMemory returns the status of a job if this process can determine it without reading a record, from the
+// remembered terminal state or from the scheduler of the current term. Sched is nil without a term. The result is false
+// if the status is not known.
+func (j *Reader) StatusFromMemory(sched *scheduler.Scheduler, id string) (api.JobStatus, bool) {
 	if final, ok := j.TerminalStates.Get(id); ok {
 		return final.JobStatus(id), true
 	}
@@ -76,9 +76,9 @@
 	return peer.JSONResponse(http.StatusOK, job)
 }
 
-// LookUp returns the status of a job from its records. It reads the job's record before the record of its terminal state,
-// since the latter is written before the former is deleted. If wait is set, the read is queued until this controller's
-// share allows it, as for status requests; otherwise it fails at once with an error, as for submissions.
+// LookUp returns the status of a job from its records. It reads the job's record before the record of its terminal
+// state, since the latter is written before the former is deleted. If wait is set, the read is queued until this
+// controller's share allows it, as for status requests; otherwise it fails at once with an error, as for submissions.
 func (j *Reader) LookUp(ctx context.Context, sched *scheduler.Scheduler, id string, wait bool) (_ api.JobStatus, found bool, err error) {
 	if !api.ValidID(id) {
 		return api.JobStatus{}, false, nil
@@ -100,7 +100,7 @@
 	}
 	if record.Record != nil && sched != nil {
 		outcome := sched.AdoptJob(record.Record, sentAt)
-		if job, ok := j.Recall(sched, id); ok {
+		if job, ok := j.StatusFromMemory(sched, id); ok {
 			return job, true, nil
 		}
 		if record, err = j.readNewer(ctx, id, record, outcome); err != nil {
@@ -112,7 +112,7 @@
 	return job, err == nil, err
 }
 
-// recordAnswer counts and logs an answer from a record that was requested at sentAt. It does nothing if err is set,
+// recordAnswer counts and logs an answer from a record that was requested at sentAt. It does nothing if err is not nil,
 // since there is no answer then.
 func (j *Reader) recordAnswer(job api.JobStatus, record lookup.Job, sentAt time.Time, err error) {
 	if err != nil {
@@ -127,12 +127,13 @@
 	slog.Debug("answer from a record", "job", job.ID, "state", job.State, "revision", revision, "read_ago", age)
 }
 
-// ErrNotAnswerable is returned if a job has not ended according to its record while the leader knows or suspects that it
-// has ended.
-var ErrNotAnswerable = errors.New("the record does not tell the job's present state")
+// ErrNotAnswerable is returned if the record of a job shows no terminal state while the leader knows or suspects that
+// the job is in one.
+var ErrNotAnswerable = errors.New("the record does not show the job's present state")
 
-// readNewer returns the record from which to answer when the leader did not adopt the given one. That is the job's final
-// record if the job has not ended according to the given record while the leader knows that it has, or cannot determine it.
+// readNewer returns the record from which to answer when the leader did not adopt the given one. That is the record of
+// the job's terminal state if the given record shows none while the leader knows that the job is in one, or cannot
+// determine it.
 func (j *Reader) readNewer(ctx context.Context, id string, record lookup.Job, outcome scheduler.Adoption) (lookup.Job, error) {
 	if record.Final.State != "" {
 		return record, nil
@@ -150,9 +151,9 @@
 	return record, nil
 }
 
-// PublishAnswer announces a cancellation to the peers before it is acknowledged to the user, and returns the response that
-// may be sent. It replaces a status that is older than one that was already sent: a status that was read before its job
-// ended may become ready only after the user was told of the end.
+// PublishAnswer announces a cancellation to the peers before it is acknowledged to the user, and returns the response
+// that may be sent. It replaces a status that is older than one that was already sent: a status that was read before
+// its job reached a terminal state may be ready to send only after that terminal state was reported to the user.
 func (j *Reader) PublishAnswer(response peer.Response) peer.Response {
 	if response.Status != http.StatusOK && response.Status != http.StatusCreated || !bytes.Contains(response.Body, []byte(`"status"`)) {
 		return response
@@ -176,7 +177,7 @@
 	return response
 }
 
-// TerminalStates remembers jobs that have ended, and announces their cancellations to the peers.
+// TerminalStates remembers the jobs that are in a terminal state, and announces their cancellations to the peers.
 type TerminalStates struct {
 	*lookup.TerminalStates
 	clock     clockwork.Clock
--- a/controller/leader_helper_test.go
+++ b/controller/leader_helper_test.go
@@ -20,8 +20,8 @@
 // testTypes is the catalog of machine types used by the tests.
 var testTypes = []api.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, PullGBs: 0.5, BootS: 30, Zones: []string{"a", "b"}}}
 
-// testLeader is a scheduler on a fake clock with a fake state service. It starts no goroutines: the test sends the workers'
-// heartbeats and commits records.
+// testLeader is a scheduler on a fake clock with a fake state service. It starts no goroutines: the test sends the
+// workers' heartbeats and commits records.
 type testLeader struct {
 	*testing.T
 	*scheduler.Scheduler
@@ -67,8 +67,8 @@
 	return leader
 }
 
-// newLeaderProcess returns a leader and the controller process that serves requests for it. Both share the same terminal
-// states.
+// newLeaderProcess returns a leader and the controller process that serves requests for it. Both share the same
+// terminal states.
 func newLeaderProcess(t *testing.T) (*testLeader, *Controller) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
--- a/controller/leader_locator.go
+++ b/controller/leader_locator.go
@@ -37,9 +37,9 @@
 	return response
 }
 
-// newestLeader returns the live peer that claims the newest term, or else the leader and term passed in. Reachable reports
-// whether a live peer claims to lead in that term. A former leader that restarted does not claim its term, and so does not
-// count as the leader even if its key still exists because of an outage of the state service.
+// newestLeader returns the live peer that claims the newest term, or else the leader and term passed in. Reachable
+// reports whether a live peer claims to lead in that term. A former leader that restarted does not claim its term, and
+// so does not count as the leader even if its key still exists because of an outage of the state service.
 func newestLeader(leader string, term uint64, livePeers []peer.Hello) (string, uint64, bool) {
 	reachable := false
 	for _, hello := range livePeers {
--- a/controller/leader_locator_test.go
+++ b/controller/leader_locator_test.go
@@ -6,8 +6,8 @@
 	"switchferry/peer"
 )
 
-// A leader that crashed during an outage of the state service and restarted does not count as the leader, although its key
-// still exists. Workers that were redirected to it would be refused by all controllers until their leases expired.
+// A leader that crashed during an outage of the state service and restarted does not count as the leader, although its
+// key still exists. Workers that were redirected to it would be refused by all controllers until their leases expired.
 func TestRestartedLeaderWithoutTermDoesNotLead(t *testing.T) {
 	for _, testCase := range []struct {
 		alive     []peer.Hello
--- a/controller/leaderless_test.go
+++ b/controller/leaderless_test.go
@@ -20,10 +20,10 @@
 	controller := New(context.Background(), &settings.Settings{Member: "y"}, policy.Default(), clock, state)
 	submission := &api.Submission{ID: "run-000001", Tasks: 1}
 	if got := controller.submissions.SubmitWithoutLeader(context.Background(), submission, nil).Status; got != 201 {
-		t.Fatalf("first: %d", got)
+		t.Fatalf("first submission: status %d, want 201", got)
 	}
 	if got := controller.submissions.SubmitWithoutLeader(context.Background(), submission, nil).Status; got != 200 || state.Get(store.InboxKey("run-000001")) == nil {
-		t.Errorf("again: %d", got)
+		t.Errorf("second submission: status %d, want 200 and an inbox entry", got)
 	}
 	// While a leader's key exists, only the leader may cancel; the request is passed to it through the inbox.
 	state.Put(store.LeaderKey, store.LeaderRecord{Member: "x"})
--- a/controller/lease_renewal.go
+++ b/controller/lease_renewal.go
@@ -24,13 +24,13 @@
 // leaseRenewal decides whether this controller may renew workers' leases, and enforces the cancellations that were
 // acknowledged by any controller.
 //
-// A response to a worker renews its lease and so keeps its tasks alive. An isolated controller may renew the leases of the
-// workers of its zone only for a limited time: another controller may have acknowledged a cancellation, after which the
-// job's tasks must end within cancel_s, and the command to end them may not reach this zone. Leases are therefore renewed
-// only if they expire before that deadline, counted from the time up to which this controller knows all acknowledged
-// cancellations (package watermark). That all peers are alive is not sufficient: with that rule, cancelled tasks kept
-// running through an outage (docs/incidents/hunt-told-before-an-outage.md). The controller itself ends tasks whose
-// cancellation it knows.
+// A response to a worker renews its lease and so keeps its tasks alive. An isolated controller may renew the leases of
+// the workers of its zone only for a limited time: another controller may have acknowledged a cancellation, after which
+// the job's tasks must end within cancel_s, and the command to end them may not reach this zone. Leases are therefore
+// renewed only if they expire before that deadline, counted from the time up to which this controller knows all
+// acknowledged cancellations (package watermark). It is not sufficient that all peers are alive: with that rule,
+// cancelled tasks kept running through an outage (docs/incidents/hunt-told-before-an-outage.md). The controller itself
+// ends tasks whose cancellation it knows.
 type leaseRenewal struct {
 	clock    clockwork.Clock
 	client   *store.Client
@@ -101,8 +101,9 @@
 	return age.Round(time.Millisecond).String()
 }
 
-// problems returns, for operators, the reasons why this controller renews no leases, or nil while it renews them.
-func (l *leaseRenewal) problems() []string {
+// renewalProblems returns, for operators, the reasons why this controller renews no leases, or nil while it renews
+// them.
+func (l *leaseRenewal) renewalProblems() []string {
 	l.mu.Lock()
 	renewed := l.renewing
 	l.mu.Unlock()
@@ -127,8 +128,8 @@
 
 // refuse returns the answer to a worker whose lease must not be renewed. If this controller is isolated, the worker has
 // returned after a redirect because it reached no other controller. A response without a fencing token, which renews no
-// lease, keeps it here, so that its heartbeats arrive as soon as the partition ends. If it were sent away, it would try the
-// unreachable controllers in turn, 5 s each, and return only after its lease had expired. If this controller is not
+// lease, keeps it here, so that its heartbeats arrive as soon as the partition ends. If it were refused, it would try
+// the unreachable controllers in turn, 5 s each, and return only after its lease had expired. If this controller is not
 // isolated, the worker is refused and tries other controllers.
 func (l *leaseRenewal) refuse() answer {
 	if !l.health.healthy() && l.peers.Isolated() {
--- a/controller/lease_renewal_test.go
+++ b/controller/lease_renewal_test.go
@@ -20,10 +20,10 @@
 )
 
 // A controller in an isolated zone stops renewing leases early enough that they expire before the deadline by which the
-// tasks of a job must end if its cancellation was acknowledged elsewhere. Renewing leases until the partition ended kept
-// cancelled tasks running (docs/incidents/fleet-cancelled-behind-a-cut.md). The same holds for a leader whose term may have
-// ended. A response of the state service is no confirmation by itself: only reading the job records is, as of the time of
-// the request. A process that has never read them renews no lease.
+// tasks of a job must end if its cancellation was acknowledged elsewhere. Renewing leases until the partition ended
+// kept cancelled tasks running (docs/incidents/fleet-cancelled-behind-a-cut.md). The same holds for a leader whose term
+// may have ended. A response of the state service is no confirmation by itself: only reading the job records is, as of
+// the time of the request. A process that has never read them renews no lease.
 func TestLeasesInIsolatedZoneExpireBeforeCancellationDeadline(t *testing.T) {
 	for _, formerLeader := range []bool{false, true} {
 		clock := clockwork.NewFakeClock()
@@ -59,16 +59,16 @@
 		}
 		maxRenewal := settings.Seconds(set.Facts.Workers.CancelDeadlineS - set.Facts.Workers.LeaseS)
 		if lastRenewal > maxRenewal || lastRenewal < maxRenewal-tuning.LeaseRenewalMargin-time.Second {
-			t.Errorf("led %v: the last lease was renewed %v after the partition began, want at most %v", formerLeader, lastRenewal, maxRenewal)
+			t.Errorf("former leader %v: the last lease was renewed %v after the partition began, want at most %v", formerLeader, lastRenewal, maxRenewal)
 		}
-		if reason := strings.Join(controller.leases.problems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
-			t.Errorf("led %v: the reasons for operators are %q", formerLeader, reason)
+		if reason := strings.Join(controller.leases.renewalProblems(), ""); !strings.Contains(reason, "n0 has said nothing") || !strings.Contains(reason, "not renewed") {
+			t.Errorf("former leader %v: the reasons for operators are %q", formerLeader, reason)
 		}
 		// A worker that reaches no other controller is kept, but its lease is not renewed.
 		if !formerLeader {
 			status, body := controller.HandleHeartbeat(context.Background(), &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: 999, Term: term}, nil)
 			if response, ok := body.(api.HeartbeatResponse); !ok || status != 200 || response.Term != 0 || len(response.Commands) != 0 {
-				t.Errorf("a worker that returned is answered %d %+v", status, body)
+				t.Errorf("the heartbeat of a worker that returned is answered %d %+v", status, body)
 			}
 		}
 		// Leases are renewed again once the records have been read.
@@ -136,20 +136,20 @@
 	controller.settings.Facts.Workers.CancelDeadlineS = 40
 	controller.leases.watermark = watermark.New(clock.Now(), []string{"n0", "n2"}, watermark.NewLimits(40*time.Second, 10*time.Second))
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
-	ask := func(seq uint64) api.HeartbeatResponse {
+	sendHeartbeat := func(seq uint64) api.HeartbeatResponse {
 		answer := controller.answerAsLeader(sched, &api.Heartbeat{Machine: "b1", Zone: "b", Incarnation: 1, Seq: seq}, "")
 		status, body := answer.status, answer.body
 		response, ok := body.(api.HeartbeatResponse)
 		if status != 200 || !ok {
-			t.Errorf("%d %+v", status, body)
+			t.Errorf("the heartbeat is answered %d %+v", status, body)
 		}
 		return response
 	}
-	if response := ask(1); response.Term != 0 {
+	if response := sendHeartbeat(1); response.Term != 0 {
 		t.Errorf("a leader that has not read the records renews a lease with token %d", response.Term)
 	}
 	controller.leases.watermark.MarkCurrent(clock.Now())
-	if response := ask(2); response.Term != 7 {
+	if response := sendHeartbeat(2); response.Term != 7 {
 		t.Errorf("token %d from a leader that knows all cancellations, want 7", response.Term)
 	}
 }
--- a/controller/machine_catalog.go
+++ b/controller/machine_catalog.go
@@ -23,7 +23,8 @@
 	types []api.MachineType
 }
 
-// MachineTypes returns the types that were last read, or none before the first read. The caller must not modify the slice.
+// MachineTypes returns the types that were last read, or none before the first read. The caller must not modify the
+// slice.
 func (m *machineCatalog) MachineTypes() []api.MachineType {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,8 +38,8 @@
 	m.types = types
 }
 
-// refresh reads the types every tuning.CatalogInterval, or tuning.BackoffBase after an error, and passes them to the scheduler
-// of the current term, until the context ends.
+// refresh reads the types every tuning.CatalogInterval, or again tuning.BackoffBase after an error, and passes them to
+// the scheduler of the current term, until the context ends.
 func (m *machineCatalog) refresh(ctx context.Context, term *currentTerm) {
 	for ctx.Err() == nil {
 		types, err := m.cloud.Catalog(ctx)
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -25,7 +25,8 @@
 // MembersOn reports whether membership is on.
 func (c *Controller) MembersOn() bool { return c.members != nil }
 
-// handleMembers answers with this controller's own view of the members, which may differ from that of another controller.
+// handleMembers answers with this controller's own view of the members, which may differ from that of another
+// controller.
 func (c *Controller) handleMembers() peer.Response {
 	if c.members == nil {
 		return peer.JSONResponse(http.StatusNotFound, api.Error{Error: "membership is off"})
@@ -37,8 +38,8 @@
 func (c *Controller) isShuttingDown() bool { return c.shuttingDown.Load() }
 
 // Shutdown prepares this process for its end. Users are directed to other controllers, a leader resigns once a peer can
-// succeed it, and requests in progress are still served. It returns after at most tuning.ShutdownTimeout, or at once with
-// membership off.
+// succeed it, and requests in progress are still served. It returns after at most tuning.ShutdownTimeout, or at once
+// with membership off.
 func (c *Controller) Shutdown(ctx context.Context) {
 	if c.members == nil {
 		return
@@ -62,8 +63,8 @@
 		sleep.For(ctx, c.clock, tuning.ElectionRetryDelay)
 	}
 	for ctx.Err() == nil {
-		leader, led := c.elector.Leader()
-		if now, _ := c.elector.Term(); now == 0 && leader != "" && leader != c.settings.Member && led > term {
+		leader, electedTerm := c.elector.Leader()
+		if ownTerm, _ := c.elector.Term(); ownTerm == 0 && leader != "" && leader != c.settings.Member && electedTerm > term {
 			break
 		}
 		sleep.For(ctx, c.clock, tuning.ElectionRetryDelay/5)
--- a/controller/relayed_start_test.go
+++ b/controller/relayed_start_test.go
@@ -19,8 +19,8 @@
 	"switchferry/store"
 )
 
-// relayFixture is a test fixture with a leader, a follower and workers that implement the protocol. The test transfers the
-// packets between leader and follower, and delivers the direct commands.
+// relayFixture is a test fixture with a leader, a follower and workers that implement the protocol. The test transfers
+// the packets between leader and follower, and delivers the direct commands.
 type relayFixture struct {
 	*testing.T
 	leader   *testLeader
@@ -76,6 +76,7 @@
 	return fixture
 }
 
+// recordStart records that a task started on a machine, and whether it already ran on another one.
 func (r *relayFixture) recordStart(task, name string) {
 	elsewhere, _ := r.placements.Start(task, name)
 	for _, other := range elsewhere {
@@ -83,6 +84,7 @@
 	}
 }
 
+// failureCause returns the function that determines why a task fails to start on a machine.
 func (r *relayFixture) failureCause(name string) func(string) string {
 	return func(string) string {
 		if r.failingMachines[name] {
@@ -92,8 +94,8 @@
 	}
 }
 
-// serveForwarded is the leader's handler of forwarded heartbeats. While withholdReplies is set, it replies only after the
-// request has timed out.
+// serveForwarded is the leader's handler of forwarded heartbeats. While withholdReplies is set, it replies only after
+// the request has timed out.
 func (r *relayFixture) serveForwarded(ctx context.Context, request peer.Request) peer.Response {
 	var heartbeat api.Heartbeat
 	if err := json.Unmarshal(request.Body, &heartbeat); err != nil {
@@ -175,11 +177,11 @@
 	}
 }
 
-// Guards against a task that runs on two machines at once. A follower that does not reach the leader answers workers with
-// commands from the leader's packets. After it reached the leader again, the leader handled a forwarded heartbeat, but its
-// reply did not arrive in time, and the follower answered the heartbeat itself. The leader had taken the heartbeat as proof
-// that the follower's packets were no longer in use: it cleared the failed attempt and started the task on another machine.
-// The follower then delivered the old start command again.
+// Guards against a task that runs on two machines at once. A follower that does not reach the leader answers workers
+// with commands from the leader's packets. After it reached the leader again, the leader handled a forwarded heartbeat,
+// but its reply did not arrive in time, and the follower answered the heartbeat itself. The leader had taken the
+// heartbeat as proof that the follower's packets were no longer in use: it cleared the failed attempt and started the
+// task on another machine. The follower then delivered the old start command again.
 func TestRelayedStartIsNotRedeliveredWhenForwardedHeartbeatTimesOut(t *testing.T) {
 	const task = "run-000001/0"
 	fixture := newRelayFixture(t, "a1", "a2")
@@ -192,9 +194,9 @@
 	fixture.fetchCommands()
 	fixture.failingMachines["a1"] = true
 	fixture.heartbeat("a1")
-	report := fixture.workers["a1"].NextHeartbeat()
-	if len(report.Tasks) != 1 || report.Tasks[0].Cause != api.CauseError || len(fixture.leader.commands[task]) > 0 {
-		t.Fatalf("the relayed start command did not arrive: %+v, sent directly %v", report.Tasks, fixture.leader.commands[task])
+	failureHeartbeat := fixture.workers["a1"].NextHeartbeat()
+	if len(failureHeartbeat.Tasks) != 1 || failureHeartbeat.Tasks[0].Cause != api.CauseError || len(fixture.leader.commands[task]) > 0 {
+		t.Fatalf("the relayed start command did not arrive: %+v, sent directly %v", failureHeartbeat.Tasks, fixture.leader.commands[task])
 	}
 	delete(fixture.failingMachines, "a1")
 
@@ -203,7 +205,7 @@
 	fixture.withholdReplies = true
 	fixture.mu.Unlock()
 	answered := make(chan any, 1)
-	go func() { answered <- fixture.heartbeatResponse(report) }()
+	go func() { answered <- fixture.heartbeatResponse(failureHeartbeat) }()
 	<-fixture.handled
 	fixture.deliverCommands()
 	for range 2 {
@@ -220,7 +222,7 @@
 	for waiting := true; waiting; {
 		select {
 		case body := <-answered:
-			fixture.executeResponse("a1", report, body)
+			fixture.executeResponse("a1", failureHeartbeat, body)
 			waiting = false
 		default:
 			fixture.leader.clock.Advance(100 * time.Millisecond)
--- a/controller/responses.go
+++ b/controller/responses.go
@@ -7,8 +7,8 @@
 	"switchferry/tuning"
 )
 
-// encodeResponse returns a response with a status and a body encoded as JSON. A response with status 503 specifies when to
-// retry.
+// encodeResponse returns a response with a status and a body encoded as JSON. A response with status 503 specifies when
+// to retry.
 func encodeResponse(status int, body any) peer.Response {
 	response := peer.JSONResponse(status, body)
 	if status == http.StatusServiceUnavailable {
--- a/controller/routing.go
+++ b/controller/routing.go
@@ -52,7 +52,7 @@
 	case VerbRegister, VerbRemove, VerbData:
 		return c.datasets.handle(ctx, request, forwarded)
 	}
-	if job, ok := c.jobs.Recall(nil, request.Job); ok && request.Verb != VerbSubmit {
+	if job, ok := c.jobs.StatusFromMemory(nil, request.Job); ok && request.Verb != VerbSubmit {
 		return peer.JSONResponse(http.StatusOK, job)
 	}
 	if sched := c.term.scheduler(); sched != nil {
@@ -61,7 +61,7 @@
 	if forwarded {
 		return peer.RetryLater(notLeading)
 	}
-	if response, ok := c.askLeader(ctx, request); ok {
+	if response, ok := c.forwardJobRequest(ctx, request); ok {
 		return response
 	}
 	return c.serveJobRequest(ctx, nil, request)
@@ -79,17 +79,17 @@
 	}
 	if request.Verb == VerbSubmit {
 		_, id, _ := api.ParseSubmission(request.Body)
-		if job, ok := c.jobs.Recall(nil, id); ok {
+		if job, ok := c.jobs.StatusFromMemory(nil, id); ok {
 			return peer.JSONResponse(http.StatusOK, job)
 		}
 	}
 	return peer.RetryLater("the state service is out of reach")
 }
 
-// askLeader forwards a request about a job to the leader. Ok is false if the request is to be served without the leader,
-// because it is unreachable, has lost its term or does not answer in time. Serving a request that the leader may still
-// carry out is safe, since conditions on the keys guard all writes.
-func (c *Controller) askLeader(ctx context.Context, request peer.Request) (response peer.Response, ok bool) {
+// forwardJobRequest forwards a request about a job to the leader. Ok is false if the request is to be served without
+// the leader, because it is unreachable, has lost its term or does not answer in time. Serving a request that the
+// leader may still carry out is safe, since conditions on the keys guard all writes.
+func (c *Controller) forwardJobRequest(ctx context.Context, request peer.Request) (response peer.Response, ok bool) {
 	leader, _, reachable := c.leader.locate()
 	if !reachable {
 		return response, false
@@ -102,7 +102,7 @@
 		// The leader is waiting for the state service, and serving the request here would add to the load of that service.
 		return peer.RetryLater("the leader is busy"), true
 	}
-	// A former leader whose next hello is still due refuses the request, which is then served here as well: its user need
+	// A former leader whose next hello is still due refuses the request. It is then served here too, so that its user need
 	// not retry.
 	c.requestCounts.LeaderBypassed()
 	return response, false
@@ -131,7 +131,7 @@
 	case VerbSubmit:
 		return c.submissions.Submit(ctx, sched, request.Body)
 	case VerbStatus:
-		if job, ok := c.jobs.Recall(sched, request.Job); ok {
+		if job, ok := c.jobs.StatusFromMemory(sched, request.Job); ok {
 			return peer.JSONResponse(http.StatusOK, job)
 		}
 		return c.jobs.AnswerStatus(ctx, sched, request.Job, true)
--- a/controller/routing_test.go
+++ b/controller/routing_test.go
@@ -57,34 +57,34 @@
 	}
 }
 
-// A leader that has just lost its term refuses forwarded requests before its next hello reports the loss. These requests
-// are served without it, and their users need not retry.
+// A leader that has just lost its term refuses forwarded requests before its next hello reports the loss. These
+// requests are served without it, and their users need not retry.
 func TestFormerLeaderIsBypassed(t *testing.T) {
 	ctx := t.Context()
 	controller, _, state := newFollower(t, new(atomic.Bool), func(context.Context, peer.Request) peer.Response { return peer.RetryLater(notLeading) })
 	if response := controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, false); response.Status != 201 || state.Get(store.InboxKey("run-000001")) == nil {
-		t.Errorf("%d %s", response.Status, response.Body)
+		t.Errorf("submission: %d %s", response.Status, response.Body)
 	}
 	if response := controller.Handle(ctx, peer.Request{Verb: VerbStatus, Job: "run-000001"}, false); response.Status != 200 {
-		t.Errorf("%d %s", response.Status, response.Body)
+		t.Errorf("status request: %d %s", response.Status, response.Body)
 	}
 }
 
-// A submission that waits in a busy leader because of the write limit is not also stored by the follower: that would take
-// twice the writes when the leader already lacks them.
+// A submission that waits in a busy leader because of the write limit is not also stored by the follower: that would
+// double the writes while the write limit is already used up.
 func TestBusyLeaderIsNotBypassed(t *testing.T) {
 	ctx := t.Context()
 	var unresponsive atomic.Bool
-	asked := make(chan struct{})
+	received := make(chan struct{})
 	controller, clock, state := newFollower(t, &unresponsive, func(ctx context.Context, request peer.Request) peer.Response {
-		close(asked)
+		close(received)
 		return neverAnswer(ctx, request)
 	})
 	got := make(chan peer.Response, 1)
 	before := state.Requests
 	go func() { got <- controller.Handle(ctx, peer.Request{Verb: VerbSubmit, Body: []byte(sampleJob)}, false) }()
 	// The hello was sent before the request and is answered before it.
-	<-asked
+	<-received
 	if err := clock.BlockUntilContext(ctx, 3); err != nil {
 		t.Fatal(err)
 	}
@@ -106,10 +106,10 @@
 	leader.submit(job)
 	controller := New(context.Background(), testSettings(), policy.Default(), leader.clock, leader.state)
 	controller.term.begin(&leaderTerm{controller: controller, scheduler: leader.Scheduler})
-	ask := func() peer.Response {
+	requestStatus := func() peer.Response {
 		return controller.Handle(context.Background(), peer.Request{Verb: VerbStatus, Job: "run-000001"}, false)
 	}
-	if response := ask(); response.Status != 200 || !strings.Contains(string(response.Body), api.Pending) {
+	if response := requestStatus(); response.Status != 200 || !strings.Contains(string(response.Body), api.Pending) {
 		t.Fatalf("%d %s", response.Status, response.Body)
 	}
 	if _, err := controller.client.Get(context.Background(), store.LeaderKey); err != nil {
@@ -120,13 +120,13 @@
 	if _, ok := leader.JobStatus("run-000001"); ok {
 		t.Error("the scheduler answers from memory without leading")
 	}
-	if response := ask(); response.Status != 200 || !strings.Contains(string(response.Body), api.Cancelled) {
+	if response := requestStatus(); response.Status != 200 || !strings.Contains(string(response.Body), api.Cancelled) {
 		t.Errorf("%d %s, want the state in the state service", response.Status, response.Body)
 	}
 }
 
-// Repeated status requests for unknown jobs do not use up the state service requests that are needed for the leader's key
-// and for records. Requests that exceed the read limit are refused with a retry time.
+// Repeated status requests for unknown jobs do not use up the state service requests that are needed for the leader's
+// key and for records. Requests that exceed the read limit are refused with a retry time.
 func TestStatusRequestsLeaveStateServiceCapacity(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fake.NewState(clock)
@@ -158,10 +158,10 @@
 	}
 }
 
-// A status that was read before the job was cancelled is not sent after the cancellation was acknowledged, whether it was
-// read from the state service or answered by the leader. Such a job used to be reported as pending again.
+// A status that was read before the job was cancelled is not sent after the cancellation was acknowledged, whether it
+// was read from the state service or returned by the leader. Such a job used to be reported as pending again.
 func TestStatusReadBeforeCancellationIsNotAnsweredAfterIt(t *testing.T) {
-	poll, cancel := peer.Request{Verb: VerbStatus, Job: "run-000001"}, peer.Request{Verb: VerbCancel, Job: "run-000001"}
+	statusRequest, cancel := peer.Request{Verb: VerbStatus, Job: "run-000001"}, peer.Request{Verb: VerbCancel, Job: "run-000001"}
 	state := func(response peer.Response) string {
 		var job api.JobStatus
 		if json.Unmarshal(response.Body, &job) != nil || response.Status != 200 {
@@ -169,8 +169,8 @@
 		}
 		return job.State
 	}
-	for name, begin := range map[string]func(t *testing.T) (controller *Controller, asked, release chan struct{}){
-		"read in the state service": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
+	for name, begin := range map[string]func(t *testing.T) (controller *Controller, received, release chan struct{}){
+		"read from the state service": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
 			clock := clockwork.NewFakeClock()
 			stateService := fake.NewState(clock)
 			controller := New(t.Context(), testSettings(), policy.Default(), clock, stateService)
@@ -182,26 +182,26 @@
 			}()
 			return controller, held.Received, release
 		},
-		"asked of the leader": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
-			asked, release := make(chan struct{}), make(chan struct{})
+		"forwarded to the leader": func(t *testing.T) (*Controller, chan struct{}, chan struct{}) {
+			received, release := make(chan struct{}), make(chan struct{})
 			controller, _, _ := newFollower(t, new(atomic.Bool), func(_ context.Context, request peer.Request) peer.Response {
 				if request.Verb == VerbCancel {
 					return peer.JSONResponse(200, api.JobStatus{ID: request.Job, State: api.Cancelled})
 				}
 				response := peer.JSONResponse(200, api.JobStatus{ID: request.Job, State: api.Running, Running: 1})
-				close(asked)
+				close(received)
 				<-release
 				return response
 			})
-			return controller, asked, release
+			return controller, received, release
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx := t.Context()
-			controller, asked, release := begin(t)
+			controller, received, release := begin(t)
 			got := make(chan peer.Response, 1)
-			go func() { got <- controller.Handle(ctx, poll, false) }()
-			<-asked
+			go func() { got <- controller.Handle(ctx, statusRequest, false) }()
+			<-received
 			if response := controller.Handle(ctx, cancel, false); state(response) != api.Cancelled {
 				t.Fatalf("cancellation answered %d %s", response.Status, response.Body)
 			}
--- a/controller/stale_record_test.go
+++ b/controller/stale_record_test.go
@@ -13,12 +13,13 @@
 	"switchferry/tuning"
 )
 
-// Guards against an ended job that becomes active again (the fault went_back, found with about 4,000 machines under injected
-// faults). A read of the job's record is slow. Meanwhile the job is cancelled, the cancellation is acknowledged, and the
-// job's records are archived, so that the leader no longer has the job in memory. Then the read returns. The leader used to
-// adopt any record of a job that was not in memory: the job was pending again, its task was started, and its end replaced
-// the acknowledged cancellation. The test delays a read on each path that reads a record for the leader. A path that checks
-// the cache of terminal states first is affected once the cache has evicted the job, so each is tested with and without it.
+// Guards against a job that leaves its terminal state and becomes active again (the fault went_back, found with about
+// 4,000 machines under injected faults). A read of the job's record is slow. Meanwhile the job is cancelled, the
+// cancellation is acknowledged, and the job's records are archived, so that the leader no longer has the job in memory.
+// Then the read returns. The leader used to adopt any record of a job that was not in memory: the job was pending
+// again, its task was started, and the completion of the task replaced the acknowledged cancellation. The test delays a
+// read on each path that reads a record for the leader. A path that checks the cache of terminal states first is
+// affected once the cache has evicted the job, so each is tested with and without it.
 func TestStaleRecordDoesNotReactivateEndedJob(t *testing.T) {
 	const id = "run-000001"
 	paths := []struct {
@@ -99,8 +100,8 @@
 	}
 }
 
-// finishFirstTaskIfStarted sends heartbeats of a machine that runs the first task of a job, if it is told to, and reports
-// it as done.
+// finishFirstTaskIfStarted sends a heartbeat of machine a1. If the leader then starts the first task of a job there, it
+// sends another one, which reports the task as done.
 func finishFirstTaskIfStarted(leader *testLeader, id string) {
 	leader.heartbeat()
 	leader.Place()
--- a/controller/term.go
+++ b/controller/term.go
@@ -12,9 +12,9 @@
 	"switchferry/tuning"
 )
 
-// leaderTerm is one term in which this controller leads. It has the scheduler of the term, and the loops that pass input to
-// the scheduler and carry out its decisions. The loops end with the context passed to run. The fields do not change after
-// run is called.
+// leaderTerm is one term in which this controller leads. It holds the scheduler of the term, and runs the loops that
+// pass input to the scheduler and carry out its decisions. The loops end with the context passed to run. The fields do
+// not change after run is called.
 type leaderTerm struct {
 	controller *Controller
 	scheduler  *scheduler.Scheduler
@@ -126,9 +126,9 @@
 	return ""
 }
 
-// isolatedFromWorkers reports whether no heartbeat has been received for tuning.IsolationTimeout, and the term has lasted for
-// longer than a lease. Workers of unresponsive peers try unreachable controllers in turn. If a new leader resigned before
-// they reached it, they would find no controller at all.
+// isolatedFromWorkers reports whether no heartbeat has been received for tuning.IsolationTimeout, and the term has
+// lasted for longer than a lease. Workers of unresponsive peers try unreachable controllers in turn. If a new leader
+// resigned before they reached it, they would find no controller at all.
 func (t *leaderTerm) isolatedFromWorkers() bool {
 	return t.controller.clock.Since(t.scheduler.TermStarted()) > settings.Seconds(t.controller.settings.Facts.Workers.LeaseS) && t.controller.clock.Since(t.scheduler.LastContact()) > tuning.IsolationTimeout
 }
--- a/controller/term_collaborators.go
+++ b/controller/term_collaborators.go
@@ -9,8 +9,8 @@
 	"switchferry/scheduler"
 )
 
-// termCollaborators returns the components of this process that the scheduler of a term uses. The context is that of the
-// term.
+// termCollaborators returns the components of this process that the scheduler of a term uses. The context is that of
+// the term.
 func termCollaborators(ctx context.Context, term *leaderTerm, number uint64) scheduler.Collaborators {
 	return scheduler.Collaborators{
 		Records:        termRecords{term},
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -29,7 +29,8 @@
 	return loadedRevisions{}
 }
 
-// load reads the configuration, the datasets and the job records, in this order. It logs the first error and returns false.
+// load reads the configuration, the datasets and the job records, in this order. It logs the first error and returns
+// false.
 func (t *leaderTerm) load(ctx context.Context) (loaded loadedRevisions, ok bool) {
 	if t.applier != nil {
 		// A configuration that was read before this term may be older than the last one that the previous leader applied.
@@ -55,7 +56,7 @@
 // loadJobs passes the job records to the scheduler, together with hints of the previous leader about the locations of
 // images and replicas, which may be missing. It returns the revision at which the jobs were listed.
 func (t *leaderTerm) loadJobs(ctx context.Context) (revision uint64, err error) {
-	client, askedAt := t.controller.client, t.controller.clock.Now()
+	client, requestedAt := t.controller.client, t.controller.clock.Now()
 	jobs, revision, err := client.List(ctx, store.JobPrefix)
 	if err != nil {
 		return 0, fmt.Errorf("list jobs: %w", err)
@@ -72,7 +73,7 @@
 			t.scheduler.LoadReplicaHints(replicas)
 		}
 	}
-	slog.Info("records read", "term", t.scheduler.Term(), "revision", revision, "jobs", len(jobs), "shards", len(shards), "in", t.controller.clock.Since(askedAt))
+	slog.Info("records read", "term", t.scheduler.Term(), "revision", revision, "jobs", len(jobs), "shards", len(shards), "in", t.controller.clock.Since(requestedAt))
 	t.setRevisions(jobs)
 	t.setRevisions(shards)
 	t.scheduler.Load(jobs, shards)
--- a/controller/term_test.go
+++ b/controller/term_test.go
@@ -7,8 +7,8 @@
 	"switchferry/scheduler"
 )
 
-// With both peers unresponsive, workers reach the remaining controller only after trying the unreachable ones. It must not
-// resign before: it used to resign after 3.5 s without a heartbeat, and workers found no controller.
+// With both peers unresponsive, workers reach the remaining controller only after trying the unreachable ones. It must
+// not resign before: it used to resign after 3.5 s without a heartbeat, and workers found no controller.
 func TestIsolatedLeaderWaitsOneLeaseForWorkers(t *testing.T) {
 	controller, clock := newIsolatedController()
 	sched := scheduler.New(7, clock, controller.settings, controller.policy, testTypes, testCollaborators(func() bool { return true }))
@@ -25,6 +25,6 @@
 		t.Fatal("resigns before workers can have reached it")
 	}
 	if !advance(3 * time.Second) {
-		t.Error("does not resign although no worker has reported")
+		t.Error("does not resign although no worker has sent a heartbeat")
 	}
 }
--- a/controller/topology.go
+++ b/controller/topology.go
@@ -21,11 +21,11 @@
 func (c *Controller) watchTopology() {
 	for c.ctx.Err() == nil {
 		sleep.For(c.ctx, c.clock, tuning.TopologyCheckInterval)
-		placements, err := c.features.topology.Reload()
+		reloaded, err := c.features.topology.Reload()
 		if err != nil {
 			slog.Error("topology file rejected", "err", err)
 		}
-		if sched := c.term.scheduler(); placements != nil && sched != nil {
+		if sched := c.term.scheduler(); reloaded != nil && sched != nil {
 			c.configuration.reapply(sched)
 		}
 	}
@@ -48,10 +48,10 @@
 		return peer.JSONResponse(http.StatusOK, sched.Topology())
 	}
 	if explanation, ok := sched.Explain(request.Job); ok {
-		explanation.Reasons = append(explanation.Reasons, c.leases.problems()...)
+		explanation.Reasons = append(explanation.Reasons, c.leases.renewalProblems()...)
 		return peer.JSONResponse(http.StatusOK, explanation)
 	}
-	// The scheduler does not have the job: its record shows whether it has ended or does not exist.
+	// The scheduler does not have the job: the records show whether it is in a terminal state or does not exist.
 	job, found, err := c.jobs.LookUp(ctx, sched, request.Job, true)
 	switch {
 	case err != nil:
--- a/controller/verbs.go
+++ b/controller/verbs.go
@@ -1,9 +1,12 @@
 package controller
 
-// Verbs of requests between controllers.
+// Verbs of requests about jobs and of workers' heartbeats.
 const (
+	// VerbSubmit submits a job; Request.Body is the submission.
 	VerbSubmit = "submit"
+	// VerbStatus returns the status of a job; Request.Job is the job's id.
 	VerbStatus = "status"
+	// VerbCancel cancels a job; Request.Job is the job's id.
 	VerbCancel = "cancel"
 	// verbForwardHeartbeat is a worker's heartbeat that a peer forwards.
 	verbForwardHeartbeat = "report"
@@ -37,7 +40,7 @@
 	// VerbConfiguration returns a configuration. Request.Job is empty for the current one, or a revision number, or
 	// httpapi.History for the list of revisions.
 	VerbConfiguration = "configuration"
-	// VerbConfigure changes the configuration.
+	// VerbConfigure changes the configuration; Request.Body is the change as JSON.
 	VerbConfigure = "configure"
 	// verbRefreshConfiguration makes a peer read the newest configuration revision now.
 	verbRefreshConfiguration = "confirm-configuration"
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -29,8 +29,8 @@
 	return &workerRouter{settings: set, clock: clock, peers: peers, startedAt: clock.Now(), redirects: redirect.NewTracker()}
 }
 
-// previousController returns the peer before this controller in the order in which workers try controllers. A worker that
-// gets no response there tries this controller next.
+// previousController returns the peer before this controller in the order in which workers try controllers. A worker
+// that gets no response there tries this controller next.
 func (w *workerRouter) previousController() string {
 	previous, last := "", ""
 	for _, other := range w.settings.Peers {
@@ -61,8 +61,8 @@
 }
 
 // controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, and
-// otherwise the zone's home controller. If the successor of that controller in the order in which workers try controllers
-// is unresponsive, redirect.Target chooses another one.
+// otherwise the zone's home controller. If the successor of that controller in the order in which workers try
+// controllers is unresponsive, redirect.Target chooses another one.
 func (w *workerRouter) controllerFor(zone, leader string) string {
 	target := leader
 	if w.zoneOf(leader) != zone {
@@ -100,7 +100,8 @@
 	return w.settings.Zone
 }
 
-// ZoneUnreachable reports whether a zone other than that of this controller has controllers, none of which is reachable.
+// ZoneUnreachable reports whether a zone other than that of this controller has controllers, none of which is
+// reachable.
 func (w *workerRouter) ZoneUnreachable(zone string) bool {
 	hasControllers := false
 	for _, other := range w.settings.Peers {
