--- a/relay/exchange/exchange.go
+++ b/relay/exchange/exchange.go
@@ -72,8 +72,8 @@
 	return e.Outbox.Len() > 0
 }
 
-// Write writes the packets that are due, as many as one transaction and Rate allow. It returns true if
-// more packets may be due.
+// Write writes the packets that are due, as many as one transaction and WriteLimiter allow. It returns
+// true if more packets may be due.
 func (e *Exchange) Write(ctx context.Context) bool {
 	if !e.hasActiveSenders() {
 		return false
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -88,19 +88,19 @@
 	return string(p.exchange.Reader.MessageFor(p.term, machine))
 }
 
-// received collects the messages that the leader receives, in the form "member machine body".
-type received struct {
+// messageRecorder collects the messages that the leader receives, in the form "member machine body".
+type messageRecorder struct {
 	mu       sync.Mutex
 	messages []string
 }
 
-func (r *received) deliver(member string, message relay.Message) {
+func (r *messageRecorder) deliver(member string, message relay.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.messages = append(r.messages, fmt.Sprintf("%s %s %s", member, message.Name, message.Body))
 }
 
-func (r *received) String() string {
+func (r *messageRecorder) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return fmt.Sprint(r.messages)
@@ -127,7 +127,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { partition.exchange.Run(ctx) })
-		var messages received
+		var messages messageRecorder
 		running.Go(func() {
 			Follow(ctx, partition.client, partition.clock, store.RelayPrefix, partition.term, partition.term, messages.deliver)
 		})
--- a/relay/exchange/mailboxes.go
+++ b/relay/exchange/mailboxes.go
@@ -55,7 +55,7 @@
 }
 
 // Packet builds the packet with the given key. If machines had to be moved to other packets, it requests
-// that those are written. It returns false if there is no packet with that key, and the caller must
+// that those are written. It returns false if there is no packet with that key; the caller must then
 // delete the stored one.
 func (m *Mailboxes) Packet(key string) (relay.Packet, bool) {
 	member, index, ok := store.ParsePacketKey(m.Prefix, key)
--- a/relay/proxy/proxy.go
+++ b/relay/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package proxy answers workers and data agents in place of a leader that this controller cannot reach but that leads
-// according to the state service. It relays their heartbeats to the leader, and the leader's commands and orders back, in
-// packets through the state service (packages relay and relay/exchange). Without it, every worker that a network
+// according to the state service. It relays their heartbeats to the leader, and the leader's commands and orders back,
+// in packets through the state service (packages relay and relay/exchange). Without it, every worker that a network
 // partition separates from the leader would kill its tasks as soon as its lease expires.
 package proxy
 
@@ -21,7 +21,7 @@
 type Options struct {
 	// Member is this controller's name.
 	Member string
-	// Client is the client of the state service, and Clock the clock, that the proxy uses.
+	// Client is the client of the state service.
 	Client *store.Client
 	Clock  clockwork.Clock
 	// WriteLimiter limits the rate at which all proxies of this controller together write packets.
@@ -33,8 +33,8 @@
 // senderTimeout is the time without a heartbeat after which a proxy removes a sender.
 const senderTimeout = 2 * tuning.RelayRefreshInterval
 
-// newOutbox returns an outbox for the packets to the leader. The IDs of its fragmented messages count up from the present
-// Unix time in milliseconds, so that no earlier process of this member has used the same IDs.
+// newOutbox returns an outbox for the packets to the leader. The IDs of its fragmented messages count up from the
+// present Unix time in milliseconds, so that no earlier process of this member has used the same IDs.
 func (o *Options) newOutbox() *relay.Outbox {
 	return relay.NewOutbox(exchange.PacketLimits(o.StateLimits), uint64(o.Clock.Now().UnixMilli()))
 }
--- a/relay/proxy/workers.go
+++ b/relay/proxy/workers.go
@@ -35,11 +35,11 @@
 type workerState struct {
 	heartbeat api.Heartbeat
 	// firstSeq is the number of the first heartbeat of the current sequence. A new sequence begins after a gap in the
-	// numbers, and with each heartbeat that was forwarded to the leader directly. Commands derived from an earlier heartbeat
-	// may be out of date, since the worker may have received newer ones from other controllers in between.
+	// numbers, and with each heartbeat that was forwarded to the leader directly. Commands derived from an earlier
+	// heartbeat may be out of date, since the worker may have received newer ones from other controllers in between.
 	firstSeq uint64
-	// deliveredSeq is the number of the heartbeat from which the last delivered commands were derived. Commands derived from
-	// an earlier heartbeat are not delivered after them.
+	// deliveredSeq is the number of the heartbeat from which the last delivered commands were derived. Commands derived
+	// from an earlier heartbeat are not delivered after them.
 	deliveredSeq uint64
 }
 
@@ -117,15 +117,16 @@
 	return response
 }
 
-// sameStatus reports whether two heartbeats of a worker are equal in term, tasks and whether there is a preemption notice.
+// sameStatus reports whether two heartbeats of a worker are equal in term, tasks and whether there is a preemption
+// notice.
 func sameStatus(a, b *api.Heartbeat) bool {
 	return a.Term == b.Term && (a.PreemptionNoticeS == nil) == (b.PreemptionNoticeS == nil) && slices.Equal(a.Tasks, b.Tasks)
 }
 
-// deliver returns the commands that the leader of a term has sent for a worker, and records that they are delivered. The
-// result outdated is set if there are commands that are not delivered because they were derived more than
-// tuning.RelayedCommandHeartbeats heartbeats ago: the leader counts a start among them as settled once it has seen a later
-// heartbeat (rule 4 of docs/design.md). w.mu must be held.
+// deliver returns the commands that the leader of a term has sent for a worker, and records that they are delivered.
+// The result outdated is set if there are commands that are not delivered because they were derived more than
+// tuning.RelayedCommandHeartbeats heartbeats ago: the leader counts a start among them as settled once it has seen a
+// later heartbeat (rule 4 of docs/design.md). w.mu must be held.
 func (w *Workers) deliver(worker *workerState, term uint64) (commands []api.Command, outdated bool) {
 	noCommands := []api.Command{}
 	machine := worker.heartbeat.Machine
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -55,8 +55,8 @@
 	relayCommand(t, workers, relayedCommand{revision: revision, seq: seq, verb: api.CommandRun})
 }
 
-// Commands are delivered only while this proxy receives all of a worker's heartbeats: if heartbeats are missing, another
-// controller may have cleared the attempt that the commands would start.
+// Commands are delivered only while this proxy receives all of a worker's heartbeats: if heartbeats are missing,
+// another controller may have cleared the attempt that the commands would start.
 func TestStaleCommandsAreNotDelivered(t *testing.T) {
 	workers := newWorkers()
 	sendHeartbeat := func(seq uint64) api.HeartbeatResponse {
@@ -104,9 +104,9 @@
 	}
 }
 
-// Commands are delivered for tuning.RelayedCommandHeartbeats heartbeats after the one from which they were derived. After
-// that the leader may count a start among them as settled. The next heartbeat is sent at once, although the worker's
-// status has not changed, so that the leader derives the commands again.
+// Commands are delivered for tuning.RelayedCommandHeartbeats heartbeats after the one from which they were derived.
+// After that the leader may count a start among them as settled. The next heartbeat is sent at once, although the
+// worker's status has not changed, so that the leader derives the commands again.
 func TestOutdatedCommandsAreDerivedAgain(t *testing.T) {
 	workers := newWorkers()
 	sendHeartbeat := func(seq uint64) api.HeartbeatResponse {
@@ -143,8 +143,9 @@
 	}
 }
 
-// Once a heartbeat was forwarded to the leader directly without a reply, commands derived from earlier heartbeats are not
-// delivered any more, neither in answer to it nor later: the leader may have handled it and started the task elsewhere.
+// Once a heartbeat was forwarded to the leader directly without a reply, commands derived from earlier heartbeats are
+// not delivered any more, neither in answer to it nor later: the leader may have handled it and started the task
+// elsewhere.
 func TestForwardedHeartbeatGetsNoEarlierCommands(t *testing.T) {
 	workers := newWorkers()
 	heartbeat := func(seq uint64) *api.Heartbeat {
