--- a/controller/admission/service.go
+++ b/controller/admission/service.go
@@ -280,7 +280,7 @@
 }
 
 // SetRetryAfter sets when the user of a refused submission should retry. The retry times of different submissions are
-// spread over the time needed to accept all that wait.
+// spread over the time needed to accept all submissions that wait.
 func (s *Service) SetRetryAfter(response *peer.Response, body []byte) {
 	refused := response.Status == http.StatusServiceUnavailable
 	s.mu.Lock()
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -20,7 +20,7 @@
 type cancellationExchange struct{ leases *leaseRenewal }
 
 // Position returns the position up to which the statements of a peer are known. Ok is false while a process of an older
-// version may run, since peers are not asked for statements then.
+// version may run, since no statements are requested from peers then.
 func (exchange cancellationExchange) Position(member string) (incarnation, position uint64, ok bool) {
 	if len(exchange.leases.versions.Older()) > 0 {
 		return 0, 0, false
--- a/controller/configuration_test.go
+++ b/controller/configuration_test.go
@@ -17,7 +17,7 @@
 	"switchferry/tuning"
 )
 
-// parseOverEmptyFiles parses a configuration document and applies it over empty configuration files.
+// parseOverEmptyFiles parses a configuration document and overlays it on a file configuration without teams.
 func parseOverEmptyFiles(t *testing.T, text string) *configuration.Active {
 	t.Helper()
 	document, err := configuration.Parse(text)
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -42,7 +42,7 @@
 }
 
 // refreshMachines passes the cloud's list of machines to the scheduler at intervals, until the context ends. After the
-// first list it announces the term to all workers, so that they report to the new leader at once.
+// first list it announces the term to all workers, so that they send heartbeats to the new leader at once.
 func (t *leaderTerm) refreshMachines(ctx context.Context) {
 	first := true
 	for ctx.Err() == nil {
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -12,9 +12,9 @@
 )
 
 // HandleHeartbeat answers a worker's heartbeat with an HTTP status and a body; raw is the heartbeat as received.
-// Workers report to a controller of their own zone, so that they still get responses during a partition between zones.
-// That controller forwards heartbeats to the leader, or relays them through the state service while the leader is
-// unreachable.
+// Workers send their heartbeats to a controller of their own zone, so that they still get responses during a partition
+// between zones. That controller forwards heartbeats to the leader, or relays them through the state service while the
+// leader is unreachable.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any) {
 	answer := c.answerHeartbeat(ctx, heartbeat, raw)
 	return answer.status, answer.body
@@ -23,8 +23,8 @@
 // answerHeartbeat answers a heartbeat itself, forwards it to the leader, or redirects the worker to another controller.
 func (c *Controller) answerHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) answer {
 	if !c.heartbeats.accept(heartbeat) {
-		// A duplicate shows neither that workers reach this controller nor where the worker reports now. A response
-		// without a fencing token renews no lease.
+		// A duplicate shows neither that workers reach this controller nor where the worker sends its heartbeats now. A
+		// response without a fencing token renews no lease.
 		return answer{http.StatusOK, api.HeartbeatResponse{Commands: []api.Command{}}}
 	}
 	if sched := c.term.scheduler(); sched != nil {
@@ -57,8 +57,8 @@
 	return c.answerForUnreachableLeader(heartbeat, term, c.workerProxy.HandleHeartbeat)
 }
 
-// redirectWorker returns the controller to which the sender of a heartbeat should report under the given leader. Ok is
-// false if it should stay with this controller.
+// redirectWorker returns the controller to which the sender of a heartbeat should send its next ones under the given
+// leader. Ok is false if it should stay with this controller.
 func (c *Controller) redirectWorker(heartbeat *api.Heartbeat, leader string) (to string, ok bool) {
 	to = c.workers.controllerFor(heartbeat.Zone, leader)
 	return to, to != c.settings.Member && c.workers.mayRedirect(heartbeat.Machine, to)
--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -12,7 +12,7 @@
 	"switchferry/tuning"
 )
 
-// workerRouter decides to which controller a worker should report, and whether it may be redirected there.
+// workerRouter decides to which controller a worker should send its heartbeats, and whether it may be redirected there.
 type workerRouter struct {
 	settings  *settings.Settings
 	clock     clockwork.Clock
@@ -60,9 +60,9 @@
 	return w.redirects.Allow(w.clock.Now(), worker, target, receives)
 }
 
-// controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, and
-// otherwise the zone's home controller. If the successor of that controller in the order in which workers try
-// controllers is unresponsive, redirect.Target chooses another one.
+// controllerFor returns the controller to which a zone's workers should send their heartbeats: the leader if it is in
+// their zone, and otherwise the zone's home controller. If the successor of that controller in the order in which
+// workers try controllers is unresponsive, redirect.Target chooses another one.
 func (w *workerRouter) controllerFor(zone, leader string) string {
 	target := leader
 	if w.zoneOf(leader) != zone {
@@ -76,8 +76,8 @@
 	})
 }
 
-// homeController returns the controller that a zone's workers report to: this controller in its own zone, and otherwise
-// the first reachable controller of the zone, or an empty string if there is none.
+// homeController returns the controller to which a zone's workers send their heartbeats: this controller in its own
+// zone, and otherwise the first reachable controller of the zone, or an empty string if there is none.
 func (w *workerRouter) homeController(zone string) string {
 	if zone == w.settings.Zone {
 		return w.settings.Member
