--- a/controller/worker_router.go
+++ b/controller/worker_router.go
@@ -12,7 +12,7 @@
 	"switchferry/tuning"
 )
 
-// workerRouter decides to which controller a worker should report, and whether it may be redirected there.
+// workerRouter decides to which controller a worker should send its heartbeats, and whether it may be redirected there.
 type workerRouter struct {
 	settings  *settings.Settings
 	clock     clockwork.Clock
@@ -29,8 +29,8 @@
 	return &workerRouter{settings: set, clock: clock, peers: peers, startedAt: clock.Now(), redirects: redirect.NewTracker()}
 }
 
-// previousController returns the peer before this controller in the order in which workers try controllers. A worker that
-// gets no response there tries this controller next.
+// previousController returns the peer before this controller in the order in which workers try controllers. A worker
+// that gets no response there tries this controller next.
 func (w *workerRouter) previousController() string {
 	previous, last := "", ""
 	for _, other := range w.settings.Peers {
@@ -60,9 +60,9 @@
 	return w.redirects.Allow(w.clock.Now(), worker, target, receives)
 }
 
-// controllerFor returns the controller that a zone's workers should report to: the leader if it is in their zone, and
-// otherwise the zone's home controller. If the successor of that controller in the order in which workers try controllers
-// is unresponsive, redirect.Target chooses another one.
+// controllerFor returns the controller to which a zone's workers should send their heartbeats: the leader if it is in
+// their zone, and otherwise the zone's home controller. If the successor of that controller in the order in which
+// workers try controllers is unresponsive, redirect.Target chooses another one.
 func (w *workerRouter) controllerFor(zone, leader string) string {
 	target := leader
 	if w.zoneOf(leader) != zone {
@@ -76,8 +76,8 @@
 	})
 }
 
-// homeController returns the controller that a zone's workers report to: this controller in its own zone, and otherwise
-// the first reachable controller of the zone, or an empty string if there is none.
+// homeController returns the controller to which a zone's workers send their heartbeats: this controller in its own
+// zone, and otherwise the first reachable controller of the zone, or an empty string if there is none.
 func (w *workerRouter) homeController(zone string) string {
 	if zone == w.settings.Zone {
 		return w.settings.Member
@@ -100,7 +100,8 @@
 	return w.settings.Zone
 }
 
-// ZoneUnreachable reports whether a zone other than that of this controller has controllers, none of which is reachable.
+// ZoneUnreachable reports whether a zone other than that of this controller has controllers, none of which is
+// reachable.
 func (w *workerRouter) ZoneUnreachable(zone string) bool {
 	hasControllers := false
 	for _, other := range w.settings.Peers {
