--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -58,8 +58,8 @@
 	openByClass [classCount]int
 	// idleWorkers holds the worker connections on which no request is being handled, the longest idle first.
 	idleWorkers *simplelru.LRU[*conn, struct{}]
-	// idleClosed counts the idle worker connections that were closed, refused the command connections that were not
-	// opened.
+	// idleClosed counts the idle worker connections that were closed, and refused counts the command connections that
+	// were not opened.
 	idleClosed, refused int
 }
 
@@ -84,8 +84,8 @@
 	Open, Limit int
 	// ByClass maps the name of each class with open connections to their number.
 	ByClass map[string]int
-	// IdleClosed is how many idle worker connections were closed near the limit, and Refused how many command
-	// connections were not opened.
+	// IdleClosed is the number of idle worker connections that were closed near the limit, and Refused the number of
+	// command connections that were not opened.
 	IdleClosed, Refused int
 }
 
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -52,7 +52,7 @@
 		t.Fatal("n1 not elected")
 	}
 	if secondTerm, _ := second.Term(); secondTerm <= firstTerm {
-		t.Errorf("term %d after %d", secondTerm, firstTerm)
+		t.Errorf("term %d after term %d, want a higher one", secondTerm, firstTerm)
 	}
 }
 
@@ -155,7 +155,7 @@
 		for range 600 {
 			time.Sleep(50 * time.Millisecond)
 			if current, valid := first.Term(); current != term || !valid || len(recorded.lost) > 0 {
-				t.Fatalf("term %d of %d, valid %v, lost %v", current, term, valid, recorded.lost)
+				t.Fatalf("term %d, want %d; valid %v, terms lost %v", current, term, valid, recorded.lost)
 			}
 		}
 		crash()
@@ -209,6 +209,6 @@
 		t.Fatal("not elected although there is no leader")
 	}
 	if term, _ := restarted.Term(); term <= previousTerm {
-		t.Errorf("term %d after %d", term, previousTerm)
+		t.Errorf("term %d after term %d, want a higher one", term, previousTerm)
 	}
 }
--- a/election/term.go
+++ b/election/term.go
@@ -31,8 +31,8 @@
 }
 
 // renewUntilLost renews the lease every tuning.RenewInterval until the leadership is lost, and returns the reason; lost
-// is false if the context ended instead. Up to tuning.MaxConcurrentRenewals renewals run concurrently, so that one without a
-// response does not delay the next. They end with the context.
+// is false if the context ended instead. Up to tuning.MaxConcurrentRenewals renewals run concurrently, so that one
+// without a response does not delay the next. They end with the context.
 func (e *Elector) renewUntilLost(ctx context.Context) (reason string, lost bool) {
 	expired := make(chan struct{}, tuning.MaxConcurrentRenewals)
 	slots := make(chan struct{}, tuning.MaxConcurrentRenewals)
--- a/httpapi/httpapi.go
+++ b/httpapi/httpapi.go
@@ -44,7 +44,7 @@
 	// HandleHeartbeat handles the heartbeat of a worker, whose undecoded body is raw. It returns the HTTP status and the
 	// body of the response, which is encoded as JSON.
 	HandleHeartbeat(ctx context.Context, heartbeat *api.Heartbeat, raw []byte) (status int, body any)
-	// HandleStageHeartbeat does the same for the heartbeat of a data agent.
+	// HandleStageHeartbeat handles the heartbeat of a data agent. Its parameters and results are as for HandleHeartbeat.
 	HandleStageHeartbeat(ctx context.Context, heartbeat *api.StageHeartbeat, raw []byte) (status int, body any)
 	// DataOn reports whether the dataset feature is on. The paths of a feature exist only if it is on.
 	DataOn() bool
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -57,7 +57,7 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), test.method, test.path, strings.NewReader(test.body)))
 		if w.Code != test.status || !strings.Contains(w.Body.String(), test.text) {
-			t.Errorf("%s %s: %d %s", test.method, test.path, w.Code, w.Body)
+			t.Errorf("%s %s: status %d, body %s", test.method, test.path, w.Code, w.Body)
 		}
 		// Only a request that can be retried is answered with Retry-After.
 		if retry := w.Header().Get("Retry-After"); (test.text == "later") != (retry == "1") {
@@ -87,7 +87,7 @@
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), test.method, test.path, strings.NewReader(test.body)))
 		if w.Code != test.status || !strings.Contains(w.Body.String(), test.text) {
-			t.Errorf("%s %s: %d %s", test.method, test.path, w.Code, w.Body)
+			t.Errorf("%s %s: status %d, body %s", test.method, test.path, w.Code, w.Body)
 		}
 	}
 }
--- a/httpapi/submissions_test.go
+++ b/httpapi/submissions_test.go
@@ -152,7 +152,8 @@
 		check("POST", "/submissions/run-000001/cancel", "", 404)
 		check("POST", "/submissions/nothing/cancel", "", 404)
 
-		// A repeated submission is answered with the job's state whatever its body, before and after the job has ended.
+		// A repeated submission is answered with the job's state whatever its body, before and after the job reaches a
+		// terminal state.
 		check("POST", "/submissions", validBody, 201, `"status":"pending"`)
 		repeats := []string{validBody, bodyWith("owner", "nobody"), bodyWith("cores", nil), bodyWith("parts", 0), bodyWith("hulls", []string{"m9"}), bodyWith("cores", 1000)}
 		for _, body := range repeats {
@@ -165,8 +166,8 @@
 		check("POST", "/submissions/run-000001/cancel", "", 200, `"status":"withdrawn"`)
 		check("GET", "/submissions/run-000001", "", 200, `"status":"withdrawn"`)
 
-		// During an outage of the state service, a job that cannot be looked up is answered with 503, and one that has ended
-		// with its state.
+		// During an outage of the state service, a submission of a job that cannot be looked up is answered with 503, and
+		// one of a job in a terminal state with that state.
 		state.SetDown(true)
 		time.Sleep(3 * time.Second)
 		check("POST", "/submissions", bodyWith("name_id", "run-000002"), 503)
--- a/lookup/fair_queue.go
+++ b/lookup/fair_queue.go
@@ -16,8 +16,8 @@
 // FairQueue grants reads of the state service, at a limited rate, to status requests. The request for the job whose
 // requests have gone unanswered for the longest time is served first.
 //
-// When requests were served in order of arrival, requests for unknown jobs and for jobs that had ended long ago used
-// up the reads, and requests for a running job could go unanswered indefinitely.
+// When requests were served in order of arrival, requests for unknown jobs and for jobs archived long ago used up the
+// reads, and requests for a running job could go unanswered indefinitely.
 //
 // FairQueue is safe for concurrent use.
 type FairQueue struct {
@@ -71,9 +71,9 @@
 	return len(q.waiting) == 0 && q.limiter.AllowN(now, 1)
 }
 
-// Acquire takes one read for a status request for a job, and waits for it up to tuning.StatusQueueTimeout. It returns false
-// if no read was granted in time. Until Answered is called, further requests for the job are then served before those
-// for jobs that have been unanswered for a shorter time.
+// Acquire takes one read for a status request for a job, and waits for it up to tuning.StatusQueueTimeout. It returns
+// false if no read was granted in time. Until Answered is called, further requests for the job are then served before
+// those for jobs that have been unanswered for a shorter time.
 func (q *FairQueue) Acquire(ctx context.Context, id string) bool {
 	request, granted := q.enqueue(id)
 	if granted {
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -1,9 +1,9 @@
 // Package lookup answers status requests for jobs from their records in the state service, on a controller that does
 // not have the jobs in memory: one that cannot reach the leader, or a new leader that does not know yet which jobs
-// ended before its term.
+// reached a terminal state before its term.
 //
 // FairQueue limits the rate of reads and shares them among the requests. TerminalStates caches the final records of
-// archived jobs, and Notifications the final states that were sent to users.
+// archived jobs, and Notifications the terminal states that were sent to users.
 package lookup
 
 import (
@@ -21,10 +21,10 @@
 
 // ErrTooManyDependencies is returned if a job depends, directly or indirectly, on so many jobs that looking for a
 // cancelled one among them would exceed tuning.MaxDependencyReads.
-var ErrTooManyDependencies = errors.New("too many jobs before this one to look at without the leader")
+var ErrTooManyDependencies = errors.New("too many dependencies of the job to examine without the leader")
 
-// Jobs reads the records of jobs from the state service. Its methods are safe for concurrent use if Recall and Remember
-// are.
+// Jobs reads the records of jobs from the state service. Its methods are safe for concurrent use if CachedFinal and
+// CacheFinal are.
 type Jobs struct {
 	Client *store.Client
 	// CachedFinal returns the cached final record of an archived job, and whether there is one.
@@ -40,8 +40,8 @@
 	// Found is false if the job was never accepted.
 	Found   bool
 	Service bool
-	// Final is the final record of the job. Its State is empty if the job's own records do not say that it has ended; the
-	// job may still be cancelled through a dependency.
+	// Final is the final record of the job. Its State is empty if the job's own records show no terminal state; the job
+	// may still be cancelled through a dependency.
 	Final store.FinalRecord
 	// DependsOn holds the IDs of the jobs on which the job depends directly. It is empty once the job is archived.
 	DependsOn []string
@@ -50,7 +50,7 @@
 }
 
 // Read reads a job. It reads the JobRecord before the final record, because the final record is written before the
-// JobRecord is deleted. It returns an error if the state service does or if a record cannot be decoded.
+// JobRecord is deleted. It returns an error if the state service returns one or if a record cannot be decoded.
 func (j *Jobs) Read(ctx context.Context, jobID string) (Job, error) {
 	if final, ok := j.CachedFinal(jobID); ok {
 		return archivedJob(final), nil
@@ -65,14 +65,14 @@
 	return j.ReadArchived(ctx, jobID)
 }
 
-// ReadArchived reads the final record of a job and passes it to Remember. Its errors are those of Read.
+// ReadArchived reads the final record of a job and passes it to CacheFinal. Its errors are those of Read.
 func (j *Jobs) ReadArchived(ctx context.Context, jobID string) (Job, error) {
 	item, err := j.Client.Get(ctx, store.FinalKey(jobID))
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		return Job{}, nil
 	case err != nil:
-		return Job{}, fmt.Errorf("reading the final state of job %s: %w", jobID, err)
+		return Job{}, fmt.Errorf("reading the final record of job %s: %w", jobID, err)
 	}
 	var final store.FinalRecord
 	if err := json.Unmarshal(item.Value, &final); err != nil {
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -10,9 +10,9 @@
 	"switchferry/tuning"
 )
 
-// Notifications caches the terminal states that this process has sent to users, for up to tuning.TerminalJobsCapacity jobs. It
-// prevents that an older state, found in memory, at the leader or in a record read earlier, is sent after a terminal
-// state, so that reads are monotonic within one process. It is safe for concurrent use.
+// Notifications caches the terminal states that this process has sent to users, for up to tuning.TerminalJobsCapacity
+// jobs. It prevents that an older state, found in memory, at the leader or in a record read earlier, is sent after a
+// terminal state, so that reads are monotonic within one process. It is safe for concurrent use.
 type Notifications struct {
 	mu           sync.Mutex
 	sentTerminal *simplelru.LRU[string, api.JobStatus]
--- a/lookup/status.go
+++ b/lookup/status.go
@@ -7,14 +7,13 @@
 )
 
 // Status returns the status of the job with the given ID according to the records alone, without the leader. found is
-// what Read or ReadQueued returned for the job. queriedID and the errors are as for
-// DependsOnCancelled.
+// what Read or ReadQueued returned for the job. queriedID and the errors are as for DependsOnCancelled.
 func (j *Jobs) Status(ctx context.Context, id string, found Job, queriedID string) (api.JobStatus, error) {
 	if found.Record == nil {
 		return found.Final.JobStatus(id), nil
 	}
 	if final, ok := j.CachedFinal(id); ok {
-		// The job ended after its JobRecord was read.
+		// The job was archived after its JobRecord was read.
 		return final.JobStatus(id), nil
 	}
 	status := api.JobStatus{ID: id, State: api.Pending}
--- a/lookup/terminal_states.go
+++ b/lookup/terminal_states.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// TerminalStates caches the final records of archived jobs, the last tuning.TerminalJobsCapacity that were added. It is safe for
-// concurrent use.
+// TerminalStates caches the final records of archived jobs, the last tuning.TerminalJobsCapacity that were added. It is
+// safe for concurrent use.
 type TerminalStates struct {
 	mu      sync.Mutex
 	records *simplelru.LRU[string, store.FinalRecord]
--- a/lookup/terminal_states_test.go
+++ b/lookup/terminal_states_test.go
@@ -29,7 +29,7 @@
 	for _, step := range steps {
 		status, got := notifications.Newest(api.JobStatus{ID: "run-000001", State: step.found})
 		if status.State != step.send || got != step.want {
-			t.Errorf("%s: %s, %d; want %s, %d", step.name, status.State, got, step.send, step.want)
+			t.Errorf("%s: status %s, decision %d; want %s, %d", step.name, status.State, got, step.send, step.want)
 		}
 		if violations := invariant.ResetViolations(); violations != step.violations {
 			t.Errorf("%s: %d invariant violations, want %d", step.name, violations, step.violations)
--- a/membership/member.go
+++ b/membership/member.go
@@ -70,7 +70,7 @@
 	m.lastHelloAt, m.lastHello, m.helloSinceFailure = now, hello, true
 	if restarted {
 		m.level = Unknown
-		return m.setLevel(now, Alive, nil, "a new process of it sends hellos", changes)
+		return m.setLevel(now, Alive, nil, "its process restarted", changes)
 	}
 	return changes
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -270,7 +270,8 @@
 }
 
 // A leader that receives no heartbeats while another controller does has impaired access to workers. A follower that
-// receives none is healthy: within a single zone, all workers report to the leader.
+// receives none is healthy: within a single zone, all workers send their heartbeats to the
+// leader.
 func TestOnlyTheLeaderMustReceiveHeartbeats(t *testing.T) {
 	now := time.Unix(1_790_000_000, 0)
 	for _, leads := range []bool{false, true} {
@@ -294,8 +295,8 @@
 		t.Error("a controller was declared failed because of message loss")
 	}
 	if n := len(cluster.log); n > 40 {
-		t.Errorf("%d changes of level in two hours", n)
+		t.Errorf("%d changes of level in two hours, want at most 40", n)
 	} else {
-		t.Logf("%d changes of level in two hours among three", n)
+		t.Logf("%d changes of level in two hours among three controllers", n)
 	}
 }
--- a/peer/ask.go
+++ b/peer/ask.go
@@ -22,7 +22,7 @@
 
 // Call forwards a request to a peer and waits at most tuning.PeerTimeout for the reply. It sends a hello before the
 // request, which a live peer answers at once. A peer from which no frame arrives within livenessTimeout counts as
-// unreachable. If a frame arrives but no reply, the peer is busy, and Ask continues to wait.
+// unreachable. If a frame arrives but no reply, the peer is busy, and Call continues to wait.
 //
 // The error matches ErrUnreachable or ErrBusy.
 func (network *Network) Call(ctx context.Context, member string, request Request, livenessTimeout time.Duration) (Response, error) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// awaitReply waits for the reply to a request that was sent. Ask documents the time limits and errors.
+// awaitReply waits for the reply to a request that was sent. Call documents the time limits and errors.
 func (network *Network) awaitReply(ctx context.Context, pending pendingRequest, livenessTimeout time.Duration) (Response, error) {
 	member := pending.remote.Member
 	livenessTimer := network.clock.After(min(livenessTimeout, tuning.PeerTimeout))
--- a/peer/connection.go
+++ b/peer/connection.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// sendHellos sends hellos to a peer every tuning.PeerHelloInterval until ctx ends, a write fails, or no frame arrives from
-// the peer for tuning.PeerSilenceTimeout. It reports whether it ended for the last reason: a network partition stops the
-// frames of a peer without causing an error.
+// sendHellos sends hellos to a peer every tuning.PeerHelloInterval until ctx ends, a write fails, or no frame arrives
+// from the peer for tuning.PeerSilenceTimeout. It reports whether it returned for the last reason: a network partition
+// stops the frames of a peer without causing an error.
 func (network *Network) sendHellos(ctx context.Context, remote *remotePeer, conn net.Conn) (silent bool) {
 	started := network.clock.Now()
 	for {
--- a/peer/network.go
+++ b/peer/network.go
@@ -71,8 +71,8 @@
 	writeMutex sync.Mutex
 }
 
-// New returns the network of a controller with the given peers. The function self returns the present state of this
-// controller for its hellos, and handle handles the requests that peers forward.
+// New returns the network of a controller with the given peers. The function localHello returns the present state of
+// this controller for its hellos, and handle handles the requests that peers forward.
 func New(peers []settings.Peer, clock clockwork.Clock, localHello func() Hello, handle Handler) *Network {
 	network := &Network{
 		clock:         clock,
@@ -88,7 +88,8 @@
 	return network
 }
 
-// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerSilenceTimeout, in no particular order.
+// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerSilenceTimeout, in no particular
+// order.
 func (network *Network) LivePeers() []Hello {
 	network.mu.Lock()
 	defer network.mu.Unlock()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -25,7 +25,7 @@
 	message := frame{kind: wire.KindRequest, seq: 7, verb: "submit", job: "run-1", body: []byte(`{"a":1}`), member: "n0", term: 9, stateOK: true, status: 503, retryAfterS: 2, benchmarkUS: 70, receivesHeartbeats: true}
 	got, err := readFrame(bytes.NewReader(encodeFrame(message)))
 	if err != nil || got.seq != 7 || got.verb != "submit" || got.job != "run-1" || string(got.body) != `{"a":1}` || got.term != 9 || !got.stateOK || got.status != 503 || got.retryAfterS != 2 || got.benchmarkUS != 70 || !got.receivesHeartbeats || got.member != "n0" {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded frame %+v, error %v", got, err)
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	response, err := client.Call(ctx, "n0", Request{Verb: "status", Body: []byte("x")}, time.Second)
 	if err != nil || response.Status != 200 || string(response.Body) != "status x" || response.RetryAfterS != 3 {
-		t.Errorf("%+v, %v", response, err)
+		t.Errorf("response %+v, error %v", response, err)
 	}
 	if _, err := client.Call(ctx, "n9", Request{}, time.Second); err == nil {
 		t.Error("a request to an unknown peer was answered")
@@ -158,7 +158,7 @@
 		select {
 		case o := <-observations:
 			if o != (membership.Connection{To: "n0", Outcome: membership.Refused}) {
-				t.Fatalf("observed %+v", o)
+				t.Fatalf("observed %+v, want a refused connection", o)
 			}
 			return
 		default:
@@ -199,7 +199,7 @@
 	go func() { done <- network.runConnection(t.Context(), network.peers["n1"], localConn) }()
 	request, err := readFrame(remoteConn)
 	if err != nil || request.seq == 0 || request.incarnation != 3 || request.statementFrom != 1 {
-		t.Fatalf("statement request %+v, %v", request, err)
+		t.Fatalf("statement request %+v, error %v", request, err)
 	}
 	clock.Advance(time.Second)
 	reply := remoteNetwork.newHelloReply(request)
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -63,7 +63,7 @@
 	} {
 		unresponsive := func(m string) bool { return strings.Contains(test.silent, m) }
 		if got := Target(controllers, test.to, test.zone, unresponsive); got != test.want {
-			t.Errorf("%q silent, workers of %s: %s, want %s", test.silent, test.to, got, test.want)
+			t.Errorf("%q unresponsive, workers of %s: redirected to %s, want %s", test.silent, test.to, got, test.want)
 		}
 	}
 }
--- a/relay/mailbox_test.go
+++ b/relay/mailbox_test.go
@@ -40,7 +40,7 @@
 	}
 	for name := range messageBytes {
 		if delivered := reader.MessageFor(7, name); (delivered == nil) != (name == "n-000007") {
-			t.Errorf("%s received a message of %d bytes", name, len(delivered))
+			t.Errorf("%s received a message of %d bytes; want one for every machine but n-000007", name, len(delivered))
 		}
 	}
 }
--- a/relay/outbox.go
+++ b/relay/outbox.go
@@ -52,7 +52,8 @@
 }
 
 // NewOutbox returns an empty outbox for term 0. The IDs of fragmented messages increase from
-// firstMessageID, which must be higher than the IDs that earlier processes of this member used. A timestamp is suitable.
+// firstMessageID, which must be higher than the IDs that earlier processes of this member used. A
+// timestamp is suitable.
 func NewOutbox(limits Limits, firstMessageID uint64) *Outbox {
 	return &Outbox{limits: limits, entries: map[string]*outboxEntry{}, lastMessageID: firstMessageID, compressionRatio: initialCompressionRatio}
 }
--- a/relay/outbox_test.go
+++ b/relay/outbox_test.go
@@ -102,7 +102,7 @@
 	batch, _ := outbox.Next(start.Add(time.Second), time.Minute, 1)
 	requireWithinLimits(t, batch)
 	if len(batch.senders) < 10 || batch.senders[0] != "n-000" || batch.senders[1] != "n-001" {
-		t.Fatalf("first packet: %v", batch.senders)
+		t.Fatalf("first packet has the messages of %v, want the oldest first", batch.senders)
 	}
 	outbox.Requeue(batch)
 	outbox.Put("n-000", json.RawMessage(`"newer"`), false, start.Add(2*time.Second))
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(received) != 400 || string(received["n-000"]) != `"newer"` {
-		t.Fatalf("%d senders, message of n-000 is %s", len(received), received["n-000"])
+		t.Fatalf("%d senders, message of n-000 is %s; want 400 senders and the latest message", len(received), received["n-000"])
 	}
 	// An unchanged message is sent again only after the refresh interval.
 	outbox.Put("n-001", messageBody(random, 100), false, start.Add(3*time.Second))
--- a/relay/packet.go
+++ b/relay/packet.go
@@ -24,7 +24,7 @@
 	Term uint64 `json:"term"`
 	// Packed is the payload, a zstd frame in base64, or a fragment of it.
 	Packed string `json:"z"`
-	// MessageID identifies the fragmented message; later messages have higher IDs. ID, FragmentIndex and
+	// MessageID identifies the fragmented message; later messages have higher IDs. MessageID, FragmentIndex and
 	// FragmentCount are set only in fragments.
 	MessageID uint64 `json:"id,omitempty"`
 	// FragmentIndex is the zero-based index of the fragment.
--- a/relay/reassembler_test.go
+++ b/relay/reassembler_test.go
@@ -35,10 +35,10 @@
 		}
 	}
 	if received := send(2); len(received) != 1 || received[0].Name != "small" {
-		t.Fatalf("with a lost fragment: %d messages", len(received))
+		t.Fatalf("with a lost fragment: %d messages, want only the small one", len(received))
 	}
 	if received := send(0); len(received) != 2 {
-		t.Errorf("afterwards: %d messages", len(received))
+		t.Errorf("without a lost fragment: %d messages, want 2", len(received))
 	}
 	for _, packet := range []Packet{{Packed: "!"}, {Packed: "AAAA"}, {FragmentCount: 3, FragmentIndex: 3}, {FragmentCount: -1}, {FragmentCount: 1 << 30}} {
 		if _, err := reassembler.Unpack("y", &packet); err == nil {
--- a/store/commit_failure.go
+++ b/store/commit_failure.go
@@ -62,9 +62,9 @@
 	c.writeLimiter.SetBurstAt(now, max(1, int(c.announcedRate)))
 }
 
-// quarantine defers a record that the state service does not accept, so that it does not block all others. A
-// record that was too large once did so, with a new attempt every second
-// (docs/incidents/fleet-relay-too-long.md). The callbacks of the record stay pending.
+// quarantine defers a record that the state service does not accept, so that it does not block all others. In
+// docs/incidents/fleet-relay-too-long.md, a record that was too large was retried every second and blocked all
+// others. The callbacks of the record stay pending.
 func (c *Committer) quarantine(record *pendingRecord, err error) {
 	slog.Error("record quarantined", "key", record.key, "again_in", tuning.QuarantineTime, "err", err)
 	record.quarantinedUntil = c.clock.Now().Add(tuning.QuarantineTime)
--- a/store/committer.go
+++ b/store/committer.go
@@ -23,7 +23,7 @@
 	// not the leader.
 	Condition() (leader Condition, ok bool)
 	// Conflict reports a stored value that this committer did not write, or that it wrote in a transaction
-	// whose outcome it did not learn.
+	// whose outcome was unknown.
 	Conflict(key string, found *Item)
 	// Committed is called after each transaction, after the callbacks of its records.
 	Committed()
--- a/store/committer_test.go
+++ b/store/committer_test.go
@@ -55,7 +55,7 @@
 func decodeString(t *testing.T, encoded json.RawMessage) (v string) {
 	t.Helper()
 	if encoded != nil && json.Unmarshal(encoded, &v) != nil {
-		t.Fatalf("value %s", encoded)
+		t.Fatalf("stored value %s is not a JSON string", encoded)
 	}
 	return v
 }
@@ -114,7 +114,7 @@
 	source.values[key] = "second"
 	committer.Step(t.Context())
 	if got := decodeString(t, state.Get(key)); got != "second" {
-		t.Fatalf("stored %q", got)
+		t.Fatalf("stored %q, want the second value", got)
 	}
 	state.ExecuteHeld()
 	if got := decodeString(t, state.Get(key)); got != "second" {
@@ -220,7 +220,7 @@
 			committer.MarkDirty(JobKey("run-1"), Urgent, nil)
 			committer.Step(t.Context())
 			if len(source.conflicts) > 0 || decodeString(t, state.Get(JobKey("run-1"))) != "newer" {
-				t.Errorf("conflicts %v", source.conflicts)
+				t.Errorf("conflicts %v, want none and the newer value stored", source.conflicts)
 			}
 		})
 	}
@@ -266,7 +266,7 @@
 		}
 	}
 	if stored[tooLarge] || stored[invalid] || committer.Pending() != 2 {
-		t.Fatalf("stored %v %v, %d pending", stored[tooLarge], stored[invalid], committer.Pending())
+		t.Fatalf("too large record stored %v, invalid record stored %v, %d pending; want neither stored and both pending", stored[tooLarge], stored[invalid], committer.Pending())
 	}
 	if count := state.Requests; committer.Step(t.Context()) <= 0 || state.Requests != count {
 		t.Error("quarantined records were retried at once")
@@ -277,7 +277,7 @@
 		committer.Step(t.Context())
 	}
 	if !stored[tooLarge] || stored[invalid] {
-		t.Errorf("after the quarantine: stored %v %v", stored[tooLarge], stored[invalid])
+		t.Errorf("after the quarantine: shortened record stored %v, invalid record stored %v; want only the shortened one", stored[tooLarge], stored[invalid])
 	}
 }
 
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -106,10 +106,10 @@
 	}
 }
 
-// allowResend reports whether so many changes may be resent, and counts them against the write limit if so. They
-// may if at least the share tuning.HedgeSpareShare of the write limiter's burst is left afterwards, or if resendLimiter
-// allows it. With only the fixed rate of resendLimiter, large transactions used it up while four fifths of the
-// write limit were unused.
+// allowResend reports whether a transaction with the given number of changes may be resent and, if so, counts the
+// changes against the write limit. Resending is allowed if at least the share tuning.HedgeSpareShare of the write
+// limiter's burst is left afterwards, or if resendLimiter allows it. When only resendLimiter was used, large
+// transactions exhausted its fixed rate while four fifths of the write limit were unused.
 func (h *HedgedClient) allowResend(changes int) bool {
 	now := h.clock.Now()
 	remaining := h.writeLimiter.TokensAt(now) - float64(changes)
--- a/store/keys.go
+++ b/store/keys.go
@@ -12,22 +12,22 @@
 	rootPrefix = "sf/"
 	// LeaderKey is the key of the LeaderRecord. It is attached to the leader's lease.
 	LeaderKey = "sf/leader"
-	// JobPrefix is the prefix of the JobRecords, one for each job that is not archived yet.
+	// JobPrefix is the prefix of the keys of JobRecord values, one for each job that is not archived yet.
 	JobPrefix = "sf/j/"
-	// ShardPrefix is the prefix of the ShardRecords of the jobs that are not archived yet.
+	// ShardPrefix is the prefix of the keys of ShardRecord values, which belong to the jobs that are not archived yet.
 	ShardPrefix = "sf/t/"
-	// FinalPrefix is the prefix of the FinalRecords, one for each archived job. They are never deleted.
+	// FinalPrefix is the prefix of the keys of FinalRecord values, one for each archived job. They are never deleted.
 	FinalPrefix = "sf/f/"
-	// InboxPrefix is the prefix of the InboxRecords, one for each job that a peer accepted or cancelled while it
-	// could not reach the leader.
+	// InboxPrefix is the prefix of the keys of InboxRecord values, one for each job that a peer accepted or
+	// cancelled while it could not reach the leader.
 	InboxPrefix = "sf/in/"
 	// RelayPrefix is the prefix of packets (package relay) of workers' heartbeats that a peer relays because the
 	// workers cannot reach the leader.
 	RelayPrefix = "sf/relay/"
 	// RelayResponsePrefix is the prefix of packets of the leader's responses to relayed heartbeats of workers.
 	RelayResponsePrefix = "sf/mail/"
-	// ImagesPrefix is the prefix of the ImagesRecords, which inform the next leader which machines probably cache
-	// which images. They are soft state: an outdated or missing record does no harm.
+	// ImagesPrefix is the prefix of the keys of ImagesRecord values, which inform the next leader which machines
+	// probably cache which images. They are soft state: an outdated or missing record does no harm.
 	ImagesPrefix = "sf/images/"
 	// DatasetPrefix is the prefix of the registered datasets, which are kept permanently.
 	DatasetPrefix = "sf/d/"
--- a/store/records.go
+++ b/store/records.go
@@ -42,7 +42,7 @@
 	Names []string `json:"i"`
 	// SizesGB are the sizes of the images in GB, in the order of Names.
 	SizesGB []float64 `json:"g"`
-	// ImagesByMachine has, for each machine, indices into Names and GB, the most recently used image first.
+	// ImagesByMachine has, for each machine, indices into Names and SizesGB, the most recently used image first.
 	ImagesByMachine map[string][]int `json:"m"`
 }
 
--- a/store/transaction.go
+++ b/store/transaction.go
@@ -182,9 +182,9 @@
 	defer c.mu.Unlock()
 	batch, nextReady, reserved := c.queue.take(c.clock.Now(), limit)
 	if reserved {
-		// The rest of the write limit is reserved for later records that a user waits for. When other records
-		// used up the limit, each job of a burst of accepted jobs waited for the next change that the limit
-		// allowed.
+		// The rest of the write limit is reserved for later records that a user waits for. Without the reserve,
+		// other records used up the limit, and each job of a burst of accepted jobs waited until the limit
+		// allowed another change.
 		return nil, c.timeUntilAllowed(1)
 	}
 	return batch, min(nextReady, tuning.PlacementInterval)
@@ -199,13 +199,13 @@
 	}
 }
 
-// urgentReserve returns the number of changes that are reserved for records that users wait for. It leaves room for at
-// least one other change.
+// urgentReserve returns the number of changes that are reserved for records that users wait for. At least one change of
+// the burst remains for other records.
 func (c *Committer) urgentReserve() float64 {
 	return min(tuning.UrgentReserve*float64(c.writeLimiter.Limit()), float64(c.writeLimiter.Burst()-1))
 }
 
-// timeUntilAllowed returns the time until the limiter allows so many more changes, at least 1 ms.
+// timeUntilAllowed returns the time in which the write limit allows the given number of changes, at least 1 ms.
 func (c *Committer) timeUntilAllowed(changes float64) time.Duration {
 	wait := time.Duration(changes / float64(c.writeLimiter.Limit()) * float64(time.Second))
 	return max(time.Millisecond, wait)
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -34,8 +34,8 @@
 	current Counts
 }
 
-// Add counts one request. question is true if the request was for a job's state, refused if it was refused with a retry
-// delay.
+// Add counts one request. stateQuery is true if the request was for a job's state, and refused is true if it was refused
+// with a retry delay.
 func (c *Counter) Add(stateQuery, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -41,7 +41,7 @@
 }
 
 // Older returns the members that may still run, or be rolled back to, a process with an older data version, because no
-// version record with at least DataVersion was seen of them. They are sorted by name.
+// version record of them with at least DataVersion was observed. They are sorted by name.
 func (r *VersionRegistry) Older() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,8 @@
 }
 
 // Run writes the version record of this controller and reads those of the members that Older returns, every
-// tuning.VersionCheckInterval, until no older member is left. It returns true then, and false if the context ends before.
+// tuning.VersionCheckInterval, until no older member is left. It returns true then, and false if the context ends
+// before that.
 func (r *VersionRegistry) Run(ctx context.Context) bool {
 	recorded := false
 	for ctx.Err() == nil {
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -82,16 +82,16 @@
 	state.Put(RecordPrefix+"n1", "not a record")
 	without, err := registry.WithoutConfiguration(t.Context())
 	if err != nil || !slices.Equal(without, []string{"n1", "n2"}) {
-		t.Errorf("without configuration %v, %v", without, err)
+		t.Errorf("members without configuration %v, error %v", without, err)
 	}
 	state.Put(RecordPrefix+"n1", VersionRecord{Data: DataVersion, Configuration: true})
 	state.Put(RecordPrefix+"n2", VersionRecord{Data: DataVersion})
 	without, err = registry.WithoutConfiguration(t.Context())
 	if err != nil || !slices.Equal(without, []string{"n2"}) {
-		t.Errorf("without configuration %v, %v", without, err)
+		t.Errorf("members without configuration %v, error %v", without, err)
 	}
 	state.Down = true
 	if without, err := registry.WithoutConfiguration(t.Context()); err == nil {
-		t.Errorf("without configuration %v, want an error because nothing can be read", without)
+		t.Errorf("members without configuration %v, want an error because nothing can be read", without)
 	}
 }
--- a/watermark/commands_test.go
+++ b/watermark/commands_test.go
@@ -8,8 +8,8 @@
 	"switchferry/tuning"
 )
 
-// Every task of a cancelled job that has not exited is killed without grace, except one that a pending command already
-// kills so. Tasks of other jobs are not killed.
+// Every task of a cancelled job that has not exited is killed without grace, unless a command that does so is already
+// pending. Tasks of other jobs are not killed.
 func TestKillCommandsCoverOnlyCancelledJobs(t *testing.T) {
 	tracker := New(start, nil, limits)
 	tracker.RecordCancellation(start, "run-1")
--- a/watermark/limits.go
+++ b/watermark/limits.go
@@ -18,8 +18,8 @@
 	Retention time.Duration
 }
 
-// NewLimits returns the Limits for the settings cancel_s and lease_s. A lease that is renewed as late as they allow
-// ends before the tasks of the first unknown cancellation must have ended.
+// NewLimits returns the Limits for the settings cancel_s and lease_s. A lease that is renewed as late as RenewFor
+// allows ends before the tasks of the first unknown cancellation must have ended.
 func NewLimits(cancelTimeout, leaseDuration time.Duration) Limits {
 	return Limits{
 		RenewFor:  cancelTimeout - leaseDuration - tuning.LeaseRenewalMargin,
--- a/watermark/statement_test.go
+++ b/watermark/statement_test.go
@@ -56,7 +56,7 @@
 			statement.Current, statement.Age = true, 0
 			corrupt(&statement)
 			if err := tracker.ApplyStatement(later, "b", later, statement); err == nil {
-				t.Error("accepted")
+				t.Error("the invalid statement was accepted")
 			}
 			if _, age := tracker.MayRenew(later); age != before {
 				t.Errorf("watermark %v ago, want it unchanged at %v", age, before)
@@ -72,7 +72,7 @@
 	cluster := newCluster(t)
 	statement := cluster.trackers["b"].Statement(cluster.now, 0, 0)
 	if cluster.trackers["a"].ApplyStatement(cluster.now, "d", cluster.now, statement) == nil {
-		t.Error("accepted")
+		t.Error("a statement of an unknown peer was accepted")
 	}
 }
 
--- a/watermark/watermark.go
+++ b/watermark/watermark.go
@@ -89,8 +89,8 @@
 }
 
 // record records a cancellation. One that is already recorded gets a new sequence number, and so is sent to the peers
-// again, only if it was acknowledged again at least tuning.CancellationRepeatInterval later. The time within which its tasks
-// must have ended then counts from the later acknowledgement. The caller holds t.mu.
+// again, only if it was acknowledged again at least tuning.CancellationRepeatInterval later. The time within which its
+// tasks must have ended then counts from the later acknowledgement. The caller holds t.mu.
 func (t *Tracker) record(now time.Time, jobID string, acknowledgedAt time.Time) {
 	t.removeExpired(now)
 	if existing := t.byJob[jobID]; existing != nil {
