--- a/connlimit/limiter.go
+++ b/connlimit/limiter.go
@@ -52,6 +52,7 @@
 // Limiter counts the open connections of a process and closes or refuses some near the limit. It is safe for concurrent
 // use and must be created by NewLimiter.
 type Limiter struct {
+	// mu guards all fields below.
 	mu          sync.Mutex
 	limit       int // 0: no limit
 	open        int
--- a/election/term.go
+++ b/election/term.go
@@ -12,8 +12,8 @@
 
 // Reasons why a term ends without a resignation.
 const (
-	leaseExpired     = "lease expired"
-	storeUnreachable = "state service unreachable"
+	leaseExpired            = "lease expired"
+	stateServiceUnreachable = "state service unreachable"
 )
 
 // leaseValidUntil returns the time before which a lease is certain not to have expired if the request that granted or
@@ -48,7 +48,7 @@
 		default:
 		}
 		if e.ExpiredFor() > tuning.Holdover {
-			return storeUnreachable, true
+			return stateServiceUnreachable, true
 		}
 		select {
 		case <-ctx.Done():
--- a/httpapi/httpapi_test.go
+++ b/httpapi/httpapi_test.go
@@ -33,7 +33,7 @@
 	return peer.Response{Status: 503, Body: []byte(`{"error":"later"}`), RetryAfterS: 1}
 }
 
-func TestHandlerAnswers(t *testing.T) {
+func TestHandlerValidatesAndForwardsRequests(t *testing.T) {
 	backend := &fakeController{}
 	handler := New(backend, connlimit.NewLimiter(0))
 	for _, test := range []struct {
--- a/lookup/fair_queue.go
+++ b/lookup/fair_queue.go
@@ -26,6 +26,7 @@
 	// maxWaiting is the number of requests that can be served within tuning.StatusQueueTimeout.
 	maxWaiting int
 
+	// mu guards all fields below, and the fields index and rejected of the requests.
 	mu sync.Mutex
 	// unansweredSince maps a job ID to the time of the first status request for the job since one was last answered.
 	unansweredSince *simplelru.LRU[string, time.Time]
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -155,8 +155,8 @@
 	return false, nil
 }
 
-// ForEach calls visit for each of ids with its index, in up to tuning.MaxConcurrentLookups concurrent calls, and returns
-// when all calls have returned.
+// ForEach calls visit for each of ids with its index, in up to tuning.MaxConcurrentLookups concurrent calls, and
+// returns when all calls have returned.
 func ForEach(ids []string, visit func(i int, id string)) {
 	slots := make(chan struct{}, tuning.MaxConcurrentLookups)
 	var running sync.WaitGroup
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -14,6 +14,7 @@
 // jobs. It prevents that an older state, found in memory, at the leader or in a record read earlier, is sent after a
 // terminal state, so that reads are monotonic within one process. It is safe for concurrent use.
 type Notifications struct {
+	// mu guards sentTerminal.
 	mu           sync.Mutex
 	sentTerminal *simplelru.LRU[string, api.JobStatus]
 }
--- a/lookup/terminal_states.go
+++ b/lookup/terminal_states.go
@@ -13,6 +13,7 @@
 // TerminalStates caches the final records of archived jobs, the last tuning.TerminalJobsCapacity that were added. It is
 // safe for concurrent use.
 type TerminalStates struct {
+	// mu guards records.
 	mu      sync.Mutex
 	records *simplelru.LRU[string, store.FinalRecord]
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -135,8 +135,8 @@
 	return views
 }
 
-// view returns the member's view without Self, SilentSeconds and Phi. Its slices are never nil, so that they are encoded
-// as JSON arrays and not as null.
+// view returns the member's view without Self, SilentSeconds and Phi. Its slices are never nil, so that they are
+// encoded as JSON arrays and not as null.
 func (m *member) view(now time.Time) View {
 	return View{
 		Member:             m.name,
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// helloFromFrame returns the state announced in a hello. Its member is the one that the connection was made to; the name
-// in the frame is ignored.
+// helloFromFrame returns the state announced in a hello. Its member is the one that the connection was made to; the
+// name in the frame is ignored.
 func helloFromFrame(member string, message frame) Hello {
 	return Hello{
 		Member: member, Term: message.term, StateOK: message.stateOK,
--- a/peer/network.go
+++ b/peer/network.go
@@ -82,8 +82,8 @@
 		OnObservation: func(membership.Observation) {},
 		peers:         map[string]*remotePeer{},
 	}
-	for _, address := range peers {
-		network.peers[address.Member] = &remotePeer{Peer: address, pendingRequests: map[uint64]chan Response{}}
+	for _, peerSettings := range peers {
+		network.peers[peerSettings.Member] = &remotePeer{Peer: peerSettings, pendingRequests: map[uint64]chan Response{}}
 	}
 	return network
 }
--- a/peer/responses.go
+++ b/peer/responses.go
@@ -36,8 +36,8 @@
 	return response
 }
 
-// ErrorResponse returns a response with the given status and an api.Error as body. If err is an api.FieldError, the body
-// names the field.
+// ErrorResponse returns a response with the given status and an api.Error as body. If err is an api.FieldError, the
+// body names the field.
 func ErrorResponse(status int, err error) Response {
 	body := api.Error{Error: err.Error()}
 	if field, ok := errors.AsType[*api.FieldError](err); ok {
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -53,7 +53,7 @@
 // next, and their leases expired before they reached the third.
 func TestTargetHasRespondingSuccessor(t *testing.T) {
 	controllers := []settings.Peer{{Member: "n1", Zone: "b"}, {Member: "n0", Zone: "a"}, {Member: "n2", Zone: "a"}}
-	for _, test := range []struct{ silent, to, zone, want string }{
+	for _, test := range []struct{ unresponsiveMembers, target, zone, want string }{
 		{"", "n0", "a", "n0"},
 		{"n1", "n0", "a", "n2"}, // after n0, workers would try n1
 		{"n1", "n2", "a", "n2"},
@@ -61,9 +61,9 @@
 		{"n0", "n2", "a", "n1"}, // after n2, workers would try n0
 		{"n0 n2", "n1", "b", "n1"},
 	} {
-		unresponsive := func(m string) bool { return strings.Contains(test.silent, m) }
-		if got := Target(controllers, test.to, test.zone, unresponsive); got != test.want {
-			t.Errorf("%q unresponsive, workers of %s: redirected to %s, want %s", test.silent, test.to, got, test.want)
+		unresponsive := func(m string) bool { return strings.Contains(test.unresponsiveMembers, m) }
+		if got := Target(controllers, test.target, test.zone, unresponsive); got != test.want {
+			t.Errorf("%q unresponsive, workers of %s: redirected to %s, want %s", test.unresponsiveMembers, test.target, got, test.want)
 		}
 	}
 }
--- a/store/client.go
+++ b/store/client.go
@@ -31,11 +31,11 @@
 	ErrNoLease = errors.New("no such lease")
 	// ErrBusy means that the call was refused and not executed. It may be retried.
 	ErrBusy = errors.New("refused, not executed")
-	// ErrRateLimited is an ErrBusy. It means that the caller exceeded its rate of requests or changes.
+	// ErrRateLimited wraps ErrBusy. It means that the caller exceeded its rate of requests or changes.
 	ErrRateLimited = fmt.Errorf("%w: status 429", ErrBusy)
 	// ErrOutcomeUnknown means that no usable response arrived. The call may have been executed, and
 	// may still be executed at any later time.
-	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
+	ErrOutcomeUnknown = errors.New("no usable response, outcome unknown")
 	// ErrInvalidRequest means that the request is invalid. A retry fails as well.
 	ErrInvalidRequest = errors.New("invalid request")
 	// ErrCompacted means that the state service has discarded changes since the revision of a watch.
--- a/store/shards.go
+++ b/store/shards.go
@@ -29,8 +29,8 @@
 	return min(total, s.Index*s.Size), min(total, (s.Index+1)*s.Size)
 }
 
-// Key returns the key of the shard's record. The key contains the size, unless it is tuning.TasksPerShard, the only size
-// in data version 1 (docs/upgrade.md).
+// Key returns the key of the shard's record. The key contains the size, unless it is tuning.TasksPerShard, the only
+// size in data version 1 (docs/upgrade.md).
 func (s Shard) Key() string {
 	if s.Size == tuning.TasksPerShard {
 		return fmt.Sprintf("%s%s/%d", ShardPrefix, s.Job, s.Index)
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -30,12 +30,13 @@
 
 // Counter counts requests and responses. The zero value is ready to use. It is safe for concurrent use.
 type Counter struct {
+	// mu guards current.
 	mu      sync.Mutex
 	current Counts
 }
 
-// Add counts one request. stateQuery is true if the request was for a job's state, and refused is true if it was refused
-// with a retry delay.
+// Add counts one request. stateQuery is true if the request was for a job's state, and refused is true if it was
+// refused with a retry delay.
 func (c *Counter) Add(stateQuery, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/upgrade/registry.go
+++ b/upgrade/registry.go
@@ -25,6 +25,7 @@
 	// used.
 	Configuration bool
 
+	// mu guards versions.
 	mu       sync.Mutex
 	versions *memberVersions
 }
--- a/watermark/watermark_test.go
+++ b/watermark/watermark_test.go
@@ -81,10 +81,10 @@
 		name string
 		// apply simulates the events of the given second after start.
 		apply func(c *cluster, second int)
-		// last is the last second in which a may renew leases, -1 if there is none.
-		last int
-		// knows is true if a learns that run-1 is cancelled.
-		knows bool
+		// lastRenewal is the last second in which a may renew leases, -1 if there is none.
+		lastRenewal int
+		// knowsCancellation is true if a learns that run-1 is cancelled.
+		knowsCancellation bool
 	}{
 		{"no fault", func(*cluster, int) {}, lastSecond, false},
 		{"cancelled by a peer", func(c *cluster, second int) {
@@ -196,8 +196,8 @@
 				knows = knows || cluster.kills("a")
 				cluster.exchangeAndAdvance()
 			}
-			if last != test.last || knows != test.knows {
-				t.Errorf("renewal allowed until second %d, cancellation known %v; want %d, %v", last, knows, test.last, test.knows)
+			if last != test.lastRenewal || knows != test.knowsCancellation {
+				t.Errorf("renewal allowed until second %d, cancellation known %v; want %d, %v", last, knows, test.lastRenewal, test.knowsCancellation)
 			}
 		})
 	}
