--- a/peer/network.go
+++ b/peer/network.go
@@ -71,8 +71,8 @@
 	writeMutex sync.Mutex
 }
 
-// New returns the network of a controller with the given peers. The function self returns the present state of this
-// controller for its hellos, and handle handles the requests that peers forward.
+// New returns the network of a controller with the given peers. The function localHello returns the present state of
+// this controller for its hellos, and handle handles the requests that peers forward.
 func New(peers []settings.Peer, clock clockwork.Clock, localHello func() Hello, handle Handler) *Network {
 	network := &Network{
 		clock:         clock,
@@ -82,13 +82,14 @@
 		OnObservation: func(membership.Observation) {},
 		peers:         map[string]*remotePeer{},
 	}
-	for _, address := range peers {
-		network.peers[address.Member] = &remotePeer{Peer: address, pendingRequests: map[uint64]chan Response{}}
+	for _, peerSettings := range peers {
+		network.peers[peerSettings.Member] = &remotePeer{Peer: peerSettings, pendingRequests: map[uint64]chan Response{}}
 	}
 	return network
 }
 
-// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerSilenceTimeout, in no particular order.
+// LivePeers returns the latest hello of each peer that sent a frame within tuning.PeerSilenceTimeout, in no particular
+// order.
 func (network *Network) LivePeers() []Hello {
 	network.mu.Lock()
 	defer network.mu.Unlock()
