--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -22,11 +22,11 @@
 	dir := t.TempDir()
 	agent, source := fixture.startAgent(dir, 1<<20)
 	fixture.apply(agent, newOrder(7, 3, "inv", digest, []api.StageSource{storeSource}, 0, 1))
-	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+	eventually(t, "both parts are pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 	for _, restarted := range []bool{false, true} {
 		if restarted {
 			agent, source = fixture.startAgent(dir, 1<<20)
-			eventually(t, "pinned again after a restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+			eventually(t, "both parts are pinned after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 		}
 		for _, order := range []*api.StageOrder{newOrder(6, 9, "inv", digest, nil), newOrder(7, 2, "inv", digest, nil), {Term: 7, Sequence: 4, Incarnation: 99}} {
 			raw, err := json.Marshal(order)
@@ -34,7 +34,7 @@
 				t.Fatal(err)
 			}
 			if status, answer := fixture.request(http.MethodPost, "http://"+source.Peer+"/stage", raw); status != http.StatusConflict {
-				t.Fatalf("order %d/%d: status %d %s", order.Term, order.Sequence, status, answer)
+				t.Fatalf("order %[2]d of term %[1]d: status %[3]d, want 409: %[4]s", order.Term, order.Sequence, status, answer)
 			}
 		}
 		if pinnedParts(agent, "inv").GetCardinality() != 2 {
@@ -57,7 +57,7 @@
 	both := newOrder(1, 1, "old", old, from, 0, 1, 2)
 	both.Sets = append(both.Sets, newOrder(1, 1, "next", next, from, 0, 1).Sets...)
 	fixture.apply(agent, both)
-	eventually(t, "pinned", func() bool {
+	eventually(t, "all parts of both datasets are pinned", func() bool {
 		return pinnedParts(agent, "old").GetCardinality() == 3 && pinnedParts(agent, "next").GetCardinality() == 2
 	})
 	stillDesired := *both
@@ -73,15 +73,15 @@
 	fixture.apply(agent, order)
 	for _, held := range agent.Heartbeat(true).Holdings {
 		if held.Dataset != "next" || held.Parts.GetCardinality() != 2 {
-			t.Errorf("holds %v of %s", held.Parts, held.Dataset)
+			t.Errorf("the agent holds the parts %v of dataset %s", held.Parts, held.Dataset)
 		}
 	}
 	if err := agent.cache.Verify(manifest.Chunks[1]); err != nil || agent.cache.Used() != 2000 {
-		t.Errorf("%d bytes left; the shared chunk: %v", agent.cache.Used(), err)
+		t.Errorf("%d bytes in the cache, want 2000; error of the shared chunk: %v", agent.cache.Used(), err)
 	}
 	left, err := os.ReadDir(filepath.Join(dir, "chunks"))
 	if err != nil || len(left) != 2 {
-		t.Errorf("%d chunks on disk: %v", len(left), err)
+		t.Errorf("%d chunks on disk, want 2; error %v", len(left), err)
 	}
 }
 
--- a/dataagent/cache_test.go
+++ b/dataagent/cache_test.go
@@ -29,14 +29,14 @@
 	from := []api.StageSource{storeSource}
 	orderParts := func(order uint64, parts ...uint32) {
 		fixture.apply(agent, newOrder(1, order, "inv", digest, from, parts...))
-		eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == uint64(len(parts)) })
+		eventually(t, "the ordered parts are pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == uint64(len(parts)) })
 	}
 	orderParts(1, 0, 1, 2)
 	orderParts(2, 1, 2)
 	orderParts(3, 1, 2, 3) // Part 0 is evicted.
 	for _, held := range agent.Heartbeat(true).Holdings {
 		if held.Parts.Contains(0) || !held.Parts.Contains(3) {
-			t.Fatalf("holds %v", held.Parts)
+			t.Fatalf("the agent holds the parts %v, want part 3 and not part 0", held.Parts)
 		}
 	}
 	// A part that does not fit is not copied, and the heartbeat reports that the cache is full.
@@ -51,7 +51,7 @@
 		}
 	}
 	if agent.cache.Used() > 3500 {
-		t.Fatalf("%d bytes used", agent.cache.Used())
+		t.Fatalf("%d bytes used with a quota of 3500", agent.cache.Used())
 	}
 	// The part is copied once others may be evicted.
 	fixture.apply(agent, newOrder(1, 5, "inv", digest, from, 4))
@@ -65,7 +65,7 @@
 	dir := t.TempDir()
 	agent, _ := fixture.startAgent(dir, 1<<20)
 	fixture.apply(agent, newOrder(1, 1, "inv", digest, []api.StageSource{storeSource}, 0, 1))
-	eventually(t, "pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+	eventually(t, "both parts are pinned", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 	path := filepath.Join(dir, "chunks", manifest.Chunks[0].Digest.String())
 	if err := os.WriteFile(path, randomBytes(7, 1000), 0o644); err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 		output, err := cmd.CombinedOutput()
 		finished = err == nil
 		if err != nil && !strings.Contains(err.Error(), "killed") {
-			t.Fatalf("step %d: %v %s", step, err, output)
+			t.Fatalf("step %d: the agent process failed: %v %s", step, err, output)
 		}
 		// The store may have sent more than the process received, so the bytes that it wrote are compared.
 		bytesBefore, writtenBlocks := bytesOnDisk(dir), strings.Count(string(output), "write\n")
@@ -186,7 +186,7 @@
 		for _, held := range agent.Heartbeat(true).Holdings {
 			for _, part := range held.Parts.ToArray() {
 				if err := agent.cache.Verify(manifest.Chunks[part]); err != nil {
-					t.Fatalf("step %d: reported as held: %v", step, err)
+					t.Fatalf("step %d: a part that is not intact is reported as held: %v", step, err)
 				}
 			}
 		}
@@ -197,9 +197,9 @@
 			}
 		}
 		fixture.apply(agent, newOrder(1, 2, "inv", digest, []api.StageSource{storeSource}, 0, 1))
-		eventually(t, "complete after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
+		eventually(t, "both parts are pinned after the restart", func() bool { return pinnedParts(agent, "inv").GetCardinality() == 2 })
 		if copiedAgain := agent.Heartbeat(false).BytesFromStore - (int64(len(data)) - bytesBefore); copiedAgain > 2*blockSize+8192 {
-			t.Errorf("step %d: two transfers copied %d bytes again, with blocks of %d bytes", step, copiedAgain, blockSize)
+			t.Errorf("step %d: two transfers copied %d bytes again, want at most one block of %d bytes each", step, copiedAgain, blockSize)
 		}
 	}
 	if !finished {
--- a/dataagent/fixture_test.go
+++ b/dataagent/fixture_test.go
@@ -145,7 +145,7 @@
 func (fixture *fixture) apply(agent *Agent, order *api.StageOrder) {
 	fixture.t.Helper()
 	if adopted, err := agent.Apply(order); !adopted || err != nil {
-		fixture.t.Fatalf("order %d/%d: %v %v", order.Term, order.Sequence, adopted, err)
+		fixture.t.Fatalf("order %[2]d of term %[1]d: adopted %[3]v, error %[4]v", order.Term, order.Sequence, adopted, err)
 	}
 }
 
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -154,7 +154,7 @@
 	defer closeBody(response)
 	body, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxOrderBytes))
 	if err != nil {
-		return "", fmt.Errorf("read answer to heartbeat: %w", err)
+		return "", fmt.Errorf("read response to heartbeat: %w", err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
--- a/dataagent/order.go
+++ b/dataagent/order.go
@@ -28,7 +28,7 @@
 	Sets        []api.StageSet `json:"sets"`
 }
 
-// desiredDataset is the state of one dataset that the order asks for, and how much of it is reached.
+// desiredDataset is the desired state of one dataset in an order, and the progress towards it.
 // Agent.mu guards its fields. Only the reconciler sets the manifest of a dataset in the current order, so
 // the reconciler reads it without the lock.
 type desiredDataset struct {
--- a/dataagent/serve.go
+++ b/dataagent/serve.go
@@ -137,8 +137,8 @@
 	return zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 })
 
-// worthCompressing reports whether a sample from the start of a chunk compresses to less than tuning.MaxCompressedShare of
-// its size.
+// worthCompressing reports whether a sample from the start of a chunk compresses to less than
+// tuning.MaxCompressedShare of its size.
 func worthCompressing(file *os.File) bool {
 	sample := make([]byte, tuning.CompressionSampleBytes)
 	// The error is io.EOF if the chunk is smaller than the sample. After any other error the sample is
@@ -148,8 +148,8 @@
 	return err == nil && size > 0 && float64(len(encoder.EncodeAll(sample[:size], nil))) < tuning.MaxCompressedShare*float64(size)
 }
 
-// limitedWriter limits a response to the serving rate. It has no ReadFrom method, so that all data goes
-// through Write.
+// limitedWriter limits a response to the serving rate. It does not implement io.ReaderFrom, so that all
+// data goes through Write.
 type limitedWriter struct {
 	http.ResponseWriter
 	// limiter is nil if there is no limit.
--- a/dataagent/source_test.go
+++ b/dataagent/source_test.go
@@ -143,7 +143,7 @@
 
 // A peer sends text compressed and random bytes uncompressed. The received part is verified in both cases.
 func TestPeersCompressOnlyCompressibleChunks(t *testing.T) {
-	for kind, data := range map[string][]byte{"text": bytes.Repeat([]byte("item,player,purchase\n"), 40000), "noise": randomBytes(8, 800000)} {
+	for kind, data := range map[string][]byte{"text": bytes.Repeat([]byte("item,player,purchase\n"), 40000), "random bytes": randomBytes(8, 800000)} {
 		t.Run(kind, func(t *testing.T) {
 			fixture := newFixture(t)
 			_, digest := fixture.store.Add("inv", data, len(data), 1)
@@ -163,7 +163,7 @@
 // If a peer serves wrong bytes or no longer has the chunk, the agent uses the next source. Only a peer with
 // wrong bytes is reported as corrupt.
 func TestCorruptPeerIsReportedAndReplaced(t *testing.T) {
-	for _, kind := range []string{"other bytes", "nothing", "packed nonsense"} {
+	for _, kind := range []string{"wrong bytes", "chunk not found", "invalid zstd data"} {
 		t.Run(kind, func(t *testing.T) {
 			fixture := newFixture(t)
 			_, digest := fixture.store.Add("inv", randomBytes(12, 5000), 5000, 1)
@@ -171,9 +171,9 @@
 			corruptPeer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 				requests <- struct{}{}
 				switch {
-				case kind == "nothing" || strings.HasPrefix(request.URL.Path, "/manifest/"):
+				case kind == "chunk not found" || strings.HasPrefix(request.URL.Path, "/manifest/"):
 					w.WriteHeader(http.StatusNotFound)
-				case kind == "packed nonsense":
+				case kind == "invalid zstd data":
 					w.Header().Set("Content-Encoding", "zstd")
 					_, _ = w.Write(randomBytes(13, 900))
 				default:
@@ -193,7 +193,7 @@
 				}
 				return pinnedParts(agent, "inv").Contains(0)
 			})
-			if kind == "nothing" && reported {
+			if kind == "chunk not found" && reported {
 				t.Error("a peer that evicted a part is reported as corrupt")
 			}
 			if len(requests) < 2 {
--- a/dataagent/transfer.go
+++ b/dataagent/transfer.go
@@ -223,7 +223,7 @@
 	progress.source = source
 }
 
-// clearCacheFull records that the cache had room for the last chunk.
+// clearCacheFull records that the cache had space for the last chunk.
 func (progress *transferProgress) clearCacheFull() {
 	progress.mu.Lock()
 	defer progress.mu.Unlock()
--- a/dataagent/writer.go
+++ b/dataagent/writer.go
@@ -15,7 +15,7 @@
 type Writer struct {
 	cache *Cache
 	chunk dataset.Chunk
-	// file is nil if it could not be opened or was closed by store.
+	// file is nil if it could not be opened or was closed by finalize.
 	file *os.File
 	// hasher has received all bytes up to offset.
 	hasher dataset.Hasher
--- a/dataset/dataset_test.go
+++ b/dataset/dataset_test.go
@@ -32,11 +32,11 @@
 		sum += parsed.PartBytes(part)
 	}
 	if sum != 1000 || manifest.Bytes() != 1000 || parsed.PartCount() != 6 {
-		t.Fatalf("%d bytes in %d parts", sum, parsed.PartCount())
+		t.Fatalf("the parts cover %d bytes in %d parts, want 1000 bytes in 6 parts", sum, parsed.PartCount())
 	}
 	summary, err := Summarize(parsed, raw)
 	if err != nil || summary.CommonPartBytes != 192 || len(summary.OtherPartBytes) != 1 || summary.PartBytes(5) != 1000-5*192 {
-		t.Fatalf("%+v %v", summary, err)
+		t.Fatalf("unexpected summary %+v, error %v", summary, err)
 	}
 }
 
@@ -45,12 +45,12 @@
 	_, err := Parse([]byte(`{"format":2,"name":"Bad Name","chunks":[{"digest":"` + strings.Repeat("0", 64) + `","bytes":0}],"parts":[1,5]}`))
 	for _, want := range []string{"format", "name", "chunks[0].bytes", "parts[1]"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s is not named in %v", want, err)
+			t.Errorf("the error does not name the field %s: %v", want, err)
 		}
 	}
 	summary := Summary{Name: "a", PartCount: 2, CommonPartBytes: 10, Bytes: 21}
 	if err := summary.Check(); err == nil || !strings.Contains(err.Error(), "add up to 20") {
-		t.Errorf("%v", err)
+		t.Errorf("unexpected error for a wrong total size: %v", err)
 	}
 }
 
@@ -69,13 +69,13 @@
 		for part := range manifest.PartCount() {
 			from, to := manifest.PartChunks(part)
 			if from != assigned || to <= from {
-				t.Fatalf("part %d is %d to %d after %d", part, from, to, assigned)
+				t.Fatalf("part %d has the chunks from %d to before %d, but must start at %d and not be empty", part, from, to, assigned)
 			}
 			assigned = to
 			sum += manifest.PartBytes(part)
 		}
 		if sum != manifest.Bytes() || assigned != len(manifest.Chunks) {
-			t.Fatalf("%d of %d bytes", sum, manifest.Bytes())
+			t.Fatalf("the parts cover %d of %d bytes, or not all chunks", sum, manifest.Bytes())
 		}
 		if summary, err := Summarize(manifest, raw); err == nil {
 			if err := summary.Check(); err != nil {
--- a/dataset/entry.go
+++ b/dataset/entry.go
@@ -8,8 +8,8 @@
 	// Removing means that new jobs may not use the dataset, while jobs accepted earlier may still
 	// need it.
 	Removing = "removing"
-	// Removed means that no job needs the dataset any more. The state is final. The record is kept
-	// because a name is never reused for other content.
+	// Removed means that no job needs the dataset any more. The state is terminal. The record is
+	// kept because a name is never reused for other content.
 	Removed = "removed"
 )
 
--- a/dataset/manifest.go
+++ b/dataset/manifest.go
@@ -126,7 +126,7 @@
 func (manifest *Manifest) PartCount() int { return len(manifest.partStarts) - 1 }
 
 // PartChunks returns the range of a part's chunks: start is the index of the first chunk, end the
-// index after the last one. Part panics unless part is at least 0 and less than PartCount.
+// index after the last one. PartChunks panics unless part is at least 0 and less than PartCount.
 func (manifest *Manifest) PartChunks(part int) (start, end int) {
 	return manifest.partStarts[part], manifest.partStarts[part+1]
 }
--- a/dataset/summary.go
+++ b/dataset/summary.go
@@ -21,7 +21,7 @@
 	ManifestDigest Digest `json:"manifest"`
 	Bytes          int64  `json:"bytes"`
 	PartCount      int    `json:"parts"`
-	// CommonPartBytes is the size in bytes of each part that is not in Odd.
+	// CommonPartBytes is the size in bytes of each part that is not in OtherPartBytes.
 	CommonPartBytes int64 `json:"part_bytes"`
 	// OtherPartBytes maps the index of each part of another size to its size in bytes.
 	OtherPartBytes map[int]int64 `json:"odd,omitempty"`
@@ -37,7 +37,7 @@
 		PartCount:      manifest.PartCount(),
 		OtherPartBytes: map[int]int64{},
 	}
-	// Usual is the most frequent part size, or the smallest of those that are equally frequent.
+	// CommonPartBytes is the most frequent part size, or the smallest of those that are equally frequent.
 	count := map[int64]int{}
 	for part := range summary.PartCount {
 		size := manifest.PartBytes(part)
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,7 +1,8 @@
 // Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the packages
 // and their imports, the names of declarations and the links to the files that declare them, the keys of the state
-// service, and the log messages. It also checks that the README lists all packages, and that all pages except incident pages name
-// only tests and declarations that exist. After code has moved between files, "go test ./docs -update" updates the links.
+// service, and the log messages. It also checks that the README lists all packages, and that all pages except incident
+// pages name only tests and declarations that exist. After code has moved between files, "go test ./docs -update"
+// updates the links.
 package docs_test
 
 import (
--- a/replicas/hint.go
+++ b/replicas/hint.go
@@ -10,8 +10,8 @@
 )
 
 // Hint is a compressed snapshot of the replicas on some machines, stored as a record of the state
-// service. A new leader uses it until the agents report. A hint may be outdated, incomplete or
-// missing: correctness does not depend on it.
+// service. A new leader uses it until the agents send heartbeats. A hint may be outdated,
+// incomplete or missing: correctness does not depend on it.
 type Hint struct {
 	Packed string `json:"z"`
 }
--- a/replicas/hint_test.go
+++ b/replicas/hint_test.go
@@ -17,7 +17,7 @@
 	machineID := func(name string) (MachineID, bool) { return index.ID(name), true }
 	hint, included, err := EncodeHint(snapshot, names, machineID, 15<<10)
 	if err != nil || included != 64 {
-		t.Fatalf("%d included, %d bytes: %v", included, len(hint.Packed), err)
+		t.Fatalf("%d of 64 machines included in a hint of %d bytes: %v", included, len(hint.Packed), err)
 	}
 	t.Logf("%d bytes for %d machines", len(hint.Packed), included)
 	decoded, err := hint.Decode()
@@ -26,11 +26,11 @@
 	}
 	for _, name := range names {
 		if got := decoded[name]["chunks"]; got.PartCount != 20000 || !got.Parts.Equals(snapshot.Parts(index.ID(name), "chunks")) {
-			t.Fatalf("%s: %v", name, got)
+			t.Fatalf("%s: the decoded replica %v differs from the encoded one", name, got)
 		}
 	}
 	if hint, included, _ = EncodeHint(snapshot, names, machineID, 2000); included == 0 || included == 64 || len(hint.Packed) > 2000 {
-		t.Fatalf("%d included in %d bytes", included, len(hint.Packed))
+		t.Fatalf("%d machines included in a hint of %d bytes, want 1 to 63 in at most 2000 bytes", included, len(hint.Packed))
 	}
 	if _, err := (Hint{"AAAA"}).Decode(); err == nil {
 		t.Fatal("a malformed hint was accepted")
--- a/replicas/index.go
+++ b/replicas/index.go
@@ -18,8 +18,8 @@
 // and are reused after a machine is removed.
 type MachineID uint32
 
-// Replica is the set of parts of one dataset that a machine holds. Of is the number of parts in the
-// whole dataset.
+// Replica is the set of parts of one dataset that a machine holds. PartCount is the number of parts in
+// the whole dataset.
 type Replica struct {
 	PartCount int
 	Parts     *roaring.Bitmap
--- a/replicas/index_test.go
+++ b/replicas/index_test.go
@@ -15,7 +15,7 @@
 	return Replica{partCount, roaring.BitmapOf(parts...)}
 }
 
-// After any sequence of reports and removals, the holders of each part agree with the parts of each
+// After any sequence of updates and removals, the holders of each part agree with the parts of each
 // machine, and a snapshot taken earlier is unchanged.
 func TestHoldersAgreeWithPartsOfMachines(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -44,17 +44,17 @@
 			for machine, holds := range expected {
 				machineID := index.ID(machine)
 				if snapshot.Has(machineID, "a", part) != holds[part] {
-					t.Fatalf("part %d on %s", part, machine)
+					t.Fatalf("the index and the last update disagree whether part %d is on %s", part, machine)
 				}
 				if holds[part] {
 					holders++
 				}
 				if snapshot.HeldPartCount(machineID, "a") != len(holds) {
-					t.Fatalf("%s holds %d, not %d", machine, snapshot.HeldPartCount(machineID, "a"), len(holds))
+					t.Fatalf("%s holds %d parts, want %d", machine, snapshot.HeldPartCount(machineID, "a"), len(holds))
 				}
 			}
 			if len(snapshot.Holders("a", part)) != holders || !slices.IsSorted(snapshot.Holders("a", part)) {
-				t.Fatalf("holders of %d: %v, not %d", part, snapshot.Holders("a", part), holders)
+				t.Fatalf("holders of part %d: %v, want %d machines sorted by ID", part, snapshot.Holders("a", part), holders)
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// Complete lists only machines that hold every part. Parts whose index is not below the number of parts
+// CompleteHolders lists only machines that hold every part. Parts whose index is not below the number of parts
 // are ignored, and a machine that reports no replicas holds none.
 func TestCompleteHoldersIgnorePartsBeyondPartCount(t *testing.T) {
 	index := New()
@@ -71,7 +71,7 @@
 	index.Set("n-2", map[string]Replica{"a": replicaOf(3, 0, 2)})
 	snapshot := index.Snapshot()
 	if !slices.Equal(snapshot.CompleteHolders("a"), []MachineID{index.ID("n-1")}) || snapshot.Holders("a", 9) != nil {
-		t.Fatalf("complete: %v", snapshot.CompleteHolders("a"))
+		t.Fatalf("machines that hold every part: %v, want only n-1; or part 9 is not ignored", snapshot.CompleteHolders("a"))
 	}
 	index.Set("n-1", map[string]Replica{})
 	if snapshot := index.Snapshot(); len(snapshot.CompleteHolders("a")) != 0 || len(snapshot.Holders("a", 0)) != 1 {
@@ -114,7 +114,7 @@
 	bytesPerReplica := float64(after.HeapAlloc-before.HeapAlloc) / float64(count)
 	t.Logf("%d replicas, %.0f bytes each", count, bytesPerReplica)
 	if bytesPerReplica > 250 {
-		t.Fatalf("%.0f bytes per replica", bytesPerReplica)
+		t.Fatalf("%.0f bytes per replica, want at most 250", bytesPerReplica)
 	}
 	runtime.KeepAlive(index)
 }
--- a/staging/plan.go
+++ b/staging/plan.go
@@ -34,7 +34,7 @@
 }
 
 // lacks returns whether a demanded part is in the agent's desired state but neither pinned by the agent
-// nor recorded on its machine.
+// nor recorded in the index as held by its machine.
 func (agent *agentState) lacks(demand Demand, snapshot *replicas.Snapshot) bool {
 	desired := agent.desired[demand.Dataset.Name]
 	return desired != nil && desired.parts.Contains(uint32(demand.Part)) && !desired.pinned.Contains(uint32(demand.Part)) &&
--- a/staging/planner.go
+++ b/staging/planner.go
@@ -1,7 +1,6 @@
 // Package staging plans the copying of dataset parts to machines: which part is copied to which
-// machine, from which source, and in which order. The planner is a state machine: its
-// inputs are the agents' heartbeats, the demands for parts and the current time, and its outputs are
-// orders. It does no I/O, takes no locks and reads no clock, and it does not know about jobs or why a
+// machine, from which source, and when. The planner is a state machine: its inputs are the agents'
+// heartbeats, the demands for parts and the current time, and its outputs are orders. It does no I/O, takes no locks and reads no clock, and it does not know about jobs or why a
 // part is demanded.
 //
 // Each machine has one order, which lists everything that the machine has to hold. An order carries
@@ -68,8 +67,8 @@
 	// removedManifests maps the name of each permanently removed dataset to its manifest's digest.
 	removedManifests map[string]string
 
-	// PlannedTransfers counts the transfers that were planned, and Failed the failures of sources of a
-	// transfer, since the term began.
+	// PlannedTransfers counts the transfers that were planned, and SourceFailures the failures of
+	// sources of transfers, since the term began.
 	PlannedTransfers, SourceFailures int
 }
 
@@ -135,7 +134,8 @@
 	// sources lists the sources in the order in which the agent tries them; there is at least one.
 	sources       []api.StageSource
 	receivedBytes int64
-	// lastProgress is the time at which receivedBytes last changed, at first that of the planning.
+	// lastProgress is the time at which receivedBytes last changed, initially the time at which the transfer
+	// was planned.
 	lastProgress time.Time
 	// failures maps each source that failed to the reason.
 	failures map[api.StageSource]string
@@ -185,7 +185,7 @@
 
 // RemoveDataset records that the dataset of this name, whose manifest has the given digest, was removed
 // permanently. The caller must not demand it any more. Every agent that holds parts of it, now or in a
-// later report, is ordered to delete them.
+// later heartbeat, is ordered to delete them.
 func (planner *Planner) RemoveDataset(name, manifest string) {
 	if planner.removedManifests[name] != "" {
 		return
--- a/staging/queries.go
+++ b/staging/queries.go
@@ -127,8 +127,8 @@
 }
 
 // Order returns the current order of a machine and the address of its agent. It returns false if the
-// agent is unknown, or if Plan was not called since it first reported. The caller must not modify
-// the order.
+// agent is unknown, or if Plan has not been called since the agent's first heartbeat. The caller must not
+// modify the order.
 func (planner *Planner) Order(machine string) (order api.StageOrder, address string, ok bool) {
 	agent := planner.agents[machine]
 	if agent == nil || !agent.planned {
@@ -161,7 +161,7 @@
 type TransferStatus struct {
 	Machine, Dataset string
 	Part             int
-	// ReceivedBytes is the number of received bytes, and Of the size of the part in bytes.
+	// ReceivedBytes is the number of received bytes, and TotalBytes the size of the part in bytes.
 	ReceivedBytes, TotalBytes int64
 	// Sources lists the sources in the order in which the agent tries them.
 	Sources []api.StageSource
--- a/staging/staging_test.go
+++ b/staging/staging_test.go
@@ -22,7 +22,7 @@
 		cluster.step(planner, demands)
 		for _, agent := range planner.agents {
 			if agent.incoming > 2 || agent.outgoing > 2 || planner.counts.fromStore > 2 || agent.incoming < 0 || agent.outgoing < 0 {
-				t.Fatalf("%s: %d in, %d out, %d from the store", agent.name, agent.incoming, agent.outgoing, planner.counts.fromStore)
+				t.Fatalf("%s: %d incoming and %d outgoing transfers, and %d from the store; want 0 to 2 of each", agent.name, agent.incoming, agent.outgoing, planner.counts.fromStore)
 			}
 		}
 	}
@@ -31,7 +31,7 @@
 		fromStore += agent.copiesFromStore
 	}
 	if !cluster.allConfirmed(planner, demands) || fromStore != 3 {
-		t.Fatalf("confirmed: %v, %d parts from the store", cluster.allConfirmed(planner, demands), fromStore)
+		t.Fatalf("all demands confirmed: %v; %d parts were copied from the store, want 3", cluster.allConfirmed(planner, demands), fromStore)
 	}
 }
 
@@ -56,7 +56,7 @@
 			}
 			for _, name := range cluster.names[1:] {
 				if !planner.Confirmed(name, inventory, 0) || !planner.Confirmed(name, inventory, 1) {
-					t.Errorf("%s lacks a part", name)
+					t.Errorf("%s: part 0 or part 1 is not confirmed", name)
 				}
 			}
 			if kind == "corrupt" && cluster.agents["n-1"].copiesFromPeers+cluster.agents["n-2"].copiesFromPeers == 0 && cluster.agents["n-3"].copiesFromPeers+cluster.agents["n-4"].copiesFromPeers == 0 {
@@ -123,7 +123,7 @@
 		cluster.step(planner, demandAll(cluster, 4, 5, 6, 7))
 	}
 	if got := len(cluster.agents["n-0"].holds); got != 3 || cluster.agents["n-0"].holds[7] {
-		t.Fatalf("n-0 holds parts %v", cluster.agents["n-0"].holds)
+		t.Fatalf("n-0 holds the parts %v, want 4, 5 and 6", cluster.agents["n-0"].holds)
 	}
 }
 
@@ -173,12 +173,12 @@
 					}
 				}
 				if agent.incoming != transferCount || agent.outgoing < 0 || agent.incoming > 2 {
-					t.Fatalf("seed %d: %s counts %d in for %d, %d out", seed, agent.name, agent.incoming, transferCount, agent.outgoing)
+					t.Fatalf("seed %d: %s has a count of %d incoming transfers, want %d and at most 2, and of %d outgoing ones", seed, agent.name, agent.incoming, transferCount, agent.outgoing)
 				}
 				outgoing, incoming = outgoing+agent.outgoing, incoming+agent.incoming
 			}
 			if fromStore != planner.counts.fromStore || outgoing > incoming {
-				t.Fatalf("seed %d: %d from the store, counted %d", seed, fromStore, planner.counts.fromStore)
+				t.Fatalf("seed %d: %d transfers from the store, but the count is %d; or more outgoing than incoming transfers", seed, fromStore, planner.counts.fromStore)
 			}
 		}
 		if !cluster.allConfirmed(planner, demands) {
