--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -44,7 +44,7 @@
 		Incarnation:      agent.state.Incarnation,
 		Seq:              agent.sequence,
 		Term:             agent.state.Term,
-		Sequence:         agent.state.Order,
+		Sequence:         agent.state.OrderNumber,
 		Quota:            agent.options.CacheBytes,
 		Used:             agent.cache.Used(),
 		Version:          agent.replicasVersion,
--- a/dataagent/order.go
+++ b/dataagent/order.go
@@ -24,7 +24,7 @@
 type storedState struct {
 	Incarnation uint64         `json:"session"`
 	Term        uint64         `json:"helm"`
-	Order       uint64         `json:"order"`
+	OrderNumber uint64         `json:"order"`
 	Sets        []api.StageSet `json:"sets"`
 }
 
@@ -93,12 +93,12 @@
 	agent.mu.Lock()
 	state := agent.state
 	agent.mu.Unlock()
-	outdated := order.Term < state.Term || order.Term == state.Term && order.Sequence < state.Order
+	outdated := order.Term < state.Term || order.Term == state.Term && order.Sequence < state.OrderNumber
 	if outdated || order.Incarnation != 0 && order.Incarnation != state.Incarnation {
 		return false, nil
 	}
-	if order.Term != state.Term || order.Sequence != state.Order {
-		state.Term, state.Order, state.Sets = order.Term, order.Sequence, order.Sets
+	if order.Term != state.Term || order.Sequence != state.OrderNumber {
+		state.Term, state.OrderNumber, state.Sets = order.Term, order.Sequence, order.Sets
 		if err := agent.saveState(state); err != nil {
 			return false, err
 		}
--- a/dataset/dataset_test.go
+++ b/dataset/dataset_test.go
@@ -7,9 +7,9 @@
 )
 
 // buildManifest returns the manifest of a dataset of the given size in bytes, and its encoded form.
-func buildManifest(t *testing.T, size, chunkBytes, partChunks int) (*Manifest, []byte) {
+func buildManifest(t *testing.T, size, chunkBytes, chunksPerPart int) (*Manifest, []byte) {
 	t.Helper()
-	manifest, err := Build("inventory-1", bytes.NewReader(bytes.Repeat([]byte("abcdefg"), size)[:size]), chunkBytes, partChunks, nil)
+	manifest, err := Build("inventory-1", bytes.NewReader(bytes.Repeat([]byte("abcdefg"), size)[:size]), chunkBytes, chunksPerPart, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -72,8 +72,8 @@
 	prose, _ := readArchitecturePage(t)
 	for _, line := range prose {
 		for _, span := range codeSpan.FindAllStringSubmatch(line.text, -1) {
-			if complaint := tree.checkSpan(span[1]); complaint != "" {
-				t.Errorf("docs/%s:%d: %s", architecturePage, line.number, complaint)
+			if problem := tree.checkSpan(span[1]); problem != "" {
+				t.Errorf("docs/%s:%d: %s", architecturePage, line.number, problem)
 			}
 		}
 	}
@@ -137,14 +137,14 @@
 	if pkg := tree.packages[directory]; pkg != nil && pkg.declared[name] != "" {
 		return ""
 	}
-	complaint := "`" + directory + "." + name + "` is not declared"
+	problem := "`" + directory + "." + name + "` is not declared"
 	if tree.packages[directory] == nil {
-		complaint = "there is no package " + directory + " for `" + directory + "." + name + "`"
+		problem = "there is no package " + directory + " for `" + directory + "." + name + "`"
 	}
 	if similar := tree.similarDeclarations(name); len(similar) > 0 {
-		return complaint + "; declarations with the same last name: " + strings.Join(similar, ", ")
+		return problem + "; declarations with the same last name: " + strings.Join(similar, ", ")
 	}
-	return complaint + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
+	return problem + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
 }
 
 func TestArchitecturePageLinksLeadToDeclarations(t *testing.T) {
@@ -310,8 +310,8 @@
 				if found == nil || fileName.MatchString(span[1]) || tree.packages[found[1]] == nil {
 					continue
 				}
-				if complaint := tree.checkSymbol(found[1], found[2]); complaint != "" {
-					t.Errorf("%s:%d: %s", path.Join("docs", page), index+1, complaint)
+				if problem := tree.checkSymbol(found[1], found[2]); problem != "" {
+					t.Errorf("%s:%d: %s", path.Join("docs", page), index+1, problem)
 				}
 			}
 		}
--- a/replicas/snapshot.go
+++ b/replicas/snapshot.go
@@ -31,8 +31,8 @@
 	holders *immutable.List[[]MachineID]
 	// completeHolders lists the machines that hold every part, sorted by ID. The slice is immutable.
 	completeHolders []MachineID
-	// replicaCount is the sum over all machines of the number of parts held.
-	replicaCount int
+	// partReplicaCount is the sum over all machines of the number of parts held.
+	partReplicaCount int
 }
 
 // machineHasher implements immutable.Hasher for MachineID.
@@ -72,7 +72,7 @@
 		replicas = &datasetReplicas{holders: immutable.NewList[[]MachineID]()}
 	}
 	next := replicas.withParts(machineID, partCount, before, parts)
-	if next.replicaCount == 0 {
+	if next.partReplicaCount == 0 {
 		// Dataset names are never reused, so an empty entry would never be removed.
 		snapshot.datasets = snapshot.datasets.Delete(datasetName)
 	} else {
@@ -131,7 +131,7 @@
 	} else {
 		next.completeHolders = removeID(next.completeHolders, machineID)
 	}
-	next.replicaCount += count - int(before.GetCardinality())
+	next.partReplicaCount += count - int(before.GetCardinality())
 	return &next
 }
 
