--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,8 +1,8 @@
-// Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the packages
-// and their imports, the names of declarations and the links to the files that declare them, the keys of the state
-// service, and the log messages. It also checks that the README lists all packages, and that all pages except incident
-// pages name only tests and declarations that exist. After code has moved between files, "go test ./docs -update"
-// updates the links.
+// Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the
+// packages and their imports, the names of declarations and the links to the files that declare them, the keys of the
+// state service, and the log messages. It also checks that the README lists all packages, and that all pages except
+// incident pages name only tests and declarations that exist. After code has moved between files,
+// "go test ./docs -update" updates the links.
 package docs_test
 
 import (
@@ -179,7 +179,8 @@
 	return path.Join(repositoryRoot, tree.packages[found[1]].declared[found[2]])
 }
 
-// updateLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
+// updateLinks changes the links of architecture.md whose text is a declared symbol, so that they lead to the file that
+// declares it.
 func (tree *sourceTree) updateLinks(t *testing.T) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
--- a/docs/source_test.go
+++ b/docs/source_test.go
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// specNames returns the names that one specification of constants, variables or a type declares, including the fields of
-// a struct type and the methods of an interface type.
+// specNames returns the names that one specification of constants, variables or a type declares, including the fields
+// of a struct type and the methods of an interface type.
 func specNames(spec ast.Spec) (names []string) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
--- a/staging/planner.go
+++ b/staging/planner.go
@@ -1,7 +1,7 @@
 // Package staging plans the copying of dataset parts to machines: which part is copied to which
 // machine, from which source, and when. The planner is a state machine: its inputs are the agents'
-// heartbeats, the demands for parts and the current time, and its outputs are orders. It does no I/O, takes no locks and reads no clock, and it does not know about jobs or why a
-// part is demanded.
+// heartbeats, the demands for parts and the current time, and its outputs are orders. It does no I/O,
+// takes no locks and reads no clock, and it does not know about jobs or why a part is demanded.
 //
 // Each machine has one order, which lists everything that the machine has to hold. An order carries
 // the leader's term and an increasing number, and an agent rejects an order that is older than its
