--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -44,7 +44,7 @@
 		Incarnation:      agent.state.Incarnation,
 		Seq:              agent.sequence,
 		Term:             agent.state.Term,
-		Sequence:         agent.state.Order,
+		Sequence:         agent.state.OrderNumber,
 		Quota:            agent.options.CacheBytes,
 		Used:             agent.cache.Used(),
 		Version:          agent.replicasVersion,
@@ -154,7 +154,7 @@
 	defer closeBody(response)
 	body, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxOrderBytes))
 	if err != nil {
-		return "", fmt.Errorf("read answer to heartbeat: %w", err)
+		return "", fmt.Errorf("read response to heartbeat: %w", err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,7 +1,8 @@
-// Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the packages
-// and their imports, the names of declarations and the links to the files that declare them, the keys of the state
-// service, and the log messages. It also checks that the README lists all packages, and that all pages except incident pages name
-// only tests and declarations that exist. After code has moved between files, "go test ./docs -update" updates the links.
+// Package docs_test checks the documentation against the code. In architecture.md, it checks the diagram of the
+// packages and their imports, the names of declarations and the links to the files that declare them, the keys of the
+// state service, and the log messages. It also checks that the README lists all packages, and that all pages except
+// incident pages name only tests and declarations that exist. After code has moved between files,
+// "go test ./docs -update" updates the links.
 package docs_test
 
 import (
@@ -71,8 +72,8 @@
 	prose, _ := readArchitecturePage(t)
 	for _, line := range prose {
 		for _, span := range codeSpan.FindAllStringSubmatch(line.text, -1) {
-			if complaint := tree.checkSpan(span[1]); complaint != "" {
-				t.Errorf("docs/%s:%d: %s", architecturePage, line.number, complaint)
+			if problem := tree.checkSpan(span[1]); problem != "" {
+				t.Errorf("docs/%s:%d: %s", architecturePage, line.number, problem)
 			}
 		}
 	}
@@ -136,14 +137,14 @@
 	if pkg := tree.packages[directory]; pkg != nil && pkg.declared[name] != "" {
 		return ""
 	}
-	complaint := "`" + directory + "." + name + "` is not declared"
+	problem := "`" + directory + "." + name + "` is not declared"
 	if tree.packages[directory] == nil {
-		complaint = "there is no package " + directory + " for `" + directory + "." + name + "`"
+		problem = "there is no package " + directory + " for `" + directory + "." + name + "`"
 	}
 	if similar := tree.similarDeclarations(name); len(similar) > 0 {
-		return complaint + "; declarations with the same last name: " + strings.Join(similar, ", ")
+		return problem + "; declarations with the same last name: " + strings.Join(similar, ", ")
 	}
-	return complaint + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
+	return problem + ", and no other declaration has the same last name; it was renamed or removed: write the name of its replacement"
 }
 
 func TestArchitecturePageLinksLeadToDeclarations(t *testing.T) {
@@ -178,7 +179,8 @@
 	return path.Join(repositoryRoot, tree.packages[found[1]].declared[found[2]])
 }
 
-// updateLinks changes the links of architecture.md whose text is a declared symbol to lead to the file that declares it.
+// updateLinks changes the links of architecture.md whose text is a declared symbol, so that they lead to the file that
+// declares it.
 func (tree *sourceTree) updateLinks(t *testing.T) {
 	t.Helper()
 	raw, err := os.ReadFile(architecturePage)
@@ -309,8 +311,8 @@
 				if found == nil || fileName.MatchString(span[1]) || tree.packages[found[1]] == nil {
 					continue
 				}
-				if complaint := tree.checkSymbol(found[1], found[2]); complaint != "" {
-					t.Errorf("%s:%d: %s", path.Join("docs", page), index+1, complaint)
+				if problem := tree.checkSymbol(found[1], found[2]); problem != "" {
+					t.Errorf("%s:%d: %s", path.Join("docs", page), index+1, problem)
 				}
 			}
 		}
