--- a/api/cloud_test.go
+++ b/api/cloud_test.go
@@ -10,7 +10,7 @@
 	}{{Submission{CPUs: 8, MemoryGB: 32}, true}, {Submission{CPUs: 8.1}, false}, {Submission{CPUs: 1, Cards: 1}, false},
 		{Submission{CPUs: 1, Types: []string{"x"}}, false}, {Submission{CPUs: 1, Zone: "b"}, false}, {Submission{CPUs: 1, Image: "i", ImageGB: 11}, false}} {
 		if machineType.Fits(&test.s) != test.want {
-			t.Errorf("%+v", test.s)
+			t.Errorf("%+v: want %v", test.s, test.want)
 		}
 	}
 }
--- a/api/configuration.go
+++ b/api/configuration.go
@@ -4,11 +4,12 @@
 type ConfigurationRequest struct {
 	// Document is the complete new configuration in TOML.
 	Document string `json:"document"`
-	// Operator is the operator and Why the reason for the change. Both are stored with the revision.
+	// Operator is the name of the operator who requests the change and Reason the reason for it. Both are stored with
+	// the revision.
 	Operator string `json:"by"`
 	Reason   string `json:"why"`
-	// ExpectedRevision is the revision that must be current for the change to apply; 0 means that no revision may be stored,
-	// nil that any revision is accepted.
+	// ExpectedRevision is the revision that must be current for the change to apply; 0 means that no revision may be
+	// stored, nil that any revision is accepted.
 	ExpectedRevision *uint64 `json:"expect,omitempty"`
 }
 
@@ -21,8 +22,8 @@
 	// AppliedAtMS is the time at which the revision was applied, in milliseconds since the Unix epoch.
 	AppliedAtMS int64  `json:"at_ms,omitempty"`
 	Document    string `json:"document,omitempty"`
-	// InForce is true if no controller decides or answers by an older revision. Otherwise WaitsFor lists what
-	// still has to happen.
+	// InForce is true if no controller decides or answers by an older revision. Otherwise WaitsFor lists the
+	// conditions that are not yet met.
 	InForce  bool     `json:"in_force"`
 	WaitsFor []string `json:"waits_for,omitempty"`
 	// Newest is the newest stored revision. If it differs from Revision, NotAppliedReason gives the reason.
@@ -47,8 +48,8 @@
 	FieldErrors []ConfigurationFieldError `json:"mistakes"`
 }
 
-// ConfigurationConflict rejects a change whose expected revision is not the current one. Revision, By and Why
-// describe the current revision.
+// ConfigurationConflict rejects a change whose expected revision is not the current one. Revision, Operator
+// and Reason describe the current revision.
 type ConfigurationConflict struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision"`
--- a/api/constraints.go
+++ b/api/constraints.go
@@ -47,8 +47,8 @@
 	return constraint.Required == nil || *constraint.Required
 }
 
-// ParsePlacementConstraints reads the placement constraints from the body of a submission, which must be a JSON object; tasks is
-// the job's number of tasks. A constraint is nil if the body does not contain it. The error is a *FieldError.
+// ParsePlacementConstraints reads the placement constraints from the body of a submission, which must be a JSON object;
+// tasks is the job's number of tasks. A constraint is nil if the body does not contain it. The error is a *FieldError.
 func ParsePlacementConstraints(body []byte, tasks int) (*Near, *Survive, error) {
 	var fields struct {
 		Near    json.RawMessage `json:"near"`
--- a/api/heartbeat.go
+++ b/api/heartbeat.go
@@ -6,7 +6,7 @@
 	TaskFetching = "fetching"
 	// TaskRunning means that the task is running or waiting for the other tasks of its gang.
 	TaskRunning = "running"
-	// TaskSaving means that the task was told to stop and is saving its progress.
+	// TaskSaving means that the task is being stopped and is saving its progress.
 	TaskSaving = "flushing"
 	// TaskExited means that the task has exited; TaskReport.Cause gives the reason.
 	TaskExited = "ended"
@@ -22,7 +22,8 @@
 	CauseError = "error"
 	// CauseInsufficientResources means that the worker rejected the start for lack of free resources.
 	CauseInsufficientResources = "no_room"
-	// CauseConflictingAttempt means that the worker rejected the start because another attempt of the task is on the machine.
+	// CauseConflictingAttempt means that the worker rejected the start because another attempt of the task is on the
+	// machine.
 	CauseConflictingAttempt = "busy"
 	// CauseNotFound means that the worker rejected the start because it cannot find the job or task.
 	CauseNotFound = "unknown"
@@ -50,7 +51,7 @@
 	Saved bool `json:"stored"`
 }
 
-// Heartbeat is a worker's report of its state.
+// Heartbeat is the message in which a worker periodically reports its state.
 type Heartbeat struct {
 	Machine string `json:"host"`
 	Address string `json:"address"`
@@ -105,7 +106,8 @@
 	Commands    []Command `json:"orders"`
 }
 
-// Redirect tells a worker which controller to report to. If Controller is empty, the worker tries the next one.
+// Redirect is the response that directs a worker to send its heartbeats to another controller. If Controller is empty,
+// the worker tries the next one.
 type Redirect struct {
 	Controller string `json:"harbor,omitempty"`
 }
--- a/api/inputs.go
+++ b/api/inputs.go
@@ -23,7 +23,7 @@
 }
 
 // ParseInputs reads the inputs from the body of a submission, which must be a JSON object. It returns nil if the
-// field is absent. The error is a *FieldError. The number of tasks is ignored: only the record of a dataset tells
+// field is absent. The error is a *FieldError. The number of tasks is ignored: only the record of a dataset shows
 // whether the dataset has a part for each task.
 func ParseInputs(body []byte, _ int) ([]Input, error) {
 	var fields struct {
--- a/api/staging.go
+++ b/api/staging.go
@@ -32,13 +32,14 @@
 type StageSet struct {
 	Dataset  string `json:"dataset"`
 	Manifest string `json:"manifest"`
-	// Parts are kept for as long as an order lists them.
+	// Parts is the set of parts that the machine must hold. The agent keeps them for as long as an order lists them.
 	Parts PartSet `json:"parts"`
 	// Copies lists those of Parts that are to be copied now.
 	Copies []StageCopy `json:"copies,omitempty"`
 }
 
-// StageOrder tells an agent everything that its machine must hold. It replaces the previous order.
+// StageOrder is an order to a data agent. It lists all data that the agent's machine must hold and replaces the previous
+// order.
 type StageOrder struct {
 	// Term is the fencing token.
 	Term uint64 `json:"helm"`
@@ -71,8 +72,8 @@
 	Corrupt bool `json:"lied,omitempty"`
 }
 
-// StageProgress is the progress of a copy. Got is the number of bytes copied so far, Of the size of the part in
-// bytes.
+// StageProgress is the progress of a copy. CopiedBytes is the number of bytes copied so far, TotalBytes the size of the
+// part in bytes.
 type StageProgress struct {
 	Dataset     string         `json:"dataset"`
 	Part        int            `json:"part"`
@@ -84,21 +85,21 @@
 	CacheFull bool `json:"full,omitempty"`
 }
 
-// StageHeartbeat is an agent's report of its machine's state. Sizes are in bytes.
+// StageHeartbeat is the heartbeat of a data agent. Sizes are in bytes.
 type StageHeartbeat struct {
 	Machine string `json:"host"`
 	Address string `json:"address"`
 	// Incarnation increases with each start of the agent, Seq with each heartbeat of an incarnation.
 	Incarnation uint64 `json:"session"`
 	Seq         uint64 `json:"seq"`
-	// Term and Order identify the newest order that the agent has accepted.
+	// Term and Sequence identify the newest order that the agent has accepted.
 	Term     uint64 `json:"helm"`
 	Sequence uint64 `json:"order"`
 	// Quota is the capacity of the cache, Used the space taken in it.
 	Quota int64 `json:"quota"`
 	Used  int64 `json:"used"`
-	// Version counts the changes of the agent's holdings. If the controllers know this version, All is false
-	// and Holds is omitted. Otherwise All is true and Holds lists everything in the cache.
+	// Version counts the changes of the agent's holdings. If the controllers know this version, HoldingsComplete is
+	// false and Holdings is omitted. Otherwise HoldingsComplete is true and Holdings lists everything in the cache.
 	Version          uint64         `json:"version"`
 	HoldingsComplete bool           `json:"all,omitempty"`
 	Holdings         []StageHolding `json:"holds,omitempty"`
@@ -111,7 +112,8 @@
 	BytesFromPeers int64 `json:"from_peers"`
 }
 
-// maxReportedBytes is the largest size, in bytes, that an agent may report; a sum of up to four does not overflow.
+// maxReportedBytes is the largest size, in bytes, that an agent may report; the sum of four such sizes does not overflow
+// an int64.
 const maxReportedBytes = math.MaxInt64 / 4
 
 // Check returns a *FieldError if a required field is missing or a number is out of range.
--- a/api/submission.go
+++ b/api/submission.go
@@ -87,7 +87,7 @@
 // RankLevel returns the numeric level of the rank. Jobs of a higher level have priority.
 func (submission *Submission) RankLevel() int { return rankLevels[submission.Rank] }
 
-// JobStatus is the response to a user's query for a job. Done and Running are numbers of tasks.
+// JobStatus is the response to a submission, a status request or a cancellation. Done and Running are numbers of tasks.
 type JobStatus struct {
 	ID      string `json:"name_id"`
 	State   string `json:"status"`
@@ -102,8 +102,8 @@
 func ValidID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // ParseSubmission decodes and validates a submission except for its inputs and placement constraints, which
-// ParseInputs and ParsePlacementConstraints read. The error is a *FieldError for the first invalid field. If the body has a valid
-// id, it is returned even with an error, since the resubmission of a known job is never rejected.
+// ParseInputs and ParsePlacementConstraints read. The error is a *FieldError for the first invalid field. If the body
+// has a valid id, it is returned even with an error, since the resubmission of a known job is never rejected.
 func ParseSubmission(body []byte) (submission *Submission, id string, err error) {
 	var fields map[string]json.RawMessage
 	if err := decodeObject(body, &fields); err != nil {
--- a/api/submission_test.go
+++ b/api/submission_test.go
@@ -26,7 +26,7 @@
 	encoded, _ := json.Marshal(submission)
 	var decoded Submission
 	if json.Unmarshal(encoded, &decoded) != nil || decoded.Team != "vision" || decoded.DeadlineS != 0 {
-		t.Errorf("%+v", decoded)
+		t.Errorf("after the round trip: %+v", decoded)
 	}
 }
 
@@ -58,7 +58,7 @@
 	_, id, err := ParseSubmission(raw)
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != field {
-		t.Errorf("%s: error %v", field, err)
+		t.Errorf("%s: error %v, want a FieldError for this field", field, err)
 	}
 	if field != "name_id" && id != "run-000412" {
 		t.Errorf("%s: the id was not returned with the error", field)
--- a/api/topology.go
+++ b/api/topology.go
@@ -7,7 +7,7 @@
 	// Unlisted is the number of machines in no domain, Ambiguous the number of machines in two domains.
 	Unlisted  int `json:"not_named"`
 	Ambiguous int `json:"named_twice"`
-	// Waiting lists the jobs with tasks that wait for their inputs.
+	// Waiting lists the jobs with tasks that wait because of placement constraints.
 	Waiting []WaitingView `json:"waiting"`
 	// Reserved lists the domains that are being drained for a job.
 	Reserved []ReservedView `json:"reserved"`
@@ -58,7 +58,7 @@
 	Unconfirmed int `json:"unsure"`
 }
 
-// WaitingView is a job with tasks that wait for their inputs.
+// WaitingView is a job with waiting tasks, and the reason why they wait.
 type WaitingView struct {
 	Job string `json:"job"`
 	// Tasks is the number of waiting tasks.
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -74,7 +74,7 @@
 	PerTask   float64 `json:"per_task"`
 	PerStart  float64 `json:"per_start_a_second"`
 	// Residual is the largest deviation of a measured point from the fit, as a fraction of the measured value. Points
-	// is the number of measured points; Least and Most are the bounds of their sizes.
+	// is the number of measured points; MinSize and MaxSize are the bounds of their sizes.
 	Residual         float64 `json:"residual"`
 	Points           int     `json:"points"`
 	MinSize, MaxSize Size    `json:"-"`
@@ -127,7 +127,7 @@
 }
 
 // predictors lists functions that return the predictors of a fit: the constant and the dimensions of the size, in the
-// order of the fields of Slopes.
+// order of the coefficients of LinearFit.
 var predictors = []func(m Measurement) float64{
 	func(Measurement) float64 { return 1 },
 	func(m Measurement) float64 { return m.Workers },
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -29,7 +29,7 @@
 	got := m["f"]
 	for _, c := range [][2]float64{{got.Constant, want.Constant}, {got.PerWorker, want.PerWorker}, {got.PerTask, want.PerTask}, {got.PerStart, want.PerStart}} {
 		if math.Abs(c[0]-c[1]) > 1e-6*c[1] {
-			t.Errorf("%g, want %g", c[0], c[1])
+			t.Errorf("coefficient %g, want %g", c[0], c[1])
 		}
 	}
 	if got.Residual > 1e-9 || got.Points != 5 {
@@ -37,7 +37,8 @@
 	}
 }
 
-// Coefficients are not negative even if noise suggests it, and a constant figure has no slope.
+// Coefficients are not negative, even if a negative one would fit noisy measurements better, and the estimate of a
+// constant figure does not depend on the size.
 func TestFitHasNoNegativeCoefficients(t *testing.T) {
 	all := exactMeasurements(LinearFit{Constant: 1, PerWorker: 0.01})
 	all[4].Figures["f"] *= 0.8
@@ -57,7 +58,7 @@
 		t.Errorf("a constant figure of 7 is estimated as %g", got)
 	}
 	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFewMeasurements) {
-		t.Errorf("three sizes: %v", err)
+		t.Errorf("fit of 3 measurements: error %v, want %v", err, ErrTooFewMeasurements)
 	}
 }
 
@@ -120,7 +121,7 @@
 	}
 	for i := range ampleMemory[1:] {
 		if ampleMemory[i].Factor > ampleMemory[i+1].Factor {
-			t.Errorf("not in order: %+v", ampleMemory)
+			t.Errorf("limits not in ascending order of Factor: %+v", ampleMemory)
 		}
 	}
 	// At the size scaled by Factor the figure equals the bound.
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -51,8 +51,8 @@
 	Value  float64 `json:"value"`
 	// Larger is the value at 1.5 times the size.
 	Larger float64 `json:"value_at_1_5"`
-	// Residual is the residual of the fit. Beyond is true if the size lies outside of the measured range, LargerExtrapolated
-	// if 1.5 times the size does.
+	// Residual is the residual of the fit. Extrapolated is true if the size lies outside of the measured range,
+	// LargerExtrapolated if 1.5 times the size does.
 	Residual           float64 `json:"residual"`
 	Extrapolated       bool    `json:"beyond_measured"`
 	LargerExtrapolated bool    `json:"beyond_measured_at_1_5"`
@@ -116,7 +116,7 @@
 	Extrapolated bool `json:"beyond_measured"`
 }
 
-// throttleShare is the fraction of a limit up to which the controllers throttle their own requests.
+// throttleShare is the fraction of a limit to which the controllers throttle their own requests.
 const throttleShare = 0.8
 
 // Limits returns the bounds that the settings impose, in the order in which a growing deployment reaches them.
--- a/cli/experiment_faults.go
+++ b/cli/experiment_faults.go
@@ -43,7 +43,7 @@
 }
 
 // dayEndExperiment returns the command that counts lost, starved and wasted work under one-way partitions, delayed
-// duplicates of reports, and isolated controllers.
+// duplicates of heartbeats, and isolated controllers.
 func dayEndExperiment() *cobra.Command {
 	options := experiment.DayEndDefaults()
 	cmd := newExperimentCommand(&cobra.Command{
--- a/features/features.go
+++ b/features/features.go
@@ -21,9 +21,10 @@
 	PlacementBlind = "blind"
 	// PlacementImages considers cached images in placement and copies inputs only from the store.
 	PlacementImages = "images"
-	// PlacementLocal considers both in placement and copies inputs from other machines too, once the task is placed.
+	// PlacementLocal considers cached images and cached inputs in placement and copies inputs also from other machines,
+	// once the task is placed.
 	PlacementLocal = "local"
-	// PlacementStaged does the same as Local and also copies inputs ahead for queued tasks.
+	// PlacementStaged does the same as PlacementLocal and also copies inputs ahead for queued tasks.
 	PlacementStaged = "staged"
 )
 
@@ -62,7 +63,8 @@
 	On bool `toml:"on"`
 	// Store is the base URL of the dataset store, without a trailing slash.
 	Store string `toml:"store"`
-	// Placement is Blind, Images, Local or Staged; the first three exist for comparison.
+	// Placement is PlacementBlind, PlacementImages, PlacementLocal or PlacementStaged; the first three exist for
+	// comparison.
 	Placement string `toml:"placement"`
 	// CacheGB is the default size of an agent's cache in gigabytes of 1e9 bytes. TypeCacheGB overrides it by machine
 	// type.
@@ -114,7 +116,7 @@
 }
 
 // Parse decodes and validates the text of a features file. The error lists every invalid setting by its name. An
-// unknown name is an error, since its author expects it to have an effect.
+// unknown name is an error, since whoever wrote it expects it to have an effect.
 func Parse(raw []byte) (*Features, error) {
 	features := Features{Data: Data{
 		Placement:     PlacementStaged,
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -16,6 +16,8 @@
 	}
 }
 
+// Without a file, every feature is off. In a file, a cache size of a machine type overrides the default size, and the
+// trailing slash of the store's URL is removed.
 func TestLoadWithoutFileDisablesAllFeatures(t *testing.T) {
 	features, err := Load("")
 	if err != nil || features.Data.On {
--- a/internal/compress/compress.go
+++ b/internal/compress/compress.go
@@ -46,8 +46,8 @@
 	return base64.RawStdEncoding.EncodeToString(zstdEncoder.EncodeAll(raw, nil)), nil
 }
 
-// Decode decodes text from EncodeFast or EncodeSmall into value, a pointer. The decoder uses at most tuning.MaxDecompressedBytes
-// bytes of memory, whatever the text.
+// Decode decodes text from EncodeFast or EncodeSmall into value, a pointer. The decoder uses at most
+// tuning.MaxDecompressedBytes bytes of memory, whatever the text.
 func Decode(text string, value any) error {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -18,8 +18,8 @@
 	return ctx.Err() == nil
 }
 
-// OnRealClock does the same as For on the real clock, for experiments and simulations, which do not use a test clock. It does
-// not wait if duration is 0 or negative.
+// OnRealClock does the same as For on the real clock, for experiments and simulations, which do not use a test clock.
+// It does not wait if duration is 0 or negative.
 func OnRealClock(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/lint/baseline_test.go
+++ b/lint/baseline_test.go
@@ -32,7 +32,7 @@
 	}
 	delete(counts, Pair{"configuration", "modernize"})
 	if !reflect.DeepEqual(parsed, counts) {
-		t.Errorf("read again: %v, want %v", parsed, counts)
+		t.Errorf("parsed: %v, want %v", parsed, counts)
 	}
 }
 
@@ -81,10 +81,10 @@
 		{Pair{"store", "errcheck"}, 2, 1},
 	}
 	if !reflect.DeepEqual(increased, wantIncreased) {
-		t.Errorf("risen: %v, want %v", increased, wantIncreased)
+		t.Errorf("increased: %v, want %v", increased, wantIncreased)
 	}
 	if !reflect.DeepEqual(decreased, wantDecreased) {
-		t.Errorf("fallen: %v, want %v", decreased, wantDecreased)
+		t.Errorf("decreased: %v, want %v", decreased, wantDecreased)
 	}
 }
 
@@ -121,6 +121,6 @@
 	}
 	want := []string{"revive: 3, baseline 2", "unparam: 1, baseline 0"}
 	if risen := IncreasedTotals(baseline, found); !reflect.DeepEqual(risen, want) {
-		t.Errorf("risen totals: %v, want %v", risen, want)
+		t.Errorf("increased totals: %v, want %v", risen, want)
 	}
 }
--- a/lint/findings_test.go
+++ b/lint/findings_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("counts: %v, want %v", counts, want)
 	}
 	if line := findings[0].String(); line != "store/etcd.go:3:2: Error return value is not checked (errcheck)" {
-		t.Errorf("first finding reads %q", line)
+		t.Errorf("first finding is formatted as %q", line)
 	}
 }
 
@@ -34,7 +34,7 @@
 			t.Errorf("error %v, want a CompileError", err)
 		}
 	})
-	t.Run("an error of the run", func(t *testing.T) {
+	t.Run("failed run", func(t *testing.T) {
 		if _, err := ParseFindings([]byte(`{"Issues":[],"Report":{"Error":"context loading failed"}}`)); err == nil {
 			t.Error("no error")
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -27,7 +27,7 @@
 	programs map[string]*vm.Program
 	defaults map[string]*vm.Program
 
-	// mu guards warned.
+	// mu guards warnedSettings.
 	mu sync.Mutex
 	// warnedSettings holds the settings for which the use of the default has been logged.
 	warnedSettings map[string]bool
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -75,7 +75,7 @@
 	HeartbeatIntervalS float64 `toml:"report_s"`
 	// LeaseS is the time for which a worker keeps its tasks without a heartbeat response.
 	LeaseS float64 `toml:"lease_s"`
-	// CancelDeadlineS is the time within which the tasks of a cancelled job must be gone.
+	// CancelDeadlineS is the time within which the tasks of a cancelled job must have stopped.
 	CancelDeadlineS float64 `toml:"cancel_s"`
 }
 
@@ -88,7 +88,7 @@
 	ValueKB float64 `toml:"value_kb"`
 	// TxnOps is the maximum number of puts and deletes in a transaction.
 	TxnOps int `toml:"txn_ops"`
-	// Announced holds announced limits that will take effect at some time without further notice.
+	// Announced holds future limits, which take effect at some time without further notice.
 	Announced AnnouncedStateLimits `toml:"next"`
 }
 
@@ -129,7 +129,7 @@
 type Resources struct {
 	// CPU is the limit of processor time as a share of one core.
 	CPU float64 `toml:"cpu"`
-	// RAMMB is the memory limit in megabytes.
+	// RAMMB is the memory limit in mebibytes.
 	RAMMB      float64 `toml:"ram_mb"`
 	MaxSockets int     `toml:"sockets"`
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// An invalid setting ends the process with a one-line message that names the field.
+// The error for an invalid setting is a single line that names the field.
 func TestParseNamesInvalidFieldInOneLine(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`member = "n0"`, ``, "member"},
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -4,9 +4,9 @@
 //
 // The bound is a Lagrangian relaxation. Each time slot of the day has a price for CPU time. At given prices each task is
 // scheduled independently at its lowest cost, without preemption and ending by its deadline, and a job is accepted if
-// the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus, for each accepted job, 1
-// minus its cost is at least the number of jobs that can meet their deadlines together. The bound is the lowest such
-// value that a subgradient method finds.
+// the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus the sum of 1 minus the
+// cost of each accepted job is at least the number of jobs that can meet their deadlines together. The bound is the
+// lowest such value that a subgradient method finds.
 package upperbound
 
 import (
@@ -24,8 +24,8 @@
 	Tasks       []Task
 }
 
-// FreeCapacity holds the number of CPUs available to the jobs in each time slot. Slot is the length of a slot in seconds; the
-// first slot begins at the start of the day.
+// FreeCapacity holds the number of CPUs available to the jobs in each time slot. SlotS is the length of a slot in
+// seconds; the first slot begins at the start of the day.
 type FreeCapacity struct {
 	SlotS float64
 	CPUs  []float64
@@ -33,8 +33,8 @@
 
 // Result is the bound and the prices at which it was found.
 type Result struct {
-	// Jobs is the number of jobs. Alone is the number of jobs that could not have met their deadlines even with the
-	// whole fleet to themselves.
+	// Jobs is the number of jobs. InfeasibleAlone is the number of jobs that could not have met their deadlines even
+	// with the whole fleet available to them alone.
 	Jobs, InfeasibleAlone int
 	// Bound is the bound on the number of jobs that could have met their deadlines together.
 	Bound float64
@@ -88,7 +88,7 @@
 	return result
 }
 
-// feasibleJobs returns the jobs that can meet their deadlines with the whole fleet to themselves.
+// feasibleJobs returns the jobs that can meet their deadlines if the whole fleet is available to them alone.
 func feasibleJobs(jobs []Job) (feasible []Job) {
 	for _, job := range jobs {
 		if feasibleAlone(job) {
--- a/upperbound/upperbound_test.go
+++ b/upperbound/upperbound_test.go
@@ -16,15 +16,15 @@
 	return to <= len(s.freeCPUs) && !slices.ContainsFunc(s.freeCPUs[from:to], func(cpus float64) bool { return cpus < task.CPUs })
 }
 
-// reserve takes CPUs for the run time of a task, or returns them if cpus is negative.
+// reserve reserves CPUs for a number of seconds from the given second on, or releases them if cpus is negative.
 func (s *schedule) reserve(cpus float64, from, seconds int) {
 	for i := from; i < from+seconds; i++ {
 		s.freeCPUs[i] -= cpus
 	}
 }
 
-// place tries all start times of the tasks of a job, beginning with the task of the given index, until then returns
-// true.
+// place tries all combinations of start times of the tasks of a job, beginning with the task of the given index, until
+// placeRest returns true. It reports whether placeRest has returned true.
 func (s *schedule) place(job Job, task int, placeRest func() bool) bool {
 	if task == len(job.Tasks) {
 		return placeRest()
@@ -101,7 +101,7 @@
 	}
 	t.Logf("%d jobs can meet their deadlines over all days; the bounds, rounded down, allow %.0f more", sum, gap)
 	if gap > 0.15*float64(sum) {
-		t.Errorf("the bounds are %.0f above %d", gap, sum)
+		t.Errorf("the bounds allow %.0f jobs more than the %d that can meet their deadlines", gap, sum)
 	}
 }
 
