--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -87,7 +87,7 @@
 
 // Extrapolates reports whether a size lies outside of the measured range.
 func (f LinearFit) Extrapolates(s Size) bool {
-	outside := func(v, least, most float64) bool { return v < least || v > most }
+	outside := func(v, lower, upper float64) bool { return v < lower || v > upper }
 	return outside(s.Workers, f.MinSize.Workers, f.MaxSize.Workers) || outside(s.Tasks, f.MinSize.Tasks, f.MaxSize.Tasks) || outside(s.Starts, f.MinSize.Starts, f.MaxSize.Starts)
 }
 
@@ -111,14 +111,14 @@
 	}
 	model := Model{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		slopes, err := fitFigure(name, measurements)
+		fit, err := fitFigure(name, measurements)
 		if errors.Is(err, ErrTooFewMeasurements) {
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		model[name] = slopes
+		model[name] = fit
 	}
 	if len(model) == 0 {
 		return nil, fmt.Errorf("%w: no figure has %d measurements", ErrTooFewMeasurements, minPoints)
@@ -201,11 +201,11 @@
 
 // maxContribution returns the contribution of a coefficient at the largest value of its predictor.
 func maxContribution(points []Measurement, predictor int, coefficient float64) float64 {
-	most := 0.0
+	maxValue := 0.0
 	for _, p := range points {
-		most = math.Max(most, predictors[predictor](p))
+		maxValue = math.Max(maxValue, predictors[predictor](p))
 	}
-	return most * coefficient
+	return maxValue * coefficient
 }
 
 // leastSquares fits a figure to the predictors with the given indices. It fails if they are linearly dependent.
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -61,8 +61,8 @@
 // workerRole is the role whose figures are measured for all workers together and reported per worker.
 const workerRole = "worker"
 
-// columns lists the figures of the table in the order of its rows.
-var columns = []struct {
+// rowDefinitions lists the figures of the table in the order of its rows.
+var rowDefinitions = []struct {
 	role, figure, name, unit string
 }{
 	{workerRole, HeartbeatBytes, "reports and answers", "bytes/s"},
@@ -89,13 +89,13 @@
 // Table returns a row for each figure of the model, in the order of columns.
 func (m Model) Table(size Size) (rows []Row) {
 	larger := size.Scale(1.5)
-	for _, c := range columns {
-		slopes, ok := m[c.figure]
+	for _, c := range rowDefinitions {
+		fit, ok := m[c.figure]
 		if !ok {
 			continue
 		}
-		row := Row{Role: c.role, Figure: c.name, Unit: c.unit, Value: slopes.At(size), Larger: slopes.At(larger), Residual: slopes.Residual,
-			Extrapolated: slopes.Extrapolates(size), LargerExtrapolated: slopes.Extrapolates(larger)}
+		row := Row{Role: c.role, Figure: c.name, Unit: c.unit, Value: fit.At(size), Larger: fit.At(larger), Residual: fit.Residual,
+			Extrapolated: fit.Extrapolates(size), LargerExtrapolated: fit.Extrapolates(larger)}
 		if c.role == workerRole && size.Workers > 0 {
 			row.Value /= size.Workers
 			row.Larger /= larger.Workers
@@ -136,12 +136,12 @@
 		{"facts.state.write_rps", StateChanges, throttleShare * strictest.WriteRPS},
 		{"facts.cloud.rps", CloudRequests, configuration.Facts.Cloud.RPS},
 	} {
-		slopes, ok := m[limit.figure]
+		fit, ok := m[limit.figure]
 		if !ok || limit.bound <= 0 {
 			continue
 		}
-		factor := slopes.growthFactor(size, limit.bound)
-		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: slopes.At(size), Factor: factor, Extrapolated: slopes.Extrapolates(size.Scale(factor))})
+		factor := fit.growthFactor(size, limit.bound)
+		limits = append(limits, Limit{Name: limit.name, Bound: limit.bound, Needed: fit.At(size), Factor: factor, Extrapolated: fit.Extrapolates(size.Scale(factor))})
 	}
 	sortLimits(limits)
 	return limits
--- a/cli/config_apply.go
+++ b/cli/config_apply.go
@@ -157,8 +157,8 @@
 	var refusal api.ConfigurationFieldErrors
 	_ = json.Unmarshal(raw, &refusal)
 	var lines []string
-	for _, mistake := range refusal.FieldErrors {
-		lines = append(lines, configuration.FieldError{Line: mistake.Line, Field: mistake.Field, Remedy: mistake.Remedy}.String())
+	for _, fieldError := range refusal.FieldErrors {
+		lines = append(lines, configuration.FieldError{Line: fieldError.Line, Field: fieldError.Field, Remedy: fieldError.Remedy}.String())
 	}
 	return withExitCode(ExitUsage, fmt.Errorf("%s:\n%s", refusal.Error, strings.Join(lines, "\n")))
 }
--- a/cli/data.go
+++ b/cli/data.go
@@ -56,8 +56,8 @@
 		if progress.CacheFull {
 			problems = "cache full "
 		}
-		for from, why := range progress.FailedSources {
-			problems += from + ": " + why + " "
+		for from, reason := range progress.FailedSources {
+			problems += from + ": " + reason + " "
 		}
 		copied := fmt.Sprintf("%3.0f%% of %s", 100*float64(progress.CopiedBytes)/float64(max(1, progress.TotalBytes)), formatBytes(progress.TotalBytes))
 		copies = append(copies, table.Row{progress.Machine, progress.Dataset, progress.Part, copied, progress.Source, problems})
--- a/cli/members.go
+++ b/cli/members.go
@@ -30,11 +30,11 @@
 			writer := newTable(cmd.OutOrStdout())
 			writer.AppendHeader(table.Row{"member", "level", "of what", "for", "quiet", "phi", "hears", "why"})
 			for _, member := range members {
-				name, quiet, phi := member.Member, fmt.Sprintf("%.1f s", member.SilentSeconds), fmt.Sprintf("%.1f", member.Phi)
+				name, silence, phi := member.Member, fmt.Sprintf("%.1f s", member.SilentSeconds), fmt.Sprintf("%.1f", member.Phi)
 				if member.Self {
-					name, quiet, phi = name+" (itself)", "", ""
+					name, silence, phi = name+" (itself)", "", ""
 				}
-				writer.AppendRow(table.Row{name, member.Level, strings.Join(member.ImpairedComponents, ", "), fmt.Sprintf("%.1f s", member.LevelSeconds), quiet, phi, strings.Join(member.HeardPeers, " "), member.Reason})
+				writer.AppendRow(table.Row{name, member.Level, strings.Join(member.ImpairedComponents, ", "), fmt.Sprintf("%.1f s", member.LevelSeconds), silence, phi, strings.Join(member.HeardPeers, " "), member.Reason})
 			}
 			writer.Render()
 			return nil
--- a/cli/topology.go
+++ b/cli/topology.go
@@ -107,8 +107,8 @@
 		}
 		printer.printf("  %d in %s %s%s\n", location.Tasks, location.Level, location.Domain, unconfirmed)
 	}
-	for _, why := range explanation.Reasons {
-		printer.printf("  waits: %s\n", why)
+	for _, reason := range explanation.Reasons {
+		printer.printf("  waits: %s\n", reason)
 	}
 	return printer.err
 }
--- a/internal/stricttoml/typeerror.go
+++ b/internal/stricttoml/typeerror.go
@@ -44,8 +44,8 @@
 		if name == "" {
 			return "", nil, false
 		}
-		inside := isCollection(settingType) && match[1] != "table" && match[1] != "array table" && match[2] != settingType.String()
-		return name, &TypeError{Want: describeType(settingType, name), Got: describeFoundValue(match[1]), InElement: inside}, true
+		inElement := isCollection(settingType) && match[1] != "table" && match[1] != "array table" && match[2] != settingType.String()
+		return name, &TypeError{Want: describeType(settingType, name), Got: describeFoundValue(match[1]), InElement: inElement}, true
 	}
 	return "", nil, false
 }
--- a/lint/baseline_test.go
+++ b/lint/baseline_test.go
@@ -120,7 +120,7 @@
 		{"store", "unparam"}:     1,
 	}
 	want := []string{"revive: 3, baseline 2", "unparam: 1, baseline 0"}
-	if risen := IncreasedTotals(baseline, found); !reflect.DeepEqual(risen, want) {
-		t.Errorf("increased totals: %v, want %v", risen, want)
+	if increased := IncreasedTotals(baseline, found); !reflect.DeepEqual(increased, want) {
+		t.Errorf("increased totals: %v, want %v", increased, want)
 	}
 }
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -44,8 +44,8 @@
 
 // The subgradient method uses Polyak step sizes with a target value below the best value so far.
 const (
-	// initialTarget is the initial distance of the target from the best value, as a fraction of the best value.
-	initialTarget = 0.1
+	// initialTargetDistance is the initial distance of the target from the best value, as a fraction of the best value.
+	initialTargetDistance = 0.1
 	// maxStaleRounds is the number of consecutive rounds without improvement beyond which the distance is halved.
 	maxStaleRounds = 12
 	// minImprovement is the amount by which a value must be below the best value to count as an improvement.
@@ -62,16 +62,16 @@
 	prices := make([]float64, len(free.CPUs))
 	usage := make([]float64, len(free.CPUs))
 	subgradient := make([]float64, len(free.CPUs))
-	target := initialTarget
-	stale := 0
+	targetDistance := initialTargetDistance
+	staleRounds := 0
 	for range rounds {
 		value := evaluate(feasible, free, prices, usage)
 		if value < result.Bound-minImprovement {
-			stale = 0
+			staleRounds = 0
 			result.Bound = value
 			copy(result.Prices, prices)
-		} else if stale++; stale > maxStaleRounds {
-			stale, target = 0, target/2
+		} else if staleRounds++; staleRounds > maxStaleRounds {
+			staleRounds, targetDistance = 0, targetDistance/2
 			copy(prices, result.Prices)
 			value = evaluate(feasible, free, prices, usage)
 		}
@@ -80,7 +80,7 @@
 		if norm == 0 {
 			break
 		}
-		floats.AddScaled(prices, -(value-result.Bound*(1-target))/norm, subgradient)
+		floats.AddScaled(prices, -(value-result.Bound*(1-targetDistance))/norm, subgradient)
 		for i := range prices {
 			prices[i] = math.Max(0, prices[i])
 		}
