--- a/api/staging.go
+++ b/api/staging.go
@@ -38,8 +38,8 @@
 	Copies []StageCopy `json:"copies,omitempty"`
 }
 
-// StageOrder is an order to a data agent. It lists all data that the agent's machine must hold and replaces the previous
-// order.
+// StageOrder is an order to a data agent. It lists all data that the agent's machine must hold and replaces the
+// previous order.
 type StageOrder struct {
 	// Term is the fencing token.
 	Term uint64 `json:"helm"`
@@ -112,8 +112,8 @@
 	BytesFromPeers int64 `json:"from_peers"`
 }
 
-// maxReportedBytes is the largest size, in bytes, that an agent may report; the sum of four such sizes does not overflow
-// an int64.
+// maxReportedBytes is the largest size, in bytes, that an agent may report; the sum of four such sizes does not
+// overflow an int64.
 const maxReportedBytes = math.MaxInt64 / 4
 
 // Check returns a *FieldError if a required field is missing or a number is out of range.
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if got.Residual > 1e-9 || got.Points != 5 {
-		t.Errorf("%+v", got)
+		t.Errorf("fit %+v, want no residual and 5 points", got)
 	}
 }
 
@@ -71,11 +71,11 @@
 	for _, size := range []float64{400, 800, 1600} {
 		var remaining []Measurement
 		var heldOut *Measurement
-		for i, model := range record.Measurements {
+		for i, measurement := range record.Measurements {
 			switch {
-			case model.Workers != size:
-				remaining = append(remaining, model)
-			case model.Name == "steady":
+			case measurement.Workers != size:
+				remaining = append(remaining, measurement)
+			case measurement.Name == "steady":
 				heldOut = &record.Measurements[i]
 			}
 		}
@@ -105,11 +105,11 @@
 	}
 	rows := model.Table(Planned())
 	if len(rows) < 15 {
-		t.Fatalf("%d rows", len(rows))
+		t.Fatalf("%d rows, want 15 or more", len(rows))
 	}
 	for _, r := range rows {
 		if r.Extrapolated || !r.LargerExtrapolated || !(r.Value > 0) || r.Larger < r.Value && r.Role != workerRole {
-			t.Errorf("%+v", r)
+			t.Errorf("row %+v", r)
 		}
 	}
 	configuration := &settings.Settings{Facts: settings.Facts{State: settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.CloudLimits{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, MaxSockets: 10_000}}}
@@ -117,7 +117,7 @@
 	configuration.Facts.Resources.RAMMB = 60
 	littleMemory := model.Limits(Planned(), configuration)
 	if littleMemory[0].Name != "facts.resources.ram_mb, leader" || littleMemory[0].Factor >= 1 || littleMemory[0].Needed <= 60 || ampleMemory[0].Factor <= littleMemory[0].Factor {
-		t.Errorf("%+v, with more memory %+v", littleMemory[0], ampleMemory[0])
+		t.Errorf("first limit %+v, with more memory %+v", littleMemory[0], ampleMemory[0])
 	}
 	for i := range ampleMemory[1:] {
 		if ampleMemory[i].Factor > ampleMemory[i+1].Factor {
@@ -128,7 +128,7 @@
 	firstLimit := ampleMemory[0]
 	for _, other := range model.Limits(Planned().Scale(firstLimit.Factor), configuration) {
 		if other.Name == firstLimit.Name && math.Abs(other.Needed-firstLimit.Bound) > 1e-6*firstLimit.Bound {
-			t.Errorf("at %g times: %+v", firstLimit.Factor, other)
+			t.Errorf("at %g times the size, the figure differs from the bound: %+v", firstLimit.Factor, other)
 		}
 	}
 }
--- a/cli/client.go
+++ b/cli/client.go
@@ -91,7 +91,7 @@
 		return 0, nil, &retryableError{err, retryPause}
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxResponseBytes))
-	_ = response.Body.Close() // The body has been read; a failed close loses nothing.
+	_ = response.Body.Close() // The body has been read, so an error of Close has no effect.
 	if err != nil {
 		return 0, nil, &retryableError{err, retryPause}
 	}
--- a/cli/data_register.go
+++ b/cli/data_register.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // The file was only read; a failed close loses nothing.
+	defer func() { _ = file.Close() }() // The file was only read, so an error of Close has no effect.
 	manifest, err := dataset.Build(name, file, chunkBytes, chunksPerPart, nil)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/cli/experiment_logs.go
+++ b/cli/experiment_logs.go
@@ -18,7 +18,7 @@
 	var files []*os.File
 	closeFiles = func() {
 		for _, file := range files {
-			_ = file.Close() // The file was only read; a failed close loses nothing.
+			_ = file.Close() // The file was only read, so an error of Close has no effect.
 		}
 	}
 	for _, name := range names {
@@ -65,8 +65,8 @@
 	return cmd
 }
 
-// orderExperiment returns the command that reads controllers' logs and compares the number of jobs that finished in time
-// with an upper bound for any scheduling order.
+// orderExperiment returns the command that reads controllers' logs and compares the number of jobs that finished in
+// time with an upper bound for any scheduling order.
 func orderExperiment() *cobra.Command {
 	options := experiment.OrderDefaults()
 	var asJSON bool
--- a/cli/output.go
+++ b/cli/output.go
@@ -13,8 +13,8 @@
 // outputFileMode is the permission mode of files that commands write.
 const outputFileMode = 0o644
 
-// linePrinter prints formatted text. After a write error it prints nothing more, so that a command checks err only once,
-// at the end.
+// linePrinter prints formatted text. After a write error it prints nothing more, so that a command checks err only
+// once, at the end.
 type linePrinter struct {
 	out io.Writer
 	// err is the first write error.
--- a/cli/root.go
+++ b/cli/root.go
@@ -1,6 +1,6 @@
-// Package cli implements the commands of the program: those that run the controller and the data agent, those with which
-// users and operators send requests to controllers, and offline tools and experiments. The main function executes the
-// command that Root returns.
+// Package cli implements the commands of the program: those that run the controller and the data agent, those with
+// which users and operators send requests to controllers, and offline tools and experiments. The main function executes
+// the command that Root returns.
 package cli
 
 import (
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -27,8 +27,8 @@
 // bytesPerMebibyte is the number of bytes in a mebibyte, the unit of memory in the settings file.
 const bytesPerMebibyte = 1 << 20
 
-// configurationFiles holds the paths of a controller's settings, policy and features files. A path that was not given is
-// empty.
+// configurationFiles holds the paths of a controller's settings, policy and features files. A path that was not given
+// is empty.
 type configurationFiles struct{ settings, policy, features string }
 
 // addFlags adds the flags that set the paths.
--- a/features/features.go
+++ b/features/features.go
@@ -24,7 +24,7 @@
 	// PlacementLocal considers cached images and cached inputs in placement and copies inputs also from other machines,
 	// once the task is placed.
 	PlacementLocal = "local"
-	// PlacementStaged does the same as PlacementLocal and also copies inputs ahead for queued tasks.
+	// PlacementStaged does the same as PlacementLocal and also copies the inputs of queued tasks before they are placed.
 	PlacementStaged = "staged"
 )
 
@@ -77,8 +77,8 @@
 	// CopiesPerLink and CopiesAtStore limit the number of concurrent copies per link and from the store.
 	CopiesPerLink int `toml:"copies_per_link"`
 	CopiesAtStore int `toml:"copies_at_store"`
-	// AheadTasks is the number of queued tasks per machine for which inputs are copied ahead, in addition to the tasks that
-	// are placed.
+	// AheadTasks is the number of queued tasks per machine whose inputs are copied before the tasks are placed. The
+	// inputs of placed tasks are copied in addition.
 	AheadTasks int `toml:"ahead_tasks"`
 }
 
--- a/internal/stricttoml/stricttoml_test.go
+++ b/internal/stricttoml/stricttoml_test.go
@@ -94,11 +94,11 @@
 	}
 	want := []UnknownError{{1, "no_such"}, {5, "teams.other"}}
 	if len(unknown) != len(want) {
-		t.Fatalf("%v", unknown)
+		t.Fatalf("unknown settings %v, want %v", unknown, want)
 	}
 	for index, err := range unknown {
 		if found, ok := errors.AsType[*UnknownError](err); !ok || *found != want[index] {
-			t.Errorf("%v, want %+v", err, want[index])
+			t.Errorf("unknown setting %v, want %+v", err, want[index])
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -59,8 +59,8 @@
 	return Parse(string(raw))
 }
 
-// FromExpressions returns the built-in policy with the given expressions, by name of the setting. It calls fail for each
-// invalid one, in alphabetical order of the names; if it has called fail, the policy must not be used.
+// FromExpressions returns the built-in policy with the given expressions, by name of the setting. It calls fail for
+// each invalid one, in alphabetical order of the names; if it has called fail, the policy must not be used.
 func FromExpressions(expressions map[string]string, fail func(name, want string)) *Policy {
 	policy := Default()
 	for _, name := range slices.Sorted(maps.Keys(expressions)) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,13 +11,13 @@
 		t.Fatal(err)
 	}
 	if v := policy.Value(SlotS, nil); v != 12 {
-		t.Errorf("slot_s %v", v)
+		t.Errorf("slot_s is %v, want 12", v)
 	}
 	if v := policy.Value(FetchPenalty, Vars{"fetch_s": 31, "slot_s": 10}); v != 9 {
-		t.Errorf("fetch_penalty %v", v)
+		t.Errorf("fetch_penalty is %v, want 9", v)
 	}
 	if v := Default().Value(FetchPenalty, Vars{"fetch_s": 31, "slot_s": 10}); v != 4 {
-		t.Errorf("default fetch_penalty %v", v)
+		t.Errorf("default fetch_penalty is %v, want 4", v)
 	}
 }
 
@@ -43,9 +43,9 @@
 		t.Fatal(err)
 	}
 	if v := policy.Value(IdleKeepS, Vars{"boot_s": 30}); v != 240 {
-		t.Errorf("idle_keep_s %v", v)
+		t.Errorf("idle_keep_s is %v, want the default, 240", v)
 	}
 	if v := policy.Value(SpotShare, Vars{"demand_cpus": 0}); v != 1 {
-		t.Errorf("spot_share %v", v)
+		t.Errorf("spot_share is %v, want the default, 1", v)
 	}
 }
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -1,11 +1,11 @@
-// Package upperbound computes an upper bound on the number of jobs of a recorded day that could have met their deadlines
-// under any scheduling order. It considers the run time of each task and the number of free CPUs over time, but not
-// machines: a task may run anywhere, and image and input fetches take no time.
+// Package upperbound computes an upper bound on the number of jobs of a recorded day that could have met their
+// deadlines under any scheduling order. It considers the run time of each task and the number of free CPUs over time,
+// but not machines: a task may run anywhere, and image and input fetches take no time.
 //
-// The bound is a Lagrangian relaxation. Each time slot of the day has a price for CPU time. At given prices each task is
-// scheduled independently at its lowest cost, without preemption and ending by its deadline, and a job is accepted if
-// the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus the sum of 1 minus the
-// cost of each accepted job is at least the number of jobs that can meet their deadlines together. The bound is the
+// The bound is a Lagrangian relaxation. Each time slot of the day has a price for CPU time. At given prices each task
+// is scheduled independently at its lowest cost, without preemption and ending by its deadline, and a job is accepted
+// if the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus the sum of 1 minus
+// the cost of each accepted job is at least the number of jobs that can meet their deadlines together. The bound is the
 // lowest such value that a subgradient method finds.
 package upperbound
 
