--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -29,15 +29,16 @@
 	got := m["f"]
 	for _, c := range [][2]float64{{got.Constant, want.Constant}, {got.PerWorker, want.PerWorker}, {got.PerTask, want.PerTask}, {got.PerStart, want.PerStart}} {
 		if math.Abs(c[0]-c[1]) > 1e-6*c[1] {
-			t.Errorf("%g, want %g", c[0], c[1])
+			t.Errorf("coefficient %g, want %g", c[0], c[1])
 		}
 	}
 	if got.Residual > 1e-9 || got.Points != 5 {
-		t.Errorf("%+v", got)
+		t.Errorf("fit %+v, want no residual and 5 points", got)
 	}
 }
 
-// Coefficients are not negative even if noise suggests it, and a constant figure has no slope.
+// Coefficients are not negative, even if a negative one would fit noisy measurements better, and the estimate of a
+// constant figure does not depend on the size.
 func TestFitHasNoNegativeCoefficients(t *testing.T) {
 	all := exactMeasurements(LinearFit{Constant: 1, PerWorker: 0.01})
 	all[4].Figures["f"] *= 0.8
@@ -57,7 +58,7 @@
 		t.Errorf("a constant figure of 7 is estimated as %g", got)
 	}
 	if _, err := Fit(all[:3]); !errors.Is(err, ErrTooFewMeasurements) {
-		t.Errorf("three sizes: %v", err)
+		t.Errorf("fit of 3 measurements: error %v, want %v", err, ErrTooFewMeasurements)
 	}
 }
 
@@ -70,11 +71,11 @@
 	for _, size := range []float64{400, 800, 1600} {
 		var remaining []Measurement
 		var heldOut *Measurement
-		for i, model := range record.Measurements {
+		for i, measurement := range record.Measurements {
 			switch {
-			case model.Workers != size:
-				remaining = append(remaining, model)
-			case model.Name == "steady":
+			case measurement.Workers != size:
+				remaining = append(remaining, measurement)
+			case measurement.Name == "steady":
 				heldOut = &record.Measurements[i]
 			}
 		}
@@ -104,11 +105,11 @@
 	}
 	rows := model.Table(Planned())
 	if len(rows) < 15 {
-		t.Fatalf("%d rows", len(rows))
+		t.Fatalf("%d rows, want 15 or more", len(rows))
 	}
 	for _, r := range rows {
 		if r.Extrapolated || !r.LargerExtrapolated || !(r.Value > 0) || r.Larger < r.Value && r.Role != workerRole {
-			t.Errorf("%+v", r)
+			t.Errorf("row %+v", r)
 		}
 	}
 	configuration := &settings.Settings{Facts: settings.Facts{State: settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}, Cloud: settings.CloudLimits{RPS: 8}, Resources: settings.Resources{CPU: 1, RAMMB: 512, MaxSockets: 10_000}}}
@@ -116,18 +117,18 @@
 	configuration.Facts.Resources.RAMMB = 60
 	littleMemory := model.Limits(Planned(), configuration)
 	if littleMemory[0].Name != "facts.resources.ram_mb, leader" || littleMemory[0].Factor >= 1 || littleMemory[0].Needed <= 60 || ampleMemory[0].Factor <= littleMemory[0].Factor {
-		t.Errorf("%+v, with more memory %+v", littleMemory[0], ampleMemory[0])
+		t.Errorf("first limit %+v, with more memory %+v", littleMemory[0], ampleMemory[0])
 	}
 	for i := range ampleMemory[1:] {
 		if ampleMemory[i].Factor > ampleMemory[i+1].Factor {
-			t.Errorf("not in order: %+v", ampleMemory)
+			t.Errorf("limits not in ascending order of Factor: %+v", ampleMemory)
 		}
 	}
 	// At the size scaled by Factor the figure equals the bound.
 	firstLimit := ampleMemory[0]
 	for _, other := range model.Limits(Planned().Scale(firstLimit.Factor), configuration) {
 		if other.Name == firstLimit.Name && math.Abs(other.Needed-firstLimit.Bound) > 1e-6*firstLimit.Bound {
-			t.Errorf("at %g times: %+v", firstLimit.Factor, other)
+			t.Errorf("at %g times the size, the figure differs from the bound: %+v", firstLimit.Factor, other)
 		}
 	}
 }
--- a/upperbound/upperbound.go
+++ b/upperbound/upperbound.go
@@ -1,12 +1,12 @@
-// Package upperbound computes an upper bound on the number of jobs of a recorded day that could have met their deadlines
-// under any scheduling order. It considers the run time of each task and the number of free CPUs over time, but not
-// machines: a task may run anywhere, and image and input fetches take no time.
+// Package upperbound computes an upper bound on the number of jobs of a recorded day that could have met their
+// deadlines under any scheduling order. It considers the run time of each task and the number of free CPUs over time,
+// but not machines: a task may run anywhere, and image and input fetches take no time.
 //
-// The bound is a Lagrangian relaxation. Each time slot of the day has a price for CPU time. At given prices each task is
-// scheduled independently at its lowest cost, without preemption and ending by its deadline, and a job is accepted if
-// the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus, for each accepted job, 1
-// minus its cost is at least the number of jobs that can meet their deadlines together. The bound is the lowest such
-// value that a subgradient method finds.
+// The bound is a Lagrangian relaxation. Each time slot of the day has a price for CPU time. At given prices each task
+// is scheduled independently at its lowest cost, without preemption and ending by its deadline, and a job is accepted
+// if the cost of all its tasks is less than 1. For any prices, the price of all free CPU time plus the sum of 1 minus
+// the cost of each accepted job is at least the number of jobs that can meet their deadlines together. The bound is the
+// lowest such value that a subgradient method finds.
 package upperbound
 
 import (
@@ -24,8 +24,8 @@
 	Tasks       []Task
 }
 
-// FreeCapacity holds the number of CPUs available to the jobs in each time slot. Slot is the length of a slot in seconds; the
-// first slot begins at the start of the day.
+// FreeCapacity holds the number of CPUs available to the jobs in each time slot. SlotS is the length of a slot in
+// seconds; the first slot begins at the start of the day.
 type FreeCapacity struct {
 	SlotS float64
 	CPUs  []float64
@@ -33,8 +33,8 @@
 
 // Result is the bound and the prices at which it was found.
 type Result struct {
-	// Jobs is the number of jobs. Alone is the number of jobs that could not have met their deadlines even with the
-	// whole fleet to themselves.
+	// Jobs is the number of jobs. InfeasibleAlone is the number of jobs that could not have met their deadlines even
+	// with the whole fleet available to them alone.
 	Jobs, InfeasibleAlone int
 	// Bound is the bound on the number of jobs that could have met their deadlines together.
 	Bound float64
@@ -44,8 +44,8 @@
 
 // The subgradient method uses Polyak step sizes with a target value below the best value so far.
 const (
-	// initialTarget is the initial distance of the target from the best value, as a fraction of the best value.
-	initialTarget = 0.1
+	// initialTargetDistance is the initial distance of the target from the best value, as a fraction of the best value.
+	initialTargetDistance = 0.1
 	// maxStaleRounds is the number of consecutive rounds without improvement beyond which the distance is halved.
 	maxStaleRounds = 12
 	// minImprovement is the amount by which a value must be below the best value to count as an improvement.
@@ -62,16 +62,16 @@
 	prices := make([]float64, len(free.CPUs))
 	usage := make([]float64, len(free.CPUs))
 	subgradient := make([]float64, len(free.CPUs))
-	target := initialTarget
-	stale := 0
+	targetDistance := initialTargetDistance
+	staleRounds := 0
 	for range rounds {
 		value := evaluate(feasible, free, prices, usage)
 		if value < result.Bound-minImprovement {
-			stale = 0
+			staleRounds = 0
 			result.Bound = value
 			copy(result.Prices, prices)
-		} else if stale++; stale > maxStaleRounds {
-			stale, target = 0, target/2
+		} else if staleRounds++; staleRounds > maxStaleRounds {
+			staleRounds, targetDistance = 0, targetDistance/2
 			copy(prices, result.Prices)
 			value = evaluate(feasible, free, prices, usage)
 		}
@@ -80,7 +80,7 @@
 		if norm == 0 {
 			break
 		}
-		floats.AddScaled(prices, -(value-result.Bound*(1-target))/norm, subgradient)
+		floats.AddScaled(prices, -(value-result.Bound*(1-targetDistance))/norm, subgradient)
 		for i := range prices {
 			prices[i] = math.Max(0, prices[i])
 		}
@@ -88,7 +88,7 @@
 	return result
 }
 
-// feasibleJobs returns the jobs that can meet their deadlines with the whole fleet to themselves.
+// feasibleJobs returns the jobs that can meet their deadlines if the whole fleet is available to them alone.
 func feasibleJobs(jobs []Job) (feasible []Job) {
 	for _, job := range jobs {
 		if feasibleAlone(job) {
