--- a/internal/cluster/addresses.go
+++ b/internal/cluster/addresses.go
@@ -24,7 +24,7 @@
 
 // addressAllocator allocates loopback addresses. It never allocates the same address twice in a process.
 type addressAllocator struct {
-	mu        sync.Mutex // guards given
+	mu        sync.Mutex // guards allocated
 	allocated map[string]bool
 }
 
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -39,7 +39,7 @@
 	return os.WriteFile(name, []byte(cluster.features), 0o600)
 }
 
-// StartAgents starts data agents for the machines n-000000 to n-<n-1>. ServeDatasets must be called before. The agents'
+// StartAgents starts data agents for the machines n-000000 to n-<n-1>. ServeDatasets must be called first. The agents'
 // connections to controllers pass through forwarded ports, where their traffic is counted. Close ends the agents.
 func (cluster *Cluster) StartAgents(program string, n int) ([]*Agent, error) {
 	arguments := []string{"stager", "--store", cluster.datasetStore, "--cache", "1GB"}
--- a/internal/cluster/audit.go
+++ b/internal/cluster/audit.go
@@ -31,15 +31,16 @@
 	UnknownJob = "invented"
 	// StartedBeforeDependency means that a task started before the jobs that its job depends on were done.
 	StartedBeforeDependency = "too_early"
-	// DependencyCancelled means that a job was not cancelled although a job that it depends on was.
-	DependencyCancelled = "orphaned"
+	// NotCancelledWithDependency means that a job was not cancelled although a job that it depends on was.
+	NotCancelledWithDependency = "orphaned"
 )
 
-// Audit records which tasks run on which machines and which job states users were given, and checks both against the
-// protocol's rules. It is safe for concurrent use.
+// Audit records which tasks run on which machines and which job states were reported to users, and checks both against
+// the protocol's rules. It is safe for concurrent use.
 type Audit struct {
 	cancelWithin time.Duration
 
+	// mu guards the fields below.
 	mu         sync.Mutex
 	limits     map[string]float64
 	usage      map[string]float64
@@ -57,7 +58,8 @@
 	explanations                                       []string
 }
 
-// AuditedJob is a submitted job with what its tasks did and what its user was told. The audit's lock guards it.
+// AuditedJob is a submitted job with the progress of its tasks and the states that were reported to its user. The
+// audit's lock guards it.
 type AuditedJob struct {
 	api.Submission
 	// Submitted is when the job was recorded, just before its submission. Accepted is when the first answer that
@@ -69,9 +71,9 @@
 	LastTaskStartedAt time.Time
 	// TasksDone counts the tasks that completed.
 	TasksDone int
-	// TerminalState is the terminal state that the user was given first, empty before.
+	// TerminalState is the terminal state that was first reported to the user, empty before.
 	TerminalState string
-	// TerminalStateAt is when the user was given that state.
+	// TerminalStateAt is when that state was reported.
 	TerminalStateAt time.Time
 	// AnsweredAt is when a request about the job was last answered.
 	AnsweredAt time.Time
@@ -86,7 +88,7 @@
 func (job *AuditedJob) Finished() time.Time { return job.finished }
 
 // NewAudit returns an audit without jobs. A team whose CPUsMax is 0 has no limit. A cancellation must take effect
-// within workers.CancelS seconds.
+// within workers.CancelDeadlineS seconds.
 func NewAudit(teams []settings.Team, workers settings.Workers) *Audit {
 	audit := &Audit{cancelWithin: seconds(workers.CancelDeadlineS), limits: map[string]float64{}, usage: map[string]float64{}, jobs: map[string]*AuditedJob{}, placements: fake.Placements[string]{}, startedAt: map[string]time.Time{}, firstStarts: map[uint64]time.Time{}, violations: map[string]int{}}
 	for _, team := range teams {
@@ -144,16 +146,16 @@
 		job.LastTaskStartedAt = time.Now()
 	}
 	if job.TerminalState == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
-		audit.recordViolation(RanAfterCancel, "%s started %v after its cancellation was told", task, time.Since(job.TerminalStateAt).Round(time.Millisecond))
+		audit.recordViolation(RanAfterCancel, "%s started %v after its cancellation was reported", task, time.Since(job.TerminalStateAt).Round(time.Millisecond))
 	}
 }
 
-// IneffectiveStarts counts the start commands that had no effect because the worker already had that attempt or another one
-// of the task. This happens when a start command and an exit report, or a start and a kill, pass each other in transit.
-// The fields are written out under their Go names.
+// IneffectiveStarts counts the start commands that had no effect because the worker already had that attempt or another
+// one of the task. This happens when a start command and the heartbeat that reports an exit, or a start command and a
+// kill command, pass each other in transit. The fields are written out under their Go names.
 type IneffectiveStarts struct {
-	// Repeated counts starts of attempts that had not ended, Late those of attempts that had, and Busy those that came
-	// while another attempt of the task had not ended.
+	// Repeated counts starts of attempts that had not exited, Late those of attempts that had, and Busy those that
+	// arrived while another attempt of the task had not exited.
 	Repeated, Late, Busy int
 }
 
@@ -204,7 +206,7 @@
 	defer audit.mu.Unlock()
 	for task, machine := range audit.placements.All() {
 		if job := audit.jobOf(task); job != nil && job.TerminalState == api.Cancelled && time.Since(job.TerminalStateAt) > audit.cancelWithin {
-			audit.recordViolation(RanAfterCancel, "%s is on %s %v after its cancellation was told", task, machine, time.Since(job.TerminalStateAt).Round(time.Millisecond))
+			audit.recordViolation(RanAfterCancel, "%s is on %s %v after its cancellation was reported", task, machine, time.Since(job.TerminalStateAt).Round(time.Millisecond))
 		}
 	}
 }
@@ -237,7 +239,7 @@
 	return tasks
 }
 
-// StartedSince returns, for each of the tasks whose last start was after the given time, how long after it that was.
+// StartedSince returns, for each of the tasks that last started after the given time, the time from then to that start.
 func (audit *Audit) StartedSince(at time.Time, tasks []string) (after []time.Duration) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
--- a/internal/cluster/audit_test.go
+++ b/internal/cluster/audit_test.go
@@ -91,7 +91,7 @@
 			h.CancelRequested(id)
 			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
 			h.recordRequest(StatusRequest, "run-000004", 4, 5, 200, api.Pending)
-		}, map[string]int{DependencyCancelled: 1}},
+		}, map[string]int{NotCancelledWithDependency: 1}},
 		{"accepted long after its dependency was cancelled", func(h *history) {
 			h.CancelRequested(id)
 			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
@@ -102,7 +102,7 @@
 			h.recordRequest(CancelRequest, id, 2, 3, 200, api.Cancelled)
 			h.recordRequest(SubmitRequest, "run-000004", 4, 5, http.StatusCreated, api.Pending)
 			h.recordRequest(StatusRequest, "run-000004", 6, 7, 200, api.Pending)
-		}, map[string]int{DependencyCancelled: 1}},
+		}, map[string]int{NotCancelledWithDependency: 1}},
 		{"reported as done before its tasks", func(h *history) {
 			h.recordRequest(StatusRequest, id, 2, 3, 200, api.Done)
 		}, map[string]int{DoneBeforeTasks: 1}},
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -59,7 +59,9 @@
 // Observer is notified of starts and ends of tasks, in order for each worker. It is called with that worker's lock held
 // and must not call the worker.
 type Observer interface {
+	// Started is called when a machine starts a task under a leader's term.
 	Started(task, machine string, term uint64)
+	// Ended is called when a task no longer runs on a machine; done reports whether it completed.
 	Ended(task, machine string, done bool)
 }
 
@@ -71,13 +73,17 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 
-	State       *fake.State
-	Cloud       *fake.Cloud
+	// State is the fake of the state service.
+	State *fake.State
+	// Cloud is the fake of the cloud.
+	Cloud *fake.Cloud
+	// Controllers are the members, in the order of Options.Zones.
 	Controllers []*Controller
-	Traffic     *Traffic
-	delays      delayRecorder
-	network     *zoneNetwork
-	messages    messageFaults
+	// Traffic counts the messages on all connections.
+	Traffic  *Traffic
+	delays   delayRecorder
+	network  *zoneNetwork
+	messages messageFaults
 	// stateLinks are the controllers' connections to the state service, by member.
 	stateLinks map[string]*stateLink
 	http       *http.Client
@@ -96,6 +102,7 @@
 // Controller is one member of the cluster. It has at most one process at a time and can be started again after it
 // ended.
 type Controller struct {
+	// Settings are the member's settings. They do not change after New.
 	Settings *settings.Settings
 	cluster  *Cluster
 	mu       sync.Mutex // guards command
@@ -299,7 +306,8 @@
 	return nil
 }
 
-// WaitForLeader waits until a leader is recorded in the state service. It returns ErrTimeout if none is in time.
+// WaitForLeader waits until a leader is recorded in the state service. It returns ErrTimeout if there is none within
+// the timeout.
 func (cluster *Cluster) WaitForLeader(timeout time.Duration) error {
 	return cluster.WaitUntil(timeout, func() bool { return cluster.Leader() != nil })
 }
@@ -321,7 +329,7 @@
 	return nil
 }
 
-// Sleep waits for a duration. It reports false if the cluster was closed before its end.
+// Sleep waits for a duration. It reports false if the cluster was closed before the duration had passed.
 func (cluster *Cluster) Sleep(d time.Duration) bool { return sleep.OnRealClock(cluster.ctx, d) }
 
 // Call sends an HTTP request to a controller's public address and returns the status and the body of the answer.
--- a/internal/cluster/delays.go
+++ b/internal/cluster/delays.go
@@ -11,8 +11,9 @@
 type Delays struct {
 	// Heartbeats is the time from sending a heartbeat to its response.
 	Heartbeats *hdrhistogram.Histogram
-	// DirectCommandLead is the time from the first direct command that arrives while a heartbeat awaits its response to that
-	// response. A start command that is sent both directly and in the response arrives twice, that far apart.
+	// DirectCommandLead is the time by which a direct command precedes the response to a heartbeat: from the first direct
+	// command that arrives while a heartbeat awaits its response, to that response. A start command that is sent both
+	// directly and in the response arrives twice, that far apart.
 	DirectCommandLead *hdrhistogram.Histogram
 }
 
--- a/internal/cluster/measure.go
+++ b/internal/cluster/measure.go
@@ -83,7 +83,8 @@
 	return maps.Clone(traffic.counts)
 }
 
-// CountsBetween returns the difference of two snapshots, without the kinds of which no messages were counted in between.
+// CountsBetween returns the difference of two snapshots, without the kinds of which no messages were counted in
+// between.
 func CountsBetween(earlier, later map[string]Count) map[string]Count {
 	out := map[string]Count{}
 	for kind, count := range later {
--- a/internal/cluster/network.go
+++ b/internal/cluster/network.go
@@ -172,19 +172,19 @@
 	}
 	defer closeQuietly(outbound)
 	defer context.AfterFunc(cluster.ctx, func() { closeQuietly(inbound); closeQuietly(outbound) })()
-	pump := func(into, out net.Conn, link peerLink, direction string) {
-		defer closeQuietly(into)
-		defer closeQuietly(out)
+	pump := func(destination, source net.Conn, link peerLink, direction string) {
+		defer closeQuietly(destination)
+		defer closeQuietly(source)
 		buffer := make([]byte, 32<<10)
 		for {
-			n, err := out.Read(buffer)
+			n, err := source.Read(buffer)
 			if n > 0 {
 				cluster.Traffic.Add(link.kind+direction, n)
 				cluster.network.delayPeer(cluster.ctx)
 				if !cluster.network.waitForLink(cluster.ctx, link) {
 					return
 				}
-				if _, err := into.Write(buffer[:n]); err != nil {
+				if _, err := destination.Write(buffer[:n]); err != nil {
 					return
 				}
 			}
--- a/internal/cluster/questions.go
+++ b/internal/cluster/questions.go
@@ -24,8 +24,9 @@
 type JobRequest struct {
 	// JobID is the job's id.
 	JobID string
-	Kind  RequestKind
-	// Controller is the member that was asked.
+	// Kind is the kind of the request.
+	Kind RequestKind
+	// Controller is the member that received the request.
 	Controller string
 	// SentAt is the time just before the request was sent, AnsweredAt the time just after the answer arrived.
 	SentAt, AnsweredAt time.Time
@@ -47,10 +48,10 @@
 	audit.jobs[jobID].cancelRequested = true
 }
 
-// CheckAnswer records a request with its answer and checks the answer. It must be called in the order of the answers. An
-// answer is compared with the state that the user had been given before sending the request: answers to overlapping
-// requests may arrive out of order and differ, unless they state two different terminal states. It reports whether the
-// job is in a terminal state.
+// CheckAnswer records a request with its answer and checks the answer. It must be called in the order of the answers.
+// An answer is compared with the state that had been reported to the user before the request was sent: answers to
+// overlapping requests may arrive out of order and differ, unless they state two different terminal states. CheckAnswer
+// reports whether the answer states a terminal state.
 func (audit *Audit) CheckAnswer(request JobRequest) (terminal bool) {
 	audit.mu.Lock()
 	defer audit.mu.Unlock()
@@ -62,7 +63,7 @@
 	job := audit.jobs[request.JobID]
 	if job == nil {
 		if request.Status == http.StatusOK || request.Status == http.StatusCreated {
-			audit.recordViolation(UnknownJob, "%s of nobody: %d %s by %s", request.JobID, request.Status, request.State, request.Controller)
+			audit.recordViolation(UnknownJob, "%s, which nobody submitted: %d %s by %s", request.JobID, request.Status, request.State, request.Controller)
 		}
 		return false
 	}
@@ -99,14 +100,14 @@
 	case changed && !isTerminal(state) && !reportedBefore:
 		audit.outOfOrderAnswers++
 	case changed:
-		audit.recordViolation(StateReverted, "%s was %s, now %s by %s, asked %v after it was told", job.ID, job.TerminalState, state, request.Controller,
+		audit.recordViolation(StateReverted, "%s was %s, now %s by %s, requested %v after the first report", job.ID, job.TerminalState, state, request.Controller,
 			request.SentAt.Sub(job.TerminalStateAt).Round(time.Millisecond))
 	case state == api.Done && job.TasksDone < job.Tasks:
 		audit.recordViolation(DoneBeforeTasks, "%s with %d of %d tasks done", job.ID, job.TasksDone, job.Tasks)
 	case state == api.Cancelled && !audit.mayBeCancelled(job):
 		audit.recordViolation(StateReverted, "%s is cancelled, and nobody asked for it", job.ID)
 	case !isTerminal(state) && audit.mustBeCancelled(job, request.SentAt):
-		audit.recordViolation(DependencyCancelled, "%s is %s although a job that it awaits was cancelled", job.ID, state)
+		audit.recordViolation(NotCancelledWithDependency, "%s is %s although a job that it awaits was cancelled", job.ID, state)
 	}
 	if isTerminal(state) && job.TerminalState == "" {
 		job.TerminalState, job.TerminalStateAt = state, request.AnsweredAt
@@ -140,9 +141,11 @@
 
 // AuditCounts are the numbers of events that an audit has recorded.
 type AuditCounts struct {
-	// Requests counts requests, Answers those that were answered, and Crossed the answers that arrived after a newer one.
+	// Requests counts requests, Answers those that were answered, and OutOfOrderAnswers the answers that arrived after a
+	// newer one.
 	Requests, Answers, OutOfOrderAnswers int
-	// TerminalJobs counts jobs whose user was given a terminal state, LeaderTerms the terms under which tasks were started.
+	// TerminalJobs counts the jobs of which a terminal state was reported, LeaderTerms the terms under which tasks were
+	// started.
 	TerminalJobs, LeaderTerms int
 }
 
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -72,9 +72,9 @@
 	}
 	options := fake.WorkerOptions{Host: host, Clock: cluster.clock, Controllers: members, Post: worker.post, HeartbeatInterval: seconds(cluster.options.Facts.Workers.HeartbeatIntervalS), Lease: seconds(cluster.options.Facts.Workers.LeaseS),
 		TaskDuration: cluster.options.TaskDuration, OnIneffectiveStart: cluster.options.OnIneffectiveStart, StartFailure: func(string) string { return cluster.messages.current().startFailure() }}
-	if audit := cluster.options.Observer; audit != nil {
-		options.OnStart = func(task string, term uint64, _ time.Time) { audit.Started(task, host.Name, term) }
-		options.OnEnd = func(task string, done bool) { audit.Ended(task, host.Name, done) }
+	if observer := cluster.options.Observer; observer != nil {
+		options.OnStart = func(task string, term uint64, _ time.Time) { observer.Started(task, host.Name, term) }
+		options.OnEnd = func(task string, done bool) { observer.Ended(task, host.Name, done) }
 	}
 	worker.Worker = fake.NewWorker(options)
 	cluster.mu.Lock()
@@ -137,8 +137,8 @@
 // BlockAllMessages blocks or unblocks the worker's messages in both directions.
 func (worker *Worker) BlockAllMessages(blocked bool) { worker.BlockMessages(blocked, blocked) }
 
-// BlockMessages sets which messages are blocked: those from the worker, which are heartbeats and answers to commands, and
-// those to the worker, which are responses to heartbeats and commands.
+// BlockMessages sets which messages are blocked: outbound those from the worker, which are heartbeats and answers to
+// commands, and inbound those to the worker, which are responses to heartbeats and commands.
 func (worker *Worker) BlockMessages(outbound, inbound bool) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -188,7 +188,7 @@
 	return worker.outboundBlocked, worker.changed
 }
 
-// post sends a heartbeat to a controller, subject to the network's and the messages' faults. It returns status 0 if
+// post sends a heartbeat to a controller, subject to the network faults and the message faults. It returns status 0 if
 // there is no answer.
 func (worker *Worker) post(ctx context.Context, member string, heartbeat *api.Heartbeat) (status int, body any) {
 	var recipient *Controller
@@ -277,8 +277,9 @@
 	return redirect
 }
 
-// serveCommand executes commands that a leader sends directly. While the leader's zone and the worker do not reach each
-// other, it waits, and it aborts the request if that ends first.
+// serveCommand executes commands that a leader sends directly, subject to the network faults and the message faults.
+// While the leader's zone and the worker do not reach each other, it waits. It aborts the request if the request's
+// context ends first.
 func (worker *Worker) serveCommand(writer http.ResponseWriter, request *http.Request) {
 	var commands api.HeartbeatResponse
 	if err := json.NewDecoder(request.Body).Decode(&commands); err != nil {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -64,7 +64,7 @@
 		rentalsByRequest: map[string][]string{}, OnRented: func(Host) {}, OnReturned: func(Host) {}, Refused: map[string]int{}}
 }
 
-// Add adds a machine, as if it had been rented earlier, and returns it. It takes no capacity.
+// Add adds a machine, as if it had been rented earlier, and returns it. Capacity does not change.
 func (cloud *Cloud) Add(machineType, zone string, spot bool) Host {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
--- a/internal/fake/delays.go
+++ b/internal/fake/delays.go
@@ -13,10 +13,10 @@
 }
 
 // Release releases the answer. It must be called exactly once.
-func (late *DelayedAnswer) Release() { close(late.released) }
+func (answer *DelayedAnswer) Release() { close(answer.released) }
 
-// DelayNextTransaction delays the answer to the next transaction until the result releases it. The transaction is executed on
-// arrival if executeOnArrival is true, and on release otherwise.
+// DelayNextTransaction delays the answer to the next transaction until Release is called on the result. The transaction
+// is executed on arrival if executeOnArrival is true, and on release otherwise.
 func (state *State) DelayNextTransaction(executeOnArrival bool) *DelayedAnswer {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -24,8 +24,8 @@
 	return state.delayedTransaction
 }
 
-// DelayNextRead delays the answer to the next read of a key until the result releases it. The read is executed on arrival if
-// executeOnArrival is true, and on release otherwise.
+// DelayNextRead delays the answer to the next read of a key until Release is called on the result. The read is executed
+// on arrival if executeOnArrival is true, and on release otherwise.
 func (state *State) DelayNextRead(executeOnArrival bool) *DelayedAnswer {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -33,21 +33,22 @@
 	return state.delayedRead
 }
 
-// awaitRelease waits until the answer is released. The caller holds mu, which is unlocked during the wait.
-func (state *State) awaitRelease(late *DelayedAnswer) {
-	close(late.Received)
+// awaitRelease closes Received and waits until the answer is released. The caller holds mu, which is unlocked during
+// the wait.
+func (state *State) awaitRelease(delayed *DelayedAnswer) {
+	close(delayed.Received)
 	state.mu.Unlock()
-	<-late.released
+	<-delayed.released
 	state.mu.Lock()
 }
 
 // serveDelayed executes a transaction whose answer is delayed. The caller holds mu, which is unlocked during the wait.
-func (state *State) serveDelayed(late *DelayedAnswer, transaction transactionRequest) (resp *http.Response, err error) {
-	if late.executeOnArrival {
+func (state *State) serveDelayed(delayed *DelayedAnswer, transaction transactionRequest) (resp *http.Response, err error) {
+	if delayed.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
-	state.awaitRelease(late)
-	if !late.executeOnArrival {
+	state.awaitRelease(delayed)
+	if !delayed.executeOnArrival {
 		resp, err = state.apply(transaction)
 	}
 	return resp, err
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -82,8 +82,8 @@
 	// delayedTransaction and delayedRead delay the answer to the next transaction and the next read of a key, if not nil.
 	delayedTransaction *DelayedAnswer
 	delayedRead        *DelayedAnswer
-	// LargestTransaction holds the maxima over all transactions so far: the number of changes, the size of the body in bytes, and
-	// the size of a value in bytes.
+	// LargestTransaction holds the maxima over all transactions so far: the number of changes, the size of the body in
+	// bytes, and the size of a value in bytes.
 	LargestTransaction struct{ Ops, Bytes, Value int }
 	// Requests counts all requests.
 	Requests int
@@ -208,10 +208,10 @@
 // serveGet answers with a key's record. The caller holds mu, which is unlocked while the answer is delayed.
 func (state *State) serveGet(key string) (*http.Response, error) {
 	found, ok := state.records[key]
-	if late := state.delayedRead; late != nil {
+	if delayed := state.delayedRead; delayed != nil {
 		state.delayedRead = nil
-		state.awaitRelease(late)
-		if !late.executeOnArrival {
+		state.awaitRelease(delayed)
+		if !delayed.executeOnArrival {
 			found, ok = state.records[key]
 		}
 	}
@@ -277,7 +277,7 @@
 }
 
 // Read returns a key's value and the revision of its last change, nil and 0 if the key does not exist.
-func (state *State) Read(key string) (value json.RawMessage, stamp uint64) {
+func (state *State) Read(key string) (value json.RawMessage, revision uint64) {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	return state.records[key].value, state.records[key].revision
--- a/internal/fake/transactions.go
+++ b/internal/fake/transactions.go
@@ -39,9 +39,9 @@
 	for _, o := range transaction.Then {
 		state.LargestTransaction.Value = max(state.LargestTransaction.Value, len(o.Value))
 	}
-	if late := state.delayedTransaction; late != nil {
+	if delayed := state.delayedTransaction; delayed != nil {
 		state.delayedTransaction = nil
-		return state.serveDelayed(late, transaction)
+		return state.serveDelayed(delayed, transaction)
 	}
 	if state.HoldNextTransaction {
 		state.HoldNextTransaction = false
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -22,7 +22,7 @@
 	clock clockwork.Clock
 	// The following fields are copied from WorkerOptions.
 	controllers  []string
-	post         func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
+	post         func(ctx context.Context, controller string, heartbeat *api.Heartbeat) (status int, body any)
 	interval     time.Duration
 	lease        time.Duration
 	taskDuration func(task string) time.Duration
@@ -40,7 +40,7 @@
 	tasks     map[attemptKey]*workerTask
 	// wakeups signals Run to send a heartbeat early.
 	wakeups chan struct{}
-	// killed counts the running tasks that ended with the lease or the worker.
+	// killed counts the running tasks that ended because the lease expired or the worker restarted.
 	killed int
 	// answeredAt is when the last accepted answer to a heartbeat arrived.
 	answeredAt time.Time
@@ -102,24 +102,24 @@
 	Controllers []string
 	// Post sends a heartbeat to a controller and returns the status and the decoded body of the answer: an
 	// api.HeartbeatResponse or an api.Redirect. It returns status 0 if there is no answer before the context ends.
-	Post func(ctx context.Context, node string, r *api.Heartbeat) (status int, body any)
+	Post func(ctx context.Context, controller string, heartbeat *api.Heartbeat) (status int, body any)
 	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval time.Duration
-	// Lease is how long after the last answered heartbeat was sent tasks keep running.
+	// Lease is the time for which tasks keep running after the last answered heartbeat was sent.
 	Lease time.Duration
 	// TaskDuration returns how long a task runs.
 	TaskDuration func(task string) time.Duration
-	// OnStart, if not nil, is called for each start of a task. If the callback for ends is set too, the worker's lock is
-	// held, otherwise the call is made in a new goroutine without the lock.
+	// OnStart, if not nil, is called for each start of a task. If OnEnd is set too, the worker's lock is held; otherwise
+	// the call is made in a new goroutine without the lock.
 	OnStart func(task string, term uint64, at time.Time)
 	// OnEnd, if not nil, is called for each end of a running task, with the worker's lock held and in order with the calls
-	// for starts.
+	// of OnStart.
 	OnEnd func(task string, done bool)
 	// ImagePull returns the image that a task needs and how long its pull takes. Images are pulled one at a time and never
 	// evicted. If it is nil, tasks need no image.
 	ImagePull func(task string) (image string, d time.Duration)
-	// StartFailure, if not nil, returns the exit cause with which a task that is being started ends at once, empty if the task
-	// runs.
+	// StartFailure, if not nil, returns the exit cause with which a task that is being started ends at once, empty if the
+	// task runs.
 	StartFailure func(task string) (cause string)
 	// OnIneffectiveStart, if not nil, is called with the worker's lock held for each start command that has no effect.
 	OnIneffectiveStart func(kind IneffectiveStart)
@@ -131,12 +131,13 @@
 		incarnation: 1, renewedAt: options.Clock.Now(), tasks: map[attemptKey]*workerTask{}, wakeups: make(chan struct{}, 1)}
 }
 
-// Status returns the highest fencing token that the worker has seen, the time of the last accepted answer to a heartbeat,
-// the number of tasks that ended with the lease or the worker, and the number of running tasks.
+// Status returns the highest fencing token that the worker has seen since its last restart, the time of the last
+// accepted answer to a heartbeat, the number of running tasks that ended because the lease expired or the worker
+// restarted, and the number of tasks that run now.
 func (worker *Worker) Status() (term uint64, answered time.Time, killed, running int) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.completeDueTasks()
+	worker.applyDueTransitions()
 	for _, t := range worker.tasks {
 		if t.State == api.TaskRunning {
 			running++
@@ -153,7 +154,7 @@
 	defer worker.mu.Unlock()
 	switch {
 	case suspend && worker.resumed == nil:
-		worker.completeDueTasks()
+		worker.applyDueTransitions()
 		worker.resumed, worker.suspendedAt = make(chan struct{}), worker.clock.Now()
 		resumed := worker.resumed
 		worker.clock.AfterFunc(worker.lease-worker.clock.Since(worker.renewedAt), func() {
@@ -161,7 +162,7 @@
 			defer worker.mu.Unlock()
 			if worker.resumed == resumed {
 				// Tasks end with the lease, although the worker detects the lease's expiry only after it resumes.
-				worker.loseTasks()
+				worker.endAllTasks()
 			}
 		})
 	case !suspend && worker.resumed != nil:
@@ -173,12 +174,12 @@
 		worker.pullingUntil = worker.pullingUntil.Add(suspendedFor)
 		close(worker.resumed)
 		worker.resumed = nil
-		worker.completeDueTasks()
+		worker.applyDueTransitions()
 	}
 }
 
-// loseTasks ends and removes all tasks. The caller holds mu.
-func (worker *Worker) loseTasks() {
+// endAllTasks ends and removes all tasks. The caller holds mu.
+func (worker *Worker) endAllTasks() {
 	for _, current := range worker.tasks {
 		if current.State == api.TaskRunning {
 			worker.killed++
@@ -201,15 +202,15 @@
 	}
 }
 
-// completeDueTasks ends all tasks if the lease has expired, starts tasks whose image is present and completes tasks
+// applyDueTransitions ends all tasks if the lease has expired, starts tasks whose image is present and completes tasks
 // whose run time has passed. It does nothing while the machine is suspended. The caller holds mu.
-func (worker *Worker) completeDueTasks() {
+func (worker *Worker) applyDueTransitions() {
 	if worker.resumed != nil {
 		return
 	}
 	now := worker.clock.Now()
 	if now.Sub(worker.renewedAt) > worker.lease {
-		worker.loseTasks()
+		worker.endAllTasks()
 		worker.incarnation++
 		worker.renewedAt = now
 	}
@@ -245,7 +246,7 @@
 			worker.clock.AfterFunc(duration, func() {
 				worker.mu.Lock()
 				defer worker.mu.Unlock()
-				worker.completeDueTasks()
+				worker.applyDueTransitions()
 			})
 		}
 	}
@@ -280,7 +281,8 @@
 	}
 }
 
-// UnfinishedUse returns the sum of the resource use of all tasks that have not exited, where of returns a task's resource use.
+// UnfinishedUse returns the sum of the resource use of all tasks that have not exited, where use returns the resource
+// use of a task.
 func (worker *Worker) UnfinishedUse(use func(task string) float64) (sum float64) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -327,7 +329,7 @@
 func (worker *Worker) Restart() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.loseTasks()
+	worker.endAllTasks()
 	worker.term = 0
 	worker.incarnation++
 	worker.renewedAt = worker.clock.Now()
@@ -343,11 +345,11 @@
 	for ctx.Err() == nil {
 		worker.waitWhileSuspended()
 		worker.mu.Lock()
-		worker.completeDueTasks()
-		heartbeat, node, sent := worker.heartbeat(), worker.controllers[worker.controllerIndex], worker.clock.Now()
+		worker.applyDueTransitions()
+		heartbeat, controller, sent := worker.heartbeat(), worker.controllers[worker.controllerIndex], worker.clock.Now()
 		worker.mu.Unlock()
 		call, stop := context.WithTimeout(ctx, responseTimeout)
-		status, body := worker.post(call, node, heartbeat)
+		status, body := worker.post(call, controller, heartbeat)
 		stop()
 		worker.waitWhileSuspended()
 		if worker.clock.Since(sent) > responseTimeout {
@@ -375,7 +377,7 @@
 func (worker *Worker) acceptResponse(heartbeat *api.Heartbeat, sent time.Time, status int, body any) time.Duration {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.completeDueTasks()
+	worker.applyDueTransitions()
 	if status == http.StatusOK {
 		response, ok := body.(api.HeartbeatResponse)
 		if !ok || heartbeat.Incarnation != worker.incarnation || response.Term < worker.term || response.Term == 0 {
@@ -462,7 +464,8 @@
 	}
 }
 
-// AnnouncePreemption has the worker report a preemption notice: the cloud will reclaim the machine after the given time.
+// AnnouncePreemption has the worker report a preemption notice: the cloud will reclaim the machine after the given
+// time.
 func (worker *Worker) AnnouncePreemption(after time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -485,7 +488,7 @@
 func (worker *Worker) NextHeartbeat() *api.Heartbeat {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.completeDueTasks()
+	worker.applyDueTransitions()
 	return worker.heartbeat()
 }
 
@@ -494,14 +497,14 @@
 	worker.acceptResponse(heartbeat, sent, http.StatusOK, response)
 }
 
-// ExecuteCommands executes commands that were sent directly to the worker, as POST /orders does. It returns the worker's state
-// afterwards and whether the commands were executed: not if their term is outdated or they are for another incarnation.
-// While the machine is suspended, it waits.
+// ExecuteCommands executes commands that were sent directly to the worker, as POST /orders does. It returns a heartbeat
+// with the worker's state afterwards, and whether the commands were executed: they are not if their term is outdated or
+// they are for another incarnation. While the machine is suspended, it waits.
 func (worker *Worker) ExecuteCommands(response api.HeartbeatResponse) (*api.Heartbeat, bool) {
 	worker.waitWhileSuspended()
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.completeDueTasks()
+	worker.applyDueTransitions()
 	if response.Term < worker.term || response.Incarnation != worker.incarnation {
 		return worker.heartbeat(), false
 	}
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -60,7 +60,7 @@
 	executeCommands(t, worker, command(api.CommandRun, 1), command(api.CommandKill, 1), command(api.CommandRun, 2))
 	newestFirst := 0
 	for range 2 {
-		if report := worker.NextHeartbeat(); report.Tasks[0].Attempt == 2 {
+		if heartbeat := worker.NextHeartbeat(); heartbeat.Tasks[0].Attempt == 2 {
 			newestFirst++
 		}
 	}
--- a/internal/golden/calls_test.go
+++ b/internal/golden/calls_test.go
@@ -164,8 +164,8 @@
 // Commands that are sent directly to a worker, and how its responses are decoded, match the golden file.
 func TestWorkerCallsMatchGolden(t *testing.T) {
 	send := func(ctx context.Context, transport http.RoundTripper) (any, error) {
-		report, executed, err := worker.New(transport).Send(ctx, "worker-0:9000", filled[api.HeartbeatResponse]())
-		return []any{report, executed}, err
+		heartbeat, executed, err := worker.New(transport).Send(ctx, "worker-0:9000", filled[api.HeartbeatResponse]())
+		return []any{heartbeat, executed}, err
 	}
 	compareCalls(t, "calls/worker.txt", []call{
 		{"executed", 200, example(t, "report"), send},
--- a/internal/golden/frames_test.go
+++ b/internal/golden/frames_test.go
@@ -25,11 +25,11 @@
 
 // Golden files of the kinds of frames.
 const (
-	frameGreeting             = "frames/greeting.hex"
-	frameGreetingWithQuestion = "frames/question.hex"
-	frameStatement            = "frames/word.hex"
-	frameRequest              = "frames/request.hex"
-	frameReply                = "frames/reply.hex"
+	frameHello                    = "frames/greeting.hex"
+	frameHelloRequestingStatement = "frames/question.hex"
+	frameStatement                = "frames/word.hex"
+	frameRequest                  = "frames/request.hex"
+	frameReply                    = "frames/reply.hex"
 )
 
 // fakeWatermarks is a fake peer.Watermarks, which exchanges knowledge of cancellations between controllers.
@@ -38,7 +38,7 @@
 	statement watermark.Statement
 	// applied receives the statements of the other controller.
 	applied chan watermark.Statement
-	// positions receives the position in each question of the other controller.
+	// positions receives the position in each request of the other controller for a statement.
 	positions chan [2]uint64
 }
 
@@ -51,7 +51,7 @@
 	return 1234, 56, true
 }
 
-// Statement records the position in the question and returns the fake's statement.
+// Statement records the position in the request and returns the fake's statement.
 func (fake *fakeWatermarks) Statement(incarnation, have uint64) (watermark.Statement, bool) {
 	fake.positions <- [2]uint64{incarnation, have}
 	return fake.statement, true
@@ -178,8 +178,8 @@
 	return value
 }
 
-// awaitGreeting waits until the network has processed a greeting, and returns it.
-func awaitGreeting(t *testing.T, observations <-chan membership.Observation) membership.Hello {
+// awaitHello waits until the network has processed a hello, and returns it.
+func awaitHello(t *testing.T, observations <-chan membership.Observation) membership.Hello {
 	t.Helper()
 	for {
 		if g, ok := receive(t, observations).(membership.Hello); ok {
@@ -188,38 +188,39 @@
 	}
 }
 
-// A controller sends the same greeting as the version in production, with and without a question about cancellations.
-func TestGreetingFramesMatchGolden(t *testing.T) {
-	t.Run("greeting", func(t *testing.T) {
+// A controller sends the same hello as the version in production, with and without a request for a statement about
+// cancellations.
+func TestHelloFramesMatchGolden(t *testing.T) {
+	t.Run("hello", func(t *testing.T) {
 		wire, _, _ := startDialing(t, nil)
-		wire.expect(frameGreeting)
+		wire.expect(frameHello)
 	})
-	t.Run("question", func(t *testing.T) {
+	t.Run("hello requesting a statement", func(t *testing.T) {
 		wire, _, _ := startDialing(t, newFakeWatermarks())
-		wire.expect(frameGreetingWithQuestion)
+		wire.expect(frameHelloRequestingStatement)
 	})
 }
 
-// A controller answers a greeting with a greeting, and a question about cancellations with its statement.
-func TestAnswersToGreetingsMatchGolden(t *testing.T) {
-	t.Run("greeting", func(t *testing.T) {
+// A controller answers a hello with a hello, which contains its statement about cancellations if that is requested.
+func TestAnswersToHellosMatchGolden(t *testing.T) {
+	t.Run("hello", func(t *testing.T) {
 		wire := startAccepting(t, nil, nil)
-		wire.send(frameGreeting)
-		wire.expect(frameGreeting)
+		wire.send(frameHello)
+		wire.expect(frameHello)
 	})
-	t.Run("question", func(t *testing.T) {
+	t.Run("hello requesting a statement", func(t *testing.T) {
 		watermarks := newFakeWatermarks()
 		wire := startAccepting(t, watermarks, nil)
-		wire.send(frameGreetingWithQuestion)
+		wire.send(frameHelloRequestingStatement)
 		if got, want := receive(t, watermarks.positions), [2]uint64{1234, 56}; got != want {
-			t.Errorf("position in the question %v, want %v", got, want)
+			t.Errorf("position in the request %v, want %v", got, want)
 		}
 		wire.expect(frameStatement)
 	})
 }
 
-// All fields of a greeting, and of the statement that comes with it, are decoded.
-func TestGreetingsAreDecoded(t *testing.T) {
+// All fields of a hello, and of the statement that comes with it, are decoded.
+func TestHellosAreDecoded(t *testing.T) {
 	watermarks := newFakeWatermarks()
 	wire, network, observations := startDialing(t, watermarks)
 	wire.read()
@@ -227,11 +228,11 @@
 	if got, want := receive(t, watermarks.applied), filled[watermark.Statement](); !reflect.DeepEqual(got, want) {
 		t.Errorf("statement decoded as %+v, want %+v", got, want)
 	}
-	awaitGreeting(t, observations)
+	awaitHello(t, observations)
 	want := filled[peer.Hello]()
 	want.Member = "n1"
 	if got := network.LivePeers(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-		t.Errorf("greetings decoded as %+v, want %+v", got, want)
+		t.Errorf("hellos decoded as %+v, want %+v", got, want)
 	}
 }
 
@@ -239,8 +240,8 @@
 func TestRequestFramesMatchGolden(t *testing.T) {
 	wire, network, observations := startDialing(t, nil)
 	wire.read()
-	wire.send(frameGreeting)
-	awaitGreeting(t, observations)
+	wire.send(frameHello)
+	awaitHello(t, observations)
 	answers := make(chan peer.Response, 1)
 	go func() {
 		a, err := network.Call(t.Context(), "n1", filled[peer.Request](), frameWait)
@@ -248,8 +249,8 @@
 			answers <- a
 		}
 	}()
-	// Each request is preceded by a greeting.
-	wire.expect(frameGreeting)
+	// Each request is preceded by a hello.
+	wire.expect(frameHello)
 	wire.expect(frameRequest)
 	wire.send(frameReply)
 	if got, want := receive(t, answers), filled[peer.Response](); !reflect.DeepEqual(got, want) {
--- a/internal/golden/stager_test.go
+++ b/internal/golden/stager_test.go
@@ -160,18 +160,18 @@
 	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
 	agent, stop := startAgent(t, dir, "http://127.0.0.1:1")
 	awaitParts(t, agent, "inventory-7", 2)
-	report := agent.Heartbeat(true)
+	heartbeat := agent.Heartbeat(true)
 	stop()
 	// The sequence number depends on timing.
-	report.Seq = 1
-	compare(t, "stager/report.json", encode(t, report))
+	heartbeat.Seq = 1
+	compare(t, "stager/report.json", encode(t, heartbeat))
 	compare(t, "stager/store.read.txt", listDirectory(t, dir))
 }
 
-// sequencePattern matches the sequence number of an agent's reports, which depends on timing.
+// sequencePattern matches the sequence number in an agent's answers, which depends on timing.
 var sequencePattern = regexp.MustCompile(`"seq":[0-9]+`)
 
-// The answers of an agent's port to peers, the leader and operators match the golden file.
+// The answers of an agent's port to other agents, the leader and operators match the golden file.
 func TestAgentPortAnswersMatchGolden(t *testing.T) {
 	dir := t.TempDir()
 	restoreDirectory(t, golden(t, "stager/store.txt"), dir)
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -25,7 +25,7 @@
 func (checker *invariantChecker) terminalStateReported(job *trackedJob) bool {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	return job.finalState != ""
+	return job.terminalState != ""
 }
 
 // recordUnexpectedResponse counts a response that the protocol does not allow, and adds an explanation to the result.
@@ -33,7 +33,7 @@
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	checker.result.UnexpectedResponses++
-	checker.explain("wrong answer: "+format, a...)
+	checker.explain("unexpected response: "+format, a...)
 }
 
 // checkResponse checks the response to a request that was sent at the given time. The same user may have concurrent
@@ -41,11 +41,11 @@
 // sent.
 func (checker *invariantChecker) checkResponse(job *trackedJob, sent time.Time, code int, status api.JobStatus, verb string) {
 	checker.mu.Lock()
-	crossed := job.finalAt.After(sent) && status.State != api.Done && status.State != api.Cancelled
+	outdated := job.terminalAt.After(sent) && status.State != api.Done && status.State != api.Cancelled
 	known := !job.acceptedAt.IsZero() && job.acceptedAt.Before(sent)
 	checker.mu.Unlock()
 	switch {
-	case crossed:
+	case outdated:
 	case verb == controller.VerbSubmit && known && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
 		checker.recordRefusal(job, code)
 	case verb == controller.VerbCancel && code == http.StatusOK && status.State != api.Done && status.State != api.Cancelled:
@@ -84,15 +84,15 @@
 		checker.result.LongestUnansweredS = max(checker.result.LongestUnansweredS, now.Sub(job.answeredAt).Seconds())
 	}
 	job.answeredAt = now
-	if job.finalState != "" && status.State != job.finalState {
-		checker.recordViolation("went_back", "%s was %s, now %s", job.ID, job.finalState, status.State)
+	if job.terminalState != "" && status.State != job.terminalState {
+		checker.recordViolation("went_back", "%s was %s, now %s", job.ID, job.terminalState, status.State)
 	}
 	switch status.State {
 	case api.Done:
 		if len(job.doneTasks) < job.Tasks {
 			checker.recordViolation("not_done", "%s with %d of %d tasks done", job.ID, len(job.doneTasks), job.Tasks)
 		}
-		checker.recordFinalState(job, status.State)
+		checker.recordTerminalState(job, status.State)
 	case api.Cancelled:
 		checker.recordCancelled(job, now)
 	default:
@@ -111,7 +111,7 @@
 	if !job.cancelRequested && !checker.dependencyCancelled(job) {
 		checker.recordViolation("went_back", "%s is reported as cancelled, but nobody cancelled it", job.ID)
 	}
-	checker.recordFinalState(job, api.Cancelled)
+	checker.recordTerminalState(job, api.Cancelled)
 	for _, other := range checker.jobsInOrder {
 		if slices.Contains(other.Awaits, job.ID) && other.orphanedAt.IsZero() {
 			other.orphanedAt = now
@@ -119,12 +119,12 @@
 	}
 }
 
-// recordFinalState records the terminal state that was reported to the job's user; checker.mu is held.
-func (checker *invariantChecker) recordFinalState(job *trackedJob, state string) {
-	if job.finalState == "" {
-		job.finalAt = time.Now()
+// recordTerminalState records the terminal state that was reported to the job's user; checker.mu is held.
+func (checker *invariantChecker) recordTerminalState(job *trackedJob, state string) {
+	if job.terminalState == "" {
+		job.terminalAt = time.Now()
 	}
-	job.finalState = state
+	job.terminalState = state
 }
 
 // dependencyCancelled reports whether the cancellation of a direct or transitive dependency of the job was requested.
--- a/internal/simulation/configuration_test.go
+++ b/internal/simulation/configuration_test.go
@@ -7,7 +7,8 @@
 )
 
 // Operators change the limits of teams every two seconds while faults are injected. No controller may start tasks or
-// answer by a revision older than one that was confirmed to be in force, and changes must continue to come into force.
+// answer requests by a revision that is older than one that was confirmed to be in force, and changes must continue to
+// come into force.
 // The length of a scenario's name is its seed.
 func TestOlderConfigurationRevisionIsNeverUsed(t *testing.T) {
 	for name, faults := range map[string][]Fault{
@@ -34,7 +35,7 @@
 			if raceDetector && i != len(name)%2 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.HeartbeatIntervalS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, heartbeats every %g s", name, timing.HeartbeatIntervalS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(name)), 12)
 				scenario.Workers, scenario.SubmitFor, scenario.ChangeInterval = timing, 80*time.Second, 2*time.Second
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -131,13 +131,13 @@
 func (active *activeFault) flapLeaderLinks() {
 	end := time.Now().Add(active.For)
 	links := bothDirections(active.leaderName, controllerNames)
-	replies := slices.DeleteFunc(slices.Clone(links), func(link [2]string) bool { return link[0] != active.leaderName })
+	fromLeader := slices.DeleteFunc(slices.Clone(links), func(link [2]string) bool { return link[0] != active.leaderName })
 	for time.Now().Before(end) {
 		active.cutLinksFor(links, flapCutBoth)
 		if !active.sleep(active.ctx, flapConnected) {
 			return
 		}
-		active.cutLinksFor(replies, flapCutFromLeader)
+		active.cutLinksFor(fromLeader, flapCutFromLeader)
 		if !active.sleep(active.ctx, flapConnected) {
 			return
 		}
@@ -258,15 +258,15 @@
 
 // loseInbound drops the heartbeats of Count machines, or with Follower of all healthy machines in the leader's zone.
 func (active *activeFault) loseInbound() {
-	silenced := active.pickHealthyMachines(active.Count)
+	affected := active.pickHealthyMachines(active.Count)
 	if active.Follower {
-		silenced = slices.DeleteFunc(active.pickHealthyMachines(len(active.machines)), func(machine *simulatedMachine) bool {
+		affected = slices.DeleteFunc(active.pickHealthyMachines(len(active.machines)), func(machine *simulatedMachine) bool {
 			return machine.Zone != active.controllers[active.leaderName].zone
 		})
 	}
 	active.adjustWhileActive(func(by int) {
 		active.withLock(func() {
-			for _, machine := range silenced {
+			for _, machine := range affected {
 				machine.inboundLossCount += by
 				machine.lastFaultAt = time.Now()
 			}
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -54,8 +54,8 @@
 }
 
 // sendInvalidRequests sends requests that a user makes by mistake: it repeats the submission with an invalid change,
-// under the job's own identifier and under a new one, asks for the job that was refused and cancels it, and cancels the
-// user's job if its terminal state was already reported.
+// under the job's own identifier and under a new one, requests the status and the cancellation of the refused job, and
+// requests the cancellation of the user's job if its terminal state was already reported.
 func (user *user) sendInvalidRequests(ctx context.Context) {
 	sim, job := user.sim, user.job
 	invalid := randomInvalidChange(user.rng)
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -46,9 +46,9 @@
 	acceptedAt, cancelledAt time.Time
 	// doneAt is when the last task completed, whether that was reported or not.
 	doneAt time.Time
-	// finalState is the terminal state that was reported to the user, first at finalAt; empty before.
-	finalState string
-	finalAt    time.Time
+	// terminalState is the terminal state that was reported to the user, first at terminalAt; empty before.
+	terminalState string
+	terminalAt    time.Time
 	// answeredAt is when the user last received a response about the job.
 	answeredAt time.Time
 	// startedAt is when the first task started.
@@ -208,7 +208,7 @@
 }
 
 // taskEnded records that a task ended on a machine, and whether it completed, and checks that a task of a cancelled job
-// ended in time. A worker may react up to one second late to the end of its lease.
+// ended in time. A worker may react up to one second late to the expiry of its lease.
 func (checker *invariantChecker) taskEnded(task string, machine *simulatedMachine, done bool) {
 	_, number, _ := strings.Cut(task, "/")
 	checker.mu.Lock()
@@ -308,8 +308,8 @@
 	}
 }
 
-// machineReturned records that a machine was returned to the cloud. It counts the machine in Result.BusyMachinesReturned if
-// it ran tasks and no fault affected it within the last minute.
+// machineReturned records that a machine was returned to the cloud. It counts the machine in
+// Result.BusyMachinesReturned if it ran tasks and no fault affected it within the last minute.
 func (checker *invariantChecker) machineReturned(machine *simulatedMachine) {
 	_, _, _, running := machine.worker.Status()
 	checker.sim.mu.Lock()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -99,7 +99,7 @@
 // String returns the name of the host.
 func (address simulatedAddr) String() string { return string(address) }
 
-// listen returns the listener of a host's new process.
+// listen creates and registers the listener of a host's new process.
 func (network *controllerNetwork) listen(host string) *simulatedListener {
 	network.mu.Lock()
 	defer network.mu.Unlock()
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -35,17 +35,18 @@
 const inForceTimeout = 8 * time.Second
 
 // operators change the configuration while the simulation runs, one change after the other, and submit probes. They
-// check that no controller schedules or answers by a revision older than one that was confirmed to be in force.
+// check that no controller schedules tasks or answers requests by a revision that is older than one that was confirmed
+// to be in force.
 type operators struct {
 	sim *simulation
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// attempts holds all configurations that were sent, in order.
-	attempts []configurationAttempt
-	// confirmedAttempt is the index of the last attempt that was confirmed to be in force; -1 if there is none.
-	confirmedAttempt int
-	// confirmedAt is when that attempt was confirmed.
+	// proposals holds all proposed configurations, in the order in which they were sent.
+	proposals []proposedConfiguration
+	// confirmedProposal is the index of the last confirmed proposal; -1 if there is none.
+	confirmedProposal int
+	// confirmedAt is when that proposal was confirmed to be in force.
 	confirmedAt time.Time
 	// recordedStarts holds the newest start of each task that was written to the state service.
 	recordedStarts map[string]recordedStart
@@ -53,9 +54,9 @@
 	confirmedChanges int
 }
 
-// configurationAttempt is a configuration that was sent, whether it came into force or not. Its limits are in
-// processors.
-type configurationAttempt struct {
+// proposedConfiguration is a configuration that was sent to a controller, whether it came into force or not. Its limits
+// are in processors.
+type proposedConfiguration struct {
 	// probeLimit is the limit of probeTeam.
 	probeLimit float64
 	// teamLimits holds the limits of the teams that submit jobs.
@@ -64,41 +65,41 @@
 
 // recordedStart is a start of a task in the state service's records.
 type recordedStart struct {
-	// attempt is the number of the start among the starts of the task.
+	// attempt is the number of the attempt among the attempts of the task.
 	attempt uint64
 	// at is when the start was written.
 	at time.Time
 }
 
 func newOperators(sim *simulation) *operators {
-	return &operators{sim: sim, confirmedAttempt: -1, recordedStarts: map[string]recordedStart{}}
+	return &operators{sim: sim, confirmedProposal: -1, recordedStarts: map[string]recordedStart{}}
 }
 
-// randomAttempt draws the next configuration. Every single task fits its limits. With initialLimits, the limits of the
+// randomProposal draws the next configuration. Every single task fits its limits. With initialLimits, the limits of the
 // teams that submit jobs are those in the settings.
-func (ops *operators) randomAttempt(rng *rand.Rand, initialLimits bool) configurationAttempt {
-	attempt := configurationAttempt{probeLimit: probeLimitSmall, teamLimits: map[string]float64{}}
+func (ops *operators) randomProposal(rng *rand.Rand, initialLimits bool) proposedConfiguration {
+	proposal := proposedConfiguration{probeLimit: probeLimitSmall, teamLimits: map[string]float64{}}
 	if rng.IntN(2) == 0 {
-		attempt.probeLimit = probeLimitLarge
+		proposal.probeLimit = probeLimitLarge
 	}
 	for _, team := range teamNames {
-		attempt.teamLimits[team] = ops.sim.teamLimit()
+		proposal.teamLimits[team] = ops.sim.teamLimit()
 		if !initialLimits {
-			attempt.teamLimits[team] = max(3*machineType.CPUs, ops.sim.teamLimit()*rng.Float64())
+			proposal.teamLimits[team] = max(3*machineType.CPUs, ops.sim.teamLimit()*rng.Float64())
 		}
 	}
-	return attempt
+	return proposal
 }
 
 // document returns the text of the configuration. A random comment makes each text different.
-func (attempt *configurationAttempt) document(rng *rand.Rand) string {
+func (proposal *proposedConfiguration) document(rng *rand.Rand) string {
 	var text strings.Builder
 	if rng.IntN(3) == 0 {
 		text.WriteString("[over_limit]\nrunning = \"stop\"\nstop_within_s = 5\n")
 	}
-	fmt.Fprintf(&text, "# %d\n[[teams]]\nname = %q\ncpus_max = %g\n", rng.Int64(), probeTeam, attempt.probeLimit)
+	fmt.Fprintf(&text, "# %d\n[[teams]]\nname = %q\ncpus_max = %g\n", rng.Int64(), probeTeam, proposal.probeLimit)
 	for _, team := range teamNames {
-		fmt.Fprintf(&text, "[[teams]]\nname = %q\ncpus_max = %g\n", team, attempt.teamLimits[team])
+		fmt.Fprintf(&text, "[[teams]]\nname = %q\ncpus_max = %g\n", team, proposal.teamLimits[team])
 	}
 	return text.String()
 }
@@ -117,14 +118,14 @@
 
 // change makes one change and waits until it is in force; it reports false if that is not confirmed in time.
 func (ops *operators) change(ctx context.Context, rng *rand.Rand, initialLimits bool) bool {
-	attempt := ops.randomAttempt(rng, initialLimits)
-	body, err := json.Marshal(api.ConfigurationRequest{Document: attempt.document(rng), Operator: "operators", Reason: "the day"})
+	proposal := ops.randomProposal(rng, initialLimits)
+	body, err := json.Marshal(api.ConfigurationRequest{Document: proposal.document(rng), Operator: "operators", Reason: "the day"})
 	if err != nil {
 		panic(fmt.Sprintf("encoding a change of the configuration: %v", err))
 	}
 	ops.mu.Lock()
-	ops.attempts = append(ops.attempts, attempt)
-	index := len(ops.attempts) - 1
+	ops.proposals = append(ops.proposals, proposal)
+	index := len(ops.proposals) - 1
 	ops.mu.Unlock()
 	code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbConfigure, Body: body})
 	var response struct {
@@ -138,7 +139,7 @@
 	}
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
-	ops.confirmedAttempt, ops.confirmedAt = index, time.Now()
+	ops.confirmedProposal, ops.confirmedAt = index, time.Now()
 	ops.confirmedChanges++
 	return true
 }
@@ -186,7 +187,7 @@
 	body := encodeSubmission(&api.Submission{ID: "run-555000555", Class: "probe", Team: probeTeam, Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: probeCPUs, MemoryGB: 1, Image: "img", Awaits: []string{"run-555000556"}})
 	for ops.sim.sleep(ctx, 200*time.Millisecond) {
 		ops.mu.Lock()
-		oldest := ops.confirmedAttempt
+		oldest := ops.confirmedProposal
 		ops.mu.Unlock()
 		code, raw := ops.request(ctx, rng, peer.Request{Verb: controller.VerbSubmit, Body: body})
 		var refusal api.Error
@@ -203,13 +204,13 @@
 	}
 }
 
-// probeAnswerPossible reports whether any attempt from the oldest on, an index in attempts, has a limit with which the
+// probeAnswerPossible reports whether any proposal from the one with the index oldest on has a limit with which the
 // probe is admitted, or not admitted if admitted is false.
 func (ops *operators) probeAnswerPossible(admitted bool, oldest int) bool {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
-	return slices.ContainsFunc(ops.attempts[oldest:], func(attempt configurationAttempt) bool {
-		return admitted == (attempt.probeLimit >= probeCPUs)
+	return slices.ContainsFunc(ops.proposals[oldest:], func(proposal proposedConfiguration) bool {
+		return admitted == (proposal.probeLimit >= probeCPUs)
 	})
 }
 
@@ -219,12 +220,12 @@
 func (ops *operators) checkStart(task, team string, usage float64) (violation string) {
 	ops.mu.Lock()
 	defer ops.mu.Unlock()
-	if ops.confirmedAttempt < 0 {
+	if ops.confirmedProposal < 0 {
 		return ""
 	}
-	limit := ops.attempts[ops.confirmedAttempt].teamLimits[team]
-	for _, attempt := range ops.attempts[ops.confirmedAttempt+1:] {
-		limit = max(limit, attempt.teamLimits[team])
+	limit := ops.proposals[ops.confirmedProposal].teamLimits[team]
+	for _, proposal := range ops.proposals[ops.confirmedProposal+1:] {
+		limit = max(limit, proposal.teamLimits[team])
 	}
 	// A start that was recorded before the confirmation may have been decided by an older revision.
 	if start, ok := ops.recordedStarts[task]; !ok || !start.at.After(ops.confirmedAt) || usage <= limit+cpuTolerance {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -53,16 +53,16 @@
 	MinStartedShare float64 `json:"classes_min_share"`
 	// LargestStartDelayP99S is the 99th percentile of the start delay of the largest jobs of all classes, in seconds.
 	LargestStartDelayP99S float64 `json:"largest_begin_p99_s"`
-	// UndeliveredStartsPerLease is the number of tasks that were sent to machines which had received nothing from controllers for a
-	// lease or longer, divided by the number of leases for which machines received nothing, at least 1.
+	// UndeliveredStartsPerLease is the number of starts that were sent to machines which had received nothing from
+	// controllers for a lease or longer, divided by the number of leases for which machines received nothing, at least 1.
 	UndeliveredStartsPerLease float64 `json:"starts_in_vain"`
 	// BusyMachinesReturned counts the machines that were returned to the cloud while they ran tasks, although no fault had
 	// affected them within the last minute.
 	BusyMachinesReturned int `json:"returned_in_vain"`
 	// StartsAfterCancel counts the starts of tasks after the cancellation of their job was reported to its user.
 	StartsAfterCancel int `json:"started_cancelled"`
-	// StarvedJobs counts the jobs that waited longer than maxStarvationTime, after all faults were over, while machines
-	// had room for them and their team was below its limit.
+	// StarvedJobs counts the jobs that waited longer than maxStarvationTime, after all faults were over, while free
+	// resources fit them and their team was below its limit.
 	StarvedJobs int `json:"waited_in_vain"`
 	// UnexpectedResponses counts the responses that the protocol does not allow, mostly to invalid requests.
 	UnexpectedResponses int `json:"wrong_answers"`
@@ -84,14 +84,14 @@
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	now := time.Now()
-	// classes holds the jobs that should have started, by class and by team; teamPrefix precedes the name of a team.
+	// groups holds the jobs that should have started, by class and by team; teamPrefix precedes the name of a team.
 	groups := map[string][]*trackedJob{}
 	for _, job := range checker.jobsInOrder {
 		if job.acceptedAt.IsZero() {
 			continue
 		}
 		checker.result.Jobs++
-		if job.finalState == "" {
+		if job.terminalState == "" {
 			checker.evaluateUnfinishedJob(job, now)
 		}
 		if job.cancelledAt.IsZero() && job.orphanedAt.IsZero() && !checker.awaitsDependency(job) {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -119,7 +119,7 @@
 type Scenario struct {
 	// Seed determines the jobs and all random choices of users and faults.
 	Seed uint64
-	// Machines is the number of machines at the beginning, and the most that the cloud provides at a time.
+	// Machines is the number of machines at the beginning, and the number that can be rented in addition.
 	Machines int
 	// SubmitFor is how long users submit jobs. After that, or after the last fault if that ends later, the simulation
 	// continues for WaitAfter.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -82,7 +82,7 @@
 	stateRPS = 400
 	// stateWriteRPS is how many writes per second the state service accepts.
 	stateWriteRPS = 120
-	// stateValueKB is the largest value that the state service stores, in KB.
+	// stateValueKB is the largest value that the state service stores, in KiB.
 	stateValueKB = 16
 	// stateTxnOps is the largest number of operations in a transaction.
 	stateTxnOps = 12
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -38,7 +38,7 @@
 }
 
 // runScenario runs a scenario in a synctest bubble and fails the test if a rule was broken, the controllers reported an
-// invariant violation, or jobs were forgotten, starved or not started.
+// invariant violation, a response was unexpected, or jobs were unanswered, starved or not started.
 func runScenario(t *testing.T, scenario *Scenario) *Result {
 	return runOverloadedScenario(t, scenario, 0)
 }
@@ -112,7 +112,7 @@
 	return scenario
 }
 
-// In random scenarios no rule is broken, and no job is forgotten or starved.
+// In random scenarios no rule is broken, and no job is unanswered or starved.
 func TestRandomScenariosBreakNoRule(t *testing.T) {
 	forEachSeed(t, 200, 12, func(t *testing.T, seed uint64) { runScenario(t, randomScenario(seed)) })
 }
@@ -137,9 +137,9 @@
 }
 
 // The state service refuses only the leader, other controllers acknowledge cancellations, and then the service fails
-// for all controllers while workers still report to the old leader. The tasks of the cancelled jobs must stop in time.
-// Most of these cases broke the rule ran_cancelled when a controller that reached all others assumed that it had missed
-// no cancellation (docs/incidents/hunt-told-before-an-outage.md).
+// for all controllers while workers still send heartbeats to the old leader. The tasks of the cancelled jobs must stop
+// in time. Most of these cases broke the rule ran_cancelled when a controller that reached all others assumed that it
+// had missed no cancellation (docs/incidents/hunt-told-before-an-outage.md).
 func TestCancelledTasksStopWhenStateServiceFails(t *testing.T) {
 	milliseconds := func(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 	// Times are in milliseconds, counted from the refusal. The length of a name is the seed of its scenario, and
@@ -159,7 +159,7 @@
 		{name: "cancelled before refusal, machines hang for 90s", cancelMS: -200, outageMS: 500, hangMachinesMS: 90_000},
 		{name: "cancelled without leader, hang, requests time out", cancelMS: 700, outageMS: 950, unanswered: true, hangMachinesMS: 20_000},
 		{name: "heartbeats are lost", cancelMS: 1000, outageMS: 1400, furtherFaults: []Fault{{At: milliseconds(-2000), For: milliseconds(40_000), Kind: InboundLost, Count: 4}}},
-		{name: "silence of a zone", cancelMS: 1000, outageMS: 1400, furtherFaults: []Fault{{At: milliseconds(-2000), For: milliseconds(40_000), Kind: InboundLost, Follower: true}}},
+		{name: "zone inbound loss", cancelMS: 1000, outageMS: 1400, furtherFaults: []Fault{{At: milliseconds(-2000), For: milliseconds(40_000), Kind: InboundLost, Follower: true}}},
 		{name: "slow state service", cancelMS: 1500, outageMS: 3000, furtherFaults: []Fault{{At: milliseconds(-5000), For: milliseconds(30_000), Kind: SlowState}}},
 		{name: "state service slow for the leader alone", cancelMS: 1000, outageMS: 1400, furtherFaults: []Fault{{At: milliseconds(-5000), For: milliseconds(30_000), Kind: SlowState, Count: 1}}},
 		{name: "pause of the former leader's process", cancelMS: 2500, outageMS: 3000, furtherFaults: []Fault{{At: milliseconds(200), For: milliseconds(2900), Kind: ProcessPause}}},
@@ -187,7 +187,7 @@
 			if raceDetector && i != len(testCase.name)%2 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", testCase.name, timing.HeartbeatIntervalS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, heartbeats every %g s", testCase.name, timing.HeartbeatIntervalS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(testCase.name)), 12)
 				scenario.Workers, scenario.CancelShare, scenario.TaskRunS, scenario.JobsPerSecond = timing, 0.3, 110, 1.5
@@ -242,7 +242,7 @@
 			if raceDetector && (i > 0 || crash == (len(name)%2 == 0)) {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s, leader crash %v", name, timing.HeartbeatIntervalS, crash), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, heartbeats every %g s, leader crash %v", name, timing.HeartbeatIntervalS, crash), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(uint64(len(name)), 12)
 				scenario.Workers, scenario.CancelShare, scenario.TaskRunS, scenario.JobsPerSecond = timing, 0.15, 40, 1
@@ -344,7 +344,7 @@
 			var result *Result
 			synctest.Test(t, func(t *testing.T) { result = scenario.Run(t.Context()) })
 			if len(result.Violations) > 0 || result.StarvedJobs > 0 || result.UnansweredJobs > 0 || result.TaskStarts < 400 {
-				t.Errorf("%d jobs starved, %d forgotten, %d tasks started, rules broken: %v", result.StarvedJobs, result.UnansweredJobs, result.TaskStarts, result.Violations)
+				t.Errorf("%d jobs starved, %d unanswered, %d tasks started, rules broken: %v", result.StarvedJobs, result.UnansweredJobs, result.TaskStarts, result.Violations)
 			}
 		})
 	}
@@ -360,7 +360,7 @@
 			if raceDetector && (i > 0 || seed > 0) {
 				continue
 			}
-			t.Run(fmt.Sprintf("reports every %g s, seed %d", timing.HeartbeatIntervalS, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("heartbeats every %g s, seed %d", timing.HeartbeatIntervalS, seed), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(seed, 12)
 				scenario.Workers, scenario.CancelShare, scenario.CPUsPerMachine, scenario.TaskRunS, scenario.JobsPerSecond = timing, 0.15, 2, 30, 2
@@ -403,13 +403,13 @@
 			if raceDetector && i > 0 {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, reports every %g s", name, timing.HeartbeatIntervalS), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, heartbeats every %g s", name, timing.HeartbeatIntervalS), func(t *testing.T) {
 				t.Parallel()
 				scenario := NewScenario(1, 12)
 				scenario.Faults, scenario.Workers = faults, timing
 				result := runScenario(t, scenario)
-				// TestHalfDeafMachineIsGivenNoMoreWork checks the exact number. Here it depends on which
-				// tasks are placed on which machines at the end of a term.
+				// A test of package scheduler checks the exact number. Here it depends on which tasks are
+				// placed on which machines at the end of a term.
 				if result.UndeliveredStartsPerLease > 2 {
 					t.Errorf("%.1f starts per lease on machines that receive nothing", result.UndeliveredStartsPerLease)
 				}
--- a/internal/simulation/start_under_way_test.go
+++ b/internal/simulation/start_under_way_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// A start of a task that is delivered twice must not run the task twice. Operators saw a task on two machines at once,
+// A start command that is delivered twice must not run the task twice. Operators saw a task on two machines at once,
 // in a fleet of some 4,000 machines under faults. Here heartbeats and their responses are slow, direct commands are
-// fast, and machines fail tasks. A start is sent in a direct command and in the response to a heartbeat; the task ends,
-// its record is cleared, and it starts on another machine; then the response arrives and starts it on the first machine
-// again. Before this was prevented, six of 24 seeds ran a task twice, without a change of leader.
-func TestStartsUnderWayRunNoTaskTwice(t *testing.T) {
+// fast, and machines fail tasks. A start command is sent both directly and in the response to a heartbeat; the
+// attempt exits, its record is cleared, and the task starts on another machine; then the response arrives and starts
+// the attempt on the first machine again. Before this was prevented, six of 24 seeds ran a task twice, without a
+// change of leader.
+func TestStartDeliveredTwiceRunsTaskOnce(t *testing.T) {
 	forEachSeed(t, 16, 2, func(t *testing.T, seed uint64) {
 		scenario := NewScenario(seed, 12)
 		scenario.Workers, scenario.CancelShare, scenario.TaskRunS, scenario.JobsPerSecond = workerTimings[seed%2], 0.1, 20, 1.5
--- a/internal/simulation/starvation.go
+++ b/internal/simulation/starvation.go
@@ -66,11 +66,11 @@
 	return usage, running
 }
 
-// couldStart reports whether a job may start and both the free processors and its team's limit have room for one of its
+// couldStart reports whether a job may start and both the free processors and its team's limit suffice for one of its
 // waiting tasks, or for all of them if it is a service; usage is the number of processors that the team uses.
 // checker.mu is held.
 func (checker *invariantChecker) couldStart(job *trackedJob, waiting int, free freeCPUs, usage float64) bool {
-	if job.acceptedAt.IsZero() || job.finalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || waiting <= 0 || checker.awaitsDependency(job) {
+	if job.acceptedAt.IsZero() || job.terminalState != "" || job.cancelRequested || !job.orphanedAt.IsZero() || waiting <= 0 || checker.awaitsDependency(job) {
 		return false
 	}
 	fits := 0
--- a/internal/simulation/transport.go
+++ b/internal/simulation/transport.go
@@ -65,8 +65,8 @@
 	return resp, err
 }
 
-// target returns the name of the host that a request is sent to, and the transport that serves it there; transport is nil if
-// no running machine has the address.
+// target returns the name of the host that a request is sent to, and the transport that serves it there; transport is
+// nil if no running machine has the address.
 func (t *controllerTransport) target(request *http.Request) (host string, transport http.RoundTripper) {
 	host, _, _ = strings.Cut(request.URL.Host, ":")
 	switch host {
@@ -146,7 +146,7 @@
 }
 
 // delay draws whether a request is delayed, and by how much. A delayed request is executed even if its caller has given
-// up; so the delay may be zero.
+// up, also with a delay of zero.
 func (t *controllerTransport) delay(request *http.Request, host string, transport http.RoundTripper) (delay requestDelay, delayed bool) {
 	endpoint, toWorker := transport.(workerEndpoint)
 	t.sim.mu.Lock()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -101,10 +101,10 @@
 	if fault.HangMachinesFor > 0 {
 		user.sim.hangMachineOf(ctx, user.job, fault.HangMachinesFor)
 	}
-	for start := time.Now(); time.Since(start) < fault.For && user.job.finalState == ""; user.sim.sleep(ctx, waveInterval) {
+	for start := time.Now(); time.Since(start) < fault.For && user.job.terminalState == ""; user.sim.sleep(ctx, waveInterval) {
 		user.cancel(ctx, time.Second)
 	}
-	if user.job.finalState != "" {
+	if user.job.terminalState != "" {
 		user.cancelAfter = noCancellation
 	}
 }
@@ -171,8 +171,8 @@
 	return body
 }
 
-// requestAroundEnd cancels a job around the moment at which its last task ends, which is after remaining, and
-// concurrently requests its status and repeats its submission.
+// requestAroundEnd cancels a job around the moment at which its last task ends, remaining from now, and concurrently
+// requests its status and repeats its submission.
 func (sim *simulation) requestAroundEnd(job *trackedJob, remaining time.Duration) {
 	cancel := peer.Request{Verb: controller.VerbCancel, Job: job.ID}
 	status := peer.Request{Verb: controller.VerbStatus, Job: job.ID}
@@ -190,7 +190,7 @@
 			sent := time.Now()
 			sim.checker.mu.Lock()
 			job.cancelRequested = job.cancelRequested || request.Verb == controller.VerbCancel
-			if job.finalState != "" {
+			if job.terminalState != "" {
 				// The user may have stopped polling, so the time since the last response does not count.
 				job.answeredAt = sent
 			}
--- a/internal/simulation/workers.go
+++ b/internal/simulation/workers.go
@@ -38,7 +38,8 @@
 	return !machine.dead && machine.outboundLostSince.IsZero() && machine.inboundLossCount+machine.hangCount+machine.failingCount == 0
 }
 
-// startWorker adds a machine and runs its worker until ctx ends or the machine is returned to the cloud or dies.
+// startWorker adds a machine and runs its worker until ctx ends, the machine is returned to the cloud, or a fault ends
+// the machine permanently.
 func (sim *simulation) startWorker(ctx context.Context, host fake.Host) {
 	ctx, stop := context.WithCancel(ctx)
 	machine := &simulatedMachine{Host: host, stop: stop}
@@ -53,8 +54,8 @@
 	sim.actors.Go(func() { machine.worker.Run(ctx) })
 }
 
-// imagePull returns the function that tells a worker which image a task needs and how long its pull takes; nil if tasks
-// need no images.
+// imagePull returns the function from which a worker gets the image that a task needs and the duration of its pull; nil
+// if tasks need no images.
 func (sim *simulation) imagePull() func(task string) (string, time.Duration) {
 	if sim.ImagePullS <= 0 {
 		return nil
