--- a/ageing/ageing.go
+++ b/ageing/ageing.go
@@ -1,12 +1,12 @@
 // Package ageing prevents starvation: it decides when a job has waited so long that it is scheduled before others, and
 // which machines to reserve so that its tasks can start soonest.
 //
-// Scheduling by priority and due time alone starves jobs: while small jobs, or jobs of higher priority, keep arriving, the
-// largest jobs of a class, those that can no longer meet their due time and those that need a whole machine are passed
-// over in every round. So a job of which no task has started within a time limit may start one task, or a gang as a whole,
-// before all but production jobs; after that it has its ordinary position again. This costs the other jobs one task for
-// each waiting job per time limit, and bounds the wait of each job by the limit plus the time that a machine takes to
-// drain.
+// Scheduling by priority and due time alone starves jobs: while small jobs, or jobs of higher priority, keep arriving,
+// the largest jobs of a class, those that can no longer meet their due time and those that need a whole machine are
+// passed over in every round. So a job of which no task has started within a time limit may start one task, or a gang
+// as a whole, before all but production jobs; after that it has its ordinary position again. This costs the other jobs
+// one task for each waiting job per time limit, and bounds the wait of each job by the limit plus the time that a
+// machine takes to drain.
 //
 // The package knows times, zones and when tasks could start, but no jobs. It has no clock and no lock.
 package ageing
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// Starved reports whether a job has starved for limit or longer. The job has been ready to start since waitingSince, and one
-// of its tasks was last started at lastStart, which is zero if none was.
+// Starved reports whether a job has starved for limit or longer. The job has been ready to start since waitingSince,
+// and one of its tasks was last started at lastStart, which is zero if none was.
 func Starved(now, waitingSince, lastStart time.Time, limit time.Duration) bool {
 	if lastStart.After(waitingSince) {
 		waitingSince = lastStart
@@ -30,14 +30,14 @@
 // Machine says when further tasks of a job could start on one machine, as the tasks running there end.
 type Machine struct {
 	Name, Zone string
-	// StartDelays lists, for each further task, the time from now until it could start, in ascending order. It is empty if none
-	// ever can.
+	// StartDelays lists, for each further task, the time from now until it could start, in ascending order. It is empty
+	// if none ever can.
 	StartDelays []time.Duration
 }
 
-// EarliestMachines chooses the machines on which the given number of tasks can all have started soonest, in a single zone
-// if oneZone is set. It returns their names and the time until the last task starts. The names are nil if the tasks can
-// never all start, or if there are none.
+// EarliestMachines chooses the machines on which the given number of tasks can all have started soonest, in a single
+// zone if oneZone is set. It returns their names and the time until the last task starts. The names are nil if the
+// tasks can never all start, or if there are none.
 func EarliestMachines(machines []Machine, tasks int, oneZone bool) (names []string, delay time.Duration) {
 	if !oneZone {
 		return earliest(machines, tasks)
@@ -47,9 +47,9 @@
 		zones[machine.Zone] = append(zones[machine.Zone], machine)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		zoneNames, zoneAt := earliest(zones[zone], tasks)
-		if zoneNames != nil && (names == nil || zoneAt < delay) {
-			names, delay = zoneNames, zoneAt
+		zoneNames, zoneDelay := earliest(zones[zone], tasks)
+		if zoneNames != nil && (names == nil || zoneDelay < delay) {
+			names, delay = zoneNames, zoneDelay
 		}
 	}
 	return names, delay
--- a/ageing/ageing_test.go
+++ b/ageing/ageing_test.go
@@ -24,7 +24,7 @@
 				lastStart = waitingSince.Add(testCase.lastStart)
 			}
 			if got := Starved(waitingSince.Add(testCase.after), waitingSince, lastStart, 150*time.Second); got != testCase.want {
-				t.Errorf("due %v, want %v", got, testCase.want)
+				t.Errorf("starved %v, want %v", got, testCase.want)
 			}
 		})
 	}
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -44,8 +44,8 @@
 	limiter *rate.Limiter
 }
 
-// New returns a client for an address. The cloud's limit is rps requests per second, of which the client uses
-// the share tuning.LeaderRateShare.
+// New returns a client for an address. The cloud's limit is requestsPerSecond, of which the client uses the
+// share tuning.LeaderRateShare.
 func New(addr string, requestsPerSecond float64, transport http.RoundTripper) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
@@ -54,8 +54,8 @@
 	}
 }
 
-// call sends one request and decodes the response into into, unless that is nil.
-func (client *Client) call(ctx context.Context, method, path string, body, into any) error {
+// call sends one request and decodes the response into into, unless into is nil.
+func (client *Client) call(ctx context.Context, method, path string, body, target any) error {
 	if err := client.limiter.Wait(ctx); err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	}
 	switch status {
 	case http.StatusOK:
-		return decode(raw, into)
+		return decode(raw, target)
 	case http.StatusServiceUnavailable:
 		return unavailableError(raw)
 	}
@@ -75,12 +75,12 @@
 }
 
 // decode decodes a response, unless into is nil.
-func decode(raw []byte, into any) error {
-	if into == nil {
+func decode(raw []byte, target any) error {
+	if target == nil {
 		return nil
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
-		return fmt.Errorf("malformed answer: %w", err)
+	if err := json.Unmarshal(raw, target); err != nil {
+		return fmt.Errorf("malformed response: %w", err)
 	}
 	return nil
 }
@@ -96,28 +96,28 @@
 
 // Catalog returns the machine types, with current prices. Without an error there is at least one.
 func (client *Client) Catalog(ctx context.Context) ([]api.MachineType, error) {
-	var answer struct {
+	var response struct {
 		Types []api.MachineType `json:"hulls"`
 	}
-	if err := client.call(ctx, http.MethodGet, "/catalog", nil, &answer); err != nil {
+	if err := client.call(ctx, http.MethodGet, "/catalog", nil, &response); err != nil {
 		return nil, fmt.Errorf("reading the catalog: %w", err)
 	}
-	if len(answer.Types) == 0 {
-		return answer.Types, fmt.Errorf("reading the catalog: %w", errEmptyCatalog)
+	if len(response.Types) == 0 {
+		return response.Types, fmt.Errorf("reading the catalog: %w", errEmptyCatalog)
 	}
-	return answer.Types, nil
+	return response.Types, nil
 }
 
 // Rent requests machines and returns the names of those rented, which may be fewer than requested. The
 // error is ErrNoCapacity if none is available; then the same request can be sent again.
 func (client *Client) Rent(ctx context.Context, request api.InstanceRequest) ([]string, error) {
-	var answer struct {
+	var response struct {
 		Machines []string `json:"hosts"`
 	}
-	if err := client.call(ctx, http.MethodPost, "/machines", request, &answer); err != nil {
+	if err := client.call(ctx, http.MethodPost, "/machines", request, &response); err != nil {
 		return nil, fmt.Errorf("renting %d of %s in %s: %w", request.Count, request.Type, request.Zone, err)
 	}
-	return answer.Machines, nil
+	return response.Machines, nil
 }
 
 // Return returns machines to the cloud. Without an error, the machines and everything on them no longer
--- a/dag/graph.go
+++ b/dag/graph.go
@@ -1,5 +1,5 @@
-// Package dag tracks the dependencies between jobs: which jobs wait for which, which jobs become ready when one completes
-// or are cancelled with one, and which priority and due times a job inherits from the jobs that depend on it.
+// Package dag tracks the dependencies between jobs: which jobs wait for which, which jobs become ready when one
+// completes or are cancelled with one, and which priority and due times a job inherits from the jobs that depend on it.
 //
 // The package has no lock, clock or I/O, and every list that it returns is in a deterministic order.
 package dag
@@ -41,8 +41,8 @@
 	return &Graph{dependencies: edges{}, dependents: edges{}}
 }
 
-// Add makes a job wait for dependencies, which must not be complete. Dependencies may be unknown to the graph and may wait
-// themselves. If the job waits already, the dependencies are added to the existing ones.
+// Add makes a job wait for dependencies, which must not be complete. Dependencies may be unknown to the graph and may
+// wait themselves. If the job waits already, the dependencies are added to the existing ones.
 func (g *Graph) Add(job string, dependencies []string) {
 	for _, dependency := range dependencies {
 		g.dependencies.add(job, dependency)
--- a/dag/graph_test.go
+++ b/dag/graph_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// model is a reference implementation of Graph: it stores only the dependencies, the completed and the cancelled jobs, and
-// computes everything else on each call.
+// model is a reference implementation of Graph: it stores only the dependencies, the completed and the cancelled jobs,
+// and computes everything else on each call.
 type model struct {
 	ids                  []string
 	dependencies         map[string][]string
--- a/dag/inherit.go
+++ b/dag/inherit.go
@@ -4,18 +4,19 @@
 
 // Stage holds the attributes of a job that determine its position in the run queues.
 type Stage struct {
-	// Rank is the job's priority; higher ranks go first.
+	// Rank is the job's priority; jobs of higher rank are scheduled first.
 	Rank int
 	// DurationMS is the time from when the job may start until it completes, in milliseconds.
 	DurationMS int64
-	// DueTimesMS lists the job's due times in milliseconds of one clock, in ascending order. A job that misses one is held
-	// to the next.
+	// DueTimesMS lists the job's due times in milliseconds of one clock, in ascending order. After a
+	// due time is missed, the next one applies.
 	DueTimesMS []int64
 }
 
 // Inherit returns, for each job that others wait for, the stage that results from its own and from those of its
-// dependents: the highest rank and, at each index of the due times, the earliest. A dependency is due at the due time of
-// its dependent less the dependent's DurationMS. StageOf returns a job's own stage, and false for an unknown job.
+// dependents: the highest rank and, at each index of the due times, the earliest. A dependency is due at the due time
+// of its dependent less the dependent's DurationMS. The function stageOf returns a job's own stage, and false for an
+// unknown job.
 func (g *Graph) Inherit(stageOf func(job string) (Stage, bool)) map[string]Stage {
 	walk := inheritanceWalk{graph: g, stageOf: stageOf, stages: map[string]Stage{}}
 	for id := range g.dependents {
--- a/dag/inherit_test.go
+++ b/dag/inherit_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A job's due times follow from the critical path through its dependents, separately for each index, and its rank is the
-// highest of its own and its dependents' ranks.
+// A job's due times follow from the critical path through its dependents, separately for each index, and its rank is
+// the highest of its own and its dependents' ranks.
 func TestInheritPropagatesRankAndDueTimes(t *testing.T) {
 	graph := New()
 	graph.Add("rewrite", []string{"export"})
--- a/failuredetector/decision.go
+++ b/failuredetector/decision.go
@@ -83,7 +83,7 @@
 	case machine.PreemptionNotice && machine.NoticeExpired && machine.SilentFor > limits.SuspectAfter:
 		return Release, "preempted by the cloud"
 	case machine.InboundLost && machine.SilentFor > limits.ReleaseAfter && machine.SilentFor <= limits.InboundLost:
-		if machine.SilentShare > tuning.EvictUnlimitedShare {
+		if machine.SilentShare > tuning.EvictionUnlimitedShare {
 			// The fault is between most of the zone and the controllers, not in the machine. There may be no
 			// capacity elsewhere, and the tasks run at least until the lease expires.
 			return Keep, ""
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -44,13 +44,13 @@
 
 // run advances the time while the machines for which reports is true send heartbeats. It returns the number of
 // released machines by zone.
-func (f *fleet) run(duration time.Duration, reports func(name string) bool) map[string]int {
+func (f *fleet) run(duration time.Duration, sendsHeartbeats func(name string) bool) map[string]int {
 	released := map[string]int{}
 	for end := f.now.Add(duration); f.now.Before(end); {
 		f.now = f.now.Add(tuning.MaintenanceInterval)
 		i := 0
 		for _, name := range f.remaining() {
-			if i++; reports(name) && (f.now.UnixMilli()/500+int64(i))%6 == 0 {
+			if i++; sendsHeartbeats(name) && (f.now.UnixMilli()/500+int64(i))%6 == 0 {
 				f.lastHeartbeat[name] = f.now
 			}
 		}
@@ -92,7 +92,7 @@
 	return names
 }
 
-func allReport(string) bool { return true }
+func allSendHeartbeats(string) bool { return true }
 
 func (f *fleet) isNear(name string) bool { return f.zone[name] == "near" }
 
@@ -111,21 +111,21 @@
 	}{
 		{"no controller in the zone", "", 0},
 		{"controller in the zone", "far", 0},
-		{"half of the zone back", "far", 1000},
+		{"half of the zone responds again", "far", 1000},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fleet := newFleet()
-			fleet.run(30*time.Second, allReport)
+			fleet.run(30*time.Second, allSendHeartbeats)
 			fleet.unreachableZone = test.unreachableZone
 			released := fleet.run(11*time.Second, fleet.isNear)
 			fleet.startTerm()
-			reports := func(name string) bool {
+			sendsHeartbeats := func(name string) bool {
 				if fleet.zone[name] == "far" {
 					return name < fmt.Sprintf("n-%04d", test.responding)
 				}
 				return name != dead
 			}
-			for zone, count := range fleet.run(45*time.Second, reports) {
+			for zone, count := range fleet.run(45*time.Second, sendsHeartbeats) {
 				released[zone] += count
 			}
 			if released["far"] > 0 || !fleet.released[dead] || released["near"] != 1 {
@@ -144,7 +144,7 @@
 // machine must be replaced by one that has to boot.
 func TestLostZoneIsReleasedSlowly(t *testing.T) {
 	fleet := newFleet()
-	fleet.run(30*time.Second, allReport)
+	fleet.run(30*time.Second, allSendHeartbeats)
 	if released := fleet.run(tuning.PartitionLeases*lease-10*time.Second, fleet.isNear); released["far"] > 0 {
 		t.Fatalf("released %v while a partition is likely", released)
 	}
@@ -168,7 +168,7 @@
 // grouped into one. Treated as a silent zone, they were kept for minutes after a change of leader.
 func TestMachinesWithoutZoneAreReleased(t *testing.T) {
 	fleet := newFleet()
-	fleet.run(30*time.Second, allReport)
+	fleet.run(30*time.Second, allSendHeartbeats)
 	for _, name := range fleet.machines[:60] {
 		fleet.zone[name] = ""
 	}
--- a/failuredetector/eviction_budget.go
+++ b/failuredetector/eviction_budget.go
@@ -50,19 +50,19 @@
 	refilledAt time.Time
 }
 
-// aboveSlowlyShareDivisor divides the release rate of a zone whose silent share exceeds tuning.EvictSlowlyShare.
-const aboveSlowlyShareDivisor = 5
+// reducedRateDivisor divides the release rate of a zone whose silent share exceeds tuning.EvictionFullRateShare.
+const reducedRateDivisor = 5
 
 // releaseRate returns the share of a zone's machines that may be released per second, given the share that is
 // silent; infinity means that there is no limit.
 func releaseRate(silentShare float64) float64 {
 	switch {
-	case silentShare <= tuning.EvictUnlimitedShare:
+	case silentShare <= tuning.EvictionUnlimitedShare:
 		return math.Inf(1)
-	case silentShare <= tuning.EvictSlowlyShare:
+	case silentShare <= tuning.EvictionFullRateShare:
 		return tuning.EvictionRate
 	}
-	return tuning.EvictionRate / aboveSlowlyShareDivisor
+	return tuning.EvictionRate / reducedRateDivisor
 }
 
 // Spend decides which candidates are released now, and subtracts them from the budget. Machines with the most
@@ -113,7 +113,7 @@
 // refill returns the budget of a zone with the given number of machines after adding what has accrued since the
 // last call, at a rate of perSecond times that number. A zone's first budget is full.
 func (b *EvictionBudget) refill(now time.Time, zone string, machines int, perSecond float64) *zoneBudget {
-	capacity := math.Max(tuning.EvictBurstMachines, tuning.EvictBurstShare*float64(machines))
+	capacity := math.Max(tuning.EvictionBurstMachines, tuning.EvictionBurstShare*float64(machines))
 	budget := b.zones[zone]
 	if budget == nil {
 		budget = &zoneBudget{capacity, now}
--- a/failuredetector/eviction_budget_test.go
+++ b/failuredetector/eviction_budget_test.go
@@ -11,7 +11,7 @@
 // releases ignore the budget, and machines with the most tasks are released first.
 func TestBudgetReleasesMachinesWithMostTasksFirst(t *testing.T) {
 	fleet := newFleet()
-	fleet.run(30*time.Second, allReport)
+	fleet.run(30*time.Second, allSendHeartbeats)
 	taken := func(name string) bool { return fleet.zone[name] == "far" && name >= "n-1500" }
 	if released := fleet.run(15*time.Second, func(name string) bool { return !taken(name) }); released["far"] != 500 || released["near"] != 0 {
 		t.Errorf("released %v, want 500 of 2,000 in zone far", released)
--- a/feasibility/feasibility.go
+++ b/feasibility/feasibility.go
@@ -79,9 +79,9 @@
 	return fleet.RequestOf(job).Scale(job.Tasks)
 }
 
-// CheckSubmission checks a submission against its team's limit and the machine types; limitOf returns a team's limit, and false if
-// there is no such team. The result is undecided if all other checks pass but the machine types are not known yet. An
-// error is an *api.FieldError that names the submission's field.
+// CheckSubmission checks a submission against its team's limit and the machine types; limitOf returns a team's limit,
+// and false if there is no such team. The result is undecided if all other checks pass but the machine types are not
+// known yet. An error is an *api.FieldError that names the submission's field.
 func CheckSubmission(job *api.Submission, limitOf func(team string) (quota.Limit, bool), types []api.MachineType) (undecided bool, err error) {
 	limit, ok := limitOf(job.Team)
 	if !ok {
--- a/feasibility/feasibility_test.go
+++ b/feasibility/feasibility_test.go
@@ -7,8 +7,8 @@
 	"switchferry/fleet"
 )
 
-// A job is unplaceable if there is no machine of its type, zone, kind and size, or if services occupy all such machines.
-// PoolFor returns a pool on whose machines it can run.
+// A job is unplaceable if there is no machine of its type, zone, kind and size, or if services occupy all such
+// machines. PoolFor returns a pool on whose machines it can run.
 func TestUnplaceableJobsAndTheirPools(t *testing.T) {
 	small := &api.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}
 	large := &api.MachineType{Name: "large", CPUs: 32, MemoryGB: 256, Zones: []string{"a", "b"}}
--- a/fleet/images.go
+++ b/fleet/images.go
@@ -12,8 +12,8 @@
 	GB   float64
 }
 
-// RecordImage records that a task with an image of gb gigabytes ran on the machine, and reports whether the image was not
-// yet known to be cached there.
+// RecordImage records that a task with an image of gb gigabytes ran on the machine, and reports whether the image was
+// not yet known to be cached there.
 func (m *Machine) RecordImage(image string, gb float64) bool {
 	limit := 0.0
 	if m.Spec != nil {
@@ -32,8 +32,8 @@
 // HasImage reports whether the machine likely caches an image.
 func (m *Machine) HasImage(image string) bool { return m.cache.has(image) }
 
-// FetchSeconds returns the time in seconds to fetch an image of gb gigabytes to the machine; 0 if the image is cached, or
-// if the machine's type is not known.
+// FetchSeconds returns the time in seconds to fetch an image of gb gigabytes to the machine; 0 if the image is cached,
+// or if the machine's type is not known.
 func (m *Machine) FetchSeconds(image string, gb float64) float64 {
 	if m.HasImage(image) || m.Spec == nil {
 		return 0
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -15,8 +15,8 @@
 	Number uint64
 }
 
-// Machine is the leader's state of one machine. The zero value is a machine that has not reported. It is not safe for
-// concurrent use.
+// Machine is the leader's state of one machine. The zero value is a machine that has sent no heartbeat. It is not safe
+// for concurrent use.
 type Machine struct {
 	Name    string
 	Address string
@@ -27,7 +27,7 @@
 	// Spec is the machine's type as the cloud describes it; nil while it is not known.
 	Spec *api.MachineType
 
-	// Up says whether the machine's worker has reported in this leadership term.
+	// Up says whether the machine's worker has sent a heartbeat in this leadership term.
 	Up bool
 	// Incarnation, Seq and Term (the fencing token) are those of the latest accepted heartbeat.
 	Incarnation uint64
@@ -89,8 +89,8 @@
 const faultyJobs = 2
 
 // Faulty reports whether the machine should get no more tasks: since a task last completed on it, at least
-// tuning.FaultyFailures tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines is false
-// are not counted.
+// tuning.FaultyFailures tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines is
+// false are not counted.
 func (m *Machine) Faulty(countsAgainstMachines func(job string) bool) bool {
 	if len(m.Failures) < faultyJobs {
 		return false
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -7,8 +7,8 @@
 	"switchferry/api"
 )
 
-// Several failures of one job may be caused by the job, and jobs for which countsAgainstMachines is false do not count. A
-// task that completes clears the count.
+// Several failures of one job may be caused by the job, and jobs for which countsAgainstMachines is false do not count.
+// A task that completes clears the count.
 func TestMachineIsFaultyAfterFailuresOfSeveralJobs(t *testing.T) {
 	machine := &Machine{}
 	countsAgainstMachines := func(job string) bool { return job != "mistaken" }
--- a/fleet/resources.go
+++ b/fleet/resources.go
@@ -5,8 +5,8 @@
 	"switchferry/tuning"
 )
 
-// Resources is an amount of each resource of a machine: CPUs, cards (accelerators) and memory in gigabytes. The zero value
-// is no resources. Amounts may be fractional, and differences may be negative.
+// Resources is an amount of each resource of a machine: CPUs, cards (accelerators) and memory in gigabytes. The zero
+// value is no resources. Amounts may be fractional, and differences may be negative.
 type Resources struct{ CPUs, Cards, MemoryGB float64 }
 
 // RequestOf returns the resources that one task of a job requests.
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant reports violated invariants: states that cannot occur if the rules of the design hold, such as a job
-// that is terminal and becomes pending again. Each violation is logged with its evidence and counted, so that it shows in
-// logs, statistics and tests. A caller that reports a violation must not act on the contradictory state.
+// Package invariant reports violated invariants: states that cannot occur if the rules of the design hold, such as a
+// job that is terminal and becomes pending again. Each violation is logged with its evidence and counted, so that it
+// shows in logs, statistics and tests. A caller that reports a violation must not act on the contradictory state.
 package invariant
 
 import (
--- a/placement/busyheap.go
+++ b/placement/busyheap.go
@@ -5,8 +5,8 @@
 	"container/heap"
 )
 
-// busyHeap is a heap of the servers that take tasks, ordered by ascending Busy, then by descending Free, then by index.
-// Its elements are fixed when it is made, so Push and Pop, which heap.Interface requires, are never called.
+// busyHeap is a heap of the servers that take tasks, ordered by ascending Busy, then by descending FreeCapacity, then
+// by index. Its elements are fixed when it is made, so Push and Pop, which heap.Interface requires, are never called.
 type busyHeap struct {
 	servers []Server
 	// order holds the indices of the servers in heap order.
@@ -36,7 +36,7 @@
 	return int(b.order[0])
 }
 
-// fix restores the order after a server's Busy or Free changed.
+// fix restores the order after a server's Busy or FreeCapacity changed.
 func (b *busyHeap) fix(server int) { heap.Fix(b, int(b.positions[server])) }
 
 // Len implements heap.Interface.
--- a/placement/filler.go
+++ b/placement/filler.go
@@ -11,8 +11,8 @@
 	servers   []Server
 	inputCost InputCost
 	shares    []Share
-	// participants are the servers that may get tasks of the current group, with Busy, Mu and Free as they are for that
-	// group. Like members and byLoad, the slice is reused for every group.
+	// participants are the servers that may get tasks of the current group, with Busy, Mu and FreeCapacity as they are
+	// for that group. Like members and byLoad, the slice is reused for every group.
 	participants []Server
 	// members identifies the server of each participant.
 	members []member
@@ -23,7 +23,7 @@
 	leastLoaded *busyHeap
 }
 
-// member identifies the server of one participant and tells whether it holds all inputs of the group.
+// member identifies the server of one participant and records whether it holds all inputs of the group.
 type member struct {
 	server      int32
 	holdsInputs bool
@@ -67,7 +67,7 @@
 }
 
 // addNonHolders adds the servers that lack inputs as participants, if they are below a level even with the cost of
-// copying. Their Busy, Mu and Free include that cost.
+// copying. Their Busy, Mu and FreeCapacity include that cost.
 func (f *groupFiller) addNonHolders(groupIndex int, group *Group, level int) {
 	holders, rate := group.Holders, f.inputCost.TasksCopiedPerSlot(groupIndex)
 	for index, server := range f.servers {
@@ -85,9 +85,9 @@
 	}
 }
 
-// withCopyCost returns the server as it is for a group whose inputs it must copy: slots is how long it copies for one
-// task, and rate for how many tasks it copies in a slot. A link copies the inputs of one task at a time, so only one
-// task can start at once, however many CPUs are idle.
+// withCopyCost returns the server as it is for a group whose inputs it must copy: slots is the number of slots that the
+// copying takes for one task, and rate the number of tasks whose inputs are copied in a slot. A link copies the inputs
+// of one task at a time, so only one task can start at once, however many CPUs are idle.
 func (s Server) withCopyCost(slots int, rate float64) Server {
 	return Server{Busy: s.Busy + slots, Mu: min(s.Mu, rate), FreeCapacity: min(s.FreeCapacity, 1)}
 }
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -39,17 +39,19 @@
 	return groups
 }
 
-// InputCost tells what it costs to run a task on a server that does not hold all of the task's inputs. Groups and
+// InputCost estimates what it costs to run a task on a server that does not hold all of the task's inputs. Groups and
 // servers are given by index.
 type InputCost interface {
 	// CopySlots returns how many slots a server needs to copy the inputs that it lacks for one task of a group.
 	CopySlots(group, server int) int
-	// MinCopySlots returns a lower bound of Slots for a group over all servers that do not hold all of the group's inputs.
+	// MinCopySlots returns a lower bound of CopySlots for a group over all servers that do not hold all of the group's
+	// inputs.
 	MinCopySlots(group int) int
-	// TasksCopiedPerSlot returns the number of tasks of a group whose inputs a server can copy in a slot. Every task may have
-	// different inputs.
+	// TasksCopiedPerSlot returns the number of tasks of a group whose inputs a server can copy in a slot. Every task
+	// may have different inputs.
 	TasksCopiedPerSlot(group int) float64
-	// RecordAssignment is called when a server that must copy a group's inputs has been assigned a number of its tasks.
+	// RecordAssignment is called when a server that must copy a group's inputs has been assigned a number of the
+	// group's tasks.
 	RecordAssignment(group, server, tasks int)
 }
 
@@ -64,8 +66,8 @@
 // inputs, the cost of copying them is added to b; if inputCost is nil, such servers get no tasks, as in (1). Tasks that
 // no server can take are in none of the shares.
 //
-// Busy of the servers is updated as in (10), and Free is reduced by the tasks assigned. Busy of a server that must copy
-// inputs rises only by the work that it is assigned, since it can run other tasks while it copies.
+// Busy of the servers is updated as in (10), and FreeCapacity is reduced by the tasks assigned. Busy of a server that
+// must copy inputs rises only by the work that it is assigned, since it can run other tasks while it copies.
 //
 // Only the maxWaterFilled groups with the most tasks are assigned in this way, each in one or two passes over the
 // servers. The tasks of the other groups are then placed one by one: on the holder where the task finishes first, or on
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -36,7 +36,7 @@
 // slowLinkCost is a flatCost with links that copy the inputs of one task per slot.
 type slowLinkCost struct{ flatCost }
 
-func (slowLinkCost) Rate(int) float64 { return 1 }
+func (slowLinkCost) TasksCopiedPerSlot(int) float64 { return 1 }
 
 // Tasks whose inputs no server holds form one group, although their inputs may differ. A machine copies the inputs of
 // one task after the other, so two tasks must not be assigned to one idle machine while other machines are idle.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -19,8 +19,8 @@
 	FreeCapacity int
 }
 
-// QueuedJob is the unfinished work of one job on a machine: the number of its tasks, of which the machine finishes Mu in a
-// slot.
+// QueuedJob is the unfinished work of one job on a machine: the number of its tasks, of which the machine finishes Mu
+// in a slot.
 type QueuedJob struct {
 	Tasks int
 	Mu    float64
@@ -38,7 +38,7 @@
 	return b
 }
 
-// Mu returns how many tasks of a job a machine finishes in a slot if it runs `concurrent` of them at once; slotS and
+// Mu returns how many tasks of a job a machine finishes in a slot if it runs concurrent of them at once; slotS and
 // taskS are the durations of a slot and of a task in seconds. It returns zero if an argument is not positive.
 func Mu(concurrent int, slotS, taskS float64) float64 {
 	if concurrent <= 0 || slotS <= 0 || taskS <= 0 {
@@ -108,9 +108,9 @@
 // server below the least level gets (level-b)*mu tasks, and the last of these servers gets the rest. Busy of every
 // server is raised to the level, as in (10).
 //
-// A server that could start more tasks than that immediately (Free) gets as many as it could start. Since a task lasts
-// many slots, (level-b)*mu may be less than one task; a job of small tasks would then be scattered over as many servers
-// as it has tasks, and none of these would have the resources for a large task.
+// A server that could start more tasks than that immediately (FreeCapacity) gets as many as it could start. Since a
+// task lasts many slots, (level-b)*mu may be less than one task; a job of small tasks would then be scattered over as
+// many servers as it has tasks, and none of these would have the resources for a large task.
 func Fill(servers []Server, tasks int) []int {
 	level, ok := Level(servers, tasks)
 	if !ok {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -4,8 +4,8 @@
 // small tasks keep arriving. A Ledger therefore reserves the missing quota for the first job, by priority or age, that
 // only the limit keeps from starting: jobs behind it start only within the quota that is not reserved. Two rules bound
 // the cost of a reservation to other jobs. No quota is reserved for a job that could not start even if all usage that
-// ends by itself had ended. A reservation expires, and is not renewed for some time, after tuning.QuotaReservationTTL, so
-// that other jobs do not wait long for one that cannot start.
+// ends by itself had ended. A reservation expires, and is not renewed for some time, after tuning.QuotaReservationTTL,
+// so that other jobs do not wait long for one that cannot start.
 //
 // The package knows amounts, times and the order in which demands are passed to it, but no jobs or machines. It has no
 // clock and no lock.
--- a/reachability/link.go
+++ b/reachability/link.go
@@ -4,21 +4,21 @@
 // after the machine has failed. The package uses incarnations, sequence numbers, terms and paths of heartbeats
 // and the outcome of commands, not what a machine runs. It has no clock and no lock.
 //
-// What each observation shows about the two directions, to the controllers (inbound) and to the machine
-// (outbound):
+// What each observation shows about whether the two directions work, to the controllers (inbound) and to the
+// machine (outbound):
 //
-//	observation                                      inbound works   outbound works   because
+//	observation                                     inbound outbound  because
 //	heartbeat newer than any before, by incarnation
-//	and sequence number                              yes             no               a copy is never newer than its original
-//	heartbeat that is not newer                      no              no               it is a copy, or was overtaken
-//	heartbeat with this term's token                 yes             yes              only an answer or a command of this term has the token
+//	and sequence number                             yes     no        a copy is never newer than its original
+//	heartbeat that is not newer                     no      no        it is a copy, or was overtaken
+//	heartbeat with this term's token                yes     yes       only an answer or a command of this term has it
 //	the next heartbeat in sequence, to the same
-//	controller, in the same incarnation              yes             yes              without an answer, a worker switches to another controller
-//	answer to a command, executed or refused         no              yes              the command arrived
-//	heartbeat through a controller that relays       yes             unknown          it does not pass on every heartbeat
-//	answer to a command, but no heartbeat for long   no              yes              the machine reaches no controller, and its lease expires
-//	command without an answer                        no              hint: no         the command or its answer was lost
-//	newer heartbeats that show none of the above     yes             hint: no         a controller may have failed instead
+//	controller, in the same incarnation             yes     yes       without an answer, a worker switches controllers
+//	answer to a command, executed or refused        no      yes       the command arrived
+//	heartbeat through a controller that relays      yes     unknown   it does not pass on every heartbeat
+//	answer to a command, but no heartbeat for long  no      yes       it reaches no controller, and its lease expires
+//	command without an answer                       no      hint: no  the command or its answer was lost
+//	newer heartbeats that show none of the above    yes     hint: no  a controller may have failed instead
 //
 // A hint only leads to suspicion. Nothing is concluded from time alone: that the tasks of an unreachable machine
 // have stopped is known from a newer incarnation, from exits that the machine reports, or from the cloud's answer
--- a/softstate/images.go
+++ b/softstate/images.go
@@ -1,5 +1,5 @@
-// Package softstate encodes soft state of the leader, the images that machines likely cache, so that the next leader need
-// not infer it again. Nothing depends on such a record being current, complete or present.
+// Package softstate encodes soft state of the leader, the images that machines likely cache, so that the next leader
+// does not have to infer it again. Nothing depends on such a record being current, complete or present.
 //
 // The package has no clock and no lock.
 package softstate
@@ -59,8 +59,8 @@
 	indices map[string]int
 }
 
-// index returns the number of an image, which is added if it is new. It returns false for an image that the record cannot
-// contain: its name is too long, or there are tuning.MaxImageNames images already.
+// index returns the number of an image, which is added if it is new. It returns false for an image that the record
+// cannot contain: its name is too long, or there are tuning.MaxImageNames images already.
 func (t *imageTable) index(image fleet.Image) (index int, ok bool) {
 	if index, ok := t.indices[image.Name]; ok {
 		return index, true
--- a/softstate/images_test.go
+++ b/softstate/images_test.go
@@ -67,7 +67,7 @@
 
 func TestDecodeImagesOfDamagedRecords(t *testing.T) {
 	for _, testCase := range []struct{ name, raw string }{
-		{"no JSON", "{"},
+		{"malformed JSON", "{"},
 		{"sizes are missing", `{"i":["a"],"g":[],"m":{}}`},
 	} {
 		if _, err := DecodeImages([]byte(testCase.raw)); err == nil {
--- a/topology/constraint.go
+++ b/topology/constraint.go
@@ -17,8 +17,8 @@
 	Tasks int
 	// Allowed reports whether the tasks may run on a machine; if it is nil, they may run on all machines.
 	Allowed func(machine string) bool
-	// Spread limits how many of the tasks may share a failure domain. There is no limit if it is nil or its Must is
-	// false.
+	// Spread limits how many of the tasks may share a failure domain. There is no limit if it is nil or its Required
+	// is false.
 	Spread *api.Survive
 }
 
--- a/topology/constraint_test.go
+++ b/topology/constraint_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		if best != want || !found && (partial == nil || shortfall != least) || found && shortfall != 0 {
-			t.Fatalf("seed %d: %d tasks of %g at %s: got %v, nearest %v with a shortfall of %d; want %v, %d", seed, tasks, request.CPUs, level, best, partial, shortfall, want, least)
+			t.Fatalf("seed %d: %d tasks of %g at %s: got %v, partial %v with a shortfall of %d; want %v, %d", seed, tasks, request.CPUs, level, best, partial, shortfall, want, least)
 		}
 	}
 }
--- a/topology/reservations.go
+++ b/topology/reservations.go
@@ -31,15 +31,16 @@
 }
 
 // Reservations holds the reservations of one leadership term. They are not persisted: they are derived from the running
-// tasks, so a new leader makes the same ones within one scheduling round, except for differences in estimates. The zero
+// tasks, so a new leader makes the same ones within one placement round, except for differences in estimates. The zero
 // value holds no reservations. Reservations is not safe for concurrent use.
 type Reservations struct {
 	reservations []Reservation
 }
 
-// Reserve makes or renews the reservation of a job, which then expires after tuning.DomainReservationTTL; expiresAt of the
-// request is ignored. A job has at most one reservation. Reserve returns false if another job has reserved the domain,
-// a domain within it or one that contains it, or if there are already tuning.MaxDomainReservations reservations.
+// Reserve makes or renews the reservation of a job, which then expires after tuning.DomainReservationTTL; expiresAt of
+// the request is ignored. A job has at most one reservation. Reserve returns false if another job has reserved the
+// domain, a domain within it or one that contains it, or if there are already tuning.MaxDomainReservations
+// reservations.
 func (r *Reservations) Reserve(now time.Time, request Reservation) bool {
 	r.Expire(now)
 	own := -1
@@ -89,7 +90,7 @@
 
 // Blocks reports whether a reservation of another job prevents a task of a job from starting in a domain now. It does
 // not if the task would end by the time at which the reserved domain is needed, or if the task's job has a higher rank.
-// EndsAt is when the task would end; the zero time means never. A nil domain is never reserved.
+// The parameter endsAt is when the task would end; the zero time means never. A nil domain is never reserved.
 func (r *Reservations) Blocks(now time.Time, domain *Domain, job string, rank int, endsAt time.Time) bool {
 	return slices.ContainsFunc(r.reservations, func(held Reservation) bool {
 		return held.blocks(now, domain, job, rank, endsAt)
--- a/topology/site.go
+++ b/topology/site.go
@@ -7,29 +7,29 @@
 	"switchferry/fleet"
 )
 
-// JobPlacement counts the tasks of one job, by the machines on which they run or may still run, and determines where more of
-// them may be placed under the job's affinity and spread. It knows machines by name only, so a new
-// leader, which reads the tasks from records before their machines report, gets the same results. A Site is not safe
-// for concurrent use.
+// JobPlacement counts the tasks of one job, by the machines on which they run or may still run, and determines where
+// more of them may be placed under the job's affinity and spread. It knows machines by name only, so a new leader,
+// which reads the tasks from records before their machines send heartbeats, gets the same results. A JobPlacement is
+// not safe for concurrent use.
 type JobPlacement struct {
 	tree     *Tree
 	affinity *api.Near
 	spread   *api.Survive
 	// affinityCounts counts the tasks by failure domain at the level of the affinity, and spreadCounts at that of the
-	// spread.
-	// Each is nil if the job has no such constraint.
+	// spread. Each is nil if the job has no such constraint.
 	affinityCounts, spreadCounts *TaskCounts
 	// tasksOn counts the tasks by machine.
 	tasksOn map[string]int
 	// target is the domain in which waiting tasks must be placed; nil if they may be placed in any.
 	target *Domain
-	// partialDomain and shortfall tell why the last ChooseDomain found no target: the domain in which the most tasks
+	// partialDomain and shortfall say why the last ChooseDomain found no target: the domain in which the most tasks
 	// could start, and the number of tasks that could not. If partialDomain is nil, there is no domain at the level.
 	partialDomain *Domain
 	shortfall     int
 }
 
-// NewJobPlacement returns a Site of a job that has no tasks placed yet, or nil if the job has neither affinity nor spread.
+// NewJobPlacement returns a JobPlacement for a job that has no tasks placed yet, or nil if the job has neither affinity
+// nor spread.
 func (t *Tree) NewJobPlacement(affinity *api.Near, spread *api.Survive) *JobPlacement {
 	if affinity == nil && spread == nil {
 		return nil
@@ -44,7 +44,7 @@
 	return s
 }
 
-// Rebased returns a copy of the site for a tree with another version of the topology. The tasks stay on their machines
+// Rebased returns a copy of s for a tree with another version of the topology. The tasks stay on their machines
 // and are counted in the domains of these machines in that version.
 func (s *JobPlacement) Rebased(tree *Tree) *JobPlacement {
 	next := tree.NewJobPlacement(s.affinity, s.spread)
@@ -90,9 +90,9 @@
 }
 
 // ChooseDomain chooses the domain in which the next n tasks of the job are placed, each of which requests the same
-// resources; allowed reports whether they may run on a machine. If requireAll is set, only a domain in which all of
-// them can start at the same time is chosen; otherwise, if there is none, the one in which the most can start.
-// ChooseDomain returns false if the tasks must wait.
+// resources. The function allowed reports whether they may run on a machine. If requireAll is set, only a domain in
+// which all of them can start at the same time is chosen; otherwise, if there is none, the one in which the most can
+// start. ChooseDomain returns false if the tasks must wait.
 func (s *JobPlacement) ChooseDomain(request fleet.Resources, n int, requireAll bool, allowed func(machine string) bool) bool {
 	s.target, s.partialDomain, s.shortfall = nil, nil, 0
 	if !s.unplacedWithAffinity() || n == 0 {
@@ -157,7 +157,7 @@
 	return cost
 }
 
-// Reason returns a message for users that tells why the last ChooseDomain returned false, or "" if the tasks need not
+// Reason returns a message for users that says why the last ChooseDomain returned false, or "" if the tasks need not
 // wait for a domain.
 func (s *JobPlacement) Reason() string {
 	switch {
@@ -169,8 +169,8 @@
 	return fmt.Sprintf("no %s has room for all of it: %s %q has none for %d", s.affinity.Level, s.partialDomain.Level, s.partialDomain.Name, s.shortfall)
 }
 
-// InfeasibleReason returns a message for users if an affinity and a spread contradict each other, so that no fleet could run
-// so many tasks at the same time, or "" if they do not.
+// InfeasibleReason returns a message for users if an affinity and a spread contradict each other, so that no fleet
+// could run so many tasks at the same time, or "" if they do not.
 func InfeasibleReason(affinity *api.Near, spread *api.Survive, tasks int) string {
 	if affinity == nil || spread == nil || !affinity.Required || !spread.Required || levelDepth[spread.Level] > levelDepth[affinity.Level] || tasks <= spread.MaxTasks {
 		return ""
--- a/topology/site_test.go
+++ b/topology/site_test.go
@@ -7,8 +7,8 @@
 	"switchferry/fleet"
 )
 
-// siteTree returns a tree of smallTopology with one machine in each of its three racks, with the given free CPUs.
-func siteTree(t *testing.T, rack1, rack2, rack3 float64) *Tree {
+// placementTree returns a tree of smallTopology with one machine in each of its three racks, with the given free CPUs.
+func placementTree(t *testing.T, rack1, rack2, rack3 float64) *Tree {
 	t.Helper()
 	tree := NewTree(mustParse(t, smallTopology))
 	for machine, cpus := range map[string]float64{"n-10": rack1, "n-20": rack2, "n-30": rack3} {
@@ -17,9 +17,9 @@
 	return tree
 }
 
-func TestNewSiteWithoutConstraintsReturnsNil(t *testing.T) {
-	if site := siteTree(t, 8, 8, 8).NewJobPlacement(nil, nil); site != nil {
-		t.Errorf("site %+v, want nil", site)
+func TestNewJobPlacementWithoutConstraintsReturnsNil(t *testing.T) {
+	if placement := placementTree(t, 8, 8, 8).NewJobPlacement(nil, nil); placement != nil {
+		t.Errorf("site %+v, want nil", placement)
 	}
 }
 
@@ -41,8 +41,8 @@
 		{"a switch has resources for all tasks", api.Near{Level: Switch, Required: true}, 2, 2, true, true, []string{"n-10", "n-20"}, ""},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			site := siteTree(t, testCase.rack1, testCase.rack2, 0).NewJobPlacement(&testCase.near, nil)
-			if got := site.ChooseDomain(fleet.Resources{CPUs: 1}, 4, testCase.all, nil); got != testCase.want {
+			placement := placementTree(t, testCase.rack1, testCase.rack2, 0).NewJobPlacement(&testCase.near, nil)
+			if got := placement.ChooseDomain(fleet.Resources{CPUs: 1}, 4, testCase.all, nil); got != testCase.want {
 				t.Errorf("chosen %v, want %v", got, testCase.want)
 			}
 			allowed := map[string]bool{}
@@ -50,11 +50,11 @@
 				allowed[machine] = true
 			}
 			for _, machine := range []string{"n-10", "n-20", "n-30"} {
-				if got := site.Allows(machine); got != allowed[machine] {
+				if got := placement.Allows(machine); got != allowed[machine] {
 					t.Errorf("%s allowed: %v, want %v", machine, got, allowed[machine])
 				}
 			}
-			if got := site.Reason(); got != testCase.wantReason {
+			if got := placement.Reason(); got != testCase.wantReason {
 				t.Errorf("reason %q, want %q", got, testCase.wantReason)
 			}
 		})
@@ -62,21 +62,21 @@
 }
 
 func TestChooseDomainByPreemptionTakesLeastCost(t *testing.T) {
-	site := siteTree(t, 8, 8, 8).NewJobPlacement(&api.Near{Level: Rack, Required: true}, nil)
+	placement := placementTree(t, 8, 8, 8).NewJobPlacement(&api.Near{Level: Rack, Required: true}, nil)
 	costs := map[string][]int64{"n-10": {0, 9}, "n-20": {3, 4}, "n-30": {1}}
 	offer := func(machine string) []int64 { return costs[machine] }
-	if !site.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 2, nil, offer) || !site.Allows("n-20") || site.Allows("n-10") {
+	if !placement.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 2, nil, offer) || !placement.Allows("n-20") || placement.Allows("n-10") {
 		t.Error("the rack with the least loss is not chosen")
 	}
-	if site.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 3, nil, offer) {
+	if placement.ChooseDomainByPreemption(fleet.Resources{CPUs: 8}, 3, nil, offer) {
 		t.Error("a rack is chosen that cannot run all tasks")
 	}
 }
 
 func TestSoonestDomainIsWhereTheLastTaskStartsFirst(t *testing.T) {
-	site := siteTree(t, 8, 8, 8).NewJobPlacement(&api.Near{Level: Rack, Required: true}, nil)
+	placement := placementTree(t, 8, 8, 8).NewJobPlacement(&api.Near{Level: Rack, Required: true}, nil)
 	starts := map[string][]int64{"n-10": {0, 9}, "n-20": {6, 7}, "n-30": {1}}
-	domain, at := site.SoonestDomain(fleet.Resources{CPUs: 8}, 2, nil, func(machine string) []int64 { return starts[machine] })
+	domain, at := placement.SoonestDomain(fleet.Resources{CPUs: 8}, 2, nil, func(machine string) []int64 { return starts[machine] })
 	if domain == nil || domain.Name != "r2" || at != 7 {
 		t.Errorf("domain %+v at %d, want r2 at 7", domain, at)
 	}
@@ -84,8 +84,8 @@
 
 // An affinity keeps further tasks in the failure domain of the first one. With a spread, tasks count towards the limit
 // until they are removed, also after a change to another version of the topology.
-func TestSiteAppliesAffinityAndSpreadToFurtherTasks(t *testing.T) {
-	tree := siteTree(t, 8, 8, 8)
+func TestJobPlacementAppliesAffinityAndSpreadToFurtherTasks(t *testing.T) {
+	tree := placementTree(t, 8, 8, 8)
 	affinity := tree.NewJobPlacement(&api.Near{Level: Switch, Required: true}, nil)
 	affinity.Add("n-10")
 	if !affinity.Allows("n-20") || affinity.Allows("n-30") {
--- a/topology/spread.go
+++ b/topology/spread.go
@@ -35,5 +35,5 @@
 	return s.tasksAt[s.tree.FailureDomain(machine, s.level)]
 }
 
-// Allows reports whether one more task may run on a machine if at most bound tasks may run in one failure domain.
+// Allows reports whether one more task may run on a machine if at most limit tasks may run in one failure domain.
 func (s *TaskCounts) Allows(machine string, limit int) bool { return s.CountAt(machine) < limit }
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -4,7 +4,7 @@
 // it knows only what they request; all other placement decisions are made elsewhere.
 //
 // A Map is the topology that the operators declare, and a Tree holds the machines of a fleet in one version of it.
-// Machines are assigned to domains by patterns of their names, since the cloud does not tell where a new machine is.
+// Machines are assigned to domains by patterns of their names, since the cloud does not say where a new machine is.
 package topology
 
 import (
--- a/topology/tree.go
+++ b/topology/tree.go
@@ -141,8 +141,8 @@
 // Ambiguous returns the number of machines that are declared by two domains, neither of which is within the other.
 func (t *Tree) Ambiguous() int { return t.ambiguous }
 
-// DomainOf returns the innermost domain that contains a machine, or nil if there is none. The machine need not be in the
-// tree: a new leader may know its name only from records.
+// DomainOf returns the innermost domain that contains a machine, or nil if there is none. The machine need not be in
+// the tree: a new leader may know its name only from records.
 func (t *Tree) DomainOf(machine string) *Domain {
 	if node := t.machines[machine]; node != nil {
 		return node.domain
