--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -44,8 +44,8 @@
 	limiter *rate.Limiter
 }
 
-// New returns a client for an address. The cloud's limit is requestsPerSecond, of which the client uses the
-// share tuning.LeaderRateShare.
+// New returns a client for an address. The cloud's limit is requestsPerSecond, of which the client uses the share
+// tuning.LeaderRateShare.
 func New(addr string, requestsPerSecond float64, transport http.RoundTripper) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
@@ -54,7 +54,7 @@
 	}
 }
 
-// call sends one request and decodes the response into into, unless into is nil.
+// call sends one request and decodes the response into target, unless target is nil.
 func (client *Client) call(ctx context.Context, method, path string, body, target any) error {
 	if err := client.limiter.Wait(ctx); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return fmt.Errorf("status %d: %.100s", status, raw)
 }
 
-// decode decodes a response, unless into is nil.
+// decode decodes a response into target, unless target is nil.
 func decode(raw []byte, target any) error {
 	if target == nil {
 		return nil
--- a/dag/inherit.go
+++ b/dag/inherit.go
@@ -8,8 +8,8 @@
 	Rank int
 	// DurationMS is the time from when the job may start until it completes, in milliseconds.
 	DurationMS int64
-	// DueTimesMS lists the job's due times in milliseconds of one clock, in ascending order. After a
-	// due time is missed, the next one applies.
+	// DueTimesMS lists the job's due times in milliseconds of one clock, in ascending order. After a due time is
+	// missed, the next one applies.
 	DueTimesMS []int64
 }
 
--- a/failuredetector/detector_test.go
+++ b/failuredetector/detector_test.go
@@ -42,7 +42,7 @@
 	f.detector, f.budget, f.lastHeartbeat = New(f.now, lease), EvictionBudget{}, map[string]time.Time{}
 }
 
-// run advances the time while the machines for which reports is true send heartbeats. It returns the number of
+// run advances the time while the machines for which sendsHeartbeats is true send heartbeats. It returns the number of
 // released machines by zone.
 func (f *fleet) run(duration time.Duration, sendsHeartbeats func(name string) bool) map[string]int {
 	released := map[string]int{}
@@ -102,7 +102,7 @@
 // leader (docs/incidents/fleet-zone-returned.md). A machine of the other zone that fails is released without
 // delay.
 func TestSilentZoneIsKeptThroughFailover(t *testing.T) {
-	const dead = "n-4999"
+	const failedMachine = "n-4999"
 	for _, test := range []struct {
 		name            string
 		unreachableZone string
@@ -123,17 +123,17 @@
 				if fleet.zone[name] == "far" {
 					return name < fmt.Sprintf("n-%04d", test.responding)
 				}
-				return name != dead
+				return name != failedMachine
 			}
 			for zone, count := range fleet.run(45*time.Second, sendsHeartbeats) {
 				released[zone] += count
 			}
-			if released["far"] > 0 || !fleet.released[dead] || released["near"] != 1 {
-				t.Errorf("released %v, the dead machine %v", released, fleet.released[dead])
+			if released["far"] > 0 || !fleet.released[failedMachine] || released["near"] != 1 {
+				t.Errorf("released %v, the failed machine %v", released, fleet.released[failedMachine])
 			}
 			// The partition ends, and all machines respond again.
 			fleet.unreachableZone = ""
-			if more := fleet.run(20*time.Second, func(name string) bool { return name != dead }); len(more) > 0 {
+			if more := fleet.run(20*time.Second, func(name string) bool { return name != failedMachine }); len(more) > 0 {
 				t.Errorf("released after the partition: %v", more)
 			}
 		})
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -89,8 +89,8 @@
 const faultyJobs = 2
 
 // Faulty reports whether the machine should get no more tasks: since a task last completed on it, at least
-// tuning.FaultyFailures tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines is
-// false are not counted.
+// tuning.FaultyMachineFailures tasks of two jobs or more have failed. Failures of jobs for which countsAgainstMachines
+// is false are not counted.
 func (m *Machine) Faulty(countsAgainstMachines func(job string) bool) bool {
 	if len(m.Failures) < faultyJobs {
 		return false
@@ -102,5 +102,5 @@
 			failures += n
 		}
 	}
-	return failures >= tuning.FaultyFailures && jobs >= faultyJobs
+	return failures >= tuning.FaultyMachineFailures && jobs >= faultyJobs
 }
--- a/topology/site_test.go
+++ b/topology/site_test.go
@@ -19,7 +19,7 @@
 
 func TestNewJobPlacementWithoutConstraintsReturnsNil(t *testing.T) {
 	if placement := placementTree(t, 8, 8, 8).NewJobPlacement(nil, nil); placement != nil {
-		t.Errorf("site %+v, want nil", placement)
+		t.Errorf("placement %+v, want nil", placement)
 	}
 }
 
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -31,7 +31,7 @@
 	// a leader resigns.
 	IsolationTimeout = 3500 * time.Millisecond
 	// IsolationUnansweredCommands is the number of consecutive unanswered commands that a leader requires, in addition
-	// to IsolationTimeout, before it concludes that it is itself cut off, rather than the machines.
+	// to IsolationTimeout, before it concludes that it is isolated itself, rather than the machines.
 	IsolationUnansweredCommands = 5
 	// LeaderlessGrace is how long controllers answer workers with the last term's token while there is no leader
 	// although the state service responds. Several elections fit into it.
@@ -365,9 +365,9 @@
 	// StartupDeadlineFactor is the multiple of the catalog's boot time after which a machine that has not started is
 	// replaced.
 	StartupDeadlineFactor = 3.0
-	// FaultyFailures is the number of consecutive failures, of two jobs or more, after which a machine is considered
-	// faulty.
-	FaultyFailures = 3
+	// FaultyMachineFailures is the number of consecutive failures, of two jobs or more, after which a machine is
+	// considered faulty.
+	FaultyMachineFailures = 3
 	// BrokenJobMachines is the number of machines on which a job without any successful task must have failed to be
 	// considered broken. An error in the job is then more likely than several faulty machines.
 	BrokenJobMachines = 3
@@ -387,9 +387,9 @@
 	// ServiceHeadroom is the capacity of ordinary machines that is kept, as a multiple of the demand that may not run
 	// on spot machines, so that the replicas of a lost machine can be placed at once.
 	ServiceHeadroom = 1.3
-	// MaxInstanceRequest is the cloud's maximum number of machines in one rental request.
+	// MaxInstanceRequest is the maximum number of machines that the cloud accepts in one rental request.
 	MaxInstanceRequest = 50
-	// MaxReleaseBatch is the cloud's maximum number of machines in one return request.
+	// MaxReleaseBatch is the maximum number of machines that the cloud accepts in one return request.
 	MaxReleaseBatch = 100
 	// PreemptionNoticeMarginS is how many seconds before the preemption of a spot machine its tasks must have saved
 	// their state.
