--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -21,10 +21,10 @@
 func TestRentDistinguishesErrors(t *testing.T) {
 	ctx := t.Context()
 	for _, test := range []struct {
-		status int
-		body   string
-		want   error
-		n      int
+		status       int
+		body         string
+		want         error
+		wantMachines int
 	}{
 		{200, `{"hosts":["n-1","n-2"]}`, nil, 2},
 		{503, `{"error":"no capacity"}`, ErrNoCapacity, 0},
@@ -35,8 +35,8 @@
 	} {
 		client := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return test.status, test.body }))
 		got, err := client.Rent(ctx, api.InstanceRequest{IdempotencyKey: "t1-1"})
-		if len(got) != test.n || (err == nil) != (test.want == nil) || errors.Is(test.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(test.want, ErrOutage) && !errors.Is(err, ErrOutage) {
-			t.Errorf("%d %s: %v, %v", test.status, test.body, got, err)
+		if len(got) != test.wantMachines || (err == nil) != (test.want == nil) || errors.Is(test.want, ErrNoCapacity) && !errors.Is(err, ErrNoCapacity) || errors.Is(test.want, ErrOutage) && !errors.Is(err, ErrOutage) {
+			t.Errorf("%d %s: machines %v, error %v; want %d machines and error %v", test.status, test.body, got, err, test.wantMachines, test.want)
 		}
 	}
 	empty := New("x:1", 100, scriptedTransport(func(*http.Request) (int, string) { return 200, `{}` }))
@@ -54,6 +54,6 @@
 	}))
 	list, err := client.List(t.Context())
 	if err != nil || len(list) != 3 || list[2].Name != "n-3" {
-		t.Errorf("%+v %v", list, err)
+		t.Errorf("machines %+v, error %v; want n-1 to n-3", list, err)
 	}
 }
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -25,11 +25,11 @@
 // still be executed.
 func TestSendDistinguishesCommandsThatMayHaveArrived(t *testing.T) {
 	for _, testCase := range []struct {
-		name    string
-		rt      scriptedTransport
-		fails   bool
-		notSent bool
-		done    bool
+		name         string
+		transport    scriptedTransport
+		wantError    bool
+		wantNotSent  bool
+		wantExecuted bool
 	}{
 		{"executed", respondWith(200, `{"host":"m","watch":1}`), false, false, true},
 		{"refused", respondWith(409, `{"host":"m","watch":2}`), false, false, false},
@@ -42,9 +42,9 @@
 		{"malformed response", respondWith(200, `{"host":`), true, false, false},
 		{"server error", respondWith(500, ``), true, false, false},
 	} {
-		_, done, err := New(testCase.rt).Send(t.Context(), "m:1", api.HeartbeatResponse{})
-		if (err != nil) != testCase.fails || errors.Is(err, ErrNotSent) != testCase.notSent || done != testCase.done {
-			t.Errorf("%s: executed %v, error %v", testCase.name, done, err)
+		_, executed, err := New(testCase.transport).Send(t.Context(), "m:1", api.HeartbeatResponse{})
+		if (err != nil) != testCase.wantError || errors.Is(err, ErrNotSent) != testCase.wantNotSent || executed != testCase.wantExecuted {
+			t.Errorf("%s: executed %v, error %v", testCase.name, executed, err)
 		}
 	}
 }
