--- a/scheduler/adoption.go
+++ b/scheduler/adoption.go
@@ -113,8 +113,8 @@
 }
 
 // adoptFinalRecord applies the final record of a job that is in memory. A job that is not accepted yet has already
-// ended, and is removed. For an accepted job, the final record is what users were told, so it overrides the state in
-// memory. s.mu must be held.
+// ended, and is removed. For an accepted job, the state in the final record was reported to users, so it overrides
+// the state in memory. s.mu must be held.
 func (s *Scheduler) adoptFinalRecord(id string, item *store.Item) {
 	final, err := decodeFinalRecord(item)
 	job := s.jobs[id]
--- a/scheduler/adoption_test.go
+++ b/scheduler/adoption_test.go
@@ -22,9 +22,9 @@
 		{"before the records are read", func(f *adoptionFacts) { f.loaded = false }, RecordsNotLoaded},
 		{"a job with a damaged record", func(f *adoptionFacts) { f.damaged = true }, RecordDamaged},
 		{"a job in memory", func(f *adoptionFacts) { f.accepted = true }, AlreadyInMemory},
-		{"a job that is over, in memory", func(f *adoptionFacts) { f.accepted, f.terminal = true, true }, AlreadyInMemory},
-		{"a job that is over, archived", func(f *adoptionFacts) { f.terminal = true }, JobEnded},
-		{"a read from before what is remembered", func(f *adoptionFacts) { f.archivedCovered = false }, ReadOutdated},
+		{"a job in a terminal state, in memory", func(f *adoptionFacts) { f.accepted, f.terminal = true, true }, AlreadyInMemory},
+		{"a job in a terminal state, archived", func(f *adoptionFacts) { f.terminal = true }, JobEnded},
+		{"a read older than the list of archived jobs covers", func(f *adoptionFacts) { f.archivedCovered = false }, ReadOutdated},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 	late.Release()
 	<-written
 	if status, ok := h.JobStatus("run-000001"); ok {
-		t.Errorf("the user was told %s, but the job is now reported as %s", api.Done, status.State)
+		t.Errorf("the job is reported as %s, although its final record says %s", status.State, api.Done)
 	}
 	h.heartbeat("a1", 1)
 	h.Place()
--- a/scheduler/allocation_test.go
+++ b/scheduler/allocation_test.go
@@ -128,7 +128,7 @@
 	h.Submit(cancelledContext(), &api.Submission{ID: "run-000001", Tasks: 1, Shape: api.JobArray, Team: "t"}, h.clock.Now())
 	h.commit()
 	if h.state.Get(store.JobKey("run-000001")) != nil {
-		t.Error("a job that is over was accepted again")
+		t.Error("a job in a terminal state was accepted again")
 	}
 }
 
--- a/scheduler/answer.go
+++ b/scheduler/answer.go
@@ -4,8 +4,8 @@
 	"switchferry/api"
 )
 
-// AnswerBasis states which data a job status is based on, or why the status cannot be given from the leader's memory. In
-// the latter case the caller must read the stored records.
+// AnswerBasis states which data a job status is based on, or why the status cannot be given from the leader's memory.
+// In the latter case the caller must read the stored records.
 type AnswerBasis string
 
 // Bases on which a status may be given.
@@ -49,9 +49,9 @@
 	leading      bool
 }
 
-// decideAnswer decides whether the status of a job may be given from memory. It may not while another controller can have
-// given out a newer status: from a record that this term wrote in a transaction without a confirmed outcome, or because the
-// other controller now leads.
+// decideAnswer decides whether the status of a job may be given from memory. It may not while another controller can
+// have given out a newer status: from a record that this term wrote in a transaction without a confirmed outcome, or
+// because the other controller now leads.
 func decideAnswer(facts answerFacts) AnswerBasis {
 	switch {
 	case !facts.inMemory:
@@ -78,7 +78,7 @@
 	return s.answer(s.jobs[id])
 }
 
-// answer implements Answer. Job is nil if the job is not in memory. s.mu must be held.
+// answer implements Answer; job is nil if the job is not in memory. s.mu must be held.
 func (s *Scheduler) answer(job *jobState) (api.JobStatus, AnswerBasis) {
 	if job == nil {
 		return api.JobStatus{}, NotInMemory
--- a/scheduler/archived_jobs.go
+++ b/scheduler/archived_jobs.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// archivedJobs holds the most recently archived jobs of this term, up to a limit. It lets the scheduler discard a record of
-// such a job that was read before the job was archived and arrives afterwards. Scheduler.mu must be held for all methods.
+// archivedJobs holds the most recently archived jobs of this term, up to a limit. It lets the scheduler discard a
+// record of such a job that was read before the job was archived and arrives afterwards. Scheduler.mu must be held for
+// all methods.
 type archivedJobs struct {
 	limit int
 	// archivedAt maps each job ID to the time of its archival; order lists the IDs, oldest first.
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -8,9 +8,9 @@
 	"switchferry/tuning"
 )
 
-// A machine that holds a cancelled task and cannot be reached is released in time, whatever a partitioned controller does:
-// the cloud's response to the release proves that the task has ended. Other machines of the same silent zone are kept. The
-// same holds if the leader changes after the cancellation.
+// A machine that holds a cancelled task and cannot be reached is released in time, whatever a partitioned controller
+// does: the cloud's response to the release proves that the task has ended. Other machines of the same silent zone are
+// kept. The same holds if the leader changes after the cancellation.
 func TestPartitionedMachineWithCancelledTaskIsReleasedInTime(t *testing.T) {
 	for _, leaderChanges := range []bool{false, true} {
 		h := newHarness(t)
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -15,27 +15,28 @@
 	"switchferry/tuning"
 )
 
-// A relay may deliver a start in the response to any of the next tuning.RelayedCommandHeartbeats heartbeats, on whatever
-// path they or copies of them reach the leader. Only a later heartbeat that does not list the task proves its absence.
+// A relay may deliver a start in the response to any of the next tuning.RelayedCommandHeartbeats heartbeats, on
+// whatever path they or copies of them reach the leader. Only a later heartbeat that does not list the task proves its
+// absence.
 func TestRelayedHeartbeatDoesNotDisproveRelayedStart(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("b1", 1)
-	h.heartbeatsThrough("sib", "b1")
+	h.heartbeatsThrough("peer", "b1")
 	h.submit("run-000001", 1, nil)
 	h.Place()
 	h.commit()
-	commands := h.relayedCommandsFor("sib", "b1")
+	commands := h.relayedCommandsFor("peer", "b1")
 	if len(commands.Commands) != 1 || commands.Commands[0].Verb != api.CommandRun || len(h.starts("run-000001/0")) != 0 {
 		t.Fatalf("relayed commands %+v, want one start; direct starts %d, want 0", commands, len(h.starts("run-000001/0")))
 	}
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
-	h.heartbeatsThrough("sib", "b1")
+	h.heartbeatsThrough("peer", "b1")
 	if len(h.jobs["run-000001"].allocations) != 1 {
 		t.Fatal("a relayed heartbeat was taken as proof that the task is absent")
 	}
 	h.heartbeat("b1", 1)
-	if commands := h.relayedCommandsFor("sib", "b1"); len(commands.Commands) != 0 {
+	if commands := h.relayedCommandsFor("peer", "b1"); len(commands.Commands) != 0 {
 		t.Errorf("commands are still relayed after a direct heartbeat: %+v", commands)
 	}
 	for h.seq["b1"] < commands.Seq+tuning.RelayedCommandHeartbeats {
@@ -50,12 +51,12 @@
 	if h.jobs["run-000001"] != nil {
 		t.Error("the first heartbeat whose response cannot contain the relayed start was not taken as proof that the task is absent")
 	}
-	if commands := h.relayedCommandsFor("sib", "b1"); len(commands.Commands) != 0 {
+	if commands := h.relayedCommandsFor("peer", "b1"); len(commands.Commands) != 0 {
 		t.Errorf("commands are still relayed: %+v", commands)
 	}
 	// Packets for the leader of another term must be ignored.
 	raw, _ := json.Marshal(relay.Packet{Term: h.term - 1, Packed: "x"})
-	exchange.UnpackEvents([]store.Event{{Set: store.RelayKey("sib", 0), Value: raw}}, store.RelayPrefix, h.term, &relay.Reassembler{}, func(string, relay.Message) {
+	exchange.UnpackEvents([]store.Event{{Set: store.RelayKey("peer", 0), Value: raw}}, store.RelayPrefix, h.term, &relay.Reassembler{}, func(string, relay.Message) {
 		t.Error("a packet of another term was unpacked")
 	})
 }
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -102,7 +102,7 @@
 		return false
 	}
 	if a.job.terminalStored {
-		invariant.Violated("no task of a job that is over is started", "task", a.key, "attempt", a.attempt, "machine", a.machine.Name, "state", a.job.FinalState)
+		invariant.Violated("no task of a job in a terminal state is started", "task", a.key, "attempt", a.attempt, "machine", a.machine.Name, "state", a.job.FinalState)
 		return false
 	}
 	if a.job.FinalState != "" {
--- a/scheduler/dependencies.go
+++ b/scheduler/dependencies.go
@@ -12,11 +12,11 @@
 	"switchferry/tuning"
 )
 
-// dependencies connects the jobs of a term to the graph of jobs that wait for others. Its whole state follows from stored
-// records: the job's own record lists its dependencies, and the record of each dependency tells whether that one is done
-// or cancelled. A cancellation therefore needs only the record of the cancelled job: from then on every controller treats
-// its dependants as cancelled, and their own final records only make that cheaper to read. Scheduler.mu must be held for
-// all methods.
+// dependencies connects the jobs of a term to the graph of jobs that wait for others. Its whole state follows from
+// stored records: the job's own record lists its dependencies, and the record of each dependency tells whether that one
+// is done or cancelled. A cancellation therefore needs only the record of the cancelled job: from then on every
+// controller treats its dependants as cancelled, and their own final records only make that cheaper to read.
+// Scheduler.mu must be held for all methods.
 type dependencies struct {
 	scheduler *Scheduler
 	graph     *dag.Graph
@@ -44,8 +44,8 @@
 	return final.State, ok
 }
 
-// add adds an accepted job to the graph with its dependencies that are not done. It returns true if the job's tasks must
-// not start, because the job waits or because it was cancelled with one of its dependencies.
+// add adds an accepted job to the graph with its dependencies that are not done. It returns true if the job's tasks
+// must not start, because the job waits or because it was cancelled with one of its dependencies.
 func (p *dependencies) add(job *jobState) bool {
 	if job.completedCount > 0 || len(job.allocations) > 0 {
 		// Tasks are allocated only after all dependencies are done, so a lookup is not needed.
@@ -73,9 +73,10 @@
 	return true
 }
 
-// answerBasis returns FromMemory if the job's direct and transitive dependencies allow its status to be given from memory,
-// and otherwise the reason why not. A stored cancellation of any of them cancels the job: an earlier leader may have
-// cancelled one that has not been looked up yet, and a transaction of this leader may have been executed without a response.
+// answerBasis returns FromMemory if the job's direct and transitive dependencies allow its status to be given from
+// memory, and otherwise the reason why not. A stored cancellation of any of them cancels the job: an earlier leader may
+// have cancelled one that has not been looked up yet, and a transaction of this leader may have been executed without a
+// response.
 func (p *dependencies) answerBasis(job *jobState) AnswerBasis {
 	if !job.waitsForDependencies {
 		return FromMemory
@@ -138,9 +139,9 @@
 	}
 }
 
-// release makes the tasks of a job whose dependencies are all done eligible to start. LookedUp is set if the state of the
-// last dependency was looked up: that dependency may have been done for a long time, under an earlier leader, so the
-// job's waiting time keeps counting from its submission.
+// release makes the tasks of a job whose dependencies are all done eligible to start. The flag lookedUp is set if the
+// state of the last dependency was looked up: that dependency may have been done for a long time, under an earlier
+// leader, so the job's waiting time keeps counting from its submission.
 func (p *dependencies) release(jobID string, lookedUp bool) {
 	job := p.scheduler.jobs[jobID]
 	if job == nil || job.FinalState != "" {
@@ -169,9 +170,9 @@
 	sched.onTerminalStored(job)
 }
 
-// inheritUrgency gives each job the ranks and deadlines of its dependants where these are more urgent than its own. A rank
-// is never raised to the production rank, so that pipelines cannot starve production jobs. FleetCPUs is the total number
-// of CPUs of the machines that are up.
+// inheritUrgency gives each job the ranks and deadlines of its dependants where these are more urgent than its own. A
+// rank is never raised to the production rank, so that pipelines cannot starve production jobs. The parameter fleetCPUs
+// is the total number of CPUs of the machines that are up.
 func (p *dependencies) inheritUrgency(fleetCPUs float64) {
 	sched := p.scheduler
 	stages := p.graph.Inherit(func(id string) (dag.Stage, bool) {
@@ -207,8 +208,8 @@
 	return tuning.DependencyStartDelayMS + int64(1000*(fetchSeconds+waves*estimate(job)))
 }
 
-// startsSoon reports whether machines should already be requested for a job that waits for dependencies: all of these are
-// running and by their estimates complete within the longest boot time of a machine. s.mu must be held.
+// startsSoon reports whether machines should already be requested for a job that waits for dependencies: all of these
+// are running and by their estimates complete within the longest boot time of a machine. s.mu must be held.
 func (p *dependencies) startsSoon(job *jobState) bool {
 	bootS := p.scheduler.longestBootS()
 	for _, id := range p.graph.Dependencies(job.id) {
@@ -241,9 +242,9 @@
 		case dependency == nil:
 			state = "is being looked up"
 		case dependency.waitsForDependencies:
-			state = fmt.Sprintf("waits itself for %s", strings.Join(p.graph.Dependencies(dependencyID), ", "))
+			state = fmt.Sprintf("itself waits for %s", strings.Join(p.graph.Dependencies(dependencyID), ", "))
 		case dependency.FinalState != "":
-			state = "is over; its record is being stored"
+			state = "has a terminal state, which is being stored"
 		default:
 			state = fmt.Sprintf("has %d of %d tasks done", dependency.completedCount, dependency.taskCount)
 		}
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -41,7 +41,7 @@
 				want = api.Cancelled
 			}
 			if state != want {
-				t.Fatalf("seed %d: %s finally is %q, want %s", seed, id, state, want)
+				t.Fatalf("seed %d: %s is %q in the end, want %s", seed, id, state, want)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-// advance runs one round: a machine reports, pending tasks are placed and two transactions are written.
+// advance runs one round: a machine sends a heartbeat, pending tasks are placed and two transactions are written.
 func (r *randomRun) advance() {
 	if len(r.UnresolvedDependencies()) > 0 {
 		r.lookUpDependencies()
@@ -145,8 +145,8 @@
 	}
 }
 
-// check fails the test if a task started before all dependencies were done on record, if a job is not cancelled although
-// a confirmed cancellation requires it, or if a reported terminal state has changed.
+// check fails the test if a task started before all dependencies were done on record, if a job is not cancelled
+// although a confirmed cancellation requires it, or if a reported terminal state has changed.
 func (r *randomRun) check(seed int) {
 	r.Helper()
 	r.recordReader = nil
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -15,8 +15,8 @@
 )
 
 // The rank and the deadline of the last job of a pipeline are inherited by the jobs before it: the rank is capped below
-// the production rank, and the deadline is reduced by the expected duration of the jobs in between, which run in waves on
-// a small fleet. The inherited values are recomputed when the last job is cancelled.
+// the production rank, and the deadline is reduced by the expected duration of the jobs in between, which run in waves
+// on a small fleet. The inherited values are recomputed when the last job is cancelled.
 func TestDependenciesInheritUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -31,8 +31,8 @@
 	if first.rank != api.RankProduction-1 || second.rank != api.RankProduction-1 || last.rank != api.RankProduction {
 		t.Errorf("ranks %d, %d, %d, want %d, %d, %d", first.rank, second.rank, last.rank, api.RankProduction-1, api.RankProduction-1, api.RankProduction)
 	}
-	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to fetch
-	// its image of 1 GB.
+	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to
+	// fetch its image of 1 GB.
 	due := last.AcceptedAt + 200_000 - tuning.DependencyStartDelayMS - 10_000
 	if got := second.inherited.DueTimesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
--- a/scheduler/dependency_resolution.go
+++ b/scheduler/dependency_resolution.go
@@ -7,8 +7,8 @@
 	"switchferry/lookup"
 )
 
-// LookUpDependencies reads the records of dependencies that this term does not know, because they were done or cancelled
-// before the term began or because a peer has just accepted them. A job that cannot be read stays in
+// LookUpDependencies reads the records of dependencies that this term does not know, because they were done or
+// cancelled before the term began or because a peer has just accepted them. A job that cannot be read stays in
 // UnresolvedDependencies. s.mu is not held during the reads.
 func (s *Scheduler) LookUpDependencies(ctx context.Context, records *lookup.Jobs, ids []string) {
 	lookup.ForEach(ids, func(_ int, id string) {
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -86,9 +86,9 @@
 	return explanation, true
 }
 
-// taskLocations counts a job's allocated tasks by domain, or by machine where the topology lists no domain for it. Tasks
-// on a machine whose heartbeats are overdue or that does not receive commands also count as unconfirmed. The result is
-// sorted by descending number of tasks. s.mu must be held.
+// taskLocations counts a job's allocated tasks by domain, or by machine where the topology lists no domain for it.
+// Tasks on a machine whose heartbeats are overdue or that does not receive commands also count as unconfirmed. The
+// result is sorted by descending number of tasks. s.mu must be held.
 func (s *Scheduler) taskLocations(job *jobState) []api.TaskLocation {
 	locations := map[string]*api.TaskLocation{}
 	for _, alloc := range job.allocations {
@@ -117,8 +117,8 @@
 	return sorted
 }
 
-// waitReasons returns why a job's tasks wait, for operators and users: reasons in the job itself come first, then the state
-// of the machines. s.mu must be held.
+// waitReasons returns why a job's tasks wait, for operators and users: reasons in the job itself come first, then the
+// state of the machines. s.mu must be held.
 func (s *Scheduler) waitReasons(job *jobState) (reasons []string) {
 	switch {
 	case !job.accepted:
@@ -140,16 +140,16 @@
 	case counts.allowed == 0:
 		reasons = append(reasons, "no machine that it may run on is up; one must be rented first")
 	case counts.available() == 0:
-		reasons = append(reasons, fmt.Sprintf("of %d machines that it may run on %d get no work now (silent, failing or leaving), %d have not shown lately that they hear us (half-deaf), %d answer commands and reach no controller (mute), %d stand where it must not, %d are full",
+		reasons = append(reasons, fmt.Sprintf("of %d machines that it may run on, %d get no work now (silent, failing or leaving), %d have not recently confirmed that they receive commands, %d answer commands but their heartbeats reach no controller (inbound lost), %d are excluded by its zone or spread constraints, %d are full",
 			counts.allowed, counts.unschedulable, counts.outboundUnconfirmed, counts.inboundLost, counts.forbiddenBySpread, counts.full))
 	case len(reasons) == 0:
-		reasons = append(reasons, fmt.Sprintf("it is about to start: %d of %d machines have room", counts.available(), counts.allowed))
+		reasons = append(reasons, fmt.Sprintf("it is about to start: %d of %d machines have enough free resources", counts.available(), counts.allowed))
 	}
 	return reasons
 }
 
-// machineCounts counts the machines that satisfy a job's constraints. Each of them that cannot start a task of the job now
-// is also counted under exactly one reason.
+// machineCounts counts the machines that satisfy a job's constraints. Each of them that cannot start a task of the job
+// now is also counted under exactly one reason.
 type machineCounts struct {
 	allowed int
 	// outboundUnconfirmed counts machines that have not recently confirmed that they receive commands.
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -41,8 +41,9 @@
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
-// expectedToReport reports whether a machine should be sending heartbeats: it is known to have been alive in this term,
-// or the records place tasks on it, or the cloud lists it as up. Scheduler.mu must be held.
+// expectedToReport reports whether a machine should be sending heartbeats. Either a heartbeat of it has arrived in this
+// term, and it is certain to have been alive in the term or is in the cloud's list; or the cloud does not list it as
+// failed, and the records place tasks on it or the cloud lists it as running. Scheduler.mu must be held.
 func (m *machineState) expectedToReport() bool {
 	if m.Up && (m.link.AliveThisTerm() || m.listed) {
 		return true
@@ -177,9 +178,9 @@
 }
 
 // probeUnconfirmed sends an empty command list to machines that may not receive commands, the least recently probed
-// first, with at most tuning.MaxConcurrentProbes requests in flight. A machine whose heartbeats arrive gets work again once it
-// answers. Silent machines are probed as well: one that answers cannot reach any controller, and the incarnation in its
-// answer shows whether its lease expired. s.mu must be held.
+// first, with at most tuning.MaxConcurrentProbes requests in flight. A machine whose heartbeats arrive gets work again
+// once it answers. Silent machines are probed as well: one that answers cannot reach any controller, and the
+// incarnation in its answer shows whether its lease expired. s.mu must be held.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
 	var due []*machineState
 	remaining := tuning.MaxConcurrentProbes
--- a/scheduler/failure_detection_test.go
+++ b/scheduler/failure_detection_test.go
@@ -58,7 +58,7 @@
 	h.unreachableZone = "b"
 	sendOtherHeartbeats := func() {
 		h.heartbeat("a1", 1)
-		h.heartbeatsThrough("sib", "b2", "b3")
+		h.heartbeatsThrough("peer", "b2", "b3")
 	}
 	if names := h.maintainFor(15*time.Second, sendOtherHeartbeats); len(names) != 0 {
 		t.Errorf("released %v, want none", names)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -15,8 +15,8 @@
 	"switchferry/tuning"
 )
 
-// releasedNameRetention is how long the name of a released machine is kept, so that late heartbeats and instance lists do
-// not add the machine again.
+// releasedNameRetention is how long the name of a released machine is kept, so that late heartbeats and instance lists
+// do not add the machine again.
 const releasedNameRetention = 10 * time.Minute
 
 // MaintainFleet drains, removes and releases machines, and stops tasks that exceed a lowered limit of their team. It
@@ -52,17 +52,17 @@
 	return released
 }
 
-// markReleasing marks a machine as one that the cloud should release, and returns its name. The cloud's confirmation of the
-// release proves that the tasks on the machine have ended.
+// markReleasing marks a machine as one that the cloud should release, and returns its name. The cloud's confirmation of
+// the release proves that the tasks on the machine have ended.
 func (m *machineState) markReleasing(reason string) string {
 	slog.Info("releasing machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
 	m.releasing = true
 	return m.Name
 }
 
-// releaseFailedMachines takes the action that the failure detector decided for each machine, and returns the names of the
-// machines to release. The eviction budget bounds how many machines with overdue heartbeats are among them.
-// s.mu must be held.
+// releaseFailedMachines takes the action that the failure detector decided for each machine, and returns the names of
+// the machines to release. The eviction budget bounds how many machines with overdue heartbeats are among them. s.mu
+// must be held.
 func (s *Scheduler) releaseFailedMachines(now time.Time) (released []string) {
 	reasons := map[string]string{}
 	var overdue []failuredetector.Candidate
@@ -101,8 +101,8 @@
 	return released
 }
 
-// logFleet logs how many CPUs of the machines that are up are used by tasks that are running, starting (including fetches)
-// and stopping, and how many CPUs waiting jobs need. s.mu must be held.
+// logFleet logs how many CPUs of the machines that are up are used by tasks that are running, starting (including
+// fetches) and stopping, and how many CPUs waiting jobs need. s.mu must be held.
 func (s *Scheduler) logFleet() {
 	var cpus, running, starting, stopping float64
 	machines := 0
@@ -135,8 +135,8 @@
 		"waiting_jobs", jobs, "waiting_cpus", waiting)
 }
 
-// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverLogDelay although a machine has
-// free resources for one of its tasks. Users expect that no job waits 90 s in this way. s.mu must be held.
+// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverLogDelay although a
+// machine has free resources for one of its tasks. Users expect that no job waits 90 s in this way. s.mu must be held.
 func (s *Scheduler) logPassedOver(job *jobState) {
 	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
 	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverLogDelay || !s.withinQuota(job) {
@@ -201,9 +201,8 @@
 	return nil
 }
 
-// forgetMachine removes a machine that no longer exists, and makes its queued tasks pending again. The machine must have no
-// allocations.
-// s.mu must be held.
+// forgetMachine removes a machine that no longer exists, and makes its queued tasks pending again. The machine must
+// have no allocations. s.mu must be held.
 func (s *Scheduler) forgetMachine(machine *machineState) {
 	for _, queue := range machine.queues {
 		queue.returnTasks()
@@ -231,8 +230,8 @@
 	return addresses
 }
 
-// InstancesReleased handles the cloud's response to a release. If err is nil, the machines and all tasks on them no longer
-// exist, so the tasks may run elsewhere; otherwise the release of the machines may be requested again.
+// InstancesReleased handles the cloud's response to a release. If err is nil, the machines and all tasks on them no
+// longer exist, so the tasks may run elsewhere; otherwise the release of the machines may be requested again.
 func (s *Scheduler) InstancesReleased(names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,8 +253,8 @@
 	s.wakePlacer()
 }
 
-// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags behind, so a machine that is missing
-// from it may still exist and is kept.
+// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags behind, so a machine that is
+// missing from it may still exist and is kept.
 func (s *Scheduler) ApplyInstanceList(list []api.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -37,7 +37,7 @@
 	answeredCommands int
 	// topologyMap is the configured topology; nil if there is none.
 	topologyMap *topology.Map
-	// limits holds the limits of the state service in the settings; only Next is used.
+	// limits holds the limits of the state service in the settings; only Announced is used.
 	limits settings.StateLimits
 }
 
@@ -247,8 +247,8 @@
 	}
 }
 
-// maintainFor advances the clock by duration in steps of tuning.MaintenanceInterval. In each step it calls sendHeartbeats and
-// then MaintainFleet. It returns the machines to be released.
+// maintainFor advances the clock by duration in steps of tuning.MaintenanceInterval. In each step it calls
+// sendHeartbeats and then MaintainFleet. It returns the machines to be released.
 func (h *harness) maintainFor(duration time.Duration, sendHeartbeats func()) (released []string) {
 	for ; duration > 0; duration -= tuning.MaintenanceInterval {
 		h.clock.Advance(tuning.MaintenanceInterval)
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -19,15 +19,15 @@
 // Two kinds of soft state that a leader learns from its machines are stored periodically as hints for the next leader.
 //
 // Images: a leader infers which images a machine holds from the tasks that ran on it. Without the hint the next leader
-// would assume that no machine holds an image, and on a large fleet each of hundreds of machines would fetch images again,
-// or tasks would wait as if it had to.
+// would assume that no machine holds an image, and on a large fleet hundreds of machines would fetch images again, or
+// tasks would wait as if their image had to be fetched.
 //
-// Replicas: agents report which parts of datasets they hold, but it takes some seconds until all of them have found the new
-// leader. Without the hint tasks would meanwhile be placed on machines whose agents reported first, and their inputs copied
-// there although other machines hold them.
+// Replicas: agents list in their heartbeats which parts of datasets they hold, but it takes some seconds until all of
+// them have found the new leader. Without the hint tasks would meanwhile be placed on machines whose agents sent the
+// first heartbeats, and their inputs would be copied there although other machines hold them.
 //
-// A hint is stored in parts of machinesPerHint machines each, in the order of the machine names. Machines move between parts
-// as others are added and removed, so a machine may be in two parts, which is harmless.
+// A hint is stored in parts of machinesPerHint machines each, in the order of the machine names. Machines move between
+// parts as others are added and removed, so a machine may be in two parts, which is harmless.
 
 // recordImageUse records that a machine holds a job's image, because a task of the job ran on it. s.mu must be held.
 func (s *Scheduler) recordImageUse(machine *machineState, job *jobState) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImagesInterval ago.
-// s.mu must be held.
+// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImagesInterval
+// ago. s.mu must be held.
 func (s *Scheduler) storeImageHints(now time.Time) {
 	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesInterval {
 		return
@@ -46,8 +46,8 @@
 	s.storeHintParts(store.ImagesKey)
 }
 
-// storeReplicaHints marks the replica hint for writing if it changed and was last marked at least tuning.ReplicaHintsInterval
-// ago. s.mu must be held.
+// storeReplicaHints marks the replica hint for writing if it changed and was last marked at least
+// tuning.ReplicaHintsInterval ago. s.mu must be held.
 func (s *Scheduler) storeReplicaHints(now time.Time) {
 	datasets := s.datasets
 	if datasets == nil || now.Sub(datasets.hintStoredAt) < tuning.ReplicaHintsInterval {
@@ -61,7 +61,8 @@
 	s.storeHintParts(store.ReplicasKey)
 }
 
-// storeHintParts marks all parts of a hint for writing. Key returns the key of a part from its number.
+// storeHintParts marks all parts of a hint for writing. The function key returns the key of the part with the
+// given number.
 // s.mu must be held.
 func (s *Scheduler) storeHintParts(key func(part int) string) {
 	perPart := s.machinesPerHint()
@@ -72,7 +73,7 @@
 }
 
 // machinesPerHint returns the number of machines in one part of a hint. It is halved if the state service allows only
-// small values, so that few entries are cut off for lack of room.
+// small values, so that few images are left out because of the limit.
 func (s *Scheduler) machinesPerHint() int {
 	if s.settings.Facts.State.Strictest().MaxValueBytes() < tuning.SmallValueBytes {
 		return tuning.MaxImagesRecordMachines / 2
@@ -139,8 +140,8 @@
 	}
 }
 
-// restoreImages records the images that a machine holds according to the hint, least recently used first. It is called at
-// the machine's first heartbeat in this term. s.mu must be held.
+// restoreImages records the images that a machine holds according to the hint, least recently used first. It is called
+// at the machine's first heartbeat in this term. s.mu must be held.
 func (s *Scheduler) restoreImages(machine *machineState) {
 	images := s.imageHints[machine.Name]
 	delete(s.imageHints, machine.Name)
@@ -149,9 +150,9 @@
 	}
 }
 
-// LoadReplicaHints loads the replica hint that an earlier leader stored. A corrupt part is logged and skipped. For a limited
-// time tasks may be assigned to machines in the hint as if their agents had reported, but no task starts there before the
-// agent has reported.
+// LoadReplicaHints loads the replica hint that an earlier leader stored. A corrupt part is logged and skipped. For a
+// limited time tasks may be assigned to machines in the hint as if their agents had sent heartbeats, but no task starts
+// there before the agent has sent one.
 func (s *Scheduler) LoadReplicaHints(items []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// A new leader restores the images of each machine from the stored hint, in order of use. Without the hint it assumed that
-// no machine held any image, and every placement waited for fetches that were not needed.
+// A new leader restores the images of each machine from the stored hint, in order of use. Without the hint it assumed
+// that no machine held any image, and every placement waited for fetches that were not needed.
 func TestNextLeaderRestoresImages(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.MaxImagesRecordMachines + 1 {
--- a/scheduler/inbound_lost_test.go
+++ b/scheduler/inbound_lost_test.go
@@ -103,7 +103,7 @@
 	}
 	h.submit("run-000003", 20, nil)
 	workers.run(2 * time.Second)
-	if why := strings.Join(h.waitReasons(h.jobs["run-000003"]), ""); !strings.Contains(why, "1 answer commands and reach no controller (mute)") {
+	if why := strings.Join(h.waitReasons(h.jobs["run-000003"]), ""); !strings.Contains(why, "1 answer commands but their heartbeats reach no controller (inbound lost)") {
 		t.Errorf("wait reason %q does not name the machine whose heartbeats are lost", why)
 	}
 	workers.run(6 * time.Second)
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -73,11 +73,11 @@
 	waitsForDependencies bool
 	// eligibleAt is when the job was submitted or, if later, when its last dependency was done, in Unix ms.
 	eligibleAt int64
-	// inherited holds the rank and the deadlines that the job inherits from its dependents; empty if it has none.
+	// inherited holds the rank and the deadlines that the job inherits from its dependants; empty if it has none.
 	inherited dag.Stage
 
-	// latestStart orders the job among those of its rank. It is when the job must start to meet its next deadline, in
-	// Unix ms, and later for jobs that need a larger share of the fleet.
+	// latestStart orders the job among those of its rank. It is the time, in Unix ms, by which the job must start to
+	// meet its next deadline; for a job that needs a larger share of the fleet it is later.
 	latestStart int64
 	// overQuota is 0 while the job is within its team's guarantee and 1 otherwise; it is one of the sort keys of jobs.
 	overQuota int
--- a/scheduler/lifecycle.go
+++ b/scheduler/lifecycle.go
@@ -42,15 +42,14 @@
 	}
 }
 
-// allTasksCompleted reports whether the job is done because all its tasks completed. It is never true for a service, which
-// runs until it is cancelled.
+// allTasksCompleted reports whether the job is done because all its tasks completed. It is never true for a service,
+// which runs until it is cancelled.
 func (j *jobState) allTasksCompleted() bool {
 	return j.completedCount == j.taskCount && j.Job.Shape != api.Service
 }
 
-// finish decides a job's terminal state, if it has none, and marks it for writing. It must not be reported to users before
-// it is stored.
-// s.mu must be held.
+// finish decides a job's terminal state, if it has none, and marks it for writing. It must not be reported to users
+// before it is stored. s.mu must be held.
 func (s *Scheduler) finish(job *jobState, state string) {
 	if job.FinalState != "" {
 		return
@@ -90,8 +89,8 @@
 	s.archive(job)
 }
 
-// terminalRecord returns the final record of a job in a terminal state. Unless currentFormat is set, it omits fields that
-// older versions do not read.
+// terminalRecord returns the final record of a job in a terminal state. Unless currentFormat is set, it omits fields
+// that older versions do not read.
 func (j *jobState) terminalRecord(currentFormat bool) store.FinalRecord {
 	return store.FinalRecord{State: j.FinalState, Tasks: j.completedCount, Service: currentFormat && j.Job.Shape == api.Service}
 }
@@ -115,9 +114,11 @@
 	}))
 }
 
-// overdueCancellations returns the machines, one entry for each task, that must be released to the cloud so that no task
-// of a cancelled job runs longer than cancel_s after the cancellation: they were sent the command to stop the task and
-// have not confirmed that it has ended. tuning.CancelReleaseMargin covers the cloud's response time. s.mu must be held.
+// overdueCancellations returns the machines, one entry for each task, that must be released to the cloud so that no
+// task of a cancelled job runs longer than cancel_s after the cancellation: they were sent the command to stop the task
+// and have not confirmed that it has ended. A machine that responds to commands is not released for an allocation that
+// this leader made or restored within that time. tuning.CancelReleaseMargin covers the cloud's response time. s.mu must
+// be held.
 func (s *Scheduler) overdueCancellations(now time.Time) []*machineState {
 	limit := settings.Seconds(s.settings.Facts.Workers.CancelDeadlineS) - tuning.CancelReleaseMargin
 	var overdue []*machineState
@@ -134,8 +135,8 @@
 	return overdue
 }
 
-// respondsToCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task on
-// it sooner than releasing the machine would. s.mu must be held.
+// respondsToCommands reports whether a machine sends heartbeats and receives responses, so that a command stops a task
+// on it sooner than releasing the machine would. s.mu must be held.
 func (s *Scheduler) respondsToCommands(machine *machineState, now time.Time) bool {
 	return !s.heartbeatOverdue(machine, now) && machine.link.State(now, s.lease()) == reachability.Reachable
 }
--- a/scheduler/live_configuration.go
+++ b/scheduler/live_configuration.go
@@ -8,8 +8,9 @@
 	"switchferry/feasibility"
 )
 
-// ApplyConfiguration makes the given configuration apply to all decisions from now on. The returned function counts the task
-// starts and job acceptances that were decided under the previous configuration and are not stored yet; it acquires s.mu.
+// ApplyConfiguration makes the given configuration apply to all decisions from now on. The returned function counts the
+// task starts and job acceptances that were decided under the previous configuration and are not stored yet; it
+// acquires s.mu.
 func (s *Scheduler) ApplyConfiguration(active *configuration.Active) (uncommitted func() int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -56,9 +56,9 @@
 	releasing bool
 	// requestedHere is true if this leader requested the machine, so that the time of the request is known.
 	requestedHere bool
-	// faultLogged is true once it was logged that the machine is faulty or overdue.
+	// faultLogged is true once it was logged that the machine is faulty or its startup is overdue.
 	faultLogged bool
-	// idleSince is when the machine's last allocation ended.
+	// idleSince is when the machine's last allocation was released, or when the machine came up.
 	idleSince time.Time
 	// refusedUntil is the time until which the machine gets no work because it refused a start.
 	refusedUntil time.Time
--- a/scheduler/outbound_lost_test.go
+++ b/scheduler/outbound_lost_test.go
@@ -78,7 +78,7 @@
 		})
 		released := workers.run(14*time.Second, func() {})
 		if len(workers.starts) != 2 {
-			t.Errorf("%d starts on a machine with room for two tasks that receives nothing, want 2", len(workers.starts))
+			t.Errorf("%d starts on a machine with free resources for two tasks that receives nothing, want 2", len(workers.starts))
 		}
 		if len(h.jobs["run-000001"].allocations) != 0 {
 			t.Error("the new incarnation did not prove that the tasks are gone")
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -141,8 +141,8 @@
 	stored bool
 }
 
-// mayClear reports whether the worker may be told to forget the attempt. Clearing an attempt while a start for it was
-// in transit made a task run on two machines (docs/incidents/task-ran-twice.md).
+// mayClear reports whether the clear command for the attempt, after which the worker forgets it, may be sent. Clearing
+// an attempt while a start for it was in transit made a task run on two machines (docs/incidents/task-ran-twice.md).
 func (e *exitedAttempt) mayClear() bool {
 	return e.stored && e.starts.isEmpty()
 }
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -237,8 +237,8 @@
 	s.markCompleted(alloc.job, alloc.task, s.allowClear(machine, exit))
 }
 
-// allowClear returns a callback that allows an exited task to be cleared on its machine. It must be called with s.mu
-// held once the task's completion is stored.
+// allowClear returns a callback that allows an exited task to be cleared on its machine. The callback must be
+// called with s.mu held once the task's completion is stored.
 func (s *Scheduler) allowClear(machine *machineState, exit *exitedAttempt) func() {
 	return func() {
 		exit.stored = true
--- a/scheduler/reconcile_test.go
+++ b/scheduler/reconcile_test.go
@@ -210,7 +210,7 @@
 	if released := h.maintainFor(30*time.Second, func() { h.heartbeat("a1", 1) }); len(released) > 0 || len(h.machines) != 1 {
 		t.Errorf("released %v, want none; %d machines are known, want 1", released, len(h.machines))
 	}
-	// A machine that is alive receives the token and sends it in its next heartbeat.
+	// A machine that is alive receives the fencing token and sends it in its next heartbeat.
 	h.heartbeatAt("a8", 4, 301, h.term-3)
 	h.heartbeatAt("a8", 4, 302, h.term)
 	if !h.schedulable(h.machines["a8"]) {
--- a/scheduler/records.go
+++ b/scheduler/records.go
@@ -51,9 +51,9 @@
 	return nil, false, nil
 }
 
-// jobRecord builds the record of a job that is not archived. Its conditions are that the job has no final record, so that a
-// job in a terminal state is never restarted, and, before acceptance, that the job's inputs are unchanged since they were
-// checked.
+// jobRecord builds the record of a job that is not archived. Its conditions are that the job has no final record, so
+// that a job in a terminal state is never restarted, and, before acceptance, that the job's inputs are unchanged since
+// they were checked.
 func (s *Scheduler) jobRecord(id string) recordContent {
 	job := s.jobs[id]
 	if job == nil {
@@ -136,10 +136,10 @@
 	return recordContent{value: packet, exists: ok}
 }
 
-// Load restores the scheduler's state from the records of jobs and of shards. A job with a corrupt record is not loaded and
-// its records are left unchanged: none of its tasks is started, none of its records is written, its running tasks are
-// stopped, and requests about it get status 503 until the records are repaired. One corrupt record must not stop the whole
-// load, because then every new leader would retry it forever and schedule nothing.
+// Load restores the scheduler's state from the records of jobs and of shards. A job with a corrupt record is not loaded
+// and its records are left unchanged: none of its tasks is started, none of its records is written, its running tasks
+// are stopped, and requests about it get status 503 until the records are repaired. One corrupt record must not stop
+// the whole load, because then every new leader would retry it forever and schedule nothing.
 func (s *Scheduler) Load(jobs, shards []store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,15 +257,16 @@
 	}
 }
 
-// markTerminalStored marks a job's terminal state as stored, because it was read from its record. From then on it may be
-// reported to users. s.mu must be held.
+// markTerminalStored marks a job's terminal state as stored, because it was read from its record. From then on it may
+// be reported to users. s.mu must be held.
 func (s *Scheduler) markTerminalStored(job *jobState) {
 	job.terminalStored = true
 	s.terminalStates.Remember(job.id, job.terminalRecord(s.currentFormat))
 }
 
-// resumeTermination continues the end of a job that an earlier leader may have begun: it stops the remaining tasks of a job
-// in a terminal state and archives the job, and finishes a job whose tasks have all completed. s.mu must be held.
+// resumeTermination continues the termination of a job that an earlier leader may have begun: it stops the remaining
+// tasks of a job in a terminal state and archives the job, and finishes a job whose tasks have all completed. s.mu must
+// be held.
 func (s *Scheduler) resumeTermination(job *jobState) {
 	switch {
 	case job.FinalState != "":
@@ -278,9 +279,9 @@
 	}
 }
 
-// Conflict adopts a stored record that prevented a write of this scheduler. It was written by another controller, or by this
-// one in a transaction whose response was lost. Only the committer may call it, because it reads a record after all its own
-// writes; other callers use AdoptJob.
+// Conflict adopts a stored record that prevented a write of this scheduler. It was written by another controller, or by
+// this one in a transaction whose response was lost. Only the committer may call it, because it reads a record after
+// all its own writes; other callers use AdoptJob.
 func (s *Scheduler) Conflict(key string, found *store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -328,9 +329,9 @@
 	s.archive(job)
 }
 
-// markAccepted records that a job's record is stored: the job may be reported to users, and its tasks may start once its
-// dependencies are done. It does nothing if another job of the same ID has replaced this one meanwhile.
-// s.mu must be held.
+// markAccepted records that a job's record is stored: the job may be reported to users, and its tasks may start once
+// its dependencies are done. It does nothing if another job of the same ID has replaced this one meanwhile. s.mu must
+// be held.
 func (s *Scheduler) markAccepted(job *jobState) {
 	if s.jobs[job.id] != job || job.accepted {
 		return
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A new leader that reads a damaged job record or shard record leaves out only that job, and neither overwrites nor deletes
-// the job's records. Before, one damaged record kept every new leader from scheduling anything.
+// A new leader that reads a damaged job record or shard record leaves out only that job, and neither overwrites nor
+// deletes the job's records. Before, one damaged record kept every new leader from scheduling anything.
 func TestDamagedRecordsAffectOnlyTheirJob(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -106,7 +106,7 @@
 	}
 	h.submit("run-000001", 150, func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 })
 	h.Place()
-	h.state.HoldNextTransaction = true // delays a transaction of the old leader until Deliver
+	h.state.HoldNextTransaction = true // delays a transaction of the old leader until ExecuteHeld
 	h.committer.Step(context.Background())
 	h.commit()
 	oldShard := store.ShardOf("run-000001", 0, tuning.TasksPerShard)
@@ -162,11 +162,11 @@
 }
 
 // Whichever shard records of a job a crash leaves behind, and in whatever order they were written, the highest attempt
-// decides where a task is placed, and a completed task stays completed. The revisions of the records cannot decide this:
-// when the first transaction of a record was executed again after the record had been replaced and deleted, the oldest
-// placement got the newest revision. The leader would have looked for the task on its former machine, found it missing
-// there and started it a second time. A record in which a task has no placement does not override one in which it has:
-// only the machine's report can show that the task is not there.
+// decides where a task is placed, and a completed task stays completed. The revisions of the records cannot decide
+// this: when the first transaction of a record was executed again after the record had been replaced and deleted, the
+// oldest placement got the newest revision. The leader would have looked for the task on its former machine, found it
+// missing there and started it a second time. A record in which a task has no placement does not override one in which
+// it has: only a heartbeat of the machine can show that the task is not there.
 func TestHighestAttemptDeterminesAllocation(t *testing.T) {
 	for _, olderWrittenLast := range []bool{false, true} {
 		h := newHarness(t)
@@ -202,18 +202,18 @@
 			t.Errorf("older records written last %v: task 50, which is in only one record, is lost", olderWrittenLast)
 		}
 		if alloc := job.allocations[2]; alloc == nil || alloc.machine.Name != "a1" {
-			t.Fatalf("older records written last %v: task 2 has no allocation although its machine has not reported yet", olderWrittenLast)
+			t.Fatalf("older records written last %v: task 2 has no allocation although its machine has sent no heartbeat yet", olderWrittenLast)
 		}
 		h.heartbeat("a1", 1)
 		h.heartbeat("a1", 1)
 		if job.allocations[2] != nil || job.allocations[1] == nil {
-			t.Errorf("older records written last %v: the machine's reports do not release task 2, or release task 1", olderWrittenLast)
+			t.Errorf("older records written last %v: the machine's heartbeats do not release task 2, or release task 1", olderWrittenLast)
 		}
 	}
 }
 
-// The shard record of a production task's start is written before the many waiting records of a low-rank job array. Before,
-// the start waited until all of these were written. The test runs a single transaction.
+// The shard record of a production task's start is written before the many waiting records of a low-rank job array.
+// Before, the start waited until all of these were written. The test runs a single transaction.
 func TestProductionRecordsAreWrittenBeforeLowRank(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -28,8 +28,8 @@
 	return status
 }
 
-// Presence is what the scheduler of a term holds in memory about a job, whether or not this controller still leads. The zero
-// value describes a job that is not in memory.
+// Presence is what the scheduler of a term holds in memory about a job, whether or not this controller still leads. The
+// zero value describes a job that is not in memory.
 type Presence struct {
 	// InMemory is set while a job is being accepted and afterwards; Accepted is set once the job's record is stored.
 	InMemory, Accepted bool
@@ -48,9 +48,9 @@
 	return Presence{InMemory: true, Accepted: job.accepted, Service: job.Job.Shape == api.Service}
 }
 
-// Submit accepts a job, unless it is accepted already, and waits until its record is stored. The submission must have been
-// validated; now is the wall-clock time of its arrival. Submit returns false if the job's status cannot be determined from
-// memory, so that the caller must look the job up again.
+// Submit accepts a job, unless it is accepted already, and waits until its record is stored. The submission must have
+// been validated; now is the wall-clock time of its arrival. Submit returns false if the job's status cannot be
+// determined from memory, so that the caller must look the job up again.
 func (s *Scheduler) Submit(ctx context.Context, submission *api.Submission, now time.Time) (peer.Response, bool) {
 	s.mu.Lock()
 	job := s.jobs[submission.ID]
@@ -83,8 +83,8 @@
 	return peer.JSONResponse(http.StatusOK, status), true
 }
 
-// refuseSubmission returns the response to a submission that cannot be accepted now, or false if it can be. IsNew is set if
-// the job is not in memory. s.mu must be held.
+// refuseSubmission returns the response to a submission that cannot be accepted now, or false if it can be. The flag
+// isNew is set if the job is not in memory. s.mu must be held.
 func (s *Scheduler) refuseSubmission(submission *api.Submission, isNew bool) (peer.Response, bool) {
 	delay := s.records.Delay()
 	switch {
@@ -136,9 +136,9 @@
 	return peer.JSONResponse(http.StatusOK, api.JobStatus{ID: jobID, State: job.FinalState, Done: job.completedCount}), true
 }
 
-// waitForSettledStarts waits, for tuning.CancelStartTimeout at most, until no run command for a task of a cancelled job is in
-// flight. A task that starts late would be stopped at once, but none should start after the user was told that the job is
-// cancelled. Most starts settle within milliseconds. s.mu must not be held.
+// waitForSettledStarts waits, for tuning.CancelStartTimeout at most, until no run command for a task of a cancelled job
+// is in flight. A task that starts late would be stopped at once, but none should start after the cancellation was
+// acknowledged to the user. Most starts settle within milliseconds. s.mu must not be held.
 func (s *Scheduler) waitForSettledStarts(ctx context.Context, job *jobState) {
 	s.mu.Lock()
 	unsettled, changed := job.FinalState == api.Cancelled && job.hasUnsettledStarts(), job.changed
@@ -167,8 +167,8 @@
 	}
 }
 
-// waitForChange waits until a job's change channel is closed. It returns false if ctx ends or the timeout expires first.
-// s.mu must not be held.
+// waitForChange waits until a job's change channel is closed. It returns false if ctx ends or the timeout expires
+// first. s.mu must not be held.
 func (s *Scheduler) waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-changed:
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -12,8 +12,8 @@
 	"switchferry/tuning"
 )
 
-// Submissions beyond what the committer can store in time are refused at once with a Retry-After time. The leader does not
-// keep refused jobs in memory.
+// Submissions beyond what the committer can store in time are refused at once with a Retry-After time. The leader does
+// not keep refused jobs in memory.
 func TestSubmissionsBeyondWriteCapacityAreRefused(t *testing.T) {
 	h := newHarness(t)
 	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.StateLimits{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -16,14 +16,16 @@
 	"switchferry/tuning"
 )
 
-// capacityPool identifies a kind of machine that can be requested from the cloud: a machine type in a zone, spot or not.
+// capacityPool identifies a kind of machine that can be requested from the cloud: a machine type in a zone, spot or
+// not.
 type capacityPool struct {
 	machineType, zone string
 	spot              bool
 }
 
-// demand returns the number of CPUs that unfinished jobs need, and how many of these must not be on spot machines. A task
-// whose memory request is large for its CPUs counts as the number of CPUs that come with that memory. s.mu must be held.
+// demand returns the number of CPUs that unfinished jobs need, and how many of these must not be on spot machines. A
+// task whose memory request is large for its CPUs counts as the number of CPUs that come with that memory. s.mu must be
+// held.
 func (s *Scheduler) demand() (all, ordinary float64) {
 	memoryPerCPU := 0.0
 	for _, machineType := range s.machineTypes {
@@ -71,8 +73,8 @@
 	return !machine.releasing && machine.PreemptedAt.IsZero() && !s.presumedUnavailable(machine) && !s.startupOverdue(machine)
 }
 
-// startupOverdue reports whether a machine that is not up yet is unlikely to come up, judged by the startup times of other
-// machines. Replacements are requested before the machine's own startup deadline has passed. s.mu must be held.
+// startupOverdue reports whether a machine that is not up yet is unlikely to come up, judged by the startup times of
+// other machines. Replacements are requested before the machine's own startup deadline has passed. s.mu must be held.
 func (s *Scheduler) startupOverdue(machine *machineState) bool {
 	if machine.Up || !machine.requestedHere || machine.Spec == nil {
 		return false
@@ -87,8 +89,9 @@
 	return overdue
 }
 
-// presumedUnavailable reports whether a machine's heartbeats are overdue or it does not receive commands. The machine may
-// recover, but replacements are requested in the meantime because they take long to boot. s.mu must be held.
+// presumedUnavailable reports whether a machine's heartbeats are overdue, it does not receive commands, or it is known
+// only from heartbeats that may be old copies. The machine may recover, but replacements are requested in the meantime
+// because they take long to boot. s.mu must be held.
 func (s *Scheduler) presumedUnavailable(machine *machineState) bool {
 	if machine.Up {
 		if machine.link.State(s.now(), s.lease()) == reachability.OutboundLost {
@@ -114,8 +117,8 @@
 	return bootS
 }
 
-// desiredCapacity returns how many CPUs the fleet should have in total, and how many of them on machines that are not spot.
-// s.mu must be held.
+// desiredCapacity returns how many CPUs the fleet should have in total, and how many of them on machines that are not
+// spot. s.mu must be held.
 func (s *Scheduler) desiredCapacity() (all, ordinary float64) {
 	allDemand, ordinaryDemand := s.demand()
 	// Guarantees of teams without unfinished jobs get no headroom, because the machines for it would be idle.
@@ -138,10 +141,10 @@
 // maxInstanceRequests is the maximum number of instance requests that are sent to the cloud at the same time.
 const maxInstanceRequests = 2
 
-// InstanceRequests returns the instance requests to send to the cloud now. It returns none while an earlier request is open,
-// and during the first two heartbeat intervals of a term. It keeps requesting during an outage of the state service: the
-// idempotency keys are unique to this term, and the machines are needed whichever controller leads. The caller must pass
-// the result of each request to InstancesGranted.
+// InstanceRequests returns the instance requests to send to the cloud now. It returns none while an earlier request is
+// open, and during the first two heartbeat intervals of a term. It keeps requesting during an outage of the state
+// service: the idempotency keys are unique to this term, and the machines are needed whichever controller leads. The
+// caller must pass the result of each request to InstancesGranted.
 func (s *Scheduler) InstanceRequests() []api.InstanceRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,8 +224,8 @@
 }
 
 // requestForUnplaceable returns a request for one machine if there is a job that no machine in use or expected can ever
-// run. The total number of CPUs may be sufficient in this case, so that no machine of the type or zone that the job needs
-// would be requested otherwise. s.mu must be held.
+// run. The total number of CPUs may be sufficient in this case, so that no machine of the type or zone that the job
+// needs would be requested otherwise. s.mu must be held.
 func (s *Scheduler) requestForUnplaceable(pools []capacityPool) []api.InstanceRequest {
 	var jobs []*api.Submission
 	for _, job := range s.jobOrder {
@@ -277,8 +280,9 @@
 	}
 }
 
-// InstancesGranted handles the cloud's response to a request from InstanceRequests: the names of the granted machines, or an
-// error. After an error or fewer machines than requested, the pool is not requested from for tuning.InstanceRefusalPause.
+// InstancesGranted handles the cloud's response to a request from InstanceRequests: the names of the granted machines,
+// or an error. After an error or fewer machines than requested, the pool is not requested from for
+// tuning.InstanceRefusalPause.
 func (s *Scheduler) InstancesGranted(request api.InstanceRequest, names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// Replacements for machines whose heartbeats are overdue are requested also during an outage of the state service, because
-// machines take long to boot.
+// Replacements for machines whose heartbeats are overdue are requested also during an outage of the state service,
+// because machines take long to boot.
 func TestReplacementsAreRequestedDuringOutage(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// If the fleet has free resources but no machine on which a job may run, one machine is requested for the job, and not a
-// second one while the first boots. Before, none was requested because only the total number of CPUs was considered.
+// If the fleet has free resources but no machine on which a job may run, one machine is requested for the job, and not
+// a second one while the first boots. Before, none was requested because only the total number of CPUs was considered.
 func TestInstanceIsRequestedForUnplaceableJob(t *testing.T) {
 	h := newHarness(t)
 	for i := range 5 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// An instance that is not up after the others of its batch no longer counts as supply, so that a replacement is requested,
-// long before the instance itself is released.
+// An instance that is not up after the others of its batch no longer counts as supply, so that a replacement is
+// requested, long before the instance itself is released.
 func TestInstanceSlowerThanItsBatchIsReplaced(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -225,7 +225,8 @@
 // LookupNeeded returns a channel that receives a value when UnresolvedDependencies has new entries.
 func (s *Scheduler) LookupNeeded() <-chan struct{} { return s.dependencies.lookupNeeded }
 
-// UpdateMachineTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are kept.
+// UpdateMachineTypes adds or replaces machine types from the cloud's catalog. Types that are not in machineTypes are
+// kept.
 func (s *Scheduler) UpdateMachineTypes(machineTypes []api.MachineType) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/shards.go
+++ b/scheduler/shards.go
@@ -10,8 +10,8 @@
 	s.records.MarkDirty(s.shardKey(job, task), job.urgency(), onStored)
 }
 
-// shardKey returns the key of the shard record that holds a task, adds the shard to the job's shards and reshards the job
-// if it has records of another size. s.mu must be held.
+// shardKey returns the key of the shard record that holds a task, adds the shard to the job's shards and reshards the
+// job if it has records of another size. s.mu must be held.
 func (s *Scheduler) shardKey(job *jobState, task int) string {
 	s.reshard(job)
 	shard := store.ShardOf(job.id, task, s.tasksPerShard)
@@ -19,8 +19,8 @@
 	return shard.Key()
 }
 
-// reshard rewrites a job's shard records of other sizes in the current size, and deletes the old records once all new ones
-// are stored. A crash may leave any mix of old and new records, which Load reads correctly. s.mu must be held.
+// reshard rewrites a job's shard records of other sizes in the current size, and deletes the old records once all new
+// ones are stored. A crash may leave any mix of old and new records, which Load reads correctly. s.mu must be held.
 func (s *Scheduler) reshard(job *jobState) {
 	oldShards := s.shardsOfOtherSize(job)
 	if len(oldShards) == 0 || job.resharding {
@@ -68,17 +68,17 @@
 	return shards
 }
 
-// reshardAll rewrites all shard records that do not have the current size. After the limit on values is lowered, a larger
-// record could not be written any more, and task starts that must be stored in it would never be sent.
-// s.mu must be held.
+// reshardAll rewrites all shard records that do not have the current size. After the limit on values is lowered, a
+// larger record could not be written any more, and task starts that must be stored in it would never be sent. s.mu must
+// be held.
 func (s *Scheduler) reshardAll() {
 	for _, job := range s.jobOrder {
 		s.reshard(job)
 	}
 }
 
-// UseCurrentFormat makes the scheduler write records in this version's format from now on. The caller must ensure that no
-// controller of an older version reads them any more.
+// UseCurrentFormat makes the scheduler write records in this version's format from now on. The caller must ensure that
+// no controller of an older version reads them any more.
 func (s *Scheduler) UseCurrentFormat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,8 +86,8 @@
 	s.updateShardSize()
 }
 
-// updateShardSize sets s.tasksPerShard to the largest shard size whose records always fit into a value, and rewrites the shard
-// records of other sizes. s.mu must be held.
+// updateShardSize sets s.tasksPerShard to the largest shard size whose records always fit into a value, and rewrites
+// the shard records of other sizes. s.mu must be held.
 func (s *Scheduler) updateShardSize() {
 	s.tasksPerShard = store.ShardSize(s.settings.Facts.State.Strictest().MaxValueBytes(), s.longestName)
 	s.reshardAll()
--- a/scheduler/task_failures.go
+++ b/scheduler/task_failures.go
@@ -9,11 +9,12 @@
 )
 
 // A job that was submitted with a mistake fails at once on every machine until its user cancels it. Its failures do not
-// count against machines, and it runs one task at a time, with exponential backoff, until one of its tasks works.
+// count against machines, and it runs one task at a time, with exponential backoff, until one of its tasks runs for
+// long enough or completes.
 
-// failsEverywhere reports whether a job has failed on at least tuning.BrokenJobMachines machines while none of its tasks has
-// completed or is running for longer than tuning.BrokenJobRunTime. A job whose first tasks were placed on faulty machines
-// meets this only until another of its tasks has run that long. s.mu must be held.
+// failsEverywhere reports whether a job has failed on at least tuning.BrokenJobMachines machines while none of its
+// tasks has completed or is running for longer than tuning.BrokenJobRunTime. A job whose first tasks were placed on
+// faulty machines meets this only until another of its tasks has run that long. s.mu must be held.
 func (s *Scheduler) failsEverywhere(job *jobState) bool {
 	if len(job.failedOn) < tuning.BrokenJobMachines || job.completedCount > 0 {
 		return false
@@ -62,8 +63,8 @@
 	}
 }
 
-// clearFailures ends a job's backoff after one of its tasks completed, which shows that the job itself is not the cause of
-// the failures. s.mu must be held.
+// clearFailures ends a job's backoff after one of its tasks completed, which shows that the job itself is not the cause
+// of the failures. s.mu must be held.
 func (j *jobState) clearFailures() {
 	if j.failures > 0 {
 		j.failures, j.pausedUntil = 0, time.Time{}
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// A machine on which tasks of several jobs fail is released; a job that fails on every machine is retried with a backoff
-// and does not make machines faulty.
+// A machine on which tasks of several jobs fail is released; a job that fails on every machine is retried with a
+// backoff and does not make machines faulty.
 func TestFaultyMachineAndBrokenJobAreDistinguished(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -125,8 +125,8 @@
 	}
 }
 
-// A faulty machine is detected even if another job fails on every machine, because tasks that fail on it work elsewhere. A
-// job whose tasks failed on the faulty machine still runs on all others.
+// A faulty machine is detected even if another job fails on every machine, because tasks that fail on it work
+// elsewhere. A job whose tasks failed on the faulty machine still runs on all others.
 func TestFaultyMachineIsDetectedAmongBrokenJobs(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -18,9 +18,9 @@
 	"switchferry/store"
 )
 
-// runVersion1Term runs a scripted term with jobs of several shapes that run, are done, are cancelled, or are accepted by a
-// peer. testdata/version1.json holds the records that controllers of the first version wrote in the same term, before
-// they supported any other version.
+// runVersion1Term runs a scripted term with jobs of several shapes that run, are done, are cancelled, or are accepted
+// by a peer. testdata/version1.json holds the records that controllers of the first version wrote in the same term,
+// before they supported any other version.
 func runVersion1Term(t *testing.T) *harness {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC))
 	h := (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
@@ -85,8 +85,8 @@
 	}
 }
 
-// A leader of this version continues from the records of the first version. Once no process of the first version can come
-// back, it rewrites them in its own shard size with the same allocations and completions.
+// A leader of this version continues from the records of the first version. Once no process of the first version can
+// come back, it rewrites them in its own shard size with the same allocations and completions.
 func TestVersionOneRecordsAreReadAndResharded(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "version1.json"))
 	var items []store.Item
