--- a/scheduler/attempt_evidence.go
+++ b/scheduler/attempt_evidence.go
@@ -25,10 +25,10 @@
 }
 
 // log writes the counts as one line.
-func (e *releaseStats) log(term uint64) {
-	attributes := []any{"term", term, "exits_crossed", e.exitsCrossed, "stops_crossed", e.stopsCrossed, "absences_crossed", e.absencesCrossed}
-	for _, name := range slices.Sorted(maps.Keys(e.proofs)) {
-		attributes = append(attributes, string(name), e.proofs[name])
+func (stats *releaseStats) log(term uint64) {
+	attributes := []any{"term", term, "exits_crossed", stats.exitsCrossed, "stops_crossed", stats.stopsCrossed, "absences_crossed", stats.absencesCrossed}
+	for _, name := range slices.Sorted(maps.Keys(stats.proofs)) {
+		attributes = append(attributes, string(name), stats.proofs[name])
 	}
 	slog.Info("attempts released", attributes...)
 }
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -17,9 +17,9 @@
 		h.settings.Facts.Workers.CancelDeadlineS = 47.5
 		h.unreachableZone = "b"
 		partitioned := []string{"b1", "b2", "b3", "b4"}
-		reportReachable := func() { h.heartbeat("a1", 1) }
-		reportAll := func() {
-			reportReachable()
+		sendReachableHeartbeats := func() { h.heartbeat("a1", 1) }
+		sendAllHeartbeats := func() {
+			sendReachableHeartbeats()
 			for _, n := range partitioned {
 				var runs []api.TaskReport
 				for _, alloc := range h.getOrAddMachine(n).allocations {
@@ -28,11 +28,11 @@
 				h.heartbeat(n, 1, runs...)
 			}
 		}
-		reportAll()
+		sendAllHeartbeats()
 		h.submit("run-000001", 6, func(x *api.Submission) { x.Zone = "b" })
 		h.Place()
 		h.commit()
-		h.maintainFor(25*time.Second, reportAll)
+		h.maintainFor(25*time.Second, sendAllHeartbeats)
 		runningOn := map[string]bool{}
 		for _, alloc := range h.jobs["run-000001"].allocations {
 			runningOn[alloc.machine.Name] = true
@@ -40,13 +40,13 @@
 		if len(runningOn) < 2 || len(runningOn) == len(partitioned) {
 			t.Fatalf("tasks run on %v, want some but not all machines of the zone", runningOn)
 		}
-		h.maintainFor(6*time.Second, reportReachable)
+		h.maintainFor(6*time.Second, sendReachableHeartbeats)
 		h.Cancel(cancelledContext(), "run-000001")
 		h.commit()
 		cancelledAt := h.clock.Now()
 		if leaderChanges {
 			// The leader changes; the new one reads the time of the cancellation from the record.
-			h.maintainFor(15*time.Second, reportReachable)
+			h.maintainFor(15*time.Second, sendReachableHeartbeats)
 			h.elect()
 			h.settings.Facts.Workers.CancelDeadlineS = 47.5
 			h.unreachableZone = "b"
@@ -58,7 +58,7 @@
 		}
 		releasedAfter := map[string]time.Duration{}
 		for h.clock.Since(cancelledAt) < 50*time.Second {
-			for _, n := range h.maintainFor(tuning.MaintenanceInterval, reportReachable) {
+			for _, n := range h.maintainFor(tuning.MaintenanceInterval, sendReachableHeartbeats) {
 				releasedAfter[n] = h.clock.Since(cancelledAt)
 			}
 		}
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -21,7 +21,7 @@
 func TestRelayedHeartbeatDoesNotDisproveRelayedStart(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("b1", 1)
-	h.heartbeatsThrough("peer", "b1")
+	h.relayHeartbeats("peer", "b1")
 	h.submit("run-000001", 1, nil)
 	h.Place()
 	h.commit()
@@ -31,7 +31,7 @@
 	}
 	h.Cancel(cancelledContext(), "run-000001")
 	h.commit()
-	h.heartbeatsThrough("peer", "b1")
+	h.relayHeartbeats("peer", "b1")
 	if len(h.jobs["run-000001"].allocations) != 1 {
 		t.Fatal("a relayed heartbeat was taken as proof that the task is absent")
 	}
--- a/scheduler/dependencies_random_test.go
+++ b/scheduler/dependencies_random_test.go
@@ -97,9 +97,9 @@
 				awaited = append(awaited, earlier)
 			}
 		}
-		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
-		dependingOn(awaited...)(&sub)
-		r.Submit(cancelledContext(), &sub, r.clock.Now())
+		submission := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, Image: "img", ImageGB: 1, EstimateS: 30}
+		dependingOn(awaited...)(&submission)
+		r.Submit(cancelledContext(), &submission, r.clock.Now())
 		r.commit()
 		r.ids, r.dependenciesOf[id] = append(r.ids, id), awaited
 	case 3:
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -72,7 +72,7 @@
 
 // A dependant starts only after the completion of its dependency is stored. That the last task of the dependency has
 // exited, or that the leader has decided the terminal state, is not enough.
-func TestDependentStartsAfterCompletionIsRecorded(t *testing.T) {
+func TestDependantStartsAfterCompletionIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, dependingOn("run-000001"))
@@ -122,8 +122,8 @@
 		}
 		h.Cancel(cancelledContext(), "run-000000")
 		h.committer.Step(context.Background())
-		if rec := string(h.state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, api.Cancelled) {
-			t.Fatalf("the cancellation was not written first: %s", rec)
+		if record := string(h.state.Get(store.JobKey("run-000000"))); !strings.Contains(record, api.Cancelled) {
+			t.Fatalf("the cancellation was not written first: %s", record)
 		}
 		for range steps {
 			h.committer.Step(context.Background())
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -41,10 +41,10 @@
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
-// expectedToReport reports whether a machine should be sending heartbeats. Either a heartbeat of it has arrived in this
+// heartbeatExpected reports whether a machine should be sending heartbeats. Either a heartbeat of it has arrived in this
 // term, and it is certain to have been alive in the term or is in the cloud's list; or the cloud does not list it as
 // failed, and the records place tasks on it or the cloud lists it as running. Scheduler.mu must be held.
-func (m *machineState) expectedToReport() bool {
+func (m *machineState) heartbeatExpected() bool {
 	if m.Up && (m.link.AliveThisTerm() || m.listed) {
 		return true
 	}
@@ -76,7 +76,7 @@
 	observations := func(yield func(failuredetector.Observation)) {
 		for _, machine := range s.machines {
 			switch {
-			case !machine.expectedToReport() || machine.releasing:
+			case !machine.heartbeatExpected() || machine.releasing:
 			case machine.link.State(now, s.lease()) == reachability.OutboundLost:
 				// A zone whose machines receive no commands is treated as one failure, like a silent zone.
 				yield(confirmedObservation(machine, s.observation(machine)))
--- a/scheduler/failure_detection_test.go
+++ b/scheduler/failure_detection_test.go
@@ -58,7 +58,7 @@
 	h.unreachableZone = "b"
 	sendOtherHeartbeats := func() {
 		h.heartbeat("a1", 1)
-		h.heartbeatsThrough("peer", "b2", "b3")
+		h.relayHeartbeats("peer", "b2", "b3")
 	}
 	if names := h.maintainFor(15*time.Second, sendOtherHeartbeats); len(names) != 0 {
 		t.Errorf("released %v, want none", names)
@@ -141,7 +141,7 @@
 		sendMostDirectHeartbeats()
 		h.heartbeat(direct[0], 1)
 		for _, name := range throughPeer {
-			h.heartbeatThrough("n1", name)
+			h.forwardHeartbeat("n1", name)
 		}
 	}
 	sendAllHeartbeats()
@@ -167,7 +167,7 @@
 			h.HandleCommandOutcome("a1", api.HeartbeatResponse{Term: h.term}, nil, true)
 		}
 	}
-	sendThroughPeer := func() { h.heartbeatThrough("n1", "a1"); h.heartbeatThrough("n1", "a2") }
+	sendThroughPeer := func() { h.forwardHeartbeat("n1", "a1"); h.forwardHeartbeat("n1", "a2") }
 	loseCommands(tuning.IsolationUnansweredCommands)
 	if h.OutboundLost(receivingPeers) {
 		t.Error("resigns because of a few commands unanswered at one moment")
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -38,7 +38,7 @@
 			released = append(released, machine.markReleasing("holds a cancelled task"))
 		}
 	}
-	released = append(released, s.idleMachines(now)...)
+	released = append(released, s.releaseIdleMachine(now)...)
 	s.storeImageHints(now)
 	s.storeReplicaHints(now)
 	s.finishRemovals()
@@ -178,9 +178,9 @@
 	}
 }
 
-// idleMachines marks at most one machine for release and returns its name: one that has been idle for the time that the
-// policy sets and that the desired capacity does not need. s.mu must be held.
-func (s *Scheduler) idleMachines(now time.Time) []string {
+// releaseIdleMachine marks at most one machine for release and returns its name: one that has been idle for the time
+// that the policy sets and that the desired capacity does not need. s.mu must be held.
+func (s *Scheduler) releaseIdleMachine(now time.Time) []string {
 	desired, desiredOrdinary := s.desiredCapacity()
 	supply, spotSupply := s.supply()
 	for _, machine := range s.sortedMachines() {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -264,15 +264,15 @@
 	h.InstancesGranted(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
 }
 
-// heartbeatsThrough delivers heartbeats that a peer relays through the state service.
-func (h *harness) heartbeatsThrough(member string, names ...string) {
+// relayHeartbeats delivers heartbeats that a peer relays through the state service.
+func (h *harness) relayHeartbeats(member string, names ...string) {
 	for _, name := range names {
 		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term})
 	}
 }
 
-// heartbeatThrough delivers a heartbeat that a peer forwards in a request.
-func (h *harness) heartbeatThrough(via, name string) {
+// forwardHeartbeat delivers a heartbeat that a peer forwards in a request.
+func (h *harness) forwardHeartbeat(via, name string) {
 	h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term}, via)
 }
 
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -61,9 +61,8 @@
 	s.storeHintParts(store.ReplicasKey)
 }
 
-// storeHintParts marks all parts of a hint for writing. The function key returns the key of the part with the
-// given number.
-// s.mu must be held.
+// storeHintParts marks all parts of a hint for writing. The function key returns the key of the part with the given
+// number. s.mu must be held.
 func (s *Scheduler) storeHintParts(key func(part int) string) {
 	perPart := s.machinesPerHint()
 	parts := (len(s.machines) + perPart - 1) / perPart
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -60,9 +60,9 @@
 		}
 		machine.RecordImage(strings.Repeat("<", 5000), 1)
 	}
-	rec, ok := h.imagesRecord(store.ImagesKey(0))
-	raw, err := json.Marshal(rec)
-	if !ok || err != nil || len(raw) > 16<<10 || len(rec.Names) != tuning.MaxImageNames {
-		t.Errorf("%d bytes, %d names, %v", len(raw), len(rec.Names), err)
+	record, ok := h.imagesRecord(store.ImagesKey(0))
+	raw, err := json.Marshal(record)
+	if !ok || err != nil || len(raw) > 16<<10 || len(record.Names) != tuning.MaxImageNames {
+		t.Errorf("%d bytes, %d names, %v", len(raw), len(record.Names), err)
 	}
 }
--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -43,12 +43,12 @@
 // gets status 200.
 func TestAcceptanceWithLostResponse(t *testing.T) {
 	h := newHarness(t)
-	sub := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
+	submission := &api.Submission{ID: "run-000001", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 2, CPUs: 1}
 	h.state.LoseNextAnswer = true
-	h.Submit(cancelledContext(), sub, h.clock.Now())
+	h.Submit(cancelledContext(), submission, h.clock.Now())
 	h.committer.Step(context.Background())
 	h.commit()
-	if response, ok := h.Submit(context.Background(), sub, h.clock.Now()); !ok || response.Status != 200 {
+	if response, ok := h.Submit(context.Background(), submission, h.clock.Now()); !ok || response.Status != 200 {
 		t.Errorf("retry: %+v", response)
 	}
 	if n := len(h.jobs["run-000001"].pending); n != 2 {
@@ -86,8 +86,8 @@
 		if _, ok := h.JobStatus(id); ok {
 			t.Errorf("the status of %s is given from memory although a record is damaged", id)
 		}
-		sub := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
-		if response, ok := h.Submit(cancelledContext(), &sub, h.clock.Now()); !ok || response.Status != 503 || response.RetryAfterS < 1 {
+		submission := api.Submission{ID: id, Class: "c", Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}
+		if response, ok := h.Submit(cancelledContext(), &submission, h.clock.Now()); !ok || response.Status != 503 || response.RetryAfterS < 1 {
 			t.Errorf("%s submitted again: status %d, want 503", id, response.Status)
 		}
 	}
--- a/scheduler/relayed_start_copy_test.go
+++ b/scheduler/relayed_start_copy_test.go
@@ -25,14 +25,14 @@
 		h.clock.Advance(time.Second)
 	}
 	a1 := simulated.workers["a1"]
-	relayHeartbeat := func() (report *api.Heartbeat, response api.HeartbeatResponse) {
-		report = a1.NextHeartbeat()
-		return report, follower.HandleHeartbeat(report, h.term)
+	relayHeartbeat := func() (heartbeat *api.Heartbeat, response api.HeartbeatResponse) {
+		heartbeat = a1.NextHeartbeat()
+		return heartbeat, follower.HandleHeartbeat(heartbeat, h.term)
 	}
 	simulated.join("a1")
 	h.submit("run-000001", 1, nil)
-	report, response := relayHeartbeat()
-	a1.ApplyResponse(report, h.clock.Now(), response)
+	heartbeat, response := relayHeartbeat()
+	a1.ApplyResponse(heartbeat, h.clock.Now(), response)
 	exchangePackets()
 	h.Place()
 	exchangePackets()
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -19,8 +19,8 @@
 	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.StateLimits{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
-		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
-		if response, _ := h.Submit(cancelledContext(), sub, h.clock.Now()); h.jobs[sub.ID] == nil {
+		submission := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
+		if response, _ := h.Submit(cancelledContext(), submission, h.clock.Now()); h.jobs[submission.ID] == nil {
 			refused++
 			longest = max(longest, response.RetryAfterS)
 			if response.Status != 503 || response.RetryAfterS < 2 {
--- a/scheduler/start_under_way_test.go
+++ b/scheduler/start_under_way_test.go
@@ -73,9 +73,9 @@
 
 // heartbeat delivers a heartbeat of a worker to the leader and the response to the worker.
 func (p *simulatedWorkers) heartbeat(name string) {
-	report := p.workers[name].NextHeartbeat()
-	response, _, _ := p.harness.HandleHeartbeat(report, "")
-	p.workers[name].ApplyResponse(report, p.harness.clock.Now(), response)
+	heartbeat := p.workers[name].NextHeartbeat()
+	response, _, _ := p.harness.HandleHeartbeat(heartbeat, "")
+	p.workers[name].ApplyResponse(heartbeat, p.harness.clock.Now(), response)
 }
 
 // join delivers a worker's first heartbeat and one more, which carries the term's token.
@@ -103,8 +103,8 @@
 		p.heartbeat(name)
 		p.deliverCommands()
 	}
-	if report := p.workers[name].NextHeartbeat(); len(report.Tasks) > 0 {
-		p.Errorf("%s still lists attempts: %+v", name, report.Tasks)
+	if heartbeat := p.workers[name].NextHeartbeat(); len(heartbeat.Tasks) > 0 {
+		p.Errorf("%s still lists attempts: %+v", name, heartbeat.Tasks)
 	}
 }
 
@@ -231,13 +231,13 @@
 				t.Fatal("the unrecorded attempt does not run")
 			}
 			for range 3 {
-				report := simulated.workers["b1"].NextHeartbeat()
-				slowResponse, _, _ := h.HandleHeartbeat(report, "")
+				heartbeat := simulated.workers["b1"].NextHeartbeat()
+				slowResponse, _, _ := h.HandleHeartbeat(heartbeat, "")
 				h.commit()
 				simulated.deliverCommands()
 				simulated.heartbeat("a1")
 				h.clock.Advance(time.Second)
-				simulated.workers["b1"].ApplyResponse(report, h.clock.Now(), slowResponse)
+				simulated.workers["b1"].ApplyResponse(heartbeat, h.clock.Now(), slowResponse)
 				simulated.place()
 			}
 			if twice := simulated.startedTwice(); len(twice) > 0 {
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -19,7 +19,7 @@
 
 // exchangedHeartbeat is a heartbeat to which the worker awaits the response.
 type exchangedHeartbeat struct {
-	report *api.Heartbeat
+	heartbeat *api.Heartbeat
 	// response is the response to be delivered; nil until a controller has handled the heartbeat.
 	response *api.HeartbeatResponse
 }
@@ -94,10 +94,10 @@
 // sendHeartbeat makes a worker send a heartbeat, unless it awaits a response.
 func (r *randomStarts) sendHeartbeat(name string) {
 	if r.waiting[name] == nil {
-		report := r.workers[name].NextHeartbeat()
-		r.waiting[name] = &exchangedHeartbeat{report: report}
+		heartbeat := r.workers[name].NextHeartbeat()
+		r.waiting[name] = &exchangedHeartbeat{heartbeat: heartbeat}
 		if r.rng.IntN(4) == 0 {
-			r.copies = append(r.copies, report)
+			r.copies = append(r.copies, heartbeat)
 		}
 	}
 }
@@ -105,22 +105,22 @@
 // handleHeartbeat makes the leader or the follower handle the heartbeat that a worker has sent.
 func (r *randomStarts) handleHeartbeat(name string) {
 	sent, h := r.waiting[name], r.harness
-	if sent == nil || sent.response != nil || sent.report.Term > h.term {
+	if sent == nil || sent.response != nil || sent.heartbeat.Term > h.term {
 		return
 	}
 	var response api.HeartbeatResponse
 	switch {
 	case !r.relayed[name]:
-		response, _, _ = h.HandleHeartbeat(sent.report, "y")
+		response, _, _ = h.HandleHeartbeat(sent.heartbeat, "y")
 	case r.rng.IntN(3) == 0:
 		// The follower forwards the heartbeat to the leader, but answers itself because the leader's response is late.
-		h.HandleHeartbeat(sent.report, "y")
-		response = r.relay.HandleForwardedHeartbeat(sent.report, h.term)
+		h.HandleHeartbeat(sent.heartbeat, "y")
+		response = r.relay.HandleForwardedHeartbeat(sent.heartbeat, h.term)
 	default:
-		response = r.relay.HandleHeartbeat(sent.report, h.term)
+		response = r.relay.HandleHeartbeat(sent.heartbeat, h.term)
 		if r.rng.IntN(4) == 0 {
 			// A copy reaches the leader before the worker gets the response.
-			h.HandleHeartbeat(sent.report, "")
+			h.HandleHeartbeat(sent.heartbeat, "")
 		}
 	}
 	sent.response = &response
@@ -144,7 +144,7 @@
 	case r.rng.IntN(5) == 0:
 		delete(r.waiting, name)
 	case sent.response != nil:
-		r.workers[name].ApplyResponse(sent.report, r.harness.clock.Now(), *sent.response)
+		r.workers[name].ApplyResponse(sent.heartbeat, r.harness.clock.Now(), *sent.response)
 		delete(r.waiting, name)
 	}
 }
--- a/scheduler/takeover_test.go
+++ b/scheduler/takeover_test.go
@@ -41,7 +41,7 @@
 
 // After a takeover, urgent work does not wait until all machines have sent a heartbeat. It is placed on the machines
 // that have, if necessary by preemption. Tasks that the records place on the other machines are not started elsewhere.
-func TestUrgentWorkIsPlacedBeforeAllHaveReported(t *testing.T) {
+func TestUrgentWorkIsPlacedBeforeAllHeartbeatsArrive(t *testing.T) {
 	h := newHarness(t)
 	names := []string{"a1", "a2", "a3", "b1", "b2", "b3"}
 	for _, name := range names {
