--- a/scheduler/adoption_test.go
+++ b/scheduler/adoption_test.go
@@ -84,7 +84,7 @@
 	late.Release()
 	<-written
 	if status, ok := h.JobStatus("run-000001"); ok {
-		t.Errorf("the job is reported as %s, although its final record says %s", status.State, api.Done)
+		t.Errorf("the final record says %s, but the job is reported as %s", api.Done, status.State)
 	}
 	h.heartbeat("a1", 1)
 	h.Place()
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -140,7 +140,7 @@
 	case counts.allowed == 0:
 		reasons = append(reasons, "no machine that it may run on is up; one must be rented first")
 	case counts.available() == 0:
-		reasons = append(reasons, fmt.Sprintf("of %d machines that it may run on, %d get no work now (silent, failing or leaving), %d have not recently confirmed that they receive commands, %d answer commands but their heartbeats reach no controller (inbound lost), %d are excluded by its zone or spread constraints, %d are full",
+		reasons = append(reasons, fmt.Sprintf("of %d machines that it may run on, %d get no work now (silent, failing or leaving), %d have not recently confirmed that they receive commands, %d answer commands but their heartbeats reach no controller (inbound lost), %d stand where it must not, %d are full",
 			counts.allowed, counts.unschedulable, counts.outboundUnconfirmed, counts.inboundLost, counts.forbiddenBySpread, counts.full))
 	case len(reasons) == 0:
 		reasons = append(reasons, fmt.Sprintf("it is about to start: %d of %d machines have enough free resources", counts.available(), counts.allowed))
--- a/scheduler/start_under_way_test.go
+++ b/scheduler/start_under_way_test.go
@@ -73,9 +73,9 @@
 
 // heartbeat delivers a heartbeat of a worker to the leader and the response to the worker.
 func (p *simulatedWorkers) heartbeat(name string) {
-	heartbeat := p.workers[name].NextHeartbeat()
-	response, _, _ := p.harness.HandleHeartbeat(heartbeat, "")
-	p.workers[name].ApplyResponse(heartbeat, p.harness.clock.Now(), response)
+	sentHeartbeat := p.workers[name].NextHeartbeat()
+	response, _, _ := p.harness.HandleHeartbeat(sentHeartbeat, "")
+	p.workers[name].ApplyResponse(sentHeartbeat, p.harness.clock.Now(), response)
 }
 
 // join delivers a worker's first heartbeat and one more, which carries the term's token.
@@ -103,8 +103,8 @@
 		p.heartbeat(name)
 		p.deliverCommands()
 	}
-	if heartbeat := p.workers[name].NextHeartbeat(); len(heartbeat.Tasks) > 0 {
-		p.Errorf("%s still lists attempts: %+v", name, heartbeat.Tasks)
+	if sentHeartbeat := p.workers[name].NextHeartbeat(); len(sentHeartbeat.Tasks) > 0 {
+		p.Errorf("%s still lists attempts: %+v", name, sentHeartbeat.Tasks)
 	}
 }
 
@@ -231,13 +231,13 @@
 				t.Fatal("the unrecorded attempt does not run")
 			}
 			for range 3 {
-				heartbeat := simulated.workers["b1"].NextHeartbeat()
-				slowResponse, _, _ := h.HandleHeartbeat(heartbeat, "")
+				sentHeartbeat := simulated.workers["b1"].NextHeartbeat()
+				slowResponse, _, _ := h.HandleHeartbeat(sentHeartbeat, "")
 				h.commit()
 				simulated.deliverCommands()
 				simulated.heartbeat("a1")
 				h.clock.Advance(time.Second)
-				simulated.workers["b1"].ApplyResponse(heartbeat, h.clock.Now(), slowResponse)
+				simulated.workers["b1"].ApplyResponse(sentHeartbeat, h.clock.Now(), slowResponse)
 				simulated.place()
 			}
 			if twice := simulated.startedTwice(); len(twice) > 0 {
