--- a/scheduler/adoption.go
+++ b/scheduler/adoption.go
@@ -20,8 +20,8 @@
 	AlreadyInMemory Adoption = "already in memory"
 	// JobEnded means that the job reached a terminal state before the record could be adopted.
 	JobEnded Adoption = "the job is over"
-	// ReadOutdated means that the read was sent so long ago that the job may have ended without this term remembering
-	// it. The record must be read again.
+	// ReadOutdated means that the read was sent so long ago that the job may have been archived since without this
+	// term remembering it. The record must be read again.
 	ReadOutdated Adoption = "read too long ago"
 	// RecordDamaged means that a record of the job could not be read, so none of its tasks may be started.
 	RecordDamaged Adoption = "a record of the job is damaged"
@@ -112,9 +112,9 @@
 	}
 }
 
-// adoptFinalRecord applies the final record of a job that is in memory. A job that is not accepted yet has already
-// ended, and is removed. For an accepted job, the state in the final record was reported to users, so it overrides
-// the state in memory. s.mu must be held.
+// adoptFinalRecord applies the final record of a job that is in memory. A job that is not accepted yet reached its
+// terminal state before, and is removed. For an accepted job, the state in the final record was reported to users, so
+// it overrides the state in memory. s.mu must be held.
 func (s *Scheduler) adoptFinalRecord(id string, item *store.Item) {
 	final, err := decodeFinalRecord(item)
 	job := s.jobs[id]
--- a/scheduler/allocation.go
+++ b/scheduler/allocation.go
@@ -50,10 +50,10 @@
 // mayAllocate reports whether a pending or queued task may get an allocation. It reports an invariant violation if the
 // task already has an allocation or has completed. s.mu must be held.
 func (s *Scheduler) mayAllocate(job *jobState, task int) bool {
-	holder := job.allocations[task]
+	existing := job.allocations[task]
 	switch {
-	case holder != nil:
-		invariant.Violated("a task has one allocation", "task", holder.key, "attempt", holder.attempt, "machine", holder.machine.Name)
+	case existing != nil:
+		invariant.Violated("a task has one allocation", "task", existing.key, "attempt", existing.attempt, "machine", existing.machine.Name)
 	case job.completed.Has(task):
 		invariant.Violated("a completed task does not wait", "task", taskKey(job.id, task))
 	default:
@@ -124,11 +124,11 @@
 	s.requeue(alloc.job, alloc.task)
 }
 
-// requeue makes a task pending again, unless it has completed or its job has ended or waits for dependencies. s.mu must
-// be held.
+// requeue makes a task pending again, unless it has completed or its job has a terminal state or waits for
+// dependencies. s.mu must be held.
 func (s *Scheduler) requeue(job *jobState, task int) {
-	if holder := job.allocations[task]; holder != nil {
-		invariant.Violated("a task is pending only without an allocation", "task", holder.key, "attempt", holder.attempt, "machine", holder.machine.Name)
+	if existing := job.allocations[task]; existing != nil {
+		invariant.Violated("a task is pending only without an allocation", "task", existing.key, "attempt", existing.attempt, "machine", existing.machine.Name)
 		return
 	}
 	if job.FinalState != "" || job.waitsForDependencies || job.completed.Has(task) {
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 		sendAllHeartbeats()
-		h.submit("run-000001", 6, func(x *api.Submission) { x.Zone = "b" })
+		h.submit("run-000001", 6, func(submission *api.Submission) { submission.Zone = "b" })
 		h.Place()
 		h.commit()
 		h.maintainFor(25*time.Second, sendAllHeartbeats)
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -66,7 +66,7 @@
 	}
 	for _, alloc := range machine.allocations {
 		if alloc.runDue(path) {
-			commands = append(commands, s.sendRun(alloc, path))
+			commands = append(commands, s.issueRunCommand(alloc, path))
 		}
 	}
 	return commands
@@ -120,8 +120,9 @@
 	return !released && !endsAtOnce
 }
 
-// sendRun returns the command that starts an allocation's attempt, and records it as sent on path. s.mu must be held.
-func (s *Scheduler) sendRun(alloc *allocation, path deliveryPath) api.Command {
+// issueRunCommand returns the command that starts an allocation's attempt, and records it as sent on path. s.mu must be
+// held.
+func (s *Scheduler) issueRunCommand(alloc *allocation, path deliveryPath) api.Command {
 	alloc.runSent, alloc.incarnation = true, alloc.machine.Incarnation
 	alloc.starts.add(path, alloc.machine.Seq)
 	s.logCommand(api.CommandRun, alloc.machine, alloc.attemptID(), path, "allocation on record")
--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -20,11 +20,11 @@
 func TestDependenciesInheritUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
-	h.submit("run-000001", 1, func(x *api.Submission) { smallJob(x); x.Rank = "low" })
-	h.submit("run-000002", 4, func(x *api.Submission) { x.Awaits, x.Rank = []string{"run-000001"}, "low" })
-	h.submit("run-000003", 1, func(x *api.Submission) {
-		dependingOn("run-000002")(x)
-		x.Rank, x.EstimateS, x.DeadlineS, x.ImageGB = "prod", 10, 200, 0
+	h.submit("run-000001", 1, func(submission *api.Submission) { smallJob(submission); submission.Rank = "low" })
+	h.submit("run-000002", 4, func(submission *api.Submission) { submission.Awaits, submission.Rank = []string{"run-000001"}, "low" })
+	h.submit("run-000003", 1, func(submission *api.Submission) {
+		dependingOn("run-000002")(submission)
+		submission.Rank, submission.EstimateS, submission.DeadlineS, submission.ImageGB = "prod", 10, 200, 0
 	})
 	h.sortQueues()
 	first, second, last := h.jobs["run-000001"], h.jobs["run-000002"], h.jobs["run-000003"]
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -41,9 +41,9 @@
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
-// heartbeatExpected reports whether a machine should be sending heartbeats. Either a heartbeat of it has arrived in this
-// term, and it is certain to have been alive in the term or is in the cloud's list; or the cloud does not list it as
-// failed, and the records place tasks on it or the cloud lists it as running. Scheduler.mu must be held.
+// heartbeatExpected reports whether a machine should be sending heartbeats. Either a heartbeat of it has arrived in
+// this term, and it is certain to have been alive in the term or is in the cloud's list; or the cloud does not list it
+// as failed, and the records place tasks on it or the cloud lists it as running. Scheduler.mu must be held.
 func (m *machineState) heartbeatExpected() bool {
 	if m.Up && (m.link.AliveThisTerm() || m.listed) {
 		return true
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -260,7 +260,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, instance := range list {
-		if _, gone := s.releasedAt[instance.Name]; gone {
+		if _, released := s.releasedAt[instance.Name]; released {
 			continue
 		}
 		_, known := s.machines[instance.Name]
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -138,11 +138,11 @@
 	harness *harness
 }
 
-func (x harnessSource) Condition() (store.Condition, bool) {
-	return store.Condition{Key: store.LeaderKey, Revision: x.term}, x.harness.leading
+func (source harnessSource) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: source.term}, source.harness.leading
 }
 
-func (x harnessSource) Deposed() { x.harness.leading = false }
+func (source harnessSource) Deposed() { source.harness.leading = false }
 
 // commit writes all pending records.
 func (h *harness) commit() {
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -105,9 +105,9 @@
 	incarnation uint64
 }
 
-// judgeAbsence decides what a heartbeat that does not list the attempt proves; the proof is set only for absenceProven.
-// The heartbeat must be newer than all before, and pendingStarts.observe must have processed it.
-func (a *attemptState) judgeAbsence(worker workerState) (absence, releaseProof) {
+// evaluateAbsence determines what a heartbeat that does not list the attempt proves; the proof is set only for
+// absenceProven. The heartbeat must be newer than all before, and pendingStarts.observe must have processed it.
+func (a *attemptState) evaluateAbsence(worker workerState) (absence, releaseProof) {
 	switch {
 	case !a.runSent:
 		return absenceInconclusive, ""
--- a/scheduler/pending_starts_test.go
+++ b/scheduler/pending_starts_test.go
@@ -74,7 +74,7 @@
 		{"lost in transit", attemptState{runSent: true, incarnation: 2}, current, absenceStartLost, ""},
 	}
 	for _, tc := range cases {
-		if got, proof := tc.attempt.judgeAbsence(tc.worker); got != tc.want || proof != tc.proof {
+		if got, proof := tc.attempt.evaluateAbsence(tc.worker); got != tc.want || proof != tc.proof {
 			t.Errorf("%s: %v, %q, want %v, %q", tc.name, got, proof, tc.want, tc.proof)
 		}
 	}
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -237,8 +237,8 @@
 	s.markCompleted(alloc.job, alloc.task, s.allowClear(machine, exit))
 }
 
-// allowClear returns a callback that allows an exited task to be cleared on its machine. The callback must be
-// called with s.mu held once the task's completion is stored.
+// allowClear returns a callback that allows an exited task to be cleared on its machine. The callback must be called
+// with s.mu held once the task's completion is stored.
 func (s *Scheduler) allowClear(machine *machineState, exit *exitedAttempt) func() {
 	return func() {
 		exit.stored = true
@@ -249,8 +249,8 @@
 // reconcileMissing handles an allocation whose attempt the newest heartbeat does not list (rules 3 and 4 of
 // docs/design.md). s.mu must be held.
 func (s *Scheduler) reconcileMissing(machine *machineState, alloc *allocation) {
-	verdict, proof := alloc.judgeAbsence(workerState{seenTerm: machine.Term == s.term, incarnation: machine.Incarnation})
-	switch verdict {
+	result, proof := alloc.evaluateAbsence(workerState{seenTerm: machine.Term == s.term, incarnation: machine.Incarnation})
+	switch result {
 	case absenceProven:
 		s.releaseAndRequeue(alloc, proof)
 	case absenceStartLost:
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -296,7 +296,7 @@
 	}
 	slog.Info("instances granted", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "asked", request.Count, "got", len(names))
 	for _, name := range names {
-		if _, gone := s.releasedAt[name]; gone {
+		if _, released := s.releasedAt[name]; released {
 			continue
 		}
 		machine := s.getOrAddMachine(name)
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -41,7 +41,7 @@
 // The demand of jobs is counted in CPUs even before the catalog is read.
 func TestDemandWithoutCatalog(t *testing.T) {
 	h := newHarness(t)
-	h.submit("run-000001", 3, func(x *api.Submission) { x.CPUs, x.MemoryGB = 4, 8 })
+	h.submit("run-000001", 3, func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 4, 8 })
 	h.machineTypes = map[string]*api.MachineType{}
 	if all, _ := h.demand(); all != 12 {
 		t.Errorf("the demand is %v CPUs, want 12 for 3 tasks of 4 CPUs", all)
@@ -55,7 +55,7 @@
 	for i := range 5 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
 	}
-	h.submit("run-000001", 1, func(x *api.Submission) { x.Zone = "b" })
+	h.submit("run-000001", 1, func(submission *api.Submission) { submission.Zone = "b" })
 	h.maintainFor(4*time.Second, func() {
 		for i := range 5 {
 			h.heartbeat(fmt.Sprintf("a%d", i), 1)
--- a/scheduler/starts_random_test.go
+++ b/scheduler/starts_random_test.go
@@ -309,7 +309,7 @@
 	r.join(replacement)
 }
 
-// describeOpenWork describes the jobs that have not ended and the machines, for the failure message.
+// describeOpenWork describes the jobs in the leader's memory and the machines, for the failure message.
 func (r *randomStarts) describeOpenWork() string {
 	var text strings.Builder
 	for id, job := range r.harness.jobs {
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -52,26 +52,26 @@
 // runTasks sends a heartbeat of every machine, in which each started task runs, or exits with an error if fails returns
 // true for its machine and job.
 func (h *harness) runTasks(fails func(machine, job string) bool) {
-	for _, m := range h.sortedMachines() {
+	for _, machine := range h.sortedMachines() {
 		var tasks []api.TaskReport
-		for key, alloc := range m.allocations {
+		for key, alloc := range machine.allocations {
 			if !alloc.runSent {
 				continue
 			}
 			state, cause := api.TaskRunning, ""
-			if fails(m.Name, alloc.job.id) {
+			if fails(machine.Name, alloc.job.id) {
 				state, cause = api.TaskExited, api.CauseError
 			}
 			tasks = append(tasks, taskReport(key, alloc.attempt, state, cause))
 		}
-		h.heartbeat(m.Name, 1, tasks...)
+		h.heartbeat(machine.Name, 1, tasks...)
 	}
 	h.commit()
 }
 
 // runTasksFor runs the leader's rounds for the duration d and returns the machines that were released.
-func (h *harness) runTasksFor(d time.Duration, fails func(machine, job string) bool) (released []string) {
-	for ; d > 0; d -= tuning.MaintenanceInterval {
+func (h *harness) runTasksFor(duration time.Duration, fails func(machine, job string) bool) (released []string) {
+	for ; duration > 0; duration -= tuning.MaintenanceInterval {
 		h.clock.Advance(tuning.MaintenanceInterval)
 		h.runTasks(fails)
 		h.Place()
@@ -91,7 +91,7 @@
 	}
 	fails := func(_, job string) bool { return job != "run-000009" }
 	h.submit("run-000001", 6, nil)
-	h.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
+	h.submit("run-000002", 6, func(submission *api.Submission) { submission.Rank = "high" })
 	if released := h.runTasksFor(20*time.Second, fails); len(released) > 0 {
 		t.Fatalf("healthy machines %v released", released)
 	}
@@ -133,7 +133,7 @@
 		h.heartbeat(n, 1)
 	}
 	fails := func(machine, job string) bool { return machine == "a2" || job == "run-000005" }
-	small := func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 }
+	small := func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 1, 1 }
 	h.submit("run-000005", 5, nil)
 	released := h.runTasksFor(5*time.Second, fails)
 	// The first working job fills the healthy machines; only the faulty one is left for the second.
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -24,27 +24,34 @@
 func runVersion1Term(t *testing.T) *harness {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 9, 21, 14, 0, 0, 0, time.UTC))
 	h := (&harness{T: t, clock: clock, state: fake.NewState(clock), seq: map[string]uint64{}}).elect()
-	for _, m := range []string{"a1", "a2", "b1"} {
-		h.heartbeat(m, 1)
+	for _, name := range []string{"a1", "a2", "b1"} {
+		h.heartbeat(name, 1)
 	}
-	h.submit("run-000001", 450, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Rank = 0.5, 1, "low" })
-	h.submit("run-000002", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 1; x.Spread = true })
-	h.submit("run-000003", 1, func(x *api.Submission) { x.CPUs, x.DeadlineS, x.Types = 0.1, 90, []string{"m8"} })
+	h.submit("run-000001", 450, func(submission *api.Submission) {
+		submission.CPUs, submission.MemoryGB, submission.Rank = 0.5, 1, "low"
+	})
+	h.submit("run-000002", 2, func(submission *api.Submission) {
+		submission.Shape, submission.Rank, submission.CPUs = api.Service, "prod", 1
+		submission.Spread = true
+	})
+	h.submit("run-000003", 1, func(submission *api.Submission) {
+		submission.CPUs, submission.DeadlineS, submission.Types = 0.1, 90, []string{"m8"}
+	})
 	h.submit("run-000004", 1, nil)
 	for range 2 {
 		h.Place()
 		h.commit()
 	}
-	for _, m := range []string{"a1", "a2", "b1"} {
+	for _, name := range []string{"a1", "a2", "b1"} {
 		var reports []api.TaskReport
-		for key, alloc := range h.machines[m].allocations {
+		for key, alloc := range h.machines[name].allocations {
 			if strings.HasPrefix(key, "run-000003/") || key == "run-000001/0" {
 				reports = append(reports, taskReport(key, alloc.attempt, api.TaskExited, api.CauseDone))
 			} else {
 				reports = append(reports, taskReport(key, alloc.attempt, api.TaskRunning, ""))
 			}
 		}
-		h.heartbeat(m, 1, reports...)
+		h.heartbeat(name, 1, reports...)
 	}
 	h.commit()
 	h.Cancel(cancelledContext(), "run-000004")
@@ -102,13 +109,13 @@
 	}
 	h.elect()
 	allocatedMachines := func() map[string]string {
-		m := map[string]string{}
+		machines := map[string]string{}
 		for _, job := range h.jobs {
 			for _, alloc := range job.allocations {
-				m[alloc.key] = alloc.machine.Name
+				machines[alloc.key] = alloc.machine.Name
 			}
 		}
-		return m
+		return machines
 	}
 	before, done := allocatedMachines(), h.jobs["run-000001"].completedCount
 	if len(before) != 37 || done != 1 || len(h.jobs) != 3 {
