--- a/scheduler/records_test.go
+++ b/scheduler/records_test.go
@@ -16,9 +16,7 @@
 // leader reads all of its allocations.
 func TestLargestJobWithinStateLimits(t *testing.T) {
 	h := newHarness(t)
-	h.submit("run-000001", api.MaxTasks, func(submission *api.Submission) {
-		submission.CPUs, submission.MemoryGB, submission.Team = 0.01, 0.01, "t"
-	})
+	h.submit("run-000001", api.MaxTasks, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Team = 0.01, 0.01, "t" })
 	h.mu.Lock()
 	job := h.jobs["run-000001"]
 	machine := h.getOrAddMachine("n-999999")
@@ -221,14 +219,12 @@
 	for i := range 12 {
 		h.heartbeat("a1"+string(rune('a'+i)), 1)
 	}
-	h.submit("run-000001", 40*tuning.TasksPerShard, func(submission *api.Submission) {
-		submission.Rank, submission.CPUs, submission.MemoryGB = "low", 0.1, 0.1
-	})
+	h.submit("run-000001", 40*tuning.TasksPerShard, func(x *api.Submission) { x.Rank, x.CPUs, x.MemoryGB = "low", 0.1, 0.1 })
 	lowRank := h.jobs["run-000001"]
 	for shard := range 40 {
 		h.markShardDirty(lowRank, shard*tuning.TasksPerShard, nil)
 	}
-	h.submit("run-000002", 1, func(submission *api.Submission) { submission.Rank = "prod" })
+	h.submit("run-000002", 1, func(x *api.Submission) { x.Rank = "prod" })
 	for h.committer.Pending() > 0 {
 		h.commit()
 	}
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -51,20 +51,20 @@
 
 // runTasks sends a heartbeat of every machine, in which each started task runs, or exits with an error if fails returns
 // true for its machine and job.
-func (h *harness) runTasks(fails func(machine, job string) bool) {
-	for _, machine := range h.sortedMachines() {
+func (h *harness) runTasks(fails func(m, job string) bool) {
+	for _, m := range h.sortedMachines() {
 		var tasks []api.TaskReport
-		for key, alloc := range machine.allocations {
+		for key, alloc := range m.allocations {
 			if !alloc.runSent {
 				continue
 			}
 			state, cause := api.TaskRunning, ""
-			if fails(machine.Name, alloc.job.id) {
+			if fails(m.Name, alloc.job.id) {
 				state, cause = api.TaskExited, api.CauseError
 			}
 			tasks = append(tasks, taskReport(key, alloc.attempt, state, cause))
 		}
-		h.heartbeat(machine.Name, 1, tasks...)
+		h.heartbeat(m.Name, 1, tasks...)
 	}
 	h.commit()
 }
--- a/scheduler/version1_test.go
+++ b/scheduler/version1_test.go
@@ -27,16 +27,9 @@
 	for _, name := range []string{"a1", "a2", "b1"} {
 		h.heartbeat(name, 1)
 	}
-	h.submit("run-000001", 450, func(submission *api.Submission) {
-		submission.CPUs, submission.MemoryGB, submission.Rank = 0.5, 1, "low"
-	})
-	h.submit("run-000002", 2, func(submission *api.Submission) {
-		submission.Shape, submission.Rank, submission.CPUs = api.Service, "prod", 1
-		submission.Spread = true
-	})
-	h.submit("run-000003", 1, func(submission *api.Submission) {
-		submission.CPUs, submission.DeadlineS, submission.Types = 0.1, 90, []string{"m8"}
-	})
+	h.submit("run-000001", 450, func(x *api.Submission) { x.CPUs, x.MemoryGB, x.Rank = 0.5, 1, "low" })
+	h.submit("run-000002", 2, func(x *api.Submission) { x.Shape, x.Rank, x.CPUs = api.Service, "prod", 1; x.Spread = true })
+	h.submit("run-000003", 1, func(x *api.Submission) { x.CPUs, x.DeadlineS, x.Types = 0.1, 90, []string{"m8"} })
 	h.submit("run-000004", 1, nil)
 	for range 2 {
 		h.Place()
