--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -51,7 +51,7 @@
 
 // runTasks sends a heartbeat of every machine, in which each started task runs, or exits with an error if fails returns
 // true for its machine and job.
-func (h *harness) runTasks(fails func(m, job string) bool) {
+func (h *harness) runTasks(fails func(machine, job string) bool) {
 	for _, m := range h.sortedMachines() {
 		var tasks []api.TaskReport
 		for key, alloc := range m.allocations {
