--- a/scheduler/dependencies_test.go
+++ b/scheduler/dependencies_test.go
@@ -15,24 +15,24 @@
 )
 
 // The rank and the deadline of the last job of a pipeline are inherited by the jobs before it: the rank is capped below
-// the production rank, and the deadline is reduced by the expected duration of the jobs in between, which run in waves on
-// a small fleet. The inherited values are recomputed when the last job is cancelled.
+// the production rank, and the deadline is reduced by the expected duration of the jobs in between, which run in waves
+// on a small fleet. The inherited values are recomputed when the last job is cancelled.
 func TestDependenciesInheritUrgency(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
-	h.submit("run-000001", 1, func(x *api.Submission) { smallJob(x); x.Rank = "low" })
-	h.submit("run-000002", 4, func(x *api.Submission) { x.Awaits, x.Rank = []string{"run-000001"}, "low" })
-	h.submit("run-000003", 1, func(x *api.Submission) {
-		dependingOn("run-000002")(x)
-		x.Rank, x.EstimateS, x.DeadlineS, x.ImageGB = "prod", 10, 200, 0
+	h.submit("run-000001", 1, func(submission *api.Submission) { smallJob(submission); submission.Rank = "low" })
+	h.submit("run-000002", 4, func(submission *api.Submission) { submission.Awaits, submission.Rank = []string{"run-000001"}, "low" })
+	h.submit("run-000003", 1, func(submission *api.Submission) {
+		dependingOn("run-000002")(submission)
+		submission.Rank, submission.EstimateS, submission.DeadlineS, submission.ImageGB = "prod", 10, 200, 0
 	})
 	h.sortQueues()
 	first, second, last := h.jobs["run-000001"], h.jobs["run-000002"], h.jobs["run-000003"]
 	if first.rank != api.RankProduction-1 || second.rank != api.RankProduction-1 || last.rank != api.RankProduction {
 		t.Errorf("ranks %d, %d, %d, want %d, %d, %d", first.rank, second.rank, last.rank, api.RankProduction-1, api.RankProduction-1, api.RankProduction)
 	}
-	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to fetch
-	// its image of 1 GB.
+	// The last job takes 10 s. The second needs 16 CPUs and the fleet has 8, so it takes two waves of 30 s, and 2 s to
+	// fetch its image of 1 GB.
 	due := last.AcceptedAt + 200_000 - tuning.DependencyStartDelayMS - 10_000
 	if got := second.inherited.DueTimesMS; len(got) != 1 || got[0] != due {
 		t.Errorf("the second is due at %v, want %d", got, due)
@@ -72,7 +72,7 @@
 
 // A dependant starts only after the completion of its dependency is stored. That the last task of the dependency has
 // exited, or that the leader has decided the terminal state, is not enough.
-func TestDependentStartsAfterCompletionIsRecorded(t *testing.T) {
+func TestDependantStartsAfterCompletionIsStored(t *testing.T) {
 	h := newHarness(t)
 	h.submit("run-000001", 1, smallJob)
 	h.submit("run-000002", 1, dependingOn("run-000001"))
@@ -122,8 +122,8 @@
 		}
 		h.Cancel(cancelledContext(), "run-000000")
 		h.committer.Step(context.Background())
-		if rec := string(h.state.Get(store.JobKey("run-000000"))); !strings.Contains(rec, api.Cancelled) {
-			t.Fatalf("the cancellation was not written first: %s", rec)
+		if record := string(h.state.Get(store.JobKey("run-000000"))); !strings.Contains(record, api.Cancelled) {
+			t.Fatalf("the cancellation was not written first: %s", record)
 		}
 		for range steps {
 			h.committer.Step(context.Background())
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -41,9 +41,10 @@
 	return slices.ContainsFunc(peers, func(hello peer.Hello) bool { return hello.ReceivesHeartbeats && hello.StateOK })
 }
 
-// expectedToReport reports whether a machine should be sending heartbeats: it is known to have been alive in this term,
-// or the records place tasks on it, or the cloud lists it as up. Scheduler.mu must be held.
-func (m *machineState) expectedToReport() bool {
+// heartbeatExpected reports whether a machine should be sending heartbeats. Either a heartbeat of it has arrived in
+// this term, and it is certain to have been alive in the term or is in the cloud's list; or the cloud does not list it
+// as failed, and the records place tasks on it or the cloud lists it as running. Scheduler.mu must be held.
+func (m *machineState) heartbeatExpected() bool {
 	if m.Up && (m.link.AliveThisTerm() || m.listed) {
 		return true
 	}
@@ -75,7 +76,7 @@
 	observations := func(yield func(failuredetector.Observation)) {
 		for _, machine := range s.machines {
 			switch {
-			case !machine.expectedToReport() || machine.releasing:
+			case !machine.heartbeatExpected() || machine.releasing:
 			case machine.link.State(now, s.lease()) == reachability.OutboundLost:
 				// A zone whose machines receive no commands is treated as one failure, like a silent zone.
 				yield(confirmedObservation(machine, s.observation(machine)))
@@ -177,9 +178,9 @@
 }
 
 // probeUnconfirmed sends an empty command list to machines that may not receive commands, the least recently probed
-// first, with at most tuning.MaxConcurrentProbes requests in flight. A machine whose heartbeats arrive gets work again once it
-// answers. Silent machines are probed as well: one that answers cannot reach any controller, and the incarnation in its
-// answer shows whether its lease expired. s.mu must be held.
+// first, with at most tuning.MaxConcurrentProbes requests in flight. A machine whose heartbeats arrive gets work again
+// once it answers. Silent machines are probed as well: one that answers cannot reach any controller, and the
+// incarnation in its answer shows whether its lease expired. s.mu must be held.
 func (s *Scheduler) probeUnconfirmed(now time.Time) {
 	var due []*machineState
 	remaining := tuning.MaxConcurrentProbes
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -15,8 +15,8 @@
 	"switchferry/tuning"
 )
 
-// releasedNameRetention is how long the name of a released machine is kept, so that late heartbeats and instance lists do
-// not add the machine again.
+// releasedNameRetention is how long the name of a released machine is kept, so that late heartbeats and instance lists
+// do not add the machine again.
 const releasedNameRetention = 10 * time.Minute
 
 // MaintainFleet drains, removes and releases machines, and stops tasks that exceed a lowered limit of their team. It
@@ -38,7 +38,7 @@
 			released = append(released, machine.markReleasing("holds a cancelled task"))
 		}
 	}
-	released = append(released, s.idleMachines(now)...)
+	released = append(released, s.releaseIdleMachine(now)...)
 	s.storeImageHints(now)
 	s.storeReplicaHints(now)
 	s.finishRemovals()
@@ -52,17 +52,17 @@
 	return released
 }
 
-// markReleasing marks a machine as one that the cloud should release, and returns its name. The cloud's confirmation of the
-// release proves that the tasks on the machine have ended.
+// markReleasing marks a machine as one that the cloud should release, and returns its name. The cloud's confirmation of
+// the release proves that the tasks on the machine have ended.
 func (m *machineState) markReleasing(reason string) string {
 	slog.Info("releasing machine", "machine", m.Name, "why", reason, "tasks", len(m.allocations))
 	m.releasing = true
 	return m.Name
 }
 
-// releaseFailedMachines takes the action that the failure detector decided for each machine, and returns the names of the
-// machines to release. The eviction budget bounds how many machines with overdue heartbeats are among them.
-// s.mu must be held.
+// releaseFailedMachines takes the action that the failure detector decided for each machine, and returns the names of
+// the machines to release. The eviction budget bounds how many machines with overdue heartbeats are among them. s.mu
+// must be held.
 func (s *Scheduler) releaseFailedMachines(now time.Time) (released []string) {
 	reasons := map[string]string{}
 	var overdue []failuredetector.Candidate
@@ -101,8 +101,8 @@
 	return released
 }
 
-// logFleet logs how many CPUs of the machines that are up are used by tasks that are running, starting (including fetches)
-// and stopping, and how many CPUs waiting jobs need. s.mu must be held.
+// logFleet logs how many CPUs of the machines that are up are used by tasks that are running, starting (including
+// fetches) and stopping, and how many CPUs waiting jobs need. s.mu must be held.
 func (s *Scheduler) logFleet() {
 	var cpus, running, starting, stopping float64
 	machines := 0
@@ -135,8 +135,8 @@
 		"waiting_jobs", jobs, "waiting_cpus", waiting)
 }
 
-// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverLogDelay although a machine has
-// free resources for one of its tasks. Users expect that no job waits 90 s in this way. s.mu must be held.
+// logPassedOver logs, once for each job, that the job has waited longer than tuning.PassedOverLogDelay although a
+// machine has free resources for one of its tasks. Users expect that no job waits 90 s in this way. s.mu must be held.
 func (s *Scheduler) logPassedOver(job *jobState) {
 	waitingSince := latest(latest(job.waitingSince, job.lastStart), s.termStarted)
 	if job.passedOverLogged || s.since(waitingSince) <= tuning.PassedOverLogDelay || !s.withinQuota(job) {
@@ -178,9 +178,9 @@
 	}
 }
 
-// idleMachines marks at most one machine for release and returns its name: one that has been idle for the time that the
-// policy sets and that the desired capacity does not need. s.mu must be held.
-func (s *Scheduler) idleMachines(now time.Time) []string {
+// releaseIdleMachine marks at most one machine for release and returns its name: one that has been idle for the time
+// that the policy sets and that the desired capacity does not need. s.mu must be held.
+func (s *Scheduler) releaseIdleMachine(now time.Time) []string {
 	desired, desiredOrdinary := s.desiredCapacity()
 	supply, spotSupply := s.supply()
 	for _, machine := range s.sortedMachines() {
@@ -201,9 +201,8 @@
 	return nil
 }
 
-// forgetMachine removes a machine that no longer exists, and makes its queued tasks pending again. The machine must have no
-// allocations.
-// s.mu must be held.
+// forgetMachine removes a machine that no longer exists, and makes its queued tasks pending again. The machine must
+// have no allocations. s.mu must be held.
 func (s *Scheduler) forgetMachine(machine *machineState) {
 	for _, queue := range machine.queues {
 		queue.returnTasks()
@@ -231,8 +230,8 @@
 	return addresses
 }
 
-// InstancesReleased handles the cloud's response to a release. If err is nil, the machines and all tasks on them no longer
-// exist, so the tasks may run elsewhere; otherwise the release of the machines may be requested again.
+// InstancesReleased handles the cloud's response to a release. If err is nil, the machines and all tasks on them no
+// longer exist, so the tasks may run elsewhere; otherwise the release of the machines may be requested again.
 func (s *Scheduler) InstancesReleased(names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,14 +253,14 @@
 	s.wakePlacer()
 }
 
-// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags behind, so a machine that is missing
-// from it may still exist and is kept.
+// ApplyInstanceList adds and updates the machines that the cloud lists. The list lags behind, so a machine that is
+// missing from it may still exist and is kept.
 func (s *Scheduler) ApplyInstanceList(list []api.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, instance := range list {
-		if _, gone := s.releasedAt[instance.Name]; gone {
+		if _, released := s.releasedAt[instance.Name]; released {
 			continue
 		}
 		_, known := s.machines[instance.Name]
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -37,7 +37,7 @@
 	answeredCommands int
 	// topologyMap is the configured topology; nil if there is none.
 	topologyMap *topology.Map
-	// limits holds the limits of the state service in the settings; only Next is used.
+	// limits holds the limits of the state service in the settings; only Announced is used.
 	limits settings.StateLimits
 }
 
@@ -138,11 +138,11 @@
 	harness *harness
 }
 
-func (x harnessSource) Condition() (store.Condition, bool) {
-	return store.Condition{Key: store.LeaderKey, Revision: x.term}, x.harness.leading
+func (source harnessSource) Condition() (store.Condition, bool) {
+	return store.Condition{Key: store.LeaderKey, Revision: source.term}, source.harness.leading
 }
 
-func (x harnessSource) Deposed() { x.harness.leading = false }
+func (source harnessSource) Deposed() { source.harness.leading = false }
 
 // commit writes all pending records.
 func (h *harness) commit() {
@@ -247,8 +247,8 @@
 	}
 }
 
-// maintainFor advances the clock by duration in steps of tuning.MaintenanceInterval. In each step it calls sendHeartbeats and
-// then MaintainFleet. It returns the machines to be released.
+// maintainFor advances the clock by duration in steps of tuning.MaintenanceInterval. In each step it calls
+// sendHeartbeats and then MaintainFleet. It returns the machines to be released.
 func (h *harness) maintainFor(duration time.Duration, sendHeartbeats func()) (released []string) {
 	for ; duration > 0; duration -= tuning.MaintenanceInterval {
 		h.clock.Advance(tuning.MaintenanceInterval)
@@ -264,15 +264,15 @@
 	h.InstancesGranted(api.InstanceRequest{Type: "m8", Zone: "a", Count: len(names)}, names, nil)
 }
 
-// heartbeatsThrough delivers heartbeats that a peer relays through the state service.
-func (h *harness) heartbeatsThrough(member string, names ...string) {
+// relayHeartbeats delivers heartbeats that a peer relays through the state service.
+func (h *harness) relayHeartbeats(member string, names ...string) {
 	for _, name := range names {
 		h.HandleRelayedHeartbeat(member, &api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term})
 	}
 }
 
-// heartbeatThrough delivers a heartbeat that a peer forwards in a request.
-func (h *harness) heartbeatThrough(via, name string) {
+// forwardHeartbeat delivers a heartbeat that a peer forwards in a request.
+func (h *harness) forwardHeartbeat(via, name string) {
 	h.HandleHeartbeat(&api.Heartbeat{Machine: name, Address: name + ":1", Type: "m8", Zone: zoneOf(name), Incarnation: 1, Seq: h.nextSeq(name), Term: h.term}, via)
 }
 
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// A new leader restores the images of each machine from the stored hint, in order of use. Without the hint it assumed that
-// no machine held any image, and every placement waited for fetches that were not needed.
+// A new leader restores the images of each machine from the stored hint, in order of use. Without the hint it assumed
+// that no machine held any image, and every placement waited for fetches that were not needed.
 func TestNextLeaderRestoresImages(t *testing.T) {
 	h := newHarness(t)
 	for i := range tuning.MaxImagesRecordMachines + 1 {
@@ -60,9 +60,9 @@
 		}
 		machine.RecordImage(strings.Repeat("<", 5000), 1)
 	}
-	rec, ok := h.imagesRecord(store.ImagesKey(0))
-	raw, err := json.Marshal(rec)
-	if !ok || err != nil || len(raw) > 16<<10 || len(rec.Names) != tuning.MaxImageNames {
-		t.Errorf("%d bytes, %d names, %v", len(raw), len(rec.Names), err)
+	record, ok := h.imagesRecord(store.ImagesKey(0))
+	raw, err := json.Marshal(record)
+	if !ok || err != nil || len(raw) > 16<<10 || len(record.Names) != tuning.MaxImageNames {
+		t.Errorf("%d bytes, %d names, %v", len(raw), len(record.Names), err)
 	}
 }
--- a/scheduler/pending_starts.go
+++ b/scheduler/pending_starts.go
@@ -105,9 +105,9 @@
 	incarnation uint64
 }
 
-// judgeAbsence decides what a heartbeat that does not list the attempt proves; the proof is set only for absenceProven.
-// The heartbeat must be newer than all before, and pendingStarts.observe must have processed it.
-func (a *attemptState) judgeAbsence(worker workerState) (absence, releaseProof) {
+// evaluateAbsence determines what a heartbeat that does not list the attempt proves; the proof is set only for
+// absenceProven. The heartbeat must be newer than all before, and pendingStarts.observe must have processed it.
+func (a *attemptState) evaluateAbsence(worker workerState) (absence, releaseProof) {
 	switch {
 	case !a.runSent:
 		return absenceInconclusive, ""
@@ -141,8 +141,8 @@
 	stored bool
 }
 
-// mayClear reports whether the worker may be told to forget the attempt. Clearing an attempt while a start for it was
-// in transit made a task run on two machines (docs/incidents/task-ran-twice.md).
+// mayClear reports whether the clear command for the attempt, after which the worker forgets it, may be sent. Clearing
+// an attempt while a start for it was in transit made a task run on two machines (docs/incidents/task-ran-twice.md).
 func (e *exitedAttempt) mayClear() bool {
 	return e.stored && e.starts.isEmpty()
 }
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -12,15 +12,15 @@
 	"switchferry/tuning"
 )
 
-// Submissions beyond what the committer can store in time are refused at once with a Retry-After time. The leader does not
-// keep refused jobs in memory.
+// Submissions beyond what the committer can store in time are refused at once with a Retry-After time. The leader does
+// not keep refused jobs in memory.
 func TestSubmissionsBeyondWriteCapacityAreRefused(t *testing.T) {
 	h := newHarness(t)
 	h.committer = store.NewCommitter(store.NewClient("state:1", h.state), harnessSource{h.Scheduler, h}, h.clock, settings.StateLimits{WriteRPS: 25, TxnOps: 12, ValueKB: 16}, map[string]uint64{})
 	refused, longest := 0, 0
 	for i := range 500 {
-		sub := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
-		if response, _ := h.Submit(cancelledContext(), sub, h.clock.Now()); h.jobs[sub.ID] == nil {
+		submission := &api.Submission{ID: fmt.Sprintf("run-%06d", i), Team: "t", Shape: api.JobArray, Rank: "normal", Tasks: 1, CPUs: 1}
+		if response, _ := h.Submit(cancelledContext(), submission, h.clock.Now()); h.jobs[submission.ID] == nil {
 			refused++
 			longest = max(longest, response.RetryAfterS)
 			if response.Status != 503 || response.RetryAfterS < 2 {
--- a/scheduler/scaling_test.go
+++ b/scheduler/scaling_test.go
@@ -11,8 +11,8 @@
 	"switchferry/tuning"
 )
 
-// Replacements for machines whose heartbeats are overdue are requested also during an outage of the state service, because
-// machines take long to boot.
+// Replacements for machines whose heartbeats are overdue are requested also during an outage of the state service,
+// because machines take long to boot.
 func TestReplacementsAreRequestedDuringOutage(t *testing.T) {
 	h := newHarness(t)
 	for i := range 12 {
@@ -41,21 +41,21 @@
 // The demand of jobs is counted in CPUs even before the catalog is read.
 func TestDemandWithoutCatalog(t *testing.T) {
 	h := newHarness(t)
-	h.submit("run-000001", 3, func(x *api.Submission) { x.CPUs, x.MemoryGB = 4, 8 })
+	h.submit("run-000001", 3, func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 4, 8 })
 	h.machineTypes = map[string]*api.MachineType{}
 	if all, _ := h.demand(); all != 12 {
 		t.Errorf("the demand is %v CPUs, want 12 for 3 tasks of 4 CPUs", all)
 	}
 }
 
-// If the fleet has free resources but no machine on which a job may run, one machine is requested for the job, and not a
-// second one while the first boots. Before, none was requested because only the total number of CPUs was considered.
+// If the fleet has free resources but no machine on which a job may run, one machine is requested for the job, and not
+// a second one while the first boots. Before, none was requested because only the total number of CPUs was considered.
 func TestInstanceIsRequestedForUnplaceableJob(t *testing.T) {
 	h := newHarness(t)
 	for i := range 5 {
 		h.heartbeat(fmt.Sprintf("a%d", i), 1)
 	}
-	h.submit("run-000001", 1, func(x *api.Submission) { x.Zone = "b" })
+	h.submit("run-000001", 1, func(submission *api.Submission) { submission.Zone = "b" })
 	h.maintainFor(4*time.Second, func() {
 		for i := range 5 {
 			h.heartbeat(fmt.Sprintf("a%d", i), 1)
@@ -92,8 +92,8 @@
 	}
 }
 
-// An instance that is not up after the others of its batch no longer counts as supply, so that a replacement is requested,
-// long before the instance itself is released.
+// An instance that is not up after the others of its batch no longer counts as supply, so that a replacement is
+// requested, long before the instance itself is released.
 func TestInstanceSlowerThanItsBatchIsReplaced(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a0", 1)
--- a/scheduler/task_failures_test.go
+++ b/scheduler/task_failures_test.go
@@ -10,8 +10,8 @@
 	"switchferry/tuning"
 )
 
-// A machine on which tasks of several jobs fail is released; a job that fails on every machine is retried with a backoff
-// and does not make machines faulty.
+// A machine on which tasks of several jobs fail is released; a job that fails on every machine is retried with a
+// backoff and does not make machines faulty.
 func TestFaultyMachineAndBrokenJobAreDistinguished(t *testing.T) {
 	h := newHarness(t)
 	h.heartbeat("a1", 1)
@@ -70,8 +70,8 @@
 }
 
 // runTasksFor runs the leader's rounds for the duration d and returns the machines that were released.
-func (h *harness) runTasksFor(d time.Duration, fails func(machine, job string) bool) (released []string) {
-	for ; d > 0; d -= tuning.MaintenanceInterval {
+func (h *harness) runTasksFor(duration time.Duration, fails func(machine, job string) bool) (released []string) {
+	for ; duration > 0; duration -= tuning.MaintenanceInterval {
 		h.clock.Advance(tuning.MaintenanceInterval)
 		h.runTasks(fails)
 		h.Place()
@@ -91,7 +91,7 @@
 	}
 	fails := func(_, job string) bool { return job != "run-000009" }
 	h.submit("run-000001", 6, nil)
-	h.submit("run-000002", 6, func(x *api.Submission) { x.Rank = "high" })
+	h.submit("run-000002", 6, func(submission *api.Submission) { submission.Rank = "high" })
 	if released := h.runTasksFor(20*time.Second, fails); len(released) > 0 {
 		t.Fatalf("healthy machines %v released", released)
 	}
@@ -125,15 +125,15 @@
 	}
 }
 
-// A faulty machine is detected even if another job fails on every machine, because tasks that fail on it work elsewhere. A
-// job whose tasks failed on the faulty machine still runs on all others.
+// A faulty machine is detected even if another job fails on every machine, because tasks that fail on it work
+// elsewhere. A job whose tasks failed on the faulty machine still runs on all others.
 func TestFaultyMachineIsDetectedAmongBrokenJobs(t *testing.T) {
 	h := newHarness(t)
 	for _, n := range []string{"a1", "a2", "a3", "a4", "a5"} {
 		h.heartbeat(n, 1)
 	}
 	fails := func(machine, job string) bool { return machine == "a2" || job == "run-000005" }
-	small := func(x *api.Submission) { x.CPUs, x.MemoryGB = 1, 1 }
+	small := func(submission *api.Submission) { submission.CPUs, submission.MemoryGB = 1, 1 }
 	h.submit("run-000005", 5, nil)
 	released := h.runTasksFor(5*time.Second, fails)
 	// The first working job fills the healthy machines; only the faulty one is left for the second.
