--- a/experiment/collaborators.go
+++ b/experiment/collaborators.go
@@ -11,7 +11,7 @@
 // ZoneUnreachable returns false.
 func (alwaysLeading) ZoneUnreachable(string) bool { return false }
 
-// noTerminalStates is a store of terminal states that keeps nothing.
+// noTerminalStates is a store of the terminal states of jobs that stores nothing.
 type noTerminalStates struct{}
 
 // Remember does nothing.
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -13,8 +13,8 @@
 )
 
 // DayEnd runs the fault scenarios that operators review at the end of a day, some faults alone and some
-// combined, and reports what they check for: jobs that were lost or wait forever, starved job classes, wasted
-// work, needless returns of machines, and violated rules.
+// combined. It reports what the operators check for: jobs that were lost or wait forever, starved job classes,
+// wasted work, unnecessary returns of machines, and violated rules.
 type DayEnd struct {
 	Seed uint64
 	// Sizes are the fleet sizes in machines; every case runs at every size.
@@ -23,13 +23,13 @@
 	Cases []string
 	// AtOnce is the maximum number of scenarios that run concurrently.
 	AtOnce int
-	// LastsS is how long users submit jobs; AfterS is how long the run then waits for unfinished jobs. Both in seconds.
+	// LastsS is how long users submit jobs, and AfterS how long the run then waits for unfinished jobs, in seconds.
 	LastsS, AfterS float64
 	// Progress receives a line when a scenario ends. It must not be nil.
 	Progress func(format string, a ...any)
 }
 
-// DayEndDefaults returns all cases at a small and a large fleet size.
+// DayEndDefaults returns an experiment with all cases at a small and a large fleet size.
 func DayEndDefaults() *DayEnd {
 	return &DayEnd{Seed: 1, Sizes: []int{30, 300}, AtOnce: 3, LastsS: 100, AfterS: 80, Progress: func(string, ...any) {}}
 }
--- a/experiment/gaps.go
+++ b/experiment/gaps.go
@@ -39,7 +39,7 @@
 			}
 		}
 		if end == 0 || j.ready <= j.submitted || j.firstPlaced == 0 || j.firstStart == 0 {
-			continue // did not have to wait for another job, or never started
+			continue // The job did not wait for another job, or never started.
 		}
 		for i, seconds := range []float64{j.ready - end, j.firstPlaced - j.ready, j.firstStart - j.firstPlaced, j.firstStart - end} {
 			if err := histograms[i].RecordValue(int64(math.Max(0, seconds) * 1000)); err != nil {
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -20,7 +20,7 @@
 type Handover struct {
 	// Program is the path of the switchferry program.
 	Program string
-	// Rolls is the number of rolling restarts of all controllers, for each kind of shutdown.
+	// Rolls is the number of rolling restarts of all controllers with each kind of shutdown.
 	Rolls int
 	Seed  uint64
 	// Progress receives a line after each kind of shutdown. It must not be nil.
@@ -37,10 +37,13 @@
 	Ends    int    `json:"processes_ended"`
 	Asked   int64  `json:"submissions"`
 	Refused int    `json:"refused"`
-	P50MS   int64  `json:"p50_ms"`
-	P99MS   int64  `json:"p99_ms"`
-	MostMS  int64  `json:"longest_ms"`
-	GapMS   int64  `json:"longest_without_an_accept_ms"`
+	// P50MS, P99MS and MostMS are the median, the 99th percentile and the maximum of the time until a submission was
+	// answered.
+	P50MS  int64 `json:"p50_ms"`
+	P99MS  int64 `json:"p99_ms"`
+	MostMS int64 `json:"longest_ms"`
+	// GapMS is the longest interval between two acceptances of submissions.
+	GapMS int64 `json:"longest_without_an_accept_ms"`
 	// IdleMS is the longest interval between two task starts while jobs kept arriving.
 	IdleMS int64 `json:"longest_without_a_start_ms"`
 	// EndP50MS is the median time from the signal to the exit of a process.
@@ -134,8 +137,8 @@
 	nextID     int
 }
 
-// probeReady probes the controllers as the protocol's load balancer does: once a second; a controller is taken out after
-// two failed probes in a row.
+// probeReady probes the controllers once a second, as the load balancer of the protocol does. A controller is not ready
+// after two consecutive failed probes.
 func (u *submitters) probeReady(ctx context.Context) {
 	failed := map[int]int{}
 	for ctx.Err() == nil {
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -88,7 +88,7 @@
 	MakespanS  float64 `json:"makespan_s"`
 }
 
-// placements are the placement modes with their names in the result.
+// placements has the placement modes and their names in the result.
 var placements = []struct{ name, mode string }{{"blind", features.PlacementBlind}, {"images", features.PlacementImages},
 	{"locality", features.PlacementLocal}, {"locality+staging", features.PlacementStaged}}
 
@@ -174,7 +174,7 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// onStored are the callbacks of records that are to count as stored.
+	// onStored has the callbacks of the records that have not been reported as stored yet.
 	onStored    []func()
 	submittedAt map[string]time.Time
 	imageOf     map[string]string
@@ -274,7 +274,7 @@
 	return f, nil
 }
 
-// runLeader is the leader's loop. Records count as stored immediately after each round of placement.
+// runLeader runs placement rounds until ctx ends. Records count as stored immediately after each placement round.
 func (p *localityRun) runLeader(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.scheduler.Place()
@@ -302,7 +302,7 @@
 	p.scheduler.HandleCommandOutcome(name, o, r, true)
 }
 
-// localityRecords is a record writer whose records count as stored after the next round of placement.
+// localityRecords is a record writer whose records count as stored after the next placement round.
 type localityRecords struct{ run *localityRun }
 
 // MarkDirty queues the callback to be called once the record counts as stored.
--- a/experiment/locality_store.go
+++ b/experiment/locality_store.go
@@ -79,6 +79,7 @@
 	http.ServeContent(&throttledWriter{w, s, r}, r, "", time.Time{}, strings.NewReader(string(s.data[name])))
 }
 
+// throttledWriter writes a response at the rate that the store's limiter allows.
 type throttledWriter struct {
 	http.ResponseWriter
 	store   *storeServer
--- a/experiment/locality_test.go
+++ b/experiment/locality_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A small experiment with real agents and transfers over loopback: all jobs end, the store serves at least the lower
+// In a small experiment with real agents and transfers over loopback, all jobs end, the store serves at least the lower
 // bound in every mode, and placement with locality and staging reads less from the store than blind placement.
 func TestLocalityReadsLessFromStore(t *testing.T) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
@@ -28,7 +28,7 @@
 		}
 	}
 	if s, b := byName["locality+staging"], byName["blind"]; s.StoreBytes >= b.StoreBytes || b.PeerBytes != 0 {
-		t.Errorf("staged %+v, blind %+v", s, b)
+		t.Errorf("staging must read less from the store than blind placement, which must not read from peers: staging %+v, blind %+v", s, b)
 	}
 }
 
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -23,7 +23,8 @@
 // have. It reads the debug logs of that day, of one controller or of several.
 type Order struct {
 	Class string
-	// WithinS is the allowed time from when a job may start, in seconds; 0 means Times times the job's own deadline.
+	// WithinS is the allowed time from when a job may start, in seconds. If it is 0, a job's allowed time
+	// is its own deadline multiplied by Times, counted from its submission.
 	WithinS, Times float64
 	// FromS and ToS bound the jobs' submission times, in seconds since the first log line.
 	FromS, ToS float64
@@ -39,9 +40,10 @@
 // OrderResult compares the jobs of a class that met their deadline with those that could have. Alone counts
 // jobs that would have missed it with the whole fleet to themselves. Most is the upper bound that package
 // upperbound gives for the others, after subtracting the capacity that jobs of other classes with the same or
-// a higher rank used. A job of which any task never completed is left out.
+// a higher rank used. Jobs with a task that never completed are not counted.
 type OrderResult struct {
-	Class  string  `json:"class"`
+	Class string `json:"class"`
+	// Aim describes the deadline that the jobs are compared with.
 	Aim    string  `json:"aim"`
 	Jobs   int     `json:"jobs"`
 	InTime int     `json:"in_time"`
@@ -78,7 +80,8 @@
 	}
 }
 
-// loggedJob is a job as the logs show it. Times are in seconds since the first log line; 0: it did not happen.
+// loggedJob is a job as the logs show it. Times are in seconds since the first log line; 0 means that the event did
+// not happen.
 type loggedJob struct {
 	class           string
 	rank, size      int
@@ -91,8 +94,8 @@
 	ready  float64
 	// runTimes has the run time of each completed task, by task ID.
 	runTimes map[string]float64
-	// lastEnd is when its last task completed; placed and running are when its first task was placed and
-	// started to run.
+	// lastEnd is when its last task completed, firstPlaced when its first task was placed, and firstStart when its first
+	// task started to run.
 	lastEnd, firstPlaced, firstStart float64
 	// lost and stopped count task attempts that ended without completing.
 	lost, stopped int
@@ -104,7 +107,8 @@
 	from, to float64
 }
 
-// dayLog is the content of a day's logs. Each element of cpus is a time and the fleet's CPUs at that time.
+// dayLog is the content of a day's logs. Each element of fleetCPUs is a time and the fleet's CPUs at that time.
+// lastAt is the time of the last log line. Times are in seconds since the first log line.
 type dayLog struct {
 	jobs      map[string]*loggedJob
 	runs      []loggedRun
@@ -184,8 +188,8 @@
 	return res, nil
 }
 
-// scanLog reads log lines and ignores what precedes time= on a line. It passes each line's attributes and its time in
-// seconds since the first line to take.
+// scanLog reads log lines and ignores what precedes time= on a line. For each line it calls take with the line's
+// attributes and its time in seconds since the first line.
 func scanLog(r io.Reader, take func(kv map[string]string, at float64)) error {
 	var begin time.Time
 	lines := bufio.NewScanner(r)
@@ -204,7 +208,7 @@
 		}
 		when, err := time.Parse(time.RFC3339, kv["time"])
 		if d.Err() != nil || err != nil {
-			continue // truncated line
+			continue // The line is truncated.
 		}
 		if begin.IsZero() {
 			begin = when
@@ -263,7 +267,7 @@
 		}
 	case "job may start":
 		if j := day.jobs[kv["job"]]; j != nil && j.ready == j.submitted {
-			j.ready = seconds // only the first line counts: a new leader logs it again
+			j.ready = seconds // Only the first line counts: a new leader logs it again.
 		}
 	case "task placed":
 		if j := day.jobs[job]; j != nil && j.firstPlaced == 0 {
--- a/experiment/order_test.go
+++ b/experiment/order_test.go
@@ -25,7 +25,7 @@
 	}
 	done := `"task ended" cause=done`
 	logTaskRun(0, 2, 12, done) // in time
-	logTaskRun(1, 2, 32, done) // its task alone runs longer than the deadline
+	logTaskRun(1, 2, 32, done) // runs longer than the deadline
 	logTaskRun(2, 2, 10, `"task lost" why="its machine is gone"`)
 	logTaskRun(2, 12, 24, done)
 	logTaskRun(3, 2, 10, `"task ended" cause=halted`)
@@ -39,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if want := (LateJobs{1, 1, 1, 1}); res.Late != want || res.Jobs != 5 || res.InTime != 1 || res.Alone != 1 || res.Most > 4 {
-		t.Errorf("%+v, want late %+v, one in time, one impossible", res, want)
+		t.Errorf("%+v, want late jobs %+v, 5 jobs, one in time, one impossible alone, and a bound of at most 4", res, want)
 	}
 }
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -31,8 +31,8 @@
 	histogramMaxMS = 600_000
 )
 
-// population simulates the users of a cluster: each submits one job, polls it until it has ended, and may cancel it.
-// All answers are passed to the audit.
+// population simulates the users of a cluster: each submits one job, polls it until it is in a terminal state, and may
+// cancel it. All answers are passed to the audit.
 type population struct {
 	cluster *cluster.Cluster
 	audit   *cluster.Audit
@@ -43,7 +43,7 @@
 	rng    *rand.Rand
 	nextID int
 	// submissionLatency has the times from the first attempt of a submission to its acceptance, and doneDelay those from
-	// the end of the last task until the user learns that the job is done; both in milliseconds. refused counts
+	// the end of the last task until the user receives the state done; both in milliseconds. refused counts
 	// submission attempts without an acceptance, failedPolls the polls without a usable answer.
 	submissionLatency, doneDelay *hdrhistogram.Histogram
 	refused, failedPolls         int
@@ -82,8 +82,8 @@
 // neverCancels is the value of cancelAfter for a user who does not cancel.
 const neverCancels = time.Duration(-1)
 
-// startUser starts a user who submits a job and polls it until it has ended. If cancelAfter is not negative, the user cancels
-// the job that long after its acceptance. begin does not block.
+// startUser starts a user who submits a job and polls it until it is in a terminal state. If cancelAfter is not
+// negative, the user cancels the job that long after its acceptance. startUser does not block.
 func (p *population) startUser(ctx context.Context, submission api.Submission, cancelAfter time.Duration) (id string) {
 	submission.ID = p.newID()
 	p.audit.Submit(submission)
@@ -136,7 +136,7 @@
 		}
 		status, raw, err := p.cluster.Call(call, x, method, path, body)
 		if err != nil && call.Err() == nil {
-			continue // connection refused: the load balancer tries the next controller
+			continue // The connection was refused: the load balancer tries the next controller.
 		}
 		if err != nil {
 			return 0, nil
@@ -180,12 +180,12 @@
 	return true
 }
 
-// checkAnswer passes an answer to the audit, which checks it, and reports whether the job has ended.
+// checkAnswer passes an answer to the audit, which checks it, and reports whether the job is in a terminal state.
 func (p *population) checkAnswer(kind cluster.RequestKind, id string, askedAt time.Time, status int, state string) (over bool) {
 	return p.audit.CheckAnswer(cluster.JobRequest{JobID: id, Kind: kind, SentAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
 }
 
-// poll polls a job once and reports whether it has ended.
+// poll polls a job once and reports whether it is in a terminal state.
 func (p *population) poll(ctx context.Context, id string) bool {
 	askedAt := time.Now()
 	status, answer := p.request(ctx, pollTimeout, http.MethodGet, "/submissions/"+id, nil)
@@ -211,18 +211,19 @@
 	change()
 }
 
-// StartWaits is the distribution of the start waits of the jobs of one rank: from the first submission to the start of the
-// last task, in milliseconds.
+// StartWaits is the distribution, in milliseconds, of the start waits of the jobs of one rank. A start wait is the time
+// from the submission of a job to the start of its last task.
 type StartWaits struct {
 	Jobs int   `json:"jobs"`
 	P50  int64 `json:"p50_ms"`
 	P99  int64 `json:"p99_ms"`
 	Max  int64 `json:"longest_ms"`
-	// Unstarted counts jobs of which some task has not started.
+	// Unstarted counts the jobs that have tasks that did not start.
 	Unstarted int `json:"unstarted"`
 }
 
-// startWaits returns, by rank, the start waits of the jobs that were submitted between from and to and were not cancelled.
+// startWaits returns, by rank, the start waits of the jobs that were submitted between from and to and were not
+// cancelled.
 func (p *population) startWaits(from, to time.Time) map[string]StartWaits {
 	all := map[string]*hdrhistogram.Histogram{}
 	unstarted := map[string]int{}
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -8,9 +8,9 @@
 	"switchferry/settings"
 )
 
-// Cases of Recovery: the faults that a loaded fleet is subjected to.
+// Cases of Recovery. Each is a fault that is injected into a loaded fleet.
 const (
-	// CrashLeader kills the leading controller and restarts it after three seconds.
+	// CrashLeader kills the leader and restarts it after three seconds.
 	CrashLeader = "leader"
 	// CrashAll kills all three controllers and restarts them after three seconds.
 	CrashAll = "all"
@@ -21,8 +21,9 @@
 // recoveryCases maps the cases of Recovery to those of Scale.
 var recoveryCases = map[string]string{CrashLeader: ScaleLeader, CrashAll: ScaleAll, CutZone: ScaleLeaderZone}
 
-// Recovery is an experiment that measures how a lightly loaded fleet recovers from a crash of the leader, a crash of all
-// controllers, and a partition of the leader's zone. It runs Scale with a small load, one size and one case at a time.
+// Recovery is an experiment that measures how a lightly loaded fleet recovers from a crash of the leader, a crash of
+// all controllers, and a partition of the leader's zone. It runs Scale with a small load, one size and one case at a
+// time.
 type Recovery struct {
 	Program string
 	Seed    uint64
@@ -41,16 +42,16 @@
 		Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, CutS: 30, WatchS: 60, Progress: func(string, ...any) {}}
 }
 
-// RecoveryFigures holds the measurements of one case at one fleet size. Times are in seconds since the fault; -1 means that the
-// event did not happen while the fleet was observed.
+// RecoveryFigures holds the measurements of one case at one fleet size. Times are in seconds since the fault; -1 means
+// that the event did not happen while the fleet was observed.
 type RecoveryFigures struct {
 	Machines int    `json:"machines"`
 	Case     string `json:"case"`
-	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer from it.
+	// FirstStart is when a new leader first started a task, HeardAll when every worker had received an answer from it.
 	FirstStart float64 `json:"first_start_s"`
 	HeardAll   float64 `json:"heard_all_s"`
-	// ReturnedInVain counts healthy machines that were returned; LostInVain counts tasks that were lost with them or
-	// killed because a lease expired.
+	// ReturnedInVain counts the healthy machines that were returned to the cloud. LostInVain counts the tasks that were
+	// lost with them or killed because a lease expired.
 	ReturnedInVain int `json:"returned_in_vain"`
 	LostInVain     int `json:"lost_in_vain"`
 	// PeakShare is the 99th percentile of the leader's CPU use in one second, as a share of one core.
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -27,7 +27,7 @@
 	CasesAt int
 	Cases   []string
 	// TasksPerWorker is the base load: tasks that run until the end, per worker. StartsPerS is the rate at which tasks of
-	// short arrays start at CasesAt workers, in tasks per second; at other sizes it is proportional.
+	// short arrays start at CasesAt workers, in tasks per second; at other sizes it is scaled with the number of workers.
 	TasksPerWorker float64
 	StartsPerS     float64
 	Teams, Agents  int
@@ -52,22 +52,24 @@
 		StepS: 20, WatchS: 15, CutS: 60, ApartS: 180, OutageS: 20, Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, Progress: func(string, ...any) {}}
 }
 
-// Bounds that the operators set for a run.
+// Bounds and load of a run.
 const (
-	// maxMemoryShare is the maximum share of the machine's memory that all processes may use.
+	// maxMemoryShare, a bound that the operators set, is the maximum share of the machine's memory that all processes
+	// may use.
 	maxMemoryShare = 0.5
-	// maxProcesses is the maximum number of processes.
+	// maxProcesses, a bound that the operators set, is the maximum number of processes.
 	maxProcesses = 100
-	// bytesPerWorker is the estimated memory per hollow worker, fixedBytes that of everything else.
+	// bytesPerWorker is the estimated memory of a hollow worker, in bytes.
 	bytesPerWorker = 600 << 10
-	fixedBytes     = 1 << 30
+	// fixedBytes is the estimated memory of everything else, in bytes.
+	fixedBytes = 1 << 30
 	// limitedTeamShare is the share of teams that use up their CPU limit.
 	limitedTeamShare = 0.1
 	// slotsPerWorker is the number of CPUs of a worker; each task uses one.
 	slotsPerWorker = 28.0
 	// urgentInterval is the interval between urgent jobs.
 	urgentInterval = 2 * time.Second
-	// cancelOneIn: one short array in this many is cancelled.
+	// cancelOneIn is the mean number of short arrays of which one is cancelled.
 	cancelOneIn = 50
 	// arrivalRunS is the run time of the tasks of short arrays, in seconds.
 	arrivalRunS = 20.0
@@ -85,16 +87,16 @@
 // measuredOn describes the origin of the figures.
 const measuredOn = "real processes over loopback on this machine; hollow workers, stand-ins of state service and cloud"
 
-// scaleZones are two regions of two zones each. The state service, the cloud and two of the three controllers are in the
-// first region.
+// scaleZones are two regions of two zones each. The state service, the cloud and two of the three controllers are in
+// the first region.
 var (
 	scaleZones      = []string{"a1", "a2", "b1", "b2"}
 	controllerZones = []string{"a1", "a2", "b1"}
 	secondRegion    = []string{"b1", "b2"}
 )
 
-// ProcessFigures holds one process's resource use during a measurement: its CPU time as a share of one core, as the mean and
-// as the 99th percentile of one-second samples, and the maxima of its memory, descriptors and threads.
+// ProcessFigures holds one process's resource use during a measurement: its CPU time as a share of one core, as the
+// mean and as the 99th percentile of one-second samples, and the maxima of its memory, descriptors and threads.
 type ProcessFigures struct {
 	CPUMean     float64 `json:"cpu_mean"`
 	CPUP99      float64 `json:"cpu_p99"`
@@ -158,7 +160,8 @@
 	StateRefused map[string]int `json:"state_refused"`
 }
 
-// Record returns the measurements that package capacity fits its models to. command is the command line that produced them.
+// Record returns the measurements that package capacity fits its models to. command is the command line that produced
+// them.
 func (r *ScaleResult) Record(command string) *capacity.Record {
 	out := &capacity.Record{Measured: r.Measured, Command: command, Jobs: r.Jobs}
 	for _, step := range r.Steps {
@@ -205,8 +208,8 @@
 	return capacity.Measurement{Name: s.Name, Workers: workers, Tasks: float64(s.Tasks), Starts: s.Starts, Figures: figures}
 }
 
-// Run runs all steps and cases. It returns an error for invalid options and if a rule was violated; in the latter case the
-// result is valid too.
+// Run runs all steps and cases. It returns an error for invalid options and if a rule was violated; in the latter case
+// the result is valid too.
 func (x *Scale) Run(ctx context.Context) (*ScaleResult, error) {
 	if err := x.validate(); err != nil {
 		return nil, err
@@ -224,7 +227,7 @@
 	res.Broken, res.Why = run.audit.Violations()
 	res.StateRefused = run.cluster.State.Refusals()
 	if len(res.Broken) > 0 {
-		return res, fmt.Errorf("rules were broken: %v: %v", res.Broken, res.Why)
+		return res, fmt.Errorf("rules were violated: %v: %v", res.Broken, res.Why)
 	}
 	return res, nil
 }
@@ -275,8 +278,8 @@
 	changer  *limitChanger
 }
 
-// teams returns Teams teams. The share limitedTeamShare of them, but at least one, has a CPU limit that its jobs use up; the
-// others never reach theirs. Each team is guaranteed a part of the fleet.
+// teams returns the settings of as many teams as Teams says. A share limitedTeamShare of them, but at least one, have a
+// CPU limit that their jobs use up; the others never reach theirs. Each team is guaranteed a part of the fleet.
 func (x *Scale) teams() []settings.Team {
 	maxWorkers := float64(x.Sizes[len(x.Sizes)-1])
 	var out []settings.Team
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -10,16 +10,27 @@
 
 // Cases of Scale.
 const (
-	ScaleLeader     = "leader"
-	ScaleAll        = "all"
-	ScaleRack       = "rack"
-	ScaleZone       = "zone"
-	ScaleOutage     = "outage"
-	ScaleRestarts   = "restarts"
-	ScaleRegions    = "regions"
-	ScaleFull       = "full"
+	// ScaleLeader kills the leader and restarts it after controllerRestartDelay.
+	ScaleLeader = "leader"
+	// ScaleAll kills all controllers and restarts them after controllerRestartDelay.
+	ScaleAll = "all"
+	// ScaleRack cuts the workers of one rack off the network for CutS.
+	ScaleRack = "rack"
+	// ScaleZone partitions one zone from the others for CutS.
+	ScaleZone = "zone"
+	// ScaleOutage makes the state service unavailable for OutageS.
+	ScaleOutage = "outage"
+	// ScaleRestarts restarts some workers one after the other, spread over CutS.
+	ScaleRestarts = "restarts"
+	// ScaleRegions partitions the two regions from each other for ApartS.
+	ScaleRegions = "regions"
+	// ScaleFull observes a full fleet without a fault.
+	ScaleFull = "full"
+	// ScaleFullLeader is ScaleLeader on a full fleet.
 	ScaleFullLeader = "full-leader"
-	ScaleFullRack   = "full-rack"
+	// ScaleFullRack is ScaleRack on a full fleet.
+	ScaleFullRack = "full-rack"
+	// ScaleLeaderZone partitions the leader's zone from the others for CutS.
 	ScaleLeaderZone = "leader-zone"
 )
 
@@ -28,16 +39,16 @@
 	return []string{ScaleLeader, ScaleAll, ScaleRack, ScaleZone, ScaleOutage, ScaleRestarts, ScaleRegions, ScaleLeaderZone, ScaleFull, ScaleFullLeader, ScaleFullRack}
 }
 
-// ScaleCase holds the measurements of one case. Times are in seconds since the fault began; -1 means that the event did not
-// happen while the fleet was observed.
+// ScaleCase holds the measurements of one case. Times are in seconds since the fault began; -1 means that the event did
+// not happen while the fleet was observed.
 type ScaleCase struct {
 	Case string `json:"case"`
-	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer from it.
-	// Both are set only for faults that change the leader.
+	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer
+	// from it. Both are set only for faults that change the leader.
 	FirstStart         float64 `json:"first_start_s"`
 	AllWorkersAnswered float64 `json:"heard_all_s"`
-	// KilledByLease counts tasks that were killed because a lease expired, MachinesReturned the machines that were returned
-	// to the cloud, and TasksOnReturned the tasks that ran on them.
+	// KilledByLease counts tasks that were killed because a lease expired, MachinesReturned the machines that were
+	// returned to the cloud, and TasksOnReturned the tasks that ran on them.
 	KilledByLease    int `json:"killed_by_lease"`
 	MachinesReturned int `json:"machines_returned"`
 	TasksOnReturned  int `json:"tasks_on_returned"`
@@ -47,7 +58,7 @@
 	Restarted     int     `json:"restarted"`
 	RestartedP50  float64 `json:"restarted_half_s"`
 	RestartedP95  float64 `json:"restarted_95_s"`
-	// RecoveredAfter is when about as many tasks were running as before the fault.
+	// RecoveredAfter is when at least recoveredPercent of the former number of tasks were running again.
 	RecoveredAfter float64 `json:"whole_again_s"`
 	// Step has the measurements from the beginning of the fault to the end of the observation.
 	Step ScaleStep `json:"figures"`
@@ -87,7 +98,8 @@
 	return nil
 }
 
-// lossCounts holds the numbers of killed tasks, returned machines and tasks on these so far.
+// lossCounts holds the numbers of killed tasks, of returned machines, and of tasks that ran on returned machines, since
+// the beginning of the run.
 type lossCounts struct{ killed, machines, tasks int }
 
 func (run *scaleRun) countLosses() (c lossCounts) {
@@ -141,8 +153,8 @@
 	return c, nil
 }
 
-// recoveredPercent is the percentage of the former number of running tasks at which the fleet counts as recovered; arrivals
-// make the number vary by the rest.
+// recoveredPercent is the percentage of the former number of running tasks at which the fleet counts as recovered. It
+// is below 100 because the number of running tasks varies with the arrivals.
 const recoveredPercent = 97
 
 // observe observes the fleet five times a second until WatchS after the fault has ended.
@@ -179,8 +191,8 @@
 	return true
 }
 
-// fault returns the machines that a case's fault affects, a function that injects the fault and returns when it has ended,
-// and whether the fault changes the leader.
+// fault returns the machines that a case's fault affects, a function that injects the fault and returns when it has
+// ended, and whether the fault changes the leader.
 func (run *scaleRun) fault(name string) (machines map[string]bool, inject func(), changesLeader bool) {
 	cut := func(zones []string) (map[string]bool, func(), bool) {
 		length := run.CutS
@@ -278,7 +290,7 @@
 	}
 }
 
-// quantile returns the quantile q of times in seconds, or -1 if there are none.
+// quantile returns the quantile q of times in seconds, or -1 if times is empty.
 func quantile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return -1
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	// slowChangeAfter is the time after which a change counts as late.
+	// slowChangeAfter is the time after which a change counts as slow.
 	slowChangeAfter = 4 * time.Second
 	// inForceTimeout is how long to wait for a change to come into force.
 	inForceTimeout = 20 * time.Second
@@ -79,7 +79,8 @@
 	}
 }
 
-// document returns a configuration with all teams as in the settings, except that the last team's limit varies with number.
+// document returns a configuration with all teams as in the settings, except that the last team's limit varies with
+// number.
 func (c *limitChanger) document(number int) string {
 	var text strings.Builder
 	for i, t := range c.run.teams() {
@@ -91,8 +92,8 @@
 	return text.String()
 }
 
-// change makes one change and waits until it is in force. It returns false if the change was refused or did not come into
-// force in time.
+// change makes one change and waits until it is in force. It returns false if the change was refused or did not come
+// into force in time.
 func (c *limitChanger) change(number int) bool {
 	body, err := json.Marshal(api.ConfigurationRequest{Document: c.document(number), Operator: "scale", Reason: fmt.Sprint(number)})
 	if err != nil {
--- a/experiment/scale_load.go
+++ b/experiment/scale_load.go
@@ -11,7 +11,7 @@
 
 // adjustableRate is a rate per second that can be read and changed concurrently.
 type adjustableRate struct {
-	mu        sync.Mutex // guards now
+	mu        sync.Mutex // guards perSecond
 	perSecond float64
 }
 
@@ -31,7 +31,7 @@
 type returnCounts struct {
 	// mu guards the fields below.
 	mu sync.Mutex
-	// killed counts tasks that had been killed on these machines before because a lease expired.
+	// killed counts the tasks that had been killed on these machines, before their return, because a lease expired.
 	machines, tasks, killed int
 }
 
@@ -58,9 +58,9 @@
 		Image: "image", ImageGB: 0.1, Spot: true, EstimateS: estimateS}
 }
 
-// submitBaseLoad submits jobs of the base load so that the given number of further tasks can run. The first call submits, for
-// each team that uses up its limit, one and a half times as many tasks as the limit allows; only those within the limit
-// count. The other teams submit the rest in turn.
+// submitBaseLoad submits jobs of the base load so that the given number of additional tasks can run. The first call
+// submits, for each team that uses up its limit, one and a half times as many tasks as the limit allows; only those
+// within the limit count as able to run. The other teams submit the rest in turn.
 func (run *scaleRun) submitBaseLoad(tasks int) {
 	if len(run.baseJobs) == 0 {
 		for team := range run.Teams {
@@ -87,7 +87,7 @@
 	return first + n%max(1, run.Teams-1-first)
 }
 
-// fillFleet submits more jobs of rank low than the remaining capacity of the fleet, and returns their IDs.
+// fillFleet submits jobs of rank low that need more than the remaining capacity of the fleet, and returns their IDs.
 func (run *scaleRun) fillFleet(workers int) (ids []string) {
 	for left := int((slotsPerWorker-run.TasksPerWorker)*float64(workers)) + 10*workers/8; left > 0; left -= baseJobTasks {
 		ids = append(ids, run.users.startUser(run.ctx, run.newJob(run.Teams-1, baseJobTasks, "low", baseRunS), neverCancels))
--- a/experiment/scale_measure.go
+++ b/experiment/scale_measure.go
@@ -87,7 +87,7 @@
 		}
 		usage, err := cluster.Sample(pid)
 		if err != nil {
-			continue // the process has just ended
+			continue // The process has just ended.
 		}
 		if last := len(r.controllers[i]) - 1; last >= 0 && r.pids[i] != pid {
 			// The controller was restarted: add the CPU time of its former processes.
@@ -112,8 +112,8 @@
 	r.samples++
 }
 
-// stop ends the recording and returns the measurements. It returns an error if the processes use more than maxMemoryShare of
-// the machine's memory.
+// stop ends the recording and returns the measurements. It returns an error if the processes use more than
+// maxMemoryShare of the machine's memory.
 func (r *recording) stop(name string, workers int) (*ScaleStep, error) {
 	close(r.quit)
 	<-r.done
@@ -160,7 +160,7 @@
 	return step, nil
 }
 
-// reportDelays prints the heartbeat latencies since the last call.
+// reportDelays passes the heartbeat latencies since the last call of TakeDelays to Progress.
 func (run *scaleRun) reportDelays(name string) {
 	delays := run.cluster.TakeDelays()
 	responses, overtaken := latencyOf(delays.Heartbeats), latencyOf(delays.DirectCommandLead)
@@ -206,7 +206,7 @@
 	return r.stop(name, workers)
 }
 
-// unfinished returns the number of accepted jobs whose users have not been told a final state.
+// unfinished returns the number of accepted jobs for which no terminal state has been reported to a user.
 func (run *scaleRun) unfinished() (n int) {
 	run.audit.Jobs(func(j *cluster.AuditedJob) {
 		if !j.Accepted.IsZero() && j.TerminalState == "" {
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -35,7 +35,7 @@
 	}
 	s := res.Steps[0]
 	if s.Tasks < 30 || s.Leader.MemoryMB == 0 || s.Leader.Descriptors == 0 || s.Agents.MemoryMB == 0 || s.Traffic["commands"].Messages == 0 || s.Polls == 0 || s.Changes.Count == 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("figures of the first step are missing or too low: %+v", s)
 	}
 	if out, err := exec.Command("pgrep", "-f", program).Output(); err == nil && len(out) > 0 {
 		t.Errorf("processes still running: %s", out)
@@ -57,7 +57,7 @@
 		x := ScaleDefaults()
 		change(x)
 		if _, err := x.Run(context.Background()); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q: %v", want, err)
+			t.Errorf("error %v, want one with %q", err, want)
 		}
 	}
 }
--- a/experiment/scale_writes.go
+++ b/experiment/scale_writes.go
@@ -9,14 +9,15 @@
 	"switchferry/internal/cluster"
 )
 
-// jobKeyPrefixes are the key prefixes of the records that belong to a job. Records under other keys also change without jobs.
+// jobKeyPrefixes are the key prefixes of the records that belong to a job. Records under other keys also change when no
+// job does.
 var jobKeyPrefixes = []string{"sf/j", "sf/t", "sf/f", "sf/in"}
 
 // writesTimeout is the timeout for one job, from its submission to the removal of its records.
 const writesTimeout = time.Minute
 
-// measureWrites submits one job of each shape to an idle fleet and counts the changes in the state service from its acceptance to
-// the removal of its records.
+// measureWrites submits one job of each shape to an idle fleet and counts the changes in the state service from its
+// acceptance to the removal of its records.
 func (run *scaleRun) measureWrites(res *ScaleResult) error {
 	service := run.newJob(run.unlimitedTeam(0), 3, "prod", 0)
 	service.Shape = api.Service
@@ -34,7 +35,7 @@
 		{fmt.Sprintf("array of %d in a team with room for %d at once", atLimit.Tasks, limitedCPUs), atLimit, neverCancels},
 	} {
 		if shape.job.Tasks > 100*run.Sizes[0] {
-			continue // would take minutes on a small fleet
+			continue // The job would take minutes on a small fleet.
 		}
 		before := run.cluster.State.Changes()
 		id := run.users.startUser(run.ctx, shape.job, shape.cancel)
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -23,9 +23,9 @@
 	lateWriteShare = 0.2
 	// messageShare is the share of messages affected by LostHeartbeats, RepeatedHeartbeats and LateCommands.
 	messageShare = 0.25
-	// affectedWorkersOneIn: one worker in this many is affected by a fault of workers.
+	// affectedWorkersOneIn is the number of workers of which one is affected by a fault of workers.
 	affectedWorkersOneIn = 5
-	// endedWorkersOneIn: one worker in this many is ended by DyingWorkers or NoticedWorkers.
+	// endedWorkersOneIn is the number of workers of which one is ended by DyingWorkers or NoticedWorkers.
 	endedWorkersOneIn = 10
 	// slowMessageShare is the strength of SlowHeartbeats and SlowCommands.
 	slowMessageShare = 0.5
@@ -37,10 +37,10 @@
 	flapCut = 2500 * time.Millisecond
 	// flapOpen is how long FlappingPeers restores the connection between two cuts.
 	flapOpen = 700 * time.Millisecond
-	// flapRepliesCut is how long FlappingPeers cuts the replies: short enough that, after flapCut and flapOpen, a leader still
-	// counts as reachable.
+	// flapRepliesCut is how long FlappingPeers cuts the replies: short enough that, after flapCut and flapOpen, a
+	// leader still counts as reachable.
 	flapRepliesCut = 1800 * time.Millisecond
-	// seriesInterval is the time between a restart of KillSeries and the next kill.
+	// seriesInterval is the time between a restart by KillSeries and its next kill.
 	seriesInterval = 1500 * time.Millisecond
 	// seriesDowntime is how long a controller killed by KillSeries stays down.
 	seriesDowntime = 300 * time.Millisecond
@@ -64,8 +64,8 @@
 	return &injector{cluster: run, program: program, users: users, active: map[*Fault]int{}}
 }
 
-// run injects the faults of a schedule and returns when all have ended or ctx ends. All faults are removed by then, except
-// workers that were ended for good.
+// run injects the faults of a schedule and returns when all have ended or ctx ends. All faults are removed by then, but
+// workers that were ended stay ended.
 func (in *injector) run(ctx context.Context, faults []Fault) {
 	began := time.Now()
 	var running sync.WaitGroup
@@ -87,7 +87,7 @@
 	in.apply()
 	for _, controller := range in.cluster.Controllers {
 		controller.Resume()
-		_ = controller.Start(in.program) // Fails if it is running.
+		_ = controller.Start(in.program) // It fails if the controller is running.
 	}
 	for _, worker := range in.cluster.Workers() {
 		worker.BlockMessages(false, false)
@@ -146,7 +146,7 @@
 	}
 	sleep.OnRealClock(ctx, downtime)
 	for _, controller := range controllers {
-		_ = controller.Start(in.program) // Fails if another fault has started it.
+		_ = controller.Start(in.program) // It fails if another fault has started the controller.
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// endWorkers ends some workers for good, with or without a notice.
+// endWorkers ends some workers permanently, with or without a notice.
 func (in *injector) endWorkers(ctx context.Context, fault *Fault) {
 	ended := in.pickWorkers(endedWorkersOneIn)
 	if fault.Kind == NoticedWorkers {
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -48,7 +48,7 @@
 	RepeatedHeartbeats Kind = "repeated-heartbeats"
 	// LateCommands delays a share of the commands to all workers.
 	LateCommands Kind = "late-commands"
-	// DeafWorkers makes a fifth of the workers receive nothing.
+	// DeafWorkers drops all messages to a fifth of the workers.
 	DeafWorkers Kind = "deaf-workers"
 	// MuteWorkers drops all messages from a fifth of the workers.
 	MuteWorkers Kind = "mute-workers"
@@ -56,9 +56,10 @@
 	RestartedWorkers Kind = "restarted-workers"
 	// HungWorkers makes a fifth of the workers hang until the fault ends.
 	HungWorkers Kind = "hung-workers"
-	// DyingWorkers ends a tenth of the workers for good, without notice.
+	// DyingWorkers ends a tenth of the workers permanently, without notice.
 	DyingWorkers Kind = "dying-workers"
-	// NoticedWorkers ends a tenth of the workers for good, with a notice as long as the fault.
+	// NoticedWorkers ends a tenth of the workers permanently. The fault lasts from the preemption notice to their
+	// end.
 	NoticedWorkers Kind = "noticed-workers"
 	// SlowHeartbeats slows heartbeats in both directions while direct commands stay fast.
 	SlowHeartbeats Kind = "slow-heartbeats"
@@ -68,7 +69,8 @@
 	FailingStarts Kind = "failing-starts"
 	// SlowPeers delays the messages between controllers.
 	SlowPeers Kind = "slow-peers"
-	// FlappingPeers repeatedly cuts a controller off from its peers, alternately in both directions and only for its replies.
+	// FlappingPeers repeatedly cuts a controller off from its peers, alternately in both directions and only for its
+	// replies.
 	FlappingPeers Kind = "flapping-peers"
 	// cutReplies, a phase of FlappingPeers, blocks what a controller sends to its peers. It never occurs by itself.
 	cutReplies Kind = "cut-replies"
@@ -157,15 +159,15 @@
 	leaderShare = 0.6
 )
 
-// openingFaults are the kinds of faults that every run begins with, if they are enabled. They make start commands cross with exit
-// reports and stop commands.
+// openingFaults are the kinds of faults that every run begins with, if they are enabled. They make start commands cross
+// in transit with exit reports and stop commands.
 var openingFaults = []Kind{SlowHeartbeats, FailingStarts}
 
 // openingDuration is the duration of the opening faults.
 const openingDuration = 6 * time.Second
 
-// DrawSchedule returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given kinds. All
-// begin and end within the duration.
+// DrawSchedule returns the schedule for a seed, sorted by start: the opening faults, then random faults of the given
+// kinds. All begin and end within the duration.
 func DrawSchedule(seed uint64, kinds []Kind, controllers int, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var faults []Fault
--- a/experiment/soak/schedule_test.go
+++ b/experiment/soak/schedule_test.go
@@ -42,7 +42,7 @@
 func TestScheduleContainsOnlyRequestedKinds(t *testing.T) {
 	for _, fault := range DrawSchedule(3, []Kind{SlowState, Kill}, controllers, time.Minute) {
 		if fault.Kind != SlowState && fault.Kind != Kill {
-			t.Errorf("%s", fault)
+			t.Errorf("unrequested kind of fault: %s", fault)
 		}
 	}
 }
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -1,8 +1,10 @@
-// Package soak injects random faults into a cluster of real controllers over loopback, with stand-ins of the state service, the
-// cloud and the workers, while users submit, poll, resubmit and cancel jobs at all controllers. cluster.Observer checks the
-// protocol's rules from outside, by the answers that users receive and the actions of workers.
+// Package soak injects random faults into a cluster of real controllers over loopback, with stand-ins of the state
+// service, the cloud and the workers, while users submit, poll, resubmit and cancel jobs at all controllers.
+// cluster.Audit checks the rules of the protocol from outside: from the answers that users receive and the actions of
+// workers.
 //
-// A run's whole schedule is derived from one seed. Real processes are not deterministic, so the logs of a failed run are kept.
+// A run's whole schedule is derived from one seed. Real processes are not deterministic, so the logs of a failed run
+// are kept.
 package soak
 
 import (
@@ -33,20 +35,21 @@
 	teamCPUsPerWorker = 7
 	// controllers is the number of controllers.
 	controllers = 3
-	// maxWorkers and maxSeeds are the maxima of Options.Workers and Options.Seeds.
+	// maxWorkers is the maximum of Options.Workers.
 	maxWorkers = 1000
-	maxSeeds   = 1000
+	// maxSeeds is the maximum of Options.Seeds.
+	maxSeeds = 1000
 	// settleTimeout is how long a run waits after its faults for unfinished jobs.
 	settleTimeout = 85 * time.Second
-	// forgottenAfter is the time without an answer about a job after which it counts as forgotten.
+	// forgottenAfter is the time without an answer about a job after which the job counts as unanswered.
 	forgottenAfter = 75 * time.Second
-	// minAnswersPerS is the minimum rate of answered questions, and minTerms the minimum number of terms, of a conclusive
-	// run.
+	// minAnswersPerS is the minimum rate of answers, per second, of a conclusive run.
 	minAnswersPerS = 5
-	minTerms       = 2
+	// minTerms is the minimum number of terms of a conclusive run.
+	minTerms = 2
 	// settlePollInterval is the interval at which a run checks for unfinished jobs.
 	settlePollInterval = 250 * time.Millisecond
-	// sweepInterval is the interval between sweeps of the audit.
+	// sweepInterval is the interval between the audit's checks of cancelled jobs.
 	sweepInterval = time.Second
 	// leaderTimeout is how long to wait for the first leader.
 	leaderTimeout = 20 * time.Second
@@ -79,7 +82,7 @@
 	return &Options{First: 1, Seeds: 10, Workers: 12, ForS: 30, AtOnce: 2, LogLevel: "info", Progress: func(string, ...any) {}}
 }
 
-// Errors returned by Options.Check; each names the option to correct.
+// Errors that Options.Check returns. Each names the invalid option.
 var (
 	ErrSeeds   = fmt.Errorf("--seeds: from 1 to %d", maxSeeds)
 	ErrWorkers = fmt.Errorf("--workers: from 1 to %d", maxWorkers)
@@ -89,7 +92,8 @@
 	ErrProgram = errors.New("--program: no such program")
 )
 
-// Check returns an error that wraps one of the errors above if an option is invalid.
+// Check returns an error that is or wraps ErrSeeds, ErrWorkers, ErrFor, ErrAtOnce, ErrKind or ErrProgram if an option
+// is invalid.
 func (o *Options) Check() error {
 	switch {
 	case o.Seeds < 1 || o.Seeds > maxSeeds:
@@ -119,20 +123,22 @@
 	Seconds  float64        `json:"seconds"`
 	Schedule []string       `json:"schedule"`
 	Faults   map[string]int `json:"faults"`
-	// Questions counts the requests of users and Answers the answers to them. Crossed counts the answers that were overtaken
-	// by a newer one.
+	// Questions counts the requests of users and Answers the answers to them. Crossed counts the answers that arrived
+	// after a newer one.
 	Questions int `json:"questions"`
 	Answers   int `json:"answers"`
 	Crossed   int `json:"crossed"`
-	// Told counts the jobs whose final state a user was told, Starts the task starts, and Terms the leaders' terms.
+	// Told counts the jobs whose terminal state was reported to a user, Starts the task starts, and Terms the leaders'
+	// terms.
 	Told   int `json:"told"`
 	Starts int `json:"starts"`
 	Terms  int `json:"terms"`
-	// Crossings counts start commands that had no effect because they crossed with another message. Releases counts, from the
-	// leaders' logs, the released allocations by the proof that allowed it, and the messages about an attempt that crossed.
+	// Crossings counts start commands that had no effect because they crossed with another message. Releases counts,
+	// from the leaders' logs, the released allocations by the proof that allowed the release, and the messages about an
+	// attempt that crossed.
 	Crossings cluster.IneffectiveStarts `json:"crossings"`
 	Releases  map[string]int            `json:"releases"`
-	// Unfinished counts the accepted jobs that had not ended when the run ended.
+	// Unfinished counts the accepted jobs that were not in a terminal state when the run ended.
 	Unfinished int `json:"unfinished"`
 	// UnexpectedExits counts the controllers whose last process exited without being killed.
 	UnexpectedExits int `json:"ended_by_themselves"`
@@ -147,8 +153,8 @@
 	Logs string `json:"logs,omitempty"`
 }
 
-// Failed reports whether a rule was violated, a controller logged an invariant violation, or a controller exited without being
-// killed.
+// Failed reports whether a rule was violated, a controller logged an invariant violation, or a controller exited
+// without being killed.
 func (r *Run) Failed() bool {
 	return len(r.Broken) > 0 || r.Contradictions > 0 || r.UnexpectedExits > 0
 }
@@ -169,8 +175,8 @@
 	return failed
 }
 
-// Play runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid options, if a
-// run cannot be set up, or if ctx ends; the result then has the runs that were completed.
+// Play runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid
+// options, if a run cannot be set up, or if ctx ends; the result then has the runs that were completed.
 func (o *Options) Play(ctx context.Context) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -295,8 +301,8 @@
 	return nil
 }
 
-// runFaults runs the users while the faults are injected, and afterwards until all jobs have ended or settleTimeout has passed.
-// It returns the number of unfinished jobs.
+// runFaults runs the users while the faults are injected, and afterwards until all jobs are in a terminal state or
+// settleTimeout has passed. It returns the number of unfinished jobs.
 func (o *Options) runFaults(ctx context.Context, running *cluster.Cluster, audit *cluster.Audit, faults []Fault, duration time.Duration) int {
 	users := newUsers(running, audit)
 	settled, stop := context.WithCancel(ctx)
@@ -361,14 +367,14 @@
 	} else {
 		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
-	o.Progress("seed %d: %.0f s, %d of %d questions answered, %d final states told, %d starts, %d terms, %d crossed starts, %d unfinished, %d unexpected exits, %d invariant violations, rules violated %v %s", run.Seed, run.Seconds,
+	o.Progress("seed %d: %.0f s, %d of %d requests answered, %d terminal states reported, %d starts, %d terms, %d crossed starts, %d unfinished, %d unexpected exits, %d invariant violations, rules violated %v %s", run.Seed, run.Seconds,
 		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
 	for _, why := range run.Details {
 		o.Progress("seed %d: %s", run.Seed, why)
 	}
 }
 
-// releasesMessage marks the log lines with a term's counts of released allocations so far.
+// releasesMessage identifies the log lines that have the counts of released allocations since the beginning of a term.
 const releasesMessage = `msg="attempts released"`
 
 // readLogs returns the contents of all logs in a directory, except those that cannot be read.
@@ -382,7 +388,7 @@
 	return texts
 }
 
-// countReleases returns the sum of the last counts of each term.
+// countReleases returns, by name, the sums over all terms of the last counts that each term logged.
 func countReleases(logs []string) map[string]int {
 	latest := map[string]string{}
 	for _, text := range logs {
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -22,8 +22,8 @@
 	return program
 }
 
-// Random faults with fixed seeds on real processes violate no rule, no controller logs an invariant violation, and no process is
-// left running.
+// Random faults with fixed seeds on real processes violate no rule, no controller logs an invariant violation, and no
+// process is left running.
 func TestRandomFaultsViolateNoRule(t *testing.T) {
 	if raceDetector {
 		t.Skip("the controllers are built without the race detector, so the run would be the same as without it")
@@ -48,7 +48,7 @@
 	}
 }
 
-// printLogs prints the end of each log of a failed run, because a test's directory is removed with it.
+// printLogs prints the end of each log of a failed run, because the test's temporary directory is removed at its end.
 func printLogs(t *testing.T, directory string) {
 	t.Helper()
 	const mostBytes = 20_000
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -16,8 +16,9 @@
 
 // Behavior of users.
 const (
-	// pollTimeout is the timeout of a poll, callTimeout that of any other request.
+	// pollTimeout is the timeout of a poll.
 	pollTimeout = 2 * time.Second
+	// callTimeout is the timeout of any other request.
 	callTimeout = 5 * time.Second
 	// retryPause is the delay before a request is retried, and the minimum interval between polls.
 	retryPause = 200 * time.Millisecond
@@ -25,13 +26,13 @@
 	maxPollJitter = 900 * time.Millisecond
 	// maxSubmitPause is the maximum pause of a user between submissions.
 	maxSubmitPause = 1500 * time.Millisecond
-	// endedJobInterval is the interval between requests about jobs that have ended.
+	// endedJobInterval is the interval between requests about jobs in a terminal state.
 	endedJobInterval = 60 * time.Millisecond
 	// unknownIDStart is the lowest number in the IDs of jobs that do not exist.
 	unknownIDStart = 900_000
 	// pipelineShare is the share of submissions that start a pipeline.
 	pipelineShare = 0.3
-	// askAllShare is the share of events in a job's life after which all controllers are asked about it at once.
+	// askAllShare is the probability that a call of askAllControllers sends requests.
 	askAllShare = 0.4
 	// cancelNowShare is the share of jobs that are cancelled immediately, and the share whose tasks are very short.
 	cancelNowShare = 0.2
@@ -39,7 +40,7 @@
 	cancelLaterShare = 0.2
 	// serviceShare is the share of services among the jobs that await no other job.
 	serviceShare = 0.1
-	// unknownShare is the share of requests of revisit that are about jobs that do not exist.
+	// unknownShare is the share of requests of askAboutEndedJobs that are about jobs that do not exist.
 	unknownShare = 0.05
 	// maxPipelineJobs is the maximum number of jobs in a pipeline.
 	maxPipelineJobs = 3
@@ -51,7 +52,7 @@
 	shortTaskS = 0.01
 )
 
-// users simulates users, who submit jobs, ask about them at all controllers, resubmit them and cancel some. All answers are
+// users simulates users, who submit jobs, poll and resubmit them at all controllers, and cancel some. All answers are
 // passed to the audit.
 type users struct {
 	cluster *cluster.Cluster
@@ -61,7 +62,7 @@
 	mu sync.Mutex
 	// jobs is the number of jobs created so far.
 	jobs int
-	// open has the accepted jobs that have not ended, by ID; ended has those that have ended.
+	// open has the accepted jobs that are not in a terminal state, by ID; ended has those that are.
 	open  map[string]*job
 	ended []*job
 }
@@ -99,8 +100,8 @@
 	return &job{submission, body}
 }
 
-// submitJobs submits jobs and pipelines one after the other until ctx ends. Submitted jobs are followed until they have ended or
-// settled ends; following waits for that.
+// submitJobs submits jobs and pipelines one after the other until ctx ends. Each submitted job is polled in a goroutine
+// of the group following until it is in a terminal state or settled ends.
 func (u *users) submitJobs(ctx, settled context.Context, following *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		length := 1
@@ -134,7 +135,7 @@
 	return false
 }
 
-// pollUntilEnded polls a job until it has ended, and cancels some jobs.
+// pollUntilEnded polls a job until it is in a terminal state. It cancels some of the jobs.
 func (u *users) pollUntilEnded(ctx context.Context, job *job) {
 	u.askAllControllers(ctx, job)
 	choice := rand.Float64()
@@ -162,7 +163,7 @@
 	u.ended = append(u.ended, job)
 }
 
-// cancel retries a cancellation until the job has ended, and then calls askAllControllers.
+// cancel retries a cancellation until the job is in a terminal state, and then calls askAllControllers.
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
@@ -174,7 +175,8 @@
 	}
 }
 
-// cancelMany cancels up to most of the jobs that have not ended, all at once. It does not wait for the answers.
+// cancelMany cancels up to limit of the jobs that are not in a terminal state, all at once. It does not wait for the
+// answers.
 func (u *users) cancelMany(ctx context.Context, limit int) {
 	u.mu.Lock()
 	var chosen []*job
@@ -189,8 +191,8 @@
 	}
 }
 
-// askAllControllers asks all controllers about a job and resubmits it to them, all at once. It does so in askAllShare of the
-// calls.
+// askAllControllers sends a status request and a resubmission of a job to all controllers, all at once. It does so with
+// probability askAllShare.
 func (u *users) askAllControllers(ctx context.Context, job *job) {
 	if rand.Float64() >= askAllShare {
 		return
@@ -204,7 +206,8 @@
 	asking.Wait()
 }
 
-// askAboutEndedJobs polls, resubmits and cancels jobs that have ended, and polls jobs that do not exist, until ctx ends.
+// askAboutEndedJobs polls, resubmits and cancels jobs in a terminal state, and polls jobs that do not exist, until ctx
+// ends.
 func (u *users) askAboutEndedJobs(ctx context.Context) {
 	for sleep.OnRealClock(ctx, endedJobInterval) {
 		if rand.Float64() < unknownShare {
@@ -224,7 +227,7 @@
 		kinds := []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest, cluster.CancelRequest}
 		kind := kinds[rand.IntN(len(kinds))]
 		if kind == cluster.CancelRequest {
-			// The job has ended, so the answer must be its final state.
+			// The job is in a terminal state, so the answer must be that state.
 			u.audit.CancelRequested(ended.ID)
 		}
 		u.request(ctx, kind, ended, u.randomController())
@@ -236,8 +239,8 @@
 	return u.cluster.Controllers[rand.IntN(len(u.cluster.Controllers))]
 }
 
-// request sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer; over reports
-// whether the job has ended.
+// request sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer;
+// over reports whether the job is in a terminal state.
 func (u *users) request(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, over bool) {
 	method, path, timeout := http.MethodPost, "/submissions", callTimeout
 	var body []byte
@@ -263,7 +266,7 @@
 	return question.Status, u.audit.CheckAnswer(question)
 }
 
-// unfinished returns the number of accepted jobs that have not ended.
+// unfinished returns the number of accepted jobs that are not in a terminal state.
 func (u *users) unfinished() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -43,12 +43,13 @@
 	Placements []TopologyFigures `json:"placements"`
 }
 
-// TopologyFigures holds the figures of one placer over all seeds. PlacedN is the number of placed tasks. Violations counts,
-// for each simulated second, the jobs that exceed a spread bound or whose tasks are spread over several domains although
-// they must be close together. CloseTogether counts the jobs with such a requirement that were placed within one domain;
-// ClosePossible counts these and the jobs that still waited although, after two rounds in a row, an exact search found a
-// domain with enough capacity. WaitP95 is the wait of the jobs in CloseTogether. Fragmentation is the mean share of the
-// free CPUs on which no task of 8 CPUs fits. A decision time is that of a round divided by the number of tasks placed.
+// TopologyFigures holds the figures of one placer over all seeds. PlacedN is the number of placed tasks. Violations
+// counts, for each simulated second, the jobs that exceed a spread bound or whose tasks are spread over several domains
+// although they must be close together. CloseTogether counts the jobs whose tasks must be close together and were
+// placed within one domain; ClosePossible counts these and the jobs that still waited although, after two consecutive
+// rounds, an exact search found a domain with enough capacity. WaitP95 is the wait of the jobs in CloseTogether.
+// Fragmentation is the mean share of the free CPUs on which no task of 8 CPUs fits. DecisionP50 and DecisionP99 are
+// percentiles of the decision time per task: the time of a round divided by the number of tasks that it placed.
 type TopologyFigures struct {
 	Name          string  `json:"name"`
 	PlacedN       int     `json:"placed"`
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -20,7 +20,7 @@
 	cancel(id string)
 	// heartbeat passes a machine's heartbeat to the placer and executes the commands in the response.
 	heartbeat(m *rackMachine)
-	// round runs one round of placement and returns how long the decision took.
+	// round runs one placement round and returns how long the decisions took.
 	round() time.Duration
 	// allPlaced reports whether all tasks of a job have been placed, even if a machine became unreachable before it
 	// received the command.
@@ -72,7 +72,7 @@
 }
 
 func (p *schedulerPlacer) submit(s *api.Submission) {
-	// The context has ended, so that Submit does not wait for the record, which is stored below.
+	// The context has ended, so Submit does not wait until the record is stored. It counts as stored below.
 	ended, stop := context.WithCancel(context.Background())
 	stop()
 	c := *s
@@ -236,8 +236,8 @@
 	return time.Since(began)
 }
 
-// placeJob places a job's missing tasks on some of the machines. If the tasks must be close together, it places all or none.
-// It returns false if it placed none for that reason.
+// placeJob places those tasks of a job that neither run nor have completed. If the tasks must be close together, it
+// places all or none, and returns false if it placed none for that reason.
 func (p *randomPlacer) placeJob(j *rackJob, machines []*rackMachine) bool {
 	p.rng.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
 	inRack := map[string]int{}
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -26,7 +26,7 @@
 	ends    time.Time // zero for a task of a service
 }
 
-// rackMachine is a simulated machine.
+// rackMachine is a simulated machine in a rack.
 type rackMachine struct {
 	// switchName is the name of the machine's switch.
 	name, rack, switchName string
@@ -34,7 +34,7 @@
 	tasks                  map[string]*rackTask
 	// exited has the reports of tasks that have exited and that the scheduler has not cleared yet.
 	exited []api.TaskReport
-	// outageLeft is how many more seconds the machine is unreachable, outageSeconds for how many it has been so far.
+	// outageLeft is for how many more seconds the machine is unreachable, outageSeconds for how many it has been so far.
 	outageLeft    int
 	session       uint64
 	seq           uint64
@@ -65,7 +65,7 @@
 	jobOrder []*rackJob
 	// placed counts the tasks that were started.
 	placed int
-	// nextNumber numbers jobs and replaced machines.
+	// nextNumber is the number of the latest job or replacement machine.
 	nextNumber int
 }
 
@@ -107,7 +107,7 @@
 	return topology.Parse([]byte(b.String()))
 }
 
-// submitJobs cancels the services whose time has come, and submits jobs until the requested CPUs reach Load.
+// submitJobs cancels the services that are due for cancellation, and submits jobs until the requested CPUs reach Load.
 func (w *rackWorld) submitJobs(p placer) {
 	requested, total := 0.0, 0.0
 	for _, m := range w.machines {
@@ -174,7 +174,7 @@
 // leaseSeconds is the duration of a worker's lease.
 const leaseSeconds = 12
 
-// endTasksAndHeartbeat ends the tasks whose run time is over and sends the heartbeats of all reachable machines.
+// endTasksAndHeartbeat ends the tasks whose run time has passed and sends the heartbeats of all reachable machines.
 func (w *rackWorld) endTasksAndHeartbeat(p placer) {
 	now := w.clock.Now()
 	for _, m := range w.machines {
@@ -214,8 +214,8 @@
 	w.jobs[t.job].running--
 }
 
-// countPlacements counts violations of bounds and jobs that wait although they would fit. It also advances the outages of
-// machines and ends the tasks of those whose lease has expired.
+// countPlacements counts violations of bounds and jobs that wait although they would fit. It also advances the outages
+// of machines and ends the tasks of those whose lease has expired.
 func (w *rackWorld) countPlacements(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
 	racks, switches := map[string]map[string]int{}, map[string]map[string]int{}
 	count := func(tasksByDomain map[string]map[string]int, job, key string) {
@@ -302,10 +302,10 @@
 	return false
 }
 
-// fits reports whether all tasks of a job fit on the machines at once. It maximizes the number of tasks by a linear program
-// with one variable for each group of machines in a rack that have room for the same number of tasks. A variable is
-// bounded by the group's room, and the sum over a rack by the job's spread bound. The program is a network flow, so its
-// maximum is an integer.
+// fits reports whether all tasks of a job fit on the machines at once. It maximizes the number of tasks by a linear
+// program with one variable for each group of machines in a rack that can hold the same number of tasks each. A
+// variable is bounded by the number of tasks that fit on its group, and the sum over a rack by the job's spread bound.
+// The program is a network flow, so its maximum is an integer.
 func fits(machines []*rackMachine, submission *api.Submission) bool {
 	type group struct {
 		rack string
@@ -347,8 +347,8 @@
 	return err == nil && -negatedMax >= float64(submission.Tasks)-1e-6
 }
 
-// fragmentation returns the share of the free CPUs on which no task of 8 CPUs fits; the result is false if there are no free
-// CPUs.
+// fragmentation returns the share of the free CPUs on which no task of 8 CPUs fits. The second result is false if there
+// are no free CPUs.
 func (w *rackWorld) fragmentation() (float64, bool) {
 	free, whole := 0.0, 0.0
 	for _, m := range w.machines {
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -8,7 +8,7 @@
 )
 
 // With a topology the Scheduler exceeds no bound and places every job that fits. Without one the same jobs violate
-// bounds, which the count must show.
+// bounds, and the experiment must count the violations.
 func TestTopologyKeepsBoundsAndPlacesWhatFits(t *testing.T) {
 	x := TopologyDefaults()
 	x.Machines, x.Seconds, x.Seeds = 120, 120, 2
@@ -21,13 +21,13 @@
 		byName[f.Name] = f
 	}
 	if f := byName["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.PlacedN == 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("violations, or jobs not placed that fit, with a topology: %+v", f)
 	}
 	if f := byName["today"]; f.Violations == 0 {
 		t.Errorf("no violations counted without a topology: %+v", f)
 	}
 	if f := byName["random"]; f.Violations > 0 || f.CloseTogether == 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("violations, or no job placed close together, with random placement: %+v", f)
 	}
 }
 
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -48,8 +48,8 @@
 	Awaiting int `json:"jobs_that_await"`
 	Tasks    int `json:"tasks_started"`
 	// RanTwice counts starts of a task that still ran on another machine; TooEarly counts starts before an awaited job
-	// was done; Wrong counts impossible states and refused submissions; Unended counts jobs that did not end; Forgotten
-	// counts answers that an accepted job is unknown.
+	// was done; Wrong counts impossible states and refused submissions; Unended counts jobs that reached no terminal
+	// state; Forgotten counts answers that an accepted job is unknown.
 	RanTwice  int `json:"ran_twice"`
 	TooEarly  int `json:"too_early"`
 	Wrong     int `json:"wrong_states"`
@@ -109,7 +109,7 @@
 type userJob struct {
 	api.Submission
 	accepted, cancelled bool
-	finalState          string // final state that the user was told; empty before
+	finalState          string // terminal state that was reported to the user; empty before
 }
 
 // reducedLimits are the lower limits that the state service applies from some time during a run.
@@ -214,11 +214,11 @@
 	r.completed[task] = r.completed[task] || done
 }
 
-// runUsers submits, polls and cancels jobs during the rolling upgrade and waits until all jobs have ended. It counts those that
-// have not.
+// runUsers submits, polls and cancels jobs during the rolling upgrade and waits until all jobs are in a terminal state.
+// It counts the jobs that do not get there.
 func (r *upgradeRun) runUsers(ctx context.Context) error {
 	if err := r.waitUntil(ctx, 20*time.Second, func() bool { return r.submit(ctx, nil, 4) }); err != nil {
-		return fmt.Errorf("the older version takes no job: %w", err)
+		return fmt.Errorf("the older version accepted no job: %w", err)
 	}
 	for next := 0; next < 3; {
 		for range 4 + r.rng.IntN(6) {
@@ -226,8 +226,8 @@
 			r.pollJobs(ctx)
 			r.pause(ctx, 150)
 		}
-		// First a random controller that is not upgraded yet is killed, then the next one in turn. Only the latter may come
-		// back with the newer program.
+		// First a random controller that is not upgraded yet is killed, then the next one in turn. Only the latter may be
+		// restarted with the newer program.
 		for _, i := range []int{next + r.rng.IntN(3-next), next} {
 			m, to := r.cluster.Controllers[i], r.From
 			m.Kill()
@@ -247,7 +247,7 @@
 	}
 	began := time.Now()
 	if err := r.waitUntil(ctx, 30*time.Second, func() bool { return r.submit(ctx, r.jobsToAwait(), 3) }); err != nil {
-		return fmt.Errorf("no job that awaits another is taken after the roll: %w", err)
+		return fmt.Errorf("no job that awaits another job was accepted after the rolling upgrade: %w", err)
 	}
 	r.res.SwitchedS = time.Since(began).Seconds()
 	for i := range 40 {
@@ -321,7 +321,8 @@
 	return ids
 }
 
-// submit tries to submit one job, up to four times, each at a random controller. It reports whether the job was accepted.
+// submit tries to submit one job, up to four times, each at a random controller. It reports whether the job was
+// accepted.
 func (r *upgradeRun) submit(ctx context.Context, awaits []string, tasks int) bool {
 	r.mu.Lock()
 	id := fmt.Sprintf("run-%06d", len(r.jobs))
@@ -358,12 +359,14 @@
 	}
 }
 
-// cancelConfirmed reports whether the cancellation of a job, or of one that it awaits directly or indirectly, was confirmed.
+// cancelConfirmed reports whether the cancellation of a job, or of one that it awaits directly or indirectly, was
+// confirmed.
 func (r *upgradeRun) cancelConfirmed(id string) bool {
 	return r.jobs[id].cancelled || slices.ContainsFunc(r.jobs[id].Awaits, r.cancelConfirmed)
 }
 
-// pollJobs polls each accepted job that has not ended once at a random controller, and a tenth of those that have ended.
+// pollJobs polls each accepted job once at a random controller, but only a tenth of the jobs whose terminal state has
+// been reported to the user.
 func (r *upgradeRun) pollJobs(ctx context.Context) {
 	for _, id := range r.ids() {
 		a := r.jobs[id]
@@ -393,7 +396,7 @@
 	}
 }
 
-// unfinished returns the number of accepted jobs that have not ended.
+// unfinished returns the number of accepted jobs for which no terminal state has been reported to the user.
 func (r *upgradeRun) unfinished() (n int) {
 	for _, a := range r.jobs {
 		if a.accepted && a.finalState == "" {
