--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -226,7 +226,7 @@
 // submitAndWait submits the jobs at their arrival times and waits until all have ended.
 func (p *localityRun) submitAndWait(ctx context.Context, jobs []arrival, name string) (PlacementFigures, error) {
 	begin := time.Now()
-	touched := map[int]bool{}
+	usedDatasets := map[int]bool{}
 	var wg sync.WaitGroup
 	for i, j := range jobs {
 		select {
@@ -234,7 +234,7 @@
 			return PlacementFigures{}, ctx.Err()
 		case <-time.After(time.Until(begin.Add(j.at))):
 		}
-		touched[j.dataset] = true
+		usedDatasets[j.dataset] = true
 		s := api.Submission{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: p.Parts, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprintf("image-%d", j.image), ImageGB: 0.5, Spot: true, EstimateS: p.TaskRunS,
 			Inputs: []api.Input{{Dataset: datasetName(j.dataset), Use: api.UseOwnPart}}}
@@ -257,7 +257,7 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	f := PlacementFigures{Name: name, LeastBytes: int64(len(touched)) * int64(p.Parts*p.PartBytes)}
+	f := PlacementFigures{Name: name, LeastBytes: int64(len(usedDatasets)) * int64(p.Parts*p.PartBytes)}
 	for _, m := range p.machines {
 		r := m.agent.Heartbeat(false)
 		f.StoreBytes += r.BytesFromStore
@@ -295,11 +295,11 @@
 	}
 }
 
-func (p *localityRun) sendCommands(name string, o api.HeartbeatResponse) {
+func (p *localityRun) sendCommands(name string, response api.HeartbeatResponse) {
 	m := p.machines[name]
-	m.execute(p, o)
+	m.execute(p, response)
 	r := m.heartbeat()
-	p.scheduler.HandleCommandOutcome(name, o, r, true)
+	p.scheduler.HandleCommandOutcome(name, response, r, true)
 }
 
 // localityRecords is a record writer whose records count as stored after the next placement round.
--- a/experiment/locality_machines.go
+++ b/experiment/locality_machines.go
@@ -55,11 +55,11 @@
 // sendHeartbeats sends the heartbeats of the worker and of the agent until ctx ends.
 func (m *machine) sendHeartbeats(ctx context.Context, p *localityRun) {
 	for ctx.Err() == nil {
-		o, _, _ := p.scheduler.HandleHeartbeat(m.heartbeat(), "")
-		m.execute(p, o)
-		r := m.agent.NextHeartbeat()
-		if so, _, refused := p.scheduler.HandleStageHeartbeat(&r); !refused {
-			_, _ = m.agent.Apply(&so)
+		response, _, _ := p.scheduler.HandleHeartbeat(m.heartbeat(), "")
+		m.execute(p, response)
+		stageHeartbeat := m.agent.NextHeartbeat()
+		if stageOrder, _, refused := p.scheduler.HandleStageHeartbeat(&stageHeartbeat); !refused {
+			_, _ = m.agent.Apply(&stageOrder)
 		}
 		select {
 		case <-ctx.Done():
@@ -69,10 +69,10 @@
 	}
 }
 
-func (m *machine) applyStageOrder(leader *scheduler.Scheduler, o api.StageOrder) {
-	_, _ = m.agent.Apply(&o)
-	r := m.agent.NextHeartbeat()
-	leader.HandleStageHeartbeat(&r)
+func (m *machine) applyStageOrder(leader *scheduler.Scheduler, order api.StageOrder) {
+	_, _ = m.agent.Apply(&order)
+	heartbeat := m.agent.NextHeartbeat()
+	leader.HandleStageHeartbeat(&heartbeat)
 }
 
 func (m *machine) heartbeat() *api.Heartbeat {
@@ -87,11 +87,11 @@
 }
 
 // execute executes commands as a worker does.
-func (m *machine) execute(p *localityRun, o api.HeartbeatResponse) {
+func (m *machine) execute(p *localityRun, response api.HeartbeatResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.term = max(m.term, o.Term)
-	for _, c := range o.Commands {
+	m.term = max(m.term, response.Term)
+	for _, c := range response.Commands {
 		t := m.tasks[c.Task]
 		switch {
 		case c.Verb == api.CommandRun && t == nil:
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -38,8 +38,8 @@
 func OrderDefaults() *Order { return &Order{Times: 1, ToS: math.MaxFloat32, SlotS: 5, Rounds: 600} }
 
 // OrderResult compares the jobs of a class that met their deadline with those that could have. Alone counts
-// jobs that would have missed it with the whole fleet to themselves. Most is the upper bound that package
-// upperbound gives for the others, after subtracting the capacity that jobs of other classes with the same or
+// jobs that would have missed it with the whole fleet to themselves. Most is the bound that package
+// upperbound computes for the others, after subtracting the capacity that jobs of other classes with the same or
 // a higher rank used. Jobs with a task that never completed are not counted.
 type OrderResult struct {
 	Class string `json:"class"`
@@ -80,7 +80,7 @@
 	}
 }
 
-// loggedJob is a job as the logs show it. Times are in seconds since the first log line; 0 means that the event did
+// loggedJob is a job as the logs show it. All times are in seconds since the first log line; 0 means that the event did
 // not happen.
 type loggedJob struct {
 	class           string
@@ -108,7 +108,7 @@
 }
 
 // dayLog is the content of a day's logs. Each element of fleetCPUs is a time and the fleet's CPUs at that time.
-// lastAt is the time of the last log line. Times are in seconds since the first log line.
+// lastAt is the time of the last log line. All times are in seconds since the first log line.
 type dayLog struct {
 	jobs      map[string]*loggedJob
 	runs      []loggedRun
@@ -188,9 +188,9 @@
 	return res, nil
 }
 
-// scanLog reads log lines and ignores what precedes time= on a line. For each line it calls take with the line's
+// scanLog reads log lines and ignores what precedes time= on a line. For each line it calls handleLine with the line's
 // attributes and its time in seconds since the first line.
-func scanLog(r io.Reader, take func(kv map[string]string, at float64)) error {
+func scanLog(r io.Reader, handleLine func(kv map[string]string, at float64)) error {
 	var begin time.Time
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 4<<20)
@@ -213,7 +213,7 @@
 		if begin.IsZero() {
 			begin = when
 		}
-		take(kv, math.Max(0, when.Sub(begin).Seconds()))
+		handleLine(kv, math.Max(0, when.Sub(begin).Seconds()))
 	}
 	if begin.IsZero() {
 		return errors.New("not a switchferry log: no line has time=")
--- a/experiment/population.go
+++ b/experiment/population.go
@@ -154,10 +154,10 @@
 		return false
 	}
 	for began := time.Now(); time.Since(began) < submitTimeout; {
-		askedAt := time.Now()
+		sentAt := time.Now()
 		status, answer := p.request(ctx, callTimeout, http.MethodPost, "/submissions", body)
 		if status == http.StatusCreated || status == http.StatusOK {
-			p.checkAnswer(cluster.SubmitRequest, job.ID, askedAt, status, answer.State)
+			p.checkAnswer(cluster.SubmitRequest, job.ID, sentAt, status, answer.State)
 			p.locked(func() { _ = p.submissionLatency.RecordValue(max(1, time.Since(began).Milliseconds())) })
 			return true
 		}
@@ -171,38 +171,38 @@
 
 func (p *population) cancel(ctx context.Context, id string) bool {
 	p.audit.CancelRequested(id)
-	askedAt := time.Now()
+	sentAt := time.Now()
 	status, answer := p.request(ctx, callTimeout, http.MethodPost, "/submissions/"+id+"/cancel", nil)
 	if status != http.StatusOK {
 		return false
 	}
-	p.checkAnswer(cluster.CancelRequest, id, askedAt, status, answer.State)
+	p.checkAnswer(cluster.CancelRequest, id, sentAt, status, answer.State)
 	return true
 }
 
 // checkAnswer passes an answer to the audit, which checks it, and reports whether the job is in a terminal state.
-func (p *population) checkAnswer(kind cluster.RequestKind, id string, askedAt time.Time, status int, state string) (over bool) {
-	return p.audit.CheckAnswer(cluster.JobRequest{JobID: id, Kind: kind, SentAt: askedAt, AnsweredAt: time.Now(), Status: status, State: state})
+func (p *population) checkAnswer(kind cluster.RequestKind, id string, sentAt time.Time, status int, state string) (terminal bool) {
+	return p.audit.CheckAnswer(cluster.JobRequest{JobID: id, Kind: kind, SentAt: sentAt, AnsweredAt: time.Now(), Status: status, State: state})
 }
 
 // poll polls a job once and reports whether it is in a terminal state.
 func (p *population) poll(ctx context.Context, id string) bool {
-	askedAt := time.Now()
+	sentAt := time.Now()
 	status, answer := p.request(ctx, pollTimeout, http.MethodGet, "/submissions/"+id, nil)
 	p.locked(func() { p.polls++ })
 	if status != http.StatusOK && status != http.StatusNotFound {
 		p.locked(func() { p.failedPolls++ })
 		return false
 	}
-	over := p.checkAnswer(cluster.StatusRequest, id, askedAt, status, answer.State)
-	if over && answer.State == api.Done {
+	terminal := p.checkAnswer(cluster.StatusRequest, id, sentAt, status, answer.State)
+	if terminal && answer.State == api.Done {
 		p.audit.Jobs(func(j *cluster.AuditedJob) {
 			if at := j.Finished(); j.ID == id && !at.IsZero() {
 				p.locked(func() { _ = p.doneDelay.RecordValue(max(1, time.Since(at).Milliseconds())) })
 			}
 		})
 	}
-	return over
+	return terminal
 }
 
 func (p *population) locked(change func()) {
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -153,11 +153,11 @@
 	Cases    []ScaleCase `json:"cases"`
 	// Jobs has the number of writes that one job of each shape causes.
 	Jobs []capacity.JobCost `json:"jobs"`
-	// Broken counts violations by rule; Why describes the first ones. StateRefused counts the requests that the state
-	// service refused, by reason.
-	Broken       map[string]int `json:"rules_broken"`
-	Why          []string       `json:"why,omitempty"`
-	StateRefused map[string]int `json:"state_refused"`
+	// Violations has the number of violations of each rule; ViolationDetails describes the first ones. StateRefused
+	// counts the requests that the state service refused, by reason.
+	Violations       map[string]int `json:"rules_broken"`
+	ViolationDetails []string       `json:"why,omitempty"`
+	StateRefused     map[string]int `json:"state_refused"`
 }
 
 // Record returns the measurements that package capacity fits its models to. command is the command line that produced
@@ -224,10 +224,10 @@
 		return nil, err
 	}
 	run.audit.CheckCancelledJobs()
-	res.Broken, res.Why = run.audit.Violations()
+	res.Violations, res.ViolationDetails = run.audit.Violations()
 	res.StateRefused = run.cluster.State.Refusals()
-	if len(res.Broken) > 0 {
-		return res, fmt.Errorf("rules were violated: %v: %v", res.Broken, res.Why)
+	if len(res.Violations) > 0 {
+		return res, fmt.Errorf("rules were violated: %v: %v", res.Violations, res.ViolationDetails)
 	}
 	return res, nil
 }
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -158,7 +158,7 @@
 const recoveredPercent = 97
 
 // observe observes the fleet five times a second until WatchS after the fault has ended.
-func (run *scaleRun) observe(c *ScaleCase, began time.Time, before int, term uint64, changesLeader bool, faultEnded <-chan time.Time) {
+func (run *scaleRun) observe(c *ScaleCase, began time.Time, runningBefore int, term uint64, changesLeader bool, faultEnded <-chan time.Time) {
 	var ended time.Time
 	for run.cluster.Sleep(200 * time.Millisecond) {
 		select {
@@ -170,7 +170,7 @@
 			c.AllWorkersAnswered = since
 		}
 		switch running := run.cluster.Running(); {
-		case running < before*recoveredPercent/100:
+		case running < runningBefore*recoveredPercent/100:
 			c.RecoveredAfter = -1
 		case c.RecoveredAfter < 0:
 			c.RecoveredAfter = since
@@ -182,9 +182,9 @@
 }
 
 // allSawTermAbove reports whether every worker has seen a higher term than the given one.
-func (run *scaleRun) allSawTermAbove(than uint64) bool {
+func (run *scaleRun) allSawTermAbove(previousTerm uint64) bool {
 	for _, w := range run.cluster.Workers() {
-		if term, _, _, _ := w.Status(); term <= than {
+		if term, _, _, _ := w.Status(); term <= previousTerm {
 			return false
 		}
 	}
@@ -269,15 +269,15 @@
 	for _, w := range rack {
 		machines[w.Name] = true
 	}
-	setLost := func(on bool) {
+	setBlocked := func(on bool) {
 		for _, w := range rack {
 			w.BlockAllMessages(on)
 		}
 	}
 	return machines, func() {
-		setLost(true)
+		setBlocked(true)
 		run.cluster.Sleep(secondsDuration(run.CutS))
-		setLost(false)
+		setBlocked(false)
 	}, false
 }
 
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -14,7 +14,7 @@
 
 // A small fleet with real processes, real agents and configuration changes survives a crash of the leader and the loss
 // of a rack: no rule is violated, all figures are recorded, and no process is left running.
-func TestScaleSmall(t *testing.T) {
+func TestScaleSurvivesLeaderCrashAndRackLoss(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "switchferry")
 	if out, err := exec.Command("go", "build", "-o", program, "../cmd/switchferry").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -25,7 +25,7 @@
 	messageShare = 0.25
 	// affectedWorkersOneIn is the number of workers of which one is affected by a fault of workers.
 	affectedWorkersOneIn = 5
-	// endedWorkersOneIn is the number of workers of which one is ended by DyingWorkers or NoticedWorkers.
+	// endedWorkersOneIn is the number of workers of which one is ended by FailedWorkers or PreemptedWorkers.
 	endedWorkersOneIn = 10
 	// slowMessageShare is the strength of SlowHeartbeats and SlowCommands.
 	slowMessageShare = 0.5
@@ -109,9 +109,9 @@
 		in.cluster.Controllers[target].Pause()
 		sleep.OnRealClock(ctx, fault.For)
 		in.cluster.Controllers[target].Resume()
-	case DeafWorkers, MuteWorkers, RestartedWorkers, HungWorkers:
+	case InboundLostWorkers, OutboundLostWorkers, RestartedWorkers, HungWorkers:
 		in.disturbWorkers(ctx, fault)
-	case DyingWorkers, NoticedWorkers:
+	case FailedWorkers, PreemptedWorkers:
 		in.endWorkers(ctx, fault)
 	case FlappingPeers:
 		in.flap(ctx, fault, target)
@@ -175,7 +175,7 @@
 		case HungWorkers:
 			worker.Suspend(true)
 		default:
-			worker.BlockMessages(fault.Kind == MuteWorkers, fault.Kind == DeafWorkers)
+			worker.BlockMessages(fault.Kind == OutboundLostWorkers, fault.Kind == InboundLostWorkers)
 		}
 	}
 	sleep.OnRealClock(ctx, fault.For)
@@ -188,7 +188,7 @@
 // endWorkers ends some workers permanently, with or without a notice.
 func (in *injector) endWorkers(ctx context.Context, fault *Fault) {
 	ended := in.pickWorkers(endedWorkersOneIn)
-	if fault.Kind == NoticedWorkers {
+	if fault.Kind == PreemptedWorkers {
 		for _, worker := range ended {
 			worker.AnnouncePreemption(fault.For)
 		}
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -48,19 +48,19 @@
 	RepeatedHeartbeats Kind = "repeated-heartbeats"
 	// LateCommands delays a share of the commands to all workers.
 	LateCommands Kind = "late-commands"
-	// DeafWorkers drops all messages to a fifth of the workers.
-	DeafWorkers Kind = "deaf-workers"
-	// MuteWorkers drops all messages from a fifth of the workers.
-	MuteWorkers Kind = "mute-workers"
+	// InboundLostWorkers drops all messages to a fifth of the workers.
+	InboundLostWorkers Kind = "deaf-workers"
+	// OutboundLostWorkers drops all messages from a fifth of the workers.
+	OutboundLostWorkers Kind = "mute-workers"
 	// RestartedWorkers restarts a fifth of the workers, which lose their tasks.
 	RestartedWorkers Kind = "restarted-workers"
 	// HungWorkers makes a fifth of the workers hang until the fault ends.
 	HungWorkers Kind = "hung-workers"
-	// DyingWorkers ends a tenth of the workers permanently, without notice.
-	DyingWorkers Kind = "dying-workers"
-	// NoticedWorkers ends a tenth of the workers permanently. The fault lasts from the preemption notice to their
+	// FailedWorkers ends a tenth of the workers permanently, without notice.
+	FailedWorkers Kind = "dying-workers"
+	// PreemptedWorkers ends a tenth of the workers permanently. The fault lasts from the preemption notice to their
 	// end.
-	NoticedWorkers Kind = "noticed-workers"
+	PreemptedWorkers Kind = "noticed-workers"
 	// SlowHeartbeats slows heartbeats in both directions while direct commands stay fast.
 	SlowHeartbeats Kind = "slow-heartbeats"
 	// SlowCommands slows direct commands while heartbeats stay fast.
@@ -83,35 +83,35 @@
 
 // durations has the range of durations for each kind of fault.
 var durations = map[Kind]durationRange{
-	Kill:               {50 * time.Millisecond, 3 * time.Second},
-	KillSeries:         {4 * time.Second, 8 * time.Second},
-	KillAll:            {50 * time.Millisecond, 2 * time.Second},
-	Pause:              {300 * time.Millisecond, 4 * time.Second},
-	CutFromState:       {time.Second, 8 * time.Second},
-	CutFromPeers:       {time.Second, 8 * time.Second},
-	CutFromBoth:        {time.Second, 8 * time.Second},
-	Refused:            {time.Second, 6 * time.Second},
-	RefusedThenOutage:  {2 * time.Second, 8 * time.Second},
-	Outage:             {500 * time.Millisecond, 5 * time.Second},
-	SlowState:          {2 * time.Second, 10 * time.Second},
-	LateAnswers:        {2 * time.Second, 10 * time.Second},
-	LostAnswers:        {2 * time.Second, 10 * time.Second},
-	LateWrites:         {2 * time.Second, 10 * time.Second},
-	LostHeartbeats:     {2 * time.Second, 10 * time.Second},
-	RepeatedHeartbeats: {2 * time.Second, 10 * time.Second},
-	LateCommands:       {2 * time.Second, 10 * time.Second},
-	DeafWorkers:        {time.Second, 8 * time.Second},
-	MuteWorkers:        {time.Second, 8 * time.Second},
-	RestartedWorkers:   {100 * time.Millisecond, 200 * time.Millisecond},
-	HungWorkers:        {time.Second, 7 * time.Second},
-	DyingWorkers:       {100 * time.Millisecond, 200 * time.Millisecond},
-	NoticedWorkers:     {time.Second, 3 * time.Second},
-	SlowHeartbeats:     {3 * time.Second, 10 * time.Second},
-	SlowCommands:       {2 * time.Second, 10 * time.Second},
-	FailingStarts:      {3 * time.Second, 10 * time.Second},
-	SlowPeers:          {2 * time.Second, 8 * time.Second},
-	FlappingPeers:      {5 * time.Second, 12 * time.Second},
-	CancelWave:         {200 * time.Millisecond, 400 * time.Millisecond},
+	Kill:                {50 * time.Millisecond, 3 * time.Second},
+	KillSeries:          {4 * time.Second, 8 * time.Second},
+	KillAll:             {50 * time.Millisecond, 2 * time.Second},
+	Pause:               {300 * time.Millisecond, 4 * time.Second},
+	CutFromState:        {time.Second, 8 * time.Second},
+	CutFromPeers:        {time.Second, 8 * time.Second},
+	CutFromBoth:         {time.Second, 8 * time.Second},
+	Refused:             {time.Second, 6 * time.Second},
+	RefusedThenOutage:   {2 * time.Second, 8 * time.Second},
+	Outage:              {500 * time.Millisecond, 5 * time.Second},
+	SlowState:           {2 * time.Second, 10 * time.Second},
+	LateAnswers:         {2 * time.Second, 10 * time.Second},
+	LostAnswers:         {2 * time.Second, 10 * time.Second},
+	LateWrites:          {2 * time.Second, 10 * time.Second},
+	LostHeartbeats:      {2 * time.Second, 10 * time.Second},
+	RepeatedHeartbeats:  {2 * time.Second, 10 * time.Second},
+	LateCommands:        {2 * time.Second, 10 * time.Second},
+	InboundLostWorkers:  {time.Second, 8 * time.Second},
+	OutboundLostWorkers: {time.Second, 8 * time.Second},
+	RestartedWorkers:    {100 * time.Millisecond, 200 * time.Millisecond},
+	HungWorkers:         {time.Second, 7 * time.Second},
+	FailedWorkers:       {100 * time.Millisecond, 200 * time.Millisecond},
+	PreemptedWorkers:    {time.Second, 3 * time.Second},
+	SlowHeartbeats:      {3 * time.Second, 10 * time.Second},
+	SlowCommands:        {2 * time.Second, 10 * time.Second},
+	FailingStarts:       {3 * time.Second, 10 * time.Second},
+	SlowPeers:           {2 * time.Second, 8 * time.Second},
+	FlappingPeers:       {5 * time.Second, 12 * time.Second},
+	CancelWave:          {200 * time.Millisecond, 400 * time.Millisecond},
 }
 
 // Kinds returns all kinds of faults that can be scheduled, sorted.
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -41,16 +41,16 @@
 	maxSeeds = 1000
 	// settleTimeout is how long a run waits after its faults for unfinished jobs.
 	settleTimeout = 85 * time.Second
-	// forgottenAfter is the time without an answer about a job after which the job counts as unanswered.
-	forgottenAfter = 75 * time.Second
+	// unansweredAfter is the time without an answer about a job after which the job counts as unanswered.
+	unansweredAfter = 75 * time.Second
 	// minAnswersPerS is the minimum rate of answers, per second, of a conclusive run.
 	minAnswersPerS = 5
 	// minTerms is the minimum number of terms of a conclusive run.
 	minTerms = 2
 	// settlePollInterval is the interval at which a run checks for unfinished jobs.
 	settlePollInterval = 250 * time.Millisecond
-	// sweepInterval is the interval between the audit's checks of cancelled jobs.
-	sweepInterval = time.Second
+	// cancelCheckInterval is the interval between the audit's checks of cancelled jobs.
+	cancelCheckInterval = time.Second
 	// leaderTimeout is how long to wait for the first leader.
 	leaderTimeout = 20 * time.Second
 )
@@ -133,18 +133,18 @@
 	Told   int `json:"told"`
 	Starts int `json:"starts"`
 	Terms  int `json:"terms"`
-	// Crossings counts start commands that had no effect because they crossed with another message. Releases counts,
-	// from the leaders' logs, the released allocations by the proof that allowed the release, and the messages about an
-	// attempt that crossed.
-	Crossings cluster.IneffectiveStarts `json:"crossings"`
-	Releases  map[string]int            `json:"releases"`
+	// IneffectiveStarts counts start commands that had no effect because they crossed with another message. Releases
+	// counts, from the leaders' logs, the released allocations by the proof that allowed the release, and the messages
+	// about an attempt that crossed.
+	IneffectiveStarts cluster.IneffectiveStarts `json:"crossings"`
+	Releases          map[string]int            `json:"releases"`
 	// Unfinished counts the accepted jobs that were not in a terminal state when the run ended.
 	Unfinished int `json:"unfinished"`
 	// UnexpectedExits counts the controllers whose last process exited without being killed.
 	UnexpectedExits int `json:"ended_by_themselves"`
 	// Contradictions counts the invariant violations that the controllers logged.
 	Contradictions int `json:"contradictions"`
-	// Broken counts violations by rule; Details describes the first ones.
+	// Broken has the number of violations of each rule; Details describes the first ones.
 	Broken  map[string]int `json:"broken"`
 	Details []string       `json:"why"`
 	// Vacuous is the reason why the run is inconclusive; empty if it is not.
@@ -309,13 +309,13 @@
 	defer stop()
 	submitting, stopSubmitting := context.WithTimeout(ctx, duration)
 	defer stopSubmitting()
-	var following, background sync.WaitGroup
+	var pollers, background sync.WaitGroup
 	for range 6 + o.Workers/8 {
-		following.Go(func() { users.submitJobs(submitting, settled, &following) })
+		pollers.Go(func() { users.submitJobs(submitting, settled, &pollers) })
 	}
-	background.Go(func() { users.askAboutEndedJobs(settled) })
+	background.Go(func() { users.requestTerminalJobs(settled) })
 	background.Go(func() {
-		for sleep.OnRealClock(settled, sweepInterval) {
+		for sleep.OnRealClock(settled, cancelCheckInterval) {
 			audit.CheckCancelledJobs()
 		}
 	})
@@ -329,16 +329,16 @@
 	}
 	unfinished := users.unfinished()
 	stop()
-	following.Wait()
+	pollers.Wait()
 	background.Wait()
 	return unfinished
 }
 
-// reportUnanswered reports to the audit the accepted jobs about which no controller has answered for forgottenAfter.
+// reportUnanswered reports to the audit the accepted jobs about which no controller has answered for unansweredAfter.
 func reportUnanswered(audit *cluster.Audit) {
 	unanswered := map[string]time.Duration{}
 	audit.Jobs(func(job *cluster.AuditedJob) {
-		if since := time.Since(job.AnsweredAt); job.TerminalState == "" && !job.Accepted.IsZero() && since > forgottenAfter {
+		if since := time.Since(job.AnsweredAt); job.TerminalState == "" && !job.Accepted.IsZero() && since > unansweredAfter {
 			unanswered[job.ID] = since
 		}
 	})
@@ -353,13 +353,13 @@
 	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Requests, counts.Answers, counts.OutOfOrderAnswers, counts.TerminalJobs, audit.Starts()
 	run.Broken, run.Details = audit.Violations()
 	texts := readLogs(logs)
-	run.Contradictions, run.Releases, run.Crossings = countInvariantViolations(texts), countReleases(texts), audit.IneffectiveStarts()
+	run.Contradictions, run.Releases, run.IneffectiveStarts = countInvariantViolations(texts), countReleases(texts), audit.IneffectiveStarts()
 	switch {
 	case float64(run.Answers) < minAnswersPerS*o.ForS:
 		run.Vacuous = "too few questions were answered"
 	case run.Terms < minTerms:
 		run.Vacuous = "no leader changed"
-	case run.Crossings.Sum() == 0:
+	case run.IneffectiveStarts.Sum() == 0:
 		run.Vacuous = "no start crossed with anything"
 	}
 	if run.Failed() {
@@ -368,7 +368,7 @@
 		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
 	o.Progress("seed %d: %.0f s, %d of %d requests answered, %d terminal states reported, %d starts, %d terms, %d crossed starts, %d unfinished, %d unexpected exits, %d invariant violations, rules violated %v %s", run.Seed, run.Seconds,
-		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.Crossings.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
+		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.IneffectiveStarts.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
 	for _, why := range run.Details {
 		o.Progress("seed %d: %s", run.Seed, why)
 	}
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -51,14 +51,14 @@
 // printLogs prints the end of each log of a failed run, because the test's temporary directory is removed at its end.
 func printLogs(t *testing.T, directory string) {
 	t.Helper()
-	const mostBytes = 20_000
+	const maxBytes = 20_000
 	files, _ := filepath.Glob(filepath.Join(directory, "*.log"))
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Error(err)
 		}
-		t.Logf("%s: %s", file, raw[max(0, len(raw)-mostBytes):])
+		t.Logf("%s: %s", file, raw[max(0, len(raw)-maxBytes):])
 	}
 }
 
--- a/experiment/soak/users.go
+++ b/experiment/soak/users.go
@@ -26,21 +26,21 @@
 	maxPollJitter = 900 * time.Millisecond
 	// maxSubmitPause is the maximum pause of a user between submissions.
 	maxSubmitPause = 1500 * time.Millisecond
-	// endedJobInterval is the interval between requests about jobs in a terminal state.
-	endedJobInterval = 60 * time.Millisecond
+	// terminalJobInterval is the interval between requests about jobs in a terminal state.
+	terminalJobInterval = 60 * time.Millisecond
 	// unknownIDStart is the lowest number in the IDs of jobs that do not exist.
 	unknownIDStart = 900_000
 	// pipelineShare is the share of submissions that start a pipeline.
 	pipelineShare = 0.3
-	// askAllShare is the probability that a call of askAllControllers sends requests.
-	askAllShare = 0.4
+	// sendToAllShare is the probability that a call of sendToAllControllers sends requests.
+	sendToAllShare = 0.4
 	// cancelNowShare is the share of jobs that are cancelled immediately, and the share whose tasks are very short.
 	cancelNowShare = 0.2
 	// cancelLaterShare is the share of jobs that are cancelled after some time.
 	cancelLaterShare = 0.2
 	// serviceShare is the share of services among the jobs that await no other job.
 	serviceShare = 0.1
-	// unknownShare is the share of requests of askAboutEndedJobs that are about jobs that do not exist.
+	// unknownShare is the share of requests of requestTerminalJobs that are about jobs that do not exist.
 	unknownShare = 0.05
 	// maxPipelineJobs is the maximum number of jobs in a pipeline.
 	maxPipelineJobs = 3
@@ -62,9 +62,9 @@
 	mu sync.Mutex
 	// jobs is the number of jobs created so far.
 	jobs int
-	// open has the accepted jobs that are not in a terminal state, by ID; ended has those that are.
-	open  map[string]*job
-	ended []*job
+	// open has the accepted jobs that are not in a terminal state, by ID; terminal has those that are.
+	open     map[string]*job
+	terminal []*job
 }
 
 // job is a job as its user knows it.
@@ -101,8 +101,8 @@
 }
 
 // submitJobs submits jobs and pipelines one after the other until ctx ends. Each submitted job is polled in a goroutine
-// of the group following until it is in a terminal state or settled ends.
-func (u *users) submitJobs(ctx, settled context.Context, following *sync.WaitGroup) {
+// of the group pollers until it is in a terminal state or settled ends.
+func (u *users) submitJobs(ctx, settled context.Context, pollers *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		length := 1
 		if rand.Float64() < pipelineShare {
@@ -114,7 +114,7 @@
 			if !u.submit(settled, next) {
 				break
 			}
-			following.Go(func() { u.pollUntilEnded(settled, next) })
+			pollers.Go(func() { u.pollUntilTerminal(settled, next) })
 			awaits = []string{next.ID}
 		}
 		sleep.OnRealClock(ctx, rand.N(maxSubmitPause))
@@ -135,9 +135,9 @@
 	return false
 }
 
-// pollUntilEnded polls a job until it is in a terminal state. It cancels some of the jobs.
-func (u *users) pollUntilEnded(ctx context.Context, job *job) {
-	u.askAllControllers(ctx, job)
+// pollUntilTerminal polls a job until it is in a terminal state. It cancels some of the jobs.
+func (u *users) pollUntilTerminal(ctx context.Context, job *job) {
+	u.sendToAllControllers(ctx, job)
 	choice := rand.Float64()
 	switch {
 	case choice < cancelNowShare:
@@ -149,26 +149,26 @@
 		}()
 	}
 	for {
-		if _, over := u.request(ctx, cluster.StatusRequest, job, u.randomController()); over {
+		if _, terminal := u.request(ctx, cluster.StatusRequest, job, u.randomController()); terminal {
 			break
 		}
 		if !sleep.OnRealClock(ctx, retryPause+rand.N(maxPollJitter)) {
 			return
 		}
 	}
-	u.askAllControllers(ctx, job)
+	u.sendToAllControllers(ctx, job)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.open, job.ID)
-	u.ended = append(u.ended, job)
+	u.terminal = append(u.terminal, job)
 }
 
-// cancel retries a cancellation until the job is in a terminal state, and then calls askAllControllers.
+// cancel retries a cancellation until the job is in a terminal state, and then calls sendToAllControllers.
 func (u *users) cancel(ctx context.Context, job *job) {
 	u.audit.CancelRequested(job.ID)
 	for ctx.Err() == nil {
-		if _, over := u.request(ctx, cluster.CancelRequest, job, u.randomController()); over {
-			u.askAllControllers(ctx, job)
+		if _, terminal := u.request(ctx, cluster.CancelRequest, job, u.randomController()); terminal {
+			u.sendToAllControllers(ctx, job)
 			return
 		}
 		sleep.OnRealClock(ctx, retryPause)
@@ -191,46 +191,46 @@
 	}
 }
 
-// askAllControllers sends a status request and a resubmission of a job to all controllers, all at once. It does so with
-// probability askAllShare.
-func (u *users) askAllControllers(ctx context.Context, job *job) {
-	if rand.Float64() >= askAllShare {
+// sendToAllControllers sends a status request and a resubmission of a job to all controllers, all at once. It does so
+// with probability sendToAllShare.
+func (u *users) sendToAllControllers(ctx context.Context, job *job) {
+	if rand.Float64() >= sendToAllShare {
 		return
 	}
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, controller := range u.cluster.Controllers {
 		for _, kind := range []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest} {
-			asking.Go(func() { u.request(ctx, kind, job, controller) })
+			requests.Go(func() { u.request(ctx, kind, job, controller) })
 		}
 	}
-	asking.Wait()
+	requests.Wait()
 }
 
-// askAboutEndedJobs polls, resubmits and cancels jobs in a terminal state, and polls jobs that do not exist, until ctx
-// ends.
-func (u *users) askAboutEndedJobs(ctx context.Context) {
-	for sleep.OnRealClock(ctx, endedJobInterval) {
+// requestTerminalJobs polls, resubmits and cancels jobs in a terminal state, and polls jobs that do not exist, until
+// ctx ends.
+func (u *users) requestTerminalJobs(ctx context.Context) {
+	for sleep.OnRealClock(ctx, terminalJobInterval) {
 		if rand.Float64() < unknownShare {
 			unknown := &job{Submission: api.Submission{ID: fmt.Sprintf("run-%06d", unknownIDStart+rand.IntN(1000))}}
 			u.request(ctx, cluster.StatusRequest, unknown, u.randomController())
 			continue
 		}
 		u.mu.Lock()
-		var ended *job
-		if len(u.ended) > 0 {
-			ended = u.ended[rand.IntN(len(u.ended))]
+		var chosen *job
+		if len(u.terminal) > 0 {
+			chosen = u.terminal[rand.IntN(len(u.terminal))]
 		}
 		u.mu.Unlock()
-		if ended == nil {
+		if chosen == nil {
 			continue
 		}
 		kinds := []cluster.RequestKind{cluster.StatusRequest, cluster.SubmitRequest, cluster.CancelRequest}
 		kind := kinds[rand.IntN(len(kinds))]
 		if kind == cluster.CancelRequest {
 			// The job is in a terminal state, so the answer must be that state.
-			u.audit.CancelRequested(ended.ID)
+			u.audit.CancelRequested(chosen.ID)
 		}
-		u.request(ctx, kind, ended, u.randomController())
+		u.request(ctx, kind, chosen, u.randomController())
 	}
 }
 
@@ -240,8 +240,8 @@
 }
 
 // request sends a request to a controller and passes the answer to the audit. The status is 0 if there was no answer;
-// over reports whether the job is in a terminal state.
-func (u *users) request(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, over bool) {
+// terminal reports whether the job is in a terminal state.
+func (u *users) request(ctx context.Context, kind cluster.RequestKind, job *job, controller *cluster.Controller) (status int, terminal bool) {
 	method, path, timeout := http.MethodPost, "/submissions", callTimeout
 	var body []byte
 	switch kind {
@@ -254,16 +254,16 @@
 	}
 	call, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	question := cluster.JobRequest{JobID: job.ID, Kind: kind, Controller: controller.Settings.Member, SentAt: time.Now()}
+	sent := cluster.JobRequest{JobID: job.ID, Kind: kind, Controller: controller.Settings.Member, SentAt: time.Now()}
 	status, raw, err := u.cluster.Call(call, controller, method, path, body)
-	question.AnsweredAt = time.Now()
+	sent.AnsweredAt = time.Now()
 	var answer api.JobStatus
 	if err == nil {
-		question.Status = status
+		sent.Status = status
 		_ = json.Unmarshal(raw, &answer) // An error response has no state.
-		question.State = answer.State
+		sent.State = answer.State
 	}
-	return question.Status, u.audit.CheckAnswer(question)
+	return sent.Status, u.audit.CheckAnswer(sent)
 }
 
 // unfinished returns the number of accepted jobs that are not in a terminal state.
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -74,7 +74,7 @@
 		fragmentationSum, fragmentationSamples := 0.0, 0
 		for i := range x.Seeds {
 			seed := x.Seed + uint64(i)
-			w := x.newWorld(seed)
+			w := x.newSimulation(seed)
 			p, err := w.newPlacer(name)
 			if err != nil {
 				return nil, err
@@ -93,7 +93,7 @@
 					_ = decisions.RecordValue(max(1, took.Nanoseconds()/int64(n)))
 				}
 				w.countPlacements(p, &f, waits)
-				if share, any := w.fragmentation(); any {
+				if share, hasFree := w.fragmentation(); hasFree {
 					fragmentationSum, fragmentationSamples = fragmentationSum+share, fragmentationSamples+1
 				}
 				w.clock.Advance(time.Second)
@@ -111,8 +111,8 @@
 	return res, nil
 }
 
-func (x *Topology) newWorld(seed uint64) *rackWorld {
-	w := &rackWorld{Topology: x, clock: clockwork.NewFakeClock(), rng: rand.New(rand.NewPCG(seed, 7)), byName: map[string]*rackMachine{},
+func (x *Topology) newSimulation(seed uint64) *rackSimulation {
+	w := &rackSimulation{Topology: x, clock: clockwork.NewFakeClock(), rng: rand.New(rand.NewPCG(seed, 7)), byName: map[string]*rackMachine{},
 		switchOf: map[string]string{}, jobs: map[string]*rackJob{}}
 	for len(w.machines) < x.Machines {
 		rack := fmt.Sprintf("r%03d", len(w.racks))
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -14,7 +14,7 @@
 	"switchferry/settings"
 )
 
-// placer places the jobs of a rackWorld on its machines.
+// placer places the jobs of a rackSimulation on its machines.
 type placer interface {
 	submit(s *api.Submission)
 	cancel(id string)
@@ -30,7 +30,7 @@
 }
 
 // newPlacer returns the placer with a name from TopologyPlacements.
-func (w *rackWorld) newPlacer(name string) (placer, error) {
+func (w *rackSimulation) newPlacer(name string) (placer, error) {
 	if name == "random" {
 		return &randomPlacer{w: w, rng: rand.New(rand.NewPCG(w.Seed, 11))}, nil
 	}
@@ -64,7 +64,7 @@
 
 // schedulerPlacer places jobs with a real Scheduler. Its records count as stored immediately.
 type schedulerPlacer struct {
-	w         *rackWorld
+	w         *rackSimulation
 	scheduler *scheduler.Scheduler
 	onStored  []func()
 	sent      []sentCommands
@@ -99,8 +99,8 @@
 	}
 }
 
-func (p *schedulerPlacer) execute(m *rackMachine, o api.HeartbeatResponse) {
-	for _, c := range o.Commands {
+func (p *schedulerPlacer) execute(m *rackMachine, response api.HeartbeatResponse) {
+	for _, c := range response.Commands {
 		switch c.Verb {
 		case api.CommandRun:
 			p.w.startTask(m, c.Task, c.Attempt)
@@ -117,17 +117,17 @@
 
 func (p *schedulerPlacer) heartbeat(m *rackMachine) {
 	m.seq++
-	r := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.session, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.exited)}
+	heartbeat := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.incarnation, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.exited)}
 	for id, t := range m.tasks {
-		r.Tasks = append(r.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
 	}
-	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int { return cmp.Compare(a.Task, b.Task) })
-	o, _, refused := p.scheduler.HandleHeartbeat(&r, "")
+	slices.SortFunc(heartbeat.Tasks, func(a, b api.TaskReport) int { return cmp.Compare(a.Task, b.Task) })
+	response, _, refused := p.scheduler.HandleHeartbeat(&heartbeat, "")
 	if refused {
 		m.removed = true
 		return
 	}
-	p.execute(m, o)
+	p.execute(m, response)
 	p.runStoredCallbacks()
 }
 
@@ -154,7 +154,7 @@
 }
 
 // replaceMachine replaces a returned machine with a new one in the same rack.
-func (w *rackWorld) replaceMachine(name string) {
+func (w *rackSimulation) replaceMachine(name string) {
 	m := w.byName[name]
 	if m == nil || m.removed {
 		return
@@ -180,7 +180,7 @@
 
 // randomPlacer chooses machines at random, subject to the jobs' bounds.
 type randomPlacer struct {
-	w       *rackWorld
+	w       *rackSimulation
 	rng     *rand.Rand
 	attempt uint64
 }
--- a/experiment/topology_racks.go
+++ b/experiment/topology_racks.go
@@ -36,7 +36,7 @@
 	exited []api.TaskReport
 	// outageLeft is for how many more seconds the machine is unreachable, outageSeconds for how many it has been so far.
 	outageLeft    int
-	session       uint64
+	incarnation   uint64
 	seq           uint64
 	outageSeconds int
 	// removed is true once the machine was refused or returned.
@@ -51,8 +51,8 @@
 	return f
 }
 
-// rackWorld is the simulation of one seed with one placer.
-type rackWorld struct {
+// rackSimulation is the simulation of one seed with one placer.
+type rackSimulation struct {
 	*Topology
 	clock    *clockwork.FakeClock
 	rng      *rand.Rand
@@ -88,12 +88,12 @@
 // taskMemory is the memory of a task in GB.
 const taskMemory = 1.0
 
-func (w *rackWorld) addMachine(rack, name string, cpus float64) {
-	m := &rackMachine{name: name, rack: rack, switchName: w.switchOf[rack], cpus: cpus, tasks: map[string]*rackTask{}, session: 1}
+func (w *rackSimulation) addMachine(rack, name string, cpus float64) {
+	m := &rackMachine{name: name, rack: rack, switchName: w.switchOf[rack], cpus: cpus, tasks: map[string]*rackTask{}, incarnation: 1}
 	w.machines, w.byName[name] = append(w.machines, m), m
 }
 
-func (w *rackWorld) topologyMap() (*topology.Map, error) {
+func (w *rackSimulation) topologyMap() (*topology.Map, error) {
 	var b strings.Builder
 	b.WriteString("version = 1\n")
 	seen := map[string]bool{}
@@ -108,7 +108,7 @@
 }
 
 // submitJobs cancels the services that are due for cancellation, and submits jobs until the requested CPUs reach Load.
-func (w *rackWorld) submitJobs(p placer) {
+func (w *rackSimulation) submitJobs(p placer) {
 	requested, total := 0.0, 0.0
 	for _, m := range w.machines {
 		total += m.cpus
@@ -135,7 +135,7 @@
 	w.jobOrder = slices.DeleteFunc(w.jobOrder, func(j *rackJob) bool { return j.ended && j.running == 0 })
 }
 
-func (w *rackWorld) drawJob() *rackJob {
+func (w *rackSimulation) drawJob() *rackJob {
 	w.nextNumber++
 	j := &rackJob{submitted: w.clock.Now(), runTime: time.Duration(10+w.rng.IntN(50)) * time.Second}
 	j.submission = api.Submission{ID: fmt.Sprintf("run-%07d", w.nextNumber), Class: "c", Team: "team", Rank: "normal", MemoryGB: taskMemory, Image: "image", Spot: true,
@@ -159,7 +159,7 @@
 }
 
 // failSwitch makes a random switch unreachable about once a minute, sometimes for longer than a lease.
-func (w *rackWorld) failSwitch() {
+func (w *rackSimulation) failSwitch() {
 	if w.rng.IntN(60) > 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 const leaseSeconds = 12
 
 // endTasksAndHeartbeat ends the tasks whose run time has passed and sends the heartbeats of all reachable machines.
-func (w *rackWorld) endTasksAndHeartbeat(p placer) {
+func (w *rackSimulation) endTasksAndHeartbeat(p placer) {
 	now := w.clock.Now()
 	for _, m := range w.machines {
 		for id, t := range m.tasks {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (w *rackWorld) startTask(m *rackMachine, id string, attempt uint64) {
+func (w *rackSimulation) startTask(m *rackMachine, id string, attempt uint64) {
 	name, _, _ := strings.Cut(id, "/")
 	j := w.jobs[name]
 	if j == nil || m.tasks[id] != nil {
@@ -209,14 +209,14 @@
 	w.placed++
 }
 
-func (w *rackWorld) removeTask(m *rackMachine, t *rackTask) {
+func (w *rackSimulation) removeTask(m *rackMachine, t *rackTask) {
 	delete(m.tasks, t.id)
 	w.jobs[t.job].running--
 }
 
 // countPlacements counts violations of bounds and jobs that wait although they would fit. It also advances the outages
 // of machines and ends the tasks of those whose lease has expired.
-func (w *rackWorld) countPlacements(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
+func (w *rackSimulation) countPlacements(p placer, f *TopologyFigures, waits *hdrhistogram.Histogram) {
 	racks, switches := map[string]map[string]int{}, map[string]map[string]int{}
 	count := func(tasksByDomain map[string]map[string]int, job, key string) {
 		if tasksByDomain[job] == nil {
@@ -279,7 +279,7 @@
 }
 
 // fitsInOneDomain reports, by an exact search, whether all tasks of a job currently fit into one domain.
-func (w *rackWorld) fitsInOneDomain(p placer, j *rackJob) bool {
+func (w *rackSimulation) fitsInOneDomain(p placer, j *rackJob) bool {
 	domains := map[string][]*rackMachine{}
 	for _, m := range w.machines {
 		if m.outageLeft > 0 || m.outageSeconds > 0 || m.removed || m.free() < j.submission.CPUs {
@@ -311,13 +311,13 @@
 		rack string
 		k    int
 	}
-	room := map[group]int{}
+	capacity := map[group]int{}
 	for _, m := range machines {
 		if k := int(m.free()/submission.CPUs + 1e-9); k > 0 {
-			room[group{m.rack, k}] += k
+			capacity[group{m.rack, k}] += k
 		}
 	}
-	groups := slices.SortedFunc(maps.Keys(room), func(a, b group) int { return cmp.Or(cmp.Compare(a.rack, b.rack), a.k-b.k) })
+	groups := slices.SortedFunc(maps.Keys(capacity), func(a, b group) int { return cmp.Or(cmp.Compare(a.rack, b.rack), a.k-b.k) })
 	if len(groups) == 0 {
 		return false
 	}
@@ -334,7 +334,7 @@
 	a, b, c := mat.NewDense(rows, len(groups)+rows, nil), make([]float64, rows), make([]float64, len(groups)+rows)
 	for i, g := range groups {
 		a.Set(i, i, 1)
-		b[i], c[i] = float64(room[g]), -1
+		b[i], c[i] = float64(capacity[g]), -1
 		if r, ok := racks[g.rack]; ok {
 			a.Set(len(groups)+r, i, 1)
 			b[len(groups)+r] = float64(submission.Survive.MaxTasks)
@@ -349,13 +349,13 @@
 
 // fragmentation returns the share of the free CPUs on which no task of 8 CPUs fits. The second result is false if there
 // are no free CPUs.
-func (w *rackWorld) fragmentation() (float64, bool) {
-	free, whole := 0.0, 0.0
+func (w *rackSimulation) fragmentation() (float64, bool) {
+	free, usable := 0.0, 0.0
 	for _, m := range w.machines {
 		if !m.removed && m.outageLeft == 0 {
 			f := m.free()
-			free, whole = free+f, whole+float64(int(f/8)*8)
+			free, usable = free+f, usable+float64(int(f/8)*8)
 		}
 	}
-	return 1 - whole/max(free, 1), free > 0
+	return 1 - usable/max(free, 1), free > 0
 }
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -109,7 +109,7 @@
 type userJob struct {
 	api.Submission
 	accepted, cancelled bool
-	finalState          string // terminal state that was reported to the user; empty before
+	terminalState       string // terminal state that was reported to the user; empty before
 }
 
 // reducedLimits are the lower limits that the state service applies from some time during a run.
@@ -268,11 +268,11 @@
 		r.pollJobs(ctx)
 		r.pause(ctx, 100)
 	}
-	over := func() bool {
+	allTerminal := func() bool {
 		r.pollJobs(ctx)
 		return r.unfinished() == 0
 	}
-	if err := r.waitUntil(ctx, 60*time.Second, over); err != nil && ctx.Err() != nil {
+	if err := r.waitUntil(ctx, 60*time.Second, allTerminal); err != nil && ctx.Err() != nil {
 		return err
 	}
 	r.res.Unended = r.unfinished()
@@ -326,14 +326,14 @@
 func (r *upgradeRun) submit(ctx context.Context, awaits []string, tasks int) bool {
 	r.mu.Lock()
 	id := fmt.Sprintf("run-%06d", len(r.jobs))
-	a := &userJob{Submission: api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 1, Awaits: awaits}}
-	r.jobs[id] = a
+	job := &userJob{Submission: api.Submission{ID: id, Class: "c", Team: "team", Shape: api.JobArray, Rank: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 1, Awaits: awaits}}
+	r.jobs[id] = job
 	r.mu.Unlock()
-	raw, err := json.Marshal(&a.Submission)
+	raw, err := json.Marshal(&job.Submission)
 	for try := 0; try < 4 && err == nil; try++ {
 		status, body, cerr := r.call(ctx, http.MethodPost, r.randomController(), "/submissions", raw)
 		if cerr == nil && (status == http.StatusCreated || status == http.StatusOK) {
-			a.accepted = true
+			job.accepted = true
 			r.res.Jobs++
 			if len(awaits) > 0 {
 				r.res.Awaiting++
@@ -369,8 +369,8 @@
 // been reported to the user.
 func (r *upgradeRun) pollJobs(ctx context.Context) {
 	for _, id := range r.ids() {
-		a := r.jobs[id]
-		if !a.accepted || a.finalState != "" && r.rng.IntN(10) > 0 {
+		job := r.jobs[id]
+		if !job.accepted || job.terminalState != "" && r.rng.IntN(10) > 0 {
 			continue
 		}
 		status, body, err := r.call(ctx, http.MethodGet, r.randomController(), "/submissions/"+id, nil)
@@ -385,21 +385,21 @@
 			r.res.Wrong++
 			continue
 		}
-		wrong := a.finalState != "" && st.State != a.finalState || st.State == api.Cancelled && !r.cancelConfirmed(id) || st.State == api.Done && r.cancelConfirmed(id)
+		wrong := job.terminalState != "" && st.State != job.terminalState || st.State == api.Cancelled && !r.cancelConfirmed(id) || st.State == api.Done && r.cancelConfirmed(id)
 		if wrong {
-			slog.Error("wrong job state", "job", id, "state", st.State, "told", a.finalState)
+			slog.Error("wrong job state", "job", id, "state", st.State, "told", job.terminalState)
 			r.res.Wrong++
 		}
 		if st.State == api.Done || st.State == api.Cancelled {
-			a.finalState = st.State
+			job.terminalState = st.State
 		}
 	}
 }
 
 // unfinished returns the number of accepted jobs for which no terminal state has been reported to the user.
 func (r *upgradeRun) unfinished() (n int) {
-	for _, a := range r.jobs {
-		if a.accepted && a.finalState == "" {
+	for _, job := range r.jobs {
+		if job.accepted && job.terminalState == "" {
 			n++
 		}
 	}
