--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -57,7 +57,7 @@
 		x := ScaleDefaults()
 		change(x)
 		if _, err := x.Run(context.Background()); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want one with %q", err, want)
+			t.Errorf("want an error with %q: %v", want, err)
 		}
 	}
 }
