--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -43,12 +43,13 @@
 	Placements []TopologyFigures `json:"placements"`
 }
 
-// TopologyFigures holds the figures of one placer over all seeds. PlacedN is the number of placed tasks. Violations counts,
-// for each simulated second, the jobs that exceed a spread bound or whose tasks are spread over several domains although
-// they must be close together. CloseTogether counts the jobs with such a requirement that were placed within one domain;
-// ClosePossible counts these and the jobs that still waited although, after two rounds in a row, an exact search found a
-// domain with enough capacity. WaitP95 is the wait of the jobs in CloseTogether. Fragmentation is the mean share of the
-// free CPUs on which no task of 8 CPUs fits. A decision time is that of a round divided by the number of tasks placed.
+// TopologyFigures holds the figures of one placer over all seeds. PlacedN is the number of placed tasks. Violations
+// counts, for each simulated second, the jobs that exceed a spread bound or whose tasks are spread over several domains
+// although they must be close together. CloseTogether counts the jobs whose tasks must be close together and were
+// placed within one domain; ClosePossible counts these and the jobs that still waited although, after two consecutive
+// rounds, an exact search found a domain with enough capacity. WaitP95 is the wait of the jobs in CloseTogether.
+// Fragmentation is the mean share of the free CPUs on which no task of 8 CPUs fits. DecisionP50 and DecisionP99 are
+// percentiles of the decision time per task: the time of a round divided by the number of tasks that it placed.
 type TopologyFigures struct {
 	Name          string  `json:"name"`
 	PlacedN       int     `json:"placed"`
@@ -73,7 +74,7 @@
 		fragmentationSum, fragmentationSamples := 0.0, 0
 		for i := range x.Seeds {
 			seed := x.Seed + uint64(i)
-			w := x.newWorld(seed)
+			w := x.newSimulation(seed)
 			p, err := w.newPlacer(name)
 			if err != nil {
 				return nil, err
@@ -92,7 +93,7 @@
 					_ = decisions.RecordValue(max(1, took.Nanoseconds()/int64(n)))
 				}
 				w.countPlacements(p, &f, waits)
-				if share, any := w.fragmentation(); any {
+				if share, hasFree := w.fragmentation(); hasFree {
 					fragmentationSum, fragmentationSamples = fragmentationSum+share, fragmentationSamples+1
 				}
 				w.clock.Advance(time.Second)
@@ -110,8 +111,8 @@
 	return res, nil
 }
 
-func (x *Topology) newWorld(seed uint64) *rackWorld {
-	w := &rackWorld{Topology: x, clock: clockwork.NewFakeClock(), rng: rand.New(rand.NewPCG(seed, 7)), byName: map[string]*rackMachine{},
+func (x *Topology) newSimulation(seed uint64) *rackSimulation {
+	w := &rackSimulation{Topology: x, clock: clockwork.NewFakeClock(), rng: rand.New(rand.NewPCG(seed, 7)), byName: map[string]*rackMachine{},
 		switchOf: map[string]string{}, jobs: map[string]*rackJob{}}
 	for len(w.machines) < x.Machines {
 		rack := fmt.Sprintf("r%03d", len(w.racks))
--- a/experiment/topology_placers.go
+++ b/experiment/topology_placers.go
@@ -14,13 +14,13 @@
 	"switchferry/settings"
 )
 
-// placer places the jobs of a rackWorld on its machines.
+// placer places the jobs of a rackSimulation on its machines.
 type placer interface {
 	submit(s *api.Submission)
 	cancel(id string)
 	// heartbeat passes a machine's heartbeat to the placer and executes the commands in the response.
 	heartbeat(m *rackMachine)
-	// round runs one round of placement and returns how long the decision took.
+	// round runs one placement round and returns how long the decisions took.
 	round() time.Duration
 	// allPlaced reports whether all tasks of a job have been placed, even if a machine became unreachable before it
 	// received the command.
@@ -30,7 +30,7 @@
 }
 
 // newPlacer returns the placer with a name from TopologyPlacements.
-func (w *rackWorld) newPlacer(name string) (placer, error) {
+func (w *rackSimulation) newPlacer(name string) (placer, error) {
 	if name == "random" {
 		return &randomPlacer{w: w, rng: rand.New(rand.NewPCG(w.Seed, 11))}, nil
 	}
@@ -64,7 +64,7 @@
 
 // schedulerPlacer places jobs with a real Scheduler. Its records count as stored immediately.
 type schedulerPlacer struct {
-	w         *rackWorld
+	w         *rackSimulation
 	scheduler *scheduler.Scheduler
 	onStored  []func()
 	sent      []sentCommands
@@ -72,7 +72,7 @@
 }
 
 func (p *schedulerPlacer) submit(s *api.Submission) {
-	// The context has ended, so that Submit does not wait for the record, which is stored below.
+	// The context has ended, so Submit does not wait until the record is stored. It counts as stored below.
 	ended, stop := context.WithCancel(context.Background())
 	stop()
 	c := *s
@@ -99,8 +99,8 @@
 	}
 }
 
-func (p *schedulerPlacer) execute(m *rackMachine, o api.HeartbeatResponse) {
-	for _, c := range o.Commands {
+func (p *schedulerPlacer) execute(m *rackMachine, response api.HeartbeatResponse) {
+	for _, c := range response.Commands {
 		switch c.Verb {
 		case api.CommandRun:
 			p.w.startTask(m, c.Task, c.Attempt)
@@ -117,17 +117,17 @@
 
 func (p *schedulerPlacer) heartbeat(m *rackMachine) {
 	m.seq++
-	r := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.session, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.exited)}
+	heartbeat := api.Heartbeat{Machine: m.name, Address: m.name + ":1", Type: fmt.Sprintf("m%g", m.cpus), Zone: "z", Incarnation: m.incarnation, Seq: m.seq, Term: 1, Tasks: slices.Clone(m.exited)}
 	for id, t := range m.tasks {
-		r.Tasks = append(r.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, api.TaskReport{Task: id, Attempt: t.attempt, State: api.TaskRunning})
 	}
-	slices.SortFunc(r.Tasks, func(a, b api.TaskReport) int { return cmp.Compare(a.Task, b.Task) })
-	o, _, refused := p.scheduler.HandleHeartbeat(&r, "")
+	slices.SortFunc(heartbeat.Tasks, func(a, b api.TaskReport) int { return cmp.Compare(a.Task, b.Task) })
+	response, _, refused := p.scheduler.HandleHeartbeat(&heartbeat, "")
 	if refused {
 		m.removed = true
 		return
 	}
-	p.execute(m, o)
+	p.execute(m, response)
 	p.runStoredCallbacks()
 }
 
@@ -154,7 +154,7 @@
 }
 
 // replaceMachine replaces a returned machine with a new one in the same rack.
-func (w *rackWorld) replaceMachine(name string) {
+func (w *rackSimulation) replaceMachine(name string) {
 	m := w.byName[name]
 	if m == nil || m.removed {
 		return
@@ -180,7 +180,7 @@
 
 // randomPlacer chooses machines at random, subject to the jobs' bounds.
 type randomPlacer struct {
-	w       *rackWorld
+	w       *rackSimulation
 	rng     *rand.Rand
 	attempt uint64
 }
@@ -236,8 +236,8 @@
 	return time.Since(began)
 }
 
-// placeJob places a job's missing tasks on some of the machines. If the tasks must be close together, it places all or none.
-// It returns false if it placed none for that reason.
+// placeJob places those tasks of a job that neither run nor have completed. If the tasks must be close together, it
+// places all or none, and returns false if it placed none for that reason.
 func (p *randomPlacer) placeJob(j *rackJob, machines []*rackMachine) bool {
 	p.rng.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
 	inRack := map[string]int{}
