--- a/api/constraints.go
+++ b/api/constraints.go
@@ -57,19 +57,19 @@
 	if err := decodeObject(body, &fields); err != nil {
 		return nil, nil, err
 	}
-	near, err := parseAffinity(fields.Near)
+	near, err := parseNear(fields.Near)
 	if err != nil {
 		return nil, nil, err
 	}
-	survive, err := parseAntiAffinity(fields.Survive, tasks)
+	survive, err := parseSurvive(fields.Survive, tasks)
 	if err != nil {
 		return nil, nil, err
 	}
 	return near, survive, nil
 }
 
-// parseAffinity reads the "near" field and returns nil if it is absent.
-func parseAffinity(raw json.RawMessage) (*Near, error) {
+// parseNear reads the "near" field and returns nil if it is absent.
+func parseNear(raw json.RawMessage) (*Near, error) {
 	constraint, err := parsePlacementConstraint("near", raw, `{"level":"rack","must":true}`)
 	if constraint == nil || err != nil {
 		return nil, err
@@ -80,9 +80,9 @@
 	return &Near{Level: constraint.Level, Required: constraint.isRequired()}, nil
 }
 
-// parseAntiAffinity reads the "survive" field of a job with the given number of tasks and returns nil if it is
+// parseSurvive reads the "survive" field of a job with the given number of tasks and returns nil if it is
 // absent.
-func parseAntiAffinity(raw json.RawMessage, tasks int) (*Survive, error) {
+func parseSurvive(raw json.RawMessage, tasks int) (*Survive, error) {
 	const example = `{"level":"rack","at_most":2} or {"level":"rack","share":0.5}`
 	constraint, err := parsePlacementConstraint("survive", raw, example)
 	if constraint == nil || err != nil {
--- a/cli/experiment_faults.go
+++ b/cli/experiment_faults.go
@@ -21,7 +21,7 @@
 		Long: "Three processes of this program with membership on serve on loopback, with the project's stand-ins. Each is told to end, or killed,\n" +
 			"and begun again 4 s before the next, while users submit 50 jobs a second to those that are ready. About a minute a roll and way.",
 		Example: "  switchferry experiment handover --rolls 1\n  switchferry experiment handover --json",
-	}, experimentSpec[[]experiment.HandedOver]{
+	}, experimentSpec[[]experiment.HandoverResult]{
 		jsonUsage: printAsJSONUsage,
 		progress:  &options.Progress,
 		prepare:   func() error { return withExitCode(ExitUsage, setExecutablePath(&options.Program)) },
@@ -34,11 +34,11 @@
 }
 
 // fillHandoverTable fills the table with a row for each way in which controllers are stopped.
-func fillHandoverTable(result []experiment.HandedOver, writer table.Writer) {
+func fillHandoverTable(result []experiment.HandoverResult, writer table.Writer) {
 	writer.SetTitle("real processes over loopback on this machine; simulated workers, state service and cloud")
 	writer.AppendHeader(table.Row{"way", "ends", "submissions", "refused", "p50 ms", "p99 ms", "longest ms", "longest without an accept ms", "without a start ms", "an end takes ms"})
 	for _, outcome := range result {
-		writer.AppendRow(table.Row{outcome.Way, outcome.Ends, outcome.Asked, outcome.Refused, outcome.P50MS, outcome.P99MS, outcome.MostMS, outcome.GapMS, outcome.IdleMS, outcome.EndP50MS})
+		writer.AppendRow(table.Row{outcome.Shutdown, outcome.ProcessesEnded, outcome.Submissions, outcome.Refused, outcome.P50MS, outcome.P99MS, outcome.MaxMS, outcome.LongestAcceptGapMS, outcome.LongestStartGapMS, outcome.ExitP50MS})
 	}
 }
 
@@ -63,8 +63,8 @@
 	cmd.Flags().IntSliceVar(&options.Sizes, "sizes", options.Sizes, "machines")
 	cmd.Flags().StringArrayVar(&options.Cases, "cases", nil, "a case to play; may be given several times (default all)")
 	cmd.Flags().IntVar(&options.AtOnce, "at-once", options.AtOnce, "days played beside each other")
-	cmd.Flags().Float64Var(&options.LastsS, "lasts", options.LastsS, "how long users submit jobs, in seconds")
-	cmd.Flags().Float64Var(&options.AfterS, "after", options.AfterS, "how long is waited for the rest, in seconds")
+	cmd.Flags().Float64Var(&options.SubmitForS, "lasts", options.SubmitForS, "how long users submit jobs, in seconds")
+	cmd.Flags().Float64Var(&options.WaitAfterS, "after", options.WaitAfterS, "how long is waited for the rest, in seconds")
 	cmd.Flags().Uint64Var(&options.Seed, "seed", options.Seed, "of machines, jobs and troubles")
 	return cmd
 }
@@ -112,7 +112,7 @@
 	writer.SetTitle("seed %d; %s", result.Seed, result.Measured)
 	writer.AppendHeader(table.Row{"machines", "case", "first start s", "all heard s", "returned in vain", "tasks lost in vain", "leader's peak, cores"})
 	for _, outcome := range result.Sizes {
-		writer.AppendRow(table.Row{outcome.Machines, outcome.Case, fmt.Sprintf("%.1f", outcome.FirstStart), fmt.Sprintf("%.1f", outcome.HeardAll), outcome.ReturnedInVain, outcome.LostInVain, fmt.Sprintf("%.2f", outcome.PeakShare)})
+		writer.AppendRow(table.Row{outcome.Machines, outcome.Case, fmt.Sprintf("%.1f", outcome.FirstStart), fmt.Sprintf("%.1f", outcome.AllWorkersAnswered), outcome.HealthyReturned, outcome.TasksLost, fmt.Sprintf("%.2f", outcome.LeaderCPUP99)})
 	}
 }
 
@@ -159,6 +159,6 @@
 	writer.SetTitle("%s", result.Measured)
 	writer.AppendHeader(table.Row{"seed", "kills", "came back old", "jobs", "that await", "tasks", "ran twice", "too early", "wrong states", "forgotten", "not over", "refused for size", "switched s"})
 	for _, run := range result.Runs {
-		writer.AppendRow(table.Row{run.Seed, run.Kills, run.OldBack, run.Jobs, run.Awaiting, run.Tasks, run.RanTwice, run.TooEarly, run.Wrong, run.Forgotten, run.Unended, run.TooLarge, fmt.Sprintf("%.1f", run.SwitchedS)})
+		writer.AppendRow(table.Row{run.Seed, run.Kills, run.RestartedOld, run.Jobs, run.Awaiting, run.Tasks, run.RanTwice, run.TooEarly, run.WrongStates, run.Forgotten, run.Unfinished, run.RefusedForSize, fmt.Sprintf("%.1f", run.AwaitingAcceptedAfterS)})
 	}
 }
--- a/cli/experiment_logs.go
+++ b/cli/experiment_logs.go
@@ -56,7 +56,7 @@
 			writer := newTable(cmd.OutOrStdout())
 			writer.AppendHeader(table.Row{"part", "jobs", "p50 ms", "p90 ms", "p99 ms", "longest ms"})
 			for _, gap := range gaps {
-				writer.AppendRow(table.Row{gap.Part, gap.Jobs, gap.P50, gap.P90, gap.P99, gap.Most})
+				writer.AppendRow(table.Row{gap.Part, gap.Jobs, gap.P50, gap.P90, gap.P99, gap.Max})
 			}
 			writer.Render()
 			return nil
@@ -78,7 +78,7 @@
 			if options.Class == "" {
 				return withExitCode(ExitUsage, errors.New("--class is missing"))
 			}
-			if options.WithinS < 0 || options.Times <= 0 || options.SlotS <= 0 || options.Rounds < 1 {
+			if options.WithinS < 0 || options.DeadlineFactor <= 0 || options.SlotS <= 0 || options.Rounds < 1 {
 				return withExitCode(ExitUsage, errors.New("--within must not be negative; --times, --slot and --rounds must be above 0"))
 			}
 			logs, closeLogs, err := openFiles(args)
@@ -98,7 +98,7 @@
 	flags := cmd.Flags()
 	flags.StringVar(&options.Class, "class", "", "the class of jobs")
 	flags.Float64Var(&options.WithinS, "within", 0, "the time that a job may take, seconds; 0: its own deadline")
-	flags.Float64Var(&options.Times, "times", options.Times, "by which multiple of its deadline, without --within")
+	flags.Float64Var(&options.DeadlineFactor, "times", options.DeadlineFactor, "by which multiple of its deadline, without --within")
 	flags.Float64Var(&options.FromS, "from", 0, "jobs that came from this second of the day on")
 	flags.Float64Var(&options.ToS, "to", options.ToS, "jobs that came until this second")
 	flags.Float64Var(&options.SlotS, "slot", options.SlotS, "stretches of which capacity is counted, seconds")
@@ -112,7 +112,7 @@
 	jobs := float64(result.Jobs)
 	_, err := fmt.Fprintf(out, "%s %s: %d jobs, %d in time (%.3f); %d could not be whatever the order; at most %.1f could be (%.3f)\n"+
 		"late: %d have a task that alone ran longer, of %d a task was lost, of %d one was stopped, %d waited\n",
-		result.Class, result.Aim, result.Jobs, result.InTime, float64(result.InTime)/jobs, result.Alone, result.Most, result.Most/jobs,
-		result.Late.Long, result.Late.Lost, result.Late.Stopped, result.Late.Waited)
+		result.Class, result.Aim, result.Jobs, result.InTime, float64(result.InTime)/jobs, result.ImpossibleAlone, result.UpperBound, result.UpperBound/jobs,
+		result.Late.LongTask, result.Late.TaskLost, result.Late.TaskStopped, result.Late.Waited)
 	return err
 }
--- a/cli/experiment_placement.go
+++ b/cli/experiment_placement.go
@@ -15,7 +15,7 @@
 
 // localityExperiment returns the command that compares placement strategies for tasks with input datasets.
 func localityExperiment() *cobra.Command {
-	options := experiment.Defaults()
+	options := experiment.LocalityDefaults()
 	cmd := newExperimentCommand(&cobra.Command{
 		Use:   "locality",
 		Short: "Bytes moved and start delays with inputs, under four placements",
@@ -47,7 +47,7 @@
 	writer.AppendHeader(table.Row{"zipf", "placement", "from store", "of least", "from peers", "start p50", "p95", "p99 ms", "makespan s"})
 	for _, workload := range result.Workloads {
 		for _, figures := range workload.Placements {
-			writer.AppendRow(table.Row{workload.Zipf, figures.Name, humanize.Bytes(uint64(figures.StoreBytes)), fmt.Sprintf("%.2f", float64(figures.StoreBytes)/float64(figures.LeastBytes)),
+			writer.AppendRow(table.Row{workload.Zipf, figures.Name, humanize.Bytes(uint64(figures.StoreBytes)), fmt.Sprintf("%.2f", float64(figures.StoreBytes)/float64(figures.MinStoreBytes)),
 				humanize.Bytes(uint64(figures.PeerBytes)), figures.StartP50, figures.StartP95, figures.StartP99, fmt.Sprintf("%.1f", figures.MakespanS)})
 		}
 		writer.AppendSeparator()
@@ -70,8 +70,8 @@
 			if options.Machines < 16 || options.Seconds < 1 || options.Seeds < 1 || !(options.Load > 0) {
 				return withExitCode(ExitUsage, errors.New("--machines must be 16 or more; --seconds and --seeds 1 or more; --load above 0"))
 			}
-			if options.Only != "" && !slices.Contains(experiment.TopologyPlacements, options.Only) {
-				return withExitCode(ExitUsage, fmt.Errorf("--only: must be one of %s, not %q", strings.Join(experiment.TopologyPlacements, ", "), options.Only))
+			if options.Placer != "" && !slices.Contains(experiment.TopologyPlacements, options.Placer) {
+				return withExitCode(ExitUsage, fmt.Errorf("--only: must be one of %s, not %q", strings.Join(experiment.TopologyPlacements, ", "), options.Placer))
 			}
 			return nil
 		},
@@ -83,7 +83,7 @@
 	flags.IntVar(&options.Seeds, "seeds", options.Seeds, "how many seeds are played")
 	flags.IntVar(&options.Machines, "machines", options.Machines, "machines of the fleet")
 	flags.IntVar(&options.Seconds, "seconds", options.Seconds, "simulated seconds of each seed")
-	flags.StringVar(&options.Only, "only", "", "play one placement alone: topology, today or random")
+	flags.StringVar(&options.Placer, "only", "", "play one placement alone: topology, today or random")
 	flags.Float64Var(&options.Load, "load", options.Load, "which part of the fleet's CPUs is asked for")
 	return cmd
 }
@@ -92,6 +92,6 @@
 func fillTopologyTable(result *experiment.TopologyResult, writer table.Writer) {
 	writer.AppendHeader(table.Row{"placement", "tasks", "violations", "close possible", "close", "wait p95, s", "fragmentation", "decision p50, us", "p99, us"})
 	for _, figures := range result.Placements {
-		writer.AppendRow(table.Row{figures.Name, figures.PlacedN, figures.Violations, figures.ClosePossible, figures.CloseTogether, figures.WaitP95, fmt.Sprintf("%.3f", figures.Fragmentation), fmt.Sprintf("%.0f", figures.DecisionP50), fmt.Sprintf("%.0f", figures.DecisionP99)})
+		writer.AppendRow(table.Row{figures.Name, figures.Placed, figures.Violations, figures.ClosePossible, figures.CloseTogether, figures.WaitP95, fmt.Sprintf("%.3f", figures.Fragmentation), fmt.Sprintf("%.0f", figures.DecisionP50), fmt.Sprintf("%.0f", figures.DecisionP99)})
 	}
 }
--- a/cli/experiment_soak.go
+++ b/cli/experiment_soak.go
@@ -39,7 +39,7 @@
 			}
 			return withExitCode(ExitUsage, options.Check())
 		},
-		run:       func(ctx context.Context) (*soak.Result, error) { return options.Play(ctx) },
+		run:       func(ctx context.Context) (*soak.Result, error) { return options.Run(ctx) },
 		fillTable: fillSoakTable,
 		failure:   soakFailure,
 	})
@@ -62,10 +62,10 @@
 	writer.AppendHeader(table.Row{"seed", "workers", "s", "faults", "questions", "answers", "crossed", "ends told", "starts", "terms", "unfinished", "contradictions", "broken", "note"})
 	for _, run := range result.Runs {
 		broken := ""
-		if len(run.Broken) > 0 {
-			broken = fmt.Sprint(run.Broken)
+		if len(run.Violations) > 0 {
+			broken = fmt.Sprint(run.Violations)
 		}
-		writer.AppendRow(table.Row{run.Seed, run.Workers, fmt.Sprintf("%.0f", run.Seconds), len(run.Schedule), run.Questions, run.Answers, run.Crossed, run.Told, run.Starts, run.Terms, run.Unfinished, run.Contradictions, broken, run.Vacuous + run.Logs})
+		writer.AppendRow(table.Row{run.Seed, run.Workers, fmt.Sprintf("%.0f", run.Seconds), len(run.Schedule), run.Requests, run.Answers, run.OutOfOrderAnswers, run.TerminalJobs, run.Starts, run.Terms, run.Unfinished, run.InvariantViolations, broken, run.InconclusiveReason + run.Logs})
 	}
 }
 
--- a/configuration/revisions/persist.go
+++ b/configuration/revisions/persist.go
@@ -73,7 +73,7 @@
 		default:
 			outcomeUnknown = true
 		}
-		a.sleep(tuning.ElectionRetryDelay)
+		a.sleep(tuning.ErrorRetryDelay)
 	}
 	return 0, ErrOutcomeUnknown
 }
@@ -102,7 +102,7 @@
 		if errors.Is(err, store.ErrNotFound) {
 			return 0, false
 		}
-		a.sleep(tuning.ElectionRetryDelay)
+		a.sleep(tuning.ErrorRetryDelay)
 	}
 	return 0, false
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -88,7 +88,7 @@
 	controller := &Controller{settings: set, policy: pol, clock: clock, ctx: ctx, startedAt: clock.Now(), features: &optionalFeatures{}}
 	controller.createClients(transport)
 	controller.readLimiter = newReadLimiter(set)
-	controller.relayLimiter = exchange.WriteRate(set.Facts.State)
+	controller.relayLimiter = exchange.NewWriteLimiter(set.Facts.State)
 	controller.health = &stateHealth{clock: clock}
 	controller.client.OnResponse = controller.health.recordResponse
 	controller.catalog = &machineCatalog{clock: clock, cloud: controller.cloud}
@@ -156,8 +156,8 @@
 	})
 }
 
-// DialPeers sets the function that opens connections to peers. It is called before Run.
-func (c *Controller) DialPeers(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+// SetPeerDialer sets the function that opens connections to peers. It is called before Run.
+func (c *Controller) SetPeerDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.peers.Dial = dial
 }
 
--- a/controller/dataset_follower.go
+++ b/controller/dataset_follower.go
@@ -23,7 +23,7 @@
 			events = nil
 		}
 		if err != nil {
-			sleep.For(ctx, t.controller.clock, tuning.ElectionRetryDelay)
+			sleep.For(ctx, t.controller.clock, tuning.ErrorRetryDelay)
 			continue
 		}
 		for _, event := range events {
--- a/controller/fleet_loops.go
+++ b/controller/fleet_loops.go
@@ -87,7 +87,7 @@
 	for ctx.Err() == nil {
 		if names := t.scheduler.MaintainFleet(); len(names) > 0 {
 			for len(names) > 0 {
-				batch := names[:min(len(names), tuning.MaxReleaseBatch)]
+				batch := names[:min(len(names), tuning.MaxMachinesPerReturn)]
 				names = names[len(batch):]
 				go t.releaseMachines(ctx, batch)
 			}
--- a/controller/inbox/inbox.go
+++ b/controller/inbox/inbox.go
@@ -43,7 +43,7 @@
 			f.listAll = f.listAll || errors.Is(err, store.ErrCompacted)
 			select {
 			case <-ctx.Done():
-			case <-f.clock.After(tuning.ElectionRetryDelay):
+			case <-f.clock.After(tuning.ErrorRetryDelay):
 			}
 			continue
 		}
@@ -68,7 +68,7 @@
 	}
 	wait := tuning.InboxWatchTimeout
 	if len(f.pending) > 0 {
-		wait = tuning.ElectionRetryDelay
+		wait = tuning.ErrorRetryDelay
 	}
 	events, revision, err := f.client.Watch(ctx, store.InboxPrefix, f.after, wait)
 	if err != nil {
--- a/controller/jobstatus/reader.go
+++ b/controller/jobstatus/reader.go
@@ -165,7 +165,7 @@
 	if job.State == api.Cancelled {
 		j.watermark.RecordCancellation(j.clock.Now(), job.ID)
 	}
-	newestStatus, notification := j.notifications.Newest(job)
+	newestStatus, notification := j.notifications.StatusToSend(job)
 	switch notification {
 	case lookup.Stale:
 		j.counts.StaleAnswerDropped()
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -60,14 +60,14 @@
 			c.elector.Resign("graceful shutdown")
 			break
 		}
-		sleep.For(ctx, c.clock, tuning.ElectionRetryDelay)
+		sleep.For(ctx, c.clock, tuning.ErrorRetryDelay)
 	}
 	for ctx.Err() == nil {
 		leader, electedTerm := c.elector.Leader()
 		if ownTerm, _ := c.elector.Term(); ownTerm == 0 && leader != "" && leader != c.settings.Member && electedTerm > term {
 			break
 		}
-		sleep.For(ctx, c.clock, tuning.ElectionRetryDelay/5)
+		sleep.For(ctx, c.clock, tuning.ErrorRetryDelay/5)
 	}
 	sleep.For(ctx, c.clock, tuning.ShutdownDrainTime)
 }
--- a/controller/term_records.go
+++ b/controller/term_records.go
@@ -24,7 +24,7 @@
 		if loaded, ok := t.load(ctx); ok {
 			return loaded
 		}
-		sleep.For(ctx, t.controller.clock, tuning.ElectionRetryDelay)
+		sleep.For(ctx, t.controller.clock, tuning.ErrorRetryDelay)
 	}
 	return loadedRevisions{}
 }
--- a/dataagent/agent_test.go
+++ b/dataagent/agent_test.go
@@ -124,7 +124,7 @@
 	}
 	fixture.run(agent)
 	eventually(t, "the leader knows the pinned parts and all held parts", func() bool {
-		fixture.clock.Advance(tuning.MinStageReportInterval)
+		fixture.clock.Advance(tuning.MinStageHeartbeatInterval)
 		mu.Lock()
 		defer mu.Unlock()
 		return len(lastHeartbeat.Pinned) == 1 && lastHeartbeat.Pinned[0].Parts.GetCardinality() == 2 && lastHeartbeat.Term == 4 && lastHeartbeat.Sequence == 1 && fullHeartbeats > 0
--- a/dataagent/heartbeat.go
+++ b/dataagent/heartbeat.go
@@ -111,7 +111,7 @@
 			continue
 		case err == nil && redirect != names[current] && slices.Contains(names, redirect):
 			current = slices.Index(names, redirect)
-			sleep.For(ctx, agent.clock, tuning.MinStageReportInterval)
+			sleep.For(ctx, agent.clock, tuning.MinStageHeartbeatInterval)
 			continue
 		case err != nil:
 			slog.Debug("heartbeat not accepted", "by", names[current], "err", err)
@@ -124,8 +124,8 @@
 // awaitNextHeartbeat waits for the minimum interval between two heartbeats, and then until the usual
 // interval has passed or a heartbeat is requested.
 func (agent *Agent) awaitNextHeartbeat(ctx context.Context) {
-	interval := agent.clock.After(tuning.StageReportInterval)
-	sleep.For(ctx, agent.clock, tuning.MinStageReportInterval)
+	interval := agent.clock.After(tuning.StageHeartbeatInterval)
+	sleep.For(ctx, agent.clock, tuning.MinStageHeartbeatInterval)
 	select {
 	case <-ctx.Done():
 	case <-interval:
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -14,7 +14,7 @@
 
 // shortRetry is the delay before the next attempt after another process has won the election, or after a lease was
 // revoked, to let the state service remove the key that is attached to it.
-const shortRetry = tuning.ElectionRetryDelay / 5
+const shortRetry = tuning.ErrorRetryDelay / 5
 
 // Campaign reads the leader's key and, if there is no leader, tries to become it. It returns whether this member was
 // elected. If not, Campaign has already waited until the next attempt makes sense, unless another member leads.
@@ -25,7 +25,7 @@
 	requested := e.clock.Now()
 	leaseID, err := e.client.GrantLease(ctx, tuning.TermTTL)
 	if err != nil {
-		sleep.For(ctx, e.clock, tuning.ElectionRetryDelay)
+		sleep.For(ctx, e.clock, tuning.ErrorRetryDelay)
 		return false
 	}
 	term, err := e.claimLeadership(ctx, leaseID)
@@ -49,7 +49,7 @@
 		e.observeLeader("", 0)
 		return true
 	case err != nil:
-		sleep.For(ctx, e.clock, tuning.ElectionRetryDelay)
+		sleep.For(ctx, e.clock, tuning.ErrorRetryDelay)
 		return false
 	}
 	var record store.LeaderRecord
@@ -76,7 +76,7 @@
 	wait := e.campaignAfter.Sub(e.clock.Now())
 	e.mu.Unlock()
 	if wait > 0 {
-		sleep.For(ctx, e.clock, min(wait, tuning.ElectionRetryDelay))
+		sleep.For(ctx, e.clock, min(wait, tuning.ErrorRetryDelay))
 		return false
 	}
 	if e.callbacks.Isolated() {
@@ -122,7 +122,7 @@
 	for ctx.Err() == nil {
 		changes, revision, err := e.client.Watch(ctx, store.LeaderKey, after, tuning.WatchTimeout)
 		if err != nil {
-			sleep.For(ctx, e.clock, tuning.ElectionRetryDelay)
+			sleep.For(ctx, e.clock, tuning.ErrorRetryDelay)
 			return
 		}
 		if len(changes) > 0 {
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -23,15 +23,15 @@
 	Cases []string
 	// AtOnce is the maximum number of scenarios that run concurrently.
 	AtOnce int
-	// LastsS is how long users submit jobs, and AfterS how long the run then waits for unfinished jobs, in seconds.
-	LastsS, AfterS float64
+	// SubmitForS is how long users submit jobs, and WaitAfterS how long the run then waits for unfinished jobs, in seconds.
+	SubmitForS, WaitAfterS float64
 	// Progress receives a line when a scenario ends. It must not be nil.
 	Progress func(format string, a ...any)
 }
 
 // DayEndDefaults returns an experiment with all cases at a small and a large fleet size.
 func DayEndDefaults() *DayEnd {
-	return &DayEnd{Seed: 1, Sizes: []int{30, 300}, AtOnce: 3, LastsS: 100, AfterS: 80, Progress: func(string, ...any) {}}
+	return &DayEnd{Seed: 1, Sizes: []int{30, 300}, AtOnce: 3, SubmitForS: 100, WaitAfterS: 80, Progress: func(string, ...any) {}}
 }
 
 // DayEndCase is the outcome of one case at one fleet size.
@@ -76,7 +76,7 @@
 			running.Go(func() {
 				defer func() { <-slots }()
 				d := simulation.NewScenario(x.Seed, size)
-				d.SubmitFor, d.WaitAfter, d.Faults = secondsDuration(x.LastsS), secondsDuration(x.AfterS), all[name]
+				d.SubmitFor, d.WaitAfter, d.Faults = secondsDuration(x.SubmitForS), secondsDuration(x.WaitAfterS), all[name]
 				began := time.Now()
 				r := d.Run(ctx)
 				res.Cases[i*len(names)+j] = DayEndCase{name, size, *r}
--- a/experiment/gaps.go
+++ b/experiment/gaps.go
@@ -16,7 +16,7 @@
 	P50  int64  `json:"p50_ms"`
 	P90  int64  `json:"p90_ms"`
 	P99  int64  `json:"p99_ms"`
-	Most int64  `json:"most_ms"`
+	Max  int64  `json:"most_ms"`
 }
 
 // Gaps reads the controllers' debug logs of a day and measures the delays of the jobs that awaited other jobs. It
--- a/experiment/handover.go
+++ b/experiment/handover.go
@@ -30,41 +30,41 @@
 // HandoverDefaults returns three rolling restarts for each kind of shutdown.
 func HandoverDefaults() *Handover { return &Handover{Rolls: 3, Seed: 1} }
 
-// HandedOver is what users observed during the rolling restarts with one kind of shutdown.
-type HandedOver struct {
-	// Way is "told" (SIGTERM) or "killed" (SIGKILL).
-	Way     string `json:"way"`
-	Ends    int    `json:"processes_ended"`
-	Asked   int64  `json:"submissions"`
-	Refused int    `json:"refused"`
-	// P50MS, P99MS and MostMS are the median, the 99th percentile and the maximum of the time until a submission was
+// HandoverResult is what users observed during the rolling restarts with one kind of shutdown.
+type HandoverResult struct {
+	// Shutdown is "told" (SIGTERM) or "killed" (SIGKILL).
+	Shutdown       string `json:"way"`
+	ProcessesEnded int    `json:"processes_ended"`
+	Submissions    int64  `json:"submissions"`
+	Refused        int    `json:"refused"`
+	// P50MS, P99MS and MaxMS are the median, the 99th percentile and the maximum of the time until a submission was
 	// answered.
-	P50MS  int64 `json:"p50_ms"`
-	P99MS  int64 `json:"p99_ms"`
-	MostMS int64 `json:"longest_ms"`
-	// GapMS is the longest interval between two acceptances of submissions.
-	GapMS int64 `json:"longest_without_an_accept_ms"`
-	// IdleMS is the longest interval between two task starts while jobs kept arriving.
-	IdleMS int64 `json:"longest_without_a_start_ms"`
-	// EndP50MS is the median time from the signal to the exit of a process.
-	EndP50MS int64 `json:"end_p50_ms"`
+	P50MS int64 `json:"p50_ms"`
+	P99MS int64 `json:"p99_ms"`
+	MaxMS int64 `json:"longest_ms"`
+	// LongestAcceptGapMS is the longest interval between two acceptances of submissions.
+	LongestAcceptGapMS int64 `json:"longest_without_an_accept_ms"`
+	// LongestStartGapMS is the longest interval between two task starts while jobs kept arriving.
+	LongestStartGapMS int64 `json:"longest_without_a_start_ms"`
+	// ExitP50MS is the median time from the signal to the exit of a process.
+	ExitP50MS int64 `json:"end_p50_ms"`
 }
 
 // Run performs the rolling restarts, first with SIGTERM and then with SIGKILL.
-func (x *Handover) Run(ctx context.Context) ([]HandedOver, error) {
-	var out []HandedOver
+func (x *Handover) Run(ctx context.Context) ([]HandoverResult, error) {
+	var out []HandoverResult
 	for _, graceful := range []bool{true, false} {
 		h, err := x.runRolls(ctx, graceful)
 		if err != nil {
 			return nil, err
 		}
-		x.Progress("%s: %d processes ended, %d submissions, %d refused, longest time without an acceptance %d ms, without a task start %d ms", h.Way, h.Ends, h.Asked, h.Refused, h.GapMS, h.IdleMS)
+		x.Progress("%s: %d processes ended, %d submissions, %d refused, longest time without an acceptance %d ms, without a task start %d ms", h.Shutdown, h.ProcessesEnded, h.Submissions, h.Refused, h.LongestAcceptGapMS, h.LongestStartGapMS)
 		out = append(out, *h)
 	}
 	return out, nil
 }
 
-func (x *Handover) runRolls(ctx context.Context, graceful bool) (*HandedOver, error) {
+func (x *Handover) runRolls(ctx context.Context, graceful bool) (*HandoverResult, error) {
 	r, err := newUpgradeRun(ctx, UpgradeDefaults(), x.Seed, settings.StateLimits{RPS: 2000, WriteRPS: 800, ValueKB: 16, TxnOps: 12})
 	if err != nil {
 		return nil, err
@@ -91,19 +91,19 @@
 	r.mu.Lock()
 	r.longestStartGap = 0
 	r.mu.Unlock()
-	res := &HandedOver{Way: "killed"}
+	res := &HandoverResult{Shutdown: "killed"}
 	shutdownTimes := hdrhistogram.New(1, 60_000, 3)
 	for range x.Rolls {
 		for _, m := range r.cluster.Controllers {
 			began := time.Now()
 			if graceful {
-				res.Way = "told"
+				res.Shutdown = "told"
 				m.Terminate()
 			} else {
 				m.Kill()
 			}
 			_ = shutdownTimes.RecordValue(time.Since(began).Milliseconds())
-			res.Ends++
+			res.ProcessesEnded++
 			if err := m.Start(x.Program); err != nil {
 				stopUsers()
 				return nil, err
@@ -115,11 +115,11 @@
 	done.Wait()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	res.Asked, res.Refused, res.GapMS = u.latency.TotalCount(), u.refused, u.longestGap.Milliseconds()
+	res.Submissions, res.Refused, res.LongestAcceptGapMS = u.latency.TotalCount(), u.refused, u.longestGap.Milliseconds()
 	r.mu.Lock()
-	res.IdleMS = r.longestStartGap.Milliseconds()
+	res.LongestStartGapMS = r.longestStartGap.Milliseconds()
 	r.mu.Unlock()
-	res.P50MS, res.P99MS, res.MostMS, res.EndP50MS = u.latency.ValueAtQuantile(50), u.latency.ValueAtQuantile(99), u.latency.Max(), shutdownTimes.ValueAtQuantile(50)
+	res.P50MS, res.P99MS, res.MaxMS, res.ExitP50MS = u.latency.ValueAtQuantile(50), u.latency.ValueAtQuantile(99), u.latency.Max(), shutdownTimes.ValueAtQuantile(50)
 	return res, ctx.Err()
 }
 
--- a/experiment/locality.go
+++ b/experiment/locality.go
@@ -52,8 +52,8 @@
 	Progress func(format string, a ...any)
 }
 
-// Defaults returns the experiment whose table is in docs/data.md.
-func Defaults() Locality {
+// LocalityDefaults returns the experiment whose table is in docs/data.md.
+func LocalityDefaults() Locality {
 	return Locality{Seed: 1, Machines: 24, Slots: 2, Datasets: 16, Parts: 4, PartBytes: 1 << 20, Jobs: 144, TaskRunS: 4, Load: 0.6,
 		LinkRate: 512 << 10, StoreRate: 6 << 20, CachedParts: 16, Skews: []float64{0, 1, 2}, AtOnce: 12, Dir: os.TempDir()}
 }
@@ -79,13 +79,13 @@
 	Name       string `json:"name"`
 	StoreBytes int64  `json:"store_bytes"`
 	PeerBytes  int64  `json:"peer_bytes"`
-	// LeastBytes is the lower bound of StoreBytes for any placement: each part that some task needs is read from the
+	// MinStoreBytes is the lower bound of StoreBytes for any placement: each part that some task needs is read from the
 	// store once.
-	LeastBytes int64   `json:"least_bytes"`
-	StartP50   float64 `json:"start_p50_ms"`
-	StartP95   float64 `json:"start_p95_ms"`
-	StartP99   float64 `json:"start_p99_ms"`
-	MakespanS  float64 `json:"makespan_s"`
+	MinStoreBytes int64   `json:"least_bytes"`
+	StartP50      float64 `json:"start_p50_ms"`
+	StartP95      float64 `json:"start_p95_ms"`
+	StartP99      float64 `json:"start_p99_ms"`
+	MakespanS     float64 `json:"makespan_s"`
 }
 
 // placements has the placement modes and their names in the result.
@@ -257,7 +257,7 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	f := PlacementFigures{Name: name, LeastBytes: int64(len(usedDatasets)) * int64(p.Parts*p.PartBytes)}
+	f := PlacementFigures{Name: name, MinStoreBytes: int64(len(usedDatasets)) * int64(p.Parts*p.PartBytes)}
 	for _, m := range p.machines {
 		r := m.agent.Heartbeat(false)
 		f.StoreBytes += r.BytesFromStore
--- a/experiment/locality_test.go
+++ b/experiment/locality_test.go
@@ -12,7 +12,7 @@
 // bound in every mode, and placement with locality and staging reads less from the store than blind placement.
 func TestLocalityReadsLessFromStore(t *testing.T) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
-	l := Defaults()
+	l := LocalityDefaults()
 	l.Machines, l.Datasets, l.Jobs, l.TaskRunS, l.PartBytes, l.LinkRate, l.Skews, l.Dir = 6, 4, 16, 0.2, 64<<10, 1<<20, []float64{1}, t.TempDir()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
@@ -23,7 +23,7 @@
 	byName := map[string]PlacementFigures{}
 	for _, f := range r.Workloads[0].Placements {
 		byName[f.Name] = f
-		if f.LeastBytes == 0 || f.StoreBytes < f.LeastBytes || f.StartP95 <= 0 || f.MakespanS <= 0 {
+		if f.MinStoreBytes == 0 || f.StoreBytes < f.MinStoreBytes || f.StartP95 <= 0 || f.MakespanS <= 0 {
 			t.Errorf("inconsistent figures: %+v", f)
 		}
 	}
@@ -34,7 +34,7 @@
 
 func TestLocalityRejectsInvalidOptions(t *testing.T) {
 	for _, change := range []func(*Locality){func(l *Locality) { l.Machines = 0 }, func(l *Locality) { l.Load = 0 }, func(l *Locality) { l.CachedParts = 1 }} {
-		l := Defaults()
+		l := LocalityDefaults()
 		change(&l)
 		if _, err := l.Run(context.Background()); err == nil {
 			t.Errorf("invalid options accepted: %+v", l)
@@ -44,7 +44,7 @@
 
 // The same seed gives the same workload, another seed a different one.
 func TestWorkloadIsDeterminedBySeed(t *testing.T) {
-	a, b, c := Defaults(), Defaults(), Defaults()
+	a, b, c := LocalityDefaults(), LocalityDefaults(), LocalityDefaults()
 	c.Seed = 9
 	x, y, z := a.drawJobs(1), b.drawJobs(1), c.drawJobs(1)
 	same := true
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -25,7 +25,7 @@
 	Class string
 	// WithinS is the allowed time from when a job may start, in seconds. If it is 0, a job's allowed time
 	// is its own deadline multiplied by Times, counted from its submission.
-	WithinS, Times float64
+	WithinS, DeadlineFactor float64
 	// FromS and ToS bound the jobs' submission times, in seconds since the first log line.
 	FromS, ToS float64
 	// SlotS is the length of a time slot in which capacity is counted, in seconds.
@@ -35,7 +35,9 @@
 }
 
 // OrderDefaults returns options that cover a whole day.
-func OrderDefaults() *Order { return &Order{Times: 1, ToS: math.MaxFloat32, SlotS: 5, Rounds: 600} }
+func OrderDefaults() *Order {
+	return &Order{DeadlineFactor: 1, ToS: math.MaxFloat32, SlotS: 5, Rounds: 600}
+}
 
 // OrderResult compares the jobs of a class that met their deadline with those that could have. Alone counts
 // jobs that would have missed it with the whole fleet to themselves. Most is the bound that package
@@ -44,11 +46,11 @@
 type OrderResult struct {
 	Class string `json:"class"`
 	// Aim describes the deadline that the jobs are compared with.
-	Aim    string  `json:"aim"`
-	Jobs   int     `json:"jobs"`
-	InTime int     `json:"in_time"`
-	Alone  int     `json:"impossible_alone"`
-	Most   float64 `json:"most"`
+	Aim             string  `json:"aim"`
+	Jobs            int     `json:"jobs"`
+	InTime          int     `json:"in_time"`
+	ImpossibleAlone int     `json:"impossible_alone"`
+	UpperBound      float64 `json:"most"`
 	// Late counts the jobs that missed their deadline, by cause.
 	Late LateJobs `json:"late"`
 }
@@ -57,10 +59,10 @@
 // ran longer than the job's allowed time; a task was lost with its machine or ended without success; a task was
 // stopped; or the job waited for capacity, an image or a machine.
 type LateJobs struct {
-	Long    int `json:"long_task"`
-	Lost    int `json:"task_lost"`
-	Stopped int `json:"task_stopped"`
-	Waited  int `json:"waited"`
+	LongTask    int `json:"long_task"`
+	TaskLost    int `json:"task_lost"`
+	TaskStopped int `json:"task_stopped"`
+	Waited      int `json:"waited"`
 }
 
 func (l *LateJobs) add(j *loggedJob, allowed float64) {
@@ -70,11 +72,11 @@
 	}
 	switch {
 	case longest >= allowed:
-		l.Long++
+		l.LongTask++
 	case j.lost > 0:
-		l.Lost++
+		l.TaskLost++
 	case j.stopped > 0:
-		l.Stopped++
+		l.TaskStopped++
 	default:
 		l.Waited++
 	}
@@ -150,7 +152,7 @@
 	}
 	res := &OrderResult{Class: o.Class, Aim: fmt.Sprintf("within %g s", o.WithinS)}
 	if o.WithinS == 0 {
-		res.Aim = fmt.Sprintf("within %g times the deadline", o.Times)
+		res.Aim = fmt.Sprintf("within %g times the deadline", o.DeadlineFactor)
 	}
 	var jobs []upperbound.Job
 	for _, j := range day.jobs {
@@ -158,9 +160,9 @@
 		// run before the job was ready.
 		due := j.ready + o.WithinS
 		if o.WithinS == 0 {
-			due = j.submitted + o.Times*j.deadlineS
+			due = j.submitted + o.DeadlineFactor*j.deadlineS
 		}
-		if j.class != o.Class || j.submitted < o.FromS || j.submitted > o.ToS || len(j.runTimes) < j.size || o.WithinS == 0 && o.Times*j.deadlineS <= 0 || due > day.lastAt {
+		if j.class != o.Class || j.submitted < o.FromS || j.submitted > o.ToS || len(j.runTimes) < j.size || o.WithinS == 0 && o.DeadlineFactor*j.deadlineS <= 0 || due > day.lastAt {
 			continue
 		}
 		res.Jobs++
@@ -184,7 +186,7 @@
 		return cmp.Or(cmp.Compare(a.Arrive, b.Arrive), len(a.Tasks)-len(b.Tasks))
 	})
 	b := upperbound.Compute(jobs, free, o.Rounds)
-	res.Alone, res.Most = b.InfeasibleAlone, b.Bound
+	res.ImpossibleAlone, res.UpperBound = b.InfeasibleAlone, b.Bound
 	return res, nil
 }
 
--- a/experiment/order_test.go
+++ b/experiment/order_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (LateJobs{1, 1, 1, 1}); res.Late != want || res.Jobs != 5 || res.InTime != 1 || res.Alone != 1 || res.Most > 4 {
+	if want := (LateJobs{1, 1, 1, 1}); res.Late != want || res.Jobs != 5 || res.InTime != 1 || res.ImpossibleAlone != 1 || res.UpperBound > 4 {
 		t.Errorf("%+v, want late jobs %+v, 5 jobs, one in time, one impossible alone, and a bound of at most 4", res, want)
 	}
 }
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -47,15 +47,15 @@
 type RecoveryFigures struct {
 	Machines int    `json:"machines"`
 	Case     string `json:"case"`
-	// FirstStart is when a new leader first started a task, HeardAll when every worker had received an answer from it.
-	FirstStart float64 `json:"first_start_s"`
-	HeardAll   float64 `json:"heard_all_s"`
-	// ReturnedInVain counts the healthy machines that were returned to the cloud. LostInVain counts the tasks that were
+	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer from it.
+	FirstStart         float64 `json:"first_start_s"`
+	AllWorkersAnswered float64 `json:"heard_all_s"`
+	// HealthyReturned counts the healthy machines that were returned to the cloud. TasksLost counts the tasks that were
 	// lost with them or killed because a lease expired.
-	ReturnedInVain int `json:"returned_in_vain"`
-	LostInVain     int `json:"lost_in_vain"`
-	// PeakShare is the 99th percentile of the leader's CPU use in one second, as a share of one core.
-	PeakShare float64 `json:"peak_share"`
+	HealthyReturned int `json:"returned_in_vain"`
+	TasksLost       int `json:"lost_in_vain"`
+	// LeaderCPUP99 is the 99th percentile of the leader's CPU use in one second, as a share of one core.
+	LeaderCPUP99 float64 `json:"peak_share"`
 }
 
 // RecoveryResult is the result that the experiment prints.
@@ -78,7 +78,7 @@
 				return nil, fmt.Errorf("%d machines, %s: %w", machines, name, err)
 			}
 			x.Progress("%d machines, %s: first start %.1f s, all workers answered %.1f s, %d healthy machines returned, %d tasks lost, leader's peak %.2f of a core",
-				machines, name, r.FirstStart, r.HeardAll, r.ReturnedInVain, r.LostInVain, r.PeakShare)
+				machines, name, r.FirstStart, r.AllWorkersAnswered, r.HealthyReturned, r.TasksLost, r.LeaderCPUP99)
 			res.Sizes = append(res.Sizes, r)
 		}
 	}
@@ -100,8 +100,8 @@
 		return RecoveryFigures{}, fmt.Errorf("the case was not run")
 	}
 	c := res.Cases[i]
-	return RecoveryFigures{Machines: machines, Case: name, FirstStart: c.FirstStart, HeardAll: c.AllWorkersAnswered, ReturnedInVain: c.MachinesReturned, LostInVain: c.KilledByLease + c.TasksOnReturned,
-		PeakShare: c.Step.Leader.CPUP99}, nil
+	return RecoveryFigures{Machines: machines, Case: name, FirstStart: c.FirstStart, AllWorkersAnswered: c.AllWorkersAnswered, HealthyReturned: c.MachinesReturned, TasksLost: c.KilledByLease + c.TasksOnReturned,
+		LeaderCPUP99: c.Step.Leader.CPUP99}, nil
 }
 
 // recoveryStepS is how long the loaded fleet runs before the fault, in seconds.
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -32,12 +32,12 @@
 	StartsPerS     float64
 	Teams, Agents  int
 	// StepS is how long a step is measured, WatchS how long a case is observed after its fault has ended, CutS how long
-	// a rack or zone is partitioned, ApartS how long the regions are partitioned from each other, and OutageS how long the
+	// a rack or zone is partitioned, RegionCutS how long the regions are partitioned from each other, and OutageS how long the
 	// state service is unavailable. All in seconds.
-	StepS, WatchS, CutS, ApartS, OutageS float64
-	// ChangesEveryS is the interval between configuration changes in seconds; 0 means none, and disables live
+	StepS, WatchS, CutS, RegionCutS, OutageS float64
+	// ChangeIntervalS is the interval between configuration changes in seconds; 0 means none, and disables live
 	// configuration.
-	ChangesEveryS float64
+	ChangeIntervalS float64
 	// Workers are the workers' settings.
 	Workers settings.Workers
 	// LogDir is the directory of the controllers' logs; empty means that they are discarded. LogLevel is their level.
@@ -49,7 +49,7 @@
 // ScaleDefaults returns the steps and cases of docs/CAPACITY.md.
 func ScaleDefaults() *Scale {
 	return &Scale{Seed: 1, Sizes: []int{200, 400, 800, 1600, 2400}, CasesAt: 1600, Cases: ScaleCases(), TasksPerWorker: 22.5, StartsPerS: 97, Teams: 110, Agents: 8,
-		StepS: 20, WatchS: 15, CutS: 60, ApartS: 180, OutageS: 20, Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, Progress: func(string, ...any) {}}
+		StepS: 20, WatchS: 15, CutS: 60, RegionCutS: 180, OutageS: 20, Workers: settings.Workers{HeartbeatIntervalS: 3, LeaseS: 17.5, CancelDeadlineS: 47.5}, Progress: func(string, ...any) {}}
 }
 
 // Bounds and load of a run.
@@ -326,7 +326,7 @@
 		return nil, err
 	}
 	go run.submitArrivals()
-	if x.ChangesEveryS > 0 {
+	if x.ChangeIntervalS > 0 {
 		go run.changer.loop()
 	}
 	return run, nil
@@ -338,7 +338,7 @@
 			return err
 		}
 	}
-	if run.ChangesEveryS > 0 {
+	if run.ChangeIntervalS > 0 {
 		if err := run.cluster.EnableFeatures("[configuration]\non = true\n"); err != nil {
 			return err
 		}
@@ -449,9 +449,9 @@
 
 // waitForTasks waits until the given number of tasks is running.
 func (run *scaleRun) waitForTasks(tasks int) error {
-	err := run.cluster.WaitUntil(settleTimeout, func() bool { return run.cluster.Running() >= tasks })
+	err := run.cluster.WaitUntil(settleTimeout, func() bool { return run.cluster.RunningTasks() >= tasks })
 	if err != nil {
-		return fmt.Errorf("only %d of %d tasks are running: %w", run.cluster.Running(), tasks, err)
+		return fmt.Errorf("only %d of %d tasks are running: %w", run.cluster.RunningTasks(), tasks, err)
 	}
 	return nil
 }
--- a/experiment/scale_cases.go
+++ b/experiment/scale_cases.go
@@ -22,7 +22,7 @@
 	ScaleOutage = "outage"
 	// ScaleRestarts restarts some workers one after the other, spread over CutS.
 	ScaleRestarts = "restarts"
-	// ScaleRegions partitions the two regions from each other for ApartS.
+	// ScaleRegions partitions the two regions from each other for RegionCutS.
 	ScaleRegions = "regions"
 	// ScaleFull observes a full fleet without a fault.
 	ScaleFull = "full"
@@ -125,7 +125,7 @@
 	if run.cluster.Leader() == nil {
 		return nil, fmt.Errorf("nobody leads")
 	}
-	before, term, lost := run.cluster.Running(), run.highestTerm(), run.countLosses()
+	before, term, lost := run.cluster.RunningTasks(), run.highestTerm(), run.countLosses()
 	record := run.record()
 	began := time.Now()
 	machines, inject, changesLeader := run.fault(name)
@@ -169,7 +169,7 @@
 		if changesLeader && c.AllWorkersAnswered < 0 && run.allSawTermAbove(term) {
 			c.AllWorkersAnswered = since
 		}
-		switch running := run.cluster.Running(); {
+		switch running := run.cluster.RunningTasks(); {
 		case running < runningBefore*recoveredPercent/100:
 			c.RecoveredAfter = -1
 		case c.RecoveredAfter < 0:
@@ -197,7 +197,7 @@
 	cut := func(zones []string) (map[string]bool, func(), bool) {
 		length := run.CutS
 		if name == ScaleRegions {
-			length = run.ApartS
+			length = run.RegionCutS
 		}
 		return run.machinesIn(zones), func() {
 			run.cluster.Isolate(zones...)
--- a/experiment/scale_changes.go
+++ b/experiment/scale_changes.go
@@ -60,9 +60,9 @@
 	return Changes{Latency: latencyOf(c.latency), Refused: c.refused, Slow: c.slow}
 }
 
-// loop makes a change every ChangesEveryS until the run ends.
+// loop makes a change every ChangeIntervalS until the run ends.
 func (c *limitChanger) loop() {
-	for number := 0; c.run.cluster.Sleep(secondsDuration(c.run.ChangesEveryS)); number++ {
+	for number := 0; c.run.cluster.Sleep(secondsDuration(c.run.ChangeIntervalS)); number++ {
 		if began := time.Now(); c.change(number) {
 			took := time.Since(began)
 			c.mu.Lock()
--- a/experiment/scale_measure.go
+++ b/experiment/scale_measure.go
@@ -108,7 +108,7 @@
 		return
 	}
 	r.self = append(r.self, usage)
-	r.taskSum += r.run.cluster.Running()
+	r.taskSum += r.run.cluster.RunningTasks()
 	r.samples++
 }
 
--- a/experiment/scale_test.go
+++ b/experiment/scale_test.go
@@ -21,7 +21,7 @@
 	}
 	x := ScaleDefaults()
 	x.Program, x.Sizes, x.CasesAt, x.Cases = program, []int{10}, 10, []string{ScaleLeader, ScaleRack}
-	x.TasksPerWorker, x.StartsPerS, x.Teams, x.Agents, x.ChangesEveryS = 4, 2, 4, 1, 1
+	x.TasksPerWorker, x.StartsPerS, x.Teams, x.Agents, x.ChangeIntervalS = 4, 2, 4, 1, 1
 	x.StepS, x.CutS, x.WatchS = 2, 2, 3
 	x.Workers = settings.Workers{HeartbeatIntervalS: 0.5, LeaseS: 6, CancelDeadlineS: 20}
 	ctx, stop := context.WithTimeout(context.Background(), 4*time.Minute)
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -109,7 +109,7 @@
 		in.cluster.Controllers[target].Pause()
 		sleep.OnRealClock(ctx, fault.For)
 		in.cluster.Controllers[target].Resume()
-	case InboundLostWorkers, OutboundLostWorkers, RestartedWorkers, HungWorkers:
+	case OutboundLostWorkers, InboundLostWorkers, RestartedWorkers, HungWorkers:
 		in.disturbWorkers(ctx, fault)
 	case FailedWorkers, PreemptedWorkers:
 		in.endWorkers(ctx, fault)
@@ -175,7 +175,7 @@
 		case HungWorkers:
 			worker.Suspend(true)
 		default:
-			worker.BlockMessages(fault.Kind == OutboundLostWorkers, fault.Kind == InboundLostWorkers)
+			worker.BlockMessages(fault.Kind == InboundLostWorkers, fault.Kind == OutboundLostWorkers)
 		}
 	}
 	sleep.OnRealClock(ctx, fault.For)
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -48,10 +48,10 @@
 	RepeatedHeartbeats Kind = "repeated-heartbeats"
 	// LateCommands delays a share of the commands to all workers.
 	LateCommands Kind = "late-commands"
-	// InboundLostWorkers drops all messages to a fifth of the workers.
-	InboundLostWorkers Kind = "deaf-workers"
-	// OutboundLostWorkers drops all messages from a fifth of the workers.
-	OutboundLostWorkers Kind = "mute-workers"
+	// OutboundLostWorkers drops all messages to a fifth of the workers.
+	OutboundLostWorkers Kind = "deaf-workers"
+	// InboundLostWorkers drops all messages from a fifth of the workers.
+	InboundLostWorkers Kind = "mute-workers"
 	// RestartedWorkers restarts a fifth of the workers, which lose their tasks.
 	RestartedWorkers Kind = "restarted-workers"
 	// HungWorkers makes a fifth of the workers hang until the fault ends.
@@ -100,8 +100,8 @@
 	LostHeartbeats:      {2 * time.Second, 10 * time.Second},
 	RepeatedHeartbeats:  {2 * time.Second, 10 * time.Second},
 	LateCommands:        {2 * time.Second, 10 * time.Second},
-	InboundLostWorkers:  {time.Second, 8 * time.Second},
 	OutboundLostWorkers: {time.Second, 8 * time.Second},
+	InboundLostWorkers:  {time.Second, 8 * time.Second},
 	RestartedWorkers:    {100 * time.Millisecond, 200 * time.Millisecond},
 	HungWorkers:         {time.Second, 7 * time.Second},
 	FailedWorkers:       {100 * time.Millisecond, 200 * time.Millisecond},
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -123,16 +123,16 @@
 	Seconds  float64        `json:"seconds"`
 	Schedule []string       `json:"schedule"`
 	Faults   map[string]int `json:"faults"`
-	// Questions counts the requests of users and Answers the answers to them. Crossed counts the answers that arrived
+	// Requests counts the requests of users and Answers the answers to them. Crossed counts the answers that arrived
 	// after a newer one.
-	Questions int `json:"questions"`
-	Answers   int `json:"answers"`
-	Crossed   int `json:"crossed"`
-	// Told counts the jobs whose terminal state was reported to a user, Starts the task starts, and Terms the leaders'
+	Requests          int `json:"questions"`
+	Answers           int `json:"answers"`
+	OutOfOrderAnswers int `json:"crossed"`
+	// TerminalJobs counts the jobs whose terminal state was reported to a user, Starts the task starts, and Terms the leaders'
 	// terms.
-	Told   int `json:"told"`
-	Starts int `json:"starts"`
-	Terms  int `json:"terms"`
+	TerminalJobs int `json:"told"`
+	Starts       int `json:"starts"`
+	Terms        int `json:"terms"`
 	// IneffectiveStarts counts start commands that had no effect because they crossed with another message. Releases
 	// counts, from the leaders' logs, the released allocations by the proof that allowed the release, and the messages
 	// about an attempt that crossed.
@@ -142,13 +142,13 @@
 	Unfinished int `json:"unfinished"`
 	// UnexpectedExits counts the controllers whose last process exited without being killed.
 	UnexpectedExits int `json:"ended_by_themselves"`
-	// Contradictions counts the invariant violations that the controllers logged.
-	Contradictions int `json:"contradictions"`
-	// Broken has the number of violations of each rule; Details describes the first ones.
-	Broken  map[string]int `json:"broken"`
-	Details []string       `json:"why"`
-	// Vacuous is the reason why the run is inconclusive; empty if it is not.
-	Vacuous string `json:"vacuous,omitempty"`
+	// InvariantViolations counts the invariant violations that the controllers logged.
+	InvariantViolations int `json:"contradictions"`
+	// Violations has the number of violations of each rule; Details describes the first ones.
+	Violations map[string]int `json:"broken"`
+	Details    []string       `json:"why"`
+	// InconclusiveReason is the reason why the run is inconclusive; empty if it is not.
+	InconclusiveReason string `json:"vacuous,omitempty"`
 	// Logs is the directory of the controllers' logs, if they were kept.
 	Logs string `json:"logs,omitempty"`
 }
@@ -156,7 +156,7 @@
 // Failed reports whether a rule was violated, a controller logged an invariant violation, or a controller exited
 // without being killed.
 func (r *Run) Failed() bool {
-	return len(r.Broken) > 0 || r.Contradictions > 0 || r.UnexpectedExits > 0
+	return len(r.Violations) > 0 || r.InvariantViolations > 0 || r.UnexpectedExits > 0
 }
 
 // Result is the result that the experiment prints.
@@ -175,9 +175,9 @@
 	return failed
 }
 
-// Play runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid
+// Run runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid
 // options, if a run cannot be set up, or if ctx ends; the result then has the runs that were completed.
-func (o *Options) Play(ctx context.Context) (*Result, error) {
+func (o *Options) Run(ctx context.Context) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
@@ -350,17 +350,17 @@
 // evaluate fills in the findings of the audit and of the logs, and removes the logs unless the run failed.
 func (o *Options) evaluate(run *Run, audit *cluster.Audit, logs string) {
 	counts := audit.Counts()
-	run.Questions, run.Answers, run.Crossed, run.Told, run.Starts = counts.Requests, counts.Answers, counts.OutOfOrderAnswers, counts.TerminalJobs, audit.Starts()
-	run.Broken, run.Details = audit.Violations()
+	run.Requests, run.Answers, run.OutOfOrderAnswers, run.TerminalJobs, run.Starts = counts.Requests, counts.Answers, counts.OutOfOrderAnswers, counts.TerminalJobs, audit.Starts()
+	run.Violations, run.Details = audit.Violations()
 	texts := readLogs(logs)
-	run.Contradictions, run.Releases, run.IneffectiveStarts = countInvariantViolations(texts), countReleases(texts), audit.IneffectiveStarts()
+	run.InvariantViolations, run.Releases, run.IneffectiveStarts = countInvariantViolations(texts), countReleases(texts), audit.IneffectiveStarts()
 	switch {
 	case float64(run.Answers) < minAnswersPerS*o.ForS:
-		run.Vacuous = "too few questions were answered"
+		run.InconclusiveReason = "too few questions were answered"
 	case run.Terms < minTerms:
-		run.Vacuous = "no leader changed"
+		run.InconclusiveReason = "no leader changed"
 	case run.IneffectiveStarts.Sum() == 0:
-		run.Vacuous = "no start crossed with anything"
+		run.InconclusiveReason = "no start crossed with anything"
 	}
 	if run.Failed() {
 		run.Logs = logs
@@ -368,7 +368,7 @@
 		_ = os.RemoveAll(logs) // The logs of a passed run are not needed; errors are ignored.
 	}
 	o.Progress("seed %d: %.0f s, %d of %d requests answered, %d terminal states reported, %d starts, %d terms, %d crossed starts, %d unfinished, %d unexpected exits, %d invariant violations, rules violated %v %s", run.Seed, run.Seconds,
-		run.Answers, run.Questions, run.Told, run.Starts, run.Terms, run.IneffectiveStarts.Sum(), run.Unfinished, run.UnexpectedExits, run.Contradictions, run.Broken, run.Vacuous)
+		run.Answers, run.Requests, run.TerminalJobs, run.Starts, run.Terms, run.IneffectiveStarts.Sum(), run.Unfinished, run.UnexpectedExits, run.InvariantViolations, run.Violations, run.InconclusiveReason)
 	for _, why := range run.Details {
 		o.Progress("seed %d: %s", run.Seed, why)
 	}
--- a/experiment/soak/soak_test.go
+++ b/experiment/soak/soak_test.go
@@ -33,13 +33,13 @@
 	options.Progress = t.Logf
 	ctx, stop := context.WithTimeout(t.Context(), 4*time.Minute)
 	defer stop()
-	result, err := options.Play(ctx)
+	result, err := options.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, run := range result.Runs {
-		if run.Failed() || run.Vacuous != "" {
-			t.Errorf("seed %d: rules violated %v, %d invariant violations, %d unexpected exits, %q: %v", run.Seed, run.Broken, run.Contradictions, run.UnexpectedExits, run.Vacuous, run.Details)
+		if run.Failed() || run.InconclusiveReason != "" {
+			t.Errorf("seed %d: rules violated %v, %d invariant violations, %d unexpected exits, %q: %v", run.Seed, run.Violations, run.InvariantViolations, run.UnexpectedExits, run.InconclusiveReason, run.Details)
 			printLogs(t, run.Logs)
 		}
 	}
@@ -78,7 +78,7 @@
 		options := Defaults()
 		options.Program, _ = os.Executable()
 		tc.change(options)
-		if _, err := options.Play(t.Context()); !errors.Is(err, tc.want) {
+		if _, err := options.Run(t.Context()); !errors.Is(err, tc.want) {
 			t.Errorf("%v, want %v", err, tc.want)
 		}
 	}
--- a/experiment/topology.go
+++ b/experiment/topology.go
@@ -22,8 +22,8 @@
 	// each seed. Load is the share of the fleet's CPUs that jobs request on average.
 	Machines, Seconds int
 	Load              float64
-	// Only is the single placer to run; empty means all.
-	Only string
+	// Placer is the single placer to run; empty means all.
+	Placer string
 	// Progress receives a line after each seed. It must not be nil.
 	Progress func(format string, a ...any)
 }
@@ -43,7 +43,7 @@
 	Placements []TopologyFigures `json:"placements"`
 }
 
-// TopologyFigures holds the figures of one placer over all seeds. PlacedN is the number of placed tasks. Violations
+// TopologyFigures holds the figures of one placer over all seeds. Placed is the number of placed tasks. Violations
 // counts, for each simulated second, the jobs that exceed a spread bound or whose tasks are spread over several domains
 // although they must be close together. CloseTogether counts the jobs whose tasks must be close together and were
 // placed within one domain; ClosePossible counts these and the jobs that still waited although, after two consecutive
@@ -52,7 +52,7 @@
 // percentiles of the decision time per task: the time of a round divided by the number of tasks that it placed.
 type TopologyFigures struct {
 	Name          string  `json:"name"`
-	PlacedN       int     `json:"placed"`
+	Placed        int     `json:"placed"`
 	Violations    int     `json:"spread_violations"`
 	ClosePossible int     `json:"close_possible"`
 	CloseTogether int     `json:"close_together"`
@@ -66,7 +66,7 @@
 func (x *Topology) Run(ctx context.Context) (*TopologyResult, error) {
 	res := &TopologyResult{Machines: x.Machines, Seeds: x.Seeds}
 	for _, name := range TopologyPlacements {
-		if x.Only != "" && x.Only != name {
+		if x.Placer != "" && x.Placer != name {
 			continue
 		}
 		f := TopologyFigures{Name: name}
@@ -98,7 +98,7 @@
 				}
 				w.clock.Advance(time.Second)
 			}
-			f.PlacedN += w.placed
+			f.Placed += w.placed
 			x.Progress("%s, seed %d done", name, seed)
 		}
 		f.WaitP95 = float64(waits.ValueAtQuantile(95)) / 1000
--- a/experiment/topology_test.go
+++ b/experiment/topology_test.go
@@ -20,7 +20,7 @@
 	for _, f := range res.Placements {
 		byName[f.Name] = f
 	}
-	if f := byName["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.PlacedN == 0 {
+	if f := byName["topology"]; f.Violations > 0 || f.ClosePossible == 0 || f.CloseTogether != f.ClosePossible || f.Placed == 0 {
 		t.Errorf("violations, or jobs not placed that fit, with a topology: %+v", f)
 	}
 	if f := byName["today"]; f.Violations == 0 {
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -40,26 +40,26 @@
 // UpgradeFigures is the outcome of one run. All counts below Tasks must be 0.
 type UpgradeFigures struct {
 	Seed uint64 `json:"seed"`
-	// Kills counts the processes that were killed; OldBack counts those restarted with the older program.
-	Kills   int `json:"kills"`
-	OldBack int `json:"came_back_old"`
-	Jobs    int `json:"jobs"`
+	// Kills counts the processes that were killed; RestartedOld counts those restarted with the older program.
+	Kills        int `json:"kills"`
+	RestartedOld int `json:"came_back_old"`
+	Jobs         int `json:"jobs"`
 	// Awaiting counts the jobs that await other jobs, Tasks all task starts.
 	Awaiting int `json:"jobs_that_await"`
 	Tasks    int `json:"tasks_started"`
 	// RanTwice counts starts of a task that still ran on another machine; TooEarly counts starts before an awaited job
 	// was done; Wrong counts impossible states and refused submissions; Unended counts jobs that reached no terminal
 	// state; Forgotten counts answers that an accepted job is unknown.
-	RanTwice  int `json:"ran_twice"`
-	TooEarly  int `json:"too_early"`
-	Wrong     int `json:"wrong_states"`
-	Unended   int `json:"not_over"`
-	Forgotten int `json:"forgotten"`
-	// TooLarge counts requests that the state service refused because of their size.
-	TooLarge int `json:"refused_for_size"`
-	// SwitchedS is the time from the end of the rolling upgrade to the first accepted job that awaits another job, in
+	RanTwice    int `json:"ran_twice"`
+	TooEarly    int `json:"too_early"`
+	WrongStates int `json:"wrong_states"`
+	Unfinished  int `json:"not_over"`
+	Forgotten   int `json:"forgotten"`
+	// RefusedForSize counts requests that the state service refused because of their size.
+	RefusedForSize int `json:"refused_for_size"`
+	// AwaitingAcceptedAfterS is the time from the end of the rolling upgrade to the first accepted job that awaits another job, in
 	// seconds.
-	SwitchedS float64 `json:"switched_s"`
+	AwaitingAcceptedAfterS float64 `json:"switched_s"`
 }
 
 // UpgradeResult is the result that the experiment prints.
@@ -82,7 +82,7 @@
 			return nil, fmt.Errorf("seed %d: %w", x.Seed+uint64(i), err)
 		}
 		res.Runs = append(res.Runs, *r)
-		x.Progress("seed %d: %d kills, %d jobs, %d tasks, first job that awaits another accepted after %.1f s", r.Seed, r.Kills, r.Jobs, r.Tasks, r.SwitchedS)
+		x.Progress("seed %d: %d kills, %d jobs, %d tasks, first job that awaits another accepted after %.1f s", r.Seed, r.Kills, r.Jobs, r.Tasks, r.AwaitingAcceptedAfterS)
 	}
 	return res, nil
 }
@@ -162,7 +162,7 @@
 	for why, n := range r.cluster.State.Refusals() {
 		if !strings.HasPrefix(why, "too many requests") && why != "too many changes" {
 			slog.Info("state service refused requests", "why", why, "times", n)
-			r.res.TooLarge += n
+			r.res.RefusedForSize += n
 		}
 	}
 	return &r.res, ctx.Err()
@@ -237,7 +237,7 @@
 				to = r.To
 				next++
 			} else {
-				r.res.OldBack++
+				r.res.RestartedOld++
 			}
 			if err := m.Start(to); err != nil {
 				return err
@@ -249,7 +249,7 @@
 	if err := r.waitUntil(ctx, 30*time.Second, func() bool { return r.submit(ctx, r.jobsToAwait(), 3) }); err != nil {
 		return fmt.Errorf("no job that awaits another job was accepted after the rolling upgrade: %w", err)
 	}
-	r.res.SwitchedS = time.Since(began).Seconds()
+	r.res.AwaitingAcceptedAfterS = time.Since(began).Seconds()
 	for i := range 40 {
 		r.submit(ctx, r.jobsToAwait(), 1+r.rng.IntN(12))
 		switch {
@@ -275,7 +275,7 @@
 	if err := r.waitUntil(ctx, 60*time.Second, allTerminal); err != nil && ctx.Err() != nil {
 		return err
 	}
-	r.res.Unended = r.unfinished()
+	r.res.Unfinished = r.unfinished()
 	return nil
 }
 
@@ -342,7 +342,7 @@
 		}
 		if cerr == nil && status < 500 {
 			slog.Error("submission refused", "status", status, "body", string(body))
-			r.res.Wrong++
+			r.res.WrongStates++
 			break
 		}
 		r.pause(ctx, 300)
@@ -382,13 +382,13 @@
 			r.res.Forgotten++
 			continue
 		case json.Unmarshal(body, &st) != nil:
-			r.res.Wrong++
+			r.res.WrongStates++
 			continue
 		}
 		wrong := job.terminalState != "" && st.State != job.terminalState || st.State == api.Cancelled && !r.cancelConfirmed(id) || st.State == api.Done && r.cancelConfirmed(id)
 		if wrong {
 			slog.Error("wrong job state", "job", id, "state", st.State, "told", job.terminalState)
-			r.res.Wrong++
+			r.res.WrongStates++
 		}
 		if st.State == api.Done || st.State == api.Cancelled {
 			job.terminalState = st.State
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -99,8 +99,8 @@
 	return out
 }
 
-// Running returns the number of tasks that run on all workers.
-func (cluster *Cluster) Running() (n int) {
+// RunningTasks returns the number of tasks that run on all workers.
+func (cluster *Cluster) RunningTasks() (n int) {
 	for _, worker := range cluster.Workers() {
 		_, _, _, running := worker.Status()
 		n += running
--- a/internal/golden/cli_test.go
+++ b/internal/golden/cli_test.go
@@ -217,7 +217,7 @@
 func TestExperimentResultsMatchGolden(t *testing.T) {
 	compareMessages(t, "experiments", []goldenMessage{
 		messageOf[experiment.Gap]("gap"),
-		messageOf[experiment.HandedOver]("handover"),
+		messageOf[experiment.HandoverResult]("handover"),
 		messageOf[experiment.DayEndResult]("dayend"),
 		messageOf[experiment.UpgradeResult]("upgrade"),
 		messageOf[experiment.RecoveryResult]("recovery"),
--- a/internal/simulation/processes.go
+++ b/internal/simulation/processes.go
@@ -36,7 +36,7 @@
 	if sim.operators != nil {
 		process.instance.Enable(&features.Features{Configuration: features.Configuration{On: true}})
 	}
-	process.instance.DialPeers(sim.network.dialer(name))
+	process.instance.SetPeerDialer(sim.network.dialer(name))
 	instance, listener := process.instance, sim.network.listen(name)
 	sim.actors.Go(func() { instance.Run(listener) })
 }
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -37,9 +37,9 @@
 	Contradiction
 )
 
-// Newest returns the status to send for a job, given the status that was found for it: that status, or the terminal one
+// StatusToSend returns the status to send for a job, given the status that was found for it: that status, or the terminal one
 // that was sent before. A terminal status that may be sent is cached as sent.
-func (n *Notifications) Newest(status api.JobStatus) (api.JobStatus, SendDecision) {
+func (n *Notifications) StatusToSend(status api.JobStatus) (api.JobStatus, SendDecision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sent, alreadySent := n.sentTerminal.Get(status.ID)
--- a/lookup/terminal_states_test.go
+++ b/lookup/terminal_states_test.go
@@ -27,7 +27,7 @@
 	notifications := NewNotifications()
 	invariant.ResetViolations()
 	for _, step := range steps {
-		status, got := notifications.Newest(api.JobStatus{ID: "run-000001", State: step.found})
+		status, got := notifications.StatusToSend(api.JobStatus{ID: "run-000001", State: step.found})
 		if status.State != step.send || got != step.want {
 			t.Errorf("%s: status %s, decision %d; want %s, %d", step.name, status.State, got, step.send, step.want)
 		}
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -73,7 +73,7 @@
 // from, and the other peers whose recent hellos do not list it.
 func (l *MemberList) countObservers(now time.Time, peer *member) (receiving, notReceiving int) {
 	for _, other := range l.peers {
-		if other == peer || !other.helloSinceFailure || other.lastHello.StartedMS == 0 || now.Sub(other.lastHelloAt) > tuning.MaxViewAge {
+		if other == peer || !other.helloSinceFailure || other.lastHello.StartedMS == 0 || now.Sub(other.lastHelloAt) > tuning.MaxHelloAge {
 			continue
 		}
 		if slices.Contains(other.lastHello.HeardPeers, peer.name) {
--- a/membership/intervals.go
+++ b/membership/intervals.go
@@ -11,8 +11,8 @@
 
 // intervals is the distribution of the recent intervals between a member's hellos. It yields the suspicion level
 // phi of the phi accrual failure detector (N. Hayashibara, X. Défago, R. Yared, T. Katayama: "The phi accrual
-// failure detector", SRDS 2004). The prior has the weight of tuning.IntervalPriorWeight samples: hellos at the
-// expected interval, with a standard deviation of tuning.IntervalDeviationShare of that interval.
+// failure detector", SRDS 2004). The prior has the weight of tuning.HelloIntervalPriorWeight samples: hellos at the
+// expected interval, with a standard deviation of tuning.HelloIntervalDeviationShare of that interval.
 type intervals struct {
 	expectedInterval time.Duration
 	// samples is a ring buffer of at most tuning.HelloIntervalWindow intervals, in seconds.
@@ -43,10 +43,10 @@
 // at tuning.PhiMax.
 func (i *intervals) phi(silentFor time.Duration) float64 {
 	prior, count := i.expectedInterval.Seconds(), float64(len(i.samples))
-	priorDeviation := prior * tuning.IntervalDeviationShare
-	totalWeight := count + tuning.IntervalPriorWeight
-	mean := (i.sum + tuning.IntervalPriorWeight*prior) / totalWeight
-	meanSquare := (i.sumOfSquares + tuning.IntervalPriorWeight*(prior*prior+priorDeviation*priorDeviation)) / totalWeight
+	priorDeviation := prior * tuning.HelloIntervalDeviationShare
+	totalWeight := count + tuning.HelloIntervalPriorWeight
+	mean := (i.sum + tuning.HelloIntervalPriorWeight*prior) / totalWeight
+	meanSquare := (i.sumOfSquares + tuning.HelloIntervalPriorWeight*(prior*prior+priorDeviation*priorDeviation)) / totalWeight
 	deviation := math.Max(priorDeviation, math.Sqrt(math.Max(0, meanSquare-mean*mean)))
 	probability := distuv.Normal{Mu: mean, Sigma: deviation}.Survival(silentFor.Seconds())
 	if probability <= 0 {
--- a/peer/network.go
+++ b/peer/network.go
@@ -161,7 +161,7 @@
 			go network.serveConn(ctx, conn)
 		case ctx.Err() == nil:
 			slog.Error("accepting peer connection failed", "err", err)
-			network.clock.Sleep(tuning.ElectionRetryDelay)
+			network.clock.Sleep(tuning.ErrorRetryDelay)
 		}
 	}
 	return nil
--- a/redirect/redirect.go
+++ b/redirect/redirect.go
@@ -33,7 +33,7 @@
 // one worker every tuning.RedirectProbeInterval.
 func (t *Tracker) Allow(now time.Time, worker, target string, receivesHeartbeats bool) bool {
 	if redirectedAt, known := t.redirectedAt[worker]; known {
-		if since := now.Sub(redirectedAt); since > tuning.RedirectReportTimeout && since < tuning.RedirectBackoff {
+		if since := now.Sub(redirectedAt); since > tuning.RedirectHeartbeatTimeout && since < tuning.RedirectBackoff {
 			return false
 		}
 	}
--- a/redirect/redirect_test.go
+++ b/redirect/redirect_test.go
@@ -39,7 +39,7 @@
 	if !tracker.Allow(clock.Now(), "n-3", "unreachable", false) {
 		t.Error("no other worker was redirected to probe the controller")
 	}
-	clock.Advance(tuning.RedirectReportTimeout / 2)
+	clock.Advance(tuning.RedirectHeartbeatTimeout / 2)
 	if !tracker.Allow(clock.Now(), "n-4", "unreachable", true) {
 		t.Error("not redirected although the controller receives heartbeats again")
 	}
--- a/relay/exchange/exchange_test.go
+++ b/relay/exchange/exchange_test.go
@@ -55,7 +55,7 @@
 		Member:         "y",
 		Client:         partition.client,
 		Clock:          clock,
-		WriteLimiter:   WriteRate(stateLimits),
+		WriteLimiter:   NewWriteLimiter(stateLimits),
 		UplinkKey:      store.RelayKey,
 		DownlinkPrefix: store.RelayResponsePrefix + "y/",
 		RefreshEvery:   time.Hour,
--- a/relay/exchange/follow.go
+++ b/relay/exchange/follow.go
@@ -25,7 +25,7 @@
 			_, revision, err = client.List(ctx, prefix)
 		}
 		if err != nil {
-			sleep.For(ctx, clock, tuning.ElectionRetryDelay)
+			sleep.For(ctx, clock, tuning.ErrorRetryDelay)
 			continue
 		}
 		UnpackEvents(events, prefix, term, &reassembler, deliver)
@@ -72,6 +72,6 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		sleep.For(ctx, clock, tuning.ElectionRetryDelay)
+		sleep.For(ctx, clock, tuning.ErrorRetryDelay)
 	}
 }
--- a/relay/exchange/limits.go
+++ b/relay/exchange/limits.go
@@ -15,9 +15,9 @@
 	return relay.Limits{MaxValueBytes: least.MaxValueBytes(), MaxRequestBytes: tuning.MaxPacketRequestBytes, MaxOperations: least.TxnOps}
 }
 
-// WriteRate returns the limiter of the packets of all kinds that a controller writes. Its rate is the
+// NewWriteLimiter returns the limiter of the packets of all kinds that a controller writes. Its rate is the
 // share tuning.RelayWriteShare of the state service's write limit, since the leader's records have priority.
-func WriteRate(limits settings.StateLimits) *rate.Limiter {
+func NewWriteLimiter(limits settings.StateLimits) *rate.Limiter {
 	writesPerSecond := tuning.RelayWriteShare * limits.Strictest().WriteRPS
 	return rate.NewLimiter(rate.Limit(writesPerSecond), max(PacketLimits(limits).MaxPackets(), int(writesPerSecond)))
 }
--- a/relay/proxy/workers_test.go
+++ b/relay/proxy/workers_test.go
@@ -20,7 +20,7 @@
 	clock := clockwork.NewFakeClock()
 	limits := settings.StateLimits{RPS: 120, WriteRPS: 30, ValueKB: 16, TxnOps: 24}
 	client := store.NewClient("state:1", fake.NewState(clock))
-	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
+	return NewWorkers(Options{Member: "y", Client: client, Clock: clock, WriteLimiter: exchange.NewWriteLimiter(limits), StateLimits: limits})
 }
 
 // relayedCommand describes a command for a task on machine b1 that the leader of term 7 derived from heartbeat seq and
--- a/relay/reassembler.go
+++ b/relay/reassembler.go
@@ -31,7 +31,7 @@
 	if packet.FragmentCount == 0 {
 		return decodeMessages(packet.Packed)
 	}
-	if packet.FragmentCount < 0 || packet.FragmentCount > tuning.MaxPacketPieces || packet.FragmentIndex < 0 || packet.FragmentIndex >= packet.FragmentCount {
+	if packet.FragmentCount < 0 || packet.FragmentCount > tuning.MaxMessageFragments || packet.FragmentIndex < 0 || packet.FragmentIndex >= packet.FragmentCount {
 		return nil, fmt.Errorf("fragment %d of %d is out of range", packet.FragmentIndex, packet.FragmentCount)
 	}
 	partial := r.partial[sender]
--- a/scheduler/command_relay_test.go
+++ b/scheduler/command_relay_test.go
@@ -68,7 +68,7 @@
 		h := newHarness(t)
 		h.state.SetLimits(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 		limits := settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
+		follower := proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.NewWriteLimiter(limits), StateLimits: limits})
 		workerName := func(i int) string { return fmt.Sprintf("b%04d", i) }
 		startedOn := map[string]string{}
 		seq := uint64(0)
--- a/scheduler/failure_detection.go
+++ b/scheduler/failure_detection.go
@@ -117,7 +117,7 @@
 func (s *Scheduler) detectionLimits(machine *machineState) failuredetector.Limits {
 	limits := failuredetector.Limits{
 		SuspectAfter:  s.heartbeatTimeout(machine),
-		ReleaseAfter:  max(tuning.MinSilence, settings.Seconds(tuning.SilenceReportIntervals*s.settings.Facts.Workers.HeartbeatIntervalS)),
+		ReleaseAfter:  max(tuning.MinReleaseSilence, settings.Seconds(tuning.SilenceHeartbeatIntervals*s.settings.Facts.Workers.HeartbeatIntervalS)),
 		ElectionGrace: s.lease() + tuning.NewTermGrace,
 		InboundLost:   tuning.InboundLostLeases * s.lease(),
 	}
--- a/scheduler/hints.go
+++ b/scheduler/hints.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImagesInterval
+// storeImageHints marks the image hint for writing if it changed and was last marked at least tuning.ImageHintsInterval
 // ago. s.mu must be held.
 func (s *Scheduler) storeImageHints(now time.Time) {
-	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImagesInterval {
+	if !s.imagesChanged || now.Sub(s.imagesStoredAt) < tuning.ImageHintsInterval {
 		return
 	}
 	s.imagesChanged, s.imagesStoredAt = false, now
--- a/scheduler/hints_test.go
+++ b/scheduler/hints_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("restored images: %+v, want the last two used", machine.Images())
 	}
 	// The hint is not written again without a change.
-	h.clock.Advance(2 * tuning.ImagesInterval)
+	h.clock.Advance(2 * tuning.ImageHintsInterval)
 	before := h.committer.Pending()
 	h.storeImageHints(h.clock.Now())
 	if h.committer.Pending() != before {
--- a/scheduler/locality.go
+++ b/scheduler/locality.go
@@ -444,5 +444,5 @@
 	if couldStart && (wait.Data > 0 || s.sharedStartCost(job, task, source).Data == 0) {
 		return false
 	}
-	return seconds <= tuning.FreeFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
+	return seconds <= tuning.MaxImmediateFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
 }
--- a/scheduler/packets_helper_test.go
+++ b/scheduler/packets_helper_test.go
@@ -51,5 +51,5 @@
 // newFollowerRelay returns the relay of a follower named y.
 func newFollowerRelay(h *harness) *proxy.Workers {
 	limits := settings.StateLimits{RPS: 800, WriteRPS: 5000, ValueKB: 16, TxnOps: 12}
-	return proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
+	return proxy.NewWorkers(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.NewWriteLimiter(limits), StateLimits: limits})
 }
--- a/scheduler/placement_round.go
+++ b/scheduler/placement_round.go
@@ -379,7 +379,7 @@
 // the fetch, so that the wait is at most a multiple of the shortest possible wait. s.mu must be held.
 func (s *Scheduler) worthPulling(job *jobState, machine *machineState) bool {
 	seconds := s.sharedStartCost(job, 0, machine).Seconds()
-	return seconds <= tuning.FreeFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
+	return seconds <= tuning.MaxImmediateFetchS || s.since(job.learnedAt).Seconds() >= tuning.PullDelayShare*seconds
 }
 
 // startTask allocates a task to a machine and commits its start. The parameter victims holds the allocations whose
--- a/scheduler/placement_topology.go
+++ b/scheduler/placement_topology.go
@@ -168,10 +168,10 @@
 	return forbidden
 }
 
-// topologySearchCPUs returns the minimum number of CPUs that the fleet should have so that tasks that fit into no
+// topologyTargetCPUs returns the minimum number of CPUs that the fleet should have so that tasks that fit into no
 // domain now can be placed. It returns zero if there are no such tasks, between attempts to start machines for them,
 // and without a topology. s.mu must be held.
-func (s *Scheduler) topologySearchCPUs(now time.Time) float64 {
+func (s *Scheduler) topologyTargetCPUs(now time.Time) float64 {
 	if s.topology == nil {
 		return 0
 	}
--- a/scheduler/scaling.go
+++ b/scheduler/scaling.go
@@ -153,7 +153,7 @@
 		return nil
 	}
 	desired, desiredOrdinary := s.desiredCapacity()
-	desired = math.Max(desired, s.topologySearchCPUs(now))
+	desired = math.Max(desired, s.topologyTargetCPUs(now))
 	supply, spotSupply := s.supply()
 	pools := s.availablePools(now)
 	spotShare := s.configuration.Policy.Value(policy.SpotShare, policy.Vars{"demand_cpus": desired})
@@ -172,7 +172,7 @@
 			continue
 		}
 		cpus := s.machineTypes[pool.machineType].CPUs
-		count := min(tuning.MaxInstanceRequest, int(math.Ceil(missing/cpus)))
+		count := min(tuning.MaxMachinesPerRental, int(math.Ceil(missing/cpus)))
 		requests = append(requests, s.instanceRequest(pool, count))
 		// The cloud may grant fewer; the next round takes that into account.
 		supply += float64(count) * cpus
--- a/scheduler/stage_relay_test.go
+++ b/scheduler/stage_relay_test.go
@@ -31,7 +31,7 @@
 	h := &partitionHarness{dataHarness: newDataHarness(t, features.PlacementStaged)}
 	h.state.SetLimits(fake.Limits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12})
 	limits := settings.StateLimits{RPS: 800, WriteRPS: 250, ValueKB: 16, TxnOps: 12}
-	h.proxy = proxy.NewAgents(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.WriteRate(limits), StateLimits: limits})
+	h.proxy = proxy.NewAgents(proxy.Options{Member: "y", Client: h.client(), Clock: h.clock, WriteLimiter: exchange.NewWriteLimiter(limits), StateLimits: limits})
 	h.packets = &packetCarrier{harness: h.harness, exchange: h.proxy.Exchange, prefix: store.AgentRelayPrefix}
 	h.readPacketsOfCurrentTerm()
 	return h
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -43,9 +43,9 @@
 	// CancelReleaseMargin is how long before the deadline by which a cancelled task must have stopped its machine is
 	// returned to the cloud. A call of the cloud takes up to 5 s.
 	CancelReleaseMargin = 6 * time.Second
-	// ElectionRetryDelay is the pause after an error before a loop tries again, for example to become leader, to watch
+	// ErrorRetryDelay is the pause after an error before a loop tries again, for example to become leader, to watch
 	// keys or to accept a connection.
-	ElectionRetryDelay = 250 * time.Millisecond
+	ErrorRetryDelay = 250 * time.Millisecond
 )
 
 // Benchmark with which controllers compare their CPU speed.
@@ -181,9 +181,9 @@
 	// large deployments, with two changes for each job, these are the jobs of half a minute or more. No read of the
 	// state service takes as long; the result of one that does is discarded.
 	ArchivedJobsCapacity = 4000
-	// ImagesInterval is the interval at which the leader stores which machines have which images. The record is only a
+	// ImageHintsInterval is the interval at which the leader stores which machines have which images. The record is only a
 	// hint for the next leader, so it is written rarely.
-	ImagesInterval = 8 * time.Second
+	ImageHintsInterval = 8 * time.Second
 	// MaxImagesRecordMachines is the maximum number of machines in a record of cached images. With at most
 	// MaxImagesPerMachine images of each machine, MaxImageNames names and MaxImageNameBytes bytes a name, and at under
 	// 4 bytes an index, 20 a machine and 20 a size, the record stays within 16 KiB.
@@ -275,11 +275,11 @@
 const (
 	// HelloIntervalWindow is the number of latest intervals between hellos that are considered, those of some 50 s.
 	HelloIntervalWindow = 100
-	// IntervalPriorWeight is the weight of the prior distribution, as a number of intervals.
-	IntervalPriorWeight = 10.0
-	// IntervalDeviationShare is the standard deviation of the prior distribution, and the minimum of the standard
+	// HelloIntervalPriorWeight is the weight of the prior distribution, as a number of intervals.
+	HelloIntervalPriorWeight = 10.0
+	// HelloIntervalDeviationShare is the standard deviation of the prior distribution, and the minimum of the standard
 	// deviation at any time, as a share of the usual interval.
-	IntervalDeviationShare = 0.25
+	HelloIntervalDeviationShare = 0.25
 	// PhiSuspect is the phi from which on a member is suspected. One silence in 100,000 reaches it by chance, after
 	// 1.05 s with usual hellos.
 	PhiSuspect = 5.0
@@ -303,8 +303,8 @@
 	SlowLocalFaults = 2
 	// CrashEvidenceTTL is how long a refused connection counts as evidence of a crash.
 	CrashEvidenceTTL = 3 * time.Second
-	// MaxViewAge is the maximum age of a hello whose list of heard peers is used: three intervals.
-	MaxViewAge = 1500 * time.Millisecond
+	// MaxHelloAge is the maximum age of a hello whose list of heard peers is used: three intervals.
+	MaxHelloAge = 1500 * time.Millisecond
 	// ShutdownTimeout limits a graceful shutdown.
 	ShutdownTimeout = 10 * time.Second
 	// ShutdownNoticeTime is how long peers and the load balancer are given to learn of a shutdown: two probes, a second
@@ -326,12 +326,12 @@
 
 // Machines.
 const (
-	// SilenceReportIntervals is the number of heartbeat intervals after which a silent machine is returned to the
+	// SilenceHeartbeatIntervals is the number of heartbeat intervals after which a silent machine is returned to the
 	// cloud, which proves that its tasks have stopped.
-	SilenceReportIntervals = 3.2
-	// MinSilence is the minimum of the time that SilenceReportIntervals determines, since a lost packet is
+	SilenceHeartbeatIntervals = 3.2
+	// MinReleaseSilence is the minimum of the time that SilenceHeartbeatIntervals determines, since a lost packet is
 	// retransmitted after up to a second.
-	MinSilence = 3500 * time.Millisecond
+	MinReleaseSilence = 3500 * time.Millisecond
 	// MinProcessPause is the minimum gap between a leader's rounds that counts as a pause of the process rather than as
 	// load. There are two rounds a second or more.
 	MinProcessPause = 1500 * time.Millisecond
@@ -387,10 +387,10 @@
 	// ServiceHeadroom is the capacity of ordinary machines that is kept, as a multiple of the demand that may not run
 	// on spot machines, so that the replicas of a lost machine can be placed at once.
 	ServiceHeadroom = 1.3
-	// MaxInstanceRequest is the maximum number of machines that the cloud accepts in one rental request.
-	MaxInstanceRequest = 50
-	// MaxReleaseBatch is the maximum number of machines that the cloud accepts in one return request.
-	MaxReleaseBatch = 100
+	// MaxMachinesPerRental is the maximum number of machines that the cloud accepts in one rental request.
+	MaxMachinesPerRental = 50
+	// MaxMachinesPerReturn is the maximum number of machines that the cloud accepts in one return request.
+	MaxMachinesPerReturn = 100
 	// PreemptionNoticeMarginS is how many seconds before the preemption of a spot machine its tasks must have saved
 	// their state.
 	PreemptionNoticeMarginS = 1.0
@@ -398,9 +398,9 @@
 
 // Redirects of workers to other controllers.
 const (
-	// RedirectReportTimeout is how long a worker may take to send a heartbeat to the controller that it was redirected
+	// RedirectHeartbeatTimeout is how long a worker may take to send a heartbeat to the controller that it was redirected
 	// to: half a second, and the duration of a heartbeat in flight.
-	RedirectReportTimeout = 2 * time.Second
+	RedirectHeartbeatTimeout = 2 * time.Second
 	// RedirectBackoff is how long a worker that came back is not redirected to the same controller again.
 	RedirectBackoff = 30 * time.Second
 	// RedirectProbeInterval is the interval at which one worker may be redirected to a controller that receives no
@@ -432,8 +432,8 @@
 	MaxPacketRequestBytes = 56 << 10
 	// PacketCompressionRatio is the number of bytes of messages that are compressed at once for each byte of a packet.
 	PacketCompressionRatio = 12.0
-	// MaxPacketPieces is the maximum number of fragments of a message: those of 1 MiB that does not compress.
-	MaxPacketPieces = 256
+	// MaxMessageFragments is the maximum number of fragments of a message: those of 1 MiB that does not compress.
+	MaxMessageFragments = 256
 	// MachinesPerPacket is the usual number of machines whose messages share a packet. The packet is rewritten when the
 	// message of any of them changes.
 	MachinesPerPacket = 48
@@ -495,9 +495,9 @@
 	// MinRunTimeS is the minimum run time, in seconds, that is assumed for a task, so that a wrong estimate does not
 	// make a machine appear to have unlimited capacity.
 	MinRunTimeS = 1.0
-	// FreeFetchS is the duration, in seconds, up to which an idle machine fetches an image, or inputs, without waiting
+	// MaxImmediateFetchS is the duration, in seconds, up to which an idle machine fetches an image, or inputs, without waiting
 	// for a machine that has them.
-	FreeFetchS = 2.0
+	MaxImmediateFetchS = 2.0
 	// PullDelayShare is how long a job must have been known before an idle machine takes a task of it from the run
 	// queue of another machine that has the image, as a share of the time that the idle machine needs to fetch it.
 	PullDelayShare = 0.5
@@ -572,10 +572,10 @@
 	// MaxConcurrentCopies is the number of parts that an agent copies concurrently, and the default number of peers
 	// that it serves concurrently.
 	MaxConcurrentCopies = 4
-	// MinStageReportInterval is the minimum interval between an agent's heartbeats.
-	MinStageReportInterval = 100 * time.Millisecond
-	// StageReportInterval is the usual interval of an agent's heartbeats.
-	StageReportInterval = 2 * time.Second
+	// MinStageHeartbeatInterval is the minimum interval between an agent's heartbeats.
+	MinStageHeartbeatInterval = 100 * time.Millisecond
+	// StageHeartbeatInterval is the usual interval of an agent's heartbeats.
+	StageHeartbeatInterval = 2 * time.Second
 	// StageCallTimeout limits the call that delivers an agent's heartbeat; it is as long as for a worker.
 	StageCallTimeout = 4 * time.Second
 	// CompressionSampleBytes is the number of bytes of a chunk that are compressed to find out whether compression
@@ -594,7 +594,7 @@
 	// StageResendDelay is how long an agent may take to acknowledge an order before the order is sent again.
 	StageResendDelay = time.Second
 	// StageSilenceTimeout is how long an agent may be silent and still be used as a source, or for a task with inputs.
-	StageSilenceTimeout = 3 * StageReportInterval
+	StageSilenceTimeout = 3 * StageHeartbeatInterval
 	// StageProgressTimeout is the time without progress after which a copy no longer counts as progressing, so that
 	// others stop waiting for it: the time of a stalled block and a retry.
 	StageProgressTimeout = 30 * time.Second
