--- a/cli/experiment_faults.go
+++ b/cli/experiment_faults.go
@@ -33,7 +33,7 @@
 	return cmd
 }
 
-// fillHandoverTable fills the table with a row for each way in which controllers are stopped.
+// fillHandoverTable fills the table with a row for each kind of shutdown.
 func fillHandoverTable(result []experiment.HandoverResult, writer table.Writer) {
 	writer.SetTitle("real processes over loopback on this machine; simulated workers, state service and cloud")
 	writer.AppendHeader(table.Row{"way", "ends", "submissions", "refused", "p50 ms", "p99 ms", "longest ms", "longest without an accept ms", "without a start ms", "an end takes ms"})
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -39,7 +39,7 @@
 	return exchange.leases.watermark.Statement(exchange.leases.clock.Now(), incarnation, position), true
 }
 
-// ApplyStatement applies the statement with which a peer answered a request sent at askedAt.
+// ApplyStatement applies the statement with which a peer answered a request sent at requestedAt.
 func (exchange cancellationExchange) ApplyStatement(member string, requestedAt time.Time, statement watermark.Statement) {
 	if err := exchange.leases.watermark.ApplyStatement(exchange.leases.clock.Now(), member, requestedAt, statement); err != nil {
 		slog.Info("rejecting peer statement", "member", member, "err", err)
--- a/experiment/dayend.go
+++ b/experiment/dayend.go
@@ -23,7 +23,8 @@
 	Cases []string
 	// AtOnce is the maximum number of scenarios that run concurrently.
 	AtOnce int
-	// SubmitForS is how long users submit jobs, and WaitAfterS how long the run then waits for unfinished jobs, in seconds.
+	// SubmitForS is how long users submit jobs, and WaitAfterS how long the run then waits for unfinished jobs, in
+	// seconds.
 	SubmitForS, WaitAfterS float64
 	// Progress receives a line when a scenario ends. It must not be nil.
 	Progress func(format string, a ...any)
--- a/experiment/order.go
+++ b/experiment/order.go
@@ -23,8 +23,8 @@
 // have. It reads the debug logs of that day, of one controller or of several.
 type Order struct {
 	Class string
-	// WithinS is the allowed time from when a job may start, in seconds. If it is 0, a job's allowed time
-	// is its own deadline multiplied by Times, counted from its submission.
+	// WithinS is the allowed time from when a job may start, in seconds. If it is 0, a job's allowed time is its own
+	// deadline multiplied by DeadlineFactor, counted from its submission.
 	WithinS, DeadlineFactor float64
 	// FromS and ToS bound the jobs' submission times, in seconds since the first log line.
 	FromS, ToS float64
@@ -39,10 +39,10 @@
 	return &Order{DeadlineFactor: 1, ToS: math.MaxFloat32, SlotS: 5, Rounds: 600}
 }
 
-// OrderResult compares the jobs of a class that met their deadline with those that could have. Alone counts
-// jobs that would have missed it with the whole fleet to themselves. Most is the bound that package
-// upperbound computes for the others, after subtracting the capacity that jobs of other classes with the same or
-// a higher rank used. Jobs with a task that never completed are not counted.
+// OrderResult compares the jobs of a class that met their deadline with those that could have. ImpossibleAlone counts
+// jobs that would have missed it with the whole fleet to themselves. UpperBound is the bound that package upperbound
+// computes for the others, after subtracting the capacity that jobs of other classes with the same or a higher rank
+// used. Jobs with a task that never completed are not counted.
 type OrderResult struct {
 	Class string `json:"class"`
 	// Aim describes the deadline that the jobs are compared with.
--- a/experiment/recovery.go
+++ b/experiment/recovery.go
@@ -47,7 +47,8 @@
 type RecoveryFigures struct {
 	Machines int    `json:"machines"`
 	Case     string `json:"case"`
-	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer from it.
+	// FirstStart is when a new leader first started a task, AllWorkersAnswered when every worker had received an answer
+	// from it.
 	FirstStart         float64 `json:"first_start_s"`
 	AllWorkersAnswered float64 `json:"heard_all_s"`
 	// HealthyReturned counts the healthy machines that were returned to the cloud. TasksLost counts the tasks that were
--- a/experiment/scale.go
+++ b/experiment/scale.go
@@ -32,8 +32,8 @@
 	StartsPerS     float64
 	Teams, Agents  int
 	// StepS is how long a step is measured, WatchS how long a case is observed after its fault has ended, CutS how long
-	// a rack or zone is partitioned, RegionCutS how long the regions are partitioned from each other, and OutageS how long the
-	// state service is unavailable. All in seconds.
+	// a rack or zone is partitioned, RegionCutS how long the regions are partitioned from each other, and OutageS how
+	// long the state service is unavailable. All in seconds.
 	StepS, WatchS, CutS, RegionCutS, OutageS float64
 	// ChangeIntervalS is the interval between configuration changes in seconds; 0 means none, and disables live
 	// configuration.
--- a/experiment/soak/faults.go
+++ b/experiment/soak/faults.go
@@ -23,11 +23,11 @@
 	lateWriteShare = 0.2
 	// messageShare is the share of messages affected by LostHeartbeats, RepeatedHeartbeats and LateCommands.
 	messageShare = 0.25
-	// affectedWorkersOneIn is the number of workers of which one is affected by a fault of workers.
+	// affectedWorkersOneIn is n if a fault of workers affects about one worker in n.
 	affectedWorkersOneIn = 5
-	// endedWorkersOneIn is the number of workers of which one is ended by FailedWorkers or PreemptedWorkers.
+	// endedWorkersOneIn is n if FailedWorkers and PreemptedWorkers end about one worker in n.
 	endedWorkersOneIn = 10
-	// slowMessageShare is the strength of SlowHeartbeats and SlowCommands.
+	// slowMessageShare is the share of messages that SlowHeartbeats and SlowCommands delay.
 	slowMessageShare = 0.5
 	// failingStartShare is the share of task starts that FailingStarts makes fail.
 	failingStartShare = 0.3
@@ -175,6 +175,7 @@
 		case HungWorkers:
 			worker.Suspend(true)
 		default:
+			// BlockMessages names the directions as the worker sees them, the kinds of faults as controllers do.
 			worker.BlockMessages(fault.Kind == InboundLostWorkers, fault.Kind == OutboundLostWorkers)
 		}
 	}
--- a/experiment/soak/schedule.go
+++ b/experiment/soak/schedule.go
@@ -12,7 +12,8 @@
 // Kind is a kind of fault.
 type Kind string
 
-// Kinds of faults. Faults of a single controller affect the fault's target.
+// Kinds of faults. Faults of a single controller affect the fault's target. Outbound and inbound are the directions
+// of messages as controllers see them.
 const (
 	// Kill kills a controller and restarts it when the fault ends.
 	Kill Kind = "kill"
--- a/experiment/soak/soak.go
+++ b/experiment/soak/soak.go
@@ -116,26 +116,26 @@
 	return nil
 }
 
-// Run is the outcome of one seed.
+// Run is the outcome of the run of one seed.
 type Run struct {
 	Seed     uint64         `json:"seed"`
 	Workers  int            `json:"workers"`
 	Seconds  float64        `json:"seconds"`
 	Schedule []string       `json:"schedule"`
 	Faults   map[string]int `json:"faults"`
-	// Requests counts the requests of users and Answers the answers to them. Crossed counts the answers that arrived
-	// after a newer one.
+	// Requests counts the requests of users and Answers the answers to them. OutOfOrderAnswers counts the answers that
+	// arrived after a newer one.
 	Requests          int `json:"questions"`
 	Answers           int `json:"answers"`
 	OutOfOrderAnswers int `json:"crossed"`
-	// TerminalJobs counts the jobs whose terminal state was reported to a user, Starts the task starts, and Terms the leaders'
-	// terms.
+	// TerminalJobs counts the jobs whose terminal state was reported to a user, Starts the task starts, and Terms the
+	// leaders' terms.
 	TerminalJobs int `json:"told"`
 	Starts       int `json:"starts"`
 	Terms        int `json:"terms"`
 	// IneffectiveStarts counts start commands that had no effect because they crossed with another message. Releases
-	// counts, from the leaders' logs, the released allocations by the proof that allowed the release, and the messages
-	// about an attempt that crossed.
+	// has the counts of the leaders' logs, by name: released allocations for each proof that allowed a release, and
+	// messages about an attempt that crossed with a start command for it.
 	IneffectiveStarts cluster.IneffectiveStarts `json:"crossings"`
 	Releases          map[string]int            `json:"releases"`
 	// Unfinished counts the accepted jobs that were not in a terminal state when the run ended.
@@ -175,8 +175,8 @@
 	return failed
 }
 
-// Run runs all seeds. All processes that it started have ended when it returns. It returns an error for invalid
-// options, if a run cannot be set up, or if ctx ends; the result then has the runs that were completed.
+// Run performs the runs of all seeds. All processes that it started have ended when it returns. It returns an error for
+// invalid options, if a run cannot be set up, or if ctx ends; the result then has the runs that were completed.
 func (o *Options) Run(ctx context.Context) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
--- a/experiment/upgrade.go
+++ b/experiment/upgrade.go
@@ -48,8 +48,8 @@
 	Awaiting int `json:"jobs_that_await"`
 	Tasks    int `json:"tasks_started"`
 	// RanTwice counts starts of a task that still ran on another machine; TooEarly counts starts before an awaited job
-	// was done; Wrong counts impossible states and refused submissions; Unended counts jobs that reached no terminal
-	// state; Forgotten counts answers that an accepted job is unknown.
+	// was done; WrongStates counts impossible states and refused submissions; Unfinished counts jobs that reached no
+	// terminal state; Forgotten counts answers that an accepted job is unknown.
 	RanTwice    int `json:"ran_twice"`
 	TooEarly    int `json:"too_early"`
 	WrongStates int `json:"wrong_states"`
@@ -57,8 +57,8 @@
 	Forgotten   int `json:"forgotten"`
 	// RefusedForSize counts requests that the state service refused because of their size.
 	RefusedForSize int `json:"refused_for_size"`
-	// AwaitingAcceptedAfterS is the time from the end of the rolling upgrade to the first accepted job that awaits another job, in
-	// seconds.
+	// AwaitingAcceptedAfterS is the time from the end of the rolling upgrade to the first accepted job that awaits
+	// another job, in seconds.
 	AwaitingAcceptedAfterS float64 `json:"switched_s"`
 }
 
--- a/lookup/notifications.go
+++ b/lookup/notifications.go
@@ -27,7 +27,7 @@
 // SendDecision says whether a status that was found for a job may be sent to a user.
 type SendDecision int
 
-// The decisions that Newest returns.
+// The decisions that StatusToSend returns.
 const (
 	// Send means that the status that was found may be sent.
 	Send SendDecision = iota
@@ -37,8 +37,8 @@
 	Contradiction
 )
 
-// StatusToSend returns the status to send for a job, given the status that was found for it: that status, or the terminal one
-// that was sent before. A terminal status that may be sent is cached as sent.
+// StatusToSend returns the status to send for a job, given the status that was found for it: that status, or the
+// terminal one that was sent before. A terminal status that may be sent is cached as sent.
 func (n *Notifications) StatusToSend(status api.JobStatus) (api.JobStatus, SendDecision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -69,7 +69,7 @@
 	return peer.setLevel(now, Suspected, []string{Process}, reason, changes)
 }
 
-// countObservers counts the other peers whose recent hellos list this peer among those that they receive hellos
+// countObservers counts the other peers whose recent hellos list the given peer among those that they receive hellos
 // from, and the other peers whose recent hellos do not list it.
 func (l *MemberList) countObservers(now time.Time, peer *member) (receiving, notReceiving int) {
 	for _, other := range l.peers {
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -86,7 +86,7 @@
 	return explanation, true
 }
 
-// taskLocations counts a job's allocated tasks by domain, or by machine where the topology lists no domain for it.
+// taskLocations counts a job's allocated tasks by domain, or by machine for machines that are in no domain.
 // Tasks on a machine whose heartbeats are overdue or that does not receive commands also count as unconfirmed. The
 // result is sorted by descending number of tasks. s.mu must be held.
 func (s *Scheduler) taskLocations(job *jobState) []api.TaskLocation {
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -47,8 +47,8 @@
 	}
 	machine := s.getOrAddMachine(heartbeat.Machine)
 	if !s.acceptHeartbeat(machine, heartbeat, via, false) {
-		// A late copy proves nothing. If a worker waits for the response, it renews the worker's lease and nothing
-		// else.
+		// A late copy proves nothing. If a worker waits for the response, the response renews the worker's lease and
+		// does nothing else.
 		return response, false, false
 	}
 	s.stopRelayingCommands(machine)
--- a/store/transaction.go
+++ b/store/transaction.go
@@ -172,7 +172,7 @@
 }
 
 // takeBatch removes the records of the next transaction from the queue; available is the number of changes that the
-// write limit allows now. If there are none, pause is the time to wait before the next attempt.
+// write limit allows now. If the batch is empty, pause is the time to wait before the next attempt.
 func (c *Committer) takeBatch(available float64) (batch []*pendingRecord, pause time.Duration) {
 	limit := batchLimit{
 		records:    min(c.maxOperations, int(available)),
@@ -182,9 +182,9 @@
 	defer c.mu.Unlock()
 	batch, nextReady, reserved := c.queue.take(c.clock.Now(), limit)
 	if reserved {
-		// The rest of the write limit is reserved for later records that a user waits for. Without the reserve,
-		// other records used up the limit, and each job of a burst of accepted jobs waited until the limit
-		// allowed another change.
+		// The rest of the write limit is reserved for later records that users wait for. Without the reserve, other
+		// records would use up the limit, and each job of a burst of accepted jobs would wait until the limit allowed
+		// another change.
 		return nil, c.timeUntilAllowed(1)
 	}
 	return batch, min(nextReady, tuning.PlacementInterval)
@@ -205,7 +205,7 @@
 	return min(tuning.UrgentReserve*float64(c.writeLimiter.Limit()), float64(c.writeLimiter.Burst()-1))
 }
 
-// timeUntilAllowed returns the time in which the write limit allows the given number of changes, at least 1 ms.
+// timeUntilAllowed returns the time until the write limit allows the given number of further changes, at least 1 ms.
 func (c *Committer) timeUntilAllowed(changes float64) time.Duration {
 	wait := time.Duration(changes / float64(c.writeLimiter.Limit()) * float64(time.Second))
 	return max(time.Millisecond, wait)
--- a/tuning/tuning.go
+++ b/tuning/tuning.go
@@ -495,8 +495,8 @@
 	// MinRunTimeS is the minimum run time, in seconds, that is assumed for a task, so that a wrong estimate does not
 	// make a machine appear to have unlimited capacity.
 	MinRunTimeS = 1.0
-	// MaxImmediateFetchS is the duration, in seconds, up to which an idle machine fetches an image, or inputs, without waiting
-	// for a machine that has them.
+	// MaxImmediateFetchS is the duration, in seconds, up to which an idle machine fetches an image, or inputs, without
+	// waiting for a machine that has them.
 	MaxImmediateFetchS = 2.0
 	// PullDelayShare is how long a job must have been known before an idle machine takes a task of it from the run
 	// queue of another machine that has the image, as a share of the time that the idle machine needs to fetch it.
